--- /dev/null
+++ b/internal/platform/golden_test.go
@@ -0,0 +1,496 @@
+package platform
+
+import (
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"os"
+	"regexp"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"glenport/internal/jsonline"
+	"glenport/internal/loop"
+	"glenport/placer"
+)
+
+var update = flag.Bool("update", false, "write testdata/conversation.golden anew")
+
+const goldenFile = "testdata/conversation.golden"
+
+// leftField is the only part of a line that the clock decides: the milliseconds until the attempt's deadline.
+var leftField = regexp.MustCompile(`"left":"([0-9]+)"`)
+
+// transcript gathers each line that the process under test writes, in the order in which the scripted conversation reads
+// them, with the peer that received it in front.
+type transcript struct {
+	*testing.T
+	step  string
+	lines []string
+}
+
+// begin names the step to which the following lines belong.
+func (s *transcript) begin(step string) { s.step = step }
+
+// record takes in one line as it was read, its end included. The remaining time of an offer is checked against the most it
+// may be, and then replaced.
+func (s *transcript) record(receiver string, line []byte, mostLeft int) {
+	s.Helper()
+	if !strings.HasSuffix(string(line), "\n") {
+		s.Fatalf("%s: %s received %q, which is no whole line", s.step, receiver, line)
+	}
+	if m := leftField.FindSubmatch(line); m != nil {
+		left, err := strconv.Atoi(string(m[1]))
+		if err != nil || left > mostLeft || left < mostLeft-int(patience/time.Millisecond) {
+			s.Errorf("%s: %q milliseconds are left, at most %d can be", s.step, m[1], mostLeft)
+		}
+		line = leftField.ReplaceAll(line, []byte(`"left":"LEFT"`))
+	}
+	s.lines = append(s.lines, fmt.Sprintf("%s | %s | %s", s.step, receiver, line))
+}
+
+// compare checks the whole transcript against the golden file.
+func (s *transcript) compare() {
+	s.Helper()
+	got := strings.Join(s.lines, "")
+	if *update {
+		if err := os.WriteFile(goldenFile, []byte(got), 0o644); err != nil {
+			s.Fatal(err)
+		}
+	}
+	golden, err := os.ReadFile(goldenFile)
+	if err != nil {
+		s.Fatal(err)
+	}
+	want := strings.SplitAfter(strings.TrimSuffix(string(golden), "\n"), "\n")
+	lines := strings.SplitAfter(strings.TrimSuffix(got, "\n"), "\n")
+	for i := range max(len(want), len(lines)) {
+		switch {
+		case i >= len(want):
+			s.Errorf("line %d is written, but was not recorded: %q", i+1, lines[i])
+		case i >= len(lines):
+			s.Errorf("line %d is not written: %q", i+1, want[i])
+		case want[i] != lines[i]:
+			s.Errorf("line %d is\n%q, want\n%q", i+1, lines[i], want[i])
+		}
+	}
+}
+
+// goldenClient is a client's connection whose received lines are recorded.
+type goldenClient struct {
+	*peer
+	name string
+	s    *transcript
+}
+
+func (s *transcript) client(r *rig, name string) *goldenClient {
+	return &goldenClient{r.owner(), name, s}
+}
+
+// reads records the next line.
+func (c *goldenClient) reads() {
+	c.s.Helper()
+	line, err := c.r.ReadBytes('\n')
+	if err != nil {
+		c.s.Fatalf("%s: %s received %q, %v", c.s.step, c.name, line, err)
+	}
+	c.s.record(c.name, line, 0)
+}
+
+// readsEnd checks that the connection is closed and nothing more was written.
+func (c *goldenClient) readsEnd() {
+	c.s.Helper()
+	if line, err := c.r.ReadBytes('\n'); !errors.Is(err, io.EOF) || len(line) > 0 {
+		c.s.Errorf("%s: %s received %q, %v, want the end", c.s.step, c.name, line, err)
+	}
+}
+
+// test sends a liveness test and records its answer: whatever was written before it is recorded in its place.
+func (c *goldenClient) test() {
+	c.s.Helper()
+	c.say(`{"op":"test","call":"00000000000000ff","with":{},"why":1}`)
+	c.reads()
+}
+
+func (c *goldenClient) end(call string, why string) {
+	c.say(`{"op":"end","call":"` + call + `","with":{}` + why + `}`)
+}
+
+// acknowledge confirms that the end of a container was received.
+func (c *goldenClient) acknowledge(call string) {
+	c.say(`{"op":"ended","call":"` + call + `","with":{}}`)
+}
+
+// goldenServer is a machine or the discovery service: it records each line it is sent, over all its connections.
+type goldenServer struct {
+	name, addr string
+	s          *transcript
+	conns      chan *peer
+	received   chan receivedLine
+	open       atomic.Int32
+}
+
+type receivedLine struct {
+	on   *peer
+	line []byte
+}
+
+func (s *transcript) server(name string) *goldenServer {
+	g := &goldenServer{name: name, s: s, conns: make(chan *peer, 100), received: make(chan receivedLine, 100)}
+	g.addr = listen(s.T, func(p *peer) {
+		g.open.Add(1)
+		defer g.open.Add(-1)
+		g.conns <- p
+		for {
+			line, err := p.r.ReadBytes('\n')
+			if len(line) > 0 {
+				g.received <- receivedLine{p, line}
+			}
+			if err != nil {
+				return
+			}
+		}
+	})
+	return g
+}
+
+// reads records the next line and returns the connection on which it came. An offer has mostLeft milliseconds at most.
+func (g *goldenServer) reads(mostLeft int) *peer {
+	g.s.Helper()
+	select {
+	case r := <-g.received:
+		g.s.record(g.name, r.line, mostLeft)
+		return r.on
+	case <-time.After(patience):
+		g.s.Fatalf("%s: %s received nothing", g.s.step, g.name)
+		return nil
+	}
+}
+
+// connected returns the next connection that was not returned yet.
+func (g *goldenServer) connected() *peer {
+	g.s.Helper()
+	select {
+	case p := <-g.conns:
+		return p
+	case <-time.After(patience):
+		g.s.Fatalf("%s: nobody connects to %s", g.s.step, g.name)
+		return nil
+	}
+}
+
+// forgetConns makes connected return only connections from now on.
+func (g *goldenServer) forgetConns() {
+	for len(g.conns) > 0 {
+		<-g.conns
+	}
+}
+
+// readsNoMore checks, once all connections have ended, that nothing was written beyond what was recorded.
+func (g *goldenServer) readsNoMore() {
+	g.s.Helper()
+	for deadline := time.Now().Add(patience); g.open.Load() > 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			g.s.Fatalf("%s: %d connections to %s are still open", g.s.step, g.open.Load(), g.name)
+		}
+	}
+	for len(g.received) > 0 {
+		g.s.Errorf("%s received more: %q", g.name, (<-g.received).line)
+	}
+}
+
+// answer lines of a machine.
+func (p *peer) accepts(call string) {
+	p.say(`{"op":"accept","call":"` + call + `","with":{},"desc":"v=0\r\nmade\u0020at <a> \u00e9\/"}`)
+}
+
+func (p *peer) ends(call string, why int, with string) {
+	p.say(fmt.Sprintf(`{"op":"end","call":"%s","with":{%s},"why":%d}`, call, with, why))
+}
+
+// Identifiers of the containers, one for each case.
+const (
+	runsToItsEnd         = "0000000000000a01"
+	hasNoRoom            = "0000000000000a02"
+	hasNoRoomForAWhile   = "0000000000000a03"
+	neverSent            = "0000000000000a04"
+	evictedBeforeAccept  = "0000000000000a05"
+	isInvalid            = "0000000000000a06"
+	terminatedWithCause  = "0000000000000a07"
+	terminatedNoCause    = "0000000000000a08"
+	fails                = "0000000000000a09"
+	endsNoCause          = "0000000000000a13"
+	isCancelled          = "0000000000000a0a"
+	timesOut             = "0000000000000a0b"
+	attemptIsCancelled   = "0000000000000a0c"
+	probesTheMachine     = "0000000000000a0d"
+	isRetriedElsewhere   = "0000000000000a0e"
+	acceptedByGone       = "0000000000000a0f"
+	isReclaimed          = "0000000000000a10"
+	endIsNotAcknowledged = "0000000000000a11"
+	openAtShutdown       = "0000000000000a12"
+)
+
+// goldenDecisions stand in for the scheduler: each is determined by the container's identifier.
+func goldenDecisions(e placer.Event) []placer.Action {
+	attempt := func(id placer.ContainerID, m placer.MachineID, wait placer.Time) []placer.Action {
+		return []placer.Action{placer.Bid{ID: id, Machine: m, MaxWait: wait}}
+	}
+	switch e := e.(type) {
+	case placer.Asked:
+		switch e.ID {
+		case timesOut:
+			return attempt(e.ID, "a", 50*placer.Millisecond)
+		case probesTheMachine:
+			return []placer.Action{placer.Probe{Machine: "a"}, placer.PushBack{ID: e.ID}}
+		}
+		return attempt(e.ID, "a", 0)
+	case placer.Noted:
+		if e.ID == attemptIsCancelled {
+			return []placer.Action{placer.Withdraw{ID: e.ID, Bid: e.Bid}}
+		}
+	case placer.Ended:
+		switch {
+		case e.Over:
+			return nil
+		case e.ID == hasNoRoom:
+			return []placer.Action{placer.PushBack{ID: e.ID}}
+		case e.ID == hasNoRoomForAWhile: // whole milliseconds go on the wire
+			return []placer.Action{placer.PushBack{ID: e.ID, HoldOff: 1500*placer.Millisecond + 7}}
+		case e.ID == isRetriedElsewhere && e.Machine == "a":
+			return attempt(e.ID, "b", 0)
+		}
+		return []placer.Action{placer.GiveUp{ID: e.ID}}
+	}
+	return nil
+}
+
+// Every sort of line that the process writes to clients, machines and the discovery service keeps its bytes. The
+// conversation is determined line by line: each step waits for what the one before has caused.
+// testdata/conversation.txt says in words what the lines hold.
+func TestLinesWrittenMatchGoldenConversation(t *testing.T) {
+	s := &transcript{T: t}
+	discovery, moved := s.server("discovery"), s.server("discovery, moved")
+	a, b := s.server("machine a"), s.server("machine b")
+	r := start(t, goldenDecisions, file(discovery.addr, 256, event(1, true, host("a", a.addr, "ready", 0), host("b", b.addr, "ready", 0))))
+
+	s.begin("watch")
+	watch := discovery.reads(0)
+
+	c := s.client(r, "client 1")
+	s.begin("liveness")
+	c.test()
+	s.outcomesBeforeAccept(c, a)
+	s.containersThatRun(c, a)
+	s.cancelledAttempts(c, a)
+	s.probes(r, c, a)
+	s.machinesThatGo(r, c, a, b, watch)
+
+	s.begin("watch resumed")
+	watch.c.Close()
+	discovery.reads(0)
+	s.begin("watch at a new address")
+	d := *r.p.d
+	d.Bus = moved.addr
+	r.p.Renew(&d)
+	moved.reads(0)
+
+	c = s.clientsThatGo(r, c, a)
+	s.shutdown(r, c, a)
+	for _, g := range []*goldenServer{discovery, moved, a, b} {
+		g.readsNoMore()
+	}
+	s.compare()
+}
+
+func offer(call string) string { return setUp(call, "") }
+
+// outcomesBeforeAccept plays the answers of a machine to an offer other than an accept.
+func (s *transcript) outcomesBeforeAccept(c *goldenClient, a *goldenServer) {
+	s.begin("rejected, no room")
+	c.say(strings.NewReplacer(`"report-run"`, `"matcher"`, `,"idem":"i1"`, "", `"k`+hasNoRoom+`"`, `"<k> & \"q\" \u00e9 \u2028"`,
+		`"v=0\r\n"`, `"\u0076=0\r\n<&>\/"`).Replace(offer(hasNoRoom)))
+	a.reads(2000).ends(hasNoRoom, 34, `"note":"cpu_full","load":"x0:1.5"`)
+	c.reads()
+
+	s.begin("rejected, no room for a while")
+	c.say(offer(hasNoRoomForAWhile))
+	a.reads(2000).ends(hasNoRoomForAWhile, 47, "")
+	c.reads()
+
+	s.begin("failed, never sent")
+	c.say(offer(neverSent))
+	a.reads(2000).ends(neverSent, 102, "")
+	c.reads()
+
+	s.begin("evicted before its accept")
+	c.say(offer(evictedBeforeAccept))
+	a.reads(2000).ends(evictedBeforeAccept, 41, `"note":"oom"`)
+	c.reads()
+
+	s.begin("invalid request")
+	c.say(strings.Replace(offer(isInvalid), "report-run", "unknown", 1))
+	c.reads()
+}
+
+// containersThatRun plays the ends of containers that a machine has accepted.
+func (s *transcript) containersThatRun(c *goldenClient, a *goldenServer) {
+	s.begin("accepted, finished")
+	c.say(offer(runsToItsEnd))
+	on := a.reads(2000)
+	on.accepts(runsToItsEnd)
+	c.reads()
+	on.ends(runsToItsEnd, jsonline.GivenUp, "")
+	c.reads()
+	c.acknowledge(runsToItsEnd)
+
+	s.begin("accepted, failed")
+	c.say(offer(fails))
+	on = a.reads(2000)
+	on.accepts(fails)
+	c.reads()
+	on.ends(fails, jsonline.Faulty, `"note":"other"`)
+	c.reads()
+	c.acknowledge(fails)
+
+	s.begin("accepted, ended without a cause")
+	c.say(offer(endsNoCause))
+	on = a.reads(2000)
+	on.accepts(endsNoCause)
+	c.reads()
+	on.say(`{"op":"end","call":"` + endsNoCause + `","with":{}}`)
+	c.reads()
+	c.acknowledge(endsNoCause)
+
+	s.begin("accepted, ended by its client")
+	c.say(offer(terminatedWithCause))
+	on = a.reads(2000)
+	on.accepts(terminatedWithCause)
+	c.reads()
+	c.end(terminatedWithCause, `,"why":31`)
+	a.reads(0).ends(terminatedWithCause, jsonline.Cancelled, "")
+	c.test()
+
+	s.begin("accepted, ended by its client without a cause")
+	c.say(offer(terminatedNoCause))
+	on = a.reads(2000)
+	on.accepts(terminatedNoCause)
+	c.reads()
+	c.end(terminatedNoCause, "")
+	a.reads(0).ends(terminatedNoCause, jsonline.GivenUp, "")
+	c.test()
+}
+
+// cancelledAttempts plays attempts that are cancelled at the machine.
+func (s *transcript) cancelledAttempts(c *goldenClient, a *goldenServer) {
+	s.begin("cancelled by its client")
+	c.say(offer(isCancelled))
+	a.reads(2000)
+	c.end(isCancelled, `,"why":16`)
+	a.reads(0)
+	c.test()
+
+	s.begin("timed out")
+	c.say(offer(timesOut))
+	a.reads(50)
+	a.reads(0)
+	c.reads()
+
+	s.begin("attempt cancelled by the scheduler")
+	c.say(offer(attemptIsCancelled))
+	on := a.reads(2000)
+	on.say(`{"op":"info","call":"` + attemptIsCancelled + `","with":{"note":"cpu","value":"1.5"}}`)
+	a.reads(0)
+	c.reads()
+}
+
+// probes plays so many that their count shows its base.
+func (s *transcript) probes(r *rig, c *goldenClient, a *goldenServer) {
+	s.begin("probe")
+	for i := range 10 {
+		c.say(offer(probesTheMachine))
+		on := a.reads(0)
+		c.reads()
+		on.say(fmt.Sprintf(`{"op":"tested","call":"%016x","with":{"load":"x0:1;x1:2"},"why":1}`, i+1))
+		if e := await[placer.Probed](r, nil); e.Outcome != placer.Finished || e.Report["x1"] != 2 {
+			s.Errorf("probe %d: %+v", i, e)
+		}
+	}
+}
+
+// machinesThatGo plays a retry, and machines that leave the list with work on them.
+func (s *transcript) machinesThatGo(r *rig, c *goldenClient, a, b *goldenServer, watch *peer) {
+	s.begin("retried on another machine")
+	c.say(offer(isRetriedElsewhere))
+	a.reads(2000).ends(isRetriedElsewhere, 34, `"note":"mem_full"`)
+	b.reads(2000).accepts(isRetriedElsewhere)
+	c.reads()
+
+	s.begin("lost with its machine")
+	watch.say(event(2, false, host("b", b.addr, "gone", 0)))
+	c.reads()
+	c.acknowledge(isRetriedElsewhere)
+
+	s.begin("accepted by a machine that is gone")
+	c.say(offer(acceptedByGone))
+	on := a.reads(2000)
+	watch.say(event(3, true))
+	await(r, func(e placer.ListCame) bool { return e.Version == 3 })
+	on.accepts(acceptedByGone)
+	a.reads(0)
+	c.reads()
+	a.forgetConns()
+	watch.say(event(4, false, host("a", a.addr, "ready", 0)))
+	await(r, func(e placer.ListCame) bool { return e.Version == 4 })
+}
+
+// clientsThatGo plays ends that are delivered to another client than the one that asked, and returns the last client.
+func (s *transcript) clientsThatGo(r *rig, c *goldenClient, a *goldenServer) *goldenClient {
+	s.begin("reclaimed by a client that goes")
+	c.say(strings.Replace(setUp(isReclaimed, ";at:a"), `"2000"`, `"4294967"`, 1))
+	await[placer.TookOver](r, nil)
+	on := a.connected()
+	c.c.Close()
+	c = s.client(r, "client 2")
+	c.test()
+	on.ends(isReclaimed, jsonline.GivenUp, "")
+	c.reads()
+	c.acknowledge(isReclaimed)
+
+	s.begin("end sent again")
+	c.say(offer(endIsNotAcknowledged))
+	on = a.reads(2000)
+	on.accepts(endIsNotAcknowledged)
+	c.reads()
+	on.ends(endIsNotAcknowledged, jsonline.Temporary, `"note":"preempted"`)
+	c.reads()
+	c.c.Close()
+	c = s.client(r, "client 3")
+	c.test()
+	c.reads()
+	c.acknowledge(endIsNotAcknowledged)
+	return c
+}
+
+// shutdown plays a shutdown with a request that stays open until shortly before the process would be killed.
+func (s *transcript) shutdown(r *rig, c *goldenClient, a *goldenServer) {
+	s.begin("shutdown")
+	r.on(func() { r.toldToLeave(0) })
+	c.test()
+	c.say(strings.Replace(offer(openAtShutdown), `"2000"`, `"60000"`, 1))
+	a.reads(60000)
+	other := s.client(r, "client 4")
+	s.begin("shutdown, call in use")
+	other.say(offer(openAtShutdown))
+	other.reads()
+	s.begin("shutdown, last answers")
+	r.on(func() { r.toldToLeave(3*loop.Second + loop.Second/4) })
+	a.reads(0)
+	c.reads()
+	c.readsEnd()
+	other.readsEnd()
+}
