--- /dev/null
+++ b/internal/host/golden_test.go
@@ -0,0 +1,381 @@
+package host
+
+import (
+	"bytes"
+	"encoding/binary"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"math"
+	"os"
+	"path/filepath"
+	"reflect"
+	"sort"
+	"strconv"
+	"strings"
+	"testing"
+
+	"glenport/internal/custody"
+	"glenport/internal/disk"
+	"glenport/internal/link"
+	"glenport/internal/recall"
+	"glenport/internal/recovery"
+	"glenport/internal/store"
+	"glenport/internal/storm"
+	"glenport/placer"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// The stored data of a scheduler, as the release before the renaming of this package wrote it:
+//
+//	testdata/state       a state folder: snapshot, log and the file "knowledge"
+//	testdata/state.txt   what it holds, one line for each field under its stored name
+//	testdata/export.json the same file "knowledge" as `glenport state export` shows it
+//	testdata/list        the machine list of version 1, a file of its own
+//
+// They change with the storage format alone, never with names in the code.
+const (
+	goldenState  = "testdata/state"
+	goldenText   = "testdata/state.txt"
+	goldenExport = "testdata/export.json"
+	goldenList   = "testdata/list"
+)
+
+var update = flag.Bool("update", false, "write the golden stored data anew with the program as it is")
+
+func goldenRequest(n float64, id string) placer.Ask {
+	return placer.Ask{ID: placer.ContainerID("container-" + id), Key: "key-" + id, Service: "service-" + id, Workload: 10 + int(n),
+		Customer: 20 + int(n), Cores: n + 0.25, Memory: n + 0.5, Due: placer.Time(1000 + n), Life: placer.Time(2000 + n), Again: true}
+}
+
+// Attempts by number. Number 3 is deleted again by the log.
+var goldenAttempts = []custody.Held{
+	{Ask: goldenRequest(1, "one"), Machine: "machine-one", Life: 101, Bid: 0x11, Running: true},
+	{Ask: goldenRequest(2, "two"), Machine: "machine-two", Life: 102, Bid: 0x22, Running: true},
+	{Ask: goldenRequest(3, "three"), Machine: "machine-three", Life: 103, Bid: 0x33, Running: true},
+	{Ask: goldenRequest(4, "four"), Machine: "machine-four", Life: 104, Bid: 0x1122334455667788, Running: true},
+}
+
+var goldenSends = []recall.Sent{
+	{Machine: "machine-five", Start: 205, Times: []placer.Time{3001, 3002, 3003}},
+	{Machine: "machine-six", Start: 206, Times: []placer.Time{3004}},
+}
+
+var goldenIncarnation = recall.Life{Whole: recall.Stamp{Clock: 17_000_000_000_001, Up: 17_000_002, Boot: "boot-of-the-record"}, Log: recovery.Synced}
+
+// There is one entry in the map: the order in which several are encoded is random.
+func goldenSnapshot() *Knowledge {
+	return &Knowledge{
+		At:    recall.Stamp{Clock: 17_000_000_000_101, Up: 17_000_102, Boot: "boot-of-the-file"},
+		Names: []string{"class-a", "class-b", "tenant-a"},
+		Learned: placer.Knowledge{
+			Machines: []placer.Learned{{Machine: "machine-seven", Started: 4001, Sick: 5.25, RestUntil: 4002, Rest: 4003, ShutUntil: 4004,
+				Doubts: []placer.Doubt{{Odds: 0.125, At: 4005}, {Odds: 1.125, At: 4006}}, Cold: []placer.Time{4007, 4008}}},
+			Traits: []placer.Trait{{Lost: 0.0625, Bar: 6.5}, {Lost: 0.1875, Bar: 7.5}, {Lost: 0.3125, Bar: 8.5}},
+			Full:   0.4375, Missed: 0.5625, SentSince: 4009,
+		},
+		Starts: map[placer.MachineID]uint64{"machine-seven": 207},
+		ListIs: 301,
+		Entries: []link.Entry{
+			{Machine: "machine-seven", Addr: "127.0.0.7:7007", Zone: 31, Kind: 32, Cell: 33, State: link.Draining, FreeCores: 34.5, FreeMemory: 35.5,
+				Hint: 36.5, Incarnation: 207, Age: 5001},
+			{Machine: "machine-eight", Addr: "127.0.0.8:8008", Zone: 41, Kind: 42, Cell: 43, State: link.Gone, FreeCores: 44.5, FreeMemory: 45.5,
+				Hint: 46.5, Incarnation: 208, Age: -1},
+		},
+		AtAnOrder: true,
+		Door:      &storm.Known{Limit: 91.5, Pace: 92.5, Slow: []float64{0.71, 0.72}, Calm: []float64{0.81, 0.82}},
+	}
+}
+
+// writeGoldenState writes the folder by the package's own writing path: three attempts, the sends and the incarnation go into
+// the snapshot; the log deletes one attempt, puts another and replaces a send.
+func writeGoldenState(t *testing.T, path string) {
+	t.Helper()
+	commit := func(f func(s *state)) {
+		d, err := openFolder(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		s := &state{dir: d}
+		if s.log, _, err = store.Open(d, store.Terms{}); err != nil {
+			t.Fatal(err)
+		}
+		f(s)
+		s.turnOver()
+		if err := s.log.Close(); err != nil {
+			t.Fatal(err)
+		}
+		if err := d.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	commit(func(s *state) {
+		s.life = goldenIncarnation
+		s.changes = append(s.changes, s.lifeChange())
+		for _, h := range goldenAttempts[:3] {
+			b := &bid{number: h.Bid, life: h.Life, c: &container{ask: h.Ask}, at: &machine{id: h.Machine}}
+			s.put(BidKind, bidKey(b.number), b.held())
+		}
+		for _, sent := range goldenSends {
+			s.put(SentKind, string(sent.Machine), recall.Sent{Machine: sent.Machine, Start: 1, Times: []placer.Time{1}})
+		}
+	})
+	d, err := disk.Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, _, err := store.Compact(d); err != nil {
+		t.Fatal(err)
+	}
+	if err := d.Close(); err != nil {
+		t.Fatal(err)
+	}
+	commit(func(s *state) {
+		s.drop(BidKind, bidKey(goldenAttempts[2].Bid))
+		s.put(BidKind, bidKey(goldenAttempts[3].Bid), goldenAttempts[3])
+		for _, sent := range goldenSends {
+			s.put(SentKind, string(sent.Machine), sent)
+		}
+		if err := goldenSnapshot().write(s.dir); err != nil {
+			t.Fatal(err)
+		}
+	})
+	if err := os.Remove(filepath.Join(path, "lock")); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// goldenListFile is the file of version 1: the clock, the length, and a list frame without its length.
+func goldenListFile(t *testing.T) []byte {
+	t.Helper()
+	frame, err := link.Append(nil, &link.Listed{Whole: true, Version: 302, Entries: goldenSnapshot().Entries})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(binary.BigEndian.AppendUint64(nil, 17_000_000_000_201), frame...)
+}
+
+func readFile(t *testing.T, path string) []byte {
+	t.Helper()
+	p, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return p
+}
+
+func writeFile(t *testing.T, path string, p []byte) {
+	t.Helper()
+	if err := os.WriteFile(path, p, 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// Run on the program that first wrote the data, with -update, this makes the golden files.
+func TestWritingPathGivesGoldenBytes(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "state")
+	writeGoldenState(t, path)
+	if *update {
+		if err := os.RemoveAll(goldenState); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.CopyFS(goldenState, os.DirFS(path)); err != nil {
+			t.Fatal(err)
+		}
+		writeFile(t, goldenList, goldenListFile(t))
+		writeFile(t, goldenText, []byte(describeState(t, goldenState)))
+		writeFile(t, goldenExport, exported(t, goldenSnapshot()))
+	}
+	want, err := os.ReadDir(goldenState)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := os.ReadDir(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(got) != len(want) || len(want) != 3 {
+		t.Errorf("files %v, want %v", got, want)
+	}
+	for _, f := range want {
+		if !bytes.Equal(readFile(t, filepath.Join(path, f.Name())), readFile(t, filepath.Join(goldenState, f.Name()))) {
+			t.Errorf("file %s is written with other bytes", f.Name())
+		}
+	}
+	if !bytes.Equal(goldenListFile(t), readFile(t, goldenList)) {
+		t.Error("the list of version 1 is encoded with other bytes")
+	}
+	if got := describeState(t, path); got != string(readFile(t, goldenText)) {
+		t.Errorf("the records are named otherwise:\n%s", got)
+	}
+	if got := exported(t, goldenSnapshot()); !bytes.Equal(got, readFile(t, goldenExport)) {
+		t.Errorf("the export is\n%s", got)
+	}
+}
+
+func TestGoldenStateIsRead(t *testing.T) {
+	s := terms(t)
+	s.State = t.TempDir()
+	if err := os.CopyFS(s.State, os.DirFS(goldenState)); err != nil {
+		t.Fatal(err)
+	}
+	h, err := New(s, learning(placer.Knowledge{}), discard)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { // a loop that was made is run to its end
+		h.Stop()
+		if err := h.Run(); err != nil {
+			t.Error(err)
+		}
+	}()
+	read := h.state
+	attempts := []custody.Held{goldenAttempts[0], goldenAttempts[1], goldenAttempts[3]}
+	for _, record := range []struct {
+		name      string
+		got, want any
+	}{
+		{"incarnation", read.before, goldenIncarnation},
+		{"attempts", read.bids, attempts},
+		{"sends", read.sent, goldenSends},
+		{"snapshot", read.kept, goldenSnapshot()},
+	} {
+		if !reflect.DeepEqual(record.got, record.want) {
+			t.Errorf("%s: read %+v, want %+v", record.name, record.got, record.want)
+		}
+		if path := zeroField(record.name, reflect.ValueOf(record.want)); path != "" {
+			t.Errorf("%s has no value to be compared", path)
+		}
+	}
+}
+
+func TestGoldenListOfVersion1IsRead(t *testing.T) {
+	got, err := readKeptList(goldenList)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := &Knowledge{At: recall.Stamp{Clock: 17_000_000_000_201}, ListIs: 302, Entries: goldenSnapshot().Entries}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v, want %+v", got, want)
+	}
+}
+
+// A bar that nothing reaches is infinite; it is kept as such.
+func TestInfiniteBarIsKept(t *testing.T) {
+	d, err := disk.Open(t.TempDir())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer d.Close()
+	k := &Knowledge{Learned: placer.Knowledge{Traits: []placer.Trait{{Lost: 0.5, Bar: math.Inf(1)}}}}
+	if err := k.write(d); err != nil {
+		t.Fatal(err)
+	}
+	got, err := ReadKnowledge(d)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got.Learned, k.Learned) {
+		t.Errorf("read %+v", got.Learned)
+	}
+}
+
+// zeroField gives the path of a field that the golden data leave at its zero value; "" where there is none.
+func zeroField(path string, v reflect.Value) string {
+	switch v.Kind() {
+	case reflect.Pointer:
+		if !v.IsNil() {
+			return zeroField(path, v.Elem())
+		}
+	case reflect.Slice:
+		for i := range v.Len() {
+			if p := zeroField(fmt.Sprintf("%s[%d]", path, i), v.Index(i)); p != "" {
+				return p
+			}
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if f := v.Type().Field(i); f.Name != "_" {
+				if p := zeroField(path+"."+f.Name, v.Field(i)); p != "" {
+					return p
+				}
+			}
+		}
+		return ""
+	}
+	if v.IsZero() || v.Kind() == reflect.Slice && v.Len() == 0 {
+		return path
+	}
+	return ""
+}
+
+// describeState tells what a folder holds by the names in its bytes, without the types of this program.
+func describeState(t *testing.T, path string) string {
+	t.Helper()
+	d, err := disk.Look(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	records, err := store.Read(d, false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	decode, err := cbor.DecOptions{DefaultMapType: reflect.TypeFor[map[string]any]()}.DecMode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var lines []string
+	value := func(name string, p []byte) error {
+		var v any
+		err := decode.Unmarshal(p, &v)
+		lines = describe(lines, name, v)
+		return err
+	}
+	for _, kind := range records.Kinds() {
+		if err := records.Each(kind, func(key string, p []byte) error { return value(kind+" "+key+":", p) }); err != nil {
+			t.Fatal(err)
+		}
+	}
+	version, body, err := store.ReadWhole(d, "knowledge", "GLENKNW", 255)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := value(fmt.Sprintf("knowledge version %d:", version), body); err != nil {
+		t.Fatal(err)
+	}
+	return strings.Join(lines, "\n") + "\n"
+}
+
+func describe(lines []string, path string, v any) []string {
+	switch v := v.(type) {
+	case map[string]any:
+		var names []string
+		for name := range v {
+			names = append(names, name)
+		}
+		sort.Strings(names)
+		for _, name := range names {
+			lines = describe(lines, path+" "+name, v[name])
+		}
+		return lines
+	case []any:
+		for i := range v {
+			lines = describe(lines, fmt.Sprintf("%s[%d]", path, i), v[i])
+		}
+		return lines
+	case string:
+		return append(lines, path+" = "+strconv.Quote(v))
+	}
+	return append(lines, fmt.Sprintf("%s = %v", path, v))
+}
+
+// exported is a snapshot as `glenport state export` writes it, indented.
+func exported(t *testing.T, k *Knowledge) []byte {
+	t.Helper()
+	p, err := json.MarshalIndent(k, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(p, '\n')
+}
