--- a/internal/host/golden_test.go
+++ b/internal/host/golden_test.go
@@ -64,6 +64,13 @@
 
 var goldenIncarnation = recall.Life{Whole: recall.Stamp{Clock: 17_000_000_000_001, Up: 17_000_002, Boot: "boot-of-the-record"}, Log: recovery.Synced}
 
+var goldenEntries = []link.Entry{
+	{Machine: "machine-seven", Addr: "127.0.0.7:7007", Zone: 31, Kind: 32, Cell: 33, State: link.Draining, FreeCores: 34.5, FreeMemory: 35.5,
+		Hint: 36.5, Incarnation: 207, Age: 5001},
+	{Machine: "machine-eight", Addr: "127.0.0.8:8008", Zone: 41, Kind: 42, Cell: 43, State: link.Gone, FreeCores: 44.5, FreeMemory: 45.5,
+		Hint: 46.5, Incarnation: 208, Age: -1},
+}
+
 // There is one entry in the map: the order in which several are encoded is random.
 func goldenSnapshot() *Knowledge {
 	return &Knowledge{
@@ -75,14 +82,9 @@
 			Traits: []placer.Trait{{Lost: 0.0625, Bar: 6.5}, {Lost: 0.1875, Bar: 7.5}, {Lost: 0.3125, Bar: 8.5}},
 			Full:   0.4375, Missed: 0.5625, SentSince: 4009,
 		},
-		Starts: map[placer.MachineID]uint64{"machine-seven": 207},
-		ListIs: 301,
-		Entries: []link.Entry{
-			{Machine: "machine-seven", Addr: "127.0.0.7:7007", Zone: 31, Kind: 32, Cell: 33, State: link.Draining, FreeCores: 34.5, FreeMemory: 35.5,
-				Hint: 36.5, Incarnation: 207, Age: 5001},
-			{Machine: "machine-eight", Addr: "127.0.0.8:8008", Zone: 41, Kind: 42, Cell: 43, State: link.Gone, FreeCores: 44.5, FreeMemory: 45.5,
-				Hint: 46.5, Incarnation: 208, Age: -1},
-		},
+		Starts:    map[placer.MachineID]uint64{"machine-seven": 207},
+		ListIs:    301,
+		Entries:   []entryRecord{recordOfEntry(goldenEntries[0]), recordOfEntry(goldenEntries[1])},
 		AtAnOrder: true,
 		Door:      &storm.Known{Limit: 91.5, Pace: 92.5, Slow: []float64{0.71, 0.72}, Calm: []float64{0.81, 0.82}},
 	}
@@ -149,7 +151,7 @@
 // goldenListFile is the file of version 1: the clock, the length, and a list frame without its length.
 func goldenListFile(t *testing.T) []byte {
 	t.Helper()
-	frame, err := link.Append(nil, &link.Listed{Whole: true, Version: 302, Entries: goldenSnapshot().Entries})
+	frame, err := link.Append(nil, &link.Listed{Whole: true, Version: 302, Entries: goldenEntries})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -244,6 +246,13 @@
 		if !reflect.DeepEqual(record.got, record.want) {
 			t.Errorf("%s: read %+v, want %+v", record.name, record.got, record.want)
 		}
+		if record.name == "snapshot" {
+			for i, r := range read.kept.Entries {
+				if r.entry() != goldenEntries[i] {
+					t.Errorf("entry %d: read %+v", i, r.entry())
+				}
+			}
+		}
 		if path := zeroField(record.name, reflect.ValueOf(record.want)); path != "" {
 			t.Errorf("%s has no value to be compared", path)
 		}
--- a/internal/host/knowledge.go
+++ b/internal/host/knowledge.go
@@ -13,7 +13,6 @@
 	"glenport/internal/loop"
 	"glenport/internal/recall"
 	"glenport/internal/store"
-	"glenport/internal/storm"
 	"glenport/placer"
 
 	"github.com/fxamacker/cbor/v2"
@@ -29,18 +28,6 @@
 	knowledgeEvery   = 2 * loop.Second
 )
 
-// Knowledge is what the file holds.
-type Knowledge struct {
-	At        recall.Stamp
-	Names     []string // of workloads and customers, in the order of the terms
-	Learned   placer.Knowledge
-	Starts    map[placer.MachineID]uint64
-	ListIs    int64 // version of the list
-	Entries   []link.Entry
-	AtAnOrder bool // written at an orderly end
-	Door      *storm.Known
-}
-
 // learner is a decider whose knowledge can be kept.
 type learner interface {
 	Knows() placer.Knowledge
@@ -99,8 +86,11 @@
 	if !ok {
 		return nil, fmt.Errorf("%s holds a %T", path, f)
 	}
-	return &Knowledge{At: recall.Stamp{Clock: placer.Time(binary.BigEndian.Uint64(data))}, ListIs: listed.Version,
-		Entries: listed.Entries}, nil
+	k := &Knowledge{At: recall.Stamp{Clock: placer.Time(binary.BigEndian.Uint64(data))}, ListIs: listed.Version}
+	for _, e := range listed.Entries {
+		k.Entries = append(k.Entries, recordOfEntry(e))
+	}
+	return k, nil
 }
 
 // aged gives the entries of a kept list as they stand now. A machine whose age is not known counts as just started:
@@ -110,13 +100,15 @@
 	if since.Age >= 0 && recall.Weight(recall.List, since.Age) == 0 {
 		return nil
 	}
-	all := append([]link.Entry(nil), k.Entries...)
-	for i := range all {
-		if e := &all[i]; e.Age >= 0 && since.Age >= 0 {
+	var all []link.Entry
+	for _, r := range k.Entries {
+		e := r.entry()
+		if e.Age >= 0 && since.Age >= 0 {
 			e.Age += link.Span(since.Age)
 		} else if e.Age >= 0 {
 			e.Age = 0
 		}
+		all = append(all, e)
 	}
 	return all
 }
@@ -129,7 +121,7 @@
 		if m := h.machines[placer.MachineID(e.Machine)]; m != nil && m.startedAt > 0 {
 			e.Age = link.Span(placer.Time(h.loop.Now()) - m.startedAt)
 		}
-		k.Entries = append(k.Entries, e)
+		k.Entries = append(k.Entries, recordOfEntry(e))
 	}
 	sort.Slice(k.Entries, func(i, j int) bool { return k.Entries[i].Machine < k.Entries[j].Machine })
 	if d := h.custody.Door(); d != nil {
--- /dev/null
+++ b/internal/host/records.go
@@ -0,0 +1,49 @@
+package host
+
+import (
+	"glenport/internal/link"
+	"glenport/internal/recall"
+	"glenport/internal/storm"
+	"glenport/placer"
+)
+
+// The types of this file are stored: their tags, not the names of their fields, are the format of the file
+// "knowledge" (cbor) and of its export (json). The records of the log are recovery.Held, recall.Sent and recall.Life.
+
+// Knowledge is what the file holds.
+type Knowledge struct {
+	At        recall.Stamp                `cbor:"At" json:"At"`
+	Names     []string                    `cbor:"Names" json:"Names"` // of workloads and customers, in the order of the terms
+	Learned   placer.Knowledge            `cbor:"Learned" json:"Learned"`
+	Starts    map[placer.MachineID]uint64 `cbor:"Starts" json:"Starts"`
+	ListIs    int64                       `cbor:"ListIs" json:"ListIs"` // version of the list
+	Entries   []entryRecord               `cbor:"Entries" json:"Entries"`
+	AtAnOrder bool                        `cbor:"AtAnOrder" json:"AtAnOrder"` // written at an orderly end
+	Door      *storm.Known                `cbor:"Door" json:"Door"`
+}
+
+// entryRecord is a stored link.Entry. In CBOR it is an array, so the order of the fields is part of the format.
+type entryRecord struct {
+	_           struct{}   `cbor:",toarray"`
+	Machine     string     `json:"Machine"`
+	Addr        string     `json:"Addr"`
+	Zone        int        `json:"Zone"`
+	MachineType int        `json:"Kind"`
+	RackGroup   int        `json:"Cell"`
+	State       link.State `json:"State"`
+	FreeCores   float64    `json:"FreeCores"`
+	FreeMemory  float64    `json:"FreeMemory"`
+	PowerHint   float64    `json:"Hint"`
+	Incarnation uint64     `json:"Incarnation"`
+	Age         link.Span  `json:"Age"` // when the snapshot was taken; below 0: not known
+}
+
+func recordOfEntry(e link.Entry) entryRecord {
+	return entryRecord{Machine: e.Machine, Addr: e.Addr, Zone: e.Zone, MachineType: e.Kind, RackGroup: e.Cell, State: e.State,
+		FreeCores: e.FreeCores, FreeMemory: e.FreeMemory, PowerHint: e.Hint, Incarnation: e.Incarnation, Age: e.Age}
+}
+
+func (r entryRecord) entry() link.Entry {
+	return link.Entry{Machine: r.Machine, Addr: r.Addr, Zone: r.Zone, Kind: r.MachineType, Cell: r.RackGroup, State: r.State,
+		FreeCores: r.FreeCores, FreeMemory: r.FreeMemory, Hint: r.PowerHint, Incarnation: r.Incarnation, Age: r.Age}
+}
--- a/internal/recall/recall.go
+++ b/internal/recall/recall.go
@@ -60,9 +60,9 @@
 // Stamp is a moment by two clocks: the one that people set, and the time since the system came up, which nobody
 // does. Boot tells one running of the system from another.
 type Stamp struct {
-	Clock placer.Time
-	Up    placer.Time
-	Boot  string
+	Clock placer.Time `cbor:"Clock" json:"Clock"`
+	Up    placer.Time `cbor:"Up" json:"Up"`
+	Boot  string      `cbor:"Boot" json:"Boot"`
 }
 
 // Since is what is known of the span between two stamps, the earlier one of another life.
@@ -90,9 +90,9 @@
 
 // Sent is when bids went to one start of a machine while it was cold.
 type Sent struct {
-	Machine placer.MachineID
-	Start   uint64 // which start of it
-	Times   []placer.Time
+	Machine placer.MachineID `cbor:"Machine"`
+	Start   uint64           `cbor:"Start"` // which start of it
+	Times   []placer.Time    `cbor:"Times"`
 }
 
 // Kept is what an earlier life left.
@@ -108,8 +108,8 @@
 
 // Life is what a placer writes down when it comes up.
 type Life struct {
-	Whole Stamp        // from then on every life has written down what it sent; zero: none did
-	Log   recovery.Log // how much is known of the bids of lives before it
+	Whole Stamp        `cbor:"Whole"` // from then on every life has written down what it sent; zero: none did
+	Log   recovery.Log `cbor:"Log"`   // how much is known of the bids of lives before it
 }
 
 // Next tells what a life that begins writes down and goes by. Over a restart of the system what was written and not
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -20,11 +20,11 @@
 
 // Held is a container at a machine, as the bid of one life of a placer.
 type Held struct {
-	Ask     placer.Ask
-	Machine placer.MachineID
-	Life    uint64
-	Bid     uint64
-	Running bool
+	Ask     placer.Ask       `cbor:"Ask"`
+	Machine placer.MachineID `cbor:"Machine"`
+	Life    uint64           `cbor:"Life"`
+	Bid     uint64           `cbor:"Bid"`
+	Running bool             `cbor:"Running"`
 }
 
 // Log is how much a placer's log says of the bids of its earlier lives.
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -259,8 +259,11 @@
 
 // Known is what a door has learned, to be kept for another life of it.
 type Known struct {
-	Limit, Pace float64
-	Slow, Calm  []float64 // by workload, as parts of the agreed time; nothing is known of those below 0
+	Limit float64 `cbor:"Limit" json:"Limit"`
+	Pace  float64 `cbor:"Pace" json:"Pace"`
+	// By workload, as parts of the agreed time; nothing is known of those below 0.
+	Slow []float64 `cbor:"Slow" json:"Slow"`
+	Calm []float64 `cbor:"Calm" json:"Calm"`
 }
 
 // Knows gives it.
