--- /dev/null
+++ b/internal/host/export.go
@@ -0,0 +1,94 @@
+package host
+
+import (
+	"encoding/json"
+
+	"glenport/internal/recall"
+	"glenport/internal/storm"
+	"glenport/placer"
+)
+
+// The types of this file are the form in which `glenport state export` shows a Knowledge. Operators read it with
+// other programs, so that its names are fixed here, apart from those of the code.
+type (
+	exportedSnapshot struct {
+		At        recall.Stamp                `json:"At"`
+		Names     []string                    `json:"Names"`
+		Learned   exportedLearned             `json:"Learned"`
+		Starts    map[placer.MachineID]uint64 `json:"Starts"`
+		ListIs    int64                       `json:"ListIs"`
+		Entries   []entryRecord               `json:"Entries"`
+		AtAnOrder bool                        `json:"AtAnOrder"`
+		Door      *storm.Known                `json:"Door"`
+	}
+
+	exportedLearned struct {
+		Machines  []exportedMachine `json:"Machines"`
+		Traits    []exportedTrait   `json:"Traits"`
+		Full      float64           `json:"Full"`
+		Missed    float64           `json:"Missed"`
+		SentSince placer.Time       `json:"SentSince"`
+	}
+
+	exportedMachine struct {
+		Machine   placer.MachineID `json:"Machine"`
+		Started   placer.Time      `json:"Started"`
+		Sick      float64          `json:"Sick"`
+		RestUntil placer.Time      `json:"RestUntil"`
+		Rest      placer.Time      `json:"Rest"`
+		ShutUntil placer.Time      `json:"ShutUntil"`
+		Doubts    []exportedDoubt  `json:"Doubts"`
+		Cold      []placer.Time    `json:"Cold"`
+	}
+
+	exportedTrait struct {
+		Lost float64 `json:"Lost"`
+		Bar  float64 `json:"Bar"`
+	}
+
+	exportedDoubt struct {
+		Odds float64     `json:"Odds"`
+		At   placer.Time `json:"At"`
+	}
+)
+
+// MarshalJSON gives the form of `glenport state export`.
+func (k Knowledge) MarshalJSON() ([]byte, error) {
+	return json.Marshal(exportedSnapshot{At: k.At, Names: k.Names, Learned: exportLearned(k.Learned), Starts: k.Starts,
+		ListIs: k.ListIs, Entries: k.Entries, AtAnOrder: k.AtAnOrder, Door: k.Door})
+}
+
+func exportLearned(k placer.Knowledge) exportedLearned {
+	return exportedLearned{
+		Machines:  exportEach(k.Machines, exportMachine),
+		Traits:    exportEach(k.Traits, func(t placer.Trait) exportedTrait { return exportedTrait{Lost: t.Lost, Bar: t.Bar} }),
+		Full:      k.Full,
+		Missed:    k.Missed,
+		SentSince: k.SentSince,
+	}
+}
+
+func exportMachine(m placer.Learned) exportedMachine {
+	return exportedMachine{
+		Machine:   m.Machine,
+		Started:   m.Started,
+		Sick:      m.Sick,
+		RestUntil: m.RestUntil,
+		Rest:      m.Rest,
+		ShutUntil: m.ShutUntil,
+		Doubts:    exportEach(m.Doubts, func(d placer.Doubt) exportedDoubt { return exportedDoubt{Odds: d.Odds, At: d.At} }),
+		Cold:      m.Cold,
+	}
+}
+
+// exportEach keeps nil: JSON shows it as null and an empty slice as [].
+func exportEach[From, To any](from []From, export func(From) To) []To {
+	if from == nil {
+		return nil
+	}
+	to := make([]To, len(from))
+	for i := range from {
+		to[i] = export(from[i])
+	}
+	return to
+}
--- a/internal/host/golden_test.go
+++ b/internal/host/golden_test.go
@@ -270,6 +270,20 @@
 	}
 }
 
+// Nothing learned is exported as null, as it was before the export had types of its own.
+func TestEmptySnapshotIsExported(t *testing.T) {
+	got, err := json.Marshal(map[string]any{"kind": "knowledge", "value": Knowledge{Learned: placer.Knowledge{Machines: []placer.Learned{{}}}}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := `{"kind":"knowledge","value":{"At":{"Clock":0,"Up":0,"Boot":""},"Names":null,"Learned":{"Machines":[{"Machine":"",` +
+		`"Started":0,"Sick":0,"RestUntil":0,"Rest":0,"ShutUntil":0,"Doubts":null,"Cold":null}],"Traits":null,"Full":0,"Missed":0,` +
+		`"SentSince":0},"Starts":null,"ListIs":0,"Entries":null,"AtAnOrder":false,"Door":null}}`
+	if string(got) != want {
+		t.Errorf("got\n%s\nwant\n%s", got, want)
+	}
+}
+
 // A bar that nothing reaches is infinite; it is kept as such.
 func TestInfiniteBarIsKept(t *testing.T) {
 	d, err := disk.Open(t.TempDir())
--- a/internal/host/records.go
+++ b/internal/host/records.go
@@ -8,21 +8,22 @@
 )
 
 // The types of this file are stored: their tags, not the names of their fields, are the format of the file
-// "knowledge" (cbor) and of its export (json). The records of the log are recovery.Held, recall.Sent and recall.Life.
+// "knowledge". The records of the log are recovery.Held, recall.Sent and recall.Life.
 
 // Knowledge is what the file holds.
 type Knowledge struct {
-	At        recall.Stamp                `cbor:"At" json:"At"`
-	Names     []string                    `cbor:"Names" json:"Names"` // of workloads and customers, in the order of the terms
-	Learned   placer.Knowledge            `cbor:"Learned" json:"Learned"`
-	Starts    map[placer.MachineID]uint64 `cbor:"Starts" json:"Starts"`
-	ListIs    int64                       `cbor:"ListIs" json:"ListIs"` // version of the list
-	Entries   []entryRecord               `cbor:"Entries" json:"Entries"`
-	AtAnOrder bool                        `cbor:"AtAnOrder" json:"AtAnOrder"` // written at an orderly end
-	Door      *storm.Known                `cbor:"Door" json:"Door"`
+	At        recall.Stamp                `cbor:"At"`
+	Names     []string                    `cbor:"Names"` // of workloads and customers, in the order of the terms
+	Learned   placer.Knowledge            `cbor:"Learned"`
+	Starts    map[placer.MachineID]uint64 `cbor:"Starts"`
+	ListIs    int64                       `cbor:"ListIs"` // version of the list
+	Entries   []entryRecord               `cbor:"Entries"`
+	AtAnOrder bool                        `cbor:"AtAnOrder"` // written at an orderly end
+	Door      *storm.Known                `cbor:"Door"`
 }
 
-// entryRecord is a stored link.Entry. In CBOR it is an array, so the order of the fields is part of the format.
+// entryRecord is a stored link.Entry. In CBOR it is an array, so the order of the fields is part of the format; JSON is
+// the form of the export.
 type entryRecord struct {
 	_           struct{}   `cbor:",toarray"`
 	Machine     string     `json:"Machine"`
