--- a/internal/link/frames.go
+++ b/internal/link/frames.go
@@ -110,92 +110,92 @@
 	// Hello opens a link, from both sides, before anything else.
 	Hello struct {
 		_       struct{} `cbor:",toarray"`
-		Magic   string
-		Version uint
-		Role    Role
-		Name    string
-		Life    uint64 // grows with each start of that name
+		Magic   string   `cbor:"Magic"`
+		Version uint     `cbor:"Version"`
+		Role    Role     `cbor:"Role"`
+		Name    string   `cbor:"Name"`
+		Life    uint64   `cbor:"Life"` // grows with each start of that name
 	}
 
 	// Offer is a placer's bid at a machine. Bid numbers are unique in one life of a placer.
 	Offer struct {
 		_    struct{} `cbor:",toarray"`
-		Bid  uint64
-		Wait Span // it lapses when it has not started by then
-		Work Work
+		Bid  uint64   `cbor:"Bid"`
+		Wait Span     `cbor:"Wait"` // it lapses when it has not started by then
+		Work Work     `cbor:"Work"`
 	}
 
 	// Work describes a container. Window is above 0 for numbered work: repeats of Key are dropped so long.
 	Work struct {
 		_         struct{} `cbor:",toarray"`
-		Container string
-		Key       string
-		Service   string
-		Workload  int
-		Customer  int
-		Cores     float64
-		Memory    float64
-		Window    Span
-		RunFor    Span // 0: not told
-		Again     bool
+		Container string   `cbor:"Container"`
+		Key       string   `cbor:"Key"`
+		Service   string   `cbor:"Service"`
+		Workload  int      `cbor:"Workload"`
+		Customer  int      `cbor:"Customer"`
+		Cores     float64  `cbor:"Cores"`
+		Memory    float64  `cbor:"Memory"`
+		Window    Span     `cbor:"Window"`
+		RunFor    Span     `cbor:"RunFor"` // 0: not told
+		Again     bool     `cbor:"Again"`
 	}
 
 	// Yes answers an offer; Running tells whether it runs by now or was only accepted.
 	Yes struct {
 		_       struct{} `cbor:",toarray"`
-		Bid     uint64
-		Running bool
+		Bid     uint64   `cbor:"Bid"`
+		Running bool     `cbor:"Running"`
 	}
 
 	// Result ends a bid, before or after a Yes.
 	Result struct {
-		_       struct{} `cbor:",toarray"`
-		Bid     uint64
-		Outcome Outcome
-		Reason  Reason
-		Report  map[string]float64
+		_       struct{}           `cbor:",toarray"`
+		Bid     uint64             `cbor:"Bid"`
+		Outcome Outcome            `cbor:"Outcome"`
+		Reason  Reason             `cbor:"Reason"`
+		Report  map[string]float64 `cbor:"Report"`
 	}
 
 	// Note is news of a container that runs: 1 it runs, 2 cores, 3 memory used, 4 part of full service,
 	// 5 part of its machine's memory in use.
 	Note struct {
 		_      struct{} `cbor:",toarray"`
-		Bid    uint64
-		Sort   uint8
-		Amount float64
+		Bid    uint64   `cbor:"Bid"`
+		Sort   uint8    `cbor:"Sort"`
+		Amount float64  `cbor:"Amount"`
 	}
 
 	// Withdraw calls a bid off, whether it waits or runs; a Result of Stopped follows where there was one.
 	Withdraw struct {
 		_    struct{} `cbor:",toarray"`
-		Life uint64
-		Bid  uint64
+		Life uint64   `cbor:"Life"`
+		Bid  uint64   `cbor:"Bid"`
 	}
 
 	Probe struct {
 		_   struct{} `cbor:",toarray"`
-		Seq uint64
+		Seq uint64   `cbor:"Seq"`
 	}
 
 	Probed struct {
-		_      struct{} `cbor:",toarray"`
-		Seq    uint64
-		Report map[string]float64
+		_      struct{}           `cbor:",toarray"`
+		Seq    uint64             `cbor:"Seq"`
+		Report map[string]float64 `cbor:"Report"`
 	}
 
 	// Holds follows a machine's Hello: what it holds for the placer that called, of all its lives.
 	Holds struct {
-		_           struct{} `cbor:",toarray"`
-		Incarnation uint64   // grows with each start of the machine
-		Held        []Holding
+		_           struct{}  `cbor:",toarray"`
+		Incarnation uint64    `cbor:"Incarnation"` // grows with each start of the machine
+		Held        []Holding `cbor:"Held"`
 	}
 
 	Holding struct {
 		_       struct{} `cbor:",toarray"`
-		Life    uint64
-		Bid     uint64
-		Running bool
-		Work    Work
+		Life    uint64   `cbor:"Life"`
+		Bid     uint64   `cbor:"Bid"`
+		Running bool     `cbor:"Running"`
+		Work    Work     `cbor:"Work"`
 	}
 
 	// Fetch asks for the whole list, Watch for changes after a version; a Listed or a Failed answers.
@@ -205,35 +205,35 @@
 
 	Watch struct {
 		_     struct{} `cbor:",toarray"`
-		On    bool
-		Since int64
+		On    bool     `cbor:"On"`
+		Since int64    `cbor:"Since"`
 	}
 
 	Listed struct {
 		_       struct{} `cbor:",toarray"`
-		Whole   bool
-		Version int64
-		Entries []Entry
+		Whole   bool     `cbor:"Whole"`
+		Version int64    `cbor:"Version"`
+		Entries []Entry  `cbor:"Entries"`
 	}
 
 	Entry struct {
 		_           struct{} `cbor:",toarray"`
-		Machine     string
-		Addr        string
-		Zone        int
-		Kind        int
-		Cell        int
-		State       State
-		FreeCores   float64
-		FreeMemory  float64
-		Hint        float64
-		Incarnation uint64
-		Age         Span // since its start; below 0: long ago
+		Machine     string   `cbor:"Machine"`
+		Addr        string   `cbor:"Addr"`
+		Zone        int      `cbor:"Zone"`
+		Kind        int      `cbor:"Kind"`
+		Cell        int      `cbor:"Cell"`
+		State       State    `cbor:"State"`
+		FreeCores   float64  `cbor:"FreeCores"`
+		FreeMemory  float64  `cbor:"FreeMemory"`
+		Hint        float64  `cbor:"Hint"`
+		Incarnation uint64   `cbor:"Incarnation"`
+		Age         Span     `cbor:"Age"` // since its start; below 0: long ago
 	}
 
 	Failed struct {
 		_    struct{} `cbor:",toarray"`
-		Text string
+		Text string   `cbor:"Text"`
 	}
 
 	// Beat keeps an idle link from looking dead.
@@ -245,40 +245,40 @@
 	// one Fate.
 	Submit struct {
 		_    struct{} `cbor:",toarray"`
-		Left Span
-		Work Work
+		Left Span     `cbor:"Left"`
+		Work Work     `cbor:"Work"`
 	}
 
 	// Cancel ends a container, by its id or, where that is not known, by the key it runs under.
 	Cancel struct {
 		_         struct{} `cbor:",toarray"`
-		Container string
-		Key       string // may be empty
+		Container string   `cbor:"Container"`
+		Key       string   `cbor:"Key"` // may be empty
 	}
 
 	// Look asks for what runs under a key, and starts nothing: an Answer to the container named says placed and where,
 	// pushed back where nothing of it runs, or turned away while that is not sure.
 	Look struct {
 		_         struct{} `cbor:",toarray"`
-		Container string
-		Key       string
+		Container string   `cbor:"Container"`
+		Key       string   `cbor:"Key"`
 	}
 
 	Answer struct {
 		_         struct{} `cbor:",toarray"`
-		Container string
-		Verdict   Verdict
-		Machine   string
-		HoldOff   Span
-		Text      string
+		Container string   `cbor:"Container"`
+		Verdict   Verdict  `cbor:"Verdict"`
+		Machine   string   `cbor:"Machine"`
+		HoldOff   Span     `cbor:"HoldOff"`
+		Text      string   `cbor:"Text"`
 	}
 
 	Fate struct {
 		_         struct{} `cbor:",toarray"`
-		Container string
-		Machine   string
-		Outcome   Outcome
-		Reason    Reason
+		Container string   `cbor:"Container"`
+		Machine   string   `cbor:"Machine"`
+		Outcome   Outcome  `cbor:"Outcome"`
+		Reason    Reason   `cbor:"Reason"`
 	}
 
 	AskStatus struct {
@@ -288,90 +288,90 @@
 	// Status is a placer's account of itself, in named figures.
 	Status struct {
 		_       struct{} `cbor:",toarray"`
-		Name    string
-		Figures []Figure
+		Name    string   `cbor:"Name"`
+		Figures []Figure `cbor:"Figures"`
 	}
 
 	Figure struct {
 		_     struct{} `cbor:",toarray"`
-		Name  string
-		Value float64
-		Unit  string
+		Name  string   `cbor:"Name"`
+		Value float64  `cbor:"Value"`
+		Unit  string   `cbor:"Unit"`
 	}
 
 	// AskWhy asks a placer what keeps work like this from machines; a Why of the same number answers.
 	AskWhy struct {
 		_    struct{} `cbor:",toarray"`
-		Seq  uint64
-		Work Work
+		Seq  uint64   `cbor:"Seq"`
+		Work Work     `cbor:"Work"`
 	}
 
 	// Why counts machines by what leaves them out.
 	Why struct {
 		_           struct{} `cbor:",toarray"`
-		Seq         uint64
-		Known       bool // false where the placer cannot tell
-		Machines    int
-		Gone        int
-		OtherKind   int
-		Draining    int
-		TooSmall    int
-		Closing     int
-		SpreadFull  int
-		ColdSpent   int
-		Resting     int
-		Shunned     int
-		NoCores     int
-		NoMemory    int
-		Free        int
-		Yielding    bool
-		NoRoomShare float64
-		ListAge     Span // since the list was last heard; below 0: never
+		Seq         uint64   `cbor:"Seq"`
+		Known       bool     `cbor:"Known"` // false where the placer cannot tell
+		Machines    int      `cbor:"Machines"`
+		Gone        int      `cbor:"Gone"`
+		OtherKind   int      `cbor:"OtherKind"`
+		Draining    int      `cbor:"Draining"`
+		TooSmall    int      `cbor:"TooSmall"`
+		Closing     int      `cbor:"Closing"`
+		SpreadFull  int      `cbor:"SpreadFull"`
+		ColdSpent   int      `cbor:"ColdSpent"`
+		Resting     int      `cbor:"Resting"`
+		Shunned     int      `cbor:"Shunned"`
+		NoCores     int      `cbor:"NoCores"`
+		NoMemory    int      `cbor:"NoMemory"`
+		Free        int      `cbor:"Free"`
+		Yielding    bool     `cbor:"Yielding"`
+		NoRoomShare float64  `cbor:"NoRoomShare"`
+		ListAge     Span     `cbor:"ListAge"` // since the list was last heard; below 0: never
 	}
 
 	// AskRoutes asks how the announcements of addresses stand; a Routes answers.
 	AskRoutes struct {
 		_       struct{} `cbor:",toarray"`
-		Service string   // empty: all
+		Service string   `cbor:"Service"` // empty: all
 	}
 
 	Routes struct {
-		_        struct{} `cbor:",toarray"`
-		Peers    []RoutePeer
-		Services []RouteOf
+		_        struct{}    `cbor:",toarray"`
+		Peers    []RoutePeer `cbor:"Peers"`
+		Services []RouteOf   `cbor:"Services"`
 	}
 
 	RoutePeer struct {
 		_       struct{} `cbor:",toarray"`
-		Addr    string
-		AS      uint32
-		State   string
-		Routes  int
-		Due     int
-		Updates int
-		Bytes   int
-		Ends    int // sessions that ended
-		Why     string
+		Addr    string   `cbor:"Addr"`
+		AS      uint32   `cbor:"AS"`
+		State   string   `cbor:"State"`
+		Routes  int      `cbor:"Routes"`
+		Due     int      `cbor:"Due"`
+		Updates int      `cbor:"Updates"`
+		Bytes   int      `cbor:"Bytes"`
+		Ends    int      `cbor:"Ends"` // sessions that ended
+		Why     string   `cbor:"Why"`
 	}
 
 	RouteOf struct {
 		_          struct{} `cbor:",toarray"`
-		Service    string
-		Prefix     string
-		Announced  bool
-		Preference uint32
-		Running    int
-		Draining   int
-		Least      int
-		Penalty    float64
-		Suppressed bool
-		Next       Span // until a change that waits for its pace; 0: none does
+		Service    string   `cbor:"Service"`
+		Prefix     string   `cbor:"Prefix"`
+		Announced  bool     `cbor:"Announced"`
+		Preference uint32   `cbor:"Preference"`
+		Running    int      `cbor:"Running"`
+		Draining   int      `cbor:"Draining"`
+		Least      int      `cbor:"Least"`
+		Penalty    float64  `cbor:"Penalty"`
+		Suppressed bool     `cbor:"Suppressed"`
+		Next       Span     `cbor:"Next"` // until a change that waits for its pace; 0: none does
 	}
 
 	// Bye tells why a link is about to be closed.
 	Bye struct {
 		_    struct{} `cbor:",toarray"`
-		Text string
+		Text string   `cbor:"Text"`
 	}
 )
 
