--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -39,9 +39,9 @@
 // Change puts a value, or takes it out where it is nil.
 type Change struct {
 	_     struct{} `cbor:",toarray"`
-	Kind  string
-	Key   string
-	Value []byte
+	Kind  string   `cbor:"Kind"`
+	Key   string   `cbor:"Key"`
+	Value []byte   `cbor:"Value"`
 }
 
 // Put is a change that puts a value in CBOR.
