--- /dev/null
+++ b/internal/tap/record_test.go
@@ -0,0 +1,224 @@
+package tap
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"glenport/internal/link"
+	"glenport/placer"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+var update = flag.Bool("update", false, "record the golden record of this package anew")
+
+const (
+	goldenRecord = "testdata/record.bin"
+	goldenWords  = "testdata/record.txt"
+)
+
+func goldenHeader() Header {
+	return Header{Format: "glenport record 1", DrainGrace: 1001, Slack: 1002, Terms: placer.Terms{
+		Seed: 1<<64 - 1, Me: 2001, Placers: 2002,
+		Workloads: []placer.Workload{
+			{Effect: placer.Reissuable, Repeats: placer.Nowhere, Window: 3001, Agreed: 3002, HardStop: 3003, Kind: -1,
+				Spread: placer.OneMachine, Most: 3004, Gain: 3005.5},
+			{Effect: placer.Numbered, Repeats: placer.OneCell, Window: 3011, Agreed: 3012, HardStop: 3013, Kind: 3014,
+				Spread: placer.OneZone, Most: 3015, Gain: 0.25},
+			{Effect: placer.AtMostOnce, Repeats: placer.Everywhere, Window: 3021, Agreed: 3022, HardStop: 3023, Kind: 3024,
+				Spread: placer.Nowhere, Most: 3025, Gain: 1}},
+		Kinds:     []placer.Kind{{Cores: 4001.5, Memory: 4002.5}, {Cores: 4003, Memory: 4004}},
+		Customers: []placer.Customer{{Cores: 5001.5}, {Cores: 5002}},
+		OverShare: 6001.5, AcceptCores: 6002.5, AcceptMemory: 6003.5, MeanCores: 6004.5, MeanMemory: 6005.5,
+		YesRuns: true, UseNotes: false, ListedAsks: true, MayProbe: false, MostBids: 6006, AnswerGrace: 6007, ListOnAsk: true,
+		AskWithin: 6008, ColdFor: 6009, ColdWindow: 6010, ColdBids: 6011}}
+}
+
+func goldenEntries(t *testing.T) []Entry {
+	frame := func(f link.Frame) []byte {
+		p, err := link.Append(nil, f)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return p[4:]
+	}
+	return []Entry{
+		{At: 7001, Sort: Opened, Link: 7002, Placer: "scheduler-7003", Far: link.Machine, Name: "machine-7004"},
+		{At: 7011, Sort: FromPlacer, Link: 7012, Placer: "scheduler-7013", Far: link.Machine, Name: "machine-7014",
+			Frame: frame(&link.Offer{Bid: 7015, Wait: 7016, Work: link.Work{Container: "c", Key: "k", Service: "s"}})},
+		{At: 7021, Sort: ToPlacer, Link: 7022, Placer: "scheduler-7023", Far: link.Machine, Name: "machine-7024",
+			Frame: frame(&link.Yes{Bid: 7025, Running: true})},
+		{At: 7031, Sort: Lost, Link: 7032, Placer: "scheduler-7033", Far: link.List, Name: "list-7034",
+			Frame: frame(&link.Failed{Text: "text 7035"})},
+		{At: 7041, Sort: Closed, Link: 7042, Placer: "scheduler-7043", Far: link.Owner, Name: "client-7044"},
+		{At: 7051, Sort: Killed, Placer: "scheduler-7053"},
+		{At: 7061, Sort: Started, Placer: "scheduler-7063", Far: link.Placer},
+		{At: -1, Sort: 255, Link: 1<<32 - 1},
+	}
+}
+
+// words lists what a record holds, by the names that the fields had when the format was made.
+func words(h Header, entries []Entry) string {
+	var out strings.Builder
+	terms := h.Terms
+	fmt.Fprintf(&out, "Format %q, DrainGrace %d, Slack %d\n", h.Format, h.DrainGrace, h.Slack)
+	fmt.Fprintf(&out, "Seed %d, Me %d, Placers %d\n", terms.Seed, terms.Me, terms.Placers)
+	for _, w := range terms.Workloads {
+		fmt.Fprintf(&out, "Workload: Effect %d, Repeats %d, Window %d, Agreed %d, HardStop %d, Kind %d, Spread %d, Most %d, Gain %v\n",
+			w.Effect, w.Repeats, w.Window, w.Agreed, w.HardStop, w.Kind, w.Spread, w.Most, w.Gain)
+	}
+	for _, k := range terms.Kinds {
+		fmt.Fprintf(&out, "Kind: Cores %v, Memory %v\n", k.Cores, k.Memory)
+	}
+	for _, c := range terms.Customers {
+		fmt.Fprintf(&out, "Customer: Cores %v\n", c.Cores)
+	}
+	fmt.Fprintf(&out, "OverShare %v, AcceptCores %v, AcceptMemory %v, MeanCores %v, MeanMemory %v\n", terms.OverShare,
+		terms.AcceptCores, terms.AcceptMemory, terms.MeanCores, terms.MeanMemory)
+	fmt.Fprintf(&out, "YesRuns %t, UseNotes %t, ListedAsks %t, MayProbe %t, MostBids %d, AnswerGrace %d, ListOnAsk %t\n",
+		terms.YesRuns, terms.UseNotes, terms.ListedAsks, terms.MayProbe, terms.MostBids, terms.AnswerGrace, terms.ListOnAsk)
+	fmt.Fprintf(&out, "AskWithin %d, ColdFor %d, ColdWindow %d, ColdBids %d\n", terms.AskWithin, terms.ColdFor,
+		terms.ColdWindow, terms.ColdBids)
+	for _, e := range entries {
+		fmt.Fprintf(&out, "Entry: At %d, Sort %d, Link %d, Placer %q, Far %d, Name %q, Frame %x\n", e.At, e.Sort, e.Link,
+			e.Placer, e.Far, e.Name, e.Frame)
+	}
+	return out.String()
+}
+
+func encoded(t *testing.T, h Header, entries []Entry) []byte {
+	t.Helper()
+	var out bytes.Buffer
+	enc := cbor.NewEncoder(&out)
+	if err := enc.Encode(h); err != nil {
+		t.Fatal(err)
+	}
+	for _, e := range entries {
+		if err := enc.Encode(e); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return out.Bytes()
+}
+
+func readAll(t *testing.T, path string) (Header, []Entry) {
+	t.Helper()
+	var h Header
+	var entries []Entry
+	if err := Read(path, &h, func(e *Entry) error {
+		entries = append(entries, *e)
+		return nil
+	}); err != nil {
+		t.Fatal(err)
+	}
+	return h, entries
+}
+
+// A record that an earlier version wrote is read with each of its values, and encoded again to the same bytes.
+func TestGoldenRecordIsRead(t *testing.T) {
+	wantHeader, wantEntries := goldenHeader(), goldenEntries(t)
+	if *update {
+		if err := os.WriteFile(goldenRecord, encoded(t, wantHeader, wantEntries), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(goldenWords, []byte(words(wantHeader, wantEntries)), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	file, err := os.ReadFile(goldenRecord)
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := os.ReadFile(goldenWords)
+	if err != nil {
+		t.Fatal(err)
+	}
+	h, entries := readAll(t, goldenRecord)
+	if !reflect.DeepEqual(h, wantHeader) {
+		t.Errorf("header %+v, want %+v", h, wantHeader)
+	}
+	if !reflect.DeepEqual(entries, wantEntries) {
+		t.Errorf("entries %+v, want %+v", entries, wantEntries)
+	}
+	if got := words(h, entries); got != string(text) {
+		t.Errorf("read\n%swant\n%s", got, text)
+	}
+	if got := encoded(t, h, entries); !bytes.Equal(got, file) {
+		t.Errorf("encoded as\n%x, want\n%x", got, file)
+	}
+	if f, err := entries[1].Decoded(); err != nil || f.(*link.Offer).Bid != 7015 {
+		t.Errorf("a frame of the record is %+v, %v", f, err)
+	}
+}
+
+// What the writer writes is the header and each entry in turn, stamped in order.
+func TestWrittenRecordIsReadAgain(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "record")
+	h := goldenHeader()
+	h.Format = "" // the writer's to set
+	w, err := Create(path, h)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := goldenEntries(t)
+	for _, e := range want {
+		w.put(e)
+	}
+	w.Note(Killed, "scheduler-8001")
+	want = append(want, Entry{Sort: Killed, Placer: "scheduler-8001"})
+	if err := w.Close(); err != nil {
+		t.Fatal(err)
+	}
+	got, entries := readAll(t, path)
+	if !reflect.DeepEqual(got, goldenHeader()) {
+		t.Errorf("header %+v", got)
+	}
+	file, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if again := encoded(t, got, entries); !bytes.Equal(again, file) {
+		t.Errorf("encoded as\n%x, want\n%x", again, file)
+	}
+	last := int64(0)
+	for i := range entries {
+		if entries[i].At < last {
+			t.Errorf("entry %d is of %d, after one of %d", i, entries[i].At, last)
+		}
+		last = entries[i].At
+		entries[i].At = want[i].At
+	}
+	if !reflect.DeepEqual(entries, want) {
+		t.Errorf("entries %+v, want %+v", entries, want)
+	}
+}
+
+// A file of another format, and one that ends in an entry, are refused.
+func TestDamagedRecordIsRefused(t *testing.T) {
+	other := goldenHeader()
+	other.Format = "glenport record 2"
+	whole := encoded(t, goldenHeader(), goldenEntries(t)[:2])
+	for title, tc := range map[string]struct {
+		file []byte
+		want string
+	}{
+		"empty":          {nil, " is no glenport record 1 (EOF)"},
+		"another format": {encoded(t, other, nil), " is no glenport record 1 (<nil>)"},
+		"cut short":      {whole[:len(whole)-3], ": entry 2: unexpected EOF"},
+	} {
+		path := filepath.Join(t.TempDir(), "record")
+		if err := os.WriteFile(path, tc.file, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		err := Read(path, new(Header), func(*Entry) error { return nil })
+		if err == nil || err.Error() != path+tc.want {
+			t.Errorf("%s: %v, want %s", title, err, path+tc.want)
+		}
+	}
+}
