--- a/internal/tap/record.go
+++ b/internal/tap/record.go
@@ -32,14 +32,14 @@
 
 // Entry is one line of a record; times are tenths of a millisecond since its start.
 type Entry struct {
-	_      struct{} `cbor:",toarray"`
-	At     int64
-	Sort   Sort
-	Link   uint32
-	Placer string
-	Far    link.Role // what is at the other end
-	Name   string    // and its name
-	Frame  []byte    // without its length
+	_      struct{}  `cbor:",toarray"`
+	At     int64     `cbor:"At"`
+	Sort   Sort      `cbor:"Sort"`
+	Link   uint32    `cbor:"Link"`
+	Placer string    `cbor:"Placer"`
+	Far    link.Role `cbor:"Far"`   // what is at the other end
+	Name   string    `cbor:"Name"`  // and its name
+	Frame  []byte    `cbor:"Frame"` // without its length
 }
 
 // Decoded is the frame of an entry.
@@ -47,11 +47,11 @@
 
 // Header says what a record must be judged by.
 type Header struct {
-	_          struct{} `cbor:",toarray"`
-	Format     string
-	Terms      placer.Terms
-	DrainGrace placer.Time
-	Slack      placer.Time // by which a time on the sockets may differ from a placer's own
+	_          struct{}     `cbor:",toarray"`
+	Format     string       `cbor:"Format"`
+	Terms      placer.Terms `cbor:"Terms"`
+	DrainGrace placer.Time  `cbor:"DrainGrace"`
+	Slack      placer.Time  `cbor:"Slack"` // by which a time on the sockets may differ from a placer's own
 }
 
 const format = "glenport record 1"
