--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -285,8 +285,10 @@
 			t.Fatal(err)
 		}
 	}
-	if err := os.WriteFile("testdata/damage.txt", []byte(damageDigests(t)), 0o644); err != nil {
-		t.Fatal(err)
+	for file, text := range map[string]string{"testdata/damage.txt": damageDigests(t), "testdata/operations.txt": operationsOf(t)} {
+		if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
 	}
 }
 
@@ -484,3 +486,94 @@
 		}
 	}
 }
+
+// outcome says what an error is, by what callers may ask of it.
+func outcome(err error) string {
+	return fmt.Sprintf("failed %t, sync failed %t, closed %t, disk %t", err != nil, errors.Is(err, ErrBroken),
+		errors.Is(err, ErrStopped), errors.Is(err, syscall.EIO))
+}
+
+// history opens a folder, commits, makes a snapshot, opens it again and commits, and notes what came of each step. No
+// snapshot is written beside the work in it, so the order of its operations is fixed.
+func history(t *testing.T, d *faultdisk.Disk, note func(format string, a ...any)) {
+	opened := func() *Store {
+		s, _, err := Open(d, Terms{OnMode: func(string, ...any) { note("mode changed") }})
+		note("open: %s", outcome(err))
+		return s
+	}
+	commits := func(s *Store, from int) {
+		if s == nil {
+			return
+		}
+		for i := from; i < from+3; i++ {
+			err := commit1(s, i%2 == 0, goldenPut("k", fmt.Sprint(i), "value"), Change{Kind: "k", Key: fmt.Sprint(i - 2)})
+			note("commit %d: %s", i, outcome(err))
+		}
+		note("keep: %s", outcome(s.Keep(goldenPut("kept", fmt.Sprint(from), "value"))))
+		note("close: %s", outcome(s.Close()))
+		note("commit after it: %s", outcome(commit1(s, true)))
+		n := s.Counts()
+		note("%d commits, %d groups, %d syncs, %d snapshots, %d refused", n.Commits, n.Groups, n.Syncs, n.Snapshots, n.Refused)
+	}
+	commits(opened(), 1)
+	_, _, err := Compact(d)
+	note("compact: %s", outcome(err))
+	commits(opened(), 11)
+	note("replace: %s", outcome(WriteWhole(d, "replaced", "GOLDENF", 1, []byte("body"))))
+}
+
+// operationsOf lists the operations on files of a history, and folds into a digest what follows when each of them, or it
+// and all later ones of its kind, fails.
+func operationsOf(t *testing.T) string {
+	var out strings.Builder
+	play := func(note func(format string, a ...any), fails func(n int, kind string) bool) int {
+		d, n := faultdisk.New(), 0
+		d.Fail = func(kind, name string) error {
+			note("  %s %s", kind, name)
+			n++
+			if fails(n-1, kind) {
+				return syscall.EIO
+			}
+			return nil
+		}
+		history(t, d, note)
+		d.Fail = nil
+		state, err := Read(d, false)
+		if err != nil {
+			note("not read: %v", err)
+		} else {
+			note("%s", describeState(t, state))
+		}
+		names, err := d.List()
+		note("%v %v", names, err)
+		return n
+	}
+	operations := play(func(format string, a ...any) { fmt.Fprintf(&out, format+"\n", a...) },
+		func(int, string) bool { return false })
+	digest := sha256.New()
+	note := func(format string, a ...any) { fmt.Fprintf(digest, format+"\n", a...) }
+	for failing := range operations {
+		play(note, func(n int, _ string) bool { return n == failing })
+		var of string
+		play(note, func(n int, kind string) bool {
+			if n == failing {
+				of = kind
+			}
+			return n >= failing && kind == of && n < failing+5
+		})
+	}
+	fmt.Fprintf(&out, "each of %d operations failing: digest %x\n", operations, digest.Sum(nil))
+	return out.String()
+}
+
+// The order in which files are written, synced, renamed and removed does not change, nor what follows when one of these
+// operations fails.
+func TestOrderOfOperationsIsKept(t *testing.T) {
+	want, err := os.ReadFile("testdata/operations.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := operationsOf(t); got != string(want) {
+		t.Errorf("got\n%s\nwant\n%s", got, want)
+	}
+}
