--- /dev/null
+++ b/internal/disk/disk_test.go
@@ -0,0 +1,191 @@
+package disk
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+)
+
+func mustOpen(t *testing.T, path string) *Dir {
+	t.Helper()
+	d, err := Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := d.Close(); err != nil && !errors.Is(err, os.ErrClosed) {
+			t.Error(err)
+		}
+	})
+	return d
+}
+
+func mustWrite(t *testing.T, f File, err error, text string) {
+	t.Helper()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := f.Write([]byte(text)); err != nil {
+		t.Fatal(err)
+	}
+	if err := f.Sync(); err != nil {
+		t.Fatal(err)
+	}
+	if err := f.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func wantFile(t *testing.T, d Folder, name, want string) {
+	t.Helper()
+	if p, err := d.Read(name); err != nil || string(p) != want {
+		t.Errorf("%s holds %q, %v, want %q", name, p, err, want)
+	}
+}
+
+func wantList(t *testing.T, d Folder, want ...string) {
+	t.Helper()
+	if names, err := d.List(); err != nil || !slices.Equal(names, want) {
+		t.Errorf("files %v, %v, want %v", names, err, want)
+	}
+}
+
+func TestFolderIsMadeAndItsLockNamesTheHolder(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "not", "yet")
+	d := mustOpen(t, path)
+	wantList(t, d)
+	lock, err := os.ReadFile(filepath.Join(path, "lock"))
+	if err != nil || string(lock) != fmt.Sprintf("process %d\n", os.Getpid()) {
+		t.Errorf("lock file %q, %v", lock, err)
+	}
+	for name, mode := range map[string]fs.FileMode{".": 0o755, "lock": 0o644} { // less what the umask takes away
+		info, err := os.Stat(filepath.Join(path, name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if info.Mode().Perm()&^mode != 0 || info.Mode().Perm()&0o600 != 0o600 {
+			t.Errorf("%s: mode %v", name, info.Mode())
+		}
+	}
+}
+
+func TestFolderIsHeldByOneUntilItIsClosed(t *testing.T) {
+	path := t.TempDir()
+	d := mustOpen(t, path)
+	var owned *Owned
+	if _, err := Open(path); !errors.As(err, &owned) || owned.Path != path || owned.By != fmt.Sprint("process ", os.Getpid()) {
+		t.Errorf("opened twice: %v", err)
+	}
+	want := fmt.Sprintf("%s is held by another instance, process %d: each needs a folder of its own", path, os.Getpid())
+	if owned == nil || owned.Error() != want {
+		t.Errorf("text %v, want %s", owned, want)
+	}
+	if err := d.Close(); err != nil {
+		t.Fatal(err)
+	}
+	mustOpen(t, path)
+}
+
+func TestFolderThatIsHeldMayBeRead(t *testing.T) {
+	path := t.TempDir()
+	d := mustOpen(t, path)
+	f, err := d.Create("a")
+	mustWrite(t, f, err, "text")
+	read, err := Look(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	wantList(t, read, "a")
+	wantFile(t, read, "a", "text")
+	if err := read.Close(); err != nil {
+		t.Error(err)
+	}
+	if _, err := Look(filepath.Join(path, "none")); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("a folder that is not there: %v", err)
+	}
+	if _, err := Look(filepath.Join(path, "a")); err == nil || err.Error() != filepath.Join(path, "a")+" is no folder" {
+		t.Errorf("a file in place of a folder: %v", err)
+	}
+}
+
+func TestFolderThatCannotBeMadeIsRefused(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "file")
+	if err := os.WriteFile(path, nil, 0o644); err != nil {
+		t.Fatal(err)
+	}
+	var pathErr *fs.PathError
+	if _, err := Open(path); !errors.As(err, &pathErr) {
+		t.Errorf("%v", err)
+	}
+	path = t.TempDir()
+	if err := os.Mkdir(filepath.Join(path, "lock"), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := Open(path); !errors.As(err, &pathErr) {
+		t.Errorf("a folder in place of the lock: %v", err)
+	}
+}
+
+func TestFilesAreCreatedAppendedRenamedAndRemoved(t *testing.T) {
+	path := t.TempDir()
+	d := mustOpen(t, path)
+	f, err := d.Create("a")
+	mustWrite(t, f, err, "one")
+	if _, err := d.Create("a"); !errors.Is(err, os.ErrExist) {
+		t.Errorf("created twice: %v", err)
+	}
+	f, err = d.Append("a")
+	mustWrite(t, f, err, " two")
+	wantFile(t, d, "a", "one two")
+	if f, err = d.Append("a"); err != nil {
+		t.Fatal(err)
+	}
+	if err := f.Truncate(3); err != nil {
+		t.Fatal(err)
+	}
+	mustWrite(t, f, nil, " three") // at the new end
+	wantFile(t, d, "a", "one three")
+	f, err = d.Create("b")
+	mustWrite(t, f, err, "other")
+	if err := d.Rename("a", "b"); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Mkdir(filepath.Join(path, "folder"), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	wantList(t, d, "b")
+	wantFile(t, d, "b", "one three")
+	if err := d.Sync(); err != nil {
+		t.Error(err)
+	}
+	if err := d.Remove("b"); err != nil {
+		t.Error(err)
+	}
+	_, appended := d.Append("b")
+	_, read := d.Read("b")
+	for _, err := range []error{appended, read, d.Remove("b"), d.Rename("b", "c")} {
+		if !errors.Is(err, os.ErrNotExist) {
+			t.Errorf("a file that is not there: %v", err)
+		}
+	}
+}
+
+func TestReplacedFileIsWholeAndLeavesNothingBehind(t *testing.T) {
+	d := mustOpen(t, t.TempDir())
+	f, err := d.Create("a" + Unfinished)
+	mustWrite(t, f, err, "left by a crash")
+	for _, text := range []string{"one", "two"} {
+		if err := Replace(d, "a", []byte(text)); err != nil {
+			t.Fatal(err)
+		}
+		wantFile(t, d, "a", text)
+		wantList(t, d, "a")
+	}
+	if Unfinished != ".new" {
+		t.Errorf("files that are being written end in %s", Unfinished)
+	}
+}
