--- /dev/null
+++ b/internal/recall/golden_test.go
@@ -0,0 +1,166 @@
+package recall
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"glenport/internal/golden"
+	"glenport/internal/recovery"
+	"glenport/placer"
+)
+
+const recordedColdFor = 17 * placer.Second
+
+func recordedTime(rng *rand.Rand) placer.Time {
+	return placer.Time(rng.IntN(4)) * placer.Time(rng.IntN(40)) * sec / 4
+}
+
+func recordedStamp(rng *rand.Rand) Stamp {
+	s := Stamp{Clock: 1000*sec + recordedTime(rng), Up: 100*sec + recordedTime(rng), Boot: fmt.Sprint("b", rng.IntN(10)/6)}
+	switch rng.IntN(12) {
+	case 0:
+		return Stamp{}
+	case 1:
+		s.Boot = ""
+	case 2:
+		s.Clock += 200 * recordedTime(rng)
+	}
+	return s
+}
+
+// recordedClocks folds the ageing of each kind and how lives follow one another.
+func recordedClocks(d *golden.Digest, rng *rand.Rand) {
+	for k := range kinds {
+		d.Add(1, k.String(), Weight(k, recordedTime(rng)*placer.Time(rng.IntN(1000))-sec))
+	}
+	life := Life{}
+	for range 6 {
+		now, then := recordedStamp(rng), recordedStamp(rng)
+		d.Add(2, now.From(then))
+		if life = life.Next(now); rng.IntN(2) == 0 {
+			life = life.Sure()
+		}
+		d.Add(3, life)
+	}
+}
+
+func recordedMachine(rng *rand.Rand) placer.MachineID {
+	return placer.MachineID(fmt.Sprint("m", rng.IntN(6)))
+}
+
+func recordedSent(rng *rand.Rand) Sent {
+	s := Sent{Machine: recordedMachine(rng), Start: uint64(rng.IntN(3))}
+	at := 990*sec + recordedTime(rng)
+	for range 1 + rng.IntN(6) {
+		at += placer.Time(rng.IntN(2)) * placer.Time(rng.IntN(20_000))
+		s.Times = append(s.Times, at)
+	}
+	return s
+}
+
+// recordedKept is what an earlier life left; the machines are those that its list names.
+func recordedKept(rng *rand.Rand) (Kept, map[placer.MachineID]Machine) {
+	k := Kept{At: recordedStamp(rng), Names: []string{"w", "c"}, Starts: map[placer.MachineID]uint64{},
+		Life: Life{Whole: recordedStamp(rng), Log: recovery.Log(rng.IntN(3))}}
+	k.Knowledge.Full, k.Knowledge.Missed = rng.Float64(), rng.Float64()
+	k.Knowledge.Traits = []placer.Trait{{Lost: rng.Float64(), Bar: rng.Float64()}, {Lost: rng.Float64(), Bar: rng.Float64()}}
+	for i := range 6 {
+		id := placer.MachineID(fmt.Sprint("m", i))
+		k.Starts[id] = uint64(rng.IntN(2))
+		k.Knowledge.Machines = append(k.Knowledge.Machines, placer.Learned{Machine: id, Started: recordedTime(rng), Sick: rng.Float64(),
+			RestUntil: 1000 * recordedTime(rng), Rest: recordedTime(rng), ShutUntil: recordedTime(rng),
+			Doubts: []placer.Doubt{{Odds: rng.Float64(), At: recordedTime(rng)}}, Cold: []placer.Time{recordedTime(rng)}})
+	}
+	sent := map[placer.MachineID]bool{}
+	for range rng.IntN(5) {
+		if s := recordedSent(rng); !sent[s.Machine] {
+			sent[s.Machine], k.Sent = true, append(k.Sent, s)
+		}
+	}
+	machines := map[placer.MachineID]Machine{}
+	for range rng.IntN(12) {
+		machines[recordedMachine(rng)] = Machine{uint64(rng.IntN(3)), recordedTime(rng)}
+	}
+	return k, machines
+}
+
+// recordedBelief folds what is believed, and what a ledger takes over of it; what is said is for logs alone.
+func recordedBelief(d *golden.Digest, rng *rand.Rand) {
+	k, machines := recordedKept(rng)
+	names := []string{"w", "c"}[:2-rng.IntN(8)/7]
+	now := recordedStamp(rng)
+	b := Believe(now, k, machines, names, window)
+	d.Add(1, b.Knowledge.SentSince, b.Knowledge.Traits, b.Knowledge.Full, b.Knowledge.Missed, b.Knowledge.Machines, b.Later)
+	starts := map[placer.MachineID]uint64{}
+	for id, m := range machines {
+		starts[id] = m.Start
+	}
+	l := NewLedger(recordedColdFor, window)
+	l.Carry(b, starts)
+	at := func(id placer.MachineID) (Machine, bool) {
+		m, there := machines[id]
+		return m, there
+	}
+	for range 3 {
+		machines[recordedMachine(rng)] = Machine{uint64(rng.IntN(3)), now.Clock - recordedTime(rng)}
+		found, left := l.Named(now.Clock, b.Later, at)
+		d.Add(2, found, left)
+		b.Later = left
+		now.Clock += recordedTime(rng)
+		d.Add(3, l.Drop(now.Clock, at))
+	}
+}
+
+// recordedSends folds what a ledger has written down of sends to machines that start anew now and then. Quiet machines start
+// anew only after two windows without a send, so that no send may have reached a start that had not been heard of.
+func recordedSends(d *golden.Digest, rng *rand.Rand, quiet bool) {
+	l, now := NewLedger(recordedColdFor, window), 1000*sec
+	machines, last := map[placer.MachineID]Machine{}, map[placer.MachineID]placer.Time{}
+	at := func(id placer.MachineID) (Machine, bool) {
+		m, there := machines[id]
+		return m, there
+	}
+	for range 300 {
+		id := recordedMachine(rng)
+		m, there := machines[id]
+		switch n := rng.IntN(20); {
+		case n < 13 && there:
+			sent, cold := l.Note(now, id, m)
+			d.Add(1, now, cold, sent)
+			last[id] = now
+		case n < 16 && (!quiet || last[id] <= now-2*window):
+			m.Start++
+			if m.Started = now - placer.Time(rng.IntN(30_000)); rng.IntN(3) == 0 {
+				m.Started = 0
+			}
+			machines[id] = m
+		case n < 17 && (!quiet || last[id] <= now-2*window):
+			delete(machines, id)
+		case n < 18:
+			d.Add(2, l.Drop(now, at))
+		default:
+			now += placer.Time(rng.IntN(3)) * placer.Time(rng.IntN(2*int(sec)))
+		}
+	}
+}
+
+func TestResultsMatchRecordedDigests(t *testing.T) {
+	var lines []string
+	for i, group := range []struct {
+		name string
+		run  func(*golden.Digest, *rand.Rand)
+	}{
+		{"clocks", recordedClocks},
+		{"belief", recordedBelief},
+		{"sends, starts are heard of first", func(d *golden.Digest, rng *rand.Rand) { recordedSends(d, rng, true) }},
+		{"sends, starts are heard of late", func(d *golden.Digest, rng *rand.Rand) { recordedSends(d, rng, false) }},
+	} {
+		d := golden.NewDigest()
+		for seed := range uint64(1000) {
+			group.run(d, rand.New(rand.NewPCG(seed, uint64(i))))
+		}
+		lines = append(lines, d.Line(group.name))
+	}
+	golden.Check(t, "testdata/digests.txt", lines)
+}
--- /dev/null
+++ b/internal/recovery/golden_test.go
@@ -0,0 +1,156 @@
+package recovery
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"glenport/internal/golden"
+	"glenport/placer"
+)
+
+// recordedSequence is a seeded sequence of events to one tracker; each action and each answer is folded into a digest.
+type recordedSequence struct {
+	rng      *rand.Rand
+	digest   *golden.Digest
+	attempts []Held
+	lastBid  uint64
+}
+
+func (s *recordedSequence) machine() placer.MachineID {
+	return placer.MachineID(fmt.Sprint("m", s.rng.IntN(70)/7))
+}
+
+func (s *recordedSequence) attempt() Held {
+	if len(s.attempts) > 0 && s.rng.IntN(3) > 0 {
+		return s.attempts[s.rng.IntN(len(s.attempts))]
+	}
+	s.lastBid++
+	n := s.rng.IntN(12)
+	h := Held{Ask: placer.Ask{ID: placer.ContainerID(fmt.Sprint("c", n)), Key: fmt.Sprint("k", n/2), Workload: s.rng.IntN(5) - 1},
+		Machine: s.machine(), Life: uint64(s.rng.IntN(3)), Bid: s.lastBid, Running: s.rng.IntN(2) == 0}
+	s.attempts = append(s.attempts, h)
+	return h
+}
+
+func (s *recordedSequence) event() Event {
+	switch n := s.rng.IntN(24); {
+	case n < 3:
+		return Logged{Held: s.attempt()}
+	case n < 8:
+		return Unheard{Held: s.attempt()}
+	case n < 10:
+		return Told{Held: s.attempt()}
+	case n < 12:
+		var all []placer.MachineID
+		for i := range 10 {
+			if s.rng.IntN(5) > 0 {
+				all = append(all, placer.MachineID(fmt.Sprint("m", i)))
+			}
+		}
+		if s.rng.IntN(8) == 0 {
+			for i := range 100 {
+				all = append(all, placer.MachineID(fmt.Sprint("n", i)))
+			}
+		}
+		if s.rng.IntN(8) == 0 {
+			all = nil
+		}
+		return Named{Machines: all, Whole: s.rng.IntN(2) == 0}
+	case n < 13:
+		return Unnamed{Machine: s.machine()}
+	case n < 16:
+		return Spoke{Machine: s.machine()}
+	case n < 18:
+		return Broke{Machine: s.machine()}
+	case n < 20:
+		return NoLink{Machine: s.machine()}
+	case n < 21:
+		return Lost{Machine: s.machine()}
+	}
+	return Passed{}
+}
+
+func (s *recordedSequence) fold(now placer.Time, a Action) {
+	switch a := a.(type) {
+	case Reach:
+		s.digest.Add(1, now, a.Machine)
+	case Settled:
+		s.digest.Add(2, now, a.Held)
+	case Sure:
+		s.digest.Add(3, now)
+	case ToldAll:
+		s.digest.Add(4, now)
+	default:
+		panic(fmt.Sprintf("action %T is not folded", a))
+	}
+}
+
+func (s *recordedSequence) run(log Log, steps int) {
+	r := NewRound(log, []placer.Effect{placer.Reissuable, placer.Numbered, placer.AtMostOnce})
+	now := placer.Time(s.rng.IntN(2) * 1000)
+	for range steps {
+		events := make([]Event, 1+s.rng.IntN(3))
+		for i := range events {
+			events[i] = s.event()
+		}
+		for _, a := range r.Handle(now, events...) {
+			s.fold(now, a)
+		}
+		for k := range 7 {
+			key := fmt.Sprint("k", k)
+			for workload := range 4 {
+				s.digest.Add(5, r.Wait(placer.Ask{Key: key, Workload: workload, Again: s.rng.IntN(3) > 0}))
+			}
+			s.digest.Add(6, r.Unsure(key))
+		}
+		s.digest.Add(7, r.Doubts(), r.Next())
+		if next := r.Next(); next > now && s.rng.IntN(3) == 0 {
+			now = next
+		} else {
+			now += placer.Time(s.rng.IntN(3) * s.rng.IntN(3000))
+		}
+		if s.rng.IntN(12) == 0 { // all machines report
+			for i := range 10 {
+				for _, a := range r.Handle(now, Spoke{Machine: placer.MachineID(fmt.Sprint("m", i))}) {
+					s.fold(now, a)
+				}
+			}
+			for i := range 100 {
+				for _, a := range r.Handle(now, Spoke{Machine: placer.MachineID(fmt.Sprint("n", i))}) {
+					s.fold(now, a)
+				}
+			}
+		}
+	}
+}
+
+func TestActionsMatchRecordedDigests(t *testing.T) {
+	var lines []string
+	for _, group := range []struct {
+		name string
+		log  Log
+	}{{"no log", NoLog}, {"synced log", Synced}, {"complete log", Written}} {
+		d := golden.NewDigest()
+		for seed := range uint64(150) {
+			s := &recordedSequence{rng: rand.New(rand.NewPCG(seed, uint64(group.log))), digest: d}
+			s.run(group.log, 60)
+		}
+		lines = append(lines, d.Line(group.name))
+	}
+	d := golden.NewDigest()
+	for effect := range 4 {
+		write, sync := Writes(placer.Effect(effect))
+		d.Add(1, write, sync)
+	}
+	for phase := range 7 {
+		for _, n := range []int{0, 1, 1999, 2000, 12345} {
+			step, after := Resume(Phase(phase), n)
+			d.Add(2, step, after)
+		}
+	}
+	for log := range 3 {
+		d.Add(3, Log(log).String())
+	}
+	golden.Check(t, "testdata/digests.txt", append(lines, d.Line("tables")))
+}
