--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -116,6 +116,7 @@
 	e := placer.ListCame{Mode: mode, Version: version, Entries: make([]placer.Entry, 0, len(entries))}
 	named := map[placer.MachineID]bool{}
 	var ids []placer.MachineID
+	var started []*machine
 	for i := range entries {
 		l := &entries[i]
 		m := h.machine(placer.MachineID(l.Machine))
@@ -142,6 +143,7 @@
 			if l.Age >= 0 {
 				m.startedAt = max(1, now-placer.Time(l.Age))
 			}
+			started = append(started, m)
 		}
 		e.Entries = append(e.Entries, m.entry(l))
 	}
@@ -157,6 +159,9 @@
 	h.feed(e)
 	if h.state != nil {
 		h.state.named()
+		for _, m := range started {
+			h.state.started(m)
+		}
 	}
 	h.tell(custody.Named{Machines: ids, Whole: mode == placer.WholeList})
 	h.list.held.merge(mode, version, entries)
@@ -178,6 +183,7 @@
 	h.feed(placer.ListCame{Mode: placer.Changes, Version: h.list.version, Entries: []placer.Entry{m.entry(&l)}})
 	if h.state != nil {
 		h.state.named()
+		h.state.started(m)
 	}
 }
 
--- a/internal/host/machine.go
+++ b/internal/host/machine.go
@@ -35,6 +35,7 @@
 
 type probing struct {
 	seq    uint64
+	start  uint64 // of its machine, as known when it was decided on
 	sent   bool
 	unkept bool // it waits for the log
 	timer  *loop.Timer
@@ -271,7 +272,7 @@
 	m.h.linked = append(m.h.linked, m)
 	for _, p := range m.probes {
 		if !p.sent && !p.unkept {
-			p.sent = m.write(&link.Probe{Seq: p.seq})
+			m.sendProbe(p)
 		}
 	}
 	return nil
@@ -323,7 +324,7 @@
 		return
 	}
 	h.lastSeq++
-	p := &probing{seq: h.lastSeq, sentAt: h.loop.Now()}
+	p := &probing{seq: h.lastSeq, start: m.incarnation, sentAt: h.loop.Now()}
 	m.probes[p.seq] = p
 	p.timer = h.loop.After(probeWithin, func() { m.probed(p, placer.TimedOut, nil) })
 	if h.state != nil && h.state.noteSend(m) {
@@ -340,8 +341,12 @@
 	m.sendProbe(p)
 }
 
+// sendProbe sends a probe, at once or as soon as the link stands. One that was decided on another start of its machine is
+// not sent, as it does not count for this one.
 func (m *machine) sendProbe(p *probing) {
-	if m.ready {
+	if m.ready && m.incarnation != p.start {
+		m.probed(p, placer.NotSent, nil)
+	} else if m.ready {
 		p.sent = m.write(&link.Probe{Seq: p.seq})
 	} else {
 		m.h.reach(m)
--- a/internal/host/state.go
+++ b/internal/host/state.go
@@ -200,6 +200,13 @@
 	}
 }
 
+// started puts into the log what may have reached a start that was just heard of, while an earlier one was known.
+func (s *state) started(m *machine) {
+	if sent, cold := s.ledger.Started(placer.Time(s.h.loop.Now()), m.id, m.start()); cold {
+		s.put(SentKind, string(m.id), sent)
+	}
+}
+
 func (m *machine) start() recall.Machine {
 	return recall.Machine{Start: m.incarnation, Started: m.startedAt}
 }
--- a/internal/host/state_test.go
+++ b/internal/host/state_test.go
@@ -204,6 +204,48 @@
 	}
 }
 
+// What went to a machine that counted as warm is on record from the moment a start is heard of that it may have reached: the
+// next life has it.
+func TestSentBeforeStartIsHeard(t *testing.T) {
+	s := terms(t)
+	s.State = t.TempDir()
+	addr := machineThat(t, "a", &link.Holds{}, func(net.Conn, link.Frame) bool { return true })
+	r := start(t, s, bidTo(0), map[string]string{"a": addr})
+	r.door.submit("x", 0)
+	until(t, func() bool { return on1(r.h, func() bool { return len(r.h.machines["a"].bids) > 0 }) })
+	if n := kept(t, copied(t, s.State), SentKind); n != 0 {
+		t.Errorf("%d records of what went to a warm machine", n)
+	}
+	entry := link.Entry{Machine: "a", Addr: addr, Incarnation: 2, Age: link.Span(2 * loop.Second)}
+	on1(r.h, func() bool { r.h.learn(placer.Changes, 2, []link.Entry{entry}); return true })
+	until(t, func() bool { return kept(t, copied(t, s.State), SentKind) == 1 })
+	next := terms(t)
+	next.State = copied(t, s.State) // as a kill -9 leaves it
+	next.ListAddr = serve(t, func(c net.Conn) {
+		put(c, link.Greeting(link.List, "list", 1), &link.Listed{Whole: true, Version: 2, Entries: []link.Entry{entry}})
+		link.Read(c, link.MostFrame)
+		link.Read(c, link.MostFrame)
+		link.Read(c, link.MostFrame)
+	})
+	d := learning(placer.Knowledge{})
+	live(t, site1{next}, d, func(h *Host) {
+		<-d.recalled // at its begin, when no list has told of that start
+		h.loop.Post(func() { h.watch(&link.Watch{On: true}) })
+		if k := <-d.recalled; len(k.Machines) != 1 || k.Machines[0].Machine != "a" || len(k.Machines[0].Cold) != 1 {
+			t.Errorf("%+v", k.Machines)
+		}
+	})
+}
+
+// copied is a folder as a kill -9 leaves it.
+func copied(t *testing.T, path string) string {
+	to := t.TempDir()
+	if err := os.CopyFS(to, os.DirFS(path)); err != nil {
+		t.Fatal(err)
+	}
+	return to
+}
+
 // cramped is a folder that may be full, or slow to sync.
 type cramped struct {
 	folder
--- a/internal/host/waiting_test.go
+++ b/internal/host/waiting_test.go
@@ -96,3 +96,18 @@
 		})
 	}
 }
+
+// A probe that waits for its link was not counted for a start that the greeting tells of, and does not go to it.
+func TestProbeOfAnEarlierStart(t *testing.T) {
+	for start2, want := range map[uint64]placer.Outcome{1: placer.TimedOut, 2: placer.NotSent} {
+		addr, greet, _ := slowMachine(t, "a")
+		s := terms(t)
+		s.Connect = 10 * loop.Second
+		r := start(t, s, nil, map[string]string{"a": addr})
+		on1(r.h, func() bool { r.h.probe("a"); return true })
+		greet <- start2
+		if e := await[placer.Probed](r, nil); e.Outcome != want {
+			t.Errorf("start %d: %+v", start2, e)
+		}
+	}
+}
--- a/internal/recall/recall.go
+++ b/internal/recall/recall.go
@@ -264,6 +264,9 @@
 		case !there || m.Start != s.Start:
 			left = append(left, s)
 		default:
+			if old := l.sent[s.Machine]; old != nil && old.Start != s.Start {
+				l.warm[s.Machine] = append(old.Times, l.warm[s.Machine]...)
+			}
 			l.sent[s.Machine] = &Sent{s.Machine, s.Start, append([]placer.Time(nil), s.Times...)}
 			found = append(found, placer.Learned{Machine: s.Machine, Started: m.Started, Cold: s.Times})
 		}
@@ -271,31 +274,76 @@
 	return found, left
 }
 
-// Ledger follows what is sent to cold machines, to be written down. A machine leaves it once it is warm or gone.
+// transitDivisor is the part of a window that a send may be on its way: what was sent so long before a start may have reached it.
+const transitDivisor = 8
+
+// Ledger follows what is sent to machines, to be written down while they are cold. What goes to a warm machine is only
+// remembered, for two windows: a start that has not been heard of may turn it cold, and then all that may have reached it
+// is written down. A machine leaves the record once it is warm or gone.
 type Ledger struct {
 	coldFor, window placer.Time
-	sent            map[placer.MachineID]*Sent
+	sent            map[placer.MachineID]*Sent         // on record
+	warm            map[placer.MachineID][]placer.Time // only remembered; later than what is on record
 }
 
 func NewLedger(coldFor, window placer.Time) *Ledger {
-	return &Ledger{coldFor: coldFor, window: window, sent: map[placer.MachineID]*Sent{}}
+	return &Ledger{coldFor: coldFor, window: window, sent: map[placer.MachineID]*Sent{}, warm: map[placer.MachineID][]placer.Time{}}
+}
+
+func (l *Ledger) cold(now placer.Time, m Machine) bool {
+	return m.Started != 0 && now < m.Started+l.coldFor
+}
+
+// recent are the times of the last two windows.
+func (l *Ledger) recent(now placer.Time, times []placer.Time) []placer.Time {
+	return after(now-2*l.window, times)
+}
+
+func after(from placer.Time, times []placer.Time) []placer.Time {
+	for len(times) > 0 && times[0] <= from {
+		times = times[1:]
+	}
+	return times
+}
+
+// reached gives all that may have reached a machine's start, and forgets what went to earlier ones.
+func (l *Ledger) reached(now placer.Time, id placer.MachineID, m Machine) *Sent {
+	before := m.Started - l.window/transitDivisor - 1
+	s := l.sent[id]
+	if s == nil {
+		s = &Sent{Machine: id, Start: m.Start}
+	} else if s.Start != m.Start {
+		s = &Sent{id, m.Start, after(before, s.Times)}
+	}
+	s.Times = l.recent(now, append(s.Times, after(before, l.warm[id])...))
+	delete(l.warm, id)
+	return s
 }
 
 // Note counts one bid or probe that is about to go to a machine. It returns what is to be written down before,
 // and whether anything is.
 func (l *Ledger) Note(now placer.Time, id placer.MachineID, m Machine) (Sent, bool) {
-	if m.Started == 0 || now >= m.Started+l.coldFor {
+	if !l.cold(now, m) {
+		l.warm[id] = append(l.recent(now, l.warm[id]), now)
 		return Sent{}, false
 	}
-	s := l.sent[id]
-	if s == nil || s.Start != m.Start {
-		s = &Sent{Machine: id, Start: m.Start}
-		l.sent[id] = s
+	s := l.reached(now, id, m)
+	s.Times = append(s.Times, now)
+	l.sent[id] = s
+	return *s, true
+}
+
+// Started tells of a start just heard of. It returns what is to be written down, as it may have reached that start before, and
+// whether anything is.
+func (l *Ledger) Started(now placer.Time, id placer.MachineID, m Machine) (Sent, bool) {
+	if s := l.sent[id]; !l.cold(now, m) || s != nil && s.Start == m.Start && len(l.warm[id]) == 0 {
+		return Sent{}, false
 	}
-	for len(s.Times) > 0 && s.Times[0] <= now-2*l.window {
-		s.Times = s.Times[1:]
+	s := l.reached(now, id, m)
+	if len(s.Times) == 0 {
+		return Sent{}, false
 	}
-	s.Times = append(s.Times, now)
+	l.sent[id] = s
 	return *s, true
 }
 
@@ -308,7 +356,8 @@
 	}
 }
 
-// Drop lets go of machines that are warm or gone and returns them, in order.
+// Drop lets go of the records of machines that are warm or gone and returns these machines, in order. What may still reach
+// a start not heard of stays remembered.
 func (l *Ledger) Drop(now placer.Time, machines func(placer.MachineID) (Machine, bool)) []placer.MachineID {
 	var out []placer.MachineID
 	for id, s := range l.sent {
@@ -316,13 +365,19 @@
 		if !there && s.Times[len(s.Times)-1] > now-2*l.window {
 			continue // it may come back with the same start
 		}
-		if !there || m.Start != s.Start || m.Started == 0 || now >= m.Started+l.coldFor {
+		if !there || m.Start != s.Start || !l.cold(now, m) {
 			out = append(out, id)
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i] < out[j] })
 	for _, id := range out {
+		l.warm[id] = append(l.sent[id].Times, l.warm[id]...)
 		delete(l.sent, id)
 	}
+	for id, times := range l.warm {
+		if l.warm[id] = l.recent(now, times); len(l.warm[id]) == 0 {
+			delete(l.warm, id)
+		}
+	}
 	return out
 }
--- a/internal/recall/recall_test.go
+++ b/internal/recall/recall_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 	"strings"
 	"testing"
 
@@ -158,8 +159,8 @@
 	}
 }
 
-// What goes to a machine that counts as warm is not written down; if a list tells later that it had started before, and the
-// placer has died meanwhile, its next life does not know of that part of the budget.
+// What goes to a machine that counts as warm is remembered; if it is heard later that it had started before, that part of the
+// budget is written down too, so that the next life of a placer that dies knows of it.
 func TestUnheardStartBeforeDeath(t *testing.T) {
 	l := NewLedger(17*sec, window)
 	l.Note(100*sec, "m", Machine{7, 0})
@@ -167,3 +168,64 @@
 		t.Errorf("%d of 2 sends to a start at 99 s are written down (docs/review-of-parts.md, finding 13)", len(s.Times))
 	}
 }
+
+// What may have reached a start is on record from the moment that start is heard of, together with what an earlier life sent
+// to it; what went before is not, and what is remembered of warm machines is forgotten after two windows.
+func TestStartedIsOnRecord(t *testing.T) {
+	warm, cold := Machine{7, 0}, Machine{8, 100 * sec}
+	for _, tc := range []struct {
+		name string
+		act  func(l *Ledger)
+		want []placer.Time // on record after the start was heard of at 102 s
+	}{
+		{"nothing was sent", func(*Ledger) {}, nil},
+		{"sent while it counted as warm", func(l *Ledger) {
+			l.Note(98*sec, "m", warm)
+			l.Note(100*sec-window/transitDivisor, "m", warm)
+			l.Note(101*sec, "m", warm)
+		}, []placer.Time{100*sec - window/transitDivisor, 101 * sec}},
+		{"sent while an earlier start was cold", func(l *Ledger) {
+			l.Note(99*sec, "m", Machine{7, 90 * sec})
+			l.Note(101*sec, "m", Machine{7, 90 * sec})
+		}, []placer.Time{101 * sec}},
+		{"its record went as it was warm", func(l *Ledger) {
+			l.Note(101*sec, "m", Machine{7, 85 * sec})
+			l.Drop(102*sec, func(placer.MachineID) (Machine, bool) { return Machine{7, 85 * sec}, true })
+			l.Note(102*sec, "m", Machine{7, 85 * sec})
+		}, []placer.Time{101 * sec, 102 * sec}},
+		{"by two lives", func(l *Ledger) {
+			l.Note(102*sec, "m", warm)
+			l.Named(102*sec, []Sent{{"m", 8, []placer.Time{101 * sec}}}, func(placer.MachineID) (Machine, bool) { return cold, true })
+		}, []placer.Time{101 * sec, 102 * sec}},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			l := NewLedger(17*sec, window)
+			tc.act(l)
+			s, recorded := l.Started(102*sec, "m", cold)
+			if recorded != (tc.want != nil) || !slices.Equal(s.Times, tc.want) || recorded && s.Start != 8 {
+				t.Errorf("%+v, want %v", s, tc.want)
+			}
+			if _, again := l.Started(102*sec, "m", cold); again {
+				t.Error("written twice")
+			}
+			l.Drop(102*sec+2*window, func(placer.MachineID) (Machine, bool) { return Machine{9, 0}, true })
+			if len(l.sent)+len(l.warm) != 0 {
+				t.Errorf("after two windows %d are on record, %d remembered", len(l.sent), len(l.warm))
+			}
+		})
+	}
+}
+
+func BenchmarkNote(b *testing.B) {
+	for name, m := range map[string]Machine{"warm": {7, 0}, "cold": {7, sec}} {
+		b.Run(name, func(b *testing.B) { // 1,000 sends a second to one machine
+			l, recorded := NewLedger(1<<40, window), 0
+			for i := range b.N {
+				if _, ok := l.Note(2*sec+placer.Time(i)*sec/1000, "m", m); ok {
+					recorded++
+				}
+			}
+			b.ReportMetric(float64(recorded)/float64(b.N), "records/op")
+		})
+	}
+}
