--- a/placer/api.go
+++ b/placer/api.go
@@ -108,6 +108,7 @@
 	WholeList
 	OldList // the list as last held before a restart
 	ListFailed
+	SelfReported // a new start by the machine's own hello: the list itself was not heard
 )
 
 // Event is something that happened to a placer.
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -211,18 +211,19 @@
 // learn applies a list. A failed call leaves the old list in force and is repeated, since the notice does
 // not say whether the watch stands. One service answers all placers, and turns calls away when too many
 // wait: so each comes at a moment of its own, over twice the span after each failure. That also guards a list
-// service that returns after it was away. Harm: a lone placer hears a little later.
+// service that returns after it was away. Harm: a lone placer hears a little later. What a machine reports of
+// itself is no answer of the list: a call that is due stays due.
 func (p *Placer) learn(e ListCame) {
 	if e.Mode == ListFailed {
 		p.watchAt = p.now + p.within(p.watchPause)
 		p.watchPause = min(2*p.watchPause, p.terms.AskWithin)
 		return
 	}
-	if e.Mode != OldList {
+	if e.Mode != OldList && e.Mode != SelfReported {
 		p.watchAt = 0
 		p.watchPause = min(askTurn*Time(max(1, p.terms.Placers)), p.terms.AskWithin/2)
 	}
-	if e.Mode != Changes {
+	if e.Mode != Changes && e.Mode != SelfReported {
 		for _, m := range p.order {
 			m.state = Gone
 		}
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -454,6 +454,48 @@
 	}
 }
 
+// A start that a machine reports by its own hello is taken up, and the call of the list that is due still comes, while
+// any answer of the list ends it. The other machines stay as they were.
+func TestSelfReportedStartLeavesListCallDue(t *testing.T) {
+	for _, tc := range []struct {
+		name     string
+		before   []Event // of the list, before the hello
+		mode     ListMode
+		stillDue bool
+	}{
+		{"first call of a new incarnation", nil, SelfReported, true},
+		{"list unreachable", []Event{ListCame{Mode: ListFailed}}, SelfReported, true},
+		{"list unreachable for long", []Event{ListCame{Mode: ListFailed}, ListCame{Mode: ListFailed},
+			ListCame{Mode: ListFailed}}, SelfReported, true},
+		{"list answered before", []Event{ListCame{Mode: Changes}}, SelfReported, false},
+		{"the list itself tells", []Event{ListCame{Mode: ListFailed}}, Changes, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			tm := terms(Reissuable)
+			tm.ListOnAsk, tm.AskWithin = true, 4*Second
+			p := fleet(tm)
+			now := Millisecond
+			p.Handle(now, tc.before)
+			p.Handle(now, []Event{ListCame{Mode: tc.mode, Entries: []Entry{{Machine: "a", StartedAt: now}}}})
+			if m := p.machine("a"); m.started != now || !p.isCold(m) {
+				t.Errorf("machine a started at %d, cold: %v", m.started, p.isCold(m))
+			}
+			if m := p.machine("d"); m.state != Serving {
+				t.Errorf("machine d is in state %d", m.state)
+			}
+			calls := 0
+			for ; now <= 10*Second; now += Second / 4 {
+				if slices.Contains(p.Handle(now, []Event{Woke{"sweep"}}), Action(Watch{true})) {
+					calls++
+				}
+			}
+			if due := calls == 1; due != tc.stillDue {
+				t.Errorf("the list was called %d times", calls)
+			}
+		})
+	}
+}
+
 // While bids find no room, low gain yields to high gain, and a customer beyond its share to the others.
 func TestYield(t *testing.T) {
 	for _, tc := range []struct {
