--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -175,7 +175,7 @@
 		return
 	}
 	m.incarnation, m.startedAt, m.greeted = start, placer.Time(h.loop.Now()), true
-	h.feed(placer.ListCame{Mode: placer.Changes, Version: h.list.version, Entries: []placer.Entry{m.entry(&l)}})
+	h.feed(placer.ListCame{Mode: placer.SelfReported, Version: h.list.version, Entries: []placer.Entry{m.entry(&l)}})
 	if h.state != nil {
 		h.state.named()
 	}
--- a/internal/host/list_test.go
+++ b/internal/host/list_test.go
@@ -4,8 +4,10 @@
 	"net"
 	"sync/atomic"
 	"testing"
+	"time"
 
 	"glenport/internal/link"
+	"glenport/internal/loop"
 	"glenport/placer"
 )
 
@@ -67,3 +69,51 @@
 		})
 	}
 }
+
+// A machine that says hello with a new incarnation while the list is out of reach does not end the calls of the list: they
+// go on until the list answers.
+func TestListIsCalledAgainAfterMachineHello(t *testing.T) {
+	machineAddr, hello, _ := slowMachine(t, "a")
+	entry := link.Entry{Machine: "a", Addr: machineAddr, Incarnation: 1, Age: -1}
+	var away atomic.Bool
+	watches := make(chan int64, 100) // the version that each call asks for changes since
+	s := terms(t)
+	s.Connect, s.Terms.AskWithin, s.Terms.Placers = 10*loop.Second, placer.Second, 1
+	s.ListAddr = serve(t, func(c net.Conn) {
+		if away.Load() {
+			return
+		}
+		put(c, link.Greeting(link.List, "list", 1))
+		for {
+			f, err := link.Read(c, link.MostFrame)
+			if err != nil || away.Load() {
+				return
+			}
+			if w, ok := f.(*link.Watch); ok {
+				watches <- w.Since
+				put(c, &link.Listed{Whole: true, Version: 5, Entries: []link.Entry{entry}})
+			}
+		}
+	})
+	h := run(t, s, placer.New(s.Terms))
+	await := func(since int64) {
+		t.Helper()
+		select {
+		case got := <-watches:
+			if got != since {
+				t.Fatalf("changes since %d were asked for, want since %d", got, since)
+			}
+		case <-time.After(20 * time.Second):
+			t.Fatal("the list is not called in 20 s")
+		}
+	}
+	await(0)
+	until(t, func() bool { return on1(h, func() bool { return h.list.version == 5 }) })
+	away.Store(true)
+	on1(h, func() bool { h.list.conn.Reset(); return true })
+	until(t, func() bool { return on1(h, func() bool { return h.list.conn == nil && !h.list.asked }) })
+	hello <- 2
+	until(t, func() bool { return on1(h, func() bool { return h.machines["a"].greeted }) })
+	away.Store(false)
+	await(5)
+}
