--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -54,6 +54,7 @@
 	h       tap.Header
 	found   map[int]int
 	placers map[string]*life
+	places  map[string]map[string]place // by placer, then machine
 	links   map[uint32]*channel
 	starts  map[string]*coldStart // by machine and incarnation
 	ran     map[string]*offer     // at-most-once work that ran, by key
@@ -76,6 +77,10 @@
 	}
 }
 
+// place is where a machine lies, as the list last told one placer. It outlasts the placer's incarnations: a placer
+// keeps its list over a restart, and goes by it until the list is heard again.
+type place struct{ zone, cell int }
+
 // life is one life of a placer, as seen from outside.
 type life struct {
 	name       string
@@ -133,10 +138,14 @@
 	offers  []int64
 }
 
+func newJudge() *judge {
+	return &judge{found: map[int]int{}, placers: map[string]*life{}, places: map[string]map[string]place{},
+		links: map[uint32]*channel{}, starts: map[string]*coldStart{}, ran: map[string]*offer{}}
+}
+
 // Record judges a record in a file.
 func Record(path string) (*Judgement, error) {
-	j := &judge{found: map[int]int{}, placers: map[string]*life{}, links: map[uint32]*channel{},
-		starts: map[string]*coldStart{}, ran: map[string]*offer{}}
+	j := newJudge()
 	err := tap.Read(path, &j.h, func(e *tap.Entry) error {
 		j.now = e.At
 		j.judgePairs(e.At)
@@ -357,7 +366,7 @@
 		switch {
 		case w.Effect == placer.AtMostOnce:
 			j.fail(2, e.At, []string{p.text, o.text}, "at-most-once %s is sent again though it may have run", c.name)
-		case w.Effect == placer.Numbered && !l.shares(p.machine, o.machine, w.Repeats):
+		case w.Effect == placer.Numbered && !j.shareGroup(l, p.machine, o.machine, w.Repeats):
 			j.fail(2, e.At, []string{p.text, o.text}, "numbered %s leaves the group that drops its repeats", c.name)
 		case w.Effect == placer.Numbered && e.At > p.at+int64(w.Window)+slack:
 			j.fail(2, e.At, []string{p.text, o.text}, "numbered %s is sent after its window", c.name)
@@ -413,7 +422,7 @@
 	n := 0
 	var frames []string
 	for p := range l.held {
-		if p.work.Service != o.work.Service || !l.shares(p.machine, o.machine, w.Spread) {
+		if p.work.Service != o.work.Service || !j.shareGroup(l, p.machine, o.machine, w.Spread) {
 			continue
 		}
 		if !p.yes && p != o && j.now >= p.until-int64(j.h.Slack) { // its wait is over
@@ -428,19 +437,21 @@
 	}
 }
 
-func (l *life) shares(a, b string, place placer.Place) bool {
-	if place == placer.Everywhere || a == b {
+// shareGroup tells whether two machines lie in one group; a machine that no list told this placer of lies in none.
+func (j *judge) shareGroup(l *life, a, b string, group placer.Place) bool {
+	if group == placer.Everywhere || a == b {
 		return true
 	}
-	x, y := l.machines[a], l.machines[b]
-	if x == nil || y == nil {
+	x, knownX := j.places[l.name][a]
+	y, knownY := j.places[l.name][b]
+	if !knownX || !knownY {
 		return false
 	}
-	switch place {
+	switch group {
 	case placer.OneZone:
-		return x.Zone == y.Zone
+		return x.zone == y.zone
 	case placer.OneCell:
-		return x.Cell == y.Cell
+		return x.cell == y.cell
 	}
 	return false
 }
@@ -490,7 +501,13 @@
 			}
 		}
 	}
+	places := j.places[l.name]
+	if places == nil {
+		places = map[string]place{}
+		j.places[l.name] = places
+	}
 	for _, x := range f.Entries {
+		places[x.Machine] = place{x.Zone, x.Cell}
 		m := l.machines[x.Machine]
 		if m == nil {
 			m = &listed{}
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -19,16 +19,11 @@
 }
 
 func begin(t *testing.T) *history {
-	h := &history{T: t, j: &judge{found: map[int]int{}, placers: map[string]*life{}, links: map[uint32]*channel{},
-		starts: map[string]*coldStart{}, ran: map[string]*offer{}}}
+	h := &history{T: t, j: newJudge()}
 	h.j.h = tap.Header{DrainGrace: 250 * ms, Slack: 20 * ms, Terms: placer.Terms{AnswerGrace: 10 * ms, ColdFor: 5000 * ms,
 		ColdWindow: 1000 * ms, ColdBids: 3, Workloads: []placer.Workload{{}, {Effect: placer.Numbered, Repeats: placer.OneZone,
 			Window: 4000 * ms}, {Effect: placer.AtMostOnce, Spread: placer.OneZone, Most: 2}}}}
-	h.open(1, link.Owner, "o")
-	h.open(2, link.List, "list")
-	for i, m := range []string{"a", "b", "c"} {
-		h.open(uint32(10+i), link.Machine, m)
-	}
+	h.connect()
 	h.list(0, map[string]link.Entry{"a": {}, "b": {}, "c": {Zone: 1}})
 	return h
 }
@@ -46,6 +41,15 @@
 	h.put(0, tap.Entry{Sort: tap.Opened, Link: id, Far: far, Name: name})
 }
 
+// connect opens the links to a client, the list and the machines.
+func (h *history) connect() {
+	h.open(1, link.Owner, "o")
+	h.open(2, link.List, "list")
+	for i, m := range []string{"a", "b", "c"} {
+		h.open(uint32(10+i), link.Machine, m)
+	}
+}
+
 func (h *history) frame(at int64, s tap.Sort, id uint32, f link.Frame) {
 	p, err := link.Append(nil, f)
 	if err != nil {
@@ -68,6 +72,16 @@
 	h.frame(at, tap.ToPlacer, 2, f)
 }
 
+// restart kills the placer and starts it again; its links are new, and the list is not heard yet.
+func (h *history) restart(at int64) {
+	for _, id := range []uint32{1, 2, 10, 11, 12} {
+		h.put(at, tap.Entry{Sort: tap.Closed, Link: id})
+	}
+	h.put(at, tap.Entry{Sort: tap.Killed})
+	h.put(at, tap.Entry{Sort: tap.Started})
+	h.connect()
+}
+
 func (h *history) work(c string, workload int) link.Work {
 	return link.Work{Container: c, Key: "k-" + c, Service: "s", Workload: workload}
 }
@@ -163,6 +177,35 @@
 			h.offer(600, "x", 1, 12)
 			h.answer(700, "x", link.GivenUp)
 		}, 2},
+		{"numbered stays in its group, the list not heard since a restart", func(h *history) {
+			h.restart(1)
+			h.ask(2, "x", 1)
+			h.offer(3, "x", 1, 10)
+			h.offer(600, "x", 1, 11)
+			h.answer(700, "x", link.GivenUp)
+		}, 0},
+		{"numbered leaves its group, the list not heard since a restart", func(h *history) {
+			h.restart(1)
+			h.ask(2, "x", 1)
+			h.offer(3, "x", 1, 10)
+			h.offer(600, "x", 1, 12)
+			h.answer(700, "x", link.GivenUp)
+		}, 2},
+		{"numbered leaves its group, a machine moved since a restart", func(h *history) {
+			h.restart(1)
+			h.list(1, map[string]link.Entry{"b": {Zone: 1}})
+			h.ask(2, "x", 1)
+			h.offer(3, "x", 1, 10)
+			h.offer(600, "x", 1, 11)
+			h.answer(700, "x", link.GivenUp)
+		}, 2},
+		{"numbered goes to a machine of which no list told", func(h *history) {
+			h.open(20, link.Machine, "d")
+			h.ask(2, "x", 1)
+			h.offer(3, "x", 1, 10)
+			h.offer(600, "x", 1, 20)
+			h.answer(700, "x", link.GivenUp)
+		}, 2},
 		{"a key ran twice", func(h *history) {
 			h.ask(1, "x", 2)
 			h.yes(3, 10, h.offer(2, "x", 2, 10))
@@ -195,6 +238,8 @@
 
 		{"spread kept", func(h *history) { h.three(12) }, 0},
 		{"spread broken", func(h *history) { h.three(10) }, 5},
+		{"spread kept, the list not heard since a restart", func(h *history) { h.restart(0); h.three(12) }, 0},
+		{"spread broken, the list not heard since a restart", func(h *history) { h.restart(0); h.three(10) }, 5},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := begin(t)
