--- /dev/null
+++ b/internal/porter/golden_test.go
@@ -0,0 +1,275 @@
+package porter
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/binary"
+	"flag"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"os"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "record the digests in testdata anew")
+
+const digestFile = "testdata/decisions.txt"
+
+// digest folds decisions into a hash. It knows no names of types or fields and no text of a reason: an action counts by
+// its ordinal below and its values in order, a reason by the order of its first appearance.
+type digest struct {
+	hash    hash.Hash
+	actions int
+	reasons map[string]uint64
+}
+
+func newDigest() *digest { return &digest{hash: sha256.New(), reasons: map[string]uint64{}} }
+
+func (d *digest) fold(values ...uint64) {
+	for _, v := range values {
+		d.hash.Write(binary.BigEndian.AppendUint64(nil, v))
+	}
+}
+
+func (d *digest) text(s string) {
+	d.fold(uint64(len(s)))
+	d.hash.Write([]byte(s))
+}
+
+func (d *digest) flag(b bool) {
+	if b {
+		d.fold(1)
+	} else {
+		d.fold(0)
+	}
+}
+
+func (d *digest) reason(why any) {
+	text := fmt.Sprint(why)
+	if _, ok := d.reasons[text]; !ok {
+		d.reasons[text] = uint64(len(d.reasons))
+	}
+	d.fold(d.reasons[text])
+}
+
+func (d *digest) action(now Time, action Action) {
+	d.actions++
+	d.fold(uint64(now))
+	switch a := action.(type) {
+	case LetGo:
+		d.fold(0, uint64(a.Caller))
+		d.reason(a.Why)
+	case Tell:
+		d.fold(1, uint64(a.Cause), uint64(a.Caller))
+		d.text(a.Call)
+	case Rest:
+		d.fold(2, uint64(a.Caller), uint64(a.For))
+	default:
+		panic(fmt.Sprintf("action %T has no ordinal", action))
+	}
+}
+
+// sequence is a run of random events on one manager. It keeps an account of what is open, so that most events fit what
+// came before; some never do.
+type sequence struct {
+	random     *rand.Rand
+	now        Time
+	grid       Time // time passes in multiples of it; 0: as it comes
+	lastID     uint64
+	connected  []uint64
+	terminated []string
+	count      int
+}
+
+// client picks one that is connected, mostly.
+func (s *sequence) client() CallerID {
+	if len(s.connected) == 0 || s.random.IntN(25) == 0 {
+		return CallerID(s.random.Uint64N(s.lastID + 3)) // 0, one that has left, or one that never came
+	}
+	return CallerID(s.connected[s.random.IntN(len(s.connected))])
+}
+
+func (s *sequence) terminatedID() string {
+	if len(s.terminated) == 0 || s.random.IntN(8) == 0 {
+		return "never-told"
+	}
+	return s.terminated[s.random.IntN(len(s.terminated))]
+}
+
+func (s *sequence) connect() Event {
+	s.lastID++
+	s.connected = append(s.connected, s.lastID)
+	return Came{Caller: CallerID(s.lastID)}
+}
+
+func (s *sequence) disconnect() Event {
+	id := s.client()
+	for i, c := range s.connected {
+		if CallerID(c) == id {
+			s.connected = append(s.connected[:i], s.connected[i+1:]...)
+			break
+		}
+	}
+	return Left{Caller: id}
+}
+
+func (s *sequence) terminate() Event {
+	s.count++
+	id := fmt.Sprintf("%016x", s.count)
+	s.terminated = append(s.terminated, id)
+	from := s.client()
+	if s.random.IntN(3) == 0 {
+		from = 0
+	}
+	return Over{Call: id, Cause: s.random.IntN(50) - 1, Caller: from}
+}
+
+// weights say how often each event comes; a group of sequences has its own.
+type weights struct{ connect, receive, request, send, cancel, invalid, prove, reclaim, disconnect, terminate, acknowledge, tick int }
+
+func (s *sequence) event(w weights) Event {
+	n := s.random.IntN(w.connect + w.receive + w.request + w.send + w.cancel + w.invalid + w.prove + w.reclaim + w.disconnect +
+		w.terminate + w.acknowledge + w.tick)
+	for _, kind := range []struct {
+		weight int
+		make   func() Event
+	}{
+		{w.connect, s.connect},
+		{w.receive, func() Event { return Heard{Caller: s.client(), Half: s.random.IntN(3) == 0} }},
+		{w.request, func() Event { return Asked{Caller: s.client()} }},
+		{w.send, func() Event { return Answered{Caller: s.client(), Closed: s.random.IntN(3)} }},
+		{w.cancel, func() Event { return TookBack{Caller: s.client()} }},
+		{w.invalid, func() Event { return TurnedAway{Caller: s.client()} }},
+		{w.prove, func() Event { return Proved{Caller: s.client()} }},
+		{w.reclaim, func() Event { return Named{Caller: s.client()} }},
+		{w.disconnect, s.disconnect},
+		{w.terminate, s.terminate},
+		{w.acknowledge, func() Event { return HeardOver{Call: s.terminatedID(), Caller: s.client()} }},
+	} {
+		if n -= kind.weight; n < 0 {
+			return kind.make()
+		}
+	}
+	return Tick{}
+}
+
+// wait lets time pass: mostly little, now and then so much that every deadline is over. A sequence on a grid meets
+// deadlines exactly.
+func (s *sequence) wait() {
+	if s.grid > 0 {
+		s.now += s.grid * Time(s.random.IntN(4))
+		return
+	}
+	switch n := s.random.IntN(100); {
+	case n < 40:
+	case n < 70:
+		s.now += Time(s.random.IntN(int(Second / 10)))
+	case n < 98:
+		s.now += Time(s.random.IntN(int(Second)))
+	default:
+		s.now += Time(s.random.IntN(int(12 * Second)))
+	}
+}
+
+func (s *sequence) run(d *digest, descriptors, batches int, w weights) {
+	manager := New(descriptors)
+	s.now = Time(s.random.IntN(1000))
+	for range batches {
+		s.wait()
+		events := make([]Event, 0, 4)
+		for range 1 + s.random.IntN(4) {
+			events = append(events, s.event(w))
+		}
+		for _, a := range manager.Handle(s.now, events) {
+			d.action(s.now, a)
+		}
+	}
+}
+
+func clientGroup(seed uint64, descriptors []int, batches int, w weights) func(*digest) {
+	return func(d *digest) {
+		for i := range 400 {
+			grids := []Time{0, Second / 4, Second / 10}
+			s := &sequence{random: rand.New(rand.NewPCG(seed, uint64(i))), grid: grids[i%len(grids)]}
+			s.run(d, descriptors[i%len(descriptors)], batches, w)
+		}
+	}
+}
+
+// machineConnections folds every decision on connections to machines, at and around each limit.
+func machineConnections(d *digest) {
+	for _, descriptors := range []int{0, 1, 16, 31, 32, 33, 48, 64, 100, 255, 256, 384, 576, 1024, 65536} {
+		d.fold(uint64(AllLinks(descriptors)))
+		for _, machines := range []int{0, 1, 2, 12, 100, 1000} {
+			d.fold(uint64(MostLinks(descriptors, machines)))
+		}
+		for connections := max(0, descriptors-40); connections <= descriptors+1; connections++ {
+			d.flag(Bears(descriptors, connections))
+		}
+		d.actions += 2
+	}
+	for flags := range 8 {
+		for _, closes := range []Time{0, 1, Second, 3 * Second, 10 * Second, 30 * Second} {
+			for _, idle := range []Time{0, 1, Second/2 - 1, Second / 2, Second, closes/2 - 1, closes / 2, closes, 5*Second - 1, 5 * Second, 60 * Second} {
+				conn := Link{First: flags&1 != 0, Stands: flags&2 != 0, Here: flags&4 != 0, Idle: idle, Closes: closes}
+				d.flag(conn.Keeps())
+				d.flag(conn.Fits())
+				d.fold(uint64(conn.Yields()))
+				d.actions += 3
+			}
+		}
+	}
+}
+
+func shutdown(d *digest) {
+	for _, longest := range []Time{0, 1, Second / 10, Second / 2, 7 * Second / 10, Second, 3 * Second, 6 * Second, 60 * Second} {
+		for since := Time(0); since <= 5*Second; since += Second / 20 {
+			for _, at := range []Time{since - 1, since, since + 1} {
+				d.flag(Stays(at, 0, longest))
+				d.flag(Stays(at, 1, longest))
+				d.flag(Hurries(at, longest))
+				d.actions += 3
+			}
+		}
+	}
+}
+
+// TestDecisionsAreUnchanged compares every decision on some thousand random sequences of events with those recorded.
+func TestDecisionsAreUnchanged(t *testing.T) {
+	even := weights{4, 8, 5, 6, 2, 2, 2, 2, 3, 4, 3, 6}
+	crowd := weights{20, 10, 8, 8, 2, 1, 3, 2, 4, 2, 2, 3}
+	notices := weights{3, 4, 3, 4, 1, 0, 3, 3, 3, 10, 4, 15}
+	quiet := weights{6, 3, 1, 1, 1, 1, 1, 2, 1, 1, 1, 12}
+	invalid := weights{2, 4, 2, 2, 2, 12, 1, 1, 3, 1, 1, 3}
+	var got bytes.Buffer
+	for _, group := range []struct {
+		name string
+		run  func(*digest)
+	}{
+		{"mixed events, many descriptors", clientGroup(1, []int{1024, 384}, 100, even)},
+		{"mixed events, few descriptors", clientGroup(2, []int{0, 40, 52, 64}, 100, even)},
+		{"more clients than descriptors", clientGroup(3, []int{48, 56, 64, 100}, 120, crowd)},
+		{"terminations with few acknowledgements", clientGroup(4, []int{64, 256}, 100, notices)},
+		{"clients that ask nothing", clientGroup(5, []int{64, 256}, 100, quiet)},
+		{"invalid messages", clientGroup(6, []int{64, 256}, 60, invalid)},
+		{"connections to machines", machineConnections},
+		{"shutdown", shutdown},
+	} {
+		d := newDigest()
+		group.run(d)
+		fmt.Fprintf(&got, "%s: %x, %d decisions\n", group.name, d.hash.Sum(nil), d.actions)
+	}
+	if *update {
+		if err := os.WriteFile(digestFile, got.Bytes(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(digestFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got.Bytes(), want) {
+		t.Errorf("decisions changed, got\n%swant\n%s", got.Bytes(), want)
+	}
+}
--- /dev/null
+++ b/internal/vigil/golden_test.go
@@ -0,0 +1,163 @@
+package vigil
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/binary"
+	"flag"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"os"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "record the digests in testdata anew")
+
+const digestFile = "testdata/decisions.txt"
+
+// digest folds decisions into a hash. It knows no names of types or fields: an action counts by its ordinal below and its
+// values in order.
+type digest struct {
+	hash    hash.Hash
+	actions int
+}
+
+func (d *digest) fold(values ...uint64) {
+	for _, v := range values {
+		d.hash.Write(binary.BigEndian.AppendUint64(nil, v))
+	}
+}
+
+func (d *digest) text(s string) {
+	d.fold(uint64(len(s)))
+	d.hash.Write([]byte(s))
+}
+
+func (d *digest) action(now Time, action Action) {
+	d.actions++
+	d.fold(uint64(now))
+	switch a := action.(type) {
+	case Look:
+		d.fold(0)
+		d.text(a.Machine)
+	case Lost:
+		d.fold(1, uint64(a.Silent))
+		d.text(a.Machine)
+	case Over:
+		d.fold(2, uint64(a.Cause))
+		d.text(a.Machine)
+		d.text(a.Call)
+	default:
+		panic(fmt.Sprintf("action %T has no ordinal", action))
+	}
+}
+
+// sequence is a run of random events on one detector.
+type sequence struct {
+	random   *rand.Rand
+	now      Time
+	grid     Time // time passes in multiples of it; 0: as it comes
+	machines int
+	requests int
+}
+
+func (s *sequence) machine() string { return fmt.Sprintf("m-%d", s.random.IntN(s.machines)) }
+func (s *sequence) request() string { return fmt.Sprintf("%016x", s.random.IntN(s.requests)) }
+
+// weights say how often each event comes; a group of sequences has its own.
+type weights struct{ count, activity, refused, terminated, reclaimed, tick int }
+
+func (s *sequence) event(w weights) Event {
+	n := s.random.IntN(w.count + w.activity + w.refused + w.terminated + w.reclaimed + w.tick)
+	for _, kind := range []struct {
+		weight int
+		make   func() Event
+	}{
+		{w.count, func() Event { return Stands{Machine: s.machine(), Count: s.random.IntN(4)} }},
+		{w.activity, func() Event { return Heard{Machine: s.machine()} }},
+		{w.refused, func() Event { return Refused{Machine: s.machine()} }},
+		{w.terminated, func() Event { return Said{Machine: s.machine(), Call: s.request(), Cause: s.random.IntN(50) - 1} }},
+		{w.reclaimed, func() Event { return Named{Machine: s.machine(), Call: s.request()} }},
+	} {
+		if n -= kind.weight; n < 0 {
+			return kind.make()
+		}
+	}
+	return Tick{}
+}
+
+// wait lets time pass: mostly little, now and then so much that every deadline is over. A sequence on a grid meets
+// deadlines exactly.
+func (s *sequence) wait() {
+	if s.grid > 0 {
+		s.now += s.grid * Time(s.random.IntN(3))
+		return
+	}
+	switch n := s.random.IntN(100); {
+	case n < 40:
+	case n < 70:
+		s.now += Time(s.random.IntN(int(Second / 10)))
+	case n < 98:
+		s.now += Time(s.random.IntN(int(Second)))
+	default:
+		s.now += Time(s.random.IntN(int(12 * Second)))
+	}
+}
+
+func (s *sequence) run(d *digest, batches, longest int, w weights) {
+	detector := New()
+	s.now = Time(s.random.IntN(1000))
+	for range batches {
+		s.wait()
+		events := make([]Event, 0, longest)
+		for range 1 + s.random.IntN(longest) {
+			events = append(events, s.event(w))
+		}
+		for _, a := range detector.Handle(s.now, events) {
+			d.action(s.now, a)
+		}
+	}
+}
+
+// group makes a group of sequences; longest is the most events in a batch.
+func group(seed uint64, sequences, machines, requests, batches, longest int, w weights) func(*digest) {
+	return func(d *digest) {
+		for i := range sequences {
+			grids := []Time{0, Second / 2, Second / 10}
+			s := &sequence{random: rand.New(rand.NewPCG(seed, uint64(i))), machines: machines, requests: requests, grid: grids[i%len(grids)]}
+			s.run(d, batches, longest, w)
+		}
+	}
+}
+
+// TestDecisionsAreUnchanged compares every decision on some thousand random sequences of events with those recorded.
+func TestDecisionsAreUnchanged(t *testing.T) {
+	var got bytes.Buffer
+	for _, group := range []struct {
+		name string
+		run  func(*digest)
+	}{
+		{"mixed events", group(1, 800, 5, 20, 120, 4, weights{4, 3, 1, 3, 3, 6})},
+		{"silent machines", group(2, 500, 6, 20, 100, 3, weights{2, 1, 0, 0, 0, 12})},
+		{"refused connections", group(3, 400, 3, 20, 100, 4, weights{4, 2, 4, 1, 1, 3})},
+		{"terminations before the reclaim", group(4, 400, 2, 8, 100, 6, weights{1, 1, 0, 6, 6, 3})},
+		{"more terminations than are kept", group(5, 4, 3, 4000, 200, 400, weights{0, 1, 0, 60, 6, 0})},
+	} {
+		d := &digest{hash: sha256.New()}
+		group.run(d)
+		fmt.Fprintf(&got, "%s: %x, %d decisions\n", group.name, d.hash.Sum(nil), d.actions)
+	}
+	if *update {
+		if err := os.WriteFile(digestFile, got.Bytes(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(digestFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got.Bytes(), want) {
+		t.Errorf("decisions changed, got\n%swant\n%s", got.Bytes(), want)
+	}
+}
