--- a/internal/vigil/golden_test.go
+++ b/internal/vigil/golden_test.go
@@ -142,7 +142,7 @@
 		{"silent machines", group(2, 500, 6, 20, 100, 3, weights{2, 1, 0, 0, 0, 12})},
 		{"refused connections", group(3, 400, 3, 20, 100, 4, weights{4, 2, 4, 1, 1, 3})},
 		{"terminations before the reclaim", group(4, 400, 2, 8, 100, 6, weights{1, 1, 0, 6, 6, 3})},
-		{"more terminations than are kept", group(5, 4, 3, 4000, 200, 400, weights{0, 1, 0, 60, 6, 0})},
+		{"more terminations than are kept", group(5, 4, 1, 6000, 70, 400, weights{0, 1, 0, 30, 8, 0})},
 	} {
 		d := &digest{hash: sha256.New()}
 		group.run(d)
