--- /dev/null
+++ b/internal/wire/golden_test.go
@@ -0,0 +1,340 @@
+package wire
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"io"
+	"os"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"glenport/placer"
+)
+
+var update = flag.Bool("update", false, "record the golden files in testdata anew")
+
+// golden compares what the program gives with what is recorded in a file of testdata.
+func golden(t *testing.T, file string, got []byte) {
+	t.Helper()
+	if *update {
+		if err := os.WriteFile("testdata/"+file, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile("testdata/" + file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
+	}
+}
+
+// object is a value with its fields in words that stay when names in the code change; enumerations stand as numbers.
+type object = map[string]any
+
+// whole fails where a struct has more fields than are described: each is to be compared.
+func whole(t *testing.T, v any, o object) object {
+	t.Helper()
+	if n := reflect.TypeOf(v).NumField(); n != len(o) {
+		t.Errorf("%T has %d fields, %d are described", v, n, len(o))
+	}
+	return o
+}
+
+func describeRequest(t *testing.T, a placer.Ask) object {
+	return whole(t, a, object{"id": a.ID, "key": a.Key, "service": a.Service, "class": a.Workload, "tenant": a.Customer,
+		"cores": a.Cores, "memory": a.Memory, "deadline": a.Due, "runs for": a.Life, "retried": a.Again})
+}
+
+func describeEntries(t *testing.T, entries []placer.Entry) []object {
+	var out []object
+	for _, e := range entries {
+		out = append(out, whole(t, e, object{"machine": e.Machine, "zone": e.Zone, "type": e.Kind, "cell": e.Cell, "state": int(e.State),
+			"free cores": e.FreeCores, "free memory": e.FreeMemory, "power": e.PowerHint, "started at": e.StartedAt}))
+	}
+	return out
+}
+
+func describeEvent(t *testing.T, event placer.Event) object {
+	t.Helper()
+	var name string
+	var o object
+	switch e := event.(type) {
+	case placer.ListCame:
+		name, o = "UPDATE", whole(t, e, object{"mode": int(e.Mode), "version": e.Version, "entries": describeEntries(t, e.Entries)})
+	case placer.Asked:
+		name, o = "PENDING", whole(t, e, object{"request": describeRequest(t, e.Ask)})
+	case placer.TookOver:
+		name, o = "ALREADY_PLACED", whole(t, e, object{"request": describeRequest(t, e.Ask), "machine": e.Machine})
+	case placer.Placed:
+		name, o = "CONFIRMED", whole(t, e, object{"id": e.ID, "attempt": e.Bid, "machine": e.Machine, "took": e.Took})
+	case placer.Noted:
+		name, o = "INTERIM", whole(t, e, object{"id": e.ID, "machine": e.Machine, "attempt": e.Bid, "sort": int(e.Sort), "amount": e.Amount})
+	case placer.Ended:
+		name, o = "DONE", whole(t, e, object{"id": e.ID, "final": e.Over, "attempt": e.Bid, "outcome": int(e.Outcome), "machine": e.Machine,
+			"reason": int(e.Reason), "took": e.Took, "report": e.Report})
+	case placer.Probed:
+		name, o = "HEALTH_RESULT", whole(t, e, object{"machine": e.Machine, "outcome": int(e.Outcome), "took": e.Took, "report": e.Report})
+	case placer.Woke:
+		name, o = "TICK_DUE", whole(t, e, object{"timer": e.Name})
+	case placer.Vanished:
+		name, o = "VANISHED", whole(t, e, object{"id": e.ID})
+	default:
+		t.Fatalf("event %T is not described", event)
+	}
+	o["event"] = name
+	return o
+}
+
+func describeSettings(t *testing.T, s placer.Terms) object {
+	t.Helper()
+	var classes, types, tenants []object
+	for _, w := range s.Workloads {
+		classes = append(classes, whole(t, w, object{"effect": int(w.Effect), "group": int(w.Repeats), "window": w.Window, "aim": w.Agreed,
+			"deadline": w.HardStop, "type": w.Kind, "spread": int(w.Spread), "most": w.Most, "credit": w.Gain}))
+	}
+	for _, k := range s.Kinds {
+		types = append(types, whole(t, k, object{"cores": k.Cores, "memory": k.Memory}))
+	}
+	for _, c := range s.Customers {
+		tenants = append(tenants, whole(t, c, object{"cores": c.Cores}))
+	}
+	return whole(t, s, object{"seed": s.Seed, "me": s.Me, "balancers": s.Placers, "classes": classes, "types": types,
+		"tenants": tenants, "over share": s.OverShare, "admit cores": s.AcceptCores, "admit memory": s.AcceptMemory,
+		"mean cores": s.MeanCores, "mean memory": s.MeanMemory, "yes when running": s.YesRuns, "use notes": s.UseNotes,
+		"entries tell free room": s.ListedAsks, "probes": s.MayProbe, "attempts": s.MostBids, "grace": s.AnswerGrace,
+		"list on request": s.ListOnAsk, "list every": s.AskWithin, "cold for": s.ColdFor, "cold window": s.ColdWindow,
+		"cold offers": s.ColdBids})
+}
+
+func indented(t *testing.T, v any) []byte {
+	t.Helper()
+	b, err := json.MarshalIndent(v, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(b, '\n')
+}
+
+// goldenFrames has every message that comes in, with every field set, absent, and at each of its words.
+const goldenFrames = "FRAME 0 first\n" +
+	"SHEET 0 4\n" +
+	"ITEM m:1 1 2 3 SERVING 3.5 0.25 12.75 6100.05\n" +
+	"ITEM m:2 0 0 0 DRAINING - - - -\n" +
+	"ITEM m:3 4 5 6 DELETED 0 1 2 3\n" +
+	"ITEM m:4 0 0 0 SERVING -1.5 -2 -3 -4.05\n" +
+	"SHEET 15 0\n" +
+	"UPDATE 3 Partial 41 0\n" +
+	"UPDATE 3 Complete 42 15\n" +
+	"UPDATE 3 Persisted 43 0\n" +
+	"UPDATE 3 Error 44 -\n" +
+	"COMMIT\n" +
+	"FRAME 8412.25 2\r\n" +
+	"PENDING 0 r-1 2 17 t:k 1 1.5 2.25 8652.25 c:s 12.05\r\n" +
+	"PENDING 4 r-2 - - t:k2 0 - - 0.05 c:s2 -\n" +
+	"PENDING 4 r-3 0 15 t:k3 0 0 0 0 c:s3 0\n" +
+	"ALREADY_PLACED 3 r-1 c:s 8652.25 1 2.25 t:k 2 1.5 16 12.05 m:1\n" +
+	"ALREADY_PLACED 3 r-2 c:s - 0 - k - - - - m:2\n" +
+	"CONFIRMED 3 r-1 2 m:1 18.55\n" +
+	"CONFIRMED 3 r-1 0 m:1 -\n" +
+	"INTERIM 3 r-1 m:1 2 1 0.5\n" +
+	"INTERIM 3 r-1 m:1 0 5 -1e3\n" +
+	"DONE 3 r-1 1 2 GOOD m:1 - 18.55 x0:1.5,new:2,x1:-\n" +
+	"DONE 3 r-1 0 0 BAD m:1 0 - -\n" +
+	"DONE 3 r-1 0 0 FULL m:1 1 0 a:-1\n" +
+	"DONE 3 r-1 0 1 LATE m:1 2 1 -\n" +
+	"DONE 3 r-1 0 1 NOCONN m:1 3 1 -\n" +
+	"DONE 3 r-1 0 1 RST m:1 4 1 -\n" +
+	"DONE 3 r-1 0 1 CXL m:1 5 1 -\n" +
+	"DONE 3 r-1 0 1 NOP m:1 6 1 x:-\n" +
+	"DONE 3 r-1 1 1 RST m:1 7 1 -\n" +
+	"HEALTH_RESULT 3 m:1 GOOD 250.05 cpu:0.5\n" +
+	"HEALTH_RESULT 3 m:1 LATE - -\n" +
+	"TICK_DUE 3 sweep\n" +
+	"NOTE_FROM 3 4 whatever it says\n" +
+	"VANISHED 3 r-1\n" +
+	"KILLED 3\n" +
+	"COMMIT\n" +
+	"FRAME 8413 3\nCOMMIT\n"
+
+// TestIncomingMessagesAreUnchanged compares every value of every message that comes in.
+func TestIncomingMessagesAreUnchanged(t *testing.T) {
+	d := NewDecoder(strings.NewReader(goldenFrames))
+	var frames []object
+	for {
+		f, err := d.Next()
+		if err == io.EOF {
+			break
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		var deliveries []object
+		for _, d := range f.Deliveries {
+			o := object{"line": d.Line, "instance": d.Instance, "stop": d.Stop, "event": nil, "start": nil}
+			if d.Event != nil {
+				o["event"] = describeEvent(t, d.Event)
+			}
+			if d.Start != nil {
+				o["start"] = describeSettings(t, *d.Start)
+			}
+			deliveries = append(deliveries, whole(t, d, o))
+		}
+		frames = append(frames, whole(t, *f, object{"now": f.Now, "seq": f.Seq, "deliveries": deliveries}))
+	}
+	golden(t, "incoming.json", indented(t, frames))
+}
+
+// fullSettings sets every setting that is read, each to a value of its own.
+const fullSettings = "me=1 balancers=3 family_info.admit_cores=2.25 family_info.mem_booking=1.5" +
+	" family_info.unit_cores=0.96 family_info.unit_memory=1.73 family_info.yes_at=running" +
+	" family_info.use_notes=true family_info.view=true permissions.probes=true" +
+	" permissions.max_attempts=4 registry_mode=on_request rules.ask_every_ms=10000.05 rules.cold_ms=17000.0" +
+	" rules.grace_to_answer_ms=8.0 rules.overload_for_ms=3000.0 family_info.fresh_offers=103.9 over_share_worth=0.125" +
+	" family_info.cpu_of_kind=26,41 family_info.kind_memory=59.5,71.25 family_info.class_kind=-1,1,0,1,0" +
+	" family_info.class_most=2,3,4,5,6 family_info.spread_over=silent,cell,machine,zone,cell" +
+	" classes.count=5 classes.0.effect=safe classes.0.aim_ms=700.0 classes.0.deadline_ms=6000.0 classes.0.credit=1.0" +
+	" classes.1.effect=keyed classes.1.aim_ms=710.0 classes.1.deadline_ms=6100.0 classes.1.credit=2.5 classes.1.group=zone" +
+	" classes.1.window_ms=8000.0" +
+	" classes.2.effect=unsafe classes.2.aim_ms=720.0 classes.2.deadline_ms=6200.0 classes.2.credit=-3.0" +
+	" classes.3.effect=keyed classes.3.aim_ms=730.0 classes.3.deadline_ms=6300.0 classes.3.credit=4.0 classes.3.group=cell" +
+	" classes.3.window_ms=8100.0" +
+	" classes.4.effect=keyed classes.4.aim_ms=740.0 classes.4.deadline_ms=6400.0 classes.4.credit=5.0 classes.4.group=all" +
+	" classes.4.window_ms=8200.0" +
+	" tenants.count=2 family_info.quota_cores=100.5,200.25 a.new.key=what_is_this"
+
+// TestSettingsAreUnchanged compares every value of the settings: all set, and those that may be absent absent.
+func TestSettingsAreUnchanged(t *testing.T) {
+	all := strings.Fields(fullSettings)
+	without := func(keys ...string) []string {
+		return slices.DeleteFunc(slices.Clone(all), func(pair string) bool {
+			key, _, _ := strings.Cut(pair, "=")
+			return slices.Contains(keys, key)
+		})
+	}
+	pushed := append(without("registry_mode", "rules.ask_every_ms", "over_share_worth", "family_info.yes_at", "family_info.use_notes",
+		"family_info.view", "permissions.probes", "tenants.count"), "registry_mode=pushed", "family_info.yes_at=accepted",
+		"family_info.use_notes=false", "family_info.view=false", "permissions.probes=false")
+	noClasses := append(without("classes.count", "family_info.class_kind", "family_info.class_most", "family_info.spread_over",
+		"family_info.cpu_of_kind", "family_info.kind_memory", "family_info.quota_cores"), "classes.count=0", "family_info.class_kind=-",
+		"family_info.class_most=", "family_info.spread_over=-", "family_info.cpu_of_kind=", "family_info.kind_memory=-")
+	var got []object
+	for i, pairs := range [][]string{all, pushed, noClasses} {
+		s, err := ParseTerms(uint64(1)<<63+uint64(i), pairs)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got = append(got, describeSettings(t, s))
+		if i == 0 {
+			setFields(t, reflect.ValueOf(s))
+		}
+	}
+	golden(t, "settings.json", indented(t, got))
+}
+
+// setFields fails where a field of the settings has its zero value: one that is never set is never compared.
+func setFields(t *testing.T, settings reflect.Value) {
+	t.Helper()
+	for i := range settings.NumField() {
+		if settings.Field(i).IsZero() {
+			t.Errorf("%s is not set", settings.Type().Field(i).Name)
+		}
+	}
+}
+
+// TestFaultySettingsAreRefusedAsBefore leaves each setting out and gives it values of a wrong sort, and compares the errors.
+func TestFaultySettingsAreRefusedAsBefore(t *testing.T) {
+	all := strings.Fields(fullSettings)
+	var got bytes.Buffer
+	try := func(change string, pairs []string) {
+		if _, err := ParseTerms(1, pairs); err != nil {
+			fmt.Fprintf(&got, "%s: error: %v\n", change, err)
+		} else {
+			fmt.Fprintf(&got, "%s: accepted\n", change)
+		}
+	}
+	for i, pair := range all {
+		key, _, _ := strings.Cut(pair, "=")
+		try("without "+key, slices.Delete(slices.Clone(all), i, i+1))
+		for _, value := range []string{"", "-", "x", "0", "-1", "1.5", "99", "NaN", "Inf", "1e15", "10000001", "0,0,0,0,0,0", "x,x"} {
+			pairs := slices.Clone(all)
+			pairs[i] = key + "=" + value
+			try(pairs[i], pairs)
+		}
+		pairs := slices.Clone(all)
+		pairs[i] = key
+		try(fmt.Sprintf("%q", key), pairs)
+	}
+	try("none", nil)
+	golden(t, "faulty-settings.txt", got.Bytes())
+}
+
+// TestFaultyMessagesAreRefusedAsBefore cuts each message short, adds a field, spoils each field, and compares the errors.
+func TestFaultyMessagesAreRefusedAsBefore(t *testing.T) {
+	var got bytes.Buffer
+	try := func(shown, in string) {
+		d := NewDecoder(strings.NewReader(in))
+		for {
+			if _, err := d.Next(); err == io.EOF {
+				fmt.Fprintf(&got, "%q: accepted\n", shown)
+				return
+			} else if err != nil {
+				fmt.Fprintf(&got, "%q: error: %v\n", shown, err)
+				return
+			}
+		}
+	}
+	const sheet = "SHEET 0 1\nITEM m:1 0 1 2 SERVING 3.5 1 12 6100.05\n"
+	for _, line := range []string{"UPDATE 3 Partial 41 0", "UPDATE 3 Error 41 -", "PENDING 0 r-1 2 17 t:k 1 1.5 2.25 8652.25 c:s 12.05",
+		"ALREADY_PLACED 3 r-1 c:s 8652.25 1 2.25 t:k 2 1.5 16 12.05 m:1", "CONFIRMED 3 r-1 2 m:1 18.55", "INTERIM 3 r-1 m:1 2 1 0.5",
+		"DONE 3 r-1 1 2 GOOD m:1 3 18.55 x0:1.5", "HEALTH_RESULT 3 m:1 GOOD 250.05 cpu:0.5", "TICK_DUE 3 sweep", "NOTE_FROM 3 x",
+		"VANISHED 3 r-1", "KILLED 3", "WHAT 3", "CONFIGURE 3 51 me=0", "SHEET 1 0", "ITEM m:1 0 1 2 SERVING 3.5 1 12 6100.05"} {
+		words := strings.Split(line, " ")
+		frame := func(line string) { try(line, "FRAME 1 1\n"+sheet+line+"\nCOMMIT\n") }
+		for n := range words {
+			frame(strings.Join(words[:n], " "))
+			for _, bad := range []string{"", "-", "?", "-1", "1.5", "16", "a:b"} {
+				spoilt := slices.Clone(words)
+				spoilt[n] = bad
+				frame(strings.Join(spoilt, " "))
+			}
+		}
+		frame(line + " more")
+		try(line+", then the end inside the line", "FRAME 1 1\n"+sheet+line)
+		try(line+", then the end inside the frame", "FRAME 1 1\n"+sheet+line+"\n")
+	}
+	for _, in := range []string{"", "\n", "FRAME 1 1", "FRAME 1 1\n", "FRAME\nCOMMIT\n", "FRAME x 1\nCOMMIT\n", "FRAME 1\nCOMMIT\n", "FRAME 1 1 1\nCOMMIT\n",
+		"FRAME 1e15 1\nCOMMIT\n", "FRAME -1 1\nCOMMIT\n", "COMMIT\n", "FRAME 1 1\nCOMMIT", "FRAME 1 1\nCOMMIT\nFRAME 2 2\n",
+		"FRAME 1 1\nSHEET 0 2\nITEM m:1 0 0 0 SERVING 1 1 1 -\nCOMMIT\n", "FRAME 1 1\nSHEET 0 2\n", "FRAME 1 1\nSHEET 0 1\nITEM m:1\n",
+		"FRAME 1 1\nSHEET 0 1\nITEM m:1 0 0 0 GONE 1 1 1 -\n", "FRAME 1 1\n" + strings.Repeat("x", 200) + "\n", "FRAME 1 1\n\nCOMMIT\n"} {
+		try(in, in)
+	}
+	golden(t, "faulty-messages.txt", got.Bytes())
+}
+
+// TestOutgoingMessagesAreUnchanged compares the bytes of every message that goes out, with every field set and absent.
+func TestOutgoingMessagesAreUnchanged(t *testing.T) {
+	var got bytes.Buffer
+	for _, a := range []placer.Action{
+		placer.Bid{ID: "r-1", Machine: "m:1", MaxWait: 801}, placer.Bid{ID: "r-1", Machine: "m:1"},
+		placer.PushBack{ID: "r-1", HoldOff: 2505}, placer.PushBack{ID: "r-1"},
+		placer.GiveUp{ID: "r-1"},
+		placer.Withdraw{ID: "r-1", Bid: 2}, placer.Withdraw{ID: "r-1"},
+		placer.Probe{Machine: "m:1"},
+		placer.Disconnect{Machine: "m:1"},
+		placer.Wake{After: 5001, Name: "sweep"}, placer.Wake{After: -1, Name: "sweep"},
+		placer.Watch{On: true}, placer.Watch{},
+		placer.Fetch{},
+		placer.Log{Text: " two\nlines\tand  more "}, placer.Log{},
+		nil,
+	} {
+		Append(&got, 3, a)
+	}
+	AppendFault(&got, 4, "what\nwent wrong")
+	golden(t, "outgoing.txt", got.Bytes())
+}
