--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -142,6 +142,7 @@
 	"ALREADY_PLACED 3 r-2 c:s - 0 - k - - - - m:2\n" +
 	"CONFIRMED 3 r-1 2 m:1 18.55\n" +
 	"CONFIRMED 3 r-1 0 m:1 -\n" +
+	"CONFIRMED 3 r-1 0 m:1 18.49999999\n" +
 	"INTERIM 3 r-1 m:1 2 1 0.5\n" +
 	"INTERIM 3 r-1 m:1 0 5 -1e3\n" +
 	"DONE 3 r-1 1 2 GOOD m:1 - 18.55 x0:1.5,new:2,x1:-\n" +
@@ -261,7 +262,7 @@
 	for i, pair := range all {
 		key, _, _ := strings.Cut(pair, "=")
 		try("without "+key, slices.Delete(slices.Clone(all), i, i+1))
-		for _, value := range []string{"", "-", "x", "0", "-1", "1.5", "99", "NaN", "Inf", "1e15", "10000001", "0,0,0,0,0,0", "x,x"} {
+		for _, value := range []string{"", "-", "x", "0", "-1", "1.5", "99", "NaN", "Inf", "1e15", "10000001", "0,0,0,0,0,0", "0,1,2,0,1", "x,x"} {
 			pairs := slices.Clone(all)
 			pairs[i] = key + "=" + value
 			try(pairs[i], pairs)
