--- a/placer/api.go
+++ b/placer/api.go
@@ -31,47 +31,52 @@
 
 // Workload holds the terms of one sort of container.
 type Workload struct {
-	Effect   Effect
-	Repeats  Place // numbered: the group that drops repeats
-	Window   Time  // numbered: for how long it does
-	Agreed   Time  // a start within it earns in full
-	HardStop Time
-	Kind     int // the machine kind it needs, -1 for any
-	Spread   Place
-	Most     int // containers of a service in one such place
-	Gain     float64
+	Effect   Effect  `cbor:"Effect"`
+	Repeats  Place   `cbor:"Repeats"` // numbered: the group that drops repeats
+	Window   Time    `cbor:"Window"`  // numbered: for how long it does
+	Agreed   Time    `cbor:"Agreed"`  // a start within it earns in full
+	HardStop Time    `cbor:"HardStop"`
+	Kind     int     `cbor:"Kind"` // the machine kind it needs, -1 for any
+	Spread   Place   `cbor:"Spread"`
+	Most     int     `cbor:"Most"` // containers of a service in one such place
+	Gain     float64 `cbor:"Gain"`
 }
 
 // Kind is a sort of machine.
-type Kind struct{ Cores, Memory float64 }
+type Kind struct {
+	Cores  float64 `cbor:"Cores"`
+	Memory float64 `cbor:"Memory"`
+}
 
 // Customer has a share of the fleet, in cores asked of all placers.
-type Customer struct{ Cores float64 }
+type Customer struct {
+	Cores float64 `cbor:"Cores"`
+}
 
 // Terms are what a placer is told when it starts.
 type Terms struct {
-	Seed         uint64
-	Me           int // this placer among them, from 0
-	Placers      int
-	Workloads    []Workload
-	Kinds        []Kind
-	Customers    []Customer
-	OverShare    float64 // worth of what a customer asks beyond its share
-	AcceptCores  float64 // a machine accepts asks up to this multiple of its cores
-	AcceptMemory float64
-	MeanCores    float64
-	MeanMemory   float64
-	YesRuns      bool // a machine says yes only once the container runs
-	UseNotes     bool // use of own containers is told
-	ListedAsks   bool // list entries tell the room that nobody has asked for
-	MayProbe     bool
-	MostBids     int
-	AnswerGrace  Time // after the hard stop, in which an answer is still in time
-	ListOnAsk    bool // the list must be watched
-	AskWithin    Time
-	ColdFor      Time // a machine that came up is warm after this
-	ColdWindow   Time
-	ColdBids     int // bids in a window that a cold machine always bears, from all placers
+	Seed         uint64     `cbor:"Seed"`
+	Me           int        `cbor:"Me"` // this placer among them, from 0
+	Placers      int        `cbor:"Placers"`
+	Workloads    []Workload `cbor:"Workloads"`
+	Kinds        []Kind     `cbor:"Kinds"`
+	Customers    []Customer `cbor:"Customers"`
+	OverShare    float64    `cbor:"OverShare"`   // worth of what a customer asks beyond its share
+	AcceptCores  float64    `cbor:"AcceptCores"` // a machine accepts asks up to this multiple of its cores
+	AcceptMemory float64    `cbor:"AcceptMemory"`
+	MeanCores    float64    `cbor:"MeanCores"`
+	MeanMemory   float64    `cbor:"MeanMemory"`
+	YesRuns      bool       `cbor:"YesRuns"`    // a machine says yes only once the container runs
+	UseNotes     bool       `cbor:"UseNotes"`   // use of own containers is told
+	ListedAsks   bool       `cbor:"ListedAsks"` // list entries tell the room that nobody has asked for
+	MayProbe     bool       `cbor:"MayProbe"`
+	MostBids     int        `cbor:"MostBids"`
+	AnswerGrace  Time       `cbor:"AnswerGrace"` // after the hard stop, in which an answer is still in time
+	ListOnAsk    bool       `cbor:"ListOnAsk"`   // the list must be watched
+	AskWithin    Time       `cbor:"AskWithin"`
+	ColdFor      Time       `cbor:"ColdFor"` // a machine that came up is warm after this
+	ColdWindow   Time       `cbor:"ColdWindow"`
+	ColdBids     int        `cbor:"ColdBids"` // bids in a window that a cold machine always bears, from all placers
 }
 
 // MachineID and ContainerID name things at the door only.
@@ -122,16 +127,16 @@
 
 // Ask describes a container.
 type Ask struct {
-	ID       ContainerID
-	Key      string // the same each time the container comes
-	Service  string
-	Workload int
-	Customer int
-	Cores    float64
-	Memory   float64
-	Due      Time // its hard stop on the clock
-	Life     Time // what it will still run, 0: not told
-	Again    bool // it came before
+	ID       ContainerID `cbor:"ID"`
+	Key      string      `cbor:"Key"` // the same each time the container comes
+	Service  string      `cbor:"Service"`
+	Workload int         `cbor:"Workload"`
+	Customer int         `cbor:"Customer"`
+	Cores    float64     `cbor:"Cores"`
+	Memory   float64     `cbor:"Memory"`
+	Due      Time        `cbor:"Due"`   // its hard stop on the clock
+	Life     Time        `cbor:"Life"`  // what it will still run, 0: not told
+	Again    bool        `cbor:"Again"` // it came before
 }
 
 // Asked is a container to be placed; TookOver is one that runs already.
@@ -300,32 +305,33 @@
 
 // Knowledge is what a placer has learned and no list tells. The times are by its clock.
 type Knowledge struct {
-	Machines     []Learned
-	Traits       []Trait // the workloads, then the customers, then no customer
-	Full, Missed float64 // moving share of bids that found no room, and what they would have gained
-	SentSince    Time    // from then on all that was sent to cold machines is known
+	Machines  []Learned `cbor:"Machines"`
+	Traits    []Trait   `cbor:"Traits"` // the workloads, then the customers, then no customer
+	Full      float64   `cbor:"Full"`   // moving share of bids that found no room, and what they would have gained
+	Missed    float64   `cbor:"Missed"`
+	SentSince Time      `cbor:"SentSince"` // from then on all that was sent to cold machines is known
 }
 
 // Learned is what a placer knows of one start of a machine.
 type Learned struct {
-	Machine   MachineID
-	Started   Time
-	Sick      float64 // log odds
-	RestUntil Time    // a last resort until then; 0: it is not
-	Rest      Time    // how long it is one
-	ShutUntil Time    // out of every draw on its own word
-	Doubts    []Doubt // by trait
-	Cold      []Time  // when bids and probes went to it in the last window, the earliest first
+	Machine   MachineID `cbor:"Machine"`
+	Started   Time      `cbor:"Started"`
+	Sick      float64   `cbor:"Sick"`      // log odds
+	RestUntil Time      `cbor:"RestUntil"` // a last resort until then; 0: it is not
+	Rest      Time      `cbor:"Rest"`      // how long it is one
+	ShutUntil Time      `cbor:"ShutUntil"` // out of every draw on its own word
+	Doubts    []Doubt   `cbor:"Doubts"`    // by trait
+	Cold      []Time    `cbor:"Cold"`      // when bids and probes went to it in the last window, the earliest first
 }
 
 // Trait is a workload or a customer: what some machines may treat unlike the rest.
 type Trait struct {
-	Lost float64 // moving share of bids lost
-	Bar  float64 // log odds from which a machine is taken to shun it
+	Lost float64 `cbor:"Lost"` // moving share of bids lost
+	Bar  float64 `cbor:"Bar"`  // log odds from which a machine is taken to shun it
 }
 
 // Doubt is log odds that a machine shuns a trait, as of a time; they fade.
 type Doubt struct {
-	Odds float64
-	At   Time
+	Odds float64 `cbor:"Odds"`
+	At   Time    `cbor:"At"`
 }
--- a/placer/helpers_test.go
+++ b/placer/helpers_test.go
@@ -1,5 +1,15 @@
 package placer
 
+import (
+	"bufio"
+	"flag"
+	"os"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "rewrite the expected values in testdata")
+
 // terms has one workload, two kinds and three placers.
 func terms(e Effect) Terms {
 	return Terms{Seed: 7, Placers: 3, AcceptCores: 2, AcceptMemory: 2, MeanCores: 1, MeanMemory: 1,
@@ -46,3 +56,28 @@
 	}
 	return a[len(a)-1]
 }
+
+func writeLines(t *testing.T, name string, lines []string) {
+	t.Helper()
+	if err := os.WriteFile(name, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func readLines(t *testing.T, name string) []string {
+	t.Helper()
+	f, err := os.Open(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer f.Close()
+	var lines []string
+	s := bufio.NewScanner(f)
+	for s.Scan() {
+		lines = append(lines, s.Text())
+	}
+	if err := s.Err(); err != nil {
+		t.Fatal(err)
+	}
+	return lines
+}
