--- /dev/null
+++ b/placer/golden_test.go
@@ -0,0 +1,867 @@
+package placer
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"fmt"
+	stdhash "hash"
+	"math"
+	"reflect"
+	"slices"
+	"testing"
+)
+
+const decisionsFile = "testdata/decisions.txt"
+
+// TestDecisionsMatchGoldenDigests runs seeded sequences of events through the scheduler and compares a digest of
+// all its actions with the recorded one. A changed digest is a changed decision.
+func TestDecisionsMatchGoldenDigests(t *testing.T) {
+	const sequences = 112
+	var got []string
+	for i, g := range goldenGroups {
+		d := &digest{hash: sha256.New()}
+		for n := range sequences {
+			runSequence(d, uint64(i)<<32|uint64(n), g)
+		}
+		got = append(got, fmt.Sprintf("%s sequences=%d batches=%d actions=%d attempts=%d sha256=%x",
+			g.name, sequences, d.batches, d.actions, d.attempts, d.hash.Sum(nil)))
+	}
+	if *update {
+		writeLines(t, decisionsFile, got)
+	}
+	want := readLines(t, decisionsFile)
+	if len(want) != len(got) {
+		t.Fatalf("%d groups recorded, %d run", len(want), len(got))
+	}
+	for i := range got {
+		if got[i] != want[i] {
+			t.Errorf("decisions changed:\n got %s\nwant %s", got[i], want[i])
+		}
+	}
+}
+
+// digest folds actions by a fixed number for each type and by their field values in order; names of types,
+// fields and timers and the text of logs do not count.
+type digest struct {
+	hash                       stdhash.Hash
+	buffer                     []byte
+	timers                     map[string]uint64 // by first appearance in a sequence
+	batches, actions, attempts int
+}
+
+func (d *digest) batch(now Time, actions []Action) {
+	d.batches++
+	d.buffer = d.buffer[:0]
+	d.number(uint64(now))
+	d.number(uint64(len(actions)))
+	for _, a := range actions {
+		d.actions++
+		d.action(a)
+	}
+	d.hash.Write(d.buffer)
+}
+
+func (d *digest) action(a Action) {
+	switch a := a.(type) {
+	case Bid:
+		d.attempts++
+		d.number(1)
+	case PushBack:
+		d.number(2)
+	case GiveUp:
+		d.number(3)
+	case Withdraw:
+		d.number(4)
+	case Probe:
+		d.number(5)
+	case Disconnect:
+		d.number(6)
+	case Wake:
+		d.number(7)
+		d.number(uint64(a.After))
+		if _, known := d.timers[a.Name]; !known {
+			d.timers[a.Name] = uint64(len(d.timers))
+		}
+		d.number(d.timers[a.Name])
+		return
+	case Watch:
+		d.number(8)
+	case Fetch:
+		d.number(9)
+	case Log:
+		d.number(10)
+		return
+	default:
+		panic(fmt.Sprintf("unknown action %T", a))
+	}
+	d.value(reflect.ValueOf(a))
+}
+
+// fold takes in a value that is no action, under a number of its own.
+func (d *digest) fold(sort uint64, x any) {
+	d.buffer = d.buffer[:0]
+	d.number(sort)
+	d.value(reflect.ValueOf(x))
+	d.hash.Write(d.buffer)
+}
+
+func (d *digest) number(n uint64) { d.buffer = binary.BigEndian.AppendUint64(d.buffer, n) }
+
+func (d *digest) value(v reflect.Value) {
+	switch v.Kind() {
+	case reflect.Bool:
+		if v.Bool() {
+			d.number(1)
+		} else {
+			d.number(0)
+		}
+	case reflect.Int, reflect.Int64:
+		d.number(uint64(v.Int()))
+	case reflect.Uint8, reflect.Uint64:
+		d.number(v.Uint())
+	case reflect.Float64:
+		d.number(math.Float64bits(v.Float()))
+	case reflect.String:
+		d.number(uint64(v.Len()))
+		d.buffer = append(d.buffer, v.String()...)
+	case reflect.Slice:
+		d.number(uint64(v.Len()))
+		for i := range v.Len() {
+			d.value(v.Index(i))
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			d.value(v.Field(i))
+		}
+	default:
+		panic("no digest of a " + v.Kind().String())
+	}
+}
+
+// random is SplitMix64: the sequences must not depend on the scheduler's own generator.
+type random struct{ state uint64 }
+
+func (r *random) next() uint64 {
+	r.state += 0x9e3779b97f4a7c15
+	x := r.state
+	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
+	x = (x ^ x>>27) * 0x94d049bb133111eb
+	return x ^ x>>31
+}
+
+func (r *random) below(n int) int            { return int(r.next() % uint64(n)) }
+func (r *random) float() float64             { return float64(r.next()>>11) / (1 << 53) }
+func (r *random) chance(p float64) bool      { return r.float() < p }
+func (r *random) span(least, most Time) Time { return least + Time(r.float()*float64(most-least)) }
+
+func pick[T any](r *random, from ...T) T { return from[r.below(len(from))] }
+
+// fault is how a simulated machine treats attempts.
+type fault uint8
+
+const (
+	healthy fault = iota
+	unreachable
+	silent
+	erroring
+	failsOneClass  // no answer to one workload class
+	failsOneTenant // "full" without a reason to one tenant
+	resetting      // accepts, then loses its containers
+	drainingItself // refuses and sends away, before the list has it
+	refusing       // always full
+	faults
+)
+
+// options say what a sequence is about.
+type options struct {
+	config    Terms
+	machines  int
+	services  int
+	arrival   Time    // mean time between requests
+	size      float64 // mean cores of a request
+	runtime   Time    // mean
+	faults    []fault
+	faulty    float64 // part of the machines with a fault
+	lost      float64 // part of the attempts without any outcome
+	churn     Time    // mean time between changes of the list
+	restarts  bool    // of the scheduler
+	odd       bool    // events that make no sense
+	retries   float64 // part of the rejected requests that come again
+	listFails float64 // part of the list calls
+	oneClass  bool    // the machines fail the same class
+}
+
+type goldenGroup struct {
+	name   string
+	adjust func(r *random, o *options)
+}
+
+var goldenGroups = []goldenGroup{
+	{"mixed", func(*random, *options) {}},
+	{"idempotent", effects(Reissuable)},
+	{"idempotent with a key", effects(Numbered)},
+	{"at most once", effects(AtMostOnce)},
+	{"spread", func(r *random, o *options) {
+		o.services = 1 + r.below(3)
+		for i := range o.config.Workloads {
+			w := &o.config.Workloads[i]
+			w.Spread, w.Most = pick(r, OneMachine, OneCell, OneZone), 1+r.below(3)
+		}
+	}},
+	{"slow start", func(r *random, o *options) {
+		o.churn = Second / 2
+		o.config.ColdFor, o.config.ColdWindow = 8*Second, pick(r, Second, 2*Second)
+		o.config.Placers = pick(r, 1, 2, 3, 40)
+		o.config.Me = r.below(o.config.Placers)
+		o.config.ColdBids = pick(r, 0, 1, 2, 5, 12, 60)
+	}},
+	{"overload", func(r *random, o *options) {
+		o.arrival, o.size, o.runtime, o.machines = 30*Millisecond, 4, 20*Second, 1+r.below(5)
+	}},
+	{"tenants", func(r *random, o *options) {
+		o.arrival, o.size, o.runtime, o.machines = 40*Millisecond, 3, 20*Second, 1+r.below(4)
+		o.config.Customers = []Customer{{5}, {20}, {40}}
+		for i := range o.config.Workloads {
+			o.config.Workloads[i].Gain = 1 + float64(i)
+		}
+	}},
+	{"usage reports", func(r *random, o *options) {
+		o.config.UseNotes, o.config.ListedAsks = true, true
+		o.runtime = 15 * Second
+	}},
+	{"faulty machines", func(r *random, o *options) {
+		o.faulty = 0.2 + 0.8*r.float()
+		o.config.MayProbe = true
+	}},
+	{"no probes", func(r *random, o *options) {
+		o.faulty = 0.2 + 0.8*r.float()
+		o.config.MayProbe = false
+	}},
+	{"failing classes", func(r *random, o *options) {
+		o.faults, o.faulty = []fault{failsOneClass, failsOneTenant}, 0.3
+		o.config.Customers = []Customer{{20}, {20}, {20}}
+		o.config.ListedAsks = true
+		o.arrival, o.runtime, o.machines = 40*Millisecond, Second, 3+r.below(5)
+		if r.chance(0.2) {
+			o.oneClass, o.faults, o.faulty = true, []fault{failsOneClass}, 1
+		}
+	}},
+	{"list on request", func(r *random, o *options) {
+		o.config.ListOnAsk, o.config.AskWithin = true, pick(r, 2*Second, 10*Second)
+		o.listFails = pick(r, 0, 0.2, 0.7)
+	}},
+	{"drains", func(r *random, o *options) {
+		o.churn, o.faults, o.faulty = Second/3, []fault{drainingItself, resetting}, 0.3
+	}},
+	{"scheduler restarts", func(r *random, o *options) {
+		o.restarts, o.faulty = true, 0.3
+		o.config.ColdFor, o.config.ColdWindow, o.config.ColdBids = 6*Second, Second, 4+r.below(30)
+		o.config.Placers, o.config.Me = 2, r.below(2)
+	}},
+	{"lost answers", func(r *random, o *options) { o.lost = 0.4 }},
+	{"odd input", func(r *random, o *options) {
+		o.odd = true
+		o.config.Placers, o.config.Me = 0, 0
+		o.config.UseNotes, o.config.ListedAsks = r.chance(0.7), r.chance(0.7)
+		o.config.Kinds = append(o.config.Kinds, Kind{})
+	}},
+	{"many machines", func(r *random, o *options) { o.machines, o.services = 60, 20 }},
+}
+
+func effects(e Effect) func(r *random, o *options) {
+	return func(r *random, o *options) {
+		for i := range o.config.Workloads {
+			o.config.Workloads[i].Effect = e
+		}
+		o.faulty = 0.5
+	}
+}
+
+func drawOptions(r *random) *options {
+	o := &options{machines: 2 + r.below(12), services: 1 + r.below(8), arrival: r.span(40*Millisecond, 300*Millisecond),
+		size: 1 + 2*r.float(), runtime: r.span(Second/2, 8*Second), faulty: pick(r, 0, 0.15, 0.4), lost: pick(r, 0, 0, 0.05),
+		churn: r.span(Second, 6*Second), retries: r.float(), listFails: pick(r, 0, 0.3),
+		faults: []fault{unreachable, silent, erroring, failsOneClass, failsOneTenant, resetting, drainingItself, refusing}}
+	c := &o.config
+	*c = Terms{Seed: r.next(), Placers: pick(r, 1, 3, 10), OverShare: pick(r, 0, 0.1, 0.5),
+		AcceptCores: pick(r, 1, 2, 2.5), AcceptMemory: pick(r, 1, 1.5, 2), MeanCores: pick(r, 0.5, 0.96, 2),
+		MeanMemory: pick(r, 0.7, 1.73, 3), YesRuns: r.chance(0.5), UseNotes: r.chance(0.5), ListedAsks: r.chance(0.5),
+		MayProbe: r.chance(0.7), MostBids: pick(r, 1, 2, 4, 4, 6), AnswerGrace: pick(r, 80, Second/2),
+		ListOnAsk: r.chance(0.3), AskWithin: 10 * Second, ColdFor: pick(r, 0, 5*Second), ColdWindow: pick(r, Second, 3*Second),
+		ColdBids: pick(r, 0, 3, 30, 100)}
+	c.Me = r.below(c.Placers)
+	for range 1 + r.below(3) {
+		c.Kinds = append(c.Kinds, Kind{Cores: float64(4 + r.below(30)), Memory: float64(6 + r.below(50))})
+	}
+	for range r.below(4) {
+		c.Customers = append(c.Customers, Customer{Cores: float64(5 + r.below(50))})
+	}
+	for range 1 + r.below(4) {
+		hardStop := r.span(Second, 6*Second)
+		w := Workload{Effect: pick(r, Reissuable, Numbered, AtMostOnce), Agreed: hardStop / 4, HardStop: hardStop,
+			Kind: -1, Gain: 0.5 + 2*r.float()}
+		if w.Effect == Numbered || r.chance(0.1) {
+			w.Repeats, w.Window = pick(r, Nowhere, OneMachine, OneCell, OneZone, Everywhere), r.span(Second/2, 6*Second)
+		}
+		if r.chance(0.2) {
+			w.Kind = r.below(len(c.Kinds))
+		}
+		if r.chance(0.3) {
+			w.Spread, w.Most = pick(r, OneMachine, OneCell, OneZone), 1+r.below(4)
+		}
+		c.Workloads = append(c.Workloads, w)
+	}
+	return o
+}
+
+// world answers the scheduler's actions.
+type world struct {
+	*options
+	random     *random
+	digest     *digest
+	scheduler  *Placer
+	now        Time
+	queue      []scheduled
+	scheduled  int
+	machines   []*worldMachine
+	byID       map[MachineID]*worldMachine
+	containers map[ContainerID]*worldContainer
+	ids        []ContainerID // of all containers so far
+	version    int64
+	restarted  int // attempts and timers from before it are void
+}
+
+// scheduled is something that happens at a time; next to the events it may change the world.
+type scheduled struct {
+	at     Time
+	number int
+	run    func() []Event
+}
+
+type worldMachine struct {
+	entry         Entry
+	fault         fault
+	class, tenant int // that it fails
+	used          float64
+	memory        float64
+}
+
+type worldContainer struct {
+	request Ask
+	attempt int
+	at      *worldMachine
+	running bool
+	ended   bool
+}
+
+func runSequence(d *digest, seed uint64, g goldenGroup) {
+	r := &random{seed}
+	o := drawOptions(r)
+	g.adjust(r, o)
+	d.timers = map[string]uint64{}
+	w := &world{options: o, random: r, digest: d, scheduler: New(o.config), byID: map[MachineID]*worldMachine{},
+		containers: map[ContainerID]*worldContainer{}, now: pick(r, 0, Time(r.below(1_000_000)))}
+	for range o.machines {
+		w.addMachine(0)
+	}
+	w.start()
+	w.after(0, w.arrive)
+	w.after(r.span(0, 2*o.churn), w.change)
+	if o.restarts {
+		w.after(r.span(Second, 10*Second), w.restart)
+	}
+	if o.odd {
+		w.after(Second/10, w.nonsense)
+	}
+	end := w.now + pick(r, r.span(Second, 4*Second), r.span(Second, 4*Second), r.span(Second, 4*Second), r.span(6*Second, 16*Second))
+	for len(w.queue) > 0 && w.queue[0].at < end {
+		w.step()
+	}
+	w.digest.fold(101, w.scheduler.Knows())
+}
+
+// step carries out what is due next, and sometimes what follows soon after in the same batch.
+func (w *world) step() {
+	w.now = max(w.now, w.queue[0].at)
+	if w.random.chance(0.2) {
+		w.now += w.random.span(0, 20*Millisecond)
+	}
+	var events []Event
+	for len(w.queue) > 0 && w.queue[0].at <= w.now {
+		next := w.queue[0]
+		w.queue = w.queue[1:]
+		events = append(events, next.run()...)
+	}
+	w.handle(events)
+	switch {
+	case w.random.chance(0.03):
+		w.digest.fold(102, w.scheduler.Explain(w.request()))
+	case w.random.chance(0.01):
+		w.digest.fold(101, w.scheduler.Knows())
+	}
+}
+
+func (w *world) handle(events []Event) {
+	actions := w.scheduler.Handle(w.now, events)
+	w.digest.batch(w.now, actions)
+	for _, a := range actions {
+		w.react(a)
+	}
+}
+
+func (w *world) after(span Time, run func() []Event) {
+	s := scheduled{w.now + max(0, span), w.scheduled, run}
+	w.scheduled++
+	i, _ := slices.BinarySearchFunc(w.queue, s, func(a, b scheduled) int {
+		if a.at != b.at {
+			return int(a.at - b.at)
+		}
+		return a.number - b.number
+	})
+	w.queue = slices.Insert(w.queue, i, s)
+}
+
+// afterUnlessRestarted drops what was meant for an earlier incarnation of the scheduler.
+func (w *world) afterUnlessRestarted(span Time, run func() []Event) {
+	incarnation := w.restarted
+	w.after(span, func() []Event {
+		if w.restarted != incarnation {
+			return nil
+		}
+		return run()
+	})
+}
+
+func (w *world) addMachine(startedAt Time) *worldMachine {
+	r := w.random
+	n := len(w.machines)
+	m := &worldMachine{entry: Entry{Machine: MachineID(fmt.Sprint("m", n)), Zone: n % 3, Cell: n / 2,
+		Kind: r.below(len(w.config.Kinds)), StartedAt: startedAt, PowerHint: r.float()}}
+	w.setFault(m)
+	w.machines = append(w.machines, m)
+	w.byID[m.entry.Machine] = m
+	return m
+}
+
+func (w *world) setFault(m *worldMachine) {
+	m.fault = healthy
+	if w.random.chance(w.faulty) {
+		m.fault = pick(w.random, w.faults...)
+	}
+	m.class = w.random.below(len(w.config.Workloads))
+	if w.oneClass {
+		m.class = 0
+	}
+	m.tenant = w.random.below(len(w.config.Customers) + 1)
+}
+
+// listed gives what the list says of some machines.
+func (w *world) listed(machines []*worldMachine) []Entry {
+	var all []Entry
+	for _, m := range machines {
+		e := m.entry
+		k := w.config.Kinds[e.Kind]
+		e.FreeCores, e.FreeMemory = k.Cores-m.used, k.Memory-m.memory
+		if w.random.chance(0.1) {
+			e.FreeCores -= 3 // requests of other schedulers
+		}
+		all = append(all, e)
+	}
+	return all
+}
+
+func (w *world) fullList(mode ListMode) ListCame {
+	var present []*worldMachine
+	for _, m := range w.machines {
+		if m.entry.State != Gone || w.random.chance(0.5) {
+			present = append(present, m)
+		}
+	}
+	w.version++
+	return ListCame{Mode: mode, Version: w.version, Entries: w.listed(present)}
+}
+
+// start gives a new scheduler what it is given at its start.
+func (w *world) start() {
+	var events []Event
+	if w.random.chance(0.9) {
+		events = append(events, w.fullList(OldList))
+	}
+	w.handle(events)
+	for range w.random.below(4) {
+		w.handle([]Event{w.adopt()})
+	}
+	if w.random.chance(0.8) {
+		w.handle([]Event{w.fullList(WholeList)})
+	}
+}
+
+func (w *world) adopt() Event {
+	request := w.request()
+	m := pick(w.random, w.machines...)
+	w.containers[request.ID] = &worldContainer{request: request, at: m, running: true, attempt: 1}
+	w.ids = append(w.ids, request.ID)
+	w.reserve(w.containers[request.ID], 1)
+	w.run(w.containers[request.ID])
+	id := m.entry.Machine
+	if w.random.chance(0.3) {
+		id = "unlisted"
+		c := w.containers[request.ID]
+		w.after(w.random.span(0, Second), func() []Event { return w.end(c, 1, Ended{Outcome: Reset}) })
+	}
+	return TookOver{Ask: request, Machine: id}
+}
+
+func (w *world) request() Ask {
+	r := w.random
+	class := r.below(len(w.config.Workloads))
+	service := fmt.Sprint("s", r.below(w.services))
+	size := w.size * (0.3 + 1.4*r.float())
+	if r.chance(0.02) {
+		size *= 30
+	}
+	a := Ask{ID: ContainerID(fmt.Sprint("c", len(w.ids), "-", r.below(10))), Key: service, Service: service, Workload: class,
+		Customer: r.below(len(w.config.Customers) + 1), Cores: size, Memory: size * (0.5 + 2*r.float()),
+		Due: w.now + w.config.Workloads[class].HardStop, Again: r.chance(0.05)}
+	if r.chance(0.03) {
+		a.Due = w.now + Time(r.below(50)) // around the margin kept from deadlines
+	}
+	if r.chance(0.3) {
+		a.Life = r.span(0, 2*w.runtime)
+	}
+	return a
+}
+
+func (w *world) arrive() []Event {
+	w.after(w.random.span(0, 2*w.arrival), w.arrive)
+	var events []Event
+	for range pick(w.random, 1, 1, 1, 3) {
+		events = append(events, w.submit(w.request()))
+	}
+	return events
+}
+
+func (w *world) submit(request Ask) Event {
+	w.containers[request.ID] = &worldContainer{request: request}
+	w.ids = append(w.ids, request.ID)
+	if w.random.chance(0.04) {
+		w.after(w.random.span(0, 4*Second), func() []Event { return w.remove(request.ID) })
+	}
+	return Asked{Ask: request}
+}
+
+// remove ends a container from outside; its attempt ends later.
+func (w *world) remove(id ContainerID) []Event {
+	c := w.containers[id]
+	if c.ended {
+		return nil
+	}
+	if c.at != nil {
+		attempt := c.attempt
+		w.after(w.random.span(0, 300*Millisecond), func() []Event {
+			return w.end(c, attempt, Ended{Over: true, Outcome: Stopped})
+		})
+	}
+	return []Event{Vanished{ID: id}}
+}
+
+// change alters the fleet and gives the news of it.
+func (w *world) change() []Event {
+	r := w.random
+	w.after(r.span(0, 2*w.churn), w.change)
+	m := pick(r, w.machines...)
+	news := []*worldMachine{m}
+	switch r.below(8) {
+	case 0:
+		m.entry.State = Draining
+	case 1:
+		m.entry.State = Gone
+	case 2, 3: // it started anew
+		m.entry.State, m.entry.StartedAt = Serving, w.now-r.span(0, Second/2)
+		w.setFault(m)
+	case 4:
+		m.entry.State = Serving
+	case 5:
+		news = []*worldMachine{w.addMachine(w.now - r.span(0, Second))}
+	case 6:
+		w.setFault(m)
+		return nil
+	default:
+		news = append(news, pick(r, w.machines...))
+	}
+	if r.chance(0.1) {
+		return nil // unheard of until the next full list
+	}
+	if r.chance(0.15) {
+		return []Event{w.fullList(WholeList)}
+	}
+	w.version++
+	return []Event{ListCame{Mode: Changes, Version: w.version, Entries: w.listed(news)}}
+}
+
+// restart replaces the scheduler by a new one that gets what the old one knew, whole or spoilt.
+func (w *world) restart() []Event {
+	r := w.random
+	w.after(r.span(Second, 10*Second), w.restart)
+	known := w.scheduler.Knows()
+	w.digest.fold(101, known)
+	w.restarted++
+	w.scheduler = New(w.config)
+	w.handle([]Event{w.fullList(OldList)})
+	switch r.below(8) {
+	case 0:
+		known.Traits = nil
+	case 1:
+		for i := range known.Machines {
+			known.Machines[i].Doubts = append(known.Machines[i].Doubts, Doubt{Odds: 5, At: w.now})
+		}
+	case 4:
+		for i := range known.Machines {
+			known.Machines[i].Sick, known.Machines[i].Rest = 4, 0
+		}
+	case 2:
+		known.SentSince = w.now
+	case 3:
+		known.Machines = append(known.Machines, Learned{Machine: "m0", Started: 77, Sick: 9, RestUntil: w.now + Second})
+	}
+	if r.chance(0.9) {
+		w.scheduler.Recall(known)
+	}
+	w.afterUnlessRestarted(r.span(0, Second), func() []Event { // what is known of machines that were listed late
+		late := Knowledge{SentSince: known.SentSince, Machines: known.Machines}
+		if r.chance(0.5) {
+			w.scheduler.Recall(late)
+		}
+		return nil
+	})
+	var events []Event
+	for _, id := range w.ids {
+		if c := w.containers[id]; c.running && !c.ended {
+			events = append(events, TookOver{Ask: c.request, Machine: c.at.entry.Machine})
+		} else {
+			c.ended = true
+		}
+	}
+	return events
+}
+
+// nonsense gives events that no well-behaved host would give.
+func (w *world) nonsense() []Event {
+	r := w.random
+	w.after(r.span(0, Second/2), w.nonsense)
+	id := w.ids[len(w.ids)-1-r.below(min(len(w.ids), 20))]
+	m := pick(r, w.machines...).entry
+	outcome := Outcome(r.below(int(NotSent) + 1))
+	reason := Reason(r.below(int(SentAway) + 1))
+	switch r.below(12) {
+	case 0:
+		return []Event{Ended{ID: id, Outcome: outcome, Machine: m.Machine, Reason: reason, Over: r.chance(0.5)}}
+	case 1:
+		return []Event{Placed{ID: id, Bid: r.below(5), Machine: m.Machine}}
+	case 2:
+		return []Event{Noted{ID: id, Sort: NoteSort(r.below(8)), Amount: pick(r, 5*r.float(), 1e16)}}
+	case 3:
+		return []Event{Probed{Machine: m.Machine, Outcome: outcome}}
+	case 4:
+		return []Event{Probed{Machine: "unlisted", Outcome: outcome}}
+	case 5:
+		return []Event{Vanished{ID: id}, Vanished{ID: id}}
+	case 6:
+		return []Event{Woke{Name: "unknown"}}
+	case 7:
+		m.Kind = len(w.config.Kinds) + 1
+		return []Event{ListCame{Mode: Changes, Entries: []Entry{m}}}
+	case 8:
+		request := w.request()
+		request.Workload = len(w.config.Workloads) + r.below(2)
+		w.digest.fold(102, w.scheduler.Explain(request))
+		return []Event{pick[Event](r, Asked{Ask: request}, TookOver{Ask: request, Machine: m.Machine})}
+	case 9:
+		request := w.request()
+		request.Customer = 50
+		return []Event{w.submit(request)}
+	case 10:
+		return []Event{ListCame{Mode: pick(r, WholeList, OldList)}, ListCame{Mode: ListFailed}, w.fullList(WholeList)}
+	default:
+		request := w.request()
+		request.Due = w.now - r.span(0, Second)
+		return []Event{w.submit(request)}
+	}
+}
+
+func (w *world) react(a Action) {
+	r := w.random
+	switch a := a.(type) {
+	case Bid:
+		w.attempt(a)
+	case PushBack:
+		w.rejected(a.ID)
+	case GiveUp:
+		if c := w.containers[a.ID]; c != nil && c.at == nil {
+			c.ended = true
+		}
+	case Wake:
+		w.afterUnlessRestarted(a.After, func() []Event { return []Event{Woke{Name: a.Name}} })
+	case Watch:
+		w.afterUnlessRestarted(r.span(Millisecond, 200*Millisecond), func() []Event {
+			if r.chance(w.listFails) {
+				return []Event{ListCame{Mode: ListFailed}}
+			}
+			return []Event{w.fullList(WholeList)}
+		})
+	case Probe:
+		w.probe(w.byID[a.Machine])
+	}
+}
+
+func (w *world) rejected(id ContainerID) {
+	c := w.containers[id]
+	if c.at == nil {
+		c.ended = true
+	}
+	if w.random.chance(w.retries) {
+		again := c.request
+		again.ID += "+"
+		w.after(w.random.span(100*Millisecond, 2*Second), func() []Event {
+			again.Again, again.Due = true, w.now+w.config.Workloads[again.Workload].HardStop
+			return []Event{w.submit(again)}
+		})
+	}
+}
+
+func (w *world) probe(m *worldMachine) {
+	r := w.random
+	e := Probed{Machine: m.entry.Machine, Outcome: Finished, Took: r.span(Millisecond, 50*Millisecond)}
+	switch {
+	case r.chance(0.05):
+		e.Outcome = NotSent
+	case r.chance(0.03):
+		return
+	case m.fault == unreachable, m.entry.State == Gone:
+		e.Outcome = NoConnect
+	case m.fault == silent, m.fault == erroring && r.chance(0.5):
+		e.Outcome, e.Took = TimedOut, Second
+	}
+	w.afterUnlessRestarted(e.Took, func() []Event { return []Event{e} })
+}
+
+// reserve counts a container at its machine, release with sign -1 takes it off.
+func (w *world) reserve(c *worldContainer, sign float64) {
+	c.at.used += sign * c.request.Cores
+	c.at.memory += sign * c.request.Memory
+}
+
+// attempt draws what becomes of an attempt.
+func (w *world) attempt(a Bid) {
+	r := w.random
+	c := w.containers[a.ID]
+	c.attempt++
+	c.at = w.byID[a.Machine]
+	w.reserve(c, 1)
+	attempt := c.attempt
+	wait := a.MaxWait
+	if wait == 0 {
+		wait = c.request.Due - w.now
+	}
+	if r.chance(w.lost) {
+		return
+	}
+	e, span := w.fate(c, wait)
+	w.afterUnlessRestarted(span, func() []Event {
+		if e.Outcome != Finished || e.Over {
+			return w.end(c, attempt, e)
+		}
+		return w.accept(c, attempt)
+	})
+}
+
+// fate gives the outcome of an attempt and when it comes; Finished without Final stands for acceptance.
+func (w *world) fate(c *worldContainer, wait Time) (Ended, Time) {
+	r := w.random
+	m, request := c.at, &c.request
+	k := w.config.Kinds[m.entry.Kind]
+	quick := r.span(Millisecond, 60*Millisecond)
+	switch {
+	case m.entry.State == Gone || m.fault == unreachable:
+		return Ended{Outcome: NoConnect}, quick
+	case m.fault == silent, m.fault == failsOneClass && m.class == request.Workload, r.chance(0.01):
+		return Ended{Outcome: TimedOut}, wait
+	case m.fault == erroring, r.chance(0.01):
+		return Ended{Outcome: Erred}, quick
+	case m.fault == failsOneTenant && m.tenant == request.Customer:
+		return Ended{Outcome: Full}, quick
+	case m.fault == drainingItself && r.chance(0.5):
+		return Ended{Outcome: Full, Reason: NotHere}, quick
+	case m.fault == refusing:
+		return Ended{Outcome: Full, Reason: pick(r, NoReason, NoMemory, LongQueue)}, quick
+	case m.used > k.Cores*w.config.AcceptCores:
+		return Ended{Outcome: Full, Reason: NoCores}, quick
+	case m.memory > k.Memory*w.config.AcceptMemory:
+		return Ended{Outcome: Full, Reason: NoMemory}, quick
+	case r.chance(0.01):
+		return Ended{Outcome: NotSent}, 0
+	case r.chance(0.01):
+		return Ended{Outcome: Reset}, quick
+	case r.chance(0.01):
+		return Ended{Outcome: Finished, Over: false, Reason: Evicted}, quick
+	}
+	return Ended{Outcome: Finished}, min(wait, r.span(5*Millisecond, Second))
+}
+
+func (w *world) accept(c *worldContainer, attempt int) []Event {
+	r := w.random
+	if c.at == nil || c.attempt != attempt {
+		return nil
+	}
+	if r.chance(0.02) { // its own time was over before it was accepted
+		return w.end(c, attempt, Ended{Outcome: Finished})
+	}
+	if r.chance(0.02) { // the acceptance crosses a cancellation
+		w.after(20*Millisecond, func() []Event { return w.end(c, attempt, Ended{Outcome: Stopped}) })
+	} else {
+		c.running = true
+		w.run(c)
+	}
+	return []Event{Placed{ID: c.request.ID, Bid: attempt, Machine: c.at.entry.Machine, Took: r.span(0, Second)}}
+}
+
+// run plans the reports and the end of a running container.
+func (w *world) run(c *worldContainer) {
+	r := w.random
+	attempt := c.attempt
+	if w.config.UseNotes || r.chance(0.1) {
+		for n := range 2 {
+			w.after(r.span(0, w.runtime), func() []Event {
+				if c.at == nil || c.attempt != attempt {
+					return nil
+				}
+				return []Event{Noted{ID: c.request.ID, Machine: c.at.entry.Machine, Bid: attempt,
+					Sort: pick(r, CoresUsed, MemoryUsed, Running+NoteSort(n)), Amount: 2 * w.size * r.float()}}
+			})
+		}
+	}
+	e := Ended{Over: true, Outcome: Finished, Took: r.span(0, 2*w.runtime), Report: Report{"cores": r.float()}}
+	switch {
+	case c.at.fault == resetting:
+		e.Outcome = Reset
+	case c.at.fault == drainingItself:
+		e.Outcome, e.Reason = Reset, SentAway
+	case r.chance(0.05):
+		e.Outcome, e.Reason = Reset, pick(r, NoReason, Evicted, PushedOut, SentAway)
+	case r.chance(0.03):
+		e.Outcome = Erred
+	}
+	e.Over = !r.chance(0.15) // else it is to be placed again
+	w.after(e.Took, func() []Event { return w.end(c, attempt, e) })
+}
+
+func (w *world) end(c *worldContainer, attempt int, e Ended) []Event {
+	if c.at == nil || c.attempt != attempt {
+		return nil
+	}
+	w.reserve(c, -1)
+	e.ID, e.Bid, e.Machine = c.request.ID, attempt, c.at.entry.Machine
+	c.running, c.ended = false, e.Over
+	c.at = nil
+	return []Event{e}
+}
