--- /dev/null
+++ b/cmd/adapter/golden_test.go
@@ -0,0 +1,45 @@
+package main
+
+import (
+	"bytes"
+	"flag"
+	"os"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "rewrite the expected values in testdata")
+
+// TestTranscriptIsAnsweredByteForByte replays frames of two instances with all kinds of messages. The text of
+// DEBUG lines is free; that one is written, and where, is not.
+func TestTranscriptIsAnsweredByteForByte(t *testing.T) {
+	const recorded = "testdata/transcript.out"
+	in, err := os.Open("testdata/transcript.in")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer in.Close()
+	var out bytes.Buffer
+	if err := run(in, &out); err != nil {
+		t.Fatal(err)
+	}
+	lines := strings.SplitAfter(out.String(), "\n")
+	for i, line := range lines {
+		if words := strings.Fields(line); len(words) > 2 && words[0] == "DEBUG" {
+			lines[i] = strings.Join(words[:2], " ") + "\n"
+		}
+	}
+	got := strings.Join(lines, "")
+	if *update {
+		if err := os.WriteFile(recorded, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(recorded)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("answered\n%s\nwant\n%s", got, want)
+	}
+}
