--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -91,7 +91,7 @@
 		effect  Effect
 		repeats Place
 		outcome Outcome
-		wait    Time // until the outcome
+		wait    Time   // until the outcome
 		want    Action // of this type
 	}{
 		{"reissuable timed out", Reissuable, 0, TimedOut, Second, Bid{}},
