--- a/placer/helpers_test.go
+++ b/placer/helpers_test.go
@@ -1,5 +1,16 @@
 package placer
 
+import (
+	"bufio"
+	"flag"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "rewrite the expected values in testdata")
+
 // terms has one workload, two kinds and three placers.
 func terms(e Effect) Terms {
 	return Terms{Seed: 7, Placers: 3, AcceptCores: 2, AcceptMemory: 2, MeanCores: 1, MeanMemory: 1,
@@ -46,3 +57,30 @@
 	}
 	return a[len(a)-1]
 }
+
+func sameType(a, b Action) bool { return reflect.TypeOf(a) == reflect.TypeOf(b) }
+
+func writeLines(t *testing.T, name string, lines []string) {
+	t.Helper()
+	if err := os.WriteFile(name, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func readLines(t *testing.T, name string) []string {
+	t.Helper()
+	f, err := os.Open(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer f.Close()
+	var lines []string
+	s := bufio.NewScanner(f)
+	for s.Scan() {
+		lines = append(lines, s.Text())
+	}
+	if err := s.Err(); err != nil {
+		t.Fatal(err)
+	}
+	return lines
+}
