--- /dev/null
+++ b/internal/announce/golden_test.go
@@ -0,0 +1,198 @@
+package announce
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"flag"
+	"fmt"
+	"hash"
+	"math"
+	"math/rand/v2"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"glenport/placer"
+)
+
+var update = flag.Bool("update", false, "write the golden digests anew")
+
+// TestDecisionsMatchGoldenDigests plays seeded histories and compares a digest of all actions, in order and with the
+// time at which each was returned, with that in testdata. A changed decision changes the digest; a rename does not.
+func TestDecisionsMatchGoldenDigests(t *testing.T) {
+	const sequences, steps = 250, 150
+	var got strings.Builder
+	for group, pace := range []placer.Time{100 * placer.Millisecond, 2 * placer.Second, 60 * placer.Second, 1200 * placer.Second} {
+		digest := &actionDigest{sum: sha256.New()}
+		for seed := range sequences {
+			h := &history{digest: digest, random: rand.New(rand.NewPCG(uint64(1000*group+seed), 29)), announcer: New(), pace: pace}
+			for range steps {
+				h.step()
+			}
+		}
+		fmt.Fprintf(&got, "steps of up to %d: %d actions, sha256 %x\n", pace, digest.actions, digest.sum.Sum(nil))
+	}
+	path := filepath.Join("testdata", "decisions.txt")
+	if *update {
+		if err := os.WriteFile(path, []byte(got.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got.String() != string(want) {
+		t.Errorf("%s: got\n%swant\n%s", path, got.String(), want)
+	}
+}
+
+// actionDigest folds actions by an ordinal of their type and the values of their fields, but for texts of the log.
+type actionDigest struct {
+	sum     hash.Hash
+	actions int
+}
+
+func (d *actionDigest) add(now placer.Time, a Action) {
+	d.actions++
+	d.number(uint64(now))
+	switch a := a.(type) {
+	case Announce:
+		d.number(1)
+		d.announcement(a)
+	case Withdraw:
+		d.number(2)
+		d.text(a.Prefix.String())
+	case Wake:
+		d.number(3)
+		d.number(uint64(a.After))
+	case Mode:
+		d.number(4)
+		d.text(a.Prefix.String())
+		d.number(math.Float64bits(a.Penalty))
+	default:
+		panic(fmt.Sprintf("no ordinal for %T", a))
+	}
+}
+
+func (d *actionDigest) announcement(a Announce) {
+	d.text(a.Prefix.String())
+	d.path(a.Path)
+}
+
+func (d *actionDigest) path(p Path) {
+	d.text(p.NextHop.String())
+	d.number(uint64(p.Preference))
+	d.number(uint64(p.MED))
+	d.text(p.Communities)
+}
+
+func (d *actionDigest) number(n uint64) {
+	var b [8]byte
+	binary.BigEndian.PutUint64(b[:], n)
+	d.sum.Write(b[:])
+}
+
+func (d *actionDigest) text(s string) {
+	d.number(uint64(len(s)))
+	d.sum.Write([]byte(s))
+}
+
+func (d *actionDigest) truth(b bool) {
+	if b {
+		d.number(1)
+	} else {
+		d.number(0)
+	}
+}
+
+// history plays one seeded sequence on four services.
+type history struct {
+	digest    *actionDigest
+	random    *rand.Rand
+	announcer *Announcer
+	pace      placer.Time
+	now       placer.Time
+	wakeAt    placer.Time
+}
+
+func (h *history) chance(p float64) bool { return h.random.Float64() < p }
+
+func (h *history) handle(events ...Event) {
+	for _, a := range h.announcer.Handle(h.now, events) {
+		h.digest.add(h.now, a)
+		if a, ok := a.(Wake); ok {
+			h.wakeAt = h.now + a.After
+		}
+	}
+}
+
+func (h *history) step() {
+	if h.chance(0.4) && h.wakeAt > h.now {
+		h.now = h.wakeAt
+	} else {
+		h.now += placer.Time(h.random.IntN(int(h.pace)))
+	}
+	if h.wakeAt > 0 && h.now >= h.wakeAt {
+		h.wakeAt = 0
+		h.handle(Woke{})
+	}
+	var events []Event
+	for range 1 + h.random.IntN(3) {
+		events = append(events, h.event())
+	}
+	h.handle(events...)
+	if h.chance(0.1) {
+		h.foldState()
+	}
+}
+
+func (h *history) event() Event {
+	name := fmt.Sprint("s", h.random.IntN(4))
+	container := fmt.Sprint("c", h.random.IntN(7))
+	switch n := h.random.IntN(100); {
+	case n < 12:
+		return h.offer(name)
+	case n < 16:
+		return Dropped{Name: name}
+	case n < 55:
+		return Runs{Service: name, Container: container, Draining: h.chance(0.25)}
+	case n < 97:
+		return Ends{Service: name, Container: container}
+	}
+	return Woke{}
+}
+
+func (h *history) offer(name string) Event {
+	prefix, hop := netip.MustParsePrefix("192.0.2."+name[1:]+"/32"), netip.MustParseAddr("198.51.100.1")
+	switch h.random.IntN(6) {
+	case 0:
+		prefix, hop = netip.MustParsePrefix("2001:db8::"+name[1:]+"/128"), netip.MustParseAddr("2001:db8:1::1")
+	case 1:
+		hop = netip.MustParseAddr("198.51.100.2")
+	}
+	return Offered{Name: name, Service: Service{Prefix: prefix, NextHop: hop, MED: uint32(h.random.IntN(3) * 50),
+		Least: h.random.IntN(4), Healthy: h.chance(0.5)}}
+}
+
+// foldState folds what an operator is shown and what a peer is sent when its session comes up.
+func (h *history) foldState() {
+	for _, a := range h.announcer.Standing() {
+		h.digest.announcement(a)
+	}
+	for i := range 5 {
+		w, known := h.announcer.Why(fmt.Sprint("s", i))
+		h.digest.truth(known)
+		h.digest.truth(w.Announced)
+		h.digest.path(w.Path)
+		h.digest.number(uint64(w.Running))
+		h.digest.number(uint64(w.Draining))
+		h.digest.number(uint64(w.Least))
+		h.digest.number(math.Float64bits(w.Penalty))
+		h.digest.truth(w.Suppressed)
+		h.digest.number(uint64(w.NextUpdate))
+	}
+}
--- /dev/null
+++ b/internal/keeper/golden_test.go
@@ -0,0 +1,362 @@
+package keeper
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"flag"
+	"fmt"
+	"hash"
+	"math"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"reflect"
+	"sort"
+	"strings"
+	"testing"
+
+	"glenport/placer"
+)
+
+var update = flag.Bool("update", false, "write the golden digests anew")
+
+// TestDecisionsMatchGoldenDigests plays seeded histories and compares a digest of all actions, in order and with the
+// time at which each was returned, with that in testdata. A changed decision changes the digest; a rename does not.
+func TestDecisionsMatchGoldenDigests(t *testing.T) {
+	const sequences, steps = 120, 160
+	var got strings.Builder
+	for group, effect := range []placer.Effect{placer.Reissuable, placer.Numbered, placer.AtMostOnce} {
+		for _, schedulers := range []int{1, 2, 5} {
+			digest := newActionDigest()
+			for seed := range sequences {
+				h := newHistory(digest, effect, schedulers, uint64(1000*group+100_000*schedulers+seed))
+				for range steps {
+					h.step()
+				}
+			}
+			fmt.Fprintf(&got, "effect %d, %d schedulers: %s\n", effect, schedulers, digest)
+		}
+	}
+	compareGolden(t, "decisions.txt", got.String())
+}
+
+// compareGolden holds text against a file of testdata, or writes the file where -update asks for it.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s: got\n%swant\n%s", path, got, want)
+	}
+}
+
+// actionDigest folds actions by an ordinal of their type and the values of their fields in order.
+type actionDigest struct {
+	sum     hash.Hash
+	actions int
+}
+
+func newActionDigest() *actionDigest { return &actionDigest{sum: sha256.New()} }
+
+func (d *actionDigest) String() string {
+	return fmt.Sprintf("%d actions, sha256 %x", d.actions, d.sum.Sum(nil))
+}
+
+func (d *actionDigest) add(now placer.Time, a Action) {
+	ordinal := 0
+	switch a.(type) {
+	case Submit:
+		ordinal = 1
+	case Look:
+		ordinal = 2
+	case Cancel:
+		ordinal = 3
+	case Changed:
+		ordinal = 4
+	case Removed:
+		ordinal = 5
+	case Strayed:
+		ordinal = 6
+	case Found:
+		ordinal = 7
+	case Wake:
+		ordinal = 8
+	default:
+		panic(fmt.Sprintf("no ordinal for %T", a))
+	}
+	d.actions++
+	d.number(uint64(now))
+	d.number(uint64(ordinal))
+	d.value(reflect.ValueOf(a))
+}
+
+func (d *actionDigest) number(n uint64) {
+	var b [8]byte
+	binary.BigEndian.PutUint64(b[:], n)
+	d.sum.Write(b[:])
+}
+
+func (d *actionDigest) value(v reflect.Value) {
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			d.value(v.Field(i))
+		}
+	case reflect.Bool:
+		n := uint64(0)
+		if v.Bool() {
+			n = 1
+		}
+		d.number(n)
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		d.number(uint64(v.Int()))
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		d.number(v.Uint())
+	case reflect.Float32, reflect.Float64:
+		d.number(math.Float64bits(v.Float()))
+	case reflect.String:
+		d.number(uint64(v.Len()))
+		d.sum.Write([]byte(v.String()))
+	default:
+		panic(fmt.Sprintf("a field of kind %s", v.Kind()))
+	}
+}
+
+// history plays one seeded sequence: schedulers that answer, fail and come back, jobs that change, and restarts of the
+// controller from what it has asked to be stored.
+type history struct {
+	digest     *actionDigest
+	random     *rand.Rand
+	controller *Keeper
+	terms      Terms
+	now        placer.Time
+	wakeAt     placer.Time
+	reachable  []bool
+	requests   []openRequest
+	jobs       map[string]Set
+	containers map[string]Container
+	orphans    map[Stray]bool
+}
+
+type openRequest struct {
+	id      string
+	running bool
+}
+
+func newHistory(d *actionDigest, effect placer.Effect, schedulers int, seed uint64) *history {
+	h := &history{digest: d, random: rand.New(rand.NewPCG(seed, 17)), reachable: make([]bool, schedulers), jobs: map[string]Set{},
+		containers: map[string]Container{}, orphans: map[Stray]bool{}}
+	h.terms = Terms{Seed: seed, First: 10, Doors: schedulers, Workloads: []Workload{
+		{Effect: effect, HardStop: 4 * placer.Second, Window: 8 * placer.Second},
+		{Effect: placer.AtMostOnce, HardStop: placer.Second}}}
+	h.controller = New(h.terms)
+	for i := range schedulers {
+		if h.chance(0.9) {
+			h.reachable[i] = true
+			h.handle(Door{i, true})
+		}
+	}
+	h.changeJob()
+	return h
+}
+
+func (h *history) chance(p float64) bool { return h.random.Float64() < p }
+
+func (h *history) handle(events ...Event) {
+	for _, a := range h.controller.Handle(h.now, events) {
+		h.digest.add(h.now, a)
+		switch a := a.(type) {
+		case Submit:
+			h.requests = append(h.requests, openRequest{id: a.Ask})
+		case Look:
+			h.requests = append(h.requests, openRequest{id: a.Ask})
+		case Cancel:
+			h.requests = append(h.requests, openRequest{id: a.Ask, running: h.chance(0.5)})
+		case Changed:
+			h.containers[fmt.Sprintf("%s.%d", a.Container.Job, a.Container.Index)] = a.Container
+		case Removed:
+			delete(h.containers, fmt.Sprintf("%s.%d", a.Job, a.Index))
+		case Strayed:
+			h.orphans[a.Stray] = true
+		case Found:
+			delete(h.orphans, a.Stray)
+		case Wake:
+			if at := h.now + a.After; h.wakeAt <= h.now || at < h.wakeAt {
+				h.wakeAt = at
+			}
+		}
+	}
+}
+
+func (h *history) step() {
+	h.passTime()
+	switch n := h.random.IntN(100); {
+	case n < 42:
+		h.answer()
+	case n < 58:
+		h.end()
+	case n < 66:
+		h.toggleScheduler()
+	case n < 72:
+		h.changeJob()
+	case n < 74:
+		id := h.jobID()
+		delete(h.jobs, id)
+		h.handle(Drop{id})
+	case n < 77:
+		h.oddEvents()
+	case n < 78:
+		h.restart()
+	}
+}
+
+func (h *history) passTime() {
+	switch n := h.random.IntN(100); {
+	case n < 45:
+		h.now += placer.Time(h.random.IntN(2000))
+	case n < 85:
+		h.now = max(h.now, h.wakeAt)
+	case n < 97:
+		h.now += placer.Time(h.random.IntN(5 * int(placer.Second)))
+	default:
+		h.now += placer.Time(h.random.IntN(25 * int(placer.Second)))
+	}
+	if h.wakeAt > 0 && h.now >= h.wakeAt {
+		h.wakeAt = 0
+		h.handle(Woke{})
+	}
+}
+
+func (h *history) answer() {
+	if len(h.requests) == 0 {
+		return
+	}
+	i := h.random.IntN(len(h.requests))
+	e := Answered{Ask: h.requests[i].id}
+	switch n := h.random.IntN(100); {
+	case n < 58:
+		e.Verdict, e.Machine = Placed, fmt.Sprint("m", h.random.IntN(9))
+		h.requests[i].running = true
+	case n < 73:
+		e.Verdict = PushedBack
+	case n < 87:
+		e.Verdict = GivenUp
+	default:
+		e.Verdict = TurnedAway
+	}
+	if h.chance(0.3) {
+		e.HoldOff = placer.Time(h.random.IntN(6 * int(placer.Second)))
+	}
+	if e.Verdict != Placed {
+		e.Text = []string{"", "", "cancelled", "may run on machine m3", "does not know yet"}[h.random.IntN(5)]
+		h.requests = append(h.requests[:i], h.requests[i+1:]...)
+	}
+	h.handle(e)
+}
+
+func (h *history) end() {
+	var running []int
+	for i, r := range h.requests {
+		if r.running {
+			running = append(running, i)
+		}
+	}
+	if len(running) == 0 {
+		return
+	}
+	i := running[h.random.IntN(len(running))]
+	outcome := []placer.Outcome{placer.Finished, placer.Finished, placer.Reset, placer.Reset, placer.Stopped, placer.Erred}[h.random.IntN(6)]
+	reason := []placer.Reason{placer.NoReason, placer.NoReason, placer.Evicted, placer.PushedOut, placer.SentAway}[h.random.IntN(5)]
+	e := Fated{Ask: h.requests[i].id, Outcome: outcome, Reason: reason}
+	h.requests = append(h.requests[:i], h.requests[i+1:]...)
+	h.handle(e)
+}
+
+func (h *history) toggleScheduler() {
+	n := h.random.IntN(len(h.reachable))
+	h.reachable[n] = !h.reachable[n]
+	h.handle(Door{n, h.reachable[n]})
+}
+
+func (h *history) jobID() string { return []string{"a", "b", "c"}[h.random.IntN(3)] }
+
+func (h *history) changeJob() {
+	id := h.jobID()
+	spec := Spec{Service: "s" + id, Workload: h.random.IntN(2), Customer: h.random.IntN(2), Cores: []float64{0.5, 2}[h.random.IntN(2)],
+		Memory: 1.25, RunFor: placer.Time(h.random.IntN(2)) * placer.Second, Once: h.chance(0.3)}
+	if old, known := h.jobs[id]; known && h.chance(0.5) {
+		spec = old.Spec
+	}
+	h.jobs[id] = Set{Job: id, Count: h.random.IntN(5), Spec: spec}
+	h.handle(h.jobs[id])
+}
+
+// oddEvents are such as no peer should send, and several at once.
+func (h *history) oddEvents() {
+	switch h.random.IntN(6) {
+	case 0:
+		h.handle(Answered{Ask: "nobody/0#1", Verdict: Placed, Machine: "m"}, Fated{Ask: "nobody/0#1"})
+	case 1:
+		h.handle(Door{-1, true}, Door{len(h.reachable), true}, Drop{"none"})
+	case 2:
+		h.handle(Answered{Ask: "stray#0#nobody/0/1", Verdict: GivenUp}, Fated{Ask: "stray#x#"})
+	case 3: // an answer that comes twice
+		if len(h.requests) > 0 {
+			id := h.requests[h.random.IntN(len(h.requests))].id
+			h.handle(Answered{Ask: id, Verdict: Placed, Machine: "m1"}, Answered{Ask: id, Verdict: GivenUp})
+		}
+	case 4: // a workload that the settings do not have
+		h.jobs["c"] = Set{Job: "c", Count: 1, Spec: Spec{Service: "odd", Workload: 7}}
+		h.handle(h.jobs["c"])
+	case 5: // an empty iteration
+		h.handle()
+	}
+}
+
+// restart begins a controller from what the one before has asked to be stored, with or without the same schedulers.
+func (h *history) restart() {
+	var left Restored
+	for _, id := range sortedKeys(h.jobs) {
+		left.Jobs = append(left.Jobs, h.jobs[id])
+	}
+	moved := h.chance(0.3)
+	for _, id := range sortedKeys(h.containers) {
+		c := h.containers[id]
+		if moved && c.Door == 0 {
+			c.Door = -1
+		}
+		left.Containers = append(left.Containers, c)
+	}
+	for x := range h.orphans {
+		left.Strays = append(left.Strays, x)
+	}
+	sort.Slice(left.Strays, func(i, j int) bool { return fmt.Sprint(left.Strays[i]) < fmt.Sprint(left.Strays[j]) })
+	h.terms.Seed++
+	h.controller, h.wakeAt, h.requests = New(h.terms), 0, nil
+	clear(h.reachable)
+	h.handle(left)
+	for n := range h.reachable {
+		if h.chance(0.8) {
+			h.reachable[n] = true
+			h.handle(Door{n, true})
+		}
+	}
+}
+
+func sortedKeys[V any](m map[string]V) []string {
+	keys := make([]string, 0, len(m))
+	for k := range m {
+		keys = append(keys, k)
+	}
+	sort.Strings(keys)
+	return keys
+}
--- /dev/null
+++ b/internal/waiting/golden_test.go
@@ -0,0 +1,100 @@
+package waiting
+
+import (
+	"crypto/sha256"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"glenport/internal/keeper"
+	"glenport/placer"
+)
+
+var update = flag.Bool("update", false, "write the golden digests anew")
+
+// TestReasonsMatchGoldenDigests explains seeded facts, likely and odd ones, and compares a digest of all reasons, in order,
+// as clients read them, with that in testdata.
+func TestReasonsMatchGoldenDigests(t *testing.T) {
+	const sequences = 4000
+	var got strings.Builder
+	for group := range 4 {
+		sum, reasons := sha256.New(), 0
+		random := rand.New(rand.NewPCG(uint64(group), 23))
+		for range sequences {
+			now, facts := randomFacts(random, group)
+			all := Explain(now, facts)
+			reasons += len(all)
+			for _, r := range all {
+				line, err := json.Marshal(r) // figures in order of their names
+				if err != nil {
+					t.Fatal(err)
+				}
+				fmt.Fprintf(sum, "%s %d\n", line, r.Until)
+			}
+			fmt.Fprintln(sum)
+		}
+		fmt.Fprintf(&got, "group %d: %d reasons, sha256 %x\n", group, reasons, sum.Sum(nil))
+	}
+	path := filepath.Join("testdata", "reasons.txt")
+	if *update {
+		if err := os.WriteFile(path, []byte(got.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got.String() != string(want) {
+		t.Errorf("%s: got\n%swant\n%s", path, got.String(), want)
+	}
+}
+
+// randomFacts draws facts: group 0 small fleets, 1 large ones, 2 no scheduler that explains, 3 anything at all.
+func randomFacts(random *rand.Rand, group int) (placer.Time, Facts) {
+	chance := func(p float64) bool { return random.Float64() < p }
+	upTo := func(n int) int { return random.IntN(n + 1) }
+	most := []int{4, 3000, 20, 12}[group]
+	some := func(p float64) int {
+		if chance(p) {
+			return upTo(most)
+		}
+		return 0
+	}
+	now := placer.Time(upTo(1_000_000))
+	state := keeper.State(upTo(5))
+	f := Facts{Doors: 1 + upTo(4), DoorOpen: chance(0.7), Asked: group != 2 && chance(0.9),
+		ListAge: placer.Time(upTo(60_000)) - 5_000, ColdWindow: placer.Time(upTo(30_000))}
+	f.DoorsOpen = upTo(f.Doors)
+	f.Container = keeper.Container{Job: "j", Index: upTo(9), State: state, Pinned: chance(0.2), Held: chance(0.3), Tries: upTo(4),
+		Door: upTo(f.Doors) - 1, Since: now - placer.Time(upTo(90_000)), Last: []string{"", "pushed back", "given up, and it may run",
+			"turned away: may run on machine m3", "turned away: does not know yet", "turned away: full"}[upTo(5)]}
+	if chance(0.7) {
+		f.Container.Until = now + placer.Time(upTo(200_000)) - 20_000
+	}
+	x := &f.Explanation
+	x.Machines, x.OtherKind, x.Draining, x.TooSmall = upTo(most), some(0.4), some(0.4), some(0.3)
+	x.Closing, x.SpreadFull, x.ColdSpent, x.Resting, x.Shunned = some(0.2), some(0.2), some(0.2), some(0.2), some(0.2)
+	x.NoCores, x.NoMemory, x.Free, x.Gone = some(0.4), some(0.4), some(0.3), some(0.2)
+	x.Yielding, x.NoRoomShare = chance(0.3), float64(upTo(100))/100
+	if chance(0.15) { // as where no machine is of the kind that is needed, or all of them drain
+		x.OtherKind, x.TooSmall = x.Machines, 0
+	} else if chance(0.15) {
+		x.OtherKind, x.TooSmall, x.Draining = 0, 0, x.Machines
+	}
+	for zone := range upTo(3) {
+		h := Hall{Name: fmt.Sprint(zone), Machines: upTo(most)}
+		h.Drained = upTo(h.Machines)
+		if chance(0.3) {
+			h.Drained = h.Machines
+		}
+		f.Halls = append(f.Halls, h)
+	}
+	return now, f
+}
