--- /dev/null
+++ b/internal/bgp/golden_test.go
@@ -0,0 +1,245 @@
+package bgp
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"errors"
+	"flag"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden data anew")
+
+type goldenMessage struct {
+	name    string
+	holds   string // what it holds, in words
+	message Message
+}
+
+// goldenMessages are the messages whose bytes testdata/messages.txt holds, every field set somewhere.
+func goldenMessages() []goldenMessage {
+	every := Path{Origin: 1, AS: []uint32{65001, 4200000001}, NextHop: netip.MustParseAddr("192.0.2.254"), MED: 70, HasMED: true,
+		LocalPref: 100, HasPref: true, Communities: []uint32{0xFFFF0000, 65000<<16 | 1}}
+	six := Path{Origin: 2, AS: []uint32{65001}, NextHop: netip.MustParseAddr("2001:db8::1"), MED: 0, HasMED: true}
+	one := func(s string) []netip.Prefix { return []netip.Prefix{netip.MustParsePrefix(s)} }
+	return []goldenMessage{
+		{"open",
+			"Open of AS 4200000001, hold time 90 s, identifier 10.0.0.1; capabilities: IPv4, IPv6, route refresh, graceful restart (restarted, 120 s, IPv4 kept, IPv6 not), four-octet AS",
+			&Open{AS: 4200000001, Hold: 90, ID: [4]byte{10, 0, 0, 1}, Families: []Family{IPv4, IPv6}, FourByte: true, Refresh: true,
+				Restart: &Restart{Restarted: true, Time: 120, Kept: map[Family]bool{IPv4: true, IPv6: false}}}},
+		{"open-plain",
+			"Open of AS 65001, hold time 3 s, identifier 1.2.3.4, without any capability",
+			&Open{AS: 65001, Hold: 3, ID: [4]byte{1, 2, 3, 4}}},
+		{"update-ipv4",
+			"Update: withdraws 198.51.100.128/25, announces 192.0.2.1/32 with origin EGP, AS path 65001 4200000001, next hop 192.0.2.254, MED 70, local preference 100, communities 65535:0 and 65000:1",
+			&Update{Withdrawn: one("198.51.100.128/25"), Announced: one("192.0.2.1/32"), Path: every}},
+		{"update-ipv6",
+			"Update: withdraws 2001:db8:1::/48, announces 2001:db8:2::7/128 with origin incomplete, AS path 65001, next hop 2001:db8::1, MED 0",
+			&Update{Withdrawn: one("2001:db8:1::/48"), Announced: one("2001:db8:2::7/128"), Path: six}},
+		{"end-of-routes-ipv4",
+			"Update without anything: the end of IPv4 routes",
+			EndOfRoutes(IPv4)},
+		{"end-of-routes-ipv6",
+			"Update with an empty MP_UNREACH: the end of IPv6 routes",
+			EndOfRoutes(IPv6)},
+		{"notification",
+			"Notification 2/2, bad peer AS, with the data 1 2 3",
+			&Notification{Code: CodeOpen, Sub: BadPeerAS, Data: []byte{1, 2, 3}}},
+		{"notification-shutdown",
+			"Notification 6/2, administrative shutdown, with the text maintenance",
+			ShutdownWith("maintenance")},
+		{"keepalive",
+			"Keepalive",
+			&Keepalive{}},
+		{"refresh",
+			"Route refresh of IPv6 unicast",
+			&Refresh{Family: IPv6}},
+	}
+}
+
+// TestMessagesMatchGoldenBytes reads each message of testdata/messages.txt, compares every field, and writes it again.
+func TestMessagesMatchGoldenBytes(t *testing.T) {
+	path := filepath.Join("testdata", "messages.txt")
+	if *update {
+		writeGoldenMessages(t, path)
+		return
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := map[string][]byte{}
+	for line := range strings.Lines(string(text)) {
+		if fields := strings.Fields(line); len(fields) == 2 && fields[0] != "#" {
+			if want[fields[0]], err = hex.DecodeString(fields[1]); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	all := goldenMessages()
+	if len(want) != len(all) {
+		t.Errorf("%d messages in %s, want %d", len(want), path, len(all))
+	}
+	for _, g := range all {
+		t.Run(g.name, func(t *testing.T) {
+			got, err := Decode(want[g.name])
+			if err != nil || !reflect.DeepEqual(got, g.message) {
+				t.Errorf("decoded %+v, %v, want %+v", got, err, g.message)
+			}
+			encoded, err := Append(nil, g.message)
+			if err != nil || string(encoded) != string(want[g.name]) {
+				t.Errorf("encoded %x, %v, want %x", encoded, err, want[g.name])
+			}
+		})
+	}
+}
+
+func writeGoldenMessages(t *testing.T, path string) {
+	t.Helper()
+	text := "# BGP messages as they go on the wire: name, bytes in hex. The comment before each says what it holds.\n"
+	for _, g := range goldenMessages() {
+		p, err := Append(nil, g.message)
+		if err != nil {
+			t.Fatal(err)
+		}
+		text += fmt.Sprintf("# %s\n%s %x\n", g.holds, g.name, p)
+	}
+	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// TestDecodingMatchesGoldenDigests decodes seeded messages, whole and damaged, and compares a digest of what each holds,
+// or of the notification that answers it, with that in testdata. The texts of faults are left out.
+func TestDecodingMatchesGoldenDigests(t *testing.T) {
+	var got strings.Builder
+	for seed, g := range goldenMessages() {
+		random := rand.New(rand.NewPCG(uint64(seed), 37))
+		whole, err := Append(nil, g.message)
+		if err != nil {
+			t.Fatal(err)
+		}
+		sum, decoded, faults := sha256.New(), 0, 0
+		for range 4000 {
+			m, err := Decode(damaged(random, whole))
+			if err == nil {
+				decoded++
+				foldMessage(t, sum, m)
+				continue
+			}
+			var f *Fault
+			if !errors.As(err, &f) {
+				t.Fatalf("%v is no fault", err)
+			}
+			faults++
+			foldNumbers(sum, 99, uint64(f.Code), uint64(f.Sub), uint64(len(f.Data)))
+			sum.Write(f.Data)
+		}
+		fmt.Fprintf(&got, "%s: %d decoded, %d faults, sha256 %x\n", g.name, decoded, faults, sum.Sum(nil))
+	}
+	got.WriteString(packedDigest(t))
+	path := filepath.Join("testdata", "decoding.txt")
+	if *update {
+		if err := os.WriteFile(path, []byte(got.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got.String() != string(want) {
+		t.Errorf("%s: got\n%swant\n%s", path, got.String(), want)
+	}
+}
+
+// damaged changes up to three bytes behind the marker, most often with the length kept right.
+func damaged(random *rand.Rand, whole []byte) []byte {
+	p := append([]byte(nil), whole...)
+	if random.IntN(6) == 0 {
+		p = p[:19+random.IntN(len(p)-18)]
+	} else if random.IntN(6) == 0 {
+		for range 1 + random.IntN(8) {
+			p = append(p, byte(random.IntN(256)))
+		}
+	}
+	if len(p) > 18 {
+		binary.BigEndian.PutUint16(p[16:], uint16(len(p)))
+	}
+	for range random.IntN(4) {
+		at := 18 + random.IntN(len(p)-18)
+		if random.IntN(30) == 0 {
+			at = random.IntN(18)
+		}
+		p[at] = byte([]int{random.IntN(256), random.IntN(8), int(p[at]) ^ 1<<random.IntN(8)}[random.IntN(3)])
+	}
+	return p
+}
+
+func foldNumbers(sum hash.Hash, all ...uint64) {
+	for _, n := range all {
+		var b [8]byte
+		binary.BigEndian.PutUint64(b[:], n)
+		sum.Write(b[:])
+	}
+}
+
+// foldMessage folds a message as it would be written again, and what is lost by that.
+func foldMessage(t *testing.T, sum hash.Hash, m Message) {
+	t.Helper()
+	p, err := Append(nil, m)
+	if err != nil {
+		t.Fatal(err)
+	}
+	foldNumbers(sum, uint64(len(p)))
+	sum.Write(p)
+	switch m := m.(type) {
+	case *Update:
+		family, ends := m.Ends()
+		foldNumbers(sum, 1, uint64(family))
+		if ends {
+			foldNumbers(sum, 2)
+		}
+		if m.Treated != "" {
+			foldNumbers(sum, 3)
+		}
+	case *Notification:
+		sum.Write([]byte(m.Said()))
+	}
+}
+
+// packedDigest folds how routes are shared out over messages.
+func packedDigest(t *testing.T) string {
+	t.Helper()
+	random, sum, messages := rand.New(rand.NewPCG(1, 41)), sha256.New(), 0
+	path := Path{AS: []uint32{65001}, NextHop: netip.MustParseAddr("192.0.2.254"), LocalPref: 100, HasPref: true}
+	for size := 1; size <= 20_000; size *= 3 {
+		routes := func() (all []netip.Prefix) {
+			for range random.IntN(size) {
+				if random.IntN(3) == 0 {
+					a := [16]byte{0x20, 1, 0xd, 0xb8, 14: byte(random.IntN(256)), 15: byte(random.IntN(256))}
+					all = append(all, netip.PrefixFrom(netip.AddrFrom16(a), 64+random.IntN(65)).Masked())
+				} else {
+					a := [4]byte{10, byte(random.IntN(256)), byte(random.IntN(256)), byte(random.IntN(256))}
+					all = append(all, netip.PrefixFrom(netip.AddrFrom4(a), 16+random.IntN(17)).Masked())
+				}
+			}
+			return all
+		}
+		for _, u := range Pack(routes(), routes(), path) {
+			messages++
+			foldMessage(t, sum, u)
+		}
+	}
+	return fmt.Sprintf("packed: %d messages, sha256 %x\n", messages, sum.Sum(nil))
+}
--- /dev/null
+++ b/internal/session/golden_test.go
@@ -0,0 +1,275 @@
+package session
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"flag"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"glenport/internal/bgp"
+	"glenport/placer"
+)
+
+var update = flag.Bool("update", false, "write the golden digests anew")
+
+// TestDecisionsMatchGoldenDigests plays seeded histories and compares a digest of all actions, in order, and of the state
+// after each event, with that in testdata. A changed decision changes the digest; a rename does not.
+func TestDecisionsMatchGoldenDigests(t *testing.T) {
+	const sequences, steps = 1000, 100
+	both := []bgp.Family{bgp.IPv4, bgp.IPv6}
+	var got strings.Builder
+	for group, p := range []Peer{
+		{OwnAS: 65001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Hold: 90 * placer.Second, Families: both, Restart: 120 * placer.Second},
+		{OwnAS: 65001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 200}, Hold: 9 * placer.Second, Families: both[:1], Passive: true},
+		{OwnAS: 4_200_000_001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Families: both, Restart: 9000 * placer.Second},
+		{OwnAS: 65002, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Hold: 3 * placer.Second, Families: both[1:]},
+	} {
+		digest := &actionDigest{sum: sha256.New()}
+		for seed := range sequences {
+			h := &history{digest: digest, random: rand.New(rand.NewPCG(uint64(10_000*group+seed), 31)), session: New(p), peer: p,
+				connections: map[Conn]int{}}
+			h.handle(Start{})
+			for range steps {
+				h.step()
+			}
+		}
+		fmt.Fprintf(&got, "peer %d: %d actions, sha256 %x\n", group, digest.actions, digest.sum.Sum(nil))
+	}
+	path := filepath.Join("testdata", "decisions.txt")
+	if *update {
+		if err := os.WriteFile(path, []byte(got.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got.String() != string(want) {
+		t.Errorf("%s: got\n%swant\n%s", path, got.String(), want)
+	}
+}
+
+// actionDigest folds actions by an ordinal of their type and the values of their fields, but for texts of the log;
+// messages are folded as they go on the wire.
+type actionDigest struct {
+	sum     hash.Hash
+	actions int
+}
+
+func (d *actionDigest) add(a Action) {
+	d.actions++
+	switch a := a.(type) {
+	case Dial:
+		d.numbers(1, uint64(a.Conn))
+	case Send:
+		d.numbers(2, uint64(a.Conn))
+		d.message(a.Message)
+	case Close:
+		d.numbers(3, uint64(a.Conn))
+	case Set:
+		d.numbers(4, uint64(a.Timer), uint64(a.After))
+	case Clear:
+		d.numbers(5, uint64(a.Timer))
+	case Up:
+		d.numbers(6, uint64(len(a.Families)))
+		for _, f := range a.Families {
+			d.numbers(uint64(f))
+		}
+		d.truth(a.EndMark)
+		d.truth(a.FourByte)
+	case Down:
+		d.numbers(7)
+	case Resend:
+		d.numbers(8, uint64(a.Family))
+	case Ignored:
+		d.numbers(9)
+		d.message(a.Update)
+	case Mode:
+		d.numbers(10)
+	default:
+		panic(fmt.Sprintf("no ordinal for %T", a))
+	}
+}
+
+func (d *actionDigest) message(m bgp.Message) {
+	p, err := bgp.Append(nil, m)
+	if err != nil {
+		panic(err)
+	}
+	d.numbers(uint64(len(p)))
+	d.sum.Write(p)
+}
+
+func (d *actionDigest) numbers(all ...uint64) {
+	for _, n := range all {
+		var b [8]byte
+		binary.BigEndian.PutUint64(b[:], n)
+		d.sum.Write(b[:])
+	}
+}
+
+func (d *actionDigest) truth(b bool) {
+	if b {
+		d.numbers(1)
+	} else {
+		d.numbers(0)
+	}
+}
+
+// How far a connection has got, as the peer sees it.
+const (
+	dialed = iota
+	connected
+	openReceived
+)
+
+// history plays one seeded sequence: a peer that mostly goes on as RFC 4271 says, and now and then anything else.
+type history struct {
+	digest      *actionDigest
+	random      *rand.Rand
+	session     *Session
+	peer        Peer
+	connections map[Conn]int
+	numbers     []Conn // of connections, in order
+	accepted    Conn   // the last number of one that the peer made
+}
+
+func (h *history) chance(p float64) bool { return h.random.Float64() < p }
+
+func (h *history) handle(e Event) {
+	for _, a := range h.session.Handle(e) {
+		h.digest.add(a)
+		switch a := a.(type) {
+		case Dial:
+			h.connections[a.Conn] = dialed
+			h.numbers = append(h.numbers, a.Conn)
+		case Close:
+			delete(h.connections, a.Conn)
+		}
+	}
+	h.digest.numbers(uint64(h.session.State()))
+	open := h.numbers[:0]
+	for _, n := range h.numbers {
+		if _, there := h.connections[n]; there {
+			open = append(open, n)
+		}
+	}
+	h.numbers = open
+}
+
+func (h *history) step() {
+	switch n := h.random.IntN(100); {
+	case n < 55 && len(h.numbers) > 0:
+		h.advance(h.numbers[h.random.IntN(len(h.numbers))])
+	case n < 60 && len(h.numbers) > 0:
+		c := h.numbers[h.random.IntN(len(h.numbers))]
+		delete(h.connections, c)
+		h.handle(Closed{Conn: c})
+	case n < 68:
+		h.accepted++
+		c := 1_000_000 + h.accepted
+		h.connections[c] = connected
+		h.numbers = append(h.numbers, c)
+		h.handle(Opened{Conn: c, Called: true})
+	case n < 92:
+		h.handle(Expired{Timer: Timer(h.random.IntN(int(timers)))})
+	case n < 94 && len(h.numbers) > 0:
+		c := h.numbers[h.random.IntN(len(h.numbers))]
+		h.handle(Broken{Conn: c, Fault: &bgp.Fault{Notification: bgp.Notification{Code: bgp.CodeHeader, Sub: bgp.NotSync,
+			Data: []byte{1, 2}}, Text: "no marker"}})
+	case n < 96:
+		h.odd()
+	case n < 97:
+		h.handle(Stop{Why: "an operator's word"})
+		h.handle(Start{})
+	default:
+		h.handle(Start{})
+	}
+}
+
+// advance lets the peer take its next step on a connection, which most often is the one that RFC 4271 expects.
+func (h *history) advance(c Conn) {
+	switch h.connections[c] {
+	case dialed:
+		if h.chance(0.3) {
+			delete(h.connections, c)
+			h.handle(Closed{Conn: c})
+			return
+		}
+		h.connections[c] = connected
+		h.handle(Opened{Conn: c})
+	case connected:
+		h.connections[c] = openReceived
+		if h.chance(0.05) {
+			h.handle(Came{Conn: c, Message: h.message()})
+			return
+		}
+		h.handle(Came{Conn: c, Message: h.openMessage()})
+	default:
+		if h.session.State() == OpenConfirm && h.chance(0.9) {
+			h.handle(Came{Conn: c, Message: &bgp.Keepalive{}})
+			return
+		}
+		h.handle(Came{Conn: c, Message: h.message()})
+	}
+}
+
+func (h *history) openMessage() *bgp.Open {
+	o := &bgp.Open{AS: h.peer.PeerAS, Hold: []uint16{0, 3, 30, 180}[h.random.IntN(4)], ID: [4]byte{10, 0, 0, byte(6 + h.random.IntN(9))},
+		Families: []bgp.Family{bgp.IPv4, bgp.IPv6}, FourByte: true, Refresh: h.chance(0.5)}
+	if h.chance(0.5) {
+		o.Restart = &bgp.Restart{Restarted: h.chance(0.5), Time: 60, Kept: map[bgp.Family]bool{bgp.IPv4: true}}
+	}
+	switch h.random.IntN(20) {
+	case 0:
+		o.AS++
+	case 1:
+		o.ID = h.peer.ID
+	case 2:
+		o.FourByte = false
+	case 3:
+		o.Families = nil
+	case 4:
+		o.Families = o.Families[1:]
+	}
+	return o
+}
+
+func (h *history) message() bgp.Message {
+	switch h.random.IntN(12) {
+	case 0, 1, 2, 3:
+		return &bgp.Keepalive{}
+	case 4, 5:
+		return &bgp.Refresh{Family: bgp.Family(1 + h.random.IntN(3))}
+	case 6, 7, 8:
+		return &bgp.Update{Withdrawn: []netip.Prefix{netip.MustParsePrefix("192.0.2.0/24")}}
+	case 9:
+		return bgp.ShutdownWith("maintenance")
+	case 10:
+		return &bgp.Notification{Code: bgp.CodeHold}
+	}
+	return h.openMessage()
+}
+
+// odd events concern connections that are none.
+func (h *history) odd() {
+	switch h.random.IntN(4) {
+	case 0:
+		h.handle(Came{Conn: 77, Message: &bgp.Keepalive{}})
+	case 1:
+		h.handle(Closed{Conn: 78})
+	case 2:
+		h.handle(Opened{Conn: 79})
+	case 3:
+		h.handle(Broken{Conn: 80, Fault: &bgp.Fault{}})
+	}
+}
