--- /dev/null
+++ b/internal/jobs/golden_test.go
@@ -0,0 +1,271 @@
+package jobs
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"io"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"glenport/internal/catalog"
+	"glenport/internal/disk"
+	"glenport/internal/keeper"
+	"glenport/internal/site"
+	"glenport/internal/store"
+	"glenport/placer"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+var update = flag.Bool("update", false, "write the golden state folder anew")
+
+const (
+	goldenFolder  = "testdata/state"
+	goldenWords   = "testdata/state.txt"
+	goldenJSON    = "testdata/objects.txt"
+	goldenCeiling = 5_000_000
+	goldenDoor    = "127.0.0.1:7001"
+)
+
+// Records of the golden folder, every field set in one of them.
+var (
+	goldenJob = KeptJob{Job: Job{ID: "reports", Labels: map[string]string{"team": "north"}, Service: "report", Workload: "report-run",
+		Customer: "schools", Cores: 1.5, MemoryGiB: 2.25, RunForMS: 60_000, Once: true, Count: 3, Version: 41},
+		Made: "key-1", Request: []byte{0xde, 0xad, 0xbe, 0xef}}
+	goldenPlainJob = KeptJob{Job: Job{ID: "plain", Service: "web", Workload: "matcher", Cores: 0.5, MemoryGiB: 1, Version: 42}}
+
+	goldenSpec = keeper.Spec{Service: "report", Workload: 1, Customer: 2, Cores: 1.5, Memory: 2.25, RunFor: 600_000, Once: true}
+
+	goldenContainer = KeptContainer{Door: goldenDoor, Container: keeper.Container{Job: "reports", Index: 2, State: keeper.Running,
+		Leaving: true, Machine: "m17", Door: 1, Pinned: true, Since: 17_000_000_000_001, Until: 17_000_000_000_002, Tries: 3,
+		Starts: 4, Last: "runs", Held: true, Key: "reports/2/31", Ask: "reports/2#32", Again: true, Replaced: true, With: goldenSpec}}
+	goldenPlainContainer = KeptContainer{Container: keeper.Container{Job: "plain", Door: -1, Last: "not asked for yet",
+		Key: "plain/0/30"}}
+
+	goldenStray = KeptStray{Door: goldenDoor, Key: "reports/1/29"}
+)
+
+type goldenRecord struct {
+	kind, key string
+	value     any
+}
+
+func goldenRecords() []goldenRecord {
+	records := []goldenRecord{
+		{JobKind, "reports", &goldenJob},
+		{JobKind, "plain", &goldenPlainJob},
+		{ContainerKind, "reports.2", goldenContainer},
+		{ContainerKind, "plain.0", goldenPlainContainer},
+		{StrayKind, goldenDoor + " reports/1/29", goldenStray},
+	}
+	// one container in each other state
+	for state := keeper.Waiting; state <= keeper.Done; state++ {
+		c := goldenPlainContainer
+		c.Container.Job, c.Container.Index, c.Container.State = "states", int(state), state
+		records = append(records, goldenRecord{ContainerKind, containerID("states", int(state)), c})
+	}
+	return records
+}
+
+func goldenPlace(folder string) Place {
+	return Place{Name: "controller", Doors: []string{"127.0.0.1:7000", goldenDoor}, Seed: 1, State: folder,
+		Site: &site.Placer{Workloads: []string{"matcher", "report-run"}, Customers: []string{"offices", "farms", "schools"},
+			Terms: placer.Terms{Workloads: []placer.Workload{{}, {}}}}}
+}
+
+// openGolden brings up a host on a folder, without serving; closed stops it.
+func openGolden(t *testing.T, folder string) (h *Host, closed func()) {
+	t.Helper()
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	h, err := New(goldenPlace(folder), catalog.New(func(*catalog.Object) []byte { return nil }), log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return h, func() {
+		h.Stop()
+		h.place.Doors, h.doors = nil, nil // nobody is called
+		if err := h.Run(); err != nil {
+			t.Error(err)
+		}
+	}
+}
+
+// writeGolden writes the golden folder by the path on which a running controller stores.
+func writeGolden(t *testing.T) {
+	t.Helper()
+	if err := os.RemoveAll(goldenFolder); err != nil {
+		t.Fatal(err)
+	}
+	h, closed := openGolden(t, goldenFolder)
+	changes := []store.Change{store.Put(CeilingKind, ceilingKey, goldenCeiling)}
+	for _, r := range goldenRecords() {
+		changes = append(changes, store.Put(r.kind, r.key, r.value))
+	}
+	if err := h.promises.log.Keep(changes...); err != nil {
+		t.Fatal(err)
+	}
+	closed()
+	if err := os.Remove(filepath.Join(goldenFolder, "lock")); err != nil {
+		t.Fatal(err)
+	}
+	var words strings.Builder
+	words.WriteString("# The records of the state folder beside: kind and key, what they hold in CBOR diagnostic notation.\n")
+	for _, kind := range h.promises.log.State().Kinds() {
+		if err := h.promises.log.State().Each(kind, func(key string, value []byte) error {
+			text, err := cbor.Diagnose(value)
+			fmt.Fprintf(&words, "%s %q %s\n", kind, key, text)
+			return err
+		}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := os.WriteFile(goldenWords, []byte(words.String()), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// TestStoredRecordsKeepTheirBytes reads each record of the golden folder, compares every field, and encodes it again.
+func TestStoredRecordsKeepTheirBytes(t *testing.T) {
+	if *update {
+		writeGolden(t)
+	}
+	folder, err := disk.Look(goldenFolder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	state, err := store.Read(folder, false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	raw := map[string][]byte{}
+	for _, kind := range state.Kinds() {
+		if err := state.Each(kind, func(key string, value []byte) error {
+			raw[kind+" "+key] = bytes.Clone(value)
+			return nil
+		}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	records := append(goldenRecords(), goldenRecord{CeilingKind, ceilingKey, int64(goldenCeiling)})
+	if len(raw) != len(records) {
+		t.Errorf("%d records in %s, want %d", len(raw), goldenFolder, len(records))
+	}
+	for _, r := range records {
+		t.Run(r.kind+" "+r.key, func(t *testing.T) {
+			stored := raw[r.kind+" "+r.key]
+			want := reflect.Indirect(reflect.ValueOf(r.value))
+			got := reflect.New(want.Type())
+			if err := cbor.Unmarshal(stored, got.Interface()); err != nil {
+				t.Fatal(err)
+			}
+			if !reflect.DeepEqual(got.Elem().Interface(), want.Interface()) {
+				t.Errorf("read %+v, want %+v", got.Elem(), want)
+			}
+			if again := store.Put(r.kind, r.key, r.value).Value; !bytes.Equal(again, stored) {
+				t.Errorf("encoded %x, stored %x", again, stored)
+			}
+		})
+	}
+}
+
+// TestControllerRestoresGoldenFolder brings up a controller on a copy of the golden folder, as at a restart.
+func TestControllerRestoresGoldenFolder(t *testing.T) {
+	folder := t.TempDir()
+	if err := os.CopyFS(folder, os.DirFS(goldenFolder)); err != nil {
+		t.Fatal(err)
+	}
+	h, closed := openGolden(t, folder)
+	defer closed()
+	if got := h.promises.ceiling; got != goldenCeiling+ceilingSteps {
+		t.Errorf("ceiling %d, want %d", got, goldenCeiling+ceilingSteps)
+	}
+	if got := h.Catalog.Taken(); got != goldenCeiling {
+		t.Errorf("versions begin after %d, want %d", got, goldenCeiling)
+	}
+	if want := map[string]KeptJob{"reports": goldenJob, "plain": goldenPlainJob}; !reflect.DeepEqual(h.promises.made, want) {
+		t.Errorf("jobs %+v, want %+v", h.promises.made, want)
+	}
+	for id, want := range map[string]Job{"reports": goldenJob.Job, "plain": goldenPlainJob.Job} {
+		o := h.Catalog.Get(Jobs, id)
+		if o == nil || o.Version != want.Version || !reflect.DeepEqual(o.Value, want) {
+			t.Errorf("%s: %+v, want %+v", id, o, want)
+		}
+	}
+	if len(h.events) != 1 {
+		t.Fatalf("%d events, want one", len(h.events))
+	}
+	restored, ok := h.events[0].(keeper.Restored)
+	if !ok {
+		t.Fatalf("%T, want what was restored", h.events[0])
+	}
+	plainSpec := keeper.Spec{Service: "web", Customer: 3, Cores: 0.5, Memory: 1}
+	wantJobs := []keeper.Set{{Job: "plain", Spec: plainSpec}, {Job: "reports", Count: 3, Spec: goldenSpec}}
+	if !reflect.DeepEqual(restored.Jobs, wantJobs) {
+		t.Errorf("jobs %+v, want %+v", restored.Jobs, wantJobs)
+	}
+	var wantContainers []keeper.Container
+	for _, r := range goldenRecords() {
+		if c, ok := r.value.(KeptContainer); ok {
+			wantContainers = append(wantContainers, c.Container)
+		}
+	}
+	byID := map[string]keeper.Container{}
+	for _, c := range restored.Containers {
+		byID[containerID(c.Job, c.Index)] = c
+	}
+	if len(restored.Containers) != len(wantContainers) {
+		t.Errorf("%d containers, want %d", len(restored.Containers), len(wantContainers))
+	}
+	for _, want := range wantContainers {
+		if got := byID[containerID(want.Job, want.Index)]; !reflect.DeepEqual(got, want) {
+			t.Errorf("container %+v, want %+v", got, want)
+		}
+	}
+	if want := []keeper.Stray{{Door: 1, Key: "reports/1/29"}}; !reflect.DeepEqual(restored.Strays, want) {
+		t.Errorf("strays %+v, want %+v", restored.Strays, want)
+	}
+}
+
+// TestObjectsMatchGoldenJSON holds what the API shows of each kind, full and empty, against testdata/objects.txt, and reads it back.
+func TestObjectsMatchGoldenJSON(t *testing.T) {
+	objects := []any{
+		goldenJob.Job, Job{},
+		Container{ID: "reports.2", Job: "reports", Index: 2, State: "running", Leaving: true, Machine: "m17", Placer: "p1", SinceMS: 5,
+			UntilMS: 6, Tries: 7, Starts: 8, Last: "runs", Version: 9}, Container{},
+		Machine{ID: "m17", Hall: 2, Kind: "large", State: "serving", FreeCores: 1.5, FreeMemoryGiB: 2.5, Incarnation: 1 << 60, Version: 3},
+		Machine{},
+	}
+	var got strings.Builder
+	for _, o := range objects {
+		line, err := json.Marshal(o)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got.Write(append(line, '\n'))
+		back := reflect.New(reflect.TypeOf(o))
+		if err := json.Unmarshal(line, back.Interface()); err != nil || !reflect.DeepEqual(back.Elem().Interface(), o) {
+			t.Errorf("%s read as %+v, %v", line, back.Elem(), err)
+		}
+	}
+	for state := keeper.Waiting; state <= keeper.Done; state++ {
+		fmt.Fprintf(&got, "state %d %s\n", state, state)
+	}
+	if *update {
+		if err := os.WriteFile(goldenJSON, []byte(got.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(goldenJSON)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got.String() != string(want) {
+		t.Errorf("got\n%swant\n%s", got.String(), want)
+	}
+}
