--- /dev/null
+++ b/internal/api/golden_test.go
@@ -0,0 +1,148 @@
+package api
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"flag"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"glenport/internal/catalog"
+	"glenport/internal/jobs"
+	"glenport/internal/site"
+	"glenport/internal/waiting"
+)
+
+var update = flag.Bool("update", false, "write the golden answers anew")
+
+// TestAnswersMatchGoldenBytes holds what clients are sent, byte for byte, against testdata: lists, objects, watch events and
+// problems, from a controller that holds fixed objects and serves nothing else.
+func TestAnswersMatchGoldenBytes(t *testing.T) {
+	h, err := jobs.New(jobs.Place{Name: "controller", Seed: 1, Site: &site.Placer{Workloads: []string{"matcher"}}}, catalog.New(Line), quiet)
+	if err != nil {
+		t.Fatal(err)
+	}
+	serve(t, h.Run, h.Stop)
+	fill(h.Catalog)
+	handler := New(h)
+	var got strings.Builder
+	for _, path := range []string{"/v1/jobs", "/v1/jobs?limit=1", "/v1/jobs?label=team%3Dnorth", "/v1/jobs?field=workload!%3Dmatcher",
+		"/v1/jobs/reports", "/v1/jobs/none", "/v1/jobs/reports/why", "/v1/jobs/none/why", "/v1/containers", "/v1/containers/reports.2",
+		"/v1/containers?field=state%3Drunning", "/v1/containers/none/why", "/v1/machines", "/v1/machines/m17", "/v1/jobs?limit=x",
+		"/v1/jobs?field=color%3Dred", "/v1/jobs?label=x", "/v1/watch?kinds=x", "/v1/watch?from=x", "/v1/watch?from=99", "/v1/none"} {
+		w := httptest.NewRecorder()
+		handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, nil))
+		record(&got, "GET "+path, w)
+	}
+	for _, q := range []struct{ method, path, body string }{
+		{"POST", "/v1/jobs", `{"id":"X"}`}, {"POST", "/v1/jobs", `{"id":"x","color":1}`}, {"POST", "/v1/jobs", `{"id":1}`},
+		{"POST", "/v1/jobs", `{"id":"x"} {}`}, {"POST", "/v1/jobs", `{`}, {"PUT", "/v1/jobs/none", `{"id":"none"}`},
+		{"PUT", "/v1/jobs/a", `{"id":"b"}`}, {"DELETE", "/v1/jobs/none", ""}, {"POST", "/v1/jobs", strings.Repeat(" ", 70_000)},
+	} {
+		w := httptest.NewRecorder()
+		handler.ServeHTTP(w, httptest.NewRequest(q.method, q.path, strings.NewReader(q.body)))
+		record(&got, fmt.Sprintf("%s %s %.30s", q.method, q.path, strings.TrimSpace(q.body)), w)
+	}
+	for _, err := range []error{&jobs.NotKept{Why: errors.New("no space")}, jobs.ErrStopped, jobs.ErrUnknown, catalog.ErrGone,
+		&jobs.Conflict{ID: "reports", Version: 41, Text: "it exists already"}, &jobs.Invalid{Field: "cores", Text: "-1 is not above 0"}} {
+		w := httptest.NewRecorder()
+		fail(w, err)
+		record(&got, "error", w)
+	}
+	for _, o := range []any{
+		Why{Container: "reports.0", State: "waiting", Reasons: []Reason{{}, {Reason: waiting.Reason{Code: waiting.NoRoom, Text: "No room.",
+			Figures: map[string]float64{"machines": 3, "full": 2.5}, Until: 70}, UntilMS: 7}}}} {
+		line, err := json.Marshal(o)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&got, "why\n%s\n", line)
+	}
+	got.WriteString(watched(t, handler))
+	compareGolden(t, got.String())
+}
+
+func compareGolden(t *testing.T, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "answers.txt")
+	if *update {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s: got\n%swant\n%s", path, got, want)
+	}
+}
+
+func fill(c *catalog.Catalog) {
+	c.Put(jobs.Jobs, "plain", jobs.Job{ID: "plain", Service: "web", Workload: "matcher", Cores: 0.5, MemoryGiB: 1, Count: 1})
+	c.Put(jobs.Jobs, "reports", jobs.Job{ID: "reports", Labels: map[string]string{"team": "north", "tier": "2"}, Service: "report",
+		Workload: "report-run", Customer: "schools", Cores: 1.5, MemoryGiB: 2.25, RunForMS: 60_000, Once: true, Count: 3})
+	c.Put(jobs.Containers, "reports.2", jobs.Container{ID: "reports.2", Job: "reports", Index: 2, State: "running", Leaving: true,
+		Machine: "m17", Placer: "p1", SinceMS: 5, UntilMS: 6, Tries: 7, Starts: 8, Last: "runs"})
+	c.Put(jobs.Containers, "plain.0", jobs.Container{ID: "plain.0", Job: "plain", State: "done", Last: "finished"})
+	c.Put(jobs.Machines, "m17", jobs.Machine{ID: "m17", Hall: 2, Kind: "large", State: "serving", FreeCores: 1.5, FreeMemoryGiB: 2.5,
+		Incarnation: 1 << 60})
+	c.Put(jobs.Machines, "m18", jobs.Machine{ID: "m18"})
+	c.Delete(jobs.Machines, "m18")
+}
+
+func record(got *strings.Builder, what string, w *httptest.ResponseRecorder) {
+	fmt.Fprintf(got, "%s\n%d %s", what, w.Code, w.Header().Get("Content-Type"))
+	for _, name := range []string{"ETag", "Retry-After"} {
+		if v := w.Header().Get(name); v != "" {
+			fmt.Fprintf(got, " %s: %s", name, v)
+		}
+	}
+	fmt.Fprintf(got, "\n%s", w.Body)
+}
+
+// watched are the lines of a watch from the beginning, up to the first bookmark.
+func watched(t *testing.T, handler http.Handler) string {
+	t.Helper()
+	server := httptest.NewServer(handler)
+	defer server.Close()
+	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	defer cancel()
+	q, err := http.NewRequestWithContext(ctx, http.MethodGet, server.URL+"/v1/watch?from=0", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r, err := http.DefaultClient.Do(q)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() {
+		cancel()
+		if err := r.Body.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
+	got := "watch " + r.Header.Get("Content-Type") + "\n"
+	lines := bufio.NewScanner(r.Body)
+	for lines.Scan() {
+		got += lines.Text() + "\n"
+		if strings.Contains(lines.Text(), `"bookmark"`) {
+			return got
+		}
+	}
+	t.Fatalf("the watch ended: %v", lines.Err())
+	return ""
+}
