--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -48,17 +48,17 @@
 
 // Job is what an owner wants.
 type Job struct {
-	ID        string            `json:"id"`
-	Labels    map[string]string `json:"labels,omitempty"`
-	Service   string            `json:"service"`
-	Workload  string            `json:"workload"`
-	Customer  string            `json:"customer,omitempty"`
-	Cores     float64           `json:"cores"`
-	MemoryGiB float64           `json:"memory_gib"`
-	RunForMS  int64             `json:"run_for_ms,omitempty"`
-	Once      bool              `json:"once,omitempty"`
-	Count     int               `json:"count"`
-	Version   int64             `json:"version"`
+	ID        string            `json:"id" cbor:"id"`
+	Labels    map[string]string `json:"labels,omitempty" cbor:"labels,omitempty"`
+	Service   string            `json:"service" cbor:"service"`
+	Workload  string            `json:"workload" cbor:"workload"`
+	Customer  string            `json:"customer,omitempty" cbor:"customer,omitempty"`
+	Cores     float64           `json:"cores" cbor:"cores"`
+	MemoryGiB float64           `json:"memory_gib" cbor:"memory_gib"`
+	RunForMS  int64             `json:"run_for_ms,omitempty" cbor:"run_for_ms,omitempty"`
+	Once      bool              `json:"once,omitempty" cbor:"once,omitempty"`
+	Count     int               `json:"count" cbor:"count"`
+	Version   int64             `json:"version" cbor:"version"`
 }
 
 // Container is one that a job wants.
--- a/internal/jobs/kept.go
+++ b/internal/jobs/kept.go
@@ -13,36 +13,12 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Kinds of what a keeper's log holds.
-const (
-	JobKind       = "job"       // by id, with its version
-	ContainerKind = "container" // by id, as the keeper last had it
-	StrayKind     = "stray"     // by door and key: what may run at a placer that was lost
-	CeilingKind   = "ceiling"   // a version that no life has given out, and the next begins with
-)
-
 const (
 	ceilingKey   = "version"
 	ceilingSteps = 1_000_000 // versions between two ceilings; the next is written when half are used
 	keepAgain    = loop.Second
 )
 
-// KeptJob is a job as the log has it.
-type KeptJob struct {
-	Job     Job
-	Made    string // the key with which it was made, and a digest of that request: a repeat gets the same answer
-	Request []byte
-}
-
-// KeptContainer is a container as the log has it.
-type KeptContainer struct {
-	Container keeper.Container
-	Door      string // the address of the placer that was asked
-}
-
-// KeptStray is a stray as the log has it.
-type KeptStray struct{ Door, Key string }
-
 // NotKept says that something could not be put on disk, and so was not done.
 type NotKept struct{ Why error }
 
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -40,15 +40,15 @@
 	Workloads []Workload
 }
 
-// Spec is what one container of a job is.
+// Spec is what one container of a job is. It is stored under the names in the tags.
 type Spec struct {
-	Service  string
-	Workload int
-	Customer int
-	Cores    float64
-	Memory   float64
-	RunFor   placer.Time // 0: until it is stopped
-	Once     bool        // what finished is not started again
+	Service  string      `cbor:"Service"`
+	Workload int         `cbor:"Workload"`
+	Customer int         `cbor:"Customer"`
+	Cores    float64     `cbor:"Cores"`
+	Memory   float64     `cbor:"Memory"`
+	RunFor   placer.Time `cbor:"RunFor"` // 0: until it is stopped
+	Once     bool        `cbor:"Once"`   // what finished is not started again
 }
 
 // State of a container that a job wants.
@@ -67,28 +67,28 @@
 	return [...]string{"waiting", "asking", "running", "guarded", "unwatched", "done"}[s]
 }
 
-// Container is a view of one that a job wants.
+// Container is a view of one that a job wants. It is stored under the names in the tags.
 type Container struct {
-	Job     string
-	Index   int
-	State   State
-	Leaving bool
-	Machine string
-	Door    int // it was asked for there last; -1: nowhere yet
-	Pinned  bool
-	Since   placer.Time // of this state
-	Until   placer.Time // when something is due; 0: nothing is
-	Tries   int         // since it last ran
-	Starts  int
-	Last    string // the last answer or fate, in words
-	Held    bool   // the last answer was no push-back but a placer's word that it cannot be sure
+	Job     string      `cbor:"Job"`
+	Index   int         `cbor:"Index"`
+	State   State       `cbor:"State"`
+	Leaving bool        `cbor:"Leaving"`
+	Machine string      `cbor:"Machine"`
+	Door    int         `cbor:"Door"` // it was asked for there last; -1: nowhere yet
+	Pinned  bool        `cbor:"Pinned"`
+	Since   placer.Time `cbor:"Since"` // of this state
+	Until   placer.Time `cbor:"Until"` // when something is due; 0: nothing is
+	Tries   int         `cbor:"Tries"` // since it last ran
+	Starts  int         `cbor:"Starts"`
+	Last    string      `cbor:"Last"` // the last answer or fate, in words
+	Held    bool        `cbor:"Held"` // the last answer was no push-back but a placer's word that it cannot be sure
 
 	// What another life of the keeper needs beside.
-	Key      string
-	Ask      string // the last one
-	Again    bool   // it was asked for under this key
-	Replaced bool   // it was cancelled for a newer spec
-	With     Spec   // that it was asked for with
+	Key      string `cbor:"Key"`
+	Ask      string `cbor:"Ask"`      // the last one
+	Again    bool   `cbor:"Again"`    // it was asked for under this key
+	Replaced bool   `cbor:"Replaced"` // it was cancelled for a newer spec
+	With     Spec   `cbor:"With"`     // that it was asked for with
 }
 
 // Event is something that happened.
