--- a/internal/bgp/golden_test.go
+++ b/internal/bgp/golden_test.go
@@ -1,6 +1,7 @@
 package bgp
 
 import (
+	"bytes"
 	"crypto/sha256"
 	"encoding/binary"
 	"encoding/hex"
@@ -57,6 +58,9 @@
 		{"notification-shutdown",
 			"Notification 6/2, administrative shutdown, with the text maintenance",
 			ShutdownWith("maintenance")},
+		{"notification-long",
+			"Notification 6/2 with a text of 128 bytes, cut from 130",
+			ShutdownWith(strings.Repeat("x", 130))},
 		{"keepalive",
 			"Keepalive",
 			&Keepalive{}},
@@ -122,11 +126,16 @@
 // or of the notification that answers it, with that in testdata. The texts of faults are left out.
 func TestDecodingMatchesGoldenDigests(t *testing.T) {
 	var got strings.Builder
-	for seed, g := range goldenMessages() {
+	inputs := goldenMessages()
+	for seed := range len(inputs) + 1 {
 		random := rand.New(rand.NewPCG(uint64(seed), 37))
-		whole, err := Append(nil, g.message)
-		if err != nil {
-			t.Fatal(err)
+		name, whole := "update-two-next-hops", updateWithTwoNextHops()
+		if seed < len(inputs) {
+			name = inputs[seed].name
+			var err error
+			if whole, err = Append(nil, inputs[seed].message); err != nil {
+				t.Fatal(err)
+			}
 		}
 		sum, decoded, faults := sha256.New(), 0, 0
 		for range 4000 {
@@ -144,7 +153,7 @@
 			foldNumbers(sum, 99, uint64(f.Code), uint64(f.Sub), uint64(len(f.Data)))
 			sum.Write(f.Data)
 		}
-		fmt.Fprintf(&got, "%s: %d decoded, %d faults, sha256 %x\n", g.name, decoded, faults, sum.Sum(nil))
+		fmt.Fprintf(&got, "%s: %d decoded, %d faults, sha256 %x\n", name, decoded, faults, sum.Sum(nil))
 	}
 	got.WriteString(packedDigest(t))
 	path := filepath.Join("testdata", "decoding.txt")
@@ -163,6 +172,16 @@
 	}
 }
 
+// updateWithTwoNextHops announces 2001:db8:2::/48 with a global and a link-local next hop, as some routers do (RFC 2545).
+func updateWithTwoNextHops() []byte {
+	global, local := netip.MustParseAddr("2001:db8::1").As16(), netip.MustParseAddr("fe80::1").As16()
+	reach := append([]byte{0, byte(IPv6), 1, 32}, append(global[:], local[:]...)...)
+	reach = append(reach, 0, 48, 0x20, 1, 0xd, 0xb8, 0, 2)
+	attributes := append([]byte{0x40, attrOrigin, 1, 0, 0x40, attrPath, 0, 0x80, attrReach, byte(len(reach))}, reach...)
+	p := append(bytes.Repeat([]byte{0xFF}, 16), 0, 0, typeUpdate, 0, 0, 0, byte(len(attributes)))
+	return append(p, attributes...)
+}
+
 // damaged changes up to three bytes behind the marker, most often with the length kept right.
 func damaged(random *rand.Rand, whole []byte) []byte {
 	p := append([]byte(nil), whole...)
