--- a/internal/keeper/golden_test.go
+++ b/internal/keeper/golden_test.go
@@ -72,7 +72,7 @@
 }
 
 func (d *actionDigest) add(now placer.Time, a Action) {
-	ordinal := 0
+	var ordinal uint64
 	switch a.(type) {
 	case Submit:
 		ordinal = 1
@@ -95,7 +95,7 @@
 	}
 	d.actions++
 	d.number(uint64(now))
-	d.number(uint64(ordinal))
+	d.number(ordinal)
 	d.value(reflect.ValueOf(a))
 }
 
--- a/internal/waiting/golden_test.go
+++ b/internal/waiting/golden_test.go
@@ -34,9 +34,9 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				fmt.Fprintf(sum, "%s %d\n", line, r.Until)
+				sum.Write(fmt.Appendf(nil, "%s %d\n", line, r.Until))
 			}
-			fmt.Fprintln(sum)
+			sum.Write([]byte{'\n'})
 		}
 		fmt.Fprintf(&got, "group %d: %d reasons, sha256 %x\n", group, reasons, sum.Sum(nil))
 	}
