--- a/internal/speaker/speaker.go
+++ b/internal/speaker/speaker.go
@@ -58,10 +58,10 @@
 	terms   Peer
 	session *session.Session
 	allow   bart.Lite
-	conns   map[session.Conn]*wire
+	conns   map[session.Conn]*peerConn
 	timers  map[session.Timer]*loop.Timer
 	up      *session.Up
-	conn    *wire
+	conn    *peerConn
 	due     map[netip.Prefix]*announce.Path // changes to be told; nil: a withdrawal. Emptied as they are written
 	sent    map[netip.Prefix]bool           // what the peer was told
 	ending  bool                            // the ends of routes are to be marked
@@ -71,8 +71,8 @@
 	Why                   string
 }
 
-// wire is one connection of a peer.
-type wire struct {
+// peerConn is one connection of a peer.
+type peerConn struct {
 	p      *peer
 	number session.Conn
 	called bool
@@ -85,7 +85,7 @@
 func New(l *loop.Loop, place Place, log *slog.Logger) *Speaker {
 	s := &Speaker{place: place, log: log, loop: l, announce: announce.New(), lastCall: calledFrom}
 	for _, t := range place.Peers {
-		p := &peer{s: s, terms: t, conns: map[session.Conn]*wire{}, timers: map[session.Timer]*loop.Timer{},
+		p := &peer{s: s, terms: t, conns: map[session.Conn]*peerConn{}, timers: map[session.Timer]*loop.Timer{},
 			due: map[netip.Prefix]*announce.Path{}, sent: map[netip.Prefix]bool{}}
 		for _, a := range t.Allow {
 			p.allow.Insert(a)
@@ -104,7 +104,7 @@
 func (s *Speaker) Start() error {
 	if s.place.Listen != "" {
 		var err error
-		if s.listener, err = s.loop.Listen(s.place.Listen, func() (loop.Handler, int) { return &wire{called: true, p: &peer{s: s}}, output },
+		if s.listener, err = s.loop.Listen(s.place.Listen, func() (loop.Handler, int) { return &peerConn{called: true, p: &peer{s: s}}, output },
 			s.loop.Telling(s.log, "BGP callers")); err != nil {
 			return err
 		}
@@ -311,7 +311,7 @@
 	}
 }
 
-func (w *wire) write(m bgp.Message) {
+func (w *peerConn) write(m bgp.Message) {
 	b, err := bgp.Append(nil, m)
 	if err != nil {
 		w.p.s.log.Error("message not sent", "peer", w.p.terms.Addr, "why", err)
@@ -331,7 +331,7 @@
 	for _, a := range p.session.Handle(e) {
 		switch a := a.(type) {
 		case session.Dial:
-			w := &wire{p: p, number: a.Conn}
+			w := &peerConn{p: p, number: a.Conn}
 			p.conns[a.Conn] = w
 			w.conn = p.s.loop.DialWith(p.terms.Addr, w, output, dialWithin, p.sign)
 		case session.Send:
@@ -407,7 +407,7 @@
 
 // Opened hands a connection that a peer made to the session of its address and, where several have it, the first
 // that waits for one.
-func (w *wire) Opened(c *loop.Conn) {
+func (w *peerConn) Opened(c *loop.Conn) {
 	w.conn = c
 	if !w.called {
 		w.p.handle(session.Opened{Conn: w.number})
@@ -430,7 +430,7 @@
 	c.Close()
 }
 
-func (w *wire) Read(_ *loop.Conn, b []byte) {
+func (w *peerConn) Read(_ *loop.Conn, b []byte) {
 	if w.gone {
 		return
 	}
@@ -454,7 +454,7 @@
 	}
 }
 
-func (w *wire) Closed(_ *loop.Conn, _ error) {
+func (w *peerConn) Closed(_ *loop.Conn, _ error) {
 	if w.gone || w.number == 0 {
 		return
 	}
