--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -8,7 +8,7 @@
 	"os"
 
 	"glenport/internal/wire"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 func main() {
@@ -21,13 +21,13 @@
 // turn is one instance's part of a frame.
 type turn struct {
 	instance int
-	placer   *placer.Placer
-	events   []placer.Event
+	placer   *scheduler.Placer
+	events   []scheduler.Event
 }
 
 func run(in io.Reader, out io.Writer) error {
 	dec := wire.NewDecoder(in)
-	placers := map[int]*placer.Placer{} // a stopped instance is taken out
+	placers := map[int]*scheduler.Placer{} // a stopped instance is taken out
 	var reply bytes.Buffer
 	for {
 		frame, err := dec.Next()
@@ -56,7 +56,7 @@
 
 // sortOut gathers the events of a frame by instance, in the order in which instances first appear.
 // What an instance was told before it was stopped is dropped with it.
-func sortOut(frame *wire.Frame, placers map[int]*placer.Placer) ([]*turn, error) {
+func sortOut(frame *wire.Frame, placers map[int]*scheduler.Placer) ([]*turn, error) {
 	var turns []*turn
 	at := map[int]*turn{}
 	for _, d := range frame.Deliveries {
@@ -68,7 +68,7 @@
 		}
 		switch {
 		case d.Start != nil:
-			placers[d.Instance] = placer.New(*d.Start)
+			placers[d.Instance] = scheduler.New(*d.Start)
 			t.placer, t.events = placers[d.Instance], nil
 		case t.placer == nil:
 			return nil, fmt.Errorf("line %d: instance %d is not known", d.Line, d.Instance)
@@ -82,7 +82,7 @@
 	return turns, nil
 }
 
-func decide(reply *bytes.Buffer, now placer.Time, t *turn) {
+func decide(reply *bytes.Buffer, now scheduler.Time, t *turn) {
 	defer func() {
 		if r := recover(); r != nil {
 			wire.AppendFault(reply, t.instance, fmt.Sprint(r))
--- a/cmd/glenport-lab/main.go
+++ b/cmd/glenport-lab/main.go
@@ -18,7 +18,7 @@
 	"glenport/internal/sabotage"
 	"glenport/internal/site"
 	"glenport/internal/speaker"
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"github.com/spf13/cobra"
 )
@@ -157,7 +157,7 @@
 			return err
 		}
 		s.Damped = s.Damped || damped
-		var d host.Decider = placer.New(s.Terms)
+		var d host.Decider = scheduler.New(s.Terms)
 		if rule > 0 {
 			if d, err = sabotage.New(rule, s.Terms, d); err != nil {
 				return err
--- a/cmd/glenport/main.go
+++ b/cmd/glenport/main.go
@@ -14,7 +14,7 @@
 	"glenport/internal/host"
 	"glenport/internal/metrics"
 	"glenport/internal/site"
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"github.com/spf13/cobra"
 )
@@ -51,7 +51,7 @@
 			if err != nil {
 				return err
 			}
-			h, err := host.New(s, placer.New(s.Terms), log)
+			h, err := host.New(s, scheduler.New(s.Terms), log)
 			if err != nil {
 				return err
 			}
--- a/cmd/glenport/platform.go
+++ b/cmd/glenport/platform.go
@@ -10,7 +10,7 @@
 	"syscall"
 
 	"glenport/internal/platform"
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"github.com/spf13/cobra"
 )
@@ -42,7 +42,7 @@
 			leave, renew := make(chan os.Signal, 1), make(chan os.Signal, 1) // of each sort the last one waits
 			signal.Notify(leave, syscall.SIGINT, syscall.SIGTERM)
 			signal.Notify(renew, syscall.SIGHUP)
-			p, err := platform.New(d, placer.New(d.Terms), log, trace)
+			p, err := platform.New(d, scheduler.New(d.Terms), log, trace)
 			if err != nil {
 				return err
 			}
--- a/cmd/glenport/state.go
+++ b/cmd/glenport/state.go
@@ -11,7 +11,7 @@
 	"glenport/internal/disk"
 	"glenport/internal/host"
 	"glenport/internal/store"
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
 	"github.com/spf13/cobra"
@@ -126,7 +126,7 @@
 	}
 	if k := l.knowledge; k != nil {
 		known := *k
-		known.Learned.Traits = append([]placer.Trait(nil), known.Learned.Traits...)
+		known.Learned.Traits = append([]scheduler.Trait(nil), known.Learned.Traits...)
 		for i := range known.Learned.Traits { // JSON has no word for infinity: the highest number stands for it
 			known.Learned.Traits[i].Bar = min(known.Learned.Traits[i].Bar, 1e308)
 		}
--- a/internal/announce/announce.go
+++ b/internal/announce/announce.go
@@ -10,17 +10,17 @@
 	"net/netip"
 	"sort"
 
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // Tuned values. Those of the damping are the recommendations of RFC 7196, section 4, with its high threshold.
 const (
-	pace         = placer.Second     // at least between two updates of one address
-	lastWithin   = 2 * placer.Second // a withdrawal for the last container is out within this
-	flapPenalty  = 1000.0            // for each withdrawal
-	suppressAt   = 6000.0            // an address is no longer announced from here
-	reuseBelow   = 750.0             // and again from here
-	halfLife     = 15 * 60 * placer.Second
+	pace         = scheduler.Second     // at least between two updates of one address
+	lastWithin   = 2 * scheduler.Second // a withdrawal for the last container is out within this
+	flapPenalty  = 1000.0               // for each withdrawal
+	suppressAt   = 6000.0               // an address is no longer announced from here
+	reuseBelow   = 750.0                // and again from here
+	halfLife     = 15 * 60 * scheduler.Second
 	mostPenalty  = 12000.0 // what half-lives of an hour would come to
 	forgetBelow  = 50.0    // a penalty so small is dropped
 	drainedPref  = 0       // local preference of what is about to go, RFC 8326
@@ -84,7 +84,7 @@
 		Path   Path
 	}
 	Withdraw struct{ Prefix netip.Prefix }
-	Wake     struct{ After placer.Time }
+	Wake     struct{ After scheduler.Time }
 	// Mode is a change worth a line in the log, with its figure.
 	Mode struct {
 		Prefix  netip.Prefix
@@ -107,16 +107,16 @@
 	Least      int
 	Penalty    float64
 	Suppressed bool
-	NextUpdate placer.Time // 0: at once
+	NextUpdate scheduler.Time // 0: at once
 }
 
 // Announcer is the state of all services: one entry each while it is offered, runs, or is remembered for its
 // flapping.
 type Announcer struct {
-	now      placer.Time
+	now      scheduler.Time
 	out      []Action
 	services map[string]*service
-	wakeAt   placer.Time
+	wakeAt   scheduler.Time
 }
 
 type service struct {
@@ -127,18 +127,18 @@
 	told       bool            // a path stands at the peers
 	path       Path
 	prefix     netip.Prefix // under which it was told
-	toldAt     placer.Time
+	toldAt     scheduler.Time
 	ever       bool
 	due        bool // a change waits for its pace
 	penalty    float64
-	penaltyAt  placer.Time
+	penaltyAt  scheduler.Time
 	suppressed bool
 }
 
 func New() *Announcer { return &Announcer{services: map[string]*service{}} }
 
 // Handle takes what happened by now and returns what is to be done.
-func (a *Announcer) Handle(now placer.Time, events []Event) []Action {
+func (a *Announcer) Handle(now scheduler.Time, events []Event) []Action {
 	a.now, a.out = now, nil
 	touched := map[string]bool{}
 	for _, e := range events {
@@ -192,7 +192,7 @@
 func (a *Announcer) do(x Action) { a.out = append(a.out, x) }
 
 // fade lets a penalty decay to now.
-func (s *service) fade(now placer.Time) {
+func (s *service) fade(now scheduler.Time) {
 	if s.penalty > 0 {
 		s.penalty *= math.Exp2(-float64(now-s.penaltyAt) / float64(halfLife))
 		if s.penalty < forgetBelow {
@@ -275,19 +275,19 @@
 
 // setWake asks to be woken for the first change that waits, and now and then for what fades.
 func (a *Announcer) setWake() {
-	next := placer.Time(0)
+	next := scheduler.Time(0)
 	for _, s := range a.services {
-		at := placer.Time(0)
+		at := scheduler.Time(0)
 		switch {
 		case s.due:
 			at = s.toldAt + pace
 		case s.suppressed:
 			left := math.Log2(s.penalty/reuseBelow) * float64(halfLife)
-			at = a.now + max(pace, placer.Time(left)+1)
+			at = a.now + max(pace, scheduler.Time(left)+1)
 		case !s.offered && !s.told && len(s.containers) == 0:
 			at = max(s.toldAt+pace, a.now+pace)
 			if s.penalty > 0 {
-				at = a.now + placer.Time(math.Log2(max(2, s.penalty/forgetBelow))*float64(halfLife)) + 1
+				at = a.now + scheduler.Time(math.Log2(max(2, s.penalty/forgetBelow))*float64(halfLife)) + 1
 			}
 		}
 		if at > 0 && (next == 0 || at < next) {
--- a/internal/announce/announce_test.go
+++ b/internal/announce/announce_test.go
@@ -6,12 +6,12 @@
 	"strings"
 	"testing"
 
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"pgregory.net/rapid"
 )
 
-const sec = placer.Second
+const sec = scheduler.Second
 
 var web = Service{Prefix: netip.MustParsePrefix("192.0.2.1/32"), NextHop: netip.MustParseAddr("192.0.2.254"), Least: 1}
 
@@ -65,8 +65,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			a := New()
 			var told []string
-			wake := placer.Time(0)
-			do := func(now placer.Time, e Event) {
+			wake := scheduler.Time(0)
+			do := func(now scheduler.Time, e Event) {
 				for _, act := range a.Handle(now, []Event{e}) {
 					if w, ok := act.(Wake); ok {
 						wake = now + w.After
@@ -76,7 +76,7 @@
 					}
 				}
 			}
-			pass := func(until placer.Time) {
+			pass := func(until scheduler.Time) {
 				for n := 0; wake > 0 && wake <= until && n < 100; n++ {
 					now := wake
 					wake = 0
@@ -84,7 +84,7 @@
 				}
 			}
 			for _, s := range tc.steps {
-				now := placer.Time(s.sec * float64(sec))
+				now := scheduler.Time(s.sec * float64(sec))
 				pass(now)
 				do(now, s.e)
 			}
@@ -118,8 +118,8 @@
 // A container that flaps fifty times a second costs one update a second at most, and its address is left out after
 // a while; steady again, it comes back.
 func TestFlap(t *testing.T) {
-	a, updates, last, wake := New(), 0, placer.Time(-sec), placer.Time(0)
-	do := func(now placer.Time, e Event) {
+	a, updates, last, wake := New(), 0, scheduler.Time(-sec), scheduler.Time(0)
+	do := func(now scheduler.Time, e Event) {
 		for _, act := range a.Handle(now, []Event{e}) {
 			switch act := act.(type) {
 			case Announce, Withdraw:
@@ -134,9 +134,9 @@
 		}
 	}
 	do(0, Offered{"web", web})
-	now := placer.Time(0)
+	now := scheduler.Time(0)
 	for i := range 3000 { // a minute
-		now = placer.Time(i) * sec / 50
+		now = scheduler.Time(i) * sec / 50
 		if wake > 0 && wake <= now {
 			wake = 0
 			do(now, Woke{})
@@ -165,9 +165,9 @@
 // container's end, the peers' table right whenever nothing is due, and nothing left when all is gone.
 func TestDrawnHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, now, wake := New(), placer.Time(0), placer.Time(0)
-		table, last := map[netip.Prefix]bool{}, map[netip.Prefix]placer.Time{}
-		run, offered, emptyAt := map[string]map[string]bool{}, map[string]bool{}, map[string]placer.Time{}
+		a, now, wake := New(), scheduler.Time(0), scheduler.Time(0)
+		table, last := map[netip.Prefix]bool{}, map[netip.Prefix]scheduler.Time{}
+		run, offered, emptyAt := map[string]map[string]bool{}, map[string]bool{}, map[string]scheduler.Time{}
 		prefix := func(n string) netip.Prefix { return netip.MustParsePrefix("192.0.2." + n + "/32") }
 		do := func(e Event) {
 			for _, act := range a.Handle(now, []Event{e}) {
@@ -191,7 +191,7 @@
 				last[p] = now
 			}
 		}
-		pass := func(span placer.Time) {
+		pass := func(span scheduler.Time) {
 			for end := now + span; ; {
 				if wake == 0 || wake > end {
 					now = end
@@ -222,7 +222,7 @@
 				}
 				do(Ends{n, c})
 			case 3:
-				pass(placer.Time(rapid.IntRange(0, 30000).Draw(t, "span")))
+				pass(scheduler.Time(rapid.IntRange(0, 30000).Draw(t, "span")))
 			case 4:
 				offered[n] = false
 				do(Dropped{n})
--- a/internal/announce/golden_test.go
+++ b/internal/announce/golden_test.go
@@ -14,7 +14,7 @@
 	"strings"
 	"testing"
 
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 var update = flag.Bool("update", false, "write the golden digests anew")
@@ -24,7 +24,7 @@
 func TestDecisionsMatchGoldenDigests(t *testing.T) {
 	const sequences, steps = 250, 150
 	var got strings.Builder
-	for group, pace := range []placer.Time{100 * placer.Millisecond, 2 * placer.Second, 60 * placer.Second, 1200 * placer.Second} {
+	for group, pace := range []scheduler.Time{100 * scheduler.Millisecond, 2 * scheduler.Second, 60 * scheduler.Second, 1200 * scheduler.Second} {
 		digest := &actionDigest{sum: sha256.New()}
 		for seed := range sequences {
 			h := &history{digest: digest, random: rand.New(rand.NewPCG(uint64(1000*group+seed), 29)), announcer: New(), pace: pace}
@@ -56,7 +56,7 @@
 	actions int
 }
 
-func (d *actionDigest) add(now placer.Time, a Action) {
+func (d *actionDigest) add(now scheduler.Time, a Action) {
 	d.actions++
 	d.number(uint64(now))
 	switch a := a.(type) {
@@ -114,9 +114,9 @@
 	digest    *actionDigest
 	random    *rand.Rand
 	announcer *Announcer
-	pace      placer.Time
-	now       placer.Time
-	wakeAt    placer.Time
+	pace      scheduler.Time
+	now       scheduler.Time
+	wakeAt    scheduler.Time
 }
 
 func (h *history) chance(p float64) bool { return h.random.Float64() < p }
@@ -134,7 +134,7 @@
 	if h.chance(0.4) && h.wakeAt > h.now {
 		h.now = h.wakeAt
 	} else {
-		h.now += placer.Time(h.random.IntN(int(h.pace)))
+		h.now += scheduler.Time(h.random.IntN(int(h.pace)))
 	}
 	if h.wakeAt > 0 && h.now >= h.wakeAt {
 		h.wakeAt = 0
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -20,7 +20,7 @@
 	"glenport/internal/jobs"
 	"glenport/internal/site"
 	"glenport/internal/standin"
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"github.com/getkin/kin-openapi/openapi3"
 	"github.com/getkin/kin-openapi/openapi3filter"
@@ -64,7 +64,7 @@
 	}
 	t.Cleanup(l.Close)
 	s.Door, s.State, s.Terms.Placers = "127.0.0.1:0", "", 1
-	h, err := host.New(s, placer.New(s.Terms), quiet)
+	h, err := host.New(s, scheduler.New(s.Terms), quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -10,7 +10,7 @@
 
 	"glenport/internal/link"
 	"glenport/internal/tap"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // Finding is one break of a rule.
@@ -317,18 +317,18 @@
 	}
 	w, ok := j.workload(c.work.Workload)
 	for _, o := range c.offers {
-		if ok && !o.never && (w.Effect == placer.AtMostOnce || w.Effect == placer.Numbered && w.Repeats != placer.Everywhere) {
+		if ok && !o.never && (w.Effect == scheduler.AtMostOnce || w.Effect == scheduler.Numbered && w.Repeats != scheduler.Everywhere) {
 			j.fail(2, e.At, []string{o.text, said}, "container %s is pushed back though it may have run", c.name)
 			return
 		}
 	}
 }
 
-func (j *judge) workload(i int) (placer.Workload, bool) {
+func (j *judge) workload(i int) (scheduler.Workload, bool) {
 	if i < len(j.h.Terms.Workloads) {
 		return j.h.Terms.Workloads[i], true
 	}
-	return placer.Workload{}, false
+	return scheduler.Workload{}, false
 }
 
 func (j *judge) offered(l *life, e *tap.Entry, ch *channel, f *link.Offer) {
@@ -364,11 +364,11 @@
 			continue
 		}
 		switch {
-		case w.Effect == placer.AtMostOnce:
+		case w.Effect == scheduler.AtMostOnce:
 			j.fail(2, e.At, []string{p.text, o.text}, "at-most-once %s is sent again though it may have run", c.name)
-		case w.Effect == placer.Numbered && !j.shareGroup(l, p.machine, o.machine, w.Repeats):
+		case w.Effect == scheduler.Numbered && !j.shareGroup(l, p.machine, o.machine, w.Repeats):
 			j.fail(2, e.At, []string{p.text, o.text}, "numbered %s leaves the group that drops its repeats", c.name)
-		case w.Effect == placer.Numbered && e.At > p.at+int64(w.Window)+slack:
+		case w.Effect == scheduler.Numbered && e.At > p.at+int64(w.Window)+slack:
 			j.fail(2, e.At, []string{p.text, o.text}, "numbered %s is sent after its window", c.name)
 		}
 	}
@@ -415,8 +415,8 @@
 func startName(m *listed) string { return fmt.Sprint(m.Machine, "/", m.Incarnation) }
 
 // spread counts what the placer holds of the service in the place of this offer, this offer included.
-func (j *judge) spread(l *life, o *offer, w placer.Workload) {
-	if w.Spread == placer.Nowhere {
+func (j *judge) spread(l *life, o *offer, w scheduler.Workload) {
+	if w.Spread == scheduler.Nowhere {
 		return
 	}
 	n := 0
@@ -438,8 +438,8 @@
 }
 
 // shareGroup tells whether two machines lie in one group; a machine that no list told this placer of lies in none.
-func (j *judge) shareGroup(l *life, a, b string, group placer.Place) bool {
-	if group == placer.Everywhere || a == b {
+func (j *judge) shareGroup(l *life, a, b string, group scheduler.Place) bool {
+	if group == scheduler.Everywhere || a == b {
 		return true
 	}
 	x, knownX := j.places[l.name][a]
@@ -448,9 +448,9 @@
 		return false
 	}
 	switch group {
-	case placer.OneZone:
+	case scheduler.OneZone:
 		return x.zone == y.zone
-	case placer.OneCell:
+	case scheduler.OneCell:
 		return x.cell == y.cell
 	}
 	return false
@@ -463,7 +463,7 @@
 	}
 	o.yes = true
 	l.held[o] = true
-	if w, ok := j.workload(o.work.Workload); ok && w.Effect == placer.AtMostOnce {
+	if w, ok := j.workload(o.work.Workload); ok && w.Effect == scheduler.AtMostOnce {
 		if p := j.ran[o.work.Key]; p != nil && p != o {
 			j.fail(2, j.now, []string{p.text, o.text}, "at-most-once key %s ran twice", o.work.Key)
 		}
@@ -541,7 +541,7 @@
 			text: fmt.Sprintf("%.1f ms %s says it holds %s of %s", float64(e.At)/10, ch.name, k.Work.Container, l.name)}
 		ch.offers[k.Bid] = o
 		l.held[o] = true
-		if w, ok := j.workload(k.Work.Workload); ok && w.Effect == placer.AtMostOnce {
+		if w, ok := j.workload(k.Work.Workload); ok && w.Effect == scheduler.AtMostOnce {
 			if p := j.ran[k.Work.Key]; p != nil && p.bid != k.Bid {
 				j.fail(2, j.now, []string{p.text, o.text}, "at-most-once key %s ran twice", k.Work.Key)
 			}
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -6,7 +6,7 @@
 
 	"glenport/internal/link"
 	"glenport/internal/tap"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 const ms = 10 // tenths of one
@@ -20,9 +20,9 @@
 
 func begin(t *testing.T) *history {
 	h := &history{T: t, j: newJudge()}
-	h.j.h = tap.Header{DrainGrace: 250 * ms, Slack: 20 * ms, Terms: placer.Terms{AnswerGrace: 10 * ms, ColdFor: 5000 * ms,
-		ColdWindow: 1000 * ms, ColdBids: 3, Workloads: []placer.Workload{{}, {Effect: placer.Numbered, Repeats: placer.OneZone,
-			Window: 4000 * ms}, {Effect: placer.AtMostOnce, Spread: placer.OneZone, Most: 2}}}}
+	h.j.h = tap.Header{DrainGrace: 250 * ms, Slack: 20 * ms, Terms: scheduler.Terms{AnswerGrace: 10 * ms, ColdFor: 5000 * ms,
+		ColdWindow: 1000 * ms, ColdBids: 3, Workloads: []scheduler.Workload{{}, {Effect: scheduler.Numbered, Repeats: scheduler.OneZone,
+			Window: 4000 * ms}, {Effect: scheduler.AtMostOnce, Spread: scheduler.OneZone, Most: 2}}}}
 	h.connect()
 	h.list(0, map[string]link.Entry{"a": {}, "b": {}, "c": {Zone: 1}})
 	return h
--- a/internal/custody/custody.go
+++ b/internal/custody/custody.go
@@ -10,16 +10,16 @@
 
 	"glenport/internal/recovery"
 	"glenport/internal/storm"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // Tuned values.
 const (
 	resumeTries = 3 // links tried to a machine that runs our containers before they count as lost
-	resumeFirst = 200 * placer.Millisecond
+	resumeFirst = 200 * scheduler.Millisecond
 	resumeGrows = 4
-	holdOff     = 500 * placer.Millisecond
-	fullHoldOff = placer.Second
+	holdOff     = 500 * scheduler.Millisecond
+	fullHoldOff = scheduler.Second
 )
 
 // Bounds are what the door takes in at most.
@@ -45,29 +45,29 @@
 	// Asked is a submission.
 	Asked struct {
 		Caller Caller
-		Ask    placer.Ask
+		Ask    scheduler.Ask
 	}
 	// Cancelled is an owner's word that it no longer wants a container, or what runs under a key.
 	Cancelled struct {
 		Caller Caller
-		ID     placer.ContainerID
+		ID     scheduler.ContainerID
 		Key    string
 	}
 	// Looked asks for what runs under a key; nothing is to be started.
 	Looked struct {
 		Caller Caller
-		ID     placer.ContainerID
+		ID     scheduler.ContainerID
 		Key    string
 	}
 	// Answered is a final answer other than placed; Placed a machine's yes in time.
-	Answered struct{ ID placer.ContainerID }
+	Answered struct{ ID scheduler.ContainerID }
 	Placed   struct {
-		ID      placer.ContainerID
-		Machine placer.MachineID
+		ID      scheduler.ContainerID
+		Machine scheduler.MachineID
 		Bid     uint64
 	}
 	// Ended says that nothing of a container is left at this placer.
-	Ended struct{ ID placer.ContainerID }
+	Ended struct{ ID scheduler.ContainerID }
 	// Logged is a bid of an earlier life that the log has no end of.
 	Logged struct{ Held Held }
 	// Unheard is a bid that ended without a word that tells whether it ran; Told is the machine's later word that
@@ -78,21 +78,21 @@
 	LateYes struct{ Held Held }
 	// Holds is a machine's word on all it holds for this placer.
 	Holds struct {
-		Machine placer.MachineID
+		Machine scheduler.MachineID
 		Held    []Held
 	}
 	// Broke is the end of a link, NoLink one that could not be made, perhaps for a want of this placer's own.
-	Broke  struct{ Machine placer.MachineID }
+	Broke  struct{ Machine scheduler.MachineID }
 	NoLink struct {
-		Machine placer.MachineID
+		Machine scheduler.MachineID
 		Short   bool
 	}
 	// Named are machines of a list, all there are where it is whole and fresh; Unnamed is one that is gone.
 	Named struct {
-		Machines []placer.MachineID
+		Machines []scheduler.MachineID
 		Whole    bool
 	}
-	Unnamed struct{ Machine placer.MachineID }
+	Unnamed struct{ Machine scheduler.MachineID }
 	Woke    struct{}
 )
 
@@ -127,39 +127,39 @@
 	// Pass hands an ask to the placer module; Refuse turns it away.
 	Pass struct {
 		Caller Caller
-		Ask    placer.Ask
+		Ask    scheduler.Ask
 	}
 	Refuse struct {
 		Caller  Caller
-		ID      placer.ContainerID
+		ID      scheduler.ContainerID
 		Why     string
-		HoldOff placer.Time
+		HoldOff scheduler.Time
 	}
 	// Stands answers an ask by what runs already.
 	Stands struct {
 		Caller  Caller
-		ID      placer.ContainerID
-		As      placer.ContainerID // the id it runs under
-		Machine placer.MachineID
+		ID      scheduler.ContainerID
+		As      scheduler.ContainerID // the id it runs under
+		Machine scheduler.MachineID
 	}
 	// Cease ends a container for a caller that knows it by an id, Ceased says that nothing of what it names is there.
 	Cease struct {
 		Caller Caller
-		ID     placer.ContainerID
-		As     placer.ContainerID
+		ID     scheduler.ContainerID
+		As     scheduler.ContainerID
 	}
 	Ceased struct {
 		Caller Caller
-		ID     placer.ContainerID
+		ID     scheduler.ContainerID
 	}
 	// Absent says that nothing runs under the key that a caller looked for.
 	Absent struct {
 		Caller Caller
-		ID     placer.ContainerID
+		ID     scheduler.ContainerID
 	}
 	// CallOff stops a bid at its machine.
 	CallOff struct {
-		Machine placer.MachineID
+		Machine scheduler.MachineID
 		Life    uint64
 		Bid     uint64
 	}
@@ -167,18 +167,18 @@
 	Adopt struct{ Held Held }
 	// Lost says that a placed container is gone with its machine, or, where that is only silent, may be.
 	Lost struct {
-		ID   placer.ContainerID
+		ID   scheduler.ContainerID
 		Sure bool
 	}
 	// Reach asks for a link to a machine.
-	Reach struct{ Machine placer.MachineID }
+	Reach struct{ Machine scheduler.MachineID }
 	// Sure says, once, that all that runs from earlier lives is known, as far as it can be.
 	Sure struct{}
 	// ToldAll says, once, that every machine of the list told, or is gone.
 	ToldAll struct{}
 	// Settled says that nothing waits for a bid's end any more: its record can go.
 	Settled struct{ Held Held }
-	Wake    struct{ After placer.Time }
+	Wake    struct{ After scheduler.Time }
 	Log     struct{ Text string }
 )
 
@@ -204,29 +204,29 @@
 type Table struct {
 	life    uint64
 	bounds  Bounds
-	effects []placer.Effect
-	now     placer.Time
+	effects []scheduler.Effect
+	now     scheduler.Time
 	round   *recovery.Round // what waits for a machine's word
 	storm   *storm.Door     // what is turned away because more comes than can be served
 	out     []Action
 
-	own     map[placer.ContainerID]*container
+	own     map[scheduler.ContainerID]*container
 	keys    map[string]*container
-	at      map[placer.MachineID]map[*container]bool // that run there
+	at      map[scheduler.MachineID]map[*container]bool // that run there
 	open    int
 	callers map[Caller]int // open containers of each
-	broken  map[placer.MachineID]*gap
-	wakeAt  placer.Time
+	broken  map[scheduler.MachineID]*gap
+	wakeAt  scheduler.Time
 }
 
 type container struct {
-	id       placer.ContainerID
+	id       scheduler.ContainerID
 	key      string
 	caller   Caller
 	open     bool
-	since    placer.Time
+	since    scheduler.Time
 	workload int
-	machine  placer.MachineID // where it runs, by which bid of which life
+	machine  scheduler.MachineID // where it runs, by which bid of which life
 	life     uint64
 	bid      uint64
 	ending   bool  // it was called off when it was found, and has not ended yet
@@ -236,25 +236,25 @@
 // gap is a broken link to a machine that runs our containers.
 type gap struct {
 	tries int
-	idle  bool        // no try is under way
-	next  placer.Time // when the next one is
-	pause placer.Time
+	idle  bool           // no try is under way
+	next  scheduler.Time // when the next one is
+	pause scheduler.Time
 }
 
 // New begins a life; log is how much is known of the bids of earlier ones. With agreed times for the workloads the door
 // narrows when starts become slow.
-func New(life uint64, b Bounds, effects []placer.Effect, log recovery.Log, calm []storm.Workload) *Table {
+func New(life uint64, b Bounds, effects []scheduler.Effect, log recovery.Log, calm []storm.Workload) *Table {
 	var door *storm.Door
 	if len(calm) > 0 {
 		door = storm.New(storm.Terms{Seed: life, Workloads: calm, Most: b.Open})
 	}
-	return &Table{life: life, bounds: b, effects: effects, round: recovery.NewRound(log, effects), storm: door, own: map[placer.ContainerID]*container{},
-		keys: map[string]*container{}, at: map[placer.MachineID]map[*container]bool{},
-		callers: map[Caller]int{}, broken: map[placer.MachineID]*gap{}}
+	return &Table{life: life, bounds: b, effects: effects, round: recovery.NewRound(log, effects), storm: door, own: map[scheduler.ContainerID]*container{},
+		keys: map[string]*container{}, at: map[scheduler.MachineID]map[*container]bool{},
+		callers: map[Caller]int{}, broken: map[scheduler.MachineID]*gap{}}
 }
 
 // Handle takes what happened by now and returns what is to be done, in that order.
-func (t *Table) Handle(now placer.Time, events []Event) []Action {
+func (t *Table) Handle(now scheduler.Time, events []Event) []Action {
 	t.now, t.out = now, nil
 	t.recover(recovery.Passed{})
 	for _, e := range events {
@@ -334,7 +334,7 @@
 // asked guards the door: the bounds, ids and keys that are open already, and, after a start, keys that may
 // run where nobody has told yet. Everything refused here was never bid, so asking again does no harm.
 func (t *Table) asked(e Asked) {
-	refuse := func(wait placer.Time, format string, a ...any) {
+	refuse := func(wait scheduler.Time, format string, a ...any) {
 		t.do(Refuse{e.Caller, e.Ask.ID, fmt.Sprintf(format, a...), wait})
 	}
 	n, known := t.callers[e.Caller]
@@ -451,7 +451,7 @@
 	}
 }
 
-func (t *Table) run(c *container, m placer.MachineID, life, bid uint64) {
+func (t *Table) run(c *container, m scheduler.MachineID, life, bid uint64) {
 	c.machine, c.life, c.bid = m, life, bid
 	if t.at[m] == nil {
 		t.at[m] = map[*container]bool{}
@@ -459,7 +459,7 @@
 	t.at[m][c] = true
 }
 
-func (t *Table) ended(id placer.ContainerID) {
+func (t *Table) ended(id scheduler.ContainerID) {
 	c := t.own[id]
 	if c == nil {
 		return
@@ -488,7 +488,7 @@
 // is never stopped for that; it is taken over once its container is closed.
 func (t *Table) lateYes(h Held) {
 	switch c := t.own[h.Ask.ID]; {
-	case t.effect(h) == placer.Reissuable:
+	case t.effect(h) == scheduler.Reissuable:
 		t.callOff(h)
 	case c == nil:
 		t.adopt(h)
@@ -503,11 +503,11 @@
 	}
 }
 
-func (t *Table) effect(h Held) placer.Effect {
+func (t *Table) effect(h Held) scheduler.Effect {
 	if h.Ask.Workload < len(t.effects) {
 		return t.effects[h.Ask.Workload]
 	}
-	return placer.AtMostOnce
+	return scheduler.AtMostOnce
 }
 
 // adopt takes over what runs, unless its key runs or is being placed here under another id.
@@ -519,7 +519,7 @@
 	if t.own[h.Ask.ID] != nil {
 		return
 	}
-	if o := t.keys[h.Ask.Key]; o != nil && (o.machine != "" || t.effect(h) == placer.Reissuable) {
+	if o := t.keys[h.Ask.Key]; o != nil && (o.machine != "" || t.effect(h) == scheduler.Reissuable) {
 		t.callOff(h)
 		return
 	}
@@ -570,7 +570,7 @@
 }
 
 // runningAt is in order of ids, so that equal events are answered alike.
-func (t *Table) runningAt(m placer.MachineID) []*container {
+func (t *Table) runningAt(m scheduler.MachineID) []*container {
 	all := make([]*container, 0, len(t.at[m]))
 	for c := range t.at[m] {
 		all = append(all, c)
@@ -582,7 +582,7 @@
 // noLink gives up a machine's containers after some tries. A short loss of the link costs nothing then, and a
 // dead machine is known a second after it died; containers that run on behind a longer cut are taken over, or
 // stopped, when it ends. A try that failed for a want of this placer's own tells nothing of the machine.
-func (t *Table) noLink(m placer.MachineID, short bool) {
+func (t *Table) noLink(m scheduler.MachineID, short bool) {
 	t.recover(recovery.NoLink{Machine: m})
 	g := t.broken[m]
 	if g == nil {
@@ -609,8 +609,8 @@
 
 // due does what its time has come for and sets the next waking.
 func (t *Table) due() {
-	next := placer.Time(0)
-	later := func(at placer.Time) {
+	next := scheduler.Time(0)
+	later := func(at scheduler.Time) {
 		if next == 0 || at < next {
 			next = at
 		}
@@ -619,7 +619,7 @@
 	if at := t.round.Next(); at > 0 {
 		later(at)
 	}
-	var retry []placer.MachineID
+	var retry []scheduler.MachineID
 	for m, g := range t.broken {
 		if g.idle && g.next <= t.now {
 			retry = append(retry, m)
--- a/internal/custody/custody_test.go
+++ b/internal/custody/custody_test.go
@@ -6,20 +6,20 @@
 	"testing"
 
 	"glenport/internal/recovery"
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"pgregory.net/rapid"
 )
 
-const ms = placer.Millisecond
+const ms = scheduler.Millisecond
 
-var effects = []placer.Effect{placer.Reissuable, placer.Numbered, placer.AtMostOnce}
+var effects = []scheduler.Effect{scheduler.Reissuable, scheduler.Numbered, scheduler.AtMostOnce}
 
-func ask(id string, workload int) placer.Ask {
-	return placer.Ask{ID: placer.ContainerID(id), Key: "k-" + id, Service: "s", Workload: workload}
+func ask(id string, workload int) scheduler.Ask {
+	return scheduler.Ask{ID: scheduler.ContainerID(id), Key: "k-" + id, Service: "s", Workload: workload}
 }
 
-func again(id, key string, workload int) placer.Ask {
+func again(id, key string, workload int) scheduler.Ask {
 	a := ask(id, workload)
 	a.Key, a.Again = key, true
 	return a
@@ -62,7 +62,7 @@
 
 // Each case is a history; the actions of its last step are compared. The life is 5, the first caller 1.
 func TestHistories(t *testing.T) {
-	named, told := Named{Machines: []placer.MachineID{"m"}}, Holds{Machine: "m"}
+	named, told := Named{Machines: []scheduler.MachineID{"m"}}, Holds{Machine: "m"}
 	for _, tc := range []struct {
 		name  string
 		steps []any // an event, or a moment from which on events happen
@@ -159,11 +159,11 @@
 			NoLink{Machine: "m"}, 1000 * ms, Woke{}, NoLink{Machine: "m"}, Ended{"a"}, 3100 * ms, Woke{}}, "reach m"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			table, now, got := New(5, Bounds{Callers: 2, Open: 3, OpenPerCaller: 2}, effects, recovery.NoLog, nil), placer.Time(0), ""
+			table, now, got := New(5, Bounds{Callers: 2, Open: 3, OpenPerCaller: 2}, effects, recovery.NoLog, nil), scheduler.Time(0), ""
 			table.Handle(now, []Event{Called{1}})
 			for _, s := range tc.steps {
 				switch s := s.(type) {
-				case placer.Time:
+				case scheduler.Time:
 					now = s
 				case Event:
 					got = show(table.Handle(now, []Event{s}))
@@ -181,14 +181,14 @@
 func TestDrawnHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(5, Bounds{9, 9, 9}, effects, recovery.NoLog, nil), New(5, Bounds{9, 9, 9}, effects, recovery.NoLog, nil)
-		now, open, runs, bid := placer.Time(0), map[placer.ContainerID]string{}, map[placer.ContainerID]string{}, uint64(0)
+		now, open, runs, bid := scheduler.Time(0), map[scheduler.ContainerID]string{}, map[scheduler.ContainerID]string{}, uint64(0)
 		a.Handle(0, []Event{Called{1}})
 		b.Handle(0, []Event{Called{1}})
-		id := func() placer.ContainerID {
-			return placer.ContainerID(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id"))
+		id := func() scheduler.ContainerID {
+			return scheduler.ContainerID(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id"))
 		}
 		for range 40 {
-			now += placer.Time(rapid.IntRange(0, 20000).Draw(t, "on"))
+			now += scheduler.Time(rapid.IntRange(0, 20000).Draw(t, "on"))
 			var e Event
 			switch rapid.IntRange(0, 7).Draw(t, "event") {
 			case 0, 1:
@@ -226,7 +226,7 @@
 			for _, act := range got {
 				switch act := act.(type) {
 				case Pass:
-					for _, table := range []map[placer.ContainerID]string{open, runs} {
+					for _, table := range []map[scheduler.ContainerID]string{open, runs} {
 						for other, key := range table {
 							if key == act.Ask.Key {
 								t.Fatalf("%s passed though %s has key %s", act.Ask.ID, other, key)
@@ -241,7 +241,7 @@
 				}
 			}
 		}
-		for _, i := range []placer.ContainerID{"a", "b", "c", "d"} {
+		for _, i := range []scheduler.ContainerID{"a", "b", "c", "d"} {
 			a.Handle(now, []Event{Ended{i}})
 		}
 		if n := len(a.own) + len(a.keys) + len(a.at) + len(a.broken) + a.open + a.callers[1]; n != 0 {
--- a/internal/custody/golden_test.go
+++ b/internal/custody/golden_test.go
@@ -8,7 +8,7 @@
 	"glenport/internal/golden"
 	"glenport/internal/recovery"
 	"glenport/internal/storm"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 const recordedLife = 3
@@ -19,23 +19,23 @@
 	rng      *rand.Rand
 	digest   *golden.Digest
 	table    *Table
-	now      placer.Time
+	now      scheduler.Time
 	ids      int
-	taken    []placer.Ask
+	taken    []scheduler.Ask
 	attempts []Held
-	reached  []placer.MachineID
+	reached  []scheduler.MachineID
 	lastBid  uint64
 }
 
-func (s *recordedSequence) machine() placer.MachineID {
-	return placer.MachineID(fmt.Sprint("m", s.rng.IntN(6)))
+func (s *recordedSequence) machine() scheduler.MachineID {
+	return scheduler.MachineID(fmt.Sprint("m", s.rng.IntN(6)))
 }
 
 func (s *recordedSequence) caller() Caller { return Caller(s.rng.IntN(5)) }
 
-func (s *recordedSequence) ask() placer.Ask {
+func (s *recordedSequence) ask() scheduler.Ask {
 	n := s.rng.IntN(s.ids)
-	a := placer.Ask{ID: placer.ContainerID(fmt.Sprint("c", n)), Key: fmt.Sprint("k", n/2), Service: "s", Workload: n % 3,
+	a := scheduler.Ask{ID: scheduler.ContainerID(fmt.Sprint("c", n)), Key: fmt.Sprint("k", n/2), Service: "s", Workload: n % 3,
 		Customer: s.rng.IntN(2), Again: s.rng.IntN(3) == 0}
 	if s.rng.IntN(10) == 0 {
 		a.Key = fmt.Sprint("k", s.rng.IntN(s.ids))
@@ -61,7 +61,7 @@
 	return h
 }
 
-func (s *recordedSequence) holds(m placer.MachineID) Holds {
+func (s *recordedSequence) holds(m scheduler.MachineID) Holds {
 	e := Holds{Machine: m}
 	for _, h := range s.attempts {
 		if h.Machine == m && s.rng.IntN(4) > 0 && len(e.Held) < 8 {
@@ -130,10 +130,10 @@
 	case n < 91:
 		return NoLink{Machine: s.machine(), Short: s.rng.IntN(3) == 0}
 	case n < 93:
-		var all []placer.MachineID
+		var all []scheduler.MachineID
 		for i := range 6 {
 			if s.rng.IntN(6) > 0 {
-				all = append(all, placer.MachineID(fmt.Sprint("m", i)))
+				all = append(all, scheduler.MachineID(fmt.Sprint("m", i)))
 			}
 		}
 		return Named{Machines: all, Whole: s.rng.IntN(2) == 0}
@@ -201,19 +201,19 @@
 		}
 		switch s.rng.IntN(4) {
 		case 0:
-			s.now += placer.Time(s.rng.IntN(3000))
+			s.now += scheduler.Time(s.rng.IntN(3000))
 		case 1:
-			s.now += placer.Time(s.rng.IntN(200))
+			s.now += scheduler.Time(s.rng.IntN(200))
 		}
 		if s.rng.IntN(60) == 0 {
-			s.now += placer.Time(s.rng.IntN(60_000))
+			s.now += scheduler.Time(s.rng.IntN(60_000))
 		}
 	}
 }
 
 func TestActionsMatchRecordedDigests(t *testing.T) {
 	wide := Bounds{Callers: 4, Open: 1000, OpenPerCaller: 100}
-	calm := []storm.Workload{{Agreed: 100 * placer.Millisecond, Gain: 1}, {Agreed: placer.Second, Gain: 2}, {Agreed: placer.Second, Gain: 4}}
+	calm := []storm.Workload{{Agreed: 100 * scheduler.Millisecond, Gain: 1}, {Agreed: scheduler.Second, Gain: 2}, {Agreed: scheduler.Second, Gain: 4}}
 	var lines []string
 	for i, group := range []struct {
 		name   string
@@ -230,8 +230,8 @@
 	} {
 		d := golden.NewDigest()
 		for seed := range uint64(120) {
-			s := &recordedSequence{rng: rand.New(rand.NewPCG(seed, uint64(i))), digest: d, ids: group.ids, now: placer.Time(seed % 2 * 1000),
-				table: New(recordedLife, group.bounds, []placer.Effect{placer.Reissuable, placer.Numbered, placer.AtMostOnce}, group.log, group.calm)}
+			s := &recordedSequence{rng: rand.New(rand.NewPCG(seed, uint64(i))), digest: d, ids: group.ids, now: scheduler.Time(seed % 2 * 1000),
+				table: New(recordedLife, group.bounds, []scheduler.Effect{scheduler.Reissuable, scheduler.Numbered, scheduler.AtMostOnce}, group.log, group.calm)}
 			s.run(300)
 		}
 		lines = append(lines, d.Line(group.name))
--- a/internal/host/door.go
+++ b/internal/host/door.go
@@ -7,7 +7,7 @@
 	"glenport/internal/custody"
 	"glenport/internal/link"
 	"glenport/internal/loop"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 func sortBids(all []*bid) {
@@ -116,9 +116,9 @@
 	case *link.Submit:
 		h.submitted(o, f)
 	case *link.Cancel:
-		h.tell(custody.Cancelled{Caller: o.caller, ID: placer.ContainerID(f.Container), Key: f.Key})
+		h.tell(custody.Cancelled{Caller: o.caller, ID: scheduler.ContainerID(f.Container), Key: f.Key})
 	case *link.Look:
-		h.tell(custody.Looked{Caller: o.caller, ID: placer.ContainerID(f.Container), Key: f.Key})
+		h.tell(custody.Looked{Caller: o.caller, ID: scheduler.ContainerID(f.Container), Key: f.Key})
 	case *link.AskWhy:
 		o.write(h.explain(f))
 	case *link.AskRoutes:
@@ -135,10 +135,10 @@
 }
 
 func (h *Host) submitted(o *owner, f *link.Submit) {
-	now, w := placer.Time(h.loop.Now()), &f.Work
-	ask := placer.Ask{ID: placer.ContainerID(w.Container), Key: w.Key, Service: w.Service, Workload: w.Workload,
-		Customer: w.Customer, Cores: w.Cores, Memory: w.Memory, Due: now + placer.Time(f.Left),
-		Life: placer.Time(w.RunFor), Again: w.Again}
+	now, w := scheduler.Time(h.loop.Now()), &f.Work
+	ask := scheduler.Ask{ID: scheduler.ContainerID(w.Container), Key: w.Key, Service: w.Service, Workload: w.Workload,
+		Customer: w.Customer, Cores: w.Cores, Memory: w.Memory, Due: now + scheduler.Time(f.Left),
+		Life: scheduler.Time(w.RunFor), Again: w.Again}
 	h.meter.submitted++
 	h.asking[ask.ID] = h.loop.Clock()
 	h.tell(custody.Asked{Caller: o.caller, Ask: ask})
@@ -151,12 +151,12 @@
 		w.ListAge = link.Span(h.loop.Now() - h.list.spokeAt)
 	}
 	d, ok := h.decider.(interface {
-		Explain(placer.Ask) placer.Explanation
+		Explain(scheduler.Ask) scheduler.Explanation
 	})
 	if !ok {
 		return w
 	}
-	x := d.Explain(placer.Ask{Key: f.Work.Key, Service: f.Work.Service, Workload: f.Work.Workload, Customer: f.Work.Customer,
+	x := d.Explain(scheduler.Ask{Key: f.Work.Key, Service: f.Work.Service, Workload: f.Work.Workload, Customer: f.Work.Customer,
 		Cores: f.Work.Cores, Memory: f.Work.Memory})
 	return &link.Why{Seq: f.Seq, Known: true, Machines: x.Machines, Gone: x.Gone, OtherKind: x.OtherKind, Draining: x.Draining,
 		TooSmall: x.TooSmall, Closing: x.Closing, SpreadFull: x.SpreadFull, ColdSpent: x.ColdSpent, Resting: x.Resting,
@@ -182,7 +182,7 @@
 		r := link.RouteOf{Service: name, Prefix: h.site.BGP.Services[name].Prefix.String(), Announced: w.Announced,
 			Preference: w.Path.Preference, Running: w.Running, Draining: w.Draining, Least: w.Least, Penalty: w.Penalty, Suppressed: w.Suppressed}
 		if w.NextUpdate > 0 {
-			r.Next = max(0, link.Span(w.NextUpdate-placer.Time(h.loop.Now())))
+			r.Next = max(0, link.Span(w.NextUpdate-scheduler.Time(h.loop.Now())))
 		}
 		out.Services = append(out.Services, r)
 	}
@@ -217,7 +217,7 @@
 		h.callOff(b) // its end is told when the machine says so
 		return
 	}
-	h.feed(placer.Vanished{ID: id})
+	h.feed(scheduler.Vanished{ID: id})
 	if !c.answered {
 		c.answered = true
 		h.meter.answered(link.GivenUp)
@@ -229,7 +229,7 @@
 	}
 	if b := c.bid; b != nil {
 		h.callOff(b)
-		h.over(b, placer.Ended{Outcome: placer.Stopped, Over: true})
+		h.over(b, scheduler.Ended{Outcome: scheduler.Stopped, Over: true})
 		return
 	}
 	h.close(c)
--- a/internal/host/export.go
+++ b/internal/host/export.go
@@ -5,21 +5,21 @@
 
 	"glenport/internal/recall"
 	"glenport/internal/storm"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // The types of this file are the form in which `glenport state export` shows a Knowledge. Operators read it with
 // other programs, so that its names are fixed here, apart from those of the code.
 type (
 	exportedSnapshot struct {
-		At        recall.Stamp                `json:"At"`
-		Names     []string                    `json:"Names"`
-		Learned   exportedLearned             `json:"Learned"`
-		Starts    map[placer.MachineID]uint64 `json:"Starts"`
-		ListIs    int64                       `json:"ListIs"`
-		Entries   []entryRecord               `json:"Entries"`
-		AtAnOrder bool                        `json:"AtAnOrder"`
-		Door      *storm.Known                `json:"Door"`
+		At        recall.Stamp                   `json:"At"`
+		Names     []string                       `json:"Names"`
+		Learned   exportedLearned                `json:"Learned"`
+		Starts    map[scheduler.MachineID]uint64 `json:"Starts"`
+		ListIs    int64                          `json:"ListIs"`
+		Entries   []entryRecord                  `json:"Entries"`
+		AtAnOrder bool                           `json:"AtAnOrder"`
+		Door      *storm.Known                   `json:"Door"`
 	}
 
 	exportedLearned struct {
@@ -27,18 +27,18 @@
 		Traits    []exportedTrait   `json:"Traits"`
 		Full      float64           `json:"Full"`
 		Missed    float64           `json:"Missed"`
-		SentSince placer.Time       `json:"SentSince"`
+		SentSince scheduler.Time    `json:"SentSince"`
 	}
 
 	exportedMachine struct {
-		Machine   placer.MachineID `json:"Machine"`
-		Started   placer.Time      `json:"Started"`
-		Sick      float64          `json:"Sick"`
-		RestUntil placer.Time      `json:"RestUntil"`
-		Rest      placer.Time      `json:"Rest"`
-		ShutUntil placer.Time      `json:"ShutUntil"`
-		Doubts    []exportedDoubt  `json:"Doubts"`
-		Cold      []placer.Time    `json:"Cold"`
+		Machine   scheduler.MachineID `json:"Machine"`
+		Started   scheduler.Time      `json:"Started"`
+		Sick      float64             `json:"Sick"`
+		RestUntil scheduler.Time      `json:"RestUntil"`
+		Rest      scheduler.Time      `json:"Rest"`
+		ShutUntil scheduler.Time      `json:"ShutUntil"`
+		Doubts    []exportedDoubt     `json:"Doubts"`
+		Cold      []scheduler.Time    `json:"Cold"`
 	}
 
 	exportedTrait struct {
@@ -47,8 +47,8 @@
 	}
 
 	exportedDoubt struct {
-		Odds float64     `json:"Odds"`
-		At   placer.Time `json:"At"`
+		Odds float64        `json:"Odds"`
+		At   scheduler.Time `json:"At"`
 	}
 )
 
@@ -58,17 +58,17 @@
 		ListIs: k.ListIs, Entries: k.Entries, AtAnOrder: k.AtAnOrder, Door: k.Door})
 }
 
-func exportLearned(k placer.Knowledge) exportedLearned {
+func exportLearned(k scheduler.Knowledge) exportedLearned {
 	return exportedLearned{
 		Machines:  exportEach(k.Machines, exportMachine),
-		Traits:    exportEach(k.Traits, func(t placer.Trait) exportedTrait { return exportedTrait{Lost: t.Lost, Bar: t.Bar} }),
+		Traits:    exportEach(k.Traits, func(t scheduler.Trait) exportedTrait { return exportedTrait{Lost: t.Lost, Bar: t.Bar} }),
 		Full:      k.Full,
 		Missed:    k.Missed,
 		SentSince: k.SentSince,
 	}
 }
 
-func exportMachine(m placer.Learned) exportedMachine {
+func exportMachine(m scheduler.Learned) exportedMachine {
 	return exportedMachine{
 		Machine:   m.Machine,
 		Started:   m.Started,
@@ -76,7 +76,7 @@
 		RestUntil: m.RestUntil,
 		Rest:      m.Rest,
 		ShutUntil: m.ShutUntil,
-		Doubts:    exportEach(m.Doubts, func(d placer.Doubt) exportedDoubt { return exportedDoubt{Odds: d.Odds, At: d.At} }),
+		Doubts:    exportEach(m.Doubts, func(d scheduler.Doubt) exportedDoubt { return exportedDoubt{Odds: d.Odds, At: d.At} }),
 		Cold:      m.Cold,
 	}
 }
--- a/internal/host/golden_test.go
+++ b/internal/host/golden_test.go
@@ -22,7 +22,7 @@
 	"glenport/internal/recovery"
 	"glenport/internal/store"
 	"glenport/internal/storm"
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -44,9 +44,9 @@
 
 var update = flag.Bool("update", false, "write the golden stored data anew with the program as it is")
 
-func goldenRequest(n float64, id string) placer.Ask {
-	return placer.Ask{ID: placer.ContainerID("container-" + id), Key: "key-" + id, Service: "service-" + id, Workload: 10 + int(n),
-		Customer: 20 + int(n), Cores: n + 0.25, Memory: n + 0.5, Due: placer.Time(1000 + n), Life: placer.Time(2000 + n), Again: true}
+func goldenRequest(n float64, id string) scheduler.Ask {
+	return scheduler.Ask{ID: scheduler.ContainerID("container-" + id), Key: "key-" + id, Service: "service-" + id, Workload: 10 + int(n),
+		Customer: 20 + int(n), Cores: n + 0.25, Memory: n + 0.5, Due: scheduler.Time(1000 + n), Life: scheduler.Time(2000 + n), Again: true}
 }
 
 // Attempts by number. Number 3 is deleted again by the log.
@@ -58,8 +58,8 @@
 }
 
 var goldenSends = []recall.Sent{
-	{Machine: "machine-five", Start: 205, Times: []placer.Time{3001, 3002, 3003}},
-	{Machine: "machine-six", Start: 206, Times: []placer.Time{3004}},
+	{Machine: "machine-five", Start: 205, Times: []scheduler.Time{3001, 3002, 3003}},
+	{Machine: "machine-six", Start: 206, Times: []scheduler.Time{3004}},
 }
 
 var goldenIncarnation = recall.Life{Whole: recall.Stamp{Clock: 17_000_000_000_001, Up: 17_000_002, Boot: "boot-of-the-record"}, Log: recovery.Synced}
@@ -76,13 +76,13 @@
 	return &Knowledge{
 		At:    recall.Stamp{Clock: 17_000_000_000_101, Up: 17_000_102, Boot: "boot-of-the-file"},
 		Names: []string{"class-a", "class-b", "tenant-a"},
-		Learned: placer.Knowledge{
-			Machines: []placer.Learned{{Machine: "machine-seven", Started: 4001, Sick: 5.25, RestUntil: 4002, Rest: 4003, ShutUntil: 4004,
-				Doubts: []placer.Doubt{{Odds: 0.125, At: 4005}, {Odds: 1.125, At: 4006}}, Cold: []placer.Time{4007, 4008}}},
-			Traits: []placer.Trait{{Lost: 0.0625, Bar: 6.5}, {Lost: 0.1875, Bar: 7.5}, {Lost: 0.3125, Bar: 8.5}},
+		Learned: scheduler.Knowledge{
+			Machines: []scheduler.Learned{{Machine: "machine-seven", Started: 4001, Sick: 5.25, RestUntil: 4002, Rest: 4003, ShutUntil: 4004,
+				Doubts: []scheduler.Doubt{{Odds: 0.125, At: 4005}, {Odds: 1.125, At: 4006}}, Cold: []scheduler.Time{4007, 4008}}},
+			Traits: []scheduler.Trait{{Lost: 0.0625, Bar: 6.5}, {Lost: 0.1875, Bar: 7.5}, {Lost: 0.3125, Bar: 8.5}},
 			Full:   0.4375, Missed: 0.5625, SentSince: 4009,
 		},
-		Starts:    map[placer.MachineID]uint64{"machine-seven": 207},
+		Starts:    map[scheduler.MachineID]uint64{"machine-seven": 207},
 		ListIs:    301,
 		Entries:   []entryRecord{recordOfEntry(goldenEntries[0]), recordOfEntry(goldenEntries[1])},
 		AtAnOrder: true,
@@ -120,7 +120,7 @@
 			s.put(BidKind, bidKey(b.number), b.held())
 		}
 		for _, sent := range goldenSends {
-			s.put(SentKind, string(sent.Machine), recall.Sent{Machine: sent.Machine, Start: 1, Times: []placer.Time{1}})
+			s.put(SentKind, string(sent.Machine), recall.Sent{Machine: sent.Machine, Start: 1, Times: []scheduler.Time{1}})
 		}
 	})
 	d, err := disk.Open(path)
@@ -222,7 +222,7 @@
 	if err := os.CopyFS(s.State, os.DirFS(goldenState)); err != nil {
 		t.Fatal(err)
 	}
-	h, err := New(s, learning(placer.Knowledge{}), discard)
+	h, err := New(s, learning(scheduler.Knowledge{}), discard)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -272,7 +272,7 @@
 
 // Nothing learned is exported as null, as it was before the export had types of its own.
 func TestEmptySnapshotIsExported(t *testing.T) {
-	got, err := json.Marshal(map[string]any{"kind": "knowledge", "value": Knowledge{Learned: placer.Knowledge{Machines: []placer.Learned{{}}}}})
+	got, err := json.Marshal(map[string]any{"kind": "knowledge", "value": Knowledge{Learned: scheduler.Knowledge{Machines: []scheduler.Learned{{}}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -291,7 +291,7 @@
 		t.Fatal(err)
 	}
 	defer d.Close()
-	k := &Knowledge{Learned: placer.Knowledge{Traits: []placer.Trait{{Lost: 0.5, Bar: math.Inf(1)}}}}
+	k := &Knowledge{Learned: scheduler.Knowledge{Traits: []scheduler.Trait{{Lost: 0.5, Bar: math.Inf(1)}}}}
 	if err := k.write(d); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/host/helpers_test.go
+++ b/internal/host/helpers_test.go
@@ -10,7 +10,7 @@
 
 	"glenport/internal/link"
 	"glenport/internal/site"
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"go.uber.org/goleak"
 )
@@ -20,14 +20,14 @@
 // script stands in place of the module: it passes on what happens, and does what it is told for an ask.
 type script struct {
 	mu     sync.Mutex
-	on     func(e placer.Event) []placer.Action
-	events chan placer.Event
+	on     func(e scheduler.Event) []scheduler.Action
+	events chan scheduler.Event
 }
 
-func (s *script) Handle(_ placer.Time, events []placer.Event) []placer.Action {
+func (s *script) Handle(_ scheduler.Time, events []scheduler.Event) []scheduler.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []placer.Action
+	var out []scheduler.Action
 	for _, e := range events {
 		if s.on != nil {
 			out = append(out, s.on(e)...)
@@ -54,14 +54,14 @@
 	return s
 }
 
-func start(t *testing.T, s *site.Placer, on func(placer.Event) []placer.Action, machines map[string]string) *rig {
+func start(t *testing.T, s *site.Placer, on func(scheduler.Event) []scheduler.Action, machines map[string]string) *rig {
 	t.Helper()
-	sc := &script{on: on, events: make(chan placer.Event, 100_000)}
+	sc := &script{on: on, events: make(chan scheduler.Event, 100_000)}
 	r := &rig{T: t, script: sc}
 	s.ListAddr = listing(t, machines)
 	r.h = run(t, s, sc)
 	r.h.loop.Post(func() { r.h.watch(&link.Watch{On: true}) })
-	await[placer.ListCame](r, func(e placer.ListCame) bool { return e.Mode != placer.OldList })
+	await[scheduler.ListCame](r, func(e scheduler.ListCame) bool { return e.Mode != scheduler.OldList })
 	r.door = callDoor(t, r.h.Addr())
 	return r
 }
@@ -84,7 +84,7 @@
 }
 
 // await waits for an event of a sort; others before it are passed over.
-func await[E placer.Event](r *rig, want func(E) bool) E {
+func await[E scheduler.Event](r *rig, want func(E) bool) E {
 	r.Helper()
 	limit := time.After(20 * time.Second)
 	for {
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -16,12 +16,12 @@
 	"glenport/internal/site"
 	"glenport/internal/speaker"
 	"glenport/internal/storm"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // Decider is the placer module, or a script in its place.
 type Decider interface {
-	Handle(now placer.Time, events []placer.Event) []placer.Action
+	Handle(now scheduler.Time, events []scheduler.Event) []scheduler.Action
 }
 
 const (
@@ -42,12 +42,12 @@
 	custody *custody.Table
 	meter   meter
 
-	events []placer.Event  // to be handled next
-	told   []custody.Event // likewise
+	events []scheduler.Event // to be handled next
+	told   []custody.Event   // likewise
 
-	open      map[placer.ContainerID]*container    // until answered and without a bid
-	machines  map[placer.MachineID]*machine        // until gone from the list and empty
-	asking    map[placer.ContainerID]time.Duration // when submissions of this turn came
+	open      map[scheduler.ContainerID]*container    // until answered and without a bid
+	machines  map[scheduler.MachineID]*machine        // until gone from the list and empty
+	asking    map[scheduler.ContainerID]time.Duration // when submissions of this turn came
 	scratch   []byte
 	owners    map[custody.Caller]*owner // until their link ends
 	list      listLink
@@ -64,7 +64,7 @@
 
 // container is one that this placer has taken or taken over.
 type container struct {
-	ask      placer.Ask
+	ask      scheduler.Ask
 	window   link.Span
 	owner    *owner // nil where it was taken over and nobody asked again
 	heardAs  string // its id for that owner
@@ -96,11 +96,11 @@
 // New makes the host of one life of a placer and opens its door. Stop or Run to its end frees what it holds.
 func New(s *site.Placer, d Decider, log *slog.Logger) (*Host, error) {
 	h := &Host{site: s, life: uint64(time.Now().UnixMicro()), log: log, decider: d,
-		open: map[placer.ContainerID]*container{}, machines: map[placer.MachineID]*machine{},
-		asking: map[placer.ContainerID]time.Duration{}, owners: map[custody.Caller]*owner{},
+		open: map[scheduler.ContainerID]*container{}, machines: map[scheduler.MachineID]*machine{},
+		asking: map[scheduler.ContainerID]time.Duration{}, owners: map[custody.Caller]*owner{},
 		tookOver: map[string]int{}}
 	h.lastBid = h.life // bid numbers are unique over all lives
-	var effects []placer.Effect
+	var effects []scheduler.Effect
 	var calm []storm.Workload
 	for _, w := range s.Terms.Workloads {
 		effects = append(effects, w.Effect)
@@ -190,7 +190,7 @@
 	if h.state != nil {
 		h.state.begin()
 	} else {
-		h.learn(placer.OldList, 0, nil)
+		h.learn(scheduler.OldList, 0, nil)
 	}
 	h.loop.After(housekeeping, h.keepHouse)
 	if h.routes != nil {
@@ -214,12 +214,12 @@
 	}
 }
 
-func (h *Host) tell(e custody.Event) { h.told = append(h.told, e) }
-func (h *Host) feed(e placer.Event)  { h.events = append(h.events, e) }
+func (h *Host) tell(e custody.Event)   { h.told = append(h.told, e) }
+func (h *Host) feed(e scheduler.Event) { h.events = append(h.events, e) }
 
 // turn hands over what came in and carries out what is decided.
 func (h *Host) turn() {
-	now := placer.Time(h.loop.Now())
+	now := scheduler.Time(h.loop.Now())
 	if told := h.told; len(told) > 0 {
 		h.told = nil
 		for _, a := range h.custody.Handle(now, told) {
@@ -248,7 +248,7 @@
 	}
 	h.events = nil
 	began := h.loop.Clock()
-	actions := h.decider.Handle(placer.Time(h.loop.Now()), events)
+	actions := h.decider.Handle(scheduler.Time(h.loop.Now()), events)
 	h.meter.handled(h.loop.Clock()-began, len(events), len(actions))
 	for _, a := range actions {
 		h.carry(a)
@@ -256,32 +256,32 @@
 }
 
 // carry does what the placer module wants done.
-func (h *Host) carry(a placer.Action) {
+func (h *Host) carry(a scheduler.Action) {
 	switch a := a.(type) {
-	case placer.Bid:
+	case scheduler.Bid:
 		h.offer(a)
-	case placer.PushBack:
+	case scheduler.PushBack:
 		h.answer(a.ID, &link.Answer{Verdict: link.PushedBack, HoldOff: link.Span(a.HoldOff)})
-	case placer.GiveUp:
+	case scheduler.GiveUp:
 		h.answer(a.ID, &link.Answer{Verdict: link.GivenUp})
-	case placer.Withdraw:
+	case scheduler.Withdraw:
 		if c := h.open[a.ID]; c != nil && c.bid != nil && !c.bid.placed && c.bid.nth == a.Bid {
 			h.callOff(c.bid)
-			h.over(c.bid, placer.Ended{Outcome: placer.Stopped, Over: c.answered})
+			h.over(c.bid, scheduler.Ended{Outcome: scheduler.Stopped, Over: c.answered})
 		}
-	case placer.Probe:
+	case scheduler.Probe:
 		h.probe(a.Machine)
-	case placer.Disconnect:
+	case scheduler.Disconnect:
 		if m := h.machines[a.Machine]; m != nil && m.conn != nil && m.idle() {
 			m.conn.Close()
 		}
-	case placer.Wake:
-		h.loop.After(loop.Tick(a.After), func() { h.feed(placer.Woke{Name: a.Name}) })
-	case placer.Watch:
+	case scheduler.Wake:
+		h.loop.After(loop.Tick(a.After), func() { h.feed(scheduler.Woke{Name: a.Name}) })
+	case scheduler.Watch:
 		h.watch(&link.Watch{On: a.On, Since: h.list.version})
-	case placer.Fetch:
+	case scheduler.Fetch:
 		h.watch(&link.Fetch{})
-	case placer.Log:
+	case scheduler.Log:
 		h.log.Info("mode", "text", a.Text)
 	}
 }
@@ -320,7 +320,7 @@
 			if !a.Sure { // behind a cut it may run on
 				h.unheard(c.bid)
 			}
-			h.over(c.bid, placer.Ended{Outcome: placer.Reset, Over: true})
+			h.over(c.bid, scheduler.Ended{Outcome: scheduler.Reset, Over: true})
 		}
 	case custody.Reach:
 		if m := h.machines[a.Machine]; m != nil {
@@ -352,7 +352,7 @@
 func (h *Host) take(a custody.Pass) {
 	h.open[a.Ask.ID] = &container{ask: a.Ask, owner: h.owners[a.Caller], heardAs: string(a.Ask.ID), came: h.asking[a.Ask.ID],
 		window: link.Span(h.site.Terms.Workloads[a.Ask.Workload].Window)}
-	h.feed(placer.Asked{Ask: a.Ask})
+	h.feed(scheduler.Asked{Ask: a.Ask})
 }
 
 // frame encodes a frame; what it returns holds until the next call.
@@ -366,14 +366,14 @@
 }
 
 // offer sends a bid, at once or as soon as the link stands. What cannot be sent is an outcome of its own.
-func (h *Host) offer(a placer.Bid) {
+func (h *Host) offer(a scheduler.Bid) {
 	c, m := h.open[a.ID], h.machines[a.Machine]
 	if c == nil {
 		h.log.Error("bid for an unknown container", "container", a.ID)
 		return
 	}
 	if c.bid != nil || m == nil || c.answered {
-		h.feed(placer.Ended{ID: a.ID, Outcome: placer.NotSent, Machine: a.Machine, Bid: c.bids, Over: c.answered})
+		h.feed(scheduler.Ended{ID: a.ID, Outcome: scheduler.NotSent, Machine: a.Machine, Bid: c.bids, Over: c.answered})
 		return
 	}
 	now := h.loop.Now()
@@ -429,12 +429,12 @@
 		return
 	}
 	h.meter.outcome("no connection")
-	h.over(b, placer.Ended{Outcome: placer.NoConnect})
+	h.over(b, scheduler.Ended{Outcome: scheduler.NoConnect})
 }
 
 func (h *Host) notSent(b *bid) {
 	h.meter.outcome("not sent")
-	h.over(b, placer.Ended{Outcome: placer.NotSent})
+	h.over(b, scheduler.Ended{Outcome: scheduler.NotSent})
 }
 
 func (h *Host) timedOut(b *bid) {
@@ -447,7 +447,7 @@
 	h.meter.outcome("timed out")
 	b.at.expectLate(b)
 	h.unheard(b)
-	h.over(b, placer.Ended{Outcome: placer.TimedOut})
+	h.over(b, scheduler.Ended{Outcome: scheduler.TimedOut})
 }
 
 // unheard leaves it to custody when the log may forget a bid.
@@ -472,7 +472,7 @@
 }
 
 // over ends a bid with its one outcome; the container goes with it where nothing more is owed.
-func (h *Host) over(b *bid, e placer.Ended) {
+func (h *Host) over(b *bid, e scheduler.Ended) {
 	c, m := b.c, b.at
 	h.loop.Cancel(b.timer)
 	delete(m.bids, b.number)
@@ -480,14 +480,14 @@
 		return
 	}
 	c.bid = nil
-	if b.sent && !b.placed && e.Outcome == placer.Stopped { // the word to stop may come too late
+	if b.sent && !b.placed && e.Outcome == scheduler.Stopped { // the word to stop may come too late
 		h.unheard(b)
 	}
 	if b.logged {
 		h.state.drop(BidKind, bidKey(b.number))
 	}
 	e.ID, e.Bid, e.Machine = c.ask.ID, b.nth, m.id
-	e.Took = placer.Time(h.loop.Now() - b.sentAt)
+	e.Took = scheduler.Time(h.loop.Now() - b.sentAt)
 	e.Over = e.Over || c.answered
 	if b.placed {
 		h.meter.running--
@@ -510,7 +510,7 @@
 }
 
 // answer gives an owner the final answer.
-func (h *Host) answer(id placer.ContainerID, a *link.Answer) {
+func (h *Host) answer(id scheduler.ContainerID, a *link.Answer) {
 	c := h.open[id]
 	if c == nil || c.answered {
 		return
@@ -541,7 +541,7 @@
 	}
 	c.answered = true
 	h.meter.answered(link.Placed)
-	h.feed(placer.Placed{ID: c.ask.ID, Bid: b.nth, Machine: b.at.id, Took: placer.Time(h.loop.Now() - b.sentAt)})
+	h.feed(scheduler.Placed{ID: c.ask.ID, Bid: b.nth, Machine: b.at.id, Took: scheduler.Time(h.loop.Now() - b.sentAt)})
 	if c.owner != nil {
 		c.owner.write(&link.Answer{Container: string(c.ask.ID), Verdict: link.Placed, Machine: string(b.at.id)})
 	}
@@ -576,7 +576,7 @@
 	if h.unsent > 0 {
 		h.tookOver[held.Ask.Service] = h.takeovers
 	}
-	h.feed(placer.TookOver{Ask: held.Ask, Machine: m.id})
+	h.feed(scheduler.TookOver{Ask: held.Ask, Machine: m.id})
 }
 
 // keepHouse closes what is idle, silent or half said.
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -10,18 +10,18 @@
 	"time"
 
 	"glenport/internal/link"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // bidTo bids each container to machine a, and gives it up after its first outcome.
-func bidTo(wait placer.Time) func(placer.Event) []placer.Action {
-	return func(e placer.Event) []placer.Action {
+func bidTo(wait scheduler.Time) func(scheduler.Event) []scheduler.Action {
+	return func(e scheduler.Event) []scheduler.Action {
 		switch e := e.(type) {
-		case placer.Asked:
-			return []placer.Action{placer.Bid{ID: e.ID, Machine: "a", MaxWait: wait}}
-		case placer.Ended:
+		case scheduler.Asked:
+			return []scheduler.Action{scheduler.Bid{ID: e.ID, Machine: "a", MaxWait: wait}}
+		case scheduler.Ended:
 			if !e.Over {
-				return []placer.Action{placer.GiveUp{ID: e.ID}}
+				return []scheduler.Action{scheduler.GiveUp{ID: e.ID}}
 			}
 		}
 		return nil
@@ -66,38 +66,38 @@
 	for _, tc := range []struct {
 		name    string
 		machine func(*testing.T) string
-		want    placer.Outcome
-		reason  placer.Reason
+		want    scheduler.Outcome
+		reason  scheduler.Reason
 		over    bool
 		fate    link.Outcome
 	}{
-		{"full", result(link.Full, link.NoMemory), placer.Full, placer.NoMemory, false, 0},
-		{"erred", result(link.Erred, 0), placer.Erred, 0, false, 0},
-		{"finished", after(link.Finished, 0), placer.Finished, 0, true, link.Finished},
-		{"evicted", after(link.Lost, link.Evicted), placer.Reset, placer.Evicted, true, link.Lost},
-		{"sent away", after(link.Lost, link.SentAway), placer.Reset, placer.SentAway, true, link.Lost},
-		{"no answer", func(t *testing.T) string { return machineThat(t, "a", &link.Holds{}, quiet) }, placer.TimedOut, 0, false, 0},
-		{"link ended between offer and answer", hang(false), placer.Reset, 0, false, 0},
-		{"link reset between offer and answer", hang(true), placer.Reset, 0, false, 0},
+		{"full", result(link.Full, link.NoMemory), scheduler.Full, scheduler.NoMemory, false, 0},
+		{"erred", result(link.Erred, 0), scheduler.Erred, 0, false, 0},
+		{"finished", after(link.Finished, 0), scheduler.Finished, 0, true, link.Finished},
+		{"evicted", after(link.Lost, link.Evicted), scheduler.Reset, scheduler.Evicted, true, link.Lost},
+		{"sent away", after(link.Lost, link.SentAway), scheduler.Reset, scheduler.SentAway, true, link.Lost},
+		{"no answer", func(t *testing.T) string { return machineThat(t, "a", &link.Holds{}, quiet) }, scheduler.TimedOut, 0, false, 0},
+		{"link ended between offer and answer", hang(false), scheduler.Reset, 0, false, 0},
+		{"link reset between offer and answer", hang(true), scheduler.Reset, 0, false, 0},
 		{"garbage for an answer", says(func(*link.Offer) []link.Frame {
 			return []link.Frame{&link.Submit{Left: 1,
 				Work: link.Work{Container: "x", Key: "x", Service: "x"}}}
-		}), placer.Reset, 0, false, 0},
+		}), scheduler.Reset, 0, false, 0},
 		{"nobody listens", func(t *testing.T) string {
 			l, _ := net.Listen("tcp", "127.0.0.1:0")
 			defer l.Close()
 			return l.Addr().String()
-		}, placer.NoConnect, 0, false, 0},
+		}, scheduler.NoConnect, 0, false, 0},
 		{"takes the call and never greets", func(t *testing.T) string {
 			return serve(t, func(c net.Conn) { c.Read(make([]byte, 1000)); c.Read(make([]byte, 1000)) })
-		}, placer.NoConnect, 0, false, 0},
+		}, scheduler.NoConnect, 0, false, 0},
 		{"another machine answers", func(t *testing.T) string { return machineThat(t, "b", &link.Holds{}, quiet) },
-			placer.NoConnect, 0, false, 0},
+			scheduler.NoConnect, 0, false, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := start(t, terms(t), bidTo(1500*placer.Millisecond), map[string]string{"a": tc.machine(t)})
+			r := start(t, terms(t), bidTo(1500*scheduler.Millisecond), map[string]string{"a": tc.machine(t)})
 			r.door.submit("x", 2)
-			e := await[placer.Ended](r, nil)
+			e := await[scheduler.Ended](r, nil)
 			if e.Outcome != tc.want || e.Reason != tc.reason || e.Over != tc.over || e.Machine != "a" || e.ID != "x" {
 				t.Errorf("got %+v", e)
 			}
@@ -139,8 +139,8 @@
 			}
 		}
 	}
-	e := await[placer.Ended](r, nil)
-	if most := on1(r.h, func() int { return r.h.machines["a"].conn.Waiting() }); e.Outcome != placer.NotSent || most > 128<<10 { // a turn's
+	e := await[scheduler.Ended](r, nil)
+	if most := on1(r.h, func() int { return r.h.machines["a"].conn.Waiting() }); e.Outcome != scheduler.NotSent || most > 128<<10 { // a turn's
 		t.Errorf("after %d bids %+v, %d bytes wait", sent, e, most)
 	}
 }
@@ -152,10 +152,10 @@
 		name     string
 		workload int
 		withdraw bool
-		wait     placer.Time // 0: to the hard stop
+		wait     scheduler.Time // 0: to the hard stop
 		want     string
-	}{{"timed out, reissuable", 0, false, 200 * placer.Millisecond, "called off"},
-		{"timed out, at-most-once", 2, false, 200 * placer.Millisecond, "taken over"},
+	}{{"timed out, reissuable", 0, false, 200 * scheduler.Millisecond, "called off"},
+		{"timed out, at-most-once", 2, false, 200 * scheduler.Millisecond, "taken over"},
 		{"after the hard stop, reissuable", 0, false, 0, "called off"},
 		{"after the hard stop, at-most-once", 2, false, 0, "taken over"},
 		{"withdrawn, at-most-once", 2, true, 0, "taken over"}} {
@@ -174,14 +174,14 @@
 				return true
 			})
 			on := bidTo(tc.wait)
-			r := start(t, terms(t), func(e placer.Event) []placer.Action {
-				if _, ok := e.(placer.Ended); ok {
-					return append(on(e), placer.Probe{Machine: "a"})
+			r := start(t, terms(t), func(e scheduler.Event) []scheduler.Action {
+				if _, ok := e.(scheduler.Ended); ok {
+					return append(on(e), scheduler.Probe{Machine: "a"})
 				}
-				if a, ok := e.(placer.Asked); ok && tc.withdraw {
-					return append(on(e), placer.Withdraw{ID: a.ID, Bid: 0})
+				if a, ok := e.(scheduler.Asked); ok && tc.withdraw {
+					return append(on(e), scheduler.Withdraw{ID: a.ID, Bid: 0})
 				}
-				if _, ok := e.(placer.TookOver); ok {
+				if _, ok := e.(scheduler.TookOver); ok {
 					called <- "taken over"
 				}
 				return on(e)
@@ -265,7 +265,7 @@
 				}
 			})
 			r := start(t, terms(t), bidTo(0), map[string]string{"a": addr})
-			if took := await[placer.TookOver](r, nil); took.ID != "old" || took.Machine != "a" {
+			if took := await[scheduler.TookOver](r, nil); took.ID != "old" || took.Machine != "a" {
 				t.Errorf("took over %+v", took)
 			}
 			r.door.submit("x", 2)
@@ -387,7 +387,7 @@
 	syscall.Close(lowest)
 	syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: uint64(lowest), Max: old.Max})
 	r.door.submit("x", 2)
-	if e := await[placer.Ended](r, nil); e.Outcome != placer.NotSent { // it tells nothing of the machine
+	if e := await[scheduler.Ended](r, nil); e.Outcome != scheduler.NotSent { // it tells nothing of the machine
 		t.Errorf("outcome %+v", e)
 	}
 	if a := r.door.answer(); a.Verdict != link.GivenUp {
@@ -404,9 +404,9 @@
 // start by another way is none.
 func TestMachineBackWithNewStart(t *testing.T) {
 	r := start(t, terms(t), nil, map[string]string{"a": "127.0.0.1:1"})
-	starts := func(incarnation uint64, age link.Span) placer.Time {
-		return on1(r.h, func() placer.Time {
-			r.h.learn(placer.Changes, 2, []link.Entry{{Machine: "a", Addr: "127.0.0.1:1", Incarnation: incarnation, Age: age}})
+	starts := func(incarnation uint64, age link.Span) scheduler.Time {
+		return on1(r.h, func() scheduler.Time {
+			r.h.learn(scheduler.Changes, 2, []link.Entry{{Machine: "a", Addr: "127.0.0.1:1", Incarnation: incarnation, Age: age}})
 			return r.h.machines["a"].startedAt
 		})
 	}
--- a/internal/host/knowledge.go
+++ b/internal/host/knowledge.go
@@ -13,7 +13,7 @@
 	"glenport/internal/loop"
 	"glenport/internal/recall"
 	"glenport/internal/store"
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/sys/unix"
@@ -30,16 +30,16 @@
 
 // learner is a decider whose knowledge can be kept.
 type learner interface {
-	Knows() placer.Knowledge
-	Recall(placer.Knowledge)
+	Knows() scheduler.Knowledge
+	Recall(scheduler.Knowledge)
 }
 
 // stamp reads the clocks.
-func stamp(clock placer.Time) recall.Stamp {
+func stamp(clock scheduler.Time) recall.Stamp {
 	s := recall.Stamp{Clock: clock}
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) == nil {
-		s.Up = placer.Time(t.Nano() / 100_000)
+		s.Up = scheduler.Time(t.Nano() / 100_000)
 	}
 	if id, err := os.ReadFile("/proc/sys/kernel/random/boot_id"); err == nil {
 		s.Boot = strings.TrimSpace(string(id))
@@ -86,7 +86,7 @@
 	if !ok {
 		return nil, fmt.Errorf("%s holds a %T", path, f)
 	}
-	k := &Knowledge{At: recall.Stamp{Clock: placer.Time(binary.BigEndian.Uint64(data))}, ListIs: listed.Version}
+	k := &Knowledge{At: recall.Stamp{Clock: scheduler.Time(binary.BigEndian.Uint64(data))}, ListIs: listed.Version}
 	for _, e := range listed.Entries {
 		k.Entries = append(k.Entries, recordOfEntry(e))
 	}
@@ -115,11 +115,11 @@
 
 // known gathers what is to be kept.
 func (h *Host) known(orderly bool) *Knowledge {
-	k := &Knowledge{At: stamp(placer.Time(h.loop.Now())), Names: h.names(), Starts: map[placer.MachineID]uint64{},
+	k := &Knowledge{At: stamp(scheduler.Time(h.loop.Now())), Names: h.names(), Starts: map[scheduler.MachineID]uint64{},
 		ListIs: h.list.held.version, AtAnOrder: orderly}
 	for _, e := range h.list.held.entries {
-		if m := h.machines[placer.MachineID(e.Machine)]; m != nil && m.startedAt > 0 {
-			e.Age = link.Span(placer.Time(h.loop.Now()) - m.startedAt)
+		if m := h.machines[scheduler.MachineID(e.Machine)]; m != nil && m.startedAt > 0 {
+			e.Age = link.Span(scheduler.Time(h.loop.Now()) - m.startedAt)
 		}
 		k.Entries = append(k.Entries, recordOfEntry(e))
 	}
--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -7,7 +7,7 @@
 	"glenport/internal/custody"
 	"glenport/internal/link"
 	"glenport/internal/loop"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // listLink is the link to the list of machines. When and how often it is asked the placer module decides.
@@ -65,7 +65,7 @@
 	l.conn = nil
 	if l.asked {
 		l.asked = false
-		l.h.feed(placer.ListCame{Mode: placer.ListFailed})
+		l.h.feed(scheduler.ListCame{Mode: scheduler.ListFailed})
 	}
 }
 
@@ -91,15 +91,15 @@
 		if f.Version < l.version {
 			return fmt.Errorf("list of version %d after one of version %d: not taken", f.Version, l.version)
 		}
-		mode := placer.Changes
+		mode := scheduler.Changes
 		if f.Whole {
-			mode = placer.WholeList
+			mode = scheduler.WholeList
 		}
 		l.version = f.Version
 		l.h.learn(mode, f.Version, f.Entries)
 	case *link.Failed:
 		l.h.log.Warn("list call failed", "why", f.Text)
-		l.h.feed(placer.ListCame{Mode: placer.ListFailed})
+		l.h.feed(scheduler.ListCame{Mode: scheduler.ListFailed})
 	case *link.Beat:
 	case *link.Bye:
 		return errors.New("the list says: " + f.Text)
@@ -111,15 +111,15 @@
 
 // learn notes where machines are and hands the list on. A machine's start is reckoned once for each of its
 // incarnations: an age that came by another way must not look like another start.
-func (h *Host) learn(mode placer.ListMode, version int64, entries []link.Entry) {
-	now := placer.Time(h.loop.Now())
-	e := placer.ListCame{Mode: mode, Version: version, Entries: make([]placer.Entry, 0, len(entries))}
-	named := map[placer.MachineID]bool{}
-	var ids []placer.MachineID
+func (h *Host) learn(mode scheduler.ListMode, version int64, entries []link.Entry) {
+	now := scheduler.Time(h.loop.Now())
+	e := scheduler.ListCame{Mode: mode, Version: version, Entries: make([]scheduler.Entry, 0, len(entries))}
+	named := map[scheduler.MachineID]bool{}
+	var ids []scheduler.MachineID
 	var started []*machine
 	for i := range entries {
 		l := &entries[i]
-		m := h.machine(placer.MachineID(l.Machine))
+		m := h.machine(scheduler.MachineID(l.Machine))
 		if l.State != link.Gone {
 			named[m.id] = true
 			ids = append(ids, m.id)
@@ -141,14 +141,14 @@
 		if l.Incarnation > m.incarnation || l.Incarnation == m.incarnation && (m.startedAt == 0 || m.greeted) {
 			m.incarnation, m.startedAt, m.greeted = l.Incarnation, 0, false
 			if l.Age >= 0 {
-				m.startedAt = max(1, now-placer.Time(l.Age))
+				m.startedAt = max(1, now-scheduler.Time(l.Age))
 			}
 			started = append(started, m)
 		}
 		e.Entries = append(e.Entries, m.entry(l))
 	}
 	for id, m := range h.machines {
-		if mode != placer.Changes && !named[id] {
+		if mode != scheduler.Changes && !named[id] {
 			m.gone = true
 		}
 		if m.gone {
@@ -163,12 +163,12 @@
 			h.state.started(m)
 		}
 	}
-	h.tell(custody.Named{Machines: ids, Whole: mode == placer.WholeList})
+	h.tell(custody.Named{Machines: ids, Whole: mode == scheduler.WholeList})
 	h.list.held.merge(mode, version, entries)
 }
 
-func (m *machine) entry(l *link.Entry) placer.Entry {
-	return placer.Entry{Machine: m.id, Zone: l.Zone, Kind: l.Kind, Cell: l.Cell, State: placer.MachineState(l.State),
+func (m *machine) entry(l *link.Entry) scheduler.Entry {
+	return scheduler.Entry{Machine: m.id, Zone: l.Zone, Kind: l.Kind, Cell: l.Cell, State: scheduler.MachineState(l.State),
 		FreeCores: l.FreeCores, FreeMemory: l.FreeMemory, PowerHint: l.Hint, StartedAt: m.startedAt}
 }
 
@@ -179,8 +179,8 @@
 	if start <= m.incarnation || !listed {
 		return
 	}
-	m.incarnation, m.startedAt, m.greeted = start, placer.Time(h.loop.Now()), true
-	h.feed(placer.ListCame{Mode: placer.SelfReported, Version: h.list.version, Entries: []placer.Entry{m.entry(&l)}})
+	m.incarnation, m.startedAt, m.greeted = start, scheduler.Time(h.loop.Now()), true
+	h.feed(scheduler.ListCame{Mode: scheduler.SelfReported, Version: h.list.version, Entries: []scheduler.Entry{m.entry(&l)}})
 	if h.state != nil {
 		h.state.named()
 		h.state.started(m)
@@ -193,8 +193,8 @@
 	version int64
 }
 
-func (l *heldList) merge(mode placer.ListMode, version int64, entries []link.Entry) {
-	if l.entries == nil || mode != placer.Changes {
+func (l *heldList) merge(mode scheduler.ListMode, version int64, entries []link.Entry) {
+	if l.entries == nil || mode != scheduler.Changes {
 		l.entries = map[string]link.Entry{}
 	}
 	l.version = version
--- a/internal/host/list_test.go
+++ b/internal/host/list_test.go
@@ -8,7 +8,7 @@
 
 	"glenport/internal/link"
 	"glenport/internal/loop"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // A list that is older than the last, or of another life of its service, is not taken for news; it is asked anew, for the
@@ -47,9 +47,9 @@
 			})
 			s := terms(t)
 			s.ListAddr = addr
-			sc := &script{events: make(chan placer.Event, 1000)}
+			sc := &script{events: make(chan scheduler.Event, 1000)}
 			r := &rig{T: t, script: sc, h: run(t, s, sc)}
-			for i, want := range []placer.ListMode{placer.WholeList, placer.ListFailed, placer.WholeList} {
+			for i, want := range []scheduler.ListMode{scheduler.WholeList, scheduler.ListFailed, scheduler.WholeList} {
 				r.h.loop.Post(func() {
 					if r.h.list.conn != nil {
 						r.h.list.asked = false
@@ -57,7 +57,7 @@
 					}
 					r.h.watch(&link.Watch{On: true, Since: r.h.list.version})
 				})
-				if e := await(r, func(e placer.ListCame) bool { return e.Mode != placer.OldList }); e.Mode != want {
+				if e := await(r, func(e scheduler.ListCame) bool { return e.Mode != scheduler.OldList }); e.Mode != want {
 					t.Fatalf("call %d: mode %d, version %d", i+1, e.Mode, e.Version)
 				}
 			}
@@ -78,7 +78,7 @@
 	var away atomic.Bool
 	watches := make(chan int64, 100) // the version that each call asks for changes since
 	s := terms(t)
-	s.Connect, s.Terms.AskWithin, s.Terms.Placers = 10*loop.Second, placer.Second, 1
+	s.Connect, s.Terms.AskWithin, s.Terms.Placers = 10*loop.Second, scheduler.Second, 1
 	s.ListAddr = serve(t, func(c net.Conn) {
 		if away.Load() {
 			return
@@ -95,7 +95,7 @@
 			}
 		}
 	})
-	h := run(t, s, placer.New(s.Terms))
+	h := run(t, s, scheduler.New(s.Terms))
 	await := func(since int64) {
 		t.Helper()
 		select {
--- a/internal/host/machine.go
+++ b/internal/host/machine.go
@@ -7,18 +7,18 @@
 	"glenport/internal/custody"
 	"glenport/internal/link"
 	"glenport/internal/loop"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // machine is one that the list has named, with the one link to it that all bids share.
 type machine struct {
 	h           *Host
-	id          placer.MachineID
+	id          scheduler.MachineID
 	addr        string
 	gone        bool
 	draining    bool
 	incarnation uint64
-	startedAt   placer.Time
+	startedAt   scheduler.Time
 	greeted     bool // no list has told of this start yet, only the machine itself
 
 	conn    *loop.Conn
@@ -26,11 +26,11 @@
 	ready   bool // it has greeted and said what it holds
 	heardAt loop.Tick
 	usedAt  loop.Tick
-	halfAt  loop.Tick             // since when half a frame waits
-	waiting []*bid                // for the link
-	bids    map[uint64]*bid       // out, or running there
-	late    map[uint64]placer.Ask // of bids that are over and may still be said yes to; emptied after a minute
-	probes  map[uint64]*probing   // emptied by their answer or time-out
+	halfAt  loop.Tick                // since when half a frame waits
+	waiting []*bid                   // for the link
+	bids    map[uint64]*bid          // out, or running there
+	late    map[uint64]scheduler.Ask // of bids that are over and may still be said yes to; emptied after a minute
+	probes  map[uint64]*probing      // emptied by their answer or time-out
 }
 
 type probing struct {
@@ -42,10 +42,10 @@
 	sentAt loop.Tick
 }
 
-func (h *Host) machine(id placer.MachineID) *machine {
+func (h *Host) machine(id scheduler.MachineID) *machine {
 	m := h.machines[id]
 	if m == nil {
-		m = &machine{h: h, id: id, bids: map[uint64]*bid{}, late: map[uint64]placer.Ask{}, probes: map[uint64]*probing{}}
+		m = &machine{h: h, id: id, bids: map[uint64]*bid{}, late: map[uint64]scheduler.Ask{}, probes: map[uint64]*probing{}}
 		h.machines[id] = m
 	}
 	return m
@@ -117,17 +117,17 @@
 		if !b.placed {
 			m.h.meter.outcome("reset")
 			m.h.unheard(b)
-			m.h.over(b, placer.Ended{Outcome: placer.Reset})
+			m.h.over(b, scheduler.Ended{Outcome: scheduler.Reset})
 		}
 	}
 	for _, p := range m.probes {
 		switch {
 		case was:
-			m.probed(p, placer.Reset, nil)
+			m.probed(p, scheduler.Reset, nil)
 		case short:
-			m.probed(p, placer.NotSent, nil)
+			m.probed(p, scheduler.NotSent, nil)
 		default:
-			m.probed(p, placer.NoConnect, nil)
+			m.probed(p, scheduler.NoConnect, nil)
 		}
 	}
 	clear(m.late) // what it runs it will say when the link stands again
@@ -167,7 +167,7 @@
 		Cores: a.Cores, Memory: a.Memory, Window: b.c.window, RunFor: link.Span(a.Life), Again: a.Again}})
 	if !b.sent { // the machine takes too little of what waits for it
 		m.h.meter.outcome("not sent")
-		m.h.over(b, placer.Ended{Outcome: placer.NotSent})
+		m.h.over(b, scheduler.Ended{Outcome: scheduler.NotSent})
 		return
 	}
 	m.bids[b.number] = b
@@ -235,11 +235,11 @@
 		m.result(f)
 	case *link.Note:
 		if b := m.bids[f.Bid]; b != nil {
-			m.h.feed(placer.Noted{ID: b.c.ask.ID, Machine: m.id, Bid: b.nth, Sort: placer.NoteSort(f.Sort), Amount: f.Amount})
+			m.h.feed(scheduler.Noted{ID: b.c.ask.ID, Machine: m.id, Bid: b.nth, Sort: scheduler.NoteSort(f.Sort), Amount: f.Amount})
 		}
 	case *link.Probed:
 		if p := m.probes[f.Seq]; p != nil {
-			m.probed(p, placer.Finished, f.Report)
+			m.probed(p, scheduler.Finished, f.Report)
 		}
 	case *link.Beat:
 	case *link.Bye:
@@ -259,8 +259,8 @@
 	for _, k := range f.Held {
 		w := &k.Work
 		e.Held = append(e.Held, custody.Held{Machine: m.id, Life: k.Life, Bid: k.Bid, Running: k.Running,
-			Ask: placer.Ask{ID: placer.ContainerID(w.Container), Key: w.Key, Service: w.Service, Workload: w.Workload,
-				Customer: w.Customer, Cores: w.Cores, Memory: w.Memory, Life: placer.Time(w.RunFor), Again: w.Again}})
+			Ask: scheduler.Ask{ID: scheduler.ContainerID(w.Container), Key: w.Key, Service: w.Service, Workload: w.Workload,
+				Customer: w.Customer, Cores: w.Cores, Memory: w.Memory, Life: scheduler.Time(w.RunFor), Again: w.Again}})
 	}
 	m.h.tell(e)
 	m.ready = true
@@ -287,7 +287,7 @@
 		case !b.placed:
 			m.h.yes(b)
 		case f.Running: // accepted before
-			m.h.feed(placer.Noted{ID: b.c.ask.ID, Machine: m.id, Bid: b.nth, Sort: placer.Running, Amount: 1})
+			m.h.feed(scheduler.Noted{ID: b.c.ask.ID, Machine: m.id, Bid: b.nth, Sort: scheduler.Running, Amount: 1})
 		}
 		return
 	}
@@ -308,30 +308,30 @@
 		return
 	}
 	o := f.Outcome.Decided()
-	if !b.placed && o == placer.Finished { // it ran, whatever became of the yes
+	if !b.placed && o == scheduler.Finished { // it ran, whatever became of the yes
 		m.h.yes(b)
 	}
 	if !b.placed {
 		m.h.meter.outcome(f.Outcome.String())
 	}
-	m.h.over(b, placer.Ended{Outcome: o, Reason: placer.Reason(f.Reason), Report: f.Report, Over: b.placed})
+	m.h.over(b, scheduler.Ended{Outcome: o, Reason: scheduler.Reason(f.Reason), Report: f.Report, Over: b.placed})
 }
 
-func (h *Host) probe(id placer.MachineID) {
+func (h *Host) probe(id scheduler.MachineID) {
 	m := h.machines[id]
 	if m == nil {
-		h.feed(placer.Probed{Machine: id, Outcome: placer.NoConnect})
+		h.feed(scheduler.Probed{Machine: id, Outcome: scheduler.NoConnect})
 		return
 	}
 	h.lastSeq++
 	p := &probing{seq: h.lastSeq, start: m.incarnation, sentAt: h.loop.Now()}
 	m.probes[p.seq] = p
-	p.timer = h.loop.After(probeWithin, func() { m.probed(p, placer.TimedOut, nil) })
+	p.timer = h.loop.After(probeWithin, func() { m.probed(p, scheduler.TimedOut, nil) })
 	if h.state != nil && h.state.noteSend(m) {
 		p.unkept = true
 		h.state.after(false, func(err error) {
 			if p.unkept = false; err != nil {
-				m.probed(p, placer.NotSent, nil)
+				m.probed(p, scheduler.NotSent, nil)
 			} else if m.probes[p.seq] == p {
 				m.sendProbe(p)
 			}
@@ -345,7 +345,7 @@
 // not sent, as it does not count for this one.
 func (m *machine) sendProbe(p *probing) {
 	if m.ready && m.incarnation != p.start {
-		m.probed(p, placer.NotSent, nil)
+		m.probed(p, scheduler.NotSent, nil)
 	} else if m.ready {
 		p.sent = m.write(&link.Probe{Seq: p.seq})
 	} else {
@@ -353,13 +353,13 @@
 	}
 }
 
-func (m *machine) probed(p *probing, o placer.Outcome, r map[string]float64) {
+func (m *machine) probed(p *probing, o scheduler.Outcome, r map[string]float64) {
 	if m.probes[p.seq] != p {
 		return
 	}
 	delete(m.probes, p.seq)
 	m.h.loop.Cancel(p.timer)
-	m.h.feed(placer.Probed{Machine: m.id, Outcome: o, Took: placer.Time(m.h.loop.Now() - p.sentAt), Report: r})
+	m.h.feed(scheduler.Probed{Machine: m.id, Outcome: o, Took: scheduler.Time(m.h.loop.Now() - p.sentAt), Report: r})
 }
 
 // house closes the link when nothing has used it for long, when it is silent though something is due, or when
--- a/internal/host/orders_test.go
+++ b/internal/host/orders_test.go
@@ -13,7 +13,7 @@
 	"glenport/internal/loop"
 	"glenport/internal/orders"
 	"glenport/internal/site"
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"golang.org/x/sys/unix"
 )
@@ -94,7 +94,7 @@
 	*listening
 	link.Entry
 	start uint64
-	born  placer.Time         // of that start; 0: long ago
+	born  scheduler.Time      // of that start; 0: long ago
 	held  map[uint64]*holding // by bid
 }
 
@@ -128,8 +128,8 @@
 	}
 	own := *s
 	own.ListAddr = w.list.addr
-	d := placer.New(own.Terms)
-	d.Recall(placer.Knowledge{SentSince: 1})
+	d := scheduler.New(own.Terms)
+	d.Recall(scheduler.Knowledge{SentSince: 1})
 	w.judge = orders.NewJudge(own.Terms, 1, 0)
 	var err error
 	if w.h, err = New(&own, around(d), discard); err != nil {
@@ -161,8 +161,8 @@
 	w.owner.close()
 }
 
-func (w *world) now() placer.Time {
-	return on1(w.h, func() placer.Time { return placer.Time(w.h.loop.Now()) })
+func (w *world) now() scheduler.Time {
+	return on1(w.h, func() scheduler.Time { return scheduler.Time(w.h.loop.Now()) })
 }
 
 // settle lets the host take all that is on its way, and takes all that comes of it: until every byte that one side wrote
@@ -205,7 +205,7 @@
 		all = all && even(o.conn, w.owner)
 	}
 	for name, m := range w.machines {
-		if on := h.machines[placer.MachineID(name)]; on != nil {
+		if on := h.machines[scheduler.MachineID(name)]; on != nil {
 			all = all && even(on.conn, m.call)
 		}
 	}
@@ -217,7 +217,7 @@
 }
 
 // tell sends a list; a machine that just started is as old as the time since.
-func (w *world) tell(now placer.Time, whole bool, entries ...link.Entry) {
+func (w *world) tell(now scheduler.Time, whole bool, entries ...link.Entry) {
 	w.version++
 	for i := range entries {
 		if m := w.machines[entries[i].Machine]; m.born > 0 {
@@ -225,19 +225,19 @@
 		}
 	}
 	w.list.call.put(&link.Listed{Whole: whole, Version: w.version, Entries: entries})
-	mode := placer.Changes
+	mode := scheduler.Changes
 	if whole {
-		mode = placer.WholeList
+		mode = scheduler.WholeList
 	}
-	e := placer.ListCame{Mode: mode}
+	e := scheduler.ListCame{Mode: mode}
 	for _, l := range entries {
 		e.Entries = append(e.Entries, w.entry(l, l.Incarnation))
 	}
 	w.judge.In(0, now, e)
 }
 
-func (w *world) entry(l link.Entry, start uint64) placer.Entry {
-	e := placer.Entry{Machine: placer.MachineID(l.Machine), Zone: l.Zone, Cell: l.Cell, State: placer.MachineState(l.State)}
+func (w *world) entry(l link.Entry, start uint64) scheduler.Entry {
+	e := scheduler.Entry{Machine: scheduler.MachineID(l.Machine), Zone: l.Zone, Cell: l.Cell, State: scheduler.MachineState(l.State)}
 	if start > 1 {
 		e.StartedAt = w.machines[l.Machine].born
 	}
@@ -245,7 +245,7 @@
 }
 
 // serve does what a machine owes: its greeting with what it holds, and the end of what is called off.
-func (w *world) serve(now placer.Time, m *scripted) (any bool) {
+func (w *world) serve(now scheduler.Time, m *scripted) (any bool) {
 	if any = m.accept(); any {
 		m.call.put(link.Greeting(link.Machine, m.Machine, m.start))
 		holds := &link.Holds{Incarnation: m.start}
@@ -255,12 +255,12 @@
 			if b.as == "" {
 				w.adopted++
 				b.as = fmt.Sprint("found ", w.adopted)
-				w.judge.In(0, now, placer.TookOver{Ask: placer.Ask{ID: placer.ContainerID(b.as), Service: b.Work.Service,
-					Workload: b.Work.Workload}, Machine: placer.MachineID(m.Machine)})
+				w.judge.In(0, now, scheduler.TookOver{Ask: scheduler.Ask{ID: scheduler.ContainerID(b.as), Service: b.Work.Service,
+					Workload: b.Work.Workload}, Machine: scheduler.MachineID(m.Machine)})
 			}
 		}
 		if m.start > 1 {
-			w.judge.In(0, now, placer.ListCame{Entries: []placer.Entry{w.entry(m.Entry, m.start)}})
+			w.judge.In(0, now, scheduler.ListCame{Entries: []scheduler.Entry{w.entry(m.Entry, m.start)}})
 		}
 		m.call.put(holds)
 	}
@@ -268,11 +268,11 @@
 		switch f := f.(type) {
 		case *link.Offer:
 			m.held[f.Bid] = &holding{link.Holding{Bid: f.Bid, Life: w.h.life, Running: true, Work: f.Work}, true, f.Work.Container}
-			w.judge.Out(0, now, placer.Bid{ID: placer.ContainerID(f.Work.Container), Machine: placer.MachineID(m.Machine)})
+			w.judge.Out(0, now, scheduler.Bid{ID: scheduler.ContainerID(f.Work.Container), Machine: scheduler.MachineID(m.Machine)})
 		case *link.Withdraw:
 			if b := m.held[f.Bid]; b != nil {
 				delete(m.held, f.Bid)
-				w.judge.In(0, now, placer.Ended{ID: placer.ContainerID(b.as), Outcome: placer.Stopped, Over: true})
+				w.judge.In(0, now, scheduler.Ended{ID: scheduler.ContainerID(b.as), Outcome: scheduler.Stopped, Over: true})
 				m.call.put(&link.Result{Bid: f.Bid, Outcome: link.Stopped})
 			}
 		case *link.Probe:
@@ -290,12 +290,12 @@
 }
 
 // heard judges an answer that the owner gets.
-func (w *world) heard(now placer.Time, f link.Frame) {
+func (w *world) heard(now scheduler.Time, f link.Frame) {
 	a, ok := f.(*link.Answer)
 	if !ok {
 		return
 	}
-	id := placer.ContainerID(a.Container)
+	id := scheduler.ContainerID(a.Container)
 	if w.ended[a.Container] {
 		return
 	}
@@ -304,10 +304,10 @@
 	}
 	switch a.Verdict {
 	case link.PushedBack, link.TurnedAway:
-		w.judge.Out(0, now, placer.PushBack{ID: id})
+		w.judge.Out(0, now, scheduler.PushBack{ID: id})
 	case link.GivenUp:
 		if a.Text != "cancelled" {
-			w.judge.Out(0, now, placer.GiveUp{ID: id})
+			w.judge.Out(0, now, scheduler.GiveUp{ID: id})
 		}
 	}
 }
@@ -360,49 +360,49 @@
 	f := strings.Fields(word)
 	last, now := f[len(f)-1], w.now()
 	m := w.machines[last]
-	result := func(o link.Outcome, decided placer.Outcome) {
+	result := func(o link.Outcome, decided scheduler.Outcome) {
 		m, b := w.find(last, f[0] != "over")
 		delete(m.held, b.Bid)
-		w.judge.In(0, now, placer.Ended{ID: placer.ContainerID(b.as), Outcome: decided, Over: f[0] == "over"})
+		w.judge.In(0, now, scheduler.Ended{ID: scheduler.ContainerID(b.as), Outcome: decided, Over: f[0] == "over"})
 		m.call.put(&link.Result{Bid: b.Bid, Outcome: o})
 	}
 	switch f[0] {
 	case "ask":
 		id := string(rune('x' + w.asked))
-		a := placer.Ask{ID: placer.ContainerID(id), Key: "k-" + id, Service: "s", Workload: w.asked, Cores: 1, Memory: 1, Due: now + 600*placer.Second}
+		a := scheduler.Ask{ID: scheduler.ContainerID(id), Key: "k-" + id, Service: "s", Workload: w.asked, Cores: 1, Memory: 1, Due: now + 600*scheduler.Second}
 		w.asked++
-		w.judge.In(0, now, placer.Asked{Ask: a})
-		w.owner.put(&link.Submit{Left: link.Span(600 * placer.Second), Work: link.Work{Container: id, Key: a.Key, Service: a.Service,
+		w.judge.In(0, now, scheduler.Asked{Ask: a})
+		w.owner.put(&link.Submit{Left: link.Span(600 * scheduler.Second), Work: link.Work{Container: id, Key: a.Key, Service: a.Service,
 			Workload: a.Workload, Cores: 1, Memory: 1}})
 	case "cancel":
 		if w.answers[last] == 0 {
-			w.judge.In(0, now, placer.Vanished{ID: placer.ContainerID(last)})
+			w.judge.In(0, now, scheduler.Vanished{ID: scheduler.ContainerID(last)})
 		}
 		w.ended[last] = w.answers[last] > 0 // what comes now answers the cancelling
 		w.owner.put(&link.Cancel{Container: last, Key: "k-" + last})
 	case "yes":
 		m, b := w.find(last, true)
 		b.out = false
-		w.judge.In(0, now, placer.Placed{ID: placer.ContainerID(b.as)})
+		w.judge.In(0, now, scheduler.Placed{ID: scheduler.ContainerID(b.as)})
 		m.call.put(&link.Yes{Bid: b.Bid, Running: true})
 	case "full":
-		result(link.Full, placer.Full)
+		result(link.Full, scheduler.Full)
 	case "erred":
-		result(link.Erred, placer.Erred)
+		result(link.Erred, scheduler.Erred)
 	case "over":
-		result(link.Finished, placer.Finished)
+		result(link.Finished, scheduler.Finished)
 	case "break", "restart":
 		for _, n := range m.bids() { // what waits for its answer was taken, unheard
 			if b := m.held[n]; b.out {
 				b.out = false
-				w.judge.In(0, now, placer.Ended{ID: placer.ContainerID(b.as), Outcome: placer.Reset})
+				w.judge.In(0, now, scheduler.Ended{ID: scheduler.ContainerID(b.as), Outcome: scheduler.Reset})
 				b.as = ""
 			}
 		}
 		m.call.close()
 		if f[0] == "restart" {
 			for _, b := range m.held {
-				w.judge.In(0, now, placer.Ended{ID: placer.ContainerID(b.as), Outcome: placer.Reset, Over: true})
+				w.judge.In(0, now, scheduler.Ended{ID: scheduler.ContainerID(b.as), Outcome: scheduler.Reset, Over: true})
 			}
 			m.start, m.born = m.start+1, now
 			clear(m.held)
@@ -440,32 +440,32 @@
 }
 
 // tinySite has one workload for each of the three containers.
-func tinySite(t *testing.T, workloads ...placer.Workload) *site.Placer {
+func tinySite(t *testing.T, workloads ...scheduler.Workload) *site.Placer {
 	s := terms(t)
 	s.Connect, s.Silent, s.Idle = 30*loop.Second, 600*loop.Second, 600*loop.Second
-	s.Terms.Placers, s.Terms.Me, s.Terms.Kinds = 1, 0, []placer.Kind{{Cores: 20, Memory: 20}}
-	s.Terms.ColdFor, s.Terms.ColdWindow, s.Terms.ColdBids = 1200*placer.Second, 600*placer.Second, 1
+	s.Terms.Placers, s.Terms.Me, s.Terms.Kinds = 1, 0, []scheduler.Kind{{Cores: 20, Memory: 20}}
+	s.Terms.ColdFor, s.Terms.ColdWindow, s.Terms.ColdBids = 1200*scheduler.Second, 600*scheduler.Second, 1
 	s.Terms.Workloads, s.Terms.ListOnAsk = nil, false
 	for _, w := range workloads {
-		w.Kind, w.Agreed, w.HardStop, w.Gain = -1, placer.Second, 600*placer.Second, 1
+		w.Kind, w.Agreed, w.HardStop, w.Gain = -1, scheduler.Second, 600*scheduler.Second, 1
 		s.Terms.Workloads = append(s.Terms.Workloads, w)
 	}
 	return s
 }
 
-var once, numbered = placer.Workload{Effect: placer.AtMostOnce}, placer.Workload{Effect: placer.Numbered, Repeats: placer.OneZone, Window: 600 * placer.Second}
-var apart, apartOnce = placer.Workload{Spread: placer.OneMachine, Most: 1}, placer.Workload{Effect: placer.AtMostOnce, Spread: placer.OneMachine, Most: 1}
+var once, numbered = scheduler.Workload{Effect: scheduler.AtMostOnce}, scheduler.Workload{Effect: scheduler.Numbered, Repeats: scheduler.OneZone, Window: 600 * scheduler.Second}
+var apart, apartOnce = scheduler.Workload{Spread: scheduler.OneMachine, Most: 1}, scheduler.Workload{Effect: scheduler.AtMostOnce, Spread: scheduler.OneMachine, Most: 1}
 
 var hostWorlds = []struct {
 	name      string
-	workloads []placer.Workload
+	workloads []scheduler.Workload
 	words     string
 	depth     int
 }{
-	{"links that break", []placer.Workload{once, numbered, once}, "ask, yes x, full x, erred y, break a, break b, cancel x", 4},
-	{"machines that leave and come back", []placer.Workload{numbered, once, once}, "ask, full x, yes y, drain a, leave b, back b, restart late a, list", 4},
-	{"spread behind broken links", []placer.Workload{apartOnce, apart, apartOnce}, "ask, yes x, full y, break a, break b, over x, restart b", 4},
-	{"cold starts", []placer.Workload{{}, {}, {}}, "ask, full x, restart a, restart late a, restart late b, list", 4},
+	{"links that break", []scheduler.Workload{once, numbered, once}, "ask, yes x, full x, erred y, break a, break b, cancel x", 4},
+	{"machines that leave and come back", []scheduler.Workload{numbered, once, once}, "ask, full x, yes y, drain a, leave b, back b, restart late a, list", 4},
+	{"spread behind broken links", []scheduler.Workload{apartOnce, apart, apartOnce}, "ask, yes x, full y, break a, break b, over x, restart b", 4},
+	{"cold starts", []scheduler.Workload{{}, {}, {}}, "ask, full x, restart a, restart late a, restart late b, list", 4},
 }
 
 // Every order keeps all rules, with placer, custody, recovery and host as they are, over sockets.
@@ -509,13 +509,13 @@
 func TestOrdersSeeEachRule(t *testing.T) {
 	for rule, tc := range []struct {
 		words     string
-		workloads []placer.Workload
+		workloads []scheduler.Workload
 	}{
-		{"ask, full x", []placer.Workload{once, once, once}},
-		{"ask, erred x", []placer.Workload{once, once, once}},
-		{"ask, drain a, drain b", []placer.Workload{once, once, once}},
-		{"restart a, restart b, ask", []placer.Workload{{}, {}, {}}},
-		{"ask, break a, break b", []placer.Workload{apartOnce, apartOnce, apartOnce}},
+		{"ask, full x", []scheduler.Workload{once, once, once}},
+		{"ask, erred x", []scheduler.Workload{once, once, once}},
+		{"ask, drain a, drain b", []scheduler.Workload{once, once, once}},
+		{"restart a, restart b, ask", []scheduler.Workload{{}, {}, {}}},
+		{"ask, break a, break b", []scheduler.Workload{apartOnce, apartOnce, apartOnce}},
 	} {
 		t.Run(fmt.Sprint("rule ", rule+1), func(t *testing.T) {
 			_, said, breaks := tryAll(t, tinySite(t, tc.workloads...), strings.Split(tc.words, ", "), 5,
--- a/internal/host/records.go
+++ b/internal/host/records.go
@@ -4,7 +4,7 @@
 	"glenport/internal/link"
 	"glenport/internal/recall"
 	"glenport/internal/storm"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // The types of this file are stored: their tags, not the names of their fields, are the format of the file
@@ -12,14 +12,14 @@
 
 // Knowledge is what the file holds.
 type Knowledge struct {
-	At        recall.Stamp                `cbor:"At"`
-	Names     []string                    `cbor:"Names"` // of workloads and customers, in the order of the terms
-	Learned   placer.Knowledge            `cbor:"Learned"`
-	Starts    map[placer.MachineID]uint64 `cbor:"Starts"`
-	ListIs    int64                       `cbor:"ListIs"` // version of the list
-	Entries   []entryRecord               `cbor:"Entries"`
-	AtAnOrder bool                        `cbor:"AtAnOrder"` // written at an orderly end
-	Door      *storm.Known                `cbor:"Door"`
+	At        recall.Stamp                   `cbor:"At"`
+	Names     []string                       `cbor:"Names"` // of workloads and customers, in the order of the terms
+	Learned   scheduler.Knowledge            `cbor:"Learned"`
+	Starts    map[scheduler.MachineID]uint64 `cbor:"Starts"`
+	ListIs    int64                          `cbor:"ListIs"` // version of the list
+	Entries   []entryRecord                  `cbor:"Entries"`
+	AtAnOrder bool                           `cbor:"AtAnOrder"` // written at an orderly end
+	Door      *storm.Known                   `cbor:"Door"`
 }
 
 // entryRecord is a stored link.Entry. In CBOR it is an array, so the order of the fields is part of the format; JSON is
--- a/internal/host/state.go
+++ b/internal/host/state.go
@@ -12,7 +12,7 @@
 	"glenport/internal/recall"
 	"glenport/internal/recovery"
 	"glenport/internal/store"
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -38,7 +38,7 @@
 	sent    []recall.Sent
 	ledger  *recall.Ledger
 	later   []recall.Sent  // to starts that no list has told yet; emptied when it does, or after two windows
-	since   placer.Time    // from then on all that was sent to cold machines is known
+	since   scheduler.Time // from then on all that was sent to cold machines is known
 	bids    []custody.Held // of earlier lives, without an end
 	changes []store.Change // of this turn
 	durable bool
@@ -81,7 +81,7 @@
 		s.log.Close()
 		return fail(err)
 	}
-	now := stamp(placer.Time(h.loop.Now()))
+	now := stamp(scheduler.Time(h.loop.Now()))
 	s.life = s.before.Next(now)
 	if err := s.log.Keep(s.lifeChange()); err != nil { // nothing that needs the log is sent before it is there
 		s.unsaid = true
@@ -136,7 +136,7 @@
 // begin hands over what earlier lives left: the list and what was learned to the module, bids to custody.
 func (s *state) begin() {
 	h := s.h
-	now := stamp(placer.Time(h.loop.Now()))
+	now := stamp(scheduler.Time(h.loop.Now()))
 	for _, b := range s.bids {
 		h.tell(custody.Logged{Held: b})
 	}
@@ -154,13 +154,13 @@
 			h.log.Info("list of machines not used", "why", "it is too old", "machines", len(k.Entries))
 		}
 	}
-	h.learn(placer.OldList, version, entries)
+	h.learn(scheduler.OldList, version, entries)
 	h.turn() // the module has to know the machines first
 	l, ok := h.decider.(learner)
 	if !ok {
 		return
 	}
-	machines, starts := map[placer.MachineID]recall.Machine{}, map[placer.MachineID]uint64{}
+	machines, starts := map[scheduler.MachineID]recall.Machine{}, map[scheduler.MachineID]uint64{}
 	for id, m := range h.machines {
 		machines[id], starts[id] = m.start(), m.incarnation
 	}
@@ -193,16 +193,16 @@
 	if !ok || len(s.later) == 0 {
 		return
 	}
-	var found []placer.Learned
-	if found, s.later = s.ledger.Named(placer.Time(h.loop.Now()), s.later, s.start); len(found) > 0 {
+	var found []scheduler.Learned
+	if found, s.later = s.ledger.Named(scheduler.Time(h.loop.Now()), s.later, s.start); len(found) > 0 {
 		h.decide()
-		l.Recall(placer.Knowledge{SentSince: s.since, Machines: found})
+		l.Recall(scheduler.Knowledge{SentSince: s.since, Machines: found})
 	}
 }
 
 // started puts into the log what may have reached a start that was just heard of, while an earlier one was known.
 func (s *state) started(m *machine) {
-	if sent, cold := s.ledger.Started(placer.Time(s.h.loop.Now()), m.id, m.start()); cold {
+	if sent, cold := s.ledger.Started(scheduler.Time(s.h.loop.Now()), m.id, m.start()); cold {
 		s.put(SentKind, string(m.id), sent)
 	}
 }
@@ -212,7 +212,7 @@
 }
 
 // start is how a machine stands, where it is known.
-func (s *state) start(id placer.MachineID) (recall.Machine, bool) {
+func (s *state) start(id scheduler.MachineID) (recall.Machine, bool) {
 	m := s.h.machines[id]
 	if m == nil {
 		return recall.Machine{}, false
@@ -286,7 +286,7 @@
 
 // noteSend counts what goes to a cold machine.
 func (s *state) noteSend(m *machine) bool {
-	sent, cold := s.ledger.Note(placer.Time(s.h.loop.Now()), m.id, m.start())
+	sent, cold := s.ledger.Note(scheduler.Time(s.h.loop.Now()), m.id, m.start())
 	if cold {
 		s.put(SentKind, string(m.id), sent)
 	}
@@ -297,7 +297,7 @@
 func (s *state) save() {
 	h := s.h
 	h.loop.After(knowledgeEvery, s.save)
-	for _, id := range s.ledger.Drop(placer.Time(h.loop.Now()), s.start) {
+	for _, id := range s.ledger.Drop(scheduler.Time(h.loop.Now()), s.start) {
 		s.drop(SentKind, string(id))
 	}
 	s.changes, s.owed = append(s.owed, s.changes...), nil
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -18,7 +18,7 @@
 	"glenport/internal/keeper"
 	"glenport/internal/site"
 	"glenport/internal/store"
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -76,7 +76,7 @@
 func goldenPlace(folder string) Place {
 	return Place{Name: "controller", Doors: []string{"127.0.0.1:7000", goldenDoor}, Seed: 1, State: folder,
 		Site: &site.Placer{Workloads: []string{"matcher", "report-run"}, Customers: []string{"offices", "farms", "schools"},
-			Terms: placer.Terms{Workloads: []placer.Workload{{}, {}}}}}
+			Terms: scheduler.Terms{Workloads: []scheduler.Workload{{}, {}}}}}
 }
 
 // openGolden brings up a host on a folder, without serving; closed stops it.
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -18,7 +18,7 @@
 	"glenport/internal/site"
 	"glenport/internal/store"
 	"glenport/internal/waiting"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // Kinds of what the catalog holds.
@@ -271,7 +271,7 @@
 func (e *Invalid) Error() string { return e.Field + ": " + e.Text }
 
 func (h *Host) spec(j *Job) (keeper.Spec, error) {
-	s := keeper.Spec{Service: j.Service, Cores: j.Cores, Memory: j.MemoryGiB, RunFor: placer.Time(j.RunForMS) * placer.Millisecond,
+	s := keeper.Spec{Service: j.Service, Cores: j.Cores, Memory: j.MemoryGiB, RunFor: scheduler.Time(j.RunForMS) * scheduler.Millisecond,
 		Once: j.Once}
 	bad := func(field, format string, a ...any) (keeper.Spec, error) {
 		return s, &Invalid{field, fmt.Sprintf(format, a...)}
@@ -346,7 +346,7 @@
 			if !ok {
 				v = view
 			}
-			got <- answer{waiting.Explain(placer.Time(h.loop.Now()), h.facts(v, w)), v.State.String()}
+			got <- answer{waiting.Explain(scheduler.Time(h.loop.Now()), h.facts(v, w)), v.State.String()}
 		})
 	}) {
 		return nil, "", ErrStopped
@@ -438,8 +438,8 @@
 		}
 	}
 	if w != nil && w.Known {
-		f.Asked, f.ListAge = true, placer.Time(w.ListAge)
-		f.Explanation = placer.Explanation{Machines: w.Machines, Gone: w.Gone, OtherKind: w.OtherKind, Draining: w.Draining,
+		f.Asked, f.ListAge = true, scheduler.Time(w.ListAge)
+		f.Explanation = scheduler.Explanation{Machines: w.Machines, Gone: w.Gone, OtherKind: w.OtherKind, Draining: w.Draining,
 			TooSmall: w.TooSmall, Closing: w.Closing, SpreadFull: w.SpreadFull, ColdSpent: w.ColdSpent, Resting: w.Resting,
 			Shunned: w.Shunned, NoCores: w.NoCores, NoMemory: w.NoMemory, Free: w.Free, Yielding: w.Yielding, NoRoomShare: w.NoRoomShare}
 	}
@@ -475,7 +475,7 @@
 	var changes []store.Change
 	var todo []keeper.Action
 	durable := false
-	for _, a := range h.keeper.Handle(placer.Time(h.loop.Now()), events) {
+	for _, a := range h.keeper.Handle(scheduler.Time(h.loop.Now()), events) {
 		switch a := a.(type) {
 		case keeper.Changed:
 			if h.promises != nil {
@@ -521,11 +521,11 @@
 	})
 }
 
-func (h *Host) effect(workload int) placer.Effect {
+func (h *Host) effect(workload int) scheduler.Effect {
 	if w := h.place.Site.Terms.Workloads; workload >= 0 && workload < len(w) {
 		return w[workload].Effect
 	}
-	return placer.AtMostOnce
+	return scheduler.AtMostOnce
 }
 
 // carry does what the keeper wants done. An ask that could not be written down is not made.
@@ -533,7 +533,7 @@
 	switch a := a.(type) {
 	case keeper.Submit:
 		if kept != nil {
-			h.events = append(h.events, keeper.Answered{Ask: a.Ask, Verdict: keeper.TurnedAway, HoldOff: placer.Second,
+			h.events = append(h.events, keeper.Answered{Ask: a.Ask, Verdict: keeper.TurnedAway, HoldOff: scheduler.Second,
 				Text: "the ask could not be written down: " + kept.Error()})
 			return
 		}
@@ -551,7 +551,7 @@
 
 func (h *Host) show(v keeper.Container) {
 	c := Container{ID: containerID(v.Job, v.Index), Job: v.Job, Index: v.Index, State: v.State.String(), Leaving: v.Leaving,
-		Machine: v.Machine, SinceMS: int64(v.Since / placer.Millisecond), UntilMS: int64(v.Until / placer.Millisecond),
+		Machine: v.Machine, SinceMS: int64(v.Since / scheduler.Millisecond), UntilMS: int64(v.Until / scheduler.Millisecond),
 		Tries: v.Tries, Starts: v.Starts, Last: v.Last}
 	if v.Door >= 0 {
 		c.Placer = h.doors[v.Door].name
--- a/internal/jobs/links.go
+++ b/internal/jobs/links.go
@@ -6,7 +6,7 @@
 	"glenport/internal/keeper"
 	"glenport/internal/link"
 	"glenport/internal/loop"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // door is the link to one placer.
@@ -71,9 +71,9 @@
 		h.events = append(h.events, keeper.Door{Number: d.number, Open: true})
 	case *link.Answer:
 		h.events = append(h.events, keeper.Answered{Ask: f.Container, Verdict: verdictOf(f.Verdict), Machine: f.Machine,
-			HoldOff: placer.Time(f.HoldOff), Text: f.Text})
+			HoldOff: scheduler.Time(f.HoldOff), Text: f.Text})
 	case *link.Fate:
-		h.events = append(h.events, keeper.Fated{Ask: f.Container, Outcome: f.Outcome.Decided(), Reason: placer.Reason(f.Reason)})
+		h.events = append(h.events, keeper.Fated{Ask: f.Container, Outcome: f.Outcome.Decided(), Reason: scheduler.Reason(f.Reason)})
 	case *link.Why:
 		h.answered(f.Seq, f)
 	case *link.Beat:
--- a/internal/keeper/golden_test.go
+++ b/internal/keeper/golden_test.go
@@ -15,7 +15,7 @@
 	"strings"
 	"testing"
 
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 var update = flag.Bool("update", false, "write the golden digests anew")
@@ -25,7 +25,7 @@
 func TestDecisionsMatchGoldenDigests(t *testing.T) {
 	const sequences, steps = 120, 160
 	var got strings.Builder
-	for group, effect := range []placer.Effect{placer.Reissuable, placer.Numbered, placer.AtMostOnce} {
+	for group, effect := range []scheduler.Effect{scheduler.Reissuable, scheduler.Numbered, scheduler.AtMostOnce} {
 		for _, schedulers := range []int{1, 2, 5} {
 			digest := newActionDigest()
 			for seed := range sequences {
@@ -71,7 +71,7 @@
 	return fmt.Sprintf("%d actions, sha256 %x", d.actions, d.sum.Sum(nil))
 }
 
-func (d *actionDigest) add(now placer.Time, a Action) {
+func (d *actionDigest) add(now scheduler.Time, a Action) {
 	var ordinal uint64
 	switch a.(type) {
 	case Submit:
@@ -138,8 +138,8 @@
 	random     *rand.Rand
 	controller *Keeper
 	terms      Terms
-	now        placer.Time
-	wakeAt     placer.Time
+	now        scheduler.Time
+	wakeAt     scheduler.Time
 	reachable  []bool
 	requests   []openRequest
 	jobs       map[string]Set
@@ -152,12 +152,12 @@
 	running bool
 }
 
-func newHistory(d *actionDigest, effect placer.Effect, schedulers int, seed uint64) *history {
+func newHistory(d *actionDigest, effect scheduler.Effect, schedulers int, seed uint64) *history {
 	h := &history{digest: d, random: rand.New(rand.NewPCG(seed, 17)), reachable: make([]bool, schedulers), jobs: map[string]Set{},
 		containers: map[string]Container{}, orphans: map[Stray]bool{}}
 	h.terms = Terms{Seed: seed, First: 10, Doors: schedulers, Workloads: []Workload{
-		{Effect: effect, HardStop: 4 * placer.Second, Window: 8 * placer.Second},
-		{Effect: placer.AtMostOnce, HardStop: placer.Second}}}
+		{Effect: effect, HardStop: 4 * scheduler.Second, Window: 8 * scheduler.Second},
+		{Effect: scheduler.AtMostOnce, HardStop: scheduler.Second}}}
 	h.controller = New(h.terms)
 	for i := range schedulers {
 		if h.chance(0.9) {
@@ -222,13 +222,13 @@
 func (h *history) passTime() {
 	switch n := h.random.IntN(100); {
 	case n < 45:
-		h.now += placer.Time(h.random.IntN(2000))
+		h.now += scheduler.Time(h.random.IntN(2000))
 	case n < 85:
 		h.now = max(h.now, h.wakeAt)
 	case n < 97:
-		h.now += placer.Time(h.random.IntN(5 * int(placer.Second)))
+		h.now += scheduler.Time(h.random.IntN(5 * int(scheduler.Second)))
 	default:
-		h.now += placer.Time(h.random.IntN(25 * int(placer.Second)))
+		h.now += scheduler.Time(h.random.IntN(25 * int(scheduler.Second)))
 	}
 	if h.wakeAt > 0 && h.now >= h.wakeAt {
 		h.wakeAt = 0
@@ -254,7 +254,7 @@
 		e.Verdict = TurnedAway
 	}
 	if h.chance(0.3) {
-		e.HoldOff = placer.Time(h.random.IntN(6 * int(placer.Second)))
+		e.HoldOff = scheduler.Time(h.random.IntN(6 * int(scheduler.Second)))
 	}
 	if e.Verdict != Placed {
 		e.Text = []string{"", "", "cancelled", "may run on machine m3", "does not know yet"}[h.random.IntN(5)]
@@ -274,8 +274,8 @@
 		return
 	}
 	i := running[h.random.IntN(len(running))]
-	outcome := []placer.Outcome{placer.Finished, placer.Finished, placer.Reset, placer.Reset, placer.Stopped, placer.Erred}[h.random.IntN(6)]
-	reason := []placer.Reason{placer.NoReason, placer.NoReason, placer.Evicted, placer.PushedOut, placer.SentAway}[h.random.IntN(5)]
+	outcome := []scheduler.Outcome{scheduler.Finished, scheduler.Finished, scheduler.Reset, scheduler.Reset, scheduler.Stopped, scheduler.Erred}[h.random.IntN(6)]
+	reason := []scheduler.Reason{scheduler.NoReason, scheduler.NoReason, scheduler.Evicted, scheduler.PushedOut, scheduler.SentAway}[h.random.IntN(5)]
 	e := Fated{Ask: h.requests[i].id, Outcome: outcome, Reason: reason}
 	h.requests = append(h.requests[:i], h.requests[i+1:]...)
 	h.handle(e)
@@ -292,7 +292,7 @@
 func (h *history) changeJob() {
 	id := h.jobID()
 	spec := Spec{Service: "s" + id, Workload: h.random.IntN(2), Customer: h.random.IntN(2), Cores: []float64{0.5, 2}[h.random.IntN(2)],
-		Memory: 1.25, RunFor: placer.Time(h.random.IntN(2)) * placer.Second, Once: h.chance(0.3)}
+		Memory: 1.25, RunFor: scheduler.Time(h.random.IntN(2)) * scheduler.Second, Once: h.chance(0.3)}
 	if old, known := h.jobs[id]; known && h.chance(0.5) {
 		spec = old.Spec
 	}
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -11,25 +11,25 @@
 	"strings"
 
 	"glenport/internal/recovery"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // Tuned values.
 const (
-	backOffFirst = placer.Second // after a push-back, doubled with each, by chance
-	backOffMost  = 16 * placer.Second
-	soon         = 100 * placer.Millisecond // after an end that asks for nothing but another start
-	settle       = 3 * placer.Second        // what may run is given so long to turn up
-	orphanAfter  = 10 * placer.Second       // reissuable work behind a lost door is started anew after this
-	lookAgain    = 500 * placer.Millisecond // behind a door that came back, by chance up to three times that
-	strayAfter   = placer.Second            // behind a door that came back
+	backOffFirst = scheduler.Second // after a push-back, doubled with each, by chance
+	backOffMost  = 16 * scheduler.Second
+	soon         = 100 * scheduler.Millisecond // after an end that asks for nothing but another start
+	settle       = 3 * scheduler.Second        // what may run is given so long to turn up
+	orphanAfter  = 10 * scheduler.Second       // reissuable work behind a lost door is started anew after this
+	lookAgain    = 500 * scheduler.Millisecond // behind a door that came back, by chance up to three times that
+	strayAfter   = scheduler.Second            // behind a door that came back
 )
 
 // Workload is what the keeper needs of one.
 type Workload struct {
-	Effect   placer.Effect
-	HardStop placer.Time
-	Window   placer.Time
+	Effect   scheduler.Effect
+	HardStop scheduler.Time
+	Window   scheduler.Time
 }
 
 // Terms are what a keeper is told when it starts.
@@ -42,13 +42,13 @@
 
 // Spec is what one container of a job is. It is stored under the names in the tags.
 type Spec struct {
-	Service  string      `cbor:"Service"`
-	Workload int         `cbor:"Workload"`
-	Customer int         `cbor:"Customer"`
-	Cores    float64     `cbor:"Cores"`
-	Memory   float64     `cbor:"Memory"`
-	RunFor   placer.Time `cbor:"RunFor"` // 0: until it is stopped
-	Once     bool        `cbor:"Once"`   // what finished is not started again
+	Service  string         `cbor:"Service"`
+	Workload int            `cbor:"Workload"`
+	Customer int            `cbor:"Customer"`
+	Cores    float64        `cbor:"Cores"`
+	Memory   float64        `cbor:"Memory"`
+	RunFor   scheduler.Time `cbor:"RunFor"` // 0: until it is stopped
+	Once     bool           `cbor:"Once"`   // what finished is not started again
 }
 
 // State of a container that a job wants.
@@ -69,19 +69,19 @@
 
 // Container is a view of one that a job wants. It is stored under the names in the tags.
 type Container struct {
-	Job     string      `cbor:"Job"`
-	Index   int         `cbor:"Index"`
-	State   State       `cbor:"State"`
-	Leaving bool        `cbor:"Leaving"`
-	Machine string      `cbor:"Machine"`
-	Door    int         `cbor:"Door"` // it was asked for there last; -1: nowhere yet
-	Pinned  bool        `cbor:"Pinned"`
-	Since   placer.Time `cbor:"Since"` // of this state
-	Until   placer.Time `cbor:"Until"` // when something is due; 0: nothing is
-	Tries   int         `cbor:"Tries"` // since it last ran
-	Starts  int         `cbor:"Starts"`
-	Last    string      `cbor:"Last"` // the last answer or fate, in words
-	Held    bool        `cbor:"Held"` // the last answer was no push-back but a placer's word that it cannot be sure
+	Job     string         `cbor:"Job"`
+	Index   int            `cbor:"Index"`
+	State   State          `cbor:"State"`
+	Leaving bool           `cbor:"Leaving"`
+	Machine string         `cbor:"Machine"`
+	Door    int            `cbor:"Door"` // it was asked for there last; -1: nowhere yet
+	Pinned  bool           `cbor:"Pinned"`
+	Since   scheduler.Time `cbor:"Since"` // of this state
+	Until   scheduler.Time `cbor:"Until"` // when something is due; 0: nothing is
+	Tries   int            `cbor:"Tries"` // since it last ran
+	Starts  int            `cbor:"Starts"`
+	Last    string         `cbor:"Last"` // the last answer or fate, in words
+	Held    bool           `cbor:"Held"` // the last answer was no push-back but a placer's word that it cannot be sure
 
 	// What another life of the keeper needs beside.
 	Key      string `cbor:"Key"`
@@ -118,13 +118,13 @@
 		Ask     string
 		Verdict Verdict
 		Machine string
-		HoldOff placer.Time
+		HoldOff scheduler.Time
 		Text    string
 	}
 	Fated struct {
 		Ask     string
-		Outcome placer.Outcome
-		Reason  placer.Reason
+		Outcome scheduler.Outcome
+		Reason  scheduler.Reason
 	}
 	Woke struct{}
 )
@@ -163,7 +163,7 @@
 		Ask   string
 		Key   string
 		Spec  Spec
-		Left  placer.Time
+		Left  scheduler.Time
 		Again bool
 	}
 	// Look asks a placer what runs under a key; nothing is started.
@@ -187,7 +187,7 @@
 	// Strayed and Found begin and end a stray.
 	Strayed struct{ Stray Stray }
 	Found   struct{ Stray Stray }
-	Wake    struct{ After placer.Time }
+	Wake    struct{ After scheduler.Time }
 )
 
 func (Strayed) action() {}
@@ -202,7 +202,7 @@
 // Keeper is the state of all jobs: as much as containers are wanted, or leave.
 type Keeper struct {
 	terms Terms
-	now   placer.Time
+	now   scheduler.Time
 	rng   uint64
 	out   []Action
 	jobs  map[string]*job
@@ -210,8 +210,8 @@
 	open  []bool
 	lastN uint64
 	due   dueHeap
-	stray map[Stray]placer.Time // when each is ended; 0: its door is lost. Emptied when the door has been back a while
-	wake  placer.Time
+	stray map[Stray]scheduler.Time // when each is ended; 0: its door is lost. Emptied when the door has been back a while
+	wake  scheduler.Time
 	dirty []*slot
 }
 
@@ -227,14 +227,14 @@
 	Container
 	job      *job
 	revision int
-	pace     placer.Time // that it waits longer when its door is back, after a start of the keeper
-	stamp    int         // of its place in the heap: older ones there count no more
+	pace     scheduler.Time // that it waits longer when its door is back, after a start of the keeper
+	stamp    int            // of its place in the heap: older ones there count no more
 	dirty    bool
 	gone     bool
 }
 
 type dueItem struct {
-	at    placer.Time
+	at    scheduler.Time
 	n     uint64
 	slot  *slot
 	stamp int
@@ -255,12 +255,12 @@
 }
 
 func New(t Terms) *Keeper {
-	return &Keeper{terms: t, rng: t.Seed*2862933555777941757 + 3037000493, lastN: t.First, jobs: map[string]*job{}, asks: map[string]*slot{}, stray: map[Stray]placer.Time{},
+	return &Keeper{terms: t, rng: t.Seed*2862933555777941757 + 3037000493, lastN: t.First, jobs: map[string]*job{}, asks: map[string]*slot{}, stray: map[Stray]scheduler.Time{},
 		open: make([]bool, t.Doors)}
 }
 
 // Handle takes what happened by now and returns what is to be done, in that order.
-func (k *Keeper) Handle(now placer.Time, events []Event) []Action {
+func (k *Keeper) Handle(now scheduler.Time, events []Event) []Action {
 	k.now, k.out = now, nil
 	for _, e := range events {
 		switch e := e.(type) {
@@ -308,7 +308,7 @@
 
 // astray notes that a container's ask may have led to a copy that runs at its door.
 func (k *Keeper) astray(s *slot) {
-	if s.Door >= 0 && k.effect(s) == placer.Reissuable {
+	if s.Door >= 0 && k.effect(s) == scheduler.Reissuable {
 		x := Stray{s.Door, s.Key}
 		k.stray[x] = 0
 		if k.open[s.Door] {
@@ -349,7 +349,7 @@
 }
 
 // endStrays ends the copies behind doors that have been back for a while, and returns when the next are due.
-func (k *Keeper) endStrays() (next placer.Time) {
+func (k *Keeper) endStrays() (next scheduler.Time) {
 	var due []Stray
 	for x, at := range k.stray {
 		if at > 0 && at <= k.now {
@@ -442,7 +442,7 @@
 	step, after := recovery.Resume(phase, n)
 	switch {
 	case step == recovery.Look && s.Door < 0: // its placer is none of the doors any more
-		if k.effect(s) == placer.Reissuable {
+		if k.effect(s) == scheduler.Reissuable {
 			k.freshKey(s)
 			k.wait(s, after, "its placer is no longer among the doors")
 			return
@@ -455,7 +455,7 @@
 	case step == recovery.Guard:
 		k.guard(s, s.Last)
 	case step == recovery.Ask:
-		k.wait(s, placer.Time(k.chance()*float64(soon))+after, s.Last)
+		k.wait(s, scheduler.Time(k.chance()*float64(soon))+after, s.Last)
 	default:
 		k.turn(s, s.State, -1, s.Last)
 	}
@@ -489,7 +489,7 @@
 	s := &slot{job: j, revision: j.revision, Container: Container{Job: j.id, Index: i, Door: -1}}
 	j.slots[i] = s
 	k.freshKey(s)
-	k.wait(s, placer.Time(k.chance()*float64(soon)), "not asked for yet")
+	k.wait(s, scheduler.Time(k.chance()*float64(soon)), "not asked for yet")
 }
 
 // trim takes settled slots off the end; a job without any that is not wanted is forgotten.
@@ -557,7 +557,7 @@
 	}
 }
 
-func (k *Keeper) turn(s *slot, to State, after placer.Time, why string) {
+func (k *Keeper) turn(s *slot, to State, after scheduler.Time, why string) {
 	s.State, s.Since, s.Last, s.Until = to, k.now, why, 0
 	s.stamp++
 	if after >= 0 {
@@ -568,15 +568,15 @@
 	k.mark(s)
 }
 
-func (k *Keeper) wait(s *slot, after placer.Time, why string) {
+func (k *Keeper) wait(s *slot, after scheduler.Time, why string) {
 	s.Machine, s.Held = "", false
 	k.turn(s, Waiting, after, why)
 }
 
 // backOff doubles with each try, by chance, so that what was refused together does not return together.
-func (k *Keeper) backOff(s *slot, least placer.Time) placer.Time {
+func (k *Keeper) backOff(s *slot, least scheduler.Time) scheduler.Time {
 	span := min(backOffMost, backOffFirst<<min(max(0, s.Tries-1), 5))
-	return max(least, span/2) + placer.Time(k.chance()*float64(span/2))
+	return max(least, span/2) + scheduler.Time(k.chance()*float64(span/2))
 }
 
 // freshKey begins a life of a container: what ran under the key before has surely ended, or may run twice.
@@ -592,11 +592,11 @@
 	}
 }
 
-func (k *Keeper) effect(s *slot) placer.Effect {
+func (k *Keeper) effect(s *slot) scheduler.Effect {
 	if w := s.job.spec.Workload; w < len(k.terms.Workloads) {
 		return k.terms.Workloads[w].Effect
 	}
-	return placer.AtMostOnce
+	return scheduler.AtMostOnce
 }
 
 // act does what a container's time has come for.
@@ -612,7 +612,7 @@
 		s.Pinned, s.Again = true, true
 		k.wait(s, 0, "made sure")
 	case Unwatched:
-		if k.effect(s) == placer.Reissuable {
+		if k.effect(s) == scheduler.Reissuable {
 			k.astray(s)
 			k.forgetAsk(s)
 			k.freshKey(s)
@@ -651,7 +651,7 @@
 	k.freshAsk(s)
 	s.Door, s.revision, s.With = door, s.job.revision, s.job.spec
 	s.Tries++
-	left := placer.Second
+	left := scheduler.Second
 	if w := s.job.spec.Workload; w < len(k.terms.Workloads) {
 		left = k.terms.Workloads[w].HardStop
 	}
@@ -684,7 +684,7 @@
 		k.replace(s.job)
 		return
 	case GivenUp:
-		if k.effect(s) != placer.Reissuable && e.Text != "cancelled" {
+		if k.effect(s) != scheduler.Reissuable && e.Text != "cancelled" {
 			k.guard(s, "given up, and it may run")
 			return
 		}
@@ -712,13 +712,13 @@
 // again begins a new container in the place of one of which nothing runs any more, unless that was to run once only
 // and must not run twice: it may have run to its end.
 func (k *Keeper) again(s *slot) {
-	if s.job.spec.Once && k.effect(s) == placer.AtMostOnce {
+	if s.job.spec.Once && k.effect(s) == scheduler.AtMostOnce {
 		s.Machine, s.Pinned = "", false
 		k.turn(s, Done, -1, "it may have run to its end, which nobody told")
 		return
 	}
 	k.freshKey(s)
-	k.wait(s, placer.Time(k.chance()*float64(soon)), "nothing of it runs")
+	k.wait(s, scheduler.Time(k.chance()*float64(soon)), "nothing of it runs")
 }
 
 // guard waits until what may run has surely turned up at its placer, or surely did not start.
@@ -740,8 +740,8 @@
 	if s == nil || s.State != Running && s.State != Unwatched && !(s.State == Asking && s.Leaving) {
 		return
 	}
-	lost := e.Outcome == placer.Reset && e.Reason == placer.NoReason
-	if lost && k.effect(s) != placer.Reissuable {
+	lost := e.Outcome == scheduler.Reset && e.Reason == scheduler.NoReason
+	if lost && k.effect(s) != scheduler.Reissuable {
 		k.guard(s, "lost with its machine or the way to it, and it may run")
 		return
 	}
@@ -752,17 +752,17 @@
 	}
 	k.freshKey(s)
 	switch {
-	case e.Outcome == placer.Finished && s.job.spec.Once:
+	case e.Outcome == scheduler.Finished && s.job.spec.Once:
 		s.Machine = ""
 		k.turn(s, Done, -1, "finished")
-	case e.Reason == placer.Evicted:
+	case e.Reason == scheduler.Evicted:
 		k.wait(s, k.backOff(s, 0), "evicted for memory")
 	case lost:
-		k.wait(s, placer.Time(k.chance()*float64(2*soon)), "lost with its machine")
+		k.wait(s, scheduler.Time(k.chance()*float64(2*soon)), "lost with its machine")
 	default:
-		k.wait(s, placer.Time(k.chance()*float64(2*soon)), map[placer.Outcome]string{placer.Finished: "finished",
-			placer.Stopped: "stopped"}[e.Outcome]+map[placer.Reason]string{placer.SentAway: "sent away by its machine",
-			placer.PushedOut: "pushed out by other work"}[e.Reason])
+		k.wait(s, scheduler.Time(k.chance()*float64(2*soon)), map[scheduler.Outcome]string{scheduler.Finished: "finished",
+			scheduler.Stopped: "stopped"}[e.Outcome]+map[scheduler.Reason]string{scheduler.SentAway: "sent away by its machine",
+			scheduler.PushedOut: "pushed out by other work"}[e.Reason])
 	}
 	if s.Replaced {
 		s.Replaced = false
@@ -790,13 +790,13 @@
 		switch {
 		case !e.Open && mine && s.State == Asking:
 			k.astray(s)
-			if s.Leaving && k.effect(s) == placer.Reissuable {
+			if s.Leaving && k.effect(s) == scheduler.Reissuable {
 				k.remove(s)
 				continue
 			}
-			if k.effect(s) == placer.Reissuable {
+			if k.effect(s) == scheduler.Reissuable {
 				k.forgetAsk(s)
-				k.wait(s, soon+placer.Time(k.chance()*float64(4*soon)), "its placer was lost")
+				k.wait(s, soon+scheduler.Time(k.chance()*float64(4*soon)), "its placer was lost")
 			} else {
 				k.guard(s, "its placer was lost, and it may run")
 			}
@@ -809,10 +809,10 @@
 			}
 			k.forgetAsk(s)
 			s.Pinned, s.Again = true, true
-			k.wait(s, lookAgain+placer.Time(k.chance()*float64(2*lookAgain))+s.pace, "its placer is back")
+			k.wait(s, lookAgain+scheduler.Time(k.chance()*float64(2*lookAgain))+s.pace, "its placer is back")
 			s.pace = 0
 		case e.Open && s.State == Waiting && s.Until == 0:
-			k.wait(s, placer.Time(k.chance()*float64(4*soon)), s.Last)
+			k.wait(s, scheduler.Time(k.chance()*float64(4*soon)), s.Last)
 		}
 	}
 }
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -7,14 +7,14 @@
 	"strings"
 	"testing"
 
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"pgregory.net/rapid"
 )
 
-const sec = placer.Second
+const sec = scheduler.Second
 
-func terms(effect placer.Effect) Terms {
+func terms(effect scheduler.Effect) Terms {
 	return Terms{Seed: 3, Doors: 2, Workloads: []Workload{{Effect: effect, HardStop: 4 * sec, Window: 8 * sec}}}
 }
 
@@ -22,14 +22,14 @@
 type rig struct {
 	*testing.T
 	k    *Keeper
-	now  placer.Time
-	wake placer.Time
+	now  scheduler.Time
+	wake scheduler.Time
 	sent []Submit
 	off  []string
 	view map[string]Container
 }
 
-func newRig(t *testing.T, effect placer.Effect, count int) *rig {
+func newRig(t *testing.T, effect scheduler.Effect, count int) *rig {
 	r := &rig{T: t, k: New(terms(effect)), view: map[string]Container{}}
 	r.do(Door{0, true})
 	r.do(Set{"j", count, Spec{Service: "s", Cores: 1}})
@@ -59,7 +59,7 @@
 }
 
 // pass lets time pass, with the wakings that were asked for.
-func (r *rig) pass(span placer.Time) {
+func (r *rig) pass(span scheduler.Time) {
 	for end := r.now + span; ; {
 		if r.wake == 0 || r.wake > end {
 			r.now = end
@@ -77,7 +77,7 @@
 func TestHistories(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		effect placer.Effect
+		effect scheduler.Effect
 		steps  string
 		want   string
 	}{
@@ -131,19 +131,19 @@
 				case "givenup":
 					r.do(Answered{Ask: ask, Verdict: GivenUp})
 				case "finished":
-					r.do(Fated{ask, placer.Finished, 0})
+					r.do(Fated{ask, scheduler.Finished, 0})
 				case "evicted":
-					r.do(Fated{ask, placer.Reset, placer.Evicted})
+					r.do(Fated{ask, scheduler.Reset, scheduler.Evicted})
 				case "stopped":
-					r.do(Fated{ask, placer.Stopped, 0})
+					r.do(Fated{ask, scheduler.Stopped, 0})
 				case "ceased":
 					r.do(Answered{Ask: r.off[len(r.off)-1], Verdict: GivenUp, Text: "cancelled"})
 				case "unsure":
 					r.do(Answered{Ask: r.off[len(r.off)-1], Verdict: TurnedAway})
 				case "ended":
-					r.do(Fated{r.off[len(r.off)-1], placer.Stopped, 0})
+					r.do(Fated{r.off[len(r.off)-1], scheduler.Stopped, 0})
 				case "lost":
-					r.do(Fated{ask, placer.Reset, 0})
+					r.do(Fated{ask, scheduler.Reset, 0})
 				case "away":
 					r.do(Door{0, false})
 				case "back":
@@ -157,9 +157,9 @@
 				case "spec":
 					r.do(Set{"j", 1, Spec{Service: "s", Cores: 2}})
 				case "300ms":
-					r.pass(300 * placer.Millisecond)
+					r.pass(300 * scheduler.Millisecond)
 				default:
-					var n placer.Time
+					var n scheduler.Time
 					fmt.Sscanf(w, "%ds", &n)
 					r.pass(n * sec)
 				}
@@ -181,14 +181,14 @@
 
 // What waits together does not return together.
 func TestBackOffSpreads(t *testing.T) {
-	r := newRig(t, placer.Reissuable, 1000)
+	r := newRig(t, scheduler.Reissuable, 1000)
 	for _, s := range r.sent {
 		r.do(Answered{Ask: s.Ask, Verdict: PushedBack})
 	}
 	first, most := len(r.sent), 0
 	for range 100 {
 		n := len(r.sent)
-		r.pass(20 * placer.Millisecond)
+		r.pass(20 * scheduler.Millisecond)
 		most = max(most, len(r.sent)-n)
 	}
 	if len(r.sent) != first+1000 || most > 80 {
@@ -200,14 +200,14 @@
 // container runs and nothing is left over.
 func TestNoSecondCopy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		effect := placer.Effect(rapid.IntRange(1, 2).Draw(t, "effect"))
-		k, now, wake := New(terms(effect)), placer.Time(0), placer.Time(0)
+		effect := scheduler.Effect(rapid.IntRange(1, 2).Draw(t, "effect"))
+		k, now, wake := New(terms(effect)), scheduler.Time(0), scheduler.Time(0)
 		runs := map[string]int{}    // containers (job and index), by copies
 		keys := map[string]string{} // key that runs, to its ask
 		doors := map[string]int{}   // key, to the placer that knows
 		type sent struct {
 			Submit
-			at   placer.Time
+			at   scheduler.Time
 			life int // of its placer
 		}
 		var asked []sent
@@ -242,7 +242,7 @@
 					if _, on := keys[a.Key]; on && doors[a.Key] == a.Door {
 						stop(a.Key)
 						asked = slices.DeleteFunc(asked, func(s sent) bool { return s.Key == a.Key && s.life == lives[a.Door] })
-						feed(Fated{a.Ask, placer.Stopped, 0})
+						feed(Fated{a.Ask, scheduler.Stopped, 0})
 						continue
 					}
 					// While an earlier bid may start yet the placer is not sure, and takes no ask of its key either.
@@ -267,7 +267,7 @@
 				}
 			}
 		}
-		pass := func(span placer.Time) {
+		pass := func(span scheduler.Time) {
 			for end := now + span; ; {
 				if wake == 0 || wake > end {
 					now = end
@@ -335,7 +335,7 @@
 				lives[d]++
 				feed(Door{d, up[d]})
 			case 3:
-				pass(placer.Time(rapid.IntRange(1, 100_000).Draw(t, "span")))
+				pass(scheduler.Time(rapid.IntRange(1, 100_000).Draw(t, "span")))
 			case 4:
 				feed(Set{"j", rapid.IntRange(0, 4).Draw(t, "count"), Spec{}})
 			case 5:
@@ -343,7 +343,7 @@
 					for run, ask := range keys {
 						if strings.HasPrefix(run, key) && up[doors[run]] {
 							stop(run)
-							feed(Fated{ask, placer.Reset, placer.SentAway})
+							feed(Fated{ask, scheduler.Reset, scheduler.SentAway})
 							break
 						}
 					}
@@ -379,7 +379,7 @@
 	was := Container{Job: "j", Door: 0, Key: "j/0/41", Ask: "j/0#42", Again: true, With: spec}
 	for _, tc := range []struct {
 		name   string
-		effect placer.Effect
+		effect scheduler.Effect
 		state  State
 		change func(c *Container)
 		count  int
@@ -433,7 +433,7 @@
 				case "ceased":
 					r.do(Answered{Ask: r.off[len(r.off)-1], Verdict: GivenUp, Text: "cancelled"})
 				default:
-					var n placer.Time
+					var n scheduler.Time
 					fmt.Sscanf(w, "%ds", &n)
 					r.pass(n * sec)
 				}
@@ -468,7 +468,7 @@
 // twice at once, and when all is well again each wanted one runs and no other does.
 func TestKilled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		effect := rapid.SampledFrom([]placer.Effect{placer.Reissuable, placer.AtMostOnce}).Draw(t, "effect")
+		effect := rapid.SampledFrom([]scheduler.Effect{scheduler.Reissuable, scheduler.AtMostOnce}).Draw(t, "effect")
 		spec := Spec{Service: "s", Cores: 1}
 		jobs := map[string]Set{}             // kept
 		log := map[string]Container{}        // kept
@@ -476,7 +476,7 @@
 		runs := [2]map[string]string{{}, {}} // by door: key to ask
 		open := [2]bool{}
 		began := map[string]bool{} // keys that ran
-		now, wake, life := placer.Time(0), placer.Time(0), uint64(0)
+		now, wake, life := scheduler.Time(0), scheduler.Time(0), uint64(0)
 		var k *Keeper
 		var todo []Action
 		calm := false
@@ -518,7 +518,7 @@
 					if !open[a.Door] {
 						continue
 					}
-					if began[a.Key] && effect == placer.AtMostOnce {
+					if began[a.Key] && effect == scheduler.AtMostOnce {
 						t.Fatalf("key %s ran, and is asked for again", a.Key)
 					}
 					at := runs[a.Door]
@@ -529,7 +529,7 @@
 						do(Answered{Ask: a.Ask, Verdict: Placed, Machine: "m"})
 					case chance(4, "pushed back"):
 						do(Answered{Ask: a.Ask, Verdict: PushedBack})
-					case effect == placer.AtMostOnce && chance(4, "given up, and it runs"): // a placer calls other work off then
+					case effect == scheduler.AtMostOnce && chance(4, "given up, and it runs"): // a placer calls other work off then
 						at[a.Key], began[a.Key] = a.Ask, true
 						do(Answered{Ask: a.Ask, Verdict: GivenUp})
 					case chance(6, "its link breaks, and it runs"):
@@ -540,7 +540,7 @@
 						at[a.Key], began[a.Key] = a.Ask, true
 						do(Answered{Ask: a.Ask, Verdict: Placed, Machine: "m"})
 					}
-					if effect == placer.AtMostOnce {
+					if effect == scheduler.AtMostOnce {
 						seen := map[string]bool{}
 						for _, at := range runs {
 							for key := range at {
@@ -555,7 +555,7 @@
 				case Cancel:
 					if _, there := runs[a.Door][a.Key]; there && open[a.Door] {
 						delete(runs[a.Door], a.Key)
-						do(Fated{a.Ask, placer.Stopped, 0})
+						do(Fated{a.Ask, scheduler.Stopped, 0})
 					} else if open[a.Door] && chance(3, "not sure yet") {
 						do(Answered{Ask: a.Ask, Verdict: TurnedAway})
 					} else if open[a.Door] {
@@ -584,7 +584,7 @@
 				}
 			}
 		}
-		pass := func(span placer.Time) {
+		pass := func(span scheduler.Time) {
 			for end := now + span; ; {
 				if wake == 0 || wake > end {
 					now = end
@@ -620,12 +620,12 @@
 					if open[d] && len(keys) > 0 {
 						ask := runs[d][keys[0]]
 						delete(runs[d], keys[0])
-						do(Fated{ask, placer.Finished, 0})
+						do(Fated{ask, scheduler.Finished, 0})
 					}
 				}
 			}
 			perform()
-			pass(placer.Time(rapid.IntRange(0, 120_000).Draw(t, "on")))
+			pass(scheduler.Time(rapid.IntRange(0, 120_000).Draw(t, "on")))
 		}
 		calm = true
 		for d := range open {
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -14,7 +14,7 @@
 	"glenport/internal/site"
 	"glenport/internal/standin"
 	"glenport/internal/tap"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // Day is a cluster, its load and its troubles.
@@ -31,8 +31,8 @@
 	Machine    standin.Shape
 	List       listShape
 	Works      []standin.Work
-	DrainGrace placer.Time
-	Slack      placer.Time
+	DrainGrace scheduler.Time
+	Slack      scheduler.Time
 	Troubles   []Trouble
 	Extra      map[string]any // sections that every placer's file gets
 }
@@ -162,7 +162,7 @@
 	m := &f.Machine
 	d := &Day{Name: f.Name.Text, Seed: uint64(f.Seed.Value), Length: span(f.Length), Settle: span(f.Settle),
 		Placers: f.Placers.Value, Template: filepath.Join(filepath.Dir(path), f.Template.Text), Rate: f.Rate.Value,
-		DrainGrace: placer.Time(f.DrainGrace.Tenths), Slack: placer.Time(f.Slack.Tenths),
+		DrainGrace: scheduler.Time(f.DrainGrace.Tenths), Slack: scheduler.Time(f.Slack.Tenths),
 		Machine: standin.Shape{Admit: span(m.Admit), Queue: m.Queue.Value, Starts: m.Starts.Value, Start: span(m.Start),
 			Setup: m.Setup.Value, Kept: m.Kept.Value, ColdFrom: m.ColdFrom.Value, ColdBears: m.Bears.Value, Drift: m.Drift.Value},
 		List: listShape{span(f.List.Lag), span(f.List.Notice), span(f.List.Period), f.List.Calls.Value}}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -14,7 +14,7 @@
 	"glenport/internal/host"
 	"glenport/internal/site"
 	"glenport/internal/standin"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // The test program is its own placer process, so that one can be killed for good.
@@ -24,7 +24,7 @@
 		if err != nil {
 			panic(err)
 		}
-		h, err := host.New(s, placer.New(s.Terms), slog.New(slog.NewTextHandler(os.Stderr, nil)))
+		h, err := host.New(s, scheduler.New(s.Terms), slog.New(slog.NewTextHandler(os.Stderr, nil)))
 		if err != nil {
 			panic(err)
 		}
--- a/internal/lab/sim.go
+++ b/internal/lab/sim.go
@@ -8,7 +8,7 @@
 	"sort"
 
 	"glenport/internal/storm"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // World is a cluster on a simulated clock: the real decisions of many placers, and their doors, with a plain model of
@@ -18,25 +18,25 @@
 	Placers  int
 	Machines int
 	Rate     float64 // first tries a second, of all clients
-	Length   placer.Time
+	Length   scheduler.Time
 	Damping  Damping
 	Ignore   float64 // part of the clients that ignore all advice
 	// Restart: so many machines go down together at a time and are back, cold, after a span.
 	Restart   int
-	RestartAt placer.Time
-	DownFor   placer.Time
+	RestartAt scheduler.Time
+	DownFor   scheduler.Time
 	// PlacersDie all at a time, where it is above 0; their doors' knowledge is kept, or not.
-	PlacersDie placer.Time
+	PlacersDie scheduler.Time
 	Forget     bool
 
-	now     placer.Time
+	now     scheduler.Time
 	seq     uint64
 	events  simEvents
 	rng     *rand.Rand
-	terms   placer.Terms
+	terms   scheduler.Terms
 	placers []*simPlacer
 	fleet   []*simMachine
-	byID    map[placer.MachineID]*simMachine
+	byID    map[scheduler.MachineID]*simMachine
 	nextID  int
 
 	Seconds []SimSecond
@@ -63,7 +63,7 @@
 }
 
 type simEvent struct {
-	at  placer.Time
+	at  scheduler.Time
 	seq uint64
 	do  func()
 }
@@ -82,19 +82,19 @@
 	return x
 }
 
-func (w *World) after(span placer.Time, do func()) {
+func (w *World) after(span scheduler.Time, do func()) {
 	w.seq++
 	heap.Push(&w.events, simEvent{w.now + max(0, span), w.seq, do})
 }
 
 const (
 	simWay      = 5 // tenths of a millisecond on the way
-	simStart    = 30 * placer.Millisecond
+	simStart    = 30 * scheduler.Millisecond
 	simSlots    = 4
 	simQueue    = 60
 	simFirst    = 4.0 // times as long where the program is not there
 	simColdPace = 0.25
-	simLife     = 2 * placer.Second
+	simLife     = 2 * scheduler.Second
 	simKept     = 12
 	simTries    = 12 // of one container, with all its comings
 )
@@ -105,16 +105,16 @@
 	work   int
 	client string
 	ignore bool
-	due    bool        // it comes at an appointment
-	born   placer.Time // its first try
+	due    bool           // it comes at an appointment
+	born   scheduler.Time // its first try
 	tries  int
 }
 
 type simBid struct {
 	p       *simPlacer
-	id      placer.ContainerID
+	id      scheduler.ContainerID
 	m       *simMachine
-	until   placer.Time
+	until   scheduler.Time
 	service string
 	cores   float64
 	over    bool // for its placer
@@ -124,28 +124,28 @@
 
 type simPlacer struct {
 	w      *World
-	terms  placer.Terms
+	terms  scheduler.Terms
 	life   int
-	module *placer.Placer
+	module *scheduler.Placer
 	door   *storm.Door
-	open   map[placer.ContainerID]*simOpen
+	open   map[scheduler.ContainerID]*simOpen
 }
 
 type simOpen struct {
 	c        *simContainer
-	asked    placer.Time
+	asked    scheduler.Time
 	bid      *simBid
 	bids     int
 	answered bool
-	due      placer.Time
+	due      scheduler.Time
 }
 
 type simMachine struct {
 	w        *World
-	id       placer.MachineID
+	id       scheduler.MachineID
 	up       bool
 	life     int
-	started  placer.Time // 0: long ago
+	started  scheduler.Time // 0: long ago
 	busy     int
 	queue    []*simBid
 	cores    float64
@@ -153,16 +153,16 @@
 }
 
 // simTerms are a small site's.
-func simTerms(w *World) placer.Terms {
-	return placer.Terms{Placers: w.Placers, AcceptCores: 2, AcceptMemory: 1.5, MeanCores: 1, MeanMemory: 2, YesRuns: true,
-		ListedAsks: false, MayProbe: true, MostBids: 4, AnswerGrace: 50 * placer.Millisecond, AskWithin: 10 * placer.Second,
-		ColdFor: 10 * placer.Second, ColdWindow: placer.Second, ColdBids: 0,
-		Kinds: []placer.Kind{{Cores: 48, Memory: 120}},
-		Workloads: []placer.Workload{
-			{Effect: placer.Reissuable, Agreed: 300 * placer.Millisecond, HardStop: 4 * placer.Second, Kind: -1, Gain: 1},
-			{Effect: placer.Numbered, Repeats: placer.OneZone, Window: 4 * placer.Second, Agreed: 300 * placer.Millisecond,
-				HardStop: 4 * placer.Second, Kind: -1, Gain: 2},
-			{Effect: placer.AtMostOnce, Agreed: 500 * placer.Millisecond, HardStop: 4 * placer.Second, Kind: -1, Gain: 4}}}
+func simTerms(w *World) scheduler.Terms {
+	return scheduler.Terms{Placers: w.Placers, AcceptCores: 2, AcceptMemory: 1.5, MeanCores: 1, MeanMemory: 2, YesRuns: true,
+		ListedAsks: false, MayProbe: true, MostBids: 4, AnswerGrace: 50 * scheduler.Millisecond, AskWithin: 10 * scheduler.Second,
+		ColdFor: 10 * scheduler.Second, ColdWindow: scheduler.Second, ColdBids: 0,
+		Kinds: []scheduler.Kind{{Cores: 48, Memory: 120}},
+		Workloads: []scheduler.Workload{
+			{Effect: scheduler.Reissuable, Agreed: 300 * scheduler.Millisecond, HardStop: 4 * scheduler.Second, Kind: -1, Gain: 1},
+			{Effect: scheduler.Numbered, Repeats: scheduler.OneZone, Window: 4 * scheduler.Second, Agreed: 300 * scheduler.Millisecond,
+				HardStop: 4 * scheduler.Second, Kind: -1, Gain: 2},
+			{Effect: scheduler.AtMostOnce, Agreed: 500 * scheduler.Millisecond, HardStop: 4 * scheduler.Second, Kind: -1, Gain: 4}}}
 }
 
 // Run plays the world to its end.
@@ -170,10 +170,10 @@
 	w.rng = rand.New(rand.NewPCG(w.Seed, 41))
 	w.terms = simTerms(w)
 	w.terms.ColdBids = 60 // in a window, from all placers
-	w.byID = map[placer.MachineID]*simMachine{}
-	w.Seconds = make([]SimSecond, int(w.Length/placer.Second)+1)
+	w.byID = map[scheduler.MachineID]*simMachine{}
+	w.Seconds = make([]SimSecond, int(w.Length/scheduler.Second)+1)
 	for i := range w.Machines {
-		m := &simMachine{w: w, id: placer.MachineID(fmt.Sprintf("m%05d", i)), up: true, life: 1}
+		m := &simMachine{w: w, id: scheduler.MachineID(fmt.Sprintf("m%05d", i)), up: true, life: 1}
 		w.fleet, w.byID[m.id] = append(w.fleet, m), m
 	}
 	for i := range w.Placers {
@@ -201,24 +201,24 @@
 	}
 }
 
-func (w *World) list(only map[placer.MachineID]bool) []placer.Entry {
-	var all []placer.Entry
+func (w *World) list(only map[scheduler.MachineID]bool) []scheduler.Entry {
+	var all []scheduler.Entry
 	for i, m := range w.fleet {
 		if only != nil && !only[m.id] {
 			continue
 		}
-		s := placer.Serving
+		s := scheduler.Serving
 		if !m.up {
-			s = placer.Gone
+			s = scheduler.Gone
 		}
-		all = append(all, placer.Entry{Machine: m.id, Zone: i % 3, Cell: i / 4, State: s, StartedAt: m.started})
+		all = append(all, scheduler.Entry{Machine: m.id, Zone: i % 3, Cell: i / 4, State: s, StartedAt: m.started})
 	}
 	return all
 }
 
 // restart takes machines down together; the list tells it a second later, and of their return likewise.
 func (w *World) restart() {
-	which := map[placer.MachineID]bool{}
+	which := map[scheduler.MachineID]bool{}
 	for i := range min(w.Restart, len(w.fleet)) {
 		m := w.fleet[i]
 		which[m.id] = true
@@ -226,17 +226,17 @@
 	}
 	tell := func() {
 		for _, p := range w.placers {
-			p.feed(placer.ListCame{Mode: placer.Changes, Entries: w.list(which)})
+			p.feed(scheduler.ListCame{Mode: scheduler.Changes, Entries: w.list(which)})
 		}
 	}
-	w.after(placer.Second, tell)
+	w.after(scheduler.Second, tell)
 	w.after(w.DownFor, func() {
 		for i := range min(w.Restart, len(w.fleet)) {
 			m := w.fleet[i]
 			m.up, m.started = true, w.now
 			m.life++
 		}
-		w.after(placer.Second/4, tell)
+		w.after(scheduler.Second/4, tell)
 	})
 }
 
@@ -255,15 +255,15 @@
 	c.ignore = w.rng.Float64() < w.Ignore
 	w.second(c).Asked++
 	w.ask(c)
-	w.after(placer.Time(w.rng.ExpFloat64()/w.Rate*float64(placer.Second)), w.nextClient)
+	w.after(scheduler.Time(w.rng.ExpFloat64()/w.Rate*float64(scheduler.Second)), w.nextClient)
 }
 
-func (w *World) second(c *simContainer) *SimSecond { return &w.Seconds[int(c.born/placer.Second)] }
+func (w *World) second(c *simContainer) *SimSecond { return &w.Seconds[int(c.born/scheduler.Second)] }
 
 func (w *World) ask(c *simContainer) {
 	c.tries++
 	if c.tries > 1 {
-		w.Seconds[int(w.now/placer.Second)].Again++
+		w.Seconds[int(w.now/scheduler.Second)].Again++
 	}
 	p := w.placers[w.rng.IntN(len(w.placers))]
 	appointed := c.due
@@ -284,25 +284,25 @@
 	if appointed {
 		w.Honored++
 	}
-	id := placer.ContainerID(fmt.Sprintf("%d#%d", c.n, c.tries))
+	id := scheduler.ContainerID(fmt.Sprintf("%d#%d", c.n, c.tries))
 	due := w.now + w.terms.Workloads[c.work].HardStop
 	p.open[id] = &simOpen{c: c, asked: w.now, due: due}
-	p.feed(placer.Asked{Ask: placer.Ask{ID: id, Key: fmt.Sprint(c.n), Service: fmt.Sprint("s", c.work, "-", c.n%60), Workload: c.work,
+	p.feed(scheduler.Asked{Ask: scheduler.Ask{ID: id, Key: fmt.Sprint(c.n), Service: fmt.Sprint("s", c.work, "-", c.n%60), Workload: c.work,
 		Cores: 0.5, Memory: 1, Due: due, Again: c.tries > 1}})
 }
 
 // back is what a client does that was turned away: it keeps its appointment where it was given one and obeys.
-func (w *World) back(c *simContainer, hold placer.Time) {
+func (w *World) back(c *simContainer, hold scheduler.Time) {
 	if c.tries >= simTries || c.work == 2 && c.tries >= simTries/2 {
 		w.second(c).Abandoned++
 		return
 	}
-	wait := 50*placer.Millisecond + placer.Time(w.rng.Float64()*float64(100*placer.Millisecond))
+	wait := 50*scheduler.Millisecond + scheduler.Time(w.rng.Float64()*float64(100*scheduler.Millisecond))
 	switch {
 	case c.ignore:
 	case w.Damping == Exponential || w.Damping == Damped && hold == 0:
-		span := float64(200*placer.Millisecond) * math.Exp2(float64(min(c.tries, 7)))
-		wait = placer.Time(span/2 + w.rng.Float64()*span/2)
+		span := float64(200*scheduler.Millisecond) * math.Exp2(float64(min(c.tries, 7)))
+		wait = scheduler.Time(span/2 + w.rng.Float64()*span/2)
 	case w.Damping == Damped:
 		wait = hold
 	}
@@ -313,7 +313,7 @@
 func (p *simPlacer) begin() {
 	w := p.w
 	p.life++
-	p.module, p.open = placer.New(p.terms), map[placer.ContainerID]*simOpen{}
+	p.module, p.open = scheduler.New(p.terms), map[scheduler.ContainerID]*simOpen{}
 	if w.Damping == Damped {
 		s := storm.Terms{Seed: p.terms.Seed, Most: 1_000_000}
 		for _, x := range p.terms.Workloads {
@@ -324,7 +324,7 @@
 			p.door.Recall(old.Knows(), 0.9)
 		}
 	}
-	p.feed(placer.ListCame{Mode: placer.WholeList, Entries: w.list(nil)})
+	p.feed(scheduler.ListCame{Mode: scheduler.WholeList, Entries: w.list(nil)})
 }
 
 // die ends a life and begins the next; clients without an answer hear of it and come again.
@@ -336,54 +336,54 @@
 	}
 	sort.Strings(ids)
 	for _, id := range ids {
-		if o := p.open[placer.ContainerID(id)]; !o.answered && o.c.work != 2 {
+		if o := p.open[scheduler.ContainerID(id)]; !o.answered && o.c.work != 2 {
 			w.back(o.c, 0)
 		}
 	}
 	p.begin()
 }
 
-func (p *simPlacer) feed(e placer.Event) {
+func (p *simPlacer) feed(e scheduler.Event) {
 	w := p.w
-	for _, a := range p.module.Handle(w.now, []placer.Event{e}) {
+	for _, a := range p.module.Handle(w.now, []scheduler.Event{e}) {
 		w.Acts++
 		switch a := a.(type) {
-		case placer.Bid:
+		case scheduler.Bid:
 			p.bid(a)
-		case placer.PushBack:
+		case scheduler.PushBack:
 			p.answer(a.ID, func(o *simOpen) {
 				w.second(o.c).PushedBack++
 				w.back(o.c, 0)
 			})
-		case placer.GiveUp:
+		case scheduler.GiveUp:
 			p.answer(a.ID, func(o *simOpen) {
 				w.second(o.c).GivenUp++
-				if w.terms.Workloads[o.c.work].Effect != placer.AtMostOnce {
+				if w.terms.Workloads[o.c.work].Effect != scheduler.AtMostOnce {
 					w.back(o.c, 0)
 				}
 			})
-		case placer.Wake:
+		case scheduler.Wake:
 			life := p.life
 			w.after(a.After, func() {
 				if p.life == life {
-					p.feed(placer.Woke{Name: a.Name})
+					p.feed(scheduler.Woke{Name: a.Name})
 				}
 			})
-		case placer.Probe:
+		case scheduler.Probe:
 			m := w.byID[a.Machine]
 			w.after(2*simWay, func() {
-				o := placer.NoConnect
+				o := scheduler.NoConnect
 				if m.up {
-					o = placer.Finished
+					o = scheduler.Finished
 				}
-				p.feed(placer.Probed{Machine: m.id, Outcome: o})
+				p.feed(scheduler.Probed{Machine: m.id, Outcome: o})
 			})
 		}
 	}
 }
 
 // answer gives a client its one answer other than placed.
-func (p *simPlacer) answer(id placer.ContainerID, f func(*simOpen)) {
+func (p *simPlacer) answer(id scheduler.ContainerID, f func(*simOpen)) {
 	o := p.open[id]
 	if o == nil || o.answered {
 		return
@@ -398,7 +398,7 @@
 	f(o)
 }
 
-func (p *simPlacer) bid(a placer.Bid) {
+func (p *simPlacer) bid(a scheduler.Bid) {
 	w, o := p.w, p.open[a.ID]
 	m := w.byID[a.Machine]
 	until := o.due
@@ -410,14 +410,14 @@
 	o.bids++
 	w.after(until-w.now, func() {
 		if !b.placed {
-			b.end(placer.TimedOut, placer.NoReason)
+			b.end(scheduler.TimedOut, scheduler.NoReason)
 		}
 	})
 	w.after(simWay, func() { m.offered(b) })
 }
 
 // end is a bid's one outcome at its placer.
-func (b *simBid) end(o placer.Outcome, r placer.Reason) {
+func (b *simBid) end(o scheduler.Outcome, r scheduler.Reason) {
 	if b.over {
 		return
 	}
@@ -431,7 +431,7 @@
 	if over {
 		delete(b.p.open, b.id)
 	}
-	b.p.feed(placer.Ended{ID: b.id, Bid: x.bids - 1, Outcome: o, Machine: b.m.id, Reason: r, Over: over})
+	b.p.feed(scheduler.Ended{ID: b.id, Bid: x.bids - 1, Outcome: o, Machine: b.m.id, Reason: r, Over: over})
 }
 
 func (m *simMachine) down() {
@@ -441,20 +441,20 @@
 	queue := m.queue
 	m.queue = nil
 	for _, b := range queue {
-		m.w.after(simWay, func() { b.end(placer.Reset, placer.NoReason) })
+		m.w.after(simWay, func() { b.end(scheduler.Reset, scheduler.NoReason) })
 	}
 }
 
 func (m *simMachine) offered(b *simBid) {
 	w := m.w
-	refuse := func(o placer.Outcome, r placer.Reason) { w.after(simWay, func() { b.end(o, r) }) }
+	refuse := func(o scheduler.Outcome, r scheduler.Reason) { w.after(simWay, func() { b.end(o, r) }) }
 	switch {
 	case !m.up:
-		refuse(placer.NoConnect, placer.NoReason)
+		refuse(scheduler.NoConnect, scheduler.NoReason)
 	case m.cores+b.cores > 96:
-		refuse(placer.Full, placer.NoCores)
+		refuse(scheduler.Full, scheduler.NoCores)
 	case len(m.queue) >= simQueue:
-		refuse(placer.Full, placer.LongQueue)
+		refuse(scheduler.Full, scheduler.LongQueue)
 	default:
 		m.cores += b.cores
 		m.queue = append(m.queue, b)
@@ -483,9 +483,9 @@
 			took /= simColdPace + (1-simColdPace)*float64(cold)/float64(w.terms.ColdFor)
 		}
 		life := m.life
-		w.after(placer.Time(took), func() {
+		w.after(scheduler.Time(took), func() {
 			if m.life != life {
-				w.after(simWay, func() { b.end(placer.Reset, placer.NoReason) })
+				w.after(simWay, func() { b.end(scheduler.Reset, scheduler.NoReason) })
 				return
 			}
 			m.busy--
@@ -510,7 +510,7 @@
 // yes reaches the placer; too late it stops what started.
 func (b *simBid) yes(life int) {
 	w, m := b.p.w, b.m
-	free := func(after placer.Time, then func()) {
+	free := func(after scheduler.Time, then func()) {
 		w.after(after, func() {
 			if m.life == life {
 				m.cores -= b.cores
@@ -521,22 +521,22 @@
 	}
 	o := b.p.open[b.id]
 	if b.over || o == nil || o.bid != b || o.answered {
-		free(simWay, func() { b.end(placer.Stopped, placer.NoReason) })
+		free(simWay, func() { b.end(scheduler.Stopped, scheduler.NoReason) })
 		return
 	}
 	b.placed, o.answered = true, true
 	took := w.now - o.asked
-	b.p.feed(placer.Placed{ID: b.id, Bid: o.bids - 1, Machine: m.id, Took: took})
+	b.p.feed(scheduler.Placed{ID: b.id, Bid: o.bids - 1, Machine: m.id, Took: took})
 	if b.p.door != nil {
 		b.p.door.Handle(w.now, storm.Started{Workload: o.c.work, Took: took})
 	}
 	if took <= w.terms.Workloads[o.c.work].Agreed {
 		w.second(o.c).InTime++
-		w.Seconds[int(w.now/placer.Second)].Placed++
+		w.Seconds[int(w.now/scheduler.Second)].Placed++
 	} else {
 		w.second(o.c).Late++
 	}
-	free(simLife, func() { b.end(placer.Finished, placer.NoReason) })
+	free(simLife, func() { b.end(scheduler.Finished, scheduler.NoReason) })
 }
 
 // Goodput is what was placed within its agreed time in a second, as a part of what was newly wanted in it.
--- a/internal/lab/sim_test.go
+++ b/internal/lab/sim_test.go
@@ -4,12 +4,12 @@
 	"fmt"
 	"testing"
 
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 func simulatedOnce(d Damping) (*World, recoveryOf) {
-	w := &World{Seed: 1, Placers: 2, Machines: 12, Rate: 420, Length: 40 * placer.Second, Damping: d, Restart: 10, RestartAt: 8 * placer.Second,
-		DownFor: 2 * placer.Second}
+	w := &World{Seed: 1, Placers: 2, Machines: 12, Rate: 420, Length: 40 * scheduler.Second, Damping: d, Restart: 10, RestartAt: 8 * scheduler.Second,
+		DownFor: 2 * scheduler.Second}
 	w.Run()
 	var good []float64
 	for _, s := range w.Seconds[:40] {
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"glenport/internal/audit"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // StormTrial restarts most of a fleet at once under load, without damping, with clients that back off, and with
@@ -99,8 +99,8 @@
 			var each sync.WaitGroup
 			for _, d := range dampings {
 				each.Go(func() {
-					w := &World{Seed: uint64(seed + 1), Placers: 3, Machines: 24, Rate: 1200, Length: 60 * placer.Second, Damping: d, Ignore: ignore,
-						Restart: 20, RestartAt: 10 * placer.Second, DownFor: 2 * placer.Second}
+					w := &World{Seed: uint64(seed + 1), Placers: 3, Machines: 24, Rate: 1200, Length: 60 * scheduler.Second, Damping: d, Ignore: ignore,
+						Restart: 20, RestartAt: 10 * scheduler.Second, DownFor: 2 * scheduler.Second}
 					w.Run()
 					var good []float64
 					for _, s := range w.Seconds[:len(w.Seconds)-1] {
@@ -149,8 +149,8 @@
 // restarted lets all placers die two seconds after the machines are back, with and without what their doors knew.
 func (t *StormTrial) restarted() {
 	for _, forget := range []bool{false, true} {
-		w := &World{Seed: 1, Placers: 3, Machines: 24, Rate: 1200, Length: 60 * placer.Second, Damping: Damped, Restart: 20,
-			RestartAt: 10 * placer.Second, DownFor: 2 * placer.Second, PlacersDie: 14 * placer.Second, Forget: forget}
+		w := &World{Seed: 1, Placers: 3, Machines: 24, Rate: 1200, Length: 60 * scheduler.Second, Damping: Damped, Restart: 20,
+			RestartAt: 10 * scheduler.Second, DownFor: 2 * scheduler.Second, PlacersDie: 14 * scheduler.Second, Forget: forget}
 		w.Run()
 		var good []float64
 		for _, s := range w.Seconds[:len(w.Seconds)-1] {
@@ -164,7 +164,7 @@
 func (t *StormTrial) calm() bool {
 	var inTime, asked, shed [2]int
 	for i, d := range []Damping{NoDamping, Damped} {
-		w := &World{Seed: 5, Placers: 3, Machines: 24, Rate: 700, Length: 120 * placer.Second, Damping: d}
+		w := &World{Seed: 5, Placers: 3, Machines: 24, Rate: 700, Length: 120 * scheduler.Second, Damping: d}
 		w.Run()
 		for _, s := range w.Seconds {
 			inTime[i] += s.Placed
--- a/internal/link/outcome.go
+++ b/internal/link/outcome.go
@@ -1,15 +1,15 @@
 package link
 
-import "glenport/placer"
+import "glenport/scheduler"
 
-var decided = [...]placer.Outcome{Finished: placer.Finished, Erred: placer.Erred, Full: placer.Full, Stopped: placer.Stopped,
-	Lost: placer.Reset}
+var decided = [...]scheduler.Outcome{Finished: scheduler.Finished, Erred: scheduler.Erred, Full: scheduler.Full, Stopped: scheduler.Stopped,
+	Lost: scheduler.Reset}
 
 // Decided is the outcome in the words of the decisions.
-func (o Outcome) Decided() placer.Outcome { return decided[o] }
+func (o Outcome) Decided() scheduler.Outcome { return decided[o] }
 
 // OutcomeOf is the outcome that an owner is told; what has no like on the wire was lost.
-func OutcomeOf(p placer.Outcome) Outcome {
+func OutcomeOf(p scheduler.Outcome) Outcome {
 	for o, x := range decided {
 		if x == p {
 			return Outcome(o)
--- a/internal/orders/breaker.go
+++ b/internal/orders/breaker.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // Breaker keeps something from a placer, so that it breaks one rule: a judge that does not see it sees nothing.
@@ -12,15 +12,15 @@
 	Rule int
 }
 
-func (b Breaker) Handle(now placer.Time, events []placer.Event) []placer.Action {
-	var kept []placer.Event
+func (b Breaker) Handle(now scheduler.Time, events []scheduler.Event) []scheduler.Action {
+	var kept []scheduler.Event
 	for _, e := range events {
 		switch e := e.(type) {
-		case placer.ListCame:
+		case scheduler.ListCame:
 			e.Entries = slices.Clone(e.Entries) // the judge reads the true ones
 			for i := range e.Entries {
 				if b.Rule == 3 { // a drain is not heard
-					e.Entries[i].State = placer.Serving
+					e.Entries[i].State = scheduler.Serving
 				}
 				if b.Rule == 4 { // nor a start
 					e.Entries[i].StartedAt = 0
@@ -28,13 +28,13 @@
 			}
 			kept = append(kept, e)
 			continue
-		case placer.TookOver:
+		case scheduler.TookOver:
 			if b.Rule == 5 { // what runs is forgotten
 				continue
 			}
-		case placer.Ended:
-			if b.Rule == 2 && (e.Outcome == placer.TimedOut || e.Outcome == placer.Erred) { // taken for refused
-				e.Outcome = placer.Full
+		case scheduler.Ended:
+			if b.Rule == 2 && (e.Outcome == scheduler.TimedOut || e.Outcome == scheduler.Erred) { // taken for refused
+				e.Outcome = scheduler.Full
 				kept = append(kept, e)
 				continue
 			}
@@ -43,7 +43,7 @@
 	}
 	actions := b.Decider.Handle(now, kept)
 	if b.Rule == 1 {
-		actions = slices.DeleteFunc(actions, func(a placer.Action) bool { _, answers := a.(placer.PushBack); return answers })
+		actions = slices.DeleteFunc(actions, func(a scheduler.Action) bool { _, answers := a.(scheduler.PushBack); return answers })
 	}
 	return actions
 }
--- a/internal/orders/judge.go
+++ b/internal/orders/judge.go
@@ -5,13 +5,13 @@
 import (
 	"fmt"
 
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // Judge follows all placers of a fleet. Each table holds the containers, bids and machines of one order.
 type Judge struct {
-	terms   placer.Terms
-	grace   placer.Time // in which bids may still go to a machine that is heard to drain
+	terms   scheduler.Terms
+	grace   scheduler.Time // in which bids may still go to a machine that is heard to drain
 	lives   []*life
 	Breaks  []string
 	checked int
@@ -19,13 +19,13 @@
 
 // life is one life of a placer.
 type life struct {
-	containers map[placer.ContainerID]*container
-	machines   map[placer.MachineID]*machine
-	ran        map[placer.MachineID][]send // what it sent in all its lives
+	containers map[scheduler.ContainerID]*container
+	machines   map[scheduler.MachineID]*machine
+	ran        map[scheduler.MachineID][]send // what it sent in all its lives
 }
 
 type container struct {
-	ask      placer.Ask
+	ask      scheduler.Ask
 	bids     []*bid
 	answered bool
 	closed   bool // nothing is owed any more
@@ -33,8 +33,8 @@
 }
 
 type bid struct {
-	to      placer.MachineID
-	at      placer.Time
+	to      scheduler.MachineID
+	at      scheduler.Time
 	out     bool
 	mayRun  bool
 	zone    int
@@ -43,19 +43,19 @@
 }
 
 type machine struct {
-	placer.Entry
+	scheduler.Entry
 	named bool
-	shut  placer.Time // since when it is heard to drain or to be gone
-	heard placer.Time // when its present start was heard of
+	shut  scheduler.Time // since when it is heard to drain or to be gone
+	heard scheduler.Time // when its present start was heard of
 }
 
 type send struct {
-	at       placer.Time
+	at       scheduler.Time
 	informed bool
 }
 
 // NewJudge is for placers of the same terms, but for their number.
-func NewJudge(t placer.Terms, placers int, grace placer.Time) *Judge {
+func NewJudge(t scheduler.Terms, placers int, grace scheduler.Time) *Judge {
 	j := &Judge{terms: t, grace: grace}
 	for range placers {
 		j.lives = append(j.lives, newLife())
@@ -64,8 +64,8 @@
 }
 
 func newLife() *life {
-	return &life{containers: map[placer.ContainerID]*container{}, machines: map[placer.MachineID]*machine{},
-		ran: map[placer.MachineID][]send{}}
+	return &life{containers: map[scheduler.ContainerID]*container{}, machines: map[scheduler.MachineID]*machine{},
+		ran: map[scheduler.MachineID][]send{}}
 }
 
 // Restarted begins another life of a placer; owners handle what it had open.
@@ -80,24 +80,24 @@
 }
 
 // In takes an event that a placer is given.
-func (j *Judge) In(who int, now placer.Time, e placer.Event) {
+func (j *Judge) In(who int, now scheduler.Time, e scheduler.Event) {
 	l := j.lives[who]
 	switch e := e.(type) {
-	case placer.ListCame:
+	case scheduler.ListCame:
 		l.listed(now, e)
-	case placer.Asked:
+	case scheduler.Asked:
 		l.containers[e.ID] = &container{ask: e.Ask}
-	case placer.TookOver:
+	case scheduler.TookOver:
 		c := &container{ask: e.Ask, answered: true, closed: true, running: true}
 		b := &bid{to: e.Machine, out: true, mayRun: true}
 		b.stands(l.machines[e.Machine])
 		c.bids = []*bid{b}
 		l.containers[e.ID] = c
-	case placer.Placed:
+	case scheduler.Placed:
 		if c := l.containers[e.ID]; c != nil {
 			c.answered, c.running = true, true
 		}
-	case placer.Ended:
+	case scheduler.Ended:
 		c := l.containers[e.ID]
 		if c == nil {
 			return
@@ -106,7 +106,7 @@
 		for _, b := range c.bids {
 			if b.out {
 				b.out = false
-				b.mayRun = e.Outcome != placer.Full && e.Outcome != placer.NoConnect && e.Outcome != placer.NotSent
+				b.mayRun = e.Outcome != scheduler.Full && e.Outcome != scheduler.NoConnect && e.Outcome != scheduler.NotSent
 			}
 		}
 		if e.Over {
@@ -114,18 +114,18 @@
 		} else if !c.closed {
 			c.answered = false // a yes that crossed a withdrawal answers nothing
 		}
-	case placer.Vanished:
+	case scheduler.Vanished:
 		if c := l.containers[e.ID]; c != nil {
 			c.answered, c.closed = true, true
 		}
 	}
 }
 
-func (l *life) listed(now placer.Time, e placer.ListCame) {
-	if e.Mode == placer.ListFailed {
+func (l *life) listed(now scheduler.Time, e scheduler.ListCame) {
+	if e.Mode == scheduler.ListFailed {
 		return
 	}
-	named := map[placer.MachineID]bool{}
+	named := map[scheduler.MachineID]bool{}
 	for _, n := range e.Entries {
 		named[n.Machine] = true
 		m := l.machines[n.Machine]
@@ -136,7 +136,7 @@
 		if !m.named || m.StartedAt != n.StartedAt {
 			m.heard = now
 		}
-		if n.State == placer.Serving {
+		if n.State == scheduler.Serving {
 			m.shut = 0
 		} else if m.shut == 0 {
 			m.shut = max(1, now)
@@ -144,8 +144,8 @@
 		m.Entry, m.named = n, true
 	}
 	for id, m := range l.machines {
-		if e.Mode != placer.Changes && !named[id] && m.shut == 0 {
-			m.State, m.shut = placer.Gone, max(1, now)
+		if e.Mode != scheduler.Changes && !named[id] && m.shut == 0 {
+			m.State, m.shut = scheduler.Gone, max(1, now)
 		}
 	}
 	for _, c := range l.containers {
@@ -163,34 +163,34 @@
 	}
 }
 
-func (b *bid) shares(o *bid, p placer.Place) bool {
+func (b *bid) shares(o *bid, p scheduler.Place) bool {
 	switch p {
-	case placer.Everywhere:
+	case scheduler.Everywhere:
 		return true
-	case placer.OneZone:
+	case scheduler.OneZone:
 		return b.unnamed || o.unnamed || b.zone == o.zone
-	case placer.OneCell:
+	case scheduler.OneCell:
 		return b.unnamed || o.unnamed || b.cell == o.cell
 	}
 	return b.to == o.to
 }
 
 // Out takes an action of a placer.
-func (j *Judge) Out(who int, now placer.Time, a placer.Action) {
+func (j *Judge) Out(who int, now scheduler.Time, a scheduler.Action) {
 	l := j.lives[who]
 	switch a := a.(type) {
-	case placer.Bid:
+	case scheduler.Bid:
 		j.bid(l, now, a)
-	case placer.Probe:
+	case scheduler.Probe:
 		j.cold(l, a.Machine, now)
-	case placer.PushBack:
+	case scheduler.PushBack:
 		j.answer(l, a.ID, true)
-	case placer.GiveUp:
+	case scheduler.GiveUp:
 		j.answer(l, a.ID, false)
 	}
 }
 
-func (j *Judge) answer(l *life, id placer.ContainerID, promises bool) {
+func (j *Judge) answer(l *life, id scheduler.ContainerID, promises bool) {
 	c := l.containers[id]
 	if c == nil || c.answered {
 		j.broken(1, "%s is answered and owes no answer", id)
@@ -199,14 +199,14 @@
 	c.answered, c.closed = true, true
 	w := j.terms.Workloads[c.ask.Workload]
 	for _, b := range c.bids {
-		safe := w.Effect == placer.Reissuable || w.Effect == placer.Numbered && w.Repeats == placer.Everywhere
+		safe := w.Effect == scheduler.Reissuable || w.Effect == scheduler.Numbered && w.Repeats == scheduler.Everywhere
 		if promises && !safe && (b.out || b.mayRun) {
 			j.broken(2, "%s is pushed back, and may run on %s", id, b.to)
 		}
 	}
 }
 
-func (j *Judge) bid(l *life, now placer.Time, a placer.Bid) {
+func (j *Judge) bid(l *life, now scheduler.Time, a scheduler.Bid) {
 	c, m := l.containers[a.ID], l.machines[a.Machine]
 	if c == nil || c.answered || c.closed {
 		j.broken(1, "%s is bid to %s, and is closed", a.ID, a.Machine)
@@ -218,7 +218,7 @@
 	}
 	j.checked++
 	if m.shut > 0 && now > m.shut+j.grace {
-		j.broken(3, "%s is bid to %s, heard %d ms ago to drain or to be gone", a.ID, a.Machine, (now-m.shut)/placer.Millisecond)
+		j.broken(3, "%s is bid to %s, heard %d ms ago to drain or to be gone", a.ID, a.Machine, (now-m.shut)/scheduler.Millisecond)
 	}
 	w := j.terms.Workloads[c.ask.Workload]
 	n := &bid{to: a.Machine, at: now, out: true}
@@ -236,15 +236,15 @@
 		}
 	}
 	switch {
-	case first == nil || w.Effect == placer.Reissuable:
-	case w.Effect == placer.AtMostOnce:
+	case first == nil || w.Effect == scheduler.Reissuable:
+	case w.Effect == scheduler.AtMostOnce:
 		j.broken(2, "%s is bid to %s, and may have run on %s", a.ID, a.Machine, first.to)
 	case !n.shares(first, w.Repeats) || now >= first.at+w.Window:
 		j.broken(2, "%s is bid to %s, outside the group or window of %s", a.ID, a.Machine, first.to)
 	}
 	c.bids = append(c.bids, n)
 	j.cold(l, a.Machine, now)
-	if w.Spread != placer.Nowhere {
+	if w.Spread != scheduler.Nowhere {
 		held := 0
 		for _, o := range l.containers {
 			for _, b := range o.bids {
@@ -261,7 +261,7 @@
 
 // cold counts a send, and judges it by what its sender knows: it answers for all that it sent since the start that it has
 // heard of, and the others for what they sent since they heard.
-func (j *Judge) cold(l *life, id placer.MachineID, now placer.Time) {
+func (j *Judge) cold(l *life, id scheduler.MachineID, now scheduler.Time) {
 	m := l.machines[id]
 	knows := m != nil && m.StartedAt > 0 && now < m.StartedAt+j.terms.ColdFor
 	l.ran[id] = append(l.ran[id], send{now, knows})
@@ -282,11 +282,11 @@
 }
 
 // At judges what time alone breaks: answers that are owed.
-func (j *Judge) At(now placer.Time) {
+func (j *Judge) At(now scheduler.Time) {
 	for _, l := range j.lives {
 		for id, c := range l.containers {
 			if !c.answered && now > c.ask.Due+j.terms.AnswerGrace {
-				j.broken(1, "%s has no answer %d ms after its hard stop", id, (now-c.ask.Due)/placer.Millisecond)
+				j.broken(1, "%s has no answer %d ms after its hard stop", id, (now-c.ask.Due)/scheduler.Millisecond)
 				c.answered = true
 			}
 		}
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -5,56 +5,56 @@
 	"sort"
 	"strings"
 
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // Decider is a placer, or a wrapper that breaks a rule.
 type Decider interface {
-	Handle(now placer.Time, events []placer.Event) []placer.Action
+	Handle(now scheduler.Time, events []scheduler.Event) []scheduler.Action
 }
 
 // Step is how far the clock goes with each event.
-const Step = 20 * placer.Millisecond
+const Step = 20 * scheduler.Millisecond
 
 // World is a tiny fleet in which events are possible or not. A new one is made for each order.
 type World struct {
-	Terms   placer.Terms
+	Terms   scheduler.Terms
 	Placers int
-	Grace   placer.Time // of drains
-	Fleet   []placer.Entry
-	Asks    []placer.Ask // Due is the time to the hard stop
-	Words   []string     // the events to be put in order, as Possible tells them
-	Joined  bool         // two events may also come in one batch
-	Make    func(t placer.Terms) Decider
+	Grace   scheduler.Time // of drains
+	Fleet   []scheduler.Entry
+	Asks    []scheduler.Ask // Due is the time to the hard stop
+	Words   []string        // the events to be put in order, as Possible tells them
+	Joined  bool            // two events may also come in one batch
+	Make    func(t scheduler.Terms) Decider
 
-	now     placer.Time
+	now     scheduler.Time
 	judge   *Judge
 	made    []Decider
 	timers  [][]timer
-	fleet   map[placer.MachineID]*placer.Entry // as it is, of which the placers hear in their lists
-	at      map[placer.ContainerID]*out
-	probes  []map[placer.MachineID]placer.Time // of each placer, those out, until when they are answered
+	fleet   map[scheduler.MachineID]*scheduler.Entry // as it is, of which the placers hear in their lists
+	at      map[scheduler.ContainerID]*out
+	probes  []map[scheduler.MachineID]scheduler.Time // of each placer, those out, until when they are answered
 	version int64
-	joined  []placer.Event
+	joined  []scheduler.Event
 	ask     int // next
 }
 
 type timer struct {
-	at   placer.Time
+	at   scheduler.Time
 	name string
 }
 
-var outcomes = map[string]placer.Outcome{"full": placer.Full, "timeout": placer.TimedOut, "reset": placer.Reset, "erred": placer.Erred,
-	"unsent": placer.NotSent, "over": placer.Finished, "lost": placer.Reset, "crossed": placer.Stopped}
+var outcomes = map[string]scheduler.Outcome{"full": scheduler.Full, "timeout": scheduler.TimedOut, "reset": scheduler.Reset, "erred": scheduler.Erred,
+	"unsent": scheduler.NotSent, "over": scheduler.Finished, "lost": scheduler.Reset, "crossed": scheduler.Stopped}
 
 const probe = "probe " // before the machine, as the name of a timer
 
 // out is a container's bid, or where it runs.
 type out struct {
 	placer int
-	to     placer.MachineID
+	to     scheduler.MachineID
 	runs   bool
-	ask    placer.Ask
+	ask    scheduler.Ask
 }
 
 // Result is what came of all orders.
@@ -127,25 +127,25 @@
 }
 
 func (w *World) begin() {
-	w.now, w.judge = 100*placer.Second, NewJudge(w.Terms, w.Placers, w.Grace)
-	w.fleet, w.at = map[placer.MachineID]*placer.Entry{}, map[placer.ContainerID]*out{}
-	w.timers, w.probes = make([][]timer, w.Placers), make([]map[placer.MachineID]placer.Time, w.Placers)
+	w.now, w.judge = 100*scheduler.Second, NewJudge(w.Terms, w.Placers, w.Grace)
+	w.fleet, w.at = map[scheduler.MachineID]*scheduler.Entry{}, map[scheduler.ContainerID]*out{}
+	w.timers, w.probes = make([][]timer, w.Placers), make([]map[scheduler.MachineID]scheduler.Time, w.Placers)
 	for _, e := range w.Fleet {
 		w.fleet[e.Machine] = &e
 	}
 	for i := range w.Placers {
 		t := w.Terms
 		t.Me, t.Placers = i, w.Placers
-		w.made, w.probes[i] = append(w.made, w.Make(t)), map[placer.MachineID]placer.Time{}
-		w.give(i, placer.ListCame{Mode: placer.OldList, Entries: w.entries()})
+		w.made, w.probes[i] = append(w.made, w.Make(t)), map[scheduler.MachineID]scheduler.Time{}
+		w.give(i, scheduler.ListCame{Mode: scheduler.OldList, Entries: w.entries()})
 	}
 	w.pass(w.Terms.ColdWindow + w.Terms.ColdWindow/4) // so that they may send to cold machines
 }
 
-func (w *World) entries() []placer.Entry {
-	var all []placer.Entry
+func (w *World) entries() []scheduler.Entry {
+	var all []scheduler.Entry
 	for _, e := range w.Fleet {
-		if n := w.fleet[e.Machine]; n.State != placer.Gone {
+		if n := w.fleet[e.Machine]; n.State != scheduler.Gone {
 			all = append(all, *n)
 		}
 	}
@@ -159,25 +159,25 @@
 	for _, word := range w.Words {
 		f := strings.Fields(word)
 		ok := false
-		switch m := w.fleet[placer.MachineID(f[len(f)-1])]; f[0] {
+		switch m := w.fleet[scheduler.MachineID(f[len(f)-1])]; f[0] {
 		case "ask":
 			ok = w.ask < len(w.Asks)
 		case "yes", "full", "timeout", "reset", "unsent", "erred":
-			ok = w.at[placer.ContainerID(f[1])] != nil && !w.at[placer.ContainerID(f[1])].runs
+			ok = w.at[scheduler.ContainerID(f[1])] != nil && !w.at[scheduler.ContainerID(f[1])].runs
 		case "over", "lost", "crossed":
-			ok = w.at[placer.ContainerID(f[1])] != nil && w.at[placer.ContainerID(f[1])].runs
+			ok = w.at[scheduler.ContainerID(f[1])] != nil && w.at[scheduler.ContainerID(f[1])].runs
 		case "withdraw":
-			ok = w.at[placer.ContainerID(f[1])] != nil
+			ok = w.at[scheduler.ContainerID(f[1])] != nil
 		case "note": // also a late one, of what is over
-			ok = w.judge.lives[0].containers[placer.ContainerID(f[1])] != nil
+			ok = w.judge.lives[0].containers[scheduler.ContainerID(f[1])] != nil
 		case "echo":
 			ok = w.probes[0][m.Machine] > 0
 		case "drain":
-			ok = m.State == placer.Serving
+			ok = m.State == scheduler.Serving
 		case "leave":
-			ok = m.State != placer.Gone
+			ok = m.State != scheduler.Gone
 		case "back":
-			ok = m.State != placer.Serving
+			ok = m.State != scheduler.Serving
 		default: // restart, found, wait, list, failed, dies, forgets
 			ok = true
 		}
@@ -200,65 +200,65 @@
 	hold := strings.HasPrefix(word, "+")
 	f := strings.Fields(strings.TrimPrefix(word, "+"))
 	last := f[len(f)-1]
-	id, on := placer.ContainerID(last), placer.MachineID(last)
-	all := func(e placer.Event) {
+	id, on := scheduler.ContainerID(last), scheduler.MachineID(last)
+	all := func(e scheduler.Event) {
 		for i := range w.made {
 			w.bring(i, e, hold)
 		}
 	}
-	tell := func(mode placer.ListMode, entries ...placer.Entry) {
+	tell := func(mode scheduler.ListMode, entries ...scheduler.Entry) {
 		w.version++
-		all(placer.ListCame{Mode: mode, Version: w.version, Entries: entries})
+		all(scheduler.ListCame{Mode: mode, Version: w.version, Entries: entries})
 	}
 	switch f[0] {
 	case "ask":
 		a := w.Asks[w.ask]
 		a.Due += w.now
-		w.bring(w.ask%w.Placers, placer.Asked{Ask: a}, hold)
+		w.bring(w.ask%w.Placers, scheduler.Asked{Ask: a}, hold)
 		w.ask++
 	case "found": // a container that runs there comes to the first placer
-		w.bring(0, placer.TookOver{Ask: placer.Ask{ID: placer.ContainerID(fmt.Sprint("o", w.now)), Service: w.Asks[0].Service,
+		w.bring(0, scheduler.TookOver{Ask: scheduler.Ask{ID: scheduler.ContainerID(fmt.Sprint("o", w.now)), Service: w.Asks[0].Service,
 			Workload: w.Asks[0].Workload, Cores: 1, Memory: 1}, Machine: on}, hold)
 	case "yes":
 		if at := w.at[id]; at != nil {
 			at.runs = true
-			w.bring(at.placer, placer.Placed{ID: id, Machine: at.to}, hold)
+			w.bring(at.placer, scheduler.Placed{ID: id, Machine: at.to}, hold)
 		}
 	case "full", "timeout", "reset", "erred", "unsent", "over", "lost", "crossed":
 		if at := w.at[id]; at != nil {
 			delete(w.at, id)
-			w.bring(at.placer, placer.Ended{ID: id, Outcome: outcomes[f[0]], Machine: at.to, Over: f[0] == "over" || f[0] == "lost"}, hold)
+			w.bring(at.placer, scheduler.Ended{ID: id, Outcome: outcomes[f[0]], Machine: at.to, Over: f[0] == "over" || f[0] == "lost"}, hold)
 		}
 	case "withdraw":
 		if at := w.at[id]; at != nil {
-			w.bring(at.placer, placer.Vanished{ID: id}, hold)
+			w.bring(at.placer, scheduler.Vanished{ID: id}, hold)
 		}
 	case "note":
-		w.bring(0, placer.Noted{ID: id, Sort: placer.MemoryUsed, Amount: 2}, hold)
+		w.bring(0, scheduler.Noted{ID: id, Sort: scheduler.MemoryUsed, Amount: 2}, hold)
 	case "echo":
 		delete(w.probes[0], on)
-		w.bring(0, placer.Probed{Machine: on}, hold)
+		w.bring(0, scheduler.Probed{Machine: on}, hold)
 	case "drain", "leave", "back", "restart":
 		m := w.fleet[on]
 		switch f[0] {
 		case "drain":
-			m.State = placer.Draining
+			m.State = scheduler.Draining
 		case "leave":
-			m.State = placer.Gone
+			m.State = scheduler.Gone
 		case "back":
-			m.State = placer.Serving
+			m.State = scheduler.Serving
 		case "restart":
-			m.State, m.StartedAt = placer.Serving, w.now
+			m.State, m.StartedAt = scheduler.Serving, w.now
 		}
 		if len(f) == 2 { // else it is heard of with the next list
-			tell(placer.Changes, *m)
+			tell(scheduler.Changes, *m)
 		}
 	case "list":
-		tell(placer.WholeList, w.entries()...)
+		tell(scheduler.WholeList, w.entries()...)
 	case "failed":
-		tell(placer.ListFailed)
+		tell(scheduler.ListFailed)
 	case "wait":
-		w.pass(placer.Second)
+		w.pass(scheduler.Second)
 	case "dies", "forgets":
 		w.dies(f[0] == "dies")
 	}
@@ -270,17 +270,17 @@
 	t.Placers = w.Placers
 	old, young := w.made[0], w.Make(t)
 	w.judge.Restarted(0)
-	w.made[0], w.timers[0], w.probes[0] = young, nil, map[placer.MachineID]placer.Time{}
-	var ids []placer.ContainerID
+	w.made[0], w.timers[0], w.probes[0] = young, nil, map[scheduler.MachineID]scheduler.Time{}
+	var ids []scheduler.ContainerID
 	for id, at := range w.at {
 		if at.placer == 0 {
 			ids = append(ids, id)
 		}
 	}
 	sort.Slice(ids, func(i, k int) bool { return ids[i] < ids[k] })
-	w.give(0, placer.ListCame{Mode: placer.OldList, Entries: w.entries()})
-	if k, ok := old.(interface{ Knows() placer.Knowledge }); ok && knows {
-		young.(interface{ Recall(placer.Knowledge) }).Recall(k.Knows())
+	w.give(0, scheduler.ListCame{Mode: scheduler.OldList, Entries: w.entries()})
+	if k, ok := old.(interface{ Knows() scheduler.Knowledge }); ok && knows {
+		young.(interface{ Recall(scheduler.Knowledge) }).Recall(k.Knows())
 	}
 	for _, id := range ids {
 		at := w.at[id]
@@ -288,12 +288,12 @@
 			delete(w.at, id)
 			continue
 		}
-		w.give(0, placer.TookOver{Ask: at.ask, Machine: at.to})
+		w.give(0, scheduler.TookOver{Ask: at.ask, Machine: at.to})
 	}
 }
 
 // bring hands an event over, with the one that waits for it, or has it wait.
-func (w *World) bring(who int, e placer.Event, hold bool) {
+func (w *World) bring(who int, e scheduler.Event, hold bool) {
 	if hold && w.Placers == 1 {
 		w.joined = append(w.joined, e)
 		return
@@ -303,29 +303,29 @@
 	w.give(who, events...)
 }
 
-func (w *World) give(who int, events ...placer.Event) {
+func (w *World) give(who int, events ...scheduler.Event) {
 	for _, e := range events {
 		w.judge.In(who, w.now, e)
 	}
 	for _, a := range w.made[who].Handle(w.now, events) {
 		w.judge.Out(who, w.now, a)
 		switch a := a.(type) {
-		case placer.Bid:
+		case scheduler.Bid:
 			w.at[a.ID] = &out{placer: who, to: a.Machine}
 			if c := w.judge.lives[who].containers[a.ID]; c != nil {
 				w.at[a.ID].ask = c.ask
 			}
-		case placer.Probe:
-			w.probes[who][a.Machine] = w.now + placer.Second
-			w.timers[who] = append(w.timers[who], timer{w.now + placer.Second, probe + string(a.Machine)})
-		case placer.Wake:
+		case scheduler.Probe:
+			w.probes[who][a.Machine] = w.now + scheduler.Second
+			w.timers[who] = append(w.timers[who], timer{w.now + scheduler.Second, probe + string(a.Machine)})
+		case scheduler.Wake:
 			w.timers[who] = append(w.timers[who], timer{w.now + a.After, a.Name})
 		}
 	}
 }
 
 // pass lets time go by: timers wake, and what is owed by then is judged. Outcomes come only as they are put in order.
-func (w *World) pass(span placer.Time) {
+func (w *World) pass(span scheduler.Time) {
 	if len(w.joined) > 0 && span > Step { // they have come by now
 		events := w.joined
 		w.joined = nil
@@ -348,10 +348,10 @@
 		w.timers[who] = append(w.timers[who][:k:k], w.timers[who][k+1:]...)
 		w.now = max(w.now, t.at)
 		if m, ok := strings.CutPrefix(t.name, probe); !ok {
-			w.give(who, placer.Woke{Name: t.name})
-		} else if on := placer.MachineID(m); w.probes[who][on] == t.at {
+			w.give(who, scheduler.Woke{Name: t.name})
+		} else if on := scheduler.MachineID(m); w.probes[who][on] == t.at {
 			delete(w.probes[who], on)
-			w.give(who, placer.Probed{Machine: on, Outcome: placer.TimedOut})
+			w.give(who, scheduler.Probed{Machine: on, Outcome: scheduler.TimedOut})
 		}
 	}
 	w.judge.At(w.now)
@@ -359,7 +359,7 @@
 
 // end runs past every hard stop, without any further outcome, and then gives those that are due.
 func (w *World) end() {
-	longest := placer.Time(0)
+	longest := scheduler.Time(0)
 	for _, a := range w.Asks {
 		longest = max(longest, a.Due)
 	}
@@ -367,7 +367,7 @@
 	for _, a := range w.Asks {
 		if at := w.at[a.ID]; at != nil && !at.runs {
 			delete(w.at, a.ID)
-			w.give(at.placer, placer.Ended{ID: a.ID, Outcome: placer.TimedOut, Machine: at.to})
+			w.give(at.placer, scheduler.Ended{ID: a.ID, Outcome: scheduler.TimedOut, Machine: at.to})
 		}
 	}
 	w.judge.At(w.now)
--- a/internal/platform/bus.go
+++ b/internal/platform/bus.go
@@ -5,7 +5,7 @@
 
 	"glenport/internal/jsonline"
 	"glenport/internal/loop"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 const (
@@ -107,6 +107,6 @@
 	for _, fault := range e.faults {
 		s.p.log.Warn("machine left out of an event", "event", e.number, "why", fault)
 	}
-	s.p.learn(placer.Changes, e)
+	s.p.learn(scheduler.Changes, e)
 	return nil
 }
--- a/internal/platform/deployment.go
+++ b/internal/platform/deployment.go
@@ -14,7 +14,7 @@
 
 	"glenport/internal/loop"
 	"glenport/internal/wire"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // Deployment is what the platform tells a placer at its start.
@@ -22,7 +22,7 @@
 	Name      string
 	Listen    string
 	Bus       string
-	Terms     placer.Terms
+	Terms     scheduler.Terms
 	Known     []busEvent
 	Last      int64 // number of the last event known
 	MemoryMB  int
@@ -222,11 +222,11 @@
 }
 
 type busHost struct {
-	entry placer.Entry
+	entry scheduler.Entry
 	addr  string
 }
 
-var hostStates = map[string]placer.MachineState{"ready": placer.Serving, "draining": placer.Draining, "gone": placer.Gone}
+var hostStates = map[string]scheduler.MachineState{"ready": scheduler.Serving, "draining": scheduler.Draining, "gone": scheduler.Gone}
 
 // readEvent reads an event of the bus. A machine that the terms cannot place is left out of it and named among its faults,
 // so that one such entry does not keep the others from being heard.
@@ -261,8 +261,8 @@
 			e.faults = append(e.faults, fmt.Errorf("hosts[%d]: %w", i, err))
 			continue
 		}
-		b := busHost{addr: h.Dial, entry: placer.Entry{Machine: placer.MachineID(h.Host), Zone: zone, Kind: kind,
-			Cell: h.Block, State: state, PowerHint: h.Share, StartedAt: placer.Time(math.Floor(h.Born * 10))}}
+		b := busHost{addr: h.Dial, entry: scheduler.Entry{Machine: scheduler.MachineID(h.Host), Zone: zone, Kind: kind,
+			Cell: h.Block, State: state, PowerHint: h.Share, StartedAt: scheduler.Time(math.Floor(h.Born * 10))}}
 		if len(h.Free) == 2 {
 			b.entry.FreeCores, b.entry.FreeMemory = h.Free[0], h.Free[1]
 		}
@@ -273,7 +273,7 @@
 
 // place reads where a machine stands in the terms. Zone and kind of one that is gone do not matter, and without zones or
 // kinds in the terms there is one of each.
-func (d *Deployment) place(id, addr, site, class, health string) (state placer.MachineState, zone, kind int, err error) {
+func (d *Deployment) place(id, addr, site, class, health string) (state scheduler.MachineState, zone, kind int, err error) {
 	state, ok := hostStates[health]
 	zone, kind = number(d.zones, site), number(d.kinds, class)
 	_, fault := netip.ParseAddrPort(addr)
@@ -282,7 +282,7 @@
 		err = fmt.Errorf("health %q is not known", health)
 	case id == "":
 		err = errors.New("host is missing")
-	case state == placer.Gone:
+	case state == scheduler.Gone:
 		zone, kind = max(zone, 0), max(kind, 0)
 	case fault != nil:
 		err = fmt.Errorf("dial: %w", fault)
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"glenport/internal/jsonline"
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"go.uber.org/goleak"
 )
@@ -51,12 +51,12 @@
 // script stands in place of the module, or in front of it.
 type script struct {
 	mu     sync.Mutex
-	on     func(e placer.Event) []placer.Action
+	on     func(e scheduler.Event) []scheduler.Action
 	module Decider // decides where there is no on
-	events chan placer.Event
+	events chan scheduler.Event
 }
 
-func (s *script) Handle(now placer.Time, events []placer.Event) (out []placer.Action) {
+func (s *script) Handle(now scheduler.Time, events []scheduler.Event) (out []scheduler.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.on == nil {
@@ -72,14 +72,14 @@
 }
 
 // bidToA bids each container to machine a, and gives it up after its first outcome.
-func bidToA(wait placer.Time) func(placer.Event) []placer.Action {
-	return func(e placer.Event) []placer.Action {
+func bidToA(wait scheduler.Time) func(scheduler.Event) []scheduler.Action {
+	return func(e scheduler.Event) []scheduler.Action {
 		switch e := e.(type) {
-		case placer.Asked:
-			return []placer.Action{placer.Bid{ID: e.ID, Machine: "a", MaxWait: wait}}
-		case placer.Ended:
+		case scheduler.Asked:
+			return []scheduler.Action{scheduler.Bid{ID: e.ID, Machine: "a", MaxWait: wait}}
+		case scheduler.Ended:
 			if !e.Over {
-				return []placer.Action{placer.GiveUp{ID: e.ID}}
+				return []scheduler.Action{scheduler.GiveUp{ID: e.ID}}
 			}
 		}
 		return nil
@@ -92,13 +92,13 @@
 	script *script
 }
 
-func start(t *testing.T, on func(placer.Event) []placer.Action, config string) *rig {
+func start(t *testing.T, on func(scheduler.Event) []scheduler.Action, config string) *rig {
 	t.Helper()
 	d, err := parse([]byte(config))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{T: t, script: &script{on: on, module: placer.New(d.Terms), events: make(chan placer.Event, 100_000)}}
+	r := &rig{T: t, script: &script{on: on, module: scheduler.New(d.Terms), events: make(chan scheduler.Event, 100_000)}}
 	if r.p, err = New(d, r.script, slog.New(slog.NewTextHandler(io.Discard, nil)), false); err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +114,7 @@
 }
 
 // await waits for an event of a sort.
-func await[E placer.Event](r *rig, holds func(E) bool) E {
+func await[E scheduler.Event](r *rig, holds func(E) bool) E {
 	r.Helper()
 	timeout := time.After(patience)
 	for {
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -12,7 +12,7 @@
 	"glenport/internal/loop"
 	"glenport/internal/porter"
 	"glenport/internal/vigil"
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"golang.org/x/sys/unix"
 )
@@ -26,13 +26,13 @@
 // enough, so that a spoilt answer harms no other.
 type machine struct {
 	p       *Platform
-	id      placer.MachineID
+	id      scheduler.MachineID
 	addr    string
-	entry   placer.Entry // as told last; without an id where the bus never named it
-	state   placer.MachineState
-	started placer.Time
+	entry   scheduler.Entry // as told last; without an id where the bus never named it
+	state   scheduler.MachineState
+	started scheduler.Time
 	links   []*link
-	bids    map[placer.ContainerID]*bid // out, or standing there
+	bids    map[scheduler.ContainerID]*bid // out, or standing there
 
 	standing int
 	broke    bool // a link was lost since something stands: the machine tells on the next one what it said on that
@@ -55,7 +55,7 @@
 func (m *machine) lose(before loop.Tick) {
 	for _, id := range slices.Sorted(maps.Keys(m.bids)) {
 		if b := m.bids[id]; b.stands && b.sentAt <= before {
-			m.p.released(b, jsonline.Temporary, placer.Ended{Outcome: placer.Reset})
+			m.p.released(b, jsonline.Temporary, scheduler.Ended{Outcome: scheduler.Reset})
 		}
 	}
 }
@@ -66,11 +66,11 @@
 	conn    *loop.Conn
 	lines   jsonline.Lines
 	opened  bool
-	bids    map[placer.ContainerID]*bid // waiting for it or out on it, until their answer
-	probes  map[string]*probing         // by their call, until their answer or time-out
-	waiting []func()                    // what goes out once it stands
-	stands  int                         // containers that stand and whose set-ups it carried
-	left    bool                        // closed as nothing is awaited on it
+	bids    map[scheduler.ContainerID]*bid // waiting for it or out on it, until their answer
+	probes  map[string]*probing            // by their call, until their answer or time-out
+	waiting []func()                       // what goes out once it stands
+	stands  int                            // containers that stand and whose set-ups it carried
+	left    bool                           // closed as nothing is awaited on it
 	usedAt  loop.Tick
 }
 
@@ -81,26 +81,26 @@
 	sentAt loop.Tick
 }
 
-func (p *Platform) machine(id placer.MachineID) *machine {
+func (p *Platform) machine(id scheduler.MachineID) *machine {
 	m := p.machines[id]
 	if m == nil {
-		m = &machine{p: p, id: id, state: placer.Gone, bids: map[placer.ContainerID]*bid{}}
+		m = &machine{p: p, id: id, state: scheduler.Gone, bids: map[scheduler.ContainerID]*bid{}}
 		p.machines[id] = m
 	}
 	return m
 }
 
 // learn hands an event of the bus to the module and keeps the addresses.
-func (p *Platform) learn(mode placer.ListMode, e busEvent) {
-	list := placer.ListCame{Mode: mode, Version: e.version}
+func (p *Platform) learn(mode scheduler.ListMode, e busEvent) {
+	list := scheduler.ListCame{Mode: mode, Version: e.version}
 	var touched []*machine
-	if mode == placer.Changes && e.whole {
-		list.Mode = placer.WholeList
+	if mode == scheduler.Changes && e.whole {
+		list.Mode = scheduler.WholeList
 	}
 	if e.whole {
 		for _, id := range slices.Sorted(maps.Keys(p.machines)) {
 			m := p.machines[id]
-			m.state = placer.Gone
+			m.state = scheduler.Gone
 			touched = append(touched, m)
 		}
 	}
@@ -120,7 +120,7 @@
 		if h.addr != "" {
 			m.addr = h.addr
 		}
-		if m.entry = h.entry; h.entry.State != placer.Gone {
+		if m.entry = h.entry; h.entry.State != scheduler.Gone {
 			p.at[m.addr] = m.id
 		} else if p.at[m.addr] == m.id {
 			delete(p.at, m.addr)
@@ -132,7 +132,7 @@
 	}
 	p.feed(list)
 	for _, m := range touched {
-		if m.state == placer.Gone {
+		if m.state == scheduler.Gone {
 			m.lose(p.loop.Now())
 			if p.at[m.addr] == m.id { // left out of a whole list
 				delete(p.at, m.addr)
@@ -146,17 +146,17 @@
 // what was sent to that address for it would reach its successor, and go beyond what that bears while it is cold.
 func (p *Platform) succeeded(h busHost) *machine {
 	old := p.machines[p.at[h.addr]]
-	if old == nil || old.id == h.entry.Machine || h.entry.State == placer.Gone {
+	if old == nil || old.id == h.entry.Machine || h.entry.State == scheduler.Gone {
 		return nil
 	}
-	old.state, old.entry.State = placer.Gone, placer.Gone
+	old.state, old.entry.State = scheduler.Gone, scheduler.Gone
 	old.closeIdle()
 	return old
 }
 
 // settle lets go of a machine that is gone and empty.
 func (m *machine) settle() {
-	if m.state != placer.Gone || len(m.bids) > 0 {
+	if m.state != scheduler.Gone || len(m.bids) > 0 {
 		return
 	}
 	for _, l := range m.links {
@@ -251,7 +251,7 @@
 		return nil
 	}
 	m.p.links++
-	l := &link{m: m, lines: jsonline.Lines{Most: jsonline.MostBytes}, bids: map[placer.ContainerID]*bid{}, probes: map[string]*probing{},
+	l := &link{m: m, lines: jsonline.Lines{Most: jsonline.MostBytes}, bids: map[scheduler.ContainerID]*bid{}, probes: map[string]*probing{},
 		usedAt: m.p.loop.Now()}
 	l.conn = m.p.loop.Dial(m.addr, l, outputOfLink, m.p.d.Connect)
 	m.links = append(m.links, l)
@@ -298,9 +298,9 @@
 	p.links--
 	l.waiting = nil
 	m.broke = m.broke || l.opened && !l.left
-	never := placer.NoConnect
+	never := scheduler.NoConnect
 	if errors.Is(why, loop.ErrShort) {
-		never = placer.NotSent
+		never = scheduler.NotSent
 	}
 	if !l.opened && errors.Is(why, unix.ECONNREFUSED) {
 		p.notice(vigil.Refused{Machine: string(m.id)})
@@ -309,14 +309,14 @@
 		b, outcome := l.bids[id], never
 		if b.sent {
 			p.log.Debug("bid reset", "call", id, "machine", m.id, "why", why)
-			outcome = placer.Reset
+			outcome = scheduler.Reset
 		}
-		p.over(b, placer.Ended{Outcome: outcome, Over: b.c.answered})
+		p.over(b, scheduler.Ended{Outcome: outcome, Over: b.c.answered})
 	}
 	for _, call := range slices.Sorted(maps.Keys(l.probes)) {
 		outcome := never
 		if l.opened {
-			outcome = placer.Reset
+			outcome = scheduler.Reset
 		}
 		p.probed(l.probes[call], outcome, nil)
 	}
@@ -335,13 +335,13 @@
 }
 
 // offer carries out a bid.
-func (p *Platform) offer(a placer.Bid) {
+func (p *Platform) offer(a scheduler.Bid) {
 	c := p.containers[a.ID]
 	if c == nil || c.answered || c.bid != nil {
 		// Its owner went in the same batch, with the answer to another container of it that could not be written. Each bid has
 		// its outcome all the same, or the module would count it for good.
 		p.log.Info("bid on a container that is not open", "id", a.ID)
-		p.feed(placer.Ended{ID: a.ID, Machine: a.Machine, Outcome: placer.NotSent, Over: true})
+		p.feed(scheduler.Ended{ID: a.ID, Machine: a.Machine, Outcome: scheduler.NotSent, Over: true})
 		return
 	}
 	now := p.loop.Now()
@@ -354,19 +354,19 @@
 	c.bid = b
 	b.at.bids[a.ID] = b
 	if b.at.addr == "" {
-		p.over(b, placer.Ended{Outcome: placer.NotSent})
+		p.over(b, scheduler.Ended{Outcome: scheduler.NotSent})
 		return
 	}
 	b.timer = p.loop.After(until-now, func() {
 		if b.sent {
 			p.callOff(b)
-			p.over(b, placer.Ended{Outcome: placer.TimedOut})
+			p.over(b, scheduler.Ended{Outcome: scheduler.TimedOut})
 		} else {
-			p.over(b, placer.Ended{Outcome: placer.NoConnect})
+			p.over(b, scheduler.Ended{Outcome: scheduler.NoConnect})
 		}
 	})
 	if b.link = b.at.take(); b.link == nil {
-		p.over(b, placer.Ended{Outcome: placer.NotSent})
+		p.over(b, scheduler.Ended{Outcome: scheduler.NotSent})
 		return
 	}
 	b.link.bids[a.ID] = b
@@ -379,8 +379,8 @@
 
 // send puts a bid on its link, unless the machine takes nothing new by now.
 func (p *Platform) send(b *bid) {
-	if b.at.state != placer.Serving {
-		p.over(b, placer.Ended{Outcome: placer.NotSent})
+	if b.at.state != scheduler.Serving {
+		p.over(b, scheduler.Ended{Outcome: scheduler.NotSent})
 		return
 	}
 	c := b.c
@@ -390,7 +390,7 @@
 		with["idem"] = c.idem
 	}
 	if b.sent = b.link.write(&jsonline.Message{Op: jsonline.Offer, Call: string(c.ask.ID), With: with, Desc: c.desc}); !b.sent {
-		p.over(b, placer.Ended{Outcome: placer.NotSent})
+		p.over(b, scheduler.Ended{Outcome: scheduler.NotSent})
 	}
 }
 
@@ -430,25 +430,25 @@
 
 // outcomes of a bid by the cause of its end. GivenUp comes before a yes where the container's own time has passed: it may
 // have run, as after a reset, but the machine is well.
-var outcomes = map[int]placer.Outcome{jsonline.NoRoom: placer.Full, jsonline.Faulty: placer.Erred,
-	jsonline.Moot: placer.NotSent, jsonline.GivenUp: placer.Finished}
+var outcomes = map[int]scheduler.Outcome{jsonline.NoRoom: scheduler.Full, jsonline.Faulty: scheduler.Erred,
+	jsonline.Moot: scheduler.NotSent, jsonline.GivenUp: scheduler.Finished}
 
 // fate is what became of a container that stood, by the cause of its end.
-func fate(cause int) placer.Outcome {
+func fate(cause int) scheduler.Outcome {
 	switch cause {
 	case jsonline.GivenUp:
-		return placer.Finished
+		return scheduler.Finished
 	case jsonline.Cancelled:
-		return placer.Stopped
+		return scheduler.Stopped
 	}
-	return placer.Reset
+	return scheduler.Reset
 }
 
-var reasons = map[string]placer.Reason{"cpu_full": placer.NoCores, "mem_full": placer.NoMemory, "busy": placer.LongQueue,
-	"wrong_host": placer.NotHere, "oom": placer.Evicted, "preempted": placer.PushedOut, "drained": placer.SentAway}
+var reasons = map[string]scheduler.Reason{"cpu_full": scheduler.NoCores, "mem_full": scheduler.NoMemory, "busy": scheduler.LongQueue,
+	"wrong_host": scheduler.NotHere, "oom": scheduler.Evicted, "preempted": scheduler.PushedOut, "drained": scheduler.SentAway}
 
-var sorts = map[string]placer.NoteSort{"up": placer.Running, "cpu": placer.CoresUsed, "mem": placer.MemoryUsed,
-	"share": placer.ServedShare, "tight": placer.MachineMemory}
+var sorts = map[string]scheduler.NoteSort{"up": scheduler.Running, "cpu": scheduler.CoresUsed, "mem": scheduler.MemoryUsed,
+	"share": scheduler.ServedShare, "tight": scheduler.MachineMemory}
 
 func (l *link) line(line []byte) error {
 	msg, err := jsonline.Decode(line)
@@ -457,7 +457,7 @@
 	}
 	m, p := l.m, l.m.p
 	p.show("of machine", string(m.id), msg)
-	b := m.bids[placer.ContainerID(msg.Call)]
+	b := m.bids[scheduler.ContainerID(msg.Call)]
 	switch msg.Op {
 	case jsonline.Accept:
 		if b != nil && !b.stands && b.link == l {
@@ -470,7 +470,7 @@
 		if b == nil || !b.stands && b.link != l {
 			return nil
 		}
-		e := placer.Ended{Reason: reasons[msg.With["note"]], Report: report(msg.With["load"]), Outcome: placer.Reset}
+		e := scheduler.Ended{Reason: reasons[msg.With["note"]], Report: report(msg.With["load"]), Outcome: scheduler.Reset}
 		if b.stands {
 			e.Outcome = fate(msg.Cause())
 			p.released(b, msg.Cause(), e)
@@ -479,20 +479,20 @@
 		if o, ok := outcomes[msg.Cause()]; ok {
 			e.Outcome = o
 		}
-		if e.Outcome == placer.Reset && e.Reason >= placer.Evicted {
+		if e.Outcome == scheduler.Reset && e.Reason >= scheduler.Evicted {
 			p.endedUnheard(b, e)
 		} else {
 			p.over(b, e)
 		}
 	case jsonline.Info:
 		if v, err := strconv.ParseFloat(msg.With["value"], 64); err == nil && b != nil && b.sent && sorts[msg.With["note"]] != 0 {
-			p.feed(placer.Noted{ID: b.c.ask.ID, Machine: m.id, Bid: b.nth, Sort: sorts[msg.With["note"]], Amount: v})
+			p.feed(scheduler.Noted{ID: b.c.ask.ID, Machine: m.id, Bid: b.nth, Sort: sorts[msg.With["note"]], Amount: v})
 		}
 	case jsonline.Tested:
 		if q := l.probes[msg.Call]; q != nil {
-			outcome := placer.Erred
+			outcome := scheduler.Erred
 			if msg.Cause() == jsonline.Passed {
-				outcome = placer.Finished
+				outcome = scheduler.Finished
 			}
 			p.probed(q, outcome, report(msg.With["load"]))
 		}
@@ -503,7 +503,7 @@
 // endedUnheard ends a container that stood at a machine whose yes is late or lost: only what stood is evicted, pushed out or
 // sent away with such a release. Its owner is owed that end; a further bid would go on with what the machine and the
 // platform count as over.
-func (p *Platform) endedUnheard(b *bid, e placer.Ended) {
+func (p *Platform) endedUnheard(b *bid, e scheduler.Ended) {
 	e.Over = true
 	p.over(b, e)
 	p.answer(b.c.ask.ID, &jsonline.Message{Op: jsonline.End, Why: jsonline.Because(jsonline.Temporary)})
@@ -515,9 +515,9 @@
 	if len(msg.Desc) == 0 {
 		return errors.New("a yes without a description")
 	}
-	if b.at.state == placer.Gone { // said before it went: nothing is taken to stand at a machine that is gone
+	if b.at.state == scheduler.Gone { // said before it went: nothing is taken to stand at a machine that is gone
 		p.callOff(b)
-		p.over(b, placer.Ended{Outcome: placer.Reset})
+		p.over(b, scheduler.Ended{Outcome: scheduler.Reset})
 		return nil
 	}
 	p.loop.Cancel(b.timer)
@@ -525,16 +525,16 @@
 	b.stands = true
 	b.link.stands++
 	b.at.stand(1)
-	p.feed(placer.Placed{ID: c.ask.ID, Bid: b.nth, Machine: b.at.id, Took: placer.Time(p.loop.Now() - b.sentAt)})
+	p.feed(scheduler.Placed{ID: c.ask.ID, Bid: b.nth, Machine: b.at.id, Took: scheduler.Time(p.loop.Now() - b.sentAt)})
 	p.answer(c.ask.ID, &jsonline.Message{Op: jsonline.Accept, Desc: msg.Desc})
 	return nil
 }
 
-func report(s string) placer.Report {
+func report(s string) scheduler.Report {
 	if s == "" {
 		return nil
 	}
-	r := placer.Report{}
+	r := scheduler.Report{}
 	for _, f := range strings.Split(s, ";") {
 		k, v, _ := strings.Cut(f, ":")
 		if x, err := strconv.ParseFloat(v, 64); err == nil {
@@ -544,33 +544,33 @@
 	return r
 }
 
-func (p *Platform) probe(id placer.MachineID) {
+func (p *Platform) probe(id scheduler.MachineID) {
 	m := p.machine(id)
 	if m.addr == "" {
-		p.feed(placer.Probed{Machine: id, Outcome: placer.NotSent})
+		p.feed(scheduler.Probed{Machine: id, Outcome: scheduler.NotSent})
 		return
 	}
 	l := m.take()
 	if l == nil {
-		p.feed(placer.Probed{Machine: id, Outcome: placer.NotSent})
+		p.feed(scheduler.Probed{Machine: id, Outcome: scheduler.NotSent})
 		return
 	}
 	p.lastProbe++
 	q := &probing{call: fmt.Sprintf("%016x", p.lastProbe), link: l, sentAt: p.loop.Now()}
 	l.probes[q.call] = q
-	q.timer = p.loop.After(probeWithin, func() { p.probed(q, placer.TimedOut, nil) })
+	q.timer = p.loop.After(probeWithin, func() { p.probed(q, scheduler.TimedOut, nil) })
 	l.when(func() {
 		l.write(&jsonline.Message{Op: jsonline.Test, Call: q.call, Why: jsonline.Because(jsonline.Passed)})
 	})
 }
 
-func (p *Platform) probed(q *probing, o placer.Outcome, r placer.Report) {
+func (p *Platform) probed(q *probing, o scheduler.Outcome, r scheduler.Report) {
 	if q.link.probes[q.call] != q {
 		return
 	}
 	delete(q.link.probes, q.call)
 	p.loop.Cancel(q.timer)
-	p.feed(placer.Probed{Machine: q.link.m.id, Outcome: o, Took: placer.Time(p.loop.Now() - q.sentAt), Report: r})
+	p.feed(scheduler.Probed{Machine: q.link.m.id, Outcome: o, Took: scheduler.Time(p.loop.Now() - q.sentAt), Report: r})
 }
 
 // house closes links before the machine does, and keeps one where something stands: its end is told there. Where one broke,
@@ -581,7 +581,7 @@
 			l.leave()
 		}
 	}
-	if m.standing == 0 || m.addr == "" || m.state == placer.Gone {
+	if m.standing == 0 || m.addr == "" || m.state == scheduler.Gone {
 		m.broke = false
 	} else if m.broke || len(m.kept()) == 0 && !m.p.short() {
 		m.broke = m.reach() == nil
