--- a/internal/platform/owners.go
+++ b/internal/platform/owners.go
@@ -12,7 +12,7 @@
 	"glenport/internal/loop"
 	"glenport/internal/porter"
 	"glenport/internal/vigil"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 const (
@@ -94,7 +94,7 @@
 	case jsonline.Offer:
 		return k.asked(m)
 	case jsonline.End:
-		if c := p.containers[placer.ContainerID(m.Call)]; c != nil {
+		if c := p.containers[scheduler.ContainerID(m.Call)]; c != nil {
 			switch {
 			case !c.answered && c.caller == k:
 				p.vanish(c)
@@ -143,12 +143,12 @@
 	p.containers[ask.ID] = c
 	p.unanswered++
 	p.tell(porter.Asked{Caller: k.number})
-	p.feed(placer.Asked{Ask: ask})
+	p.feed(scheduler.Asked{Ask: ask})
 	return nil
 }
 
 // takeOver counts a container that stands at a machine, unless it is known to.
-func (p *Platform) takeOver(k *caller, ask placer.Ask, at placer.MachineID) {
+func (p *Platform) takeOver(k *caller, ask scheduler.Ask, at scheduler.MachineID) {
 	if p.containers[ask.ID] != nil {
 		return
 	}
@@ -163,8 +163,8 @@
 	p.containers[ask.ID] = c
 	m.bids[ask.ID] = c.bid
 	m.stand(1)
-	p.feed(placer.TookOver{Ask: ask, Machine: at})
-	if m.entry.Machine != "" && m.state == placer.Gone {
+	p.feed(scheduler.TookOver{Ask: ask, Machine: at})
+	if m.entry.Machine != "" && m.state == scheduler.Gone {
 		// It was heard to be gone before it was named. So nothing ever stands at a machine that is gone, at whose address its
 		// successor may be: that one's signs of life would be taken for the other's.
 		m.lose(p.loop.Now())
@@ -174,7 +174,7 @@
 }
 
 // readAsk reads a set-up; at is the machine that holds the container already.
-func (d *Deployment) readAsk(m *jsonline.Message, now loop.Tick) (ask placer.Ask, at placer.MachineID, err error) {
+func (d *Deployment) readAsk(m *jsonline.Message, now loop.Tick) (ask scheduler.Ask, at scheduler.MachineID, err error) {
 	extras := map[string]string{}
 	if x := m.With["extras"]; x != "" {
 		for _, f := range strings.Split(x, ";") {
@@ -185,8 +185,8 @@
 			extras[name] = v
 		}
 	}
-	at = placer.MachineID(extras["at"])
-	ask = placer.Ask{ID: placer.ContainerID(m.Call), Key: m.With["key"], Service: extras["service"],
+	at = scheduler.MachineID(extras["at"])
+	ask = scheduler.Ask{ID: scheduler.ContainerID(m.Call), Key: m.With["key"], Service: extras["service"],
 		Workload: slices.Index(d.workloads, m.With["class"]), Again: m.With["retry"] == "1" || extras["again"] == "1"}
 	if ask.Workload < 0 {
 		return ask, at, fmt.Errorf("class: %q is not known", m.With["class"])
@@ -223,6 +223,6 @@
 		}
 		*f.to = v
 	}
-	ask.Due = placer.Time(now) + placer.Time(left*float64(placer.Millisecond))
+	ask.Due = scheduler.Time(now) + scheduler.Time(left*float64(scheduler.Millisecond))
 	return ask, at, nil
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -14,12 +14,12 @@
 	"glenport/internal/loop"
 	"glenport/internal/porter"
 	"glenport/internal/vigil"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // Decider is the placer module, or a script in its place.
 type Decider interface {
-	Handle(now placer.Time, events []placer.Event) []placer.Action
+	Handle(now scheduler.Time, events []scheduler.Event) []scheduler.Action
 }
 
 const (
@@ -36,15 +36,15 @@
 	decider Decider
 	trace   bool
 
-	events     []placer.Event
+	events     []scheduler.Event
 	porter     *porter.Porter
 	atDoor     []porter.Event // for the porter, at the end of the turn
 	vigil      *vigil.Vigil
-	seen       []vigil.Event                     // likewise
-	containers map[placer.ContainerID]*container // until answered, without a bid and over
-	machines   map[placer.MachineID]*machine     // until gone from the bus and empty
-	at         map[string]placer.MachineID       // which of them is at an address, until it is gone
-	callers    map[porter.CallerID]*caller       // until their connection ends
+	seen       []vigil.Event                        // likewise
+	containers map[scheduler.ContainerID]*container // until answered, without a bid and over
+	machines   map[scheduler.MachineID]*machine     // until gone from the bus and empty
+	at         map[string]scheduler.MachineID       // which of them is at an address, until it is gone
+	callers    map[porter.CallerID]*caller          // until their connection ends
 	bus        bus
 	scratch    []byte
 	lastProbe  uint64
@@ -59,7 +59,7 @@
 
 // container is one that an owner asks for or that stands.
 type container struct {
-	ask      placer.Ask
+	ask      scheduler.Ask
 	class    string
 	idem     string
 	desc     []byte
@@ -85,8 +85,8 @@
 
 // New makes a placer and opens its door. Run frees what it holds.
 func New(d *Deployment, decider Decider, log *slog.Logger, trace bool) (*Platform, error) {
-	p := &Platform{d: d, log: log, decider: decider, trace: trace, containers: map[placer.ContainerID]*container{},
-		machines: map[placer.MachineID]*machine{}, at: map[string]placer.MachineID{}, callers: map[porter.CallerID]*caller{},
+	p := &Platform{d: d, log: log, decider: decider, trace: trace, containers: map[scheduler.ContainerID]*container{},
+		machines: map[scheduler.MachineID]*machine{}, at: map[string]scheduler.MachineID{}, callers: map[porter.CallerID]*caller{},
 		porter: porter.New(d.Sockets), vigil: vigil.New()}
 	p.bus = bus{p: p, addr: d.Bus, last: d.Last}
 	var err error
@@ -113,14 +113,14 @@
 func (p *Platform) begin() {
 	p.log.Info("placer up", "name", p.d.Name, "door", p.Addr(), "events known", p.d.Last)
 	for i, e := range p.d.Known {
-		mode := placer.Changes
+		mode := scheduler.Changes
 		if i == 0 {
-			mode = placer.OldList
+			mode = scheduler.OldList
 		}
 		p.learn(mode, e)
 	}
 	if len(p.d.Known) == 0 {
-		p.feed(placer.ListCame{Mode: placer.OldList})
+		p.feed(scheduler.ListCame{Mode: scheduler.OldList})
 	}
 	p.bus.reach()
 	p.loop.After(houseEvery, p.keepHouse)
@@ -160,7 +160,7 @@
 	}()
 }
 
-func (p *Platform) feed(e placer.Event) { p.events = append(p.events, e) }
+func (p *Platform) feed(e scheduler.Event) { p.events = append(p.events, e) }
 
 func (p *Platform) tell(e porter.Event)  { p.atDoor = append(p.atDoor, e) }
 func (p *Platform) notice(e vigil.Event) { p.seen = append(p.seen, e) }
@@ -214,15 +214,15 @@
 func (p *Platform) watch(a vigil.Action) {
 	switch a := a.(type) {
 	case vigil.Look:
-		if m := p.machines[placer.MachineID(a.Machine)]; m != nil && m.addr != "" {
+		if m := p.machines[scheduler.MachineID(a.Machine)]; m != nil && m.addr != "" {
 			m.reach()
 		}
 	case vigil.Over:
-		if m := p.machines[placer.MachineID(a.Machine)]; m != nil && m.bids[placer.ContainerID(a.Call)] != nil {
-			p.released(m.bids[placer.ContainerID(a.Call)], a.Cause, placer.Ended{Outcome: fate(a.Cause)})
+		if m := p.machines[scheduler.MachineID(a.Machine)]; m != nil && m.bids[scheduler.ContainerID(a.Call)] != nil {
+			p.released(m.bids[scheduler.ContainerID(a.Call)], a.Cause, scheduler.Ended{Outcome: fate(a.Cause)})
 		}
 	case vigil.Lost:
-		if m := p.machines[placer.MachineID(a.Machine)]; m != nil {
+		if m := p.machines[scheduler.MachineID(a.Machine)]; m != nil {
 			p.log.Info("machine lost", "machine", m.id, "standing", m.standing, "silent ms", a.Silent/10)
 			m.lose(p.loop.Now())
 		}
@@ -236,45 +236,45 @@
 		return
 	}
 	p.events = nil
-	for _, a := range p.decider.Handle(placer.Time(p.loop.Now()), events) {
+	for _, a := range p.decider.Handle(scheduler.Time(p.loop.Now()), events) {
 		p.carry(a)
 	}
 }
 
 // carry does what the placer module wants done.
-func (p *Platform) carry(a placer.Action) {
+func (p *Platform) carry(a scheduler.Action) {
 	switch a := a.(type) {
-	case placer.Bid:
+	case scheduler.Bid:
 		p.offer(a)
-	case placer.PushBack:
+	case scheduler.PushBack:
 		m := &jsonline.Message{Op: jsonline.End, Why: jsonline.Because(jsonline.NoRoom)}
 		if a.HoldOff > 0 {
-			m.With = jsonline.Fields{"wait": fmt.Sprint(int64(a.HoldOff / placer.Millisecond))}
+			m.With = jsonline.Fields{"wait": fmt.Sprint(int64(a.HoldOff / scheduler.Millisecond))}
 		}
 		p.answer(a.ID, m)
-	case placer.GiveUp:
+	case scheduler.GiveUp:
 		p.answer(a.ID, &jsonline.Message{Op: jsonline.End, Why: jsonline.Because(jsonline.Temporary)})
-	case placer.Withdraw:
+	case scheduler.Withdraw:
 		if c := p.containers[a.ID]; c != nil && c.bid != nil && !c.bid.stands && c.bid.nth == a.Bid {
 			p.callOff(c.bid)
-			p.over(c.bid, placer.Ended{Outcome: placer.Stopped, Over: c.answered})
+			p.over(c.bid, scheduler.Ended{Outcome: scheduler.Stopped, Over: c.answered})
 		}
-	case placer.Probe:
+	case scheduler.Probe:
 		p.probe(a.Machine)
-	case placer.Disconnect:
+	case scheduler.Disconnect:
 		if m := p.machines[a.Machine]; m != nil {
 			m.closeIdle()
 		}
-	case placer.Wake:
-		p.loop.After(loop.Tick(a.After), func() { p.feed(placer.Woke{Name: a.Name}) })
-	case placer.Watch, placer.Fetch: // the bus is followed from the start
-	case placer.Log:
+	case scheduler.Wake:
+		p.loop.After(loop.Tick(a.After), func() { p.feed(scheduler.Woke{Name: a.Name}) })
+	case scheduler.Watch, scheduler.Fetch: // the bus is followed from the start
+	case scheduler.Log:
 		p.log.Info("mode", "text", a.Text)
 	}
 }
 
 // answer gives the owner of a container its one final answer.
-func (p *Platform) answer(id placer.ContainerID, m *jsonline.Message) {
+func (p *Platform) answer(id scheduler.ContainerID, m *jsonline.Message) {
 	c := p.containers[id]
 	if c == nil || c.answered {
 		return
@@ -301,7 +301,7 @@
 func (p *Platform) letOff(c *container) {
 	if c.bid != nil && !c.bid.stands {
 		p.callOff(c.bid)
-		p.over(c.bid, placer.Ended{Outcome: placer.Stopped, Over: true})
+		p.over(c.bid, scheduler.Ended{Outcome: scheduler.Stopped, Over: true})
 	}
 	p.forget(c)
 }
@@ -312,7 +312,7 @@
 	if c.caller != nil {
 		p.tell(porter.TookBack{Caller: c.caller.number})
 	}
-	p.feed(placer.Vanished{ID: c.ask.ID})
+	p.feed(scheduler.Vanished{ID: c.ask.ID})
 	p.letOff(c)
 }
 
@@ -323,7 +323,7 @@
 }
 
 // over ends a bid with its one outcome.
-func (p *Platform) over(b *bid, e placer.Ended) {
+func (p *Platform) over(b *bid, e scheduler.Ended) {
 	c := b.c
 	if c.bid != b {
 		return
@@ -340,14 +340,14 @@
 		b.at.stand(-1)
 	}
 	c.bid = nil
-	e.ID, e.Bid, e.Machine, e.Took = c.ask.ID, b.nth, b.at.id, placer.Time(p.loop.Now()-b.sentAt)
+	e.ID, e.Bid, e.Machine, e.Took = c.ask.ID, b.nth, b.at.id, scheduler.Time(p.loop.Now()-b.sentAt)
 	p.feed(e)
 	p.forget(c)
 	b.at.settle()
 }
 
 // released ends a container that stood, and tells its owner, unless that ended it.
-func (p *Platform) released(b *bid, cause int, e placer.Ended) {
+func (p *Platform) released(b *bid, cause int, e scheduler.Ended) {
 	c := b.c
 	e.Over = true
 	p.over(b, e)
@@ -388,7 +388,7 @@
 	for _, id := range slices.Sorted(maps.Keys(p.containers)) {
 		if c := p.containers[id]; !c.answered && c.bid != nil {
 			p.callOff(c.bid)
-			p.over(c.bid, placer.Ended{Outcome: placer.Finished})
+			p.over(c.bid, scheduler.Ended{Outcome: scheduler.Finished})
 		}
 	}
 }
--- a/internal/recall/golden_test.go
+++ b/internal/recall/golden_test.go
@@ -7,13 +7,13 @@
 
 	"glenport/internal/golden"
 	"glenport/internal/recovery"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
-const recordedColdFor = 17 * placer.Second
+const recordedColdFor = 17 * scheduler.Second
 
-func recordedTime(rng *rand.Rand) placer.Time {
-	return placer.Time(rng.IntN(4)) * placer.Time(rng.IntN(40)) * sec / 4
+func recordedTime(rng *rand.Rand) scheduler.Time {
+	return scheduler.Time(rng.IntN(4)) * scheduler.Time(rng.IntN(40)) * sec / 4
 }
 
 func recordedStamp(rng *rand.Rand) Stamp {
@@ -32,7 +32,7 @@
 // recordedClocks folds the ageing of each kind and how lives follow one another.
 func recordedClocks(d *golden.Digest, rng *rand.Rand) {
 	for k := range kinds {
-		d.Add(1, k.String(), Weight(k, recordedTime(rng)*placer.Time(rng.IntN(1000))-sec))
+		d.Add(1, k.String(), Weight(k, recordedTime(rng)*scheduler.Time(rng.IntN(1000))-sec))
 	}
 	life := Life{}
 	for range 6 {
@@ -45,40 +45,40 @@
 	}
 }
 
-func recordedMachine(rng *rand.Rand) placer.MachineID {
-	return placer.MachineID(fmt.Sprint("m", rng.IntN(6)))
+func recordedMachine(rng *rand.Rand) scheduler.MachineID {
+	return scheduler.MachineID(fmt.Sprint("m", rng.IntN(6)))
 }
 
 func recordedSent(rng *rand.Rand) Sent {
 	s := Sent{Machine: recordedMachine(rng), Start: uint64(rng.IntN(3))}
 	at := 990*sec + recordedTime(rng)
 	for range 1 + rng.IntN(6) {
-		at += placer.Time(rng.IntN(2)) * placer.Time(rng.IntN(20_000))
+		at += scheduler.Time(rng.IntN(2)) * scheduler.Time(rng.IntN(20_000))
 		s.Times = append(s.Times, at)
 	}
 	return s
 }
 
 // recordedKept is what an earlier life left; the machines are those that its list names.
-func recordedKept(rng *rand.Rand) (Kept, map[placer.MachineID]Machine) {
-	k := Kept{At: recordedStamp(rng), Names: []string{"w", "c"}, Starts: map[placer.MachineID]uint64{},
+func recordedKept(rng *rand.Rand) (Kept, map[scheduler.MachineID]Machine) {
+	k := Kept{At: recordedStamp(rng), Names: []string{"w", "c"}, Starts: map[scheduler.MachineID]uint64{},
 		Life: Life{Whole: recordedStamp(rng), Log: recovery.Log(rng.IntN(3))}}
 	k.Knowledge.Full, k.Knowledge.Missed = rng.Float64(), rng.Float64()
-	k.Knowledge.Traits = []placer.Trait{{Lost: rng.Float64(), Bar: rng.Float64()}, {Lost: rng.Float64(), Bar: rng.Float64()}}
+	k.Knowledge.Traits = []scheduler.Trait{{Lost: rng.Float64(), Bar: rng.Float64()}, {Lost: rng.Float64(), Bar: rng.Float64()}}
 	for i := range 6 {
-		id := placer.MachineID(fmt.Sprint("m", i))
+		id := scheduler.MachineID(fmt.Sprint("m", i))
 		k.Starts[id] = uint64(rng.IntN(2))
-		k.Knowledge.Machines = append(k.Knowledge.Machines, placer.Learned{Machine: id, Started: recordedTime(rng), Sick: rng.Float64(),
+		k.Knowledge.Machines = append(k.Knowledge.Machines, scheduler.Learned{Machine: id, Started: recordedTime(rng), Sick: rng.Float64(),
 			RestUntil: 1000 * recordedTime(rng), Rest: recordedTime(rng), ShutUntil: recordedTime(rng),
-			Doubts: []placer.Doubt{{Odds: rng.Float64(), At: recordedTime(rng)}}, Cold: []placer.Time{recordedTime(rng)}})
+			Doubts: []scheduler.Doubt{{Odds: rng.Float64(), At: recordedTime(rng)}}, Cold: []scheduler.Time{recordedTime(rng)}})
 	}
-	sent := map[placer.MachineID]bool{}
+	sent := map[scheduler.MachineID]bool{}
 	for range rng.IntN(5) {
 		if s := recordedSent(rng); !sent[s.Machine] {
 			sent[s.Machine], k.Sent = true, append(k.Sent, s)
 		}
 	}
-	machines := map[placer.MachineID]Machine{}
+	machines := map[scheduler.MachineID]Machine{}
 	for range rng.IntN(12) {
 		machines[recordedMachine(rng)] = Machine{uint64(rng.IntN(3)), recordedTime(rng)}
 	}
@@ -92,13 +92,13 @@
 	now := recordedStamp(rng)
 	b := Believe(now, k, machines, names, window)
 	d.Add(1, b.Knowledge.SentSince, b.Knowledge.Traits, b.Knowledge.Full, b.Knowledge.Missed, b.Knowledge.Machines, b.Later)
-	starts := map[placer.MachineID]uint64{}
+	starts := map[scheduler.MachineID]uint64{}
 	for id, m := range machines {
 		starts[id] = m.Start
 	}
 	l := NewLedger(recordedColdFor, window)
 	l.Carry(b, starts)
-	at := func(id placer.MachineID) (Machine, bool) {
+	at := func(id scheduler.MachineID) (Machine, bool) {
 		m, there := machines[id]
 		return m, there
 	}
@@ -116,8 +116,8 @@
 // anew only after two windows without a send, so that no send may have reached a start that had not been heard of.
 func recordedSends(d *golden.Digest, rng *rand.Rand, quiet bool) {
 	l, now := NewLedger(recordedColdFor, window), 1000*sec
-	machines, last := map[placer.MachineID]Machine{}, map[placer.MachineID]placer.Time{}
-	at := func(id placer.MachineID) (Machine, bool) {
+	machines, last := map[scheduler.MachineID]Machine{}, map[scheduler.MachineID]scheduler.Time{}
+	at := func(id scheduler.MachineID) (Machine, bool) {
 		m, there := machines[id]
 		return m, there
 	}
@@ -131,7 +131,7 @@
 			last[id] = now
 		case n < 16 && (!quiet || last[id] <= now-2*window):
 			m.Start++
-			if m.Started = now - placer.Time(rng.IntN(30_000)); rng.IntN(3) == 0 {
+			if m.Started = now - scheduler.Time(rng.IntN(30_000)); rng.IntN(3) == 0 {
 				m.Started = 0
 			}
 			machines[id] = m
@@ -140,7 +140,7 @@
 		case n < 18:
 			d.Add(2, l.Drop(now, at))
 		default:
-			now += placer.Time(rng.IntN(3)) * placer.Time(rng.IntN(2*int(sec)))
+			now += scheduler.Time(rng.IntN(3)) * scheduler.Time(rng.IntN(2*int(sec)))
 		}
 	}
 }
--- a/internal/recall/recall.go
+++ b/internal/recall/recall.go
@@ -9,11 +9,11 @@
 	"sort"
 
 	"glenport/internal/recovery"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 const (
-	minute = 60 * placer.Second
+	minute = 60 * scheduler.Second
 	hour   = 60 * minute
 )
 
@@ -37,20 +37,20 @@
 // Tuned values: knowledge of a kind counts for half as much after its half-life, and not at all from the bound on. A
 // fleet's fullness changes in seconds and a sick machine is mended in minutes, while programs start tomorrow as
 // they do today. Harm where they are wrong: a machine mended meanwhile is a last resort for one probe more.
-var ageing = [kinds]struct{ half, bound placer.Time }{
+var ageing = [kinds]struct{ half, bound scheduler.Time }{
 	List:   {24 * hour, 24 * hour},
 	Health: {minute, 10 * minute},
-	Shuns:  {20 * placer.Second, 2 * minute},
+	Shuns:  {20 * scheduler.Second, 2 * minute},
 	Traits: {minute, 10 * minute},
-	Room:   {5 * placer.Second, minute},
-	Door:   {5 * placer.Second, minute},
+	Room:   {5 * scheduler.Second, minute},
+	Door:   {5 * scheduler.Second, minute},
 }
 
 // jumpFrom is a difference between two clocks that slewing does not explain.
-const jumpFrom = placer.Second
+const jumpFrom = scheduler.Second
 
 // Weight is what knowledge of a kind counts for at an age, from 1 to 0.
-func Weight(k Kind, age placer.Time) float64 {
+func Weight(k Kind, age scheduler.Time) float64 {
 	if age < 0 || age >= ageing[k].bound {
 		return 0
 	}
@@ -60,16 +60,16 @@
 // Stamp is a moment by two clocks: the one that people set, and the time since the system came up, which nobody
 // does. Boot tells one running of the system from another.
 type Stamp struct {
-	Clock placer.Time `cbor:"Clock" json:"Clock"`
-	Up    placer.Time `cbor:"Up" json:"Up"`
-	Boot  string      `cbor:"Boot" json:"Boot"`
+	Clock scheduler.Time `cbor:"Clock" json:"Clock"`
+	Up    scheduler.Time `cbor:"Up" json:"Up"`
+	Boot  string         `cbor:"Boot" json:"Boot"`
 }
 
 // Since is what is known of the span between two stamps, the earlier one of another life.
 type Since struct {
-	Age  placer.Time // -1: not known, as the clock went back while the system was down
-	Jump placer.Time // what the clock was set by, meanwhile; times of the earlier life are off by it
-	Same bool        // the system has run on
+	Age  scheduler.Time // -1: not known, as the clock went back while the system was down
+	Jump scheduler.Time // what the clock was set by, meanwhile; times of the earlier life are off by it
+	Same bool           // the system has run on
 }
 
 // From reckons the span from an earlier stamp. While the system runs on, the clock's jumps are seen and taken
@@ -90,17 +90,17 @@
 
 // Sent is when bids went to one start of a machine while it was cold.
 type Sent struct {
-	Machine placer.MachineID `cbor:"Machine"`
-	Start   uint64           `cbor:"Start"` // which start of it
-	Times   []placer.Time    `cbor:"Times"`
+	Machine scheduler.MachineID `cbor:"Machine"`
+	Start   uint64              `cbor:"Start"` // which start of it
+	Times   []scheduler.Time    `cbor:"Times"`
 }
 
 // Kept is what an earlier life left.
 type Kept struct {
 	At        Stamp
-	Knowledge placer.Knowledge
-	Starts    map[placer.MachineID]uint64 // which start of each machine it knew
-	Names     []string                    // of workloads and customers, in the order of its terms
+	Knowledge scheduler.Knowledge
+	Starts    map[scheduler.MachineID]uint64 // which start of each machine it knew
+	Names     []string                       // of workloads and customers, in the order of its terms
 
 	Life Life
 	Sent []Sent // all that was sent since the life began, if the system has run on
@@ -135,19 +135,19 @@
 // Machine is one of the list as last heard, as it stands in this life.
 type Machine struct {
 	Start   uint64
-	Started placer.Time // by this life's clock
+	Started scheduler.Time // by this life's clock
 }
 
 // Belief is what is taken over.
 type Belief struct {
-	Knowledge placer.Knowledge
+	Knowledge scheduler.Knowledge
 	Later     []Sent   // to starts of machines that no list has told yet, by this life's clock
 	Said      []string // one line each, with figures
 }
 
 // Believe weighs what was kept. Window is that of cold machines; names are those of this life's terms.
-func Believe(now Stamp, k Kept, machines map[placer.MachineID]Machine, names []string, window placer.Time) Belief {
-	b := Belief{Knowledge: placer.Knowledge{SentSince: now.Clock}}
+func Believe(now Stamp, k Kept, machines map[scheduler.MachineID]Machine, names []string, window scheduler.Time) Belief {
+	b := Belief{Knowledge: scheduler.Knowledge{SentSince: now.Clock}}
 	since := now.From(k.At)
 	fits := len(names) == len(k.Names)
 	for i := range names {
@@ -157,13 +157,13 @@
 	case k.At == Stamp{}:
 	case since.Age < 0:
 		b.say("the clock went back by %d ms over a restart of the system: health not believed",
-			(k.At.Clock-now.Clock)/placer.Millisecond)
+			(k.At.Clock-now.Clock)/scheduler.Millisecond)
 	default:
 		if since.Jump != 0 {
-			b.say("the clock was set by %+d ms: taken into account", since.Jump/placer.Millisecond)
+			b.say("the clock was set by %+d ms: taken into account", since.Jump/scheduler.Millisecond)
 		}
 		b.weigh(since, k, machines, fits)
-		b.say("knowledge %d ms old: health counts %.2f, room %.2f", since.Age/placer.Millisecond, Weight(Health, since.Age),
+		b.say("knowledge %d ms old: health counts %.2f, room %.2f", since.Age/scheduler.Millisecond, Weight(Health, since.Age),
 			Weight(Room, since.Age))
 	}
 	if !fits && k.At != (Stamp{}) {
@@ -176,11 +176,11 @@
 func (b *Belief) say(format string, a ...any) { b.Said = append(b.Said, fmt.Sprintf(format, a...)) }
 
 // weigh scales evidence by its age. Times of the earlier life are told by this life's clock.
-func (b *Belief) weigh(since Since, k Kept, machines map[placer.MachineID]Machine, fits bool) {
+func (b *Belief) weigh(since Since, k Kept, machines map[scheduler.MachineID]Machine, fits bool) {
 	weight := func(kind Kind) float64 { return Weight(kind, since.Age) }
 	if fits {
 		for _, t := range k.Knowledge.Traits {
-			b.Knowledge.Traits = append(b.Knowledge.Traits, placer.Trait{Lost: t.Lost * weight(Traits), Bar: t.Bar})
+			b.Knowledge.Traits = append(b.Knowledge.Traits, scheduler.Trait{Lost: t.Lost * weight(Traits), Bar: t.Bar})
 		}
 		b.Knowledge.Full, b.Knowledge.Missed = k.Knowledge.Full*weight(Room), k.Knowledge.Missed*weight(Room)
 	}
@@ -194,7 +194,7 @@
 		}
 		l.Started, l.Cold = m.Started, nil
 		l.Sick *= weight(Health)
-		shift := func(t placer.Time) placer.Time {
+		shift := func(t scheduler.Time) scheduler.Time {
 			if t == 0 {
 				return 0
 			}
@@ -205,7 +205,7 @@
 		l.Doubts = nil
 		if fits && weight(Shuns) > 0 {
 			for _, d := range doubts { // they fade by themselves from their time on
-				l.Doubts = append(l.Doubts, placer.Doubt{Odds: d.Odds, At: shift(d.At)})
+				l.Doubts = append(l.Doubts, scheduler.Doubt{Odds: d.Odds, At: shift(d.At)})
 			}
 		}
 		b.Knowledge.Machines = append(b.Knowledge.Machines, l)
@@ -215,21 +215,21 @@
 // sent takes over what went to cold machines. It is written down before each of them is sent, which a dying process
 // cannot undo but a dying system can: after one nothing is sent to them for a window, as after a first start. The
 // rules' window is what is kept; what the clock did meanwhile is known, as the system has run on.
-func (b *Belief) sent(now Stamp, k Kept, machines map[placer.MachineID]Machine, window placer.Time) {
+func (b *Belief) sent(now Stamp, k Kept, machines map[scheduler.MachineID]Machine, window scheduler.Time) {
 	since := now.From(k.Life.Whole)
 	if k.Life.Whole == (Stamp{}) || !since.Same {
-		b.say("what was sent to cold machines is not known: they get nothing for %d ms", window/placer.Millisecond)
+		b.say("what was sent to cold machines is not known: they get nothing for %d ms", window/scheduler.Millisecond)
 		return
 	}
 	b.Knowledge.SentSince = now.Clock - since.Age
-	at := map[placer.MachineID]int{}
+	at := map[scheduler.MachineID]int{}
 	for i, l := range b.Knowledge.Machines {
 		at[l.Machine] = i
 	}
 	counted := 0
 	sort.Slice(k.Sent, func(i, j int) bool { return k.Sent[i].Machine < k.Sent[j].Machine })
 	for _, s := range k.Sent {
-		var times []placer.Time
+		var times []scheduler.Time
 		for _, t := range s.Times {
 			if t += since.Jump; t > now.Clock-2*window {
 				times = append(times, min(t, now.Clock))
@@ -246,17 +246,17 @@
 		i, known := at[s.Machine]
 		if !known {
 			i = len(b.Knowledge.Machines)
-			b.Knowledge.Machines = append(b.Knowledge.Machines, placer.Learned{Machine: s.Machine, Started: m.Started})
+			b.Knowledge.Machines = append(b.Knowledge.Machines, scheduler.Learned{Machine: s.Machine, Started: m.Started})
 		}
 		b.Knowledge.Machines[i].Cold = times
 		counted += len(times)
 	}
-	b.say("%d bids to cold machines in the last %d ms are known: they get what is left", counted, 2*window/placer.Millisecond)
+	b.say("%d bids to cold machines in the last %d ms are known: they get what is left", counted, 2*window/scheduler.Millisecond)
 }
 
 // Named takes up what was sent to starts that a list tells of only now: the list of old may be older than they are.
 // What is left waits on; what a window has passed over is dropped.
-func (l *Ledger) Named(now placer.Time, later []Sent, machines func(placer.MachineID) (Machine, bool)) (found []placer.Learned, left []Sent) {
+func (l *Ledger) Named(now scheduler.Time, later []Sent, machines func(scheduler.MachineID) (Machine, bool)) (found []scheduler.Learned, left []Sent) {
 	for _, s := range later {
 		m, there := machines(s.Machine)
 		switch {
@@ -267,8 +267,8 @@
 			if old := l.sent[s.Machine]; old != nil && old.Start != s.Start {
 				l.warm[s.Machine] = append(old.Times, l.warm[s.Machine]...)
 			}
-			l.sent[s.Machine] = &Sent{s.Machine, s.Start, append([]placer.Time(nil), s.Times...)}
-			found = append(found, placer.Learned{Machine: s.Machine, Started: m.Started, Cold: s.Times})
+			l.sent[s.Machine] = &Sent{s.Machine, s.Start, append([]scheduler.Time(nil), s.Times...)}
+			found = append(found, scheduler.Learned{Machine: s.Machine, Started: m.Started, Cold: s.Times})
 		}
 	}
 	return found, left
@@ -281,25 +281,25 @@
 // remembered, for two windows: a start that has not been heard of may turn it cold, and then all that may have reached it
 // is written down. A machine leaves the record once it is warm or gone.
 type Ledger struct {
-	coldFor, window placer.Time
-	sent            map[placer.MachineID]*Sent         // on record
-	warm            map[placer.MachineID][]placer.Time // only remembered; later than what is on record
+	coldFor, window scheduler.Time
+	sent            map[scheduler.MachineID]*Sent            // on record
+	warm            map[scheduler.MachineID][]scheduler.Time // only remembered; later than what is on record
 }
 
-func NewLedger(coldFor, window placer.Time) *Ledger {
-	return &Ledger{coldFor: coldFor, window: window, sent: map[placer.MachineID]*Sent{}, warm: map[placer.MachineID][]placer.Time{}}
+func NewLedger(coldFor, window scheduler.Time) *Ledger {
+	return &Ledger{coldFor: coldFor, window: window, sent: map[scheduler.MachineID]*Sent{}, warm: map[scheduler.MachineID][]scheduler.Time{}}
 }
 
-func (l *Ledger) cold(now placer.Time, m Machine) bool {
+func (l *Ledger) cold(now scheduler.Time, m Machine) bool {
 	return m.Started != 0 && now < m.Started+l.coldFor
 }
 
 // recent are the times of the last two windows.
-func (l *Ledger) recent(now placer.Time, times []placer.Time) []placer.Time {
+func (l *Ledger) recent(now scheduler.Time, times []scheduler.Time) []scheduler.Time {
 	return after(now-2*l.window, times)
 }
 
-func after(from placer.Time, times []placer.Time) []placer.Time {
+func after(from scheduler.Time, times []scheduler.Time) []scheduler.Time {
 	for len(times) > 0 && times[0] <= from {
 		times = times[1:]
 	}
@@ -307,7 +307,7 @@
 }
 
 // reached gives all that may have reached a machine's start, and forgets what went to earlier ones.
-func (l *Ledger) reached(now placer.Time, id placer.MachineID, m Machine) *Sent {
+func (l *Ledger) reached(now scheduler.Time, id scheduler.MachineID, m Machine) *Sent {
 	before := m.Started - l.window/transitDivisor - 1
 	s := l.sent[id]
 	if s == nil {
@@ -322,7 +322,7 @@
 
 // Note counts one bid or probe that is about to go to a machine. It returns what is to be written down before,
 // and whether anything is.
-func (l *Ledger) Note(now placer.Time, id placer.MachineID, m Machine) (Sent, bool) {
+func (l *Ledger) Note(now scheduler.Time, id scheduler.MachineID, m Machine) (Sent, bool) {
 	if !l.cold(now, m) {
 		l.warm[id] = append(l.recent(now, l.warm[id]), now)
 		return Sent{}, false
@@ -335,7 +335,7 @@
 
 // Started tells of a start just heard of. It returns what is to be written down, as it may have reached that start before, and
 // whether anything is.
-func (l *Ledger) Started(now placer.Time, id placer.MachineID, m Machine) (Sent, bool) {
+func (l *Ledger) Started(now scheduler.Time, id scheduler.MachineID, m Machine) (Sent, bool) {
 	if s := l.sent[id]; !l.cold(now, m) || s != nil && s.Start == m.Start && len(l.warm[id]) == 0 {
 		return Sent{}, false
 	}
@@ -348,18 +348,18 @@
 }
 
 // Carry puts what an earlier life sent into the ledger.
-func (l *Ledger) Carry(b Belief, starts map[placer.MachineID]uint64) {
+func (l *Ledger) Carry(b Belief, starts map[scheduler.MachineID]uint64) {
 	for _, m := range b.Knowledge.Machines {
 		if len(m.Cold) > 0 {
-			l.sent[m.Machine] = &Sent{m.Machine, starts[m.Machine], append([]placer.Time(nil), m.Cold...)}
+			l.sent[m.Machine] = &Sent{m.Machine, starts[m.Machine], append([]scheduler.Time(nil), m.Cold...)}
 		}
 	}
 }
 
 // Drop lets go of the records of machines that are warm or gone and returns these machines, in order. What may still reach
 // a start not heard of stays remembered.
-func (l *Ledger) Drop(now placer.Time, machines func(placer.MachineID) (Machine, bool)) []placer.MachineID {
-	var out []placer.MachineID
+func (l *Ledger) Drop(now scheduler.Time, machines func(scheduler.MachineID) (Machine, bool)) []scheduler.MachineID {
+	var out []scheduler.MachineID
 	for id, s := range l.sent {
 		m, there := machines(id)
 		if !there && s.Times[len(s.Times)-1] > now-2*l.window {
--- a/internal/recall/recall_test.go
+++ b/internal/recall/recall_test.go
@@ -7,11 +7,11 @@
 	"testing"
 
 	"glenport/internal/recovery"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 const (
-	sec    = placer.Second
+	sec    = scheduler.Second
 	window = 3 * sec
 )
 
@@ -19,24 +19,24 @@
 // and had five bids in its cold time.
 func kept() Kept {
 	at := Stamp{Clock: 1000 * sec, Up: 100 * sec, Boot: "b"}
-	return Kept{At: at, Names: []string{"w", "c"}, Starts: map[placer.MachineID]uint64{"m": 7},
+	return Kept{At: at, Names: []string{"w", "c"}, Starts: map[scheduler.MachineID]uint64{"m": 7},
 		Life: Life{Whole: Stamp{Clock: 950 * sec, Up: 50 * sec, Boot: "b"}},
-		Sent: []Sent{{"m", 7, []placer.Time{992 * sec, 998 * sec, 999 * sec}}},
-		Knowledge: placer.Knowledge{Traits: make([]placer.Trait, 3), Full: 0.8, Missed: 2,
-			Machines: []placer.Learned{{Machine: "m", Started: 900 * sec, Sick: 4, RestUntil: 1004 * sec, Rest: 4 * sec,
-				ShutUntil: 1003 * sec, Doubts: make([]placer.Doubt, 3)}}}}
+		Sent: []Sent{{"m", 7, []scheduler.Time{992 * sec, 998 * sec, 999 * sec}}},
+		Knowledge: scheduler.Knowledge{Traits: make([]scheduler.Trait, 3), Full: 0.8, Missed: 2,
+			Machines: []scheduler.Learned{{Machine: "m", Started: 900 * sec, Sick: 4, RestUntil: 1004 * sec, Rest: 4 * sec,
+				ShutUntil: 1003 * sec, Doubts: make([]scheduler.Doubt, 3)}}}}
 }
 
 func TestBelieve(t *testing.T) {
-	boot := func(clock, up placer.Time) Stamp { return Stamp{clock, up, "b"} }
+	boot := func(clock, up scheduler.Time) Stamp { return Stamp{clock, up, "b"} }
 	for _, tc := range []struct {
 		name   string
 		now    Stamp
-		change func(k *Kept, m map[placer.MachineID]Machine)
+		change func(k *Kept, m map[scheduler.MachineID]Machine)
 		sick   float64 // of m; -1: nothing is believed of it
-		rest   placer.Time
+		rest   scheduler.Time
 		cold   int
-		since  placer.Time // before now, of which all that was sent is known; 0: nothing
+		since  scheduler.Time // before now, of which all that was sent is known; 0: nothing
 		traits bool
 		said   string
 	}{
@@ -49,32 +49,32 @@
 		{"the clock was set back", boot(901*sec, 101*sec), nil, 4 * math.Exp2(-1.0/60), 904 * sec, 2, 51 * sec, true, "set by -100000 ms"},
 		{"another boot", Stamp{1060 * sec, 10 * sec, "c"}, nil, 2, 1004 * sec, 0, 0, true, "is not known: they get nothing for 3000 ms"},
 		{"another boot, the clock went back", Stamp{900 * sec, 10 * sec, "c"}, nil, -1, 0, 0, 0, false, "the clock went back by 100000 ms"},
-		{"a machine that restarted meanwhile", boot(1001*sec, 101*sec), func(_ *Kept, m map[placer.MachineID]Machine) {
+		{"a machine that restarted meanwhile", boot(1001*sec, 101*sec), func(_ *Kept, m map[scheduler.MachineID]Machine) {
 			m["m"] = Machine{8, 1000 * sec}
 		}, -1, 0, 0, 51 * sec, true, "0 bids"},
-		{"a machine that is gone", boot(1001*sec, 101*sec), func(_ *Kept, m map[placer.MachineID]Machine) { delete(m, "m") },
+		{"a machine that is gone", boot(1001*sec, 101*sec), func(_ *Kept, m map[scheduler.MachineID]Machine) { delete(m, "m") },
 			-1, 0, 0, 51 * sec, true, "0 bids"},
-		{"other workloads", boot(1001*sec, 101*sec), func(k *Kept, _ map[placer.MachineID]Machine) { k.Names[0] = "x" },
+		{"other workloads", boot(1001*sec, 101*sec), func(k *Kept, _ map[scheduler.MachineID]Machine) { k.Names[0] = "x" },
 			4 * math.Exp2(-1.0/60), 1004 * sec, 2, 51 * sec, false, "are others than before"},
-		{"nothing was written down", boot(1001*sec, 101*sec), func(k *Kept, _ map[placer.MachineID]Machine) { k.Life = Life{} },
+		{"nothing was written down", boot(1001*sec, 101*sec), func(k *Kept, _ map[scheduler.MachineID]Machine) { k.Life = Life{} },
 			4 * math.Exp2(-1.0/60), 1004 * sec, 0, 0, true, "is not known"},
-		{"no file, and a log", boot(1001*sec, 101*sec), func(k *Kept, _ map[placer.MachineID]Machine) {
-			k.At, k.Knowledge = Stamp{}, placer.Knowledge{}
+		{"no file, and a log", boot(1001*sec, 101*sec), func(k *Kept, _ map[scheduler.MachineID]Machine) {
+			k.At, k.Knowledge = Stamp{}, scheduler.Knowledge{}
 		}, 0, 0, 2, 51 * sec, false, "2 bids"},
-		{"a life that has just begun", boot(951*sec, 51*sec), func(k *Kept, _ map[placer.MachineID]Machine) { k.At = Stamp{} },
+		{"a life that has just begun", boot(951*sec, 51*sec), func(k *Kept, _ map[scheduler.MachineID]Machine) { k.At = Stamp{} },
 			4, 1004 * sec, 3, sec, true, "3 bids"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			k, machines := kept(), map[placer.MachineID]Machine{"m": {7, 900 * sec}}
+			k, machines := kept(), map[scheduler.MachineID]Machine{"m": {7, 900 * sec}}
 			if tc.change != nil {
 				tc.change(&k, machines)
 			}
 			if tc.name == "a life that has just begun" { // bids of it and of the life before it
 				k.At = k.Life.Whole
-				k.Sent[0].Times = []placer.Time{946 * sec, 949 * sec, 951 * sec}
+				k.Sent[0].Times = []scheduler.Time{946 * sec, 949 * sec, 951 * sec}
 			}
 			b := Believe(tc.now, k, machines, []string{"w", "c"}, window)
-			sick, rest, cold := -1.0, placer.Time(0), 0
+			sick, rest, cold := -1.0, scheduler.Time(0), 0
 			for _, l := range b.Knowledge.Machines {
 				sick, rest, cold = l.Sick, l.RestUntil, len(l.Cold)
 				if l.Started != machines[l.Machine].Started {
@@ -99,8 +99,8 @@
 
 // Two crashes in a row: what the first lost is not known by the second start.
 func TestLives(t *testing.T) {
-	b1 := func(s placer.Time) Stamp { return Stamp{1000*sec + s*sec, s * sec, "b1"} }
-	b2 := func(s placer.Time) Stamp { return Stamp{2000*sec + s*sec, s * sec, "b2"} }
+	b1 := func(s scheduler.Time) Stamp { return Stamp{1000*sec + s*sec, s * sec, "b1"} }
+	b2 := func(s scheduler.Time) Stamp { return Stamp{2000*sec + s*sec, s * sec, "b2"} }
 	first := Life{}.Next(b1(5))
 	for _, tc := range []struct {
 		name  string
@@ -129,7 +129,7 @@
 	l := NewLedger(17*sec, window)
 	m := Machine{7, 100 * sec}
 	for i, want := range []int{1, 2, 3, 3} { // the first has left two windows when the fourth goes
-		s, cold := l.Note(101*sec+placer.Time(i)*2*sec+1, "m", m)
+		s, cold := l.Note(101*sec+scheduler.Time(i)*2*sec+1, "m", m)
 		if !cold || len(s.Times) != want {
 			t.Errorf("%d: %v", i, s)
 		}
@@ -140,14 +140,14 @@
 	if _, cold := l.Note(101*sec, "w", Machine{1, 0}); cold {
 		t.Error("one that started long ago is written down")
 	}
-	at := func(placer.MachineID) (Machine, bool) { return m, true }
+	at := func(scheduler.MachineID) (Machine, bool) { return m, true }
 	// A list of old may not know a start yet to which an earlier life sent; without this its budget was had twice.
-	later := []Sent{{"m", 7, []placer.Time{105 * sec}}, {"n", 2, []placer.Time{106 * sec}}, {"o", 7, []placer.Time{99 * sec}}}
+	later := []Sent{{"m", 7, []scheduler.Time{105 * sec}}, {"n", 2, []scheduler.Time{106 * sec}}, {"o", 7, []scheduler.Time{99 * sec}}}
 	found, left := l.Named(107*sec, later, at)
 	if len(found) != 1 || found[0].Machine != "m" || len(found[0].Cold) != 1 || len(left) != 1 || left[0].Machine != "n" {
 		t.Errorf("found %v, left %v", found, left)
 	}
-	gone := func(placer.MachineID) (Machine, bool) { return Machine{}, false }
+	gone := func(scheduler.MachineID) (Machine, bool) { return Machine{}, false }
 	if got := l.Drop(105*sec+2*window-1, gone); len(got) != 0 {
 		t.Error("dropped while it may come back with the same start")
 	}
@@ -176,27 +176,27 @@
 	for _, tc := range []struct {
 		name string
 		act  func(l *Ledger)
-		want []placer.Time // on record after the start was heard of at 102 s
+		want []scheduler.Time // on record after the start was heard of at 102 s
 	}{
 		{"nothing was sent", func(*Ledger) {}, nil},
 		{"sent while it counted as warm", func(l *Ledger) {
 			l.Note(98*sec, "m", warm)
 			l.Note(100*sec-window/transitDivisor, "m", warm)
 			l.Note(101*sec, "m", warm)
-		}, []placer.Time{100*sec - window/transitDivisor, 101 * sec}},
+		}, []scheduler.Time{100*sec - window/transitDivisor, 101 * sec}},
 		{"sent while an earlier start was cold", func(l *Ledger) {
 			l.Note(99*sec, "m", Machine{7, 90 * sec})
 			l.Note(101*sec, "m", Machine{7, 90 * sec})
-		}, []placer.Time{101 * sec}},
+		}, []scheduler.Time{101 * sec}},
 		{"its record went as it was warm", func(l *Ledger) {
 			l.Note(101*sec, "m", Machine{7, 85 * sec})
-			l.Drop(102*sec, func(placer.MachineID) (Machine, bool) { return Machine{7, 85 * sec}, true })
+			l.Drop(102*sec, func(scheduler.MachineID) (Machine, bool) { return Machine{7, 85 * sec}, true })
 			l.Note(102*sec, "m", Machine{7, 85 * sec})
-		}, []placer.Time{101 * sec, 102 * sec}},
+		}, []scheduler.Time{101 * sec, 102 * sec}},
 		{"by two lives", func(l *Ledger) {
 			l.Note(102*sec, "m", warm)
-			l.Named(102*sec, []Sent{{"m", 8, []placer.Time{101 * sec}}}, func(placer.MachineID) (Machine, bool) { return cold, true })
-		}, []placer.Time{101 * sec, 102 * sec}},
+			l.Named(102*sec, []Sent{{"m", 8, []scheduler.Time{101 * sec}}}, func(scheduler.MachineID) (Machine, bool) { return cold, true })
+		}, []scheduler.Time{101 * sec, 102 * sec}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := NewLedger(17*sec, window)
@@ -208,7 +208,7 @@
 			if _, again := l.Started(102*sec, "m", cold); again {
 				t.Error("written twice")
 			}
-			l.Drop(102*sec+2*window, func(placer.MachineID) (Machine, bool) { return Machine{9, 0}, true })
+			l.Drop(102*sec+2*window, func(scheduler.MachineID) (Machine, bool) { return Machine{9, 0}, true })
 			if len(l.sent)+len(l.warm) != 0 {
 				t.Errorf("after two windows %d are on record, %d remembered", len(l.sent), len(l.warm))
 			}
@@ -221,7 +221,7 @@
 		b.Run(name, func(b *testing.B) { // 1,000 sends a second to one machine
 			l, recorded := NewLedger(1<<40, window), 0
 			for i := range b.N {
-				if _, ok := l.Note(2*sec+placer.Time(i)*sec/1000, "m", m); ok {
+				if _, ok := l.Note(2*sec+scheduler.Time(i)*sec/1000, "m", m); ok {
 					recorded++
 				}
 			}
--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"glenport/internal/golden"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // recordedSequence is a seeded sequence of events to one tracker; each action and each answer is folded into a digest.
@@ -17,8 +17,8 @@
 	lastBid  uint64
 }
 
-func (s *recordedSequence) machine() placer.MachineID {
-	return placer.MachineID(fmt.Sprint("m", s.rng.IntN(70)/7))
+func (s *recordedSequence) machine() scheduler.MachineID {
+	return scheduler.MachineID(fmt.Sprint("m", s.rng.IntN(70)/7))
 }
 
 func (s *recordedSequence) attempt() Held {
@@ -27,7 +27,7 @@
 	}
 	s.lastBid++
 	n := s.rng.IntN(12)
-	h := Held{Ask: placer.Ask{ID: placer.ContainerID(fmt.Sprint("c", n)), Key: fmt.Sprint("k", n/2), Workload: s.rng.IntN(5) - 1},
+	h := Held{Ask: scheduler.Ask{ID: scheduler.ContainerID(fmt.Sprint("c", n)), Key: fmt.Sprint("k", n/2), Workload: s.rng.IntN(5) - 1},
 		Machine: s.machine(), Life: uint64(s.rng.IntN(3)), Bid: s.lastBid, Running: s.rng.IntN(2) == 0}
 	s.attempts = append(s.attempts, h)
 	return h
@@ -42,15 +42,15 @@
 	case n < 10:
 		return Told{Held: s.attempt()}
 	case n < 12:
-		var all []placer.MachineID
+		var all []scheduler.MachineID
 		for i := range 10 {
 			if s.rng.IntN(5) > 0 {
-				all = append(all, placer.MachineID(fmt.Sprint("m", i)))
+				all = append(all, scheduler.MachineID(fmt.Sprint("m", i)))
 			}
 		}
 		if s.rng.IntN(8) == 0 {
 			for i := range 100 {
-				all = append(all, placer.MachineID(fmt.Sprint("n", i)))
+				all = append(all, scheduler.MachineID(fmt.Sprint("n", i)))
 			}
 		}
 		if s.rng.IntN(8) == 0 {
@@ -71,7 +71,7 @@
 	return Passed{}
 }
 
-func (s *recordedSequence) fold(now placer.Time, a Action) {
+func (s *recordedSequence) fold(now scheduler.Time, a Action) {
 	switch a := a.(type) {
 	case Reach:
 		s.digest.Add(1, now, a.Machine)
@@ -87,8 +87,8 @@
 }
 
 func (s *recordedSequence) run(log Log, steps int) {
-	r := NewRound(log, []placer.Effect{placer.Reissuable, placer.Numbered, placer.AtMostOnce})
-	now := placer.Time(s.rng.IntN(2) * 1000)
+	r := NewRound(log, []scheduler.Effect{scheduler.Reissuable, scheduler.Numbered, scheduler.AtMostOnce})
+	now := scheduler.Time(s.rng.IntN(2) * 1000)
 	for range steps {
 		events := make([]Event, 1+s.rng.IntN(3))
 		for i := range events {
@@ -100,7 +100,7 @@
 		for k := range 7 {
 			key := fmt.Sprint("k", k)
 			for workload := range 4 {
-				s.digest.Add(5, r.Wait(placer.Ask{Key: key, Workload: workload, Again: s.rng.IntN(3) > 0}))
+				s.digest.Add(5, r.Wait(scheduler.Ask{Key: key, Workload: workload, Again: s.rng.IntN(3) > 0}))
 			}
 			s.digest.Add(6, r.Unsure(key))
 		}
@@ -108,16 +108,16 @@
 		if next := r.Next(); next > now && s.rng.IntN(3) == 0 {
 			now = next
 		} else {
-			now += placer.Time(s.rng.IntN(3) * s.rng.IntN(3000))
+			now += scheduler.Time(s.rng.IntN(3) * s.rng.IntN(3000))
 		}
 		if s.rng.IntN(12) == 0 { // all machines report
 			for i := range 10 {
-				for _, a := range r.Handle(now, Spoke{Machine: placer.MachineID(fmt.Sprint("m", i))}) {
+				for _, a := range r.Handle(now, Spoke{Machine: scheduler.MachineID(fmt.Sprint("m", i))}) {
 					s.fold(now, a)
 				}
 			}
 			for i := range 100 {
-				for _, a := range r.Handle(now, Spoke{Machine: placer.MachineID(fmt.Sprint("n", i))}) {
+				for _, a := range r.Handle(now, Spoke{Machine: scheduler.MachineID(fmt.Sprint("n", i))}) {
 					s.fold(now, a)
 				}
 			}
@@ -140,7 +140,7 @@
 	}
 	d := golden.NewDigest()
 	for effect := range 4 {
-		write, sync := Writes(placer.Effect(effect))
+		write, sync := Writes(scheduler.Effect(effect))
 		d.Add(1, write, sync)
 	}
 	for phase := range 7 {
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -7,24 +7,24 @@
 	"fmt"
 	"sort"
 
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // Tuned values.
 const (
 	reachAtOnce = 32 // machines asked in one step what they hold
-	reachEvery  = 100 * placer.Millisecond
-	reachAgain  = 2 * placer.Second // one that could not be asked
-	sureWithin  = 3 * placer.Second // without a log: how long asks that came before wait for all to have told
+	reachEvery  = 100 * scheduler.Millisecond
+	reachAgain  = 2 * scheduler.Second // one that could not be asked
+	sureWithin  = 3 * scheduler.Second // without a log: how long asks that came before wait for all to have told
 )
 
 // Held is a container at a machine, as the bid of one life of a placer.
 type Held struct {
-	Ask     placer.Ask       `cbor:"Ask"`
-	Machine placer.MachineID `cbor:"Machine"`
-	Life    uint64           `cbor:"Life"`
-	Bid     uint64           `cbor:"Bid"`
-	Running bool             `cbor:"Running"`
+	Ask     scheduler.Ask       `cbor:"Ask"`
+	Machine scheduler.MachineID `cbor:"Machine"`
+	Life    uint64              `cbor:"Life"`
+	Bid     uint64              `cbor:"Bid"`
+	Running bool                `cbor:"Running"`
 }
 
 // Log is how much a placer's log says of the bids of its earlier lives.
@@ -50,16 +50,16 @@
 	Told struct{ Held Held }
 	// Named are machines of a list, all there are where it is whole and fresh; Unnamed is one that is gone.
 	Named struct {
-		Machines []placer.MachineID
+		Machines []scheduler.MachineID
 		Whole    bool
 	}
-	Unnamed struct{ Machine placer.MachineID }
+	Unnamed struct{ Machine scheduler.MachineID }
 	// Spoke is a machine's word on all that it holds. Broke is the end of its link, NoLink one that could not be made,
 	// Lost one that was not made in many tries.
-	Spoke  struct{ Machine placer.MachineID }
-	Broke  struct{ Machine placer.MachineID }
-	NoLink struct{ Machine placer.MachineID }
-	Lost   struct{ Machine placer.MachineID }
+	Spoke  struct{ Machine scheduler.MachineID }
+	Broke  struct{ Machine scheduler.MachineID }
+	NoLink struct{ Machine scheduler.MachineID }
+	Lost   struct{ Machine scheduler.MachineID }
 	// Passed is time.
 	Passed struct{}
 )
@@ -80,7 +80,7 @@
 
 type (
 	// Reach asks for a link to a machine, by which it says what it holds.
-	Reach struct{ Machine placer.MachineID }
+	Reach struct{ Machine scheduler.MachineID }
 	// Settled says that nothing waits for a bid's end any more.
 	Settled struct{ Held Held }
 	// Sure says, once, that all that runs from earlier lives is known, as far as it can be.
@@ -97,16 +97,16 @@
 // Writes tells what must be in a placer's log before a bid is sent: whether anything, and whether on disk. Work that
 // must not run twice is worth a sync. Numbered work is only written, which the death of the process does not undo;
 // after that of the system every machine is heard before a number that came before is let out.
-func Writes(e placer.Effect) (write, sync bool) {
-	return e != placer.Reissuable, e == placer.AtMostOnce
+func Writes(e scheduler.Effect) (write, sync bool) {
+	return e != scheduler.Reissuable, e == scheduler.AtMostOnce
 }
 
 // Round is one life's. Doubts leave it by their machine's word or end, machines once they told or are gone.
 type Round struct {
 	log     Log
-	effects []placer.Effect
-	now     placer.Time
-	began   placer.Time
+	effects []scheduler.Effect
+	now     scheduler.Time
+	began   scheduler.Time
 	listed  bool
 	said    bool
 	all     bool
@@ -117,23 +117,23 @@
 
 type doubt struct {
 	held  Held
-	since placer.Time
+	since scheduler.Time
 }
 
 // inquiry is a machine yet to be asked what it holds.
 type inquiry struct {
-	machine placer.MachineID
-	at      placer.Time
+	machine scheduler.MachineID
+	at      scheduler.Time
 	sent    bool
 }
 
 // NewRound begins a life; effects are those of the workloads.
-func NewRound(log Log, effects []placer.Effect) *Round {
+func NewRound(log Log, effects []scheduler.Effect) *Round {
 	return &Round{log: log, effects: effects, began: -1, doubts: map[string][]doubt{}}
 }
 
 // Handle takes what happened and returns what is to be done, in that order.
-func (r *Round) Handle(now placer.Time, events ...Event) []Action {
+func (r *Round) Handle(now scheduler.Time, events ...Event) []Action {
 	r.now, r.out = now, nil
 	if r.began < 0 {
 		r.began = now
@@ -143,7 +143,7 @@
 		case Logged:
 			r.doubt(e.Held)
 		case Unheard:
-			if r.effect(e.Held.Ask.Workload) != placer.Reissuable {
+			if r.effect(e.Held.Ask.Workload) != scheduler.Reissuable {
 				r.doubt(e.Held)
 				r.inquire(e.Held.Machine, now)
 			}
@@ -176,11 +176,11 @@
 
 func (r *Round) do(a Action) { r.out = append(r.out, a) }
 
-func (r *Round) effect(workload int) placer.Effect {
+func (r *Round) effect(workload int) scheduler.Effect {
 	if workload >= 0 && workload < len(r.effects) {
 		return r.effects[workload]
 	}
-	return placer.AtMostOnce
+	return scheduler.AtMostOnce
 }
 
 func (r *Round) doubt(h Held) {
@@ -202,7 +202,7 @@
 	}
 }
 
-func (r *Round) settleAt(m placer.MachineID) {
+func (r *Round) settleAt(m scheduler.MachineID) {
 	var keys []string
 	for key, all := range r.doubts {
 		for _, d := range all {
@@ -221,7 +221,7 @@
 // named asks the machines of the first list, a few at a time: first those that may run what must not run twice, as
 // its owners wait for their word. What a fresh list no longer has is gone; the list as last heard does not tell that.
 func (r *Round) named(e Named) {
-	waited, there := map[placer.MachineID]bool{}, map[placer.MachineID]bool{}
+	waited, there := map[scheduler.MachineID]bool{}, map[scheduler.MachineID]bool{}
 	for _, all := range r.doubts {
 		for _, d := range all {
 			waited[d.held.Machine] = true
@@ -231,7 +231,7 @@
 		there[m] = true
 	}
 	if e.Whole {
-		var gone []placer.MachineID
+		var gone []scheduler.MachineID
 		for m := range waited {
 			if !there[m] {
 				gone = append(gone, m)
@@ -251,14 +251,14 @@
 	for _, first := range []bool{true, false} {
 		for _, m := range e.Machines {
 			if waited[m] == first && r.inquiry(m) == nil {
-				r.inquire(m, r.now+placer.Time(n/reachAtOnce)*reachEvery)
+				r.inquire(m, r.now+scheduler.Time(n/reachAtOnce)*reachEvery)
 				n++
 			}
 		}
 	}
 }
 
-func (r *Round) inquiry(m placer.MachineID) *inquiry {
+func (r *Round) inquiry(m scheduler.MachineID) *inquiry {
 	for _, q := range r.asking {
 		if q.machine == m {
 			return q
@@ -269,13 +269,13 @@
 
 // inquire has a machine asked. Where its link stands nothing is to be done: its word comes by that, or the link
 // breaks and is then made anew.
-func (r *Round) inquire(m placer.MachineID, at placer.Time) {
+func (r *Round) inquire(m scheduler.MachineID, at scheduler.Time) {
 	if r.inquiry(m) == nil {
 		r.asking = append(r.asking, &inquiry{machine: m, at: at})
 	}
 }
 
-func (r *Round) told(m placer.MachineID) {
+func (r *Round) told(m scheduler.MachineID) {
 	for i, q := range r.asking {
 		if q.machine == m {
 			r.asking = append(r.asking[:i], r.asking[i+1:]...)
@@ -305,8 +305,8 @@
 func (r *Round) toldAll() bool { return r.listed && len(r.asking) == 0 }
 
 // Next is when time is to pass again; 0: it need not.
-func (r *Round) Next() placer.Time {
-	next := placer.Time(0)
+func (r *Round) Next() scheduler.Time {
+	next := scheduler.Time(0)
 	if !r.said {
 		next = r.began + sureWithin
 	}
@@ -322,24 +322,24 @@
 // may run. Beyond that, an ask that came before waits until it is known what runs from earlier lives: at once with
 // a log that has it all, and without one when all machines told, or for some seconds. Of numbered work some bids are
 // missing from a log whose system stopped; that waits for every machine.
-func (r *Round) Wait(a placer.Ask) string {
+func (r *Round) Wait(a scheduler.Ask) string {
 	effect := r.effect(a.Workload)
-	if effect == placer.Reissuable {
+	if effect == scheduler.Reissuable {
 		return ""
 	}
 	for _, d := range r.doubts[a.Key] {
-		if effect == placer.AtMostOnce || r.earlier(d) {
+		if effect == scheduler.AtMostOnce || r.earlier(d) {
 			return fmt.Sprintf("key %s may run on machine %s, which has not told since %d ms", a.Key, d.held.Machine,
-				(r.now-d.since)/placer.Millisecond)
+				(r.now-d.since)/scheduler.Millisecond)
 		}
 	}
-	if !a.Again || r.toldAll() || r.log == Written || r.log == Synced && effect == placer.AtMostOnce {
+	if !a.Again || r.toldAll() || r.log == Written || r.log == Synced && effect == scheduler.AtMostOnce {
 		return ""
 	}
 	if r.log == NoLog && (r.said || r.now >= r.began+sureWithin) {
 		return ""
 	}
-	return fmt.Sprintf("this placer came up %d ms ago and does not know yet what runs", (r.now-r.began)/placer.Millisecond)
+	return fmt.Sprintf("this placer came up %d ms ago and does not know yet what runs", (r.now-r.began)/scheduler.Millisecond)
 }
 
 // Unsure tells why it is not known yet whether anything of a key runs, or is empty.
@@ -348,7 +348,7 @@
 		return fmt.Sprintf("key %s may run on machine %s, which has not told", key, all[0].held.Machine)
 	}
 	if !r.said && !r.toldAll() {
-		return fmt.Sprintf("this placer came up %d ms ago and does not know yet what runs", (r.now-r.began)/placer.Millisecond)
+		return fmt.Sprintf("this placer came up %d ms ago and does not know yet what runs", (r.now-r.began)/scheduler.Millisecond)
 	}
 	return ""
 }
@@ -387,8 +387,8 @@
 
 // Resume decides on one container, the nth of those that its keeper's log names. What may run is never asked for
 // elsewhere, whatever its effect: a second copy of reissuable work does no harm, but nobody would end it.
-func Resume(p Phase, n int) (Step, placer.Time) {
-	pace := placer.Time(n) * placer.Second / perSecond
+func Resume(p Phase, n int) (Step, scheduler.Time) {
+	pace := scheduler.Time(n) * scheduler.Second / perSecond
 	switch p {
 	case Sent, Ran:
 		return Look, pace
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -5,20 +5,20 @@
 	"strings"
 	"testing"
 
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"pgregory.net/rapid"
 )
 
-const sec = placer.Second
+const sec = scheduler.Second
 
-var effects = []placer.Effect{placer.Reissuable, placer.Numbered, placer.AtMostOnce}
+var effects = []scheduler.Effect{scheduler.Reissuable, scheduler.Numbered, scheduler.AtMostOnce}
 
-func bid(key string, workload int, m placer.MachineID, n uint64) Held {
-	return Held{Ask: placer.Ask{ID: placer.ContainerID(key), Key: key, Workload: workload}, Machine: m, Life: 4, Bid: n}
+func bid(key string, workload int, m scheduler.MachineID, n uint64) Held {
+	return Held{Ask: scheduler.Ask{ID: scheduler.ContainerID(key), Key: key, Workload: workload}, Machine: m, Life: 4, Bid: n}
 }
 
-func machines(all ...placer.MachineID) Named { return Named{Machines: all} }
+func machines(all ...scheduler.MachineID) Named { return Named{Machines: all} }
 
 func show(actions []Action) string {
 	var all []string
@@ -55,7 +55,7 @@
 		{"logged, its machine told", Written, []any{Logged{bid("k", 2, "m", 9)}, machines("m"), Spoke{"m"}}, 2, false, "settled 9, sure"},
 		{"logged, another told", Written, []any{Logged{bid("k", 2, "m", 9)}, machines("m", "n"), Spoke{"n"}}, 2, true, ""},
 		{"logged, its machine is gone", Written, []any{Logged{bid("k", 2, "m", 9)}, Unnamed{"m"}}, 2, false, "settled 9"},
-		{"logged, a fresh list has it no more", Written, []any{Logged{bid("k", 2, "m", 9)}, Named{[]placer.MachineID{"n"}, true}}, 2, false,
+		{"logged, a fresh list has it no more", Written, []any{Logged{bid("k", 2, "m", 9)}, Named{[]scheduler.MachineID{"n"}, true}}, 2, false,
 			"settled 9, reach n"},
 		{"logged, the list of old has it no more", Written, []any{Logged{bid("k", 2, "m", 9)}, machines("n")}, 2, true, "reach n"},
 		{"logged, numbered", Written, []any{Logged{bid("k", 1, "m", 9)}}, 1, true, ""},
@@ -76,11 +76,11 @@
 		{"one that cannot be asked is asked later", Written, []any{machines("m"), NoLink{"m"}, 2 * sec, Passed{}}, 2, false, "reach m"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r, now, got := NewRound(tc.log, effects), placer.Time(0), ""
+			r, now, got := NewRound(tc.log, effects), scheduler.Time(0), ""
 			r.Handle(0)
 			for _, s := range tc.steps {
 				switch s := s.(type) {
-				case placer.Time:
+				case scheduler.Time:
 					now = s
 				case Event:
 					got = show(r.Handle(now, s))
@@ -89,7 +89,7 @@
 			if got != tc.last {
 				t.Errorf("%q, want %q", got, tc.last)
 			}
-			if why := r.Wait(placer.Ask{ID: "b", Key: "k", Workload: tc.workload, Again: true}); (why != "") != tc.wait {
+			if why := r.Wait(scheduler.Ask{ID: "b", Key: "k", Workload: tc.workload, Again: true}); (why != "") != tc.wait {
 				t.Errorf("waits: %q", why)
 			}
 		})
@@ -99,11 +99,11 @@
 // However many machines there are, few are asked in one step.
 func TestPace(t *testing.T) {
 	r := NewRound(NoLog, effects)
-	var all []placer.MachineID
+	var all []scheduler.MachineID
 	for i := range 1000 {
-		all = append(all, placer.MachineID(fmt.Sprintf("m%04d", i)))
+		all = append(all, scheduler.MachineID(fmt.Sprintf("m%04d", i)))
 	}
-	now, asked := placer.Time(0), 0
+	now, asked := scheduler.Time(0), 0
 	for out := r.Handle(0, Named{Machines: all}); asked < 1000; out = r.Handle(now, Passed{}) {
 		n := 0
 		for _, a := range out {
@@ -132,8 +132,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		log := Log(rapid.IntRange(0, 2).Draw(t, "log"))
 		r := NewRound(log, effects)
-		names := []placer.MachineID{"m", "n", "o"}
-		now, n := placer.Time(0), uint64(0)
+		names := []scheduler.MachineID{"m", "n", "o"}
+		now, n := scheduler.Time(0), uint64(0)
 		open := map[uint64]Held{}
 		r.Handle(0)
 		for range 40 {
@@ -170,7 +170,7 @@
 					}
 				}
 			case 6:
-				now += placer.Time(rapid.IntRange(1, 40_000).Draw(t, "on"))
+				now += scheduler.Time(rapid.IntRange(1, 40_000).Draw(t, "on"))
 			}
 			r.Handle(now, e)
 			for _, key := range []string{"x", "y"} {
@@ -178,7 +178,7 @@
 				for _, h := range open {
 					may = may || h.Ask.Key == key
 				}
-				if may && r.Wait(placer.Ask{Key: key, Workload: 2, Again: true}) == "" {
+				if may && r.Wait(scheduler.Ask{Key: key, Workload: 2, Again: true}) == "" {
 					t.Fatalf("key %s is let out, and a bid of it may run", key)
 				}
 			}
@@ -197,7 +197,7 @@
 		phase Phase
 		n     int
 		want  Step
-		after placer.Time
+		after scheduler.Time
 	}{
 		{Wanted, 0, Ask, 0}, {Wanted, 4000, Ask, 2 * sec}, {Sent, 0, Look, 0}, {Ran, 2000, Look, sec},
 		{Kept, 0, Guard, 0}, {Over, 9, Leave, 0},
--- a/internal/sabotage/routes.go
+++ b/internal/sabotage/routes.go
@@ -5,7 +5,7 @@
 
 	"glenport/internal/announce"
 	"glenport/internal/speaker"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // routes spoils what an announcer decides.
@@ -18,7 +18,7 @@
 }
 
 type held struct {
-	at placer.Time
+	at scheduler.Time
 	a  announce.Action
 }
 
@@ -27,7 +27,7 @@
 	return &routes{Decider: d, how: how, paths: map[string]announce.Announce{}, prefix: map[string]netip.Prefix{}}
 }
 
-func (r *routes) Handle(now placer.Time, events []announce.Event) []announce.Action {
+func (r *routes) Handle(now scheduler.Time, events []announce.Event) []announce.Action {
 	var out []announce.Action
 	for len(r.queue) > 0 && r.queue[0].at <= now {
 		out = append(out, r.queue[0].a)
@@ -35,8 +35,8 @@
 	}
 	for _, a := range r.Decider.Handle(now, events) {
 		if w, ok := a.(announce.Withdraw); ok && r.how == "late" {
-			r.queue = append(r.queue, held{now + 3*placer.Second, w})
-			out = append(out, announce.Wake{After: 3*placer.Second + 1})
+			r.queue = append(r.queue, held{now + 3*scheduler.Second, w})
+			out = append(out, announce.Wake{After: 3*scheduler.Second + 1})
 			continue
 		}
 		out = append(out, a)
--- a/internal/sabotage/sabotage.go
+++ b/internal/sabotage/sabotage.go
@@ -7,52 +7,52 @@
 	"sort"
 
 	"glenport/internal/host"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // Breaker stands between a host and the decisions and breaks one rule.
 type Breaker struct {
 	host.Decider
 	rule     int
-	terms    placer.Terms
+	terms    scheduler.Terms
 	asks     int
-	machines map[placer.MachineID]placer.Entry
-	open     map[placer.ContainerID]placer.Ask // at-most-once, until their end
-	again    map[placer.ContainerID]bool
+	machines map[scheduler.MachineID]scheduler.Entry
+	open     map[scheduler.ContainerID]scheduler.Ask // at-most-once, until their end
+	again    map[scheduler.ContainerID]bool
 }
 
 // New breaks the rule of that number.
-func New(rule int, t placer.Terms, d host.Decider) (*Breaker, error) {
+func New(rule int, t scheduler.Terms, d host.Decider) (*Breaker, error) {
 	if rule < 1 || rule > 5 {
 		return nil, fmt.Errorf("there are rules 1 to 5, no rule %d", rule)
 	}
-	return &Breaker{Decider: d, rule: rule, terms: t, machines: map[placer.MachineID]placer.Entry{},
-		open: map[placer.ContainerID]placer.Ask{}, again: map[placer.ContainerID]bool{}}, nil
+	return &Breaker{Decider: d, rule: rule, terms: t, machines: map[scheduler.MachineID]scheduler.Entry{},
+		open: map[scheduler.ContainerID]scheduler.Ask{}, again: map[scheduler.ContainerID]bool{}}, nil
 }
 
-func (b *Breaker) Handle(now placer.Time, events []placer.Event) []placer.Action {
-	var extra []placer.Action
+func (b *Breaker) Handle(now scheduler.Time, events []scheduler.Event) []scheduler.Action {
+	var extra []scheduler.Action
 	kept := events[:0]
 	for _, e := range events {
 		switch e := e.(type) {
-		case placer.ListCame:
+		case scheduler.ListCame:
 			for _, m := range e.Entries {
 				b.machines[m.Machine] = m
 			}
-		case placer.Asked:
+		case scheduler.Asked:
 			if b.asks++; b.rule == 1 && b.asks%25 == 0 {
 				continue // nobody will ever answer it
 			}
-			if b.effect(e.Workload) == placer.AtMostOnce {
+			if b.effect(e.Workload) == scheduler.AtMostOnce {
 				b.open[e.ID] = e.Ask
 			}
-		case placer.Ended:
+		case scheduler.Ended:
 			_, open := b.open[e.ID]
-			mayHaveRun := e.Outcome == placer.TimedOut || e.Outcome == placer.Reset || e.Outcome == placer.Erred
+			mayHaveRun := e.Outcome == scheduler.TimedOut || e.Outcome == scheduler.Reset || e.Outcome == scheduler.Erred
 			if b.rule == 2 && open && !e.Over && mayHaveRun && !b.again[e.ID] {
-				if m, ok := b.other(e.Machine, func(placer.Entry) bool { return true }); ok {
+				if m, ok := b.other(e.Machine, func(scheduler.Entry) bool { return true }); ok {
 					b.again[e.ID] = true
-					extra = append(extra, placer.Bid{ID: e.ID, Machine: m})
+					extra = append(extra, scheduler.Bid{ID: e.ID, Machine: m})
 					continue
 				}
 			}
@@ -65,7 +65,7 @@
 	}
 	actions := append(b.Decider.Handle(now, kept), extra...)
 	for i, a := range actions {
-		bid, ok := a.(placer.Bid)
+		bid, ok := a.(scheduler.Bid)
 		if !ok {
 			continue
 		}
@@ -73,19 +73,19 @@
 		switch b.rule {
 		case 2:
 			if _, open := b.open[bid.ID]; open && !b.again[bid.ID] {
-				bid.MaxWait = 5 * placer.Millisecond // no yes comes so soon
+				bid.MaxWait = 5 * scheduler.Millisecond // no yes comes so soon
 			}
 		case 3:
 			// Each in turn: what waits for the link of one that cannot be reached the host does not send.
-			if all := b.fitting("", func(m placer.Entry) bool { return m.State == placer.Draining }); len(all) > 0 {
+			if all := b.fitting("", func(m scheduler.Entry) bool { return m.State == scheduler.Draining }); len(all) > 0 {
 				to, found = all[b.asks%len(all)], true
 			}
 		case 4:
-			to, found = b.other("", func(m placer.Entry) bool {
-				return m.State == placer.Serving && m.StartedAt > 0 && now < m.StartedAt+b.terms.ColdFor
+			to, found = b.other("", func(m scheduler.Entry) bool {
+				return m.State == scheduler.Serving && m.StartedAt > 0 && now < m.StartedAt+b.terms.ColdFor
 			})
 		case 5:
-			to, found = b.other("", func(m placer.Entry) bool { return m.State == placer.Serving })
+			to, found = b.other("", func(m scheduler.Entry) bool { return m.State == scheduler.Serving })
 		}
 		if found {
 			bid.Machine = to
@@ -95,23 +95,23 @@
 	return actions
 }
 
-func (b *Breaker) effect(workload int) placer.Effect {
+func (b *Breaker) effect(workload int) scheduler.Effect {
 	if workload < len(b.terms.Workloads) {
 		return b.terms.Workloads[workload].Effect
 	}
-	return placer.Reissuable
+	return scheduler.Reissuable
 }
 
 // other is the first machine, by name, that fits and is not the one given.
-func (b *Breaker) other(than placer.MachineID, fits func(placer.Entry) bool) (placer.MachineID, bool) {
+func (b *Breaker) other(than scheduler.MachineID, fits func(scheduler.Entry) bool) (scheduler.MachineID, bool) {
 	if all := b.fitting(than, fits); len(all) > 0 {
 		return all[0], true
 	}
 	return "", false
 }
 
-func (b *Breaker) fitting(than placer.MachineID, fits func(placer.Entry) bool) []placer.MachineID {
-	var all []placer.MachineID
+func (b *Breaker) fitting(than scheduler.MachineID, fits func(scheduler.Entry) bool) []scheduler.MachineID {
+	var all []scheduler.MachineID
 	for id, m := range b.machines {
 		if id != than && fits(m) {
 			all = append(all, id)
--- a/internal/session/golden_test.go
+++ b/internal/session/golden_test.go
@@ -14,7 +14,7 @@
 	"testing"
 
 	"glenport/internal/bgp"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 var update = flag.Bool("update", false, "write the golden digests anew")
@@ -26,10 +26,10 @@
 	both := []bgp.Family{bgp.IPv4, bgp.IPv6}
 	var got strings.Builder
 	for group, p := range []Peer{
-		{OwnAS: 65001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Hold: 90 * placer.Second, Families: both, Restart: 120 * placer.Second},
-		{OwnAS: 65001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 200}, Hold: 9 * placer.Second, Families: both[:1], Passive: true},
-		{OwnAS: 4_200_000_001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Families: both, Restart: 9000 * placer.Second},
-		{OwnAS: 65002, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Hold: 3 * placer.Second, Families: both[1:]},
+		{OwnAS: 65001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Hold: 90 * scheduler.Second, Families: both, Restart: 120 * scheduler.Second},
+		{OwnAS: 65001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 200}, Hold: 9 * scheduler.Second, Families: both[:1], Passive: true},
+		{OwnAS: 4_200_000_001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Families: both, Restart: 9000 * scheduler.Second},
+		{OwnAS: 65002, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Hold: 3 * scheduler.Second, Families: both[1:]},
 	} {
 		digest := &actionDigest{sum: sha256.New()}
 		for seed := range sequences {
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -8,7 +8,7 @@
 	"fmt"
 
 	"glenport/internal/bgp"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // State of a session, as RFC 4271 names them.
@@ -29,10 +29,10 @@
 
 // Tuned values; the first two are those that RFC 4271 suggests.
 const (
-	connectRetry = 120 * placer.Second
-	openWait     = 4 * 60 * placer.Second // for the peer's Open
-	idleFirst    = placer.Second          // after a fault, doubled with each until a session has stood
-	idleMost     = 60 * placer.Second
+	connectRetry = 120 * scheduler.Second
+	openWait     = 4 * 60 * scheduler.Second // for the peer's Open
+	idleFirst    = scheduler.Second          // after a fault, doubled with each until a session has stood
+	idleMost     = 60 * scheduler.Second
 )
 
 // Peer is what is agreed with the peer beforehand.
@@ -40,10 +40,10 @@
 	OwnAS    uint32
 	PeerAS   uint32
 	ID       [4]byte
-	Hold     placer.Time // 0: no keepalives
+	Hold     scheduler.Time // 0: no keepalives
 	Families []bgp.Family
-	Passive  bool        // the peer calls
-	Restart  placer.Time // for how long the peer may keep our routes when we are gone; 0: not asked for
+	Passive  bool           // the peer calls
+	Restart  scheduler.Time // for how long the peer may keep our routes when we are gone; 0: not asked for
 }
 
 // Conn is a connection, by a number of the host's choice.
@@ -106,7 +106,7 @@
 	Close struct{ Conn Conn }
 	Set   struct {
 		Timer Timer
-		After placer.Time
+		After scheduler.Time
 	}
 	Clear struct{ Timer Timer }
 	// Up is an established session: all routes are to be sent, and then, for each family where that was agreed, the
@@ -144,8 +144,8 @@
 	conns   map[Conn]*conn
 	last    Conn // number of the last one dialled: the host numbers called ones from 1,000,000 on
 	dialing Conn
-	hold    placer.Time // as agreed
-	pause   placer.Time
+	hold    scheduler.Time // as agreed
+	pause   scheduler.Time
 	ever    bool // a session has stood in this life
 }
 
@@ -233,10 +233,10 @@
 }
 
 func (s *Session) hello() *bgp.Open {
-	o := &bgp.Open{AS: s.peer.OwnAS, Hold: uint16(s.peer.Hold / placer.Second), ID: s.peer.ID, Families: s.peer.Families,
+	o := &bgp.Open{AS: s.peer.OwnAS, Hold: uint16(s.peer.Hold / scheduler.Second), ID: s.peer.ID, Families: s.peer.Families,
 		FourByte: true, Refresh: true}
 	if s.peer.Restart > 0 {
-		o.Restart = &bgp.Restart{Restarted: !s.ever, Time: uint16(min(4095, s.peer.Restart/placer.Second)), Kept: map[bgp.Family]bool{}}
+		o.Restart = &bgp.Restart{Restarted: !s.ever, Time: uint16(min(4095, s.peer.Restart/scheduler.Second)), Kept: map[bgp.Family]bool{}}
 		for _, f := range s.peer.Families {
 			o.Restart.Kept[f] = true // machines forward on without us
 		}
@@ -462,7 +462,7 @@
 		}
 	}
 	c.open = o
-	s.hold = min(s.peer.Hold, placer.Time(o.Hold)*placer.Second)
+	s.hold = min(s.peer.Hold, scheduler.Time(o.Hold)*scheduler.Second)
 	s.turn(OpenConfirm)
 	s.do(Send{c.number, &bgp.Keepalive{}})
 	if s.hold == 0 {
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"glenport/internal/bgp"
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"pgregory.net/rapid"
 )
@@ -14,7 +14,7 @@
 var both = []bgp.Family{bgp.IPv4, bgp.IPv6}
 
 func peer() Peer {
-	return Peer{OwnAS: 65001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Hold: 90 * placer.Second, Families: both, Restart: 120 * placer.Second}
+	return Peer{OwnAS: 65001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Hold: 90 * scheduler.Second, Families: both, Restart: 120 * scheduler.Second}
 }
 
 func open(change func(o *bgp.Open)) *bgp.Open {
--- a/internal/site/bgp.go
+++ b/internal/site/bgp.go
@@ -7,7 +7,7 @@
 	"glenport/internal/announce"
 	"glenport/internal/bgp"
 	"glenport/internal/settings"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // Announcing is what a placer is told of addresses to announce.
@@ -23,10 +23,10 @@
 type Neighbour struct {
 	Addr     string
 	AS       uint32
-	Hold     placer.Time
+	Hold     scheduler.Time
 	Families []bgp.Family
 	Passive  bool
-	Restart  placer.Time
+	Restart  scheduler.Time
 	Allow    []netip.Prefix
 	Key      string // signs its segments (TCP MD5, RFC 2385); none where empty
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -10,7 +10,7 @@
 	"glenport/internal/custody"
 	"glenport/internal/loop"
 	"glenport/internal/settings"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // Placer is a placer's file, checked.
@@ -21,7 +21,7 @@
 	State     string // the folder of what is kept over restarts; nothing is where empty
 	Keep      string // an earlier version's file of the last list, read once
 	Metrics   string // where to be scraped; nowhere where empty
-	Terms     placer.Terms
+	Terms     scheduler.Terms
 	Bounds    custody.Bounds
 	Output    int // bytes that may wait on one link
 	Connect   loop.Tick
@@ -188,13 +188,13 @@
 	return n.Value
 }
 
-func (c *check) span(s settings.Span) placer.Time { return placer.Time(s.Tenths) }
+func (c *check) span(s settings.Span) scheduler.Time { return scheduler.Time(s.Tenths) }
 
-func (c *check) lasting(s settings.Span) placer.Time {
+func (c *check) lasting(s settings.Span) scheduler.Time {
 	if s.Tenths == 0 {
 		c.fail(s.Place, "a span above 0 is wanted")
 	}
-	return placer.Time(s.Tenths)
+	return scheduler.Time(s.Tenths)
 }
 
 func (c *check) placer(f *file) *Placer {
@@ -219,7 +219,7 @@
 		Damped: f.Bounds.Narrow.Value, Output: int(f.Links.Output.GiB * (1 << 30)),
 		Connect: loop.Tick(c.lasting(f.Links.Connect)), Idle: loop.Tick(c.lasting(f.Links.Idle)),
 		Silent: loop.Tick(c.lasting(f.Links.Silent)),
-		Terms: placer.Terms{Seed: uint64(f.Seed.Value), Me: f.Number.Value, Placers: f.Placers.Value,
+		Terms: scheduler.Terms{Seed: uint64(f.Seed.Value), Me: f.Number.Value, Placers: f.Placers.Value,
 			OverShare: f.OverShare.Value, AcceptCores: c.above0(m.Accept.Cores), AcceptMemory: c.above0(m.Accept.Memory),
 			MeanCores: c.above0(m.Mean.Cores), MeanMemory: m.Mean.Memory.GiB, UseNotes: m.UseNotes.Value,
 			ListedAsks: m.ListedAsks.Value, MayProbe: m.Probes.Value, MostBids: c.some(f.Bids.Most),
@@ -227,7 +227,7 @@
 			ColdFor: c.span(m.ColdFor), ColdWindow: c.span(m.ColdWindow), ColdBids: m.ColdBids.Value}}
 	if t := &p.Terms; t.ColdBids > 0 && 16*p.Connect > loop.Tick(t.ColdWindow) {
 		c.fail(f.Links.Connect.Place, "a bid may wait for its link no longer than a sixteenth of cold_window, %g ms",
-			float64(t.ColdWindow)/16/float64(placer.Millisecond))
+			float64(t.ColdWindow)/16/float64(scheduler.Millisecond))
 	}
 	if p.Output < 64<<10 {
 		c.fail(f.Links.Output.Place, "%d bytes are too few for a frame: 64KiB at least", p.Output)
@@ -247,7 +247,7 @@
 	}
 	for i, k := range f.Customers {
 		c.needed(fmt.Sprintf("customers[%d]", i), k)
-		p.Terms.Customers = append(p.Terms.Customers, placer.Customer{Cores: c.above0(k.Cores)})
+		p.Terms.Customers = append(p.Terms.Customers, scheduler.Customer{Cores: c.above0(k.Cores)})
 		p.Customers = append(p.Customers, k.Name.Text)
 	}
 	if f.Keep.Set() && !f.State.Set() {
@@ -277,7 +277,7 @@
 		if k.Memory.GiB <= 0 {
 			c.fail(k.Memory.Place, "a machine needs memory above 0")
 		}
-		p.Terms.Kinds = append(p.Terms.Kinds, placer.Kind{Cores: c.above0(k.Cores), Memory: k.Memory.GiB})
+		p.Terms.Kinds = append(p.Terms.Kinds, scheduler.Kind{Cores: c.above0(k.Cores), Memory: k.Memory.GiB})
 	}
 	if len(all) == 0 {
 		c.keep(c.src.Missing("machines", "kinds"))
@@ -290,14 +290,14 @@
 	if c.fault != nil {
 		return
 	}
-	w := placer.Workload{Agreed: c.lasting(f.Agreed), HardStop: c.lasting(f.HardStop), Kind: -1, Gain: c.above0(f.Gain)}
+	w := scheduler.Workload{Agreed: c.lasting(f.Agreed), HardStop: c.lasting(f.HardStop), Kind: -1, Gain: c.above0(f.Gain)}
 	if w.Agreed > w.HardStop {
 		c.fail(f.Agreed.Place, "the agreed time is after the hard stop")
 	}
 	effect, err := settings.Choose(c.src, f.Effect, "reissuable", "numbered", "at-most-once")
 	c.keep(err)
-	w.Effect = placer.Effect(effect)
-	if w.Effect == placer.Numbered {
+	w.Effect = scheduler.Effect(effect)
+	if w.Effect == scheduler.Numbered {
 		if !f.Repeats.Set() {
 			c.keep(c.src.Missing(path, "repeats_dropped_in"))
 		}
@@ -306,7 +306,7 @@
 		}
 		n, err := settings.Choose(c.src, f.Repeats, "cell", "zone", "everywhere")
 		c.keep(err)
-		w.Repeats, w.Window = []placer.Place{placer.OneCell, placer.OneZone, placer.Everywhere}[n], c.span(f.Window)
+		w.Repeats, w.Window = []scheduler.Place{scheduler.OneCell, scheduler.OneZone, scheduler.Everywhere}[n], c.span(f.Window)
 	} else if f.Repeats.Set() || f.Window.Set() {
 		c.fail(max1(f.Repeats.Place, f.Window.Place), "only numbered work has its repeats dropped")
 	}
@@ -320,7 +320,7 @@
 	if f.Spread.Set() {
 		n, err := settings.Choose(c.src, f.Spread, "machine", "cell", "zone")
 		c.keep(err)
-		w.Spread = []placer.Place{placer.OneMachine, placer.OneCell, placer.OneZone}[n]
+		w.Spread = []scheduler.Place{scheduler.OneMachine, scheduler.OneCell, scheduler.OneZone}[n]
 		if !f.Most.Set() {
 			c.keep(c.src.Missing(path, "most_in_one"))
 		}
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 func sample(t *testing.T) string {
@@ -21,8 +21,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := placer.Workload{Effect: placer.Numbered, Repeats: placer.OneZone, Window: 8 * placer.Second,
-		Agreed: 700 * placer.Millisecond, HardStop: 6 * placer.Second, Kind: -1, Gain: 2}
+	want := scheduler.Workload{Effect: scheduler.Numbered, Repeats: scheduler.OneZone, Window: 8 * scheduler.Second,
+		Agreed: 700 * scheduler.Millisecond, HardStop: 6 * scheduler.Second, Kind: -1, Gain: 2}
 	if got := p.Terms.Workloads[1]; got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
--- a/internal/speaker/speaker.go
+++ b/internal/speaker/speaker.go
@@ -13,7 +13,7 @@
 	"glenport/internal/loop"
 	"glenport/internal/session"
 	"glenport/internal/site"
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"github.com/gaissmai/bart"
 )
@@ -29,7 +29,7 @@
 
 // Decider is announce.Announcer, or what the laboratory puts around it.
 type Decider interface {
-	Handle(now placer.Time, events []announce.Event) []announce.Action
+	Handle(now scheduler.Time, events []announce.Event) []announce.Action
 	Standing() []announce.Announce
 	Why(service string) (announce.Why, bool)
 }
@@ -154,7 +154,7 @@
 // Handle takes what happened to containers.
 func (s *Speaker) Handle(events ...announce.Event) {
 	changed := false
-	for _, a := range s.announce.Handle(placer.Time(s.loop.Now()), events) {
+	for _, a := range s.announce.Handle(scheduler.Time(s.loop.Now()), events) {
 		switch a := a.(type) {
 		case announce.Announce:
 			s.change(a.Prefix, &a.Path)
--- a/internal/speaker/speaker_test.go
+++ b/internal/speaker/speaker_test.go
@@ -11,7 +11,7 @@
 	"glenport/internal/bgp"
 	"glenport/internal/loop"
 	"glenport/internal/standin"
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"github.com/gaissmai/bart"
 	"go.uber.org/goleak"
@@ -72,7 +72,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup((*p.to).Close)
-		place.Peers = append(place.Peers, Peer{Addr: addr, AS: p.as, Hold: 3 * placer.Second, Families: both, Restart: 5 * placer.Second, Allow: p.allow})
+		place.Peers = append(place.Peers, Peer{Addr: addr, AS: p.as, Hold: 3 * scheduler.Second, Families: both, Restart: 5 * scheduler.Second, Allow: p.allow})
 	}
 	if change != nil {
 		change(&place)
--- a/internal/storm/golden_test.go
+++ b/internal/storm/golden_test.go
@@ -6,11 +6,11 @@
 	"testing"
 
 	"glenport/internal/golden"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // foldDoor folds actions and the state that is told to others; the text of a mode is for logs alone.
-func foldDoor(d *golden.Digest, now placer.Time, door *Door, actions []Action) {
+func foldDoor(d *golden.Digest, now scheduler.Time, door *Door, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Take:
@@ -29,18 +29,18 @@
 // recordedLoad is a seeded load on one door: calm, a flood of first tries and repeats, calm again.
 func recordedLoad(d *golden.Digest, rng *rand.Rand, most int) {
 	terms := Terms{Seed: rng.Uint64() | 1, Most: most,
-		Workloads: []Workload{{Agreed: placer.Second / 2, Gain: 1}, {Agreed: 2 * placer.Second, Gain: 4}, {Agreed: 0, Gain: 0.5}}}
-	door, now := New(terms), placer.Time(rng.IntN(100_000))
+		Workloads: []Workload{{Agreed: scheduler.Second / 2, Gain: 1}, {Agreed: 2 * scheduler.Second, Gain: 4}, {Agreed: 0, Gain: 0.5}}}
+	door, now := New(terms), scheduler.Time(rng.IntN(100_000))
 	var open []int
 	for phase := range 5 {
 		flood := phase%2 == 1
 		for range 400 {
-			now += placer.Time(rng.IntN(100))
+			now += scheduler.Time(rng.IntN(100))
 			if flood {
-				now += placer.Time(rng.IntN(30))
+				now += scheduler.Time(rng.IntN(30))
 			}
 			if rng.IntN(150) == 0 {
-				now += placer.Time(rng.IntN(12 * int(placer.Second)))
+				now += scheduler.Time(rng.IntN(12 * int(scheduler.Second)))
 			}
 			var events []Event
 			for range 1 + rng.IntN(3) {
@@ -52,9 +52,9 @@
 					}
 					events = append(events, Asked{Client: client, Workload: rng.IntN(4), Again: rng.IntN(3) == 0})
 				case n < 9 && len(open) > 0:
-					took := placer.Time(rng.IntN(1000))
+					took := scheduler.Time(rng.IntN(1000))
 					if flood {
-						took = placer.Time(rng.IntN(30_000))
+						took = scheduler.Time(rng.IntN(30_000))
 					}
 					events = append(events, Started{Workload: open[0], Took: took})
 					open = open[1:]
@@ -88,11 +88,11 @@
 
 func recordedCounts(d *golden.Digest, rng *rand.Rand) {
 	clients := 1 + rng.IntN(40)
-	h, now := NewHeavies(clients), placer.Time(0)
+	h, now := NewHeavies(clients), scheduler.Time(0)
 	for range 500 {
-		now += placer.Time(rng.IntN(5000))
+		now += scheduler.Time(rng.IntN(5000))
 		if rng.IntN(100) == 0 {
-			now += placer.Time(rng.IntN(5_000_000))
+			now += scheduler.Time(rng.IntN(5_000_000))
 		}
 		client := fmt.Sprint("c", rng.IntN(1+rng.IntN(60)))
 		d.Add(1, h.Count(now, client), h.Len())
--- a/internal/storm/heavy.go
+++ b/internal/storm/heavy.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // Heavies finds clients that ask far more than others in a fixed number of counters (space-saving: a new client takes the
@@ -13,7 +13,7 @@
 	at   map[string]int // place in the heap
 	heap []counter      // the least first
 	all  float64
-	base placer.Time // counts are kept as of then, in growing units, so that fading costs nothing
+	base scheduler.Time // counts are kept as of then, in growing units, so that fading costs nothing
 }
 
 type counter struct {
@@ -21,13 +21,13 @@
 	n      float64
 }
 
-const fades = 10 * placer.Second // counts fall to 1/e in that time
+const fades = 10 * scheduler.Second // counts fall to 1/e in that time
 
 // NewHeavies keeps so many counters.
 func NewHeavies(most int) *Heavies { return &Heavies{most: most, at: map[string]int{}} }
 
 // Count counts one ask and tells how many times the mean of the clients counted it is; 0 where too little is known.
-func (h *Heavies) Count(now placer.Time, client string) float64 {
+func (h *Heavies) Count(now scheduler.Time, client string) float64 {
 	if now-h.base > 20*fades { // units would outgrow a float
 		f := math.Exp(-float64(now-h.base) / float64(fades))
 		for i := range h.heap {
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -11,33 +11,33 @@
 	"fmt"
 	"math"
 
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // Tuned values.
 const (
-	slowAt     = 0.5                      // of the agreed time: a mean start so slow narrows the door,
-	slowTimes  = 1.5                      // if it is so many times slower than in calm, too
-	keepsPace  = 1.0                      // times the agreed time of work at the present pace is always let in
-	narrows    = 0.85                     // the limit falls by it
-	widens     = 1.05                     // and grows by it, each once in a step
-	step       = 200 * placer.Millisecond // between two changes of the limit
-	leastOpen  = 8                        // containers that are always let in
-	againShare = 0.2                      // repeats, of the first tries
-	againMost  = 50                       // repeats saved up
-	calmAfter  = 5 * placer.Second        // without anything turned away
-	leastHold  = 200 * placer.Millisecond // of an appointment
-	mostHold   = 20 * placer.Second       // later ones are told this, by chance
-	forgets    = 2 * placer.Second        // a moving mean falls to 1/e in that time
-	heavyTimes = 10                       // as often as the mean client: a heavy one
-	heavyFrom  = 20                       // asks remembered, below which nobody is heavy
-	spread     = 0.25                     // of an appointment, by chance
-	reserve    = 0.9                      // of the pace that is given away in appointments
+	slowAt     = 0.5                         // of the agreed time: a mean start so slow narrows the door,
+	slowTimes  = 1.5                         // if it is so many times slower than in calm, too
+	keepsPace  = 1.0                         // times the agreed time of work at the present pace is always let in
+	narrows    = 0.85                        // the limit falls by it
+	widens     = 1.05                        // and grows by it, each once in a step
+	step       = 200 * scheduler.Millisecond // between two changes of the limit
+	leastOpen  = 8                           // containers that are always let in
+	againShare = 0.2                         // repeats, of the first tries
+	againMost  = 50                          // repeats saved up
+	calmAfter  = 5 * scheduler.Second        // without anything turned away
+	leastHold  = 200 * scheduler.Millisecond // of an appointment
+	mostHold   = 20 * scheduler.Second       // later ones are told this, by chance
+	forgets    = 2 * scheduler.Second        // a moving mean falls to 1/e in that time
+	heavyTimes = 10                          // as often as the mean client: a heavy one
+	heavyFrom  = 20                          // asks remembered, below which nobody is heavy
+	spread     = 0.25                        // of an appointment, by chance
+	reserve    = 0.9                         // of the pace that is given away in appointments
 )
 
 // Workload is what the door needs of one.
 type Workload struct {
-	Agreed placer.Time
+	Agreed scheduler.Time
 	Gain   float64
 }
 
@@ -74,7 +74,7 @@
 	// Started is a container that was taken and runs; Failed one whose answer is another.
 	Started struct {
 		Workload int
-		Took     placer.Time // since it was taken
+		Took     scheduler.Time // since it was taken
 	}
 	Failed struct{ Workload int }
 )
@@ -90,7 +90,7 @@
 	Take struct{}
 	Shed struct {
 		Why     Why
-		HoldOff placer.Time
+		HoldOff scheduler.Time
 	}
 	Mode struct{ Text string }
 )
@@ -103,18 +103,18 @@
 type Door struct {
 	terms   Terms
 	rng     uint64
-	now     placer.Time
+	now     scheduler.Time
 	out     []Action
 	open    int
 	limit   float64 // of open containers
-	moved   placer.Time
+	moved   scheduler.Time
 	slow    []mean  // by workload: starts, as parts of the agreed time
 	pace    float64 // containers done a second, a moving mean
-	paced   placer.Time
+	paced   scheduler.Time
 	tokens  float64
-	line    placer.Time // the next appointment
-	turned  int         // away, since the storm began
-	shedAt  placer.Time
+	line    scheduler.Time // the next appointment
+	turned  int            // away, since the storm began
+	shedAt  scheduler.Time
 	storm   bool
 	gains   []float64 // by workload: the part of the limit up to which it is let in
 	clients *Heavies
@@ -141,7 +141,7 @@
 }
 
 // Handle takes what happened and returns what is to be done, in that order.
-func (d *Door) Handle(now placer.Time, events ...Event) []Action {
+func (d *Door) Handle(now scheduler.Time, events ...Event) []Action {
 	d.now, d.out = now, d.out[:0]
 	for _, e := range events {
 		switch e := e.(type) {
@@ -211,13 +211,13 @@
 	d.turned++
 	d.shedAt = d.now
 	pace := max(1, d.pace*reserve)
-	d.line = max(d.line, d.now+leastHold) + placer.Time(float64(placer.Second)/pace)
+	d.line = max(d.line, d.now+leastHold) + scheduler.Time(float64(scheduler.Second)/pace)
 	hold := d.line - d.now
 	if hold > mostHold { // the line is longer than anybody plans: come back by chance, and be told anew
 		d.line = d.now + mostHold
-		hold = mostHold/2 + placer.Time(d.chance()*float64(mostHold)/2)
+		hold = mostHold/2 + scheduler.Time(d.chance()*float64(mostHold)/2)
 	}
-	d.do(Shed{why, hold + placer.Time(d.chance()*spread*float64(hold))})
+	d.do(Shed{why, hold + scheduler.Time(d.chance()*spread*float64(hold))})
 }
 
 // ended counts the pace at which work is done, whatever its end.
@@ -230,7 +230,7 @@
 	span := float64(max(1, d.now-d.paced)) // the pace of a process with these gaps, as a moving mean
 	d.paced = d.now
 	w := math.Exp(-span / float64(forgets))
-	d.pace = d.pace*w + (1-w)*float64(placer.Second)/span
+	d.pace = d.pace*w + (1-w)*float64(scheduler.Second)/span
 	m := &d.slow[e.Workload]
 	part := float64(e.Took) / float64(max(1, d.terms.Workloads[e.Workload].Agreed))
 	if !m.seen {
@@ -250,7 +250,7 @@
 	}
 	switch {
 	case slow: // never below what keeps the present pace with starts at their agreed time
-		keeps := keepsPace * d.pace * float64(d.terms.Workloads[e.Workload].Agreed) / float64(placer.Second)
+		keeps := keepsPace * d.pace * float64(d.terms.Workloads[e.Workload].Agreed) / float64(scheduler.Second)
 		d.limit = max(leastOpen, keeps, min(d.limit, 2*float64(d.open)+leastOpen)*narrows)
 	case float64(d.open) > d.limit/2:
 		d.limit = min(float64(d.terms.Most), d.limit*widens+1)
--- a/internal/storm/storm_test.go
+++ b/internal/storm/storm_test.go
@@ -6,21 +6,21 @@
 	"math/rand/v2"
 	"testing"
 
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"pgregory.net/rapid"
 )
 
 const (
-	ms  = placer.Millisecond
-	sec = placer.Second
+	ms  = scheduler.Millisecond
+	sec = scheduler.Second
 )
 
 func terms() Terms {
 	return Terms{Seed: 1, Most: 100_000, Workloads: []Workload{{300 * ms, 1}, {300 * ms, 2}, {500 * ms, 4}}}
 }
 
-func take(t testing.TB, d *Door, now placer.Time, e Asked) (bool, Shed) {
+func take(t testing.TB, d *Door, now scheduler.Time, e Asked) (bool, Shed) {
 	for _, a := range d.Handle(now, e) {
 		switch a := a.(type) {
 		case Take:
@@ -34,8 +34,8 @@
 }
 
 // narrowed is a door behind which starts have become slow: each asks is open for two seconds.
-func narrowed(t testing.TB) (*Door, placer.Time) {
-	d, now := New(terms()), placer.Time(0)
+func narrowed(t testing.TB) (*Door, scheduler.Time) {
+	d, now := New(terms()), scheduler.Time(0)
 	for range 200 { // calm
 		now += 10 * ms
 		take(t, d, now, Asked{Client: "a"})
@@ -53,7 +53,7 @@
 
 func TestDoor(t *testing.T) {
 	t.Run("calm takes all", func(t *testing.T) {
-		d, now := New(terms()), placer.Time(0)
+		d, now := New(terms()), scheduler.Time(0)
 		for i := range 20_000 {
 			now += ms
 			if ok, s := take(t, d, now, Asked{Client: fmt.Sprint(i % 7), Workload: i % 3, Again: i%2 == 0}); !ok {
@@ -148,7 +148,7 @@
 // One client that sends a hundred times its usual is found whatever the others do, in a fixed room.
 func TestHeavies(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	h, exact, now := NewHeavies(256), map[string]int{}, placer.Time(0)
+	h, exact, now := NewHeavies(256), map[string]int{}, scheduler.Time(0)
 	worst := 0.0
 	for range 200_000 {
 		c := fmt.Sprint("c", r.IntN(100_000))
@@ -178,7 +178,7 @@
 		b.ReportAllocs()
 		h := NewHeavies(256)
 		for i := range b.N {
-			h.Count(placer.Time(i), names[i*7919%len(names)])
+			h.Count(scheduler.Time(i), names[i*7919%len(names)])
 		}
 	})
 	b.Run("a map of all", func(b *testing.B) {
@@ -193,13 +193,13 @@
 // Each ask gets one answer, equal histories equal ones, and what is open never outgrows the limit that there was.
 func TestDrawn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, now, open := New(terms()), New(terms()), placer.Time(0), 0
+		a, b, now, open := New(terms()), New(terms()), scheduler.Time(0), 0
 		for range 200 {
-			now += placer.Time(rapid.IntRange(0, 2000).Draw(t, "on"))
+			now += scheduler.Time(rapid.IntRange(0, 2000).Draw(t, "on"))
 			var e Event = Asked{Client: fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "client")), Workload: rapid.IntRange(0, 2).Draw(t, "workload"),
 				Again: rapid.Bool().Draw(t, "again")}
 			if open > 0 && rapid.Bool().Draw(t, "ends") {
-				e = Started{rapid.IntRange(0, 2).Draw(t, "workload"), placer.Time(rapid.IntRange(1, 60_000).Draw(t, "took"))}
+				e = Started{rapid.IntRange(0, 2).Draw(t, "workload"), scheduler.Time(rapid.IntRange(1, 60_000).Draw(t, "took"))}
 				open--
 			}
 			limit := a.Limit()
--- a/internal/tap/record.go
+++ b/internal/tap/record.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"glenport/internal/link"
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -47,11 +47,11 @@
 
 // Header says what a record must be judged by.
 type Header struct {
-	_          struct{}     `cbor:",toarray"`
-	Format     string       `cbor:"Format"`
-	Terms      placer.Terms `cbor:"Terms"`
-	DrainGrace placer.Time  `cbor:"DrainGrace"`
-	Slack      placer.Time  `cbor:"Slack"` // by which a time on the sockets may differ from a placer's own
+	_          struct{}        `cbor:",toarray"`
+	Format     string          `cbor:"Format"`
+	Terms      scheduler.Terms `cbor:"Terms"`
+	DrainGrace scheduler.Time  `cbor:"DrainGrace"`
+	Slack      scheduler.Time  `cbor:"Slack"` // by which a time on the sockets may differ from a placer's own
 }
 
 const format = "glenport record 1"
--- a/internal/tap/record_test.go
+++ b/internal/tap/record_test.go
@@ -11,7 +11,7 @@
 	"testing"
 
 	"glenport/internal/link"
-	"glenport/placer"
+	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -24,17 +24,17 @@
 )
 
 func goldenHeader() Header {
-	return Header{Format: "glenport record 1", DrainGrace: 1001, Slack: 1002, Terms: placer.Terms{
+	return Header{Format: "glenport record 1", DrainGrace: 1001, Slack: 1002, Terms: scheduler.Terms{
 		Seed: 1<<64 - 1, Me: 2001, Placers: 2002,
-		Workloads: []placer.Workload{
-			{Effect: placer.Reissuable, Repeats: placer.Nowhere, Window: 3001, Agreed: 3002, HardStop: 3003, Kind: -1,
-				Spread: placer.OneMachine, Most: 3004, Gain: 3005.5},
-			{Effect: placer.Numbered, Repeats: placer.OneCell, Window: 3011, Agreed: 3012, HardStop: 3013, Kind: 3014,
-				Spread: placer.OneZone, Most: 3015, Gain: 0.25},
-			{Effect: placer.AtMostOnce, Repeats: placer.Everywhere, Window: 3021, Agreed: 3022, HardStop: 3023, Kind: 3024,
-				Spread: placer.Nowhere, Most: 3025, Gain: 1}},
-		Kinds:     []placer.Kind{{Cores: 4001.5, Memory: 4002.5}, {Cores: 4003, Memory: 4004}},
-		Customers: []placer.Customer{{Cores: 5001.5}, {Cores: 5002}},
+		Workloads: []scheduler.Workload{
+			{Effect: scheduler.Reissuable, Repeats: scheduler.Nowhere, Window: 3001, Agreed: 3002, HardStop: 3003, Kind: -1,
+				Spread: scheduler.OneMachine, Most: 3004, Gain: 3005.5},
+			{Effect: scheduler.Numbered, Repeats: scheduler.OneCell, Window: 3011, Agreed: 3012, HardStop: 3013, Kind: 3014,
+				Spread: scheduler.OneZone, Most: 3015, Gain: 0.25},
+			{Effect: scheduler.AtMostOnce, Repeats: scheduler.Everywhere, Window: 3021, Agreed: 3022, HardStop: 3023, Kind: 3024,
+				Spread: scheduler.Nowhere, Most: 3025, Gain: 1}},
+		Kinds:     []scheduler.Kind{{Cores: 4001.5, Memory: 4002.5}, {Cores: 4003, Memory: 4004}},
+		Customers: []scheduler.Customer{{Cores: 5001.5}, {Cores: 5002}},
 		OverShare: 6001.5, AcceptCores: 6002.5, AcceptMemory: 6003.5, MeanCores: 6004.5, MeanMemory: 6005.5,
 		YesRuns: true, UseNotes: false, ListedAsks: true, MayProbe: false, MostBids: 6006, AnswerGrace: 6007, ListOnAsk: true,
 		AskWithin: 6008, ColdFor: 6009, ColdWindow: 6010, ColdBids: 6011}}
--- a/internal/waiting/golden_test.go
+++ b/internal/waiting/golden_test.go
@@ -12,7 +12,7 @@
 	"testing"
 
 	"glenport/internal/keeper"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 var update = flag.Bool("update", false, "write the golden digests anew")
@@ -57,7 +57,7 @@
 }
 
 // randomFacts draws facts: group 0 small fleets, 1 large ones, 2 no scheduler that explains, 3 anything at all.
-func randomFacts(random *rand.Rand, group int) (placer.Time, Facts) {
+func randomFacts(random *rand.Rand, group int) (scheduler.Time, Facts) {
 	chance := func(p float64) bool { return random.Float64() < p }
 	upTo := func(n int) int { return random.IntN(n + 1) }
 	most := []int{4, 3000, 20, 12}[group]
@@ -67,16 +67,16 @@
 		}
 		return 0
 	}
-	now := placer.Time(upTo(1_000_000))
+	now := scheduler.Time(upTo(1_000_000))
 	state := keeper.State(upTo(5))
 	f := Facts{Doors: 1 + upTo(4), DoorOpen: chance(0.7), Asked: group != 2 && chance(0.9),
-		ListAge: placer.Time(upTo(60_000)) - 5_000, ColdWindow: placer.Time(upTo(30_000))}
+		ListAge: scheduler.Time(upTo(60_000)) - 5_000, ColdWindow: scheduler.Time(upTo(30_000))}
 	f.DoorsOpen = upTo(f.Doors)
 	f.Container = keeper.Container{Job: "j", Index: upTo(9), State: state, Pinned: chance(0.2), Held: chance(0.3), Tries: upTo(4),
-		Door: upTo(f.Doors) - 1, Since: now - placer.Time(upTo(90_000)), Last: []string{"", "pushed back", "given up, and it may run",
+		Door: upTo(f.Doors) - 1, Since: now - scheduler.Time(upTo(90_000)), Last: []string{"", "pushed back", "given up, and it may run",
 			"turned away: may run on machine m3", "turned away: does not know yet", "turned away: full"}[upTo(5)]}
 	if chance(0.7) {
-		f.Container.Until = now + placer.Time(upTo(200_000)) - 20_000
+		f.Container.Until = now + scheduler.Time(upTo(200_000)) - 20_000
 	}
 	x := &f.Explanation
 	x.Machines, x.OtherKind, x.Draining, x.TooSmall = upTo(most), some(0.4), some(0.4), some(0.3)
--- a/internal/waiting/waiting.go
+++ b/internal/waiting/waiting.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"glenport/internal/keeper"
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // Code names a reason; codes do not change.
@@ -39,7 +39,7 @@
 	Code    Code               `json:"code"`
 	Text    string             `json:"text"`
 	Figures map[string]float64 `json:"figures,omitempty"`
-	Until   placer.Time        `json:"-"`
+	Until   scheduler.Time     `json:"-"`
 }
 
 // Hall is what the list says of a hall.
@@ -55,22 +55,22 @@
 	Doors       int
 	DoorOpen    bool // that of the placer asked last
 	Asked       bool // a placer has explained; the next two are then its words
-	Explanation placer.Explanation
-	ListAge     placer.Time // as that placer has it; below 0: it never heard the list
+	Explanation scheduler.Explanation
+	ListAge     scheduler.Time // as that placer has it; below 0: it never heard the list
 	Halls       []Hall
-	ColdWindow  placer.Time
+	ColdWindow  scheduler.Time
 }
 
-const listIsAway = 4 * placer.Second // a list that lives beats each second
+const listIsAway = 4 * scheduler.Second // a list that lives beats each second
 
 // Explain returns the reasons in order of rank. A container that runs, or is done, has none.
-func Explain(now placer.Time, f Facts) []Reason {
+func Explain(now scheduler.Time, f Facts) []Reason {
 	c := &f.Container
 	if c.State == keeper.Running || c.State == keeper.Done {
 		return nil
 	}
 	var all []Reason
-	add := func(code Code, until placer.Time, figures map[string]float64, format string, a ...any) {
+	add := func(code Code, until scheduler.Time, figures map[string]float64, format string, a ...any) {
 		all = append(all, Reason{code, fmt.Sprintf(format, a...), figures, until})
 	}
 	left := max(0, c.Until-now)
@@ -182,8 +182,10 @@
 	return all
 }
 
-func secs(t placer.Time) float64 { return float64(t) / float64(placer.Second) }
+func secs(t scheduler.Time) float64 { return float64(t) / float64(scheduler.Second) }
 
-func seconds(name string, t placer.Time) map[string]float64 { return map[string]float64{name: secs(t)} }
+func seconds(name string, t scheduler.Time) map[string]float64 {
+	return map[string]float64{name: secs(t)}
+}
 
 func count(name string, n int) map[string]float64 { return map[string]float64{name: float64(n)} }
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -12,7 +12,7 @@
 	"strings"
 	"testing"
 
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 var update = flag.Bool("update", false, "record the golden files in testdata anew")
@@ -46,12 +46,12 @@
 	return o
 }
 
-func describeRequest(t *testing.T, a placer.Ask) object {
+func describeRequest(t *testing.T, a scheduler.Ask) object {
 	return whole(t, a, object{"id": a.ID, "key": a.Key, "service": a.Service, "class": a.Workload, "tenant": a.Customer,
 		"cores": a.Cores, "memory": a.Memory, "deadline": a.Due, "runs for": a.Life, "retried": a.Again})
 }
 
-func describeEntries(t *testing.T, entries []placer.Entry) []object {
+func describeEntries(t *testing.T, entries []scheduler.Entry) []object {
 	var out []object
 	for _, e := range entries {
 		out = append(out, whole(t, e, object{"machine": e.Machine, "zone": e.Zone, "type": e.Kind, "cell": e.Cell, "state": int(e.State),
@@ -60,29 +60,29 @@
 	return out
 }
 
-func describeEvent(t *testing.T, event placer.Event) object {
+func describeEvent(t *testing.T, event scheduler.Event) object {
 	t.Helper()
 	var name string
 	var o object
 	switch e := event.(type) {
-	case placer.ListCame:
+	case scheduler.ListCame:
 		name, o = "UPDATE", whole(t, e, object{"mode": int(e.Mode), "version": e.Version, "entries": describeEntries(t, e.Entries)})
-	case placer.Asked:
+	case scheduler.Asked:
 		name, o = "PENDING", whole(t, e, object{"request": describeRequest(t, e.Ask)})
-	case placer.TookOver:
+	case scheduler.TookOver:
 		name, o = "ALREADY_PLACED", whole(t, e, object{"request": describeRequest(t, e.Ask), "machine": e.Machine})
-	case placer.Placed:
+	case scheduler.Placed:
 		name, o = "CONFIRMED", whole(t, e, object{"id": e.ID, "attempt": e.Bid, "machine": e.Machine, "took": e.Took})
-	case placer.Noted:
+	case scheduler.Noted:
 		name, o = "INTERIM", whole(t, e, object{"id": e.ID, "machine": e.Machine, "attempt": e.Bid, "sort": int(e.Sort), "amount": e.Amount})
-	case placer.Ended:
+	case scheduler.Ended:
 		name, o = "DONE", whole(t, e, object{"id": e.ID, "final": e.Over, "attempt": e.Bid, "outcome": int(e.Outcome), "machine": e.Machine,
 			"reason": int(e.Reason), "took": e.Took, "report": e.Report})
-	case placer.Probed:
+	case scheduler.Probed:
 		name, o = "HEALTH_RESULT", whole(t, e, object{"machine": e.Machine, "outcome": int(e.Outcome), "took": e.Took, "report": e.Report})
-	case placer.Woke:
+	case scheduler.Woke:
 		name, o = "TICK_DUE", whole(t, e, object{"timer": e.Name})
-	case placer.Vanished:
+	case scheduler.Vanished:
 		name, o = "VANISHED", whole(t, e, object{"id": e.ID})
 	default:
 		t.Fatalf("event %T is not described", event)
@@ -91,7 +91,7 @@
 	return o
 }
 
-func describeSettings(t *testing.T, s placer.Terms) object {
+func describeSettings(t *testing.T, s scheduler.Terms) object {
 	t.Helper()
 	var classes, types, tenants []object
 	for _, w := range s.Workloads {
@@ -321,17 +321,17 @@
 // TestOutgoingMessagesAreUnchanged compares the bytes of every message that goes out, with every field set and absent.
 func TestOutgoingMessagesAreUnchanged(t *testing.T) {
 	var got bytes.Buffer
-	for _, a := range []placer.Action{
-		placer.Bid{ID: "r-1", Machine: "m:1", MaxWait: 801}, placer.Bid{ID: "r-1", Machine: "m:1"},
-		placer.PushBack{ID: "r-1", HoldOff: 2505}, placer.PushBack{ID: "r-1"},
-		placer.GiveUp{ID: "r-1"},
-		placer.Withdraw{ID: "r-1", Bid: 2}, placer.Withdraw{ID: "r-1"},
-		placer.Probe{Machine: "m:1"},
-		placer.Disconnect{Machine: "m:1"},
-		placer.Wake{After: 5001, Name: "sweep"}, placer.Wake{After: -1, Name: "sweep"},
-		placer.Watch{On: true}, placer.Watch{},
-		placer.Fetch{},
-		placer.Log{Text: " two\nlines\tand  more "}, placer.Log{},
+	for _, a := range []scheduler.Action{
+		scheduler.Bid{ID: "r-1", Machine: "m:1", MaxWait: 801}, scheduler.Bid{ID: "r-1", Machine: "m:1"},
+		scheduler.PushBack{ID: "r-1", HoldOff: 2505}, scheduler.PushBack{ID: "r-1"},
+		scheduler.GiveUp{ID: "r-1"},
+		scheduler.Withdraw{ID: "r-1", Bid: 2}, scheduler.Withdraw{ID: "r-1"},
+		scheduler.Probe{Machine: "m:1"},
+		scheduler.Disconnect{Machine: "m:1"},
+		scheduler.Wake{After: 5001, Name: "sweep"}, scheduler.Wake{After: -1, Name: "sweep"},
+		scheduler.Watch{On: true}, scheduler.Watch{},
+		scheduler.Fetch{},
+		scheduler.Log{Text: " two\nlines\tand  more "}, scheduler.Log{},
 		nil,
 	} {
 		Append(&got, 3, a)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"strings"
 
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // startup reads the pairs of a start-up message and keeps the first fault met.
@@ -49,8 +49,8 @@
 	return n
 }
 
-func (s *startup) span(path string) placer.Time { return tenths(s.number(path)) }
-func (s *startup) flag(path string) bool        { return s.choice(path, "false", "true") == 1 }
+func (s *startup) span(path string) scheduler.Time { return tenths(s.number(path)) }
+func (s *startup) flag(path string) bool           { return s.choice(path, "false", "true") == 1 }
 
 // choice returns which of the words stands there.
 func (s *startup) choice(path string, words ...string) int {
@@ -86,16 +86,16 @@
 }
 
 // ParseTerms reads the pairs path=value of a start-up message.
-func ParseTerms(seed uint64, fields []string) (placer.Terms, error) {
+func ParseTerms(seed uint64, fields []string) (scheduler.Terms, error) {
 	s := &startup{pairs: make(map[string]string, len(fields))}
 	for _, f := range fields {
 		k, v, ok := strings.Cut(f, "=")
 		if !ok {
-			return placer.Terms{}, fmt.Errorf("setting %q has no value", f)
+			return scheduler.Terms{}, fmt.Errorf("setting %q has no value", f)
 		}
 		s.pairs[k] = v
 	}
-	t := placer.Terms{
+	t := scheduler.Terms{
 		Seed:         seed,
 		Me:           s.count("me"),
 		Placers:      s.count("balancers"),
@@ -123,7 +123,7 @@
 	cores := s.list("family_info.cpu_of_kind")
 	memory := s.numbers("family_info.kind_memory", len(cores))
 	for i, c := range s.numbers("family_info.cpu_of_kind", len(cores)) {
-		t.Kinds = append(t.Kinds, placer.Kind{Cores: c, Memory: memory[i]})
+		t.Kinds = append(t.Kinds, scheduler.Kind{Cores: c, Memory: memory[i]})
 	}
 	n := s.count("classes.count")
 	if n > len(fields) && s.fault == nil {
@@ -137,21 +137,21 @@
 	if len(spread) != n && s.fault == nil {
 		s.fault = fmt.Errorf("setting family_info.spread_over has %d values, not %d", len(spread), n)
 	}
-	places := map[string]placer.Place{"silent": placer.Nowhere, "machine": placer.OneMachine,
-		"cell": placer.OneCell, "zone": placer.OneZone}
+	places := map[string]scheduler.Place{"silent": scheduler.Nowhere, "machine": scheduler.OneMachine,
+		"cell": scheduler.OneCell, "zone": scheduler.OneZone}
 	for i := 0; i < n && s.fault == nil; i++ {
 		at := fmt.Sprintf("classes.%d.", i)
-		w := placer.Workload{
-			Effect:   placer.Effect(s.choice(at+"effect", "safe", "keyed", "unsafe")),
+		w := scheduler.Workload{
+			Effect:   scheduler.Effect(s.choice(at+"effect", "safe", "keyed", "unsafe")),
 			Agreed:   s.span(at + "aim_ms"),
 			HardStop: s.span(at + "deadline_ms"),
 			Gain:     s.number(at + "credit"),
 			Kind:     int(kinds[i]),
 			Most:     int(most[i]),
 		}
-		if w.Effect == placer.Numbered {
+		if w.Effect == scheduler.Numbered {
 			w.Window = s.span(at + "window_ms")
-			w.Repeats = []placer.Place{placer.OneCell, placer.OneZone, placer.Everywhere}[s.choice(
+			w.Repeats = []scheduler.Place{scheduler.OneCell, scheduler.OneZone, scheduler.Everywhere}[s.choice(
 				at+"group", "cell", "zone", "all")]
 		}
 		place, ok := places[spread[i]]
@@ -173,7 +173,7 @@
 		}
 		if _, ok := s.pairs["family_info.quota_cores"]; ok {
 			for _, cores := range s.numbers("family_info.quota_cores", n) {
-				t.Customers = append(t.Customers, placer.Customer{Cores: cores})
+				t.Customers = append(t.Customers, scheduler.Customer{Cores: cores})
 			}
 		}
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -11,21 +11,21 @@
 	"strconv"
 	"strings"
 
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 // Delivery is one event for one instance. Start sets up a new instance, Stop ends it.
 type Delivery struct {
 	Line     int
 	Instance int
-	Event    placer.Event
-	Start    *placer.Terms
+	Event    scheduler.Event
+	Start    *scheduler.Terms
 	Stop     bool
 }
 
 // Frame is one batch of events.
 type Frame struct {
-	Now        placer.Time
+	Now        scheduler.Time
 	Seq        string
 	Deliveries []Delivery
 }
@@ -35,14 +35,14 @@
 	in   *bufio.Reader
 	line int
 	// lists holds at most 16 numbered lists; a new one takes the place of its number's last.
-	lists [16][]placer.Entry
+	lists [16][]scheduler.Entry
 	known [16]bool
 }
 
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{in: bufio.NewReaderSize(r, 1<<16)} }
 
 // tenths rounds down, so that no time read is later than the one sent.
-func tenths(ms float64) placer.Time { return placer.Time(math.Floor(ms*10 + 1e-6)) }
+func tenths(ms float64) scheduler.Time { return scheduler.Time(math.Floor(ms*10 + 1e-6)) }
 
 func parseNumber(v string) (float64, error) {
 	f, err := strconv.ParseFloat(v, 64)
@@ -124,9 +124,9 @@
 	case "KILLED":
 		out.Stop = true
 	case "UPDATE":
-		e := placer.ListCame{Mode: oneOf(f, listModes), Version: int64(f.whole())}
+		e := scheduler.ListCame{Mode: oneOf(f, listModes), Version: int64(f.whole())}
 		ref := f.word()
-		if e.Mode != placer.ListFailed {
+		if e.Mode != scheduler.ListFailed {
 			n, err := strconv.Atoi(ref)
 			if err != nil || n < 0 || n >= len(d.lists) || !d.known[n] {
 				return fmt.Errorf("no list has the number %q", ref)
@@ -135,37 +135,37 @@
 		}
 		out.Event = e
 	case "PENDING":
-		a := placer.Ask{ID: placer.ContainerID(f.word())}
+		a := scheduler.Ask{ID: scheduler.ContainerID(f.word())}
 		a.Customer, a.Again = f.wholeOr0(), f.wholeOr0()&16 != 0
 		a.Key, a.Workload = f.word(), f.whole()
 		a.Memory, a.Cores, a.Due = f.numberOr0(), f.numberOr0(), f.time()
 		a.Service, a.Life = f.word(), f.timeOr0()
-		out.Event = placer.Asked{Ask: a}
+		out.Event = scheduler.Asked{Ask: a}
 	case "ALREADY_PLACED":
-		a := placer.Ask{ID: placer.ContainerID(f.word()), Service: f.word(), Due: f.timeOr0()}
+		a := scheduler.Ask{ID: scheduler.ContainerID(f.word()), Service: f.word(), Due: f.timeOr0()}
 		a.Workload, a.Cores, a.Key, a.Customer = f.whole(), f.numberOr0(), f.word(), f.wholeOr0()
 		a.Memory, a.Again, a.Life = f.numberOr0(), f.wholeOr0()&16 != 0, f.timeOr0()
-		out.Event = placer.TookOver{Ask: a, Machine: placer.MachineID(f.word())}
+		out.Event = scheduler.TookOver{Ask: a, Machine: scheduler.MachineID(f.word())}
 	case "CONFIRMED":
-		out.Event = placer.Placed{ID: placer.ContainerID(f.word()), Bid: f.whole(),
-			Machine: placer.MachineID(f.word()), Took: f.timeOr0()}
+		out.Event = scheduler.Placed{ID: scheduler.ContainerID(f.word()), Bid: f.whole(),
+			Machine: scheduler.MachineID(f.word()), Took: f.timeOr0()}
 	case "INTERIM":
-		out.Event = placer.Noted{ID: placer.ContainerID(f.word()), Machine: placer.MachineID(f.word()),
-			Bid: f.whole(), Sort: placer.NoteSort(f.whole()), Amount: f.number()}
+		out.Event = scheduler.Noted{ID: scheduler.ContainerID(f.word()), Machine: scheduler.MachineID(f.word()),
+			Bid: f.whole(), Sort: scheduler.NoteSort(f.whole()), Amount: f.number()}
 	case "DONE":
-		e := placer.Ended{ID: placer.ContainerID(f.word()), Over: f.flag(), Bid: f.whole(),
-			Outcome: oneOf(f, outcomes), Machine: placer.MachineID(f.word())}
-		e.Reason, e.Took, e.Report = placer.Reason(f.wholeOr0()), f.timeOr0(), f.report()
+		e := scheduler.Ended{ID: scheduler.ContainerID(f.word()), Over: f.flag(), Bid: f.whole(),
+			Outcome: oneOf(f, outcomes), Machine: scheduler.MachineID(f.word())}
+		e.Reason, e.Took, e.Report = scheduler.Reason(f.wholeOr0()), f.timeOr0(), f.report()
 		out.Event = e
 	case "HEALTH_RESULT":
-		out.Event = placer.Probed{Machine: placer.MachineID(f.word()), Outcome: oneOf(f, outcomes),
+		out.Event = scheduler.Probed{Machine: scheduler.MachineID(f.word()), Outcome: oneOf(f, outcomes),
 			Took: f.timeOr0(), Report: f.report()}
 	case "TICK_DUE":
-		out.Event = placer.Woke{Name: f.word()}
+		out.Event = scheduler.Woke{Name: f.word()}
 	case "NOTE_FROM": // no placer sends any, and none is heeded
 		return nil
 	case "VANISHED":
-		out.Event = placer.Vanished{ID: placer.ContainerID(f.word())}
+		out.Event = scheduler.Vanished{ID: scheduler.ContainerID(f.word())}
 	default:
 		return errors.New("unknown message")
 	}
@@ -181,7 +181,7 @@
 	if ref < 0 || ref >= len(d.lists) || n < 0 {
 		return errors.New("list number or count out of range")
 	}
-	var entries []placer.Entry
+	var entries []scheduler.Entry
 	for i := 0; i < n; i++ {
 		s, err := d.next()
 		if err == io.EOF {
@@ -194,7 +194,7 @@
 		if f.word() != "ITEM" {
 			return fmt.Errorf("list of %d entries breaks off after %d", n, i)
 		}
-		e := placer.Entry{Machine: placer.MachineID(f.word()), Zone: f.whole(), Kind: f.whole(),
+		e := scheduler.Entry{Machine: scheduler.MachineID(f.word()), Zone: f.whole(), Kind: f.whole(),
 			Cell: f.whole(), State: oneOf(f, states), FreeCores: f.numberOr0(), PowerHint: f.numberOr0(),
 			FreeMemory: f.numberOr0(), StartedAt: f.timeOr0()}
 		if err := f.done(); err != nil {
@@ -206,15 +206,15 @@
 	return nil
 }
 
-var listModes = map[string]placer.ListMode{"Partial": placer.Changes, "Complete": placer.WholeList,
-	"Persisted": placer.OldList, "Error": placer.ListFailed}
+var listModes = map[string]scheduler.ListMode{"Partial": scheduler.Changes, "Complete": scheduler.WholeList,
+	"Persisted": scheduler.OldList, "Error": scheduler.ListFailed}
 
-var states = map[string]placer.MachineState{"SERVING": placer.Serving, "DRAINING": placer.Draining,
-	"DELETED": placer.Gone}
+var states = map[string]scheduler.MachineState{"SERVING": scheduler.Serving, "DRAINING": scheduler.Draining,
+	"DELETED": scheduler.Gone}
 
-var outcomes = map[string]placer.Outcome{"GOOD": placer.Finished, "BAD": placer.Erred, "FULL": placer.Full,
-	"LATE": placer.TimedOut, "NOCONN": placer.NoConnect, "RST": placer.Reset, "CXL": placer.Stopped,
-	"NOP": placer.NotSent}
+var outcomes = map[string]scheduler.Outcome{"GOOD": scheduler.Finished, "BAD": scheduler.Erred, "FULL": scheduler.Full,
+	"LATE": scheduler.TimedOut, "NOCONN": scheduler.NoConnect, "RST": scheduler.Reset, "CXL": scheduler.Stopped,
+	"NOP": scheduler.NotSent}
 
 // fields takes a line apart and keeps the first fault met.
 type fields struct {
@@ -272,8 +272,8 @@
 	return 0
 }
 
-func (f *fields) time() placer.Time    { return tenths(f.number()) }
-func (f *fields) timeOr0() placer.Time { return tenths(f.numberOr0()) }
+func (f *fields) time() scheduler.Time    { return tenths(f.number()) }
+func (f *fields) timeOr0() scheduler.Time { return tenths(f.numberOr0()) }
 
 func (f *fields) parseWhole(w string) int {
 	n, err := strconv.Atoi(w)
@@ -304,12 +304,12 @@
 	return false
 }
 
-func (f *fields) report() placer.Report {
+func (f *fields) report() scheduler.Report {
 	w := f.word()
 	if w == "-" || w == "" {
 		return nil
 	}
-	r := placer.Report{}
+	r := scheduler.Report{}
 	for _, p := range strings.Split(w, ",") {
 		k, v, ok := strings.Cut(p, ":")
 		if !ok {
@@ -332,34 +332,34 @@
 	return v
 }
 
-func ms(t placer.Time) string { return strconv.FormatFloat(float64(t)/10, 'f', 1, 64) }
+func ms(t scheduler.Time) string { return strconv.FormatFloat(float64(t)/10, 'f', 1, 64) }
 
 // Append writes one action of an instance as a line.
-func Append(b *bytes.Buffer, instance int, a placer.Action) {
+func Append(b *bytes.Buffer, instance int, a scheduler.Action) {
 	switch a := a.(type) {
-	case placer.Bid:
+	case scheduler.Bid:
 		fmt.Fprintf(b, "BIND %d %s %s %s\n", instance, a.ID, a.Machine, ms(a.MaxWait))
-	case placer.PushBack:
+	case scheduler.PushBack:
 		fmt.Fprintf(b, "BUSY %d %s %s\n", instance, a.ID, ms(a.HoldOff))
-	case placer.GiveUp:
+	case scheduler.GiveUp:
 		fmt.Fprintf(b, "FAIL %d %s\n", instance, a.ID)
-	case placer.Withdraw:
+	case scheduler.Withdraw:
 		fmt.Fprintf(b, "UNDO_SEND %d %s %d\n", instance, a.ID, a.Bid)
-	case placer.Probe:
+	case scheduler.Probe:
 		fmt.Fprintf(b, "PING %d %s\n", instance, a.Machine)
-	case placer.Disconnect:
+	case scheduler.Disconnect:
 		fmt.Fprintf(b, "CLOSE %d %s\n", instance, a.Machine)
-	case placer.Wake:
+	case scheduler.Wake:
 		fmt.Fprintf(b, "AFTER %d %s %s\n", instance, ms(a.After), a.Name)
-	case placer.Watch:
+	case scheduler.Watch:
 		on := 0
 		if a.On {
 			on = 1
 		}
 		fmt.Fprintf(b, "WATCH %d %d\n", instance, on)
-	case placer.Fetch:
+	case scheduler.Fetch:
 		fmt.Fprintf(b, "FETCH %d\n", instance)
-	case placer.Log:
+	case scheduler.Log:
 		fmt.Fprintf(b, "DEBUG %d %s\n", instance, plain(a.Text))
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"glenport/placer"
+	"glenport/scheduler"
 )
 
 const start = "CONFIGURE 3 51 me=1 balancers=3 family_info.admit_cores=2.0 family_info.mem_booking=1.5" +
@@ -36,32 +36,32 @@
 }
 
 func TestEvents(t *testing.T) {
-	entry := placer.Entry{Machine: "m:1", Kind: 1, Cell: 2, FreeCores: 3.5, PowerHint: 1, FreeMemory: 12,
+	entry := scheduler.Entry{Machine: "m:1", Kind: 1, Cell: 2, FreeCores: 3.5, PowerHint: 1, FreeMemory: 12,
 		StartedAt: 61000}
-	ask := placer.Ask{ID: "r-1", Key: "t:k", Service: "c:s", Workload: 1, Customer: 2, Cores: 2, Memory: 1.5,
+	ask := scheduler.Ask{ID: "r-1", Key: "t:k", Service: "c:s", Workload: 1, Customer: 2, Cores: 2, Memory: 1.5,
 		Due: 86522, Life: 120, Again: true}
 	for _, tc := range []struct {
 		line string
-		want placer.Event
+		want scheduler.Event
 	}{
 		{list + "UPDATE 3 Persisted 41 0",
-			placer.ListCame{Mode: placer.OldList, Version: 41, Entries: []placer.Entry{entry}}},
-		{list + "SHEET 0 0\nUPDATE 3 Complete 42 0", placer.ListCame{Mode: placer.WholeList, Version: 42}},
-		{"UPDATE 3 Error 0 -", placer.ListCame{Mode: placer.ListFailed}},
-		{"PENDING 3 r-1 2 17 t:k 1 1.5 2 8652.25 c:s 12.0", placer.Asked{Ask: ask}},
+			scheduler.ListCame{Mode: scheduler.OldList, Version: 41, Entries: []scheduler.Entry{entry}}},
+		{list + "SHEET 0 0\nUPDATE 3 Complete 42 0", scheduler.ListCame{Mode: scheduler.WholeList, Version: 42}},
+		{"UPDATE 3 Error 0 -", scheduler.ListCame{Mode: scheduler.ListFailed}},
+		{"PENDING 3 r-1 2 17 t:k 1 1.5 2 8652.25 c:s 12.0", scheduler.Asked{Ask: ask}},
 		{"ALREADY_PLACED 3 r-1 c:s 8652.25 1 2 t:k 2 1.5 16 12.0 m:1",
-			placer.TookOver{Ask: ask, Machine: "m:1"}},
-		{"CONFIRMED 3 r-1 2 m:1 18.55", placer.Placed{ID: "r-1", Bid: 2, Machine: "m:1", Took: 185}},
+			scheduler.TookOver{Ask: ask, Machine: "m:1"}},
+		{"CONFIRMED 3 r-1 2 m:1 18.55", scheduler.Placed{ID: "r-1", Bid: 2, Machine: "m:1", Took: 185}},
 		{"INTERIM 3 r-1 m:1 0 2 0.5",
-			placer.Noted{ID: "r-1", Machine: "m:1", Sort: placer.CoresUsed, Amount: 0.5}},
-		{"DONE 3 r-1 1 0 GOOD m:1 - 18.5 x0:1.5,new:2,x1:-", placer.Ended{ID: "r-1", Over: true,
-			Machine: "m:1", Took: 185, Report: placer.Report{"x0": 1.5, "new": 2}}},
-		{"DONE 3 r-1 0 1 FULL m:1 2 - -", placer.Ended{ID: "r-1", Bid: 1, Outcome: placer.Full,
-			Reason: placer.NoMemory, Machine: "m:1"}},
+			scheduler.Noted{ID: "r-1", Machine: "m:1", Sort: scheduler.CoresUsed, Amount: 0.5}},
+		{"DONE 3 r-1 1 0 GOOD m:1 - 18.5 x0:1.5,new:2,x1:-", scheduler.Ended{ID: "r-1", Over: true,
+			Machine: "m:1", Took: 185, Report: scheduler.Report{"x0": 1.5, "new": 2}}},
+		{"DONE 3 r-1 0 1 FULL m:1 2 - -", scheduler.Ended{ID: "r-1", Bid: 1, Outcome: scheduler.Full,
+			Reason: scheduler.NoMemory, Machine: "m:1"}},
 		{"HEALTH_RESULT 3 m:1 LATE 250.0 -",
-			placer.Probed{Machine: "m:1", Outcome: placer.TimedOut, Took: 2500}},
-		{"TICK_DUE 3 sweep", placer.Woke{Name: "sweep"}},
-		{"VANISHED 3 r-1", placer.Vanished{ID: "r-1"}},
+			scheduler.Probed{Machine: "m:1", Outcome: scheduler.TimedOut, Took: 2500}},
+		{"TICK_DUE 3 sweep", scheduler.Woke{Name: "sweep"}},
+		{"VANISHED 3 r-1", scheduler.Vanished{ID: "r-1"}},
 	} {
 		t.Run(tc.line, func(t *testing.T) {
 			got, err := read("FRAME 8412.25 1\n" + tc.line + "\nCOMMIT\n")
@@ -80,8 +80,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := placer.Workload{Effect: placer.Numbered, Repeats: placer.OneZone, Window: 80000, Agreed: 7000,
-		HardStop: 60000, Kind: 1, Spread: placer.OneCell, Most: 3, Gain: 2}
+	want := scheduler.Workload{Effect: scheduler.Numbered, Repeats: scheduler.OneZone, Window: 80000, Agreed: 7000,
+		HardStop: 60000, Kind: 1, Spread: scheduler.OneCell, Most: 3, Gain: 2}
 	if s := got[0].Start; s.Seed != 51 || s.Placers != 3 || s.Workloads[1] != want || s.Kinds[1].Memory != 71 {
 		t.Errorf("got %+v", s)
 	}
@@ -119,19 +119,19 @@
 
 func TestActions(t *testing.T) {
 	for _, tc := range []struct {
-		action placer.Action
+		action scheduler.Action
 		want   string
 	}{
-		{placer.Bid{ID: "r-1", Machine: "m:1", MaxWait: 800}, "BIND 3 r-1 m:1 80.0"},
-		{placer.PushBack{ID: "r-1"}, "BUSY 3 r-1 0.0"},
-		{placer.GiveUp{ID: "r-1"}, "FAIL 3 r-1"},
-		{placer.Withdraw{ID: "r-1", Bid: 1}, "UNDO_SEND 3 r-1 1"},
-		{placer.Probe{Machine: "m:1"}, "PING 3 m:1"},
-		{placer.Disconnect{Machine: "m:1"}, "CLOSE 3 m:1"},
-		{placer.Wake{After: 5000, Name: "sweep"}, "AFTER 3 500.0 sweep"},
-		{placer.Watch{On: true}, "WATCH 3 1"},
-		{placer.Fetch{}, "FETCH 3"},
-		{placer.Log{Text: "two\nlines"}, "DEBUG 3 two lines"},
+		{scheduler.Bid{ID: "r-1", Machine: "m:1", MaxWait: 800}, "BIND 3 r-1 m:1 80.0"},
+		{scheduler.PushBack{ID: "r-1"}, "BUSY 3 r-1 0.0"},
+		{scheduler.GiveUp{ID: "r-1"}, "FAIL 3 r-1"},
+		{scheduler.Withdraw{ID: "r-1", Bid: 1}, "UNDO_SEND 3 r-1 1"},
+		{scheduler.Probe{Machine: "m:1"}, "PING 3 m:1"},
+		{scheduler.Disconnect{Machine: "m:1"}, "CLOSE 3 m:1"},
+		{scheduler.Wake{After: 5000, Name: "sweep"}, "AFTER 3 500.0 sweep"},
+		{scheduler.Watch{On: true}, "WATCH 3 1"},
+		{scheduler.Fetch{}, "FETCH 3"},
+		{scheduler.Log{Text: "two\nlines"}, "DEBUG 3 two lines"},
 	} {
 		t.Run(tc.want, func(t *testing.T) {
 			var b bytes.Buffer
--- a/placer/api.go
+++ b/scheduler/api.go
@@ -1,5 +1,5 @@
-// Package placer decides on which machine each container of a service is started.
-package placer
+// Package scheduler decides on which machine each container of a service is started.
+package scheduler
 
 // Time is a clock reading or a span, in tenths of a millisecond.
 type Time int64
--- a/placer/golden_test.go
+++ b/scheduler/golden_test.go
@@ -1,4 +1,4 @@
-package placer
+package scheduler
 
 import (
 	"crypto/sha256"
--- a/placer/placer.go
+++ b/scheduler/placer.go
@@ -2,7 +2,7 @@
 // start and Handle for each batch of events; what Handle returns is to be done in that order. The types that
 // pass in and out stand in api.go. docs/design.md tells what the Max-Cap draw keeps of its source.
 
-package placer
+package scheduler
 
 import (
 	"fmt"
