--- a/cmd/glenport-lab/main.go
+++ b/cmd/glenport-lab/main.go
@@ -13,9 +13,9 @@
 	"syscall"
 
 	"glenport/internal/audit"
-	"glenport/internal/host"
 	"glenport/internal/lab"
 	"glenport/internal/sabotage"
+	"glenport/internal/schedulerd"
 	"glenport/internal/site"
 	"glenport/internal/speaker"
 	"glenport/scheduler"
@@ -157,13 +157,13 @@
 			return err
 		}
 		s.Damped = s.Damped || damped
-		var d host.Decider = scheduler.New(s.Terms)
+		var d schedulerd.Decider = scheduler.New(s.Terms)
 		if rule > 0 {
 			if d, err = sabotage.New(rule, s.Terms, d); err != nil {
 				return err
 			}
 		}
-		h, err := host.New(s, d, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+		h, err := schedulerd.New(s, d, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 		if err != nil {
 			return err
 		}
--- a/cmd/glenport/main.go
+++ b/cmd/glenport/main.go
@@ -11,8 +11,8 @@
 	"runtime"
 	"syscall"
 
-	"glenport/internal/host"
 	"glenport/internal/metrics"
+	"glenport/internal/schedulerd"
 	"glenport/internal/site"
 	"glenport/scheduler"
 
@@ -51,7 +51,7 @@
 			if err != nil {
 				return err
 			}
-			h, err := host.New(s, scheduler.New(s.Terms), log)
+			h, err := schedulerd.New(s, scheduler.New(s.Terms), log)
 			if err != nil {
 				return err
 			}
@@ -83,7 +83,7 @@
 }
 
 // runUntilTold runs a host until it ends or an interrupt or a termination comes.
-func runUntilTold(h *host.Host) error {
+func runUntilTold(h *schedulerd.Host) error {
 	told := make(chan os.Signal, 1)
 	signal.Notify(told, syscall.SIGINT, syscall.SIGTERM)
 	go func() {
--- a/cmd/glenport/state.go
+++ b/cmd/glenport/state.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"glenport/internal/disk"
-	"glenport/internal/host"
+	"glenport/internal/schedulerd"
 	"glenport/internal/store"
 	"glenport/scheduler"
 
@@ -35,7 +35,7 @@
 type looked struct {
 	state     *store.State
 	stateErr  error
-	knowledge *host.Knowledge // nil where there is none
+	knowledge *schedulerd.Knowledge // nil where there is none
 	knownErr  error
 }
 
@@ -46,7 +46,7 @@
 	}
 	l := &looked{}
 	l.state, l.stateErr = store.Read(d, false)
-	l.knowledge, l.knownErr = host.ReadKnowledge(d)
+	l.knowledge, l.knownErr = schedulerd.ReadKnowledge(d)
 	return l, nil
 }
 
@@ -81,7 +81,7 @@
 			how = "at an orderly end"
 		}
 		fmt.Fprintf(out, "knowledge: version %d, written %s ago, %s; list version %d with %d machines, evidence against %d, %d resting\n",
-			host.KnowledgeVersion, time.Since(at).Round(time.Millisecond), how, k.ListIs, len(k.Entries), sick, resting)
+			schedulerd.KnowledgeVersion, time.Since(at).Round(time.Millisecond), how, k.ListIs, len(k.Entries), sick, resting)
 	}
 	return errors.Join(l.stateErr, l.knownErr)
 }
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"glenport/internal/catalog"
-	"glenport/internal/host"
 	"glenport/internal/jobs"
+	"glenport/internal/schedulerd"
 	"glenport/internal/site"
 	"glenport/internal/standin"
 	"glenport/scheduler"
@@ -64,7 +64,7 @@
 	}
 	t.Cleanup(l.Close)
 	s.Door, s.State, s.Terms.Placers = "127.0.0.1:0", "", 1
-	h, err := host.New(s, scheduler.New(s.Terms), quiet)
+	h, err := schedulerd.New(s, scheduler.New(s.Terms), quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"glenport/internal/audit"
-	"glenport/internal/host"
+	"glenport/internal/schedulerd"
 	"glenport/internal/site"
 	"glenport/internal/standin"
 	"glenport/scheduler"
@@ -24,7 +24,7 @@
 		if err != nil {
 			panic(err)
 		}
-		h, err := host.New(s, scheduler.New(s.Terms), slog.New(slog.NewTextHandler(os.Stderr, nil)))
+		h, err := schedulerd.New(s, scheduler.New(s.Terms), slog.New(slog.NewTextHandler(os.Stderr, nil)))
 		if err != nil {
 			panic(err)
 		}
--- a/internal/lab/restart.go
+++ b/internal/lab/restart.go
@@ -16,10 +16,10 @@
 	"glenport/internal/audit"
 	"glenport/internal/custody"
 	"glenport/internal/disk"
-	"glenport/internal/host"
 	"glenport/internal/jobs"
 	"glenport/internal/keeper"
 	"glenport/internal/link"
+	"glenport/internal/schedulerd"
 	"glenport/internal/store"
 	"glenport/scheduler"
 
@@ -246,7 +246,7 @@
 		s, err := store.Read(d, false)
 		if err == nil {
 			cut.Add(int64(min(1, s.CutOff)))
-			_, err = host.ReadKnowledge(d)
+			_, err = schedulerd.ReadKnowledge(d)
 		}
 		if err != nil {
 			fault("%s after a kill: %v", name, err)
@@ -484,7 +484,7 @@
 	}
 	defer b.close()
 	b.placer.Stop(syscall.SIGTERM) // its last list stays
-	if err := fill(filepath.Join(dir, "state"), host.BidKind, n, func(i int) (string, any) {
+	if err := fill(filepath.Join(dir, "state"), schedulerd.BidKind, n, func(i int) (string, any) {
 		id := fmt.Sprint("old-", i)
 		return fmt.Sprintf("%016x", i+1), custody.Held{Ask: scheduler.Ask{ID: scheduler.ContainerID(id), Key: id, Service: fmt.Sprint("s", i%500),
 			Workload: 2, Cores: 1, Memory: 1}, Machine: scheduler.MachineID(fmt.Sprintf("machine-%04d", i%20)), Life: 1, Bid: uint64(i + 1)}
--- a/internal/sabotage/sabotage.go
+++ b/internal/sabotage/sabotage.go
@@ -6,13 +6,13 @@
 	"fmt"
 	"sort"
 
-	"glenport/internal/host"
+	"glenport/internal/schedulerd"
 	"glenport/scheduler"
 )
 
 // Breaker stands between a host and the decisions and breaks one rule.
 type Breaker struct {
-	host.Decider
+	schedulerd.Decider
 	rule     int
 	terms    scheduler.Terms
 	asks     int
@@ -22,7 +22,7 @@
 }
 
 // New breaks the rule of that number.
-func New(rule int, t scheduler.Terms, d host.Decider) (*Breaker, error) {
+func New(rule int, t scheduler.Terms, d schedulerd.Decider) (*Breaker, error) {
 	if rule < 1 || rule > 5 {
 		return nil, fmt.Errorf("there are rules 1 to 5, no rule %d", rule)
 	}
--- a/internal/host/host.go
+++ b/internal/schedulerd/host.go
@@ -1,7 +1,7 @@
-// Package host runs one placer on sockets: it turns what comes in into events, hands them to the decisions once
+// Package schedulerd runs one placer on sockets: it turns what comes in into events, hands them to the decisions once
 // a turn, and carries out what they want done, in order. It decides nothing itself. Everything here runs on
 // the event loop's goroutine.
-package host
+package schedulerd
 
 import (
 	"fmt"
--- a/internal/host/host_test.go
+++ b/internal/schedulerd/host_test.go
@@ -1,4 +1,4 @@
-package host
+package schedulerd
 
 import (
 	"bytes"
