--- a/internal/lab/restart.go
+++ b/internal/lab/restart.go
@@ -14,12 +14,12 @@
 	"time"
 
 	"glenport/internal/audit"
-	"glenport/internal/custody"
 	"glenport/internal/disk"
 	"glenport/internal/jobs"
 	"glenport/internal/keeper"
 	"glenport/internal/link"
 	"glenport/internal/schedulerd"
+	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/store"
 	"glenport/scheduler"
 
@@ -486,7 +486,7 @@
 	b.placer.Stop(syscall.SIGTERM) // its last list stays
 	if err := fill(filepath.Join(dir, "state"), schedulerd.BidKind, n, func(i int) (string, any) {
 		id := fmt.Sprint("old-", i)
-		return fmt.Sprintf("%016x", i+1), custody.Held{Ask: scheduler.Ask{ID: scheduler.ContainerID(id), Key: id, Service: fmt.Sprint("s", i%500),
+		return fmt.Sprintf("%016x", i+1), reconcile.Held{Ask: scheduler.Ask{ID: scheduler.ContainerID(id), Key: id, Service: fmt.Sprint("s", i%500),
 			Workload: 2, Cores: 1, Memory: 1}, Machine: scheduler.MachineID(fmt.Sprintf("machine-%04d", i%20)), Life: 1, Bid: uint64(i + 1)}
 	}); err != nil {
 		return err
--- a/internal/schedulerd/door.go
+++ b/internal/schedulerd/door.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"sort"
 
-	"glenport/internal/custody"
 	"glenport/internal/link"
 	"glenport/internal/loop"
+	"glenport/internal/schedulerd/reconcile"
 	"glenport/scheduler"
 )
 
@@ -17,7 +17,7 @@
 // owner is a caller at the door: an owner of containers, or another placer with a message.
 type owner struct {
 	h       *Host
-	caller  custody.Caller
+	caller  reconcile.Caller
 	conn    *loop.Conn
 	reader  link.Reader
 	name    string
@@ -58,7 +58,7 @@
 	o.dropped = true
 	delete(o.h.owners, o.caller)
 	if o.role == link.Owner {
-		o.h.tell(custody.Left{Caller: o.caller})
+		o.h.tell(reconcile.Left{Caller: o.caller})
 	}
 }
 
@@ -108,7 +108,7 @@
 		o.name, o.role = f.Name, f.Role
 		switch f.Role {
 		case link.Owner:
-			h.tell(custody.Called{Caller: o.caller})
+			h.tell(reconcile.Called{Caller: o.caller})
 		case link.Placer:
 		default:
 			return fmt.Errorf("a %s has no business at this door", f.Role)
@@ -116,9 +116,9 @@
 	case *link.Submit:
 		h.submitted(o, f)
 	case *link.Cancel:
-		h.tell(custody.Cancelled{Caller: o.caller, ID: scheduler.ContainerID(f.Container), Key: f.Key})
+		h.tell(reconcile.Cancelled{Caller: o.caller, ID: scheduler.ContainerID(f.Container), Key: f.Key})
 	case *link.Look:
-		h.tell(custody.Looked{Caller: o.caller, ID: scheduler.ContainerID(f.Container), Key: f.Key})
+		h.tell(reconcile.Looked{Caller: o.caller, ID: scheduler.ContainerID(f.Container), Key: f.Key})
 	case *link.AskWhy:
 		o.write(h.explain(f))
 	case *link.AskRoutes:
@@ -141,7 +141,7 @@
 		Life: scheduler.Time(w.RunFor), Again: w.Again}
 	h.meter.submitted++
 	h.asking[ask.ID] = h.loop.Clock()
-	h.tell(custody.Asked{Caller: o.caller, Ask: ask})
+	h.tell(reconcile.Asked{Caller: o.caller, Ask: ask})
 }
 
 // explain answers why work like this may wait, where the decisions can tell.
@@ -190,19 +190,19 @@
 }
 
 // send reaches an owner by its number.
-func (h *Host) send(to custody.Caller, f link.Frame) {
+func (h *Host) send(to reconcile.Caller, f link.Frame) {
 	if o := h.owners[to]; o != nil {
 		o.write(f)
 	}
 }
 
-func (h *Host) turnAway(a custody.Refuse) {
+func (h *Host) turnAway(a reconcile.Refuse) {
 	h.meter.answered(link.TurnedAway)
 	h.send(a.Caller, &link.Answer{Container: string(a.ID), Verdict: link.TurnedAway, HoldOff: link.Span(a.HoldOff), Text: a.Why})
 }
 
 // cease ends a container that its owner no longer wants. Whoever asks for its end hears it.
-func (h *Host) cease(a custody.Cease) {
+func (h *Host) cease(a reconcile.Cease) {
 	id, o := a.ID, h.owners[a.Caller]
 	c := h.open[id]
 	if c == nil || o == nil {
@@ -225,7 +225,7 @@
 			c.owner.write(&link.Answer{Container: c.heardAs, Verdict: link.GivenUp, Text: "cancelled"})
 		}
 		o.write(&link.Answer{Container: string(a.As), Verdict: link.GivenUp, Text: "cancelled"})
-		h.tell(custody.Answered{ID: id})
+		h.tell(reconcile.Answered{ID: id})
 	}
 	if b := c.bid; b != nil {
 		h.callOff(b)
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -15,11 +15,11 @@
 	"strings"
 	"testing"
 
-	"glenport/internal/custody"
 	"glenport/internal/disk"
 	"glenport/internal/link"
 	"glenport/internal/recall"
 	"glenport/internal/recovery"
+	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/store"
 	"glenport/internal/storm"
 	"glenport/scheduler"
@@ -50,7 +50,7 @@
 }
 
 // Attempts by number. Number 3 is deleted again by the log.
-var goldenAttempts = []custody.Held{
+var goldenAttempts = []reconcile.Held{
 	{Ask: goldenRequest(1, "one"), Machine: "machine-one", Life: 101, Bid: 0x11, Running: true},
 	{Ask: goldenRequest(2, "two"), Machine: "machine-two", Life: 102, Bid: 0x22, Running: true},
 	{Ask: goldenRequest(3, "three"), Machine: "machine-three", Life: 103, Bid: 0x33, Running: true},
@@ -233,7 +233,7 @@
 		}
 	}()
 	read := h.state
-	attempts := []custody.Held{goldenAttempts[0], goldenAttempts[1], goldenAttempts[3]}
+	attempts := []reconcile.Held{goldenAttempts[0], goldenAttempts[1], goldenAttempts[3]}
 	for _, record := range []struct {
 		name      string
 		got, want any
--- a/internal/schedulerd/host.go
+++ b/internal/schedulerd/host.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"glenport/internal/announce"
-	"glenport/internal/custody"
 	"glenport/internal/link"
 	"glenport/internal/loop"
 	"glenport/internal/recovery"
+	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/site"
 	"glenport/internal/speaker"
 	"glenport/internal/storm"
@@ -39,17 +39,17 @@
 	loop    *loop.Loop
 	door    *loop.Listener
 	decider Decider
-	custody *custody.Table
+	custody *reconcile.Table
 	meter   meter
 
 	events []scheduler.Event // to be handled next
-	told   []custody.Event   // likewise
+	told   []reconcile.Event // likewise
 
 	open      map[scheduler.ContainerID]*container    // until answered and without a bid
 	machines  map[scheduler.MachineID]*machine        // until gone from the list and empty
 	asking    map[scheduler.ContainerID]time.Duration // when submissions of this turn came
 	scratch   []byte
-	owners    map[custody.Caller]*owner // until their link ends
+	owners    map[reconcile.Caller]*owner // until their link ends
 	list      listLink
 	routes    *speaker.Speaker // nil where no address is announced
 	state     *state           // nil where nothing is kept
@@ -58,7 +58,7 @@
 	unsent    int              // bids that wait for a link or the log
 	linked    []*machine       // that said in this turn what they hold
 	lastBid   uint64
-	lastOwner custody.Caller
+	lastOwner reconcile.Caller
 	lastSeq   uint64
 }
 
@@ -97,7 +97,7 @@
 func New(s *site.Placer, d Decider, log *slog.Logger) (*Host, error) {
 	h := &Host{site: s, life: uint64(time.Now().UnixMicro()), log: log, decider: d,
 		open: map[scheduler.ContainerID]*container{}, machines: map[scheduler.MachineID]*machine{},
-		asking: map[scheduler.ContainerID]time.Duration{}, owners: map[custody.Caller]*owner{},
+		asking: map[scheduler.ContainerID]time.Duration{}, owners: map[reconcile.Caller]*owner{},
 		tookOver: map[string]int{}}
 	h.lastBid = h.life // bid numbers are unique over all lives
 	var effects []scheduler.Effect
@@ -122,7 +122,7 @@
 		}
 		known = h.state.life.Log
 	}
-	h.custody = custody.New(h.life, s.Bounds, effects, known, calm)
+	h.custody = reconcile.New(h.life, s.Bounds, effects, known, calm)
 	if s.BGP != nil {
 		h.routes = speaker.New(h.loop, *s.BGP, log)
 	}
@@ -214,7 +214,7 @@
 	}
 }
 
-func (h *Host) tell(e custody.Event)   { h.told = append(h.told, e) }
+func (h *Host) tell(e reconcile.Event) { h.told = append(h.told, e) }
 func (h *Host) feed(e scheduler.Event) { h.events = append(h.events, e) }
 
 // turn hands over what came in and carries out what is decided.
@@ -287,69 +287,69 @@
 }
 
 // see does what custody wants done.
-func (h *Host) see(a custody.Action) {
+func (h *Host) see(a reconcile.Action) {
 	switch a := a.(type) {
-	case custody.Dismiss:
+	case reconcile.Dismiss:
 		if o := h.owners[a.Caller]; o != nil {
 			o.drop(a.Why)
 		}
-	case custody.Pass:
+	case reconcile.Pass:
 		h.take(a)
-	case custody.Refuse:
+	case reconcile.Refuse:
 		h.turnAway(a)
-	case custody.Stands:
+	case reconcile.Stands:
 		h.send(a.Caller, &link.Answer{Container: string(a.ID), Verdict: link.Placed, Machine: string(a.Machine),
 			Text: "it runs already"})
 		if c := h.open[a.As]; c != nil { // who asked last hears its fate
 			c.owner, c.heardAs = h.owners[a.Caller], string(a.ID)
 		}
-	case custody.Cease:
+	case reconcile.Cease:
 		h.cease(a)
-	case custody.Absent:
+	case reconcile.Absent:
 		h.send(a.Caller, &link.Answer{Container: string(a.ID), Verdict: link.PushedBack, Text: "nothing of it runs"})
-	case custody.Ceased:
+	case reconcile.Ceased:
 		h.send(a.Caller, &link.Answer{Container: string(a.ID), Verdict: link.GivenUp, Text: "cancelled"})
-	case custody.CallOff:
+	case reconcile.CallOff:
 		if m := h.machines[a.Machine]; m != nil && m.ready {
 			m.write(&link.Withdraw{Life: a.Life, Bid: a.Bid})
 		}
-	case custody.Adopt:
+	case reconcile.Adopt:
 		h.adopt(a.Held)
-	case custody.Lost:
+	case reconcile.Lost:
 		if c := h.open[a.ID]; c != nil && c.bid != nil && c.bid.placed {
 			if !a.Sure { // behind a cut it may run on
 				h.unheard(c.bid)
 			}
 			h.over(c.bid, scheduler.Ended{Outcome: scheduler.Reset, Over: true})
 		}
-	case custody.Reach:
+	case reconcile.Reach:
 		if m := h.machines[a.Machine]; m != nil {
 			h.reach(m)
 		} else {
-			h.tell(custody.NoLink{Machine: a.Machine})
+			h.tell(reconcile.NoLink{Machine: a.Machine})
 		}
-	case custody.Sure:
+	case reconcile.Sure:
 		if h.routes != nil {
 			h.routes.Whole()
 		}
-	case custody.ToldAll:
+	case reconcile.ToldAll:
 		if h.state != nil {
 			h.state.life = h.state.life.Sure()
 			h.state.changes = append(h.state.changes, h.state.lifeChange())
 		}
-	case custody.Settled:
+	case reconcile.Settled:
 		if h.state != nil {
 			h.state.drop(BidKind, bidKey(a.Held.Bid))
 		}
-	case custody.Wake:
-		h.loop.After(loop.Tick(a.After), func() { h.tell(custody.Woke{}) })
-	case custody.Log:
+	case reconcile.Wake:
+		h.loop.After(loop.Tick(a.After), func() { h.tell(reconcile.Woke{}) })
+	case reconcile.Log:
 		h.log.Info("custody", "text", a.Text)
 	}
 }
 
 // take hands a container that the door lets in to the placer module.
-func (h *Host) take(a custody.Pass) {
+func (h *Host) take(a reconcile.Pass) {
 	h.open[a.Ask.ID] = &container{ask: a.Ask, owner: h.owners[a.Caller], heardAs: string(a.Ask.ID), came: h.asking[a.Ask.ID],
 		window: link.Span(h.site.Terms.Workloads[a.Ask.Workload].Window)}
 	h.feed(scheduler.Asked{Ask: a.Ask})
@@ -452,7 +452,7 @@
 
 // unheard leaves it to custody when the log may forget a bid.
 func (h *Host) unheard(b *bid) {
-	h.tell(custody.Unheard{Held: b.held()})
+	h.tell(reconcile.Unheard{Held: b.held()})
 	b.logged = false
 }
 
@@ -506,7 +506,7 @@
 
 func (h *Host) close(c *container) {
 	delete(h.open, c.ask.ID)
-	h.tell(custody.Ended{ID: c.ask.ID})
+	h.tell(reconcile.Ended{ID: c.ask.ID})
 }
 
 // answer gives an owner the final answer.
@@ -521,7 +521,7 @@
 	if c.owner != nil {
 		c.owner.write(a)
 	}
-	h.tell(custody.Answered{ID: id})
+	h.tell(reconcile.Answered{ID: id})
 	if c.bid == nil {
 		h.close(c)
 	}
@@ -534,9 +534,9 @@
 	b.timer, b.placed = nil, true
 	h.meter.running++
 	h.route(b, true)
-	h.tell(custody.Placed{ID: c.ask.ID, Machine: b.at.id, Bid: b.number})
+	h.tell(reconcile.Placed{ID: c.ask.ID, Machine: b.at.id, Bid: b.number})
 	if c.answered { // too late for its owner: what runs stays known until it ends
-		h.tell(custody.LateYes{Held: b.held()})
+		h.tell(reconcile.LateYes{Held: b.held()})
 		return
 	}
 	c.answered = true
@@ -547,12 +547,12 @@
 	}
 }
 
-func (b *bid) held() custody.Held {
-	return custody.Held{Ask: b.c.ask, Machine: b.at.id, Life: b.life, Bid: b.number, Running: true}
+func (b *bid) held() reconcile.Held {
+	return reconcile.Held{Ask: b.c.ask, Machine: b.at.id, Life: b.life, Bid: b.number, Running: true}
 }
 
 // adopt takes over a container that runs.
-func (h *Host) adopt(held custody.Held) {
+func (h *Host) adopt(held reconcile.Held) {
 	m := h.machines[held.Machine]
 	if m == nil || h.open[held.Ask.ID] != nil {
 		return
--- a/internal/schedulerd/list.go
+++ b/internal/schedulerd/list.go
@@ -4,9 +4,9 @@
 	"errors"
 	"fmt"
 
-	"glenport/internal/custody"
 	"glenport/internal/link"
 	"glenport/internal/loop"
+	"glenport/internal/schedulerd/reconcile"
 	"glenport/scheduler"
 )
 
@@ -152,7 +152,7 @@
 			m.gone = true
 		}
 		if m.gone {
-			h.tell(custody.Unnamed{Machine: id})
+			h.tell(reconcile.Unnamed{Machine: id})
 			m.settle()
 		}
 	}
@@ -163,7 +163,7 @@
 			h.state.started(m)
 		}
 	}
-	h.tell(custody.Named{Machines: ids, Whole: mode == scheduler.WholeList})
+	h.tell(reconcile.Named{Machines: ids, Whole: mode == scheduler.WholeList})
 	h.list.held.merge(mode, version, entries)
 }
 
--- a/internal/schedulerd/machine.go
+++ b/internal/schedulerd/machine.go
@@ -4,9 +4,9 @@
 	"errors"
 	"fmt"
 
-	"glenport/internal/custody"
 	"glenport/internal/link"
 	"glenport/internal/loop"
+	"glenport/internal/schedulerd/reconcile"
 	"glenport/scheduler"
 )
 
@@ -132,9 +132,9 @@
 	}
 	clear(m.late) // what it runs it will say when the link stands again
 	if was {
-		m.h.tell(custody.Broke{Machine: m.id})
+		m.h.tell(reconcile.Broke{Machine: m.id})
 	} else {
-		m.h.tell(custody.NoLink{Machine: m.id, Short: short})
+		m.h.tell(reconcile.NoLink{Machine: m.id, Short: short})
 	}
 	m.settle()
 }
@@ -255,10 +255,10 @@
 	if m.ready {
 		return fmt.Errorf("says twice what it holds")
 	}
-	e := custody.Holds{Machine: m.id}
+	e := reconcile.Holds{Machine: m.id}
 	for _, k := range f.Held {
 		w := &k.Work
-		e.Held = append(e.Held, custody.Held{Machine: m.id, Life: k.Life, Bid: k.Bid, Running: k.Running,
+		e.Held = append(e.Held, reconcile.Held{Machine: m.id, Life: k.Life, Bid: k.Bid, Running: k.Running,
 			Ask: scheduler.Ask{ID: scheduler.ContainerID(w.Container), Key: w.Key, Service: w.Service, Workload: w.Workload,
 				Customer: w.Customer, Cores: w.Cores, Memory: w.Memory, Life: scheduler.Time(w.RunFor), Again: w.Again}})
 	}
@@ -294,7 +294,7 @@
 	if ask, ok := m.late[f.Bid]; ok {
 		delete(m.late, f.Bid)
 		m.h.meter.outcome("late yes")
-		m.h.tell(custody.LateYes{Held: custody.Held{Ask: ask, Machine: m.id, Life: m.h.life, Bid: f.Bid, Running: true}})
+		m.h.tell(reconcile.LateYes{Held: reconcile.Held{Ask: ask, Machine: m.id, Life: m.h.life, Bid: f.Bid, Running: true}})
 	}
 }
 
@@ -303,7 +303,7 @@
 	if b == nil {
 		if ask, ok := m.late[f.Bid]; ok {
 			delete(m.late, f.Bid)
-			m.h.tell(custody.Told{Held: custody.Held{Ask: ask, Machine: m.id, Life: m.h.life, Bid: f.Bid}})
+			m.h.tell(reconcile.Told{Held: reconcile.Held{Ask: ask, Machine: m.id, Life: m.h.life, Bid: f.Bid}})
 		}
 		return
 	}
--- a/internal/custody/custody.go
+++ b/internal/schedulerd/reconcile/custody.go
@@ -1,8 +1,8 @@
-// Package custody decides what a placer takes in at its door, and what becomes of containers that run, or may
+// Package reconcile decides what a placer takes in at its door, and what becomes of containers that run, or may
 // run, outside the ordinary path of a bid: after a restart of the placer, a broken link, a time-out, or when
 // an owner asks again for what runs already. It is pure: Handle takes what happened and returns what is to be
 // done. Which machine a container goes to is the placer module's business alone.
-package custody
+package reconcile
 
 import (
 	"fmt"
--- a/internal/custody/golden_test.go
+++ b/internal/schedulerd/reconcile/golden_test.go
@@ -1,4 +1,4 @@
-package custody
+package reconcile
 
 import (
 	"fmt"
--- a/internal/schedulerd/state.go
+++ b/internal/schedulerd/state.go
@@ -6,11 +6,11 @@
 	"slices"
 	"sync"
 
-	"glenport/internal/custody"
 	"glenport/internal/disk"
 	"glenport/internal/link"
 	"glenport/internal/recall"
 	"glenport/internal/recovery"
+	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/store"
 	"glenport/scheduler"
 
@@ -37,10 +37,10 @@
 	kept    *Knowledge
 	sent    []recall.Sent
 	ledger  *recall.Ledger
-	later   []recall.Sent  // to starts that no list has told yet; emptied when it does, or after two windows
-	since   scheduler.Time // from then on all that was sent to cold machines is known
-	bids    []custody.Held // of earlier lives, without an end
-	changes []store.Change // of this turn
+	later   []recall.Sent    // to starts that no list has told yet; emptied when it does, or after two windows
+	since   scheduler.Time   // from then on all that was sent to cold machines is known
+	bids    []reconcile.Held // of earlier lives, without an end
+	changes []store.Change   // of this turn
 	durable bool
 	then    []func(error)
 	owed    []store.Change // ends of bids that the disk did not take; tried again with the next saving
@@ -101,7 +101,7 @@
 		return err
 	}
 	if err = from.Each(BidKind, func(_ string, v []byte) error {
-		var held custody.Held
+		var held reconcile.Held
 		err := cbor.Unmarshal(v, &held)
 		s.bids = append(s.bids, held)
 		return err
@@ -138,7 +138,7 @@
 	h := s.h
 	now := stamp(scheduler.Time(h.loop.Now()))
 	for _, b := range s.bids {
-		h.tell(custody.Logged{Held: b})
+		h.tell(reconcile.Logged{Held: b})
 	}
 	s.begun = true
 	kept := recall.Kept{Life: s.before, Sent: s.sent}
--- a/internal/schedulerd/waiting_test.go
+++ b/internal/schedulerd/waiting_test.go
@@ -4,9 +4,9 @@
 	"net"
 	"testing"
 
-	"glenport/internal/custody"
 	"glenport/internal/link"
 	"glenport/internal/loop"
+	"glenport/internal/schedulerd/reconcile"
 	"glenport/scheduler"
 )
 
@@ -65,7 +65,7 @@
 			if tc.change != nil && tc.change.Machine == "b" { // it holds what an earlier life of the placer began
 				on1(r.h, func() bool {
 					r.h.learn(scheduler.Changes, 2, []link.Entry{{Machine: "b", Addr: "127.0.0.1:1", Incarnation: 1, Age: -1}})
-					r.h.tell(custody.Holds{Machine: "b", Held: []custody.Held{{Machine: "b", Life: 1, Bid: 1, Running: true,
+					r.h.tell(reconcile.Holds{Machine: "b", Held: []reconcile.Held{{Machine: "b", Life: 1, Bid: 1, Running: true,
 						Ask: scheduler.Ask{ID: "o", Key: "k-o", Service: "s"}}}})
 					return true
 				})
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -7,8 +7,8 @@
 	"net/netip"
 	"os"
 
-	"glenport/internal/custody"
 	"glenport/internal/loop"
+	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/settings"
 	"glenport/scheduler"
 )
@@ -22,7 +22,7 @@
 	Keep      string // an earlier version's file of the last list, read once
 	Metrics   string // where to be scraped; nowhere where empty
 	Terms     scheduler.Terms
-	Bounds    custody.Bounds
+	Bounds    reconcile.Bounds
 	Output    int // bytes that may wait on one link
 	Connect   loop.Tick
 	Idle      loop.Tick
@@ -214,7 +214,7 @@
 	}
 	m := &f.Machines
 	p := &Placer{Name: f.Name.Text, Door: c.address(f.Door), ListAddr: c.address(f.List.Address), State: f.State.Text, Keep: f.Keep.Text,
-		Bounds: custody.Bounds{Callers: c.some(f.Bounds.Owners), Open: c.some(f.Bounds.Open),
+		Bounds: reconcile.Bounds{Callers: c.some(f.Bounds.Owners), Open: c.some(f.Bounds.Open),
 			OpenPerCaller: c.some(f.Bounds.OpenPerOwner)},
 		Damped: f.Bounds.Narrow.Value, Output: int(f.Links.Output.GiB * (1 << 30)),
 		Connect: loop.Tick(c.lasting(f.Links.Connect)), Idle: loop.Tick(c.lasting(f.Links.Idle)),
