--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -14,7 +14,7 @@
 	"glenport/internal/keeper"
 	"glenport/internal/link"
 	"glenport/internal/loop"
-	"glenport/internal/recovery"
+	"glenport/internal/schedulerd/recovery"
 	"glenport/internal/site"
 	"glenport/internal/store"
 	"glenport/internal/waiting"
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"strings"
 
-	"glenport/internal/recovery"
+	"glenport/internal/schedulerd/recovery"
 	"glenport/scheduler"
 )
 
--- a/internal/recall/golden_test.go
+++ b/internal/recall/golden_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"glenport/internal/golden"
-	"glenport/internal/recovery"
+	"glenport/internal/schedulerd/recovery"
 	"glenport/scheduler"
 )
 
--- a/internal/recall/recall.go
+++ b/internal/recall/recall.go
@@ -8,7 +8,7 @@
 	"math"
 	"sort"
 
-	"glenport/internal/recovery"
+	"glenport/internal/schedulerd/recovery"
 	"glenport/scheduler"
 )
 
--- a/internal/recall/recall_test.go
+++ b/internal/recall/recall_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"glenport/internal/recovery"
+	"glenport/internal/schedulerd/recovery"
 	"glenport/scheduler"
 )
 
--- a/internal/schedulerd/reconcile/custody.go
+++ b/internal/schedulerd/reconcile/custody.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"sort"
 
-	"glenport/internal/recovery"
+	"glenport/internal/schedulerd/recovery"
 	"glenport/internal/storm"
 	"glenport/scheduler"
 )
--- a/internal/schedulerd/reconcile/custody_test.go
+++ b/internal/schedulerd/reconcile/custody_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"glenport/internal/recovery"
+	"glenport/internal/schedulerd/recovery"
 	"glenport/scheduler"
 
 	"pgregory.net/rapid"
--- a/internal/schedulerd/state.go
+++ b/internal/schedulerd/state.go
@@ -9,8 +9,8 @@
 	"glenport/internal/disk"
 	"glenport/internal/link"
 	"glenport/internal/recall"
-	"glenport/internal/recovery"
 	"glenport/internal/schedulerd/reconcile"
+	"glenport/internal/schedulerd/recovery"
 	"glenport/internal/store"
 	"glenport/scheduler"
 
