--- a/internal/lab/sim.go
+++ b/internal/lab/sim.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"sort"
 
-	"glenport/internal/storm"
+	"glenport/internal/schedulerd/overload"
 	"glenport/scheduler"
 )
 
@@ -127,7 +127,7 @@
 	terms  scheduler.Terms
 	life   int
 	module *scheduler.Placer
-	door   *storm.Door
+	door   *overload.Door
 	open   map[scheduler.ContainerID]*simOpen
 }
 
@@ -272,8 +272,8 @@
 		w.Kept++
 	}
 	if p.door != nil {
-		for _, a := range p.door.Handle(w.now, storm.Asked{Client: c.client, Workload: c.work, Again: c.tries > 1}) {
-			if s, ok := a.(storm.Shed); ok {
+		for _, a := range p.door.Handle(w.now, overload.Asked{Client: c.client, Workload: c.work, Again: c.tries > 1}) {
+			if s, ok := a.(overload.Shed); ok {
 				w.second(c).Shed++
 				c.due = !c.ignore
 				w.back(c, s.HoldOff)
@@ -315,12 +315,12 @@
 	p.life++
 	p.module, p.open = scheduler.New(p.terms), map[scheduler.ContainerID]*simOpen{}
 	if w.Damping == Damped {
-		s := storm.Terms{Seed: p.terms.Seed, Most: 1_000_000}
+		s := overload.Terms{Seed: p.terms.Seed, Most: 1_000_000}
 		for _, x := range p.terms.Workloads {
-			s.Workloads = append(s.Workloads, storm.Workload{Agreed: x.Agreed, Gain: x.Gain})
+			s.Workloads = append(s.Workloads, overload.Workload{Agreed: x.Agreed, Gain: x.Gain})
 		}
 		old := p.door
-		if p.door = storm.New(s); old != nil && !w.Forget {
+		if p.door = overload.New(s); old != nil && !w.Forget {
 			p.door.Recall(old.Knows(), 0.9)
 		}
 	}
@@ -390,7 +390,7 @@
 	}
 	o.answered = true
 	if p.door != nil {
-		p.door.Handle(p.w.now, storm.Failed{Workload: o.c.work})
+		p.door.Handle(p.w.now, overload.Failed{Workload: o.c.work})
 	}
 	if o.bid == nil {
 		delete(p.open, id)
@@ -528,7 +528,7 @@
 	took := w.now - o.asked
 	b.p.feed(scheduler.Placed{ID: b.id, Bid: o.bids - 1, Machine: m.id, Took: took})
 	if b.p.door != nil {
-		b.p.door.Handle(w.now, storm.Started{Workload: o.c.work, Took: took})
+		b.p.door.Handle(w.now, overload.Started{Workload: o.c.work, Took: took})
 	}
 	if took <= w.terms.Workloads[o.c.work].Agreed {
 		w.second(o.c).InTime++
--- a/internal/schedulerd/export.go
+++ b/internal/schedulerd/export.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 
 	"glenport/internal/recall"
-	"glenport/internal/storm"
+	"glenport/internal/schedulerd/overload"
 	"glenport/scheduler"
 )
 
@@ -19,7 +19,7 @@
 		ListIs    int64                          `json:"ListIs"`
 		Entries   []entryRecord                  `json:"Entries"`
 		AtAnOrder bool                           `json:"AtAnOrder"`
-		Door      *storm.Known                   `json:"Door"`
+		Door      *overload.Known                `json:"Door"`
 	}
 
 	exportedLearned struct {
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -18,10 +18,10 @@
 	"glenport/internal/disk"
 	"glenport/internal/link"
 	"glenport/internal/recall"
+	"glenport/internal/schedulerd/overload"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/schedulerd/recovery"
 	"glenport/internal/store"
-	"glenport/internal/storm"
 	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
@@ -86,7 +86,7 @@
 		ListIs:    301,
 		Entries:   []entryRecord{recordOfEntry(goldenEntries[0]), recordOfEntry(goldenEntries[1])},
 		AtAnOrder: true,
-		Door:      &storm.Known{Limit: 91.5, Pace: 92.5, Slow: []float64{0.71, 0.72}, Calm: []float64{0.81, 0.82}},
+		Door:      &overload.Known{Limit: 91.5, Pace: 92.5, Slow: []float64{0.71, 0.72}, Calm: []float64{0.81, 0.82}},
 	}
 }
 
--- a/internal/schedulerd/host.go
+++ b/internal/schedulerd/host.go
@@ -11,11 +11,11 @@
 	"glenport/internal/announce"
 	"glenport/internal/link"
 	"glenport/internal/loop"
+	"glenport/internal/schedulerd/overload"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/schedulerd/recovery"
 	"glenport/internal/site"
 	"glenport/internal/speaker"
-	"glenport/internal/storm"
 	"glenport/scheduler"
 )
 
@@ -101,11 +101,11 @@
 		tookOver: map[string]int{}}
 	h.lastBid = h.life // bid numbers are unique over all lives
 	var effects []scheduler.Effect
-	var calm []storm.Workload
+	var calm []overload.Workload
 	for _, w := range s.Terms.Workloads {
 		effects = append(effects, w.Effect)
 		if s.Damped {
-			calm = append(calm, storm.Workload{Agreed: w.Agreed, Gain: w.Gain})
+			calm = append(calm, overload.Workload{Agreed: w.Agreed, Gain: w.Gain})
 		}
 	}
 	h.meter.init()
--- a/internal/storm/golden_test.go
+++ b/internal/schedulerd/overload/golden_test.go
@@ -1,4 +1,4 @@
-package storm
+package overload
 
 import (
 	"fmt"
--- a/internal/storm/storm.go
+++ b/internal/schedulerd/overload/storm.go
@@ -1,11 +1,11 @@
-// Package storm decides what a door takes while more comes than can be served, and when those whom it turns away
+// Package overload decides what a door takes while more comes than can be served, and when those whom it turns away
 // should come back. In calm it takes all and costs a few additions. It is pure.
 //
 // What it guards against is load that keeps itself alive: work waits behind other work until its hard stop, is done all
 // the same, and is asked for again. So what cannot be started in time is turned away at once, at the door; what came
 // before gets a share of what comes anew and no more; and whoever is turned away gets an appointment, one after
 // another at the pace at which work is really done, so that those who obey return in a line and not in a heap.
-package storm
+package overload
 
 import (
 	"fmt"
--- a/internal/schedulerd/reconcile/custody.go
+++ b/internal/schedulerd/reconcile/custody.go
@@ -8,8 +8,8 @@
 	"fmt"
 	"sort"
 
+	"glenport/internal/schedulerd/overload"
 	"glenport/internal/schedulerd/recovery"
-	"glenport/internal/storm"
 	"glenport/scheduler"
 )
 
@@ -207,7 +207,7 @@
 	effects []scheduler.Effect
 	now     scheduler.Time
 	round   *recovery.Round // what waits for a machine's word
-	storm   *storm.Door     // what is turned away because more comes than can be served
+	storm   *overload.Door  // what is turned away because more comes than can be served
 	out     []Action
 
 	own     map[scheduler.ContainerID]*container
@@ -243,10 +243,10 @@
 
 // New begins a life; log is how much is known of the bids of earlier ones. With agreed times for the workloads the door
 // narrows when starts become slow.
-func New(life uint64, b Bounds, effects []scheduler.Effect, log recovery.Log, calm []storm.Workload) *Table {
-	var door *storm.Door
+func New(life uint64, b Bounds, effects []scheduler.Effect, log recovery.Log, calm []overload.Workload) *Table {
+	var door *overload.Door
 	if len(calm) > 0 {
-		door = storm.New(storm.Terms{Seed: life, Workloads: calm, Most: b.Open})
+		door = overload.New(overload.Terms{Seed: life, Workloads: calm, Most: b.Open})
 	}
 	return &Table{life: life, bounds: b, effects: effects, round: recovery.NewRound(log, effects), storm: door, own: map[scheduler.ContainerID]*container{},
 		keys: map[string]*container{}, at: map[scheduler.MachineID]map[*container]bool{},
@@ -271,7 +271,7 @@
 			t.looked(e)
 		case Answered:
 			if c := t.own[e.ID]; c != nil {
-				t.shut(c, storm.Failed{Workload: c.workload})
+				t.shut(c, overload.Failed{Workload: c.workload})
 			}
 		case Placed:
 			t.placed(e)
@@ -397,12 +397,12 @@
 		return false
 	}
 	client := fmt.Sprint(e.Caller, "/", e.Ask.Customer)
-	for _, a := range t.storm.Handle(t.now, storm.Asked{Client: client, Workload: e.Ask.Workload, Again: e.Ask.Again}) {
+	for _, a := range t.storm.Handle(t.now, overload.Asked{Client: client, Workload: e.Ask.Workload, Again: e.Ask.Again}) {
 		switch a := a.(type) {
-		case storm.Shed:
+		case overload.Shed:
 			t.do(Refuse{e.Caller, e.Ask.ID, "storm: " + a.Why.String(), a.HoldOff})
 			turned = true
-		case storm.Mode:
+		case overload.Mode:
 			t.do(Log{a.Text})
 		}
 	}
@@ -424,7 +424,7 @@
 }
 
 // shut notes that a container's final answer is out.
-func (t *Table) shut(c *container, how storm.Event) {
+func (t *Table) shut(c *container, how overload.Event) {
 	if !c.open {
 		return
 	}
@@ -443,7 +443,7 @@
 	if c == nil {
 		return
 	}
-	t.shut(c, storm.Started{Workload: c.workload, Took: t.now - c.since})
+	t.shut(c, overload.Started{Workload: c.workload, Took: t.now - c.since})
 	t.run(c, e.Machine, t.life, e.Bid)
 	if c.late != nil { // its earlier bid ran after all: one copy is enough
 		t.callOff(*c.late)
@@ -464,7 +464,7 @@
 	if c == nil {
 		return
 	}
-	t.shut(c, storm.Failed{Workload: c.workload})
+	t.shut(c, overload.Failed{Workload: c.workload})
 	delete(t.own, id)
 	if t.keys[c.key] == c {
 		delete(t.keys, c.key)
@@ -643,4 +643,4 @@
 func (t *Table) Doubts() int { return t.round.Doubts() }
 
 // Door is what is turned away because more comes than can be served; nil where nothing is.
-func (t *Table) Door() *storm.Door { return t.storm }
+func (t *Table) Door() *overload.Door { return t.storm }
--- a/internal/schedulerd/reconcile/golden_test.go
+++ b/internal/schedulerd/reconcile/golden_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"glenport/internal/golden"
+	"glenport/internal/schedulerd/overload"
 	"glenport/internal/schedulerd/recovery"
-	"glenport/internal/storm"
 	"glenport/scheduler"
 )
 
@@ -213,13 +213,13 @@
 
 func TestActionsMatchRecordedDigests(t *testing.T) {
 	wide := Bounds{Callers: 4, Open: 1000, OpenPerCaller: 100}
-	calm := []storm.Workload{{Agreed: 100 * scheduler.Millisecond, Gain: 1}, {Agreed: scheduler.Second, Gain: 2}, {Agreed: scheduler.Second, Gain: 4}}
+	calm := []overload.Workload{{Agreed: 100 * scheduler.Millisecond, Gain: 1}, {Agreed: scheduler.Second, Gain: 2}, {Agreed: scheduler.Second, Gain: 4}}
 	var lines []string
 	for i, group := range []struct {
 		name   string
 		bounds Bounds
 		log    recovery.Log
-		calm   []storm.Workload
+		calm   []overload.Workload
 		ids    int
 	}{
 		{"no log", wide, recovery.NoLog, nil, 30},
--- a/internal/schedulerd/records.go
+++ b/internal/schedulerd/records.go
@@ -3,7 +3,7 @@
 import (
 	"glenport/internal/link"
 	"glenport/internal/recall"
-	"glenport/internal/storm"
+	"glenport/internal/schedulerd/overload"
 	"glenport/scheduler"
 )
 
@@ -19,7 +19,7 @@
 	ListIs    int64                          `cbor:"ListIs"` // version of the list
 	Entries   []entryRecord                  `cbor:"Entries"`
 	AtAnOrder bool                           `cbor:"AtAnOrder"` // written at an orderly end
-	Door      *storm.Known                   `cbor:"Door"`
+	Door      *overload.Known                `cbor:"Door"`
 }
 
 // entryRecord is a stored link.Entry. In CBOR it is an array, so the order of the fields is part of the format; JSON is
