--- a/internal/schedulerd/export.go
+++ b/internal/schedulerd/export.go
@@ -3,8 +3,8 @@
 import (
 	"encoding/json"
 
-	"glenport/internal/recall"
 	"glenport/internal/schedulerd/overload"
+	"glenport/internal/schedulerd/warmstart"
 	"glenport/scheduler"
 )
 
@@ -12,7 +12,7 @@
 // other programs, so that its names are fixed here, apart from those of the code.
 type (
 	exportedSnapshot struct {
-		At        recall.Stamp                   `json:"At"`
+		At        warmstart.Stamp                `json:"At"`
 		Names     []string                       `json:"Names"`
 		Learned   exportedLearned                `json:"Learned"`
 		Starts    map[scheduler.MachineID]uint64 `json:"Starts"`
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -17,10 +17,10 @@
 
 	"glenport/internal/disk"
 	"glenport/internal/link"
-	"glenport/internal/recall"
 	"glenport/internal/schedulerd/overload"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/schedulerd/recovery"
+	"glenport/internal/schedulerd/warmstart"
 	"glenport/internal/store"
 	"glenport/scheduler"
 
@@ -57,12 +57,12 @@
 	{Ask: goldenRequest(4, "four"), Machine: "machine-four", Life: 104, Bid: 0x1122334455667788, Running: true},
 }
 
-var goldenSends = []recall.Sent{
+var goldenSends = []warmstart.Sent{
 	{Machine: "machine-five", Start: 205, Times: []scheduler.Time{3001, 3002, 3003}},
 	{Machine: "machine-six", Start: 206, Times: []scheduler.Time{3004}},
 }
 
-var goldenIncarnation = recall.Life{Whole: recall.Stamp{Clock: 17_000_000_000_001, Up: 17_000_002, Boot: "boot-of-the-record"}, Log: recovery.Synced}
+var goldenIncarnation = warmstart.Life{Whole: warmstart.Stamp{Clock: 17_000_000_000_001, Up: 17_000_002, Boot: "boot-of-the-record"}, Log: recovery.Synced}
 
 var goldenEntries = []link.Entry{
 	{Machine: "machine-seven", Addr: "127.0.0.7:7007", Zone: 31, Kind: 32, Cell: 33, State: link.Draining, FreeCores: 34.5, FreeMemory: 35.5,
@@ -74,7 +74,7 @@
 // There is one entry in the map: the order in which several are encoded is random.
 func goldenSnapshot() *Knowledge {
 	return &Knowledge{
-		At:    recall.Stamp{Clock: 17_000_000_000_101, Up: 17_000_102, Boot: "boot-of-the-file"},
+		At:    warmstart.Stamp{Clock: 17_000_000_000_101, Up: 17_000_102, Boot: "boot-of-the-file"},
 		Names: []string{"class-a", "class-b", "tenant-a"},
 		Learned: scheduler.Knowledge{
 			Machines: []scheduler.Learned{{Machine: "machine-seven", Started: 4001, Sick: 5.25, RestUntil: 4002, Rest: 4003, ShutUntil: 4004,
@@ -120,7 +120,7 @@
 			s.put(BidKind, bidKey(b.number), b.held())
 		}
 		for _, sent := range goldenSends {
-			s.put(SentKind, string(sent.Machine), recall.Sent{Machine: sent.Machine, Start: 1, Times: []scheduler.Time{1}})
+			s.put(SentKind, string(sent.Machine), warmstart.Sent{Machine: sent.Machine, Start: 1, Times: []scheduler.Time{1}})
 		}
 	})
 	d, err := disk.Open(path)
@@ -264,7 +264,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Knowledge{At: recall.Stamp{Clock: 17_000_000_000_201}, ListIs: 302, Entries: goldenSnapshot().Entries}
+	want := &Knowledge{At: warmstart.Stamp{Clock: 17_000_000_000_201}, ListIs: 302, Entries: goldenSnapshot().Entries}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, want %+v", got, want)
 	}
--- a/internal/schedulerd/knowledge.go
+++ b/internal/schedulerd/knowledge.go
@@ -11,7 +11,7 @@
 	"glenport/internal/disk"
 	"glenport/internal/link"
 	"glenport/internal/loop"
-	"glenport/internal/recall"
+	"glenport/internal/schedulerd/warmstart"
 	"glenport/internal/store"
 	"glenport/scheduler"
 
@@ -35,8 +35,8 @@
 }
 
 // stamp reads the clocks.
-func stamp(clock scheduler.Time) recall.Stamp {
-	s := recall.Stamp{Clock: clock}
+func stamp(clock scheduler.Time) warmstart.Stamp {
+	s := warmstart.Stamp{Clock: clock}
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) == nil {
 		s.Up = scheduler.Time(t.Nano() / 100_000)
@@ -86,7 +86,7 @@
 	if !ok {
 		return nil, fmt.Errorf("%s holds a %T", path, f)
 	}
-	k := &Knowledge{At: recall.Stamp{Clock: scheduler.Time(binary.BigEndian.Uint64(data))}, ListIs: listed.Version}
+	k := &Knowledge{At: warmstart.Stamp{Clock: scheduler.Time(binary.BigEndian.Uint64(data))}, ListIs: listed.Version}
 	for _, e := range listed.Entries {
 		k.Entries = append(k.Entries, recordOfEntry(e))
 	}
@@ -95,9 +95,9 @@
 
 // aged gives the entries of a kept list as they stand now. A machine whose age is not known counts as just started:
 // it is then spared as a cold one.
-func (k *Knowledge) aged(now recall.Stamp) []link.Entry {
+func (k *Knowledge) aged(now warmstart.Stamp) []link.Entry {
 	since := now.From(k.At)
-	if since.Age >= 0 && recall.Weight(recall.List, since.Age) == 0 {
+	if since.Age >= 0 && warmstart.Weight(warmstart.List, since.Age) == 0 {
 		return nil
 	}
 	var all []link.Entry
--- a/internal/schedulerd/records.go
+++ b/internal/schedulerd/records.go
@@ -2,8 +2,8 @@
 
 import (
 	"glenport/internal/link"
-	"glenport/internal/recall"
 	"glenport/internal/schedulerd/overload"
+	"glenport/internal/schedulerd/warmstart"
 	"glenport/scheduler"
 )
 
@@ -12,7 +12,7 @@
 
 // Knowledge is what the file holds.
 type Knowledge struct {
-	At        recall.Stamp                   `cbor:"At"`
+	At        warmstart.Stamp                `cbor:"At"`
 	Names     []string                       `cbor:"Names"` // of workloads and customers, in the order of the terms
 	Learned   scheduler.Knowledge            `cbor:"Learned"`
 	Starts    map[scheduler.MachineID]uint64 `cbor:"Starts"`
--- a/internal/schedulerd/state.go
+++ b/internal/schedulerd/state.go
@@ -8,9 +8,9 @@
 
 	"glenport/internal/disk"
 	"glenport/internal/link"
-	"glenport/internal/recall"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/schedulerd/recovery"
+	"glenport/internal/schedulerd/warmstart"
 	"glenport/internal/store"
 	"glenport/scheduler"
 
@@ -32,12 +32,12 @@
 	h       *Host
 	dir     folder
 	log     *store.Store
-	life    recall.Life
-	before  recall.Life // what the folder said
+	life    warmstart.Life
+	before  warmstart.Life // what the folder said
 	kept    *Knowledge
-	sent    []recall.Sent
-	ledger  *recall.Ledger
-	later   []recall.Sent    // to starts that no list has told yet; emptied when it does, or after two windows
+	sent    []warmstart.Sent
+	ledger  *warmstart.Ledger
+	later   []warmstart.Sent // to starts that no list has told yet; emptied when it does, or after two windows
 	since   scheduler.Time   // from then on all that was sent to cold machines is known
 	bids    []reconcile.Held // of earlier lives, without an end
 	changes []store.Change   // of this turn
@@ -62,7 +62,7 @@
 // openState reads a folder and writes down that this life begins. What it cannot read or hold stops the start; a full disk
 // does not.
 func openState(h *Host) (*state, error) {
-	s := &state{h: h, ledger: recall.NewLedger(h.site.Terms.ColdFor, h.site.Terms.ColdWindow)}
+	s := &state{h: h, ledger: warmstart.NewLedger(h.site.Terms.ColdFor, h.site.Terms.ColdWindow)}
 	var err error
 	if s.dir, err = openFolder(h.site.State); err != nil {
 		return nil, err
@@ -109,7 +109,7 @@
 		return err
 	}
 	if err = from.Each(SentKind, func(_ string, v []byte) error {
-		var sent recall.Sent
+		var sent warmstart.Sent
 		err := cbor.Unmarshal(v, &sent)
 		s.sent = append(s.sent, sent)
 		return err
@@ -141,14 +141,14 @@
 		h.tell(reconcile.Logged{Held: b})
 	}
 	s.begun = true
-	kept := recall.Kept{Life: s.before, Sent: s.sent}
+	kept := warmstart.Kept{Life: s.before, Sent: s.sent}
 	var version int64
 	var entries []link.Entry
 	if k := s.kept; k != nil {
 		kept.At, kept.Knowledge, kept.Starts, kept.Names = k.At, k.Learned, k.Starts, k.Names
 		version, entries = k.ListIs, k.aged(now)
 		if d := h.custody.Door(); d != nil && k.Door != nil && slices.Equal(k.Names, h.names()) {
-			d.Recall(*k.Door, recall.Weight(recall.Door, now.From(k.At).Age))
+			d.Recall(*k.Door, warmstart.Weight(warmstart.Door, now.From(k.At).Age))
 		}
 		if len(entries) < len(k.Entries) {
 			h.log.Info("list of machines not used", "why", "it is too old", "machines", len(k.Entries))
@@ -160,11 +160,11 @@
 	if !ok {
 		return
 	}
-	machines, starts := map[scheduler.MachineID]recall.Machine{}, map[scheduler.MachineID]uint64{}
+	machines, starts := map[scheduler.MachineID]warmstart.Machine{}, map[scheduler.MachineID]uint64{}
 	for id, m := range h.machines {
 		machines[id], starts[id] = m.start(), m.incarnation
 	}
-	b := recall.Believe(now, kept, machines, h.names(), h.site.Terms.ColdWindow)
+	b := warmstart.Believe(now, kept, machines, h.names(), h.site.Terms.ColdWindow)
 	l.Recall(b.Knowledge)
 	s.later, s.since = b.Later, b.Knowledge.SentSince
 	s.ledger.Carry(b, starts)
@@ -176,7 +176,7 @@
 	}
 	for _, m := range b.Knowledge.Machines {
 		if len(m.Cold) > 0 {
-			s.put(SentKind, string(m.Machine), recall.Sent{Machine: m.Machine, Start: starts[m.Machine], Times: m.Cold})
+			s.put(SentKind, string(m.Machine), warmstart.Sent{Machine: m.Machine, Start: starts[m.Machine], Times: m.Cold})
 		}
 	}
 	for _, text := range b.Said {
@@ -207,15 +207,15 @@
 	}
 }
 
-func (m *machine) start() recall.Machine {
-	return recall.Machine{Start: m.incarnation, Started: m.startedAt}
+func (m *machine) start() warmstart.Machine {
+	return warmstart.Machine{Start: m.incarnation, Started: m.startedAt}
 }
 
 // start is how a machine stands, where it is known.
-func (s *state) start(id scheduler.MachineID) (recall.Machine, bool) {
+func (s *state) start(id scheduler.MachineID) (warmstart.Machine, bool) {
 	m := s.h.machines[id]
 	if m == nil {
-		return recall.Machine{}, false
+		return warmstart.Machine{}, false
 	}
 	return m.start(), true
 }
--- a/internal/recall/golden_test.go
+++ b/internal/schedulerd/warmstart/golden_test.go
@@ -1,4 +1,4 @@
-package recall
+package warmstart
 
 import (
 	"fmt"
--- a/internal/recall/recall.go
+++ b/internal/schedulerd/warmstart/recall.go
@@ -1,7 +1,7 @@
-// Package recall decides what a placer that comes up believes of what an earlier life of it knew: each kind of
+// Package warmstart decides what a placer that comes up believes of what an earlier life of it knew: each kind of
 // knowledge counts for less with its age and for nothing beyond a bound, and what was sent to cold machines counts
 // only where it is known that nothing is missing. It is pure.
-package recall
+package warmstart
 
 import (
 	"fmt"
