--- a/internal/porter/golden_test.go
+++ b/internal/platform/connmanager/golden_test.go
@@ -1,4 +1,4 @@
-package porter
+package connmanager
 
 import (
 	"bytes"
--- a/internal/porter/porter.go
+++ b/internal/platform/connmanager/porter.go
@@ -1,7 +1,7 @@
-// Package porter decides on the connections of a placer: which callers at its door are let go or left waiting while
+// Package connmanager decides on the connections of a placer: which callers at its door are let go or left waiting while
 // descriptors are few, which of them is told that a container which stood is over, and how many links a machine may
 // have and for how long. It does no I/O and has no clock.
-package porter
+package connmanager
 
 import (
 	"cmp"
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -10,7 +10,7 @@
 
 	"glenport/internal/jsonline"
 	"glenport/internal/loop"
-	"glenport/internal/porter"
+	"glenport/internal/platform/connmanager"
 	"glenport/internal/vigil"
 	"glenport/scheduler"
 
@@ -209,21 +209,21 @@
 			best = l
 		}
 	}
-	if best != nil && (len(best.bids) == 0 || len(links) >= porter.MostLinks(m.p.d.Sockets, len(m.p.machines)) || !m.p.room()) {
+	if best != nil && (len(best.bids) == 0 || len(links) >= connmanager.MostLinks(m.p.d.Sockets, len(m.p.machines)) || !m.p.room()) {
 		return best
 	}
 	return m.reach()
 }
 
 // short tells whether there may be no more links. Each holds a descriptor, and callers and bus need theirs.
-func (p *Platform) short() bool { return p.links >= porter.AllLinks(p.d.Sockets) }
+func (p *Platform) short() bool { return p.links >= connmanager.AllLinks(p.d.Sockets) }
 
 // room tells whether a link may be opened; where there may be no more, one that carries nothing makes way.
 func (p *Platform) room() bool {
 	if !p.short() {
 		return true
 	}
-	if !porter.Bears(p.d.Sockets, p.loop.Conns()) {
+	if !connmanager.Bears(p.d.Sockets, p.loop.Conns()) {
 		return false
 	}
 	now, least := p.loop.Now(), 0
@@ -259,9 +259,9 @@
 }
 
 // state is what the porter is asked about.
-func (l *link) state(now loop.Tick, first bool) porter.Link {
-	return porter.Link{First: first, Stands: l.m.standing > 0, Here: l.stands > 0, Idle: porter.Time(now - l.usedAt),
-		Closes: porter.Time(l.m.p.d.IdleLinks)}
+func (l *link) state(now loop.Tick, first bool) connmanager.Link {
+	return connmanager.Link{First: first, Stands: l.m.standing > 0, Here: l.stands > 0, Idle: connmanager.Time(now - l.usedAt),
+		Closes: connmanager.Time(l.m.p.d.IdleLinks)}
 }
 
 // when runs do once the link stands.
--- a/internal/platform/owners.go
+++ b/internal/platform/owners.go
@@ -10,7 +10,7 @@
 
 	"glenport/internal/jsonline"
 	"glenport/internal/loop"
-	"glenport/internal/porter"
+	"glenport/internal/platform/connmanager"
 	"glenport/internal/vigil"
 	"glenport/scheduler"
 )
@@ -23,7 +23,7 @@
 // caller is one connection from owners.
 type caller struct {
 	p      *Platform
-	number porter.CallerID
+	number connmanager.CallerID
 	conn   *loop.Conn
 	lines  jsonline.Lines
 }
@@ -36,7 +36,7 @@
 func (k *caller) Opened(c *loop.Conn) {
 	k.conn = c
 	k.p.callers[k.number] = k
-	k.p.tell(porter.Came{Caller: k.number})
+	k.p.tell(connmanager.Came{Caller: k.number})
 }
 
 func (k *caller) Read(_ *loop.Conn, b []byte) {
@@ -45,14 +45,14 @@
 		k.conn.Close()
 		return
 	}
-	k.p.tell(porter.Heard{Caller: k.number, Half: k.lines.Half() > 0})
+	k.p.tell(connmanager.Heard{Caller: k.number, Half: k.lines.Half() > 0})
 }
 
 // Closed ends what was under way for a caller; what stands belongs to no connection.
 func (k *caller) Closed(*loop.Conn, error) {
 	p := k.p
 	delete(p.callers, k.number)
-	p.tell(porter.Left{Caller: k.number})
+	p.tell(connmanager.Left{Caller: k.number})
 	var left []*container
 	for _, c := range p.containers {
 		if c.caller == k {
@@ -103,14 +103,14 @@
 			}
 		}
 	case jsonline.Ended:
-		p.tell(porter.HeardOver{Call: m.Call, Caller: k.number})
+		p.tell(connmanager.HeardOver{Call: m.Call, Caller: k.number})
 	case jsonline.Test:
 		passed := jsonline.Passed
 		if p.leaving {
 			passed = jsonline.Failed
 		}
 		k.write(&jsonline.Message{Op: jsonline.Tested, Call: m.Call, Why: jsonline.Because(passed)})
-		p.tell(porter.Answered{Caller: k.number})
+		p.tell(connmanager.Answered{Caller: k.number})
 	}
 	return nil
 }
@@ -129,20 +129,20 @@
 		p.log.Debug("set-up turned away", "caller", k.number, "call", m.Call, "why", err)
 		if at == "" {
 			k.write(&jsonline.Message{Op: jsonline.End, Call: m.Call, Why: jsonline.Because(jsonline.Unreadable)})
-			p.tell(porter.Answered{Caller: k.number})
-			p.tell(porter.TurnedAway{Caller: k.number})
+			p.tell(connmanager.Answered{Caller: k.number})
+			p.tell(connmanager.TurnedAway{Caller: k.number})
 		}
 		return nil
 	}
 	if at != "" {
-		p.tell(porter.Named{Caller: k.number})
+		p.tell(connmanager.Named{Caller: k.number})
 		p.takeOver(k, ask, at)
 		return nil
 	}
 	c := &container{ask: ask, class: m.With["class"], idem: m.With["idem"], desc: slices.Clone(m.Desc), caller: k}
 	p.containers[ask.ID] = c
 	p.unanswered++
-	p.tell(porter.Asked{Caller: k.number})
+	p.tell(connmanager.Asked{Caller: k.number})
 	p.feed(scheduler.Asked{Ask: ask})
 	return nil
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -12,7 +12,7 @@
 
 	"glenport/internal/jsonline"
 	"glenport/internal/loop"
-	"glenport/internal/porter"
+	"glenport/internal/platform/connmanager"
 	"glenport/internal/vigil"
 	"glenport/scheduler"
 )
@@ -37,18 +37,18 @@
 	trace   bool
 
 	events     []scheduler.Event
-	porter     *porter.Porter
-	atDoor     []porter.Event // for the porter, at the end of the turn
+	porter     *connmanager.Porter
+	atDoor     []connmanager.Event // for the porter, at the end of the turn
 	vigil      *vigil.Vigil
 	seen       []vigil.Event                        // likewise
 	containers map[scheduler.ContainerID]*container // until answered, without a bid and over
 	machines   map[scheduler.MachineID]*machine     // until gone from the bus and empty
 	at         map[string]scheduler.MachineID       // which of them is at an address, until it is gone
-	callers    map[porter.CallerID]*caller          // until their connection ends
+	callers    map[connmanager.CallerID]*caller     // until their connection ends
 	bus        bus
 	scratch    []byte
 	lastProbe  uint64
-	lastCaller porter.CallerID
+	lastCaller connmanager.CallerID
 
 	unanswered int // containers that are owed an answer
 	links      int // connections to machines, also those that are being left
@@ -86,8 +86,8 @@
 // New makes a placer and opens its door. Run frees what it holds.
 func New(d *Deployment, decider Decider, log *slog.Logger, trace bool) (*Platform, error) {
 	p := &Platform{d: d, log: log, decider: decider, trace: trace, containers: map[scheduler.ContainerID]*container{},
-		machines: map[scheduler.MachineID]*machine{}, at: map[string]scheduler.MachineID{}, callers: map[porter.CallerID]*caller{},
-		porter: porter.New(d.Sockets), vigil: vigil.New()}
+		machines: map[scheduler.MachineID]*machine{}, at: map[string]scheduler.MachineID{}, callers: map[connmanager.CallerID]*caller{},
+		porter: connmanager.New(d.Sockets), vigil: vigil.New()}
 	p.bus = bus{p: p, addr: d.Bus, last: d.Last}
 	var err error
 	if p.loop, err = loop.New(p.turn); err != nil {
@@ -162,14 +162,14 @@
 
 func (p *Platform) feed(e scheduler.Event) { p.events = append(p.events, e) }
 
-func (p *Platform) tell(e porter.Event)  { p.atDoor = append(p.atDoor, e) }
-func (p *Platform) notice(e vigil.Event) { p.seen = append(p.seen, e) }
+func (p *Platform) tell(e connmanager.Event) { p.atDoor = append(p.atDoor, e) }
+func (p *Platform) notice(e vigil.Event)     { p.seen = append(p.seen, e) }
 
 func (p *Platform) turn() {
 	p.decide()
 	if told := p.atDoor; len(told) > 0 {
 		p.atDoor = nil
-		for _, a := range p.porter.Handle(porter.Time(p.loop.Now()), told) {
+		for _, a := range p.porter.Handle(connmanager.Time(p.loop.Now()), told) {
 			p.see(a)
 		}
 	}
@@ -184,25 +184,25 @@
 		return
 	}
 	// Here and nowhere else a leaving placer ends: all that was read has been acted on, and nothing is read before the exit.
-	if p.leaving && !porter.Stays(porter.Time(p.loop.Now()-p.leavingAt), p.unanswered, p.longest()) {
+	if p.leaving && !connmanager.Stays(connmanager.Time(p.loop.Now()-p.leavingAt), p.unanswered, p.longest()) {
 		p.log.Info("left", "standing", len(p.containers), "most connections", p.loop.MostConns())
 		p.loop.End()
 	}
 }
 
 // see does what the porter wants done.
-func (p *Platform) see(a porter.Action) {
+func (p *Platform) see(a connmanager.Action) {
 	switch a := a.(type) {
-	case porter.LetGo:
+	case connmanager.LetGo:
 		if k := p.callers[a.Caller]; k != nil {
 			p.log.Debug("caller let go", "caller", k.number, "why", a.Why)
 			k.conn.Close()
 		}
-	case porter.Tell:
+	case connmanager.Tell:
 		if k := p.callers[a.Caller]; k != nil {
 			k.write(&jsonline.Message{Op: jsonline.End, Call: a.Call, Why: jsonline.Because(a.Cause)})
 		}
-	case porter.Rest:
+	case connmanager.Rest:
 		if k := p.callers[a.Caller]; k != nil {
 			k.conn.Rest(true)
 			p.loop.After(loop.Tick(a.For), func() { k.conn.Rest(false) })
@@ -283,9 +283,9 @@
 	if c.caller != nil {
 		m.Call = string(id)
 		c.caller.write(m)
-		p.tell(porter.Answered{Caller: c.caller.number, Closed: 1})
+		p.tell(connmanager.Answered{Caller: c.caller.number, Closed: 1})
 		if m.Op == jsonline.Accept {
-			p.tell(porter.Proved{Caller: c.caller.number})
+			p.tell(connmanager.Proved{Caller: c.caller.number})
 		}
 	}
 	p.letOff(c)
@@ -310,7 +310,7 @@
 func (p *Platform) vanish(c *container) {
 	p.close(c)
 	if c.caller != nil {
-		p.tell(porter.TookBack{Caller: c.caller.number})
+		p.tell(connmanager.TookBack{Caller: c.caller.number})
 	}
 	p.feed(scheduler.Vanished{ID: c.ask.ID})
 	p.letOff(c)
@@ -354,7 +354,7 @@
 	if b.ended || cause == jsonline.Cancelled {
 		return
 	}
-	over := porter.Over{Call: string(c.ask.ID), Cause: cause}
+	over := connmanager.Over{Call: string(c.ask.ID), Cause: cause}
 	if c.caller != nil {
 		over.Caller = c.caller.number
 	}
@@ -364,21 +364,21 @@
 func (p *Platform) keepHouse() {
 	p.loop.After(houseEvery, p.keepHouse)
 	now := p.loop.Now()
-	p.tell(porter.Tick{})
+	p.tell(connmanager.Tick{})
 	p.notice(vigil.Tick{})
 	for _, id := range slices.Sorted(maps.Keys(p.machines)) {
 		p.machines[id].house(now)
 	}
 	p.bus.house(now)
-	if p.leaving && porter.Hurries(porter.Time(now-p.leavingAt), p.longest()) {
+	if p.leaving && connmanager.Hurries(connmanager.Time(now-p.leavingAt), p.longest()) {
 		p.hurry()
 	}
 }
 
 // longest is the longest hard stop of the terms.
-func (p *Platform) longest() (longest porter.Time) {
+func (p *Platform) longest() (longest connmanager.Time) {
 	for _, w := range p.d.Terms.Workloads {
-		longest = max(longest, porter.Time(w.HardStop))
+		longest = max(longest, connmanager.Time(w.HardStop))
 	}
 	return longest
 }
