--- a/internal/vigil/vigil.go
+++ b/internal/platform/failuredetector/vigil.go
@@ -1,6 +1,6 @@
-// Package vigil decides when what stands at a machine that has fallen silent is held to be lost. A machine that dies may
+// Package failuredetector decides when what stands at a machine that has fallen silent is held to be lost. A machine that dies may
 // say nothing at all, and the owners of what stood there are owed a word in time. It does no I/O and has no clock.
-package vigil
+package failuredetector
 
 import (
 	"cmp"
--- a/internal/vigil/vigil_test.go
+++ b/internal/platform/failuredetector/vigil_test.go
@@ -1,4 +1,4 @@
-package vigil
+package failuredetector
 
 import (
 	"fmt"
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -11,7 +11,7 @@
 	"glenport/internal/jsonline"
 	"glenport/internal/loop"
 	"glenport/internal/platform/connmanager"
-	"glenport/internal/vigil"
+	"glenport/internal/platform/failuredetector"
 	"glenport/scheduler"
 
 	"golang.org/x/sys/unix"
@@ -41,13 +41,13 @@
 // stand counts what stands at a machine.
 func (m *machine) stand(n int) {
 	m.standing += n
-	m.p.notice(vigil.Stands{Machine: string(m.id), Count: m.standing})
+	m.p.notice(failuredetector.Stands{Machine: string(m.id), Count: m.standing})
 }
 
 // heard is a sign of life of a machine.
 func (m *machine) heard() {
 	if m.standing > 0 {
-		m.p.notice(vigil.Heard{Machine: string(m.id)})
+		m.p.notice(failuredetector.Heard{Machine: string(m.id)})
 	}
 }
 
@@ -303,7 +303,7 @@
 		never = scheduler.NotSent
 	}
 	if !l.opened && errors.Is(why, unix.ECONNREFUSED) {
-		p.notice(vigil.Refused{Machine: string(m.id)})
+		p.notice(failuredetector.Refused{Machine: string(m.id)})
 	}
 	for _, id := range slices.Sorted(maps.Keys(l.bids)) {
 		b, outcome := l.bids[id], never
@@ -465,7 +465,7 @@
 		}
 	case jsonline.End:
 		if b == nil {
-			p.notice(vigil.Said{Machine: string(m.id), Call: msg.Call, Cause: msg.Cause()})
+			p.notice(failuredetector.Said{Machine: string(m.id), Call: msg.Call, Cause: msg.Cause()})
 		}
 		if b == nil || !b.stands && b.link != l {
 			return nil
--- a/internal/platform/owners.go
+++ b/internal/platform/owners.go
@@ -11,7 +11,7 @@
 	"glenport/internal/jsonline"
 	"glenport/internal/loop"
 	"glenport/internal/platform/connmanager"
-	"glenport/internal/vigil"
+	"glenport/internal/platform/failuredetector"
 	"glenport/scheduler"
 )
 
@@ -170,7 +170,7 @@
 		m.lose(p.loop.Now())
 		return
 	}
-	p.notice(vigil.Named{Machine: string(at), Call: string(ask.ID)})
+	p.notice(failuredetector.Named{Machine: string(at), Call: string(ask.ID)})
 }
 
 // readAsk reads a set-up; at is the machine that holds the container already.
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -13,7 +13,7 @@
 	"glenport/internal/jsonline"
 	"glenport/internal/loop"
 	"glenport/internal/platform/connmanager"
-	"glenport/internal/vigil"
+	"glenport/internal/platform/failuredetector"
 	"glenport/scheduler"
 )
 
@@ -39,8 +39,8 @@
 	events     []scheduler.Event
 	porter     *connmanager.Porter
 	atDoor     []connmanager.Event // for the porter, at the end of the turn
-	vigil      *vigil.Vigil
-	seen       []vigil.Event                        // likewise
+	vigil      *failuredetector.Vigil
+	seen       []failuredetector.Event              // likewise
 	containers map[scheduler.ContainerID]*container // until answered, without a bid and over
 	machines   map[scheduler.MachineID]*machine     // until gone from the bus and empty
 	at         map[string]scheduler.MachineID       // which of them is at an address, until it is gone
@@ -87,7 +87,7 @@
 func New(d *Deployment, decider Decider, log *slog.Logger, trace bool) (*Platform, error) {
 	p := &Platform{d: d, log: log, decider: decider, trace: trace, containers: map[scheduler.ContainerID]*container{},
 		machines: map[scheduler.MachineID]*machine{}, at: map[string]scheduler.MachineID{}, callers: map[connmanager.CallerID]*caller{},
-		porter: connmanager.New(d.Sockets), vigil: vigil.New()}
+		porter: connmanager.New(d.Sockets), vigil: failuredetector.New()}
 	p.bus = bus{p: p, addr: d.Bus, last: d.Last}
 	var err error
 	if p.loop, err = loop.New(p.turn); err != nil {
@@ -162,8 +162,8 @@
 
 func (p *Platform) feed(e scheduler.Event) { p.events = append(p.events, e) }
 
-func (p *Platform) tell(e connmanager.Event) { p.atDoor = append(p.atDoor, e) }
-func (p *Platform) notice(e vigil.Event)     { p.seen = append(p.seen, e) }
+func (p *Platform) tell(e connmanager.Event)       { p.atDoor = append(p.atDoor, e) }
+func (p *Platform) notice(e failuredetector.Event) { p.seen = append(p.seen, e) }
 
 func (p *Platform) turn() {
 	p.decide()
@@ -175,7 +175,7 @@
 	}
 	if seen := p.seen; len(seen) > 0 {
 		p.seen = nil
-		for _, a := range p.vigil.Handle(vigil.Time(p.loop.Now()), seen) {
+		for _, a := range p.vigil.Handle(failuredetector.Time(p.loop.Now()), seen) {
 			p.watch(a)
 		}
 	}
@@ -211,17 +211,17 @@
 }
 
 // watch does what the vigil wants done.
-func (p *Platform) watch(a vigil.Action) {
+func (p *Platform) watch(a failuredetector.Action) {
 	switch a := a.(type) {
-	case vigil.Look:
+	case failuredetector.Look:
 		if m := p.machines[scheduler.MachineID(a.Machine)]; m != nil && m.addr != "" {
 			m.reach()
 		}
-	case vigil.Over:
+	case failuredetector.Over:
 		if m := p.machines[scheduler.MachineID(a.Machine)]; m != nil && m.bids[scheduler.ContainerID(a.Call)] != nil {
 			p.released(m.bids[scheduler.ContainerID(a.Call)], a.Cause, scheduler.Ended{Outcome: fate(a.Cause)})
 		}
-	case vigil.Lost:
+	case failuredetector.Lost:
 		if m := p.machines[scheduler.MachineID(a.Machine)]; m != nil {
 			p.log.Info("machine lost", "machine", m.id, "standing", m.standing, "silent ms", a.Silent/10)
 			m.lose(p.loop.Now())
@@ -365,7 +365,7 @@
 	p.loop.After(houseEvery, p.keepHouse)
 	now := p.loop.Now()
 	p.tell(connmanager.Tick{})
-	p.notice(vigil.Tick{})
+	p.notice(failuredetector.Tick{})
 	for _, id := range slices.Sorted(maps.Keys(p.machines)) {
 		p.machines[id].house(now)
 	}
