--- a/internal/platform/bus.go
+++ b/internal/platform/bus.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"glenport/internal/jsonline"
 	"glenport/internal/loop"
+	"glenport/internal/platform/jsonlines"
 	"glenport/scheduler"
 )
 
@@ -19,7 +19,7 @@
 	p       *Platform
 	addr    string
 	conn    *loop.Conn
-	lines   jsonline.Lines
+	lines   jsonlines.Lines
 	last    int64 // number of the last event that was taken in
 	heardAt loop.Tick
 	broken  bool
@@ -27,7 +27,7 @@
 }
 
 func (s *bus) reach() {
-	s.lines, s.goes = jsonline.Lines{Most: longestEvent}, false
+	s.lines, s.goes = jsonlines.Lines{Most: longestEvent}, false
 	s.heardAt = s.p.loop.Now()
 	s.conn = s.p.loop.Dial(s.addr, s, 1<<10, loop.Second)
 }
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"glenport/internal/jsonline"
 	"glenport/internal/loop"
+	"glenport/internal/platform/jsonlines"
 	"glenport/scheduler"
 )
 
@@ -71,7 +71,7 @@
 		r.toldToLeave(4 * loop.Second)
 		o.say(setUp(call, ""))
 	})
-	if m := o.hear(); m == nil || m.Op != jsonline.End || m.Call != call {
+	if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != call {
 		t.Errorf("heard %+v", m)
 	}
 	if m := o.hear(); m != nil {
@@ -111,7 +111,7 @@
 		if m == nil {
 			t.Fatal("the placer left without a word")
 		}
-		passed = m.Cause() == jsonline.Passed
+		passed = m.Cause() == jsonlines.Passed
 	}
 	d := *r.p.d
 	d.Bus = later
@@ -125,17 +125,17 @@
 
 // What is unanswered shortly before a leaving placer is killed is answered, and its bid taken back.
 func TestLeavesInTime(t *testing.T) {
-	taken := make(chan *jsonline.Message, 2)
+	taken := make(chan *jsonlines.Message, 2)
 	addr := listen(t, func(m *peer) { taken <- m.hear(); taken <- m.hear() })
 	r := start(t, bidToA(0), file(silentBus(t), 256, event(1, true, host("a", addr, "ready", 0))))
 	o := r.owner()
 	o.say(strings.Replace(setUp(call, ""), `"2000"`, `"60000"`, 1))
 	<-taken
 	r.on(func() { r.toldToLeave(3*loop.Second + loop.Second/4) })
-	if m := o.hear(); m == nil || m.Op != jsonline.End || m.Call != call {
+	if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != call {
 		t.Errorf("heard %+v", m)
 	}
-	if m := <-taken; m == nil || m.Op != jsonline.End || m.Cause() != jsonline.GivenUp {
+	if m := <-taken; m == nil || m.Op != jsonlines.End || m.Cause() != jsonlines.GivenUp {
 		t.Errorf("the machine heard %+v", m)
 	}
 	if m := o.hear(); m != nil {
@@ -172,7 +172,7 @@
 			}
 			mu.Unlock()
 			for msg := m.hear(); msg != nil; msg = m.hear() {
-				if msg.Op == jsonline.Offer {
+				if msg.Op == jsonlines.Offer {
 					mu.Lock()
 					over[msg.Call] = true // over at once, but told on the next connection only
 					mu.Unlock()
@@ -192,7 +192,7 @@
 	o := r.owner()
 	for i := range machines {
 		o.say(setUp(fmt.Sprintf("%016x", i), ""))
-		if m := o.hear(); m == nil || m.Op == jsonline.End {
+		if m := o.hear(); m == nil || m.Op == jsonlines.End {
 			t.Fatalf("bid %d: the owner heard %+v", i, m)
 		}
 		r.on(func() { // a bid's link could make way only after its machine had a while to speak on it
@@ -210,7 +210,7 @@
 		if m == nil {
 			t.Fatalf("%d of %d ends were heard of", len(heard), machines)
 		}
-		if m.Op == jsonline.End {
+		if m.Op == jsonlines.End {
 			heard[m.Call] = true
 			o.say(`{"op":"ended","call":"` + m.Call + `","with":{}}`)
 		}
@@ -301,7 +301,7 @@
 			})
 		}
 		o.say(setUp(c, ""))
-		if m := o.hear(); m == nil || m.Op != jsonline.Accept {
+		if m := o.hear(); m == nil || m.Op != jsonlines.Accept {
 			t.Fatalf("heard %+v", m)
 		}
 	}
@@ -372,11 +372,11 @@
 	o := r.owner()
 	o.say(setUp(call, ""))
 	<-said
-	if m := o.hear(); m == nil || m.Op != jsonline.Accept {
+	if m := o.hear(); m == nil || m.Op != jsonlines.Accept {
 		t.Errorf("heard %+v", m)
 	}
 	o.say(setUp(other, ";at:a"))
-	if m := o.hear(); m == nil || m.Op != jsonline.End || m.Call != other || m.Cause() != jsonline.GivenUp {
+	if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != other || m.Cause() != jsonlines.GivenUp {
 		t.Errorf("heard %+v", m)
 	}
 	if e := await(r, func(e scheduler.Ended) bool { return e.ID == other }); !e.Over || e.Outcome != scheduler.Finished {
@@ -420,7 +420,7 @@
 			o.say(strings.Replace(setUp("00000000000000dd", ""), `"2000"`, `"60000"`, 1)) // a bid that stays out
 			<-offers
 			tell(tc.tells(addr)...)
-			if m := o.hear(); m == nil || m.Op != jsonline.End || m.Call != call {
+			if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != call {
 				t.Fatalf("heard %+v", m)
 			}
 			gone := await(r, func(e scheduler.ListCame) bool {
@@ -432,14 +432,14 @@
 				return false
 			})
 			o.say(setUp(other, "")) // the script bids it to a, whatever the list says
-			if m := o.hear(); m == nil || m.Op != jsonline.End || m.Call != other {
+			if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != other {
 				t.Errorf("heard %+v, after %+v", m, gone)
 			}
 			if len(offers) > 0 {
 				t.Errorf("%s reached the successor", <-offers)
 			}
 			o.say(setUp("00000000000000cc", ";at:a")) // where it stood is gone, and the successor's word says nothing of it
-			if m := o.hear(); m == nil || m.Op != jsonline.End || m.Call != "00000000000000cc" {
+			if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != "00000000000000cc" {
 				t.Errorf("heard %+v", m)
 			}
 		})
@@ -448,7 +448,7 @@
 
 // An owner goes while its bid waits for a link: the machine hears nothing of it, or that it is taken back.
 func TestOwnerGoesAsLinkOpens(t *testing.T) {
-	heard := make(chan *jsonline.Message, 10)
+	heard := make(chan *jsonlines.Message, 10)
 	addr := listen(t, func(m *peer) {
 		for msg := m.hear(); msg != nil; msg = m.hear() {
 			heard <- msg
@@ -474,9 +474,9 @@
 		if msg.Call == other {
 			break
 		}
-		if msg.Op == jsonline.Offer {
+		if msg.Op == jsonlines.Offer {
 			offers++
-		} else if msg.Op == jsonline.End && msg.Cause() == jsonline.GivenUp {
+		} else if msg.Op == jsonlines.End && msg.Cause() == jsonlines.GivenUp {
 			ends++
 		}
 	}
@@ -492,13 +492,13 @@
 	o := r.owner()
 	end := `{"op":"end","call":"` + call + `","with":{},"why":16}`
 	io.WriteString(o.c, setUp(call, "")+"\n"+end+"\n"+setUp(call, "")+"\n"+`{"op":"test","call":"0000000000000001","with":{},"why":0}`+"\n")
-	for _, op := range []jsonline.Op{jsonline.Tested, jsonline.Accept} {
+	for _, op := range []jsonlines.Op{jsonlines.Tested, jsonlines.Accept} {
 		if m := o.hear(); m == nil || m.Op != op {
 			t.Fatalf("heard %+v, want %s", m, op)
 		}
 	}
 	o.say(`{"op":"test","call":"0000000000000002","with":{},"why":0}`)
-	if m := o.hear(); m == nil || m.Op != jsonline.Tested {
+	if m := o.hear(); m == nil || m.Op != jsonlines.Tested {
 		t.Errorf("then heard %+v", m)
 	}
 }
@@ -520,7 +520,7 @@
 	r.p.Leave()
 	r.on(func() {})
 	io.WriteString(o.c, line[40:])
-	if m := o.hear(); m == nil || m.Op != jsonline.Accept {
+	if m := o.hear(); m == nil || m.Op != jsonlines.Accept {
 		t.Errorf("heard %+v", m)
 	}
 }
@@ -528,10 +528,10 @@
 // A whole list leaves out a machine: what stands there is over, and a yes that comes then counts for nothing and is taken back.
 func TestYesOfOneThatIsGone(t *testing.T) {
 	bus, tell := toldBus(t)
-	say, heard := make(chan bool), make(chan *jsonline.Message, 10)
+	say, heard := make(chan bool), make(chan *jsonlines.Message, 10)
 	addr := listen(t, func(m *peer) {
 		for msg := m.hear(); msg != nil; msg = m.hear() {
-			if msg.Op != jsonline.Offer {
+			if msg.Op != jsonlines.Offer {
 				heard <- msg
 				continue
 			}
@@ -548,17 +548,17 @@
 	o.say(setUp(other, ""))
 	await(r, func(e scheduler.Asked) bool { return e.ID == other })
 	tell(event(2, true))
-	if m := o.hear(); m == nil || m.Op != jsonline.End || m.Call != call {
+	if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != call {
 		t.Fatalf("heard %+v", m)
 	}
 	close(say)
-	if m := o.hear(); m == nil || m.Op != jsonline.End || m.Call != other {
+	if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != other {
 		t.Errorf("heard %+v", m)
 	}
 	if e := await(r, func(e scheduler.Ended) bool { return e.ID == other }); e.Outcome != scheduler.Reset || e.Over {
 		t.Errorf("got %+v", e)
 	}
-	if m := <-heard; m == nil || m.Op != jsonline.End || m.Call != other || m.Cause() != jsonline.GivenUp {
+	if m := <-heard; m == nil || m.Op != jsonlines.End || m.Call != other || m.Cause() != jsonlines.GivenUp {
 		t.Errorf("the machine heard %+v", m)
 	}
 }
@@ -605,7 +605,7 @@
 		}
 	}))
 	o.say(strings.Replace(setUp(other, ""), `"2000"`, `"9000"`, 1))
-	if m := o.hear(); m == nil || m.Op != jsonline.Accept || m.Call != other {
+	if m := o.hear(); m == nil || m.Op != jsonlines.Accept || m.Call != other {
 		t.Errorf("heard %+v", m)
 	}
 	if c := <-heard; c != other || len(heard) > 0 {
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"glenport/internal/jsonline"
+	"glenport/internal/platform/jsonlines"
 	"glenport/scheduler"
 
 	"go.uber.org/goleak"
@@ -158,12 +158,12 @@
 }
 
 // hear reads the next message; nil at the connection's end.
-func (o *peer) hear() *jsonline.Message {
+func (o *peer) hear() *jsonlines.Message {
 	line, err := o.r.ReadBytes('\n')
 	if err != nil {
 		return nil
 	}
-	m, err := jsonline.Decode(line)
+	m, err := jsonlines.Decode(line)
 	if err != nil {
 		o.t.Errorf("%v: %s", err, line)
 	}
@@ -215,7 +215,7 @@
 func machineThat(t *testing.T, lines ...string) string {
 	return listen(t, func(m *peer) {
 		for msg := m.hear(); msg != nil; msg = m.hear() {
-			if msg.Op != jsonline.Offer {
+			if msg.Op != jsonlines.Offer {
 				continue
 			}
 			for _, l := range lines {
--- a/internal/jsonline/golden_test.go
+++ b/internal/platform/jsonlines/golden_test.go
@@ -1,4 +1,4 @@
-package jsonline
+package jsonlines
 
 import (
 	"bytes"
--- a/internal/jsonline/jsonline.go
+++ b/internal/platform/jsonlines/jsonline.go
@@ -1,6 +1,6 @@
-// Package jsonline reads and writes the platform's messages: one JSON object a line. It is a codec with bounds and no
+// Package jsonlines reads and writes the platform's messages: one JSON object a line. It is a codec with bounds and no
 // I/O: a line of over MostBytes, or one that is no message, ends its reader for good.
-package jsonline
+package jsonlines
 
 import (
 	"bytes"
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -8,10 +8,10 @@
 	"strconv"
 	"strings"
 
-	"glenport/internal/jsonline"
 	"glenport/internal/loop"
 	"glenport/internal/platform/connmanager"
 	"glenport/internal/platform/failuredetector"
+	"glenport/internal/platform/jsonlines"
 	"glenport/scheduler"
 
 	"golang.org/x/sys/unix"
@@ -55,7 +55,7 @@
 func (m *machine) lose(before loop.Tick) {
 	for _, id := range slices.Sorted(maps.Keys(m.bids)) {
 		if b := m.bids[id]; b.stands && b.sentAt <= before {
-			m.p.released(b, jsonline.Temporary, scheduler.Ended{Outcome: scheduler.Reset})
+			m.p.released(b, jsonlines.Temporary, scheduler.Ended{Outcome: scheduler.Reset})
 		}
 	}
 }
@@ -64,7 +64,7 @@
 type link struct {
 	m       *machine
 	conn    *loop.Conn
-	lines   jsonline.Lines
+	lines   jsonlines.Lines
 	opened  bool
 	bids    map[scheduler.ContainerID]*bid // waiting for it or out on it, until their answer
 	probes  map[string]*probing            // by their call, until their answer or time-out
@@ -251,7 +251,7 @@
 		return nil
 	}
 	m.p.links++
-	l := &link{m: m, lines: jsonline.Lines{Most: jsonline.MostBytes}, bids: map[scheduler.ContainerID]*bid{}, probes: map[string]*probing{},
+	l := &link{m: m, lines: jsonlines.Lines{Most: jsonlines.MostBytes}, bids: map[scheduler.ContainerID]*bid{}, probes: map[string]*probing{},
 		usedAt: m.p.loop.Now()}
 	l.conn = m.p.loop.Dial(m.addr, l, outputOfLink, m.p.d.Connect)
 	m.links = append(m.links, l)
@@ -323,7 +323,7 @@
 	m.settle()
 }
 
-func (l *link) write(m *jsonline.Message) bool {
+func (l *link) write(m *jsonlines.Message) bool {
 	line, err := l.m.p.line(m)
 	if err != nil {
 		l.m.p.log.Error("message not sent", "machine", l.m.id, "why", err)
@@ -384,12 +384,12 @@
 		return
 	}
 	c := b.c
-	with := jsonline.Fields{"class": c.class, "key": c.ask.Key,
+	with := jsonlines.Fields{"class": c.class, "key": c.ask.Key,
 		"left": strconv.FormatInt(int64((b.until-p.loop.Now())/loop.Millisecond), 10)}
 	if c.idem != "" {
 		with["idem"] = c.idem
 	}
-	if b.sent = b.link.write(&jsonline.Message{Op: jsonline.Offer, Call: string(c.ask.ID), With: with, Desc: c.desc}); !b.sent {
+	if b.sent = b.link.write(&jsonlines.Message{Op: jsonlines.Offer, Call: string(c.ask.ID), With: with, Desc: c.desc}); !b.sent {
 		p.over(b, scheduler.Ended{Outcome: scheduler.NotSent})
 	}
 }
@@ -397,7 +397,7 @@
 // callOff tells the machine that a bid is waited for no longer.
 func (p *Platform) callOff(b *bid) {
 	if b.sent && b.link != nil {
-		b.link.write(&jsonline.Message{Op: jsonline.End, Call: string(b.c.ask.ID), Why: jsonline.Because(jsonline.GivenUp)})
+		b.link.write(&jsonlines.Message{Op: jsonlines.End, Call: string(b.c.ask.ID), Why: jsonlines.Because(jsonlines.GivenUp)})
 	}
 }
 
@@ -424,21 +424,21 @@
 		return
 	}
 	l.when(func() {
-		l.write(&jsonline.Message{Op: jsonline.End, Call: string(c.ask.ID), Why: jsonline.Because(max(cause, 0))})
+		l.write(&jsonlines.Message{Op: jsonlines.End, Call: string(c.ask.ID), Why: jsonlines.Because(max(cause, 0))})
 	})
 }
 
 // outcomes of a bid by the cause of its end. GivenUp comes before a yes where the container's own time has passed: it may
 // have run, as after a reset, but the machine is well.
-var outcomes = map[int]scheduler.Outcome{jsonline.NoRoom: scheduler.Full, jsonline.Faulty: scheduler.Erred,
-	jsonline.Moot: scheduler.NotSent, jsonline.GivenUp: scheduler.Finished}
+var outcomes = map[int]scheduler.Outcome{jsonlines.NoRoom: scheduler.Full, jsonlines.Faulty: scheduler.Erred,
+	jsonlines.Moot: scheduler.NotSent, jsonlines.GivenUp: scheduler.Finished}
 
 // fate is what became of a container that stood, by the cause of its end.
 func fate(cause int) scheduler.Outcome {
 	switch cause {
-	case jsonline.GivenUp:
+	case jsonlines.GivenUp:
 		return scheduler.Finished
-	case jsonline.Cancelled:
+	case jsonlines.Cancelled:
 		return scheduler.Stopped
 	}
 	return scheduler.Reset
@@ -451,7 +451,7 @@
 	"share": scheduler.ServedShare, "tight": scheduler.MachineMemory}
 
 func (l *link) line(line []byte) error {
-	msg, err := jsonline.Decode(line)
+	msg, err := jsonlines.Decode(line)
 	if err != nil {
 		return err
 	}
@@ -459,11 +459,11 @@
 	p.show("of machine", string(m.id), msg)
 	b := m.bids[scheduler.ContainerID(msg.Call)]
 	switch msg.Op {
-	case jsonline.Accept:
+	case jsonlines.Accept:
 		if b != nil && !b.stands && b.link == l {
 			return p.accepted(b, msg)
 		}
-	case jsonline.End:
+	case jsonlines.End:
 		if b == nil {
 			p.notice(failuredetector.Said{Machine: string(m.id), Call: msg.Call, Cause: msg.Cause()})
 		}
@@ -484,14 +484,14 @@
 		} else {
 			p.over(b, e)
 		}
-	case jsonline.Info:
+	case jsonlines.Info:
 		if v, err := strconv.ParseFloat(msg.With["value"], 64); err == nil && b != nil && b.sent && sorts[msg.With["note"]] != 0 {
 			p.feed(scheduler.Noted{ID: b.c.ask.ID, Machine: m.id, Bid: b.nth, Sort: sorts[msg.With["note"]], Amount: v})
 		}
-	case jsonline.Tested:
+	case jsonlines.Tested:
 		if q := l.probes[msg.Call]; q != nil {
 			outcome := scheduler.Erred
-			if msg.Cause() == jsonline.Passed {
+			if msg.Cause() == jsonlines.Passed {
 				outcome = scheduler.Finished
 			}
 			p.probed(q, outcome, report(msg.With["load"]))
@@ -506,11 +506,11 @@
 func (p *Platform) endedUnheard(b *bid, e scheduler.Ended) {
 	e.Over = true
 	p.over(b, e)
-	p.answer(b.c.ask.ID, &jsonline.Message{Op: jsonline.End, Why: jsonline.Because(jsonline.Temporary)})
+	p.answer(b.c.ask.ID, &jsonlines.Message{Op: jsonlines.End, Why: jsonlines.Because(jsonlines.Temporary)})
 }
 
 // accepted passes a machine's yes to the owner.
-func (p *Platform) accepted(b *bid, msg *jsonline.Message) error {
+func (p *Platform) accepted(b *bid, msg *jsonlines.Message) error {
 	c := b.c
 	if len(msg.Desc) == 0 {
 		return errors.New("a yes without a description")
@@ -526,7 +526,7 @@
 	b.link.stands++
 	b.at.stand(1)
 	p.feed(scheduler.Placed{ID: c.ask.ID, Bid: b.nth, Machine: b.at.id, Took: scheduler.Time(p.loop.Now() - b.sentAt)})
-	p.answer(c.ask.ID, &jsonline.Message{Op: jsonline.Accept, Desc: msg.Desc})
+	p.answer(c.ask.ID, &jsonlines.Message{Op: jsonlines.Accept, Desc: msg.Desc})
 	return nil
 }
 
@@ -560,7 +560,7 @@
 	l.probes[q.call] = q
 	q.timer = p.loop.After(probeWithin, func() { p.probed(q, scheduler.TimedOut, nil) })
 	l.when(func() {
-		l.write(&jsonline.Message{Op: jsonline.Test, Call: q.call, Why: jsonline.Because(jsonline.Passed)})
+		l.write(&jsonlines.Message{Op: jsonlines.Test, Call: q.call, Why: jsonlines.Because(jsonlines.Passed)})
 	})
 }
 
--- a/internal/platform/owners.go
+++ b/internal/platform/owners.go
@@ -8,10 +8,10 @@
 	"strconv"
 	"strings"
 
-	"glenport/internal/jsonline"
 	"glenport/internal/loop"
 	"glenport/internal/platform/connmanager"
 	"glenport/internal/platform/failuredetector"
+	"glenport/internal/platform/jsonlines"
 	"glenport/scheduler"
 )
 
@@ -25,12 +25,12 @@
 	p      *Platform
 	number connmanager.CallerID
 	conn   *loop.Conn
-	lines  jsonline.Lines
+	lines  jsonlines.Lines
 }
 
 func (p *Platform) accept() (loop.Handler, int) {
 	p.lastCaller++
-	return &caller{p: p, number: p.lastCaller, lines: jsonline.Lines{Most: jsonline.MostBytes}}, outputOfCaller
+	return &caller{p: p, number: p.lastCaller, lines: jsonlines.Lines{Most: jsonlines.MostBytes}}, outputOfCaller
 }
 
 func (k *caller) Opened(c *loop.Conn) {
@@ -68,7 +68,7 @@
 	}
 }
 
-func (k *caller) write(m *jsonline.Message) {
+func (k *caller) write(m *jsonlines.Message) {
 	if k.conn == nil || !k.conn.Open() {
 		return
 	}
@@ -84,16 +84,16 @@
 }
 
 func (k *caller) line(line []byte) error {
-	m, err := jsonline.Decode(line)
+	m, err := jsonlines.Decode(line)
 	if err != nil {
 		return err
 	}
 	p := k.p
 	p.show("of owner", fmt.Sprint(k.number), m)
 	switch m.Op {
-	case jsonline.Offer:
+	case jsonlines.Offer:
 		return k.asked(m)
-	case jsonline.End:
+	case jsonlines.End:
 		if c := p.containers[scheduler.ContainerID(m.Call)]; c != nil {
 			switch {
 			case !c.answered && c.caller == k:
@@ -102,21 +102,21 @@
 				p.endStanding(c, m.Cause())
 			}
 		}
-	case jsonline.Ended:
+	case jsonlines.Ended:
 		p.tell(connmanager.HeardOver{Call: m.Call, Caller: k.number})
-	case jsonline.Test:
-		passed := jsonline.Passed
+	case jsonlines.Test:
+		passed := jsonlines.Passed
 		if p.leaving {
-			passed = jsonline.Failed
+			passed = jsonlines.Failed
 		}
-		k.write(&jsonline.Message{Op: jsonline.Tested, Call: m.Call, Why: jsonline.Because(passed)})
+		k.write(&jsonlines.Message{Op: jsonlines.Tested, Call: m.Call, Why: jsonlines.Because(passed)})
 		p.tell(connmanager.Answered{Caller: k.number})
 	}
 	return nil
 }
 
 // asked takes in a set-up: a container to be placed, or one that stands already.
-func (k *caller) asked(m *jsonline.Message) error {
+func (k *caller) asked(m *jsonlines.Message) error {
 	p := k.p
 	ask, at, err := p.d.readAsk(m, p.loop.Now())
 	if c := p.containers[ask.ID]; err == nil && at == "" && c != nil {
@@ -128,7 +128,7 @@
 	if err != nil {
 		p.log.Debug("set-up turned away", "caller", k.number, "call", m.Call, "why", err)
 		if at == "" {
-			k.write(&jsonline.Message{Op: jsonline.End, Call: m.Call, Why: jsonline.Because(jsonline.Unreadable)})
+			k.write(&jsonlines.Message{Op: jsonlines.End, Call: m.Call, Why: jsonlines.Because(jsonlines.Unreadable)})
 			p.tell(connmanager.Answered{Caller: k.number})
 			p.tell(connmanager.TurnedAway{Caller: k.number})
 		}
@@ -174,7 +174,7 @@
 }
 
 // readAsk reads a set-up; at is the machine that holds the container already.
-func (d *Deployment) readAsk(m *jsonline.Message, now loop.Tick) (ask scheduler.Ask, at scheduler.MachineID, err error) {
+func (d *Deployment) readAsk(m *jsonlines.Message, now loop.Tick) (ask scheduler.Ask, at scheduler.MachineID, err error) {
 	extras := map[string]string{}
 	if x := m.With["extras"]; x != "" {
 		for _, f := range strings.Split(x, ";") {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -10,10 +10,10 @@
 	"os"
 	"slices"
 
-	"glenport/internal/jsonline"
 	"glenport/internal/loop"
 	"glenport/internal/platform/connmanager"
 	"glenport/internal/platform/failuredetector"
+	"glenport/internal/platform/jsonlines"
 	"glenport/scheduler"
 )
 
@@ -200,7 +200,7 @@
 		}
 	case connmanager.Tell:
 		if k := p.callers[a.Caller]; k != nil {
-			k.write(&jsonline.Message{Op: jsonline.End, Call: a.Call, Why: jsonline.Because(a.Cause)})
+			k.write(&jsonlines.Message{Op: jsonlines.End, Call: a.Call, Why: jsonlines.Because(a.Cause)})
 		}
 	case connmanager.Rest:
 		if k := p.callers[a.Caller]; k != nil {
@@ -247,13 +247,13 @@
 	case scheduler.Bid:
 		p.offer(a)
 	case scheduler.PushBack:
-		m := &jsonline.Message{Op: jsonline.End, Why: jsonline.Because(jsonline.NoRoom)}
+		m := &jsonlines.Message{Op: jsonlines.End, Why: jsonlines.Because(jsonlines.NoRoom)}
 		if a.HoldOff > 0 {
-			m.With = jsonline.Fields{"wait": fmt.Sprint(int64(a.HoldOff / scheduler.Millisecond))}
+			m.With = jsonlines.Fields{"wait": fmt.Sprint(int64(a.HoldOff / scheduler.Millisecond))}
 		}
 		p.answer(a.ID, m)
 	case scheduler.GiveUp:
-		p.answer(a.ID, &jsonline.Message{Op: jsonline.End, Why: jsonline.Because(jsonline.Temporary)})
+		p.answer(a.ID, &jsonlines.Message{Op: jsonlines.End, Why: jsonlines.Because(jsonlines.Temporary)})
 	case scheduler.Withdraw:
 		if c := p.containers[a.ID]; c != nil && c.bid != nil && !c.bid.stands && c.bid.nth == a.Bid {
 			p.callOff(c.bid)
@@ -274,7 +274,7 @@
 }
 
 // answer gives the owner of a container its one final answer.
-func (p *Platform) answer(id scheduler.ContainerID, m *jsonline.Message) {
+func (p *Platform) answer(id scheduler.ContainerID, m *jsonlines.Message) {
 	c := p.containers[id]
 	if c == nil || c.answered {
 		return
@@ -284,7 +284,7 @@
 		m.Call = string(id)
 		c.caller.write(m)
 		p.tell(connmanager.Answered{Caller: c.caller.number, Closed: 1})
-		if m.Op == jsonline.Accept {
+		if m.Op == jsonlines.Accept {
 			p.tell(connmanager.Proved{Caller: c.caller.number})
 		}
 	}
@@ -351,7 +351,7 @@
 	c := b.c
 	e.Over = true
 	p.over(b, e)
-	if b.ended || cause == jsonline.Cancelled {
+	if b.ended || cause == jsonlines.Cancelled {
 		return
 	}
 	over := connmanager.Over{Call: string(c.ask.ID), Cause: cause}
@@ -394,13 +394,13 @@
 }
 
 // line writes a message for a connection; it holds until the next.
-func (p *Platform) line(m *jsonline.Message) ([]byte, error) {
+func (p *Platform) line(m *jsonlines.Message) ([]byte, error) {
 	var err error
-	p.scratch, err = jsonline.Append(p.scratch[:0], m)
+	p.scratch, err = jsonlines.Append(p.scratch[:0], m)
 	return p.scratch, err
 }
 
-func (p *Platform) show(way, who string, m *jsonline.Message) {
+func (p *Platform) show(way, who string, m *jsonlines.Message) {
 	if p.trace {
 		p.log.Info("trace", "t", p.loop.Now(), "way", way, "peer", who, "op", m.Op, "call", m.Call, "with", m.With, "why", m.Cause())
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"glenport/internal/jsonline"
+	"glenport/internal/platform/jsonlines"
 	"glenport/scheduler"
 )
 
@@ -99,12 +99,12 @@
 				if m == nil || m.Call != call || m.Cause() != want {
 					t.Fatalf("the owner heard %+v, want cause %d", m, want)
 				}
-				if want == -1 && (m.Op != jsonline.Accept || string(m.Desc) != `"made\u0020here"`) {
+				if want == -1 && (m.Op != jsonlines.Accept || string(m.Desc) != `"made\u0020here"`) {
 					t.Errorf("answered %+v", m)
 				}
 			}
 			o.say(`{"op":"test","call":"0000000000000001","with":{},"why":0}`)
-			if m := o.hear(); m == nil || m.Op != jsonline.Tested || m.Cause() != jsonline.Passed {
+			if m := o.hear(); m == nil || m.Op != jsonlines.Tested || m.Cause() != jsonlines.Passed {
 				t.Errorf("after the last answer came %+v", m)
 			}
 		})
@@ -126,7 +126,7 @@
 
 // A set-up goes on as it came, and nothing more than belongs to it.
 func TestOfferGoesOn(t *testing.T) {
-	got := make(chan *jsonline.Message, 1)
+	got := make(chan *jsonlines.Message, 1)
 	addr := listen(t, func(m *peer) { got <- m.hear(); m.hear() })
 	r := start(t, bidToA(scheduler.Second), file(silentBus(t), 256, event(1, true, host("a", addr, "ready", 0))))
 	r.owner().say(setUp(call, ""))
@@ -166,7 +166,7 @@
 			o := r.owner()
 			go o.say(tc.line) // it may never be read to its end
 			m := o.hear()
-			if tc.closed != (m == nil) || m != nil && (m.Op != jsonline.End || m.Cause() != jsonline.Unreadable) {
+			if tc.closed != (m == nil) || m != nil && (m.Op != jsonlines.End || m.Cause() != jsonlines.Unreadable) {
 				t.Errorf("heard %+v", m)
 			}
 			r.p.loop.Post(func() { r.script.events <- scheduler.Woke{Name: "last"} })
@@ -210,7 +210,7 @@
 	first.say(setUp(call, ""))
 	await[scheduler.Asked](r, nil)
 	second.say(setUp(call, ""))
-	if m := second.hear(); m == nil || m.Cause() != jsonline.Unreadable {
+	if m := second.hear(); m == nil || m.Cause() != jsonlines.Unreadable {
 		t.Errorf("the second heard %+v", m)
 	}
 	first.say(setUp(call, ""))
@@ -224,7 +224,7 @@
 func TestTakenBack(t *testing.T) {
 	for _, way := range []string{"end", "close"} {
 		t.Run(way, func(t *testing.T) {
-			got := make(chan *jsonline.Message, 2)
+			got := make(chan *jsonlines.Message, 2)
 			addr := listen(t, func(m *peer) { got <- m.hear(); got <- m.hear() })
 			r := start(t, bidToA(0), file(silentBus(t), 256, event(1, true, host("a", addr, "ready", 0))))
 			o := r.owner()
@@ -235,7 +235,7 @@
 			} else {
 				o.c.Close()
 			}
-			if m := <-got; m == nil || m.Op != jsonline.End || m.Cause() != jsonline.GivenUp {
+			if m := <-got; m == nil || m.Op != jsonlines.End || m.Cause() != jsonlines.GivenUp {
 				t.Errorf("the machine heard %+v", m)
 			}
 			await[scheduler.Vanished](r, nil)
@@ -267,11 +267,11 @@
 	second.say(`{"op":"test","call":"0000000000000001","with":{},"why":0}`)
 	second.hear()
 	release <- true
-	if m := second.hear(); m == nil || m.Op != jsonline.End || m.Call != call || m.Cause() != 16 {
+	if m := second.hear(); m == nil || m.Op != jsonlines.End || m.Call != call || m.Cause() != 16 {
 		t.Errorf("heard %+v", m)
 	}
 	second.say(`{"op":"test","call":"0000000000000002","with":{},"why":0}`)
-	if m := second.hear(); m == nil || m.Op != jsonline.Tested {
+	if m := second.hear(); m == nil || m.Op != jsonlines.Tested {
 		t.Errorf("then heard %+v", m)
 	}
 }
@@ -281,7 +281,7 @@
 	addr := listen(t, func(m *peer) {
 		m.hear()
 		m.say(`{"op":"accept","call":"` + call + `","with":{},"desc":"d"}`)
-		if msg := m.hear(); msg == nil || msg.Op != jsonline.End {
+		if msg := m.hear(); msg == nil || msg.Op != jsonlines.End {
 			t.Errorf("the machine heard %+v", msg)
 		}
 		m.say(`{"op":"end","call":"` + call + `","with":{},"why":31}`)
@@ -296,7 +296,7 @@
 		t.Errorf("got %+v", e)
 	}
 	o.say(`{"op":"test","call":"0000000000000001","with":{},"why":0}`)
-	if m := o.hear(); m == nil || m.Op != jsonline.Tested {
+	if m := o.hear(); m == nil || m.Op != jsonlines.Tested {
 		t.Errorf("the owner heard %+v", m)
 	}
 }
@@ -381,11 +381,11 @@
 	await[scheduler.Asked](r, nil)
 	r.p.Leave()
 	o.say(`{"op":"test","call":"0000000000000001","with":{},"why":0}`)
-	if m := o.hear(); m == nil || m.Cause() != jsonline.Failed {
+	if m := o.hear(); m == nil || m.Cause() != jsonlines.Failed {
 		t.Errorf("a test was answered %+v", m)
 	}
 	close(hold)
-	if m := o.hear(); m == nil || m.Op != jsonline.Accept {
+	if m := o.hear(); m == nil || m.Op != jsonlines.Accept {
 		t.Errorf("answered %+v", m)
 	}
 	if m := o.hear(); m != nil {
@@ -435,7 +435,7 @@
 			r := start(t, bidToA(0), file(bus, 256, event(1, true, host("a", l.Addr().String(), "ready", 0))))
 			o := r.owner()
 			o.say(setUp(call, ""))
-			if m := o.hear(); m == nil || m.Op != jsonline.Accept {
+			if m := o.hear(); m == nil || m.Op != jsonlines.Accept {
 				t.Fatalf("answered %+v", m)
 			}
 			if tc.tells == "" {
@@ -445,7 +445,7 @@
 				told <- event(2, false, host("a", l.Addr().String(), tc.tells, time.Now().UnixMilli()+1))
 				defer close(die)
 			}
-			if m := o.hear(); m == nil || m.Op != jsonline.End || m.Call != call || m.Cause() != jsonline.Temporary {
+			if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != call || m.Cause() != jsonlines.Temporary {
 				t.Errorf("heard %+v", m)
 			}
 			if e := await[scheduler.Ended](r, nil); e.Outcome != scheduler.Reset || !e.Over {
@@ -475,15 +475,15 @@
 			o.c.Close()
 			other := r.owner()
 			other.say(`{"op":"test","call":"0000000000000002","with":{},"why":0}`)
-			want := []jsonline.Op{jsonline.Tested, jsonline.End, jsonline.Tested}
+			want := []jsonlines.Op{jsonlines.Tested, jsonlines.End, jsonlines.Tested}
 			if heard {
-				want = []jsonline.Op{jsonline.Tested, jsonline.Tested}
+				want = []jsonlines.Op{jsonlines.Tested, jsonlines.Tested}
 			}
 			for i, op := range want {
 				if i == len(want)-1 {
 					other.say(`{"op":"test","call":"0000000000000003","with":{},"why":0}`)
 				}
-				if m := other.hear(); m == nil || m.Op != op || op == jsonline.End && m.Call != call {
+				if m := other.hear(); m == nil || m.Op != op || op == jsonlines.End && m.Call != call {
 					t.Fatalf("heard %+v, want %s", m, op)
 				}
 			}
@@ -523,8 +523,8 @@
 	o := r.owner()
 	o.say(setUp(call, ""), setUp(other, ""))
 	began := time.Now()
-	for _, op := range []jsonline.Op{jsonline.Accept, jsonline.Accept, jsonline.End} {
-		if m := o.hear(); m == nil || m.Op != op || op == jsonline.End && m.Call != call {
+	for _, op := range []jsonlines.Op{jsonlines.Accept, jsonlines.Accept, jsonlines.End} {
+		if m := o.hear(); m == nil || m.Op != op || op == jsonlines.End && m.Call != call {
 			t.Fatalf("heard %+v, want %s", m, op)
 		}
 	}
@@ -556,7 +556,7 @@
 	}, file(silentBus(t), 256, event(1, true, host("a", addr, "ready", 0))))
 	o := r.owner()
 	o.say(setUp(call, ";at:a"))
-	if m := o.hear(); m == nil || m.Op != jsonline.End || m.Call != call {
+	if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != call {
 		t.Errorf("heard %+v", m)
 	}
 }
