--- a/internal/keeper/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -1,4 +1,4 @@
-package keeper
+package controller
 
 import (
 	"crypto/sha256"
--- a/internal/keeper/keeper.go
+++ b/internal/controller/keeper.go
@@ -1,7 +1,7 @@
-// Package keeper decides how jobs are kept running: when each of a job's containers is asked for, at which
+// Package controller decides how jobs are kept running: when each of a job's containers is asked for, at which
 // placer, and what follows each answer, fate and break. It is pure: Handle takes what happened and returns what
 // is to be done. Where a container goes is the placers' business, and what may run twice is held to its effect.
-package keeper
+package controller
 
 import (
 	"container/heap"
--- a/internal/keeper/keeper_test.go
+++ b/internal/controller/keeper_test.go
@@ -1,4 +1,4 @@
-package keeper
+package controller
 
 import (
 	"fmt"
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -14,8 +14,8 @@
 	"testing"
 
 	"glenport/internal/catalog"
+	"glenport/internal/controller"
 	"glenport/internal/disk"
-	"glenport/internal/keeper"
 	"glenport/internal/site"
 	"glenport/internal/store"
 	"glenport/scheduler"
@@ -40,12 +40,12 @@
 		Made: "key-1", Request: []byte{0xde, 0xad, 0xbe, 0xef}}
 	goldenPlainJob = KeptJob{Job: Job{ID: "plain", Service: "web", Workload: "matcher", Cores: 0.5, MemoryGiB: 1, Version: 42}}
 
-	goldenSpec = keeper.Spec{Service: "report", Workload: 1, Customer: 2, Cores: 1.5, Memory: 2.25, RunFor: 600_000, Once: true}
+	goldenSpec = controller.Spec{Service: "report", Workload: 1, Customer: 2, Cores: 1.5, Memory: 2.25, RunFor: 600_000, Once: true}
 
-	goldenContainer = KeptContainer{Door: goldenDoor, Container: keeper.Container{Job: "reports", Index: 2, State: keeper.Running,
+	goldenContainer = KeptContainer{Door: goldenDoor, Container: controller.Container{Job: "reports", Index: 2, State: controller.Running,
 		Leaving: true, Machine: "m17", Door: 1, Pinned: true, Since: 17_000_000_000_001, Until: 17_000_000_000_002, Tries: 3,
 		Starts: 4, Last: "runs", Held: true, Key: "reports/2/31", Ask: "reports/2#32", Again: true, Replaced: true, With: goldenSpec}}
-	goldenPlainContainer = KeptContainer{Container: keeper.Container{Job: "plain", Door: -1, Last: "not asked for yet",
+	goldenPlainContainer = KeptContainer{Container: controller.Container{Job: "plain", Door: -1, Last: "not asked for yet",
 		Key: "plain/0/30"}}
 
 	goldenStray = KeptStray{Door: goldenDoor, Key: "reports/1/29"}
@@ -65,7 +65,7 @@
 		{StrayKind, goldenDoor + " reports/1/29", goldenStray},
 	}
 	// one container in each other state
-	for state := keeper.Waiting; state <= keeper.Done; state++ {
+	for state := controller.Waiting; state <= controller.Done; state++ {
 		c := goldenPlainContainer
 		c.Container.Job, c.Container.Index, c.Container.State = "states", int(state), state
 		records = append(records, goldenRecord{ContainerKind, containerID("states", int(state)), c})
@@ -200,22 +200,22 @@
 	if len(h.events) != 1 {
 		t.Fatalf("%d events, want one", len(h.events))
 	}
-	restored, ok := h.events[0].(keeper.Restored)
+	restored, ok := h.events[0].(controller.Restored)
 	if !ok {
 		t.Fatalf("%T, want what was restored", h.events[0])
 	}
-	plainSpec := keeper.Spec{Service: "web", Customer: 3, Cores: 0.5, Memory: 1}
-	wantJobs := []keeper.Set{{Job: "plain", Spec: plainSpec}, {Job: "reports", Count: 3, Spec: goldenSpec}}
+	plainSpec := controller.Spec{Service: "web", Customer: 3, Cores: 0.5, Memory: 1}
+	wantJobs := []controller.Set{{Job: "plain", Spec: plainSpec}, {Job: "reports", Count: 3, Spec: goldenSpec}}
 	if !reflect.DeepEqual(restored.Jobs, wantJobs) {
 		t.Errorf("jobs %+v, want %+v", restored.Jobs, wantJobs)
 	}
-	var wantContainers []keeper.Container
+	var wantContainers []controller.Container
 	for _, r := range goldenRecords() {
 		if c, ok := r.value.(KeptContainer); ok {
 			wantContainers = append(wantContainers, c.Container)
 		}
 	}
-	byID := map[string]keeper.Container{}
+	byID := map[string]controller.Container{}
 	for _, c := range restored.Containers {
 		byID[containerID(c.Job, c.Index)] = c
 	}
@@ -227,7 +227,7 @@
 			t.Errorf("container %+v, want %+v", got, want)
 		}
 	}
-	if want := []keeper.Stray{{Door: 1, Key: "reports/1/29"}}; !reflect.DeepEqual(restored.Strays, want) {
+	if want := []controller.Stray{{Door: 1, Key: "reports/1/29"}}; !reflect.DeepEqual(restored.Strays, want) {
 		t.Errorf("strays %+v, want %+v", restored.Strays, want)
 	}
 }
@@ -253,7 +253,7 @@
 			t.Errorf("%s read as %+v, %v", line, back.Elem(), err)
 		}
 	}
-	for state := keeper.Waiting; state <= keeper.Done; state++ {
+	for state := controller.Waiting; state <= controller.Done; state++ {
 		fmt.Fprintf(&got, "state %d %s\n", state, state)
 	}
 	if *update {
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"glenport/internal/catalog"
-	"glenport/internal/keeper"
+	"glenport/internal/controller"
 	"glenport/internal/link"
 	"glenport/internal/loop"
 	"glenport/internal/schedulerd/recovery"
@@ -96,14 +96,14 @@
 	place   Place
 	log     *slog.Logger
 	loop    *loop.Loop
-	keeper  *keeper.Keeper
-	events  []keeper.Event
+	keeper  *controller.Keeper
+	events  []controller.Event
 	doors   []*door
 	list    *listing
-	views   map[string]keeper.Container // by container id
-	halls   map[string]link.Entry       // by machine
-	asked   map[uint64]*question        // emptied by the answer or its time
-	last    map[string]*explained       // by job, for a moment
+	views   map[string]controller.Container // by container id
+	halls   map[string]link.Entry           // by machine
+	asked   map[uint64]*question            // emptied by the answer or its time
+	last    map[string]*explained           // by job, for a moment
 	seq     uint64
 
 	promises *promises           // nil where nothing is kept
@@ -123,11 +123,11 @@
 
 // New makes a keeper's host; Run serves it.
 func New(p Place, c *catalog.Catalog, log *slog.Logger) (*Host, error) {
-	t := keeper.Terms{Seed: p.Seed, First: uint64(time.Now().UnixMicro()), Doors: len(p.Doors)}
+	t := controller.Terms{Seed: p.Seed, First: uint64(time.Now().UnixMicro()), Doors: len(p.Doors)}
 	for _, w := range p.Site.Terms.Workloads {
-		t.Workloads = append(t.Workloads, keeper.Workload{Effect: w.Effect, HardStop: w.HardStop, Window: w.Window})
+		t.Workloads = append(t.Workloads, controller.Workload{Effect: w.Effect, HardStop: w.HardStop, Window: w.Window})
 	}
-	h := &Host{Catalog: c, place: p, log: log, keeper: keeper.New(t), views: map[string]keeper.Container{},
+	h := &Host{Catalog: c, place: p, log: log, keeper: controller.New(t), views: map[string]controller.Container{},
 		halls: map[string]link.Entry{}, asked: map[uint64]*question{}, last: map[string]*explained{}, pending: map[string][]func(){}}
 	var err error
 	if h.loop, err = loop.New(h.turn); err != nil {
@@ -198,7 +198,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return h.changed(j.ID, func(old *Job) (*KeptJob, keeper.Event, error) {
+	return h.changed(j.ID, func(old *Job) (*KeptJob, controller.Event, error) {
 		k := &KeptJob{Job: j, Made: by.Key, Request: by.Request}
 		switch {
 		case precondition < 0 && old != nil:
@@ -213,12 +213,12 @@
 		case precondition > 0 && old.Version != precondition:
 			return nil, nil, &Conflict{j.ID, old.Version, "it was changed meanwhile"}
 		}
-		return k, keeper.Set{Job: j.ID, Count: j.Count, Spec: spec}, nil
+		return k, controller.Set{Job: j.ID, Count: j.Count, Spec: spec}, nil
 	})
 }
 
 // changed makes a change on the loop and waits for it.
-func (h *Host) changed(id string, f func(*Job) (*KeptJob, keeper.Event, error)) (int64, error) {
+func (h *Host) changed(id string, f func(*Job) (*KeptJob, controller.Event, error)) (int64, error) {
 	type answer struct {
 		version int64
 		err     error
@@ -239,14 +239,14 @@
 
 // Drop ends a job.
 func (h *Host) Drop(id string, precondition int64) error {
-	_, err := h.changed(id, func(old *Job) (*KeptJob, keeper.Event, error) {
+	_, err := h.changed(id, func(old *Job) (*KeptJob, controller.Event, error) {
 		switch {
 		case old == nil:
 			return nil, nil, ErrUnknown
 		case precondition > 0 && old.Version != precondition:
 			return nil, nil, &Conflict{id, old.Version, "it was changed meanwhile"}
 		}
-		return nil, keeper.Drop{Job: id}, nil
+		return nil, controller.Drop{Job: id}, nil
 	})
 	return err
 }
@@ -270,10 +270,10 @@
 
 func (e *Invalid) Error() string { return e.Field + ": " + e.Text }
 
-func (h *Host) spec(j *Job) (keeper.Spec, error) {
-	s := keeper.Spec{Service: j.Service, Cores: j.Cores, Memory: j.MemoryGiB, RunFor: scheduler.Time(j.RunForMS) * scheduler.Millisecond,
+func (h *Host) spec(j *Job) (controller.Spec, error) {
+	s := controller.Spec{Service: j.Service, Cores: j.Cores, Memory: j.MemoryGiB, RunFor: scheduler.Time(j.RunForMS) * scheduler.Millisecond,
 		Once: j.Once}
-	bad := func(field, format string, a ...any) (keeper.Spec, error) {
+	bad := func(field, format string, a ...any) (controller.Spec, error) {
 		return s, &Invalid{field, fmt.Sprintf(format, a...)}
 	}
 	if !goodID(j.ID) {
@@ -363,8 +363,8 @@
 }
 
 // explain asks the placer that was asked last, or another, and hands its word on; nil where none answers in time.
-func (h *Host) explain(v keeper.Container, then func(*link.Why)) {
-	if v.State == keeper.Running || v.State == keeper.Done {
+func (h *Host) explain(v controller.Container, then func(*link.Why)) {
+	if v.State == controller.Running || v.State == controller.Done {
 		then(nil)
 		return
 	}
@@ -429,7 +429,7 @@
 	return nil
 }
 
-func (h *Host) facts(v keeper.Container, w *link.Why) waiting.Facts {
+func (h *Host) facts(v controller.Container, w *link.Why) waiting.Facts {
 	f := waiting.Facts{Container: v, Doors: len(h.doors), ColdWindow: h.place.Site.Terms.ColdWindow}
 	for _, d := range h.doors {
 		if d.open {
@@ -473,11 +473,11 @@
 	}
 	h.events = nil
 	var changes []store.Change
-	var todo []keeper.Action
+	var todo []controller.Action
 	durable := false
 	for _, a := range h.keeper.Handle(scheduler.Time(h.loop.Now()), events) {
 		switch a := a.(type) {
-		case keeper.Changed:
+		case controller.Changed:
 			if h.promises != nil {
 				k := KeptContainer{Container: a.Container}
 				if d := a.Container.Door; d >= 0 {
@@ -486,21 +486,21 @@
 				changes = append(changes, store.Put(ContainerKind, containerID(a.Container.Job, a.Container.Index), k))
 			}
 			h.show(a.Container)
-		case keeper.Removed:
+		case controller.Removed:
 			id := containerID(a.Job, a.Index)
 			changes = append(changes, store.Change{Kind: ContainerKind, Key: id})
 			if _, seen := h.views[id]; seen {
 				delete(h.views, id)
 				h.publish(Containers, id, Container{ID: id, Job: a.Job, Index: a.Index}, true, true)
 			}
-		case keeper.Strayed:
+		case controller.Strayed:
 			k := KeptStray{h.doors[a.Stray.Door].addr, a.Stray.Key}
 			changes = append(changes, store.Put(StrayKind, k.Door+" "+k.Key, k))
-		case keeper.Found:
+		case controller.Found:
 			changes = append(changes, store.Change{Kind: StrayKind, Key: h.doors[a.Stray.Door].addr + " " + a.Stray.Key})
-		case keeper.Wake:
-			h.loop.After(loop.Tick(a.After), func() { h.events = append(h.events, keeper.Woke{}) })
-		case keeper.Submit:
+		case controller.Wake:
+			h.loop.After(loop.Tick(a.After), func() { h.events = append(h.events, controller.Woke{}) })
+		case controller.Submit:
 			_, sync := recovery.Writes(h.effect(a.Spec.Workload))
 			durable = durable || sync
 			todo = append(todo, a)
@@ -529,18 +529,18 @@
 }
 
 // carry does what the keeper wants done. An ask that could not be written down is not made.
-func (h *Host) carry(a keeper.Action, kept error) {
+func (h *Host) carry(a controller.Action, kept error) {
 	switch a := a.(type) {
-	case keeper.Submit:
+	case controller.Submit:
 		if kept != nil {
-			h.events = append(h.events, keeper.Answered{Ask: a.Ask, Verdict: keeper.TurnedAway, HoldOff: scheduler.Second,
+			h.events = append(h.events, controller.Answered{Ask: a.Ask, Verdict: controller.TurnedAway, HoldOff: scheduler.Second,
 				Text: "the ask could not be written down: " + kept.Error()})
 			return
 		}
 		h.doors[a.Door].write(&link.Submit{Left: link.Span(a.Left), Work: h.submission(a)})
-	case keeper.Look:
+	case controller.Look:
 		h.doors[a.Door].write(&link.Look{Container: a.Ask, Key: a.Key})
-	case keeper.Cancel:
+	case controller.Cancel:
 		if a.Door >= 0 {
 			h.doors[a.Door].write(&link.Cancel{Container: a.Ask, Key: a.Key})
 		}
@@ -549,7 +549,7 @@
 
 func containerID(job string, index int) string { return fmt.Sprintf("%s.%d", job, index) }
 
-func (h *Host) show(v keeper.Container) {
+func (h *Host) show(v controller.Container) {
 	c := Container{ID: containerID(v.Job, v.Index), Job: v.Job, Index: v.Index, State: v.State.String(), Leaving: v.Leaving,
 		Machine: v.Machine, SinceMS: int64(v.Since / scheduler.Millisecond), UntilMS: int64(v.Until / scheduler.Millisecond),
 		Tries: v.Tries, Starts: v.Starts, Last: v.Last}
@@ -560,12 +560,12 @@
 	h.publish(Containers, c.ID, c, false, true)
 }
 
-func work(s keeper.Spec, container, key string) link.Work {
+func work(s controller.Spec, container, key string) link.Work {
 	return link.Work{Container: container, Key: key, Service: s.Service, Workload: s.Workload, Customer: s.Customer, Cores: s.Cores,
 		Memory: s.Memory, RunFor: link.Span(s.RunFor)}
 }
 
-func (h *Host) submission(a keeper.Submit) link.Work {
+func (h *Host) submission(a controller.Submit) link.Work {
 	w := work(a.Spec, a.Ask, a.Key)
 	w.Again = a.Again
 	return w
--- a/internal/jobs/kept.go
+++ b/internal/jobs/kept.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"sort"
 
+	"glenport/internal/controller"
 	"glenport/internal/disk"
-	"glenport/internal/keeper"
 	"glenport/internal/loop"
 	"glenport/internal/store"
 
@@ -70,7 +70,7 @@
 	return p, nil
 }
 
-func (p *promises) read() (r keeper.Restored, err error) {
+func (p *promises) read() (r controller.Restored, err error) {
 	h, from := p.h, p.log.State()
 	if err = from.Each(CeilingKind, func(_ string, v []byte) error { return cbor.Unmarshal(v, &p.ceiling) }); err != nil {
 		return r, err
@@ -87,7 +87,7 @@
 		}
 		p.made[id] = k
 		h.Catalog.Make(k.Job.Version, Jobs, id, k.Job, false)
-		r.Jobs = append(r.Jobs, keeper.Set{Job: id, Count: k.Job.Count, Spec: spec})
+		r.Jobs = append(r.Jobs, controller.Set{Job: id, Count: k.Job.Count, Spec: spec})
 		return nil
 	}); err != nil {
 		return r, err
@@ -118,7 +118,7 @@
 			return fmt.Errorf("stray %s: %w", id, err)
 		}
 		if d, there := doors[k.Door]; there {
-			r.Strays = append(r.Strays, keeper.Stray{Door: d, Key: k.Key})
+			r.Strays = append(r.Strays, controller.Stray{Door: d, Key: k.Key})
 		}
 		return nil
 	})
@@ -218,7 +218,7 @@
 
 // changeJob makes one change of a job: kept first, then shown and carried out. A second change of the same job waits
 // for the first, so that each sees what it follows on.
-func (h *Host) changeJob(id string, f func(old *Job) (value *KeptJob, e keeper.Event, err error), done func(version int64, err error)) {
+func (h *Host) changeJob(id string, f func(old *Job) (value *KeptJob, e controller.Event, err error), done func(version int64, err error)) {
 	if waiting, busy := h.pending[id]; busy {
 		h.pending[id] = append(waiting, func() { h.changeJob(id, f, done) })
 		return
--- a/internal/jobs/links.go
+++ b/internal/jobs/links.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"glenport/internal/keeper"
+	"glenport/internal/controller"
 	"glenport/internal/link"
 	"glenport/internal/loop"
 	"glenport/scheduler"
@@ -54,7 +54,7 @@
 	if d.open {
 		d.open = false
 		d.h.log.Warn("placer lost", "placer", d.name, "why", why)
-		d.h.events = append(d.h.events, keeper.Door{Number: d.number, Open: false})
+		d.h.events = append(d.h.events, controller.Door{Number: d.number, Open: false})
 	}
 	d.h.loop.After(redial, d.call)
 }
@@ -68,12 +68,12 @@
 		}
 		d.name, d.open = f.Name, true
 		h.log.Info("placer found", "placer", f.Name, "door", d.addr)
-		h.events = append(h.events, keeper.Door{Number: d.number, Open: true})
+		h.events = append(h.events, controller.Door{Number: d.number, Open: true})
 	case *link.Answer:
-		h.events = append(h.events, keeper.Answered{Ask: f.Container, Verdict: verdictOf(f.Verdict), Machine: f.Machine,
+		h.events = append(h.events, controller.Answered{Ask: f.Container, Verdict: verdictOf(f.Verdict), Machine: f.Machine,
 			HoldOff: scheduler.Time(f.HoldOff), Text: f.Text})
 	case *link.Fate:
-		h.events = append(h.events, keeper.Fated{Ask: f.Container, Outcome: f.Outcome.Decided(), Reason: scheduler.Reason(f.Reason)})
+		h.events = append(h.events, controller.Fated{Ask: f.Container, Outcome: f.Outcome.Decided(), Reason: scheduler.Reason(f.Reason)})
 	case *link.Why:
 		h.answered(f.Seq, f)
 	case *link.Beat:
@@ -85,16 +85,16 @@
 	return nil
 }
 
-func verdictOf(v link.Verdict) keeper.Verdict {
+func verdictOf(v link.Verdict) controller.Verdict {
 	switch v {
 	case link.Placed:
-		return keeper.Placed
+		return controller.Placed
 	case link.PushedBack:
-		return keeper.PushedBack
+		return controller.PushedBack
 	case link.TurnedAway:
-		return keeper.TurnedAway
+		return controller.TurnedAway
 	}
-	return keeper.GivenUp
+	return controller.GivenUp
 }
 
 // listing is the link to the list, for the machines that the API shows.
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -1,6 +1,6 @@
 package jobs
 
-import "glenport/internal/keeper"
+import "glenport/internal/controller"
 
 // The records below are stored under the names in their tags: a name that changes there makes stored state unreadable.
 
@@ -21,8 +21,8 @@
 
 // KeptContainer is a container as the log has it.
 type KeptContainer struct {
-	Container keeper.Container `cbor:"Container"`
-	Door      string           `cbor:"Door"` // the address of the placer that was asked
+	Container controller.Container `cbor:"Container"`
+	Door      string               `cbor:"Door"` // the address of the placer that was asked
 }
 
 // KeptStray is a stray as the log has it.
--- a/internal/lab/restart.go
+++ b/internal/lab/restart.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"glenport/internal/audit"
+	"glenport/internal/controller"
 	"glenport/internal/disk"
 	"glenport/internal/jobs"
-	"glenport/internal/keeper"
 	"glenport/internal/link"
 	"glenport/internal/schedulerd"
 	"glenport/internal/schedulerd/reconcile"
@@ -510,7 +510,7 @@
 		"first at-most-once one that came before after %.0f ms\n", n, ms1(door), ms1(first), ms1(once))
 	folder := filepath.Join(dir, "keeper.state")
 	const each = 1000
-	spec := keeper.Spec{Service: "s", Customer: 2, Cores: 0.01, Memory: 0.01, RunFor: 36_000_000}
+	spec := controller.Spec{Service: "s", Customer: 2, Cores: 0.01, Memory: 0.01, RunFor: 36_000_000}
 	if err := fill(folder, jobs.JobKind, (n+each-1)/each, func(i int) (string, any) {
 		id := fmt.Sprint("j", i)
 		return id, jobs.KeptJob{Job: jobs.Job{ID: id, Service: "s", Workload: "matcher", Cores: 0.01, MemoryGiB: 0.01, RunForMS: 3600_000,
@@ -520,8 +520,8 @@
 	}
 	if err := fill(folder, jobs.ContainerKind, n, func(i int) (string, any) {
 		j := fmt.Sprint("j", i/each)
-		return fmt.Sprintf("%s.%d", j, i%each), jobs.KeptContainer{Door: b.placer.Door, Container: keeper.Container{Job: j, Index: i % each,
-			State: keeper.Running, Machine: "machine-0000", Key: fmt.Sprintf("%s/%d/%d", j, i%each, i), Ask: fmt.Sprintf("%s/%d#%d", j, i%each, i),
+		return fmt.Sprintf("%s.%d", j, i%each), jobs.KeptContainer{Door: b.placer.Door, Container: controller.Container{Job: j, Index: i % each,
+			State: controller.Running, Machine: "machine-0000", Key: fmt.Sprintf("%s/%d/%d", j, i%each, i), Ask: fmt.Sprintf("%s/%d#%d", j, i%each, i),
 			Again: true, Starts: 1, With: spec}}
 	}); err != nil {
 		return err
--- a/internal/waiting/golden_test.go
+++ b/internal/waiting/golden_test.go
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"glenport/internal/keeper"
+	"glenport/internal/controller"
 	"glenport/scheduler"
 )
 
@@ -68,11 +68,11 @@
 		return 0
 	}
 	now := scheduler.Time(upTo(1_000_000))
-	state := keeper.State(upTo(5))
+	state := controller.State(upTo(5))
 	f := Facts{Doors: 1 + upTo(4), DoorOpen: chance(0.7), Asked: group != 2 && chance(0.9),
 		ListAge: scheduler.Time(upTo(60_000)) - 5_000, ColdWindow: scheduler.Time(upTo(30_000))}
 	f.DoorsOpen = upTo(f.Doors)
-	f.Container = keeper.Container{Job: "j", Index: upTo(9), State: state, Pinned: chance(0.2), Held: chance(0.3), Tries: upTo(4),
+	f.Container = controller.Container{Job: "j", Index: upTo(9), State: state, Pinned: chance(0.2), Held: chance(0.3), Tries: upTo(4),
 		Door: upTo(f.Doors) - 1, Since: now - scheduler.Time(upTo(90_000)), Last: []string{"", "pushed back", "given up, and it may run",
 			"turned away: may run on machine m3", "turned away: does not know yet", "turned away: full"}[upTo(5)]}
 	if chance(0.7) {
--- a/internal/waiting/waiting.go
+++ b/internal/waiting/waiting.go
@@ -7,7 +7,7 @@
 	"sort"
 	"strings"
 
-	"glenport/internal/keeper"
+	"glenport/internal/controller"
 	"glenport/scheduler"
 )
 
@@ -50,7 +50,7 @@
 
 // Facts are what is known of a container, as of now.
 type Facts struct {
-	Container   keeper.Container
+	Container   controller.Container
 	DoorsOpen   int
 	Doors       int
 	DoorOpen    bool // that of the placer asked last
@@ -66,7 +66,7 @@
 // Explain returns the reasons in order of rank. A container that runs, or is done, has none.
 func Explain(now scheduler.Time, f Facts) []Reason {
 	c := &f.Container
-	if c.State == keeper.Running || c.State == keeper.Done {
+	if c.State == controller.Running || c.State == controller.Done {
 		return nil
 	}
 	var all []Reason
@@ -77,18 +77,18 @@
 	switch {
 	case f.DoorsOpen == 0:
 		add(NoPlacer, 0, map[string]float64{"placers": float64(f.Doors)}, "None of the %d placers can be reached.", f.Doors)
-	case (c.Pinned || c.State == keeper.Unwatched || c.State == keeper.Guarded) && !f.DoorOpen:
+	case (c.Pinned || c.State == controller.Unwatched || c.State == controller.Guarded) && !f.DoorOpen:
 		add(PlacerAway, 0, nil, "The placer that knows whether it runs cannot be reached.")
 	}
 	switch c.State {
-	case keeper.Guarded:
+	case controller.Guarded:
 		add(Guard, c.Until, seconds("seconds", left), "It may have been started (%s). A second copy must not run, so nothing is done for another %.1f s.",
 			c.Last, secs(left))
-	case keeper.Unwatched:
+	case controller.Unwatched:
 		add(Unwatched, c.Until, nil, "It ran when its placer was lost; whether it still does is not known.")
-	case keeper.Asking:
+	case controller.Asking:
 		add(BeingPlaced, 0, seconds("seconds", now-c.Since), "A placer has been at it for %.1f s.", secs(now-c.Since))
-	case keeper.Waiting:
+	case controller.Waiting:
 		switch {
 		case c.Held && strings.Contains(c.Last, "may run on machine") || c.Held && strings.Contains(c.Last, "does not know yet"):
 			add(Unsure, c.Until, nil, "A placer cannot tell yet whether it runs (%s).", c.Last)
--- a/internal/waiting/waiting_test.go
+++ b/internal/waiting/waiting_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"glenport/internal/keeper"
+	"glenport/internal/controller"
 	"glenport/scheduler"
 )
 
@@ -16,7 +16,7 @@
 	fleet := func(f func(x *scheduler.Explanation)) Facts {
 		x := scheduler.Explanation{Machines: 10}
 		f(&x)
-		return Facts{Container: keeper.Container{State: keeper.Waiting, Until: 7 * sec, Tries: 2, Last: "pushed back"}, Doors: 2,
+		return Facts{Container: controller.Container{State: controller.Waiting, Until: 7 * sec, Tries: 2, Last: "pushed back"}, Doors: 2,
 			DoorsOpen: 2, DoorOpen: true, Asked: true, Explanation: x, ColdWindow: 3 * sec}
 	}
 	with := func(f Facts, change func(f *Facts)) Facts { change(&f); return f }
@@ -27,8 +27,8 @@
 		want  string
 		says  string
 	}{
-		{"runs", Facts{Container: keeper.Container{State: keeper.Running}}, "", ""},
-		{"just asked for", Facts{Container: keeper.Container{State: keeper.Waiting}, DoorsOpen: 1}, "unknown", ""},
+		{"runs", Facts{Container: controller.Container{State: controller.Running}}, "", ""},
+		{"just asked for", Facts{Container: controller.Container{State: controller.Waiting}, DoorsOpen: 1}, "unknown", ""},
 		{"no room", full, "no_room backing_off", "10 of 10 machines have no room: memory is short (2 lack cores, 8 memory)"},
 		{"room, and its time has not come", fleet(func(x *scheduler.Explanation) { x.Free, x.NoCores = 1, 9 }), "backing_off",
 			"after 2 tries the next is in 2.0 s"},
@@ -40,13 +40,13 @@
 		{"sick", fleet(func(x *scheduler.Explanation) { x.Resting, x.Shunned = 4, 6 }), "machines_sick backing_off", "4 look sick, 6 leave"},
 		{"over-asked", fleet(func(x *scheduler.Explanation) { x.Free, x.Yielding, x.NoRoomShare = 2, true, 0.4 }), "low_gain backing_off", "40%"},
 		{"the list is away", with(full, func(f *Facts) { f.ListAge = 9 * sec }), "no_room list_away backing_off", "not been heard for 9 s"},
-		{"guarded", with(full, func(f *Facts) { f.Container.State = keeper.Guarded; f.Container.Until = 11 * sec }), "guard no_room",
+		{"guarded", with(full, func(f *Facts) { f.Container.State = controller.Guarded; f.Container.Until = 11 * sec }), "guard no_room",
 			"for another 6.0 s"},
 		{"no placer", with(full, func(f *Facts) { f.DoorsOpen, f.Asked, f.Container.Until, f.DoorOpen = 0, false, 0, false }), "no_placer",
 			"None of the 2 placers"},
 		{"the placer that knows is away", with(full, func(f *Facts) { f.Container.Pinned, f.DoorOpen, f.Asked = true, false, false }),
 			"placer_away backing_off", ""},
-		{"being placed", with(full, func(f *Facts) { f.Container.State, f.Asked, f.Container.Since = keeper.Asking, false, 4*sec }),
+		{"being placed", with(full, func(f *Facts) { f.Container.State, f.Asked, f.Container.Since = controller.Asking, false, 4*sec }),
 			"being_placed", "for 1.0 s"},
 		{"a silent machine", with(full, func(f *Facts) {
 			f.Container.Held, f.Container.Last = true, "turned away: key k may run on machine m, which has not told since 900 ms"
