--- a/cmd/glenport/job.go
+++ b/cmd/glenport/job.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"glenport/internal/api"
-	"glenport/internal/jobs"
+	"glenport/internal/controller/server"
 
 	"github.com/goccy/go-yaml"
 	"github.com/spf13/cobra"
@@ -94,18 +94,18 @@
 
 const jobHead = "JOB\tSERVICE\tWORKLOAD\tCOUNT\tCORES\tGIB\tVERSION"
 
-func jobRow(w io.Writer, j jobs.Job) {
+func jobRow(w io.Writer, j server.Job) {
 	fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%g\t%g\t%d\n", j.ID, j.Service, j.Workload, j.Count, j.Cores, j.MemoryGiB, j.Version)
 }
 
-func (k *client) oneJob(j jobs.Job) error {
+func (k *client) oneJob(j server.Job) error {
 	return k.show(j, jobHead, func(w io.Writer) { jobRow(w, j) })
 }
 
 func jobCommand() *cobra.Command {
 	job := &cobra.Command{Use: "job", Short: "Run, look at, scale and stop jobs"}
 	k := &client{}
-	var j jobs.Job
+	var j server.Job
 	var runFor time.Duration
 	run := k.flags(&cobra.Command{Use: "run ID", Short: "Keep a job's containers running", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -113,7 +113,7 @@
 			if j.Service == "" {
 				j.Service = j.ID
 			}
-			var made jobs.Job
+			var made server.Job
 			if err := k.do("POST", "/v1/jobs", j, &made); err != nil {
 				return err
 			}
@@ -135,7 +135,7 @@
 	list := get.flags(&cobra.Command{Use: "get [ID]", Short: "Show one job with its containers, or all jobs", Args: cobra.MaximumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			if len(args) == 0 {
-				var all struct{ Items []jobs.Job }
+				var all struct{ Items []server.Job }
 				if err := get.do("GET", "/v1/jobs?limit=1000", nil, &all); err != nil {
 					return err
 				}
@@ -145,8 +145,8 @@
 					}
 				})
 			}
-			var j jobs.Job
-			var all struct{ Items []jobs.Container }
+			var j server.Job
+			var all struct{ Items []server.Container }
 			if err := get.do("GET", "/v1/jobs/"+args[0], nil, &j); err != nil {
 				return err
 			}
@@ -165,7 +165,7 @@
 	var count int
 	scale := sc.flags(&cobra.Command{Use: "scale ID", Short: "Change how many containers a job has", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			var j jobs.Job
+			var j server.Job
 			if err := sc.do("GET", "/v1/jobs/"+args[0], nil, &j); err != nil {
 				return err
 			}
@@ -245,7 +245,7 @@
 	k := &client{}
 	return k.flags(&cobra.Command{Use: "machines", Short: "Show the machines", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			var all struct{ Items []jobs.Machine }
+			var all struct{ Items []server.Machine }
 			if err := k.do("GET", "/v1/machines?limit=1000", nil, &all); err != nil {
 				return err
 			}
--- a/cmd/glenport/keeper.go
+++ b/cmd/glenport/keeper.go
@@ -12,7 +12,7 @@
 
 	"glenport/internal/api"
 	"glenport/internal/catalog"
-	"glenport/internal/jobs"
+	"glenport/internal/controller/server"
 	"glenport/internal/site"
 
 	"github.com/spf13/cobra"
@@ -30,7 +30,7 @@
 			if err != nil {
 				return err
 			}
-			h, err := jobs.New(jobs.Place{Name: k.Name, Doors: k.Doors, List: k.List, Seed: k.Seed, State: k.State, Site: k.Terms},
+			h, err := server.New(server.Place{Name: k.Name, Doors: k.Doors, List: k.List, Seed: k.Seed, State: k.State, Site: k.Terms},
 				catalog.New(api.Line), log)
 			if err != nil {
 				return err
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"glenport/internal/catalog"
-	"glenport/internal/jobs"
+	"glenport/internal/controller/server"
 	"glenport/internal/waiting"
 )
 
@@ -35,7 +35,7 @@
 
 // Server answers requests.
 type Server struct {
-	host *jobs.Host
+	host *server.Host
 	mux  *http.ServeMux
 
 	mu   sync.Mutex
@@ -66,13 +66,13 @@
 // versioned is an object's value with its version.
 func versioned(o *catalog.Object) any {
 	switch v := o.Value.(type) {
-	case jobs.Job:
+	case server.Job:
 		v.Version = o.Version
 		return v
-	case jobs.Container:
+	case server.Container:
 		v.Version = o.Version
 		return v
-	case jobs.Machine:
+	case server.Machine:
 		v.Version = o.Version
 		return v
 	}
@@ -80,20 +80,20 @@
 }
 
 // New makes the handler for a keeper.
-func New(h *jobs.Host) http.Handler {
+func New(h *server.Host) http.Handler {
 	s := &Server{host: h, mux: http.NewServeMux(), keys: map[string]*made{}}
 	for pattern, f := range map[string]http.HandlerFunc{
-		"GET /v1/jobs":                s.list(jobs.Jobs),
+		"GET /v1/jobs":                s.list(server.Jobs),
 		"POST /v1/jobs":               s.create,
-		"GET /v1/jobs/{id}":           s.get(jobs.Jobs),
+		"GET /v1/jobs/{id}":           s.get(server.Jobs),
 		"PUT /v1/jobs/{id}":           s.change,
 		"DELETE /v1/jobs/{id}":        s.remove,
 		"GET /v1/jobs/{id}/why":       s.jobWhy,
-		"GET /v1/containers":          s.list(jobs.Containers),
-		"GET /v1/containers/{id}":     s.get(jobs.Containers),
+		"GET /v1/containers":          s.list(server.Containers),
+		"GET /v1/containers/{id}":     s.get(server.Containers),
 		"GET /v1/containers/{id}/why": s.why,
-		"GET /v1/machines":            s.list(jobs.Machines),
-		"GET /v1/machines/{id}":       s.get(jobs.Machines),
+		"GET /v1/machines":            s.list(server.Machines),
+		"GET /v1/machines/{id}":       s.get(server.Machines),
 		"GET /v1/watch":               s.watch,
 		"GET /v1/openapi.yaml": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "application/yaml")
@@ -127,24 +127,24 @@
 
 // fail turns an error into a problem that names field and cause.
 func fail(w http.ResponseWriter, err error) {
-	var invalid *jobs.Invalid
-	var conflict *jobs.Conflict
+	var invalid *server.Invalid
+	var conflict *server.Conflict
 	var large *http.MaxBytesError
-	var notKept *jobs.NotKept
+	var notKept *server.NotKept
 	var typed *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &invalid):
 		problem(w, http.StatusUnprocessableEntity, err.Error(), map[string]any{"field": invalid.Field})
 	case errors.As(err, &conflict):
 		problem(w, http.StatusConflict, err.Error(), map[string]any{"version": conflict.Version})
-	case errors.Is(err, jobs.ErrUnknown):
+	case errors.Is(err, server.ErrUnknown):
 		problem(w, http.StatusNotFound, err.Error(), nil)
 	case errors.Is(err, catalog.ErrGone):
 		problem(w, http.StatusGone, err.Error(), nil)
 	case errors.As(err, &notKept):
 		w.Header().Set("Retry-After", "5")
 		problem(w, http.StatusServiceUnavailable, err.Error(), nil)
-	case errors.Is(err, jobs.ErrStopped):
+	case errors.Is(err, server.ErrStopped):
 		problem(w, http.StatusServiceUnavailable, err.Error(), nil)
 	case errors.As(err, &large):
 		problem(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("more than %d bytes", large.Limit), nil)
@@ -167,7 +167,7 @@
 	w.Write(append(body, '\n'))
 }
 
-func readJob(w http.ResponseWriter, r *http.Request) (j jobs.Job, raw []byte, err error) {
+func readJob(w http.ResponseWriter, r *http.Request) (j server.Job, raw []byte, err error) {
 	if raw, err = io.ReadAll(http.MaxBytesReader(w, r.Body, mostBody)); err != nil {
 		return j, nil, err
 	}
@@ -175,7 +175,7 @@
 	d.DisallowUnknownFields()
 	if err = d.Decode(&j); err != nil {
 		if field, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
-			err = &jobs.Invalid{Field: strings.Trim(field, `"`), Text: "is unknown"}
+			err = &server.Invalid{Field: strings.Trim(field, `"`), Text: "is unknown"}
 		}
 		return j, nil, err
 	}
@@ -194,7 +194,7 @@
 	}
 	do := func() (int, []byte, error) {
 		digest := sha256.Sum256(raw)
-		j.Version, err = s.host.Set(j, -1, jobs.Made{Key: r.Header.Get("Idempotency-Key"), Request: digest[:]})
+		j.Version, err = s.host.Set(j, -1, server.Made{Key: r.Header.Get("Idempotency-Key"), Request: digest[:]})
 		if err != nil {
 			return 0, nil, err
 		}
@@ -214,7 +214,7 @@
 		return
 	}
 	if len(key) > 200 {
-		fail(w, &jobs.Invalid{Field: "Idempotency-Key", Text: "is longer than 200 bytes"})
+		fail(w, &server.Invalid{Field: "Idempotency-Key", Text: "is longer than 200 bytes"})
 		return
 	}
 	s.mu.Lock()
@@ -261,7 +261,7 @@
 	}
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil || n <= 0 {
-		return 0, &jobs.Invalid{Field: "If-Match", Text: fmt.Sprintf("%q is no version", v)}
+		return 0, &server.Invalid{Field: "If-Match", Text: fmt.Sprintf("%q is no version", v)}
 	}
 	return n, nil
 }
@@ -274,14 +274,14 @@
 	}
 	j, _, err := readJob(w, r)
 	if err == nil && j.ID != "" && j.ID != r.PathValue("id") {
-		err = &jobs.Invalid{Field: "id", Text: "is not that of the path"}
+		err = &server.Invalid{Field: "id", Text: "is not that of the path"}
 	}
 	j.ID = r.PathValue("id")
-	if err == nil && s.host.Catalog.Get(jobs.Jobs, j.ID) == nil {
-		err = jobs.ErrUnknown
+	if err == nil && s.host.Catalog.Get(server.Jobs, j.ID) == nil {
+		err = server.ErrUnknown
 	}
 	if err == nil {
-		j.Version, err = s.host.Set(j, version, jobs.Made{})
+		j.Version, err = s.host.Set(j, version, server.Made{})
 	}
 	if err != nil {
 		fail(w, err)
@@ -306,7 +306,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		o := s.host.Catalog.Get(kind, r.PathValue("id"))
 		if o == nil {
-			fail(w, jobs.ErrUnknown)
+			fail(w, server.ErrUnknown)
 			return
 		}
 		w.Header().Set("ETag", fmt.Sprintf("%q", strconv.FormatInt(o.Version, 10)))
@@ -321,7 +321,7 @@
 		if v := q.Get("limit"); v != "" {
 			n, err := strconv.Atoi(v)
 			if err != nil || n < 1 || n > pageMost {
-				fail(w, &jobs.Invalid{Field: "limit", Text: fmt.Sprintf("%q is not from 1 to %d", v, pageMost)})
+				fail(w, &server.Invalid{Field: "limit", Text: fmt.Sprintf("%q is not from 1 to %d", v, pageMost)})
 				return
 			}
 			limit = n
@@ -354,20 +354,20 @@
 		not         bool
 	}
 	var byField, byLabel []term
-	known := map[string]string{jobs.Jobs: "id service workload customer count", jobs.Containers: "id job state machine placer leaving",
-		jobs.Machines: "id hall kind state"}[kind]
+	known := map[string]string{server.Jobs: "id service workload customer count", server.Containers: "id job state machine placer leaving",
+		server.Machines: "id hall kind state"}[kind]
 	for _, x := range split(fields) {
 		name, value, ok := strings.Cut(x, "=")
 		t := term{strings.TrimSuffix(name, "!"), value, strings.HasSuffix(name, "!")}
 		if !ok || !strings.Contains(" "+known+" ", " "+t.name+" ") || t.name == "" {
-			return nil, &jobs.Invalid{Field: "field", Text: fmt.Sprintf("%q is no term such as name=value, with a name of %s", x, known)}
+			return nil, &server.Invalid{Field: "field", Text: fmt.Sprintf("%q is no term such as name=value, with a name of %s", x, known)}
 		}
 		byField = append(byField, t)
 	}
 	for _, x := range split(labels) {
 		name, value, ok := strings.Cut(x, "=")
 		if !ok || name == "" {
-			return nil, &jobs.Invalid{Field: "label", Text: fmt.Sprintf("%q is no term such as key=value", x)}
+			return nil, &server.Invalid{Field: "label", Text: fmt.Sprintf("%q is no term such as key=value", x)}
 		}
 		byLabel = append(byLabel, term{name, value, false})
 	}
@@ -378,7 +378,7 @@
 			}
 		}
 		for _, t := range byLabel {
-			if j, ok := o.Value.(jobs.Job); !ok || j.Labels[t.name] != t.value {
+			if j, ok := o.Value.(server.Job); !ok || j.Labels[t.name] != t.value {
 				return false
 			}
 		}
@@ -395,13 +395,13 @@
 
 func fieldOf(v any, name string) string {
 	switch v := v.(type) {
-	case jobs.Job:
+	case server.Job:
 		return map[string]string{"id": v.ID, "service": v.Service, "workload": v.Workload, "customer": v.Customer,
 			"count": strconv.Itoa(v.Count)}[name]
-	case jobs.Container:
+	case server.Container:
 		return map[string]string{"id": v.ID, "job": v.Job, "state": v.State, "machine": v.Machine, "placer": v.Placer,
 			"leaving": strconv.FormatBool(v.Leaving)}[name]
-	case jobs.Machine:
+	case server.Machine:
 		return map[string]string{"id": v.ID, "hall": strconv.Itoa(v.Hall), "kind": v.Kind, "state": v.State}[name]
 	}
 	return ""
@@ -440,12 +440,12 @@
 
 func (s *Server) jobWhy(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	if s.host.Catalog.Get(jobs.Jobs, id) == nil {
-		fail(w, jobs.ErrUnknown)
+	if s.host.Catalog.Get(server.Jobs, id) == nil {
+		fail(w, server.ErrUnknown)
 		return
 	}
-	waitingOnes, _, _ := s.host.Catalog.List(jobs.Containers, id+".", whyAtOnce, func(o *catalog.Object) bool {
-		c := o.Value.(jobs.Container)
+	waitingOnes, _, _ := s.host.Catalog.List(server.Containers, id+".", whyAtOnce, func(o *catalog.Object) bool {
+		c := o.Value.(server.Container)
 		return c.Job == id && c.State != "running" && c.State != "done"
 	})
 	out := struct {
@@ -464,11 +464,11 @@
 	q := r.URL.Query()
 	kinds := split(q.Get("kinds"))
 	if len(kinds) == 0 {
-		kinds = []string{jobs.Jobs, jobs.Containers, jobs.Machines}
+		kinds = []string{server.Jobs, server.Containers, server.Machines}
 	}
 	for _, k := range kinds {
-		if k != jobs.Jobs && k != jobs.Containers && k != jobs.Machines {
-			fail(w, &jobs.Invalid{Field: "kinds", Text: fmt.Sprintf("%q is none of jobs, containers, machines", k)})
+		if k != server.Jobs && k != server.Containers && k != server.Machines {
+			fail(w, &server.Invalid{Field: "kinds", Text: fmt.Sprintf("%q is none of jobs, containers, machines", k)})
 			return
 		}
 	}
@@ -476,7 +476,7 @@
 	if v := q.Get("from"); v != "" {
 		n, err := strconv.ParseInt(v, 10, 64)
 		if err != nil || n < 0 {
-			fail(w, &jobs.Invalid{Field: "from", Text: fmt.Sprintf("%q is no version", v)})
+			fail(w, &server.Invalid{Field: "from", Text: fmt.Sprintf("%q is no version", v)})
 			return
 		}
 		from = n
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"glenport/internal/catalog"
-	"glenport/internal/jobs"
+	"glenport/internal/controller/server"
 	"glenport/internal/schedulerd"
 	"glenport/internal/site"
 	"glenport/internal/standin"
@@ -32,10 +32,10 @@
 
 // rig is a keeper with its API, one placer and some stand-in machines, all in this process.
 type rig struct {
-	place jobs.Place
+	place server.Place
 	*testing.T
 	server   *httptest.Server
-	host     *jobs.Host
+	host     *server.Host
 	machines []*standin.Machine
 	router   routers.Router
 }
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	serve(t, h.Run, h.Stop)
-	r.place = jobs.Place{Name: "keeper", Doors: []string{h.Addr()}, List: s.ListAddr, Seed: 1, Site: s, State: t.TempDir()}
+	r.place = server.Place{Name: "keeper", Doors: []string{h.Addr()}, List: s.ListAddr, Seed: 1, Site: s, State: t.TempDir()}
 	r.keep()
 	doc, err := openapi3.NewLoader().LoadFromData(Description)
 	if err != nil {
@@ -88,7 +88,7 @@
 func (r *rig) keep() {
 	r.Helper()
 	var err error
-	if r.host, err = jobs.New(r.place, catalog.New(Line), quiet); err != nil {
+	if r.host, err = server.New(r.place, catalog.New(Line), quiet); err != nil {
 		r.Fatal(err)
 	}
 	serve(r.T, r.host.Run, r.host.Stop)
@@ -275,7 +275,7 @@
 				Type    string
 				Version int64
 				ID      string
-				Object  jobs.Container
+				Object  server.Container
 			}
 			if err := json.Unmarshal(lines.Bytes(), &c); err != nil {
 				t.Fatal(err)
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"glenport/internal/catalog"
-	"glenport/internal/jobs"
+	"glenport/internal/controller/server"
 	"glenport/internal/site"
 	"glenport/internal/waiting"
 )
@@ -26,7 +26,7 @@
 // TestAnswersMatchGoldenBytes holds what clients are sent, byte for byte, against testdata: lists, objects, watch events and
 // problems, from a controller that holds fixed objects and serves nothing else.
 func TestAnswersMatchGoldenBytes(t *testing.T) {
-	h, err := jobs.New(jobs.Place{Name: "controller", Seed: 1, Site: &site.Placer{Workloads: []string{"matcher"}}}, catalog.New(Line), quiet)
+	h, err := server.New(server.Place{Name: "controller", Seed: 1, Site: &site.Placer{Workloads: []string{"matcher"}}}, catalog.New(Line), quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,8 +51,8 @@
 		handler.ServeHTTP(w, httptest.NewRequest(q.method, q.path, strings.NewReader(q.body)))
 		record(&got, fmt.Sprintf("%s %s %.30s", q.method, q.path, strings.TrimSpace(q.body)), w)
 	}
-	for _, err := range []error{&jobs.NotKept{Why: errors.New("no space")}, jobs.ErrStopped, jobs.ErrUnknown, catalog.ErrGone,
-		&jobs.Conflict{ID: "reports", Version: 41, Text: "it exists already"}, &jobs.Invalid{Field: "cores", Text: "-1 is not above 0"}} {
+	for _, err := range []error{&server.NotKept{Why: errors.New("no space")}, server.ErrStopped, server.ErrUnknown, catalog.ErrGone,
+		&server.Conflict{ID: "reports", Version: 41, Text: "it exists already"}, &server.Invalid{Field: "cores", Text: "-1 is not above 0"}} {
 		w := httptest.NewRecorder()
 		fail(w, err)
 		record(&got, "error", w)
@@ -92,16 +92,16 @@
 }
 
 func fill(c *catalog.Catalog) {
-	c.Put(jobs.Jobs, "plain", jobs.Job{ID: "plain", Service: "web", Workload: "matcher", Cores: 0.5, MemoryGiB: 1, Count: 1})
-	c.Put(jobs.Jobs, "reports", jobs.Job{ID: "reports", Labels: map[string]string{"team": "north", "tier": "2"}, Service: "report",
+	c.Put(server.Jobs, "plain", server.Job{ID: "plain", Service: "web", Workload: "matcher", Cores: 0.5, MemoryGiB: 1, Count: 1})
+	c.Put(server.Jobs, "reports", server.Job{ID: "reports", Labels: map[string]string{"team": "north", "tier": "2"}, Service: "report",
 		Workload: "report-run", Customer: "schools", Cores: 1.5, MemoryGiB: 2.25, RunForMS: 60_000, Once: true, Count: 3})
-	c.Put(jobs.Containers, "reports.2", jobs.Container{ID: "reports.2", Job: "reports", Index: 2, State: "running", Leaving: true,
+	c.Put(server.Containers, "reports.2", server.Container{ID: "reports.2", Job: "reports", Index: 2, State: "running", Leaving: true,
 		Machine: "m17", Placer: "p1", SinceMS: 5, UntilMS: 6, Tries: 7, Starts: 8, Last: "runs"})
-	c.Put(jobs.Containers, "plain.0", jobs.Container{ID: "plain.0", Job: "plain", State: "done", Last: "finished"})
-	c.Put(jobs.Machines, "m17", jobs.Machine{ID: "m17", Hall: 2, Kind: "large", State: "serving", FreeCores: 1.5, FreeMemoryGiB: 2.5,
+	c.Put(server.Containers, "plain.0", server.Container{ID: "plain.0", Job: "plain", State: "done", Last: "finished"})
+	c.Put(server.Machines, "m17", server.Machine{ID: "m17", Hall: 2, Kind: "large", State: "serving", FreeCores: 1.5, FreeMemoryGiB: 2.5,
 		Incarnation: 1 << 60})
-	c.Put(jobs.Machines, "m18", jobs.Machine{ID: "m18"})
-	c.Delete(jobs.Machines, "m18")
+	c.Put(server.Machines, "m18", server.Machine{ID: "m18"})
+	c.Delete(server.Machines, "m18")
 }
 
 func record(got *strings.Builder, what string, w *httptest.ResponseRecorder) {
--- a/internal/jobs/jobs.go
+++ b/internal/controller/server/jobs.go
@@ -1,6 +1,6 @@
-// Package jobs hosts the keeper: it carries jobs to placers and their words back, keeps what the API shows in a
+// Package server hosts the keeper: it carries jobs to placers and their words back, keeps what the API shows in a
 // catalog, and gathers the facts for why something waits. Everything but the exported methods runs on its loop.
-package jobs
+package server
 
 import (
 	"bytes"
--- a/internal/jobs/links.go
+++ b/internal/controller/server/links.go
@@ -1,4 +1,4 @@
-package jobs
+package server
 
 import (
 	"fmt"
--- a/internal/lab/restart.go
+++ b/internal/lab/restart.go
@@ -15,8 +15,8 @@
 
 	"glenport/internal/audit"
 	"glenport/internal/controller"
+	"glenport/internal/controller/server"
 	"glenport/internal/disk"
-	"glenport/internal/jobs"
 	"glenport/internal/link"
 	"glenport/internal/schedulerd"
 	"glenport/internal/schedulerd/reconcile"
@@ -511,16 +511,16 @@
 	folder := filepath.Join(dir, "keeper.state")
 	const each = 1000
 	spec := controller.Spec{Service: "s", Customer: 2, Cores: 0.01, Memory: 0.01, RunFor: 36_000_000}
-	if err := fill(folder, jobs.JobKind, (n+each-1)/each, func(i int) (string, any) {
+	if err := fill(folder, server.JobKind, (n+each-1)/each, func(i int) (string, any) {
 		id := fmt.Sprint("j", i)
-		return id, jobs.KeptJob{Job: jobs.Job{ID: id, Service: "s", Workload: "matcher", Cores: 0.01, MemoryGiB: 0.01, RunForMS: 3600_000,
+		return id, server.KeptJob{Job: server.Job{ID: id, Service: "s", Workload: "matcher", Cores: 0.01, MemoryGiB: 0.01, RunForMS: 3600_000,
 			Count: min(each, n-i*each), Version: int64(i + 1)}}
 	}); err != nil {
 		return err
 	}
-	if err := fill(folder, jobs.ContainerKind, n, func(i int) (string, any) {
+	if err := fill(folder, server.ContainerKind, n, func(i int) (string, any) {
 		j := fmt.Sprint("j", i/each)
-		return fmt.Sprintf("%s.%d", j, i%each), jobs.KeptContainer{Door: b.placer.Door, Container: controller.Container{Job: j, Index: i % each,
+		return fmt.Sprintf("%s.%d", j, i%each), server.KeptContainer{Door: b.placer.Door, Container: controller.Container{Job: j, Index: i % each,
 			State: controller.Running, Machine: "machine-0000", Key: fmt.Sprintf("%s/%d/%d", j, i%each, i), Ask: fmt.Sprintf("%s/%d#%d", j, i%each, i),
 			Again: true, Starts: 1, With: spec}}
 	}); err != nil {
