--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"glenport/internal/catalog"
+	"glenport/internal/controller/pending"
 	"glenport/internal/controller/server"
-	"glenport/internal/waiting"
 )
 
 //go:embed openapi.yaml
@@ -409,7 +409,7 @@
 
 // Reason is one as the API shows it.
 type Reason struct {
-	waiting.Reason
+	pending.Reason
 	UntilMS int64 `json:"until_ms,omitempty"`
 }
 
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -16,9 +16,9 @@
 	"time"
 
 	"glenport/internal/catalog"
+	"glenport/internal/controller/pending"
 	"glenport/internal/controller/server"
 	"glenport/internal/site"
-	"glenport/internal/waiting"
 )
 
 var update = flag.Bool("update", false, "write the golden answers anew")
@@ -58,7 +58,7 @@
 		record(&got, "error", w)
 	}
 	for _, o := range []any{
-		Why{Container: "reports.0", State: "waiting", Reasons: []Reason{{}, {Reason: waiting.Reason{Code: waiting.NoRoom, Text: "No room.",
+		Why{Container: "reports.0", State: "waiting", Reasons: []Reason{{}, {Reason: pending.Reason{Code: pending.NoRoom, Text: "No room.",
 			Figures: map[string]float64{"machines": 3, "full": 2.5}, Until: 70}, UntilMS: 7}}}} {
 		line, err := json.Marshal(o)
 		if err != nil {
--- a/internal/waiting/waiting.go
+++ b/internal/controller/pending/waiting.go
@@ -1,6 +1,6 @@
-// Package waiting answers why a container is not running now: from what the keeper, a placer and the list know,
+// Package pending answers why a container is not running now: from what the keeper, a placer and the list know,
 // all reasons that hold, the most telling first. It is pure and keeps nothing.
-package waiting
+package pending
 
 import (
 	"fmt"
--- a/internal/waiting/waiting_test.go
+++ b/internal/controller/pending/waiting_test.go
@@ -1,4 +1,4 @@
-package waiting
+package pending
 
 import (
 	"fmt"
--- a/internal/controller/server/jobs.go
+++ b/internal/controller/server/jobs.go
@@ -12,12 +12,12 @@
 
 	"glenport/internal/catalog"
 	"glenport/internal/controller"
+	"glenport/internal/controller/pending"
 	"glenport/internal/link"
 	"glenport/internal/loop"
 	"glenport/internal/schedulerd/recovery"
 	"glenport/internal/site"
 	"glenport/internal/store"
-	"glenport/internal/waiting"
 	"glenport/scheduler"
 )
 
@@ -329,9 +329,9 @@
 }
 
 // Why returns the reasons why a container does not run, asking a placer. The times are unix milliseconds.
-func (h *Host) Why(container string) (reasons []waiting.Reason, state string, err error) {
+func (h *Host) Why(container string) (reasons []pending.Reason, state string, err error) {
 	type answer struct {
-		reasons []waiting.Reason
+		reasons []pending.Reason
 		state   string
 	}
 	got := make(chan answer, 1)
@@ -346,7 +346,7 @@
 			if !ok {
 				v = view
 			}
-			got <- answer{waiting.Explain(scheduler.Time(h.loop.Now()), h.facts(v, w)), v.State.String()}
+			got <- answer{pending.Explain(scheduler.Time(h.loop.Now()), h.facts(v, w)), v.State.String()}
 		})
 	}) {
 		return nil, "", ErrStopped
@@ -429,8 +429,8 @@
 	return nil
 }
 
-func (h *Host) facts(v controller.Container, w *link.Why) waiting.Facts {
-	f := waiting.Facts{Container: v, Doors: len(h.doors), ColdWindow: h.place.Site.Terms.ColdWindow}
+func (h *Host) facts(v controller.Container, w *link.Why) pending.Facts {
+	f := pending.Facts{Container: v, Doors: len(h.doors), ColdWindow: h.place.Site.Terms.ColdWindow}
 	for _, d := range h.doors {
 		if d.open {
 			f.DoorsOpen++
@@ -443,12 +443,12 @@
 			TooSmall: w.TooSmall, Closing: w.Closing, SpreadFull: w.SpreadFull, ColdSpent: w.ColdSpent, Resting: w.Resting,
 			Shunned: w.Shunned, NoCores: w.NoCores, NoMemory: w.NoMemory, Free: w.Free, Yielding: w.Yielding, NoRoomShare: w.NoRoomShare}
 	}
-	halls := map[int]*waiting.Hall{}
+	halls := map[int]*pending.Hall{}
 	most := -1
 	for _, e := range h.halls {
 		x := halls[e.Zone]
 		if x == nil {
-			x = &waiting.Hall{Name: fmt.Sprint(e.Zone)}
+			x = &pending.Hall{Name: fmt.Sprint(e.Zone)}
 			halls[e.Zone] = x
 			most = max(most, e.Zone)
 		}
