--- a/cmd/glenport/keeper.go
+++ b/cmd/glenport/keeper.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"glenport/internal/api"
-	"glenport/internal/catalog"
 	"glenport/internal/controller/server"
+	"glenport/internal/controller/watchcache"
 	"glenport/internal/site"
 
 	"github.com/spf13/cobra"
@@ -31,7 +31,7 @@
 				return err
 			}
 			h, err := server.New(server.Place{Name: k.Name, Doors: k.Doors, List: k.List, Seed: k.Seed, State: k.State, Site: k.Terms},
-				catalog.New(api.Line), log)
+				watchcache.New(api.Line), log)
 			if err != nil {
 				return err
 			}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
-	"glenport/internal/catalog"
 	"glenport/internal/controller/pending"
 	"glenport/internal/controller/server"
+	"glenport/internal/controller/watchcache"
 )
 
 //go:embed openapi.yaml
@@ -51,7 +51,7 @@
 }
 
 // Line is what a watcher is sent for a change.
-func Line(o *catalog.Object) []byte {
+func Line(o *watchcache.Object) []byte {
 	sort := "changed"
 	if o.Gone {
 		sort = "removed"
@@ -64,7 +64,7 @@
 }
 
 // versioned is an object's value with its version.
-func versioned(o *catalog.Object) any {
+func versioned(o *watchcache.Object) any {
 	switch v := o.Value.(type) {
 	case server.Job:
 		v.Version = o.Version
@@ -139,7 +139,7 @@
 		problem(w, http.StatusConflict, err.Error(), map[string]any{"version": conflict.Version})
 	case errors.Is(err, server.ErrUnknown):
 		problem(w, http.StatusNotFound, err.Error(), nil)
-	case errors.Is(err, catalog.ErrGone):
+	case errors.Is(err, watchcache.ErrGone):
 		problem(w, http.StatusGone, err.Error(), nil)
 	case errors.As(err, &notKept):
 		w.Header().Set("Retry-After", "5")
@@ -348,7 +348,7 @@
 }
 
 // selector reads "a=b,c!=d" for fields and "k=v" for labels.
-func selector(kind, labels, fields string) (func(*catalog.Object) bool, error) {
+func selector(kind, labels, fields string) (func(*watchcache.Object) bool, error) {
 	type term struct {
 		name, value string
 		not         bool
@@ -371,7 +371,7 @@
 		}
 		byLabel = append(byLabel, term{name, value, false})
 	}
-	return func(o *catalog.Object) bool {
+	return func(o *watchcache.Object) bool {
 		for _, t := range byField {
 			if (fieldOf(o.Value, t.name) == t.value) == t.not {
 				return false
@@ -444,7 +444,7 @@
 		fail(w, server.ErrUnknown)
 		return
 	}
-	waitingOnes, _, _ := s.host.Catalog.List(server.Containers, id+".", whyAtOnce, func(o *catalog.Object) bool {
+	waitingOnes, _, _ := s.host.Catalog.List(server.Containers, id+".", whyAtOnce, func(o *watchcache.Object) bool {
 		c := o.Value.(server.Container)
 		return c.Job == id && c.State != "running" && c.State != "done"
 	})
@@ -531,7 +531,7 @@
 
 // bookmark is a version up to which everything was sent. Read before the queue is looked at, it can only be too
 // old, which costs a repeat and loses nothing.
-func (s *Server) bookmark(w *catalog.Watcher) int64 {
+func (s *Server) bookmark(w *watchcache.Watcher) int64 {
 	v := s.host.Catalog.Version()
 	if len(w.Changes) > 0 {
 		return w.Sent()
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"glenport/internal/catalog"
 	"glenport/internal/controller/server"
+	"glenport/internal/controller/watchcache"
 	"glenport/internal/schedulerd"
 	"glenport/internal/site"
 	"glenport/internal/standin"
@@ -88,7 +88,7 @@
 func (r *rig) keep() {
 	r.Helper()
 	var err error
-	if r.host, err = server.New(r.place, catalog.New(Line), quiet); err != nil {
+	if r.host, err = server.New(r.place, watchcache.New(Line), quiet); err != nil {
 		r.Fatal(err)
 	}
 	serve(r.T, r.host.Run, r.host.Stop)
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"glenport/internal/catalog"
 	"glenport/internal/controller/pending"
 	"glenport/internal/controller/server"
+	"glenport/internal/controller/watchcache"
 	"glenport/internal/site"
 )
 
@@ -26,7 +26,7 @@
 // TestAnswersMatchGoldenBytes holds what clients are sent, byte for byte, against testdata: lists, objects, watch events and
 // problems, from a controller that holds fixed objects and serves nothing else.
 func TestAnswersMatchGoldenBytes(t *testing.T) {
-	h, err := server.New(server.Place{Name: "controller", Seed: 1, Site: &site.Placer{Workloads: []string{"matcher"}}}, catalog.New(Line), quiet)
+	h, err := server.New(server.Place{Name: "controller", Seed: 1, Site: &site.Placer{Workloads: []string{"matcher"}}}, watchcache.New(Line), quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 		handler.ServeHTTP(w, httptest.NewRequest(q.method, q.path, strings.NewReader(q.body)))
 		record(&got, fmt.Sprintf("%s %s %.30s", q.method, q.path, strings.TrimSpace(q.body)), w)
 	}
-	for _, err := range []error{&server.NotKept{Why: errors.New("no space")}, server.ErrStopped, server.ErrUnknown, catalog.ErrGone,
+	for _, err := range []error{&server.NotKept{Why: errors.New("no space")}, server.ErrStopped, server.ErrUnknown, watchcache.ErrGone,
 		&server.Conflict{ID: "reports", Version: 41, Text: "it exists already"}, &server.Invalid{Field: "cores", Text: "-1 is not above 0"}} {
 		w := httptest.NewRecorder()
 		fail(w, err)
@@ -91,7 +91,7 @@
 	}
 }
 
-func fill(c *catalog.Catalog) {
+func fill(c *watchcache.Catalog) {
 	c.Put(server.Jobs, "plain", server.Job{ID: "plain", Service: "web", Workload: "matcher", Cores: 0.5, MemoryGiB: 1, Count: 1})
 	c.Put(server.Jobs, "reports", server.Job{ID: "reports", Labels: map[string]string{"team": "north", "tier": "2"}, Service: "report",
 		Workload: "report-run", Customer: "schools", Cores: 1.5, MemoryGiB: 2.25, RunForMS: 60_000, Once: true, Count: 3})
--- a/internal/controller/server/golden_test.go
+++ b/internal/controller/server/golden_test.go
@@ -13,8 +13,8 @@
 	"strings"
 	"testing"
 
-	"glenport/internal/catalog"
 	"glenport/internal/controller"
+	"glenport/internal/controller/watchcache"
 	"glenport/internal/disk"
 	"glenport/internal/site"
 	"glenport/internal/store"
@@ -83,7 +83,7 @@
 func openGolden(t *testing.T, folder string) (h *Host, closed func()) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	h, err := New(goldenPlace(folder), catalog.New(func(*catalog.Object) []byte { return nil }), log)
+	h, err := New(goldenPlace(folder), watchcache.New(func(*watchcache.Object) []byte { return nil }), log)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/server/jobs.go
+++ b/internal/controller/server/jobs.go
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
-	"glenport/internal/catalog"
 	"glenport/internal/controller"
 	"glenport/internal/controller/pending"
+	"glenport/internal/controller/watchcache"
 	"glenport/internal/link"
 	"glenport/internal/loop"
 	"glenport/internal/schedulerd/recovery"
@@ -92,7 +92,7 @@
 
 // Host is a running keeper.
 type Host struct {
-	Catalog *catalog.Catalog
+	Catalog *watchcache.Catalog
 	place   Place
 	log     *slog.Logger
 	loop    *loop.Loop
@@ -122,7 +122,7 @@
 }
 
 // New makes a keeper's host; Run serves it.
-func New(p Place, c *catalog.Catalog, log *slog.Logger) (*Host, error) {
+func New(p Place, c *watchcache.Catalog, log *slog.Logger) (*Host, error) {
 	t := controller.Terms{Seed: p.Seed, First: uint64(time.Now().UnixMicro()), Doors: len(p.Doors)}
 	for _, w := range p.Site.Terms.Workloads {
 		t.Workloads = append(t.Workloads, controller.Workload{Effect: w.Effect, HardStop: w.HardStop, Window: w.Window})
--- a/internal/catalog/catalog.go
+++ b/internal/controller/watchcache/catalog.go
@@ -1,7 +1,7 @@
-// Package catalog holds objects by kind and id with versions, and tells watchers what changes. Any goroutine may
+// Package watchcache holds objects by kind and id with versions, and tells watchers what changes. Any goroutine may
 // use it. Readers work on a copy that shares what has not changed, so a long list holds nobody up; a watcher that
 // does not keep up is dropped, never waited for.
-package catalog
+package watchcache
 
 import (
 	"errors"
--- a/internal/catalog/catalog_test.go
+++ b/internal/controller/watchcache/catalog_test.go
@@ -1,4 +1,4 @@
-package catalog
+package watchcache
 
 import (
 	"errors"
