--- a/cmd/glenport/job.go
+++ b/cmd/glenport/job.go
@@ -10,7 +10,7 @@
 	"text/tabwriter"
 	"time"
 
-	"glenport/internal/api"
+	"glenport/internal/controller/api"
 	"glenport/internal/controller/server"
 
 	"github.com/goccy/go-yaml"
--- a/cmd/glenport/keeper.go
+++ b/cmd/glenport/keeper.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"glenport/internal/api"
+	"glenport/internal/controller/api"
 	"glenport/internal/controller/server"
 	"glenport/internal/controller/watchcache"
 	"glenport/internal/site"
