--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -7,7 +7,7 @@
 	"io"
 	"os"
 
-	"glenport/internal/wire"
+	"glenport/internal/simprotocol"
 	"glenport/scheduler"
 )
 
@@ -26,7 +26,7 @@
 }
 
 func run(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(in)
+	dec := simprotocol.NewDecoder(in)
 	placers := map[int]*scheduler.Placer{} // a stopped instance is taken out
 	var reply bytes.Buffer
 	for {
@@ -56,7 +56,7 @@
 
 // sortOut gathers the events of a frame by instance, in the order in which instances first appear.
 // What an instance was told before it was stopped is dropped with it.
-func sortOut(frame *wire.Frame, placers map[int]*scheduler.Placer) ([]*turn, error) {
+func sortOut(frame *simprotocol.Frame, placers map[int]*scheduler.Placer) ([]*turn, error) {
 	var turns []*turn
 	at := map[int]*turn{}
 	for _, d := range frame.Deliveries {
@@ -85,10 +85,10 @@
 func decide(reply *bytes.Buffer, now scheduler.Time, t *turn) {
 	defer func() {
 		if r := recover(); r != nil {
-			wire.AppendFault(reply, t.instance, fmt.Sprint(r))
+			simprotocol.AppendFault(reply, t.instance, fmt.Sprint(r))
 		}
 	}()
 	for _, a := range t.placer.Handle(now, t.events) {
-		wire.Append(reply, t.instance, a)
+		simprotocol.Append(reply, t.instance, a)
 	}
 }
--- a/internal/platform/deployment.go
+++ b/internal/platform/deployment.go
@@ -13,7 +13,7 @@
 	"strings"
 
 	"glenport/internal/loop"
-	"glenport/internal/wire"
+	"glenport/internal/simprotocol"
 	"glenport/scheduler"
 )
 
@@ -80,7 +80,7 @@
 	}
 	d := &Deployment{Name: file.Name, Listen: file.Listen, Bus: file.Bus, Last: file.Known.Offset,
 		MemoryMB: int(file.Limits.MemoryMB), Sockets: file.Limits.Sockets}
-	if d.Terms, err = wire.ParseTerms(seed, pairs); err != nil {
+	if d.Terms, err = simprotocol.ParseTerms(seed, pairs); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	d.Terms.ListOnAsk = false // the event bus tells unasked
--- a/internal/wire/wire.go
+++ b/internal/simprotocol/wire.go
@@ -1,5 +1,5 @@
-// Package wire turns the simulator's lines into a placer's events, and its actions into lines.
-package wire
+// Package simprotocol turns the simulator's lines into a placer's events, and its actions into lines.
+package simprotocol
 
 import (
 	"bufio"
--- a/internal/wire/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"bytes"
