--- a/internal/bgp/golden_test.go
+++ b/internal/bgp/wire/golden_test.go
@@ -1,4 +1,4 @@
-package bgp
+package wire
 
 import (
 	"bytes"
--- a/internal/bgp/message.go
+++ b/internal/bgp/wire/message.go
@@ -1,8 +1,8 @@
-// Package bgp encodes and decodes BGP-4 messages, as far as a speaker needs that announces service addresses: RFC
+// Package wire encodes and decodes BGP-4 messages, as far as a speaker needs that announces service addresses: RFC
 // 4271 with capabilities (5492), four-octet AS numbers (6793), IPv4 and IPv6 unicast (4760), route refresh (2918),
 // graceful restart (4724), communities (1997), revised error handling (7606) and shutdown messages (8203). It
 // never reads past a message and keeps nothing of its input.
-package bgp
+package wire
 
 import (
 	"encoding/binary"
--- a/internal/lab/loadbgp.go
+++ b/internal/lab/loadbgp.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"glenport/internal/announce"
-	"glenport/internal/bgp"
+	"glenport/internal/bgp/wire"
 	"glenport/internal/loop"
 	"glenport/internal/speaker"
 	"glenport/internal/standin"
@@ -27,7 +27,7 @@
 		}
 		defer p.Close()
 		all = append(all, p)
-		place.Peers = append(place.Peers, speaker.Peer{Addr: addr, AS: 65000, Hold: 900_000, Families: []bgp.Family{bgp.IPv4},
+		place.Peers = append(place.Peers, speaker.Peer{Addr: addr, AS: 65000, Hold: 900_000, Families: []wire.Family{wire.IPv4},
 			Allow: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}})
 	}
 	hop := netip.MustParseAddr("192.0.2.5")
--- a/internal/session/golden_test.go
+++ b/internal/session/golden_test.go
@@ -13,7 +13,7 @@
 	"strings"
 	"testing"
 
-	"glenport/internal/bgp"
+	"glenport/internal/bgp/wire"
 	"glenport/scheduler"
 )
 
@@ -23,7 +23,7 @@
 // after each event, with that in testdata. A changed decision changes the digest; a rename does not.
 func TestDecisionsMatchGoldenDigests(t *testing.T) {
 	const sequences, steps = 1000, 100
-	both := []bgp.Family{bgp.IPv4, bgp.IPv6}
+	both := []wire.Family{wire.IPv4, wire.IPv6}
 	var got strings.Builder
 	for group, p := range []Peer{
 		{OwnAS: 65001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Hold: 90 * scheduler.Second, Families: both, Restart: 120 * scheduler.Second},
@@ -100,8 +100,8 @@
 	}
 }
 
-func (d *actionDigest) message(m bgp.Message) {
-	p, err := bgp.Append(nil, m)
+func (d *actionDigest) message(m wire.Message) {
+	p, err := wire.Append(nil, m)
 	if err != nil {
 		panic(err)
 	}
@@ -184,7 +184,7 @@
 		h.handle(Expired{Timer: Timer(h.random.IntN(int(timers)))})
 	case n < 94 && len(h.numbers) > 0:
 		c := h.numbers[h.random.IntN(len(h.numbers))]
-		h.handle(Broken{Conn: c, Fault: &bgp.Fault{Notification: bgp.Notification{Code: bgp.CodeHeader, Sub: bgp.NotSync,
+		h.handle(Broken{Conn: c, Fault: &wire.Fault{Notification: wire.Notification{Code: wire.CodeHeader, Sub: wire.NotSync,
 			Data: []byte{1, 2}}, Text: "no marker"}})
 	case n < 96:
 		h.odd()
@@ -216,18 +216,18 @@
 		h.handle(Came{Conn: c, Message: h.openMessage()})
 	default:
 		if h.session.State() == OpenConfirm && h.chance(0.9) {
-			h.handle(Came{Conn: c, Message: &bgp.Keepalive{}})
+			h.handle(Came{Conn: c, Message: &wire.Keepalive{}})
 			return
 		}
 		h.handle(Came{Conn: c, Message: h.message()})
 	}
 }
 
-func (h *history) openMessage() *bgp.Open {
-	o := &bgp.Open{AS: h.peer.PeerAS, Hold: []uint16{0, 3, 30, 180}[h.random.IntN(4)], ID: [4]byte{10, 0, 0, byte(6 + h.random.IntN(9))},
-		Families: []bgp.Family{bgp.IPv4, bgp.IPv6}, FourByte: true, Refresh: h.chance(0.5)}
+func (h *history) openMessage() *wire.Open {
+	o := &wire.Open{AS: h.peer.PeerAS, Hold: []uint16{0, 3, 30, 180}[h.random.IntN(4)], ID: [4]byte{10, 0, 0, byte(6 + h.random.IntN(9))},
+		Families: []wire.Family{wire.IPv4, wire.IPv6}, FourByte: true, Refresh: h.chance(0.5)}
 	if h.chance(0.5) {
-		o.Restart = &bgp.Restart{Restarted: h.chance(0.5), Time: 60, Kept: map[bgp.Family]bool{bgp.IPv4: true}}
+		o.Restart = &wire.Restart{Restarted: h.chance(0.5), Time: 60, Kept: map[wire.Family]bool{wire.IPv4: true}}
 	}
 	switch h.random.IntN(20) {
 	case 0:
@@ -244,18 +244,18 @@
 	return o
 }
 
-func (h *history) message() bgp.Message {
+func (h *history) message() wire.Message {
 	switch h.random.IntN(12) {
 	case 0, 1, 2, 3:
-		return &bgp.Keepalive{}
+		return &wire.Keepalive{}
 	case 4, 5:
-		return &bgp.Refresh{Family: bgp.Family(1 + h.random.IntN(3))}
+		return &wire.Refresh{Family: wire.Family(1 + h.random.IntN(3))}
 	case 6, 7, 8:
-		return &bgp.Update{Withdrawn: []netip.Prefix{netip.MustParsePrefix("192.0.2.0/24")}}
+		return &wire.Update{Withdrawn: []netip.Prefix{netip.MustParsePrefix("192.0.2.0/24")}}
 	case 9:
-		return bgp.ShutdownWith("maintenance")
+		return wire.ShutdownWith("maintenance")
 	case 10:
-		return &bgp.Notification{Code: bgp.CodeHold}
+		return &wire.Notification{Code: wire.CodeHold}
 	}
 	return h.openMessage()
 }
@@ -264,12 +264,12 @@
 func (h *history) odd() {
 	switch h.random.IntN(4) {
 	case 0:
-		h.handle(Came{Conn: 77, Message: &bgp.Keepalive{}})
+		h.handle(Came{Conn: 77, Message: &wire.Keepalive{}})
 	case 1:
 		h.handle(Closed{Conn: 78})
 	case 2:
 		h.handle(Opened{Conn: 79})
 	case 3:
-		h.handle(Broken{Conn: 80, Fault: &bgp.Fault{}})
+		h.handle(Broken{Conn: 80, Fault: &wire.Fault{}})
 	}
 }
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -7,7 +7,7 @@
 import (
 	"fmt"
 
-	"glenport/internal/bgp"
+	"glenport/internal/bgp/wire"
 	"glenport/scheduler"
 )
 
@@ -41,7 +41,7 @@
 	PeerAS   uint32
 	ID       [4]byte
 	Hold     scheduler.Time // 0: no keepalives
-	Families []bgp.Family
+	Families []wire.Family
 	Passive  bool           // the peer calls
 	Restart  scheduler.Time // for how long the peer may keep our routes when we are gone; 0: not asked for
 }
@@ -76,11 +76,11 @@
 	// Came is a message, Broken what is none.
 	Came struct {
 		Conn    Conn
-		Message bgp.Message
+		Message wire.Message
 	}
 	Broken struct {
 		Conn  Conn
-		Fault *bgp.Fault
+		Fault *wire.Fault
 	}
 	Expired struct{ Timer Timer }
 )
@@ -101,7 +101,7 @@
 	Dial struct{ Conn Conn }
 	Send struct {
 		Conn    Conn
-		Message bgp.Message
+		Message wire.Message
 	}
 	Close struct{ Conn Conn }
 	Set   struct {
@@ -112,15 +112,15 @@
 	// Up is an established session: all routes are to be sent, and then, for each family where that was agreed, the
 	// end of them. Down is its end.
 	Up struct {
-		Families []bgp.Family
+		Families []wire.Family
 		EndMark  bool
 		FourByte bool
 	}
 	Down struct{ Why string }
 	// Resend asks for all routes of a family again.
-	Resend struct{ Family bgp.Family }
+	Resend struct{ Family wire.Family }
 	// Ignored is an update: what peers announce is never taken (RFC 8212).
-	Ignored struct{ Update *bgp.Update }
+	Ignored struct{ Update *wire.Update }
 	Mode    struct{ Text string }
 )
 
@@ -152,7 +152,7 @@
 type conn struct {
 	number Conn
 	called bool
-	open   *bgp.Open // the peer's
+	open   *wire.Open // the peer's
 }
 
 func New(p Peer) *Session {
@@ -173,7 +173,7 @@
 		}
 	case Stop:
 		s.running = false
-		s.finish(bgp.ShutdownWith(e.Why), "stopped: "+e.Why)
+		s.finish(wire.ShutdownWith(e.Why), "stopped: "+e.Why)
 		s.state = Idle
 	case Opened:
 		s.opened(e)
@@ -219,7 +219,7 @@
 	}
 	// A peer that calls while nothing runs, or where there are two connections already, is turned away.
 	if !s.running || s.state == Idle || s.state == Established || len(s.conns) >= 2 {
-		s.do(Send{e.Conn, &bgp.Notification{Code: bgp.CodeCease, Sub: bgp.Rejected}})
+		s.do(Send{e.Conn, &wire.Notification{Code: wire.CodeCease, Sub: wire.Rejected}})
 		s.do(Close{e.Conn})
 		return
 	}
@@ -232,11 +232,11 @@
 	}
 }
 
-func (s *Session) hello() *bgp.Open {
-	o := &bgp.Open{AS: s.peer.OwnAS, Hold: uint16(s.peer.Hold / scheduler.Second), ID: s.peer.ID, Families: s.peer.Families,
+func (s *Session) hello() *wire.Open {
+	o := &wire.Open{AS: s.peer.OwnAS, Hold: uint16(s.peer.Hold / scheduler.Second), ID: s.peer.ID, Families: s.peer.Families,
 		FourByte: true, Refresh: true}
 	if s.peer.Restart > 0 {
-		o.Restart = &bgp.Restart{Restarted: !s.ever, Time: uint16(min(4095, s.peer.Restart/scheduler.Second)), Kept: map[bgp.Family]bool{}}
+		o.Restart = &wire.Restart{Restarted: !s.ever, Time: uint16(min(4095, s.peer.Restart/scheduler.Second)), Kept: map[wire.Family]bool{}}
 		for _, f := range s.peer.Families {
 			o.Restart.Kept[f] = true // machines forward on without us
 		}
@@ -265,7 +265,7 @@
 }
 
 // drop ends a connection with a notification.
-func (s *Session) drop(n Conn, m *bgp.Notification, why string) {
+func (s *Session) drop(n Conn, m *wire.Notification, why string) {
 	s.do(Send{n, m})
 	s.do(Close{n})
 	delete(s.conns, n)
@@ -275,7 +275,7 @@
 }
 
 // finish ends all connections.
-func (s *Session) finish(m *bgp.Notification, why string) {
+func (s *Session) finish(m *wire.Notification, why string) {
 	for _, c := range s.ordered() {
 		s.do(Send{c.number, m})
 		s.do(Close{c.number})
@@ -340,7 +340,7 @@
 		}
 	case HoldTimer:
 		if s.state >= OpenSent {
-			s.finish(&bgp.Notification{Code: bgp.CodeHold}, "the peer was silent for the hold time")
+			s.finish(&wire.Notification{Code: wire.CodeHold}, "the peer was silent for the hold time")
 		}
 	case KeepTimer:
 		if s.state < OpenConfirm || s.hold == 0 {
@@ -348,19 +348,19 @@
 		}
 		for _, c := range s.ordered() {
 			if c.open != nil {
-				s.do(Send{c.number, &bgp.Keepalive{}})
+				s.do(Send{c.number, &wire.Keepalive{}})
 			}
 		}
 		s.do(Set{KeepTimer, s.hold / 3})
 	}
 }
 
-func (s *Session) came(n Conn, m bgp.Message) {
+func (s *Session) came(n Conn, m wire.Message) {
 	c := s.conns[n]
 	if c == nil {
 		return
 	}
-	if note, ok := m.(*bgp.Notification); ok {
+	if note, ok := m.(*wire.Notification); ok {
 		why := fmt.Sprintf("the peer sent notification %d/%d", note.Code, note.Sub)
 		if said := note.Said(); said != "" {
 			why += ": " + said
@@ -373,33 +373,33 @@
 		return
 	}
 	if c.open == nil {
-		if o, ok := m.(*bgp.Open); ok {
+		if o, ok := m.(*wire.Open); ok {
 			s.greeted(c, o)
 		} else {
-			s.drop(n, &bgp.Notification{Code: bgp.CodeState, Sub: 1}, fmt.Sprintf("%T where an Open was due", m))
+			s.drop(n, &wire.Notification{Code: wire.CodeState, Sub: 1}, fmt.Sprintf("%T where an Open was due", m))
 		}
 		return
 	}
 	if s.state == OpenConfirm {
-		if _, ok := m.(*bgp.Keepalive); !ok {
-			s.drop(n, &bgp.Notification{Code: bgp.CodeState, Sub: 2}, fmt.Sprintf("%T where a Keepalive was due", m))
+		if _, ok := m.(*wire.Keepalive); !ok {
+			s.drop(n, &wire.Notification{Code: wire.CodeState, Sub: 2}, fmt.Sprintf("%T where a Keepalive was due", m))
 			return
 		}
 		s.establish(c)
 		return
 	}
 	switch m := m.(type) {
-	case *bgp.Keepalive:
-	case *bgp.Update:
+	case *wire.Keepalive:
+	case *wire.Update:
 		s.do(Ignored{m})
-	case *bgp.Refresh:
+	case *wire.Refresh:
 		for _, f := range s.shared(c.open) {
 			if f == m.Family {
 				s.do(Resend{f})
 			}
 		}
 	default:
-		s.drop(n, &bgp.Notification{Code: bgp.CodeState, Sub: 3}, fmt.Sprintf("%T in an established session", m))
+		s.drop(n, &wire.Notification{Code: wire.CodeState, Sub: 3}, fmt.Sprintf("%T in an established session", m))
 		return
 	}
 	s.alive()
@@ -412,10 +412,10 @@
 }
 
 // shared are the families that both sides have; a peer without the capability has IPv4.
-func (s *Session) shared(o *bgp.Open) (all []bgp.Family) {
+func (s *Session) shared(o *wire.Open) (all []wire.Family) {
 	theirs := o.Families
 	if len(theirs) == 0 {
-		theirs = []bgp.Family{bgp.IPv4}
+		theirs = []wire.Family{wire.IPv4}
 	}
 	for _, f := range s.peer.Families {
 		for _, x := range theirs {
@@ -430,19 +430,19 @@
 
 // greeted holds the peer's Open against what is agreed, and of two connections keeps the one that the side with the
 // higher identifier has made.
-func (s *Session) greeted(c *conn, o *bgp.Open) {
+func (s *Session) greeted(c *conn, o *wire.Open) {
 	switch {
 	case o.AS != s.peer.PeerAS:
-		s.drop(c.number, &bgp.Notification{Code: bgp.CodeOpen, Sub: bgp.BadPeerAS}, fmt.Sprintf("the peer is AS %d, not %d", o.AS, s.peer.PeerAS))
+		s.drop(c.number, &wire.Notification{Code: wire.CodeOpen, Sub: wire.BadPeerAS}, fmt.Sprintf("the peer is AS %d, not %d", o.AS, s.peer.PeerAS))
 		return
 	case o.ID == s.peer.ID:
-		s.drop(c.number, &bgp.Notification{Code: bgp.CodeOpen, Sub: bgp.BadID}, "the peer has our identifier")
+		s.drop(c.number, &wire.Notification{Code: wire.CodeOpen, Sub: wire.BadID}, "the peer has our identifier")
 		return
 	case !o.FourByte && (s.peer.OwnAS > 0xFFFF || s.peer.PeerAS > 0xFFFF):
-		s.drop(c.number, &bgp.Notification{Code: bgp.CodeOpen, Sub: bgp.BadCapability}, "the peer has no four-octet AS numbers")
+		s.drop(c.number, &wire.Notification{Code: wire.CodeOpen, Sub: wire.BadCapability}, "the peer has no four-octet AS numbers")
 		return
 	case len(s.shared(o)) == 0:
-		s.drop(c.number, &bgp.Notification{Code: bgp.CodeOpen, Sub: bgp.BadCapability}, "no family is shared")
+		s.drop(c.number, &wire.Notification{Code: wire.CodeOpen, Sub: wire.BadCapability}, "no family is shared")
 		return
 	}
 	for _, other := range s.ordered() {
@@ -453,7 +453,7 @@
 		if keepCalled := string(s.peer.ID[:]) < string(o.ID[:]); keepCalled == c.called {
 			loser = other
 		}
-		s.do(Send{loser.number, &bgp.Notification{Code: bgp.CodeCease, Sub: bgp.Collision}})
+		s.do(Send{loser.number, &wire.Notification{Code: wire.CodeCease, Sub: wire.Collision}})
 		s.do(Close{loser.number})
 		delete(s.conns, loser.number)
 		s.do(Mode{"two connections met: one was closed"})
@@ -464,7 +464,7 @@
 	c.open = o
 	s.hold = min(s.peer.Hold, scheduler.Time(o.Hold)*scheduler.Second)
 	s.turn(OpenConfirm)
-	s.do(Send{c.number, &bgp.Keepalive{}})
+	s.do(Send{c.number, &wire.Keepalive{}})
 	if s.hold == 0 {
 		s.do(Clear{HoldTimer})
 		s.do(Clear{KeepTimer})
@@ -478,7 +478,7 @@
 func (s *Session) establish(c *conn) {
 	for _, other := range s.ordered() {
 		if other != c {
-			s.do(Send{other.number, &bgp.Notification{Code: bgp.CodeCease, Sub: bgp.Collision}})
+			s.do(Send{other.number, &wire.Notification{Code: wire.CodeCease, Sub: wire.Collision}})
 			s.do(Close{other.number})
 			delete(s.conns, other.number)
 		}
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -5,20 +5,20 @@
 	"strings"
 	"testing"
 
-	"glenport/internal/bgp"
+	"glenport/internal/bgp/wire"
 	"glenport/scheduler"
 
 	"pgregory.net/rapid"
 )
 
-var both = []bgp.Family{bgp.IPv4, bgp.IPv6}
+var both = []wire.Family{wire.IPv4, wire.IPv6}
 
 func peer() Peer {
 	return Peer{OwnAS: 65001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Hold: 90 * scheduler.Second, Families: both, Restart: 120 * scheduler.Second}
 }
 
-func open(change func(o *bgp.Open)) *bgp.Open {
-	o := &bgp.Open{AS: 65002, Hold: 30, ID: [4]byte{10, 0, 0, 9}, Families: both, FourByte: true}
+func open(change func(o *wire.Open)) *wire.Open {
+	o := &wire.Open{AS: 65002, Hold: 30, ID: [4]byte{10, 0, 0, 9}, Families: both, FourByte: true}
 	if change != nil {
 		change(o)
 	}
@@ -32,8 +32,8 @@
 		case Dial:
 			all = append(all, fmt.Sprint("dial ", a.Conn))
 		case Send:
-			s := strings.ToLower(strings.TrimPrefix(fmt.Sprintf("%T", a.Message), "*bgp."))
-			if n, ok := a.Message.(*bgp.Notification); ok {
+			s := strings.ToLower(strings.TrimPrefix(fmt.Sprintf("%T", a.Message), "*wire."))
+			if n, ok := a.Message.(*wire.Notification); ok {
 				s = fmt.Sprintf("%d/%d", n.Code, n.Sub)
 			}
 			all = append(all, fmt.Sprintf("%s on %d", s, a.Conn))
@@ -55,7 +55,7 @@
 // Each history starts a session and plays events; the actions of the last and the state after it are compared.
 func TestHistories(t *testing.T) {
 	called := Conn(1_000_000)
-	up := []Event{Opened{1, false}, Came{1, open(nil)}, Came{1, &bgp.Keepalive{}}}
+	up := []Event{Opened{1, false}, Came{1, open(nil)}, Came{1, &wire.Keepalive{}}}
 	after := func(e ...Event) []Event { return append(append([]Event(nil), up...), e...) }
 	for _, tc := range []struct {
 		name   string
@@ -73,26 +73,26 @@
 		{"tries again after a rest", nil, []Event{Closed{1}, Expired{IdleTimer}}, "dial 2; Connect"},
 		{"a try that takes too long", nil, []Event{Expired{RetryTimer}}, "close 1, dial 2; Connect"},
 		{"and opens all the same", nil, []Event{Expired{RetryTimer}, Opened{1, false}}, "close 1; Connect"},
-		{"the wrong AS", nil, []Event{Opened{1, false}, Came{1, open(func(o *bgp.Open) { o.AS = 65003 })}}, "2/2 on 1, close 1; Idle"},
-		{"our identifier", nil, []Event{Opened{1, false}, Came{1, open(func(o *bgp.Open) { o.ID = peer().ID })}}, "2/3 on 1, close 1; Idle"},
+		{"the wrong AS", nil, []Event{Opened{1, false}, Came{1, open(func(o *wire.Open) { o.AS = 65003 })}}, "2/2 on 1, close 1; Idle"},
+		{"our identifier", nil, []Event{Opened{1, false}, Came{1, open(func(o *wire.Open) { o.ID = peer().ID })}}, "2/3 on 1, close 1; Idle"},
 		{"no family shared", func(p *Peer) { p.Families = both[1:] },
-			[]Event{Opened{1, false}, Came{1, open(func(o *bgp.Open) { o.Families = nil })}}, "2/7 on 1, close 1; Idle"},
-		{"a peer without capabilities", nil, append(append([]Event{}, Opened{1, false}, Came{1, open(func(o *bgp.Open) {
+			[]Event{Opened{1, false}, Came{1, open(func(o *wire.Open) { o.Families = nil })}}, "2/7 on 1, close 1; Idle"},
+		{"a peer without capabilities", nil, append(append([]Event{}, Opened{1, false}, Came{1, open(func(o *wire.Open) {
 			o.Families, o.FourByte = nil, false
 		})}), up[2]), "up 1; Established"},
 		{"four octets needed", func(p *Peer) { p.OwnAS = 4200000001 },
-			[]Event{Opened{1, false}, Came{1, open(func(o *bgp.Open) { o.FourByte = false })}}, "2/7 on 1, close 1; Idle"},
-		{"keepalive before open", nil, []Event{Opened{1, false}, Came{1, &bgp.Keepalive{}}}, "5/1 on 1, close 1; Idle"},
-		{"update before keepalive", nil, []Event{Opened{1, false}, Came{1, open(nil)}, Came{1, &bgp.Update{}}}, "5/2 on 1, close 1; Idle"},
+			[]Event{Opened{1, false}, Came{1, open(func(o *wire.Open) { o.FourByte = false })}}, "2/7 on 1, close 1; Idle"},
+		{"keepalive before open", nil, []Event{Opened{1, false}, Came{1, &wire.Keepalive{}}}, "5/1 on 1, close 1; Idle"},
+		{"update before keepalive", nil, []Event{Opened{1, false}, Came{1, open(nil)}, Came{1, &wire.Update{}}}, "5/2 on 1, close 1; Idle"},
 		{"open in an established session", nil, after(Came{1, open(nil)}), "5/3 on 1, close 1, down; Idle"},
-		{"what the peer announces is not taken", nil, after(Came{1, &bgp.Update{}}), "ignored; Established"},
-		{"a refresh", nil, after(Came{1, &bgp.Refresh{Family: bgp.IPv6}}), "resend 2; Established"},
-		{"garbage", nil, after(Broken{1, &bgp.Fault{Notification: bgp.Notification{Code: 1, Sub: 1}}}), "1/1 on 1, close 1, down; Idle"},
+		{"what the peer announces is not taken", nil, after(Came{1, &wire.Update{}}), "ignored; Established"},
+		{"a refresh", nil, after(Came{1, &wire.Refresh{Family: wire.IPv6}}), "resend 2; Established"},
+		{"garbage", nil, after(Broken{1, &wire.Fault{Notification: wire.Notification{Code: 1, Sub: 1}}}), "1/1 on 1, close 1, down; Idle"},
 		{"silent", nil, after(Expired{HoldTimer}), "4/0 on 1, close 1, down; Idle"},
 		{"no open in time", nil, []Event{Opened{1, false}, Expired{HoldTimer}}, "4/0 on 1, close 1; Idle"},
 		{"keeps alive", nil, after(Expired{KeepTimer}), "keepalive on 1; Established"},
 		{"the connection ends", nil, after(Closed{1}), "down; Idle"},
-		{"the peer ends it", nil, after(Came{1, bgp.ShutdownWith("maintenance")}), "close 1, down; Idle"},
+		{"the peer ends it", nil, after(Came{1, wire.ShutdownWith("maintenance")}), "close 1, down; Idle"},
 		{"stopped", nil, after(Stop{"maintenance"}), "6/2 on 1, close 1, down; Idle"},
 		{"stopped, and stays so", nil, after(Stop{"maintenance"}, Expired{IdleTimer}), "; Idle"},
 		{"called while it stands", nil, after(Opened{called, true}), "6/5 on 1000000, close 1000000; Established"},
@@ -102,7 +102,7 @@
 		{"collision: ours is higher, our call stays", func(p *Peer) { p.ID = [4]byte{10, 0, 0, 99} }, []Event{Opened{1, false},
 			Opened{called, true}, Came{1, open(nil)}, Came{called, open(nil)}}, "6/7 on 1000000, close 1000000; OpenConfirm"},
 		{"collision: the other had not greeted", nil, []Event{Opened{1, false}, Opened{called, true}, Came{1, open(nil)},
-			Came{1, &bgp.Keepalive{}}}, "6/7 on 1000000, close 1000000, up 2; Established"},
+			Came{1, &wire.Keepalive{}}}, "6/7 on 1000000, close 1000000, up 2; Established"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := peer()
@@ -183,12 +183,12 @@
 				}
 			case 4, 5:
 				if any > 0 {
-					do(Came{any, []bgp.Message{open(nil), &bgp.Keepalive{}, &bgp.Update{}, &bgp.Notification{Code: 6},
-						&bgp.Refresh{Family: bgp.IPv4}}[rapid.IntRange(0, 4).Draw(t, "message")]})
+					do(Came{any, []wire.Message{open(nil), &wire.Keepalive{}, &wire.Update{}, &wire.Notification{Code: 6},
+						&wire.Refresh{Family: wire.IPv4}}[rapid.IntRange(0, 4).Draw(t, "message")]})
 				}
 			case 6:
 				if any > 0 {
-					do(Broken{any, &bgp.Fault{Notification: bgp.Notification{Code: 1}}})
+					do(Broken{any, &wire.Fault{Notification: wire.Notification{Code: 1}}})
 				}
 			case 7:
 				timer := Timer(rapid.IntRange(0, int(timers)-1).Draw(t, "timer"))
--- a/internal/site/bgp.go
+++ b/internal/site/bgp.go
@@ -5,7 +5,7 @@
 	"net/netip"
 
 	"glenport/internal/announce"
-	"glenport/internal/bgp"
+	"glenport/internal/bgp/wire"
 	"glenport/internal/settings"
 	"glenport/scheduler"
 )
@@ -24,7 +24,7 @@
 	Addr     string
 	AS       uint32
 	Hold     scheduler.Time
-	Families []bgp.Family
+	Families []wire.Family
 	Passive  bool
 	Restart  scheduler.Time
 	Allow    []netip.Prefix
@@ -116,10 +116,10 @@
 		for _, w := range p.Families {
 			n, err := settings.Choose(c.src, w, "ipv4", "ipv6")
 			c.keep(err)
-			x.Families = append(x.Families, []bgp.Family{bgp.IPv4, bgp.IPv6}[n])
+			x.Families = append(x.Families, []wire.Family{wire.IPv4, wire.IPv6}[n])
 		}
 		if len(p.Families) == 0 {
-			x.Families = []bgp.Family{bgp.IPv4}
+			x.Families = []wire.Family{wire.IPv4}
 		}
 		for _, w := range p.Allow {
 			x.Allow = append(x.Allow, c.prefix(w))
--- a/internal/speaker/speaker.go
+++ b/internal/speaker/speaker.go
@@ -9,7 +9,7 @@
 	"sort"
 
 	"glenport/internal/announce"
-	"glenport/internal/bgp"
+	"glenport/internal/bgp/wire"
 	"glenport/internal/loop"
 	"glenport/internal/session"
 	"glenport/internal/site"
@@ -210,7 +210,7 @@
 		return false
 	}
 	for _, f := range p.up.Families {
-		if (f == bgp.IPv4) == prefix.Addr().Is4() {
+		if (f == wire.IPv4) == prefix.Addr().Is4() {
 			return true
 		}
 	}
@@ -256,9 +256,9 @@
 		p.sent[prefix] = true
 	}
 	sort.Slice(order, func(i, j int) bool { return less(order[i].path, order[j].path) })
-	updates := bgp.Pack(gone, nil, bgp.Path{})
+	updates := wire.Pack(gone, nil, wire.Path{})
 	for _, g := range order {
-		updates = append(updates, bgp.Pack(nil, g.prefixes, p.path(g.path))...)
+		updates = append(updates, wire.Pack(nil, g.prefixes, p.path(g.path))...)
 	}
 	for _, u := range updates {
 		p.write(u)
@@ -273,7 +273,7 @@
 	if p.ending && p.s.whole {
 		p.ending = false
 		for _, f := range p.up.Families {
-			p.write(bgp.EndOfRoutes(f))
+			p.write(wire.EndOfRoutes(f))
 		}
 	}
 }
@@ -289,8 +289,8 @@
 }
 
 // path is the path as this peer is told it: outside our AS with our number on it and no local preference.
-func (p *peer) path(a announce.Path) bgp.Path {
-	x := bgp.Path{NextHop: a.NextHop}
+func (p *peer) path(a announce.Path) wire.Path {
+	x := wire.Path{NextHop: a.NextHop}
 	if p.terms.AS == p.s.place.AS {
 		x.LocalPref, x.HasPref = a.Preference, true
 	} else {
@@ -305,19 +305,19 @@
 	return x
 }
 
-func (p *peer) write(m bgp.Message) {
+func (p *peer) write(m wire.Message) {
 	if p.conn != nil {
 		p.conn.write(m)
 	}
 }
 
-func (w *peerConn) write(m bgp.Message) {
-	b, err := bgp.Append(nil, m)
+func (w *peerConn) write(m wire.Message) {
+	b, err := wire.Append(nil, m)
 	if err != nil {
 		w.p.s.log.Error("message not sent", "peer", w.p.terms.Addr, "why", err)
 		return
 	}
-	if _, ok := m.(*bgp.Update); ok {
+	if _, ok := m.(*wire.Update); ok {
 		w.p.Updates++
 		w.p.Bytes += len(b)
 	}
@@ -396,9 +396,9 @@
 	p.drain()
 }
 
-func (p *peer) resend(f bgp.Family) {
+func (p *peer) resend(f wire.Family) {
 	for _, a := range p.s.announce.Standing() {
-		if (f == bgp.IPv4) == a.Prefix.Addr().Is4() {
+		if (f == wire.IPv4) == a.Prefix.Addr().Is4() {
 			p.change(a.Prefix, &a.Path)
 		}
 	}
@@ -436,15 +436,15 @@
 	}
 	w.part = append(w.part, b...)
 	for !w.gone {
-		n, err := bgp.Size(w.part)
+		n, err := wire.Size(w.part)
 		if err == nil && (n == 0 || len(w.part) < n) {
 			return
 		}
-		var m bgp.Message
+		var m wire.Message
 		if err == nil {
-			m, err = bgp.Decode(w.part[:n])
+			m, err = wire.Decode(w.part[:n])
 		}
-		var f *bgp.Fault
+		var f *wire.Fault
 		if errors.As(err, &f) {
 			w.p.handle(session.Broken{Conn: w.number, Fault: f})
 			return
--- a/internal/speaker/speaker_test.go
+++ b/internal/speaker/speaker_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"glenport/internal/announce"
-	"glenport/internal/bgp"
+	"glenport/internal/bgp/wire"
 	"glenport/internal/loop"
 	"glenport/internal/standin"
 	"glenport/scheduler"
@@ -59,7 +59,7 @@
 	r := &rig{T: t}
 	place := Place{AS: 65001, ID: [4]byte{192, 0, 2, 5}, Listen: "127.0.0.1:0", Services: map[string]announce.Service{
 		"web": {Prefix: web, NextHop: hop}, "web6": {Prefix: web6, NextHop: hop6}, "mail": {Prefix: mail, NextHop: hop}}}
-	both := []bgp.Family{bgp.IPv4, bgp.IPv6}
+	both := []wire.Family{wire.IPv4, wire.IPv6}
 	for _, p := range []struct {
 		to    **standin.BGPPeer
 		as    uint32
--- a/internal/standin/bgppeer.go
+++ b/internal/standin/bgppeer.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"glenport/internal/bgp"
+	"glenport/internal/bgp/wire"
 )
 
 // Told is one change that a stand-in peer was told of.
@@ -89,7 +89,7 @@
 }
 func (p *BGPPeer) Half() {
 	p.with(func(c net.Conn) {
-		m, _ := bgp.Append(nil, &bgp.Refresh{Family: bgp.IPv4})
+		m, _ := wire.Append(nil, &wire.Refresh{Family: wire.IPv4})
 		c.Write(m[:20])
 	})
 }
@@ -139,8 +139,8 @@
 	return up
 }
 
-func (p *BGPPeer) send(c net.Conn, m bgp.Message) {
-	b, err := bgp.Append(nil, m)
+func (p *BGPPeer) send(c net.Conn, m wire.Message) {
+	b, err := wire.Append(nil, m)
 	if err != nil {
 		panic(err)
 	}
@@ -148,12 +148,12 @@
 	c.Write(b)
 }
 
-func read(c net.Conn) (bgp.Message, int, error) {
-	head := make([]byte, 19, bgp.MostLength)
+func read(c net.Conn) (wire.Message, int, error) {
+	head := make([]byte, 19, wire.MostLength)
 	if _, err := io.ReadFull(c, head); err != nil {
 		return nil, 0, err
 	}
-	n, err := bgp.Size(head)
+	n, err := wire.Size(head)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -161,7 +161,7 @@
 	if _, err := io.ReadFull(c, head[19:]); err != nil {
 		return nil, 0, err
 	}
-	m, err := bgp.Decode(head)
+	m, err := wire.Decode(head)
 	return m, n, err
 }
 
@@ -173,18 +173,18 @@
 			as++
 		}
 	})
-	p.send(c, &bgp.Open{AS: as, Hold: uint16(p.Hold / time.Second), ID: p.ID, Families: []bgp.Family{bgp.IPv4, bgp.IPv6}, FourByte: true,
-		Refresh: true, Restart: &bgp.Restart{Time: uint16(p.Helps / time.Second), Kept: map[bgp.Family]bool{}}})
+	p.send(c, &wire.Open{AS: as, Hold: uint16(p.Hold / time.Second), ID: p.ID, Families: []wire.Family{wire.IPv4, wire.IPv6}, FourByte: true,
+		Refresh: true, Restart: &wire.Restart{Time: uint16(p.Helps / time.Second), Kept: map[wire.Family]bool{}}})
 	m, _, err := read(c)
-	open, ok := m.(*bgp.Open)
+	open, ok := m.(*wire.Open)
 	if err != nil || !ok {
 		return
 	}
-	p.send(c, &bgp.Keepalive{})
+	p.send(c, &wire.Keepalive{})
 	if m, _, err = read(c); err != nil {
 		return
 	}
-	if _, ok := m.(*bgp.Keepalive); !ok {
+	if _, ok := m.(*wire.Keepalive); !ok {
 		return
 	}
 	p.set(func() {
@@ -207,7 +207,7 @@
 				quiet := false
 				p.set(func() { quiet = p.silent })
 				if !quiet {
-					p.send(c, &bgp.Keepalive{})
+					p.send(c, &wire.Keepalive{})
 				}
 			}
 		}
@@ -221,11 +221,11 @@
 		if err != nil {
 			break
 		}
-		if _, ok := m.(*bgp.Notification); ok {
+		if _, ok := m.(*wire.Notification); ok {
 			shut = true
 			break
 		}
-		if u, ok := m.(*bgp.Update); ok {
+		if u, ok := m.(*wire.Update); ok {
 			p.set(func() { p.learn(u, n) })
 		}
 	}
@@ -237,7 +237,7 @@
 	})
 }
 
-func (p *BGPPeer) learn(u *bgp.Update, size int) {
+func (p *BGPPeer) learn(u *wire.Update, size int) {
 	now := time.Now()
 	p.messages++
 	p.bytes += size
@@ -272,7 +272,7 @@
 }
 
 // lose is a session's end: routes go, or stay for a while where the speaker may restart.
-func (p *BGPPeer) lose(open *bgp.Open, shut bool) {
+func (p *BGPPeer) lose(open *wire.Open, shut bool) {
 	drop := func() {
 		for x := range p.table {
 			delete(p.table, x)
