--- a/internal/speaker/speaker.go
+++ b/internal/speaker/speaker.go
@@ -9,9 +9,9 @@
 	"sort"
 
 	"glenport/internal/announce"
+	"glenport/internal/bgp/session"
 	"glenport/internal/bgp/wire"
 	"glenport/internal/loop"
-	"glenport/internal/session"
 	"glenport/internal/site"
 	"glenport/scheduler"
 
