--- a/internal/lab/loadbgp.go
+++ b/internal/lab/loadbgp.go
@@ -7,7 +7,7 @@
 	"net/netip"
 	"time"
 
-	"glenport/internal/announce"
+	"glenport/internal/bgp/announce"
 	"glenport/internal/bgp/wire"
 	"glenport/internal/loop"
 	"glenport/internal/speaker"
--- a/internal/sabotage/routes.go
+++ b/internal/sabotage/routes.go
@@ -3,7 +3,7 @@
 import (
 	"net/netip"
 
-	"glenport/internal/announce"
+	"glenport/internal/bgp/announce"
 	"glenport/internal/speaker"
 	"glenport/scheduler"
 )
--- a/internal/schedulerd/host.go
+++ b/internal/schedulerd/host.go
@@ -8,7 +8,7 @@
 	"log/slog"
 	"time"
 
-	"glenport/internal/announce"
+	"glenport/internal/bgp/announce"
 	"glenport/internal/link"
 	"glenport/internal/loop"
 	"glenport/internal/schedulerd/overload"
--- a/internal/site/bgp.go
+++ b/internal/site/bgp.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"net/netip"
 
-	"glenport/internal/announce"
+	"glenport/internal/bgp/announce"
 	"glenport/internal/bgp/wire"
 	"glenport/internal/settings"
 	"glenport/scheduler"
--- a/internal/speaker/speaker.go
+++ b/internal/speaker/speaker.go
@@ -8,7 +8,7 @@
 	"net/netip"
 	"sort"
 
-	"glenport/internal/announce"
+	"glenport/internal/bgp/announce"
 	"glenport/internal/bgp/session"
 	"glenport/internal/bgp/wire"
 	"glenport/internal/loop"
