--- a/cmd/glenport-lab/main.go
+++ b/cmd/glenport-lab/main.go
@@ -13,11 +13,11 @@
 	"syscall"
 
 	"glenport/internal/audit"
+	"glenport/internal/bgp/speaker"
 	"glenport/internal/lab"
 	"glenport/internal/sabotage"
 	"glenport/internal/schedulerd"
 	"glenport/internal/site"
-	"glenport/internal/speaker"
 	"glenport/scheduler"
 
 	"github.com/spf13/cobra"
--- a/internal/lab/loadbgp.go
+++ b/internal/lab/loadbgp.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"glenport/internal/bgp/announce"
+	"glenport/internal/bgp/speaker"
 	"glenport/internal/bgp/wire"
 	"glenport/internal/loop"
-	"glenport/internal/speaker"
 	"glenport/internal/standin"
 )
 
--- a/internal/sabotage/routes.go
+++ b/internal/sabotage/routes.go
@@ -4,7 +4,7 @@
 	"net/netip"
 
 	"glenport/internal/bgp/announce"
-	"glenport/internal/speaker"
+	"glenport/internal/bgp/speaker"
 	"glenport/scheduler"
 )
 
--- a/internal/schedulerd/host.go
+++ b/internal/schedulerd/host.go
@@ -9,13 +9,13 @@
 	"time"
 
 	"glenport/internal/bgp/announce"
+	"glenport/internal/bgp/speaker"
 	"glenport/internal/link"
 	"glenport/internal/loop"
 	"glenport/internal/schedulerd/overload"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/schedulerd/recovery"
 	"glenport/internal/site"
-	"glenport/internal/speaker"
 	"glenport/scheduler"
 )
 
