--- a/internal/bgp/speaker/speaker.go
+++ b/internal/bgp/speaker/speaker.go
@@ -11,7 +11,7 @@
 	"glenport/internal/bgp/announce"
 	"glenport/internal/bgp/session"
 	"glenport/internal/bgp/wire"
-	"glenport/internal/loop"
+	"glenport/internal/eventloop"
 	"glenport/internal/site"
 	"glenport/scheduler"
 
@@ -21,9 +21,9 @@
 const (
 	output     = 1 << 20  // bytes that may wait for one peer
 	enough     = 64 << 10 // beyond which changes gather and are joined in place of being written
-	dialWithin = 5 * loop.Second
+	dialWithin = 5 * eventloop.Second
 	calledFrom = 1_000_000 // numbers of connections that peers made
-	drainAgain = 20 * loop.Millisecond
+	drainAgain = 20 * eventloop.Millisecond
 	atOnce     = 4000 // changes told to one peer in a turn: the loop has other work
 )
 
@@ -44,8 +44,8 @@
 type Speaker struct {
 	place    Place
 	log      *slog.Logger
-	loop     *loop.Loop
-	listener *loop.Listener
+	loop     *eventloop.Loop
+	listener *eventloop.Listener
 	announce Decider
 	peers    []*peer
 	lastCall session.Conn
@@ -59,13 +59,13 @@
 	session *session.Session
 	allow   bart.Lite
 	conns   map[session.Conn]*peerConn
-	timers  map[session.Timer]*loop.Timer
+	timers  map[session.Timer]*eventloop.Timer
 	up      *session.Up
 	conn    *peerConn
 	due     map[netip.Prefix]*announce.Path // changes to be told; nil: a withdrawal. Emptied as they are written
 	sent    map[netip.Prefix]bool           // what the peer was told
 	ending  bool                            // the ends of routes are to be marked
-	filling *loop.Timer
+	filling *eventloop.Timer
 
 	Updates, Bytes, Flaps int
 	Why                   string
@@ -76,16 +76,16 @@
 	p      *peer
 	number session.Conn
 	called bool
-	conn   *loop.Conn
+	conn   *eventloop.Conn
 	part   []byte
 	gone   bool
 }
 
 // New makes a speaker on a loop; Start begins its sessions.
-func New(l *loop.Loop, place Place, log *slog.Logger) *Speaker {
+func New(l *eventloop.Loop, place Place, log *slog.Logger) *Speaker {
 	s := &Speaker{place: place, log: log, loop: l, announce: announce.New(), lastCall: calledFrom}
 	for _, t := range place.Peers {
-		p := &peer{s: s, terms: t, conns: map[session.Conn]*peerConn{}, timers: map[session.Timer]*loop.Timer{},
+		p := &peer{s: s, terms: t, conns: map[session.Conn]*peerConn{}, timers: map[session.Timer]*eventloop.Timer{},
 			due: map[netip.Prefix]*announce.Path{}, sent: map[netip.Prefix]bool{}}
 		for _, a := range t.Allow {
 			p.allow.Insert(a)
@@ -104,7 +104,7 @@
 func (s *Speaker) Start() error {
 	if s.place.Listen != "" {
 		var err error
-		if s.listener, err = s.loop.Listen(s.place.Listen, func() (loop.Handler, int) { return &peerConn{called: true, p: &peer{s: s}}, output },
+		if s.listener, err = s.loop.Listen(s.place.Listen, func() (eventloop.Handler, int) { return &peerConn{called: true, p: &peer{s: s}}, output },
 			s.loop.Telling(s.log, "BGP callers")); err != nil {
 			return err
 		}
@@ -163,7 +163,7 @@
 			s.change(a.Prefix, nil)
 			changed = true
 		case announce.Wake:
-			s.loop.After(loop.Tick(a.After), func() { s.Handle(announce.Woke{}) })
+			s.loop.After(eventloop.Tick(a.After), func() { s.Handle(announce.Woke{}) })
 		case announce.Mode:
 			s.log.Info("route", "prefix", a.Prefix, "text", a.Text, "penalty", int(a.Penalty))
 		}
@@ -346,7 +346,7 @@
 			}
 		case session.Set:
 			p.s.loop.Cancel(p.timers[a.Timer])
-			p.timers[a.Timer] = p.s.loop.After(loop.Tick(a.After), func() { p.handle(session.Expired{Timer: a.Timer}) })
+			p.timers[a.Timer] = p.s.loop.After(eventloop.Tick(a.After), func() { p.handle(session.Expired{Timer: a.Timer}) })
 		case session.Clear:
 			p.s.loop.Cancel(p.timers[a.Timer])
 		case session.Up:
@@ -374,7 +374,7 @@
 	}
 	a, err := netip.ParseAddrPort(p.terms.Addr)
 	if err == nil {
-		err = loop.SignTCP(fd, a.Addr(), p.terms.Key)
+		err = eventloop.SignTCP(fd, a.Addr(), p.terms.Key)
 	}
 	if err != nil {
 		p.s.log.Error("no session", "peer", p.terms.Addr, "why", err)
@@ -407,7 +407,7 @@
 
 // Opened hands a connection that a peer made to the session of its address and, where several have it, the first
 // that waits for one.
-func (w *peerConn) Opened(c *loop.Conn) {
+func (w *peerConn) Opened(c *eventloop.Conn) {
 	w.conn = c
 	if !w.called {
 		w.p.handle(session.Opened{Conn: w.number})
@@ -430,7 +430,7 @@
 	c.Close()
 }
 
-func (w *peerConn) Read(_ *loop.Conn, b []byte) {
+func (w *peerConn) Read(_ *eventloop.Conn, b []byte) {
 	if w.gone {
 		return
 	}
@@ -454,7 +454,7 @@
 	}
 }
 
-func (w *peerConn) Closed(_ *loop.Conn, _ error) {
+func (w *peerConn) Closed(_ *eventloop.Conn, _ error) {
 	if w.gone || w.number == 0 {
 		return
 	}
--- a/internal/bgp/speaker/speaker_test.go
+++ b/internal/bgp/speaker/speaker_test.go
@@ -9,7 +9,7 @@
 
 	"glenport/internal/bgp/announce"
 	"glenport/internal/bgp/wire"
-	"glenport/internal/loop"
+	"glenport/internal/eventloop"
 	"glenport/internal/standin"
 	"glenport/scheduler"
 
@@ -30,7 +30,7 @@
 // rig is a speaker with two peers, an outer one that may hear of little and one of its own AS.
 type rig struct {
 	*testing.T
-	l            *loop.Loop
+	l            *eventloop.Loop
 	s            *Speaker
 	outer, inner *standin.BGPPeer
 }
@@ -78,7 +78,7 @@
 		change(&place)
 	}
 	var err error
-	if r.l, err = loop.New(func() {}); err != nil {
+	if r.l, err = eventloop.New(func() {}); err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan error, 1)
--- a/internal/controller/server/jobs.go
+++ b/internal/controller/server/jobs.go
@@ -13,8 +13,8 @@
 	"glenport/internal/controller"
 	"glenport/internal/controller/pending"
 	"glenport/internal/controller/watchcache"
+	"glenport/internal/eventloop"
 	"glenport/internal/link"
-	"glenport/internal/loop"
 	"glenport/internal/schedulerd/recovery"
 	"glenport/internal/site"
 	"glenport/internal/store"
@@ -29,11 +29,11 @@
 )
 
 const (
-	redial    = 200 * loop.Millisecond
+	redial    = 200 * eventloop.Millisecond
 	output    = 8 << 20
-	whyWithin = 400 * loop.Millisecond // for a placer to explain
-	whyStands = 100 * loop.Millisecond // an explanation serves all who ask so soon again
-	relist    = 500 * loop.Millisecond
+	whyWithin = 400 * eventloop.Millisecond // for a placer to explain
+	whyStands = 100 * eventloop.Millisecond // an explanation serves all who ask so soon again
+	relist    = 500 * eventloop.Millisecond
 )
 
 // Place is where a keeper finds what it works with.
@@ -95,7 +95,7 @@
 	Catalog *watchcache.Catalog
 	place   Place
 	log     *slog.Logger
-	loop    *loop.Loop
+	loop    *eventloop.Loop
 	keeper  *controller.Keeper
 	events  []controller.Event
 	doors   []*door
@@ -112,7 +112,7 @@
 }
 
 type explained struct {
-	at  loop.Tick
+	at  eventloop.Tick
 	why *link.Why
 }
 
@@ -130,7 +130,7 @@
 	h := &Host{Catalog: c, place: p, log: log, keeper: controller.New(t), views: map[string]controller.Container{},
 		halls: map[string]link.Entry{}, asked: map[uint64]*question{}, last: map[string]*explained{}, pending: map[string][]func(){}}
 	var err error
-	if h.loop, err = loop.New(h.turn); err != nil {
+	if h.loop, err = eventloop.New(h.turn); err != nil {
 		return nil, err
 	}
 	for i, addr := range p.Doors {
@@ -499,7 +499,7 @@
 		case controller.Found:
 			changes = append(changes, store.Change{Kind: StrayKind, Key: h.doors[a.Stray.Door].addr + " " + a.Stray.Key})
 		case controller.Wake:
-			h.loop.After(loop.Tick(a.After), func() { h.events = append(h.events, controller.Woke{}) })
+			h.loop.After(eventloop.Tick(a.After), func() { h.events = append(h.events, controller.Woke{}) })
 		case controller.Submit:
 			_, sync := recovery.Writes(h.effect(a.Spec.Workload))
 			durable = durable || sync
--- a/internal/controller/server/kept.go
+++ b/internal/controller/server/kept.go
@@ -7,7 +7,7 @@
 
 	"glenport/internal/controller"
 	"glenport/internal/disk"
-	"glenport/internal/loop"
+	"glenport/internal/eventloop"
 	"glenport/internal/store"
 
 	"github.com/fxamacker/cbor/v2"
@@ -16,7 +16,7 @@
 const (
 	ceilingKey   = "version"
 	ceilingSteps = 1_000_000 // versions between two ceilings; the next is written when half are used
-	keepAgain    = loop.Second
+	keepAgain    = eventloop.Second
 )
 
 // NotKept says that something could not be put on disk, and so was not done.
--- a/internal/controller/server/links.go
+++ b/internal/controller/server/links.go
@@ -4,8 +4,8 @@
 	"fmt"
 
 	"glenport/internal/controller"
+	"glenport/internal/eventloop"
 	"glenport/internal/link"
-	"glenport/internal/loop"
 	"glenport/scheduler"
 )
 
@@ -15,14 +15,14 @@
 	number int
 	addr   string
 	name   string
-	conn   *loop.Conn
+	conn   *eventloop.Conn
 	reader link.Reader
 	open   bool
 }
 
 func (d *door) call() {
 	d.reader = link.Reader{}
-	d.conn = d.h.loop.Dial(d.addr, d, output, loop.Second)
+	d.conn = d.h.loop.Dial(d.addr, d, output, eventloop.Second)
 }
 
 func (d *door) write(f link.Frame) {
@@ -38,18 +38,18 @@
 	}
 }
 
-func (d *door) Opened(*loop.Conn) {
+func (d *door) Opened(*eventloop.Conn) {
 	d.write(link.Greeting(link.Owner, d.h.place.Name, uint64(d.h.loop.Now())))
 }
 
-func (d *door) Read(c *loop.Conn, p []byte) {
+func (d *door) Read(c *eventloop.Conn, p []byte) {
 	if err := d.reader.Feed(p, d.take); err != nil {
 		d.h.log.Warn("link closed", "placer", d.addr, "why", err)
 		c.Reset()
 	}
 }
 
-func (d *door) Closed(_ *loop.Conn, why error) {
+func (d *door) Closed(_ *eventloop.Conn, why error) {
 	d.conn = nil
 	if d.open {
 		d.open = false
@@ -100,14 +100,14 @@
 // listing is the link to the list, for the machines that the API shows.
 type listing struct {
 	h       *Host
-	conn    *loop.Conn
+	conn    *eventloop.Conn
 	reader  link.Reader
 	version int64
 }
 
 func (l *listing) call() {
 	l.reader = link.Reader{}
-	l.conn = l.h.loop.Dial(l.h.place.List, l, output, loop.Second)
+	l.conn = l.h.loop.Dial(l.h.place.List, l, output, eventloop.Second)
 }
 
 func (l *listing) send(f link.Frame) {
@@ -116,19 +116,19 @@
 	}
 }
 
-func (l *listing) Opened(*loop.Conn) {
+func (l *listing) Opened(*eventloop.Conn) {
 	l.send(link.Greeting(link.Placer, l.h.place.Name, uint64(l.h.loop.Now())))
 	l.send(&link.Watch{On: true, Since: l.version})
 }
 
-func (l *listing) Read(c *loop.Conn, p []byte) {
+func (l *listing) Read(c *eventloop.Conn, p []byte) {
 	if err := l.reader.Feed(p, l.take); err != nil {
 		l.h.log.Warn("link closed", "peer", "list", "why", err)
 		c.Reset()
 	}
 }
 
-func (l *listing) Closed(*loop.Conn, error) {
+func (l *listing) Closed(*eventloop.Conn, error) {
 	l.conn = nil
 	l.h.loop.After(relist, l.call)
 }
--- a/internal/loop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,10 +1,10 @@
-// Package loop is an event loop on epoll: connections, listeners, timers and a mailbox, all served by one
+// Package eventloop is an event loop on epoll: connections, listeners, timers and a mailbox, all served by one
 // goroutine. It carries bytes and moments and decides nothing.
 //
 // A turn waits for something to happen, reads the clock once, and then takes, in this order, the mailbox, what
 // the sockets have, the timers, the turn function, and what is to be written. In one turn a connection is read
 // once and written once, so none can starve another.
-package loop
+package eventloop
 
 import (
 	"errors"
--- a/internal/loop/md5_test.go
+++ b/internal/eventloop/md5_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"errors"
--- a/internal/lab/loadbgp.go
+++ b/internal/lab/loadbgp.go
@@ -10,7 +10,7 @@
 	"glenport/internal/bgp/announce"
 	"glenport/internal/bgp/speaker"
 	"glenport/internal/bgp/wire"
-	"glenport/internal/loop"
+	"glenport/internal/eventloop"
 	"glenport/internal/standin"
 )
 
@@ -35,7 +35,7 @@
 	for i := range prefixes {
 		place.Services[name(i)] = announce.Service{Prefix: netip.PrefixFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 32), NextHop: hop}
 	}
-	l, err := loop.New(func() {})
+	l, err := eventloop.New(func() {})
 	if err != nil {
 		return err
 	}
--- a/internal/platform/bus.go
+++ b/internal/platform/bus.go
@@ -3,25 +3,25 @@
 import (
 	"fmt"
 
-	"glenport/internal/loop"
+	"glenport/internal/eventloop"
 	"glenport/internal/platform/jsonlines"
 	"glenport/scheduler"
 )
 
 const (
 	longestEvent = 4 << 20
-	busSilentFor = 2 * loop.Second // twice the span in which a line is due
-	busAgain     = loop.Second / 5
+	busSilentFor = 2 * eventloop.Second // twice the span in which a line is due
+	busAgain     = eventloop.Second / 5
 )
 
 // bus follows the event bus, one connection at a time.
 type bus struct {
 	p       *Platform
 	addr    string
-	conn    *loop.Conn
+	conn    *eventloop.Conn
 	lines   jsonlines.Lines
 	last    int64 // number of the last event that was taken in
-	heardAt loop.Tick
+	heardAt eventloop.Tick
 	broken  bool
 	goes    bool // an event came on this connection: the next has the next number
 }
@@ -29,7 +29,7 @@
 func (s *bus) reach() {
 	s.lines, s.goes = jsonlines.Lines{Most: longestEvent}, false
 	s.heardAt = s.p.loop.Now()
-	s.conn = s.p.loop.Dial(s.addr, s, 1<<10, loop.Second)
+	s.conn = s.p.loop.Dial(s.addr, s, 1<<10, eventloop.Second)
 }
 
 // move goes on at another address.
@@ -46,13 +46,13 @@
 	s.reach()
 }
 
-func (s *bus) Opened(c *loop.Conn) {
+func (s *bus) Opened(c *eventloop.Conn) {
 	if c == s.conn {
 		c.Write(fmt.Appendf(nil, "from %d\n", s.last))
 	}
 }
 
-func (s *bus) Read(c *loop.Conn, b []byte) {
+func (s *bus) Read(c *eventloop.Conn, b []byte) {
 	if c != s.conn {
 		return
 	}
@@ -63,7 +63,7 @@
 	}
 }
 
-func (s *bus) Closed(c *loop.Conn, why error) {
+func (s *bus) Closed(c *eventloop.Conn, why error) {
 	if c != s.conn {
 		return
 	}
@@ -79,7 +79,7 @@
 	})
 }
 
-func (s *bus) house(now loop.Tick) {
+func (s *bus) house(now eventloop.Tick) {
 	if s.conn != nil && now-s.heardAt > busSilentFor {
 		s.conn.Reset()
 	}
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"glenport/internal/loop"
+	"glenport/internal/eventloop"
 	"glenport/internal/platform/jsonlines"
 	"glenport/scheduler"
 )
@@ -32,7 +32,7 @@
 	}
 }
 
-func (r *rig) toldToLeave(ago loop.Tick) { r.p.leaving, r.p.leavingAt = true, r.p.loop.Now()-ago }
+func (r *rig) toldToLeave(ago eventloop.Tick) { r.p.leaving, r.p.leavingAt = true, r.p.loop.Now()-ago }
 
 // toldBus takes callers and tells each all that tell was given so far and is given later.
 func toldBus(t *testing.T) (addr string, tell func(lines ...string)) {
@@ -68,7 +68,7 @@
 	o.say(`{"op":"test","call":"0000000000000001","with":{},"why":0}`)
 	o.hear()
 	r.on(func() { // with nothing unanswered, this turn is the last
-		r.toldToLeave(4 * loop.Second)
+		r.toldToLeave(4 * eventloop.Second)
 		o.say(setUp(call, ""))
 	})
 	if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != call {
@@ -131,7 +131,7 @@
 	o := r.owner()
 	o.say(strings.Replace(setUp(call, ""), `"2000"`, `"60000"`, 1))
 	<-taken
-	r.on(func() { r.toldToLeave(3*loop.Second + loop.Second/4) })
+	r.on(func() { r.toldToLeave(3*eventloop.Second + eventloop.Second/4) })
 	if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != call {
 		t.Errorf("heard %+v", m)
 	}
@@ -199,7 +199,7 @@
 			most = max(most, r.p.links)
 			for _, m := range r.p.machines {
 				for _, l := range m.links {
-					l.usedAt -= loop.Second
+					l.usedAt -= eventloop.Second
 				}
 			}
 		})
@@ -258,7 +258,7 @@
 	r.on(func() { // and now the burst
 		for _, m := range r.p.machines {
 			for _, l := range m.links {
-				l.usedAt -= loop.Second
+				l.usedAt -= eventloop.Second
 			}
 		}
 		for i := links; i < machines; i++ {
--- a/internal/platform/deployment.go
+++ b/internal/platform/deployment.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"strings"
 
-	"glenport/internal/loop"
+	"glenport/internal/eventloop"
 	"glenport/internal/simprotocol"
 	"glenport/scheduler"
 )
@@ -27,8 +27,8 @@
 	Last      int64 // number of the last event known
 	MemoryMB  int
 	Sockets   int
-	Connect   loop.Tick // a connection that does not stand by then never will
-	IdleLinks loop.Tick // machines close connections that are idle for so long
+	Connect   eventloop.Tick // a connection that does not stand by then never will
+	IdleLinks eventloop.Tick // machines close connections that are idle for so long
 
 	zones, kinds, workloads, customers []string // by their numbers
 }
@@ -122,7 +122,7 @@
 	return d, nil
 }
 
-func span(ms float64) loop.Tick { return loop.Tick(ms * float64(loop.Millisecond)) }
+func span(ms float64) eventloop.Tick { return eventloop.Tick(ms * float64(eventloop.Millisecond)) }
 
 // located names the line of a fault in a JSON file.
 func located(p []byte, err error) error {
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"glenport/internal/loop"
+	"glenport/internal/eventloop"
 	"glenport/internal/platform/jsonlines"
 	"glenport/scheduler"
 )
@@ -488,7 +488,7 @@
 	other.say(offer(openAtShutdown))
 	other.reads()
 	s.begin("shutdown, last answers")
-	r.on(func() { r.toldToLeave(3*loop.Second + loop.Second/4) })
+	r.on(func() { r.toldToLeave(3*eventloop.Second + eventloop.Second/4) })
 	a.reads(0)
 	c.reads()
 	c.readsEnd()
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"strings"
 
-	"glenport/internal/loop"
+	"glenport/internal/eventloop"
 	"glenport/internal/platform/connmanager"
 	"glenport/internal/platform/failuredetector"
 	"glenport/internal/platform/jsonlines"
@@ -19,7 +19,7 @@
 
 const (
 	outputOfLink = 256 << 10
-	leaveWithin  = loop.Second // a machine closes a link that was left
+	leaveWithin  = eventloop.Second // a machine closes a link that was left
 )
 
 // machine is one that the bus has named, with its links. A set-up has a link of its own as long as there are
@@ -52,7 +52,7 @@
 }
 
 // lose ends what has stood at a machine since before a moment: it is gone with the machine, or with that start of it.
-func (m *machine) lose(before loop.Tick) {
+func (m *machine) lose(before eventloop.Tick) {
 	for _, id := range slices.Sorted(maps.Keys(m.bids)) {
 		if b := m.bids[id]; b.stands && b.sentAt <= before {
 			m.p.released(b, jsonlines.Temporary, scheduler.Ended{Outcome: scheduler.Reset})
@@ -63,7 +63,7 @@
 // link is one connection to a machine.
 type link struct {
 	m       *machine
-	conn    *loop.Conn
+	conn    *eventloop.Conn
 	lines   jsonlines.Lines
 	opened  bool
 	bids    map[scheduler.ContainerID]*bid // waiting for it or out on it, until their answer
@@ -71,14 +71,14 @@
 	waiting []func()                       // what goes out once it stands
 	stands  int                            // containers that stand and whose set-ups it carried
 	left    bool                           // closed as nothing is awaited on it
-	usedAt  loop.Tick
+	usedAt  eventloop.Tick
 }
 
 type probing struct {
 	call   string
 	link   *link
-	timer  *loop.Timer
-	sentAt loop.Tick
+	timer  *eventloop.Timer
+	sentAt eventloop.Tick
 }
 
 func (p *Platform) machine(id scheduler.MachineID) *machine {
@@ -126,7 +126,7 @@
 			delete(p.at, m.addr)
 		}
 		if m.state, m.started = h.entry.State, h.entry.StartedAt; m.started > 0 {
-			m.lose(loop.Tick(m.started))
+			m.lose(eventloop.Tick(m.started))
 		}
 		list.Entries = append(list.Entries, h.entry)
 	}
@@ -259,7 +259,7 @@
 }
 
 // state is what the porter is asked about.
-func (l *link) state(now loop.Tick, first bool) connmanager.Link {
+func (l *link) state(now eventloop.Tick, first bool) connmanager.Link {
 	return connmanager.Link{First: first, Stands: l.m.standing > 0, Here: l.stands > 0, Idle: connmanager.Time(now - l.usedAt),
 		Closes: connmanager.Time(l.m.p.d.IdleLinks)}
 }
@@ -273,7 +273,7 @@
 	}
 }
 
-func (l *link) Opened(*loop.Conn) {
+func (l *link) Opened(*eventloop.Conn) {
 	l.opened = true
 	l.m.heard()
 	waiting := l.waiting
@@ -283,7 +283,7 @@
 	}
 }
 
-func (l *link) Read(c *loop.Conn, b []byte) {
+func (l *link) Read(c *eventloop.Conn, b []byte) {
 	l.m.heard()
 	if err := l.lines.Feed(b, l.line); err != nil {
 		l.m.p.log.Debug("link broken", "machine", l.m.id, "why", err)
@@ -292,14 +292,14 @@
 }
 
 // Closed ends what was under way on a link. A bid that was never sent never ran; one that was may have.
-func (l *link) Closed(_ *loop.Conn, why error) {
+func (l *link) Closed(_ *eventloop.Conn, why error) {
 	m, p := l.m, l.m.p
 	m.links = slices.DeleteFunc(m.links, func(x *link) bool { return x == l })
 	p.links--
 	l.waiting = nil
 	m.broke = m.broke || l.opened && !l.left
 	never := scheduler.NoConnect
-	if errors.Is(why, loop.ErrShort) {
+	if errors.Is(why, eventloop.ErrShort) {
 		never = scheduler.NotSent
 	}
 	if !l.opened && errors.Is(why, unix.ECONNREFUSED) {
@@ -345,9 +345,9 @@
 		return
 	}
 	now := p.loop.Now()
-	until := loop.Tick(c.ask.Due)
+	until := eventloop.Tick(c.ask.Due)
 	if a.MaxWait != 0 {
-		until = min(until, now+loop.Tick(a.MaxWait))
+		until = min(until, now+eventloop.Tick(a.MaxWait))
 	}
 	b := &bid{c: c, nth: c.bids, at: p.machine(a.Machine), sentAt: now, until: until}
 	c.bids++
@@ -385,7 +385,7 @@
 	}
 	c := b.c
 	with := jsonlines.Fields{"class": c.class, "key": c.ask.Key,
-		"left": strconv.FormatInt(int64((b.until-p.loop.Now())/loop.Millisecond), 10)}
+		"left": strconv.FormatInt(int64((b.until-p.loop.Now())/eventloop.Millisecond), 10)}
 	if c.idem != "" {
 		with["idem"] = c.idem
 	}
@@ -575,7 +575,7 @@
 
 // house closes links before the machine does, and keeps one where something stands: its end is told there. Where one broke,
 // a new one is opened, as an end that was on its way is told again on that.
-func (m *machine) house(now loop.Tick) {
+func (m *machine) house(now eventloop.Tick) {
 	for i, l := range m.kept() {
 		if l.idle() && !l.state(now, i == 0).Keeps() {
 			l.leave()
--- a/internal/platform/owners.go
+++ b/internal/platform/owners.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"strings"
 
-	"glenport/internal/loop"
+	"glenport/internal/eventloop"
 	"glenport/internal/platform/connmanager"
 	"glenport/internal/platform/failuredetector"
 	"glenport/internal/platform/jsonlines"
@@ -24,22 +24,22 @@
 type caller struct {
 	p      *Platform
 	number connmanager.CallerID
-	conn   *loop.Conn
+	conn   *eventloop.Conn
 	lines  jsonlines.Lines
 }
 
-func (p *Platform) accept() (loop.Handler, int) {
+func (p *Platform) accept() (eventloop.Handler, int) {
 	p.lastCaller++
 	return &caller{p: p, number: p.lastCaller, lines: jsonlines.Lines{Most: jsonlines.MostBytes}}, outputOfCaller
 }
 
-func (k *caller) Opened(c *loop.Conn) {
+func (k *caller) Opened(c *eventloop.Conn) {
 	k.conn = c
 	k.p.callers[k.number] = k
 	k.p.tell(connmanager.Came{Caller: k.number})
 }
 
-func (k *caller) Read(_ *loop.Conn, b []byte) {
+func (k *caller) Read(_ *eventloop.Conn, b []byte) {
 	if err := k.lines.Feed(b, k.line); err != nil {
 		k.p.log.Debug("caller let go", "caller", k.number, "why", err)
 		k.conn.Close()
@@ -49,7 +49,7 @@
 }
 
 // Closed ends what was under way for a caller; what stands belongs to no connection.
-func (k *caller) Closed(*loop.Conn, error) {
+func (k *caller) Closed(*eventloop.Conn, error) {
 	p := k.p
 	delete(p.callers, k.number)
 	p.tell(connmanager.Left{Caller: k.number})
@@ -174,7 +174,7 @@
 }
 
 // readAsk reads a set-up; at is the machine that holds the container already.
-func (d *Deployment) readAsk(m *jsonlines.Message, now loop.Tick) (ask scheduler.Ask, at scheduler.MachineID, err error) {
+func (d *Deployment) readAsk(m *jsonlines.Message, now eventloop.Tick) (ask scheduler.Ask, at scheduler.MachineID, err error) {
 	extras := map[string]string{}
 	if x := m.With["extras"]; x != "" {
 		for _, f := range strings.Split(x, ";") {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -10,7 +10,7 @@
 	"os"
 	"slices"
 
-	"glenport/internal/loop"
+	"glenport/internal/eventloop"
 	"glenport/internal/platform/connmanager"
 	"glenport/internal/platform/failuredetector"
 	"glenport/internal/platform/jsonlines"
@@ -23,16 +23,16 @@
 }
 
 const (
-	houseEvery  = loop.Second / 4
-	probeWithin = loop.Second
+	houseEvery  = eventloop.Second / 4
+	probeWithin = eventloop.Second
 )
 
 // Platform is one life of a placer on the platform.
 type Platform struct {
 	d       *Deployment
 	log     *slog.Logger
-	loop    *loop.Loop
-	door    *loop.Listener
+	loop    *eventloop.Loop
+	door    *eventloop.Listener
 	decider Decider
 	trace   bool
 
@@ -54,7 +54,7 @@
 	links      int // connections to machines, also those that are being left
 
 	leaving   bool // told to stop
-	leavingAt loop.Tick
+	leavingAt eventloop.Tick
 }
 
 // container is one that an owner asks for or that stands.
@@ -78,9 +78,9 @@
 	sent   bool
 	stands bool
 	ended  bool // its owner ended it
-	sentAt loop.Tick
-	until  loop.Tick
-	timer  *loop.Timer
+	sentAt eventloop.Tick
+	until  eventloop.Tick
+	timer  *eventloop.Timer
 }
 
 // New makes a placer and opens its door. Run frees what it holds.
@@ -90,7 +90,7 @@
 		porter: connmanager.New(d.Sockets), vigil: failuredetector.New()}
 	p.bus = bus{p: p, addr: d.Bus, last: d.Last}
 	var err error
-	if p.loop, err = loop.New(p.turn); err != nil {
+	if p.loop, err = eventloop.New(p.turn); err != nil {
 		return nil, err
 	}
 	if p.door, err = p.loop.Listen(d.Listen, p.accept, p.loop.Telling(log, "callers")); err != nil {
@@ -205,7 +205,7 @@
 	case connmanager.Rest:
 		if k := p.callers[a.Caller]; k != nil {
 			k.conn.Rest(true)
-			p.loop.After(loop.Tick(a.For), func() { k.conn.Rest(false) })
+			p.loop.After(eventloop.Tick(a.For), func() { k.conn.Rest(false) })
 		}
 	}
 }
@@ -266,7 +266,7 @@
 			m.closeIdle()
 		}
 	case scheduler.Wake:
-		p.loop.After(loop.Tick(a.After), func() { p.feed(scheduler.Woke{Name: a.Name}) })
+		p.loop.After(eventloop.Tick(a.After), func() { p.feed(scheduler.Woke{Name: a.Name}) })
 	case scheduler.Watch, scheduler.Fetch: // the bus is followed from the start
 	case scheduler.Log:
 		p.log.Info("mode", "text", a.Text)
--- a/internal/schedulerd/door.go
+++ b/internal/schedulerd/door.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"sort"
 
+	"glenport/internal/eventloop"
 	"glenport/internal/link"
-	"glenport/internal/loop"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/scheduler"
 )
@@ -18,28 +18,28 @@
 type owner struct {
 	h       *Host
 	caller  reconcile.Caller
-	conn    *loop.Conn
+	conn    *eventloop.Conn
 	reader  link.Reader
 	name    string
 	role    link.Role
-	came    loop.Tick
-	halfAt  loop.Tick
+	came    eventloop.Tick
+	halfAt  eventloop.Tick
 	dropped bool
 }
 
-func (h *Host) accept() (loop.Handler, int) {
+func (h *Host) accept() (eventloop.Handler, int) {
 	h.lastOwner++
 	return &owner{h: h, caller: h.lastOwner, reader: link.Reader{Most: link.SmallFrame}, name: "stranger",
 		came: h.loop.Now()}, h.site.Output
 }
 
-func (o *owner) Opened(c *loop.Conn) {
+func (o *owner) Opened(c *eventloop.Conn) {
 	o.conn = c
 	o.h.owners[o.caller] = o
 	o.write(link.Greeting(link.Placer, o.h.site.Name, o.h.life))
 }
 
-func (o *owner) Read(_ *loop.Conn, p []byte) {
+func (o *owner) Read(_ *eventloop.Conn, p []byte) {
 	if o.dropped {
 		return
 	}
@@ -54,7 +54,7 @@
 	}
 }
 
-func (o *owner) Closed(*loop.Conn, error) {
+func (o *owner) Closed(*eventloop.Conn, error) {
 	o.dropped = true
 	delete(o.h.owners, o.caller)
 	if o.role == link.Owner {
@@ -90,13 +90,13 @@
 	}
 }
 
-func (o *owner) house(now loop.Tick) {
+func (o *owner) house(now eventloop.Tick) {
 	switch {
 	case o.role == 0 && now-o.came > greetWithin:
-		o.h.badLink(o.name, fmt.Errorf("no greeting in %d ms", (now-o.came)/loop.Millisecond))
+		o.h.badLink(o.name, fmt.Errorf("no greeting in %d ms", (now-o.came)/eventloop.Millisecond))
 		o.drop("no greeting in time")
 	case o.halfAt > 0 && now-o.halfAt > o.h.site.Silent:
-		o.h.badLink(o.name, fmt.Errorf("half a frame for %d ms", (now-o.halfAt)/loop.Millisecond))
+		o.h.badLink(o.name, fmt.Errorf("half a frame for %d ms", (now-o.halfAt)/eventloop.Millisecond))
 		o.drop("half a frame")
 	}
 }
--- a/internal/schedulerd/host.go
+++ b/internal/schedulerd/host.go
@@ -10,8 +10,8 @@
 
 	"glenport/internal/bgp/announce"
 	"glenport/internal/bgp/speaker"
+	"glenport/internal/eventloop"
 	"glenport/internal/link"
-	"glenport/internal/loop"
 	"glenport/internal/schedulerd/overload"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/schedulerd/recovery"
@@ -25,10 +25,10 @@
 }
 
 const (
-	housekeeping = loop.Second
-	greetWithin  = 5 * loop.Second // a stranger that has not greeted by then is dropped
-	probeWithin  = loop.Second
-	lateFor      = 60 * loop.Second // for how long a bid that was over may still be said yes to by its number
+	housekeeping = eventloop.Second
+	greetWithin  = 5 * eventloop.Second // a stranger that has not greeted by then is dropped
+	probeWithin  = eventloop.Second
+	lateFor      = 60 * eventloop.Second // for how long a bid that was over may still be said yes to by its number
 )
 
 // Host is one life of a placer.
@@ -36,8 +36,8 @@
 	site    *site.Placer
 	life    uint64
 	log     *slog.Logger
-	loop    *loop.Loop
-	door    *loop.Listener
+	loop    *eventloop.Loop
+	door    *eventloop.Listener
 	decider Decider
 	custody *reconcile.Table
 	meter   meter
@@ -81,9 +81,9 @@
 	nth     int
 	c       *container
 	at      *machine
-	sentAt  loop.Tick
-	until   loop.Tick
-	timer   *loop.Timer
+	sentAt  eventloop.Tick
+	until   eventloop.Tick
+	timer   *eventloop.Timer
 	sent    bool
 	placed  bool
 	stopped bool   // its end was asked for
@@ -110,7 +110,7 @@
 	}
 	h.meter.init()
 	var err error
-	if h.loop, err = loop.New(h.turn); err != nil {
+	if h.loop, err = eventloop.New(h.turn); err != nil {
 		return nil, err
 	}
 	known := recovery.NoLog
@@ -276,7 +276,7 @@
 			m.conn.Close()
 		}
 	case scheduler.Wake:
-		h.loop.After(loop.Tick(a.After), func() { h.feed(scheduler.Woke{Name: a.Name}) })
+		h.loop.After(eventloop.Tick(a.After), func() { h.feed(scheduler.Woke{Name: a.Name}) })
 	case scheduler.Watch:
 		h.watch(&link.Watch{On: a.On, Since: h.list.version})
 	case scheduler.Fetch:
@@ -342,7 +342,7 @@
 			h.state.drop(BidKind, bidKey(a.Held.Bid))
 		}
 	case reconcile.Wake:
-		h.loop.After(loop.Tick(a.After), func() { h.tell(reconcile.Woke{}) })
+		h.loop.After(eventloop.Tick(a.After), func() { h.tell(reconcile.Woke{}) })
 	case reconcile.Log:
 		h.log.Info("custody", "text", a.Text)
 	}
@@ -377,9 +377,9 @@
 		return
 	}
 	now := h.loop.Now()
-	until := loop.Tick(c.ask.Due)
+	until := eventloop.Tick(c.ask.Due)
 	if a.MaxWait > 0 {
-		until = min(until, now+loop.Tick(a.MaxWait))
+		until = min(until, now+eventloop.Tick(a.MaxWait))
 	}
 	h.lastBid++
 	b := &bid{number: h.lastBid, life: h.life, nth: c.bids, c: c, at: m, sentAt: now, until: until, start: m.incarnation, after: h.takeovers}
--- a/internal/schedulerd/knowledge.go
+++ b/internal/schedulerd/knowledge.go
@@ -9,8 +9,8 @@
 	"strings"
 
 	"glenport/internal/disk"
+	"glenport/internal/eventloop"
 	"glenport/internal/link"
-	"glenport/internal/loop"
 	"glenport/internal/schedulerd/warmstart"
 	"glenport/internal/store"
 	"glenport/scheduler"
@@ -25,7 +25,7 @@
 	KnowledgeName    = "knowledge"
 	KnowledgeSort    = "GLENKNW"
 	KnowledgeVersion = 2
-	knowledgeEvery   = 2 * loop.Second
+	knowledgeEvery   = 2 * eventloop.Second
 )
 
 // learner is a decider whose knowledge can be kept.
--- a/internal/schedulerd/list.go
+++ b/internal/schedulerd/list.go
@@ -4,8 +4,8 @@
 	"errors"
 	"fmt"
 
+	"glenport/internal/eventloop"
 	"glenport/internal/link"
-	"glenport/internal/loop"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/scheduler"
 )
@@ -13,14 +13,14 @@
 // listLink is the link to the list of machines. When and how often it is asked the placer module decides.
 type listLink struct {
 	h       *Host
-	conn    *loop.Conn
+	conn    *eventloop.Conn
 	reader  link.Reader
 	life    uint64 // of the service that told the version
 	version int64
 	held    heldList
-	heardAt loop.Tick
-	spokeAt loop.Tick // when a frame of it last came
-	asked   bool      // an answer is due, or changes are: a break is a failed call
+	heardAt eventloop.Tick
+	spokeAt eventloop.Tick // when a frame of it last came
+	asked   bool           // an answer is due, or changes are: a break is a failed call
 }
 
 // watch sends a question to the list, over a new link where there is none.
@@ -47,9 +47,9 @@
 	}
 }
 
-func (l *listLink) Opened(*loop.Conn) {}
+func (l *listLink) Opened(*eventloop.Conn) {}
 
-func (l *listLink) Read(c *loop.Conn, p []byte) {
+func (l *listLink) Read(c *eventloop.Conn, p []byte) {
 	l.heardAt = l.h.loop.Now()
 	l.spokeAt = l.heardAt
 	if err := l.reader.Feed(p, l.take); err != nil && c == l.conn {
@@ -58,7 +58,7 @@
 	}
 }
 
-func (l *listLink) Closed(c *loop.Conn, why error) {
+func (l *listLink) Closed(c *eventloop.Conn, why error) {
 	if c != l.conn {
 		return
 	}
@@ -69,9 +69,9 @@
 	}
 }
 
-func (l *listLink) house(now loop.Tick) {
+func (l *listLink) house(now eventloop.Tick) {
 	if l.conn != nil && now-l.heardAt > l.h.site.Silent {
-		l.h.badLink("list", fmt.Errorf("nothing heard for %d ms", (now-l.heardAt)/loop.Millisecond))
+		l.h.badLink("list", fmt.Errorf("nothing heard for %d ms", (now-l.heardAt)/eventloop.Millisecond))
 		l.conn.Reset()
 	}
 }
--- a/internal/schedulerd/list_test.go
+++ b/internal/schedulerd/list_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"glenport/internal/eventloop"
 	"glenport/internal/link"
-	"glenport/internal/loop"
 	"glenport/scheduler"
 )
 
@@ -78,7 +78,7 @@
 	var away atomic.Bool
 	watches := make(chan int64, 100) // the version that each call asks for changes since
 	s := terms(t)
-	s.Connect, s.Terms.AskWithin, s.Terms.Placers = 10*loop.Second, scheduler.Second, 1
+	s.Connect, s.Terms.AskWithin, s.Terms.Placers = 10*eventloop.Second, scheduler.Second, 1
 	s.ListAddr = serve(t, func(c net.Conn) {
 		if away.Load() {
 			return
--- a/internal/schedulerd/machine.go
+++ b/internal/schedulerd/machine.go
@@ -4,8 +4,8 @@
 	"errors"
 	"fmt"
 
+	"glenport/internal/eventloop"
 	"glenport/internal/link"
-	"glenport/internal/loop"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/scheduler"
 )
@@ -21,12 +21,12 @@
 	startedAt   scheduler.Time
 	greeted     bool // no list has told of this start yet, only the machine itself
 
-	conn    *loop.Conn
+	conn    *eventloop.Conn
 	reader  link.Reader
 	ready   bool // it has greeted and said what it holds
-	heardAt loop.Tick
-	usedAt  loop.Tick
-	halfAt  loop.Tick                // since when half a frame waits
+	heardAt eventloop.Tick
+	usedAt  eventloop.Tick
+	halfAt  eventloop.Tick           // since when half a frame waits
 	waiting []*bid                   // for the link
 	bids    map[uint64]*bid          // out, or running there
 	late    map[uint64]scheduler.Ask // of bids that are over and may still be said yes to; emptied after a minute
@@ -38,8 +38,8 @@
 	start  uint64 // of its machine, as known when it was decided on
 	sent   bool
 	unkept bool // it waits for the log
-	timer  *loop.Timer
-	sentAt loop.Tick
+	timer  *eventloop.Timer
+	sentAt eventloop.Tick
 }
 
 func (h *Host) machine(id scheduler.MachineID) *machine {
@@ -79,9 +79,11 @@
 	})
 }
 
-func (m *machine) Opened(*loop.Conn) { m.write(link.Greeting(link.Placer, m.h.site.Name, m.h.life)) }
+func (m *machine) Opened(*eventloop.Conn) {
+	m.write(link.Greeting(link.Placer, m.h.site.Name, m.h.life))
+}
 
-func (m *machine) Read(c *loop.Conn, p []byte) {
+func (m *machine) Read(c *eventloop.Conn, p []byte) {
 	m.heardAt = m.h.loop.Now()
 	if err := m.reader.Feed(p, m.take); err != nil && c == m.conn {
 		m.h.badLink(string(m.id), err)
@@ -97,11 +99,11 @@
 
 // Closed ends what was under way. A bid that was never sent never ran; one that was may have. Containers that
 // run are custody's matter.
-func (m *machine) Closed(c *loop.Conn, why error) {
+func (m *machine) Closed(c *eventloop.Conn, why error) {
 	if c != m.conn {
 		return
 	}
-	was, short := m.ready, errors.Is(why, loop.ErrShort)
+	was, short := m.ready, errors.Is(why, eventloop.ErrShort)
 	m.conn, m.ready = nil, false
 	waiting := m.waiting
 	m.waiting = nil
@@ -364,7 +366,7 @@
 
 // house closes the link when nothing has used it for long, when it is silent though something is due, or when
 // half a frame is not followed by the rest.
-func (m *machine) house(now loop.Tick) {
+func (m *machine) house(now eventloop.Tick) {
 	if m.conn == nil {
 		return
 	}
@@ -373,7 +375,7 @@
 	case m.idle() && now-m.usedAt > s.Idle:
 		m.conn.Close()
 	case now-m.heardAt > s.Silent, m.halfAt > 0 && now-m.halfAt > s.Silent:
-		m.h.badLink(string(m.id), fmt.Errorf("nothing whole heard for %d ms", (now-m.heardAt)/loop.Millisecond))
+		m.h.badLink(string(m.id), fmt.Errorf("nothing whole heard for %d ms", (now-m.heardAt)/eventloop.Millisecond))
 		m.conn.Reset()
 	}
 }
--- a/internal/schedulerd/orders_test.go
+++ b/internal/schedulerd/orders_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"glenport/internal/eventloop"
 	"glenport/internal/link"
-	"glenport/internal/loop"
 	"glenport/internal/orders"
 	"glenport/internal/site"
 	"glenport/scheduler"
@@ -193,7 +193,7 @@
 
 // quiet is asked on the loop.
 func (w *world) quiet() bool {
-	even := func(c *loop.Conn, p *pipe) bool {
+	even := func(c *eventloop.Conn, p *pipe) bool {
 		if c == nil || p == nil || p.closed {
 			return c == nil && (p == nil || p.closed)
 		}
@@ -442,7 +442,7 @@
 // tinySite has one workload for each of the three containers.
 func tinySite(t *testing.T, workloads ...scheduler.Workload) *site.Placer {
 	s := terms(t)
-	s.Connect, s.Silent, s.Idle = 30*loop.Second, 600*loop.Second, 600*loop.Second
+	s.Connect, s.Silent, s.Idle = 30*eventloop.Second, 600*eventloop.Second, 600*eventloop.Second
 	s.Terms.Placers, s.Terms.Me, s.Terms.Kinds = 1, 0, []scheduler.Kind{{Cores: 20, Memory: 20}}
 	s.Terms.ColdFor, s.Terms.ColdWindow, s.Terms.ColdBids = 1200*scheduler.Second, 600*scheduler.Second, 1
 	s.Terms.Workloads, s.Terms.ListOnAsk = nil, false
--- a/internal/schedulerd/state_test.go
+++ b/internal/schedulerd/state_test.go
@@ -13,8 +13,8 @@
 	"testing"
 
 	"glenport/internal/disk"
+	"glenport/internal/eventloop"
 	"glenport/internal/link"
-	"glenport/internal/loop"
 	"glenport/internal/site"
 	"glenport/internal/store"
 	"glenport/scheduler"
@@ -216,7 +216,7 @@
 	if n := kept(t, copied(t, s.State), SentKind); n != 0 {
 		t.Errorf("%d records of what went to a warm machine", n)
 	}
-	entry := link.Entry{Machine: "a", Addr: addr, Incarnation: 2, Age: link.Span(2 * loop.Second)}
+	entry := link.Entry{Machine: "a", Addr: addr, Incarnation: 2, Age: link.Span(2 * eventloop.Second)}
 	on1(r.h, func() bool { r.h.learn(scheduler.Changes, 2, []link.Entry{entry}); return true })
 	until(t, func() bool { return kept(t, copied(t, s.State), SentKind) == 1 })
 	next := terms(t)
@@ -388,7 +388,7 @@
 		return true
 	})
 	s := terms(t)
-	s.Connect = 50 * loop.Millisecond
+	s.Connect = 50 * eventloop.Millisecond
 	c := cramp(t, s)
 	r := start(t, s, bidTo(0), map[string]string{"a": addr})
 	until(t, func() bool { return on1(r.h, func() bool { return r.h.machines["a"].ready }) })
--- a/internal/schedulerd/waiting_test.go
+++ b/internal/schedulerd/waiting_test.go
@@ -4,8 +4,8 @@
 	"net"
 	"testing"
 
+	"glenport/internal/eventloop"
 	"glenport/internal/link"
-	"glenport/internal/loop"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/scheduler"
 )
@@ -58,7 +58,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			addr, greet, offered := slowMachine(t, "a")
 			s := terms(t)
-			s.Connect = 10 * loop.Second
+			s.Connect = 10 * eventloop.Second
 			r := start(t, s, bidTo(0), map[string]string{"a": addr})
 			r.door.submit("x", 0)
 			until(t, func() bool { return on1(r.h, func() bool { return len(r.h.machines["a"].waiting) > 0 }) })
@@ -102,7 +102,7 @@
 	for start2, want := range map[uint64]scheduler.Outcome{1: scheduler.TimedOut, 2: scheduler.NotSent} {
 		addr, greet, _ := slowMachine(t, "a")
 		s := terms(t)
-		s.Connect = 10 * loop.Second
+		s.Connect = 10 * eventloop.Second
 		r := start(t, s, nil, map[string]string{"a": addr})
 		on1(r.h, func() bool { r.h.probe("a"); return true })
 		greet <- start2
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -7,7 +7,7 @@
 	"net/netip"
 	"os"
 
-	"glenport/internal/loop"
+	"glenport/internal/eventloop"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/settings"
 	"glenport/scheduler"
@@ -24,9 +24,9 @@
 	Terms     scheduler.Terms
 	Bounds    reconcile.Bounds
 	Output    int // bytes that may wait on one link
-	Connect   loop.Tick
-	Idle      loop.Tick
-	Silent    loop.Tick
+	Connect   eventloop.Tick
+	Idle      eventloop.Tick
+	Silent    eventloop.Tick
 	Kinds     []string // their names, in the order of the terms
 	Workloads []string
 	Customers []string
@@ -217,15 +217,15 @@
 		Bounds: reconcile.Bounds{Callers: c.some(f.Bounds.Owners), Open: c.some(f.Bounds.Open),
 			OpenPerCaller: c.some(f.Bounds.OpenPerOwner)},
 		Damped: f.Bounds.Narrow.Value, Output: int(f.Links.Output.GiB * (1 << 30)),
-		Connect: loop.Tick(c.lasting(f.Links.Connect)), Idle: loop.Tick(c.lasting(f.Links.Idle)),
-		Silent: loop.Tick(c.lasting(f.Links.Silent)),
+		Connect: eventloop.Tick(c.lasting(f.Links.Connect)), Idle: eventloop.Tick(c.lasting(f.Links.Idle)),
+		Silent: eventloop.Tick(c.lasting(f.Links.Silent)),
 		Terms: scheduler.Terms{Seed: uint64(f.Seed.Value), Me: f.Number.Value, Placers: f.Placers.Value,
 			OverShare: f.OverShare.Value, AcceptCores: c.above0(m.Accept.Cores), AcceptMemory: c.above0(m.Accept.Memory),
 			MeanCores: c.above0(m.Mean.Cores), MeanMemory: m.Mean.Memory.GiB, UseNotes: m.UseNotes.Value,
 			ListedAsks: m.ListedAsks.Value, MayProbe: m.Probes.Value, MostBids: c.some(f.Bids.Most),
 			AnswerGrace: c.span(f.Bids.Grace), ListOnAsk: true, AskWithin: c.lasting(f.List.AskWithin),
 			ColdFor: c.span(m.ColdFor), ColdWindow: c.span(m.ColdWindow), ColdBids: m.ColdBids.Value}}
-	if t := &p.Terms; t.ColdBids > 0 && 16*p.Connect > loop.Tick(t.ColdWindow) {
+	if t := &p.Terms; t.ColdBids > 0 && 16*p.Connect > eventloop.Tick(t.ColdWindow) {
 		c.fail(f.Links.Connect.Place, "a bid may wait for its link no longer than a sixteenth of cold_window, %g ms",
 			float64(t.ColdWindow)/16/float64(scheduler.Millisecond))
 	}
