--- a/cmd/glenport/bgp.go
+++ b/cmd/glenport/bgp.go
@@ -6,26 +6,26 @@
 	"text/tabwriter"
 	"time"
 
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 
 	"github.com/spf13/cobra"
 )
 
 // routes asks a placer how its announcements stand.
-func routes(addr, service string) (*link.Routes, error) {
+func routes(addr, service string) (*protocol.Routes, error) {
 	d, err := call(addr, 5*time.Second)
 	if err != nil {
 		return nil, err
 	}
 	defer d.Close()
-	if err := d.send(&link.AskRoutes{Service: service}); err != nil {
+	if err := d.send(&protocol.AskRoutes{Service: service}); err != nil {
 		return nil, err
 	}
-	f, err := link.Read(d, link.MostFrame)
+	f, err := protocol.Read(d, protocol.MostFrame)
 	if err != nil {
 		return nil, err
 	}
-	r, ok := f.(*link.Routes)
+	r, ok := f.(*protocol.Routes)
 	if !ok {
 		return nil, fmt.Errorf("placer %s answers with %T", d.placer, f)
 	}
@@ -82,7 +82,7 @@
 	return c
 }
 
-func explainRoute(s link.RouteOf) string {
+func explainRoute(s protocol.RouteOf) string {
 	text := fmt.Sprintf("%s of service %s is ", s.Prefix, s.Service)
 	switch {
 	case s.Announced && s.Running > 0 && s.Draining == s.Running:
--- a/cmd/glenport/owner.go
+++ b/cmd/glenport/owner.go
@@ -9,7 +9,7 @@
 	"os"
 	"time"
 
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 
 	"github.com/spf13/cobra"
 )
@@ -28,12 +28,12 @@
 	d := &door{Conn: c}
 	d.SetDeadline(time.Now().Add(within))
 	host, _ := os.Hostname()
-	if err := d.send(link.Greeting(link.Owner, fmt.Sprintf("%s-%d", host, os.Getpid()), uint64(time.Now().UnixMicro()))); err != nil {
+	if err := d.send(protocol.Greeting(protocol.Owner, fmt.Sprintf("%s-%d", host, os.Getpid()), uint64(time.Now().UnixMicro()))); err != nil {
 		c.Close()
 		return nil, err
 	}
-	f, err := link.Read(c, link.MostFrame)
-	if hello, ok := f.(*link.Hello); err == nil && ok && hello.Role == link.Placer {
+	f, err := protocol.Read(c, protocol.MostFrame)
+	if hello, ok := f.(*protocol.Hello); err == nil && ok && hello.Role == protocol.Placer {
 		d.placer = hello.Name
 		return d, nil
 	}
@@ -41,8 +41,8 @@
 	return nil, fmt.Errorf("%s is no placer's door: %T, %v", addr, f, err)
 }
 
-func (d *door) send(f link.Frame) error {
-	p, err := link.Append(nil, f)
+func (d *door) send(f protocol.Frame) error {
+	p, err := protocol.Append(nil, f)
 	if err == nil {
 		_, err = d.Write(p)
 	}
@@ -51,7 +51,7 @@
 
 func submitCommand() *cobra.Command {
 	var addr, key string
-	var w link.Work
+	var w protocol.Work
 	var count int
 	var left time.Duration
 	var stay bool
@@ -75,7 +75,7 @@
 				if key != "" {
 					w.Key = key
 				}
-				if err := d.send(&link.Submit{Left: link.Span(left.Microseconds() / 100), Work: w}); err != nil {
+				if err := d.send(&protocol.Submit{Left: protocol.Span(left.Microseconds() / 100), Work: w}); err != nil {
 					return err
 				}
 			}
@@ -98,15 +98,15 @@
 func follow(out io.Writer, d *door, count int, stay bool) error {
 	fates, bad := 0, false
 	for count > 0 || stay && fates > 0 {
-		f, err := link.Read(d, link.MostFrame)
+		f, err := protocol.Read(d, protocol.MostFrame)
 		if err != nil {
 			return fmt.Errorf("placer %s is gone: %w", d.placer, err)
 		}
 		switch f := f.(type) {
-		case *link.Answer:
+		case *protocol.Answer:
 			count--
 			fmt.Fprintf(out, "%s %s", f.Container, f.Verdict)
-			if f.Verdict == link.Placed {
+			if f.Verdict == protocol.Placed {
 				fates++
 				fmt.Fprintf(out, " on %s", f.Machine)
 			} else {
@@ -119,10 +119,10 @@
 				fmt.Fprintf(out, ": %s", f.Text)
 			}
 			fmt.Fprintln(out)
-		case *link.Fate:
+		case *protocol.Fate:
 			fates--
 			fmt.Fprintf(out, "%s ended on %s: %s, %s\n", f.Container, f.Machine, f.Outcome, f.Reason)
-		case *link.Bye:
+		case *protocol.Bye:
 			return errors.New("placer " + d.placer + " says: " + f.Text)
 		}
 	}
@@ -141,14 +141,14 @@
 				return err
 			}
 			defer d.Close()
-			if err := d.send(&link.AskStatus{}); err != nil {
+			if err := d.send(&protocol.AskStatus{}); err != nil {
 				return err
 			}
-			f, err := link.Read(d, link.MostFrame)
+			f, err := protocol.Read(d, protocol.MostFrame)
 			if err != nil {
 				return err
 			}
-			s, ok := f.(*link.Status)
+			s, ok := f.(*protocol.Status)
 			if !ok {
 				return fmt.Errorf("placer %s answers with %T", d.placer, f)
 			}
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -8,7 +8,7 @@
 	"sort"
 	"strings"
 
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/internal/tap"
 	"glenport/scheduler"
 )
@@ -92,7 +92,7 @@
 }
 
 type listed struct {
-	link.Entry
+	protocol.Entry
 	shutAt int64 // when the placer was told that it drains or is gone; 0: it serves
 }
 
@@ -102,11 +102,11 @@
 	due      int64
 	link     uint32
 	answers  int
-	verdict  link.Verdict
+	verdict  protocol.Verdict
 	answerAt int64
 	offers   []*offer
 	dropped  bool // its link or placer ended: nothing is owed
-	work     link.Work
+	work     protocol.Work
 	cancel   bool
 }
 
@@ -116,7 +116,7 @@
 	machine string
 	link    uint32
 	until   int64 // its wait
-	work    link.Work
+	work    protocol.Work
 	never   bool // it provably never ran
 	ended   bool // an outcome came
 	yes     bool
@@ -125,7 +125,7 @@
 }
 
 type channel struct {
-	far    link.Role
+	far    protocol.Role
 	name   string
 	placer string
 	offers map[uint64]*offer
@@ -204,32 +204,32 @@
 	}
 	l := j.life(e.Placer)
 	switch f := f.(type) {
-	case *link.Submit:
+	case *protocol.Submit:
 		j.submitted(l, e, f)
-	case *link.Cancel:
+	case *protocol.Cancel:
 		if c := l.containers[f.Container]; c != nil {
 			c.cancel = true
 		} else if f.Key != "" { // an answer to it tells what became of the key
 			l.cancelled[f.Container] = true
 		}
-	case *link.Look:
+	case *protocol.Look:
 		l.cancelled[f.Container] = true
-	case *link.Answer:
+	case *protocol.Answer:
 		j.answered(l, e, f)
-	case *link.Offer:
+	case *protocol.Offer:
 		j.offered(l, e, ch, f)
-	case *link.Probe:
+	case *protocol.Probe:
 		j.cold(l, e)
-	case *link.Yes:
+	case *protocol.Yes:
 		if o := ch.offers[f.Bid]; o != nil && f.Running {
 			j.Running++
 			j.began(l, o)
 		}
-	case *link.Result:
+	case *protocol.Result:
 		j.result(l, ch, f)
-	case *link.Listed:
+	case *protocol.Listed:
 		j.list(l, e, f)
-	case *link.Holds:
+	case *protocol.Holds:
 		j.holds(l, e, ch, f)
 	}
 	return nil
@@ -248,7 +248,7 @@
 		o.ended = true
 		delete(l.held, o)
 	}
-	if ch.far == link.Owner {
+	if ch.far == protocol.Owner {
 		for _, c := range l.containers {
 			if c.link == e.Link {
 				j.drop(c)
@@ -278,7 +278,7 @@
 	j.fail(1, c.due, frames, "container %s has no final answer", c.name)
 }
 
-func (j *judge) submitted(l *life, e *tap.Entry, f *link.Submit) {
+func (j *judge) submitted(l *life, e *tap.Entry, f *protocol.Submit) {
 	j.Submitted++
 	if c := l.containers[f.Work.Container]; c != nil && c.answers == 0 {
 		return // asked twice under one id; the first is owed
@@ -288,7 +288,7 @@
 }
 
 // answered holds the answer against rules 1 and 2.
-func (j *judge) answered(l *life, e *tap.Entry, f *link.Answer) {
+func (j *judge) answered(l *life, e *tap.Entry, f *protocol.Answer) {
 	c := l.containers[f.Container]
 	if c == nil && l.cancelled[f.Container] {
 		delete(l.cancelled, f.Container)
@@ -302,7 +302,7 @@
 	c.answers++
 	said := fmt.Sprintf("%.1f ms answer %s: %s", float64(e.At)/10, c.name, f.Verdict)
 	if c.answers > 1 {
-		if f.Verdict == link.TurnedAway { // the second of one id
+		if f.Verdict == protocol.TurnedAway { // the second of one id
 			c.answers--
 			return
 		}
@@ -312,7 +312,7 @@
 		j.fail(1, e.At, []string{said}, "container %s is answered %.1f ms after its hard stop", c.name, float64(e.At-c.due)/10)
 	}
 	c.verdict, c.answerAt = f.Verdict, e.At
-	if f.Verdict != link.PushedBack {
+	if f.Verdict != protocol.PushedBack {
 		return
 	}
 	w, ok := j.workload(c.work.Workload)
@@ -331,7 +331,7 @@
 	return scheduler.Workload{}, false
 }
 
-func (j *judge) offered(l *life, e *tap.Entry, ch *channel, f *link.Offer) {
+func (j *judge) offered(l *life, e *tap.Entry, ch *channel, f *protocol.Offer) {
 	j.Offers++
 	o := &offer{at: e.At, bid: f.Bid, machine: ch.name, link: e.Link, until: e.At + int64(f.Wait), work: f.Work,
 		text: fmt.Sprintf("%.1f ms %s offers %s to %s, bid %d, wait %.1f ms", float64(e.At)/10, l.name, f.Work.Container,
@@ -471,7 +471,7 @@
 	}
 }
 
-func (j *judge) result(l *life, ch *channel, f *link.Result) {
+func (j *judge) result(l *life, ch *channel, f *protocol.Result) {
 	o := ch.offers[f.Bid]
 	if o == nil {
 		return
@@ -479,14 +479,14 @@
 	delete(ch.offers, f.Bid)
 	delete(l.held, o)
 	o.ended = true
-	o.never = f.Outcome == link.Full && !o.yes
-	if f.Outcome == link.Finished {
+	o.never = f.Outcome == protocol.Full && !o.yes
+	if f.Outcome == protocol.Finished {
 		j.began(l, o)
 		delete(l.held, o)
 	}
 }
 
-func (j *judge) list(l *life, e *tap.Entry, f *link.Listed) {
+func (j *judge) list(l *life, e *tap.Entry, f *protocol.Listed) {
 	if f.Whole {
 		named := map[string]bool{}
 		for _, x := range f.Entries {
@@ -494,7 +494,7 @@
 		}
 		for name, m := range l.machines {
 			if !named[name] {
-				m.State = link.Gone
+				m.State = protocol.Gone
 				if m.shutAt == 0 {
 					m.shutAt = e.At
 				}
@@ -515,7 +515,7 @@
 		}
 		shut := m.shutAt
 		m.Entry, m.shutAt = x, 0
-		if x.State != link.Serving {
+		if x.State != protocol.Serving {
 			if m.shutAt = shut; shut == 0 {
 				m.shutAt = e.At
 			}
@@ -532,7 +532,7 @@
 }
 
 // holds counts what a machine says that it runs for the placer, of this life and earlier ones.
-func (j *judge) holds(l *life, e *tap.Entry, ch *channel, f *link.Holds) {
+func (j *judge) holds(l *life, e *tap.Entry, ch *channel, f *protocol.Holds) {
 	for _, k := range f.Held {
 		if !k.Running {
 			continue
@@ -585,23 +585,23 @@
 		lost := map[bool]string{true: " LOST"}[e.Sort == tap.Lost]
 		show := false
 		switch f := f.(type) {
-		case *link.Offer:
+		case *protocol.Offer:
 			if show = f.Work.Container == container; show {
 				bids[f.Bid], links[e.Link] = true, true
 			}
-		case *link.Submit:
+		case *protocol.Submit:
 			show = f.Work.Container == container
-		case *link.Cancel:
+		case *protocol.Cancel:
 			show = f.Container == container
-		case *link.Answer:
+		case *protocol.Answer:
 			show = f.Container == container
-		case *link.Fate:
+		case *protocol.Fate:
 			show = f.Container == container
-		case *link.Yes:
+		case *protocol.Yes:
 			show = bids[f.Bid]
-		case *link.Result:
+		case *protocol.Result:
 			show = bids[f.Bid]
-		case *link.Withdraw:
+		case *protocol.Withdraw:
 			show = bids[f.Bid]
 		}
 		if show {
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/internal/tap"
 	"glenport/scheduler"
 )
@@ -24,7 +24,7 @@
 		ColdWindow: 1000 * ms, ColdBids: 3, Workloads: []scheduler.Workload{{}, {Effect: scheduler.Numbered, Repeats: scheduler.OneZone,
 			Window: 4000 * ms}, {Effect: scheduler.AtMostOnce, Spread: scheduler.OneZone, Most: 2}}}}
 	h.connect()
-	h.list(0, map[string]link.Entry{"a": {}, "b": {}, "c": {Zone: 1}})
+	h.list(0, map[string]protocol.Entry{"a": {}, "b": {}, "c": {Zone: 1}})
 	return h
 }
 
@@ -37,29 +37,29 @@
 	}
 }
 
-func (h *history) open(id uint32, far link.Role, name string) {
+func (h *history) open(id uint32, far protocol.Role, name string) {
 	h.put(0, tap.Entry{Sort: tap.Opened, Link: id, Far: far, Name: name})
 }
 
 // connect opens the links to a client, the list and the machines.
 func (h *history) connect() {
-	h.open(1, link.Owner, "o")
-	h.open(2, link.List, "list")
+	h.open(1, protocol.Owner, "o")
+	h.open(2, protocol.List, "list")
 	for i, m := range []string{"a", "b", "c"} {
-		h.open(uint32(10+i), link.Machine, m)
+		h.open(uint32(10+i), protocol.Machine, m)
 	}
 }
 
-func (h *history) frame(at int64, s tap.Sort, id uint32, f link.Frame) {
-	p, err := link.Append(nil, f)
+func (h *history) frame(at int64, s tap.Sort, id uint32, f protocol.Frame) {
+	p, err := protocol.Append(nil, f)
 	if err != nil {
 		h.Fatal(err)
 	}
 	h.put(at, tap.Entry{Sort: s, Link: id, Far: h.j.links[id].far, Name: h.j.links[id].name, Frame: p[4:]})
 }
 
-func (h *history) list(at int64, entries map[string]link.Entry) {
-	f := &link.Listed{}
+func (h *history) list(at int64, entries map[string]protocol.Entry) {
+	f := &protocol.Listed{}
 	for _, m := range []string{"a", "b", "c"} {
 		if e, ok := entries[m]; ok {
 			e.Machine, e.Addr = m, "127.0.0.1:1"
@@ -82,30 +82,30 @@
 	h.connect()
 }
 
-func (h *history) work(c string, workload int) link.Work {
-	return link.Work{Container: c, Key: "k-" + c, Service: "s", Workload: workload}
+func (h *history) work(c string, workload int) protocol.Work {
+	return protocol.Work{Container: c, Key: "k-" + c, Service: "s", Workload: workload}
 }
 
 func (h *history) ask(at int64, c string, workload int) {
-	h.frame(at, tap.ToPlacer, 1, &link.Submit{Left: 2000 * ms, Work: h.work(c, workload)})
+	h.frame(at, tap.ToPlacer, 1, &protocol.Submit{Left: 2000 * ms, Work: h.work(c, workload)})
 }
 
 func (h *history) offer(at int64, c string, workload int, id uint32) uint64 {
 	h.bids++
-	h.frame(at, tap.FromPlacer, id, &link.Offer{Bid: h.bids, Wait: 500 * ms, Work: h.work(c, workload)})
+	h.frame(at, tap.FromPlacer, id, &protocol.Offer{Bid: h.bids, Wait: 500 * ms, Work: h.work(c, workload)})
 	return h.bids
 }
 
-func (h *history) result(at int64, id uint32, bid uint64, o link.Outcome) {
-	h.frame(at, tap.ToPlacer, id, &link.Result{Bid: bid, Outcome: o})
+func (h *history) result(at int64, id uint32, bid uint64, o protocol.Outcome) {
+	h.frame(at, tap.ToPlacer, id, &protocol.Result{Bid: bid, Outcome: o})
 }
 
 func (h *history) yes(at int64, id uint32, bid uint64) {
-	h.frame(at, tap.ToPlacer, id, &link.Yes{Bid: bid, Running: true})
+	h.frame(at, tap.ToPlacer, id, &protocol.Yes{Bid: bid, Running: true})
 }
 
-func (h *history) answer(at int64, c string, v link.Verdict) {
-	h.frame(at, tap.FromPlacer, 1, &link.Answer{Container: c, Verdict: v})
+func (h *history) answer(at int64, c string, v protocol.Verdict) {
+	h.frame(at, tap.FromPlacer, 1, &protocol.Answer{Container: c, Verdict: v})
 }
 
 // Each history either keeps the rules or breaks one, and the audit tells which.
@@ -118,119 +118,123 @@
 		{"placed", func(h *history) {
 			h.ask(1, "x", 0)
 			h.yes(9, 10, h.offer(2, "x", 0, 10))
-			h.answer(9, "x", link.Placed)
+			h.answer(9, "x", protocol.Placed)
 		}, 0},
-		{"no answer", func(h *history) { h.ask(1, "x", 0); h.frame(3000, tap.ToPlacer, 1, &link.Beat{}) }, 1},
+		{"no answer", func(h *history) { h.ask(1, "x", 0); h.frame(3000, tap.ToPlacer, 1, &protocol.Beat{}) }, 1},
 		{"no answer, its placer killed in time", func(h *history) { h.ask(1, "x", 0); h.put(500, tap.Entry{Sort: tap.Killed}) }, 0},
 		{"no answer, its placer killed too late", func(h *history) { h.ask(1, "x", 0); h.put(5000, tap.Entry{Sort: tap.Killed}) }, 1},
 		{"no answer, its owner left", func(h *history) { h.ask(1, "x", 0); h.put(500, tap.Entry{Sort: tap.Closed, Link: 1}) }, 0},
-		{"two answers", func(h *history) { h.ask(1, "x", 0); h.answer(2, "x", link.PushedBack); h.answer(3, "x", link.GivenUp) }, 1},
-		{"late answer", func(h *history) { h.ask(1, "x", 0); h.answer(2100, "x", link.PushedBack) }, 1},
-		{"sent after its answer", func(h *history) { h.ask(1, "x", 0); h.answer(2, "x", link.GivenUp); h.offer(100, "x", 0, 10) }, 1},
+		{"two answers", func(h *history) {
+			h.ask(1, "x", 0)
+			h.answer(2, "x", protocol.PushedBack)
+			h.answer(3, "x", protocol.GivenUp)
+		}, 1},
+		{"late answer", func(h *history) { h.ask(1, "x", 0); h.answer(2100, "x", protocol.PushedBack) }, 1},
+		{"sent after its answer", func(h *history) { h.ask(1, "x", 0); h.answer(2, "x", protocol.GivenUp); h.offer(100, "x", 0, 10) }, 1},
 		{"never asked for", func(h *history) { h.offer(100, "x", 0, 10) }, 1},
 
 		{"again after a refusal", func(h *history) {
 			h.ask(1, "x", 2)
-			h.result(5, 10, h.offer(2, "x", 2, 10), link.Full)
+			h.result(5, 10, h.offer(2, "x", 2, 10), protocol.Full)
 			h.offer(6, "x", 2, 11)
-			h.answer(9, "x", link.GivenUp)
+			h.answer(9, "x", protocol.GivenUp)
 		}, 0},
 		{"at-most-once again after a time-out", func(h *history) {
 			h.ask(1, "x", 2)
 			h.offer(2, "x", 2, 10)
 			h.offer(600, "x", 2, 11)
-			h.answer(700, "x", link.GivenUp)
+			h.answer(700, "x", protocol.GivenUp)
 		}, 2},
 		{"at-most-once pushed back after a time-out", func(h *history) {
 			h.ask(1, "x", 2)
 			h.offer(2, "x", 2, 10)
-			h.answer(700, "x", link.PushedBack)
+			h.answer(700, "x", protocol.PushedBack)
 		}, 2},
 		{"reissuable again after a time-out", func(h *history) {
 			h.ask(1, "x", 0)
 			h.offer(2, "x", 0, 10)
 			h.offer(600, "x", 0, 12)
-			h.answer(700, "x", link.PushedBack)
+			h.answer(700, "x", protocol.PushedBack)
 		}, 0},
 		{"two bids out", func(h *history) {
 			h.ask(1, "x", 0)
 			h.offer(2, "x", 0, 10)
 			h.offer(100, "x", 0, 12)
-			h.answer(700, "x", link.PushedBack)
+			h.answer(700, "x", protocol.PushedBack)
 		}, 2},
 		{"the first's link was reset in the same moment", func(h *history) {
 			h.ask(1, "x", 0)
 			h.offer(2, "x", 0, 10)
 			h.offer(100, "x", 0, 12)
 			h.put(110, tap.Entry{Sort: tap.Closed, Link: 10})
-			h.answer(700, "x", link.PushedBack)
+			h.answer(700, "x", protocol.PushedBack)
 		}, 0},
 		{"numbered stays in its group", func(h *history) {
 			h.ask(1, "x", 1)
 			h.offer(2, "x", 1, 10)
 			h.offer(600, "x", 1, 11)
-			h.answer(700, "x", link.GivenUp)
+			h.answer(700, "x", protocol.GivenUp)
 		}, 0},
 		{"numbered leaves its group", func(h *history) {
 			h.ask(1, "x", 1)
 			h.offer(2, "x", 1, 10)
 			h.offer(600, "x", 1, 12)
-			h.answer(700, "x", link.GivenUp)
+			h.answer(700, "x", protocol.GivenUp)
 		}, 2},
 		{"numbered stays in its group, the list not heard since a restart", func(h *history) {
 			h.restart(1)
 			h.ask(2, "x", 1)
 			h.offer(3, "x", 1, 10)
 			h.offer(600, "x", 1, 11)
-			h.answer(700, "x", link.GivenUp)
+			h.answer(700, "x", protocol.GivenUp)
 		}, 0},
 		{"numbered leaves its group, the list not heard since a restart", func(h *history) {
 			h.restart(1)
 			h.ask(2, "x", 1)
 			h.offer(3, "x", 1, 10)
 			h.offer(600, "x", 1, 12)
-			h.answer(700, "x", link.GivenUp)
+			h.answer(700, "x", protocol.GivenUp)
 		}, 2},
 		{"numbered leaves its group, a machine moved since a restart", func(h *history) {
 			h.restart(1)
-			h.list(1, map[string]link.Entry{"b": {Zone: 1}})
+			h.list(1, map[string]protocol.Entry{"b": {Zone: 1}})
 			h.ask(2, "x", 1)
 			h.offer(3, "x", 1, 10)
 			h.offer(600, "x", 1, 11)
-			h.answer(700, "x", link.GivenUp)
+			h.answer(700, "x", protocol.GivenUp)
 		}, 2},
 		{"numbered goes to a machine of which no list told", func(h *history) {
-			h.open(20, link.Machine, "d")
+			h.open(20, protocol.Machine, "d")
 			h.ask(2, "x", 1)
 			h.offer(3, "x", 1, 10)
 			h.offer(600, "x", 1, 20)
-			h.answer(700, "x", link.GivenUp)
+			h.answer(700, "x", protocol.GivenUp)
 		}, 2},
 		{"a key ran twice", func(h *history) {
 			h.ask(1, "x", 2)
 			h.yes(3, 10, h.offer(2, "x", 2, 10))
-			h.answer(4, "x", link.Placed)
-			h.frame(9, tap.ToPlacer, 11, &link.Holds{Held: []link.Holding{{Bid: 99, Running: true, Work: h.work("x", 2)}}})
+			h.answer(4, "x", protocol.Placed)
+			h.frame(9, tap.ToPlacer, 11, &protocol.Holds{Held: []protocol.Holding{{Bid: 99, Running: true, Work: h.work("x", 2)}}})
 		}, 2},
 
 		{"sent to a draining machine", func(h *history) {
-			h.list(1, map[string]link.Entry{"a": {State: link.Draining}})
+			h.list(1, map[string]protocol.Entry{"a": {State: protocol.Draining}})
 			h.ask(290, "x", 0)
 			h.yes(300, 10, h.offer(300, "x", 0, 10))
-			h.answer(301, "x", link.Placed)
+			h.answer(301, "x", protocol.Placed)
 		}, 3},
 		{"within the grace", func(h *history) {
-			h.list(1, map[string]link.Entry{"a": {State: link.Draining}})
+			h.list(1, map[string]protocol.Entry{"a": {State: protocol.Draining}})
 			h.ask(1, "x", 0)
 			h.yes(200, 10, h.offer(200, "x", 0, 10))
-			h.answer(201, "x", link.Placed)
+			h.answer(201, "x", protocol.Placed)
 		}, 0},
 		{"serving again", func(h *history) {
-			h.list(1, map[string]link.Entry{"a": {State: link.Draining}})
-			h.list(100, map[string]link.Entry{"a": {}})
+			h.list(1, map[string]protocol.Entry{"a": {State: protocol.Draining}})
+			h.list(100, map[string]protocol.Entry{"a": {}})
 			h.ask(390, "x", 0)
 			h.yes(400, 10, h.offer(400, "x", 0, 10))
-			h.answer(401, "x", link.Placed)
+			h.answer(401, "x", protocol.Placed)
 		}, 0},
 
 		{"cold budget kept", func(h *history) { h.cold(400) }, 0},
@@ -259,12 +263,12 @@
 
 // cold sends five offers to a machine that has just started.
 func (h *history) cold(gap int64) {
-	h.list(1, map[string]link.Entry{"a": {Incarnation: 2}})
+	h.list(1, map[string]protocol.Entry{"a": {Incarnation: 2}})
 	for i := range int64(5) {
 		c := fmt.Sprint("x", i)
 		h.ask(10+gap*i, c, 0)
 		h.yes(10+gap*i, 10, h.offer(10+gap*i, c, 0, 10))
-		h.answer(10+gap*i, c, link.Placed)
+		h.answer(10+gap*i, c, protocol.Placed)
 	}
 }
 
@@ -274,6 +278,6 @@
 		c := fmt.Sprint("x", i)
 		h.ask(1, c, 2)
 		h.yes(3, id, h.offer(2, c, 2, id))
-		h.answer(4, c, link.Placed)
+		h.answer(4, c, protocol.Placed)
 	}
 }
--- a/internal/controller/server/jobs.go
+++ b/internal/controller/server/jobs.go
@@ -14,7 +14,7 @@
 	"glenport/internal/controller/pending"
 	"glenport/internal/controller/watchcache"
 	"glenport/internal/eventloop"
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/recovery"
 	"glenport/internal/site"
 	"glenport/internal/store"
@@ -101,7 +101,7 @@
 	doors   []*door
 	list    *listing
 	views   map[string]controller.Container // by container id
-	halls   map[string]link.Entry           // by machine
+	halls   map[string]protocol.Entry       // by machine
 	asked   map[uint64]*question            // emptied by the answer or its time
 	last    map[string]*explained           // by job, for a moment
 	seq     uint64
@@ -113,12 +113,12 @@
 
 type explained struct {
 	at  eventloop.Tick
-	why *link.Why
+	why *protocol.Why
 }
 
 type question struct {
 	job  string
-	then []func(*link.Why)
+	then []func(*protocol.Why)
 }
 
 // New makes a keeper's host; Run serves it.
@@ -128,7 +128,7 @@
 		t.Workloads = append(t.Workloads, controller.Workload{Effect: w.Effect, HardStop: w.HardStop, Window: w.Window})
 	}
 	h := &Host{Catalog: c, place: p, log: log, keeper: controller.New(t), views: map[string]controller.Container{},
-		halls: map[string]link.Entry{}, asked: map[uint64]*question{}, last: map[string]*explained{}, pending: map[string][]func(){}}
+		halls: map[string]protocol.Entry{}, asked: map[uint64]*question{}, last: map[string]*explained{}, pending: map[string][]func(){}}
 	var err error
 	if h.loop, err = eventloop.New(h.turn); err != nil {
 		return nil, err
@@ -341,7 +341,7 @@
 		if found = ok; !ok {
 			return
 		}
-		h.explain(view, func(w *link.Why) {
+		h.explain(view, func(w *protocol.Why) {
 			v, ok := h.views[container]
 			if !ok {
 				v = view
@@ -363,7 +363,7 @@
 }
 
 // explain asks the placer that was asked last, or another, and hands its word on; nil where none answers in time.
-func (h *Host) explain(v controller.Container, then func(*link.Why)) {
+func (h *Host) explain(v controller.Container, then func(*protocol.Why)) {
 	if v.State == controller.Running || v.State == controller.Done {
 		then(nil)
 		return
@@ -391,14 +391,14 @@
 		return
 	}
 	h.seq++
-	q := &question{job: v.Job, then: []func(*link.Why){then}}
+	q := &question{job: v.Job, then: []func(*protocol.Why){then}}
 	n := h.seq
 	h.asked[n] = q
 	h.loop.After(whyWithin, func() { h.answered(n, nil) })
-	d.write(&link.AskWhy{Seq: n, Work: work(spec, "why", "why")})
+	d.write(&protocol.AskWhy{Seq: n, Work: work(spec, "why", "why")})
 }
 
-func (h *Host) answered(seq uint64, w *link.Why) {
+func (h *Host) answered(seq uint64, w *protocol.Why) {
 	q := h.asked[seq]
 	if q == nil {
 		return
@@ -429,7 +429,7 @@
 	return nil
 }
 
-func (h *Host) facts(v controller.Container, w *link.Why) pending.Facts {
+func (h *Host) facts(v controller.Container, w *protocol.Why) pending.Facts {
 	f := pending.Facts{Container: v, Doors: len(h.doors), ColdWindow: h.place.Site.Terms.ColdWindow}
 	for _, d := range h.doors {
 		if d.open {
@@ -453,7 +453,7 @@
 			most = max(most, e.Zone)
 		}
 		x.Machines++
-		if e.State == link.Draining {
+		if e.State == protocol.Draining {
 			x.Drained++
 		}
 	}
@@ -537,12 +537,12 @@
 				Text: "the ask could not be written down: " + kept.Error()})
 			return
 		}
-		h.doors[a.Door].write(&link.Submit{Left: link.Span(a.Left), Work: h.submission(a)})
+		h.doors[a.Door].write(&protocol.Submit{Left: protocol.Span(a.Left), Work: h.submission(a)})
 	case controller.Look:
-		h.doors[a.Door].write(&link.Look{Container: a.Ask, Key: a.Key})
+		h.doors[a.Door].write(&protocol.Look{Container: a.Ask, Key: a.Key})
 	case controller.Cancel:
 		if a.Door >= 0 {
-			h.doors[a.Door].write(&link.Cancel{Container: a.Ask, Key: a.Key})
+			h.doors[a.Door].write(&protocol.Cancel{Container: a.Ask, Key: a.Key})
 		}
 	}
 }
@@ -560,12 +560,12 @@
 	h.publish(Containers, c.ID, c, false, true)
 }
 
-func work(s controller.Spec, container, key string) link.Work {
-	return link.Work{Container: container, Key: key, Service: s.Service, Workload: s.Workload, Customer: s.Customer, Cores: s.Cores,
-		Memory: s.Memory, RunFor: link.Span(s.RunFor)}
+func work(s controller.Spec, container, key string) protocol.Work {
+	return protocol.Work{Container: container, Key: key, Service: s.Service, Workload: s.Workload, Customer: s.Customer, Cores: s.Cores,
+		Memory: s.Memory, RunFor: protocol.Span(s.RunFor)}
 }
 
-func (h *Host) submission(a controller.Submit) link.Work {
+func (h *Host) submission(a controller.Submit) protocol.Work {
 	w := work(a.Spec, a.Ask, a.Key)
 	w.Again = a.Again
 	return w
--- a/internal/controller/server/links.go
+++ b/internal/controller/server/links.go
@@ -5,7 +5,7 @@
 
 	"glenport/internal/controller"
 	"glenport/internal/eventloop"
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/scheduler"
 )
 
@@ -16,17 +16,17 @@
 	addr   string
 	name   string
 	conn   *eventloop.Conn
-	reader link.Reader
+	reader protocol.Reader
 	open   bool
 }
 
 func (d *door) call() {
-	d.reader = link.Reader{}
+	d.reader = protocol.Reader{}
 	d.conn = d.h.loop.Dial(d.addr, d, output, eventloop.Second)
 }
 
-func (d *door) write(f link.Frame) {
-	p, err := link.Append(nil, f)
+func (d *door) write(f protocol.Frame) {
+	p, err := protocol.Append(nil, f)
 	if err == nil && d.conn != nil {
 		err = d.conn.Write(p)
 	}
@@ -39,7 +39,7 @@
 }
 
 func (d *door) Opened(*eventloop.Conn) {
-	d.write(link.Greeting(link.Owner, d.h.place.Name, uint64(d.h.loop.Now())))
+	d.write(protocol.Greeting(protocol.Owner, d.h.place.Name, uint64(d.h.loop.Now())))
 }
 
 func (d *door) Read(c *eventloop.Conn, p []byte) {
@@ -59,25 +59,25 @@
 	d.h.loop.After(redial, d.call)
 }
 
-func (d *door) take(f link.Frame) error {
+func (d *door) take(f protocol.Frame) error {
 	h := d.h
 	switch f := f.(type) {
-	case *link.Hello:
-		if f.Role != link.Placer {
+	case *protocol.Hello:
+		if f.Role != protocol.Placer {
 			return fmt.Errorf("a %s answers where a placer was called", f.Role)
 		}
 		d.name, d.open = f.Name, true
 		h.log.Info("placer found", "placer", f.Name, "door", d.addr)
 		h.events = append(h.events, controller.Door{Number: d.number, Open: true})
-	case *link.Answer:
+	case *protocol.Answer:
 		h.events = append(h.events, controller.Answered{Ask: f.Container, Verdict: verdictOf(f.Verdict), Machine: f.Machine,
 			HoldOff: scheduler.Time(f.HoldOff), Text: f.Text})
-	case *link.Fate:
+	case *protocol.Fate:
 		h.events = append(h.events, controller.Fated{Ask: f.Container, Outcome: f.Outcome.Decided(), Reason: scheduler.Reason(f.Reason)})
-	case *link.Why:
+	case *protocol.Why:
 		h.answered(f.Seq, f)
-	case *link.Beat:
-	case *link.Bye:
+	case *protocol.Beat:
+	case *protocol.Bye:
 		return fmt.Errorf("placer says: %s", f.Text)
 	default:
 		return fmt.Errorf("%T is not for a keeper", f)
@@ -85,13 +85,13 @@
 	return nil
 }
 
-func verdictOf(v link.Verdict) controller.Verdict {
+func verdictOf(v protocol.Verdict) controller.Verdict {
 	switch v {
-	case link.Placed:
+	case protocol.Placed:
 		return controller.Placed
-	case link.PushedBack:
+	case protocol.PushedBack:
 		return controller.PushedBack
-	case link.TurnedAway:
+	case protocol.TurnedAway:
 		return controller.TurnedAway
 	}
 	return controller.GivenUp
@@ -101,24 +101,24 @@
 type listing struct {
 	h       *Host
 	conn    *eventloop.Conn
-	reader  link.Reader
+	reader  protocol.Reader
 	version int64
 }
 
 func (l *listing) call() {
-	l.reader = link.Reader{}
+	l.reader = protocol.Reader{}
 	l.conn = l.h.loop.Dial(l.h.place.List, l, output, eventloop.Second)
 }
 
-func (l *listing) send(f link.Frame) {
-	if p, err := link.Append(nil, f); err == nil {
+func (l *listing) send(f protocol.Frame) {
+	if p, err := protocol.Append(nil, f); err == nil {
 		l.conn.Write(p)
 	}
 }
 
 func (l *listing) Opened(*eventloop.Conn) {
-	l.send(link.Greeting(link.Placer, l.h.place.Name, uint64(l.h.loop.Now())))
-	l.send(&link.Watch{On: true, Since: l.version})
+	l.send(protocol.Greeting(protocol.Placer, l.h.place.Name, uint64(l.h.loop.Now())))
+	l.send(&protocol.Watch{On: true, Since: l.version})
 }
 
 func (l *listing) Read(c *eventloop.Conn, p []byte) {
@@ -133,15 +133,15 @@
 	l.h.loop.After(relist, l.call)
 }
 
-func (l *listing) take(f link.Frame) error {
+func (l *listing) take(f protocol.Frame) error {
 	switch f := f.(type) {
-	case *link.Listed:
+	case *protocol.Listed:
 		l.version = f.Version
 		l.h.learn(f)
-	case *link.Failed:
+	case *protocol.Failed:
 		l.h.loop.After(relist, func() {
 			if l.conn != nil {
-				l.send(&link.Watch{On: true, Since: l.version})
+				l.send(&protocol.Watch{On: true, Since: l.version})
 			}
 		})
 	}
@@ -149,11 +149,11 @@
 }
 
 // learn shows the machines of the list.
-func (h *Host) learn(f *link.Listed) {
+func (h *Host) learn(f *protocol.Listed) {
 	named := map[string]bool{}
 	for _, e := range f.Entries {
-		named[e.Machine] = e.State != link.Gone
-		if e.State == link.Gone {
+		named[e.Machine] = e.State != protocol.Gone
+		if e.State == protocol.Gone {
 			continue
 		}
 		h.halls[e.Machine] = e
--- a/internal/lab/bgp.go
+++ b/internal/lab/bgp.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/internal/standin"
 	"glenport/internal/tap"
 
@@ -25,7 +25,7 @@
 	peers   []*standin.BGPPeer
 	door    net.Conn
 	mu      sync.Mutex
-	answers map[string]chan *link.Answer
+	answers map[string]chan *protocol.Answer
 	ended   map[string]time.Time // by the machines' own clocks
 	next    int
 	missed  []string
@@ -44,7 +44,7 @@
 
 // Run plays the trial and tells whether all held.
 func (t *BGPTrial) Run(day *Day, dir string, program []string) (ok bool, err error) {
-	t.answers, t.ended = map[string]chan *link.Answer{}, map[string]time.Time{}
+	t.answers, t.ended = map[string]chan *protocol.Answer{}, map[string]time.Time{}
 	var peers []any
 	for i := range 2 {
 		p := &standin.BGPPeer{AS: 65000, ID: [4]byte{192, 0, 2, byte(250 + i)}, Hold: 3 * time.Second, Helps: 10 * time.Second, Journal: true}
@@ -121,14 +121,14 @@
 		return err
 	}
 	c := t.door
-	t.send(link.Greeting(link.Owner, "trial", uint64(time.Now().UnixMicro())))
+	t.send(protocol.Greeting(protocol.Owner, "trial", uint64(time.Now().UnixMicro())))
 	go func() {
 		for {
-			f, err := link.Read(c, link.MostFrame)
+			f, err := protocol.Read(c, protocol.MostFrame)
 			if err != nil {
 				return
 			}
-			if a, ok := f.(*link.Answer); ok {
+			if a, ok := f.(*protocol.Answer); ok {
 				t.mu.Lock()
 				ch := t.answers[a.Container]
 				delete(t.answers, a.Container)
@@ -142,8 +142,8 @@
 	return nil
 }
 
-func (t *BGPTrial) send(f link.Frame) {
-	p, err := link.Append(nil, f)
+func (t *BGPTrial) send(f protocol.Frame) {
+	p, err := protocol.Append(nil, f)
 	if err != nil {
 		panic(err)
 	}
@@ -159,14 +159,14 @@
 	t.mu.Lock()
 	t.next++
 	id = fmt.Sprint("c", t.next)
-	ch := make(chan *link.Answer, 1)
+	ch := make(chan *protocol.Answer, 1)
 	t.answers[id] = ch
 	t.mu.Unlock()
-	t.send(&link.Submit{Left: 40000, Work: link.Work{Container: id, Key: id, Service: fmt.Sprint("web-", service), Workload: workload, Cores: 0.1, Memory: 0.1,
-		RunFor: link.Span(life.Microseconds() / 100)}})
+	t.send(&protocol.Submit{Left: 40000, Work: protocol.Work{Container: id, Key: id, Service: fmt.Sprint("web-", service), Workload: workload, Cores: 0.1, Memory: 0.1,
+		RunFor: protocol.Span(life.Microseconds() / 100)}})
 	select {
 	case a := <-ch:
-		if a.Verdict != link.Placed {
+		if a.Verdict != protocol.Placed {
 			return id, "", fmt.Errorf("%s was %s", id, a.Verdict)
 		}
 		return id, a.Machine, nil
@@ -287,8 +287,8 @@
 	began := time.Now()
 	for _, m := range t.cluster.Machines {
 		if m.Name == machine {
-			t.cluster.List.Mark(m, link.Draining)
-			defer t.cluster.List.Mark(m, link.Serving)
+			t.cluster.List.Mark(m, protocol.Draining)
+			defer t.cluster.List.Mark(m, protocol.Serving)
 		}
 	}
 	for k, p := range t.peers {
@@ -303,7 +303,7 @@
 		}
 	}
 	took := time.Since(began)
-	t.send(&link.Cancel{Container: id})
+	t.send(&protocol.Cancel{Container: id})
 	for _, p := range t.peers {
 		if err := t.until("it is gone", func() bool { has, _ := p.Has(bgpPrefix(service)); return !has }); err != nil {
 			return "", err
@@ -392,7 +392,7 @@
 	if _, n, _, _, _ := good.Figures(); n != stood {
 		t.miss("the other peer's session was touched")
 	}
-	t.send(&link.Cancel{Container: id})
+	t.send(&protocol.Cancel{Container: id})
 	return "each ends its session, which comes back whole; the other stands", t.until("it is gone", func() bool {
 		a, _ := bad.Has(bgpPrefix(service))
 		b, _ := good.Has(bgpPrefix(service))
@@ -422,15 +422,15 @@
 		}
 	}
 	began := time.Now()
-	t.cluster.Net.Set(func(_ string, far link.Role, name string) tap.Fault {
-		return tap.Fault{Cut: far == link.Machine && hall[name]}
+	t.cluster.Net.Set(func(_ string, far protocol.Role, name string) tap.Fault {
+		return tap.Fault{Cut: far == protocol.Machine && hall[name]}
 	})
 	gone := func() bool { has, _ := t.peers[0].Has(bgpPrefix(service)); return !has }
 	if err := t.until("the route is gone", gone); err != nil {
 		return "", err
 	}
 	cut := time.Since(began)
-	t.cluster.Net.Set(func(string, link.Role, string) tap.Fault { return tap.Fault{} })
+	t.cluster.Net.Set(func(string, protocol.Role, string) tap.Fault { return tap.Fault{} })
 	began = time.Now()
 	if err := t.until("the route is back", func() bool { return !gone() }); err != nil {
 		return "", err
@@ -439,7 +439,7 @@
 		t.miss("the container was ended by the cut")
 	}
 	back := time.Since(began)
-	t.send(&link.Cancel{Container: id, Key: id})
+	t.send(&protocol.Cancel{Container: id, Key: id})
 	return fmt.Sprintf("gone %.1f s after the cut, back %.1f s after its end", cut.Seconds(), back.Seconds()), t.until("it is gone", gone)
 }
 
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/internal/settings"
 	"glenport/internal/site"
 	"glenport/internal/standin"
@@ -248,13 +248,13 @@
 	rng *rand.Rand
 
 	mu     sync.Mutex
-	faults map[int]func(placer string, far link.Role, name string) tap.Fault
+	faults map[int]func(placer string, far protocol.Role, name string) tap.Fault
 	last   int
 	note   func(format string, a ...any)
 }
 
 // fault puts a rule of network faults in force and returns what ends it.
-func (p *player) fault(f func(placer string, far link.Role, name string) tap.Fault) (end func()) {
+func (p *player) fault(f func(placer string, far protocol.Role, name string) tap.Fault) (end func()) {
 	p.mu.Lock()
 	p.last++
 	n := p.last
@@ -271,12 +271,12 @@
 
 func (p *player) apply() {
 	p.mu.Lock()
-	var all []func(string, link.Role, string) tap.Fault
+	var all []func(string, protocol.Role, string) tap.Fault
 	for _, f := range p.faults {
 		all = append(all, f)
 	}
 	p.mu.Unlock()
-	p.Net.Set(func(placer string, far link.Role, name string) (sum tap.Fault) {
+	p.Net.Set(func(placer string, far protocol.Role, name string) (sum tap.Fault) {
 		for _, f := range all {
 			x := f(placer, far, name)
 			sum.Cut = sum.Cut || x.Cut
@@ -344,8 +344,8 @@
 	},
 	"half-open links": func(p *player, t Trouble, wait func(time.Duration)) {
 		names := in(p.some(t.Part))
-		end := p.fault(func(_ string, far link.Role, name string) tap.Fault {
-			return tap.Fault{Cut: far == link.Machine && names[name]}
+		end := p.fault(func(_ string, far protocol.Role, name string) tap.Fault {
+			return tap.Fault{Cut: far == protocol.Machine && names[name]}
 		})
 		wait(t.For)
 		end()
@@ -356,8 +356,8 @@
 		for _, x := range p.Placers {
 			here[x.Name] = x.Hall == t.Hall
 		}
-		end := p.fault(func(placer string, far link.Role, name string) tap.Fault {
-			return tap.Fault{Cut: far == link.Machine && names[name] != here[placer]}
+		end := p.fault(func(placer string, far protocol.Role, name string) tap.Fault {
+			return tap.Fault{Cut: far == protocol.Machine && names[name] != here[placer]}
 		})
 		wait(t.For)
 		end()
@@ -365,7 +365,7 @@
 	"resets": func(p *player, t Trouble, wait func(time.Duration)) {
 		for end := t.For; end > 0; end -= time.Second {
 			names := in(p.some(t.Part))
-			p.Net.Reset(func(_ string, far link.Role, name string) bool { return far == link.Machine && names[name] })
+			p.Net.Reset(func(_ string, far protocol.Role, name string) bool { return far == protocol.Machine && names[name] })
 			wait(min(end, time.Second))
 		}
 	},
@@ -382,12 +382,12 @@
 	"drain": func(p *player, t Trouble, wait func(time.Duration)) {
 		ms := p.some(t.Part)
 		for _, m := range ms {
-			p.List.Mark(m, link.Draining)
+			p.List.Mark(m, protocol.Draining)
 			m.Drain(true, t.Size > 0)
 		}
 		wait(t.For)
 		for _, m := range ms {
-			p.List.Mark(m, link.Serving)
+			p.List.Mark(m, protocol.Serving)
 			m.Drain(false, false)
 		}
 	},
@@ -399,12 +399,12 @@
 			now := ms[:min(step, len(ms))]
 			ms = ms[len(now):]
 			for _, m := range now {
-				p.List.Mark(m, link.Draining)
+				p.List.Mark(m, protocol.Draining)
 				m.Drain(true, true)
 			}
 			wait(t.For / time.Duration(2*steps))
 			for _, m := range now {
-				p.List.Mark(m, link.Serving)
+				p.List.Mark(m, protocol.Serving)
 			}
 			p.restart(now, t.For/time.Duration(2*steps), wait)
 		}
@@ -444,8 +444,8 @@
 		wait(t.For)
 	},
 	"answers lost": func(p *player, t Trouble, wait func(time.Duration)) {
-		end := p.fault(func(_ string, far link.Role, _ string) tap.Fault {
-			if far == link.Machine {
+		end := p.fault(func(_ string, far protocol.Role, _ string) tap.Fault {
+			if far == protocol.Machine {
 				return tap.Fault{LoseAnswers: t.Size}
 			}
 			return tap.Fault{}
@@ -454,7 +454,7 @@
 		end()
 	},
 	"late network": func(p *player, t Trouble, wait func(time.Duration)) {
-		end := p.fault(func(string, link.Role, string) tap.Fault {
+		end := p.fault(func(string, protocol.Role, string) tap.Fault {
 			return tap.Fault{Delay: time.Duration(t.Size * float64(time.Millisecond))}
 		})
 		wait(t.For)
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 )
 
 // Load is what a placer did under a load.
@@ -42,17 +42,17 @@
 		}
 		each.Go(func() {
 			defer c.Close()
-			if _, err := link.Read(c, 1024); err != nil {
+			if _, err := protocol.Read(c, 1024); err != nil {
 				return
 			}
-			hello, _ := link.Append(nil, link.Greeting(link.Machine, m.name, 1))
-			hello, _ = link.Append(hello, &link.Holds{Incarnation: 1})
+			hello, _ := protocol.Append(nil, protocol.Greeting(protocol.Machine, m.name, 1))
+			hello, _ = protocol.Append(hello, &protocol.Holds{Incarnation: 1})
 			c.Write(hello)
 			var mu sync.Mutex // keeps frames whole: two sides write
 			var p []byte
-			put := func(f link.Frame) {
+			put := func(f protocol.Frame) {
 				mu.Lock()
-				p, _ = link.Append(p[:0], f)
+				p, _ = protocol.Append(p[:0], f)
 				c.Write(p)
 				mu.Unlock()
 			}
@@ -63,21 +63,21 @@
 						c.Close()
 						return
 					case <-time.After(time.Second):
-						put(&link.Beat{})
+						put(&protocol.Beat{})
 					}
 				}
 			})
 			for {
-				f, err := link.Read(c, link.MostFrame)
+				f, err := protocol.Read(c, protocol.MostFrame)
 				if err != nil {
 					return
 				}
-				if o, ok := f.(*link.Offer); ok && m.full {
-					put(&link.Result{Bid: o.Bid, Outcome: link.Full, Reason: link.NoCores})
+				if o, ok := f.(*protocol.Offer); ok && m.full {
+					put(&protocol.Result{Bid: o.Bid, Outcome: protocol.Full, Reason: protocol.NoCores})
 				} else if ok {
-					put(&link.Yes{Bid: o.Bid, Running: true})
+					put(&protocol.Yes{Bid: o.Bid, Running: true})
 					time.AfterFunc(time.Duration(o.Work.RunFor)*100*time.Microsecond, func() {
-						put(&link.Result{Bid: o.Bid})
+						put(&protocol.Result{Bid: o.Bid})
 					})
 				}
 			}
@@ -94,11 +94,11 @@
 		}
 		each.Go(func() {
 			defer c.Close()
-			hello, _ := link.Append(nil, link.Greeting(link.List, "list", 1))
+			hello, _ := protocol.Append(nil, protocol.Greeting(protocol.List, "list", 1))
 			c.Write(hello)
 			var mu sync.Mutex
 			each.Go(func() {
-				beat, _ := link.Append(nil, &link.Beat{})
+				beat, _ := protocol.Append(nil, &protocol.Beat{})
 				for {
 					select {
 					case <-stop:
@@ -112,23 +112,23 @@
 				}
 			})
 			for {
-				f, err := link.Read(c, 1<<20)
+				f, err := protocol.Read(c, 1<<20)
 				if err != nil {
 					return
 				}
-				if _, ok := f.(*link.Watch); !ok {
+				if _, ok := f.(*protocol.Watch); !ok {
 					continue
 				}
-				all := &link.Listed{Whole: true, Version: 1}
+				all := &protocol.Listed{Whole: true, Version: 1}
 				for i, m := range machines {
 					free := 100.0
 					if m.full {
 						free = -100
 					}
-					all.Entries = append(all.Entries, link.Entry{Machine: m.name, Addr: m.Addr().String(), Zone: i % 3, Kind: i % 2,
+					all.Entries = append(all.Entries, protocol.Entry{Machine: m.name, Addr: m.Addr().String(), Zone: i % 3, Kind: i % 2,
 						Cell: i / 4, FreeCores: free, FreeMemory: 100, Hint: 1, Incarnation: 1, Age: -1})
 				}
-				p, _ := link.Append(nil, all)
+				p, _ := protocol.Append(nil, all)
 				mu.Lock()
 				c.Write(p)
 				mu.Unlock()
@@ -248,18 +248,18 @@
 		return 0, err
 	}
 	defer c.Close()
-	p, _ := link.Append(nil, link.Greeting(link.Owner, "load", 1))
+	p, _ := protocol.Append(nil, protocol.Greeting(protocol.Owner, "load", 1))
 	c.Write(p)
 	var placed atomic.Int64
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for {
-			f, err := link.Read(c, link.MostFrame)
+			f, err := protocol.Read(c, protocol.MostFrame)
 			if err != nil {
 				return
 			}
-			if a, ok := f.(*link.Answer); ok && a.Verdict == link.Placed {
+			if a, ok := f.(*protocol.Answer); ok && a.Verdict == protocol.Placed {
 				placed.Add(1)
 			}
 		}
@@ -271,8 +271,8 @@
 		due := int(time.Since(began).Seconds() * float64(rate))
 		for p = p[:0]; i < min(due, total); i++ {
 			id := fmt.Sprint("c", i)
-			p, _ = link.Append(p, &link.Submit{Left: 40000, Work: link.Work{Container: id, Key: id, Service: fmt.Sprint("s", i%500),
-				Cores: 0.5, Memory: 1, RunFor: link.Span(life.Microseconds() / 100)}})
+			p, _ = protocol.Append(p, &protocol.Submit{Left: 40000, Work: protocol.Work{Container: id, Key: id, Service: fmt.Sprint("s", i%500),
+				Cores: 0.5, Memory: 1, RunFor: protocol.Span(life.Microseconds() / 100)}})
 		}
 		if _, err := c.Write(p); err != nil {
 			return 0, err
--- a/internal/lab/restart.go
+++ b/internal/lab/restart.go
@@ -17,7 +17,7 @@
 	"glenport/internal/controller"
 	"glenport/internal/controller/server"
 	"glenport/internal/disk"
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/internal/schedulerd"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/store"
@@ -448,23 +448,23 @@
 }
 
 // placeOne submits one container and waits until it is placed.
-func placeOne(door string, w link.Work) error {
+func placeOne(door string, w protocol.Work) error {
 	c, err := net.DialTimeout("tcp", door, time.Second)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	p, _ := link.Append(nil, link.Greeting(link.Owner, "restart", 1))
-	p, _ = link.Append(p, &link.Submit{Left: 40000, Work: w})
+	p, _ := protocol.Append(nil, protocol.Greeting(protocol.Owner, "restart", 1))
+	p, _ = protocol.Append(p, &protocol.Submit{Left: 40000, Work: w})
 	c.Write(p)
 	for {
-		f, err := link.Read(c, link.MostFrame)
+		f, err := protocol.Read(c, protocol.MostFrame)
 		if err != nil {
 			return err
 		}
-		if a, ok := f.(*link.Answer); ok {
-			if a.Verdict != link.Placed {
+		if a, ok := f.(*protocol.Answer); ok {
+			if a.Verdict != protocol.Placed {
 				return fmt.Errorf("%s: %s %s", w.Container, a.Verdict, a.Text)
 			}
 			return nil
@@ -496,7 +496,7 @@
 		return err
 	}
 	door := time.Since(began)
-	w := link.Work{Container: "first", Key: "first", Service: "s", Cores: 1, Memory: 1, RunFor: 36_000_000}
+	w := protocol.Work{Container: "first", Key: "first", Service: "s", Cores: 1, Memory: 1, RunFor: 36_000_000}
 	if err := placeOne(b.placer.Door, w); err != nil {
 		return err
 	}
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"glenport/internal/audit"
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/internal/standin"
 	"glenport/internal/tap"
 )
@@ -45,7 +45,7 @@
 	}
 	note("%d placers, %d machines in %d halls, %.0f submissions a second", len(c.Placers), len(c.Machines), len(d.Halls), d.Rate)
 	p := &player{Cluster: c, day: d, rng: rand.New(rand.NewPCG(d.Seed, 11)), note: note,
-		faults: map[int]func(string, link.Role, string) tap.Fault{}}
+		faults: map[int]func(string, protocol.Role, string) tap.Fault{}}
 	c.Owners.Start(d.Rate, d.Seed)
 	over := make(chan struct{})
 	wait := func(s time.Duration) {
--- a/internal/lab/why.go
+++ b/internal/lab/why.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/internal/standin"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -159,9 +159,9 @@
 }
 
 func (t *WhyTrial) drain(on bool, which func(*standin.Machine) bool) {
-	state := link.Serving
+	state := protocol.Serving
 	if on {
-		state = link.Draining
+		state = protocol.Draining
 	}
 	for _, m := range t.Cluster.Machines {
 		if which(m) {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
@@ -14,7 +14,7 @@
 
 // Source gives the account; ok is false where the placer does not answer.
 type Source interface {
-	Account(within time.Duration) (s *link.Status, r *link.Routes, ok bool)
+	Account(within time.Duration) (s *protocol.Status, r *protocol.Routes, ok bool)
 }
 
 type collector struct{ of Source }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -6,14 +6,14 @@
 	"testing"
 	"time"
 
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 )
 
 type account struct{ ok bool }
 
-func (a account) Account(time.Duration) (*link.Status, *link.Routes, bool) {
-	return &link.Status{Figures: []link.Figure{{Name: "placing p99.9", Value: 0.5, Unit: "ms"}, {Name: "bids", Value: 7}}},
-		&link.Routes{Peers: []link.RoutePeer{{Addr: "192.0.2.1:179", State: "Established", Routes: 3}}}, a.ok
+func (a account) Account(time.Duration) (*protocol.Status, *protocol.Routes, bool) {
+	return &protocol.Status{Figures: []protocol.Figure{{Name: "placing p99.9", Value: 0.5, Unit: "ms"}, {Name: "bids", Value: 7}}},
+		&protocol.Routes{Peers: []protocol.RoutePeer{{Addr: "192.0.2.1:179", State: "Established", Routes: 3}}}, a.ok
 }
 
 func TestMetrics(t *testing.T) {
--- a/internal/link/codec.go
+++ b/internal/protocol/codec.go
@@ -1,4 +1,4 @@
-package link
+package protocol
 
 import (
 	"encoding/binary"
--- a/internal/link/frames.go
+++ b/internal/protocol/frames.go
@@ -1,7 +1,7 @@
-// Package link is the framed protocol between placers, machines, the list and owners. docs/protocol.md
+// Package protocol is the framed protocol between placers, machines, the list and owners. docs/protocol.md
 // describes it. A frame is a length of four bytes, the first most significant, a byte that tells its sort, and
 // a CBOR array of its fields. Spans are tenths of a millisecond; memory is in GiB.
-package link
+package protocol
 
 import (
 	"fmt"
--- a/internal/schedulerd/door.go
+++ b/internal/schedulerd/door.go
@@ -5,7 +5,7 @@
 	"sort"
 
 	"glenport/internal/eventloop"
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/scheduler"
 )
@@ -19,9 +19,9 @@
 	h       *Host
 	caller  reconcile.Caller
 	conn    *eventloop.Conn
-	reader  link.Reader
+	reader  protocol.Reader
 	name    string
-	role    link.Role
+	role    protocol.Role
 	came    eventloop.Tick
 	halfAt  eventloop.Tick
 	dropped bool
@@ -29,14 +29,14 @@
 
 func (h *Host) accept() (eventloop.Handler, int) {
 	h.lastOwner++
-	return &owner{h: h, caller: h.lastOwner, reader: link.Reader{Most: link.SmallFrame}, name: "stranger",
+	return &owner{h: h, caller: h.lastOwner, reader: protocol.Reader{Most: protocol.SmallFrame}, name: "stranger",
 		came: h.loop.Now()}, h.site.Output
 }
 
 func (o *owner) Opened(c *eventloop.Conn) {
 	o.conn = c
 	o.h.owners[o.caller] = o
-	o.write(link.Greeting(link.Placer, o.h.site.Name, o.h.life))
+	o.write(protocol.Greeting(protocol.Placer, o.h.site.Name, o.h.life))
 }
 
 func (o *owner) Read(_ *eventloop.Conn, p []byte) {
@@ -57,7 +57,7 @@
 func (o *owner) Closed(*eventloop.Conn, error) {
 	o.dropped = true
 	delete(o.h.owners, o.caller)
-	if o.role == link.Owner {
+	if o.role == protocol.Owner {
 		o.h.tell(reconcile.Left{Caller: o.caller})
 	}
 }
@@ -65,14 +65,14 @@
 // drop ends the link with a word why.
 func (o *owner) drop(why string) {
 	if !o.dropped {
-		o.write(&link.Bye{Text: why})
+		o.write(&protocol.Bye{Text: why})
 		o.dropped = true
 		o.conn.Close()
 	}
 }
 
 // write sends a frame. An owner that takes too little is dropped: its answers cannot be kept without bound.
-func (o *owner) write(f link.Frame) {
+func (o *owner) write(f protocol.Frame) {
 	if o.dropped {
 		o.h.meter.unheard++
 		return
@@ -101,32 +101,32 @@
 	}
 }
 
-func (o *owner) take(f link.Frame) error {
+func (o *owner) take(f protocol.Frame) error {
 	h := o.h
 	switch f := f.(type) {
-	case *link.Hello:
+	case *protocol.Hello:
 		o.name, o.role = f.Name, f.Role
 		switch f.Role {
-		case link.Owner:
+		case protocol.Owner:
 			h.tell(reconcile.Called{Caller: o.caller})
-		case link.Placer:
+		case protocol.Placer:
 		default:
 			return fmt.Errorf("a %s has no business at this door", f.Role)
 		}
-	case *link.Submit:
+	case *protocol.Submit:
 		h.submitted(o, f)
-	case *link.Cancel:
+	case *protocol.Cancel:
 		h.tell(reconcile.Cancelled{Caller: o.caller, ID: scheduler.ContainerID(f.Container), Key: f.Key})
-	case *link.Look:
+	case *protocol.Look:
 		h.tell(reconcile.Looked{Caller: o.caller, ID: scheduler.ContainerID(f.Container), Key: f.Key})
-	case *link.AskWhy:
+	case *protocol.AskWhy:
 		o.write(h.explain(f))
-	case *link.AskRoutes:
+	case *protocol.AskRoutes:
 		o.write(h.routesFor(f.Service))
-	case *link.AskStatus:
+	case *protocol.AskStatus:
 		o.write(h.status())
-	case *link.Beat:
-	case *link.Bye:
+	case *protocol.Beat:
+	case *protocol.Bye:
 		o.drop("good bye")
 	default:
 		return fmt.Errorf("%T is not for the door", f)
@@ -134,7 +134,7 @@
 	return nil
 }
 
-func (h *Host) submitted(o *owner, f *link.Submit) {
+func (h *Host) submitted(o *owner, f *protocol.Submit) {
 	now, w := scheduler.Time(h.loop.Now()), &f.Work
 	ask := scheduler.Ask{ID: scheduler.ContainerID(w.Container), Key: w.Key, Service: w.Service, Workload: w.Workload,
 		Customer: w.Customer, Cores: w.Cores, Memory: w.Memory, Due: now + scheduler.Time(f.Left),
@@ -145,10 +145,10 @@
 }
 
 // explain answers why work like this may wait, where the decisions can tell.
-func (h *Host) explain(f *link.AskWhy) *link.Why {
-	w := &link.Why{Seq: f.Seq, ListAge: -1}
+func (h *Host) explain(f *protocol.AskWhy) *protocol.Why {
+	w := &protocol.Why{Seq: f.Seq, ListAge: -1}
 	if h.list.spokeAt > 0 {
-		w.ListAge = link.Span(h.loop.Now() - h.list.spokeAt)
+		w.ListAge = protocol.Span(h.loop.Now() - h.list.spokeAt)
 	}
 	d, ok := h.decider.(interface {
 		Explain(scheduler.Ask) scheduler.Explanation
@@ -158,20 +158,20 @@
 	}
 	x := d.Explain(scheduler.Ask{Key: f.Work.Key, Service: f.Work.Service, Workload: f.Work.Workload, Customer: f.Work.Customer,
 		Cores: f.Work.Cores, Memory: f.Work.Memory})
-	return &link.Why{Seq: f.Seq, Known: true, Machines: x.Machines, Gone: x.Gone, OtherKind: x.OtherKind, Draining: x.Draining,
+	return &protocol.Why{Seq: f.Seq, Known: true, Machines: x.Machines, Gone: x.Gone, OtherKind: x.OtherKind, Draining: x.Draining,
 		TooSmall: x.TooSmall, Closing: x.Closing, SpreadFull: x.SpreadFull, ColdSpent: x.ColdSpent, Resting: x.Resting,
 		Shunned: x.Shunned, NoCores: x.NoCores, NoMemory: x.NoMemory, Free: x.Free, Yielding: x.Yielding,
 		NoRoomShare: x.NoRoomShare, ListAge: w.ListAge}
 }
 
 // routesFor tells how announcements stand.
-func (h *Host) routesFor(service string) *link.Routes {
-	out := &link.Routes{}
+func (h *Host) routesFor(service string) *protocol.Routes {
+	out := &protocol.Routes{}
 	if h.routes == nil {
 		return out
 	}
 	for _, p := range h.routes.Peers() {
-		out.Peers = append(out.Peers, link.RoutePeer{Addr: p.Addr, AS: p.AS, State: p.State, Routes: p.Routes, Due: p.Due, Updates: p.Updates,
+		out.Peers = append(out.Peers, protocol.RoutePeer{Addr: p.Addr, AS: p.AS, State: p.State, Routes: p.Routes, Due: p.Due, Updates: p.Updates,
 			Bytes: p.Bytes, Ends: p.Flaps, Why: p.Why})
 	}
 	for _, name := range h.routes.Services() {
@@ -179,10 +179,10 @@
 			continue
 		}
 		w, _ := h.routes.Why(name)
-		r := link.RouteOf{Service: name, Prefix: h.site.BGP.Services[name].Prefix.String(), Announced: w.Announced,
+		r := protocol.RouteOf{Service: name, Prefix: h.site.BGP.Services[name].Prefix.String(), Announced: w.Announced,
 			Preference: w.Path.Preference, Running: w.Running, Draining: w.Draining, Least: w.Least, Penalty: w.Penalty, Suppressed: w.Suppressed}
 		if w.NextUpdate > 0 {
-			r.Next = max(0, link.Span(w.NextUpdate-scheduler.Time(h.loop.Now())))
+			r.Next = max(0, protocol.Span(w.NextUpdate-scheduler.Time(h.loop.Now())))
 		}
 		out.Services = append(out.Services, r)
 	}
@@ -190,15 +190,15 @@
 }
 
 // send reaches an owner by its number.
-func (h *Host) send(to reconcile.Caller, f link.Frame) {
+func (h *Host) send(to reconcile.Caller, f protocol.Frame) {
 	if o := h.owners[to]; o != nil {
 		o.write(f)
 	}
 }
 
 func (h *Host) turnAway(a reconcile.Refuse) {
-	h.meter.answered(link.TurnedAway)
-	h.send(a.Caller, &link.Answer{Container: string(a.ID), Verdict: link.TurnedAway, HoldOff: link.Span(a.HoldOff), Text: a.Why})
+	h.meter.answered(protocol.TurnedAway)
+	h.send(a.Caller, &protocol.Answer{Container: string(a.ID), Verdict: protocol.TurnedAway, HoldOff: protocol.Span(a.HoldOff), Text: a.Why})
 }
 
 // cease ends a container that its owner no longer wants. Whoever asks for its end hears it.
@@ -209,7 +209,7 @@
 		return
 	}
 	if c.owner != nil && c.owner != o && !c.owner.dropped {
-		o.write(&link.Answer{Container: string(a.As), Verdict: link.TurnedAway, Text: "it is another owner's"})
+		o.write(&protocol.Answer{Container: string(a.As), Verdict: protocol.TurnedAway, Text: "it is another owner's"})
 		return
 	}
 	if b := c.bid; b != nil && b.placed {
@@ -220,11 +220,11 @@
 	h.feed(scheduler.Vanished{ID: id})
 	if !c.answered {
 		c.answered = true
-		h.meter.answered(link.GivenUp)
+		h.meter.answered(protocol.GivenUp)
 		if c.owner != nil && c.heardAs != string(a.As) {
-			c.owner.write(&link.Answer{Container: c.heardAs, Verdict: link.GivenUp, Text: "cancelled"})
+			c.owner.write(&protocol.Answer{Container: c.heardAs, Verdict: protocol.GivenUp, Text: "cancelled"})
 		}
-		o.write(&link.Answer{Container: string(a.As), Verdict: link.GivenUp, Text: "cancelled"})
+		o.write(&protocol.Answer{Container: string(a.As), Verdict: protocol.GivenUp, Text: "cancelled"})
 		h.tell(reconcile.Answered{ID: id})
 	}
 	if b := c.bid; b != nil {
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -16,7 +16,7 @@
 	"testing"
 
 	"glenport/internal/disk"
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/overload"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/schedulerd/recovery"
@@ -64,10 +64,10 @@
 
 var goldenIncarnation = warmstart.Life{Whole: warmstart.Stamp{Clock: 17_000_000_000_001, Up: 17_000_002, Boot: "boot-of-the-record"}, Log: recovery.Synced}
 
-var goldenEntries = []link.Entry{
-	{Machine: "machine-seven", Addr: "127.0.0.7:7007", Zone: 31, Kind: 32, Cell: 33, State: link.Draining, FreeCores: 34.5, FreeMemory: 35.5,
+var goldenEntries = []protocol.Entry{
+	{Machine: "machine-seven", Addr: "127.0.0.7:7007", Zone: 31, Kind: 32, Cell: 33, State: protocol.Draining, FreeCores: 34.5, FreeMemory: 35.5,
 		Hint: 36.5, Incarnation: 207, Age: 5001},
-	{Machine: "machine-eight", Addr: "127.0.0.8:8008", Zone: 41, Kind: 42, Cell: 43, State: link.Gone, FreeCores: 44.5, FreeMemory: 45.5,
+	{Machine: "machine-eight", Addr: "127.0.0.8:8008", Zone: 41, Kind: 42, Cell: 43, State: protocol.Gone, FreeCores: 44.5, FreeMemory: 45.5,
 		Hint: 46.5, Incarnation: 208, Age: -1},
 }
 
@@ -151,7 +151,7 @@
 // goldenListFile is the file of version 1: the clock, the length, and a list frame without its length.
 func goldenListFile(t *testing.T) []byte {
 	t.Helper()
-	frame, err := link.Append(nil, &link.Listed{Whole: true, Version: 302, Entries: goldenEntries})
+	frame, err := protocol.Append(nil, &protocol.Listed{Whole: true, Version: 302, Entries: goldenEntries})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/schedulerd/helpers_test.go
+++ b/internal/schedulerd/helpers_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/internal/site"
 	"glenport/scheduler"
 
@@ -60,7 +60,7 @@
 	r := &rig{T: t, script: sc}
 	s.ListAddr = listing(t, machines)
 	r.h = run(t, s, sc)
-	r.h.loop.Post(func() { r.h.watch(&link.Watch{On: true}) })
+	r.h.loop.Post(func() { r.h.watch(&protocol.Watch{On: true}) })
 	await[scheduler.ListCame](r, func(e scheduler.ListCame) bool { return e.Mode != scheduler.OldList })
 	r.door = callDoor(t, r.h.Addr())
 	return r
@@ -136,9 +136,9 @@
 	return l.Addr().String()
 }
 
-func put(c net.Conn, frames ...link.Frame) {
+func put(c net.Conn, frames ...protocol.Frame) {
 	for _, f := range frames {
-		if p, err := link.Append(nil, f); err == nil {
+		if p, err := protocol.Append(nil, f); err == nil {
 			c.Write(p)
 		}
 	}
@@ -146,17 +146,17 @@
 
 func listing(t *testing.T, machines map[string]string) string {
 	return serve(t, func(c net.Conn) {
-		put(c, link.Greeting(link.List, "list", 1))
-		l := &link.Listed{Whole: true, Version: 1}
+		put(c, protocol.Greeting(protocol.List, "list", 1))
+		l := &protocol.Listed{Whole: true, Version: 1}
 		for id, addr := range machines {
-			l.Entries = append(l.Entries, link.Entry{Machine: id, Addr: addr, Incarnation: 1, Age: -1})
+			l.Entries = append(l.Entries, protocol.Entry{Machine: id, Addr: addr, Incarnation: 1, Age: -1})
 		}
 		for {
-			f, err := link.Read(c, link.MostFrame)
+			f, err := protocol.Read(c, protocol.MostFrame)
 			if err != nil {
 				return
 			}
-			if _, ok := f.(*link.Watch); ok {
+			if _, ok := f.(*protocol.Watch); ok {
 				put(c, l)
 			}
 		}
@@ -164,14 +164,14 @@
 }
 
 // machineThat greets, says what it holds and answers each frame by answer; nil ends the link.
-func machineThat(t *testing.T, name string, holds *link.Holds, answer func(c net.Conn, f link.Frame) bool) string {
+func machineThat(t *testing.T, name string, holds *protocol.Holds, answer func(c net.Conn, f protocol.Frame) bool) string {
 	return serve(t, func(c net.Conn) {
-		if f, err := link.Read(c, link.MostFrame); err != nil || f.(*link.Hello).Role != link.Placer {
+		if f, err := protocol.Read(c, protocol.MostFrame); err != nil || f.(*protocol.Hello).Role != protocol.Placer {
 			return
 		}
-		put(c, link.Greeting(link.Machine, name, 1), holds)
+		put(c, protocol.Greeting(protocol.Machine, name, 1), holds)
 		for {
-			f, err := link.Read(c, link.MostFrame)
+			f, err := protocol.Read(c, protocol.MostFrame)
 			if err != nil || !answer(c, f) {
 				return
 			}
@@ -193,16 +193,16 @@
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	d := &caller{t, c}
-	put(c, link.Greeting(link.Owner, "owner", 1))
-	if hello, ok := d.next().(*link.Hello); !ok || hello.Role != link.Placer {
+	put(c, protocol.Greeting(protocol.Owner, "owner", 1))
+	if hello, ok := d.next().(*protocol.Hello); !ok || hello.Role != protocol.Placer {
 		t.Fatal("the door does not greet")
 	}
 	return d
 }
 
-func (c *caller) next() link.Frame {
+func (c *caller) next() protocol.Frame {
 	c.t.Helper()
-	f, err := link.Read(c, link.MostFrame)
+	f, err := protocol.Read(c, protocol.MostFrame)
 	if err != nil {
 		c.t.Fatalf("the door is closed: %v", err)
 	}
@@ -210,13 +210,13 @@
 }
 
 func (c *caller) submit(id string, workload int) {
-	put(c, &link.Submit{Left: 60000, Work: link.Work{Container: id, Key: "k-" + id, Service: "s", Workload: workload,
+	put(c, &protocol.Submit{Left: 60000, Work: protocol.Work{Container: id, Key: "k-" + id, Service: "s", Workload: workload,
 		Cores: 1, Memory: 1}})
 }
 
-func (c *caller) answer() *link.Answer {
+func (c *caller) answer() *protocol.Answer {
 	c.t.Helper()
-	a, ok := c.next().(*link.Answer)
+	a, ok := c.next().(*protocol.Answer)
 	if !ok {
 		c.t.Fatal("no answer")
 	}
--- a/internal/schedulerd/host.go
+++ b/internal/schedulerd/host.go
@@ -11,7 +11,7 @@
 	"glenport/internal/bgp/announce"
 	"glenport/internal/bgp/speaker"
 	"glenport/internal/eventloop"
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/overload"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/schedulerd/recovery"
@@ -65,7 +65,7 @@
 // container is one that this placer has taken or taken over.
 type container struct {
 	ask      scheduler.Ask
-	window   link.Span
+	window   protocol.Span
 	owner    *owner // nil where it was taken over and nobody asked again
 	heardAs  string // its id for that owner
 	answered bool
@@ -140,10 +140,10 @@
 func (h *Host) Routes() *speaker.Speaker { return h.routes }
 
 // Account gives the figures and routes to another goroutine, unless the loop does not answer in time.
-func (h *Host) Account(within time.Duration) (*link.Status, *link.Routes, bool) {
+func (h *Host) Account(within time.Duration) (*protocol.Status, *protocol.Routes, bool) {
 	type both struct {
-		s *link.Status
-		r *link.Routes
+		s *protocol.Status
+		r *protocol.Routes
 	}
 	got := make(chan both, 1)
 	if !h.loop.Post(func() { got <- both{h.status(), h.routesFor("")} }) {
@@ -261,9 +261,9 @@
 	case scheduler.Bid:
 		h.offer(a)
 	case scheduler.PushBack:
-		h.answer(a.ID, &link.Answer{Verdict: link.PushedBack, HoldOff: link.Span(a.HoldOff)})
+		h.answer(a.ID, &protocol.Answer{Verdict: protocol.PushedBack, HoldOff: protocol.Span(a.HoldOff)})
 	case scheduler.GiveUp:
-		h.answer(a.ID, &link.Answer{Verdict: link.GivenUp})
+		h.answer(a.ID, &protocol.Answer{Verdict: protocol.GivenUp})
 	case scheduler.Withdraw:
 		if c := h.open[a.ID]; c != nil && c.bid != nil && !c.bid.placed && c.bid.nth == a.Bid {
 			h.callOff(c.bid)
@@ -278,9 +278,9 @@
 	case scheduler.Wake:
 		h.loop.After(eventloop.Tick(a.After), func() { h.feed(scheduler.Woke{Name: a.Name}) })
 	case scheduler.Watch:
-		h.watch(&link.Watch{On: a.On, Since: h.list.version})
+		h.watch(&protocol.Watch{On: a.On, Since: h.list.version})
 	case scheduler.Fetch:
-		h.watch(&link.Fetch{})
+		h.watch(&protocol.Fetch{})
 	case scheduler.Log:
 		h.log.Info("mode", "text", a.Text)
 	}
@@ -298,7 +298,7 @@
 	case reconcile.Refuse:
 		h.turnAway(a)
 	case reconcile.Stands:
-		h.send(a.Caller, &link.Answer{Container: string(a.ID), Verdict: link.Placed, Machine: string(a.Machine),
+		h.send(a.Caller, &protocol.Answer{Container: string(a.ID), Verdict: protocol.Placed, Machine: string(a.Machine),
 			Text: "it runs already"})
 		if c := h.open[a.As]; c != nil { // who asked last hears its fate
 			c.owner, c.heardAs = h.owners[a.Caller], string(a.ID)
@@ -306,12 +306,12 @@
 	case reconcile.Cease:
 		h.cease(a)
 	case reconcile.Absent:
-		h.send(a.Caller, &link.Answer{Container: string(a.ID), Verdict: link.PushedBack, Text: "nothing of it runs"})
+		h.send(a.Caller, &protocol.Answer{Container: string(a.ID), Verdict: protocol.PushedBack, Text: "nothing of it runs"})
 	case reconcile.Ceased:
-		h.send(a.Caller, &link.Answer{Container: string(a.ID), Verdict: link.GivenUp, Text: "cancelled"})
+		h.send(a.Caller, &protocol.Answer{Container: string(a.ID), Verdict: protocol.GivenUp, Text: "cancelled"})
 	case reconcile.CallOff:
 		if m := h.machines[a.Machine]; m != nil && m.ready {
-			m.write(&link.Withdraw{Life: a.Life, Bid: a.Bid})
+			m.write(&protocol.Withdraw{Life: a.Life, Bid: a.Bid})
 		}
 	case reconcile.Adopt:
 		h.adopt(a.Held)
@@ -351,14 +351,14 @@
 // take hands a container that the door lets in to the placer module.
 func (h *Host) take(a reconcile.Pass) {
 	h.open[a.Ask.ID] = &container{ask: a.Ask, owner: h.owners[a.Caller], heardAs: string(a.Ask.ID), came: h.asking[a.Ask.ID],
-		window: link.Span(h.site.Terms.Workloads[a.Ask.Workload].Window)}
+		window: protocol.Span(h.site.Terms.Workloads[a.Ask.Workload].Window)}
 	h.feed(scheduler.Asked{Ask: a.Ask})
 }
 
 // frame encodes a frame; what it returns holds until the next call.
-func (h *Host) frame(f link.Frame) ([]byte, error) {
+func (h *Host) frame(f protocol.Frame) ([]byte, error) {
 	var err error
-	h.scratch, err = link.Append(h.scratch[:0], f)
+	h.scratch, err = protocol.Append(h.scratch[:0], f)
 	if cap(h.scratch) > 1<<20 {
 		defer func() { h.scratch = nil }()
 	}
@@ -464,7 +464,7 @@
 		return
 	}
 	if b.at.ready {
-		b.at.write(&link.Withdraw{Life: b.life, Bid: b.number})
+		b.at.write(&protocol.Withdraw{Life: b.life, Bid: b.number})
 	}
 	if !b.placed {
 		b.at.expectLate(b)
@@ -493,8 +493,8 @@
 		h.meter.running--
 		h.route(b, false)
 		if c.owner != nil {
-			c.owner.write(&link.Fate{Container: c.heardAs, Machine: string(m.id),
-				Outcome: link.OutcomeOf(e.Outcome), Reason: link.Reason(e.Reason)})
+			c.owner.write(&protocol.Fate{Container: c.heardAs, Machine: string(m.id),
+				Outcome: protocol.OutcomeOf(e.Outcome), Reason: protocol.Reason(e.Reason)})
 		}
 	}
 	h.feed(e)
@@ -510,7 +510,7 @@
 }
 
 // answer gives an owner the final answer.
-func (h *Host) answer(id scheduler.ContainerID, a *link.Answer) {
+func (h *Host) answer(id scheduler.ContainerID, a *protocol.Answer) {
 	c := h.open[id]
 	if c == nil || c.answered {
 		return
@@ -540,10 +540,10 @@
 		return
 	}
 	c.answered = true
-	h.meter.answered(link.Placed)
+	h.meter.answered(protocol.Placed)
 	h.feed(scheduler.Placed{ID: c.ask.ID, Bid: b.nth, Machine: b.at.id, Took: scheduler.Time(h.loop.Now() - b.sentAt)})
 	if c.owner != nil {
-		c.owner.write(&link.Answer{Container: string(c.ask.ID), Verdict: link.Placed, Machine: string(b.at.id)})
+		c.owner.write(&protocol.Answer{Container: string(c.ask.ID), Verdict: protocol.Placed, Machine: string(b.at.id)})
 	}
 }
 
--- a/internal/schedulerd/host_test.go
+++ b/internal/schedulerd/host_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/scheduler"
 )
 
@@ -28,34 +28,34 @@
 	}
 }
 
-func quiet(net.Conn, link.Frame) bool { return true }
+func quiet(net.Conn, protocol.Frame) bool { return true }
 
 // Each outcome of the module's contract arises from what really happens on a socket.
 func TestOutcomes(t *testing.T) {
-	says := func(frames func(o *link.Offer) []link.Frame) func(*testing.T) string {
+	says := func(frames func(o *protocol.Offer) []protocol.Frame) func(*testing.T) string {
 		return func(t *testing.T) string {
-			return machineThat(t, "a", &link.Holds{}, func(c net.Conn, f link.Frame) bool {
-				if o, ok := f.(*link.Offer); ok {
+			return machineThat(t, "a", &protocol.Holds{}, func(c net.Conn, f protocol.Frame) bool {
+				if o, ok := f.(*protocol.Offer); ok {
 					put(c, frames(o)...)
 				}
 				return true
 			})
 		}
 	}
-	result := func(o link.Outcome, r link.Reason) func(*testing.T) string {
-		return says(func(f *link.Offer) []link.Frame {
-			return []link.Frame{&link.Result{Bid: f.Bid, Outcome: o, Reason: r, Report: map[string]float64{"queue": 3}}}
+	result := func(o protocol.Outcome, r protocol.Reason) func(*testing.T) string {
+		return says(func(f *protocol.Offer) []protocol.Frame {
+			return []protocol.Frame{&protocol.Result{Bid: f.Bid, Outcome: o, Reason: r, Report: map[string]float64{"queue": 3}}}
 		})
 	}
-	after := func(o link.Outcome, r link.Reason) func(*testing.T) string {
-		return says(func(f *link.Offer) []link.Frame {
-			return []link.Frame{&link.Yes{Bid: f.Bid, Running: true}, &link.Result{Bid: f.Bid, Outcome: o, Reason: r}}
+	after := func(o protocol.Outcome, r protocol.Reason) func(*testing.T) string {
+		return says(func(f *protocol.Offer) []protocol.Frame {
+			return []protocol.Frame{&protocol.Yes{Bid: f.Bid, Running: true}, &protocol.Result{Bid: f.Bid, Outcome: o, Reason: r}}
 		})
 	}
 	hang := func(reset bool) func(*testing.T) string {
 		return func(t *testing.T) string {
-			return machineThat(t, "a", &link.Holds{}, func(c net.Conn, f link.Frame) bool {
-				_, offer := f.(*link.Offer)
+			return machineThat(t, "a", &protocol.Holds{}, func(c net.Conn, f protocol.Frame) bool {
+				_, offer := f.(*protocol.Offer)
 				if offer && reset {
 					c.(*net.TCPConn).SetLinger(0)
 				}
@@ -69,19 +69,19 @@
 		want    scheduler.Outcome
 		reason  scheduler.Reason
 		over    bool
-		fate    link.Outcome
+		fate    protocol.Outcome
 	}{
-		{"full", result(link.Full, link.NoMemory), scheduler.Full, scheduler.NoMemory, false, 0},
-		{"erred", result(link.Erred, 0), scheduler.Erred, 0, false, 0},
-		{"finished", after(link.Finished, 0), scheduler.Finished, 0, true, link.Finished},
-		{"evicted", after(link.Lost, link.Evicted), scheduler.Reset, scheduler.Evicted, true, link.Lost},
-		{"sent away", after(link.Lost, link.SentAway), scheduler.Reset, scheduler.SentAway, true, link.Lost},
-		{"no answer", func(t *testing.T) string { return machineThat(t, "a", &link.Holds{}, quiet) }, scheduler.TimedOut, 0, false, 0},
+		{"full", result(protocol.Full, protocol.NoMemory), scheduler.Full, scheduler.NoMemory, false, 0},
+		{"erred", result(protocol.Erred, 0), scheduler.Erred, 0, false, 0},
+		{"finished", after(protocol.Finished, 0), scheduler.Finished, 0, true, protocol.Finished},
+		{"evicted", after(protocol.Lost, protocol.Evicted), scheduler.Reset, scheduler.Evicted, true, protocol.Lost},
+		{"sent away", after(protocol.Lost, protocol.SentAway), scheduler.Reset, scheduler.SentAway, true, protocol.Lost},
+		{"no answer", func(t *testing.T) string { return machineThat(t, "a", &protocol.Holds{}, quiet) }, scheduler.TimedOut, 0, false, 0},
 		{"link ended between offer and answer", hang(false), scheduler.Reset, 0, false, 0},
 		{"link reset between offer and answer", hang(true), scheduler.Reset, 0, false, 0},
-		{"garbage for an answer", says(func(*link.Offer) []link.Frame {
-			return []link.Frame{&link.Submit{Left: 1,
-				Work: link.Work{Container: "x", Key: "x", Service: "x"}}}
+		{"garbage for an answer", says(func(*protocol.Offer) []protocol.Frame {
+			return []protocol.Frame{&protocol.Submit{Left: 1,
+				Work: protocol.Work{Container: "x", Key: "x", Service: "x"}}}
 		}), scheduler.Reset, 0, false, 0},
 		{"nobody listens", func(t *testing.T) string {
 			l, _ := net.Listen("tcp", "127.0.0.1:0")
@@ -91,7 +91,7 @@
 		{"takes the call and never greets", func(t *testing.T) string {
 			return serve(t, func(c net.Conn) { c.Read(make([]byte, 1000)); c.Read(make([]byte, 1000)) })
 		}, scheduler.NoConnect, 0, false, 0},
-		{"another machine answers", func(t *testing.T) string { return machineThat(t, "b", &link.Holds{}, quiet) },
+		{"another machine answers", func(t *testing.T) string { return machineThat(t, "b", &protocol.Holds{}, quiet) },
 			scheduler.NoConnect, 0, false, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -103,12 +103,12 @@
 			}
 			a := r.door.answer()
 			if !tc.over {
-				if a.Verdict != link.GivenUp {
+				if a.Verdict != protocol.GivenUp {
 					t.Errorf("answered %v", a)
 				}
 				return
 			}
-			if fate, ok := r.door.next().(*link.Fate); a.Verdict != link.Placed || !ok || fate.Outcome != tc.fate {
+			if fate, ok := r.door.next().(*protocol.Fate); a.Verdict != protocol.Placed || !ok || fate.Outcome != tc.fate {
 				t.Errorf("answered %v, then %v", a, fate)
 			}
 		})
@@ -120,8 +120,8 @@
 func TestNeverReads(t *testing.T) {
 	done := make(chan struct{})
 	deaf := serve(t, func(c net.Conn) {
-		link.Read(c, link.MostFrame)
-		put(c, link.Greeting(link.Machine, "a", 1), &link.Holds{})
+		protocol.Read(c, protocol.MostFrame)
+		put(c, protocol.Greeting(protocol.Machine, "a", 1), &protocol.Holds{})
 		<-done
 	})
 	defer close(done)
@@ -130,11 +130,11 @@
 	r := start(t, s, bidTo(0), map[string]string{"a": deaf})
 	sent := 0
 	for {
-		put(r.door, &link.Submit{Left: 600000, Work: link.Work{Container: fmt.Sprint("x", sent), Key: fmt.Sprint(sent),
+		put(r.door, &protocol.Submit{Left: 600000, Work: protocol.Work{Container: fmt.Sprint("x", sent), Key: fmt.Sprint(sent),
 			Service: strings.Repeat("s", 150), Workload: 2}})
 		if sent++; sent%1000 == 0 {
-			put(r.door, &link.AskStatus{})
-			if _, ok := r.door.next().(*link.Answer); ok {
+			put(r.door, &protocol.AskStatus{})
+			if _, ok := r.door.next().(*protocol.Answer); ok {
 				break // one that was not sent
 			}
 		}
@@ -162,13 +162,13 @@
 		t.Run(tc.name, func(t *testing.T) {
 			called := make(chan string, 10)
 			late := make(chan uint64, 1)
-			addr := machineThat(t, "a", &link.Holds{}, func(c net.Conn, f link.Frame) bool {
+			addr := machineThat(t, "a", &protocol.Holds{}, func(c net.Conn, f protocol.Frame) bool {
 				switch f := f.(type) {
-				case *link.Offer:
+				case *protocol.Offer:
 					late <- f.Bid
-				case *link.Probe: // the test's sign that the outcome is in
-					put(c, &link.Yes{Bid: <-late, Running: true})
-				case *link.Withdraw:
+				case *protocol.Probe: // the test's sign that the outcome is in
+					put(c, &protocol.Yes{Bid: <-late, Running: true})
+				case *protocol.Withdraw:
 					called <- "called off"
 				}
 				return true
@@ -190,8 +190,8 @@
 				r.h.loop.Post(func() { r.h.reach(r.h.machines["a"]) })
 				until(t, func() bool { return on1(r.h, func() bool { return r.h.machines["a"].ready }) })
 			}
-			put(r.door, &link.Submit{Left: 3000, Work: link.Work{Container: "x", Key: "k-x", Service: "s", Workload: tc.workload}})
-			if a := r.door.answer(); a.Verdict != link.GivenUp {
+			put(r.door, &protocol.Submit{Left: 3000, Work: protocol.Work{Container: "x", Key: "k-x", Service: "s", Workload: tc.workload}})
+			if a := r.door.answer(); a.Verdict != protocol.GivenUp {
 				t.Errorf("answered %v", a)
 			}
 			got := <-called
@@ -202,8 +202,8 @@
 				t.Errorf("%s, want %s", got, tc.want)
 			}
 			if tc.want == "taken over" { // and an owner that asks again is told so
-				put(r.door, &link.Submit{Left: 60000, Work: link.Work{Container: "y", Key: "k-x", Service: "s", Workload: tc.workload}})
-				if a := r.door.answer(); a.Verdict != link.Placed || a.Machine != "a" {
+				put(r.door, &protocol.Submit{Left: 60000, Work: protocol.Work{Container: "y", Key: "k-x", Service: "s", Workload: tc.workload}})
+				if a := r.door.answer(); a.Verdict != protocol.Placed || a.Machine != "a" {
 					t.Errorf("answered %v", a)
 				}
 			}
@@ -236,30 +236,30 @@
 	}{{"still held", true}, {"no longer held", false}} {
 		t.Run(tc.name, func(t *testing.T) {
 			calls, bid := 0, uint64(0)
-			work := link.Work{Container: "x", Key: "k-x", Service: "s", Workload: 2}
+			work := protocol.Work{Container: "x", Key: "k-x", Service: "s", Workload: 2}
 			again := make(chan net.Conn, 10)
 			addr := serve(t, func(c net.Conn) {
-				hello, err := link.Read(c, link.MostFrame)
+				hello, err := protocol.Read(c, protocol.MostFrame)
 				if err != nil {
 					return
 				}
-				holds := &link.Holds{Held: []link.Holding{{Life: 1, Bid: 7, Running: true, Work: link.Work{Container: "old",
+				holds := &protocol.Holds{Held: []protocol.Holding{{Life: 1, Bid: 7, Running: true, Work: protocol.Work{Container: "old",
 					Key: "k-old", Service: "s"}}}}
 				if calls++; calls == 2 && tc.held {
-					holds.Held = append(holds.Held, link.Holding{Life: hello.(*link.Hello).Life, Bid: bid, Running: true, Work: work})
+					holds.Held = append(holds.Held, protocol.Holding{Life: hello.(*protocol.Hello).Life, Bid: bid, Running: true, Work: work})
 				}
-				put(c, link.Greeting(link.Machine, "a", 1), holds)
+				put(c, protocol.Greeting(protocol.Machine, "a", 1), holds)
 				if calls == 2 {
 					again <- c
 				}
 				for {
-					f, err := link.Read(c, link.MostFrame)
+					f, err := protocol.Read(c, protocol.MostFrame)
 					if err != nil {
 						return
 					}
-					if o, ok := f.(*link.Offer); ok {
+					if o, ok := f.(*protocol.Offer); ok {
 						bid = o.Bid
-						put(c, &link.Yes{Bid: bid, Running: true})
+						put(c, &protocol.Yes{Bid: bid, Running: true})
 						return
 					}
 				}
@@ -269,16 +269,16 @@
 				t.Errorf("took over %+v", took)
 			}
 			r.door.submit("x", 2)
-			if a := r.door.answer(); a.Verdict != link.Placed {
+			if a := r.door.answer(); a.Verdict != protocol.Placed {
 				t.Fatalf("answered %v", a)
 			}
 			c := <-again
-			want := link.Lost
+			want := protocol.Lost
 			if tc.held {
-				want = link.Finished
-				put(c, &link.Result{Bid: bid})
+				want = protocol.Finished
+				put(c, &protocol.Result{Bid: bid})
 			}
-			if fate, ok := r.door.next().(*link.Fate); !ok || fate.Outcome != want {
+			if fate, ok := r.door.next().(*protocol.Fate); !ok || fate.Outcome != want {
 				t.Errorf("its fate is %v, want %v", fate, want)
 			}
 		})
@@ -294,7 +294,7 @@
 	for _, id := range []string{"x", "y", "z"} {
 		r.door.submit(id, 0)
 	}
-	if a := r.door.answer(); a.Container != "z" || a.Verdict != link.TurnedAway || !strings.Contains(a.Text, "2 containers are open") || a.HoldOff == 0 {
+	if a := r.door.answer(); a.Container != "z" || a.Verdict != protocol.TurnedAway || !strings.Contains(a.Text, "2 containers are open") || a.HoldOff == 0 {
 		t.Errorf("answered %+v", a)
 	}
 	raw := func(p []byte, pause time.Duration) string {
@@ -304,7 +304,7 @@
 		}
 		defer c.Close()
 		c.SetDeadline(time.Now().Add(20 * time.Second))
-		link.Read(c, link.MostFrame)
+		protocol.Read(c, protocol.MostFrame)
 		go func() {
 			for i := range p {
 				if _, err := c.Write(p[i : i+1]); err != nil {
@@ -313,14 +313,14 @@
 				time.Sleep(pause)
 			}
 		}()
-		f, err := link.Read(c, link.MostFrame)
-		if bye, ok := f.(*link.Bye); ok {
+		f, err := protocol.Read(c, protocol.MostFrame)
+		if bye, ok := f.(*protocol.Bye); ok {
 			return bye.Text
 		}
 		return fmt.Sprint(f, err)
 	}
-	greeting := func(role link.Role) []byte {
-		p, _ := link.Append(nil, link.Greeting(role, "o", 1))
+	greeting := func(role protocol.Role) []byte {
+		p, _ := protocol.Append(nil, protocol.Greeting(role, "o", 1))
 		return p
 	}
 	for _, tc := range []struct {
@@ -330,10 +330,10 @@
 		want  string
 	}{
 		{"garbage", []byte("GET / HTTP/1.1\r\n\r\n"), 0, "over the limit"},
-		{"a machine at the wrong door", greeting(link.Machine), 0, "no business at this door"},
-		{"oversize", append(greeting(link.Placer), 0, 0xff, 0, 0), 0, "over the limit of 65536"},
-		{"a frame for machines", append(greeting(link.Placer), 0, 0, 0, 3, 7, 0x81, 1), 0, "not for the door"},
-		{"one byte at a time, without end", append(greeting(link.Placer), bytes.Repeat([]byte{0, 0, 0xf0, 0}, 100)...),
+		{"a machine at the wrong door", greeting(protocol.Machine), 0, "no business at this door"},
+		{"oversize", append(greeting(protocol.Placer), 0, 0xff, 0, 0), 0, "over the limit of 65536"},
+		{"a frame for machines", append(greeting(protocol.Placer), 0, 0, 0, 3, 7, 0x81, 1), 0, "not for the door"},
+		{"one byte at a time, without end", append(greeting(protocol.Placer), bytes.Repeat([]byte{0, 0, 0xf0, 0}, 100)...),
 			50 * time.Millisecond, "half a frame"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -343,15 +343,15 @@
 		})
 	}
 	callDoor(t, r.h.Addr()) // the second
-	if got := raw(greeting(link.Owner), 0); !strings.Contains(got, "2 owners are connected") {
+	if got := raw(greeting(protocol.Owner), 0); !strings.Contains(got, "2 owners are connected") {
 		t.Errorf("a third owner is told %q", got)
 	}
-	put(r.door, &link.Cancel{Container: "x"})
-	if a := r.door.answer(); a.Container != "x" || a.Verdict != link.GivenUp {
+	put(r.door, &protocol.Cancel{Container: "x"})
+	if a := r.door.answer(); a.Container != "x" || a.Verdict != protocol.GivenUp {
 		t.Errorf("cancelled: %+v", a)
 	}
-	put(r.door, &link.AskStatus{})
-	if f, ok := r.door.next().(*link.Status); !ok || len(f.Figures) < 20 {
+	put(r.door, &protocol.AskStatus{})
+	if f, ok := r.door.next().(*protocol.Status); !ok || len(f.Figures) < 20 {
 		t.Errorf("status %v", f)
 	}
 }
@@ -363,17 +363,17 @@
 	defer syscall.Setrlimit(syscall.RLIMIT_NOFILE, &old)
 	closed := make(chan struct{}, 10) // a descriptor of the machine's that is freed late would be one to use
 	addr := serve(t, func(c net.Conn) {
-		link.Read(c, link.MostFrame)
-		put(c, link.Greeting(link.Machine, "a", 1), &link.Holds{})
+		protocol.Read(c, protocol.MostFrame)
+		put(c, protocol.Greeting(protocol.Machine, "a", 1), &protocol.Holds{})
 		for {
-			f, err := link.Read(c, link.MostFrame)
+			f, err := protocol.Read(c, protocol.MostFrame)
 			if err != nil {
 				c.Close()
 				closed <- struct{}{}
 				return
 			}
-			if o, ok := f.(*link.Offer); ok {
-				put(c, &link.Yes{Bid: o.Bid, Running: true})
+			if o, ok := f.(*protocol.Offer); ok {
+				put(c, &protocol.Yes{Bid: o.Bid, Running: true})
 			}
 		}
 	})
@@ -390,12 +390,12 @@
 	if e := await[scheduler.Ended](r, nil); e.Outcome != scheduler.NotSent { // it tells nothing of the machine
 		t.Errorf("outcome %+v", e)
 	}
-	if a := r.door.answer(); a.Verdict != link.GivenUp {
+	if a := r.door.answer(); a.Verdict != protocol.GivenUp {
 		t.Errorf("answered %v", a)
 	}
 	syscall.Setrlimit(syscall.RLIMIT_NOFILE, &old)
 	r.door.submit("y", 2)
-	if a := r.door.answer(); a.Verdict != link.Placed {
+	if a := r.door.answer(); a.Verdict != protocol.Placed {
 		t.Errorf("answered %v", a)
 	}
 }
@@ -404,9 +404,9 @@
 // start by another way is none.
 func TestMachineBackWithNewStart(t *testing.T) {
 	r := start(t, terms(t), nil, map[string]string{"a": "127.0.0.1:1"})
-	starts := func(incarnation uint64, age link.Span) scheduler.Time {
+	starts := func(incarnation uint64, age protocol.Span) scheduler.Time {
 		return on1(r.h, func() scheduler.Time {
-			r.h.learn(scheduler.Changes, 2, []link.Entry{{Machine: "a", Addr: "127.0.0.1:1", Incarnation: incarnation, Age: age}})
+			r.h.learn(scheduler.Changes, 2, []protocol.Entry{{Machine: "a", Addr: "127.0.0.1:1", Incarnation: incarnation, Age: age}})
 			return r.h.machines["a"].startedAt
 		})
 	}
--- a/internal/schedulerd/knowledge.go
+++ b/internal/schedulerd/knowledge.go
@@ -10,7 +10,7 @@
 
 	"glenport/internal/disk"
 	"glenport/internal/eventloop"
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/warmstart"
 	"glenport/internal/store"
 	"glenport/scheduler"
@@ -78,11 +78,11 @@
 	if len(data) < 13 || int(binary.BigEndian.Uint32(data[8:])) != len(data)-12 {
 		return nil, fmt.Errorf("%s is cut short or no kept list", path)
 	}
-	f, err := link.Decode(data[12:])
+	f, err := protocol.Decode(data[12:])
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	listed, ok := f.(*link.Listed)
+	listed, ok := f.(*protocol.Listed)
 	if !ok {
 		return nil, fmt.Errorf("%s holds a %T", path, f)
 	}
@@ -95,16 +95,16 @@
 
 // aged gives the entries of a kept list as they stand now. A machine whose age is not known counts as just started:
 // it is then spared as a cold one.
-func (k *Knowledge) aged(now warmstart.Stamp) []link.Entry {
+func (k *Knowledge) aged(now warmstart.Stamp) []protocol.Entry {
 	since := now.From(k.At)
 	if since.Age >= 0 && warmstart.Weight(warmstart.List, since.Age) == 0 {
 		return nil
 	}
-	var all []link.Entry
+	var all []protocol.Entry
 	for _, r := range k.Entries {
 		e := r.entry()
 		if e.Age >= 0 && since.Age >= 0 {
-			e.Age += link.Span(since.Age)
+			e.Age += protocol.Span(since.Age)
 		} else if e.Age >= 0 {
 			e.Age = 0
 		}
@@ -119,7 +119,7 @@
 		ListIs: h.list.held.version, AtAnOrder: orderly}
 	for _, e := range h.list.held.entries {
 		if m := h.machines[scheduler.MachineID(e.Machine)]; m != nil && m.startedAt > 0 {
-			e.Age = link.Span(scheduler.Time(h.loop.Now()) - m.startedAt)
+			e.Age = protocol.Span(scheduler.Time(h.loop.Now()) - m.startedAt)
 		}
 		k.Entries = append(k.Entries, recordOfEntry(e))
 	}
--- a/internal/schedulerd/list.go
+++ b/internal/schedulerd/list.go
@@ -5,7 +5,7 @@
 	"fmt"
 
 	"glenport/internal/eventloop"
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/scheduler"
 )
@@ -14,7 +14,7 @@
 type listLink struct {
 	h       *Host
 	conn    *eventloop.Conn
-	reader  link.Reader
+	reader  protocol.Reader
 	life    uint64 // of the service that told the version
 	version int64
 	held    heldList
@@ -24,19 +24,19 @@
 }
 
 // watch sends a question to the list, over a new link where there is none.
-func (h *Host) watch(f link.Frame) {
+func (h *Host) watch(f protocol.Frame) {
 	l := &h.list
 	l.h = h
 	if l.conn == nil {
-		l.reader, l.heardAt = link.Reader{}, h.loop.Now()
+		l.reader, l.heardAt = protocol.Reader{}, h.loop.Now()
 		l.conn = h.loop.Dial(h.site.ListAddr, l, h.site.Output, h.site.Connect)
-		l.write(link.Greeting(link.Placer, h.site.Name, h.life))
+		l.write(protocol.Greeting(protocol.Placer, h.site.Name, h.life))
 	}
 	l.asked = true
 	l.write(f)
 }
 
-func (l *listLink) write(f link.Frame) {
+func (l *listLink) write(f protocol.Frame) {
 	p, err := l.h.frame(f)
 	if err == nil {
 		err = l.conn.Write(p)
@@ -76,10 +76,10 @@
 	}
 }
 
-func (l *listLink) take(f link.Frame) error {
+func (l *listLink) take(f protocol.Frame) error {
 	switch f := f.(type) {
-	case *link.Hello:
-		if f.Role != link.List {
+	case *protocol.Hello:
+		if f.Role != protocol.List {
 			return fmt.Errorf("a %s answers where the list was called", f.Role)
 		}
 		if was := l.version; f.Life != l.life {
@@ -87,7 +87,7 @@
 				return fmt.Errorf("the list started anew: version %d was its earlier life's, it is asked for the whole", was)
 			}
 		}
-	case *link.Listed:
+	case *protocol.Listed:
 		if f.Version < l.version {
 			return fmt.Errorf("list of version %d after one of version %d: not taken", f.Version, l.version)
 		}
@@ -97,11 +97,11 @@
 		}
 		l.version = f.Version
 		l.h.learn(mode, f.Version, f.Entries)
-	case *link.Failed:
+	case *protocol.Failed:
 		l.h.log.Warn("list call failed", "why", f.Text)
 		l.h.feed(scheduler.ListCame{Mode: scheduler.ListFailed})
-	case *link.Beat:
-	case *link.Bye:
+	case *protocol.Beat:
+	case *protocol.Bye:
 		return errors.New("the list says: " + f.Text)
 	default:
 		return fmt.Errorf("%T is not for a placer", f)
@@ -111,7 +111,7 @@
 
 // learn notes where machines are and hands the list on. A machine's start is reckoned once for each of its
 // incarnations: an age that came by another way must not look like another start.
-func (h *Host) learn(mode scheduler.ListMode, version int64, entries []link.Entry) {
+func (h *Host) learn(mode scheduler.ListMode, version int64, entries []protocol.Entry) {
 	now := scheduler.Time(h.loop.Now())
 	e := scheduler.ListCame{Mode: mode, Version: version, Entries: make([]scheduler.Entry, 0, len(entries))}
 	named := map[scheduler.MachineID]bool{}
@@ -120,12 +120,12 @@
 	for i := range entries {
 		l := &entries[i]
 		m := h.machine(scheduler.MachineID(l.Machine))
-		if l.State != link.Gone {
+		if l.State != protocol.Gone {
 			named[m.id] = true
 			ids = append(ids, m.id)
 		}
-		m.gone = l.State == link.Gone
-		if drains := l.State == link.Draining; drains != m.draining {
+		m.gone = l.State == protocol.Gone
+		if drains := l.State == protocol.Draining; drains != m.draining {
 			m.draining = drains
 			for _, b := range ordered(m.bids) {
 				if b.placed {
@@ -167,7 +167,7 @@
 	h.list.held.merge(mode, version, entries)
 }
 
-func (m *machine) entry(l *link.Entry) scheduler.Entry {
+func (m *machine) entry(l *protocol.Entry) scheduler.Entry {
 	return scheduler.Entry{Machine: m.id, Zone: l.Zone, Kind: l.Kind, Cell: l.Cell, State: scheduler.MachineState(l.State),
 		FreeCores: l.FreeCores, FreeMemory: l.FreeMemory, PowerHint: l.Hint, StartedAt: m.startedAt}
 }
@@ -189,17 +189,17 @@
 
 // heldList is the list as last heard.
 type heldList struct {
-	entries map[string]link.Entry
+	entries map[string]protocol.Entry
 	version int64
 }
 
-func (l *heldList) merge(mode scheduler.ListMode, version int64, entries []link.Entry) {
+func (l *heldList) merge(mode scheduler.ListMode, version int64, entries []protocol.Entry) {
 	if l.entries == nil || mode != scheduler.Changes {
-		l.entries = map[string]link.Entry{}
+		l.entries = map[string]protocol.Entry{}
 	}
 	l.version = version
 	for _, e := range entries {
-		if e.State == link.Gone {
+		if e.State == protocol.Gone {
 			delete(l.entries, e.Machine)
 		} else {
 			l.entries[e.Machine] = e
--- a/internal/schedulerd/list_test.go
+++ b/internal/schedulerd/list_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"glenport/internal/eventloop"
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/scheduler"
 )
 
@@ -17,33 +17,33 @@
 	for _, tc := range []struct {
 		name   string
 		life   uint64 // of the service when it is called again
-		listed link.Listed
+		listed protocol.Listed
 		since  int64 // asked for then
 	}{
-		{"an older version", 1, link.Listed{Whole: true, Version: 4}, 5},
-		{"another life of the service", 2, link.Listed{Version: 6}, 0},
+		{"an older version", 1, protocol.Listed{Whole: true, Version: 4}, 5},
+		{"another life of the service", 2, protocol.Listed{Version: 6}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var calls atomic.Int32
 			asked := make(chan int64, 10)
 			addr := serve(t, func(c net.Conn) {
 				n := calls.Add(1)
-				put(c, link.Greeting(link.List, "list", 1+(tc.life-1)*uint64(min(1, n-1))))
-				link.Read(c, link.MostFrame)
-				f, err := link.Read(c, link.MostFrame)
+				put(c, protocol.Greeting(protocol.List, "list", 1+(tc.life-1)*uint64(min(1, n-1))))
+				protocol.Read(c, protocol.MostFrame)
+				f, err := protocol.Read(c, protocol.MostFrame)
 				if err != nil {
 					return
 				}
-				asked <- f.(*link.Watch).Since
+				asked <- f.(*protocol.Watch).Since
 				switch n {
 				case 1:
-					put(c, &link.Listed{Whole: true, Version: 5, Entries: []link.Entry{{Machine: "a", Addr: "127.0.0.1:1", State: link.Draining, Age: -1}}})
+					put(c, &protocol.Listed{Whole: true, Version: 5, Entries: []protocol.Entry{{Machine: "a", Addr: "127.0.0.1:1", State: protocol.Draining, Age: -1}}})
 				case 2:
 					put(c, &tc.listed)
 				default:
-					put(c, &link.Listed{Whole: true, Version: 7, Entries: []link.Entry{{Machine: "b", Addr: "127.0.0.1:1", Age: -1}}})
+					put(c, &protocol.Listed{Whole: true, Version: 7, Entries: []protocol.Entry{{Machine: "b", Addr: "127.0.0.1:1", Age: -1}}})
 				}
-				link.Read(c, link.MostFrame)
+				protocol.Read(c, protocol.MostFrame)
 			})
 			s := terms(t)
 			s.ListAddr = addr
@@ -55,7 +55,7 @@
 						r.h.list.asked = false
 						r.h.list.conn.Reset()
 					}
-					r.h.watch(&link.Watch{On: true, Since: r.h.list.version})
+					r.h.watch(&protocol.Watch{On: true, Since: r.h.list.version})
 				})
 				if e := await(r, func(e scheduler.ListCame) bool { return e.Mode != scheduler.OldList }); e.Mode != want {
 					t.Fatalf("call %d: mode %d, version %d", i+1, e.Mode, e.Version)
@@ -74,7 +74,7 @@
 // go on until the list answers.
 func TestListIsCalledAgainAfterMachineHello(t *testing.T) {
 	machineAddr, hello, _ := slowMachine(t, "a")
-	entry := link.Entry{Machine: "a", Addr: machineAddr, Incarnation: 1, Age: -1}
+	entry := protocol.Entry{Machine: "a", Addr: machineAddr, Incarnation: 1, Age: -1}
 	var away atomic.Bool
 	watches := make(chan int64, 100) // the version that each call asks for changes since
 	s := terms(t)
@@ -83,15 +83,15 @@
 		if away.Load() {
 			return
 		}
-		put(c, link.Greeting(link.List, "list", 1))
+		put(c, protocol.Greeting(protocol.List, "list", 1))
 		for {
-			f, err := link.Read(c, link.MostFrame)
+			f, err := protocol.Read(c, protocol.MostFrame)
 			if err != nil || away.Load() {
 				return
 			}
-			if w, ok := f.(*link.Watch); ok {
+			if w, ok := f.(*protocol.Watch); ok {
 				watches <- w.Since
-				put(c, &link.Listed{Whole: true, Version: 5, Entries: []link.Entry{entry}})
+				put(c, &protocol.Listed{Whole: true, Version: 5, Entries: []protocol.Entry{entry}})
 			}
 		}
 	})
--- a/internal/schedulerd/machine.go
+++ b/internal/schedulerd/machine.go
@@ -5,7 +5,7 @@
 	"fmt"
 
 	"glenport/internal/eventloop"
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/scheduler"
 )
@@ -22,7 +22,7 @@
 	greeted     bool // no list has told of this start yet, only the machine itself
 
 	conn    *eventloop.Conn
-	reader  link.Reader
+	reader  protocol.Reader
 	ready   bool // it has greeted and said what it holds
 	heardAt eventloop.Tick
 	usedAt  eventloop.Tick
@@ -68,7 +68,7 @@
 	if m.conn != nil {
 		return
 	}
-	m.reader, m.ready = link.Reader{}, false
+	m.reader, m.ready = protocol.Reader{}, false
 	m.heardAt, m.usedAt = h.loop.Now(), h.loop.Now()
 	m.conn = h.loop.Dial(m.addr, m, h.site.Output, h.site.Connect)
 	conn := m.conn
@@ -80,14 +80,14 @@
 }
 
 func (m *machine) Opened(*eventloop.Conn) {
-	m.write(link.Greeting(link.Placer, m.h.site.Name, m.h.life))
+	m.write(protocol.Greeting(protocol.Placer, m.h.site.Name, m.h.life))
 }
 
 func (m *machine) Read(c *eventloop.Conn, p []byte) {
 	m.heardAt = m.h.loop.Now()
 	if err := m.reader.Feed(p, m.take); err != nil && c == m.conn {
 		m.h.badLink(string(m.id), err)
-		m.write(&link.Bye{Text: err.Error()})
+		m.write(&protocol.Bye{Text: err.Error()})
 		c.Close()
 	}
 	if m.reader.Half() == 0 {
@@ -142,7 +142,7 @@
 }
 
 // write sends a frame; it reports whether the link took it.
-func (m *machine) write(f link.Frame) bool {
+func (m *machine) write(f protocol.Frame) bool {
 	if m.conn == nil {
 		return false
 	}
@@ -164,9 +164,9 @@
 
 func (m *machine) offer(b *bid) {
 	a, now := &b.c.ask, m.h.loop.Now()
-	b.sent = !m.conn.Behind() && m.write(&link.Offer{Bid: b.number, Wait: link.Span(b.until - now), Work: link.Work{
+	b.sent = !m.conn.Behind() && m.write(&protocol.Offer{Bid: b.number, Wait: protocol.Span(b.until - now), Work: protocol.Work{
 		Container: string(a.ID), Key: a.Key, Service: a.Service, Workload: a.Workload, Customer: a.Customer,
-		Cores: a.Cores, Memory: a.Memory, Window: b.c.window, RunFor: link.Span(a.Life), Again: a.Again}})
+		Cores: a.Cores, Memory: a.Memory, Window: b.c.window, RunFor: protocol.Span(a.Life), Again: a.Again}})
 	if !b.sent { // the machine takes too little of what waits for it
 		m.h.meter.outcome("not sent")
 		m.h.over(b, scheduler.Ended{Outcome: scheduler.NotSent})
@@ -222,29 +222,29 @@
 }
 
 // take handles a frame of the machine.
-func (m *machine) take(f link.Frame) error {
+func (m *machine) take(f protocol.Frame) error {
 	switch f := f.(type) {
-	case *link.Hello:
-		if f.Role != link.Machine || f.Name != string(m.id) {
+	case *protocol.Hello:
+		if f.Role != protocol.Machine || f.Name != string(m.id) {
 			return fmt.Errorf("%s %q answers where machine %s was called", f.Role, f.Name, m.id)
 		}
 		m.h.greeted(m, f.Life)
-	case *link.Holds:
+	case *protocol.Holds:
 		return m.holds(f)
-	case *link.Yes:
+	case *protocol.Yes:
 		m.yes(f)
-	case *link.Result:
+	case *protocol.Result:
 		m.result(f)
-	case *link.Note:
+	case *protocol.Note:
 		if b := m.bids[f.Bid]; b != nil {
 			m.h.feed(scheduler.Noted{ID: b.c.ask.ID, Machine: m.id, Bid: b.nth, Sort: scheduler.NoteSort(f.Sort), Amount: f.Amount})
 		}
-	case *link.Probed:
+	case *protocol.Probed:
 		if p := m.probes[f.Seq]; p != nil {
 			m.probed(p, scheduler.Finished, f.Report)
 		}
-	case *link.Beat:
-	case *link.Bye:
+	case *protocol.Beat:
+	case *protocol.Bye:
 		return fmt.Errorf("machine says: %s", f.Text)
 	default:
 		return fmt.Errorf("%T is not for a placer", f)
@@ -253,7 +253,7 @@
 }
 
 // holds makes the link ready. The machine's word comes before anything that waited.
-func (m *machine) holds(f *link.Holds) error {
+func (m *machine) holds(f *protocol.Holds) error {
 	if m.ready {
 		return fmt.Errorf("says twice what it holds")
 	}
@@ -268,7 +268,7 @@
 	m.ready = true
 	for _, b := range ordered(m.bids) {
 		if b.stopped {
-			m.write(&link.Withdraw{Life: b.life, Bid: b.number})
+			m.write(&protocol.Withdraw{Life: b.life, Bid: b.number})
 		}
 	}
 	m.h.linked = append(m.h.linked, m)
@@ -280,7 +280,7 @@
 	return nil
 }
 
-func (m *machine) yes(f *link.Yes) {
+func (m *machine) yes(f *protocol.Yes) {
 	if m.h.site.Terms.YesRuns && !f.Running {
 		return
 	}
@@ -300,7 +300,7 @@
 	}
 }
 
-func (m *machine) result(f *link.Result) {
+func (m *machine) result(f *protocol.Result) {
 	b := m.bids[f.Bid]
 	if b == nil {
 		if ask, ok := m.late[f.Bid]; ok {
@@ -349,7 +349,7 @@
 	if m.ready && m.incarnation != p.start {
 		m.probed(p, scheduler.NotSent, nil)
 	} else if m.ready {
-		p.sent = m.write(&link.Probe{Seq: p.seq})
+		p.sent = m.write(&protocol.Probe{Seq: p.seq})
 	} else {
 		m.h.reach(m)
 	}
--- a/internal/schedulerd/meter.go
+++ b/internal/schedulerd/meter.go
@@ -5,7 +5,7 @@
 	"runtime/metrics"
 	"time"
 
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -35,7 +35,7 @@
 
 func (m *meter) outcome(name string) { m.outcomes[name]++ }
 
-func (m *meter) answered(v link.Verdict) { m.answers[v]++ }
+func (m *meter) answered(v protocol.Verdict) { m.answers[v]++ }
 
 func (m *meter) bid(c *container) {
 	m.bids++
@@ -60,10 +60,10 @@
 	m.slowest = max(m.slowest, took)
 }
 
-func (h *Host) status() *link.Status {
-	s := &link.Status{Name: h.site.Name}
+func (h *Host) status() *protocol.Status {
+	s := &protocol.Status{Name: h.site.Name}
 	put := func(name string, v float64, unit string) {
-		s.Figures = append(s.Figures, link.Figure{Name: name, Value: v, Unit: unit})
+		s.Figures = append(s.Figures, protocol.Figure{Name: name, Value: v, Unit: unit})
 	}
 	m := &h.meter
 	turns, busy := h.loop.Turns()
@@ -77,7 +77,7 @@
 	put("containers running", float64(m.running), "")
 	put("containers taken over", float64(m.adopted), "")
 	put("submissions", float64(m.submitted), "")
-	for v := link.Placed; v <= link.TurnedAway; v++ {
+	for v := protocol.Placed; v <= protocol.TurnedAway; v++ {
 		put(v.String(), float64(m.answers[v]), "")
 	}
 	put("answers nobody heard", float64(m.unheard), "")
--- a/internal/schedulerd/orders_test.go
+++ b/internal/schedulerd/orders_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"glenport/internal/eventloop"
-	"glenport/internal/link"
 	"glenport/internal/orders"
+	"glenport/internal/protocol"
 	"glenport/internal/site"
 	"glenport/scheduler"
 
@@ -21,13 +21,13 @@
 // pipe is one end of a link that the test holds. Nothing in it waits: what is there is taken.
 type pipe struct {
 	fd     int
-	reader link.Reader
+	reader protocol.Reader
 	given  int // bytes, so far
 	taken  int
 	closed bool
 }
 
-func (p *pipe) take(f func(link.Frame)) (any bool) {
+func (p *pipe) take(f func(protocol.Frame)) (any bool) {
 	buffer := make([]byte, 1<<16)
 	for p != nil && !p.closed {
 		n, _, err := unix.Recvfrom(p.fd, buffer, unix.MSG_DONTWAIT)
@@ -40,13 +40,13 @@
 			return any
 		}
 		p.taken += n
-		p.reader.Feed(buffer[:n], func(x link.Frame) error { f(x); return nil })
+		p.reader.Feed(buffer[:n], func(x protocol.Frame) error { f(x); return nil })
 	}
 	return any
 }
 
-func (p *pipe) put(f link.Frame) {
-	if b, err := link.Append(nil, f); err == nil && !p.closed {
+func (p *pipe) put(f protocol.Frame) {
+	if b, err := protocol.Append(nil, f); err == nil && !p.closed {
 		n, _ := unix.Write(p.fd, b)
 		p.given += n
 	}
@@ -92,14 +92,14 @@
 // scripted is a machine that does what an order says.
 type scripted struct {
 	*listening
-	link.Entry
+	protocol.Entry
 	start uint64
 	born  scheduler.Time      // of that start; 0: long ago
 	held  map[uint64]*holding // by bid
 }
 
 type holding struct {
-	link.Holding
+	protocol.Holding
 	out bool   // the placer awaits its answer
 	as  string // what the judge knows it by
 }
@@ -123,7 +123,7 @@
 	w := &world{t: t, list: listenHere(t), machines: map[string]*scripted{}, answers: map[string]int{}, ended: map[string]bool{}}
 	for i, name := range []string{"a", "b"} {
 		m := &scripted{listening: listenHere(t), start: 1, held: map[uint64]*holding{}}
-		m.Entry = link.Entry{Machine: name, Addr: m.addr, Cell: i, Incarnation: 1, Age: -1, FreeCores: 20, FreeMemory: 20}
+		m.Entry = protocol.Entry{Machine: name, Addr: m.addr, Cell: i, Incarnation: 1, Age: -1, FreeCores: 20, FreeMemory: 20}
 		w.machines[name] = m
 	}
 	own := *s
@@ -138,14 +138,14 @@
 	var all sync.WaitGroup
 	all.Go(func() { w.h.Run() })
 	t.Cleanup(all.Wait)
-	w.h.loop.Post(func() { w.h.watch(&link.Watch{On: true}) })
+	w.h.loop.Post(func() { w.h.watch(&protocol.Watch{On: true}) })
 	fd, _ := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	door := netip.MustParseAddrPort(w.h.Addr())
 	if err := unix.Connect(fd, &unix.SockaddrInet4{Port: int(door.Port()), Addr: door.Addr().As4()}); err != nil {
 		t.Fatal(err)
 	}
 	w.owner = &pipe{fd: fd}
-	w.owner.put(link.Greeting(link.Owner, "owner", 1))
+	w.owner.put(protocol.Greeting(protocol.Owner, "owner", 1))
 	w.settle()
 	return w
 }
@@ -171,17 +171,17 @@
 	for limit := time.Now().Add(20 * time.Second); ; {
 		now, any := w.now(), w.list.accept()
 		if any {
-			w.list.call.put(link.Greeting(link.List, "list", 1))
+			w.list.call.put(protocol.Greeting(protocol.List, "list", 1))
 		}
-		any = w.list.call.take(func(f link.Frame) {
-			if _, ok := f.(*link.Watch); ok {
+		any = w.list.call.take(func(f protocol.Frame) {
+			if _, ok := f.(*protocol.Watch); ok {
 				w.tell(now, true, w.entries()...)
 			}
 		}) || any
 		for _, name := range []string{"a", "b"} {
 			any = w.serve(now, w.machines[name]) || any
 		}
-		any = w.owner.take(func(f link.Frame) { w.heard(now, f) }) || any
+		any = w.owner.take(func(f protocol.Frame) { w.heard(now, f) }) || any
 		if !any && on1(w.h, w.quiet) {
 			return
 		}
@@ -212,19 +212,19 @@
 	return all
 }
 
-func (w *world) entries() []link.Entry {
-	return []link.Entry{w.machines["a"].Entry, w.machines["b"].Entry}
+func (w *world) entries() []protocol.Entry {
+	return []protocol.Entry{w.machines["a"].Entry, w.machines["b"].Entry}
 }
 
 // tell sends a list; a machine that just started is as old as the time since.
-func (w *world) tell(now scheduler.Time, whole bool, entries ...link.Entry) {
+func (w *world) tell(now scheduler.Time, whole bool, entries ...protocol.Entry) {
 	w.version++
 	for i := range entries {
 		if m := w.machines[entries[i].Machine]; m.born > 0 {
-			entries[i].Age = link.Span(now - m.born)
+			entries[i].Age = protocol.Span(now - m.born)
 		}
 	}
-	w.list.call.put(&link.Listed{Whole: whole, Version: w.version, Entries: entries})
+	w.list.call.put(&protocol.Listed{Whole: whole, Version: w.version, Entries: entries})
 	mode := scheduler.Changes
 	if whole {
 		mode = scheduler.WholeList
@@ -236,7 +236,7 @@
 	w.judge.In(0, now, e)
 }
 
-func (w *world) entry(l link.Entry, start uint64) scheduler.Entry {
+func (w *world) entry(l protocol.Entry, start uint64) scheduler.Entry {
 	e := scheduler.Entry{Machine: scheduler.MachineID(l.Machine), Zone: l.Zone, Cell: l.Cell, State: scheduler.MachineState(l.State)}
 	if start > 1 {
 		e.StartedAt = w.machines[l.Machine].born
@@ -247,8 +247,8 @@
 // serve does what a machine owes: its greeting with what it holds, and the end of what is called off.
 func (w *world) serve(now scheduler.Time, m *scripted) (any bool) {
 	if any = m.accept(); any {
-		m.call.put(link.Greeting(link.Machine, m.Machine, m.start))
-		holds := &link.Holds{Incarnation: m.start}
+		m.call.put(protocol.Greeting(protocol.Machine, m.Machine, m.start))
+		holds := &protocol.Holds{Incarnation: m.start}
 		for _, n := range m.bids() {
 			b := m.held[n]
 			holds.Held = append(holds.Held, b.Holding)
@@ -264,19 +264,19 @@
 		}
 		m.call.put(holds)
 	}
-	return m.call.take(func(f link.Frame) {
+	return m.call.take(func(f protocol.Frame) {
 		switch f := f.(type) {
-		case *link.Offer:
-			m.held[f.Bid] = &holding{link.Holding{Bid: f.Bid, Life: w.h.life, Running: true, Work: f.Work}, true, f.Work.Container}
+		case *protocol.Offer:
+			m.held[f.Bid] = &holding{protocol.Holding{Bid: f.Bid, Life: w.h.life, Running: true, Work: f.Work}, true, f.Work.Container}
 			w.judge.Out(0, now, scheduler.Bid{ID: scheduler.ContainerID(f.Work.Container), Machine: scheduler.MachineID(m.Machine)})
-		case *link.Withdraw:
+		case *protocol.Withdraw:
 			if b := m.held[f.Bid]; b != nil {
 				delete(m.held, f.Bid)
 				w.judge.In(0, now, scheduler.Ended{ID: scheduler.ContainerID(b.as), Outcome: scheduler.Stopped, Over: true})
-				m.call.put(&link.Result{Bid: f.Bid, Outcome: link.Stopped})
+				m.call.put(&protocol.Result{Bid: f.Bid, Outcome: protocol.Stopped})
 			}
-		case *link.Probe:
-			m.call.put(&link.Probed{Seq: f.Seq})
+		case *protocol.Probe:
+			m.call.put(&protocol.Probed{Seq: f.Seq})
 		}
 	}) || any
 }
@@ -290,8 +290,8 @@
 }
 
 // heard judges an answer that the owner gets.
-func (w *world) heard(now scheduler.Time, f link.Frame) {
-	a, ok := f.(*link.Answer)
+func (w *world) heard(now scheduler.Time, f protocol.Frame) {
+	a, ok := f.(*protocol.Answer)
 	if !ok {
 		return
 	}
@@ -303,9 +303,9 @@
 		w.judge.Breaks = append(w.judge.Breaks, fmt.Sprintf("rule 1: %s is answered twice", id))
 	}
 	switch a.Verdict {
-	case link.PushedBack, link.TurnedAway:
+	case protocol.PushedBack, protocol.TurnedAway:
 		w.judge.Out(0, now, scheduler.PushBack{ID: id})
-	case link.GivenUp:
+	case protocol.GivenUp:
 		if a.Text != "cancelled" {
 			w.judge.Out(0, now, scheduler.GiveUp{ID: id})
 		}
@@ -341,11 +341,11 @@
 		case "break":
 			ok = m.call != nil && !m.call.closed
 		case "drain":
-			ok = m.State == link.Serving
+			ok = m.State == protocol.Serving
 		case "leave":
-			ok = m.State != link.Gone
+			ok = m.State != protocol.Gone
 		case "back":
-			ok = m.State != link.Serving
+			ok = m.State != protocol.Serving
 		case "restart", "list":
 			ok = true
 		}
@@ -360,11 +360,11 @@
 	f := strings.Fields(word)
 	last, now := f[len(f)-1], w.now()
 	m := w.machines[last]
-	result := func(o link.Outcome, decided scheduler.Outcome) {
+	result := func(o protocol.Outcome, decided scheduler.Outcome) {
 		m, b := w.find(last, f[0] != "over")
 		delete(m.held, b.Bid)
 		w.judge.In(0, now, scheduler.Ended{ID: scheduler.ContainerID(b.as), Outcome: decided, Over: f[0] == "over"})
-		m.call.put(&link.Result{Bid: b.Bid, Outcome: o})
+		m.call.put(&protocol.Result{Bid: b.Bid, Outcome: o})
 	}
 	switch f[0] {
 	case "ask":
@@ -372,25 +372,25 @@
 		a := scheduler.Ask{ID: scheduler.ContainerID(id), Key: "k-" + id, Service: "s", Workload: w.asked, Cores: 1, Memory: 1, Due: now + 600*scheduler.Second}
 		w.asked++
 		w.judge.In(0, now, scheduler.Asked{Ask: a})
-		w.owner.put(&link.Submit{Left: link.Span(600 * scheduler.Second), Work: link.Work{Container: id, Key: a.Key, Service: a.Service,
+		w.owner.put(&protocol.Submit{Left: protocol.Span(600 * scheduler.Second), Work: protocol.Work{Container: id, Key: a.Key, Service: a.Service,
 			Workload: a.Workload, Cores: 1, Memory: 1}})
 	case "cancel":
 		if w.answers[last] == 0 {
 			w.judge.In(0, now, scheduler.Vanished{ID: scheduler.ContainerID(last)})
 		}
 		w.ended[last] = w.answers[last] > 0 // what comes now answers the cancelling
-		w.owner.put(&link.Cancel{Container: last, Key: "k-" + last})
+		w.owner.put(&protocol.Cancel{Container: last, Key: "k-" + last})
 	case "yes":
 		m, b := w.find(last, true)
 		b.out = false
 		w.judge.In(0, now, scheduler.Placed{ID: scheduler.ContainerID(b.as)})
-		m.call.put(&link.Yes{Bid: b.Bid, Running: true})
+		m.call.put(&protocol.Yes{Bid: b.Bid, Running: true})
 	case "full":
-		result(link.Full, scheduler.Full)
+		result(protocol.Full, scheduler.Full)
 	case "erred":
-		result(link.Erred, scheduler.Erred)
+		result(protocol.Erred, scheduler.Erred)
 	case "over":
-		result(link.Finished, scheduler.Finished)
+		result(protocol.Finished, scheduler.Finished)
 	case "break", "restart":
 		for _, n := range m.bids() { // what waits for its answer was taken, unheard
 			if b := m.held[n]; b.out {
@@ -407,12 +407,12 @@
 			m.start, m.born = m.start+1, now
 			clear(m.held)
 			if len(f) == 2 { // else the list tells later
-				m.Incarnation, m.State = m.start, link.Serving
+				m.Incarnation, m.State = m.start, protocol.Serving
 				w.tell(now, false, m.Entry)
 			}
 		}
 	case "drain", "leave", "back":
-		m.State = map[string]link.State{"drain": link.Draining, "leave": link.Gone, "back": link.Serving}[f[0]]
+		m.State = map[string]protocol.State{"drain": protocol.Draining, "leave": protocol.Gone, "back": protocol.Serving}[f[0]]
 		w.tell(now, false, m.Entry)
 	case "list":
 		for _, m := range w.machines {
--- a/internal/schedulerd/state.go
+++ b/internal/schedulerd/state.go
@@ -7,7 +7,7 @@
 	"sync"
 
 	"glenport/internal/disk"
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/schedulerd/recovery"
 	"glenport/internal/schedulerd/warmstart"
@@ -143,7 +143,7 @@
 	s.begun = true
 	kept := warmstart.Kept{Life: s.before, Sent: s.sent}
 	var version int64
-	var entries []link.Entry
+	var entries []protocol.Entry
 	if k := s.kept; k != nil {
 		kept.At, kept.Knowledge, kept.Starts, kept.Names = k.At, k.Learned, k.Starts, k.Names
 		version, entries = k.ListIs, k.aged(now)
--- a/internal/schedulerd/state_test.go
+++ b/internal/schedulerd/state_test.go
@@ -14,7 +14,7 @@
 
 	"glenport/internal/disk"
 	"glenport/internal/eventloop"
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/internal/site"
 	"glenport/internal/store"
 	"glenport/scheduler"
@@ -57,7 +57,7 @@
 	s.ListAddr = listing(t, map[string]string{"a": "127.0.0.1:1", "b": "127.0.0.1:1"})
 	first := learning(scheduler.Knowledge{Machines: []scheduler.Learned{{Machine: "a", Sick: 4}, {Machine: "gone", Sick: 4}}})
 	live(t, s, first, func(h *Host) {
-		h.loop.Post(func() { h.watch(&link.Watch{On: true}) })
+		h.loop.Post(func() { h.watch(&protocol.Watch{On: true}) })
 		await[scheduler.ListCame](&rig{T: t, script: first.script}, func(e scheduler.ListCame) bool { return e.Mode != scheduler.OldList })
 	})
 	second := learning(scheduler.Knowledge{})
@@ -101,8 +101,8 @@
 func TestUpgrade(t *testing.T) {
 	s := site1{terms(t)}
 	s.State, s.Keep = t.TempDir(), filepath.Join(t.TempDir(), "list")
-	data, err := link.Append(binary.BigEndian.AppendUint64(nil, 1000), &link.Listed{Whole: true, Version: 7,
-		Entries: []link.Entry{{Machine: "a", Addr: "127.0.0.1:1", Age: 50}}})
+	data, err := protocol.Append(binary.BigEndian.AppendUint64(nil, 1000), &protocol.Listed{Whole: true, Version: 7,
+		Entries: []protocol.Entry{{Machine: "a", Addr: "127.0.0.1:1", Age: 50}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,17 +131,17 @@
 		workload int
 		runs     bool
 		logged   int
-		want     link.Verdict
+		want     protocol.Verdict
 	}{
-		{"at-most-once, and it runs", 2, true, 1, link.Placed},
-		{"at-most-once, and it does not", 2, false, 1, link.GivenUp}, // the script gives up what it is asked
-		{"numbered, and it runs", 1, true, 1, link.Placed},
-		{"reissuable", 0, false, 0, link.GivenUp},
+		{"at-most-once, and it runs", 2, true, 1, protocol.Placed},
+		{"at-most-once, and it does not", 2, false, 1, protocol.GivenUp}, // the script gives up what it is asked
+		{"numbered, and it runs", 1, true, 1, protocol.Placed},
+		{"reissuable", 0, false, 0, protocol.GivenUp},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			offered := make(chan *link.Offer, 1)
-			silent := machineThat(t, "a", &link.Holds{}, func(c net.Conn, f link.Frame) bool {
-				if o, ok := f.(*link.Offer); ok {
+			offered := make(chan *protocol.Offer, 1)
+			silent := machineThat(t, "a", &protocol.Holds{}, func(c net.Conn, f protocol.Frame) bool {
+				if o, ok := f.(*protocol.Offer); ok {
 					offered <- o
 				}
 				return true
@@ -160,18 +160,18 @@
 			if err := os.CopyFS(crashed, os.DirFS(s.State)); err != nil {
 				t.Fatal(err)
 			}
-			held := &link.Holds{}
+			held := &protocol.Holds{}
 			if tc.runs {
-				held.Held = []link.Holding{{Life: r.h.life, Bid: o.Bid, Running: true, Work: o.Work}}
+				held.Held = []protocol.Holding{{Life: r.h.life, Bid: o.Bid, Running: true, Work: o.Work}}
 			}
 			tell := make(chan bool)
 			mute := serve(t, func(c net.Conn) { // greets when it is told to
-				if _, err := link.Read(c, link.MostFrame); err != nil {
+				if _, err := protocol.Read(c, protocol.MostFrame); err != nil {
 					return
 				}
 				<-tell
-				put(c, link.Greeting(link.Machine, "a", 1), held)
-				link.Read(c, link.MostFrame)
+				put(c, protocol.Greeting(protocol.Machine, "a", 1), held)
+				protocol.Read(c, protocol.MostFrame)
 			})
 			s2 := terms(t)
 			s2.State, s2.Connect = crashed, 100_000
@@ -185,13 +185,13 @@
 			if n := on1(next.h, func() int { return next.h.custody.Doubts() }); n != tc.logged {
 				t.Errorf("%d bids are known to be without an end", n)
 			}
-			ask := func() *link.Answer {
-				put(next.door.Conn, &link.Submit{Left: 60000, Work: link.Work{Container: "y", Key: "k-x", Service: "s", Workload: tc.workload,
+			ask := func() *protocol.Answer {
+				put(next.door.Conn, &protocol.Submit{Left: 60000, Work: protocol.Work{Container: "y", Key: "k-x", Service: "s", Workload: tc.workload,
 					Cores: 1, Memory: 1, Again: true}})
 				return next.door.answer()
 			}
 			if tc.logged > 0 {
-				if a := ask(); a.Verdict != link.TurnedAway || !strings.Contains(a.Text, "may run on machine a") {
+				if a := ask(); a.Verdict != protocol.TurnedAway || !strings.Contains(a.Text, "may run on machine a") {
 					t.Errorf("asked again before the machine told: %+v", a)
 				}
 			}
@@ -209,28 +209,28 @@
 func TestSentBeforeStartIsHeard(t *testing.T) {
 	s := terms(t)
 	s.State = t.TempDir()
-	addr := machineThat(t, "a", &link.Holds{}, func(net.Conn, link.Frame) bool { return true })
+	addr := machineThat(t, "a", &protocol.Holds{}, func(net.Conn, protocol.Frame) bool { return true })
 	r := start(t, s, bidTo(0), map[string]string{"a": addr})
 	r.door.submit("x", 0)
 	until(t, func() bool { return on1(r.h, func() bool { return len(r.h.machines["a"].bids) > 0 }) })
 	if n := kept(t, copied(t, s.State), SentKind); n != 0 {
 		t.Errorf("%d records of what went to a warm machine", n)
 	}
-	entry := link.Entry{Machine: "a", Addr: addr, Incarnation: 2, Age: link.Span(2 * eventloop.Second)}
-	on1(r.h, func() bool { r.h.learn(scheduler.Changes, 2, []link.Entry{entry}); return true })
+	entry := protocol.Entry{Machine: "a", Addr: addr, Incarnation: 2, Age: protocol.Span(2 * eventloop.Second)}
+	on1(r.h, func() bool { r.h.learn(scheduler.Changes, 2, []protocol.Entry{entry}); return true })
 	until(t, func() bool { return kept(t, copied(t, s.State), SentKind) == 1 })
 	next := terms(t)
 	next.State = copied(t, s.State) // as a kill -9 leaves it
 	next.ListAddr = serve(t, func(c net.Conn) {
-		put(c, link.Greeting(link.List, "list", 1), &link.Listed{Whole: true, Version: 2, Entries: []link.Entry{entry}})
-		link.Read(c, link.MostFrame)
-		link.Read(c, link.MostFrame)
-		link.Read(c, link.MostFrame)
+		put(c, protocol.Greeting(protocol.List, "list", 1), &protocol.Listed{Whole: true, Version: 2, Entries: []protocol.Entry{entry}})
+		protocol.Read(c, protocol.MostFrame)
+		protocol.Read(c, protocol.MostFrame)
+		protocol.Read(c, protocol.MostFrame)
 	})
 	d := learning(scheduler.Knowledge{})
 	live(t, site1{next}, d, func(h *Host) {
 		<-d.recalled // at its begin, when no list has told of that start
-		h.loop.Post(func() { h.watch(&link.Watch{On: true}) })
+		h.loop.Post(func() { h.watch(&protocol.Watch{On: true}) })
 		if k := <-d.recalled; len(k.Machines) != 1 || k.Machines[0].Machine != "a" || len(k.Machines[0].Cold) != 1 {
 			t.Errorf("%+v", k.Machines)
 		}
@@ -317,14 +317,14 @@
 	for _, name := range []string{"it runs full", "full at the start"} {
 		t.Run(name, func(t *testing.T) {
 			offered, end := make(chan string, 10), make(chan struct{}, 10)
-			addr := machineThat(t, "a", &link.Holds{}, func(c net.Conn, f link.Frame) bool {
-				if o, ok := f.(*link.Offer); ok {
-					put(c, &link.Yes{Bid: o.Bid, Running: true})
+			addr := machineThat(t, "a", &protocol.Holds{}, func(c net.Conn, f protocol.Frame) bool {
+				if o, ok := f.(*protocol.Offer); ok {
+					put(c, &protocol.Yes{Bid: o.Bid, Running: true})
 					offered <- o.Work.Container
 					if o.Work.Container == "before" {
 						go func() {
 							<-end
-							put(c, &link.Result{Bid: o.Bid, Outcome: link.Finished})
+							put(c, &protocol.Result{Bid: o.Bid, Outcome: protocol.Finished})
 						}()
 					}
 				}
@@ -341,7 +341,7 @@
 			if name == "it runs full" {
 				r.door.submit("before", 2)
 				<-offered
-				if a := r.door.answer(); a.Verdict != link.Placed {
+				if a := r.door.answer(); a.Verdict != protocol.Placed {
 					t.Fatalf("%+v", a)
 				}
 				c.full.Store(true)
@@ -361,7 +361,7 @@
 			r.door.answer()
 			c.full.Store(false)
 			r.door.submit("after", 2)
-			if a := r.door.answer(); a.Verdict != link.Placed || a.Container != "after" {
+			if a := r.door.answer(); a.Verdict != protocol.Placed || a.Container != "after" {
 				t.Errorf("with room again: %+v", a)
 			}
 			if on1(r.h, func() bool { r.h.state.save(); return r.h.state.unsaid }) {
@@ -381,8 +381,8 @@
 // of its machine.
 func TestSlowDisk(t *testing.T) {
 	offered := make(chan string, 10)
-	addr := machineThat(t, "a", &link.Holds{}, func(c net.Conn, f link.Frame) bool {
-		if o, ok := f.(*link.Offer); ok {
+	addr := machineThat(t, "a", &protocol.Holds{}, func(c net.Conn, f protocol.Frame) bool {
+		if o, ok := f.(*protocol.Offer); ok {
 			offered <- o.Work.Container
 		}
 		return true
@@ -398,7 +398,7 @@
 		t.Errorf("%+v", e)
 	}
 	on1(r.h, func() bool {
-		r.h.learn(scheduler.Changes, 2, []link.Entry{{Machine: "a", Addr: addr, State: link.Draining, Incarnation: 1, Age: -1}})
+		r.h.learn(scheduler.Changes, 2, []protocol.Entry{{Machine: "a", Addr: addr, State: protocol.Draining, Incarnation: 1, Age: -1}})
 		return true
 	})
 	c.gate.Unlock()
--- a/internal/schedulerd/waiting_test.go
+++ b/internal/schedulerd/waiting_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"glenport/internal/eventloop"
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/scheduler"
 )
@@ -21,16 +21,16 @@
 		case <-done:
 			return
 		}
-		link.Read(c, link.MostFrame)
-		put(c, link.Greeting(link.Machine, name, start), &link.Holds{Incarnation: start})
+		protocol.Read(c, protocol.MostFrame)
+		put(c, protocol.Greeting(protocol.Machine, name, start), &protocol.Holds{Incarnation: start})
 		for {
-			f, err := link.Read(c, link.MostFrame)
+			f, err := protocol.Read(c, protocol.MostFrame)
 			if err != nil {
 				return
 			}
-			if o, ok := f.(*link.Offer); ok {
+			if o, ok := f.(*protocol.Offer); ok {
 				offered <- o.Work.Container
-				put(c, &link.Yes{Bid: o.Bid, Running: true})
+				put(c, &protocol.Yes{Bid: o.Bid, Running: true})
 			}
 		}
 	})
@@ -43,17 +43,17 @@
 func TestChangesUnderWaitingBid(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		change *link.Entry // by the list; nil: nothing
-		start  uint64      // that the machine greets with
+		change *protocol.Entry // by the list; nil: nothing
+		start  uint64          // that the machine greets with
 		sent   bool
 	}{
 		{"nothing", nil, 1, true},
-		{"it drains", &link.Entry{Machine: "a", State: link.Draining, Incarnation: 1, Age: -1}, 1, false},
-		{"it is gone", &link.Entry{Machine: "a", State: link.Gone, Incarnation: 1, Age: -1}, 1, false},
-		{"it has started anew, says the list", &link.Entry{Machine: "a", Incarnation: 2, Age: 100}, 2, false},
+		{"it drains", &protocol.Entry{Machine: "a", State: protocol.Draining, Incarnation: 1, Age: -1}, 1, false},
+		{"it is gone", &protocol.Entry{Machine: "a", State: protocol.Gone, Incarnation: 1, Age: -1}, 1, false},
+		{"it has started anew, says the list", &protocol.Entry{Machine: "a", Incarnation: 2, Age: 100}, 2, false},
 		{"it has started anew, says its greeting", nil, 2, false},
-		{"its service runs elsewhere, another machine says", &link.Entry{Machine: "b"}, 1, false},
-		{"the list is older than its greeting", &link.Entry{Machine: "a", Incarnation: 1, Age: -1}, 2, false},
+		{"its service runs elsewhere, another machine says", &protocol.Entry{Machine: "b"}, 1, false},
+		{"the list is older than its greeting", &protocol.Entry{Machine: "a", Incarnation: 1, Age: -1}, 2, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			addr, greet, offered := slowMachine(t, "a")
@@ -64,7 +64,7 @@
 			until(t, func() bool { return on1(r.h, func() bool { return len(r.h.machines["a"].waiting) > 0 }) })
 			if tc.change != nil && tc.change.Machine == "b" { // it holds what an earlier life of the placer began
 				on1(r.h, func() bool {
-					r.h.learn(scheduler.Changes, 2, []link.Entry{{Machine: "b", Addr: "127.0.0.1:1", Incarnation: 1, Age: -1}})
+					r.h.learn(scheduler.Changes, 2, []protocol.Entry{{Machine: "b", Addr: "127.0.0.1:1", Incarnation: 1, Age: -1}})
 					r.h.tell(reconcile.Holds{Machine: "b", Held: []reconcile.Held{{Machine: "b", Life: 1, Bid: 1, Running: true,
 						Ask: scheduler.Ask{ID: "o", Key: "k-o", Service: "s"}}}})
 					return true
@@ -73,13 +73,13 @@
 			} else if tc.change != nil {
 				on1(r.h, func() bool {
 					tc.change.Addr = addr
-					r.h.learn(scheduler.Changes, 2, []link.Entry{*tc.change})
+					r.h.learn(scheduler.Changes, 2, []protocol.Entry{*tc.change})
 					return true
 				})
 			}
 			greet <- tc.start
 			if tc.sent {
-				if a := r.door.answer(); a.Verdict != link.Placed {
+				if a := r.door.answer(); a.Verdict != protocol.Placed {
 					t.Errorf("%+v", a)
 				}
 				return
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 )
 
 // List is the list service: what it says is some time old, and it answers only so many calls a second.
@@ -18,12 +18,12 @@
 
 	mu       sync.Mutex
 	machines []*Machine
-	log      []link.Entry // the change that made version i+1
-	now      map[string]link.Entry
+	log      []protocol.Entry // the change that made version i+1
+	now      map[string]protocol.Entry
 	born     map[string]time.Time
 	dead     map[string]time.Time
-	marked   map[string]link.State // by an operator
-	callers  map[*listCaller]bool  // whether they watch
+	marked   map[string]protocol.State // by an operator
+	callers  map[*listCaller]bool      // whether they watch
 	away     bool
 	stale    time.Duration
 	calls    []time.Time
@@ -34,11 +34,11 @@
 
 type listCaller struct {
 	net.Conn
-	out chan link.Frame
+	out chan protocol.Frame
 }
 
 // send queues a frame; whoever lets a thousand wait is dropped.
-func (c *listCaller) send(f link.Frame) {
+func (c *listCaller) send(f protocol.Frame) {
 	select {
 	case c.out <- f:
 	default:
@@ -50,15 +50,15 @@
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
-		var f link.Frame
+		var f protocol.Frame
 		select {
 		case f = <-c.out:
 		case <-tick.C:
-			f = &link.Beat{}
+			f = &protocol.Beat{}
 		case <-stop:
 			return
 		}
-		p, err := link.Append(nil, f)
+		p, err := protocol.Append(nil, f)
 		if err != nil {
 			panic(err)
 		}
@@ -76,8 +76,8 @@
 		return "", err
 	}
 	l.machines, l.stop = machines, make(chan struct{})
-	l.now, l.born, l.dead = map[string]link.Entry{}, map[string]time.Time{}, map[string]time.Time{}
-	l.marked, l.callers = map[string]link.State{}, map[*listCaller]bool{}
+	l.now, l.born, l.dead = map[string]protocol.Entry{}, map[string]time.Time{}, map[string]time.Time{}
+	l.marked, l.callers = map[string]protocol.State{}, map[*listCaller]bool{}
 	l.apply(l.look())
 	l.working.Go(l.watch)
 	l.working.Go(func() {
@@ -86,7 +86,7 @@
 			if err != nil {
 				return
 			}
-			l.working.Go(func() { l.serve(&listCaller{c, make(chan link.Frame, 1000)}) })
+			l.working.Go(func() { l.serve(&listCaller{c, make(chan protocol.Frame, 1000)}) })
 		}
 	})
 	return l.listener.Addr().String(), nil
@@ -100,7 +100,7 @@
 }
 
 // Mark sets what an operator says of a machine.
-func (l *List) Mark(m *Machine, s link.State) {
+func (l *List) Mark(m *Machine, s protocol.State) {
 	l.mu.Lock()
 	l.marked[m.Name] = s
 	l.mu.Unlock()
@@ -146,15 +146,15 @@
 }
 
 // look takes down what the machines are like now.
-func (l *List) look() []link.Entry {
-	var all []link.Entry
+func (l *List) look() []protocol.Entry {
+	var all []protocol.Entry
 	now := time.Now()
 	for _, m := range l.machines {
 		s, ok := m.State()
 		l.mu.Lock()
 		e, known := l.now[m.Name]
 		if ok {
-			e = link.Entry{Machine: m.Name, Addr: l.Address(m), Zone: m.ZoneN, Kind: m.KindN, Cell: m.CellN,
+			e = protocol.Entry{Machine: m.Name, Addr: l.Address(m), Zone: m.ZoneN, Kind: m.KindN, Cell: m.CellN,
 				FreeCores: s.FreeCores, FreeMemory: s.FreeMemory, Hint: 1, Incarnation: s.Incarnation, State: l.marked[m.Name]}
 			l.born[m.Name] = s.Started
 		}
@@ -164,7 +164,7 @@
 		case !was:
 			l.dead[m.Name] = now
 		case now.Sub(dead) > l.Notice:
-			e.State = link.Gone
+			e.State = protocol.Gone
 		}
 		l.mu.Unlock()
 		if known || ok && s.Up {
@@ -175,17 +175,17 @@
 }
 
 // apply puts what has changed into the list and tells the watchers.
-func (l *List) apply(seen []link.Entry) {
+func (l *List) apply(seen []protocol.Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var changed []link.Entry
+	var changed []protocol.Entry
 	for _, e := range seen {
 		e.Age = 0
 		old, known := l.now[e.Machine]
-		if known && old == e || !known && e.State == link.Gone {
+		if known && old == e || !known && e.State == protocol.Gone {
 			continue
 		}
-		if e.State == link.Gone && known && old.State == link.Gone {
+		if e.State == protocol.Gone && known && old.State == protocol.Gone {
 			continue
 		}
 		l.now[e.Machine] = e
@@ -195,7 +195,7 @@
 	if len(changed) == 0 || l.away {
 		return
 	}
-	f := &link.Listed{Version: int64(len(l.log)), Entries: l.aged(changed)}
+	f := &protocol.Listed{Version: int64(len(l.log)), Entries: l.aged(changed)}
 	for c, watches := range l.callers {
 		if watches {
 			c.send(f)
@@ -203,18 +203,18 @@
 	}
 }
 
-func (l *List) aged(entries []link.Entry) []link.Entry {
-	out := append([]link.Entry(nil), entries...)
+func (l *List) aged(entries []protocol.Entry) []protocol.Entry {
+	out := append([]protocol.Entry(nil), entries...)
 	for i := range out {
-		out[i].Age = link.Span(time.Since(l.born[out[i].Machine]).Microseconds() / 100)
+		out[i].Age = protocol.Span(time.Since(l.born[out[i].Machine]).Microseconds() / 100)
 	}
 	return out
 }
 
 func (l *List) serve(c *listCaller) {
 	defer c.Close()
-	f, err := link.Read(c, 1024)
-	if hello, ok := f.(*link.Hello); err != nil || !ok || hello.Role != link.Placer {
+	f, err := protocol.Read(c, 1024)
+	if hello, ok := f.(*protocol.Hello); err != nil || !ok || hello.Role != protocol.Placer {
 		return
 	}
 	l.mu.Lock()
@@ -228,7 +228,7 @@
 	}
 	gone := make(chan struct{})
 	defer close(gone)
-	c.send(link.Greeting(link.List, "list", 1))
+	c.send(protocol.Greeting(protocol.List, "list", 1))
 	l.working.Go(func() { c.writeAll(gone) })
 	defer func() {
 		l.mu.Lock()
@@ -236,7 +236,7 @@
 		l.mu.Unlock()
 	}()
 	for {
-		f, err := link.Read(c, link.MostFrame)
+		f, err := protocol.Read(c, protocol.MostFrame)
 		if err != nil {
 			return
 		}
@@ -246,7 +246,7 @@
 	}
 }
 
-func (l *List) asked(c *listCaller, f link.Frame) link.Frame {
+func (l *List) asked(c *listCaller, f protocol.Frame) protocol.Frame {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -254,26 +254,26 @@
 		l.calls = l.calls[1:]
 	}
 	if l.calls = append(l.calls, now); l.CallsPS > 0 && len(l.calls) > l.CallsPS {
-		return &link.Failed{Text: "too many calls"}
+		return &protocol.Failed{Text: "too many calls"}
 	}
 	version := int64(len(l.log))
 	since := int64(0)
-	if w, ok := f.(*link.Watch); ok {
+	if w, ok := f.(*protocol.Watch); ok {
 		if !w.On {
 			l.callers[c] = false
 			return nil
 		}
 		l.callers[c] = true
 		since = w.Since
-	} else if _, ok := f.(*link.Fetch); !ok {
+	} else if _, ok := f.(*protocol.Fetch); !ok {
 		return nil
 	}
 	if since > 0 && since <= version && version-since < 10_000 {
-		return &link.Listed{Version: version, Entries: l.aged(l.log[since:])}
+		return &protocol.Listed{Version: version, Entries: l.aged(l.log[since:])}
 	}
-	whole := &link.Listed{Whole: true, Version: version}
+	whole := &protocol.Listed{Whole: true, Version: version}
 	for _, m := range l.machines {
-		if e, ok := l.now[m.Name]; ok && e.State != link.Gone {
+		if e, ok := l.now[m.Name]; ok && e.State != protocol.Gone {
 			whole.Entries = append(whole.Entries, e)
 		}
 	}
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 )
 
 // Shape is what a machine is and how it behaves.
@@ -126,7 +126,7 @@
 
 type run struct {
 	id       runID
-	work     link.Work
+	work     protocol.Work
 	until    time.Time // it lapses when it is not running by then
 	accepted bool
 	running  bool
@@ -292,7 +292,7 @@
 	}
 	for _, r := range m.ordered() {
 		if r.running {
-			m.end(r, link.Lost, link.SentAway)
+			m.end(r, protocol.Lost, protocol.SentAway)
 			break
 		}
 	}
@@ -359,16 +359,16 @@
 }
 
 // Holds is the work that runs, or nothing while the machine is frozen.
-func (m *Machine) Holds() []link.Work {
+func (m *Machine) Holds() []protocol.Work {
 	m.mu.Lock()
 	idle := m.frozen || m.ended
 	m.mu.Unlock()
 	if idle {
 		return nil
 	}
-	got := make(chan []link.Work, 1)
+	got := make(chan []protocol.Work, 1)
 	m.post(func() {
-		var all []link.Work
+		var all []protocol.Work
 		for _, r := range m.runs {
 			if r.running {
 				all = append(all, r.work)
@@ -397,9 +397,9 @@
 // serve reads one placer's link.
 func (m *Machine) serve(conn net.Conn) {
 	defer conn.Close()
-	f, err := link.Read(conn, 1024)
-	hello, ok := f.(*link.Hello)
-	if err != nil || !ok || hello.Role != link.Placer {
+	f, err := protocol.Read(conn, 1024)
+	hello, ok := f.(*protocol.Hello)
+	if err != nil || !ok || hello.Role != protocol.Placer {
 		return
 	}
 	c := &caller{Conn: conn, placer: hello.Name, life: hello.Life, out: make(chan []byte, 4096)}
@@ -408,7 +408,7 @@
 	m.working.Go(func() { c.writeAll(stop) })
 	m.post(func() { m.greet(c) })
 	for {
-		f, err := link.Read(conn, link.MostFrame)
+		f, err := protocol.Read(conn, protocol.MostFrame)
 		if err != nil {
 			m.post(func() { m.left(c) })
 			return
@@ -421,7 +421,7 @@
 func (c *caller) writeAll(stop chan struct{}) {
 	beat := time.NewTicker(time.Second)
 	defer beat.Stop()
-	hello, _ := link.Append(nil, &link.Beat{})
+	hello, _ := protocol.Append(nil, &protocol.Beat{})
 	greeted := false
 	for {
 		var p []byte
@@ -444,8 +444,8 @@
 	}
 }
 
-func (c *caller) send(f link.Frame) {
-	p, err := link.Append(nil, f)
+func (c *caller) send(f protocol.Frame) {
+	p, err := protocol.Append(nil, f)
 	if err != nil {
 		panic(err) // a stand-in that cannot say what it means is a fault of the laboratory
 	}
@@ -466,13 +466,13 @@
 		m.dropQueued(c.placer)
 	}
 	m.callers[c.placer] = c
-	holds := &link.Holds{Incarnation: m.incarnation}
+	holds := &protocol.Holds{Incarnation: m.incarnation}
 	for _, r := range m.ordered() {
 		if r.id.placer == c.placer && r.accepted {
-			holds.Held = append(holds.Held, link.Holding{Life: r.id.life, Bid: r.id.bid, Running: r.running, Work: r.work})
+			holds.Held = append(holds.Held, protocol.Holding{Life: r.id.life, Bid: r.id.bid, Running: r.running, Work: r.work})
 		}
 	}
-	c.send(link.Greeting(link.Machine, m.Name, m.incarnation))
+	c.send(protocol.Greeting(protocol.Machine, m.Name, m.incarnation))
 	c.send(holds)
 }
 
@@ -501,23 +501,23 @@
 	return all
 }
 
-func (m *Machine) take(c *caller, f link.Frame) {
+func (m *Machine) take(c *caller, f protocol.Frame) {
 	if m.callers[c.placer] != c || !m.up {
 		return
 	}
 	switch f := f.(type) {
-	case *link.Offer:
+	case *protocol.Offer:
 		m.offered(c, f)
-	case *link.Withdraw:
+	case *protocol.Withdraw:
 		id := runID{c.placer, f.Life, f.Bid}
 		if r := m.runs[id]; r != nil {
-			m.end(r, link.Stopped, 0)
+			m.end(r, protocol.Stopped, 0)
 		}
-	case *link.Probe:
+	case *protocol.Probe:
 		if m.overwhelmed() {
 			return
 		}
-		m.after(m.span(m.Admit/2), func() { c.send(&link.Probed{Seq: f.Seq, Report: m.report()}) })
+		m.after(m.span(m.Admit/2), func() { c.send(&protocol.Probed{Seq: f.Seq, Report: m.report()}) })
 	}
 }
 
@@ -559,7 +559,7 @@
 	return true
 }
 
-func (m *Machine) offered(c *caller, f *link.Offer) {
+func (m *Machine) offered(c *caller, f *protocol.Offer) {
 	if m.overwhelmed() {
 		return
 	}
@@ -570,11 +570,11 @@
 		until: time.Now().Add(time.Duration(f.Wait) * 100 * time.Microsecond)}
 	m.runs[r.id] = r
 	if m.throttled[f.Work.Customer] {
-		m.end(r, link.Full, 0)
+		m.end(r, protocol.Full, 0)
 		return
 	}
 	if len(m.queue) >= m.Queue {
-		m.end(r, link.Full, link.LongQueue)
+		m.end(r, protocol.Full, protocol.LongQueue)
 		return
 	}
 	m.queue = append(m.queue, r)
@@ -603,27 +603,27 @@
 		return
 	}
 	w := &r.work
-	no := link.NoReason
+	no := protocol.NoReason
 	switch {
 	case m.draining || time.Now().After(r.until) || w.Workload >= len(m.NeedsKind),
 		m.NeedsKind[w.Workload] >= 0 && m.NeedsKind[w.Workload] != m.KindN:
-		no = link.NotHere
+		no = protocol.NotHere
 	case m.asked.cores+w.Cores > m.Cores*m.AcceptCores:
-		no = link.NoCores
+		no = protocol.NoCores
 	case m.asked.memory+w.Memory > m.Memory*m.AcceptMemory:
-		no = link.NoMemory
+		no = protocol.NoMemory
 	case w.Window > 0 && !m.Group.take(r, time.Duration(w.Window)*100*time.Microsecond):
-		no = link.NotHere
+		no = protocol.NotHere
 	}
 	if no != 0 {
-		m.end(r, link.Full, no)
+		m.end(r, protocol.Full, no)
 		return
 	}
 	r.accepted = true
 	m.asked.cores += w.Cores
 	m.asked.memory += w.Memory
 	if !m.YesRuns {
-		m.tell(r, &link.Yes{Bid: r.id.bid})
+		m.tell(r, &protocol.Yes{Bid: r.id.bid})
 	}
 	m.pending = append(m.pending, r)
 	m.startNext()
@@ -675,20 +675,20 @@
 // began makes a container run, unless its placer has stopped waiting for it.
 func (m *Machine) began(r *run) {
 	if time.Now().After(r.until) && m.YesRuns {
-		m.end(r, link.Full, link.NotHere)
+		m.end(r, protocol.Full, protocol.NotHere)
 		return
 	}
 	r.running = true
 	m.ran++
 	m.serving[r.work.Service]++
-	m.tell(r, &link.Yes{Bid: r.id.bid, Running: true})
+	m.tell(r, &protocol.Yes{Bid: r.id.bid, Running: true})
 	life := time.Duration(r.work.RunFor) * 100 * time.Microsecond
 	if life <= 0 {
 		life = time.Second
 	}
 	m.after(life, func() {
 		if !r.over {
-			m.end(r, link.Finished, 0)
+			m.end(r, protocol.Finished, 0)
 		}
 	})
 }
@@ -706,7 +706,7 @@
 }
 
 // end ends a container and tells its placer.
-func (m *Machine) end(r *run, o link.Outcome, why link.Reason) {
+func (m *Machine) end(r *run, o protocol.Outcome, why protocol.Reason) {
 	m.drop(r)
 	if r.accepted {
 		m.asked.cores -= r.work.Cores
@@ -723,10 +723,10 @@
 			m.Group.free(r, r.running)
 		}
 	}
-	m.tell(r, &link.Result{Bid: r.id.bid, Outcome: o, Reason: why, Report: m.report()})
+	m.tell(r, &protocol.Result{Bid: r.id.bid, Outcome: o, Reason: why, Report: m.report()})
 }
 
-func (m *Machine) tell(r *run, f link.Frame) {
+func (m *Machine) tell(r *run, f protocol.Frame) {
 	if c := m.callers[r.id.placer]; c != nil {
 		c.send(f)
 	}
@@ -744,7 +744,7 @@
 		r.use = min(max(0.2, r.use+m.Drift*(m.rng.Float64()-0.5)), 1.6)
 		used += r.use * m.swell * r.work.Memory
 		if m.TellUse {
-			m.tell(r, &link.Note{Bid: r.id.bid, Sort: 3, Amount: r.use * m.swell * r.work.Memory})
+			m.tell(r, &protocol.Note{Bid: r.id.bid, Sort: 3, Amount: r.use * m.swell * r.work.Memory})
 		}
 	}
 	sort.SliceStable(all, func(i, j int) bool { return m.rank(all[i]) < m.rank(all[j]) })
@@ -754,7 +754,7 @@
 		}
 		if r.running {
 			used -= r.use * m.swell * r.work.Memory
-			m.end(r, link.Lost, link.Evicted)
+			m.end(r, protocol.Lost, protocol.Evicted)
 		}
 	}
 }
--- a/internal/standin/owners.go
+++ b/internal/standin/owners.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -63,7 +63,7 @@
 }
 
 type wanted struct {
-	work   link.Work
+	work   protocol.Work
 	kind   int
 	left   time.Duration
 	sentAt time.Time
@@ -74,7 +74,7 @@
 
 type doorLink struct {
 	net.Conn
-	out chan link.Frame
+	out chan protocol.Frame
 }
 
 // Start begins to submit so many a second.
@@ -165,7 +165,7 @@
 		}
 		delete(o.open, id)
 		select {
-		case l.out <- &link.Cancel{Container: id}:
+		case l.out <- &protocol.Cancel{Container: id}:
 		default:
 		}
 		fresh := *w
@@ -182,13 +182,13 @@
 			o.pause(100 * time.Millisecond)
 			continue
 		}
-		hello, _ := link.Append(nil, link.Greeting(link.Owner, fmt.Sprint("owners-", i), uint64(time.Now().UnixMicro())))
+		hello, _ := protocol.Append(nil, protocol.Greeting(protocol.Owner, fmt.Sprint("owners-", i), uint64(time.Now().UnixMicro())))
 		c.Write(hello)
-		l := &doorLink{c, make(chan link.Frame, 10_000)}
-		if f, err := link.Read(c, 4096); err != nil {
+		l := &doorLink{c, make(chan protocol.Frame, 10_000)}
+		if f, err := protocol.Read(c, 4096); err != nil {
 			c.Close()
 			continue
-		} else if _, ok := f.(*link.Hello); !ok {
+		} else if _, ok := f.(*protocol.Hello); !ok {
 			c.Close()
 			continue
 		}
@@ -198,7 +198,7 @@
 		done := make(chan struct{})
 		o.working.Go(func() { l.writeAll(done) })
 		for {
-			f, err := link.Read(c, link.MostFrame)
+			f, err := protocol.Read(c, protocol.MostFrame)
 			if err != nil {
 				break
 			}
@@ -215,9 +215,9 @@
 	for {
 		select {
 		case f := <-l.out:
-			p, _ = link.Append(p[:0], f)
+			p, _ = protocol.Append(p[:0], f)
 			for len(l.out) > 0 && len(p) < 32<<10 {
-				p, _ = link.Append(p, <-l.out)
+				p, _ = protocol.Append(p, <-l.out)
 			}
 			if _, err := l.Write(p); err != nil {
 				l.Close()
@@ -311,9 +311,9 @@
 	n := o.rng.IntN(w.Services)
 	pick := o.rng.IntN(len(w.Cores))
 	life := time.Duration(float64(w.Life) * (0.3 + 1.4*o.rng.Float64()))
-	return &wanted{kind: kind, left: w.HardStop, work: link.Work{Service: fmt.Sprintf("service-%d-%d", kind, n), Workload: kind,
+	return &wanted{kind: kind, left: w.HardStop, work: protocol.Work{Service: fmt.Sprintf("service-%d-%d", kind, n), Workload: kind,
 		Customer: o.rng.IntN(max(1, o.Customers)), Cores: w.Cores[pick], Memory: w.Memory[pick],
-		RunFor: link.Span(life.Microseconds() / 100)}}
+		RunFor: protocol.Span(life.Microseconds() / 100)}}
 }
 
 // send submits to a placer by chance, or to the next that can be reached.
@@ -334,7 +334,7 @@
 		w.door, w.sentAt = n, time.Now()
 		o.open[w.work.Container] = w
 		select {
-		case l.out <- &link.Submit{Left: link.Span(w.left.Microseconds() / 100), Work: w.work}:
+		case l.out <- &protocol.Submit{Left: protocol.Span(w.left.Microseconds() / 100), Work: w.work}:
 		default:
 			l.Close()
 		}
@@ -343,18 +343,18 @@
 	o.tally.Unsent++
 }
 
-func (o *Owners) heard(door int, f link.Frame) {
+func (o *Owners) heard(door int, f protocol.Frame) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch f := f.(type) {
-	case *link.Answer:
+	case *protocol.Answer:
 		w := o.open[f.Container]
 		if w == nil || w.placed || w.door != door {
 			o.tally.Twice++
 			return
 		}
 		switch f.Verdict {
-		case link.Placed:
+		case protocol.Placed:
 			w.placed = true
 			o.tally.Placed++
 			took := time.Since(w.sentAt)
@@ -366,15 +366,15 @@
 				o.OnPlaced(w.kind, took)
 			}
 			return
-		case link.PushedBack:
+		case protocol.PushedBack:
 			o.tally.PushedBack++
-		case link.GivenUp:
+		case protocol.GivenUp:
 			o.tally.GivenUp++
-		case link.TurnedAway:
+		case protocol.TurnedAway:
 			o.tally.TurnedAway++
 		}
 		delete(o.open, f.Container)
-		if f.Verdict != link.GivenUp && o.Works[w.kind].Again {
+		if f.Verdict != protocol.GivenUp && o.Works[w.kind].Again {
 			hold := time.Duration(f.HoldOff) * 100 * time.Microsecond
 			if o.Back != nil {
 				o.later(w, o.Back(w.tries, hold))
@@ -382,7 +382,7 @@
 				o.later(w, max(time.Second, hold))
 			}
 		}
-	case *link.Fate:
+	case *protocol.Fate:
 		w := o.open[f.Container]
 		if w == nil || !w.placed {
 			return
@@ -390,9 +390,9 @@
 		delete(o.open, f.Container)
 		o.tally.Ended++
 		switch {
-		case f.Reason == link.Evicted:
+		case f.Reason == protocol.Evicted:
 			o.tally.Evicted++
-		case f.Outcome == link.Lost:
+		case f.Outcome == protocol.Lost:
 			o.tally.Lost++
 		}
 	}
--- a/internal/tap/record.go
+++ b/internal/tap/record.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
@@ -32,18 +32,18 @@
 
 // Entry is one line of a record; times are tenths of a millisecond since its start.
 type Entry struct {
-	_      struct{}  `cbor:",toarray"`
-	At     int64     `cbor:"At"`
-	Sort   Sort      `cbor:"Sort"`
-	Link   uint32    `cbor:"Link"`
-	Placer string    `cbor:"Placer"`
-	Far    link.Role `cbor:"Far"`   // what is at the other end
-	Name   string    `cbor:"Name"`  // and its name
-	Frame  []byte    `cbor:"Frame"` // without its length
+	_      struct{}      `cbor:",toarray"`
+	At     int64         `cbor:"At"`
+	Sort   Sort          `cbor:"Sort"`
+	Link   uint32        `cbor:"Link"`
+	Placer string        `cbor:"Placer"`
+	Far    protocol.Role `cbor:"Far"`   // what is at the other end
+	Name   string        `cbor:"Name"`  // and its name
+	Frame  []byte        `cbor:"Frame"` // without its length
 }
 
 // Decoded is the frame of an entry.
-func (e *Entry) Decoded() (link.Frame, error) { return link.Decode(e.Frame) }
+func (e *Entry) Decoded() (protocol.Frame, error) { return protocol.Decode(e.Frame) }
 
 // Header says what a record must be judged by.
 type Header struct {
--- a/internal/tap/tap.go
+++ b/internal/tap/tap.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"glenport/internal/link"
+	"glenport/internal/protocol"
 )
 
 // Fault is what the network does to a link.
@@ -24,7 +24,7 @@
 
 	mu      sync.Mutex
 	changed *sync.Cond
-	fault   func(placer string, far link.Role, name string) Fault
+	fault   func(placer string, far protocol.Role, name string) Fault
 	links   map[*wire]bool
 	taps    []net.Listener
 	last    uint32
@@ -36,12 +36,12 @@
 func NewNet(record *Writer, seed uint64) *Net {
 	n := &Net{record: record, links: map[*wire]bool{}, rng: rand.New(rand.NewPCG(seed, 3))}
 	n.changed = sync.NewCond(&n.mu)
-	n.fault = func(string, link.Role, string) Fault { return Fault{} }
+	n.fault = func(string, protocol.Role, string) Fault { return Fault{} }
 	return n
 }
 
 // Set puts another rule of faults in force; it is asked for each frame.
-func (n *Net) Set(fault func(placer string, far link.Role, name string) Fault) {
+func (n *Net) Set(fault func(placer string, far protocol.Role, name string) Fault) {
 	n.mu.Lock()
 	n.fault = fault
 	n.changed.Broadcast()
@@ -49,7 +49,7 @@
 }
 
 // Reset resets every link for which which is true, at both ends.
-func (n *Net) Reset(which func(placer string, far link.Role, name string) bool) int {
+func (n *Net) Reset(which func(placer string, far protocol.Role, name string) bool) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	count := 0
@@ -80,7 +80,7 @@
 // Tap opens a way to what is at the address that to gives. Of the two ends of a link through it one is a placer;
 // far and name are the other's, where it is the one called, and else the placer's own name is name and far is
 // the role of the caller.
-func (n *Net) Tap(far link.Role, name string, to func() string) (string, error) {
+func (n *Net) Tap(far protocol.Role, name string, to func() string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -119,7 +119,7 @@
 type wire struct {
 	n           *Net
 	id          uint32
-	caller, far link.Role
+	caller, far protocol.Role
 	placer      string
 	name        string
 	ends        [2]net.Conn // the caller, the called
@@ -139,19 +139,19 @@
 }
 
 // carry reads the caller's greeting, calls the other end and passes frames both ways until one end closes.
-func (n *Net) carry(caller net.Conn, far link.Role, name string, to func() string) {
+func (n *Net) carry(caller net.Conn, far protocol.Role, name string, to func() string) {
 	defer caller.Close()
 	p, err := readFrame(caller)
 	if err != nil {
 		return
 	}
-	f, err := link.Decode(p[4:])
-	hello, ok := f.(*link.Hello)
+	f, err := protocol.Decode(p[4:])
+	hello, ok := f.(*protocol.Hello)
 	if err != nil || !ok {
 		return
 	}
 	w := &wire{n: n, caller: hello.Role, far: far, placer: hello.Name, name: name}
-	if far == link.Owner { // an owner calls a placer's door
+	if far == protocol.Owner { // an owner calls a placer's door
 		w.placer, w.name = name, hello.Name
 	}
 	called, err := net.DialTimeout("tcp", to(), time.Second)
@@ -196,7 +196,7 @@
 	}
 	queue := make(chan held, 100_000)
 	stopped := make(chan struct{})
-	fromPlacer := (w.far == link.Owner) == (from == 1)
+	fromPlacer := (w.far == protocol.Owner) == (from == 1)
 	w.n.working.Go(func() {
 		defer close(stopped)
 		for h := range queue {
@@ -290,7 +290,7 @@
 		return nil, err
 	}
 	size := binary.BigEndian.Uint32(head[:])
-	if size == 0 || size > link.MostFrame {
+	if size == 0 || size > protocol.MostFrame {
 		return nil, io.ErrUnexpectedEOF
 	}
 	p := make([]byte, 4+size)
