--- a/cmd/glenport/state.go
+++ b/cmd/glenport/state.go
@@ -10,7 +10,7 @@
 
 	"glenport/internal/disk"
 	"glenport/internal/schedulerd"
-	"glenport/internal/store"
+	"glenport/internal/storage/wal"
 	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
@@ -33,7 +33,7 @@
 
 // looked is a folder that was read, as far as it can be.
 type looked struct {
-	state     *store.State
+	state     *wal.State
 	stateErr  error
 	knowledge *schedulerd.Knowledge // nil where there is none
 	knownErr  error
@@ -45,7 +45,7 @@
 		return nil, err
 	}
 	l := &looked{}
-	l.state, l.stateErr = store.Read(d, false)
+	l.state, l.stateErr = wal.Read(d, false)
 	l.knowledge, l.knownErr = schedulerd.ReadKnowledge(d)
 	return l, nil
 }
@@ -57,7 +57,7 @@
 	}
 	if s := l.state; s != nil {
 		fmt.Fprintf(out, "log: version %d, %d records in %d bytes; the snapshot ends before group %d, the log with group %d (%d read)\n",
-			store.Version, s.Records, s.Bytes, s.Snapshot, s.Last, s.Groups)
+			wal.Version, s.Records, s.Bytes, s.Snapshot, s.Last, s.Groups)
 		if s.CutOff > 0 {
 			fmt.Fprintf(out, "log: %d bytes of an unfinished group at the end, never acknowledged: cut off at the next start\n", s.CutOff)
 		}
@@ -146,7 +146,7 @@
 		return err
 	}
 	defer d.Close()
-	before, after, err := store.Compact(d)
+	before, after, err := wal.Compact(d)
 	if err != nil {
 		return err
 	}
--- a/cmd/glenport/state_test.go
+++ b/cmd/glenport/state_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"glenport/internal/disk"
-	"glenport/internal/store"
+	"glenport/internal/storage/wal"
 )
 
 // A folder is told, checked, exported and compacted; a damaged one is named with file and place, and exported up to there.
@@ -18,13 +18,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, _, err := store.Open(d, store.Terms{})
+	s, _, err := wal.Open(d, wal.Terms{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, key := range []string{"a", "b", "c"} {
 		done := make(chan error, 1)
-		s.Commit([]store.Change{{Kind: "job", Key: key, Value: []byte{0x61, 'x'}}}, true, func(err error) { done <- err })
+		s.Commit([]wal.Change{{Kind: "job", Key: key, Value: []byte{0x61, 'x'}}}, true, func(err error) { done <- err })
 		if err := <-done; err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controller/server/golden_test.go
+++ b/internal/controller/server/golden_test.go
@@ -17,7 +17,7 @@
 	"glenport/internal/controller/watchcache"
 	"glenport/internal/disk"
 	"glenport/internal/site"
-	"glenport/internal/store"
+	"glenport/internal/storage/wal"
 	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
@@ -103,9 +103,9 @@
 		t.Fatal(err)
 	}
 	h, closed := openGolden(t, goldenFolder)
-	changes := []store.Change{store.Put(CeilingKind, ceilingKey, goldenCeiling)}
+	changes := []wal.Change{wal.Put(CeilingKind, ceilingKey, goldenCeiling)}
 	for _, r := range goldenRecords() {
-		changes = append(changes, store.Put(r.kind, r.key, r.value))
+		changes = append(changes, wal.Put(r.kind, r.key, r.value))
 	}
 	if err := h.promises.log.Keep(changes...); err != nil {
 		t.Fatal(err)
@@ -139,7 +139,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	state, err := store.Read(folder, false)
+	state, err := wal.Read(folder, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -167,7 +167,7 @@
 			if !reflect.DeepEqual(got.Elem().Interface(), want.Interface()) {
 				t.Errorf("read %+v, want %+v", got.Elem(), want)
 			}
-			if again := store.Put(r.kind, r.key, r.value).Value; !bytes.Equal(again, stored) {
+			if again := wal.Put(r.kind, r.key, r.value).Value; !bytes.Equal(again, stored) {
 				t.Errorf("encoded %x, stored %x", again, stored)
 			}
 		})
--- a/internal/controller/server/jobs.go
+++ b/internal/controller/server/jobs.go
@@ -17,7 +17,7 @@
 	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/recovery"
 	"glenport/internal/site"
-	"glenport/internal/store"
+	"glenport/internal/storage/wal"
 	"glenport/scheduler"
 )
 
@@ -472,7 +472,7 @@
 		return
 	}
 	h.events = nil
-	var changes []store.Change
+	var changes []wal.Change
 	var todo []controller.Action
 	durable := false
 	for _, a := range h.keeper.Handle(scheduler.Time(h.loop.Now()), events) {
@@ -483,21 +483,21 @@
 				if d := a.Container.Door; d >= 0 {
 					k.Door = h.doors[d].addr
 				}
-				changes = append(changes, store.Put(ContainerKind, containerID(a.Container.Job, a.Container.Index), k))
+				changes = append(changes, wal.Put(ContainerKind, containerID(a.Container.Job, a.Container.Index), k))
 			}
 			h.show(a.Container)
 		case controller.Removed:
 			id := containerID(a.Job, a.Index)
-			changes = append(changes, store.Change{Kind: ContainerKind, Key: id})
+			changes = append(changes, wal.Change{Kind: ContainerKind, Key: id})
 			if _, seen := h.views[id]; seen {
 				delete(h.views, id)
 				h.publish(Containers, id, Container{ID: id, Job: a.Job, Index: a.Index}, true, true)
 			}
 		case controller.Strayed:
 			k := KeptStray{h.doors[a.Stray.Door].addr, a.Stray.Key}
-			changes = append(changes, store.Put(StrayKind, k.Door+" "+k.Key, k))
+			changes = append(changes, wal.Put(StrayKind, k.Door+" "+k.Key, k))
 		case controller.Found:
-			changes = append(changes, store.Change{Kind: StrayKind, Key: h.doors[a.Stray.Door].addr + " " + a.Stray.Key})
+			changes = append(changes, wal.Change{Kind: StrayKind, Key: h.doors[a.Stray.Door].addr + " " + a.Stray.Key})
 		case controller.Wake:
 			h.loop.After(eventloop.Tick(a.After), func() { h.events = append(h.events, controller.Woke{}) })
 		case controller.Submit:
--- a/internal/controller/server/kept.go
+++ b/internal/controller/server/kept.go
@@ -8,7 +8,7 @@
 	"glenport/internal/controller"
 	"glenport/internal/disk"
 	"glenport/internal/eventloop"
-	"glenport/internal/store"
+	"glenport/internal/storage/wal"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -31,22 +31,22 @@
 type promises struct {
 	h       *Host
 	dir     *disk.Dir
-	log     *store.Store
+	log     *wal.Store
 	ceiling int64
-	made    map[string]KeptJob      // jobs that are, by id
-	redo    map[string]store.Change // that could not be kept, by kind and key; emptied when the disk takes them
+	made    map[string]KeptJob    // jobs that are, by id
+	redo    map[string]wal.Change // that could not be kept, by kind and key; emptied when the disk takes them
 	redoing bool
 }
 
 // openPromises reads the folder and gives what it held to the keeper's host.
 func openPromises(h *Host, folder string) (*promises, error) {
-	p := &promises{h: h, made: map[string]KeptJob{}, redo: map[string]store.Change{}}
+	p := &promises{h: h, made: map[string]KeptJob{}, redo: map[string]wal.Change{}}
 	var err error
 	if p.dir, err = disk.Open(folder); err != nil {
 		return nil, err
 	}
-	var figures store.Figures
-	p.log, figures, err = store.Open(p.dir, store.Terms{OnMode: func(text string, a ...any) {
+	var figures wal.Figures
+	p.log, figures, err = wal.Open(p.dir, wal.Terms{OnMode: func(text string, a ...any) {
 		h.loop.Post(func() { h.log.Warn(text, a...) })
 	}})
 	if err != nil {
@@ -60,7 +60,7 @@
 	}
 	// No version of this life is one of an earlier: the ceiling is raised before any is given out.
 	p.ceiling += ceilingSteps
-	if err := p.log.Keep(store.Put(CeilingKind, ceilingKey, p.ceiling)); err != nil {
+	if err := p.log.Keep(wal.Put(CeilingKind, ceilingKey, p.ceiling)); err != nil {
 		p.close()
 		return nil, fmt.Errorf("state folder %s: %w", folder, err)
 	}
@@ -132,10 +132,10 @@
 }
 
 // keep commits changes and runs done on the loop. Versions that are given out stay below the ceiling on disk.
-func (p *promises) keep(changes []store.Change, durable bool, done func(error)) {
+func (p *promises) keep(changes []wal.Change, durable bool, done func(error)) {
 	if v := p.h.Catalog.Taken(); v+ceilingSteps/2 > p.ceiling {
 		p.ceiling = v + ceilingSteps
-		changes = append(changes, store.Put(CeilingKind, ceilingKey, p.ceiling))
+		changes = append(changes, wal.Put(CeilingKind, ceilingKey, p.ceiling))
 		durable = true
 	}
 	for _, c := range changes {
@@ -157,8 +157,8 @@
 }
 
 // again are changes that a disk did not take before, in order.
-func (p *promises) again() []store.Change {
-	var all []store.Change
+func (p *promises) again() []wal.Change {
+	var all []wal.Change
 	for _, c := range p.redo {
 		all = append(all, c)
 	}
@@ -171,7 +171,7 @@
 
 // failed remembers what the keeper went through and the log does not know: containers and the ceiling. A job that was
 // not kept was not changed.
-func (p *promises) failed(changes []store.Change) {
+func (p *promises) failed(changes []wal.Change) {
 	for _, c := range changes {
 		if _, newer := p.redo[c.Kind+" "+c.Key]; c.Kind != JobKind && !newer {
 			p.redo[c.Kind+" "+c.Key] = c
@@ -241,16 +241,16 @@
 	}
 	h.pending[id] = nil
 	var c *published
-	var kept store.Change
+	var kept wal.Change
 	if k == nil {
-		c, kept = h.publish(Jobs, id, *old, true, false), store.Change{Kind: JobKind, Key: id}
+		c, kept = h.publish(Jobs, id, *old, true, false), wal.Change{Kind: JobKind, Key: id}
 	} else {
 		c = h.publish(Jobs, id, k.Job, false, false)
 		k.Job.Version = c.version
 		c.value = k.Job
-		kept = store.Put(JobKind, id, k)
+		kept = wal.Put(JobKind, id, k)
 	}
-	h.keep([]store.Change{kept}, true, func(err error) {
+	h.keep([]wal.Change{kept}, true, func(err error) {
 		if c.ready, c.failed = err == nil, err != nil; err == nil {
 			h.events = append(h.events, e)
 			if h.promises != nil {
@@ -274,7 +274,7 @@
 }
 
 // keep commits where anything is kept, and else goes on at once.
-func (h *Host) keep(changes []store.Change, durable bool, done func(error)) {
+func (h *Host) keep(changes []wal.Change, durable bool, done func(error)) {
 	if h.promises == nil {
 		done(nil)
 		return
--- a/internal/lab/crashes.go
+++ b/internal/lab/crashes.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"glenport/internal/faultdisk"
-	"glenport/internal/store"
+	"glenport/internal/storage/wal"
 )
 
 // Crashes plays a history of commits on a folder in memory and looks at every state in which a crash, or a crash of
@@ -32,7 +32,7 @@
 
 // history commits and notes what must be found. Every commit changes the value of "n", so that states differ.
 func (c *Crashes) history(d *faultdisk.Disk) ([]moment, error) {
-	s, _, err := store.Open(d, store.Terms{Small: 2000})
+	s, _, err := wal.Open(d, wal.Terms{Small: 2000})
 	if err != nil {
 		return nil, err
 	}
@@ -40,9 +40,9 @@
 	model := map[string]string{}
 	all := []moment{{state: text(model)}}
 	for n := range c.Commits {
-		changes := []store.Change{{Kind: "count", Key: "n", Value: fmt.Append(nil, n+1)}}
+		changes := []wal.Change{{Kind: "count", Key: "n", Value: fmt.Append(nil, n+1)}}
 		for range r.IntN(4) {
-			ch := store.Change{Kind: "job", Key: fmt.Sprint(r.IntN(20))}
+			ch := wal.Change{Kind: "job", Key: fmt.Sprint(r.IntN(20))}
 			if r.IntN(3) > 0 {
 				ch.Value = []byte(strings.Repeat(string(rune('a'+r.IntN(26))), r.IntN(700)+1))
 			}
@@ -78,7 +78,7 @@
 	return strings.Join(all, "\n")
 }
 
-func textOf(s *store.State) string {
+func textOf(s *wal.State) string {
 	model := map[string]string{}
 	for _, kind := range s.Kinds() {
 		s.Each(kind, func(k string, v []byte) error {
@@ -91,7 +91,7 @@
 
 // open recovers a folder and tells what it holds.
 func (c *Crashes) open(d *faultdisk.Disk) (string, error) {
-	s, _, err := store.Open(d, store.Terms{Trust: c.Spoil == "checksum"})
+	s, _, err := wal.Open(d, wal.Terms{Trust: c.Spoil == "checksum"})
 	if err != nil {
 		return "", err
 	}
--- a/internal/lab/restart.go
+++ b/internal/lab/restart.go
@@ -20,7 +20,7 @@
 	"glenport/internal/protocol"
 	"glenport/internal/schedulerd"
 	"glenport/internal/schedulerd/reconcile"
-	"glenport/internal/store"
+	"glenport/internal/storage/wal"
 	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
@@ -89,7 +89,7 @@
 		if err != nil {
 			return err
 		}
-		s, _, err := store.Open(d, store.Terms{Alone: alone})
+		s, _, err := wal.Open(d, wal.Terms{Alone: alone})
 		if err != nil {
 			return err
 		}
@@ -102,7 +102,7 @@
 				v := make([]byte, 200)
 				for i := 0; time.Since(began) < time.Second; i++ {
 					at, done := time.Now(), make(chan error, 1)
-					s.Commit([]store.Change{{Kind: "k", Key: fmt.Sprint(c, i%1000), Value: v}}, true, func(err error) { done <- err })
+					s.Commit([]wal.Change{{Kind: "k", Key: fmt.Sprint(c, i%1000), Value: v}}, true, func(err error) { done <- err })
 					if <-done != nil {
 						return
 					}
@@ -243,7 +243,7 @@
 			fault("%s: %v", name, err)
 			return
 		}
-		s, err := store.Read(d, false)
+		s, err := wal.Read(d, false)
 		if err == nil {
 			cut.Add(int64(min(1, s.CutOff)))
 			_, err = schedulerd.ReadKnowledge(d)
@@ -420,11 +420,11 @@
 		return err
 	}
 	defer d.Close()
-	s, _, err := store.Open(d, store.Terms{})
+	s, _, err := wal.Open(d, wal.Terms{})
 	if err != nil {
 		return err
 	}
-	var all []store.Change
+	var all []wal.Change
 	var failed error
 	for i := range n {
 		key, value := record(i)
@@ -432,7 +432,7 @@
 		if err != nil {
 			return err
 		}
-		if all = append(all, store.Change{Kind: kind, Key: key, Value: v}); len(all) == 500 || i == n-1 {
+		if all = append(all, wal.Change{Kind: kind, Key: key, Value: v}); len(all) == 500 || i == n-1 {
 			s.Commit(all, i == n-1, func(err error) {
 				if err != nil {
 					failed = err
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -21,7 +21,7 @@
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/schedulerd/recovery"
 	"glenport/internal/schedulerd/warmstart"
-	"glenport/internal/store"
+	"glenport/internal/storage/wal"
 	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
@@ -100,7 +100,7 @@
 			t.Fatal(err)
 		}
 		s := &state{dir: d}
-		if s.log, _, err = store.Open(d, store.Terms{}); err != nil {
+		if s.log, _, err = wal.Open(d, wal.Terms{}); err != nil {
 			t.Fatal(err)
 		}
 		f(s)
@@ -127,7 +127,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := store.Compact(d); err != nil {
+	if _, _, err := wal.Compact(d); err != nil {
 		t.Fatal(err)
 	}
 	if err := d.Close(); err != nil {
@@ -340,7 +340,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	records, err := store.Read(d, false)
+	records, err := wal.Read(d, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -360,7 +360,7 @@
 			t.Fatal(err)
 		}
 	}
-	version, body, err := store.ReadWhole(d, "knowledge", "GLENKNW", 255)
+	version, body, err := wal.ReadWhole(d, "knowledge", "GLENKNW", 255)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/schedulerd/knowledge.go
+++ b/internal/schedulerd/knowledge.go
@@ -12,7 +12,7 @@
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/warmstart"
-	"glenport/internal/store"
+	"glenport/internal/storage/wal"
 	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
@@ -49,7 +49,7 @@
 
 // ReadKnowledge reads the file; nil where there is none.
 func ReadKnowledge(d disk.Folder) (*Knowledge, error) {
-	version, body, err := store.ReadWhole(d, KnowledgeName, KnowledgeSort, KnowledgeVersion)
+	version, body, err := wal.ReadWhole(d, KnowledgeName, KnowledgeSort, KnowledgeVersion)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
@@ -58,10 +58,10 @@
 	}
 	k := &Knowledge{}
 	if version != KnowledgeVersion {
-		return nil, &store.Corrupt{File: KnowledgeName, At: 7, Text: fmt.Sprintf("there was no version %d of such a file", version)}
+		return nil, &wal.Corrupt{File: KnowledgeName, At: 7, Text: fmt.Sprintf("there was no version %d of such a file", version)}
 	}
 	if err := cbor.Unmarshal(body, k); err != nil {
-		return nil, &store.Corrupt{File: KnowledgeName, At: 16, Text: err.Error()}
+		return nil, &wal.Corrupt{File: KnowledgeName, At: 16, Text: err.Error()}
 	}
 	return k, nil
 }
@@ -149,5 +149,5 @@
 	if err != nil {
 		return err
 	}
-	return store.WriteWhole(d, KnowledgeName, KnowledgeSort, KnowledgeVersion, body)
+	return wal.WriteWhole(d, KnowledgeName, KnowledgeSort, KnowledgeVersion, body)
 }
--- a/internal/schedulerd/state.go
+++ b/internal/schedulerd/state.go
@@ -11,7 +11,7 @@
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/schedulerd/recovery"
 	"glenport/internal/schedulerd/warmstart"
-	"glenport/internal/store"
+	"glenport/internal/storage/wal"
 	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
@@ -31,7 +31,7 @@
 type state struct {
 	h       *Host
 	dir     folder
-	log     *store.Store
+	log     *wal.Store
 	life    warmstart.Life
 	before  warmstart.Life // what the folder said
 	kept    *Knowledge
@@ -40,11 +40,11 @@
 	later   []warmstart.Sent // to starts that no list has told yet; emptied when it does, or after two windows
 	since   scheduler.Time   // from then on all that was sent to cold machines is known
 	bids    []reconcile.Held // of earlier lives, without an end
-	changes []store.Change   // of this turn
+	changes []wal.Change     // of this turn
 	durable bool
 	then    []func(error)
-	owed    []store.Change // ends of bids that the disk did not take; tried again with the next saving
-	unsaid  bool           // the log does not hold yet that this life began
+	owed    []wal.Change // ends of bids that the disk did not take; tried again with the next saving
+	unsaid  bool         // the log does not hold yet that this life began
 	begun   bool
 	saving  bool
 	unsaved bool // the last saving failed
@@ -71,8 +71,8 @@
 		s.dir.Close()
 		return nil, fmt.Errorf("state folder %s: %w", h.site.State, err)
 	}
-	var figures store.Figures
-	if s.log, figures, err = store.Open(s.dir, store.Terms{OnMode: func(text string, a ...any) {
+	var figures wal.Figures
+	if s.log, figures, err = wal.Open(s.dir, wal.Terms{OnMode: func(text string, a ...any) {
 		h.loop.Post(func() { h.log.Warn(text, a...) })
 	}}); err != nil {
 		return fail(err)
@@ -92,7 +92,7 @@
 	return s, nil
 }
 
-func (s *state) lifeChange() store.Change { return store.Put(LifeKind, lifeKey, s.life) }
+func (s *state) lifeChange() wal.Change { return wal.Put(LifeKind, lifeKey, s.life) }
 
 // read takes out of the log what this life needs of the earlier ones.
 func (s *state) read() (err error) {
@@ -118,7 +118,7 @@
 	}
 	// Knowledge is no promise: a file that cannot be read is told and left, and the placer learns anew. One from
 	// a later glenport is left alone.
-	var newer *store.Newer
+	var newer *wal.Newer
 	if s.kept, err = ReadKnowledge(s.dir); errors.As(err, &newer) {
 		return err
 	} else if err != nil {
@@ -221,11 +221,11 @@
 }
 
 func (s *state) put(kind, key string, value any) {
-	s.changes = append(s.changes, store.Put(kind, key, value))
+	s.changes = append(s.changes, wal.Put(kind, key, value))
 }
 
 func (s *state) drop(kind, key string) {
-	s.changes = append(s.changes, store.Change{Kind: kind, Key: key})
+	s.changes = append(s.changes, wal.Change{Kind: kind, Key: key})
 }
 
 // after runs f on the loop once the changes of this turn are written, or on disk.
@@ -241,7 +241,7 @@
 	}
 	then, changes := s.then, s.changes
 	if s.unsaid {
-		changes = append([]store.Change{s.lifeChange()}, changes...)
+		changes = append([]wal.Change{s.lifeChange()}, changes...)
 	}
 	unsaid := s.unsaid
 	s.log.Commit(changes, s.durable || unsaid, func(err error) {
@@ -262,7 +262,7 @@
 
 // failed remembers what the log should know and does not, of what has happened: that bids ended, that machines told. A bid
 // that could not be written was not sent.
-func (s *state) failed(changes []store.Change) {
+func (s *state) failed(changes []wal.Change) {
 	for _, c := range changes {
 		switch {
 		case c.Kind == BidKind && c.Value == nil:
--- a/internal/schedulerd/state_test.go
+++ b/internal/schedulerd/state_test.go
@@ -16,7 +16,7 @@
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
 	"glenport/internal/site"
-	"glenport/internal/store"
+	"glenport/internal/storage/wal"
 	"glenport/scheduler"
 )
 
@@ -87,11 +87,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := store.WriteWhole(d, KnowledgeName, KnowledgeSort, KnowledgeVersion+1, nil); err != nil {
+	if err := wal.WriteWhole(d, KnowledgeName, KnowledgeSort, KnowledgeVersion+1, nil); err != nil {
 		t.Fatal(err)
 	}
 	d.Close()
-	var newer *store.Newer
+	var newer *wal.Newer
 	if _, err := New(s.Placer, learning(scheduler.Knowledge{}), discard); !errors.As(err, &newer) {
 		t.Errorf("a file from later: %v", err)
 	}
@@ -303,7 +303,7 @@
 		t.Fatal(err)
 	}
 	defer d.Close()
-	s, err := store.Read(d, false)
+	s, err := wal.Read(d, false)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/store.go
+++ b/internal/storage/wal/store.go
@@ -1,7 +1,7 @@
-// Package store keeps promises on disk: values by kind and key, changed in groups that are kept whole or not at all,
+// Package wal keeps promises on disk: values by kind and key, changed in groups that are kept whole or not at all,
 // in the order in which they came. A log takes the groups, with one sync for all that wait at the same time; snapshots
 // bound its length. docs/notes/state.md tells why this is no library.
-package store
+package wal
 
 import (
 	"errors"
--- a/internal/store/store_test.go
+++ b/internal/storage/wal/store_test.go
@@ -1,4 +1,4 @@
-package store
+package wal
 
 import (
 	"encoding/binary"
--- a/measure/store/store_test.go
+++ b/measure/store/store_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"glenport/internal/disk"
-	"glenport/internal/store"
+	"glenport/internal/storage/wal"
 
 	"github.com/cockroachdb/pebble/v2"
 	"go.etcd.io/bbolt"
@@ -46,7 +46,7 @@
 		if err != nil {
 			return opened{}, err
 		}
-		s, _, err := store.Open(d, store.Terms{})
+		s, _, err := wal.Open(d, wal.Terms{})
 		if err != nil {
 			return opened{}, err
 		}
@@ -57,7 +57,7 @@
 		})
 		return opened{func(k, v []byte) error {
 			done := make(chan error, 1)
-			s.Commit([]store.Change{{Kind: "k", Key: string(k), Value: v}}, true, func(err error) { done <- err })
+			s.Commit([]wal.Change{{Kind: "k", Key: string(k), Value: v}}, true, func(err error) { done <- err })
 			return <-done
 		}, func(k []byte) []byte { return held[string(k)] }, func() { s.Close(); d.Close() }}, nil
 	},
