--- a/cmd/glenport/state.go
+++ b/cmd/glenport/state.go
@@ -8,8 +8,8 @@
 	"reflect"
 	"time"
 
-	"glenport/internal/disk"
 	"glenport/internal/schedulerd"
+	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
 	"glenport/scheduler"
 
@@ -40,7 +40,7 @@
 }
 
 func look(path string) (*looked, error) {
-	d, err := disk.Look(path)
+	d, err := vfs.Look(path)
 	if err != nil {
 		return nil, err
 	}
@@ -138,10 +138,10 @@
 }
 
 func compact(path string, out io.Writer) error {
-	if _, err := disk.Look(path); err != nil { // Open would make it
+	if _, err := vfs.Look(path); err != nil { // Open would make it
 		return err
 	}
-	d, err := disk.Open(path)
+	d, err := vfs.Open(path)
 	if err != nil {
 		return err
 	}
--- a/cmd/glenport/state_test.go
+++ b/cmd/glenport/state_test.go
@@ -7,14 +7,14 @@
 	"strings"
 	"testing"
 
-	"glenport/internal/disk"
+	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
 )
 
 // A folder is told, checked, exported and compacted; a damaged one is named with file and place, and exported up to there.
 func TestState(t *testing.T) {
 	dir := t.TempDir()
-	d, err := disk.Open(dir)
+	d, err := vfs.Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/server/golden_test.go
+++ b/internal/controller/server/golden_test.go
@@ -15,8 +15,8 @@
 
 	"glenport/internal/controller"
 	"glenport/internal/controller/watchcache"
-	"glenport/internal/disk"
 	"glenport/internal/site"
+	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
 	"glenport/scheduler"
 
@@ -135,7 +135,7 @@
 	if *update {
 		writeGolden(t)
 	}
-	folder, err := disk.Look(goldenFolder)
+	folder, err := vfs.Look(goldenFolder)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/server/kept.go
+++ b/internal/controller/server/kept.go
@@ -6,8 +6,8 @@
 	"sort"
 
 	"glenport/internal/controller"
-	"glenport/internal/disk"
 	"glenport/internal/eventloop"
+	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
 
 	"github.com/fxamacker/cbor/v2"
@@ -30,7 +30,7 @@
 // promises are what a keeper has on disk. What is asked of placers and answered to owners waits until it is there.
 type promises struct {
 	h       *Host
-	dir     *disk.Dir
+	dir     *vfs.Dir
 	log     *wal.Store
 	ceiling int64
 	made    map[string]KeptJob    // jobs that are, by id
@@ -42,7 +42,7 @@
 func openPromises(h *Host, folder string) (*promises, error) {
 	p := &promises{h: h, made: map[string]KeptJob{}, redo: map[string]wal.Change{}}
 	var err error
-	if p.dir, err = disk.Open(folder); err != nil {
+	if p.dir, err = vfs.Open(folder); err != nil {
 		return nil, err
 	}
 	var figures wal.Figures
--- a/internal/faultdisk/faultdisk.go
+++ b/internal/faultdisk/faultdisk.go
@@ -11,7 +11,7 @@
 	"sort"
 	"sync"
 
-	"glenport/internal/disk"
+	"glenport/internal/storage/vfs"
 )
 
 const sector = 512
@@ -69,7 +69,7 @@
 	name  string
 }
 
-func (d *Disk) Create(name string) (disk.File, error) {
+func (d *Disk) Create(name string) (vfs.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if _, ok := d.names[name]; ok {
@@ -93,7 +93,7 @@
 	return n, nil
 }
 
-func (d *Disk) Append(name string) (disk.File, error) {
+func (d *Disk) Append(name string) (vfs.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n, err := d.find(name)
--- a/internal/faultdisk/golden_test.go
+++ b/internal/faultdisk/golden_test.go
@@ -9,7 +9,7 @@
 	"os"
 	"testing"
 
-	"glenport/internal/disk"
+	"glenport/internal/storage/vfs"
 )
 
 var update = flag.Bool("update", false, "record the golden file of this package anew")
@@ -19,7 +19,7 @@
 // play does a seeded history of operations, some of which fail, and notes what each returns.
 func play(r *rand.Rand, d *Disk, note func(format string, a ...any)) {
 	names := []string{"a", "b", "c", "d"}
-	var open []disk.File
+	var open []vfs.File
 	d.Fail = func(kind, name string) error {
 		if r.IntN(12) == 0 {
 			return fmt.Errorf("%s of %q fails", kind, name)
--- a/internal/lab/restart.go
+++ b/internal/lab/restart.go
@@ -16,10 +16,10 @@
 	"glenport/internal/audit"
 	"glenport/internal/controller"
 	"glenport/internal/controller/server"
-	"glenport/internal/disk"
 	"glenport/internal/protocol"
 	"glenport/internal/schedulerd"
 	"glenport/internal/schedulerd/reconcile"
+	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
 	"glenport/scheduler"
 
@@ -85,7 +85,7 @@
 // commits measures the store with and without group commit, on the disk that there is.
 func (t *RestartTrial) commits(dir string) error {
 	for _, alone := range []bool{true, false} {
-		d, err := disk.Open(fmt.Sprint(dir, alone))
+		d, err := vfs.Open(fmt.Sprint(dir, alone))
 		if err != nil {
 			return err
 		}
@@ -238,7 +238,7 @@
 		}
 	})
 	look := func(name, folder string) {
-		d, err := disk.Look(folder)
+		d, err := vfs.Look(folder)
 		if err != nil {
 			fault("%s: %v", name, err)
 			return
@@ -415,7 +415,7 @@
 
 // fill writes a log as an earlier life would have left it.
 func fill(folder, kind string, n int, record func(i int) (key string, value any)) error {
-	d, err := disk.Open(folder)
+	d, err := vfs.Open(folder)
 	if err != nil {
 		return err
 	}
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -15,12 +15,12 @@
 	"strings"
 	"testing"
 
-	"glenport/internal/disk"
 	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/overload"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/schedulerd/recovery"
 	"glenport/internal/schedulerd/warmstart"
+	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
 	"glenport/scheduler"
 
@@ -123,7 +123,7 @@
 			s.put(SentKind, string(sent.Machine), warmstart.Sent{Machine: sent.Machine, Start: 1, Times: []scheduler.Time{1}})
 		}
 	})
-	d, err := disk.Open(path)
+	d, err := vfs.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -286,7 +286,7 @@
 
 // A bar that nothing reaches is infinite; it is kept as such.
 func TestInfiniteBarIsKept(t *testing.T) {
-	d, err := disk.Open(t.TempDir())
+	d, err := vfs.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -336,7 +336,7 @@
 // describeState tells what a folder holds by the names in its bytes, without the types of this program.
 func describeState(t *testing.T, path string) string {
 	t.Helper()
-	d, err := disk.Look(path)
+	d, err := vfs.Look(path)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/schedulerd/knowledge.go
+++ b/internal/schedulerd/knowledge.go
@@ -8,10 +8,10 @@
 	"sort"
 	"strings"
 
-	"glenport/internal/disk"
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/warmstart"
+	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
 	"glenport/scheduler"
 
@@ -48,7 +48,7 @@
 }
 
 // ReadKnowledge reads the file; nil where there is none.
-func ReadKnowledge(d disk.Folder) (*Knowledge, error) {
+func ReadKnowledge(d vfs.Folder) (*Knowledge, error) {
 	version, body, err := wal.ReadWhole(d, KnowledgeName, KnowledgeSort, KnowledgeVersion)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -144,7 +144,7 @@
 }
 
 // write runs on a goroutine of its own: file work must not hold up the loop.
-func (k *Knowledge) write(d disk.Folder) error {
+func (k *Knowledge) write(d vfs.Folder) error {
 	body, err := cbor.Marshal(k)
 	if err != nil {
 		return err
--- a/internal/schedulerd/state.go
+++ b/internal/schedulerd/state.go
@@ -6,11 +6,11 @@
 	"slices"
 	"sync"
 
-	"glenport/internal/disk"
 	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/schedulerd/recovery"
 	"glenport/internal/schedulerd/warmstart"
+	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
 	"glenport/scheduler"
 
@@ -52,12 +52,12 @@
 }
 
 type folder interface {
-	disk.Folder
+	vfs.Folder
 	Close() error
 }
 
 // openFolder is disk.Open, but for tests that make it run full.
-var openFolder = func(path string) (folder, error) { return disk.Open(path) }
+var openFolder = func(path string) (folder, error) { return vfs.Open(path) }
 
 // openState reads a folder and writes down that this life begins. What it cannot read or hold stops the start; a full disk
 // does not.
--- a/internal/schedulerd/state_test.go
+++ b/internal/schedulerd/state_test.go
@@ -12,10 +12,10 @@
 	"syscall"
 	"testing"
 
-	"glenport/internal/disk"
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
 	"glenport/internal/site"
+	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
 	"glenport/scheduler"
 )
@@ -83,7 +83,7 @@
 			}
 		})
 	}
-	d, err := disk.Open(s.State)
+	d, err := vfs.Open(s.State)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -254,11 +254,11 @@
 }
 
 type crampedFile struct {
-	disk.File
+	vfs.File
 	c *cramped
 }
 
-func (c *cramped) Create(name string) (disk.File, error) {
+func (c *cramped) Create(name string) (vfs.File, error) {
 	if c.full.Load() {
 		return nil, syscall.ENOSPC
 	}
@@ -266,7 +266,7 @@
 	return crampedFile{f, c}, err
 }
 
-func (c *cramped) Append(name string) (disk.File, error) {
+func (c *cramped) Append(name string) (vfs.File, error) {
 	f, err := c.folder.Append(name)
 	return crampedFile{f, c}, err
 }
@@ -289,16 +289,16 @@
 	s.State = t.TempDir()
 	openFolder = func(path string) (folder, error) {
 		var err error
-		c.folder, err = disk.Open(path)
+		c.folder, err = vfs.Open(path)
 		return c, err
 	}
-	t.Cleanup(func() { openFolder = func(path string) (folder, error) { return disk.Open(path) } })
+	t.Cleanup(func() { openFolder = func(path string) (folder, error) { return vfs.Open(path) } })
 	return c
 }
 
 // kept are the records of one kind in a folder that nobody holds.
 func kept(t *testing.T, path, kind string) (n int) {
-	d, err := disk.Open(path)
+	d, err := vfs.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -369,7 +369,7 @@
 			}
 			r.h.Stop()
 			until(t, func() bool { return !r.h.loop.Post(func() {}) })
-			until(t, func() bool { d, err := disk.Open(s.State); return err == nil && d.Close() == nil })
+			until(t, func() bool { d, err := vfs.Open(s.State); return err == nil && d.Close() == nil })
 			if bids, lives := kept(t, s.State, BidKind), kept(t, s.State, LifeKind); bids != 1 || lives != 1 {
 				t.Errorf("%d bids and %d lives in the log, want that of what runs and one", bids, lives)
 			}
@@ -413,7 +413,7 @@
 	s := site1{terms(t)}
 	s.State = t.TempDir()
 	live(t, s, learning(scheduler.Knowledge{}), func(*Host) {
-		var owned *disk.Owned
+		var owned *vfs.Owned
 		if _, err := New(s.Placer, learning(scheduler.Knowledge{}), discard); !errors.As(err, &owned) {
 			t.Errorf("%v", err)
 		}
--- a/internal/disk/disk.go
+++ b/internal/storage/vfs/disk.go
@@ -1,6 +1,6 @@
-// Package disk is the few operations on files that glenport's state needs, in one folder. The stores work through
+// Package vfs is the few operations on files that glenport's state needs, in one folder. The stores work through
 // Folder, so that a laboratory can stand beneath them and make every crash that a file system allows.
-package disk
+package vfs
 
 import (
 	"errors"
--- a/internal/disk/disk_test.go
+++ b/internal/storage/vfs/disk_test.go
@@ -1,4 +1,4 @@
-package disk
+package vfs
 
 import (
 	"errors"
--- a/internal/storage/wal/format.go
+++ b/internal/storage/wal/format.go
@@ -10,7 +10,7 @@
 	"sort"
 	"strings"
 
-	"glenport/internal/disk"
+	"glenport/internal/storage/vfs"
 
 	"github.com/fxamacker/cbor/v2"
 	"github.com/tidwall/btree"
@@ -231,7 +231,7 @@
 // Read reads a folder and changes nothing in it. What a crash may leave is read over: a group that was never
 // said to be kept at the end of the last log, and files that were being written. Everything else that is not as
 // it was written is an error that names the place. With trust set the checksums are not looked at (sabotage).
-func Read(d disk.Folder, trust bool) (*State, error) {
+func Read(d vfs.Folder, trust bool) (*State, error) {
 	names, err := d.List()
 	if err != nil {
 		return nil, err
@@ -244,7 +244,7 @@
 			snaps = append(snaps, logFile{name: name, first: n})
 		} else if n, ok := numbered(name, logName); ok {
 			logs = append(logs, logFile{name: name, first: n})
-		} else if strings.HasSuffix(name, disk.Unfinished) && (strings.HasPrefix(name, snapName) || strings.HasPrefix(name, logName)) {
+		} else if strings.HasSuffix(name, vfs.Unfinished) && (strings.HasPrefix(name, snapName) || strings.HasPrefix(name, logName)) {
 			s.stale = append(s.stale, name)
 		}
 	}
@@ -275,7 +275,7 @@
 			return s, err
 		}
 	}
-	if len(logs) == 0 && len(snaps) > 0 && !slices.Contains(s.stale, logOf(next)+disk.Unfinished) { // see mend
+	if len(logs) == 0 && len(snaps) > 0 && !slices.Contains(s.stale, logOf(next)+vfs.Unfinished) { // see mend
 		return s, &Corrupt{snaps[len(snaps)-1].name, 0, fmt.Sprintf("the log from group %d on is missing", next)}
 	}
 	s.logs = logs
@@ -292,7 +292,7 @@
 }
 
 // readSnapshot reads one whole: it was synced before it got its name, so no crash can have cut it short.
-func (s *State) readSnapshot(d disk.Folder, l logFile) error {
+func (s *State) readSnapshot(d vfs.Folder, l logFile) error {
 	p, err := d.Read(l.name)
 	if err != nil {
 		return err
@@ -325,7 +325,7 @@
 
 // readLog reads groups until one is not whole. That is the end of the log where a crash may have left it so: in
 // the last file, with no whole group behind it that was written when this one was on disk already.
-func (s *State) readLog(d disk.Folder, l *logFile, last bool) error {
+func (s *State) readLog(d vfs.Folder, l *logFile, last bool) error {
 	p, err := d.Read(l.name)
 	if err != nil {
 		return err
--- a/internal/storage/wal/golden_test.go
+++ b/internal/storage/wal/golden_test.go
@@ -15,8 +15,8 @@
 	"syscall"
 	"testing"
 
-	"glenport/internal/disk"
 	"glenport/internal/faultdisk"
+	"glenport/internal/storage/vfs"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -51,7 +51,7 @@
 }
 
 // contents are the files of a folder by name.
-func contents(t *testing.T, d disk.Folder) map[string][]byte {
+func contents(t *testing.T, d vfs.Folder) map[string][]byte {
 	t.Helper()
 	names, err := d.List()
 	if err != nil {
@@ -124,7 +124,7 @@
 	for name, p := range older {
 		torn[name] = p
 	}
-	torn[snapName+"000000000000000f"+disk.Unfinished] = []byte("unfinished")
+	torn[snapName+"000000000000000f"+vfs.Unfinished] = []byte("unfinished")
 	out[tornFolder] = torn
 
 	d = faultdisk.New()
@@ -149,7 +149,7 @@
 func lastOf(files map[string][]byte, prefix string) string {
 	last := ""
 	for name := range files {
-		if strings.HasPrefix(name, prefix) && !strings.HasSuffix(name, disk.Unfinished) {
+		if strings.HasPrefix(name, prefix) && !strings.HasSuffix(name, vfs.Unfinished) {
 			last = max(last, name)
 		}
 	}
@@ -166,7 +166,7 @@
 		fmt.Fprintf(&out, "file %s, %d bytes\n", name, len(p))
 		sort := ""
 		switch {
-		case strings.HasSuffix(name, disk.Unfinished):
+		case strings.HasSuffix(name, vfs.Unfinished):
 			fmt.Fprintf(&out, "  unfinished\n")
 			continue
 		case strings.HasPrefix(name, logName):
--- a/internal/storage/wal/store.go
+++ b/internal/storage/wal/store.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"glenport/internal/disk"
+	"glenport/internal/storage/vfs"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -40,7 +40,7 @@
 
 // Store is an open one.
 type Store struct {
-	d     disk.Folder
+	d     vfs.Folder
 	terms Terms
 
 	mu      sync.Mutex
@@ -49,7 +49,7 @@
 	closing bool
 
 	state    *State // the committer's, once open
-	log      disk.File
+	log      vfs.File
 	size     int // of the log file that is written
 	since    int // bytes of log since the last snapshot
 	snapSize int
@@ -78,7 +78,7 @@
 }
 
 // Open reads a folder, cuts off what a crash left unfinished, and begins to take commits.
-func Open(d disk.Folder, t Terms) (*Store, Figures, error) {
+func Open(d vfs.Folder, t Terms) (*Store, Figures, error) {
 	s := &Store{d: d, terms: t}
 	s.wake = sync.NewCond(&s.mu)
 	if t.OnMode == nil {
@@ -306,7 +306,7 @@
 		err = s.startLog(first)
 	}
 	if err == nil {
-		err = s.d.Remove(logOf(first) + disk.Unfinished)
+		err = s.d.Remove(logOf(first) + vfs.Unfinished)
 	}
 	if err != nil {
 		return fmt.Errorf("%w; %w", s.broken, err)
@@ -321,7 +321,7 @@
 
 // announce leaves an unfinished log, by which a snapshot without the log that follows it is known not to be damage.
 func (s *Store) announce(first uint64) error {
-	f, err := s.d.Create(logOf(first) + disk.Unfinished)
+	f, err := s.d.Create(logOf(first) + vfs.Unfinished)
 	if errors.Is(err, os.ErrExist) {
 		return s.d.Sync()
 	}
@@ -432,7 +432,7 @@
 }
 
 // Compact makes a snapshot of a folder that nobody writes to.
-func Compact(d disk.Folder) (before, after Figures, err error) {
+func Compact(d vfs.Folder) (before, after Figures, err error) {
 	s, before, err := Open(d, Terms{})
 	if err != nil {
 		return before, after, err
@@ -457,7 +457,7 @@
 	return before, now.Figures, nil
 }
 
-func writeSnapshot(d disk.Folder, first uint64, of *State) (size int, err error) {
+func writeSnapshot(d vfs.Folder, first uint64, of *State) (size int, err error) {
 	p := header(snapSort, first)
 	var chunk []Change
 	n, held := uint64(0), 0
@@ -486,11 +486,11 @@
 		}
 	}
 	p = frame(p, n, 0, nil)
-	return len(p), disk.Replace(d, fmt.Sprintf("%s%016x", snapName, first), p)
+	return len(p), vfs.Replace(d, fmt.Sprintf("%s%016x", snapName, first), p)
 }
 
 // removeOlder takes away what a snapshot made needless; what is left of it by a crash goes at the next start.
-func removeOlder(d disk.Folder, first uint64) error {
+func removeOlder(d vfs.Folder, first uint64) error {
 	names, err := d.List()
 	if err != nil {
 		return err
--- a/internal/storage/wal/store_test.go
+++ b/internal/storage/wal/store_test.go
@@ -13,8 +13,8 @@
 	"syscall"
 	"testing"
 
-	"glenport/internal/disk"
 	"glenport/internal/faultdisk"
+	"glenport/internal/storage/vfs"
 
 	"go.uber.org/goleak"
 	"pgregory.net/rapid"
@@ -30,7 +30,7 @@
 	return <-done
 }
 
-func mustOpen(t *testing.T, d disk.Folder, terms Terms) (*Store, Figures) {
+func mustOpen(t *testing.T, d vfs.Folder, terms Terms) (*Store, Figures) {
 	t.Helper()
 	s, f, err := Open(d, terms)
 	if err != nil {
@@ -65,7 +65,7 @@
 
 const first = "log-0000000000000001"
 
-func snapshotOf(d disk.Folder) string {
+func snapshotOf(d vfs.Folder) string {
 	names, _ := d.List()
 	for _, n := range names {
 		if strings.HasPrefix(n, snapName) {
@@ -210,16 +210,16 @@
 	})
 	t.Run("owned by another", func(t *testing.T) {
 		dir := t.TempDir()
-		one, err := disk.Open(dir)
+		one, err := vfs.Open(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var owned *disk.Owned
-		if _, err := disk.Open(dir); !errors.As(err, &owned) || !strings.Contains(owned.By, fmt.Sprint(os.Getpid())) {
+		var owned *vfs.Owned
+		if _, err := vfs.Open(dir); !errors.As(err, &owned) || !strings.Contains(owned.By, fmt.Sprint(os.Getpid())) {
 			t.Errorf("%v", err)
 		}
 		one.Close()
-		two, err := disk.Open(dir)
+		two, err := vfs.Open(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -229,7 +229,7 @@
 
 // A folder of the system's holds a bounded amount, while work goes on, and is read as it was written.
 func TestCompaction(t *testing.T) {
-	d, err := disk.Open(t.TempDir())
+	d, err := vfs.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/storage/wal/whole.go
+++ b/internal/storage/wal/whole.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"hash/crc32"
 
-	"glenport/internal/disk"
+	"glenport/internal/storage/vfs"
 )
 
 // A whole file is replaced as one: eight bytes that name sort and version, the length of what follows, and a
@@ -14,11 +14,11 @@
 const wholeHeader = 16
 
 // WriteWhole puts a file in the place of the one before, with a sort of seven letters.
-func WriteWhole(d disk.Folder, name, sort string, version byte, body []byte) error {
+func WriteWhole(d vfs.Folder, name, sort string, version byte, body []byte) error {
 	p := append([]byte(sort), version)
 	p = binary.BigEndian.AppendUint32(p, uint32(len(body)))
 	p = binary.BigEndian.AppendUint32(p, wholeSum(p, body))
-	return disk.Replace(d, name, append(p, body...))
+	return vfs.Replace(d, name, append(p, body...))
 }
 
 func wholeSum(header, body []byte) uint32 {
@@ -26,7 +26,7 @@
 }
 
 // ReadWhole reads such a file; its version is at most the one known.
-func ReadWhole(d disk.Folder, name, sort string, known byte) (version byte, body []byte, err error) {
+func ReadWhole(d vfs.Folder, name, sort string, known byte) (version byte, body []byte, err error) {
 	p, err := d.Read(name)
 	if err != nil {
 		return 0, nil, err
--- a/measure/store/store_test.go
+++ b/measure/store/store_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"glenport/internal/disk"
+	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
 
 	"github.com/cockroachdb/pebble/v2"
@@ -42,7 +42,7 @@
 
 var engines = map[string]func(dir string) (opened, error){
 	"glenport": func(dir string) (opened, error) {
-		d, err := disk.Open(dir)
+		d, err := vfs.Open(dir)
 		if err != nil {
 			return opened{}, err
 		}
