--- a/internal/lab/crashes.go
+++ b/internal/lab/crashes.go
@@ -7,7 +7,7 @@
 	"sort"
 	"strings"
 
-	"glenport/internal/faultdisk"
+	"glenport/internal/storage/faultfs"
 	"glenport/internal/storage/wal"
 )
 
@@ -31,7 +31,7 @@
 }
 
 // history commits and notes what must be found. Every commit changes the value of "n", so that states differ.
-func (c *Crashes) history(d *faultdisk.Disk) ([]moment, error) {
+func (c *Crashes) history(d *faultfs.Disk) ([]moment, error) {
 	s, _, err := wal.Open(d, wal.Terms{Small: 2000})
 	if err != nil {
 		return nil, err
@@ -90,7 +90,7 @@
 }
 
 // open recovers a folder and tells what it holds.
-func (c *Crashes) open(d *faultdisk.Disk) (string, error) {
+func (c *Crashes) open(d *faultfs.Disk) (string, error) {
 	s, _, err := wal.Open(d, wal.Terms{Trust: c.Spoil == "checksum"})
 	if err != nil {
 		return "", err
@@ -101,7 +101,7 @@
 
 // Run returns what was found to be wrong first, or nil.
 func (c *Crashes) Run() error {
-	d := faultdisk.New()
+	d := faultfs.New()
 	d.NoSync = c.Spoil == "sync"
 	moments, err := c.history(d)
 	if err != nil {
@@ -119,9 +119,9 @@
 				ceiling = i
 			}
 		}
-		fates := []faultdisk.Fate{faultdisk.Lost, faultdisk.Kept}
+		fates := []faultfs.Fate{faultfs.Lost, faultfs.Kept}
 		for range c.Mixed {
-			fates = append(fates, faultdisk.Mixed(r))
+			fates = append(fates, faultfs.Mixed(r))
 		}
 		for n, fate := range fates {
 			left := d.Crash(at, fate)
@@ -138,7 +138,7 @@
 				continue
 			}
 			for again := before; again <= left.Ops(); again++ { // a second crash, during the recovery from the first
-				twice, err := c.open(left.Crash(again, faultdisk.Mixed(r)))
+				twice, err := c.open(left.Crash(again, faultfs.Mixed(r)))
 				if err != nil {
 					return fmt.Errorf("crash after operation %d, and again after %d of its recovery: not opened: %w", at, again-before, err)
 				}
@@ -168,7 +168,7 @@
 
 // flip turns single bits over in what a clean end left. Each must be refused, but in the last group: there it
 // cannot be told from a group that a crash cut off, and the state before it is found.
-func (c *Crashes) flip(d *faultdisk.Disk, moments []moment, r *rand.Rand) error {
+func (c *Crashes) flip(d *faultfs.Disk, moments []moment, r *rand.Rand) error {
 	names, _ := d.List()
 	last := len(moments) - 1
 	for _, name := range names {
@@ -178,7 +178,7 @@
 		}
 		for range 40 * c.Mixed {
 			bit := r.IntN(8 * len(p))
-			left := d.Crash(c.Ops, faultdisk.Kept)
+			left := d.Crash(c.Ops, faultfs.Kept)
 			if err := left.Flip(name, bit); err != nil {
 				return err
 			}
--- a/internal/faultdisk/faultdisk.go
+++ b/internal/storage/faultfs/faultdisk.go
@@ -1,8 +1,8 @@
-// Package faultdisk is the laboratory's folder: it lives in memory, keeps every write, sync, rename and removal
+// Package faultfs is the laboratory's folder: it lives in memory, keeps every write, sync, rename and removal
 // in order, fails on demand, and makes the states in which a crash may leave a folder. What it allows: of all that
 // was not synced each sector of 512 bytes, each change of a file's length, and each change of the folder may have
 // reached the disk or not, in any order; a rename is whole or not at all; what was synced stays.
-package faultdisk
+package faultfs
 
 import (
 	"fmt"
--- a/internal/faultdisk/golden_test.go
+++ b/internal/storage/faultfs/golden_test.go
@@ -1,4 +1,4 @@
-package faultdisk
+package faultfs
 
 import (
 	"crypto/sha256"
--- a/internal/storage/wal/golden_test.go
+++ b/internal/storage/wal/golden_test.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"testing"
 
-	"glenport/internal/faultdisk"
+	"glenport/internal/storage/faultfs"
 	"glenport/internal/storage/vfs"
 
 	"github.com/fxamacker/cbor/v2"
@@ -67,9 +67,9 @@
 }
 
 // folderOf is a folder in memory with these files.
-func folderOf(t *testing.T, files map[string][]byte) *faultdisk.Disk {
+func folderOf(t *testing.T, files map[string][]byte) *faultfs.Disk {
 	t.Helper()
-	d := faultdisk.New()
+	d := faultfs.New()
 	for name, p := range files {
 		f, err := d.Create(name)
 		if err != nil {
@@ -84,7 +84,7 @@
 
 // writeFolders plays the history that is recorded, and returns the files of each folder.
 func writeFolders(t *testing.T) map[string]map[string][]byte {
-	d := faultdisk.New()
+	d := faultfs.New()
 	s, _ := mustOpen(t, d, Terms{})
 	mustCommit(t, s, true, goldenPut("job", "a", "value 1"))
 	mustCommit(t, s, true, goldenPut("job", "b", "value 2"), goldenPut("container", "a/0", "value 3"))
@@ -127,7 +127,7 @@
 	torn[snapName+"000000000000000f"+vfs.Unfinished] = []byte("unfinished")
 	out[tornFolder] = torn
 
-	d = faultdisk.New()
+	d = faultfs.New()
 	s, _ = mustOpen(t, d, Terms{})
 	mustCommit(t, s, true, goldenPut("job", "a", "value 10"))
 	d.Fail = func(kind, _ string) error {
@@ -410,7 +410,7 @@
 
 // A snapshot of several chunks has the bytes that it always had.
 func TestSnapshotOfSeveralChunksKeepsItsBytes(t *testing.T) {
-	d := faultdisk.New()
+	d := faultfs.New()
 	s, _ := mustOpen(t, d, Terms{})
 	for i := range 5 {
 		mustCommit(t, s, i == 4, goldenPut("k", fmt.Sprint(i), strings.Repeat(fmt.Sprint(i), 600_000)))
@@ -443,7 +443,7 @@
 // A file that is replaced as a whole has the bytes that it always had, and is read again.
 func TestReplacedFileKeepsItsBytes(t *testing.T) {
 	const file = "testdata/replaced.bin" // sort GOLDENF, version 3, "what it holds"
-	d := faultdisk.New()
+	d := faultfs.New()
 	if err := WriteWhole(d, "f", "GOLDENF", 3, []byte("what it holds")); err != nil {
 		t.Fatal(err)
 	}
@@ -495,7 +495,7 @@
 
 // history opens a folder, commits, makes a snapshot, opens it again and commits, and notes what came of each step. No
 // snapshot is written beside the work in it, so the order of its operations is fixed.
-func history(t *testing.T, d *faultdisk.Disk, note func(format string, a ...any)) {
+func history(t *testing.T, d *faultfs.Disk, note func(format string, a ...any)) {
 	opened := func() *Store {
 		s, _, err := Open(d, Terms{OnMode: func(string, ...any) { note("mode changed") }})
 		note("open: %s", outcome(err))
@@ -527,7 +527,7 @@
 func operationsOf(t *testing.T) string {
 	var out strings.Builder
 	play := func(note func(format string, a ...any), fails func(n int, kind string) bool) int {
-		d, n := faultdisk.New(), 0
+		d, n := faultfs.New(), 0
 		d.Fail = func(kind, name string) error {
 			note("  %s %s", kind, name)
 			n++
--- a/internal/storage/wal/store_test.go
+++ b/internal/storage/wal/store_test.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"testing"
 
-	"glenport/internal/faultdisk"
+	"glenport/internal/storage/faultfs"
 	"glenport/internal/storage/vfs"
 
 	"go.uber.org/goleak"
@@ -49,8 +49,8 @@
 }
 
 // filled is a folder with ten groups in one log.
-func filled(t *testing.T) *faultdisk.Disk {
-	d := faultdisk.New()
+func filled(t *testing.T) *faultfs.Disk {
+	d := faultfs.New()
 	s, _ := mustOpen(t, d, Terms{})
 	for i := range 10 {
 		if err := commit1(s, true, put(fmt.Sprint(i), strings.Repeat("x", 100))); err != nil {
@@ -79,39 +79,39 @@
 func TestDamage(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		spoil func(t *testing.T, d *faultdisk.Disk)
+		spoil func(t *testing.T, d *faultfs.Disk)
 		want  string // of the error; empty: nine or ten groups are read
 		left  int
 	}{
-		{"nothing", func(*testing.T, *faultdisk.Disk) {}, "", 10},
-		{"a truncated tail", func(t *testing.T, d *faultdisk.Disk) {
+		{"nothing", func(*testing.T, *faultfs.Disk) {}, "", 10},
+		{"a truncated tail", func(t *testing.T, d *faultfs.Disk) {
 			p, _ := d.Read(first)
 			f, _ := d.Append(first)
 			f.Truncate(int64(len(p) - 80)) // the mark of the orderly end, and a part of the last group
 			f.Sync()
 		}, "", 9},
-		{"a corrupt middle", func(t *testing.T, d *faultdisk.Disk) { d.Flip(first, 8*400) }, "group 3 is damaged; it was kept, as group 4", 0},
-		{"a corrupt length in the middle", func(t *testing.T, d *faultdisk.Disk) { d.Flip(first, 8*(headerSize+4)) }, "group 1 is damaged", 0},
-		{"a corrupt beginning", func(t *testing.T, d *faultdisk.Disk) { d.Flip(first, 8*3) }, "at byte 0: it does not begin", 0},
-		{"a version from later", func(t *testing.T, d *faultdisk.Disk) { rewrite(t, d, first, Version+1) }, "use the later one", 0},
-		{"a file is missing", func(t *testing.T, d *faultdisk.Disk) {
+		{"a corrupt middle", func(t *testing.T, d *faultfs.Disk) { d.Flip(first, 8*400) }, "group 3 is damaged; it was kept, as group 4", 0},
+		{"a corrupt length in the middle", func(t *testing.T, d *faultfs.Disk) { d.Flip(first, 8*(headerSize+4)) }, "group 1 is damaged", 0},
+		{"a corrupt beginning", func(t *testing.T, d *faultfs.Disk) { d.Flip(first, 8*3) }, "at byte 0: it does not begin", 0},
+		{"a version from later", func(t *testing.T, d *faultfs.Disk) { rewrite(t, d, first, Version+1) }, "use the later one", 0},
+		{"a file is missing", func(t *testing.T, d *faultfs.Disk) {
 			if err := d.Rename(first, "log-0000000000000004"); err != nil {
 				t.Fatal(err)
 			}
 		}, "a file is missing", 0},
-		{"an unfinished snapshot", func(t *testing.T, d *faultdisk.Disk) { d.Create("snapshot-000000000000000b.new") }, "", 10},
-		{"a snapshot cut short", func(t *testing.T, d *faultdisk.Disk) {
+		{"an unfinished snapshot", func(t *testing.T, d *faultfs.Disk) { d.Create("snapshot-000000000000000b.new") }, "", 10},
+		{"a snapshot cut short", func(t *testing.T, d *faultfs.Disk) {
 			if _, _, err := Compact(d); err != nil {
 				t.Fatal(err)
 			}
 			f, _ := d.Append(snapshotOf(d))
 			f.Truncate(300)
 		}, "part 0 of it is damaged", 0},
-		{"a snapshot without its log", func(t *testing.T, d *faultdisk.Disk) {
+		{"a snapshot without its log", func(t *testing.T, d *faultfs.Disk) {
 			Compact(d)
 			d.Remove(strings.Replace(snapshotOf(d), snapName, logName, 1))
 		}, "the log from group 13 on is missing", 0},
-		{"compacted", func(t *testing.T, d *faultdisk.Disk) { Compact(d); Compact(d) }, "", 10},
+		{"compacted", func(t *testing.T, d *faultfs.Disk) { Compact(d); Compact(d) }, "", 10},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			d := filled(t)
@@ -143,7 +143,7 @@
 }
 
 // rewrite gives a file another version, with a right checksum.
-func rewrite(t *testing.T, d *faultdisk.Disk, name string, version byte) {
+func rewrite(t *testing.T, d *faultfs.Disk, name string, version byte) {
 	p, err := d.Read(name)
 	if err != nil {
 		t.Fatal(err)
@@ -169,7 +169,7 @@
 		{"full, and not to be taken back", "write truncate", syscall.EIO, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			d := faultdisk.New()
+			d := faultfs.New()
 			modes := 0
 			s, _ := mustOpen(t, d, Terms{OnMode: func(string, ...any) { modes++ }})
 			commit1(s, true, put("a", "1"))
@@ -202,7 +202,7 @@
 		})
 	}
 	t.Run("read-only folder", func(t *testing.T) {
-		d := faultdisk.New()
+		d := faultfs.New()
 		d.Fail = func(string, string) error { return syscall.EROFS }
 		if _, _, err := Open(d, Terms{}); !errors.Is(err, syscall.EROFS) {
 			t.Errorf("%v", err)
@@ -276,7 +276,7 @@
 // some commit, never one before the last that was said to be on disk. Crashes come during recovery too.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := faultdisk.New()
+		d := faultfs.New()
 		past := []map[string]string{{}}
 		floor := 0
 		for range rapid.IntRange(1, 5).Draw(t, "lives") {
@@ -329,7 +329,7 @@
 				}
 			}
 			seed := rapid.Uint64().Draw(t, "fate")
-			d = d.Crash(crash, faultdisk.Mixed(rand.New(rand.NewPCG(seed, 1))))
+			d = d.Crash(crash, faultfs.Mixed(rand.New(rand.NewPCG(seed, 1))))
 			if rapid.Bool().Draw(t, "crash in recovery") {
 				before := d.Ops()
 				s, _, err := Open(d, Terms{})
@@ -338,7 +338,7 @@
 				}
 				s.Close()
 				again := rapid.IntRange(before, d.Ops()).Draw(t, "after")
-				d = d.Crash(again, faultdisk.Mixed(rand.New(rand.NewPCG(seed, 2))))
+				d = d.Crash(again, faultfs.Mixed(rand.New(rand.NewPCG(seed, 2))))
 			}
 		}
 	})
@@ -349,7 +349,7 @@
 func TestWrittenAnew(t *testing.T) {
 	for _, fails := range []string{"sync", "sync folder", "create", "rename", "remove", "write"} {
 		t.Run("a sync fails, then "+fails, func(t *testing.T) {
-			d := faultdisk.New()
+			d := faultfs.New()
 			s, _ := mustOpen(t, d, Terms{})
 			type mark struct {
 				ops  int
@@ -408,9 +408,9 @@
 					}
 				}
 				for seed := range uint64(6) {
-					fate := []faultdisk.Fate{faultdisk.Lost, faultdisk.Kept}[seed%2]
+					fate := []faultfs.Fate{faultfs.Lost, faultfs.Kept}[seed%2]
 					if seed > 1 {
-						fate = faultdisk.Mixed(rand.New(rand.NewPCG(seed, uint64(ops))))
+						fate = faultfs.Mixed(rand.New(rand.NewPCG(seed, uint64(ops))))
 					}
 					again, _, err := Open(d.Crash(ops, fate), Terms{})
 					if err != nil {
