--- a/cmd/glenport-lab/main.go
+++ b/cmd/glenport-lab/main.go
@@ -14,10 +14,10 @@
 
 	"glenport/internal/audit"
 	"glenport/internal/bgp/speaker"
+	"glenport/internal/config"
 	"glenport/internal/lab"
 	"glenport/internal/sabotage"
 	"glenport/internal/schedulerd"
-	"glenport/internal/site"
 	"glenport/scheduler"
 
 	"github.com/spf13/cobra"
@@ -152,7 +152,7 @@
 	var rule int
 	var damped bool
 	c := &cobra.Command{Use: "placer", Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		s, err := site.Load(file)
+		s, err := config.Load(file)
 		if err != nil {
 			return err
 		}
--- a/cmd/glenport/keeper.go
+++ b/cmd/glenport/keeper.go
@@ -10,10 +10,10 @@
 	"syscall"
 	"time"
 
+	"glenport/internal/config"
 	"glenport/internal/controller/api"
 	"glenport/internal/controller/server"
 	"glenport/internal/controller/watchcache"
-	"glenport/internal/site"
 
 	"github.com/spf13/cobra"
 )
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			k, err := site.LoadKeeper(file)
+			k, err := config.LoadKeeper(file)
 			if err != nil {
 				return err
 			}
--- a/cmd/glenport/main.go
+++ b/cmd/glenport/main.go
@@ -11,9 +11,9 @@
 	"runtime"
 	"syscall"
 
+	"glenport/internal/config"
 	"glenport/internal/metrics"
 	"glenport/internal/schedulerd"
-	"glenport/internal/site"
 	"glenport/scheduler"
 
 	"github.com/spf13/cobra"
@@ -47,7 +47,7 @@
 			if err != nil {
 				return err
 			}
-			s, err := site.Load(file)
+			s, err := config.Load(file)
 			if err != nil {
 				return err
 			}
@@ -99,7 +99,7 @@
 		RunE: func(c *cobra.Command, files []string) error {
 			bad := false
 			for _, f := range files {
-				s, err := site.Load(f)
+				s, err := config.Load(f)
 				if err != nil {
 					fmt.Fprintln(c.ErrOrStderr(), err)
 					bad = true
--- a/internal/bgp/speaker/speaker.go
+++ b/internal/bgp/speaker/speaker.go
@@ -11,8 +11,8 @@
 	"glenport/internal/bgp/announce"
 	"glenport/internal/bgp/session"
 	"glenport/internal/bgp/wire"
+	"glenport/internal/config"
 	"glenport/internal/eventloop"
-	"glenport/internal/site"
 	"glenport/scheduler"
 
 	"github.com/gaissmai/bart"
@@ -36,8 +36,8 @@
 
 // Place and Peer are what the placer's file says of announcing.
 type (
-	Place = site.Announcing
-	Peer  = site.Neighbour
+	Place = config.Announcing
+	Peer  = config.Neighbour
 )
 
 // Speaker is a running one.
--- a/internal/site/bgp.go
+++ b/internal/config/bgp.go
@@ -1,4 +1,4 @@
-package site
+package config
 
 import (
 	"fmt"
--- a/internal/site/site.go
+++ b/internal/config/site.go
@@ -1,6 +1,6 @@
-// Package site reads what a placer is told when it starts: its place among the others, the machines it bids
+// Package config reads what a placer is told when it starts: its place among the others, the machines it bids
 // to, the workloads, and the bounds it keeps. It turns that into the placer module's terms.
-package site
+package config
 
 import (
 	"fmt"
--- a/internal/controller/api/api_test.go
+++ b/internal/controller/api/api_test.go
@@ -15,10 +15,10 @@
 	"testing"
 	"time"
 
+	"glenport/internal/config"
 	"glenport/internal/controller/server"
 	"glenport/internal/controller/watchcache"
 	"glenport/internal/schedulerd"
-	"glenport/internal/site"
 	"glenport/internal/standin"
 	"glenport/scheduler"
 
@@ -43,7 +43,7 @@
 func start(t *testing.T, machines int) *rig {
 	t.Helper()
 	r := &rig{T: t}
-	s, err := site.Load("../../../days/why-placer.yaml")
+	s, err := config.Load("../../../days/why-placer.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/api/golden_test.go
+++ b/internal/controller/api/golden_test.go
@@ -15,10 +15,10 @@
 	"testing"
 	"time"
 
+	"glenport/internal/config"
 	"glenport/internal/controller/pending"
 	"glenport/internal/controller/server"
 	"glenport/internal/controller/watchcache"
-	"glenport/internal/site"
 )
 
 var update = flag.Bool("update", false, "write the golden answers anew")
@@ -26,7 +26,7 @@
 // TestAnswersMatchGoldenBytes holds what clients are sent, byte for byte, against testdata: lists, objects, watch events and
 // problems, from a controller that holds fixed objects and serves nothing else.
 func TestAnswersMatchGoldenBytes(t *testing.T) {
-	h, err := server.New(server.Place{Name: "controller", Seed: 1, Site: &site.Placer{Workloads: []string{"matcher"}}}, watchcache.New(Line), quiet)
+	h, err := server.New(server.Place{Name: "controller", Seed: 1, Site: &config.Placer{Workloads: []string{"matcher"}}}, watchcache.New(Line), quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/server/golden_test.go
+++ b/internal/controller/server/golden_test.go
@@ -13,9 +13,9 @@
 	"strings"
 	"testing"
 
+	"glenport/internal/config"
 	"glenport/internal/controller"
 	"glenport/internal/controller/watchcache"
-	"glenport/internal/site"
 	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
 	"glenport/scheduler"
@@ -75,7 +75,7 @@
 
 func goldenPlace(folder string) Place {
 	return Place{Name: "controller", Doors: []string{"127.0.0.1:7000", goldenDoor}, Seed: 1, State: folder,
-		Site: &site.Placer{Workloads: []string{"matcher", "report-run"}, Customers: []string{"offices", "farms", "schools"},
+		Site: &config.Placer{Workloads: []string{"matcher", "report-run"}, Customers: []string{"offices", "farms", "schools"},
 			Terms: scheduler.Terms{Workloads: []scheduler.Workload{{}, {}}}}}
 }
 
--- a/internal/controller/server/jobs.go
+++ b/internal/controller/server/jobs.go
@@ -10,13 +10,13 @@
 	"strings"
 	"time"
 
+	"glenport/internal/config"
 	"glenport/internal/controller"
 	"glenport/internal/controller/pending"
 	"glenport/internal/controller/watchcache"
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/recovery"
-	"glenport/internal/site"
 	"glenport/internal/storage/wal"
 	"glenport/scheduler"
 )
@@ -42,8 +42,8 @@
 	Doors []string
 	List  string
 	Seed  uint64
-	State string       // the folder of what is kept over restarts; nothing is where empty
-	Site  *site.Placer // workloads, customers, kinds
+	State string         // the folder of what is kept over restarts; nothing is where empty
+	Site  *config.Placer // workloads, customers, kinds
 }
 
 // Job is what an owner wants.
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -13,8 +13,8 @@
 	"syscall"
 	"time"
 
+	"glenport/internal/config"
 	"glenport/internal/protocol"
-	"glenport/internal/site"
 	"glenport/internal/standin"
 	"glenport/internal/tap"
 
@@ -29,8 +29,8 @@
 	Net      *tap.Net
 	Owners   *standin.Owners
 	Placers  []*Placer
-	Site     *site.Placer // of the first placer
-	ListAddr string       // the list's own, without a tap
+	Site     *config.Placer // of the first placer
+	ListAddr string         // the list's own, without a tap
 	record   *tap.Writer
 }
 
@@ -152,7 +152,7 @@
 }
 
 // placerFile writes one placer's file after a template.
-func placerFile(template []byte, path string, extra, set map[string]any) (*site.Placer, error) {
+func placerFile(template []byte, path string, extra, set map[string]any) (*config.Placer, error) {
 	var all map[string]any
 	if err := yaml.Unmarshal(template, &all); err != nil {
 		return nil, err
@@ -179,7 +179,7 @@
 	if err := os.WriteFile(path, data, 0o644); err != nil {
 		return nil, err
 	}
-	return site.Load(path)
+	return config.Load(path)
 }
 
 // Bring brings a day's cluster up, in a folder of its own.
@@ -195,7 +195,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.Site, err = site.Parse(d.Template, template); err != nil {
+	if c.Site, err = config.Parse(d.Template, template); err != nil {
 		return nil, err
 	}
 	terms := c.Site.Terms
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
+	"glenport/internal/config"
 	"glenport/internal/protocol"
 	"glenport/internal/settings"
-	"glenport/internal/site"
 	"glenport/internal/standin"
 	"glenport/internal/tap"
 	"glenport/scheduler"
@@ -175,7 +175,7 @@
 	for _, k := range f.Machines {
 		d.Counts = append(d.Counts, kindCount{k.Kind.Text, k.Each.Value})
 	}
-	s, err := site.Load(d.Template)
+	s, err := config.Load(d.Template)
 	if err != nil {
 		return nil, err
 	}
@@ -211,7 +211,7 @@
 }
 
 // shapes are the day's machines, hall by hall.
-func (d *Day) shapes(s *site.Placer) []standin.Shape {
+func (d *Day) shapes(s *config.Placer) []standin.Shape {
 	var all []standin.Shape
 	byName := map[string]int{}
 	for i, k := range s.Kinds {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"glenport/internal/audit"
+	"glenport/internal/config"
 	"glenport/internal/schedulerd"
-	"glenport/internal/site"
 	"glenport/internal/standin"
 	"glenport/scheduler"
 )
@@ -20,7 +20,7 @@
 // The test program is its own placer process, so that one can be killed for good.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 4 && os.Args[1] == "placer" {
-		s, err := site.Load(os.Args[3])
+		s, err := config.Load(os.Args[3])
 		if err != nil {
 			panic(err)
 		}
--- a/internal/schedulerd/helpers_test.go
+++ b/internal/schedulerd/helpers_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"glenport/internal/config"
 	"glenport/internal/protocol"
-	"glenport/internal/site"
 	"glenport/scheduler"
 
 	"go.uber.org/goleak"
@@ -45,8 +45,8 @@
 	door   *caller
 }
 
-func terms(t *testing.T) *site.Placer {
-	s, err := site.Load("../../deploy/placer.yaml")
+func terms(t *testing.T) *config.Placer {
+	s, err := config.Load("../../deploy/placer.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	return s
 }
 
-func start(t *testing.T, s *site.Placer, on func(scheduler.Event) []scheduler.Action, machines map[string]string) *rig {
+func start(t *testing.T, s *config.Placer, on func(scheduler.Event) []scheduler.Action, machines map[string]string) *rig {
 	t.Helper()
 	sc := &script{on: on, events: make(chan scheduler.Event, 100_000)}
 	r := &rig{T: t, script: sc}
@@ -66,7 +66,7 @@
 	return r
 }
 
-func run(t *testing.T, s *site.Placer, d Decider) *Host {
+func run(t *testing.T, s *config.Placer, d Decider) *Host {
 	t.Helper()
 	h, err := New(s, d, discard)
 	if err != nil {
@@ -224,6 +224,6 @@
 }
 
 // site1 is a placer's file, by value where a test changes it.
-type site1 struct{ *site.Placer }
+type site1 struct{ *config.Placer }
 
 var discard = slog.New(slog.NewTextHandler(io.Discard, nil))
--- a/internal/schedulerd/host.go
+++ b/internal/schedulerd/host.go
@@ -10,12 +10,12 @@
 
 	"glenport/internal/bgp/announce"
 	"glenport/internal/bgp/speaker"
+	"glenport/internal/config"
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/overload"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/schedulerd/recovery"
-	"glenport/internal/site"
 	"glenport/scheduler"
 )
 
@@ -33,7 +33,7 @@
 
 // Host is one life of a placer.
 type Host struct {
-	site    *site.Placer
+	site    *config.Placer
 	life    uint64
 	log     *slog.Logger
 	loop    *eventloop.Loop
@@ -94,7 +94,7 @@
 }
 
 // New makes the host of one life of a placer and opens its door. Stop or Run to its end frees what it holds.
-func New(s *site.Placer, d Decider, log *slog.Logger) (*Host, error) {
+func New(s *config.Placer, d Decider, log *slog.Logger) (*Host, error) {
 	h := &Host{site: s, life: uint64(time.Now().UnixMicro()), log: log, decider: d,
 		open: map[scheduler.ContainerID]*container{}, machines: map[scheduler.MachineID]*machine{},
 		asking: map[scheduler.ContainerID]time.Duration{}, owners: map[reconcile.Caller]*owner{},
--- a/internal/schedulerd/orders_test.go
+++ b/internal/schedulerd/orders_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
+	"glenport/internal/config"
 	"glenport/internal/eventloop"
 	"glenport/internal/orders"
 	"glenport/internal/protocol"
-	"glenport/internal/site"
 	"glenport/scheduler"
 
 	"golang.org/x/sys/unix"
@@ -119,7 +119,7 @@
 	adopted  int
 }
 
-func newWorld(t *testing.T, s *site.Placer, around func(orders.Decider) orders.Decider) *world {
+func newWorld(t *testing.T, s *config.Placer, around func(orders.Decider) orders.Decider) *world {
 	w := &world{t: t, list: listenHere(t), machines: map[string]*scripted{}, answers: map[string]int{}, ended: map[string]bool{}}
 	for i, name := range []string{"a", "b"} {
 		m := &scripted{listening: listenHere(t), start: 1, held: map[uint64]*holding{}}
@@ -440,7 +440,7 @@
 }
 
 // tinySite has one workload for each of the three containers.
-func tinySite(t *testing.T, workloads ...scheduler.Workload) *site.Placer {
+func tinySite(t *testing.T, workloads ...scheduler.Workload) *config.Placer {
 	s := terms(t)
 	s.Connect, s.Silent, s.Idle = 30*eventloop.Second, 600*eventloop.Second, 600*eventloop.Second
 	s.Terms.Placers, s.Terms.Me, s.Terms.Kinds = 1, 0, []scheduler.Kind{{Cores: 20, Memory: 20}}
@@ -483,7 +483,7 @@
 	}
 }
 
-func tryAll(t *testing.T, s *site.Placer, words []string, depth int, around func(orders.Decider) orders.Decider) (n int, said, breaks []string) {
+func tryAll(t *testing.T, s *config.Placer, words []string, depth int, around func(orders.Decider) orders.Decider) (n int, said, breaks []string) {
 	orders.Each(depth, func(path []int) (widths []int, on bool) {
 		w := newWorld(t, s, around)
 		defer w.close()
--- a/internal/schedulerd/state_test.go
+++ b/internal/schedulerd/state_test.go
@@ -12,9 +12,9 @@
 	"syscall"
 	"testing"
 
+	"glenport/internal/config"
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
-	"glenport/internal/site"
 	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
 	"glenport/scheduler"
@@ -284,7 +284,7 @@
 	return f.File.Sync()
 }
 
-func cramp(t *testing.T, s *site.Placer) *cramped {
+func cramp(t *testing.T, s *config.Placer) *cramped {
 	c := &cramped{}
 	s.State = t.TempDir()
 	openFolder = func(path string) (folder, error) {
