--- a/internal/config/bgp.go
+++ b/internal/config/bgp.go
@@ -6,7 +6,7 @@
 
 	"glenport/internal/bgp/announce"
 	"glenport/internal/bgp/wire"
-	"glenport/internal/settings"
+	"glenport/internal/config/strictyaml"
 	"glenport/scheduler"
 )
 
@@ -32,34 +32,34 @@
 }
 
 type bgpFile struct {
-	AS       settings.Count `yaml:"as"`
-	ID       settings.Word  `yaml:"identifier"`
-	Listen   settings.Word  `yaml:"listen" settings:"may"`
-	Peers    []bgpPeer      `yaml:"peers"`
-	Services []bgpService   `yaml:"services"`
+	AS       strictyaml.Count `yaml:"as"`
+	ID       strictyaml.Word  `yaml:"identifier"`
+	Listen   strictyaml.Word  `yaml:"listen" settings:"may"`
+	Peers    []bgpPeer        `yaml:"peers"`
+	Services []bgpService     `yaml:"services"`
 }
 
 type bgpPeer struct {
-	Addr     settings.Word   `yaml:"address"`
-	AS       settings.Count  `yaml:"as"`
-	Hold     settings.Span   `yaml:"hold"`
-	Restart  settings.Span   `yaml:"keep_routes_for" settings:"may"`
-	Passive  settings.Flag   `yaml:"it_calls" settings:"may"`
-	Families []settings.Word `yaml:"families"`
-	Allow    []settings.Word `yaml:"allow"`
-	Key      settings.Word   `yaml:"tcp_md5_key" settings:"may"`
+	Addr     strictyaml.Word   `yaml:"address"`
+	AS       strictyaml.Count  `yaml:"as"`
+	Hold     strictyaml.Span   `yaml:"hold"`
+	Restart  strictyaml.Span   `yaml:"keep_routes_for" settings:"may"`
+	Passive  strictyaml.Flag   `yaml:"it_calls" settings:"may"`
+	Families []strictyaml.Word `yaml:"families"`
+	Allow    []strictyaml.Word `yaml:"allow"`
+	Key      strictyaml.Word   `yaml:"tcp_md5_key" settings:"may"`
 }
 
 type bgpService struct {
-	Service settings.Word  `yaml:"service"`
-	Prefix  settings.Word  `yaml:"prefix"`
-	NextHop settings.Word  `yaml:"next_hop"`
-	Least   settings.Count `yaml:"least_running" settings:"may"`
-	MED     settings.Count `yaml:"med" settings:"may"`
-	Healthy settings.Flag  `yaml:"fewer_is_worse" settings:"may"`
+	Service strictyaml.Word  `yaml:"service"`
+	Prefix  strictyaml.Word  `yaml:"prefix"`
+	NextHop strictyaml.Word  `yaml:"next_hop"`
+	Least   strictyaml.Count `yaml:"least_running" settings:"may"`
+	MED     strictyaml.Count `yaml:"med" settings:"may"`
+	Healthy strictyaml.Flag  `yaml:"fewer_is_worse" settings:"may"`
 }
 
-func (c *check) prefix(w settings.Word) netip.Prefix {
+func (c *check) prefix(w strictyaml.Word) netip.Prefix {
 	p, err := netip.ParsePrefix(w.Text)
 	if err != nil {
 		c.fail(w.Place, "%q is no prefix such as 192.0.2.0/24", w.Text)
@@ -69,7 +69,7 @@
 	return p
 }
 
-func (c *check) host(w settings.Word) netip.Addr {
+func (c *check) host(w strictyaml.Word) netip.Addr {
 	a, err := netip.ParseAddr(w.Text)
 	if err != nil {
 		c.fail(w.Place, "%q is no address such as 192.0.2.1", w.Text)
@@ -77,7 +77,7 @@
 	return a
 }
 
-func (c *check) as(n settings.Count) uint32 {
+func (c *check) as(n strictyaml.Count) uint32 {
 	if n.Value == 0 || n.Value == 23456 {
 		c.fail(n.Place, "%d is no AS number to use", n.Value)
 	}
@@ -114,7 +114,7 @@
 			c.fail(p.Passive.Place, "a peer that calls needs bgp.listen")
 		}
 		for _, w := range p.Families {
-			n, err := settings.Choose(c.src, w, "ipv4", "ipv6")
+			n, err := strictyaml.Choose(c.src, w, "ipv4", "ipv6")
 			c.keep(err)
 			x.Families = append(x.Families, []wire.Family{wire.IPv4, wire.IPv6}[n])
 		}
--- a/internal/config/keeper.go
+++ b/internal/config/keeper.go
@@ -4,7 +4,7 @@
 	"os"
 	"path/filepath"
 
-	"glenport/internal/settings"
+	"glenport/internal/config/strictyaml"
 )
 
 // Keeper is a keeper's file, checked.
@@ -19,13 +19,13 @@
 }
 
 type keeperFile struct {
-	Name  settings.Word   `yaml:"name"`
-	API   settings.Word   `yaml:"api"`
-	Terms settings.Word   `yaml:"placer_file"`
-	Doors []settings.Word `yaml:"doors"`
-	List  settings.Word   `yaml:"list" settings:"may"`
-	Seed  settings.Count  `yaml:"seed" settings:"may"`
-	State settings.Word   `yaml:"state" settings:"may"`
+	Name  strictyaml.Word   `yaml:"name"`
+	API   strictyaml.Word   `yaml:"api"`
+	Terms strictyaml.Word   `yaml:"placer_file"`
+	Doors []strictyaml.Word `yaml:"doors"`
+	List  strictyaml.Word   `yaml:"list" settings:"may"`
+	Seed  strictyaml.Count  `yaml:"seed" settings:"may"`
+	State strictyaml.Word   `yaml:"state" settings:"may"`
 }
 
 // LoadKeeper reads and checks a keeper's file and the placer's file that it names, beside it.
@@ -35,7 +35,7 @@
 		return nil, err
 	}
 	var f keeperFile
-	src, err := settings.Read(path, data, &f)
+	src, err := strictyaml.Read(path, data, &f)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -7,9 +7,9 @@
 	"net/netip"
 	"os"
 
+	"glenport/internal/config/strictyaml"
 	"glenport/internal/eventloop"
 	"glenport/internal/schedulerd/reconcile"
-	"glenport/internal/settings"
 	"glenport/scheduler"
 )
 
@@ -35,94 +35,94 @@
 }
 
 type file struct {
-	Name      settings.Word   `yaml:"name"`
-	Number    settings.Count  `yaml:"number"`
-	Placers   settings.Count  `yaml:"placers"`
-	Seed      settings.Count  `yaml:"seed" settings:"may"`
-	Door      settings.Word   `yaml:"door"`
-	State     settings.Word   `yaml:"state" settings:"may"`
-	Keep      settings.Word   `yaml:"keep" settings:"may"`
-	Metrics   settings.Word   `yaml:"metrics" settings:"may"`
-	List      list            `yaml:"list"`
-	Links     links           `yaml:"links"`
-	Bounds    bounds          `yaml:"bounds"`
-	Machines  machines        `yaml:"machines"`
-	Bids      bids            `yaml:"bids"`
-	Workloads []workload      `yaml:"workloads"`
-	Customers []customer      `yaml:"customers"`
-	OverShare settings.Number `yaml:"over_share" settings:"may"`
-	BGP       *bgpFile        `yaml:"bgp"`
+	Name      strictyaml.Word   `yaml:"name"`
+	Number    strictyaml.Count  `yaml:"number"`
+	Placers   strictyaml.Count  `yaml:"placers"`
+	Seed      strictyaml.Count  `yaml:"seed" settings:"may"`
+	Door      strictyaml.Word   `yaml:"door"`
+	State     strictyaml.Word   `yaml:"state" settings:"may"`
+	Keep      strictyaml.Word   `yaml:"keep" settings:"may"`
+	Metrics   strictyaml.Word   `yaml:"metrics" settings:"may"`
+	List      list              `yaml:"list"`
+	Links     links             `yaml:"links"`
+	Bounds    bounds            `yaml:"bounds"`
+	Machines  machines          `yaml:"machines"`
+	Bids      bids              `yaml:"bids"`
+	Workloads []workload        `yaml:"workloads"`
+	Customers []customer        `yaml:"customers"`
+	OverShare strictyaml.Number `yaml:"over_share" settings:"may"`
+	BGP       *bgpFile          `yaml:"bgp"`
 }
 
 type list struct {
-	Address   settings.Word `yaml:"address"`
-	AskWithin settings.Span `yaml:"ask_within"`
+	Address   strictyaml.Word `yaml:"address"`
+	AskWithin strictyaml.Span `yaml:"ask_within"`
 }
 
 type links struct {
-	Connect settings.Span   `yaml:"connect_within"`
-	Idle    settings.Span   `yaml:"close_idle_after"`
-	Silent  settings.Span   `yaml:"broken_when_silent_for"`
-	Output  settings.Memory `yaml:"most_waiting_output"`
+	Connect strictyaml.Span   `yaml:"connect_within"`
+	Idle    strictyaml.Span   `yaml:"close_idle_after"`
+	Silent  strictyaml.Span   `yaml:"broken_when_silent_for"`
+	Output  strictyaml.Memory `yaml:"most_waiting_output"`
 }
 
 type bounds struct {
-	Owners       settings.Count `yaml:"owners"`
-	Open         settings.Count `yaml:"open_containers"`
-	OpenPerOwner settings.Count `yaml:"open_containers_of_one_owner"`
-	Narrow       settings.Flag  `yaml:"narrow_when_slow" settings:"may"`
+	Owners       strictyaml.Count `yaml:"owners"`
+	Open         strictyaml.Count `yaml:"open_containers"`
+	OpenPerOwner strictyaml.Count `yaml:"open_containers_of_one_owner"`
+	Narrow       strictyaml.Flag  `yaml:"narrow_when_slow" settings:"may"`
 }
 
 type machines struct {
-	Kinds      []kind         `yaml:"kinds"`
-	Accept     multiples      `yaml:"accept"`
-	Mean       mean           `yaml:"mean_container"`
-	Yes        settings.Word  `yaml:"say_yes_when"`
-	UseNotes   settings.Flag  `yaml:"tell_use"`
-	ListedAsks settings.Flag  `yaml:"list_tells_room"`
-	Probes     settings.Flag  `yaml:"may_be_probed"`
-	ColdFor    settings.Span  `yaml:"cold_for"`
-	ColdWindow settings.Span  `yaml:"cold_window"`
-	ColdBids   settings.Count `yaml:"cold_bids"`
+	Kinds      []kind           `yaml:"kinds"`
+	Accept     multiples        `yaml:"accept"`
+	Mean       mean             `yaml:"mean_container"`
+	Yes        strictyaml.Word  `yaml:"say_yes_when"`
+	UseNotes   strictyaml.Flag  `yaml:"tell_use"`
+	ListedAsks strictyaml.Flag  `yaml:"list_tells_room"`
+	Probes     strictyaml.Flag  `yaml:"may_be_probed"`
+	ColdFor    strictyaml.Span  `yaml:"cold_for"`
+	ColdWindow strictyaml.Span  `yaml:"cold_window"`
+	ColdBids   strictyaml.Count `yaml:"cold_bids"`
 }
 
 type kind struct {
-	Name   settings.Word   `yaml:"name"`
-	Cores  settings.Number `yaml:"cores"`
-	Memory settings.Memory `yaml:"memory"`
+	Name   strictyaml.Word   `yaml:"name"`
+	Cores  strictyaml.Number `yaml:"cores"`
+	Memory strictyaml.Memory `yaml:"memory"`
 }
 
 type multiples struct {
-	Cores  settings.Number `yaml:"cores"`
-	Memory settings.Number `yaml:"memory"`
+	Cores  strictyaml.Number `yaml:"cores"`
+	Memory strictyaml.Number `yaml:"memory"`
 }
 
 type mean struct {
-	Cores  settings.Number `yaml:"cores"`
-	Memory settings.Memory `yaml:"memory"`
+	Cores  strictyaml.Number `yaml:"cores"`
+	Memory strictyaml.Memory `yaml:"memory"`
 }
 
 type bids struct {
-	Most  settings.Count `yaml:"most"`
-	Grace settings.Span  `yaml:"answer_grace"`
+	Most  strictyaml.Count `yaml:"most"`
+	Grace strictyaml.Span  `yaml:"answer_grace"`
 }
 
 type workload struct {
-	Name     settings.Word   `yaml:"name"`
-	Effect   settings.Word   `yaml:"effect"`
-	Repeats  settings.Word   `yaml:"repeats_dropped_in" settings:"may"`
-	Window   settings.Span   `yaml:"repeats_dropped_for" settings:"may"`
-	Agreed   settings.Span   `yaml:"agreed_time"`
-	HardStop settings.Span   `yaml:"hard_stop"`
-	Kind     settings.Word   `yaml:"kind" settings:"may"`
-	Spread   settings.Word   `yaml:"spread_over" settings:"may"`
-	Most     settings.Count  `yaml:"most_in_one" settings:"may"`
-	Gain     settings.Number `yaml:"gain"`
+	Name     strictyaml.Word   `yaml:"name"`
+	Effect   strictyaml.Word   `yaml:"effect"`
+	Repeats  strictyaml.Word   `yaml:"repeats_dropped_in" settings:"may"`
+	Window   strictyaml.Span   `yaml:"repeats_dropped_for" settings:"may"`
+	Agreed   strictyaml.Span   `yaml:"agreed_time"`
+	HardStop strictyaml.Span   `yaml:"hard_stop"`
+	Kind     strictyaml.Word   `yaml:"kind" settings:"may"`
+	Spread   strictyaml.Word   `yaml:"spread_over" settings:"may"`
+	Most     strictyaml.Count  `yaml:"most_in_one" settings:"may"`
+	Gain     strictyaml.Number `yaml:"gain"`
 }
 
 type customer struct {
-	Name  settings.Word   `yaml:"name"`
-	Cores settings.Number `yaml:"cores"`
+	Name  strictyaml.Word   `yaml:"name"`
+	Cores strictyaml.Number `yaml:"cores"`
 }
 
 // Load reads and checks a placer's file.
@@ -137,7 +137,7 @@
 // Parse checks the text of a placer's file; the first fault is returned.
 func Parse(name string, data []byte) (*Placer, error) {
 	var f file
-	src, err := settings.Read(name, data, &f)
+	src, err := strictyaml.Read(name, data, &f)
 	if err != nil {
 		return nil, err
 	}
@@ -151,7 +151,7 @@
 
 // check keeps the first fault met.
 type check struct {
-	src   *settings.File
+	src   *strictyaml.File
 	fault error
 }
 
@@ -161,36 +161,36 @@
 	}
 }
 
-func (c *check) fail(at settings.Place, format string, a ...any) {
+func (c *check) fail(at strictyaml.Place, format string, a ...any) {
 	c.keep(c.src.At(at, format, a...))
 }
 
-func (c *check) needed(path string, mapping any) { c.keep(settings.Needed(c.src, path, mapping)) }
+func (c *check) needed(path string, mapping any) { c.keep(strictyaml.Needed(c.src, path, mapping)) }
 
-func (c *check) address(w settings.Word) string {
+func (c *check) address(w strictyaml.Word) string {
 	if _, err := netip.ParseAddrPort(w.Text); err != nil && w.Set() {
 		c.fail(w.Place, "%q is no address such as 127.0.0.1:7400", w.Text)
 	}
 	return w.Text
 }
 
-func (c *check) above0(n settings.Number) float64 {
+func (c *check) above0(n strictyaml.Number) float64 {
 	if n.Value <= 0 {
 		c.fail(n.Place, "%g is not above 0", n.Value)
 	}
 	return n.Value
 }
 
-func (c *check) some(n settings.Count) int {
+func (c *check) some(n strictyaml.Count) int {
 	if n.Value == 0 {
 		c.fail(n.Place, "0 would let nothing pass")
 	}
 	return n.Value
 }
 
-func (c *check) span(s settings.Span) scheduler.Time { return scheduler.Time(s.Tenths) }
+func (c *check) span(s strictyaml.Span) scheduler.Time { return scheduler.Time(s.Tenths) }
 
-func (c *check) lasting(s settings.Span) scheduler.Time {
+func (c *check) lasting(s strictyaml.Span) scheduler.Time {
 	if s.Tenths == 0 {
 		c.fail(s.Place, "a span above 0 is wanted")
 	}
@@ -235,7 +235,7 @@
 	if p.Terms.MeanMemory <= 0 {
 		c.fail(m.Mean.Memory.Place, "a container of mean size needs memory above 0")
 	}
-	yes, err := settings.Choose(c.src, m.Yes, "accepted", "running")
+	yes, err := strictyaml.Choose(c.src, m.Yes, "accepted", "running")
 	c.keep(err)
 	p.Terms.YesRuns = yes == 1
 	kinds := c.kinds(m.Kinds, p)
@@ -294,7 +294,7 @@
 	if w.Agreed > w.HardStop {
 		c.fail(f.Agreed.Place, "the agreed time is after the hard stop")
 	}
-	effect, err := settings.Choose(c.src, f.Effect, "reissuable", "numbered", "at-most-once")
+	effect, err := strictyaml.Choose(c.src, f.Effect, "reissuable", "numbered", "at-most-once")
 	c.keep(err)
 	w.Effect = scheduler.Effect(effect)
 	if w.Effect == scheduler.Numbered {
@@ -304,7 +304,7 @@
 		if !f.Window.Set() {
 			c.keep(c.src.Missing(path, "repeats_dropped_for"))
 		}
-		n, err := settings.Choose(c.src, f.Repeats, "cell", "zone", "everywhere")
+		n, err := strictyaml.Choose(c.src, f.Repeats, "cell", "zone", "everywhere")
 		c.keep(err)
 		w.Repeats, w.Window = []scheduler.Place{scheduler.OneCell, scheduler.OneZone, scheduler.Everywhere}[n], c.span(f.Window)
 	} else if f.Repeats.Set() || f.Window.Set() {
@@ -318,7 +318,7 @@
 		w.Kind = n
 	}
 	if f.Spread.Set() {
-		n, err := settings.Choose(c.src, f.Spread, "machine", "cell", "zone")
+		n, err := strictyaml.Choose(c.src, f.Spread, "machine", "cell", "zone")
 		c.keep(err)
 		w.Spread = []scheduler.Place{scheduler.OneMachine, scheduler.OneCell, scheduler.OneZone}[n]
 		if !f.Most.Set() {
@@ -338,7 +338,7 @@
 }
 
 // max1 is the first of two places that is set.
-func max1(a, b settings.Place) settings.Place {
+func max1(a, b strictyaml.Place) strictyaml.Place {
 	if a.Set() {
 		return a
 	}
--- a/internal/settings/settings.go
+++ b/internal/config/strictyaml/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads YAML files so that every fault is told with its line and column. Values know where
+// Package strictyaml reads YAML files so that every fault is told with its line and column. Values know where
 // they stand: what is wrong only beside others can still be pointed at.
-package settings
+package strictyaml
 
 import (
 	"bytes"
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"glenport/internal/config"
+	"glenport/internal/config/strictyaml"
 	"glenport/internal/protocol"
-	"glenport/internal/settings"
 	"glenport/internal/standin"
 	"glenport/internal/tap"
 	"glenport/scheduler"
@@ -58,68 +58,68 @@
 }
 
 type dayFile struct {
-	Name       settings.Word   `yaml:"name"`
-	Seed       settings.Count  `yaml:"seed"`
-	Length     settings.Span   `yaml:"length"`
-	Settle     settings.Span   `yaml:"settle"`
-	Placers    settings.Count  `yaml:"placers"`
-	Template   settings.Word   `yaml:"placer_file"`
-	Rate       settings.Number `yaml:"submissions_a_second"`
-	DrainGrace settings.Span   `yaml:"drain_grace"`
-	Slack      settings.Span   `yaml:"slack"`
-	Halls      []settings.Word `yaml:"halls"`
-	Machines   []dayMachines   `yaml:"machines"`
-	Machine    dayMachine      `yaml:"machine"`
-	List       dayList         `yaml:"list"`
-	Work       []dayWork       `yaml:"work"`
-	Troubles   []dayTrouble    `yaml:"troubles"`
+	Name       strictyaml.Word   `yaml:"name"`
+	Seed       strictyaml.Count  `yaml:"seed"`
+	Length     strictyaml.Span   `yaml:"length"`
+	Settle     strictyaml.Span   `yaml:"settle"`
+	Placers    strictyaml.Count  `yaml:"placers"`
+	Template   strictyaml.Word   `yaml:"placer_file"`
+	Rate       strictyaml.Number `yaml:"submissions_a_second"`
+	DrainGrace strictyaml.Span   `yaml:"drain_grace"`
+	Slack      strictyaml.Span   `yaml:"slack"`
+	Halls      []strictyaml.Word `yaml:"halls"`
+	Machines   []dayMachines     `yaml:"machines"`
+	Machine    dayMachine        `yaml:"machine"`
+	List       dayList           `yaml:"list"`
+	Work       []dayWork         `yaml:"work"`
+	Troubles   []dayTrouble      `yaml:"troubles"`
 }
 
 type dayMachines struct {
-	Kind settings.Word  `yaml:"kind"`
-	Each settings.Count `yaml:"in_each_hall"`
+	Kind strictyaml.Word  `yaml:"kind"`
+	Each strictyaml.Count `yaml:"in_each_hall"`
 }
 
 type dayMachine struct {
-	Admit    settings.Span   `yaml:"look_at_an_offer"`
-	Queue    settings.Count  `yaml:"offers_may_wait"`
-	Starts   settings.Count  `yaml:"starts_at_once"`
-	Start    settings.Span   `yaml:"start"`
-	Setup    settings.Number `yaml:"first_start_times"`
-	Kept     settings.Count  `yaml:"programs_kept"`
-	ColdFrom settings.Number `yaml:"cold_pace"`
-	Bears    settings.Count  `yaml:"cold_bears"`
-	Drift    settings.Number `yaml:"use_drifts"`
+	Admit    strictyaml.Span   `yaml:"look_at_an_offer"`
+	Queue    strictyaml.Count  `yaml:"offers_may_wait"`
+	Starts   strictyaml.Count  `yaml:"starts_at_once"`
+	Start    strictyaml.Span   `yaml:"start"`
+	Setup    strictyaml.Number `yaml:"first_start_times"`
+	Kept     strictyaml.Count  `yaml:"programs_kept"`
+	ColdFrom strictyaml.Number `yaml:"cold_pace"`
+	Bears    strictyaml.Count  `yaml:"cold_bears"`
+	Drift    strictyaml.Number `yaml:"use_drifts"`
 }
 
 type dayList struct {
-	Lag    settings.Span  `yaml:"behind"`
-	Notice settings.Span  `yaml:"notices_death_after"`
-	Period settings.Span  `yaml:"looks_every"`
-	Calls  settings.Count `yaml:"calls_a_second"`
+	Lag    strictyaml.Span  `yaml:"behind"`
+	Notice strictyaml.Span  `yaml:"notices_death_after"`
+	Period strictyaml.Span  `yaml:"looks_every"`
+	Calls  strictyaml.Count `yaml:"calls_a_second"`
 }
 
 type dayWork struct {
-	Workload  settings.Word     `yaml:"workload"`
-	Share     settings.Number   `yaml:"share"`
-	Services  settings.Count    `yaml:"services"`
-	Cores     []settings.Number `yaml:"cores"`
-	Memory    []settings.Memory `yaml:"memory"`
-	Life      settings.Span     `yaml:"life"`
-	Again     settings.Flag     `yaml:"asked_again"`
-	AgainLost settings.Flag     `yaml:"asked_again_when_unheard" settings:"may"`
+	Workload  strictyaml.Word     `yaml:"workload"`
+	Share     strictyaml.Number   `yaml:"share"`
+	Services  strictyaml.Count    `yaml:"services"`
+	Cores     []strictyaml.Number `yaml:"cores"`
+	Memory    []strictyaml.Memory `yaml:"memory"`
+	Life      strictyaml.Span     `yaml:"life"`
+	Again     strictyaml.Flag     `yaml:"asked_again"`
+	AgainLost strictyaml.Flag     `yaml:"asked_again_when_unheard" settings:"may"`
 }
 
 type dayTrouble struct {
-	Kind settings.Word   `yaml:"kind"`
-	At   settings.Span   `yaml:"at"`
-	For  settings.Span   `yaml:"for"`
-	Part settings.Number `yaml:"part" settings:"may"`
-	Size settings.Number `yaml:"size" settings:"may"`
-	Hall settings.Word   `yaml:"hall" settings:"may"`
+	Kind strictyaml.Word   `yaml:"kind"`
+	At   strictyaml.Span   `yaml:"at"`
+	For  strictyaml.Span   `yaml:"for"`
+	Part strictyaml.Number `yaml:"part" settings:"may"`
+	Size strictyaml.Number `yaml:"size" settings:"may"`
+	Hall strictyaml.Word   `yaml:"hall" settings:"may"`
 }
 
-func span(s settings.Span) time.Duration { return time.Duration(s.Tenths) * 100 * time.Microsecond }
+func span(s strictyaml.Span) time.Duration { return time.Duration(s.Tenths) * 100 * time.Microsecond }
 
 // LoadDay reads a day's file.
 func LoadDay(path string) (*Day, error) {
@@ -128,7 +128,7 @@
 		return nil, err
 	}
 	var f dayFile
-	src, err := settings.Read(path, data, &f)
+	src, err := strictyaml.Read(path, data, &f)
 	if err != nil {
 		return nil, err
 	}
@@ -155,7 +155,7 @@
 		}{fmt.Sprintf("troubles[%d]", i), f.Troubles[i]})
 	}
 	for _, n := range needed {
-		if err := settings.Needed(src, n.path, n.of); err != nil {
+		if err := strictyaml.Needed(src, n.path, n.of); err != nil {
 			return nil, err
 		}
 	}
@@ -181,7 +181,7 @@
 	}
 	d.Works = make([]standin.Work, len(s.Workloads))
 	for _, w := range f.Work {
-		n, err := settings.Choose(src, w.Workload, s.Workloads...)
+		n, err := strictyaml.Choose(src, w.Workload, s.Workloads...)
 		if err != nil {
 			return nil, err
 		}
@@ -201,7 +201,7 @@
 		}
 		x := Trouble{Kind: t.Kind.Text, At: span(t.At), For: span(t.For), Part: t.Part.Value, Size: t.Size.Value}
 		if t.Hall.Set() {
-			if x.Hall, err = settings.Choose(src, t.Hall, d.Halls...); err != nil {
+			if x.Hall, err = strictyaml.Choose(src, t.Hall, d.Halls...); err != nil {
 				return nil, err
 			}
 		}
