--- a/internal/bgp/speaker/speaker_test.go
+++ b/internal/bgp/speaker/speaker_test.go
@@ -10,7 +10,7 @@
 	"glenport/internal/bgp/announce"
 	"glenport/internal/bgp/wire"
 	"glenport/internal/eventloop"
-	"glenport/internal/standin"
+	"glenport/internal/testbed/emulator"
 	"glenport/scheduler"
 
 	"github.com/gaissmai/bart"
@@ -32,7 +32,7 @@
 	*testing.T
 	l            *eventloop.Loop
 	s            *Speaker
-	outer, inner *standin.BGPPeer
+	outer, inner *emulator.BGPPeer
 }
 
 func (r *rig) on(f func()) {
@@ -50,7 +50,7 @@
 	}
 }
 
-func has(p *standin.BGPPeer, x netip.Prefix) bool {
+func has(p *emulator.BGPPeer, x netip.Prefix) bool {
 	ok, _ := p.Has(x)
 	return ok
 }
@@ -61,12 +61,12 @@
 		"web": {Prefix: web, NextHop: hop}, "web6": {Prefix: web6, NextHop: hop6}, "mail": {Prefix: mail, NextHop: hop}}}
 	both := []wire.Family{wire.IPv4, wire.IPv6}
 	for _, p := range []struct {
-		to    **standin.BGPPeer
+		to    **emulator.BGPPeer
 		as    uint32
 		allow []netip.Prefix
 	}{{&r.outer, 65000, []netip.Prefix{netip.MustParsePrefix("198.51.100.0/24"), netip.MustParsePrefix("2001:db8:1::/64")}},
 		{&r.inner, 65001, []netip.Prefix{netip.MustParsePrefix("0.0.0.0/0")}}} {
-		*p.to = &standin.BGPPeer{AS: p.as, ID: [4]byte{192, 0, 2, 250}, Hold: 3 * time.Second, Helps: 5 * time.Second, Journal: true}
+		*p.to = &emulator.BGPPeer{AS: p.as, ID: [4]byte{192, 0, 2, 250}, Hold: 3 * time.Second, Helps: 5 * time.Second, Journal: true}
 		addr, err := (*p.to).Open()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/controller/api/api_test.go
+++ b/internal/controller/api/api_test.go
@@ -19,7 +19,7 @@
 	"glenport/internal/controller/server"
 	"glenport/internal/controller/watchcache"
 	"glenport/internal/schedulerd"
-	"glenport/internal/standin"
+	"glenport/internal/testbed/emulator"
 	"glenport/scheduler"
 
 	"github.com/getkin/kin-openapi/openapi3"
@@ -36,7 +36,7 @@
 	*testing.T
 	server   *httptest.Server
 	host     *server.Host
-	machines []*standin.Machine
+	machines []*emulator.Machine
 	router   routers.Router
 }
 
@@ -47,9 +47,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &standin.Group{}
+	g := &emulator.Group{}
 	for i := range machines {
-		m := standin.NewMachine(standin.Shape{Name: fmt.Sprint("m", i), Cores: 24, Memory: 60, AcceptCores: 2, AcceptMemory: 1.5,
+		m := emulator.NewMachine(emulator.Shape{Name: fmt.Sprint("m", i), Cores: 24, Memory: 60, AcceptCores: 2, AcceptMemory: 1.5,
 			Admit: time.Millisecond, Queue: 100, Starts: 20, Start: 5 * time.Millisecond, Setup: 1, Kept: 5, ColdFor: time.Second,
 			ColdFrom: 1, YesRuns: true, NeedsKind: []int{-1, -1, -1, -1}}, g, uint64(i))
 		if err := m.Up(true); err != nil {
@@ -58,7 +58,7 @@
 		t.Cleanup(m.Close)
 		r.machines = append(r.machines, m)
 	}
-	l := &standin.List{Lag: 0, Notice: time.Second, Period: 50 * time.Millisecond, Address: (*standin.Machine).Addr}
+	l := &emulator.List{Lag: 0, Notice: time.Second, Period: 50 * time.Millisecond, Address: (*emulator.Machine).Addr}
 	if s.ListAddr, err = l.Open(r.machines); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/bgp.go
+++ b/internal/lab/bgp.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"glenport/internal/protocol"
-	"glenport/internal/standin"
 	"glenport/internal/tap"
+	"glenport/internal/testbed/emulator"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -22,7 +22,7 @@
 	Out    io.Writer
 
 	cluster *Cluster
-	peers   []*standin.BGPPeer
+	peers   []*emulator.BGPPeer
 	door    net.Conn
 	mu      sync.Mutex
 	answers map[string]chan *protocol.Answer
@@ -47,7 +47,7 @@
 	t.answers, t.ended = map[string]chan *protocol.Answer{}, map[string]time.Time{}
 	var peers []any
 	for i := range 2 {
-		p := &standin.BGPPeer{AS: 65000, ID: [4]byte{192, 0, 2, byte(250 + i)}, Hold: 3 * time.Second, Helps: 10 * time.Second, Journal: true}
+		p := &emulator.BGPPeer{AS: 65000, ID: [4]byte{192, 0, 2, byte(250 + i)}, Hold: 3 * time.Second, Helps: 10 * time.Second, Journal: true}
 		addr, err := p.Open()
 		if err != nil {
 			return false, err
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -15,8 +15,8 @@
 
 	"glenport/internal/config"
 	"glenport/internal/protocol"
-	"glenport/internal/standin"
 	"glenport/internal/tap"
+	"glenport/internal/testbed/emulator"
 
 	"github.com/goccy/go-yaml"
 )
@@ -24,10 +24,10 @@
 // Cluster is a running one.
 type Cluster struct {
 	Dir      string
-	Machines []*standin.Machine
-	List     *standin.List
+	Machines []*emulator.Machine
+	List     *emulator.List
 	Net      *tap.Net
-	Owners   *standin.Owners
+	Owners   *emulator.Owners
 	Placers  []*Placer
 	Site     *config.Placer // of the first placer
 	ListAddr string         // the list's own, without a tap
@@ -205,13 +205,13 @@
 		return nil, err
 	}
 	c.Net = tap.NewNet(c.record, d.Seed)
-	groups := make([]*standin.Group, len(d.Halls))
+	groups := make([]*emulator.Group, len(d.Halls))
 	for i := range groups {
-		groups[i] = &standin.Group{}
+		groups[i] = &emulator.Group{}
 	}
-	taps := map[*standin.Machine]string{}
+	taps := map[*emulator.Machine]string{}
 	for i, s := range d.shapes(c.Site) {
-		m := standin.NewMachine(s, groups[s.ZoneN], d.Seed+uint64(i))
+		m := emulator.NewMachine(s, groups[s.ZoneN], d.Seed+uint64(i))
 		c.Machines = append(c.Machines, m)
 		if err := m.Up(true); err != nil {
 			return nil, err
@@ -220,8 +220,8 @@
 			return nil, err
 		}
 	}
-	c.List = &standin.List{Lag: d.List.Lag, Notice: d.List.Notice, Period: d.List.Period, CallsPS: d.List.Calls,
-		Address: func(m *standin.Machine) string { return taps[m] }}
+	c.List = &emulator.List{Lag: d.List.Lag, Notice: d.List.Notice, Period: d.List.Period, CallsPS: d.List.Calls,
+		Address: func(m *emulator.Machine) string { return taps[m] }}
 	list, err := c.List.Open(c.Machines)
 	if err != nil {
 		return nil, err
@@ -231,7 +231,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Owners = &standin.Owners{Works: d.Works, Customers: len(c.Site.Customers)}
+	c.Owners = &emulator.Owners{Works: d.Works, Customers: len(c.Site.Customers)}
 	for i := range d.Placers {
 		p := &Placer{Name: fmt.Sprint("placer-", i), Hall: i % len(d.Halls), run: program}
 		if p.Door, err = freePort(); err != nil {
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -12,8 +12,8 @@
 	"glenport/internal/config"
 	"glenport/internal/config/strictyaml"
 	"glenport/internal/protocol"
-	"glenport/internal/standin"
 	"glenport/internal/tap"
+	"glenport/internal/testbed/emulator"
 	"glenport/scheduler"
 )
 
@@ -28,9 +28,9 @@
 	Rate       float64
 	Halls      []string
 	Counts     []kindCount
-	Machine    standin.Shape
+	Machine    emulator.Shape
 	List       listShape
-	Works      []standin.Work
+	Works      []emulator.Work
 	DrainGrace scheduler.Time
 	Slack      scheduler.Time
 	Troubles   []Trouble
@@ -163,7 +163,7 @@
 	d := &Day{Name: f.Name.Text, Seed: uint64(f.Seed.Value), Length: span(f.Length), Settle: span(f.Settle),
 		Placers: f.Placers.Value, Template: filepath.Join(filepath.Dir(path), f.Template.Text), Rate: f.Rate.Value,
 		DrainGrace: scheduler.Time(f.DrainGrace.Tenths), Slack: scheduler.Time(f.Slack.Tenths),
-		Machine: standin.Shape{Admit: span(m.Admit), Queue: m.Queue.Value, Starts: m.Starts.Value, Start: span(m.Start),
+		Machine: emulator.Shape{Admit: span(m.Admit), Queue: m.Queue.Value, Starts: m.Starts.Value, Start: span(m.Start),
 			Setup: m.Setup.Value, Kept: m.Kept.Value, ColdFrom: m.ColdFrom.Value, ColdBears: m.Bears.Value, Drift: m.Drift.Value},
 		List: listShape{span(f.List.Lag), span(f.List.Notice), span(f.List.Period), f.List.Calls.Value}}
 	for _, h := range f.Halls {
@@ -179,7 +179,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d.Works = make([]standin.Work, len(s.Workloads))
+	d.Works = make([]emulator.Work, len(s.Workloads))
 	for _, w := range f.Work {
 		n, err := strictyaml.Choose(src, w.Workload, s.Workloads...)
 		if err != nil {
@@ -188,7 +188,7 @@
 		if len(w.Cores) == 0 || len(w.Cores) != len(w.Memory) || w.Services.Value == 0 {
 			return nil, src.At(w.Workload.Place, "work needs services, and as many memories as cores")
 		}
-		x := standin.Work{Share: w.Share.Value, Services: w.Services.Value, Life: span(w.Life), Again: w.Again.Value,
+		x := emulator.Work{Share: w.Share.Value, Services: w.Services.Value, Life: span(w.Life), Again: w.Again.Value,
 			AgainLost: w.AgainLost.Value, HardStop: time.Duration(s.Terms.Workloads[n].HardStop) * 100 * time.Microsecond}
 		for i := range w.Cores {
 			x.Cores, x.Memory = append(x.Cores, w.Cores[i].Value), append(x.Memory, w.Memory[i].GiB)
@@ -211,8 +211,8 @@
 }
 
 // shapes are the day's machines, hall by hall.
-func (d *Day) shapes(s *config.Placer) []standin.Shape {
-	var all []standin.Shape
+func (d *Day) shapes(s *config.Placer) []emulator.Shape {
+	var all []emulator.Shape
 	byName := map[string]int{}
 	for i, k := range s.Kinds {
 		byName[k] = i
@@ -288,18 +288,18 @@
 }
 
 // some picks a part of the machines, one at least.
-func (p *player) some(part float64) []*standin.Machine {
+func (p *player) some(part float64) []*emulator.Machine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := max(1, int(part*float64(len(p.Machines))+0.5))
-	var out []*standin.Machine
+	var out []*emulator.Machine
 	for _, i := range p.rng.Perm(len(p.Machines))[:min(n, len(p.Machines))] {
 		out = append(out, p.Machines[i])
 	}
 	return out
 }
 
-func (p *player) hall(n int) (out []*standin.Machine) {
+func (p *player) hall(n int) (out []*emulator.Machine) {
 	for _, m := range p.Machines {
 		if m.ZoneN == n {
 			out = append(out, m)
@@ -308,7 +308,7 @@
 	return out
 }
 
-func in(ms []*standin.Machine) map[string]bool {
+func in(ms []*emulator.Machine) map[string]bool {
 	names := map[string]bool{}
 	for _, m := range ms {
 		names[m.Name] = true
@@ -505,7 +505,7 @@
 }
 
 // restart takes machines down and up again, cold.
-func (p *player) restart(ms []*standin.Machine, down time.Duration, wait func(time.Duration)) {
+func (p *player) restart(ms []*emulator.Machine, down time.Duration, wait func(time.Duration)) {
 	for _, m := range ms {
 		m.Crash()
 	}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -13,7 +13,7 @@
 	"glenport/internal/audit"
 	"glenport/internal/config"
 	"glenport/internal/schedulerd"
-	"glenport/internal/standin"
+	"glenport/internal/testbed/emulator"
 	"glenport/scheduler"
 )
 
@@ -57,7 +57,7 @@
 func TestKilledWithBidsOut(t *testing.T) {
 	d, dir := day(t), t.TempDir()
 	d.Machine.Start, d.Machine.Queue, d.Machine.Starts, d.Machine.Setup = 150*time.Millisecond, 1000, 3, 1
-	d.Works = []standin.Work{{}, {}, {Share: 1, Services: 400, Cores: []float64{0.1}, Memory: []float64{0.1}, Life: 30 * time.Second,
+	d.Works = []emulator.Work{{}, {}, {Share: 1, Services: 400, Cores: []float64{0.1}, Memory: []float64{0.1}, Life: 30 * time.Second,
 		HardStop: 4 * time.Second, Again: true, AgainLost: true}}
 	c, err := Bring(d, dir, []string{os.Args[0], "placer"})
 	if err != nil {
--- a/internal/lab/loadbgp.go
+++ b/internal/lab/loadbgp.go
@@ -11,16 +11,16 @@
 	"glenport/internal/bgp/speaker"
 	"glenport/internal/bgp/wire"
 	"glenport/internal/eventloop"
-	"glenport/internal/standin"
+	"glenport/internal/testbed/emulator"
 )
 
 // MeasureBGP has one speaker tell so many prefixes to so many peers, and then change a tenth of them while one peer
 // reads slowly; all in this process.
 func MeasureBGP(prefixes, peers int, out io.Writer) error {
 	place := speaker.Place{AS: 65001, ID: [4]byte{192, 0, 2, 5}, Services: map[string]announce.Service{}}
-	var all []*standin.BGPPeer
+	var all []*emulator.BGPPeer
 	for i := range peers {
-		p := &standin.BGPPeer{AS: 65000, ID: [4]byte{192, 0, 3, byte(i)}, Hold: 90 * time.Second, Helps: 10 * time.Second}
+		p := &emulator.BGPPeer{AS: 65000, ID: [4]byte{192, 0, 3, byte(i)}, Hold: 90 * time.Second, Helps: 10 * time.Second}
 		addr, err := p.Open()
 		if err != nil {
 			return err
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	wait := func(what string, holds func(p *standin.BGPPeer) bool) error {
+	wait := func(what string, holds func(p *emulator.BGPPeer) bool) error {
 		for end := time.Now().Add(60 * time.Second); ; time.Sleep(time.Millisecond) {
 			n := 0
 			for _, p := range all {
@@ -71,7 +71,7 @@
 			}
 		}
 	}
-	if err := wait("session", (*standin.BGPPeer).Up); err != nil {
+	if err := wait("session", (*emulator.BGPPeer).Up); err != nil {
 		return err
 	}
 	var events []announce.Event
@@ -80,7 +80,7 @@
 	}
 	began := time.Now()
 	on(func() { s.Handle(events...) })
-	if err := wait("all routes", func(p *standin.BGPPeer) bool { n, _, _, _, _ := p.Figures(); return n == prefixes }); err != nil {
+	if err := wait("all routes", func(p *emulator.BGPPeer) bool { n, _, _, _, _ := p.Figures(); return n == prefixes }); err != nil {
 		return err
 	}
 	took := time.Since(began)
@@ -100,7 +100,7 @@
 	slow, rest := all[0], all[1:]
 	if len(rest) > 0 {
 		all = rest
-		if err := wait("withdrawals", func(p *standin.BGPPeer) bool { n, _, _, _, _ := p.Figures(); return n == prefixes-tenth }); err != nil {
+		if err := wait("withdrawals", func(p *emulator.BGPPeer) bool { n, _, _, _, _ := p.Figures(); return n == prefixes-tenth }); err != nil {
 			return err
 		}
 		fmt.Fprintf(out, "%d of them change at once, one of %d peers takes a message each 20 ms: the others have it after %d ms", tenth, peers,
@@ -108,8 +108,8 @@
 	} else {
 		fmt.Fprintf(out, "%d of them change at once, the peer takes a message each 20 ms: it", tenth)
 	}
-	all = []*standin.BGPPeer{slow}
-	if err := wait("withdrawals", func(p *standin.BGPPeer) bool { n, _, _, _, _ := p.Figures(); return n == prefixes-tenth }); err != nil {
+	all = []*emulator.BGPPeer{slow}
+	if err := wait("withdrawals", func(p *emulator.BGPPeer) bool { n, _, _, _, _ := p.Figures(); return n == prefixes-tenth }); err != nil {
 		return err
 	}
 	if len(rest) > 0 {
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -11,13 +11,13 @@
 
 	"glenport/internal/audit"
 	"glenport/internal/protocol"
-	"glenport/internal/standin"
 	"glenport/internal/tap"
+	"glenport/internal/testbed/emulator"
 )
 
 // Outcome is what a day came to.
 type Outcome struct {
-	Tally     standin.Tally
+	Tally     emulator.Tally
 	Judgement *audit.Judgement
 	Fell      int // cold machines pushed over
 	Played    map[string]int
--- a/internal/lab/why.go
+++ b/internal/lab/why.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"glenport/internal/protocol"
-	"glenport/internal/standin"
+	"glenport/internal/testbed/emulator"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -158,7 +158,7 @@
 	return n
 }
 
-func (t *WhyTrial) drain(on bool, which func(*standin.Machine) bool) {
+func (t *WhyTrial) drain(on bool, which func(*emulator.Machine) bool) {
 	state := protocol.Serving
 	if on {
 		state = protocol.Draining
@@ -174,7 +174,7 @@
 // drainsAndRoom changes the reason of one waiting container again and again: no room, then all that could run it
 // drain, then no room, then room.
 func (t *WhyTrial) drainsAndRoom() error {
-	large := func(m *standin.Machine) bool { return m.Kind == "large" || m.KindN == 1 }
+	large := func(m *emulator.Machine) bool { return m.Kind == "large" || m.KindN == 1 }
 	n := 0
 	for _, m := range t.Cluster.Machines {
 		if large(m) {
@@ -249,7 +249,7 @@
 // reasons hold at once, each by the machines' own state.
 func (t *WhyTrial) four() error {
 	since := time.Now()
-	t.drain(true, func(m *standin.Machine) bool { return m.ZoneN == 0 })
+	t.drain(true, func(m *emulator.Machine) bool { return m.ZoneN == 0 })
 	if err := t.run("waits", "on-large", 1, 60, 1); err != nil {
 		return err
 	}
@@ -263,7 +263,7 @@
 		return err
 	}
 	t.Cluster.List.Away(false)
-	t.drain(false, func(m *standin.Machine) bool { return m.ZoneN == 0 })
+	t.drain(false, func(m *emulator.Machine) bool { return m.ZoneN == 0 })
 	if err := t.stop("waits"); err != nil {
 		return err
 	}
--- a/internal/standin/machine.go
+++ b/internal/testbed/emulator/machine.go
@@ -1,7 +1,7 @@
-// Package standin holds the laboratory's stand-ins for what a placer meets: machines, the list and owners. They
+// Package emulator holds the laboratory's stand-ins for what a placer meets: machines, the list and owners. They
 // speak the link protocol over TCP on loopback and live in real time. Their model is glenport's own and plain:
 // it is there to give a placer trouble, not to foretell any real system.
-package standin
+package emulator
 
 import (
 	"math/rand/v2"
