--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -9,7 +9,7 @@
 	"strings"
 
 	"glenport/internal/protocol"
-	"glenport/internal/tap"
+	"glenport/internal/testbed/faultproxy"
 	"glenport/scheduler"
 )
 
@@ -51,7 +51,7 @@
 
 type judge struct {
 	Judgement
-	h       tap.Header
+	h       faultproxy.Header
 	found   map[int]int
 	placers map[string]*life
 	places  map[string]map[string]place // by placer, then machine
@@ -146,7 +146,7 @@
 // Record judges a record in a file.
 func Record(path string) (*Judgement, error) {
 	j := newJudge()
-	err := tap.Read(path, &j.h, func(e *tap.Entry) error {
+	err := faultproxy.Read(path, &j.h, func(e *faultproxy.Entry) error {
 		j.now = e.At
 		j.judgePairs(e.At)
 		return j.entry(e)
@@ -174,15 +174,15 @@
 	return l
 }
 
-func (j *judge) entry(e *tap.Entry) error {
+func (j *judge) entry(e *faultproxy.Entry) error {
 	switch e.Sort {
-	case tap.Opened:
+	case faultproxy.Opened:
 		j.links[e.Link] = &channel{far: e.Far, name: e.Name, placer: e.Placer, offers: map[uint64]*offer{}}
 		return nil
-	case tap.Closed:
+	case faultproxy.Closed:
 		j.closed(e)
 		return nil
-	case tap.Killed:
+	case faultproxy.Killed:
 		if l := j.placers[e.Placer]; l != nil {
 			for _, c := range l.containers {
 				j.drop(c)
@@ -190,7 +190,7 @@
 		}
 		delete(j.placers, e.Placer)
 		return nil
-	case tap.Started, tap.Lost:
+	case faultproxy.Started, faultproxy.Lost:
 		return nil
 	}
 	j.Frames++
@@ -237,7 +237,7 @@
 
 // closed ends what the link's offers wait for. What ran behind it may still run; it counts again when its
 // machine says so on the next link.
-func (j *judge) closed(e *tap.Entry) {
+func (j *judge) closed(e *faultproxy.Entry) {
 	ch := j.links[e.Link]
 	if ch == nil {
 		return
@@ -278,7 +278,7 @@
 	j.fail(1, c.due, frames, "container %s has no final answer", c.name)
 }
 
-func (j *judge) submitted(l *life, e *tap.Entry, f *protocol.Submit) {
+func (j *judge) submitted(l *life, e *faultproxy.Entry, f *protocol.Submit) {
 	j.Submitted++
 	if c := l.containers[f.Work.Container]; c != nil && c.answers == 0 {
 		return // asked twice under one id; the first is owed
@@ -288,7 +288,7 @@
 }
 
 // answered holds the answer against rules 1 and 2.
-func (j *judge) answered(l *life, e *tap.Entry, f *protocol.Answer) {
+func (j *judge) answered(l *life, e *faultproxy.Entry, f *protocol.Answer) {
 	c := l.containers[f.Container]
 	if c == nil && l.cancelled[f.Container] {
 		delete(l.cancelled, f.Container)
@@ -331,7 +331,7 @@
 	return scheduler.Workload{}, false
 }
 
-func (j *judge) offered(l *life, e *tap.Entry, ch *channel, f *protocol.Offer) {
+func (j *judge) offered(l *life, e *faultproxy.Entry, ch *channel, f *protocol.Offer) {
 	j.Offers++
 	o := &offer{at: e.At, bid: f.Bid, machine: ch.name, link: e.Link, until: e.At + int64(f.Wait), work: f.Work,
 		text: fmt.Sprintf("%.1f ms %s offers %s to %s, bid %d, wait %.1f ms", float64(e.At)/10, l.name, f.Work.Container,
@@ -386,7 +386,7 @@
 }
 
 // cold counts what a machine is offered after a start that the sender was told of.
-func (j *judge) cold(l *life, e *tap.Entry) {
+func (j *judge) cold(l *life, e *faultproxy.Entry) {
 	t := &j.h.Terms
 	m := l.machines[e.Name]
 	if m == nil {
@@ -486,7 +486,7 @@
 	}
 }
 
-func (j *judge) list(l *life, e *tap.Entry, f *protocol.Listed) {
+func (j *judge) list(l *life, e *faultproxy.Entry, f *protocol.Listed) {
 	if f.Whole {
 		named := map[string]bool{}
 		for _, x := range f.Entries {
@@ -532,7 +532,7 @@
 }
 
 // holds counts what a machine says that it runs for the placer, of this life and earlier ones.
-func (j *judge) holds(l *life, e *tap.Entry, ch *channel, f *protocol.Holds) {
+func (j *judge) holds(l *life, e *faultproxy.Entry, ch *channel, f *protocol.Holds) {
 	for _, k := range f.Held {
 		if !k.Running {
 			continue
@@ -563,17 +563,17 @@
 
 // Show writes out what a record has on one container: its frames and the ends of the links they went over.
 func Show(path, container string, out io.Writer) error {
-	var h tap.Header
+	var h faultproxy.Header
 	bids, links := map[uint64]bool{}, map[uint32]bool{}
-	return tap.Read(path, &h, func(e *tap.Entry) error {
+	return faultproxy.Read(path, &h, func(e *faultproxy.Entry) error {
 		say := func(what string) {
 			fmt.Fprintf(out, "%9.1f ms  link %d, %s and %s %s: %s\n", float64(e.At)/10, e.Link, e.Placer, e.Far, e.Name, what)
 		}
-		if e.Sort == tap.Closed && links[e.Link] {
+		if e.Sort == faultproxy.Closed && links[e.Link] {
 			say("closed")
 		}
-		if e.Sort == tap.Killed || e.Sort == tap.Started {
-			fmt.Fprintf(out, "%9.1f ms  %s %s\n", float64(e.At)/10, e.Placer, map[tap.Sort]string{tap.Killed: "killed", tap.Started: "started"}[e.Sort])
+		if e.Sort == faultproxy.Killed || e.Sort == faultproxy.Started {
+			fmt.Fprintf(out, "%9.1f ms  %s %s\n", float64(e.At)/10, e.Placer, map[faultproxy.Sort]string{faultproxy.Killed: "killed", faultproxy.Started: "started"}[e.Sort])
 		}
 		if len(e.Frame) == 0 {
 			return nil
@@ -582,7 +582,7 @@
 		if err != nil {
 			return err
 		}
-		lost := map[bool]string{true: " LOST"}[e.Sort == tap.Lost]
+		lost := map[bool]string{true: " LOST"}[e.Sort == faultproxy.Lost]
 		show := false
 		switch f := f.(type) {
 		case *protocol.Offer:
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"glenport/internal/protocol"
-	"glenport/internal/tap"
+	"glenport/internal/testbed/faultproxy"
 	"glenport/scheduler"
 )
 
@@ -20,7 +20,7 @@
 
 func begin(t *testing.T) *history {
 	h := &history{T: t, j: newJudge()}
-	h.j.h = tap.Header{DrainGrace: 250 * ms, Slack: 20 * ms, Terms: scheduler.Terms{AnswerGrace: 10 * ms, ColdFor: 5000 * ms,
+	h.j.h = faultproxy.Header{DrainGrace: 250 * ms, Slack: 20 * ms, Terms: scheduler.Terms{AnswerGrace: 10 * ms, ColdFor: 5000 * ms,
 		ColdWindow: 1000 * ms, ColdBids: 3, Workloads: []scheduler.Workload{{}, {Effect: scheduler.Numbered, Repeats: scheduler.OneZone,
 			Window: 4000 * ms}, {Effect: scheduler.AtMostOnce, Spread: scheduler.OneZone, Most: 2}}}}
 	h.connect()
@@ -28,7 +28,7 @@
 	return h
 }
 
-func (h *history) put(at int64, e tap.Entry) {
+func (h *history) put(at int64, e faultproxy.Entry) {
 	e.At, e.Placer = at*ms, "p"
 	h.j.now = e.At
 	h.j.judgePairs(e.At)
@@ -38,7 +38,7 @@
 }
 
 func (h *history) open(id uint32, far protocol.Role, name string) {
-	h.put(0, tap.Entry{Sort: tap.Opened, Link: id, Far: far, Name: name})
+	h.put(0, faultproxy.Entry{Sort: faultproxy.Opened, Link: id, Far: far, Name: name})
 }
 
 // connect opens the links to a client, the list and the machines.
@@ -50,12 +50,12 @@
 	}
 }
 
-func (h *history) frame(at int64, s tap.Sort, id uint32, f protocol.Frame) {
+func (h *history) frame(at int64, s faultproxy.Sort, id uint32, f protocol.Frame) {
 	p, err := protocol.Append(nil, f)
 	if err != nil {
 		h.Fatal(err)
 	}
-	h.put(at, tap.Entry{Sort: s, Link: id, Far: h.j.links[id].far, Name: h.j.links[id].name, Frame: p[4:]})
+	h.put(at, faultproxy.Entry{Sort: s, Link: id, Far: h.j.links[id].far, Name: h.j.links[id].name, Frame: p[4:]})
 }
 
 func (h *history) list(at int64, entries map[string]protocol.Entry) {
@@ -69,16 +69,16 @@
 			f.Entries = append(f.Entries, e)
 		}
 	}
-	h.frame(at, tap.ToPlacer, 2, f)
+	h.frame(at, faultproxy.ToPlacer, 2, f)
 }
 
 // restart kills the placer and starts it again; its links are new, and the list is not heard yet.
 func (h *history) restart(at int64) {
 	for _, id := range []uint32{1, 2, 10, 11, 12} {
-		h.put(at, tap.Entry{Sort: tap.Closed, Link: id})
+		h.put(at, faultproxy.Entry{Sort: faultproxy.Closed, Link: id})
 	}
-	h.put(at, tap.Entry{Sort: tap.Killed})
-	h.put(at, tap.Entry{Sort: tap.Started})
+	h.put(at, faultproxy.Entry{Sort: faultproxy.Killed})
+	h.put(at, faultproxy.Entry{Sort: faultproxy.Started})
 	h.connect()
 }
 
@@ -87,25 +87,25 @@
 }
 
 func (h *history) ask(at int64, c string, workload int) {
-	h.frame(at, tap.ToPlacer, 1, &protocol.Submit{Left: 2000 * ms, Work: h.work(c, workload)})
+	h.frame(at, faultproxy.ToPlacer, 1, &protocol.Submit{Left: 2000 * ms, Work: h.work(c, workload)})
 }
 
 func (h *history) offer(at int64, c string, workload int, id uint32) uint64 {
 	h.bids++
-	h.frame(at, tap.FromPlacer, id, &protocol.Offer{Bid: h.bids, Wait: 500 * ms, Work: h.work(c, workload)})
+	h.frame(at, faultproxy.FromPlacer, id, &protocol.Offer{Bid: h.bids, Wait: 500 * ms, Work: h.work(c, workload)})
 	return h.bids
 }
 
 func (h *history) result(at int64, id uint32, bid uint64, o protocol.Outcome) {
-	h.frame(at, tap.ToPlacer, id, &protocol.Result{Bid: bid, Outcome: o})
+	h.frame(at, faultproxy.ToPlacer, id, &protocol.Result{Bid: bid, Outcome: o})
 }
 
 func (h *history) yes(at int64, id uint32, bid uint64) {
-	h.frame(at, tap.ToPlacer, id, &protocol.Yes{Bid: bid, Running: true})
+	h.frame(at, faultproxy.ToPlacer, id, &protocol.Yes{Bid: bid, Running: true})
 }
 
 func (h *history) answer(at int64, c string, v protocol.Verdict) {
-	h.frame(at, tap.FromPlacer, 1, &protocol.Answer{Container: c, Verdict: v})
+	h.frame(at, faultproxy.FromPlacer, 1, &protocol.Answer{Container: c, Verdict: v})
 }
 
 // Each history either keeps the rules or breaks one, and the audit tells which.
@@ -120,10 +120,10 @@
 			h.yes(9, 10, h.offer(2, "x", 0, 10))
 			h.answer(9, "x", protocol.Placed)
 		}, 0},
-		{"no answer", func(h *history) { h.ask(1, "x", 0); h.frame(3000, tap.ToPlacer, 1, &protocol.Beat{}) }, 1},
-		{"no answer, its placer killed in time", func(h *history) { h.ask(1, "x", 0); h.put(500, tap.Entry{Sort: tap.Killed}) }, 0},
-		{"no answer, its placer killed too late", func(h *history) { h.ask(1, "x", 0); h.put(5000, tap.Entry{Sort: tap.Killed}) }, 1},
-		{"no answer, its owner left", func(h *history) { h.ask(1, "x", 0); h.put(500, tap.Entry{Sort: tap.Closed, Link: 1}) }, 0},
+		{"no answer", func(h *history) { h.ask(1, "x", 0); h.frame(3000, faultproxy.ToPlacer, 1, &protocol.Beat{}) }, 1},
+		{"no answer, its placer killed in time", func(h *history) { h.ask(1, "x", 0); h.put(500, faultproxy.Entry{Sort: faultproxy.Killed}) }, 0},
+		{"no answer, its placer killed too late", func(h *history) { h.ask(1, "x", 0); h.put(5000, faultproxy.Entry{Sort: faultproxy.Killed}) }, 1},
+		{"no answer, its owner left", func(h *history) { h.ask(1, "x", 0); h.put(500, faultproxy.Entry{Sort: faultproxy.Closed, Link: 1}) }, 0},
 		{"two answers", func(h *history) {
 			h.ask(1, "x", 0)
 			h.answer(2, "x", protocol.PushedBack)
@@ -166,7 +166,7 @@
 			h.ask(1, "x", 0)
 			h.offer(2, "x", 0, 10)
 			h.offer(100, "x", 0, 12)
-			h.put(110, tap.Entry{Sort: tap.Closed, Link: 10})
+			h.put(110, faultproxy.Entry{Sort: faultproxy.Closed, Link: 10})
 			h.answer(700, "x", protocol.PushedBack)
 		}, 0},
 		{"numbered stays in its group", func(h *history) {
@@ -214,7 +214,7 @@
 			h.ask(1, "x", 2)
 			h.yes(3, 10, h.offer(2, "x", 2, 10))
 			h.answer(4, "x", protocol.Placed)
-			h.frame(9, tap.ToPlacer, 11, &protocol.Holds{Held: []protocol.Holding{{Bid: 99, Running: true, Work: h.work("x", 2)}}})
+			h.frame(9, faultproxy.ToPlacer, 11, &protocol.Holds{Held: []protocol.Holding{{Bid: 99, Running: true, Work: h.work("x", 2)}}})
 		}, 2},
 
 		{"sent to a draining machine", func(h *history) {
--- a/internal/lab/bgp.go
+++ b/internal/lab/bgp.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"glenport/internal/protocol"
-	"glenport/internal/tap"
 	"glenport/internal/testbed/emulator"
+	"glenport/internal/testbed/faultproxy"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -422,15 +422,15 @@
 		}
 	}
 	began := time.Now()
-	t.cluster.Net.Set(func(_ string, far protocol.Role, name string) tap.Fault {
-		return tap.Fault{Cut: far == protocol.Machine && hall[name]}
+	t.cluster.Net.Set(func(_ string, far protocol.Role, name string) faultproxy.Fault {
+		return faultproxy.Fault{Cut: far == protocol.Machine && hall[name]}
 	})
 	gone := func() bool { has, _ := t.peers[0].Has(bgpPrefix(service)); return !has }
 	if err := t.until("the route is gone", gone); err != nil {
 		return "", err
 	}
 	cut := time.Since(began)
-	t.cluster.Net.Set(func(string, protocol.Role, string) tap.Fault { return tap.Fault{} })
+	t.cluster.Net.Set(func(string, protocol.Role, string) faultproxy.Fault { return faultproxy.Fault{} })
 	began = time.Now()
 	if err := t.until("the route is back", func() bool { return !gone() }); err != nil {
 		return "", err
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -15,8 +15,8 @@
 
 	"glenport/internal/config"
 	"glenport/internal/protocol"
-	"glenport/internal/tap"
 	"glenport/internal/testbed/emulator"
+	"glenport/internal/testbed/faultproxy"
 
 	"github.com/goccy/go-yaml"
 )
@@ -26,12 +26,12 @@
 	Dir      string
 	Machines []*emulator.Machine
 	List     *emulator.List
-	Net      *tap.Net
+	Net      *faultproxy.Net
 	Owners   *emulator.Owners
 	Placers  []*Placer
 	Site     *config.Placer // of the first placer
 	ListAddr string         // the list's own, without a tap
-	record   *tap.Writer
+	record   *faultproxy.Writer
 }
 
 // Placer is a placer's process.
@@ -200,11 +200,11 @@
 	}
 	terms := c.Site.Terms
 	terms.Placers = d.Placers
-	if c.record, err = tap.Create(filepath.Join(dir, "record"), tap.Header{Terms: terms,
+	if c.record, err = faultproxy.Create(filepath.Join(dir, "record"), faultproxy.Header{Terms: terms,
 		DrainGrace: d.DrainGrace, Slack: d.Slack}); err != nil {
 		return nil, err
 	}
-	c.Net = tap.NewNet(c.record, d.Seed)
+	c.Net = faultproxy.NewNet(c.record, d.Seed)
 	groups := make([]*emulator.Group, len(d.Halls))
 	for i := range groups {
 		groups[i] = &emulator.Group{}
@@ -279,14 +279,14 @@
 
 // Up starts a placer; Kill ends it by SIGKILL. Both are noted in the record.
 func (c *Cluster) Up(p *Placer) error {
-	c.record.Note(tap.Started, p.Name)
+	c.record.Note(faultproxy.Started, p.Name)
 	return p.Start()
 }
 
 func (c *Cluster) Kill(p *Placer) {
 	p.Stop(syscall.SIGKILL)
 	c.Net.Quiet(p.Name) // or the next life would be taken for the sender of what this one sent last
-	c.record.Note(tap.Killed, p.Name)
+	c.record.Note(faultproxy.Killed, p.Name)
 }
 
 // Close ends all that was started and finishes the record.
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -12,8 +12,8 @@
 	"glenport/internal/config"
 	"glenport/internal/config/strictyaml"
 	"glenport/internal/protocol"
-	"glenport/internal/tap"
 	"glenport/internal/testbed/emulator"
+	"glenport/internal/testbed/faultproxy"
 	"glenport/scheduler"
 )
 
@@ -248,13 +248,13 @@
 	rng *rand.Rand
 
 	mu     sync.Mutex
-	faults map[int]func(placer string, far protocol.Role, name string) tap.Fault
+	faults map[int]func(placer string, far protocol.Role, name string) faultproxy.Fault
 	last   int
 	note   func(format string, a ...any)
 }
 
 // fault puts a rule of network faults in force and returns what ends it.
-func (p *player) fault(f func(placer string, far protocol.Role, name string) tap.Fault) (end func()) {
+func (p *player) fault(f func(placer string, far protocol.Role, name string) faultproxy.Fault) (end func()) {
 	p.mu.Lock()
 	p.last++
 	n := p.last
@@ -271,12 +271,12 @@
 
 func (p *player) apply() {
 	p.mu.Lock()
-	var all []func(string, protocol.Role, string) tap.Fault
+	var all []func(string, protocol.Role, string) faultproxy.Fault
 	for _, f := range p.faults {
 		all = append(all, f)
 	}
 	p.mu.Unlock()
-	p.Net.Set(func(placer string, far protocol.Role, name string) (sum tap.Fault) {
+	p.Net.Set(func(placer string, far protocol.Role, name string) (sum faultproxy.Fault) {
 		for _, f := range all {
 			x := f(placer, far, name)
 			sum.Cut = sum.Cut || x.Cut
@@ -344,8 +344,8 @@
 	},
 	"half-open links": func(p *player, t Trouble, wait func(time.Duration)) {
 		names := in(p.some(t.Part))
-		end := p.fault(func(_ string, far protocol.Role, name string) tap.Fault {
-			return tap.Fault{Cut: far == protocol.Machine && names[name]}
+		end := p.fault(func(_ string, far protocol.Role, name string) faultproxy.Fault {
+			return faultproxy.Fault{Cut: far == protocol.Machine && names[name]}
 		})
 		wait(t.For)
 		end()
@@ -356,8 +356,8 @@
 		for _, x := range p.Placers {
 			here[x.Name] = x.Hall == t.Hall
 		}
-		end := p.fault(func(placer string, far protocol.Role, name string) tap.Fault {
-			return tap.Fault{Cut: far == protocol.Machine && names[name] != here[placer]}
+		end := p.fault(func(placer string, far protocol.Role, name string) faultproxy.Fault {
+			return faultproxy.Fault{Cut: far == protocol.Machine && names[name] != here[placer]}
 		})
 		wait(t.For)
 		end()
@@ -444,18 +444,18 @@
 		wait(t.For)
 	},
 	"answers lost": func(p *player, t Trouble, wait func(time.Duration)) {
-		end := p.fault(func(_ string, far protocol.Role, _ string) tap.Fault {
+		end := p.fault(func(_ string, far protocol.Role, _ string) faultproxy.Fault {
 			if far == protocol.Machine {
-				return tap.Fault{LoseAnswers: t.Size}
+				return faultproxy.Fault{LoseAnswers: t.Size}
 			}
-			return tap.Fault{}
+			return faultproxy.Fault{}
 		})
 		wait(t.For)
 		end()
 	},
 	"late network": func(p *player, t Trouble, wait func(time.Duration)) {
-		end := p.fault(func(string, protocol.Role, string) tap.Fault {
-			return tap.Fault{Delay: time.Duration(t.Size * float64(time.Millisecond))}
+		end := p.fault(func(string, protocol.Role, string) faultproxy.Fault {
+			return faultproxy.Fault{Delay: time.Duration(t.Size * float64(time.Millisecond))}
 		})
 		wait(t.For)
 		end()
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -11,8 +11,8 @@
 
 	"glenport/internal/audit"
 	"glenport/internal/protocol"
-	"glenport/internal/tap"
 	"glenport/internal/testbed/emulator"
+	"glenport/internal/testbed/faultproxy"
 )
 
 // Outcome is what a day came to.
@@ -45,7 +45,7 @@
 	}
 	note("%d placers, %d machines in %d halls, %.0f submissions a second", len(c.Placers), len(c.Machines), len(d.Halls), d.Rate)
 	p := &player{Cluster: c, day: d, rng: rand.New(rand.NewPCG(d.Seed, 11)), note: note,
-		faults: map[int]func(string, protocol.Role, string) tap.Fault{}}
+		faults: map[int]func(string, protocol.Role, string) faultproxy.Fault{}}
 	c.Owners.Start(d.Rate, d.Seed)
 	over := make(chan struct{})
 	wait := func(s time.Duration) {
--- a/internal/tap/record.go
+++ b/internal/testbed/faultproxy/record.go
@@ -1,6 +1,6 @@
-// Package tap sits on the sockets between placers and what they talk to: it passes frames on, writes down what
+// Package faultproxy sits on the sockets between placers and what they talk to: it passes frames on, writes down what
 // passed and when, and plays faults of the network. It is no part of a placer.
-package tap
+package faultproxy
 
 import (
 	"bufio"
--- a/internal/tap/record_test.go
+++ b/internal/testbed/faultproxy/record_test.go
@@ -1,4 +1,4 @@
-package tap
+package faultproxy
 
 import (
 	"bytes"
