--- a/cmd/glenport-lab/main.go
+++ b/cmd/glenport-lab/main.go
@@ -16,8 +16,8 @@
 	"glenport/internal/bgp/speaker"
 	"glenport/internal/config"
 	"glenport/internal/lab"
-	"glenport/internal/sabotage"
 	"glenport/internal/schedulerd"
+	"glenport/internal/testbed/mutants"
 	"glenport/scheduler"
 
 	"github.com/spf13/cobra"
@@ -159,7 +159,7 @@
 		s.Damped = s.Damped || damped
 		var d schedulerd.Decider = scheduler.New(s.Terms)
 		if rule > 0 {
-			if d, err = sabotage.New(rule, s.Terms, d); err != nil {
+			if d, err = mutants.New(rule, s.Terms, d); err != nil {
 				return err
 			}
 		}
@@ -168,7 +168,7 @@
 			return err
 		}
 		if r := h.Routes(); r != nil && spoil != "" {
-			r.Around(func(d speaker.Decider) speaker.Decider { return sabotage.Routes(spoil, d) })
+			r.Around(func(d speaker.Decider) speaker.Decider { return mutants.Routes(spoil, d) })
 		}
 		told := make(chan os.Signal, 1)
 		signal.Notify(told, syscall.SIGINT, syscall.SIGTERM)
--- a/internal/sabotage/routes.go
+++ b/internal/testbed/mutants/routes.go
@@ -1,4 +1,4 @@
-package sabotage
+package mutants
 
 import (
 	"net/netip"
--- a/internal/sabotage/sabotage.go
+++ b/internal/testbed/mutants/sabotage.go
@@ -1,6 +1,6 @@
-// Package sabotage breaks one of the five rules on purpose, so that an audit can prove that it sees it. Only
+// Package mutants breaks one of the five rules on purpose, so that an audit can prove that it sees it. Only
 // the laboratory uses it.
-package sabotage
+package mutants
 
 import (
 	"fmt"
