--- a/internal/schedulerd/orders_test.go
+++ b/internal/schedulerd/orders_test.go
@@ -11,8 +11,8 @@
 
 	"glenport/internal/config"
 	"glenport/internal/eventloop"
-	"glenport/internal/orders"
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/modelcheck"
 	"glenport/scheduler"
 
 	"golang.org/x/sys/unix"
@@ -108,7 +108,7 @@
 type world struct {
 	t        *testing.T
 	h        *Host
-	judge    *orders.Judge
+	judge    *modelcheck.Judge
 	list     *listening
 	owner    *pipe
 	machines map[string]*scripted
@@ -119,7 +119,7 @@
 	adopted  int
 }
 
-func newWorld(t *testing.T, s *config.Placer, around func(orders.Decider) orders.Decider) *world {
+func newWorld(t *testing.T, s *config.Placer, around func(modelcheck.Decider) modelcheck.Decider) *world {
 	w := &world{t: t, list: listenHere(t), machines: map[string]*scripted{}, answers: map[string]int{}, ended: map[string]bool{}}
 	for i, name := range []string{"a", "b"} {
 		m := &scripted{listening: listenHere(t), start: 1, held: map[uint64]*holding{}}
@@ -130,7 +130,7 @@
 	own.ListAddr = w.list.addr
 	d := scheduler.New(own.Terms)
 	d.Recall(scheduler.Knowledge{SentSince: 1})
-	w.judge = orders.NewJudge(own.Terms, 1, 0)
+	w.judge = modelcheck.NewJudge(own.Terms, 1, 0)
 	var err error
 	if w.h, err = New(&own, around(d), discard); err != nil {
 		t.Fatal(err)
@@ -474,7 +474,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			n, said, breaks := tryAll(t, tinySite(t, tc.workloads...), strings.Split(tc.words, ", "), tc.depth,
-				func(d orders.Decider) orders.Decider { return d })
+				func(d modelcheck.Decider) modelcheck.Decider { return d })
 			if len(breaks) > 0 {
 				t.Errorf("%s\n%s", strings.Join(said, ", "), strings.Join(breaks, "\n"))
 			}
@@ -483,8 +483,8 @@
 	}
 }
 
-func tryAll(t *testing.T, s *config.Placer, words []string, depth int, around func(orders.Decider) orders.Decider) (n int, said, breaks []string) {
-	orders.Each(depth, func(path []int) (widths []int, on bool) {
+func tryAll(t *testing.T, s *config.Placer, words []string, depth int, around func(modelcheck.Decider) modelcheck.Decider) (n int, said, breaks []string) {
+	modelcheck.Each(depth, func(path []int) (widths []int, on bool) {
 		w := newWorld(t, s, around)
 		defer w.close()
 		said = nil
@@ -519,7 +519,7 @@
 	} {
 		t.Run(fmt.Sprint("rule ", rule+1), func(t *testing.T) {
 			_, said, breaks := tryAll(t, tinySite(t, tc.workloads...), strings.Split(tc.words, ", "), 5,
-				func(d orders.Decider) orders.Decider { return orders.Breaker{Decider: d, Rule: rule + 1} })
+				func(d modelcheck.Decider) modelcheck.Decider { return modelcheck.Breaker{Decider: d, Rule: rule + 1} })
 			if len(breaks) == 0 || !strings.HasPrefix(breaks[0], fmt.Sprintf("rule %d", rule+1)) {
 				t.Errorf("after %q: %q", said, breaks)
 			}
--- a/internal/orders/judge.go
+++ b/internal/testbed/modelcheck/judge.go
@@ -1,6 +1,6 @@
-// Package orders tries every order of a few events on a tiny fleet, and judges the five rules after each of them. Only
+// Package modelcheck tries every order of a few events on a tiny fleet, and judges the five rules after each of them. Only
 // tests use it. The judge sees what goes into placers and what comes out, never their fields, and keeps its own count.
-package orders
+package modelcheck
 
 import (
 	"fmt"
--- a/internal/orders/orders_test.go
+++ b/internal/testbed/modelcheck/orders_test.go
@@ -1,4 +1,4 @@
-package orders
+package modelcheck
 
 import (
 	"fmt"
