--- a/cmd/glenport-lab/main.go
+++ b/cmd/glenport-lab/main.go
@@ -12,11 +12,11 @@
 	"runtime"
 	"syscall"
 
-	"glenport/internal/audit"
 	"glenport/internal/bgp/speaker"
 	"glenport/internal/config"
 	"glenport/internal/lab"
 	"glenport/internal/schedulerd"
+	"glenport/internal/testbed/audit"
 	"glenport/internal/testbed/mutants"
 	"glenport/scheduler"
 
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"glenport/internal/audit"
 	"glenport/internal/config"
 	"glenport/internal/schedulerd"
+	"glenport/internal/testbed/audit"
 	"glenport/internal/testbed/emulator"
 	"glenport/scheduler"
 )
--- a/internal/lab/restart.go
+++ b/internal/lab/restart.go
@@ -13,7 +13,6 @@
 	"syscall"
 	"time"
 
-	"glenport/internal/audit"
 	"glenport/internal/controller"
 	"glenport/internal/controller/server"
 	"glenport/internal/protocol"
@@ -21,6 +20,7 @@
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
+	"glenport/internal/testbed/audit"
 	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"glenport/internal/audit"
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/audit"
 	"glenport/internal/testbed/emulator"
 	"glenport/internal/testbed/faultproxy"
 )
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"glenport/internal/audit"
+	"glenport/internal/testbed/audit"
 	"glenport/scheduler"
 )
 
