--- a/cmd/glenport-lab/load.go
+++ b/cmd/glenport-lab/load.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 	"time"
 
-	"glenport/internal/lab"
+	"glenport/internal/testbed/scenario"
 
 	"github.com/spf13/cobra"
 )
@@ -30,7 +30,7 @@
 					if err != nil {
 						return err
 					}
-					l, err := lab.MeasureLoad(template, dir, program, m, r, length, life)
+					l, err := scenario.MeasureLoad(template, dir, program, m, r, length, life)
 					done()
 					if err != nil {
 						return err
@@ -45,7 +45,7 @@
 	api := &cobra.Command{Use: "api", Short: "Measure a keeper with containers that wait", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return withPlacers("", 0, func(program []string, dir string) error {
-				return lab.MeasureAPI("days/why-placer.yaml", dir, program, fleet, waiting, watchers, os.Stdout)
+				return scenario.MeasureAPI("days/why-placer.yaml", dir, program, fleet, waiting, watchers, os.Stdout)
 			})
 		}}
 	api.Flags().IntVar(&fleet, "machines", 1000, "how many machines")
@@ -55,7 +55,7 @@
 	kept := &cobra.Command{Use: "kept", Short: "Measure the way of jobs through a keeper", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return withPlacers("", 0, func(program []string, dir string) error {
-				return lab.MeasureKept("days/why-placer.yaml", dir, program, fleet, keptRate, 5*time.Second, os.Stdout)
+				return scenario.MeasureKept("days/why-placer.yaml", dir, program, fleet, keptRate, 5*time.Second, os.Stdout)
 			})
 		}}
 	kept.Flags().IntVar(&fleet, "machines", 100, "how many machines")
@@ -65,7 +65,7 @@
 	bgp := &cobra.Command{Use: "bgp", Short: "Measure a speaker with many prefixes and peers", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			for _, n := range peers {
-				if err := lab.MeasureBGP(prefixes, n, os.Stdout); err != nil {
+				if err := scenario.MeasureBGP(prefixes, n, os.Stdout); err != nil {
 					return err
 				}
 			}
--- a/cmd/glenport-lab/main.go
+++ b/cmd/glenport-lab/main.go
@@ -14,10 +14,10 @@
 
 	"glenport/internal/bgp/speaker"
 	"glenport/internal/config"
-	"glenport/internal/lab"
 	"glenport/internal/schedulerd"
 	"glenport/internal/testbed/audit"
 	"glenport/internal/testbed/mutants"
+	"glenport/internal/testbed/scenario"
 	"glenport/scheduler"
 
 	"github.com/spf13/cobra"
@@ -76,7 +76,7 @@
 	return f(program, dir)
 }
 
-func play(d *lab.Day, dir string, rule int) error {
+func play(d *scenario.Day, dir string, rule int) error {
 	return withPlacers(dir, rule, func(program []string, dir string) error {
 		o, err := d.Run(dir, program, os.Stdout)
 		if err != nil {
@@ -95,7 +95,7 @@
 	var rule int
 	c := &cobra.Command{Use: "day FILE", Short: "Play a day's troubles on a cluster and judge its record", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			d, err := lab.LoadDay(args[0])
+			d, err := scenario.LoadDay(args[0])
 			if err != nil {
 				return err
 			}
@@ -118,7 +118,7 @@
 				return err
 			}
 			fmt.Printf("%d frames, %d submissions, %d offers\n", j.Frames, j.Submitted, j.Offers)
-			lab.PrintFindings(os.Stdout, j)
+			scenario.PrintFindings(os.Stdout, j)
 			if !j.Kept() {
 				return errNotHeld
 			}
@@ -134,7 +134,7 @@
 	var rate float64
 	c := &cobra.Command{Use: "replay DAY.json", Short: "Play the kinds of trouble of a simulated day, scaled down, on real placers",
 		Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-			d, err := lab.LoadReplay(args[0], template, rate, os.Stdout)
+			d, err := scenario.LoadReplay(args[0], template, rate, os.Stdout)
 			if err != nil {
 				return err
 			}
@@ -194,7 +194,7 @@
 			if err != nil {
 				return err
 			}
-			d, err := lab.LoadDay("days/why.yaml")
+			d, err := scenario.LoadDay("days/why.yaml")
 			if err != nil {
 				return err
 			}
@@ -203,7 +203,7 @@
 				return err
 			}
 			defer done()
-			t := &lab.WhyTrial{Cycles: cycles, Steps: steps, Lie: lie, Out: os.Stdout}
+			t := &scenario.WhyTrial{Cycles: cycles, Steps: steps, Lie: lie, Out: os.Stdout}
 			ok, err := t.Run(d, dir, program)
 			return verdict("why", ok, err, "an owner read what was not so, or too late")
 		}}
@@ -231,7 +231,7 @@
 				}
 				program = []string{own, "placer", "--spoil-routes", spoil}
 			}
-			d, err := lab.LoadDay("days/why.yaml")
+			d, err := scenario.LoadDay("days/why.yaml")
 			if err != nil {
 				return err
 			}
@@ -240,7 +240,7 @@
 				return err
 			}
 			defer done()
-			t := &lab.BGPTrial{Rounds: rounds, Out: os.Stdout}
+			t := &scenario.BGPTrial{Rounds: rounds, Out: os.Stdout}
 			ok, err := t.Run(d, dir, program)
 			return verdict("bgp", ok, err, "a peer was told too late, too often or what was not so")
 		}}
@@ -253,7 +253,7 @@
 func restartTrialCommand() *cobra.Command {
 	var dir string
 	var short bool
-	t := &lab.RestartTrial{Out: os.Stdout}
+	t := &scenario.RestartTrial{Out: os.Stdout}
 	c := &cobra.Command{Use: "restart", Short: "Nothing that was promised is lost when programs are killed while they write", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			if t.Spoil != "" && t.Spoil != "sync" && t.Spoil != "checksum" {
@@ -263,7 +263,7 @@
 			if short {
 				t.Sizes, t.Lost = []int{100}, false
 			}
-			d, err := lab.LoadDay("days/short.yaml")
+			d, err := scenario.LoadDay("days/short.yaml")
 			if err != nil {
 				return err
 			}
@@ -296,10 +296,10 @@
 func stormTrialCommand() *cobra.Command {
 	var dir string
 	var placers int
-	t := &lab.StormTrial{Ignore: 0.5, Out: os.Stdout}
+	t := &scenario.StormTrial{Ignore: 0.5, Out: os.Stdout}
 	c := &cobra.Command{Use: "storm", Short: "When most of a fleet restarts at once, what follows is not worse than that", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			d, err := lab.LoadDay("days/storm.yaml")
+			d, err := scenario.LoadDay("days/storm.yaml")
 			if err != nil {
 				return err
 			}
--- a/internal/lab/cluster.go
+++ b/internal/testbed/scenario/cluster.go
@@ -1,6 +1,6 @@
-// Package lab brings up a cluster of stand-ins on loopback with real placers, plays a day's troubles on it and
+// Package scenario brings up a cluster of stand-ins on loopback with real placers, plays a day's troubles on it and
 // has the record judged.
-package lab
+package scenario
 
 import (
 	"fmt"
--- a/internal/lab/loadbgp.go
+++ b/internal/testbed/scenario/loadbgp.go
@@ -1,4 +1,4 @@
-package lab
+package scenario
 
 import (
 	"fmt"
