--- a/cmd/glenport-lab/load.go
+++ b/cmd/glenport-lab/load.go
@@ -45,7 +45,7 @@
 	api := &cobra.Command{Use: "api", Short: "Measure a keeper with containers that wait", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return withPlacers("", 0, func(program []string, dir string) error {
-				return scenario.MeasureAPI("days/why-placer.yaml", dir, program, fleet, waiting, watchers, os.Stdout)
+				return scenario.MeasureAPI("scenarios/why-placer.yaml", dir, program, fleet, waiting, watchers, os.Stdout)
 			})
 		}}
 	api.Flags().IntVar(&fleet, "machines", 1000, "how many machines")
@@ -55,7 +55,7 @@
 	kept := &cobra.Command{Use: "kept", Short: "Measure the way of jobs through a keeper", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return withPlacers("", 0, func(program []string, dir string) error {
-				return scenario.MeasureKept("days/why-placer.yaml", dir, program, fleet, keptRate, 5*time.Second, os.Stdout)
+				return scenario.MeasureKept("scenarios/why-placer.yaml", dir, program, fleet, keptRate, 5*time.Second, os.Stdout)
 			})
 		}}
 	kept.Flags().IntVar(&fleet, "machines", 100, "how many machines")
@@ -78,6 +78,6 @@
 	c.Flags().IntSliceVar(&rates, "rates", []int{300, 3000}, "submissions a second")
 	c.Flags().DurationVar(&length, "length", 10*time.Second, "of each measurement")
 	c.Flags().DurationVar(&life, "life", 2*time.Second, "of each container")
-	c.Flags().StringVar(&template, "placer-file", "days/placer.yaml", "the placer's terms")
+	c.Flags().StringVar(&template, "placer-file", "scenarios/placer.yaml", "the placer's terms")
 	return c
 }
--- a/cmd/glenport-lab/main.go
+++ b/cmd/glenport-lab/main.go
@@ -141,7 +141,7 @@
 			return play(d, dir, 0)
 		}}
 	c.Flags().StringVar(&dir, "dir", "", "folder to keep the record and the logs in")
-	c.Flags().StringVar(&template, "day", "days/bad-day.yaml", "day file that gives the cluster")
+	c.Flags().StringVar(&template, "day", "scenarios/bad-day.yaml", "day file that gives the cluster")
 	c.Flags().Float64Var(&rate, "rate", 150, "submissions a second at the day's mean load")
 	return c
 }
@@ -194,7 +194,7 @@
 			if err != nil {
 				return err
 			}
-			d, err := scenario.LoadDay("days/why.yaml")
+			d, err := scenario.LoadDay("scenarios/why.yaml")
 			if err != nil {
 				return err
 			}
@@ -231,7 +231,7 @@
 				}
 				program = []string{own, "placer", "--spoil-routes", spoil}
 			}
-			d, err := scenario.LoadDay("days/why.yaml")
+			d, err := scenario.LoadDay("scenarios/why.yaml")
 			if err != nil {
 				return err
 			}
@@ -263,7 +263,7 @@
 			if short {
 				t.Sizes, t.Lost = []int{100}, false
 			}
-			d, err := scenario.LoadDay("days/short.yaml")
+			d, err := scenario.LoadDay("scenarios/short.yaml")
 			if err != nil {
 				return err
 			}
@@ -299,7 +299,7 @@
 	t := &scenario.StormTrial{Ignore: 0.5, Out: os.Stdout}
 	c := &cobra.Command{Use: "storm", Short: "When most of a fleet restarts at once, what follows is not worse than that", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			d, err := scenario.LoadDay("days/storm.yaml")
+			d, err := scenario.LoadDay("scenarios/storm.yaml")
 			if err != nil {
 				return err
 			}
--- a/internal/controller/api/api_test.go
+++ b/internal/controller/api/api_test.go
@@ -43,7 +43,7 @@
 func start(t *testing.T, machines int) *rig {
 	t.Helper()
 	r := &rig{T: t}
-	s, err := config.Load("../../../days/why-placer.yaml")
+	s, err := config.Load("../../../scenarios/why-placer.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/scenario/lab_test.go
+++ b/internal/testbed/scenario/lab_test.go
@@ -35,7 +35,7 @@
 }
 
 func day(t *testing.T) *Day {
-	d, err := LoadDay("../../../days/short.yaml")
+	d, err := LoadDay("../../../scenarios/short.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,11 +114,11 @@
 }
 
 func TestDayFaults(t *testing.T) {
-	good, err := os.ReadFile("../../../days/short.yaml")
+	good, err := os.ReadFile("../../../scenarios/short.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	terms, _ := os.ReadFile("../../../days/placer.yaml")
+	terms, _ := os.ReadFile("../../../scenarios/placer.yaml")
 	for _, tc := range []struct{ name, old, new, want string }{
 		{"no such trouble", "kind: slow", "kind: sloth", `"sloth" is no trouble`},
 		{"no such hall", "hall: middle", "hall: centre", `"centre" is none of north, middle, south`},
@@ -145,7 +145,7 @@
 		{"kind":"mass_restart","at":1000000,"len":500000,"on":[1,2]},{"kind":"balancer_crash","at":2000000,"len":1,"on":[0]},
 		{"kind":"report_late","at":1,"len":2}]}`), 0o644)
 	var out bytes.Buffer
-	d, err := LoadReplay(path, "../../../days/short.yaml", 100, &out)
+	d, err := LoadReplay(path, "../../../scenarios/short.yaml", 100, &out)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 		t.Errorf("%+v\n%s", d.Troubles, out.String())
 	}
 	os.WriteFile(path, []byte(`{}`), 0o644)
-	if _, err := LoadReplay(path, "../../../days/short.yaml", 100, io.Discard); err == nil {
+	if _, err := LoadReplay(path, "../../../scenarios/short.yaml", 100, io.Discard); err == nil {
 		t.Error("what is no day is played")
 	}
 }
