--- a/cmd/glenport-lab/main.go
+++ b/cmd/glenport-testbed/main.go
@@ -1,4 +1,4 @@
-// Command glenport-lab brings up clusters of stand-ins on loopback, plays bad days on them with real placers and
+// Command glenport-testbed brings up clusters of stand-ins on loopback, plays bad days on them with real placers and
 // judges what passed over the sockets.
 package main
 
@@ -26,13 +26,13 @@
 var errNotHeld = errors.New("not held")
 
 func main() {
-	root := &cobra.Command{Use: "glenport-lab", Short: "Stand-ins, bad days and their audit, on loopback",
+	root := &cobra.Command{Use: "glenport-testbed", Short: "Stand-ins, bad days and their audit, on loopback",
 		SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(dayCommand(), auditCommand(), replayCommand(), loadCommand(), trialCommand(), placerCommand())
 	if err := root.Execute(); errors.Is(err, errNotHeld) {
 		os.Exit(1)
 	} else if err != nil {
-		fmt.Fprintln(os.Stderr, "glenport-lab:", err)
+		fmt.Fprintln(os.Stderr, "glenport-testbed:", err)
 		os.Exit(2)
 	}
 }
@@ -53,13 +53,13 @@
 		return nil, err
 	}
 	if rule > 0 {
-		return []string{own, "placer", "--sabotage", fmt.Sprint(rule)}, nil
+		return []string{own, "scheduler", "--sabotage", fmt.Sprint(rule)}, nil
 	}
 	p := filepath.Join(filepath.Dir(own), "glenport")
 	if _, err := os.Stat(p); err != nil {
-		return nil, fmt.Errorf("glenport is to stand beside glenport-lab: %w", err)
+		return nil, fmt.Errorf("glenport is to stand beside glenport-testbed: %w", err)
 	}
-	return []string{p, "placer"}, nil
+	return []string{p, "scheduler"}, nil
 }
 
 // withPlacers runs f with the program that placers are, and a folder for their files.
@@ -93,7 +93,7 @@
 func dayCommand() *cobra.Command {
 	var dir string
 	var rule int
-	c := &cobra.Command{Use: "day FILE", Short: "Play a day's troubles on a cluster and judge its record", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "scenario FILE", Aliases: []string{"day"}, Short: "Play a day's troubles on a cluster and judge its record", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			d, err := scenario.LoadDay(args[0])
 			if err != nil {
@@ -151,7 +151,7 @@
 	var file, spoil string
 	var rule int
 	var damped bool
-	c := &cobra.Command{Use: "placer", Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
+	c := &cobra.Command{Use: "scheduler", Aliases: []string{"placer"}, Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		s, err := config.Load(file)
 		if err != nil {
 			return err
@@ -229,7 +229,7 @@
 				if err != nil {
 					return err
 				}
-				program = []string{own, "placer", "--spoil-routes", spoil}
+				program = []string{own, "scheduler", "--spoil-routes", spoil}
 			}
 			d, err := scenario.LoadDay("scenarios/why.yaml")
 			if err != nil {
@@ -311,7 +311,7 @@
 			return withPlacers(dir, 0, func(program []string, dir string) error {
 				t.Program = func(damped bool) []string {
 					if damped {
-						return []string{own, "placer", "--damped"}
+						return []string{own, "scheduler", "--damped"}
 					}
 					return program
 				}
--- a/cmd/glenport/keeper.go
+++ b/cmd/glenport/keeper.go
@@ -20,7 +20,7 @@
 
 func keeperCommand() *cobra.Command {
 	var file, form string
-	c := &cobra.Command{Use: "keeper", Short: "Keep jobs running and serve the API", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "controller", Aliases: []string{"keeper"}, Short: "Keep jobs running and serve the API", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			log, err := logger(form)
 			if err != nil {
--- a/cmd/glenport/main.go
+++ b/cmd/glenport/main.go
@@ -41,7 +41,7 @@
 
 func placerCommand() *cobra.Command {
 	var file, form string
-	c := &cobra.Command{Use: "placer", Short: "Run one placer until it is told to stop", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "scheduler", Aliases: []string{"placer"}, Short: "Run one placer until it is told to stop", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			log, err := logger(form)
 			if err != nil {
--- a/internal/testbed/scenario/keeper.go
+++ b/internal/testbed/scenario/keeper.go
@@ -55,7 +55,7 @@
 }
 
 func (k *keeperProcess) begin() error {
-	k.proc = exec.Command(k.program, "keeper", "-c", k.file)
+	k.proc = exec.Command(k.program, "controller", "-c", k.file)
 	log, err := os.OpenFile(k.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
