--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -21,13 +21,13 @@
 // turn is one instance's part of a frame.
 type turn struct {
 	instance int
-	placer   *scheduler.Placer
+	placer   *scheduler.Scheduler
 	events   []scheduler.Event
 }
 
 func run(in io.Reader, out io.Writer) error {
 	dec := simprotocol.NewDecoder(in)
-	placers := map[int]*scheduler.Placer{} // a stopped instance is taken out
+	placers := map[int]*scheduler.Scheduler{} // a stopped instance is taken out
 	var reply bytes.Buffer
 	for {
 		frame, err := dec.Next()
@@ -56,7 +56,7 @@
 
 // sortOut gathers the events of a frame by instance, in the order in which instances first appear.
 // What an instance was told before it was stopped is dropped with it.
-func sortOut(frame *simprotocol.Frame, placers map[int]*scheduler.Placer) ([]*turn, error) {
+func sortOut(frame *simprotocol.Frame, placers map[int]*scheduler.Scheduler) ([]*turn, error) {
 	var turns []*turn
 	at := map[int]*turn{}
 	for _, d := range frame.Deliveries {
--- a/cmd/glenport/main.go
+++ b/cmd/glenport/main.go
@@ -106,7 +106,7 @@
 					continue
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s: placer %s, %d of %d, %d workloads, %d kinds of machine: good\n",
-					f, s.Name, s.Terms.Me+1, s.Terms.Placers, len(s.Terms.Workloads), len(s.Terms.Kinds))
+					f, s.Name, s.Terms.SchedulerIndex+1, s.Terms.SchedulerCount, len(s.Terms.WorkloadClasses), len(s.Terms.MachineTypes))
 			}
 			if bad {
 				return exitCode(1)
--- a/cmd/glenport/state.go
+++ b/cmd/glenport/state.go
@@ -68,10 +68,10 @@
 	if k := l.knowledge; k != nil {
 		sick, resting := 0, 0
 		for _, m := range k.Learned.Machines {
-			if m.Sick > 0 {
+			if m.OutlierLogOdds > 0 {
 				sick++
 			}
-			if m.RestUntil > 0 {
+			if m.EjectedUntil > 0 {
 				resting++
 			}
 		}
@@ -126,9 +126,9 @@
 	}
 	if k := l.knowledge; k != nil {
 		known := *k
-		known.Learned.Traits = append([]scheduler.Trait(nil), known.Learned.Traits...)
-		for i := range known.Learned.Traits { // JSON has no word for infinity: the highest number stands for it
-			known.Learned.Traits[i].Bar = min(known.Learned.Traits[i].Bar, 1e308)
+		known.Learned.TrafficClasses = append([]scheduler.TrafficClass(nil), known.Learned.TrafficClasses...)
+		for i := range known.Learned.TrafficClasses { // JSON has no word for infinity: the highest number stands for it
+			known.Learned.TrafficClasses[i].SuspicionThreshold = min(known.Learned.TrafficClasses[i].SuspicionThreshold, 1e308)
 		}
 		if err := lines.Encode(map[string]any{"kind": "knowledge", "value": known}); err != nil {
 			return err
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -21,7 +21,7 @@
 	State     string // the folder of what is kept over restarts; nothing is where empty
 	Keep      string // an earlier version's file of the last list, read once
 	Metrics   string // where to be scraped; nowhere where empty
-	Terms     scheduler.Terms
+	Terms     scheduler.Config
 	Bounds    reconcile.Bounds
 	Output    int // bytes that may wait on one link
 	Connect   eventloop.Tick
@@ -219,15 +219,15 @@
 		Damped: f.Bounds.Narrow.Value, Output: int(f.Links.Output.GiB * (1 << 30)),
 		Connect: eventloop.Tick(c.lasting(f.Links.Connect)), Idle: eventloop.Tick(c.lasting(f.Links.Idle)),
 		Silent: eventloop.Tick(c.lasting(f.Links.Silent)),
-		Terms: scheduler.Terms{Seed: uint64(f.Seed.Value), Me: f.Number.Value, Placers: f.Placers.Value,
-			OverShare: f.OverShare.Value, AcceptCores: c.above0(m.Accept.Cores), AcceptMemory: c.above0(m.Accept.Memory),
-			MeanCores: c.above0(m.Mean.Cores), MeanMemory: m.Mean.Memory.GiB, UseNotes: m.UseNotes.Value,
-			ListedAsks: m.ListedAsks.Value, MayProbe: m.Probes.Value, MostBids: c.some(f.Bids.Most),
-			AnswerGrace: c.span(f.Bids.Grace), ListOnAsk: true, AskWithin: c.lasting(f.List.AskWithin),
-			ColdFor: c.span(m.ColdFor), ColdWindow: c.span(m.ColdWindow), ColdBids: m.ColdBids.Value}}
-	if t := &p.Terms; t.ColdBids > 0 && 16*p.Connect > eventloop.Tick(t.ColdWindow) {
+		Terms: scheduler.Config{Seed: uint64(f.Seed.Value), SchedulerIndex: f.Number.Value, SchedulerCount: f.Placers.Value,
+			OverQuotaWeight: f.OverShare.Value, CoresOvercommit: c.above0(m.Accept.Cores), MemoryOvercommit: c.above0(m.Accept.Memory),
+			MeanCores: c.above0(m.Mean.Cores), MeanMemory: m.Mean.Memory.GiB, UsageReports: m.UseNotes.Value,
+			ListTracksRequests: m.ListedAsks.Value, ProbesAllowed: m.Probes.Value, MaxAttempts: c.some(f.Bids.Most),
+			AnswerGrace: c.span(f.Bids.Grace), ListOnRequest: true, ResyncInterval: c.lasting(f.List.AskWithin),
+			SlowStartPeriod: c.span(m.ColdFor), SlowStartWindow: c.span(m.ColdWindow), SlowStartBudget: m.ColdBids.Value}}
+	if t := &p.Terms; t.SlowStartBudget > 0 && 16*p.Connect > eventloop.Tick(t.SlowStartWindow) {
 		c.fail(f.Links.Connect.Place, "a bid may wait for its link no longer than a sixteenth of cold_window, %g ms",
-			float64(t.ColdWindow)/16/float64(scheduler.Millisecond))
+			float64(t.SlowStartWindow)/16/float64(scheduler.Millisecond))
 	}
 	if p.Output < 64<<10 {
 		c.fail(f.Links.Output.Place, "%d bytes are too few for a frame: 64KiB at least", p.Output)
@@ -237,7 +237,7 @@
 	}
 	yes, err := strictyaml.Choose(c.src, m.Yes, "accepted", "running")
 	c.keep(err)
-	p.Terms.YesRuns = yes == 1
+	p.Terms.AcceptMeansRunning = yes == 1
 	kinds := c.kinds(m.Kinds, p)
 	for i := range f.Workloads {
 		c.workload(fmt.Sprintf("workloads[%d]", i), &f.Workloads[i], kinds, p)
@@ -247,7 +247,7 @@
 	}
 	for i, k := range f.Customers {
 		c.needed(fmt.Sprintf("customers[%d]", i), k)
-		p.Terms.Customers = append(p.Terms.Customers, scheduler.Customer{Cores: c.above0(k.Cores)})
+		p.Terms.Tenants = append(p.Terms.Tenants, scheduler.Tenant{QuotaCores: c.above0(k.Cores)})
 		p.Customers = append(p.Customers, k.Name.Text)
 	}
 	if f.Keep.Set() && !f.State.Set() {
@@ -277,7 +277,7 @@
 		if k.Memory.GiB <= 0 {
 			c.fail(k.Memory.Place, "a machine needs memory above 0")
 		}
-		p.Terms.Kinds = append(p.Terms.Kinds, scheduler.Kind{Cores: c.above0(k.Cores), Memory: k.Memory.GiB})
+		p.Terms.MachineTypes = append(p.Terms.MachineTypes, scheduler.MachineType{Cores: c.above0(k.Cores), Memory: k.Memory.GiB})
 	}
 	if len(all) == 0 {
 		c.keep(c.src.Missing("machines", "kinds"))
@@ -290,14 +290,14 @@
 	if c.fault != nil {
 		return
 	}
-	w := scheduler.Workload{Agreed: c.lasting(f.Agreed), HardStop: c.lasting(f.HardStop), Kind: -1, Gain: c.above0(f.Gain)}
-	if w.Agreed > w.HardStop {
+	w := scheduler.WorkloadClass{LatencyObjective: c.lasting(f.Agreed), PlacementTimeout: c.lasting(f.HardStop), MachineType: -1, PriorityWeight: c.above0(f.Gain)}
+	if w.LatencyObjective > w.PlacementTimeout {
 		c.fail(f.Agreed.Place, "the agreed time is after the hard stop")
 	}
 	effect, err := strictyaml.Choose(c.src, f.Effect, "reissuable", "numbered", "at-most-once")
 	c.keep(err)
-	w.Effect = scheduler.Effect(effect)
-	if w.Effect == scheduler.Numbered {
+	w.Idempotency = scheduler.Idempotency(effect)
+	if w.Idempotency == scheduler.IdempotentWithKey {
 		if !f.Repeats.Set() {
 			c.keep(c.src.Missing(path, "repeats_dropped_in"))
 		}
@@ -306,7 +306,7 @@
 		}
 		n, err := strictyaml.Choose(c.src, f.Repeats, "cell", "zone", "everywhere")
 		c.keep(err)
-		w.Repeats, w.Window = []scheduler.Place{scheduler.OneCell, scheduler.OneZone, scheduler.Everywhere}[n], c.span(f.Window)
+		w.DedupScope, w.DedupWindow = []scheduler.Scope{scheduler.ScopeRackGroup, scheduler.ScopeZone, scheduler.ScopeFleet}[n], c.span(f.Window)
 	} else if f.Repeats.Set() || f.Window.Set() {
 		c.fail(max1(f.Repeats.Place, f.Window.Place), "only numbered work has its repeats dropped")
 	}
@@ -315,16 +315,16 @@
 		if !ok {
 			c.fail(f.Kind.Place, "there is no kind %q", f.Kind.Text)
 		}
-		w.Kind = n
+		w.MachineType = n
 	}
 	if f.Spread.Set() {
 		n, err := strictyaml.Choose(c.src, f.Spread, "machine", "cell", "zone")
 		c.keep(err)
-		w.Spread = []scheduler.Place{scheduler.OneMachine, scheduler.OneCell, scheduler.OneZone}[n]
+		w.SpreadScope = []scheduler.Scope{scheduler.ScopeMachine, scheduler.ScopeRackGroup, scheduler.ScopeZone}[n]
 		if !f.Most.Set() {
 			c.keep(c.src.Missing(path, "most_in_one"))
 		}
-		w.Most = c.some(f.Most)
+		w.MaxPerScope = c.some(f.Most)
 	} else if f.Most.Set() {
 		c.fail(f.Most.Place, "most_in_one needs spread_over")
 	}
@@ -334,7 +334,7 @@
 		}
 	}
 	p.Workloads = append(p.Workloads, f.Name.Text)
-	p.Terms.Workloads = append(p.Terms.Workloads, w)
+	p.Terms.WorkloadClasses = append(p.Terms.WorkloadClasses, w)
 }
 
 // max1 is the first of two places that is set.
--- a/internal/config/site_test.go
+++ b/internal/config/site_test.go
@@ -21,12 +21,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := scheduler.Workload{Effect: scheduler.Numbered, Repeats: scheduler.OneZone, Window: 8 * scheduler.Second,
-		Agreed: 700 * scheduler.Millisecond, HardStop: 6 * scheduler.Second, Kind: -1, Gain: 2}
-	if got := p.Terms.Workloads[1]; got != want {
+	want := scheduler.WorkloadClass{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeZone, DedupWindow: 8 * scheduler.Second,
+		LatencyObjective: 700 * scheduler.Millisecond, PlacementTimeout: 6 * scheduler.Second, MachineType: -1, PriorityWeight: 2}
+	if got := p.Terms.WorkloadClasses[1]; got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
-	if k := p.Terms.Kinds[1]; k.Cores != 48 || k.Memory != 120 || p.Output != 1<<20 || p.Terms.ColdBids != 60 {
+	if k := p.Terms.MachineTypes[1]; k.Cores != 48 || k.Memory != 120 || p.Output != 1<<20 || p.Terms.SlowStartBudget != 60 {
 		t.Errorf("got %+v", p)
 	}
 }
--- a/internal/controller/api/api_test.go
+++ b/internal/controller/api/api_test.go
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(l.Close)
-	s.Door, s.State, s.Terms.Placers = "127.0.0.1:0", "", 1
+	s.Door, s.State, s.Terms.SchedulerCount = "127.0.0.1:0", "", 1
 	h, err := schedulerd.New(s, scheduler.New(s.Terms), quiet)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -25,7 +25,7 @@
 func TestDecisionsMatchGoldenDigests(t *testing.T) {
 	const sequences, steps = 120, 160
 	var got strings.Builder
-	for group, effect := range []scheduler.Effect{scheduler.Reissuable, scheduler.Numbered, scheduler.AtMostOnce} {
+	for group, effect := range []scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.AtMostOnce} {
 		for _, schedulers := range []int{1, 2, 5} {
 			digest := newActionDigest()
 			for seed := range sequences {
@@ -152,7 +152,7 @@
 	running bool
 }
 
-func newHistory(d *actionDigest, effect scheduler.Effect, schedulers int, seed uint64) *history {
+func newHistory(d *actionDigest, effect scheduler.Idempotency, schedulers int, seed uint64) *history {
 	h := &history{digest: d, random: rand.New(rand.NewPCG(seed, 17)), reachable: make([]bool, schedulers), jobs: map[string]Set{},
 		containers: map[string]Container{}, orphans: map[Stray]bool{}}
 	h.terms = Terms{Seed: seed, First: 10, Doors: schedulers, Workloads: []Workload{
@@ -274,8 +274,8 @@
 		return
 	}
 	i := running[h.random.IntN(len(running))]
-	outcome := []scheduler.Outcome{scheduler.Finished, scheduler.Finished, scheduler.Reset, scheduler.Reset, scheduler.Stopped, scheduler.Erred}[h.random.IntN(6)]
-	reason := []scheduler.Reason{scheduler.NoReason, scheduler.NoReason, scheduler.Evicted, scheduler.PushedOut, scheduler.SentAway}[h.random.IntN(5)]
+	outcome := []scheduler.Outcome{scheduler.OutcomeFinished, scheduler.OutcomeFinished, scheduler.OutcomeLost, scheduler.OutcomeLost, scheduler.OutcomeStopped, scheduler.OutcomeErrored}[h.random.IntN(6)]
+	reason := []scheduler.Reason{scheduler.ReasonNone, scheduler.ReasonNone, scheduler.ReasonOutOfMemory, scheduler.ReasonPreempted, scheduler.ReasonDrained}[h.random.IntN(5)]
 	e := Fated{Ask: h.requests[i].id, Outcome: outcome, Reason: reason}
 	h.requests = append(h.requests[:i], h.requests[i+1:]...)
 	h.handle(e)
--- a/internal/controller/keeper.go
+++ b/internal/controller/keeper.go
@@ -27,7 +27,7 @@
 
 // Workload is what the keeper needs of one.
 type Workload struct {
-	Effect   scheduler.Effect
+	Effect   scheduler.Idempotency
 	HardStop scheduler.Time
 	Window   scheduler.Time
 }
@@ -308,7 +308,7 @@
 
 // astray notes that a container's ask may have led to a copy that runs at its door.
 func (k *Keeper) astray(s *slot) {
-	if s.Door >= 0 && k.effect(s) == scheduler.Reissuable {
+	if s.Door >= 0 && k.effect(s) == scheduler.Idempotent {
 		x := Stray{s.Door, s.Key}
 		k.stray[x] = 0
 		if k.open[s.Door] {
@@ -442,7 +442,7 @@
 	step, after := recovery.Resume(phase, n)
 	switch {
 	case step == recovery.Look && s.Door < 0: // its placer is none of the doors any more
-		if k.effect(s) == scheduler.Reissuable {
+		if k.effect(s) == scheduler.Idempotent {
 			k.freshKey(s)
 			k.wait(s, after, "its placer is no longer among the doors")
 			return
@@ -592,7 +592,7 @@
 	}
 }
 
-func (k *Keeper) effect(s *slot) scheduler.Effect {
+func (k *Keeper) effect(s *slot) scheduler.Idempotency {
 	if w := s.job.spec.Workload; w < len(k.terms.Workloads) {
 		return k.terms.Workloads[w].Effect
 	}
@@ -612,7 +612,7 @@
 		s.Pinned, s.Again = true, true
 		k.wait(s, 0, "made sure")
 	case Unwatched:
-		if k.effect(s) == scheduler.Reissuable {
+		if k.effect(s) == scheduler.Idempotent {
 			k.astray(s)
 			k.forgetAsk(s)
 			k.freshKey(s)
@@ -684,7 +684,7 @@
 		k.replace(s.job)
 		return
 	case GivenUp:
-		if k.effect(s) != scheduler.Reissuable && e.Text != "cancelled" {
+		if k.effect(s) != scheduler.Idempotent && e.Text != "cancelled" {
 			k.guard(s, "given up, and it may run")
 			return
 		}
@@ -740,8 +740,8 @@
 	if s == nil || s.State != Running && s.State != Unwatched && !(s.State == Asking && s.Leaving) {
 		return
 	}
-	lost := e.Outcome == scheduler.Reset && e.Reason == scheduler.NoReason
-	if lost && k.effect(s) != scheduler.Reissuable {
+	lost := e.Outcome == scheduler.OutcomeLost && e.Reason == scheduler.ReasonNone
+	if lost && k.effect(s) != scheduler.Idempotent {
 		k.guard(s, "lost with its machine or the way to it, and it may run")
 		return
 	}
@@ -752,17 +752,17 @@
 	}
 	k.freshKey(s)
 	switch {
-	case e.Outcome == scheduler.Finished && s.job.spec.Once:
+	case e.Outcome == scheduler.OutcomeFinished && s.job.spec.Once:
 		s.Machine = ""
 		k.turn(s, Done, -1, "finished")
-	case e.Reason == scheduler.Evicted:
+	case e.Reason == scheduler.ReasonOutOfMemory:
 		k.wait(s, k.backOff(s, 0), "evicted for memory")
 	case lost:
 		k.wait(s, scheduler.Time(k.chance()*float64(2*soon)), "lost with its machine")
 	default:
-		k.wait(s, scheduler.Time(k.chance()*float64(2*soon)), map[scheduler.Outcome]string{scheduler.Finished: "finished",
-			scheduler.Stopped: "stopped"}[e.Outcome]+map[scheduler.Reason]string{scheduler.SentAway: "sent away by its machine",
-			scheduler.PushedOut: "pushed out by other work"}[e.Reason])
+		k.wait(s, scheduler.Time(k.chance()*float64(2*soon)), map[scheduler.Outcome]string{scheduler.OutcomeFinished: "finished",
+			scheduler.OutcomeStopped: "stopped"}[e.Outcome]+map[scheduler.Reason]string{scheduler.ReasonDrained: "sent away by its machine",
+			scheduler.ReasonPreempted: "pushed out by other work"}[e.Reason])
 	}
 	if s.Replaced {
 		s.Replaced = false
@@ -790,11 +790,11 @@
 		switch {
 		case !e.Open && mine && s.State == Asking:
 			k.astray(s)
-			if s.Leaving && k.effect(s) == scheduler.Reissuable {
+			if s.Leaving && k.effect(s) == scheduler.Idempotent {
 				k.remove(s)
 				continue
 			}
-			if k.effect(s) == scheduler.Reissuable {
+			if k.effect(s) == scheduler.Idempotent {
 				k.forgetAsk(s)
 				k.wait(s, soon+scheduler.Time(k.chance()*float64(4*soon)), "its placer was lost")
 			} else {
--- a/internal/controller/keeper_test.go
+++ b/internal/controller/keeper_test.go
@@ -14,7 +14,7 @@
 
 const sec = scheduler.Second
 
-func terms(effect scheduler.Effect) Terms {
+func terms(effect scheduler.Idempotency) Terms {
 	return Terms{Seed: 3, Doors: 2, Workloads: []Workload{{Effect: effect, HardStop: 4 * sec, Window: 8 * sec}}}
 }
 
@@ -29,7 +29,7 @@
 	view map[string]Container
 }
 
-func newRig(t *testing.T, effect scheduler.Effect, count int) *rig {
+func newRig(t *testing.T, effect scheduler.Idempotency, count int) *rig {
 	r := &rig{T: t, k: New(terms(effect)), view: map[string]Container{}}
 	r.do(Door{0, true})
 	r.do(Set{"j", count, Spec{Service: "s", Cores: 1}})
@@ -77,7 +77,7 @@
 func TestHistories(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		effect scheduler.Effect
+		effect scheduler.Idempotency
 		steps  string
 		want   string
 	}{
@@ -131,19 +131,19 @@
 				case "givenup":
 					r.do(Answered{Ask: ask, Verdict: GivenUp})
 				case "finished":
-					r.do(Fated{ask, scheduler.Finished, 0})
+					r.do(Fated{ask, scheduler.OutcomeFinished, 0})
 				case "evicted":
-					r.do(Fated{ask, scheduler.Reset, scheduler.Evicted})
+					r.do(Fated{ask, scheduler.OutcomeLost, scheduler.ReasonOutOfMemory})
 				case "stopped":
-					r.do(Fated{ask, scheduler.Stopped, 0})
+					r.do(Fated{ask, scheduler.OutcomeStopped, 0})
 				case "ceased":
 					r.do(Answered{Ask: r.off[len(r.off)-1], Verdict: GivenUp, Text: "cancelled"})
 				case "unsure":
 					r.do(Answered{Ask: r.off[len(r.off)-1], Verdict: TurnedAway})
 				case "ended":
-					r.do(Fated{r.off[len(r.off)-1], scheduler.Stopped, 0})
+					r.do(Fated{r.off[len(r.off)-1], scheduler.OutcomeStopped, 0})
 				case "lost":
-					r.do(Fated{ask, scheduler.Reset, 0})
+					r.do(Fated{ask, scheduler.OutcomeLost, 0})
 				case "away":
 					r.do(Door{0, false})
 				case "back":
@@ -181,7 +181,7 @@
 
 // What waits together does not return together.
 func TestBackOffSpreads(t *testing.T) {
-	r := newRig(t, scheduler.Reissuable, 1000)
+	r := newRig(t, scheduler.Idempotent, 1000)
 	for _, s := range r.sent {
 		r.do(Answered{Ask: s.Ask, Verdict: PushedBack})
 	}
@@ -200,7 +200,7 @@
 // container runs and nothing is left over.
 func TestNoSecondCopy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		effect := scheduler.Effect(rapid.IntRange(1, 2).Draw(t, "effect"))
+		effect := scheduler.Idempotency(rapid.IntRange(1, 2).Draw(t, "effect"))
 		k, now, wake := New(terms(effect)), scheduler.Time(0), scheduler.Time(0)
 		runs := map[string]int{}    // containers (job and index), by copies
 		keys := map[string]string{} // key that runs, to its ask
@@ -242,7 +242,7 @@
 					if _, on := keys[a.Key]; on && doors[a.Key] == a.Door {
 						stop(a.Key)
 						asked = slices.DeleteFunc(asked, func(s sent) bool { return s.Key == a.Key && s.life == lives[a.Door] })
-						feed(Fated{a.Ask, scheduler.Stopped, 0})
+						feed(Fated{a.Ask, scheduler.OutcomeStopped, 0})
 						continue
 					}
 					// While an earlier bid may start yet the placer is not sure, and takes no ask of its key either.
@@ -343,7 +343,7 @@
 					for run, ask := range keys {
 						if strings.HasPrefix(run, key) && up[doors[run]] {
 							stop(run)
-							feed(Fated{ask, scheduler.Reset, scheduler.SentAway})
+							feed(Fated{ask, scheduler.OutcomeLost, scheduler.ReasonDrained})
 							break
 						}
 					}
@@ -379,7 +379,7 @@
 	was := Container{Job: "j", Door: 0, Key: "j/0/41", Ask: "j/0#42", Again: true, With: spec}
 	for _, tc := range []struct {
 		name   string
-		effect scheduler.Effect
+		effect scheduler.Idempotency
 		state  State
 		change func(c *Container)
 		count  int
@@ -468,7 +468,7 @@
 // twice at once, and when all is well again each wanted one runs and no other does.
 func TestKilled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		effect := rapid.SampledFrom([]scheduler.Effect{scheduler.Reissuable, scheduler.AtMostOnce}).Draw(t, "effect")
+		effect := rapid.SampledFrom([]scheduler.Idempotency{scheduler.Idempotent, scheduler.AtMostOnce}).Draw(t, "effect")
 		spec := Spec{Service: "s", Cores: 1}
 		jobs := map[string]Set{}             // kept
 		log := map[string]Container{}        // kept
@@ -555,7 +555,7 @@
 				case Cancel:
 					if _, there := runs[a.Door][a.Key]; there && open[a.Door] {
 						delete(runs[a.Door], a.Key)
-						do(Fated{a.Ask, scheduler.Stopped, 0})
+						do(Fated{a.Ask, scheduler.OutcomeStopped, 0})
 					} else if open[a.Door] && chance(3, "not sure yet") {
 						do(Answered{Ask: a.Ask, Verdict: TurnedAway})
 					} else if open[a.Door] {
@@ -620,7 +620,7 @@
 					if open[d] && len(keys) > 0 {
 						ask := runs[d][keys[0]]
 						delete(runs[d], keys[0])
-						do(Fated{ask, scheduler.Finished, 0})
+						do(Fated{ask, scheduler.OutcomeFinished, 0})
 					}
 				}
 			}
--- a/internal/controller/pending/golden_test.go
+++ b/internal/controller/pending/golden_test.go
@@ -79,14 +79,14 @@
 		f.Container.Until = now + scheduler.Time(upTo(200_000)) - 20_000
 	}
 	x := &f.Explanation
-	x.Machines, x.OtherKind, x.Draining, x.TooSmall = upTo(most), some(0.4), some(0.4), some(0.3)
-	x.Closing, x.SpreadFull, x.ColdSpent, x.Resting, x.Shunned = some(0.2), some(0.2), some(0.2), some(0.2), some(0.2)
-	x.NoCores, x.NoMemory, x.Free, x.Gone = some(0.4), some(0.4), some(0.3), some(0.2)
-	x.Yielding, x.NoRoomShare = chance(0.3), float64(upTo(100))/100
+	x.Machines, x.WrongMachineType, x.Draining, x.TooSmall = upTo(most), some(0.4), some(0.4), some(0.3)
+	x.SelfDraining, x.SpreadExhausted, x.SlowStartExhausted, x.Ejected, x.Suspected = some(0.2), some(0.2), some(0.2), some(0.2), some(0.2)
+	x.InsufficientCores, x.InsufficientMemory, x.Eligible, x.Gone = some(0.4), some(0.4), some(0.3), some(0.2)
+	x.SheddingLoad, x.FullRatio = chance(0.3), float64(upTo(100))/100
 	if chance(0.15) { // as where no machine is of the kind that is needed, or all of them drain
-		x.OtherKind, x.TooSmall = x.Machines, 0
+		x.WrongMachineType, x.TooSmall = x.Machines, 0
 	} else if chance(0.15) {
-		x.OtherKind, x.TooSmall, x.Draining = 0, 0, x.Machines
+		x.WrongMachineType, x.TooSmall, x.Draining = 0, 0, x.Machines
 	}
 	for zone := range upTo(3) {
 		h := Hall{Name: fmt.Sprint(zone), Machines: upTo(most)}
--- a/internal/controller/pending/waiting.go
+++ b/internal/controller/pending/waiting.go
@@ -126,14 +126,14 @@
 				h.Name, h.Machines)
 		}
 	}
-	if x.Free > 0 {
-		if x.Yielding {
-			add(Yielding, map[string]float64{"share_without_room": x.NoRoomShare},
-				"%.0f%% of recent bids found no room, and other work gains more.", 100*x.NoRoomShare)
+	if x.Eligible > 0 {
+		if x.SheddingLoad {
+			add(Yielding, map[string]float64{"share_without_room": x.FullRatio},
+				"%.0f%% of recent bids found no room, and other work gains more.", 100*x.FullRatio)
 		}
 		return all
 	}
-	fit := x.Machines - x.OtherKind - x.TooSmall
+	fit := x.Machines - x.WrongMachineType - x.TooSmall
 	in := fit - x.Draining
 	switch {
 	case fit == 0:
@@ -142,30 +142,30 @@
 		add(NoMachine, map[string]float64{"machines": float64(fit), "draining": float64(x.Draining)},
 			"All %d machines that could run it drain.", fit)
 	}
-	if n := x.NoCores + x.NoMemory; n > 0 {
+	if n := x.InsufficientCores + x.InsufficientMemory; n > 0 {
 		short := "cores"
-		if x.NoMemory > x.NoCores {
+		if x.InsufficientMemory > x.InsufficientCores {
 			short = "memory"
 		}
-		add(NoRoom, map[string]float64{"machines": float64(in), "full": float64(n), "short_of_cores": float64(x.NoCores),
-			"short_of_memory": float64(x.NoMemory)}, "%d of %d machines have no room: %s is short (%d lack cores, %d memory).", n, in,
-			short, x.NoCores, x.NoMemory)
+		add(NoRoom, map[string]float64{"machines": float64(in), "full": float64(n), "short_of_cores": float64(x.InsufficientCores),
+			"short_of_memory": float64(x.InsufficientMemory)}, "%d of %d machines have no room: %s is short (%d lack cores, %d memory).", n, in,
+			short, x.InsufficientCores, x.InsufficientMemory)
 	}
-	if x.SpreadFull > 0 {
-		add(SpreadFull, map[string]float64{"machines": float64(x.SpreadFull), "of": float64(in)},
-			"On %d of %d machines its service has as many containers as its spread allows.", x.SpreadFull, in)
+	if x.SpreadExhausted > 0 {
+		add(SpreadFull, map[string]float64{"machines": float64(x.SpreadExhausted), "of": float64(in)},
+			"On %d of %d machines its service has as many containers as its spread allows.", x.SpreadExhausted, in)
 	}
-	if x.ColdSpent > 0 {
-		add(ColdBudget, map[string]float64{"machines": float64(x.ColdSpent), "window_seconds": secs(f.ColdWindow)},
-			"%d machines have just come up and may not take more yet; their budget is renewed every %.1f s.", x.ColdSpent, secs(f.ColdWindow))
+	if x.SlowStartExhausted > 0 {
+		add(ColdBudget, map[string]float64{"machines": float64(x.SlowStartExhausted), "window_seconds": secs(f.ColdWindow)},
+			"%d machines have just come up and may not take more yet; their budget is renewed every %.1f s.", x.SlowStartExhausted, secs(f.ColdWindow))
 	}
-	if n := x.Resting + x.Shunned + x.Closing; n > 0 {
-		add(Sick, map[string]float64{"resting": float64(x.Resting), "shun_it": float64(x.Shunned), "closing": float64(x.Closing)},
-			"%d machines are left out: %d look sick, %d leave this work unanswered, %d send work away.", n, x.Resting, x.Shunned, x.Closing)
+	if n := x.Ejected + x.Suspected + x.SelfDraining; n > 0 {
+		add(Sick, map[string]float64{"resting": float64(x.Ejected), "shun_it": float64(x.Suspected), "closing": float64(x.SelfDraining)},
+			"%d machines are left out: %d look sick, %d leave this work unanswered, %d send work away.", n, x.Ejected, x.Suspected, x.SelfDraining)
 	}
-	if x.Yielding {
-		add(Yielding, map[string]float64{"share_without_room": x.NoRoomShare}, "%.0f%% of recent bids found no room, and other work gains more.",
-			100*x.NoRoomShare)
+	if x.SheddingLoad {
+		add(Yielding, map[string]float64{"share_without_room": x.FullRatio}, "%.0f%% of recent bids found no room, and other work gains more.",
+			100*x.FullRatio)
 	}
 	return all
 }
--- a/internal/controller/pending/waiting_test.go
+++ b/internal/controller/pending/waiting_test.go
@@ -20,7 +20,7 @@
 			DoorsOpen: 2, DoorOpen: true, Asked: true, Explanation: x, ColdWindow: 3 * sec}
 	}
 	with := func(f Facts, change func(f *Facts)) Facts { change(&f); return f }
-	full := fleet(func(x *scheduler.Explanation) { x.NoCores, x.NoMemory = 2, 8 })
+	full := fleet(func(x *scheduler.Explanation) { x.InsufficientCores, x.InsufficientMemory = 2, 8 })
 	for _, tc := range []struct {
 		name  string
 		facts Facts
@@ -30,15 +30,15 @@
 		{"runs", Facts{Container: controller.Container{State: controller.Running}}, "", ""},
 		{"just asked for", Facts{Container: controller.Container{State: controller.Waiting}, DoorsOpen: 1}, "unknown", ""},
 		{"no room", full, "no_room backing_off", "10 of 10 machines have no room: memory is short (2 lack cores, 8 memory)"},
-		{"room, and its time has not come", fleet(func(x *scheduler.Explanation) { x.Free, x.NoCores = 1, 9 }), "backing_off",
+		{"room, and its time has not come", fleet(func(x *scheduler.Explanation) { x.Eligible, x.InsufficientCores = 1, 9 }), "backing_off",
 			"after 2 tries the next is in 2.0 s"},
-		{"wrong kind", fleet(func(x *scheduler.Explanation) { x.OtherKind = 10 }), "no_machine backing_off", "None of the 10 machines"},
-		{"its kind drains", fleet(func(x *scheduler.Explanation) { x.OtherKind, x.Draining = 6, 4 }), "no_machine backing_off",
+		{"wrong kind", fleet(func(x *scheduler.Explanation) { x.WrongMachineType = 10 }), "no_machine backing_off", "None of the 10 machines"},
+		{"its kind drains", fleet(func(x *scheduler.Explanation) { x.WrongMachineType, x.Draining = 6, 4 }), "no_machine backing_off",
 			"All 4 machines that could run it drain"},
-		{"spread", fleet(func(x *scheduler.Explanation) { x.SpreadFull = 10 }), "spread_full backing_off", "On 10 of 10 machines"},
-		{"cold", fleet(func(x *scheduler.Explanation) { x.ColdSpent = 10 }), "cold_budget backing_off", "every 3.0 s"},
-		{"sick", fleet(func(x *scheduler.Explanation) { x.Resting, x.Shunned = 4, 6 }), "machines_sick backing_off", "4 look sick, 6 leave"},
-		{"over-asked", fleet(func(x *scheduler.Explanation) { x.Free, x.Yielding, x.NoRoomShare = 2, true, 0.4 }), "low_gain backing_off", "40%"},
+		{"spread", fleet(func(x *scheduler.Explanation) { x.SpreadExhausted = 10 }), "spread_full backing_off", "On 10 of 10 machines"},
+		{"cold", fleet(func(x *scheduler.Explanation) { x.SlowStartExhausted = 10 }), "cold_budget backing_off", "every 3.0 s"},
+		{"sick", fleet(func(x *scheduler.Explanation) { x.Ejected, x.Suspected = 4, 6 }), "machines_sick backing_off", "4 look sick, 6 leave"},
+		{"over-asked", fleet(func(x *scheduler.Explanation) { x.Eligible, x.SheddingLoad, x.FullRatio = 2, true, 0.4 }), "low_gain backing_off", "40%"},
 		{"the list is away", with(full, func(f *Facts) { f.ListAge = 9 * sec }), "no_room list_away backing_off", "not been heard for 9 s"},
 		{"guarded", with(full, func(f *Facts) { f.Container.State = controller.Guarded; f.Container.Until = 11 * sec }), "guard no_room",
 			"for another 6.0 s"},
@@ -53,7 +53,9 @@
 		}), "unsure no_room backing_off", "may run on machine m"},
 		{"the door is full", with(full, func(f *Facts) { f.Container.Held, f.Container.Last = true, "turned away: 9 containers are open" }),
 			"no_room turned_away backing_off", ""},
-		{"four at once", with(fleet(func(x *scheduler.Explanation) { x.Draining, x.NoMemory, x.SpreadFull, x.ColdSpent = 4, 2, 3, 1 }),
+		{"four at once", with(fleet(func(x *scheduler.Explanation) {
+			x.Draining, x.InsufficientMemory, x.SpreadExhausted, x.SlowStartExhausted = 4, 2, 3, 1
+		}),
 			func(f *Facts) { f.Halls = []Hall{{"north", 4, 4}, {"south", 6, 0}} }),
 			"hall_drains no_room spread_full cold_budget backing_off", "Hall north is under maintenance: all of its 4 machines drain"},
 	} {
--- a/internal/controller/server/golden_test.go
+++ b/internal/controller/server/golden_test.go
@@ -76,7 +76,7 @@
 func goldenPlace(folder string) Place {
 	return Place{Name: "controller", Doors: []string{"127.0.0.1:7000", goldenDoor}, Seed: 1, State: folder,
 		Site: &config.Placer{Workloads: []string{"matcher", "report-run"}, Customers: []string{"offices", "farms", "schools"},
-			Terms: scheduler.Terms{Workloads: []scheduler.Workload{{}, {}}}}}
+			Terms: scheduler.Config{WorkloadClasses: []scheduler.WorkloadClass{{}, {}}}}}
 }
 
 // openGolden brings up a host on a folder, without serving; closed stops it.
--- a/internal/controller/server/jobs.go
+++ b/internal/controller/server/jobs.go
@@ -124,8 +124,8 @@
 // New makes a keeper's host; Run serves it.
 func New(p Place, c *watchcache.Catalog, log *slog.Logger) (*Host, error) {
 	t := controller.Terms{Seed: p.Seed, First: uint64(time.Now().UnixMicro()), Doors: len(p.Doors)}
-	for _, w := range p.Site.Terms.Workloads {
-		t.Workloads = append(t.Workloads, controller.Workload{Effect: w.Effect, HardStop: w.HardStop, Window: w.Window})
+	for _, w := range p.Site.Terms.WorkloadClasses {
+		t.Workloads = append(t.Workloads, controller.Workload{Effect: w.Idempotency, HardStop: w.PlacementTimeout, Window: w.DedupWindow})
 	}
 	h := &Host{Catalog: c, place: p, log: log, keeper: controller.New(t), views: map[string]controller.Container{},
 		halls: map[string]protocol.Entry{}, asked: map[uint64]*question{}, last: map[string]*explained{}, pending: map[string][]func(){}}
@@ -430,7 +430,7 @@
 }
 
 func (h *Host) facts(v controller.Container, w *protocol.Why) pending.Facts {
-	f := pending.Facts{Container: v, Doors: len(h.doors), ColdWindow: h.place.Site.Terms.ColdWindow}
+	f := pending.Facts{Container: v, Doors: len(h.doors), ColdWindow: h.place.Site.Terms.SlowStartWindow}
 	for _, d := range h.doors {
 		if d.open {
 			f.DoorsOpen++
@@ -439,9 +439,9 @@
 	}
 	if w != nil && w.Known {
 		f.Asked, f.ListAge = true, scheduler.Time(w.ListAge)
-		f.Explanation = scheduler.Explanation{Machines: w.Machines, Gone: w.Gone, OtherKind: w.OtherKind, Draining: w.Draining,
-			TooSmall: w.TooSmall, Closing: w.Closing, SpreadFull: w.SpreadFull, ColdSpent: w.ColdSpent, Resting: w.Resting,
-			Shunned: w.Shunned, NoCores: w.NoCores, NoMemory: w.NoMemory, Free: w.Free, Yielding: w.Yielding, NoRoomShare: w.NoRoomShare}
+		f.Explanation = scheduler.Explanation{Machines: w.Machines, Gone: w.Gone, WrongMachineType: w.OtherKind, Draining: w.Draining,
+			TooSmall: w.TooSmall, SelfDraining: w.Closing, SpreadExhausted: w.SpreadFull, SlowStartExhausted: w.ColdSpent, Ejected: w.Resting,
+			Suspected: w.Shunned, InsufficientCores: w.NoCores, InsufficientMemory: w.NoMemory, Eligible: w.Free, SheddingLoad: w.Yielding, FullRatio: w.NoRoomShare}
 	}
 	halls := map[int]*pending.Hall{}
 	most := -1
@@ -521,9 +521,9 @@
 	})
 }
 
-func (h *Host) effect(workload int) scheduler.Effect {
-	if w := h.place.Site.Terms.Workloads; workload >= 0 && workload < len(w) {
-		return w[workload].Effect
+func (h *Host) effect(workload int) scheduler.Idempotency {
+	if w := h.place.Site.Terms.WorkloadClasses; workload >= 0 && workload < len(w) {
+		return w[workload].Idempotency
 	}
 	return scheduler.AtMostOnce
 }
--- a/internal/platform/bus.go
+++ b/internal/platform/bus.go
@@ -107,6 +107,6 @@
 	for _, fault := range e.faults {
 		s.p.log.Warn("machine left out of an event", "event", e.number, "why", fault)
 	}
-	s.p.learn(scheduler.Changes, e)
+	s.p.learn(scheduler.DeltaUpdate, e)
 	return nil
 }
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -84,7 +84,7 @@
 	old, tell := toldBus(t)
 	later, tellLater := toldBus(t)
 	r := start(t, bidToA(0), file(old, 256, event(1, true)))
-	await[scheduler.ListCame](r, nil)
+	await[scheduler.MachineListUpdate](r, nil)
 	leave, renew := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	files := make(chan *Deployment)
 	r.p.Obey(leave, renew, func() (*Deployment, error) {
@@ -97,7 +97,7 @@
 	renew <- syscall.SIGHUP
 	files <- nil // half written
 	tell(event(2, false))
-	if e := await[scheduler.ListCame](r, nil); e.Version != 2 {
+	if e := await[scheduler.MachineListUpdate](r, nil); e.Version != 2 {
 		t.Errorf("version %d came by the old bus", e.Version)
 	}
 	renew <- syscall.SIGHUP
@@ -118,7 +118,7 @@
 	files <- r.p.d
 	files <- &d
 	tellLater(event(3, false))
-	if e := await[scheduler.ListCame](r, nil); e.Version != 3 {
+	if e := await[scheduler.MachineListUpdate](r, nil); e.Version != 3 {
 		t.Errorf("version %d came by the new bus", e.Version)
 	}
 }
@@ -141,7 +141,7 @@
 	if m := o.hear(); m != nil {
 		t.Errorf("then heard %+v", m)
 	}
-	if e := await[scheduler.Ended](r, nil); e.Outcome != scheduler.Finished || e.Over {
+	if e := await[scheduler.AttemptEnded](r, nil); e.Outcome != scheduler.OutcomeFinished || e.Final {
 		t.Errorf("got %+v", e)
 	}
 }
@@ -149,8 +149,8 @@
 // An owner goes in the batch in which the module bids for it: the bid has its outcome all the same.
 func TestBidForNobody(t *testing.T) {
 	r := start(t, bidToA(0), file(silentBus(t), 256, event(1, true, host("a", "127.0.0.1:1", "ready", 0))))
-	r.on(func() { r.p.carry(scheduler.Bid{ID: call, Machine: "a"}) })
-	if e := await[scheduler.Ended](r, nil); e.ID != call || e.Machine != "a" || e.Outcome != scheduler.NotSent || !e.Over {
+	r.on(func() { r.p.carry(scheduler.StartAttempt{ID: call, Machine: "a"}) })
+	if e := await[scheduler.AttemptEnded](r, nil); e.ID != call || e.Machine != "a" || e.Outcome != scheduler.OutcomeNotSent || !e.Final {
 		t.Errorf("got %+v", e)
 	}
 }
@@ -184,8 +184,8 @@
 	}
 	most := 0
 	r := start(t, func(e scheduler.Event) []scheduler.Action {
-		if e, ok := e.(scheduler.Asked); ok {
-			return []scheduler.Action{scheduler.Bid{ID: e.ID, Machine: scheduler.MachineID("m" + string(e.ID[12:]))}}
+		if e, ok := e.(scheduler.RequestReceived); ok {
+			return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: scheduler.MachineID("m" + string(e.ID[12:]))}}
 		}
 		return nil
 	}, file(silentBus(t), sockets, event(1, true, hosts...)))
@@ -233,11 +233,11 @@
 	}
 	r := start(t, func(e scheduler.Event) []scheduler.Action {
 		switch e := e.(type) {
-		case scheduler.Asked:
-			return []scheduler.Action{scheduler.Bid{ID: e.ID, Machine: scheduler.MachineID("m" + string(e.ID[12:]))}}
-		case scheduler.Ended:
-			if !e.Over {
-				return []scheduler.Action{scheduler.PushBack{ID: e.ID}}
+		case scheduler.RequestReceived:
+			return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: scheduler.MachineID("m" + string(e.ID[12:]))}}
+		case scheduler.AttemptEnded:
+			if !e.Final {
+				return []scheduler.Action{scheduler.Reject{ID: e.ID}}
 			}
 		}
 		return nil
@@ -265,7 +265,9 @@
 			o.say(setUp(fmt.Sprintf("%016x", i), ""))
 		}
 	})
-	await(r, func(e scheduler.Asked) bool { return e.ID == scheduler.ContainerID(fmt.Sprintf("%016x", machines-1)) })
+	await(r, func(e scheduler.RequestReceived) bool {
+		return e.ID == scheduler.ContainerID(fmt.Sprintf("%016x", machines-1))
+	})
 	r.on(func() {
 		if n := r.p.loop.MostConns(); n+14 > sockets { // that many the program itself may hold
 			t.Errorf("%d connections at once, of %d descriptors", n, sockets)
@@ -323,11 +325,11 @@
 		b.r.ReadString('\n')
 	})
 	r := start(t, bidToA(0), file(bus, 256, event(1, true)))
-	await[scheduler.ListCame](r, nil)
+	await[scheduler.MachineListUpdate](r, nil)
 	b := <-calls
 	<-asked
 	b.say(event(2, false), event(4, false, host("a", "127.0.0.1:1", "draining", 0)))
-	if e := await[scheduler.ListCame](r, nil); e.Version != 2 {
+	if e := await[scheduler.MachineListUpdate](r, nil); e.Version != 2 {
 		t.Errorf("version %d came, want 2", e.Version)
 	}
 	b = <-calls
@@ -336,13 +338,13 @@
 	}
 	b.say(event(3, false, strings.Replace(host("x", "127.0.0.1:1", "ready", 0), "large", "huge", 1), host("a", "127.0.0.1:1", "ready", 0)),
 		event(4, false))
-	if e := await[scheduler.ListCame](r, nil); e.Version != 3 || len(e.Entries) != 1 || e.Entries[0].Machine != "a" {
+	if e := await[scheduler.MachineListUpdate](r, nil); e.Version != 3 || len(e.Entries) != 1 || e.Entries[0].Machine != "a" {
 		t.Errorf("got %+v", e)
 	}
 	b.c.Close()
 	b = <-calls
 	b.say(event(9, true)) // all that the bus still has
-	if e := await(r, func(e scheduler.ListCame) bool { return e.Version != 4 }); e.Version != 9 || e.Mode != scheduler.WholeList {
+	if e := await(r, func(e scheduler.MachineListUpdate) bool { return e.Version != 4 }); e.Version != 9 || e.Mode != scheduler.FullSnapshot {
 		t.Errorf("got %+v", e)
 	}
 }
@@ -379,7 +381,7 @@
 	if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != other || m.Cause() != jsonlines.GivenUp {
 		t.Errorf("heard %+v", m)
 	}
-	if e := await(r, func(e scheduler.Ended) bool { return e.ID == other }); !e.Over || e.Outcome != scheduler.Finished {
+	if e := await(r, func(e scheduler.AttemptEnded) bool { return e.ID == other }); !e.Final || e.Outcome != scheduler.OutcomeFinished {
 		t.Errorf("got %+v", e)
 	}
 }
@@ -423,9 +425,9 @@
 			if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != call {
 				t.Fatalf("heard %+v", m)
 			}
-			gone := await(r, func(e scheduler.ListCame) bool {
+			gone := await(r, func(e scheduler.MachineListUpdate) bool {
 				for _, x := range e.Entries {
-					if x.Machine == "a" && x.State == scheduler.Gone {
+					if x.Machine == "a" && x.State == scheduler.MachineGone {
 						return true
 					}
 				}
@@ -458,15 +460,15 @@
 	o := r.owner()
 	r.on(func() {
 		r.script.on = func(e scheduler.Event) []scheduler.Action {
-			if e, ok := e.(scheduler.Asked); ok && e.ID == call {
+			if e, ok := e.(scheduler.RequestReceived); ok && e.ID == call {
 				o.c.Close() // the end is there before the link is
 			}
 			return bidToA(0)(e)
 		}
 	})
 	o.say(setUp(call, ""))
-	await[scheduler.Vanished](r, nil)
-	await[scheduler.Ended](r, nil)
+	await[scheduler.ContainerRemoved](r, nil)
+	await[scheduler.AttemptEnded](r, nil)
 	r.owner().say(setUp(other, ""))
 	var offers, ends int
 	for {
@@ -546,7 +548,7 @@
 	o.say(setUp(call, ""))
 	o.hear()
 	o.say(setUp(other, ""))
-	await(r, func(e scheduler.Asked) bool { return e.ID == other })
+	await(r, func(e scheduler.RequestReceived) bool { return e.ID == other })
 	tell(event(2, true))
 	if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != call {
 		t.Fatalf("heard %+v", m)
@@ -555,7 +557,7 @@
 	if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != other {
 		t.Errorf("heard %+v", m)
 	}
-	if e := await(r, func(e scheduler.Ended) bool { return e.ID == other }); e.Outcome != scheduler.Reset || e.Over {
+	if e := await(r, func(e scheduler.AttemptEnded) bool { return e.ID == other }); e.Outcome != scheduler.OutcomeLost || e.Final {
 		t.Errorf("got %+v", e)
 	}
 	if m := <-heard; m == nil || m.Op != jsonlines.End || m.Call != other || m.Cause() != jsonlines.GivenUp {
@@ -580,14 +582,14 @@
 	}
 	config := file(silentBus(t), 256, event(1, true, host("a", addr, "ready", 0)))
 	r := start(t, func(e scheduler.Event) []scheduler.Action {
-		if e, ok := e.(scheduler.Asked); ok && e.ID == other {
+		if e, ok := e.(scheduler.RequestReceived); ok && e.ID == other {
 			return bidToA(9 * scheduler.Second)(e)
 		}
 		return bidToA(50 * scheduler.Millisecond)(e)
 	}, strings.Replace(config, `"connect_timeout_ms":250.0`, `"connect_timeout_ms":9000.0`, 1))
 	o := r.owner()
 	o.say(setUp(call, ""))
-	if e := await[scheduler.Ended](r, nil); e.ID != call || e.Outcome != scheduler.NoConnect {
+	if e := await[scheduler.AttemptEnded](r, nil); e.ID != call || e.Outcome != scheduler.OutcomeConnectFailed {
 		t.Errorf("got %+v", e)
 	}
 	o.hear()
--- a/internal/platform/deployment.go
+++ b/internal/platform/deployment.go
@@ -22,7 +22,7 @@
 	Name      string
 	Listen    string
 	Bus       string
-	Terms     scheduler.Terms
+	Terms     scheduler.Config
 	Known     []busEvent
 	Last      int64 // number of the last event known
 	MemoryMB  int
@@ -83,7 +83,7 @@
 	if d.Terms, err = simprotocol.ParseTerms(seed, pairs); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	d.Terms.ListOnAsk = false // the event bus tells unasked
+	d.Terms.ListOnRequest = false // the event bus tells unasked
 	var named struct {
 		AZs, Kinds       []string
 		Classes, Tenants []struct{ Name string }
@@ -222,11 +222,11 @@
 }
 
 type busHost struct {
-	entry scheduler.Entry
+	entry scheduler.MachineEntry
 	addr  string
 }
 
-var hostStates = map[string]scheduler.MachineState{"ready": scheduler.Serving, "draining": scheduler.Draining, "gone": scheduler.Gone}
+var hostStates = map[string]scheduler.MachineState{"ready": scheduler.MachineServing, "draining": scheduler.MachineDraining, "gone": scheduler.MachineGone}
 
 // readEvent reads an event of the bus. A machine that the terms cannot place is left out of it and named among its faults,
 // so that one such entry does not keep the others from being heard.
@@ -261,8 +261,8 @@
 			e.faults = append(e.faults, fmt.Errorf("hosts[%d]: %w", i, err))
 			continue
 		}
-		b := busHost{addr: h.Dial, entry: scheduler.Entry{Machine: scheduler.MachineID(h.Host), Zone: zone, Kind: kind,
-			Cell: h.Block, State: state, PowerHint: h.Share, StartedAt: scheduler.Time(math.Floor(h.Born * 10))}}
+		b := busHost{addr: h.Dial, entry: scheduler.MachineEntry{Machine: scheduler.MachineID(h.Host), Zone: zone, MachineType: kind,
+			RackGroup: h.Block, State: state, PowerHint: h.Share, StartedAt: scheduler.Time(math.Floor(h.Born * 10))}}
 		if len(h.Free) == 2 {
 			b.entry.FreeCores, b.entry.FreeMemory = h.Free[0], h.Free[1]
 		}
@@ -282,7 +282,7 @@
 		err = fmt.Errorf("health %q is not known", health)
 	case id == "":
 		err = errors.New("host is missing")
-	case state == scheduler.Gone:
+	case state == scheduler.MachineGone:
 		zone, kind = max(zone, 0), max(kind, 0)
 	case fault != nil:
 		err = fmt.Errorf("dial: %w", fault)
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -238,33 +238,33 @@
 // goldenDecisions stand in for the scheduler: each is determined by the container's identifier.
 func goldenDecisions(e scheduler.Event) []scheduler.Action {
 	attempt := func(id scheduler.ContainerID, m scheduler.MachineID, wait scheduler.Time) []scheduler.Action {
-		return []scheduler.Action{scheduler.Bid{ID: id, Machine: m, MaxWait: wait}}
+		return []scheduler.Action{scheduler.StartAttempt{ID: id, Machine: m, Timeout: wait}}
 	}
 	switch e := e.(type) {
-	case scheduler.Asked:
+	case scheduler.RequestReceived:
 		switch e.ID {
 		case timesOut:
 			return attempt(e.ID, "a", 50*scheduler.Millisecond)
 		case probesTheMachine:
-			return []scheduler.Action{scheduler.Probe{Machine: "a"}, scheduler.PushBack{ID: e.ID}}
+			return []scheduler.Action{scheduler.Probe{Machine: "a"}, scheduler.Reject{ID: e.ID}}
 		}
 		return attempt(e.ID, "a", 0)
-	case scheduler.Noted:
+	case scheduler.UsageReported:
 		if e.ID == attemptIsCancelled {
-			return []scheduler.Action{scheduler.Withdraw{ID: e.ID, Bid: e.Bid}}
+			return []scheduler.Action{scheduler.CancelAttempt{ID: e.ID, Attempt: e.Attempt}}
 		}
-	case scheduler.Ended:
+	case scheduler.AttemptEnded:
 		switch {
-		case e.Over:
+		case e.Final:
 			return nil
 		case e.ID == hasNoRoom:
-			return []scheduler.Action{scheduler.PushBack{ID: e.ID}}
+			return []scheduler.Action{scheduler.Reject{ID: e.ID}}
 		case e.ID == hasNoRoomForAWhile: // whole milliseconds go on the wire
-			return []scheduler.Action{scheduler.PushBack{ID: e.ID, HoldOff: 1500*scheduler.Millisecond + 7}}
+			return []scheduler.Action{scheduler.Reject{ID: e.ID, RetryAfter: 1500*scheduler.Millisecond + 7}}
 		case e.ID == isRetriedElsewhere && e.Machine == "a":
 			return attempt(e.ID, "b", 0)
 		}
-		return []scheduler.Action{scheduler.GiveUp{ID: e.ID}}
+		return []scheduler.Action{scheduler.Fail{ID: e.ID}}
 	}
 	return nil
 }
@@ -416,7 +416,7 @@
 		on := a.reads(0)
 		c.reads()
 		on.say(fmt.Sprintf(`{"op":"tested","call":"%016x","with":{"load":"x0:1;x1:2"},"why":1}`, i+1))
-		if e := await[scheduler.Probed](r, nil); e.Outcome != scheduler.Finished || e.Report["x1"] != 2 {
+		if e := await[scheduler.ProbeCompleted](r, nil); e.Outcome != scheduler.OutcomeFinished || e.Report["x1"] != 2 {
 			s.Errorf("probe %d: %+v", i, e)
 		}
 	}
@@ -439,20 +439,20 @@
 	c.say(offer(acceptedByGone))
 	on := a.reads(2000)
 	watch.say(event(3, true))
-	await(r, func(e scheduler.ListCame) bool { return e.Version == 3 })
+	await(r, func(e scheduler.MachineListUpdate) bool { return e.Version == 3 })
 	on.accepts(acceptedByGone)
 	a.reads(0)
 	c.reads()
 	a.forgetConns()
 	watch.say(event(4, false, host("a", a.addr, "ready", 0)))
-	await(r, func(e scheduler.ListCame) bool { return e.Version == 4 })
+	await(r, func(e scheduler.MachineListUpdate) bool { return e.Version == 4 })
 }
 
 // clientsThatGo plays ends that are delivered to another client than the one that asked, and returns the last client.
 func (s *transcript) clientsThatGo(r *rig, c *goldenClient, a *goldenServer) *goldenClient {
 	s.begin("reclaimed by a client that goes")
 	c.say(strings.Replace(setUp(isReclaimed, ";at:a"), `"2000"`, `"4294967"`, 1))
-	await[scheduler.TookOver](r, nil)
+	await[scheduler.ContainerAdopted](r, nil)
 	on := a.connected()
 	c.c.Close()
 	c = s.client(r, "client 2")
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -75,11 +75,11 @@
 func bidToA(wait scheduler.Time) func(scheduler.Event) []scheduler.Action {
 	return func(e scheduler.Event) []scheduler.Action {
 		switch e := e.(type) {
-		case scheduler.Asked:
-			return []scheduler.Action{scheduler.Bid{ID: e.ID, Machine: "a", MaxWait: wait}}
-		case scheduler.Ended:
-			if !e.Over {
-				return []scheduler.Action{scheduler.GiveUp{ID: e.ID}}
+		case scheduler.RequestReceived:
+			return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: "a", Timeout: wait}}
+		case scheduler.AttemptEnded:
+			if !e.Final {
+				return []scheduler.Action{scheduler.Fail{ID: e.ID}}
 			}
 		}
 		return nil
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -28,7 +28,7 @@
 	p       *Platform
 	id      scheduler.MachineID
 	addr    string
-	entry   scheduler.Entry // as told last; without an id where the bus never named it
+	entry   scheduler.MachineEntry // as told last; without an id where the bus never named it
 	state   scheduler.MachineState
 	started scheduler.Time
 	links   []*link
@@ -55,7 +55,7 @@
 func (m *machine) lose(before eventloop.Tick) {
 	for _, id := range slices.Sorted(maps.Keys(m.bids)) {
 		if b := m.bids[id]; b.stands && b.sentAt <= before {
-			m.p.released(b, jsonlines.Temporary, scheduler.Ended{Outcome: scheduler.Reset})
+			m.p.released(b, jsonlines.Temporary, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost})
 		}
 	}
 }
@@ -84,23 +84,23 @@
 func (p *Platform) machine(id scheduler.MachineID) *machine {
 	m := p.machines[id]
 	if m == nil {
-		m = &machine{p: p, id: id, state: scheduler.Gone, bids: map[scheduler.ContainerID]*bid{}}
+		m = &machine{p: p, id: id, state: scheduler.MachineGone, bids: map[scheduler.ContainerID]*bid{}}
 		p.machines[id] = m
 	}
 	return m
 }
 
 // learn hands an event of the bus to the module and keeps the addresses.
-func (p *Platform) learn(mode scheduler.ListMode, e busEvent) {
-	list := scheduler.ListCame{Mode: mode, Version: e.version}
+func (p *Platform) learn(mode scheduler.UpdateMode, e busEvent) {
+	list := scheduler.MachineListUpdate{Mode: mode, Version: e.version}
 	var touched []*machine
-	if mode == scheduler.Changes && e.whole {
-		list.Mode = scheduler.WholeList
+	if mode == scheduler.DeltaUpdate && e.whole {
+		list.Mode = scheduler.FullSnapshot
 	}
 	if e.whole {
 		for _, id := range slices.Sorted(maps.Keys(p.machines)) {
 			m := p.machines[id]
-			m.state = scheduler.Gone
+			m.state = scheduler.MachineGone
 			touched = append(touched, m)
 		}
 	}
@@ -120,7 +120,7 @@
 		if h.addr != "" {
 			m.addr = h.addr
 		}
-		if m.entry = h.entry; h.entry.State != scheduler.Gone {
+		if m.entry = h.entry; h.entry.State != scheduler.MachineGone {
 			p.at[m.addr] = m.id
 		} else if p.at[m.addr] == m.id {
 			delete(p.at, m.addr)
@@ -132,7 +132,7 @@
 	}
 	p.feed(list)
 	for _, m := range touched {
-		if m.state == scheduler.Gone {
+		if m.state == scheduler.MachineGone {
 			m.lose(p.loop.Now())
 			if p.at[m.addr] == m.id { // left out of a whole list
 				delete(p.at, m.addr)
@@ -146,17 +146,17 @@
 // what was sent to that address for it would reach its successor, and go beyond what that bears while it is cold.
 func (p *Platform) succeeded(h busHost) *machine {
 	old := p.machines[p.at[h.addr]]
-	if old == nil || old.id == h.entry.Machine || h.entry.State == scheduler.Gone {
+	if old == nil || old.id == h.entry.Machine || h.entry.State == scheduler.MachineGone {
 		return nil
 	}
-	old.state, old.entry.State = scheduler.Gone, scheduler.Gone
+	old.state, old.entry.State = scheduler.MachineGone, scheduler.MachineGone
 	old.closeIdle()
 	return old
 }
 
 // settle lets go of a machine that is gone and empty.
 func (m *machine) settle() {
-	if m.state != scheduler.Gone || len(m.bids) > 0 {
+	if m.state != scheduler.MachineGone || len(m.bids) > 0 {
 		return
 	}
 	for _, l := range m.links {
@@ -298,9 +298,9 @@
 	p.links--
 	l.waiting = nil
 	m.broke = m.broke || l.opened && !l.left
-	never := scheduler.NoConnect
+	never := scheduler.OutcomeConnectFailed
 	if errors.Is(why, eventloop.ErrShort) {
-		never = scheduler.NotSent
+		never = scheduler.OutcomeNotSent
 	}
 	if !l.opened && errors.Is(why, unix.ECONNREFUSED) {
 		p.notice(failuredetector.Refused{Machine: string(m.id)})
@@ -309,14 +309,14 @@
 		b, outcome := l.bids[id], never
 		if b.sent {
 			p.log.Debug("bid reset", "call", id, "machine", m.id, "why", why)
-			outcome = scheduler.Reset
+			outcome = scheduler.OutcomeLost
 		}
-		p.over(b, scheduler.Ended{Outcome: outcome, Over: b.c.answered})
+		p.over(b, scheduler.AttemptEnded{Outcome: outcome, Final: b.c.answered})
 	}
 	for _, call := range slices.Sorted(maps.Keys(l.probes)) {
 		outcome := never
 		if l.opened {
-			outcome = scheduler.Reset
+			outcome = scheduler.OutcomeLost
 		}
 		p.probed(l.probes[call], outcome, nil)
 	}
@@ -335,38 +335,38 @@
 }
 
 // offer carries out a bid.
-func (p *Platform) offer(a scheduler.Bid) {
+func (p *Platform) offer(a scheduler.StartAttempt) {
 	c := p.containers[a.ID]
 	if c == nil || c.answered || c.bid != nil {
 		// Its owner went in the same batch, with the answer to another container of it that could not be written. Each bid has
 		// its outcome all the same, or the module would count it for good.
 		p.log.Info("bid on a container that is not open", "id", a.ID)
-		p.feed(scheduler.Ended{ID: a.ID, Machine: a.Machine, Outcome: scheduler.NotSent, Over: true})
+		p.feed(scheduler.AttemptEnded{ID: a.ID, Machine: a.Machine, Outcome: scheduler.OutcomeNotSent, Final: true})
 		return
 	}
 	now := p.loop.Now()
-	until := eventloop.Tick(c.ask.Due)
-	if a.MaxWait != 0 {
-		until = min(until, now+eventloop.Tick(a.MaxWait))
+	until := eventloop.Tick(c.ask.Deadline)
+	if a.Timeout != 0 {
+		until = min(until, now+eventloop.Tick(a.Timeout))
 	}
 	b := &bid{c: c, nth: c.bids, at: p.machine(a.Machine), sentAt: now, until: until}
 	c.bids++
 	c.bid = b
 	b.at.bids[a.ID] = b
 	if b.at.addr == "" {
-		p.over(b, scheduler.Ended{Outcome: scheduler.NotSent})
+		p.over(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
 		return
 	}
 	b.timer = p.loop.After(until-now, func() {
 		if b.sent {
 			p.callOff(b)
-			p.over(b, scheduler.Ended{Outcome: scheduler.TimedOut})
+			p.over(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeTimedOut})
 		} else {
-			p.over(b, scheduler.Ended{Outcome: scheduler.NoConnect})
+			p.over(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeConnectFailed})
 		}
 	})
 	if b.link = b.at.take(); b.link == nil {
-		p.over(b, scheduler.Ended{Outcome: scheduler.NotSent})
+		p.over(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
 		return
 	}
 	b.link.bids[a.ID] = b
@@ -379,18 +379,18 @@
 
 // send puts a bid on its link, unless the machine takes nothing new by now.
 func (p *Platform) send(b *bid) {
-	if b.at.state != scheduler.Serving {
-		p.over(b, scheduler.Ended{Outcome: scheduler.NotSent})
+	if b.at.state != scheduler.MachineServing {
+		p.over(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
 		return
 	}
 	c := b.c
-	with := jsonlines.Fields{"class": c.class, "key": c.ask.Key,
+	with := jsonlines.Fields{"class": c.class, "key": c.ask.IdempotencyKey,
 		"left": strconv.FormatInt(int64((b.until-p.loop.Now())/eventloop.Millisecond), 10)}
 	if c.idem != "" {
 		with["idem"] = c.idem
 	}
 	if b.sent = b.link.write(&jsonlines.Message{Op: jsonlines.Offer, Call: string(c.ask.ID), With: with, Desc: c.desc}); !b.sent {
-		p.over(b, scheduler.Ended{Outcome: scheduler.NotSent})
+		p.over(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
 	}
 }
 
@@ -430,25 +430,25 @@
 
 // outcomes of a bid by the cause of its end. GivenUp comes before a yes where the container's own time has passed: it may
 // have run, as after a reset, but the machine is well.
-var outcomes = map[int]scheduler.Outcome{jsonlines.NoRoom: scheduler.Full, jsonlines.Faulty: scheduler.Erred,
-	jsonlines.Moot: scheduler.NotSent, jsonlines.GivenUp: scheduler.Finished}
+var outcomes = map[int]scheduler.Outcome{jsonlines.NoRoom: scheduler.OutcomeFull, jsonlines.Faulty: scheduler.OutcomeErrored,
+	jsonlines.Moot: scheduler.OutcomeNotSent, jsonlines.GivenUp: scheduler.OutcomeFinished}
 
 // fate is what became of a container that stood, by the cause of its end.
 func fate(cause int) scheduler.Outcome {
 	switch cause {
 	case jsonlines.GivenUp:
-		return scheduler.Finished
+		return scheduler.OutcomeFinished
 	case jsonlines.Cancelled:
-		return scheduler.Stopped
+		return scheduler.OutcomeStopped
 	}
-	return scheduler.Reset
+	return scheduler.OutcomeLost
 }
 
-var reasons = map[string]scheduler.Reason{"cpu_full": scheduler.NoCores, "mem_full": scheduler.NoMemory, "busy": scheduler.LongQueue,
-	"wrong_host": scheduler.NotHere, "oom": scheduler.Evicted, "preempted": scheduler.PushedOut, "drained": scheduler.SentAway}
+var reasons = map[string]scheduler.Reason{"cpu_full": scheduler.ReasonNoCores, "mem_full": scheduler.ReasonNoMemory, "busy": scheduler.ReasonQueueTooLong,
+	"wrong_host": scheduler.ReasonWrongMachine, "oom": scheduler.ReasonOutOfMemory, "preempted": scheduler.ReasonPreempted, "drained": scheduler.ReasonDrained}
 
-var sorts = map[string]scheduler.NoteSort{"up": scheduler.Running, "cpu": scheduler.CoresUsed, "mem": scheduler.MemoryUsed,
-	"share": scheduler.ServedShare, "tight": scheduler.MachineMemory}
+var sorts = map[string]scheduler.UsageMetric{"up": scheduler.MetricRunning, "cpu": scheduler.MetricCoresUsed, "mem": scheduler.MetricMemoryUsed,
+	"share": scheduler.MetricServedShare, "tight": scheduler.MetricMachineMemory}
 
 func (l *link) line(line []byte) error {
 	msg, err := jsonlines.Decode(line)
@@ -470,7 +470,7 @@
 		if b == nil || !b.stands && b.link != l {
 			return nil
 		}
-		e := scheduler.Ended{Reason: reasons[msg.With["note"]], Report: report(msg.With["load"]), Outcome: scheduler.Reset}
+		e := scheduler.AttemptEnded{Reason: reasons[msg.With["note"]], Report: report(msg.With["load"]), Outcome: scheduler.OutcomeLost}
 		if b.stands {
 			e.Outcome = fate(msg.Cause())
 			p.released(b, msg.Cause(), e)
@@ -479,20 +479,20 @@
 		if o, ok := outcomes[msg.Cause()]; ok {
 			e.Outcome = o
 		}
-		if e.Outcome == scheduler.Reset && e.Reason >= scheduler.Evicted {
+		if e.Outcome == scheduler.OutcomeLost && e.Reason >= scheduler.ReasonOutOfMemory {
 			p.endedUnheard(b, e)
 		} else {
 			p.over(b, e)
 		}
 	case jsonlines.Info:
 		if v, err := strconv.ParseFloat(msg.With["value"], 64); err == nil && b != nil && b.sent && sorts[msg.With["note"]] != 0 {
-			p.feed(scheduler.Noted{ID: b.c.ask.ID, Machine: m.id, Bid: b.nth, Sort: sorts[msg.With["note"]], Amount: v})
+			p.feed(scheduler.UsageReported{ID: b.c.ask.ID, Machine: m.id, Attempt: b.nth, Metric: sorts[msg.With["note"]], Value: v})
 		}
 	case jsonlines.Tested:
 		if q := l.probes[msg.Call]; q != nil {
-			outcome := scheduler.Erred
+			outcome := scheduler.OutcomeErrored
 			if msg.Cause() == jsonlines.Passed {
-				outcome = scheduler.Finished
+				outcome = scheduler.OutcomeFinished
 			}
 			p.probed(q, outcome, report(msg.With["load"]))
 		}
@@ -503,8 +503,8 @@
 // endedUnheard ends a container that stood at a machine whose yes is late or lost: only what stood is evicted, pushed out or
 // sent away with such a release. Its owner is owed that end; a further bid would go on with what the machine and the
 // platform count as over.
-func (p *Platform) endedUnheard(b *bid, e scheduler.Ended) {
-	e.Over = true
+func (p *Platform) endedUnheard(b *bid, e scheduler.AttemptEnded) {
+	e.Final = true
 	p.over(b, e)
 	p.answer(b.c.ask.ID, &jsonlines.Message{Op: jsonlines.End, Why: jsonlines.Because(jsonlines.Temporary)})
 }
@@ -515,9 +515,9 @@
 	if len(msg.Desc) == 0 {
 		return errors.New("a yes without a description")
 	}
-	if b.at.state == scheduler.Gone { // said before it went: nothing is taken to stand at a machine that is gone
+	if b.at.state == scheduler.MachineGone { // said before it went: nothing is taken to stand at a machine that is gone
 		p.callOff(b)
-		p.over(b, scheduler.Ended{Outcome: scheduler.Reset})
+		p.over(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost})
 		return nil
 	}
 	p.loop.Cancel(b.timer)
@@ -525,16 +525,16 @@
 	b.stands = true
 	b.link.stands++
 	b.at.stand(1)
-	p.feed(scheduler.Placed{ID: c.ask.ID, Bid: b.nth, Machine: b.at.id, Took: scheduler.Time(p.loop.Now() - b.sentAt)})
+	p.feed(scheduler.AttemptAccepted{ID: c.ask.ID, Attempt: b.nth, Machine: b.at.id, Elapsed: scheduler.Time(p.loop.Now() - b.sentAt)})
 	p.answer(c.ask.ID, &jsonlines.Message{Op: jsonlines.Accept, Desc: msg.Desc})
 	return nil
 }
 
-func report(s string) scheduler.Report {
+func report(s string) scheduler.LoadReport {
 	if s == "" {
 		return nil
 	}
-	r := scheduler.Report{}
+	r := scheduler.LoadReport{}
 	for _, f := range strings.Split(s, ";") {
 		k, v, _ := strings.Cut(f, ":")
 		if x, err := strconv.ParseFloat(v, 64); err == nil {
@@ -547,30 +547,30 @@
 func (p *Platform) probe(id scheduler.MachineID) {
 	m := p.machine(id)
 	if m.addr == "" {
-		p.feed(scheduler.Probed{Machine: id, Outcome: scheduler.NotSent})
+		p.feed(scheduler.ProbeCompleted{Machine: id, Outcome: scheduler.OutcomeNotSent})
 		return
 	}
 	l := m.take()
 	if l == nil {
-		p.feed(scheduler.Probed{Machine: id, Outcome: scheduler.NotSent})
+		p.feed(scheduler.ProbeCompleted{Machine: id, Outcome: scheduler.OutcomeNotSent})
 		return
 	}
 	p.lastProbe++
 	q := &probing{call: fmt.Sprintf("%016x", p.lastProbe), link: l, sentAt: p.loop.Now()}
 	l.probes[q.call] = q
-	q.timer = p.loop.After(probeWithin, func() { p.probed(q, scheduler.TimedOut, nil) })
+	q.timer = p.loop.After(probeWithin, func() { p.probed(q, scheduler.OutcomeTimedOut, nil) })
 	l.when(func() {
 		l.write(&jsonlines.Message{Op: jsonlines.Test, Call: q.call, Why: jsonlines.Because(jsonlines.Passed)})
 	})
 }
 
-func (p *Platform) probed(q *probing, o scheduler.Outcome, r scheduler.Report) {
+func (p *Platform) probed(q *probing, o scheduler.Outcome, r scheduler.LoadReport) {
 	if q.link.probes[q.call] != q {
 		return
 	}
 	delete(q.link.probes, q.call)
 	p.loop.Cancel(q.timer)
-	p.feed(scheduler.Probed{Machine: q.link.m.id, Outcome: o, Took: scheduler.Time(p.loop.Now() - q.sentAt), Report: r})
+	p.feed(scheduler.ProbeCompleted{Machine: q.link.m.id, Outcome: o, Elapsed: scheduler.Time(p.loop.Now() - q.sentAt), Report: r})
 }
 
 // house closes links before the machine does, and keeps one where something stands: its end is told there. Where one broke,
@@ -581,7 +581,7 @@
 			l.leave()
 		}
 	}
-	if m.standing == 0 || m.addr == "" || m.state == scheduler.Gone {
+	if m.standing == 0 || m.addr == "" || m.state == scheduler.MachineGone {
 		m.broke = false
 	} else if m.broke || len(m.kept()) == 0 && !m.p.short() {
 		m.broke = m.reach() == nil
--- a/internal/platform/owners.go
+++ b/internal/platform/owners.go
@@ -143,18 +143,18 @@
 	p.containers[ask.ID] = c
 	p.unanswered++
 	p.tell(connmanager.Asked{Caller: k.number})
-	p.feed(scheduler.Asked{Ask: ask})
+	p.feed(scheduler.RequestReceived{PlacementRequest: ask})
 	return nil
 }
 
 // takeOver counts a container that stands at a machine, unless it is known to.
-func (p *Platform) takeOver(k *caller, ask scheduler.Ask, at scheduler.MachineID) {
+func (p *Platform) takeOver(k *caller, ask scheduler.PlacementRequest, at scheduler.MachineID) {
 	if p.containers[ask.ID] != nil {
 		return
 	}
 	m := p.machine(at)
 	for _, b := range m.bids {
-		if b.c.ask.Key == ask.Key && b.stands {
+		if b.c.ask.IdempotencyKey == ask.IdempotencyKey && b.stands {
 			return
 		}
 	}
@@ -163,8 +163,8 @@
 	p.containers[ask.ID] = c
 	m.bids[ask.ID] = c.bid
 	m.stand(1)
-	p.feed(scheduler.TookOver{Ask: ask, Machine: at})
-	if m.entry.Machine != "" && m.state == scheduler.Gone {
+	p.feed(scheduler.ContainerAdopted{PlacementRequest: ask, Machine: at})
+	if m.entry.Machine != "" && m.state == scheduler.MachineGone {
 		// It was heard to be gone before it was named. So nothing ever stands at a machine that is gone, at whose address its
 		// successor may be: that one's signs of life would be taken for the other's.
 		m.lose(p.loop.Now())
@@ -174,7 +174,7 @@
 }
 
 // readAsk reads a set-up; at is the machine that holds the container already.
-func (d *Deployment) readAsk(m *jsonlines.Message, now eventloop.Tick) (ask scheduler.Ask, at scheduler.MachineID, err error) {
+func (d *Deployment) readAsk(m *jsonlines.Message, now eventloop.Tick) (ask scheduler.PlacementRequest, at scheduler.MachineID, err error) {
 	extras := map[string]string{}
 	if x := m.With["extras"]; x != "" {
 		for _, f := range strings.Split(x, ";") {
@@ -186,17 +186,17 @@
 		}
 	}
 	at = scheduler.MachineID(extras["at"])
-	ask = scheduler.Ask{ID: scheduler.ContainerID(m.Call), Key: m.With["key"], Service: extras["service"],
-		Workload: slices.Index(d.workloads, m.With["class"]), Again: m.With["retry"] == "1" || extras["again"] == "1"}
-	if ask.Workload < 0 {
+	ask = scheduler.PlacementRequest{ID: scheduler.ContainerID(m.Call), IdempotencyKey: m.With["key"], Service: extras["service"],
+		WorkloadClass: slices.Index(d.workloads, m.With["class"]), ClientRetry: m.With["retry"] == "1" || extras["again"] == "1"}
+	if ask.WorkloadClass < 0 {
 		return ask, at, fmt.Errorf("class: %q is not known", m.With["class"])
 	}
 	if name := m.With["tenant"]; name != "" {
-		if ask.Customer = slices.Index(d.customers, name); ask.Customer < 0 {
+		if ask.Tenant = slices.Index(d.customers, name); ask.Tenant < 0 {
 			return ask, at, fmt.Errorf("tenant: %q is not known", name)
 		}
 	}
-	if ask.Key == "" || ask.Service == "" {
+	if ask.IdempotencyKey == "" || ask.Service == "" {
 		return ask, at, errors.New("key or extras service is missing")
 	}
 	var left float64
@@ -223,6 +223,6 @@
 		}
 		*f.to = v
 	}
-	ask.Due = scheduler.Time(now) + scheduler.Time(left*float64(scheduler.Millisecond))
+	ask.Deadline = scheduler.Time(now) + scheduler.Time(left*float64(scheduler.Millisecond))
 	return ask, at, nil
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -59,7 +59,7 @@
 
 // container is one that an owner asks for or that stands.
 type container struct {
-	ask      scheduler.Ask
+	ask      scheduler.PlacementRequest
 	class    string
 	idem     string
 	desc     []byte
@@ -113,14 +113,14 @@
 func (p *Platform) begin() {
 	p.log.Info("placer up", "name", p.d.Name, "door", p.Addr(), "events known", p.d.Last)
 	for i, e := range p.d.Known {
-		mode := scheduler.Changes
+		mode := scheduler.DeltaUpdate
 		if i == 0 {
-			mode = scheduler.OldList
+			mode = scheduler.RestoredSnapshot
 		}
 		p.learn(mode, e)
 	}
 	if len(p.d.Known) == 0 {
-		p.feed(scheduler.ListCame{Mode: scheduler.OldList})
+		p.feed(scheduler.MachineListUpdate{Mode: scheduler.RestoredSnapshot})
 	}
 	p.bus.reach()
 	p.loop.After(houseEvery, p.keepHouse)
@@ -219,7 +219,7 @@
 		}
 	case failuredetector.Over:
 		if m := p.machines[scheduler.MachineID(a.Machine)]; m != nil && m.bids[scheduler.ContainerID(a.Call)] != nil {
-			p.released(m.bids[scheduler.ContainerID(a.Call)], a.Cause, scheduler.Ended{Outcome: fate(a.Cause)})
+			p.released(m.bids[scheduler.ContainerID(a.Call)], a.Cause, scheduler.AttemptEnded{Outcome: fate(a.Cause)})
 		}
 	case failuredetector.Lost:
 		if m := p.machines[scheduler.MachineID(a.Machine)]; m != nil {
@@ -244,20 +244,20 @@
 // carry does what the placer module wants done.
 func (p *Platform) carry(a scheduler.Action) {
 	switch a := a.(type) {
-	case scheduler.Bid:
+	case scheduler.StartAttempt:
 		p.offer(a)
-	case scheduler.PushBack:
+	case scheduler.Reject:
 		m := &jsonlines.Message{Op: jsonlines.End, Why: jsonlines.Because(jsonlines.NoRoom)}
-		if a.HoldOff > 0 {
-			m.With = jsonlines.Fields{"wait": fmt.Sprint(int64(a.HoldOff / scheduler.Millisecond))}
+		if a.RetryAfter > 0 {
+			m.With = jsonlines.Fields{"wait": fmt.Sprint(int64(a.RetryAfter / scheduler.Millisecond))}
 		}
 		p.answer(a.ID, m)
-	case scheduler.GiveUp:
+	case scheduler.Fail:
 		p.answer(a.ID, &jsonlines.Message{Op: jsonlines.End, Why: jsonlines.Because(jsonlines.Temporary)})
-	case scheduler.Withdraw:
-		if c := p.containers[a.ID]; c != nil && c.bid != nil && !c.bid.stands && c.bid.nth == a.Bid {
+	case scheduler.CancelAttempt:
+		if c := p.containers[a.ID]; c != nil && c.bid != nil && !c.bid.stands && c.bid.nth == a.Attempt {
 			p.callOff(c.bid)
-			p.over(c.bid, scheduler.Ended{Outcome: scheduler.Stopped, Over: c.answered})
+			p.over(c.bid, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: c.answered})
 		}
 	case scheduler.Probe:
 		p.probe(a.Machine)
@@ -265,11 +265,11 @@
 		if m := p.machines[a.Machine]; m != nil {
 			m.closeIdle()
 		}
-	case scheduler.Wake:
-		p.loop.After(eventloop.Tick(a.After), func() { p.feed(scheduler.Woke{Name: a.Name}) })
-	case scheduler.Watch, scheduler.Fetch: // the bus is followed from the start
+	case scheduler.SetTimer:
+		p.loop.After(eventloop.Tick(a.After), func() { p.feed(scheduler.TimerFired{Name: a.Name}) })
+	case scheduler.WatchMachineList, scheduler.FetchMachineList: // the bus is followed from the start
 	case scheduler.Log:
-		p.log.Info("mode", "text", a.Text)
+		p.log.Info("mode", "text", a.Message)
 	}
 }
 
@@ -301,7 +301,7 @@
 func (p *Platform) letOff(c *container) {
 	if c.bid != nil && !c.bid.stands {
 		p.callOff(c.bid)
-		p.over(c.bid, scheduler.Ended{Outcome: scheduler.Stopped, Over: true})
+		p.over(c.bid, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: true})
 	}
 	p.forget(c)
 }
@@ -312,7 +312,7 @@
 	if c.caller != nil {
 		p.tell(connmanager.TookBack{Caller: c.caller.number})
 	}
-	p.feed(scheduler.Vanished{ID: c.ask.ID})
+	p.feed(scheduler.ContainerRemoved{ID: c.ask.ID})
 	p.letOff(c)
 }
 
@@ -323,7 +323,7 @@
 }
 
 // over ends a bid with its one outcome.
-func (p *Platform) over(b *bid, e scheduler.Ended) {
+func (p *Platform) over(b *bid, e scheduler.AttemptEnded) {
 	c := b.c
 	if c.bid != b {
 		return
@@ -340,16 +340,16 @@
 		b.at.stand(-1)
 	}
 	c.bid = nil
-	e.ID, e.Bid, e.Machine, e.Took = c.ask.ID, b.nth, b.at.id, scheduler.Time(p.loop.Now()-b.sentAt)
+	e.ID, e.Attempt, e.Machine, e.Elapsed = c.ask.ID, b.nth, b.at.id, scheduler.Time(p.loop.Now()-b.sentAt)
 	p.feed(e)
 	p.forget(c)
 	b.at.settle()
 }
 
 // released ends a container that stood, and tells its owner, unless that ended it.
-func (p *Platform) released(b *bid, cause int, e scheduler.Ended) {
+func (p *Platform) released(b *bid, cause int, e scheduler.AttemptEnded) {
 	c := b.c
-	e.Over = true
+	e.Final = true
 	p.over(b, e)
 	if b.ended || cause == jsonlines.Cancelled {
 		return
@@ -377,8 +377,8 @@
 
 // longest is the longest hard stop of the terms.
 func (p *Platform) longest() (longest connmanager.Time) {
-	for _, w := range p.d.Terms.Workloads {
-		longest = max(longest, connmanager.Time(w.HardStop))
+	for _, w := range p.d.Terms.WorkloadClasses {
+		longest = max(longest, connmanager.Time(w.PlacementTimeout))
 	}
 	return longest
 }
@@ -388,7 +388,7 @@
 	for _, id := range slices.Sorted(maps.Keys(p.containers)) {
 		if c := p.containers[id]; !c.answered && c.bid != nil {
 			p.callOff(c.bid)
-			p.over(c.bid, scheduler.Ended{Outcome: scheduler.Finished})
+			p.over(c.bid, scheduler.AttemptEnded{Outcome: scheduler.OutcomeFinished})
 		}
 	}
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -39,9 +39,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := scheduler.Entry{Machine: "a", Zone: 1, Kind: 1, Cell: 2, PowerHint: 1, FreeCores: 40.5, FreeMemory: 100, StartedAt: 50}
-			if got := d.Known[0].hosts[0].entry; got != want || len(d.Terms.Workloads) != 2 || d.Terms.Customers[1].Cores != 50 ||
-				d.Terms.Seed != 0x8c1f30d27a5be964 || d.Terms.ListOnAsk {
+			want := scheduler.MachineEntry{Machine: "a", Zone: 1, MachineType: 1, RackGroup: 2, PowerHint: 1, FreeCores: 40.5, FreeMemory: 100, StartedAt: 50}
+			if got := d.Known[0].hosts[0].entry; got != want || len(d.Terms.WorkloadClasses) != 2 || d.Terms.Tenants[1].QuotaCores != 50 ||
+				d.Terms.Seed != 0x8c1f30d27a5be964 || d.Terms.ListOnRequest {
 				t.Errorf("machine %+v, terms %+v", got, d.Terms)
 			}
 		})
@@ -62,33 +62,33 @@
 		over   bool
 		told   []int // causes that the owner hears; -1 is an answer
 	}{
-		{"full", []string{end(34, `"note":"mem_full","load":"x0:1.5;x1:2"`)}, scheduler.Full, scheduler.NoMemory, false, []int{41}},
-		{"erred", []string{end(47, "")}, scheduler.Erred, 0, false, []int{41}},
-		{"never left", []string{end(102, "")}, scheduler.NotSent, 0, false, []int{41}},
-		{"broke on its way", []string{end(41, "")}, scheduler.Reset, 0, false, []int{41}},
-		{"evicted, its yes is late", []string{end(41, `"note":"oom"`), yes}, scheduler.Reset, scheduler.Evicted, true, []int{41}},
-		{"sent away, its yes is lost", []string{end(41, `"note":"drained"`)}, scheduler.Reset, scheduler.SentAway, true, []int{41}},
-		{"its time has passed", []string{end(16, "")}, scheduler.Finished, 0, false, []int{41}},
-		{"another cause", []string{end(99, "")}, scheduler.Reset, 0, false, []int{41}},
-		{"finished", []string{yes, end(16, "")}, scheduler.Finished, 0, true, []int{-1, 16}},
-		{"evicted", []string{yes, end(41, `"note":"oom"`)}, scheduler.Reset, scheduler.Evicted, true, []int{-1, 41}},
-		{"sent away", []string{yes, end(41, `"note":"drained"`)}, scheduler.Reset, scheduler.SentAway, true, []int{-1, 41}},
-		{"two yeses", []string{yes, yes, end(16, "")}, scheduler.Finished, 0, true, []int{-1, 16}},
+		{"full", []string{end(34, `"note":"mem_full","load":"x0:1.5;x1:2"`)}, scheduler.OutcomeFull, scheduler.ReasonNoMemory, false, []int{41}},
+		{"erred", []string{end(47, "")}, scheduler.OutcomeErrored, 0, false, []int{41}},
+		{"never left", []string{end(102, "")}, scheduler.OutcomeNotSent, 0, false, []int{41}},
+		{"broke on its way", []string{end(41, "")}, scheduler.OutcomeLost, 0, false, []int{41}},
+		{"evicted, its yes is late", []string{end(41, `"note":"oom"`), yes}, scheduler.OutcomeLost, scheduler.ReasonOutOfMemory, true, []int{41}},
+		{"sent away, its yes is lost", []string{end(41, `"note":"drained"`)}, scheduler.OutcomeLost, scheduler.ReasonDrained, true, []int{41}},
+		{"its time has passed", []string{end(16, "")}, scheduler.OutcomeFinished, 0, false, []int{41}},
+		{"another cause", []string{end(99, "")}, scheduler.OutcomeLost, 0, false, []int{41}},
+		{"finished", []string{yes, end(16, "")}, scheduler.OutcomeFinished, 0, true, []int{-1, 16}},
+		{"evicted", []string{yes, end(41, `"note":"oom"`)}, scheduler.OutcomeLost, scheduler.ReasonOutOfMemory, true, []int{-1, 41}},
+		{"sent away", []string{yes, end(41, `"note":"drained"`)}, scheduler.OutcomeLost, scheduler.ReasonDrained, true, []int{-1, 41}},
+		{"two yeses", []string{yes, yes, end(16, "")}, scheduler.OutcomeFinished, 0, true, []int{-1, 16}},
 		{"an answer for another ahead", []string{strings.Replace(yes, "%s", "00000000000000bb", 1), yes, end(16, "")},
-			scheduler.Finished, 0, true, []int{-1, 16}},
-		{"a yes without a description", []string{`{"op":"accept","call":"%s","with":{}}`}, scheduler.Reset, 0, false, []int{41}},
-		{"noise", []string{"\x01\x02\xff"}, scheduler.Reset, 0, false, []int{41}},
-		{"a line that never ends", []string{strings.Repeat("x", 20<<10)}, scheduler.Reset, 0, false, []int{41}},
-		{"closes", []string{"close"}, scheduler.Reset, 0, false, []int{41}},
-		{"says nothing", nil, scheduler.TimedOut, 0, false, []int{41}},
+			scheduler.OutcomeFinished, 0, true, []int{-1, 16}},
+		{"a yes without a description", []string{`{"op":"accept","call":"%s","with":{}}`}, scheduler.OutcomeLost, 0, false, []int{41}},
+		{"noise", []string{"\x01\x02\xff"}, scheduler.OutcomeLost, 0, false, []int{41}},
+		{"a line that never ends", []string{strings.Repeat("x", 20<<10)}, scheduler.OutcomeLost, 0, false, []int{41}},
+		{"closes", []string{"close"}, scheduler.OutcomeLost, 0, false, []int{41}},
+		{"says nothing", nil, scheduler.OutcomeTimedOut, 0, false, []int{41}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			addr := machineThat(t, tc.says...)
 			r := start(t, bidToA(300*scheduler.Millisecond), file(silentBus(t), 256, event(1, true, host("a", addr, "ready", 0))))
 			o := r.owner()
 			o.say(setUp(call, ""))
-			e := await[scheduler.Ended](r, nil)
-			if e.Outcome != tc.want || e.Reason != tc.reason || e.Over != tc.over || e.Machine != "a" || e.ID != call {
+			e := await[scheduler.AttemptEnded](r, nil)
+			if e.Outcome != tc.want || e.Reason != tc.reason || e.Final != tc.over || e.Machine != "a" || e.ID != call {
 				t.Errorf("got %+v", e)
 			}
 			if tc.name == "full" && e.Report["x0"] != 1.5 {
@@ -119,7 +119,7 @@
 	l.Close()
 	r := start(t, bidToA(0), file(silentBus(t), 256, event(1, true, host("a", l.Addr().String(), "ready", 0))))
 	r.owner().say(setUp(call, ""))
-	if e := await[scheduler.Ended](r, nil); e.Outcome != scheduler.NoConnect {
+	if e := await[scheduler.AttemptEnded](r, nil); e.Outcome != scheduler.OutcomeConnectFailed {
 		t.Errorf("got %+v", e)
 	}
 }
@@ -130,9 +130,9 @@
 	addr := listen(t, func(m *peer) { got <- m.hear(); m.hear() })
 	r := start(t, bidToA(scheduler.Second), file(silentBus(t), 256, event(1, true, host("a", addr, "ready", 0))))
 	r.owner().say(setUp(call, ""))
-	a := await[scheduler.Asked](r, nil)
-	if a.Workload != 1 || a.Customer != 1 || a.Cores != 1 || a.Memory != 2 || a.Service != "s1" || a.Key != "k"+call || a.Again {
-		t.Errorf("asked %+v", a.Ask)
+	a := await[scheduler.RequestReceived](r, nil)
+	if a.WorkloadClass != 1 || a.Tenant != 1 || a.Cores != 1 || a.Memory != 2 || a.Service != "s1" || a.IdempotencyKey != "k"+call || a.ClientRetry {
+		t.Errorf("asked %+v", a.PlacementRequest)
 	}
 	m := <-got
 	if m.Call != call || m.With["class"] != "report-run" || m.With["key"] != "k"+call || m.With["idem"] != "i1" ||
@@ -169,8 +169,8 @@
 			if tc.closed != (m == nil) || m != nil && (m.Op != jsonlines.End || m.Cause() != jsonlines.Unreadable) {
 				t.Errorf("heard %+v", m)
 			}
-			r.p.loop.Post(func() { r.script.events <- scheduler.Woke{Name: "last"} })
-			await(r, func(e scheduler.Woke) bool { return e.Name == "last" })
+			r.p.loop.Post(func() { r.script.events <- scheduler.TimerFired{Name: "last"} })
+			await(r, func(e scheduler.TimerFired) bool { return e.Name == "last" })
 		})
 	}
 }
@@ -189,13 +189,13 @@
 			o := r.owner()
 			o.say(strings.Replace(setUp(call, ";at:a"), `"2000"`, tc.left, 1))
 			if tc.stays {
-				await[scheduler.TookOver](r, nil)
+				await[scheduler.ContainerAdopted](r, nil)
 			} else if m := o.hear(); m != nil {
 				t.Errorf("heard %+v", m)
 			}
-			r.p.loop.Post(func() { r.script.events <- scheduler.Woke{Name: fmt.Sprint(len(r.p.containers))} })
+			r.p.loop.Post(func() { r.script.events <- scheduler.TimerFired{Name: fmt.Sprint(len(r.p.containers))} })
 			want := map[bool]string{true: "1", false: "0"}[tc.stays]
-			if e := await(r, func(e scheduler.Woke) bool { return e.Name != "" }); e.Name != want {
+			if e := await(r, func(e scheduler.TimerFired) bool { return e.Name != "" }); e.Name != want {
 				t.Errorf("%s containers are held, want %s", e.Name, want)
 			}
 		})
@@ -208,7 +208,7 @@
 	r := start(t, bidToA(0), file(silentBus(t), 256, event(1, true, host("a", addr, "ready", 0))))
 	first, second := r.owner(), r.owner()
 	first.say(setUp(call, ""))
-	await[scheduler.Asked](r, nil)
+	await[scheduler.RequestReceived](r, nil)
 	second.say(setUp(call, ""))
 	if m := second.hear(); m == nil || m.Cause() != jsonlines.Unreadable {
 		t.Errorf("the second heard %+v", m)
@@ -217,7 +217,7 @@
 	if m := first.hear(); m != nil {
 		t.Errorf("the first heard %+v", m)
 	}
-	await(r, func(e scheduler.Vanished) bool { return e.ID == call })
+	await(r, func(e scheduler.ContainerRemoved) bool { return e.ID == call })
 }
 
 // An owner that gives a set-up up, or goes, takes its bid back.
@@ -238,8 +238,8 @@
 			if m := <-got; m == nil || m.Op != jsonlines.End || m.Cause() != jsonlines.GivenUp {
 				t.Errorf("the machine heard %+v", m)
 			}
-			await[scheduler.Vanished](r, nil)
-			if e := await[scheduler.Ended](r, nil); !e.Over || e.Outcome != scheduler.Stopped {
+			await[scheduler.ContainerRemoved](r, nil)
+			if e := await[scheduler.AttemptEnded](r, nil); !e.Final || e.Outcome != scheduler.OutcomeStopped {
 				t.Errorf("got %+v", e)
 			}
 		})
@@ -259,7 +259,7 @@
 	r := start(t, bidToA(0), file(silentBus(t), 256, event(1, true, host("a", addr, "ready", 0))))
 	first := r.owner()
 	first.say(strings.Replace(setUp(call, ";at:a"), `"2000"`, `"4294967"`, 1), setUp(call, ";at:a"))
-	if e := await[scheduler.TookOver](r, nil); e.Machine != "a" {
+	if e := await[scheduler.ContainerAdopted](r, nil); e.Machine != "a" {
 		t.Errorf("took over %+v", e)
 	}
 	first.c.Close()
@@ -292,7 +292,7 @@
 	o.say(setUp(call, ""))
 	o.hear()
 	other.say(`{"op":"end","call":"` + call + `","with":{},"why":16}`)
-	if e := await[scheduler.Ended](r, nil); e.Outcome != scheduler.Stopped || !e.Over {
+	if e := await[scheduler.AttemptEnded](r, nil); e.Outcome != scheduler.OutcomeStopped || !e.Final {
 		t.Errorf("got %+v", e)
 	}
 	o.say(`{"op":"test","call":"0000000000000001","with":{},"why":0}`)
@@ -323,7 +323,7 @@
 	r := start(t, bidToA(0), file(old, 256, event(1, true, host("a", "127.0.0.1:1", "ready", 0))))
 	list := func(version int64) {
 		t.Helper()
-		if e := await[scheduler.ListCame](r, nil); e.Version != version {
+		if e := await[scheduler.MachineListUpdate](r, nil); e.Version != version {
 			t.Errorf("version %d came, want %d", e.Version, version)
 		}
 	}
@@ -378,7 +378,7 @@
 	r := start(t, bidToA(0), file(silentBus(t), 256, event(1, true, host("a", addr, "ready", 0))))
 	o := r.owner()
 	o.say(setUp(call, ""))
-	await[scheduler.Asked](r, nil)
+	await[scheduler.RequestReceived](r, nil)
 	r.p.Leave()
 	o.say(`{"op":"test","call":"0000000000000001","with":{},"why":0}`)
 	if m := o.hear(); m == nil || m.Cause() != jsonlines.Failed {
@@ -448,7 +448,7 @@
 			if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != call || m.Cause() != jsonlines.Temporary {
 				t.Errorf("heard %+v", m)
 			}
-			if e := await[scheduler.Ended](r, nil); e.Outcome != scheduler.Reset || !e.Over {
+			if e := await[scheduler.AttemptEnded](r, nil); e.Outcome != scheduler.OutcomeLost || !e.Final {
 				t.Errorf("got %+v", e)
 			}
 			if tc.tells == "" {
@@ -547,9 +547,9 @@
 	})
 	r := start(t, func(e scheduler.Event) []scheduler.Action {
 		switch e.(type) {
-		case scheduler.TookOver:
+		case scheduler.ContainerAdopted:
 			return []scheduler.Action{scheduler.Probe{Machine: "a"}}
-		case scheduler.Probed:
+		case scheduler.ProbeCompleted:
 			return []scheduler.Action{scheduler.Disconnect{Machine: "a"}}
 		}
 		return nil
--- a/internal/protocol/outcome.go
+++ b/internal/protocol/outcome.go
@@ -2,8 +2,8 @@
 
 import "glenport/scheduler"
 
-var decided = [...]scheduler.Outcome{Finished: scheduler.Finished, Erred: scheduler.Erred, Full: scheduler.Full, Stopped: scheduler.Stopped,
-	Lost: scheduler.Reset}
+var decided = [...]scheduler.Outcome{Finished: scheduler.OutcomeFinished, Erred: scheduler.OutcomeErrored, Full: scheduler.OutcomeFull, Stopped: scheduler.OutcomeStopped,
+	Lost: scheduler.OutcomeLost}
 
 // Decided is the outcome in the words of the decisions.
 func (o Outcome) Decided() scheduler.Outcome { return decided[o] }
--- a/internal/schedulerd/door.go
+++ b/internal/schedulerd/door.go
@@ -136,9 +136,9 @@
 
 func (h *Host) submitted(o *owner, f *protocol.Submit) {
 	now, w := scheduler.Time(h.loop.Now()), &f.Work
-	ask := scheduler.Ask{ID: scheduler.ContainerID(w.Container), Key: w.Key, Service: w.Service, Workload: w.Workload,
-		Customer: w.Customer, Cores: w.Cores, Memory: w.Memory, Due: now + scheduler.Time(f.Left),
-		Life: scheduler.Time(w.RunFor), Again: w.Again}
+	ask := scheduler.PlacementRequest{ID: scheduler.ContainerID(w.Container), IdempotencyKey: w.Key, Service: w.Service, WorkloadClass: w.Workload,
+		Tenant: w.Customer, Cores: w.Cores, Memory: w.Memory, Deadline: now + scheduler.Time(f.Left),
+		ExpectedRuntime: scheduler.Time(w.RunFor), ClientRetry: w.Again}
 	h.meter.submitted++
 	h.asking[ask.ID] = h.loop.Clock()
 	h.tell(reconcile.Asked{Caller: o.caller, Ask: ask})
@@ -151,17 +151,17 @@
 		w.ListAge = protocol.Span(h.loop.Now() - h.list.spokeAt)
 	}
 	d, ok := h.decider.(interface {
-		Explain(scheduler.Ask) scheduler.Explanation
+		Explain(scheduler.PlacementRequest) scheduler.Explanation
 	})
 	if !ok {
 		return w
 	}
-	x := d.Explain(scheduler.Ask{Key: f.Work.Key, Service: f.Work.Service, Workload: f.Work.Workload, Customer: f.Work.Customer,
+	x := d.Explain(scheduler.PlacementRequest{IdempotencyKey: f.Work.Key, Service: f.Work.Service, WorkloadClass: f.Work.Workload, Tenant: f.Work.Customer,
 		Cores: f.Work.Cores, Memory: f.Work.Memory})
-	return &protocol.Why{Seq: f.Seq, Known: true, Machines: x.Machines, Gone: x.Gone, OtherKind: x.OtherKind, Draining: x.Draining,
-		TooSmall: x.TooSmall, Closing: x.Closing, SpreadFull: x.SpreadFull, ColdSpent: x.ColdSpent, Resting: x.Resting,
-		Shunned: x.Shunned, NoCores: x.NoCores, NoMemory: x.NoMemory, Free: x.Free, Yielding: x.Yielding,
-		NoRoomShare: x.NoRoomShare, ListAge: w.ListAge}
+	return &protocol.Why{Seq: f.Seq, Known: true, Machines: x.Machines, Gone: x.Gone, OtherKind: x.WrongMachineType, Draining: x.Draining,
+		TooSmall: x.TooSmall, Closing: x.SelfDraining, SpreadFull: x.SpreadExhausted, ColdSpent: x.SlowStartExhausted, Resting: x.Ejected,
+		Shunned: x.Suspected, NoCores: x.InsufficientCores, NoMemory: x.InsufficientMemory, Free: x.Eligible, Yielding: x.SheddingLoad,
+		NoRoomShare: x.FullRatio, ListAge: w.ListAge}
 }
 
 // routesFor tells how announcements stand.
@@ -217,7 +217,7 @@
 		h.callOff(b) // its end is told when the machine says so
 		return
 	}
-	h.feed(scheduler.Vanished{ID: id})
+	h.feed(scheduler.ContainerRemoved{ID: id})
 	if !c.answered {
 		c.answered = true
 		h.meter.answered(protocol.GivenUp)
@@ -229,7 +229,7 @@
 	}
 	if b := c.bid; b != nil {
 		h.callOff(b)
-		h.over(b, scheduler.Ended{Outcome: scheduler.Stopped, Over: true})
+		h.over(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: true})
 		return
 	}
 	h.close(c)
--- a/internal/schedulerd/export.go
+++ b/internal/schedulerd/export.go
@@ -58,26 +58,28 @@
 		ListIs: k.ListIs, Entries: k.Entries, AtAnOrder: k.AtAnOrder, Door: k.Door})
 }
 
-func exportLearned(k scheduler.Knowledge) exportedLearned {
+func exportLearned(k scheduler.Snapshot) exportedLearned {
 	return exportedLearned{
-		Machines:  exportEach(k.Machines, exportMachine),
-		Traits:    exportEach(k.Traits, func(t scheduler.Trait) exportedTrait { return exportedTrait{Lost: t.Lost, Bar: t.Bar} }),
-		Full:      k.Full,
-		Missed:    k.Missed,
-		SentSince: k.SentSince,
+		Machines: exportEach(k.Machines, exportMachine),
+		Traits: exportEach(k.TrafficClasses, func(t scheduler.TrafficClass) exportedTrait {
+			return exportedTrait{Lost: t.LossRatio, Bar: t.SuspicionThreshold}
+		}),
+		Full:      k.FullRatio,
+		Missed:    k.RejectedWeight,
+		SentSince: k.SendsKnownSince,
 	}
 }
 
-func exportMachine(m scheduler.Learned) exportedMachine {
+func exportMachine(m scheduler.MachineSnapshot) exportedMachine {
 	return exportedMachine{
 		Machine:   m.Machine,
-		Started:   m.Started,
-		Sick:      m.Sick,
-		RestUntil: m.RestUntil,
-		Rest:      m.Rest,
-		ShutUntil: m.ShutUntil,
-		Doubts:    exportEach(m.Doubts, func(d scheduler.Doubt) exportedDoubt { return exportedDoubt{Odds: d.Odds, At: d.At} }),
-		Cold:      m.Cold,
+		Started:   m.StartedAt,
+		Sick:      m.OutlierLogOdds,
+		RestUntil: m.EjectedUntil,
+		Rest:      m.EjectionTime,
+		ShutUntil: m.SelfDrainingUntil,
+		Doubts:    exportEach(m.FailureEvidence, func(d scheduler.FailureEvidence) exportedDoubt { return exportedDoubt{Odds: d.LogOdds, At: d.AsOf} }),
+		Cold:      m.RecentSends,
 	}
 }
 
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -44,9 +44,9 @@
 
 var update = flag.Bool("update", false, "write the golden stored data anew with the program as it is")
 
-func goldenRequest(n float64, id string) scheduler.Ask {
-	return scheduler.Ask{ID: scheduler.ContainerID("container-" + id), Key: "key-" + id, Service: "service-" + id, Workload: 10 + int(n),
-		Customer: 20 + int(n), Cores: n + 0.25, Memory: n + 0.5, Due: scheduler.Time(1000 + n), Life: scheduler.Time(2000 + n), Again: true}
+func goldenRequest(n float64, id string) scheduler.PlacementRequest {
+	return scheduler.PlacementRequest{ID: scheduler.ContainerID("container-" + id), IdempotencyKey: "key-" + id, Service: "service-" + id, WorkloadClass: 10 + int(n),
+		Tenant: 20 + int(n), Cores: n + 0.25, Memory: n + 0.5, Deadline: scheduler.Time(1000 + n), ExpectedRuntime: scheduler.Time(2000 + n), ClientRetry: true}
 }
 
 // Attempts by number. Number 3 is deleted again by the log.
@@ -76,11 +76,11 @@
 	return &Knowledge{
 		At:    warmstart.Stamp{Clock: 17_000_000_000_101, Up: 17_000_102, Boot: "boot-of-the-file"},
 		Names: []string{"class-a", "class-b", "tenant-a"},
-		Learned: scheduler.Knowledge{
-			Machines: []scheduler.Learned{{Machine: "machine-seven", Started: 4001, Sick: 5.25, RestUntil: 4002, Rest: 4003, ShutUntil: 4004,
-				Doubts: []scheduler.Doubt{{Odds: 0.125, At: 4005}, {Odds: 1.125, At: 4006}}, Cold: []scheduler.Time{4007, 4008}}},
-			Traits: []scheduler.Trait{{Lost: 0.0625, Bar: 6.5}, {Lost: 0.1875, Bar: 7.5}, {Lost: 0.3125, Bar: 8.5}},
-			Full:   0.4375, Missed: 0.5625, SentSince: 4009,
+		Learned: scheduler.Snapshot{
+			Machines: []scheduler.MachineSnapshot{{Machine: "machine-seven", StartedAt: 4001, OutlierLogOdds: 5.25, EjectedUntil: 4002, EjectionTime: 4003, SelfDrainingUntil: 4004,
+				FailureEvidence: []scheduler.FailureEvidence{{LogOdds: 0.125, AsOf: 4005}, {LogOdds: 1.125, AsOf: 4006}}, RecentSends: []scheduler.Time{4007, 4008}}},
+			TrafficClasses: []scheduler.TrafficClass{{LossRatio: 0.0625, SuspicionThreshold: 6.5}, {LossRatio: 0.1875, SuspicionThreshold: 7.5}, {LossRatio: 0.3125, SuspicionThreshold: 8.5}},
+			FullRatio:      0.4375, RejectedWeight: 0.5625, SendsKnownSince: 4009,
 		},
 		Starts:    map[scheduler.MachineID]uint64{"machine-seven": 207},
 		ListIs:    301,
@@ -222,7 +222,7 @@
 	if err := os.CopyFS(s.State, os.DirFS(goldenState)); err != nil {
 		t.Fatal(err)
 	}
-	h, err := New(s, learning(scheduler.Knowledge{}), discard)
+	h, err := New(s, learning(scheduler.Snapshot{}), discard)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -272,7 +272,7 @@
 
 // Nothing learned is exported as null, as it was before the export had types of its own.
 func TestEmptySnapshotIsExported(t *testing.T) {
-	got, err := json.Marshal(map[string]any{"kind": "knowledge", "value": Knowledge{Learned: scheduler.Knowledge{Machines: []scheduler.Learned{{}}}}})
+	got, err := json.Marshal(map[string]any{"kind": "knowledge", "value": Knowledge{Learned: scheduler.Snapshot{Machines: []scheduler.MachineSnapshot{{}}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -291,7 +291,7 @@
 		t.Fatal(err)
 	}
 	defer d.Close()
-	k := &Knowledge{Learned: scheduler.Knowledge{Traits: []scheduler.Trait{{Lost: 0.5, Bar: math.Inf(1)}}}}
+	k := &Knowledge{Learned: scheduler.Snapshot{TrafficClasses: []scheduler.TrafficClass{{LossRatio: 0.5, SuspicionThreshold: math.Inf(1)}}}}
 	if err := k.write(d); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/schedulerd/helpers_test.go
+++ b/internal/schedulerd/helpers_test.go
@@ -61,7 +61,7 @@
 	s.ListAddr = listing(t, machines)
 	r.h = run(t, s, sc)
 	r.h.loop.Post(func() { r.h.watch(&protocol.Watch{On: true}) })
-	await[scheduler.ListCame](r, func(e scheduler.ListCame) bool { return e.Mode != scheduler.OldList })
+	await[scheduler.MachineListUpdate](r, func(e scheduler.MachineListUpdate) bool { return e.Mode != scheduler.RestoredSnapshot })
 	r.door = callDoor(t, r.h.Addr())
 	return r
 }
--- a/internal/schedulerd/host.go
+++ b/internal/schedulerd/host.go
@@ -64,7 +64,7 @@
 
 // container is one that this placer has taken or taken over.
 type container struct {
-	ask      scheduler.Ask
+	ask      scheduler.PlacementRequest
 	window   protocol.Span
 	owner    *owner // nil where it was taken over and nobody asked again
 	heardAs  string // its id for that owner
@@ -100,12 +100,12 @@
 		asking: map[scheduler.ContainerID]time.Duration{}, owners: map[reconcile.Caller]*owner{},
 		tookOver: map[string]int{}}
 	h.lastBid = h.life // bid numbers are unique over all lives
-	var effects []scheduler.Effect
+	var effects []scheduler.Idempotency
 	var calm []overload.Workload
-	for _, w := range s.Terms.Workloads {
-		effects = append(effects, w.Effect)
+	for _, w := range s.Terms.WorkloadClasses {
+		effects = append(effects, w.Idempotency)
 		if s.Damped {
-			calm = append(calm, overload.Workload{Agreed: w.Agreed, Gain: w.Gain})
+			calm = append(calm, overload.Workload{Agreed: w.LatencyObjective, Gain: w.PriorityWeight})
 		}
 	}
 	h.meter.init()
@@ -190,7 +190,7 @@
 	if h.state != nil {
 		h.state.begin()
 	} else {
-		h.learn(scheduler.OldList, 0, nil)
+		h.learn(scheduler.RestoredSnapshot, 0, nil)
 	}
 	h.loop.After(housekeeping, h.keepHouse)
 	if h.routes != nil {
@@ -258,16 +258,16 @@
 // carry does what the placer module wants done.
 func (h *Host) carry(a scheduler.Action) {
 	switch a := a.(type) {
-	case scheduler.Bid:
+	case scheduler.StartAttempt:
 		h.offer(a)
-	case scheduler.PushBack:
-		h.answer(a.ID, &protocol.Answer{Verdict: protocol.PushedBack, HoldOff: protocol.Span(a.HoldOff)})
-	case scheduler.GiveUp:
+	case scheduler.Reject:
+		h.answer(a.ID, &protocol.Answer{Verdict: protocol.PushedBack, HoldOff: protocol.Span(a.RetryAfter)})
+	case scheduler.Fail:
 		h.answer(a.ID, &protocol.Answer{Verdict: protocol.GivenUp})
-	case scheduler.Withdraw:
-		if c := h.open[a.ID]; c != nil && c.bid != nil && !c.bid.placed && c.bid.nth == a.Bid {
+	case scheduler.CancelAttempt:
+		if c := h.open[a.ID]; c != nil && c.bid != nil && !c.bid.placed && c.bid.nth == a.Attempt {
 			h.callOff(c.bid)
-			h.over(c.bid, scheduler.Ended{Outcome: scheduler.Stopped, Over: c.answered})
+			h.over(c.bid, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: c.answered})
 		}
 	case scheduler.Probe:
 		h.probe(a.Machine)
@@ -275,14 +275,14 @@
 		if m := h.machines[a.Machine]; m != nil && m.conn != nil && m.idle() {
 			m.conn.Close()
 		}
-	case scheduler.Wake:
-		h.loop.After(eventloop.Tick(a.After), func() { h.feed(scheduler.Woke{Name: a.Name}) })
-	case scheduler.Watch:
-		h.watch(&protocol.Watch{On: a.On, Since: h.list.version})
-	case scheduler.Fetch:
+	case scheduler.SetTimer:
+		h.loop.After(eventloop.Tick(a.After), func() { h.feed(scheduler.TimerFired{Name: a.Name}) })
+	case scheduler.WatchMachineList:
+		h.watch(&protocol.Watch{On: a.Enabled, Since: h.list.version})
+	case scheduler.FetchMachineList:
 		h.watch(&protocol.Fetch{})
 	case scheduler.Log:
-		h.log.Info("mode", "text", a.Text)
+		h.log.Info("mode", "text", a.Message)
 	}
 }
 
@@ -320,7 +320,7 @@
 			if !a.Sure { // behind a cut it may run on
 				h.unheard(c.bid)
 			}
-			h.over(c.bid, scheduler.Ended{Outcome: scheduler.Reset, Over: true})
+			h.over(c.bid, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost, Final: true})
 		}
 	case reconcile.Reach:
 		if m := h.machines[a.Machine]; m != nil {
@@ -351,8 +351,8 @@
 // take hands a container that the door lets in to the placer module.
 func (h *Host) take(a reconcile.Pass) {
 	h.open[a.Ask.ID] = &container{ask: a.Ask, owner: h.owners[a.Caller], heardAs: string(a.Ask.ID), came: h.asking[a.Ask.ID],
-		window: protocol.Span(h.site.Terms.Workloads[a.Ask.Workload].Window)}
-	h.feed(scheduler.Asked{Ask: a.Ask})
+		window: protocol.Span(h.site.Terms.WorkloadClasses[a.Ask.WorkloadClass].DedupWindow)}
+	h.feed(scheduler.RequestReceived{PlacementRequest: a.Ask})
 }
 
 // frame encodes a frame; what it returns holds until the next call.
@@ -366,20 +366,20 @@
 }
 
 // offer sends a bid, at once or as soon as the link stands. What cannot be sent is an outcome of its own.
-func (h *Host) offer(a scheduler.Bid) {
+func (h *Host) offer(a scheduler.StartAttempt) {
 	c, m := h.open[a.ID], h.machines[a.Machine]
 	if c == nil {
 		h.log.Error("bid for an unknown container", "container", a.ID)
 		return
 	}
 	if c.bid != nil || m == nil || c.answered {
-		h.feed(scheduler.Ended{ID: a.ID, Outcome: scheduler.NotSent, Machine: a.Machine, Bid: c.bids, Over: c.answered})
+		h.feed(scheduler.AttemptEnded{ID: a.ID, Outcome: scheduler.OutcomeNotSent, Machine: a.Machine, Attempt: c.bids, Final: c.answered})
 		return
 	}
 	now := h.loop.Now()
-	until := eventloop.Tick(c.ask.Due)
-	if a.MaxWait > 0 {
-		until = min(until, now+eventloop.Tick(a.MaxWait))
+	until := eventloop.Tick(c.ask.Deadline)
+	if a.Timeout > 0 {
+		until = min(until, now+eventloop.Tick(a.Timeout))
 	}
 	h.lastBid++
 	b := &bid{number: h.lastBid, life: h.life, nth: c.bids, c: c, at: m, sentAt: now, until: until, start: m.incarnation, after: h.takeovers}
@@ -429,12 +429,12 @@
 		return
 	}
 	h.meter.outcome("no connection")
-	h.over(b, scheduler.Ended{Outcome: scheduler.NoConnect})
+	h.over(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeConnectFailed})
 }
 
 func (h *Host) notSent(b *bid) {
 	h.meter.outcome("not sent")
-	h.over(b, scheduler.Ended{Outcome: scheduler.NotSent})
+	h.over(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
 }
 
 func (h *Host) timedOut(b *bid) {
@@ -447,7 +447,7 @@
 	h.meter.outcome("timed out")
 	b.at.expectLate(b)
 	h.unheard(b)
-	h.over(b, scheduler.Ended{Outcome: scheduler.TimedOut})
+	h.over(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeTimedOut})
 }
 
 // unheard leaves it to custody when the log may forget a bid.
@@ -472,7 +472,7 @@
 }
 
 // over ends a bid with its one outcome; the container goes with it where nothing more is owed.
-func (h *Host) over(b *bid, e scheduler.Ended) {
+func (h *Host) over(b *bid, e scheduler.AttemptEnded) {
 	c, m := b.c, b.at
 	h.loop.Cancel(b.timer)
 	delete(m.bids, b.number)
@@ -480,15 +480,15 @@
 		return
 	}
 	c.bid = nil
-	if b.sent && !b.placed && e.Outcome == scheduler.Stopped { // the word to stop may come too late
+	if b.sent && !b.placed && e.Outcome == scheduler.OutcomeStopped { // the word to stop may come too late
 		h.unheard(b)
 	}
 	if b.logged {
 		h.state.drop(BidKind, bidKey(b.number))
 	}
-	e.ID, e.Bid, e.Machine = c.ask.ID, b.nth, m.id
-	e.Took = scheduler.Time(h.loop.Now() - b.sentAt)
-	e.Over = e.Over || c.answered
+	e.ID, e.Attempt, e.Machine = c.ask.ID, b.nth, m.id
+	e.Elapsed = scheduler.Time(h.loop.Now() - b.sentAt)
+	e.Final = e.Final || c.answered
 	if b.placed {
 		h.meter.running--
 		h.route(b, false)
@@ -498,7 +498,7 @@
 		}
 	}
 	h.feed(e)
-	if e.Over {
+	if e.Final {
 		h.close(c)
 	}
 	m.settle()
@@ -541,7 +541,7 @@
 	}
 	c.answered = true
 	h.meter.answered(protocol.Placed)
-	h.feed(scheduler.Placed{ID: c.ask.ID, Bid: b.nth, Machine: b.at.id, Took: scheduler.Time(h.loop.Now() - b.sentAt)})
+	h.feed(scheduler.AttemptAccepted{ID: c.ask.ID, Attempt: b.nth, Machine: b.at.id, Elapsed: scheduler.Time(h.loop.Now() - b.sentAt)})
 	if c.owner != nil {
 		c.owner.write(&protocol.Answer{Container: string(c.ask.ID), Verdict: protocol.Placed, Machine: string(b.at.id)})
 	}
@@ -561,7 +561,7 @@
 	b := &bid{number: held.Bid, life: held.Life, c: c, at: m, sentAt: h.loop.Now(), sent: true, placed: true}
 	c.bid, m.bids[held.Bid] = b, b
 	if h.state != nil {
-		if write, _ := recovery.Writes(h.site.Terms.Workloads[held.Ask.Workload].Effect); write {
+		if write, _ := recovery.Writes(h.site.Terms.WorkloadClasses[held.Ask.WorkloadClass].Idempotency); write {
 			b.logged = true
 			h.state.put(BidKind, bidKey(b.number), held)
 		}
@@ -576,7 +576,7 @@
 	if h.unsent > 0 {
 		h.tookOver[held.Ask.Service] = h.takeovers
 	}
-	h.feed(scheduler.TookOver{Ask: held.Ask, Machine: m.id})
+	h.feed(scheduler.ContainerAdopted{PlacementRequest: held.Ask, Machine: m.id})
 }
 
 // keepHouse closes what is idle, silent or half said.
--- a/internal/schedulerd/host_test.go
+++ b/internal/schedulerd/host_test.go
@@ -17,11 +17,11 @@
 func bidTo(wait scheduler.Time) func(scheduler.Event) []scheduler.Action {
 	return func(e scheduler.Event) []scheduler.Action {
 		switch e := e.(type) {
-		case scheduler.Asked:
-			return []scheduler.Action{scheduler.Bid{ID: e.ID, Machine: "a", MaxWait: wait}}
-		case scheduler.Ended:
-			if !e.Over {
-				return []scheduler.Action{scheduler.GiveUp{ID: e.ID}}
+		case scheduler.RequestReceived:
+			return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: "a", Timeout: wait}}
+		case scheduler.AttemptEnded:
+			if !e.Final {
+				return []scheduler.Action{scheduler.Fail{ID: e.ID}}
 			}
 		}
 		return nil
@@ -71,34 +71,34 @@
 		over    bool
 		fate    protocol.Outcome
 	}{
-		{"full", result(protocol.Full, protocol.NoMemory), scheduler.Full, scheduler.NoMemory, false, 0},
-		{"erred", result(protocol.Erred, 0), scheduler.Erred, 0, false, 0},
-		{"finished", after(protocol.Finished, 0), scheduler.Finished, 0, true, protocol.Finished},
-		{"evicted", after(protocol.Lost, protocol.Evicted), scheduler.Reset, scheduler.Evicted, true, protocol.Lost},
-		{"sent away", after(protocol.Lost, protocol.SentAway), scheduler.Reset, scheduler.SentAway, true, protocol.Lost},
-		{"no answer", func(t *testing.T) string { return machineThat(t, "a", &protocol.Holds{}, quiet) }, scheduler.TimedOut, 0, false, 0},
-		{"link ended between offer and answer", hang(false), scheduler.Reset, 0, false, 0},
-		{"link reset between offer and answer", hang(true), scheduler.Reset, 0, false, 0},
+		{"full", result(protocol.Full, protocol.NoMemory), scheduler.OutcomeFull, scheduler.ReasonNoMemory, false, 0},
+		{"erred", result(protocol.Erred, 0), scheduler.OutcomeErrored, 0, false, 0},
+		{"finished", after(protocol.Finished, 0), scheduler.OutcomeFinished, 0, true, protocol.Finished},
+		{"evicted", after(protocol.Lost, protocol.Evicted), scheduler.OutcomeLost, scheduler.ReasonOutOfMemory, true, protocol.Lost},
+		{"sent away", after(protocol.Lost, protocol.SentAway), scheduler.OutcomeLost, scheduler.ReasonDrained, true, protocol.Lost},
+		{"no answer", func(t *testing.T) string { return machineThat(t, "a", &protocol.Holds{}, quiet) }, scheduler.OutcomeTimedOut, 0, false, 0},
+		{"link ended between offer and answer", hang(false), scheduler.OutcomeLost, 0, false, 0},
+		{"link reset between offer and answer", hang(true), scheduler.OutcomeLost, 0, false, 0},
 		{"garbage for an answer", says(func(*protocol.Offer) []protocol.Frame {
 			return []protocol.Frame{&protocol.Submit{Left: 1,
 				Work: protocol.Work{Container: "x", Key: "x", Service: "x"}}}
-		}), scheduler.Reset, 0, false, 0},
+		}), scheduler.OutcomeLost, 0, false, 0},
 		{"nobody listens", func(t *testing.T) string {
 			l, _ := net.Listen("tcp", "127.0.0.1:0")
 			defer l.Close()
 			return l.Addr().String()
-		}, scheduler.NoConnect, 0, false, 0},
+		}, scheduler.OutcomeConnectFailed, 0, false, 0},
 		{"takes the call and never greets", func(t *testing.T) string {
 			return serve(t, func(c net.Conn) { c.Read(make([]byte, 1000)); c.Read(make([]byte, 1000)) })
-		}, scheduler.NoConnect, 0, false, 0},
+		}, scheduler.OutcomeConnectFailed, 0, false, 0},
 		{"another machine answers", func(t *testing.T) string { return machineThat(t, "b", &protocol.Holds{}, quiet) },
-			scheduler.NoConnect, 0, false, 0},
+			scheduler.OutcomeConnectFailed, 0, false, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := start(t, terms(t), bidTo(1500*scheduler.Millisecond), map[string]string{"a": tc.machine(t)})
 			r.door.submit("x", 2)
-			e := await[scheduler.Ended](r, nil)
-			if e.Outcome != tc.want || e.Reason != tc.reason || e.Over != tc.over || e.Machine != "a" || e.ID != "x" {
+			e := await[scheduler.AttemptEnded](r, nil)
+			if e.Outcome != tc.want || e.Reason != tc.reason || e.Final != tc.over || e.Machine != "a" || e.ID != "x" {
 				t.Errorf("got %+v", e)
 			}
 			a := r.door.answer()
@@ -139,8 +139,8 @@
 			}
 		}
 	}
-	e := await[scheduler.Ended](r, nil)
-	if most := on1(r.h, func() int { return r.h.machines["a"].conn.Waiting() }); e.Outcome != scheduler.NotSent || most > 128<<10 { // a turn's
+	e := await[scheduler.AttemptEnded](r, nil)
+	if most := on1(r.h, func() int { return r.h.machines["a"].conn.Waiting() }); e.Outcome != scheduler.OutcomeNotSent || most > 128<<10 { // a turn's
 		t.Errorf("after %d bids %+v, %d bytes wait", sent, e, most)
 	}
 }
@@ -175,13 +175,13 @@
 			})
 			on := bidTo(tc.wait)
 			r := start(t, terms(t), func(e scheduler.Event) []scheduler.Action {
-				if _, ok := e.(scheduler.Ended); ok {
+				if _, ok := e.(scheduler.AttemptEnded); ok {
 					return append(on(e), scheduler.Probe{Machine: "a"})
 				}
-				if a, ok := e.(scheduler.Asked); ok && tc.withdraw {
-					return append(on(e), scheduler.Withdraw{ID: a.ID, Bid: 0})
+				if a, ok := e.(scheduler.RequestReceived); ok && tc.withdraw {
+					return append(on(e), scheduler.CancelAttempt{ID: a.ID, Attempt: 0})
 				}
-				if _, ok := e.(scheduler.TookOver); ok {
+				if _, ok := e.(scheduler.ContainerAdopted); ok {
 					called <- "taken over"
 				}
 				return on(e)
@@ -265,7 +265,7 @@
 				}
 			})
 			r := start(t, terms(t), bidTo(0), map[string]string{"a": addr})
-			if took := await[scheduler.TookOver](r, nil); took.ID != "old" || took.Machine != "a" {
+			if took := await[scheduler.ContainerAdopted](r, nil); took.ID != "old" || took.Machine != "a" {
 				t.Errorf("took over %+v", took)
 			}
 			r.door.submit("x", 2)
@@ -387,7 +387,7 @@
 	syscall.Close(lowest)
 	syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: uint64(lowest), Max: old.Max})
 	r.door.submit("x", 2)
-	if e := await[scheduler.Ended](r, nil); e.Outcome != scheduler.NotSent { // it tells nothing of the machine
+	if e := await[scheduler.AttemptEnded](r, nil); e.Outcome != scheduler.OutcomeNotSent { // it tells nothing of the machine
 		t.Errorf("outcome %+v", e)
 	}
 	if a := r.door.answer(); a.Verdict != protocol.GivenUp {
@@ -406,7 +406,7 @@
 	r := start(t, terms(t), nil, map[string]string{"a": "127.0.0.1:1"})
 	starts := func(incarnation uint64, age protocol.Span) scheduler.Time {
 		return on1(r.h, func() scheduler.Time {
-			r.h.learn(scheduler.Changes, 2, []protocol.Entry{{Machine: "a", Addr: "127.0.0.1:1", Incarnation: incarnation, Age: age}})
+			r.h.learn(scheduler.DeltaUpdate, 2, []protocol.Entry{{Machine: "a", Addr: "127.0.0.1:1", Incarnation: incarnation, Age: age}})
 			return r.h.machines["a"].startedAt
 		})
 	}
--- a/internal/schedulerd/knowledge.go
+++ b/internal/schedulerd/knowledge.go
@@ -30,8 +30,8 @@
 
 // learner is a decider whose knowledge can be kept.
 type learner interface {
-	Knows() scheduler.Knowledge
-	Recall(scheduler.Knowledge)
+	Snapshot() scheduler.Snapshot
+	Restore(scheduler.Snapshot)
 }
 
 // stamp reads the clocks.
@@ -129,7 +129,7 @@
 		k.Door = &known
 	}
 	if l, ok := h.decider.(learner); ok {
-		k.Learned = l.Knows()
+		k.Learned = l.Snapshot()
 		for _, m := range k.Learned.Machines {
 			if at := h.machines[m.Machine]; at != nil {
 				k.Starts[m.Machine] = at.incarnation
--- a/internal/schedulerd/list.go
+++ b/internal/schedulerd/list.go
@@ -65,7 +65,7 @@
 	l.conn = nil
 	if l.asked {
 		l.asked = false
-		l.h.feed(scheduler.ListCame{Mode: scheduler.ListFailed})
+		l.h.feed(scheduler.MachineListUpdate{Mode: scheduler.UpdateFailed})
 	}
 }
 
@@ -91,15 +91,15 @@
 		if f.Version < l.version {
 			return fmt.Errorf("list of version %d after one of version %d: not taken", f.Version, l.version)
 		}
-		mode := scheduler.Changes
+		mode := scheduler.DeltaUpdate
 		if f.Whole {
-			mode = scheduler.WholeList
+			mode = scheduler.FullSnapshot
 		}
 		l.version = f.Version
 		l.h.learn(mode, f.Version, f.Entries)
 	case *protocol.Failed:
 		l.h.log.Warn("list call failed", "why", f.Text)
-		l.h.feed(scheduler.ListCame{Mode: scheduler.ListFailed})
+		l.h.feed(scheduler.MachineListUpdate{Mode: scheduler.UpdateFailed})
 	case *protocol.Beat:
 	case *protocol.Bye:
 		return errors.New("the list says: " + f.Text)
@@ -111,9 +111,9 @@
 
 // learn notes where machines are and hands the list on. A machine's start is reckoned once for each of its
 // incarnations: an age that came by another way must not look like another start.
-func (h *Host) learn(mode scheduler.ListMode, version int64, entries []protocol.Entry) {
+func (h *Host) learn(mode scheduler.UpdateMode, version int64, entries []protocol.Entry) {
 	now := scheduler.Time(h.loop.Now())
-	e := scheduler.ListCame{Mode: mode, Version: version, Entries: make([]scheduler.Entry, 0, len(entries))}
+	e := scheduler.MachineListUpdate{Mode: mode, Version: version, Entries: make([]scheduler.MachineEntry, 0, len(entries))}
 	named := map[scheduler.MachineID]bool{}
 	var ids []scheduler.MachineID
 	var started []*machine
@@ -148,7 +148,7 @@
 		e.Entries = append(e.Entries, m.entry(l))
 	}
 	for id, m := range h.machines {
-		if mode != scheduler.Changes && !named[id] {
+		if mode != scheduler.DeltaUpdate && !named[id] {
 			m.gone = true
 		}
 		if m.gone {
@@ -163,12 +163,12 @@
 			h.state.started(m)
 		}
 	}
-	h.tell(reconcile.Named{Machines: ids, Whole: mode == scheduler.WholeList})
+	h.tell(reconcile.Named{Machines: ids, Whole: mode == scheduler.FullSnapshot})
 	h.list.held.merge(mode, version, entries)
 }
 
-func (m *machine) entry(l *protocol.Entry) scheduler.Entry {
-	return scheduler.Entry{Machine: m.id, Zone: l.Zone, Kind: l.Kind, Cell: l.Cell, State: scheduler.MachineState(l.State),
+func (m *machine) entry(l *protocol.Entry) scheduler.MachineEntry {
+	return scheduler.MachineEntry{Machine: m.id, Zone: l.Zone, MachineType: l.Kind, RackGroup: l.Cell, State: scheduler.MachineState(l.State),
 		FreeCores: l.FreeCores, FreeMemory: l.FreeMemory, PowerHint: l.Hint, StartedAt: m.startedAt}
 }
 
@@ -180,7 +180,7 @@
 		return
 	}
 	m.incarnation, m.startedAt, m.greeted = start, scheduler.Time(h.loop.Now()), true
-	h.feed(scheduler.ListCame{Mode: scheduler.SelfReported, Version: h.list.version, Entries: []scheduler.Entry{m.entry(&l)}})
+	h.feed(scheduler.MachineListUpdate{Mode: scheduler.SelfReported, Version: h.list.version, Entries: []scheduler.MachineEntry{m.entry(&l)}})
 	if h.state != nil {
 		h.state.named()
 		h.state.started(m)
@@ -193,8 +193,8 @@
 	version int64
 }
 
-func (l *heldList) merge(mode scheduler.ListMode, version int64, entries []protocol.Entry) {
-	if l.entries == nil || mode != scheduler.Changes {
+func (l *heldList) merge(mode scheduler.UpdateMode, version int64, entries []protocol.Entry) {
+	if l.entries == nil || mode != scheduler.DeltaUpdate {
 		l.entries = map[string]protocol.Entry{}
 	}
 	l.version = version
--- a/internal/schedulerd/list_test.go
+++ b/internal/schedulerd/list_test.go
@@ -49,7 +49,7 @@
 			s.ListAddr = addr
 			sc := &script{events: make(chan scheduler.Event, 1000)}
 			r := &rig{T: t, script: sc, h: run(t, s, sc)}
-			for i, want := range []scheduler.ListMode{scheduler.WholeList, scheduler.ListFailed, scheduler.WholeList} {
+			for i, want := range []scheduler.UpdateMode{scheduler.FullSnapshot, scheduler.UpdateFailed, scheduler.FullSnapshot} {
 				r.h.loop.Post(func() {
 					if r.h.list.conn != nil {
 						r.h.list.asked = false
@@ -57,7 +57,7 @@
 					}
 					r.h.watch(&protocol.Watch{On: true, Since: r.h.list.version})
 				})
-				if e := await(r, func(e scheduler.ListCame) bool { return e.Mode != scheduler.OldList }); e.Mode != want {
+				if e := await(r, func(e scheduler.MachineListUpdate) bool { return e.Mode != scheduler.RestoredSnapshot }); e.Mode != want {
 					t.Fatalf("call %d: mode %d, version %d", i+1, e.Mode, e.Version)
 				}
 			}
@@ -78,7 +78,7 @@
 	var away atomic.Bool
 	watches := make(chan int64, 100) // the version that each call asks for changes since
 	s := terms(t)
-	s.Connect, s.Terms.AskWithin, s.Terms.Placers = 10*eventloop.Second, scheduler.Second, 1
+	s.Connect, s.Terms.ResyncInterval, s.Terms.SchedulerCount = 10*eventloop.Second, scheduler.Second, 1
 	s.ListAddr = serve(t, func(c net.Conn) {
 		if away.Load() {
 			return
--- a/internal/schedulerd/machine.go
+++ b/internal/schedulerd/machine.go
@@ -26,11 +26,11 @@
 	ready   bool // it has greeted and said what it holds
 	heardAt eventloop.Tick
 	usedAt  eventloop.Tick
-	halfAt  eventloop.Tick           // since when half a frame waits
-	waiting []*bid                   // for the link
-	bids    map[uint64]*bid          // out, or running there
-	late    map[uint64]scheduler.Ask // of bids that are over and may still be said yes to; emptied after a minute
-	probes  map[uint64]*probing      // emptied by their answer or time-out
+	halfAt  eventloop.Tick                        // since when half a frame waits
+	waiting []*bid                                // for the link
+	bids    map[uint64]*bid                       // out, or running there
+	late    map[uint64]scheduler.PlacementRequest // of bids that are over and may still be said yes to; emptied after a minute
+	probes  map[uint64]*probing                   // emptied by their answer or time-out
 }
 
 type probing struct {
@@ -45,7 +45,7 @@
 func (h *Host) machine(id scheduler.MachineID) *machine {
 	m := h.machines[id]
 	if m == nil {
-		m = &machine{h: h, id: id, bids: map[uint64]*bid{}, late: map[uint64]scheduler.Ask{}, probes: map[uint64]*probing{}}
+		m = &machine{h: h, id: id, bids: map[uint64]*bid{}, late: map[uint64]scheduler.PlacementRequest{}, probes: map[uint64]*probing{}}
 		h.machines[id] = m
 	}
 	return m
@@ -119,17 +119,17 @@
 		if !b.placed {
 			m.h.meter.outcome("reset")
 			m.h.unheard(b)
-			m.h.over(b, scheduler.Ended{Outcome: scheduler.Reset})
+			m.h.over(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost})
 		}
 	}
 	for _, p := range m.probes {
 		switch {
 		case was:
-			m.probed(p, scheduler.Reset, nil)
+			m.probed(p, scheduler.OutcomeLost, nil)
 		case short:
-			m.probed(p, scheduler.NotSent, nil)
+			m.probed(p, scheduler.OutcomeNotSent, nil)
 		default:
-			m.probed(p, scheduler.NoConnect, nil)
+			m.probed(p, scheduler.OutcomeConnectFailed, nil)
 		}
 	}
 	clear(m.late) // what it runs it will say when the link stands again
@@ -165,11 +165,11 @@
 func (m *machine) offer(b *bid) {
 	a, now := &b.c.ask, m.h.loop.Now()
 	b.sent = !m.conn.Behind() && m.write(&protocol.Offer{Bid: b.number, Wait: protocol.Span(b.until - now), Work: protocol.Work{
-		Container: string(a.ID), Key: a.Key, Service: a.Service, Workload: a.Workload, Customer: a.Customer,
-		Cores: a.Cores, Memory: a.Memory, Window: b.c.window, RunFor: protocol.Span(a.Life), Again: a.Again}})
+		Container: string(a.ID), Key: a.IdempotencyKey, Service: a.Service, Workload: a.WorkloadClass, Customer: a.Tenant,
+		Cores: a.Cores, Memory: a.Memory, Window: b.c.window, RunFor: protocol.Span(a.ExpectedRuntime), Again: a.ClientRetry}})
 	if !b.sent { // the machine takes too little of what waits for it
 		m.h.meter.outcome("not sent")
-		m.h.over(b, scheduler.Ended{Outcome: scheduler.NotSent})
+		m.h.over(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
 		return
 	}
 	m.bids[b.number] = b
@@ -237,11 +237,11 @@
 		m.result(f)
 	case *protocol.Note:
 		if b := m.bids[f.Bid]; b != nil {
-			m.h.feed(scheduler.Noted{ID: b.c.ask.ID, Machine: m.id, Bid: b.nth, Sort: scheduler.NoteSort(f.Sort), Amount: f.Amount})
+			m.h.feed(scheduler.UsageReported{ID: b.c.ask.ID, Machine: m.id, Attempt: b.nth, Metric: scheduler.UsageMetric(f.Sort), Value: f.Amount})
 		}
 	case *protocol.Probed:
 		if p := m.probes[f.Seq]; p != nil {
-			m.probed(p, scheduler.Finished, f.Report)
+			m.probed(p, scheduler.OutcomeFinished, f.Report)
 		}
 	case *protocol.Beat:
 	case *protocol.Bye:
@@ -261,8 +261,8 @@
 	for _, k := range f.Held {
 		w := &k.Work
 		e.Held = append(e.Held, reconcile.Held{Machine: m.id, Life: k.Life, Bid: k.Bid, Running: k.Running,
-			Ask: scheduler.Ask{ID: scheduler.ContainerID(w.Container), Key: w.Key, Service: w.Service, Workload: w.Workload,
-				Customer: w.Customer, Cores: w.Cores, Memory: w.Memory, Life: scheduler.Time(w.RunFor), Again: w.Again}})
+			Ask: scheduler.PlacementRequest{ID: scheduler.ContainerID(w.Container), IdempotencyKey: w.Key, Service: w.Service, WorkloadClass: w.Workload,
+				Tenant: w.Customer, Cores: w.Cores, Memory: w.Memory, ExpectedRuntime: scheduler.Time(w.RunFor), ClientRetry: w.Again}})
 	}
 	m.h.tell(e)
 	m.ready = true
@@ -281,7 +281,7 @@
 }
 
 func (m *machine) yes(f *protocol.Yes) {
-	if m.h.site.Terms.YesRuns && !f.Running {
+	if m.h.site.Terms.AcceptMeansRunning && !f.Running {
 		return
 	}
 	if b := m.bids[f.Bid]; b != nil {
@@ -289,7 +289,7 @@
 		case !b.placed:
 			m.h.yes(b)
 		case f.Running: // accepted before
-			m.h.feed(scheduler.Noted{ID: b.c.ask.ID, Machine: m.id, Bid: b.nth, Sort: scheduler.Running, Amount: 1})
+			m.h.feed(scheduler.UsageReported{ID: b.c.ask.ID, Machine: m.id, Attempt: b.nth, Metric: scheduler.MetricRunning, Value: 1})
 		}
 		return
 	}
@@ -310,30 +310,30 @@
 		return
 	}
 	o := f.Outcome.Decided()
-	if !b.placed && o == scheduler.Finished { // it ran, whatever became of the yes
+	if !b.placed && o == scheduler.OutcomeFinished { // it ran, whatever became of the yes
 		m.h.yes(b)
 	}
 	if !b.placed {
 		m.h.meter.outcome(f.Outcome.String())
 	}
-	m.h.over(b, scheduler.Ended{Outcome: o, Reason: scheduler.Reason(f.Reason), Report: f.Report, Over: b.placed})
+	m.h.over(b, scheduler.AttemptEnded{Outcome: o, Reason: scheduler.Reason(f.Reason), Report: f.Report, Final: b.placed})
 }
 
 func (h *Host) probe(id scheduler.MachineID) {
 	m := h.machines[id]
 	if m == nil {
-		h.feed(scheduler.Probed{Machine: id, Outcome: scheduler.NoConnect})
+		h.feed(scheduler.ProbeCompleted{Machine: id, Outcome: scheduler.OutcomeConnectFailed})
 		return
 	}
 	h.lastSeq++
 	p := &probing{seq: h.lastSeq, start: m.incarnation, sentAt: h.loop.Now()}
 	m.probes[p.seq] = p
-	p.timer = h.loop.After(probeWithin, func() { m.probed(p, scheduler.TimedOut, nil) })
+	p.timer = h.loop.After(probeWithin, func() { m.probed(p, scheduler.OutcomeTimedOut, nil) })
 	if h.state != nil && h.state.noteSend(m) {
 		p.unkept = true
 		h.state.after(false, func(err error) {
 			if p.unkept = false; err != nil {
-				m.probed(p, scheduler.NotSent, nil)
+				m.probed(p, scheduler.OutcomeNotSent, nil)
 			} else if m.probes[p.seq] == p {
 				m.sendProbe(p)
 			}
@@ -347,7 +347,7 @@
 // not sent, as it does not count for this one.
 func (m *machine) sendProbe(p *probing) {
 	if m.ready && m.incarnation != p.start {
-		m.probed(p, scheduler.NotSent, nil)
+		m.probed(p, scheduler.OutcomeNotSent, nil)
 	} else if m.ready {
 		p.sent = m.write(&protocol.Probe{Seq: p.seq})
 	} else {
@@ -361,7 +361,7 @@
 	}
 	delete(m.probes, p.seq)
 	m.h.loop.Cancel(p.timer)
-	m.h.feed(scheduler.Probed{Machine: m.id, Outcome: o, Took: scheduler.Time(m.h.loop.Now() - p.sentAt), Report: r})
+	m.h.feed(scheduler.ProbeCompleted{Machine: m.id, Outcome: o, Elapsed: scheduler.Time(m.h.loop.Now() - p.sentAt), Report: r})
 }
 
 // house closes the link when nothing has used it for long, when it is silent though something is due, or when
--- a/internal/schedulerd/orders_test.go
+++ b/internal/schedulerd/orders_test.go
@@ -129,7 +129,7 @@
 	own := *s
 	own.ListAddr = w.list.addr
 	d := scheduler.New(own.Terms)
-	d.Recall(scheduler.Knowledge{SentSince: 1})
+	d.Restore(scheduler.Snapshot{SendsKnownSince: 1})
 	w.judge = modelcheck.NewJudge(own.Terms, 1, 0)
 	var err error
 	if w.h, err = New(&own, around(d), discard); err != nil {
@@ -225,19 +225,19 @@
 		}
 	}
 	w.list.call.put(&protocol.Listed{Whole: whole, Version: w.version, Entries: entries})
-	mode := scheduler.Changes
+	mode := scheduler.DeltaUpdate
 	if whole {
-		mode = scheduler.WholeList
+		mode = scheduler.FullSnapshot
 	}
-	e := scheduler.ListCame{Mode: mode}
+	e := scheduler.MachineListUpdate{Mode: mode}
 	for _, l := range entries {
 		e.Entries = append(e.Entries, w.entry(l, l.Incarnation))
 	}
 	w.judge.In(0, now, e)
 }
 
-func (w *world) entry(l protocol.Entry, start uint64) scheduler.Entry {
-	e := scheduler.Entry{Machine: scheduler.MachineID(l.Machine), Zone: l.Zone, Cell: l.Cell, State: scheduler.MachineState(l.State)}
+func (w *world) entry(l protocol.Entry, start uint64) scheduler.MachineEntry {
+	e := scheduler.MachineEntry{Machine: scheduler.MachineID(l.Machine), Zone: l.Zone, RackGroup: l.Cell, State: scheduler.MachineState(l.State)}
 	if start > 1 {
 		e.StartedAt = w.machines[l.Machine].born
 	}
@@ -255,12 +255,12 @@
 			if b.as == "" {
 				w.adopted++
 				b.as = fmt.Sprint("found ", w.adopted)
-				w.judge.In(0, now, scheduler.TookOver{Ask: scheduler.Ask{ID: scheduler.ContainerID(b.as), Service: b.Work.Service,
-					Workload: b.Work.Workload}, Machine: scheduler.MachineID(m.Machine)})
+				w.judge.In(0, now, scheduler.ContainerAdopted{PlacementRequest: scheduler.PlacementRequest{ID: scheduler.ContainerID(b.as), Service: b.Work.Service,
+					WorkloadClass: b.Work.Workload}, Machine: scheduler.MachineID(m.Machine)})
 			}
 		}
 		if m.start > 1 {
-			w.judge.In(0, now, scheduler.ListCame{Entries: []scheduler.Entry{w.entry(m.Entry, m.start)}})
+			w.judge.In(0, now, scheduler.MachineListUpdate{Entries: []scheduler.MachineEntry{w.entry(m.Entry, m.start)}})
 		}
 		m.call.put(holds)
 	}
@@ -268,11 +268,11 @@
 		switch f := f.(type) {
 		case *protocol.Offer:
 			m.held[f.Bid] = &holding{protocol.Holding{Bid: f.Bid, Life: w.h.life, Running: true, Work: f.Work}, true, f.Work.Container}
-			w.judge.Out(0, now, scheduler.Bid{ID: scheduler.ContainerID(f.Work.Container), Machine: scheduler.MachineID(m.Machine)})
+			w.judge.Out(0, now, scheduler.StartAttempt{ID: scheduler.ContainerID(f.Work.Container), Machine: scheduler.MachineID(m.Machine)})
 		case *protocol.Withdraw:
 			if b := m.held[f.Bid]; b != nil {
 				delete(m.held, f.Bid)
-				w.judge.In(0, now, scheduler.Ended{ID: scheduler.ContainerID(b.as), Outcome: scheduler.Stopped, Over: true})
+				w.judge.In(0, now, scheduler.AttemptEnded{ID: scheduler.ContainerID(b.as), Outcome: scheduler.OutcomeStopped, Final: true})
 				m.call.put(&protocol.Result{Bid: f.Bid, Outcome: protocol.Stopped})
 			}
 		case *protocol.Probe:
@@ -304,10 +304,10 @@
 	}
 	switch a.Verdict {
 	case protocol.PushedBack, protocol.TurnedAway:
-		w.judge.Out(0, now, scheduler.PushBack{ID: id})
+		w.judge.Out(0, now, scheduler.Reject{ID: id})
 	case protocol.GivenUp:
 		if a.Text != "cancelled" {
-			w.judge.Out(0, now, scheduler.GiveUp{ID: id})
+			w.judge.Out(0, now, scheduler.Fail{ID: id})
 		}
 	}
 }
@@ -363,46 +363,46 @@
 	result := func(o protocol.Outcome, decided scheduler.Outcome) {
 		m, b := w.find(last, f[0] != "over")
 		delete(m.held, b.Bid)
-		w.judge.In(0, now, scheduler.Ended{ID: scheduler.ContainerID(b.as), Outcome: decided, Over: f[0] == "over"})
+		w.judge.In(0, now, scheduler.AttemptEnded{ID: scheduler.ContainerID(b.as), Outcome: decided, Final: f[0] == "over"})
 		m.call.put(&protocol.Result{Bid: b.Bid, Outcome: o})
 	}
 	switch f[0] {
 	case "ask":
 		id := string(rune('x' + w.asked))
-		a := scheduler.Ask{ID: scheduler.ContainerID(id), Key: "k-" + id, Service: "s", Workload: w.asked, Cores: 1, Memory: 1, Due: now + 600*scheduler.Second}
+		a := scheduler.PlacementRequest{ID: scheduler.ContainerID(id), IdempotencyKey: "k-" + id, Service: "s", WorkloadClass: w.asked, Cores: 1, Memory: 1, Deadline: now + 600*scheduler.Second}
 		w.asked++
-		w.judge.In(0, now, scheduler.Asked{Ask: a})
-		w.owner.put(&protocol.Submit{Left: protocol.Span(600 * scheduler.Second), Work: protocol.Work{Container: id, Key: a.Key, Service: a.Service,
-			Workload: a.Workload, Cores: 1, Memory: 1}})
+		w.judge.In(0, now, scheduler.RequestReceived{PlacementRequest: a})
+		w.owner.put(&protocol.Submit{Left: protocol.Span(600 * scheduler.Second), Work: protocol.Work{Container: id, Key: a.IdempotencyKey, Service: a.Service,
+			Workload: a.WorkloadClass, Cores: 1, Memory: 1}})
 	case "cancel":
 		if w.answers[last] == 0 {
-			w.judge.In(0, now, scheduler.Vanished{ID: scheduler.ContainerID(last)})
+			w.judge.In(0, now, scheduler.ContainerRemoved{ID: scheduler.ContainerID(last)})
 		}
 		w.ended[last] = w.answers[last] > 0 // what comes now answers the cancelling
 		w.owner.put(&protocol.Cancel{Container: last, Key: "k-" + last})
 	case "yes":
 		m, b := w.find(last, true)
 		b.out = false
-		w.judge.In(0, now, scheduler.Placed{ID: scheduler.ContainerID(b.as)})
+		w.judge.In(0, now, scheduler.AttemptAccepted{ID: scheduler.ContainerID(b.as)})
 		m.call.put(&protocol.Yes{Bid: b.Bid, Running: true})
 	case "full":
-		result(protocol.Full, scheduler.Full)
+		result(protocol.Full, scheduler.OutcomeFull)
 	case "erred":
-		result(protocol.Erred, scheduler.Erred)
+		result(protocol.Erred, scheduler.OutcomeErrored)
 	case "over":
-		result(protocol.Finished, scheduler.Finished)
+		result(protocol.Finished, scheduler.OutcomeFinished)
 	case "break", "restart":
 		for _, n := range m.bids() { // what waits for its answer was taken, unheard
 			if b := m.held[n]; b.out {
 				b.out = false
-				w.judge.In(0, now, scheduler.Ended{ID: scheduler.ContainerID(b.as), Outcome: scheduler.Reset})
+				w.judge.In(0, now, scheduler.AttemptEnded{ID: scheduler.ContainerID(b.as), Outcome: scheduler.OutcomeLost})
 				b.as = ""
 			}
 		}
 		m.call.close()
 		if f[0] == "restart" {
 			for _, b := range m.held {
-				w.judge.In(0, now, scheduler.Ended{ID: scheduler.ContainerID(b.as), Outcome: scheduler.Reset, Over: true})
+				w.judge.In(0, now, scheduler.AttemptEnded{ID: scheduler.ContainerID(b.as), Outcome: scheduler.OutcomeLost, Final: true})
 			}
 			m.start, m.born = m.start+1, now
 			clear(m.held)
@@ -440,32 +440,32 @@
 }
 
 // tinySite has one workload for each of the three containers.
-func tinySite(t *testing.T, workloads ...scheduler.Workload) *config.Placer {
+func tinySite(t *testing.T, workloads ...scheduler.WorkloadClass) *config.Placer {
 	s := terms(t)
 	s.Connect, s.Silent, s.Idle = 30*eventloop.Second, 600*eventloop.Second, 600*eventloop.Second
-	s.Terms.Placers, s.Terms.Me, s.Terms.Kinds = 1, 0, []scheduler.Kind{{Cores: 20, Memory: 20}}
-	s.Terms.ColdFor, s.Terms.ColdWindow, s.Terms.ColdBids = 1200*scheduler.Second, 600*scheduler.Second, 1
-	s.Terms.Workloads, s.Terms.ListOnAsk = nil, false
+	s.Terms.SchedulerCount, s.Terms.SchedulerIndex, s.Terms.MachineTypes = 1, 0, []scheduler.MachineType{{Cores: 20, Memory: 20}}
+	s.Terms.SlowStartPeriod, s.Terms.SlowStartWindow, s.Terms.SlowStartBudget = 1200*scheduler.Second, 600*scheduler.Second, 1
+	s.Terms.WorkloadClasses, s.Terms.ListOnRequest = nil, false
 	for _, w := range workloads {
-		w.Kind, w.Agreed, w.HardStop, w.Gain = -1, scheduler.Second, 600*scheduler.Second, 1
-		s.Terms.Workloads = append(s.Terms.Workloads, w)
+		w.MachineType, w.LatencyObjective, w.PlacementTimeout, w.PriorityWeight = -1, scheduler.Second, 600*scheduler.Second, 1
+		s.Terms.WorkloadClasses = append(s.Terms.WorkloadClasses, w)
 	}
 	return s
 }
 
-var once, numbered = scheduler.Workload{Effect: scheduler.AtMostOnce}, scheduler.Workload{Effect: scheduler.Numbered, Repeats: scheduler.OneZone, Window: 600 * scheduler.Second}
-var apart, apartOnce = scheduler.Workload{Spread: scheduler.OneMachine, Most: 1}, scheduler.Workload{Effect: scheduler.AtMostOnce, Spread: scheduler.OneMachine, Most: 1}
+var once, numbered = scheduler.WorkloadClass{Idempotency: scheduler.AtMostOnce}, scheduler.WorkloadClass{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeZone, DedupWindow: 600 * scheduler.Second}
+var apart, apartOnce = scheduler.WorkloadClass{SpreadScope: scheduler.ScopeMachine, MaxPerScope: 1}, scheduler.WorkloadClass{Idempotency: scheduler.AtMostOnce, SpreadScope: scheduler.ScopeMachine, MaxPerScope: 1}
 
 var hostWorlds = []struct {
 	name      string
-	workloads []scheduler.Workload
+	workloads []scheduler.WorkloadClass
 	words     string
 	depth     int
 }{
-	{"links that break", []scheduler.Workload{once, numbered, once}, "ask, yes x, full x, erred y, break a, break b, cancel x", 4},
-	{"machines that leave and come back", []scheduler.Workload{numbered, once, once}, "ask, full x, yes y, drain a, leave b, back b, restart late a, list", 4},
-	{"spread behind broken links", []scheduler.Workload{apartOnce, apart, apartOnce}, "ask, yes x, full y, break a, break b, over x, restart b", 4},
-	{"cold starts", []scheduler.Workload{{}, {}, {}}, "ask, full x, restart a, restart late a, restart late b, list", 4},
+	{"links that break", []scheduler.WorkloadClass{once, numbered, once}, "ask, yes x, full x, erred y, break a, break b, cancel x", 4},
+	{"machines that leave and come back", []scheduler.WorkloadClass{numbered, once, once}, "ask, full x, yes y, drain a, leave b, back b, restart late a, list", 4},
+	{"spread behind broken links", []scheduler.WorkloadClass{apartOnce, apart, apartOnce}, "ask, yes x, full y, break a, break b, over x, restart b", 4},
+	{"cold starts", []scheduler.WorkloadClass{{}, {}, {}}, "ask, full x, restart a, restart late a, restart late b, list", 4},
 }
 
 // Every order keeps all rules, with placer, custody, recovery and host as they are, over sockets.
@@ -509,13 +509,13 @@
 func TestOrdersSeeEachRule(t *testing.T) {
 	for rule, tc := range []struct {
 		words     string
-		workloads []scheduler.Workload
+		workloads []scheduler.WorkloadClass
 	}{
-		{"ask, full x", []scheduler.Workload{once, once, once}},
-		{"ask, erred x", []scheduler.Workload{once, once, once}},
-		{"ask, drain a, drain b", []scheduler.Workload{once, once, once}},
-		{"restart a, restart b, ask", []scheduler.Workload{{}, {}, {}}},
-		{"ask, break a, break b", []scheduler.Workload{apartOnce, apartOnce, apartOnce}},
+		{"ask, full x", []scheduler.WorkloadClass{once, once, once}},
+		{"ask, erred x", []scheduler.WorkloadClass{once, once, once}},
+		{"ask, drain a, drain b", []scheduler.WorkloadClass{once, once, once}},
+		{"restart a, restart b, ask", []scheduler.WorkloadClass{{}, {}, {}}},
+		{"ask, break a, break b", []scheduler.WorkloadClass{apartOnce, apartOnce, apartOnce}},
 	} {
 		t.Run(fmt.Sprint("rule ", rule+1), func(t *testing.T) {
 			_, said, breaks := tryAll(t, tinySite(t, tc.workloads...), strings.Split(tc.words, ", "), 5,
--- a/internal/schedulerd/reconcile/custody.go
+++ b/internal/schedulerd/reconcile/custody.go
@@ -45,7 +45,7 @@
 	// Asked is a submission.
 	Asked struct {
 		Caller Caller
-		Ask    scheduler.Ask
+		Ask    scheduler.PlacementRequest
 	}
 	// Cancelled is an owner's word that it no longer wants a container, or what runs under a key.
 	Cancelled struct {
@@ -127,7 +127,7 @@
 	// Pass hands an ask to the placer module; Refuse turns it away.
 	Pass struct {
 		Caller Caller
-		Ask    scheduler.Ask
+		Ask    scheduler.PlacementRequest
 	}
 	Refuse struct {
 		Caller  Caller
@@ -204,7 +204,7 @@
 type Table struct {
 	life    uint64
 	bounds  Bounds
-	effects []scheduler.Effect
+	effects []scheduler.Idempotency
 	now     scheduler.Time
 	round   *recovery.Round // what waits for a machine's word
 	storm   *overload.Door  // what is turned away because more comes than can be served
@@ -243,7 +243,7 @@
 
 // New begins a life; log is how much is known of the bids of earlier ones. With agreed times for the workloads the door
 // narrows when starts become slow.
-func New(life uint64, b Bounds, effects []scheduler.Effect, log recovery.Log, calm []overload.Workload) *Table {
+func New(life uint64, b Bounds, effects []scheduler.Idempotency, log recovery.Log, calm []overload.Workload) *Table {
 	var door *overload.Door
 	if len(calm) > 0 {
 		door = overload.New(overload.Terms{Seed: life, Workloads: calm, Most: b.Open})
@@ -338,19 +338,19 @@
 		t.do(Refuse{e.Caller, e.Ask.ID, fmt.Sprintf(format, a...), wait})
 	}
 	n, known := t.callers[e.Caller]
-	switch c := t.keys[e.Ask.Key]; {
+	switch c := t.keys[e.Ask.IdempotencyKey]; {
 	case !known:
 		return // its link is gone, nobody would hear
-	case e.Ask.Workload >= len(t.effects):
-		refuse(0, "there is no workload %d", e.Ask.Workload)
+	case e.Ask.WorkloadClass >= len(t.effects):
+		refuse(0, "there is no workload %d", e.Ask.WorkloadClass)
 	case t.own[e.Ask.ID] != nil:
 		refuse(0, "container %s is known already", e.Ask.ID)
 	case c != nil && c.ending:
-		refuse(holdOff, "an earlier bid of key %s is being called off", e.Ask.Key)
+		refuse(holdOff, "an earlier bid of key %s is being called off", e.Ask.IdempotencyKey)
 	case c != nil && c.machine != "":
 		t.do(Stands{e.Caller, e.Ask.ID, c.id, c.machine})
 	case c != nil && (c.open || c.late != nil):
-		refuse(holdOff, "key %s is being placed as %s", e.Ask.Key, c.id)
+		refuse(holdOff, "key %s is being placed as %s", e.Ask.IdempotencyKey, c.id)
 	case t.open >= t.bounds.Open:
 		refuse(fullHoldOff, "%d containers are open, no more are taken", t.open)
 	case n >= t.bounds.OpenPerCaller:
@@ -361,7 +361,7 @@
 		if t.stormy(e) {
 			return
 		}
-		c := &container{id: e.Ask.ID, key: e.Ask.Key, caller: e.Caller, open: true, workload: e.Ask.Workload, since: t.now}
+		c := &container{id: e.Ask.ID, key: e.Ask.IdempotencyKey, caller: e.Caller, open: true, workload: e.Ask.WorkloadClass, since: t.now}
 		t.own[c.id], t.keys[c.key] = c, c
 		t.open++
 		t.callers[e.Caller]++
@@ -396,8 +396,8 @@
 	if t.storm == nil {
 		return false
 	}
-	client := fmt.Sprint(e.Caller, "/", e.Ask.Customer)
-	for _, a := range t.storm.Handle(t.now, overload.Asked{Client: client, Workload: e.Ask.Workload, Again: e.Ask.Again}) {
+	client := fmt.Sprint(e.Caller, "/", e.Ask.Tenant)
+	for _, a := range t.storm.Handle(t.now, overload.Asked{Client: client, Workload: e.Ask.WorkloadClass, Again: e.Ask.ClientRetry}) {
 		switch a := a.(type) {
 		case overload.Shed:
 			t.do(Refuse{e.Caller, e.Ask.ID, "storm: " + a.Why.String(), a.HoldOff})
@@ -488,7 +488,7 @@
 // is never stopped for that; it is taken over once its container is closed.
 func (t *Table) lateYes(h Held) {
 	switch c := t.own[h.Ask.ID]; {
-	case t.effect(h) == scheduler.Reissuable:
+	case t.effect(h) == scheduler.Idempotent:
 		t.callOff(h)
 	case c == nil:
 		t.adopt(h)
@@ -503,27 +503,27 @@
 	}
 }
 
-func (t *Table) effect(h Held) scheduler.Effect {
-	if h.Ask.Workload < len(t.effects) {
-		return t.effects[h.Ask.Workload]
+func (t *Table) effect(h Held) scheduler.Idempotency {
+	if h.Ask.WorkloadClass < len(t.effects) {
+		return t.effects[h.Ask.WorkloadClass]
 	}
 	return scheduler.AtMostOnce
 }
 
 // adopt takes over what runs, unless its key runs or is being placed here under another id.
 func (t *Table) adopt(h Held) {
-	if h.Ask.Workload >= len(t.effects) {
-		t.do(Log{fmt.Sprintf("machine %s runs %s of unknown workload %d: left alone", h.Machine, h.Ask.ID, h.Ask.Workload)})
+	if h.Ask.WorkloadClass >= len(t.effects) {
+		t.do(Log{fmt.Sprintf("machine %s runs %s of unknown workload %d: left alone", h.Machine, h.Ask.ID, h.Ask.WorkloadClass)})
 		return
 	}
 	if t.own[h.Ask.ID] != nil {
 		return
 	}
-	if o := t.keys[h.Ask.Key]; o != nil && (o.machine != "" || t.effect(h) == scheduler.Reissuable) {
+	if o := t.keys[h.Ask.IdempotencyKey]; o != nil && (o.machine != "" || t.effect(h) == scheduler.Idempotent) {
 		t.callOff(h)
 		return
 	}
-	c := &container{id: h.Ask.ID, key: h.Ask.Key, ending: !h.Running}
+	c := &container{id: h.Ask.ID, key: h.Ask.IdempotencyKey, ending: !h.Running}
 	t.own[c.id] = c
 	if t.keys[c.key] == nil {
 		t.keys[c.key] = c
--- a/internal/schedulerd/reconcile/custody_test.go
+++ b/internal/schedulerd/reconcile/custody_test.go
@@ -13,15 +13,15 @@
 
 const ms = scheduler.Millisecond
 
-var effects = []scheduler.Effect{scheduler.Reissuable, scheduler.Numbered, scheduler.AtMostOnce}
+var effects = []scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.AtMostOnce}
 
-func ask(id string, workload int) scheduler.Ask {
-	return scheduler.Ask{ID: scheduler.ContainerID(id), Key: "k-" + id, Service: "s", Workload: workload}
+func ask(id string, workload int) scheduler.PlacementRequest {
+	return scheduler.PlacementRequest{ID: scheduler.ContainerID(id), IdempotencyKey: "k-" + id, Service: "s", WorkloadClass: workload}
 }
 
-func again(id, key string, workload int) scheduler.Ask {
+func again(id, key string, workload int) scheduler.PlacementRequest {
 	a := ask(id, workload)
-	a.Key, a.Again = key, true
+	a.IdempotencyKey, a.ClientRetry = key, true
 	return a
 }
 
@@ -228,12 +228,12 @@
 				case Pass:
 					for _, table := range []map[scheduler.ContainerID]string{open, runs} {
 						for other, key := range table {
-							if key == act.Ask.Key {
+							if key == act.Ask.IdempotencyKey {
 								t.Fatalf("%s passed though %s has key %s", act.Ask.ID, other, key)
 							}
 						}
 					}
-					open[act.Ask.ID] = act.Ask.Key
+					open[act.Ask.ID] = act.Ask.IdempotencyKey
 				case Lost:
 					delete(runs, act.ID)
 					a.Handle(now, []Event{Ended{act.ID}})
--- a/internal/schedulerd/reconcile/golden_test.go
+++ b/internal/schedulerd/reconcile/golden_test.go
@@ -21,7 +21,7 @@
 	table    *Table
 	now      scheduler.Time
 	ids      int
-	taken    []scheduler.Ask
+	taken    []scheduler.PlacementRequest
 	attempts []Held
 	reached  []scheduler.MachineID
 	lastBid  uint64
@@ -33,15 +33,15 @@
 
 func (s *recordedSequence) caller() Caller { return Caller(s.rng.IntN(5)) }
 
-func (s *recordedSequence) ask() scheduler.Ask {
+func (s *recordedSequence) ask() scheduler.PlacementRequest {
 	n := s.rng.IntN(s.ids)
-	a := scheduler.Ask{ID: scheduler.ContainerID(fmt.Sprint("c", n)), Key: fmt.Sprint("k", n/2), Service: "s", Workload: n % 3,
-		Customer: s.rng.IntN(2), Again: s.rng.IntN(3) == 0}
+	a := scheduler.PlacementRequest{ID: scheduler.ContainerID(fmt.Sprint("c", n)), IdempotencyKey: fmt.Sprint("k", n/2), Service: "s", WorkloadClass: n % 3,
+		Tenant: s.rng.IntN(2), ClientRetry: s.rng.IntN(3) == 0}
 	if s.rng.IntN(10) == 0 {
-		a.Key = fmt.Sprint("k", s.rng.IntN(s.ids))
+		a.IdempotencyKey = fmt.Sprint("k", s.rng.IntN(s.ids))
 	}
 	if s.rng.IntN(30) == 0 {
-		a.Workload = 3
+		a.WorkloadClass = 3
 	}
 	return a
 }
@@ -103,12 +103,12 @@
 	case n < 39:
 		a := s.ask()
 		if s.rng.IntN(4) == 0 {
-			a.Key = ""
+			a.IdempotencyKey = ""
 		}
-		return Cancelled{Caller: s.caller(), ID: a.ID, Key: a.Key}
+		return Cancelled{Caller: s.caller(), ID: a.ID, Key: a.IdempotencyKey}
 	case n < 43:
 		a := s.ask()
-		return Looked{Caller: s.caller(), ID: a.ID, Key: a.Key}
+		return Looked{Caller: s.caller(), ID: a.ID, Key: a.IdempotencyKey}
 	case n < 47:
 		return Answered{ID: s.ask().ID}
 	case n < 62:
@@ -231,7 +231,7 @@
 		d := golden.NewDigest()
 		for seed := range uint64(120) {
 			s := &recordedSequence{rng: rand.New(rand.NewPCG(seed, uint64(i))), digest: d, ids: group.ids, now: scheduler.Time(seed % 2 * 1000),
-				table: New(recordedLife, group.bounds, []scheduler.Effect{scheduler.Reissuable, scheduler.Numbered, scheduler.AtMostOnce}, group.log, group.calm)}
+				table: New(recordedLife, group.bounds, []scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.AtMostOnce}, group.log, group.calm)}
 			s.run(300)
 		}
 		lines = append(lines, d.Line(group.name))
--- a/internal/schedulerd/records.go
+++ b/internal/schedulerd/records.go
@@ -14,7 +14,7 @@
 type Knowledge struct {
 	At        warmstart.Stamp                `cbor:"At"`
 	Names     []string                       `cbor:"Names"` // of workloads and customers, in the order of the terms
-	Learned   scheduler.Knowledge            `cbor:"Learned"`
+	Learned   scheduler.Snapshot             `cbor:"Learned"`
 	Starts    map[scheduler.MachineID]uint64 `cbor:"Starts"`
 	ListIs    int64                          `cbor:"ListIs"` // version of the list
 	Entries   []entryRecord                  `cbor:"Entries"`
--- a/internal/schedulerd/recovery/golden_test.go
+++ b/internal/schedulerd/recovery/golden_test.go
@@ -27,7 +27,7 @@
 	}
 	s.lastBid++
 	n := s.rng.IntN(12)
-	h := Held{Ask: scheduler.Ask{ID: scheduler.ContainerID(fmt.Sprint("c", n)), Key: fmt.Sprint("k", n/2), Workload: s.rng.IntN(5) - 1},
+	h := Held{Ask: scheduler.PlacementRequest{ID: scheduler.ContainerID(fmt.Sprint("c", n)), IdempotencyKey: fmt.Sprint("k", n/2), WorkloadClass: s.rng.IntN(5) - 1},
 		Machine: s.machine(), Life: uint64(s.rng.IntN(3)), Bid: s.lastBid, Running: s.rng.IntN(2) == 0}
 	s.attempts = append(s.attempts, h)
 	return h
@@ -87,7 +87,7 @@
 }
 
 func (s *recordedSequence) run(log Log, steps int) {
-	r := NewRound(log, []scheduler.Effect{scheduler.Reissuable, scheduler.Numbered, scheduler.AtMostOnce})
+	r := NewRound(log, []scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.AtMostOnce})
 	now := scheduler.Time(s.rng.IntN(2) * 1000)
 	for range steps {
 		events := make([]Event, 1+s.rng.IntN(3))
@@ -100,7 +100,7 @@
 		for k := range 7 {
 			key := fmt.Sprint("k", k)
 			for workload := range 4 {
-				s.digest.Add(5, r.Wait(scheduler.Ask{Key: key, Workload: workload, Again: s.rng.IntN(3) > 0}))
+				s.digest.Add(5, r.Wait(scheduler.PlacementRequest{IdempotencyKey: key, WorkloadClass: workload, ClientRetry: s.rng.IntN(3) > 0}))
 			}
 			s.digest.Add(6, r.Unsure(key))
 		}
@@ -140,7 +140,7 @@
 	}
 	d := golden.NewDigest()
 	for effect := range 4 {
-		write, sync := Writes(scheduler.Effect(effect))
+		write, sync := Writes(scheduler.Idempotency(effect))
 		d.Add(1, write, sync)
 	}
 	for phase := range 7 {
--- a/internal/schedulerd/recovery/recovery.go
+++ b/internal/schedulerd/recovery/recovery.go
@@ -20,11 +20,11 @@
 
 // Held is a container at a machine, as the bid of one life of a placer.
 type Held struct {
-	Ask     scheduler.Ask       `cbor:"Ask"`
-	Machine scheduler.MachineID `cbor:"Machine"`
-	Life    uint64              `cbor:"Life"`
-	Bid     uint64              `cbor:"Bid"`
-	Running bool                `cbor:"Running"`
+	Ask     scheduler.PlacementRequest `cbor:"Ask"`
+	Machine scheduler.MachineID        `cbor:"Machine"`
+	Life    uint64                     `cbor:"Life"`
+	Bid     uint64                     `cbor:"Bid"`
+	Running bool                       `cbor:"Running"`
 }
 
 // Log is how much a placer's log says of the bids of its earlier lives.
@@ -97,14 +97,14 @@
 // Writes tells what must be in a placer's log before a bid is sent: whether anything, and whether on disk. Work that
 // must not run twice is worth a sync. Numbered work is only written, which the death of the process does not undo;
 // after that of the system every machine is heard before a number that came before is let out.
-func Writes(e scheduler.Effect) (write, sync bool) {
-	return e != scheduler.Reissuable, e == scheduler.AtMostOnce
+func Writes(e scheduler.Idempotency) (write, sync bool) {
+	return e != scheduler.Idempotent, e == scheduler.AtMostOnce
 }
 
 // Round is one life's. Doubts leave it by their machine's word or end, machines once they told or are gone.
 type Round struct {
 	log     Log
-	effects []scheduler.Effect
+	effects []scheduler.Idempotency
 	now     scheduler.Time
 	began   scheduler.Time
 	listed  bool
@@ -128,7 +128,7 @@
 }
 
 // NewRound begins a life; effects are those of the workloads.
-func NewRound(log Log, effects []scheduler.Effect) *Round {
+func NewRound(log Log, effects []scheduler.Idempotency) *Round {
 	return &Round{log: log, effects: effects, began: -1, doubts: map[string][]doubt{}}
 }
 
@@ -143,12 +143,12 @@
 		case Logged:
 			r.doubt(e.Held)
 		case Unheard:
-			if r.effect(e.Held.Ask.Workload) != scheduler.Reissuable {
+			if r.effect(e.Held.Ask.WorkloadClass) != scheduler.Idempotent {
 				r.doubt(e.Held)
 				r.inquire(e.Held.Machine, now)
 			}
 		case Told:
-			r.settle(e.Held.Ask.Key, func(h Held) bool { return h.Bid == e.Held.Bid })
+			r.settle(e.Held.Ask.IdempotencyKey, func(h Held) bool { return h.Bid == e.Held.Bid })
 			r.told(e.Held.Machine) // its link stands, and what else it knows it will tell by it
 		case Named:
 			r.named(e)
@@ -176,7 +176,7 @@
 
 func (r *Round) do(a Action) { r.out = append(r.out, a) }
 
-func (r *Round) effect(workload int) scheduler.Effect {
+func (r *Round) effect(workload int) scheduler.Idempotency {
 	if workload >= 0 && workload < len(r.effects) {
 		return r.effects[workload]
 	}
@@ -184,7 +184,7 @@
 }
 
 func (r *Round) doubt(h Held) {
-	r.doubts[h.Ask.Key] = append(r.doubts[h.Ask.Key], doubt{h, r.now})
+	r.doubts[h.Ask.IdempotencyKey] = append(r.doubts[h.Ask.IdempotencyKey], doubt{h, r.now})
 }
 
 // settle ends a key's doubts that match.
@@ -322,18 +322,18 @@
 // may run. Beyond that, an ask that came before waits until it is known what runs from earlier lives: at once with
 // a log that has it all, and without one when all machines told, or for some seconds. Of numbered work some bids are
 // missing from a log whose system stopped; that waits for every machine.
-func (r *Round) Wait(a scheduler.Ask) string {
-	effect := r.effect(a.Workload)
-	if effect == scheduler.Reissuable {
+func (r *Round) Wait(a scheduler.PlacementRequest) string {
+	effect := r.effect(a.WorkloadClass)
+	if effect == scheduler.Idempotent {
 		return ""
 	}
-	for _, d := range r.doubts[a.Key] {
+	for _, d := range r.doubts[a.IdempotencyKey] {
 		if effect == scheduler.AtMostOnce || r.earlier(d) {
-			return fmt.Sprintf("key %s may run on machine %s, which has not told since %d ms", a.Key, d.held.Machine,
+			return fmt.Sprintf("key %s may run on machine %s, which has not told since %d ms", a.IdempotencyKey, d.held.Machine,
 				(r.now-d.since)/scheduler.Millisecond)
 		}
 	}
-	if !a.Again || r.toldAll() || r.log == Written || r.log == Synced && effect == scheduler.AtMostOnce {
+	if !a.ClientRetry || r.toldAll() || r.log == Written || r.log == Synced && effect == scheduler.AtMostOnce {
 		return ""
 	}
 	if r.log == NoLog && (r.said || r.now >= r.began+sureWithin) {
--- a/internal/schedulerd/recovery/recovery_test.go
+++ b/internal/schedulerd/recovery/recovery_test.go
@@ -12,10 +12,10 @@
 
 const sec = scheduler.Second
 
-var effects = []scheduler.Effect{scheduler.Reissuable, scheduler.Numbered, scheduler.AtMostOnce}
+var effects = []scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.AtMostOnce}
 
 func bid(key string, workload int, m scheduler.MachineID, n uint64) Held {
-	return Held{Ask: scheduler.Ask{ID: scheduler.ContainerID(key), Key: key, Workload: workload}, Machine: m, Life: 4, Bid: n}
+	return Held{Ask: scheduler.PlacementRequest{ID: scheduler.ContainerID(key), IdempotencyKey: key, WorkloadClass: workload}, Machine: m, Life: 4, Bid: n}
 }
 
 func machines(all ...scheduler.MachineID) Named { return Named{Machines: all} }
@@ -89,7 +89,7 @@
 			if got != tc.last {
 				t.Errorf("%q, want %q", got, tc.last)
 			}
-			if why := r.Wait(scheduler.Ask{ID: "b", Key: "k", Workload: tc.workload, Again: true}); (why != "") != tc.wait {
+			if why := r.Wait(scheduler.PlacementRequest{ID: "b", IdempotencyKey: "k", WorkloadClass: tc.workload, ClientRetry: true}); (why != "") != tc.wait {
 				t.Errorf("waits: %q", why)
 			}
 		})
@@ -163,7 +163,7 @@
 				e = Named{Machines: names}
 			case 5:
 				for b, h := range open {
-					if h.Machine == m && h.Ask.Key == key {
+					if h.Machine == m && h.Ask.IdempotencyKey == key {
 						e = Told{h}
 						delete(open, b)
 						break
@@ -176,9 +176,9 @@
 			for _, key := range []string{"x", "y"} {
 				may := false
 				for _, h := range open {
-					may = may || h.Ask.Key == key
+					may = may || h.Ask.IdempotencyKey == key
 				}
-				if may && r.Wait(scheduler.Ask{Key: key, Workload: 2, Again: true}) == "" {
+				if may && r.Wait(scheduler.PlacementRequest{IdempotencyKey: key, WorkloadClass: 2, ClientRetry: true}) == "" {
 					t.Fatalf("key %s is let out, and a bid of it may run", key)
 				}
 			}
--- a/internal/schedulerd/state.go
+++ b/internal/schedulerd/state.go
@@ -62,7 +62,7 @@
 // openState reads a folder and writes down that this life begins. What it cannot read or hold stops the start; a full disk
 // does not.
 func openState(h *Host) (*state, error) {
-	s := &state{h: h, ledger: warmstart.NewLedger(h.site.Terms.ColdFor, h.site.Terms.ColdWindow)}
+	s := &state{h: h, ledger: warmstart.NewLedger(h.site.Terms.SlowStartPeriod, h.site.Terms.SlowStartWindow)}
 	var err error
 	if s.dir, err = openFolder(h.site.State); err != nil {
 		return nil, err
@@ -154,7 +154,7 @@
 			h.log.Info("list of machines not used", "why", "it is too old", "machines", len(k.Entries))
 		}
 	}
-	h.learn(scheduler.OldList, version, entries)
+	h.learn(scheduler.RestoredSnapshot, version, entries)
 	h.turn() // the module has to know the machines first
 	l, ok := h.decider.(learner)
 	if !ok {
@@ -164,9 +164,9 @@
 	for id, m := range h.machines {
 		machines[id], starts[id] = m.start(), m.incarnation
 	}
-	b := warmstart.Believe(now, kept, machines, h.names(), h.site.Terms.ColdWindow)
-	l.Recall(b.Knowledge)
-	s.later, s.since = b.Later, b.Knowledge.SentSince
+	b := warmstart.Believe(now, kept, machines, h.names(), h.site.Terms.SlowStartWindow)
+	l.Restore(b.Knowledge)
+	s.later, s.since = b.Later, b.Knowledge.SendsKnownSince
 	s.ledger.Carry(b, starts)
 	for _, old := range s.sent { // what counts no more is forgotten, the rest is put by this life's clock
 		s.drop(SentKind, string(old.Machine))
@@ -175,8 +175,8 @@
 		s.put(SentKind, string(l.Machine), l)
 	}
 	for _, m := range b.Knowledge.Machines {
-		if len(m.Cold) > 0 {
-			s.put(SentKind, string(m.Machine), warmstart.Sent{Machine: m.Machine, Start: starts[m.Machine], Times: m.Cold})
+		if len(m.RecentSends) > 0 {
+			s.put(SentKind, string(m.Machine), warmstart.Sent{Machine: m.Machine, Start: starts[m.Machine], Times: m.RecentSends})
 		}
 	}
 	for _, text := range b.Said {
@@ -193,10 +193,10 @@
 	if !ok || len(s.later) == 0 {
 		return
 	}
-	var found []scheduler.Learned
+	var found []scheduler.MachineSnapshot
 	if found, s.later = s.ledger.Named(scheduler.Time(h.loop.Now()), s.later, s.start); len(found) > 0 {
 		h.decide()
-		l.Recall(scheduler.Knowledge{SentSince: s.since, Machines: found})
+		l.Restore(scheduler.Snapshot{SendsKnownSince: s.since, Machines: found})
 	}
 }
 
@@ -277,7 +277,7 @@
 
 // noteBid puts into the log what must be there before a bid is sent; whether that is anything, and whether on disk.
 func (s *state) noteBid(b *bid) (write, sync bool) {
-	if write, sync = recovery.Writes(s.h.site.Terms.Workloads[b.c.ask.Workload].Effect); write {
+	if write, sync = recovery.Writes(s.h.site.Terms.WorkloadClasses[b.c.ask.WorkloadClass].Idempotency); write {
 		b.logged = true
 		s.put(BidKind, bidKey(b.number), b.held())
 	}
--- a/internal/schedulerd/state_test.go
+++ b/internal/schedulerd/state_test.go
@@ -23,15 +23,15 @@
 // learned is a script that has learned something.
 type learned struct {
 	*script
-	knows    scheduler.Knowledge
-	recalled chan scheduler.Knowledge
+	knows    scheduler.Snapshot
+	recalled chan scheduler.Snapshot
 }
 
-func (l *learned) Knows() scheduler.Knowledge   { return l.knows }
-func (l *learned) Recall(k scheduler.Knowledge) { l.recalled <- k }
+func (l *learned) Snapshot() scheduler.Snapshot { return l.knows }
+func (l *learned) Restore(k scheduler.Snapshot) { l.recalled <- k }
 
-func learning(k scheduler.Knowledge) *learned {
-	return &learned{&script{events: make(chan scheduler.Event, 10_000)}, k, make(chan scheduler.Knowledge, 1)}
+func learning(k scheduler.Snapshot) *learned {
+	return &learned{&script{events: make(chan scheduler.Event, 10_000)}, k, make(chan scheduler.Snapshot, 1)}
 }
 
 // live runs one life of a placer until it is stopped, or leaves it as kill -9 would where its state is copied first.
@@ -55,18 +55,18 @@
 	s := site1{terms(t)}
 	s.State = t.TempDir()
 	s.ListAddr = listing(t, map[string]string{"a": "127.0.0.1:1", "b": "127.0.0.1:1"})
-	first := learning(scheduler.Knowledge{Machines: []scheduler.Learned{{Machine: "a", Sick: 4}, {Machine: "gone", Sick: 4}}})
+	first := learning(scheduler.Snapshot{Machines: []scheduler.MachineSnapshot{{Machine: "a", OutlierLogOdds: 4}, {Machine: "gone", OutlierLogOdds: 4}}})
 	live(t, s, first, func(h *Host) {
 		h.loop.Post(func() { h.watch(&protocol.Watch{On: true}) })
-		await[scheduler.ListCame](&rig{T: t, script: first.script}, func(e scheduler.ListCame) bool { return e.Mode != scheduler.OldList })
+		await[scheduler.MachineListUpdate](&rig{T: t, script: first.script}, func(e scheduler.MachineListUpdate) bool { return e.Mode != scheduler.RestoredSnapshot })
 	})
-	second := learning(scheduler.Knowledge{})
+	second := learning(scheduler.Snapshot{})
 	live(t, s, second, func(*Host) {
-		if e := await[scheduler.ListCame](&rig{T: t, script: second.script}, nil); e.Mode != scheduler.OldList || len(e.Entries) != 2 {
+		if e := await[scheduler.MachineListUpdate](&rig{T: t, script: second.script}, nil); e.Mode != scheduler.RestoredSnapshot || len(e.Entries) != 2 {
 			t.Errorf("came back with %+v", e)
 		}
 		k := <-second.recalled
-		if len(k.Machines) != 1 || k.Machines[0].Machine != "a" || k.Machines[0].Sick < 3.5 || k.Machines[0].Sick > 4 {
+		if len(k.Machines) != 1 || k.Machines[0].Machine != "a" || k.Machines[0].OutlierLogOdds < 3.5 || k.Machines[0].OutlierLogOdds > 4 {
 			t.Errorf("recalled %+v", k.Machines)
 		}
 	})
@@ -76,9 +76,9 @@
 	flipped[len(flipped)/2] ^= 1
 	for _, broken := range [][]byte{{}, data[:len(data)/2], append([]byte("x"), data...), flipped} { // told, and left
 		os.WriteFile(name, broken, 0o644)
-		third := learning(scheduler.Knowledge{})
+		third := learning(scheduler.Snapshot{})
 		live(t, s, third, func(*Host) {
-			if e := await[scheduler.ListCame](&rig{T: t, script: third.script}, nil); len(e.Entries) != 0 {
+			if e := await[scheduler.MachineListUpdate](&rig{T: t, script: third.script}, nil); len(e.Entries) != 0 {
 				t.Errorf("%d bytes that are no knowledge are taken for it", len(broken))
 			}
 		})
@@ -92,7 +92,7 @@
 	}
 	d.Close()
 	var newer *wal.Newer
-	if _, err := New(s.Placer, learning(scheduler.Knowledge{}), discard); !errors.As(err, &newer) {
+	if _, err := New(s.Placer, learning(scheduler.Snapshot{}), discard); !errors.As(err, &newer) {
 		t.Errorf("a file from later: %v", err)
 	}
 }
@@ -114,9 +114,9 @@
 		binary.BigEndian.PutUint64(data, at)
 		os.WriteFile(s.Keep, data, 0o644)
 		s.State = t.TempDir()
-		d := learning(scheduler.Knowledge{})
+		d := learning(scheduler.Snapshot{})
 		live(t, s, d, func(*Host) {
-			if e := await[scheduler.ListCame](&rig{T: t, script: d.script}, nil); (len(e.Entries) == 1) != (name == "new") {
+			if e := await[scheduler.MachineListUpdate](&rig{T: t, script: d.script}, nil); (len(e.Entries) == 1) != (name == "new") {
 				t.Errorf("%s: %+v", name, e)
 			}
 		})
@@ -149,8 +149,8 @@
 			s := terms(t)
 			s.State = t.TempDir()
 			r := start(t, s, func(e scheduler.Event) []scheduler.Action {
-				if e, ok := e.(scheduler.Asked); ok {
-					return []scheduler.Action{scheduler.Bid{ID: e.ID, Machine: "a"}}
+				if e, ok := e.(scheduler.RequestReceived); ok {
+					return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: "a"}}
 				}
 				return nil
 			}, map[string]string{"a": silent})
@@ -176,8 +176,8 @@
 			s2 := terms(t)
 			s2.State, s2.Connect = crashed, 100_000
 			give := func(e scheduler.Event) []scheduler.Action {
-				if e, ok := e.(scheduler.Asked); ok {
-					return []scheduler.Action{scheduler.GiveUp{ID: e.ID}}
+				if e, ok := e.(scheduler.RequestReceived); ok {
+					return []scheduler.Action{scheduler.Fail{ID: e.ID}}
 				}
 				return nil
 			}
@@ -217,7 +217,7 @@
 		t.Errorf("%d records of what went to a warm machine", n)
 	}
 	entry := protocol.Entry{Machine: "a", Addr: addr, Incarnation: 2, Age: protocol.Span(2 * eventloop.Second)}
-	on1(r.h, func() bool { r.h.learn(scheduler.Changes, 2, []protocol.Entry{entry}); return true })
+	on1(r.h, func() bool { r.h.learn(scheduler.DeltaUpdate, 2, []protocol.Entry{entry}); return true })
 	until(t, func() bool { return kept(t, copied(t, s.State), SentKind) == 1 })
 	next := terms(t)
 	next.State = copied(t, s.State) // as a kill -9 leaves it
@@ -227,11 +227,11 @@
 		protocol.Read(c, protocol.MostFrame)
 		protocol.Read(c, protocol.MostFrame)
 	})
-	d := learning(scheduler.Knowledge{})
+	d := learning(scheduler.Snapshot{})
 	live(t, site1{next}, d, func(h *Host) {
 		<-d.recalled // at its begin, when no list has told of that start
 		h.loop.Post(func() { h.watch(&protocol.Watch{On: true}) })
-		if k := <-d.recalled; len(k.Machines) != 1 || k.Machines[0].Machine != "a" || len(k.Machines[0].Cold) != 1 {
+		if k := <-d.recalled; len(k.Machines) != 1 || k.Machines[0].Machine != "a" || len(k.Machines[0].RecentSends) != 1 {
 			t.Errorf("%+v", k.Machines)
 		}
 	})
@@ -334,7 +334,7 @@
 			s := terms(t)
 			c := cramp(t, s)
 			if name != "it runs full" { // a folder there is
-				live(t, site1{s}, learning(scheduler.Knowledge{}), func(*Host) {})
+				live(t, site1{s}, learning(scheduler.Snapshot{}), func(*Host) {})
 				c.full.Store(true)
 			}
 			r := start(t, s, bidTo(0), map[string]string{"a": addr})
@@ -346,11 +346,11 @@
 				}
 				c.full.Store(true)
 				end <- struct{}{}
-				await(r, func(e scheduler.Ended) bool { return e.ID == "before" })
+				await(r, func(e scheduler.AttemptEnded) bool { return e.ID == "before" })
 				r.door.next() // its fate
 			}
 			r.door.submit("once", 2)
-			if e := await[scheduler.Ended](r, nil); e.Outcome != scheduler.NotSent || e.ID != "once" {
+			if e := await[scheduler.AttemptEnded](r, nil); e.Outcome != scheduler.OutcomeNotSent || e.ID != "once" {
 				t.Errorf("%+v", e)
 			}
 			r.door.answer()
@@ -394,11 +394,11 @@
 	until(t, func() bool { return on1(r.h, func() bool { return r.h.machines["a"].ready }) })
 	c.gate.Lock()
 	r.door.submit("once", 2)
-	if e := await[scheduler.Ended](r, nil); e.Outcome != scheduler.NotSent {
+	if e := await[scheduler.AttemptEnded](r, nil); e.Outcome != scheduler.OutcomeNotSent {
 		t.Errorf("%+v", e)
 	}
 	on1(r.h, func() bool {
-		r.h.learn(scheduler.Changes, 2, []protocol.Entry{{Machine: "a", Addr: addr, State: protocol.Draining, Incarnation: 1, Age: -1}})
+		r.h.learn(scheduler.DeltaUpdate, 2, []protocol.Entry{{Machine: "a", Addr: addr, State: protocol.Draining, Incarnation: 1, Age: -1}})
 		return true
 	})
 	c.gate.Unlock()
@@ -412,14 +412,14 @@
 func TestFolder(t *testing.T) {
 	s := site1{terms(t)}
 	s.State = t.TempDir()
-	live(t, s, learning(scheduler.Knowledge{}), func(*Host) {
+	live(t, s, learning(scheduler.Snapshot{}), func(*Host) {
 		var owned *vfs.Owned
-		if _, err := New(s.Placer, learning(scheduler.Knowledge{}), discard); !errors.As(err, &owned) {
+		if _, err := New(s.Placer, learning(scheduler.Snapshot{}), discard); !errors.As(err, &owned) {
 			t.Errorf("%v", err)
 		}
 	})
 	s.State = filepath.Join(s.State, KnowledgeName, "below a file")
-	if _, err := New(s.Placer, learning(scheduler.Knowledge{}), discard); err == nil {
+	if _, err := New(s.Placer, learning(scheduler.Snapshot{}), discard); err == nil {
 		t.Error("a folder that cannot be is opened")
 	}
 }
--- a/internal/schedulerd/waiting_test.go
+++ b/internal/schedulerd/waiting_test.go
@@ -64,16 +64,16 @@
 			until(t, func() bool { return on1(r.h, func() bool { return len(r.h.machines["a"].waiting) > 0 }) })
 			if tc.change != nil && tc.change.Machine == "b" { // it holds what an earlier life of the placer began
 				on1(r.h, func() bool {
-					r.h.learn(scheduler.Changes, 2, []protocol.Entry{{Machine: "b", Addr: "127.0.0.1:1", Incarnation: 1, Age: -1}})
+					r.h.learn(scheduler.DeltaUpdate, 2, []protocol.Entry{{Machine: "b", Addr: "127.0.0.1:1", Incarnation: 1, Age: -1}})
 					r.h.tell(reconcile.Holds{Machine: "b", Held: []reconcile.Held{{Machine: "b", Life: 1, Bid: 1, Running: true,
-						Ask: scheduler.Ask{ID: "o", Key: "k-o", Service: "s"}}}})
+						Ask: scheduler.PlacementRequest{ID: "o", IdempotencyKey: "k-o", Service: "s"}}}})
 					return true
 				})
-				await[scheduler.TookOver](r, nil)
+				await[scheduler.ContainerAdopted](r, nil)
 			} else if tc.change != nil {
 				on1(r.h, func() bool {
 					tc.change.Addr = addr
-					r.h.learn(scheduler.Changes, 2, []protocol.Entry{*tc.change})
+					r.h.learn(scheduler.DeltaUpdate, 2, []protocol.Entry{*tc.change})
 					return true
 				})
 			}
@@ -85,12 +85,12 @@
 				return
 			}
 			if tc.start == 2 {
-				l := await(r, func(e scheduler.ListCame) bool { return len(e.Entries) > 0 && e.Entries[0].StartedAt > 0 })
+				l := await(r, func(e scheduler.MachineListUpdate) bool { return len(e.Entries) > 0 && e.Entries[0].StartedAt > 0 })
 				if now := on1(r.h, func() scheduler.Time { return scheduler.Time(r.h.loop.Now()) }); l.Entries[0].StartedAt > now {
 					t.Errorf("%+v at %d", l, now)
 				}
 			}
-			if e := await[scheduler.Ended](r, nil); e.Outcome != scheduler.NotSent || len(offered) > 0 {
+			if e := await[scheduler.AttemptEnded](r, nil); e.Outcome != scheduler.OutcomeNotSent || len(offered) > 0 {
 				t.Errorf("%+v, %d offered", e, len(offered))
 			}
 		})
@@ -99,14 +99,14 @@
 
 // A probe that waits for its link was not counted for a start that the greeting tells of, and does not go to it.
 func TestProbeOfAnEarlierStart(t *testing.T) {
-	for start2, want := range map[uint64]scheduler.Outcome{1: scheduler.TimedOut, 2: scheduler.NotSent} {
+	for start2, want := range map[uint64]scheduler.Outcome{1: scheduler.OutcomeTimedOut, 2: scheduler.OutcomeNotSent} {
 		addr, greet, _ := slowMachine(t, "a")
 		s := terms(t)
 		s.Connect = 10 * eventloop.Second
 		r := start(t, s, nil, map[string]string{"a": addr})
 		on1(r.h, func() bool { r.h.probe("a"); return true })
 		greet <- start2
-		if e := await[scheduler.Probed](r, nil); e.Outcome != want {
+		if e := await[scheduler.ProbeCompleted](r, nil); e.Outcome != want {
 			t.Errorf("start %d: %+v", start2, e)
 		}
 	}
--- a/internal/schedulerd/warmstart/golden_test.go
+++ b/internal/schedulerd/warmstart/golden_test.go
@@ -63,14 +63,14 @@
 func recordedKept(rng *rand.Rand) (Kept, map[scheduler.MachineID]Machine) {
 	k := Kept{At: recordedStamp(rng), Names: []string{"w", "c"}, Starts: map[scheduler.MachineID]uint64{},
 		Life: Life{Whole: recordedStamp(rng), Log: recovery.Log(rng.IntN(3))}}
-	k.Knowledge.Full, k.Knowledge.Missed = rng.Float64(), rng.Float64()
-	k.Knowledge.Traits = []scheduler.Trait{{Lost: rng.Float64(), Bar: rng.Float64()}, {Lost: rng.Float64(), Bar: rng.Float64()}}
+	k.Knowledge.FullRatio, k.Knowledge.RejectedWeight = rng.Float64(), rng.Float64()
+	k.Knowledge.TrafficClasses = []scheduler.TrafficClass{{LossRatio: rng.Float64(), SuspicionThreshold: rng.Float64()}, {LossRatio: rng.Float64(), SuspicionThreshold: rng.Float64()}}
 	for i := range 6 {
 		id := scheduler.MachineID(fmt.Sprint("m", i))
 		k.Starts[id] = uint64(rng.IntN(2))
-		k.Knowledge.Machines = append(k.Knowledge.Machines, scheduler.Learned{Machine: id, Started: recordedTime(rng), Sick: rng.Float64(),
-			RestUntil: 1000 * recordedTime(rng), Rest: recordedTime(rng), ShutUntil: recordedTime(rng),
-			Doubts: []scheduler.Doubt{{Odds: rng.Float64(), At: recordedTime(rng)}}, Cold: []scheduler.Time{recordedTime(rng)}})
+		k.Knowledge.Machines = append(k.Knowledge.Machines, scheduler.MachineSnapshot{Machine: id, StartedAt: recordedTime(rng), OutlierLogOdds: rng.Float64(),
+			EjectedUntil: 1000 * recordedTime(rng), EjectionTime: recordedTime(rng), SelfDrainingUntil: recordedTime(rng),
+			FailureEvidence: []scheduler.FailureEvidence{{LogOdds: rng.Float64(), AsOf: recordedTime(rng)}}, RecentSends: []scheduler.Time{recordedTime(rng)}})
 	}
 	sent := map[scheduler.MachineID]bool{}
 	for range rng.IntN(5) {
@@ -91,7 +91,7 @@
 	names := []string{"w", "c"}[:2-rng.IntN(8)/7]
 	now := recordedStamp(rng)
 	b := Believe(now, k, machines, names, window)
-	d.Add(1, b.Knowledge.SentSince, b.Knowledge.Traits, b.Knowledge.Full, b.Knowledge.Missed, b.Knowledge.Machines, b.Later)
+	d.Add(1, b.Knowledge.SendsKnownSince, b.Knowledge.TrafficClasses, b.Knowledge.FullRatio, b.Knowledge.RejectedWeight, b.Knowledge.Machines, b.Later)
 	starts := map[scheduler.MachineID]uint64{}
 	for id, m := range machines {
 		starts[id] = m.Start
--- a/internal/schedulerd/warmstart/recall.go
+++ b/internal/schedulerd/warmstart/recall.go
@@ -98,7 +98,7 @@
 // Kept is what an earlier life left.
 type Kept struct {
 	At        Stamp
-	Knowledge scheduler.Knowledge
+	Knowledge scheduler.Snapshot
 	Starts    map[scheduler.MachineID]uint64 // which start of each machine it knew
 	Names     []string                       // of workloads and customers, in the order of its terms
 
@@ -140,14 +140,14 @@
 
 // Belief is what is taken over.
 type Belief struct {
-	Knowledge scheduler.Knowledge
+	Knowledge scheduler.Snapshot
 	Later     []Sent   // to starts of machines that no list has told yet, by this life's clock
 	Said      []string // one line each, with figures
 }
 
 // Believe weighs what was kept. Window is that of cold machines; names are those of this life's terms.
 func Believe(now Stamp, k Kept, machines map[scheduler.MachineID]Machine, names []string, window scheduler.Time) Belief {
-	b := Belief{Knowledge: scheduler.Knowledge{SentSince: now.Clock}}
+	b := Belief{Knowledge: scheduler.Snapshot{SendsKnownSince: now.Clock}}
 	since := now.From(k.At)
 	fits := len(names) == len(k.Names)
 	for i := range names {
@@ -179,10 +179,10 @@
 func (b *Belief) weigh(since Since, k Kept, machines map[scheduler.MachineID]Machine, fits bool) {
 	weight := func(kind Kind) float64 { return Weight(kind, since.Age) }
 	if fits {
-		for _, t := range k.Knowledge.Traits {
-			b.Knowledge.Traits = append(b.Knowledge.Traits, scheduler.Trait{Lost: t.Lost * weight(Traits), Bar: t.Bar})
+		for _, t := range k.Knowledge.TrafficClasses {
+			b.Knowledge.TrafficClasses = append(b.Knowledge.TrafficClasses, scheduler.TrafficClass{LossRatio: t.LossRatio * weight(Traits), SuspicionThreshold: t.SuspicionThreshold})
 		}
-		b.Knowledge.Full, b.Knowledge.Missed = k.Knowledge.Full*weight(Room), k.Knowledge.Missed*weight(Room)
+		b.Knowledge.FullRatio, b.Knowledge.RejectedWeight = k.Knowledge.FullRatio*weight(Room), k.Knowledge.RejectedWeight*weight(Room)
 	}
 	if weight(Health) == 0 {
 		return
@@ -192,20 +192,20 @@
 		if !there || m.Start != k.Starts[l.Machine] {
 			continue // it is gone, or was restarted: the evidence was of another
 		}
-		l.Started, l.Cold = m.Started, nil
-		l.Sick *= weight(Health)
+		l.StartedAt, l.RecentSends = m.Started, nil
+		l.OutlierLogOdds *= weight(Health)
 		shift := func(t scheduler.Time) scheduler.Time {
 			if t == 0 {
 				return 0
 			}
 			return t + since.Jump
 		}
-		l.RestUntil, l.ShutUntil = shift(l.RestUntil), shift(l.ShutUntil)
-		doubts := l.Doubts
-		l.Doubts = nil
+		l.EjectedUntil, l.SelfDrainingUntil = shift(l.EjectedUntil), shift(l.SelfDrainingUntil)
+		doubts := l.FailureEvidence
+		l.FailureEvidence = nil
 		if fits && weight(Shuns) > 0 {
 			for _, d := range doubts { // they fade by themselves from their time on
-				l.Doubts = append(l.Doubts, scheduler.Doubt{Odds: d.Odds, At: shift(d.At)})
+				l.FailureEvidence = append(l.FailureEvidence, scheduler.FailureEvidence{LogOdds: d.LogOdds, AsOf: shift(d.AsOf)})
 			}
 		}
 		b.Knowledge.Machines = append(b.Knowledge.Machines, l)
@@ -221,7 +221,7 @@
 		b.say("what was sent to cold machines is not known: they get nothing for %d ms", window/scheduler.Millisecond)
 		return
 	}
-	b.Knowledge.SentSince = now.Clock - since.Age
+	b.Knowledge.SendsKnownSince = now.Clock - since.Age
 	at := map[scheduler.MachineID]int{}
 	for i, l := range b.Knowledge.Machines {
 		at[l.Machine] = i
@@ -246,9 +246,9 @@
 		i, known := at[s.Machine]
 		if !known {
 			i = len(b.Knowledge.Machines)
-			b.Knowledge.Machines = append(b.Knowledge.Machines, scheduler.Learned{Machine: s.Machine, Started: m.Started})
+			b.Knowledge.Machines = append(b.Knowledge.Machines, scheduler.MachineSnapshot{Machine: s.Machine, StartedAt: m.Started})
 		}
-		b.Knowledge.Machines[i].Cold = times
+		b.Knowledge.Machines[i].RecentSends = times
 		counted += len(times)
 	}
 	b.say("%d bids to cold machines in the last %d ms are known: they get what is left", counted, 2*window/scheduler.Millisecond)
@@ -256,7 +256,7 @@
 
 // Named takes up what was sent to starts that a list tells of only now: the list of old may be older than they are.
 // What is left waits on; what a window has passed over is dropped.
-func (l *Ledger) Named(now scheduler.Time, later []Sent, machines func(scheduler.MachineID) (Machine, bool)) (found []scheduler.Learned, left []Sent) {
+func (l *Ledger) Named(now scheduler.Time, later []Sent, machines func(scheduler.MachineID) (Machine, bool)) (found []scheduler.MachineSnapshot, left []Sent) {
 	for _, s := range later {
 		m, there := machines(s.Machine)
 		switch {
@@ -268,7 +268,7 @@
 				l.warm[s.Machine] = append(old.Times, l.warm[s.Machine]...)
 			}
 			l.sent[s.Machine] = &Sent{s.Machine, s.Start, append([]scheduler.Time(nil), s.Times...)}
-			found = append(found, scheduler.Learned{Machine: s.Machine, Started: m.Started, Cold: s.Times})
+			found = append(found, scheduler.MachineSnapshot{Machine: s.Machine, StartedAt: m.Started, RecentSends: s.Times})
 		}
 	}
 	return found, left
@@ -350,8 +350,8 @@
 // Carry puts what an earlier life sent into the ledger.
 func (l *Ledger) Carry(b Belief, starts map[scheduler.MachineID]uint64) {
 	for _, m := range b.Knowledge.Machines {
-		if len(m.Cold) > 0 {
-			l.sent[m.Machine] = &Sent{m.Machine, starts[m.Machine], append([]scheduler.Time(nil), m.Cold...)}
+		if len(m.RecentSends) > 0 {
+			l.sent[m.Machine] = &Sent{m.Machine, starts[m.Machine], append([]scheduler.Time(nil), m.RecentSends...)}
 		}
 	}
 }
--- a/internal/schedulerd/warmstart/recall_test.go
+++ b/internal/schedulerd/warmstart/recall_test.go
@@ -22,9 +22,9 @@
 	return Kept{At: at, Names: []string{"w", "c"}, Starts: map[scheduler.MachineID]uint64{"m": 7},
 		Life: Life{Whole: Stamp{Clock: 950 * sec, Up: 50 * sec, Boot: "b"}},
 		Sent: []Sent{{"m", 7, []scheduler.Time{992 * sec, 998 * sec, 999 * sec}}},
-		Knowledge: scheduler.Knowledge{Traits: make([]scheduler.Trait, 3), Full: 0.8, Missed: 2,
-			Machines: []scheduler.Learned{{Machine: "m", Started: 900 * sec, Sick: 4, RestUntil: 1004 * sec, Rest: 4 * sec,
-				ShutUntil: 1003 * sec, Doubts: make([]scheduler.Doubt, 3)}}}}
+		Knowledge: scheduler.Snapshot{TrafficClasses: make([]scheduler.TrafficClass, 3), FullRatio: 0.8, RejectedWeight: 2,
+			Machines: []scheduler.MachineSnapshot{{Machine: "m", StartedAt: 900 * sec, OutlierLogOdds: 4, EjectedUntil: 1004 * sec, EjectionTime: 4 * sec,
+				SelfDrainingUntil: 1003 * sec, FailureEvidence: make([]scheduler.FailureEvidence, 3)}}}}
 }
 
 func TestBelieve(t *testing.T) {
@@ -59,7 +59,7 @@
 		{"nothing was written down", boot(1001*sec, 101*sec), func(k *Kept, _ map[scheduler.MachineID]Machine) { k.Life = Life{} },
 			4 * math.Exp2(-1.0/60), 1004 * sec, 0, 0, true, "is not known"},
 		{"no file, and a log", boot(1001*sec, 101*sec), func(k *Kept, _ map[scheduler.MachineID]Machine) {
-			k.At, k.Knowledge = Stamp{}, scheduler.Knowledge{}
+			k.At, k.Knowledge = Stamp{}, scheduler.Snapshot{}
 		}, 0, 0, 2, 51 * sec, false, "2 bids"},
 		{"a life that has just begun", boot(951*sec, 51*sec), func(k *Kept, _ map[scheduler.MachineID]Machine) { k.At = Stamp{} },
 			4, 1004 * sec, 3, sec, true, "3 bids"},
@@ -76,19 +76,19 @@
 			b := Believe(tc.now, k, machines, []string{"w", "c"}, window)
 			sick, rest, cold := -1.0, scheduler.Time(0), 0
 			for _, l := range b.Knowledge.Machines {
-				sick, rest, cold = l.Sick, l.RestUntil, len(l.Cold)
-				if l.Started != machines[l.Machine].Started {
-					t.Errorf("believed of a start at %d", l.Started)
+				sick, rest, cold = l.OutlierLogOdds, l.EjectedUntil, len(l.RecentSends)
+				if l.StartedAt != machines[l.Machine].Started {
+					t.Errorf("believed of a start at %d", l.StartedAt)
 				}
 			}
 			if math.Abs(sick-tc.sick) > 0.05 || rest != tc.rest || cold != tc.cold {
 				t.Errorf("sick %.2f, rest until %d, %d cold; want %.2f, %d, %d", sick, rest, cold, tc.sick, tc.rest, tc.cold)
 			}
-			if got := tc.now.Clock - b.Knowledge.SentSince; got != tc.since {
+			if got := tc.now.Clock - b.Knowledge.SendsKnownSince; got != tc.since {
 				t.Errorf("sent is known for %d", got)
 			}
-			if (len(b.Knowledge.Traits) > 0) != tc.traits {
-				t.Errorf("losses %v", b.Knowledge.Traits)
+			if (len(b.Knowledge.TrafficClasses) > 0) != tc.traits {
+				t.Errorf("losses %v", b.Knowledge.TrafficClasses)
 			}
 			if said := strings.Join(b.Said, "; "); !strings.Contains(said, tc.said) {
 				t.Errorf("said %q", said)
@@ -144,7 +144,7 @@
 	// A list of old may not know a start yet to which an earlier life sent; without this its budget was had twice.
 	later := []Sent{{"m", 7, []scheduler.Time{105 * sec}}, {"n", 2, []scheduler.Time{106 * sec}}, {"o", 7, []scheduler.Time{99 * sec}}}
 	found, left := l.Named(107*sec, later, at)
-	if len(found) != 1 || found[0].Machine != "m" || len(found[0].Cold) != 1 || len(left) != 1 || left[0].Machine != "n" {
+	if len(found) != 1 || found[0].Machine != "m" || len(found[0].RecentSends) != 1 || len(left) != 1 || left[0].Machine != "n" {
 		t.Errorf("found %v, left %v", found, left)
 	}
 	gone := func(scheduler.MachineID) (Machine, bool) { return Machine{}, false }
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -46,15 +46,15 @@
 	return o
 }
 
-func describeRequest(t *testing.T, a scheduler.Ask) object {
-	return whole(t, a, object{"id": a.ID, "key": a.Key, "service": a.Service, "class": a.Workload, "tenant": a.Customer,
-		"cores": a.Cores, "memory": a.Memory, "deadline": a.Due, "runs for": a.Life, "retried": a.Again})
+func describeRequest(t *testing.T, a scheduler.PlacementRequest) object {
+	return whole(t, a, object{"id": a.ID, "key": a.IdempotencyKey, "service": a.Service, "class": a.WorkloadClass, "tenant": a.Tenant,
+		"cores": a.Cores, "memory": a.Memory, "deadline": a.Deadline, "runs for": a.ExpectedRuntime, "retried": a.ClientRetry})
 }
 
-func describeEntries(t *testing.T, entries []scheduler.Entry) []object {
+func describeEntries(t *testing.T, entries []scheduler.MachineEntry) []object {
 	var out []object
 	for _, e := range entries {
-		out = append(out, whole(t, e, object{"machine": e.Machine, "zone": e.Zone, "type": e.Kind, "cell": e.Cell, "state": int(e.State),
+		out = append(out, whole(t, e, object{"machine": e.Machine, "zone": e.Zone, "type": e.MachineType, "cell": e.RackGroup, "state": int(e.State),
 			"free cores": e.FreeCores, "free memory": e.FreeMemory, "power": e.PowerHint, "started at": e.StartedAt}))
 	}
 	return out
@@ -65,24 +65,24 @@
 	var name string
 	var o object
 	switch e := event.(type) {
-	case scheduler.ListCame:
+	case scheduler.MachineListUpdate:
 		name, o = "UPDATE", whole(t, e, object{"mode": int(e.Mode), "version": e.Version, "entries": describeEntries(t, e.Entries)})
-	case scheduler.Asked:
-		name, o = "PENDING", whole(t, e, object{"request": describeRequest(t, e.Ask)})
-	case scheduler.TookOver:
-		name, o = "ALREADY_PLACED", whole(t, e, object{"request": describeRequest(t, e.Ask), "machine": e.Machine})
-	case scheduler.Placed:
-		name, o = "CONFIRMED", whole(t, e, object{"id": e.ID, "attempt": e.Bid, "machine": e.Machine, "took": e.Took})
-	case scheduler.Noted:
-		name, o = "INTERIM", whole(t, e, object{"id": e.ID, "machine": e.Machine, "attempt": e.Bid, "sort": int(e.Sort), "amount": e.Amount})
-	case scheduler.Ended:
-		name, o = "DONE", whole(t, e, object{"id": e.ID, "final": e.Over, "attempt": e.Bid, "outcome": int(e.Outcome), "machine": e.Machine,
-			"reason": int(e.Reason), "took": e.Took, "report": e.Report})
-	case scheduler.Probed:
-		name, o = "HEALTH_RESULT", whole(t, e, object{"machine": e.Machine, "outcome": int(e.Outcome), "took": e.Took, "report": e.Report})
-	case scheduler.Woke:
+	case scheduler.RequestReceived:
+		name, o = "PENDING", whole(t, e, object{"request": describeRequest(t, e.PlacementRequest)})
+	case scheduler.ContainerAdopted:
+		name, o = "ALREADY_PLACED", whole(t, e, object{"request": describeRequest(t, e.PlacementRequest), "machine": e.Machine})
+	case scheduler.AttemptAccepted:
+		name, o = "CONFIRMED", whole(t, e, object{"id": e.ID, "attempt": e.Attempt, "machine": e.Machine, "took": e.Elapsed})
+	case scheduler.UsageReported:
+		name, o = "INTERIM", whole(t, e, object{"id": e.ID, "machine": e.Machine, "attempt": e.Attempt, "sort": int(e.Metric), "amount": e.Value})
+	case scheduler.AttemptEnded:
+		name, o = "DONE", whole(t, e, object{"id": e.ID, "final": e.Final, "attempt": e.Attempt, "outcome": int(e.Outcome), "machine": e.Machine,
+			"reason": int(e.Reason), "took": e.Elapsed, "report": e.Report})
+	case scheduler.ProbeCompleted:
+		name, o = "HEALTH_RESULT", whole(t, e, object{"machine": e.Machine, "outcome": int(e.Outcome), "took": e.Elapsed, "report": e.Report})
+	case scheduler.TimerFired:
 		name, o = "TICK_DUE", whole(t, e, object{"timer": e.Name})
-	case scheduler.Vanished:
+	case scheduler.ContainerRemoved:
 		name, o = "VANISHED", whole(t, e, object{"id": e.ID})
 	default:
 		t.Fatalf("event %T is not described", event)
@@ -91,25 +91,25 @@
 	return o
 }
 
-func describeSettings(t *testing.T, s scheduler.Terms) object {
+func describeSettings(t *testing.T, s scheduler.Config) object {
 	t.Helper()
 	var classes, types, tenants []object
-	for _, w := range s.Workloads {
-		classes = append(classes, whole(t, w, object{"effect": int(w.Effect), "group": int(w.Repeats), "window": w.Window, "aim": w.Agreed,
-			"deadline": w.HardStop, "type": w.Kind, "spread": int(w.Spread), "most": w.Most, "credit": w.Gain}))
+	for _, w := range s.WorkloadClasses {
+		classes = append(classes, whole(t, w, object{"effect": int(w.Idempotency), "group": int(w.DedupScope), "window": w.DedupWindow, "aim": w.LatencyObjective,
+			"deadline": w.PlacementTimeout, "type": w.MachineType, "spread": int(w.SpreadScope), "most": w.MaxPerScope, "credit": w.PriorityWeight}))
 	}
-	for _, k := range s.Kinds {
+	for _, k := range s.MachineTypes {
 		types = append(types, whole(t, k, object{"cores": k.Cores, "memory": k.Memory}))
 	}
-	for _, c := range s.Customers {
-		tenants = append(tenants, whole(t, c, object{"cores": c.Cores}))
+	for _, c := range s.Tenants {
+		tenants = append(tenants, whole(t, c, object{"cores": c.QuotaCores}))
 	}
-	return whole(t, s, object{"seed": s.Seed, "me": s.Me, "balancers": s.Placers, "classes": classes, "types": types,
-		"tenants": tenants, "over share": s.OverShare, "admit cores": s.AcceptCores, "admit memory": s.AcceptMemory,
-		"mean cores": s.MeanCores, "mean memory": s.MeanMemory, "yes when running": s.YesRuns, "use notes": s.UseNotes,
-		"entries tell free room": s.ListedAsks, "probes": s.MayProbe, "attempts": s.MostBids, "grace": s.AnswerGrace,
-		"list on request": s.ListOnAsk, "list every": s.AskWithin, "cold for": s.ColdFor, "cold window": s.ColdWindow,
-		"cold offers": s.ColdBids})
+	return whole(t, s, object{"seed": s.Seed, "me": s.SchedulerIndex, "balancers": s.SchedulerCount, "classes": classes, "types": types,
+		"tenants": tenants, "over share": s.OverQuotaWeight, "admit cores": s.CoresOvercommit, "admit memory": s.MemoryOvercommit,
+		"mean cores": s.MeanCores, "mean memory": s.MeanMemory, "yes when running": s.AcceptMeansRunning, "use notes": s.UsageReports,
+		"entries tell free room": s.ListTracksRequests, "probes": s.ProbesAllowed, "attempts": s.MaxAttempts, "grace": s.AnswerGrace,
+		"list on request": s.ListOnRequest, "list every": s.ResyncInterval, "cold for": s.SlowStartPeriod, "cold window": s.SlowStartWindow,
+		"cold offers": s.SlowStartBudget})
 }
 
 func indented(t *testing.T, v any) []byte {
@@ -322,16 +322,16 @@
 func TestOutgoingMessagesAreUnchanged(t *testing.T) {
 	var got bytes.Buffer
 	for _, a := range []scheduler.Action{
-		scheduler.Bid{ID: "r-1", Machine: "m:1", MaxWait: 801}, scheduler.Bid{ID: "r-1", Machine: "m:1"},
-		scheduler.PushBack{ID: "r-1", HoldOff: 2505}, scheduler.PushBack{ID: "r-1"},
-		scheduler.GiveUp{ID: "r-1"},
-		scheduler.Withdraw{ID: "r-1", Bid: 2}, scheduler.Withdraw{ID: "r-1"},
+		scheduler.StartAttempt{ID: "r-1", Machine: "m:1", Timeout: 801}, scheduler.StartAttempt{ID: "r-1", Machine: "m:1"},
+		scheduler.Reject{ID: "r-1", RetryAfter: 2505}, scheduler.Reject{ID: "r-1"},
+		scheduler.Fail{ID: "r-1"},
+		scheduler.CancelAttempt{ID: "r-1", Attempt: 2}, scheduler.CancelAttempt{ID: "r-1"},
 		scheduler.Probe{Machine: "m:1"},
 		scheduler.Disconnect{Machine: "m:1"},
-		scheduler.Wake{After: 5001, Name: "sweep"}, scheduler.Wake{After: -1, Name: "sweep"},
-		scheduler.Watch{On: true}, scheduler.Watch{},
-		scheduler.Fetch{},
-		scheduler.Log{Text: " two\nlines\tand  more "}, scheduler.Log{},
+		scheduler.SetTimer{After: 5001, Name: "sweep"}, scheduler.SetTimer{After: -1, Name: "sweep"},
+		scheduler.WatchMachineList{Enabled: true}, scheduler.WatchMachineList{},
+		scheduler.FetchMachineList{},
+		scheduler.Log{Message: " two\nlines\tand  more "}, scheduler.Log{},
 		nil,
 	} {
 		Append(&got, 3, a)
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -86,44 +86,44 @@
 }
 
 // ParseTerms reads the pairs path=value of a start-up message.
-func ParseTerms(seed uint64, fields []string) (scheduler.Terms, error) {
+func ParseTerms(seed uint64, fields []string) (scheduler.Config, error) {
 	s := &startup{pairs: make(map[string]string, len(fields))}
 	for _, f := range fields {
 		k, v, ok := strings.Cut(f, "=")
 		if !ok {
-			return scheduler.Terms{}, fmt.Errorf("setting %q has no value", f)
+			return scheduler.Config{}, fmt.Errorf("setting %q has no value", f)
 		}
 		s.pairs[k] = v
 	}
-	t := scheduler.Terms{
-		Seed:         seed,
-		Me:           s.count("me"),
-		Placers:      s.count("balancers"),
-		AcceptCores:  s.number("family_info.admit_cores"),
-		AcceptMemory: s.number("family_info.mem_booking"),
-		MeanCores:    s.size("family_info.unit_cores"),
-		MeanMemory:   s.size("family_info.unit_memory"),
-		YesRuns:      s.choice("family_info.yes_at", "accepted", "running") == 1,
-		UseNotes:     s.flag("family_info.use_notes"),
-		ListedAsks:   s.flag("family_info.view"),
-		MayProbe:     s.flag("permissions.probes"),
-		MostBids:     s.count("permissions.max_attempts"),
-		AnswerGrace:  s.span("rules.grace_to_answer_ms"),
-		ListOnAsk:    s.choice("registry_mode", "pushed", "on_request") == 1,
-		ColdFor:      s.span("rules.cold_ms"),
-		ColdWindow:   s.span("rules.overload_for_ms"),
-		ColdBids:     int(s.number("family_info.fresh_offers")),
-	}
-	if t.ListOnAsk {
-		t.AskWithin = s.span("rules.ask_every_ms")
+	t := scheduler.Config{
+		Seed:               seed,
+		SchedulerIndex:     s.count("me"),
+		SchedulerCount:     s.count("balancers"),
+		CoresOvercommit:    s.number("family_info.admit_cores"),
+		MemoryOvercommit:   s.number("family_info.mem_booking"),
+		MeanCores:          s.size("family_info.unit_cores"),
+		MeanMemory:         s.size("family_info.unit_memory"),
+		AcceptMeansRunning: s.choice("family_info.yes_at", "accepted", "running") == 1,
+		UsageReports:       s.flag("family_info.use_notes"),
+		ListTracksRequests: s.flag("family_info.view"),
+		ProbesAllowed:      s.flag("permissions.probes"),
+		MaxAttempts:        s.count("permissions.max_attempts"),
+		AnswerGrace:        s.span("rules.grace_to_answer_ms"),
+		ListOnRequest:      s.choice("registry_mode", "pushed", "on_request") == 1,
+		SlowStartPeriod:    s.span("rules.cold_ms"),
+		SlowStartWindow:    s.span("rules.overload_for_ms"),
+		SlowStartBudget:    int(s.number("family_info.fresh_offers")),
+	}
+	if t.ListOnRequest {
+		t.ResyncInterval = s.span("rules.ask_every_ms")
 	}
 	if _, ok := s.pairs["over_share_worth"]; ok {
-		t.OverShare = s.number("over_share_worth")
+		t.OverQuotaWeight = s.number("over_share_worth")
 	}
 	cores := s.list("family_info.cpu_of_kind")
 	memory := s.numbers("family_info.kind_memory", len(cores))
 	for i, c := range s.numbers("family_info.cpu_of_kind", len(cores)) {
-		t.Kinds = append(t.Kinds, scheduler.Kind{Cores: c, Memory: memory[i]})
+		t.MachineTypes = append(t.MachineTypes, scheduler.MachineType{Cores: c, Memory: memory[i]})
 	}
 	n := s.count("classes.count")
 	if n > len(fields) && s.fault == nil {
@@ -137,31 +137,31 @@
 	if len(spread) != n && s.fault == nil {
 		s.fault = fmt.Errorf("setting family_info.spread_over has %d values, not %d", len(spread), n)
 	}
-	places := map[string]scheduler.Place{"silent": scheduler.Nowhere, "machine": scheduler.OneMachine,
-		"cell": scheduler.OneCell, "zone": scheduler.OneZone}
+	places := map[string]scheduler.Scope{"silent": scheduler.ScopeNone, "machine": scheduler.ScopeMachine,
+		"cell": scheduler.ScopeRackGroup, "zone": scheduler.ScopeZone}
 	for i := 0; i < n && s.fault == nil; i++ {
 		at := fmt.Sprintf("classes.%d.", i)
-		w := scheduler.Workload{
-			Effect:   scheduler.Effect(s.choice(at+"effect", "safe", "keyed", "unsafe")),
-			Agreed:   s.span(at + "aim_ms"),
-			HardStop: s.span(at + "deadline_ms"),
-			Gain:     s.number(at + "credit"),
-			Kind:     int(kinds[i]),
-			Most:     int(most[i]),
+		w := scheduler.WorkloadClass{
+			Idempotency:      scheduler.Idempotency(s.choice(at+"effect", "safe", "keyed", "unsafe")),
+			LatencyObjective: s.span(at + "aim_ms"),
+			PlacementTimeout: s.span(at + "deadline_ms"),
+			PriorityWeight:   s.number(at + "credit"),
+			MachineType:      int(kinds[i]),
+			MaxPerScope:      int(most[i]),
 		}
-		if w.Effect == scheduler.Numbered {
-			w.Window = s.span(at + "window_ms")
-			w.Repeats = []scheduler.Place{scheduler.OneCell, scheduler.OneZone, scheduler.Everywhere}[s.choice(
+		if w.Idempotency == scheduler.IdempotentWithKey {
+			w.DedupWindow = s.span(at + "window_ms")
+			w.DedupScope = []scheduler.Scope{scheduler.ScopeRackGroup, scheduler.ScopeZone, scheduler.ScopeFleet}[s.choice(
 				at+"group", "cell", "zone", "all")]
 		}
 		place, ok := places[spread[i]]
 		if !ok {
 			s.fault = fmt.Errorf("setting family_info.spread_over: %q is no place", spread[i])
 		}
-		if w.Spread = place; w.Kind >= len(t.Kinds) {
-			s.fault = fmt.Errorf("setting family_info.class_kind: no kind %d", w.Kind)
+		if w.SpreadScope = place; w.MachineType >= len(t.MachineTypes) {
+			s.fault = fmt.Errorf("setting family_info.class_kind: no kind %d", w.MachineType)
 		}
-		t.Workloads = append(t.Workloads, w)
+		t.WorkloadClasses = append(t.WorkloadClasses, w)
 	}
 	if _, ok := s.pairs["tenants.count"]; ok {
 		n := s.count("tenants.count")
@@ -173,7 +173,7 @@
 		}
 		if _, ok := s.pairs["family_info.quota_cores"]; ok {
 			for _, cores := range s.numbers("family_info.quota_cores", n) {
-				t.Customers = append(t.Customers, scheduler.Customer{Cores: cores})
+				t.Tenants = append(t.Tenants, scheduler.Tenant{QuotaCores: cores})
 			}
 		}
 	}
--- a/internal/simprotocol/wire.go
+++ b/internal/simprotocol/wire.go
@@ -19,7 +19,7 @@
 	Line     int
 	Instance int
 	Event    scheduler.Event
-	Start    *scheduler.Terms
+	Start    *scheduler.Config
 	Stop     bool
 }
 
@@ -35,7 +35,7 @@
 	in   *bufio.Reader
 	line int
 	// lists holds at most 16 numbered lists; a new one takes the place of its number's last.
-	lists [16][]scheduler.Entry
+	lists [16][]scheduler.MachineEntry
 	known [16]bool
 }
 
@@ -124,9 +124,9 @@
 	case "KILLED":
 		out.Stop = true
 	case "UPDATE":
-		e := scheduler.ListCame{Mode: oneOf(f, listModes), Version: int64(f.whole())}
+		e := scheduler.MachineListUpdate{Mode: oneOf(f, listModes), Version: int64(f.whole())}
 		ref := f.word()
-		if e.Mode != scheduler.ListFailed {
+		if e.Mode != scheduler.UpdateFailed {
 			n, err := strconv.Atoi(ref)
 			if err != nil || n < 0 || n >= len(d.lists) || !d.known[n] {
 				return fmt.Errorf("no list has the number %q", ref)
@@ -135,37 +135,37 @@
 		}
 		out.Event = e
 	case "PENDING":
-		a := scheduler.Ask{ID: scheduler.ContainerID(f.word())}
-		a.Customer, a.Again = f.wholeOr0(), f.wholeOr0()&16 != 0
-		a.Key, a.Workload = f.word(), f.whole()
-		a.Memory, a.Cores, a.Due = f.numberOr0(), f.numberOr0(), f.time()
-		a.Service, a.Life = f.word(), f.timeOr0()
-		out.Event = scheduler.Asked{Ask: a}
+		a := scheduler.PlacementRequest{ID: scheduler.ContainerID(f.word())}
+		a.Tenant, a.ClientRetry = f.wholeOr0(), f.wholeOr0()&16 != 0
+		a.IdempotencyKey, a.WorkloadClass = f.word(), f.whole()
+		a.Memory, a.Cores, a.Deadline = f.numberOr0(), f.numberOr0(), f.time()
+		a.Service, a.ExpectedRuntime = f.word(), f.timeOr0()
+		out.Event = scheduler.RequestReceived{PlacementRequest: a}
 	case "ALREADY_PLACED":
-		a := scheduler.Ask{ID: scheduler.ContainerID(f.word()), Service: f.word(), Due: f.timeOr0()}
-		a.Workload, a.Cores, a.Key, a.Customer = f.whole(), f.numberOr0(), f.word(), f.wholeOr0()
-		a.Memory, a.Again, a.Life = f.numberOr0(), f.wholeOr0()&16 != 0, f.timeOr0()
-		out.Event = scheduler.TookOver{Ask: a, Machine: scheduler.MachineID(f.word())}
+		a := scheduler.PlacementRequest{ID: scheduler.ContainerID(f.word()), Service: f.word(), Deadline: f.timeOr0()}
+		a.WorkloadClass, a.Cores, a.IdempotencyKey, a.Tenant = f.whole(), f.numberOr0(), f.word(), f.wholeOr0()
+		a.Memory, a.ClientRetry, a.ExpectedRuntime = f.numberOr0(), f.wholeOr0()&16 != 0, f.timeOr0()
+		out.Event = scheduler.ContainerAdopted{PlacementRequest: a, Machine: scheduler.MachineID(f.word())}
 	case "CONFIRMED":
-		out.Event = scheduler.Placed{ID: scheduler.ContainerID(f.word()), Bid: f.whole(),
-			Machine: scheduler.MachineID(f.word()), Took: f.timeOr0()}
+		out.Event = scheduler.AttemptAccepted{ID: scheduler.ContainerID(f.word()), Attempt: f.whole(),
+			Machine: scheduler.MachineID(f.word()), Elapsed: f.timeOr0()}
 	case "INTERIM":
-		out.Event = scheduler.Noted{ID: scheduler.ContainerID(f.word()), Machine: scheduler.MachineID(f.word()),
-			Bid: f.whole(), Sort: scheduler.NoteSort(f.whole()), Amount: f.number()}
+		out.Event = scheduler.UsageReported{ID: scheduler.ContainerID(f.word()), Machine: scheduler.MachineID(f.word()),
+			Attempt: f.whole(), Metric: scheduler.UsageMetric(f.whole()), Value: f.number()}
 	case "DONE":
-		e := scheduler.Ended{ID: scheduler.ContainerID(f.word()), Over: f.flag(), Bid: f.whole(),
+		e := scheduler.AttemptEnded{ID: scheduler.ContainerID(f.word()), Final: f.flag(), Attempt: f.whole(),
 			Outcome: oneOf(f, outcomes), Machine: scheduler.MachineID(f.word())}
-		e.Reason, e.Took, e.Report = scheduler.Reason(f.wholeOr0()), f.timeOr0(), f.report()
+		e.Reason, e.Elapsed, e.Report = scheduler.Reason(f.wholeOr0()), f.timeOr0(), f.report()
 		out.Event = e
 	case "HEALTH_RESULT":
-		out.Event = scheduler.Probed{Machine: scheduler.MachineID(f.word()), Outcome: oneOf(f, outcomes),
-			Took: f.timeOr0(), Report: f.report()}
+		out.Event = scheduler.ProbeCompleted{Machine: scheduler.MachineID(f.word()), Outcome: oneOf(f, outcomes),
+			Elapsed: f.timeOr0(), Report: f.report()}
 	case "TICK_DUE":
-		out.Event = scheduler.Woke{Name: f.word()}
+		out.Event = scheduler.TimerFired{Name: f.word()}
 	case "NOTE_FROM": // no placer sends any, and none is heeded
 		return nil
 	case "VANISHED":
-		out.Event = scheduler.Vanished{ID: scheduler.ContainerID(f.word())}
+		out.Event = scheduler.ContainerRemoved{ID: scheduler.ContainerID(f.word())}
 	default:
 		return errors.New("unknown message")
 	}
@@ -181,7 +181,7 @@
 	if ref < 0 || ref >= len(d.lists) || n < 0 {
 		return errors.New("list number or count out of range")
 	}
-	var entries []scheduler.Entry
+	var entries []scheduler.MachineEntry
 	for i := 0; i < n; i++ {
 		s, err := d.next()
 		if err == io.EOF {
@@ -194,8 +194,8 @@
 		if f.word() != "ITEM" {
 			return fmt.Errorf("list of %d entries breaks off after %d", n, i)
 		}
-		e := scheduler.Entry{Machine: scheduler.MachineID(f.word()), Zone: f.whole(), Kind: f.whole(),
-			Cell: f.whole(), State: oneOf(f, states), FreeCores: f.numberOr0(), PowerHint: f.numberOr0(),
+		e := scheduler.MachineEntry{Machine: scheduler.MachineID(f.word()), Zone: f.whole(), MachineType: f.whole(),
+			RackGroup: f.whole(), State: oneOf(f, states), FreeCores: f.numberOr0(), PowerHint: f.numberOr0(),
 			FreeMemory: f.numberOr0(), StartedAt: f.timeOr0()}
 		if err := f.done(); err != nil {
 			return err
@@ -206,15 +206,15 @@
 	return nil
 }
 
-var listModes = map[string]scheduler.ListMode{"Partial": scheduler.Changes, "Complete": scheduler.WholeList,
-	"Persisted": scheduler.OldList, "Error": scheduler.ListFailed}
+var listModes = map[string]scheduler.UpdateMode{"Partial": scheduler.DeltaUpdate, "Complete": scheduler.FullSnapshot,
+	"Persisted": scheduler.RestoredSnapshot, "Error": scheduler.UpdateFailed}
 
-var states = map[string]scheduler.MachineState{"SERVING": scheduler.Serving, "DRAINING": scheduler.Draining,
-	"DELETED": scheduler.Gone}
+var states = map[string]scheduler.MachineState{"SERVING": scheduler.MachineServing, "DRAINING": scheduler.MachineDraining,
+	"DELETED": scheduler.MachineGone}
 
-var outcomes = map[string]scheduler.Outcome{"GOOD": scheduler.Finished, "BAD": scheduler.Erred, "FULL": scheduler.Full,
-	"LATE": scheduler.TimedOut, "NOCONN": scheduler.NoConnect, "RST": scheduler.Reset, "CXL": scheduler.Stopped,
-	"NOP": scheduler.NotSent}
+var outcomes = map[string]scheduler.Outcome{"GOOD": scheduler.OutcomeFinished, "BAD": scheduler.OutcomeErrored, "FULL": scheduler.OutcomeFull,
+	"LATE": scheduler.OutcomeTimedOut, "NOCONN": scheduler.OutcomeConnectFailed, "RST": scheduler.OutcomeLost, "CXL": scheduler.OutcomeStopped,
+	"NOP": scheduler.OutcomeNotSent}
 
 // fields takes a line apart and keeps the first fault met.
 type fields struct {
@@ -304,12 +304,12 @@
 	return false
 }
 
-func (f *fields) report() scheduler.Report {
+func (f *fields) report() scheduler.LoadReport {
 	w := f.word()
 	if w == "-" || w == "" {
 		return nil
 	}
-	r := scheduler.Report{}
+	r := scheduler.LoadReport{}
 	for _, p := range strings.Split(w, ",") {
 		k, v, ok := strings.Cut(p, ":")
 		if !ok {
@@ -337,30 +337,30 @@
 // Append writes one action of an instance as a line.
 func Append(b *bytes.Buffer, instance int, a scheduler.Action) {
 	switch a := a.(type) {
-	case scheduler.Bid:
-		fmt.Fprintf(b, "BIND %d %s %s %s\n", instance, a.ID, a.Machine, ms(a.MaxWait))
-	case scheduler.PushBack:
-		fmt.Fprintf(b, "BUSY %d %s %s\n", instance, a.ID, ms(a.HoldOff))
-	case scheduler.GiveUp:
+	case scheduler.StartAttempt:
+		fmt.Fprintf(b, "BIND %d %s %s %s\n", instance, a.ID, a.Machine, ms(a.Timeout))
+	case scheduler.Reject:
+		fmt.Fprintf(b, "BUSY %d %s %s\n", instance, a.ID, ms(a.RetryAfter))
+	case scheduler.Fail:
 		fmt.Fprintf(b, "FAIL %d %s\n", instance, a.ID)
-	case scheduler.Withdraw:
-		fmt.Fprintf(b, "UNDO_SEND %d %s %d\n", instance, a.ID, a.Bid)
+	case scheduler.CancelAttempt:
+		fmt.Fprintf(b, "UNDO_SEND %d %s %d\n", instance, a.ID, a.Attempt)
 	case scheduler.Probe:
 		fmt.Fprintf(b, "PING %d %s\n", instance, a.Machine)
 	case scheduler.Disconnect:
 		fmt.Fprintf(b, "CLOSE %d %s\n", instance, a.Machine)
-	case scheduler.Wake:
+	case scheduler.SetTimer:
 		fmt.Fprintf(b, "AFTER %d %s %s\n", instance, ms(a.After), a.Name)
-	case scheduler.Watch:
+	case scheduler.WatchMachineList:
 		on := 0
-		if a.On {
+		if a.Enabled {
 			on = 1
 		}
 		fmt.Fprintf(b, "WATCH %d %d\n", instance, on)
-	case scheduler.Fetch:
+	case scheduler.FetchMachineList:
 		fmt.Fprintf(b, "FETCH %d\n", instance)
 	case scheduler.Log:
-		fmt.Fprintf(b, "DEBUG %d %s\n", instance, plain(a.Text))
+		fmt.Fprintf(b, "DEBUG %d %s\n", instance, plain(a.Message))
 	}
 }
 
