--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -36,32 +36,32 @@
 }
 
 func TestEvents(t *testing.T) {
-	entry := scheduler.Entry{Machine: "m:1", Kind: 1, Cell: 2, FreeCores: 3.5, PowerHint: 1, FreeMemory: 12,
+	entry := scheduler.MachineEntry{Machine: "m:1", MachineType: 1, RackGroup: 2, FreeCores: 3.5, PowerHint: 1, FreeMemory: 12,
 		StartedAt: 61000}
-	ask := scheduler.Ask{ID: "r-1", Key: "t:k", Service: "c:s", Workload: 1, Customer: 2, Cores: 2, Memory: 1.5,
-		Due: 86522, Life: 120, Again: true}
+	ask := scheduler.PlacementRequest{ID: "r-1", IdempotencyKey: "t:k", Service: "c:s", WorkloadClass: 1, Tenant: 2, Cores: 2, Memory: 1.5,
+		Deadline: 86522, ExpectedRuntime: 120, ClientRetry: true}
 	for _, tc := range []struct {
 		line string
 		want scheduler.Event
 	}{
 		{list + "UPDATE 3 Persisted 41 0",
-			scheduler.ListCame{Mode: scheduler.OldList, Version: 41, Entries: []scheduler.Entry{entry}}},
-		{list + "SHEET 0 0\nUPDATE 3 Complete 42 0", scheduler.ListCame{Mode: scheduler.WholeList, Version: 42}},
-		{"UPDATE 3 Error 0 -", scheduler.ListCame{Mode: scheduler.ListFailed}},
-		{"PENDING 3 r-1 2 17 t:k 1 1.5 2 8652.25 c:s 12.0", scheduler.Asked{Ask: ask}},
+			scheduler.MachineListUpdate{Mode: scheduler.RestoredSnapshot, Version: 41, Entries: []scheduler.MachineEntry{entry}}},
+		{list + "SHEET 0 0\nUPDATE 3 Complete 42 0", scheduler.MachineListUpdate{Mode: scheduler.FullSnapshot, Version: 42}},
+		{"UPDATE 3 Error 0 -", scheduler.MachineListUpdate{Mode: scheduler.UpdateFailed}},
+		{"PENDING 3 r-1 2 17 t:k 1 1.5 2 8652.25 c:s 12.0", scheduler.RequestReceived{PlacementRequest: ask}},
 		{"ALREADY_PLACED 3 r-1 c:s 8652.25 1 2 t:k 2 1.5 16 12.0 m:1",
-			scheduler.TookOver{Ask: ask, Machine: "m:1"}},
-		{"CONFIRMED 3 r-1 2 m:1 18.55", scheduler.Placed{ID: "r-1", Bid: 2, Machine: "m:1", Took: 185}},
+			scheduler.ContainerAdopted{PlacementRequest: ask, Machine: "m:1"}},
+		{"CONFIRMED 3 r-1 2 m:1 18.55", scheduler.AttemptAccepted{ID: "r-1", Attempt: 2, Machine: "m:1", Elapsed: 185}},
 		{"INTERIM 3 r-1 m:1 0 2 0.5",
-			scheduler.Noted{ID: "r-1", Machine: "m:1", Sort: scheduler.CoresUsed, Amount: 0.5}},
-		{"DONE 3 r-1 1 0 GOOD m:1 - 18.5 x0:1.5,new:2,x1:-", scheduler.Ended{ID: "r-1", Over: true,
-			Machine: "m:1", Took: 185, Report: scheduler.Report{"x0": 1.5, "new": 2}}},
-		{"DONE 3 r-1 0 1 FULL m:1 2 - -", scheduler.Ended{ID: "r-1", Bid: 1, Outcome: scheduler.Full,
-			Reason: scheduler.NoMemory, Machine: "m:1"}},
+			scheduler.UsageReported{ID: "r-1", Machine: "m:1", Metric: scheduler.MetricCoresUsed, Value: 0.5}},
+		{"DONE 3 r-1 1 0 GOOD m:1 - 18.5 x0:1.5,new:2,x1:-", scheduler.AttemptEnded{ID: "r-1", Final: true,
+			Machine: "m:1", Elapsed: 185, Report: scheduler.LoadReport{"x0": 1.5, "new": 2}}},
+		{"DONE 3 r-1 0 1 FULL m:1 2 - -", scheduler.AttemptEnded{ID: "r-1", Attempt: 1, Outcome: scheduler.OutcomeFull,
+			Reason: scheduler.ReasonNoMemory, Machine: "m:1"}},
 		{"HEALTH_RESULT 3 m:1 LATE 250.0 -",
-			scheduler.Probed{Machine: "m:1", Outcome: scheduler.TimedOut, Took: 2500}},
-		{"TICK_DUE 3 sweep", scheduler.Woke{Name: "sweep"}},
-		{"VANISHED 3 r-1", scheduler.Vanished{ID: "r-1"}},
+			scheduler.ProbeCompleted{Machine: "m:1", Outcome: scheduler.OutcomeTimedOut, Elapsed: 2500}},
+		{"TICK_DUE 3 sweep", scheduler.TimerFired{Name: "sweep"}},
+		{"VANISHED 3 r-1", scheduler.ContainerRemoved{ID: "r-1"}},
 	} {
 		t.Run(tc.line, func(t *testing.T) {
 			got, err := read("FRAME 8412.25 1\n" + tc.line + "\nCOMMIT\n")
@@ -80,9 +80,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := scheduler.Workload{Effect: scheduler.Numbered, Repeats: scheduler.OneZone, Window: 80000, Agreed: 7000,
-		HardStop: 60000, Kind: 1, Spread: scheduler.OneCell, Most: 3, Gain: 2}
-	if s := got[0].Start; s.Seed != 51 || s.Placers != 3 || s.Workloads[1] != want || s.Kinds[1].Memory != 71 {
+	want := scheduler.WorkloadClass{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeZone, DedupWindow: 80000, LatencyObjective: 7000,
+		PlacementTimeout: 60000, MachineType: 1, SpreadScope: scheduler.ScopeRackGroup, MaxPerScope: 3, PriorityWeight: 2}
+	if s := got[0].Start; s.Seed != 51 || s.SchedulerCount != 3 || s.WorkloadClasses[1] != want || s.MachineTypes[1].Memory != 71 {
 		t.Errorf("got %+v", s)
 	}
 }
@@ -122,16 +122,16 @@
 		action scheduler.Action
 		want   string
 	}{
-		{scheduler.Bid{ID: "r-1", Machine: "m:1", MaxWait: 800}, "BIND 3 r-1 m:1 80.0"},
-		{scheduler.PushBack{ID: "r-1"}, "BUSY 3 r-1 0.0"},
-		{scheduler.GiveUp{ID: "r-1"}, "FAIL 3 r-1"},
-		{scheduler.Withdraw{ID: "r-1", Bid: 1}, "UNDO_SEND 3 r-1 1"},
+		{scheduler.StartAttempt{ID: "r-1", Machine: "m:1", Timeout: 800}, "BIND 3 r-1 m:1 80.0"},
+		{scheduler.Reject{ID: "r-1"}, "BUSY 3 r-1 0.0"},
+		{scheduler.Fail{ID: "r-1"}, "FAIL 3 r-1"},
+		{scheduler.CancelAttempt{ID: "r-1", Attempt: 1}, "UNDO_SEND 3 r-1 1"},
 		{scheduler.Probe{Machine: "m:1"}, "PING 3 m:1"},
 		{scheduler.Disconnect{Machine: "m:1"}, "CLOSE 3 m:1"},
-		{scheduler.Wake{After: 5000, Name: "sweep"}, "AFTER 3 500.0 sweep"},
-		{scheduler.Watch{On: true}, "WATCH 3 1"},
-		{scheduler.Fetch{}, "FETCH 3"},
-		{scheduler.Log{Text: "two\nlines"}, "DEBUG 3 two lines"},
+		{scheduler.SetTimer{After: 5000, Name: "sweep"}, "AFTER 3 500.0 sweep"},
+		{scheduler.WatchMachineList{Enabled: true}, "WATCH 3 1"},
+		{scheduler.FetchMachineList{}, "FETCH 3"},
+		{scheduler.Log{Message: "two\nlines"}, "DEBUG 3 two lines"},
 	} {
 		t.Run(tc.want, func(t *testing.T) {
 			var b bytes.Buffer
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -317,18 +317,18 @@
 	}
 	w, ok := j.workload(c.work.Workload)
 	for _, o := range c.offers {
-		if ok && !o.never && (w.Effect == scheduler.AtMostOnce || w.Effect == scheduler.Numbered && w.Repeats != scheduler.Everywhere) {
+		if ok && !o.never && (w.Idempotency == scheduler.AtMostOnce || w.Idempotency == scheduler.IdempotentWithKey && w.DedupScope != scheduler.ScopeFleet) {
 			j.fail(2, e.At, []string{o.text, said}, "container %s is pushed back though it may have run", c.name)
 			return
 		}
 	}
 }
 
-func (j *judge) workload(i int) (scheduler.Workload, bool) {
-	if i < len(j.h.Terms.Workloads) {
-		return j.h.Terms.Workloads[i], true
+func (j *judge) workload(i int) (scheduler.WorkloadClass, bool) {
+	if i < len(j.h.Terms.WorkloadClasses) {
+		return j.h.Terms.WorkloadClasses[i], true
 	}
-	return scheduler.Workload{}, false
+	return scheduler.WorkloadClass{}, false
 }
 
 func (j *judge) offered(l *life, e *faultproxy.Entry, ch *channel, f *protocol.Offer) {
@@ -364,11 +364,11 @@
 			continue
 		}
 		switch {
-		case w.Effect == scheduler.AtMostOnce:
+		case w.Idempotency == scheduler.AtMostOnce:
 			j.fail(2, e.At, []string{p.text, o.text}, "at-most-once %s is sent again though it may have run", c.name)
-		case w.Effect == scheduler.Numbered && !j.shareGroup(l, p.machine, o.machine, w.Repeats):
+		case w.Idempotency == scheduler.IdempotentWithKey && !j.shareGroup(l, p.machine, o.machine, w.DedupScope):
 			j.fail(2, e.At, []string{p.text, o.text}, "numbered %s leaves the group that drops its repeats", c.name)
-		case w.Effect == scheduler.Numbered && e.At > p.at+int64(w.Window)+slack:
+		case w.Idempotency == scheduler.IdempotentWithKey && e.At > p.at+int64(w.DedupWindow)+slack:
 			j.fail(2, e.At, []string{p.text, o.text}, "numbered %s is sent after its window", c.name)
 		}
 	}
@@ -393,36 +393,36 @@
 		return
 	}
 	s := j.starts[startName(m)]
-	if s == nil || !s.told[l.name] || e.At >= s.began+int64(t.ColdFor) {
+	if s == nil || !s.told[l.name] || e.At >= s.began+int64(t.SlowStartPeriod) {
 		return
 	}
 	s.offers = append(s.offers, e.At)
-	for s.offers[0] <= e.At-int64(t.ColdWindow) {
+	for s.offers[0] <= e.At-int64(t.SlowStartWindow) {
 		s.offers = s.offers[1:]
 	}
 	n := len(s.offers)
-	j.ColdMost, j.ColdBound = max(j.ColdMost, n), t.ColdBids
-	if n > t.ColdBids {
+	j.ColdMost, j.ColdBound = max(j.ColdMost, n), t.SlowStartBudget
+	if n > t.SlowStartBudget {
 		var frames []string
 		for _, at := range s.offers {
 			frames = append(frames, fmt.Sprintf("%.1f ms an offer or a probe for %s", float64(at)/10, e.Name))
 		}
 		j.fail(4, e.At, frames, "cold machine %s, up since %.1f ms, is offered %d in %.1f ms, and bears %d; the last by %s",
-			e.Name, float64(s.began)/10, n, float64(t.ColdWindow)/10, t.ColdBids, l.name)
+			e.Name, float64(s.began)/10, n, float64(t.SlowStartWindow)/10, t.SlowStartBudget, l.name)
 	}
 }
 
 func startName(m *listed) string { return fmt.Sprint(m.Machine, "/", m.Incarnation) }
 
 // spread counts what the placer holds of the service in the place of this offer, this offer included.
-func (j *judge) spread(l *life, o *offer, w scheduler.Workload) {
-	if w.Spread == scheduler.Nowhere {
+func (j *judge) spread(l *life, o *offer, w scheduler.WorkloadClass) {
+	if w.SpreadScope == scheduler.ScopeNone {
 		return
 	}
 	n := 0
 	var frames []string
 	for p := range l.held {
-		if p.work.Service != o.work.Service || !j.shareGroup(l, p.machine, o.machine, w.Spread) {
+		if p.work.Service != o.work.Service || !j.shareGroup(l, p.machine, o.machine, w.SpreadScope) {
 			continue
 		}
 		if !p.yes && p != o && j.now >= p.until-int64(j.h.Slack) { // its wait is over
@@ -431,15 +431,15 @@
 		n++
 		frames = append(frames, p.text)
 	}
-	if n > w.Most {
+	if n > w.MaxPerScope {
 		sort.Strings(frames)
-		j.fail(5, o.at, frames, "%s has %d of service %s in one place, %d are allowed", l.name, n, o.work.Service, w.Most)
+		j.fail(5, o.at, frames, "%s has %d of service %s in one place, %d are allowed", l.name, n, o.work.Service, w.MaxPerScope)
 	}
 }
 
 // shareGroup tells whether two machines lie in one group; a machine that no list told this placer of lies in none.
-func (j *judge) shareGroup(l *life, a, b string, group scheduler.Place) bool {
-	if group == scheduler.Everywhere || a == b {
+func (j *judge) shareGroup(l *life, a, b string, group scheduler.Scope) bool {
+	if group == scheduler.ScopeFleet || a == b {
 		return true
 	}
 	x, knownX := j.places[l.name][a]
@@ -448,9 +448,9 @@
 		return false
 	}
 	switch group {
-	case scheduler.OneZone:
+	case scheduler.ScopeZone:
 		return x.zone == y.zone
-	case scheduler.OneCell:
+	case scheduler.ScopeRackGroup:
 		return x.cell == y.cell
 	}
 	return false
@@ -463,7 +463,7 @@
 	}
 	o.yes = true
 	l.held[o] = true
-	if w, ok := j.workload(o.work.Workload); ok && w.Effect == scheduler.AtMostOnce {
+	if w, ok := j.workload(o.work.Workload); ok && w.Idempotency == scheduler.AtMostOnce {
 		if p := j.ran[o.work.Key]; p != nil && p != o {
 			j.fail(2, j.now, []string{p.text, o.text}, "at-most-once key %s ran twice", o.work.Key)
 		}
@@ -541,7 +541,7 @@
 			text: fmt.Sprintf("%.1f ms %s says it holds %s of %s", float64(e.At)/10, ch.name, k.Work.Container, l.name)}
 		ch.offers[k.Bid] = o
 		l.held[o] = true
-		if w, ok := j.workload(k.Work.Workload); ok && w.Effect == scheduler.AtMostOnce {
+		if w, ok := j.workload(k.Work.Workload); ok && w.Idempotency == scheduler.AtMostOnce {
 			if p := j.ran[k.Work.Key]; p != nil && p.bid != k.Bid {
 				j.fail(2, j.now, []string{p.text, o.text}, "at-most-once key %s ran twice", k.Work.Key)
 			}
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -20,9 +20,9 @@
 
 func begin(t *testing.T) *history {
 	h := &history{T: t, j: newJudge()}
-	h.j.h = faultproxy.Header{DrainGrace: 250 * ms, Slack: 20 * ms, Terms: scheduler.Terms{AnswerGrace: 10 * ms, ColdFor: 5000 * ms,
-		ColdWindow: 1000 * ms, ColdBids: 3, Workloads: []scheduler.Workload{{}, {Effect: scheduler.Numbered, Repeats: scheduler.OneZone,
-			Window: 4000 * ms}, {Effect: scheduler.AtMostOnce, Spread: scheduler.OneZone, Most: 2}}}}
+	h.j.h = faultproxy.Header{DrainGrace: 250 * ms, Slack: 20 * ms, Terms: scheduler.Config{AnswerGrace: 10 * ms, SlowStartPeriod: 5000 * ms,
+		SlowStartWindow: 1000 * ms, SlowStartBudget: 3, WorkloadClasses: []scheduler.WorkloadClass{{}, {Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeZone,
+			DedupWindow: 4000 * ms}, {Idempotency: scheduler.AtMostOnce, SpreadScope: scheduler.ScopeZone, MaxPerScope: 2}}}}
 	h.connect()
 	h.list(0, map[string]protocol.Entry{"a": {}, "b": {}, "c": {Zone: 1}})
 	return h
--- a/internal/testbed/faultproxy/record.go
+++ b/internal/testbed/faultproxy/record.go
@@ -47,11 +47,11 @@
 
 // Header says what a record must be judged by.
 type Header struct {
-	_          struct{}        `cbor:",toarray"`
-	Format     string          `cbor:"Format"`
-	Terms      scheduler.Terms `cbor:"Terms"`
-	DrainGrace scheduler.Time  `cbor:"DrainGrace"`
-	Slack      scheduler.Time  `cbor:"Slack"` // by which a time on the sockets may differ from a placer's own
+	_          struct{}         `cbor:",toarray"`
+	Format     string           `cbor:"Format"`
+	Terms      scheduler.Config `cbor:"Terms"`
+	DrainGrace scheduler.Time   `cbor:"DrainGrace"`
+	Slack      scheduler.Time   `cbor:"Slack"` // by which a time on the sockets may differ from a placer's own
 }
 
 const format = "glenport record 1"
--- a/internal/testbed/faultproxy/record_test.go
+++ b/internal/testbed/faultproxy/record_test.go
@@ -24,20 +24,20 @@
 )
 
 func goldenHeader() Header {
-	return Header{Format: "glenport record 1", DrainGrace: 1001, Slack: 1002, Terms: scheduler.Terms{
-		Seed: 1<<64 - 1, Me: 2001, Placers: 2002,
-		Workloads: []scheduler.Workload{
-			{Effect: scheduler.Reissuable, Repeats: scheduler.Nowhere, Window: 3001, Agreed: 3002, HardStop: 3003, Kind: -1,
-				Spread: scheduler.OneMachine, Most: 3004, Gain: 3005.5},
-			{Effect: scheduler.Numbered, Repeats: scheduler.OneCell, Window: 3011, Agreed: 3012, HardStop: 3013, Kind: 3014,
-				Spread: scheduler.OneZone, Most: 3015, Gain: 0.25},
-			{Effect: scheduler.AtMostOnce, Repeats: scheduler.Everywhere, Window: 3021, Agreed: 3022, HardStop: 3023, Kind: 3024,
-				Spread: scheduler.Nowhere, Most: 3025, Gain: 1}},
-		Kinds:     []scheduler.Kind{{Cores: 4001.5, Memory: 4002.5}, {Cores: 4003, Memory: 4004}},
-		Customers: []scheduler.Customer{{Cores: 5001.5}, {Cores: 5002}},
-		OverShare: 6001.5, AcceptCores: 6002.5, AcceptMemory: 6003.5, MeanCores: 6004.5, MeanMemory: 6005.5,
-		YesRuns: true, UseNotes: false, ListedAsks: true, MayProbe: false, MostBids: 6006, AnswerGrace: 6007, ListOnAsk: true,
-		AskWithin: 6008, ColdFor: 6009, ColdWindow: 6010, ColdBids: 6011}}
+	return Header{Format: "glenport record 1", DrainGrace: 1001, Slack: 1002, Terms: scheduler.Config{
+		Seed: 1<<64 - 1, SchedulerIndex: 2001, SchedulerCount: 2002,
+		WorkloadClasses: []scheduler.WorkloadClass{
+			{Idempotency: scheduler.Idempotent, DedupScope: scheduler.ScopeNone, DedupWindow: 3001, LatencyObjective: 3002, PlacementTimeout: 3003, MachineType: -1,
+				SpreadScope: scheduler.ScopeMachine, MaxPerScope: 3004, PriorityWeight: 3005.5},
+			{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeRackGroup, DedupWindow: 3011, LatencyObjective: 3012, PlacementTimeout: 3013, MachineType: 3014,
+				SpreadScope: scheduler.ScopeZone, MaxPerScope: 3015, PriorityWeight: 0.25},
+			{Idempotency: scheduler.AtMostOnce, DedupScope: scheduler.ScopeFleet, DedupWindow: 3021, LatencyObjective: 3022, PlacementTimeout: 3023, MachineType: 3024,
+				SpreadScope: scheduler.ScopeNone, MaxPerScope: 3025, PriorityWeight: 1}},
+		MachineTypes:    []scheduler.MachineType{{Cores: 4001.5, Memory: 4002.5}, {Cores: 4003, Memory: 4004}},
+		Tenants:         []scheduler.Tenant{{QuotaCores: 5001.5}, {QuotaCores: 5002}},
+		OverQuotaWeight: 6001.5, CoresOvercommit: 6002.5, MemoryOvercommit: 6003.5, MeanCores: 6004.5, MeanMemory: 6005.5,
+		AcceptMeansRunning: true, UsageReports: false, ListTracksRequests: true, ProbesAllowed: false, MaxAttempts: 6006, AnswerGrace: 6007, ListOnRequest: true,
+		ResyncInterval: 6008, SlowStartPeriod: 6009, SlowStartWindow: 6010, SlowStartBudget: 6011}}
 }
 
 func goldenEntries(t *testing.T) []Entry {
@@ -68,23 +68,23 @@
 	var out strings.Builder
 	terms := h.Terms
 	fmt.Fprintf(&out, "Format %q, DrainGrace %d, Slack %d\n", h.Format, h.DrainGrace, h.Slack)
-	fmt.Fprintf(&out, "Seed %d, Me %d, Placers %d\n", terms.Seed, terms.Me, terms.Placers)
-	for _, w := range terms.Workloads {
+	fmt.Fprintf(&out, "Seed %d, Me %d, Placers %d\n", terms.Seed, terms.SchedulerIndex, terms.SchedulerCount)
+	for _, w := range terms.WorkloadClasses {
 		fmt.Fprintf(&out, "Workload: Effect %d, Repeats %d, Window %d, Agreed %d, HardStop %d, Kind %d, Spread %d, Most %d, Gain %v\n",
-			w.Effect, w.Repeats, w.Window, w.Agreed, w.HardStop, w.Kind, w.Spread, w.Most, w.Gain)
+			w.Idempotency, w.DedupScope, w.DedupWindow, w.LatencyObjective, w.PlacementTimeout, w.MachineType, w.SpreadScope, w.MaxPerScope, w.PriorityWeight)
 	}
-	for _, k := range terms.Kinds {
+	for _, k := range terms.MachineTypes {
 		fmt.Fprintf(&out, "Kind: Cores %v, Memory %v\n", k.Cores, k.Memory)
 	}
-	for _, c := range terms.Customers {
-		fmt.Fprintf(&out, "Customer: Cores %v\n", c.Cores)
+	for _, c := range terms.Tenants {
+		fmt.Fprintf(&out, "Customer: Cores %v\n", c.QuotaCores)
 	}
-	fmt.Fprintf(&out, "OverShare %v, AcceptCores %v, AcceptMemory %v, MeanCores %v, MeanMemory %v\n", terms.OverShare,
-		terms.AcceptCores, terms.AcceptMemory, terms.MeanCores, terms.MeanMemory)
+	fmt.Fprintf(&out, "OverShare %v, AcceptCores %v, AcceptMemory %v, MeanCores %v, MeanMemory %v\n", terms.OverQuotaWeight,
+		terms.CoresOvercommit, terms.MemoryOvercommit, terms.MeanCores, terms.MeanMemory)
 	fmt.Fprintf(&out, "YesRuns %t, UseNotes %t, ListedAsks %t, MayProbe %t, MostBids %d, AnswerGrace %d, ListOnAsk %t\n",
-		terms.YesRuns, terms.UseNotes, terms.ListedAsks, terms.MayProbe, terms.MostBids, terms.AnswerGrace, terms.ListOnAsk)
-	fmt.Fprintf(&out, "AskWithin %d, ColdFor %d, ColdWindow %d, ColdBids %d\n", terms.AskWithin, terms.ColdFor,
-		terms.ColdWindow, terms.ColdBids)
+		terms.AcceptMeansRunning, terms.UsageReports, terms.ListTracksRequests, terms.ProbesAllowed, terms.MaxAttempts, terms.AnswerGrace, terms.ListOnRequest)
+	fmt.Fprintf(&out, "AskWithin %d, ColdFor %d, ColdWindow %d, ColdBids %d\n", terms.ResyncInterval, terms.SlowStartPeriod,
+		terms.SlowStartWindow, terms.SlowStartBudget)
 	for _, e := range entries {
 		fmt.Fprintf(&out, "Entry: At %d, Sort %d, Link %d, Placer %q, Far %d, Name %q, Frame %x\n", e.At, e.Sort, e.Link,
 			e.Placer, e.Far, e.Name, e.Frame)
--- a/internal/testbed/modelcheck/breaker.go
+++ b/internal/testbed/modelcheck/breaker.go
@@ -16,11 +16,11 @@
 	var kept []scheduler.Event
 	for _, e := range events {
 		switch e := e.(type) {
-		case scheduler.ListCame:
+		case scheduler.MachineListUpdate:
 			e.Entries = slices.Clone(e.Entries) // the judge reads the true ones
 			for i := range e.Entries {
 				if b.Rule == 3 { // a drain is not heard
-					e.Entries[i].State = scheduler.Serving
+					e.Entries[i].State = scheduler.MachineServing
 				}
 				if b.Rule == 4 { // nor a start
 					e.Entries[i].StartedAt = 0
@@ -28,13 +28,13 @@
 			}
 			kept = append(kept, e)
 			continue
-		case scheduler.TookOver:
+		case scheduler.ContainerAdopted:
 			if b.Rule == 5 { // what runs is forgotten
 				continue
 			}
-		case scheduler.Ended:
-			if b.Rule == 2 && (e.Outcome == scheduler.TimedOut || e.Outcome == scheduler.Erred) { // taken for refused
-				e.Outcome = scheduler.Full
+		case scheduler.AttemptEnded:
+			if b.Rule == 2 && (e.Outcome == scheduler.OutcomeTimedOut || e.Outcome == scheduler.OutcomeErrored) { // taken for refused
+				e.Outcome = scheduler.OutcomeFull
 				kept = append(kept, e)
 				continue
 			}
@@ -43,7 +43,7 @@
 	}
 	actions := b.Decider.Handle(now, kept)
 	if b.Rule == 1 {
-		actions = slices.DeleteFunc(actions, func(a scheduler.Action) bool { _, answers := a.(scheduler.PushBack); return answers })
+		actions = slices.DeleteFunc(actions, func(a scheduler.Action) bool { _, answers := a.(scheduler.Reject); return answers })
 	}
 	return actions
 }
--- a/internal/testbed/modelcheck/judge.go
+++ b/internal/testbed/modelcheck/judge.go
@@ -10,7 +10,7 @@
 
 // Judge follows all placers of a fleet. Each table holds the containers, bids and machines of one order.
 type Judge struct {
-	terms   scheduler.Terms
+	terms   scheduler.Config
 	grace   scheduler.Time // in which bids may still go to a machine that is heard to drain
 	lives   []*life
 	Breaks  []string
@@ -25,7 +25,7 @@
 }
 
 type container struct {
-	ask      scheduler.Ask
+	ask      scheduler.PlacementRequest
 	bids     []*bid
 	answered bool
 	closed   bool // nothing is owed any more
@@ -43,7 +43,7 @@
 }
 
 type machine struct {
-	scheduler.Entry
+	scheduler.MachineEntry
 	named bool
 	shut  scheduler.Time // since when it is heard to drain or to be gone
 	heard scheduler.Time // when its present start was heard of
@@ -55,7 +55,7 @@
 }
 
 // NewJudge is for placers of the same terms, but for their number.
-func NewJudge(t scheduler.Terms, placers int, grace scheduler.Time) *Judge {
+func NewJudge(t scheduler.Config, placers int, grace scheduler.Time) *Judge {
 	j := &Judge{terms: t, grace: grace}
 	for range placers {
 		j.lives = append(j.lives, newLife())
@@ -83,21 +83,21 @@
 func (j *Judge) In(who int, now scheduler.Time, e scheduler.Event) {
 	l := j.lives[who]
 	switch e := e.(type) {
-	case scheduler.ListCame:
+	case scheduler.MachineListUpdate:
 		l.listed(now, e)
-	case scheduler.Asked:
-		l.containers[e.ID] = &container{ask: e.Ask}
-	case scheduler.TookOver:
-		c := &container{ask: e.Ask, answered: true, closed: true, running: true}
+	case scheduler.RequestReceived:
+		l.containers[e.ID] = &container{ask: e.PlacementRequest}
+	case scheduler.ContainerAdopted:
+		c := &container{ask: e.PlacementRequest, answered: true, closed: true, running: true}
 		b := &bid{to: e.Machine, out: true, mayRun: true}
 		b.stands(l.machines[e.Machine])
 		c.bids = []*bid{b}
 		l.containers[e.ID] = c
-	case scheduler.Placed:
+	case scheduler.AttemptAccepted:
 		if c := l.containers[e.ID]; c != nil {
 			c.answered, c.running = true, true
 		}
-	case scheduler.Ended:
+	case scheduler.AttemptEnded:
 		c := l.containers[e.ID]
 		if c == nil {
 			return
@@ -106,23 +106,23 @@
 		for _, b := range c.bids {
 			if b.out {
 				b.out = false
-				b.mayRun = e.Outcome != scheduler.Full && e.Outcome != scheduler.NoConnect && e.Outcome != scheduler.NotSent
+				b.mayRun = e.Outcome != scheduler.OutcomeFull && e.Outcome != scheduler.OutcomeConnectFailed && e.Outcome != scheduler.OutcomeNotSent
 			}
 		}
-		if e.Over {
+		if e.Final {
 			c.answered, c.closed = true, true
 		} else if !c.closed {
 			c.answered = false // a yes that crossed a withdrawal answers nothing
 		}
-	case scheduler.Vanished:
+	case scheduler.ContainerRemoved:
 		if c := l.containers[e.ID]; c != nil {
 			c.answered, c.closed = true, true
 		}
 	}
 }
 
-func (l *life) listed(now scheduler.Time, e scheduler.ListCame) {
-	if e.Mode == scheduler.ListFailed {
+func (l *life) listed(now scheduler.Time, e scheduler.MachineListUpdate) {
+	if e.Mode == scheduler.UpdateFailed {
 		return
 	}
 	named := map[scheduler.MachineID]bool{}
@@ -136,16 +136,16 @@
 		if !m.named || m.StartedAt != n.StartedAt {
 			m.heard = now
 		}
-		if n.State == scheduler.Serving {
+		if n.State == scheduler.MachineServing {
 			m.shut = 0
 		} else if m.shut == 0 {
 			m.shut = max(1, now)
 		}
-		m.Entry, m.named = n, true
+		m.MachineEntry, m.named = n, true
 	}
 	for id, m := range l.machines {
-		if e.Mode != scheduler.Changes && !named[id] && m.shut == 0 {
-			m.State, m.shut = scheduler.Gone, max(1, now)
+		if e.Mode != scheduler.DeltaUpdate && !named[id] && m.shut == 0 {
+			m.State, m.shut = scheduler.MachineGone, max(1, now)
 		}
 	}
 	for _, c := range l.containers {
@@ -159,17 +159,17 @@
 
 func (b *bid) stands(m *machine) {
 	if b.unnamed = m == nil; m != nil {
-		b.zone, b.cell = m.Zone, m.Cell
+		b.zone, b.cell = m.Zone, m.RackGroup
 	}
 }
 
-func (b *bid) shares(o *bid, p scheduler.Place) bool {
+func (b *bid) shares(o *bid, p scheduler.Scope) bool {
 	switch p {
-	case scheduler.Everywhere:
+	case scheduler.ScopeFleet:
 		return true
-	case scheduler.OneZone:
+	case scheduler.ScopeZone:
 		return b.unnamed || o.unnamed || b.zone == o.zone
-	case scheduler.OneCell:
+	case scheduler.ScopeRackGroup:
 		return b.unnamed || o.unnamed || b.cell == o.cell
 	}
 	return b.to == o.to
@@ -179,13 +179,13 @@
 func (j *Judge) Out(who int, now scheduler.Time, a scheduler.Action) {
 	l := j.lives[who]
 	switch a := a.(type) {
-	case scheduler.Bid:
+	case scheduler.StartAttempt:
 		j.bid(l, now, a)
 	case scheduler.Probe:
 		j.cold(l, a.Machine, now)
-	case scheduler.PushBack:
+	case scheduler.Reject:
 		j.answer(l, a.ID, true)
-	case scheduler.GiveUp:
+	case scheduler.Fail:
 		j.answer(l, a.ID, false)
 	}
 }
@@ -197,16 +197,16 @@
 		return
 	}
 	c.answered, c.closed = true, true
-	w := j.terms.Workloads[c.ask.Workload]
+	w := j.terms.WorkloadClasses[c.ask.WorkloadClass]
 	for _, b := range c.bids {
-		safe := w.Effect == scheduler.Reissuable || w.Effect == scheduler.Numbered && w.Repeats == scheduler.Everywhere
+		safe := w.Idempotency == scheduler.Idempotent || w.Idempotency == scheduler.IdempotentWithKey && w.DedupScope == scheduler.ScopeFleet
 		if promises && !safe && (b.out || b.mayRun) {
 			j.broken(2, "%s is pushed back, and may run on %s", id, b.to)
 		}
 	}
 }
 
-func (j *Judge) bid(l *life, now scheduler.Time, a scheduler.Bid) {
+func (j *Judge) bid(l *life, now scheduler.Time, a scheduler.StartAttempt) {
 	c, m := l.containers[a.ID], l.machines[a.Machine]
 	if c == nil || c.answered || c.closed {
 		j.broken(1, "%s is bid to %s, and is closed", a.ID, a.Machine)
@@ -220,7 +220,7 @@
 	if m.shut > 0 && now > m.shut+j.grace {
 		j.broken(3, "%s is bid to %s, heard %d ms ago to drain or to be gone", a.ID, a.Machine, (now-m.shut)/scheduler.Millisecond)
 	}
-	w := j.terms.Workloads[c.ask.Workload]
+	w := j.terms.WorkloadClasses[c.ask.WorkloadClass]
 	n := &bid{to: a.Machine, at: now, out: true}
 	n.stands(m)
 	var first *bid
@@ -236,25 +236,25 @@
 		}
 	}
 	switch {
-	case first == nil || w.Effect == scheduler.Reissuable:
-	case w.Effect == scheduler.AtMostOnce:
+	case first == nil || w.Idempotency == scheduler.Idempotent:
+	case w.Idempotency == scheduler.AtMostOnce:
 		j.broken(2, "%s is bid to %s, and may have run on %s", a.ID, a.Machine, first.to)
-	case !n.shares(first, w.Repeats) || now >= first.at+w.Window:
+	case !n.shares(first, w.DedupScope) || now >= first.at+w.DedupWindow:
 		j.broken(2, "%s is bid to %s, outside the group or window of %s", a.ID, a.Machine, first.to)
 	}
 	c.bids = append(c.bids, n)
 	j.cold(l, a.Machine, now)
-	if w.Spread != scheduler.Nowhere {
+	if w.SpreadScope != scheduler.ScopeNone {
 		held := 0
 		for _, o := range l.containers {
 			for _, b := range o.bids {
-				if o.ask.Service == c.ask.Service && b.out && b.shares(n, w.Spread) {
+				if o.ask.Service == c.ask.Service && b.out && b.shares(n, w.SpreadScope) {
 					held++
 				}
 			}
 		}
-		if held > w.Most {
-			j.broken(5, "%s is bid to %s: %d of %s there, %d may be", a.ID, a.Machine, held, c.ask.Service, w.Most)
+		if held > w.MaxPerScope {
+			j.broken(5, "%s is bid to %s: %d of %s there, %d may be", a.ID, a.Machine, held, c.ask.Service, w.MaxPerScope)
 		}
 	}
 }
@@ -263,7 +263,7 @@
 // heard of, and the others for what they sent since they heard.
 func (j *Judge) cold(l *life, id scheduler.MachineID, now scheduler.Time) {
 	m := l.machines[id]
-	knows := m != nil && m.StartedAt > 0 && now < m.StartedAt+j.terms.ColdFor
+	knows := m != nil && m.StartedAt > 0 && now < m.StartedAt+j.terms.SlowStartPeriod
 	l.ran[id] = append(l.ran[id], send{now, knows})
 	if !knows {
 		return
@@ -271,13 +271,13 @@
 	n := 0
 	for _, o := range j.lives {
 		for _, s := range o.ran[id] {
-			if s.at > now-j.terms.ColdWindow && s.at >= m.StartedAt && (s.informed || o == l) {
+			if s.at > now-j.terms.SlowStartWindow && s.at >= m.StartedAt && (s.informed || o == l) {
 				n++
 			}
 		}
 	}
-	if n > j.terms.ColdBids {
-		j.broken(4, "cold %s gets %d in a window, and bears %d", id, n, j.terms.ColdBids)
+	if n > j.terms.SlowStartBudget {
+		j.broken(4, "cold %s gets %d in a window, and bears %d", id, n, j.terms.SlowStartBudget)
 	}
 }
 
@@ -285,8 +285,8 @@
 func (j *Judge) At(now scheduler.Time) {
 	for _, l := range j.lives {
 		for id, c := range l.containers {
-			if !c.answered && now > c.ask.Due+j.terms.AnswerGrace {
-				j.broken(1, "%s has no answer %d ms after its hard stop", id, (now-c.ask.Due)/scheduler.Millisecond)
+			if !c.answered && now > c.ask.Deadline+j.terms.AnswerGrace {
+				j.broken(1, "%s has no answer %d ms after its hard stop", id, (now-c.ask.Deadline)/scheduler.Millisecond)
 				c.answered = true
 			}
 		}
--- a/internal/testbed/modelcheck/orders.go
+++ b/internal/testbed/modelcheck/orders.go
@@ -18,20 +18,20 @@
 
 // World is a tiny fleet in which events are possible or not. A new one is made for each order.
 type World struct {
-	Terms   scheduler.Terms
+	Terms   scheduler.Config
 	Placers int
 	Grace   scheduler.Time // of drains
-	Fleet   []scheduler.Entry
-	Asks    []scheduler.Ask // Due is the time to the hard stop
-	Words   []string        // the events to be put in order, as Possible tells them
-	Joined  bool            // two events may also come in one batch
-	Make    func(t scheduler.Terms) Decider
+	Fleet   []scheduler.MachineEntry
+	Asks    []scheduler.PlacementRequest // Due is the time to the hard stop
+	Words   []string                     // the events to be put in order, as Possible tells them
+	Joined  bool                         // two events may also come in one batch
+	Make    func(t scheduler.Config) Decider
 
 	now     scheduler.Time
 	judge   *Judge
 	made    []Decider
 	timers  [][]timer
-	fleet   map[scheduler.MachineID]*scheduler.Entry // as it is, of which the placers hear in their lists
+	fleet   map[scheduler.MachineID]*scheduler.MachineEntry // as it is, of which the placers hear in their lists
 	at      map[scheduler.ContainerID]*out
 	probes  []map[scheduler.MachineID]scheduler.Time // of each placer, those out, until when they are answered
 	version int64
@@ -44,8 +44,8 @@
 	name string
 }
 
-var outcomes = map[string]scheduler.Outcome{"full": scheduler.Full, "timeout": scheduler.TimedOut, "reset": scheduler.Reset, "erred": scheduler.Erred,
-	"unsent": scheduler.NotSent, "over": scheduler.Finished, "lost": scheduler.Reset, "crossed": scheduler.Stopped}
+var outcomes = map[string]scheduler.Outcome{"full": scheduler.OutcomeFull, "timeout": scheduler.OutcomeTimedOut, "reset": scheduler.OutcomeLost, "erred": scheduler.OutcomeErrored,
+	"unsent": scheduler.OutcomeNotSent, "over": scheduler.OutcomeFinished, "lost": scheduler.OutcomeLost, "crossed": scheduler.OutcomeStopped}
 
 const probe = "probe " // before the machine, as the name of a timer
 
@@ -54,7 +54,7 @@
 	placer int
 	to     scheduler.MachineID
 	runs   bool
-	ask    scheduler.Ask
+	ask    scheduler.PlacementRequest
 }
 
 // Result is what came of all orders.
@@ -128,24 +128,24 @@
 
 func (w *World) begin() {
 	w.now, w.judge = 100*scheduler.Second, NewJudge(w.Terms, w.Placers, w.Grace)
-	w.fleet, w.at = map[scheduler.MachineID]*scheduler.Entry{}, map[scheduler.ContainerID]*out{}
+	w.fleet, w.at = map[scheduler.MachineID]*scheduler.MachineEntry{}, map[scheduler.ContainerID]*out{}
 	w.timers, w.probes = make([][]timer, w.Placers), make([]map[scheduler.MachineID]scheduler.Time, w.Placers)
 	for _, e := range w.Fleet {
 		w.fleet[e.Machine] = &e
 	}
 	for i := range w.Placers {
 		t := w.Terms
-		t.Me, t.Placers = i, w.Placers
+		t.SchedulerIndex, t.SchedulerCount = i, w.Placers
 		w.made, w.probes[i] = append(w.made, w.Make(t)), map[scheduler.MachineID]scheduler.Time{}
-		w.give(i, scheduler.ListCame{Mode: scheduler.OldList, Entries: w.entries()})
+		w.give(i, scheduler.MachineListUpdate{Mode: scheduler.RestoredSnapshot, Entries: w.entries()})
 	}
-	w.pass(w.Terms.ColdWindow + w.Terms.ColdWindow/4) // so that they may send to cold machines
+	w.pass(w.Terms.SlowStartWindow + w.Terms.SlowStartWindow/4) // so that they may send to cold machines
 }
 
-func (w *World) entries() []scheduler.Entry {
-	var all []scheduler.Entry
+func (w *World) entries() []scheduler.MachineEntry {
+	var all []scheduler.MachineEntry
 	for _, e := range w.Fleet {
-		if n := w.fleet[e.Machine]; n.State != scheduler.Gone {
+		if n := w.fleet[e.Machine]; n.State != scheduler.MachineGone {
 			all = append(all, *n)
 		}
 	}
@@ -173,11 +173,11 @@
 		case "echo":
 			ok = w.probes[0][m.Machine] > 0
 		case "drain":
-			ok = m.State == scheduler.Serving
+			ok = m.State == scheduler.MachineServing
 		case "leave":
-			ok = m.State != scheduler.Gone
+			ok = m.State != scheduler.MachineGone
 		case "back":
-			ok = m.State != scheduler.Serving
+			ok = m.State != scheduler.MachineServing
 		default: // restart, found, wait, list, failed, dies, forgets
 			ok = true
 		}
@@ -206,57 +206,57 @@
 			w.bring(i, e, hold)
 		}
 	}
-	tell := func(mode scheduler.ListMode, entries ...scheduler.Entry) {
+	tell := func(mode scheduler.UpdateMode, entries ...scheduler.MachineEntry) {
 		w.version++
-		all(scheduler.ListCame{Mode: mode, Version: w.version, Entries: entries})
+		all(scheduler.MachineListUpdate{Mode: mode, Version: w.version, Entries: entries})
 	}
 	switch f[0] {
 	case "ask":
 		a := w.Asks[w.ask]
-		a.Due += w.now
-		w.bring(w.ask%w.Placers, scheduler.Asked{Ask: a}, hold)
+		a.Deadline += w.now
+		w.bring(w.ask%w.Placers, scheduler.RequestReceived{PlacementRequest: a}, hold)
 		w.ask++
 	case "found": // a container that runs there comes to the first placer
-		w.bring(0, scheduler.TookOver{Ask: scheduler.Ask{ID: scheduler.ContainerID(fmt.Sprint("o", w.now)), Service: w.Asks[0].Service,
-			Workload: w.Asks[0].Workload, Cores: 1, Memory: 1}, Machine: on}, hold)
+		w.bring(0, scheduler.ContainerAdopted{PlacementRequest: scheduler.PlacementRequest{ID: scheduler.ContainerID(fmt.Sprint("o", w.now)), Service: w.Asks[0].Service,
+			WorkloadClass: w.Asks[0].WorkloadClass, Cores: 1, Memory: 1}, Machine: on}, hold)
 	case "yes":
 		if at := w.at[id]; at != nil {
 			at.runs = true
-			w.bring(at.placer, scheduler.Placed{ID: id, Machine: at.to}, hold)
+			w.bring(at.placer, scheduler.AttemptAccepted{ID: id, Machine: at.to}, hold)
 		}
 	case "full", "timeout", "reset", "erred", "unsent", "over", "lost", "crossed":
 		if at := w.at[id]; at != nil {
 			delete(w.at, id)
-			w.bring(at.placer, scheduler.Ended{ID: id, Outcome: outcomes[f[0]], Machine: at.to, Over: f[0] == "over" || f[0] == "lost"}, hold)
+			w.bring(at.placer, scheduler.AttemptEnded{ID: id, Outcome: outcomes[f[0]], Machine: at.to, Final: f[0] == "over" || f[0] == "lost"}, hold)
 		}
 	case "withdraw":
 		if at := w.at[id]; at != nil {
-			w.bring(at.placer, scheduler.Vanished{ID: id}, hold)
+			w.bring(at.placer, scheduler.ContainerRemoved{ID: id}, hold)
 		}
 	case "note":
-		w.bring(0, scheduler.Noted{ID: id, Sort: scheduler.MemoryUsed, Amount: 2}, hold)
+		w.bring(0, scheduler.UsageReported{ID: id, Metric: scheduler.MetricMemoryUsed, Value: 2}, hold)
 	case "echo":
 		delete(w.probes[0], on)
-		w.bring(0, scheduler.Probed{Machine: on}, hold)
+		w.bring(0, scheduler.ProbeCompleted{Machine: on}, hold)
 	case "drain", "leave", "back", "restart":
 		m := w.fleet[on]
 		switch f[0] {
 		case "drain":
-			m.State = scheduler.Draining
+			m.State = scheduler.MachineDraining
 		case "leave":
-			m.State = scheduler.Gone
+			m.State = scheduler.MachineGone
 		case "back":
-			m.State = scheduler.Serving
+			m.State = scheduler.MachineServing
 		case "restart":
-			m.State, m.StartedAt = scheduler.Serving, w.now
+			m.State, m.StartedAt = scheduler.MachineServing, w.now
 		}
 		if len(f) == 2 { // else it is heard of with the next list
-			tell(scheduler.Changes, *m)
+			tell(scheduler.DeltaUpdate, *m)
 		}
 	case "list":
-		tell(scheduler.WholeList, w.entries()...)
+		tell(scheduler.FullSnapshot, w.entries()...)
 	case "failed":
-		tell(scheduler.ListFailed)
+		tell(scheduler.UpdateFailed)
 	case "wait":
 		w.pass(scheduler.Second)
 	case "dies", "forgets":
@@ -267,7 +267,7 @@
 // dies ends the first placer; its next life knows what it learned, or nothing.
 func (w *World) dies(knows bool) {
 	t := w.Terms
-	t.Placers = w.Placers
+	t.SchedulerCount = w.Placers
 	old, young := w.made[0], w.Make(t)
 	w.judge.Restarted(0)
 	w.made[0], w.timers[0], w.probes[0] = young, nil, map[scheduler.MachineID]scheduler.Time{}
@@ -278,9 +278,9 @@
 		}
 	}
 	sort.Slice(ids, func(i, k int) bool { return ids[i] < ids[k] })
-	w.give(0, scheduler.ListCame{Mode: scheduler.OldList, Entries: w.entries()})
-	if k, ok := old.(interface{ Knows() scheduler.Knowledge }); ok && knows {
-		young.(interface{ Recall(scheduler.Knowledge) }).Recall(k.Knows())
+	w.give(0, scheduler.MachineListUpdate{Mode: scheduler.RestoredSnapshot, Entries: w.entries()})
+	if k, ok := old.(interface{ Snapshot() scheduler.Snapshot }); ok && knows {
+		young.(interface{ Restore(scheduler.Snapshot) }).Restore(k.Snapshot())
 	}
 	for _, id := range ids {
 		at := w.at[id]
@@ -288,7 +288,7 @@
 			delete(w.at, id)
 			continue
 		}
-		w.give(0, scheduler.TookOver{Ask: at.ask, Machine: at.to})
+		w.give(0, scheduler.ContainerAdopted{PlacementRequest: at.ask, Machine: at.to})
 	}
 }
 
@@ -310,7 +310,7 @@
 	for _, a := range w.made[who].Handle(w.now, events) {
 		w.judge.Out(who, w.now, a)
 		switch a := a.(type) {
-		case scheduler.Bid:
+		case scheduler.StartAttempt:
 			w.at[a.ID] = &out{placer: who, to: a.Machine}
 			if c := w.judge.lives[who].containers[a.ID]; c != nil {
 				w.at[a.ID].ask = c.ask
@@ -318,7 +318,7 @@
 		case scheduler.Probe:
 			w.probes[who][a.Machine] = w.now + scheduler.Second
 			w.timers[who] = append(w.timers[who], timer{w.now + scheduler.Second, probe + string(a.Machine)})
-		case scheduler.Wake:
+		case scheduler.SetTimer:
 			w.timers[who] = append(w.timers[who], timer{w.now + a.After, a.Name})
 		}
 	}
@@ -348,10 +348,10 @@
 		w.timers[who] = append(w.timers[who][:k:k], w.timers[who][k+1:]...)
 		w.now = max(w.now, t.at)
 		if m, ok := strings.CutPrefix(t.name, probe); !ok {
-			w.give(who, scheduler.Woke{Name: t.name})
+			w.give(who, scheduler.TimerFired{Name: t.name})
 		} else if on := scheduler.MachineID(m); w.probes[who][on] == t.at {
 			delete(w.probes[who], on)
-			w.give(who, scheduler.Probed{Machine: on, Outcome: scheduler.TimedOut})
+			w.give(who, scheduler.ProbeCompleted{Machine: on, Outcome: scheduler.OutcomeTimedOut})
 		}
 	}
 	w.judge.At(w.now)
@@ -361,13 +361,13 @@
 func (w *World) end() {
 	longest := scheduler.Time(0)
 	for _, a := range w.Asks {
-		longest = max(longest, a.Due)
+		longest = max(longest, a.Deadline)
 	}
 	w.pass(longest + w.Terms.AnswerGrace + Step)
 	for _, a := range w.Asks {
 		if at := w.at[a.ID]; at != nil && !at.runs {
 			delete(w.at, a.ID)
-			w.give(at.placer, scheduler.Ended{ID: a.ID, Outcome: scheduler.TimedOut, Machine: at.to})
+			w.give(at.placer, scheduler.AttemptEnded{ID: a.ID, Outcome: scheduler.OutcomeTimedOut, Machine: at.to})
 		}
 	}
 	w.judge.At(w.now)
--- a/internal/testbed/modelcheck/orders_test.go
+++ b/internal/testbed/modelcheck/orders_test.go
@@ -10,26 +10,26 @@
 
 // tiny has machines a and b in one hall and c in another, and three workloads of the three effects.
 func tiny() World {
-	w := World{Placers: 1, Grace: 250 * scheduler.Millisecond, Make: func(t scheduler.Terms) Decider { return scheduler.New(t) },
-		Terms: scheduler.Terms{Seed: 7, AcceptCores: 2, AcceptMemory: 2, MeanCores: 1, MeanMemory: 1, MayProbe: true, MostBids: 4,
-			Placers: 1, Kinds: []scheduler.Kind{{Cores: 10, Memory: 10}}, ColdFor: 10 * scheduler.Second, ColdWindow: 2 * scheduler.Second,
-			ColdBids: 2, AnswerGrace: 10 * scheduler.Millisecond, AskWithin: 10 * scheduler.Second}}
-	for _, l := range []scheduler.Workload{{Effect: scheduler.Reissuable}, {Effect: scheduler.Numbered, Repeats: scheduler.OneZone, Window: scheduler.Second},
-		{Effect: scheduler.AtMostOnce}, {Effect: scheduler.Reissuable, Spread: scheduler.OneZone, Most: 1},
-		{Effect: scheduler.Numbered, Repeats: scheduler.Everywhere, Window: scheduler.Second}} {
-		l.Kind, l.Agreed, l.HardStop, l.Gain = -1, scheduler.Second, 3*scheduler.Second, 1
-		w.Terms.Workloads = append(w.Terms.Workloads, l)
+	w := World{Placers: 1, Grace: 250 * scheduler.Millisecond, Make: func(t scheduler.Config) Decider { return scheduler.New(t) },
+		Terms: scheduler.Config{Seed: 7, CoresOvercommit: 2, MemoryOvercommit: 2, MeanCores: 1, MeanMemory: 1, ProbesAllowed: true, MaxAttempts: 4,
+			SchedulerCount: 1, MachineTypes: []scheduler.MachineType{{Cores: 10, Memory: 10}}, SlowStartPeriod: 10 * scheduler.Second, SlowStartWindow: 2 * scheduler.Second,
+			SlowStartBudget: 2, AnswerGrace: 10 * scheduler.Millisecond, ResyncInterval: 10 * scheduler.Second}}
+	for _, l := range []scheduler.WorkloadClass{{Idempotency: scheduler.Idempotent}, {Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeZone, DedupWindow: scheduler.Second},
+		{Idempotency: scheduler.AtMostOnce}, {Idempotency: scheduler.Idempotent, SpreadScope: scheduler.ScopeZone, MaxPerScope: 1},
+		{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeFleet, DedupWindow: scheduler.Second}} {
+		l.MachineType, l.LatencyObjective, l.PlacementTimeout, l.PriorityWeight = -1, scheduler.Second, 3*scheduler.Second, 1
+		w.Terms.WorkloadClasses = append(w.Terms.WorkloadClasses, l)
 	}
 	for i, id := range []scheduler.MachineID{"a", "b", "c"} {
-		w.Fleet = append(w.Fleet, scheduler.Entry{Machine: id, Zone: i / 2, Cell: i, FreeCores: 10, FreeMemory: 10})
+		w.Fleet = append(w.Fleet, scheduler.MachineEntry{Machine: id, Zone: i / 2, RackGroup: i, FreeCores: 10, FreeMemory: 10})
 	}
 	return w
 }
 
 func (w World) asking(workloads ...int) World {
 	for i, l := range workloads {
-		w.Asks = append(w.Asks, scheduler.Ask{ID: scheduler.ContainerID(string(rune('x' + i))), Service: "s", Workload: l, Cores: 1, Memory: 1,
-			Due: 3 * scheduler.Second})
+		w.Asks = append(w.Asks, scheduler.PlacementRequest{ID: scheduler.ContainerID(string(rune('x' + i))), Service: "s", WorkloadClass: l, Cores: 1, Memory: 1,
+			Deadline: 3 * scheduler.Second})
 	}
 	return w
 }
@@ -42,7 +42,7 @@
 // pair has two placers and one machine.
 func pair() World {
 	w := tiny()
-	w.Placers, w.Fleet = 2, []scheduler.Entry{w.Fleet[0]}
+	w.Placers, w.Fleet = 2, []scheduler.MachineEntry{w.Fleet[0]}
 	return w
 }
 
@@ -93,7 +93,7 @@
 		tiny().asking(3, 3).of("found a, found c, ask"),
 	} {
 		t.Run(fmt.Sprint("rule ", rule+1), func(t *testing.T) {
-			world.Make = func(t scheduler.Terms) Decider { return Breaker{scheduler.New(t), rule + 1} }
+			world.Make = func(t scheduler.Config) Decider { return Breaker{scheduler.New(t), rule + 1} }
 			r := Run(world, 6)
 			want := fmt.Sprintf("rule %d: ", rule+1)
 			if len(r.Rules) == 0 || !strings.HasPrefix(r.Rules[0], want) {
--- a/internal/testbed/scenario/cluster.go
+++ b/internal/testbed/scenario/cluster.go
@@ -199,7 +199,7 @@
 		return nil, err
 	}
 	terms := c.Site.Terms
-	terms.Placers = d.Placers
+	terms.SchedulerCount = d.Placers
 	if c.record, err = faultproxy.Create(filepath.Join(dir, "record"), faultproxy.Header{Terms: terms,
 		DrainGrace: d.DrainGrace, Slack: d.Slack}); err != nil {
 		return nil, err
--- a/internal/testbed/scenario/day.go
+++ b/internal/testbed/scenario/day.go
@@ -189,7 +189,7 @@
 			return nil, src.At(w.Workload.Place, "work needs services, and as many memories as cores")
 		}
 		x := emulator.Work{Share: w.Share.Value, Services: w.Services.Value, Life: span(w.Life), Again: w.Again.Value,
-			AgainLost: w.AgainLost.Value, HardStop: time.Duration(s.Terms.Workloads[n].HardStop) * 100 * time.Microsecond}
+			AgainLost: w.AgainLost.Value, HardStop: time.Duration(s.Terms.WorkloadClasses[n].PlacementTimeout) * 100 * time.Microsecond}
 		for i := range w.Cores {
 			x.Cores, x.Memory = append(x.Cores, w.Cores[i].Value), append(x.Memory, w.Memory[i].GiB)
 		}
@@ -218,22 +218,22 @@
 		byName[k] = i
 	}
 	var needs, rank []int
-	for _, w := range s.Terms.Workloads {
-		needs = append(needs, w.Kind)
-		rank = append(rank, int(w.Gain*100))
+	for _, w := range s.Terms.WorkloadClasses {
+		needs = append(needs, w.MachineType)
+		rank = append(rank, int(w.PriorityWeight*100))
 	}
 	for z, hall := range d.Halls {
 		for _, c := range d.Counts {
 			for i := range c.each {
 				m := d.Machine
 				n := byName[c.kind]
-				k := s.Terms.Kinds[n]
+				k := s.Terms.MachineTypes[n]
 				m.Name, m.Zone, m.ZoneN, m.KindN = fmt.Sprintf("%s-%s-%d", hall, c.kind, i), hall, z, n
 				m.CellN = z*1000 + i/4
-				m.Cores, m.Memory, m.AcceptCores, m.AcceptMemory = k.Cores, k.Memory, s.Terms.AcceptCores, s.Terms.AcceptMemory
-				m.ColdFor = time.Duration(s.Terms.ColdFor) * 100 * time.Microsecond
-				m.ColdWindow = time.Duration(s.Terms.ColdWindow) * 100 * time.Microsecond
-				m.YesRuns, m.TellUse, m.NeedsKind, m.Rank = s.Terms.YesRuns, s.Terms.UseNotes, needs, rank
+				m.Cores, m.Memory, m.AcceptCores, m.AcceptMemory = k.Cores, k.Memory, s.Terms.CoresOvercommit, s.Terms.MemoryOvercommit
+				m.ColdFor = time.Duration(s.Terms.SlowStartPeriod) * 100 * time.Microsecond
+				m.ColdWindow = time.Duration(s.Terms.SlowStartWindow) * 100 * time.Microsecond
+				m.YesRuns, m.TellUse, m.NeedsKind, m.Rank = s.Terms.AcceptMeansRunning, s.Terms.UsageReports, needs, rank
 				all = append(all, m)
 			}
 		}
--- a/internal/testbed/scenario/sim.go
+++ b/internal/testbed/scenario/sim.go
@@ -33,7 +33,7 @@
 	seq     uint64
 	events  simEvents
 	rng     *rand.Rand
-	terms   scheduler.Terms
+	terms   scheduler.Config
 	placers []*simPlacer
 	fleet   []*simMachine
 	byID    map[scheduler.MachineID]*simMachine
@@ -124,9 +124,9 @@
 
 type simPlacer struct {
 	w      *World
-	terms  scheduler.Terms
+	terms  scheduler.Config
 	life   int
-	module *scheduler.Placer
+	module *scheduler.Scheduler
 	door   *overload.Door
 	open   map[scheduler.ContainerID]*simOpen
 }
@@ -153,23 +153,23 @@
 }
 
 // simTerms are a small site's.
-func simTerms(w *World) scheduler.Terms {
-	return scheduler.Terms{Placers: w.Placers, AcceptCores: 2, AcceptMemory: 1.5, MeanCores: 1, MeanMemory: 2, YesRuns: true,
-		ListedAsks: false, MayProbe: true, MostBids: 4, AnswerGrace: 50 * scheduler.Millisecond, AskWithin: 10 * scheduler.Second,
-		ColdFor: 10 * scheduler.Second, ColdWindow: scheduler.Second, ColdBids: 0,
-		Kinds: []scheduler.Kind{{Cores: 48, Memory: 120}},
-		Workloads: []scheduler.Workload{
-			{Effect: scheduler.Reissuable, Agreed: 300 * scheduler.Millisecond, HardStop: 4 * scheduler.Second, Kind: -1, Gain: 1},
-			{Effect: scheduler.Numbered, Repeats: scheduler.OneZone, Window: 4 * scheduler.Second, Agreed: 300 * scheduler.Millisecond,
-				HardStop: 4 * scheduler.Second, Kind: -1, Gain: 2},
-			{Effect: scheduler.AtMostOnce, Agreed: 500 * scheduler.Millisecond, HardStop: 4 * scheduler.Second, Kind: -1, Gain: 4}}}
+func simTerms(w *World) scheduler.Config {
+	return scheduler.Config{SchedulerCount: w.Placers, CoresOvercommit: 2, MemoryOvercommit: 1.5, MeanCores: 1, MeanMemory: 2, AcceptMeansRunning: true,
+		ListTracksRequests: false, ProbesAllowed: true, MaxAttempts: 4, AnswerGrace: 50 * scheduler.Millisecond, ResyncInterval: 10 * scheduler.Second,
+		SlowStartPeriod: 10 * scheduler.Second, SlowStartWindow: scheduler.Second, SlowStartBudget: 0,
+		MachineTypes: []scheduler.MachineType{{Cores: 48, Memory: 120}},
+		WorkloadClasses: []scheduler.WorkloadClass{
+			{Idempotency: scheduler.Idempotent, LatencyObjective: 300 * scheduler.Millisecond, PlacementTimeout: 4 * scheduler.Second, MachineType: -1, PriorityWeight: 1},
+			{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeZone, DedupWindow: 4 * scheduler.Second, LatencyObjective: 300 * scheduler.Millisecond,
+				PlacementTimeout: 4 * scheduler.Second, MachineType: -1, PriorityWeight: 2},
+			{Idempotency: scheduler.AtMostOnce, LatencyObjective: 500 * scheduler.Millisecond, PlacementTimeout: 4 * scheduler.Second, MachineType: -1, PriorityWeight: 4}}}
 }
 
 // Run plays the world to its end.
 func (w *World) Run() {
 	w.rng = rand.New(rand.NewPCG(w.Seed, 41))
 	w.terms = simTerms(w)
-	w.terms.ColdBids = 60 // in a window, from all placers
+	w.terms.SlowStartBudget = 60 // in a window, from all placers
 	w.byID = map[scheduler.MachineID]*simMachine{}
 	w.Seconds = make([]SimSecond, int(w.Length/scheduler.Second)+1)
 	for i := range w.Machines {
@@ -178,7 +178,7 @@
 	}
 	for i := range w.Placers {
 		t := w.terms
-		t.Me, t.Seed = i, w.Seed*1000+uint64(i)
+		t.SchedulerIndex, t.Seed = i, w.Seed*1000+uint64(i)
 		p := &simPlacer{w: w, terms: t}
 		w.placers = append(w.placers, p)
 		p.begin()
@@ -201,17 +201,17 @@
 	}
 }
 
-func (w *World) list(only map[scheduler.MachineID]bool) []scheduler.Entry {
-	var all []scheduler.Entry
+func (w *World) list(only map[scheduler.MachineID]bool) []scheduler.MachineEntry {
+	var all []scheduler.MachineEntry
 	for i, m := range w.fleet {
 		if only != nil && !only[m.id] {
 			continue
 		}
-		s := scheduler.Serving
+		s := scheduler.MachineServing
 		if !m.up {
-			s = scheduler.Gone
+			s = scheduler.MachineGone
 		}
-		all = append(all, scheduler.Entry{Machine: m.id, Zone: i % 3, Cell: i / 4, State: s, StartedAt: m.started})
+		all = append(all, scheduler.MachineEntry{Machine: m.id, Zone: i % 3, RackGroup: i / 4, State: s, StartedAt: m.started})
 	}
 	return all
 }
@@ -226,7 +226,7 @@
 	}
 	tell := func() {
 		for _, p := range w.placers {
-			p.feed(scheduler.ListCame{Mode: scheduler.Changes, Entries: w.list(which)})
+			p.feed(scheduler.MachineListUpdate{Mode: scheduler.DeltaUpdate, Entries: w.list(which)})
 		}
 	}
 	w.after(scheduler.Second, tell)
@@ -285,10 +285,10 @@
 		w.Honored++
 	}
 	id := scheduler.ContainerID(fmt.Sprintf("%d#%d", c.n, c.tries))
-	due := w.now + w.terms.Workloads[c.work].HardStop
+	due := w.now + w.terms.WorkloadClasses[c.work].PlacementTimeout
 	p.open[id] = &simOpen{c: c, asked: w.now, due: due}
-	p.feed(scheduler.Asked{Ask: scheduler.Ask{ID: id, Key: fmt.Sprint(c.n), Service: fmt.Sprint("s", c.work, "-", c.n%60), Workload: c.work,
-		Cores: 0.5, Memory: 1, Due: due, Again: c.tries > 1}})
+	p.feed(scheduler.RequestReceived{PlacementRequest: scheduler.PlacementRequest{ID: id, IdempotencyKey: fmt.Sprint(c.n), Service: fmt.Sprint("s", c.work, "-", c.n%60), WorkloadClass: c.work,
+		Cores: 0.5, Memory: 1, Deadline: due, ClientRetry: c.tries > 1}})
 }
 
 // back is what a client does that was turned away: it keeps its appointment where it was given one and obeys.
@@ -316,15 +316,15 @@
 	p.module, p.open = scheduler.New(p.terms), map[scheduler.ContainerID]*simOpen{}
 	if w.Damping == Damped {
 		s := overload.Terms{Seed: p.terms.Seed, Most: 1_000_000}
-		for _, x := range p.terms.Workloads {
-			s.Workloads = append(s.Workloads, overload.Workload{Agreed: x.Agreed, Gain: x.Gain})
+		for _, x := range p.terms.WorkloadClasses {
+			s.Workloads = append(s.Workloads, overload.Workload{Agreed: x.LatencyObjective, Gain: x.PriorityWeight})
 		}
 		old := p.door
 		if p.door = overload.New(s); old != nil && !w.Forget {
 			p.door.Recall(old.Knows(), 0.9)
 		}
 	}
-	p.feed(scheduler.ListCame{Mode: scheduler.WholeList, Entries: w.list(nil)})
+	p.feed(scheduler.MachineListUpdate{Mode: scheduler.FullSnapshot, Entries: w.list(nil)})
 }
 
 // die ends a life and begins the next; clients without an answer hear of it and come again.
@@ -348,35 +348,35 @@
 	for _, a := range p.module.Handle(w.now, []scheduler.Event{e}) {
 		w.Acts++
 		switch a := a.(type) {
-		case scheduler.Bid:
+		case scheduler.StartAttempt:
 			p.bid(a)
-		case scheduler.PushBack:
+		case scheduler.Reject:
 			p.answer(a.ID, func(o *simOpen) {
 				w.second(o.c).PushedBack++
 				w.back(o.c, 0)
 			})
-		case scheduler.GiveUp:
+		case scheduler.Fail:
 			p.answer(a.ID, func(o *simOpen) {
 				w.second(o.c).GivenUp++
-				if w.terms.Workloads[o.c.work].Effect != scheduler.AtMostOnce {
+				if w.terms.WorkloadClasses[o.c.work].Idempotency != scheduler.AtMostOnce {
 					w.back(o.c, 0)
 				}
 			})
-		case scheduler.Wake:
+		case scheduler.SetTimer:
 			life := p.life
 			w.after(a.After, func() {
 				if p.life == life {
-					p.feed(scheduler.Woke{Name: a.Name})
+					p.feed(scheduler.TimerFired{Name: a.Name})
 				}
 			})
 		case scheduler.Probe:
 			m := w.byID[a.Machine]
 			w.after(2*simWay, func() {
-				o := scheduler.NoConnect
+				o := scheduler.OutcomeConnectFailed
 				if m.up {
-					o = scheduler.Finished
+					o = scheduler.OutcomeFinished
 				}
-				p.feed(scheduler.Probed{Machine: m.id, Outcome: o})
+				p.feed(scheduler.ProbeCompleted{Machine: m.id, Outcome: o})
 			})
 		}
 	}
@@ -398,19 +398,19 @@
 	f(o)
 }
 
-func (p *simPlacer) bid(a scheduler.Bid) {
+func (p *simPlacer) bid(a scheduler.StartAttempt) {
 	w, o := p.w, p.open[a.ID]
 	m := w.byID[a.Machine]
 	until := o.due
-	if a.MaxWait > 0 {
-		until = min(until, w.now+a.MaxWait)
+	if a.Timeout > 0 {
+		until = min(until, w.now+a.Timeout)
 	}
 	b := &simBid{p: p, id: a.ID, m: m, until: until, service: fmt.Sprint(o.c.work, o.c.n%60), cores: 0.5}
 	o.bid = b
 	o.bids++
 	w.after(until-w.now, func() {
 		if !b.placed {
-			b.end(scheduler.TimedOut, scheduler.NoReason)
+			b.end(scheduler.OutcomeTimedOut, scheduler.ReasonNone)
 		}
 	})
 	w.after(simWay, func() { m.offered(b) })
@@ -431,7 +431,7 @@
 	if over {
 		delete(b.p.open, b.id)
 	}
-	b.p.feed(scheduler.Ended{ID: b.id, Bid: x.bids - 1, Outcome: o, Machine: b.m.id, Reason: r, Over: over})
+	b.p.feed(scheduler.AttemptEnded{ID: b.id, Attempt: x.bids - 1, Outcome: o, Machine: b.m.id, Reason: r, Final: over})
 }
 
 func (m *simMachine) down() {
@@ -441,7 +441,7 @@
 	queue := m.queue
 	m.queue = nil
 	for _, b := range queue {
-		m.w.after(simWay, func() { b.end(scheduler.Reset, scheduler.NoReason) })
+		m.w.after(simWay, func() { b.end(scheduler.OutcomeLost, scheduler.ReasonNone) })
 	}
 }
 
@@ -450,11 +450,11 @@
 	refuse := func(o scheduler.Outcome, r scheduler.Reason) { w.after(simWay, func() { b.end(o, r) }) }
 	switch {
 	case !m.up:
-		refuse(scheduler.NoConnect, scheduler.NoReason)
+		refuse(scheduler.OutcomeConnectFailed, scheduler.ReasonNone)
 	case m.cores+b.cores > 96:
-		refuse(scheduler.Full, scheduler.NoCores)
+		refuse(scheduler.OutcomeFull, scheduler.ReasonNoCores)
 	case len(m.queue) >= simQueue:
-		refuse(scheduler.Full, scheduler.LongQueue)
+		refuse(scheduler.OutcomeFull, scheduler.ReasonQueueTooLong)
 	default:
 		m.cores += b.cores
 		m.queue = append(m.queue, b)
@@ -479,13 +479,13 @@
 		if !m.has(b.service) {
 			took *= simFirst
 		}
-		if cold := w.now - m.started; m.started > 0 && cold < w.terms.ColdFor {
-			took /= simColdPace + (1-simColdPace)*float64(cold)/float64(w.terms.ColdFor)
+		if cold := w.now - m.started; m.started > 0 && cold < w.terms.SlowStartPeriod {
+			took /= simColdPace + (1-simColdPace)*float64(cold)/float64(w.terms.SlowStartPeriod)
 		}
 		life := m.life
 		w.after(scheduler.Time(took), func() {
 			if m.life != life {
-				w.after(simWay, func() { b.end(scheduler.Reset, scheduler.NoReason) })
+				w.after(simWay, func() { b.end(scheduler.OutcomeLost, scheduler.ReasonNone) })
 				return
 			}
 			m.busy--
@@ -521,22 +521,22 @@
 	}
 	o := b.p.open[b.id]
 	if b.over || o == nil || o.bid != b || o.answered {
-		free(simWay, func() { b.end(scheduler.Stopped, scheduler.NoReason) })
+		free(simWay, func() { b.end(scheduler.OutcomeStopped, scheduler.ReasonNone) })
 		return
 	}
 	b.placed, o.answered = true, true
 	took := w.now - o.asked
-	b.p.feed(scheduler.Placed{ID: b.id, Bid: o.bids - 1, Machine: m.id, Took: took})
+	b.p.feed(scheduler.AttemptAccepted{ID: b.id, Attempt: o.bids - 1, Machine: m.id, Elapsed: took})
 	if b.p.door != nil {
 		b.p.door.Handle(w.now, overload.Started{Workload: o.c.work, Took: took})
 	}
-	if took <= w.terms.Workloads[o.c.work].Agreed {
+	if took <= w.terms.WorkloadClasses[o.c.work].LatencyObjective {
 		w.second(o.c).InTime++
 		w.Seconds[int(w.now/scheduler.Second)].Placed++
 	} else {
 		w.second(o.c).Late++
 	}
-	free(simLife, func() { b.end(scheduler.Finished, scheduler.NoReason) })
+	free(simLife, func() { b.end(scheduler.OutcomeFinished, scheduler.ReasonNone) })
 }
 
 // Goodput is what was placed within its agreed time in a second, as a part of what was newly wanted in it.
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -9,74 +9,74 @@
 	Second      Time = 10_000
 )
 
-// Effect says what a second run of a container would do.
-type Effect uint8
+// Idempotency says what a second run of a container would do.
+type Idempotency uint8
 
 const (
-	Reissuable Effect = iota // may run again
-	Numbered                 // repeats are dropped inside a group of machines, for a while
-	AtMostOnce               // must never run twice
+	Idempotent        Idempotency = iota // may run again
+	IdempotentWithKey                    // repeats are dropped inside a group of machines, for a while
+	AtMostOnce                           // must never run twice
 )
 
-// Place is an extent of the fleet: where repeats are dropped, or what a spread counts.
-type Place uint8
+// Scope is an extent of the fleet: where repeats are dropped, or what a spread counts.
+type Scope uint8
 
 const (
-	Nowhere Place = iota
-	OneMachine
-	OneCell
-	OneZone
-	Everywhere
+	ScopeNone Scope = iota
+	ScopeMachine
+	ScopeRackGroup
+	ScopeZone
+	ScopeFleet
 )
 
-// Workload holds the terms of one sort of container.
-type Workload struct {
-	Effect   Effect  `cbor:"Effect"`
-	Repeats  Place   `cbor:"Repeats"` // numbered: the group that drops repeats
-	Window   Time    `cbor:"Window"`  // numbered: for how long it does
-	Agreed   Time    `cbor:"Agreed"`  // a start within it earns in full
-	HardStop Time    `cbor:"HardStop"`
-	Kind     int     `cbor:"Kind"` // the machine kind it needs, -1 for any
-	Spread   Place   `cbor:"Spread"`
-	Most     int     `cbor:"Most"` // containers of a service in one such place
-	Gain     float64 `cbor:"Gain"`
+// WorkloadClass holds the terms of one sort of container.
+type WorkloadClass struct {
+	Idempotency      Idempotency `cbor:"Effect"`
+	DedupScope       Scope       `cbor:"Repeats"` // numbered: the group that drops repeats
+	DedupWindow      Time        `cbor:"Window"`  // numbered: for how long it does
+	LatencyObjective Time        `cbor:"Agreed"`  // a start within it earns in full
+	PlacementTimeout Time        `cbor:"HardStop"`
+	MachineType      int         `cbor:"Kind"` // the machine kind it needs, -1 for any
+	SpreadScope      Scope       `cbor:"Spread"`
+	MaxPerScope      int         `cbor:"Most"` // containers of a service in one such place
+	PriorityWeight   float64     `cbor:"Gain"`
 }
 
-// Kind is a sort of machine.
-type Kind struct {
+// MachineType is a sort of machine.
+type MachineType struct {
 	Cores  float64 `cbor:"Cores"`
 	Memory float64 `cbor:"Memory"`
 }
 
-// Customer has a share of the fleet, in cores asked of all placers.
-type Customer struct {
-	Cores float64 `cbor:"Cores"`
+// Tenant has a share of the fleet, in cores asked of all placers.
+type Tenant struct {
+	QuotaCores float64 `cbor:"Cores"`
 }
 
-// Terms are what a placer is told when it starts.
-type Terms struct {
-	Seed         uint64     `cbor:"Seed"`
-	Me           int        `cbor:"Me"` // this placer among them, from 0
-	Placers      int        `cbor:"Placers"`
-	Workloads    []Workload `cbor:"Workloads"`
-	Kinds        []Kind     `cbor:"Kinds"`
-	Customers    []Customer `cbor:"Customers"`
-	OverShare    float64    `cbor:"OverShare"`   // worth of what a customer asks beyond its share
-	AcceptCores  float64    `cbor:"AcceptCores"` // a machine accepts asks up to this multiple of its cores
-	AcceptMemory float64    `cbor:"AcceptMemory"`
-	MeanCores    float64    `cbor:"MeanCores"`
-	MeanMemory   float64    `cbor:"MeanMemory"`
-	YesRuns      bool       `cbor:"YesRuns"`    // a machine says yes only once the container runs
-	UseNotes     bool       `cbor:"UseNotes"`   // use of own containers is told
-	ListedAsks   bool       `cbor:"ListedAsks"` // list entries tell the room that nobody has asked for
-	MayProbe     bool       `cbor:"MayProbe"`
-	MostBids     int        `cbor:"MostBids"`
-	AnswerGrace  Time       `cbor:"AnswerGrace"` // after the hard stop, in which an answer is still in time
-	ListOnAsk    bool       `cbor:"ListOnAsk"`   // the list must be watched
-	AskWithin    Time       `cbor:"AskWithin"`
-	ColdFor      Time       `cbor:"ColdFor"` // a machine that came up is warm after this
-	ColdWindow   Time       `cbor:"ColdWindow"`
-	ColdBids     int        `cbor:"ColdBids"` // bids in a window that a cold machine always bears, from all placers
+// Config are what a placer is told when it starts.
+type Config struct {
+	Seed               uint64          `cbor:"Seed"`
+	SchedulerIndex     int             `cbor:"Me"` // this placer among them, from 0
+	SchedulerCount     int             `cbor:"Placers"`
+	WorkloadClasses    []WorkloadClass `cbor:"Workloads"`
+	MachineTypes       []MachineType   `cbor:"Kinds"`
+	Tenants            []Tenant        `cbor:"Customers"`
+	OverQuotaWeight    float64         `cbor:"OverShare"`   // worth of what a customer asks beyond its share
+	CoresOvercommit    float64         `cbor:"AcceptCores"` // a machine accepts asks up to this multiple of its cores
+	MemoryOvercommit   float64         `cbor:"AcceptMemory"`
+	MeanCores          float64         `cbor:"MeanCores"`
+	MeanMemory         float64         `cbor:"MeanMemory"`
+	AcceptMeansRunning bool            `cbor:"YesRuns"`    // a machine says yes only once the container runs
+	UsageReports       bool            `cbor:"UseNotes"`   // use of own containers is told
+	ListTracksRequests bool            `cbor:"ListedAsks"` // list entries tell the room that nobody has asked for
+	ProbesAllowed      bool            `cbor:"MayProbe"`
+	MaxAttempts        int             `cbor:"MostBids"`
+	AnswerGrace        Time            `cbor:"AnswerGrace"` // after the hard stop, in which an answer is still in time
+	ListOnRequest      bool            `cbor:"ListOnAsk"`   // the list must be watched
+	ResyncInterval     Time            `cbor:"AskWithin"`
+	SlowStartPeriod    Time            `cbor:"ColdFor"` // a machine that came up is warm after this
+	SlowStartWindow    Time            `cbor:"ColdWindow"`
+	SlowStartBudget    int             `cbor:"ColdBids"` // bids in a window that a cold machine always bears, from all placers
 }
 
 // MachineID and ContainerID name things at the door only.
@@ -85,254 +85,254 @@
 	ContainerID string
 )
 
-// Entry is what the list says of one machine.
-type Entry struct {
-	Machine    MachineID
-	Zone       int
-	Kind       int
-	Cell       int
-	State      MachineState
-	FreeCores  float64
-	FreeMemory float64
-	PowerHint  float64
-	StartedAt  Time // 0: long ago
+// MachineEntry is what the list says of one machine.
+type MachineEntry struct {
+	Machine     MachineID
+	Zone        int
+	MachineType int
+	RackGroup   int
+	State       MachineState
+	FreeCores   float64
+	FreeMemory  float64
+	PowerHint   float64
+	StartedAt   Time // 0: long ago
 }
 
 type MachineState uint8
 
 const (
-	Serving MachineState = iota
-	Draining
-	Gone
+	MachineServing MachineState = iota
+	MachineDraining
+	MachineGone
 )
 
-type ListMode uint8
+type UpdateMode uint8
 
 const (
-	Changes ListMode = iota
-	WholeList
-	OldList // the list as last held before a restart
-	ListFailed
+	DeltaUpdate UpdateMode = iota
+	FullSnapshot
+	RestoredSnapshot // the list as last held before a restart
+	UpdateFailed
 	SelfReported // a new start by the machine's own hello: the list itself was not heard
 )
 
 // Event is something that happened to a placer.
 type Event interface{ event() }
 
-// ListCame is news of the machines.
-type ListCame struct {
-	Mode    ListMode
+// MachineListUpdate is news of the machines.
+type MachineListUpdate struct {
+	Mode    UpdateMode
 	Version int64
-	Entries []Entry
+	Entries []MachineEntry
 }
 
-// Ask describes a container.
-type Ask struct {
-	ID       ContainerID `cbor:"ID"`
-	Key      string      `cbor:"Key"` // the same each time the container comes
-	Service  string      `cbor:"Service"`
-	Workload int         `cbor:"Workload"`
-	Customer int         `cbor:"Customer"`
-	Cores    float64     `cbor:"Cores"`
-	Memory   float64     `cbor:"Memory"`
-	Due      Time        `cbor:"Due"`   // its hard stop on the clock
-	Life     Time        `cbor:"Life"`  // what it will still run, 0: not told
-	Again    bool        `cbor:"Again"` // it came before
+// PlacementRequest describes a container.
+type PlacementRequest struct {
+	ID              ContainerID `cbor:"ID"`
+	IdempotencyKey  string      `cbor:"Key"` // the same each time the container comes
+	Service         string      `cbor:"Service"`
+	WorkloadClass   int         `cbor:"Workload"`
+	Tenant          int         `cbor:"Customer"`
+	Cores           float64     `cbor:"Cores"`
+	Memory          float64     `cbor:"Memory"`
+	Deadline        Time        `cbor:"Due"`   // its hard stop on the clock
+	ExpectedRuntime Time        `cbor:"Life"`  // what it will still run, 0: not told
+	ClientRetry     bool        `cbor:"Again"` // it came before
 }
 
-// Asked is a container to be placed; TookOver is one that runs already.
+// RequestReceived is a container to be placed; ContainerAdopted is one that runs already.
 type (
-	Asked    struct{ Ask }
-	TookOver struct {
-		Ask
+	RequestReceived  struct{ PlacementRequest }
+	ContainerAdopted struct {
+		PlacementRequest
 		Machine MachineID
 	}
 )
 
-// Placed is a machine's yes.
-type Placed struct {
+// AttemptAccepted is a machine's yes.
+type AttemptAccepted struct {
 	ID      ContainerID
-	Bid     int
+	Attempt int
 	Machine MachineID
-	Took    Time
+	Elapsed Time
 }
 
-type NoteSort uint8
+type UsageMetric uint8
 
 const (
-	Running NoteSort = 1 + iota
-	CoresUsed
-	MemoryUsed
-	ServedShare
-	MachineMemory
+	MetricRunning UsageMetric = 1 + iota
+	MetricCoresUsed
+	MetricMemoryUsed
+	MetricServedShare
+	MetricMachineMemory
 )
 
-// Noted is news of a container that has no outcome yet.
-type Noted struct {
+// UsageReported is news of a container that has no outcome yet.
+type UsageReported struct {
 	ID      ContainerID
 	Machine MachineID
-	Bid     int
-	Sort    NoteSort
-	Amount  float64
+	Attempt int
+	Metric  UsageMetric
+	Value   float64
 }
 
 type Outcome uint8
 
 const (
-	Finished  Outcome = iota
-	Erred             // may have started
-	Full              // never ran
-	TimedOut          // may have started, or may yet
-	NoConnect         // never ran
-	Reset             // lost, or cut short
-	Stopped           // withdrawn or moved
-	NotSent           // never ran
+	OutcomeFinished      Outcome = iota
+	OutcomeErrored               // may have started
+	OutcomeFull                  // never ran
+	OutcomeTimedOut              // may have started, or may yet
+	OutcomeConnectFailed         // never ran
+	OutcomeLost                  // lost, or cut short
+	OutcomeStopped               // withdrawn or moved
+	OutcomeNotSent               // never ran
 )
 
 type Reason uint8
 
 const (
-	NoReason Reason = iota
-	NoCores
-	NoMemory
-	LongQueue
-	NotHere
-	Evicted
-	PushedOut
-	SentAway
+	ReasonNone Reason = iota
+	ReasonNoCores
+	ReasonNoMemory
+	ReasonQueueTooLong
+	ReasonWrongMachine
+	ReasonOutOfMemory
+	ReasonPreempted
+	ReasonDrained
 )
 
-// Report is a machine's word on its load, by the names it uses.
-type Report map[string]float64
+// LoadReport is a machine's word on its load, by the names it uses.
+type LoadReport map[string]float64
 
-// Ended is the one outcome of a bid.
-type Ended struct {
+// AttemptEnded is the one outcome of a bid.
+type AttemptEnded struct {
 	ID      ContainerID
-	Over    bool // nothing more is owed
-	Bid     int
+	Final   bool // nothing more is owed
+	Attempt int
 	Outcome Outcome
 	Machine MachineID
 	Reason  Reason
-	Took    Time
-	Report  Report
+	Elapsed Time
+	Report  LoadReport
 }
 
-// Probed answers a Probe.
-type Probed struct {
+// ProbeCompleted answers a Probe.
+type ProbeCompleted struct {
 	Machine MachineID
 	Outcome Outcome // Finished when all is well
-	Took    Time
-	Report  Report
+	Elapsed Time
+	Report  LoadReport
 }
 
-// Woke is a timer; Vanished ends a container from outside.
+// TimerFired is a timer; Vanished ends a container from outside.
 type (
-	Woke     struct{ Name string }
-	Vanished struct{ ID ContainerID }
+	TimerFired       struct{ Name string }
+	ContainerRemoved struct{ ID ContainerID }
 )
 
-func (ListCame) event() {}
-func (Asked) event()    {}
-func (TookOver) event() {}
-func (Placed) event()   {}
-func (Noted) event()    {}
-func (Ended) event()    {}
-func (Probed) event()   {}
-func (Woke) event()     {}
-func (Vanished) event() {}
+func (MachineListUpdate) event() {}
+func (RequestReceived) event()   {}
+func (ContainerAdopted) event()  {}
+func (AttemptAccepted) event()   {}
+func (UsageReported) event()     {}
+func (AttemptEnded) event()      {}
+func (ProbeCompleted) event()    {}
+func (TimerFired) event()        {}
+func (ContainerRemoved) event()  {}
 
 // Action is something a placer wants done.
 type Action interface{ action() }
 
 type (
-	// Bid offers a container to a machine; MaxWait 0 waits until the hard stop.
-	Bid struct {
+	// StartAttempt offers a container to a machine; Timeout 0 waits until the hard stop.
+	StartAttempt struct {
 		ID      ContainerID
 		Machine MachineID
-		MaxWait Time
+		Timeout Time
 	}
-	// PushBack tells the owner that asking again does no harm; GiveUp promises nothing.
-	PushBack struct {
-		ID      ContainerID
-		HoldOff Time
+	// Reject tells the owner that asking again does no harm; Fail promises nothing.
+	Reject struct {
+		ID         ContainerID
+		RetryAfter Time
 	}
-	GiveUp struct{ ID ContainerID }
-	// Withdraw stops waiting on a bid.
-	Withdraw struct {
-		ID  ContainerID
-		Bid int
+	Fail struct{ ID ContainerID }
+	// CancelAttempt stops waiting on a bid.
+	CancelAttempt struct {
+		ID      ContainerID
+		Attempt int
 	}
 	Probe struct{ Machine MachineID }
 	// Disconnect closes idle connections.
 	Disconnect struct{ Machine MachineID }
-	Wake       struct {
+	SetTimer   struct {
 		After Time
 		Name  string
 	}
-	Watch struct{ On bool }
-	Fetch struct{}
-	Log   struct{ Text string }
+	WatchMachineList struct{ Enabled bool }
+	FetchMachineList struct{}
+	Log              struct{ Message string }
 )
 
-func (Bid) action()        {}
-func (PushBack) action()   {}
-func (GiveUp) action()     {}
-func (Withdraw) action()   {}
-func (Probe) action()      {}
-func (Disconnect) action() {}
-func (Wake) action()       {}
-func (Watch) action()      {}
-func (Fetch) action()      {}
-func (Log) action()        {}
+func (StartAttempt) action()     {}
+func (Reject) action()           {}
+func (Fail) action()             {}
+func (CancelAttempt) action()    {}
+func (Probe) action()            {}
+func (Disconnect) action()       {}
+func (SetTimer) action()         {}
+func (WatchMachineList) action() {}
+func (FetchMachineList) action() {}
+func (Log) action()              {}
 
 // Explanation answers why a container may find no machine: how many machines each filter leaves out.
 type Explanation struct {
-	Machines    int // listed and not gone; the sum of those below but Gone
-	Gone        int
-	OtherKind   int
-	Draining    int
-	TooSmall    int
-	Closing     int // on their own word: sending containers away
-	SpreadFull  int
-	ColdSpent   int
-	Resting     int // look sick
-	Shunned     int
-	NoCores     int // by the asks that the list tells
-	NoMemory    int
-	Free        int
-	Yielding    bool // low gain is pushed back
-	NoRoomShare float64
+	Machines           int // listed and not gone; the sum of those below but Gone
+	Gone               int
+	WrongMachineType   int
+	Draining           int
+	TooSmall           int
+	SelfDraining       int // on their own word: sending containers away
+	SpreadExhausted    int
+	SlowStartExhausted int
+	Ejected            int // look sick
+	Suspected          int
+	InsufficientCores  int // by the asks that the list tells
+	InsufficientMemory int
+	Eligible           int
+	SheddingLoad       bool // low gain is pushed back
+	FullRatio          float64
 }
 
-// Knowledge is what a placer has learned and no list tells. The times are by its clock.
-type Knowledge struct {
-	Machines  []Learned `cbor:"Machines"`
-	Traits    []Trait   `cbor:"Traits"` // the workloads, then the customers, then no customer
-	Full      float64   `cbor:"Full"`   // moving share of bids that found no room, and what they would have gained
-	Missed    float64   `cbor:"Missed"`
-	SentSince Time      `cbor:"SentSince"` // from then on all that was sent to cold machines is known
+// Snapshot is what a placer has learned and no list tells. The times are by its clock.
+type Snapshot struct {
+	Machines        []MachineSnapshot `cbor:"Machines"`
+	TrafficClasses  []TrafficClass    `cbor:"Traits"` // the workloads, then the customers, then no customer
+	FullRatio       float64           `cbor:"Full"`   // moving share of bids that found no room, and what they would have gained
+	RejectedWeight  float64           `cbor:"Missed"`
+	SendsKnownSince Time              `cbor:"SentSince"` // from then on all that was sent to cold machines is known
 }
 
-// Learned is what a placer knows of one start of a machine.
-type Learned struct {
-	Machine   MachineID `cbor:"Machine"`
-	Started   Time      `cbor:"Started"`
-	Sick      float64   `cbor:"Sick"`      // log odds
-	RestUntil Time      `cbor:"RestUntil"` // a last resort until then; 0: it is not
-	Rest      Time      `cbor:"Rest"`      // how long it is one
-	ShutUntil Time      `cbor:"ShutUntil"` // out of every draw on its own word
-	Doubts    []Doubt   `cbor:"Doubts"`    // by trait
-	Cold      []Time    `cbor:"Cold"`      // when bids and probes went to it in the last window, the earliest first
+// MachineSnapshot is what a placer knows of one start of a machine.
+type MachineSnapshot struct {
+	Machine           MachineID         `cbor:"Machine"`
+	StartedAt         Time              `cbor:"Started"`
+	OutlierLogOdds    float64           `cbor:"Sick"`      // log odds
+	EjectedUntil      Time              `cbor:"RestUntil"` // a last resort until then; 0: it is not
+	EjectionTime      Time              `cbor:"Rest"`      // how long it is one
+	SelfDrainingUntil Time              `cbor:"ShutUntil"` // out of every draw on its own word
+	FailureEvidence   []FailureEvidence `cbor:"Doubts"`    // by trait
+	RecentSends       []Time            `cbor:"Cold"`      // when bids and probes went to it in the last window, the earliest first
 }
 
-// Trait is a workload or a customer: what some machines may treat unlike the rest.
-type Trait struct {
-	Lost float64 `cbor:"Lost"` // moving share of bids lost
-	Bar  float64 `cbor:"Bar"`  // log odds from which a machine is taken to shun it
+// TrafficClass is a workload or a customer: what some machines may treat unlike the rest.
+type TrafficClass struct {
+	LossRatio          float64 `cbor:"Lost"` // moving share of bids lost
+	SuspicionThreshold float64 `cbor:"Bar"`  // log odds from which a machine is taken to shun it
 }
 
-// Doubt is log odds that a machine shuns a trait, as of a time; they fade.
-type Doubt struct {
-	Odds float64 `cbor:"Odds"`
-	At   Time    `cbor:"At"`
+// FailureEvidence is log odds that a machine shuns a trait, as of a time; they fade.
+type FailureEvidence struct {
+	LogOdds float64 `cbor:"Odds"`
+	AsOf    Time    `cbor:"At"`
 }
--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -63,20 +63,20 @@
 
 func (d *digest) action(a Action) {
 	switch a := a.(type) {
-	case Bid:
+	case StartAttempt:
 		d.attempts++
 		d.number(1)
-	case PushBack:
+	case Reject:
 		d.number(2)
-	case GiveUp:
+	case Fail:
 		d.number(3)
-	case Withdraw:
+	case CancelAttempt:
 		d.number(4)
 	case Probe:
 		d.number(5)
 	case Disconnect:
 		d.number(6)
-	case Wake:
+	case SetTimer:
 		d.number(7)
 		d.number(uint64(a.After))
 		if _, known := d.timers[a.Name]; !known {
@@ -84,9 +84,9 @@
 		}
 		d.number(d.timers[a.Name])
 		return
-	case Watch:
+	case WatchMachineList:
 		d.number(8)
-	case Fetch:
+	case FetchMachineList:
 		d.number(9)
 	case Log:
 		d.number(10)
@@ -174,7 +174,7 @@
 
 // options say what a sequence is about.
 type options struct {
-	config    Terms
+	config    Config
 	machines  int
 	services  int
 	arrival   Time    // mean time between requests
@@ -198,56 +198,56 @@
 
 var goldenGroups = []goldenGroup{
 	{"mixed", func(*random, *options) {}},
-	{"idempotent", effects(Reissuable)},
-	{"idempotent with a key", effects(Numbered)},
+	{"idempotent", effects(Idempotent)},
+	{"idempotent with a key", effects(IdempotentWithKey)},
 	{"at most once", effects(AtMostOnce)},
 	{"spread", func(r *random, o *options) {
 		o.services = 1 + r.below(3)
-		for i := range o.config.Workloads {
-			w := &o.config.Workloads[i]
-			w.Spread, w.Most = pick(r, OneMachine, OneCell, OneZone), 1+r.below(3)
+		for i := range o.config.WorkloadClasses {
+			w := &o.config.WorkloadClasses[i]
+			w.SpreadScope, w.MaxPerScope = pick(r, ScopeMachine, ScopeRackGroup, ScopeZone), 1+r.below(3)
 		}
 	}},
 	{"slow start", func(r *random, o *options) {
 		o.churn = Second / 2
-		o.config.ColdFor, o.config.ColdWindow = 8*Second, pick(r, Second, 2*Second)
-		o.config.Placers = pick(r, 1, 2, 3, 40)
-		o.config.Me = r.below(o.config.Placers)
-		o.config.ColdBids = pick(r, 0, 1, 2, 5, 12, 60)
+		o.config.SlowStartPeriod, o.config.SlowStartWindow = 8*Second, pick(r, Second, 2*Second)
+		o.config.SchedulerCount = pick(r, 1, 2, 3, 40)
+		o.config.SchedulerIndex = r.below(o.config.SchedulerCount)
+		o.config.SlowStartBudget = pick(r, 0, 1, 2, 5, 12, 60)
 	}},
 	{"overload", func(r *random, o *options) {
 		o.arrival, o.size, o.runtime, o.machines = 30*Millisecond, 4, 20*Second, 1+r.below(5)
 	}},
 	{"tenants", func(r *random, o *options) {
 		o.arrival, o.size, o.runtime, o.machines = 40*Millisecond, 3, 20*Second, 1+r.below(4)
-		o.config.Customers = []Customer{{5}, {20}, {40}}
-		for i := range o.config.Workloads {
-			o.config.Workloads[i].Gain = 1 + float64(i)
+		o.config.Tenants = []Tenant{{5}, {20}, {40}}
+		for i := range o.config.WorkloadClasses {
+			o.config.WorkloadClasses[i].PriorityWeight = 1 + float64(i)
 		}
 	}},
 	{"usage reports", func(r *random, o *options) {
-		o.config.UseNotes, o.config.ListedAsks = true, true
+		o.config.UsageReports, o.config.ListTracksRequests = true, true
 		o.runtime = 15 * Second
 	}},
 	{"faulty machines", func(r *random, o *options) {
 		o.faulty = 0.2 + 0.8*r.float()
-		o.config.MayProbe = true
+		o.config.ProbesAllowed = true
 	}},
 	{"no probes", func(r *random, o *options) {
 		o.faulty = 0.2 + 0.8*r.float()
-		o.config.MayProbe = false
+		o.config.ProbesAllowed = false
 	}},
 	{"failing classes", func(r *random, o *options) {
 		o.faults, o.faulty = []fault{failsOneClass, failsOneTenant}, 0.3
-		o.config.Customers = []Customer{{20}, {20}, {20}}
-		o.config.ListedAsks = true
+		o.config.Tenants = []Tenant{{20}, {20}, {20}}
+		o.config.ListTracksRequests = true
 		o.arrival, o.runtime, o.machines = 40*Millisecond, Second, 3+r.below(5)
 		if r.chance(0.2) {
 			o.oneClass, o.faults, o.faulty = true, []fault{failsOneClass}, 1
 		}
 	}},
 	{"list on request", func(r *random, o *options) {
-		o.config.ListOnAsk, o.config.AskWithin = true, pick(r, 2*Second, 10*Second)
+		o.config.ListOnRequest, o.config.ResyncInterval = true, pick(r, 2*Second, 10*Second)
 		o.listFails = pick(r, 0, 0.2, 0.7)
 	}},
 	{"drains", func(r *random, o *options) {
@@ -255,23 +255,23 @@
 	}},
 	{"scheduler restarts", func(r *random, o *options) {
 		o.restarts, o.faulty = true, 0.3
-		o.config.ColdFor, o.config.ColdWindow, o.config.ColdBids = 6*Second, Second, 4+r.below(30)
-		o.config.Placers, o.config.Me = 2, r.below(2)
+		o.config.SlowStartPeriod, o.config.SlowStartWindow, o.config.SlowStartBudget = 6*Second, Second, 4+r.below(30)
+		o.config.SchedulerCount, o.config.SchedulerIndex = 2, r.below(2)
 	}},
 	{"lost answers", func(r *random, o *options) { o.lost = 0.4 }},
 	{"odd input", func(r *random, o *options) {
 		o.odd = true
-		o.config.Placers, o.config.Me = 0, 0
-		o.config.UseNotes, o.config.ListedAsks = r.chance(0.7), r.chance(0.7)
-		o.config.Kinds = append(o.config.Kinds, Kind{})
+		o.config.SchedulerCount, o.config.SchedulerIndex = 0, 0
+		o.config.UsageReports, o.config.ListTracksRequests = r.chance(0.7), r.chance(0.7)
+		o.config.MachineTypes = append(o.config.MachineTypes, MachineType{})
 	}},
 	{"many machines", func(r *random, o *options) { o.machines, o.services = 60, 20 }},
 }
 
-func effects(e Effect) func(r *random, o *options) {
+func effects(e Idempotency) func(r *random, o *options) {
 	return func(r *random, o *options) {
-		for i := range o.config.Workloads {
-			o.config.Workloads[i].Effect = e
+		for i := range o.config.WorkloadClasses {
+			o.config.WorkloadClasses[i].Idempotency = e
 		}
 		o.faulty = 0.5
 	}
@@ -283,33 +283,33 @@
 		churn: r.span(Second, 6*Second), retries: r.float(), listFails: pick(r, 0, 0.3),
 		faults: []fault{unreachable, silent, erroring, failsOneClass, failsOneTenant, resetting, drainingItself, refusing}}
 	c := &o.config
-	*c = Terms{Seed: r.next(), Placers: pick(r, 1, 3, 10), OverShare: pick(r, 0, 0.1, 0.5),
-		AcceptCores: pick(r, 1, 2, 2.5), AcceptMemory: pick(r, 1, 1.5, 2), MeanCores: pick(r, 0.5, 0.96, 2),
-		MeanMemory: pick(r, 0.7, 1.73, 3), YesRuns: r.chance(0.5), UseNotes: r.chance(0.5), ListedAsks: r.chance(0.5),
-		MayProbe: r.chance(0.7), MostBids: pick(r, 1, 2, 4, 4, 6), AnswerGrace: pick(r, 80, Second/2),
-		ListOnAsk: r.chance(0.3), AskWithin: 10 * Second, ColdFor: pick(r, 0, 5*Second), ColdWindow: pick(r, Second, 3*Second),
-		ColdBids: pick(r, 0, 3, 30, 100)}
-	c.Me = r.below(c.Placers)
+	*c = Config{Seed: r.next(), SchedulerCount: pick(r, 1, 3, 10), OverQuotaWeight: pick(r, 0, 0.1, 0.5),
+		CoresOvercommit: pick(r, 1, 2, 2.5), MemoryOvercommit: pick(r, 1, 1.5, 2), MeanCores: pick(r, 0.5, 0.96, 2),
+		MeanMemory: pick(r, 0.7, 1.73, 3), AcceptMeansRunning: r.chance(0.5), UsageReports: r.chance(0.5), ListTracksRequests: r.chance(0.5),
+		ProbesAllowed: r.chance(0.7), MaxAttempts: pick(r, 1, 2, 4, 4, 6), AnswerGrace: pick(r, 80, Second/2),
+		ListOnRequest: r.chance(0.3), ResyncInterval: 10 * Second, SlowStartPeriod: pick(r, 0, 5*Second), SlowStartWindow: pick(r, Second, 3*Second),
+		SlowStartBudget: pick(r, 0, 3, 30, 100)}
+	c.SchedulerIndex = r.below(c.SchedulerCount)
 	for range 1 + r.below(3) {
-		c.Kinds = append(c.Kinds, Kind{Cores: float64(4 + r.below(30)), Memory: float64(6 + r.below(50))})
+		c.MachineTypes = append(c.MachineTypes, MachineType{Cores: float64(4 + r.below(30)), Memory: float64(6 + r.below(50))})
 	}
 	for range r.below(4) {
-		c.Customers = append(c.Customers, Customer{Cores: float64(5 + r.below(50))})
+		c.Tenants = append(c.Tenants, Tenant{QuotaCores: float64(5 + r.below(50))})
 	}
 	for range 1 + r.below(4) {
 		hardStop := r.span(Second, 6*Second)
-		w := Workload{Effect: pick(r, Reissuable, Numbered, AtMostOnce), Agreed: hardStop / 4, HardStop: hardStop,
-			Kind: -1, Gain: 0.5 + 2*r.float()}
-		if w.Effect == Numbered || r.chance(0.1) {
-			w.Repeats, w.Window = pick(r, Nowhere, OneMachine, OneCell, OneZone, Everywhere), r.span(Second/2, 6*Second)
+		w := WorkloadClass{Idempotency: pick(r, Idempotent, IdempotentWithKey, AtMostOnce), LatencyObjective: hardStop / 4, PlacementTimeout: hardStop,
+			MachineType: -1, PriorityWeight: 0.5 + 2*r.float()}
+		if w.Idempotency == IdempotentWithKey || r.chance(0.1) {
+			w.DedupScope, w.DedupWindow = pick(r, ScopeNone, ScopeMachine, ScopeRackGroup, ScopeZone, ScopeFleet), r.span(Second/2, 6*Second)
 		}
 		if r.chance(0.2) {
-			w.Kind = r.below(len(c.Kinds))
+			w.MachineType = r.below(len(c.MachineTypes))
 		}
 		if r.chance(0.3) {
-			w.Spread, w.Most = pick(r, OneMachine, OneCell, OneZone), 1+r.below(4)
+			w.SpreadScope, w.MaxPerScope = pick(r, ScopeMachine, ScopeRackGroup, ScopeZone), 1+r.below(4)
 		}
-		c.Workloads = append(c.Workloads, w)
+		c.WorkloadClasses = append(c.WorkloadClasses, w)
 	}
 	return o
 }
@@ -319,7 +319,7 @@
 	*options
 	random     *random
 	digest     *digest
-	scheduler  *Placer
+	scheduler  *Scheduler
 	now        Time
 	queue      []scheduled
 	scheduled  int
@@ -339,7 +339,7 @@
 }
 
 type worldMachine struct {
-	entry         Entry
+	entry         MachineEntry
 	fault         fault
 	class, tenant int // that it fails
 	used          float64
@@ -347,7 +347,7 @@
 }
 
 type worldContainer struct {
-	request Ask
+	request PlacementRequest
 	attempt int
 	at      *worldMachine
 	running bool
@@ -377,7 +377,7 @@
 	for len(w.queue) > 0 && w.queue[0].at < end {
 		w.step()
 	}
-	w.digest.fold(101, w.scheduler.Knows())
+	w.digest.fold(101, w.scheduler.Snapshot())
 }
 
 // step carries out what is due next, and sometimes what follows soon after in the same batch.
@@ -397,7 +397,7 @@
 	case w.random.chance(0.03):
 		w.digest.fold(102, w.scheduler.Explain(w.request()))
 	case w.random.chance(0.01):
-		w.digest.fold(101, w.scheduler.Knows())
+		w.digest.fold(101, w.scheduler.Snapshot())
 	}
 }
 
@@ -435,8 +435,8 @@
 func (w *world) addMachine(startedAt Time) *worldMachine {
 	r := w.random
 	n := len(w.machines)
-	m := &worldMachine{entry: Entry{Machine: MachineID(fmt.Sprint("m", n)), Zone: n % 3, Cell: n / 2,
-		Kind: r.below(len(w.config.Kinds)), StartedAt: startedAt, PowerHint: r.float()}}
+	m := &worldMachine{entry: MachineEntry{Machine: MachineID(fmt.Sprint("m", n)), Zone: n % 3, RackGroup: n / 2,
+		MachineType: r.below(len(w.config.MachineTypes)), StartedAt: startedAt, PowerHint: r.float()}}
 	w.setFault(m)
 	w.machines = append(w.machines, m)
 	w.byID[m.entry.Machine] = m
@@ -448,19 +448,19 @@
 	if w.random.chance(w.faulty) {
 		m.fault = pick(w.random, w.faults...)
 	}
-	m.class = w.random.below(len(w.config.Workloads))
+	m.class = w.random.below(len(w.config.WorkloadClasses))
 	if w.oneClass {
 		m.class = 0
 	}
-	m.tenant = w.random.below(len(w.config.Customers) + 1)
+	m.tenant = w.random.below(len(w.config.Tenants) + 1)
 }
 
 // listed gives what the list says of some machines.
-func (w *world) listed(machines []*worldMachine) []Entry {
-	var all []Entry
+func (w *world) listed(machines []*worldMachine) []MachineEntry {
+	var all []MachineEntry
 	for _, m := range machines {
 		e := m.entry
-		k := w.config.Kinds[e.Kind]
+		k := w.config.MachineTypes[e.MachineType]
 		e.FreeCores, e.FreeMemory = k.Cores-m.used, k.Memory-m.memory
 		if w.random.chance(0.1) {
 			e.FreeCores -= 3 // requests of other schedulers
@@ -470,29 +470,29 @@
 	return all
 }
 
-func (w *world) fullList(mode ListMode) ListCame {
+func (w *world) fullList(mode UpdateMode) MachineListUpdate {
 	var present []*worldMachine
 	for _, m := range w.machines {
-		if m.entry.State != Gone || w.random.chance(0.5) {
+		if m.entry.State != MachineGone || w.random.chance(0.5) {
 			present = append(present, m)
 		}
 	}
 	w.version++
-	return ListCame{Mode: mode, Version: w.version, Entries: w.listed(present)}
+	return MachineListUpdate{Mode: mode, Version: w.version, Entries: w.listed(present)}
 }
 
 // start gives a new scheduler what it is given at its start.
 func (w *world) start() {
 	var events []Event
 	if w.random.chance(0.9) {
-		events = append(events, w.fullList(OldList))
+		events = append(events, w.fullList(RestoredSnapshot))
 	}
 	w.handle(events)
 	for range w.random.below(4) {
 		w.handle([]Event{w.adopt()})
 	}
 	if w.random.chance(0.8) {
-		w.handle([]Event{w.fullList(WholeList)})
+		w.handle([]Event{w.fullList(FullSnapshot)})
 	}
 }
 
@@ -507,27 +507,27 @@
 	if w.random.chance(0.3) {
 		id = "unlisted"
 		c := w.containers[request.ID]
-		w.after(w.random.span(0, Second), func() []Event { return w.end(c, 1, Ended{Outcome: Reset}) })
+		w.after(w.random.span(0, Second), func() []Event { return w.end(c, 1, AttemptEnded{Outcome: OutcomeLost}) })
 	}
-	return TookOver{Ask: request, Machine: id}
+	return ContainerAdopted{PlacementRequest: request, Machine: id}
 }
 
-func (w *world) request() Ask {
+func (w *world) request() PlacementRequest {
 	r := w.random
-	class := r.below(len(w.config.Workloads))
+	class := r.below(len(w.config.WorkloadClasses))
 	service := fmt.Sprint("s", r.below(w.services))
 	size := w.size * (0.3 + 1.4*r.float())
 	if r.chance(0.02) {
 		size *= 30
 	}
-	a := Ask{ID: ContainerID(fmt.Sprint("c", len(w.ids), "-", r.below(10))), Key: service, Service: service, Workload: class,
-		Customer: r.below(len(w.config.Customers) + 1), Cores: size, Memory: size * (0.5 + 2*r.float()),
-		Due: w.now + w.config.Workloads[class].HardStop, Again: r.chance(0.05)}
+	a := PlacementRequest{ID: ContainerID(fmt.Sprint("c", len(w.ids), "-", r.below(10))), IdempotencyKey: service, Service: service, WorkloadClass: class,
+		Tenant: r.below(len(w.config.Tenants) + 1), Cores: size, Memory: size * (0.5 + 2*r.float()),
+		Deadline: w.now + w.config.WorkloadClasses[class].PlacementTimeout, ClientRetry: r.chance(0.05)}
 	if r.chance(0.03) {
-		a.Due = w.now + Time(r.below(50)) // around the margin kept from deadlines
+		a.Deadline = w.now + Time(r.below(50)) // around the margin kept from deadlines
 	}
 	if r.chance(0.3) {
-		a.Life = r.span(0, 2*w.runtime)
+		a.ExpectedRuntime = r.span(0, 2*w.runtime)
 	}
 	return a
 }
@@ -541,13 +541,13 @@
 	return events
 }
 
-func (w *world) submit(request Ask) Event {
+func (w *world) submit(request PlacementRequest) Event {
 	w.containers[request.ID] = &worldContainer{request: request}
 	w.ids = append(w.ids, request.ID)
 	if w.random.chance(0.04) {
 		w.after(w.random.span(0, 4*Second), func() []Event { return w.remove(request.ID) })
 	}
-	return Asked{Ask: request}
+	return RequestReceived{PlacementRequest: request}
 }
 
 // remove ends a container from outside; its attempt ends later.
@@ -559,10 +559,10 @@
 	if c.at != nil {
 		attempt := c.attempt
 		w.after(w.random.span(0, 300*Millisecond), func() []Event {
-			return w.end(c, attempt, Ended{Over: true, Outcome: Stopped})
+			return w.end(c, attempt, AttemptEnded{Final: true, Outcome: OutcomeStopped})
 		})
 	}
-	return []Event{Vanished{ID: id}}
+	return []Event{ContainerRemoved{ID: id}}
 }
 
 // change alters the fleet and gives the news of it.
@@ -573,14 +573,14 @@
 	news := []*worldMachine{m}
 	switch r.below(8) {
 	case 0:
-		m.entry.State = Draining
+		m.entry.State = MachineDraining
 	case 1:
-		m.entry.State = Gone
+		m.entry.State = MachineGone
 	case 2, 3: // it started anew
-		m.entry.State, m.entry.StartedAt = Serving, w.now-r.span(0, Second/2)
+		m.entry.State, m.entry.StartedAt = MachineServing, w.now-r.span(0, Second/2)
 		w.setFault(m)
 	case 4:
-		m.entry.State = Serving
+		m.entry.State = MachineServing
 	case 5:
 		news = []*worldMachine{w.addMachine(w.now - r.span(0, Second))}
 	case 6:
@@ -593,51 +593,51 @@
 		return nil // unheard of until the next full list
 	}
 	if r.chance(0.15) {
-		return []Event{w.fullList(WholeList)}
+		return []Event{w.fullList(FullSnapshot)}
 	}
 	w.version++
-	return []Event{ListCame{Mode: Changes, Version: w.version, Entries: w.listed(news)}}
+	return []Event{MachineListUpdate{Mode: DeltaUpdate, Version: w.version, Entries: w.listed(news)}}
 }
 
 // restart replaces the scheduler by a new one that gets what the old one knew, whole or spoilt.
 func (w *world) restart() []Event {
 	r := w.random
 	w.after(r.span(Second, 10*Second), w.restart)
-	known := w.scheduler.Knows()
+	known := w.scheduler.Snapshot()
 	w.digest.fold(101, known)
 	w.restarted++
 	w.scheduler = New(w.config)
-	w.handle([]Event{w.fullList(OldList)})
+	w.handle([]Event{w.fullList(RestoredSnapshot)})
 	switch r.below(8) {
 	case 0:
-		known.Traits = nil
+		known.TrafficClasses = nil
 	case 1:
 		for i := range known.Machines {
-			known.Machines[i].Doubts = append(known.Machines[i].Doubts, Doubt{Odds: 5, At: w.now})
+			known.Machines[i].FailureEvidence = append(known.Machines[i].FailureEvidence, FailureEvidence{LogOdds: 5, AsOf: w.now})
 		}
 	case 4:
 		for i := range known.Machines {
-			known.Machines[i].Sick, known.Machines[i].Rest = 4, 0
+			known.Machines[i].OutlierLogOdds, known.Machines[i].EjectionTime = 4, 0
 		}
 	case 2:
-		known.SentSince = w.now
+		known.SendsKnownSince = w.now
 	case 3:
-		known.Machines = append(known.Machines, Learned{Machine: "m0", Started: 77, Sick: 9, RestUntil: w.now + Second})
+		known.Machines = append(known.Machines, MachineSnapshot{Machine: "m0", StartedAt: 77, OutlierLogOdds: 9, EjectedUntil: w.now + Second})
 	}
 	if r.chance(0.9) {
-		w.scheduler.Recall(known)
+		w.scheduler.Restore(known)
 	}
 	w.afterUnlessRestarted(r.span(0, Second), func() []Event { // what is known of machines that were listed late
-		late := Knowledge{SentSince: known.SentSince, Machines: known.Machines}
+		late := Snapshot{SendsKnownSince: known.SendsKnownSince, Machines: known.Machines}
 		if r.chance(0.5) {
-			w.scheduler.Recall(late)
+			w.scheduler.Restore(late)
 		}
 		return nil
 	})
 	var events []Event
 	for _, id := range w.ids {
 		if c := w.containers[id]; c.running && !c.ended {
-			events = append(events, TookOver{Ask: c.request, Machine: c.at.entry.Machine})
+			events = append(events, ContainerAdopted{PlacementRequest: c.request, Machine: c.at.entry.Machine})
 		} else {
 			c.ended = true
 		}
@@ -651,40 +651,40 @@
 	w.after(r.span(0, Second/2), w.nonsense)
 	id := w.ids[len(w.ids)-1-r.below(min(len(w.ids), 20))]
 	m := pick(r, w.machines...).entry
-	outcome := Outcome(r.below(int(NotSent) + 1))
-	reason := Reason(r.below(int(SentAway) + 1))
+	outcome := Outcome(r.below(int(OutcomeNotSent) + 1))
+	reason := Reason(r.below(int(ReasonDrained) + 1))
 	switch r.below(12) {
 	case 0:
-		return []Event{Ended{ID: id, Outcome: outcome, Machine: m.Machine, Reason: reason, Over: r.chance(0.5)}}
+		return []Event{AttemptEnded{ID: id, Outcome: outcome, Machine: m.Machine, Reason: reason, Final: r.chance(0.5)}}
 	case 1:
-		return []Event{Placed{ID: id, Bid: r.below(5), Machine: m.Machine}}
+		return []Event{AttemptAccepted{ID: id, Attempt: r.below(5), Machine: m.Machine}}
 	case 2:
-		return []Event{Noted{ID: id, Sort: NoteSort(r.below(8)), Amount: pick(r, 5*r.float(), 1e16)}}
+		return []Event{UsageReported{ID: id, Metric: UsageMetric(r.below(8)), Value: pick(r, 5*r.float(), 1e16)}}
 	case 3:
-		return []Event{Probed{Machine: m.Machine, Outcome: outcome}}
+		return []Event{ProbeCompleted{Machine: m.Machine, Outcome: outcome}}
 	case 4:
-		return []Event{Probed{Machine: "unlisted", Outcome: outcome}}
+		return []Event{ProbeCompleted{Machine: "unlisted", Outcome: outcome}}
 	case 5:
-		return []Event{Vanished{ID: id}, Vanished{ID: id}}
+		return []Event{ContainerRemoved{ID: id}, ContainerRemoved{ID: id}}
 	case 6:
-		return []Event{Woke{Name: "unknown"}}
+		return []Event{TimerFired{Name: "unknown"}}
 	case 7:
-		m.Kind = len(w.config.Kinds) + 1
-		return []Event{ListCame{Mode: Changes, Entries: []Entry{m}}}
+		m.MachineType = len(w.config.MachineTypes) + 1
+		return []Event{MachineListUpdate{Mode: DeltaUpdate, Entries: []MachineEntry{m}}}
 	case 8:
 		request := w.request()
-		request.Workload = len(w.config.Workloads) + r.below(2)
+		request.WorkloadClass = len(w.config.WorkloadClasses) + r.below(2)
 		w.digest.fold(102, w.scheduler.Explain(request))
-		return []Event{pick[Event](r, Asked{Ask: request}, TookOver{Ask: request, Machine: m.Machine})}
+		return []Event{pick[Event](r, RequestReceived{PlacementRequest: request}, ContainerAdopted{PlacementRequest: request, Machine: m.Machine})}
 	case 9:
 		request := w.request()
-		request.Customer = 50
+		request.Tenant = 50
 		return []Event{w.submit(request)}
 	case 10:
-		return []Event{ListCame{Mode: pick(r, WholeList, OldList)}, ListCame{Mode: ListFailed}, w.fullList(WholeList)}
+		return []Event{MachineListUpdate{Mode: pick(r, FullSnapshot, RestoredSnapshot)}, MachineListUpdate{Mode: UpdateFailed}, w.fullList(FullSnapshot)}
 	default:
 		request := w.request()
-		request.Due = w.now - r.span(0, Second)
+		request.Deadline = w.now - r.span(0, Second)
 		return []Event{w.submit(request)}
 	}
 }
@@ -692,22 +692,22 @@
 func (w *world) react(a Action) {
 	r := w.random
 	switch a := a.(type) {
-	case Bid:
+	case StartAttempt:
 		w.attempt(a)
-	case PushBack:
+	case Reject:
 		w.rejected(a.ID)
-	case GiveUp:
+	case Fail:
 		if c := w.containers[a.ID]; c != nil && c.at == nil {
 			c.ended = true
 		}
-	case Wake:
-		w.afterUnlessRestarted(a.After, func() []Event { return []Event{Woke{Name: a.Name}} })
-	case Watch:
+	case SetTimer:
+		w.afterUnlessRestarted(a.After, func() []Event { return []Event{TimerFired{Name: a.Name}} })
+	case WatchMachineList:
 		w.afterUnlessRestarted(r.span(Millisecond, 200*Millisecond), func() []Event {
 			if r.chance(w.listFails) {
-				return []Event{ListCame{Mode: ListFailed}}
+				return []Event{MachineListUpdate{Mode: UpdateFailed}}
 			}
-			return []Event{w.fullList(WholeList)}
+			return []Event{w.fullList(FullSnapshot)}
 		})
 	case Probe:
 		w.probe(w.byID[a.Machine])
@@ -723,7 +723,7 @@
 		again := c.request
 		again.ID += "+"
 		w.after(w.random.span(100*Millisecond, 2*Second), func() []Event {
-			again.Again, again.Due = true, w.now+w.config.Workloads[again.Workload].HardStop
+			again.ClientRetry, again.Deadline = true, w.now+w.config.WorkloadClasses[again.WorkloadClass].PlacementTimeout
 			return []Event{w.submit(again)}
 		})
 	}
@@ -731,18 +731,18 @@
 
 func (w *world) probe(m *worldMachine) {
 	r := w.random
-	e := Probed{Machine: m.entry.Machine, Outcome: Finished, Took: r.span(Millisecond, 50*Millisecond)}
+	e := ProbeCompleted{Machine: m.entry.Machine, Outcome: OutcomeFinished, Elapsed: r.span(Millisecond, 50*Millisecond)}
 	switch {
 	case r.chance(0.05):
-		e.Outcome = NotSent
+		e.Outcome = OutcomeNotSent
 	case r.chance(0.03):
 		return
-	case m.fault == unreachable, m.entry.State == Gone:
-		e.Outcome = NoConnect
+	case m.fault == unreachable, m.entry.State == MachineGone:
+		e.Outcome = OutcomeConnectFailed
 	case m.fault == silent, m.fault == erroring && r.chance(0.5):
-		e.Outcome, e.Took = TimedOut, Second
+		e.Outcome, e.Elapsed = OutcomeTimedOut, Second
 	}
-	w.afterUnlessRestarted(e.Took, func() []Event { return []Event{e} })
+	w.afterUnlessRestarted(e.Elapsed, func() []Event { return []Event{e} })
 }
 
 // reserve counts a container at its machine, release with sign -1 takes it off.
@@ -752,23 +752,23 @@
 }
 
 // attempt draws what becomes of an attempt.
-func (w *world) attempt(a Bid) {
+func (w *world) attempt(a StartAttempt) {
 	r := w.random
 	c := w.containers[a.ID]
 	c.attempt++
 	c.at = w.byID[a.Machine]
 	w.reserve(c, 1)
 	attempt := c.attempt
-	wait := a.MaxWait
+	wait := a.Timeout
 	if wait == 0 {
-		wait = c.request.Due - w.now
+		wait = c.request.Deadline - w.now
 	}
 	if r.chance(w.lost) {
 		return
 	}
 	e, span := w.fate(c, wait)
 	w.afterUnlessRestarted(span, func() []Event {
-		if e.Outcome != Finished || e.Over {
+		if e.Outcome != OutcomeFinished || e.Final {
 			return w.end(c, attempt, e)
 		}
 		return w.accept(c, attempt)
@@ -776,36 +776,36 @@
 }
 
 // fate gives the outcome of an attempt and when it comes; Finished without Final stands for acceptance.
-func (w *world) fate(c *worldContainer, wait Time) (Ended, Time) {
+func (w *world) fate(c *worldContainer, wait Time) (AttemptEnded, Time) {
 	r := w.random
 	m, request := c.at, &c.request
-	k := w.config.Kinds[m.entry.Kind]
+	k := w.config.MachineTypes[m.entry.MachineType]
 	quick := r.span(Millisecond, 60*Millisecond)
 	switch {
-	case m.entry.State == Gone || m.fault == unreachable:
-		return Ended{Outcome: NoConnect}, quick
-	case m.fault == silent, m.fault == failsOneClass && m.class == request.Workload, r.chance(0.01):
-		return Ended{Outcome: TimedOut}, wait
+	case m.entry.State == MachineGone || m.fault == unreachable:
+		return AttemptEnded{Outcome: OutcomeConnectFailed}, quick
+	case m.fault == silent, m.fault == failsOneClass && m.class == request.WorkloadClass, r.chance(0.01):
+		return AttemptEnded{Outcome: OutcomeTimedOut}, wait
 	case m.fault == erroring, r.chance(0.01):
-		return Ended{Outcome: Erred}, quick
-	case m.fault == failsOneTenant && m.tenant == request.Customer:
-		return Ended{Outcome: Full}, quick
+		return AttemptEnded{Outcome: OutcomeErrored}, quick
+	case m.fault == failsOneTenant && m.tenant == request.Tenant:
+		return AttemptEnded{Outcome: OutcomeFull}, quick
 	case m.fault == drainingItself && r.chance(0.5):
-		return Ended{Outcome: Full, Reason: NotHere}, quick
+		return AttemptEnded{Outcome: OutcomeFull, Reason: ReasonWrongMachine}, quick
 	case m.fault == refusing:
-		return Ended{Outcome: Full, Reason: pick(r, NoReason, NoMemory, LongQueue)}, quick
-	case m.used > k.Cores*w.config.AcceptCores:
-		return Ended{Outcome: Full, Reason: NoCores}, quick
-	case m.memory > k.Memory*w.config.AcceptMemory:
-		return Ended{Outcome: Full, Reason: NoMemory}, quick
+		return AttemptEnded{Outcome: OutcomeFull, Reason: pick(r, ReasonNone, ReasonNoMemory, ReasonQueueTooLong)}, quick
+	case m.used > k.Cores*w.config.CoresOvercommit:
+		return AttemptEnded{Outcome: OutcomeFull, Reason: ReasonNoCores}, quick
+	case m.memory > k.Memory*w.config.MemoryOvercommit:
+		return AttemptEnded{Outcome: OutcomeFull, Reason: ReasonNoMemory}, quick
 	case r.chance(0.01):
-		return Ended{Outcome: NotSent}, 0
+		return AttemptEnded{Outcome: OutcomeNotSent}, 0
 	case r.chance(0.01):
-		return Ended{Outcome: Reset}, quick
+		return AttemptEnded{Outcome: OutcomeLost}, quick
 	case r.chance(0.01):
-		return Ended{Outcome: Finished, Over: false, Reason: Evicted}, quick
+		return AttemptEnded{Outcome: OutcomeFinished, Final: false, Reason: ReasonOutOfMemory}, quick
 	}
-	return Ended{Outcome: Finished}, min(wait, r.span(5*Millisecond, Second))
+	return AttemptEnded{Outcome: OutcomeFinished}, min(wait, r.span(5*Millisecond, Second))
 }
 
 func (w *world) accept(c *worldContainer, attempt int) []Event {
@@ -814,54 +814,54 @@
 		return nil
 	}
 	if r.chance(0.02) { // its own time was over before it was accepted
-		return w.end(c, attempt, Ended{Outcome: Finished})
+		return w.end(c, attempt, AttemptEnded{Outcome: OutcomeFinished})
 	}
 	if r.chance(0.02) { // the acceptance crosses a cancellation
-		w.after(20*Millisecond, func() []Event { return w.end(c, attempt, Ended{Outcome: Stopped}) })
+		w.after(20*Millisecond, func() []Event { return w.end(c, attempt, AttemptEnded{Outcome: OutcomeStopped}) })
 	} else {
 		c.running = true
 		w.run(c)
 	}
-	return []Event{Placed{ID: c.request.ID, Bid: attempt, Machine: c.at.entry.Machine, Took: r.span(0, Second)}}
+	return []Event{AttemptAccepted{ID: c.request.ID, Attempt: attempt, Machine: c.at.entry.Machine, Elapsed: r.span(0, Second)}}
 }
 
 // run plans the reports and the end of a running container.
 func (w *world) run(c *worldContainer) {
 	r := w.random
 	attempt := c.attempt
-	if w.config.UseNotes || r.chance(0.1) {
+	if w.config.UsageReports || r.chance(0.1) {
 		for n := range 2 {
 			w.after(r.span(0, w.runtime), func() []Event {
 				if c.at == nil || c.attempt != attempt {
 					return nil
 				}
-				return []Event{Noted{ID: c.request.ID, Machine: c.at.entry.Machine, Bid: attempt,
-					Sort: pick(r, CoresUsed, MemoryUsed, Running+NoteSort(n)), Amount: 2 * w.size * r.float()}}
+				return []Event{UsageReported{ID: c.request.ID, Machine: c.at.entry.Machine, Attempt: attempt,
+					Metric: pick(r, MetricCoresUsed, MetricMemoryUsed, MetricRunning+UsageMetric(n)), Value: 2 * w.size * r.float()}}
 			})
 		}
 	}
-	e := Ended{Over: true, Outcome: Finished, Took: r.span(0, 2*w.runtime), Report: Report{"cores": r.float()}}
+	e := AttemptEnded{Final: true, Outcome: OutcomeFinished, Elapsed: r.span(0, 2*w.runtime), Report: LoadReport{"cores": r.float()}}
 	switch {
 	case c.at.fault == resetting:
-		e.Outcome = Reset
+		e.Outcome = OutcomeLost
 	case c.at.fault == drainingItself:
-		e.Outcome, e.Reason = Reset, SentAway
+		e.Outcome, e.Reason = OutcomeLost, ReasonDrained
 	case r.chance(0.05):
-		e.Outcome, e.Reason = Reset, pick(r, NoReason, Evicted, PushedOut, SentAway)
+		e.Outcome, e.Reason = OutcomeLost, pick(r, ReasonNone, ReasonOutOfMemory, ReasonPreempted, ReasonDrained)
 	case r.chance(0.03):
-		e.Outcome = Erred
+		e.Outcome = OutcomeErrored
 	}
-	e.Over = !r.chance(0.15) // else it is to be placed again
-	w.after(e.Took, func() []Event { return w.end(c, attempt, e) })
+	e.Final = !r.chance(0.15) // else it is to be placed again
+	w.after(e.Elapsed, func() []Event { return w.end(c, attempt, e) })
 }
 
-func (w *world) end(c *worldContainer, attempt int, e Ended) []Event {
+func (w *world) end(c *worldContainer, attempt int, e AttemptEnded) []Event {
 	if c.at == nil || c.attempt != attempt {
 		return nil
 	}
 	w.reserve(c, -1)
-	e.ID, e.Bid, e.Machine = c.request.ID, attempt, c.at.entry.Machine
-	c.running, c.ended = false, e.Over
+	e.ID, e.Attempt, e.Machine = c.request.ID, attempt, c.at.entry.Machine
+	c.running, c.ended = false, e.Final
 	c.at = nil
 	return []Event{e}
 }
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -12,38 +12,38 @@
 var update = flag.Bool("update", false, "rewrite the expected values in testdata")
 
 // terms has one workload, two kinds and three placers.
-func terms(e Effect) Terms {
-	return Terms{Seed: 7, Placers: 3, AcceptCores: 2, AcceptMemory: 2, MeanCores: 1, MeanMemory: 1,
-		ListedAsks: true, MayProbe: true, MostBids: 4,
-		Kinds:   []Kind{{10, 20}, {40, 60}},
-		ColdFor: 17 * Second, ColdWindow: 2 * Second, ColdBids: 30,
-		Workloads: []Workload{{Effect: e, Kind: -1, Agreed: Second, HardStop: 6 * Second, Gain: 1}}}
+func terms(e Idempotency) Config {
+	return Config{Seed: 7, SchedulerCount: 3, CoresOvercommit: 2, MemoryOvercommit: 2, MeanCores: 1, MeanMemory: 1,
+		ListTracksRequests: true, ProbesAllowed: true, MaxAttempts: 4,
+		MachineTypes:    []MachineType{{10, 20}, {40, 60}},
+		SlowStartPeriod: 17 * Second, SlowStartWindow: 2 * Second, SlowStartBudget: 30,
+		WorkloadClasses: []WorkloadClass{{Idempotency: e, MachineType: -1, LatencyObjective: Second, PlacementTimeout: 6 * Second, PriorityWeight: 1}}}
 }
 
 // fleet has four machines: a and b in zone 0, c and d in zone 1, each in a cell of its own; b is of the large kind.
-func fleet(t Terms) *Placer {
+func fleet(t Config) *Scheduler {
 	p := New(t)
-	p.Handle(0, []Event{ListCame{Mode: OldList, Entries: []Entry{
-		{Machine: "a", Zone: 0, Cell: 0}, {Machine: "b", Zone: 0, Cell: 1, Kind: 1, FreeCores: 40, FreeMemory: 60},
-		{Machine: "c", Zone: 1, Cell: 2}, {Machine: "d", Zone: 1, Cell: 3}}}})
+	p.Handle(0, []Event{MachineListUpdate{Mode: RestoredSnapshot, Entries: []MachineEntry{
+		{Machine: "a", Zone: 0, RackGroup: 0}, {Machine: "b", Zone: 0, RackGroup: 1, MachineType: 1, FreeCores: 40, FreeMemory: 60},
+		{Machine: "c", Zone: 1, RackGroup: 2}, {Machine: "d", Zone: 1, RackGroup: 3}}}})
 	return p
 }
 
 // ask brings a container and tells where its first bid went.
-func ask(p *Placer, now Time, id ContainerID, service string) MachineID {
-	acts := p.Handle(now, []Event{Asked{Ask{ID: id, Service: service, Cores: 1, Memory: 1, Due: now + 6*Second}}})
-	if b, ok := last(acts).(Bid); ok {
+func ask(p *Scheduler, now Time, id ContainerID, service string) MachineID {
+	acts := p.Handle(now, []Event{RequestReceived{PlacementRequest{ID: id, Service: service, Cores: 1, Memory: 1, Deadline: now + 6*Second}}})
+	if b, ok := last(acts).(StartAttempt); ok {
 		return b.Machine
 	}
 	return ""
 }
 
-func tookOver(p *Placer, id, service string, at MachineID) {
-	p.Handle(p.now, []Event{TookOver{Ask{ID: ContainerID(id), Service: service, Cores: 1, Memory: 1}, at}})
+func tookOver(p *Scheduler, id, service string, at MachineID) {
+	p.Handle(p.now, []Event{ContainerAdopted{PlacementRequest{ID: ContainerID(id), Service: service, Cores: 1, Memory: 1}, at}})
 }
 
 // move pretends that a container's bid went elsewhere.
-func (p *Placer) move(id ContainerID, to MachineID) {
+func (p *Scheduler) move(id ContainerID, to MachineID) {
 	c := p.containers[id]
 	sent := c.sentAt
 	p.release(c)
--- a/scheduler/placer.go
+++ b/scheduler/placer.go
@@ -37,10 +37,10 @@
 	edge       = 2 * Millisecond   // kept from every time that a rule names
 )
 
-// Placer is one instance. Machines are dropped once gone and empty, services and containers with
+// Scheduler is one instance. Machines are dropped once gone and empty, services and containers with
 // their last bid.
-type Placer struct {
-	terms      Terms
+type Scheduler struct {
+	terms      Config
 	rng        pcg
 	now, began Time // from began on it is known what was sent to cold machines
 	out        []Action
@@ -48,9 +48,9 @@
 	order      []*machine // by id, so that equal events are decided alike
 	services   map[string]*service
 	containers map[ContainerID]*container
-	held       []float64 // cores asked by own containers, by customer
-	traits     []Trait   // the workloads, then the customers, then no customer
-	full       float64   // moving share of bids that found no room, and what they would have gained
+	held       []float64      // cores asked by own containers, by customer
+	traits     []TrafficClass // the workloads, then the customers, then no customer
+	full       float64        // moving share of bids that found no room, and what they would have gained
 	missed     float64
 	watchAt    Time // when the list is to be asked for again; 0: not due
 	watchPause Time
@@ -76,14 +76,14 @@
 	sick      float64
 	restUntil Time // a last resort until it answers a probe from then on; 0: it is not
 	rest      Time
-	probing   Time    // since when a probe is out; 0: none is
-	heardAt   Time    // last sign of life
-	shutUntil Time    // out of every draw on its own word
-	doubts    []Doubt // by trait
+	probing   Time              // since when a probe is out; 0: none is
+	heardAt   Time              // last sign of life
+	shutUntil Time              // out of every draw on its own word
+	doubts    []FailureEvidence // by trait
 }
 
-func (d *Doubt) now(now Time) float64 {
-	return d.Odds * math.Exp(-float64(now-d.At)/float64(shunFades))
+func (d *FailureEvidence) now(now Time) float64 {
+	return d.LogOdds * math.Exp(-float64(now-d.AsOf)/float64(shunFades))
 }
 
 type room struct{ cores, memory float64 }
@@ -96,8 +96,8 @@
 }
 
 type container struct {
-	ask      Ask
-	workload *Workload
+	ask      PlacementRequest
+	workload *WorkloadClass
 	service  *service
 	bids     int
 	at       *machine // of the bid that is out, or where it runs
@@ -118,57 +118,57 @@
 	silent bool // nothing was heard of the machine since the bid
 }
 
-func New(t Terms) *Placer {
-	return &Placer{terms: t, rng: pcg{t.Seed}, machines: map[MachineID]*machine{},
+func New(t Config) *Scheduler {
+	return &Scheduler{terms: t, rng: pcg{t.Seed}, machines: map[MachineID]*machine{},
 		services: map[string]*service{}, containers: map[ContainerID]*container{},
-		held:   make([]float64, len(t.Customers)),
-		traits: make([]Trait, len(t.Workloads)+len(t.Customers)+1), began: -1}
+		held:   make([]float64, len(t.Tenants)),
+		traits: make([]TrafficClass, len(t.WorkloadClasses)+len(t.Tenants)+1), began: -1}
 }
 
 // Handle takes what happened by now and returns what is to be done.
-func (p *Placer) Handle(now Time, events []Event) []Action {
+func (p *Scheduler) Handle(now Time, events []Event) []Action {
 	p.now, p.out = now, nil
 	var due []*container // placed once all that came is known: what is found running counts before any bid
 	woke := false
 	if p.began < 0 {
 		p.began = now
-		p.do(Wake{p.within(sweepEvery), "sweep"})
-		p.watchPause = min(askTurn*Time(max(1, p.terms.Placers)), p.terms.AskWithin/2)
-		if p.terms.ListOnAsk {
+		p.do(SetTimer{p.within(sweepEvery), "sweep"})
+		p.watchPause = min(askTurn*Time(max(1, p.terms.SchedulerCount)), p.terms.ResyncInterval/2)
+		if p.terms.ListOnRequest {
 			p.watchAt = now + p.within(p.watchPause)
 		}
 	}
 	for _, e := range events {
 		switch e := e.(type) {
-		case ListCame:
+		case MachineListUpdate:
 			p.learn(e)
-		case Asked:
-			if c := p.take(e.Ask); c != nil {
+		case RequestReceived:
+			if c := p.take(e.PlacementRequest); c != nil {
 				due = append(due, c)
 			} else {
-				p.do(GiveUp{e.ID})
+				p.do(Fail{e.ID})
 			}
-		case TookOver:
-			if c := p.take(e.Ask); c != nil {
+		case ContainerAdopted:
+			if c := p.take(e.PlacementRequest); c != nil {
 				c.bids, c.placed = 1, true
 				p.hold(c, p.machine(e.Machine))
 			}
-		case Placed:
+		case AttemptAccepted:
 			p.confirm(e)
-		case Noted:
+		case UsageReported:
 			p.note(e)
-		case Ended:
+		case AttemptEnded:
 			if c := p.end(e); c != nil {
 				due = append(due, c)
 			}
-		case Vanished:
+		case ContainerRemoved:
 			if c := p.containers[e.ID]; c != nil {
 				c.closed = true
 				p.forget(c)
 			}
-		case Probed:
+		case ProbeCompleted:
 			p.probed(e)
-		case Woke:
+		case TimerFired:
 			if e.Name == "sweep" {
 				p.sweep()
 			}
@@ -186,16 +186,16 @@
 	return p.out
 }
 
-func (p *Placer) do(a Action) { p.out = append(p.out, a) }
+func (p *Scheduler) do(a Action) { p.out = append(p.out, a) }
 
-func (p *Placer) log(format string, a ...any) { p.do(Log{fmt.Sprintf(format, a...)}) }
+func (p *Scheduler) log(format string, a ...any) { p.do(Log{fmt.Sprintf(format, a...)}) }
 
 // machine finds a machine by its id, or notes one that no list has named yet.
-func (p *Placer) machine(id MachineID) *machine {
+func (p *Scheduler) machine(id MachineID) *machine {
 	m := p.machines[id]
 	if m == nil {
-		m = &machine{id: id, hash: hash(string(id)), state: Gone, rest: restAtFirst,
-			doubts: make([]Doubt, len(p.traits))}
+		m = &machine{id: id, hash: hash(string(id)), state: MachineGone, rest: restAtFirst,
+			doubts: make([]FailureEvidence, len(p.traits))}
 		p.machines[id] = m
 		i := sort.Search(len(p.order), func(i int) bool { return p.order[i].id >= id })
 		p.order = append(p.order, nil)
@@ -206,45 +206,45 @@
 }
 
 // within is a moment in a span by chance, so that placers that start or fail together do not act together.
-func (p *Placer) within(span Time) Time { return Millisecond + Time(float64(span)*p.rng.float()) }
+func (p *Scheduler) within(span Time) Time { return Millisecond + Time(float64(span)*p.rng.float()) }
 
 // learn applies a list. A failed call leaves the old list in force and is repeated, since the notice does
 // not say whether the watch stands. One service answers all placers, and turns calls away when too many
 // wait: so each comes at a moment of its own, over twice the span after each failure. That also guards a list
 // service that returns after it was away. Harm: a lone placer hears a little later. What a machine reports of
 // itself is no answer of the list: a call that is due stays due.
-func (p *Placer) learn(e ListCame) {
-	if e.Mode == ListFailed {
+func (p *Scheduler) learn(e MachineListUpdate) {
+	if e.Mode == UpdateFailed {
 		p.watchAt = p.now + p.within(p.watchPause)
-		p.watchPause = min(2*p.watchPause, p.terms.AskWithin)
+		p.watchPause = min(2*p.watchPause, p.terms.ResyncInterval)
 		return
 	}
-	if e.Mode != OldList && e.Mode != SelfReported {
+	if e.Mode != RestoredSnapshot && e.Mode != SelfReported {
 		p.watchAt = 0
-		p.watchPause = min(askTurn*Time(max(1, p.terms.Placers)), p.terms.AskWithin/2)
+		p.watchPause = min(askTurn*Time(max(1, p.terms.SchedulerCount)), p.terms.ResyncInterval/2)
 	}
-	if e.Mode != Changes && e.Mode != SelfReported {
+	if e.Mode != DeltaUpdate && e.Mode != SelfReported {
 		for _, m := range p.order {
-			m.state = Gone
+			m.state = MachineGone
 		}
 	}
 	for _, l := range e.Entries {
 		m := p.machine(l.Machine)
-		if l.Kind >= len(p.terms.Kinds) {
-			p.log("machine %s is of unknown kind %d: not used", m.id, l.Kind)
-			m.state = Gone
+		if l.MachineType >= len(p.terms.MachineTypes) {
+			p.log("machine %s is of unknown kind %d: not used", m.id, l.MachineType)
+			m.state = MachineGone
 			continue
 		}
 		if m.started != l.StartedAt || !m.listed {
 			m.started, m.sick, m.restUntil, m.rest, m.shutUntil = l.StartedAt, 0, 0, restAtFirst, 0
 			clear(m.doubts)
 			// What was sent from just before it on may have reached this start.
-			for len(m.sent) > 0 && m.sent[0] < l.StartedAt-p.terms.ColdWindow/8 {
+			for len(m.sent) > 0 && m.sent[0] < l.StartedAt-p.terms.SlowStartWindow/8 {
 				m.sent = m.sent[1:]
 			}
 		}
-		m.listed, m.zone, m.cell, m.kind, m.state = true, l.Zone, l.Cell, l.Kind, l.State
-		k := p.terms.Kinds[l.Kind]
+		m.listed, m.zone, m.cell, m.kind, m.state = true, l.Zone, l.RackGroup, l.MachineType, l.State
+		k := p.terms.MachineTypes[l.MachineType]
 		m.contract = min(k.Cores/p.terms.MeanCores, k.Memory/p.terms.MeanMemory)
 		m.listAsks = room{k.Cores - l.FreeCores, k.Memory - l.FreeMemory}
 	}
@@ -253,9 +253,9 @@
 
 // letGo drops machines that are gone once nothing speaks of them: no container that is held there or left
 // them, no send that would count if they came back with the same start.
-func (p *Placer) letGo() {
+func (p *Scheduler) letGo() {
 	for i := len(p.order) - 1; i >= 0; i-- {
-		if m := p.order[i]; m.state == Gone && m.held+m.leftBy == 0 && len(p.recent(m)) == 0 {
+		if m := p.order[i]; m.state == MachineGone && m.held+m.leftBy == 0 && len(p.recent(m)) == 0 {
 			delete(p.machines, m.id)
 			p.order = append(p.order[:i], p.order[i+1:]...)
 		}
@@ -263,9 +263,9 @@
 }
 
 // take notes a container and its service; nil for one of a workload that the terms do not have.
-func (p *Placer) take(a Ask) *container {
-	if a.Workload >= len(p.terms.Workloads) {
-		p.log("container %s is of unknown workload %d", a.ID, a.Workload)
+func (p *Scheduler) take(a PlacementRequest) *container {
+	if a.WorkloadClass >= len(p.terms.WorkloadClasses) {
+		p.log("container %s is of unknown workload %d", a.ID, a.WorkloadClass)
 		return nil
 	}
 	s := p.services[a.Service]
@@ -273,14 +273,14 @@
 		s = &service{name: a.Service, hash: hash(a.Service), held: map[*machine]int{}}
 		p.services[a.Service] = s
 	}
-	c := &container{ask: a, workload: &p.terms.Workloads[a.Workload], service: s}
+	c := &container{ask: a, workload: &p.terms.WorkloadClasses[a.WorkloadClass], service: s}
 	s.containers++
 	p.containers[a.ID] = c
 	return c
 }
 
 // hold counts a bid or a running container where it is; release takes it off again.
-func (p *Placer) hold(c *container, m *machine) {
+func (p *Scheduler) hold(c *container, m *machine) {
 	c.at, c.sentAt, c.used = m, p.now, room{c.ask.Cores, c.ask.Memory}
 	c.service.held[m]++
 	m.held++
@@ -289,7 +289,7 @@
 	m.used.add(c.used, 1)
 }
 
-func (p *Placer) release(c *container) {
+func (p *Scheduler) release(c *container) {
 	m := c.at
 	if c.service.held[m]--; c.service.held[m] == 0 {
 		delete(c.service.held, m)
@@ -304,8 +304,8 @@
 	c.at = nil
 }
 
-func (p *Placer) count(c *container, sign float64) {
-	if i := c.ask.Customer; i < len(p.held) {
+func (p *Scheduler) count(c *container, sign float64) {
+	if i := c.ask.Tenant; i < len(p.held) {
 		p.held[i] += sign * c.ask.Cores
 	}
 }
@@ -316,7 +316,7 @@
 }
 
 // forget drops a container that is closed and has no bid out.
-func (p *Placer) forget(c *container) {
+func (p *Scheduler) forget(c *container) {
 	if !c.closed || c.at != nil {
 		return
 	}
@@ -330,9 +330,9 @@
 }
 
 // place draws a machine for a container and bids, or answers its owner at once.
-func (p *Placer) place(c *container) {
+func (p *Scheduler) place(c *container) {
 	var m *machine
-	if c.bids < p.terms.MostBids && p.now+edge < c.ask.Due && !p.yields(c) {
+	if c.bids < p.terms.MaxAttempts && p.now+edge < c.ask.Deadline && !p.yields(c) {
 		m = p.draw(c)
 	}
 	if m == nil {
@@ -342,45 +342,45 @@
 	m.sent = append(p.recent(m), p.now)
 	c.bids++
 	p.hold(c, m)
-	p.do(Bid{c.ask.ID, m.id, p.patience(c)})
+	p.do(StartAttempt{c.ask.ID, m.id, p.patience(c)})
 }
 
 // yields tells whether a container makes way for others: while more than overAsked of the bids find no room,
 // by chance, the more so the fuller the fleet and the less it gains than those that found none.
-func (p *Placer) yields(c *container) bool {
+func (p *Scheduler) yields(c *container) bool {
 	return p.full > overAsked && p.rng.float() < yieldPace*p.full*(1-p.gain(c)*p.full/p.missed)
 }
 
 // gain is what a container earns: less if it came before, as its start in time is gone, and little for what
 // its customer holds here beyond its part of all shares, measured on what this placer's own containers ask.
-func (p *Placer) gain(c *container) float64 {
-	g := c.workload.Gain
-	if c.ask.Again {
+func (p *Scheduler) gain(c *container) float64 {
+	g := c.workload.PriorityWeight
+	if c.ask.ClientRetry {
 		g *= cameAgain
 	}
-	if i := c.ask.Customer; i < len(p.held) && p.held[i] > 0 {
+	if i := c.ask.Tenant; i < len(p.held) && p.held[i] > 0 {
 		var quota, held float64
-		for k, t := range p.terms.Customers {
-			quota += t.Cores
+		for k, t := range p.terms.Tenants {
+			quota += t.QuotaCores
 			held += p.held[k]
 		}
-		if r := p.terms.Customers[i].Cores / quota / (p.held[i] / held); quota > 0 && r < 1 {
-			g *= r + (1-r)*p.terms.OverShare
+		if r := p.terms.Tenants[i].QuotaCores / quota / (p.held[i] / held); quota > 0 && r < 1 {
+			g *= r + (1-r)*p.terms.OverQuotaWeight
 		}
 	}
 	return g
 }
 
 // answer ends a container: a pushback where a repeat does no harm, else a give-up.
-func (p *Placer) answer(c *container) {
+func (p *Scheduler) answer(c *container) {
 	w := c.workload
 	if c.at != nil && c.ranAt == nil {
 		c.ranAt = c.at
 	}
-	if c.ranAt == nil || w.Effect == Reissuable || w.Effect == Numbered && w.Repeats == Everywhere {
-		p.do(PushBack{ID: c.ask.ID})
+	if c.ranAt == nil || w.Idempotency == Idempotent || w.Idempotency == IdempotentWithKey && w.DedupScope == ScopeFleet {
+		p.do(Reject{ID: c.ask.ID})
 	} else {
-		p.do(GiveUp{c.ask.ID})
+		p.do(Fail{c.ask.ID})
 	}
 	if c.closed = true; len(c.erred) == 1 {
 		p.blame(c)
@@ -392,7 +392,7 @@
 // or is closed with a single error: one that erred at each of several machines is taken to be at fault
 // itself and speaks against none of them. Harm: where most machines are at fault it takes one more
 // container to tell.
-func (p *Placer) blame(c *container) {
+func (p *Scheduler) blame(c *container) {
 	for _, e := range c.erred {
 		if e.sentAt < e.at.started {
 			continue // it was another start
@@ -410,7 +410,7 @@
 // indexed: chance picks one of a service's few lots, and each lot, hashed from service and machine, falls on
 // a machine with odds proportional to its capacity. So the containers of a service meet again on few
 // machines, which hold their program, whichever placer sends them; no weight follows placement.
-func (p *Placer) draw(c *container) *machine {
+func (p *Scheduler) draw(c *container) *machine {
 	lot := c.service.hash + p.rng.next()%lots
 	var best *machine
 	least, rank := math.Inf(1), lastResort+1
@@ -433,7 +433,7 @@
 // misgivings are the two tests' verdicts: the draw is among the machines with the least of them. So one that
 // looks sick, or shuns the container, is drawn only where no other may be: with all of them looking sick the
 // fault is this placer's own link or list, and an empty draw would help nobody.
-func (p *Placer) misgivings(c *container, m *machine) int {
+func (p *Scheduler) misgivings(c *container, m *machine) int {
 	switch {
 	case m.restUntil > 0:
 		return lastResort
@@ -445,9 +445,9 @@
 
 // honored is the contract less the extraneous load: what own containers are told to use beyond all that the
 // machine was asked for.
-func (p *Placer) honored(m *machine) float64 {
+func (p *Scheduler) honored(m *machine) float64 {
 	load := 0.0
-	if t := &p.terms; t.UseNotes && t.ListedAsks {
+	if t := &p.terms; t.UsageReports && t.ListTracksRequests {
 		cores := max(m.listAsks.cores, m.asked.cores)
 		memory := max(m.listAsks.memory, m.asked.memory)
 		load = max(0, (m.used.cores-cores)/t.MeanCores, (m.used.memory-memory)/t.MeanMemory)
@@ -456,12 +456,12 @@
 }
 
 // mayBid holds the filters that come before the draw.
-func (p *Placer) mayBid(c *container, m *machine) bool {
+func (p *Scheduler) mayBid(c *container, m *machine) bool {
 	w, t := c.workload, &p.terms
-	if m.state != Serving || m.contract <= 0 || w.Kind >= 0 && w.Kind != m.kind {
+	if m.state != MachineServing || m.contract <= 0 || w.MachineType >= 0 && w.MachineType != m.kind {
 		return false
 	}
-	if k := t.Kinds[m.kind]; c.ask.Cores > k.Cores*t.AcceptCores || c.ask.Memory > k.Memory*t.AcceptMemory {
+	if k := t.MachineTypes[m.kind]; c.ask.Cores > k.Cores*t.CoresOvercommit || c.ask.Memory > k.Memory*t.MemoryOvercommit {
 		return false
 	}
 	for _, l := range c.left {
@@ -473,11 +473,11 @@
 		return false
 	}
 	if c.ranAt != nil {
-		switch w.Effect {
+		switch w.Idempotency {
 		case AtMostOnce:
 			return false
-		case Numbered:
-			if !c.ranAt.shares(m, w.Repeats) || p.now+edge >= c.ranSince+w.Window {
+		case IdempotentWithKey:
+			if !c.ranAt.shares(m, w.DedupScope) || p.now+edge >= c.ranSince+w.DedupWindow {
 				return false
 			}
 		}
@@ -486,57 +486,57 @@
 }
 
 // shares tells whether two machines lie in one place; a machine that no list has named lies nowhere known.
-func (m *machine) shares(o *machine, place Place) bool {
+func (m *machine) shares(o *machine, place Scope) bool {
 	switch place {
-	case Everywhere:
+	case ScopeFleet:
 		return true
-	case OneZone:
+	case ScopeZone:
 		return m.listed && o.listed && m.zone == o.zone
-	case OneCell:
+	case ScopeRackGroup:
 		return m.listed && o.listed && m.cell == o.cell
 	}
 	return m == o
 }
 
 // spreadHolds counts what the service has in the machine's place; what lies nowhere known counts everywhere.
-func (p *Placer) spreadHolds(c *container, m *machine) bool {
+func (p *Scheduler) spreadHolds(c *container, m *machine) bool {
 	w := c.workload
-	if w.Spread == Nowhere {
+	if w.SpreadScope == ScopeNone {
 		return true
 	}
 	n := 1
 	for o, held := range c.service.held {
-		if m.shares(o, w.Spread) || !o.listed && w.Spread != OneMachine {
+		if m.shares(o, w.SpreadScope) || !o.listed && w.SpreadScope != ScopeMachine {
 			n += held
 		}
 	}
-	return n <= w.Most
+	return n <= w.MaxPerScope
 }
 
-func (p *Placer) isCold(m *machine) bool {
-	return m.started > 0 && p.now < m.started+p.terms.ColdFor
+func (p *Scheduler) isCold(m *machine) bool {
+	return m.started > 0 && p.now < m.started+p.terms.SlowStartPeriod
 }
 
 // coldShare is the part of all placers that may send to a cold machine in a window, where its budget does not
 // reach all of them. Theirs are then the odds of the rest too: over all placers a new machine is drawn as
 // often as a warm one, in place of hardly ever. It has one lot, to keep the few programs it gets.
-func (p *Placer) coldShare(m *machine) float64 {
-	if p.terms.ColdBids >= p.terms.Placers || !p.isCold(m) {
+func (p *Scheduler) coldShare(m *machine) float64 {
+	if p.terms.SlowStartBudget >= p.terms.SchedulerCount || !p.isCold(m) {
 		return 1
 	}
-	return float64(max(1, p.terms.ColdBids)) / float64(p.terms.Placers)
+	return float64(max(1, p.terms.SlowStartBudget)) / float64(p.terms.SchedulerCount)
 }
 
 // coldBears keeps to this placer's part of what a cold machine bears from all of them; what does not divide
 // goes to other placers at each machine. For a window after its own start a placer does not know what it
 // sent in an earlier life, and sends nothing.
-func (p *Placer) coldBears(m *machine) bool {
+func (p *Scheduler) coldBears(m *machine) bool {
 	if !p.isCold(m) {
 		return true
 	}
-	all := max(1, p.terms.Placers)
-	part := p.terms.ColdBids / all
-	if (p.terms.Me+int(m.hash%uint64(all)))%all < p.terms.ColdBids%all {
+	all := max(1, p.terms.SchedulerCount)
+	part := p.terms.SlowStartBudget / all
+	if (p.terms.SchedulerIndex+int(m.hash%uint64(all)))%all < p.terms.SlowStartBudget%all {
 		part++
 	}
 	return p.now >= p.began+p.window() && len(p.recent(m)) < part
@@ -544,9 +544,9 @@
 
 // window is the cold one and an eighth for the way. What is sent counts in it whether or not the machine is
 // known to be cold: it may have started since, unheard of.
-func (p *Placer) window() Time { return p.terms.ColdWindow + p.terms.ColdWindow/8 }
+func (p *Scheduler) window() Time { return p.terms.SlowStartWindow + p.terms.SlowStartWindow/8 }
 
-func (p *Placer) recent(m *machine) []Time {
+func (p *Scheduler) recent(m *machine) []Time {
 	for len(m.sent) > 0 && m.sent[0] <= p.now-p.window() {
 		m.sent = m.sent[1:]
 	}
@@ -554,15 +554,15 @@
 }
 
 // patience is a bid's time-out: half the hard stop, to the end where nothing could follow.
-func (p *Placer) patience(c *container) Time {
-	left := c.ask.Due - p.now
-	if c.workload.Effect == AtMostOnce || c.bids >= p.terms.MostBids {
+func (p *Scheduler) patience(c *container) Time {
+	left := c.ask.Deadline - p.now
+	if c.workload.Idempotency == AtMostOnce || c.bids >= p.terms.MaxAttempts {
 		return left
 	}
-	return min(left, c.workload.HardStop/2)
+	return min(left, c.workload.PlacementTimeout/2)
 }
 
-func (p *Placer) confirm(e Placed) {
+func (p *Scheduler) confirm(e AttemptAccepted) {
 	c := p.containers[e.ID]
 	if c == nil || c.at == nil {
 		return
@@ -575,24 +575,24 @@
 	p.weigh(c, c.at, false)
 }
 
-func (p *Placer) note(e Noted) {
+func (p *Scheduler) note(e UsageReported) {
 	c := p.containers[e.ID]
 	if c == nil || c.at == nil {
 		return
 	}
 	c.at.heardAt = p.now
 	c.at.used.add(c.used, -1)
-	switch e.Sort {
-	case CoresUsed:
-		c.used.cores = e.Amount
-	case MemoryUsed:
-		c.used.memory = e.Amount
+	switch e.Metric {
+	case MetricCoresUsed:
+		c.used.cores = e.Value
+	case MetricMemoryUsed:
+		c.used.memory = e.Value
 	}
 	c.at.used.add(c.used, 1)
 }
 
 // end takes in the one outcome of a bid and returns its container where that goes on.
-func (p *Placer) end(e Ended) *container {
+func (p *Scheduler) end(e AttemptEnded) *container {
 	c := p.containers[e.ID]
 	if c == nil || c.at == nil {
 		return nil
@@ -603,46 +603,46 @@
 	p.release(c)
 	switch o := e.Outcome; {
 	case c.sentAt < m.started: // it went to an earlier start, and tells nothing of this one
-	case o == Full:
+	case o == OutcomeFull:
 		m.heardAt = p.now
-		if e.Reason == NoCores || e.Reason == NoMemory {
+		if e.Reason == ReasonNoCores || e.Reason == ReasonNoMemory {
 			p.full += (1 - p.full) / 32
 			p.missed += (p.gain(c) - p.missed) / 32
 		}
 		p.judge(m, false)
-		if e.Reason == NoReason && p.listsRoom(m, c) {
+		if e.Reason == ReasonNone && p.listsRoom(m, c) {
 			p.weigh(c, m, true)
 		}
-	case o == NoConnect:
+	case o == OutcomeConnectFailed:
 		p.judge(m, true)
-	case o == Erred && !placed:
+	case o == OutcomeErrored && !placed:
 		c.erred = append(c.erred, erring{m, c.sentAt, silent})
-	case o == Erred || o == TimedOut || o == Reset:
-		if silent && !placed || o == Reset && e.Reason == NoReason {
+	case o == OutcomeErrored || o == OutcomeTimedOut || o == OutcomeLost:
+		if silent && !placed || o == OutcomeLost && e.Reason == ReasonNone {
 			p.judge(m, true)
-		} else if o != Reset && !placed {
+		} else if o != OutcomeLost && !placed {
 			p.weigh(c, m, true)
 		}
-	case o == Finished:
+	case o == OutcomeFinished:
 		m.heardAt = p.now
 	}
-	if e.Outcome != Full && e.Outcome != NoConnect && e.Outcome != NotSent && c.ranAt == nil {
+	if e.Outcome != OutcomeFull && e.Outcome != OutcomeConnectFailed && e.Outcome != OutcomeNotSent && c.ranAt == nil {
 		c.ranAt, c.ranSince = m, c.sentAt
 	}
 	// A machine's own word comes before the list's: one that sends containers away, or is "not here" to one
 	// that stands nowhere, is closing down. This also covers lists that are late or out of reach; it keeps
 	// out too long a machine that did so to one container only.
-	if e.Reason == SentAway || e.Reason == NotHere && c.ranAt == nil && !c.ask.Again {
+	if e.Reason == ReasonDrained || e.Reason == ReasonWrongMachine && c.ranAt == nil && !c.ask.ClientRetry {
 		p.shut(m)
 	}
 	c.left = append(c.left, m)
 	m.leftBy++
-	if e.Over || c.closed { // a yes that crossed a withdrawal is not over: its answer is still owed
+	if e.Final || c.closed { // a yes that crossed a withdrawal is not over: its answer is still owed
 		c.closed = true
 		p.forget(c)
 		return nil
 	}
-	if e.Outcome == Finished { // its own time has passed before a yes: a further bid would start it for nothing
+	if e.Outcome == OutcomeFinished { // its own time has passed before a yes: a further bid would start it for nothing
 		p.answer(c)
 		return nil
 	}
@@ -650,7 +650,7 @@
 }
 
 // shut keeps a machine that closes down out of every draw for a while, on its own word.
-func (p *Placer) shut(m *machine) {
+func (p *Scheduler) shut(m *machine) {
 	if p.now >= m.shutUntil {
 		p.log("machine %s closing: out %d ms", m.id, closing/Millisecond)
 	}
@@ -659,7 +659,7 @@
 
 // judge is the sequential test on a machine's outcomes: each moves the log odds of its being sick, never
 // below even, and past sickAt it is a last resort. A refusal is an answer and speaks for the machine.
-func (p *Placer) judge(m *machine, failed bool) {
+func (p *Scheduler) judge(m *machine, failed bool) {
 	if !failed {
 		m.sick = max(0, m.sick+math.Log((1-sickOdds)/(1-wellOdds)))
 		if m.sick == 0 {
@@ -676,15 +676,15 @@
 }
 
 // listsRoom tells whether a machine accepts a container by the asks that the list has.
-func (p *Placer) listsRoom(m *machine, c *container) bool {
-	t, k := &p.terms, p.terms.Kinds[m.kind]
-	return t.ListedAsks && m.listAsks.cores+c.ask.Cores <= k.Cores*t.AcceptCores &&
-		m.listAsks.memory+c.ask.Memory <= k.Memory*t.AcceptMemory
+func (p *Scheduler) listsRoom(m *machine, c *container) bool {
+	t, k := &p.terms, p.terms.MachineTypes[m.kind]
+	return t.ListTracksRequests && m.listAsks.cores+c.ask.Cores <= k.Cores*t.CoresOvercommit &&
+		m.listAsks.memory+c.ask.Memory <= k.Memory*t.MemoryOvercommit
 }
 
 // traitsOf numbers a container's workload and customer among the traits.
-func (p *Placer) traitsOf(c *container) [2]int {
-	return [2]int{c.ask.Workload, len(p.terms.Workloads) + min(c.ask.Customer, len(p.terms.Customers))}
+func (p *Scheduler) traitsOf(c *container) [2]int {
+	return [2]int{c.ask.WorkloadClass, len(p.terms.WorkloadClasses) + min(c.ask.Tenant, len(p.terms.Tenants))}
 }
 
 // weigh is the second sequential test, for a machine that shuns one workload or customer and serves the rest.
@@ -693,41 +693,41 @@
 // bar, comes from the whole fleet: the more bids the trait loses beyond the others of its sort, the fewer
 // losses tell. Where all lose alike (answers lost on the way, slow starts) a loss says little and the bar
 // stays high. Harm: a machine slow to start one workload alone is left to the others for a while.
-func (p *Placer) weigh(c *container, m *machine, lost bool) {
+func (p *Scheduler) weigh(c *container, m *machine, lost bool) {
 	for _, k := range p.traitsOf(c) {
-		first, last := 0, len(p.terms.Workloads)
+		first, last := 0, len(p.terms.WorkloadClasses)
 		if k >= last {
-			first, last = last, last+len(p.terms.Customers)
+			first, last = last, last+len(p.terms.Tenants)
 		}
 		others := 0.0
 		for i := first; i < last; i++ {
 			if i != k {
-				others += p.traits[i].Lost / float64(last-first-1)
+				others += p.traits[i].LossRatio / float64(last-first-1)
 			}
 		}
 		t, d, x := &p.traits[k], &m.doubts[k], math.Log((1-shunOdds)/(1-min(others, shunOdds)))
-		t.Lost -= t.Lost / 32
+		t.LossRatio -= t.LossRatio / 32
 		if lost {
-			t.Lost += 1.0 / 32
+			t.LossRatio += 1.0 / 32
 			x = math.Log(shunOdds / min(max(others, leastLost), shunOdds))
 		}
 		before := d.now(p.now)
-		d.Odds, d.At = min(max(0, before+x), 2*sickAt), p.now
-		more := min(max(t.Lost-others, 0.01), 0.9)
-		if t.Bar = math.Log((1 - more) / more); last-first < 2 {
-			t.Bar = math.Inf(1)
+		d.LogOdds, d.AsOf = min(max(0, before+x), 2*sickAt), p.now
+		more := min(max(t.LossRatio-others, 0.01), 0.9)
+		if t.SuspicionThreshold = math.Log((1 - more) / more); last-first < 2 {
+			t.SuspicionThreshold = math.Inf(1)
 		}
-		if lost && before < t.Bar && d.Odds >= t.Bar {
-			p.log("machine %s shuns trait %d: log odds %.1f, %.2f lost, others %.2f", m.id, k, d.Odds, t.Lost, others)
+		if lost && before < t.SuspicionThreshold && d.LogOdds >= t.SuspicionThreshold {
+			p.log("machine %s shuns trait %d: log odds %.1f, %.2f lost, others %.2f", m.id, k, d.LogOdds, t.LossRatio, others)
 		}
 	}
 }
 
 // shuns tells whether a container's workload or customer is taken to be shunned. That lifts as doubts fade,
 // and for lightly doubted machines as soon as the trait loses no more than others.
-func (p *Placer) shuns(m *machine, c *container) bool {
+func (p *Scheduler) shuns(m *machine, c *container) bool {
 	for _, k := range p.traitsOf(c) {
-		if d := &m.doubts[k]; d.Odds > 0 && d.now(p.now) >= p.traits[k].Bar {
+		if d := &m.doubts[k]; d.LogOdds > 0 && d.now(p.now) >= p.traits[k].SuspicionThreshold {
 			return true
 		}
 	}
@@ -735,7 +735,7 @@
 }
 
 // probed lets a machine that answers come back on trial: one more failure takes it out.
-func (p *Placer) probed(e Probed) {
+func (p *Scheduler) probed(e ProbeCompleted) {
 	m := p.machines[e.Machine]
 	if m == nil {
 		return
@@ -744,31 +744,31 @@
 	m.probing = 0
 	switch {
 	case since < m.started: // it went to an earlier start
-	case e.Outcome == Finished:
+	case e.Outcome == OutcomeFinished:
 		m.heardAt = p.now
 		if m.restUntil > 0 {
 			p.readmit(m)
 		}
 	case m.restUntil > 0:
 		m.restUntil = p.now + restAtFirst/2
-	case e.Outcome == NotSent: // for a want of this placer's own
+	case e.Outcome == OutcomeNotSent: // for a want of this placer's own
 	default:
 		p.judge(m, true)
 	}
 }
 
-func (p *Placer) readmit(m *machine) {
+func (p *Scheduler) readmit(m *machine) {
 	m.restUntil, m.sick = 0, sickAt-1
 	p.log("machine %s back on trial", m.id)
 }
 
 // sweep is the timer's work: the list that must be asked for, and machines whose rest is over.
-func (p *Placer) sweep() {
-	p.do(Wake{sweepEvery, "sweep"})
+func (p *Scheduler) sweep() {
+	p.do(SetTimer{sweepEvery, "sweep"})
 	p.letGo()
 	if p.watchAt > 0 && p.now >= p.watchAt {
 		p.watchAt = 0
-		p.do(Watch{true})
+		p.do(WatchMachineList{true})
 	}
 	overdue := map[*machine]bool{}
 	for _, c := range p.containers {
@@ -778,13 +778,13 @@
 	}
 	for _, m := range p.order {
 		due := m.restUntil > 0 && p.now >= m.restUntil
-		if m.state != Serving || m.probing > 0 || !due && (m.restUntil > 0 || !overdue[m]) {
+		if m.state != MachineServing || m.probing > 0 || !due && (m.restUntil > 0 || !overdue[m]) {
 			continue
 		}
-		if p.terms.MayProbe && p.coldBears(m) {
+		if p.terms.ProbesAllowed && p.coldBears(m) {
 			m.probing, m.sent = p.now, append(p.recent(m), p.now)
 			p.do(Probe{m.id})
-		} else if due && !p.terms.MayProbe {
+		} else if due && !p.terms.ProbesAllowed {
 			p.readmit(m)
 		}
 	}
@@ -793,11 +793,11 @@
 // overdue answers containers whose bid has no outcome though their hard stop is past: no answer hangs on a
 // message that may be late or lost. It never acts while time-outs come when they should. The timer is set for
 // the first such container; those behind it set it anew.
-func (p *Placer) overdue() {
+func (p *Scheduler) overdue() {
 	var past []*container
 	next := Time(0)
 	for _, c := range p.containers {
-		switch d := c.ask.Due + p.terms.AnswerGrace/2; {
+		switch d := c.ask.Deadline + p.terms.AnswerGrace/2; {
 		case c.closed || c.placed || d > p.now+sweepEvery:
 		case d <= p.now:
 			past = append(past, c)
@@ -807,7 +807,7 @@
 	}
 	if next > 0 && next != p.dueAt {
 		p.dueAt = next
-		p.do(Wake{next - p.now, "due"})
+		p.do(SetTimer{next - p.now, "due"})
 	}
 	sort.Slice(past, func(i, j int) bool { return past[i].ask.ID < past[j].ask.ID })
 	for _, c := range past {
@@ -817,78 +817,78 @@
 
 // Explain tells what stands between a container and each machine, as of the last batch: a machine counts
 // under the first thing that keeps it from there, the list's word on its room among them. It changes nothing.
-func (p *Placer) Explain(a Ask) Explanation {
-	x := Explanation{Yielding: p.full > overAsked, NoRoomShare: p.full}
-	if a.Workload >= len(p.terms.Workloads) {
+func (p *Scheduler) Explain(a PlacementRequest) Explanation {
+	x := Explanation{SheddingLoad: p.full > overAsked, FullRatio: p.full}
+	if a.WorkloadClass >= len(p.terms.WorkloadClasses) {
 		return x
 	}
-	c := &container{ask: a, workload: &p.terms.Workloads[a.Workload], service: p.services[a.Service]}
+	c := &container{ask: a, workload: &p.terms.WorkloadClasses[a.WorkloadClass], service: p.services[a.Service]}
 	if c.service == nil {
 		c.service = &service{name: a.Service, held: map[*machine]int{}}
 	}
 	for _, m := range p.order {
 		w, t := c.workload, &p.terms
-		if !m.listed || m.state == Gone {
+		if !m.listed || m.state == MachineGone {
 			x.Gone++
 			continue
 		}
 		x.Machines++
-		k, asks := t.Kinds[m.kind], m.listAsks
+		k, asks := t.MachineTypes[m.kind], m.listAsks
 		if asks.cores < m.asked.cores || asks.memory < m.asked.memory {
 			asks = room{max(asks.cores, m.asked.cores), max(asks.memory, m.asked.memory)}
 		}
 		switch {
-		case w.Kind >= 0 && w.Kind != m.kind:
-			x.OtherKind++
-		case m.state == Draining:
+		case w.MachineType >= 0 && w.MachineType != m.kind:
+			x.WrongMachineType++
+		case m.state == MachineDraining:
 			x.Draining++
-		case m.contract <= 0 || a.Cores > k.Cores*t.AcceptCores || a.Memory > k.Memory*t.AcceptMemory:
+		case m.contract <= 0 || a.Cores > k.Cores*t.CoresOvercommit || a.Memory > k.Memory*t.MemoryOvercommit:
 			x.TooSmall++
-		case t.ListedAsks && asks.cores+a.Cores > k.Cores*t.AcceptCores:
-			x.NoCores++ // whatever else is held against it, it is full
-		case t.ListedAsks && asks.memory+a.Memory > k.Memory*t.AcceptMemory:
-			x.NoMemory++
+		case t.ListTracksRequests && asks.cores+a.Cores > k.Cores*t.CoresOvercommit:
+			x.InsufficientCores++ // whatever else is held against it, it is full
+		case t.ListTracksRequests && asks.memory+a.Memory > k.Memory*t.MemoryOvercommit:
+			x.InsufficientMemory++
 		case p.now < m.shutUntil:
-			x.Closing++
+			x.SelfDraining++
 		case !p.spreadHolds(c, m):
-			x.SpreadFull++
+			x.SpreadExhausted++
 		case !p.coldBears(m):
-			x.ColdSpent++
+			x.SlowStartExhausted++
 		case m.restUntil > 0:
-			x.Resting++
+			x.Ejected++
 		case p.shuns(m, c):
-			x.Shunned++
+			x.Suspected++
 		default:
-			x.Free++
+			x.Eligible++
 		}
 	}
 	return x
 }
 
-// Knows gives what this placer has learned, to be kept for another life of it.
-func (p *Placer) Knows() Knowledge {
-	k := Knowledge{Traits: slices.Clone(p.traits), Full: p.full,
-		Missed: p.missed, SentSince: p.began}
+// Snapshot gives what this placer has learned, to be kept for another life of it.
+func (p *Scheduler) Snapshot() Snapshot {
+	k := Snapshot{TrafficClasses: slices.Clone(p.traits), FullRatio: p.full,
+		RejectedWeight: p.missed, SendsKnownSince: p.began}
 	for _, m := range p.order {
-		k.Machines = append(k.Machines, Learned{m.id, m.started, m.sick, m.restUntil, m.rest, m.shutUntil,
+		k.Machines = append(k.Machines, MachineSnapshot{m.id, m.started, m.sick, m.restUntil, m.rest, m.shutUntil,
 			slices.Clone(m.doubts), slices.Clone(p.recent(m))})
 	}
 	return k
 }
 
-// Recall takes what is believed of an earlier life, after the list as last held and before any ask.
+// Restore takes what is believed of an earlier life, after the list as last held and before any ask.
 // What is told of another start of a machine, or does not fit the terms, is passed over.
-func (p *Placer) Recall(k Knowledge) {
-	if len(k.Traits) == len(p.traits) {
-		p.traits, p.full, p.missed = k.Traits, k.Full, k.Missed
+func (p *Scheduler) Restore(k Snapshot) {
+	if len(k.TrafficClasses) == len(p.traits) {
+		p.traits, p.full, p.missed = k.TrafficClasses, k.FullRatio, k.RejectedWeight
 	}
-	p.began = k.SentSince
+	p.began = k.SendsKnownSince
 	for _, l := range k.Machines {
-		if m := p.machines[l.Machine]; m != nil && m.listed && m.started == l.Started {
-			m.sick, m.restUntil, m.rest, m.shutUntil = l.Sick, l.RestUntil, max(restAtFirst, l.Rest), l.ShutUntil
-			m.sent = append(l.Cold, m.sent...)
-			if len(l.Doubts) == len(m.doubts) {
-				m.doubts = l.Doubts
+		if m := p.machines[l.Machine]; m != nil && m.listed && m.started == l.StartedAt {
+			m.sick, m.restUntil, m.rest, m.shutUntil = l.OutlierLogOdds, l.EjectedUntil, max(restAtFirst, l.EjectionTime), l.SelfDrainingUntil
+			m.sent = append(l.RecentSends, m.sent...)
+			if len(l.FailureEvidence) == len(m.doubts) {
+				m.doubts = l.FailureEvidence
 			}
 		}
 	}
--- a/scheduler/placer_test.go
+++ b/scheduler/placer_test.go
@@ -13,23 +13,23 @@
 func TestDrawOdds(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		setup func(*Placer)
+		setup func(*Scheduler)
 		want  func(m *machine) float64
 	}{
-		{"by contract", func(*Placer) {}, func(m *machine) float64 { return m.contract }},
-		{"not by placement", func(p *Placer) {
+		{"by contract", func(*Scheduler) {}, func(m *machine) float64 { return m.contract }},
+		{"not by placement", func(p *Scheduler) {
 			for i := 0; i < 30; i++ {
 				tookOver(p, fmt.Sprint("own", i), "busy", "b")
 			}
 		}, func(m *machine) float64 { return m.contract }},
-		{"not by reported room", func(p *Placer) {
-			p.Handle(1, []Event{ListCame{Mode: Changes, Entries: []Entry{
-				{Machine: "b", Zone: 0, Cell: 0, Kind: 1, FreeCores: -99, FreeMemory: -99}}}})
+		{"not by reported room", func(p *Scheduler) {
+			p.Handle(1, []Event{MachineListUpdate{Mode: DeltaUpdate, Entries: []MachineEntry{
+				{Machine: "b", Zone: 0, RackGroup: 0, MachineType: 1, FreeCores: -99, FreeMemory: -99}}}})
 		}, func(m *machine) float64 { return m.contract }},
-		{"by honored capacity", func(p *Placer) {
-			p.terms.UseNotes = true
+		{"by honored capacity", func(p *Scheduler) {
+			p.terms.UsageReports = true
 			tookOver(p, "hog", "other", "b")
-			p.Handle(1, []Event{Noted{ID: "hog", Machine: "b", Sort: CoresUsed, Amount: 35}})
+			p.Handle(1, []Event{UsageReported{ID: "hog", Machine: "b", Metric: MetricCoresUsed, Value: 35}})
 		}, func(m *machine) float64 {
 			if m.id == "b" {
 				return 40 - (35 - 1) // one core was asked for
@@ -38,12 +38,12 @@
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := fleet(terms(Reissuable))
+			p := fleet(terms(Idempotent))
 			tc.setup(p)
 			const n = 20000
 			seen, sum := map[*machine]float64{}, 0.0
 			for i := 0; i < n; i++ {
-				c := p.take(Ask{ID: "x", Service: fmt.Sprint("s", i), Cores: 1, Memory: 1})
+				c := p.take(PlacementRequest{ID: "x", Service: fmt.Sprint("s", i), Cores: 1, Memory: 1})
 				seen[p.draw(c)]++
 				c.closed = true
 				p.forget(c)
@@ -73,8 +73,8 @@
 		{"floor", true, 500, 4, 12, 40 * weightFloor},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := fleet(terms(Reissuable))
-			p.terms.UseNotes = tc.notes
+			p := fleet(terms(Idempotent))
+			p.terms.UsageReports = tc.notes
 			m := p.machines["b"]
 			m.used.cores, m.asked.cores, m.listAsks.cores = tc.used, tc.asked, tc.listAsk
 			if got := p.honored(m); math.Abs(got-tc.want) > 1e-9 {
@@ -88,37 +88,37 @@
 func TestAfterOutcome(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		effect  Effect
-		repeats Place
+		effect  Idempotency
+		repeats Scope
 		outcome Outcome
 		wait    Time   // until the outcome
 		want    Action // of this type
 	}{
-		{"reissuable timed out", Reissuable, 0, TimedOut, Second, Bid{}},
-		{"reissuable full", Reissuable, 0, Full, Second, Bid{}},
-		{"at-most-once full", AtMostOnce, 0, Full, Second, Bid{}},
-		{"at-most-once refused connection", AtMostOnce, 0, NoConnect, Second, Bid{}},
-		{"at-most-once not sent", AtMostOnce, 0, NotSent, Second, Bid{}},
-		{"at-most-once timed out", AtMostOnce, 0, TimedOut, Second, GiveUp{}},
-		{"at-most-once erred", AtMostOnce, 0, Erred, Second, GiveUp{}},
-		{"at-most-once reset", AtMostOnce, 0, Reset, Second, GiveUp{}},
-		{"numbered stays in its zone", Numbered, OneZone, TimedOut, Second, Bid{}},
-		{"numbered stays in its cell", Numbered, OneCell, TimedOut, Second, GiveUp{}},
-		{"numbered anywhere", Numbered, Everywhere, TimedOut, Second, Bid{}},
-		{"numbered past its window", Numbered, OneZone, TimedOut, 5 * Second, GiveUp{}},
-		{"numbered past its window, anywhere", Numbered, Everywhere, TimedOut, 5 * Second, PushBack{}},
-		{"at the hard stop", Reissuable, 0, TimedOut, 10 * Second, PushBack{}},
+		{"reissuable timed out", Idempotent, 0, OutcomeTimedOut, Second, StartAttempt{}},
+		{"reissuable full", Idempotent, 0, OutcomeFull, Second, StartAttempt{}},
+		{"at-most-once full", AtMostOnce, 0, OutcomeFull, Second, StartAttempt{}},
+		{"at-most-once refused connection", AtMostOnce, 0, OutcomeConnectFailed, Second, StartAttempt{}},
+		{"at-most-once not sent", AtMostOnce, 0, OutcomeNotSent, Second, StartAttempt{}},
+		{"at-most-once timed out", AtMostOnce, 0, OutcomeTimedOut, Second, Fail{}},
+		{"at-most-once erred", AtMostOnce, 0, OutcomeErrored, Second, Fail{}},
+		{"at-most-once reset", AtMostOnce, 0, OutcomeLost, Second, Fail{}},
+		{"numbered stays in its zone", IdempotentWithKey, ScopeZone, OutcomeTimedOut, Second, StartAttempt{}},
+		{"numbered stays in its cell", IdempotentWithKey, ScopeRackGroup, OutcomeTimedOut, Second, Fail{}},
+		{"numbered anywhere", IdempotentWithKey, ScopeFleet, OutcomeTimedOut, Second, StartAttempt{}},
+		{"numbered past its window", IdempotentWithKey, ScopeZone, OutcomeTimedOut, 5 * Second, Fail{}},
+		{"numbered past its window, anywhere", IdempotentWithKey, ScopeFleet, OutcomeTimedOut, 5 * Second, Reject{}},
+		{"at the hard stop", Idempotent, 0, OutcomeTimedOut, 10 * Second, Reject{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			tm := terms(tc.effect)
-			tm.Workloads[0].Repeats, tm.Workloads[0].Window = tc.repeats, 5*Second
+			tm.WorkloadClasses[0].DedupScope, tm.WorkloadClasses[0].DedupWindow = tc.repeats, 5*Second
 			p := fleet(tm)
 			first := ask(p, 0, "x", "s")
-			got := p.Handle(tc.wait, []Event{Ended{ID: "x", Outcome: tc.outcome, Machine: first}})
+			got := p.Handle(tc.wait, []Event{AttemptEnded{ID: "x", Outcome: tc.outcome, Machine: first}})
 			if !sameType(last(got), tc.want) {
 				t.Errorf("%T, want %T", last(got), tc.want)
 			}
-			if b, ok := last(got).(Bid); ok && (b.Machine == first ||
+			if b, ok := last(got).(StartAttempt); ok && (b.Machine == first ||
 				!p.machines[b.Machine].shares(p.machines[first], tc.repeats) && tc.repeats != 0) {
 				t.Errorf("bid to %s after %s", b.Machine, first)
 			}
@@ -133,28 +133,28 @@
 		want   int // actions for the container after its first bid
 		left   int
 	}{
-		{"withdrawn, then its outcome", []Event{Vanished{"x"}, Ended{ID: "x", Outcome: TimedOut}}, 0, 0},
-		{"outcome closes it, then it vanishes", []Event{Ended{ID: "x", Over: true, Outcome: Finished},
-			Vanished{"x"}}, 0, 0},
-		{"placed, then lost", []Event{Placed{ID: "x"}, Ended{ID: "x", Over: true, Outcome: Reset}}, 0, 0},
-		{"every machine full", []Event{Ended{ID: "x", Outcome: Full}, Ended{ID: "x", Outcome: Full},
-			Ended{ID: "x", Outcome: Full}, Ended{ID: "x", Outcome: Full}}, 4, 0},
-		{"yes crossed by a withdrawal", []Event{Placed{ID: "x"}, Ended{ID: "x", Outcome: Stopped}}, 1, 2},
-		{"no outcome at the hard stop", []Event{Woke{"sweep"}, Woke{"due"}}, 1, 2},
-		{"unknown to us", []Event{Noted{ID: "y"}, Ended{ID: "y"}, Placed{ID: "y"}, Vanished{"y"}}, 0, 2},
+		{"withdrawn, then its outcome", []Event{ContainerRemoved{"x"}, AttemptEnded{ID: "x", Outcome: OutcomeTimedOut}}, 0, 0},
+		{"outcome closes it, then it vanishes", []Event{AttemptEnded{ID: "x", Final: true, Outcome: OutcomeFinished},
+			ContainerRemoved{"x"}}, 0, 0},
+		{"placed, then lost", []Event{AttemptAccepted{ID: "x"}, AttemptEnded{ID: "x", Final: true, Outcome: OutcomeLost}}, 0, 0},
+		{"every machine full", []Event{AttemptEnded{ID: "x", Outcome: OutcomeFull}, AttemptEnded{ID: "x", Outcome: OutcomeFull},
+			AttemptEnded{ID: "x", Outcome: OutcomeFull}, AttemptEnded{ID: "x", Outcome: OutcomeFull}}, 4, 0},
+		{"yes crossed by a withdrawal", []Event{AttemptAccepted{ID: "x"}, AttemptEnded{ID: "x", Outcome: OutcomeStopped}}, 1, 2},
+		{"no outcome at the hard stop", []Event{TimerFired{"sweep"}, TimerFired{"due"}}, 1, 2},
+		{"unknown to us", []Event{UsageReported{ID: "y"}, AttemptEnded{ID: "y"}, AttemptAccepted{ID: "y"}, ContainerRemoved{"y"}}, 0, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := fleet(terms(Reissuable))
+			p := fleet(terms(Idempotent))
 			ask(p, 0, "x", "s")
 			n := 0
 			for i, e := range tc.events {
 				now := Time(i + 1)
-				if (e == Event(Woke{"due"})) {
+				if (e == Event(TimerFired{"due"})) {
 					now += 6 * Second
 				}
 				for _, a := range p.Handle(now, []Event{e}) {
 					switch a.(type) {
-					case Bid, PushBack, GiveUp, Withdraw:
+					case StartAttempt, Reject, Fail, CancelAttempt:
 						n++
 					}
 				}
@@ -172,58 +172,58 @@
 func TestFilters(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		setup func(p *Placer)
+		setup func(p *Scheduler)
 		want  string // machines that may be bid to
 	}{
-		{"all", func(*Placer) {}, "abcd"},
-		{"draining and gone", func(p *Placer) {
-			p.Handle(0, []Event{ListCame{Mode: Changes, Entries: []Entry{
-				{Machine: "a", State: Draining}, {Machine: "b", State: Gone, Kind: 1}}}})
+		{"all", func(*Scheduler) {}, "abcd"},
+		{"draining and gone", func(p *Scheduler) {
+			p.Handle(0, []Event{MachineListUpdate{Mode: DeltaUpdate, Entries: []MachineEntry{
+				{Machine: "a", State: MachineDraining}, {Machine: "b", State: MachineGone, MachineType: 1}}}})
 		}, "cd"},
-		{"absent from a whole list", func(p *Placer) {
-			p.Handle(0, []Event{ListCame{Mode: WholeList, Entries: []Entry{{Machine: "c"}}}})
+		{"absent from a whole list", func(p *Scheduler) {
+			p.Handle(0, []Event{MachineListUpdate{Mode: FullSnapshot, Entries: []MachineEntry{{Machine: "c"}}}})
 		}, "c"},
-		{"kind", func(p *Placer) { p.terms.Workloads[0].Kind = 1 }, "b"},
-		{"kinds too small", func(p *Placer) { p.terms.Kinds[0].Cores = 0.4 }, "b"},
-		{"spread over machines", func(p *Placer) {
-			p.terms.Workloads[0].Spread, p.terms.Workloads[0].Most = OneMachine, 2
+		{"kind", func(p *Scheduler) { p.terms.WorkloadClasses[0].MachineType = 1 }, "b"},
+		{"kinds too small", func(p *Scheduler) { p.terms.MachineTypes[0].Cores = 0.4 }, "b"},
+		{"spread over machines", func(p *Scheduler) {
+			p.terms.WorkloadClasses[0].SpreadScope, p.terms.WorkloadClasses[0].MaxPerScope = ScopeMachine, 2
 			tookOver(p, "o1", "s", "a")
 			ask(p, 0, "o2", "s")
 			p.move("o2", "a")
 		}, "bcd"},
-		{"spread over zones", func(p *Placer) {
-			p.terms.Workloads[0].Spread, p.terms.Workloads[0].Most = OneZone, 1
+		{"spread over zones", func(p *Scheduler) {
+			p.terms.WorkloadClasses[0].SpreadScope, p.terms.WorkloadClasses[0].MaxPerScope = ScopeZone, 1
 			tookOver(p, "o1", "s", "a")
 		}, "cd"},
-		{"spread: running on a machine no list has named", func(p *Placer) {
-			p.terms.Workloads[0].Spread, p.terms.Workloads[0].Most = OneZone, 1
+		{"spread: running on a machine no list has named", func(p *Scheduler) {
+			p.terms.WorkloadClasses[0].SpreadScope, p.terms.WorkloadClasses[0].MaxPerScope = ScopeZone, 1
 			tookOver(p, "o1", "s", "nowhere")
 		}, ""},
-		{"cold, its budget spent", func(p *Placer) {
+		{"cold, its budget spent", func(p *Scheduler) {
 			m := p.machines["a"]
 			m.started = p.now + 1
-			for i := 0; i < p.terms.ColdBids/p.terms.Placers; i++ {
+			for i := 0; i < p.terms.SlowStartBudget/p.terms.SchedulerCount; i++ {
 				m.sent = append(m.sent, p.now)
 			}
 		}, "bcd"},
-		{"cold, just after own start", func(p *Placer) {
+		{"cold, just after own start", func(p *Scheduler) {
 			p.machines["a"].started, p.began = p.now+1, p.now
 		}, "bcd"},
-		{"sent a container away", func(p *Placer) {
+		{"sent a container away", func(p *Scheduler) {
 			tookOver(p, "o1", "o", "a")
-			p.Handle(p.now, []Event{Ended{ID: "o1", Over: true, Outcome: Reset, Reason: SentAway}})
+			p.Handle(p.now, []Event{AttemptEnded{ID: "o1", Final: true, Outcome: OutcomeLost, Reason: ReasonDrained}})
 		}, "bcd"},
-		{"not here", func(p *Placer) {
+		{"not here", func(p *Scheduler) {
 			ask(p, p.now, "o1", "o")
 			p.move("o1", "a")
-			p.Handle(p.now, []Event{Ended{ID: "o1", Outcome: Full, Reason: NotHere}})
+			p.Handle(p.now, []Event{AttemptEnded{ID: "o1", Outcome: OutcomeFull, Reason: ReasonWrongMachine}})
 		}, "bcd"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := fleet(terms(Reissuable))
+			p := fleet(terms(Idempotent))
 			p.now, p.began = 100*Second, 0
 			tc.setup(p)
-			c, got := p.take(Ask{ID: "x", Service: "s", Cores: 1, Memory: 1}), ""
+			c, got := p.take(PlacementRequest{ID: "x", Service: "s", Cores: 1, Memory: 1}), ""
 			for _, m := range p.order {
 				if p.mayBid(c, m) {
 					got += string(m.id)
@@ -247,10 +247,10 @@
 	}{{10, 3, "abcd", 1}, {100, 3, "abcd", 1}, {1000, 3, "abcd", 1}, {100, 7, "abcd", 1}, {100, 40, "abcd", 1},
 		{1000, 300, "a", 1}, {20 * Second, 300, "a", 8}} {
 		t.Run(fmt.Sprintf("a container every %d at each of %d, cold %s", tc.gap, tc.placers, tc.cold), func(t *testing.T) {
-			var all []*Placer
+			var all []*Scheduler
 			for i := 0; i < tc.placers; i++ {
-				tm := terms(Reissuable)
-				tm.Me, tm.Placers, tm.MostBids = i, tc.placers, 1
+				tm := terms(Idempotent)
+				tm.SchedulerIndex, tm.SchedulerCount, tm.MaxAttempts = i, tc.placers, 1
 				all = append(all, fleet(tm))
 				for _, m := range all[i].order {
 					if strings.Contains(tc.cold, string(m.id)) {
@@ -259,7 +259,7 @@
 				}
 			}
 			var sent []Time
-			for now := Time(10); now < all[0].terms.ColdFor; now += min(tc.gap, 1000) {
+			for now := Time(10); now < all[0].terms.SlowStartPeriod; now += min(tc.gap, 1000) {
 				for i, p := range all {
 					if tc.gap > 1000 && (now+Time(i)*7310)%tc.gap >= 1000 {
 						continue
@@ -271,10 +271,10 @@
 			}
 			most := 0
 			for i := range sent {
-				n := sort.Search(len(sent), func(k int) bool { return sent[k] >= sent[i]+all[0].terms.ColdWindow }) - i
+				n := sort.Search(len(sent), func(k int) bool { return sent[k] >= sent[i]+all[0].terms.SlowStartWindow }) - i
 				most = max(most, n)
 			}
-			if len(sent) < tc.least || most > all[0].terms.ColdBids {
+			if len(sent) < tc.least || most > all[0].terms.SlowStartBudget {
 				t.Errorf("%d bids, up to %d in a window", len(sent), most)
 			}
 		})
@@ -294,20 +294,20 @@
 		{"late but heard of", "heard-late heard-late heard-late", false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := fleet(terms(Reissuable))
+			p := fleet(terms(Idempotent))
 			for i, word := range strings.Fields(tc.outcomes) {
 				now, id := Time(i+1)*Second, ContainerID(fmt.Sprint("x", i))
 				ask(p, now, id, "s")
 				p.move(id, "a")
 				if word == "heard-late" {
-					p.Handle(now+1, []Event{Probed{Machine: "a"}})
+					p.Handle(now+1, []Event{ProbeCompleted{Machine: "a"}})
 				}
 				p.Handle(now+2, []Event{map[string]Event{
-					"unreachable": Ended{ID: id, Over: true, Outcome: NoConnect},
-					"full":        Ended{ID: id, Over: true, Outcome: Full, Reason: NoMemory},
-					"late":        Ended{ID: id, Over: true, Outcome: TimedOut},
-					"heard-late":  Ended{ID: id, Over: true, Outcome: TimedOut},
-					"yes":         Placed{ID: id}}[word]})
+					"unreachable": AttemptEnded{ID: id, Final: true, Outcome: OutcomeConnectFailed},
+					"full":        AttemptEnded{ID: id, Final: true, Outcome: OutcomeFull, Reason: ReasonNoMemory},
+					"late":        AttemptEnded{ID: id, Final: true, Outcome: OutcomeTimedOut},
+					"heard-late":  AttemptEnded{ID: id, Final: true, Outcome: OutcomeTimedOut},
+					"yes":         AttemptAccepted{ID: id}}[word]})
 			}
 			if out := p.machines["a"].restUntil > 0; out != tc.out {
 				t.Errorf("out %t, want %t (log odds %.1f)", out, tc.out, p.machines["a"].sick)
@@ -315,7 +315,7 @@
 		})
 	}
 	t.Run("sick ones are the last resort", func(t *testing.T) {
-		p := fleet(terms(Reissuable))
+		p := fleet(terms(Idempotent))
 		for i, m := range p.order {
 			p.judge(m, true)
 			p.judge(m, true)
@@ -326,12 +326,12 @@
 		}
 	})
 	t.Run("comes back by a probe, on trial", func(t *testing.T) {
-		p := fleet(terms(Reissuable))
+		p := fleet(terms(Idempotent))
 		m := p.machines["a"]
 		p.judge(m, true)
 		p.judge(m, true)
-		acts := p.Handle(m.restUntil, []Event{Woke{"sweep"}})
-		p.Handle(m.restUntil+100, []Event{Probed{Machine: "a", Outcome: Finished}})
+		acts := p.Handle(m.restUntil, []Event{TimerFired{"sweep"}})
+		p.Handle(m.restUntil+100, []Event{ProbeCompleted{Machine: "a", Outcome: OutcomeFinished}})
 		if last(acts) != (Probe{"a"}) || m.restUntil > 0 {
 			t.Fatalf("probed by %v, out until %d", acts, m.restUntil)
 		}
@@ -355,21 +355,21 @@
 		{"two errors, then full", "eeff", 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := fleet(terms(Reissuable))
+			p := fleet(terms(Idempotent))
 			at := ask(p, Second, "x", "s")
 			for i, w := range tc.words {
 				if at == "" {
 					t.Fatalf("no bid before word %d", i)
 				}
-				var e Event = Placed{ID: "x", Bid: i, Machine: at}
+				var e Event = AttemptAccepted{ID: "x", Attempt: i, Machine: at}
 				switch w {
 				case 'e':
-					e = Ended{ID: "x", Bid: i, Machine: at, Outcome: Erred}
+					e = AttemptEnded{ID: "x", Attempt: i, Machine: at, Outcome: OutcomeErrored}
 				case 'f':
-					e = Ended{ID: "x", Bid: i, Machine: at, Outcome: Full, Reason: NoMemory}
+					e = AttemptEnded{ID: "x", Attempt: i, Machine: at, Outcome: OutcomeFull, Reason: ReasonNoMemory}
 				}
 				at = ""
-				if b, ok := last(p.Handle(Second+Time(i+1), []Event{e})).(Bid); ok {
+				if b, ok := last(p.Handle(Second+Time(i+1), []Event{e})).(StartAttempt); ok {
 					at = b.Machine
 				}
 			}
@@ -390,19 +390,19 @@
 func TestTimePassed(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		effect Effect
+		effect Idempotency
 		want   Action
 	}{
-		{"reissuable", Reissuable, PushBack{ID: "x"}},
-		{"numbered", Numbered, GiveUp{"x"}},
-		{"at-most-once", AtMostOnce, GiveUp{"x"}},
+		{"reissuable", Idempotent, Reject{ID: "x"}},
+		{"numbered", IdempotentWithKey, Fail{"x"}},
+		{"at-most-once", AtMostOnce, Fail{"x"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			tm := terms(tc.effect)
-			tm.Workloads[0].Repeats, tm.Workloads[0].Window = OneZone, 8*Second
+			tm.WorkloadClasses[0].DedupScope, tm.WorkloadClasses[0].DedupWindow = ScopeZone, 8*Second
 			p := fleet(tm)
 			at := ask(p, Second, "x", "s")
-			acts := p.Handle(2*Second, []Event{Ended{ID: "x", Machine: at, Outcome: Finished}})
+			acts := p.Handle(2*Second, []Event{AttemptEnded{ID: "x", Machine: at, Outcome: OutcomeFinished}})
 			if m := p.machines[at]; len(acts) != 1 || acts[0] != tc.want || m.sick > 0 || m.heardAt != 2*Second {
 				t.Errorf("%v, log odds %.1f, heard at %d", acts, m.sick, m.heardAt)
 			}
@@ -427,21 +427,21 @@
 		{"hundreds, the service away", 300, 20 * Second, 60, 31 * Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			var all []*Placer
+			var all []*Scheduler
 			calls, informed := make([]int, 200), 0
 			for i := 0; i < tc.placers; i++ {
-				tm := terms(Reissuable)
-				tm.Seed, tm.Placers, tm.Me, tm.ListOnAsk, tm.AskWithin = uint64(i), tc.placers, i, true, 10*Second
+				tm := terms(Idempotent)
+				tm.Seed, tm.SchedulerCount, tm.SchedulerIndex, tm.ListOnRequest, tm.ResyncInterval = uint64(i), tc.placers, i, true, 10*Second
 				all = append(all, New(tm))
 			}
 			for now := Time(0); now <= tc.by; now += Second / 4 {
 				for _, p := range all {
-					if slices.Contains(p.Handle(now, []Event{Woke{"sweep"}}), Action(Watch{true})) {
+					if slices.Contains(p.Handle(now, []Event{TimerFired{"sweep"}}), Action(WatchMachineList{true})) {
 						calls[now/(Second/2)]++
 						if now < tc.downUntil {
-							p.Handle(now, []Event{ListCame{Mode: ListFailed}})
+							p.Handle(now, []Event{MachineListUpdate{Mode: UpdateFailed}})
 						} else {
-							p.Handle(now, []Event{ListCame{Mode: WholeList}})
+							p.Handle(now, []Event{MachineListUpdate{Mode: FullSnapshot}})
 							informed++
 						}
 					}
@@ -460,32 +460,32 @@
 	for _, tc := range []struct {
 		name     string
 		before   []Event // of the list, before the hello
-		mode     ListMode
+		mode     UpdateMode
 		stillDue bool
 	}{
 		{"first call of a new incarnation", nil, SelfReported, true},
-		{"list unreachable", []Event{ListCame{Mode: ListFailed}}, SelfReported, true},
-		{"list unreachable for long", []Event{ListCame{Mode: ListFailed}, ListCame{Mode: ListFailed},
-			ListCame{Mode: ListFailed}}, SelfReported, true},
-		{"list answered before", []Event{ListCame{Mode: Changes}}, SelfReported, false},
-		{"the list itself tells", []Event{ListCame{Mode: ListFailed}}, Changes, false},
+		{"list unreachable", []Event{MachineListUpdate{Mode: UpdateFailed}}, SelfReported, true},
+		{"list unreachable for long", []Event{MachineListUpdate{Mode: UpdateFailed}, MachineListUpdate{Mode: UpdateFailed},
+			MachineListUpdate{Mode: UpdateFailed}}, SelfReported, true},
+		{"list answered before", []Event{MachineListUpdate{Mode: DeltaUpdate}}, SelfReported, false},
+		{"the list itself tells", []Event{MachineListUpdate{Mode: UpdateFailed}}, DeltaUpdate, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			tm := terms(Reissuable)
-			tm.ListOnAsk, tm.AskWithin = true, 4*Second
+			tm := terms(Idempotent)
+			tm.ListOnRequest, tm.ResyncInterval = true, 4*Second
 			p := fleet(tm)
 			now := Millisecond
 			p.Handle(now, tc.before)
-			p.Handle(now, []Event{ListCame{Mode: tc.mode, Entries: []Entry{{Machine: "a", StartedAt: now}}}})
+			p.Handle(now, []Event{MachineListUpdate{Mode: tc.mode, Entries: []MachineEntry{{Machine: "a", StartedAt: now}}}})
 			if m := p.machine("a"); m.started != now || !p.isCold(m) {
 				t.Errorf("machine a started at %d, cold: %v", m.started, p.isCold(m))
 			}
-			if m := p.machine("d"); m.state != Serving {
+			if m := p.machine("d"); m.state != MachineServing {
 				t.Errorf("machine d is in state %d", m.state)
 			}
 			calls := 0
 			for ; now <= 10*Second; now += Second / 4 {
-				if slices.Contains(p.Handle(now, []Event{Woke{"sweep"}}), Action(Watch{true})) {
+				if slices.Contains(p.Handle(now, []Event{TimerFired{"sweep"}}), Action(WatchMachineList{true})) {
 					calls++
 				}
 			}
@@ -515,18 +515,18 @@
 		{"room, came before", 0.1, 1, 0, true, 0, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			tm := terms(Reissuable)
-			tm.Workloads = append(tm.Workloads, tm.Workloads[0])
-			tm.Workloads[1].Gain = 2 * tm.Workloads[0].Gain
-			tm.Customers = []Customer{{Cores: 50}, {Cores: 50}}
+			tm := terms(Idempotent)
+			tm.WorkloadClasses = append(tm.WorkloadClasses, tm.WorkloadClasses[0])
+			tm.WorkloadClasses[1].PriorityWeight = 2 * tm.WorkloadClasses[0].PriorityWeight
+			tm.Tenants = []Tenant{{QuotaCores: 50}, {QuotaCores: 50}}
 			p, n := fleet(tm), 0
 			for i := 0; i < 1000; i++ {
 				p.held[0], p.held[1] = 20, 80
-				p.full, p.missed = tc.full, tc.full*tm.Workloads[1].Gain
+				p.full, p.missed = tc.full, tc.full*tm.WorkloadClasses[1].PriorityWeight
 				id := ContainerID(fmt.Sprint(i))
-				acts := p.Handle(0, []Event{Asked{Ask{ID: id, Service: "s", Workload: tc.workload,
-					Customer: tc.customer, Again: tc.again, Cores: 1, Memory: 1, Due: 5 * Second}}})
-				if _, ok := last(acts).(PushBack); ok {
+				acts := p.Handle(0, []Event{RequestReceived{PlacementRequest{ID: id, Service: "s", WorkloadClass: tc.workload,
+					Tenant: tc.customer, ClientRetry: tc.again, Cores: 1, Memory: 1, Deadline: 5 * Second}}})
+				if _, ok := last(acts).(Reject); ok {
 					n++
 				}
 			}
@@ -540,10 +540,10 @@
 // A machine may leave one workload or customer unserved and serve the rest: it is lost to that one only, for
 // a while. Losses that all share, refusals with a reason and a fleet where all shun it change nothing.
 func TestShunned(t *testing.T) {
-	yes := func(int) Event { return Placed{ID: "x"} }
-	lost := func(int) Event { return Ended{ID: "x", Over: true, Outcome: TimedOut} }
+	yes := func(int) Event { return AttemptAccepted{ID: "x"} }
+	lost := func(int) Event { return AttemptEnded{ID: "x", Final: true, Outcome: OutcomeTimedOut} }
 	full := func(r Reason) func(int) Event {
-		return func(int) Event { return Ended{ID: "x", Over: true, Outcome: Full, Reason: r} }
+		return func(int) Event { return AttemptEnded{ID: "x", Final: true, Outcome: OutcomeFull, Reason: r} }
 	}
 	third := func(i int) Event { return []func(int) Event{lost, yes, yes}[i%3](i) }
 	for _, tc := range []struct {
@@ -557,15 +557,15 @@
 		{"unanswered", lost, yes, false, "a", 0, "bcd"},
 		{"it lifts", lost, yes, false, "a", 3 * shunFades, "abcd"},
 		{"a third unanswered, of all alike", third, third, false, "", 0, "abcd"},
-		{"full for no reason", full(NoReason), yes, false, "a", 0, "bcd"},
-		{"full with a reason", full(NoMemory), yes, false, "a", 0, "abcd"},
-		{"full for no reason, no room", full(NoReason), yes, true, "a", 0, "abcd"},
+		{"full for no reason", full(ReasonNone), yes, false, "a", 0, "bcd"},
+		{"full with a reason", full(ReasonNoMemory), yes, false, "a", 0, "abcd"},
+		{"full for no reason, no room", full(ReasonNone), yes, true, "a", 0, "abcd"},
 		{"everywhere", lost, yes, false, "", 0, "abcd"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			tm := terms(Reissuable)
-			tm.Workloads = append(tm.Workloads, tm.Workloads[0])
-			tm.Customers = []Customer{{50}, {50}}
+			tm := terms(Idempotent)
+			tm.WorkloadClasses = append(tm.WorkloadClasses, tm.WorkloadClasses[0])
+			tm.Tenants = []Tenant{{50}, {50}}
 			p := fleet(tm)
 			for i := 0; i < 6; i++ {
 				for _, m := range p.order {
@@ -574,14 +574,14 @@
 						m.listAsks.cores = 99
 					}
 					for w, event := range []func(int) Event{tc.first, tc.rest} {
-						p.Handle(1, []Event{Asked{Ask{ID: "x", Service: "s", Workload: w, Customer: w, Cores: 1, Memory: 1,
-							Due: 6 * Second}}})
+						p.Handle(1, []Event{RequestReceived{PlacementRequest{ID: "x", Service: "s", WorkloadClass: w, Tenant: w, Cores: 1, Memory: 1,
+							Deadline: 6 * Second}}})
 						p.move("x", m.id)
 						m.heardAt = 1
 						if w == 0 && tc.at != "" && tc.at != m.id {
 							event = yes
 						}
-						p.Handle(2, []Event{event(i), Ended{ID: "x", Over: true}})
+						p.Handle(2, []Event{event(i), AttemptEnded{ID: "x", Final: true}})
 					}
 				}
 			}
@@ -589,7 +589,7 @@
 			for _, w := range []int{0, 1} {
 				got := map[string]bool{}
 				for i := 0; i < 400; i++ {
-					c := p.take(Ask{ID: "y", Service: fmt.Sprint(i), Workload: w, Customer: w, Cores: 1, Memory: 1})
+					c := p.take(PlacementRequest{ID: "y", Service: fmt.Sprint(i), WorkloadClass: w, Tenant: w, Cores: 1, Memory: 1})
 					got[string(p.draw(c).id)] = true
 				}
 				if s := strings.Join(slices.Sorted(maps.Keys(got)), ""); w == 0 && s != tc.want || w == 1 && s != "abcd" {
@@ -603,20 +603,20 @@
 // What cannot be so is answered safely: nothing goes to a machine of unknown kind or of no capacity, and a
 // container of an unknown workload is given up at once.
 func TestOddInput(t *testing.T) {
-	tm := terms(Reissuable)
-	tm.Placers, tm.ColdBids, tm.Kinds = 0, 0, append(tm.Kinds, Kind{})
+	tm := terms(Idempotent)
+	tm.SchedulerCount, tm.SlowStartBudget, tm.MachineTypes = 0, 0, append(tm.MachineTypes, MachineType{})
 	p := fleet(tm)
-	p.Handle(1, []Event{ListCame{Mode: WholeList, Entries: []Entry{{Machine: "a", Kind: 9}, {Machine: "b", Kind: 2},
-		{Machine: "c", StartedAt: 1}}}, TookOver{Ask{ID: "r", Service: "s", Workload: 7}, "c"}})
+	p.Handle(1, []Event{MachineListUpdate{Mode: FullSnapshot, Entries: []MachineEntry{{Machine: "a", MachineType: 9}, {Machine: "b", MachineType: 2},
+		{Machine: "c", StartedAt: 1}}}, ContainerAdopted{PlacementRequest{ID: "r", Service: "s", WorkloadClass: 7}, "c"}})
 	for _, tc := range []struct {
-		ask  Ask
+		ask  PlacementRequest
 		want Action // of this type
 	}{
-		{Ask{ID: "x", Service: "s", Due: 2 * Second}, PushBack{}},
-		{Ask{ID: "y", Service: "s", Workload: 7, Due: 2 * Second}, GiveUp{}},
-		{Ask{ID: "z", Service: "s", Customer: 7, Due: 30 * Second}, Bid{}},
+		{PlacementRequest{ID: "x", Service: "s", Deadline: 2 * Second}, Reject{}},
+		{PlacementRequest{ID: "y", Service: "s", WorkloadClass: 7, Deadline: 2 * Second}, Fail{}},
+		{PlacementRequest{ID: "z", Service: "s", Tenant: 7, Deadline: 30 * Second}, StartAttempt{}},
 	} {
-		if got := last(p.Handle(tc.ask.Due-1000, []Event{Asked{tc.ask}})); !sameType(got, tc.want) {
+		if got := last(p.Handle(tc.ask.Deadline-1000, []Event{RequestReceived{tc.ask}})); !sameType(got, tc.want) {
 			t.Errorf("%s: %T, want %T", tc.ask.ID, got, tc.want)
 		}
 	}
@@ -626,42 +626,42 @@
 func TestExplain(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		setup func(p *Placer)
+		setup func(p *Scheduler)
 		want  func(x Explanation) int
 		n     int
 	}{
-		{"free", func(*Placer) {}, func(x Explanation) int { return x.Free }, 4},
-		{"draining", func(p *Placer) { p.machines["a"].state = Draining }, func(x Explanation) int { return x.Draining }, 1},
-		{"gone", func(p *Placer) { p.machines["a"].state = Gone }, func(x Explanation) int { return x.Gone }, 1},
-		{"kind", func(p *Placer) { p.terms.Workloads[0].Kind = 1 }, func(x Explanation) int { return x.OtherKind }, 3},
-		{"sick", func(p *Placer) { p.machines["a"].restUntil = 1 }, func(x Explanation) int { return x.Resting }, 1},
-		{"closing", func(p *Placer) { p.machines["a"].shutUntil = p.now + 1 }, func(x Explanation) int { return x.Closing }, 1},
-		{"cold", func(p *Placer) { p.machines["a"].started, p.began = p.now+1, p.now }, func(x Explanation) int { return x.ColdSpent }, 1},
-		{"no cores", func(p *Placer) { p.terms.ListedAsks = true; p.machines["a"].listAsks.cores = 1e6 },
-			func(x Explanation) int { return x.NoCores }, 1},
-		{"no memory", func(p *Placer) { p.terms.ListedAsks = true; p.machines["a"].listAsks.memory = 1e6 },
-			func(x Explanation) int { return x.NoMemory }, 1},
-		{"spread", func(p *Placer) {
-			p.terms.Workloads[0].Spread, p.terms.Workloads[0].Most = OneMachine, 1
+		{"free", func(*Scheduler) {}, func(x Explanation) int { return x.Eligible }, 4},
+		{"draining", func(p *Scheduler) { p.machines["a"].state = MachineDraining }, func(x Explanation) int { return x.Draining }, 1},
+		{"gone", func(p *Scheduler) { p.machines["a"].state = MachineGone }, func(x Explanation) int { return x.Gone }, 1},
+		{"kind", func(p *Scheduler) { p.terms.WorkloadClasses[0].MachineType = 1 }, func(x Explanation) int { return x.WrongMachineType }, 3},
+		{"sick", func(p *Scheduler) { p.machines["a"].restUntil = 1 }, func(x Explanation) int { return x.Ejected }, 1},
+		{"closing", func(p *Scheduler) { p.machines["a"].shutUntil = p.now + 1 }, func(x Explanation) int { return x.SelfDraining }, 1},
+		{"cold", func(p *Scheduler) { p.machines["a"].started, p.began = p.now+1, p.now }, func(x Explanation) int { return x.SlowStartExhausted }, 1},
+		{"no cores", func(p *Scheduler) { p.terms.ListTracksRequests = true; p.machines["a"].listAsks.cores = 1e6 },
+			func(x Explanation) int { return x.InsufficientCores }, 1},
+		{"no memory", func(p *Scheduler) { p.terms.ListTracksRequests = true; p.machines["a"].listAsks.memory = 1e6 },
+			func(x Explanation) int { return x.InsufficientMemory }, 1},
+		{"spread", func(p *Scheduler) {
+			p.terms.WorkloadClasses[0].SpreadScope, p.terms.WorkloadClasses[0].MaxPerScope = ScopeMachine, 1
 			tookOver(p, "o", "s", "a")
-		}, func(x Explanation) int { return x.SpreadFull }, 1},
+		}, func(x Explanation) int { return x.SpreadExhausted }, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p, q := fleet(terms(Reissuable)), fleet(terms(Reissuable))
-			for _, x := range []*Placer{p, q} {
+			p, q := fleet(terms(Idempotent)), fleet(terms(Idempotent))
+			for _, x := range []*Scheduler{p, q} {
 				x.now, x.began = 100*Second, 0
 				for _, m := range x.order {
 					m.listAsks = room{}
 				}
 				tc.setup(x)
 			}
-			x := p.Explain(Ask{Service: "s", Cores: 1, Memory: 1})
+			x := p.Explain(PlacementRequest{Service: "s", Cores: 1, Memory: 1})
 			if got := tc.want(x); got != tc.n {
 				t.Errorf("%d, want %d: %+v", got, tc.n, x)
 			}
 			for i := range 20 {
 				id := ContainerID(fmt.Sprint(i))
-				p.Explain(Ask{Service: "s", Cores: 1, Memory: 1})
+				p.Explain(PlacementRequest{Service: "s", Cores: 1, Memory: 1})
 				if a, b := ask(p, 100*Second, id, "s"), ask(q, 100*Second, id, "s"); a != b {
 					t.Fatalf("decided otherwise after the question: %s, %s", a, b)
 				}
@@ -673,43 +673,43 @@
 // A placer that is given what an earlier life of it knew goes on as that would have: the sick machine rests, and no
 // window of a cold machine's start has more than one life's part, though the lives follow on each other within it.
 func TestRecall(t *testing.T) {
-	tm := terms(Reissuable)
-	tm.Placers, tm.MostBids = 1, 1
-	cold := ListCame{Mode: OldList, Entries: []Entry{{Machine: "a", StartedAt: 10}}}
-	var before *Placer
+	tm := terms(Idempotent)
+	tm.SchedulerCount, tm.MaxAttempts = 1, 1
+	cold := MachineListUpdate{Mode: RestoredSnapshot, Entries: []MachineEntry{{Machine: "a", StartedAt: 10}}}
+	var before *Scheduler
 	var sent []Time
 	for life := range 20 {
 		p := New(tm)
 		now := Time(life)*Second/2 + 10
 		p.Handle(now, []Event{cold})
 		if before != nil {
-			p.Recall(before.Knows())
+			p.Restore(before.Snapshot())
 		}
 		for range 40 {
 			if now += 100; ask(p, now, ContainerID(fmt.Sprint(now)), fmt.Sprint("s", now)) == "a" {
 				sent = append(sent, now)
-				p.Handle(now, []Event{Ended{ID: ContainerID(fmt.Sprint(now)), Over: true, Machine: "a", Took: 1}})
+				p.Handle(now, []Event{AttemptEnded{ID: ContainerID(fmt.Sprint(now)), Final: true, Machine: "a", Elapsed: 1}})
 			}
 		}
 		before = p
 	}
 	for i := range sent {
-		if n := i + tm.ColdBids; n < len(sent) && sent[n]-sent[i] < tm.ColdWindow {
-			t.Fatalf("%d bids from %d to %d", tm.ColdBids+1, sent[i], sent[n])
+		if n := i + tm.SlowStartBudget; n < len(sent) && sent[n]-sent[i] < tm.SlowStartWindow {
+			t.Fatalf("%d bids from %d to %d", tm.SlowStartBudget+1, sent[i], sent[n])
 		}
 	}
-	if len(sent) < 3*tm.ColdBids {
+	if len(sent) < 3*tm.SlowStartBudget {
 		t.Errorf("%d bids in 20 lives: the part is left unused", len(sent))
 	}
 
 	sick := New(tm)
-	warm := ListCame{Mode: OldList, Entries: []Entry{{Machine: "a"}, {Machine: "b"}}}
+	warm := MachineListUpdate{Mode: RestoredSnapshot, Entries: []MachineEntry{{Machine: "a"}, {Machine: "b"}}}
 	sick.Handle(0, []Event{warm})
-	k := sick.Knows()
-	k.Machines[0].Sick, k.Machines[0].RestUntil = 5, 4*Second
-	k.Machines = append(k.Machines, Learned{Machine: "b", Started: 99, Sick: 5, RestUntil: 4 * Second}) // of another start
-	sick.Recall(k)
-	if x := sick.Explain(Ask{Service: "s", Cores: 1, Memory: 1}); x.Resting != 1 || x.Free != 1 {
+	k := sick.Snapshot()
+	k.Machines[0].OutlierLogOdds, k.Machines[0].EjectedUntil = 5, 4*Second
+	k.Machines = append(k.Machines, MachineSnapshot{Machine: "b", StartedAt: 99, OutlierLogOdds: 5, EjectedUntil: 4 * Second}) // of another start
+	sick.Restore(k)
+	if x := sick.Explain(PlacementRequest{Service: "s", Cores: 1, Memory: 1}); x.Ejected != 1 || x.Eligible != 1 {
 		t.Errorf("%+v", x)
 	}
 }
@@ -720,21 +720,21 @@
 		name   string
 		events []Event
 	}{
-		{"containers lost with it", []Event{Placed{ID: "x"}, Placed{ID: "y"}, Ended{ID: "x", Over: true, Outcome: Reset},
-			Ended{ID: "y", Over: true, Outcome: Reset}}},
-		{"bids cut short", []Event{Ended{ID: "x", Outcome: Reset}, Ended{ID: "y", Outcome: Reset}}},
-		{"a probe that stays unanswered", []Event{Probed{Machine: "a", Outcome: TimedOut}, Probed{Machine: "a", Outcome: TimedOut}}},
+		{"containers lost with it", []Event{AttemptAccepted{ID: "x"}, AttemptAccepted{ID: "y"}, AttemptEnded{ID: "x", Final: true, Outcome: OutcomeLost},
+			AttemptEnded{ID: "y", Final: true, Outcome: OutcomeLost}}},
+		{"bids cut short", []Event{AttemptEnded{ID: "x", Outcome: OutcomeLost}, AttemptEnded{ID: "y", Outcome: OutcomeLost}}},
+		{"a probe that stays unanswered", []Event{ProbeCompleted{Machine: "a", Outcome: OutcomeTimedOut}, ProbeCompleted{Machine: "a", Outcome: OutcomeTimedOut}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			tm := terms(Reissuable)
-			tm.ColdFor = 0
+			tm := terms(Idempotent)
+			tm.SlowStartPeriod = 0
 			p := fleet(tm)
 			for _, id := range []ContainerID{"x", "y"} {
 				ask(p, Second, id, "s")
 				p.move(id, "a")
 			}
 			p.machines["a"].probing = Second
-			p.Handle(3*Second, []Event{ListCame{Mode: Changes, Entries: []Entry{{Machine: "a", StartedAt: 2 * Second}}}})
+			p.Handle(3*Second, []Event{MachineListUpdate{Mode: DeltaUpdate, Entries: []MachineEntry{{Machine: "a", StartedAt: 2 * Second}}}})
 			for _, e := range tc.events {
 				p.Handle(3*Second, []Event{e})
 			}
@@ -744,10 +744,10 @@
 		})
 	}
 	t.Run("a probe that could not be sent", func(t *testing.T) {
-		p := fleet(terms(Reissuable))
+		p := fleet(terms(Idempotent))
 		for range 3 {
 			p.machines["a"].probing = Second
-			p.Handle(3*Second, []Event{Probed{Machine: "a", Outcome: NotSent}})
+			p.Handle(3*Second, []Event{ProbeCompleted{Machine: "a", Outcome: OutcomeNotSent}})
 		}
 		if m := p.machines["a"]; m.sick > 0 || m.probing > 0 {
 			t.Errorf("log odds %.1f, probing %v", m.sick, m.probing)
--- a/scheduler/stored_test.go
+++ b/scheduler/stored_test.go
@@ -20,28 +20,28 @@
 // storedValues are described in testdata/stored.md.
 func storedValues() []storedValue {
 	return []storedValue{
-		{"knowledge", Knowledge{
-			Machines: []Learned{
-				{Machine: "m-1", Started: 11, Sick: 1.25, RestUntil: 12, Rest: 13, ShutUntil: 14,
-					Doubts: []Doubt{{Odds: 2.5, At: 15}, {Odds: 3.75, At: 16}}, Cold: []Time{17, 18}},
-				{Machine: "m-2", Started: 21},
+		{"knowledge", Snapshot{
+			Machines: []MachineSnapshot{
+				{Machine: "m-1", StartedAt: 11, OutlierLogOdds: 1.25, EjectedUntil: 12, EjectionTime: 13, SelfDrainingUntil: 14,
+					FailureEvidence: []FailureEvidence{{LogOdds: 2.5, AsOf: 15}, {LogOdds: 3.75, AsOf: 16}}, RecentSends: []Time{17, 18}},
+				{Machine: "m-2", StartedAt: 21},
 			},
-			Traits: []Trait{{Lost: 0.5, Bar: 4.5}, {Lost: 0.25, Bar: -1.5}},
-			Full:   0.375, Missed: 1.75, SentSince: 19}},
-		{"knowledge, empty", Knowledge{}},
-		{"request", Ask{ID: "c-1", Key: "k-1", Service: "s-1", Workload: 1, Customer: 2, Cores: 3.5, Memory: 4.25,
-			Due: 5, Life: 6, Again: true}},
-		{"request, empty", Ask{}},
-		{"settings", Terms{
-			Seed: 1, Me: 2, Placers: 3,
-			Workloads: []Workload{{Effect: Numbered, Repeats: OneZone, Window: 4, Agreed: 5, HardStop: 6, Kind: -1,
-				Spread: OneCell, Most: 7, Gain: 1.5}, {Effect: AtMostOnce, Repeats: Everywhere, Spread: OneMachine}},
-			Kinds:     []Kind{{Cores: 8.5, Memory: 9.5}, {}},
-			Customers: []Customer{{Cores: 10.5}},
-			OverShare: 0.25, AcceptCores: 2.5, AcceptMemory: 1.25, MeanCores: 0.75, MeanMemory: 1.75,
-			YesRuns: true, UseNotes: true, ListedAsks: true, MayProbe: true, MostBids: 11, AnswerGrace: 12,
-			ListOnAsk: true, AskWithin: 13, ColdFor: 14, ColdWindow: 15, ColdBids: 16}},
-		{"settings, empty", Terms{}},
+			TrafficClasses: []TrafficClass{{LossRatio: 0.5, SuspicionThreshold: 4.5}, {LossRatio: 0.25, SuspicionThreshold: -1.5}},
+			FullRatio:      0.375, RejectedWeight: 1.75, SendsKnownSince: 19}},
+		{"knowledge, empty", Snapshot{}},
+		{"request", PlacementRequest{ID: "c-1", IdempotencyKey: "k-1", Service: "s-1", WorkloadClass: 1, Tenant: 2, Cores: 3.5, Memory: 4.25,
+			Deadline: 5, ExpectedRuntime: 6, ClientRetry: true}},
+		{"request, empty", PlacementRequest{}},
+		{"settings", Config{
+			Seed: 1, SchedulerIndex: 2, SchedulerCount: 3,
+			WorkloadClasses: []WorkloadClass{{Idempotency: IdempotentWithKey, DedupScope: ScopeZone, DedupWindow: 4, LatencyObjective: 5, PlacementTimeout: 6, MachineType: -1,
+				SpreadScope: ScopeRackGroup, MaxPerScope: 7, PriorityWeight: 1.5}, {Idempotency: AtMostOnce, DedupScope: ScopeFleet, SpreadScope: ScopeMachine}},
+			MachineTypes:    []MachineType{{Cores: 8.5, Memory: 9.5}, {}},
+			Tenants:         []Tenant{{QuotaCores: 10.5}},
+			OverQuotaWeight: 0.25, CoresOvercommit: 2.5, MemoryOvercommit: 1.25, MeanCores: 0.75, MeanMemory: 1.75,
+			AcceptMeansRunning: true, UsageReports: true, ListTracksRequests: true, ProbesAllowed: true, MaxAttempts: 11, AnswerGrace: 12,
+			ListOnRequest: true, ResyncInterval: 13, SlowStartPeriod: 14, SlowStartWindow: 15, SlowStartBudget: 16}},
+		{"settings, empty", Config{}},
 	}
 }
 
