--- a/cmd/glenport/bgp.go
+++ b/cmd/glenport/bgp.go
@@ -12,20 +12,20 @@
 )
 
 // routes asks a placer how its announcements stand.
-func routes(addr, service string) (*protocol.Routes, error) {
+func routes(addr, service string) (*protocol.RoutesReply, error) {
 	d, err := call(addr, 5*time.Second)
 	if err != nil {
 		return nil, err
 	}
 	defer d.Close()
-	if err := d.send(&protocol.AskRoutes{Service: service}); err != nil {
+	if err := d.send(&protocol.RoutesRequest{Service: service}); err != nil {
 		return nil, err
 	}
-	f, err := protocol.Read(d, protocol.MostFrame)
+	f, err := protocol.ReadFrame(d, protocol.MaxFrame)
 	if err != nil {
 		return nil, err
 	}
-	r, ok := f.(*protocol.Routes)
+	r, ok := f.(*protocol.RoutesReply)
 	if !ok {
 		return nil, fmt.Errorf("placer %s answers with %T", d.placer, f)
 	}
@@ -49,7 +49,7 @@
 		}
 		return show(c.OutOrStdout(), "PEER\tAS\tSTATE\tROUTES\tDUE\tUPDATES\tBYTES\tENDS\tLAST END", func(w io.Writer) {
 			for _, p := range r.Peers {
-				fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t%s\n", p.Addr, p.AS, p.State, p.Routes, p.Due, p.Updates, p.Bytes, p.Ends, p.Why)
+				fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t%s\n", p.Address, p.ASN, p.State, p.Routes, p.PendingRoutes, p.UpdatesSent, p.BytesSent, p.SessionsEnded, p.LastError)
 			}
 		})
 	}}
@@ -82,20 +82,20 @@
 	return c
 }
 
-func explainRoute(s protocol.RouteOf) string {
+func explainRoute(s protocol.ServiceRoute) string {
 	text := fmt.Sprintf("%s of service %s is ", s.Prefix, s.Service)
 	switch {
 	case s.Announced && s.Running > 0 && s.Draining == s.Running:
 		text += fmt.Sprintf("announced as the last choice: all of its %d containers here run on machines that drain.", s.Running)
 	case s.Announced:
-		text += fmt.Sprintf("announced: %d containers run here, %d are wanted at least.", s.Running, s.Least)
+		text += fmt.Sprintf("announced: %d containers run here, %d are wanted at least.", s.Running, s.MinRunning)
 	case s.Suppressed:
 		text += fmt.Sprintf("not announced: it flapped (penalty %.0f), and is left out until it has been steady.", s.Penalty)
 	default:
-		text += fmt.Sprintf("not announced: %d containers run here, %d are wanted at least.", s.Running, s.Least)
+		text += fmt.Sprintf("not announced: %d containers run here, %d are wanted at least.", s.Running, s.MinRunning)
 	}
-	if s.Next > 0 {
-		text += fmt.Sprintf(" A change waits %d ms for its pace.", s.Next/10)
+	if s.NextChangeIn > 0 {
+		text += fmt.Sprintf(" A change waits %d ms for its pace.", s.NextChangeIn/10)
 	}
 	return text
 }
--- a/cmd/glenport/owner.go
+++ b/cmd/glenport/owner.go
@@ -28,12 +28,12 @@
 	d := &door{Conn: c}
 	d.SetDeadline(time.Now().Add(within))
 	host, _ := os.Hostname()
-	if err := d.send(protocol.Greeting(protocol.Owner, fmt.Sprintf("%s-%d", host, os.Getpid()), uint64(time.Now().UnixMicro()))); err != nil {
+	if err := d.send(protocol.NewHello(protocol.RoleClient, fmt.Sprintf("%s-%d", host, os.Getpid()), uint64(time.Now().UnixMicro()))); err != nil {
 		c.Close()
 		return nil, err
 	}
-	f, err := protocol.Read(c, protocol.MostFrame)
-	if hello, ok := f.(*protocol.Hello); err == nil && ok && hello.Role == protocol.Placer {
+	f, err := protocol.ReadFrame(c, protocol.MaxFrame)
+	if hello, ok := f.(*protocol.Hello); err == nil && ok && hello.Role == protocol.RoleScheduler {
 		d.placer = hello.Name
 		return d, nil
 	}
@@ -51,7 +51,7 @@
 
 func submitCommand() *cobra.Command {
 	var addr, key string
-	var w protocol.Work
+	var w protocol.ContainerSpec
 	var count int
 	var left time.Duration
 	var stay bool
@@ -70,12 +70,12 @@
 			stem := fmt.Sprintf("%s-%x", w.Service, rand.Uint64()>>16)
 			for i := range count {
 				w := w
-				w.Container = fmt.Sprintf("%s-%d", stem, i)
-				w.Key = w.Container
+				w.ContainerID = fmt.Sprintf("%s-%d", stem, i)
+				w.IdempotencyKey = w.ContainerID
 				if key != "" {
-					w.Key = key
+					w.IdempotencyKey = key
 				}
-				if err := d.send(&protocol.Submit{Left: protocol.Span(left.Microseconds() / 100), Work: w}); err != nil {
+				if err := d.send(&protocol.Submit{TimeToDeadline: protocol.Duration(left.Microseconds() / 100), Spec: w}); err != nil {
 					return err
 				}
 			}
@@ -84,8 +84,8 @@
 	f := c.Flags()
 	f.StringVar(&addr, "placer", "127.0.0.1:7400", "the placer's door")
 	f.IntVarP(&count, "count", "n", 1, "how many containers")
-	f.IntVar(&w.Workload, "workload", 0, "number of the workload in the placer's file, from 0")
-	f.IntVar(&w.Customer, "customer", 0, "number of the customer, from 0")
+	f.IntVar(&w.WorkloadClass, "workload", 0, "number of the workload in the placer's file, from 0")
+	f.IntVar(&w.Tenant, "customer", 0, "number of the customer, from 0")
 	f.Float64Var(&w.Cores, "cores", 1, "cores asked for")
 	f.Float64Var(&w.Memory, "memory", 1, "memory asked for, in GiB")
 	f.DurationVar(&left, "hard-stop", 6*time.Second, "time to the hard stop")
@@ -98,32 +98,32 @@
 func follow(out io.Writer, d *door, count int, stay bool) error {
 	fates, bad := 0, false
 	for count > 0 || stay && fates > 0 {
-		f, err := protocol.Read(d, protocol.MostFrame)
+		f, err := protocol.ReadFrame(d, protocol.MaxFrame)
 		if err != nil {
 			return fmt.Errorf("placer %s is gone: %w", d.placer, err)
 		}
 		switch f := f.(type) {
-		case *protocol.Answer:
+		case *protocol.PlacementReply:
 			count--
-			fmt.Fprintf(out, "%s %s", f.Container, f.Verdict)
-			if f.Verdict == protocol.Placed {
+			fmt.Fprintf(out, "%s %s", f.ContainerID, f.Verdict)
+			if f.Verdict == protocol.VerdictPlaced {
 				fates++
 				fmt.Fprintf(out, " on %s", f.Machine)
 			} else {
 				bad = true
 			}
-			if f.HoldOff > 0 {
-				fmt.Fprintf(out, ", come back in %d ms", f.HoldOff/10)
+			if f.RetryAfter > 0 {
+				fmt.Fprintf(out, ", come back in %d ms", f.RetryAfter/10)
 			}
-			if f.Text != "" {
-				fmt.Fprintf(out, ": %s", f.Text)
+			if f.Message != "" {
+				fmt.Fprintf(out, ": %s", f.Message)
 			}
 			fmt.Fprintln(out)
-		case *protocol.Fate:
+		case *protocol.Termination:
 			fates--
-			fmt.Fprintf(out, "%s ended on %s: %s, %s\n", f.Container, f.Machine, f.Outcome, f.Reason)
-		case *protocol.Bye:
-			return errors.New("placer " + d.placer + " says: " + f.Text)
+			fmt.Fprintf(out, "%s ended on %s: %s, %s\n", f.ContainerID, f.Machine, f.Outcome, f.Reason)
+		case *protocol.Goodbye:
+			return errors.New("placer " + d.placer + " says: " + f.Message)
 		}
 	}
 	if bad {
@@ -141,19 +141,19 @@
 				return err
 			}
 			defer d.Close()
-			if err := d.send(&protocol.AskStatus{}); err != nil {
+			if err := d.send(&protocol.StatusRequest{}); err != nil {
 				return err
 			}
-			f, err := protocol.Read(d, protocol.MostFrame)
+			f, err := protocol.ReadFrame(d, protocol.MaxFrame)
 			if err != nil {
 				return err
 			}
-			s, ok := f.(*protocol.Status)
+			s, ok := f.(*protocol.StatusReply)
 			if !ok {
 				return fmt.Errorf("placer %s answers with %T", d.placer, f)
 			}
 			fmt.Fprintf(c.OutOrStdout(), "placer %s\n", s.Name)
-			for _, g := range s.Figures {
+			for _, g := range s.Stats {
 				fmt.Fprintf(c.OutOrStdout(), "  %-24s %12.6g %s\n", g.Name, g.Value, g.Unit)
 			}
 			return nil
--- a/cmd/glenport/state.go
+++ b/cmd/glenport/state.go
@@ -40,12 +40,12 @@
 }
 
 func look(path string) (*looked, error) {
-	d, err := vfs.Look(path)
+	d, err := vfs.OpenReadOnly(path)
 	if err != nil {
 		return nil, err
 	}
 	l := &looked{}
-	l.state, l.stateErr = wal.Read(d, false)
+	l.state, l.stateErr = wal.Load(d, false)
 	l.knowledge, l.knownErr = schedulerd.ReadKnowledge(d)
 	return l, nil
 }
@@ -57,9 +57,9 @@
 	}
 	if s := l.state; s != nil {
 		fmt.Fprintf(out, "log: version %d, %d records in %d bytes; the snapshot ends before group %d, the log with group %d (%d read)\n",
-			wal.Version, s.Records, s.Bytes, s.Snapshot, s.Last, s.Groups)
-		if s.CutOff > 0 {
-			fmt.Fprintf(out, "log: %d bytes of an unfinished group at the end, never acknowledged: cut off at the next start\n", s.CutOff)
+			wal.FormatVersion, s.Records, s.Bytes, s.FirstGroup, s.LastGroup, s.Groups)
+		if s.TruncatedBytes > 0 {
+			fmt.Fprintf(out, "log: %d bytes of an unfinished group at the end, never acknowledged: cut off at the next start\n", s.TruncatedBytes)
 		}
 		for _, k := range s.Kinds() {
 			fmt.Fprintf(out, "  %-10s %d\n", k, s.Count(k))
@@ -113,7 +113,7 @@
 	lines := json.NewEncoder(out)
 	if l.state != nil {
 		for _, kind := range l.state.Kinds() {
-			if err := l.state.Each(kind, func(key string, value []byte) error {
+			if err := l.state.ForEach(kind, func(key string, value []byte) error {
 				var v any
 				if err := decode.Unmarshal(value, &v); err != nil {
 					return fmt.Errorf("%s %s: %w", kind, key, err)
@@ -138,10 +138,10 @@
 }
 
 func compact(path string, out io.Writer) error {
-	if _, err := vfs.Look(path); err != nil { // Open would make it
+	if _, err := vfs.OpenReadOnly(path); err != nil { // Open would make it
 		return err
 	}
-	d, err := vfs.Open(path)
+	d, err := vfs.OpenLocked(path)
 	if err != nil {
 		return err
 	}
--- a/cmd/glenport/state_test.go
+++ b/cmd/glenport/state_test.go
@@ -14,11 +14,11 @@
 // A folder is told, checked, exported and compacted; a damaged one is named with file and place, and exported up to there.
 func TestState(t *testing.T) {
 	dir := t.TempDir()
-	d, err := vfs.Open(dir)
+	d, err := vfs.OpenLocked(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, _, err := wal.Open(d, wal.Terms{})
+	s, _, err := wal.Open(d, wal.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/server/golden_test.go
+++ b/internal/controller/server/golden_test.go
@@ -107,7 +107,7 @@
 	for _, r := range goldenRecords() {
 		changes = append(changes, wal.Put(r.kind, r.key, r.value))
 	}
-	if err := h.promises.log.Keep(changes...); err != nil {
+	if err := h.promises.log.CommitSync(changes...); err != nil {
 		t.Fatal(err)
 	}
 	closed()
@@ -117,7 +117,7 @@
 	var words strings.Builder
 	words.WriteString("# The records of the state folder beside: kind and key, what they hold in CBOR diagnostic notation.\n")
 	for _, kind := range h.promises.log.State().Kinds() {
-		if err := h.promises.log.State().Each(kind, func(key string, value []byte) error {
+		if err := h.promises.log.State().ForEach(kind, func(key string, value []byte) error {
 			text, err := cbor.Diagnose(value)
 			fmt.Fprintf(&words, "%s %q %s\n", kind, key, text)
 			return err
@@ -135,17 +135,17 @@
 	if *update {
 		writeGolden(t)
 	}
-	folder, err := vfs.Look(goldenFolder)
+	folder, err := vfs.OpenReadOnly(goldenFolder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	state, err := wal.Read(folder, false)
+	state, err := wal.Load(folder, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	raw := map[string][]byte{}
 	for _, kind := range state.Kinds() {
-		if err := state.Each(kind, func(key string, value []byte) error {
+		if err := state.ForEach(kind, func(key string, value []byte) error {
 			raw[kind+" "+key] = bytes.Clone(value)
 			return nil
 		}); err != nil {
--- a/internal/controller/server/jobs.go
+++ b/internal/controller/server/jobs.go
@@ -100,10 +100,10 @@
 	events  []controller.Event
 	doors   []*door
 	list    *listing
-	views   map[string]controller.Container // by container id
-	halls   map[string]protocol.Entry       // by machine
-	asked   map[uint64]*question            // emptied by the answer or its time
-	last    map[string]*explained           // by job, for a moment
+	views   map[string]controller.Container  // by container id
+	halls   map[string]protocol.MachineEntry // by machine
+	asked   map[uint64]*question             // emptied by the answer or its time
+	last    map[string]*explained            // by job, for a moment
 	seq     uint64
 
 	promises *promises           // nil where nothing is kept
@@ -113,12 +113,12 @@
 
 type explained struct {
 	at  eventloop.Tick
-	why *protocol.Why
+	why *protocol.ExplainReply
 }
 
 type question struct {
 	job  string
-	then []func(*protocol.Why)
+	then []func(*protocol.ExplainReply)
 }
 
 // New makes a keeper's host; Run serves it.
@@ -128,7 +128,7 @@
 		t.Workloads = append(t.Workloads, controller.Workload{Effect: w.Idempotency, HardStop: w.PlacementTimeout, Window: w.DedupWindow})
 	}
 	h := &Host{Catalog: c, place: p, log: log, keeper: controller.New(t), views: map[string]controller.Container{},
-		halls: map[string]protocol.Entry{}, asked: map[uint64]*question{}, last: map[string]*explained{}, pending: map[string][]func(){}}
+		halls: map[string]protocol.MachineEntry{}, asked: map[uint64]*question{}, last: map[string]*explained{}, pending: map[string][]func(){}}
 	var err error
 	if h.loop, err = eventloop.New(h.turn); err != nil {
 		return nil, err
@@ -182,7 +182,7 @@
 	}
 }
 
-// ErrStopped says that the keeper is not there to be asked.
+// ErrClosed says that the keeper is not there to be asked.
 var ErrStopped = errors.New("the keeper has stopped")
 
 // Made tells a request that makes a job from another: the key that its sender gave it, and a digest.
@@ -341,7 +341,7 @@
 		if found = ok; !ok {
 			return
 		}
-		h.explain(view, func(w *protocol.Why) {
+		h.explain(view, func(w *protocol.ExplainReply) {
 			v, ok := h.views[container]
 			if !ok {
 				v = view
@@ -363,7 +363,7 @@
 }
 
 // explain asks the placer that was asked last, or another, and hands its word on; nil where none answers in time.
-func (h *Host) explain(v controller.Container, then func(*protocol.Why)) {
+func (h *Host) explain(v controller.Container, then func(*protocol.ExplainReply)) {
 	if v.State == controller.Running || v.State == controller.Done {
 		then(nil)
 		return
@@ -391,14 +391,14 @@
 		return
 	}
 	h.seq++
-	q := &question{job: v.Job, then: []func(*protocol.Why){then}}
+	q := &question{job: v.Job, then: []func(*protocol.ExplainReply){then}}
 	n := h.seq
 	h.asked[n] = q
 	h.loop.After(whyWithin, func() { h.answered(n, nil) })
-	d.write(&protocol.AskWhy{Seq: n, Work: work(spec, "why", "why")})
+	d.write(&protocol.ExplainRequest{Seq: n, Spec: work(spec, "why", "why")})
 }
 
-func (h *Host) answered(seq uint64, w *protocol.Why) {
+func (h *Host) answered(seq uint64, w *protocol.ExplainReply) {
 	q := h.asked[seq]
 	if q == nil {
 		return
@@ -429,7 +429,7 @@
 	return nil
 }
 
-func (h *Host) facts(v controller.Container, w *protocol.Why) pending.Facts {
+func (h *Host) facts(v controller.Container, w *protocol.ExplainReply) pending.Facts {
 	f := pending.Facts{Container: v, Doors: len(h.doors), ColdWindow: h.place.Site.Terms.SlowStartWindow}
 	for _, d := range h.doors {
 		if d.open {
@@ -439,9 +439,9 @@
 	}
 	if w != nil && w.Known {
 		f.Asked, f.ListAge = true, scheduler.Time(w.ListAge)
-		f.Explanation = scheduler.Explanation{Machines: w.Machines, Gone: w.Gone, WrongMachineType: w.OtherKind, Draining: w.Draining,
-			TooSmall: w.TooSmall, SelfDraining: w.Closing, SpreadExhausted: w.SpreadFull, SlowStartExhausted: w.ColdSpent, Ejected: w.Resting,
-			Suspected: w.Shunned, InsufficientCores: w.NoCores, InsufficientMemory: w.NoMemory, Eligible: w.Free, SheddingLoad: w.Yielding, FullRatio: w.NoRoomShare}
+		f.Explanation = scheduler.Explanation{Machines: w.Machines, Gone: w.Gone, WrongMachineType: w.WrongMachineType, Draining: w.Draining,
+			TooSmall: w.TooSmall, SelfDraining: w.SelfDraining, SpreadExhausted: w.SpreadExhausted, SlowStartExhausted: w.SlowStartExhausted, Ejected: w.Ejected,
+			Suspected: w.Suspected, InsufficientCores: w.InsufficientCores, InsufficientMemory: w.InsufficientMemory, Eligible: w.Eligible, SheddingLoad: w.SheddingLoad, FullRatio: w.FullRatio}
 	}
 	halls := map[int]*pending.Hall{}
 	most := -1
@@ -453,7 +453,7 @@
 			most = max(most, e.Zone)
 		}
 		x.Machines++
-		if e.State == protocol.Draining {
+		if e.State == protocol.MachineDraining {
 			x.Drained++
 		}
 	}
@@ -537,12 +537,12 @@
 				Text: "the ask could not be written down: " + kept.Error()})
 			return
 		}
-		h.doors[a.Door].write(&protocol.Submit{Left: protocol.Span(a.Left), Work: h.submission(a)})
+		h.doors[a.Door].write(&protocol.Submit{TimeToDeadline: protocol.Duration(a.Left), Spec: h.submission(a)})
 	case controller.Look:
-		h.doors[a.Door].write(&protocol.Look{Container: a.Ask, Key: a.Key})
+		h.doors[a.Door].write(&protocol.Lookup{ContainerID: a.Ask, IdempotencyKey: a.Key})
 	case controller.Cancel:
 		if a.Door >= 0 {
-			h.doors[a.Door].write(&protocol.Cancel{Container: a.Ask, Key: a.Key})
+			h.doors[a.Door].write(&protocol.CancelContainer{ContainerID: a.Ask, IdempotencyKey: a.Key})
 		}
 	}
 }
@@ -560,13 +560,13 @@
 	h.publish(Containers, c.ID, c, false, true)
 }
 
-func work(s controller.Spec, container, key string) protocol.Work {
-	return protocol.Work{Container: container, Key: key, Service: s.Service, Workload: s.Workload, Customer: s.Customer, Cores: s.Cores,
-		Memory: s.Memory, RunFor: protocol.Span(s.RunFor)}
+func work(s controller.Spec, container, key string) protocol.ContainerSpec {
+	return protocol.ContainerSpec{ContainerID: container, IdempotencyKey: key, Service: s.Service, WorkloadClass: s.Workload, Tenant: s.Customer, Cores: s.Cores,
+		Memory: s.Memory, ExpectedRuntime: protocol.Duration(s.RunFor)}
 }
 
-func (h *Host) submission(a controller.Submit) protocol.Work {
+func (h *Host) submission(a controller.Submit) protocol.ContainerSpec {
 	w := work(a.Spec, a.Ask, a.Key)
-	w.Again = a.Again
+	w.ClientRetry = a.Again
 	return w
 }
--- a/internal/controller/server/kept.go
+++ b/internal/controller/server/kept.go
@@ -30,8 +30,8 @@
 // promises are what a keeper has on disk. What is asked of placers and answered to owners waits until it is there.
 type promises struct {
 	h       *Host
-	dir     *vfs.Dir
-	log     *wal.Store
+	dir     *vfs.LockedDir
+	log     *wal.Log
 	ceiling int64
 	made    map[string]KeptJob    // jobs that are, by id
 	redo    map[string]wal.Change // that could not be kept, by kind and key; emptied when the disk takes them
@@ -42,11 +42,11 @@
 func openPromises(h *Host, folder string) (*promises, error) {
 	p := &promises{h: h, made: map[string]KeptJob{}, redo: map[string]wal.Change{}}
 	var err error
-	if p.dir, err = vfs.Open(folder); err != nil {
+	if p.dir, err = vfs.OpenLocked(folder); err != nil {
 		return nil, err
 	}
-	var figures wal.Figures
-	p.log, figures, err = wal.Open(p.dir, wal.Terms{OnMode: func(text string, a ...any) {
+	var figures wal.Stats
+	p.log, figures, err = wal.Open(p.dir, wal.Options{OnModeChange: func(text string, a ...any) {
 		h.loop.Post(func() { h.log.Warn(text, a...) })
 	}})
 	if err != nil {
@@ -60,23 +60,23 @@
 	}
 	// No version of this life is one of an earlier: the ceiling is raised before any is given out.
 	p.ceiling += ceilingSteps
-	if err := p.log.Keep(wal.Put(CeilingKind, ceilingKey, p.ceiling)); err != nil {
+	if err := p.log.CommitSync(wal.Put(CeilingKind, ceilingKey, p.ceiling)); err != nil {
 		p.close()
 		return nil, fmt.Errorf("state folder %s: %w", folder, err)
 	}
 	h.events = append(h.events, restored)
 	h.log.Info("state read", "folder", folder, "jobs", len(restored.Jobs), "containers", len(restored.Containers),
-		"groups", figures.Groups, "bytes", figures.Bytes, "cut off", figures.CutOff)
+		"groups", figures.Groups, "bytes", figures.Bytes, "cut off", figures.TruncatedBytes)
 	return p, nil
 }
 
 func (p *promises) read() (r controller.Restored, err error) {
 	h, from := p.h, p.log.State()
-	if err = from.Each(CeilingKind, func(_ string, v []byte) error { return cbor.Unmarshal(v, &p.ceiling) }); err != nil {
+	if err = from.ForEach(CeilingKind, func(_ string, v []byte) error { return cbor.Unmarshal(v, &p.ceiling) }); err != nil {
 		return r, err
 	}
 	h.Catalog.Start(p.ceiling)
-	if err = from.Each(JobKind, func(id string, v []byte) error {
+	if err = from.ForEach(JobKind, func(id string, v []byte) error {
 		var k KeptJob
 		if err := cbor.Unmarshal(v, &k); err != nil {
 			return fmt.Errorf("job %s: %w", id, err)
@@ -96,7 +96,7 @@
 	for i, d := range h.doors {
 		doors[d.addr] = i
 	}
-	err = from.Each(ContainerKind, func(id string, v []byte) error {
+	err = from.ForEach(ContainerKind, func(id string, v []byte) error {
 		var k KeptContainer
 		if err := cbor.Unmarshal(v, &k); err != nil {
 			return fmt.Errorf("container %s: %w", id, err)
@@ -112,7 +112,7 @@
 	if err != nil {
 		return r, err
 	}
-	err = from.Each(StrayKind, func(id string, v []byte) error {
+	err = from.ForEach(StrayKind, func(id string, v []byte) error {
 		var k KeptStray
 		if err := cbor.Unmarshal(v, &k); err != nil {
 			return fmt.Errorf("stray %s: %w", id, err)
--- a/internal/controller/server/links.go
+++ b/internal/controller/server/links.go
@@ -39,7 +39,7 @@
 }
 
 func (d *door) Opened(*eventloop.Conn) {
-	d.write(protocol.Greeting(protocol.Owner, d.h.place.Name, uint64(d.h.loop.Now())))
+	d.write(protocol.NewHello(protocol.RoleClient, d.h.place.Name, uint64(d.h.loop.Now())))
 }
 
 func (d *door) Read(c *eventloop.Conn, p []byte) {
@@ -63,22 +63,22 @@
 	h := d.h
 	switch f := f.(type) {
 	case *protocol.Hello:
-		if f.Role != protocol.Placer {
+		if f.Role != protocol.RoleScheduler {
 			return fmt.Errorf("a %s answers where a placer was called", f.Role)
 		}
 		d.name, d.open = f.Name, true
 		h.log.Info("placer found", "placer", f.Name, "door", d.addr)
 		h.events = append(h.events, controller.Door{Number: d.number, Open: true})
-	case *protocol.Answer:
-		h.events = append(h.events, controller.Answered{Ask: f.Container, Verdict: verdictOf(f.Verdict), Machine: f.Machine,
-			HoldOff: scheduler.Time(f.HoldOff), Text: f.Text})
-	case *protocol.Fate:
-		h.events = append(h.events, controller.Fated{Ask: f.Container, Outcome: f.Outcome.Decided(), Reason: scheduler.Reason(f.Reason)})
-	case *protocol.Why:
+	case *protocol.PlacementReply:
+		h.events = append(h.events, controller.Answered{Ask: f.ContainerID, Verdict: verdictOf(f.Verdict), Machine: f.Machine,
+			HoldOff: scheduler.Time(f.RetryAfter), Text: f.Message})
+	case *protocol.Termination:
+		h.events = append(h.events, controller.Fated{Ask: f.ContainerID, Outcome: f.Outcome.Scheduler(), Reason: scheduler.Reason(f.Reason)})
+	case *protocol.ExplainReply:
 		h.answered(f.Seq, f)
-	case *protocol.Beat:
-	case *protocol.Bye:
-		return fmt.Errorf("placer says: %s", f.Text)
+	case *protocol.Heartbeat:
+	case *protocol.Goodbye:
+		return fmt.Errorf("placer says: %s", f.Message)
 	default:
 		return fmt.Errorf("%T is not for a keeper", f)
 	}
@@ -87,11 +87,11 @@
 
 func verdictOf(v protocol.Verdict) controller.Verdict {
 	switch v {
-	case protocol.Placed:
+	case protocol.VerdictPlaced:
 		return controller.Placed
-	case protocol.PushedBack:
+	case protocol.VerdictRejected:
 		return controller.PushedBack
-	case protocol.TurnedAway:
+	case protocol.VerdictNotAdmitted:
 		return controller.TurnedAway
 	}
 	return controller.GivenUp
@@ -117,8 +117,8 @@
 }
 
 func (l *listing) Opened(*eventloop.Conn) {
-	l.send(protocol.Greeting(protocol.Placer, l.h.place.Name, uint64(l.h.loop.Now())))
-	l.send(&protocol.Watch{On: true, Since: l.version})
+	l.send(protocol.NewHello(protocol.RoleScheduler, l.h.place.Name, uint64(l.h.loop.Now())))
+	l.send(&protocol.WatchMachineList{Enabled: true, SinceVersion: l.version})
 }
 
 func (l *listing) Read(c *eventloop.Conn, p []byte) {
@@ -135,13 +135,13 @@
 
 func (l *listing) take(f protocol.Frame) error {
 	switch f := f.(type) {
-	case *protocol.Listed:
+	case *protocol.MachineListUpdate:
 		l.version = f.Version
 		l.h.learn(f)
-	case *protocol.Failed:
+	case *protocol.MachineListError:
 		l.h.loop.After(relist, func() {
 			if l.conn != nil {
-				l.send(&protocol.Watch{On: true, Since: l.version})
+				l.send(&protocol.WatchMachineList{Enabled: true, SinceVersion: l.version})
 			}
 		})
 	}
@@ -149,23 +149,23 @@
 }
 
 // learn shows the machines of the list.
-func (h *Host) learn(f *protocol.Listed) {
+func (h *Host) learn(f *protocol.MachineListUpdate) {
 	named := map[string]bool{}
 	for _, e := range f.Entries {
-		named[e.Machine] = e.State != protocol.Gone
-		if e.State == protocol.Gone {
+		named[e.Machine] = e.State != protocol.MachineGone
+		if e.State == protocol.MachineGone {
 			continue
 		}
 		h.halls[e.Machine] = e
 		m := Machine{ID: e.Machine, Hall: e.Zone, State: e.State.String(), FreeCores: e.FreeCores, FreeMemoryGiB: e.FreeMemory,
 			Incarnation: e.Incarnation}
-		if e.Kind < len(h.place.Site.Kinds) {
-			m.Kind = h.place.Site.Kinds[e.Kind]
+		if e.MachineType < len(h.place.Site.Kinds) {
+			m.Kind = h.place.Site.Kinds[e.MachineType]
 		}
 		h.publish(Machines, m.ID, m, false, true)
 	}
 	for id := range h.halls {
-		if on, said := named[id]; said && !on || f.Whole && !on {
+		if on, said := named[id]; said && !on || f.FullSnapshot && !on {
 			delete(h.halls, id)
 			h.publish(Machines, id, Machine{ID: id}, true, true)
 		}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -14,7 +14,7 @@
 
 // Source gives the account; ok is false where the placer does not answer.
 type Source interface {
-	Account(within time.Duration) (s *protocol.Status, r *protocol.Routes, ok bool)
+	Account(within time.Duration) (s *protocol.StatusReply, r *protocol.RoutesReply, ok bool)
 }
 
 type collector struct{ of Source }
@@ -42,7 +42,7 @@
 	if !ok {
 		return
 	}
-	for _, f := range s.Figures {
+	for _, f := range s.Stats {
 		name := "glenport_" + strings.NewReplacer(" ", "_", ".", "_").Replace(f.Name)
 		if f.Unit != "" {
 			name += "_" + strings.ToLower(f.Unit)
@@ -54,11 +54,11 @@
 		if p.State == "Established" {
 			stands = 1
 		}
-		put("glenport_bgp_established", "Whether the session stands.", stands, "peer", p.Addr)
-		put("glenport_bgp_routes", "Prefixes that the peer was told.", float64(p.Routes), "peer", p.Addr)
-		put("glenport_bgp_due", "Changes that wait for the peer.", float64(p.Due), "peer", p.Addr)
-		put("glenport_bgp_updates", "Update messages sent.", float64(p.Updates), "peer", p.Addr)
-		put("glenport_bgp_session_ends", "Sessions that ended.", float64(p.Ends), "peer", p.Addr)
+		put("glenport_bgp_established", "Whether the session stands.", stands, "peer", p.Address)
+		put("glenport_bgp_routes", "Prefixes that the peer was told.", float64(p.Routes), "peer", p.Address)
+		put("glenport_bgp_due", "Changes that wait for the peer.", float64(p.PendingRoutes), "peer", p.Address)
+		put("glenport_bgp_updates", "Update messages sent.", float64(p.UpdatesSent), "peer", p.Address)
+		put("glenport_bgp_session_ends", "Sessions that ended.", float64(p.SessionsEnded), "peer", p.Address)
 	}
 	for _, v := range r.Services {
 		put("glenport_bgp_penalty", "Damping penalty of a service's address.", v.Penalty, "service", v.Service)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -11,9 +11,9 @@
 
 type account struct{ ok bool }
 
-func (a account) Account(time.Duration) (*protocol.Status, *protocol.Routes, bool) {
-	return &protocol.Status{Figures: []protocol.Figure{{Name: "placing p99.9", Value: 0.5, Unit: "ms"}, {Name: "bids", Value: 7}}},
-		&protocol.Routes{Peers: []protocol.RoutePeer{{Addr: "192.0.2.1:179", State: "Established", Routes: 3}}}, a.ok
+func (a account) Account(time.Duration) (*protocol.StatusReply, *protocol.RoutesReply, bool) {
+	return &protocol.StatusReply{Stats: []protocol.Stat{{Name: "placing p99.9", Value: 0.5, Unit: "ms"}, {Name: "bids", Value: 7}}},
+		&protocol.RoutesReply{Peers: []protocol.BGPPeerStatus{{Address: "192.0.2.1:179", State: "Established", Routes: 3}}}, a.ok
 }
 
 func TestMetrics(t *testing.T) {
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -428,7 +428,7 @@
 	})
 }
 
-// outcomes of a bid by the cause of its end. GivenUp comes before a yes where the container's own time has passed: it may
+// outcomes of a bid by the cause of its end. VerdictFailed comes before a yes where the container's own time has passed: it may
 // have run, as after a reset, but the machine is well.
 var outcomes = map[int]scheduler.Outcome{jsonlines.NoRoom: scheduler.OutcomeFull, jsonlines.Faulty: scheduler.OutcomeErrored,
 	jsonlines.Moot: scheduler.OutcomeNotSent, jsonlines.GivenUp: scheduler.OutcomeFinished}
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -26,85 +26,85 @@
 	frame Frame
 }
 
-func goldenSpec(n int) Work {
-	return Work{Container: fmt.Sprint("container-", n), Key: fmt.Sprint("key-", n), Service: fmt.Sprint("service-", n),
-		Workload: n + 1, Customer: n + 2, Cores: float64(n) + 0.25, Memory: float64(n) + 0.5, Window: Span(n + 3),
-		RunFor: Span(n + 4), Again: true}
+func goldenSpec(n int) ContainerSpec {
+	return ContainerSpec{ContainerID: fmt.Sprint("container-", n), IdempotencyKey: fmt.Sprint("key-", n), Service: fmt.Sprint("service-", n),
+		WorkloadClass: n + 1, Tenant: n + 2, Cores: float64(n) + 0.25, Memory: float64(n) + 0.5, DedupWindow: Duration(n + 3),
+		ExpectedRuntime: Duration(n + 4), ClientRetry: true}
 }
 
 // goldenFrames has each kind of frame with a distinct value in every field, and each value of each enumeration.
 func goldenFrames() []namedFrame {
 	frames := []namedFrame{
-		{"1 Hello, scheduler", &Hello{Magic: "glenport", Version: 1, Role: Placer, Name: "scheduler-1", Life: 11}},
-		{"1 Hello, machine", &Hello{Magic: "glenport", Version: 1, Role: Machine, Name: "machine-1", Life: 12}},
-		{"1 Hello, machine list", &Hello{Magic: "glenport", Version: 1, Role: List, Name: "list-1", Life: 13}},
-		{"1 Hello, client", &Hello{Magic: "glenport", Version: 1, Role: Owner, Name: "client-1", Life: 1 << 63}},
-		{"2 Offer", &Offer{Bid: 1001, Wait: 1002, Work: goldenSpec(1100)}},
-		{"3 Accept, running", &Yes{Bid: 2001, Running: true}},
-		{"3 Accept, not yet running", &Yes{Bid: 2002}},
-		{"4 Result", &Result{Bid: 3001, Outcome: Full, Reason: NoMemory, Report: map[string]float64{"queue": 3.5}}},
-		{"4 Result without a report", &Result{Bid: 3002}},
-		{"5 UsageReport", &Note{Bid: 4001, Sort: 5, Amount: 0.75}},
-		{"6 CancelAttempt", &Withdraw{Life: 5001, Bid: 5002}},
+		{"1 Hello, scheduler", &Hello{Magic: "glenport", Version: 1, Role: RoleScheduler, Name: "scheduler-1", Incarnation: 11}},
+		{"1 Hello, machine", &Hello{Magic: "glenport", Version: 1, Role: RoleMachine, Name: "machine-1", Incarnation: 12}},
+		{"1 Hello, machine list", &Hello{Magic: "glenport", Version: 1, Role: RoleMachineList, Name: "list-1", Incarnation: 13}},
+		{"1 Hello, client", &Hello{Magic: "glenport", Version: 1, Role: RoleClient, Name: "client-1", Incarnation: 1 << 63}},
+		{"2 Offer", &Offer{AttemptID: 1001, Timeout: 1002, Spec: goldenSpec(1100)}},
+		{"3 Accept, running", &Accept{AttemptID: 2001, Running: true}},
+		{"3 Accept, not yet running", &Accept{AttemptID: 2002}},
+		{"4 Result", &Result{AttemptID: 3001, Outcome: OutcomeFull, Reason: ReasonNoMemory, Report: map[string]float64{"queue": 3.5}}},
+		{"4 Result without a report", &Result{AttemptID: 3002}},
+		{"5 UsageReport", &UsageReport{AttemptID: 4001, Metric: 5, Value: 0.75}},
+		{"6 CancelAttempt", &CancelAttempt{SchedulerIncarnation: 5001, AttemptID: 5002}},
 		{"7 Probe", &Probe{Seq: 6001}},
-		{"8 ProbeReply", &Probed{Seq: 7001, Report: map[string]float64{"util": 0.125}}},
-		{"9 Inventory", &Holds{Incarnation: 8001, Held: []Holding{
-			{Life: 8002, Bid: 8003, Running: true, Work: goldenSpec(8100)},
-			{Life: 8004, Bid: 8005, Work: goldenSpec(8200)}}}},
-		{"10 FetchMachineList", &Fetch{}},
-		{"11 WatchMachineList", &Watch{On: true, Since: 9001}},
-		{"12 MachineListUpdate", &Listed{Whole: true, Version: 10001, Entries: []Entry{
-			{Machine: "machine-2", Addr: "127.0.0.1:2", Zone: 10002, Kind: 10003, Cell: 10004, State: Draining,
-				FreeCores: 10005.5, FreeMemory: -10006.5, Hint: 1.75, Incarnation: 10007, Age: -10008},
-			{Machine: "machine-3", Zone: 10009, Kind: 10010, Cell: 10011, State: Gone, FreeCores: 10012.25,
-				FreeMemory: 10013.25, Hint: 1.25, Incarnation: 10014, Age: 10015}}}},
-		{"13 MachineListError", &Failed{Text: "text 11001"}},
-		{"14 Heartbeat", &Beat{}},
-		{"15 Submit", &Submit{Left: 12001, Work: goldenSpec(12100)}},
-		{"16 CancelContainer", &Cancel{Container: "container-13001", Key: "key-13002"}},
-		{"17 PlacementReply", &Answer{Container: "container-14001", Verdict: PushedBack, Machine: "machine-14002",
-			HoldOff: 14003, Text: "text 14004"}},
-		{"18 Termination", &Fate{Container: "container-15001", Machine: "machine-15002", Outcome: Lost, Reason: SentAway}},
-		{"20 StatusRequest", &AskStatus{}},
-		{"21 StatusReply", &Status{Name: "scheduler-16001", Figures: []Figure{
+		{"8 ProbeReply", &ProbeReply{Seq: 7001, Report: map[string]float64{"util": 0.125}}},
+		{"9 Inventory", &Inventory{MachineIncarnation: 8001, Containers: []InventoryItem{
+			{SchedulerIncarnation: 8002, AttemptID: 8003, Running: true, Spec: goldenSpec(8100)},
+			{SchedulerIncarnation: 8004, AttemptID: 8005, Spec: goldenSpec(8200)}}}},
+		{"10 FetchMachineList", &FetchMachineList{}},
+		{"11 WatchMachineList", &WatchMachineList{Enabled: true, SinceVersion: 9001}},
+		{"12 MachineListUpdate", &MachineListUpdate{FullSnapshot: true, Version: 10001, Entries: []MachineEntry{
+			{Machine: "machine-2", Address: "127.0.0.1:2", Zone: 10002, MachineType: 10003, RackGroup: 10004, State: MachineDraining,
+				FreeCores: 10005.5, FreeMemory: -10006.5, PowerHint: 1.75, Incarnation: 10007, Age: -10008},
+			{Machine: "machine-3", Zone: 10009, MachineType: 10010, RackGroup: 10011, State: MachineGone, FreeCores: 10012.25,
+				FreeMemory: 10013.25, PowerHint: 1.25, Incarnation: 10014, Age: 10015}}}},
+		{"13 MachineListError", &MachineListError{Message: "text 11001"}},
+		{"14 Heartbeat", &Heartbeat{}},
+		{"15 Submit", &Submit{TimeToDeadline: 12001, Spec: goldenSpec(12100)}},
+		{"16 CancelContainer", &CancelContainer{ContainerID: "container-13001", IdempotencyKey: "key-13002"}},
+		{"17 PlacementReply", &PlacementReply{ContainerID: "container-14001", Verdict: VerdictRejected, Machine: "machine-14002",
+			RetryAfter: 14003, Message: "text 14004"}},
+		{"18 Termination", &Termination{ContainerID: "container-15001", Machine: "machine-15002", Outcome: OutcomeLost, Reason: ReasonDrained}},
+		{"20 StatusRequest", &StatusRequest{}},
+		{"21 StatusReply", &StatusReply{Name: "scheduler-16001", Stats: []Stat{
 			{Name: "open", Value: 16002, Unit: "containers"}, {Name: "lag", Value: 0.016003, Unit: "s"}}}},
-		{"22 Goodbye", &Bye{Text: "text 17001"}},
-		{"23 ExplainRequest", &AskWhy{Seq: 18001, Work: goldenSpec(18100)}},
-		{"24 ExplainReply", &Why{Seq: 19001, Known: true, Machines: 19002, Gone: 19003, OtherKind: 19004, Draining: 19005,
-			TooSmall: 19006, Closing: 19007, SpreadFull: 19008, ColdSpent: 19009, Resting: 19010, Shunned: 19011,
-			NoCores: 19012, NoMemory: 19013, Free: 19014, Yielding: true, NoRoomShare: 0.19015, ListAge: 19016}},
-		{"24 ExplainReply, list never heard", &Why{Seq: 19017, ListAge: -1}},
-		{"25 RoutesRequest", &AskRoutes{Service: "service-20001"}},
-		{"26 RoutesReply", &Routes{
-			Peers: []RoutePeer{{Addr: "127.0.0.1:179", AS: 21001, State: "Established", Routes: 21002, Due: 21003,
-				Updates: 21004, Bytes: 21005, Ends: 21006, Why: "text 21007"}},
-			Services: []RouteOf{{Service: "service-21008", Prefix: "10.0.0.0/24", Announced: true, Preference: 21009,
-				Running: 21010, Draining: 21011, Least: 21012, Penalty: 21013.5, Suppressed: true, Next: 21014}}}},
-		{"27 Lookup", &Look{Container: "container-22001", Key: "key-22002"}},
-	}
-	for i, o := range []Outcome{Finished, Erred, Full, Stopped, Lost} {
-		frames = append(frames, namedFrame{fmt.Sprint("4 Result, outcome ", i), &Result{Bid: 23001, Outcome: o}})
-	}
-	for i, r := range []Reason{NoReason, NoCores, NoMemory, LongQueue, NotHere, Evicted, PushedOut, SentAway} {
+		{"22 Goodbye", &Goodbye{Message: "text 17001"}},
+		{"23 ExplainRequest", &ExplainRequest{Seq: 18001, Spec: goldenSpec(18100)}},
+		{"24 ExplainReply", &ExplainReply{Seq: 19001, Known: true, Machines: 19002, Gone: 19003, WrongMachineType: 19004, Draining: 19005,
+			TooSmall: 19006, SelfDraining: 19007, SpreadExhausted: 19008, SlowStartExhausted: 19009, Ejected: 19010, Suspected: 19011,
+			InsufficientCores: 19012, InsufficientMemory: 19013, Eligible: 19014, SheddingLoad: true, FullRatio: 0.19015, ListAge: 19016}},
+		{"24 ExplainReply, list never heard", &ExplainReply{Seq: 19017, ListAge: -1}},
+		{"25 RoutesRequest", &RoutesRequest{Service: "service-20001"}},
+		{"26 RoutesReply", &RoutesReply{
+			Peers: []BGPPeerStatus{{Address: "127.0.0.1:179", ASN: 21001, State: "Established", Routes: 21002, PendingRoutes: 21003,
+				UpdatesSent: 21004, BytesSent: 21005, SessionsEnded: 21006, LastError: "text 21007"}},
+			Services: []ServiceRoute{{Service: "service-21008", Prefix: "10.0.0.0/24", Announced: true, LocalPreference: 21009,
+				Running: 21010, Draining: 21011, MinRunning: 21012, Penalty: 21013.5, Suppressed: true, NextChangeIn: 21014}}}},
+		{"27 Lookup", &Lookup{ContainerID: "container-22001", IdempotencyKey: "key-22002"}},
+	}
+	for i, o := range []Outcome{OutcomeFinished, OutcomeErrored, OutcomeFull, OutcomeStopped, OutcomeLost} {
+		frames = append(frames, namedFrame{fmt.Sprint("4 Result, outcome ", i), &Result{AttemptID: 23001, Outcome: o}})
+	}
+	for i, r := range []Reason{ReasonNone, ReasonNoCores, ReasonNoMemory, ReasonQueueTooLong, ReasonWrongMachine, ReasonOutOfMemory, ReasonPreempted, ReasonDrained} {
 		frames = append(frames, namedFrame{fmt.Sprint("18 Termination, reason ", i),
-			&Fate{Container: "container-24001", Outcome: Stopped, Reason: r}})
+			&Termination{ContainerID: "container-24001", Outcome: OutcomeStopped, Reason: r}})
 	}
-	for i, v := range []Verdict{Placed, PushedBack, GivenUp, TurnedAway} {
-		frames = append(frames, namedFrame{fmt.Sprint("17 PlacementReply, verdict ", i+1), &Answer{Container: "container-25001", Verdict: v}})
+	for i, v := range []Verdict{VerdictPlaced, VerdictRejected, VerdictFailed, VerdictNotAdmitted} {
+		frames = append(frames, namedFrame{fmt.Sprint("17 PlacementReply, verdict ", i+1), &PlacementReply{ContainerID: "container-25001", Verdict: v}})
 	}
-	for i, s := range []State{Serving, Draining, Gone} {
+	for i, s := range []MachineState{MachineServing, MachineDraining, MachineGone} {
 		frames = append(frames, namedFrame{fmt.Sprint("12 MachineListUpdate, state ", i),
-			&Listed{Entries: []Entry{{Machine: "machine-26001", Addr: "127.0.0.1:3", State: s}}}})
+			&MachineListUpdate{Entries: []MachineEntry{{Machine: "machine-26001", Address: "127.0.0.1:3", State: s}}}})
 	}
 	for m := uint8(1); m <= 5; m++ {
-		frames = append(frames, namedFrame{fmt.Sprint("5 UsageReport, metric ", m), &Note{Bid: 27001, Sort: m}})
+		frames = append(frames, namedFrame{fmt.Sprint("5 UsageReport, metric ", m), &UsageReport{AttemptID: 27001, Metric: m}})
 	}
 	longest := strings.Repeat("n", 200)
 	return append(frames,
-		namedFrame{"16 CancelContainer, the longest name, no key", &Cancel{Container: longest}},
-		namedFrame{"15 Submit, the longest time", &Submit{Left: 315_360_000_000, Work: goldenSpec(28100)}},
-		namedFrame{"5 UsageReport, the largest number", &Note{Bid: 1<<64 - 1, Sort: 1, Amount: 1e12}},
-		namedFrame{"24 ExplainReply, the largest count", &Why{Machines: 1 << 20}})
+		namedFrame{"16 CancelContainer, the longest name, no key", &CancelContainer{ContainerID: longest}},
+		namedFrame{"15 Submit, the longest time", &Submit{TimeToDeadline: 315_360_000_000, Spec: goldenSpec(28100)}},
+		namedFrame{"5 UsageReport, the largest number", &UsageReport{AttemptID: 1<<64 - 1, Metric: 1, Value: 1e12}},
+		namedFrame{"24 ExplainReply, the largest count", &ExplainReply{Machines: 1 << 20}})
 }
 
 // words lists the values of a frame in their order on the wire, under the names of docs/protocol.md as the cbor tags
@@ -239,7 +239,7 @@
 			if !strings.HasPrefix(want.title, fmt.Sprint(want.bytes[4], " ")) {
 				t.Errorf("frame number %d", want.bytes[4])
 			}
-			decoded, err := Read(bytes.NewReader(want.bytes), MostFrame)
+			decoded, err := ReadFrame(bytes.NewReader(want.bytes), MaxFrame)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -256,7 +256,7 @@
 			}
 		})
 	}
-	for kind, fresh := range sorts {
+	for kind, fresh := range frameTypes {
 		if (fresh != nil) != kinds[byte(kind)] {
 			t.Errorf("frame %d: known %t, recorded %t", kind, fresh != nil, kinds[byte(kind)])
 		}
@@ -273,7 +273,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := (&Result{Bid: 3001, Report: map[string]float64{"a": 2.5, "b": 1.5, "c": 1}}); !reflect.DeepEqual(got, want) {
+	if want := (&Result{AttemptID: 3001, Report: map[string]float64{"a": 2.5, "b": 1.5, "c": 1}}); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
@@ -342,99 +342,99 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, invalidFrame{title, append([]byte{f.sort()}, body...)})
+		all = append(all, invalidFrame{title, append([]byte{f.kind()}, body...)})
 	}
 	long := strings.Repeat("n", 201)
 	nan, inf := math.NaN(), math.Inf(1)
-	of("Hello without a name", &Hello{Magic: "glenport", Version: 1, Role: Owner})
-	of("Hello, name too long", &Hello{Magic: "glenport", Version: 1, Role: Owner, Name: long})
-	of("Hello, another magic", &Hello{Magic: "glenpoort", Version: 1, Role: Owner, Name: "n"})
-	of("Hello, version 0", &Hello{Magic: "glenport", Role: Owner, Name: "n"})
-	of("Hello, version 2", &Hello{Magic: "glenport", Version: 2, Role: Owner, Name: "n"})
+	of("Hello without a name", &Hello{Magic: "glenport", Version: 1, Role: RoleClient})
+	of("Hello, name too long", &Hello{Magic: "glenport", Version: 1, Role: RoleClient, Name: long})
+	of("Hello, another magic", &Hello{Magic: "glenpoort", Version: 1, Role: RoleClient, Name: "n"})
+	of("Hello, version 0", &Hello{Magic: "glenport", Role: RoleClient, Name: "n"})
+	of("Hello, version 2", &Hello{Magic: "glenport", Version: 2, Role: RoleClient, Name: "n"})
 	of("Hello, role 0", &Hello{Magic: "glenport", Version: 1, Name: "n"})
 	of("Hello, role 5", &Hello{Magic: "glenport", Version: 1, Role: 5, Name: "n"})
 	of("Hello, two faults: the first is told", &Hello{Magic: "x", Version: 9, Role: 9, Name: long})
-	spec := func(title string, change func(*Work)) {
+	spec := func(title string, change func(*ContainerSpec)) {
 		w := goldenSpec(1)
 		change(&w)
-		of("Offer, "+title, &Offer{Bid: 1, Work: w})
-		of("Submit, "+title, &Submit{Left: 1, Work: w})
-		of("ExplainRequest, "+title, &AskWhy{Seq: 1, Work: w})
-		of("Inventory, "+title, &Holds{Held: []Holding{{Work: goldenSpec(2)}, {Work: w}}})
-	}
-	spec("no container", func(w *Work) { w.Container = "" })
-	spec("container too long", func(w *Work) { w.Container = long })
-	spec("no key", func(w *Work) { w.Key = "" })
-	spec("key too long", func(w *Work) { w.Key = long })
-	spec("no service", func(w *Work) { w.Service = "" })
-	spec("service too long", func(w *Work) { w.Service = long })
-	spec("workload below 0", func(w *Work) { w.Workload = -1 })
-	spec("workload too large", func(w *Work) { w.Workload = 1<<20 + 1 })
-	spec("customer below 0", func(w *Work) { w.Customer = -1 })
-	spec("customer too large", func(w *Work) { w.Customer = 1<<20 + 1 })
-	spec("cores below 0", func(w *Work) { w.Cores = -0.5 })
-	spec("cores no number", func(w *Work) { w.Cores = nan })
-	spec("memory below 0", func(w *Work) { w.Memory = -0.5 })
-	spec("memory without bounds", func(w *Work) { w.Memory = inf })
-	spec("window below 0", func(w *Work) { w.Window = -1 })
-	spec("window too long", func(w *Work) { w.Window = 315_360_000_001 })
-	spec("run for below 0", func(w *Work) { w.RunFor = -1 })
-	spec("run for too long", func(w *Work) { w.RunFor = 315_360_000_001 })
-	of("Offer, wait below 0", &Offer{Wait: -1, Work: goldenSpec(1)})
-	of("Offer, wait too long", &Offer{Wait: 315_360_000_001, Work: goldenSpec(1)})
+		of("Offer, "+title, &Offer{AttemptID: 1, Spec: w})
+		of("Submit, "+title, &Submit{TimeToDeadline: 1, Spec: w})
+		of("ExplainRequest, "+title, &ExplainRequest{Seq: 1, Spec: w})
+		of("Inventory, "+title, &Inventory{Containers: []InventoryItem{{Spec: goldenSpec(2)}, {Spec: w}}})
+	}
+	spec("no container", func(w *ContainerSpec) { w.ContainerID = "" })
+	spec("container too long", func(w *ContainerSpec) { w.ContainerID = long })
+	spec("no key", func(w *ContainerSpec) { w.IdempotencyKey = "" })
+	spec("key too long", func(w *ContainerSpec) { w.IdempotencyKey = long })
+	spec("no service", func(w *ContainerSpec) { w.Service = "" })
+	spec("service too long", func(w *ContainerSpec) { w.Service = long })
+	spec("workload below 0", func(w *ContainerSpec) { w.WorkloadClass = -1 })
+	spec("workload too large", func(w *ContainerSpec) { w.WorkloadClass = 1<<20 + 1 })
+	spec("customer below 0", func(w *ContainerSpec) { w.Tenant = -1 })
+	spec("customer too large", func(w *ContainerSpec) { w.Tenant = 1<<20 + 1 })
+	spec("cores below 0", func(w *ContainerSpec) { w.Cores = -0.5 })
+	spec("cores no number", func(w *ContainerSpec) { w.Cores = nan })
+	spec("memory below 0", func(w *ContainerSpec) { w.Memory = -0.5 })
+	spec("memory without bounds", func(w *ContainerSpec) { w.Memory = inf })
+	spec("window below 0", func(w *ContainerSpec) { w.DedupWindow = -1 })
+	spec("window too long", func(w *ContainerSpec) { w.DedupWindow = 315_360_000_001 })
+	spec("run for below 0", func(w *ContainerSpec) { w.ExpectedRuntime = -1 })
+	spec("run for too long", func(w *ContainerSpec) { w.ExpectedRuntime = 315_360_000_001 })
+	of("Offer, wait below 0", &Offer{Timeout: -1, Spec: goldenSpec(1)})
+	of("Offer, wait too long", &Offer{Timeout: 315_360_000_001, Spec: goldenSpec(1)})
 	of("Result, outcome 5", &Result{Outcome: 5})
 	of("Result, reason 8", &Result{Reason: 8})
 	of("Result, report without a name", &Result{Report: map[string]float64{"": 1}})
 	of("Result, report with a long name", &Result{Report: map[string]float64{long: 1}})
 	of("Result, report with no number", &Result{Report: map[string]float64{"a": nan}})
-	of("UsageReport, metric 0", &Note{})
-	of("UsageReport, metric 6", &Note{Sort: 6})
-	of("UsageReport, value below 0", &Note{Sort: 1, Amount: -1})
-	of("UsageReport, value too large", &Note{Sort: 1, Amount: 1.1e12})
-	of("ProbeReply, report with no number", &Probed{Report: map[string]float64{"a": -inf}})
-	entry := func(title string, change func(*Entry)) {
-		e := Entry{Machine: "m", Addr: "a"}
+	of("UsageReport, metric 0", &UsageReport{})
+	of("UsageReport, metric 6", &UsageReport{Metric: 6})
+	of("UsageReport, value below 0", &UsageReport{Metric: 1, Value: -1})
+	of("UsageReport, value too large", &UsageReport{Metric: 1, Value: 1.1e12})
+	of("ProbeReply, report with no number", &ProbeReply{Report: map[string]float64{"a": -inf}})
+	entry := func(title string, change func(*MachineEntry)) {
+		e := MachineEntry{Machine: "m", Address: "a"}
 		change(&e)
-		of("MachineListUpdate, "+title, &Listed{Entries: []Entry{{Machine: "good", Addr: "a"}, e}})
-	}
-	entry("no machine", func(e *Entry) { e.Machine = "" })
-	entry("machine too long", func(e *Entry) { e.Machine = long })
-	entry("no address", func(e *Entry) { e.Addr = "" })
-	entry("address too long", func(e *Entry) { e.Addr = long })
-	entry("no address, and gone: valid", func(e *Entry) { e.Addr, e.State = "", Gone })
-	entry("zone below 0", func(e *Entry) { e.Zone = -1 })
-	entry("kind below 0", func(e *Entry) { e.Kind = -1 })
-	entry("cell too large", func(e *Entry) { e.Cell = 1<<20 + 1 })
-	entry("state 3", func(e *Entry) { e.State = 3 })
-	entry("free cores no number", func(e *Entry) { e.FreeCores = nan })
-	entry("free memory no number", func(e *Entry) { e.FreeMemory = inf })
-	entry("hint no number", func(e *Entry) { e.Hint = nan })
-	entry("age too long", func(e *Entry) { e.Age = 315_360_000_001 })
-	of("Submit, time left below 0", &Submit{Left: -1, Work: goldenSpec(1)})
-	of("Submit, time left too long", &Submit{Left: 315_360_000_001, Work: goldenSpec(1)})
-	of("ExplainReply, share no number", &Why{NoRoomShare: nan})
+		of("MachineListUpdate, "+title, &MachineListUpdate{Entries: []MachineEntry{{Machine: "good", Address: "a"}, e}})
+	}
+	entry("no machine", func(e *MachineEntry) { e.Machine = "" })
+	entry("machine too long", func(e *MachineEntry) { e.Machine = long })
+	entry("no address", func(e *MachineEntry) { e.Address = "" })
+	entry("address too long", func(e *MachineEntry) { e.Address = long })
+	entry("no address, and gone: valid", func(e *MachineEntry) { e.Address, e.State = "", MachineGone })
+	entry("zone below 0", func(e *MachineEntry) { e.Zone = -1 })
+	entry("kind below 0", func(e *MachineEntry) { e.MachineType = -1 })
+	entry("cell too large", func(e *MachineEntry) { e.RackGroup = 1<<20 + 1 })
+	entry("state 3", func(e *MachineEntry) { e.State = 3 })
+	entry("free cores no number", func(e *MachineEntry) { e.FreeCores = nan })
+	entry("free memory no number", func(e *MachineEntry) { e.FreeMemory = inf })
+	entry("hint no number", func(e *MachineEntry) { e.PowerHint = nan })
+	entry("age too long", func(e *MachineEntry) { e.Age = 315_360_000_001 })
+	of("Submit, time left below 0", &Submit{TimeToDeadline: -1, Spec: goldenSpec(1)})
+	of("Submit, time left too long", &Submit{TimeToDeadline: 315_360_000_001, Spec: goldenSpec(1)})
+	of("ExplainReply, share no number", &ExplainReply{FullRatio: nan})
 	for i := range 13 {
-		why := Why{}
+		why := ExplainReply{}
 		reflect.ValueOf(&why).Elem().Field(3 + i).SetInt(int64([]int{-1, 1<<20 + 1}[i%2]))
 		of(fmt.Sprintf("ExplainReply, count %d out of range", i+1), &why)
 	}
-	of("WatchMachineList, version below 0", &Watch{Since: -1})
-	of("CancelContainer, no container", &Cancel{})
-	of("CancelContainer, container too long", &Cancel{Container: long})
-	of("CancelContainer, key too long: valid", &Cancel{Container: "c", Key: long})
-	of("Lookup, no container", &Look{Key: "k"})
-	of("Lookup, no key", &Look{Container: "c"})
-	of("Lookup, key too long", &Look{Container: "c", Key: long})
-	of("PlacementReply, no container", &Answer{Verdict: Placed})
-	of("PlacementReply, verdict 0", &Answer{Container: "c"})
-	of("PlacementReply, verdict 5", &Answer{Container: "c", Verdict: 5})
-	of("PlacementReply, hold-off below 0", &Answer{Container: "c", Verdict: Placed, HoldOff: -1})
-	of("PlacementReply, hold-off too long", &Answer{Container: "c", Verdict: Placed, HoldOff: 315_360_000_001})
-	of("Termination, no container", &Fate{})
-	of("Termination, outcome 5", &Fate{Container: "c", Outcome: 5})
-	of("Termination, reason 8", &Fate{Container: "c", Reason: 8})
-	of("StatusReply, no name of a value", &Status{Figures: []Figure{{Value: 1}}})
-	of("StatusReply, value no number", &Status{Figures: []Figure{{Name: "a", Value: 1}, {Name: "open", Value: nan}}})
+	of("WatchMachineList, version below 0", &WatchMachineList{SinceVersion: -1})
+	of("CancelContainer, no container", &CancelContainer{})
+	of("CancelContainer, container too long", &CancelContainer{ContainerID: long})
+	of("CancelContainer, key too long: valid", &CancelContainer{ContainerID: "c", IdempotencyKey: long})
+	of("Lookup, no container", &Lookup{IdempotencyKey: "k"})
+	of("Lookup, no key", &Lookup{ContainerID: "c"})
+	of("Lookup, key too long", &Lookup{ContainerID: "c", IdempotencyKey: long})
+	of("PlacementReply, no container", &PlacementReply{Verdict: VerdictPlaced})
+	of("PlacementReply, verdict 0", &PlacementReply{ContainerID: "c"})
+	of("PlacementReply, verdict 5", &PlacementReply{ContainerID: "c", Verdict: 5})
+	of("PlacementReply, hold-off below 0", &PlacementReply{ContainerID: "c", Verdict: VerdictPlaced, RetryAfter: -1})
+	of("PlacementReply, hold-off too long", &PlacementReply{ContainerID: "c", Verdict: VerdictPlaced, RetryAfter: 315_360_000_001})
+	of("Termination, no container", &Termination{})
+	of("Termination, outcome 5", &Termination{ContainerID: "c", Outcome: 5})
+	of("Termination, reason 8", &Termination{ContainerID: "c", Reason: 8})
+	of("StatusReply, no name of a value", &StatusReply{Stats: []Stat{{Value: 1}}})
+	of("StatusReply, value no number", &StatusReply{Stats: []Stat{{Name: "a", Value: 1}, {Name: "open", Value: nan}}})
 	return all
 }
 
@@ -474,10 +474,10 @@
 // What is refused when it is received is not sent either.
 func TestInvalidFramesAreNotSent(t *testing.T) {
 	for _, invalid := range invalidFrames(t) {
-		if len(invalid.body) == 0 || int(invalid.body[0]) >= len(sorts) || sorts[invalid.body[0]] == nil {
+		if len(invalid.body) == 0 || int(invalid.body[0]) >= len(frameTypes) || frameTypes[invalid.body[0]] == nil {
 			continue
 		}
-		f := sorts[invalid.body[0]]()
+		f := frameTypes[invalid.body[0]]()
 		if decoder.Unmarshal(invalid.body[1:], f) != nil {
 			continue
 		}
@@ -494,19 +494,19 @@
 
 // Sizes of frames are limits that both sides know.
 func TestFrameSizesAreLimited(t *testing.T) {
-	if SmallFrame != 65536 || MostFrame != 16777216 || Version != 1 {
-		t.Errorf("limits %d and %d, version %d", SmallFrame, MostFrame, Version)
+	if MaxClientFrame != 65536 || MaxFrame != 16777216 || Version != 1 {
+		t.Errorf("limits %d and %d, version %d", MaxClientFrame, MaxFrame, Version)
 	}
-	text := func(n int) *Bye { return &Bye{Text: strings.Repeat("x", n)} }
+	text := func(n int) *Goodbye { return &Goodbye{Message: strings.Repeat("x", n)} }
 	overhead := len(stream(t, text(1<<16))) - 4 - 1<<16
-	if _, err := Append(nil, text(MostFrame-overhead)); err != nil {
+	if _, err := Append(nil, text(MaxFrame-overhead)); err != nil {
 		t.Errorf("the largest frame is not sent: %v", err)
 	}
-	_, err := Append(nil, text(MostFrame-overhead+1))
+	_, err := Append(nil, text(MaxFrame-overhead+1))
 	if got := errorText(err); got != "FRAME of 16777217 bytes is over the limit of 16777216\n" {
 		t.Errorf("one more byte: %s", got)
 	}
-	hello := stream(t, Greeting(Owner, "client", 1))
+	hello := stream(t, NewHello(RoleClient, "client", 1))
 	for _, limit := range []struct {
 		max, first, size int
 		want             string
@@ -514,17 +514,17 @@
 		{0, 0, 1024, "FRAME out of turn\n"}, // taken, and no Hello
 		{0, 0, 1025, "frame of 1025 bytes is over the limit of 1024\n"},
 		{0, 1, 1025, "none\n"},
-		{SmallFrame, 1, SmallFrame, "none\n"},
-		{SmallFrame, 1, SmallFrame + 1, "frame of 65537 bytes is over the limit of 65536\n"},
+		{MaxClientFrame, 1, MaxClientFrame, "none\n"},
+		{MaxClientFrame, 1, MaxClientFrame + 1, "frame of 65537 bytes is over the limit of 65536\n"},
 	} {
-		r := Reader{Most: limit.max}
+		r := Reader{MaxSize: limit.max}
 		input := append(bytes.Repeat(hello, limit.first), stream(t, text(limit.size-4))...)
 		input = fitted(t, input, len(hello)*limit.first, limit.size)
 		if got := errorText(r.Feed(input, func(Frame) error { return nil })); got != limit.want {
 			t.Errorf("%+v: %s", limit, got)
 		}
 	}
-	_, err = Read(bytes.NewReader(stream(t, text(100))), 50)
+	_, err = ReadFrame(bytes.NewReader(stream(t, text(100))), 50)
 	if got := errorText(err); got != "frame of 104 bytes is over the limit of 50\n" {
 		t.Errorf("read with a limit of 50: %s", got)
 	}
@@ -539,8 +539,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		bye := f.(*Bye)
-		bye.Text = strings.Repeat("x", len(bye.Text)-off)
+		bye := f.(*Goodbye)
+		bye.Message = strings.Repeat("x", len(bye.Message)-off)
 		p = append(p[:before:before], stream(t, bye)...)
 	}
 	return p
@@ -550,7 +550,7 @@
 func TestEnumeratedValuesKeepTheirTexts(t *testing.T) {
 	var got []string
 	for i := range 6 {
-		got = append(got, Role(i).String(), Outcome(i).String(), Verdict(i).String(), State(i).String())
+		got = append(got, Role(i).String(), Outcome(i).String(), Verdict(i).String(), MachineState(i).String())
 	}
 	for i := range 9 {
 		got = append(got, Reason(i).String())
--- a/internal/protocol/link_test.go
+++ b/internal/protocol/link_test.go
@@ -10,24 +10,24 @@
 	"testing"
 )
 
-var work = Work{Container: "c-1", Key: "k", Service: "reports", Workload: 1, Customer: 2, Cores: 0.5,
-	Memory: 1.25, Window: 80000, RunFor: 120, Again: true}
+var work = ContainerSpec{ContainerID: "c-1", IdempotencyKey: "k", Service: "reports", WorkloadClass: 1, Tenant: 2, Cores: 0.5,
+	Memory: 1.25, DedupWindow: 80000, ExpectedRuntime: 120, ClientRetry: true}
 
 func samples() []Frame {
 	return []Frame{
-		Greeting(Machine, "m1", 7), &Offer{Bid: 9, Wait: 3500, Work: work}, &Yes{Bid: 9, Running: true},
-		&Result{Bid: 9, Outcome: Full, Reason: NoMemory, Report: map[string]float64{"queue": 2}},
-		&Note{Bid: 9, Sort: 2, Amount: 0.25}, &Withdraw{Life: 7, Bid: 9}, &Probe{Seq: 1},
-		&Probed{Seq: 1, Report: map[string]float64{"util": 0.5}},
-		&Holds{Incarnation: 3, Held: []Holding{{Life: 6, Bid: 1, Running: true, Work: work}}},
-		&Fetch{}, &Watch{On: true, Since: 5},
-		&Listed{Whole: true, Version: 6, Entries: []Entry{{Machine: "m1", Addr: "127.0.0.1:1", State: Draining,
+		NewHello(RoleMachine, "m1", 7), &Offer{AttemptID: 9, Timeout: 3500, Spec: work}, &Accept{AttemptID: 9, Running: true},
+		&Result{AttemptID: 9, Outcome: OutcomeFull, Reason: ReasonNoMemory, Report: map[string]float64{"queue": 2}},
+		&UsageReport{AttemptID: 9, Metric: 2, Value: 0.25}, &CancelAttempt{SchedulerIncarnation: 7, AttemptID: 9}, &Probe{Seq: 1},
+		&ProbeReply{Seq: 1, Report: map[string]float64{"util": 0.5}},
+		&Inventory{MachineIncarnation: 3, Containers: []InventoryItem{{SchedulerIncarnation: 6, AttemptID: 1, Running: true, Spec: work}}},
+		&FetchMachineList{}, &WatchMachineList{Enabled: true, SinceVersion: 5},
+		&MachineListUpdate{FullSnapshot: true, Version: 6, Entries: []MachineEntry{{Machine: "m1", Address: "127.0.0.1:1", State: MachineDraining,
 			FreeCores: -3, Incarnation: 3, Age: -1}}},
-		&Failed{Text: "busy"}, &Beat{}, &Submit{Left: 60000, Work: work}, &Cancel{Container: "c-1"},
-		&Answer{Container: "c-1", Verdict: PushedBack, HoldOff: 100}, &Fate{Container: "c-1", Outcome: Lost},
-		&AskStatus{},
-		&Status{Name: "p", Figures: []Figure{{Name: "open", Value: 3}}}, &Bye{Text: "garbage"}, &AskWhy{Seq: 3, Work: work}, &Look{Container: "c", Key: "k"}, &Why{Seq: 3, Known: true, NoCores: 4, ListAge: -1},
-		&AskRoutes{Service: "s"}, &Routes{Peers: []RoutePeer{{Addr: "a", AS: 1}}, Services: []RouteOf{{Service: "s", Penalty: 2}}},
+		&MachineListError{Message: "busy"}, &Heartbeat{}, &Submit{TimeToDeadline: 60000, Spec: work}, &CancelContainer{ContainerID: "c-1"},
+		&PlacementReply{ContainerID: "c-1", Verdict: VerdictRejected, RetryAfter: 100}, &Termination{ContainerID: "c-1", Outcome: OutcomeLost},
+		&StatusRequest{},
+		&StatusReply{Name: "p", Stats: []Stat{{Name: "open", Value: 3}}}, &Goodbye{Message: "garbage"}, &ExplainRequest{Seq: 3, Spec: work}, &Lookup{ContainerID: "c", IdempotencyKey: "k"}, &ExplainReply{Seq: 3, Known: true, InsufficientCores: 4, ListAge: -1},
+		&RoutesRequest{Service: "s"}, &RoutesReply{Peers: []BGPPeerStatus{{Address: "a", ASN: 1}}, Services: []ServiceRoute{{Service: "s", Penalty: 2}}},
 	}
 }
 
@@ -46,7 +46,7 @@
 func TestRoundTrip(t *testing.T) {
 	want := samples()
 	known := 0
-	for _, fresh := range sorts {
+	for _, fresh := range frameTypes {
 		if fresh != nil {
 			known++
 		}
@@ -65,19 +65,19 @@
 			}
 			rest = rest[n:]
 		}
-		if !reflect.DeepEqual(got, want) || r.Half() != 0 {
-			t.Errorf("in pieces of %d: got %d frames, %d bytes left", piece, len(got), r.Half())
+		if !reflect.DeepEqual(got, want) || r.Buffered() != 0 {
+			t.Errorf("in pieces of %d: got %d frames, %d bytes left", piece, len(got), r.Buffered())
 		}
 	}
 }
 
 func TestFaults(t *testing.T) {
-	hello := stream(t, Greeting(Owner, "o", 1))
+	hello := stream(t, NewHello(RoleClient, "o", 1))
 	raw := func(sort byte, body ...byte) []byte {
 		b := binary.BigEndian.AppendUint32(nil, uint32(len(body)+1))
 		return append(append(b, sort), body...)
 	}
-	old := *Greeting(Owner, "o", 1)
+	old := *NewHello(RoleClient, "o", 1)
 	old.Version = 99
 	oldBody, _ := encoder.Marshal(&old)
 	for _, tc := range []struct {
@@ -86,7 +86,7 @@
 		want string
 	}{
 		{"garbage", []byte("GET / HTTP/1.1\r\n\r\n"), "over the limit of 1024"},
-		{"no greeting", stream(t, &Beat{}), "out of turn"},
+		{"no greeting", stream(t, &Heartbeat{}), "out of turn"},
 		{"two greetings", append(bytes.Clone(hello), hello...), "out of turn"},
 		{"another version", raw(1, oldBody...), "version 99 is not 1"},
 		{"oversize", append(bytes.Clone(hello), 0xff, 0xff, 0xff, 0xff), "over the limit"},
@@ -109,8 +109,8 @@
 			}
 		})
 	}
-	for _, f := range []Frame{&Offer{Work: Work{Container: strings.Repeat("x", 201), Key: "k", Service: "s"}},
-		&Submit{Left: -1, Work: work}, &Answer{Container: "c"}, &Note{Sort: 6}} {
+	for _, f := range []Frame{&Offer{Spec: ContainerSpec{ContainerID: strings.Repeat("x", 201), IdempotencyKey: "k", Service: "s"}},
+		&Submit{TimeToDeadline: -1, Spec: work}, &PlacementReply{ContainerID: "c"}, &UsageReport{Metric: 6}} {
 		if _, err := Append(nil, f); err == nil {
 			t.Errorf("%T with a fault is sent", f)
 		}
@@ -128,8 +128,8 @@
 		for i := range p {
 			cut.Feed(p[i:i+1], func(f Frame) error { pieces = append(pieces, f); return nil })
 		}
-		if len(frames) != len(pieces) || (err == nil) != (cut.fault == nil) {
-			t.Fatalf("whole: %d frames, %v; cut: %d, %v", len(frames), err, len(pieces), cut.fault)
+		if len(frames) != len(pieces) || (err == nil) != (cut.err == nil) {
+			t.Fatalf("whole: %d frames, %v; cut: %d, %v", len(frames), err, len(pieces), cut.err)
 		}
 		for _, f := range frames {
 			if _, err := Append(nil, f); err != nil {
@@ -141,7 +141,7 @@
 
 // An offer there and back, by the codec in use and by the standard library's JSON.
 func BenchmarkOffer(b *testing.B) {
-	offer := &Offer{Bid: 9, Wait: 3500, Work: work}
+	offer := &Offer{AttemptID: 9, Timeout: 3500, Spec: work}
 	b.Run("cbor", func(b *testing.B) {
 		var p []byte
 		b.ReportAllocs()
--- a/internal/protocol/outcome.go
+++ b/internal/protocol/outcome.go
@@ -2,18 +2,18 @@
 
 import "glenport/scheduler"
 
-var decided = [...]scheduler.Outcome{Finished: scheduler.OutcomeFinished, Erred: scheduler.OutcomeErrored, Full: scheduler.OutcomeFull, Stopped: scheduler.OutcomeStopped,
-	Lost: scheduler.OutcomeLost}
+var schedulerOutcomes = [...]scheduler.Outcome{OutcomeFinished: scheduler.OutcomeFinished, OutcomeErrored: scheduler.OutcomeErrored, OutcomeFull: scheduler.OutcomeFull, OutcomeStopped: scheduler.OutcomeStopped,
+	OutcomeLost: scheduler.OutcomeLost}
 
-// Decided is the outcome in the words of the decisions.
-func (o Outcome) Decided() scheduler.Outcome { return decided[o] }
+// Scheduler is the outcome in the words of the decisions.
+func (o Outcome) Scheduler() scheduler.Outcome { return schedulerOutcomes[o] }
 
-// OutcomeOf is the outcome that an owner is told; what has no like on the wire was lost.
-func OutcomeOf(p scheduler.Outcome) Outcome {
-	for o, x := range decided {
+// OutcomeFromScheduler is the outcome that an owner is told; what has no like on the wire was lost.
+func OutcomeFromScheduler(p scheduler.Outcome) Outcome {
+	for o, x := range schedulerOutcomes {
 		if x == p {
 			return Outcome(o)
 		}
 	}
-	return Lost
+	return OutcomeLost
 }
--- a/internal/schedulerd/door.go
+++ b/internal/schedulerd/door.go
@@ -29,14 +29,14 @@
 
 func (h *Host) accept() (eventloop.Handler, int) {
 	h.lastOwner++
-	return &owner{h: h, caller: h.lastOwner, reader: protocol.Reader{Most: protocol.SmallFrame}, name: "stranger",
+	return &owner{h: h, caller: h.lastOwner, reader: protocol.Reader{MaxSize: protocol.MaxClientFrame}, name: "stranger",
 		came: h.loop.Now()}, h.site.Output
 }
 
 func (o *owner) Opened(c *eventloop.Conn) {
 	o.conn = c
 	o.h.owners[o.caller] = o
-	o.write(protocol.Greeting(protocol.Placer, o.h.site.Name, o.h.life))
+	o.write(protocol.NewHello(protocol.RoleScheduler, o.h.site.Name, o.h.life))
 }
 
 func (o *owner) Read(_ *eventloop.Conn, p []byte) {
@@ -47,7 +47,7 @@
 		o.h.badLink(o.name, err)
 		o.drop(err.Error())
 	}
-	if o.reader.Half() == 0 {
+	if o.reader.Buffered() == 0 {
 		o.halfAt = 0
 	} else if o.halfAt == 0 {
 		o.halfAt = o.h.loop.Now()
@@ -57,7 +57,7 @@
 func (o *owner) Closed(*eventloop.Conn, error) {
 	o.dropped = true
 	delete(o.h.owners, o.caller)
-	if o.role == protocol.Owner {
+	if o.role == protocol.RoleClient {
 		o.h.tell(reconcile.Left{Caller: o.caller})
 	}
 }
@@ -65,7 +65,7 @@
 // drop ends the link with a word why.
 func (o *owner) drop(why string) {
 	if !o.dropped {
-		o.write(&protocol.Bye{Text: why})
+		o.write(&protocol.Goodbye{Message: why})
 		o.dropped = true
 		o.conn.Close()
 	}
@@ -107,26 +107,26 @@
 	case *protocol.Hello:
 		o.name, o.role = f.Name, f.Role
 		switch f.Role {
-		case protocol.Owner:
+		case protocol.RoleClient:
 			h.tell(reconcile.Called{Caller: o.caller})
-		case protocol.Placer:
+		case protocol.RoleScheduler:
 		default:
 			return fmt.Errorf("a %s has no business at this door", f.Role)
 		}
 	case *protocol.Submit:
 		h.submitted(o, f)
-	case *protocol.Cancel:
-		h.tell(reconcile.Cancelled{Caller: o.caller, ID: scheduler.ContainerID(f.Container), Key: f.Key})
-	case *protocol.Look:
-		h.tell(reconcile.Looked{Caller: o.caller, ID: scheduler.ContainerID(f.Container), Key: f.Key})
-	case *protocol.AskWhy:
+	case *protocol.CancelContainer:
+		h.tell(reconcile.Cancelled{Caller: o.caller, ID: scheduler.ContainerID(f.ContainerID), Key: f.IdempotencyKey})
+	case *protocol.Lookup:
+		h.tell(reconcile.Looked{Caller: o.caller, ID: scheduler.ContainerID(f.ContainerID), Key: f.IdempotencyKey})
+	case *protocol.ExplainRequest:
 		o.write(h.explain(f))
-	case *protocol.AskRoutes:
+	case *protocol.RoutesRequest:
 		o.write(h.routesFor(f.Service))
-	case *protocol.AskStatus:
+	case *protocol.StatusRequest:
 		o.write(h.status())
-	case *protocol.Beat:
-	case *protocol.Bye:
+	case *protocol.Heartbeat:
+	case *protocol.Goodbye:
 		o.drop("good bye")
 	default:
 		return fmt.Errorf("%T is not for the door", f)
@@ -135,20 +135,20 @@
 }
 
 func (h *Host) submitted(o *owner, f *protocol.Submit) {
-	now, w := scheduler.Time(h.loop.Now()), &f.Work
-	ask := scheduler.PlacementRequest{ID: scheduler.ContainerID(w.Container), IdempotencyKey: w.Key, Service: w.Service, WorkloadClass: w.Workload,
-		Tenant: w.Customer, Cores: w.Cores, Memory: w.Memory, Deadline: now + scheduler.Time(f.Left),
-		ExpectedRuntime: scheduler.Time(w.RunFor), ClientRetry: w.Again}
+	now, w := scheduler.Time(h.loop.Now()), &f.Spec
+	ask := scheduler.PlacementRequest{ID: scheduler.ContainerID(w.ContainerID), IdempotencyKey: w.IdempotencyKey, Service: w.Service, WorkloadClass: w.WorkloadClass,
+		Tenant: w.Tenant, Cores: w.Cores, Memory: w.Memory, Deadline: now + scheduler.Time(f.TimeToDeadline),
+		ExpectedRuntime: scheduler.Time(w.ExpectedRuntime), ClientRetry: w.ClientRetry}
 	h.meter.submitted++
 	h.asking[ask.ID] = h.loop.Clock()
 	h.tell(reconcile.Asked{Caller: o.caller, Ask: ask})
 }
 
 // explain answers why work like this may wait, where the decisions can tell.
-func (h *Host) explain(f *protocol.AskWhy) *protocol.Why {
-	w := &protocol.Why{Seq: f.Seq, ListAge: -1}
+func (h *Host) explain(f *protocol.ExplainRequest) *protocol.ExplainReply {
+	w := &protocol.ExplainReply{Seq: f.Seq, ListAge: -1}
 	if h.list.spokeAt > 0 {
-		w.ListAge = protocol.Span(h.loop.Now() - h.list.spokeAt)
+		w.ListAge = protocol.Duration(h.loop.Now() - h.list.spokeAt)
 	}
 	d, ok := h.decider.(interface {
 		Explain(scheduler.PlacementRequest) scheduler.Explanation
@@ -156,33 +156,33 @@
 	if !ok {
 		return w
 	}
-	x := d.Explain(scheduler.PlacementRequest{IdempotencyKey: f.Work.Key, Service: f.Work.Service, WorkloadClass: f.Work.Workload, Tenant: f.Work.Customer,
-		Cores: f.Work.Cores, Memory: f.Work.Memory})
-	return &protocol.Why{Seq: f.Seq, Known: true, Machines: x.Machines, Gone: x.Gone, OtherKind: x.WrongMachineType, Draining: x.Draining,
-		TooSmall: x.TooSmall, Closing: x.SelfDraining, SpreadFull: x.SpreadExhausted, ColdSpent: x.SlowStartExhausted, Resting: x.Ejected,
-		Shunned: x.Suspected, NoCores: x.InsufficientCores, NoMemory: x.InsufficientMemory, Free: x.Eligible, Yielding: x.SheddingLoad,
-		NoRoomShare: x.FullRatio, ListAge: w.ListAge}
+	x := d.Explain(scheduler.PlacementRequest{IdempotencyKey: f.Spec.IdempotencyKey, Service: f.Spec.Service, WorkloadClass: f.Spec.WorkloadClass, Tenant: f.Spec.Tenant,
+		Cores: f.Spec.Cores, Memory: f.Spec.Memory})
+	return &protocol.ExplainReply{Seq: f.Seq, Known: true, Machines: x.Machines, Gone: x.Gone, WrongMachineType: x.WrongMachineType, Draining: x.Draining,
+		TooSmall: x.TooSmall, SelfDraining: x.SelfDraining, SpreadExhausted: x.SpreadExhausted, SlowStartExhausted: x.SlowStartExhausted, Ejected: x.Ejected,
+		Suspected: x.Suspected, InsufficientCores: x.InsufficientCores, InsufficientMemory: x.InsufficientMemory, Eligible: x.Eligible, SheddingLoad: x.SheddingLoad,
+		FullRatio: x.FullRatio, ListAge: w.ListAge}
 }
 
 // routesFor tells how announcements stand.
-func (h *Host) routesFor(service string) *protocol.Routes {
-	out := &protocol.Routes{}
+func (h *Host) routesFor(service string) *protocol.RoutesReply {
+	out := &protocol.RoutesReply{}
 	if h.routes == nil {
 		return out
 	}
 	for _, p := range h.routes.Peers() {
-		out.Peers = append(out.Peers, protocol.RoutePeer{Addr: p.Addr, AS: p.AS, State: p.State, Routes: p.Routes, Due: p.Due, Updates: p.Updates,
-			Bytes: p.Bytes, Ends: p.Flaps, Why: p.Why})
+		out.Peers = append(out.Peers, protocol.BGPPeerStatus{Address: p.Addr, ASN: p.AS, State: p.State, Routes: p.Routes, PendingRoutes: p.Due, UpdatesSent: p.Updates,
+			BytesSent: p.Bytes, SessionsEnded: p.Flaps, LastError: p.Why})
 	}
 	for _, name := range h.routes.Services() {
 		if service != "" && name != service {
 			continue
 		}
 		w, _ := h.routes.Why(name)
-		r := protocol.RouteOf{Service: name, Prefix: h.site.BGP.Services[name].Prefix.String(), Announced: w.Announced,
-			Preference: w.Path.Preference, Running: w.Running, Draining: w.Draining, Least: w.Least, Penalty: w.Penalty, Suppressed: w.Suppressed}
+		r := protocol.ServiceRoute{Service: name, Prefix: h.site.BGP.Services[name].Prefix.String(), Announced: w.Announced,
+			LocalPreference: w.Path.Preference, Running: w.Running, Draining: w.Draining, MinRunning: w.Least, Penalty: w.Penalty, Suppressed: w.Suppressed}
 		if w.NextUpdate > 0 {
-			r.Next = max(0, protocol.Span(w.NextUpdate-scheduler.Time(h.loop.Now())))
+			r.NextChangeIn = max(0, protocol.Duration(w.NextUpdate-scheduler.Time(h.loop.Now())))
 		}
 		out.Services = append(out.Services, r)
 	}
@@ -197,8 +197,8 @@
 }
 
 func (h *Host) turnAway(a reconcile.Refuse) {
-	h.meter.answered(protocol.TurnedAway)
-	h.send(a.Caller, &protocol.Answer{Container: string(a.ID), Verdict: protocol.TurnedAway, HoldOff: protocol.Span(a.HoldOff), Text: a.Why})
+	h.meter.answered(protocol.VerdictNotAdmitted)
+	h.send(a.Caller, &protocol.PlacementReply{ContainerID: string(a.ID), Verdict: protocol.VerdictNotAdmitted, RetryAfter: protocol.Duration(a.HoldOff), Message: a.Why})
 }
 
 // cease ends a container that its owner no longer wants. Whoever asks for its end hears it.
@@ -209,7 +209,7 @@
 		return
 	}
 	if c.owner != nil && c.owner != o && !c.owner.dropped {
-		o.write(&protocol.Answer{Container: string(a.As), Verdict: protocol.TurnedAway, Text: "it is another owner's"})
+		o.write(&protocol.PlacementReply{ContainerID: string(a.As), Verdict: protocol.VerdictNotAdmitted, Message: "it is another owner's"})
 		return
 	}
 	if b := c.bid; b != nil && b.placed {
@@ -220,11 +220,11 @@
 	h.feed(scheduler.ContainerRemoved{ID: id})
 	if !c.answered {
 		c.answered = true
-		h.meter.answered(protocol.GivenUp)
+		h.meter.answered(protocol.VerdictFailed)
 		if c.owner != nil && c.heardAs != string(a.As) {
-			c.owner.write(&protocol.Answer{Container: c.heardAs, Verdict: protocol.GivenUp, Text: "cancelled"})
+			c.owner.write(&protocol.PlacementReply{ContainerID: c.heardAs, Verdict: protocol.VerdictFailed, Message: "cancelled"})
 		}
-		o.write(&protocol.Answer{Container: string(a.As), Verdict: protocol.GivenUp, Text: "cancelled"})
+		o.write(&protocol.PlacementReply{ContainerID: string(a.As), Verdict: protocol.VerdictFailed, Message: "cancelled"})
 		h.tell(reconcile.Answered{ID: id})
 	}
 	if b := c.bid; b != nil {
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -64,11 +64,11 @@
 
 var goldenIncarnation = warmstart.Life{Whole: warmstart.Stamp{Clock: 17_000_000_000_001, Up: 17_000_002, Boot: "boot-of-the-record"}, Log: recovery.Synced}
 
-var goldenEntries = []protocol.Entry{
-	{Machine: "machine-seven", Addr: "127.0.0.7:7007", Zone: 31, Kind: 32, Cell: 33, State: protocol.Draining, FreeCores: 34.5, FreeMemory: 35.5,
-		Hint: 36.5, Incarnation: 207, Age: 5001},
-	{Machine: "machine-eight", Addr: "127.0.0.8:8008", Zone: 41, Kind: 42, Cell: 43, State: protocol.Gone, FreeCores: 44.5, FreeMemory: 45.5,
-		Hint: 46.5, Incarnation: 208, Age: -1},
+var goldenEntries = []protocol.MachineEntry{
+	{Machine: "machine-seven", Address: "127.0.0.7:7007", Zone: 31, MachineType: 32, RackGroup: 33, State: protocol.MachineDraining, FreeCores: 34.5, FreeMemory: 35.5,
+		PowerHint: 36.5, Incarnation: 207, Age: 5001},
+	{Machine: "machine-eight", Address: "127.0.0.8:8008", Zone: 41, MachineType: 42, RackGroup: 43, State: protocol.MachineGone, FreeCores: 44.5, FreeMemory: 45.5,
+		PowerHint: 46.5, Incarnation: 208, Age: -1},
 }
 
 // There is one entry in the map: the order in which several are encoded is random.
@@ -100,7 +100,7 @@
 			t.Fatal(err)
 		}
 		s := &state{dir: d}
-		if s.log, _, err = wal.Open(d, wal.Terms{}); err != nil {
+		if s.log, _, err = wal.Open(d, wal.Options{}); err != nil {
 			t.Fatal(err)
 		}
 		f(s)
@@ -123,7 +123,7 @@
 			s.put(SentKind, string(sent.Machine), warmstart.Sent{Machine: sent.Machine, Start: 1, Times: []scheduler.Time{1}})
 		}
 	})
-	d, err := vfs.Open(path)
+	d, err := vfs.OpenLocked(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,7 +151,7 @@
 // goldenListFile is the file of version 1: the clock, the length, and a list frame without its length.
 func goldenListFile(t *testing.T) []byte {
 	t.Helper()
-	frame, err := protocol.Append(nil, &protocol.Listed{Whole: true, Version: 302, Entries: goldenEntries})
+	frame, err := protocol.Append(nil, &protocol.MachineListUpdate{FullSnapshot: true, Version: 302, Entries: goldenEntries})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -286,7 +286,7 @@
 
 // A bar that nothing reaches is infinite; it is kept as such.
 func TestInfiniteBarIsKept(t *testing.T) {
-	d, err := vfs.Open(t.TempDir())
+	d, err := vfs.OpenLocked(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -336,11 +336,11 @@
 // describeState tells what a folder holds by the names in its bytes, without the types of this program.
 func describeState(t *testing.T, path string) string {
 	t.Helper()
-	d, err := vfs.Look(path)
+	d, err := vfs.OpenReadOnly(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	records, err := wal.Read(d, false)
+	records, err := wal.Load(d, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -356,11 +356,11 @@
 		return err
 	}
 	for _, kind := range records.Kinds() {
-		if err := records.Each(kind, func(key string, p []byte) error { return value(kind+" "+key+":", p) }); err != nil {
+		if err := records.ForEach(kind, func(key string, p []byte) error { return value(kind+" "+key+":", p) }); err != nil {
 			t.Fatal(err)
 		}
 	}
-	version, body, err := wal.ReadWhole(d, "knowledge", "GLENKNW", 255)
+	version, body, err := wal.ReadChecksummed(d, "knowledge", "GLENKNW", 255)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/schedulerd/helpers_test.go
+++ b/internal/schedulerd/helpers_test.go
@@ -60,7 +60,7 @@
 	r := &rig{T: t, script: sc}
 	s.ListAddr = listing(t, machines)
 	r.h = run(t, s, sc)
-	r.h.loop.Post(func() { r.h.watch(&protocol.Watch{On: true}) })
+	r.h.loop.Post(func() { r.h.watch(&protocol.WatchMachineList{Enabled: true}) })
 	await[scheduler.MachineListUpdate](r, func(e scheduler.MachineListUpdate) bool { return e.Mode != scheduler.RestoredSnapshot })
 	r.door = callDoor(t, r.h.Addr())
 	return r
@@ -146,17 +146,17 @@
 
 func listing(t *testing.T, machines map[string]string) string {
 	return serve(t, func(c net.Conn) {
-		put(c, protocol.Greeting(protocol.List, "list", 1))
-		l := &protocol.Listed{Whole: true, Version: 1}
+		put(c, protocol.NewHello(protocol.RoleMachineList, "list", 1))
+		l := &protocol.MachineListUpdate{FullSnapshot: true, Version: 1}
 		for id, addr := range machines {
-			l.Entries = append(l.Entries, protocol.Entry{Machine: id, Addr: addr, Incarnation: 1, Age: -1})
+			l.Entries = append(l.Entries, protocol.MachineEntry{Machine: id, Address: addr, Incarnation: 1, Age: -1})
 		}
 		for {
-			f, err := protocol.Read(c, protocol.MostFrame)
+			f, err := protocol.ReadFrame(c, protocol.MaxFrame)
 			if err != nil {
 				return
 			}
-			if _, ok := f.(*protocol.Watch); ok {
+			if _, ok := f.(*protocol.WatchMachineList); ok {
 				put(c, l)
 			}
 		}
@@ -164,14 +164,14 @@
 }
 
 // machineThat greets, says what it holds and answers each frame by answer; nil ends the link.
-func machineThat(t *testing.T, name string, holds *protocol.Holds, answer func(c net.Conn, f protocol.Frame) bool) string {
+func machineThat(t *testing.T, name string, holds *protocol.Inventory, answer func(c net.Conn, f protocol.Frame) bool) string {
 	return serve(t, func(c net.Conn) {
-		if f, err := protocol.Read(c, protocol.MostFrame); err != nil || f.(*protocol.Hello).Role != protocol.Placer {
+		if f, err := protocol.ReadFrame(c, protocol.MaxFrame); err != nil || f.(*protocol.Hello).Role != protocol.RoleScheduler {
 			return
 		}
-		put(c, protocol.Greeting(protocol.Machine, name, 1), holds)
+		put(c, protocol.NewHello(protocol.RoleMachine, name, 1), holds)
 		for {
-			f, err := protocol.Read(c, protocol.MostFrame)
+			f, err := protocol.ReadFrame(c, protocol.MaxFrame)
 			if err != nil || !answer(c, f) {
 				return
 			}
@@ -193,8 +193,8 @@
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	d := &caller{t, c}
-	put(c, protocol.Greeting(protocol.Owner, "owner", 1))
-	if hello, ok := d.next().(*protocol.Hello); !ok || hello.Role != protocol.Placer {
+	put(c, protocol.NewHello(protocol.RoleClient, "owner", 1))
+	if hello, ok := d.next().(*protocol.Hello); !ok || hello.Role != protocol.RoleScheduler {
 		t.Fatal("the door does not greet")
 	}
 	return d
@@ -202,7 +202,7 @@
 
 func (c *caller) next() protocol.Frame {
 	c.t.Helper()
-	f, err := protocol.Read(c, protocol.MostFrame)
+	f, err := protocol.ReadFrame(c, protocol.MaxFrame)
 	if err != nil {
 		c.t.Fatalf("the door is closed: %v", err)
 	}
@@ -210,13 +210,13 @@
 }
 
 func (c *caller) submit(id string, workload int) {
-	put(c, &protocol.Submit{Left: 60000, Work: protocol.Work{Container: id, Key: "k-" + id, Service: "s", Workload: workload,
+	put(c, &protocol.Submit{TimeToDeadline: 60000, Spec: protocol.ContainerSpec{ContainerID: id, IdempotencyKey: "k-" + id, Service: "s", WorkloadClass: workload,
 		Cores: 1, Memory: 1}})
 }
 
-func (c *caller) answer() *protocol.Answer {
+func (c *caller) answer() *protocol.PlacementReply {
 	c.t.Helper()
-	a, ok := c.next().(*protocol.Answer)
+	a, ok := c.next().(*protocol.PlacementReply)
 	if !ok {
 		c.t.Fatal("no answer")
 	}
--- a/internal/schedulerd/host.go
+++ b/internal/schedulerd/host.go
@@ -65,7 +65,7 @@
 // container is one that this placer has taken or taken over.
 type container struct {
 	ask      scheduler.PlacementRequest
-	window   protocol.Span
+	window   protocol.Duration
 	owner    *owner // nil where it was taken over and nobody asked again
 	heardAs  string // its id for that owner
 	answered bool
@@ -140,10 +140,10 @@
 func (h *Host) Routes() *speaker.Speaker { return h.routes }
 
 // Account gives the figures and routes to another goroutine, unless the loop does not answer in time.
-func (h *Host) Account(within time.Duration) (*protocol.Status, *protocol.Routes, bool) {
+func (h *Host) Account(within time.Duration) (*protocol.StatusReply, *protocol.RoutesReply, bool) {
 	type both struct {
-		s *protocol.Status
-		r *protocol.Routes
+		s *protocol.StatusReply
+		r *protocol.RoutesReply
 	}
 	got := make(chan both, 1)
 	if !h.loop.Post(func() { got <- both{h.status(), h.routesFor("")} }) {
@@ -261,9 +261,9 @@
 	case scheduler.StartAttempt:
 		h.offer(a)
 	case scheduler.Reject:
-		h.answer(a.ID, &protocol.Answer{Verdict: protocol.PushedBack, HoldOff: protocol.Span(a.RetryAfter)})
+		h.answer(a.ID, &protocol.PlacementReply{Verdict: protocol.VerdictRejected, RetryAfter: protocol.Duration(a.RetryAfter)})
 	case scheduler.Fail:
-		h.answer(a.ID, &protocol.Answer{Verdict: protocol.GivenUp})
+		h.answer(a.ID, &protocol.PlacementReply{Verdict: protocol.VerdictFailed})
 	case scheduler.CancelAttempt:
 		if c := h.open[a.ID]; c != nil && c.bid != nil && !c.bid.placed && c.bid.nth == a.Attempt {
 			h.callOff(c.bid)
@@ -278,9 +278,9 @@
 	case scheduler.SetTimer:
 		h.loop.After(eventloop.Tick(a.After), func() { h.feed(scheduler.TimerFired{Name: a.Name}) })
 	case scheduler.WatchMachineList:
-		h.watch(&protocol.Watch{On: a.Enabled, Since: h.list.version})
+		h.watch(&protocol.WatchMachineList{Enabled: a.Enabled, SinceVersion: h.list.version})
 	case scheduler.FetchMachineList:
-		h.watch(&protocol.Fetch{})
+		h.watch(&protocol.FetchMachineList{})
 	case scheduler.Log:
 		h.log.Info("mode", "text", a.Message)
 	}
@@ -298,20 +298,20 @@
 	case reconcile.Refuse:
 		h.turnAway(a)
 	case reconcile.Stands:
-		h.send(a.Caller, &protocol.Answer{Container: string(a.ID), Verdict: protocol.Placed, Machine: string(a.Machine),
-			Text: "it runs already"})
+		h.send(a.Caller, &protocol.PlacementReply{ContainerID: string(a.ID), Verdict: protocol.VerdictPlaced, Machine: string(a.Machine),
+			Message: "it runs already"})
 		if c := h.open[a.As]; c != nil { // who asked last hears its fate
 			c.owner, c.heardAs = h.owners[a.Caller], string(a.ID)
 		}
 	case reconcile.Cease:
 		h.cease(a)
 	case reconcile.Absent:
-		h.send(a.Caller, &protocol.Answer{Container: string(a.ID), Verdict: protocol.PushedBack, Text: "nothing of it runs"})
+		h.send(a.Caller, &protocol.PlacementReply{ContainerID: string(a.ID), Verdict: protocol.VerdictRejected, Message: "nothing of it runs"})
 	case reconcile.Ceased:
-		h.send(a.Caller, &protocol.Answer{Container: string(a.ID), Verdict: protocol.GivenUp, Text: "cancelled"})
+		h.send(a.Caller, &protocol.PlacementReply{ContainerID: string(a.ID), Verdict: protocol.VerdictFailed, Message: "cancelled"})
 	case reconcile.CallOff:
 		if m := h.machines[a.Machine]; m != nil && m.ready {
-			m.write(&protocol.Withdraw{Life: a.Life, Bid: a.Bid})
+			m.write(&protocol.CancelAttempt{SchedulerIncarnation: a.Life, AttemptID: a.Bid})
 		}
 	case reconcile.Adopt:
 		h.adopt(a.Held)
@@ -351,7 +351,7 @@
 // take hands a container that the door lets in to the placer module.
 func (h *Host) take(a reconcile.Pass) {
 	h.open[a.Ask.ID] = &container{ask: a.Ask, owner: h.owners[a.Caller], heardAs: string(a.Ask.ID), came: h.asking[a.Ask.ID],
-		window: protocol.Span(h.site.Terms.WorkloadClasses[a.Ask.WorkloadClass].DedupWindow)}
+		window: protocol.Duration(h.site.Terms.WorkloadClasses[a.Ask.WorkloadClass].DedupWindow)}
 	h.feed(scheduler.RequestReceived{PlacementRequest: a.Ask})
 }
 
@@ -464,7 +464,7 @@
 		return
 	}
 	if b.at.ready {
-		b.at.write(&protocol.Withdraw{Life: b.life, Bid: b.number})
+		b.at.write(&protocol.CancelAttempt{SchedulerIncarnation: b.life, AttemptID: b.number})
 	}
 	if !b.placed {
 		b.at.expectLate(b)
@@ -493,8 +493,8 @@
 		h.meter.running--
 		h.route(b, false)
 		if c.owner != nil {
-			c.owner.write(&protocol.Fate{Container: c.heardAs, Machine: string(m.id),
-				Outcome: protocol.OutcomeOf(e.Outcome), Reason: protocol.Reason(e.Reason)})
+			c.owner.write(&protocol.Termination{ContainerID: c.heardAs, Machine: string(m.id),
+				Outcome: protocol.OutcomeFromScheduler(e.Outcome), Reason: protocol.Reason(e.Reason)})
 		}
 	}
 	h.feed(e)
@@ -510,13 +510,13 @@
 }
 
 // answer gives an owner the final answer.
-func (h *Host) answer(id scheduler.ContainerID, a *protocol.Answer) {
+func (h *Host) answer(id scheduler.ContainerID, a *protocol.PlacementReply) {
 	c := h.open[id]
 	if c == nil || c.answered {
 		return
 	}
 	c.answered = true
-	a.Container = string(id)
+	a.ContainerID = string(id)
 	h.meter.answered(a.Verdict)
 	if c.owner != nil {
 		c.owner.write(a)
@@ -540,10 +540,10 @@
 		return
 	}
 	c.answered = true
-	h.meter.answered(protocol.Placed)
+	h.meter.answered(protocol.VerdictPlaced)
 	h.feed(scheduler.AttemptAccepted{ID: c.ask.ID, Attempt: b.nth, Machine: b.at.id, Elapsed: scheduler.Time(h.loop.Now() - b.sentAt)})
 	if c.owner != nil {
-		c.owner.write(&protocol.Answer{Container: string(c.ask.ID), Verdict: protocol.Placed, Machine: string(b.at.id)})
+		c.owner.write(&protocol.PlacementReply{ContainerID: string(c.ask.ID), Verdict: protocol.VerdictPlaced, Machine: string(b.at.id)})
 	}
 }
 
--- a/internal/schedulerd/host_test.go
+++ b/internal/schedulerd/host_test.go
@@ -34,7 +34,7 @@
 func TestOutcomes(t *testing.T) {
 	says := func(frames func(o *protocol.Offer) []protocol.Frame) func(*testing.T) string {
 		return func(t *testing.T) string {
-			return machineThat(t, "a", &protocol.Holds{}, func(c net.Conn, f protocol.Frame) bool {
+			return machineThat(t, "a", &protocol.Inventory{}, func(c net.Conn, f protocol.Frame) bool {
 				if o, ok := f.(*protocol.Offer); ok {
 					put(c, frames(o)...)
 				}
@@ -44,17 +44,17 @@
 	}
 	result := func(o protocol.Outcome, r protocol.Reason) func(*testing.T) string {
 		return says(func(f *protocol.Offer) []protocol.Frame {
-			return []protocol.Frame{&protocol.Result{Bid: f.Bid, Outcome: o, Reason: r, Report: map[string]float64{"queue": 3}}}
+			return []protocol.Frame{&protocol.Result{AttemptID: f.AttemptID, Outcome: o, Reason: r, Report: map[string]float64{"queue": 3}}}
 		})
 	}
 	after := func(o protocol.Outcome, r protocol.Reason) func(*testing.T) string {
 		return says(func(f *protocol.Offer) []protocol.Frame {
-			return []protocol.Frame{&protocol.Yes{Bid: f.Bid, Running: true}, &protocol.Result{Bid: f.Bid, Outcome: o, Reason: r}}
+			return []protocol.Frame{&protocol.Accept{AttemptID: f.AttemptID, Running: true}, &protocol.Result{AttemptID: f.AttemptID, Outcome: o, Reason: r}}
 		})
 	}
 	hang := func(reset bool) func(*testing.T) string {
 		return func(t *testing.T) string {
-			return machineThat(t, "a", &protocol.Holds{}, func(c net.Conn, f protocol.Frame) bool {
+			return machineThat(t, "a", &protocol.Inventory{}, func(c net.Conn, f protocol.Frame) bool {
 				_, offer := f.(*protocol.Offer)
 				if offer && reset {
 					c.(*net.TCPConn).SetLinger(0)
@@ -71,17 +71,17 @@
 		over    bool
 		fate    protocol.Outcome
 	}{
-		{"full", result(protocol.Full, protocol.NoMemory), scheduler.OutcomeFull, scheduler.ReasonNoMemory, false, 0},
-		{"erred", result(protocol.Erred, 0), scheduler.OutcomeErrored, 0, false, 0},
-		{"finished", after(protocol.Finished, 0), scheduler.OutcomeFinished, 0, true, protocol.Finished},
-		{"evicted", after(protocol.Lost, protocol.Evicted), scheduler.OutcomeLost, scheduler.ReasonOutOfMemory, true, protocol.Lost},
-		{"sent away", after(protocol.Lost, protocol.SentAway), scheduler.OutcomeLost, scheduler.ReasonDrained, true, protocol.Lost},
-		{"no answer", func(t *testing.T) string { return machineThat(t, "a", &protocol.Holds{}, quiet) }, scheduler.OutcomeTimedOut, 0, false, 0},
+		{"full", result(protocol.OutcomeFull, protocol.ReasonNoMemory), scheduler.OutcomeFull, scheduler.ReasonNoMemory, false, 0},
+		{"erred", result(protocol.OutcomeErrored, 0), scheduler.OutcomeErrored, 0, false, 0},
+		{"finished", after(protocol.OutcomeFinished, 0), scheduler.OutcomeFinished, 0, true, protocol.OutcomeFinished},
+		{"evicted", after(protocol.OutcomeLost, protocol.ReasonOutOfMemory), scheduler.OutcomeLost, scheduler.ReasonOutOfMemory, true, protocol.OutcomeLost},
+		{"sent away", after(protocol.OutcomeLost, protocol.ReasonDrained), scheduler.OutcomeLost, scheduler.ReasonDrained, true, protocol.OutcomeLost},
+		{"no answer", func(t *testing.T) string { return machineThat(t, "a", &protocol.Inventory{}, quiet) }, scheduler.OutcomeTimedOut, 0, false, 0},
 		{"link ended between offer and answer", hang(false), scheduler.OutcomeLost, 0, false, 0},
 		{"link reset between offer and answer", hang(true), scheduler.OutcomeLost, 0, false, 0},
 		{"garbage for an answer", says(func(*protocol.Offer) []protocol.Frame {
-			return []protocol.Frame{&protocol.Submit{Left: 1,
-				Work: protocol.Work{Container: "x", Key: "x", Service: "x"}}}
+			return []protocol.Frame{&protocol.Submit{TimeToDeadline: 1,
+				Spec: protocol.ContainerSpec{ContainerID: "x", IdempotencyKey: "x", Service: "x"}}}
 		}), scheduler.OutcomeLost, 0, false, 0},
 		{"nobody listens", func(t *testing.T) string {
 			l, _ := net.Listen("tcp", "127.0.0.1:0")
@@ -91,7 +91,7 @@
 		{"takes the call and never greets", func(t *testing.T) string {
 			return serve(t, func(c net.Conn) { c.Read(make([]byte, 1000)); c.Read(make([]byte, 1000)) })
 		}, scheduler.OutcomeConnectFailed, 0, false, 0},
-		{"another machine answers", func(t *testing.T) string { return machineThat(t, "b", &protocol.Holds{}, quiet) },
+		{"another machine answers", func(t *testing.T) string { return machineThat(t, "b", &protocol.Inventory{}, quiet) },
 			scheduler.OutcomeConnectFailed, 0, false, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -103,12 +103,12 @@
 			}
 			a := r.door.answer()
 			if !tc.over {
-				if a.Verdict != protocol.GivenUp {
+				if a.Verdict != protocol.VerdictFailed {
 					t.Errorf("answered %v", a)
 				}
 				return
 			}
-			if fate, ok := r.door.next().(*protocol.Fate); a.Verdict != protocol.Placed || !ok || fate.Outcome != tc.fate {
+			if fate, ok := r.door.next().(*protocol.Termination); a.Verdict != protocol.VerdictPlaced || !ok || fate.Outcome != tc.fate {
 				t.Errorf("answered %v, then %v", a, fate)
 			}
 		})
@@ -120,8 +120,8 @@
 func TestNeverReads(t *testing.T) {
 	done := make(chan struct{})
 	deaf := serve(t, func(c net.Conn) {
-		protocol.Read(c, protocol.MostFrame)
-		put(c, protocol.Greeting(protocol.Machine, "a", 1), &protocol.Holds{})
+		protocol.ReadFrame(c, protocol.MaxFrame)
+		put(c, protocol.NewHello(protocol.RoleMachine, "a", 1), &protocol.Inventory{})
 		<-done
 	})
 	defer close(done)
@@ -130,11 +130,11 @@
 	r := start(t, s, bidTo(0), map[string]string{"a": deaf})
 	sent := 0
 	for {
-		put(r.door, &protocol.Submit{Left: 600000, Work: protocol.Work{Container: fmt.Sprint("x", sent), Key: fmt.Sprint(sent),
-			Service: strings.Repeat("s", 150), Workload: 2}})
+		put(r.door, &protocol.Submit{TimeToDeadline: 600000, Spec: protocol.ContainerSpec{ContainerID: fmt.Sprint("x", sent), IdempotencyKey: fmt.Sprint(sent),
+			Service: strings.Repeat("s", 150), WorkloadClass: 2}})
 		if sent++; sent%1000 == 0 {
-			put(r.door, &protocol.AskStatus{})
-			if _, ok := r.door.next().(*protocol.Answer); ok {
+			put(r.door, &protocol.StatusRequest{})
+			if _, ok := r.door.next().(*protocol.PlacementReply); ok {
 				break // one that was not sent
 			}
 		}
@@ -162,13 +162,13 @@
 		t.Run(tc.name, func(t *testing.T) {
 			called := make(chan string, 10)
 			late := make(chan uint64, 1)
-			addr := machineThat(t, "a", &protocol.Holds{}, func(c net.Conn, f protocol.Frame) bool {
+			addr := machineThat(t, "a", &protocol.Inventory{}, func(c net.Conn, f protocol.Frame) bool {
 				switch f := f.(type) {
 				case *protocol.Offer:
-					late <- f.Bid
+					late <- f.AttemptID
 				case *protocol.Probe: // the test's sign that the outcome is in
-					put(c, &protocol.Yes{Bid: <-late, Running: true})
-				case *protocol.Withdraw:
+					put(c, &protocol.Accept{AttemptID: <-late, Running: true})
+				case *protocol.CancelAttempt:
 					called <- "called off"
 				}
 				return true
@@ -190,8 +190,8 @@
 				r.h.loop.Post(func() { r.h.reach(r.h.machines["a"]) })
 				until(t, func() bool { return on1(r.h, func() bool { return r.h.machines["a"].ready }) })
 			}
-			put(r.door, &protocol.Submit{Left: 3000, Work: protocol.Work{Container: "x", Key: "k-x", Service: "s", Workload: tc.workload}})
-			if a := r.door.answer(); a.Verdict != protocol.GivenUp {
+			put(r.door, &protocol.Submit{TimeToDeadline: 3000, Spec: protocol.ContainerSpec{ContainerID: "x", IdempotencyKey: "k-x", Service: "s", WorkloadClass: tc.workload}})
+			if a := r.door.answer(); a.Verdict != protocol.VerdictFailed {
 				t.Errorf("answered %v", a)
 			}
 			got := <-called
@@ -202,8 +202,8 @@
 				t.Errorf("%s, want %s", got, tc.want)
 			}
 			if tc.want == "taken over" { // and an owner that asks again is told so
-				put(r.door, &protocol.Submit{Left: 60000, Work: protocol.Work{Container: "y", Key: "k-x", Service: "s", Workload: tc.workload}})
-				if a := r.door.answer(); a.Verdict != protocol.Placed || a.Machine != "a" {
+				put(r.door, &protocol.Submit{TimeToDeadline: 60000, Spec: protocol.ContainerSpec{ContainerID: "y", IdempotencyKey: "k-x", Service: "s", WorkloadClass: tc.workload}})
+				if a := r.door.answer(); a.Verdict != protocol.VerdictPlaced || a.Machine != "a" {
 					t.Errorf("answered %v", a)
 				}
 			}
@@ -236,30 +236,30 @@
 	}{{"still held", true}, {"no longer held", false}} {
 		t.Run(tc.name, func(t *testing.T) {
 			calls, bid := 0, uint64(0)
-			work := protocol.Work{Container: "x", Key: "k-x", Service: "s", Workload: 2}
+			work := protocol.ContainerSpec{ContainerID: "x", IdempotencyKey: "k-x", Service: "s", WorkloadClass: 2}
 			again := make(chan net.Conn, 10)
 			addr := serve(t, func(c net.Conn) {
-				hello, err := protocol.Read(c, protocol.MostFrame)
+				hello, err := protocol.ReadFrame(c, protocol.MaxFrame)
 				if err != nil {
 					return
 				}
-				holds := &protocol.Holds{Held: []protocol.Holding{{Life: 1, Bid: 7, Running: true, Work: protocol.Work{Container: "old",
-					Key: "k-old", Service: "s"}}}}
+				holds := &protocol.Inventory{Containers: []protocol.InventoryItem{{SchedulerIncarnation: 1, AttemptID: 7, Running: true, Spec: protocol.ContainerSpec{ContainerID: "old",
+					IdempotencyKey: "k-old", Service: "s"}}}}
 				if calls++; calls == 2 && tc.held {
-					holds.Held = append(holds.Held, protocol.Holding{Life: hello.(*protocol.Hello).Life, Bid: bid, Running: true, Work: work})
+					holds.Containers = append(holds.Containers, protocol.InventoryItem{SchedulerIncarnation: hello.(*protocol.Hello).Incarnation, AttemptID: bid, Running: true, Spec: work})
 				}
-				put(c, protocol.Greeting(protocol.Machine, "a", 1), holds)
+				put(c, protocol.NewHello(protocol.RoleMachine, "a", 1), holds)
 				if calls == 2 {
 					again <- c
 				}
 				for {
-					f, err := protocol.Read(c, protocol.MostFrame)
+					f, err := protocol.ReadFrame(c, protocol.MaxFrame)
 					if err != nil {
 						return
 					}
 					if o, ok := f.(*protocol.Offer); ok {
-						bid = o.Bid
-						put(c, &protocol.Yes{Bid: bid, Running: true})
+						bid = o.AttemptID
+						put(c, &protocol.Accept{AttemptID: bid, Running: true})
 						return
 					}
 				}
@@ -269,16 +269,16 @@
 				t.Errorf("took over %+v", took)
 			}
 			r.door.submit("x", 2)
-			if a := r.door.answer(); a.Verdict != protocol.Placed {
+			if a := r.door.answer(); a.Verdict != protocol.VerdictPlaced {
 				t.Fatalf("answered %v", a)
 			}
 			c := <-again
-			want := protocol.Lost
+			want := protocol.OutcomeLost
 			if tc.held {
-				want = protocol.Finished
-				put(c, &protocol.Result{Bid: bid})
+				want = protocol.OutcomeFinished
+				put(c, &protocol.Result{AttemptID: bid})
 			}
-			if fate, ok := r.door.next().(*protocol.Fate); !ok || fate.Outcome != want {
+			if fate, ok := r.door.next().(*protocol.Termination); !ok || fate.Outcome != want {
 				t.Errorf("its fate is %v, want %v", fate, want)
 			}
 		})
@@ -294,7 +294,7 @@
 	for _, id := range []string{"x", "y", "z"} {
 		r.door.submit(id, 0)
 	}
-	if a := r.door.answer(); a.Container != "z" || a.Verdict != protocol.TurnedAway || !strings.Contains(a.Text, "2 containers are open") || a.HoldOff == 0 {
+	if a := r.door.answer(); a.ContainerID != "z" || a.Verdict != protocol.VerdictNotAdmitted || !strings.Contains(a.Message, "2 containers are open") || a.RetryAfter == 0 {
 		t.Errorf("answered %+v", a)
 	}
 	raw := func(p []byte, pause time.Duration) string {
@@ -304,7 +304,7 @@
 		}
 		defer c.Close()
 		c.SetDeadline(time.Now().Add(20 * time.Second))
-		protocol.Read(c, protocol.MostFrame)
+		protocol.ReadFrame(c, protocol.MaxFrame)
 		go func() {
 			for i := range p {
 				if _, err := c.Write(p[i : i+1]); err != nil {
@@ -313,14 +313,14 @@
 				time.Sleep(pause)
 			}
 		}()
-		f, err := protocol.Read(c, protocol.MostFrame)
-		if bye, ok := f.(*protocol.Bye); ok {
-			return bye.Text
+		f, err := protocol.ReadFrame(c, protocol.MaxFrame)
+		if bye, ok := f.(*protocol.Goodbye); ok {
+			return bye.Message
 		}
 		return fmt.Sprint(f, err)
 	}
 	greeting := func(role protocol.Role) []byte {
-		p, _ := protocol.Append(nil, protocol.Greeting(role, "o", 1))
+		p, _ := protocol.Append(nil, protocol.NewHello(role, "o", 1))
 		return p
 	}
 	for _, tc := range []struct {
@@ -330,10 +330,10 @@
 		want  string
 	}{
 		{"garbage", []byte("GET / HTTP/1.1\r\n\r\n"), 0, "over the limit"},
-		{"a machine at the wrong door", greeting(protocol.Machine), 0, "no business at this door"},
-		{"oversize", append(greeting(protocol.Placer), 0, 0xff, 0, 0), 0, "over the limit of 65536"},
-		{"a frame for machines", append(greeting(protocol.Placer), 0, 0, 0, 3, 7, 0x81, 1), 0, "not for the door"},
-		{"one byte at a time, without end", append(greeting(protocol.Placer), bytes.Repeat([]byte{0, 0, 0xf0, 0}, 100)...),
+		{"a machine at the wrong door", greeting(protocol.RoleMachine), 0, "no business at this door"},
+		{"oversize", append(greeting(protocol.RoleScheduler), 0, 0xff, 0, 0), 0, "over the limit of 65536"},
+		{"a frame for machines", append(greeting(protocol.RoleScheduler), 0, 0, 0, 3, 7, 0x81, 1), 0, "not for the door"},
+		{"one byte at a time, without end", append(greeting(protocol.RoleScheduler), bytes.Repeat([]byte{0, 0, 0xf0, 0}, 100)...),
 			50 * time.Millisecond, "half a frame"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -343,15 +343,15 @@
 		})
 	}
 	callDoor(t, r.h.Addr()) // the second
-	if got := raw(greeting(protocol.Owner), 0); !strings.Contains(got, "2 owners are connected") {
+	if got := raw(greeting(protocol.RoleClient), 0); !strings.Contains(got, "2 owners are connected") {
 		t.Errorf("a third owner is told %q", got)
 	}
-	put(r.door, &protocol.Cancel{Container: "x"})
-	if a := r.door.answer(); a.Container != "x" || a.Verdict != protocol.GivenUp {
+	put(r.door, &protocol.CancelContainer{ContainerID: "x"})
+	if a := r.door.answer(); a.ContainerID != "x" || a.Verdict != protocol.VerdictFailed {
 		t.Errorf("cancelled: %+v", a)
 	}
-	put(r.door, &protocol.AskStatus{})
-	if f, ok := r.door.next().(*protocol.Status); !ok || len(f.Figures) < 20 {
+	put(r.door, &protocol.StatusRequest{})
+	if f, ok := r.door.next().(*protocol.StatusReply); !ok || len(f.Stats) < 20 {
 		t.Errorf("status %v", f)
 	}
 }
@@ -363,17 +363,17 @@
 	defer syscall.Setrlimit(syscall.RLIMIT_NOFILE, &old)
 	closed := make(chan struct{}, 10) // a descriptor of the machine's that is freed late would be one to use
 	addr := serve(t, func(c net.Conn) {
-		protocol.Read(c, protocol.MostFrame)
-		put(c, protocol.Greeting(protocol.Machine, "a", 1), &protocol.Holds{})
+		protocol.ReadFrame(c, protocol.MaxFrame)
+		put(c, protocol.NewHello(protocol.RoleMachine, "a", 1), &protocol.Inventory{})
 		for {
-			f, err := protocol.Read(c, protocol.MostFrame)
+			f, err := protocol.ReadFrame(c, protocol.MaxFrame)
 			if err != nil {
 				c.Close()
 				closed <- struct{}{}
 				return
 			}
 			if o, ok := f.(*protocol.Offer); ok {
-				put(c, &protocol.Yes{Bid: o.Bid, Running: true})
+				put(c, &protocol.Accept{AttemptID: o.AttemptID, Running: true})
 			}
 		}
 	})
@@ -390,12 +390,12 @@
 	if e := await[scheduler.AttemptEnded](r, nil); e.Outcome != scheduler.OutcomeNotSent { // it tells nothing of the machine
 		t.Errorf("outcome %+v", e)
 	}
-	if a := r.door.answer(); a.Verdict != protocol.GivenUp {
+	if a := r.door.answer(); a.Verdict != protocol.VerdictFailed {
 		t.Errorf("answered %v", a)
 	}
 	syscall.Setrlimit(syscall.RLIMIT_NOFILE, &old)
 	r.door.submit("y", 2)
-	if a := r.door.answer(); a.Verdict != protocol.Placed {
+	if a := r.door.answer(); a.Verdict != protocol.VerdictPlaced {
 		t.Errorf("answered %v", a)
 	}
 }
@@ -404,9 +404,9 @@
 // start by another way is none.
 func TestMachineBackWithNewStart(t *testing.T) {
 	r := start(t, terms(t), nil, map[string]string{"a": "127.0.0.1:1"})
-	starts := func(incarnation uint64, age protocol.Span) scheduler.Time {
+	starts := func(incarnation uint64, age protocol.Duration) scheduler.Time {
 		return on1(r.h, func() scheduler.Time {
-			r.h.learn(scheduler.DeltaUpdate, 2, []protocol.Entry{{Machine: "a", Addr: "127.0.0.1:1", Incarnation: incarnation, Age: age}})
+			r.h.learn(scheduler.DeltaUpdate, 2, []protocol.MachineEntry{{Machine: "a", Address: "127.0.0.1:1", Incarnation: incarnation, Age: age}})
 			return r.h.machines["a"].startedAt
 		})
 	}
--- a/internal/schedulerd/knowledge.go
+++ b/internal/schedulerd/knowledge.go
@@ -48,8 +48,8 @@
 }
 
 // ReadKnowledge reads the file; nil where there is none.
-func ReadKnowledge(d vfs.Folder) (*Knowledge, error) {
-	version, body, err := wal.ReadWhole(d, KnowledgeName, KnowledgeSort, KnowledgeVersion)
+func ReadKnowledge(d vfs.FS) (*Knowledge, error) {
+	version, body, err := wal.ReadChecksummed(d, KnowledgeName, KnowledgeSort, KnowledgeVersion)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
@@ -58,10 +58,10 @@
 	}
 	k := &Knowledge{}
 	if version != KnowledgeVersion {
-		return nil, &wal.Corrupt{File: KnowledgeName, At: 7, Text: fmt.Sprintf("there was no version %d of such a file", version)}
+		return nil, &wal.CorruptionError{File: KnowledgeName, Offset: 7, Detail: fmt.Sprintf("there was no version %d of such a file", version)}
 	}
 	if err := cbor.Unmarshal(body, k); err != nil {
-		return nil, &wal.Corrupt{File: KnowledgeName, At: 16, Text: err.Error()}
+		return nil, &wal.CorruptionError{File: KnowledgeName, Offset: 16, Detail: err.Error()}
 	}
 	return k, nil
 }
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	listed, ok := f.(*protocol.Listed)
+	listed, ok := f.(*protocol.MachineListUpdate)
 	if !ok {
 		return nil, fmt.Errorf("%s holds a %T", path, f)
 	}
@@ -95,16 +95,16 @@
 
 // aged gives the entries of a kept list as they stand now. A machine whose age is not known counts as just started:
 // it is then spared as a cold one.
-func (k *Knowledge) aged(now warmstart.Stamp) []protocol.Entry {
+func (k *Knowledge) aged(now warmstart.Stamp) []protocol.MachineEntry {
 	since := now.From(k.At)
 	if since.Age >= 0 && warmstart.Weight(warmstart.List, since.Age) == 0 {
 		return nil
 	}
-	var all []protocol.Entry
+	var all []protocol.MachineEntry
 	for _, r := range k.Entries {
 		e := r.entry()
 		if e.Age >= 0 && since.Age >= 0 {
-			e.Age += protocol.Span(since.Age)
+			e.Age += protocol.Duration(since.Age)
 		} else if e.Age >= 0 {
 			e.Age = 0
 		}
@@ -119,7 +119,7 @@
 		ListIs: h.list.held.version, AtAnOrder: orderly}
 	for _, e := range h.list.held.entries {
 		if m := h.machines[scheduler.MachineID(e.Machine)]; m != nil && m.startedAt > 0 {
-			e.Age = protocol.Span(scheduler.Time(h.loop.Now()) - m.startedAt)
+			e.Age = protocol.Duration(scheduler.Time(h.loop.Now()) - m.startedAt)
 		}
 		k.Entries = append(k.Entries, recordOfEntry(e))
 	}
@@ -144,10 +144,10 @@
 }
 
 // write runs on a goroutine of its own: file work must not hold up the loop.
-func (k *Knowledge) write(d vfs.Folder) error {
+func (k *Knowledge) write(d vfs.FS) error {
 	body, err := cbor.Marshal(k)
 	if err != nil {
 		return err
 	}
-	return wal.WriteWhole(d, KnowledgeName, KnowledgeSort, KnowledgeVersion, body)
+	return wal.WriteChecksummed(d, KnowledgeName, KnowledgeSort, KnowledgeVersion, body)
 }
--- a/internal/schedulerd/list.go
+++ b/internal/schedulerd/list.go
@@ -30,7 +30,7 @@
 	if l.conn == nil {
 		l.reader, l.heardAt = protocol.Reader{}, h.loop.Now()
 		l.conn = h.loop.Dial(h.site.ListAddr, l, h.site.Output, h.site.Connect)
-		l.write(protocol.Greeting(protocol.Placer, h.site.Name, h.life))
+		l.write(protocol.NewHello(protocol.RoleScheduler, h.site.Name, h.life))
 	}
 	l.asked = true
 	l.write(f)
@@ -79,30 +79,30 @@
 func (l *listLink) take(f protocol.Frame) error {
 	switch f := f.(type) {
 	case *protocol.Hello:
-		if f.Role != protocol.List {
+		if f.Role != protocol.RoleMachineList {
 			return fmt.Errorf("a %s answers where the list was called", f.Role)
 		}
-		if was := l.version; f.Life != l.life {
-			if l.life, l.version = f.Life, 0; was > 0 { // what it was asked for, changes since then, are another life's
+		if was := l.version; f.Incarnation != l.life {
+			if l.life, l.version = f.Incarnation, 0; was > 0 { // what it was asked for, changes since then, are another life's
 				return fmt.Errorf("the list started anew: version %d was its earlier life's, it is asked for the whole", was)
 			}
 		}
-	case *protocol.Listed:
+	case *protocol.MachineListUpdate:
 		if f.Version < l.version {
 			return fmt.Errorf("list of version %d after one of version %d: not taken", f.Version, l.version)
 		}
 		mode := scheduler.DeltaUpdate
-		if f.Whole {
+		if f.FullSnapshot {
 			mode = scheduler.FullSnapshot
 		}
 		l.version = f.Version
 		l.h.learn(mode, f.Version, f.Entries)
-	case *protocol.Failed:
-		l.h.log.Warn("list call failed", "why", f.Text)
+	case *protocol.MachineListError:
+		l.h.log.Warn("list call failed", "why", f.Message)
 		l.h.feed(scheduler.MachineListUpdate{Mode: scheduler.UpdateFailed})
-	case *protocol.Beat:
-	case *protocol.Bye:
-		return errors.New("the list says: " + f.Text)
+	case *protocol.Heartbeat:
+	case *protocol.Goodbye:
+		return errors.New("the list says: " + f.Message)
 	default:
 		return fmt.Errorf("%T is not for a placer", f)
 	}
@@ -111,7 +111,7 @@
 
 // learn notes where machines are and hands the list on. A machine's start is reckoned once for each of its
 // incarnations: an age that came by another way must not look like another start.
-func (h *Host) learn(mode scheduler.UpdateMode, version int64, entries []protocol.Entry) {
+func (h *Host) learn(mode scheduler.UpdateMode, version int64, entries []protocol.MachineEntry) {
 	now := scheduler.Time(h.loop.Now())
 	e := scheduler.MachineListUpdate{Mode: mode, Version: version, Entries: make([]scheduler.MachineEntry, 0, len(entries))}
 	named := map[scheduler.MachineID]bool{}
@@ -120,12 +120,12 @@
 	for i := range entries {
 		l := &entries[i]
 		m := h.machine(scheduler.MachineID(l.Machine))
-		if l.State != protocol.Gone {
+		if l.State != protocol.MachineGone {
 			named[m.id] = true
 			ids = append(ids, m.id)
 		}
-		m.gone = l.State == protocol.Gone
-		if drains := l.State == protocol.Draining; drains != m.draining {
+		m.gone = l.State == protocol.MachineGone
+		if drains := l.State == protocol.MachineDraining; drains != m.draining {
 			m.draining = drains
 			for _, b := range ordered(m.bids) {
 				if b.placed {
@@ -133,8 +133,8 @@
 				}
 			}
 		}
-		if m.addr != l.Addr && l.Addr != "" {
-			if m.addr = l.Addr; m.conn != nil {
+		if m.addr != l.Address && l.Address != "" {
+			if m.addr = l.Address; m.conn != nil {
 				m.conn.Reset() // it has moved
 			}
 		}
@@ -167,9 +167,9 @@
 	h.list.held.merge(mode, version, entries)
 }
 
-func (m *machine) entry(l *protocol.Entry) scheduler.MachineEntry {
-	return scheduler.MachineEntry{Machine: m.id, Zone: l.Zone, MachineType: l.Kind, RackGroup: l.Cell, State: scheduler.MachineState(l.State),
-		FreeCores: l.FreeCores, FreeMemory: l.FreeMemory, PowerHint: l.Hint, StartedAt: m.startedAt}
+func (m *machine) entry(l *protocol.MachineEntry) scheduler.MachineEntry {
+	return scheduler.MachineEntry{Machine: m.id, Zone: l.Zone, MachineType: l.MachineType, RackGroup: l.RackGroup, State: scheduler.MachineState(l.State),
+		FreeCores: l.FreeCores, FreeMemory: l.FreeMemory, PowerHint: l.PowerHint, StartedAt: m.startedAt}
 }
 
 // greeted takes up a start of which no list has told yet: the machine's own word is the first. It says which start, not
@@ -189,17 +189,17 @@
 
 // heldList is the list as last heard.
 type heldList struct {
-	entries map[string]protocol.Entry
+	entries map[string]protocol.MachineEntry
 	version int64
 }
 
-func (l *heldList) merge(mode scheduler.UpdateMode, version int64, entries []protocol.Entry) {
+func (l *heldList) merge(mode scheduler.UpdateMode, version int64, entries []protocol.MachineEntry) {
 	if l.entries == nil || mode != scheduler.DeltaUpdate {
-		l.entries = map[string]protocol.Entry{}
+		l.entries = map[string]protocol.MachineEntry{}
 	}
 	l.version = version
 	for _, e := range entries {
-		if e.State == protocol.Gone {
+		if e.State == protocol.MachineGone {
 			delete(l.entries, e.Machine)
 		} else {
 			l.entries[e.Machine] = e
--- a/internal/schedulerd/list_test.go
+++ b/internal/schedulerd/list_test.go
@@ -17,33 +17,33 @@
 	for _, tc := range []struct {
 		name   string
 		life   uint64 // of the service when it is called again
-		listed protocol.Listed
+		listed protocol.MachineListUpdate
 		since  int64 // asked for then
 	}{
-		{"an older version", 1, protocol.Listed{Whole: true, Version: 4}, 5},
-		{"another life of the service", 2, protocol.Listed{Version: 6}, 0},
+		{"an older version", 1, protocol.MachineListUpdate{FullSnapshot: true, Version: 4}, 5},
+		{"another life of the service", 2, protocol.MachineListUpdate{Version: 6}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var calls atomic.Int32
 			asked := make(chan int64, 10)
 			addr := serve(t, func(c net.Conn) {
 				n := calls.Add(1)
-				put(c, protocol.Greeting(protocol.List, "list", 1+(tc.life-1)*uint64(min(1, n-1))))
-				protocol.Read(c, protocol.MostFrame)
-				f, err := protocol.Read(c, protocol.MostFrame)
+				put(c, protocol.NewHello(protocol.RoleMachineList, "list", 1+(tc.life-1)*uint64(min(1, n-1))))
+				protocol.ReadFrame(c, protocol.MaxFrame)
+				f, err := protocol.ReadFrame(c, protocol.MaxFrame)
 				if err != nil {
 					return
 				}
-				asked <- f.(*protocol.Watch).Since
+				asked <- f.(*protocol.WatchMachineList).SinceVersion
 				switch n {
 				case 1:
-					put(c, &protocol.Listed{Whole: true, Version: 5, Entries: []protocol.Entry{{Machine: "a", Addr: "127.0.0.1:1", State: protocol.Draining, Age: -1}}})
+					put(c, &protocol.MachineListUpdate{FullSnapshot: true, Version: 5, Entries: []protocol.MachineEntry{{Machine: "a", Address: "127.0.0.1:1", State: protocol.MachineDraining, Age: -1}}})
 				case 2:
 					put(c, &tc.listed)
 				default:
-					put(c, &protocol.Listed{Whole: true, Version: 7, Entries: []protocol.Entry{{Machine: "b", Addr: "127.0.0.1:1", Age: -1}}})
+					put(c, &protocol.MachineListUpdate{FullSnapshot: true, Version: 7, Entries: []protocol.MachineEntry{{Machine: "b", Address: "127.0.0.1:1", Age: -1}}})
 				}
-				protocol.Read(c, protocol.MostFrame)
+				protocol.ReadFrame(c, protocol.MaxFrame)
 			})
 			s := terms(t)
 			s.ListAddr = addr
@@ -55,7 +55,7 @@
 						r.h.list.asked = false
 						r.h.list.conn.Reset()
 					}
-					r.h.watch(&protocol.Watch{On: true, Since: r.h.list.version})
+					r.h.watch(&protocol.WatchMachineList{Enabled: true, SinceVersion: r.h.list.version})
 				})
 				if e := await(r, func(e scheduler.MachineListUpdate) bool { return e.Mode != scheduler.RestoredSnapshot }); e.Mode != want {
 					t.Fatalf("call %d: mode %d, version %d", i+1, e.Mode, e.Version)
@@ -74,7 +74,7 @@
 // go on until the list answers.
 func TestListIsCalledAgainAfterMachineHello(t *testing.T) {
 	machineAddr, hello, _ := slowMachine(t, "a")
-	entry := protocol.Entry{Machine: "a", Addr: machineAddr, Incarnation: 1, Age: -1}
+	entry := protocol.MachineEntry{Machine: "a", Address: machineAddr, Incarnation: 1, Age: -1}
 	var away atomic.Bool
 	watches := make(chan int64, 100) // the version that each call asks for changes since
 	s := terms(t)
@@ -83,15 +83,15 @@
 		if away.Load() {
 			return
 		}
-		put(c, protocol.Greeting(protocol.List, "list", 1))
+		put(c, protocol.NewHello(protocol.RoleMachineList, "list", 1))
 		for {
-			f, err := protocol.Read(c, protocol.MostFrame)
+			f, err := protocol.ReadFrame(c, protocol.MaxFrame)
 			if err != nil || away.Load() {
 				return
 			}
-			if w, ok := f.(*protocol.Watch); ok {
-				watches <- w.Since
-				put(c, &protocol.Listed{Whole: true, Version: 5, Entries: []protocol.Entry{entry}})
+			if w, ok := f.(*protocol.WatchMachineList); ok {
+				watches <- w.SinceVersion
+				put(c, &protocol.MachineListUpdate{FullSnapshot: true, Version: 5, Entries: []protocol.MachineEntry{entry}})
 			}
 		}
 	})
--- a/internal/schedulerd/machine.go
+++ b/internal/schedulerd/machine.go
@@ -80,17 +80,17 @@
 }
 
 func (m *machine) Opened(*eventloop.Conn) {
-	m.write(protocol.Greeting(protocol.Placer, m.h.site.Name, m.h.life))
+	m.write(protocol.NewHello(protocol.RoleScheduler, m.h.site.Name, m.h.life))
 }
 
 func (m *machine) Read(c *eventloop.Conn, p []byte) {
 	m.heardAt = m.h.loop.Now()
 	if err := m.reader.Feed(p, m.take); err != nil && c == m.conn {
 		m.h.badLink(string(m.id), err)
-		m.write(&protocol.Bye{Text: err.Error()})
+		m.write(&protocol.Goodbye{Message: err.Error()})
 		c.Close()
 	}
-	if m.reader.Half() == 0 {
+	if m.reader.Buffered() == 0 {
 		m.halfAt = 0
 	} else if m.halfAt == 0 {
 		m.halfAt = m.heardAt
@@ -164,9 +164,9 @@
 
 func (m *machine) offer(b *bid) {
 	a, now := &b.c.ask, m.h.loop.Now()
-	b.sent = !m.conn.Behind() && m.write(&protocol.Offer{Bid: b.number, Wait: protocol.Span(b.until - now), Work: protocol.Work{
-		Container: string(a.ID), Key: a.IdempotencyKey, Service: a.Service, Workload: a.WorkloadClass, Customer: a.Tenant,
-		Cores: a.Cores, Memory: a.Memory, Window: b.c.window, RunFor: protocol.Span(a.ExpectedRuntime), Again: a.ClientRetry}})
+	b.sent = !m.conn.Behind() && m.write(&protocol.Offer{AttemptID: b.number, Timeout: protocol.Duration(b.until - now), Spec: protocol.ContainerSpec{
+		ContainerID: string(a.ID), IdempotencyKey: a.IdempotencyKey, Service: a.Service, WorkloadClass: a.WorkloadClass, Tenant: a.Tenant,
+		Cores: a.Cores, Memory: a.Memory, DedupWindow: b.c.window, ExpectedRuntime: protocol.Duration(a.ExpectedRuntime), ClientRetry: a.ClientRetry}})
 	if !b.sent { // the machine takes too little of what waits for it
 		m.h.meter.outcome("not sent")
 		m.h.over(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
@@ -225,27 +225,27 @@
 func (m *machine) take(f protocol.Frame) error {
 	switch f := f.(type) {
 	case *protocol.Hello:
-		if f.Role != protocol.Machine || f.Name != string(m.id) {
+		if f.Role != protocol.RoleMachine || f.Name != string(m.id) {
 			return fmt.Errorf("%s %q answers where machine %s was called", f.Role, f.Name, m.id)
 		}
-		m.h.greeted(m, f.Life)
-	case *protocol.Holds:
+		m.h.greeted(m, f.Incarnation)
+	case *protocol.Inventory:
 		return m.holds(f)
-	case *protocol.Yes:
+	case *protocol.Accept:
 		m.yes(f)
 	case *protocol.Result:
 		m.result(f)
-	case *protocol.Note:
-		if b := m.bids[f.Bid]; b != nil {
-			m.h.feed(scheduler.UsageReported{ID: b.c.ask.ID, Machine: m.id, Attempt: b.nth, Metric: scheduler.UsageMetric(f.Sort), Value: f.Amount})
+	case *protocol.UsageReport:
+		if b := m.bids[f.AttemptID]; b != nil {
+			m.h.feed(scheduler.UsageReported{ID: b.c.ask.ID, Machine: m.id, Attempt: b.nth, Metric: scheduler.UsageMetric(f.Metric), Value: f.Value})
 		}
-	case *protocol.Probed:
+	case *protocol.ProbeReply:
 		if p := m.probes[f.Seq]; p != nil {
 			m.probed(p, scheduler.OutcomeFinished, f.Report)
 		}
-	case *protocol.Beat:
-	case *protocol.Bye:
-		return fmt.Errorf("machine says: %s", f.Text)
+	case *protocol.Heartbeat:
+	case *protocol.Goodbye:
+		return fmt.Errorf("machine says: %s", f.Message)
 	default:
 		return fmt.Errorf("%T is not for a placer", f)
 	}
@@ -253,22 +253,22 @@
 }
 
 // holds makes the link ready. The machine's word comes before anything that waited.
-func (m *machine) holds(f *protocol.Holds) error {
+func (m *machine) holds(f *protocol.Inventory) error {
 	if m.ready {
 		return fmt.Errorf("says twice what it holds")
 	}
 	e := reconcile.Holds{Machine: m.id}
-	for _, k := range f.Held {
-		w := &k.Work
-		e.Held = append(e.Held, reconcile.Held{Machine: m.id, Life: k.Life, Bid: k.Bid, Running: k.Running,
-			Ask: scheduler.PlacementRequest{ID: scheduler.ContainerID(w.Container), IdempotencyKey: w.Key, Service: w.Service, WorkloadClass: w.Workload,
-				Tenant: w.Customer, Cores: w.Cores, Memory: w.Memory, ExpectedRuntime: scheduler.Time(w.RunFor), ClientRetry: w.Again}})
+	for _, k := range f.Containers {
+		w := &k.Spec
+		e.Held = append(e.Held, reconcile.Held{Machine: m.id, Life: k.SchedulerIncarnation, Bid: k.AttemptID, Running: k.Running,
+			Ask: scheduler.PlacementRequest{ID: scheduler.ContainerID(w.ContainerID), IdempotencyKey: w.IdempotencyKey, Service: w.Service, WorkloadClass: w.WorkloadClass,
+				Tenant: w.Tenant, Cores: w.Cores, Memory: w.Memory, ExpectedRuntime: scheduler.Time(w.ExpectedRuntime), ClientRetry: w.ClientRetry}})
 	}
 	m.h.tell(e)
 	m.ready = true
 	for _, b := range ordered(m.bids) {
 		if b.stopped {
-			m.write(&protocol.Withdraw{Life: b.life, Bid: b.number})
+			m.write(&protocol.CancelAttempt{SchedulerIncarnation: b.life, AttemptID: b.number})
 		}
 	}
 	m.h.linked = append(m.h.linked, m)
@@ -280,11 +280,11 @@
 	return nil
 }
 
-func (m *machine) yes(f *protocol.Yes) {
+func (m *machine) yes(f *protocol.Accept) {
 	if m.h.site.Terms.AcceptMeansRunning && !f.Running {
 		return
 	}
-	if b := m.bids[f.Bid]; b != nil {
+	if b := m.bids[f.AttemptID]; b != nil {
 		switch {
 		case !b.placed:
 			m.h.yes(b)
@@ -293,23 +293,23 @@
 		}
 		return
 	}
-	if ask, ok := m.late[f.Bid]; ok {
-		delete(m.late, f.Bid)
+	if ask, ok := m.late[f.AttemptID]; ok {
+		delete(m.late, f.AttemptID)
 		m.h.meter.outcome("late yes")
-		m.h.tell(reconcile.LateYes{Held: reconcile.Held{Ask: ask, Machine: m.id, Life: m.h.life, Bid: f.Bid, Running: true}})
+		m.h.tell(reconcile.LateYes{Held: reconcile.Held{Ask: ask, Machine: m.id, Life: m.h.life, Bid: f.AttemptID, Running: true}})
 	}
 }
 
 func (m *machine) result(f *protocol.Result) {
-	b := m.bids[f.Bid]
+	b := m.bids[f.AttemptID]
 	if b == nil {
-		if ask, ok := m.late[f.Bid]; ok {
-			delete(m.late, f.Bid)
-			m.h.tell(reconcile.Told{Held: reconcile.Held{Ask: ask, Machine: m.id, Life: m.h.life, Bid: f.Bid}})
+		if ask, ok := m.late[f.AttemptID]; ok {
+			delete(m.late, f.AttemptID)
+			m.h.tell(reconcile.Told{Held: reconcile.Held{Ask: ask, Machine: m.id, Life: m.h.life, Bid: f.AttemptID}})
 		}
 		return
 	}
-	o := f.Outcome.Decided()
+	o := f.Outcome.Scheduler()
 	if !b.placed && o == scheduler.OutcomeFinished { // it ran, whatever became of the yes
 		m.h.yes(b)
 	}
--- a/internal/schedulerd/meter.go
+++ b/internal/schedulerd/meter.go
@@ -60,10 +60,10 @@
 	m.slowest = max(m.slowest, took)
 }
 
-func (h *Host) status() *protocol.Status {
-	s := &protocol.Status{Name: h.site.Name}
+func (h *Host) status() *protocol.StatusReply {
+	s := &protocol.StatusReply{Name: h.site.Name}
 	put := func(name string, v float64, unit string) {
-		s.Figures = append(s.Figures, protocol.Figure{Name: name, Value: v, Unit: unit})
+		s.Stats = append(s.Stats, protocol.Stat{Name: name, Value: v, Unit: unit})
 	}
 	m := &h.meter
 	turns, busy := h.loop.Turns()
@@ -77,7 +77,7 @@
 	put("containers running", float64(m.running), "")
 	put("containers taken over", float64(m.adopted), "")
 	put("submissions", float64(m.submitted), "")
-	for v := protocol.Placed; v <= protocol.TurnedAway; v++ {
+	for v := protocol.VerdictPlaced; v <= protocol.VerdictNotAdmitted; v++ {
 		put(v.String(), float64(m.answers[v]), "")
 	}
 	put("answers nobody heard", float64(m.unheard), "")
--- a/internal/schedulerd/orders_test.go
+++ b/internal/schedulerd/orders_test.go
@@ -92,14 +92,14 @@
 // scripted is a machine that does what an order says.
 type scripted struct {
 	*listening
-	protocol.Entry
+	protocol.MachineEntry
 	start uint64
 	born  scheduler.Time      // of that start; 0: long ago
 	held  map[uint64]*holding // by bid
 }
 
 type holding struct {
-	protocol.Holding
+	protocol.InventoryItem
 	out bool   // the placer awaits its answer
 	as  string // what the judge knows it by
 }
@@ -123,7 +123,7 @@
 	w := &world{t: t, list: listenHere(t), machines: map[string]*scripted{}, answers: map[string]int{}, ended: map[string]bool{}}
 	for i, name := range []string{"a", "b"} {
 		m := &scripted{listening: listenHere(t), start: 1, held: map[uint64]*holding{}}
-		m.Entry = protocol.Entry{Machine: name, Addr: m.addr, Cell: i, Incarnation: 1, Age: -1, FreeCores: 20, FreeMemory: 20}
+		m.MachineEntry = protocol.MachineEntry{Machine: name, Address: m.addr, RackGroup: i, Incarnation: 1, Age: -1, FreeCores: 20, FreeMemory: 20}
 		w.machines[name] = m
 	}
 	own := *s
@@ -138,14 +138,14 @@
 	var all sync.WaitGroup
 	all.Go(func() { w.h.Run() })
 	t.Cleanup(all.Wait)
-	w.h.loop.Post(func() { w.h.watch(&protocol.Watch{On: true}) })
+	w.h.loop.Post(func() { w.h.watch(&protocol.WatchMachineList{Enabled: true}) })
 	fd, _ := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	door := netip.MustParseAddrPort(w.h.Addr())
 	if err := unix.Connect(fd, &unix.SockaddrInet4{Port: int(door.Port()), Addr: door.Addr().As4()}); err != nil {
 		t.Fatal(err)
 	}
 	w.owner = &pipe{fd: fd}
-	w.owner.put(protocol.Greeting(protocol.Owner, "owner", 1))
+	w.owner.put(protocol.NewHello(protocol.RoleClient, "owner", 1))
 	w.settle()
 	return w
 }
@@ -171,10 +171,10 @@
 	for limit := time.Now().Add(20 * time.Second); ; {
 		now, any := w.now(), w.list.accept()
 		if any {
-			w.list.call.put(protocol.Greeting(protocol.List, "list", 1))
+			w.list.call.put(protocol.NewHello(protocol.RoleMachineList, "list", 1))
 		}
 		any = w.list.call.take(func(f protocol.Frame) {
-			if _, ok := f.(*protocol.Watch); ok {
+			if _, ok := f.(*protocol.WatchMachineList); ok {
 				w.tell(now, true, w.entries()...)
 			}
 		}) || any
@@ -212,19 +212,19 @@
 	return all
 }
 
-func (w *world) entries() []protocol.Entry {
-	return []protocol.Entry{w.machines["a"].Entry, w.machines["b"].Entry}
+func (w *world) entries() []protocol.MachineEntry {
+	return []protocol.MachineEntry{w.machines["a"].MachineEntry, w.machines["b"].MachineEntry}
 }
 
 // tell sends a list; a machine that just started is as old as the time since.
-func (w *world) tell(now scheduler.Time, whole bool, entries ...protocol.Entry) {
+func (w *world) tell(now scheduler.Time, whole bool, entries ...protocol.MachineEntry) {
 	w.version++
 	for i := range entries {
 		if m := w.machines[entries[i].Machine]; m.born > 0 {
-			entries[i].Age = protocol.Span(now - m.born)
+			entries[i].Age = protocol.Duration(now - m.born)
 		}
 	}
-	w.list.call.put(&protocol.Listed{Whole: whole, Version: w.version, Entries: entries})
+	w.list.call.put(&protocol.MachineListUpdate{FullSnapshot: whole, Version: w.version, Entries: entries})
 	mode := scheduler.DeltaUpdate
 	if whole {
 		mode = scheduler.FullSnapshot
@@ -236,8 +236,8 @@
 	w.judge.In(0, now, e)
 }
 
-func (w *world) entry(l protocol.Entry, start uint64) scheduler.MachineEntry {
-	e := scheduler.MachineEntry{Machine: scheduler.MachineID(l.Machine), Zone: l.Zone, RackGroup: l.Cell, State: scheduler.MachineState(l.State)}
+func (w *world) entry(l protocol.MachineEntry, start uint64) scheduler.MachineEntry {
+	e := scheduler.MachineEntry{Machine: scheduler.MachineID(l.Machine), Zone: l.Zone, RackGroup: l.RackGroup, State: scheduler.MachineState(l.State)}
 	if start > 1 {
 		e.StartedAt = w.machines[l.Machine].born
 	}
@@ -247,36 +247,36 @@
 // serve does what a machine owes: its greeting with what it holds, and the end of what is called off.
 func (w *world) serve(now scheduler.Time, m *scripted) (any bool) {
 	if any = m.accept(); any {
-		m.call.put(protocol.Greeting(protocol.Machine, m.Machine, m.start))
-		holds := &protocol.Holds{Incarnation: m.start}
+		m.call.put(protocol.NewHello(protocol.RoleMachine, m.Machine, m.start))
+		holds := &protocol.Inventory{MachineIncarnation: m.start}
 		for _, n := range m.bids() {
 			b := m.held[n]
-			holds.Held = append(holds.Held, b.Holding)
+			holds.Containers = append(holds.Containers, b.InventoryItem)
 			if b.as == "" {
 				w.adopted++
 				b.as = fmt.Sprint("found ", w.adopted)
-				w.judge.In(0, now, scheduler.ContainerAdopted{PlacementRequest: scheduler.PlacementRequest{ID: scheduler.ContainerID(b.as), Service: b.Work.Service,
-					WorkloadClass: b.Work.Workload}, Machine: scheduler.MachineID(m.Machine)})
+				w.judge.In(0, now, scheduler.ContainerAdopted{PlacementRequest: scheduler.PlacementRequest{ID: scheduler.ContainerID(b.as), Service: b.Spec.Service,
+					WorkloadClass: b.Spec.WorkloadClass}, Machine: scheduler.MachineID(m.Machine)})
 			}
 		}
 		if m.start > 1 {
-			w.judge.In(0, now, scheduler.MachineListUpdate{Entries: []scheduler.MachineEntry{w.entry(m.Entry, m.start)}})
+			w.judge.In(0, now, scheduler.MachineListUpdate{Entries: []scheduler.MachineEntry{w.entry(m.MachineEntry, m.start)}})
 		}
 		m.call.put(holds)
 	}
 	return m.call.take(func(f protocol.Frame) {
 		switch f := f.(type) {
 		case *protocol.Offer:
-			m.held[f.Bid] = &holding{protocol.Holding{Bid: f.Bid, Life: w.h.life, Running: true, Work: f.Work}, true, f.Work.Container}
-			w.judge.Out(0, now, scheduler.StartAttempt{ID: scheduler.ContainerID(f.Work.Container), Machine: scheduler.MachineID(m.Machine)})
-		case *protocol.Withdraw:
-			if b := m.held[f.Bid]; b != nil {
-				delete(m.held, f.Bid)
+			m.held[f.AttemptID] = &holding{protocol.InventoryItem{AttemptID: f.AttemptID, SchedulerIncarnation: w.h.life, Running: true, Spec: f.Spec}, true, f.Spec.ContainerID}
+			w.judge.Out(0, now, scheduler.StartAttempt{ID: scheduler.ContainerID(f.Spec.ContainerID), Machine: scheduler.MachineID(m.Machine)})
+		case *protocol.CancelAttempt:
+			if b := m.held[f.AttemptID]; b != nil {
+				delete(m.held, f.AttemptID)
 				w.judge.In(0, now, scheduler.AttemptEnded{ID: scheduler.ContainerID(b.as), Outcome: scheduler.OutcomeStopped, Final: true})
-				m.call.put(&protocol.Result{Bid: f.Bid, Outcome: protocol.Stopped})
+				m.call.put(&protocol.Result{AttemptID: f.AttemptID, Outcome: protocol.OutcomeStopped})
 			}
 		case *protocol.Probe:
-			m.call.put(&protocol.Probed{Seq: f.Seq})
+			m.call.put(&protocol.ProbeReply{Seq: f.Seq})
 		}
 	}) || any
 }
@@ -291,22 +291,22 @@
 
 // heard judges an answer that the owner gets.
 func (w *world) heard(now scheduler.Time, f protocol.Frame) {
-	a, ok := f.(*protocol.Answer)
+	a, ok := f.(*protocol.PlacementReply)
 	if !ok {
 		return
 	}
-	id := scheduler.ContainerID(a.Container)
-	if w.ended[a.Container] {
+	id := scheduler.ContainerID(a.ContainerID)
+	if w.ended[a.ContainerID] {
 		return
 	}
-	if w.answers[a.Container]++; w.answers[a.Container] > 1 {
+	if w.answers[a.ContainerID]++; w.answers[a.ContainerID] > 1 {
 		w.judge.Breaks = append(w.judge.Breaks, fmt.Sprintf("rule 1: %s is answered twice", id))
 	}
 	switch a.Verdict {
-	case protocol.PushedBack, protocol.TurnedAway:
+	case protocol.VerdictRejected, protocol.VerdictNotAdmitted:
 		w.judge.Out(0, now, scheduler.Reject{ID: id})
-	case protocol.GivenUp:
-		if a.Text != "cancelled" {
+	case protocol.VerdictFailed:
+		if a.Message != "cancelled" {
 			w.judge.Out(0, now, scheduler.Fail{ID: id})
 		}
 	}
@@ -317,7 +317,7 @@
 	for _, name := range []string{"a", "b"} {
 		m := w.machines[name]
 		for _, n := range m.bids() {
-			if b := m.held[n]; b.Work.Container == id && b.out == out && m.call != nil && !m.call.closed {
+			if b := m.held[n]; b.Spec.ContainerID == id && b.out == out && m.call != nil && !m.call.closed {
 				return m, b
 			}
 		}
@@ -341,11 +341,11 @@
 		case "break":
 			ok = m.call != nil && !m.call.closed
 		case "drain":
-			ok = m.State == protocol.Serving
+			ok = m.State == protocol.MachineServing
 		case "leave":
-			ok = m.State != protocol.Gone
+			ok = m.State != protocol.MachineGone
 		case "back":
-			ok = m.State != protocol.Serving
+			ok = m.State != protocol.MachineServing
 		case "restart", "list":
 			ok = true
 		}
@@ -362,9 +362,9 @@
 	m := w.machines[last]
 	result := func(o protocol.Outcome, decided scheduler.Outcome) {
 		m, b := w.find(last, f[0] != "over")
-		delete(m.held, b.Bid)
+		delete(m.held, b.AttemptID)
 		w.judge.In(0, now, scheduler.AttemptEnded{ID: scheduler.ContainerID(b.as), Outcome: decided, Final: f[0] == "over"})
-		m.call.put(&protocol.Result{Bid: b.Bid, Outcome: o})
+		m.call.put(&protocol.Result{AttemptID: b.AttemptID, Outcome: o})
 	}
 	switch f[0] {
 	case "ask":
@@ -372,25 +372,25 @@
 		a := scheduler.PlacementRequest{ID: scheduler.ContainerID(id), IdempotencyKey: "k-" + id, Service: "s", WorkloadClass: w.asked, Cores: 1, Memory: 1, Deadline: now + 600*scheduler.Second}
 		w.asked++
 		w.judge.In(0, now, scheduler.RequestReceived{PlacementRequest: a})
-		w.owner.put(&protocol.Submit{Left: protocol.Span(600 * scheduler.Second), Work: protocol.Work{Container: id, Key: a.IdempotencyKey, Service: a.Service,
-			Workload: a.WorkloadClass, Cores: 1, Memory: 1}})
+		w.owner.put(&protocol.Submit{TimeToDeadline: protocol.Duration(600 * scheduler.Second), Spec: protocol.ContainerSpec{ContainerID: id, IdempotencyKey: a.IdempotencyKey, Service: a.Service,
+			WorkloadClass: a.WorkloadClass, Cores: 1, Memory: 1}})
 	case "cancel":
 		if w.answers[last] == 0 {
 			w.judge.In(0, now, scheduler.ContainerRemoved{ID: scheduler.ContainerID(last)})
 		}
 		w.ended[last] = w.answers[last] > 0 // what comes now answers the cancelling
-		w.owner.put(&protocol.Cancel{Container: last, Key: "k-" + last})
+		w.owner.put(&protocol.CancelContainer{ContainerID: last, IdempotencyKey: "k-" + last})
 	case "yes":
 		m, b := w.find(last, true)
 		b.out = false
 		w.judge.In(0, now, scheduler.AttemptAccepted{ID: scheduler.ContainerID(b.as)})
-		m.call.put(&protocol.Yes{Bid: b.Bid, Running: true})
+		m.call.put(&protocol.Accept{AttemptID: b.AttemptID, Running: true})
 	case "full":
-		result(protocol.Full, scheduler.OutcomeFull)
+		result(protocol.OutcomeFull, scheduler.OutcomeFull)
 	case "erred":
-		result(protocol.Erred, scheduler.OutcomeErrored)
+		result(protocol.OutcomeErrored, scheduler.OutcomeErrored)
 	case "over":
-		result(protocol.Finished, scheduler.OutcomeFinished)
+		result(protocol.OutcomeFinished, scheduler.OutcomeFinished)
 	case "break", "restart":
 		for _, n := range m.bids() { // what waits for its answer was taken, unheard
 			if b := m.held[n]; b.out {
@@ -407,13 +407,13 @@
 			m.start, m.born = m.start+1, now
 			clear(m.held)
 			if len(f) == 2 { // else the list tells later
-				m.Incarnation, m.State = m.start, protocol.Serving
-				w.tell(now, false, m.Entry)
+				m.Incarnation, m.State = m.start, protocol.MachineServing
+				w.tell(now, false, m.MachineEntry)
 			}
 		}
 	case "drain", "leave", "back":
-		m.State = map[string]protocol.State{"drain": protocol.Draining, "leave": protocol.Gone, "back": protocol.Serving}[f[0]]
-		w.tell(now, false, m.Entry)
+		m.State = map[string]protocol.MachineState{"drain": protocol.MachineDraining, "leave": protocol.MachineGone, "back": protocol.MachineServing}[f[0]]
+		w.tell(now, false, m.MachineEntry)
 	case "list":
 		for _, m := range w.machines {
 			m.Incarnation = m.start
--- a/internal/schedulerd/records.go
+++ b/internal/schedulerd/records.go
@@ -25,26 +25,26 @@
 // entryRecord is a stored link.Entry. In CBOR it is an array, so the order of the fields is part of the format; JSON is
 // the form of the export.
 type entryRecord struct {
-	_           struct{}       `cbor:",toarray"`
-	Machine     string         `json:"Machine"`
-	Addr        string         `json:"Addr"`
-	Zone        int            `json:"Zone"`
-	MachineType int            `json:"Kind"`
-	RackGroup   int            `json:"Cell"`
-	State       protocol.State `json:"State"`
-	FreeCores   float64        `json:"FreeCores"`
-	FreeMemory  float64        `json:"FreeMemory"`
-	PowerHint   float64        `json:"Hint"`
-	Incarnation uint64         `json:"Incarnation"`
-	Age         protocol.Span  `json:"Age"` // when the snapshot was taken; below 0: not known
+	_           struct{}              `cbor:",toarray"`
+	Machine     string                `json:"Machine"`
+	Addr        string                `json:"Addr"`
+	Zone        int                   `json:"Zone"`
+	MachineType int                   `json:"Kind"`
+	RackGroup   int                   `json:"Cell"`
+	State       protocol.MachineState `json:"State"`
+	FreeCores   float64               `json:"FreeCores"`
+	FreeMemory  float64               `json:"FreeMemory"`
+	PowerHint   float64               `json:"Hint"`
+	Incarnation uint64                `json:"Incarnation"`
+	Age         protocol.Duration     `json:"Age"` // when the snapshot was taken; below 0: not known
 }
 
-func recordOfEntry(e protocol.Entry) entryRecord {
-	return entryRecord{Machine: e.Machine, Addr: e.Addr, Zone: e.Zone, MachineType: e.Kind, RackGroup: e.Cell, State: e.State,
-		FreeCores: e.FreeCores, FreeMemory: e.FreeMemory, PowerHint: e.Hint, Incarnation: e.Incarnation, Age: e.Age}
+func recordOfEntry(e protocol.MachineEntry) entryRecord {
+	return entryRecord{Machine: e.Machine, Addr: e.Address, Zone: e.Zone, MachineType: e.MachineType, RackGroup: e.RackGroup, State: e.State,
+		FreeCores: e.FreeCores, FreeMemory: e.FreeMemory, PowerHint: e.PowerHint, Incarnation: e.Incarnation, Age: e.Age}
 }
 
-func (r entryRecord) entry() protocol.Entry {
-	return protocol.Entry{Machine: r.Machine, Addr: r.Addr, Zone: r.Zone, Kind: r.MachineType, Cell: r.RackGroup, State: r.State,
-		FreeCores: r.FreeCores, FreeMemory: r.FreeMemory, Hint: r.PowerHint, Incarnation: r.Incarnation, Age: r.Age}
+func (r entryRecord) entry() protocol.MachineEntry {
+	return protocol.MachineEntry{Machine: r.Machine, Address: r.Addr, Zone: r.Zone, MachineType: r.MachineType, RackGroup: r.RackGroup, State: r.State,
+		FreeCores: r.FreeCores, FreeMemory: r.FreeMemory, PowerHint: r.PowerHint, Incarnation: r.Incarnation, Age: r.Age}
 }
--- a/internal/schedulerd/state.go
+++ b/internal/schedulerd/state.go
@@ -31,7 +31,7 @@
 type state struct {
 	h       *Host
 	dir     folder
-	log     *wal.Store
+	log     *wal.Log
 	life    warmstart.Life
 	before  warmstart.Life // what the folder said
 	kept    *Knowledge
@@ -52,12 +52,12 @@
 }
 
 type folder interface {
-	vfs.Folder
+	vfs.FS
 	Close() error
 }
 
 // openFolder is disk.Open, but for tests that make it run full.
-var openFolder = func(path string) (folder, error) { return vfs.Open(path) }
+var openFolder = func(path string) (folder, error) { return vfs.OpenLocked(path) }
 
 // openState reads a folder and writes down that this life begins. What it cannot read or hold stops the start; a full disk
 // does not.
@@ -71,8 +71,8 @@
 		s.dir.Close()
 		return nil, fmt.Errorf("state folder %s: %w", h.site.State, err)
 	}
-	var figures wal.Figures
-	if s.log, figures, err = wal.Open(s.dir, wal.Terms{OnMode: func(text string, a ...any) {
+	var figures wal.Stats
+	if s.log, figures, err = wal.Open(s.dir, wal.Options{OnModeChange: func(text string, a ...any) {
 		h.loop.Post(func() { h.log.Warn(text, a...) })
 	}}); err != nil {
 		return fail(err)
@@ -83,12 +83,12 @@
 	}
 	now := stamp(scheduler.Time(h.loop.Now()))
 	s.life = s.before.Next(now)
-	if err := s.log.Keep(s.lifeChange()); err != nil { // nothing that needs the log is sent before it is there
+	if err := s.log.CommitSync(s.lifeChange()); err != nil { // nothing that needs the log is sent before it is there
 		s.unsaid = true
 		h.log.Warn("this start is not in the log yet: what must be kept waits for it", "why", err)
 	}
 	h.log.Info("state read", "folder", h.site.State, "records", figures.Records, "groups", figures.Groups, "bytes", figures.Bytes,
-		"cut off", figures.CutOff, "bids that may run", len(s.bids), "log", s.life.Log)
+		"cut off", figures.TruncatedBytes, "bids that may run", len(s.bids), "log", s.life.Log)
 	return s, nil
 }
 
@@ -97,10 +97,10 @@
 // read takes out of the log what this life needs of the earlier ones.
 func (s *state) read() (err error) {
 	from := s.log.State()
-	if err = from.Each(LifeKind, func(_ string, v []byte) error { return cbor.Unmarshal(v, &s.before) }); err != nil {
+	if err = from.ForEach(LifeKind, func(_ string, v []byte) error { return cbor.Unmarshal(v, &s.before) }); err != nil {
 		return err
 	}
-	if err = from.Each(BidKind, func(_ string, v []byte) error {
+	if err = from.ForEach(BidKind, func(_ string, v []byte) error {
 		var held reconcile.Held
 		err := cbor.Unmarshal(v, &held)
 		s.bids = append(s.bids, held)
@@ -108,7 +108,7 @@
 	}); err != nil {
 		return err
 	}
-	if err = from.Each(SentKind, func(_ string, v []byte) error {
+	if err = from.ForEach(SentKind, func(_ string, v []byte) error {
 		var sent warmstart.Sent
 		err := cbor.Unmarshal(v, &sent)
 		s.sent = append(s.sent, sent)
@@ -118,7 +118,7 @@
 	}
 	// Knowledge is no promise: a file that cannot be read is told and left, and the placer learns anew. One from
 	// a later glenport is left alone.
-	var newer *wal.Newer
+	var newer *wal.UnsupportedVersionError
 	if s.kept, err = ReadKnowledge(s.dir); errors.As(err, &newer) {
 		return err
 	} else if err != nil {
@@ -143,7 +143,7 @@
 	s.begun = true
 	kept := warmstart.Kept{Life: s.before, Sent: s.sent}
 	var version int64
-	var entries []protocol.Entry
+	var entries []protocol.MachineEntry
 	if k := s.kept; k != nil {
 		kept.At, kept.Knowledge, kept.Starts, kept.Names = k.At, k.Learned, k.Starts, k.Names
 		version, entries = k.ListIs, k.aged(now)
--- a/internal/schedulerd/state_test.go
+++ b/internal/schedulerd/state_test.go
@@ -57,7 +57,7 @@
 	s.ListAddr = listing(t, map[string]string{"a": "127.0.0.1:1", "b": "127.0.0.1:1"})
 	first := learning(scheduler.Snapshot{Machines: []scheduler.MachineSnapshot{{Machine: "a", OutlierLogOdds: 4}, {Machine: "gone", OutlierLogOdds: 4}}})
 	live(t, s, first, func(h *Host) {
-		h.loop.Post(func() { h.watch(&protocol.Watch{On: true}) })
+		h.loop.Post(func() { h.watch(&protocol.WatchMachineList{Enabled: true}) })
 		await[scheduler.MachineListUpdate](&rig{T: t, script: first.script}, func(e scheduler.MachineListUpdate) bool { return e.Mode != scheduler.RestoredSnapshot })
 	})
 	second := learning(scheduler.Snapshot{})
@@ -83,15 +83,15 @@
 			}
 		})
 	}
-	d, err := vfs.Open(s.State)
+	d, err := vfs.OpenLocked(s.State)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := wal.WriteWhole(d, KnowledgeName, KnowledgeSort, KnowledgeVersion+1, nil); err != nil {
+	if err := wal.WriteChecksummed(d, KnowledgeName, KnowledgeSort, KnowledgeVersion+1, nil); err != nil {
 		t.Fatal(err)
 	}
 	d.Close()
-	var newer *wal.Newer
+	var newer *wal.UnsupportedVersionError
 	if _, err := New(s.Placer, learning(scheduler.Snapshot{}), discard); !errors.As(err, &newer) {
 		t.Errorf("a file from later: %v", err)
 	}
@@ -101,8 +101,8 @@
 func TestUpgrade(t *testing.T) {
 	s := site1{terms(t)}
 	s.State, s.Keep = t.TempDir(), filepath.Join(t.TempDir(), "list")
-	data, err := protocol.Append(binary.BigEndian.AppendUint64(nil, 1000), &protocol.Listed{Whole: true, Version: 7,
-		Entries: []protocol.Entry{{Machine: "a", Addr: "127.0.0.1:1", Age: 50}}})
+	data, err := protocol.Append(binary.BigEndian.AppendUint64(nil, 1000), &protocol.MachineListUpdate{FullSnapshot: true, Version: 7,
+		Entries: []protocol.MachineEntry{{Machine: "a", Address: "127.0.0.1:1", Age: 50}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,14 +133,14 @@
 		logged   int
 		want     protocol.Verdict
 	}{
-		{"at-most-once, and it runs", 2, true, 1, protocol.Placed},
-		{"at-most-once, and it does not", 2, false, 1, protocol.GivenUp}, // the script gives up what it is asked
-		{"numbered, and it runs", 1, true, 1, protocol.Placed},
-		{"reissuable", 0, false, 0, protocol.GivenUp},
+		{"at-most-once, and it runs", 2, true, 1, protocol.VerdictPlaced},
+		{"at-most-once, and it does not", 2, false, 1, protocol.VerdictFailed}, // the script gives up what it is asked
+		{"numbered, and it runs", 1, true, 1, protocol.VerdictPlaced},
+		{"reissuable", 0, false, 0, protocol.VerdictFailed},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			offered := make(chan *protocol.Offer, 1)
-			silent := machineThat(t, "a", &protocol.Holds{}, func(c net.Conn, f protocol.Frame) bool {
+			silent := machineThat(t, "a", &protocol.Inventory{}, func(c net.Conn, f protocol.Frame) bool {
 				if o, ok := f.(*protocol.Offer); ok {
 					offered <- o
 				}
@@ -160,18 +160,18 @@
 			if err := os.CopyFS(crashed, os.DirFS(s.State)); err != nil {
 				t.Fatal(err)
 			}
-			held := &protocol.Holds{}
+			held := &protocol.Inventory{}
 			if tc.runs {
-				held.Held = []protocol.Holding{{Life: r.h.life, Bid: o.Bid, Running: true, Work: o.Work}}
+				held.Containers = []protocol.InventoryItem{{SchedulerIncarnation: r.h.life, AttemptID: o.AttemptID, Running: true, Spec: o.Spec}}
 			}
 			tell := make(chan bool)
 			mute := serve(t, func(c net.Conn) { // greets when it is told to
-				if _, err := protocol.Read(c, protocol.MostFrame); err != nil {
+				if _, err := protocol.ReadFrame(c, protocol.MaxFrame); err != nil {
 					return
 				}
 				<-tell
-				put(c, protocol.Greeting(protocol.Machine, "a", 1), held)
-				protocol.Read(c, protocol.MostFrame)
+				put(c, protocol.NewHello(protocol.RoleMachine, "a", 1), held)
+				protocol.ReadFrame(c, protocol.MaxFrame)
 			})
 			s2 := terms(t)
 			s2.State, s2.Connect = crashed, 100_000
@@ -185,13 +185,13 @@
 			if n := on1(next.h, func() int { return next.h.custody.Doubts() }); n != tc.logged {
 				t.Errorf("%d bids are known to be without an end", n)
 			}
-			ask := func() *protocol.Answer {
-				put(next.door.Conn, &protocol.Submit{Left: 60000, Work: protocol.Work{Container: "y", Key: "k-x", Service: "s", Workload: tc.workload,
-					Cores: 1, Memory: 1, Again: true}})
+			ask := func() *protocol.PlacementReply {
+				put(next.door.Conn, &protocol.Submit{TimeToDeadline: 60000, Spec: protocol.ContainerSpec{ContainerID: "y", IdempotencyKey: "k-x", Service: "s", WorkloadClass: tc.workload,
+					Cores: 1, Memory: 1, ClientRetry: true}})
 				return next.door.answer()
 			}
 			if tc.logged > 0 {
-				if a := ask(); a.Verdict != protocol.TurnedAway || !strings.Contains(a.Text, "may run on machine a") {
+				if a := ask(); a.Verdict != protocol.VerdictNotAdmitted || !strings.Contains(a.Message, "may run on machine a") {
 					t.Errorf("asked again before the machine told: %+v", a)
 				}
 			}
@@ -209,28 +209,28 @@
 func TestSentBeforeStartIsHeard(t *testing.T) {
 	s := terms(t)
 	s.State = t.TempDir()
-	addr := machineThat(t, "a", &protocol.Holds{}, func(net.Conn, protocol.Frame) bool { return true })
+	addr := machineThat(t, "a", &protocol.Inventory{}, func(net.Conn, protocol.Frame) bool { return true })
 	r := start(t, s, bidTo(0), map[string]string{"a": addr})
 	r.door.submit("x", 0)
 	until(t, func() bool { return on1(r.h, func() bool { return len(r.h.machines["a"].bids) > 0 }) })
 	if n := kept(t, copied(t, s.State), SentKind); n != 0 {
 		t.Errorf("%d records of what went to a warm machine", n)
 	}
-	entry := protocol.Entry{Machine: "a", Addr: addr, Incarnation: 2, Age: protocol.Span(2 * eventloop.Second)}
-	on1(r.h, func() bool { r.h.learn(scheduler.DeltaUpdate, 2, []protocol.Entry{entry}); return true })
+	entry := protocol.MachineEntry{Machine: "a", Address: addr, Incarnation: 2, Age: protocol.Duration(2 * eventloop.Second)}
+	on1(r.h, func() bool { r.h.learn(scheduler.DeltaUpdate, 2, []protocol.MachineEntry{entry}); return true })
 	until(t, func() bool { return kept(t, copied(t, s.State), SentKind) == 1 })
 	next := terms(t)
 	next.State = copied(t, s.State) // as a kill -9 leaves it
 	next.ListAddr = serve(t, func(c net.Conn) {
-		put(c, protocol.Greeting(protocol.List, "list", 1), &protocol.Listed{Whole: true, Version: 2, Entries: []protocol.Entry{entry}})
-		protocol.Read(c, protocol.MostFrame)
-		protocol.Read(c, protocol.MostFrame)
-		protocol.Read(c, protocol.MostFrame)
+		put(c, protocol.NewHello(protocol.RoleMachineList, "list", 1), &protocol.MachineListUpdate{FullSnapshot: true, Version: 2, Entries: []protocol.MachineEntry{entry}})
+		protocol.ReadFrame(c, protocol.MaxFrame)
+		protocol.ReadFrame(c, protocol.MaxFrame)
+		protocol.ReadFrame(c, protocol.MaxFrame)
 	})
 	d := learning(scheduler.Snapshot{})
 	live(t, site1{next}, d, func(h *Host) {
 		<-d.recalled // at its begin, when no list has told of that start
-		h.loop.Post(func() { h.watch(&protocol.Watch{On: true}) })
+		h.loop.Post(func() { h.watch(&protocol.WatchMachineList{Enabled: true}) })
 		if k := <-d.recalled; len(k.Machines) != 1 || k.Machines[0].Machine != "a" || len(k.Machines[0].RecentSends) != 1 {
 			t.Errorf("%+v", k.Machines)
 		}
@@ -289,25 +289,25 @@
 	s.State = t.TempDir()
 	openFolder = func(path string) (folder, error) {
 		var err error
-		c.folder, err = vfs.Open(path)
+		c.folder, err = vfs.OpenLocked(path)
 		return c, err
 	}
-	t.Cleanup(func() { openFolder = func(path string) (folder, error) { return vfs.Open(path) } })
+	t.Cleanup(func() { openFolder = func(path string) (folder, error) { return vfs.OpenLocked(path) } })
 	return c
 }
 
 // kept are the records of one kind in a folder that nobody holds.
 func kept(t *testing.T, path, kind string) (n int) {
-	d, err := vfs.Open(path)
+	d, err := vfs.OpenLocked(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer d.Close()
-	s, err := wal.Read(d, false)
+	s, err := wal.Load(d, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Each(kind, func(string, []byte) error { n++; return nil })
+	s.ForEach(kind, func(string, []byte) error { n++; return nil })
 	return n
 }
 
@@ -317,14 +317,14 @@
 	for _, name := range []string{"it runs full", "full at the start"} {
 		t.Run(name, func(t *testing.T) {
 			offered, end := make(chan string, 10), make(chan struct{}, 10)
-			addr := machineThat(t, "a", &protocol.Holds{}, func(c net.Conn, f protocol.Frame) bool {
+			addr := machineThat(t, "a", &protocol.Inventory{}, func(c net.Conn, f protocol.Frame) bool {
 				if o, ok := f.(*protocol.Offer); ok {
-					put(c, &protocol.Yes{Bid: o.Bid, Running: true})
-					offered <- o.Work.Container
-					if o.Work.Container == "before" {
+					put(c, &protocol.Accept{AttemptID: o.AttemptID, Running: true})
+					offered <- o.Spec.ContainerID
+					if o.Spec.ContainerID == "before" {
 						go func() {
 							<-end
-							put(c, &protocol.Result{Bid: o.Bid, Outcome: protocol.Finished})
+							put(c, &protocol.Result{AttemptID: o.AttemptID, Outcome: protocol.OutcomeFinished})
 						}()
 					}
 				}
@@ -341,7 +341,7 @@
 			if name == "it runs full" {
 				r.door.submit("before", 2)
 				<-offered
-				if a := r.door.answer(); a.Verdict != protocol.Placed {
+				if a := r.door.answer(); a.Verdict != protocol.VerdictPlaced {
 					t.Fatalf("%+v", a)
 				}
 				c.full.Store(true)
@@ -361,7 +361,7 @@
 			r.door.answer()
 			c.full.Store(false)
 			r.door.submit("after", 2)
-			if a := r.door.answer(); a.Verdict != protocol.Placed || a.Container != "after" {
+			if a := r.door.answer(); a.Verdict != protocol.VerdictPlaced || a.ContainerID != "after" {
 				t.Errorf("with room again: %+v", a)
 			}
 			if on1(r.h, func() bool { r.h.state.save(); return r.h.state.unsaid }) {
@@ -369,7 +369,7 @@
 			}
 			r.h.Stop()
 			until(t, func() bool { return !r.h.loop.Post(func() {}) })
-			until(t, func() bool { d, err := vfs.Open(s.State); return err == nil && d.Close() == nil })
+			until(t, func() bool { d, err := vfs.OpenLocked(s.State); return err == nil && d.Close() == nil })
 			if bids, lives := kept(t, s.State, BidKind), kept(t, s.State, LifeKind); bids != 1 || lives != 1 {
 				t.Errorf("%d bids and %d lives in the log, want that of what runs and one", bids, lives)
 			}
@@ -381,9 +381,9 @@
 // of its machine.
 func TestSlowDisk(t *testing.T) {
 	offered := make(chan string, 10)
-	addr := machineThat(t, "a", &protocol.Holds{}, func(c net.Conn, f protocol.Frame) bool {
+	addr := machineThat(t, "a", &protocol.Inventory{}, func(c net.Conn, f protocol.Frame) bool {
 		if o, ok := f.(*protocol.Offer); ok {
-			offered <- o.Work.Container
+			offered <- o.Spec.ContainerID
 		}
 		return true
 	})
@@ -398,7 +398,7 @@
 		t.Errorf("%+v", e)
 	}
 	on1(r.h, func() bool {
-		r.h.learn(scheduler.DeltaUpdate, 2, []protocol.Entry{{Machine: "a", Addr: addr, State: protocol.Draining, Incarnation: 1, Age: -1}})
+		r.h.learn(scheduler.DeltaUpdate, 2, []protocol.MachineEntry{{Machine: "a", Address: addr, State: protocol.MachineDraining, Incarnation: 1, Age: -1}})
 		return true
 	})
 	c.gate.Unlock()
@@ -413,7 +413,7 @@
 	s := site1{terms(t)}
 	s.State = t.TempDir()
 	live(t, s, learning(scheduler.Snapshot{}), func(*Host) {
-		var owned *vfs.Owned
+		var owned *vfs.LockedError
 		if _, err := New(s.Placer, learning(scheduler.Snapshot{}), discard); !errors.As(err, &owned) {
 			t.Errorf("%v", err)
 		}
--- a/internal/schedulerd/waiting_test.go
+++ b/internal/schedulerd/waiting_test.go
@@ -21,16 +21,16 @@
 		case <-done:
 			return
 		}
-		protocol.Read(c, protocol.MostFrame)
-		put(c, protocol.Greeting(protocol.Machine, name, start), &protocol.Holds{Incarnation: start})
+		protocol.ReadFrame(c, protocol.MaxFrame)
+		put(c, protocol.NewHello(protocol.RoleMachine, name, start), &protocol.Inventory{MachineIncarnation: start})
 		for {
-			f, err := protocol.Read(c, protocol.MostFrame)
+			f, err := protocol.ReadFrame(c, protocol.MaxFrame)
 			if err != nil {
 				return
 			}
 			if o, ok := f.(*protocol.Offer); ok {
-				offered <- o.Work.Container
-				put(c, &protocol.Yes{Bid: o.Bid, Running: true})
+				offered <- o.Spec.ContainerID
+				put(c, &protocol.Accept{AttemptID: o.AttemptID, Running: true})
 			}
 		}
 	})
@@ -43,17 +43,17 @@
 func TestChangesUnderWaitingBid(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		change *protocol.Entry // by the list; nil: nothing
-		start  uint64          // that the machine greets with
+		change *protocol.MachineEntry // by the list; nil: nothing
+		start  uint64                 // that the machine greets with
 		sent   bool
 	}{
 		{"nothing", nil, 1, true},
-		{"it drains", &protocol.Entry{Machine: "a", State: protocol.Draining, Incarnation: 1, Age: -1}, 1, false},
-		{"it is gone", &protocol.Entry{Machine: "a", State: protocol.Gone, Incarnation: 1, Age: -1}, 1, false},
-		{"it has started anew, says the list", &protocol.Entry{Machine: "a", Incarnation: 2, Age: 100}, 2, false},
+		{"it drains", &protocol.MachineEntry{Machine: "a", State: protocol.MachineDraining, Incarnation: 1, Age: -1}, 1, false},
+		{"it is gone", &protocol.MachineEntry{Machine: "a", State: protocol.MachineGone, Incarnation: 1, Age: -1}, 1, false},
+		{"it has started anew, says the list", &protocol.MachineEntry{Machine: "a", Incarnation: 2, Age: 100}, 2, false},
 		{"it has started anew, says its greeting", nil, 2, false},
-		{"its service runs elsewhere, another machine says", &protocol.Entry{Machine: "b"}, 1, false},
-		{"the list is older than its greeting", &protocol.Entry{Machine: "a", Incarnation: 1, Age: -1}, 2, false},
+		{"its service runs elsewhere, another machine says", &protocol.MachineEntry{Machine: "b"}, 1, false},
+		{"the list is older than its greeting", &protocol.MachineEntry{Machine: "a", Incarnation: 1, Age: -1}, 2, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			addr, greet, offered := slowMachine(t, "a")
@@ -64,7 +64,7 @@
 			until(t, func() bool { return on1(r.h, func() bool { return len(r.h.machines["a"].waiting) > 0 }) })
 			if tc.change != nil && tc.change.Machine == "b" { // it holds what an earlier life of the placer began
 				on1(r.h, func() bool {
-					r.h.learn(scheduler.DeltaUpdate, 2, []protocol.Entry{{Machine: "b", Addr: "127.0.0.1:1", Incarnation: 1, Age: -1}})
+					r.h.learn(scheduler.DeltaUpdate, 2, []protocol.MachineEntry{{Machine: "b", Address: "127.0.0.1:1", Incarnation: 1, Age: -1}})
 					r.h.tell(reconcile.Holds{Machine: "b", Held: []reconcile.Held{{Machine: "b", Life: 1, Bid: 1, Running: true,
 						Ask: scheduler.PlacementRequest{ID: "o", IdempotencyKey: "k-o", Service: "s"}}}})
 					return true
@@ -72,14 +72,14 @@
 				await[scheduler.ContainerAdopted](r, nil)
 			} else if tc.change != nil {
 				on1(r.h, func() bool {
-					tc.change.Addr = addr
-					r.h.learn(scheduler.DeltaUpdate, 2, []protocol.Entry{*tc.change})
+					tc.change.Address = addr
+					r.h.learn(scheduler.DeltaUpdate, 2, []protocol.MachineEntry{*tc.change})
 					return true
 				})
 			}
 			greet <- tc.start
 			if tc.sent {
-				if a := r.door.answer(); a.Verdict != protocol.Placed {
+				if a := r.door.answer(); a.Verdict != protocol.VerdictPlaced {
 					t.Errorf("%+v", a)
 				}
 				return
--- a/internal/storage/faultfs/faultdisk.go
+++ b/internal/storage/faultfs/faultdisk.go
@@ -14,12 +14,12 @@
 	"glenport/internal/storage/vfs"
 )
 
-const sector = 512
+const sectorSize = 512
 
-type opKind uint8
+type operationKind uint8
 
 const (
-	opCreate opKind = iota
+	opCreate operationKind = iota
 	opWrite
 	opTruncate
 	opSync
@@ -28,64 +28,64 @@
 	opSyncFolder
 )
 
-func (k opKind) String() string {
+func (k operationKind) String() string {
 	return [...]string{"create", "write", "truncate", "sync", "rename", "remove", "sync folder"}[k]
 }
 
-type op struct {
-	kind     opKind
+type operation struct {
+	kind     operationKind
 	name, to string
 	inode    int
 	at       int
 	data     []byte
 }
 
-// Disk is one.
-type Disk struct {
+// FS is one.
+type FS struct {
 	// Fail, where set, may fail an operation by its kind and file; a failed write leaves the first half of it.
-	Fail func(kind, name string) error
-	// NoSync lets syncs do nothing, as sabotage.
-	NoSync bool
-
-	mu     sync.Mutex
-	ops    []op
-	names  map[string]int
-	inodes [][]byte
+	InjectError func(kind, name string) error
+	// IgnoreSync lets syncs do nothing, as sabotage.
+	IgnoreSync bool
+
+	mu         sync.Mutex
+	operations []operation
+	names      map[string]int
+	inodes     [][]byte
 }
 
 // New makes an empty one.
-func New() *Disk { return &Disk{names: map[string]int{}} }
+func New() *FS { return &FS{names: map[string]int{}} }
 
-func (d *Disk) failing(k opKind, name string) error {
-	if d.Fail == nil {
+func (d *FS) injectedError(k operationKind, name string) error {
+	if d.InjectError == nil {
 		return nil
 	}
-	return d.Fail(k.String(), name)
+	return d.InjectError(k.String(), name)
 }
 
 type file struct {
-	d     *Disk
+	d     *FS
 	inode int
 	name  string
 }
 
-func (d *Disk) Create(name string) (vfs.File, error) {
+func (d *FS) Create(name string) (vfs.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if _, ok := d.names[name]; ok {
 		return nil, &os.PathError{Op: "create", Path: name, Err: os.ErrExist}
 	}
-	if err := d.failing(opCreate, name); err != nil {
+	if err := d.injectedError(opCreate, name); err != nil {
 		return nil, err
 	}
 	d.inodes = append(d.inodes, nil)
 	n := len(d.inodes) - 1
 	d.names[name] = n
-	d.ops = append(d.ops, op{kind: opCreate, name: name, inode: n})
+	d.operations = append(d.operations, operation{kind: opCreate, name: name, inode: n})
 	return &file{d, n, name}, nil
 }
 
-func (d *Disk) find(name string) (int, error) {
+func (d *FS) lookup(name string) (int, error) {
 	n, ok := d.names[name]
 	if !ok {
 		return 0, &os.PathError{Op: "open", Path: name, Err: os.ErrNotExist}
@@ -93,30 +93,30 @@
 	return n, nil
 }
 
-func (d *Disk) Append(name string) (vfs.File, error) {
+func (d *FS) Append(name string) (vfs.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n, err := d.find(name)
+	n, err := d.lookup(name)
 	return &file{d, n, name}, err
 }
 
-func (d *Disk) Read(name string) ([]byte, error) {
+func (d *FS) Read(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n, err := d.find(name)
+	n, err := d.lookup(name)
 	if err != nil {
 		return nil, err
 	}
 	return append([]byte(nil), d.inodes[n]...), nil
 }
 
-func (d *Disk) List() ([]string, error) {
+func (d *FS) List() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return sorted(d.names), nil
+	return sortedNames(d.names), nil
 }
 
-func sorted(names map[string]int) []string {
+func sortedNames(names map[string]int) []string {
 	var all []string
 	for n := range names {
 		all = append(all, n)
@@ -125,45 +125,45 @@
 	return all
 }
 
-func (d *Disk) Rename(from, to string) error {
+func (d *FS) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n, err := d.find(from)
+	n, err := d.lookup(from)
 	if err == nil {
-		err = d.failing(opRename, to)
+		err = d.injectedError(opRename, to)
 	}
 	if err != nil {
 		return err
 	}
 	delete(d.names, from)
 	d.names[to] = n
-	d.ops = append(d.ops, op{kind: opRename, name: from, to: to, inode: n})
+	d.operations = append(d.operations, operation{kind: opRename, name: from, to: to, inode: n})
 	return nil
 }
 
-func (d *Disk) Remove(name string) error {
+func (d *FS) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n, err := d.find(name)
+	n, err := d.lookup(name)
 	if err == nil {
-		err = d.failing(opRemove, name)
+		err = d.injectedError(opRemove, name)
 	}
 	if err != nil {
 		return err
 	}
 	delete(d.names, name)
-	d.ops = append(d.ops, op{kind: opRemove, name: name, inode: n})
+	d.operations = append(d.operations, operation{kind: opRemove, name: name, inode: n})
 	return nil
 }
 
-func (d *Disk) Sync() error {
+func (d *FS) Sync() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.failing(opSyncFolder, ""); err != nil {
+	if err := d.injectedError(opSyncFolder, ""); err != nil {
 		return err
 	}
-	if !d.NoSync {
-		d.ops = append(d.ops, op{kind: opSyncFolder})
+	if !d.IgnoreSync {
+		d.operations = append(d.operations, operation{kind: opSyncFolder})
 	}
 	return nil
 }
@@ -171,28 +171,28 @@
 func (f *file) Write(p []byte) (int, error) {
 	f.d.mu.Lock()
 	defer f.d.mu.Unlock()
-	err := f.d.failing(opWrite, f.name)
+	err := f.d.injectedError(opWrite, f.name)
 	if err != nil {
 		p = p[:len(p)/2]
 	}
 	at := len(f.d.inodes[f.inode])
 	f.d.inodes[f.inode] = append(f.d.inodes[f.inode], p...)
-	f.d.ops = append(f.d.ops, op{kind: opWrite, inode: f.inode, at: at, data: append([]byte(nil), p...)})
+	f.d.operations = append(f.d.operations, operation{kind: opWrite, inode: f.inode, at: at, data: append([]byte(nil), p...)})
 	return len(p), err
 }
 
 func (f *file) Truncate(size int64) error {
 	f.d.mu.Lock()
 	defer f.d.mu.Unlock()
-	if err := f.d.failing(opTruncate, f.name); err != nil {
+	if err := f.d.injectedError(opTruncate, f.name); err != nil {
 		return err
 	}
-	f.d.inodes[f.inode] = resized(f.d.inodes[f.inode], int(size))
-	f.d.ops = append(f.d.ops, op{kind: opTruncate, inode: f.inode, at: int(size)})
+	f.d.inodes[f.inode] = resize(f.d.inodes[f.inode], int(size))
+	f.d.operations = append(f.d.operations, operation{kind: opTruncate, inode: f.inode, at: int(size)})
 	return nil
 }
 
-func resized(p []byte, size int) []byte {
+func resize(p []byte, size int) []byte {
 	if size <= len(p) {
 		return p[:size:size]
 	}
@@ -202,55 +202,55 @@
 func (f *file) Sync() error {
 	f.d.mu.Lock()
 	defer f.d.mu.Unlock()
-	if err := f.d.failing(opSync, f.name); err != nil {
+	if err := f.d.injectedError(opSync, f.name); err != nil {
 		return err
 	}
-	if !f.d.NoSync {
-		f.d.ops = append(f.d.ops, op{kind: opSync, inode: f.inode})
+	if !f.d.IgnoreSync {
+		f.d.operations = append(f.d.operations, operation{kind: opSync, inode: f.inode})
 	}
 	return nil
 }
 
 func (f *file) Close() error { return nil }
 
-// Ops is the number of operations so far: a crash may come after each.
-func (d *Disk) Ops() int {
+// OperationCount is the number of operations so far: a crash may come after each.
+func (d *FS) OperationCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.ops)
+	return len(d.operations)
 }
 
-// Fate is what a crash does to what was not synced.
-type Fate func(what string) bool
+// Survival is what a crash does to what was not synced.
+type Survival func(what string) bool
 
-// Lost and Kept are the two ends of it; Mixed draws for each piece.
-func Lost(string) bool { return false }
-func Kept(string) bool { return true }
-func Mixed(r *rand.Rand) Fate {
+// LoseUnsynced and Kept are the two ends of it; Mixed draws for each piece.
+func LoseUnsynced(string) bool { return false }
+func KeepUnsynced(string) bool { return true }
+func KeepSome(r *rand.Rand) Survival {
 	p := r.Float64()
 	return func(string) bool { return r.Float64() < p }
 }
 
 // Crash is the folder as it may be found when the machine stopped after so many operations.
-func (d *Disk) Crash(after int, keep Fate) *Disk {
+func (d *FS) Crash(after int, keep Survival) *FS {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	content := map[int][]byte{} // on disk for sure
-	loose := map[int][]op{}     // of each file, since its last sync
+	content := map[int][]byte{}    // on disk for sure
+	loose := map[int][]operation{} // of each file, since its last sync
 	names := map[string]int{}
-	var moves []op // of the folder, since its last sync
-	for _, o := range d.ops[:after] {
+	var moves []operation // of the folder, since its last sync
+	for _, o := range d.operations[:after] {
 		switch o.kind {
 		case opWrite, opTruncate:
 			loose[o.inode] = append(loose[o.inode], o)
 		case opSync:
 			for _, w := range loose[o.inode] {
-				content[o.inode] = applied(content[o.inode], w, Kept)
+				content[o.inode] = applyToFile(content[o.inode], w, KeepUnsynced)
 			}
 			delete(loose, o.inode)
 		case opSyncFolder:
 			for _, m := range moves {
-				move(names, m)
+				applyToNames(names, m)
 			}
 			moves = nil
 		default:
@@ -259,42 +259,42 @@
 	}
 	for _, m := range moves {
 		if keep(m.kind.String()) {
-			move(names, m)
+			applyToNames(names, m)
 		}
 	}
 	out := New()
-	for _, name := range sorted(names) {
+	for _, name := range sortedNames(names) {
 		n := names[name]
 		p := append([]byte(nil), content[n]...)
 		for _, w := range loose[n] {
-			p = applied(p, w, keep)
+			p = applyToFile(p, w, keep)
 		}
 		out.inodes = append(out.inodes, p)
 		i := len(out.inodes) - 1
 		out.names[name] = i // what is found is on disk
-		out.ops = append(out.ops, op{kind: opCreate, name: name, inode: i}, op{kind: opWrite, inode: i, data: p},
-			op{kind: opSync, inode: i})
+		out.operations = append(out.operations, operation{kind: opCreate, name: name, inode: i}, operation{kind: opWrite, inode: i, data: p},
+			operation{kind: opSync, inode: i})
 	}
-	out.ops = append(out.ops, op{kind: opSyncFolder})
-	out.NoSync = d.NoSync
+	out.operations = append(out.operations, operation{kind: opSyncFolder})
+	out.IgnoreSync = d.IgnoreSync
 	return out
 }
 
-// applied does one write or truncation, as far as it reached the disk.
-func applied(p []byte, o op, keep Fate) []byte {
+// applyToFile does one write or truncation, as far as it reached the disk.
+func applyToFile(p []byte, o operation, keep Survival) []byte {
 	if o.kind == opTruncate {
 		if keep("length") {
-			return resized(p, o.at)
+			return resize(p, o.at)
 		}
 		return p
 	}
 	if keep("length") {
-		p = resized(p, max(len(p), o.at+len(o.data)))
+		p = resize(p, max(len(p), o.at+len(o.data)))
 	}
 	for from := 0; from < len(o.data); {
-		to := min(len(o.data), from+sector-(o.at+from)%sector)
+		to := min(len(o.data), from+sectorSize-(o.at+from)%sectorSize)
 		if keep("sector") {
-			p = resized(p, max(len(p), o.at+to))
+			p = resize(p, max(len(p), o.at+to))
 			copy(p[o.at+from:], o.data[from:to])
 		}
 		from = to
@@ -302,7 +302,7 @@
 	return p
 }
 
-func move(names map[string]int, o op) {
+func applyToNames(names map[string]int, o operation) {
 	switch o.kind {
 	case opCreate:
 		names[o.name] = o.inode
@@ -318,11 +318,11 @@
 	}
 }
 
-// Flip turns one bit over.
-func (d *Disk) Flip(name string, bit int) error {
+// FlipBit turns one bit over.
+func (d *FS) FlipBit(name string, bit int) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n, err := d.find(name)
+	n, err := d.lookup(name)
 	if err != nil {
 		return err
 	}
--- a/internal/storage/faultfs/golden_test.go
+++ b/internal/storage/faultfs/golden_test.go
@@ -17,16 +17,16 @@
 const goldenFile = "testdata/crashes.txt"
 
 // play does a seeded history of operations, some of which fail, and notes what each returns.
-func play(r *rand.Rand, d *Disk, note func(format string, a ...any)) {
+func play(r *rand.Rand, d *FS, note func(format string, a ...any)) {
 	names := []string{"a", "b", "c", "d"}
 	var open []vfs.File
-	d.Fail = func(kind, name string) error {
+	d.InjectError = func(kind, name string) error {
 		if r.IntN(12) == 0 {
 			return fmt.Errorf("%s of %q fails", kind, name)
 		}
 		return nil
 	}
-	defer func() { d.Fail = nil }()
+	defer func() { d.InjectError = nil }()
 	for range 60 {
 		name := names[r.IntN(len(names))]
 		switch r.IntN(11) {
@@ -74,9 +74,9 @@
 	}
 }
 
-func noteFiles(d *Disk, note func(format string, a ...any)) {
+func noteFiles(d *FS, note func(format string, a ...any)) {
 	names, err := d.List()
-	note("%v %v, after %d operations", names, err, d.Ops())
+	note("%v %v, after %d operations", names, err, d.OperationCount())
 	for _, name := range names {
 		p, err := d.Read(name)
 		note("%s: %x %v", name, p, err)
@@ -88,18 +88,18 @@
 	note := func(format string, a ...any) { fmt.Fprintf(sum, format+"\n", a...) }
 	r := rand.New(rand.NewPCG(seed, 7))
 	d := New()
-	d.NoSync = seed%8 == 7
+	d.IgnoreSync = seed%8 == 7
 	play(r, d, note)
 	noteFiles(d, note)
-	for after := range d.Ops() + 1 {
-		for i, fate := range []Fate{Lost, Kept, Mixed(r), Mixed(r)} {
+	for after := range d.OperationCount() + 1 {
+		for i, fate := range []Survival{LoseUnsynced, KeepUnsynced, KeepSome(r), KeepSome(r)} {
 			found := d.Crash(after, fate)
 			states++
 			note("crash after %d, fate %d", after, i)
 			noteFiles(found, note)
 			if i == 3 { // a crash of what was found, and damage to it
-				noteFiles(found.Crash(found.Ops(), Lost), note)
-				note("%v", found.Flip("a", r.IntN(4000)))
+				noteFiles(found.Crash(found.OperationCount(), LoseUnsynced), note)
+				note("%v", found.FlipBit("a", r.IntN(4000)))
 				noteFiles(found, note)
 			}
 		}
--- a/internal/storage/vfs/disk.go
+++ b/internal/storage/vfs/disk.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Folder is one with files in it.
-type Folder interface {
+// FS is one with files in it.
+type FS interface {
 	Create(name string) (File, error) // it must not exist
 	Append(name string) (File, error) // what exists, to be written on at its end
 	Read(name string) ([]byte, error)
@@ -31,27 +31,27 @@
 	Close() error
 }
 
-// Owned says that another instance holds a folder.
-type Owned struct{ Path, By string }
+// LockedError says that another instance holds a folder.
+type LockedError struct{ Path, Holder string }
 
-func (o *Owned) Error() string {
-	return fmt.Sprintf("%s is held by another instance, %s: each needs a folder of its own", o.Path, o.By)
+func (o *LockedError) Error() string {
+	return fmt.Sprintf("%s is held by another instance, %s: each needs a folder of its own", o.Path, o.Holder)
 }
 
-const lockName = "lock"
+const lockFileName = "lock"
 
-// Dir is a folder of the system's, held against other instances until Close.
-type Dir struct {
+// LockedDir is a folder of the system's, held against other instances until Close.
+type LockedDir struct {
 	path string
 	lock *os.File
 }
 
-// Open makes the folder where there is none, holds it, and sees that it can be written to.
-func Open(path string) (*Dir, error) {
+// OpenLocked makes the folder where there is none, holds it, and sees that it can be written to.
+func OpenLocked(path string) (*LockedDir, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return nil, err
 	}
-	l, err := os.OpenFile(filepath.Join(path, lockName), os.O_RDWR|os.O_CREATE, 0o644)
+	l, err := os.OpenFile(filepath.Join(path, lockFileName), os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
 		return nil, fmt.Errorf("state cannot be kept: %w", err)
 	}
@@ -59,11 +59,11 @@
 		by, _ := os.ReadFile(l.Name())
 		l.Close()
 		if errors.Is(err, unix.EWOULDBLOCK) {
-			return nil, &Owned{path, strings.TrimSpace(string(by))}
+			return nil, &LockedError{path, strings.TrimSpace(string(by))}
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	d := &Dir{path, l}
+	d := &LockedDir{path, l}
 	if err := l.Truncate(0); err == nil {
 		_, err = l.WriteAt(fmt.Appendf(nil, "process %d\n", os.Getpid()), 0)
 	}
@@ -74,8 +74,8 @@
 	return nil, fmt.Errorf("state cannot be kept: %w", err)
 }
 
-// Look opens a folder to be read only; another instance may hold it.
-func Look(path string) (*Dir, error) {
+// OpenReadOnly opens a folder to be read only; another instance may hold it.
+func OpenReadOnly(path string) (*LockedDir, error) {
 	s, err := os.Stat(path)
 	if err != nil {
 		return nil, err
@@ -83,51 +83,53 @@
 	if !s.IsDir() {
 		return nil, fmt.Errorf("%s is no folder", path)
 	}
-	return &Dir{path: path}, nil
+	return &LockedDir{path: path}, nil
 }
 
 // Close lets go of the folder.
-func (d *Dir) Close() error {
+func (d *LockedDir) Close() error {
 	if d.lock == nil {
 		return nil
 	}
 	return d.lock.Close()
 }
 
-type file struct{ *os.File }
+type osFile struct{ *os.File }
 
 // Sync leaves out what tells only when a file was changed.
-func (f file) Sync() error { return unix.Fdatasync(int(f.Fd())) }
+func (f osFile) Sync() error { return unix.Fdatasync(int(f.Fd())) }
 
-func (d *Dir) open(name string, flags int) (File, error) {
+func (d *LockedDir) open(name string, flags int) (File, error) {
 	f, err := os.OpenFile(filepath.Join(d.path, name), flags|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
 	}
-	return file{f}, nil
+	return osFile{f}, nil
 }
 
-func (d *Dir) Create(name string) (File, error) { return d.open(name, os.O_CREATE|os.O_EXCL) }
-func (d *Dir) Append(name string) (File, error) { return d.open(name, 0) }
-func (d *Dir) Read(name string) ([]byte, error) { return os.ReadFile(filepath.Join(d.path, name)) }
-func (d *Dir) Remove(name string) error         { return os.Remove(filepath.Join(d.path, name)) }
+func (d *LockedDir) Create(name string) (File, error) { return d.open(name, os.O_CREATE|os.O_EXCL) }
+func (d *LockedDir) Append(name string) (File, error) { return d.open(name, 0) }
+func (d *LockedDir) Read(name string) ([]byte, error) {
+	return os.ReadFile(filepath.Join(d.path, name))
+}
+func (d *LockedDir) Remove(name string) error { return os.Remove(filepath.Join(d.path, name)) }
 
-func (d *Dir) Rename(from, to string) error {
+func (d *LockedDir) Rename(from, to string) error {
 	return os.Rename(filepath.Join(d.path, from), filepath.Join(d.path, to))
 }
 
-func (d *Dir) List() ([]string, error) {
+func (d *LockedDir) List() ([]string, error) {
 	all, err := os.ReadDir(d.path)
 	var names []string
 	for _, e := range all {
-		if e.Name() != lockName && !e.IsDir() {
+		if e.Name() != lockFileName && !e.IsDir() {
 			names = append(names, e.Name())
 		}
 	}
 	return names, err
 }
 
-func (d *Dir) Sync() error {
+func (d *LockedDir) Sync() error {
 	f, err := os.Open(d.path)
 	if err != nil {
 		return err
@@ -136,10 +138,10 @@
 	return f.Sync()
 }
 
-// Replace puts a file in the place of another, whole or not at all. A library for this would write past Folder,
+// WriteFileAtomic puts a file in the place of another, whole or not at all. A library for this would write past Folder,
 // where the laboratory could not see it.
-func Replace(d Folder, name string, data []byte) error {
-	fresh := name + Unfinished
+func WriteFileAtomic(d FS, name string, data []byte) error {
+	fresh := name + TempSuffix
 	if err := d.Remove(fresh); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
@@ -163,5 +165,5 @@
 	return d.Sync()
 }
 
-// Unfinished ends the name of a file that is still being written; one left behind by a crash holds nothing.
-const Unfinished = ".new"
+// TempSuffix ends the name of a file that is still being written; one left behind by a crash holds nothing.
+const TempSuffix = ".new"
--- a/internal/storage/vfs/disk_test.go
+++ b/internal/storage/vfs/disk_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-func mustOpen(t *testing.T, path string) *Dir {
+func mustOpen(t *testing.T, path string) *LockedDir {
 	t.Helper()
-	d, err := Open(path)
+	d, err := OpenLocked(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,14 +40,14 @@
 	}
 }
 
-func wantFile(t *testing.T, d Folder, name, want string) {
+func wantFile(t *testing.T, d FS, name, want string) {
 	t.Helper()
 	if p, err := d.Read(name); err != nil || string(p) != want {
 		t.Errorf("%s holds %q, %v, want %q", name, p, err, want)
 	}
 }
 
-func wantList(t *testing.T, d Folder, want ...string) {
+func wantList(t *testing.T, d FS, want ...string) {
 	t.Helper()
 	if names, err := d.List(); err != nil || !slices.Equal(names, want) {
 		t.Errorf("files %v, %v, want %v", names, err, want)
@@ -76,8 +76,8 @@
 func TestFolderIsHeldByOneUntilItIsClosed(t *testing.T) {
 	path := t.TempDir()
 	d := mustOpen(t, path)
-	var owned *Owned
-	if _, err := Open(path); !errors.As(err, &owned) || owned.Path != path || owned.By != fmt.Sprint("process ", os.Getpid()) {
+	var owned *LockedError
+	if _, err := OpenLocked(path); !errors.As(err, &owned) || owned.Path != path || owned.Holder != fmt.Sprint("process ", os.Getpid()) {
 		t.Errorf("opened twice: %v", err)
 	}
 	want := fmt.Sprintf("%s is held by another instance, process %d: each needs a folder of its own", path, os.Getpid())
@@ -95,7 +95,7 @@
 	d := mustOpen(t, path)
 	f, err := d.Create("a")
 	mustWrite(t, f, err, "text")
-	read, err := Look(path)
+	read, err := OpenReadOnly(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,10 +104,10 @@
 	if err := read.Close(); err != nil {
 		t.Error(err)
 	}
-	if _, err := Look(filepath.Join(path, "none")); !errors.Is(err, os.ErrNotExist) {
+	if _, err := OpenReadOnly(filepath.Join(path, "none")); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("a folder that is not there: %v", err)
 	}
-	if _, err := Look(filepath.Join(path, "a")); err == nil || err.Error() != filepath.Join(path, "a")+" is no folder" {
+	if _, err := OpenReadOnly(filepath.Join(path, "a")); err == nil || err.Error() != filepath.Join(path, "a")+" is no folder" {
 		t.Errorf("a file in place of a folder: %v", err)
 	}
 }
@@ -118,14 +118,14 @@
 		t.Fatal(err)
 	}
 	var pathErr *fs.PathError
-	if _, err := Open(path); !errors.As(err, &pathErr) {
+	if _, err := OpenLocked(path); !errors.As(err, &pathErr) {
 		t.Errorf("%v", err)
 	}
 	path = t.TempDir()
 	if err := os.Mkdir(filepath.Join(path, "lock"), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(path); !errors.As(err, &pathErr) {
+	if _, err := OpenLocked(path); !errors.As(err, &pathErr) {
 		t.Errorf("a folder in place of the lock: %v", err)
 	}
 }
@@ -176,16 +176,16 @@
 
 func TestReplacedFileIsWholeAndLeavesNothingBehind(t *testing.T) {
 	d := mustOpen(t, t.TempDir())
-	f, err := d.Create("a" + Unfinished)
+	f, err := d.Create("a" + TempSuffix)
 	mustWrite(t, f, err, "left by a crash")
 	for _, text := range []string{"one", "two"} {
-		if err := Replace(d, "a", []byte(text)); err != nil {
+		if err := WriteFileAtomic(d, "a", []byte(text)); err != nil {
 			t.Fatal(err)
 		}
 		wantFile(t, d, "a", text)
 		wantList(t, d, "a")
 	}
-	if Unfinished != ".new" {
-		t.Errorf("files that are being written end in %s", Unfinished)
+	if TempSuffix != ".new" {
+		t.Errorf("files that are being written end in %s", TempSuffix)
 	}
 }
--- a/internal/storage/wal/format.go
+++ b/internal/storage/wal/format.go
@@ -21,19 +21,19 @@
 // the number up to which all groups were on disk when it was written, a checksum, and the changes in CBOR. A
 // snapshot ends with an empty frame.
 const (
-	Version    = 1
-	logSort    = "GLENLOG"
-	snapSort   = "GLENSNP"
-	logName    = "log-"
-	snapName   = "snapshot-"
-	headerSize = 20
-	frameSize  = 28
-	mostFrame  = 64 << 20
+	FormatVersion   = 1
+	segmentMagic    = "GLENLOG"
+	snapshotMagic   = "GLENSNP"
+	segmentPrefix   = "log-"
+	snapshotPrefix  = "snapshot-"
+	headerSize      = 20
+	groupHeaderSize = 28
+	maxGroupBody    = 64 << 20
 )
 
 var (
-	mark  = []byte("\xf1glf")
-	table = crc32.MakeTable(crc32.Castagnoli)
+	groupMagic = []byte("\xf1glf")
+	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
 // Change puts a value, or takes it out where it is nil.
@@ -53,110 +53,110 @@
 	return Change{Kind: kind, Key: key, Value: v}
 }
 
-// Corrupt says where a file is not what was written.
-type Corrupt struct {
-	File string
-	At   int // bytes from its start
-	Text string
+// CorruptionError says where a file is not what was written.
+type CorruptionError struct {
+	File   string
+	Offset int // bytes from its start
+	Detail string
 }
 
-func (c *Corrupt) Error() string {
+func (c *CorruptionError) Error() string {
 	return fmt.Sprintf("%s, at byte %d: %s; nothing was changed: put a good copy of the folder back; `glenport state export` gives what stands before the damage",
-		c.File, c.At, c.Text)
+		c.File, c.Offset, c.Detail)
 }
 
-// Newer says that a file was written by a later glenport.
-type Newer struct {
+// UnsupportedVersionError says that a file was written by a later glenport.
+type UnsupportedVersionError struct {
 	File    string
 	Version int
 }
 
-func (n *Newer) Error() string {
-	return fmt.Sprintf("%s is of version %d, this glenport knows %d: use the later one", n.File, n.Version, Version)
+func (n *UnsupportedVersionError) Error() string {
+	return fmt.Sprintf("%s is of version %d, this glenport knows %d: use the later one", n.File, n.Version, FormatVersion)
 }
 
-func header(sort string, first uint64) []byte {
-	p := append([]byte(sort), Version)
+func appendFileHeader(sort string, first uint64) []byte {
+	p := append([]byte(sort), FormatVersion)
 	p = binary.BigEndian.AppendUint64(p, first)
-	return binary.BigEndian.AppendUint32(p, crc32.Checksum(p, table))
+	return binary.BigEndian.AppendUint32(p, crc32.Checksum(p, castagnoli))
 }
 
-func readHeader(file, sort string, p []byte, trust bool) (first uint64, err error) {
+func parseFileHeader(file, sort string, p []byte, trust bool) (first uint64, err error) {
 	switch {
 	case len(p) < headerSize:
-		return 0, &Corrupt{file, 0, fmt.Sprintf("%d bytes are too few for its beginning", len(p))}
+		return 0, &CorruptionError{file, 0, fmt.Sprintf("%d bytes are too few for its beginning", len(p))}
 	case !bytes.HasPrefix(p, []byte(sort)):
-		return 0, &Corrupt{file, 0, "it does not begin as such a file does"}
-	case !trust && crc32.Checksum(p[:16], table) != binary.BigEndian.Uint32(p[16:]):
-		return 0, &Corrupt{file, 0, "the checksum of its beginning is wrong"}
-	case p[7] > Version:
-		return 0, &Newer{file, int(p[7])}
+		return 0, &CorruptionError{file, 0, "it does not begin as such a file does"}
+	case !trust && crc32.Checksum(p[:16], castagnoli) != binary.BigEndian.Uint32(p[16:]):
+		return 0, &CorruptionError{file, 0, "the checksum of its beginning is wrong"}
+	case p[7] > FormatVersion:
+		return 0, &UnsupportedVersionError{file, int(p[7])}
 	case p[7] == 0:
-		return 0, &Corrupt{file, 7, "there is no version 0"}
+		return 0, &CorruptionError{file, 7, "there is no version 0"}
 	}
 	return binary.BigEndian.Uint64(p[8:]), nil
 }
 
-// frame appends one that holds a group of changes.
-func frame(p []byte, number, safe uint64, body []byte) []byte {
+// appendGroup appends one that holds a group of changes.
+func appendGroup(p []byte, number, safe uint64, body []byte) []byte {
 	at := len(p)
-	p = append(p, mark...)
+	p = append(p, groupMagic...)
 	p = binary.BigEndian.AppendUint32(p, uint32(len(body)))
 	p = binary.BigEndian.AppendUint64(p, number)
 	p = binary.BigEndian.AppendUint64(p, safe)
 	p = binary.BigEndian.AppendUint32(p, 0)
 	p = append(p, body...)
-	binary.BigEndian.PutUint32(p[at+24:], sum(p[at:]))
+	binary.BigEndian.PutUint32(p[at+24:], groupChecksum(p[at:]))
 	return p
 }
 
-func sum(p []byte) uint32 {
-	return crc32.Update(crc32.Checksum(p[4:24], table), table, p[frameSize:])
+func groupChecksum(p []byte) uint32 {
+	return crc32.Update(crc32.Checksum(p[4:24], castagnoli), castagnoli, p[groupHeaderSize:])
 }
 
-type framed struct {
-	number, safe uint64
-	body         []byte
-	size         int
+type groupFrame struct {
+	sequence, durableThrough uint64
+	body                     []byte
+	size                     int
 }
 
-// readFrame reads the frame that p begins with; ok is false where there is none that is whole.
-func readFrame(p []byte, trust bool) (f framed, ok bool) {
-	if len(p) < frameSize || !bytes.HasPrefix(p, mark) {
+// parseGroup reads the frame that p begins with; ok is false where there is none that is whole.
+func parseGroup(p []byte, trust bool) (f groupFrame, ok bool) {
+	if len(p) < groupHeaderSize || !bytes.HasPrefix(p, groupMagic) {
 		return f, false
 	}
 	n := int(binary.BigEndian.Uint32(p[4:]))
-	if n > mostFrame || len(p) < frameSize+n {
+	if n > maxGroupBody || len(p) < groupHeaderSize+n {
 		return f, false
 	}
-	f = framed{binary.BigEndian.Uint64(p[8:]), binary.BigEndian.Uint64(p[16:]), p[frameSize : frameSize+n], frameSize + n}
-	return f, trust || sum(p[:f.size]) == binary.BigEndian.Uint32(p[24:])
+	f = groupFrame{binary.BigEndian.Uint64(p[8:]), binary.BigEndian.Uint64(p[16:]), p[groupHeaderSize : groupHeaderSize+n], groupHeaderSize + n}
+	return f, trust || groupChecksum(p[:f.size]) == binary.BigEndian.Uint32(p[24:])
 }
 
 // State is what a folder holds.
 type State struct {
-	Figures
-	trust bool
-	kinds map[string]*btree.Map[string, []byte]
-	logs  []logFile // from the newest snapshot on
-	stale []string  // files that hold nothing any more
-	cut   int       // bytes of the last log that are good; -1: the file is to go
+	Stats
+	skipChecksums bool
+	kinds         map[string]*btree.Map[string, []byte]
+	segments      []segmentFile // from the newest snapshot on
+	obsolete      []string      // files that hold nothing any more
+	validSize     int           // bytes of the last log that are good; -1: the file is to go
 }
 
-type logFile struct {
+type segmentFile struct {
 	name  string
 	first uint64
 	size  int
 }
 
-// Figures tell of a folder.
-type Figures struct {
-	Snapshot uint64 // the group from which on the log is read
-	Last     uint64 // the last group
-	Groups   int    // read from the log
-	Records  int    // values there are
-	Bytes    int    // of snapshot and log
-	CutOff   int    // bytes of an unfinished group at the end of the log
+// Stats tell of a folder.
+type Stats struct {
+	FirstGroup     uint64 // the group from which on the log is read
+	LastGroup      uint64 // the last group
+	Groups         int    // read from the log
+	Records        int    // values there are
+	Bytes          int    // of snapshot and log
+	TruncatedBytes int    // bytes of an unfinished group at the end of the log
 }
 
 func newState() *State { return &State{kinds: map[string]*btree.Map[string, []byte]{}} }
@@ -178,8 +178,8 @@
 	}
 }
 
-// Each gives the values of a kind in the order of their keys.
-func (s *State) Each(kind string, f func(key string, value []byte) error) error {
+// ForEach gives the values of a kind in the order of their keys.
+func (s *State) ForEach(kind string, f func(key string, value []byte) error) error {
 	var err error
 	if t := s.kinds[kind]; t != nil {
 		t.Scan(func(key string, value []byte) bool {
@@ -209,16 +209,16 @@
 	return 0
 }
 
-// copied shares what does not change.
-func (s *State) copied() *State {
-	out := &State{Figures: s.Figures, kinds: map[string]*btree.Map[string, []byte]{}}
+// clone shares what does not change.
+func (s *State) clone() *State {
+	out := &State{Stats: s.Stats, kinds: map[string]*btree.Map[string, []byte]{}}
 	for k, t := range s.kinds {
 		out.kinds[k] = t.Copy()
 	}
 	return out
 }
 
-func numbered(name, prefix string) (uint64, bool) {
+func parseFileName(name, prefix string) (uint64, bool) {
 	var n uint64
 	rest, ok := strings.CutPrefix(name, prefix)
 	if !ok || len(rest) != 16 {
@@ -228,27 +228,27 @@
 	return n, err == nil
 }
 
-// Read reads a folder and changes nothing in it. What a crash may leave is read over: a group that was never
+// Load reads a folder and changes nothing in it. What a crash may leave is read over: a group that was never
 // said to be kept at the end of the last log, and files that were being written. Everything else that is not as
 // it was written is an error that names the place. With trust set the checksums are not looked at (sabotage).
-func Read(d vfs.Folder, trust bool) (*State, error) {
+func Load(d vfs.FS, trust bool) (*State, error) {
 	names, err := d.List()
 	if err != nil {
 		return nil, err
 	}
 	s := newState()
-	s.trust = trust
-	var snaps, logs []logFile
+	s.skipChecksums = trust
+	var snaps, logs []segmentFile
 	for _, name := range names {
-		if n, ok := numbered(name, snapName); ok {
-			snaps = append(snaps, logFile{name: name, first: n})
-		} else if n, ok := numbered(name, logName); ok {
-			logs = append(logs, logFile{name: name, first: n})
-		} else if strings.HasSuffix(name, vfs.Unfinished) && (strings.HasPrefix(name, snapName) || strings.HasPrefix(name, logName)) {
-			s.stale = append(s.stale, name)
+		if n, ok := parseFileName(name, snapshotPrefix); ok {
+			snaps = append(snaps, segmentFile{name: name, first: n})
+		} else if n, ok := parseFileName(name, segmentPrefix); ok {
+			logs = append(logs, segmentFile{name: name, first: n})
+		} else if strings.HasSuffix(name, vfs.TempSuffix) && (strings.HasPrefix(name, snapshotPrefix) || strings.HasPrefix(name, segmentPrefix)) {
+			s.obsolete = append(s.obsolete, name)
 		}
 	}
-	byFirst := func(l []logFile) { sort.Slice(l, func(a, b int) bool { return l[a].first < l[b].first }) }
+	byFirst := func(l []segmentFile) { sort.Slice(l, func(a, b int) bool { return l[a].first < l[b].first }) }
 	byFirst(snaps)
 	byFirst(logs)
 	next := uint64(1)
@@ -258,127 +258,127 @@
 		}
 		next = snaps[n-1].first
 		for _, old := range snaps[:n-1] {
-			s.stale = append(s.stale, old.name)
+			s.obsolete = append(s.obsolete, old.name)
 		}
 	}
-	s.Snapshot, s.Last = next, next-1
+	s.FirstGroup, s.LastGroup = next, next-1
 	for len(logs) > 0 && logs[0].first < next {
-		s.stale = append(s.stale, logs[0].name)
+		s.obsolete = append(s.obsolete, logs[0].name)
 		logs = logs[1:]
 	}
 	for i := range logs {
 		l := &logs[i]
-		if l.first != s.Last+1 {
-			return s, &Corrupt{l.name, 0, fmt.Sprintf("it begins with group %d, and the one wanted next is %d: a file is missing", l.first, s.Last+1)}
+		if l.first != s.LastGroup+1 {
+			return s, &CorruptionError{l.name, 0, fmt.Sprintf("it begins with group %d, and the one wanted next is %d: a file is missing", l.first, s.LastGroup+1)}
 		}
-		if err := s.readLog(d, l, i == len(logs)-1); err != nil {
+		if err := s.readSegment(d, l, i == len(logs)-1); err != nil {
 			return s, err
 		}
 	}
-	if len(logs) == 0 && len(snaps) > 0 && !slices.Contains(s.stale, logOf(next)+vfs.Unfinished) { // see mend
-		return s, &Corrupt{snaps[len(snaps)-1].name, 0, fmt.Sprintf("the log from group %d on is missing", next)}
+	if len(logs) == 0 && len(snaps) > 0 && !slices.Contains(s.obsolete, segmentName(next)+vfs.TempSuffix) { // see mend
+		return s, &CorruptionError{snaps[len(snaps)-1].name, 0, fmt.Sprintf("the log from group %d on is missing", next)}
 	}
-	s.logs = logs
+	s.segments = logs
 	return s, nil
 }
 
-func (s *State) decode(file string, at int, body []byte) error {
+func (s *State) applyGroup(file string, at int, body []byte) error {
 	var all []Change
 	if err := cbor.Unmarshal(body, &all); err != nil {
-		return &Corrupt{file, at, "its checksum is right and its changes cannot be read: " + err.Error()}
+		return &CorruptionError{file, at, "its checksum is right and its changes cannot be read: " + err.Error()}
 	}
 	s.apply(all)
 	return nil
 }
 
 // readSnapshot reads one whole: it was synced before it got its name, so no crash can have cut it short.
-func (s *State) readSnapshot(d vfs.Folder, l logFile) error {
+func (s *State) readSnapshot(d vfs.FS, l segmentFile) error {
 	p, err := d.Read(l.name)
 	if err != nil {
 		return err
 	}
-	first, err := readHeader(l.name, snapSort, p, s.trust)
+	first, err := parseFileHeader(l.name, snapshotMagic, p, s.skipChecksums)
 	if err != nil {
 		return err
 	}
 	if first != l.first {
-		return &Corrupt{l.name, 8, fmt.Sprintf("its name does not fit its first group, %d", first)}
+		return &CorruptionError{l.name, 8, fmt.Sprintf("its name does not fit its first group, %d", first)}
 	}
 	s.Bytes += len(p)
 	for at, n := headerSize, uint64(0); ; n++ {
-		f, ok := readFrame(p[at:], s.trust)
-		if !ok || f.number != n && !s.trust {
-			return &Corrupt{l.name, at, fmt.Sprintf("part %d of it is damaged", n)}
+		f, ok := parseGroup(p[at:], s.skipChecksums)
+		if !ok || f.sequence != n && !s.skipChecksums {
+			return &CorruptionError{l.name, at, fmt.Sprintf("part %d of it is damaged", n)}
 		}
 		at += f.size
 		if len(f.body) == 0 {
 			if at != len(p) {
-				return &Corrupt{l.name, at, "more follows its end"}
+				return &CorruptionError{l.name, at, "more follows its end"}
 			}
 			return nil
 		}
-		if err := s.decode(l.name, at, f.body); err != nil {
+		if err := s.applyGroup(l.name, at, f.body); err != nil {
 			return err
 		}
 	}
 }
 
-// readLog reads groups until one is not whole. That is the end of the log where a crash may have left it so: in
+// readSegment reads groups until one is not whole. That is the end of the log where a crash may have left it so: in
 // the last file, with no whole group behind it that was written when this one was on disk already.
-func (s *State) readLog(d vfs.Folder, l *logFile, last bool) error {
+func (s *State) readSegment(d vfs.FS, l *segmentFile, last bool) error {
 	p, err := d.Read(l.name)
 	if err != nil {
 		return err
 	}
 	l.size = len(p)
 	s.Bytes += len(p)
-	first, err := readHeader(l.name, logSort, p, s.trust)
-	var newer *Newer
-	if err != nil && (errors.As(err, &newer) || !last || s.follows(p, 0, l.first) > 0) {
+	first, err := parseFileHeader(l.name, segmentMagic, p, s.skipChecksums)
+	var newer *UnsupportedVersionError
+	if err != nil && (errors.As(err, &newer) || !last || s.laterDurableGroup(p, 0, l.first) > 0) {
 		return err
 	}
 	if err != nil { // it was made, and nothing was kept in it yet
-		s.cut, s.CutOff = -1, len(p)
+		s.validSize, s.TruncatedBytes = -1, len(p)
 		return nil
 	}
 	if first != l.first {
-		return &Corrupt{l.name, 8, fmt.Sprintf("its name does not fit its first group, %d", first)}
+		return &CorruptionError{l.name, 8, fmt.Sprintf("its name does not fit its first group, %d", first)}
 	}
 	at := headerSize
 	for at < len(p) {
-		f, ok := readFrame(p[at:], s.trust)
-		if !ok || f.number != s.Last+1 {
+		f, ok := parseGroup(p[at:], s.skipChecksums)
+		if !ok || f.sequence != s.LastGroup+1 {
 			if !last {
-				return &Corrupt{l.name, at, fmt.Sprintf("group %d is damaged; it was kept, as another file follows", s.Last+1)}
+				return &CorruptionError{l.name, at, fmt.Sprintf("group %d is damaged; it was kept, as another file follows", s.LastGroup+1)}
 			}
-			if n := s.follows(p, at, s.Last+1); n > 0 {
-				return &Corrupt{l.name, at, fmt.Sprintf("group %d is damaged; it was kept, as group %d that follows tells", s.Last+1, n)}
+			if n := s.laterDurableGroup(p, at, s.LastGroup+1); n > 0 {
+				return &CorruptionError{l.name, at, fmt.Sprintf("group %d is damaged; it was kept, as group %d that follows tells", s.LastGroup+1, n)}
 			}
-			s.CutOff = len(p) - at
+			s.TruncatedBytes = len(p) - at
 			break
 		}
-		if err := s.decode(l.name, at, f.body); err != nil {
+		if err := s.applyGroup(l.name, at, f.body); err != nil {
 			return err
 		}
 		at += f.size
-		s.Last++
+		s.LastGroup++
 		s.Groups++
 	}
-	s.cut = at
+	s.validSize = at
 	return nil
 }
 
-// follows looks behind a damaged group for a whole one that was written when the damaged one was on disk, and
+// laterDurableGroup looks behind a damaged group for a whole one that was written when the damaged one was on disk, and
 // returns its number.
-func (s *State) follows(p []byte, from int, damaged uint64) uint64 {
+func (s *State) laterDurableGroup(p []byte, from int, damaged uint64) uint64 {
 	for at := from; ; at++ {
-		i := bytes.Index(p[at:], mark)
+		i := bytes.Index(p[at:], groupMagic)
 		if i < 0 {
 			return 0
 		}
 		at += i
-		if f, ok := readFrame(p[at:], false); ok && f.number > damaged && f.safe >= damaged {
-			return f.number
+		if f, ok := parseGroup(p[at:], false); ok && f.sequence > damaged && f.durableThrough >= damaged {
+			return f.sequence
 		}
 	}
 }
