--- a/internal/storage/wal/golden_test.go
+++ b/internal/storage/wal/golden_test.go
@@ -36,14 +36,14 @@
 	return Change{Kind: kind, Key: key, Value: []byte(value)}
 }
 
-func mustCommit(t *testing.T, s *Store, durable bool, all ...Change) {
+func mustCommit(t *testing.T, s *Log, durable bool, all ...Change) {
 	t.Helper()
 	if err := commit1(s, durable, all...); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func mustClose(t *testing.T, s *Store) {
+func mustClose(t *testing.T, s *Log) {
 	t.Helper()
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
@@ -51,7 +51,7 @@
 }
 
 // contents are the files of a folder by name.
-func contents(t *testing.T, d vfs.Folder) map[string][]byte {
+func contents(t *testing.T, d vfs.FS) map[string][]byte {
 	t.Helper()
 	names, err := d.List()
 	if err != nil {
@@ -67,7 +67,7 @@
 }
 
 // folderOf is a folder in memory with these files.
-func folderOf(t *testing.T, files map[string][]byte) *faultfs.Disk {
+func folderOf(t *testing.T, files map[string][]byte) *faultfs.FS {
 	t.Helper()
 	d := faultfs.New()
 	for name, p := range files {
@@ -85,7 +85,7 @@
 // writeFolders plays the history that is recorded, and returns the files of each folder.
 func writeFolders(t *testing.T) map[string]map[string][]byte {
 	d := faultfs.New()
-	s, _ := mustOpen(t, d, Terms{})
+	s, _ := mustOpen(t, d, Options{})
 	mustCommit(t, s, true, goldenPut("job", "a", "value 1"))
 	mustCommit(t, s, true, goldenPut("job", "b", "value 2"), goldenPut("container", "a/0", "value 3"))
 	mustCommit(t, s, false, Change{Kind: "job", Key: "a"}, Put("typed", "all", []any{int64(-1), "text", true, 2.5}))
@@ -97,49 +97,49 @@
 		t.Fatal(err)
 	}
 	failSnapshot := func(kind, name string) error {
-		if kind == "rename" && strings.HasPrefix(name, snapName) {
+		if kind == "rename" && strings.HasPrefix(name, snapshotPrefix) {
 			return syscall.ENOSPC
 		}
 		return nil
 	}
-	d.Fail = failSnapshot
+	d.InjectError = failSnapshot
 	for i := range 2 { // each opening begins one more log file, for a snapshot that then fails
-		s, _ = mustOpen(t, d, Terms{Small: 300})
+		s, _ = mustOpen(t, d, Options{MinSnapshotLog: 300})
 		mustCommit(t, s, false, goldenPut("container", fmt.Sprint("b/", i), strings.Repeat("value 5 ", 70)))
 		mustCommit(t, s, true, goldenPut("container", fmt.Sprint("c/", i), "value 6"))
 		mustCommit(t, s, false, Change{Kind: "container", Key: fmt.Sprint("b/", i)})
 		mustClose(t, s)
 	}
-	d.Fail = nil
+	d.InjectError = nil
 	out := map[string]map[string][]byte{orderlyFolder: contents(t, d)}
 
-	s, _ = mustOpen(t, d, Terms{})
+	s, _ = mustOpen(t, d, Options{})
 	mustCommit(t, s, true, goldenPut("job", "c", "value 7"))
 	mustCommit(t, s, false, goldenPut("job", "d", "value 8"))
 	mustCommit(t, s, false, goldenPut("job", "e", "value 9"))
 	torn := contents(t, d)
 	mustClose(t, s)
-	last := lastOf(torn, logName)
+	last := lastOf(torn, segmentPrefix)
 	torn[last] = torn[last][:len(torn[last])-7]
 	for name, p := range older {
 		torn[name] = p
 	}
-	torn[snapName+"000000000000000f"+vfs.Unfinished] = []byte("unfinished")
+	torn[snapshotPrefix+"000000000000000f"+vfs.TempSuffix] = []byte("unfinished")
 	out[tornFolder] = torn
 
 	d = faultfs.New()
-	s, _ = mustOpen(t, d, Terms{})
+	s, _ = mustOpen(t, d, Options{})
 	mustCommit(t, s, true, goldenPut("job", "a", "value 10"))
-	d.Fail = func(kind, _ string) error {
+	d.InjectError = func(kind, _ string) error {
 		if kind == "sync" {
 			return syscall.EIO
 		}
 		return nil
 	}
-	if err := commit1(s, true, goldenPut("job", "b", "refused")); !errors.Is(err, ErrBroken) {
+	if err := commit1(s, true, goldenPut("job", "b", "refused")); !errors.Is(err, ErrSyncFailed) {
 		t.Fatal(err)
 	}
-	d.Fail = nil
+	d.InjectError = nil
 	mustCommit(t, s, true, goldenPut("job", "c", "value 11"))
 	out[rewrittenFolder] = contents(t, d)
 	mustClose(t, s)
@@ -149,7 +149,7 @@
 func lastOf(files map[string][]byte, prefix string) string {
 	last := ""
 	for name := range files {
-		if strings.HasPrefix(name, prefix) && !strings.HasSuffix(name, vfs.Unfinished) {
+		if strings.HasPrefix(name, prefix) && !strings.HasSuffix(name, vfs.TempSuffix) {
 			last = max(last, name)
 		}
 	}
@@ -166,19 +166,19 @@
 		fmt.Fprintf(&out, "file %s, %d bytes\n", name, len(p))
 		sort := ""
 		switch {
-		case strings.HasSuffix(name, vfs.Unfinished):
+		case strings.HasSuffix(name, vfs.TempSuffix):
 			fmt.Fprintf(&out, "  unfinished\n")
 			continue
-		case strings.HasPrefix(name, logName):
-			sort = logSort
-		case strings.HasPrefix(name, snapName):
-			sort = snapSort
+		case strings.HasPrefix(name, segmentPrefix):
+			sort = segmentMagic
+		case strings.HasPrefix(name, snapshotPrefix):
+			sort = snapshotMagic
 		}
-		first, err := readHeader(name, sort, p, false)
+		first, err := parseFileHeader(name, sort, p, false)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := header(sort, first); !bytes.Equal(got, p[:headerSize]) {
+		if got := appendFileHeader(sort, first); !bytes.Equal(got, p[:headerSize]) {
 			t.Errorf("%s: the header is encoded as %x, want %x", name, got, p[:headerSize])
 		}
 		fmt.Fprintf(&out, "  header: %s, version %d, first group %d\n", p[:7], p[7], first)
@@ -190,12 +190,12 @@
 func describeGroups(t *testing.T, out *strings.Builder, name string, p []byte) {
 	t.Helper()
 	for len(p) > 0 {
-		f, ok := readFrame(p, false)
+		f, ok := parseGroup(p, false)
 		if !ok {
 			fmt.Fprintf(out, "  %d bytes of a torn group\n", len(p))
 			return
 		}
-		fmt.Fprintf(out, "  group %d, on disk before it: up to %d", f.number, f.safe)
+		fmt.Fprintf(out, "  group %d, on disk before it: up to %d", f.sequence, f.durableThrough)
 		body := f.body
 		if len(body) > 0 {
 			var all []Change
@@ -217,8 +217,8 @@
 		} else {
 			fmt.Fprintf(out, ", the end of a snapshot\n")
 		}
-		if got := frame(nil, f.number, f.safe, body); !bytes.Equal(got, p[:f.size]) {
-			t.Errorf("%s: group %d is encoded as\n%x, want\n%x", name, f.number, got, p[:f.size])
+		if got := appendGroup(nil, f.sequence, f.durableThrough, body); !bytes.Equal(got, p[:f.size]) {
+			t.Errorf("%s: group %d is encoded as\n%x, want\n%x", name, f.sequence, got, p[:f.size])
 		}
 		p = p[f.size:]
 	}
@@ -229,10 +229,10 @@
 	t.Helper()
 	var out strings.Builder
 	fmt.Fprintf(&out, "read: the log from group %d on, the last is %d, %d groups, %d records, %d bytes, %d of them cut off\n",
-		s.Snapshot, s.Last, s.Groups, s.Records, s.Bytes, s.CutOff)
+		s.FirstGroup, s.LastGroup, s.Groups, s.Records, s.Bytes, s.TruncatedBytes)
 	for _, kind := range s.Kinds() {
 		fmt.Fprintf(&out, "kind %q, %d records\n", kind, s.Count(kind))
-		err := s.Each(kind, func(key string, value []byte) error {
+		err := s.ForEach(kind, func(key string, value []byte) error {
 			fmt.Fprintf(&out, "  %q = %q\n", key, value)
 			return nil
 		})
@@ -276,7 +276,7 @@
 				t.Fatal(err)
 			}
 		}
-		state, err := Read(folderOf(t, files), false)
+		state, err := Load(folderOf(t, files), false)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -306,22 +306,22 @@
 				t.Fatal(err)
 			}
 			d := folderOf(t, files)
-			state, err := Read(d, false)
+			state, err := Load(d, false)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if got := describeFolder(t, files) + describeState(t, state); got != string(want) {
 				t.Errorf("got\n%s\nwant\n%s", got, want)
 			}
-			s, _ := mustOpen(t, d, Terms{})
+			s, _ := mustOpen(t, d, Options{})
 			mustCommit(t, s, true, goldenPut("more", "x", "y"))
 			mustClose(t, s)
-			again, err := Read(d, false)
+			again, err := Load(d, false)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if again.Records != state.Records+1 || again.CutOff != 0 {
-				t.Errorf("%d records and %d bytes cut off after one more, before %d", again.Records, again.CutOff, state.Records)
+			if again.Records != state.Records+1 || again.TruncatedBytes != 0 {
+				t.Errorf("%d records and %d bytes cut off after one more, before %d", again.Records, again.TruncatedBytes, state.Records)
 			}
 		})
 	}
@@ -361,13 +361,13 @@
 				if damaged[name] = p; p == nil {
 					delete(damaged, name)
 				}
-				state, err := Read(folderOf(t, damaged), trust)
+				state, err := Load(folderOf(t, damaged), trust)
 				cases++
 				if err != nil {
 					refused++
 				}
-				var corrupt *Corrupt
-				var newer *Newer
+				var corrupt *CorruptionError
+				var newer *UnsupportedVersionError
 				text := goType.ReplaceAllString(fmt.Sprint(err), "TYPE")
 				fmt.Fprintf(digest, "%s %s %t %t\n", name, text, errors.As(err, &corrupt), errors.As(err, &newer))
 				if !trust || err == nil {
@@ -411,7 +411,7 @@
 // A snapshot of several chunks has the bytes that it always had.
 func TestSnapshotOfSeveralChunksKeepsItsBytes(t *testing.T) {
 	d := faultfs.New()
-	s, _ := mustOpen(t, d, Terms{})
+	s, _ := mustOpen(t, d, Options{})
 	for i := range 5 {
 		mustCommit(t, s, i == 4, goldenPut("k", fmt.Sprint(i), strings.Repeat(fmt.Sprint(i), 600_000)))
 	}
@@ -429,7 +429,7 @@
 	}
 	parts := 0
 	for rest := p[headerSize:]; len(rest) > 0; parts++ {
-		f, ok := readFrame(rest, false)
+		f, ok := parseGroup(rest, false)
 		if !ok {
 			t.Fatal("a part is damaged")
 		}
@@ -444,7 +444,7 @@
 func TestReplacedFileKeepsItsBytes(t *testing.T) {
 	const file = "testdata/replaced.bin" // sort GOLDENF, version 3, "what it holds"
 	d := faultfs.New()
-	if err := WriteWhole(d, "f", "GOLDENF", 3, []byte("what it holds")); err != nil {
+	if err := WriteChecksummed(d, "f", "GOLDENF", 3, []byte("what it holds")); err != nil {
 		t.Fatal(err)
 	}
 	written, err := d.Read("f")
@@ -463,7 +463,7 @@
 	if !bytes.Equal(written, want) {
 		t.Errorf("written as\n%x, want\n%x", written, want)
 	}
-	version, body, err := ReadWhole(folderOf(t, map[string][]byte{"f": want}), "f", "GOLDENF", 3)
+	version, body, err := ReadChecksummed(folderOf(t, map[string][]byte{"f": want}), "f", "GOLDENF", 3)
 	if err != nil || version != 3 || string(body) != "what it holds" {
 		t.Errorf("version %d, %q, %v", version, body, err)
 	}
@@ -480,7 +480,7 @@
 		"an older one":  {func(p []byte) []byte { return p }, 4, ""},
 		"damaged later": {func(p []byte) []byte { p[7] = 9; return p }, 3, "f, at byte 12: its checksum is wrong"},
 	} {
-		_, _, err := ReadWhole(folderOf(t, map[string][]byte{"f": tc.damage(bytes.Clone(want))}), "f", "GOLDENF", tc.known)
+		_, _, err := ReadChecksummed(folderOf(t, map[string][]byte{"f": tc.damage(bytes.Clone(want))}), "f", "GOLDENF", tc.known)
 		if got := fmt.Sprint(err); (err == nil) != (tc.want == "") || !strings.HasPrefix(got, tc.want) && err != nil {
 			t.Errorf("%s: %v, want %s", title, err, tc.want)
 		}
@@ -489,19 +489,19 @@
 
 // outcome says what an error is, by what callers may ask of it.
 func outcome(err error) string {
-	return fmt.Sprintf("failed %t, sync failed %t, closed %t, disk %t", err != nil, errors.Is(err, ErrBroken),
-		errors.Is(err, ErrStopped), errors.Is(err, syscall.EIO))
+	return fmt.Sprintf("failed %t, sync failed %t, closed %t, disk %t", err != nil, errors.Is(err, ErrSyncFailed),
+		errors.Is(err, ErrClosed), errors.Is(err, syscall.EIO))
 }
 
 // history opens a folder, commits, makes a snapshot, opens it again and commits, and notes what came of each step. No
 // snapshot is written beside the work in it, so the order of its operations is fixed.
-func history(t *testing.T, d *faultfs.Disk, note func(format string, a ...any)) {
-	opened := func() *Store {
-		s, _, err := Open(d, Terms{OnMode: func(string, ...any) { note("mode changed") }})
+func history(t *testing.T, d *faultfs.FS, note func(format string, a ...any)) {
+	opened := func() *Log {
+		s, _, err := Open(d, Options{OnModeChange: func(string, ...any) { note("mode changed") }})
 		note("open: %s", outcome(err))
 		return s
 	}
-	commits := func(s *Store, from int) {
+	commits := func(s *Log, from int) {
 		if s == nil {
 			return
 		}
@@ -509,17 +509,17 @@
 			err := commit1(s, i%2 == 0, goldenPut("k", fmt.Sprint(i), "value"), Change{Kind: "k", Key: fmt.Sprint(i - 2)})
 			note("commit %d: %s", i, outcome(err))
 		}
-		note("keep: %s", outcome(s.Keep(goldenPut("kept", fmt.Sprint(from), "value"))))
+		note("keep: %s", outcome(s.CommitSync(goldenPut("kept", fmt.Sprint(from), "value"))))
 		note("close: %s", outcome(s.Close()))
 		note("commit after it: %s", outcome(commit1(s, true)))
-		n := s.Counts()
-		note("%d commits, %d groups, %d syncs, %d snapshots, %d refused", n.Commits, n.Groups, n.Syncs, n.Snapshots, n.Refused)
+		n := s.Counters()
+		note("%d commits, %d groups, %d syncs, %d snapshots, %d refused", n.Commits, n.Groups, n.Syncs, n.Snapshots, n.Rejected)
 	}
 	commits(opened(), 1)
 	_, _, err := Compact(d)
 	note("compact: %s", outcome(err))
 	commits(opened(), 11)
-	note("replace: %s", outcome(WriteWhole(d, "replaced", "GOLDENF", 1, []byte("body"))))
+	note("replace: %s", outcome(WriteChecksummed(d, "replaced", "GOLDENF", 1, []byte("body"))))
 }
 
 // operationsOf lists the operations on files of a history, and folds into a digest what follows when each of them, or it
@@ -528,7 +528,7 @@
 	var out strings.Builder
 	play := func(note func(format string, a ...any), fails func(n int, kind string) bool) int {
 		d, n := faultfs.New(), 0
-		d.Fail = func(kind, name string) error {
+		d.InjectError = func(kind, name string) error {
 			note("  %s %s", kind, name)
 			n++
 			if fails(n-1, kind) {
@@ -537,8 +537,8 @@
 			return nil
 		}
 		history(t, d, note)
-		d.Fail = nil
-		state, err := Read(d, false)
+		d.InjectError = nil
+		state, err := Load(d, false)
 		if err != nil {
 			note("not read: %v", err)
 		} else {
--- a/internal/storage/wal/store.go
+++ b/internal/storage/wal/store.go
@@ -17,58 +17,58 @@
 
 // Tuned values.
 const (
-	leastLog  = 4 << 20 // bytes of log from which on a snapshot may be due
-	logGrows  = 2       // times the last snapshot: so much log is kept at least before the next
-	snapChunk = 1 << 20
-	mostGroup = 8 << 20 // bytes of changes that are written at once
+	defaultMinSnapshotLog = 4 << 20 // bytes of log from which on a snapshot may be due
+	snapshotGrowthFactor  = 2       // times the last snapshot: so much log is kept at least before the next
+	snapshotChunkBytes    = 1 << 20
+	maxGroupBytes         = 8 << 20 // bytes of changes that are written at once
 )
 
-// ErrBroken says that a sync failed. What of that file is on disk cannot be known from then on, and asking again does not
+// ErrSyncFailed says that a sync failed. What of that file is on disk cannot be known from then on, and asking again does not
 // tell: nothing more is taken until all that was kept stands in other files.
-var ErrBroken = errors.New("the state folder cannot be trusted since a sync failed, and could not be written anew yet")
+var ErrSyncFailed = errors.New("the state folder cannot be trusted since a sync failed, and could not be written anew yet")
 
-// ErrStopped is for what comes after Close.
-var ErrStopped = errors.New("the state is closed")
+// ErrClosed is for what comes after Close.
+var ErrClosed = errors.New("the state is closed")
 
-// Terms are what a store is told.
-type Terms struct {
-	Alone  bool // each commit has a sync of its own, to be measured against
-	Trust  bool // checksums are not looked at, as sabotage
-	Small  int  // bytes of log from which on a snapshot may be due, where not 4 MiB
-	OnMode func(text string, figures ...any)
+// Options are what a store is told.
+type Options struct {
+	SyncEachCommit bool // each commit has a sync of its own, to be measured against
+	SkipChecksums  bool // checksums are not looked at, as sabotage
+	MinSnapshotLog int  // bytes of log from which on a snapshot may be due, where not 4 MiB
+	OnModeChange   func(text string, figures ...any)
 }
 
-// Store is an open one.
-type Store struct {
-	d     vfs.Folder
-	terms Terms
+// Log is an open one.
+type Log struct {
+	fs      vfs.FS
+	options Options
 
 	mu      sync.Mutex
 	wake    *sync.Cond
 	queue   []commit
 	closing bool
 
-	state    *State // the committer's, once open
-	log      vfs.File
-	size     int // of the log file that is written
-	since    int // bytes of log since the last snapshot
-	snapSize int
-	last     uint64
-	safe     uint64
-	broken   error
-	refusing int           // commits in a row that were not kept
-	mended   uint64        // the group from which on a folder that is written anew is read; 0: none is
-	snapping chan struct{} // closed when the snapshot that is being written is done; nil: none is
-	ended    sync.WaitGroup
-
-	counts Counts
-	buf    []byte
+	state              *State // the committer's, once open
+	segment            vfs.File
+	segmentSize        int // of the log file that is written
+	bytesSinceSnapshot int // bytes of log since the last snapshot
+	snapshotSize       int
+	lastGroup          uint64
+	durableGroup       uint64
+	syncErr            error
+	rejectedInRow      int           // commits in a row that were not kept
+	rewriteFirst       uint64        // the group from which on a folder that is written anew is read; 0: none is
+	snapshotDone       chan struct{} // closed when the snapshot that is being written is done; nil: none is
+	workers            sync.WaitGroup
+
+	counters Counters
+	buf      []byte
 }
 
-// Counts are what a store did since it was opened.
-type Counts struct {
-	Commits, Groups, Syncs, Snapshots, Refused int
-	Syncing                                    time.Duration
+// Counters are what a store did since it was opened.
+type Counters struct {
+	Commits, Groups, Syncs, Snapshots, Rejected int
+	SyncTime                                    time.Duration
 }
 
 type commit struct {
@@ -78,108 +78,108 @@
 }
 
 // Open reads a folder, cuts off what a crash left unfinished, and begins to take commits.
-func Open(d vfs.Folder, t Terms) (*Store, Figures, error) {
-	s := &Store{d: d, terms: t}
+func Open(d vfs.FS, t Options) (*Log, Stats, error) {
+	s := &Log{fs: d, options: t}
 	s.wake = sync.NewCond(&s.mu)
-	if t.OnMode == nil {
-		s.terms.OnMode = func(string, ...any) {}
+	if t.OnModeChange == nil {
+		s.options.OnModeChange = func(string, ...any) {}
 	}
-	if t.Small == 0 {
-		s.terms.Small = leastLog
+	if t.MinSnapshotLog == 0 {
+		s.options.MinSnapshotLog = defaultMinSnapshotLog
 	}
-	state, err := Read(d, t.Trust)
+	state, err := Load(d, t.SkipChecksums)
 	if err != nil {
-		return nil, Figures{}, err
+		return nil, Stats{}, err
 	}
-	s.state, s.last, s.safe = state, state.Last, state.Last
-	if err := s.repair(); err != nil {
-		return nil, Figures{}, err
+	s.state, s.lastGroup, s.durableGroup = state, state.LastGroup, state.LastGroup
+	if err := s.recover(); err != nil {
+		return nil, Stats{}, err
 	}
-	s.ended.Go(s.work)
-	return s, state.Figures, nil
+	s.workers.Go(s.run)
+	return s, state.Stats, nil
 }
 
-// repair leaves a folder in which everything is on disk and one log is open. Each step may be cut off by another
+// recover leaves a folder in which everything is on disk and one log is open. Each step may be cut off by another
 // crash: what it leaves is repaired likewise.
-func (s *Store) repair() error {
-	logs := s.state.logs
+func (s *Log) recover() error {
+	logs := s.state.segments
 	if len(logs) == 0 { // before anything that tells why there is none goes
-		if err := s.startLog(s.last + 1); err != nil {
+		if err := s.startSegment(s.lastGroup + 1); err != nil {
 			return err
 		}
 	}
-	for _, name := range s.state.stale {
-		if err := s.d.Remove(name); err != nil {
+	for _, name := range s.state.obsolete {
+		if err := s.fs.Remove(name); err != nil {
 			return err
 		}
 	}
-	if n := len(logs); n > 0 && s.state.cut >= 0 {
+	if n := len(logs); n > 0 && s.state.validSize >= 0 {
 		l := logs[n-1]
-		f, err := s.d.Append(l.name)
+		f, err := s.fs.Append(l.name)
 		if err != nil {
 			return err
 		}
-		if l.size > s.state.cut {
-			if err := f.Truncate(int64(s.state.cut)); err != nil {
+		if l.size > s.state.validSize {
+			if err := f.Truncate(int64(s.state.validSize)); err != nil {
 				return err
 			}
 		}
 		if err := f.Sync(); err != nil { // what was read may not have been on disk yet
 			return err
 		}
-		s.log, s.size = f, s.state.cut
+		s.segment, s.segmentSize = f, s.state.validSize
 		for _, l := range logs {
-			s.since += l.size
+			s.bytesSinceSnapshot += l.size
 		}
-		return s.d.Sync()
+		return s.fs.Sync()
 	}
 	if n := len(logs); n > 0 {
-		if err := s.d.Remove(logs[n-1].name); err != nil {
+		if err := s.fs.Remove(logs[n-1].name); err != nil {
 			return err
 		}
-		return s.startLog(s.last + 1)
+		return s.startSegment(s.lastGroup + 1)
 	}
 	return nil
 }
 
-func logOf(first uint64) string { return fmt.Sprintf("%s%016x", logName, first) }
+func segmentName(first uint64) string { return fmt.Sprintf("%s%016x", segmentPrefix, first) }
 
-// startLog makes the file of the groups from first on; it is on disk, with its name, before anything goes into it.
-func (s *Store) startLog(first uint64) error {
-	name := logOf(first)
-	f, err := s.d.Create(name)
+// startSegment makes the file of the groups from first on; it is on disk, with its name, before anything goes into it.
+func (s *Log) startSegment(first uint64) error {
+	name := segmentName(first)
+	f, err := s.fs.Create(name)
 	if err != nil {
 		return err
 	}
-	p := header(logSort, first)
+	p := appendFileHeader(segmentMagic, first)
 	if _, err = f.Write(p); err == nil {
 		err = f.Sync()
 	}
 	if err == nil {
-		err = s.d.Sync()
+		err = s.fs.Sync()
 	}
 	if err != nil {
 		f.Close()
-		s.d.Remove(name)
+		s.fs.Remove(name)
 		return err
 	}
-	if s.log != nil {
-		s.log.Close()
+	if s.segment != nil {
+		s.segment.Close()
 	}
-	s.log, s.size = f, len(p)
+	s.segment, s.segmentSize = f, len(p)
 	return nil
 }
 
 // State is what was read when the store was opened; it is to be used before the first commit only.
-func (s *Store) State() *State { return s.state }
+func (s *Log) State() *State { return s.state }
 
 // Commit keeps changes, all or none. done is called from the store's goroutine, in the order of the commits, once
 // they are written, or on disk where durable is set; or with the error for which they are not kept.
-func (s *Store) Commit(changes []Change, durable bool, done func(error)) {
+func (s *Log) Commit(changes []Change, durable bool, done func(error)) {
 	s.mu.Lock()
 	if s.closing {
 		s.mu.Unlock()
-		done(ErrStopped)
+		done(ErrClosed)
 		return
 	}
 	s.queue = append(s.queue, commit{changes, durable, done})
@@ -187,45 +187,45 @@
 	s.wake.Signal()
 }
 
-// Keep commits changes and waits until they are on disk.
-func (s *Store) Keep(changes ...Change) error {
+// CommitSync commits changes and waits until they are on disk.
+func (s *Log) CommitSync(changes ...Change) error {
 	done := make(chan error, 1)
 	s.Commit(changes, true, func(err error) { done <- err })
 	return <-done
 }
 
 // Close keeps what was committed and ends.
-func (s *Store) Close() error {
+func (s *Log) Close() error {
 	s.mu.Lock()
 	s.closing = true
 	s.mu.Unlock()
 	s.wake.Signal()
-	s.ended.Wait()
-	err := s.broken
+	s.workers.Wait()
+	err := s.syncErr
 	if err == nil {
-		err = s.log.Sync()
+		err = s.segment.Sync()
 	}
-	if s.safe = s.last; err == nil { // an empty group that tells that all before it was on disk
-		err = s.mark()
+	if s.durableGroup = s.lastGroup; err == nil { // an empty group that tells that all before it was on disk
+		err = s.writeCleanEnd()
 	}
-	if c := s.log.Close(); err == nil {
+	if c := s.segment.Close(); err == nil {
 		err = c
 	}
 	return err
 }
 
-// Counts are to be read after Close, or from a done function.
-func (s *Store) Counts() Counts { return s.counts }
+// Counters are to be read after Close, or from a done function.
+func (s *Log) Counters() Counters { return s.counters }
 
-// work takes what waits, group by group.
-func (s *Store) work() {
+// run takes what waits, group by group.
+func (s *Log) run() {
 	for {
 		s.mu.Lock()
 		for len(s.queue) == 0 && !s.closing {
 			s.wake.Wait()
 		}
 		n, bytes := 0, 0
-		for n < len(s.queue) && bytes < mostGroup && (n == 0 || !s.terms.Alone) {
+		for n < len(s.queue) && bytes < maxGroupBytes && (n == 0 || !s.options.SyncEachCommit) {
 			for _, c := range s.queue[n].changes {
 				bytes += len(c.Key) + len(c.Value)
 			}
@@ -235,95 +235,95 @@
 		s.queue = s.queue[n:]
 		s.mu.Unlock()
 		if n == 0 {
-			if s.snapping != nil {
-				<-s.snapping
+			if s.snapshotDone != nil {
+				<-s.snapshotDone
 			}
 			return
 		}
-		s.keep(group)
-		s.compact()
+		s.commitGroup(group)
+		s.maybeSnapshot()
 	}
 }
 
-func (s *Store) keep(group []commit) {
+func (s *Log) commitGroup(group []commit) {
 	var all []Change
 	durable := false
 	for _, c := range group {
 		all = append(all, c.changes...)
 		durable = durable || c.durable
 	}
-	err := s.mend()
+	err := s.rewrite()
 	if err == nil {
 		err = s.write(all, durable)
 	}
-	s.tell(err, len(group))
-	s.counts.Commits += len(group)
+	s.reportMode(err, len(group))
+	s.counters.Commits += len(group)
 	for _, c := range group {
 		c.done(err)
 	}
 }
 
-// tell says when changes are kept no longer, and when they are again.
-func (s *Store) tell(err error, commits int) {
+// reportMode says when changes are kept no longer, and when they are again.
+func (s *Log) reportMode(err error, commits int) {
 	switch {
 	case err != nil:
-		if s.refusing == 0 {
-			s.terms.OnMode("state not kept", "why", err)
+		if s.rejectedInRow == 0 {
+			s.options.OnModeChange("state not kept", "why", err)
 		}
-		s.counts.Refused += commits
-		s.refusing += commits
-	case s.refusing > 0:
-		s.terms.OnMode("state kept again", "commits refused", s.refusing)
-		s.refusing = 0
+		s.counters.Rejected += commits
+		s.rejectedInRow += commits
+	case s.rejectedInRow > 0:
+		s.options.OnModeChange("state kept again", "commits refused", s.rejectedInRow)
+		s.rejectedInRow = 0
 	}
 }
 
-// mend writes all that was kept into other files, once a sync has failed: a snapshot, and a log that follows it. Until
+// rewrite writes all that was kept into other files, once a sync has failed: a snapshot, and a log that follows it. Until
 // both are on disk the folder is read as it was, or from that snapshot on; nothing is kept meanwhile, so both are true.
 // The file whose sync failed is not synced again. Each commit that waits tries, one try at a time.
-func (s *Store) mend() error {
-	if s.broken == nil {
+func (s *Log) rewrite() error {
+	if s.syncErr == nil {
 		return nil
 	}
-	if s.snapping != nil {
-		<-s.snapping
-		s.snapping = nil
+	if s.snapshotDone != nil {
+		<-s.snapshotDone
+		s.snapshotDone = nil
 	}
-	if s.mended == 0 { // a number of its own: the log that broke may hold groups, or halves, up to the next
-		s.mended = s.last + 2
+	if s.rewriteFirst == 0 { // a number of its own: the log that broke may hold groups, or halves, up to the next
+		s.rewriteFirst = s.lastGroup + 2
 	}
-	first := s.mended
-	size, err := 0, s.announce(first)
+	first := s.rewriteFirst
+	size, err := 0, s.announceRewrite(first)
 	if err == nil {
-		size, err = writeSnapshot(s.d, first, s.state)
+		size, err = writeSnapshot(s.fs, first, s.state)
 	}
 	if err == nil {
-		if err = s.d.Remove(logOf(first)); errors.Is(err, os.ErrNotExist) { // of a try before
+		if err = s.fs.Remove(segmentName(first)); errors.Is(err, os.ErrNotExist) { // of a try before
 			err = nil
 		}
 	}
 	if err == nil {
-		err = s.startLog(first)
+		err = s.startSegment(first)
 	}
 	if err == nil {
-		err = s.d.Remove(logOf(first) + vfs.Unfinished)
+		err = s.fs.Remove(segmentName(first) + vfs.TempSuffix)
 	}
 	if err != nil {
-		return fmt.Errorf("%w; %w", s.broken, err)
+		return fmt.Errorf("%w; %w", s.syncErr, err)
 	}
-	s.last, s.safe, s.since, s.snapSize, s.broken, s.mended = first-1, first-1, 0, size, nil, 0
-	s.counts.Snapshots++
-	if err := removeOlder(s.d, first); err != nil {
-		s.terms.OnMode("older state not removed", "why", err)
+	s.lastGroup, s.durableGroup, s.bytesSinceSnapshot, s.snapshotSize, s.syncErr, s.rewriteFirst = first-1, first-1, 0, size, nil, 0
+	s.counters.Snapshots++
+	if err := removeOlder(s.fs, first); err != nil {
+		s.options.OnModeChange("older state not removed", "why", err)
 	}
 	return nil
 }
 
-// announce leaves an unfinished log, by which a snapshot without the log that follows it is known not to be damage.
-func (s *Store) announce(first uint64) error {
-	f, err := s.d.Create(logOf(first) + vfs.Unfinished)
+// announceRewrite leaves an unfinished log, by which a snapshot without the log that follows it is known not to be damage.
+func (s *Log) announceRewrite(first uint64) error {
+	f, err := s.fs.Create(segmentName(first) + vfs.TempSuffix)
 	if errors.Is(err, os.ErrExist) {
-		return s.d.Sync()
+		return s.fs.Sync()
 	}
 	if err != nil {
 		return err
@@ -331,148 +331,148 @@
 	if err := f.Close(); err != nil {
 		return err
 	}
-	return s.d.Sync()
+	return s.fs.Sync()
 }
 
 // write puts one group into the log. A write that fails, as on a full disk, is taken back, and the next may
 // succeed; after a sync that fails all is written anew.
-func (s *Store) write(all []Change, durable bool) error {
+func (s *Log) write(all []Change, durable bool) error {
 	body, err := cbor.Marshal(all)
 	if err != nil {
 		return err
 	}
-	if len(body) > mostFrame {
-		return fmt.Errorf("a commit of %d bytes is more than %d", len(body), mostFrame)
+	if len(body) > maxGroupBody {
+		return fmt.Errorf("a commit of %d bytes is more than %d", len(body), maxGroupBody)
 	}
 	if len(all) > 0 {
-		s.buf = frame(s.buf[:0], s.last+1, s.safe, body)
-		if _, err := s.log.Write(s.buf); err != nil {
-			if t := s.log.Truncate(int64(s.size)); t != nil {
-				s.fail(fmt.Errorf("%w, and it could not be taken back: %w", err, t))
-				return s.broken
+		s.buf = appendGroup(s.buf[:0], s.lastGroup+1, s.durableGroup, body)
+		if _, err := s.segment.Write(s.buf); err != nil {
+			if t := s.segment.Truncate(int64(s.segmentSize)); t != nil {
+				s.setSyncError(fmt.Errorf("%w, and it could not be taken back: %w", err, t))
+				return s.syncErr
 			}
 			return err
 		}
-		s.size += len(s.buf)
-		s.since += len(s.buf)
-		s.last++
-		s.counts.Groups++
+		s.segmentSize += len(s.buf)
+		s.bytesSinceSnapshot += len(s.buf)
+		s.lastGroup++
+		s.counters.Groups++
 	}
 	if durable {
 		began := time.Now()
-		if err := s.log.Sync(); err != nil {
-			s.fail(err)
-			return s.broken
+		if err := s.segment.Sync(); err != nil {
+			s.setSyncError(err)
+			return s.syncErr
 		}
-		s.counts.Syncs++
-		s.counts.Syncing += time.Since(began)
-		s.safe = s.last
+		s.counters.Syncs++
+		s.counters.SyncTime += time.Since(began)
+		s.durableGroup = s.lastGroup
 	}
 	s.state.apply(all)
 	return nil
 }
 
-// mark ends a log in order: damage before it is then told from what a crash leaves.
-func (s *Store) mark() error {
-	if s.size == headerSize {
+// writeCleanEnd ends a log in order: damage before it is then told from what a crash leaves.
+func (s *Log) writeCleanEnd() error {
+	if s.segmentSize == headerSize {
 		return nil
 	}
-	if _, err := s.log.Write(frame(nil, s.last+1, s.safe, emptyGroup)); err != nil {
+	if _, err := s.segment.Write(appendGroup(nil, s.lastGroup+1, s.durableGroup, emptyGroupBody)); err != nil {
 		return err
 	}
-	s.last++
-	return s.log.Sync()
+	s.lastGroup++
+	return s.segment.Sync()
 }
 
-var emptyGroup = []byte{0x80} // no changes, in CBOR
+var emptyGroupBody = []byte{0x80} // no changes, in CBOR
 
-func (s *Store) fail(why error) { s.broken = fmt.Errorf("%w (%w)", ErrBroken, why) }
+func (s *Log) setSyncError(why error) { s.syncErr = fmt.Errorf("%w (%w)", ErrSyncFailed, why) }
 
-// compact writes a snapshot, beside the work, when the log has outgrown the last one: so the folder holds at most
+// maybeSnapshot writes a snapshot, beside the work, when the log has outgrown the last one: so the folder holds at most
 // the old snapshot and its log, the new one, and what came meanwhile.
-func (s *Store) compact() {
-	if s.snapping != nil {
+func (s *Log) maybeSnapshot() {
+	if s.snapshotDone != nil {
 		select {
-		case <-s.snapping:
-			s.snapping = nil
+		case <-s.snapshotDone:
+			s.snapshotDone = nil
 		default:
 			return
 		}
 	}
-	if s.broken != nil || s.since < max(s.terms.Small, logGrows*s.snapSize) {
+	if s.syncErr != nil || s.bytesSinceSnapshot < max(s.options.MinSnapshotLog, snapshotGrowthFactor*s.snapshotSize) {
 		return
 	}
-	if err := s.log.Sync(); err != nil { // the next file follows on this one whole
-		s.fail(err)
+	if err := s.segment.Sync(); err != nil { // the next file follows on this one whole
+		s.setSyncError(err)
 		return
 	}
-	s.safe = s.last
-	if err := s.startLog(s.last + 1); err != nil {
-		s.terms.OnMode("no snapshot", "why", err)
-		s.since = 0 // tried again when as much has come anew
+	s.durableGroup = s.lastGroup
+	if err := s.startSegment(s.lastGroup + 1); err != nil {
+		s.options.OnModeChange("no snapshot", "why", err)
+		s.bytesSinceSnapshot = 0 // tried again when as much has come anew
 		return
 	}
-	s.since = 0
-	first, of := s.last+1, s.state.copied()
+	s.bytesSinceSnapshot = 0
+	first, of := s.lastGroup+1, s.state.clone()
 	done := make(chan struct{})
-	s.snapping = done
-	s.counts.Snapshots++
+	s.snapshotDone = done
+	s.counters.Snapshots++
 	go func() {
 		defer close(done)
-		size, err := writeSnapshot(s.d, first, of)
+		size, err := writeSnapshot(s.fs, first, of)
 		if err != nil {
-			s.terms.OnMode("no snapshot", "why", err)
+			s.options.OnModeChange("no snapshot", "why", err)
 			return
 		}
-		s.snapSize = size // read after done is closed
-		if err := removeOlder(s.d, first); err != nil {
-			s.terms.OnMode("older state not removed", "why", err)
+		s.snapshotSize = size // read after done is closed
+		if err := removeOlder(s.fs, first); err != nil {
+			s.options.OnModeChange("older state not removed", "why", err)
 		}
 	}()
 }
 
 // Compact makes a snapshot of a folder that nobody writes to.
-func Compact(d vfs.Folder) (before, after Figures, err error) {
-	s, before, err := Open(d, Terms{})
+func Compact(d vfs.FS) (before, after Stats, err error) {
+	s, before, err := Open(d, Options{})
 	if err != nil {
 		return before, after, err
 	}
 	if err := s.Close(); err != nil {
 		return before, after, err
 	}
-	if err := s.startLog(s.last + 1); err != nil && !errors.Is(err, os.ErrExist) { // it exists where it is empty
+	if err := s.startSegment(s.lastGroup + 1); err != nil && !errors.Is(err, os.ErrExist) { // it exists where it is empty
 		return before, after, err
 	}
-	defer s.log.Close()
-	if _, err := writeSnapshot(d, s.last+1, s.state); err != nil {
+	defer s.segment.Close()
+	if _, err := writeSnapshot(d, s.lastGroup+1, s.state); err != nil {
 		return before, after, err
 	}
-	if err := removeOlder(d, s.last+1); err != nil {
+	if err := removeOlder(d, s.lastGroup+1); err != nil {
 		return before, after, err
 	}
-	now, err := Read(d, false)
+	now, err := Load(d, false)
 	if err != nil {
 		return before, after, err
 	}
-	return before, now.Figures, nil
+	return before, now.Stats, nil
 }
 
-func writeSnapshot(d vfs.Folder, first uint64, of *State) (size int, err error) {
-	p := header(snapSort, first)
+func writeSnapshot(d vfs.FS, first uint64, of *State) (size int, err error) {
+	p := appendFileHeader(snapshotMagic, first)
 	var chunk []Change
 	n, held := uint64(0), 0
 	put := func() error {
 		body, err := cbor.Marshal(chunk)
 		if err == nil {
-			p = frame(p, n, 0, body)
+			p = appendGroup(p, n, 0, body)
 			n, held, chunk = n+1, 0, chunk[:0]
 		}
 		return err
 	}
 	for _, kind := range of.Kinds() {
-		if err := of.Each(kind, func(key string, value []byte) error {
+		if err := of.ForEach(kind, func(key string, value []byte) error {
 			chunk = append(chunk, Change{Kind: kind, Key: key, Value: value})
-			if held += len(key) + len(value); held >= snapChunk {
+			if held += len(key) + len(value); held >= snapshotChunkBytes {
 				return put()
 			}
 			return nil
@@ -485,20 +485,20 @@
 			return 0, err
 		}
 	}
-	p = frame(p, n, 0, nil)
-	return len(p), vfs.Replace(d, fmt.Sprintf("%s%016x", snapName, first), p)
+	p = appendGroup(p, n, 0, nil)
+	return len(p), vfs.WriteFileAtomic(d, fmt.Sprintf("%s%016x", snapshotPrefix, first), p)
 }
 
 // removeOlder takes away what a snapshot made needless; what is left of it by a crash goes at the next start.
-func removeOlder(d vfs.Folder, first uint64) error {
+func removeOlder(d vfs.FS, first uint64) error {
 	names, err := d.List()
 	if err != nil {
 		return err
 	}
 	for _, name := range names {
-		n, ok := numbered(name, logName)
+		n, ok := parseFileName(name, segmentPrefix)
 		if !ok {
-			n, ok = numbered(name, snapName)
+			n, ok = parseFileName(name, snapshotPrefix)
 		}
 		if ok && n < first {
 			if err := d.Remove(name); err != nil {
--- a/internal/storage/wal/store_test.go
+++ b/internal/storage/wal/store_test.go
@@ -24,13 +24,13 @@
 
 func put(key, value string) Change { return Change{Kind: "k", Key: key, Value: []byte(value)} }
 
-func commit1(s *Store, durable bool, all ...Change) error {
+func commit1(s *Log, durable bool, all ...Change) error {
 	done := make(chan error, 1)
 	s.Commit(all, durable, func(err error) { done <- err })
 	return <-done
 }
 
-func mustOpen(t *testing.T, d vfs.Folder, terms Terms) (*Store, Figures) {
+func mustOpen(t *testing.T, d vfs.FS, terms Options) (*Log, Stats) {
 	t.Helper()
 	s, f, err := Open(d, terms)
 	if err != nil {
@@ -41,7 +41,7 @@
 
 func held(s *State) map[string]string {
 	out := map[string]string{}
-	s.Each("k", func(k string, v []byte) error {
+	s.ForEach("k", func(k string, v []byte) error {
 		out[k] = string(v)
 		return nil
 	})
@@ -49,9 +49,9 @@
 }
 
 // filled is a folder with ten groups in one log.
-func filled(t *testing.T) *faultfs.Disk {
+func filled(t *testing.T) *faultfs.FS {
 	d := faultfs.New()
-	s, _ := mustOpen(t, d, Terms{})
+	s, _ := mustOpen(t, d, Options{})
 	for i := range 10 {
 		if err := commit1(s, true, put(fmt.Sprint(i), strings.Repeat("x", 100))); err != nil {
 			t.Fatal(err)
@@ -65,10 +65,10 @@
 
 const first = "log-0000000000000001"
 
-func snapshotOf(d vfs.Folder) string {
+func snapshotOf(d vfs.FS) string {
 	names, _ := d.List()
 	for _, n := range names {
-		if strings.HasPrefix(n, snapName) {
+		if strings.HasPrefix(n, snapshotPrefix) {
 			return n
 		}
 	}
@@ -79,45 +79,45 @@
 func TestDamage(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		spoil func(t *testing.T, d *faultfs.Disk)
+		spoil func(t *testing.T, d *faultfs.FS)
 		want  string // of the error; empty: nine or ten groups are read
 		left  int
 	}{
-		{"nothing", func(*testing.T, *faultfs.Disk) {}, "", 10},
-		{"a truncated tail", func(t *testing.T, d *faultfs.Disk) {
+		{"nothing", func(*testing.T, *faultfs.FS) {}, "", 10},
+		{"a truncated tail", func(t *testing.T, d *faultfs.FS) {
 			p, _ := d.Read(first)
 			f, _ := d.Append(first)
 			f.Truncate(int64(len(p) - 80)) // the mark of the orderly end, and a part of the last group
 			f.Sync()
 		}, "", 9},
-		{"a corrupt middle", func(t *testing.T, d *faultfs.Disk) { d.Flip(first, 8*400) }, "group 3 is damaged; it was kept, as group 4", 0},
-		{"a corrupt length in the middle", func(t *testing.T, d *faultfs.Disk) { d.Flip(first, 8*(headerSize+4)) }, "group 1 is damaged", 0},
-		{"a corrupt beginning", func(t *testing.T, d *faultfs.Disk) { d.Flip(first, 8*3) }, "at byte 0: it does not begin", 0},
-		{"a version from later", func(t *testing.T, d *faultfs.Disk) { rewrite(t, d, first, Version+1) }, "use the later one", 0},
-		{"a file is missing", func(t *testing.T, d *faultfs.Disk) {
+		{"a corrupt middle", func(t *testing.T, d *faultfs.FS) { d.FlipBit(first, 8*400) }, "group 3 is damaged; it was kept, as group 4", 0},
+		{"a corrupt length in the middle", func(t *testing.T, d *faultfs.FS) { d.FlipBit(first, 8*(headerSize+4)) }, "group 1 is damaged", 0},
+		{"a corrupt beginning", func(t *testing.T, d *faultfs.FS) { d.FlipBit(first, 8*3) }, "at byte 0: it does not begin", 0},
+		{"a version from later", func(t *testing.T, d *faultfs.FS) { rewrite(t, d, first, FormatVersion+1) }, "use the later one", 0},
+		{"a file is missing", func(t *testing.T, d *faultfs.FS) {
 			if err := d.Rename(first, "log-0000000000000004"); err != nil {
 				t.Fatal(err)
 			}
 		}, "a file is missing", 0},
-		{"an unfinished snapshot", func(t *testing.T, d *faultfs.Disk) { d.Create("snapshot-000000000000000b.new") }, "", 10},
-		{"a snapshot cut short", func(t *testing.T, d *faultfs.Disk) {
+		{"an unfinished snapshot", func(t *testing.T, d *faultfs.FS) { d.Create("snapshot-000000000000000b.new") }, "", 10},
+		{"a snapshot cut short", func(t *testing.T, d *faultfs.FS) {
 			if _, _, err := Compact(d); err != nil {
 				t.Fatal(err)
 			}
 			f, _ := d.Append(snapshotOf(d))
 			f.Truncate(300)
 		}, "part 0 of it is damaged", 0},
-		{"a snapshot without its log", func(t *testing.T, d *faultfs.Disk) {
+		{"a snapshot without its log", func(t *testing.T, d *faultfs.FS) {
 			Compact(d)
-			d.Remove(strings.Replace(snapshotOf(d), snapName, logName, 1))
+			d.Remove(strings.Replace(snapshotOf(d), snapshotPrefix, segmentPrefix, 1))
 		}, "the log from group 13 on is missing", 0},
-		{"compacted", func(t *testing.T, d *faultfs.Disk) { Compact(d); Compact(d) }, "", 10},
+		{"compacted", func(t *testing.T, d *faultfs.FS) { Compact(d); Compact(d) }, "", 10},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			d := filled(t)
 			tc.spoil(t, d)
 			before, _ := d.List()
-			s, f, err := Open(d, Terms{})
+			s, f, err := Open(d, Options{})
 			if tc.want != "" {
 				after, _ := d.List()
 				if err == nil || !strings.Contains(err.Error(), tc.want) {
@@ -143,14 +143,14 @@
 }
 
 // rewrite gives a file another version, with a right checksum.
-func rewrite(t *testing.T, d *faultfs.Disk, name string, version byte) {
+func rewrite(t *testing.T, d *faultfs.FS, name string, version byte) {
 	p, err := d.Read(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := header(logSort, 1)
+	h := appendFileHeader(segmentMagic, 1)
 	h[7] = version
-	h = binary.BigEndian.AppendUint32(h[:16], crc32.Checksum(h[:16], table))
+	h = binary.BigEndian.AppendUint32(h[:16], crc32.Checksum(h[:16], castagnoli))
 	d.Remove(name)
 	f, _ := d.Create(name)
 	f.Write(append(h, p[headerSize:]...))
@@ -171,9 +171,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			d := faultfs.New()
 			modes := 0
-			s, _ := mustOpen(t, d, Terms{OnMode: func(string, ...any) { modes++ }})
+			s, _ := mustOpen(t, d, Options{OnModeChange: func(string, ...any) { modes++ }})
 			commit1(s, true, put("a", "1"))
-			d.Fail = func(kind, _ string) error {
+			d.InjectError = func(kind, _ string) error {
 				if strings.Contains(tc.kind, kind) {
 					return tc.err
 				}
@@ -182,16 +182,16 @@
 			if err := commit1(s, true, put("b", "2")); !errors.Is(err, tc.err) {
 				t.Errorf("%v", err)
 			}
-			d.Fail = nil
+			d.InjectError = nil
 			err := commit1(s, true, put("c", "3"))
-			if (err == nil) != tc.after || !tc.after && !errors.Is(err, ErrBroken) {
+			if (err == nil) != tc.after || !tc.after && !errors.Is(err, ErrSyncFailed) {
 				t.Errorf("after it: %v", err)
 			}
 			s.Close()
 			if modes != 2 {
 				t.Errorf("%d changes of mode told, want kept no longer and kept again", modes)
 			}
-			r, err := Read(d, false)
+			r, err := Load(d, false)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -203,23 +203,23 @@
 	}
 	t.Run("read-only folder", func(t *testing.T) {
 		d := faultfs.New()
-		d.Fail = func(string, string) error { return syscall.EROFS }
-		if _, _, err := Open(d, Terms{}); !errors.Is(err, syscall.EROFS) {
+		d.InjectError = func(string, string) error { return syscall.EROFS }
+		if _, _, err := Open(d, Options{}); !errors.Is(err, syscall.EROFS) {
 			t.Errorf("%v", err)
 		}
 	})
 	t.Run("owned by another", func(t *testing.T) {
 		dir := t.TempDir()
-		one, err := vfs.Open(dir)
+		one, err := vfs.OpenLocked(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var owned *vfs.Owned
-		if _, err := vfs.Open(dir); !errors.As(err, &owned) || !strings.Contains(owned.By, fmt.Sprint(os.Getpid())) {
+		var owned *vfs.LockedError
+		if _, err := vfs.OpenLocked(dir); !errors.As(err, &owned) || !strings.Contains(owned.Holder, fmt.Sprint(os.Getpid())) {
 			t.Errorf("%v", err)
 		}
 		one.Close()
-		two, err := vfs.Open(dir)
+		two, err := vfs.OpenLocked(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -229,19 +229,19 @@
 
 // A folder of the system's holds a bounded amount, while work goes on, and is read as it was written.
 func TestCompaction(t *testing.T) {
-	d, err := vfs.Open(t.TempDir())
+	d, err := vfs.OpenLocked(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer d.Close()
-	s, _ := mustOpen(t, d, Terms{Small: 20_000})
+	s, _ := mustOpen(t, d, Options{MinSnapshotLog: 20_000})
 	want := map[string]string{}
 	var made atomic.Int64 // snapshots; each is written beside the work, so how many 3,000 commits lead to is chance
 	for i := 0; i < 3000 || made.Load() < 3 && i < 300_000; i++ {
 		k, v := fmt.Sprint(i%50), strings.Repeat(fmt.Sprint(i), 20)
 		want[k] = v
 		s.Commit([]Change{put(k, v)}, false, func(err error) {
-			made.Store(int64(s.Counts().Snapshots))
+			made.Store(int64(s.Counters().Snapshots))
 			if err != nil {
 				t.Error(err)
 			}
@@ -256,11 +256,11 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	n := s.Counts()
+	n := s.Counters()
 	if n.Snapshots < 3 {
 		t.Errorf("%+v", n)
 	}
-	r, err := Read(d, false)
+	r, err := Load(d, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -280,7 +280,7 @@
 		past := []map[string]string{{}}
 		floor := 0
 		for range rapid.IntRange(1, 5).Draw(t, "lives") {
-			s, _, err := Open(d, Terms{Small: rapid.SampledFrom([]int{300, 5000}).Draw(t, "small")})
+			s, _, err := Open(d, Options{MinSnapshotLog: rapid.SampledFrom([]int{300, 5000}).Draw(t, "small")})
 			if err != nil {
 				t.Fatalf("not opened: %v", err)
 			}
@@ -296,7 +296,7 @@
 				t.Fatalf("found %v, which is no state from commit %d on", got, floor)
 			}
 			past, floor = past[:at+1], at // what was read counts from now on
-			opened := d.Ops()
+			opened := d.OperationCount()
 			var ends []int // operations when each durable commit was acknowledged
 			var which []int
 			for range rapid.IntRange(0, 12).Draw(t, "commits") {
@@ -318,27 +318,27 @@
 				}
 				past = append(past, next)
 				if durable {
-					ends, which = append(ends, d.Ops()), append(which, len(past)-1)
+					ends, which = append(ends, d.OperationCount()), append(which, len(past)-1)
 				}
 			}
 			s.Close()
-			crash := rapid.IntRange(opened, d.Ops()).Draw(t, "crash after")
+			crash := rapid.IntRange(opened, d.OperationCount()).Draw(t, "crash after")
 			for i, e := range ends {
 				if e <= crash {
 					floor = which[i]
 				}
 			}
 			seed := rapid.Uint64().Draw(t, "fate")
-			d = d.Crash(crash, faultfs.Mixed(rand.New(rand.NewPCG(seed, 1))))
+			d = d.Crash(crash, faultfs.KeepSome(rand.New(rand.NewPCG(seed, 1))))
 			if rapid.Bool().Draw(t, "crash in recovery") {
-				before := d.Ops()
-				s, _, err := Open(d, Terms{})
+				before := d.OperationCount()
+				s, _, err := Open(d, Options{})
 				if err != nil {
 					t.Fatalf("not opened: %v", err)
 				}
 				s.Close()
-				again := rapid.IntRange(before, d.Ops()).Draw(t, "after")
-				d = d.Crash(again, faultfs.Mixed(rand.New(rand.NewPCG(seed, 2))))
+				again := rapid.IntRange(before, d.OperationCount()).Draw(t, "after")
+				d = d.Crash(again, faultfs.KeepSome(rand.New(rand.NewPCG(seed, 2))))
 			}
 		}
 	})
@@ -350,7 +350,7 @@
 	for _, fails := range []string{"sync", "sync folder", "create", "rename", "remove", "write"} {
 		t.Run("a sync fails, then "+fails, func(t *testing.T) {
 			d := faultfs.New()
-			s, _ := mustOpen(t, d, Terms{})
+			s, _ := mustOpen(t, d, Options{})
 			type mark struct {
 				ops  int
 				want map[string]string
@@ -361,7 +361,7 @@
 				err := commit1(s, true, put(key, key))
 				if err == nil {
 					want[key] = key
-					marks = append(marks, mark{d.Ops(), maps.Clone(want)})
+					marks = append(marks, mark{d.OperationCount(), maps.Clone(want)})
 				}
 				return err
 			}
@@ -371,7 +371,7 @@
 			old, broke := names[len(names)-1], false
 			var after []string // of the file that failed
 			failing := "sync"
-			d.Fail = func(kind, name string) error {
+			d.InjectError = func(kind, name string) error {
 				if broke && name == old && kind != "remove" {
 					after = append(after, kind)
 				}
@@ -381,12 +381,12 @@
 				broke = broke || name == old
 				return syscall.ENOSPC
 			}
-			if err := commit("c"); !errors.Is(err, ErrBroken) {
+			if err := commit("c"); !errors.Is(err, ErrSyncFailed) {
 				t.Fatalf("%v", err)
 			}
 			failing = fails
 			for range 2 {
-				if err := commit("d"); !errors.Is(err, ErrBroken) && fails != "remove" {
+				if err := commit("d"); !errors.Is(err, ErrSyncFailed) && fails != "remove" {
 					t.Errorf("%v", err)
 				}
 			}
@@ -400,7 +400,7 @@
 			if len(after) > 0 {
 				t.Errorf("the file that failed was asked again: %v", after)
 			}
-			for ops := marks[0].ops; ops <= d.Ops(); ops++ {
+			for ops := marks[0].ops; ops <= d.OperationCount(); ops++ {
 				owed := map[string]string{}
 				for _, m := range marks {
 					if m.ops <= ops {
@@ -408,11 +408,11 @@
 					}
 				}
 				for seed := range uint64(6) {
-					fate := []faultfs.Fate{faultfs.Lost, faultfs.Kept}[seed%2]
+					fate := []faultfs.Survival{faultfs.LoseUnsynced, faultfs.KeepUnsynced}[seed%2]
 					if seed > 1 {
-						fate = faultfs.Mixed(rand.New(rand.NewPCG(seed, uint64(ops))))
+						fate = faultfs.KeepSome(rand.New(rand.NewPCG(seed, uint64(ops))))
 					}
-					again, _, err := Open(d.Crash(ops, fate), Terms{})
+					again, _, err := Open(d.Crash(ops, fate), Options{})
 					if err != nil {
 						t.Fatalf("stopped after %d operations, fate %d: %v", ops, seed, err)
 					}
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -72,7 +72,7 @@
 		p := j.pairs[0]
 		j.pairs = j.pairs[1:]
 		if !p.first.ended {
-			j.fail(2, p.second.at, []string{p.first.text, p.second.text}, "container %s has two bids out", p.second.work.Container)
+			j.fail(2, p.second.at, []string{p.first.text, p.second.text}, "container %s has two bids out", p.second.work.ContainerID)
 		}
 	}
 }
@@ -92,7 +92,7 @@
 }
 
 type listed struct {
-	protocol.Entry
+	protocol.MachineEntry
 	shutAt int64 // when the placer was told that it drains or is gone; 0: it serves
 }
 
@@ -106,7 +106,7 @@
 	answerAt int64
 	offers   []*offer
 	dropped  bool // its link or placer ended: nothing is owed
-	work     protocol.Work
+	work     protocol.ContainerSpec
 	cancel   bool
 }
 
@@ -116,7 +116,7 @@
 	machine string
 	link    uint32
 	until   int64 // its wait
-	work    protocol.Work
+	work    protocol.ContainerSpec
 	never   bool // it provably never ran
 	ended   bool // an outcome came
 	yes     bool
@@ -206,30 +206,30 @@
 	switch f := f.(type) {
 	case *protocol.Submit:
 		j.submitted(l, e, f)
-	case *protocol.Cancel:
-		if c := l.containers[f.Container]; c != nil {
+	case *protocol.CancelContainer:
+		if c := l.containers[f.ContainerID]; c != nil {
 			c.cancel = true
-		} else if f.Key != "" { // an answer to it tells what became of the key
-			l.cancelled[f.Container] = true
+		} else if f.IdempotencyKey != "" { // an answer to it tells what became of the key
+			l.cancelled[f.ContainerID] = true
 		}
-	case *protocol.Look:
-		l.cancelled[f.Container] = true
-	case *protocol.Answer:
+	case *protocol.Lookup:
+		l.cancelled[f.ContainerID] = true
+	case *protocol.PlacementReply:
 		j.answered(l, e, f)
 	case *protocol.Offer:
 		j.offered(l, e, ch, f)
 	case *protocol.Probe:
 		j.cold(l, e)
-	case *protocol.Yes:
-		if o := ch.offers[f.Bid]; o != nil && f.Running {
+	case *protocol.Accept:
+		if o := ch.offers[f.AttemptID]; o != nil && f.Running {
 			j.Running++
 			j.began(l, o)
 		}
 	case *protocol.Result:
 		j.result(l, ch, f)
-	case *protocol.Listed:
+	case *protocol.MachineListUpdate:
 		j.list(l, e, f)
-	case *protocol.Holds:
+	case *protocol.Inventory:
 		j.holds(l, e, ch, f)
 	}
 	return nil
@@ -248,7 +248,7 @@
 		o.ended = true
 		delete(l.held, o)
 	}
-	if ch.far == protocol.Owner {
+	if ch.far == protocol.RoleClient {
 		for _, c := range l.containers {
 			if c.link == e.Link {
 				j.drop(c)
@@ -280,29 +280,29 @@
 
 func (j *judge) submitted(l *life, e *faultproxy.Entry, f *protocol.Submit) {
 	j.Submitted++
-	if c := l.containers[f.Work.Container]; c != nil && c.answers == 0 {
+	if c := l.containers[f.Spec.ContainerID]; c != nil && c.answers == 0 {
 		return // asked twice under one id; the first is owed
 	}
-	l.containers[f.Work.Container] = &container{name: f.Work.Container, asked: e.At, due: e.At + int64(f.Left), link: e.Link,
-		work: f.Work}
+	l.containers[f.Spec.ContainerID] = &container{name: f.Spec.ContainerID, asked: e.At, due: e.At + int64(f.TimeToDeadline), link: e.Link,
+		work: f.Spec}
 }
 
 // answered holds the answer against rules 1 and 2.
-func (j *judge) answered(l *life, e *faultproxy.Entry, f *protocol.Answer) {
-	c := l.containers[f.Container]
-	if c == nil && l.cancelled[f.Container] {
-		delete(l.cancelled, f.Container)
+func (j *judge) answered(l *life, e *faultproxy.Entry, f *protocol.PlacementReply) {
+	c := l.containers[f.ContainerID]
+	if c == nil && l.cancelled[f.ContainerID] {
+		delete(l.cancelled, f.ContainerID)
 		return
 	}
 	if c == nil {
-		j.fail(1, e.At, nil, "an answer for %s, which was not asked of %s", f.Container, l.name)
+		j.fail(1, e.At, nil, "an answer for %s, which was not asked of %s", f.ContainerID, l.name)
 		return
 	}
 	j.Answers[f.Verdict]++
 	c.answers++
 	said := fmt.Sprintf("%.1f ms answer %s: %s", float64(e.At)/10, c.name, f.Verdict)
 	if c.answers > 1 {
-		if f.Verdict == protocol.TurnedAway { // the second of one id
+		if f.Verdict == protocol.VerdictNotAdmitted { // the second of one id
 			c.answers--
 			return
 		}
@@ -312,10 +312,10 @@
 		j.fail(1, e.At, []string{said}, "container %s is answered %.1f ms after its hard stop", c.name, float64(e.At-c.due)/10)
 	}
 	c.verdict, c.answerAt = f.Verdict, e.At
-	if f.Verdict != protocol.PushedBack {
+	if f.Verdict != protocol.VerdictRejected {
 		return
 	}
-	w, ok := j.workload(c.work.Workload)
+	w, ok := j.workload(c.work.WorkloadClass)
 	for _, o := range c.offers {
 		if ok && !o.never && (w.Idempotency == scheduler.AtMostOnce || w.Idempotency == scheduler.IdempotentWithKey && w.DedupScope != scheduler.ScopeFleet) {
 			j.fail(2, e.At, []string{o.text, said}, "container %s is pushed back though it may have run", c.name)
@@ -333,13 +333,13 @@
 
 func (j *judge) offered(l *life, e *faultproxy.Entry, ch *channel, f *protocol.Offer) {
 	j.Offers++
-	o := &offer{at: e.At, bid: f.Bid, machine: ch.name, link: e.Link, until: e.At + int64(f.Wait), work: f.Work,
-		text: fmt.Sprintf("%.1f ms %s offers %s to %s, bid %d, wait %.1f ms", float64(e.At)/10, l.name, f.Work.Container,
-			ch.name, f.Bid, float64(f.Wait)/10)}
-	c := l.containers[f.Work.Container]
+	o := &offer{at: e.At, bid: f.AttemptID, machine: ch.name, link: e.Link, until: e.At + int64(f.Timeout), work: f.Spec,
+		text: fmt.Sprintf("%.1f ms %s offers %s to %s, bid %d, wait %.1f ms", float64(e.At)/10, l.name, f.Spec.ContainerID,
+			ch.name, f.AttemptID, float64(f.Timeout)/10)}
+	c := l.containers[f.Spec.ContainerID]
 	if c == nil {
-		j.fail(1, e.At, []string{o.text}, "container %s was not asked of %s", f.Work.Container, l.name)
-		c = &container{name: f.Work.Container, work: f.Work, dropped: true}
+		j.fail(1, e.At, []string{o.text}, "container %s was not asked of %s", f.Spec.ContainerID, l.name)
+		c = &container{name: f.Spec.ContainerID, work: f.Spec, dropped: true}
 		l.containers[c.name] = c
 	}
 	o.c = c
@@ -347,9 +347,9 @@
 	if c.answers > 0 && e.At > c.answerAt+slack {
 		j.fail(1, e.At, []string{o.text}, "container %s is sent after its answer, %s at %.1f ms", c.name, c.verdict, float64(c.answerAt)/10)
 	}
-	w, known := j.workload(f.Work.Workload)
+	w, known := j.workload(f.Spec.WorkloadClass)
 	if !known {
-		j.fail(1, e.At, []string{o.text}, "workload %d is unknown", f.Work.Workload)
+		j.fail(1, e.At, []string{o.text}, "workload %d is unknown", f.Spec.WorkloadClass)
 		return
 	}
 	for _, p := range c.offers {
@@ -380,7 +380,7 @@
 	}
 	j.cold(l, e)
 	c.offers = append(c.offers, o)
-	ch.offers[f.Bid] = o
+	ch.offers[f.AttemptID] = o
 	l.held[o] = true
 	j.spread(l, o, w)
 }
@@ -463,38 +463,38 @@
 	}
 	o.yes = true
 	l.held[o] = true
-	if w, ok := j.workload(o.work.Workload); ok && w.Idempotency == scheduler.AtMostOnce {
-		if p := j.ran[o.work.Key]; p != nil && p != o {
-			j.fail(2, j.now, []string{p.text, o.text}, "at-most-once key %s ran twice", o.work.Key)
+	if w, ok := j.workload(o.work.WorkloadClass); ok && w.Idempotency == scheduler.AtMostOnce {
+		if p := j.ran[o.work.IdempotencyKey]; p != nil && p != o {
+			j.fail(2, j.now, []string{p.text, o.text}, "at-most-once key %s ran twice", o.work.IdempotencyKey)
 		}
-		j.ran[o.work.Key] = o
+		j.ran[o.work.IdempotencyKey] = o
 	}
 }
 
 func (j *judge) result(l *life, ch *channel, f *protocol.Result) {
-	o := ch.offers[f.Bid]
+	o := ch.offers[f.AttemptID]
 	if o == nil {
 		return
 	}
-	delete(ch.offers, f.Bid)
+	delete(ch.offers, f.AttemptID)
 	delete(l.held, o)
 	o.ended = true
-	o.never = f.Outcome == protocol.Full && !o.yes
-	if f.Outcome == protocol.Finished {
+	o.never = f.Outcome == protocol.OutcomeFull && !o.yes
+	if f.Outcome == protocol.OutcomeFinished {
 		j.began(l, o)
 		delete(l.held, o)
 	}
 }
 
-func (j *judge) list(l *life, e *faultproxy.Entry, f *protocol.Listed) {
-	if f.Whole {
+func (j *judge) list(l *life, e *faultproxy.Entry, f *protocol.MachineListUpdate) {
+	if f.FullSnapshot {
 		named := map[string]bool{}
 		for _, x := range f.Entries {
 			named[x.Machine] = true
 		}
 		for name, m := range l.machines {
 			if !named[name] {
-				m.State = protocol.Gone
+				m.State = protocol.MachineGone
 				if m.shutAt == 0 {
 					m.shutAt = e.At
 				}
@@ -507,15 +507,15 @@
 		j.places[l.name] = places
 	}
 	for _, x := range f.Entries {
-		places[x.Machine] = place{x.Zone, x.Cell}
+		places[x.Machine] = place{x.Zone, x.RackGroup}
 		m := l.machines[x.Machine]
 		if m == nil {
 			m = &listed{}
 			l.machines[x.Machine] = m
 		}
 		shut := m.shutAt
-		m.Entry, m.shutAt = x, 0
-		if x.State != protocol.Serving {
+		m.MachineEntry, m.shutAt = x, 0
+		if x.State != protocol.MachineServing {
 			if m.shutAt = shut; shut == 0 {
 				m.shutAt = e.At
 			}
@@ -532,20 +532,20 @@
 }
 
 // holds counts what a machine says that it runs for the placer, of this life and earlier ones.
-func (j *judge) holds(l *life, e *faultproxy.Entry, ch *channel, f *protocol.Holds) {
-	for _, k := range f.Held {
+func (j *judge) holds(l *life, e *faultproxy.Entry, ch *channel, f *protocol.Inventory) {
+	for _, k := range f.Containers {
 		if !k.Running {
 			continue
 		}
-		o := &offer{at: e.At, bid: k.Bid, machine: ch.name, link: e.Link, work: k.Work, yes: true,
-			text: fmt.Sprintf("%.1f ms %s says it holds %s of %s", float64(e.At)/10, ch.name, k.Work.Container, l.name)}
-		ch.offers[k.Bid] = o
+		o := &offer{at: e.At, bid: k.AttemptID, machine: ch.name, link: e.Link, work: k.Spec, yes: true,
+			text: fmt.Sprintf("%.1f ms %s says it holds %s of %s", float64(e.At)/10, ch.name, k.Spec.ContainerID, l.name)}
+		ch.offers[k.AttemptID] = o
 		l.held[o] = true
-		if w, ok := j.workload(k.Work.Workload); ok && w.Idempotency == scheduler.AtMostOnce {
-			if p := j.ran[k.Work.Key]; p != nil && p.bid != k.Bid {
-				j.fail(2, j.now, []string{p.text, o.text}, "at-most-once key %s ran twice", k.Work.Key)
+		if w, ok := j.workload(k.Spec.WorkloadClass); ok && w.Idempotency == scheduler.AtMostOnce {
+			if p := j.ran[k.Spec.IdempotencyKey]; p != nil && p.bid != k.AttemptID {
+				j.fail(2, j.now, []string{p.text, o.text}, "at-most-once key %s ran twice", k.Spec.IdempotencyKey)
 			}
-			j.ran[k.Work.Key] = o
+			j.ran[k.Spec.IdempotencyKey] = o
 		}
 	}
 }
@@ -586,23 +586,23 @@
 		show := false
 		switch f := f.(type) {
 		case *protocol.Offer:
-			if show = f.Work.Container == container; show {
-				bids[f.Bid], links[e.Link] = true, true
+			if show = f.Spec.ContainerID == container; show {
+				bids[f.AttemptID], links[e.Link] = true, true
 			}
 		case *protocol.Submit:
-			show = f.Work.Container == container
-		case *protocol.Cancel:
-			show = f.Container == container
-		case *protocol.Answer:
-			show = f.Container == container
-		case *protocol.Fate:
-			show = f.Container == container
-		case *protocol.Yes:
-			show = bids[f.Bid]
+			show = f.Spec.ContainerID == container
+		case *protocol.CancelContainer:
+			show = f.ContainerID == container
+		case *protocol.PlacementReply:
+			show = f.ContainerID == container
+		case *protocol.Termination:
+			show = f.ContainerID == container
+		case *protocol.Accept:
+			show = bids[f.AttemptID]
 		case *protocol.Result:
-			show = bids[f.Bid]
-		case *protocol.Withdraw:
-			show = bids[f.Bid]
+			show = bids[f.AttemptID]
+		case *protocol.CancelAttempt:
+			show = bids[f.AttemptID]
 		}
 		if show {
 			say(fmt.Sprintf("%s %+v%s", strings.TrimPrefix(fmt.Sprintf("%T", f), "*link."), reflect.ValueOf(f).Elem(), lost))
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -24,7 +24,7 @@
 		SlowStartWindow: 1000 * ms, SlowStartBudget: 3, WorkloadClasses: []scheduler.WorkloadClass{{}, {Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeZone,
 			DedupWindow: 4000 * ms}, {Idempotency: scheduler.AtMostOnce, SpreadScope: scheduler.ScopeZone, MaxPerScope: 2}}}}
 	h.connect()
-	h.list(0, map[string]protocol.Entry{"a": {}, "b": {}, "c": {Zone: 1}})
+	h.list(0, map[string]protocol.MachineEntry{"a": {}, "b": {}, "c": {Zone: 1}})
 	return h
 }
 
@@ -43,10 +43,10 @@
 
 // connect opens the links to a client, the list and the machines.
 func (h *history) connect() {
-	h.open(1, protocol.Owner, "o")
-	h.open(2, protocol.List, "list")
+	h.open(1, protocol.RoleClient, "o")
+	h.open(2, protocol.RoleMachineList, "list")
 	for i, m := range []string{"a", "b", "c"} {
-		h.open(uint32(10+i), protocol.Machine, m)
+		h.open(uint32(10+i), protocol.RoleMachine, m)
 	}
 }
 
@@ -58,11 +58,11 @@
 	h.put(at, faultproxy.Entry{Sort: s, Link: id, Far: h.j.links[id].far, Name: h.j.links[id].name, Frame: p[4:]})
 }
 
-func (h *history) list(at int64, entries map[string]protocol.Entry) {
-	f := &protocol.Listed{}
+func (h *history) list(at int64, entries map[string]protocol.MachineEntry) {
+	f := &protocol.MachineListUpdate{}
 	for _, m := range []string{"a", "b", "c"} {
 		if e, ok := entries[m]; ok {
-			e.Machine, e.Addr = m, "127.0.0.1:1"
+			e.Machine, e.Address = m, "127.0.0.1:1"
 			if e.Incarnation == 0 {
 				e.Age = -1
 			}
@@ -82,30 +82,30 @@
 	h.connect()
 }
 
-func (h *history) work(c string, workload int) protocol.Work {
-	return protocol.Work{Container: c, Key: "k-" + c, Service: "s", Workload: workload}
+func (h *history) work(c string, workload int) protocol.ContainerSpec {
+	return protocol.ContainerSpec{ContainerID: c, IdempotencyKey: "k-" + c, Service: "s", WorkloadClass: workload}
 }
 
 func (h *history) ask(at int64, c string, workload int) {
-	h.frame(at, faultproxy.ToPlacer, 1, &protocol.Submit{Left: 2000 * ms, Work: h.work(c, workload)})
+	h.frame(at, faultproxy.ToPlacer, 1, &protocol.Submit{TimeToDeadline: 2000 * ms, Spec: h.work(c, workload)})
 }
 
 func (h *history) offer(at int64, c string, workload int, id uint32) uint64 {
 	h.bids++
-	h.frame(at, faultproxy.FromPlacer, id, &protocol.Offer{Bid: h.bids, Wait: 500 * ms, Work: h.work(c, workload)})
+	h.frame(at, faultproxy.FromPlacer, id, &protocol.Offer{AttemptID: h.bids, Timeout: 500 * ms, Spec: h.work(c, workload)})
 	return h.bids
 }
 
 func (h *history) result(at int64, id uint32, bid uint64, o protocol.Outcome) {
-	h.frame(at, faultproxy.ToPlacer, id, &protocol.Result{Bid: bid, Outcome: o})
+	h.frame(at, faultproxy.ToPlacer, id, &protocol.Result{AttemptID: bid, Outcome: o})
 }
 
 func (h *history) yes(at int64, id uint32, bid uint64) {
-	h.frame(at, faultproxy.ToPlacer, id, &protocol.Yes{Bid: bid, Running: true})
+	h.frame(at, faultproxy.ToPlacer, id, &protocol.Accept{AttemptID: bid, Running: true})
 }
 
 func (h *history) answer(at int64, c string, v protocol.Verdict) {
-	h.frame(at, faultproxy.FromPlacer, 1, &protocol.Answer{Container: c, Verdict: v})
+	h.frame(at, faultproxy.FromPlacer, 1, &protocol.PlacementReply{ContainerID: c, Verdict: v})
 }
 
 // Each history either keeps the rules or breaks one, and the audit tells which.
@@ -118,123 +118,123 @@
 		{"placed", func(h *history) {
 			h.ask(1, "x", 0)
 			h.yes(9, 10, h.offer(2, "x", 0, 10))
-			h.answer(9, "x", protocol.Placed)
+			h.answer(9, "x", protocol.VerdictPlaced)
 		}, 0},
-		{"no answer", func(h *history) { h.ask(1, "x", 0); h.frame(3000, faultproxy.ToPlacer, 1, &protocol.Beat{}) }, 1},
+		{"no answer", func(h *history) { h.ask(1, "x", 0); h.frame(3000, faultproxy.ToPlacer, 1, &protocol.Heartbeat{}) }, 1},
 		{"no answer, its placer killed in time", func(h *history) { h.ask(1, "x", 0); h.put(500, faultproxy.Entry{Sort: faultproxy.Killed}) }, 0},
 		{"no answer, its placer killed too late", func(h *history) { h.ask(1, "x", 0); h.put(5000, faultproxy.Entry{Sort: faultproxy.Killed}) }, 1},
 		{"no answer, its owner left", func(h *history) { h.ask(1, "x", 0); h.put(500, faultproxy.Entry{Sort: faultproxy.Closed, Link: 1}) }, 0},
 		{"two answers", func(h *history) {
 			h.ask(1, "x", 0)
-			h.answer(2, "x", protocol.PushedBack)
-			h.answer(3, "x", protocol.GivenUp)
+			h.answer(2, "x", protocol.VerdictRejected)
+			h.answer(3, "x", protocol.VerdictFailed)
 		}, 1},
-		{"late answer", func(h *history) { h.ask(1, "x", 0); h.answer(2100, "x", protocol.PushedBack) }, 1},
-		{"sent after its answer", func(h *history) { h.ask(1, "x", 0); h.answer(2, "x", protocol.GivenUp); h.offer(100, "x", 0, 10) }, 1},
+		{"late answer", func(h *history) { h.ask(1, "x", 0); h.answer(2100, "x", protocol.VerdictRejected) }, 1},
+		{"sent after its answer", func(h *history) { h.ask(1, "x", 0); h.answer(2, "x", protocol.VerdictFailed); h.offer(100, "x", 0, 10) }, 1},
 		{"never asked for", func(h *history) { h.offer(100, "x", 0, 10) }, 1},
 
 		{"again after a refusal", func(h *history) {
 			h.ask(1, "x", 2)
-			h.result(5, 10, h.offer(2, "x", 2, 10), protocol.Full)
+			h.result(5, 10, h.offer(2, "x", 2, 10), protocol.OutcomeFull)
 			h.offer(6, "x", 2, 11)
-			h.answer(9, "x", protocol.GivenUp)
+			h.answer(9, "x", protocol.VerdictFailed)
 		}, 0},
 		{"at-most-once again after a time-out", func(h *history) {
 			h.ask(1, "x", 2)
 			h.offer(2, "x", 2, 10)
 			h.offer(600, "x", 2, 11)
-			h.answer(700, "x", protocol.GivenUp)
+			h.answer(700, "x", protocol.VerdictFailed)
 		}, 2},
 		{"at-most-once pushed back after a time-out", func(h *history) {
 			h.ask(1, "x", 2)
 			h.offer(2, "x", 2, 10)
-			h.answer(700, "x", protocol.PushedBack)
+			h.answer(700, "x", protocol.VerdictRejected)
 		}, 2},
 		{"reissuable again after a time-out", func(h *history) {
 			h.ask(1, "x", 0)
 			h.offer(2, "x", 0, 10)
 			h.offer(600, "x", 0, 12)
-			h.answer(700, "x", protocol.PushedBack)
+			h.answer(700, "x", protocol.VerdictRejected)
 		}, 0},
 		{"two bids out", func(h *history) {
 			h.ask(1, "x", 0)
 			h.offer(2, "x", 0, 10)
 			h.offer(100, "x", 0, 12)
-			h.answer(700, "x", protocol.PushedBack)
+			h.answer(700, "x", protocol.VerdictRejected)
 		}, 2},
 		{"the first's link was reset in the same moment", func(h *history) {
 			h.ask(1, "x", 0)
 			h.offer(2, "x", 0, 10)
 			h.offer(100, "x", 0, 12)
 			h.put(110, faultproxy.Entry{Sort: faultproxy.Closed, Link: 10})
-			h.answer(700, "x", protocol.PushedBack)
+			h.answer(700, "x", protocol.VerdictRejected)
 		}, 0},
 		{"numbered stays in its group", func(h *history) {
 			h.ask(1, "x", 1)
 			h.offer(2, "x", 1, 10)
 			h.offer(600, "x", 1, 11)
-			h.answer(700, "x", protocol.GivenUp)
+			h.answer(700, "x", protocol.VerdictFailed)
 		}, 0},
 		{"numbered leaves its group", func(h *history) {
 			h.ask(1, "x", 1)
 			h.offer(2, "x", 1, 10)
 			h.offer(600, "x", 1, 12)
-			h.answer(700, "x", protocol.GivenUp)
+			h.answer(700, "x", protocol.VerdictFailed)
 		}, 2},
 		{"numbered stays in its group, the list not heard since a restart", func(h *history) {
 			h.restart(1)
 			h.ask(2, "x", 1)
 			h.offer(3, "x", 1, 10)
 			h.offer(600, "x", 1, 11)
-			h.answer(700, "x", protocol.GivenUp)
+			h.answer(700, "x", protocol.VerdictFailed)
 		}, 0},
 		{"numbered leaves its group, the list not heard since a restart", func(h *history) {
 			h.restart(1)
 			h.ask(2, "x", 1)
 			h.offer(3, "x", 1, 10)
 			h.offer(600, "x", 1, 12)
-			h.answer(700, "x", protocol.GivenUp)
+			h.answer(700, "x", protocol.VerdictFailed)
 		}, 2},
 		{"numbered leaves its group, a machine moved since a restart", func(h *history) {
 			h.restart(1)
-			h.list(1, map[string]protocol.Entry{"b": {Zone: 1}})
+			h.list(1, map[string]protocol.MachineEntry{"b": {Zone: 1}})
 			h.ask(2, "x", 1)
 			h.offer(3, "x", 1, 10)
 			h.offer(600, "x", 1, 11)
-			h.answer(700, "x", protocol.GivenUp)
+			h.answer(700, "x", protocol.VerdictFailed)
 		}, 2},
 		{"numbered goes to a machine of which no list told", func(h *history) {
-			h.open(20, protocol.Machine, "d")
+			h.open(20, protocol.RoleMachine, "d")
 			h.ask(2, "x", 1)
 			h.offer(3, "x", 1, 10)
 			h.offer(600, "x", 1, 20)
-			h.answer(700, "x", protocol.GivenUp)
+			h.answer(700, "x", protocol.VerdictFailed)
 		}, 2},
 		{"a key ran twice", func(h *history) {
 			h.ask(1, "x", 2)
 			h.yes(3, 10, h.offer(2, "x", 2, 10))
-			h.answer(4, "x", protocol.Placed)
-			h.frame(9, faultproxy.ToPlacer, 11, &protocol.Holds{Held: []protocol.Holding{{Bid: 99, Running: true, Work: h.work("x", 2)}}})
+			h.answer(4, "x", protocol.VerdictPlaced)
+			h.frame(9, faultproxy.ToPlacer, 11, &protocol.Inventory{Containers: []protocol.InventoryItem{{AttemptID: 99, Running: true, Spec: h.work("x", 2)}}})
 		}, 2},
 
 		{"sent to a draining machine", func(h *history) {
-			h.list(1, map[string]protocol.Entry{"a": {State: protocol.Draining}})
+			h.list(1, map[string]protocol.MachineEntry{"a": {State: protocol.MachineDraining}})
 			h.ask(290, "x", 0)
 			h.yes(300, 10, h.offer(300, "x", 0, 10))
-			h.answer(301, "x", protocol.Placed)
+			h.answer(301, "x", protocol.VerdictPlaced)
 		}, 3},
 		{"within the grace", func(h *history) {
-			h.list(1, map[string]protocol.Entry{"a": {State: protocol.Draining}})
+			h.list(1, map[string]protocol.MachineEntry{"a": {State: protocol.MachineDraining}})
 			h.ask(1, "x", 0)
 			h.yes(200, 10, h.offer(200, "x", 0, 10))
-			h.answer(201, "x", protocol.Placed)
+			h.answer(201, "x", protocol.VerdictPlaced)
 		}, 0},
 		{"serving again", func(h *history) {
-			h.list(1, map[string]protocol.Entry{"a": {State: protocol.Draining}})
-			h.list(100, map[string]protocol.Entry{"a": {}})
+			h.list(1, map[string]protocol.MachineEntry{"a": {State: protocol.MachineDraining}})
+			h.list(100, map[string]protocol.MachineEntry{"a": {}})
 			h.ask(390, "x", 0)
 			h.yes(400, 10, h.offer(400, "x", 0, 10))
-			h.answer(401, "x", protocol.Placed)
+			h.answer(401, "x", protocol.VerdictPlaced)
 		}, 0},
 
 		{"cold budget kept", func(h *history) { h.cold(400) }, 0},
@@ -263,12 +263,12 @@
 
 // cold sends five offers to a machine that has just started.
 func (h *history) cold(gap int64) {
-	h.list(1, map[string]protocol.Entry{"a": {Incarnation: 2}})
+	h.list(1, map[string]protocol.MachineEntry{"a": {Incarnation: 2}})
 	for i := range int64(5) {
 		c := fmt.Sprint("x", i)
 		h.ask(10+gap*i, c, 0)
 		h.yes(10+gap*i, 10, h.offer(10+gap*i, c, 0, 10))
-		h.answer(10+gap*i, c, protocol.Placed)
+		h.answer(10+gap*i, c, protocol.VerdictPlaced)
 	}
 }
 
@@ -278,6 +278,6 @@
 		c := fmt.Sprint("x", i)
 		h.ask(1, c, 2)
 		h.yes(3, id, h.offer(2, c, 2, id))
-		h.answer(4, c, protocol.Placed)
+		h.answer(4, c, protocol.VerdictPlaced)
 	}
 }
--- a/internal/testbed/emulator/list.go
+++ b/internal/testbed/emulator/list.go
@@ -18,12 +18,12 @@
 
 	mu       sync.Mutex
 	machines []*Machine
-	log      []protocol.Entry // the change that made version i+1
-	now      map[string]protocol.Entry
+	log      []protocol.MachineEntry // the change that made version i+1
+	now      map[string]protocol.MachineEntry
 	born     map[string]time.Time
 	dead     map[string]time.Time
-	marked   map[string]protocol.State // by an operator
-	callers  map[*listCaller]bool      // whether they watch
+	marked   map[string]protocol.MachineState // by an operator
+	callers  map[*listCaller]bool             // whether they watch
 	away     bool
 	stale    time.Duration
 	calls    []time.Time
@@ -54,7 +54,7 @@
 		select {
 		case f = <-c.out:
 		case <-tick.C:
-			f = &protocol.Beat{}
+			f = &protocol.Heartbeat{}
 		case <-stop:
 			return
 		}
@@ -76,8 +76,8 @@
 		return "", err
 	}
 	l.machines, l.stop = machines, make(chan struct{})
-	l.now, l.born, l.dead = map[string]protocol.Entry{}, map[string]time.Time{}, map[string]time.Time{}
-	l.marked, l.callers = map[string]protocol.State{}, map[*listCaller]bool{}
+	l.now, l.born, l.dead = map[string]protocol.MachineEntry{}, map[string]time.Time{}, map[string]time.Time{}
+	l.marked, l.callers = map[string]protocol.MachineState{}, map[*listCaller]bool{}
 	l.apply(l.look())
 	l.working.Go(l.watch)
 	l.working.Go(func() {
@@ -100,7 +100,7 @@
 }
 
 // Mark sets what an operator says of a machine.
-func (l *List) Mark(m *Machine, s protocol.State) {
+func (l *List) Mark(m *Machine, s protocol.MachineState) {
 	l.mu.Lock()
 	l.marked[m.Name] = s
 	l.mu.Unlock()
@@ -146,16 +146,16 @@
 }
 
 // look takes down what the machines are like now.
-func (l *List) look() []protocol.Entry {
-	var all []protocol.Entry
+func (l *List) look() []protocol.MachineEntry {
+	var all []protocol.MachineEntry
 	now := time.Now()
 	for _, m := range l.machines {
 		s, ok := m.State()
 		l.mu.Lock()
 		e, known := l.now[m.Name]
 		if ok {
-			e = protocol.Entry{Machine: m.Name, Addr: l.Address(m), Zone: m.ZoneN, Kind: m.KindN, Cell: m.CellN,
-				FreeCores: s.FreeCores, FreeMemory: s.FreeMemory, Hint: 1, Incarnation: s.Incarnation, State: l.marked[m.Name]}
+			e = protocol.MachineEntry{Machine: m.Name, Address: l.Address(m), Zone: m.ZoneN, MachineType: m.KindN, RackGroup: m.CellN,
+				FreeCores: s.FreeCores, FreeMemory: s.FreeMemory, PowerHint: 1, Incarnation: s.Incarnation, State: l.marked[m.Name]}
 			l.born[m.Name] = s.Started
 		}
 		switch dead, was := l.dead[m.Name]; {
@@ -164,7 +164,7 @@
 		case !was:
 			l.dead[m.Name] = now
 		case now.Sub(dead) > l.Notice:
-			e.State = protocol.Gone
+			e.State = protocol.MachineGone
 		}
 		l.mu.Unlock()
 		if known || ok && s.Up {
@@ -175,17 +175,17 @@
 }
 
 // apply puts what has changed into the list and tells the watchers.
-func (l *List) apply(seen []protocol.Entry) {
+func (l *List) apply(seen []protocol.MachineEntry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var changed []protocol.Entry
+	var changed []protocol.MachineEntry
 	for _, e := range seen {
 		e.Age = 0
 		old, known := l.now[e.Machine]
-		if known && old == e || !known && e.State == protocol.Gone {
+		if known && old == e || !known && e.State == protocol.MachineGone {
 			continue
 		}
-		if e.State == protocol.Gone && known && old.State == protocol.Gone {
+		if e.State == protocol.MachineGone && known && old.State == protocol.MachineGone {
 			continue
 		}
 		l.now[e.Machine] = e
@@ -195,7 +195,7 @@
 	if len(changed) == 0 || l.away {
 		return
 	}
-	f := &protocol.Listed{Version: int64(len(l.log)), Entries: l.aged(changed)}
+	f := &protocol.MachineListUpdate{Version: int64(len(l.log)), Entries: l.aged(changed)}
 	for c, watches := range l.callers {
 		if watches {
 			c.send(f)
@@ -203,18 +203,18 @@
 	}
 }
 
-func (l *List) aged(entries []protocol.Entry) []protocol.Entry {
-	out := append([]protocol.Entry(nil), entries...)
+func (l *List) aged(entries []protocol.MachineEntry) []protocol.MachineEntry {
+	out := append([]protocol.MachineEntry(nil), entries...)
 	for i := range out {
-		out[i].Age = protocol.Span(time.Since(l.born[out[i].Machine]).Microseconds() / 100)
+		out[i].Age = protocol.Duration(time.Since(l.born[out[i].Machine]).Microseconds() / 100)
 	}
 	return out
 }
 
 func (l *List) serve(c *listCaller) {
 	defer c.Close()
-	f, err := protocol.Read(c, 1024)
-	if hello, ok := f.(*protocol.Hello); err != nil || !ok || hello.Role != protocol.Placer {
+	f, err := protocol.ReadFrame(c, 1024)
+	if hello, ok := f.(*protocol.Hello); err != nil || !ok || hello.Role != protocol.RoleScheduler {
 		return
 	}
 	l.mu.Lock()
@@ -228,7 +228,7 @@
 	}
 	gone := make(chan struct{})
 	defer close(gone)
-	c.send(protocol.Greeting(protocol.List, "list", 1))
+	c.send(protocol.NewHello(protocol.RoleMachineList, "list", 1))
 	l.working.Go(func() { c.writeAll(gone) })
 	defer func() {
 		l.mu.Lock()
@@ -236,7 +236,7 @@
 		l.mu.Unlock()
 	}()
 	for {
-		f, err := protocol.Read(c, protocol.MostFrame)
+		f, err := protocol.ReadFrame(c, protocol.MaxFrame)
 		if err != nil {
 			return
 		}
@@ -254,26 +254,26 @@
 		l.calls = l.calls[1:]
 	}
 	if l.calls = append(l.calls, now); l.CallsPS > 0 && len(l.calls) > l.CallsPS {
-		return &protocol.Failed{Text: "too many calls"}
+		return &protocol.MachineListError{Message: "too many calls"}
 	}
 	version := int64(len(l.log))
 	since := int64(0)
-	if w, ok := f.(*protocol.Watch); ok {
-		if !w.On {
+	if w, ok := f.(*protocol.WatchMachineList); ok {
+		if !w.Enabled {
 			l.callers[c] = false
 			return nil
 		}
 		l.callers[c] = true
-		since = w.Since
-	} else if _, ok := f.(*protocol.Fetch); !ok {
+		since = w.SinceVersion
+	} else if _, ok := f.(*protocol.FetchMachineList); !ok {
 		return nil
 	}
 	if since > 0 && since <= version && version-since < 10_000 {
-		return &protocol.Listed{Version: version, Entries: l.aged(l.log[since:])}
+		return &protocol.MachineListUpdate{Version: version, Entries: l.aged(l.log[since:])}
 	}
-	whole := &protocol.Listed{Whole: true, Version: version}
+	whole := &protocol.MachineListUpdate{FullSnapshot: true, Version: version}
 	for _, m := range l.machines {
-		if e, ok := l.now[m.Name]; ok && e.State != protocol.Gone {
+		if e, ok := l.now[m.Name]; ok && e.State != protocol.MachineGone {
 			whole.Entries = append(whole.Entries, e)
 		}
 	}
--- a/internal/testbed/emulator/machine.go
+++ b/internal/testbed/emulator/machine.go
@@ -60,10 +60,10 @@
 			delete(g.keys, k)
 		}
 	}
-	if c := g.keys[r.work.Key]; c != nil && c.by != r && (c.by != nil || now.Before(c.until)) {
+	if c := g.keys[r.work.IdempotencyKey]; c != nil && c.by != r && (c.by != nil || now.Before(c.until)) {
 		return false
 	}
-	g.keys[r.work.Key] = &claim{r, now.Add(window)}
+	g.keys[r.work.IdempotencyKey] = &claim{r, now.Add(window)}
 	return true
 }
 
@@ -71,9 +71,9 @@
 func (g *Group) free(r *run, ran bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if c := g.keys[r.work.Key]; c != nil && c.by == r {
+	if c := g.keys[r.work.IdempotencyKey]; c != nil && c.by == r {
 		if c.by = nil; !ran {
-			delete(g.keys, r.work.Key)
+			delete(g.keys, r.work.IdempotencyKey)
 		}
 	}
 }
@@ -126,7 +126,7 @@
 
 type run struct {
 	id       runID
-	work     protocol.Work
+	work     protocol.ContainerSpec
 	until    time.Time // it lapses when it is not running by then
 	accepted bool
 	running  bool
@@ -257,7 +257,7 @@
 	for _, r := range m.runs {
 		r.over = true
 		if r.running && m.OnEnd != nil {
-			m.OnEnd(r.work.Container, time.Now())
+			m.OnEnd(r.work.ContainerID, time.Now())
 		}
 		m.Group.free(r, r.running)
 	}
@@ -292,7 +292,7 @@
 	}
 	for _, r := range m.ordered() {
 		if r.running {
-			m.end(r, protocol.Lost, protocol.SentAway)
+			m.end(r, protocol.OutcomeLost, protocol.ReasonDrained)
 			break
 		}
 	}
@@ -359,16 +359,16 @@
 }
 
 // Holds is the work that runs, or nothing while the machine is frozen.
-func (m *Machine) Holds() []protocol.Work {
+func (m *Machine) Holds() []protocol.ContainerSpec {
 	m.mu.Lock()
 	idle := m.frozen || m.ended
 	m.mu.Unlock()
 	if idle {
 		return nil
 	}
-	got := make(chan []protocol.Work, 1)
+	got := make(chan []protocol.ContainerSpec, 1)
 	m.post(func() {
-		var all []protocol.Work
+		var all []protocol.ContainerSpec
 		for _, r := range m.runs {
 			if r.running {
 				all = append(all, r.work)
@@ -397,18 +397,18 @@
 // serve reads one placer's link.
 func (m *Machine) serve(conn net.Conn) {
 	defer conn.Close()
-	f, err := protocol.Read(conn, 1024)
+	f, err := protocol.ReadFrame(conn, 1024)
 	hello, ok := f.(*protocol.Hello)
-	if err != nil || !ok || hello.Role != protocol.Placer {
+	if err != nil || !ok || hello.Role != protocol.RoleScheduler {
 		return
 	}
-	c := &caller{Conn: conn, placer: hello.Name, life: hello.Life, out: make(chan []byte, 4096)}
+	c := &caller{Conn: conn, placer: hello.Name, life: hello.Incarnation, out: make(chan []byte, 4096)}
 	stop := make(chan struct{})
 	defer close(stop)
 	m.working.Go(func() { c.writeAll(stop) })
 	m.post(func() { m.greet(c) })
 	for {
-		f, err := protocol.Read(conn, protocol.MostFrame)
+		f, err := protocol.ReadFrame(conn, protocol.MaxFrame)
 		if err != nil {
 			m.post(func() { m.left(c) })
 			return
@@ -421,7 +421,7 @@
 func (c *caller) writeAll(stop chan struct{}) {
 	beat := time.NewTicker(time.Second)
 	defer beat.Stop()
-	hello, _ := protocol.Append(nil, &protocol.Beat{})
+	hello, _ := protocol.Append(nil, &protocol.Heartbeat{})
 	greeted := false
 	for {
 		var p []byte
@@ -466,13 +466,13 @@
 		m.dropQueued(c.placer)
 	}
 	m.callers[c.placer] = c
-	holds := &protocol.Holds{Incarnation: m.incarnation}
+	holds := &protocol.Inventory{MachineIncarnation: m.incarnation}
 	for _, r := range m.ordered() {
 		if r.id.placer == c.placer && r.accepted {
-			holds.Held = append(holds.Held, protocol.Holding{Life: r.id.life, Bid: r.id.bid, Running: r.running, Work: r.work})
+			holds.Containers = append(holds.Containers, protocol.InventoryItem{SchedulerIncarnation: r.id.life, AttemptID: r.id.bid, Running: r.running, Spec: r.work})
 		}
 	}
-	c.send(protocol.Greeting(protocol.Machine, m.Name, m.incarnation))
+	c.send(protocol.NewHello(protocol.RoleMachine, m.Name, m.incarnation))
 	c.send(holds)
 }
 
@@ -508,16 +508,16 @@
 	switch f := f.(type) {
 	case *protocol.Offer:
 		m.offered(c, f)
-	case *protocol.Withdraw:
-		id := runID{c.placer, f.Life, f.Bid}
+	case *protocol.CancelAttempt:
+		id := runID{c.placer, f.SchedulerIncarnation, f.AttemptID}
 		if r := m.runs[id]; r != nil {
-			m.end(r, protocol.Stopped, 0)
+			m.end(r, protocol.OutcomeStopped, 0)
 		}
 	case *protocol.Probe:
 		if m.overwhelmed() {
 			return
 		}
-		m.after(m.span(m.Admit/2), func() { c.send(&protocol.Probed{Seq: f.Seq, Report: m.report()}) })
+		m.after(m.span(m.Admit/2), func() { c.send(&protocol.ProbeReply{Seq: f.Seq, Report: m.report()}) })
 	}
 }
 
@@ -563,18 +563,18 @@
 	if m.overwhelmed() {
 		return
 	}
-	if m.shuns[f.Work.Workload] {
+	if m.shuns[f.Spec.WorkloadClass] {
 		return
 	}
-	r := &run{id: runID{c.placer, c.life, f.Bid}, work: f.Work, use: 0.4 + 0.4*m.rng.Float64(),
-		until: time.Now().Add(time.Duration(f.Wait) * 100 * time.Microsecond)}
+	r := &run{id: runID{c.placer, c.life, f.AttemptID}, work: f.Spec, use: 0.4 + 0.4*m.rng.Float64(),
+		until: time.Now().Add(time.Duration(f.Timeout) * 100 * time.Microsecond)}
 	m.runs[r.id] = r
-	if m.throttled[f.Work.Customer] {
-		m.end(r, protocol.Full, 0)
+	if m.throttled[f.Spec.Tenant] {
+		m.end(r, protocol.OutcomeFull, 0)
 		return
 	}
 	if len(m.queue) >= m.Queue {
-		m.end(r, protocol.Full, protocol.LongQueue)
+		m.end(r, protocol.OutcomeFull, protocol.ReasonQueueTooLong)
 		return
 	}
 	m.queue = append(m.queue, r)
@@ -603,27 +603,27 @@
 		return
 	}
 	w := &r.work
-	no := protocol.NoReason
+	no := protocol.ReasonNone
 	switch {
-	case m.draining || time.Now().After(r.until) || w.Workload >= len(m.NeedsKind),
-		m.NeedsKind[w.Workload] >= 0 && m.NeedsKind[w.Workload] != m.KindN:
-		no = protocol.NotHere
+	case m.draining || time.Now().After(r.until) || w.WorkloadClass >= len(m.NeedsKind),
+		m.NeedsKind[w.WorkloadClass] >= 0 && m.NeedsKind[w.WorkloadClass] != m.KindN:
+		no = protocol.ReasonWrongMachine
 	case m.asked.cores+w.Cores > m.Cores*m.AcceptCores:
-		no = protocol.NoCores
+		no = protocol.ReasonNoCores
 	case m.asked.memory+w.Memory > m.Memory*m.AcceptMemory:
-		no = protocol.NoMemory
-	case w.Window > 0 && !m.Group.take(r, time.Duration(w.Window)*100*time.Microsecond):
-		no = protocol.NotHere
+		no = protocol.ReasonNoMemory
+	case w.DedupWindow > 0 && !m.Group.take(r, time.Duration(w.DedupWindow)*100*time.Microsecond):
+		no = protocol.ReasonWrongMachine
 	}
 	if no != 0 {
-		m.end(r, protocol.Full, no)
+		m.end(r, protocol.OutcomeFull, no)
 		return
 	}
 	r.accepted = true
 	m.asked.cores += w.Cores
 	m.asked.memory += w.Memory
 	if !m.YesRuns {
-		m.tell(r, &protocol.Yes{Bid: r.id.bid})
+		m.tell(r, &protocol.Accept{AttemptID: r.id.bid})
 	}
 	m.pending = append(m.pending, r)
 	m.startNext()
@@ -675,20 +675,20 @@
 // began makes a container run, unless its placer has stopped waiting for it.
 func (m *Machine) began(r *run) {
 	if time.Now().After(r.until) && m.YesRuns {
-		m.end(r, protocol.Full, protocol.NotHere)
+		m.end(r, protocol.OutcomeFull, protocol.ReasonWrongMachine)
 		return
 	}
 	r.running = true
 	m.ran++
 	m.serving[r.work.Service]++
-	m.tell(r, &protocol.Yes{Bid: r.id.bid, Running: true})
-	life := time.Duration(r.work.RunFor) * 100 * time.Microsecond
+	m.tell(r, &protocol.Accept{AttemptID: r.id.bid, Running: true})
+	life := time.Duration(r.work.ExpectedRuntime) * 100 * time.Microsecond
 	if life <= 0 {
 		life = time.Second
 	}
 	m.after(life, func() {
 		if !r.over {
-			m.end(r, protocol.Finished, 0)
+			m.end(r, protocol.OutcomeFinished, 0)
 		}
 	})
 }
@@ -713,17 +713,17 @@
 		m.asked.memory -= r.work.Memory
 		if r.running {
 			if m.OnEnd != nil {
-				m.OnEnd(r.work.Container, time.Now())
+				m.OnEnd(r.work.ContainerID, time.Now())
 			}
 			if m.serving[r.work.Service]--; m.serving[r.work.Service] <= 0 {
 				delete(m.serving, r.work.Service)
 			}
 		}
-		if r.work.Window > 0 {
+		if r.work.DedupWindow > 0 {
 			m.Group.free(r, r.running)
 		}
 	}
-	m.tell(r, &protocol.Result{Bid: r.id.bid, Outcome: o, Reason: why, Report: m.report()})
+	m.tell(r, &protocol.Result{AttemptID: r.id.bid, Outcome: o, Reason: why, Report: m.report()})
 }
 
 func (m *Machine) tell(r *run, f protocol.Frame) {
@@ -744,7 +744,7 @@
 		r.use = min(max(0.2, r.use+m.Drift*(m.rng.Float64()-0.5)), 1.6)
 		used += r.use * m.swell * r.work.Memory
 		if m.TellUse {
-			m.tell(r, &protocol.Note{Bid: r.id.bid, Sort: 3, Amount: r.use * m.swell * r.work.Memory})
+			m.tell(r, &protocol.UsageReport{AttemptID: r.id.bid, Metric: 3, Value: r.use * m.swell * r.work.Memory})
 		}
 	}
 	sort.SliceStable(all, func(i, j int) bool { return m.rank(all[i]) < m.rank(all[j]) })
@@ -754,14 +754,14 @@
 		}
 		if r.running {
 			used -= r.use * m.swell * r.work.Memory
-			m.end(r, protocol.Lost, protocol.Evicted)
+			m.end(r, protocol.OutcomeLost, protocol.ReasonOutOfMemory)
 		}
 	}
 }
 
 func (m *Machine) rank(r *run) int {
-	if r.work.Workload < len(m.Rank) {
-		return m.Rank[r.work.Workload]
+	if r.work.WorkloadClass < len(m.Rank) {
+		return m.Rank[r.work.WorkloadClass]
 	}
 	return 0
 }
--- a/internal/testbed/emulator/owners.go
+++ b/internal/testbed/emulator/owners.go
@@ -63,7 +63,7 @@
 }
 
 type wanted struct {
-	work   protocol.Work
+	work   protocol.ContainerSpec
 	kind   int
 	left   time.Duration
 	sentAt time.Time
@@ -165,11 +165,11 @@
 		}
 		delete(o.open, id)
 		select {
-		case l.out <- &protocol.Cancel{Container: id}:
+		case l.out <- &protocol.CancelContainer{ContainerID: id}:
 		default:
 		}
 		fresh := *w
-		fresh.placed, fresh.work.Key = false, ""
+		fresh.placed, fresh.work.IdempotencyKey = false, ""
 		o.send(&fresh)
 	}
 }
@@ -182,10 +182,10 @@
 			o.pause(100 * time.Millisecond)
 			continue
 		}
-		hello, _ := protocol.Append(nil, protocol.Greeting(protocol.Owner, fmt.Sprint("owners-", i), uint64(time.Now().UnixMicro())))
+		hello, _ := protocol.Append(nil, protocol.NewHello(protocol.RoleClient, fmt.Sprint("owners-", i), uint64(time.Now().UnixMicro())))
 		c.Write(hello)
 		l := &doorLink{c, make(chan protocol.Frame, 10_000)}
-		if f, err := protocol.Read(c, 4096); err != nil {
+		if f, err := protocol.ReadFrame(c, 4096); err != nil {
 			c.Close()
 			continue
 		} else if _, ok := f.(*protocol.Hello); !ok {
@@ -198,7 +198,7 @@
 		done := make(chan struct{})
 		o.working.Go(func() { l.writeAll(done) })
 		for {
-			f, err := protocol.Read(c, protocol.MostFrame)
+			f, err := protocol.ReadFrame(c, protocol.MaxFrame)
 			if err != nil {
 				break
 			}
@@ -260,7 +260,7 @@
 		wait += time.Duration(o.rng.Float64() * float64(base) * float64(int(1)<<min(w.tries, 5)))
 	}
 	again := &wanted{work: w.work, kind: w.kind, left: w.left, tries: w.tries + 1}
-	again.work.Again = true
+	again.work.ClientRetry = true
 	o.working.Go(func() {
 		if o.pause(wait) {
 			o.mu.Lock()
@@ -311,17 +311,17 @@
 	n := o.rng.IntN(w.Services)
 	pick := o.rng.IntN(len(w.Cores))
 	life := time.Duration(float64(w.Life) * (0.3 + 1.4*o.rng.Float64()))
-	return &wanted{kind: kind, left: w.HardStop, work: protocol.Work{Service: fmt.Sprintf("service-%d-%d", kind, n), Workload: kind,
-		Customer: o.rng.IntN(max(1, o.Customers)), Cores: w.Cores[pick], Memory: w.Memory[pick],
-		RunFor: protocol.Span(life.Microseconds() / 100)}}
+	return &wanted{kind: kind, left: w.HardStop, work: protocol.ContainerSpec{Service: fmt.Sprintf("service-%d-%d", kind, n), WorkloadClass: kind,
+		Tenant: o.rng.IntN(max(1, o.Customers)), Cores: w.Cores[pick], Memory: w.Memory[pick],
+		ExpectedRuntime: protocol.Duration(life.Microseconds() / 100)}}
 }
 
 // send submits to a placer by chance, or to the next that can be reached.
 func (o *Owners) send(w *wanted) {
 	o.next++
-	w.work.Container = fmt.Sprint("c", o.next)
-	if w.work.Key == "" {
-		w.work.Key = fmt.Sprint("key", o.next)
+	w.work.ContainerID = fmt.Sprint("c", o.next)
+	if w.work.IdempotencyKey == "" {
+		w.work.IdempotencyKey = fmt.Sprint("key", o.next)
 	}
 	o.tally.Submitted++
 	first := o.rng.IntN(len(o.links))
@@ -332,9 +332,9 @@
 			continue
 		}
 		w.door, w.sentAt = n, time.Now()
-		o.open[w.work.Container] = w
+		o.open[w.work.ContainerID] = w
 		select {
-		case l.out <- &protocol.Submit{Left: protocol.Span(w.left.Microseconds() / 100), Work: w.work}:
+		case l.out <- &protocol.Submit{TimeToDeadline: protocol.Duration(w.left.Microseconds() / 100), Spec: w.work}:
 		default:
 			l.Close()
 		}
@@ -347,14 +347,14 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch f := f.(type) {
-	case *protocol.Answer:
-		w := o.open[f.Container]
+	case *protocol.PlacementReply:
+		w := o.open[f.ContainerID]
 		if w == nil || w.placed || w.door != door {
 			o.tally.Twice++
 			return
 		}
 		switch f.Verdict {
-		case protocol.Placed:
+		case protocol.VerdictPlaced:
 			w.placed = true
 			o.tally.Placed++
 			took := time.Since(w.sentAt)
@@ -366,33 +366,33 @@
 				o.OnPlaced(w.kind, took)
 			}
 			return
-		case protocol.PushedBack:
+		case protocol.VerdictRejected:
 			o.tally.PushedBack++
-		case protocol.GivenUp:
+		case protocol.VerdictFailed:
 			o.tally.GivenUp++
-		case protocol.TurnedAway:
+		case protocol.VerdictNotAdmitted:
 			o.tally.TurnedAway++
 		}
-		delete(o.open, f.Container)
-		if f.Verdict != protocol.GivenUp && o.Works[w.kind].Again {
-			hold := time.Duration(f.HoldOff) * 100 * time.Microsecond
+		delete(o.open, f.ContainerID)
+		if f.Verdict != protocol.VerdictFailed && o.Works[w.kind].Again {
+			hold := time.Duration(f.RetryAfter) * 100 * time.Microsecond
 			if o.Back != nil {
 				o.later(w, o.Back(w.tries, hold))
 			} else {
 				o.later(w, max(time.Second, hold))
 			}
 		}
-	case *protocol.Fate:
-		w := o.open[f.Container]
+	case *protocol.Termination:
+		w := o.open[f.ContainerID]
 		if w == nil || !w.placed {
 			return
 		}
-		delete(o.open, f.Container)
+		delete(o.open, f.ContainerID)
 		o.tally.Ended++
 		switch {
-		case f.Reason == protocol.Evicted:
+		case f.Reason == protocol.ReasonOutOfMemory:
 			o.tally.Evicted++
-		case f.Outcome == protocol.Lost:
+		case f.Outcome == protocol.OutcomeLost:
 			o.tally.Lost++
 		}
 	}
--- a/internal/testbed/faultproxy/record_test.go
+++ b/internal/testbed/faultproxy/record_test.go
@@ -49,16 +49,16 @@
 		return p[4:]
 	}
 	return []Entry{
-		{At: 7001, Sort: Opened, Link: 7002, Placer: "scheduler-7003", Far: protocol.Machine, Name: "machine-7004"},
-		{At: 7011, Sort: FromPlacer, Link: 7012, Placer: "scheduler-7013", Far: protocol.Machine, Name: "machine-7014",
-			Frame: frame(&protocol.Offer{Bid: 7015, Wait: 7016, Work: protocol.Work{Container: "c", Key: "k", Service: "s"}})},
-		{At: 7021, Sort: ToPlacer, Link: 7022, Placer: "scheduler-7023", Far: protocol.Machine, Name: "machine-7024",
-			Frame: frame(&protocol.Yes{Bid: 7025, Running: true})},
-		{At: 7031, Sort: Lost, Link: 7032, Placer: "scheduler-7033", Far: protocol.List, Name: "list-7034",
-			Frame: frame(&protocol.Failed{Text: "text 7035"})},
-		{At: 7041, Sort: Closed, Link: 7042, Placer: "scheduler-7043", Far: protocol.Owner, Name: "client-7044"},
+		{At: 7001, Sort: Opened, Link: 7002, Placer: "scheduler-7003", Far: protocol.RoleMachine, Name: "machine-7004"},
+		{At: 7011, Sort: FromPlacer, Link: 7012, Placer: "scheduler-7013", Far: protocol.RoleMachine, Name: "machine-7014",
+			Frame: frame(&protocol.Offer{AttemptID: 7015, Timeout: 7016, Spec: protocol.ContainerSpec{ContainerID: "c", IdempotencyKey: "k", Service: "s"}})},
+		{At: 7021, Sort: ToPlacer, Link: 7022, Placer: "scheduler-7023", Far: protocol.RoleMachine, Name: "machine-7024",
+			Frame: frame(&protocol.Accept{AttemptID: 7025, Running: true})},
+		{At: 7031, Sort: Lost, Link: 7032, Placer: "scheduler-7033", Far: protocol.RoleMachineList, Name: "list-7034",
+			Frame: frame(&protocol.MachineListError{Message: "text 7035"})},
+		{At: 7041, Sort: Closed, Link: 7042, Placer: "scheduler-7043", Far: protocol.RoleClient, Name: "client-7044"},
 		{At: 7051, Sort: Killed, Placer: "scheduler-7053"},
-		{At: 7061, Sort: Started, Placer: "scheduler-7063", Far: protocol.Placer},
+		{At: 7061, Sort: Started, Placer: "scheduler-7063", Far: protocol.RoleScheduler},
 		{At: -1, Sort: 255, Link: 1<<32 - 1},
 	}
 }
@@ -152,7 +152,7 @@
 	if got := encoded(t, h, entries); !bytes.Equal(got, file) {
 		t.Errorf("encoded as\n%x, want\n%x", got, file)
 	}
-	if f, err := entries[1].Decoded(); err != nil || f.(*protocol.Offer).Bid != 7015 {
+	if f, err := entries[1].Decoded(); err != nil || f.(*protocol.Offer).AttemptID != 7015 {
 		t.Errorf("a frame of the record is %+v, %v", f, err)
 	}
 }
--- a/internal/testbed/faultproxy/tap.go
+++ b/internal/testbed/faultproxy/tap.go
@@ -151,7 +151,7 @@
 		return
 	}
 	w := &wire{n: n, caller: hello.Role, far: far, placer: hello.Name, name: name}
-	if far == protocol.Owner { // an owner calls a placer's door
+	if far == protocol.RoleClient { // an owner calls a placer's door
 		w.placer, w.name = name, hello.Name
 	}
 	called, err := net.DialTimeout("tcp", to(), time.Second)
@@ -196,7 +196,7 @@
 	}
 	queue := make(chan held, 100_000)
 	stopped := make(chan struct{})
-	fromPlacer := (w.far == protocol.Owner) == (from == 1)
+	fromPlacer := (w.far == protocol.RoleClient) == (from == 1)
 	w.n.working.Go(func() {
 		defer close(stopped)
 		for h := range queue {
@@ -283,14 +283,14 @@
 	return true
 }
 
-// readFrame reads a frame with its length, unopened.
+// parseGroup reads a frame with its length, unopened.
 func readFrame(c net.Conn) ([]byte, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(c, head[:]); err != nil {
 		return nil, err
 	}
 	size := binary.BigEndian.Uint32(head[:])
-	if size == 0 || size > protocol.MostFrame {
+	if size == 0 || size > protocol.MaxFrame {
 		return nil, io.ErrUnexpectedEOF
 	}
 	p := make([]byte, 4+size)
--- a/internal/testbed/scenario/bgp.go
+++ b/internal/testbed/scenario/bgp.go
@@ -25,7 +25,7 @@
 	peers   []*emulator.BGPPeer
 	door    net.Conn
 	mu      sync.Mutex
-	answers map[string]chan *protocol.Answer
+	answers map[string]chan *protocol.PlacementReply
 	ended   map[string]time.Time // by the machines' own clocks
 	next    int
 	missed  []string
@@ -44,7 +44,7 @@
 
 // Run plays the trial and tells whether all held.
 func (t *BGPTrial) Run(day *Day, dir string, program []string) (ok bool, err error) {
-	t.answers, t.ended = map[string]chan *protocol.Answer{}, map[string]time.Time{}
+	t.answers, t.ended = map[string]chan *protocol.PlacementReply{}, map[string]time.Time{}
 	var peers []any
 	for i := range 2 {
 		p := &emulator.BGPPeer{AS: 65000, ID: [4]byte{192, 0, 2, byte(250 + i)}, Hold: 3 * time.Second, Helps: 10 * time.Second, Journal: true}
@@ -121,17 +121,17 @@
 		return err
 	}
 	c := t.door
-	t.send(protocol.Greeting(protocol.Owner, "trial", uint64(time.Now().UnixMicro())))
+	t.send(protocol.NewHello(protocol.RoleClient, "trial", uint64(time.Now().UnixMicro())))
 	go func() {
 		for {
-			f, err := protocol.Read(c, protocol.MostFrame)
+			f, err := protocol.ReadFrame(c, protocol.MaxFrame)
 			if err != nil {
 				return
 			}
-			if a, ok := f.(*protocol.Answer); ok {
+			if a, ok := f.(*protocol.PlacementReply); ok {
 				t.mu.Lock()
-				ch := t.answers[a.Container]
-				delete(t.answers, a.Container)
+				ch := t.answers[a.ContainerID]
+				delete(t.answers, a.ContainerID)
 				t.mu.Unlock()
 				if ch != nil {
 					ch <- a
@@ -159,14 +159,14 @@
 	t.mu.Lock()
 	t.next++
 	id = fmt.Sprint("c", t.next)
-	ch := make(chan *protocol.Answer, 1)
+	ch := make(chan *protocol.PlacementReply, 1)
 	t.answers[id] = ch
 	t.mu.Unlock()
-	t.send(&protocol.Submit{Left: 40000, Work: protocol.Work{Container: id, Key: id, Service: fmt.Sprint("web-", service), Workload: workload, Cores: 0.1, Memory: 0.1,
-		RunFor: protocol.Span(life.Microseconds() / 100)}})
+	t.send(&protocol.Submit{TimeToDeadline: 40000, Spec: protocol.ContainerSpec{ContainerID: id, IdempotencyKey: id, Service: fmt.Sprint("web-", service), WorkloadClass: workload, Cores: 0.1, Memory: 0.1,
+		ExpectedRuntime: protocol.Duration(life.Microseconds() / 100)}})
 	select {
 	case a := <-ch:
-		if a.Verdict != protocol.Placed {
+		if a.Verdict != protocol.VerdictPlaced {
 			return id, "", fmt.Errorf("%s was %s", id, a.Verdict)
 		}
 		return id, a.Machine, nil
@@ -287,8 +287,8 @@
 	began := time.Now()
 	for _, m := range t.cluster.Machines {
 		if m.Name == machine {
-			t.cluster.List.Mark(m, protocol.Draining)
-			defer t.cluster.List.Mark(m, protocol.Serving)
+			t.cluster.List.Mark(m, protocol.MachineDraining)
+			defer t.cluster.List.Mark(m, protocol.MachineServing)
 		}
 	}
 	for k, p := range t.peers {
@@ -303,7 +303,7 @@
 		}
 	}
 	took := time.Since(began)
-	t.send(&protocol.Cancel{Container: id})
+	t.send(&protocol.CancelContainer{ContainerID: id})
 	for _, p := range t.peers {
 		if err := t.until("it is gone", func() bool { has, _ := p.Has(bgpPrefix(service)); return !has }); err != nil {
 			return "", err
@@ -392,7 +392,7 @@
 	if _, n, _, _, _ := good.Figures(); n != stood {
 		t.miss("the other peer's session was touched")
 	}
-	t.send(&protocol.Cancel{Container: id})
+	t.send(&protocol.CancelContainer{ContainerID: id})
 	return "each ends its session, which comes back whole; the other stands", t.until("it is gone", func() bool {
 		a, _ := bad.Has(bgpPrefix(service))
 		b, _ := good.Has(bgpPrefix(service))
@@ -423,7 +423,7 @@
 	}
 	began := time.Now()
 	t.cluster.Net.Set(func(_ string, far protocol.Role, name string) faultproxy.Fault {
-		return faultproxy.Fault{Cut: far == protocol.Machine && hall[name]}
+		return faultproxy.Fault{Cut: far == protocol.RoleMachine && hall[name]}
 	})
 	gone := func() bool { has, _ := t.peers[0].Has(bgpPrefix(service)); return !has }
 	if err := t.until("the route is gone", gone); err != nil {
@@ -439,7 +439,7 @@
 		t.miss("the container was ended by the cut")
 	}
 	back := time.Since(began)
-	t.send(&protocol.Cancel{Container: id, Key: id})
+	t.send(&protocol.CancelContainer{ContainerID: id, IdempotencyKey: id})
 	return fmt.Sprintf("gone %.1f s after the cut, back %.1f s after its end", cut.Seconds(), back.Seconds()), t.until("it is gone", gone)
 }
 
--- a/internal/testbed/scenario/cluster.go
+++ b/internal/testbed/scenario/cluster.go
@@ -122,17 +122,17 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(5 * time.Second))
-	hello, _ := protocol.Append(nil, protocol.Greeting(protocol.Placer, "laboratory", 1))
-	ask, _ := protocol.Append(hello, &protocol.AskStatus{})
+	hello, _ := protocol.Append(nil, protocol.NewHello(protocol.RoleScheduler, "laboratory", 1))
+	ask, _ := protocol.Append(hello, &protocol.StatusRequest{})
 	c.Write(ask)
 	for {
-		f, err := protocol.Read(c, protocol.MostFrame)
+		f, err := protocol.ReadFrame(c, protocol.MaxFrame)
 		if err != nil {
 			return nil, err
 		}
-		if s, ok := f.(*protocol.Status); ok {
+		if s, ok := f.(*protocol.StatusReply); ok {
 			out := map[string]float64{}
-			for _, g := range s.Figures {
+			for _, g := range s.Stats {
 				out[g.Name] = g.Value
 			}
 			return out, nil
@@ -216,7 +216,7 @@
 		if err := m.Up(true); err != nil {
 			return nil, err
 		}
-		if taps[m], err = c.Net.Tap(protocol.Machine, m.Name, func() string { return m.Addr() }); err != nil {
+		if taps[m], err = c.Net.Tap(protocol.RoleMachine, m.Name, func() string { return m.Addr() }); err != nil {
 			return nil, err
 		}
 	}
@@ -227,7 +227,7 @@
 		return nil, err
 	}
 	c.ListAddr = list
-	listTap, err := c.Net.Tap(protocol.List, "list", func() string { return list })
+	listTap, err := c.Net.Tap(protocol.RoleMachineList, "list", func() string { return list })
 	if err != nil {
 		return nil, err
 	}
@@ -246,7 +246,7 @@
 			"list": map[string]any{"address": listTap}}); err != nil {
 			return nil, err
 		}
-		door, err := c.Net.Tap(protocol.Owner, p.Name, func() string { return p.Door })
+		door, err := c.Net.Tap(protocol.RoleClient, p.Name, func() string { return p.Door })
 		if err != nil {
 			return nil, err
 		}
--- a/internal/testbed/scenario/crashes.go
+++ b/internal/testbed/scenario/crashes.go
@@ -31,8 +31,8 @@
 }
 
 // history commits and notes what must be found. Every commit changes the value of "n", so that states differ.
-func (c *Crashes) history(d *faultfs.Disk) ([]moment, error) {
-	s, _, err := wal.Open(d, wal.Terms{Small: 2000})
+func (c *Crashes) history(d *faultfs.FS) ([]moment, error) {
+	s, _, err := wal.Open(d, wal.Options{MinSnapshotLog: 2000})
 	if err != nil {
 		return nil, err
 	}
@@ -55,10 +55,10 @@
 				model[ch.Kind+"/"+ch.Key] = string(ch.Value)
 			}
 		}
-		m := moment{state: text(model), began: d.Ops(), durable: r.IntN(3) > 0}
+		m := moment{state: text(model), began: d.OperationCount(), durable: r.IntN(3) > 0}
 		done := make(chan error, 1)
 		s.Commit(changes, m.durable, func(err error) {
-			m.ended = d.Ops()
+			m.ended = d.OperationCount()
 			done <- err
 		})
 		if err := <-done; err != nil {
@@ -81,7 +81,7 @@
 func textOf(s *wal.State) string {
 	model := map[string]string{}
 	for _, kind := range s.Kinds() {
-		s.Each(kind, func(k string, v []byte) error {
+		s.ForEach(kind, func(k string, v []byte) error {
 			model[kind+"/"+k] = string(v)
 			return nil
 		})
@@ -90,8 +90,8 @@
 }
 
 // open recovers a folder and tells what it holds.
-func (c *Crashes) open(d *faultfs.Disk) (string, error) {
-	s, _, err := wal.Open(d, wal.Terms{Trust: c.Spoil == "checksum"})
+func (c *Crashes) open(d *faultfs.FS) (string, error) {
+	s, _, err := wal.Open(d, wal.Options{SkipChecksums: c.Spoil == "checksum"})
 	if err != nil {
 		return "", err
 	}
@@ -102,12 +102,12 @@
 // Run returns what was found to be wrong first, or nil.
 func (c *Crashes) Run() error {
 	d := faultfs.New()
-	d.NoSync = c.Spoil == "sync"
+	d.IgnoreSync = c.Spoil == "sync"
 	moments, err := c.history(d)
 	if err != nil {
 		return err
 	}
-	c.Ops = d.Ops()
+	c.Ops = d.OperationCount()
 	r := rand.New(rand.NewPCG(c.Seed, 4))
 	for at := 0; at <= c.Ops; at++ {
 		floor, ceiling := 0, 0
@@ -119,13 +119,13 @@
 				ceiling = i
 			}
 		}
-		fates := []faultfs.Fate{faultfs.Lost, faultfs.Kept}
+		fates := []faultfs.Survival{faultfs.LoseUnsynced, faultfs.KeepUnsynced}
 		for range c.Mixed {
-			fates = append(fates, faultfs.Mixed(r))
+			fates = append(fates, faultfs.KeepSome(r))
 		}
 		for n, fate := range fates {
 			left := d.Crash(at, fate)
-			before := left.Ops()
+			before := left.OperationCount()
 			held, err := c.open(left)
 			if err != nil {
 				return fmt.Errorf("crash after operation %d of %d, fate %d: not opened: %w", at, c.Ops, n, err)
@@ -137,8 +137,8 @@
 			if n < len(fates)-1 && at%7 != 0 {
 				continue
 			}
-			for again := before; again <= left.Ops(); again++ { // a second crash, during the recovery from the first
-				twice, err := c.open(left.Crash(again, faultfs.Mixed(r)))
+			for again := before; again <= left.OperationCount(); again++ { // a second crash, during the recovery from the first
+				twice, err := c.open(left.Crash(again, faultfs.KeepSome(r)))
 				if err != nil {
 					return fmt.Errorf("crash after operation %d, and again after %d of its recovery: not opened: %w", at, again-before, err)
 				}
@@ -168,7 +168,7 @@
 
 // flip turns single bits over in what a clean end left. Each must be refused, but in the last group: there it
 // cannot be told from a group that a crash cut off, and the state before it is found.
-func (c *Crashes) flip(d *faultfs.Disk, moments []moment, r *rand.Rand) error {
+func (c *Crashes) flip(d *faultfs.FS, moments []moment, r *rand.Rand) error {
 	names, _ := d.List()
 	last := len(moments) - 1
 	for _, name := range names {
@@ -178,8 +178,8 @@
 		}
 		for range 40 * c.Mixed {
 			bit := r.IntN(8 * len(p))
-			left := d.Crash(c.Ops, faultfs.Kept)
-			if err := left.Flip(name, bit); err != nil {
+			left := d.Crash(c.Ops, faultfs.KeepUnsynced)
+			if err := left.FlipBit(name, bit); err != nil {
 				return err
 			}
 			held, err := c.open(left)
--- a/internal/testbed/scenario/day.go
+++ b/internal/testbed/scenario/day.go
@@ -345,7 +345,7 @@
 	"half-open links": func(p *player, t Trouble, wait func(time.Duration)) {
 		names := in(p.some(t.Part))
 		end := p.fault(func(_ string, far protocol.Role, name string) faultproxy.Fault {
-			return faultproxy.Fault{Cut: far == protocol.Machine && names[name]}
+			return faultproxy.Fault{Cut: far == protocol.RoleMachine && names[name]}
 		})
 		wait(t.For)
 		end()
@@ -357,7 +357,7 @@
 			here[x.Name] = x.Hall == t.Hall
 		}
 		end := p.fault(func(placer string, far protocol.Role, name string) faultproxy.Fault {
-			return faultproxy.Fault{Cut: far == protocol.Machine && names[name] != here[placer]}
+			return faultproxy.Fault{Cut: far == protocol.RoleMachine && names[name] != here[placer]}
 		})
 		wait(t.For)
 		end()
@@ -365,7 +365,7 @@
 	"resets": func(p *player, t Trouble, wait func(time.Duration)) {
 		for end := t.For; end > 0; end -= time.Second {
 			names := in(p.some(t.Part))
-			p.Net.Reset(func(_ string, far protocol.Role, name string) bool { return far == protocol.Machine && names[name] })
+			p.Net.Reset(func(_ string, far protocol.Role, name string) bool { return far == protocol.RoleMachine && names[name] })
 			wait(min(end, time.Second))
 		}
 	},
@@ -382,12 +382,12 @@
 	"drain": func(p *player, t Trouble, wait func(time.Duration)) {
 		ms := p.some(t.Part)
 		for _, m := range ms {
-			p.List.Mark(m, protocol.Draining)
+			p.List.Mark(m, protocol.MachineDraining)
 			m.Drain(true, t.Size > 0)
 		}
 		wait(t.For)
 		for _, m := range ms {
-			p.List.Mark(m, protocol.Serving)
+			p.List.Mark(m, protocol.MachineServing)
 			m.Drain(false, false)
 		}
 	},
@@ -399,12 +399,12 @@
 			now := ms[:min(step, len(ms))]
 			ms = ms[len(now):]
 			for _, m := range now {
-				p.List.Mark(m, protocol.Draining)
+				p.List.Mark(m, protocol.MachineDraining)
 				m.Drain(true, true)
 			}
 			wait(t.For / time.Duration(2*steps))
 			for _, m := range now {
-				p.List.Mark(m, protocol.Serving)
+				p.List.Mark(m, protocol.MachineServing)
 			}
 			p.restart(now, t.For/time.Duration(2*steps), wait)
 		}
@@ -445,7 +445,7 @@
 	},
 	"answers lost": func(p *player, t Trouble, wait func(time.Duration)) {
 		end := p.fault(func(_ string, far protocol.Role, _ string) faultproxy.Fault {
-			if far == protocol.Machine {
+			if far == protocol.RoleMachine {
 				return faultproxy.Fault{LoseAnswers: t.Size}
 			}
 			return faultproxy.Fault{}
--- a/internal/testbed/scenario/load.go
+++ b/internal/testbed/scenario/load.go
@@ -42,11 +42,11 @@
 		}
 		each.Go(func() {
 			defer c.Close()
-			if _, err := protocol.Read(c, 1024); err != nil {
+			if _, err := protocol.ReadFrame(c, 1024); err != nil {
 				return
 			}
-			hello, _ := protocol.Append(nil, protocol.Greeting(protocol.Machine, m.name, 1))
-			hello, _ = protocol.Append(hello, &protocol.Holds{Incarnation: 1})
+			hello, _ := protocol.Append(nil, protocol.NewHello(protocol.RoleMachine, m.name, 1))
+			hello, _ = protocol.Append(hello, &protocol.Inventory{MachineIncarnation: 1})
 			c.Write(hello)
 			var mu sync.Mutex // keeps frames whole: two sides write
 			var p []byte
@@ -63,21 +63,21 @@
 						c.Close()
 						return
 					case <-time.After(time.Second):
-						put(&protocol.Beat{})
+						put(&protocol.Heartbeat{})
 					}
 				}
 			})
 			for {
-				f, err := protocol.Read(c, protocol.MostFrame)
+				f, err := protocol.ReadFrame(c, protocol.MaxFrame)
 				if err != nil {
 					return
 				}
 				if o, ok := f.(*protocol.Offer); ok && m.full {
-					put(&protocol.Result{Bid: o.Bid, Outcome: protocol.Full, Reason: protocol.NoCores})
+					put(&protocol.Result{AttemptID: o.AttemptID, Outcome: protocol.OutcomeFull, Reason: protocol.ReasonNoCores})
 				} else if ok {
-					put(&protocol.Yes{Bid: o.Bid, Running: true})
-					time.AfterFunc(time.Duration(o.Work.RunFor)*100*time.Microsecond, func() {
-						put(&protocol.Result{Bid: o.Bid})
+					put(&protocol.Accept{AttemptID: o.AttemptID, Running: true})
+					time.AfterFunc(time.Duration(o.Spec.ExpectedRuntime)*100*time.Microsecond, func() {
+						put(&protocol.Result{AttemptID: o.AttemptID})
 					})
 				}
 			}
@@ -94,11 +94,11 @@
 		}
 		each.Go(func() {
 			defer c.Close()
-			hello, _ := protocol.Append(nil, protocol.Greeting(protocol.List, "list", 1))
+			hello, _ := protocol.Append(nil, protocol.NewHello(protocol.RoleMachineList, "list", 1))
 			c.Write(hello)
 			var mu sync.Mutex
 			each.Go(func() {
-				beat, _ := protocol.Append(nil, &protocol.Beat{})
+				beat, _ := protocol.Append(nil, &protocol.Heartbeat{})
 				for {
 					select {
 					case <-stop:
@@ -112,21 +112,21 @@
 				}
 			})
 			for {
-				f, err := protocol.Read(c, 1<<20)
+				f, err := protocol.ReadFrame(c, 1<<20)
 				if err != nil {
 					return
 				}
-				if _, ok := f.(*protocol.Watch); !ok {
+				if _, ok := f.(*protocol.WatchMachineList); !ok {
 					continue
 				}
-				all := &protocol.Listed{Whole: true, Version: 1}
+				all := &protocol.MachineListUpdate{FullSnapshot: true, Version: 1}
 				for i, m := range machines {
 					free := 100.0
 					if m.full {
 						free = -100
 					}
-					all.Entries = append(all.Entries, protocol.Entry{Machine: m.name, Addr: m.Addr().String(), Zone: i % 3, Kind: i % 2,
-						Cell: i / 4, FreeCores: free, FreeMemory: 100, Hint: 1, Incarnation: 1, Age: -1})
+					all.Entries = append(all.Entries, protocol.MachineEntry{Machine: m.name, Address: m.Addr().String(), Zone: i % 3, MachineType: i % 2,
+						RackGroup: i / 4, FreeCores: free, FreeMemory: 100, PowerHint: 1, Incarnation: 1, Age: -1})
 				}
 				p, _ := protocol.Append(nil, all)
 				mu.Lock()
@@ -248,18 +248,18 @@
 		return 0, err
 	}
 	defer c.Close()
-	p, _ := protocol.Append(nil, protocol.Greeting(protocol.Owner, "load", 1))
+	p, _ := protocol.Append(nil, protocol.NewHello(protocol.RoleClient, "load", 1))
 	c.Write(p)
 	var placed atomic.Int64
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for {
-			f, err := protocol.Read(c, protocol.MostFrame)
+			f, err := protocol.ReadFrame(c, protocol.MaxFrame)
 			if err != nil {
 				return
 			}
-			if a, ok := f.(*protocol.Answer); ok && a.Verdict == protocol.Placed {
+			if a, ok := f.(*protocol.PlacementReply); ok && a.Verdict == protocol.VerdictPlaced {
 				placed.Add(1)
 			}
 		}
@@ -271,8 +271,8 @@
 		due := int(time.Since(began).Seconds() * float64(rate))
 		for p = p[:0]; i < min(due, total); i++ {
 			id := fmt.Sprint("c", i)
-			p, _ = protocol.Append(p, &protocol.Submit{Left: 40000, Work: protocol.Work{Container: id, Key: id, Service: fmt.Sprint("s", i%500),
-				Cores: 0.5, Memory: 1, RunFor: protocol.Span(life.Microseconds() / 100)}})
+			p, _ = protocol.Append(p, &protocol.Submit{TimeToDeadline: 40000, Spec: protocol.ContainerSpec{ContainerID: id, IdempotencyKey: id, Service: fmt.Sprint("s", i%500),
+				Cores: 0.5, Memory: 1, ExpectedRuntime: protocol.Duration(life.Microseconds() / 100)}})
 		}
 		if _, err := c.Write(p); err != nil {
 			return 0, err
--- a/internal/testbed/scenario/restart.go
+++ b/internal/testbed/scenario/restart.go
@@ -85,11 +85,11 @@
 // commits measures the store with and without group commit, on the disk that there is.
 func (t *RestartTrial) commits(dir string) error {
 	for _, alone := range []bool{true, false} {
-		d, err := vfs.Open(fmt.Sprint(dir, alone))
+		d, err := vfs.OpenLocked(fmt.Sprint(dir, alone))
 		if err != nil {
 			return err
 		}
-		s, _, err := wal.Open(d, wal.Terms{Alone: alone})
+		s, _, err := wal.Open(d, wal.Options{SyncEachCommit: alone})
 		if err != nil {
 			return err
 		}
@@ -117,11 +117,11 @@
 		each.Wait()
 		length := time.Since(began)
 		s.Close()
-		counts := s.Counts()
+		counts := s.Counters()
 		d.Close()
 		fmt.Fprintf(t.Out, "commits, %d clients, group commit %v: %.0f a second, mean %.2f ms, worst %.1f ms; %d syncs of mean %.3f ms\n", clients,
 			!alone, float64(n.Load())/length.Seconds(), float64(total.Load())/1000/float64(max(1, n.Load())), float64(worst.Load())/1000,
-			counts.Syncs, counts.Syncing.Seconds()*1000/float64(max(1, counts.Syncs)))
+			counts.Syncs, counts.SyncTime.Seconds()*1000/float64(max(1, counts.Syncs)))
 	}
 	return nil
 }
@@ -238,14 +238,14 @@
 		}
 	})
 	look := func(name, folder string) {
-		d, err := vfs.Look(folder)
+		d, err := vfs.OpenReadOnly(folder)
 		if err != nil {
 			fault("%s: %v", name, err)
 			return
 		}
-		s, err := wal.Read(d, false)
+		s, err := wal.Load(d, false)
 		if err == nil {
-			cut.Add(int64(min(1, s.CutOff)))
+			cut.Add(int64(min(1, s.TruncatedBytes)))
 			_, err = schedulerd.ReadKnowledge(d)
 		}
 		if err != nil {
@@ -404,9 +404,9 @@
 	out := map[string]copyOf{}
 	for _, m := range c.Machines {
 		for _, w := range m.Holds() {
-			if strings.HasPrefix(w.Key, "job-") {
-				id := fmt.Sprintf("%s of %s", w.Key[:strings.LastIndex(w.Key, "/")], c.Site.Workloads[w.Workload])
-				out[id] = copyOf{out[id].n + 1, w.Workload, out[id].at + " " + m.Name + " " + w.Key + " as " + w.Container}
+			if strings.HasPrefix(w.IdempotencyKey, "job-") {
+				id := fmt.Sprintf("%s of %s", w.IdempotencyKey[:strings.LastIndex(w.IdempotencyKey, "/")], c.Site.Workloads[w.WorkloadClass])
+				out[id] = copyOf{out[id].n + 1, w.WorkloadClass, out[id].at + " " + m.Name + " " + w.IdempotencyKey + " as " + w.ContainerID}
 			}
 		}
 	}
@@ -415,12 +415,12 @@
 
 // fill writes a log as an earlier life would have left it.
 func fill(folder, kind string, n int, record func(i int) (key string, value any)) error {
-	d, err := vfs.Open(folder)
+	d, err := vfs.OpenLocked(folder)
 	if err != nil {
 		return err
 	}
 	defer d.Close()
-	s, _, err := wal.Open(d, wal.Terms{})
+	s, _, err := wal.Open(d, wal.Options{})
 	if err != nil {
 		return err
 	}
@@ -448,24 +448,24 @@
 }
 
 // placeOne submits one container and waits until it is placed.
-func placeOne(door string, w protocol.Work) error {
+func placeOne(door string, w protocol.ContainerSpec) error {
 	c, err := net.DialTimeout("tcp", door, time.Second)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	p, _ := protocol.Append(nil, protocol.Greeting(protocol.Owner, "restart", 1))
-	p, _ = protocol.Append(p, &protocol.Submit{Left: 40000, Work: w})
+	p, _ := protocol.Append(nil, protocol.NewHello(protocol.RoleClient, "restart", 1))
+	p, _ = protocol.Append(p, &protocol.Submit{TimeToDeadline: 40000, Spec: w})
 	c.Write(p)
 	for {
-		f, err := protocol.Read(c, protocol.MostFrame)
+		f, err := protocol.ReadFrame(c, protocol.MaxFrame)
 		if err != nil {
 			return err
 		}
-		if a, ok := f.(*protocol.Answer); ok {
-			if a.Verdict != protocol.Placed {
-				return fmt.Errorf("%s: %s %s", w.Container, a.Verdict, a.Text)
+		if a, ok := f.(*protocol.PlacementReply); ok {
+			if a.Verdict != protocol.VerdictPlaced {
+				return fmt.Errorf("%s: %s %s", w.ContainerID, a.Verdict, a.Message)
 			}
 			return nil
 		}
@@ -496,12 +496,12 @@
 		return err
 	}
 	door := time.Since(began)
-	w := protocol.Work{Container: "first", Key: "first", Service: "s", Cores: 1, Memory: 1, RunFor: 36_000_000}
+	w := protocol.ContainerSpec{ContainerID: "first", IdempotencyKey: "first", Service: "s", Cores: 1, Memory: 1, ExpectedRuntime: 36_000_000}
 	if err := placeOne(b.placer.Door, w); err != nil {
 		return err
 	}
 	first := time.Since(began)
-	w.Container, w.Key, w.Workload, w.Again = "once", "once", 2, true
+	w.ContainerID, w.IdempotencyKey, w.WorkloadClass, w.ClientRetry = "once", "once", 2, true
 	if err := placeOne(b.placer.Door, w); err != nil {
 		return err
 	}
--- a/internal/testbed/scenario/why.go
+++ b/internal/testbed/scenario/why.go
@@ -159,9 +159,9 @@
 }
 
 func (t *WhyTrial) drain(on bool, which func(*emulator.Machine) bool) {
-	state := protocol.Serving
+	state := protocol.MachineServing
 	if on {
-		state = protocol.Draining
+		state = protocol.MachineDraining
 	}
 	for _, m := range t.Cluster.Machines {
 		if which(m) {
