--- a/internal/bgp/speaker/speaker.go
+++ b/internal/bgp/speaker/speaker.go
@@ -105,7 +105,7 @@
 	if s.place.Listen != "" {
 		var err error
 		if s.listener, err = s.loop.Listen(s.place.Listen, func() (eventloop.Handler, int) { return &peerConn{called: true, p: &peer{s: s}}, output },
-			s.loop.Telling(s.log, "BGP callers")); err != nil {
+			s.loop.AcceptStateLogger(s.log, "BGP callers")); err != nil {
 			return err
 		}
 		for _, p := range s.peers {
@@ -222,7 +222,7 @@
 	if p.up == nil || p.conn == nil || p.filling != nil {
 		return
 	}
-	if p.conn.conn.Waiting() > enough {
+	if p.conn.conn.PendingOutput() > enough {
 		p.filling = p.s.loop.After(drainAgain, func() {
 			p.filling = nil
 			p.drain()
@@ -333,7 +333,7 @@
 		case session.Dial:
 			w := &peerConn{p: p, number: a.Conn}
 			p.conns[a.Conn] = w
-			w.conn = p.s.loop.DialWith(p.terms.Addr, w, output, dialWithin, p.sign)
+			w.conn = p.s.loop.DialWithControl(p.terms.Addr, w, output, dialWithin, p.sign)
 		case session.Send:
 			if w := p.conns[a.Conn]; w != nil {
 				w.write(a.Message)
@@ -374,7 +374,7 @@
 	}
 	a, err := netip.ParseAddrPort(p.terms.Addr)
 	if err == nil {
-		err = eventloop.SignTCP(fd, a.Addr(), p.terms.Key)
+		err = eventloop.SetTCPMD5Key(fd, a.Addr(), p.terms.Key)
 	}
 	if err != nil {
 		p.s.log.Error("no session", "peer", p.terms.Addr, "why", err)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -19,19 +19,19 @@
 )
 
 var (
-	ErrNoConnect = errors.New("no connection")                    // nothing was ever sent
-	ErrShort     = errors.New("too little here for a connection") // likewise, for want of descriptors or memory on this side
-	ErrReset     = errors.New("connection reset")
-	ErrClosed    = errors.New("closed from this side")
-	ErrBehind    = errors.New("peer takes too little: output is full")
+	ErrConnectFailed  = errors.New("no connection")                    // nothing was ever sent
+	ErrLocalResources = errors.New("too little here for a connection") // likewise, for want of descriptors or memory on this side
+	ErrReset          = errors.New("connection reset")
+	ErrClosed         = errors.New("closed from this side")
+	ErrOutputFull     = errors.New("peer takes too little: output is full")
 )
 
 const (
-	readAtOnce    = 64 << 10
-	acceptAtOnce  = 8                 // a host that lets others go for them frees their descriptors only at the end of the turn
-	acceptAgain   = 100 * Millisecond // after a listener failed
-	lingerAtClose = 2 * Second
-	heardOut      = 128 // reads, more than a kernel holds of what a peer that has hung up said before
+	readBufferSize         = 64 << 10
+	maxAcceptsPerIteration = 8                 // a host that lets others go for them frees their descriptors only at the end of the turn
+	acceptRetryDelay       = 100 * Millisecond // after a listener failed
+	closeFlushTimeout      = 2 * Second
+	maxDrainReads          = 128 // reads, more than a kernel holds of what a peer that has hung up said before
 )
 
 // Handler is told what happens on a connection. Closed comes exactly once, and nothing after it.
@@ -43,58 +43,58 @@
 
 // Loop is one event loop. All but Post and Stop may be called on its own goroutine only.
 type Loop struct {
-	epoll, bell int
-	spare       int // a descriptor held back, to turn callers away when there are none left; -1: there is none
-	accept4     func(fd, flags int) (int, unix.Sockaddr, error)
-	started     time.Time
-	base        Tick
-	now         Tick
-	wheel       *Wheel
-	turn        func()
-	flushed     func()
-	busy        time.Duration
-	turns       int
-	again       bool
-	ending      bool
-	byFD        map[int]served
-	dirty       []*Conn
-	buffer      []byte
-	events      []unix.EpollEvent
-	conns, most int
-
-	mu      sync.Mutex
-	mail    []func()
-	rung    bool
-	stopped bool
-}
-
-// served is what stands behind a descriptor. finish closes it at the end of a turn, so that no descriptor is
+	epollFD, wakeupFD        int
+	spareFD                  int // a descriptor held back, to turn callers away when there are none left; -1: there is none
+	accept4                  func(fd, flags int) (int, unix.Sockaddr, error)
+	started                  time.Time
+	base                     Tick
+	now                      Tick
+	wheel                    *TimerWheel
+	onIteration              func()
+	onFlushed                func()
+	busy                     time.Duration
+	iterations               int
+	skipWait                 bool
+	stopWhenIdle             bool
+	sources                  map[int]eventSource
+	flushQueue               []*Conn
+	buffer                   []byte
+	events                   []unix.EpollEvent
+	connCount, peakConnCount int
+
+	mu            sync.Mutex
+	posted        []func()
+	wakeupPending bool
+	stopped       bool
+}
+
+// eventSource is what stands behind a descriptor. finish closes it at the end of a turn, so that no descriptor is
 // used anew while old events of it may wait.
-type served interface {
-	ready(events uint32)
-	finish()
+type eventSource interface {
+	handleEvents(events uint32)
+	release()
 }
 
 // New makes a loop; turn runs once in every turn.
-func New(turn func()) (*Loop, error) {
-	epoll, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
+func New(onIteration func()) (*Loop, error) {
+	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	bell, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
+	wakeupFD, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
 	if err != nil {
-		unix.Close(epoll)
+		unix.Close(epollFD)
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
 	now := time.Now()
-	l := &Loop{epoll: epoll, bell: bell, started: now, base: Tick(now.UnixMicro() / 100), turn: turn,
-		byFD: map[int]served{}, accept4: unix.Accept4, buffer: make([]byte, readAtOnce), events: make([]unix.EpollEvent, 512)}
+	l := &Loop{epollFD: epollFD, wakeupFD: wakeupFD, started: now, base: Tick(now.UnixMicro() / 100), onIteration: onIteration,
+		sources: map[int]eventSource{}, accept4: unix.Accept4, buffer: make([]byte, readBufferSize), events: make([]unix.EpollEvent, 512)}
 	l.now = l.base
-	l.wheel = NewWheel(l.now)
-	l.holdSpare()
-	if err := unix.EpollCtl(epoll, unix.EPOLL_CTL_ADD, bell,
-		&unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(bell)}); err != nil {
-		l.closeOwn()
+	l.wheel = NewTimerWheel(l.now)
+	l.openSpare()
+	if err := unix.EpollCtl(epollFD, unix.EPOLL_CTL_ADD, wakeupFD,
+		&unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(wakeupFD)}); err != nil {
+		l.closeDescriptors()
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
 	return l, nil
@@ -103,100 +103,102 @@
 // Now is the clock as read at the start of this turn.
 func (l *Loop) Now() Tick { return l.now }
 
-// Clock reads the clock anew, for measurement.
-func (l *Loop) Clock() time.Duration { return time.Since(l.started) }
+// Elapsed reads the clock anew, for measurement.
+func (l *Loop) Elapsed() time.Duration { return time.Since(l.started) }
 
-// Conns is the number of connections open or being opened; Timers the number of timers set.
-func (l *Loop) Conns() int  { return l.conns }
-func (l *Loop) Timers() int { return l.wheel.Len() }
+// ConnCount is the number of connections open or being opened; Timers the number of timers set.
+func (l *Loop) ConnCount() int  { return l.connCount }
+func (l *Loop) TimerCount() int { return l.wheel.Len() }
 
-// MostConns is the most connections that there were at once.
-func (l *Loop) MostConns() int { return l.most }
+// PeakConnCount is the most connections that there were at once.
+func (l *Loop) PeakConnCount() int { return l.peakConnCount }
 
-func (l *Loop) grow() {
-	l.conns++
-	l.most = max(l.most, l.conns)
+func (l *Loop) countConn() {
+	l.connCount++
+	l.peakConnCount = max(l.peakConnCount, l.connCount)
 }
 
 // After runs do once, the span from now.
-func (l *Loop) After(span Tick, do func()) *Timer { return l.wheel.Set(l.now+span, do) }
+func (l *Loop) After(delay Tick, callback func()) *Timer {
+	return l.wheel.Schedule(l.now+delay, callback)
+}
 
-func (l *Loop) Cancel(t *Timer) { l.wheel.Cancel(t) }
+func (l *Loop) Cancel(timer *Timer) { l.wheel.Cancel(timer) }
 
 // OnFlushed runs f at the end of each turn, when what the turn had to write was written as far as it goes.
-func (l *Loop) OnFlushed(f func()) { l.flushed = f }
+func (l *Loop) OnFlushed(callback func()) { l.onFlushed = callback }
 
-// Turns is the number of turns so far, and the time spent in them, waiting aside.
-func (l *Loop) Turns() (int, time.Duration) { return l.turns, l.busy }
+// Iterations is the number of turns so far, and the time spent in them, waiting aside.
+func (l *Loop) Iterations() (int, time.Duration) { return l.iterations, l.busy }
 
-// Again makes the next turn come at once.
-func (l *Loop) Again() { l.again = true }
+// SkipWait makes the next turn come at once.
+func (l *Loop) SkipWait() { l.skipWait = true }
 
 // Post hands f to the loop's goroutine; it reports false once the loop has stopped. Any goroutine may call it.
-func (l *Loop) Post(f func()) bool {
+func (l *Loop) Post(callback func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.stopped {
 		return false
 	}
-	l.mail = append(l.mail, f)
-	if !l.rung {
-		l.rung = true
+	l.posted = append(l.posted, callback)
+	if !l.wakeupPending {
+		l.wakeupPending = true
 		one := [8]byte{1}
-		unix.Write(l.bell, one[:])
+		unix.Write(l.wakeupFD, one[:])
 	}
 	return true
 }
 
 // Stop ends Run after its present turn; what was written until then is tried once more. Any goroutine may
 // call it.
-func (l *Loop) Stop() { l.Post(func() { l.turn = nil }) }
+func (l *Loop) Stop() { l.Post(func() { l.onIteration = nil }) }
 
-// End ends Run after the present turn, unless something has come meanwhile: then one more turn takes that in, and may call
+// StopWhenIdle ends Run after the present turn, unless something has come meanwhile: then one more turn takes that in, and may call
 // End again. So nothing that a peer had written is left without being acted on.
-func (l *Loop) End() { l.ending = true }
+func (l *Loop) StopWhenIdle() { l.stopWhenIdle = true }
 
 // Run serves until Stop or End. It closes every connection and listener before it returns.
 func (l *Loop) Run() error {
-	defer l.shut()
-	for l.turn != nil {
-		n, err := unix.EpollWait(l.epoll, l.events, l.patience())
+	defer l.shutdown()
+	for l.onIteration != nil {
+		n, err := unix.EpollWait(l.epollFD, l.events, l.waitTimeout())
 		if err != nil && err != unix.EINTR {
 			return fmt.Errorf("epoll: %w", err)
 		}
-		if l.ending && n == 0 {
+		if l.stopWhenIdle && n == 0 {
 			return nil
 		}
-		l.ending = false
+		l.stopWhenIdle = false
 		began := time.Since(l.started)
-		l.again = false
+		l.skipWait = false
 		l.now = max(l.now, l.base+Tick(time.Since(l.started).Microseconds()/100))
-		l.takeMail()
+		l.runPosted()
 		for i := range max(n, 0) {
-			if s := l.byFD[int(l.events[i].Fd)]; s != nil {
-				s.ready(l.events[i].Events)
+			if s := l.sources[int(l.events[i].Fd)]; s != nil {
+				s.handleEvents(l.events[i].Events)
 			}
 		}
 		l.wheel.Advance(l.now)
-		if l.turn != nil {
-			l.turn()
+		if l.onIteration != nil {
+			l.onIteration()
 		}
-		l.flush()
-		if l.flushed != nil {
-			l.flushed()
+		l.flushConns()
+		if l.onFlushed != nil {
+			l.onFlushed()
 		}
-		l.turns++
+		l.iterations++
 		l.busy += time.Since(l.started) - began
 	}
 	return nil
 }
 
-// patience is how long the wait may last, in milliseconds rounded up: a timer may be late by one, never early.
-func (l *Loop) patience() int {
-	if l.again || l.ending {
+// waitTimeout is how long the wait may last, in milliseconds rounded up: a timer may be late by one, never early.
+func (l *Loop) waitTimeout() int {
+	if l.skipWait || l.stopWhenIdle {
 		return 0
 	}
-	at, ok := l.wheel.Next()
+	at, ok := l.wheel.NextExpiry()
 	if !ok {
 		return -1
 	}
@@ -204,116 +206,116 @@
 	return int(min(max(0, (left+Millisecond-1)/Millisecond), 60_000))
 }
 
-func (l *Loop) takeMail() {
+func (l *Loop) runPosted() {
 	l.mu.Lock()
-	mail := l.mail
-	if l.rung {
+	mail := l.posted
+	if l.wakeupPending {
 		var b [8]byte
-		unix.Read(l.bell, b[:])
+		unix.Read(l.wakeupFD, b[:])
 	}
-	l.mail, l.rung = nil, false
+	l.posted, l.wakeupPending = nil, false
 	l.mu.Unlock()
 	for _, f := range mail {
 		f()
 	}
 }
 
-// flush writes what connections have gathered; closing ones may add to the list while it is worked off.
-func (l *Loop) flush() {
-	for i := 0; i < len(l.dirty); i++ {
-		c := l.dirty[i]
-		c.dirty = false
-		if c.dead {
-			c.finish()
+// flushConns writes what connections have gathered; closing ones may add to the list while it is worked off.
+func (l *Loop) flushConns() {
+	for i := 0; i < len(l.flushQueue); i++ {
+		c := l.flushQueue[i]
+		c.flushQueued = false
+		if c.closed {
+			c.release()
 		} else {
-			c.push()
+			c.flush()
 		}
 	}
-	l.dirty = l.dirty[:0]
+	l.flushQueue = l.flushQueue[:0]
 }
 
-func (l *Loop) shut() {
+func (l *Loop) shutdown() {
 	l.mu.Lock()
-	l.stopped, l.mail = true, nil
+	l.stopped, l.posted = true, nil
 	l.mu.Unlock()
-	for _, s := range l.byFD {
+	for _, s := range l.sources {
 		switch s := s.(type) {
 		case *Conn:
-			s.push()
-			s.hearOut()
+			s.flush()
+			s.drainInput()
 			s.fail(ErrClosed)
 		case *Listener:
 			s.Close()
 		}
 	}
-	l.flush()
-	l.closeOwn()
+	l.flushConns()
+	l.closeDescriptors()
 }
 
-func (l *Loop) closeOwn() {
-	unix.Close(l.epoll)
-	unix.Close(l.bell)
-	if l.spare >= 0 {
-		unix.Close(l.spare)
+func (l *Loop) closeDescriptors() {
+	unix.Close(l.epollFD)
+	unix.Close(l.wakeupFD)
+	if l.spareFD >= 0 {
+		unix.Close(l.spareFD)
 	}
 }
 
-func (l *Loop) holdSpare() {
+func (l *Loop) openSpare() {
 	fd, err := unix.Open("/dev/null", unix.O_RDONLY|unix.O_CLOEXEC, 0)
 	if err != nil {
 		fd = -1
 	}
-	l.spare = fd
+	l.spareFD = fd
 }
 
-func (l *Loop) add(fd int, events uint32, s served) error {
-	if err := unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, fd,
+func (l *Loop) register(fd int, events uint32, s eventSource) error {
+	if err := unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_ADD, fd,
 		&unix.EpollEvent{Events: events, Fd: int32(fd)}); err != nil {
 		return fmt.Errorf("epoll: %w", err)
 	}
-	l.byFD[fd] = s
+	l.sources[fd] = s
 	return nil
 }
 
 // Listener accepts connections.
 type Listener struct {
-	l      *Loop
-	fd     int
-	addr   netip.AddrPort
-	accept func() (Handler, int)
-	turned func(why error)
-	away   bool // callers are turned away
-	closed bool
+	loop          *Loop
+	fd            int
+	addr          netip.AddrPort
+	accept        func() (Handler, int)
+	onAcceptState func(why error)
+	refusing      bool // callers are turned away
+	closed        bool
 }
 
 // Listen opens a listener. For each caller, accept gives its handler and the most bytes that may wait to be
 // written to it, or nil to turn it away; turned is told when callers can be taken no longer, and by nil when they are again.
-func (l *Loop) Listen(addr string, accept func() (Handler, int), turned func(error)) (*Listener, error) {
-	ap, err := netip.ParseAddrPort(addr)
+func (l *Loop) Listen(addr string, accept func() (Handler, int), onAcceptState func(error)) (*Listener, error) {
+	address, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	fd, err := unix.Socket(family(ap), unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	fd, err := unix.Socket(family(address), unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", addr, err)
 	}
 	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	if err = unix.Bind(fd, sockaddr(ap)); err == nil {
+	if err = unix.Bind(fd, sockaddr(address)); err == nil {
 		err = unix.Listen(fd, 1024)
 	}
-	s := &Listener{l: l, fd: fd, addr: ap, accept: accept, turned: turned}
+	listener := &Listener{loop: l, fd: fd, addr: address, accept: accept, onAcceptState: onAcceptState}
 	if err == nil {
-		var own unix.Sockaddr
-		if own, err = unix.Getsockname(fd); err == nil {
-			s.addr = addrPort(own)
-			err = l.add(fd, unix.EPOLLIN, s)
+		var bound unix.Sockaddr
+		if bound, err = unix.Getsockname(fd); err == nil {
+			listener.addr = addrPort(bound)
+			err = l.register(fd, unix.EPOLLIN, listener)
 		}
 	}
 	if err != nil {
 		unix.Close(fd)
 		return nil, fmt.Errorf("listen on %s: %w", addr, err)
 	}
-	return s, nil
+	return listener, nil
 }
 
 // FD is the listener's descriptor, for options of its socket.
@@ -325,25 +327,25 @@
 func (s *Listener) Close() {
 	if !s.closed {
 		s.closed = true
-		s.finish()
+		s.release()
 	}
 }
 
-func (s *Listener) finish() {
-	delete(s.l.byFD, s.fd)
+func (s *Listener) release() {
+	delete(s.loop.sources, s.fd)
 	unix.Close(s.fd)
 }
 
-func (s *Listener) ready(uint32) {
-	for range acceptAtOnce {
-		fd, _, err := s.l.accept4(s.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+func (s *Listener) handleEvents(uint32) {
+	for range maxAcceptsPerIteration {
+		fd, _, err := s.loop.accept4(s.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch {
 		case err == unix.EAGAIN:
 			return
 		case err == unix.EINTR || err == unix.ECONNABORTED:
 			continue
 		case err != nil:
-			s.refuse(err)
+			s.handleAcceptError(err)
 			return
 		}
 		h, room := s.accept()
@@ -351,113 +353,113 @@
 			unix.Close(fd)
 			continue
 		}
-		c := &Conn{l: s.l, fd: fd, h: h, room: room, open: true}
+		c := &Conn{loop: s.loop, fd: fd, handler: h, maxOutput: room, open: true}
 		unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-		if err := s.l.add(fd, unix.EPOLLIN|unix.EPOLLRDHUP, c); err != nil {
+		if err := s.loop.register(fd, unix.EPOLLIN|unix.EPOLLRDHUP, c); err != nil {
 			unix.Close(fd)
-			s.tell(err)
+			s.reportAcceptState(err)
 			continue
 		}
-		s.tell(nil)
-		s.l.grow()
+		s.reportAcceptState(nil)
+		s.loop.countConn()
 		h.Opened(c)
 	}
 }
 
-// refuse turns one caller away by the spare descriptor, where that is what lacks and there is one: else it would wait in
+// handleAcceptError turns one caller away by the spare descriptor, where that is what lacks and there is one: else it would wait in
 // the kernel, and the loop would spin on it. Where nothing can be done the listener is left alone for a while.
-func (s *Listener) refuse(err error) {
-	s.tell(err)
+func (s *Listener) handleAcceptError(err error) {
+	s.reportAcceptState(err)
 	if err == unix.EMFILE || err == unix.ENFILE {
-		if s.l.spare < 0 {
+		if s.loop.spareFD < 0 {
 			// Where one can be had by now, there was one for the caller too: the next turn takes it, and does not turn it away.
-			if s.l.holdSpare(); s.l.spare >= 0 {
+			if s.loop.openSpare(); s.loop.spareFD >= 0 {
 				return
 			}
 		} else {
-			unix.Close(s.l.spare)
+			unix.Close(s.loop.spareFD)
 			if fd, _, e := unix.Accept4(s.fd, unix.SOCK_CLOEXEC); e == nil {
 				unix.Close(fd)
 			}
-			s.l.holdSpare()
+			s.loop.openSpare()
 			return
 		}
 	}
-	s.listen(0)
-	s.l.After(acceptAgain, func() {
+	s.setEvents(0)
+	s.loop.After(acceptRetryDelay, func() {
 		if !s.closed {
-			s.listen(unix.EPOLLIN)
+			s.setEvents(unix.EPOLLIN)
 		}
 	})
 }
 
-func (s *Listener) listen(events uint32) {
-	unix.EpollCtl(s.l.epoll, unix.EPOLL_CTL_MOD, s.fd, &unix.EpollEvent{Events: events, Fd: int32(s.fd)})
+func (s *Listener) setEvents(events uint32) {
+	unix.EpollCtl(s.loop.epollFD, unix.EPOLL_CTL_MOD, s.fd, &unix.EpollEvent{Events: events, Fd: int32(s.fd)})
 }
 
-// Telling logs when callers, named by their sort, are turned away and when they are taken again.
-func (l *Loop) Telling(log *slog.Logger, callers string) func(error) {
+// AcceptStateLogger logs when callers, named by their sort, are turned away and when they are taken again.
+func (l *Loop) AcceptStateLogger(log *slog.Logger, callers string) func(error) {
 	return func(why error) {
 		if why != nil {
-			log.Warn(callers+" turned away", "why", why, "connections", l.conns)
+			log.Warn(callers+" turned away", "why", why, "connections", l.connCount)
 		} else {
-			log.Info(callers+" taken again", "connections", l.conns)
+			log.Info(callers+" taken again", "connections", l.connCount)
 		}
 	}
 }
 
-// tell says when callers are turned away, and when they are taken again.
-func (s *Listener) tell(why error) {
-	if s.away != (why != nil) {
-		s.away = why != nil
-		s.turned(why)
+// reportAcceptState says when callers are turned away, and when they are taken again.
+func (s *Listener) reportAcceptState(why error) {
+	if s.refusing != (why != nil) {
+		s.refusing = why != nil
+		s.onAcceptState(why)
 	}
 }
 
 // Conn is one connection.
 type Conn struct {
-	l       *Loop
-	fd      int // -1: there never was one
-	h       Handler
-	out     []byte // yet to be written, room bytes at most
-	room    int
-	dialing *Timer
-	open    bool
-	waits   bool // for the peer to take more
-	dirty   bool
-	dead    bool
-	told    bool
-	ending  error // the close that follows the last byte
-	resting bool  // what comes is left unread
-	halved  bool  // the write side is to end after the last byte
-	linger  *Timer
-	read    int // bytes, so far
-	written int
+	loop          *Loop
+	fd            int // -1: there never was one
+	handler       Handler
+	output        []byte // yet to be written, room bytes at most
+	maxOutput     int
+	connectTimer  *Timer
+	open          bool
+	writeBlocked  bool // for the peer to take more
+	flushQueued   bool
+	closed        bool
+	closeReported bool
+	closeReason   error // the close that follows the last byte
+	readPaused    bool  // what comes is left unread
+	writeClosed   bool  // the write side is to end after the last byte
+	closeTimer    *Timer
+	bytesRead     int // bytes, so far
+	bytesWritten  int
 }
 
 // Dial begins a connection. The handler hears Opened or Closed, never before Dial has returned.
-func (l *Loop) Dial(addr string, h Handler, room int, within Tick) *Conn {
-	return l.DialWith(addr, h, room, within, nil)
-}
-
-// DialWith sets a socket up by prepare before it connects.
-func (l *Loop) DialWith(addr string, h Handler, room int, within Tick, prepare func(fd int) error) *Conn {
-	c := &Conn{l: l, fd: -1, h: h, room: room}
-	l.grow()
-	if err := c.dial(addr, within, prepare); err != nil {
-		l.conns--
-		c.dead = true
-		kind := ErrNoConnect
-		if short(err) {
-			kind = ErrShort
+func (l *Loop) Dial(addr string, handler Handler, maxOutput int, timeout Tick) *Conn {
+	return l.DialWithControl(addr, handler, maxOutput, timeout, nil)
+}
+
+// DialWithControl sets a socket up by prepare before it connects.
+func (l *Loop) DialWithControl(addr string, handler Handler, maxOutput int, timeout Tick, control func(fd int) error) *Conn {
+	conn := &Conn{loop: l, fd: -1, handler: handler, maxOutput: maxOutput}
+	l.countConn()
+	if err := conn.connect(addr, timeout, control); err != nil {
+		l.connCount--
+		conn.closed = true
+		kind := ErrConnectFailed
+		if isLocalResourceError(err) {
+			kind = ErrLocalResources
 		}
-		l.wheel.Set(l.now, func() { c.tell(fmt.Errorf("%w to %s: %w", kind, addr, err)) })
+		l.wheel.Schedule(l.now, func() { conn.reportClosed(fmt.Errorf("%w to %s: %w", kind, addr, err)) })
 	}
-	return c
+	return conn
 }
 
-// short tells whether an error is a want on this side: it says nothing of the peer.
-func short(err error) bool {
+// isLocalResourceError tells whether an error is a want on this side: it says nothing of the peer.
+func isLocalResourceError(err error) bool {
 	for _, e := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EAGAIN, unix.EADDRNOTAVAIL} {
 		if errors.Is(err, e) {
 			return true
@@ -466,7 +468,7 @@
 	return false
 }
 
-func (c *Conn) dial(addr string, within Tick, prepare func(fd int) error) error {
+func (c *Conn) connect(addr string, within Tick, prepare func(fd int) error) error {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return err
@@ -483,27 +485,27 @@
 		}
 	}
 	if err = unix.Connect(fd, sockaddr(ap)); err == nil || err == unix.EINPROGRESS {
-		err = c.l.add(fd, unix.EPOLLOUT, c)
+		err = c.loop.register(fd, unix.EPOLLOUT, c)
 	}
 	if err != nil {
 		unix.Close(fd)
 		return err
 	}
 	c.fd = fd
-	c.dialing = c.l.After(within, func() { c.fail(fmt.Errorf("%w to %s within %d ms", ErrNoConnect, addr, within/Millisecond)) })
+	c.connectTimer = c.loop.After(within, func() { c.fail(fmt.Errorf("%w to %s within %d ms", ErrConnectFailed, addr, within/Millisecond)) })
 	return nil
 }
 
-// Write takes all of p or nothing: ErrBehind where too much waits already.
+// Write takes all of p or nothing: ErrOutputFull where too much waits already.
 func (c *Conn) Write(p []byte) error {
-	if c.dead || c.ending != nil || c.halved {
+	if c.closed || c.closeReason != nil || c.writeClosed {
 		return ErrClosed
 	}
-	if len(c.out)+len(p) > c.room {
-		return ErrBehind
+	if len(c.output)+len(p) > c.maxOutput {
+		return ErrOutputFull
 	}
-	c.out = append(c.out, p...)
-	c.mark()
+	c.output = append(c.output, p...)
+	c.queueFlush()
 	return nil
 }
 
@@ -516,184 +518,184 @@
 	return addrPort(sa)
 }
 
-// Waiting is the number of bytes yet to be written.
-func (c *Conn) Waiting() int { return len(c.out) }
+// PendingOutput is the number of bytes yet to be written.
+func (c *Conn) PendingOutput() int { return len(c.output) }
 
-// Moved is the number of bytes read and written so far.
-func (c *Conn) Moved() (read, written int) { return c.read, c.written }
+// BytesTransferred is the number of bytes read and written so far.
+func (c *Conn) BytesTransferred() (read, written int) { return c.bytesRead, c.bytesWritten }
 
-// Behind tells whether the peer takes less than was written.
-func (c *Conn) Behind() bool { return c.waits }
+// WriteBlocked tells whether the peer takes less than was written.
+func (c *Conn) WriteBlocked() bool { return c.writeBlocked }
 
-// Open tells whether the connection stands.
-func (c *Conn) Open() bool { return c.open && !c.dead }
+// IsOpen tells whether the connection stands.
+func (c *Conn) IsOpen() bool { return c.open && !c.closed }
 
-func (c *Conn) mark() {
-	if !c.dirty {
-		c.dirty = true
-		c.l.dirty = append(c.l.dirty, c)
+func (c *Conn) queueFlush() {
+	if !c.flushQueued {
+		c.flushQueued = true
+		c.loop.flushQueue = append(c.loop.flushQueue, c)
 	}
 }
 
 // CloseWrite ends this side's output after what waits; the peer may go on.
 func (c *Conn) CloseWrite() {
-	c.halved = true
-	c.mark()
+	c.writeClosed = true
+	c.queueFlush()
 }
 
-// Rest leaves what comes unread, or reads it again. A peer that hangs up is heard to its end all the same.
-func (c *Conn) Rest(on bool) {
-	if c.dead || c.resting == on {
+// SetReadPaused leaves what comes unread, or reads it again. A peer that hangs up is heard to its end all the same.
+func (c *Conn) SetReadPaused(paused bool) {
+	if c.closed || c.readPaused == paused {
 		return
 	}
-	if c.resting = on; c.fd >= 0 && c.dialing == nil {
-		c.watch()
+	if c.readPaused = paused; c.fd >= 0 && c.connectTimer == nil {
+		c.updateEvents()
 	}
 }
 
 // Close ends the connection once what waits is written, two seconds later at most.
-func (c *Conn) Close() { c.end(ErrClosed) }
+func (c *Conn) Close() { c.closeAfterFlush(ErrClosed) }
 
 // Reset ends the connection at once; the peer sees a reset.
 func (c *Conn) Reset() {
-	if c.fd >= 0 && !c.dead {
+	if c.fd >= 0 && !c.closed {
 		unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
 	c.fail(ErrClosed)
 }
 
-func (c *Conn) end(why error) {
-	if c.dead || c.ending != nil {
+func (c *Conn) closeAfterFlush(reason error) {
+	if c.closed || c.closeReason != nil {
 		return
 	}
-	if len(c.out) == 0 || !c.open {
-		c.fail(why)
+	if len(c.output) == 0 || !c.open {
+		c.fail(reason)
 		return
 	}
-	c.ending = why
-	c.linger = c.l.After(lingerAtClose, func() { c.fail(why) })
-	c.watch()
-	c.mark()
+	c.closeReason = reason
+	c.closeTimer = c.loop.After(closeFlushTimeout, func() { c.fail(reason) })
+	c.updateEvents()
+	c.queueFlush()
 }
 
-func (c *Conn) fail(why error) {
-	if c.dead {
+func (c *Conn) fail(reason error) {
+	if c.closed {
 		return
 	}
-	c.dead = true
-	c.mark()
-	c.tell(why)
+	c.closed = true
+	c.queueFlush()
+	c.reportClosed(reason)
 }
 
-func (c *Conn) tell(why error) {
-	if !c.told {
-		c.told = true
-		c.h.Closed(c, why)
+func (c *Conn) reportClosed(reason error) {
+	if !c.closeReported {
+		c.closeReported = true
+		c.handler.Closed(c, reason)
 	}
 }
 
-func (c *Conn) finish() {
+func (c *Conn) release() {
 	if c.fd < 0 {
 		return
 	}
-	c.l.Cancel(c.dialing)
-	c.l.Cancel(c.linger)
-	delete(c.l.byFD, c.fd)
+	c.loop.Cancel(c.connectTimer)
+	c.loop.Cancel(c.closeTimer)
+	delete(c.loop.sources, c.fd)
 	unix.Close(c.fd)
-	c.fd, c.out = -1, nil
-	c.l.conns--
+	c.fd, c.output = -1, nil
+	c.loop.connCount--
 }
 
-func (c *Conn) watch() {
+func (c *Conn) updateEvents() {
 	events := uint32(unix.EPOLLIN | unix.EPOLLRDHUP)
-	if c.ending != nil {
+	if c.closeReason != nil {
 		events = 0
-	} else if c.resting {
+	} else if c.readPaused {
 		events = unix.EPOLLRDHUP
 	}
-	if c.waits {
+	if c.writeBlocked {
 		events |= unix.EPOLLOUT
 	}
-	unix.EpollCtl(c.l.epoll, unix.EPOLL_CTL_MOD, c.fd, &unix.EpollEvent{Events: events, Fd: int32(c.fd)})
+	unix.EpollCtl(c.loop.epollFD, unix.EPOLL_CTL_MOD, c.fd, &unix.EpollEvent{Events: events, Fd: int32(c.fd)})
 }
 
-func (c *Conn) ready(events uint32) {
-	if c.dead {
+func (c *Conn) handleEvents(events uint32) {
+	if c.closed {
 		return
 	}
-	if !c.open && c.dialing != nil {
-		c.l.Cancel(c.dialing)
-		c.dialing = nil
+	if !c.open && c.connectTimer != nil {
+		c.loop.Cancel(c.connectTimer)
+		c.connectTimer = nil
 		if code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR); err != nil || code != 0 {
-			c.fail(fmt.Errorf("%w: %w", ErrNoConnect, unix.Errno(code)))
+			c.fail(fmt.Errorf("%w: %w", ErrConnectFailed, unix.Errno(code)))
 			return
 		}
 		c.open = true
-		c.watch()
-		c.h.Opened(c)
-		if len(c.out) > 0 {
-			c.mark()
+		c.updateEvents()
+		c.handler.Opened(c)
+		if len(c.output) > 0 {
+			c.queueFlush()
 		}
 		return
 	}
 	if events&unix.EPOLLOUT != 0 {
-		c.waits = false
-		c.watch()
-		c.mark()
+		c.writeBlocked = false
+		c.updateEvents()
+		c.queueFlush()
 	}
 	hungUp := events&(unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) != 0
-	if !hungUp && (c.resting || events&unix.EPOLLIN == 0) {
+	if !hungUp && (c.readPaused || events&unix.EPOLLIN == 0) {
 		return
 	}
-	if c.ending != nil {
+	if c.closeReason != nil {
 		if events&(unix.EPOLLHUP|unix.EPOLLERR) != 0 {
-			c.fail(c.ending)
+			c.fail(c.closeReason)
 		}
 		return
 	}
-	for more, reads := c.take(), 1; more && hungUp && reads < heardOut; reads++ {
-		more = c.take()
+	for more, reads := c.readOnce(), 1; more && hungUp && reads < maxDrainReads; reads++ {
+		more = c.readOnce()
 	}
 }
 
-// hearOut ends this side of a connection and drops what is left unread: a close with unread bytes is a reset, which may take
+// drainInput ends this side of a connection and drops what is left unread: a close with unread bytes is a reset, which may take
 // from the peer what it has not read yet.
-func (c *Conn) hearOut() {
-	if c.dead || !c.open {
+func (c *Conn) drainInput() {
+	if c.closed || !c.open {
 		return
 	}
 	unix.Shutdown(c.fd, unix.SHUT_WR)
-	for range heardOut {
-		if n, err := unix.Read(c.fd, c.l.buffer); n <= 0 || err != nil {
+	for range maxDrainReads {
+		if n, err := unix.Read(c.fd, c.loop.buffer); n <= 0 || err != nil {
 			return
 		}
 	}
 }
 
-// take reads once; it tells whether there may be more.
-func (c *Conn) take() bool {
-	n, err := unix.Read(c.fd, c.l.buffer)
+// readOnce reads once; it tells whether there may be more.
+func (c *Conn) readOnce() bool {
+	n, err := unix.Read(c.fd, c.loop.buffer)
 	switch {
 	case err == unix.EAGAIN || err == unix.EINTR:
 		return false
 	case err != nil:
 		c.fail(fmt.Errorf("%w: %w", ErrReset, err))
 	case n == 0:
-		c.tell(io.EOF) // at once, as it has left; it may still read what waits
-		c.end(io.EOF)
+		c.reportClosed(io.EOF) // at once, as it has left; it may still read what waits
+		c.closeAfterFlush(io.EOF)
 	default:
-		c.read += n
-		c.h.Read(c, c.l.buffer[:n])
+		c.bytesRead += n
+		c.handler.Read(c, c.loop.buffer[:n])
 	}
-	return !c.dead && c.ending == nil
+	return !c.closed && c.closeReason == nil
 }
 
-func (c *Conn) push() {
-	if c.dead || c.waits || c.dialing != nil {
+func (c *Conn) flush() {
+	if c.closed || c.writeBlocked || c.connectTimer != nil {
 		return
 	}
-	if len(c.out) > 0 {
-		n, err := unix.Write(c.fd, c.out)
+	if len(c.output) > 0 {
+		n, err := unix.Write(c.fd, c.output)
 		switch {
 		case err == unix.EAGAIN || err == unix.EINTR:
 			n = 0
@@ -701,20 +703,20 @@
 			c.fail(fmt.Errorf("%w: %w", ErrReset, err))
 			return
 		}
-		c.written += n
-		if n < len(c.out) {
-			c.out = append(c.out[:0], c.out[n:]...)
-			c.waits = true
-			c.watch()
+		c.bytesWritten += n
+		if n < len(c.output) {
+			c.output = append(c.output[:0], c.output[n:]...)
+			c.writeBlocked = true
+			c.updateEvents()
 			return
 		}
-		if c.out = c.out[:0]; cap(c.out) > readAtOnce {
-			c.out = nil // a burst's buffer is not kept
+		if c.output = c.output[:0]; cap(c.output) > readBufferSize {
+			c.output = nil // a burst's buffer is not kept
 		}
 	}
-	if c.ending != nil {
-		c.fail(c.ending)
-	} else if c.halved {
+	if c.closeReason != nil {
+		c.fail(c.closeReason)
+	} else if c.writeClosed {
 		unix.Shutdown(c.fd, unix.SHUT_WR)
 	}
 }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -155,10 +155,10 @@
 			if why := wait(t, h.closed); !errors.Is(why, tc.want) {
 				t.Errorf("closed by %v, want %v", why, tc.want)
 			}
-			if n := on(l, func() int { l.Again(); return len(h.closed) }); n != 0 {
+			if n := on(l, func() int { l.SkipWait(); return len(h.closed) }); n != 0 {
 				t.Errorf("told %d times more", n)
 			}
-			if n := on(l, l.Conns); n != 0 {
+			if n := on(l, l.ConnCount); n != 0 {
 				t.Errorf("%d connections left", n)
 			}
 		})
@@ -193,7 +193,7 @@
 					t.Error("told before Dial returned")
 				}
 			})
-			if why := wait(t, h.closed); !errors.Is(why, ErrNoConnect) {
+			if why := wait(t, h.closed); !errors.Is(why, ErrConnectFailed) {
 				t.Errorf("closed by %v", why)
 			}
 		})
@@ -333,8 +333,8 @@
 					return unix.Accept4(fd, flags)
 				}
 				if tc.err == nil {
-					unix.Close(l.spare)
-					l.spare = -1
+					unix.Close(l.spareFD)
+					l.spareFD = -1
 				}
 				return true
 			})
@@ -353,7 +353,7 @@
 			}
 			first := wait(t, tries)
 			wait(t, tries)
-			if third := wait(t, tries); third-first < acceptAgain {
+			if third := wait(t, tries); third-first < acceptRetryDelay {
 				t.Errorf("three tries in %d ms: the loop spins", (third-first)/Millisecond)
 			}
 			failing.Store(false)
@@ -378,7 +378,7 @@
 	on(l, func() *Conn { return l.Dial(addr, h, 100, Second) })
 	why := wait(t, h.closed)
 	syscall.Setrlimit(syscall.RLIMIT_NOFILE, &old)
-	if !errors.Is(why, ErrShort) || errors.Is(why, ErrNoConnect) {
+	if !errors.Is(why, ErrLocalResources) || errors.Is(why, ErrConnectFailed) {
 		t.Error(why)
 	}
 	on(l, func() *Conn { return l.Dial(addr, h, 100, Second) })
@@ -421,8 +421,8 @@
 		here func(c *Conn)
 		said int // bytes, before it hangs up
 	}{
-		{"asks and hangs up", func(*Conn) {}, readAtOnce / 2},
-		{"while it is left unread", func(c *Conn) { c.Rest(true) }, readAtOnce / 2},
+		{"asks and hangs up", func(*Conn) {}, readBufferSize / 2},
+		{"while it is left unread", func(c *Conn) { c.SetReadPaused(true) }, readBufferSize / 2},
 		{"while it takes nothing", func(c *Conn) {
 			for c.Write(make([]byte, 1<<20)) == nil {
 			}
@@ -464,10 +464,10 @@
 	var peer net.Conn
 	h.take = func(c *Conn, p []byte) {
 		c.Write(p)
-		c.Rest(true)
+		c.SetReadPaused(true)
 		l.Post(func() {
 			peer.Write([]byte("unread"))
-			l.End()
+			l.StopWhenIdle()
 		})
 	}
 	s, err := l.Listen("127.0.0.1:0", func() (Handler, int) { return h, 100 }, nil)
@@ -480,7 +480,7 @@
 	wait(t, h.opened)
 	l.Post(func() {
 		peer.Write([]byte("last")) // not read in this turn, after which the loop ends
-		l.End()
+		l.StopWhenIdle()
 	})
 	if got, err := io.ReadAll(peer); string(got) != "last" || err != nil {
 		t.Errorf("peer got %q, %v", got, err)
@@ -504,8 +504,8 @@
 	l, h := run(t, func() {}), newProbe()
 	addr := listen(t, l, h, 100, func(error) {})
 	on(l, func() bool {
-		unix.Close(l.spare)
-		l.spare = -1
+		unix.Close(l.spareFD)
+		l.spareFD = -1
 		failed := false
 		l.accept4 = func(fd, flags int) (int, unix.Sockaddr, error) {
 			if !failed {
--- a/internal/eventloop/md5.go
+++ b/internal/eventloop/md5.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// SignTCP has the kernel sign all segments to and from an address with a key (RFC 2385), and drop those that are
+// SetTCPMD5Key has the kernel sign all segments to and from an address with a key (RFC 2385), and drop those that are
 // not. Kernels without it, and those that allow it to the privileged only, say so by an error.
-func SignTCP(fd int, peer netip.Addr, key string) error {
+func SetTCPMD5Key(fd int, peer netip.Addr, key string) error {
 	if key == "" || len(key) > 80 {
 		return fmt.Errorf("a TCP MD5 key has 1 to 80 bytes, not %d", len(key))
 	}
--- a/internal/eventloop/md5_test.go
+++ b/internal/eventloop/md5_test.go
@@ -19,7 +19,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		refused = SignTCP(s.FD(), local, "secret")
+		refused = SetTCPMD5Key(s.FD(), local, "secret")
 		return s
 	})
 	for _, tc := range []struct {
@@ -29,15 +29,15 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := newProbe()
 			l.Post(func() {
-				l.DialWith(s.Addr().String(), c, 1000, 300*Millisecond, func(fd int) error {
+				l.DialWithControl(s.Addr().String(), c, 1000, 300*Millisecond, func(fd int) error {
 					if tc.key == "" {
 						return nil
 					}
-					return SignTCP(fd, local, tc.key)
+					return SetTCPMD5Key(fd, local, tc.key)
 				})
 			})
 			if refused != nil && tc.key != "" {
-				if why := wait(t, c.closed); !errors.Is(why, ErrNoConnect) {
+				if why := wait(t, c.closed); !errors.Is(why, ErrConnectFailed) {
 					t.Errorf("closed by %v", why)
 				}
 				t.Skipf("not offered here: %v", refused)
@@ -47,12 +47,12 @@
 			}
 			if tc.stands {
 				wait(t, c.opened)
-			} else if why := wait(t, c.closed); !errors.Is(why, ErrNoConnect) {
+			} else if why := wait(t, c.closed); !errors.Is(why, ErrConnectFailed) {
 				t.Errorf("closed by %v", why)
 			}
 		})
 	}
-	if err := SignTCP(0, local, ""); err == nil || errors.Is(err, unix.ENOPROTOOPT) {
+	if err := SetTCPMD5Key(0, local, ""); err == nil || errors.Is(err, unix.ENOPROTOOPT) {
 		t.Errorf("an empty key gives %v", err)
 	}
 }
--- a/internal/eventloop/wheel.go
+++ b/internal/eventloop/wheel.go
@@ -14,13 +14,13 @@
 	slotBits = 6
 	slots    = 1 << slotBits
 	levels   = 7
-	furthest = Tick(1)<<(slotBits*levels) - 1 // some 13 years
+	maxSpan  = Tick(1)<<(slotBits*levels) - 1 // some 13 years
 )
 
 // Timer is a moment at which something is due. It belongs to one wheel.
 type Timer struct {
-	at         Tick
-	do         func()
+	expiry     Tick
+	callback   func()
 	prev, next *Timer
 	slot       *slot
 }
@@ -30,17 +30,17 @@
 	first        *Timer
 }
 
-// Wheel is a hierarchical timing wheel: each level holds 64 slots, each slot of a level spans all of the
+// TimerWheel is a hierarchical timing wheel: each level holds 64 slots, each slot of a level spans all of the
 // level below. Setting and cancelling take constant time; a timer moves down at most once a level.
-type Wheel struct {
+type TimerWheel struct {
 	now      Tick
 	size     int
 	occupied [levels]uint64
 	slots    [levels][slots]slot
 }
 
-func NewWheel(now Tick) *Wheel {
-	w := &Wheel{now: now}
+func NewTimerWheel(now Tick) *TimerWheel {
+	w := &TimerWheel{now: now}
 	for l := range w.slots {
 		for i := range w.slots[l] {
 			w.slots[l][i] = slot{level: l, index: i}
@@ -50,19 +50,19 @@
 }
 
 // Len is the number of timers set.
-func (w *Wheel) Len() int { return w.size }
+func (w *TimerWheel) Len() int { return w.size }
 
-// Set makes do run in the first Advance to at or later, never in the one that is under way.
-func (w *Wheel) Set(at Tick, do func()) *Timer {
-	t := &Timer{at: max(at, w.now+1), do: do}
-	t.at = min(t.at, w.now+furthest/2)
-	w.insert(t)
+// Schedule makes do run in the first Advance to at or later, never in the one that is under way.
+func (w *TimerWheel) Schedule(at Tick, callback func()) *Timer {
+	timer := &Timer{expiry: max(at, w.now+1), callback: callback}
+	timer.expiry = min(timer.expiry, w.now+maxSpan/2)
+	w.insert(timer)
 	w.size++
-	return t
+	return timer
 }
 
 // Cancel takes a timer out; it tells whether the timer was still set.
-func (w *Wheel) Cancel(t *Timer) bool {
+func (w *TimerWheel) Cancel(t *Timer) bool {
 	if t == nil || t.slot == nil {
 		return false
 	}
@@ -71,10 +71,10 @@
 	return true
 }
 
-func (w *Wheel) insert(t *Timer) {
-	level := (bits.Len64(uint64(t.at^w.now)|(slots-1)) - 1) / slotBits
+func (w *TimerWheel) insert(t *Timer) {
+	level := (bits.Len64(uint64(t.expiry^w.now)|(slots-1)) - 1) / slotBits
 	level = min(level, levels-1)
-	s := &w.slots[level][int(t.at>>(slotBits*level))&(slots-1)]
+	s := &w.slots[level][int(t.expiry>>(slotBits*level))&(slots-1)]
 	t.slot, t.prev, t.next = s, nil, s.first
 	if s.first != nil {
 		s.first.prev = t
@@ -83,7 +83,7 @@
 	w.occupied[level] |= 1 << s.index
 }
 
-func (w *Wheel) remove(t *Timer) {
+func (w *TimerWheel) remove(t *Timer) {
 	s := t.slot
 	if t.prev != nil {
 		t.prev.next = t.next
@@ -99,8 +99,8 @@
 	t.slot, t.prev, t.next = nil, nil, nil
 }
 
-// earliest is the slot that is due first and when it is; its timers may be due later.
-func (w *Wheel) earliest() (*slot, Tick) {
+// earliestSlot is the slot that is due first and when it is; its timers may be due later.
+func (w *TimerWheel) earliestSlot() (*slot, Tick) {
 	for level := range levels {
 		occupied := w.occupied[level]
 		if occupied == 0 {
@@ -120,16 +120,16 @@
 	return nil, 0
 }
 
-// Next is the moment at which Advance has something to do.
-func (w *Wheel) Next() (Tick, bool) {
-	s, at := w.earliest()
+// NextExpiry is the moment at which Advance has something to do.
+func (w *TimerWheel) NextExpiry() (Tick, bool) {
+	s, at := w.earliestSlot()
 	return at, s != nil
 }
 
 // Advance moves the wheel on to now and runs what is due, in order of time.
-func (w *Wheel) Advance(now Tick) {
+func (w *TimerWheel) Advance(now Tick) {
 	for {
-		s, at := w.earliest()
+		s, at := w.earliestSlot()
 		if s == nil || at > now {
 			w.now = max(w.now, now)
 			return
@@ -139,22 +139,22 @@
 		var due []*Timer
 		for t := s.first; t != nil; t = s.first {
 			w.remove(t)
-			if t.at > w.now {
+			if t.expiry > w.now {
 				w.insert(t)
 				continue
 			}
-			t.slot = &running
+			t.slot = &expiringSlot
 			due = append(due, t)
 		}
 		for i := len(due) - 1; i >= 0; i-- { // a slot's list starts with the timer set last
-			if t := due[i]; t.slot == &running {
+			if t := due[i]; t.slot == &expiringSlot {
 				t.slot = nil
 				w.size--
-				t.do()
+				t.callback()
 			}
 		}
 	}
 }
 
-// running marks timers taken out to be run; cancelling one of them keeps it from running.
-var running slot
+// expiringSlot marks timers taken out to be run; cancelling one of them keeps it from running.
+var expiringSlot slot
--- a/internal/eventloop/wheel_test.go
+++ b/internal/eventloop/wheel_test.go
@@ -14,7 +14,7 @@
 func TestWheelAgainstList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := Tick(rapid.Int64Range(0, 1<<40).Draw(t, "start"))
-		w := NewWheel(now)
+		w := NewTimerWheel(now)
 		type item struct {
 			at    Tick
 			timer *Timer
@@ -25,7 +25,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
 				i := &item{at: now + Tick(rapid.Int64Range(-5, 1<<rapid.IntRange(3, 38).Draw(t, "size")).Draw(t, "span"))}
-				i.timer = w.Set(i.at, func() {
+				i.timer = w.Schedule(i.at, func() {
 					if now < i.at {
 						t.Fatalf("ran at %d, due at %d", now, i.at)
 					}
@@ -37,7 +37,7 @@
 					}
 					last, i.timer = i.at, nil
 				})
-				i.at = i.timer.at
+				i.at = i.timer.expiry
 				set = append(set, i)
 			case 2:
 				if len(set) > 0 {
@@ -62,7 +62,7 @@
 					}
 				}
 			}
-			if next, ok := w.Next(); ok != (left > 0) || ok && next > first || w.Len() != left {
+			if next, ok := w.NextExpiry(); ok != (left > 0) || ok && next > first || w.Len() != left {
 				t.Fatalf("next %d %t with %d left, the first at %d; %d counted", next, ok, left, first, w.Len())
 			}
 		}
@@ -70,16 +70,16 @@
 }
 
 func TestWheelFromWithin(t *testing.T) {
-	w, ran := NewWheel(0), ""
+	w, ran := NewTimerWheel(0), ""
 	var b *Timer
-	w.Set(5, func() {
+	w.Schedule(5, func() {
 		ran += "a"
 		if !w.Cancel(b) {
 			t.Error("b was not to be cancelled")
 		}
-		w.Set(5, func() { ran += "c" })
+		w.Schedule(5, func() { ran += "c" })
 	})
-	b = w.Set(5, func() { ran += "b" })
+	b = w.Schedule(5, func() { ran += "b" })
 	w.Advance(5)
 	if ran != "a" {
 		t.Errorf("ran %q by 5", ran)
@@ -117,15 +117,15 @@
 func BenchmarkTimers(b *testing.B) {
 	for _, n := range []int{1e3, 1e4, 1e5, 1e6} {
 		b.Run(fmt.Sprintf("wheel/%d", n), func(b *testing.B) {
-			rng, w, now := rand.New(rand.NewPCG(1, 2)), NewWheel(0), Tick(0)
+			rng, w, now := rand.New(rand.NewPCG(1, 2)), NewTimerWheel(0), Tick(0)
 			timers := make([]*Timer, n)
 			for i := range timers {
-				timers[i] = w.Set(Tick(rng.IntN(60000)), func() {})
+				timers[i] = w.Schedule(Tick(rng.IntN(60000)), func() {})
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				w.Cancel(timers[i%n])
-				timers[i%n] = w.Set(now+Tick(rng.IntN(60000)), func() {})
+				timers[i%n] = w.Schedule(now+Tick(rng.IntN(60000)), func() {})
 				if i%64 == 0 {
 					now++
 					w.Advance(now)
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -269,7 +269,7 @@
 		return e.ID == scheduler.ContainerID(fmt.Sprintf("%016x", machines-1))
 	})
 	r.on(func() {
-		if n := r.p.loop.MostConns(); n+14 > sockets { // that many the program itself may hold
+		if n := r.p.loop.PeakConnCount(); n+14 > sockets { // that many the program itself may hold
 			t.Errorf("%d connections at once, of %d descriptors", n, sockets)
 		}
 	})
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -223,7 +223,7 @@
 	if !p.short() {
 		return true
 	}
-	if !connmanager.Bears(p.d.Sockets, p.loop.Conns()) {
+	if !connmanager.Bears(p.d.Sockets, p.loop.ConnCount()) {
 		return false
 	}
 	now, least := p.loop.Now(), 0
@@ -299,7 +299,7 @@
 	l.waiting = nil
 	m.broke = m.broke || l.opened && !l.left
 	never := scheduler.OutcomeConnectFailed
-	if errors.Is(why, eventloop.ErrShort) {
+	if errors.Is(why, eventloop.ErrLocalResources) {
 		never = scheduler.OutcomeNotSent
 	}
 	if !l.opened && errors.Is(why, unix.ECONNREFUSED) {
--- a/internal/platform/owners.go
+++ b/internal/platform/owners.go
@@ -69,7 +69,7 @@
 }
 
 func (k *caller) write(m *jsonlines.Message) {
-	if k.conn == nil || !k.conn.Open() {
+	if k.conn == nil || !k.conn.IsOpen() {
 		return
 	}
 	line, err := k.p.line(m)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -93,7 +93,7 @@
 	if p.loop, err = eventloop.New(p.turn); err != nil {
 		return nil, err
 	}
-	if p.door, err = p.loop.Listen(d.Listen, p.accept, p.loop.Telling(log, "callers")); err != nil {
+	if p.door, err = p.loop.Listen(d.Listen, p.accept, p.loop.AcceptStateLogger(log, "callers")); err != nil {
 		p.loop.Stop()
 		p.loop.Run()
 		return nil, err
@@ -180,13 +180,13 @@
 		}
 	}
 	if len(p.events)+len(p.atDoor)+len(p.seen) > 0 {
-		p.loop.Again()
+		p.loop.SkipWait()
 		return
 	}
 	// Here and nowhere else a leaving placer ends: all that was read has been acted on, and nothing is read before the exit.
 	if p.leaving && !connmanager.Stays(connmanager.Time(p.loop.Now()-p.leavingAt), p.unanswered, p.longest()) {
-		p.log.Info("left", "standing", len(p.containers), "most connections", p.loop.MostConns())
-		p.loop.End()
+		p.log.Info("left", "standing", len(p.containers), "most connections", p.loop.PeakConnCount())
+		p.loop.StopWhenIdle()
 	}
 }
 
@@ -204,8 +204,8 @@
 		}
 	case connmanager.Rest:
 		if k := p.callers[a.Caller]; k != nil {
-			k.conn.Rest(true)
-			p.loop.After(eventloop.Tick(a.For), func() { k.conn.Rest(false) })
+			k.conn.SetReadPaused(true)
+			p.loop.After(eventloop.Tick(a.For), func() { k.conn.SetReadPaused(false) })
 		}
 	}
 }
--- a/internal/schedulerd/door.go
+++ b/internal/schedulerd/door.go
@@ -85,7 +85,7 @@
 	if err := o.conn.Write(p); err != nil {
 		o.h.meter.unheard++
 		o.dropped = true
-		o.h.badLink(o.name, fmt.Errorf("%w: %d bytes wait", err, o.conn.Waiting()))
+		o.h.badLink(o.name, fmt.Errorf("%w: %d bytes wait", err, o.conn.PendingOutput()))
 		o.conn.Reset()
 	}
 }
@@ -140,7 +140,7 @@
 		Tenant: w.Tenant, Cores: w.Cores, Memory: w.Memory, Deadline: now + scheduler.Time(f.TimeToDeadline),
 		ExpectedRuntime: scheduler.Time(w.ExpectedRuntime), ClientRetry: w.ClientRetry}
 	h.meter.submitted++
-	h.asking[ask.ID] = h.loop.Clock()
+	h.asking[ask.ID] = h.loop.Elapsed()
 	h.tell(reconcile.Asked{Caller: o.caller, Ask: ask})
 }
 
--- a/internal/schedulerd/host.go
+++ b/internal/schedulerd/host.go
@@ -126,8 +126,8 @@
 	if s.BGP != nil {
 		h.routes = speaker.New(h.loop, *s.BGP, log)
 	}
-	h.loop.OnFlushed(func() { h.meter.flushed(h.loop.Clock()) })
-	if h.door, err = h.loop.Listen(s.Door, h.accept, h.loop.Telling(log, "callers")); err != nil {
+	h.loop.OnFlushed(func() { h.meter.flushed(h.loop.Elapsed()) })
+	if h.door, err = h.loop.Listen(s.Door, h.accept, h.loop.AcceptStateLogger(log, "callers")); err != nil {
 		h.loop.Stop()
 		h.loop.Run()
 		h.closeState()
@@ -236,7 +236,7 @@
 		h.state.turnOver()
 	}
 	if len(h.events)+len(h.told) > 0 {
-		h.loop.Again()
+		h.loop.SkipWait()
 	}
 }
 
@@ -247,9 +247,9 @@
 		return
 	}
 	h.events = nil
-	began := h.loop.Clock()
+	began := h.loop.Elapsed()
 	actions := h.decider.Handle(scheduler.Time(h.loop.Now()), events)
-	h.meter.handled(h.loop.Clock()-began, len(events), len(actions))
+	h.meter.handled(h.loop.Elapsed()-began, len(events), len(actions))
 	for _, a := range actions {
 		h.carry(a)
 	}
--- a/internal/schedulerd/host_test.go
+++ b/internal/schedulerd/host_test.go
@@ -140,7 +140,7 @@
 		}
 	}
 	e := await[scheduler.AttemptEnded](r, nil)
-	if most := on1(r.h, func() int { return r.h.machines["a"].conn.Waiting() }); e.Outcome != scheduler.OutcomeNotSent || most > 128<<10 { // a turn's
+	if most := on1(r.h, func() int { return r.h.machines["a"].conn.PendingOutput() }); e.Outcome != scheduler.OutcomeNotSent || most > 128<<10 { // a turn's
 		t.Errorf("after %d bids %+v, %d bytes wait", sent, e, most)
 	}
 }
--- a/internal/schedulerd/machine.go
+++ b/internal/schedulerd/machine.go
@@ -103,7 +103,7 @@
 	if c != m.conn {
 		return
 	}
-	was, short := m.ready, errors.Is(why, eventloop.ErrShort)
+	was, short := m.ready, errors.Is(why, eventloop.ErrLocalResources)
 	m.conn, m.ready = nil, false
 	waiting := m.waiting
 	m.waiting = nil
@@ -164,7 +164,7 @@
 
 func (m *machine) offer(b *bid) {
 	a, now := &b.c.ask, m.h.loop.Now()
-	b.sent = !m.conn.Behind() && m.write(&protocol.Offer{AttemptID: b.number, Timeout: protocol.Duration(b.until - now), Spec: protocol.ContainerSpec{
+	b.sent = !m.conn.WriteBlocked() && m.write(&protocol.Offer{AttemptID: b.number, Timeout: protocol.Duration(b.until - now), Spec: protocol.ContainerSpec{
 		ContainerID: string(a.ID), IdempotencyKey: a.IdempotencyKey, Service: a.Service, WorkloadClass: a.WorkloadClass, Tenant: a.Tenant,
 		Cores: a.Cores, Memory: a.Memory, DedupWindow: b.c.window, ExpectedRuntime: protocol.Duration(a.ExpectedRuntime), ClientRetry: a.ClientRetry}})
 	if !b.sent { // the machine takes too little of what waits for it
--- a/internal/schedulerd/meter.go
+++ b/internal/schedulerd/meter.go
@@ -66,13 +66,13 @@
 		s.Stats = append(s.Stats, protocol.Stat{Name: name, Value: v, Unit: unit})
 	}
 	m := &h.meter
-	turns, busy := h.loop.Turns()
-	put("up", h.loop.Clock().Seconds(), "s")
+	turns, busy := h.loop.Iterations()
+	put("up", h.loop.Elapsed().Seconds(), "s")
 	put("machines known", float64(len(h.machines)), "")
 	put("list version", float64(h.list.version), "")
 	put("owners", float64(len(h.owners)), "")
-	put("connections", float64(h.loop.Conns()), "")
-	put("timers", float64(h.loop.Timers()), "")
+	put("connections", float64(h.loop.ConnCount()), "")
+	put("timers", float64(h.loop.TimerCount()), "")
 	put("containers known", float64(len(h.open)), "")
 	put("containers running", float64(m.running), "")
 	put("containers taken over", float64(m.adopted), "")
--- a/internal/schedulerd/orders_test.go
+++ b/internal/schedulerd/orders_test.go
@@ -197,8 +197,8 @@
 		if c == nil || p == nil || p.closed {
 			return c == nil && (p == nil || p.closed)
 		}
-		read, written := c.Moved()
-		return c.Open() && read == p.given && written == p.taken && c.Waiting() == 0
+		read, written := c.BytesTransferred()
+		return c.IsOpen() && read == p.given && written == p.taken && c.PendingOutput() == 0
 	}
 	h, all := w.h, len(w.h.owners) == 1 && len(w.h.events)+len(w.h.told) == 0 && even(w.h.list.conn, w.list.call)
 	for _, o := range h.owners {
