--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -89,6 +89,6 @@
 		}
 	}()
 	for _, a := range t.placer.Handle(now, t.events) {
-		simprotocol.Append(reply, t.instance, a)
+		simprotocol.AppendAction(reply, t.instance, a)
 	}
 }
--- a/internal/platform/bus.go
+++ b/internal/platform/bus.go
@@ -19,7 +19,7 @@
 	p       *Platform
 	addr    string
 	conn    *eventloop.Conn
-	lines   jsonlines.Lines
+	lines   jsonlines.LineSplitter
 	last    int64 // number of the last event that was taken in
 	heardAt eventloop.Tick
 	broken  bool
@@ -27,7 +27,7 @@
 }
 
 func (s *bus) reach() {
-	s.lines, s.goes = jsonlines.Lines{Most: longestEvent}, false
+	s.lines, s.goes = jsonlines.LineSplitter{MaxBytes: longestEvent}, false
 	s.heardAt = s.p.loop.Now()
 	s.conn = s.p.loop.Dial(s.addr, s, 1<<10, eventloop.Second)
 }
--- a/internal/platform/connmanager/golden_test.go
+++ b/internal/platform/connmanager/golden_test.go
@@ -57,14 +57,14 @@
 	d.actions++
 	d.fold(uint64(now))
 	switch a := action.(type) {
-	case LetGo:
-		d.fold(0, uint64(a.Caller))
-		d.reason(a.Why)
-	case Tell:
-		d.fold(1, uint64(a.Cause), uint64(a.Caller))
-		d.text(a.Call)
-	case Rest:
-		d.fold(2, uint64(a.Caller), uint64(a.For))
+	case CloseClient:
+		d.fold(0, uint64(a.Client))
+		d.reason(a.Reason)
+	case NotifyTermination:
+		d.fold(1, uint64(a.Cause), uint64(a.Client))
+		d.text(a.RequestID)
+	case PauseReading:
+		d.fold(2, uint64(a.Client), uint64(a.Duration))
 	default:
 		panic(fmt.Sprintf("action %T has no ordinal", action))
 	}
@@ -83,11 +83,11 @@
 }
 
 // client picks one that is connected, mostly.
-func (s *sequence) client() CallerID {
+func (s *sequence) client() ClientID {
 	if len(s.connected) == 0 || s.random.IntN(25) == 0 {
-		return CallerID(s.random.Uint64N(s.lastID + 3)) // 0, one that has left, or one that never came
+		return ClientID(s.random.Uint64N(s.lastID + 3)) // 0, one that has left, or one that never came
 	}
-	return CallerID(s.connected[s.random.IntN(len(s.connected))])
+	return ClientID(s.connected[s.random.IntN(len(s.connected))])
 }
 
 func (s *sequence) terminatedID() string {
@@ -100,18 +100,18 @@
 func (s *sequence) connect() Event {
 	s.lastID++
 	s.connected = append(s.connected, s.lastID)
-	return Came{Caller: CallerID(s.lastID)}
+	return ClientConnected{Client: ClientID(s.lastID)}
 }
 
 func (s *sequence) disconnect() Event {
 	id := s.client()
 	for i, c := range s.connected {
-		if CallerID(c) == id {
+		if ClientID(c) == id {
 			s.connected = append(s.connected[:i], s.connected[i+1:]...)
 			break
 		}
 	}
-	return Left{Caller: id}
+	return ClientDisconnected{Client: id}
 }
 
 func (s *sequence) terminate() Event {
@@ -122,7 +122,7 @@
 	if s.random.IntN(3) == 0 {
 		from = 0
 	}
-	return Over{Call: id, Cause: s.random.IntN(50) - 1, Caller: from}
+	return ContainerTerminated{RequestID: id, Cause: s.random.IntN(50) - 1, Client: from}
 }
 
 // weights say how often each event comes; a group of sequences has its own.
@@ -136,16 +136,16 @@
 		make   func() Event
 	}{
 		{w.connect, s.connect},
-		{w.receive, func() Event { return Heard{Caller: s.client(), Half: s.random.IntN(3) == 0} }},
-		{w.request, func() Event { return Asked{Caller: s.client()} }},
-		{w.send, func() Event { return Answered{Caller: s.client(), Closed: s.random.IntN(3)} }},
-		{w.cancel, func() Event { return TookBack{Caller: s.client()} }},
-		{w.invalid, func() Event { return TurnedAway{Caller: s.client()} }},
-		{w.prove, func() Event { return Proved{Caller: s.client()} }},
-		{w.reclaim, func() Event { return Named{Caller: s.client()} }},
+		{w.receive, func() Event { return BytesReceived{Client: s.client(), Partial: s.random.IntN(3) == 0} }},
+		{w.request, func() Event { return PlacementRequested{Client: s.client()} }},
+		{w.send, func() Event { return MessageSent{Client: s.client(), ClosedRequests: s.random.IntN(3)} }},
+		{w.cancel, func() Event { return RequestCancelled{Client: s.client()} }},
+		{w.invalid, func() Event { return InvalidMessageReceived{Client: s.client()} }},
+		{w.prove, func() Event { return OwnershipProven{Client: s.client()} }},
+		{w.reclaim, func() Event { return ContainerReclaimed{Client: s.client()} }},
 		{w.disconnect, s.disconnect},
 		{w.terminate, s.terminate},
-		{w.acknowledge, func() Event { return HeardOver{Call: s.terminatedID(), Caller: s.client()} }},
+		{w.acknowledge, func() Event { return TerminationAcknowledged{RequestID: s.terminatedID(), Client: s.client()} }},
 	} {
 		if n -= kind.weight; n < 0 {
 			return kind.make()
@@ -200,22 +200,22 @@
 // machineConnections folds every decision on connections to machines, at and around each limit.
 func machineConnections(d *digest) {
 	for _, descriptors := range []int{0, 1, 16, 31, 32, 33, 48, 64, 100, 255, 256, 384, 576, 1024, 65536} {
-		d.fold(uint64(AllLinks(descriptors)))
+		d.fold(uint64(MaxMachineConns(descriptors)))
 		for _, machines := range []int{0, 1, 2, 12, 100, 1000} {
-			d.fold(uint64(MostLinks(descriptors, machines)))
+			d.fold(uint64(MaxConnsPerMachine(descriptors, machines)))
 		}
 		for connections := max(0, descriptors-40); connections <= descriptors+1; connections++ {
-			d.flag(Bears(descriptors, connections))
+			d.flag(CanOpenBeforeClose(descriptors, connections))
 		}
 		d.actions += 2
 	}
 	for flags := range 8 {
 		for _, closes := range []Time{0, 1, Second, 3 * Second, 10 * Second, 30 * Second} {
 			for _, idle := range []Time{0, 1, Second/2 - 1, Second / 2, Second, closes/2 - 1, closes / 2, closes, 5*Second - 1, 5 * Second, 60 * Second} {
-				conn := Link{First: flags&1 != 0, Stands: flags&2 != 0, Here: flags&4 != 0, Idle: idle, Closes: closes}
-				d.flag(conn.Keeps())
-				d.flag(conn.Fits())
-				d.fold(uint64(conn.Yields()))
+				conn := MachineConn{Primary: flags&1 != 0, MachineHasRunning: flags&2 != 0, CarriesRunning: flags&4 != 0, IdleFor: idle, MachineIdleTimeout: closes}
+				d.flag(conn.ShouldKeep())
+				d.flag(conn.CanCarryAttempt())
+				d.fold(uint64(conn.EvictionRank()))
 				d.actions += 3
 			}
 		}
@@ -226,9 +226,9 @@
 	for _, longest := range []Time{0, 1, Second / 10, Second / 2, 7 * Second / 10, Second, 3 * Second, 6 * Second, 60 * Second} {
 		for since := Time(0); since <= 5*Second; since += Second / 20 {
 			for _, at := range []Time{since - 1, since, since + 1} {
-				d.flag(Stays(at, 0, longest))
-				d.flag(Stays(at, 1, longest))
-				d.flag(Hurries(at, longest))
+				d.flag(ShouldKeepDraining(at, 0, longest))
+				d.flag(ShouldKeepDraining(at, 1, longest))
+				d.flag(ShouldForceAnswers(at, longest))
 				d.actions += 3
 			}
 		}
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -71,7 +71,7 @@
 		r.toldToLeave(4 * eventloop.Second)
 		o.say(setUp(call, ""))
 	})
-	if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != call {
+	if m := o.hear(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != call {
 		t.Errorf("heard %+v", m)
 	}
 	if m := o.hear(); m != nil {
@@ -111,7 +111,7 @@
 		if m == nil {
 			t.Fatal("the placer left without a word")
 		}
-		passed = m.Cause() == jsonlines.Passed
+		passed = m.CauseOrNone() == jsonlines.CauseTestPassed
 	}
 	d := *r.p.d
 	d.Bus = later
@@ -132,10 +132,10 @@
 	o.say(strings.Replace(setUp(call, ""), `"2000"`, `"60000"`, 1))
 	<-taken
 	r.on(func() { r.toldToLeave(3*eventloop.Second + eventloop.Second/4) })
-	if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != call {
+	if m := o.hear(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != call {
 		t.Errorf("heard %+v", m)
 	}
-	if m := <-taken; m == nil || m.Op != jsonlines.End || m.Cause() != jsonlines.GivenUp {
+	if m := <-taken; m == nil || m.Op != jsonlines.OpEnd || m.CauseOrNone() != jsonlines.CauseNormal {
 		t.Errorf("the machine heard %+v", m)
 	}
 	if m := o.hear(); m != nil {
@@ -172,11 +172,11 @@
 			}
 			mu.Unlock()
 			for msg := m.hear(); msg != nil; msg = m.hear() {
-				if msg.Op == jsonlines.Offer {
+				if msg.Op == jsonlines.OpOffer {
 					mu.Lock()
-					over[msg.Call] = true // over at once, but told on the next connection only
+					over[msg.RequestID] = true // over at once, but told on the next connection only
 					mu.Unlock()
-					m.say(`{"op":"accept","call":"` + msg.Call + `","with":{},"desc":"d"}`)
+					m.say(`{"op":"accept","call":"` + msg.RequestID + `","with":{},"desc":"d"}`)
 				}
 			}
 		})
@@ -192,7 +192,7 @@
 	o := r.owner()
 	for i := range machines {
 		o.say(setUp(fmt.Sprintf("%016x", i), ""))
-		if m := o.hear(); m == nil || m.Op == jsonlines.End {
+		if m := o.hear(); m == nil || m.Op == jsonlines.OpEnd {
 			t.Fatalf("bid %d: the owner heard %+v", i, m)
 		}
 		r.on(func() { // a bid's link could make way only after its machine had a while to speak on it
@@ -210,9 +210,9 @@
 		if m == nil {
 			t.Fatalf("%d of %d ends were heard of", len(heard), machines)
 		}
-		if m.Op == jsonlines.End {
-			heard[m.Call] = true
-			o.say(`{"op":"ended","call":"` + m.Call + `","with":{}}`)
+		if m.Op == jsonlines.OpEnd {
+			heard[m.RequestID] = true
+			o.say(`{"op":"ended","call":"` + m.RequestID + `","with":{}}`)
 		}
 	}
 	r.on(func() {
@@ -287,9 +287,9 @@
 		mu.Unlock()
 		for msg := m.hear(); msg != nil; msg = m.hear() {
 			mu.Lock()
-			carried[msg.Call] = n
+			carried[msg.RequestID] = n
 			mu.Unlock()
-			m.say(`{"op":"accept","call":"` + msg.Call + `","with":{},"desc":"d"}`)
+			m.say(`{"op":"accept","call":"` + msg.RequestID + `","with":{},"desc":"d"}`)
 		}
 	})
 	r := start(t, bidToA(0), file(silentBus(t), 256, event(1, true, host("a", addr, "ready", 0))))
@@ -303,7 +303,7 @@
 			})
 		}
 		o.say(setUp(c, ""))
-		if m := o.hear(); m == nil || m.Op != jsonlines.Accept {
+		if m := o.hear(); m == nil || m.Op != jsonlines.OpAccept {
 			t.Fatalf("heard %+v", m)
 		}
 	}
@@ -366,7 +366,7 @@
 		if msg == nil {
 			return
 		}
-		m.say(`{"op":"end","call":"`+other+`","with":{},"why":16}`, `{"op":"accept","call":"`+msg.Call+`","with":{},"desc":"d"}`)
+		m.say(`{"op":"end","call":"`+other+`","with":{},"why":16}`, `{"op":"accept","call":"`+msg.RequestID+`","with":{},"desc":"d"}`)
 		close(said)
 		m.hear()
 	})
@@ -374,11 +374,11 @@
 	o := r.owner()
 	o.say(setUp(call, ""))
 	<-said
-	if m := o.hear(); m == nil || m.Op != jsonlines.Accept {
+	if m := o.hear(); m == nil || m.Op != jsonlines.OpAccept {
 		t.Errorf("heard %+v", m)
 	}
 	o.say(setUp(other, ";at:a"))
-	if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != other || m.Cause() != jsonlines.GivenUp {
+	if m := o.hear(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != other || m.CauseOrNone() != jsonlines.CauseNormal {
 		t.Errorf("heard %+v", m)
 	}
 	if e := await(r, func(e scheduler.AttemptEnded) bool { return e.ID == other }); !e.Final || e.Outcome != scheduler.OutcomeFinished {
@@ -409,8 +409,8 @@
 			offers := make(chan string, 10)
 			addr := listen(t, func(m *peer) {
 				for msg := m.hear(); msg != nil; msg = m.hear() {
-					if offers <- msg.Call; msg.Call == call {
-						m.say(`{"op":"accept","call":"` + msg.Call + `","with":{},"desc":"d"}`)
+					if offers <- msg.RequestID; msg.RequestID == call {
+						m.say(`{"op":"accept","call":"` + msg.RequestID + `","with":{},"desc":"d"}`)
 					}
 				}
 			})
@@ -422,7 +422,7 @@
 			o.say(strings.Replace(setUp("00000000000000dd", ""), `"2000"`, `"60000"`, 1)) // a bid that stays out
 			<-offers
 			tell(tc.tells(addr)...)
-			if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != call {
+			if m := o.hear(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != call {
 				t.Fatalf("heard %+v", m)
 			}
 			gone := await(r, func(e scheduler.MachineListUpdate) bool {
@@ -434,14 +434,14 @@
 				return false
 			})
 			o.say(setUp(other, "")) // the script bids it to a, whatever the list says
-			if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != other {
+			if m := o.hear(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != other {
 				t.Errorf("heard %+v, after %+v", m, gone)
 			}
 			if len(offers) > 0 {
 				t.Errorf("%s reached the successor", <-offers)
 			}
 			o.say(setUp("00000000000000cc", ";at:a")) // where it stood is gone, and the successor's word says nothing of it
-			if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != "00000000000000cc" {
+			if m := o.hear(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != "00000000000000cc" {
 				t.Errorf("heard %+v", m)
 			}
 		})
@@ -473,12 +473,12 @@
 	var offers, ends int
 	for {
 		msg := <-heard
-		if msg.Call == other {
+		if msg.RequestID == other {
 			break
 		}
-		if msg.Op == jsonlines.Offer {
+		if msg.Op == jsonlines.OpOffer {
 			offers++
-		} else if msg.Op == jsonlines.End && msg.Cause() == jsonlines.GivenUp {
+		} else if msg.Op == jsonlines.OpEnd && msg.CauseOrNone() == jsonlines.CauseNormal {
 			ends++
 		}
 	}
@@ -494,13 +494,13 @@
 	o := r.owner()
 	end := `{"op":"end","call":"` + call + `","with":{},"why":16}`
 	io.WriteString(o.c, setUp(call, "")+"\n"+end+"\n"+setUp(call, "")+"\n"+`{"op":"test","call":"0000000000000001","with":{},"why":0}`+"\n")
-	for _, op := range []jsonlines.Op{jsonlines.Tested, jsonlines.Accept} {
+	for _, op := range []jsonlines.Op{jsonlines.OpTested, jsonlines.OpAccept} {
 		if m := o.hear(); m == nil || m.Op != op {
 			t.Fatalf("heard %+v, want %s", m, op)
 		}
 	}
 	o.say(`{"op":"test","call":"0000000000000002","with":{},"why":0}`)
-	if m := o.hear(); m == nil || m.Op != jsonlines.Tested {
+	if m := o.hear(); m == nil || m.Op != jsonlines.OpTested {
 		t.Errorf("then heard %+v", m)
 	}
 }
@@ -515,14 +515,14 @@
 	for half := 0; half == 0; {
 		r.on(func() {
 			for _, k := range r.p.callers {
-				half = k.lines.Half()
+				half = k.lines.Buffered()
 			}
 		})
 	}
 	r.p.Leave()
 	r.on(func() {})
 	io.WriteString(o.c, line[40:])
-	if m := o.hear(); m == nil || m.Op != jsonlines.Accept {
+	if m := o.hear(); m == nil || m.Op != jsonlines.OpAccept {
 		t.Errorf("heard %+v", m)
 	}
 }
@@ -533,14 +533,14 @@
 	say, heard := make(chan bool), make(chan *jsonlines.Message, 10)
 	addr := listen(t, func(m *peer) {
 		for msg := m.hear(); msg != nil; msg = m.hear() {
-			if msg.Op != jsonlines.Offer {
+			if msg.Op != jsonlines.OpOffer {
 				heard <- msg
 				continue
 			}
-			if msg.Call == other {
+			if msg.RequestID == other {
 				<-say
 			}
-			m.say(`{"op":"accept","call":"` + msg.Call + `","with":{},"desc":"d"}`)
+			m.say(`{"op":"accept","call":"` + msg.RequestID + `","with":{},"desc":"d"}`)
 		}
 	})
 	r := start(t, bidToA(0), file(bus, 256, event(1, true, host("a", addr, "ready", 0))))
@@ -550,17 +550,17 @@
 	o.say(setUp(other, ""))
 	await(r, func(e scheduler.RequestReceived) bool { return e.ID == other })
 	tell(event(2, true))
-	if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != call {
+	if m := o.hear(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != call {
 		t.Fatalf("heard %+v", m)
 	}
 	close(say)
-	if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != other {
+	if m := o.hear(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != other {
 		t.Errorf("heard %+v", m)
 	}
 	if e := await(r, func(e scheduler.AttemptEnded) bool { return e.ID == other }); e.Outcome != scheduler.OutcomeLost || e.Final {
 		t.Errorf("got %+v", e)
 	}
-	if m := <-heard; m == nil || m.Op != jsonlines.End || m.Call != other || m.Cause() != jsonlines.GivenUp {
+	if m := <-heard; m == nil || m.Op != jsonlines.OpEnd || m.RequestID != other || m.CauseOrNone() != jsonlines.CauseNormal {
 		t.Errorf("the machine heard %+v", m)
 	}
 }
@@ -602,12 +602,12 @@
 	heard := make(chan string, 10)
 	t.Cleanup(listenOn(t, l, func(m *peer) {
 		for msg := m.hear(); msg != nil; msg = m.hear() {
-			heard <- msg.Call
-			m.say(`{"op":"accept","call":"` + msg.Call + `","with":{},"desc":"d"}`)
+			heard <- msg.RequestID
+			m.say(`{"op":"accept","call":"` + msg.RequestID + `","with":{},"desc":"d"}`)
 		}
 	}))
 	o.say(strings.Replace(setUp(other, ""), `"2000"`, `"9000"`, 1))
-	if m := o.hear(); m == nil || m.Op != jsonlines.Accept || m.Call != other {
+	if m := o.hear(); m == nil || m.Op != jsonlines.OpAccept || m.RequestID != other {
 		t.Errorf("heard %+v", m)
 	}
 	if c := <-heard; c != other || len(heard) > 0 {
--- a/internal/platform/deployment.go
+++ b/internal/platform/deployment.go
@@ -80,7 +80,7 @@
 	}
 	d := &Deployment{Name: file.Name, Listen: file.Listen, Bus: file.Bus, Last: file.Known.Offset,
 		MemoryMB: int(file.Limits.MemoryMB), Sockets: file.Limits.Sockets}
-	if d.Terms, err = simprotocol.ParseTerms(seed, pairs); err != nil {
+	if d.Terms, err = simprotocol.ParseSettings(seed, pairs); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	d.Terms.ListOnRequest = false // the event bus tells unasked
--- a/internal/platform/failuredetector/golden_test.go
+++ b/internal/platform/failuredetector/golden_test.go
@@ -38,16 +38,16 @@
 	d.actions++
 	d.fold(uint64(now))
 	switch a := action.(type) {
-	case Look:
+	case Connect:
 		d.fold(0)
 		d.text(a.Machine)
-	case Lost:
-		d.fold(1, uint64(a.Silent))
+	case DeclareLost:
+		d.fold(1, uint64(a.SilentFor))
 		d.text(a.Machine)
-	case Over:
+	case ReportTermination:
 		d.fold(2, uint64(a.Cause))
 		d.text(a.Machine)
-		d.text(a.Call)
+		d.text(a.RequestID)
 	default:
 		panic(fmt.Sprintf("action %T has no ordinal", action))
 	}
@@ -74,11 +74,13 @@
 		weight int
 		make   func() Event
 	}{
-		{w.count, func() Event { return Stands{Machine: s.machine(), Count: s.random.IntN(4)} }},
-		{w.activity, func() Event { return Heard{Machine: s.machine()} }},
-		{w.refused, func() Event { return Refused{Machine: s.machine()} }},
-		{w.terminated, func() Event { return Said{Machine: s.machine(), Call: s.request(), Cause: s.random.IntN(50) - 1} }},
-		{w.reclaimed, func() Event { return Named{Machine: s.machine(), Call: s.request()} }},
+		{w.count, func() Event { return RunningCountChanged{Machine: s.machine(), Count: s.random.IntN(4)} }},
+		{w.activity, func() Event { return ActivityObserved{Machine: s.machine()} }},
+		{w.refused, func() Event { return ConnectionRefused{Machine: s.machine()} }},
+		{w.terminated, func() Event {
+			return UnclaimedTermination{Machine: s.machine(), RequestID: s.request(), Cause: s.random.IntN(50) - 1}
+		}},
+		{w.reclaimed, func() Event { return ContainerReclaimed{Machine: s.machine(), RequestID: s.request()} }},
 	} {
 		if n -= kind.weight; n < 0 {
 			return kind.make()
--- a/internal/platform/failuredetector/vigil.go
+++ b/internal/platform/failuredetector/vigil.go
@@ -13,128 +13,128 @@
 const Second Time = 10_000
 
 // Tuned values. A word to owners is owed 8 s after the end at the latest; a machine that is only cut off for less than
-// lostAfter keeps what it runs.
+// lostAfterSilence keeps what it runs.
 const (
-	quietFor  = 2 * Second          // silence after which a machine is looked at
-	lookEvery = Second              // and how often
-	lostAfter = 6*Second + Second/2 // silence after which, with every look failed, what stood there is lost
-	saidFor   = 10 * Second         // how long an end that nobody here knows of is kept, for who names its container yet,
-	saidMost  = 4096                // and how many
+	suspectAfter     = 2 * Second          // silence after which a machine is looked at
+	connectInterval  = Second              // and how often
+	lostAfterSilence = 6*Second + Second/2 // silence after which, with every look failed, what stood there is lost
+	unclaimedTTL     = 10 * Second         // how long an end that nobody here knows of is kept, for who names its container yet,
+	maxUnclaimed     = 4096                // and how many
 )
 
 // Event is something that happened to a machine.
 type Event interface{ event() }
 
 type (
-	// Stands is how many containers stand at a machine now.
-	Stands struct {
+	// RunningCountChanged is how many containers stand at a machine now.
+	RunningCountChanged struct {
 		Machine string
 		Count   int
 	}
-	// Heard is any sign of life: bytes, or a connection that came up.
-	Heard struct{ Machine string }
-	// Refused is a connection that was turned down: nobody is there.
-	Refused struct{ Machine string }
-	// Said is an end of something that nobody here knows of. After a start machines tell what ended meanwhile on the first
+	// ActivityObserved is any sign of life: bytes, or a connection that came up.
+	ActivityObserved struct{ Machine string }
+	// ConnectionRefused is a connection that was turned down: nobody is there.
+	ConnectionRefused struct{ Machine string }
+	// UnclaimedTermination is an end of something that nobody here knows of. After a start machines tell what ended meanwhile on the first
 	// link, and owners may name it as standing only then.
-	Said struct {
-		Machine, Call string
-		Cause         int
+	UnclaimedTermination struct {
+		Machine, RequestID string
+		Cause              int
 	}
-	// Named is a container that an owner has named as standing at a machine.
-	Named struct{ Machine, Call string }
+	// ContainerReclaimed is a container that an owner has named as standing at a machine.
+	ContainerReclaimed struct{ Machine, RequestID string }
 	// Tick tells that some time has passed.
 	Tick struct{}
 )
 
-func (Stands) event()  {}
-func (Heard) event()   {}
-func (Refused) event() {}
-func (Said) event()    {}
-func (Named) event()   {}
-func (Tick) event()    {}
+func (RunningCountChanged) event()  {}
+func (ActivityObserved) event()     {}
+func (ConnectionRefused) event()    {}
+func (UnclaimedTermination) event() {}
+func (ContainerReclaimed) event()   {}
+func (Tick) event()                 {}
 
 // Action is something that the host is to do.
 type Action interface{ action() }
 
 type (
-	// Look opens a connection to a machine and asks nothing.
-	Look struct{ Machine string }
-	// Lost ends all that stands at a machine.
-	Lost struct {
-		Machine string
-		Silent  Time // 0: it turned a connection down
+	// Connect opens a connection to a machine and asks nothing.
+	Connect struct{ Machine string }
+	// DeclareLost ends all that stands at a machine.
+	DeclareLost struct {
+		Machine   string
+		SilentFor Time // 0: it turned a connection down
 	}
-	// Over ends a container that was named as standing after its machine had said that it is over.
-	Over struct {
-		Machine, Call string
-		Cause         int
+	// ReportTermination ends a container that was named as standing after its machine had said that it is over.
+	ReportTermination struct {
+		Machine, RequestID string
+		Cause              int
 	}
 )
 
-func (Look) action() {}
-func (Lost) action() {}
-func (Over) action() {}
+func (Connect) action()           {}
+func (DeclareLost) action()       {}
+func (ReportTermination) action() {}
 
-// Vigil watches machines at which something stands, until nothing stands there any more, and keeps ends that nobody knows
-// of, the earliest first, for saidFor.
-type Vigil struct {
-	watched map[string]*watch
-	said    []said
+// Detector watches machines at which something stands, until nothing stands there any more, and keeps ends that nobody knows
+// of, the earliest first, for unclaimedTTL.
+type Detector struct {
+	machines  map[string]*monitoredMachine
+	unclaimed []heldTermination
 }
 
-type said struct {
-	Said
-	at Time
+type heldTermination struct {
+	UnclaimedTermination
+	receivedAt Time
 }
 
-type watch struct {
-	machine  string
-	heardAt  Time
-	lookedAt Time // 0: not since it was heard
+type monitoredMachine struct {
+	id             string
+	lastActivityAt Time
+	lastConnectAt  Time // 0: not since it was heard
 }
 
-func New() *Vigil { return &Vigil{watched: map[string]*watch{}} }
+func New() *Detector { return &Detector{machines: map[string]*monitoredMachine{}} }
 
 // Handle takes what happened by now and returns what is to be done.
-func (v *Vigil) Handle(now Time, events []Event) []Action {
+func (v *Detector) Handle(now Time, events []Event) []Action {
 	var out []Action
 	for _, e := range events {
 		switch e := e.(type) {
-		case Stands:
-			if w := v.watched[e.Machine]; e.Count == 0 {
-				delete(v.watched, e.Machine)
+		case RunningCountChanged:
+			if w := v.machines[e.Machine]; e.Count == 0 {
+				delete(v.machines, e.Machine)
 			} else if w == nil {
-				v.watched[e.Machine] = &watch{machine: e.Machine, heardAt: now}
+				v.machines[e.Machine] = &monitoredMachine{id: e.Machine, lastActivityAt: now}
 			}
-		case Heard:
-			if w := v.watched[e.Machine]; w != nil {
-				w.heardAt, w.lookedAt = now, 0
+		case ActivityObserved:
+			if w := v.machines[e.Machine]; w != nil {
+				w.lastActivityAt, w.lastConnectAt = now, 0
 			}
-		case Refused:
-			if v.watched[e.Machine] != nil {
-				out = append(out, Lost{Machine: e.Machine})
+		case ConnectionRefused:
+			if v.machines[e.Machine] != nil {
+				out = append(out, DeclareLost{Machine: e.Machine})
 			}
-		case Said:
-			v.said = append(v.said[max(0, len(v.said)+1-saidMost):], said{e, now})
-		case Named:
-			for i, s := range v.said {
-				if s.Machine == e.Machine && s.Call == e.Call {
-					v.said = slices.Delete(v.said, i, i+1)
-					out = append(out, Over(s.Said))
+		case UnclaimedTermination:
+			v.unclaimed = append(v.unclaimed[max(0, len(v.unclaimed)+1-maxUnclaimed):], heldTermination{e, now})
+		case ContainerReclaimed:
+			for i, s := range v.unclaimed {
+				if s.Machine == e.Machine && s.RequestID == e.RequestID {
+					v.unclaimed = slices.Delete(v.unclaimed, i, i+1)
+					out = append(out, ReportTermination(s.UnclaimedTermination))
 					break
 				}
 			}
 		case Tick:
-			v.said = slices.DeleteFunc(v.said, func(s said) bool { return now-s.at > saidFor })
-			for _, w := range v.sorted() {
-				silent := now - w.heardAt
+			v.unclaimed = slices.DeleteFunc(v.unclaimed, func(s heldTermination) bool { return now-s.receivedAt > unclaimedTTL })
+			for _, w := range v.sortedMachines() {
+				silent := now - w.lastActivityAt
 				switch {
-				case silent >= lostAfter:
-					out = append(out, Lost{w.machine, silent})
-				case silent >= quietFor && now-w.lookedAt >= lookEvery:
-					w.lookedAt = now
-					out = append(out, Look{w.machine})
+				case silent >= lostAfterSilence:
+					out = append(out, DeclareLost{w.id, silent})
+				case silent >= suspectAfter && now-w.lastConnectAt >= connectInterval:
+					w.lastConnectAt = now
+					out = append(out, Connect{w.id})
 				}
 			}
 		}
@@ -142,11 +142,11 @@
 	return out
 }
 
-func (v *Vigil) sorted() []*watch {
-	out := make([]*watch, 0, len(v.watched))
-	for _, w := range v.watched {
+func (v *Detector) sortedMachines() []*monitoredMachine {
+	out := make([]*monitoredMachine, 0, len(v.machines))
+	for _, w := range v.machines {
 		out = append(out, w)
 	}
-	slices.SortFunc(out, func(a, b *watch) int { return cmp.Compare(a.machine, b.machine) })
+	slices.SortFunc(out, func(a, b *monitoredMachine) int { return cmp.Compare(a.id, b.id) })
 	return out
 }
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -344,7 +344,7 @@
 	on := a.reads(2000)
 	on.accepts(runsToItsEnd)
 	c.reads()
-	on.ends(runsToItsEnd, jsonlines.GivenUp, "")
+	on.ends(runsToItsEnd, jsonlines.CauseNormal, "")
 	c.reads()
 	c.acknowledge(runsToItsEnd)
 
@@ -353,7 +353,7 @@
 	on = a.reads(2000)
 	on.accepts(fails)
 	c.reads()
-	on.ends(fails, jsonlines.Faulty, `"note":"other"`)
+	on.ends(fails, jsonlines.CauseError, `"note":"other"`)
 	c.reads()
 	c.acknowledge(fails)
 
@@ -372,7 +372,7 @@
 	on.accepts(terminatedWithCause)
 	c.reads()
 	c.end(terminatedWithCause, `,"why":31`)
-	a.reads(0).ends(terminatedWithCause, jsonlines.Cancelled, "")
+	a.reads(0).ends(terminatedWithCause, jsonlines.CauseCancelled, "")
 	c.test()
 
 	s.begin("accepted, ended by its client without a cause")
@@ -381,7 +381,7 @@
 	on.accepts(terminatedNoCause)
 	c.reads()
 	c.end(terminatedNoCause, "")
-	a.reads(0).ends(terminatedNoCause, jsonlines.GivenUp, "")
+	a.reads(0).ends(terminatedNoCause, jsonlines.CauseNormal, "")
 	c.test()
 }
 
@@ -457,7 +457,7 @@
 	c.c.Close()
 	c = s.client(r, "client 2")
 	c.test()
-	on.ends(isReclaimed, jsonlines.GivenUp, "")
+	on.ends(isReclaimed, jsonlines.CauseNormal, "")
 	c.reads()
 	c.acknowledge(isReclaimed)
 
@@ -466,7 +466,7 @@
 	on = a.reads(2000)
 	on.accepts(endIsNotAcknowledged)
 	c.reads()
-	on.ends(endIsNotAcknowledged, jsonlines.Temporary, `"note":"preempted"`)
+	on.ends(endIsNotAcknowledged, jsonlines.CauseTemporaryFailure, `"note":"preempted"`)
 	c.reads()
 	c.c.Close()
 	c = s.client(r, "client 3")
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -215,14 +215,14 @@
 func machineThat(t *testing.T, lines ...string) string {
 	return listen(t, func(m *peer) {
 		for msg := m.hear(); msg != nil; msg = m.hear() {
-			if msg.Op != jsonlines.Offer {
+			if msg.Op != jsonlines.OpOffer {
 				continue
 			}
 			for _, l := range lines {
 				if l == "close" {
 					return
 				}
-				m.say(strings.ReplaceAll(l, "%s", msg.Call))
+				m.say(strings.ReplaceAll(l, "%s", msg.RequestID))
 			}
 		}
 	})
--- a/internal/platform/jsonlines/golden_test.go
+++ b/internal/platform/jsonlines/golden_test.go
@@ -35,23 +35,23 @@
 // describe writes every value of a message by its name on the wire.
 func describe(m *Message) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "op=%q call=%q", string(m.Op), m.Call)
-	if m.With == nil {
+	fmt.Fprintf(&b, "op=%q call=%q", string(m.Op), m.RequestID)
+	if m.Fields == nil {
 		b.WriteString(" with=none")
 	}
-	for _, k := range slices.Sorted(maps.Keys(m.With)) {
-		fmt.Fprintf(&b, " with.%s=%q", k, m.With[k])
+	for _, k := range slices.Sorted(maps.Keys(m.Fields)) {
+		fmt.Fprintf(&b, " with.%s=%q", k, m.Fields[k])
 	}
-	if m.Why == nil {
+	if m.Cause == nil {
 		b.WriteString(" why=none")
 	} else {
-		fmt.Fprintf(&b, " why=%d", *m.Why)
+		fmt.Fprintf(&b, " why=%d", *m.Cause)
 	}
-	fmt.Fprintf(&b, " cause=%d", m.Cause())
-	if m.Desc == nil {
+	fmt.Fprintf(&b, " cause=%d", m.CauseOrNone())
+	if m.Description == nil {
 		b.WriteString(" desc=none")
 	} else {
-		fmt.Fprintf(&b, " desc=%q", string(m.Desc))
+		fmt.Fprintf(&b, " desc=%q", string(m.Description))
 	}
 	return b.String()
 }
@@ -132,22 +132,22 @@
 	const call = "9b1f03aa5c7e2d41"
 	var got []byte
 	for _, m := range []*Message{
-		{Op: Offer, Call: call, With: Fields{"class": "batch", "key": "t1:<k>&", "left": "1500", "idem": "5f"}, Desc: []byte(`"a\u00e9\/\r\n"`)},
-		{Op: Ringing, Call: call, With: Fields{"a": ""}},
-		{Op: Accept, Call: call, Desc: []byte(`"made\u0020here"`)},
-		{Op: End, Call: call, With: Fields{"wait": "250"}, Why: Because(NoRoom)},
-		{Op: End, Call: call, Why: Because(Temporary)},
-		{Op: End, Call: call, Why: Because(Unreadable)},
-		{Op: End, Call: call, Why: Because(GivenUp)},
-		{Op: End, Call: call, Why: Because(Cancelled)},
-		{Op: End, Call: call, Why: Because(Faulty)},
-		{Op: End, Call: call, Why: Because(Moot)},
-		{Op: End, Call: call, Why: Because(-1)},
-		{Op: Ended, Call: call},
-		{Op: Test, Call: "0000000000000001", Why: Because(Passed)},
-		{Op: Tested, Call: call, Why: Because(Failed), With: Fields{"load": "cpu:0.5"}},
-		{Op: Info, Call: call, With: Fields{"note": "cpu", "value": "0.125"}},
-		{Op: Redirect, Call: call, With: Fields{"to": "é\u2028\t\"\\\x01\x7f"}},
+		{Op: OpOffer, RequestID: call, Fields: Fields{"class": "batch", "key": "t1:<k>&", "left": "1500", "idem": "5f"}, Description: []byte(`"a\u00e9\/\r\n"`)},
+		{Op: OpRinging, RequestID: call, Fields: Fields{"a": ""}},
+		{Op: OpAccept, RequestID: call, Description: []byte(`"made\u0020here"`)},
+		{Op: OpEnd, RequestID: call, Fields: Fields{"wait": "250"}, Cause: CausePtr(CauseNoCapacity)},
+		{Op: OpEnd, RequestID: call, Cause: CausePtr(CauseTemporaryFailure)},
+		{Op: OpEnd, RequestID: call, Cause: CausePtr(CauseInvalidContents)},
+		{Op: OpEnd, RequestID: call, Cause: CausePtr(CauseNormal)},
+		{Op: OpEnd, RequestID: call, Cause: CausePtr(CauseCancelled)},
+		{Op: OpEnd, RequestID: call, Cause: CausePtr(CauseError)},
+		{Op: OpEnd, RequestID: call, Cause: CausePtr(CauseNotSent)},
+		{Op: OpEnd, RequestID: call, Cause: CausePtr(-1)},
+		{Op: OpEnded, RequestID: call},
+		{Op: OpTest, RequestID: "0000000000000001", Cause: CausePtr(CauseTestPassed)},
+		{Op: OpTested, RequestID: call, Cause: CausePtr(CauseTestFailed), Fields: Fields{"load": "cpu:0.5"}},
+		{Op: OpInfo, RequestID: call, Fields: Fields{"note": "cpu", "value": "0.125"}},
+		{Op: OpRedirect, RequestID: call, Fields: Fields{"to": "é\u2028\t\"\\\x01\x7f"}},
 		{},
 	} {
 		var err error
@@ -180,7 +180,7 @@
 	for _, in := range []string{"", "\n", "\r\n", "a\nbc\r\n\n", "a\nbc", "123456789\n", "1234567890\n", "12345678\r\n", "123456789\r\n",
 		"a\n1234567890", "a\n123456789", "x\nstop\ny\n", "a\r\rb\n"} {
 		for _, step := range []int{1, 2, 3, 7, 100} {
-			lines := Lines{Most: 10}
+			lines := LineSplitter{MaxBytes: 10}
 			fmt.Fprintf(&got, "%q by %d:", in, step)
 			for p := []byte(in); len(p) > 0; p = p[min(step, len(p)):] {
 				err := lines.Feed(p[:min(step, len(p))], func(line []byte) error {
@@ -194,7 +194,7 @@
 					fmt.Fprintf(&got, " error: %v;", err)
 				}
 			}
-			fmt.Fprintf(&got, " left %d\n", lines.Half())
+			fmt.Fprintf(&got, " left %d\n", lines.Buffered())
 		}
 	}
 	golden(t, "split.txt", got.Bytes())
@@ -203,9 +203,9 @@
 // TestMessagesOverTheLimitAreNotEncoded finds the longest message by its bytes.
 func TestMessagesOverTheLimitAreNotEncoded(t *testing.T) {
 	var got bytes.Buffer
-	fmt.Fprintf(&got, "limit %d\n", MostBytes)
+	fmt.Fprintf(&got, "limit %d\n", MaxLineBytes)
 	for _, n := range []int{16322, 16323, 16324, 16325, 16326, 16327, 16328, 20000} {
-		out, err := Append([]byte("kept"), &Message{Op: Accept, Call: "9b1f03aa5c7e2d41", Desc: []byte(`"` + strings.Repeat("x", n) + `"`)})
+		out, err := Append([]byte("kept"), &Message{Op: OpAccept, RequestID: "9b1f03aa5c7e2d41", Description: []byte(`"` + strings.Repeat("x", n) + `"`)})
 		fmt.Fprintf(&got, "%d: %d bytes, error: %v\n", n, len(out), err)
 	}
 	golden(t, "limit.txt", got.Bytes())
--- a/internal/platform/jsonlines/jsonline.go
+++ b/internal/platform/jsonlines/jsonline.go
@@ -1,5 +1,5 @@
 // Package jsonlines reads and writes the platform's messages: one JSON object a line. It is a codec with bounds and no
-// I/O: a line of over MostBytes, or one that is no message, ends its reader for good.
+// I/O: a line of over MaxLineBytes, or one that is no message, ends its reader for good.
 package jsonlines
 
 import (
@@ -11,59 +11,59 @@
 	"unicode/utf8"
 )
 
-// MostBytes is the longest line of a message, its end included.
-const MostBytes = 16 << 10
+// MaxLineBytes is the longest line of a message, its end included.
+const MaxLineBytes = 16 << 10
 
 // Op is the type of a message.
 type Op string
 
 const (
-	Offer    Op = "offer"
-	Ringing  Op = "ringing"
-	Accept   Op = "accept"
-	End      Op = "end"
-	Ended    Op = "ended"
-	Test     Op = "test"
-	Tested   Op = "tested"
-	Info     Op = "info"
-	Redirect Op = "redirect"
+	OpOffer    Op = "offer"
+	OpRinging  Op = "ringing"
+	OpAccept   Op = "accept"
+	OpEnd      Op = "end"
+	OpEnded    Op = "ended"
+	OpTest     Op = "test"
+	OpTested   Op = "tested"
+	OpInfo     Op = "info"
+	OpRedirect Op = "redirect"
 )
 
-var ops = map[Op]bool{Offer: true, Ringing: true, Accept: true, End: true, Ended: true, Test: true, Tested: true,
-	Info: true, Redirect: true}
+var knownOps = map[Op]bool{OpOffer: true, OpRinging: true, OpAccept: true, OpEnd: true, OpEnded: true, OpTest: true, OpTested: true,
+	OpInfo: true, OpRedirect: true}
 
 // Causes that an End or a test carries.
 const (
-	Failed     = 0   // of Tested
-	Passed     = 1   // of Tested; of Test: a report is wanted
-	GivenUp    = 16  // before an answer the set-up is taken back, after it the task has come to its end
-	Cancelled  = 31  // moved, or ended by its owner
-	NoRoom     = 34  // never ran; to an owner: trying again is harmless
-	Temporary  = 41  // failed: broken on its way, or cut
-	Faulty     = 47  // an error
-	Unreadable = 100 // contents that nothing can be done with
-	Moot       = 102 // never left
+	CauseTestFailed       = 0   // of Tested
+	CauseTestPassed       = 1   // of Tested; of Test: a report is wanted
+	CauseNormal           = 16  // before an answer the set-up is taken back, after it the task has come to its end
+	CauseCancelled        = 31  // moved, or ended by its owner
+	CauseNoCapacity       = 34  // never ran; to an owner: trying again is harmless
+	CauseTemporaryFailure = 41  // failed: broken on its way, or cut
+	CauseError            = 47  // an error
+	CauseInvalidContents  = 100 // contents that nothing can be done with
+	CauseNotSent          = 102 // never left
 )
 
 // Message is one line. Desc is carried byte for byte.
 type Message struct {
-	Op   Op              `json:"op"`
-	Call string          `json:"call"`
-	With Fields          `json:"with"`
-	Why  *int            `json:"why,omitempty"`
-	Desc json.RawMessage `json:"desc,omitempty"`
+	Op          Op              `json:"op"`
+	RequestID   string          `json:"call"`
+	Fields      Fields          `json:"with"`
+	Cause       *int            `json:"why,omitempty"`
+	Description json.RawMessage `json:"desc,omitempty"`
 }
 
-// Cause is Why, -1 where there is none.
-func (m *Message) Cause() int {
-	if m.Why == nil {
+// CauseOrNone is Why, -1 where there is none.
+func (m *Message) CauseOrNone() int {
+	if m.Cause == nil {
 		return -1
 	}
-	return *m.Why
+	return *m.Cause
 }
 
-// Because gives a cause its place in a message.
-func Because(cause int) *int { return &cause }
+// CausePtr gives a cause its place in a message.
+func CausePtr(cause int) *int { return &cause }
 
 // Fields are a message's fields; numbers stand as they were written.
 type Fields map[string]string
@@ -100,19 +100,19 @@
 	if err := json.Unmarshal(line, m); err != nil {
 		return nil, fmt.Errorf("no message: %w", err)
 	}
-	if !ops[m.Op] {
-		return nil, fmt.Errorf("op %q is not known", clip(string(m.Op)))
+	if !knownOps[m.Op] {
+		return nil, fmt.Errorf("op %q is not known", truncate(string(m.Op)))
 	}
-	if !isCall(m.Call) {
-		return nil, fmt.Errorf("call %q is not 16 hex digits", clip(m.Call))
+	if !isRequestID(m.RequestID) {
+		return nil, fmt.Errorf("call %q is not 16 hex digits", truncate(m.RequestID))
 	}
-	if len(m.Desc) > 0 && m.Desc[0] != '"' {
+	if len(m.Description) > 0 && m.Description[0] != '"' {
 		return nil, errors.New("desc is no text")
 	}
 	return m, nil
 }
 
-func isCall(s string) bool {
+func isRequestID(s string) bool {
 	if len(s) != 16 {
 		return false
 	}
@@ -124,7 +124,7 @@
 	return true
 }
 
-func clip(s string) string { return s[:min(len(s), 32)] }
+func truncate(s string) string { return s[:min(len(s), 32)] }
 
 // Append writes a message as a line. A message that is longer than a line may be is an error.
 func Append(out []byte, m *Message) ([]byte, error) {
@@ -132,9 +132,9 @@
 	out = append(out, `{"op":"`...)
 	out = append(out, m.Op...)
 	out = append(out, `","call":"`...)
-	out = append(out, m.Call...)
+	out = append(out, m.RequestID...)
 	out = append(out, `","with":`...)
-	with := m.With
+	with := m.Fields
 	if with == nil {
 		with = Fields{}
 	}
@@ -145,51 +145,51 @@
 		return out[:from], err
 	}
 	out = append(out, bytes.TrimRight(b.Bytes(), "\n")...)
-	if m.Why != nil {
-		out = strconv.AppendInt(append(out, `,"why":`...), int64(*m.Why), 10)
+	if m.Cause != nil {
+		out = strconv.AppendInt(append(out, `,"why":`...), int64(*m.Cause), 10)
 	}
-	if len(m.Desc) > 0 {
-		out = append(append(out, `,"desc":`...), m.Desc...)
+	if len(m.Description) > 0 {
+		out = append(append(out, `,"desc":`...), m.Description...)
 	}
 	out = append(out, "}\n"...)
-	if n := len(out) - from; n > MostBytes {
-		return out[:from], fmt.Errorf("a message of %d bytes is over the limit of %d", n, MostBytes)
+	if n := len(out) - from; n > MaxLineBytes {
+		return out[:from], fmt.Errorf("a message of %d bytes is over the limit of %d", n, MaxLineBytes)
 	}
 	return out, nil
 }
 
-// Lines takes a stream apart into lines of at most Most bytes. Its one table, the unfinished line, is emptied by
+// LineSplitter takes a stream apart into lines of at most Most bytes. Its one table, the unfinished line, is emptied by
 // the line's end.
-type Lines struct {
-	Most  int
-	part  []byte
-	fault error
+type LineSplitter struct {
+	MaxBytes int
+	partial  []byte
+	err      error
 }
 
-// Half is the number of bytes of an unfinished line.
-func (l *Lines) Half() int { return len(l.part) }
+// Buffered is the number of bytes of an unfinished line.
+func (l *LineSplitter) Buffered() int { return len(l.partial) }
 
 // Feed hands each whole line to each, until that returns an error. A fault stays.
-func (l *Lines) Feed(p []byte, each func(line []byte) error) error {
-	for len(p) > 0 && l.fault == nil {
+func (l *LineSplitter) Feed(p []byte, each func(line []byte) error) error {
+	for len(p) > 0 && l.err == nil {
 		n := bytes.IndexByte(p, '\n')
-		if rest := len(l.part) + len(p); n < 0 && rest >= l.Most || n >= 0 && len(l.part)+n >= l.Most {
-			l.part, l.fault = nil, fmt.Errorf("a line of over %d bytes", l.Most)
+		if rest := len(l.partial) + len(p); n < 0 && rest >= l.MaxBytes || n >= 0 && len(l.partial)+n >= l.MaxBytes {
+			l.partial, l.err = nil, fmt.Errorf("a line of over %d bytes", l.MaxBytes)
 			break
 		}
 		if n < 0 {
-			l.part = append(l.part, p...)
+			l.partial = append(l.partial, p...)
 			break
 		}
 		line := p[:n]
-		if len(l.part) > 0 {
-			l.part = append(l.part, line...)
-			line = l.part
+		if len(l.partial) > 0 {
+			l.partial = append(l.partial, line...)
+			line = l.partial
 		}
-		l.fault = each(bytes.TrimSuffix(line, []byte("\r")))
-		if l.part, p = l.part[:0], p[n+1:]; cap(l.part) > 1<<10 {
-			l.part = nil
+		l.err = each(bytes.TrimSuffix(line, []byte("\r")))
+		if l.partial, p = l.partial[:0], p[n+1:]; cap(l.partial) > 1<<10 {
+			l.partial = nil
 		}
 	}
-	return l.fault
+	return l.err
 }
--- a/internal/platform/jsonlines/jsonline_test.go
+++ b/internal/platform/jsonlines/jsonline_test.go
@@ -48,7 +48,7 @@
 	if err != nil || string(out) != want {
 		t.Errorf("%s, %v", out, err)
 	}
-	m.With["key"] = strings.Repeat("x", MostBytes)
+	m.Fields["key"] = strings.Repeat("x", MaxLineBytes)
 	if out, err := Append([]byte("kept"), m); err == nil || string(out) != "kept" {
 		t.Errorf("a message over the limit: %d bytes, %v", len(out), err)
 	}
@@ -70,7 +70,7 @@
 	} {
 		for _, step := range []int{1, 3, 1000} {
 			t.Run(fmt.Sprint(tc.name, " by ", step), func(t *testing.T) {
-				l, got := Lines{Most: 10}, ""
+				l, got := LineSplitter{MaxBytes: 10}, ""
 				var err error
 				for p := []byte(tc.in); len(p) > 0; p = p[min(step, len(p)):] {
 					err = l.Feed(p[:min(step, len(p))], func(line []byte) error {
@@ -78,8 +78,8 @@
 						return nil
 					})
 				}
-				if got != tc.lines || l.Half() != tc.half || (err != nil) != tc.fault {
-					t.Errorf("lines %q, half %d, fault %v", got, l.Half(), err)
+				if got != tc.lines || l.Buffered() != tc.half || (err != nil) != tc.fault {
+					t.Errorf("lines %q, half %d, fault %v", got, l.Buffered(), err)
 				}
 			})
 		}
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -41,13 +41,13 @@
 // stand counts what stands at a machine.
 func (m *machine) stand(n int) {
 	m.standing += n
-	m.p.notice(failuredetector.Stands{Machine: string(m.id), Count: m.standing})
+	m.p.notice(failuredetector.RunningCountChanged{Machine: string(m.id), Count: m.standing})
 }
 
 // heard is a sign of life of a machine.
 func (m *machine) heard() {
 	if m.standing > 0 {
-		m.p.notice(failuredetector.Heard{Machine: string(m.id)})
+		m.p.notice(failuredetector.ActivityObserved{Machine: string(m.id)})
 	}
 }
 
@@ -55,7 +55,7 @@
 func (m *machine) lose(before eventloop.Tick) {
 	for _, id := range slices.Sorted(maps.Keys(m.bids)) {
 		if b := m.bids[id]; b.stands && b.sentAt <= before {
-			m.p.released(b, jsonlines.Temporary, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost})
+			m.p.released(b, jsonlines.CauseTemporaryFailure, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost})
 		}
 	}
 }
@@ -64,7 +64,7 @@
 type link struct {
 	m       *machine
 	conn    *eventloop.Conn
-	lines   jsonlines.Lines
+	lines   jsonlines.LineSplitter
 	opened  bool
 	bids    map[scheduler.ContainerID]*bid // waiting for it or out on it, until their answer
 	probes  map[string]*probing            // by their call, until their answer or time-out
@@ -202,28 +202,28 @@
 	var best *link
 	links := m.kept()
 	for _, l := range links {
-		if !l.opened && len(l.bids) > 0 || l.idle() && !l.state(m.p.loop.Now(), false).Fits() {
+		if !l.opened && len(l.bids) > 0 || l.idle() && !l.state(m.p.loop.Now(), false).CanCarryAttempt() {
 			continue
 		}
 		if best == nil || len(l.bids) < len(best.bids) {
 			best = l
 		}
 	}
-	if best != nil && (len(best.bids) == 0 || len(links) >= connmanager.MostLinks(m.p.d.Sockets, len(m.p.machines)) || !m.p.room()) {
+	if best != nil && (len(best.bids) == 0 || len(links) >= connmanager.MaxConnsPerMachine(m.p.d.Sockets, len(m.p.machines)) || !m.p.room()) {
 		return best
 	}
 	return m.reach()
 }
 
 // short tells whether there may be no more links. Each holds a descriptor, and callers and bus need theirs.
-func (p *Platform) short() bool { return p.links >= connmanager.AllLinks(p.d.Sockets) }
+func (p *Platform) short() bool { return p.links >= connmanager.MaxMachineConns(p.d.Sockets) }
 
 // room tells whether a link may be opened; where there may be no more, one that carries nothing makes way.
 func (p *Platform) room() bool {
 	if !p.short() {
 		return true
 	}
-	if !connmanager.Bears(p.d.Sockets, p.loop.ConnCount()) {
+	if !connmanager.CanOpenBeforeClose(p.d.Sockets, p.loop.ConnCount()) {
 		return false
 	}
 	now, least := p.loop.Now(), 0
@@ -233,7 +233,7 @@
 			if !l.idle() {
 				continue
 			}
-			if n := l.state(now, i == 0).Yields(); n >= 0 && (worst == nil || n < least || n == least && l.usedAt < worst.usedAt) {
+			if n := l.state(now, i == 0).EvictionRank(); n >= 0 && (worst == nil || n < least || n == least && l.usedAt < worst.usedAt) {
 				worst, least = l, n
 			}
 		}
@@ -251,7 +251,7 @@
 		return nil
 	}
 	m.p.links++
-	l := &link{m: m, lines: jsonlines.Lines{Most: jsonlines.MostBytes}, bids: map[scheduler.ContainerID]*bid{}, probes: map[string]*probing{},
+	l := &link{m: m, lines: jsonlines.LineSplitter{MaxBytes: jsonlines.MaxLineBytes}, bids: map[scheduler.ContainerID]*bid{}, probes: map[string]*probing{},
 		usedAt: m.p.loop.Now()}
 	l.conn = m.p.loop.Dial(m.addr, l, outputOfLink, m.p.d.Connect)
 	m.links = append(m.links, l)
@@ -259,9 +259,9 @@
 }
 
 // state is what the porter is asked about.
-func (l *link) state(now eventloop.Tick, first bool) connmanager.Link {
-	return connmanager.Link{First: first, Stands: l.m.standing > 0, Here: l.stands > 0, Idle: connmanager.Time(now - l.usedAt),
-		Closes: connmanager.Time(l.m.p.d.IdleLinks)}
+func (l *link) state(now eventloop.Tick, first bool) connmanager.MachineConn {
+	return connmanager.MachineConn{Primary: first, MachineHasRunning: l.m.standing > 0, CarriesRunning: l.stands > 0, IdleFor: connmanager.Time(now - l.usedAt),
+		MachineIdleTimeout: connmanager.Time(l.m.p.d.IdleLinks)}
 }
 
 // when runs do once the link stands.
@@ -303,7 +303,7 @@
 		never = scheduler.OutcomeNotSent
 	}
 	if !l.opened && errors.Is(why, unix.ECONNREFUSED) {
-		p.notice(failuredetector.Refused{Machine: string(m.id)})
+		p.notice(failuredetector.ConnectionRefused{Machine: string(m.id)})
 	}
 	for _, id := range slices.Sorted(maps.Keys(l.bids)) {
 		b, outcome := l.bids[id], never
@@ -389,7 +389,7 @@
 	if c.idem != "" {
 		with["idem"] = c.idem
 	}
-	if b.sent = b.link.write(&jsonlines.Message{Op: jsonlines.Offer, Call: string(c.ask.ID), With: with, Desc: c.desc}); !b.sent {
+	if b.sent = b.link.write(&jsonlines.Message{Op: jsonlines.OpOffer, RequestID: string(c.ask.ID), Fields: with, Description: c.desc}); !b.sent {
 		p.over(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
 	}
 }
@@ -397,7 +397,7 @@
 // callOff tells the machine that a bid is waited for no longer.
 func (p *Platform) callOff(b *bid) {
 	if b.sent && b.link != nil {
-		b.link.write(&jsonlines.Message{Op: jsonlines.End, Call: string(b.c.ask.ID), Why: jsonlines.Because(jsonlines.GivenUp)})
+		b.link.write(&jsonlines.Message{Op: jsonlines.OpEnd, RequestID: string(b.c.ask.ID), Cause: jsonlines.CausePtr(jsonlines.CauseNormal)})
 	}
 }
 
@@ -424,21 +424,21 @@
 		return
 	}
 	l.when(func() {
-		l.write(&jsonlines.Message{Op: jsonlines.End, Call: string(c.ask.ID), Why: jsonlines.Because(max(cause, 0))})
+		l.write(&jsonlines.Message{Op: jsonlines.OpEnd, RequestID: string(c.ask.ID), Cause: jsonlines.CausePtr(max(cause, 0))})
 	})
 }
 
 // outcomes of a bid by the cause of its end. VerdictFailed comes before a yes where the container's own time has passed: it may
 // have run, as after a reset, but the machine is well.
-var outcomes = map[int]scheduler.Outcome{jsonlines.NoRoom: scheduler.OutcomeFull, jsonlines.Faulty: scheduler.OutcomeErrored,
-	jsonlines.Moot: scheduler.OutcomeNotSent, jsonlines.GivenUp: scheduler.OutcomeFinished}
+var outcomes = map[int]scheduler.Outcome{jsonlines.CauseNoCapacity: scheduler.OutcomeFull, jsonlines.CauseError: scheduler.OutcomeErrored,
+	jsonlines.CauseNotSent: scheduler.OutcomeNotSent, jsonlines.CauseNormal: scheduler.OutcomeFinished}
 
 // fate is what became of a container that stood, by the cause of its end.
 func fate(cause int) scheduler.Outcome {
 	switch cause {
-	case jsonlines.GivenUp:
+	case jsonlines.CauseNormal:
 		return scheduler.OutcomeFinished
-	case jsonlines.Cancelled:
+	case jsonlines.CauseCancelled:
 		return scheduler.OutcomeStopped
 	}
 	return scheduler.OutcomeLost
@@ -457,26 +457,26 @@
 	}
 	m, p := l.m, l.m.p
 	p.show("of machine", string(m.id), msg)
-	b := m.bids[scheduler.ContainerID(msg.Call)]
+	b := m.bids[scheduler.ContainerID(msg.RequestID)]
 	switch msg.Op {
-	case jsonlines.Accept:
+	case jsonlines.OpAccept:
 		if b != nil && !b.stands && b.link == l {
 			return p.accepted(b, msg)
 		}
-	case jsonlines.End:
+	case jsonlines.OpEnd:
 		if b == nil {
-			p.notice(failuredetector.Said{Machine: string(m.id), Call: msg.Call, Cause: msg.Cause()})
+			p.notice(failuredetector.UnclaimedTermination{Machine: string(m.id), RequestID: msg.RequestID, Cause: msg.CauseOrNone()})
 		}
 		if b == nil || !b.stands && b.link != l {
 			return nil
 		}
-		e := scheduler.AttemptEnded{Reason: reasons[msg.With["note"]], Report: report(msg.With["load"]), Outcome: scheduler.OutcomeLost}
+		e := scheduler.AttemptEnded{Reason: reasons[msg.Fields["note"]], Report: report(msg.Fields["load"]), Outcome: scheduler.OutcomeLost}
 		if b.stands {
-			e.Outcome = fate(msg.Cause())
-			p.released(b, msg.Cause(), e)
+			e.Outcome = fate(msg.CauseOrNone())
+			p.released(b, msg.CauseOrNone(), e)
 			return nil
 		}
-		if o, ok := outcomes[msg.Cause()]; ok {
+		if o, ok := outcomes[msg.CauseOrNone()]; ok {
 			e.Outcome = o
 		}
 		if e.Outcome == scheduler.OutcomeLost && e.Reason >= scheduler.ReasonOutOfMemory {
@@ -484,17 +484,17 @@
 		} else {
 			p.over(b, e)
 		}
-	case jsonlines.Info:
-		if v, err := strconv.ParseFloat(msg.With["value"], 64); err == nil && b != nil && b.sent && sorts[msg.With["note"]] != 0 {
-			p.feed(scheduler.UsageReported{ID: b.c.ask.ID, Machine: m.id, Attempt: b.nth, Metric: sorts[msg.With["note"]], Value: v})
+	case jsonlines.OpInfo:
+		if v, err := strconv.ParseFloat(msg.Fields["value"], 64); err == nil && b != nil && b.sent && sorts[msg.Fields["note"]] != 0 {
+			p.feed(scheduler.UsageReported{ID: b.c.ask.ID, Machine: m.id, Attempt: b.nth, Metric: sorts[msg.Fields["note"]], Value: v})
 		}
-	case jsonlines.Tested:
-		if q := l.probes[msg.Call]; q != nil {
+	case jsonlines.OpTested:
+		if q := l.probes[msg.RequestID]; q != nil {
 			outcome := scheduler.OutcomeErrored
-			if msg.Cause() == jsonlines.Passed {
+			if msg.CauseOrNone() == jsonlines.CauseTestPassed {
 				outcome = scheduler.OutcomeFinished
 			}
-			p.probed(q, outcome, report(msg.With["load"]))
+			p.probed(q, outcome, report(msg.Fields["load"]))
 		}
 	}
 	return nil
@@ -506,13 +506,13 @@
 func (p *Platform) endedUnheard(b *bid, e scheduler.AttemptEnded) {
 	e.Final = true
 	p.over(b, e)
-	p.answer(b.c.ask.ID, &jsonlines.Message{Op: jsonlines.End, Why: jsonlines.Because(jsonlines.Temporary)})
+	p.answer(b.c.ask.ID, &jsonlines.Message{Op: jsonlines.OpEnd, Cause: jsonlines.CausePtr(jsonlines.CauseTemporaryFailure)})
 }
 
 // accepted passes a machine's yes to the owner.
 func (p *Platform) accepted(b *bid, msg *jsonlines.Message) error {
 	c := b.c
-	if len(msg.Desc) == 0 {
+	if len(msg.Description) == 0 {
 		return errors.New("a yes without a description")
 	}
 	if b.at.state == scheduler.MachineGone { // said before it went: nothing is taken to stand at a machine that is gone
@@ -526,7 +526,7 @@
 	b.link.stands++
 	b.at.stand(1)
 	p.feed(scheduler.AttemptAccepted{ID: c.ask.ID, Attempt: b.nth, Machine: b.at.id, Elapsed: scheduler.Time(p.loop.Now() - b.sentAt)})
-	p.answer(c.ask.ID, &jsonlines.Message{Op: jsonlines.Accept, Desc: msg.Desc})
+	p.answer(c.ask.ID, &jsonlines.Message{Op: jsonlines.OpAccept, Description: msg.Description})
 	return nil
 }
 
@@ -560,7 +560,7 @@
 	l.probes[q.call] = q
 	q.timer = p.loop.After(probeWithin, func() { p.probed(q, scheduler.OutcomeTimedOut, nil) })
 	l.when(func() {
-		l.write(&jsonlines.Message{Op: jsonlines.Test, Call: q.call, Why: jsonlines.Because(jsonlines.Passed)})
+		l.write(&jsonlines.Message{Op: jsonlines.OpTest, RequestID: q.call, Cause: jsonlines.CausePtr(jsonlines.CauseTestPassed)})
 	})
 }
 
@@ -577,7 +577,7 @@
 // a new one is opened, as an end that was on its way is told again on that.
 func (m *machine) house(now eventloop.Tick) {
 	for i, l := range m.kept() {
-		if l.idle() && !l.state(now, i == 0).Keeps() {
+		if l.idle() && !l.state(now, i == 0).ShouldKeep() {
 			l.leave()
 		}
 	}
--- a/internal/platform/owners.go
+++ b/internal/platform/owners.go
@@ -23,20 +23,20 @@
 // caller is one connection from owners.
 type caller struct {
 	p      *Platform
-	number connmanager.CallerID
+	number connmanager.ClientID
 	conn   *eventloop.Conn
-	lines  jsonlines.Lines
+	lines  jsonlines.LineSplitter
 }
 
 func (p *Platform) accept() (eventloop.Handler, int) {
 	p.lastCaller++
-	return &caller{p: p, number: p.lastCaller, lines: jsonlines.Lines{Most: jsonlines.MostBytes}}, outputOfCaller
+	return &caller{p: p, number: p.lastCaller, lines: jsonlines.LineSplitter{MaxBytes: jsonlines.MaxLineBytes}}, outputOfCaller
 }
 
 func (k *caller) Opened(c *eventloop.Conn) {
 	k.conn = c
 	k.p.callers[k.number] = k
-	k.p.tell(connmanager.Came{Caller: k.number})
+	k.p.tell(connmanager.ClientConnected{Client: k.number})
 }
 
 func (k *caller) Read(_ *eventloop.Conn, b []byte) {
@@ -45,14 +45,14 @@
 		k.conn.Close()
 		return
 	}
-	k.p.tell(connmanager.Heard{Caller: k.number, Half: k.lines.Half() > 0})
+	k.p.tell(connmanager.BytesReceived{Client: k.number, Partial: k.lines.Buffered() > 0})
 }
 
 // Closed ends what was under way for a caller; what stands belongs to no connection.
 func (k *caller) Closed(*eventloop.Conn, error) {
 	p := k.p
 	delete(p.callers, k.number)
-	p.tell(connmanager.Left{Caller: k.number})
+	p.tell(connmanager.ClientDisconnected{Client: k.number})
 	var left []*container
 	for _, c := range p.containers {
 		if c.caller == k {
@@ -91,26 +91,26 @@
 	p := k.p
 	p.show("of owner", fmt.Sprint(k.number), m)
 	switch m.Op {
-	case jsonlines.Offer:
+	case jsonlines.OpOffer:
 		return k.asked(m)
-	case jsonlines.End:
-		if c := p.containers[scheduler.ContainerID(m.Call)]; c != nil {
+	case jsonlines.OpEnd:
+		if c := p.containers[scheduler.ContainerID(m.RequestID)]; c != nil {
 			switch {
 			case !c.answered && c.caller == k:
 				p.vanish(c)
 			case c.bid != nil && c.bid.stands:
-				p.endStanding(c, m.Cause())
+				p.endStanding(c, m.CauseOrNone())
 			}
 		}
-	case jsonlines.Ended:
-		p.tell(connmanager.HeardOver{Call: m.Call, Caller: k.number})
-	case jsonlines.Test:
-		passed := jsonlines.Passed
+	case jsonlines.OpEnded:
+		p.tell(connmanager.TerminationAcknowledged{RequestID: m.RequestID, Client: k.number})
+	case jsonlines.OpTest:
+		passed := jsonlines.CauseTestPassed
 		if p.leaving {
-			passed = jsonlines.Failed
+			passed = jsonlines.CauseTestFailed
 		}
-		k.write(&jsonlines.Message{Op: jsonlines.Tested, Call: m.Call, Why: jsonlines.Because(passed)})
-		p.tell(connmanager.Answered{Caller: k.number})
+		k.write(&jsonlines.Message{Op: jsonlines.OpTested, RequestID: m.RequestID, Cause: jsonlines.CausePtr(passed)})
+		p.tell(connmanager.MessageSent{Client: k.number})
 	}
 	return nil
 }
@@ -126,23 +126,23 @@
 		err = errors.New("call: it is open already")
 	}
 	if err != nil {
-		p.log.Debug("set-up turned away", "caller", k.number, "call", m.Call, "why", err)
+		p.log.Debug("set-up turned away", "caller", k.number, "call", m.RequestID, "why", err)
 		if at == "" {
-			k.write(&jsonlines.Message{Op: jsonlines.End, Call: m.Call, Why: jsonlines.Because(jsonlines.Unreadable)})
-			p.tell(connmanager.Answered{Caller: k.number})
-			p.tell(connmanager.TurnedAway{Caller: k.number})
+			k.write(&jsonlines.Message{Op: jsonlines.OpEnd, RequestID: m.RequestID, Cause: jsonlines.CausePtr(jsonlines.CauseInvalidContents)})
+			p.tell(connmanager.MessageSent{Client: k.number})
+			p.tell(connmanager.InvalidMessageReceived{Client: k.number})
 		}
 		return nil
 	}
 	if at != "" {
-		p.tell(connmanager.Named{Caller: k.number})
+		p.tell(connmanager.ContainerReclaimed{Client: k.number})
 		p.takeOver(k, ask, at)
 		return nil
 	}
-	c := &container{ask: ask, class: m.With["class"], idem: m.With["idem"], desc: slices.Clone(m.Desc), caller: k}
+	c := &container{ask: ask, class: m.Fields["class"], idem: m.Fields["idem"], desc: slices.Clone(m.Description), caller: k}
 	p.containers[ask.ID] = c
 	p.unanswered++
-	p.tell(connmanager.Asked{Caller: k.number})
+	p.tell(connmanager.PlacementRequested{Client: k.number})
 	p.feed(scheduler.RequestReceived{PlacementRequest: ask})
 	return nil
 }
@@ -170,13 +170,13 @@
 		m.lose(p.loop.Now())
 		return
 	}
-	p.notice(failuredetector.Named{Machine: string(at), Call: string(ask.ID)})
+	p.notice(failuredetector.ContainerReclaimed{Machine: string(at), RequestID: string(ask.ID)})
 }
 
 // readAsk reads a set-up; at is the machine that holds the container already.
 func (d *Deployment) readAsk(m *jsonlines.Message, now eventloop.Tick) (ask scheduler.PlacementRequest, at scheduler.MachineID, err error) {
 	extras := map[string]string{}
-	if x := m.With["extras"]; x != "" {
+	if x := m.Fields["extras"]; x != "" {
 		for _, f := range strings.Split(x, ";") {
 			name, v, ok := strings.Cut(f, ":")
 			if !ok {
@@ -186,12 +186,12 @@
 		}
 	}
 	at = scheduler.MachineID(extras["at"])
-	ask = scheduler.PlacementRequest{ID: scheduler.ContainerID(m.Call), IdempotencyKey: m.With["key"], Service: extras["service"],
-		WorkloadClass: slices.Index(d.workloads, m.With["class"]), ClientRetry: m.With["retry"] == "1" || extras["again"] == "1"}
+	ask = scheduler.PlacementRequest{ID: scheduler.ContainerID(m.RequestID), IdempotencyKey: m.Fields["key"], Service: extras["service"],
+		WorkloadClass: slices.Index(d.workloads, m.Fields["class"]), ClientRetry: m.Fields["retry"] == "1" || extras["again"] == "1"}
 	if ask.WorkloadClass < 0 {
-		return ask, at, fmt.Errorf("class: %q is not known", m.With["class"])
+		return ask, at, fmt.Errorf("class: %q is not known", m.Fields["class"])
 	}
-	if name := m.With["tenant"]; name != "" {
+	if name := m.Fields["tenant"]; name != "" {
 		if ask.Tenant = slices.Index(d.customers, name); ask.Tenant < 0 {
 			return ask, at, fmt.Errorf("tenant: %q is not known", name)
 		}
@@ -212,7 +212,7 @@
 	}{
 		{"extras cores", extras["cores"], &ask.Cores, 0, 1e6},
 		{"extras memory", extras["memory"], &ask.Memory, 0, 1e9},
-		{"left", m.With["left"], &left, 0, longest},
+		{"left", m.Fields["left"], &left, 0, longest},
 	} {
 		if at != "" && f.text == "" {
 			continue
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -37,18 +37,18 @@
 	trace   bool
 
 	events     []scheduler.Event
-	porter     *connmanager.Porter
+	porter     *connmanager.Manager
 	atDoor     []connmanager.Event // for the porter, at the end of the turn
-	vigil      *failuredetector.Vigil
+	vigil      *failuredetector.Detector
 	seen       []failuredetector.Event              // likewise
 	containers map[scheduler.ContainerID]*container // until answered, without a bid and over
 	machines   map[scheduler.MachineID]*machine     // until gone from the bus and empty
 	at         map[string]scheduler.MachineID       // which of them is at an address, until it is gone
-	callers    map[connmanager.CallerID]*caller     // until their connection ends
+	callers    map[connmanager.ClientID]*caller     // until their connection ends
 	bus        bus
 	scratch    []byte
 	lastProbe  uint64
-	lastCaller connmanager.CallerID
+	lastCaller connmanager.ClientID
 
 	unanswered int // containers that are owed an answer
 	links      int // connections to machines, also those that are being left
@@ -86,7 +86,7 @@
 // New makes a placer and opens its door. Run frees what it holds.
 func New(d *Deployment, decider Decider, log *slog.Logger, trace bool) (*Platform, error) {
 	p := &Platform{d: d, log: log, decider: decider, trace: trace, containers: map[scheduler.ContainerID]*container{},
-		machines: map[scheduler.MachineID]*machine{}, at: map[string]scheduler.MachineID{}, callers: map[connmanager.CallerID]*caller{},
+		machines: map[scheduler.MachineID]*machine{}, at: map[string]scheduler.MachineID{}, callers: map[connmanager.ClientID]*caller{},
 		porter: connmanager.New(d.Sockets), vigil: failuredetector.New()}
 	p.bus = bus{p: p, addr: d.Bus, last: d.Last}
 	var err error
@@ -184,7 +184,7 @@
 		return
 	}
 	// Here and nowhere else a leaving placer ends: all that was read has been acted on, and nothing is read before the exit.
-	if p.leaving && !connmanager.Stays(connmanager.Time(p.loop.Now()-p.leavingAt), p.unanswered, p.longest()) {
+	if p.leaving && !connmanager.ShouldKeepDraining(connmanager.Time(p.loop.Now()-p.leavingAt), p.unanswered, p.longest()) {
 		p.log.Info("left", "standing", len(p.containers), "most connections", p.loop.PeakConnCount())
 		p.loop.StopWhenIdle()
 	}
@@ -193,19 +193,19 @@
 // see does what the porter wants done.
 func (p *Platform) see(a connmanager.Action) {
 	switch a := a.(type) {
-	case connmanager.LetGo:
-		if k := p.callers[a.Caller]; k != nil {
-			p.log.Debug("caller let go", "caller", k.number, "why", a.Why)
+	case connmanager.CloseClient:
+		if k := p.callers[a.Client]; k != nil {
+			p.log.Debug("caller let go", "caller", k.number, "why", a.Reason)
 			k.conn.Close()
 		}
-	case connmanager.Tell:
-		if k := p.callers[a.Caller]; k != nil {
-			k.write(&jsonlines.Message{Op: jsonlines.End, Call: a.Call, Why: jsonlines.Because(a.Cause)})
+	case connmanager.NotifyTermination:
+		if k := p.callers[a.Client]; k != nil {
+			k.write(&jsonlines.Message{Op: jsonlines.OpEnd, RequestID: a.RequestID, Cause: jsonlines.CausePtr(a.Cause)})
 		}
-	case connmanager.Rest:
-		if k := p.callers[a.Caller]; k != nil {
+	case connmanager.PauseReading:
+		if k := p.callers[a.Client]; k != nil {
 			k.conn.SetReadPaused(true)
-			p.loop.After(eventloop.Tick(a.For), func() { k.conn.SetReadPaused(false) })
+			p.loop.After(eventloop.Tick(a.Duration), func() { k.conn.SetReadPaused(false) })
 		}
 	}
 }
@@ -213,17 +213,17 @@
 // watch does what the vigil wants done.
 func (p *Platform) watch(a failuredetector.Action) {
 	switch a := a.(type) {
-	case failuredetector.Look:
+	case failuredetector.Connect:
 		if m := p.machines[scheduler.MachineID(a.Machine)]; m != nil && m.addr != "" {
 			m.reach()
 		}
-	case failuredetector.Over:
-		if m := p.machines[scheduler.MachineID(a.Machine)]; m != nil && m.bids[scheduler.ContainerID(a.Call)] != nil {
-			p.released(m.bids[scheduler.ContainerID(a.Call)], a.Cause, scheduler.AttemptEnded{Outcome: fate(a.Cause)})
+	case failuredetector.ReportTermination:
+		if m := p.machines[scheduler.MachineID(a.Machine)]; m != nil && m.bids[scheduler.ContainerID(a.RequestID)] != nil {
+			p.released(m.bids[scheduler.ContainerID(a.RequestID)], a.Cause, scheduler.AttemptEnded{Outcome: fate(a.Cause)})
 		}
-	case failuredetector.Lost:
+	case failuredetector.DeclareLost:
 		if m := p.machines[scheduler.MachineID(a.Machine)]; m != nil {
-			p.log.Info("machine lost", "machine", m.id, "standing", m.standing, "silent ms", a.Silent/10)
+			p.log.Info("machine lost", "machine", m.id, "standing", m.standing, "silent ms", a.SilentFor/10)
 			m.lose(p.loop.Now())
 		}
 	}
@@ -247,13 +247,13 @@
 	case scheduler.StartAttempt:
 		p.offer(a)
 	case scheduler.Reject:
-		m := &jsonlines.Message{Op: jsonlines.End, Why: jsonlines.Because(jsonlines.NoRoom)}
+		m := &jsonlines.Message{Op: jsonlines.OpEnd, Cause: jsonlines.CausePtr(jsonlines.CauseNoCapacity)}
 		if a.RetryAfter > 0 {
-			m.With = jsonlines.Fields{"wait": fmt.Sprint(int64(a.RetryAfter / scheduler.Millisecond))}
+			m.Fields = jsonlines.Fields{"wait": fmt.Sprint(int64(a.RetryAfter / scheduler.Millisecond))}
 		}
 		p.answer(a.ID, m)
 	case scheduler.Fail:
-		p.answer(a.ID, &jsonlines.Message{Op: jsonlines.End, Why: jsonlines.Because(jsonlines.Temporary)})
+		p.answer(a.ID, &jsonlines.Message{Op: jsonlines.OpEnd, Cause: jsonlines.CausePtr(jsonlines.CauseTemporaryFailure)})
 	case scheduler.CancelAttempt:
 		if c := p.containers[a.ID]; c != nil && c.bid != nil && !c.bid.stands && c.bid.nth == a.Attempt {
 			p.callOff(c.bid)
@@ -281,11 +281,11 @@
 	}
 	p.close(c)
 	if c.caller != nil {
-		m.Call = string(id)
+		m.RequestID = string(id)
 		c.caller.write(m)
-		p.tell(connmanager.Answered{Caller: c.caller.number, Closed: 1})
-		if m.Op == jsonlines.Accept {
-			p.tell(connmanager.Proved{Caller: c.caller.number})
+		p.tell(connmanager.MessageSent{Client: c.caller.number, ClosedRequests: 1})
+		if m.Op == jsonlines.OpAccept {
+			p.tell(connmanager.OwnershipProven{Client: c.caller.number})
 		}
 	}
 	p.letOff(c)
@@ -310,7 +310,7 @@
 func (p *Platform) vanish(c *container) {
 	p.close(c)
 	if c.caller != nil {
-		p.tell(connmanager.TookBack{Caller: c.caller.number})
+		p.tell(connmanager.RequestCancelled{Client: c.caller.number})
 	}
 	p.feed(scheduler.ContainerRemoved{ID: c.ask.ID})
 	p.letOff(c)
@@ -351,12 +351,12 @@
 	c := b.c
 	e.Final = true
 	p.over(b, e)
-	if b.ended || cause == jsonlines.Cancelled {
+	if b.ended || cause == jsonlines.CauseCancelled {
 		return
 	}
-	over := connmanager.Over{Call: string(c.ask.ID), Cause: cause}
+	over := connmanager.ContainerTerminated{RequestID: string(c.ask.ID), Cause: cause}
 	if c.caller != nil {
-		over.Caller = c.caller.number
+		over.Client = c.caller.number
 	}
 	p.tell(over)
 }
@@ -370,7 +370,7 @@
 		p.machines[id].house(now)
 	}
 	p.bus.house(now)
-	if p.leaving && connmanager.Hurries(connmanager.Time(now-p.leavingAt), p.longest()) {
+	if p.leaving && connmanager.ShouldForceAnswers(connmanager.Time(now-p.leavingAt), p.longest()) {
 		p.hurry()
 	}
 }
@@ -402,6 +402,6 @@
 
 func (p *Platform) show(way, who string, m *jsonlines.Message) {
 	if p.trace {
-		p.log.Info("trace", "t", p.loop.Now(), "way", way, "peer", who, "op", m.Op, "call", m.Call, "with", m.With, "why", m.Cause())
+		p.log.Info("trace", "t", p.loop.Now(), "way", way, "peer", who, "op", m.Op, "call", m.RequestID, "with", m.Fields, "why", m.CauseOrNone())
 	}
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -96,15 +96,15 @@
 			}
 			for _, want := range tc.told {
 				m := o.hear()
-				if m == nil || m.Call != call || m.Cause() != want {
+				if m == nil || m.RequestID != call || m.CauseOrNone() != want {
 					t.Fatalf("the owner heard %+v, want cause %d", m, want)
 				}
-				if want == -1 && (m.Op != jsonlines.Accept || string(m.Desc) != `"made\u0020here"`) {
+				if want == -1 && (m.Op != jsonlines.OpAccept || string(m.Description) != `"made\u0020here"`) {
 					t.Errorf("answered %+v", m)
 				}
 			}
 			o.say(`{"op":"test","call":"0000000000000001","with":{},"why":0}`)
-			if m := o.hear(); m == nil || m.Op != jsonlines.Tested || m.Cause() != jsonlines.Passed {
+			if m := o.hear(); m == nil || m.Op != jsonlines.OpTested || m.CauseOrNone() != jsonlines.CauseTestPassed {
 				t.Errorf("after the last answer came %+v", m)
 			}
 		})
@@ -135,8 +135,8 @@
 		t.Errorf("asked %+v", a.PlacementRequest)
 	}
 	m := <-got
-	if m.Call != call || m.With["class"] != "report-run" || m.With["key"] != "k"+call || m.With["idem"] != "i1" ||
-		len(m.With) != 4 || string(m.Desc) != `"v=0\r\n"` {
+	if m.RequestID != call || m.Fields["class"] != "report-run" || m.Fields["key"] != "k"+call || m.Fields["idem"] != "i1" ||
+		len(m.Fields) != 4 || string(m.Description) != `"v=0\r\n"` {
 		t.Errorf("offered %+v", m)
 	}
 }
@@ -166,7 +166,7 @@
 			o := r.owner()
 			go o.say(tc.line) // it may never be read to its end
 			m := o.hear()
-			if tc.closed != (m == nil) || m != nil && (m.Op != jsonlines.End || m.Cause() != jsonlines.Unreadable) {
+			if tc.closed != (m == nil) || m != nil && (m.Op != jsonlines.OpEnd || m.CauseOrNone() != jsonlines.CauseInvalidContents) {
 				t.Errorf("heard %+v", m)
 			}
 			r.p.loop.Post(func() { r.script.events <- scheduler.TimerFired{Name: "last"} })
@@ -210,7 +210,7 @@
 	first.say(setUp(call, ""))
 	await[scheduler.RequestReceived](r, nil)
 	second.say(setUp(call, ""))
-	if m := second.hear(); m == nil || m.Cause() != jsonlines.Unreadable {
+	if m := second.hear(); m == nil || m.CauseOrNone() != jsonlines.CauseInvalidContents {
 		t.Errorf("the second heard %+v", m)
 	}
 	first.say(setUp(call, ""))
@@ -235,7 +235,7 @@
 			} else {
 				o.c.Close()
 			}
-			if m := <-got; m == nil || m.Op != jsonlines.End || m.Cause() != jsonlines.GivenUp {
+			if m := <-got; m == nil || m.Op != jsonlines.OpEnd || m.CauseOrNone() != jsonlines.CauseNormal {
 				t.Errorf("the machine heard %+v", m)
 			}
 			await[scheduler.ContainerRemoved](r, nil)
@@ -267,11 +267,11 @@
 	second.say(`{"op":"test","call":"0000000000000001","with":{},"why":0}`)
 	second.hear()
 	release <- true
-	if m := second.hear(); m == nil || m.Op != jsonlines.End || m.Call != call || m.Cause() != 16 {
+	if m := second.hear(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != call || m.CauseOrNone() != 16 {
 		t.Errorf("heard %+v", m)
 	}
 	second.say(`{"op":"test","call":"0000000000000002","with":{},"why":0}`)
-	if m := second.hear(); m == nil || m.Op != jsonlines.Tested {
+	if m := second.hear(); m == nil || m.Op != jsonlines.OpTested {
 		t.Errorf("then heard %+v", m)
 	}
 }
@@ -281,7 +281,7 @@
 	addr := listen(t, func(m *peer) {
 		m.hear()
 		m.say(`{"op":"accept","call":"` + call + `","with":{},"desc":"d"}`)
-		if msg := m.hear(); msg == nil || msg.Op != jsonlines.End {
+		if msg := m.hear(); msg == nil || msg.Op != jsonlines.OpEnd {
 			t.Errorf("the machine heard %+v", msg)
 		}
 		m.say(`{"op":"end","call":"` + call + `","with":{},"why":31}`)
@@ -296,7 +296,7 @@
 		t.Errorf("got %+v", e)
 	}
 	o.say(`{"op":"test","call":"0000000000000001","with":{},"why":0}`)
-	if m := o.hear(); m == nil || m.Op != jsonlines.Tested {
+	if m := o.hear(); m == nil || m.Op != jsonlines.OpTested {
 		t.Errorf("the owner heard %+v", m)
 	}
 }
@@ -372,7 +372,7 @@
 			return // a look
 		}
 		<-hold
-		m.say(`{"op":"accept","call":"` + msg.Call + `","with":{},"desc":"d"}`)
+		m.say(`{"op":"accept","call":"` + msg.RequestID + `","with":{},"desc":"d"}`)
 		m.hear()
 	})
 	r := start(t, bidToA(0), file(silentBus(t), 256, event(1, true, host("a", addr, "ready", 0))))
@@ -381,11 +381,11 @@
 	await[scheduler.RequestReceived](r, nil)
 	r.p.Leave()
 	o.say(`{"op":"test","call":"0000000000000001","with":{},"why":0}`)
-	if m := o.hear(); m == nil || m.Cause() != jsonlines.Failed {
+	if m := o.hear(); m == nil || m.CauseOrNone() != jsonlines.CauseTestFailed {
 		t.Errorf("a test was answered %+v", m)
 	}
 	close(hold)
-	if m := o.hear(); m == nil || m.Op != jsonlines.Accept {
+	if m := o.hear(); m == nil || m.Op != jsonlines.OpAccept {
 		t.Errorf("answered %+v", m)
 	}
 	if m := o.hear(); m != nil {
@@ -435,7 +435,7 @@
 			r := start(t, bidToA(0), file(bus, 256, event(1, true, host("a", l.Addr().String(), "ready", 0))))
 			o := r.owner()
 			o.say(setUp(call, ""))
-			if m := o.hear(); m == nil || m.Op != jsonlines.Accept {
+			if m := o.hear(); m == nil || m.Op != jsonlines.OpAccept {
 				t.Fatalf("answered %+v", m)
 			}
 			if tc.tells == "" {
@@ -445,7 +445,7 @@
 				told <- event(2, false, host("a", l.Addr().String(), tc.tells, time.Now().UnixMilli()+1))
 				defer close(die)
 			}
-			if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != call || m.Cause() != jsonlines.Temporary {
+			if m := o.hear(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != call || m.CauseOrNone() != jsonlines.CauseTemporaryFailure {
 				t.Errorf("heard %+v", m)
 			}
 			if e := await[scheduler.AttemptEnded](r, nil); e.Outcome != scheduler.OutcomeLost || !e.Final {
@@ -475,15 +475,15 @@
 			o.c.Close()
 			other := r.owner()
 			other.say(`{"op":"test","call":"0000000000000002","with":{},"why":0}`)
-			want := []jsonlines.Op{jsonlines.Tested, jsonlines.End, jsonlines.Tested}
+			want := []jsonlines.Op{jsonlines.OpTested, jsonlines.OpEnd, jsonlines.OpTested}
 			if heard {
-				want = []jsonlines.Op{jsonlines.Tested, jsonlines.Tested}
+				want = []jsonlines.Op{jsonlines.OpTested, jsonlines.OpTested}
 			}
 			for i, op := range want {
 				if i == len(want)-1 {
 					other.say(`{"op":"test","call":"0000000000000003","with":{},"why":0}`)
 				}
-				if m := other.hear(); m == nil || m.Op != op || op == jsonlines.End && m.Call != call {
+				if m := other.hear(); m == nil || m.Op != op || op == jsonlines.OpEnd && m.RequestID != call {
 					t.Fatalf("heard %+v, want %s", m, op)
 				}
 			}
@@ -513,8 +513,8 @@
 		} else {
 			<-both // each set-up has a link of its own
 		}
-		m.say(strings.Replace(yes, "%s", msg.Call, 1))
-		if msg.Call == call {
+		m.say(strings.Replace(yes, "%s", msg.RequestID, 1))
+		if msg.RequestID == call {
 			m.say("noise")
 		}
 		m.hear()
@@ -523,8 +523,8 @@
 	o := r.owner()
 	o.say(setUp(call, ""), setUp(other, ""))
 	began := time.Now()
-	for _, op := range []jsonlines.Op{jsonlines.Accept, jsonlines.Accept, jsonlines.End} {
-		if m := o.hear(); m == nil || m.Op != op || op == jsonlines.End && m.Call != call {
+	for _, op := range []jsonlines.Op{jsonlines.OpAccept, jsonlines.OpAccept, jsonlines.OpEnd} {
+		if m := o.hear(); m == nil || m.Op != op || op == jsonlines.OpEnd && m.RequestID != call {
 			t.Fatalf("heard %+v, want %s", m, op)
 		}
 	}
@@ -538,7 +538,7 @@
 func TestLeftLinkIsRead(t *testing.T) {
 	addr := listen(t, func(m *peer) {
 		if msg := m.hear(); msg != nil {
-			m.say(`{"op":"tested","call":"` + msg.Call + `","with":{},"why":1}`)
+			m.say(`{"op":"tested","call":"` + msg.RequestID + `","with":{},"why":1}`)
 		}
 		if msg := m.hear(); msg != nil {
 			t.Errorf("heard %+v", msg)
@@ -556,7 +556,7 @@
 	}, file(silentBus(t), 256, event(1, true, host("a", addr, "ready", 0))))
 	o := r.owner()
 	o.say(setUp(call, ";at:a"))
-	if m := o.hear(); m == nil || m.Op != jsonlines.End || m.Call != call {
+	if m := o.hear(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != call {
 		t.Errorf("heard %+v", m)
 	}
 }
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -226,7 +226,7 @@
 		"family_info.class_most=", "family_info.spread_over=-", "family_info.cpu_of_kind=", "family_info.kind_memory=-")
 	var got []object
 	for i, pairs := range [][]string{all, pushed, noClasses} {
-		s, err := ParseTerms(uint64(1)<<63+uint64(i), pairs)
+		s, err := ParseSettings(uint64(1)<<63+uint64(i), pairs)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -253,7 +253,7 @@
 	all := strings.Fields(fullSettings)
 	var got bytes.Buffer
 	try := func(change string, pairs []string) {
-		if _, err := ParseTerms(1, pairs); err != nil {
+		if _, err := ParseSettings(1, pairs); err != nil {
 			fmt.Fprintf(&got, "%s: error: %v\n", change, err)
 		} else {
 			fmt.Fprintf(&got, "%s: accepted\n", change)
@@ -334,7 +334,7 @@
 		scheduler.Log{Message: " two\nlines\tand  more "}, scheduler.Log{},
 		nil,
 	} {
-		Append(&got, 3, a)
+		AppendAction(&got, 3, a)
 	}
 	AppendFault(&got, 4, "what\nwent wrong")
 	golden(t, "outgoing.txt", got.Bytes())
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -8,86 +8,86 @@
 	"glenport/scheduler"
 )
 
-// startup reads the pairs of a start-up message and keeps the first fault met.
-type startup struct {
+// settingsReader reads the pairs of a start-up message and keeps the first fault met.
+type settingsReader struct {
 	pairs map[string]string
-	fault error
+	err   error
 }
 
-func (s *startup) text(path string) string {
+func (s *settingsReader) text(path string) string {
 	v, ok := s.pairs[path]
-	if !ok && s.fault == nil {
-		s.fault = fmt.Errorf("setting %s is missing", path)
+	if !ok && s.err == nil {
+		s.err = fmt.Errorf("setting %s is missing", path)
 	}
 	return v
 }
 
-func (s *startup) number(path string) float64 { return s.parse(path, s.text(path)) }
+func (s *settingsReader) number(path string) float64 { return s.parseNumber(path, s.text(path)) }
 
-func (s *startup) parse(path, v string) float64 {
+func (s *settingsReader) parseNumber(path, v string) float64 {
 	f, err := parseNumber(v)
-	if err != nil && s.fault == nil {
-		s.fault = fmt.Errorf("setting %s: %w", path, err)
+	if err != nil && s.err == nil {
+		s.err = fmt.Errorf("setting %s: %w", path, err)
 	}
 	return f
 }
 
-// size is a number above 0.
-func (s *startup) size(path string) float64 {
+// positiveNumber is a number above 0.
+func (s *settingsReader) positiveNumber(path string) float64 {
 	f := s.number(path)
-	if f <= 0 && s.fault == nil {
-		s.fault = fmt.Errorf("setting %s=%q is not above 0", path, s.pairs[path])
+	if f <= 0 && s.err == nil {
+		s.err = fmt.Errorf("setting %s=%q is not above 0", path, s.pairs[path])
 	}
 	return f
 }
 
-func (s *startup) count(path string) int {
+func (s *settingsReader) count(path string) int {
 	n, err := strconv.Atoi(s.text(path))
-	if (err != nil || n < 0 || n > 10_000_000) && s.fault == nil {
-		s.fault = fmt.Errorf("setting %s=%q is no count", path, s.pairs[path])
+	if (err != nil || n < 0 || n > 10_000_000) && s.err == nil {
+		s.err = fmt.Errorf("setting %s=%q is no count", path, s.pairs[path])
 	}
 	return n
 }
 
-func (s *startup) span(path string) scheduler.Time { return tenths(s.number(path)) }
-func (s *startup) flag(path string) bool           { return s.choice(path, "false", "true") == 1 }
+func (s *settingsReader) duration(path string) scheduler.Time { return timeFromMillis(s.number(path)) }
+func (s *settingsReader) boolean(path string) bool            { return s.enumIndex(path, "false", "true") == 1 }
 
-// choice returns which of the words stands there.
-func (s *startup) choice(path string, words ...string) int {
+// enumIndex returns which of the words stands there.
+func (s *settingsReader) enumIndex(path string, words ...string) int {
 	v := s.text(path)
 	for i, w := range words {
 		if v == w {
 			return i
 		}
 	}
-	if s.fault == nil {
-		s.fault = fmt.Errorf("setting %s=%q is none of %s", path, v, strings.Join(words, ", "))
+	if s.err == nil {
+		s.err = fmt.Errorf("setting %s=%q is none of %s", path, v, strings.Join(words, ", "))
 	}
 	return 0
 }
 
-func (s *startup) list(path string) []string {
+func (s *settingsReader) list(path string) []string {
 	if v := s.text(path); v != "" && v != "-" {
 		return strings.Split(v, ",")
 	}
 	return nil
 }
 
-func (s *startup) numbers(path string, n int) []float64 {
+func (s *settingsReader) numbers(path string, n int) []float64 {
 	words := s.list(path)
-	if len(words) != n && s.fault == nil {
-		s.fault = fmt.Errorf("setting %s has %d values, not %d", path, len(words), n)
+	if len(words) != n && s.err == nil {
+		s.err = fmt.Errorf("setting %s has %d values, not %d", path, len(words), n)
 	}
 	out := make([]float64, n)
 	for i := 0; i < n && i < len(words); i++ {
-		out[i] = s.parse(path, words[i])
+		out[i] = s.parseNumber(path, words[i])
 	}
 	return out
 }
 
-// ParseTerms reads the pairs path=value of a start-up message.
-func ParseTerms(seed uint64, fields []string) (scheduler.Config, error) {
-	s := &startup{pairs: make(map[string]string, len(fields))}
+// ParseSettings reads the pairs path=value of a start-up message.
+func ParseSettings(seed uint64, fields []string) (scheduler.Config, error) {
+	s := &settingsReader{pairs: make(map[string]string, len(fields))}
 	for _, f := range fields {
 		k, v, ok := strings.Cut(f, "=")
 		if !ok {
@@ -101,21 +101,21 @@
 		SchedulerCount:     s.count("balancers"),
 		CoresOvercommit:    s.number("family_info.admit_cores"),
 		MemoryOvercommit:   s.number("family_info.mem_booking"),
-		MeanCores:          s.size("family_info.unit_cores"),
-		MeanMemory:         s.size("family_info.unit_memory"),
-		AcceptMeansRunning: s.choice("family_info.yes_at", "accepted", "running") == 1,
-		UsageReports:       s.flag("family_info.use_notes"),
-		ListTracksRequests: s.flag("family_info.view"),
-		ProbesAllowed:      s.flag("permissions.probes"),
+		MeanCores:          s.positiveNumber("family_info.unit_cores"),
+		MeanMemory:         s.positiveNumber("family_info.unit_memory"),
+		AcceptMeansRunning: s.enumIndex("family_info.yes_at", "accepted", "running") == 1,
+		UsageReports:       s.boolean("family_info.use_notes"),
+		ListTracksRequests: s.boolean("family_info.view"),
+		ProbesAllowed:      s.boolean("permissions.probes"),
 		MaxAttempts:        s.count("permissions.max_attempts"),
-		AnswerGrace:        s.span("rules.grace_to_answer_ms"),
-		ListOnRequest:      s.choice("registry_mode", "pushed", "on_request") == 1,
-		SlowStartPeriod:    s.span("rules.cold_ms"),
-		SlowStartWindow:    s.span("rules.overload_for_ms"),
+		AnswerGrace:        s.duration("rules.grace_to_answer_ms"),
+		ListOnRequest:      s.enumIndex("registry_mode", "pushed", "on_request") == 1,
+		SlowStartPeriod:    s.duration("rules.cold_ms"),
+		SlowStartWindow:    s.duration("rules.overload_for_ms"),
 		SlowStartBudget:    int(s.number("family_info.fresh_offers")),
 	}
 	if t.ListOnRequest {
-		t.ResyncInterval = s.span("rules.ask_every_ms")
+		t.ResyncInterval = s.duration("rules.ask_every_ms")
 	}
 	if _, ok := s.pairs["over_share_worth"]; ok {
 		t.OverQuotaWeight = s.number("over_share_worth")
@@ -126,50 +126,50 @@
 		t.MachineTypes = append(t.MachineTypes, scheduler.MachineType{Cores: c, Memory: memory[i]})
 	}
 	n := s.count("classes.count")
-	if n > len(fields) && s.fault == nil {
-		s.fault = fmt.Errorf("setting classes.count=%d, with %d settings in all", n, len(fields))
+	if n > len(fields) && s.err == nil {
+		s.err = fmt.Errorf("setting classes.count=%d, with %d settings in all", n, len(fields))
 	}
-	if s.fault != nil {
-		return t, s.fault
+	if s.err != nil {
+		return t, s.err
 	}
 	kinds, most := s.numbers("family_info.class_kind", n), s.numbers("family_info.class_most", n)
 	spread := s.list("family_info.spread_over")
-	if len(spread) != n && s.fault == nil {
-		s.fault = fmt.Errorf("setting family_info.spread_over has %d values, not %d", len(spread), n)
+	if len(spread) != n && s.err == nil {
+		s.err = fmt.Errorf("setting family_info.spread_over has %d values, not %d", len(spread), n)
 	}
 	places := map[string]scheduler.Scope{"silent": scheduler.ScopeNone, "machine": scheduler.ScopeMachine,
 		"cell": scheduler.ScopeRackGroup, "zone": scheduler.ScopeZone}
-	for i := 0; i < n && s.fault == nil; i++ {
+	for i := 0; i < n && s.err == nil; i++ {
 		at := fmt.Sprintf("classes.%d.", i)
 		w := scheduler.WorkloadClass{
-			Idempotency:      scheduler.Idempotency(s.choice(at+"effect", "safe", "keyed", "unsafe")),
-			LatencyObjective: s.span(at + "aim_ms"),
-			PlacementTimeout: s.span(at + "deadline_ms"),
+			Idempotency:      scheduler.Idempotency(s.enumIndex(at+"effect", "safe", "keyed", "unsafe")),
+			LatencyObjective: s.duration(at + "aim_ms"),
+			PlacementTimeout: s.duration(at + "deadline_ms"),
 			PriorityWeight:   s.number(at + "credit"),
 			MachineType:      int(kinds[i]),
 			MaxPerScope:      int(most[i]),
 		}
 		if w.Idempotency == scheduler.IdempotentWithKey {
-			w.DedupWindow = s.span(at + "window_ms")
-			w.DedupScope = []scheduler.Scope{scheduler.ScopeRackGroup, scheduler.ScopeZone, scheduler.ScopeFleet}[s.choice(
+			w.DedupWindow = s.duration(at + "window_ms")
+			w.DedupScope = []scheduler.Scope{scheduler.ScopeRackGroup, scheduler.ScopeZone, scheduler.ScopeFleet}[s.enumIndex(
 				at+"group", "cell", "zone", "all")]
 		}
 		place, ok := places[spread[i]]
 		if !ok {
-			s.fault = fmt.Errorf("setting family_info.spread_over: %q is no place", spread[i])
+			s.err = fmt.Errorf("setting family_info.spread_over: %q is no place", spread[i])
 		}
 		if w.SpreadScope = place; w.MachineType >= len(t.MachineTypes) {
-			s.fault = fmt.Errorf("setting family_info.class_kind: no kind %d", w.MachineType)
+			s.err = fmt.Errorf("setting family_info.class_kind: no kind %d", w.MachineType)
 		}
 		t.WorkloadClasses = append(t.WorkloadClasses, w)
 	}
 	if _, ok := s.pairs["tenants.count"]; ok {
 		n := s.count("tenants.count")
-		if n > len(fields) && s.fault == nil {
-			s.fault = fmt.Errorf("setting tenants.count=%d, with %d settings in all", n, len(fields))
+		if n > len(fields) && s.err == nil {
+			s.err = fmt.Errorf("setting tenants.count=%d, with %d settings in all", n, len(fields))
 		}
-		if s.fault != nil {
-			return t, s.fault
+		if s.err != nil {
+			return t, s.err
 		}
 		if _, ok := s.pairs["family_info.quota_cores"]; ok {
 			for _, cores := range s.numbers("family_info.quota_cores", n) {
@@ -177,5 +177,5 @@
 			}
 		}
 	}
-	return t, s.fault
+	return t, s.err
 }
--- a/internal/simprotocol/wire.go
+++ b/internal/simprotocol/wire.go
@@ -32,17 +32,17 @@
 
 // Decoder reads frames and keeps the numbered lists of machines.
 type Decoder struct {
-	in   *bufio.Reader
-	line int
+	reader     *bufio.Reader
+	lineNumber int
 	// lists holds at most 16 numbered lists; a new one takes the place of its number's last.
-	lists [16][]scheduler.MachineEntry
-	known [16]bool
+	machineLists [16][]scheduler.MachineEntry
+	listDefined  [16]bool
 }
 
-func NewDecoder(r io.Reader) *Decoder { return &Decoder{in: bufio.NewReaderSize(r, 1<<16)} }
+func NewDecoder(r io.Reader) *Decoder { return &Decoder{reader: bufio.NewReaderSize(r, 1<<16)} }
 
-// tenths rounds down, so that no time read is later than the one sent.
-func tenths(ms float64) scheduler.Time { return scheduler.Time(math.Floor(ms*10 + 1e-6)) }
+// timeFromMillis rounds down, so that no time read is later than the one sent.
+func timeFromMillis(ms float64) scheduler.Time { return scheduler.Time(math.Floor(ms*10 + 1e-6)) }
 
 func parseNumber(v string) (float64, error) {
 	f, err := strconv.ParseFloat(v, 64)
@@ -52,37 +52,37 @@
 	return f, nil
 }
 
-// next returns the next line; io.EOF only where no byte of one is left.
-func (d *Decoder) next() (string, error) {
-	s, err := d.in.ReadString('\n')
+// readLine returns the next line; io.EOF only where no byte of one is left.
+func (d *Decoder) readLine() (string, error) {
+	s, err := d.reader.ReadString('\n')
 	if err == io.EOF && s != "" {
-		return "", fmt.Errorf("line %d: input ends inside a line", d.line+1)
+		return "", fmt.Errorf("line %d: input ends inside a line", d.lineNumber+1)
 	}
 	if err != nil {
 		return "", err
 	}
-	d.line++
+	d.lineNumber++
 	return strings.TrimSuffix(strings.TrimSuffix(s, "\n"), "\r"), nil
 }
 
 // Next reads a frame. It returns io.EOF at the end of input between frames.
 func (d *Decoder) Next() (*Frame, error) {
-	s, err := d.next()
+	s, err := d.readLine()
 	if err != nil {
 		return nil, err
 	}
-	f := d.fields(s)
-	if f.word() != "FRAME" {
-		return nil, d.faulty(s, errors.New("a FRAME line was expected"))
+	f := d.newFieldReader(s)
+	if f.text() != "FRAME" {
+		return nil, d.lineError(s, errors.New("a FRAME line was expected"))
 	}
-	frame := &Frame{Now: f.time(), Seq: f.word()}
-	if err := f.done(); err != nil {
-		return nil, d.faulty(s, err)
+	frame := &Frame{Now: f.time(), Seq: f.text()}
+	if err := f.finish(); err != nil {
+		return nil, d.lineError(s, err)
 	}
 	for {
-		s, err := d.next()
+		s, err := d.readLine()
 		if err == io.EOF {
-			return nil, fmt.Errorf("line %d: input ends inside a frame", d.line)
+			return nil, fmt.Errorf("line %d: input ends inside a frame", d.lineNumber)
 		}
 		if err != nil {
 			return nil, err
@@ -90,33 +90,33 @@
 		if s == "COMMIT" {
 			return frame, nil
 		}
-		if err := d.event(frame, s); err != nil {
-			return nil, d.faulty(s, err)
+		if err := d.decodeEvent(frame, s); err != nil {
+			return nil, d.lineError(s, err)
 		}
 	}
 }
 
-func (d *Decoder) faulty(s string, err error) error {
+func (d *Decoder) lineError(s string, err error) error {
 	if len(s) > 120 {
 		s = s[:120] + "..."
 	}
-	return fmt.Errorf("line %d: %w: %q", d.line, err, s)
+	return fmt.Errorf("line %d: %w: %q", d.lineNumber, err, s)
 }
 
-func (d *Decoder) event(frame *Frame, s string) error {
-	f := d.fields(s)
-	name := f.word()
+func (d *Decoder) decodeEvent(frame *Frame, s string) error {
+	f := d.newFieldReader(s)
+	name := f.text()
 	if name == "SHEET" {
-		return d.list(f)
+		return d.decodeMachineList(f)
 	}
-	out := Delivery{Line: d.line, Instance: f.whole()}
+	out := Delivery{Line: d.lineNumber, Instance: f.wholeNumber()}
 	switch name {
 	case "CONFIGURE":
-		seed, err := strconv.ParseUint(f.word(), 10, 64)
+		seed, err := strconv.ParseUint(f.text(), 10, 64)
 		if err != nil {
 			return errors.New("the seed is no whole number")
 		}
-		terms, err := ParseTerms(seed, f.rest())
+		terms, err := ParseSettings(seed, f.takeRemaining())
 		if err != nil {
 			return err
 		}
@@ -124,188 +124,190 @@
 	case "KILLED":
 		out.Stop = true
 	case "UPDATE":
-		e := scheduler.MachineListUpdate{Mode: oneOf(f, listModes), Version: int64(f.whole())}
-		ref := f.word()
+		e := scheduler.MachineListUpdate{Mode: enumValue(f, listModes), Version: int64(f.wholeNumber())}
+		ref := f.text()
 		if e.Mode != scheduler.UpdateFailed {
 			n, err := strconv.Atoi(ref)
-			if err != nil || n < 0 || n >= len(d.lists) || !d.known[n] {
+			if err != nil || n < 0 || n >= len(d.machineLists) || !d.listDefined[n] {
 				return fmt.Errorf("no list has the number %q", ref)
 			}
-			e.Entries = d.lists[n]
+			e.Entries = d.machineLists[n]
 		}
 		out.Event = e
 	case "PENDING":
-		a := scheduler.PlacementRequest{ID: scheduler.ContainerID(f.word())}
-		a.Tenant, a.ClientRetry = f.wholeOr0(), f.wholeOr0()&16 != 0
-		a.IdempotencyKey, a.WorkloadClass = f.word(), f.whole()
-		a.Memory, a.Cores, a.Deadline = f.numberOr0(), f.numberOr0(), f.time()
-		a.Service, a.ExpectedRuntime = f.word(), f.timeOr0()
+		a := scheduler.PlacementRequest{ID: scheduler.ContainerID(f.text())}
+		a.Tenant, a.ClientRetry = f.wholeNumberOrZero(), f.wholeNumberOrZero()&16 != 0
+		a.IdempotencyKey, a.WorkloadClass = f.text(), f.wholeNumber()
+		a.Memory, a.Cores, a.Deadline = f.numberOrZero(), f.numberOrZero(), f.time()
+		a.Service, a.ExpectedRuntime = f.text(), f.timeOrZero()
 		out.Event = scheduler.RequestReceived{PlacementRequest: a}
 	case "ALREADY_PLACED":
-		a := scheduler.PlacementRequest{ID: scheduler.ContainerID(f.word()), Service: f.word(), Deadline: f.timeOr0()}
-		a.WorkloadClass, a.Cores, a.IdempotencyKey, a.Tenant = f.whole(), f.numberOr0(), f.word(), f.wholeOr0()
-		a.Memory, a.ClientRetry, a.ExpectedRuntime = f.numberOr0(), f.wholeOr0()&16 != 0, f.timeOr0()
-		out.Event = scheduler.ContainerAdopted{PlacementRequest: a, Machine: scheduler.MachineID(f.word())}
+		a := scheduler.PlacementRequest{ID: scheduler.ContainerID(f.text()), Service: f.text(), Deadline: f.timeOrZero()}
+		a.WorkloadClass, a.Cores, a.IdempotencyKey, a.Tenant = f.wholeNumber(), f.numberOrZero(), f.text(), f.wholeNumberOrZero()
+		a.Memory, a.ClientRetry, a.ExpectedRuntime = f.numberOrZero(), f.wholeNumberOrZero()&16 != 0, f.timeOrZero()
+		out.Event = scheduler.ContainerAdopted{PlacementRequest: a, Machine: scheduler.MachineID(f.text())}
 	case "CONFIRMED":
-		out.Event = scheduler.AttemptAccepted{ID: scheduler.ContainerID(f.word()), Attempt: f.whole(),
-			Machine: scheduler.MachineID(f.word()), Elapsed: f.timeOr0()}
+		out.Event = scheduler.AttemptAccepted{ID: scheduler.ContainerID(f.text()), Attempt: f.wholeNumber(),
+			Machine: scheduler.MachineID(f.text()), Elapsed: f.timeOrZero()}
 	case "INTERIM":
-		out.Event = scheduler.UsageReported{ID: scheduler.ContainerID(f.word()), Machine: scheduler.MachineID(f.word()),
-			Attempt: f.whole(), Metric: scheduler.UsageMetric(f.whole()), Value: f.number()}
+		out.Event = scheduler.UsageReported{ID: scheduler.ContainerID(f.text()), Machine: scheduler.MachineID(f.text()),
+			Attempt: f.wholeNumber(), Metric: scheduler.UsageMetric(f.wholeNumber()), Value: f.number()}
 	case "DONE":
-		e := scheduler.AttemptEnded{ID: scheduler.ContainerID(f.word()), Final: f.flag(), Attempt: f.whole(),
-			Outcome: oneOf(f, outcomes), Machine: scheduler.MachineID(f.word())}
-		e.Reason, e.Elapsed, e.Report = scheduler.Reason(f.wholeOr0()), f.timeOr0(), f.report()
+		e := scheduler.AttemptEnded{ID: scheduler.ContainerID(f.text()), Final: f.boolean(), Attempt: f.wholeNumber(),
+			Outcome: enumValue(f, outcomes), Machine: scheduler.MachineID(f.text())}
+		e.Reason, e.Elapsed, e.Report = scheduler.Reason(f.wholeNumberOrZero()), f.timeOrZero(), f.report()
 		out.Event = e
 	case "HEALTH_RESULT":
-		out.Event = scheduler.ProbeCompleted{Machine: scheduler.MachineID(f.word()), Outcome: oneOf(f, outcomes),
-			Elapsed: f.timeOr0(), Report: f.report()}
+		out.Event = scheduler.ProbeCompleted{Machine: scheduler.MachineID(f.text()), Outcome: enumValue(f, outcomes),
+			Elapsed: f.timeOrZero(), Report: f.report()}
 	case "TICK_DUE":
-		out.Event = scheduler.TimerFired{Name: f.word()}
+		out.Event = scheduler.TimerFired{Name: f.text()}
 	case "NOTE_FROM": // no placer sends any, and none is heeded
 		return nil
 	case "VANISHED":
-		out.Event = scheduler.ContainerRemoved{ID: scheduler.ContainerID(f.word())}
+		out.Event = scheduler.ContainerRemoved{ID: scheduler.ContainerID(f.text())}
 	default:
 		return errors.New("unknown message")
 	}
 	frame.Deliveries = append(frame.Deliveries, out)
-	return f.done()
+	return f.finish()
 }
 
-func (d *Decoder) list(f *fields) error {
-	ref, n := f.whole(), f.whole()
-	if err := f.done(); err != nil {
+func (d *Decoder) decodeMachineList(f *fieldReader) error {
+	ref, n := f.wholeNumber(), f.wholeNumber()
+	if err := f.finish(); err != nil {
 		return err
 	}
-	if ref < 0 || ref >= len(d.lists) || n < 0 {
+	if ref < 0 || ref >= len(d.machineLists) || n < 0 {
 		return errors.New("list number or count out of range")
 	}
 	var entries []scheduler.MachineEntry
 	for i := 0; i < n; i++ {
-		s, err := d.next()
+		s, err := d.readLine()
 		if err == io.EOF {
 			return errors.New("input ends inside a list")
 		}
 		if err != nil {
 			return err
 		}
-		f := d.fields(s)
-		if f.word() != "ITEM" {
+		f := d.newFieldReader(s)
+		if f.text() != "ITEM" {
 			return fmt.Errorf("list of %d entries breaks off after %d", n, i)
 		}
-		e := scheduler.MachineEntry{Machine: scheduler.MachineID(f.word()), Zone: f.whole(), MachineType: f.whole(),
-			RackGroup: f.whole(), State: oneOf(f, states), FreeCores: f.numberOr0(), PowerHint: f.numberOr0(),
-			FreeMemory: f.numberOr0(), StartedAt: f.timeOr0()}
-		if err := f.done(); err != nil {
+		e := scheduler.MachineEntry{Machine: scheduler.MachineID(f.text()), Zone: f.wholeNumber(), MachineType: f.wholeNumber(),
+			RackGroup: f.wholeNumber(), State: enumValue(f, machineStates), FreeCores: f.numberOrZero(), PowerHint: f.numberOrZero(),
+			FreeMemory: f.numberOrZero(), StartedAt: f.timeOrZero()}
+		if err := f.finish(); err != nil {
 			return err
 		}
 		entries = append(entries, e)
 	}
-	d.lists[ref], d.known[ref] = entries, true
+	d.machineLists[ref], d.listDefined[ref] = entries, true
 	return nil
 }
 
 var listModes = map[string]scheduler.UpdateMode{"Partial": scheduler.DeltaUpdate, "Complete": scheduler.FullSnapshot,
 	"Persisted": scheduler.RestoredSnapshot, "Error": scheduler.UpdateFailed}
 
-var states = map[string]scheduler.MachineState{"SERVING": scheduler.MachineServing, "DRAINING": scheduler.MachineDraining,
+var machineStates = map[string]scheduler.MachineState{"SERVING": scheduler.MachineServing, "DRAINING": scheduler.MachineDraining,
 	"DELETED": scheduler.MachineGone}
 
 var outcomes = map[string]scheduler.Outcome{"GOOD": scheduler.OutcomeFinished, "BAD": scheduler.OutcomeErrored, "FULL": scheduler.OutcomeFull,
 	"LATE": scheduler.OutcomeTimedOut, "NOCONN": scheduler.OutcomeConnectFailed, "RST": scheduler.OutcomeLost, "CXL": scheduler.OutcomeStopped,
 	"NOP": scheduler.OutcomeNotSent}
 
-// fields takes a line apart and keeps the first fault met.
-type fields struct {
-	words []string
-	fault error
+// fieldReader takes a line apart and keeps the first fault met.
+type fieldReader struct {
+	remaining []string
+	err       error
 }
 
-func (d *Decoder) fields(s string) *fields { return &fields{words: strings.Split(s, " ")} }
+func (d *Decoder) newFieldReader(s string) *fieldReader {
+	return &fieldReader{remaining: strings.Split(s, " ")}
+}
 
-func (f *fields) fail(format string, a ...any) {
-	if f.fault == nil {
-		f.fault = fmt.Errorf(format, a...)
+func (f *fieldReader) failf(format string, a ...any) {
+	if f.err == nil {
+		f.err = fmt.Errorf(format, a...)
 	}
 }
 
-func (f *fields) word() string {
-	if len(f.words) == 0 {
-		f.fail("a field is missing")
+func (f *fieldReader) text() string {
+	if len(f.remaining) == 0 {
+		f.failf("a field is missing")
 		return ""
 	}
-	w := f.words[0]
-	if f.words = f.words[1:]; w == "" {
-		f.fail("a field is empty")
+	w := f.remaining[0]
+	if f.remaining = f.remaining[1:]; w == "" {
+		f.failf("a field is empty")
 	}
 	return w
 }
 
-func (f *fields) rest() []string {
-	w := f.words
-	f.words = nil
+func (f *fieldReader) takeRemaining() []string {
+	w := f.remaining
+	f.remaining = nil
 	return w
 }
 
-func (f *fields) done() error {
-	if len(f.words) > 0 {
-		f.fail("%d fields too many", len(f.words))
+func (f *fieldReader) finish() error {
+	if len(f.remaining) > 0 {
+		f.failf("%d fields too many", len(f.remaining))
 	}
-	return f.fault
+	return f.err
 }
 
-func (f *fields) parse(w string) float64 {
+func (f *fieldReader) parseNumber(w string) float64 {
 	v, err := parseNumber(w)
-	if err != nil && f.fault == nil {
-		f.fault = err
+	if err != nil && f.err == nil {
+		f.err = err
 	}
 	return v
 }
 
-func (f *fields) number() float64 { return f.parse(f.word()) }
+func (f *fieldReader) number() float64 { return f.parseNumber(f.text()) }
 
-func (f *fields) numberOr0() float64 {
-	if w := f.word(); w != "-" {
-		return f.parse(w)
+func (f *fieldReader) numberOrZero() float64 {
+	if w := f.text(); w != "-" {
+		return f.parseNumber(w)
 	}
 	return 0
 }
 
-func (f *fields) time() scheduler.Time    { return tenths(f.number()) }
-func (f *fields) timeOr0() scheduler.Time { return tenths(f.numberOr0()) }
+func (f *fieldReader) time() scheduler.Time       { return timeFromMillis(f.number()) }
+func (f *fieldReader) timeOrZero() scheduler.Time { return timeFromMillis(f.numberOrZero()) }
 
-func (f *fields) parseWhole(w string) int {
+func (f *fieldReader) parseWholeNumber(w string) int {
 	n, err := strconv.Atoi(w)
 	if err != nil || n < 0 {
-		f.fail("%q is no whole number from 0", w)
+		f.failf("%q is no whole number from 0", w)
 		n = 0
 	}
 	return n
 }
 
-func (f *fields) whole() int { return f.parseWhole(f.word()) }
+func (f *fieldReader) wholeNumber() int { return f.parseWholeNumber(f.text()) }
 
-func (f *fields) wholeOr0() int {
-	if w := f.word(); w != "-" {
-		return f.parseWhole(w)
+func (f *fieldReader) wholeNumberOrZero() int {
+	if w := f.text(); w != "-" {
+		return f.parseWholeNumber(w)
 	}
 	return 0
 }
 
-func (f *fields) flag() bool {
-	switch w := f.word(); w {
+func (f *fieldReader) boolean() bool {
+	switch w := f.text(); w {
 	case "1":
 		return true
 	case "0":
 	default:
-		f.fail("%q is neither 1 nor 0", w)
+		f.failf("%q is neither 1 nor 0", w)
 	}
 	return false
 }
 
-func (f *fields) report() scheduler.LoadReport {
-	w := f.word()
+func (f *fieldReader) report() scheduler.LoadReport {
+	w := f.text()
 	if w == "-" || w == "" {
 		return nil
 	}
@@ -313,34 +315,34 @@
 	for _, p := range strings.Split(w, ",") {
 		k, v, ok := strings.Cut(p, ":")
 		if !ok {
-			f.fail("report %q has no value", p)
+			f.failf("report %q has no value", p)
 			return nil
 		}
 		if v != "-" {
-			r[k] = f.parse(v)
+			r[k] = f.parseNumber(v)
 		}
 	}
 	return r
 }
 
-func oneOf[T any](f *fields, words map[string]T) T {
-	w := f.word()
+func enumValue[T any](f *fieldReader, words map[string]T) T {
+	w := f.text()
 	v, ok := words[w]
 	if !ok {
-		f.fail("%q is not known here", w)
+		f.failf("%q is not known here", w)
 	}
 	return v
 }
 
-func ms(t scheduler.Time) string { return strconv.FormatFloat(float64(t)/10, 'f', 1, 64) }
+func formatMillis(t scheduler.Time) string { return strconv.FormatFloat(float64(t)/10, 'f', 1, 64) }
 
-// Append writes one action of an instance as a line.
-func Append(b *bytes.Buffer, instance int, a scheduler.Action) {
+// AppendAction writes one action of an instance as a line.
+func AppendAction(b *bytes.Buffer, instance int, a scheduler.Action) {
 	switch a := a.(type) {
 	case scheduler.StartAttempt:
-		fmt.Fprintf(b, "BIND %d %s %s %s\n", instance, a.ID, a.Machine, ms(a.Timeout))
+		fmt.Fprintf(b, "BIND %d %s %s %s\n", instance, a.ID, a.Machine, formatMillis(a.Timeout))
 	case scheduler.Reject:
-		fmt.Fprintf(b, "BUSY %d %s %s\n", instance, a.ID, ms(a.RetryAfter))
+		fmt.Fprintf(b, "BUSY %d %s %s\n", instance, a.ID, formatMillis(a.RetryAfter))
 	case scheduler.Fail:
 		fmt.Fprintf(b, "FAIL %d %s\n", instance, a.ID)
 	case scheduler.CancelAttempt:
@@ -350,7 +352,7 @@
 	case scheduler.Disconnect:
 		fmt.Fprintf(b, "CLOSE %d %s\n", instance, a.Machine)
 	case scheduler.SetTimer:
-		fmt.Fprintf(b, "AFTER %d %s %s\n", instance, ms(a.After), a.Name)
+		fmt.Fprintf(b, "AFTER %d %s %s\n", instance, formatMillis(a.After), a.Name)
 	case scheduler.WatchMachineList:
 		on := 0
 		if a.Enabled {
@@ -360,13 +362,13 @@
 	case scheduler.FetchMachineList:
 		fmt.Fprintf(b, "FETCH %d\n", instance)
 	case scheduler.Log:
-		fmt.Fprintf(b, "DEBUG %d %s\n", instance, plain(a.Message))
+		fmt.Fprintf(b, "DEBUG %d %s\n", instance, singleLine(a.Message))
 	}
 }
 
 // AppendFault writes the line by which an instance says that its decisions failed.
 func AppendFault(b *bytes.Buffer, instance int, what string) {
-	fmt.Fprintf(b, "FAULT %d %s\n", instance, plain(what))
+	fmt.Fprintf(b, "FAULT %d %s\n", instance, singleLine(what))
 }
 
-func plain(s string) string { return strings.Join(strings.Fields(s), " ") }
+func singleLine(s string) string { return strings.Join(strings.Fields(s), " ") }
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -10,7 +10,7 @@
 	"glenport/scheduler"
 )
 
-const start = "CONFIGURE 3 51 me=1 balancers=3 family_info.admit_cores=2.0 family_info.mem_booking=1.5" +
+const configureLine = "CONFIGURE 3 51 me=1 balancers=3 family_info.admit_cores=2.0 family_info.mem_booking=1.5" +
 	" family_info.unit_cores=0.96 family_info.unit_memory=1.73 family_info.yes_at=running" +
 	" family_info.use_notes=false family_info.view=true permissions.probes=true permissions.cancel=true" +
 	" permissions.max_attempts=4 registry_mode=on_request rules.ask_every_ms=10000.0 rules.cold_ms=17000.0" +
@@ -21,9 +21,9 @@
 	" classes.0.credit=1.0 classes.1.effect=keyed classes.1.aim_ms=700.0 classes.1.deadline_ms=6000.0" +
 	" classes.1.credit=2.0 classes.1.group=zone classes.1.window_ms=8000.0 a.new.key=what_is_this"
 
-const list = "SHEET 0 1\nITEM m:1 0 1 2 SERVING 3.5 1 12 6100.05\n"
+const machineListLines = "SHEET 0 1\nITEM m:1 0 1 2 SERVING 3.5 1 12 6100.05\n"
 
-func read(lines string) ([]Delivery, error) {
+func readDeliveries(lines string) ([]Delivery, error) {
 	d := NewDecoder(strings.NewReader(lines))
 	f, err := d.Next()
 	if err != nil {
@@ -44,9 +44,9 @@
 		line string
 		want scheduler.Event
 	}{
-		{list + "UPDATE 3 Persisted 41 0",
+		{machineListLines + "UPDATE 3 Persisted 41 0",
 			scheduler.MachineListUpdate{Mode: scheduler.RestoredSnapshot, Version: 41, Entries: []scheduler.MachineEntry{entry}}},
-		{list + "SHEET 0 0\nUPDATE 3 Complete 42 0", scheduler.MachineListUpdate{Mode: scheduler.FullSnapshot, Version: 42}},
+		{machineListLines + "SHEET 0 0\nUPDATE 3 Complete 42 0", scheduler.MachineListUpdate{Mode: scheduler.FullSnapshot, Version: 42}},
 		{"UPDATE 3 Error 0 -", scheduler.MachineListUpdate{Mode: scheduler.UpdateFailed}},
 		{"PENDING 3 r-1 2 17 t:k 1 1.5 2 8652.25 c:s 12.0", scheduler.RequestReceived{PlacementRequest: ask}},
 		{"ALREADY_PLACED 3 r-1 c:s 8652.25 1 2 t:k 2 1.5 16 12.0 m:1",
@@ -64,7 +64,7 @@
 		{"VANISHED 3 r-1", scheduler.ContainerRemoved{ID: "r-1"}},
 	} {
 		t.Run(tc.line, func(t *testing.T) {
-			got, err := read("FRAME 8412.25 1\n" + tc.line + "\nCOMMIT\n")
+			got, err := readDeliveries("FRAME 8412.25 1\n" + tc.line + "\nCOMMIT\n")
 			if err != nil || len(got) != 1 {
 				t.Fatalf("%v, %d events", err, len(got))
 			}
@@ -76,7 +76,7 @@
 }
 
 func TestStart(t *testing.T) {
-	got, err := read("FRAME 1 1\n" + start + "\nCOMMIT\n")
+	got, err := readDeliveries("FRAME 1 1\n" + configureLine + "\nCOMMIT\n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,14 +103,14 @@
 		{"cut line", "FRAME 1 1\nVANI", "line 2: input ends inside a line"},
 		{"cut frame", "FRAME 1 1\nVANISHED 3 r-1\n", "input ends inside a frame"},
 		{"setting missing", frame("CONFIGURE 3 51 me=0 balancers=3"), "is missing"},
-		{"setting odd", frame(strings.Replace(start, "safe", "sure", 1)), "is none of safe"},
-		{"setting without size", frame(strings.Replace(start, "unit_cores=0.96", "unit_cores=0", 1)), "is not above 0"},
-		{"placers below none", frame(strings.Replace(start, "balancers=3", "balancers=-3", 1)), "is no count"},
+		{"setting odd", frame(strings.Replace(configureLine, "safe", "sure", 1)), "is none of safe"},
+		{"setting without size", frame(strings.Replace(configureLine, "unit_cores=0.96", "unit_cores=0", 1)), "is not above 0"},
+		{"placers below none", frame(strings.Replace(configureLine, "balancers=3", "balancers=-3", 1)), "is no count"},
 		{"customer below none", frame("PENDING 3 r-1 -1 0 t:k 0 1 1 10 c:s -"), "no whole number from 0"},
-		{"setting short", frame(strings.Replace(start, "59.0,71.0", "59.0", 1)), "has 1 values, not 2"},
+		{"setting short", frame(strings.Replace(configureLine, "59.0,71.0", "59.0", 1)), "has 1 values, not 2"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if _, err := read(tc.lines); err == nil || !strings.Contains(err.Error(), tc.want) {
+			if _, err := readDeliveries(tc.lines); err == nil || !strings.Contains(err.Error(), tc.want) {
 				t.Errorf("got %v, want %s", err, tc.want)
 			}
 		})
@@ -135,7 +135,7 @@
 	} {
 		t.Run(tc.want, func(t *testing.T) {
 			var b bytes.Buffer
-			if Append(&b, 3, tc.action); b.String() != tc.want+"\n" {
+			if AppendAction(&b, 3, tc.action); b.String() != tc.want+"\n" {
 				t.Errorf("got %q", b.String())
 			}
 		})
@@ -144,7 +144,7 @@
 
 // Whatever comes in, the decoder ends with frames or a plain error.
 func FuzzDecoder(f *testing.F) {
-	f.Add("FRAME 1 1\n" + start + "\n" + list + "UPDATE 3 Persisted 41 0\nCOMMIT\n")
+	f.Add("FRAME 1 1\n" + configureLine + "\n" + machineListLines + "UPDATE 3 Persisted 41 0\nCOMMIT\n")
 	f.Add("FRAME 1 1\nDONE 3 r-1 1 0 GOOD m:1 - 18.5 x0:1.5\nVANISHED 3 r-1\nCOMMIT\n")
 	f.Fuzz(func(t *testing.T, s string) {
 		d := NewDecoder(strings.NewReader(s))
