--- a/internal/controller/keeper.go
+++ b/internal/controller/keeper.go
@@ -434,14 +434,14 @@
 
 // resume does what recovery decides on one container.
 func (k *Keeper) resume(s *slot, n int) {
-	phase := map[State]recovery.Phase{Asking: recovery.Sent, Running: recovery.Ran, Unwatched: recovery.Ran,
-		Guarded: recovery.Kept, Done: recovery.Over}[s.State]
+	phase := map[State]recovery.ContainerPhase{Asking: recovery.PhaseRequested, Running: recovery.PhaseRunning, Unwatched: recovery.PhaseRunning,
+		Guarded: recovery.PhaseFencing, Done: recovery.PhaseFinished}[s.State]
 	if s.State == Waiting && s.Pinned {
-		phase = recovery.Sent
+		phase = recovery.PhaseRequested
 	}
 	step, after := recovery.Resume(phase, n)
 	switch {
-	case step == recovery.Look && s.Door < 0: // its placer is none of the doors any more
+	case step == recovery.StepLookup && s.Door < 0: // its placer is none of the doors any more
 		if k.effect(s) == scheduler.Idempotent {
 			k.freshKey(s)
 			k.wait(s, after, "its placer is no longer among the doors")
@@ -449,12 +449,12 @@
 		}
 		s.Pinned = true
 		k.wait(s, after, "its placer is no longer among the doors, and it may run")
-	case step == recovery.Look:
+	case step == recovery.StepLookup:
 		s.pace = after
 		k.turn(s, Unwatched, orphanAfter+after, "the keeper came up: its placer is asked")
-	case step == recovery.Guard:
+	case step == recovery.StepFence:
 		k.guard(s, s.Last)
-	case step == recovery.Ask:
+	case step == recovery.StepRequest:
 		k.wait(s, scheduler.Time(k.chance()*float64(soon))+after, s.Last)
 	default:
 		k.turn(s, s.State, -1, s.Last)
@@ -521,7 +521,7 @@
 	}
 }
 
-// callOff ends one that may run, by the placer that knows, and waits for its word; while its door is lost it stays, or a
+// cancelAttempt ends one that may run, by the placer that knows, and waits for its word; while its door is lost it stays, or a
 // later one in its place could be a second copy.
 func (k *Keeper) callOff(s *slot) {
 	if s.Door < 0 || !k.open[s.Door] {
--- a/internal/controller/server/jobs.go
+++ b/internal/controller/server/jobs.go
@@ -501,7 +501,7 @@
 		case controller.Wake:
 			h.loop.After(eventloop.Tick(a.After), func() { h.events = append(h.events, controller.Woke{}) })
 		case controller.Submit:
-			_, sync := recovery.Writes(h.effect(a.Spec.Workload))
+			_, sync := recovery.MustPersist(h.effect(a.Spec.Workload))
 			durable = durable || sync
 			todo = append(todo, a)
 		default:
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -394,7 +394,7 @@
 	}
 }
 
-// callOff tells the machine that a bid is waited for no longer.
+// cancelAttempt tells the machine that a bid is waited for no longer.
 func (p *Platform) callOff(b *bid) {
 	if b.sent && b.link != nil {
 		b.link.write(&jsonlines.Message{Op: jsonlines.OpEnd, RequestID: string(b.c.ask.ID), Cause: jsonlines.CausePtr(jsonlines.CauseNormal)})
--- a/internal/schedulerd/door.go
+++ b/internal/schedulerd/door.go
@@ -17,7 +17,7 @@
 // owner is a caller at the door: an owner of containers, or another placer with a message.
 type owner struct {
 	h       *Host
-	caller  reconcile.Caller
+	caller  reconcile.ClientID
 	conn    *eventloop.Conn
 	reader  protocol.Reader
 	name    string
@@ -58,7 +58,7 @@
 	o.dropped = true
 	delete(o.h.owners, o.caller)
 	if o.role == protocol.RoleClient {
-		o.h.tell(reconcile.Left{Caller: o.caller})
+		o.h.tell(reconcile.ClientDisconnected{Client: o.caller})
 	}
 }
 
@@ -108,7 +108,7 @@
 		o.name, o.role = f.Name, f.Role
 		switch f.Role {
 		case protocol.RoleClient:
-			h.tell(reconcile.Called{Caller: o.caller})
+			h.tell(reconcile.ClientConnected{Client: o.caller})
 		case protocol.RoleScheduler:
 		default:
 			return fmt.Errorf("a %s has no business at this door", f.Role)
@@ -116,9 +116,9 @@
 	case *protocol.Submit:
 		h.submitted(o, f)
 	case *protocol.CancelContainer:
-		h.tell(reconcile.Cancelled{Caller: o.caller, ID: scheduler.ContainerID(f.ContainerID), Key: f.IdempotencyKey})
+		h.tell(reconcile.CancelRequested{Client: o.caller, ID: scheduler.ContainerID(f.ContainerID), IdempotencyKey: f.IdempotencyKey})
 	case *protocol.Lookup:
-		h.tell(reconcile.Looked{Caller: o.caller, ID: scheduler.ContainerID(f.ContainerID), Key: f.IdempotencyKey})
+		h.tell(reconcile.LookupRequested{Client: o.caller, ID: scheduler.ContainerID(f.ContainerID), IdempotencyKey: f.IdempotencyKey})
 	case *protocol.ExplainRequest:
 		o.write(h.explain(f))
 	case *protocol.RoutesRequest:
@@ -141,7 +141,7 @@
 		ExpectedRuntime: scheduler.Time(w.ExpectedRuntime), ClientRetry: w.ClientRetry}
 	h.meter.submitted++
 	h.asking[ask.ID] = h.loop.Elapsed()
-	h.tell(reconcile.Asked{Caller: o.caller, Ask: ask})
+	h.tell(reconcile.PlacementRequested{Client: o.caller, Request: ask})
 }
 
 // explain answers why work like this may wait, where the decisions can tell.
@@ -190,30 +190,30 @@
 }
 
 // send reaches an owner by its number.
-func (h *Host) send(to reconcile.Caller, f protocol.Frame) {
+func (h *Host) send(to reconcile.ClientID, f protocol.Frame) {
 	if o := h.owners[to]; o != nil {
 		o.write(f)
 	}
 }
 
-func (h *Host) turnAway(a reconcile.Refuse) {
+func (h *Host) turnAway(a reconcile.Reject) {
 	h.meter.answered(protocol.VerdictNotAdmitted)
-	h.send(a.Caller, &protocol.PlacementReply{ContainerID: string(a.ID), Verdict: protocol.VerdictNotAdmitted, RetryAfter: protocol.Duration(a.HoldOff), Message: a.Why})
+	h.send(a.Client, &protocol.PlacementReply{ContainerID: string(a.ID), Verdict: protocol.VerdictNotAdmitted, RetryAfter: protocol.Duration(a.RetryAfter), Message: a.Reason})
 }
 
 // cease ends a container that its owner no longer wants. Whoever asks for its end hears it.
-func (h *Host) cease(a reconcile.Cease) {
-	id, o := a.ID, h.owners[a.Caller]
+func (h *Host) cease(a reconcile.TerminateContainer) {
+	id, o := a.ID, h.owners[a.Client]
 	c := h.open[id]
 	if c == nil || o == nil {
 		return
 	}
 	if c.owner != nil && c.owner != o && !c.owner.dropped {
-		o.write(&protocol.PlacementReply{ContainerID: string(a.As), Verdict: protocol.VerdictNotAdmitted, Message: "it is another owner's"})
+		o.write(&protocol.PlacementReply{ContainerID: string(a.RequestedID), Verdict: protocol.VerdictNotAdmitted, Message: "it is another owner's"})
 		return
 	}
 	if b := c.bid; b != nil && b.placed {
-		c.owner, c.heardAs = o, string(a.As)
+		c.owner, c.heardAs = o, string(a.RequestedID)
 		h.callOff(b) // its end is told when the machine says so
 		return
 	}
@@ -221,11 +221,11 @@
 	if !c.answered {
 		c.answered = true
 		h.meter.answered(protocol.VerdictFailed)
-		if c.owner != nil && c.heardAs != string(a.As) {
+		if c.owner != nil && c.heardAs != string(a.RequestedID) {
 			c.owner.write(&protocol.PlacementReply{ContainerID: c.heardAs, Verdict: protocol.VerdictFailed, Message: "cancelled"})
 		}
-		o.write(&protocol.PlacementReply{ContainerID: string(a.As), Verdict: protocol.VerdictFailed, Message: "cancelled"})
-		h.tell(reconcile.Answered{ID: id})
+		o.write(&protocol.PlacementReply{ContainerID: string(a.RequestedID), Verdict: protocol.VerdictFailed, Message: "cancelled"})
+		h.tell(reconcile.RequestFailed{ID: id})
 	}
 	if b := c.bid; b != nil {
 		h.callOff(b)
--- a/internal/schedulerd/export.go
+++ b/internal/schedulerd/export.go
@@ -12,14 +12,14 @@
 // other programs, so that its names are fixed here, apart from those of the code.
 type (
 	exportedSnapshot struct {
-		At        warmstart.Stamp                `json:"At"`
+		At        warmstart.Timestamp            `json:"At"`
 		Names     []string                       `json:"Names"`
 		Learned   exportedLearned                `json:"Learned"`
 		Starts    map[scheduler.MachineID]uint64 `json:"Starts"`
 		ListIs    int64                          `json:"ListIs"`
 		Entries   []entryRecord                  `json:"Entries"`
 		AtAnOrder bool                           `json:"AtAnOrder"`
-		Door      *overload.Known                `json:"Door"`
+		Door      *overload.Snapshot             `json:"Door"`
 	}
 
 	exportedLearned struct {
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -50,19 +50,19 @@
 }
 
 // Attempts by number. Number 3 is deleted again by the log.
-var goldenAttempts = []reconcile.Held{
-	{Ask: goldenRequest(1, "one"), Machine: "machine-one", Life: 101, Bid: 0x11, Running: true},
-	{Ask: goldenRequest(2, "two"), Machine: "machine-two", Life: 102, Bid: 0x22, Running: true},
-	{Ask: goldenRequest(3, "three"), Machine: "machine-three", Life: 103, Bid: 0x33, Running: true},
-	{Ask: goldenRequest(4, "four"), Machine: "machine-four", Life: 104, Bid: 0x1122334455667788, Running: true},
+var goldenAttempts = []reconcile.Attempt{
+	{Request: goldenRequest(1, "one"), Machine: "machine-one", Incarnation: 101, Number: 0x11, Running: true},
+	{Request: goldenRequest(2, "two"), Machine: "machine-two", Incarnation: 102, Number: 0x22, Running: true},
+	{Request: goldenRequest(3, "three"), Machine: "machine-three", Incarnation: 103, Number: 0x33, Running: true},
+	{Request: goldenRequest(4, "four"), Machine: "machine-four", Incarnation: 104, Number: 0x1122334455667788, Running: true},
 }
 
-var goldenSends = []warmstart.Sent{
-	{Machine: "machine-five", Start: 205, Times: []scheduler.Time{3001, 3002, 3003}},
-	{Machine: "machine-six", Start: 206, Times: []scheduler.Time{3004}},
+var goldenSends = []warmstart.SlowStartSends{
+	{Machine: "machine-five", Incarnation: 205, Times: []scheduler.Time{3001, 3002, 3003}},
+	{Machine: "machine-six", Incarnation: 206, Times: []scheduler.Time{3004}},
 }
 
-var goldenIncarnation = warmstart.Life{Whole: warmstart.Stamp{Clock: 17_000_000_000_001, Up: 17_000_002, Boot: "boot-of-the-record"}, Log: recovery.Synced}
+var goldenIncarnation = warmstart.LogHistory{SendsRecordedSince: warmstart.Timestamp{Clock: 17_000_000_000_001, Uptime: 17_000_002, BootID: "boot-of-the-record"}, Coverage: recovery.LogSynced}
 
 var goldenEntries = []protocol.MachineEntry{
 	{Machine: "machine-seven", Address: "127.0.0.7:7007", Zone: 31, MachineType: 32, RackGroup: 33, State: protocol.MachineDraining, FreeCores: 34.5, FreeMemory: 35.5,
@@ -74,7 +74,7 @@
 // There is one entry in the map: the order in which several are encoded is random.
 func goldenSnapshot() *Knowledge {
 	return &Knowledge{
-		At:    warmstart.Stamp{Clock: 17_000_000_000_101, Up: 17_000_102, Boot: "boot-of-the-file"},
+		At:    warmstart.Timestamp{Clock: 17_000_000_000_101, Uptime: 17_000_102, BootID: "boot-of-the-file"},
 		Names: []string{"class-a", "class-b", "tenant-a"},
 		Learned: scheduler.Snapshot{
 			Machines: []scheduler.MachineSnapshot{{Machine: "machine-seven", StartedAt: 4001, OutlierLogOdds: 5.25, EjectedUntil: 4002, EjectionTime: 4003, SelfDrainingUntil: 4004,
@@ -86,7 +86,7 @@
 		ListIs:    301,
 		Entries:   []entryRecord{recordOfEntry(goldenEntries[0]), recordOfEntry(goldenEntries[1])},
 		AtAnOrder: true,
-		Door:      &overload.Known{Limit: 91.5, Pace: 92.5, Slow: []float64{0.71, 0.72}, Calm: []float64{0.81, 0.82}},
+		Door:      &overload.Snapshot{Limit: 91.5, Throughput: 92.5, Latency: []float64{0.71, 0.72}, BaselineLatency: []float64{0.81, 0.82}},
 	}
 }
 
@@ -116,11 +116,11 @@
 		s.life = goldenIncarnation
 		s.changes = append(s.changes, s.lifeChange())
 		for _, h := range goldenAttempts[:3] {
-			b := &bid{number: h.Bid, life: h.Life, c: &container{ask: h.Ask}, at: &machine{id: h.Machine}}
+			b := &bid{number: h.Number, life: h.Incarnation, c: &container{ask: h.Request}, at: &machine{id: h.Machine}}
 			s.put(BidKind, bidKey(b.number), b.held())
 		}
 		for _, sent := range goldenSends {
-			s.put(SentKind, string(sent.Machine), warmstart.Sent{Machine: sent.Machine, Start: 1, Times: []scheduler.Time{1}})
+			s.put(SentKind, string(sent.Machine), warmstart.SlowStartSends{Machine: sent.Machine, Incarnation: 1, Times: []scheduler.Time{1}})
 		}
 	})
 	d, err := vfs.OpenLocked(path)
@@ -134,8 +134,8 @@
 		t.Fatal(err)
 	}
 	commit(func(s *state) {
-		s.drop(BidKind, bidKey(goldenAttempts[2].Bid))
-		s.put(BidKind, bidKey(goldenAttempts[3].Bid), goldenAttempts[3])
+		s.drop(BidKind, bidKey(goldenAttempts[2].Number))
+		s.put(BidKind, bidKey(goldenAttempts[3].Number), goldenAttempts[3])
 		for _, sent := range goldenSends {
 			s.put(SentKind, string(sent.Machine), sent)
 		}
@@ -233,7 +233,7 @@
 		}
 	}()
 	read := h.state
-	attempts := []reconcile.Held{goldenAttempts[0], goldenAttempts[1], goldenAttempts[3]}
+	attempts := []reconcile.Attempt{goldenAttempts[0], goldenAttempts[1], goldenAttempts[3]}
 	for _, record := range []struct {
 		name      string
 		got, want any
@@ -264,7 +264,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Knowledge{At: warmstart.Stamp{Clock: 17_000_000_000_201}, ListIs: 302, Entries: goldenSnapshot().Entries}
+	want := &Knowledge{At: warmstart.Timestamp{Clock: 17_000_000_000_201}, ListIs: 302, Entries: goldenSnapshot().Entries}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, want %+v", got, want)
 	}
--- a/internal/schedulerd/host.go
+++ b/internal/schedulerd/host.go
@@ -39,7 +39,7 @@
 	loop    *eventloop.Loop
 	door    *eventloop.Listener
 	decider Decider
-	custody *reconcile.Table
+	custody *reconcile.Reconciler
 	meter   meter
 
 	events []scheduler.Event // to be handled next
@@ -49,7 +49,7 @@
 	machines  map[scheduler.MachineID]*machine        // until gone from the list and empty
 	asking    map[scheduler.ContainerID]time.Duration // when submissions of this turn came
 	scratch   []byte
-	owners    map[reconcile.Caller]*owner // until their link ends
+	owners    map[reconcile.ClientID]*owner // until their link ends
 	list      listLink
 	routes    *speaker.Speaker // nil where no address is announced
 	state     *state           // nil where nothing is kept
@@ -58,7 +58,7 @@
 	unsent    int              // bids that wait for a link or the log
 	linked    []*machine       // that said in this turn what they hold
 	lastBid   uint64
-	lastOwner reconcile.Caller
+	lastOwner reconcile.ClientID
 	lastSeq   uint64
 }
 
@@ -97,15 +97,15 @@
 func New(s *config.Placer, d Decider, log *slog.Logger) (*Host, error) {
 	h := &Host{site: s, life: uint64(time.Now().UnixMicro()), log: log, decider: d,
 		open: map[scheduler.ContainerID]*container{}, machines: map[scheduler.MachineID]*machine{},
-		asking: map[scheduler.ContainerID]time.Duration{}, owners: map[reconcile.Caller]*owner{},
+		asking: map[scheduler.ContainerID]time.Duration{}, owners: map[reconcile.ClientID]*owner{},
 		tookOver: map[string]int{}}
 	h.lastBid = h.life // bid numbers are unique over all lives
 	var effects []scheduler.Idempotency
-	var calm []overload.Workload
+	var calm []overload.WorkloadClass
 	for _, w := range s.Terms.WorkloadClasses {
 		effects = append(effects, w.Idempotency)
 		if s.Damped {
-			calm = append(calm, overload.Workload{Agreed: w.LatencyObjective, Gain: w.PriorityWeight})
+			calm = append(calm, overload.WorkloadClass{LatencyObjective: w.LatencyObjective, PriorityWeight: w.PriorityWeight})
 		}
 	}
 	h.meter.init()
@@ -113,14 +113,14 @@
 	if h.loop, err = eventloop.New(h.turn); err != nil {
 		return nil, err
 	}
-	known := recovery.NoLog
+	known := recovery.LogNone
 	if s.State != "" {
 		if h.state, err = openState(h); err != nil {
 			h.loop.Stop()
 			h.loop.Run()
 			return nil, err
 		}
-		known = h.state.life.Log
+		known = h.state.life.Coverage
 	}
 	h.custody = reconcile.New(h.life, s.Bounds, effects, known, calm)
 	if s.BGP != nil {
@@ -289,70 +289,70 @@
 // see does what custody wants done.
 func (h *Host) see(a reconcile.Action) {
 	switch a := a.(type) {
-	case reconcile.Dismiss:
-		if o := h.owners[a.Caller]; o != nil {
-			o.drop(a.Why)
+	case reconcile.CloseClient:
+		if o := h.owners[a.Client]; o != nil {
+			o.drop(a.Reason)
 		}
-	case reconcile.Pass:
+	case reconcile.Admit:
 		h.take(a)
-	case reconcile.Refuse:
+	case reconcile.Reject:
 		h.turnAway(a)
-	case reconcile.Stands:
-		h.send(a.Caller, &protocol.PlacementReply{ContainerID: string(a.ID), Verdict: protocol.VerdictPlaced, Machine: string(a.Machine),
+	case reconcile.AlreadyRunning:
+		h.send(a.Client, &protocol.PlacementReply{ContainerID: string(a.ID), Verdict: protocol.VerdictPlaced, Machine: string(a.Machine),
 			Message: "it runs already"})
-		if c := h.open[a.As]; c != nil { // who asked last hears its fate
-			c.owner, c.heardAs = h.owners[a.Caller], string(a.ID)
+		if c := h.open[a.RunningID]; c != nil { // who asked last hears its fate
+			c.owner, c.heardAs = h.owners[a.Client], string(a.ID)
 		}
-	case reconcile.Cease:
+	case reconcile.TerminateContainer:
 		h.cease(a)
-	case reconcile.Absent:
-		h.send(a.Caller, &protocol.PlacementReply{ContainerID: string(a.ID), Verdict: protocol.VerdictRejected, Message: "nothing of it runs"})
-	case reconcile.Ceased:
-		h.send(a.Caller, &protocol.PlacementReply{ContainerID: string(a.ID), Verdict: protocol.VerdictFailed, Message: "cancelled"})
-	case reconcile.CallOff:
+	case reconcile.NotRunning:
+		h.send(a.Client, &protocol.PlacementReply{ContainerID: string(a.ID), Verdict: protocol.VerdictRejected, Message: "nothing of it runs"})
+	case reconcile.AlreadyTerminated:
+		h.send(a.Client, &protocol.PlacementReply{ContainerID: string(a.ID), Verdict: protocol.VerdictFailed, Message: "cancelled"})
+	case reconcile.CancelAttempt:
 		if m := h.machines[a.Machine]; m != nil && m.ready {
-			m.write(&protocol.CancelAttempt{SchedulerIncarnation: a.Life, AttemptID: a.Bid})
+			m.write(&protocol.CancelAttempt{SchedulerIncarnation: a.Incarnation, AttemptID: a.Attempt})
 		}
 	case reconcile.Adopt:
-		h.adopt(a.Held)
-	case reconcile.Lost:
+		h.adopt(a.Attempt)
+	case reconcile.ContainerLost:
 		if c := h.open[a.ID]; c != nil && c.bid != nil && c.bid.placed {
-			if !a.Sure { // behind a cut it may run on
+			if !a.Confirmed { // behind a cut it may run on
 				h.unheard(c.bid)
 			}
 			h.over(c.bid, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost, Final: true})
 		}
-	case reconcile.Reach:
+	case reconcile.ConnectMachine:
 		if m := h.machines[a.Machine]; m != nil {
 			h.reach(m)
 		} else {
-			h.tell(reconcile.NoLink{Machine: a.Machine})
+			h.tell(reconcile.ConnectFailed{Machine: a.Machine})
 		}
-	case reconcile.Sure:
+	case reconcile.RecoveryComplete:
 		if h.routes != nil {
 			h.routes.Whole()
 		}
-	case reconcile.ToldAll:
+	case reconcile.AllMachinesReported:
 		if h.state != nil {
-			h.state.life = h.state.life.Sure()
+			h.state.life = h.state.life.WithCompleteLog()
 			h.state.changes = append(h.state.changes, h.state.lifeChange())
 		}
-	case reconcile.Settled:
+	case reconcile.AttemptResolved:
 		if h.state != nil {
-			h.state.drop(BidKind, bidKey(a.Held.Bid))
+			h.state.drop(BidKind, bidKey(a.Attempt.Number))
 		}
-	case reconcile.Wake:
-		h.loop.After(eventloop.Tick(a.After), func() { h.tell(reconcile.Woke{}) })
+	case reconcile.SetTimer:
+		h.loop.After(eventloop.Tick(a.After), func() { h.tell(reconcile.TimerFired{}) })
 	case reconcile.Log:
-		h.log.Info("custody", "text", a.Text)
+		h.log.Info("custody", "text", a.Message)
 	}
 }
 
 // take hands a container that the door lets in to the placer module.
-func (h *Host) take(a reconcile.Pass) {
-	h.open[a.Ask.ID] = &container{ask: a.Ask, owner: h.owners[a.Caller], heardAs: string(a.Ask.ID), came: h.asking[a.Ask.ID],
-		window: protocol.Duration(h.site.Terms.WorkloadClasses[a.Ask.WorkloadClass].DedupWindow)}
-	h.feed(scheduler.RequestReceived{PlacementRequest: a.Ask})
+func (h *Host) take(a reconcile.Admit) {
+	h.open[a.Request.ID] = &container{ask: a.Request, owner: h.owners[a.Client], heardAs: string(a.Request.ID), came: h.asking[a.Request.ID],
+		window: protocol.Duration(h.site.Terms.WorkloadClasses[a.Request.WorkloadClass].DedupWindow)}
+	h.feed(scheduler.RequestReceived{PlacementRequest: a.Request})
 }
 
 // frame encodes a frame; what it returns holds until the next call.
@@ -452,11 +452,11 @@
 
 // unheard leaves it to custody when the log may forget a bid.
 func (h *Host) unheard(b *bid) {
-	h.tell(reconcile.Unheard{Held: b.held()})
+	h.tell(reconcile.AttemptOutcomeUnknown{Attempt: b.held()})
 	b.logged = false
 }
 
-// callOff asks a machine to stop a bid or a container.
+// cancelAttempt asks a machine to stop a bid or a container.
 func (h *Host) callOff(b *bid) {
 	b.stopped = true
 	if !b.sent {
@@ -506,7 +506,7 @@
 
 func (h *Host) close(c *container) {
 	delete(h.open, c.ask.ID)
-	h.tell(reconcile.Ended{ID: c.ask.ID})
+	h.tell(reconcile.ContainerRemoved{ID: c.ask.ID})
 }
 
 // answer gives an owner the final answer.
@@ -521,7 +521,7 @@
 	if c.owner != nil {
 		c.owner.write(a)
 	}
-	h.tell(reconcile.Answered{ID: id})
+	h.tell(reconcile.RequestFailed{ID: id})
 	if c.bid == nil {
 		h.close(c)
 	}
@@ -534,9 +534,9 @@
 	b.timer, b.placed = nil, true
 	h.meter.running++
 	h.route(b, true)
-	h.tell(reconcile.Placed{ID: c.ask.ID, Machine: b.at.id, Bid: b.number})
+	h.tell(reconcile.AttemptAccepted{ID: c.ask.ID, Machine: b.at.id, Attempt: b.number})
 	if c.answered { // too late for its owner: what runs stays known until it ends
-		h.tell(reconcile.LateYes{Held: b.held()})
+		h.tell(reconcile.LateAccept{Attempt: b.held()})
 		return
 	}
 	c.answered = true
@@ -547,26 +547,26 @@
 	}
 }
 
-func (b *bid) held() reconcile.Held {
-	return reconcile.Held{Ask: b.c.ask, Machine: b.at.id, Life: b.life, Bid: b.number, Running: true}
+func (b *bid) held() reconcile.Attempt {
+	return reconcile.Attempt{Request: b.c.ask, Machine: b.at.id, Incarnation: b.life, Number: b.number, Running: true}
 }
 
 // adopt takes over a container that runs.
-func (h *Host) adopt(held reconcile.Held) {
+func (h *Host) adopt(held reconcile.Attempt) {
 	m := h.machines[held.Machine]
-	if m == nil || h.open[held.Ask.ID] != nil {
+	if m == nil || h.open[held.Request.ID] != nil {
 		return
 	}
-	c := &container{ask: held.Ask, answered: true, bids: 1}
-	b := &bid{number: held.Bid, life: held.Life, c: c, at: m, sentAt: h.loop.Now(), sent: true, placed: true}
-	c.bid, m.bids[held.Bid] = b, b
+	c := &container{ask: held.Request, answered: true, bids: 1}
+	b := &bid{number: held.Number, life: held.Incarnation, c: c, at: m, sentAt: h.loop.Now(), sent: true, placed: true}
+	c.bid, m.bids[held.Number] = b, b
 	if h.state != nil {
-		if write, _ := recovery.Writes(h.site.Terms.WorkloadClasses[held.Ask.WorkloadClass].Idempotency); write {
+		if write, _ := recovery.MustPersist(h.site.Terms.WorkloadClasses[held.Request.WorkloadClass].Idempotency); write {
 			b.logged = true
 			h.state.put(BidKind, bidKey(b.number), held)
 		}
 	}
-	h.open[held.Ask.ID] = c
+	h.open[held.Request.ID] = c
 	h.meter.running++
 	h.meter.adopted++
 	if held.Running {
@@ -574,9 +574,9 @@
 	}
 	h.takeovers++
 	if h.unsent > 0 {
-		h.tookOver[held.Ask.Service] = h.takeovers
+		h.tookOver[held.Request.Service] = h.takeovers
 	}
-	h.feed(scheduler.ContainerAdopted{PlacementRequest: held.Ask, Machine: m.id})
+	h.feed(scheduler.ContainerAdopted{PlacementRequest: held.Request, Machine: m.id})
 }
 
 // keepHouse closes what is idle, silent or half said.
--- a/internal/schedulerd/host_test.go
+++ b/internal/schedulerd/host_test.go
@@ -126,7 +126,7 @@
 	})
 	defer close(done)
 	s := terms(t)
-	s.Bounds.Open, s.Bounds.OpenPerCaller = 1_000_000, 1_000_000
+	s.Bounds.OpenRequests, s.Bounds.OpenRequestsPerClient = 1_000_000, 1_000_000
 	r := start(t, s, bidTo(0), map[string]string{"a": deaf})
 	sent := 0
 	for {
@@ -289,7 +289,7 @@
 // why; the others are served.
 func TestDoor(t *testing.T) {
 	s := terms(t)
-	s.Bounds.Open, s.Bounds.Callers, s.Silent = 2, 2, 5000
+	s.Bounds.OpenRequests, s.Bounds.Clients, s.Silent = 2, 2, 5000
 	r := start(t, s, nil, nil)
 	for _, id := range []string{"x", "y", "z"} {
 		r.door.submit(id, 0)
--- a/internal/schedulerd/knowledge.go
+++ b/internal/schedulerd/knowledge.go
@@ -35,14 +35,14 @@
 }
 
 // stamp reads the clocks.
-func stamp(clock scheduler.Time) warmstart.Stamp {
-	s := warmstart.Stamp{Clock: clock}
+func stamp(clock scheduler.Time) warmstart.Timestamp {
+	s := warmstart.Timestamp{Clock: clock}
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) == nil {
-		s.Up = scheduler.Time(t.Nano() / 100_000)
+		s.Uptime = scheduler.Time(t.Nano() / 100_000)
 	}
 	if id, err := os.ReadFile("/proc/sys/kernel/random/boot_id"); err == nil {
-		s.Boot = strings.TrimSpace(string(id))
+		s.BootID = strings.TrimSpace(string(id))
 	}
 	return s
 }
@@ -86,7 +86,7 @@
 	if !ok {
 		return nil, fmt.Errorf("%s holds a %T", path, f)
 	}
-	k := &Knowledge{At: warmstart.Stamp{Clock: scheduler.Time(binary.BigEndian.Uint64(data))}, ListIs: listed.Version}
+	k := &Knowledge{At: warmstart.Timestamp{Clock: scheduler.Time(binary.BigEndian.Uint64(data))}, ListIs: listed.Version}
 	for _, e := range listed.Entries {
 		k.Entries = append(k.Entries, recordOfEntry(e))
 	}
@@ -95,9 +95,9 @@
 
 // aged gives the entries of a kept list as they stand now. A machine whose age is not known counts as just started:
 // it is then spared as a cold one.
-func (k *Knowledge) aged(now warmstart.Stamp) []protocol.MachineEntry {
-	since := now.From(k.At)
-	if since.Age >= 0 && warmstart.Weight(warmstart.List, since.Age) == 0 {
+func (k *Knowledge) aged(now warmstart.Timestamp) []protocol.MachineEntry {
+	since := now.Since(k.At)
+	if since.Age >= 0 && warmstart.Weight(warmstart.MachineList, since.Age) == 0 {
 		return nil
 	}
 	var all []protocol.MachineEntry
@@ -124,8 +124,8 @@
 		k.Entries = append(k.Entries, recordOfEntry(e))
 	}
 	sort.Slice(k.Entries, func(i, j int) bool { return k.Entries[i].Machine < k.Entries[j].Machine })
-	if d := h.custody.Door(); d != nil {
-		known := d.Knows()
+	if d := h.custody.Limiter(); d != nil {
+		known := d.Snapshot()
 		k.Door = &known
 	}
 	if l, ok := h.decider.(learner); ok {
--- a/internal/schedulerd/list.go
+++ b/internal/schedulerd/list.go
@@ -152,7 +152,7 @@
 			m.gone = true
 		}
 		if m.gone {
-			h.tell(reconcile.Unnamed{Machine: id})
+			h.tell(reconcile.MachineRemoved{Machine: id})
 			m.settle()
 		}
 	}
@@ -163,7 +163,7 @@
 			h.state.started(m)
 		}
 	}
-	h.tell(reconcile.Named{Machines: ids, Whole: mode == scheduler.FullSnapshot})
+	h.tell(reconcile.MachinesListed{Machines: ids, FullSnapshot: mode == scheduler.FullSnapshot})
 	h.list.held.merge(mode, version, entries)
 }
 
--- a/internal/schedulerd/machine.go
+++ b/internal/schedulerd/machine.go
@@ -134,9 +134,9 @@
 	}
 	clear(m.late) // what it runs it will say when the link stands again
 	if was {
-		m.h.tell(reconcile.Broke{Machine: m.id})
+		m.h.tell(reconcile.MachineDisconnected{Machine: m.id})
 	} else {
-		m.h.tell(reconcile.NoLink{Machine: m.id, Short: short})
+		m.h.tell(reconcile.ConnectFailed{Machine: m.id, LocalShortage: short})
 	}
 	m.settle()
 }
@@ -257,11 +257,11 @@
 	if m.ready {
 		return fmt.Errorf("says twice what it holds")
 	}
-	e := reconcile.Holds{Machine: m.id}
+	e := reconcile.MachineReported{Machine: m.id}
 	for _, k := range f.Containers {
 		w := &k.Spec
-		e.Held = append(e.Held, reconcile.Held{Machine: m.id, Life: k.SchedulerIncarnation, Bid: k.AttemptID, Running: k.Running,
-			Ask: scheduler.PlacementRequest{ID: scheduler.ContainerID(w.ContainerID), IdempotencyKey: w.IdempotencyKey, Service: w.Service, WorkloadClass: w.WorkloadClass,
+		e.Attempts = append(e.Attempts, reconcile.Attempt{Machine: m.id, Incarnation: k.SchedulerIncarnation, Number: k.AttemptID, Running: k.Running,
+			Request: scheduler.PlacementRequest{ID: scheduler.ContainerID(w.ContainerID), IdempotencyKey: w.IdempotencyKey, Service: w.Service, WorkloadClass: w.WorkloadClass,
 				Tenant: w.Tenant, Cores: w.Cores, Memory: w.Memory, ExpectedRuntime: scheduler.Time(w.ExpectedRuntime), ClientRetry: w.ClientRetry}})
 	}
 	m.h.tell(e)
@@ -296,7 +296,7 @@
 	if ask, ok := m.late[f.AttemptID]; ok {
 		delete(m.late, f.AttemptID)
 		m.h.meter.outcome("late yes")
-		m.h.tell(reconcile.LateYes{Held: reconcile.Held{Ask: ask, Machine: m.id, Life: m.h.life, Bid: f.AttemptID, Running: true}})
+		m.h.tell(reconcile.LateAccept{Attempt: reconcile.Attempt{Request: ask, Machine: m.id, Incarnation: m.h.life, Number: f.AttemptID, Running: true}})
 	}
 }
 
@@ -305,7 +305,7 @@
 	if b == nil {
 		if ask, ok := m.late[f.AttemptID]; ok {
 			delete(m.late, f.AttemptID)
-			m.h.tell(reconcile.Told{Held: reconcile.Held{Ask: ask, Machine: m.id, Life: m.h.life, Bid: f.AttemptID}})
+			m.h.tell(reconcile.AttemptNotRunning{Attempt: reconcile.Attempt{Request: ask, Machine: m.id, Incarnation: m.h.life, Number: f.AttemptID}})
 		}
 		return
 	}
--- a/internal/schedulerd/overload/storm_test.go
+++ b/internal/schedulerd/overload/storm_test.go
@@ -16,14 +16,14 @@
 	sec = scheduler.Second
 )
 
-func terms() Terms {
-	return Terms{Seed: 1, Most: 100_000, Workloads: []Workload{{300 * ms, 1}, {300 * ms, 2}, {500 * ms, 4}}}
+func terms() Config {
+	return Config{Seed: 1, MaxOpen: 100_000, WorkloadClasses: []WorkloadClass{{300 * ms, 1}, {300 * ms, 2}, {500 * ms, 4}}}
 }
 
-func take(t testing.TB, d *Door, now scheduler.Time, e Asked) (bool, Shed) {
+func take(t testing.TB, d *Limiter, now scheduler.Time, e RequestReceived) (bool, Shed) {
 	for _, a := range d.Handle(now, e) {
 		switch a := a.(type) {
-		case Take:
+		case Admit:
 			return true, Shed{}
 		case Shed:
 			return false, a
@@ -34,18 +34,18 @@
 }
 
 // narrowed is a door behind which starts have become slow: each asks is open for two seconds.
-func narrowed(t testing.TB) (*Door, scheduler.Time) {
+func narrowed(t testing.TB) (*Limiter, scheduler.Time) {
 	d, now := New(terms()), scheduler.Time(0)
 	for range 200 { // calm
 		now += 10 * ms
-		take(t, d, now, Asked{Client: "a"})
-		d.Handle(now, Started{0, 60 * ms})
+		take(t, d, now, RequestReceived{Client: "a"})
+		d.Handle(now, RequestStarted{0, 60 * ms})
 	}
 	for i := range 3000 {
 		now += 2 * ms
-		take(t, d, now, Asked{Client: fmt.Sprint(i % 50)})
+		take(t, d, now, RequestReceived{Client: fmt.Sprint(i % 50)})
 		if i%4 == 0 {
-			d.Handle(now, Started{0, 2 * sec})
+			d.Handle(now, RequestStarted{0, 2 * sec})
 		}
 	}
 	return d, now
@@ -56,33 +56,33 @@
 		d, now := New(terms()), scheduler.Time(0)
 		for i := range 20_000 {
 			now += ms
-			if ok, s := take(t, d, now, Asked{Client: fmt.Sprint(i % 7), Workload: i % 3, Again: i%2 == 0}); !ok {
+			if ok, s := take(t, d, now, RequestReceived{Client: fmt.Sprint(i % 7), WorkloadClass: i % 3, ClientRetry: i%2 == 0}); !ok {
 				t.Fatalf("turned away: %+v", s)
 			}
-			d.Handle(now, Started{i % 3, 60 * ms})
+			d.Handle(now, RequestStarted{i % 3, 60 * ms})
 		}
 	})
 	t.Run("slow starts narrow it", func(t *testing.T) {
 		d, now := narrowed(t)
-		ok, s := take(t, d, now, Asked{Client: "a"})
-		if ok || s.Why != TooSlow || d.Limit() > 500 {
+		ok, s := take(t, d, now, RequestReceived{Client: "a"})
+		if ok || s.Reason != ReasonLimitReached || d.Limit() > 500 {
 			t.Errorf("%v %+v, limit %.0f, open %d", ok, s, d.Limit(), d.Open())
 		}
 	})
 	t.Run("and gain passes longer", func(t *testing.T) {
 		d, now := narrowed(t)
 		for range 2000 {
-			if low, _ := take(t, d, now, Asked{Client: "a"}); low {
+			if low, _ := take(t, d, now, RequestReceived{Client: "a"}); low {
 				continue
 			}
-			high, _ := take(t, d, now, Asked{Client: "a", Workload: 2})
+			high, _ := take(t, d, now, RequestReceived{Client: "a", WorkloadClass: 2})
 			if !high && float64(d.Open()) < d.Limit() {
 				t.Errorf("high gain is turned away with %d open of %.0f", d.Open(), d.Limit())
 			}
 			if high {
 				return
 			}
-			d.Handle(now, Failed{0})
+			d.Handle(now, RequestFailed{0})
 		}
 		t.Error("high gain never passed where low did not")
 	})
@@ -90,10 +90,10 @@
 		d, now := narrowed(t)
 		for range 4000 {
 			now += 5 * ms
-			take(t, d, now, Asked{Client: "a"})
-			d.Handle(now, Started{0, 40 * ms})
+			take(t, d, now, RequestReceived{Client: "a"})
+			d.Handle(now, RequestStarted{0, 40 * ms})
 		}
-		if ok, s := take(t, d, now, Asked{Client: "a"}); !ok {
+		if ok, s := take(t, d, now, RequestReceived{Client: "a"}); !ok {
 			t.Errorf("still turned away: %+v, limit %.0f, open %d", s, d.Limit(), d.Open())
 		}
 	})
@@ -102,10 +102,10 @@
 		d, now := narrowed(t)
 		var all []float64
 		for range 300 {
-			if ok, s := take(t, d, now, Asked{Client: "a"}); !ok {
-				all = append(all, float64(s.HoldOff)/float64(sec))
-				if s.HoldOff < leastHold || s.HoldOff > mostHold+mostHold/2 {
-					t.Fatalf("hold off %d", s.HoldOff)
+			if ok, s := take(t, d, now, RequestReceived{Client: "a"}); !ok {
+				all = append(all, float64(s.RetryAfter)/float64(sec))
+				if s.RetryAfter < minRetryAfter || s.RetryAfter > maxRetryAfter+maxRetryAfter/2 {
+					t.Fatalf("hold off %d", s.RetryAfter)
 				}
 			}
 		}
@@ -129,26 +129,26 @@
 func TestRepeatsHaveABudget(t *testing.T) {
 	d, now := narrowed(t)
 	for ok := true; ok; { // until it is full
-		ok, _ = take(t, d, now, Asked{Client: "a"})
+		ok, _ = take(t, d, now, RequestReceived{Client: "a"})
 	}
 	took := 0
 	for i := range 1000 {
-		d.Handle(now, Failed{0}) // room for one
-		if ok, _ := take(t, d, now, Asked{Client: fmt.Sprint(took), Again: true}); ok {
+		d.Handle(now, RequestFailed{0}) // room for one
+		if ok, _ := take(t, d, now, RequestReceived{Client: fmt.Sprint(took), ClientRetry: true}); ok {
 			took++
-		} else if ok, s := take(t, d, now, Asked{Client: fmt.Sprint("f", i%50)}); !ok {
+		} else if ok, s := take(t, d, now, RequestReceived{Client: fmt.Sprint("f", i%50)}); !ok {
 			t.Fatalf("a first try is turned away where a repeat's room was: %+v", s)
 		}
 	}
-	if most := againMost + 1000*againShare; float64(took) > most {
-		t.Errorf("%d repeats were let in, beside 1000 first tries; open %d, limit %.0f, tokens %.1f", took, d.Open(), d.Limit(), d.tokens)
+	if most := maxRetryTokens + 1000*retryBudgetRatio; float64(took) > most {
+		t.Errorf("%d repeats were let in, beside 1000 first tries; open %d, limit %.0f, tokens %.1f", took, d.Open(), d.Limit(), d.retryTokens)
 	}
 }
 
 // One client that sends a hundred times its usual is found whatever the others do, in a fixed room.
 func TestHeavies(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	h, exact, now := NewHeavies(256), map[string]int{}, scheduler.Time(0)
+	h, exact, now := NewHeavyHitters(256), map[string]int{}, scheduler.Time(0)
 	worst := 0.0
 	for range 200_000 {
 		c := fmt.Sprint("c", r.IntN(100_000))
@@ -156,14 +156,14 @@
 			c = "heavy"
 		}
 		exact[c]++
-		if x := h.Count(now, c); c == "heavy" {
+		if x := h.Record(now, c); c == "heavy" {
 			worst = x
 		}
 	}
-	if h.Len() != 256 || worst < heavyTimes {
+	if h.Len() != 256 || worst < heavyHitterFactor {
 		t.Errorf("%d counters, the heavy one is %.1f times the others", h.Len(), worst)
 	}
-	if now += 100 * fades; h.Count(now, "heavy") > heavyTimes {
+	if now += 100 * countDecayTime; h.Record(now, "heavy") > heavyHitterFactor {
 		t.Error("old counts do not fade")
 	}
 }
@@ -176,9 +176,9 @@
 	}
 	b.Run("space-saving, 256 counters", func(b *testing.B) {
 		b.ReportAllocs()
-		h := NewHeavies(256)
+		h := NewHeavyHitters(256)
 		for i := range b.N {
-			h.Count(scheduler.Time(i), names[i*7919%len(names)])
+			h.Record(scheduler.Time(i), names[i*7919%len(names)])
 		}
 	})
 	b.Run("a map of all", func(b *testing.B) {
@@ -196,10 +196,10 @@
 		a, b, now, open := New(terms()), New(terms()), scheduler.Time(0), 0
 		for range 200 {
 			now += scheduler.Time(rapid.IntRange(0, 2000).Draw(t, "on"))
-			var e Event = Asked{Client: fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "client")), Workload: rapid.IntRange(0, 2).Draw(t, "workload"),
-				Again: rapid.Bool().Draw(t, "again")}
+			var e Event = RequestReceived{Client: fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "client")), WorkloadClass: rapid.IntRange(0, 2).Draw(t, "workload"),
+				ClientRetry: rapid.Bool().Draw(t, "again")}
 			if open > 0 && rapid.Bool().Draw(t, "ends") {
-				e = Started{rapid.IntRange(0, 2).Draw(t, "workload"), scheduler.Time(rapid.IntRange(1, 60_000).Draw(t, "took"))}
+				e = RequestStarted{rapid.IntRange(0, 2).Draw(t, "workload"), scheduler.Time(rapid.IntRange(1, 60_000).Draw(t, "took"))}
 				open--
 			}
 			limit := a.Limit()
@@ -207,7 +207,7 @@
 			if got != other {
 				t.Fatalf("%s and %s", got, other)
 			}
-			if _, is := e.(Asked); is {
+			if _, is := e.(RequestReceived); is {
 				if a.Open() > open {
 					open++
 					if float64(open) > limit+1 {
@@ -231,11 +231,11 @@
 		most   float64
 	}{{1, 1, 1}, {0.5, 2, 2}, {0, 100, math.Inf(1)}} {
 		after := New(terms())
-		after.Recall(before.Knows(), tc.weight)
+		after.Restore(before.Snapshot(), tc.weight)
 		if x := after.Limit() / before.Limit(); x < tc.least-0.01 || x > tc.most+0.01 {
 			t.Errorf("weight %.1f: the limit is %.2f times as wide", tc.weight, x)
 		}
-		if got, want := after.Knows().Calm[0], before.Knows().Calm[0]; got != want {
+		if got, want := after.Snapshot().BaselineLatency[0], before.Snapshot().BaselineLatency[0]; got != want {
 			t.Errorf("weight %.1f: calm is %.2f, was %.2f", tc.weight, got, want)
 		}
 		if tc.weight < 1 {
@@ -243,7 +243,7 @@
 		}
 		shed := 0
 		for i := range 500 {
-			if ok, _ := take(t, after, now, Asked{Client: fmt.Sprint(i % 50)}); !ok {
+			if ok, _ := take(t, after, now, RequestReceived{Client: fmt.Sprint(i % 50)}); !ok {
 				shed++
 			}
 		}
@@ -251,8 +251,8 @@
 			t.Error("a new life takes in all that the last one turned away")
 		}
 	}
-	other := New(Terms{Most: 10, Workloads: []Workload{{sec, 1}}})
-	if other.Recall(before.Knows(), 1); other.Limit() != 10 {
+	other := New(Config{MaxOpen: 10, WorkloadClasses: []WorkloadClass{{sec, 1}}})
+	if other.Restore(before.Snapshot(), 1); other.Limit() != 10 {
 		t.Error("what was learned of other workloads is believed")
 	}
 }
--- a/internal/schedulerd/reconcile/golden_test.go
+++ b/internal/schedulerd/reconcile/golden_test.go
@@ -18,11 +18,11 @@
 type recordedSequence struct {
 	rng      *rand.Rand
 	digest   *golden.Digest
-	table    *Table
+	table    *Reconciler
 	now      scheduler.Time
 	ids      int
 	taken    []scheduler.PlacementRequest
-	attempts []Held
+	attempts []Attempt
 	reached  []scheduler.MachineID
 	lastBid  uint64
 }
@@ -31,7 +31,7 @@
 	return scheduler.MachineID(fmt.Sprint("m", s.rng.IntN(6)))
 }
 
-func (s *recordedSequence) caller() Caller { return Caller(s.rng.IntN(5)) }
+func (s *recordedSequence) caller() ClientID { return ClientID(s.rng.IntN(5)) }
 
 func (s *recordedSequence) ask() scheduler.PlacementRequest {
 	n := s.rng.IntN(s.ids)
@@ -47,7 +47,7 @@
 }
 
 // attempt is one that the table has heard of, or another.
-func (s *recordedSequence) attempt() Held {
+func (s *recordedSequence) attempt() Attempt {
 	if len(s.attempts) > 0 && s.rng.IntN(4) > 0 {
 		h := s.attempts[s.rng.IntN(len(s.attempts))]
 		if s.rng.IntN(8) == 0 {
@@ -56,16 +56,16 @@
 		return h
 	}
 	s.lastBid++
-	h := Held{Ask: s.ask(), Machine: s.machine(), Life: recordedLife - uint64(s.rng.IntN(3)), Bid: s.lastBid, Running: s.rng.IntN(5) > 0}
+	h := Attempt{Request: s.ask(), Machine: s.machine(), Incarnation: recordedLife - uint64(s.rng.IntN(3)), Number: s.lastBid, Running: s.rng.IntN(5) > 0}
 	s.attempts = append(s.attempts, h)
 	return h
 }
 
-func (s *recordedSequence) holds(m scheduler.MachineID) Holds {
-	e := Holds{Machine: m}
+func (s *recordedSequence) holds(m scheduler.MachineID) MachineReported {
+	e := MachineReported{Machine: m}
 	for _, h := range s.attempts {
-		if h.Machine == m && s.rng.IntN(4) > 0 && len(e.Held) < 8 {
-			e.Held = append(e.Held, h)
+		if h.Machine == m && s.rng.IntN(4) > 0 && len(e.Attempts) < 8 {
+			e.Attempts = append(e.Attempts, h)
 		}
 	}
 	return e
@@ -79,9 +79,9 @@
 		s.taken = append(s.taken[:n], s.taken[n+1:]...)
 	}
 	s.lastBid++
-	h := Held{Ask: a, Machine: s.machine(), Life: recordedLife, Bid: s.lastBid, Running: true}
+	h := Attempt{Request: a, Machine: s.machine(), Incarnation: recordedLife, Number: s.lastBid, Running: true}
 	s.attempts = append(s.attempts, h)
-	return Placed{ID: a.ID, Machine: h.Machine, Bid: h.Bid}
+	return AttemptAccepted{ID: a.ID, Machine: h.Machine, Attempt: h.Number}
 }
 
 func (s *recordedSequence) event() Event {
@@ -91,44 +91,44 @@
 		if s.rng.IntN(3) == 0 {
 			return s.holds(m)
 		}
-		return NoLink{Machine: m, Short: s.rng.IntN(6) == 0}
+		return ConnectFailed{Machine: m, LocalShortage: s.rng.IntN(6) == 0}
 	}
 	switch n := s.rng.IntN(100); {
 	case n < 4:
-		return Called{Caller: s.caller()}
+		return ClientConnected{Client: s.caller()}
 	case n < 5:
-		return Left{Caller: s.caller()}
+		return ClientDisconnected{Client: s.caller()}
 	case n < 35:
-		return Asked{Caller: s.caller(), Ask: s.ask()}
+		return PlacementRequested{Client: s.caller(), Request: s.ask()}
 	case n < 39:
 		a := s.ask()
 		if s.rng.IntN(4) == 0 {
 			a.IdempotencyKey = ""
 		}
-		return Cancelled{Caller: s.caller(), ID: a.ID, Key: a.IdempotencyKey}
+		return CancelRequested{Client: s.caller(), ID: a.ID, IdempotencyKey: a.IdempotencyKey}
 	case n < 43:
 		a := s.ask()
-		return Looked{Caller: s.caller(), ID: a.ID, Key: a.IdempotencyKey}
+		return LookupRequested{Client: s.caller(), ID: a.ID, IdempotencyKey: a.IdempotencyKey}
 	case n < 47:
-		return Answered{ID: s.ask().ID}
+		return RequestFailed{ID: s.ask().ID}
 	case n < 62:
 		return s.accepted()
 	case n < 68:
-		return Ended{ID: s.ask().ID}
+		return ContainerRemoved{ID: s.ask().ID}
 	case n < 70:
-		return Logged{Held: s.attempt()}
+		return AttemptRestored{Attempt: s.attempt()}
 	case n < 73:
-		return Unheard{Held: s.attempt()}
+		return AttemptOutcomeUnknown{Attempt: s.attempt()}
 	case n < 75:
-		return Told{Held: s.attempt()}
+		return AttemptNotRunning{Attempt: s.attempt()}
 	case n < 80:
-		return LateYes{Held: s.attempt()}
+		return LateAccept{Attempt: s.attempt()}
 	case n < 85:
 		return s.holds(s.machine())
 	case n < 89:
-		return Broke{Machine: s.machine()}
+		return MachineDisconnected{Machine: s.machine()}
 	case n < 91:
-		return NoLink{Machine: s.machine(), Short: s.rng.IntN(3) == 0}
+		return ConnectFailed{Machine: s.machine(), LocalShortage: s.rng.IntN(3) == 0}
 	case n < 93:
 		var all []scheduler.MachineID
 		for i := range 6 {
@@ -136,48 +136,48 @@
 				all = append(all, scheduler.MachineID(fmt.Sprint("m", i)))
 			}
 		}
-		return Named{Machines: all, Whole: s.rng.IntN(2) == 0}
+		return MachinesListed{Machines: all, FullSnapshot: s.rng.IntN(2) == 0}
 	case n < 94:
-		return Unnamed{Machine: s.machine()}
+		return MachineRemoved{Machine: s.machine()}
 	}
-	return Woke{}
+	return TimerFired{}
 }
 
 // fold leaves out the text of a log line.
 func (s *recordedSequence) fold(a Action) {
 	d, now := s.digest, s.now
 	switch a := a.(type) {
-	case Dismiss:
-		d.Add(1, now, a.Caller, a.Why)
-	case Pass:
-		d.Add(2, now, a.Caller, a.Ask)
-		s.taken = append(s.taken, a.Ask)
-	case Refuse:
-		d.Add(3, now, a.Caller, a.ID, a.Why, a.HoldOff)
-	case Stands:
-		d.Add(4, now, a.Caller, a.ID, a.As, a.Machine)
-	case Cease:
-		d.Add(5, now, a.Caller, a.ID, a.As)
-	case Ceased:
-		d.Add(6, now, a.Caller, a.ID)
-	case Absent:
-		d.Add(7, now, a.Caller, a.ID)
-	case CallOff:
-		d.Add(8, now, a.Machine, a.Life, a.Bid)
+	case CloseClient:
+		d.Add(1, now, a.Client, a.Reason)
+	case Admit:
+		d.Add(2, now, a.Client, a.Request)
+		s.taken = append(s.taken, a.Request)
+	case Reject:
+		d.Add(3, now, a.Client, a.ID, a.Reason, a.RetryAfter)
+	case AlreadyRunning:
+		d.Add(4, now, a.Client, a.ID, a.RunningID, a.Machine)
+	case TerminateContainer:
+		d.Add(5, now, a.Client, a.ID, a.RequestedID)
+	case AlreadyTerminated:
+		d.Add(6, now, a.Client, a.ID)
+	case NotRunning:
+		d.Add(7, now, a.Client, a.ID)
+	case CancelAttempt:
+		d.Add(8, now, a.Machine, a.Incarnation, a.Attempt)
 	case Adopt:
-		d.Add(9, now, a.Held)
-	case Lost:
-		d.Add(10, now, a.ID, a.Sure)
-	case Reach:
+		d.Add(9, now, a.Attempt)
+	case ContainerLost:
+		d.Add(10, now, a.ID, a.Confirmed)
+	case ConnectMachine:
 		d.Add(11, now, a.Machine)
 		s.reached = append(s.reached, a.Machine)
-	case Sure:
+	case RecoveryComplete:
 		d.Add(12, now)
-	case ToldAll:
+	case AllMachinesReported:
 		d.Add(13, now)
-	case Settled:
-		d.Add(14, now, a.Held)
-	case Wake:
+	case AttemptResolved:
+		d.Add(14, now, a.Attempt)
+	case SetTimer:
 		d.Add(15, now, a.After)
 	case Log:
 		d.Add(16, now)
@@ -195,8 +195,8 @@
 		for _, a := range s.table.Handle(s.now, events) {
 			s.fold(a)
 		}
-		s.digest.Add(17, s.table.Doubts())
-		if door := s.table.Door(); door != nil {
+		s.digest.Add(17, s.table.UnresolvedKeys())
+		if door := s.table.Limiter(); door != nil {
 			s.digest.Add(18, door.Open(), door.Limit())
 		}
 		switch s.rng.IntN(4) {
@@ -212,21 +212,21 @@
 }
 
 func TestActionsMatchRecordedDigests(t *testing.T) {
-	wide := Bounds{Callers: 4, Open: 1000, OpenPerCaller: 100}
-	calm := []overload.Workload{{Agreed: 100 * scheduler.Millisecond, Gain: 1}, {Agreed: scheduler.Second, Gain: 2}, {Agreed: scheduler.Second, Gain: 4}}
+	wide := Limits{Clients: 4, OpenRequests: 1000, OpenRequestsPerClient: 100}
+	calm := []overload.WorkloadClass{{LatencyObjective: 100 * scheduler.Millisecond, PriorityWeight: 1}, {LatencyObjective: scheduler.Second, PriorityWeight: 2}, {LatencyObjective: scheduler.Second, PriorityWeight: 4}}
 	var lines []string
 	for i, group := range []struct {
 		name   string
-		bounds Bounds
-		log    recovery.Log
-		calm   []overload.Workload
+		bounds Limits
+		log    recovery.LogCoverage
+		calm   []overload.WorkloadClass
 		ids    int
 	}{
-		{"no log", wide, recovery.NoLog, nil, 30},
-		{"synced log", wide, recovery.Synced, nil, 30},
-		{"complete log", wide, recovery.Written, nil, 30},
-		{"tight limits", Bounds{Callers: 2, Open: 8, OpenPerCaller: 3}, recovery.Written, nil, 60},
-		{"overload", Bounds{Callers: 5, Open: 60, OpenPerCaller: 60}, recovery.Written, calm, 400},
+		{"no log", wide, recovery.LogNone, nil, 30},
+		{"synced log", wide, recovery.LogSynced, nil, 30},
+		{"complete log", wide, recovery.LogComplete, nil, 30},
+		{"tight limits", Limits{Clients: 2, OpenRequests: 8, OpenRequestsPerClient: 3}, recovery.LogComplete, nil, 60},
+		{"overload", Limits{Clients: 5, OpenRequests: 60, OpenRequestsPerClient: 60}, recovery.LogComplete, calm, 400},
 	} {
 		d := golden.NewDigest()
 		for seed := range uint64(120) {
--- a/internal/schedulerd/records.go
+++ b/internal/schedulerd/records.go
@@ -12,14 +12,14 @@
 
 // Knowledge is what the file holds.
 type Knowledge struct {
-	At        warmstart.Stamp                `cbor:"At"`
+	At        warmstart.Timestamp            `cbor:"At"`
 	Names     []string                       `cbor:"Names"` // of workloads and customers, in the order of the terms
 	Learned   scheduler.Snapshot             `cbor:"Learned"`
 	Starts    map[scheduler.MachineID]uint64 `cbor:"Starts"`
 	ListIs    int64                          `cbor:"ListIs"` // version of the list
 	Entries   []entryRecord                  `cbor:"Entries"`
 	AtAnOrder bool                           `cbor:"AtAnOrder"` // written at an orderly end
-	Door      *overload.Known                `cbor:"Door"`
+	Door      *overload.Snapshot             `cbor:"Door"`
 }
 
 // entryRecord is a stored link.Entry. In CBOR it is an array, so the order of the fields is part of the format; JSON is
--- a/internal/schedulerd/recovery/recovery.go
+++ b/internal/schedulerd/recovery/recovery.go
@@ -12,201 +12,201 @@
 
 // Tuned values.
 const (
-	reachAtOnce = 32 // machines asked in one step what they hold
-	reachEvery  = 100 * scheduler.Millisecond
-	reachAgain  = 2 * scheduler.Second // one that could not be asked
-	sureWithin  = 3 * scheduler.Second // without a log: how long asks that came before wait for all to have told
+	queryBatch         = 32 // machines asked in one step what they hold
+	queryInterval      = 100 * scheduler.Millisecond
+	queryRetryInterval = 2 * scheduler.Second // one that could not be asked
+	reportTimeout      = 3 * scheduler.Second // without a log: how long asks that came before wait for all to have told
 )
 
-// Held is a container at a machine, as the bid of one life of a placer.
-type Held struct {
-	Ask     scheduler.PlacementRequest `cbor:"Ask"`
-	Machine scheduler.MachineID        `cbor:"Machine"`
-	Life    uint64                     `cbor:"Life"`
-	Bid     uint64                     `cbor:"Bid"`
-	Running bool                       `cbor:"Running"`
+// Attempt is a container at a machine, as the bid of one life of a placer.
+type Attempt struct {
+	Request     scheduler.PlacementRequest `cbor:"Ask"`
+	Machine     scheduler.MachineID        `cbor:"Machine"`
+	Incarnation uint64                     `cbor:"Life"`
+	Number      uint64                     `cbor:"Bid"`
+	Running     bool                       `cbor:"Running"`
 }
 
-// Log is how much a placer's log says of the bids of its earlier lives.
-type Log uint8
+// LogCoverage is how much a placer's log says of the bids of its earlier lives.
+type LogCoverage uint8
 
 const (
-	NoLog   Log = iota
-	Synced      // every bid of at-most-once work was on disk before it was sent
-	Written     // every bid of work that is not reissuable was written, and the system has run on since
+	LogNone     LogCoverage = iota
+	LogSynced               // every bid of at-most-once work was on disk before it was sent
+	LogComplete             // every bid of work that is not reissuable was written, and the system has run on since
 )
 
-func (l Log) String() string { return [...]string{"none", "synced", "whole"}[l] }
+func (l LogCoverage) String() string { return [...]string{"none", "synced", "whole"}[l] }
 
 // Event is something that happened.
 type Event interface{ event() }
 
 type (
-	// Logged is a bid of an earlier life that the log has no end of; Unheard one of this life that ended without a
+	// AttemptRestored is a bid of an earlier life that the log has no end of; Unheard one of this life that ended without a
 	// word that tells whether it ran.
-	Logged  struct{ Held Held }
-	Unheard struct{ Held Held }
-	// Told is a machine's later word that a bid does not run.
-	Told struct{ Held Held }
-	// Named are machines of a list, all there are where it is whole and fresh; Unnamed is one that is gone.
-	Named struct {
-		Machines []scheduler.MachineID
-		Whole    bool
+	AttemptRestored       struct{ Attempt Attempt }
+	AttemptOutcomeUnknown struct{ Attempt Attempt }
+	// AttemptNotRunning is a machine's later word that a bid does not run.
+	AttemptNotRunning struct{ Attempt Attempt }
+	// MachinesListed are machines of a list, all there are where it is whole and fresh; Unnamed is one that is gone.
+	MachinesListed struct {
+		Machines     []scheduler.MachineID
+		FullSnapshot bool
 	}
-	Unnamed struct{ Machine scheduler.MachineID }
-	// Spoke is a machine's word on all that it holds. Broke is the end of its link, NoLink one that could not be made,
+	MachineRemoved struct{ Machine scheduler.MachineID }
+	// MachineReported is a machine's word on all that it holds. Broke is the end of its link, ConnectFailed one that could not be made,
 	// Lost one that was not made in many tries.
-	Spoke  struct{ Machine scheduler.MachineID }
-	Broke  struct{ Machine scheduler.MachineID }
-	NoLink struct{ Machine scheduler.MachineID }
-	Lost   struct{ Machine scheduler.MachineID }
-	// Passed is time.
-	Passed struct{}
+	MachineReported     struct{ Machine scheduler.MachineID }
+	MachineDisconnected struct{ Machine scheduler.MachineID }
+	ConnectFailed       struct{ Machine scheduler.MachineID }
+	MachineUnreachable  struct{ Machine scheduler.MachineID }
+	// Tick is time.
+	Tick struct{}
 )
 
-func (Logged) event()  {}
-func (Unheard) event() {}
-func (Told) event()    {}
-func (Named) event()   {}
-func (Unnamed) event() {}
-func (Spoke) event()   {}
-func (Broke) event()   {}
-func (NoLink) event()  {}
-func (Lost) event()    {}
-func (Passed) event()  {}
+func (AttemptRestored) event()       {}
+func (AttemptOutcomeUnknown) event() {}
+func (AttemptNotRunning) event()     {}
+func (MachinesListed) event()        {}
+func (MachineRemoved) event()        {}
+func (MachineReported) event()       {}
+func (MachineDisconnected) event()   {}
+func (ConnectFailed) event()         {}
+func (MachineUnreachable) event()    {}
+func (Tick) event()                  {}
 
 // Action is something to be done.
 type Action interface{ action() }
 
 type (
-	// Reach asks for a link to a machine, by which it says what it holds.
-	Reach struct{ Machine scheduler.MachineID }
-	// Settled says that nothing waits for a bid's end any more.
-	Settled struct{ Held Held }
-	// Sure says, once, that all that runs from earlier lives is known, as far as it can be.
-	Sure struct{}
-	// ToldAll says, once, that every machine of the list told, or is gone.
-	ToldAll struct{}
+	// ConnectMachine asks for a link to a machine, by which it says what it holds.
+	ConnectMachine struct{ Machine scheduler.MachineID }
+	// AttemptResolved says that nothing waits for a bid's end any more.
+	AttemptResolved struct{ Attempt Attempt }
+	// RecoveryComplete says, once, that all that runs from earlier lives is known, as far as it can be.
+	RecoveryComplete struct{}
+	// AllMachinesReported says, once, that every machine of the list told, or is gone.
+	AllMachinesReported struct{}
 )
 
-func (Reach) action()   {}
-func (Settled) action() {}
-func (Sure) action()    {}
-func (ToldAll) action() {}
+func (ConnectMachine) action()      {}
+func (AttemptResolved) action()     {}
+func (RecoveryComplete) action()    {}
+func (AllMachinesReported) action() {}
 
-// Writes tells what must be in a placer's log before a bid is sent: whether anything, and whether on disk. Work that
+// MustPersist tells what must be in a placer's log before a bid is sent: whether anything, and whether on disk. Work that
 // must not run twice is worth a sync. Numbered work is only written, which the death of the process does not undo;
 // after that of the system every machine is heard before a number that came before is let out.
-func Writes(e scheduler.Idempotency) (write, sync bool) {
+func MustPersist(e scheduler.Idempotency) (write, sync bool) {
 	return e != scheduler.Idempotent, e == scheduler.AtMostOnce
 }
 
-// Round is one life's. Doubts leave it by their machine's word or end, machines once they told or are gone.
-type Round struct {
-	log     Log
-	effects []scheduler.Idempotency
-	now     scheduler.Time
-	began   scheduler.Time
-	listed  bool
-	said    bool
-	all     bool
-	out     []Action
-	doubts  map[string][]doubt // by key: work that must not run twice and may
-	asking  []*inquiry         // in order of time
+// Tracker is one life's. Doubts leave it by their machine's word or end, machines once they told or are gone.
+type Tracker struct {
+	coverage     LogCoverage
+	idempotency  []scheduler.Idempotency
+	now          scheduler.Time
+	startedAt    scheduler.Time
+	listed       bool
+	completed    bool
+	announcedAll bool
+	actions      []Action
+	unresolved   map[string][]unresolvedAttempt // by key: work that must not run twice and may
+	queries      []*machineQuery                // in order of time
 }
 
-type doubt struct {
-	held  Held
-	since scheduler.Time
+type unresolvedAttempt struct {
+	attempt Attempt
+	since   scheduler.Time
 }
 
-// inquiry is a machine yet to be asked what it holds.
-type inquiry struct {
+// machineQuery is a machine yet to be asked what it holds.
+type machineQuery struct {
 	machine scheduler.MachineID
-	at      scheduler.Time
+	dueAt   scheduler.Time
 	sent    bool
 }
 
-// NewRound begins a life; effects are those of the workloads.
-func NewRound(log Log, effects []scheduler.Idempotency) *Round {
-	return &Round{log: log, effects: effects, began: -1, doubts: map[string][]doubt{}}
+// NewTracker begins a life; effects are those of the workloads.
+func NewTracker(log LogCoverage, effects []scheduler.Idempotency) *Tracker {
+	return &Tracker{coverage: log, idempotency: effects, startedAt: -1, unresolved: map[string][]unresolvedAttempt{}}
 }
 
 // Handle takes what happened and returns what is to be done, in that order.
-func (r *Round) Handle(now scheduler.Time, events ...Event) []Action {
-	r.now, r.out = now, nil
-	if r.began < 0 {
-		r.began = now
+func (r *Tracker) Handle(now scheduler.Time, events ...Event) []Action {
+	r.now, r.actions = now, nil
+	if r.startedAt < 0 {
+		r.startedAt = now
 	}
 	for _, e := range events {
 		switch e := e.(type) {
-		case Logged:
-			r.doubt(e.Held)
-		case Unheard:
-			if r.effect(e.Held.Ask.WorkloadClass) != scheduler.Idempotent {
-				r.doubt(e.Held)
-				r.inquire(e.Held.Machine, now)
+		case AttemptRestored:
+			r.addUnresolved(e.Attempt)
+		case AttemptOutcomeUnknown:
+			if r.idempotencyOf(e.Attempt.Request.WorkloadClass) != scheduler.Idempotent {
+				r.addUnresolved(e.Attempt)
+				r.scheduleQuery(e.Attempt.Machine, now)
 			}
-		case Told:
-			r.settle(e.Held.Ask.IdempotencyKey, func(h Held) bool { return h.Bid == e.Held.Bid })
-			r.told(e.Held.Machine) // its link stands, and what else it knows it will tell by it
-		case Named:
-			r.named(e)
-		case Unnamed:
-			r.told(e.Machine)
-			r.settleAt(e.Machine)
-		case Spoke:
-			r.told(e.Machine)
-			r.settleAt(e.Machine)
-		case Broke:
-			if q := r.inquiry(e.Machine); q != nil {
-				q.sent, q.at = false, now
+		case AttemptNotRunning:
+			r.resolve(e.Attempt.Request.IdempotencyKey, func(h Attempt) bool { return h.Number == e.Attempt.Number })
+			r.finishQuery(e.Attempt.Machine) // its link stands, and what else it knows it will tell by it
+		case MachinesListed:
+			r.machinesListed(e)
+		case MachineRemoved:
+			r.finishQuery(e.Machine)
+			r.resolveOnMachine(e.Machine)
+		case MachineReported:
+			r.finishQuery(e.Machine)
+			r.resolveOnMachine(e.Machine)
+		case MachineDisconnected:
+			if q := r.pendingQuery(e.Machine); q != nil {
+				q.sent, q.dueAt = false, now
 			}
-		case NoLink:
-			if q := r.inquiry(e.Machine); q != nil && q.sent {
-				q.sent, q.at = false, now+reachAgain
+		case ConnectFailed:
+			if q := r.pendingQuery(e.Machine); q != nil && q.sent {
+				q.sent, q.dueAt = false, now+queryRetryInterval
 			}
-		case Lost:
-			r.inquire(e.Machine, now+reachAgain)
+		case MachineUnreachable:
+			r.scheduleQuery(e.Machine, now+queryRetryInterval)
 		}
 	}
-	r.due()
-	return r.out
+	r.runTimers()
+	return r.actions
 }
 
-func (r *Round) do(a Action) { r.out = append(r.out, a) }
+func (r *Tracker) emit(a Action) { r.actions = append(r.actions, a) }
 
-func (r *Round) effect(workload int) scheduler.Idempotency {
-	if workload >= 0 && workload < len(r.effects) {
-		return r.effects[workload]
+func (r *Tracker) idempotencyOf(workload int) scheduler.Idempotency {
+	if workload >= 0 && workload < len(r.idempotency) {
+		return r.idempotency[workload]
 	}
 	return scheduler.AtMostOnce
 }
 
-func (r *Round) doubt(h Held) {
-	r.doubts[h.Ask.IdempotencyKey] = append(r.doubts[h.Ask.IdempotencyKey], doubt{h, r.now})
+func (r *Tracker) addUnresolved(h Attempt) {
+	r.unresolved[h.Request.IdempotencyKey] = append(r.unresolved[h.Request.IdempotencyKey], unresolvedAttempt{h, r.now})
 }
 
-// settle ends a key's doubts that match.
-func (r *Round) settle(key string, match func(Held) bool) {
-	var left []doubt
-	for _, d := range r.doubts[key] {
-		if match(d.held) {
-			r.do(Settled{d.held})
+// resolve ends a key's doubts that match.
+func (r *Tracker) resolve(key string, match func(Attempt) bool) {
+	var left []unresolvedAttempt
+	for _, d := range r.unresolved[key] {
+		if match(d.attempt) {
+			r.emit(AttemptResolved{d.attempt})
 		} else {
 			left = append(left, d)
 		}
 	}
-	if r.doubts[key] = left; len(left) == 0 {
-		delete(r.doubts, key)
+	if r.unresolved[key] = left; len(left) == 0 {
+		delete(r.unresolved, key)
 	}
 }
 
-func (r *Round) settleAt(m scheduler.MachineID) {
+func (r *Tracker) resolveOnMachine(m scheduler.MachineID) {
 	var keys []string
-	for key, all := range r.doubts {
+	for key, all := range r.unresolved {
 		for _, d := range all {
-			if d.held.Machine == m {
+			if d.attempt.Machine == m {
 				keys = append(keys, key)
 				break
 			}
@@ -214,23 +214,23 @@
 	}
 	sort.Strings(keys)
 	for _, key := range keys {
-		r.settle(key, func(h Held) bool { return h.Machine == m })
+		r.resolve(key, func(h Attempt) bool { return h.Machine == m })
 	}
 }
 
-// named asks the machines of the first list, a few at a time: first those that may run what must not run twice, as
+// machinesListed asks the machines of the first list, a few at a time: first those that may run what must not run twice, as
 // its owners wait for their word. What a fresh list no longer has is gone; the list as last heard does not tell that.
-func (r *Round) named(e Named) {
+func (r *Tracker) machinesListed(e MachinesListed) {
 	waited, there := map[scheduler.MachineID]bool{}, map[scheduler.MachineID]bool{}
-	for _, all := range r.doubts {
+	for _, all := range r.unresolved {
 		for _, d := range all {
-			waited[d.held.Machine] = true
+			waited[d.attempt.Machine] = true
 		}
 	}
 	for _, m := range e.Machines {
 		there[m] = true
 	}
-	if e.Whole {
+	if e.FullSnapshot {
 		var gone []scheduler.MachineID
 		for m := range waited {
 			if !there[m] {
@@ -239,8 +239,8 @@
 		}
 		sort.Slice(gone, func(i, j int) bool { return gone[i] < gone[j] })
 		for _, m := range gone {
-			r.told(m)
-			r.settleAt(m)
+			r.finishQuery(m)
+			r.resolveOnMachine(m)
 		}
 	}
 	if r.listed || len(e.Machines) == 0 {
@@ -250,16 +250,16 @@
 	n := 0
 	for _, first := range []bool{true, false} {
 		for _, m := range e.Machines {
-			if waited[m] == first && r.inquiry(m) == nil {
-				r.inquire(m, r.now+scheduler.Time(n/reachAtOnce)*reachEvery)
+			if waited[m] == first && r.pendingQuery(m) == nil {
+				r.scheduleQuery(m, r.now+scheduler.Time(n/queryBatch)*queryInterval)
 				n++
 			}
 		}
 	}
 }
 
-func (r *Round) inquiry(m scheduler.MachineID) *inquiry {
-	for _, q := range r.asking {
+func (r *Tracker) pendingQuery(m scheduler.MachineID) *machineQuery {
+	for _, q := range r.queries {
 		if q.machine == m {
 			return q
 		}
@@ -267,135 +267,135 @@
 	return nil
 }
 
-// inquire has a machine asked. Where its link stands nothing is to be done: its word comes by that, or the link
+// scheduleQuery has a machine asked. Where its link stands nothing is to be done: its word comes by that, or the link
 // breaks and is then made anew.
-func (r *Round) inquire(m scheduler.MachineID, at scheduler.Time) {
-	if r.inquiry(m) == nil {
-		r.asking = append(r.asking, &inquiry{machine: m, at: at})
+func (r *Tracker) scheduleQuery(m scheduler.MachineID, at scheduler.Time) {
+	if r.pendingQuery(m) == nil {
+		r.queries = append(r.queries, &machineQuery{machine: m, dueAt: at})
 	}
 }
 
-func (r *Round) told(m scheduler.MachineID) {
-	for i, q := range r.asking {
+func (r *Tracker) finishQuery(m scheduler.MachineID) {
+	for i, q := range r.queries {
 		if q.machine == m {
-			r.asking = append(r.asking[:i], r.asking[i+1:]...)
+			r.queries = append(r.queries[:i], r.queries[i+1:]...)
 			return
 		}
 	}
 }
 
-// due asks the machines whose time has come.
-func (r *Round) due() {
-	for _, q := range r.asking {
-		if !q.sent && q.at <= r.now {
+// runTimers asks the machines whose time has come.
+func (r *Tracker) runTimers() {
+	for _, q := range r.queries {
+		if !q.sent && q.dueAt <= r.now {
 			q.sent = true
-			r.do(Reach{q.machine})
+			r.emit(ConnectMachine{q.machine})
 		}
 	}
-	if !r.said && (r.toldAll() || r.now >= r.began+sureWithin) {
-		r.said = true
-		r.do(Sure{})
+	if !r.completed && (r.allReported() || r.now >= r.startedAt+reportTimeout) {
+		r.completed = true
+		r.emit(RecoveryComplete{})
 	}
-	if !r.all && r.toldAll() {
-		r.all, r.log = true, Written
-		r.do(ToldAll{})
+	if !r.announcedAll && r.allReported() {
+		r.announcedAll, r.coverage = true, LogComplete
+		r.emit(AllMachinesReported{})
 	}
 }
 
-func (r *Round) toldAll() bool { return r.listed && len(r.asking) == 0 }
+func (r *Tracker) allReported() bool { return r.listed && len(r.queries) == 0 }
 
-// Next is when time is to pass again; 0: it need not.
-func (r *Round) Next() scheduler.Time {
+// NextTimer is when time is to pass again; 0: it need not.
+func (r *Tracker) NextTimer() scheduler.Time {
 	next := scheduler.Time(0)
-	if !r.said {
-		next = r.began + sureWithin
+	if !r.completed {
+		next = r.startedAt + reportTimeout
 	}
-	for _, q := range r.asking {
-		if !q.sent && (next == 0 || q.at < next) {
-			next = q.at
+	for _, q := range r.queries {
+		if !q.sent && (next == 0 || q.dueAt < next) {
+			next = q.dueAt
 		}
 	}
 	return next
 }
 
-// Wait tells why an ask must wait, or is empty. Work that must not run twice never goes out while a bid of its key
+// WaitReason tells why an ask must wait, or is empty. Work that must not run twice never goes out while a bid of its key
 // may run. Beyond that, an ask that came before waits until it is known what runs from earlier lives: at once with
 // a log that has it all, and without one when all machines told, or for some seconds. Of numbered work some bids are
 // missing from a log whose system stopped; that waits for every machine.
-func (r *Round) Wait(a scheduler.PlacementRequest) string {
-	effect := r.effect(a.WorkloadClass)
+func (r *Tracker) WaitReason(a scheduler.PlacementRequest) string {
+	effect := r.idempotencyOf(a.WorkloadClass)
 	if effect == scheduler.Idempotent {
 		return ""
 	}
-	for _, d := range r.doubts[a.IdempotencyKey] {
-		if effect == scheduler.AtMostOnce || r.earlier(d) {
-			return fmt.Sprintf("key %s may run on machine %s, which has not told since %d ms", a.IdempotencyKey, d.held.Machine,
+	for _, d := range r.unresolved[a.IdempotencyKey] {
+		if effect == scheduler.AtMostOnce || r.fromEarlierIncarnation(d) {
+			return fmt.Sprintf("key %s may run on machine %s, which has not told since %d ms", a.IdempotencyKey, d.attempt.Machine,
 				(r.now-d.since)/scheduler.Millisecond)
 		}
 	}
-	if !a.ClientRetry || r.toldAll() || r.log == Written || r.log == Synced && effect == scheduler.AtMostOnce {
+	if !a.ClientRetry || r.allReported() || r.coverage == LogComplete || r.coverage == LogSynced && effect == scheduler.AtMostOnce {
 		return ""
 	}
-	if r.log == NoLog && (r.said || r.now >= r.began+sureWithin) {
+	if r.coverage == LogNone && (r.completed || r.now >= r.startedAt+reportTimeout) {
 		return ""
 	}
-	return fmt.Sprintf("this placer came up %d ms ago and does not know yet what runs", (r.now-r.began)/scheduler.Millisecond)
+	return fmt.Sprintf("this placer came up %d ms ago and does not know yet what runs", (r.now-r.startedAt)/scheduler.Millisecond)
 }
 
-// Unsure tells why it is not known yet whether anything of a key runs, or is empty.
-func (r *Round) Unsure(key string) string {
-	if all := r.doubts[key]; len(all) > 0 {
-		return fmt.Sprintf("key %s may run on machine %s, which has not told", key, all[0].held.Machine)
+// UncertainReason tells why it is not known yet whether anything of a key runs, or is empty.
+func (r *Tracker) UncertainReason(key string) string {
+	if all := r.unresolved[key]; len(all) > 0 {
+		return fmt.Sprintf("key %s may run on machine %s, which has not told", key, all[0].attempt.Machine)
 	}
-	if !r.said && !r.toldAll() {
-		return fmt.Sprintf("this placer came up %d ms ago and does not know yet what runs", (r.now-r.began)/scheduler.Millisecond)
+	if !r.completed && !r.allReported() {
+		return fmt.Sprintf("this placer came up %d ms ago and does not know yet what runs", (r.now-r.startedAt)/scheduler.Millisecond)
 	}
 	return ""
 }
 
-// earlier tells whether a doubt is of an earlier life. Of this life the placer module holds numbered work to its
+// fromEarlierIncarnation tells whether a doubt is of an earlier life. Of this life the placer module holds numbered work to its
 // group and window by itself; of an earlier one nobody knows when its bid was sent.
-func (r *Round) earlier(d doubt) bool { return d.since == r.began }
+func (r *Tracker) fromEarlierIncarnation(d unresolvedAttempt) bool { return d.since == r.startedAt }
 
-// Doubts is the number of keys that wait for a machine's word.
-func (r *Round) Doubts() int { return len(r.doubts) }
+// UnresolvedKeys is the number of keys that wait for a machine's word.
+func (r *Tracker) UnresolvedKeys() int { return len(r.unresolved) }
 
-// Phase is how far a container had come by a keeper's log.
-type Phase uint8
+// ContainerPhase is how far a container had come by a keeper's log.
+type ContainerPhase uint8
 
 const (
-	Wanted Phase = iota // nothing of it was asked for, or what was is surely over
-	Sent                // a placer was asked, or about to be: it may run
-	Ran                 // a machine ran it
-	Kept                // it was being waited for whether it runs
-	Over                // it finished and is not started again
+	PhasePending   ContainerPhase = iota // nothing of it was asked for, or what was is surely over
+	PhaseRequested                       // a placer was asked, or about to be: it may run
+	PhaseRunning                         // a machine ran it
+	PhaseFencing                         // it was being waited for whether it runs
+	PhaseFinished                        // it finished and is not started again
 )
 
-// Step is what is done first.
-type Step uint8
+// ResumeStep is what is done first.
+type ResumeStep uint8
 
 const (
-	Ask   Step = iota // it is asked for, anywhere
-	Look              // the placer that was asked is asked again by the same key: it knows, or finds out
-	Guard             // the wait begins anew: nobody knows how much of it had passed
-	Leave             // nothing
+	StepRequest ResumeStep = iota // it is asked for, anywhere
+	StepLookup                    // the placer that was asked is asked again by the same key: it knows, or finds out
+	StepFence                     // the wait begins anew: nobody knows how much of it had passed
+	StepNone                      // nothing
 )
 
-// perSecond is how many containers a keeper asks for in a second while it recovers: a placer decides on some 10,000
+// resumeRate is how many containers a keeper asks for in a second while it recovers: a placer decides on some 10,000
 // a second, and what came before must not crowd out what comes.
-const perSecond = 2000
+const resumeRate = 2000
 
 // Resume decides on one container, the nth of those that its keeper's log names. What may run is never asked for
 // elsewhere, whatever its effect: a second copy of reissuable work does no harm, but nobody would end it.
-func Resume(p Phase, n int) (Step, scheduler.Time) {
-	pace := scheduler.Time(n) * scheduler.Second / perSecond
+func Resume(p ContainerPhase, n int) (ResumeStep, scheduler.Time) {
+	pace := scheduler.Time(n) * scheduler.Second / resumeRate
 	switch p {
-	case Sent, Ran:
-		return Look, pace
-	case Kept:
-		return Guard, 0
-	case Over:
-		return Leave, 0
+	case PhaseRequested, PhaseRunning:
+		return StepLookup, pace
+	case PhaseFencing:
+		return StepFence, 0
+	case PhaseFinished:
+		return StepNone, 0
 	}
-	return Ask, pace
+	return StepRequest, pace
 }
--- a/internal/schedulerd/state.go
+++ b/internal/schedulerd/state.go
@@ -32,15 +32,15 @@
 	h       *Host
 	dir     folder
 	log     *wal.Log
-	life    warmstart.Life
-	before  warmstart.Life // what the folder said
+	life    warmstart.LogHistory
+	before  warmstart.LogHistory // what the folder said
 	kept    *Knowledge
-	sent    []warmstart.Sent
-	ledger  *warmstart.Ledger
-	later   []warmstart.Sent // to starts that no list has told yet; emptied when it does, or after two windows
-	since   scheduler.Time   // from then on all that was sent to cold machines is known
-	bids    []reconcile.Held // of earlier lives, without an end
-	changes []wal.Change     // of this turn
+	sent    []warmstart.SlowStartSends
+	ledger  *warmstart.SendLedger
+	later   []warmstart.SlowStartSends // to starts that no list has told yet; emptied when it does, or after two windows
+	since   scheduler.Time             // from then on all that was sent to cold machines is known
+	bids    []reconcile.Attempt        // of earlier lives, without an end
+	changes []wal.Change               // of this turn
 	durable bool
 	then    []func(error)
 	owed    []wal.Change // ends of bids that the disk did not take; tried again with the next saving
@@ -62,7 +62,7 @@
 // openState reads a folder and writes down that this life begins. What it cannot read or hold stops the start; a full disk
 // does not.
 func openState(h *Host) (*state, error) {
-	s := &state{h: h, ledger: warmstart.NewLedger(h.site.Terms.SlowStartPeriod, h.site.Terms.SlowStartWindow)}
+	s := &state{h: h, ledger: warmstart.NewSendLedger(h.site.Terms.SlowStartPeriod, h.site.Terms.SlowStartWindow)}
 	var err error
 	if s.dir, err = openFolder(h.site.State); err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 		h.log.Warn("this start is not in the log yet: what must be kept waits for it", "why", err)
 	}
 	h.log.Info("state read", "folder", h.site.State, "records", figures.Records, "groups", figures.Groups, "bytes", figures.Bytes,
-		"cut off", figures.TruncatedBytes, "bids that may run", len(s.bids), "log", s.life.Log)
+		"cut off", figures.TruncatedBytes, "bids that may run", len(s.bids), "log", s.life.Coverage)
 	return s, nil
 }
 
@@ -101,7 +101,7 @@
 		return err
 	}
 	if err = from.ForEach(BidKind, func(_ string, v []byte) error {
-		var held reconcile.Held
+		var held reconcile.Attempt
 		err := cbor.Unmarshal(v, &held)
 		s.bids = append(s.bids, held)
 		return err
@@ -109,7 +109,7 @@
 		return err
 	}
 	if err = from.ForEach(SentKind, func(_ string, v []byte) error {
-		var sent warmstart.Sent
+		var sent warmstart.SlowStartSends
 		err := cbor.Unmarshal(v, &sent)
 		s.sent = append(s.sent, sent)
 		return err
@@ -138,17 +138,17 @@
 	h := s.h
 	now := stamp(scheduler.Time(h.loop.Now()))
 	for _, b := range s.bids {
-		h.tell(reconcile.Logged{Held: b})
+		h.tell(reconcile.AttemptRestored{Attempt: b})
 	}
 	s.begun = true
-	kept := warmstart.Kept{Life: s.before, Sent: s.sent}
+	kept := warmstart.Persisted{History: s.before, Sends: s.sent}
 	var version int64
 	var entries []protocol.MachineEntry
 	if k := s.kept; k != nil {
-		kept.At, kept.Knowledge, kept.Starts, kept.Names = k.At, k.Learned, k.Starts, k.Names
+		kept.TakenAt, kept.Snapshot, kept.Incarnations, kept.ClassNames = k.At, k.Learned, k.Starts, k.Names
 		version, entries = k.ListIs, k.aged(now)
-		if d := h.custody.Door(); d != nil && k.Door != nil && slices.Equal(k.Names, h.names()) {
-			d.Recall(*k.Door, warmstart.Weight(warmstart.Door, now.From(k.At).Age))
+		if d := h.custody.Limiter(); d != nil && k.Door != nil && slices.Equal(k.Names, h.names()) {
+			d.Restore(*k.Door, warmstart.Weight(warmstart.ConcurrencyLimit, now.Since(k.At).Age))
 		}
 		if len(entries) < len(k.Entries) {
 			h.log.Info("list of machines not used", "why", "it is too old", "machines", len(k.Entries))
@@ -160,26 +160,26 @@
 	if !ok {
 		return
 	}
-	machines, starts := map[scheduler.MachineID]warmstart.Machine{}, map[scheduler.MachineID]uint64{}
+	machines, starts := map[scheduler.MachineID]warmstart.MachineStart{}, map[scheduler.MachineID]uint64{}
 	for id, m := range h.machines {
 		machines[id], starts[id] = m.start(), m.incarnation
 	}
-	b := warmstart.Believe(now, kept, machines, h.names(), h.site.Terms.SlowStartWindow)
-	l.Restore(b.Knowledge)
-	s.later, s.since = b.Later, b.Knowledge.SendsKnownSince
-	s.ledger.Carry(b, starts)
+	b := warmstart.Restore(now, kept, machines, h.names(), h.site.Terms.SlowStartWindow)
+	l.Restore(b.Snapshot)
+	s.later, s.since = b.PendingSends, b.Snapshot.SendsKnownSince
+	s.ledger.Restore(b, starts)
 	for _, old := range s.sent { // what counts no more is forgotten, the rest is put by this life's clock
 		s.drop(SentKind, string(old.Machine))
 	}
-	for _, l := range b.Later {
+	for _, l := range b.PendingSends {
 		s.put(SentKind, string(l.Machine), l)
 	}
-	for _, m := range b.Knowledge.Machines {
+	for _, m := range b.Snapshot.Machines {
 		if len(m.RecentSends) > 0 {
-			s.put(SentKind, string(m.Machine), warmstart.Sent{Machine: m.Machine, Start: starts[m.Machine], Times: m.RecentSends})
+			s.put(SentKind, string(m.Machine), warmstart.SlowStartSends{Machine: m.Machine, Incarnation: starts[m.Machine], Times: m.RecentSends})
 		}
 	}
-	for _, text := range b.Said {
+	for _, text := range b.Messages {
 		h.log.Info("recall", "text", text)
 	}
 	s.bids, s.sent, s.kept = nil, nil, nil
@@ -194,7 +194,7 @@
 		return
 	}
 	var found []scheduler.MachineSnapshot
-	if found, s.later = s.ledger.Named(scheduler.Time(h.loop.Now()), s.later, s.start); len(found) > 0 {
+	if found, s.later = s.ledger.ResolvePending(scheduler.Time(h.loop.Now()), s.later, s.start); len(found) > 0 {
 		h.decide()
 		l.Restore(scheduler.Snapshot{SendsKnownSince: s.since, Machines: found})
 	}
@@ -207,15 +207,15 @@
 	}
 }
 
-func (m *machine) start() warmstart.Machine {
-	return warmstart.Machine{Start: m.incarnation, Started: m.startedAt}
+func (m *machine) start() warmstart.MachineStart {
+	return warmstart.MachineStart{Incarnation: m.incarnation, StartedAt: m.startedAt}
 }
 
 // start is how a machine stands, where it is known.
-func (s *state) start(id scheduler.MachineID) (warmstart.Machine, bool) {
+func (s *state) start(id scheduler.MachineID) (warmstart.MachineStart, bool) {
 	m := s.h.machines[id]
 	if m == nil {
-		return warmstart.Machine{}, false
+		return warmstart.MachineStart{}, false
 	}
 	return m.start(), true
 }
@@ -277,7 +277,7 @@
 
 // noteBid puts into the log what must be there before a bid is sent; whether that is anything, and whether on disk.
 func (s *state) noteBid(b *bid) (write, sync bool) {
-	if write, sync = recovery.Writes(s.h.site.Terms.WorkloadClasses[b.c.ask.WorkloadClass].Idempotency); write {
+	if write, sync = recovery.MustPersist(s.h.site.Terms.WorkloadClasses[b.c.ask.WorkloadClass].Idempotency); write {
 		b.logged = true
 		s.put(BidKind, bidKey(b.number), b.held())
 	}
@@ -286,7 +286,7 @@
 
 // noteSend counts what goes to a cold machine.
 func (s *state) noteSend(m *machine) bool {
-	sent, cold := s.ledger.Note(scheduler.Time(s.h.loop.Now()), m.id, m.start())
+	sent, cold := s.ledger.RecordSend(scheduler.Time(s.h.loop.Now()), m.id, m.start())
 	if cold {
 		s.put(SentKind, string(m.id), sent)
 	}
@@ -297,7 +297,7 @@
 func (s *state) save() {
 	h := s.h
 	h.loop.After(knowledgeEvery, s.save)
-	for _, id := range s.ledger.Drop(scheduler.Time(h.loop.Now()), s.start) {
+	for _, id := range s.ledger.Expire(scheduler.Time(h.loop.Now()), s.start) {
 		s.drop(SentKind, string(id))
 	}
 	s.changes, s.owed = append(s.owed, s.changes...), nil
--- a/internal/schedulerd/state_test.go
+++ b/internal/schedulerd/state_test.go
@@ -182,7 +182,7 @@
 				return nil
 			}
 			next := start(t, s2, give, map[string]string{"a": mute})
-			if n := on1(next.h, func() int { return next.h.custody.Doubts() }); n != tc.logged {
+			if n := on1(next.h, func() int { return next.h.custody.UnresolvedKeys() }); n != tc.logged {
 				t.Errorf("%d bids are known to be without an end", n)
 			}
 			ask := func() *protocol.PlacementReply {
@@ -196,7 +196,7 @@
 				}
 			}
 			close(tell)
-			until(t, func() bool { return on1(next.h, func() bool { return next.h.custody.Doubts() == 0 }) })
+			until(t, func() bool { return on1(next.h, func() bool { return next.h.custody.UnresolvedKeys() == 0 }) })
 			if a := ask(); a.Verdict != tc.want {
 				t.Errorf("asked again when it had told: %+v", a)
 			}
--- a/internal/schedulerd/waiting_test.go
+++ b/internal/schedulerd/waiting_test.go
@@ -65,8 +65,8 @@
 			if tc.change != nil && tc.change.Machine == "b" { // it holds what an earlier life of the placer began
 				on1(r.h, func() bool {
 					r.h.learn(scheduler.DeltaUpdate, 2, []protocol.MachineEntry{{Machine: "b", Address: "127.0.0.1:1", Incarnation: 1, Age: -1}})
-					r.h.tell(reconcile.Holds{Machine: "b", Held: []reconcile.Held{{Machine: "b", Life: 1, Bid: 1, Running: true,
-						Ask: scheduler.PlacementRequest{ID: "o", IdempotencyKey: "k-o", Service: "s"}}}})
+					r.h.tell(reconcile.MachineReported{Machine: "b", Attempts: []reconcile.Attempt{{Machine: "b", Incarnation: 1, Number: 1, Running: true,
+						Request: scheduler.PlacementRequest{ID: "o", IdempotencyKey: "k-o", Service: "s"}}}})
 					return true
 				})
 				await[scheduler.ContainerAdopted](r, nil)
--- a/internal/testbed/scenario/restart.go
+++ b/internal/testbed/scenario/restart.go
@@ -486,8 +486,8 @@
 	b.placer.Stop(syscall.SIGTERM) // its last list stays
 	if err := fill(filepath.Join(dir, "state"), schedulerd.BidKind, n, func(i int) (string, any) {
 		id := fmt.Sprint("old-", i)
-		return fmt.Sprintf("%016x", i+1), reconcile.Held{Ask: scheduler.PlacementRequest{ID: scheduler.ContainerID(id), IdempotencyKey: id, Service: fmt.Sprint("s", i%500),
-			WorkloadClass: 2, Cores: 1, Memory: 1}, Machine: scheduler.MachineID(fmt.Sprintf("machine-%04d", i%20)), Life: 1, Bid: uint64(i + 1)}
+		return fmt.Sprintf("%016x", i+1), reconcile.Attempt{Request: scheduler.PlacementRequest{ID: scheduler.ContainerID(id), IdempotencyKey: id, Service: fmt.Sprint("s", i%500),
+			WorkloadClass: 2, Cores: 1, Memory: 1}, Machine: scheduler.MachineID(fmt.Sprintf("machine-%04d", i%20)), Incarnation: 1, Number: uint64(i + 1)}
 	}); err != nil {
 		return err
 	}
--- a/internal/testbed/scenario/sim.go
+++ b/internal/testbed/scenario/sim.go
@@ -127,7 +127,7 @@
 	terms  scheduler.Config
 	life   int
 	module *scheduler.Scheduler
-	door   *overload.Door
+	door   *overload.Limiter
 	open   map[scheduler.ContainerID]*simOpen
 }
 
@@ -272,11 +272,11 @@
 		w.Kept++
 	}
 	if p.door != nil {
-		for _, a := range p.door.Handle(w.now, overload.Asked{Client: c.client, Workload: c.work, Again: c.tries > 1}) {
+		for _, a := range p.door.Handle(w.now, overload.RequestReceived{Client: c.client, WorkloadClass: c.work, ClientRetry: c.tries > 1}) {
 			if s, ok := a.(overload.Shed); ok {
 				w.second(c).Shed++
 				c.due = !c.ignore
-				w.back(c, s.HoldOff)
+				w.back(c, s.RetryAfter)
 				return
 			}
 		}
@@ -315,13 +315,13 @@
 	p.life++
 	p.module, p.open = scheduler.New(p.terms), map[scheduler.ContainerID]*simOpen{}
 	if w.Damping == Damped {
-		s := overload.Terms{Seed: p.terms.Seed, Most: 1_000_000}
+		s := overload.Config{Seed: p.terms.Seed, MaxOpen: 1_000_000}
 		for _, x := range p.terms.WorkloadClasses {
-			s.Workloads = append(s.Workloads, overload.Workload{Agreed: x.LatencyObjective, Gain: x.PriorityWeight})
+			s.WorkloadClasses = append(s.WorkloadClasses, overload.WorkloadClass{LatencyObjective: x.LatencyObjective, PriorityWeight: x.PriorityWeight})
 		}
 		old := p.door
 		if p.door = overload.New(s); old != nil && !w.Forget {
-			p.door.Recall(old.Knows(), 0.9)
+			p.door.Restore(old.Snapshot(), 0.9)
 		}
 	}
 	p.feed(scheduler.MachineListUpdate{Mode: scheduler.FullSnapshot, Entries: w.list(nil)})
@@ -390,7 +390,7 @@
 	}
 	o.answered = true
 	if p.door != nil {
-		p.door.Handle(p.w.now, overload.Failed{Workload: o.c.work})
+		p.door.Handle(p.w.now, overload.RequestFailed{WorkloadClass: o.c.work})
 	}
 	if o.bid == nil {
 		delete(p.open, id)
@@ -528,7 +528,7 @@
 	took := w.now - o.asked
 	b.p.feed(scheduler.AttemptAccepted{ID: b.id, Attempt: o.bids - 1, Machine: m.id, Elapsed: took})
 	if b.p.door != nil {
-		b.p.door.Handle(w.now, overload.Started{Workload: o.c.work, Took: took})
+		b.p.door.Handle(w.now, overload.RequestStarted{WorkloadClass: o.c.work, Elapsed: took})
 	}
 	if took <= w.terms.WorkloadClasses[o.c.work].LatencyObjective {
 		w.second(o.c).InTime++
