--- a/internal/schedulerd/list.go
+++ b/internal/schedulerd/list.go
@@ -160,7 +160,7 @@
 	if h.state != nil {
 		h.state.named()
 		for _, m := range started {
-			h.state.started(m)
+			h.state.noteIncarnation(m)
 		}
 	}
 	h.tell(reconcile.MachinesListed{Machines: ids, FullSnapshot: mode == scheduler.FullSnapshot})
@@ -183,7 +183,7 @@
 	h.feed(scheduler.MachineListUpdate{Mode: scheduler.SelfReported, Version: h.list.version, Entries: []scheduler.MachineEntry{m.entry(&l)}})
 	if h.state != nil {
 		h.state.named()
-		h.state.started(m)
+		h.state.noteIncarnation(m)
 	}
 }
 
--- a/internal/schedulerd/machine.go
+++ b/internal/schedulerd/machine.go
@@ -34,12 +34,12 @@
 }
 
 type probing struct {
-	seq    uint64
-	start  uint64 // of its machine, as known when it was decided on
-	sent   bool
-	unkept bool // it waits for the log
-	timer  *eventloop.Timer
-	sentAt eventloop.Tick
+	seq         uint64
+	incarnation uint64 // of its machine, as known when it was decided on
+	sent        bool
+	unkept      bool // it waits for the log
+	timer       *eventloop.Timer
+	sentAt      eventloop.Tick
 }
 
 func (h *Host) machine(id scheduler.MachineID) *machine {
@@ -326,7 +326,7 @@
 		return
 	}
 	h.lastSeq++
-	p := &probing{seq: h.lastSeq, start: m.incarnation, sentAt: h.loop.Now()}
+	p := &probing{seq: h.lastSeq, incarnation: m.incarnation, sentAt: h.loop.Now()}
 	m.probes[p.seq] = p
 	p.timer = h.loop.After(probeWithin, func() { m.probed(p, scheduler.OutcomeTimedOut, nil) })
 	if h.state != nil && h.state.noteSend(m) {
@@ -346,7 +346,7 @@
 // sendProbe sends a probe, at once or as soon as the link stands. One that was decided on another start of its machine is
 // not sent, as it does not count for this one.
 func (m *machine) sendProbe(p *probing) {
-	if m.ready && m.incarnation != p.start {
+	if m.ready && m.incarnation != p.incarnation {
 		m.probed(p, scheduler.OutcomeNotSent, nil)
 	} else if m.ready {
 		p.sent = m.write(&protocol.Probe{Seq: p.seq})
--- a/internal/schedulerd/state.go
+++ b/internal/schedulerd/state.go
@@ -200,9 +200,9 @@
 	}
 }
 
-// started puts into the log what may have reached a start that was just heard of, while an earlier one was known.
-func (s *state) started(m *machine) {
-	if sent, cold := s.ledger.Started(scheduler.Time(s.h.loop.Now()), m.id, m.start()); cold {
+// noteIncarnation puts into the log what may have reached a start that was just heard of, while an earlier one was known.
+func (s *state) noteIncarnation(m *machine) {
+	if sent, cold := s.ledger.IncarnationObserved(scheduler.Time(s.h.loop.Now()), m.id, m.start()); cold {
 		s.put(SentKind, string(m.id), sent)
 	}
 }
--- a/internal/schedulerd/warmstart/recall.go
+++ b/internal/schedulerd/warmstart/recall.go
@@ -267,7 +267,7 @@
 			left = append(left, s)
 		default:
 			if old := l.recorded[s.Machine]; old != nil && old.Incarnation != s.Incarnation {
-				l.warm[s.Machine] = append(old.Times, l.warm[s.Machine]...)
+				l.unrecorded[s.Machine] = append(old.Times, l.unrecorded[s.Machine]...)
 			}
 			l.recorded[s.Machine] = &SlowStartSends{s.Machine, s.Incarnation, append([]scheduler.Time(nil), s.Times...)}
 			found = append(found, scheduler.MachineSnapshot{Machine: s.Machine, StartedAt: m.StartedAt, RecentSends: s.Times})
@@ -285,63 +285,63 @@
 type SendLedger struct {
 	slowStartPeriod, window scheduler.Time
 	recorded                map[scheduler.MachineID]*SlowStartSends  // on record
-	warm                    map[scheduler.MachineID][]scheduler.Time // only remembered; later than what is on record
+	unrecorded              map[scheduler.MachineID][]scheduler.Time // only remembered; later than what is on record
 }
 
 func NewSendLedger(coldFor, window scheduler.Time) *SendLedger {
-	return &SendLedger{slowStartPeriod: coldFor, window: window, recorded: map[scheduler.MachineID]*SlowStartSends{}, warm: map[scheduler.MachineID][]scheduler.Time{}}
+	return &SendLedger{slowStartPeriod: coldFor, window: window, recorded: map[scheduler.MachineID]*SlowStartSends{}, unrecorded: map[scheduler.MachineID][]scheduler.Time{}}
 }
 
-func (l *SendLedger) cold(now scheduler.Time, m MachineStart) bool {
+func (l *SendLedger) inSlowStart(now scheduler.Time, m MachineStart) bool {
 	return m.StartedAt != 0 && now < m.StartedAt+l.slowStartPeriod
 }
 
 // recent are the times of the last two windows.
 func (l *SendLedger) recent(now scheduler.Time, times []scheduler.Time) []scheduler.Time {
-	return after(now-2*l.window, times)
+	return laterThan(now-2*l.window, times)
 }
 
-func after(from scheduler.Time, times []scheduler.Time) []scheduler.Time {
+func laterThan(from scheduler.Time, times []scheduler.Time) []scheduler.Time {
 	for len(times) > 0 && times[0] <= from {
 		times = times[1:]
 	}
 	return times
 }
 
-// reached gives all that may have reached a machine's start, and forgets what went to earlier ones.
-func (l *SendLedger) reached(now scheduler.Time, id scheduler.MachineID, m MachineStart) *SlowStartSends {
+// sendsReaching gives all that may have reached a machine's start, and forgets what went to earlier ones.
+func (l *SendLedger) sendsReaching(now scheduler.Time, id scheduler.MachineID, m MachineStart) *SlowStartSends {
 	before := m.StartedAt - l.window/transitDivisor - 1
 	s := l.recorded[id]
 	if s == nil {
 		s = &SlowStartSends{Machine: id, Incarnation: m.Incarnation}
 	} else if s.Incarnation != m.Incarnation {
-		s = &SlowStartSends{id, m.Incarnation, after(before, s.Times)}
+		s = &SlowStartSends{id, m.Incarnation, laterThan(before, s.Times)}
 	}
-	s.Times = l.recent(now, append(s.Times, after(before, l.warm[id])...))
-	delete(l.warm, id)
+	s.Times = l.recent(now, append(s.Times, laterThan(before, l.unrecorded[id])...))
+	delete(l.unrecorded, id)
 	return s
 }
 
 // RecordSend counts one bid or probe that is about to go to a machine. It returns what is to be written down before,
 // and whether anything is.
 func (l *SendLedger) RecordSend(now scheduler.Time, id scheduler.MachineID, m MachineStart) (SlowStartSends, bool) {
-	if !l.cold(now, m) {
-		l.warm[id] = append(l.recent(now, l.warm[id]), now)
+	if !l.inSlowStart(now, m) {
+		l.unrecorded[id] = append(l.recent(now, l.unrecorded[id]), now)
 		return SlowStartSends{}, false
 	}
-	s := l.reached(now, id, m)
+	s := l.sendsReaching(now, id, m)
 	s.Times = append(s.Times, now)
 	l.recorded[id] = s
 	return *s, true
 }
 
-// Started tells of a start just heard of. It returns what is to be written down, as it may have reached that start before, and
+// IncarnationObserved tells of a start just heard of. It returns what is to be written down, as it may have reached that start before, and
 // whether anything is.
-func (l *SendLedger) Started(now scheduler.Time, id scheduler.MachineID, m MachineStart) (SlowStartSends, bool) {
-	if s := l.recorded[id]; !l.cold(now, m) || s != nil && s.Incarnation == m.Incarnation && len(l.warm[id]) == 0 {
+func (l *SendLedger) IncarnationObserved(now scheduler.Time, id scheduler.MachineID, m MachineStart) (SlowStartSends, bool) {
+	if s := l.recorded[id]; !l.inSlowStart(now, m) || s != nil && s.Incarnation == m.Incarnation && len(l.unrecorded[id]) == 0 {
 		return SlowStartSends{}, false
 	}
-	s := l.reached(now, id, m)
+	s := l.sendsReaching(now, id, m)
 	if len(s.Times) == 0 {
 		return SlowStartSends{}, false
 	}
@@ -367,18 +367,18 @@
 		if !there && s.Times[len(s.Times)-1] > now-2*l.window {
 			continue // it may come back with the same start
 		}
-		if !there || m.Incarnation != s.Incarnation || !l.cold(now, m) {
+		if !there || m.Incarnation != s.Incarnation || !l.inSlowStart(now, m) {
 			out = append(out, id)
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i] < out[j] })
 	for _, id := range out {
-		l.warm[id] = append(l.recorded[id].Times, l.warm[id]...)
+		l.unrecorded[id] = append(l.recorded[id].Times, l.unrecorded[id]...)
 		delete(l.recorded, id)
 	}
-	for id, times := range l.warm {
-		if l.warm[id] = l.recent(now, times); len(l.warm[id]) == 0 {
-			delete(l.warm, id)
+	for id, times := range l.unrecorded {
+		if l.unrecorded[id] = l.recent(now, times); len(l.unrecorded[id]) == 0 {
+			delete(l.unrecorded, id)
 		}
 	}
 	return out
--- a/internal/schedulerd/warmstart/recall_test.go
+++ b/internal/schedulerd/warmstart/recall_test.go
@@ -201,16 +201,16 @@
 		t.Run(tc.name, func(t *testing.T) {
 			l := NewSendLedger(17*sec, window)
 			tc.act(l)
-			s, recorded := l.Started(102*sec, "m", cold)
+			s, recorded := l.IncarnationObserved(102*sec, "m", cold)
 			if recorded != (tc.want != nil) || !slices.Equal(s.Times, tc.want) || recorded && s.Incarnation != 8 {
 				t.Errorf("%+v, want %v", s, tc.want)
 			}
-			if _, again := l.Started(102*sec, "m", cold); again {
+			if _, again := l.IncarnationObserved(102*sec, "m", cold); again {
 				t.Error("written twice")
 			}
 			l.Expire(102*sec+2*window, func(scheduler.MachineID) (MachineStart, bool) { return MachineStart{9, 0}, true })
-			if len(l.recorded)+len(l.warm) != 0 {
-				t.Errorf("after two windows %d are on record, %d remembered", len(l.recorded), len(l.warm))
+			if len(l.recorded)+len(l.unrecorded) != 0 {
+				t.Errorf("after two windows %d are on record, %d remembered", len(l.recorded), len(l.unrecorded))
 			}
 		})
 	}
