--- a/cmd/glenport-testbed/main.go
+++ b/cmd/glenport-testbed/main.go
@@ -157,7 +157,7 @@
 			return err
 		}
 		s.Damped = s.Damped || damped
-		var d schedulerd.Decider = scheduler.New(s.Terms)
+		var d schedulerd.Scheduler = scheduler.New(s.Terms)
 		if rule > 0 {
 			if d, err = mutants.New(rule, s.Terms, d); err != nil {
 				return err
@@ -167,7 +167,7 @@
 		if err != nil {
 			return err
 		}
-		if r := h.Routes(); r != nil && spoil != "" {
+		if r := h.Speaker(); r != nil && spoil != "" {
 			r.Around(func(d speaker.Decider) speaker.Decider { return mutants.Routes(spoil, d) })
 		}
 		told := make(chan os.Signal, 1)
--- a/cmd/glenport/main.go
+++ b/cmd/glenport/main.go
@@ -83,7 +83,7 @@
 }
 
 // runUntilTold runs a host until it ends or an interrupt or a termination comes.
-func runUntilTold(h *schedulerd.Host) error {
+func runUntilTold(h *schedulerd.Server) error {
 	told := make(chan os.Signal, 1)
 	signal.Notify(told, syscall.SIGINT, syscall.SIGTERM)
 	go func() {
--- a/cmd/glenport/state.go
+++ b/cmd/glenport/state.go
@@ -35,7 +35,7 @@
 type looked struct {
 	state     *wal.State
 	stateErr  error
-	knowledge *schedulerd.Knowledge // nil where there is none
+	knowledge *schedulerd.WarmStartSnapshot // nil where there is none
 	knownErr  error
 }
 
@@ -46,7 +46,7 @@
 	}
 	l := &looked{}
 	l.state, l.stateErr = wal.Load(d, false)
-	l.knowledge, l.knownErr = schedulerd.ReadKnowledge(d)
+	l.knowledge, l.knownErr = schedulerd.ReadWarmStart(d)
 	return l, nil
 }
 
@@ -75,13 +75,13 @@
 				resting++
 			}
 		}
-		at := time.UnixMicro(int64(k.At.Clock) * 100)
+		at := time.UnixMicro(int64(k.TakenAt.Clock) * 100)
 		how := "while it ran"
-		if k.AtAnOrder {
+		if k.OrderlyShutdown {
 			how = "at an orderly end"
 		}
 		fmt.Fprintf(out, "knowledge: version %d, written %s ago, %s; list version %d with %d machines, evidence against %d, %d resting\n",
-			schedulerd.KnowledgeVersion, time.Since(at).Round(time.Millisecond), how, k.ListIs, len(k.Entries), sick, resting)
+			schedulerd.WarmStartVersion, time.Since(at).Round(time.Millisecond), how, k.ListVersion, len(k.Entries), sick, resting)
 	}
 	return errors.Join(l.stateErr, l.knownErr)
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -14,10 +14,10 @@
 
 // Source gives the account; ok is false where the placer does not answer.
 type Source interface {
-	Account(within time.Duration) (s *protocol.StatusReply, r *protocol.RoutesReply, ok bool)
+	Stats(within time.Duration) (s *protocol.StatusReply, r *protocol.RoutesReply, ok bool)
 }
 
-type collector struct{ of Source }
+type collector struct{ source Source }
 
 // Describe sends nothing: what there is follows from the account.
 func (collector) Describe(chan<- *prometheus.Desc) {}
@@ -33,7 +33,7 @@
 			out <- m
 		}
 	}
-	s, r, ok := c.of.Account(2 * time.Second)
+	s, r, ok := c.source.Stats(2 * time.Second)
 	up := 0.0
 	if ok {
 		up = 1
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -9,9 +9,9 @@
 	"glenport/internal/protocol"
 )
 
-type account struct{ ok bool }
+type fakeSource struct{ ok bool }
 
-func (a account) Account(time.Duration) (*protocol.StatusReply, *protocol.RoutesReply, bool) {
+func (a fakeSource) Stats(time.Duration) (*protocol.StatusReply, *protocol.RoutesReply, bool) {
 	return &protocol.StatusReply{Stats: []protocol.Stat{{Name: "placing p99.9", Value: 0.5, Unit: "ms"}, {Name: "bids", Value: 7}}},
 		&protocol.RoutesReply{Peers: []protocol.BGPPeerStatus{{Address: "192.0.2.1:179", State: "Established", Routes: 3}}}, a.ok
 }
@@ -29,7 +29,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			w := httptest.NewRecorder()
-			Serve("", account{tc.ok}).Handler.ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
+			Serve("", fakeSource{tc.ok}).Handler.ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 			for _, line := range tc.want {
 				if !strings.Contains(w.Body.String(), line+"\n") {
 					t.Errorf("no line %s in\n%s", line, w.Body)
--- a/internal/schedulerd/door.go
+++ b/internal/schedulerd/door.go
@@ -10,147 +10,147 @@
 	"glenport/scheduler"
 )
 
-func sortBids(all []*bid) {
+func sortAttempts(all []*attempt) {
 	sort.Slice(all, func(i, j int) bool { return all[i].number < all[j].number })
 }
 
-// owner is a caller at the door: an owner of containers, or another placer with a message.
-type owner struct {
-	h       *Host
-	caller  reconcile.ClientID
-	conn    *eventloop.Conn
-	reader  protocol.Reader
-	name    string
-	role    protocol.Role
-	came    eventloop.Tick
-	halfAt  eventloop.Tick
-	dropped bool
+// clientConn is a caller at the door: an owner of containers, or another placer with a message.
+type clientConn struct {
+	server       *Server
+	id           reconcile.ClientID
+	conn         *eventloop.Conn
+	reader       protocol.Reader
+	name         string
+	role         protocol.Role
+	acceptedAt   eventloop.Tick
+	partialSince eventloop.Tick
+	disconnected bool
 }
 
-func (h *Host) accept() (eventloop.Handler, int) {
-	h.lastOwner++
-	return &owner{h: h, caller: h.lastOwner, reader: protocol.Reader{MaxSize: protocol.MaxClientFrame}, name: "stranger",
-		came: h.loop.Now()}, h.site.Output
+func (h *Server) acceptClient() (eventloop.Handler, int) {
+	h.lastClient++
+	return &clientConn{server: h, id: h.lastClient, reader: protocol.Reader{MaxSize: protocol.MaxClientFrame}, name: "stranger",
+		acceptedAt: h.loop.Now()}, h.config.Output
 }
 
-func (o *owner) Opened(c *eventloop.Conn) {
+func (o *clientConn) Opened(c *eventloop.Conn) {
 	o.conn = c
-	o.h.owners[o.caller] = o
-	o.write(protocol.NewHello(protocol.RoleScheduler, o.h.site.Name, o.h.life))
+	o.server.clients[o.id] = o
+	o.send(protocol.NewHello(protocol.RoleScheduler, o.server.config.Name, o.server.incarnation))
 }
 
-func (o *owner) Read(_ *eventloop.Conn, p []byte) {
-	if o.dropped {
+func (o *clientConn) Read(_ *eventloop.Conn, p []byte) {
+	if o.disconnected {
 		return
 	}
-	if err := o.reader.Feed(p, o.take); err != nil {
-		o.h.badLink(o.name, err)
-		o.drop(err.Error())
+	if err := o.reader.Feed(p, o.handleFrame); err != nil {
+		o.server.logConnectionClosed(o.name, err)
+		o.disconnect(err.Error())
 	}
 	if o.reader.Buffered() == 0 {
-		o.halfAt = 0
-	} else if o.halfAt == 0 {
-		o.halfAt = o.h.loop.Now()
+		o.partialSince = 0
+	} else if o.partialSince == 0 {
+		o.partialSince = o.server.loop.Now()
 	}
 }
 
-func (o *owner) Closed(*eventloop.Conn, error) {
-	o.dropped = true
-	delete(o.h.owners, o.caller)
+func (o *clientConn) Closed(*eventloop.Conn, error) {
+	o.disconnected = true
+	delete(o.server.clients, o.id)
 	if o.role == protocol.RoleClient {
-		o.h.tell(reconcile.ClientDisconnected{Client: o.caller})
+		o.server.enqueueOwnershipEvent(reconcile.ClientDisconnected{Client: o.id})
 	}
 }
 
-// drop ends the link with a word why.
-func (o *owner) drop(why string) {
-	if !o.dropped {
-		o.write(&protocol.Goodbye{Message: why})
-		o.dropped = true
+// disconnect ends the link with a word why.
+func (o *clientConn) disconnect(why string) {
+	if !o.disconnected {
+		o.send(&protocol.Goodbye{Message: why})
+		o.disconnected = true
 		o.conn.Close()
 	}
 }
 
-// write sends a frame. An owner that takes too little is dropped: its answers cannot be kept without bound.
-func (o *owner) write(f protocol.Frame) {
-	if o.dropped {
-		o.h.meter.unheard++
+// send sends a frame. An owner that takes too little is dropped: its answers cannot be kept without bound.
+func (o *clientConn) send(f protocol.Frame) {
+	if o.disconnected {
+		o.server.stats.undelivered++
 		return
 	}
-	p, err := o.h.frame(f)
+	p, err := o.server.encode(f)
 	if err != nil {
-		o.h.log.Error("frame not sent", "owner", o.name, "why", err)
+		o.server.log.Error("frame not sent", "owner", o.name, "why", err)
 		return
 	}
 	if err := o.conn.Write(p); err != nil {
-		o.h.meter.unheard++
-		o.dropped = true
-		o.h.badLink(o.name, fmt.Errorf("%w: %d bytes wait", err, o.conn.PendingOutput()))
+		o.server.stats.undelivered++
+		o.disconnected = true
+		o.server.logConnectionClosed(o.name, fmt.Errorf("%w: %d bytes wait", err, o.conn.PendingOutput()))
 		o.conn.Reset()
 	}
 }
 
-func (o *owner) house(now eventloop.Tick) {
+func (o *clientConn) checkTimeouts(now eventloop.Tick) {
 	switch {
-	case o.role == 0 && now-o.came > greetWithin:
-		o.h.badLink(o.name, fmt.Errorf("no greeting in %d ms", (now-o.came)/eventloop.Millisecond))
-		o.drop("no greeting in time")
-	case o.halfAt > 0 && now-o.halfAt > o.h.site.Silent:
-		o.h.badLink(o.name, fmt.Errorf("half a frame for %d ms", (now-o.halfAt)/eventloop.Millisecond))
-		o.drop("half a frame")
+	case o.role == 0 && now-o.acceptedAt > helloTimeout:
+		o.server.logConnectionClosed(o.name, fmt.Errorf("no greeting in %d ms", (now-o.acceptedAt)/eventloop.Millisecond))
+		o.disconnect("no greeting in time")
+	case o.partialSince > 0 && now-o.partialSince > o.server.config.Silent:
+		o.server.logConnectionClosed(o.name, fmt.Errorf("half a frame for %d ms", (now-o.partialSince)/eventloop.Millisecond))
+		o.disconnect("half a frame")
 	}
 }
 
-func (o *owner) take(f protocol.Frame) error {
-	h := o.h
+func (o *clientConn) handleFrame(f protocol.Frame) error {
+	h := o.server
 	switch f := f.(type) {
 	case *protocol.Hello:
 		o.name, o.role = f.Name, f.Role
 		switch f.Role {
 		case protocol.RoleClient:
-			h.tell(reconcile.ClientConnected{Client: o.caller})
+			h.enqueueOwnershipEvent(reconcile.ClientConnected{Client: o.id})
 		case protocol.RoleScheduler:
 		default:
 			return fmt.Errorf("a %s has no business at this door", f.Role)
 		}
 	case *protocol.Submit:
-		h.submitted(o, f)
+		h.submit(o, f)
 	case *protocol.CancelContainer:
-		h.tell(reconcile.CancelRequested{Client: o.caller, ID: scheduler.ContainerID(f.ContainerID), IdempotencyKey: f.IdempotencyKey})
+		h.enqueueOwnershipEvent(reconcile.CancelRequested{Client: o.id, ID: scheduler.ContainerID(f.ContainerID), IdempotencyKey: f.IdempotencyKey})
 	case *protocol.Lookup:
-		h.tell(reconcile.LookupRequested{Client: o.caller, ID: scheduler.ContainerID(f.ContainerID), IdempotencyKey: f.IdempotencyKey})
+		h.enqueueOwnershipEvent(reconcile.LookupRequested{Client: o.id, ID: scheduler.ContainerID(f.ContainerID), IdempotencyKey: f.IdempotencyKey})
 	case *protocol.ExplainRequest:
-		o.write(h.explain(f))
+		o.send(h.explain(f))
 	case *protocol.RoutesRequest:
-		o.write(h.routesFor(f.Service))
+		o.send(h.routesFor(f.Service))
 	case *protocol.StatusRequest:
-		o.write(h.status())
+		o.send(h.status())
 	case *protocol.Heartbeat:
 	case *protocol.Goodbye:
-		o.drop("good bye")
+		o.disconnect("good bye")
 	default:
 		return fmt.Errorf("%T is not for the door", f)
 	}
 	return nil
 }
 
-func (h *Host) submitted(o *owner, f *protocol.Submit) {
+func (h *Server) submit(o *clientConn, f *protocol.Submit) {
 	now, w := scheduler.Time(h.loop.Now()), &f.Spec
 	ask := scheduler.PlacementRequest{ID: scheduler.ContainerID(w.ContainerID), IdempotencyKey: w.IdempotencyKey, Service: w.Service, WorkloadClass: w.WorkloadClass,
 		Tenant: w.Tenant, Cores: w.Cores, Memory: w.Memory, Deadline: now + scheduler.Time(f.TimeToDeadline),
 		ExpectedRuntime: scheduler.Time(w.ExpectedRuntime), ClientRetry: w.ClientRetry}
-	h.meter.submitted++
-	h.asking[ask.ID] = h.loop.Elapsed()
-	h.tell(reconcile.PlacementRequested{Client: o.caller, Request: ask})
+	h.stats.submitted++
+	h.submittedAt[ask.ID] = h.loop.Elapsed()
+	h.enqueueOwnershipEvent(reconcile.PlacementRequested{Client: o.id, Request: ask})
 }
 
 // explain answers why work like this may wait, where the decisions can tell.
-func (h *Host) explain(f *protocol.ExplainRequest) *protocol.ExplainReply {
+func (h *Server) explain(f *protocol.ExplainRequest) *protocol.ExplainReply {
 	w := &protocol.ExplainReply{Seq: f.Seq, ListAge: -1}
-	if h.list.spokeAt > 0 {
-		w.ListAge = protocol.Duration(h.loop.Now() - h.list.spokeAt)
+	if h.discovery.lastFrameAt > 0 {
+		w.ListAge = protocol.Duration(h.loop.Now() - h.discovery.lastFrameAt)
 	}
-	d, ok := h.decider.(interface {
+	d, ok := h.scheduler.(interface {
 		Explain(scheduler.PlacementRequest) scheduler.Explanation
 	})
 	if !ok {
@@ -165,21 +165,21 @@
 }
 
 // routesFor tells how announcements stand.
-func (h *Host) routesFor(service string) *protocol.RoutesReply {
+func (h *Server) routesFor(service string) *protocol.RoutesReply {
 	out := &protocol.RoutesReply{}
-	if h.routes == nil {
+	if h.speaker == nil {
 		return out
 	}
-	for _, p := range h.routes.Peers() {
+	for _, p := range h.speaker.Peers() {
 		out.Peers = append(out.Peers, protocol.BGPPeerStatus{Address: p.Addr, ASN: p.AS, State: p.State, Routes: p.Routes, PendingRoutes: p.Due, UpdatesSent: p.Updates,
 			BytesSent: p.Bytes, SessionsEnded: p.Flaps, LastError: p.Why})
 	}
-	for _, name := range h.routes.Services() {
+	for _, name := range h.speaker.Services() {
 		if service != "" && name != service {
 			continue
 		}
-		w, _ := h.routes.Why(name)
-		r := protocol.ServiceRoute{Service: name, Prefix: h.site.BGP.Services[name].Prefix.String(), Announced: w.Announced,
+		w, _ := h.speaker.Why(name)
+		r := protocol.ServiceRoute{Service: name, Prefix: h.config.BGP.Services[name].Prefix.String(), Announced: w.Announced,
 			LocalPreference: w.Path.Preference, Running: w.Running, Draining: w.Draining, MinRunning: w.Least, Penalty: w.Penalty, Suppressed: w.Suppressed}
 		if w.NextUpdate > 0 {
 			r.NextChangeIn = max(0, protocol.Duration(w.NextUpdate-scheduler.Time(h.loop.Now())))
@@ -189,48 +189,48 @@
 	return out
 }
 
-// send reaches an owner by its number.
-func (h *Host) send(to reconcile.ClientID, f protocol.Frame) {
-	if o := h.owners[to]; o != nil {
-		o.write(f)
+// sendToClient reaches an owner by its number.
+func (h *Server) sendToClient(to reconcile.ClientID, f protocol.Frame) {
+	if o := h.clients[to]; o != nil {
+		o.send(f)
 	}
 }
 
-func (h *Host) turnAway(a reconcile.Reject) {
-	h.meter.answered(protocol.VerdictNotAdmitted)
-	h.send(a.Client, &protocol.PlacementReply{ContainerID: string(a.ID), Verdict: protocol.VerdictNotAdmitted, RetryAfter: protocol.Duration(a.RetryAfter), Message: a.Reason})
+func (h *Server) refuse(a reconcile.Reject) {
+	h.stats.countAnswer(protocol.VerdictNotAdmitted)
+	h.sendToClient(a.Client, &protocol.PlacementReply{ContainerID: string(a.ID), Verdict: protocol.VerdictNotAdmitted, RetryAfter: protocol.Duration(a.RetryAfter), Message: a.Reason})
 }
 
-// cease ends a container that its owner no longer wants. Whoever asks for its end hears it.
-func (h *Host) cease(a reconcile.TerminateContainer) {
-	id, o := a.ID, h.owners[a.Client]
-	c := h.open[id]
+// cancelContainer ends a container that its owner no longer wants. Whoever asks for its end hears it.
+func (h *Server) cancelContainer(a reconcile.TerminateContainer) {
+	id, o := a.ID, h.clients[a.Client]
+	c := h.containers[id]
 	if c == nil || o == nil {
 		return
 	}
-	if c.owner != nil && c.owner != o && !c.owner.dropped {
-		o.write(&protocol.PlacementReply{ContainerID: string(a.RequestedID), Verdict: protocol.VerdictNotAdmitted, Message: "it is another owner's"})
+	if c.client != nil && c.client != o && !c.client.disconnected {
+		o.send(&protocol.PlacementReply{ContainerID: string(a.RequestedID), Verdict: protocol.VerdictNotAdmitted, Message: "it is another owner's"})
 		return
 	}
-	if b := c.bid; b != nil && b.placed {
-		c.owner, c.heardAs = o, string(a.RequestedID)
-		h.callOff(b) // its end is told when the machine says so
+	if b := c.attempt; b != nil && b.accepted {
+		c.client, c.clientContainerID = o, string(a.RequestedID)
+		h.cancelAttempt(b) // its end is told when the machine says so
 		return
 	}
-	h.feed(scheduler.ContainerRemoved{ID: id})
+	h.enqueueSchedulerEvent(scheduler.ContainerRemoved{ID: id})
 	if !c.answered {
 		c.answered = true
-		h.meter.answered(protocol.VerdictFailed)
-		if c.owner != nil && c.heardAs != string(a.RequestedID) {
-			c.owner.write(&protocol.PlacementReply{ContainerID: c.heardAs, Verdict: protocol.VerdictFailed, Message: "cancelled"})
+		h.stats.countAnswer(protocol.VerdictFailed)
+		if c.client != nil && c.clientContainerID != string(a.RequestedID) {
+			c.client.send(&protocol.PlacementReply{ContainerID: c.clientContainerID, Verdict: protocol.VerdictFailed, Message: "cancelled"})
 		}
-		o.write(&protocol.PlacementReply{ContainerID: string(a.RequestedID), Verdict: protocol.VerdictFailed, Message: "cancelled"})
-		h.tell(reconcile.RequestFailed{ID: id})
+		o.send(&protocol.PlacementReply{ContainerID: string(a.RequestedID), Verdict: protocol.VerdictFailed, Message: "cancelled"})
+		h.enqueueOwnershipEvent(reconcile.RequestFailed{ID: id})
 	}
-	if b := c.bid; b != nil {
-		h.callOff(b)
-		h.over(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: true})
+	if b := c.attempt; b != nil {
+		h.cancelAttempt(b)
+		h.endAttempt(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: true})
 		return
 	}
-	h.close(c)
+	h.removeContainer(c)
 }
--- a/internal/schedulerd/export.go
+++ b/internal/schedulerd/export.go
@@ -53,9 +53,9 @@
 )
 
 // MarshalJSON gives the form of `glenport state export`.
-func (k Knowledge) MarshalJSON() ([]byte, error) {
-	return json.Marshal(exportedSnapshot{At: k.At, Names: k.Names, Learned: exportLearned(k.Learned), Starts: k.Starts,
-		ListIs: k.ListIs, Entries: k.Entries, AtAnOrder: k.AtAnOrder, Door: k.Door})
+func (k WarmStartSnapshot) MarshalJSON() ([]byte, error) {
+	return json.Marshal(exportedSnapshot{At: k.TakenAt, Names: k.Names, Learned: exportLearned(k.Learned), Starts: k.Incarnations,
+		ListIs: k.ListVersion, Entries: k.Entries, AtAnOrder: k.OrderlyShutdown, Door: k.Overload})
 }
 
 func exportLearned(k scheduler.Snapshot) exportedLearned {
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -72,21 +72,21 @@
 }
 
 // There is one entry in the map: the order in which several are encoded is random.
-func goldenSnapshot() *Knowledge {
-	return &Knowledge{
-		At:    warmstart.Timestamp{Clock: 17_000_000_000_101, Uptime: 17_000_102, BootID: "boot-of-the-file"},
-		Names: []string{"class-a", "class-b", "tenant-a"},
+func goldenSnapshot() *WarmStartSnapshot {
+	return &WarmStartSnapshot{
+		TakenAt: warmstart.Timestamp{Clock: 17_000_000_000_101, Uptime: 17_000_102, BootID: "boot-of-the-file"},
+		Names:   []string{"class-a", "class-b", "tenant-a"},
 		Learned: scheduler.Snapshot{
 			Machines: []scheduler.MachineSnapshot{{Machine: "machine-seven", StartedAt: 4001, OutlierLogOdds: 5.25, EjectedUntil: 4002, EjectionTime: 4003, SelfDrainingUntil: 4004,
 				FailureEvidence: []scheduler.FailureEvidence{{LogOdds: 0.125, AsOf: 4005}, {LogOdds: 1.125, AsOf: 4006}}, RecentSends: []scheduler.Time{4007, 4008}}},
 			TrafficClasses: []scheduler.TrafficClass{{LossRatio: 0.0625, SuspicionThreshold: 6.5}, {LossRatio: 0.1875, SuspicionThreshold: 7.5}, {LossRatio: 0.3125, SuspicionThreshold: 8.5}},
 			FullRatio:      0.4375, RejectedWeight: 0.5625, SendsKnownSince: 4009,
 		},
-		Starts:    map[scheduler.MachineID]uint64{"machine-seven": 207},
-		ListIs:    301,
-		Entries:   []entryRecord{recordOfEntry(goldenEntries[0]), recordOfEntry(goldenEntries[1])},
-		AtAnOrder: true,
-		Door:      &overload.Snapshot{Limit: 91.5, Throughput: 92.5, Latency: []float64{0.71, 0.72}, BaselineLatency: []float64{0.81, 0.82}},
+		Incarnations:    map[scheduler.MachineID]uint64{"machine-seven": 207},
+		ListVersion:     301,
+		Entries:         []entryRecord{recordOfEntry(goldenEntries[0]), recordOfEntry(goldenEntries[1])},
+		OrderlyShutdown: true,
+		Overload:        &overload.Snapshot{Limit: 91.5, Throughput: 92.5, Latency: []float64{0.71, 0.72}, BaselineLatency: []float64{0.81, 0.82}},
 	}
 }
 
@@ -94,17 +94,17 @@
 // the snapshot; the log deletes one attempt, puts another and replaces a send.
 func writeGoldenState(t *testing.T, path string) {
 	t.Helper()
-	commit := func(f func(s *state)) {
-		d, err := openFolder(path)
+	commit := func(f func(s *stateStore)) {
+		d, err := openStateDir(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &state{dir: d}
+		s := &stateStore{dir: d}
 		if s.log, _, err = wal.Open(d, wal.Options{}); err != nil {
 			t.Fatal(err)
 		}
 		f(s)
-		s.turnOver()
+		s.commit()
 		if err := s.log.Close(); err != nil {
 			t.Fatal(err)
 		}
@@ -112,15 +112,15 @@
 			t.Fatal(err)
 		}
 	}
-	commit(func(s *state) {
-		s.life = goldenIncarnation
-		s.changes = append(s.changes, s.lifeChange())
+	commit(func(s *stateStore) {
+		s.current = goldenIncarnation
+		s.changes = append(s.changes, s.incarnationChange())
 		for _, h := range goldenAttempts[:3] {
-			b := &bid{number: h.Number, life: h.Incarnation, c: &container{ask: h.Request}, at: &machine{id: h.Machine}}
-			s.put(BidKind, bidKey(b.number), b.held())
+			b := &attempt{number: h.Number, incarnation: h.Incarnation, container: &container{request: h.Request}, machine: &machine{id: h.Machine}}
+			s.put(AttemptKind, attemptKey(b.number), b.record())
 		}
 		for _, sent := range goldenSends {
-			s.put(SentKind, string(sent.Machine), warmstart.SlowStartSends{Machine: sent.Machine, Incarnation: 1, Times: []scheduler.Time{1}})
+			s.put(SendKind, string(sent.Machine), warmstart.SlowStartSends{Machine: sent.Machine, Incarnation: 1, Times: []scheduler.Time{1}})
 		}
 	})
 	d, err := vfs.OpenLocked(path)
@@ -133,11 +133,11 @@
 	if err := d.Close(); err != nil {
 		t.Fatal(err)
 	}
-	commit(func(s *state) {
-		s.drop(BidKind, bidKey(goldenAttempts[2].Number))
-		s.put(BidKind, bidKey(goldenAttempts[3].Number), goldenAttempts[3])
+	commit(func(s *stateStore) {
+		s.remove(AttemptKind, attemptKey(goldenAttempts[2].Number))
+		s.put(AttemptKind, attemptKey(goldenAttempts[3].Number), goldenAttempts[3])
 		for _, sent := range goldenSends {
-			s.put(SentKind, string(sent.Machine), sent)
+			s.put(SendKind, string(sent.Machine), sent)
 		}
 		if err := goldenSnapshot().write(s.dir); err != nil {
 			t.Fatal(err)
@@ -238,16 +238,16 @@
 		name      string
 		got, want any
 	}{
-		{"incarnation", read.before, goldenIncarnation},
-		{"attempts", read.bids, attempts},
-		{"sends", read.sent, goldenSends},
-		{"snapshot", read.kept, goldenSnapshot()},
+		{"incarnation", read.previous, goldenIncarnation},
+		{"attempts", read.attempts, attempts},
+		{"sends", read.sends, goldenSends},
+		{"snapshot", read.snapshot, goldenSnapshot()},
 	} {
 		if !reflect.DeepEqual(record.got, record.want) {
 			t.Errorf("%s: read %+v, want %+v", record.name, record.got, record.want)
 		}
 		if record.name == "snapshot" {
-			for i, r := range read.kept.Entries {
+			for i, r := range read.snapshot.Entries {
 				if r.entry() != goldenEntries[i] {
 					t.Errorf("entry %d: read %+v", i, r.entry())
 				}
@@ -260,11 +260,11 @@
 }
 
 func TestGoldenListOfVersion1IsRead(t *testing.T) {
-	got, err := readKeptList(goldenList)
+	got, err := readLegacyList(goldenList)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Knowledge{At: warmstart.Timestamp{Clock: 17_000_000_000_201}, ListIs: 302, Entries: goldenSnapshot().Entries}
+	want := &WarmStartSnapshot{TakenAt: warmstart.Timestamp{Clock: 17_000_000_000_201}, ListVersion: 302, Entries: goldenSnapshot().Entries}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, want %+v", got, want)
 	}
@@ -272,7 +272,7 @@
 
 // Nothing learned is exported as null, as it was before the export had types of its own.
 func TestEmptySnapshotIsExported(t *testing.T) {
-	got, err := json.Marshal(map[string]any{"kind": "knowledge", "value": Knowledge{Learned: scheduler.Snapshot{Machines: []scheduler.MachineSnapshot{{}}}}})
+	got, err := json.Marshal(map[string]any{"kind": "knowledge", "value": WarmStartSnapshot{Learned: scheduler.Snapshot{Machines: []scheduler.MachineSnapshot{{}}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -291,11 +291,11 @@
 		t.Fatal(err)
 	}
 	defer d.Close()
-	k := &Knowledge{Learned: scheduler.Snapshot{TrafficClasses: []scheduler.TrafficClass{{LossRatio: 0.5, SuspicionThreshold: math.Inf(1)}}}}
+	k := &WarmStartSnapshot{Learned: scheduler.Snapshot{TrafficClasses: []scheduler.TrafficClass{{LossRatio: 0.5, SuspicionThreshold: math.Inf(1)}}}}
 	if err := k.write(d); err != nil {
 		t.Fatal(err)
 	}
-	got, err := ReadKnowledge(d)
+	got, err := ReadWarmStart(d)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -394,7 +394,7 @@
 }
 
 // exported is a snapshot as `glenport state export` writes it, indented.
-func exported(t *testing.T, k *Knowledge) []byte {
+func exported(t *testing.T, k *WarmStartSnapshot) []byte {
 	t.Helper()
 	p, err := json.MarshalIndent(k, "", "  ")
 	if err != nil {
--- a/internal/schedulerd/helpers_test.go
+++ b/internal/schedulerd/helpers_test.go
@@ -40,7 +40,7 @@
 // rig is a host with a list that names machines, and a caller at its door.
 type rig struct {
 	*testing.T
-	h      *Host
+	h      *Server
 	script *script
 	door   *caller
 }
@@ -60,13 +60,13 @@
 	r := &rig{T: t, script: sc}
 	s.ListAddr = listing(t, machines)
 	r.h = run(t, s, sc)
-	r.h.loop.Post(func() { r.h.watch(&protocol.WatchMachineList{Enabled: true}) })
+	r.h.loop.Post(func() { r.h.requestList(&protocol.WatchMachineList{Enabled: true}) })
 	await[scheduler.MachineListUpdate](r, func(e scheduler.MachineListUpdate) bool { return e.Mode != scheduler.RestoredSnapshot })
 	r.door = callDoor(t, r.h.Addr())
 	return r
 }
 
-func run(t *testing.T, s *config.Placer, d Decider) *Host {
+func run(t *testing.T, s *config.Placer, d Scheduler) *Server {
 	t.Helper()
 	h, err := New(s, d, discard)
 	if err != nil {
--- a/internal/schedulerd/host.go
+++ b/internal/schedulerd/host.go
@@ -19,87 +19,87 @@
 	"glenport/scheduler"
 )
 
-// Decider is the placer module, or a script in its place.
-type Decider interface {
+// Scheduler is the placer module, or a script in its place.
+type Scheduler interface {
 	Handle(now scheduler.Time, events []scheduler.Event) []scheduler.Action
 }
 
 const (
-	housekeeping = eventloop.Second
-	greetWithin  = 5 * eventloop.Second // a stranger that has not greeted by then is dropped
-	probeWithin  = eventloop.Second
-	lateFor      = 60 * eventloop.Second // for how long a bid that was over may still be said yes to by its number
+	maintenanceInterval = eventloop.Second
+	helloTimeout        = 5 * eventloop.Second // a stranger that has not greeted by then is dropped
+	probeTimeout        = eventloop.Second
+	lateAcceptWindow    = 60 * eventloop.Second // for how long a bid that was over may still be said yes to by its number
 )
 
-// Host is one life of a placer.
-type Host struct {
-	site    *config.Placer
-	life    uint64
-	log     *slog.Logger
-	loop    *eventloop.Loop
-	door    *eventloop.Listener
-	decider Decider
-	custody *reconcile.Reconciler
-	meter   meter
-
-	events []scheduler.Event // to be handled next
-	told   []reconcile.Event // likewise
-
-	open      map[scheduler.ContainerID]*container    // until answered and without a bid
-	machines  map[scheduler.MachineID]*machine        // until gone from the list and empty
-	asking    map[scheduler.ContainerID]time.Duration // when submissions of this turn came
-	scratch   []byte
-	owners    map[reconcile.ClientID]*owner // until their link ends
-	list      listLink
-	routes    *speaker.Speaker // nil where no address is announced
-	state     *state           // nil where nothing is kept
-	takeovers int              // so far
-	tookOver  map[string]int   // by service, the last one; emptied when no bid waits
-	unsent    int              // bids that wait for a link or the log
-	linked    []*machine       // that said in this turn what they hold
-	lastBid   uint64
-	lastOwner reconcile.ClientID
-	lastSeq   uint64
+// Server is one life of a placer.
+type Server struct {
+	config      *config.Placer
+	incarnation uint64
+	log         *slog.Logger
+	loop        *eventloop.Loop
+	listener    *eventloop.Listener
+	scheduler   Scheduler
+	ownership   *reconcile.Reconciler
+	stats       stats
+
+	schedulerEvents []scheduler.Event // to be handled next
+	ownershipEvents []reconcile.Event // likewise
+
+	containers     map[scheduler.ContainerID]*container    // until answered and without a bid
+	machines       map[scheduler.MachineID]*machine        // until gone from the list and empty
+	submittedAt    map[scheduler.ContainerID]time.Duration // when submissions of this turn came
+	encodeBuffer   []byte
+	clients        map[reconcile.ClientID]*clientConn // until their link ends
+	discovery      discoveryClient
+	speaker        *speaker.Speaker // nil where no address is announced
+	state          *stateStore      // nil where nothing is kept
+	adoptions      int              // so far
+	lastAdoption   map[string]int   // by service, the last one; emptied when no bid waits
+	queuedAttempts int              // bids that wait for a link or the log
+	newlyReady     []*machine       // that said in this turn what they hold
+	lastAttempt    uint64
+	lastClient     reconcile.ClientID
+	lastProbe      uint64
 }
 
 // container is one that this placer has taken or taken over.
 type container struct {
-	ask      scheduler.PlacementRequest
-	window   protocol.Duration
-	owner    *owner // nil where it was taken over and nobody asked again
-	heardAs  string // its id for that owner
-	answered bool
-	bids     int
-	bid      *bid // the one out, or the one by which it runs
-	came     time.Duration
-}
-
-// bid is an offer that is to be sent, is out, or has led to a container that runs.
-type bid struct {
-	number  uint64
-	life    uint64
-	nth     int
-	c       *container
-	at      *machine
-	sentAt  eventloop.Tick
-	until   eventloop.Tick
-	timer   *eventloop.Timer
-	sent    bool
-	placed  bool
-	stopped bool   // its end was asked for
-	start   uint64 // of its machine, as known when it was decided on
-	after   int    // takeovers before that
-	logged  bool   // the log holds it
-	unkept  bool   // it waits for the log
+	request           scheduler.PlacementRequest
+	window            protocol.Duration
+	client            *clientConn // nil where it was taken over and nobody asked again
+	clientContainerID string      // its id for that owner
+	answered          bool
+	attempts          int
+	attempt           *attempt // the one out, or the one by which it runs
+	submittedAt       time.Duration
+}
+
+// attempt is an offer that is to be sent, is out, or has led to a container that runs.
+type attempt struct {
+	number             uint64
+	incarnation        uint64
+	ordinal            int
+	container          *container
+	machine            *machine
+	decidedAt          eventloop.Tick
+	deadline           eventloop.Tick
+	timer              *eventloop.Timer
+	sent               bool
+	accepted           bool
+	cancelRequested    bool   // its end was asked for
+	machineIncarnation uint64 // of its machine, as known when it was decided on
+	adoptionsBefore    int    // takeovers before that
+	inLog              bool   // the log holds it
+	awaitingLog        bool   // it waits for the log
 }
 
 // New makes the host of one life of a placer and opens its door. Stop or Run to its end frees what it holds.
-func New(s *config.Placer, d Decider, log *slog.Logger) (*Host, error) {
-	h := &Host{site: s, life: uint64(time.Now().UnixMicro()), log: log, decider: d,
-		open: map[scheduler.ContainerID]*container{}, machines: map[scheduler.MachineID]*machine{},
-		asking: map[scheduler.ContainerID]time.Duration{}, owners: map[reconcile.ClientID]*owner{},
-		tookOver: map[string]int{}}
-	h.lastBid = h.life // bid numbers are unique over all lives
+func New(s *config.Placer, d Scheduler, log *slog.Logger) (*Server, error) {
+	h := &Server{config: s, incarnation: uint64(time.Now().UnixMicro()), log: log, scheduler: d,
+		containers: map[scheduler.ContainerID]*container{}, machines: map[scheduler.MachineID]*machine{},
+		submittedAt: map[scheduler.ContainerID]time.Duration{}, clients: map[reconcile.ClientID]*clientConn{},
+		lastAdoption: map[string]int{}}
+	h.lastAttempt = h.incarnation // bid numbers are unique over all lives
 	var effects []scheduler.Idempotency
 	var calm []overload.WorkloadClass
 	for _, w := range s.Terms.WorkloadClasses {
@@ -108,9 +108,9 @@
 			calm = append(calm, overload.WorkloadClass{LatencyObjective: w.LatencyObjective, PriorityWeight: w.PriorityWeight})
 		}
 	}
-	h.meter.init()
+	h.stats.init()
 	var err error
-	if h.loop, err = eventloop.New(h.turn); err != nil {
+	if h.loop, err = eventloop.New(h.runIteration); err != nil {
 		return nil, err
 	}
 	known := recovery.LogNone
@@ -120,14 +120,14 @@
 			h.loop.Run()
 			return nil, err
 		}
-		known = h.state.life.Coverage
+		known = h.state.current.Coverage
 	}
-	h.custody = reconcile.New(h.life, s.Bounds, effects, known, calm)
+	h.ownership = reconcile.New(h.incarnation, s.Bounds, effects, known, calm)
 	if s.BGP != nil {
-		h.routes = speaker.New(h.loop, *s.BGP, log)
+		h.speaker = speaker.New(h.loop, *s.BGP, log)
 	}
-	h.loop.OnFlushed(func() { h.meter.flushed(h.loop.Elapsed()) })
-	if h.door, err = h.loop.Listen(s.Door, h.accept, h.loop.AcceptStateLogger(log, "callers")); err != nil {
+	h.loop.OnFlushed(func() { h.stats.flushed(h.loop.Elapsed()) })
+	if h.listener, err = h.loop.Listen(s.Door, h.acceptClient, h.loop.AcceptStateLogger(log, "callers")); err != nil {
 		h.loop.Stop()
 		h.loop.Run()
 		h.closeState()
@@ -136,11 +136,11 @@
 	return h, nil
 }
 
-// Routes is the speaker; nil where no address is announced.
-func (h *Host) Routes() *speaker.Speaker { return h.routes }
+// Speaker is the speaker; nil where no address is announced.
+func (h *Server) Speaker() *speaker.Speaker { return h.speaker }
 
-// Account gives the figures and routes to another goroutine, unless the loop does not answer in time.
-func (h *Host) Account(within time.Duration) (*protocol.StatusReply, *protocol.RoutesReply, bool) {
+// Stats gives the figures and routes to another goroutine, unless the loop does not answer in time.
+func (h *Server) Stats(within time.Duration) (*protocol.StatusReply, *protocol.RoutesReply, bool) {
 	type both struct {
 		s *protocol.StatusReply
 		r *protocol.RoutesReply
@@ -158,116 +158,120 @@
 }
 
 // Addr is where owners call.
-func (h *Host) Addr() string { return h.door.Addr().String() }
+func (h *Server) Addr() string { return h.listener.Addr().String() }
 
 // Stop ends Run; any goroutine may call it.
-func (h *Host) Stop() {
+func (h *Server) Stop() {
 	h.loop.Post(func() {
-		if h.routes != nil {
-			h.routes.Stop("this placer is stopped")
+		if h.speaker != nil {
+			h.speaker.Stop("this placer is stopped")
 		}
 	})
 	h.loop.Stop()
 }
 
 // Run serves until Stop.
-func (h *Host) Run() error {
-	h.loop.Post(h.begin)
+func (h *Server) Run() error {
+	h.loop.Post(h.start)
 	err := h.loop.Run()
 	h.closeState()
 	return err
 }
 
-func (h *Host) closeState() {
+func (h *Server) closeState() {
 	if h.state != nil {
 		h.state.close()
 	}
 }
 
-// begin starts from what earlier lives left.
-func (h *Host) begin() {
-	h.log.Info("placer up", "name", h.site.Name, "door", h.Addr(), "life", h.life)
+// start starts from what earlier lives left.
+func (h *Server) start() {
+	h.log.Info("placer up", "name", h.config.Name, "door", h.Addr(), "life", h.incarnation)
 	if h.state != nil {
-		h.state.begin()
+		h.state.restore()
 	} else {
-		h.learn(scheduler.RestoredSnapshot, 0, nil)
+		h.applyList(scheduler.RestoredSnapshot, 0, nil)
 	}
-	h.loop.After(housekeeping, h.keepHouse)
-	if h.routes != nil {
-		if err := h.routes.Start(); err != nil {
+	h.loop.After(maintenanceInterval, h.maintain)
+	if h.speaker != nil {
+		if err := h.speaker.Start(); err != nil {
 			h.log.Error("no addresses are announced", "why", err)
-			h.routes = nil
+			h.speaker = nil
 		}
 	}
 }
 
-// route tells the speaker of a container that runs, or does no longer.
-func (h *Host) route(b *bid, runs bool) {
-	service := b.c.ask.Service
-	if h.routes == nil || !h.routes.Offers(service) {
+// announce tells the speaker of a container that runs, or does no longer.
+func (h *Server) announce(b *attempt, runs bool) {
+	service := b.container.request.Service
+	if h.speaker == nil || !h.speaker.Offers(service) {
 		return
 	}
 	if runs {
-		h.routes.Handle(announce.Runs{Service: service, Container: string(b.c.ask.ID), Draining: b.at.draining})
+		h.speaker.Handle(announce.Runs{Service: service, Container: string(b.container.request.ID), Draining: b.machine.draining})
 	} else {
-		h.routes.Handle(announce.Ends{Service: service, Container: string(b.c.ask.ID)})
+		h.speaker.Handle(announce.Ends{Service: service, Container: string(b.container.request.ID)})
 	}
 }
 
-func (h *Host) tell(e reconcile.Event) { h.told = append(h.told, e) }
-func (h *Host) feed(e scheduler.Event) { h.events = append(h.events, e) }
+func (h *Server) enqueueOwnershipEvent(e reconcile.Event) {
+	h.ownershipEvents = append(h.ownershipEvents, e)
+}
+func (h *Server) enqueueSchedulerEvent(e scheduler.Event) {
+	h.schedulerEvents = append(h.schedulerEvents, e)
+}
 
-// turn hands over what came in and carries out what is decided.
-func (h *Host) turn() {
+// runIteration hands over what came in and carries out what is decided.
+func (h *Server) runIteration() {
 	now := scheduler.Time(h.loop.Now())
-	if told := h.told; len(told) > 0 {
-		h.told = nil
-		for _, a := range h.custody.Handle(now, told) {
-			h.see(a)
+	if told := h.ownershipEvents; len(told) > 0 {
+		h.ownershipEvents = nil
+		for _, a := range h.ownership.Handle(now, told) {
+			h.executeOwnershipAction(a)
 		}
-		clear(h.asking)
+		clear(h.submittedAt)
 	}
-	for _, m := range h.linked { // what they run is taken over by now
-		m.sendWaiting()
+	for _, m := range h.newlyReady { // what they run is taken over by now
+		m.sendQueued()
 	}
-	h.linked = nil
-	h.decide()
+	h.newlyReady = nil
+	h.runScheduler()
 	if h.state != nil {
-		h.state.turnOver()
+		h.state.commit()
 	}
-	if len(h.events)+len(h.told) > 0 {
+	if len(h.schedulerEvents)+len(h.ownershipEvents) > 0 {
 		h.loop.SkipWait()
 	}
 }
 
-// decide hands the placer module what happened.
-func (h *Host) decide() {
-	events := h.events
+// runScheduler hands the placer module what happened.
+func (h *Server) runScheduler() {
+	events := h.schedulerEvents
 	if len(events) == 0 {
 		return
 	}
-	h.events = nil
+	h.schedulerEvents = nil
 	began := h.loop.Elapsed()
-	actions := h.decider.Handle(scheduler.Time(h.loop.Now()), events)
-	h.meter.handled(h.loop.Elapsed()-began, len(events), len(actions))
+	actions := h.scheduler.Handle(scheduler.Time(h.loop.Now()), events)
+	h.stats.countBatch(h.loop.Elapsed()-began, len(events), len(actions))
 	for _, a := range actions {
-		h.carry(a)
+		h.executeSchedulerAction(a)
 	}
 }
 
-// carry does what the placer module wants done.
-func (h *Host) carry(a scheduler.Action) {
+// executeSchedulerAction does what the placer module wants done.
+func (h *Server) executeSchedulerAction(a scheduler.Action) {
 	switch a := a.(type) {
 	case scheduler.StartAttempt:
-		h.offer(a)
+		h.startAttempt(a)
 	case scheduler.Reject:
-		h.answer(a.ID, &protocol.PlacementReply{Verdict: protocol.VerdictRejected, RetryAfter: protocol.Duration(a.RetryAfter)})
+		h.sendAnswer(a.ID, &protocol.PlacementReply{Verdict: protocol.VerdictRejected, RetryAfter: protocol.Duration(a.RetryAfter)})
 	case scheduler.Fail:
-		h.answer(a.ID, &protocol.PlacementReply{Verdict: protocol.VerdictFailed})
+		h.sendAnswer(a.ID, &protocol.PlacementReply{Verdict: protocol.VerdictFailed})
 	case scheduler.CancelAttempt:
-		if c := h.open[a.ID]; c != nil && c.bid != nil && !c.bid.placed && c.bid.nth == a.Attempt {
-			h.callOff(c.bid)
-			h.over(c.bid, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: c.answered})
+		if c := h.containers[a.ID]; c != nil && c.attempt != nil && !c.attempt.accepted && c.attempt.ordinal == a.Attempt {
+			h.cancelAttempt(c.attempt)
+			h.endAttempt(c.attempt, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: c.answered})
 		}
 	case scheduler.Probe:
 		h.probe(a.Machine)
@@ -276,322 +280,322 @@
 			m.conn.Close()
 		}
 	case scheduler.SetTimer:
-		h.loop.After(eventloop.Tick(a.After), func() { h.feed(scheduler.TimerFired{Name: a.Name}) })
+		h.loop.After(eventloop.Tick(a.After), func() { h.enqueueSchedulerEvent(scheduler.TimerFired{Name: a.Name}) })
 	case scheduler.WatchMachineList:
-		h.watch(&protocol.WatchMachineList{Enabled: a.Enabled, SinceVersion: h.list.version})
+		h.requestList(&protocol.WatchMachineList{Enabled: a.Enabled, SinceVersion: h.discovery.version})
 	case scheduler.FetchMachineList:
-		h.watch(&protocol.FetchMachineList{})
+		h.requestList(&protocol.FetchMachineList{})
 	case scheduler.Log:
 		h.log.Info("mode", "text", a.Message)
 	}
 }
 
-// see does what custody wants done.
-func (h *Host) see(a reconcile.Action) {
+// executeOwnershipAction does what custody wants done.
+func (h *Server) executeOwnershipAction(a reconcile.Action) {
 	switch a := a.(type) {
 	case reconcile.CloseClient:
-		if o := h.owners[a.Client]; o != nil {
-			o.drop(a.Reason)
+		if o := h.clients[a.Client]; o != nil {
+			o.disconnect(a.Reason)
 		}
 	case reconcile.Admit:
-		h.take(a)
+		h.admit(a)
 	case reconcile.Reject:
-		h.turnAway(a)
+		h.refuse(a)
 	case reconcile.AlreadyRunning:
-		h.send(a.Client, &protocol.PlacementReply{ContainerID: string(a.ID), Verdict: protocol.VerdictPlaced, Machine: string(a.Machine),
+		h.sendToClient(a.Client, &protocol.PlacementReply{ContainerID: string(a.ID), Verdict: protocol.VerdictPlaced, Machine: string(a.Machine),
 			Message: "it runs already"})
-		if c := h.open[a.RunningID]; c != nil { // who asked last hears its fate
-			c.owner, c.heardAs = h.owners[a.Client], string(a.ID)
+		if c := h.containers[a.RunningID]; c != nil { // who asked last hears its fate
+			c.client, c.clientContainerID = h.clients[a.Client], string(a.ID)
 		}
 	case reconcile.TerminateContainer:
-		h.cease(a)
+		h.cancelContainer(a)
 	case reconcile.NotRunning:
-		h.send(a.Client, &protocol.PlacementReply{ContainerID: string(a.ID), Verdict: protocol.VerdictRejected, Message: "nothing of it runs"})
+		h.sendToClient(a.Client, &protocol.PlacementReply{ContainerID: string(a.ID), Verdict: protocol.VerdictRejected, Message: "nothing of it runs"})
 	case reconcile.AlreadyTerminated:
-		h.send(a.Client, &protocol.PlacementReply{ContainerID: string(a.ID), Verdict: protocol.VerdictFailed, Message: "cancelled"})
+		h.sendToClient(a.Client, &protocol.PlacementReply{ContainerID: string(a.ID), Verdict: protocol.VerdictFailed, Message: "cancelled"})
 	case reconcile.CancelAttempt:
 		if m := h.machines[a.Machine]; m != nil && m.ready {
-			m.write(&protocol.CancelAttempt{SchedulerIncarnation: a.Incarnation, AttemptID: a.Attempt})
+			m.send(&protocol.CancelAttempt{SchedulerIncarnation: a.Incarnation, AttemptID: a.Attempt})
 		}
 	case reconcile.Adopt:
 		h.adopt(a.Attempt)
 	case reconcile.ContainerLost:
-		if c := h.open[a.ID]; c != nil && c.bid != nil && c.bid.placed {
+		if c := h.containers[a.ID]; c != nil && c.attempt != nil && c.attempt.accepted {
 			if !a.Confirmed { // behind a cut it may run on
-				h.unheard(c.bid)
+				h.outcomeUnknown(c.attempt)
 			}
-			h.over(c.bid, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost, Final: true})
+			h.endAttempt(c.attempt, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost, Final: true})
 		}
 	case reconcile.ConnectMachine:
 		if m := h.machines[a.Machine]; m != nil {
-			h.reach(m)
+			h.connect(m)
 		} else {
-			h.tell(reconcile.ConnectFailed{Machine: a.Machine})
+			h.enqueueOwnershipEvent(reconcile.ConnectFailed{Machine: a.Machine})
 		}
 	case reconcile.RecoveryComplete:
-		if h.routes != nil {
-			h.routes.Whole()
+		if h.speaker != nil {
+			h.speaker.Whole()
 		}
 	case reconcile.AllMachinesReported:
 		if h.state != nil {
-			h.state.life = h.state.life.WithCompleteLog()
-			h.state.changes = append(h.state.changes, h.state.lifeChange())
+			h.state.current = h.state.current.WithCompleteLog()
+			h.state.changes = append(h.state.changes, h.state.incarnationChange())
 		}
 	case reconcile.AttemptResolved:
 		if h.state != nil {
-			h.state.drop(BidKind, bidKey(a.Attempt.Number))
+			h.state.remove(AttemptKind, attemptKey(a.Attempt.Number))
 		}
 	case reconcile.SetTimer:
-		h.loop.After(eventloop.Tick(a.After), func() { h.tell(reconcile.TimerFired{}) })
+		h.loop.After(eventloop.Tick(a.After), func() { h.enqueueOwnershipEvent(reconcile.TimerFired{}) })
 	case reconcile.Log:
 		h.log.Info("custody", "text", a.Message)
 	}
 }
 
-// take hands a container that the door lets in to the placer module.
-func (h *Host) take(a reconcile.Admit) {
-	h.open[a.Request.ID] = &container{ask: a.Request, owner: h.owners[a.Client], heardAs: string(a.Request.ID), came: h.asking[a.Request.ID],
-		window: protocol.Duration(h.site.Terms.WorkloadClasses[a.Request.WorkloadClass].DedupWindow)}
-	h.feed(scheduler.RequestReceived{PlacementRequest: a.Request})
+// admit hands a container that the door lets in to the placer module.
+func (h *Server) admit(a reconcile.Admit) {
+	h.containers[a.Request.ID] = &container{request: a.Request, client: h.clients[a.Client], clientContainerID: string(a.Request.ID), submittedAt: h.submittedAt[a.Request.ID],
+		window: protocol.Duration(h.config.Terms.WorkloadClasses[a.Request.WorkloadClass].DedupWindow)}
+	h.enqueueSchedulerEvent(scheduler.RequestReceived{PlacementRequest: a.Request})
 }
 
-// frame encodes a frame; what it returns holds until the next call.
-func (h *Host) frame(f protocol.Frame) ([]byte, error) {
+// encode encodes a frame; what it returns holds until the next call.
+func (h *Server) encode(f protocol.Frame) ([]byte, error) {
 	var err error
-	h.scratch, err = protocol.Append(h.scratch[:0], f)
-	if cap(h.scratch) > 1<<20 {
-		defer func() { h.scratch = nil }()
+	h.encodeBuffer, err = protocol.Append(h.encodeBuffer[:0], f)
+	if cap(h.encodeBuffer) > 1<<20 {
+		defer func() { h.encodeBuffer = nil }()
 	}
-	return h.scratch, err
+	return h.encodeBuffer, err
 }
 
-// offer sends a bid, at once or as soon as the link stands. What cannot be sent is an outcome of its own.
-func (h *Host) offer(a scheduler.StartAttempt) {
-	c, m := h.open[a.ID], h.machines[a.Machine]
+// startAttempt sends a bid, at once or as soon as the link stands. What cannot be sent is an outcome of its own.
+func (h *Server) startAttempt(a scheduler.StartAttempt) {
+	c, m := h.containers[a.ID], h.machines[a.Machine]
 	if c == nil {
 		h.log.Error("bid for an unknown container", "container", a.ID)
 		return
 	}
-	if c.bid != nil || m == nil || c.answered {
-		h.feed(scheduler.AttemptEnded{ID: a.ID, Outcome: scheduler.OutcomeNotSent, Machine: a.Machine, Attempt: c.bids, Final: c.answered})
+	if c.attempt != nil || m == nil || c.answered {
+		h.enqueueSchedulerEvent(scheduler.AttemptEnded{ID: a.ID, Outcome: scheduler.OutcomeNotSent, Machine: a.Machine, Attempt: c.attempts, Final: c.answered})
 		return
 	}
 	now := h.loop.Now()
-	until := eventloop.Tick(c.ask.Deadline)
+	until := eventloop.Tick(c.request.Deadline)
 	if a.Timeout > 0 {
 		until = min(until, now+eventloop.Tick(a.Timeout))
 	}
-	h.lastBid++
-	b := &bid{number: h.lastBid, life: h.life, nth: c.bids, c: c, at: m, sentAt: now, until: until, start: m.incarnation, after: h.takeovers}
-	c.bid = b
-	c.bids++
-	b.timer = h.loop.After(until-now, func() { h.timedOut(b) })
+	h.lastAttempt++
+	b := &attempt{number: h.lastAttempt, incarnation: h.incarnation, ordinal: c.attempts, container: c, machine: m, decidedAt: now, deadline: until, machineIncarnation: m.incarnation, adoptionsBefore: h.adoptions}
+	c.attempt = b
+	c.attempts++
+	b.timer = h.loop.After(until-now, func() { h.attemptTimedOut(b) })
 	if h.state != nil {
-		if write, sync := h.state.noteBid(b); write {
-			b.unkept = true
-			h.state.after(sync, func(err error) { h.kept(b, err) })
+		if write, sync := h.state.logAttempt(b); write {
+			b.awaitingLog = true
+			h.state.afterCommit(sync, func(err error) { h.attemptLogged(b, err) })
 		}
 	}
-	if m.ready && !b.unkept {
-		m.offer(b)
+	if m.ready && !b.awaitingLog {
+		m.sendOffer(b)
 		return
 	}
 	// It waits for its link no longer than a link may take. The module counts what it sends a cold machine by
 	// the moment it decides, with an eighth of the window kept for the way; bids that pile up behind a link
 	// that is slow to stand would arrive together and push the machine over.
-	m.waiting = append(m.waiting, b)
-	h.unsent++
-	h.loop.After(h.site.Connect, func() {
-		if m.forgetWaiting(b) {
-			h.unreached(b)
+	m.queued = append(m.queued, b)
+	h.queuedAttempts++
+	h.loop.After(h.config.Connect, func() {
+		if m.dequeue(b) {
+			h.attemptUnreached(b)
 		}
 	})
-	h.reach(m)
+	h.connect(m)
 }
 
-// kept lets a bid go that waited for the log. One that could not be written down is never sent.
-func (h *Host) kept(b *bid, err error) {
-	b.unkept = false
+// attemptLogged lets a bid go that waited for the log. One that could not be written down is never sent.
+func (h *Server) attemptLogged(b *attempt, err error) {
+	b.awaitingLog = false
 	if err == nil {
-		if b.at.ready {
-			b.at.sendWaiting()
+		if b.machine.ready {
+			b.machine.sendQueued()
 		}
-	} else if b.at.forgetWaiting(b) {
-		h.notSent(b)
+	} else if b.machine.dequeue(b) {
+		h.attemptNotSent(b)
 	}
 }
 
-// unreached ends a bid that waited in vain. Where its link stands it was the log that it waited for: that tells nothing
+// attemptUnreached ends a bid that waited in vain. Where its link stands it was the log that it waited for: that tells nothing
 // of its machine.
-func (h *Host) unreached(b *bid) {
-	if b.unkept || b.at.ready {
-		h.notSent(b)
+func (h *Server) attemptUnreached(b *attempt) {
+	if b.awaitingLog || b.machine.ready {
+		h.attemptNotSent(b)
 		return
 	}
-	h.meter.outcome("no connection")
-	h.over(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeConnectFailed})
+	h.stats.countOutcome("no connection")
+	h.endAttempt(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeConnectFailed})
 }
 
-func (h *Host) notSent(b *bid) {
-	h.meter.outcome("not sent")
-	h.over(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
+func (h *Server) attemptNotSent(b *attempt) {
+	h.stats.countOutcome("not sent")
+	h.endAttempt(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
 }
 
-func (h *Host) timedOut(b *bid) {
+func (h *Server) attemptTimedOut(b *attempt) {
 	b.timer = nil
 	if !b.sent {
-		b.at.forgetWaiting(b)
-		h.unreached(b)
+		b.machine.dequeue(b)
+		h.attemptUnreached(b)
 		return
 	}
-	h.meter.outcome("timed out")
-	b.at.expectLate(b)
-	h.unheard(b)
-	h.over(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeTimedOut})
+	h.stats.countOutcome("timed out")
+	b.machine.rememberExpired(b)
+	h.outcomeUnknown(b)
+	h.endAttempt(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeTimedOut})
 }
 
-// unheard leaves it to custody when the log may forget a bid.
-func (h *Host) unheard(b *bid) {
-	h.tell(reconcile.AttemptOutcomeUnknown{Attempt: b.held()})
-	b.logged = false
+// outcomeUnknown leaves it to custody when the log may forget a bid.
+func (h *Server) outcomeUnknown(b *attempt) {
+	h.enqueueOwnershipEvent(reconcile.AttemptOutcomeUnknown{Attempt: b.record()})
+	b.inLog = false
 }
 
 // cancelAttempt asks a machine to stop a bid or a container.
-func (h *Host) callOff(b *bid) {
-	b.stopped = true
+func (h *Server) cancelAttempt(b *attempt) {
+	b.cancelRequested = true
 	if !b.sent {
-		b.at.forgetWaiting(b)
+		b.machine.dequeue(b)
 		return
 	}
-	if b.at.ready {
-		b.at.write(&protocol.CancelAttempt{SchedulerIncarnation: b.life, AttemptID: b.number})
+	if b.machine.ready {
+		b.machine.send(&protocol.CancelAttempt{SchedulerIncarnation: b.incarnation, AttemptID: b.number})
 	}
-	if !b.placed {
-		b.at.expectLate(b)
+	if !b.accepted {
+		b.machine.rememberExpired(b)
 	}
 }
 
-// over ends a bid with its one outcome; the container goes with it where nothing more is owed.
-func (h *Host) over(b *bid, e scheduler.AttemptEnded) {
-	c, m := b.c, b.at
+// endAttempt ends a bid with its one outcome; the container goes with it where nothing more is owed.
+func (h *Server) endAttempt(b *attempt, e scheduler.AttemptEnded) {
+	c, m := b.container, b.machine
 	h.loop.Cancel(b.timer)
-	delete(m.bids, b.number)
-	if c.bid != b {
+	delete(m.attempts, b.number)
+	if c.attempt != b {
 		return
 	}
-	c.bid = nil
-	if b.sent && !b.placed && e.Outcome == scheduler.OutcomeStopped { // the word to stop may come too late
-		h.unheard(b)
+	c.attempt = nil
+	if b.sent && !b.accepted && e.Outcome == scheduler.OutcomeStopped { // the word to stop may come too late
+		h.outcomeUnknown(b)
 	}
-	if b.logged {
-		h.state.drop(BidKind, bidKey(b.number))
+	if b.inLog {
+		h.state.remove(AttemptKind, attemptKey(b.number))
 	}
-	e.ID, e.Attempt, e.Machine = c.ask.ID, b.nth, m.id
-	e.Elapsed = scheduler.Time(h.loop.Now() - b.sentAt)
+	e.ID, e.Attempt, e.Machine = c.request.ID, b.ordinal, m.id
+	e.Elapsed = scheduler.Time(h.loop.Now() - b.decidedAt)
 	e.Final = e.Final || c.answered
-	if b.placed {
-		h.meter.running--
-		h.route(b, false)
-		if c.owner != nil {
-			c.owner.write(&protocol.Termination{ContainerID: c.heardAs, Machine: string(m.id),
+	if b.accepted {
+		h.stats.running--
+		h.announce(b, false)
+		if c.client != nil {
+			c.client.send(&protocol.Termination{ContainerID: c.clientContainerID, Machine: string(m.id),
 				Outcome: protocol.OutcomeFromScheduler(e.Outcome), Reason: protocol.Reason(e.Reason)})
 		}
 	}
-	h.feed(e)
+	h.enqueueSchedulerEvent(e)
 	if e.Final {
-		h.close(c)
+		h.removeContainer(c)
 	}
-	m.settle()
+	m.removeIfGone()
 }
 
-func (h *Host) close(c *container) {
-	delete(h.open, c.ask.ID)
-	h.tell(reconcile.ContainerRemoved{ID: c.ask.ID})
+func (h *Server) removeContainer(c *container) {
+	delete(h.containers, c.request.ID)
+	h.enqueueOwnershipEvent(reconcile.ContainerRemoved{ID: c.request.ID})
 }
 
-// answer gives an owner the final answer.
-func (h *Host) answer(id scheduler.ContainerID, a *protocol.PlacementReply) {
-	c := h.open[id]
+// sendAnswer gives an owner the final answer.
+func (h *Server) sendAnswer(id scheduler.ContainerID, a *protocol.PlacementReply) {
+	c := h.containers[id]
 	if c == nil || c.answered {
 		return
 	}
 	c.answered = true
 	a.ContainerID = string(id)
-	h.meter.answered(a.Verdict)
-	if c.owner != nil {
-		c.owner.write(a)
+	h.stats.countAnswer(a.Verdict)
+	if c.client != nil {
+		c.client.send(a)
 	}
-	h.tell(reconcile.RequestFailed{ID: id})
-	if c.bid == nil {
-		h.close(c)
+	h.enqueueOwnershipEvent(reconcile.RequestFailed{ID: id})
+	if c.attempt == nil {
+		h.removeContainer(c)
 	}
 }
 
-// yes is a machine's word that a bid's container runs, or is accepted where that is what counts.
-func (h *Host) yes(b *bid) {
-	c := b.c
+// attemptAccepted is a machine's word that a bid's container runs, or is accepted where that is what counts.
+func (h *Server) attemptAccepted(b *attempt) {
+	c := b.container
 	h.loop.Cancel(b.timer)
-	b.timer, b.placed = nil, true
-	h.meter.running++
-	h.route(b, true)
-	h.tell(reconcile.AttemptAccepted{ID: c.ask.ID, Machine: b.at.id, Attempt: b.number})
+	b.timer, b.accepted = nil, true
+	h.stats.running++
+	h.announce(b, true)
+	h.enqueueOwnershipEvent(reconcile.AttemptAccepted{ID: c.request.ID, Machine: b.machine.id, Attempt: b.number})
 	if c.answered { // too late for its owner: what runs stays known until it ends
-		h.tell(reconcile.LateAccept{Attempt: b.held()})
+		h.enqueueOwnershipEvent(reconcile.LateAccept{Attempt: b.record()})
 		return
 	}
 	c.answered = true
-	h.meter.answered(protocol.VerdictPlaced)
-	h.feed(scheduler.AttemptAccepted{ID: c.ask.ID, Attempt: b.nth, Machine: b.at.id, Elapsed: scheduler.Time(h.loop.Now() - b.sentAt)})
-	if c.owner != nil {
-		c.owner.write(&protocol.PlacementReply{ContainerID: string(c.ask.ID), Verdict: protocol.VerdictPlaced, Machine: string(b.at.id)})
+	h.stats.countAnswer(protocol.VerdictPlaced)
+	h.enqueueSchedulerEvent(scheduler.AttemptAccepted{ID: c.request.ID, Attempt: b.ordinal, Machine: b.machine.id, Elapsed: scheduler.Time(h.loop.Now() - b.decidedAt)})
+	if c.client != nil {
+		c.client.send(&protocol.PlacementReply{ContainerID: string(c.request.ID), Verdict: protocol.VerdictPlaced, Machine: string(b.machine.id)})
 	}
 }
 
-func (b *bid) held() reconcile.Attempt {
-	return reconcile.Attempt{Request: b.c.ask, Machine: b.at.id, Incarnation: b.life, Number: b.number, Running: true}
+func (b *attempt) record() reconcile.Attempt {
+	return reconcile.Attempt{Request: b.container.request, Machine: b.machine.id, Incarnation: b.incarnation, Number: b.number, Running: true}
 }
 
 // adopt takes over a container that runs.
-func (h *Host) adopt(held reconcile.Attempt) {
+func (h *Server) adopt(held reconcile.Attempt) {
 	m := h.machines[held.Machine]
-	if m == nil || h.open[held.Request.ID] != nil {
+	if m == nil || h.containers[held.Request.ID] != nil {
 		return
 	}
-	c := &container{ask: held.Request, answered: true, bids: 1}
-	b := &bid{number: held.Number, life: held.Incarnation, c: c, at: m, sentAt: h.loop.Now(), sent: true, placed: true}
-	c.bid, m.bids[held.Number] = b, b
+	c := &container{request: held.Request, answered: true, attempts: 1}
+	b := &attempt{number: held.Number, incarnation: held.Incarnation, container: c, machine: m, decidedAt: h.loop.Now(), sent: true, accepted: true}
+	c.attempt, m.attempts[held.Number] = b, b
 	if h.state != nil {
-		if write, _ := recovery.MustPersist(h.site.Terms.WorkloadClasses[held.Request.WorkloadClass].Idempotency); write {
-			b.logged = true
-			h.state.put(BidKind, bidKey(b.number), held)
+		if write, _ := recovery.MustPersist(h.config.Terms.WorkloadClasses[held.Request.WorkloadClass].Idempotency); write {
+			b.inLog = true
+			h.state.put(AttemptKind, attemptKey(b.number), held)
 		}
 	}
-	h.open[held.Request.ID] = c
-	h.meter.running++
-	h.meter.adopted++
+	h.containers[held.Request.ID] = c
+	h.stats.running++
+	h.stats.adopted++
 	if held.Running {
-		h.route(b, true)
+		h.announce(b, true)
 	}
-	h.takeovers++
-	if h.unsent > 0 {
-		h.tookOver[held.Request.Service] = h.takeovers
+	h.adoptions++
+	if h.queuedAttempts > 0 {
+		h.lastAdoption[held.Request.Service] = h.adoptions
 	}
-	h.feed(scheduler.ContainerAdopted{PlacementRequest: held.Request, Machine: m.id})
+	h.enqueueSchedulerEvent(scheduler.ContainerAdopted{PlacementRequest: held.Request, Machine: m.id})
 }
 
-// keepHouse closes what is idle, silent or half said.
-func (h *Host) keepHouse() {
+// maintain closes what is idle, silent or half said.
+func (h *Server) maintain() {
 	now := h.loop.Now()
 	for _, m := range h.machines {
-		m.house(now)
+		m.checkTimeouts(now)
 	}
-	for _, o := range h.owners {
-		o.house(now)
+	for _, o := range h.clients {
+		o.checkTimeouts(now)
 	}
-	h.list.house(now)
-	h.loop.After(housekeeping, h.keepHouse)
+	h.discovery.checkTimeouts(now)
+	h.loop.After(maintenanceInterval, h.maintain)
 }
 
-func (h *Host) badLink(peer string, why error) {
+func (h *Server) logConnectionClosed(peer string, why error) {
 	h.log.Warn("link closed", "peer", peer, "why", fmt.Sprint(why))
 }
--- a/internal/schedulerd/host_test.go
+++ b/internal/schedulerd/host_test.go
@@ -187,7 +187,7 @@
 				return on(e)
 			}, map[string]string{"a": addr})
 			if tc.withdraw { // the link must stand, or the bid is never sent
-				r.h.loop.Post(func() { r.h.reach(r.h.machines["a"]) })
+				r.h.loop.Post(func() { r.h.connect(r.h.machines["a"]) })
 				until(t, func() bool { return on1(r.h, func() bool { return r.h.machines["a"].ready }) })
 			}
 			put(r.door, &protocol.Submit{TimeToDeadline: 3000, Spec: protocol.ContainerSpec{ContainerID: "x", IdempotencyKey: "k-x", Service: "s", WorkloadClass: tc.workload}})
@@ -221,7 +221,7 @@
 	}
 }
 
-func on1[T any](h *Host, f func() T) T {
+func on1[T any](h *Server, f func() T) T {
 	got := make(chan T, 1)
 	h.loop.Post(func() { got <- f() })
 	return <-got
@@ -406,7 +406,7 @@
 	r := start(t, terms(t), nil, map[string]string{"a": "127.0.0.1:1"})
 	starts := func(incarnation uint64, age protocol.Duration) scheduler.Time {
 		return on1(r.h, func() scheduler.Time {
-			r.h.learn(scheduler.DeltaUpdate, 2, []protocol.MachineEntry{{Machine: "a", Address: "127.0.0.1:1", Incarnation: incarnation, Age: age}})
+			r.h.applyList(scheduler.DeltaUpdate, 2, []protocol.MachineEntry{{Machine: "a", Address: "127.0.0.1:1", Incarnation: incarnation, Age: age}})
 			return r.h.machines["a"].startedAt
 		})
 	}
--- a/internal/schedulerd/knowledge.go
+++ b/internal/schedulerd/knowledge.go
@@ -22,20 +22,20 @@
 // The file of what a placer has learned. Version 1 was the list alone, without sort, version and checksum, in a file
 // of its own that the setting "keep" named.
 const (
-	KnowledgeName    = "knowledge"
-	KnowledgeSort    = "GLENKNW"
-	KnowledgeVersion = 2
-	knowledgeEvery   = 2 * eventloop.Second
+	WarmStartFile    = "knowledge"
+	WarmStartMagic   = "GLENKNW"
+	WarmStartVersion = 2
+	snapshotInterval = 2 * eventloop.Second
 )
 
-// learner is a decider whose knowledge can be kept.
-type learner interface {
+// warmStarter is a decider whose knowledge can be kept.
+type warmStarter interface {
 	Snapshot() scheduler.Snapshot
 	Restore(scheduler.Snapshot)
 }
 
-// stamp reads the clocks.
-func stamp(clock scheduler.Time) warmstart.Timestamp {
+// readClocks reads the clocks.
+func readClocks(clock scheduler.Time) warmstart.Timestamp {
 	s := warmstart.Timestamp{Clock: clock}
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) == nil {
@@ -47,27 +47,27 @@
 	return s
 }
 
-// ReadKnowledge reads the file; nil where there is none.
-func ReadKnowledge(d vfs.FS) (*Knowledge, error) {
-	version, body, err := wal.ReadChecksummed(d, KnowledgeName, KnowledgeSort, KnowledgeVersion)
+// ReadWarmStart reads the file; nil where there is none.
+func ReadWarmStart(d vfs.FS) (*WarmStartSnapshot, error) {
+	version, body, err := wal.ReadChecksummed(d, WarmStartFile, WarmStartMagic, WarmStartVersion)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	k := &Knowledge{}
-	if version != KnowledgeVersion {
-		return nil, &wal.CorruptionError{File: KnowledgeName, Offset: 7, Detail: fmt.Sprintf("there was no version %d of such a file", version)}
+	k := &WarmStartSnapshot{}
+	if version != WarmStartVersion {
+		return nil, &wal.CorruptionError{File: WarmStartFile, Offset: 7, Detail: fmt.Sprintf("there was no version %d of such a file", version)}
 	}
 	if err := cbor.Unmarshal(body, k); err != nil {
-		return nil, &wal.CorruptionError{File: KnowledgeName, Offset: 16, Detail: err.Error()}
+		return nil, &wal.CorruptionError{File: WarmStartFile, Offset: 16, Detail: err.Error()}
 	}
 	return k, nil
 }
 
-// readKeptList reads the file of version 1.
-func readKeptList(path string) (*Knowledge, error) {
+// readLegacyList reads the file of version 1.
+func readLegacyList(path string) (*WarmStartSnapshot, error) {
 	data, err := os.ReadFile(path)
 	if path == "" || errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -86,17 +86,17 @@
 	if !ok {
 		return nil, fmt.Errorf("%s holds a %T", path, f)
 	}
-	k := &Knowledge{At: warmstart.Timestamp{Clock: scheduler.Time(binary.BigEndian.Uint64(data))}, ListIs: listed.Version}
+	k := &WarmStartSnapshot{TakenAt: warmstart.Timestamp{Clock: scheduler.Time(binary.BigEndian.Uint64(data))}, ListVersion: listed.Version}
 	for _, e := range listed.Entries {
 		k.Entries = append(k.Entries, recordOfEntry(e))
 	}
 	return k, nil
 }
 
-// aged gives the entries of a kept list as they stand now. A machine whose age is not known counts as just started:
+// agedEntries gives the entries of a kept list as they stand now. A machine whose age is not known counts as just started:
 // it is then spared as a cold one.
-func (k *Knowledge) aged(now warmstart.Timestamp) []protocol.MachineEntry {
-	since := now.Since(k.At)
+func (k *WarmStartSnapshot) agedEntries(now warmstart.Timestamp) []protocol.MachineEntry {
+	since := now.Since(k.TakenAt)
 	if since.Age >= 0 && warmstart.Weight(warmstart.MachineList, since.Age) == 0 {
 		return nil
 	}
@@ -113,41 +113,41 @@
 	return all
 }
 
-// known gathers what is to be kept.
-func (h *Host) known(orderly bool) *Knowledge {
-	k := &Knowledge{At: stamp(scheduler.Time(h.loop.Now())), Names: h.names(), Starts: map[scheduler.MachineID]uint64{},
-		ListIs: h.list.held.version, AtAnOrder: orderly}
-	for _, e := range h.list.held.entries {
+// collectSnapshot gathers what is to be kept.
+func (h *Server) collectSnapshot(orderly bool) *WarmStartSnapshot {
+	k := &WarmStartSnapshot{TakenAt: readClocks(scheduler.Time(h.loop.Now())), Names: h.classNames(), Incarnations: map[scheduler.MachineID]uint64{},
+		ListVersion: h.discovery.cache.version, OrderlyShutdown: orderly}
+	for _, e := range h.discovery.cache.entries {
 		if m := h.machines[scheduler.MachineID(e.Machine)]; m != nil && m.startedAt > 0 {
 			e.Age = protocol.Duration(scheduler.Time(h.loop.Now()) - m.startedAt)
 		}
 		k.Entries = append(k.Entries, recordOfEntry(e))
 	}
 	sort.Slice(k.Entries, func(i, j int) bool { return k.Entries[i].Machine < k.Entries[j].Machine })
-	if d := h.custody.Limiter(); d != nil {
+	if d := h.ownership.Limiter(); d != nil {
 		known := d.Snapshot()
-		k.Door = &known
+		k.Overload = &known
 	}
-	if l, ok := h.decider.(learner); ok {
+	if l, ok := h.scheduler.(warmStarter); ok {
 		k.Learned = l.Snapshot()
 		for _, m := range k.Learned.Machines {
 			if at := h.machines[m.Machine]; at != nil {
-				k.Starts[m.Machine] = at.incarnation
+				k.Incarnations[m.Machine] = at.incarnation
 			}
 		}
 	}
 	return k
 }
 
-func (h *Host) names() []string {
-	return append(append([]string{}, h.site.Workloads...), h.site.Customers...)
+func (h *Server) classNames() []string {
+	return append(append([]string{}, h.config.Workloads...), h.config.Customers...)
 }
 
 // write runs on a goroutine of its own: file work must not hold up the loop.
-func (k *Knowledge) write(d vfs.FS) error {
+func (k *WarmStartSnapshot) write(d vfs.FS) error {
 	body, err := cbor.Marshal(k)
 	if err != nil {
 		return err
 	}
-	return wal.WriteChecksummed(d, KnowledgeName, KnowledgeSort, KnowledgeVersion, body)
+	return wal.WriteChecksummed(d, WarmStartFile, WarmStartMagic, WarmStartVersion, body)
 }
--- a/internal/schedulerd/list_test.go
+++ b/internal/schedulerd/list_test.go
@@ -51,11 +51,11 @@
 			r := &rig{T: t, script: sc, h: run(t, s, sc)}
 			for i, want := range []scheduler.UpdateMode{scheduler.FullSnapshot, scheduler.UpdateFailed, scheduler.FullSnapshot} {
 				r.h.loop.Post(func() {
-					if r.h.list.conn != nil {
-						r.h.list.asked = false
-						r.h.list.conn.Reset()
+					if r.h.discovery.conn != nil {
+						r.h.discovery.awaitingReply = false
+						r.h.discovery.conn.Reset()
 					}
-					r.h.watch(&protocol.WatchMachineList{Enabled: true, SinceVersion: r.h.list.version})
+					r.h.requestList(&protocol.WatchMachineList{Enabled: true, SinceVersion: r.h.discovery.version})
 				})
 				if e := await(r, func(e scheduler.MachineListUpdate) bool { return e.Mode != scheduler.RestoredSnapshot }); e.Mode != want {
 					t.Fatalf("call %d: mode %d, version %d", i+1, e.Mode, e.Version)
@@ -108,12 +108,14 @@
 		}
 	}
 	await(0)
-	until(t, func() bool { return on1(h, func() bool { return h.list.version == 5 }) })
+	until(t, func() bool { return on1(h, func() bool { return h.discovery.version == 5 }) })
 	away.Store(true)
-	on1(h, func() bool { h.list.conn.Reset(); return true })
-	until(t, func() bool { return on1(h, func() bool { return h.list.conn == nil && !h.list.asked }) })
+	on1(h, func() bool { h.discovery.conn.Reset(); return true })
+	until(t, func() bool {
+		return on1(h, func() bool { return h.discovery.conn == nil && !h.discovery.awaitingReply })
+	})
 	hello <- 2
-	until(t, func() bool { return on1(h, func() bool { return h.machines["a"].greeted }) })
+	until(t, func() bool { return on1(h, func() bool { return h.machines["a"].selfReported }) })
 	away.Store(false)
 	await(5)
 }
--- a/internal/schedulerd/machine.go
+++ b/internal/schedulerd/machine.go
@@ -12,67 +12,67 @@
 
 // machine is one that the list has named, with the one link to it that all bids share.
 type machine struct {
-	h           *Host
-	id          scheduler.MachineID
-	addr        string
-	gone        bool
-	draining    bool
-	incarnation uint64
-	startedAt   scheduler.Time
-	greeted     bool // no list has told of this start yet, only the machine itself
+	server       *Server
+	id           scheduler.MachineID
+	addr         string
+	gone         bool
+	draining     bool
+	incarnation  uint64
+	startedAt    scheduler.Time
+	selfReported bool // no list has told of this start yet, only the machine itself
 
-	conn    *eventloop.Conn
-	reader  protocol.Reader
-	ready   bool // it has greeted and said what it holds
-	heardAt eventloop.Tick
-	usedAt  eventloop.Tick
-	halfAt  eventloop.Tick                        // since when half a frame waits
-	waiting []*bid                                // for the link
-	bids    map[uint64]*bid                       // out, or running there
-	late    map[uint64]scheduler.PlacementRequest // of bids that are over and may still be said yes to; emptied after a minute
-	probes  map[uint64]*probing                   // emptied by their answer or time-out
+	conn         *eventloop.Conn
+	reader       protocol.Reader
+	ready        bool // it has greeted and said what it holds
+	lastReadAt   eventloop.Tick
+	lastUsedAt   eventloop.Tick
+	partialSince eventloop.Tick                        // since when half a frame waits
+	queued       []*attempt                            // for the link
+	attempts     map[uint64]*attempt                   // out, or running there
+	expired      map[uint64]scheduler.PlacementRequest // of bids that are over and may still be said yes to; emptied after a minute
+	probes       map[uint64]*pendingProbe              // emptied by their answer or time-out
 }
 
-type probing struct {
+type pendingProbe struct {
 	seq         uint64
 	incarnation uint64 // of its machine, as known when it was decided on
 	sent        bool
-	unkept      bool // it waits for the log
+	awaitingLog bool // it waits for the log
 	timer       *eventloop.Timer
-	sentAt      eventloop.Tick
+	requestedAt eventloop.Tick
 }
 
-func (h *Host) machine(id scheduler.MachineID) *machine {
+func (h *Server) machineFor(id scheduler.MachineID) *machine {
 	m := h.machines[id]
 	if m == nil {
-		m = &machine{h: h, id: id, bids: map[uint64]*bid{}, late: map[uint64]scheduler.PlacementRequest{}, probes: map[uint64]*probing{}}
+		m = &machine{server: h, id: id, attempts: map[uint64]*attempt{}, expired: map[uint64]scheduler.PlacementRequest{}, probes: map[uint64]*pendingProbe{}}
 		h.machines[id] = m
 	}
 	return m
 }
 
-func (m *machine) idle() bool { return len(m.waiting)+len(m.bids)+len(m.probes) == 0 }
+func (m *machine) idle() bool { return len(m.queued)+len(m.attempts)+len(m.probes) == 0 }
 
-// settle lets go of a machine that is gone and empty.
-func (m *machine) settle() {
+// removeIfGone lets go of a machine that is gone and empty.
+func (m *machine) removeIfGone() {
 	if m.gone && m.idle() {
 		if m.conn != nil {
 			m.conn.Close()
 		}
-		delete(m.h.machines, m.id)
+		delete(m.server.machines, m.id)
 	}
 }
 
-// reach opens the link where there is none.
-func (h *Host) reach(m *machine) {
+// connect opens the link where there is none.
+func (h *Server) connect(m *machine) {
 	if m.conn != nil {
 		return
 	}
 	m.reader, m.ready = protocol.Reader{}, false
-	m.heardAt, m.usedAt = h.loop.Now(), h.loop.Now()
-	m.conn = h.loop.Dial(m.addr, m, h.site.Output, h.site.Connect)
+	m.lastReadAt, m.lastUsedAt = h.loop.Now(), h.loop.Now()
+	m.conn = h.loop.Dial(m.addr, m, h.config.Output, h.config.Connect)
 	conn := m.conn
-	h.loop.After(3*h.site.Connect, func() {
+	h.loop.After(3*h.config.Connect, func() {
 		if m.conn == conn && !m.ready {
 			conn.Reset() // it took the call and did not greet
 		}
@@ -80,20 +80,20 @@
 }
 
 func (m *machine) Opened(*eventloop.Conn) {
-	m.write(protocol.NewHello(protocol.RoleScheduler, m.h.site.Name, m.h.life))
+	m.send(protocol.NewHello(protocol.RoleScheduler, m.server.config.Name, m.server.incarnation))
 }
 
 func (m *machine) Read(c *eventloop.Conn, p []byte) {
-	m.heardAt = m.h.loop.Now()
-	if err := m.reader.Feed(p, m.take); err != nil && c == m.conn {
-		m.h.badLink(string(m.id), err)
-		m.write(&protocol.Goodbye{Message: err.Error()})
+	m.lastReadAt = m.server.loop.Now()
+	if err := m.reader.Feed(p, m.handleFrame); err != nil && c == m.conn {
+		m.server.logConnectionClosed(string(m.id), err)
+		m.send(&protocol.Goodbye{Message: err.Error()})
 		c.Close()
 	}
 	if m.reader.Buffered() == 0 {
-		m.halfAt = 0
-	} else if m.halfAt == 0 {
-		m.halfAt = m.heardAt
+		m.partialSince = 0
+	} else if m.partialSince == 0 {
+		m.partialSince = m.lastReadAt
 	}
 }
 
@@ -105,143 +105,143 @@
 	}
 	was, short := m.ready, errors.Is(why, eventloop.ErrLocalResources)
 	m.conn, m.ready = nil, false
-	waiting := m.waiting
-	m.waiting = nil
-	m.h.gone(len(waiting))
+	waiting := m.queued
+	m.queued = nil
+	m.server.attemptsDequeued(len(waiting))
 	for _, b := range waiting {
 		if short {
-			m.h.notSent(b)
+			m.server.attemptNotSent(b)
 		} else {
-			m.h.unreached(b)
+			m.server.attemptUnreached(b)
 		}
 	}
-	for _, b := range ordered(m.bids) {
-		if !b.placed {
-			m.h.meter.outcome("reset")
-			m.h.unheard(b)
-			m.h.over(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost})
+	for _, b := range attemptsInOrder(m.attempts) {
+		if !b.accepted {
+			m.server.stats.countOutcome("reset")
+			m.server.outcomeUnknown(b)
+			m.server.endAttempt(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost})
 		}
 	}
 	for _, p := range m.probes {
 		switch {
 		case was:
-			m.probed(p, scheduler.OutcomeLost, nil)
+			m.endProbe(p, scheduler.OutcomeLost, nil)
 		case short:
-			m.probed(p, scheduler.OutcomeNotSent, nil)
+			m.endProbe(p, scheduler.OutcomeNotSent, nil)
 		default:
-			m.probed(p, scheduler.OutcomeConnectFailed, nil)
+			m.endProbe(p, scheduler.OutcomeConnectFailed, nil)
 		}
 	}
-	clear(m.late) // what it runs it will say when the link stands again
+	clear(m.expired) // what it runs it will say when the link stands again
 	if was {
-		m.h.tell(reconcile.MachineDisconnected{Machine: m.id})
+		m.server.enqueueOwnershipEvent(reconcile.MachineDisconnected{Machine: m.id})
 	} else {
-		m.h.tell(reconcile.ConnectFailed{Machine: m.id, LocalShortage: short})
+		m.server.enqueueOwnershipEvent(reconcile.ConnectFailed{Machine: m.id, LocalShortage: short})
 	}
-	m.settle()
+	m.removeIfGone()
 }
 
-// write sends a frame; it reports whether the link took it.
-func (m *machine) write(f protocol.Frame) bool {
+// send sends a frame; it reports whether the link took it.
+func (m *machine) send(f protocol.Frame) bool {
 	if m.conn == nil {
 		return false
 	}
-	p, err := m.h.frame(f)
+	p, err := m.server.encode(f)
 	if err != nil {
-		m.h.log.Error("frame not sent", "machine", m.id, "why", err)
+		m.server.log.Error("frame not sent", "machine", m.id, "why", err)
 		return false
 	}
-	m.usedAt = m.h.loop.Now()
+	m.lastUsedAt = m.server.loop.Now()
 	return m.conn.Write(p) == nil
 }
 
-// gone counts bids that wait no longer.
-func (h *Host) gone(n int) {
-	if h.unsent -= n; h.unsent == 0 {
-		clear(h.tookOver)
+// attemptsDequeued counts bids that wait no longer.
+func (h *Server) attemptsDequeued(n int) {
+	if h.queuedAttempts -= n; h.queuedAttempts == 0 {
+		clear(h.lastAdoption)
 	}
 }
 
-func (m *machine) offer(b *bid) {
-	a, now := &b.c.ask, m.h.loop.Now()
-	b.sent = !m.conn.WriteBlocked() && m.write(&protocol.Offer{AttemptID: b.number, Timeout: protocol.Duration(b.until - now), Spec: protocol.ContainerSpec{
+func (m *machine) sendOffer(b *attempt) {
+	a, now := &b.container.request, m.server.loop.Now()
+	b.sent = !m.conn.WriteBlocked() && m.send(&protocol.Offer{AttemptID: b.number, Timeout: protocol.Duration(b.deadline - now), Spec: protocol.ContainerSpec{
 		ContainerID: string(a.ID), IdempotencyKey: a.IdempotencyKey, Service: a.Service, WorkloadClass: a.WorkloadClass, Tenant: a.Tenant,
-		Cores: a.Cores, Memory: a.Memory, DedupWindow: b.c.window, ExpectedRuntime: protocol.Duration(a.ExpectedRuntime), ClientRetry: a.ClientRetry}})
+		Cores: a.Cores, Memory: a.Memory, DedupWindow: b.container.window, ExpectedRuntime: protocol.Duration(a.ExpectedRuntime), ClientRetry: a.ClientRetry}})
 	if !b.sent { // the machine takes too little of what waits for it
-		m.h.meter.outcome("not sent")
-		m.h.over(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
+		m.server.stats.countOutcome("not sent")
+		m.server.endAttempt(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
 		return
 	}
-	m.bids[b.number] = b
-	m.h.meter.bid(b.c)
+	m.attempts[b.number] = b
+	m.server.stats.countAttempt(b.container)
 }
 
 // stale tells whether a bid that waited was decided on what is not so any more: its machine drains, is gone or has started
 // anew, or its service was found to run more than was known.
-func (b *bid) stale() bool {
-	m := b.at
-	return m.gone || m.draining || m.incarnation != b.start || m.h.tookOver[b.c.ask.Service] > b.after
+func (b *attempt) stale() bool {
+	m := b.machine
+	return m.gone || m.draining || m.incarnation != b.machineIncarnation || m.server.lastAdoption[b.container.request.Service] > b.adoptionsBefore
 }
 
-// sendWaiting sends the bids that waited for the link, but for those that still wait for the log. A stale one is not
+// sendQueued sends the bids that waited for the link, but for those that still wait for the log. A stale one is not
 // sent: the module, which knows by now, decides anew.
-func (m *machine) sendWaiting() {
+func (m *machine) sendQueued() {
 	if !m.ready {
 		return
 	}
-	for _, b := range append([]*bid(nil), m.waiting...) {
+	for _, b := range append([]*attempt(nil), m.queued...) {
 		stale := b.stale() // asked before it is forgotten: what was taken over is, with the last that waits
-		if b.unkept || !m.forgetWaiting(b) {
+		if b.awaitingLog || !m.dequeue(b) {
 			continue
 		}
 		if stale {
-			m.h.notSent(b)
+			m.server.attemptNotSent(b)
 		} else {
-			m.offer(b)
+			m.sendOffer(b)
 		}
 	}
 }
 
-// forgetWaiting takes a bid out of those that wait for the link, if it does.
-func (m *machine) forgetWaiting(b *bid) bool {
-	for i, w := range m.waiting {
+// dequeue takes a bid out of those that wait for the link, if it does.
+func (m *machine) dequeue(b *attempt) bool {
+	for i, w := range m.queued {
 		if w == b {
-			m.waiting = append(m.waiting[:i], m.waiting[i+1:]...)
-			m.h.gone(1)
+			m.queued = append(m.queued[:i], m.queued[i+1:]...)
+			m.server.attemptsDequeued(1)
 			return true
 		}
 	}
 	return false
 }
 
-// expectLate remembers a bid that is over and may be said yes to.
-func (m *machine) expectLate(b *bid) {
+// rememberExpired remembers a bid that is over and may be said yes to.
+func (m *machine) rememberExpired(b *attempt) {
 	n := b.number
-	m.late[n] = b.c.ask
-	m.h.loop.After(lateFor, func() { delete(m.late, n) })
+	m.expired[n] = b.container.request
+	m.server.loop.After(lateAcceptWindow, func() { delete(m.expired, n) })
 }
 
-// take handles a frame of the machine.
-func (m *machine) take(f protocol.Frame) error {
+// handleFrame handles a frame of the machine.
+func (m *machine) handleFrame(f protocol.Frame) error {
 	switch f := f.(type) {
 	case *protocol.Hello:
 		if f.Role != protocol.RoleMachine || f.Name != string(m.id) {
 			return fmt.Errorf("%s %q answers where machine %s was called", f.Role, f.Name, m.id)
 		}
-		m.h.greeted(m, f.Incarnation)
+		m.server.machineHello(m, f.Incarnation)
 	case *protocol.Inventory:
-		return m.holds(f)
+		return m.handleHolds(f)
 	case *protocol.Accept:
-		m.yes(f)
+		m.handleAccept(f)
 	case *protocol.Result:
-		m.result(f)
+		m.handleResult(f)
 	case *protocol.UsageReport:
-		if b := m.bids[f.AttemptID]; b != nil {
-			m.h.feed(scheduler.UsageReported{ID: b.c.ask.ID, Machine: m.id, Attempt: b.nth, Metric: scheduler.UsageMetric(f.Metric), Value: f.Value})
+		if b := m.attempts[f.AttemptID]; b != nil {
+			m.server.enqueueSchedulerEvent(scheduler.UsageReported{ID: b.container.request.ID, Machine: m.id, Attempt: b.ordinal, Metric: scheduler.UsageMetric(f.Metric), Value: f.Value})
 		}
 	case *protocol.ProbeReply:
 		if p := m.probes[f.Seq]; p != nil {
-			m.probed(p, scheduler.OutcomeFinished, f.Report)
+			m.endProbe(p, scheduler.OutcomeFinished, f.Report)
 		}
 	case *protocol.Heartbeat:
 	case *protocol.Goodbye:
@@ -252,8 +252,8 @@
 	return nil
 }
 
-// holds makes the link ready. The machine's word comes before anything that waited.
-func (m *machine) holds(f *protocol.Inventory) error {
+// handleHolds makes the link ready. The machine's word comes before anything that waited.
+func (m *machine) handleHolds(f *protocol.Inventory) error {
 	if m.ready {
 		return fmt.Errorf("says twice what it holds")
 	}
@@ -264,76 +264,76 @@
 			Request: scheduler.PlacementRequest{ID: scheduler.ContainerID(w.ContainerID), IdempotencyKey: w.IdempotencyKey, Service: w.Service, WorkloadClass: w.WorkloadClass,
 				Tenant: w.Tenant, Cores: w.Cores, Memory: w.Memory, ExpectedRuntime: scheduler.Time(w.ExpectedRuntime), ClientRetry: w.ClientRetry}})
 	}
-	m.h.tell(e)
+	m.server.enqueueOwnershipEvent(e)
 	m.ready = true
-	for _, b := range ordered(m.bids) {
-		if b.stopped {
-			m.write(&protocol.CancelAttempt{SchedulerIncarnation: b.life, AttemptID: b.number})
+	for _, b := range attemptsInOrder(m.attempts) {
+		if b.cancelRequested {
+			m.send(&protocol.CancelAttempt{SchedulerIncarnation: b.incarnation, AttemptID: b.number})
 		}
 	}
-	m.h.linked = append(m.h.linked, m)
+	m.server.newlyReady = append(m.server.newlyReady, m)
 	for _, p := range m.probes {
-		if !p.sent && !p.unkept {
+		if !p.sent && !p.awaitingLog {
 			m.sendProbe(p)
 		}
 	}
 	return nil
 }
 
-func (m *machine) yes(f *protocol.Accept) {
-	if m.h.site.Terms.AcceptMeansRunning && !f.Running {
+func (m *machine) handleAccept(f *protocol.Accept) {
+	if m.server.config.Terms.AcceptMeansRunning && !f.Running {
 		return
 	}
-	if b := m.bids[f.AttemptID]; b != nil {
+	if b := m.attempts[f.AttemptID]; b != nil {
 		switch {
-		case !b.placed:
-			m.h.yes(b)
+		case !b.accepted:
+			m.server.attemptAccepted(b)
 		case f.Running: // accepted before
-			m.h.feed(scheduler.UsageReported{ID: b.c.ask.ID, Machine: m.id, Attempt: b.nth, Metric: scheduler.MetricRunning, Value: 1})
+			m.server.enqueueSchedulerEvent(scheduler.UsageReported{ID: b.container.request.ID, Machine: m.id, Attempt: b.ordinal, Metric: scheduler.MetricRunning, Value: 1})
 		}
 		return
 	}
-	if ask, ok := m.late[f.AttemptID]; ok {
-		delete(m.late, f.AttemptID)
-		m.h.meter.outcome("late yes")
-		m.h.tell(reconcile.LateAccept{Attempt: reconcile.Attempt{Request: ask, Machine: m.id, Incarnation: m.h.life, Number: f.AttemptID, Running: true}})
+	if ask, ok := m.expired[f.AttemptID]; ok {
+		delete(m.expired, f.AttemptID)
+		m.server.stats.countOutcome("late yes")
+		m.server.enqueueOwnershipEvent(reconcile.LateAccept{Attempt: reconcile.Attempt{Request: ask, Machine: m.id, Incarnation: m.server.incarnation, Number: f.AttemptID, Running: true}})
 	}
 }
 
-func (m *machine) result(f *protocol.Result) {
-	b := m.bids[f.AttemptID]
+func (m *machine) handleResult(f *protocol.Result) {
+	b := m.attempts[f.AttemptID]
 	if b == nil {
-		if ask, ok := m.late[f.AttemptID]; ok {
-			delete(m.late, f.AttemptID)
-			m.h.tell(reconcile.AttemptNotRunning{Attempt: reconcile.Attempt{Request: ask, Machine: m.id, Incarnation: m.h.life, Number: f.AttemptID}})
+		if ask, ok := m.expired[f.AttemptID]; ok {
+			delete(m.expired, f.AttemptID)
+			m.server.enqueueOwnershipEvent(reconcile.AttemptNotRunning{Attempt: reconcile.Attempt{Request: ask, Machine: m.id, Incarnation: m.server.incarnation, Number: f.AttemptID}})
 		}
 		return
 	}
 	o := f.Outcome.Scheduler()
-	if !b.placed && o == scheduler.OutcomeFinished { // it ran, whatever became of the yes
-		m.h.yes(b)
+	if !b.accepted && o == scheduler.OutcomeFinished { // it ran, whatever became of the yes
+		m.server.attemptAccepted(b)
 	}
-	if !b.placed {
-		m.h.meter.outcome(f.Outcome.String())
+	if !b.accepted {
+		m.server.stats.countOutcome(f.Outcome.String())
 	}
-	m.h.over(b, scheduler.AttemptEnded{Outcome: o, Reason: scheduler.Reason(f.Reason), Report: f.Report, Final: b.placed})
+	m.server.endAttempt(b, scheduler.AttemptEnded{Outcome: o, Reason: scheduler.Reason(f.Reason), Report: f.Report, Final: b.accepted})
 }
 
-func (h *Host) probe(id scheduler.MachineID) {
+func (h *Server) probe(id scheduler.MachineID) {
 	m := h.machines[id]
 	if m == nil {
-		h.feed(scheduler.ProbeCompleted{Machine: id, Outcome: scheduler.OutcomeConnectFailed})
+		h.enqueueSchedulerEvent(scheduler.ProbeCompleted{Machine: id, Outcome: scheduler.OutcomeConnectFailed})
 		return
 	}
-	h.lastSeq++
-	p := &probing{seq: h.lastSeq, incarnation: m.incarnation, sentAt: h.loop.Now()}
+	h.lastProbe++
+	p := &pendingProbe{seq: h.lastProbe, incarnation: m.incarnation, requestedAt: h.loop.Now()}
 	m.probes[p.seq] = p
-	p.timer = h.loop.After(probeWithin, func() { m.probed(p, scheduler.OutcomeTimedOut, nil) })
-	if h.state != nil && h.state.noteSend(m) {
-		p.unkept = true
-		h.state.after(false, func(err error) {
-			if p.unkept = false; err != nil {
-				m.probed(p, scheduler.OutcomeNotSent, nil)
+	p.timer = h.loop.After(probeTimeout, func() { m.endProbe(p, scheduler.OutcomeTimedOut, nil) })
+	if h.state != nil && h.state.logSend(m) {
+		p.awaitingLog = true
+		h.state.afterCommit(false, func(err error) {
+			if p.awaitingLog = false; err != nil {
+				m.endProbe(p, scheduler.OutcomeNotSent, nil)
 			} else if m.probes[p.seq] == p {
 				m.sendProbe(p)
 			}
@@ -345,47 +345,47 @@
 
 // sendProbe sends a probe, at once or as soon as the link stands. One that was decided on another start of its machine is
 // not sent, as it does not count for this one.
-func (m *machine) sendProbe(p *probing) {
+func (m *machine) sendProbe(p *pendingProbe) {
 	if m.ready && m.incarnation != p.incarnation {
-		m.probed(p, scheduler.OutcomeNotSent, nil)
+		m.endProbe(p, scheduler.OutcomeNotSent, nil)
 	} else if m.ready {
-		p.sent = m.write(&protocol.Probe{Seq: p.seq})
+		p.sent = m.send(&protocol.Probe{Seq: p.seq})
 	} else {
-		m.h.reach(m)
+		m.server.connect(m)
 	}
 }
 
-func (m *machine) probed(p *probing, o scheduler.Outcome, r map[string]float64) {
+func (m *machine) endProbe(p *pendingProbe, o scheduler.Outcome, r map[string]float64) {
 	if m.probes[p.seq] != p {
 		return
 	}
 	delete(m.probes, p.seq)
-	m.h.loop.Cancel(p.timer)
-	m.h.feed(scheduler.ProbeCompleted{Machine: m.id, Outcome: o, Elapsed: scheduler.Time(m.h.loop.Now() - p.sentAt), Report: r})
+	m.server.loop.Cancel(p.timer)
+	m.server.enqueueSchedulerEvent(scheduler.ProbeCompleted{Machine: m.id, Outcome: o, Elapsed: scheduler.Time(m.server.loop.Now() - p.requestedAt), Report: r})
 }
 
-// house closes the link when nothing has used it for long, when it is silent though something is due, or when
+// checkTimeouts closes the link when nothing has used it for long, when it is silent though something is due, or when
 // half a frame is not followed by the rest.
-func (m *machine) house(now eventloop.Tick) {
+func (m *machine) checkTimeouts(now eventloop.Tick) {
 	if m.conn == nil {
 		return
 	}
-	s := m.h.site
+	s := m.server.config
 	switch {
-	case m.idle() && now-m.usedAt > s.Idle:
+	case m.idle() && now-m.lastUsedAt > s.Idle:
 		m.conn.Close()
-	case now-m.heardAt > s.Silent, m.halfAt > 0 && now-m.halfAt > s.Silent:
-		m.h.badLink(string(m.id), fmt.Errorf("nothing whole heard for %d ms", (now-m.heardAt)/eventloop.Millisecond))
+	case now-m.lastReadAt > s.Silent, m.partialSince > 0 && now-m.partialSince > s.Silent:
+		m.server.logConnectionClosed(string(m.id), fmt.Errorf("nothing whole heard for %d ms", (now-m.lastReadAt)/eventloop.Millisecond))
 		m.conn.Reset()
 	}
 }
 
-// ordered gives bids in the order they were sent.
-func ordered(bids map[uint64]*bid) []*bid {
-	all := make([]*bid, 0, len(bids))
+// attemptsInOrder gives bids in the order they were sent.
+func attemptsInOrder(bids map[uint64]*attempt) []*attempt {
+	all := make([]*attempt, 0, len(bids))
 	for _, b := range bids {
 		all = append(all, b)
 	}
-	sortBids(all)
+	sortAttempts(all)
 	return all
 }
--- a/internal/schedulerd/orders_test.go
+++ b/internal/schedulerd/orders_test.go
@@ -107,7 +107,7 @@
 // world is the host with two machines, its list and an owner, over loopback. The judge sees what passes on the links.
 type world struct {
 	t        *testing.T
-	h        *Host
+	h        *Server
 	judge    *modelcheck.Judge
 	list     *listening
 	owner    *pipe
@@ -138,7 +138,7 @@
 	var all sync.WaitGroup
 	all.Go(func() { w.h.Run() })
 	t.Cleanup(all.Wait)
-	w.h.loop.Post(func() { w.h.watch(&protocol.WatchMachineList{Enabled: true}) })
+	w.h.loop.Post(func() { w.h.requestList(&protocol.WatchMachineList{Enabled: true}) })
 	fd, _ := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	door := netip.MustParseAddrPort(w.h.Addr())
 	if err := unix.Connect(fd, &unix.SockaddrInet4{Port: int(door.Port()), Addr: door.Addr().As4()}); err != nil {
@@ -200,8 +200,8 @@
 		read, written := c.BytesTransferred()
 		return c.IsOpen() && read == p.given && written == p.taken && c.PendingOutput() == 0
 	}
-	h, all := w.h, len(w.h.owners) == 1 && len(w.h.events)+len(w.h.told) == 0 && even(w.h.list.conn, w.list.call)
-	for _, o := range h.owners {
+	h, all := w.h, len(w.h.clients) == 1 && len(w.h.schedulerEvents)+len(w.h.ownershipEvents) == 0 && even(w.h.discovery.conn, w.list.call)
+	for _, o := range h.clients {
 		all = all && even(o.conn, w.owner)
 	}
 	for name, m := range w.machines {
@@ -267,7 +267,7 @@
 	return m.call.take(func(f protocol.Frame) {
 		switch f := f.(type) {
 		case *protocol.Offer:
-			m.held[f.AttemptID] = &holding{protocol.InventoryItem{AttemptID: f.AttemptID, SchedulerIncarnation: w.h.life, Running: true, Spec: f.Spec}, true, f.Spec.ContainerID}
+			m.held[f.AttemptID] = &holding{protocol.InventoryItem{AttemptID: f.AttemptID, SchedulerIncarnation: w.h.incarnation, Running: true, Spec: f.Spec}, true, f.Spec.ContainerID}
 			w.judge.Out(0, now, scheduler.StartAttempt{ID: scheduler.ContainerID(f.Spec.ContainerID), Machine: scheduler.MachineID(m.Machine)})
 		case *protocol.CancelAttempt:
 			if b := m.held[f.AttemptID]; b != nil {
--- a/internal/schedulerd/records.go
+++ b/internal/schedulerd/records.go
@@ -10,16 +10,16 @@
 // The types of this file are stored: their tags, not the names of their fields, are the format of the file
 // "knowledge". The records of the log are recovery.Held, recall.Sent and recall.Life.
 
-// Knowledge is what the file holds.
-type Knowledge struct {
-	At        warmstart.Timestamp            `cbor:"At"`
-	Names     []string                       `cbor:"Names"` // of workloads and customers, in the order of the terms
-	Learned   scheduler.Snapshot             `cbor:"Learned"`
-	Starts    map[scheduler.MachineID]uint64 `cbor:"Starts"`
-	ListIs    int64                          `cbor:"ListIs"` // version of the list
-	Entries   []entryRecord                  `cbor:"Entries"`
-	AtAnOrder bool                           `cbor:"AtAnOrder"` // written at an orderly end
-	Door      *overload.Snapshot             `cbor:"Door"`
+// WarmStartSnapshot is what the file holds.
+type WarmStartSnapshot struct {
+	TakenAt         warmstart.Timestamp            `cbor:"At"`
+	Names           []string                       `cbor:"Names"` // of workloads and customers, in the order of the terms
+	Learned         scheduler.Snapshot             `cbor:"Learned"`
+	Incarnations    map[scheduler.MachineID]uint64 `cbor:"Starts"`
+	ListVersion     int64                          `cbor:"ListIs"` // version of the list
+	Entries         []entryRecord                  `cbor:"Entries"`
+	OrderlyShutdown bool                           `cbor:"AtAnOrder"` // written at an orderly end
+	Overload        *overload.Snapshot             `cbor:"Door"`
 }
 
 // entryRecord is a stored link.Entry. In CBOR it is an array, so the order of the fields is part of the format; JSON is
--- a/internal/schedulerd/state_test.go
+++ b/internal/schedulerd/state_test.go
@@ -35,7 +35,7 @@
 }
 
 // live runs one life of a placer until it is stopped, or leaves it as kill -9 would where its state is copied first.
-func live(t *testing.T, s site1, d Decider, f func(*Host)) {
+func live(t *testing.T, s site1, d Scheduler, f func(*Server)) {
 	t.Helper()
 	h, err := New(s.Placer, d, discard)
 	if err != nil {
@@ -56,12 +56,12 @@
 	s.State = t.TempDir()
 	s.ListAddr = listing(t, map[string]string{"a": "127.0.0.1:1", "b": "127.0.0.1:1"})
 	first := learning(scheduler.Snapshot{Machines: []scheduler.MachineSnapshot{{Machine: "a", OutlierLogOdds: 4}, {Machine: "gone", OutlierLogOdds: 4}}})
-	live(t, s, first, func(h *Host) {
-		h.loop.Post(func() { h.watch(&protocol.WatchMachineList{Enabled: true}) })
+	live(t, s, first, func(h *Server) {
+		h.loop.Post(func() { h.requestList(&protocol.WatchMachineList{Enabled: true}) })
 		await[scheduler.MachineListUpdate](&rig{T: t, script: first.script}, func(e scheduler.MachineListUpdate) bool { return e.Mode != scheduler.RestoredSnapshot })
 	})
 	second := learning(scheduler.Snapshot{})
-	live(t, s, second, func(*Host) {
+	live(t, s, second, func(*Server) {
 		if e := await[scheduler.MachineListUpdate](&rig{T: t, script: second.script}, nil); e.Mode != scheduler.RestoredSnapshot || len(e.Entries) != 2 {
 			t.Errorf("came back with %+v", e)
 		}
@@ -70,14 +70,14 @@
 			t.Errorf("recalled %+v", k.Machines)
 		}
 	})
-	name := filepath.Join(s.State, KnowledgeName)
+	name := filepath.Join(s.State, WarmStartFile)
 	data, _ := os.ReadFile(name)
 	flipped := append([]byte(nil), data...)
 	flipped[len(flipped)/2] ^= 1
 	for _, broken := range [][]byte{{}, data[:len(data)/2], append([]byte("x"), data...), flipped} { // told, and left
 		os.WriteFile(name, broken, 0o644)
 		third := learning(scheduler.Snapshot{})
-		live(t, s, third, func(*Host) {
+		live(t, s, third, func(*Server) {
 			if e := await[scheduler.MachineListUpdate](&rig{T: t, script: third.script}, nil); len(e.Entries) != 0 {
 				t.Errorf("%d bytes that are no knowledge are taken for it", len(broken))
 			}
@@ -87,7 +87,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := wal.WriteChecksummed(d, KnowledgeName, KnowledgeSort, KnowledgeVersion+1, nil); err != nil {
+	if err := wal.WriteChecksummed(d, WarmStartFile, WarmStartMagic, WarmStartVersion+1, nil); err != nil {
 		t.Fatal(err)
 	}
 	d.Close()
@@ -109,13 +109,13 @@
 	// It is older than a day, and no longer believed; one of today is.
 	for name, at := range map[string]uint64{"old": 1000, "new": 0} {
 		if name == "new" {
-			live(t, site1{terms(t)}, &script{events: make(chan scheduler.Event, 10)}, func(h *Host) { at = uint64(h.loop.Now()) })
+			live(t, site1{terms(t)}, &script{events: make(chan scheduler.Event, 10)}, func(h *Server) { at = uint64(h.loop.Now()) })
 		}
 		binary.BigEndian.PutUint64(data, at)
 		os.WriteFile(s.Keep, data, 0o644)
 		s.State = t.TempDir()
 		d := learning(scheduler.Snapshot{})
-		live(t, s, d, func(*Host) {
+		live(t, s, d, func(*Server) {
 			if e := await[scheduler.MachineListUpdate](&rig{T: t, script: d.script}, nil); (len(e.Entries) == 1) != (name == "new") {
 				t.Errorf("%s: %+v", name, e)
 			}
@@ -162,7 +162,7 @@
 			}
 			held := &protocol.Inventory{}
 			if tc.runs {
-				held.Containers = []protocol.InventoryItem{{SchedulerIncarnation: r.h.life, AttemptID: o.AttemptID, Running: true, Spec: o.Spec}}
+				held.Containers = []protocol.InventoryItem{{SchedulerIncarnation: r.h.incarnation, AttemptID: o.AttemptID, Running: true, Spec: o.Spec}}
 			}
 			tell := make(chan bool)
 			mute := serve(t, func(c net.Conn) { // greets when it is told to
@@ -182,7 +182,7 @@
 				return nil
 			}
 			next := start(t, s2, give, map[string]string{"a": mute})
-			if n := on1(next.h, func() int { return next.h.custody.UnresolvedKeys() }); n != tc.logged {
+			if n := on1(next.h, func() int { return next.h.ownership.UnresolvedKeys() }); n != tc.logged {
 				t.Errorf("%d bids are known to be without an end", n)
 			}
 			ask := func() *protocol.PlacementReply {
@@ -196,7 +196,7 @@
 				}
 			}
 			close(tell)
-			until(t, func() bool { return on1(next.h, func() bool { return next.h.custody.UnresolvedKeys() == 0 }) })
+			until(t, func() bool { return on1(next.h, func() bool { return next.h.ownership.UnresolvedKeys() == 0 }) })
 			if a := ask(); a.Verdict != tc.want {
 				t.Errorf("asked again when it had told: %+v", a)
 			}
@@ -212,13 +212,13 @@
 	addr := machineThat(t, "a", &protocol.Inventory{}, func(net.Conn, protocol.Frame) bool { return true })
 	r := start(t, s, bidTo(0), map[string]string{"a": addr})
 	r.door.submit("x", 0)
-	until(t, func() bool { return on1(r.h, func() bool { return len(r.h.machines["a"].bids) > 0 }) })
-	if n := kept(t, copied(t, s.State), SentKind); n != 0 {
+	until(t, func() bool { return on1(r.h, func() bool { return len(r.h.machines["a"].attempts) > 0 }) })
+	if n := kept(t, copied(t, s.State), SendKind); n != 0 {
 		t.Errorf("%d records of what went to a warm machine", n)
 	}
 	entry := protocol.MachineEntry{Machine: "a", Address: addr, Incarnation: 2, Age: protocol.Duration(2 * eventloop.Second)}
-	on1(r.h, func() bool { r.h.learn(scheduler.DeltaUpdate, 2, []protocol.MachineEntry{entry}); return true })
-	until(t, func() bool { return kept(t, copied(t, s.State), SentKind) == 1 })
+	on1(r.h, func() bool { r.h.applyList(scheduler.DeltaUpdate, 2, []protocol.MachineEntry{entry}); return true })
+	until(t, func() bool { return kept(t, copied(t, s.State), SendKind) == 1 })
 	next := terms(t)
 	next.State = copied(t, s.State) // as a kill -9 leaves it
 	next.ListAddr = serve(t, func(c net.Conn) {
@@ -228,9 +228,9 @@
 		protocol.ReadFrame(c, protocol.MaxFrame)
 	})
 	d := learning(scheduler.Snapshot{})
-	live(t, site1{next}, d, func(h *Host) {
+	live(t, site1{next}, d, func(h *Server) {
 		<-d.recalled // at its begin, when no list has told of that start
-		h.loop.Post(func() { h.watch(&protocol.WatchMachineList{Enabled: true}) })
+		h.loop.Post(func() { h.requestList(&protocol.WatchMachineList{Enabled: true}) })
 		if k := <-d.recalled; len(k.Machines) != 1 || k.Machines[0].Machine != "a" || len(k.Machines[0].RecentSends) != 1 {
 			t.Errorf("%+v", k.Machines)
 		}
@@ -248,7 +248,7 @@
 
 // cramped is a folder that may be full, or slow to sync.
 type cramped struct {
-	folder
+	stateDir
 	full atomic.Bool
 	gate sync.RWMutex // syncs wait while it is held
 }
@@ -262,12 +262,12 @@
 	if c.full.Load() {
 		return nil, syscall.ENOSPC
 	}
-	f, err := c.folder.Create(name)
+	f, err := c.stateDir.Create(name)
 	return crampedFile{f, c}, err
 }
 
 func (c *cramped) Append(name string) (vfs.File, error) {
-	f, err := c.folder.Append(name)
+	f, err := c.stateDir.Append(name)
 	return crampedFile{f, c}, err
 }
 
@@ -287,12 +287,12 @@
 func cramp(t *testing.T, s *config.Placer) *cramped {
 	c := &cramped{}
 	s.State = t.TempDir()
-	openFolder = func(path string) (folder, error) {
+	openStateDir = func(path string) (stateDir, error) {
 		var err error
-		c.folder, err = vfs.OpenLocked(path)
+		c.stateDir, err = vfs.OpenLocked(path)
 		return c, err
 	}
-	t.Cleanup(func() { openFolder = func(path string) (folder, error) { return vfs.OpenLocked(path) } })
+	t.Cleanup(func() { openStateDir = func(path string) (stateDir, error) { return vfs.OpenLocked(path) } })
 	return c
 }
 
@@ -334,7 +334,7 @@
 			s := terms(t)
 			c := cramp(t, s)
 			if name != "it runs full" { // a folder there is
-				live(t, site1{s}, learning(scheduler.Snapshot{}), func(*Host) {})
+				live(t, site1{s}, learning(scheduler.Snapshot{}), func(*Server) {})
 				c.full.Store(true)
 			}
 			r := start(t, s, bidTo(0), map[string]string{"a": addr})
@@ -364,13 +364,13 @@
 			if a := r.door.answer(); a.Verdict != protocol.VerdictPlaced || a.ContainerID != "after" {
 				t.Errorf("with room again: %+v", a)
 			}
-			if on1(r.h, func() bool { r.h.state.save(); return r.h.state.unsaid }) {
+			if on1(r.h, func() bool { r.h.state.save(); return r.h.state.incarnationUnlogged }) {
 				t.Error("the log does not hold this life")
 			}
 			r.h.Stop()
 			until(t, func() bool { return !r.h.loop.Post(func() {}) })
 			until(t, func() bool { d, err := vfs.OpenLocked(s.State); return err == nil && d.Close() == nil })
-			if bids, lives := kept(t, s.State, BidKind), kept(t, s.State, LifeKind); bids != 1 || lives != 1 {
+			if bids, lives := kept(t, s.State, AttemptKind), kept(t, s.State, IncarnationKind); bids != 1 || lives != 1 {
 				t.Errorf("%d bids and %d lives in the log, want that of what runs and one", bids, lives)
 			}
 		})
@@ -398,7 +398,7 @@
 		t.Errorf("%+v", e)
 	}
 	on1(r.h, func() bool {
-		r.h.learn(scheduler.DeltaUpdate, 2, []protocol.MachineEntry{{Machine: "a", Address: addr, State: protocol.MachineDraining, Incarnation: 1, Age: -1}})
+		r.h.applyList(scheduler.DeltaUpdate, 2, []protocol.MachineEntry{{Machine: "a", Address: addr, State: protocol.MachineDraining, Incarnation: 1, Age: -1}})
 		return true
 	})
 	c.gate.Unlock()
@@ -412,13 +412,13 @@
 func TestFolder(t *testing.T) {
 	s := site1{terms(t)}
 	s.State = t.TempDir()
-	live(t, s, learning(scheduler.Snapshot{}), func(*Host) {
+	live(t, s, learning(scheduler.Snapshot{}), func(*Server) {
 		var owned *vfs.LockedError
 		if _, err := New(s.Placer, learning(scheduler.Snapshot{}), discard); !errors.As(err, &owned) {
 			t.Errorf("%v", err)
 		}
 	})
-	s.State = filepath.Join(s.State, KnowledgeName, "below a file")
+	s.State = filepath.Join(s.State, WarmStartFile, "below a file")
 	if _, err := New(s.Placer, learning(scheduler.Snapshot{}), discard); err == nil {
 		t.Error("a folder that cannot be is opened")
 	}
--- a/internal/schedulerd/waiting_test.go
+++ b/internal/schedulerd/waiting_test.go
@@ -61,11 +61,11 @@
 			s.Connect = 10 * eventloop.Second
 			r := start(t, s, bidTo(0), map[string]string{"a": addr})
 			r.door.submit("x", 0)
-			until(t, func() bool { return on1(r.h, func() bool { return len(r.h.machines["a"].waiting) > 0 }) })
+			until(t, func() bool { return on1(r.h, func() bool { return len(r.h.machines["a"].queued) > 0 }) })
 			if tc.change != nil && tc.change.Machine == "b" { // it holds what an earlier life of the placer began
 				on1(r.h, func() bool {
-					r.h.learn(scheduler.DeltaUpdate, 2, []protocol.MachineEntry{{Machine: "b", Address: "127.0.0.1:1", Incarnation: 1, Age: -1}})
-					r.h.tell(reconcile.MachineReported{Machine: "b", Attempts: []reconcile.Attempt{{Machine: "b", Incarnation: 1, Number: 1, Running: true,
+					r.h.applyList(scheduler.DeltaUpdate, 2, []protocol.MachineEntry{{Machine: "b", Address: "127.0.0.1:1", Incarnation: 1, Age: -1}})
+					r.h.enqueueOwnershipEvent(reconcile.MachineReported{Machine: "b", Attempts: []reconcile.Attempt{{Machine: "b", Incarnation: 1, Number: 1, Running: true,
 						Request: scheduler.PlacementRequest{ID: "o", IdempotencyKey: "k-o", Service: "s"}}}})
 					return true
 				})
@@ -73,7 +73,7 @@
 			} else if tc.change != nil {
 				on1(r.h, func() bool {
 					tc.change.Address = addr
-					r.h.learn(scheduler.DeltaUpdate, 2, []protocol.MachineEntry{*tc.change})
+					r.h.applyList(scheduler.DeltaUpdate, 2, []protocol.MachineEntry{*tc.change})
 					return true
 				})
 			}
--- a/internal/testbed/mutants/sabotage.go
+++ b/internal/testbed/mutants/sabotage.go
@@ -12,7 +12,7 @@
 
 // Breaker stands between a host and the decisions and breaks one rule.
 type Breaker struct {
-	schedulerd.Decider
+	schedulerd.Scheduler
 	rule     int
 	terms    scheduler.Config
 	asks     int
@@ -22,11 +22,11 @@
 }
 
 // New breaks the rule of that number.
-func New(rule int, t scheduler.Config, d schedulerd.Decider) (*Breaker, error) {
+func New(rule int, t scheduler.Config, d schedulerd.Scheduler) (*Breaker, error) {
 	if rule < 1 || rule > 5 {
 		return nil, fmt.Errorf("there are rules 1 to 5, no rule %d", rule)
 	}
-	return &Breaker{Decider: d, rule: rule, terms: t, machines: map[scheduler.MachineID]scheduler.MachineEntry{},
+	return &Breaker{Scheduler: d, rule: rule, terms: t, machines: map[scheduler.MachineID]scheduler.MachineEntry{},
 		open: map[scheduler.ContainerID]scheduler.PlacementRequest{}, again: map[scheduler.ContainerID]bool{}}, nil
 }
 
@@ -63,7 +63,7 @@
 		}
 		kept = append(kept, e)
 	}
-	actions := append(b.Decider.Handle(now, kept), extra...)
+	actions := append(b.Scheduler.Handle(now, kept), extra...)
 	for i, a := range actions {
 		bid, ok := a.(scheduler.StartAttempt)
 		if !ok {
--- a/internal/testbed/scenario/restart.go
+++ b/internal/testbed/scenario/restart.go
@@ -246,7 +246,7 @@
 		s, err := wal.Load(d, false)
 		if err == nil {
 			cut.Add(int64(min(1, s.TruncatedBytes)))
-			_, err = schedulerd.ReadKnowledge(d)
+			_, err = schedulerd.ReadWarmStart(d)
 		}
 		if err != nil {
 			fault("%s after a kill: %v", name, err)
@@ -484,7 +484,7 @@
 	}
 	defer b.close()
 	b.placer.Stop(syscall.SIGTERM) // its last list stays
-	if err := fill(filepath.Join(dir, "state"), schedulerd.BidKind, n, func(i int) (string, any) {
+	if err := fill(filepath.Join(dir, "state"), schedulerd.AttemptKind, n, func(i int) (string, any) {
 		id := fmt.Sprint("old-", i)
 		return fmt.Sprintf("%016x", i+1), reconcile.Attempt{Request: scheduler.PlacementRequest{ID: scheduler.ContainerID(id), IdempotencyKey: id, Service: fmt.Sprint("s", i%500),
 			WorkloadClass: 2, Cores: 1, Memory: 1}, Machine: scheduler.MachineID(fmt.Sprintf("machine-%04d", i%20)), Incarnation: 1, Number: uint64(i + 1)}
