--- a/cmd/glenport/platform.go
+++ b/cmd/glenport/platform.go
@@ -28,7 +28,7 @@
 			if file == "" {
 				return errors.New("neither --config nor " + deploymentFile + " names a file")
 			}
-			d, err := platform.Load(file)
+			d, err := platform.LoadConfig(file)
 			if err != nil {
 				return err
 			}
@@ -42,11 +42,11 @@
 			leave, renew := make(chan os.Signal, 1), make(chan os.Signal, 1) // of each sort the last one waits
 			signal.Notify(leave, syscall.SIGINT, syscall.SIGTERM)
 			signal.Notify(renew, syscall.SIGHUP)
-			p, err := platform.New(d, scheduler.New(d.Terms), log, trace)
+			p, err := platform.New(d, scheduler.New(d.Scheduler), log, trace)
 			if err != nil {
 				return err
 			}
-			p.Obey(leave, renew, func() (*platform.Deployment, error) { return platform.Load(file) })
+			p.HandleSignals(leave, renew, func() (*platform.Config, error) { return platform.LoadConfig(file) })
 			runtime.LockOSThread()
 			return p.Run()
 		}}
--- a/internal/platform/bus.go
+++ b/internal/platform/bus.go
@@ -9,104 +9,104 @@
 )
 
 const (
-	longestEvent = 4 << 20
-	busSilentFor = 2 * eventloop.Second // twice the span in which a line is due
-	busAgain     = eventloop.Second / 5
+	maxEventBytes       = 4 << 20
+	watchSilenceTimeout = 2 * eventloop.Second // twice the span in which a line is due
+	watchReconnectDelay = eventloop.Second / 5
 )
 
-// bus follows the event bus, one connection at a time.
-type bus struct {
-	p       *Platform
-	addr    string
-	conn    *eventloop.Conn
-	lines   jsonlines.LineSplitter
-	last    int64 // number of the last event that was taken in
-	heardAt eventloop.Tick
-	broken  bool
-	goes    bool // an event came on this connection: the next has the next number
+// discoveryWatch follows the event bus, one connection at a time.
+type discoveryWatch struct {
+	server        *Server
+	addr          string
+	conn          *eventloop.Conn
+	lines         jsonlines.LineSplitter
+	lastOffset    int64 // number of the last event that was taken in
+	lastReadAt    eventloop.Tick
+	interrupted   bool
+	receivedEvent bool // an event came on this connection: the next has the next number
 }
 
-func (s *bus) reach() {
-	s.lines, s.goes = jsonlines.LineSplitter{MaxBytes: longestEvent}, false
-	s.heardAt = s.p.loop.Now()
-	s.conn = s.p.loop.Dial(s.addr, s, 1<<10, eventloop.Second)
+func (w *discoveryWatch) connect() {
+	w.lines, w.receivedEvent = jsonlines.LineSplitter{MaxBytes: maxEventBytes}, false
+	w.lastReadAt = w.server.loop.Now()
+	w.conn = w.server.loop.Dial(w.addr, w, 1<<10, eventloop.Second)
 }
 
-// move goes on at another address.
-func (s *bus) move(addr string) {
-	if addr == s.addr {
+// moveTo goes on at another address.
+func (w *discoveryWatch) moveTo(addr string) {
+	if addr == w.addr {
 		return
 	}
-	s.p.log.Info("event bus moves", "to", addr, "last", s.last)
-	s.addr = addr
-	if c := s.conn; c != nil {
-		s.conn = nil
-		c.Reset()
+	w.server.log.Info("event bus moves", "to", addr, "last", w.lastOffset)
+	w.addr = addr
+	if conn := w.conn; conn != nil {
+		w.conn = nil
+		conn.Reset()
 	}
-	s.reach()
+	w.connect()
 }
 
-func (s *bus) Opened(c *eventloop.Conn) {
-	if c == s.conn {
-		c.Write(fmt.Appendf(nil, "from %d\n", s.last))
+func (w *discoveryWatch) Opened(conn *eventloop.Conn) {
+	if conn == w.conn {
+		conn.Write(fmt.Appendf(nil, "from %d\n", w.lastOffset))
 	}
 }
 
-func (s *bus) Read(c *eventloop.Conn, b []byte) {
-	if c != s.conn {
+func (w *discoveryWatch) Read(conn *eventloop.Conn, b []byte) {
+	if conn != w.conn {
 		return
 	}
-	s.heardAt = s.p.loop.Now()
-	if err := s.lines.Feed(b, s.line); err != nil {
-		s.p.log.Warn("event bus left", "why", err, "last", s.last)
-		c.Reset()
+	w.lastReadAt = w.server.loop.Now()
+	if err := w.lines.Feed(b, w.handleLine); err != nil {
+		w.server.log.Warn("event bus left", "why", err, "last", w.lastOffset)
+		conn.Reset()
 	}
 }
 
-func (s *bus) Closed(c *eventloop.Conn, why error) {
-	if c != s.conn {
+func (w *discoveryWatch) Closed(conn *eventloop.Conn, err error) {
+	if conn != w.conn {
 		return
 	}
-	s.conn = nil
-	if !s.broken {
-		s.broken = true
-		s.p.log.Warn("event bus broken off", "why", why, "last", s.last)
+	w.conn = nil
+	if !w.interrupted {
+		w.interrupted = true
+		w.server.log.Warn("event bus broken off", "why", err, "last", w.lastOffset)
 	}
-	s.p.loop.After(busAgain, func() {
-		if s.conn == nil {
-			s.reach()
+	w.server.loop.After(watchReconnectDelay, func() {
+		if w.conn == nil {
+			w.connect()
 		}
 	})
 }
 
-func (s *bus) house(now eventloop.Tick) {
-	if s.conn != nil && now-s.heardAt > busSilentFor {
-		s.conn.Reset()
+func (w *discoveryWatch) resetIfSilent(now eventloop.Tick) {
+	if w.conn != nil && now-w.lastReadAt > watchSilenceTimeout {
+		w.conn.Reset()
 	}
 }
 
-// line takes in an event or the number of the last one. Events known already come again after a break.
-func (s *bus) line(line []byte) error {
-	if s.broken {
-		s.broken = false
-		s.p.log.Info("event bus followed", "last", s.last)
+// handleLine takes in an event or the number of the last one. Events known already come again after a break.
+func (w *discoveryWatch) handleLine(line []byte) error {
+	if w.interrupted {
+		w.interrupted = false
+		w.server.log.Info("event bus followed", "last", w.lastOffset)
 	}
-	e, err := s.p.d.readEvent(line)
+	e, err := w.server.config.decodeWatchEvent(line)
 	if err != nil {
 		return err
 	}
-	if e.number <= s.last {
+	if e.offset <= w.lastOffset {
 		return nil
 	}
 	// What is missing is asked for again. The first event on a connection may have any number: a bus that has dropped what
 	// is old cannot tell it.
-	if e.bare || s.goes && e.number > s.last+1 {
-		return fmt.Errorf("event %d is missing", s.last+1)
+	if e.offsetOnly || w.receivedEvent && e.offset > w.lastOffset+1 {
+		return fmt.Errorf("event %d is missing", w.lastOffset+1)
 	}
-	s.last, s.goes = e.number, true
-	for _, fault := range e.faults {
-		s.p.log.Warn("machine left out of an event", "event", e.number, "why", fault)
+	w.lastOffset, w.receivedEvent = e.offset, true
+	for _, fault := range e.invalidEntries {
+		w.server.log.Warn("machine left out of an event", "event", e.offset, "why", fault)
 	}
-	s.p.learn(scheduler.DeltaUpdate, e)
+	w.server.applyUpdate(scheduler.DeltaUpdate, e)
 	return nil
 }
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -19,29 +19,31 @@
 
 // Two events that cross, each order forced: by what a peer waits for, or by doing both on the loop's goroutine.
 
-const other = "00000000000000bb"
+const otherCallID = "00000000000000bb"
 
-// on runs f on the placer's loop and waits for it.
-func (r *rig) on(f func()) {
+// runOnLoop runs f on the placer's loop and waits for it.
+func (r *testServer) runOnLoop(f func()) {
 	done := make(chan bool)
-	r.p.loop.Post(func() { f(); close(done) })
+	r.server.loop.Post(func() { f(); close(done) })
 	select {
 	case <-done:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		r.Fatal("the loop is stuck")
 	}
 }
 
-func (r *rig) toldToLeave(ago eventloop.Tick) { r.p.leaving, r.p.leavingAt = true, r.p.loop.Now()-ago }
+func (r *testServer) markShuttingDown(ago eventloop.Tick) {
+	r.server.shuttingDown, r.server.shutdownStartedAt = true, r.server.loop.Now()-ago
+}
 
-// toldBus takes callers and tells each all that tell was given so far and is given later.
-func toldBus(t *testing.T) (addr string, tell func(lines ...string)) {
+// scriptedDiscovery takes callers and tells each all that tell was given so far and is given later.
+func scriptedDiscovery(t *testing.T) (addr string, tell func(lines ...string)) {
 	var mu sync.Mutex
 	var told []string
 	var callers []*peer
-	addr = listen(t, func(b *peer) {
+	addr = serveTCP(t, func(b *peer) {
 		mu.Lock()
-		b.say(told...)
+		b.send(told...)
 		callers = append(callers, b)
 		mu.Unlock()
 		for {
@@ -55,39 +57,39 @@
 		defer mu.Unlock()
 		told = append(told, lines...)
 		for _, b := range callers {
-			b.say(lines...)
+			b.send(lines...)
 		}
 	}
 }
 
 // A set-up that comes in the turn in which a placer would end is answered before it ends, and what was written is not reset.
-func TestSetUpAtTheExit(t *testing.T) {
-	addr := machineThat(t, `{"op":"end","call":"%s","with":{"note":"cpu_full"},"why":34}`)
-	r := start(t, bidToA(0), file(silentBus(t), 256, event(1, true, host("a", addr, "ready", 0))))
-	o := r.owner()
-	o.say(`{"op":"test","call":"0000000000000001","with":{},"why":0}`)
-	o.hear()
-	r.on(func() { // with nothing unanswered, this turn is the last
-		r.toldToLeave(4 * eventloop.Second)
-		o.say(setUp(call, ""))
+func TestRequestInLastIterationIsAnswered(t *testing.T) {
+	addr := fakeMachine(t, `{"op":"end","call":"%s","with":{"note":"cpu_full"},"why":34}`)
+	r := startServer(t, attemptOnA(0), configJSON(silentDiscovery(t), 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))))
+	o := r.dialClient()
+	o.send(`{"op":"test","call":"0000000000000001","with":{},"why":0}`)
+	o.receive()
+	r.runOnLoop(func() { // with nothing unanswered, this turn is the last
+		r.markShuttingDown(4 * eventloop.Second)
+		o.send(offerLine(callID, ""))
 	})
-	if m := o.hear(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != call {
-		t.Errorf("heard %+v", m)
+	if msg := o.receive(); msg == nil || msg.Op != jsonlines.OpEnd || msg.RequestID != callID {
+		t.Errorf("heard %+v", msg)
 	}
-	if m := o.hear(); m != nil {
-		t.Errorf("then heard %+v", m)
+	if msg := o.receive(); msg != nil {
+		t.Errorf("then heard %+v", msg)
 	}
 }
 
 // A new file that is slow to read does not hold up the order to leave; one that is broken is not used, and the next one is.
-func TestSignalsCross(t *testing.T) {
-	old, tell := toldBus(t)
-	later, tellLater := toldBus(t)
-	r := start(t, bidToA(0), file(old, 256, event(1, true)))
+func TestReloadAndShutdownDoNotBlockEachOther(t *testing.T) {
+	old, tell := scriptedDiscovery(t)
+	later, tellLater := scriptedDiscovery(t)
+	r := startServer(t, attemptOnA(0), configJSON(old, 256, eventJSON(1, true)))
 	await[scheduler.MachineListUpdate](r, nil)
 	leave, renew := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	files := make(chan *Deployment)
-	r.p.Obey(leave, renew, func() (*Deployment, error) {
+	files := make(chan *Config)
+	r.server.HandleSignals(leave, renew, func() (*Config, error) {
 		if d := <-files; d != nil {
 			return d, nil
 		}
@@ -96,7 +98,7 @@
 	t.Cleanup(func() { close(leave); close(renew); close(files) })
 	renew <- syscall.SIGHUP
 	files <- nil // half written
-	tell(event(2, false))
+	tell(eventJSON(2, false))
 	if e := await[scheduler.MachineListUpdate](r, nil); e.Version != 2 {
 		t.Errorf("version %d came by the old bus", e.Version)
 	}
@@ -104,41 +106,41 @@
 	renew <- syscall.SIGHUP // is taken as the first file is being read
 	leave <- syscall.SIGTERM
 	leave <- syscall.SIGTERM // the second changes nothing
-	o := r.owner()
+	o := r.dialClient()
 	for passed := true; passed; {
-		o.say(`{"op":"test","call":"0000000000000001","with":{},"why":0}`)
-		m := o.hear()
-		if m == nil {
+		o.send(`{"op":"test","call":"0000000000000001","with":{},"why":0}`)
+		msg := o.receive()
+		if msg == nil {
 			t.Fatal("the placer left without a word")
 		}
-		passed = m.CauseOrNone() == jsonlines.CauseTestPassed
+		passed = msg.CauseOrNone() == jsonlines.CauseTestPassed
 	}
-	d := *r.p.d
-	d.Bus = later
-	files <- r.p.d
+	d := *r.server.config
+	d.DiscoveryAddr = later
+	files <- r.server.config
 	files <- &d
-	tellLater(event(3, false))
+	tellLater(eventJSON(3, false))
 	if e := await[scheduler.MachineListUpdate](r, nil); e.Version != 3 {
 		t.Errorf("version %d came by the new bus", e.Version)
 	}
 }
 
 // What is unanswered shortly before a leaving placer is killed is answered, and its bid taken back.
-func TestLeavesInTime(t *testing.T) {
+func TestOpenRequestIsAnsweredBeforeKill(t *testing.T) {
 	taken := make(chan *jsonlines.Message, 2)
-	addr := listen(t, func(m *peer) { taken <- m.hear(); taken <- m.hear() })
-	r := start(t, bidToA(0), file(silentBus(t), 256, event(1, true, host("a", addr, "ready", 0))))
-	o := r.owner()
-	o.say(strings.Replace(setUp(call, ""), `"2000"`, `"60000"`, 1))
+	addr := serveTCP(t, func(m *peer) { taken <- m.receive(); taken <- m.receive() })
+	r := startServer(t, attemptOnA(0), configJSON(silentDiscovery(t), 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))))
+	o := r.dialClient()
+	o.send(strings.Replace(offerLine(callID, ""), `"2000"`, `"60000"`, 1))
 	<-taken
-	r.on(func() { r.toldToLeave(3*eventloop.Second + eventloop.Second/4) })
-	if m := o.hear(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != call {
+	r.runOnLoop(func() { r.markShuttingDown(3*eventloop.Second + eventloop.Second/4) })
+	if m := o.receive(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != callID {
 		t.Errorf("heard %+v", m)
 	}
 	if m := <-taken; m == nil || m.Op != jsonlines.OpEnd || m.CauseOrNone() != jsonlines.CauseNormal {
 		t.Errorf("the machine heard %+v", m)
 	}
-	if m := o.hear(); m != nil {
+	if m := o.receive(); m != nil {
 		t.Errorf("then heard %+v", m)
 	}
 	if e := await[scheduler.AttemptEnded](r, nil); e.Outcome != scheduler.OutcomeFinished || e.Final {
@@ -147,75 +149,75 @@
 }
 
 // An owner goes in the batch in which the module bids for it: the bid has its outcome all the same.
-func TestBidForNobody(t *testing.T) {
-	r := start(t, bidToA(0), file(silentBus(t), 256, event(1, true, host("a", "127.0.0.1:1", "ready", 0))))
-	r.on(func() { r.p.carry(scheduler.StartAttempt{ID: call, Machine: "a"}) })
-	if e := await[scheduler.AttemptEnded](r, nil); e.ID != call || e.Machine != "a" || e.Outcome != scheduler.OutcomeNotSent || !e.Final {
+func TestAttemptForUnknownContainerHasOutcome(t *testing.T) {
+	r := startServer(t, attemptOnA(0), configJSON(silentDiscovery(t), 256, eventJSON(1, true, machineJSON("a", "127.0.0.1:1", "ready", 0))))
+	r.runOnLoop(func() { r.server.applySchedulerAction(scheduler.StartAttempt{ID: callID, Machine: "a"}) })
+	if e := await[scheduler.AttemptEnded](r, nil); e.ID != callID || e.Machine != "a" || e.Outcome != scheduler.OutcomeNotSent || !e.Final {
 		t.Errorf("got %+v", e)
 	}
 }
 
 // With more machines than descriptors, links stay within their part, each bid goes out, and each end is heard of, also where
 // its link has made way.
-func TestFewLinks(t *testing.T) {
+func TestMachineConnLimitHolds(t *testing.T) {
 	const machines, sockets, links = 40, 64, 16 // as many for owners, 32 for bus, bursts and the program itself
 	var mu sync.Mutex
 	over := map[string]bool{} // by call
 	hosts := make([]string, machines)
 	for i := range hosts {
-		addr := listen(t, func(m *peer) {
+		addr := serveTCP(t, func(m *peer) {
 			mu.Lock()
 			for c := range over {
 				if strings.HasSuffix(c, fmt.Sprintf("%04x", i)) {
-					m.say(`{"op":"end","call":"` + c + `","with":{},"why":16}`)
+					m.send(`{"op":"end","call":"` + c + `","with":{},"why":16}`)
 				}
 			}
 			mu.Unlock()
-			for msg := m.hear(); msg != nil; msg = m.hear() {
+			for msg := m.receive(); msg != nil; msg = m.receive() {
 				if msg.Op == jsonlines.OpOffer {
 					mu.Lock()
 					over[msg.RequestID] = true // over at once, but told on the next connection only
 					mu.Unlock()
-					m.say(`{"op":"accept","call":"` + msg.RequestID + `","with":{},"desc":"d"}`)
+					m.send(`{"op":"accept","call":"` + msg.RequestID + `","with":{},"desc":"d"}`)
 				}
 			}
 		})
-		hosts[i] = host(fmt.Sprintf("m%04x", i), addr, "ready", 0)
+		hosts[i] = machineJSON(fmt.Sprintf("m%04x", i), addr, "ready", 0)
 	}
 	most := 0
-	r := start(t, func(e scheduler.Event) []scheduler.Action {
+	r := startServer(t, func(e scheduler.Event) []scheduler.Action {
 		if e, ok := e.(scheduler.RequestReceived); ok {
 			return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: scheduler.MachineID("m" + string(e.ID[12:]))}}
 		}
 		return nil
-	}, file(silentBus(t), sockets, event(1, true, hosts...)))
-	o := r.owner()
+	}, configJSON(silentDiscovery(t), sockets, eventJSON(1, true, hosts...)))
+	o := r.dialClient()
 	for i := range machines {
-		o.say(setUp(fmt.Sprintf("%016x", i), ""))
-		if m := o.hear(); m == nil || m.Op == jsonlines.OpEnd {
+		o.send(offerLine(fmt.Sprintf("%016x", i), ""))
+		if m := o.receive(); m == nil || m.Op == jsonlines.OpEnd {
 			t.Fatalf("bid %d: the owner heard %+v", i, m)
 		}
-		r.on(func() { // a bid's link could make way only after its machine had a while to speak on it
-			most = max(most, r.p.links)
-			for _, m := range r.p.machines {
-				for _, l := range m.links {
-					l.usedAt -= eventloop.Second
+		r.runOnLoop(func() { // a bid's link could make way only after its machine had a while to speak on it
+			most = max(most, r.server.machineConnCount)
+			for _, m := range r.server.machines {
+				for _, l := range m.conns {
+					l.lastUsedAt -= eventloop.Second
 				}
 			}
 		})
 	}
 	heard := map[string]bool{}
 	for len(heard) < machines {
-		m := o.hear()
+		m := o.receive()
 		if m == nil {
 			t.Fatalf("%d of %d ends were heard of", len(heard), machines)
 		}
 		if m.Op == jsonlines.OpEnd {
 			heard[m.RequestID] = true
-			o.say(`{"op":"ended","call":"` + m.RequestID + `","with":{}}`)
+			o.send(`{"op":"ended","call":"` + m.RequestID + `","with":{}}`)
 		}
 	}
-	r.on(func() {
+	r.runOnLoop(func() {
 		if most > links {
 			t.Errorf("%d links at once, %d allowed", most, links)
 		}
@@ -223,15 +225,15 @@
 }
 
 // A crowd at the door and a burst of bids, with more machines than links, leave the bus its descriptor at every moment.
-func TestCrowdLeavesReserve(t *testing.T) {
+func TestClientBurstLeavesDescriptorReserve(t *testing.T) {
 	const sockets, machines, callers = 64, 60, 200
 	const links = (sockets - 32) / 2
 	hosts := make([]string, machines)
 	for i := range hosts {
-		addr := machineThat(t, `{"op":"accept","call":"%s","with":{},"desc":"d"}`)
-		hosts[i] = host(fmt.Sprintf("m%04x", i), addr, "ready", 0)
+		addr := fakeMachine(t, `{"op":"accept","call":"%s","with":{},"desc":"d"}`)
+		hosts[i] = machineJSON(fmt.Sprintf("m%04x", i), addr, "ready", 0)
 	}
-	r := start(t, func(e scheduler.Event) []scheduler.Action {
+	r := startServer(t, func(e scheduler.Event) []scheduler.Action {
 		switch e := e.(type) {
 		case scheduler.RequestReceived:
 			return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: scheduler.MachineID("m" + string(e.ID[12:]))}}
@@ -241,94 +243,94 @@
 			}
 		}
 		return nil
-	}, file(silentBus(t), sockets, event(1, true, hosts...)))
-	o := r.owner()
+	}, configJSON(silentDiscovery(t), sockets, eventJSON(1, true, hosts...)))
+	o := r.dialClient()
 	for i := range links {
-		o.say(setUp(fmt.Sprintf("%016x", i), ""))
-		o.hear()
+		o.send(offerLine(fmt.Sprintf("%016x", i), ""))
+		o.receive()
 	}
-	r.on(func() { // the crowd is there when the loop goes on
+	r.runOnLoop(func() { // the crowd is there when the loop goes on
 		for range callers {
-			r.owner()
+			r.dialClient()
 		}
 	})
 	for full := false; !full; {
-		r.on(func() { full = len(r.p.callers) >= links })
+		r.runOnLoop(func() { full = len(r.server.clients) >= links })
 	}
-	r.on(func() { // and now the burst
-		for _, m := range r.p.machines {
-			for _, l := range m.links {
-				l.usedAt -= eventloop.Second
+	r.runOnLoop(func() { // and now the burst
+		for _, m := range r.server.machines {
+			for _, l := range m.conns {
+				l.lastUsedAt -= eventloop.Second
 			}
 		}
 		for i := links; i < machines; i++ {
-			o.say(setUp(fmt.Sprintf("%016x", i), ""))
+			o.send(offerLine(fmt.Sprintf("%016x", i), ""))
 		}
 	})
 	await(r, func(e scheduler.RequestReceived) bool {
 		return e.ID == scheduler.ContainerID(fmt.Sprintf("%016x", machines-1))
 	})
-	r.on(func() {
-		if n := r.p.loop.PeakConnCount(); n+14 > sockets { // that many the program itself may hold
+	r.runOnLoop(func() {
+		if n := r.server.loop.PeakConnCount(); n+14 > sockets { // that many the program itself may hold
 			t.Errorf("%d connections at once, of %d descriptors", n, sockets)
 		}
 	})
 }
 
 // A bid does not go out on a link that its machine may be closing as idle.
-func TestQuietLink(t *testing.T) {
+func TestIdleConnCarriesNoAttempt(t *testing.T) {
 	var mu sync.Mutex
 	links := 0
 	carried := map[string]int{}
-	addr := listen(t, func(m *peer) {
+	addr := serveTCP(t, func(m *peer) {
 		mu.Lock()
 		links++
 		n := links
 		mu.Unlock()
-		for msg := m.hear(); msg != nil; msg = m.hear() {
+		for msg := m.receive(); msg != nil; msg = m.receive() {
 			mu.Lock()
 			carried[msg.RequestID] = n
 			mu.Unlock()
-			m.say(`{"op":"accept","call":"` + msg.RequestID + `","with":{},"desc":"d"}`)
+			m.send(`{"op":"accept","call":"` + msg.RequestID + `","with":{},"desc":"d"}`)
 		}
 	})
-	r := start(t, bidToA(0), file(silentBus(t), 256, event(1, true, host("a", addr, "ready", 0))))
-	o := r.owner()
-	for i, c := range []string{call, other, "00000000000000cc"} {
+	r := startServer(t, attemptOnA(0), configJSON(silentDiscovery(t), 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))))
+	o := r.dialClient()
+	for i, c := range []string{callID, otherCallID, "00000000000000cc"} {
 		if i == 2 {
-			r.on(func() {
-				for _, l := range r.p.machines["a"].links {
-					l.usedAt -= r.p.d.IdleLinks / 2
+			r.runOnLoop(func() {
+				for _, l := range r.server.machines["a"].conns {
+					l.lastUsedAt -= r.server.config.MachineIdleTimeout / 2
 				}
 			})
 		}
-		o.say(setUp(c, ""))
-		if m := o.hear(); m == nil || m.Op != jsonlines.OpAccept {
+		o.send(offerLine(c, ""))
+		if m := o.receive(); m == nil || m.Op != jsonlines.OpAccept {
 			t.Fatalf("heard %+v", m)
 		}
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if carried[call] != carried[other] || carried["00000000000000cc"] == carried[call] {
+	if carried[callID] != carried[otherCallID] || carried["00000000000000cc"] == carried[callID] {
 		t.Errorf("carried by %v", carried)
 	}
 }
 
 // An event that is missing is asked for again, and a machine that the terms cannot place keeps no other from being heard of.
-func TestBusGap(t *testing.T) {
+func TestMissingEventIsRequestedAgain(t *testing.T) {
 	calls := make(chan *peer, 10)
 	asked := make(chan string, 10)
-	bus := listen(t, func(b *peer) {
+	bus := serveTCP(t, func(b *peer) {
 		line, _ := b.r.ReadString('\n')
 		asked <- strings.TrimSpace(line)
 		calls <- b
 		b.r.ReadString('\n')
 	})
-	r := start(t, bidToA(0), file(bus, 256, event(1, true)))
+	r := startServer(t, attemptOnA(0), configJSON(bus, 256, eventJSON(1, true)))
 	await[scheduler.MachineListUpdate](r, nil)
 	b := <-calls
 	<-asked
-	b.say(event(2, false), event(4, false, host("a", "127.0.0.1:1", "draining", 0)))
+	b.send(eventJSON(2, false), eventJSON(4, false, machineJSON("a", "127.0.0.1:1", "draining", 0)))
 	if e := await[scheduler.MachineListUpdate](r, nil); e.Version != 2 {
 		t.Errorf("version %d came, want 2", e.Version)
 	}
@@ -336,93 +338,93 @@
 	if from := <-asked; from != "from 2" {
 		t.Errorf("asked %q", from)
 	}
-	b.say(event(3, false, strings.Replace(host("x", "127.0.0.1:1", "ready", 0), "large", "huge", 1), host("a", "127.0.0.1:1", "ready", 0)),
-		event(4, false))
+	b.send(eventJSON(3, false, strings.Replace(machineJSON("x", "127.0.0.1:1", "ready", 0), "large", "huge", 1), machineJSON("a", "127.0.0.1:1", "ready", 0)),
+		eventJSON(4, false))
 	if e := await[scheduler.MachineListUpdate](r, nil); e.Version != 3 || len(e.Entries) != 1 || e.Entries[0].Machine != "a" {
 		t.Errorf("got %+v", e)
 	}
 	b.c.Close()
 	b = <-calls
-	b.say(event(9, true)) // all that the bus still has
+	b.send(eventJSON(9, true)) // all that the bus still has
 	if e := await(r, func(e scheduler.MachineListUpdate) bool { return e.Version != 4 }); e.Version != 9 || e.Mode != scheduler.FullSnapshot {
 		t.Errorf("got %+v", e)
 	}
 }
 
 // Without zones and kinds in the terms there is one of each.
-func TestNoZones(t *testing.T) {
+func TestConfigWithoutZones(t *testing.T) {
 	config := strings.NewReplacer(`"azs":["hall a","hall-b"]`, `"azs":[]`, `"site":"hall-b"`, `"site":""`).
-		Replace(file("127.0.0.1:1", 256, event(1, true, host("a", "127.0.0.1:2", "ready", 0))))
-	if d, err := parse([]byte(config)); err != nil || d.Known[0].hosts[0].entry.Zone != 0 {
+		Replace(configJSON("127.0.0.1:1", 256, eventJSON(1, true, machineJSON("a", "127.0.0.1:2", "ready", 0))))
+	if d, err := parseConfig([]byte(config)); err != nil || d.KnownEvents[0].machines[0].entry.Zone != 0 {
 		t.Errorf("%+v, %v", d, err)
 	}
 }
 
 // After a start a machine may tell that something is over before an owner names it as standing: the owner hears it then.
-func TestOverBeforeNamed(t *testing.T) {
+func TestEndBeforeReclaimIsDelivered(t *testing.T) {
 	said := make(chan bool)
-	addr := listen(t, func(m *peer) {
-		msg := m.hear()
+	addr := serveTCP(t, func(m *peer) {
+		msg := m.receive()
 		if msg == nil {
 			return
 		}
-		m.say(`{"op":"end","call":"`+other+`","with":{},"why":16}`, `{"op":"accept","call":"`+msg.RequestID+`","with":{},"desc":"d"}`)
+		m.send(`{"op":"end","call":"`+otherCallID+`","with":{},"why":16}`, `{"op":"accept","call":"`+msg.RequestID+`","with":{},"desc":"d"}`)
 		close(said)
-		m.hear()
+		m.receive()
 	})
-	r := start(t, bidToA(0), file(silentBus(t), 256, event(1, true, host("a", addr, "ready", 0))))
-	o := r.owner()
-	o.say(setUp(call, ""))
+	r := startServer(t, attemptOnA(0), configJSON(silentDiscovery(t), 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))))
+	o := r.dialClient()
+	o.send(offerLine(callID, ""))
 	<-said
-	if m := o.hear(); m == nil || m.Op != jsonlines.OpAccept {
+	if m := o.receive(); m == nil || m.Op != jsonlines.OpAccept {
 		t.Errorf("heard %+v", m)
 	}
-	o.say(setUp(other, ";at:a"))
-	if m := o.hear(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != other || m.CauseOrNone() != jsonlines.CauseNormal {
+	o.send(offerLine(otherCallID, ";at:a"))
+	if m := o.receive(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != otherCallID || m.CauseOrNone() != jsonlines.CauseNormal {
 		t.Errorf("heard %+v", m)
 	}
-	if e := await(r, func(e scheduler.AttemptEnded) bool { return e.ID == other }); !e.Final || e.Outcome != scheduler.OutcomeFinished {
+	if e := await(r, func(e scheduler.AttemptEnded) bool { return e.ID == otherCallID }); !e.Final || e.Outcome != scheduler.OutcomeFinished {
 		t.Errorf("got %+v", e)
 	}
 }
 
 // A machine at whose address the bus names another is gone, in whatever order the bus tells it: nothing meant for it reaches
 // the other, and what stood there is over.
-func TestSuccessor(t *testing.T) {
+func TestReusedAddressEvictsPredecessor(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		tells func(addr string) []string
 	}{
-		{"the successor alone", func(a string) []string { return []string{event(2, false, host("b", a, "ready", 7))} }},
+		{"the successor alone", func(a string) []string { return []string{eventJSON(2, false, machineJSON("b", a, "ready", 7))} }},
 		{"then that the first is gone", func(a string) []string {
-			return []string{event(2, false, host("b", a, "ready", 7)), event(3, false, host("a", a, "gone", 0))}
+			return []string{eventJSON(2, false, machineJSON("b", a, "ready", 7)), eventJSON(3, false, machineJSON("a", a, "gone", 0))}
 		}},
 		{"both in one, the successor first", func(a string) []string {
-			return []string{event(2, false, host("b", a, "ready", 7), host("a", a, "gone", 0))}
+			return []string{eventJSON(2, false, machineJSON("b", a, "ready", 7), machineJSON("a", a, "gone", 0))}
 		}},
 		{"the first moves away meanwhile", func(a string) []string {
-			return []string{event(2, false, host("a", "127.0.0.1:1", "gone", 0)), event(3, false, host("b", a, "ready", 7))}
+			return []string{eventJSON(2, false, machineJSON("a", "127.0.0.1:1", "gone", 0)), eventJSON(3, false, machineJSON("b", a, "ready", 7))}
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			bus, tell := toldBus(t)
+			bus, tell := scriptedDiscovery(t)
 			offers := make(chan string, 10)
-			addr := listen(t, func(m *peer) {
-				for msg := m.hear(); msg != nil; msg = m.hear() {
-					if offers <- msg.RequestID; msg.RequestID == call {
-						m.say(`{"op":"accept","call":"` + msg.RequestID + `","with":{},"desc":"d"}`)
+			addr := serveTCP(t, func(m *peer) {
+				for msg := m.receive(); msg != nil; msg = m.receive() {
+					if offers <- msg.RequestID; msg.RequestID == callID {
+						m.send(`{"op":"accept","call":"` + msg.RequestID + `","with":{},"desc":"d"}`)
 					}
 				}
 			})
-			r := start(t, bidToA(0), file(bus, 256, event(1, true, host("a", addr, "ready", 0))))
-			o := r.owner()
-			o.say(setUp(call, ""))
-			o.hear()
+			r := startServer(t, attemptOnA(0), configJSON(bus, 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))))
+			o := r.dialClient()
+			o.send(offerLine(callID, ""))
+			o.receive()
 			<-offers
-			o.say(strings.Replace(setUp("00000000000000dd", ""), `"2000"`, `"60000"`, 1)) // a bid that stays out
+			o.send(strings.Replace(offerLine("00000000000000dd", ""), `"2000"`, `"60000"`, 1)) // a bid that stays out
 			<-offers
 			tell(tc.tells(addr)...)
-			if m := o.hear(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != call {
+			if m := o.receive(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != callID {
 				t.Fatalf("heard %+v", m)
 			}
 			gone := await(r, func(e scheduler.MachineListUpdate) bool {
@@ -433,15 +435,15 @@
 				}
 				return false
 			})
-			o.say(setUp(other, "")) // the script bids it to a, whatever the list says
-			if m := o.hear(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != other {
+			o.send(offerLine(otherCallID, "")) // the script bids it to a, whatever the list says
+			if m := o.receive(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != otherCallID {
 				t.Errorf("heard %+v, after %+v", m, gone)
 			}
 			if len(offers) > 0 {
 				t.Errorf("%s reached the successor", <-offers)
 			}
-			o.say(setUp("00000000000000cc", ";at:a")) // where it stood is gone, and the successor's word says nothing of it
-			if m := o.hear(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != "00000000000000cc" {
+			o.send(offerLine("00000000000000cc", ";at:a")) // where it stood is gone, and the successor's word says nothing of it
+			if m := o.receive(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != "00000000000000cc" {
 				t.Errorf("heard %+v", m)
 			}
 		})
@@ -449,31 +451,31 @@
 }
 
 // An owner goes while its bid waits for a link: the machine hears nothing of it, or that it is taken back.
-func TestOwnerGoesAsLinkOpens(t *testing.T) {
+func TestClientLeavesWhileConnOpens(t *testing.T) {
 	heard := make(chan *jsonlines.Message, 10)
-	addr := listen(t, func(m *peer) {
-		for msg := m.hear(); msg != nil; msg = m.hear() {
+	addr := serveTCP(t, func(m *peer) {
+		for msg := m.receive(); msg != nil; msg = m.receive() {
 			heard <- msg
 		}
 	})
-	r := start(t, bidToA(0), file(silentBus(t), 256, event(1, true, host("a", addr, "ready", 0))))
-	o := r.owner()
-	r.on(func() {
-		r.script.on = func(e scheduler.Event) []scheduler.Action {
-			if e, ok := e.(scheduler.RequestReceived); ok && e.ID == call {
+	r := startServer(t, attemptOnA(0), configJSON(silentDiscovery(t), 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))))
+	o := r.dialClient()
+	r.runOnLoop(func() {
+		r.scheduler.on = func(e scheduler.Event) []scheduler.Action {
+			if e, ok := e.(scheduler.RequestReceived); ok && e.ID == callID {
 				o.c.Close() // the end is there before the link is
 			}
-			return bidToA(0)(e)
+			return attemptOnA(0)(e)
 		}
 	})
-	o.say(setUp(call, ""))
+	o.send(offerLine(callID, ""))
 	await[scheduler.ContainerRemoved](r, nil)
 	await[scheduler.AttemptEnded](r, nil)
-	r.owner().say(setUp(other, ""))
+	r.dialClient().send(offerLine(otherCallID, ""))
 	var offers, ends int
 	for {
 		msg := <-heard
-		if msg.RequestID == other {
+		if msg.RequestID == otherCallID {
 			break
 		}
 		if msg.Op == jsonlines.OpOffer {
@@ -488,85 +490,85 @@
 }
 
 // A call that was given up is used anew at once: it is another set-up, offered once and answered once.
-func TestCallUsedAnew(t *testing.T) {
-	addr := machineThat(t, `{"op":"accept","call":"%s","with":{},"desc":"d"}`)
-	r := start(t, nil, file(silentBus(t), 256, event(1, true, host("a", addr, "ready", 0))))
-	o := r.owner()
-	end := `{"op":"end","call":"` + call + `","with":{},"why":16}`
-	io.WriteString(o.c, setUp(call, "")+"\n"+end+"\n"+setUp(call, "")+"\n"+`{"op":"test","call":"0000000000000001","with":{},"why":0}`+"\n")
+func TestCallIsReusedAfterCancel(t *testing.T) {
+	addr := fakeMachine(t, `{"op":"accept","call":"%s","with":{},"desc":"d"}`)
+	r := startServer(t, nil, configJSON(silentDiscovery(t), 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))))
+	o := r.dialClient()
+	end := `{"op":"end","call":"` + callID + `","with":{},"why":16}`
+	io.WriteString(o.c, offerLine(callID, "")+"\n"+end+"\n"+offerLine(callID, "")+"\n"+`{"op":"test","call":"0000000000000001","with":{},"why":0}`+"\n")
 	for _, op := range []jsonlines.Op{jsonlines.OpTested, jsonlines.OpAccept} {
-		if m := o.hear(); m == nil || m.Op != op {
-			t.Fatalf("heard %+v, want %s", m, op)
+		if msg := o.receive(); msg == nil || msg.Op != op {
+			t.Fatalf("heard %+v, want %s", msg, op)
 		}
 	}
-	o.say(`{"op":"test","call":"0000000000000002","with":{},"why":0}`)
-	if m := o.hear(); m == nil || m.Op != jsonlines.OpTested {
-		t.Errorf("then heard %+v", m)
+	o.send(`{"op":"test","call":"0000000000000002","with":{},"why":0}`)
+	if msg := o.receive(); msg == nil || msg.Op != jsonlines.OpTested {
+		t.Errorf("then heard %+v", msg)
 	}
 }
 
 // The order to leave comes while a set-up is half read: its other half is taken in, and it is answered.
-func TestLeaveAtHalfASetUp(t *testing.T) {
-	addr := machineThat(t, `{"op":"accept","call":"%s","with":{},"desc":"d"}`)
-	r := start(t, bidToA(0), file(silentBus(t), 256, event(1, true, host("a", addr, "ready", 0))))
-	o := r.owner()
-	line := setUp(call, "") + "\n"
+func TestRequestHalfReadAtShutdownIsAnswered(t *testing.T) {
+	addr := fakeMachine(t, `{"op":"accept","call":"%s","with":{},"desc":"d"}`)
+	r := startServer(t, attemptOnA(0), configJSON(silentDiscovery(t), 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))))
+	o := r.dialClient()
+	line := offerLine(callID, "") + "\n"
 	io.WriteString(o.c, line[:40])
 	for half := 0; half == 0; {
-		r.on(func() {
-			for _, k := range r.p.callers {
+		r.runOnLoop(func() {
+			for _, k := range r.server.clients {
 				half = k.lines.Buffered()
 			}
 		})
 	}
-	r.p.Leave()
-	r.on(func() {})
+	r.server.Shutdown()
+	r.runOnLoop(func() {})
 	io.WriteString(o.c, line[40:])
-	if m := o.hear(); m == nil || m.Op != jsonlines.OpAccept {
-		t.Errorf("heard %+v", m)
+	if msg := o.receive(); msg == nil || msg.Op != jsonlines.OpAccept {
+		t.Errorf("heard %+v", msg)
 	}
 }
 
 // A whole list leaves out a machine: what stands there is over, and a yes that comes then counts for nothing and is taken back.
-func TestYesOfOneThatIsGone(t *testing.T) {
-	bus, tell := toldBus(t)
+func TestAcceptOfGoneMachineIsCancelled(t *testing.T) {
+	bus, tell := scriptedDiscovery(t)
 	say, heard := make(chan bool), make(chan *jsonlines.Message, 10)
-	addr := listen(t, func(m *peer) {
-		for msg := m.hear(); msg != nil; msg = m.hear() {
+	addr := serveTCP(t, func(m *peer) {
+		for msg := m.receive(); msg != nil; msg = m.receive() {
 			if msg.Op != jsonlines.OpOffer {
 				heard <- msg
 				continue
 			}
-			if msg.RequestID == other {
+			if msg.RequestID == otherCallID {
 				<-say
 			}
-			m.say(`{"op":"accept","call":"` + msg.RequestID + `","with":{},"desc":"d"}`)
+			m.send(`{"op":"accept","call":"` + msg.RequestID + `","with":{},"desc":"d"}`)
 		}
 	})
-	r := start(t, bidToA(0), file(bus, 256, event(1, true, host("a", addr, "ready", 0))))
-	o := r.owner()
-	o.say(setUp(call, ""))
-	o.hear()
-	o.say(setUp(other, ""))
-	await(r, func(e scheduler.RequestReceived) bool { return e.ID == other })
-	tell(event(2, true))
-	if m := o.hear(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != call {
+	r := startServer(t, attemptOnA(0), configJSON(bus, 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))))
+	o := r.dialClient()
+	o.send(offerLine(callID, ""))
+	o.receive()
+	o.send(offerLine(otherCallID, ""))
+	await(r, func(e scheduler.RequestReceived) bool { return e.ID == otherCallID })
+	tell(eventJSON(2, true))
+	if m := o.receive(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != callID {
 		t.Fatalf("heard %+v", m)
 	}
 	close(say)
-	if m := o.hear(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != other {
+	if m := o.receive(); m == nil || m.Op != jsonlines.OpEnd || m.RequestID != otherCallID {
 		t.Errorf("heard %+v", m)
 	}
-	if e := await(r, func(e scheduler.AttemptEnded) bool { return e.ID == other }); e.Outcome != scheduler.OutcomeLost || e.Final {
+	if e := await(r, func(e scheduler.AttemptEnded) bool { return e.ID == otherCallID }); e.Outcome != scheduler.OutcomeLost || e.Final {
 		t.Errorf("got %+v", e)
 	}
-	if m := <-heard; m == nil || m.Op != jsonlines.OpEnd || m.RequestID != other || m.CauseOrNone() != jsonlines.CauseNormal {
+	if m := <-heard; m == nil || m.Op != jsonlines.OpEnd || m.RequestID != otherCallID || m.CauseOrNone() != jsonlines.CauseNormal {
 		t.Errorf("the machine heard %+v", m)
 	}
 }
 
 // A link comes up after the bid that waited for it timed out: that bid is not sent on it, and the next one is.
-func TestLateLink(t *testing.T) {
+func TestLateConnCarriesNextAttempt(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -580,19 +582,19 @@
 			c.Close()
 		}
 	}
-	config := file(silentBus(t), 256, event(1, true, host("a", addr, "ready", 0)))
-	r := start(t, func(e scheduler.Event) []scheduler.Action {
-		if e, ok := e.(scheduler.RequestReceived); ok && e.ID == other {
-			return bidToA(9 * scheduler.Second)(e)
+	config := configJSON(silentDiscovery(t), 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0)))
+	r := startServer(t, func(e scheduler.Event) []scheduler.Action {
+		if e, ok := e.(scheduler.RequestReceived); ok && e.ID == otherCallID {
+			return attemptOnA(9 * scheduler.Second)(e)
 		}
-		return bidToA(50 * scheduler.Millisecond)(e)
+		return attemptOnA(50 * scheduler.Millisecond)(e)
 	}, strings.Replace(config, `"connect_timeout_ms":250.0`, `"connect_timeout_ms":9000.0`, 1))
-	o := r.owner()
-	o.say(setUp(call, ""))
-	if e := await[scheduler.AttemptEnded](r, nil); e.ID != call || e.Outcome != scheduler.OutcomeConnectFailed {
+	o := r.dialClient()
+	o.send(offerLine(callID, ""))
+	if e := await[scheduler.AttemptEnded](r, nil); e.ID != callID || e.Outcome != scheduler.OutcomeConnectFailed {
 		t.Errorf("got %+v", e)
 	}
-	o.hear()
+	o.receive()
 	f := os.NewFile(uintptr(fd), "full")
 	l, err := net.FileListener(f)
 	f.Close()
@@ -600,17 +602,17 @@
 		t.Fatal(err)
 	}
 	heard := make(chan string, 10)
-	t.Cleanup(listenOn(t, l, func(m *peer) {
-		for msg := m.hear(); msg != nil; msg = m.hear() {
+	t.Cleanup(serveListener(t, l, func(m *peer) {
+		for msg := m.receive(); msg != nil; msg = m.receive() {
 			heard <- msg.RequestID
-			m.say(`{"op":"accept","call":"` + msg.RequestID + `","with":{},"desc":"d"}`)
+			m.send(`{"op":"accept","call":"` + msg.RequestID + `","with":{},"desc":"d"}`)
 		}
 	}))
-	o.say(strings.Replace(setUp(other, ""), `"2000"`, `"9000"`, 1))
-	if m := o.hear(); m == nil || m.Op != jsonlines.OpAccept || m.RequestID != other {
+	o.send(strings.Replace(offerLine(otherCallID, ""), `"2000"`, `"9000"`, 1))
+	if m := o.receive(); m == nil || m.Op != jsonlines.OpAccept || m.RequestID != otherCallID {
 		t.Errorf("heard %+v", m)
 	}
-	if c := <-heard; c != other || len(heard) > 0 {
+	if c := <-heard; c != otherCallID || len(heard) > 0 {
 		t.Errorf("the machine heard %s first, and %d more", c, len(heard))
 	}
 }
--- a/internal/platform/deployment.go
+++ b/internal/platform/deployment.go
@@ -17,36 +17,36 @@
 	"glenport/scheduler"
 )
 
-// Deployment is what the platform tells a placer at its start.
-type Deployment struct {
-	Name      string
-	Listen    string
-	Bus       string
-	Terms     scheduler.Config
-	Known     []busEvent
-	Last      int64 // number of the last event known
-	MemoryMB  int
-	Sockets   int
-	Connect   eventloop.Tick // a connection that does not stand by then never will
-	IdleLinks eventloop.Tick // machines close connections that are idle for so long
+// Config is what the platform tells a placer at its start.
+type Config struct {
+	Name               string
+	ListenAddr         string
+	DiscoveryAddr      string
+	Scheduler          scheduler.Config
+	KnownEvents        []watchEvent
+	LastOffset         int64 // number of the last event known
+	MemoryMB           int
+	MaxDescriptors     int
+	ConnectTimeout     eventloop.Tick // a connection that does not stand by then never will
+	MachineIdleTimeout eventloop.Tick // machines close connections that are idle for so long
 
-	zones, kinds, workloads, customers []string // by their numbers
+	zones, machineTypes, workloadClasses, tenants []string // by their numbers
 }
 
-// Load reads the file that the platform names.
-func Load(path string) (*Deployment, error) {
+// LoadConfig reads the file that the platform names.
+func LoadConfig(path string) (*Config, error) {
 	p, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	d, err := parse(p)
+	config, err := parseConfig(p)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return d, nil
+	return config, nil
 }
 
-func parse(p []byte) (*Deployment, error) {
+func parseConfig(p []byte) (*Config, error) {
 	var file struct {
 		Name, Listen, Seed, Bus string
 		Limits                  struct {
@@ -60,7 +60,7 @@
 		Settings json.RawMessage
 	}
 	if err := json.Unmarshal(p, &file); err != nil {
-		return nil, located(p, err)
+		return nil, withLineNumber(p, err)
 	}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
@@ -74,16 +74,16 @@
 	if file.Limits.Sockets < 64 || file.Limits.MemoryMB < 16 {
 		return nil, fmt.Errorf("limits: %d sockets and %g MB are too little to run on", file.Limits.Sockets, file.Limits.MemoryMB)
 	}
-	pairs, err := flatten(file.Settings)
+	pairs, err := flattenSettings(file.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	d := &Deployment{Name: file.Name, Listen: file.Listen, Bus: file.Bus, Last: file.Known.Offset,
-		MemoryMB: int(file.Limits.MemoryMB), Sockets: file.Limits.Sockets}
-	if d.Terms, err = simprotocol.ParseSettings(seed, pairs); err != nil {
+	config := &Config{Name: file.Name, ListenAddr: file.Listen, DiscoveryAddr: file.Bus, LastOffset: file.Known.Offset,
+		MemoryMB: int(file.Limits.MemoryMB), MaxDescriptors: file.Limits.Sockets}
+	if config.Scheduler, err = simprotocol.ParseSettings(seed, pairs); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	d.Terms.ListOnRequest = false // the event bus tells unasked
+	config.Scheduler.ListOnRequest = false // the event bus tells unasked
 	var named struct {
 		AZs, Kinds       []string
 		Classes, Tenants []struct{ Name string }
@@ -95,37 +95,39 @@
 	if err := json.Unmarshal(file.Settings, &named); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	d.zones, d.kinds = named.AZs, named.Kinds
+	config.zones, config.machineTypes = named.AZs, named.Kinds
 	for _, c := range named.Classes {
-		d.workloads = append(d.workloads, c.Name)
+		config.workloadClasses = append(config.workloadClasses, c.Name)
 	}
 	for _, c := range named.Tenants {
-		d.customers = append(d.customers, c.Name)
+		config.tenants = append(config.tenants, c.Name)
 	}
-	d.Connect, d.IdleLinks = span(named.Permissions.Connect), span(named.Permissions.Idle)
-	if d.Connect <= 0 || d.IdleLinks <= 0 {
+	config.ConnectTimeout, config.MachineIdleTimeout = millisecondsToTicks(named.Permissions.Connect), millisecondsToTicks(named.Permissions.Idle)
+	if config.ConnectTimeout <= 0 || config.MachineIdleTimeout <= 0 {
 		return nil, errors.New("settings: permissions.connect_timeout_ms and permissions.conn_idle_ms must be above 0")
 	}
 	for i, raw := range file.Known.Batch {
-		e, err := d.readEvent(raw)
-		if err == nil && e.bare {
+		e, err := config.decodeWatchEvent(raw)
+		if err == nil && e.offsetOnly {
 			err = errors.New("topology is missing")
 		}
 		if err == nil {
-			err = errors.Join(e.faults...)
+			err = errors.Join(e.invalidEntries...)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("known.batch[%d]: %w", i, err)
 		}
-		d.Known = append(d.Known, e)
+		config.KnownEvents = append(config.KnownEvents, e)
 	}
-	return d, nil
+	return config, nil
 }
 
-func span(ms float64) eventloop.Tick { return eventloop.Tick(ms * float64(eventloop.Millisecond)) }
+func millisecondsToTicks(ms float64) eventloop.Tick {
+	return eventloop.Tick(ms * float64(eventloop.Millisecond))
+}
 
-// located names the line of a fault in a JSON file.
-func located(p []byte, err error) error {
+// withLineNumber names the line of a fault in a JSON file.
+func withLineNumber(p []byte, err error) error {
 	var s *json.SyntaxError
 	var t *json.UnmarshalTypeError
 	at := int64(-1)
@@ -140,9 +142,9 @@
 	return fmt.Errorf("line %d: %w", 1+bytes.Count(p[:at], []byte("\n")), err)
 }
 
-// flatten writes nested terms as the pairs that the reader of terms takes: lists of plain values joined by commas,
+// flattenSettings writes nested terms as the pairs that the reader of terms takes: lists of plain values joined by commas,
 // lists of objects by their count and their items.
-func flatten(p []byte) ([]string, error) {
+func flattenSettings(p []byte) ([]string, error) {
 	d := json.NewDecoder(bytes.NewReader(p))
 	d.UseNumber()
 	var top map[string]any
@@ -176,7 +178,7 @@
 			}
 			words := make([]string, len(v))
 			for i, x := range v {
-				w, err := plain(x)
+				w, err := scalarText(x)
 				if err != nil {
 					return fmt.Errorf("%s[%d]: %w", path, i, err)
 				}
@@ -184,7 +186,7 @@
 			}
 			pairs = append(pairs, path+"="+strings.Join(words, ","))
 		default:
-			w, err := plain(v)
+			w, err := scalarText(v)
 			if err != nil {
 				return fmt.Errorf("%s: %w", path, err)
 			}
@@ -197,7 +199,7 @@
 	return pairs, err
 }
 
-func plain(v any) (string, error) {
+func scalarText(v any) (string, error) {
 	switch v := v.(type) {
 	case json.Number:
 		return v.String(), nil
@@ -211,26 +213,26 @@
 	return "", fmt.Errorf("%T is no plain value", v)
 }
 
-// busEvent is one numbered change of the list of machines.
-type busEvent struct {
-	number  int64
-	bare    bool // the number of the last event alone
-	whole   bool
-	version int64
-	hosts   []busHost
-	faults  []error // of entries that are left out
+// watchEvent is one numbered change of the list of machines.
+type watchEvent struct {
+	offset         int64
+	offsetOnly     bool // the number of the last event alone
+	fullSnapshot   bool
+	version        int64
+	machines       []machineUpdate
+	invalidEntries []error // of entries that are left out
 }
 
-type busHost struct {
+type machineUpdate struct {
 	entry scheduler.MachineEntry
 	addr  string
 }
 
-var hostStates = map[string]scheduler.MachineState{"ready": scheduler.MachineServing, "draining": scheduler.MachineDraining, "gone": scheduler.MachineGone}
+var machineStates = map[string]scheduler.MachineState{"ready": scheduler.MachineServing, "draining": scheduler.MachineDraining, "gone": scheduler.MachineGone}
 
-// readEvent reads an event of the bus. A machine that the terms cannot place is left out of it and named among its faults,
+// decodeWatchEvent reads an event of the bus. A machine that the terms cannot place is left out of it and named among its faults,
 // so that one such entry does not keep the others from being heard.
-func (d *Deployment) readEvent(p []byte) (busEvent, error) {
+func (config *Config) decodeWatchEvent(p []byte) (watchEvent, error) {
 	var raw struct {
 		Offset   int64
 		Topology *struct {
@@ -246,36 +248,36 @@
 		}
 	}
 	if err := json.Unmarshal(p, &raw); err != nil {
-		return busEvent{}, err
+		return watchEvent{}, err
 	}
 	if raw.Offset < 0 {
-		return busEvent{}, errors.New("offset is below 0")
+		return watchEvent{}, errors.New("offset is below 0")
 	}
 	if raw.Topology == nil {
-		return busEvent{number: raw.Offset, bare: true}, nil
+		return watchEvent{offset: raw.Offset, offsetOnly: true}, nil
 	}
-	e := busEvent{number: raw.Offset, whole: raw.Topology.Whole, version: raw.Topology.Seq}
+	e := watchEvent{offset: raw.Offset, fullSnapshot: raw.Topology.Whole, version: raw.Topology.Seq}
 	for i, h := range raw.Topology.Hosts {
-		state, zone, kind, err := d.place(h.Host, h.Dial, h.Site, h.Class, h.Health)
+		state, zone, kind, err := config.resolveMachine(h.Host, h.Dial, h.Site, h.Class, h.Health)
 		if err != nil {
-			e.faults = append(e.faults, fmt.Errorf("hosts[%d]: %w", i, err))
+			e.invalidEntries = append(e.invalidEntries, fmt.Errorf("hosts[%d]: %w", i, err))
 			continue
 		}
-		b := busHost{addr: h.Dial, entry: scheduler.MachineEntry{Machine: scheduler.MachineID(h.Host), Zone: zone, MachineType: kind,
+		update := machineUpdate{addr: h.Dial, entry: scheduler.MachineEntry{Machine: scheduler.MachineID(h.Host), Zone: zone, MachineType: kind,
 			RackGroup: h.Block, State: state, PowerHint: h.Share, StartedAt: scheduler.Time(math.Floor(h.Born * 10))}}
 		if len(h.Free) == 2 {
-			b.entry.FreeCores, b.entry.FreeMemory = h.Free[0], h.Free[1]
+			update.entry.FreeCores, update.entry.FreeMemory = h.Free[0], h.Free[1]
 		}
-		e.hosts = append(e.hosts, b)
+		e.machines = append(e.machines, update)
 	}
 	return e, nil
 }
 
-// place reads where a machine stands in the terms. Zone and kind of one that is gone do not matter, and without zones or
+// resolveMachine reads where a machine stands in the terms. Zone and kind of one that is gone do not matter, and without zones or
 // kinds in the terms there is one of each.
-func (d *Deployment) place(id, addr, site, class, health string) (state scheduler.MachineState, zone, kind int, err error) {
-	state, ok := hostStates[health]
-	zone, kind = number(d.zones, site), number(d.kinds, class)
+func (config *Config) resolveMachine(id, addr, site, class, health string) (state scheduler.MachineState, zone, kind int, err error) {
+	state, ok := machineStates[health]
+	zone, kind = indexOrSingle(config.zones, site), indexOrSingle(config.machineTypes, class)
 	_, fault := netip.ParseAddrPort(addr)
 	switch {
 	case !ok:
@@ -292,7 +294,7 @@
 	return state, zone, kind, err
 }
 
-func number(names []string, name string) int {
+func indexOrSingle(names []string, name string) int {
 	if len(names) == 0 {
 		return 0
 	}
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -45,7 +45,7 @@
 	}
 	if m := leftField.FindSubmatch(line); m != nil {
 		left, err := strconv.Atoi(string(m[1]))
-		if err != nil || left > mostLeft || left < mostLeft-int(patience/time.Millisecond) {
+		if err != nil || left > mostLeft || left < mostLeft-int(testTimeout/time.Millisecond) {
 			s.Errorf("%s: %q milliseconds are left, at most %d can be", s.step, m[1], mostLeft)
 		}
 		line = leftField.ReplaceAll(line, []byte(`"left":"LEFT"`))
@@ -87,8 +87,8 @@
 	s    *transcript
 }
 
-func (s *transcript) client(r *rig, name string) *goldenClient {
-	return &goldenClient{r.owner(), name, s}
+func (s *transcript) client(r *testServer, name string) *goldenClient {
+	return &goldenClient{r.dialClient(), name, s}
 }
 
 // reads records the next line.
@@ -112,17 +112,17 @@
 // test sends a liveness test and records its answer: whatever was written before it is recorded in its place.
 func (c *goldenClient) test() {
 	c.s.Helper()
-	c.say(`{"op":"test","call":"00000000000000ff","with":{},"why":1}`)
+	c.send(`{"op":"test","call":"00000000000000ff","with":{},"why":1}`)
 	c.reads()
 }
 
 func (c *goldenClient) end(call string, why string) {
-	c.say(`{"op":"end","call":"` + call + `","with":{}` + why + `}`)
+	c.send(`{"op":"end","call":"` + call + `","with":{}` + why + `}`)
 }
 
 // acknowledge confirms that the end of a container was received.
 func (c *goldenClient) acknowledge(call string) {
-	c.say(`{"op":"ended","call":"` + call + `","with":{}}`)
+	c.send(`{"op":"ended","call":"` + call + `","with":{}}`)
 }
 
 // goldenServer is a machine or the discovery service: it records each line it is sent, over all its connections.
@@ -141,7 +141,7 @@
 
 func (s *transcript) server(name string) *goldenServer {
 	g := &goldenServer{name: name, s: s, conns: make(chan *peer, 100), received: make(chan receivedLine, 100)}
-	g.addr = listen(s.T, func(p *peer) {
+	g.addr = serveTCP(s.T, func(p *peer) {
 		g.open.Add(1)
 		defer g.open.Add(-1)
 		g.conns <- p
@@ -165,7 +165,7 @@
 	case r := <-g.received:
 		g.s.record(g.name, r.line, mostLeft)
 		return r.on
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		g.s.Fatalf("%s: %s received nothing", g.s.step, g.name)
 		return nil
 	}
@@ -177,7 +177,7 @@
 	select {
 	case p := <-g.conns:
 		return p
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		g.s.Fatalf("%s: nobody connects to %s", g.s.step, g.name)
 		return nil
 	}
@@ -193,7 +193,7 @@
 // readsNoMore checks, once all connections have ended, that nothing was written beyond what was recorded.
 func (g *goldenServer) readsNoMore() {
 	g.s.Helper()
-	for deadline := time.Now().Add(patience); g.open.Load() > 0; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); g.open.Load() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			g.s.Fatalf("%s: %d connections to %s are still open", g.s.step, g.open.Load(), g.name)
 		}
@@ -205,11 +205,11 @@
 
 // answer lines of a machine.
 func (p *peer) accepts(call string) {
-	p.say(`{"op":"accept","call":"` + call + `","with":{},"desc":"v=0\r\nmade\u0020at <a> \u00e9\/"}`)
+	p.send(`{"op":"accept","call":"` + call + `","with":{},"desc":"v=0\r\nmade\u0020at <a> \u00e9\/"}`)
 }
 
 func (p *peer) ends(call string, why int, with string) {
-	p.say(fmt.Sprintf(`{"op":"end","call":"%s","with":{%s},"why":%d}`, call, with, why))
+	p.send(fmt.Sprintf(`{"op":"end","call":"%s","with":{%s},"why":%d}`, call, with, why))
 }
 
 // Identifiers of the containers, one for each case.
@@ -276,7 +276,7 @@
 	s := &transcript{T: t}
 	discovery, moved := s.server("discovery"), s.server("discovery, moved")
 	a, b := s.server("machine a"), s.server("machine b")
-	r := start(t, goldenDecisions, file(discovery.addr, 256, event(1, true, host("a", a.addr, "ready", 0), host("b", b.addr, "ready", 0))))
+	r := startServer(t, goldenDecisions, configJSON(discovery.addr, 256, eventJSON(1, true, machineJSON("a", a.addr, "ready", 0), machineJSON("b", b.addr, "ready", 0))))
 
 	s.begin("watch")
 	watch := discovery.reads(0)
@@ -294,9 +294,9 @@
 	watch.c.Close()
 	discovery.reads(0)
 	s.begin("watch at a new address")
-	d := *r.p.d
-	d.Bus = moved.addr
-	r.p.Renew(&d)
+	d := *r.server.config
+	d.DiscoveryAddr = moved.addr
+	r.server.Reload(&d)
 	moved.reads(0)
 
 	c = s.clientsThatGo(r, c, a)
@@ -307,40 +307,40 @@
 	s.compare()
 }
 
-func offer(call string) string { return setUp(call, "") }
+func offer(call string) string { return offerLine(call, "") }
 
 // outcomesBeforeAccept plays the answers of a machine to an offer other than an accept.
 func (s *transcript) outcomesBeforeAccept(c *goldenClient, a *goldenServer) {
 	s.begin("rejected, no room")
-	c.say(strings.NewReplacer(`"report-run"`, `"matcher"`, `,"idem":"i1"`, "", `"k`+hasNoRoom+`"`, `"<k> & \"q\" \u00e9 \u2028"`,
+	c.send(strings.NewReplacer(`"report-run"`, `"matcher"`, `,"idem":"i1"`, "", `"k`+hasNoRoom+`"`, `"<k> & \"q\" \u00e9 \u2028"`,
 		`"v=0\r\n"`, `"\u0076=0\r\n<&>\/"`).Replace(offer(hasNoRoom)))
 	a.reads(2000).ends(hasNoRoom, 34, `"note":"cpu_full","load":"x0:1.5"`)
 	c.reads()
 
 	s.begin("rejected, no room for a while")
-	c.say(offer(hasNoRoomForAWhile))
+	c.send(offer(hasNoRoomForAWhile))
 	a.reads(2000).ends(hasNoRoomForAWhile, 47, "")
 	c.reads()
 
 	s.begin("failed, never sent")
-	c.say(offer(neverSent))
+	c.send(offer(neverSent))
 	a.reads(2000).ends(neverSent, 102, "")
 	c.reads()
 
 	s.begin("evicted before its accept")
-	c.say(offer(evictedBeforeAccept))
+	c.send(offer(evictedBeforeAccept))
 	a.reads(2000).ends(evictedBeforeAccept, 41, `"note":"oom"`)
 	c.reads()
 
 	s.begin("invalid request")
-	c.say(strings.Replace(offer(isInvalid), "report-run", "unknown", 1))
+	c.send(strings.Replace(offer(isInvalid), "report-run", "unknown", 1))
 	c.reads()
 }
 
 // containersThatRun plays the ends of containers that a machine has accepted.
 func (s *transcript) containersThatRun(c *goldenClient, a *goldenServer) {
 	s.begin("accepted, finished")
-	c.say(offer(runsToItsEnd))
+	c.send(offer(runsToItsEnd))
 	on := a.reads(2000)
 	on.accepts(runsToItsEnd)
 	c.reads()
@@ -349,7 +349,7 @@
 	c.acknowledge(runsToItsEnd)
 
 	s.begin("accepted, failed")
-	c.say(offer(fails))
+	c.send(offer(fails))
 	on = a.reads(2000)
 	on.accepts(fails)
 	c.reads()
@@ -358,16 +358,16 @@
 	c.acknowledge(fails)
 
 	s.begin("accepted, ended without a cause")
-	c.say(offer(endsNoCause))
+	c.send(offer(endsNoCause))
 	on = a.reads(2000)
 	on.accepts(endsNoCause)
 	c.reads()
-	on.say(`{"op":"end","call":"` + endsNoCause + `","with":{}}`)
+	on.send(`{"op":"end","call":"` + endsNoCause + `","with":{}}`)
 	c.reads()
 	c.acknowledge(endsNoCause)
 
 	s.begin("accepted, ended by its client")
-	c.say(offer(terminatedWithCause))
+	c.send(offer(terminatedWithCause))
 	on = a.reads(2000)
 	on.accepts(terminatedWithCause)
 	c.reads()
@@ -376,7 +376,7 @@
 	c.test()
 
 	s.begin("accepted, ended by its client without a cause")
-	c.say(offer(terminatedNoCause))
+	c.send(offer(terminatedNoCause))
 	on = a.reads(2000)
 	on.accepts(terminatedNoCause)
 	c.reads()
@@ -388,34 +388,34 @@
 // cancelledAttempts plays attempts that are cancelled at the machine.
 func (s *transcript) cancelledAttempts(c *goldenClient, a *goldenServer) {
 	s.begin("cancelled by its client")
-	c.say(offer(isCancelled))
+	c.send(offer(isCancelled))
 	a.reads(2000)
 	c.end(isCancelled, `,"why":16`)
 	a.reads(0)
 	c.test()
 
 	s.begin("timed out")
-	c.say(offer(timesOut))
+	c.send(offer(timesOut))
 	a.reads(50)
 	a.reads(0)
 	c.reads()
 
 	s.begin("attempt cancelled by the scheduler")
-	c.say(offer(attemptIsCancelled))
+	c.send(offer(attemptIsCancelled))
 	on := a.reads(2000)
-	on.say(`{"op":"info","call":"` + attemptIsCancelled + `","with":{"note":"cpu","value":"1.5"}}`)
+	on.send(`{"op":"info","call":"` + attemptIsCancelled + `","with":{"note":"cpu","value":"1.5"}}`)
 	a.reads(0)
 	c.reads()
 }
 
 // probes plays so many that their count shows its base.
-func (s *transcript) probes(r *rig, c *goldenClient, a *goldenServer) {
+func (s *transcript) probes(r *testServer, c *goldenClient, a *goldenServer) {
 	s.begin("probe")
 	for i := range 10 {
-		c.say(offer(probesTheMachine))
+		c.send(offer(probesTheMachine))
 		on := a.reads(0)
 		c.reads()
-		on.say(fmt.Sprintf(`{"op":"tested","call":"%016x","with":{"load":"x0:1;x1:2"},"why":1}`, i+1))
+		on.send(fmt.Sprintf(`{"op":"tested","call":"%016x","with":{"load":"x0:1;x1:2"},"why":1}`, i+1))
 		if e := await[scheduler.ProbeCompleted](r, nil); e.Outcome != scheduler.OutcomeFinished || e.Report["x1"] != 2 {
 			s.Errorf("probe %d: %+v", i, e)
 		}
@@ -423,35 +423,35 @@
 }
 
 // machinesThatGo plays a retry, and machines that leave the list with work on them.
-func (s *transcript) machinesThatGo(r *rig, c *goldenClient, a, b *goldenServer, watch *peer) {
+func (s *transcript) machinesThatGo(r *testServer, c *goldenClient, a, b *goldenServer, watch *peer) {
 	s.begin("retried on another machine")
-	c.say(offer(isRetriedElsewhere))
+	c.send(offer(isRetriedElsewhere))
 	a.reads(2000).ends(isRetriedElsewhere, 34, `"note":"mem_full"`)
 	b.reads(2000).accepts(isRetriedElsewhere)
 	c.reads()
 
 	s.begin("lost with its machine")
-	watch.say(event(2, false, host("b", b.addr, "gone", 0)))
+	watch.send(eventJSON(2, false, machineJSON("b", b.addr, "gone", 0)))
 	c.reads()
 	c.acknowledge(isRetriedElsewhere)
 
 	s.begin("accepted by a machine that is gone")
-	c.say(offer(acceptedByGone))
+	c.send(offer(acceptedByGone))
 	on := a.reads(2000)
-	watch.say(event(3, true))
+	watch.send(eventJSON(3, true))
 	await(r, func(e scheduler.MachineListUpdate) bool { return e.Version == 3 })
 	on.accepts(acceptedByGone)
 	a.reads(0)
 	c.reads()
 	a.forgetConns()
-	watch.say(event(4, false, host("a", a.addr, "ready", 0)))
+	watch.send(eventJSON(4, false, machineJSON("a", a.addr, "ready", 0)))
 	await(r, func(e scheduler.MachineListUpdate) bool { return e.Version == 4 })
 }
 
 // clientsThatGo plays ends that are delivered to another client than the one that asked, and returns the last client.
-func (s *transcript) clientsThatGo(r *rig, c *goldenClient, a *goldenServer) *goldenClient {
+func (s *transcript) clientsThatGo(r *testServer, c *goldenClient, a *goldenServer) *goldenClient {
 	s.begin("reclaimed by a client that goes")
-	c.say(strings.Replace(setUp(isReclaimed, ";at:a"), `"2000"`, `"4294967"`, 1))
+	c.send(strings.Replace(offerLine(isReclaimed, ";at:a"), `"2000"`, `"4294967"`, 1))
 	await[scheduler.ContainerAdopted](r, nil)
 	on := a.connected()
 	c.c.Close()
@@ -462,7 +462,7 @@
 	c.acknowledge(isReclaimed)
 
 	s.begin("end sent again")
-	c.say(offer(endIsNotAcknowledged))
+	c.send(offer(endIsNotAcknowledged))
 	on = a.reads(2000)
 	on.accepts(endIsNotAcknowledged)
 	c.reads()
@@ -477,18 +477,18 @@
 }
 
 // shutdown plays a shutdown with a request that stays open until shortly before the process would be killed.
-func (s *transcript) shutdown(r *rig, c *goldenClient, a *goldenServer) {
+func (s *transcript) shutdown(r *testServer, c *goldenClient, a *goldenServer) {
 	s.begin("shutdown")
-	r.on(func() { r.toldToLeave(0) })
+	r.runOnLoop(func() { r.markShuttingDown(0) })
 	c.test()
-	c.say(strings.Replace(offer(openAtShutdown), `"2000"`, `"60000"`, 1))
+	c.send(strings.Replace(offer(openAtShutdown), `"2000"`, `"60000"`, 1))
 	a.reads(60000)
 	other := s.client(r, "client 4")
 	s.begin("shutdown, call in use")
-	other.say(offer(openAtShutdown))
+	other.send(offer(openAtShutdown))
 	other.reads()
 	s.begin("shutdown, last answers")
-	r.on(func() { r.toldToLeave(3*eventloop.Second + eventloop.Second/4) })
+	r.runOnLoop(func() { r.markShuttingDown(3*eventloop.Second + eventloop.Second/4) })
 	a.reads(0)
 	c.reads()
 	c.readsEnd()
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -19,10 +19,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 10 * time.Second // a test that waits longer has failed
+const testTimeout = 10 * time.Second // a test that waits longer has failed
 
-// terms are a deployment's settings: a reissuable workload and a numbered one, two kinds, two customers.
-const terms = `{"me":0,"balancers":1,"az":0,"azs":["hall a","hall-b"],"kinds":["small","large"],"registry_mode":"on_request",
+// settingsJSON are a deployment's settings: a reissuable workload and a numbered one, two kinds, two customers.
+const settingsJSON = `{"me":0,"balancers":1,"az":0,"azs":["hall a","hall-b"],"kinds":["small","large"],"registry_mode":"on_request",
  "classes":[{"name":"matcher","effect":"safe","aim_ms":700.0,"deadline_ms":6000.0,"credit":1.0},
   {"name":"report-run","effect":"keyed","group":"zone","window_ms":8000.0,"aim_ms":700.0,"deadline_ms":6000.0,"credit":2.0}],
  "tenants":[{"name":"schools","share":0.7},{"name":"offices","share":0.3}],
@@ -32,31 +32,31 @@
   "view":true,"fresh_offers":30.0,"cpu_of_kind":[24,48],"kind_memory":[60.0,120.0],"class_kind":[-1,-1],"class_most":[2,2],
   "spread_over":["silent","silent"],"quota_cores":[100.0,50.0]},"note":null}`
 
-func host(id, addr, state string, born int64) string {
+func machineJSON(id, addr, state string, born int64) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"hall-b","class":"large","block":2,"health":%q,"share":1,"born_ms":%d,"free":[40.5,100]}`,
 		id, addr, state, born)
 }
 
-func event(n int, whole bool, hosts ...string) string {
+func eventJSON(n int, whole bool, hosts ...string) string {
 	return fmt.Sprintf(`{"offset":%d,"topology":{"seq":%d,"whole":%t,"hosts":[%s]}}`, n, n, whole, strings.Join(hosts, ","))
 }
 
-// file is a deployment's file with one event known.
-func file(bus string, sockets int, known ...string) string {
+// configJSON is a deployment's file with one event known.
+func configJSON(bus string, sockets int, known ...string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":64,"sockets":%d},"bus":%q,
- "known":{"offset":%d,"batch":[%s]},"settings":%s}`, sockets, bus, len(known), strings.Join(known, ","), terms)
+ "known":{"offset":%d,"batch":[%s]},"settings":%s}`, sockets, bus, len(known), strings.Join(known, ","), settingsJSON)
 }
 
-// script stands in place of the module, or in front of it.
-type script struct {
+// scriptedScheduler stands in place of the module, or in front of it.
+type scriptedScheduler struct {
 	mu     sync.Mutex
 	on     func(e scheduler.Event) []scheduler.Action
-	module Decider // decides where there is no on
+	module Scheduler // decides where there is no on
 	events chan scheduler.Event
 }
 
-func (s *script) Handle(now scheduler.Time, events []scheduler.Event) (out []scheduler.Action) {
+func (s *scriptedScheduler) Handle(now scheduler.Time, events []scheduler.Event) (out []scheduler.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.on == nil {
@@ -71,8 +71,8 @@
 	return out
 }
 
-// bidToA bids each container to machine a, and gives it up after its first outcome.
-func bidToA(wait scheduler.Time) func(scheduler.Event) []scheduler.Action {
+// attemptOnA bids each container to machine a, and gives it up after its first outcome.
+func attemptOnA(wait scheduler.Time) func(scheduler.Event) []scheduler.Action {
 	return func(e scheduler.Event) []scheduler.Action {
 		switch e := e.(type) {
 		case scheduler.RequestReceived:
@@ -86,26 +86,26 @@
 	}
 }
 
-type rig struct {
+type testServer struct {
 	*testing.T
-	p      *Platform
-	script *script
+	server    *Server
+	scheduler *scriptedScheduler
 }
 
-func start(t *testing.T, on func(scheduler.Event) []scheduler.Action, config string) *rig {
+func startServer(t *testing.T, on func(scheduler.Event) []scheduler.Action, config string) *testServer {
 	t.Helper()
-	d, err := parse([]byte(config))
+	d, err := parseConfig([]byte(config))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{T: t, script: &script{on: on, module: scheduler.New(d.Terms), events: make(chan scheduler.Event, 100_000)}}
-	if r.p, err = New(d, r.script, slog.New(slog.NewTextHandler(io.Discard, nil)), false); err != nil {
+	r := &testServer{T: t, scheduler: &scriptedScheduler{on: on, module: scheduler.New(d.Scheduler), events: make(chan scheduler.Event, 100_000)}}
+	if r.server, err = New(d, r.scheduler, slog.New(slog.NewTextHandler(io.Discard, nil)), false); err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan error, 1)
-	go func() { done <- r.p.Run() }()
+	go func() { done <- r.server.Run() }()
 	t.Cleanup(func() {
-		r.p.loop.Stop()
+		r.server.loop.Stop()
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
@@ -114,12 +114,12 @@
 }
 
 // await waits for an event of a sort.
-func await[E scheduler.Event](r *rig, holds func(E) bool) E {
+func await[E scheduler.Event](r *testServer, holds func(E) bool) E {
 	r.Helper()
-	timeout := time.After(patience)
+	timeout := time.After(testTimeout)
 	for {
 		select {
-		case e := <-r.script.events:
+		case e := <-r.scheduler.events:
 			if e, ok := e.(E); ok && (holds == nil || holds(e)) {
 				return e
 			}
@@ -137,8 +137,8 @@
 	r *bufio.Reader
 }
 
-func (r *rig) owner() *peer {
-	c, err := net.Dial("tcp", r.p.Addr())
+func (r *testServer) dialClient() *peer {
+	c, err := net.Dial("tcp", r.server.Addr())
 	if err != nil {
 		r.Fatal(err)
 	}
@@ -147,41 +147,41 @@
 }
 
 func newPeer(t *testing.T, c net.Conn) *peer {
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return &peer{t, c, bufio.NewReader(c)}
 }
 
-func (o *peer) say(lines ...string) {
+func (o *peer) send(lines ...string) {
 	for _, l := range lines {
 		io.WriteString(o.c, l+"\n")
 	}
 }
 
-// hear reads the next message; nil at the connection's end.
-func (o *peer) hear() *jsonlines.Message {
+// receive reads the next message; nil at the connection's end.
+func (o *peer) receive() *jsonlines.Message {
 	line, err := o.r.ReadBytes('\n')
 	if err != nil {
 		return nil
 	}
-	m, err := jsonlines.Decode(line)
+	msg, err := jsonlines.Decode(line)
 	if err != nil {
 		o.t.Errorf("%v: %s", err, line)
 	}
-	return m
+	return msg
 }
 
-// listen gives each caller to serve, in a goroutine of its own, until the test ends.
-func listen(t *testing.T, serve func(*peer)) string {
+// serveTCP gives each caller to serve, in a goroutine of its own, until the test ends.
+func serveTCP(t *testing.T, serve func(*peer)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(listenOn(t, l, serve))
+	t.Cleanup(serveListener(t, l, serve))
 	return l.Addr().String()
 }
 
-// listenOn serves callers of a listener until what it returns is called.
-func listenOn(t *testing.T, l net.Listener, serve func(*peer)) (stop func()) {
+// serveListener serves callers of a listener until what it returns is called.
+func serveListener(t *testing.T, l net.Listener, serve func(*peer)) (stop func()) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var open []net.Conn
@@ -211,10 +211,10 @@
 	}
 }
 
-// machineThat answers each set-up with lines; %s is its call.
-func machineThat(t *testing.T, lines ...string) string {
-	return listen(t, func(m *peer) {
-		for msg := m.hear(); msg != nil; msg = m.hear() {
+// fakeMachine answers each set-up with lines; %s is its call.
+func fakeMachine(t *testing.T, lines ...string) string {
+	return serveTCP(t, func(m *peer) {
+		for msg := m.receive(); msg != nil; msg = m.receive() {
 			if msg.Op != jsonlines.OpOffer {
 				continue
 			}
@@ -222,25 +222,25 @@
 				if l == "close" {
 					return
 				}
-				m.say(strings.ReplaceAll(l, "%s", msg.RequestID))
+				m.send(strings.ReplaceAll(l, "%s", msg.RequestID))
 			}
 		}
 	})
 }
 
-// silentBus takes callers and tells them nothing but the last number.
-func silentBus(t *testing.T) string {
-	return listen(t, func(b *peer) {
+// silentDiscovery takes callers and tells them nothing but the last number.
+func silentDiscovery(t *testing.T) string {
+	return serveTCP(t, func(b *peer) {
 		for {
 			if _, err := b.r.ReadString('\n'); err != nil {
 				return
 			}
-			b.say(`{"offset":1}`)
+			b.send(`{"offset":1}`)
 		}
 	})
 }
 
-func setUp(call, more string) string {
+func offerLine(call, more string) string {
 	return `{"op":"offer","call":"` + call + `","with":{"class":"report-run","left":"2000","tenant":"offices","key":"k` + call +
 		`","idem":"i1","extras":"cores:1;memory:2;service:s1` + more + `"},"desc":"v=0\r\n"}`
 }
--- a/internal/platform/owners.go
+++ b/internal/platform/owners.go
@@ -16,191 +16,191 @@
 )
 
 const (
-	outputOfCaller = 256 << 10
-	longestWait    = 600_000 // ms that an owner may wait
+	clientOutputLimit = 256 << 10
+	maxWaitMillis     = 600_000 // ms that an owner may wait
 )
 
-// caller is one connection from owners.
-type caller struct {
-	p      *Platform
-	number connmanager.ClientID
+// clientConn is one connection from owners.
+type clientConn struct {
+	server *Server
+	id     connmanager.ClientID
 	conn   *eventloop.Conn
 	lines  jsonlines.LineSplitter
 }
 
-func (p *Platform) accept() (eventloop.Handler, int) {
-	p.lastCaller++
-	return &caller{p: p, number: p.lastCaller, lines: jsonlines.LineSplitter{MaxBytes: jsonlines.MaxLineBytes}}, outputOfCaller
+func (s *Server) accept() (eventloop.Handler, int) {
+	s.lastClientID++
+	return &clientConn{server: s, id: s.lastClientID, lines: jsonlines.LineSplitter{MaxBytes: jsonlines.MaxLineBytes}}, clientOutputLimit
 }
 
-func (k *caller) Opened(c *eventloop.Conn) {
-	k.conn = c
-	k.p.callers[k.number] = k
-	k.p.tell(connmanager.ClientConnected{Client: k.number})
+func (cc *clientConn) Opened(conn *eventloop.Conn) {
+	cc.conn = conn
+	cc.server.clients[cc.id] = cc
+	cc.server.notifyConnManager(connmanager.ClientConnected{Client: cc.id})
 }
 
-func (k *caller) Read(_ *eventloop.Conn, b []byte) {
-	if err := k.lines.Feed(b, k.line); err != nil {
-		k.p.log.Debug("caller let go", "caller", k.number, "why", err)
-		k.conn.Close()
+func (cc *clientConn) Read(_ *eventloop.Conn, b []byte) {
+	if err := cc.lines.Feed(b, cc.handleLine); err != nil {
+		cc.server.log.Debug("caller let go", "caller", cc.id, "why", err)
+		cc.conn.Close()
 		return
 	}
-	k.p.tell(connmanager.BytesReceived{Client: k.number, Partial: k.lines.Buffered() > 0})
+	cc.server.notifyConnManager(connmanager.BytesReceived{Client: cc.id, Partial: cc.lines.Buffered() > 0})
 }
 
 // Closed ends what was under way for a caller; what stands belongs to no connection.
-func (k *caller) Closed(*eventloop.Conn, error) {
-	p := k.p
-	delete(p.callers, k.number)
-	p.tell(connmanager.ClientDisconnected{Client: k.number})
+func (cc *clientConn) Closed(*eventloop.Conn, error) {
+	s := cc.server
+	delete(s.clients, cc.id)
+	s.notifyConnManager(connmanager.ClientDisconnected{Client: cc.id})
 	var left []*container
-	for _, c := range p.containers {
-		if c.caller == k {
+	for _, c := range s.containers {
+		if c.client == cc {
 			left = append(left, c)
 		}
 	}
-	slices.SortFunc(left, func(a, b *container) int { return strings.Compare(string(a.ask.ID), string(b.ask.ID)) })
+	slices.SortFunc(left, func(a, b *container) int { return strings.Compare(string(a.request.ID), string(b.request.ID)) })
 	for _, c := range left {
 		if !c.answered {
-			p.vanish(c)
+			s.cancelRequest(c)
 		}
-		c.caller = nil
+		c.client = nil
 	}
 }
 
-func (k *caller) write(m *jsonlines.Message) {
-	if k.conn == nil || !k.conn.IsOpen() {
+func (cc *clientConn) send(msg *jsonlines.Message) {
+	if cc.conn == nil || !cc.conn.IsOpen() {
 		return
 	}
-	line, err := k.p.line(m)
+	line, err := cc.server.encode(msg)
 	if err != nil {
-		k.p.log.Error("message not sent", "caller", k.number, "why", err)
+		cc.server.log.Error("message not sent", "caller", cc.id, "why", err)
 		return
 	}
-	k.p.show("to owner", fmt.Sprint(k.number), m)
-	if err := k.conn.Write(line); err != nil {
-		k.conn.Reset()
+	cc.server.traceMessage("to owner", fmt.Sprint(cc.id), msg)
+	if err := cc.conn.Write(line); err != nil {
+		cc.conn.Reset()
 	}
 }
 
-func (k *caller) line(line []byte) error {
-	m, err := jsonlines.Decode(line)
+func (cc *clientConn) handleLine(line []byte) error {
+	msg, err := jsonlines.Decode(line)
 	if err != nil {
 		return err
 	}
-	p := k.p
-	p.show("of owner", fmt.Sprint(k.number), m)
-	switch m.Op {
+	s := cc.server
+	s.traceMessage("of owner", fmt.Sprint(cc.id), msg)
+	switch msg.Op {
 	case jsonlines.OpOffer:
-		return k.asked(m)
+		return cc.handleOffer(msg)
 	case jsonlines.OpEnd:
-		if c := p.containers[scheduler.ContainerID(m.RequestID)]; c != nil {
+		if c := s.containers[scheduler.ContainerID(msg.RequestID)]; c != nil {
 			switch {
-			case !c.answered && c.caller == k:
-				p.vanish(c)
-			case c.bid != nil && c.bid.stands:
-				p.endStanding(c, m.CauseOrNone())
+			case !c.answered && c.client == cc:
+				s.cancelRequest(c)
+			case c.attempt != nil && c.attempt.running:
+				s.terminateRunning(c, msg.CauseOrNone())
 			}
 		}
 	case jsonlines.OpEnded:
-		p.tell(connmanager.TerminationAcknowledged{RequestID: m.RequestID, Client: k.number})
+		s.notifyConnManager(connmanager.TerminationAcknowledged{RequestID: msg.RequestID, Client: cc.id})
 	case jsonlines.OpTest:
 		passed := jsonlines.CauseTestPassed
-		if p.leaving {
+		if s.shuttingDown {
 			passed = jsonlines.CauseTestFailed
 		}
-		k.write(&jsonlines.Message{Op: jsonlines.OpTested, RequestID: m.RequestID, Cause: jsonlines.CausePtr(passed)})
-		p.tell(connmanager.MessageSent{Client: k.number})
+		cc.send(&jsonlines.Message{Op: jsonlines.OpTested, RequestID: msg.RequestID, Cause: jsonlines.CausePtr(passed)})
+		s.notifyConnManager(connmanager.MessageSent{Client: cc.id})
 	}
 	return nil
 }
 
-// asked takes in a set-up: a container to be placed, or one that stands already.
-func (k *caller) asked(m *jsonlines.Message) error {
-	p := k.p
-	ask, at, err := p.d.readAsk(m, p.loop.Now())
-	if c := p.containers[ask.ID]; err == nil && at == "" && c != nil {
-		if !c.answered && c.caller == k { // which of the two an answer would be for nobody could tell
+// handleOffer takes in a set-up: a container to be placed, or one that stands already.
+func (cc *clientConn) handleOffer(msg *jsonlines.Message) error {
+	s := cc.server
+	request, at, err := s.config.decodePlacementRequest(msg, s.loop.Now())
+	if c := s.containers[request.ID]; err == nil && at == "" && c != nil {
+		if !c.answered && c.client == cc { // which of the two an answer would be for nobody could tell
 			return errors.New("a call is used for two set-ups at once")
 		}
 		err = errors.New("call: it is open already")
 	}
 	if err != nil {
-		p.log.Debug("set-up turned away", "caller", k.number, "call", m.RequestID, "why", err)
+		s.log.Debug("set-up turned away", "caller", cc.id, "call", msg.RequestID, "why", err)
 		if at == "" {
-			k.write(&jsonlines.Message{Op: jsonlines.OpEnd, RequestID: m.RequestID, Cause: jsonlines.CausePtr(jsonlines.CauseInvalidContents)})
-			p.tell(connmanager.MessageSent{Client: k.number})
-			p.tell(connmanager.InvalidMessageReceived{Client: k.number})
+			cc.send(&jsonlines.Message{Op: jsonlines.OpEnd, RequestID: msg.RequestID, Cause: jsonlines.CausePtr(jsonlines.CauseInvalidContents)})
+			s.notifyConnManager(connmanager.MessageSent{Client: cc.id})
+			s.notifyConnManager(connmanager.InvalidMessageReceived{Client: cc.id})
 		}
 		return nil
 	}
 	if at != "" {
-		p.tell(connmanager.ContainerReclaimed{Client: k.number})
-		p.takeOver(k, ask, at)
+		s.notifyConnManager(connmanager.ContainerReclaimed{Client: cc.id})
+		s.adopt(cc, request, at)
 		return nil
 	}
-	c := &container{ask: ask, class: m.Fields["class"], idem: m.Fields["idem"], desc: slices.Clone(m.Description), caller: k}
-	p.containers[ask.ID] = c
-	p.unanswered++
-	p.tell(connmanager.PlacementRequested{Client: k.number})
-	p.feed(scheduler.RequestReceived{PlacementRequest: ask})
+	c := &container{request: request, className: msg.Fields["class"], idempotencyKey: msg.Fields["idem"], description: slices.Clone(msg.Description), client: cc}
+	s.containers[request.ID] = c
+	s.unanswered++
+	s.notifyConnManager(connmanager.PlacementRequested{Client: cc.id})
+	s.notifyScheduler(scheduler.RequestReceived{PlacementRequest: request})
 	return nil
 }
 
-// takeOver counts a container that stands at a machine, unless it is known to.
-func (p *Platform) takeOver(k *caller, ask scheduler.PlacementRequest, at scheduler.MachineID) {
-	if p.containers[ask.ID] != nil {
+// adopt counts a container that stands at a machine, unless it is known to.
+func (s *Server) adopt(cc *clientConn, request scheduler.PlacementRequest, at scheduler.MachineID) {
+	if s.containers[request.ID] != nil {
 		return
 	}
-	m := p.machine(at)
-	for _, b := range m.bids {
-		if b.c.ask.IdempotencyKey == ask.IdempotencyKey && b.stands {
+	m := s.machineByID(at)
+	for _, a := range m.attempts {
+		if a.container.request.IdempotencyKey == request.IdempotencyKey && a.running {
 			return
 		}
 	}
-	c := &container{ask: ask, caller: k, answered: true, bids: 1}
-	c.bid = &bid{c: c, at: m, stands: true, sent: true, sentAt: p.loop.Now()}
-	p.containers[ask.ID] = c
-	m.bids[ask.ID] = c.bid
-	m.stand(1)
-	p.feed(scheduler.ContainerAdopted{PlacementRequest: ask, Machine: at})
+	c := &container{request: request, client: cc, answered: true, attemptsMade: 1}
+	c.attempt = &attempt{container: c, machine: m, running: true, sent: true, createdAt: s.loop.Now()}
+	s.containers[request.ID] = c
+	m.attempts[request.ID] = c.attempt
+	m.addRunning(1)
+	s.notifyScheduler(scheduler.ContainerAdopted{PlacementRequest: request, Machine: at})
 	if m.entry.Machine != "" && m.state == scheduler.MachineGone {
 		// It was heard to be gone before it was named. So nothing ever stands at a machine that is gone, at whose address its
 		// successor may be: that one's signs of life would be taken for the other's.
-		m.lose(p.loop.Now())
+		m.failRunning(s.loop.Now())
 		return
 	}
-	p.notice(failuredetector.ContainerReclaimed{Machine: string(at), RequestID: string(ask.ID)})
+	s.notifyFailureDetector(failuredetector.ContainerReclaimed{Machine: string(at), RequestID: string(request.ID)})
 }
 
-// readAsk reads a set-up; at is the machine that holds the container already.
-func (d *Deployment) readAsk(m *jsonlines.Message, now eventloop.Tick) (ask scheduler.PlacementRequest, at scheduler.MachineID, err error) {
+// decodePlacementRequest reads a set-up; at is the machine that holds the container already.
+func (config *Config) decodePlacementRequest(msg *jsonlines.Message, now eventloop.Tick) (request scheduler.PlacementRequest, at scheduler.MachineID, err error) {
 	extras := map[string]string{}
-	if x := m.Fields["extras"]; x != "" {
+	if x := msg.Fields["extras"]; x != "" {
 		for _, f := range strings.Split(x, ";") {
 			name, v, ok := strings.Cut(f, ":")
 			if !ok {
-				return ask, at, fmt.Errorf("extras: %q has no value", f)
+				return request, at, fmt.Errorf("extras: %q has no value", f)
 			}
 			extras[name] = v
 		}
 	}
 	at = scheduler.MachineID(extras["at"])
-	ask = scheduler.PlacementRequest{ID: scheduler.ContainerID(m.RequestID), IdempotencyKey: m.Fields["key"], Service: extras["service"],
-		WorkloadClass: slices.Index(d.workloads, m.Fields["class"]), ClientRetry: m.Fields["retry"] == "1" || extras["again"] == "1"}
-	if ask.WorkloadClass < 0 {
-		return ask, at, fmt.Errorf("class: %q is not known", m.Fields["class"])
-	}
-	if name := m.Fields["tenant"]; name != "" {
-		if ask.Tenant = slices.Index(d.customers, name); ask.Tenant < 0 {
-			return ask, at, fmt.Errorf("tenant: %q is not known", name)
+	request = scheduler.PlacementRequest{ID: scheduler.ContainerID(msg.RequestID), IdempotencyKey: msg.Fields["key"], Service: extras["service"],
+		WorkloadClass: slices.Index(config.workloadClasses, msg.Fields["class"]), ClientRetry: msg.Fields["retry"] == "1" || extras["again"] == "1"}
+	if request.WorkloadClass < 0 {
+		return request, at, fmt.Errorf("class: %q is not known", msg.Fields["class"])
+	}
+	if name := msg.Fields["tenant"]; name != "" {
+		if request.Tenant = slices.Index(config.tenants, name); request.Tenant < 0 {
+			return request, at, fmt.Errorf("tenant: %q is not known", name)
 		}
 	}
-	if ask.IdempotencyKey == "" || ask.Service == "" {
-		return ask, at, errors.New("key or extras service is missing")
+	if request.IdempotencyKey == "" || request.Service == "" {
+		return request, at, errors.New("key or extras service is missing")
 	}
 	var left float64
-	longest := float64(longestWait)
+	longest := float64(maxWaitMillis)
 	if at != "" {
 		longest = math.MaxInt32 * 1000 // what stands has no hard stop, but what is no time at all is turned away
 	}
@@ -210,19 +210,19 @@
 		least      float64
 		most       float64
 	}{
-		{"extras cores", extras["cores"], &ask.Cores, 0, 1e6},
-		{"extras memory", extras["memory"], &ask.Memory, 0, 1e9},
-		{"left", m.Fields["left"], &left, 0, longest},
+		{"extras cores", extras["cores"], &request.Cores, 0, 1e6},
+		{"extras memory", extras["memory"], &request.Memory, 0, 1e9},
+		{"left", msg.Fields["left"], &left, 0, longest},
 	} {
 		if at != "" && f.text == "" {
 			continue
 		}
 		v, err := strconv.ParseFloat(f.text, 64)
 		if err != nil || math.IsNaN(v) || v < f.least || v > f.most {
-			return ask, at, fmt.Errorf("%s: %q is no number from %g to %g", f.name, f.text, f.least, f.most)
+			return request, at, fmt.Errorf("%s: %q is no number from %g to %g", f.name, f.text, f.least, f.most)
 		}
 		*f.to = v
 	}
-	ask.Deadline = scheduler.Time(now) + scheduler.Time(left*float64(scheduler.Millisecond))
-	return ask, at, nil
+	request.Deadline = scheduler.Time(now) + scheduler.Time(left*float64(scheduler.Millisecond))
+	return request, at, nil
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -17,391 +17,395 @@
 	"glenport/scheduler"
 )
 
-// Decider is the placer module, or a script in its place.
-type Decider interface {
+// Scheduler is the placer module, or a script in its place.
+type Scheduler interface {
 	Handle(now scheduler.Time, events []scheduler.Event) []scheduler.Action
 }
 
 const (
-	houseEvery  = eventloop.Second / 4
-	probeWithin = eventloop.Second
+	maintenanceInterval = eventloop.Second / 4
+	probeTimeout        = eventloop.Second
 )
 
-// Platform is one life of a placer on the platform.
-type Platform struct {
-	d       *Deployment
-	log     *slog.Logger
-	loop    *eventloop.Loop
-	door    *eventloop.Listener
-	decider Decider
-	trace   bool
-
-	events     []scheduler.Event
-	porter     *connmanager.Manager
-	atDoor     []connmanager.Event // for the porter, at the end of the turn
-	vigil      *failuredetector.Detector
-	seen       []failuredetector.Event              // likewise
-	containers map[scheduler.ContainerID]*container // until answered, without a bid and over
-	machines   map[scheduler.MachineID]*machine     // until gone from the bus and empty
-	at         map[string]scheduler.MachineID       // which of them is at an address, until it is gone
-	callers    map[connmanager.ClientID]*caller     // until their connection ends
-	bus        bus
-	scratch    []byte
-	lastProbe  uint64
-	lastCaller connmanager.ClientID
-
-	unanswered int // containers that are owed an answer
-	links      int // connections to machines, also those that are being left
-
-	leaving   bool // told to stop
-	leavingAt eventloop.Tick
+// Server is one life of a placer on the platform.
+type Server struct {
+	config        *Config
+	log           *slog.Logger
+	loop          *eventloop.Loop
+	listener      *eventloop.Listener
+	scheduler     Scheduler
+	traceMessages bool
+
+	schedulerEvents       []scheduler.Event
+	connManager           *connmanager.Manager
+	connManagerEvents     []connmanager.Event // for the porter, at the end of the turn
+	failureDetector       *failuredetector.Detector
+	failureDetectorEvents []failuredetector.Event              // likewise
+	containers            map[scheduler.ContainerID]*container // until answered, without a bid and over
+	machines              map[scheduler.MachineID]*machine     // until gone from the bus and empty
+	machineAtAddr         map[string]scheduler.MachineID       // which of them is at an address, until it is gone
+	clients               map[connmanager.ClientID]*clientConn // until their connection ends
+	discovery             discoveryWatch
+	encodeBuffer          []byte
+	lastProbeNumber       uint64
+	lastClientID          connmanager.ClientID
+
+	unanswered       int // containers that are owed an answer
+	machineConnCount int // connections to machines, also those that are being left
+
+	shuttingDown      bool // told to stop
+	shutdownStartedAt eventloop.Tick
 }
 
 // container is one that an owner asks for or that stands.
 type container struct {
-	ask      scheduler.PlacementRequest
-	class    string
-	idem     string
-	desc     []byte
-	caller   *caller // nil once its connection has ended
-	answered bool
-	bids     int
-	bid      *bid // the one that is out, or by which it stands
+	request        scheduler.PlacementRequest
+	className      string
+	idempotencyKey string
+	description    []byte
+	client         *clientConn // nil once its connection has ended
+	answered       bool
+	attemptsMade   int
+	attempt        *attempt // the one that is out, or by which it stands
 }
 
-// bid is an offer that waits for a link, is out, or has led to a container that stands.
-type bid struct {
-	c      *container
-	nth    int
-	at     *machine
-	link   *link // nil where it was taken over
-	sent   bool
-	stands bool
-	ended  bool // its owner ended it
-	sentAt eventloop.Tick
-	until  eventloop.Tick
-	timer  *eventloop.Timer
+// attempt is an offer that waits for a link, is out, or has led to a container that stands.
+type attempt struct {
+	container     *container
+	number        int
+	machine       *machine
+	conn          *machineConn // nil where it was taken over
+	sent          bool
+	running       bool
+	endedByClient bool // its owner ended it
+	createdAt     eventloop.Tick
+	deadline      eventloop.Tick
+	timer         *eventloop.Timer
 }
 
 // New makes a placer and opens its door. Run frees what it holds.
-func New(d *Deployment, decider Decider, log *slog.Logger, trace bool) (*Platform, error) {
-	p := &Platform{d: d, log: log, decider: decider, trace: trace, containers: map[scheduler.ContainerID]*container{},
-		machines: map[scheduler.MachineID]*machine{}, at: map[string]scheduler.MachineID{}, callers: map[connmanager.ClientID]*caller{},
-		porter: connmanager.New(d.Sockets), vigil: failuredetector.New()}
-	p.bus = bus{p: p, addr: d.Bus, last: d.Last}
+func New(config *Config, decider Scheduler, log *slog.Logger, trace bool) (*Server, error) {
+	s := &Server{config: config, log: log, scheduler: decider, traceMessages: trace, containers: map[scheduler.ContainerID]*container{},
+		machines: map[scheduler.MachineID]*machine{}, machineAtAddr: map[string]scheduler.MachineID{}, clients: map[connmanager.ClientID]*clientConn{},
+		connManager: connmanager.New(config.MaxDescriptors), failureDetector: failuredetector.New()}
+	s.discovery = discoveryWatch{server: s, addr: config.DiscoveryAddr, lastOffset: config.LastOffset}
 	var err error
-	if p.loop, err = eventloop.New(p.turn); err != nil {
+	if s.loop, err = eventloop.New(s.iterate); err != nil {
 		return nil, err
 	}
-	if p.door, err = p.loop.Listen(d.Listen, p.accept, p.loop.AcceptStateLogger(log, "callers")); err != nil {
-		p.loop.Stop()
-		p.loop.Run()
+	if s.listener, err = s.loop.Listen(config.ListenAddr, s.accept, s.loop.AcceptStateLogger(log, "callers")); err != nil {
+		s.loop.Stop()
+		s.loop.Run()
 		return nil, err
 	}
-	return p, nil
+	return s, nil
 }
 
 // Addr is where owners call.
-func (p *Platform) Addr() string { return p.door.Addr().String() }
+func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Run serves until it is told to leave and owes nothing more.
-func (p *Platform) Run() error {
-	p.loop.Post(p.begin)
-	return p.loop.Run()
+func (s *Server) Run() error {
+	s.loop.Post(s.start)
+	return s.loop.Run()
 }
 
-func (p *Platform) begin() {
-	p.log.Info("placer up", "name", p.d.Name, "door", p.Addr(), "events known", p.d.Last)
-	for i, e := range p.d.Known {
+func (s *Server) start() {
+	s.log.Info("placer up", "name", s.config.Name, "door", s.Addr(), "events known", s.config.LastOffset)
+	for i, e := range s.config.KnownEvents {
 		mode := scheduler.DeltaUpdate
 		if i == 0 {
 			mode = scheduler.RestoredSnapshot
 		}
-		p.learn(mode, e)
+		s.applyUpdate(mode, e)
 	}
-	if len(p.d.Known) == 0 {
-		p.feed(scheduler.MachineListUpdate{Mode: scheduler.RestoredSnapshot})
+	if len(s.config.KnownEvents) == 0 {
+		s.notifyScheduler(scheduler.MachineListUpdate{Mode: scheduler.RestoredSnapshot})
 	}
-	p.bus.reach()
-	p.loop.After(houseEvery, p.keepHouse)
+	s.discovery.connect()
+	s.loop.After(maintenanceInterval, s.maintain)
 }
 
-// Leave ends Run once nothing is owed to owners any more; any goroutine may call it.
-func (p *Platform) Leave() {
-	p.loop.Post(func() {
-		if !p.leaving {
-			p.leaving, p.leavingAt = true, p.loop.Now()
-			p.log.Info("leaving", "containers", len(p.containers))
+// Shutdown ends Run once nothing is owed to owners any more; any goroutine may call it.
+func (s *Server) Shutdown() {
+	s.loop.Post(func() {
+		if !s.shuttingDown {
+			s.shuttingDown, s.shutdownStartedAt = true, s.loop.Now()
+			s.log.Info("leaving", "containers", len(s.containers))
 		}
 	})
 }
 
-// Renew takes the address of the bus from a new file; any goroutine may call it.
-func (p *Platform) Renew(d *Deployment) {
-	p.loop.Post(func() { p.bus.move(d.Bus) })
+// Reload takes the address of the bus from a new file; any goroutine may call it.
+func (s *Server) Reload(config *Config) {
+	s.loop.Post(func() { s.discovery.moveTo(config.DiscoveryAddr) })
 }
 
-// Obey follows signals to leave, and signals that there is a new file; it returns at once. A file that is slow to read holds
+// HandleSignals follows signals to leave, and signals that there is a new file; it returns at once. A file that is slow to read holds
 // up neither the order to leave nor a later file: the one that counts is read after the last signal.
-func (p *Platform) Obey(leave, renew <-chan os.Signal, load func() (*Deployment, error)) {
+func (s *Server) HandleSignals(leave, renew <-chan os.Signal, load func() (*Config, error)) {
 	go func() {
 		for range leave {
-			p.Leave()
+			s.Shutdown()
 		}
 	}()
 	go func() {
 		for range renew {
-			if d, err := load(); err != nil {
-				p.log.Error("the new file is not used", "why", err)
+			if config, err := load(); err != nil {
+				s.log.Error("the new file is not used", "why", err)
 			} else {
-				p.Renew(d)
+				s.Reload(config)
 			}
 		}
 	}()
 }
 
-func (p *Platform) feed(e scheduler.Event) { p.events = append(p.events, e) }
+func (s *Server) notifyScheduler(e scheduler.Event) { s.schedulerEvents = append(s.schedulerEvents, e) }
 
-func (p *Platform) tell(e connmanager.Event)       { p.atDoor = append(p.atDoor, e) }
-func (p *Platform) notice(e failuredetector.Event) { p.seen = append(p.seen, e) }
+func (s *Server) notifyConnManager(e connmanager.Event) {
+	s.connManagerEvents = append(s.connManagerEvents, e)
+}
+func (s *Server) notifyFailureDetector(e failuredetector.Event) {
+	s.failureDetectorEvents = append(s.failureDetectorEvents, e)
+}
 
-func (p *Platform) turn() {
-	p.decide()
-	if told := p.atDoor; len(told) > 0 {
-		p.atDoor = nil
-		for _, a := range p.porter.Handle(connmanager.Time(p.loop.Now()), told) {
-			p.see(a)
+func (s *Server) iterate() {
+	s.runScheduler()
+	if told := s.connManagerEvents; len(told) > 0 {
+		s.connManagerEvents = nil
+		for _, action := range s.connManager.Handle(connmanager.Time(s.loop.Now()), told) {
+			s.applyConnAction(action)
 		}
 	}
-	if seen := p.seen; len(seen) > 0 {
-		p.seen = nil
-		for _, a := range p.vigil.Handle(failuredetector.Time(p.loop.Now()), seen) {
-			p.watch(a)
+	if seen := s.failureDetectorEvents; len(seen) > 0 {
+		s.failureDetectorEvents = nil
+		for _, action := range s.failureDetector.Handle(failuredetector.Time(s.loop.Now()), seen) {
+			s.applyDetectorAction(action)
 		}
 	}
-	if len(p.events)+len(p.atDoor)+len(p.seen) > 0 {
-		p.loop.SkipWait()
+	if len(s.schedulerEvents)+len(s.connManagerEvents)+len(s.failureDetectorEvents) > 0 {
+		s.loop.SkipWait()
 		return
 	}
 	// Here and nowhere else a leaving placer ends: all that was read has been acted on, and nothing is read before the exit.
-	if p.leaving && !connmanager.ShouldKeepDraining(connmanager.Time(p.loop.Now()-p.leavingAt), p.unanswered, p.longest()) {
-		p.log.Info("left", "standing", len(p.containers), "most connections", p.loop.PeakConnCount())
-		p.loop.StopWhenIdle()
+	if s.shuttingDown && !connmanager.ShouldKeepDraining(connmanager.Time(s.loop.Now()-s.shutdownStartedAt), s.unanswered, s.longestDeadline()) {
+		s.log.Info("left", "standing", len(s.containers), "most connections", s.loop.PeakConnCount())
+		s.loop.StopWhenIdle()
 	}
 }
 
-// see does what the porter wants done.
-func (p *Platform) see(a connmanager.Action) {
-	switch a := a.(type) {
+// applyConnAction does what the porter wants done.
+func (s *Server) applyConnAction(action connmanager.Action) {
+	switch action := action.(type) {
 	case connmanager.CloseClient:
-		if k := p.callers[a.Client]; k != nil {
-			p.log.Debug("caller let go", "caller", k.number, "why", a.Reason)
-			k.conn.Close()
+		if cc := s.clients[action.Client]; cc != nil {
+			s.log.Debug("caller let go", "caller", cc.id, "why", action.Reason)
+			cc.conn.Close()
 		}
 	case connmanager.NotifyTermination:
-		if k := p.callers[a.Client]; k != nil {
-			k.write(&jsonlines.Message{Op: jsonlines.OpEnd, RequestID: a.RequestID, Cause: jsonlines.CausePtr(a.Cause)})
+		if cc := s.clients[action.Client]; cc != nil {
+			cc.send(&jsonlines.Message{Op: jsonlines.OpEnd, RequestID: action.RequestID, Cause: jsonlines.CausePtr(action.Cause)})
 		}
 	case connmanager.PauseReading:
-		if k := p.callers[a.Client]; k != nil {
-			k.conn.SetReadPaused(true)
-			p.loop.After(eventloop.Tick(a.Duration), func() { k.conn.SetReadPaused(false) })
+		if cc := s.clients[action.Client]; cc != nil {
+			cc.conn.SetReadPaused(true)
+			s.loop.After(eventloop.Tick(action.Duration), func() { cc.conn.SetReadPaused(false) })
 		}
 	}
 }
 
-// watch does what the vigil wants done.
-func (p *Platform) watch(a failuredetector.Action) {
-	switch a := a.(type) {
+// applyDetectorAction does what the vigil wants done.
+func (s *Server) applyDetectorAction(action failuredetector.Action) {
+	switch action := action.(type) {
 	case failuredetector.Connect:
-		if m := p.machines[scheduler.MachineID(a.Machine)]; m != nil && m.addr != "" {
-			m.reach()
+		if m := s.machines[scheduler.MachineID(action.Machine)]; m != nil && m.addr != "" {
+			m.connect()
 		}
 	case failuredetector.ReportTermination:
-		if m := p.machines[scheduler.MachineID(a.Machine)]; m != nil && m.bids[scheduler.ContainerID(a.RequestID)] != nil {
-			p.released(m.bids[scheduler.ContainerID(a.RequestID)], a.Cause, scheduler.AttemptEnded{Outcome: fate(a.Cause)})
+		if m := s.machines[scheduler.MachineID(action.Machine)]; m != nil && m.attempts[scheduler.ContainerID(action.RequestID)] != nil {
+			s.finishRunning(m.attempts[scheduler.ContainerID(action.RequestID)], action.Cause, scheduler.AttemptEnded{Outcome: outcomeAfterAccept(action.Cause)})
 		}
 	case failuredetector.DeclareLost:
-		if m := p.machines[scheduler.MachineID(a.Machine)]; m != nil {
-			p.log.Info("machine lost", "machine", m.id, "standing", m.standing, "silent ms", a.SilentFor/10)
-			m.lose(p.loop.Now())
+		if m := s.machines[scheduler.MachineID(action.Machine)]; m != nil {
+			s.log.Info("machine lost", "machine", m.id, "standing", m.running, "silent ms", action.SilentFor/10)
+			m.failRunning(s.loop.Now())
 		}
 	}
 }
 
-// decide hands the placer module what happened.
-func (p *Platform) decide() {
-	events := p.events
+// runScheduler hands the placer module what happened.
+func (s *Server) runScheduler() {
+	events := s.schedulerEvents
 	if len(events) == 0 {
 		return
 	}
-	p.events = nil
-	for _, a := range p.decider.Handle(scheduler.Time(p.loop.Now()), events) {
-		p.carry(a)
+	s.schedulerEvents = nil
+	for _, action := range s.scheduler.Handle(scheduler.Time(s.loop.Now()), events) {
+		s.applySchedulerAction(action)
 	}
 }
 
-// carry does what the placer module wants done.
-func (p *Platform) carry(a scheduler.Action) {
-	switch a := a.(type) {
+// applySchedulerAction does what the placer module wants done.
+func (s *Server) applySchedulerAction(action scheduler.Action) {
+	switch action := action.(type) {
 	case scheduler.StartAttempt:
-		p.offer(a)
+		s.startAttempt(action)
 	case scheduler.Reject:
 		m := &jsonlines.Message{Op: jsonlines.OpEnd, Cause: jsonlines.CausePtr(jsonlines.CauseNoCapacity)}
-		if a.RetryAfter > 0 {
-			m.Fields = jsonlines.Fields{"wait": fmt.Sprint(int64(a.RetryAfter / scheduler.Millisecond))}
+		if action.RetryAfter > 0 {
+			m.Fields = jsonlines.Fields{"wait": fmt.Sprint(int64(action.RetryAfter / scheduler.Millisecond))}
 		}
-		p.answer(a.ID, m)
+		s.answer(action.ID, m)
 	case scheduler.Fail:
-		p.answer(a.ID, &jsonlines.Message{Op: jsonlines.OpEnd, Cause: jsonlines.CausePtr(jsonlines.CauseTemporaryFailure)})
+		s.answer(action.ID, &jsonlines.Message{Op: jsonlines.OpEnd, Cause: jsonlines.CausePtr(jsonlines.CauseTemporaryFailure)})
 	case scheduler.CancelAttempt:
-		if c := p.containers[a.ID]; c != nil && c.bid != nil && !c.bid.stands && c.bid.nth == a.Attempt {
-			p.callOff(c.bid)
-			p.over(c.bid, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: c.answered})
+		if c := s.containers[action.ID]; c != nil && c.attempt != nil && !c.attempt.running && c.attempt.number == action.Attempt {
+			s.cancelOffer(c.attempt)
+			s.finishAttempt(c.attempt, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: c.answered})
 		}
 	case scheduler.Probe:
-		p.probe(a.Machine)
+		s.startProbe(action.Machine)
 	case scheduler.Disconnect:
-		if m := p.machines[a.Machine]; m != nil {
-			m.closeIdle()
+		if m := s.machines[action.Machine]; m != nil {
+			m.closeIdleConns()
 		}
 	case scheduler.SetTimer:
-		p.loop.After(eventloop.Tick(a.After), func() { p.feed(scheduler.TimerFired{Name: a.Name}) })
+		s.loop.After(eventloop.Tick(action.After), func() { s.notifyScheduler(scheduler.TimerFired{Name: action.Name}) })
 	case scheduler.WatchMachineList, scheduler.FetchMachineList: // the bus is followed from the start
 	case scheduler.Log:
-		p.log.Info("mode", "text", a.Message)
+		s.log.Info("mode", "text", action.Message)
 	}
 }
 
 // answer gives the owner of a container its one final answer.
-func (p *Platform) answer(id scheduler.ContainerID, m *jsonlines.Message) {
-	c := p.containers[id]
+func (s *Server) answer(id scheduler.ContainerID, msg *jsonlines.Message) {
+	c := s.containers[id]
 	if c == nil || c.answered {
 		return
 	}
-	p.close(c)
-	if c.caller != nil {
-		m.RequestID = string(id)
-		c.caller.write(m)
-		p.tell(connmanager.MessageSent{Client: c.caller.number, ClosedRequests: 1})
-		if m.Op == jsonlines.OpAccept {
-			p.tell(connmanager.OwnershipProven{Client: c.caller.number})
+	s.markAnswered(c)
+	if c.client != nil {
+		msg.RequestID = string(id)
+		c.client.send(msg)
+		s.notifyConnManager(connmanager.MessageSent{Client: c.client.id, ClosedRequests: 1})
+		if msg.Op == jsonlines.OpAccept {
+			s.notifyConnManager(connmanager.OwnershipProven{Client: c.client.id})
 		}
 	}
-	p.letOff(c)
+	s.cancelPendingAttempt(c)
 }
 
-// close notes that no answer is owed for a container any more.
-func (p *Platform) close(c *container) {
+// markAnswered notes that no answer is owed for a container any more.
+func (s *Server) markAnswered(c *container) {
 	c.answered = true
-	p.unanswered--
+	s.unanswered--
 }
 
-// letOff calls off the bid of a container that awaits none any more.
-func (p *Platform) letOff(c *container) {
-	if c.bid != nil && !c.bid.stands {
-		p.callOff(c.bid)
-		p.over(c.bid, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: true})
+// cancelPendingAttempt calls off the bid of a container that awaits none any more.
+func (s *Server) cancelPendingAttempt(c *container) {
+	if c.attempt != nil && !c.attempt.running {
+		s.cancelOffer(c.attempt)
+		s.finishAttempt(c.attempt, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: true})
 	}
-	p.forget(c)
+	s.removeIfDone(c)
 }
 
-// vanish ends a container whose owner waits no longer.
-func (p *Platform) vanish(c *container) {
-	p.close(c)
-	if c.caller != nil {
-		p.tell(connmanager.RequestCancelled{Client: c.caller.number})
+// cancelRequest ends a container whose owner waits no longer.
+func (s *Server) cancelRequest(c *container) {
+	s.markAnswered(c)
+	if c.client != nil {
+		s.notifyConnManager(connmanager.RequestCancelled{Client: c.client.id})
 	}
-	p.feed(scheduler.ContainerRemoved{ID: c.ask.ID})
-	p.letOff(c)
+	s.notifyScheduler(scheduler.ContainerRemoved{ID: c.request.ID})
+	s.cancelPendingAttempt(c)
 }
 
-func (p *Platform) forget(c *container) {
-	if c.answered && c.bid == nil {
-		delete(p.containers, c.ask.ID)
+func (s *Server) removeIfDone(c *container) {
+	if c.answered && c.attempt == nil {
+		delete(s.containers, c.request.ID)
 	}
 }
 
-// over ends a bid with its one outcome.
-func (p *Platform) over(b *bid, e scheduler.AttemptEnded) {
-	c := b.c
-	if c.bid != b {
+// finishAttempt ends a bid with its one outcome.
+func (s *Server) finishAttempt(a *attempt, e scheduler.AttemptEnded) {
+	c := a.container
+	if c.attempt != a {
 		return
 	}
-	p.loop.Cancel(b.timer)
-	if b.link != nil && !b.stands {
-		delete(b.link.bids, c.ask.ID)
+	s.loop.Cancel(a.timer)
+	if a.conn != nil && !a.running {
+		delete(a.conn.attempts, c.request.ID)
 	}
-	delete(b.at.bids, c.ask.ID)
-	if b.stands {
-		if b.link != nil {
-			b.link.stands--
+	delete(a.machine.attempts, c.request.ID)
+	if a.running {
+		if a.conn != nil {
+			a.conn.running--
 		}
-		b.at.stand(-1)
+		a.machine.addRunning(-1)
 	}
-	c.bid = nil
-	e.ID, e.Attempt, e.Machine, e.Elapsed = c.ask.ID, b.nth, b.at.id, scheduler.Time(p.loop.Now()-b.sentAt)
-	p.feed(e)
-	p.forget(c)
-	b.at.settle()
+	c.attempt = nil
+	e.ID, e.Attempt, e.Machine, e.Elapsed = c.request.ID, a.number, a.machine.id, scheduler.Time(s.loop.Now()-a.createdAt)
+	s.notifyScheduler(e)
+	s.removeIfDone(c)
+	a.machine.evictIfGone()
 }
 
-// released ends a container that stood, and tells its owner, unless that ended it.
-func (p *Platform) released(b *bid, cause int, e scheduler.AttemptEnded) {
-	c := b.c
+// finishRunning ends a container that stood, and tells its owner, unless that ended it.
+func (s *Server) finishRunning(a *attempt, cause int, e scheduler.AttemptEnded) {
+	c := a.container
 	e.Final = true
-	p.over(b, e)
-	if b.ended || cause == jsonlines.CauseCancelled {
+	s.finishAttempt(a, e)
+	if a.endedByClient || cause == jsonlines.CauseCancelled {
 		return
 	}
-	over := connmanager.ContainerTerminated{RequestID: string(c.ask.ID), Cause: cause}
-	if c.caller != nil {
-		over.Client = c.caller.number
+	over := connmanager.ContainerTerminated{RequestID: string(c.request.ID), Cause: cause}
+	if c.client != nil {
+		over.Client = c.client.id
 	}
-	p.tell(over)
+	s.notifyConnManager(over)
 }
 
-func (p *Platform) keepHouse() {
-	p.loop.After(houseEvery, p.keepHouse)
-	now := p.loop.Now()
-	p.tell(connmanager.Tick{})
-	p.notice(failuredetector.Tick{})
-	for _, id := range slices.Sorted(maps.Keys(p.machines)) {
-		p.machines[id].house(now)
+func (s *Server) maintain() {
+	s.loop.After(maintenanceInterval, s.maintain)
+	now := s.loop.Now()
+	s.notifyConnManager(connmanager.Tick{})
+	s.notifyFailureDetector(failuredetector.Tick{})
+	for _, id := range slices.Sorted(maps.Keys(s.machines)) {
+		s.machines[id].maintainConns(now)
 	}
-	p.bus.house(now)
-	if p.leaving && connmanager.ShouldForceAnswers(connmanager.Time(now-p.leavingAt), p.longest()) {
-		p.hurry()
+	s.discovery.resetIfSilent(now)
+	if s.shuttingDown && connmanager.ShouldForceAnswers(connmanager.Time(now-s.shutdownStartedAt), s.longestDeadline()) {
+		s.cutOpenAttempts()
 	}
 }
 
-// longest is the longest hard stop of the terms.
-func (p *Platform) longest() (longest connmanager.Time) {
-	for _, w := range p.d.Terms.WorkloadClasses {
+// longestDeadline is the longest hard stop of the terms.
+func (s *Server) longestDeadline() (longest connmanager.Time) {
+	for _, w := range s.config.Scheduler.WorkloadClasses {
 		longest = max(longest, connmanager.Time(w.PlacementTimeout))
 	}
 	return longest
 }
 
-// hurry ends the bids of what is still unanswered; the module then answers each, as after its own time.
-func (p *Platform) hurry() {
-	for _, id := range slices.Sorted(maps.Keys(p.containers)) {
-		if c := p.containers[id]; !c.answered && c.bid != nil {
-			p.callOff(c.bid)
-			p.over(c.bid, scheduler.AttemptEnded{Outcome: scheduler.OutcomeFinished})
+// cutOpenAttempts ends the bids of what is still unanswered; the module then answers each, as after its own time.
+func (s *Server) cutOpenAttempts() {
+	for _, id := range slices.Sorted(maps.Keys(s.containers)) {
+		if c := s.containers[id]; !c.answered && c.attempt != nil {
+			s.cancelOffer(c.attempt)
+			s.finishAttempt(c.attempt, scheduler.AttemptEnded{Outcome: scheduler.OutcomeFinished})
 		}
 	}
 }
 
-// line writes a message for a connection; it holds until the next.
-func (p *Platform) line(m *jsonlines.Message) ([]byte, error) {
+// encode writes a message for a connection; it holds until the next.
+func (s *Server) encode(msg *jsonlines.Message) ([]byte, error) {
 	var err error
-	p.scratch, err = jsonlines.Append(p.scratch[:0], m)
-	return p.scratch, err
+	s.encodeBuffer, err = jsonlines.Append(s.encodeBuffer[:0], msg)
+	return s.encodeBuffer, err
 }
 
-func (p *Platform) show(way, who string, m *jsonlines.Message) {
-	if p.trace {
-		p.log.Info("trace", "t", p.loop.Now(), "way", way, "peer", who, "op", m.Op, "call", m.RequestID, "with", m.Fields, "why", m.CauseOrNone())
+func (s *Server) traceMessage(way, who string, msg *jsonlines.Message) {
+	if s.traceMessages {
+		s.log.Info("trace", "t", s.loop.Now(), "way", way, "peer", who, "op", msg.Op, "call", msg.RequestID, "with", msg.Fields, "why", msg.CauseOrNone())
 	}
 }
--- a/internal/schedulerd/helpers_test.go
+++ b/internal/schedulerd/helpers_test.go
@@ -163,7 +163,7 @@
 	})
 }
 
-// machineThat greets, says what it holds and answers each frame by answer; nil ends the link.
+// fakeMachine greets, says what it holds and answers each frame by answer; nil ends the link.
 func machineThat(t *testing.T, name string, holds *protocol.Inventory, answer func(c net.Conn, f protocol.Frame) bool) string {
 	return serve(t, func(c net.Conn) {
 		if f, err := protocol.ReadFrame(c, protocol.MaxFrame); err != nil || f.(*protocol.Hello).Role != protocol.RoleScheduler {
