--- a/cmd/glenport/job.go
+++ b/cmd/glenport/job.go
@@ -95,7 +95,7 @@
 const jobHead = "JOB\tSERVICE\tWORKLOAD\tCOUNT\tCORES\tGIB\tVERSION"
 
 func jobRow(w io.Writer, j server.Job) {
-	fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%g\t%g\t%d\n", j.ID, j.Service, j.Workload, j.Count, j.Cores, j.MemoryGiB, j.Version)
+	fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%g\t%g\t%d\n", j.ID, j.Service, j.WorkloadClass, j.Count, j.Cores, j.MemoryGiB, j.Version)
 }
 
 func (k *client) oneJob(j server.Job) error {
@@ -121,13 +121,13 @@
 		}})
 	f := run.Flags()
 	f.StringVar(&j.Service, "service", "", "its service; the job's id where empty")
-	f.StringVar(&j.Workload, "workload", "", "name of its workload")
-	f.StringVar(&j.Customer, "customer", "", "name of its customer")
+	f.StringVar(&j.WorkloadClass, "workload", "", "name of its workload")
+	f.StringVar(&j.Tenant, "customer", "", "name of its customer")
 	f.Float64Var(&j.Cores, "cores", 1, "cores of a container")
 	f.Float64Var(&j.MemoryGiB, "memory", 1, "memory of a container, in GiB")
 	f.IntVarP(&j.Count, "count", "n", 1, "how many containers")
 	f.DurationVar(&runFor, "run-for", 0, "how long a container runs; 0: until it is stopped")
-	f.BoolVar(&j.Once, "once", false, "do not start again what has finished")
+	f.BoolVar(&j.RunOnce, "once", false, "do not start again what has finished")
 	f.StringToStringVar(&j.Labels, "label", nil, "key=value, more than once")
 	run.MarkFlagRequired("workload")
 
@@ -156,7 +156,7 @@
 			return get.show(map[string]any{"job": j, "containers": all.Items}, "CONTAINER\tSTATE\tMACHINE\tTRIES\tSTARTS\tLAST",
 				func(w io.Writer) {
 					for _, c := range all.Items {
-						fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\n", c.ID, c.State, c.Machine, c.Tries, c.Starts, c.Last)
+						fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\n", c.ID, c.State, c.Machine, c.Attempts, c.Starts, c.LastStatus)
 					}
 				})
 		}})
@@ -195,12 +195,12 @@
 				path = "/v1/containers/" + args[0] + "/why"
 			}
 			for before := ""; ; time.Sleep(500 * time.Millisecond) {
-				var one api.Why
-				var all struct{ Items []api.Why }
+				var one api.Explanation
+				var all struct{ Items []api.Explanation }
 				var err error
 				if strings.Contains(args[0], ".") {
 					if err = k.do("GET", path, nil, &one); len(one.Reasons) > 0 {
-						all.Items = []api.Why{one}
+						all.Items = []api.Explanation{one}
 					}
 				} else {
 					err = k.do("GET", path, nil, &all)
@@ -251,7 +251,7 @@
 			}
 			return k.show(all.Items, "MACHINE\tHALL\tKIND\tSTATE\tFREE CORES\tFREE GIB", func(w io.Writer) {
 				for _, m := range all.Items {
-					fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%g\t%g\n", m.ID, m.Hall, m.Kind, m.State, m.FreeCores, m.FreeMemoryGiB)
+					fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%g\t%g\n", m.ID, m.Zone, m.MachineType, m.State, m.FreeCores, m.FreeMemoryGiB)
 				}
 			})
 		}})
--- a/cmd/glenport/keeper.go
+++ b/cmd/glenport/keeper.go
@@ -30,12 +30,12 @@
 			if err != nil {
 				return err
 			}
-			h, err := server.New(server.Place{Name: k.Name, Doors: k.Doors, List: k.List, Seed: k.Seed, State: k.State, Site: k.Terms},
-				watchcache.New(api.Line), log)
+			h, err := server.New(server.Config{Name: k.Name, Schedulers: k.Doors, MachineList: k.List, Seed: k.Seed, StateDir: k.State, SchedulerConfig: k.Terms},
+				watchcache.New(api.EncodeWatchEvent), log)
 			if err != nil {
 				return err
 			}
-			server := api.Serve(k.API, api.New(h))
+			server := api.NewHTTPServer(k.API, api.New(h))
 			told := make(chan os.Signal, 1)
 			signal.Notify(told, syscall.SIGINT, syscall.SIGTERM)
 			failed := make(chan error, 1)
--- a/internal/bgp/announce/announce.go
+++ b/internal/bgp/announce/announce.go
@@ -42,37 +42,37 @@
 
 // Service is an address to be announced while containers behind it run.
 type Service struct {
-	Prefix  netip.Prefix
-	NextHop netip.Addr
-	MED     uint32
-	Least   int  // running containers below which it is not announced; 0 counts as 1
-	Healthy bool // the more of them serve, the lower the MED: peers prefer the placer with most
+	Prefix      netip.Prefix
+	NextHop     netip.Addr
+	MED         uint32
+	MinRunning  int  // running containers below which it is not announced; 0 counts as 1
+	MEDByHealth bool // the more of them serve, the lower the MED: peers prefer the placer with most
 }
 
 // Event is something that happened.
 type Event interface{ event() }
 
 type (
-	// Offered makes or changes a service's address; Dropped ends it.
-	Offered struct {
+	// ServiceSet makes or changes a service's address; Dropped ends it.
+	ServiceSet struct {
 		Name    string
 		Service Service
 	}
-	Dropped struct{ Name string }
-	// Runs and Ends are a container's; Drains says that its machine is about to go, or is not any more.
-	Runs struct {
+	ServiceRemoved struct{ Name string }
+	// ContainerRunning and Ends are a container's; Drains says that its machine is about to go, or is not any more.
+	ContainerRunning struct {
 		Service, Container string
 		Draining           bool
 	}
-	Ends struct{ Service, Container string }
-	Woke struct{}
+	ContainerEnded struct{ Service, Container string }
+	TimerFired     struct{}
 )
 
-func (Offered) event() {}
-func (Dropped) event() {}
-func (Runs) event()    {}
-func (Ends) event()    {}
-func (Woke) event()    {}
+func (ServiceSet) event()       {}
+func (ServiceRemoved) event()   {}
+func (ContainerRunning) event() {}
+func (ContainerEnded) event()   {}
+func (TimerFired) event()       {}
 
 // Action is something to be done.
 type Action interface{ action() }
@@ -84,27 +84,27 @@
 		Path   Path
 	}
 	Withdraw struct{ Prefix netip.Prefix }
-	Wake     struct{ After scheduler.Time }
-	// Mode is a change worth a line in the log, with its figure.
-	Mode struct {
+	SetTimer struct{ After scheduler.Time }
+	// LogMessage is a change worth a line in the log, with its figure.
+	LogMessage struct {
 		Prefix  netip.Prefix
-		Text    string
+		Message string
 		Penalty float64
 	}
 )
 
-func (Announce) action() {}
-func (Withdraw) action() {}
-func (Wake) action()     {}
-func (Mode) action()     {}
+func (Announce) action()   {}
+func (Withdraw) action()   {}
+func (SetTimer) action()   {}
+func (LogMessage) action() {}
 
-// Why tells an operator where an address stands.
-type Why struct {
+// Status tells an operator where an address stands.
+type Status struct {
 	Announced  bool
 	Path       Path
 	Running    int
 	Draining   int
-	Least      int
+	MinRunning int
 	Penalty    float64
 	Suppressed bool
 	NextUpdate scheduler.Time // 0: at once
@@ -143,24 +143,24 @@
 	touched := map[string]bool{}
 	for _, e := range events {
 		switch e := e.(type) {
-		case Offered:
+		case ServiceSet:
 			s := a.service(e.Name)
 			s.offered, s.terms = true, e.Service
 			touched[e.Name] = true
-		case Dropped:
+		case ServiceRemoved:
 			if s := a.services[e.Name]; s != nil {
 				s.offered = false
 				touched[e.Name] = true
 			}
-		case Runs:
+		case ContainerRunning:
 			a.service(e.Service).containers[e.Container] = e.Draining
 			touched[e.Service] = true
-		case Ends:
+		case ContainerEnded:
 			if s := a.services[e.Service]; s != nil {
 				delete(s.containers, e.Container)
 				touched[e.Service] = true
 			}
-		case Woke:
+		case TimerFired:
 			for name, s := range a.services {
 				if s.due || s.suppressed || s.penalty > 0 {
 					touched[name] = true
@@ -212,11 +212,11 @@
 		}
 	}
 	n := len(s.containers)
-	if !s.offered || s.suppressed || n == 0 || n < s.terms.Least {
+	if !s.offered || s.suppressed || n == 0 || n < s.terms.MinRunning {
 		return Path{}, false
 	}
 	p := Path{NextHop: s.terms.NextHop, MED: s.terms.MED, Preference: ordinaryPref}
-	if s.terms.Healthy { // by halves, so that one more or less of many changes nothing
+	if s.terms.MEDByHealth { // by halves, so that one more or less of many changes nothing
 		p.MED += healthStep * uint32(max(0, healthHalves-bits.Len(uint(serving))))
 	}
 	if serving == 0 {
@@ -232,7 +232,7 @@
 	s.fade(a.now)
 	if s.suppressed && s.penalty < reuseBelow {
 		s.suppressed = false
-		a.do(Mode{s.terms.Prefix, "announced again as it has been steady", s.penalty})
+		a.do(LogMessage{s.terms.Prefix, "announced again as it has been steady", s.penalty})
 	}
 	path, on := s.wanted()
 	moved := s.told && on && s.prefix != s.terms.Prefix
@@ -252,7 +252,7 @@
 		s.penalty = min(mostPenalty, s.penalty+flapPenalty)
 		if !s.suppressed && s.penalty >= suppressAt {
 			s.suppressed = true
-			a.do(Mode{s.prefix, "flaps: not announced until it is steady", s.penalty})
+			a.do(LogMessage{s.prefix, "flaps: not announced until it is steady", s.penalty})
 		}
 		s.toldAt, s.ever = a.now, true
 		if moved {
@@ -296,17 +296,17 @@
 	}
 	if next > 0 && (a.wakeAt <= a.now || next < a.wakeAt) {
 		a.wakeAt = next
-		a.do(Wake{next - a.now})
+		a.do(SetTimer{next - a.now})
 	}
 }
 
-// Why answers for one service.
-func (a *Announcer) Why(name string) (w Why, ok bool) {
+// Status answers for one service.
+func (a *Announcer) Status(name string) (w Status, ok bool) {
 	s := a.services[name]
 	if s == nil {
 		return w, false
 	}
-	w = Why{Announced: s.told, Path: s.path, Running: len(s.containers), Least: max(1, s.terms.Least), Penalty: s.penalty,
+	w = Status{Announced: s.told, Path: s.path, Running: len(s.containers), MinRunning: max(1, s.terms.MinRunning), Penalty: s.penalty,
 		Suppressed: s.suppressed}
 	for _, draining := range s.containers {
 		if draining {
@@ -319,8 +319,8 @@
 	return w, true
 }
 
-// Standing gives all that is announced now, in order of prefixes: what a peer is told when its session comes up.
-func (a *Announcer) Standing() []Announce {
+// Announced gives all that is announced now, in order of prefixes: what a peer is told when its session comes up.
+func (a *Announcer) Announced() []Announce {
 	var all []Announce
 	for _, s := range a.services {
 		if s.told {
--- a/internal/bgp/announce/announce_test.go
+++ b/internal/bgp/announce/announce_test.go
@@ -13,7 +13,7 @@
 
 const sec = scheduler.Second
 
-var web = Service{Prefix: netip.MustParsePrefix("192.0.2.1/32"), NextHop: netip.MustParseAddr("192.0.2.254"), Least: 1}
+var web = Service{Prefix: netip.MustParsePrefix("192.0.2.1/32"), NextHop: netip.MustParseAddr("192.0.2.254"), MinRunning: 1}
 
 func show(acts []Action) string {
 	var all []string
@@ -34,13 +34,13 @@
 		sec float64
 		e   Event
 	}
-	offered := at{0, Offered{"web", web}}
-	runs := func(s float64, c string) at { return at{s, Runs{"web", c, false}} }
-	ends := func(s float64, c string) at { return at{s, Ends{"web", c}} }
+	offered := at{0, ServiceSet{"web", web}}
+	runs := func(s float64, c string) at { return at{s, ContainerRunning{"web", c, false}} }
+	ends := func(s float64, c string) at { return at{s, ContainerEnded{"web", c}} }
 	other := web
 	other.Prefix = netip.MustParsePrefix("192.0.2.2/32")
 	two := web
-	two.Least = 2
+	two.MinRunning = 2
 	for _, tc := range []struct {
 		name  string
 		steps []at
@@ -53,14 +53,14 @@
 			"1.0 announce 192.0.2.1/32 100; 2.0 withdraw 192.0.2.1/32"},
 		{"gone and back within the pace is not told", []at{offered, runs(1, "a"), ends(1.3, "a"), runs(1.6, "a")},
 			"1.0 announce 192.0.2.1/32 100"},
-		{"a threshold", []at{{0, Offered{"web", two}}, runs(1, "a"), runs(3, "b"), ends(5, "a")},
+		{"a threshold", []at{{0, ServiceSet{"web", two}}, runs(1, "a"), runs(3, "b"), ends(5, "a")},
 			"3.0 announce 192.0.2.1/32 100; 5.0 withdraw 192.0.2.1/32"},
-		{"all drain: last choice first, then gone", []at{offered, runs(1, "a"), {3, Runs{"web", "a", true}}, ends(9, "a")},
+		{"all drain: last choice first, then gone", []at{offered, runs(1, "a"), {3, ContainerRunning{"web", "a", true}}, ends(9, "a")},
 			"1.0 announce 192.0.2.1/32 100; 3.0 announce 192.0.2.1/32 0; 9.0 withdraw 192.0.2.1/32"},
-		{"one of two drains", []at{offered, runs(1, "a"), runs(1, "b"), {3, Runs{"web", "a", true}}}, "1.0 announce 192.0.2.1/32 100"},
-		{"another address", []at{offered, runs(1, "a"), {5, Offered{"web", other}}},
+		{"one of two drains", []at{offered, runs(1, "a"), runs(1, "b"), {3, ContainerRunning{"web", "a", true}}}, "1.0 announce 192.0.2.1/32 100"},
+		{"another address", []at{offered, runs(1, "a"), {5, ServiceSet{"web", other}}},
 			"1.0 announce 192.0.2.1/32 100; 5.0 withdraw 192.0.2.1/32; 6.0 announce 192.0.2.2/32 100"},
-		{"no longer offered", []at{offered, runs(1, "a"), {5, Dropped{"web"}}}, "1.0 announce 192.0.2.1/32 100; 5.0 withdraw 192.0.2.1/32"},
+		{"no longer offered", []at{offered, runs(1, "a"), {5, ServiceRemoved{"web"}}}, "1.0 announce 192.0.2.1/32 100; 5.0 withdraw 192.0.2.1/32"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			a := New()
@@ -68,7 +68,7 @@
 			wake := scheduler.Time(0)
 			do := func(now scheduler.Time, e Event) {
 				for _, act := range a.Handle(now, []Event{e}) {
-					if w, ok := act.(Wake); ok {
+					if w, ok := act.(SetTimer); ok {
 						wake = now + w.After
 					}
 					if s := show([]Action{act}); s != "" {
@@ -80,7 +80,7 @@
 				for n := 0; wake > 0 && wake <= until && n < 100; n++ {
 					now := wake
 					wake = 0
-					do(now, Woke{})
+					do(now, TimerFired{})
 				}
 			}
 			for _, s := range tc.steps {
@@ -103,10 +103,10 @@
 		med               uint32
 	}{{1, 0, 47}, {2, 0, 37}, {3, 0, 37}, {4, 0, 27}, {15, 0, 17}, {16, 0, 7}, {100, 0, 7}, {4, 2, 37}, {2, 2, 57}} {
 		s := web
-		s.MED, s.Healthy = 7, true
-		events := []Event{Offered{"web", s}}
+		s.MED, s.MEDByHealth = 7, true
+		events := []Event{ServiceSet{"web", s}}
 		for i := range tc.running {
-			events = append(events, Runs{"web", fmt.Sprint(i), i < tc.draining})
+			events = append(events, ContainerRunning{"web", fmt.Sprint(i), i < tc.draining})
 		}
 		acts := New().Handle(sec, events)
 		if a, ok := acts[0].(Announce); !ok || a.Path.MED != tc.med {
@@ -128,35 +128,35 @@
 				}
 				last = now
 				updates++
-			case Wake:
+			case SetTimer:
 				wake = now + act.After
 			}
 		}
 	}
-	do(0, Offered{"web", web})
+	do(0, ServiceSet{"web", web})
 	now := scheduler.Time(0)
 	for i := range 3000 { // a minute
 		now = scheduler.Time(i) * sec / 50
 		if wake > 0 && wake <= now {
 			wake = 0
-			do(now, Woke{})
+			do(now, TimerFired{})
 		}
 		if i%2 == 0 {
-			do(now, Runs{"web", "a", false})
+			do(now, ContainerRunning{"web", "a", false})
 		} else {
-			do(now, Ends{"web", "a"})
+			do(now, ContainerEnded{"web", "a"})
 		}
 	}
-	w, _ := a.Why("web")
+	w, _ := a.Status("web")
 	if !w.Suppressed || updates > 14 {
 		t.Errorf("%d updates in a minute, %+v", updates, w)
 	}
-	do(now+1, Runs{"web", "a", false})
+	do(now+1, ContainerRunning{"web", "a", false})
 	for n := 0; wake > 0 && n < 1000; n++ {
 		now, wake = max(now, wake), 0
-		do(now, Woke{})
+		do(now, TimerFired{})
 	}
-	if w, _ = a.Why("web"); !w.Announced || now > 90*60*sec {
+	if w, _ = a.Status("web"); !w.Announced || now > 90*60*sec {
 		t.Errorf("not back after %d min: %+v", now/(60*sec), w)
 	}
 }
@@ -179,7 +179,7 @@
 				case Withdraw:
 					p = act.Prefix
 					delete(table, p)
-				case Wake:
+				case SetTimer:
 					wake = now + act.After
 					continue
 				default:
@@ -198,7 +198,7 @@
 					return
 				}
 				now, wake = max(now, wake), 0
-				do(Woke{})
+				do(TimerFired{})
 			}
 		}
 		for range 80 {
@@ -212,20 +212,20 @@
 				s := web
 				s.Prefix = prefix(n)
 				offered[n] = true
-				do(Offered{n, s})
+				do(ServiceSet{n, s})
 			case 1:
 				run[n][c] = true
-				do(Runs{n, c, rapid.Bool().Draw(t, "draining")})
+				do(ContainerRunning{n, c, rapid.Bool().Draw(t, "draining")})
 			case 2:
 				if delete(run[n], c); len(run[n]) == 0 {
 					emptyAt[n] = now
 				}
-				do(Ends{n, c})
+				do(ContainerEnded{n, c})
 			case 3:
 				pass(scheduler.Time(rapid.IntRange(0, 30000).Draw(t, "span")))
 			case 4:
 				offered[n] = false
-				do(Dropped{n})
+				do(ServiceRemoved{n})
 			}
 			for n, containers := range run {
 				if len(containers) == 0 && table[prefix(n)] && now > emptyAt[n]+lastWithin {
@@ -235,14 +235,14 @@
 		}
 		pass(2 * sec)
 		for n, containers := range run {
-			w, _ := a.Why(n)
+			w, _ := a.Status(n)
 			if want := offered[n] && len(containers) > 0 && !w.Suppressed; table[prefix(n)] != want {
 				t.Fatalf("%s stands: %t; offered %t, %d run", n, table[prefix(n)], offered[n], len(containers))
 			}
 			for c := range containers {
-				do(Ends{n, c})
+				do(ContainerEnded{n, c})
 			}
-			do(Dropped{n})
+			do(ServiceRemoved{n})
 		}
 		pass(5 * 60 * 60 * sec)
 		if len(a.services) > 0 || len(table) > 0 {
--- a/internal/bgp/announce/golden_test.go
+++ b/internal/bgp/announce/golden_test.go
@@ -66,10 +66,10 @@
 	case Withdraw:
 		d.number(2)
 		d.text(a.Prefix.String())
-	case Wake:
+	case SetTimer:
 		d.number(3)
 		d.number(uint64(a.After))
-	case Mode:
+	case LogMessage:
 		d.number(4)
 		d.text(a.Prefix.String())
 		d.number(math.Float64bits(a.Penalty))
@@ -124,7 +124,7 @@
 func (h *history) handle(events ...Event) {
 	for _, a := range h.announcer.Handle(h.now, events) {
 		h.digest.add(h.now, a)
-		if a, ok := a.(Wake); ok {
+		if a, ok := a.(SetTimer); ok {
 			h.wakeAt = h.now + a.After
 		}
 	}
@@ -138,7 +138,7 @@
 	}
 	if h.wakeAt > 0 && h.now >= h.wakeAt {
 		h.wakeAt = 0
-		h.handle(Woke{})
+		h.handle(TimerFired{})
 	}
 	var events []Event
 	for range 1 + h.random.IntN(3) {
@@ -157,13 +157,13 @@
 	case n < 12:
 		return h.offer(name)
 	case n < 16:
-		return Dropped{Name: name}
+		return ServiceRemoved{Name: name}
 	case n < 55:
-		return Runs{Service: name, Container: container, Draining: h.chance(0.25)}
+		return ContainerRunning{Service: name, Container: container, Draining: h.chance(0.25)}
 	case n < 97:
-		return Ends{Service: name, Container: container}
+		return ContainerEnded{Service: name, Container: container}
 	}
-	return Woke{}
+	return TimerFired{}
 }
 
 func (h *history) offer(name string) Event {
@@ -174,23 +174,23 @@
 	case 1:
 		hop = netip.MustParseAddr("198.51.100.2")
 	}
-	return Offered{Name: name, Service: Service{Prefix: prefix, NextHop: hop, MED: uint32(h.random.IntN(3) * 50),
-		Least: h.random.IntN(4), Healthy: h.chance(0.5)}}
+	return ServiceSet{Name: name, Service: Service{Prefix: prefix, NextHop: hop, MED: uint32(h.random.IntN(3) * 50),
+		MinRunning: h.random.IntN(4), MEDByHealth: h.chance(0.5)}}
 }
 
 // foldState folds what an operator is shown and what a peer is sent when its session comes up.
 func (h *history) foldState() {
-	for _, a := range h.announcer.Standing() {
+	for _, a := range h.announcer.Announced() {
 		h.digest.announcement(a)
 	}
 	for i := range 5 {
-		w, known := h.announcer.Why(fmt.Sprint("s", i))
+		w, known := h.announcer.Status(fmt.Sprint("s", i))
 		h.digest.truth(known)
 		h.digest.truth(w.Announced)
 		h.digest.path(w.Path)
 		h.digest.number(uint64(w.Running))
 		h.digest.number(uint64(w.Draining))
-		h.digest.number(uint64(w.Least))
+		h.digest.number(uint64(w.MinRunning))
 		h.digest.number(math.Float64bits(w.Penalty))
 		h.digest.truth(w.Suppressed)
 		h.digest.number(uint64(w.NextUpdate))
--- a/internal/bgp/session/golden_test.go
+++ b/internal/bgp/session/golden_test.go
@@ -25,16 +25,16 @@
 	const sequences, steps = 1000, 100
 	both := []wire.Family{wire.IPv4, wire.IPv6}
 	var got strings.Builder
-	for group, p := range []Peer{
-		{OwnAS: 65001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Hold: 90 * scheduler.Second, Families: both, Restart: 120 * scheduler.Second},
-		{OwnAS: 65001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 200}, Hold: 9 * scheduler.Second, Families: both[:1], Passive: true},
-		{OwnAS: 4_200_000_001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Families: both, Restart: 9000 * scheduler.Second},
-		{OwnAS: 65002, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Hold: 3 * scheduler.Second, Families: both[1:]},
+	for group, p := range []PeerConfig{
+		{OwnAS: 65001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, HoldTime: 90 * scheduler.Second, Families: both, RestartTime: 120 * scheduler.Second},
+		{OwnAS: 65001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 200}, HoldTime: 9 * scheduler.Second, Families: both[:1], Passive: true},
+		{OwnAS: 4_200_000_001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Families: both, RestartTime: 9000 * scheduler.Second},
+		{OwnAS: 65002, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, HoldTime: 3 * scheduler.Second, Families: both[1:]},
 	} {
 		digest := &actionDigest{sum: sha256.New()}
 		for seed := range sequences {
 			h := &history{digest: digest, random: rand.New(rand.NewPCG(uint64(10_000*group+seed), 31)), session: New(p), peer: p,
-				connections: map[Conn]int{}}
+				connections: map[ConnID]int{}}
 			h.handle(Start{})
 			for range steps {
 				h.step()
@@ -70,30 +70,30 @@
 	switch a := a.(type) {
 	case Dial:
 		d.numbers(1, uint64(a.Conn))
-	case Send:
+	case SendMessage:
 		d.numbers(2, uint64(a.Conn))
 		d.message(a.Message)
-	case Close:
+	case CloseConn:
 		d.numbers(3, uint64(a.Conn))
-	case Set:
+	case SetTimer:
 		d.numbers(4, uint64(a.Timer), uint64(a.After))
-	case Clear:
+	case ClearTimer:
 		d.numbers(5, uint64(a.Timer))
-	case Up:
+	case SessionUp:
 		d.numbers(6, uint64(len(a.Families)))
 		for _, f := range a.Families {
 			d.numbers(uint64(f))
 		}
-		d.truth(a.EndMark)
-		d.truth(a.FourByte)
-	case Down:
+		d.truth(a.SendEndOfRIB)
+		d.truth(a.FourOctetAS)
+	case SessionDown:
 		d.numbers(7)
-	case Resend:
+	case ResendRoutes:
 		d.numbers(8, uint64(a.Family))
-	case Ignored:
+	case UpdateIgnored:
 		d.numbers(9)
 		d.message(a.Update)
-	case Mode:
+	case LogMessage:
 		d.numbers(10)
 	default:
 		panic(fmt.Sprintf("no ordinal for %T", a))
@@ -137,10 +137,10 @@
 	digest      *actionDigest
 	random      *rand.Rand
 	session     *Session
-	peer        Peer
-	connections map[Conn]int
-	numbers     []Conn // of connections, in order
-	accepted    Conn   // the last number of one that the peer made
+	peer        PeerConfig
+	connections map[ConnID]int
+	numbers     []ConnID // of connections, in order
+	accepted    ConnID   // the last number of one that the peer made
 }
 
 func (h *history) chance(p float64) bool { return h.random.Float64() < p }
@@ -152,7 +152,7 @@
 		case Dial:
 			h.connections[a.Conn] = dialed
 			h.numbers = append(h.numbers, a.Conn)
-		case Close:
+		case CloseConn:
 			delete(h.connections, a.Conn)
 		}
 	}
@@ -173,23 +173,23 @@
 	case n < 60 && len(h.numbers) > 0:
 		c := h.numbers[h.random.IntN(len(h.numbers))]
 		delete(h.connections, c)
-		h.handle(Closed{Conn: c})
+		h.handle(ConnClosed{Conn: c})
 	case n < 68:
 		h.accepted++
 		c := 1_000_000 + h.accepted
 		h.connections[c] = connected
 		h.numbers = append(h.numbers, c)
-		h.handle(Opened{Conn: c, Called: true})
+		h.handle(ConnOpened{Conn: c, Inbound: true})
 	case n < 92:
-		h.handle(Expired{Timer: Timer(h.random.IntN(int(timers)))})
+		h.handle(TimerExpired{Timer: Timer(h.random.IntN(int(timers)))})
 	case n < 94 && len(h.numbers) > 0:
 		c := h.numbers[h.random.IntN(len(h.numbers))]
-		h.handle(Broken{Conn: c, Fault: &wire.Fault{Notification: wire.Notification{Code: wire.CodeHeader, Sub: wire.NotSync,
-			Data: []byte{1, 2}}, Text: "no marker"}})
+		h.handle(MessageInvalid{Conn: c, Err: &wire.MessageError{Notification: wire.Notification{Code: wire.CodeHeader, Subcode: wire.SubcodeNotSynchronized,
+			Data: []byte{1, 2}}, Reason: "no marker"}})
 	case n < 96:
 		h.odd()
 	case n < 97:
-		h.handle(Stop{Why: "an operator's word"})
+		h.handle(Stop{Reason: "an operator's word"})
 		h.handle(Start{})
 	default:
 		h.handle(Start{})
@@ -197,37 +197,37 @@
 }
 
 // advance lets the peer take its next step on a connection, which most often is the one that RFC 4271 expects.
-func (h *history) advance(c Conn) {
+func (h *history) advance(c ConnID) {
 	switch h.connections[c] {
 	case dialed:
 		if h.chance(0.3) {
 			delete(h.connections, c)
-			h.handle(Closed{Conn: c})
+			h.handle(ConnClosed{Conn: c})
 			return
 		}
 		h.connections[c] = connected
-		h.handle(Opened{Conn: c})
+		h.handle(ConnOpened{Conn: c})
 	case connected:
 		h.connections[c] = openReceived
 		if h.chance(0.05) {
-			h.handle(Came{Conn: c, Message: h.message()})
+			h.handle(MessageReceived{Conn: c, Message: h.message()})
 			return
 		}
-		h.handle(Came{Conn: c, Message: h.openMessage()})
+		h.handle(MessageReceived{Conn: c, Message: h.openMessage()})
 	default:
 		if h.session.State() == OpenConfirm && h.chance(0.9) {
-			h.handle(Came{Conn: c, Message: &wire.Keepalive{}})
+			h.handle(MessageReceived{Conn: c, Message: &wire.Keepalive{}})
 			return
 		}
-		h.handle(Came{Conn: c, Message: h.message()})
+		h.handle(MessageReceived{Conn: c, Message: h.message()})
 	}
 }
 
 func (h *history) openMessage() *wire.Open {
-	o := &wire.Open{AS: h.peer.PeerAS, Hold: []uint16{0, 3, 30, 180}[h.random.IntN(4)], ID: [4]byte{10, 0, 0, byte(6 + h.random.IntN(9))},
-		Families: []wire.Family{wire.IPv4, wire.IPv6}, FourByte: true, Refresh: h.chance(0.5)}
+	o := &wire.Open{AS: h.peer.PeerAS, HoldTime: []uint16{0, 3, 30, 180}[h.random.IntN(4)], ID: [4]byte{10, 0, 0, byte(6 + h.random.IntN(9))},
+		Families: []wire.Family{wire.IPv4, wire.IPv6}, FourOctetAS: true, Refresh: h.chance(0.5)}
 	if h.chance(0.5) {
-		o.Restart = &wire.Restart{Restarted: h.chance(0.5), Time: 60, Kept: map[wire.Family]bool{wire.IPv4: true}}
+		o.Restart = &wire.GracefulRestart{Restarted: h.chance(0.5), Time: 60, ForwardingPreserved: map[wire.Family]bool{wire.IPv4: true}}
 	}
 	switch h.random.IntN(20) {
 	case 0:
@@ -235,7 +235,7 @@
 	case 1:
 		o.ID = h.peer.ID
 	case 2:
-		o.FourByte = false
+		o.FourOctetAS = false
 	case 3:
 		o.Families = nil
 	case 4:
@@ -249,13 +249,13 @@
 	case 0, 1, 2, 3:
 		return &wire.Keepalive{}
 	case 4, 5:
-		return &wire.Refresh{Family: wire.Family(1 + h.random.IntN(3))}
+		return &wire.RouteRefresh{Family: wire.Family(1 + h.random.IntN(3))}
 	case 6, 7, 8:
 		return &wire.Update{Withdrawn: []netip.Prefix{netip.MustParsePrefix("192.0.2.0/24")}}
 	case 9:
-		return wire.ShutdownWith("maintenance")
+		return wire.NewShutdown("maintenance")
 	case 10:
-		return &wire.Notification{Code: wire.CodeHold}
+		return &wire.Notification{Code: wire.CodeHoldTimerExpired}
 	}
 	return h.openMessage()
 }
@@ -264,12 +264,12 @@
 func (h *history) odd() {
 	switch h.random.IntN(4) {
 	case 0:
-		h.handle(Came{Conn: 77, Message: &wire.Keepalive{}})
+		h.handle(MessageReceived{Conn: 77, Message: &wire.Keepalive{}})
 	case 1:
-		h.handle(Closed{Conn: 78})
+		h.handle(ConnClosed{Conn: 78})
 	case 2:
-		h.handle(Opened{Conn: 79})
+		h.handle(ConnOpened{Conn: 79})
 	case 3:
-		h.handle(Broken{Conn: 80, Fault: &wire.Fault{}})
+		h.handle(MessageInvalid{Conn: 80, Err: &wire.MessageError{}})
 	}
 }
--- a/internal/bgp/session/session.go
+++ b/internal/bgp/session/session.go
@@ -35,28 +35,28 @@
 	idleMost     = 60 * scheduler.Second
 )
 
-// Peer is what is agreed with the peer beforehand.
-type Peer struct {
-	OwnAS    uint32
-	PeerAS   uint32
-	ID       [4]byte
-	Hold     scheduler.Time // 0: no keepalives
-	Families []wire.Family
-	Passive  bool           // the peer calls
-	Restart  scheduler.Time // for how long the peer may keep our routes when we are gone; 0: not asked for
+// PeerConfig is what is agreed with the peer beforehand.
+type PeerConfig struct {
+	OwnAS       uint32
+	PeerAS      uint32
+	ID          [4]byte
+	HoldTime    scheduler.Time // 0: no keepalives
+	Families    []wire.Family
+	Passive     bool           // the peer calls
+	RestartTime scheduler.Time // for how long the peer may keep our routes when we are gone; 0: not asked for
 }
 
-// Conn is a connection, by a number of the host's choice.
-type Conn int
+// ConnID is a connection, by a number of the host's choice.
+type ConnID int
 
 // Timer is one of the session's timers.
 type Timer uint8
 
 const (
-	RetryTimer Timer = iota
+	ConnectRetryTimer Timer = iota
 	HoldTimer
-	KeepTimer
-	IdleTimer
+	KeepaliveTimer
+	IdleHoldTimer
 	timers
 )
 
@@ -66,97 +66,97 @@
 type (
 	Start struct{}
 	// Stop ends the session for good, with a word to the peer.
-	Stop struct{ Why string }
-	// Opened is a connection that stands; Called tells that the peer made it. Closed is its end, or of a try.
-	Opened struct {
-		Conn   Conn
-		Called bool
-	}
-	Closed struct{ Conn Conn }
-	// Came is a message, Broken what is none.
-	Came struct {
-		Conn    Conn
+	Stop struct{ Reason string }
+	// ConnOpened is a connection that stands; Called tells that the peer made it. Closed is its end, or of a try.
+	ConnOpened struct {
+		Conn    ConnID
+		Inbound bool
+	}
+	ConnClosed struct{ Conn ConnID }
+	// MessageReceived is a message, Broken what is none.
+	MessageReceived struct {
+		Conn    ConnID
 		Message wire.Message
 	}
-	Broken struct {
-		Conn  Conn
-		Fault *wire.Fault
+	MessageInvalid struct {
+		Conn ConnID
+		Err  *wire.MessageError
 	}
-	Expired struct{ Timer Timer }
+	TimerExpired struct{ Timer Timer }
 )
 
-func (Start) event()   {}
-func (Stop) event()    {}
-func (Opened) event()  {}
-func (Closed) event()  {}
-func (Came) event()    {}
-func (Broken) event()  {}
-func (Expired) event() {}
+func (Start) event()           {}
+func (Stop) event()            {}
+func (ConnOpened) event()      {}
+func (ConnClosed) event()      {}
+func (MessageReceived) event() {}
+func (MessageInvalid) event()  {}
+func (TimerExpired) event()    {}
 
 // Action is something to be done.
 type Action interface{ action() }
 
 type (
 	// Dial asks for a connection, under that number.
-	Dial struct{ Conn Conn }
-	Send struct {
-		Conn    Conn
+	Dial        struct{ Conn ConnID }
+	SendMessage struct {
+		Conn    ConnID
 		Message wire.Message
 	}
-	Close struct{ Conn Conn }
-	Set   struct {
+	CloseConn struct{ Conn ConnID }
+	SetTimer  struct {
 		Timer Timer
 		After scheduler.Time
 	}
-	Clear struct{ Timer Timer }
-	// Up is an established session: all routes are to be sent, and then, for each family where that was agreed, the
+	ClearTimer struct{ Timer Timer }
+	// SessionUp is an established session: all routes are to be sent, and then, for each family where that was agreed, the
 	// end of them. Down is its end.
-	Up struct {
-		Families []wire.Family
-		EndMark  bool
-		FourByte bool
-	}
-	Down struct{ Why string }
-	// Resend asks for all routes of a family again.
-	Resend struct{ Family wire.Family }
-	// Ignored is an update: what peers announce is never taken (RFC 8212).
-	Ignored struct{ Update *wire.Update }
-	Mode    struct{ Text string }
+	SessionUp struct {
+		Families     []wire.Family
+		SendEndOfRIB bool
+		FourOctetAS  bool
+	}
+	SessionDown struct{ Reason string }
+	// ResendRoutes asks for all routes of a family again.
+	ResendRoutes struct{ Family wire.Family }
+	// UpdateIgnored is an update: what peers announce is never taken (RFC 8212).
+	UpdateIgnored struct{ Update *wire.Update }
+	LogMessage    struct{ Message string }
 )
 
-func (Dial) action()    {}
-func (Send) action()    {}
-func (Close) action()   {}
-func (Set) action()     {}
-func (Clear) action()   {}
-func (Up) action()      {}
-func (Down) action()    {}
-func (Resend) action()  {}
-func (Ignored) action() {}
-func (Mode) action()    {}
+func (Dial) action()          {}
+func (SendMessage) action()   {}
+func (CloseConn) action()     {}
+func (SetTimer) action()      {}
+func (ClearTimer) action()    {}
+func (SessionUp) action()     {}
+func (SessionDown) action()   {}
+func (ResendRoutes) action()  {}
+func (UpdateIgnored) action() {}
+func (LogMessage) action()    {}
 
 // Session is one peer's. It holds two connections at most, while it is open which of them stays.
 type Session struct {
-	peer    Peer
+	peer    PeerConfig
 	out     []Action
 	running bool
 	state   State
-	conns   map[Conn]*conn
-	last    Conn // number of the last one dialled: the host numbers called ones from 1,000,000 on
-	dialing Conn
+	conns   map[ConnID]*conn
+	last    ConnID // number of the last one dialled: the host numbers called ones from 1,000,000 on
+	dialing ConnID
 	hold    scheduler.Time // as agreed
 	pause   scheduler.Time
 	ever    bool // a session has stood in this life
 }
 
 type conn struct {
-	number Conn
+	number ConnID
 	called bool
 	open   *wire.Open // the peer's
 }
 
-func New(p Peer) *Session {
-	return &Session{peer: p, conns: map[Conn]*conn{}, pause: idleFirst}
+func New(p PeerConfig) *Session {
+	return &Session{peer: p, conns: map[ConnID]*conn{}, pause: idleFirst}
 }
 
 // State is where the session stands.
@@ -173,19 +173,19 @@
 		}
 	case Stop:
 		s.running = false
-		s.finish(wire.ShutdownWith(e.Why), "stopped: "+e.Why)
+		s.finish(wire.NewShutdown(e.Reason), "stopped: "+e.Reason)
 		s.state = Idle
-	case Opened:
+	case ConnOpened:
 		s.opened(e)
-	case Closed:
+	case ConnClosed:
 		s.closed(e.Conn)
-	case Came:
+	case MessageReceived:
 		s.came(e.Conn, e.Message)
-	case Broken:
+	case MessageInvalid:
 		if s.conns[e.Conn] != nil {
-			s.drop(e.Conn, &e.Fault.Notification, e.Fault.Text)
+			s.drop(e.Conn, &e.Err.Notification, e.Err.Reason)
 		}
-	case Expired:
+	case TimerExpired:
 		s.expired(e.Timer)
 	}
 	return s.out
@@ -197,8 +197,8 @@
 
 // begin calls the peer, or waits for its call.
 func (s *Session) begin() {
-	s.do(Clear{IdleTimer})
-	s.do(Set{RetryTimer, connectRetry})
+	s.do(ClearTimer{IdleHoldTimer})
+	s.do(SetTimer{ConnectRetryTimer, connectRetry})
 	if s.peer.Passive {
 		s.turn(Active)
 		return
@@ -209,43 +209,43 @@
 	s.do(Dial{s.dialing})
 }
 
-func (s *Session) opened(e Opened) {
-	if !e.Called && e.Conn != s.dialing {
-		s.do(Close{e.Conn}) // a try that was given up
+func (s *Session) opened(e ConnOpened) {
+	if !e.Inbound && e.Conn != s.dialing {
+		s.do(CloseConn{e.Conn}) // a try that was given up
 		return
 	}
-	if !e.Called {
+	if !e.Inbound {
 		s.dialing = 0
 	}
 	// A peer that calls while nothing runs, or where there are two connections already, is turned away.
 	if !s.running || s.state == Idle || s.state == Established || len(s.conns) >= 2 {
-		s.do(Send{e.Conn, &wire.Notification{Code: wire.CodeCease, Sub: wire.Rejected}})
-		s.do(Close{e.Conn})
+		s.do(SendMessage{e.Conn, &wire.Notification{Code: wire.CodeCease, Subcode: wire.SubcodeConnectionRejected}})
+		s.do(CloseConn{e.Conn})
 		return
 	}
-	s.conns[e.Conn] = &conn{number: e.Conn, called: e.Called}
-	s.do(Clear{RetryTimer})
-	s.do(Set{HoldTimer, openWait})
-	s.do(Send{e.Conn, s.hello()})
+	s.conns[e.Conn] = &conn{number: e.Conn, called: e.Inbound}
+	s.do(ClearTimer{ConnectRetryTimer})
+	s.do(SetTimer{HoldTimer, openWait})
+	s.do(SendMessage{e.Conn, s.hello()})
 	if s.state < OpenSent {
 		s.turn(OpenSent)
 	}
 }
 
 func (s *Session) hello() *wire.Open {
-	o := &wire.Open{AS: s.peer.OwnAS, Hold: uint16(s.peer.Hold / scheduler.Second), ID: s.peer.ID, Families: s.peer.Families,
-		FourByte: true, Refresh: true}
-	if s.peer.Restart > 0 {
-		o.Restart = &wire.Restart{Restarted: !s.ever, Time: uint16(min(4095, s.peer.Restart/scheduler.Second)), Kept: map[wire.Family]bool{}}
+	o := &wire.Open{AS: s.peer.OwnAS, HoldTime: uint16(s.peer.HoldTime / scheduler.Second), ID: s.peer.ID, Families: s.peer.Families,
+		FourOctetAS: true, Refresh: true}
+	if s.peer.RestartTime > 0 {
+		o.Restart = &wire.GracefulRestart{Restarted: !s.ever, Time: uint16(min(4095, s.peer.RestartTime/scheduler.Second)), ForwardingPreserved: map[wire.Family]bool{}}
 		for _, f := range s.peer.Families {
-			o.Restart.Kept[f] = true // machines forward on without us
+			o.Restart.ForwardingPreserved[f] = true // machines forward on without us
 		}
 	}
 	return o
 }
 
 // closed is the end of a connection. The session ends with it, unless another one is still being agreed on.
-func (s *Session) closed(n Conn) {
+func (s *Session) closed(n ConnID) {
 	if n == s.dialing {
 		s.dialing = 0
 		if s.state == Connect {
@@ -265,9 +265,9 @@
 }
 
 // drop ends a connection with a notification.
-func (s *Session) drop(n Conn, m *wire.Notification, why string) {
-	s.do(Send{n, m})
-	s.do(Close{n})
+func (s *Session) drop(n ConnID, m *wire.Notification, why string) {
+	s.do(SendMessage{n, m})
+	s.do(CloseConn{n})
 	delete(s.conns, n)
 	if len(s.conns) == 0 {
 		s.ended(why)
@@ -277,12 +277,12 @@
 // finish ends all connections.
 func (s *Session) finish(m *wire.Notification, why string) {
 	for _, c := range s.ordered() {
-		s.do(Send{c.number, m})
-		s.do(Close{c.number})
+		s.do(SendMessage{c.number, m})
+		s.do(CloseConn{c.number})
 		delete(s.conns, c.number)
 	}
 	if s.dialing != 0 {
-		s.do(Close{s.dialing})
+		s.do(CloseConn{s.dialing})
 		s.dialing = 0
 	}
 	s.ended(why)
@@ -302,13 +302,13 @@
 // ended tells of a session's end and rests before the next try.
 func (s *Session) ended(why string) {
 	if s.state == Established {
-		s.do(Down{why})
+		s.do(SessionDown{why})
 	}
-	s.do(Clear{HoldTimer})
-	s.do(Clear{KeepTimer})
-	s.do(Clear{RetryTimer})
+	s.do(ClearTimer{HoldTimer})
+	s.do(ClearTimer{KeepaliveTimer})
+	s.do(ClearTimer{ConnectRetryTimer})
 	if s.state != Idle {
-		s.do(Mode{fmt.Sprintf("%s, was %s", why, s.state)})
+		s.do(LogMessage{fmt.Sprintf("%s, was %s", why, s.state)})
 	}
 	s.turn(Idle)
 	if s.running {
@@ -319,53 +319,53 @@
 // rest waits before the next try, longer after each that came to nothing.
 func (s *Session) rest(string) {
 	s.turn(Idle)
-	s.do(Clear{RetryTimer})
-	s.do(Set{IdleTimer, s.pause})
+	s.do(ClearTimer{ConnectRetryTimer})
+	s.do(SetTimer{IdleHoldTimer, s.pause})
 	s.pause = min(idleMost, 2*s.pause)
 }
 
 func (s *Session) expired(t Timer) {
 	switch t {
-	case IdleTimer:
+	case IdleHoldTimer:
 		if s.running && s.state == Idle {
 			s.begin()
 		}
-	case RetryTimer:
+	case ConnectRetryTimer:
 		if s.state == Connect || s.state == Active {
 			if s.dialing != 0 {
-				s.do(Close{s.dialing})
+				s.do(CloseConn{s.dialing})
 				s.dialing = 0
 			}
 			s.begin()
 		}
 	case HoldTimer:
 		if s.state >= OpenSent {
-			s.finish(&wire.Notification{Code: wire.CodeHold}, "the peer was silent for the hold time")
+			s.finish(&wire.Notification{Code: wire.CodeHoldTimerExpired}, "the peer was silent for the hold time")
 		}
-	case KeepTimer:
+	case KeepaliveTimer:
 		if s.state < OpenConfirm || s.hold == 0 {
 			return
 		}
 		for _, c := range s.ordered() {
 			if c.open != nil {
-				s.do(Send{c.number, &wire.Keepalive{}})
+				s.do(SendMessage{c.number, &wire.Keepalive{}})
 			}
 		}
-		s.do(Set{KeepTimer, s.hold / 3})
+		s.do(SetTimer{KeepaliveTimer, s.hold / 3})
 	}
 }
 
-func (s *Session) came(n Conn, m wire.Message) {
+func (s *Session) came(n ConnID, m wire.Message) {
 	c := s.conns[n]
 	if c == nil {
 		return
 	}
 	if note, ok := m.(*wire.Notification); ok {
-		why := fmt.Sprintf("the peer sent notification %d/%d", note.Code, note.Sub)
-		if said := note.Said(); said != "" {
+		why := fmt.Sprintf("the peer sent notification %d/%d", note.Code, note.Subcode)
+		if said := note.ShutdownText(); said != "" {
 			why += ": " + said
 		}
-		s.do(Close{n})
+		s.do(CloseConn{n})
 		delete(s.conns, n)
 		if len(s.conns) == 0 {
 			s.ended(why)
@@ -376,13 +376,13 @@
 		if o, ok := m.(*wire.Open); ok {
 			s.greeted(c, o)
 		} else {
-			s.drop(n, &wire.Notification{Code: wire.CodeState, Sub: 1}, fmt.Sprintf("%T where an Open was due", m))
+			s.drop(n, &wire.Notification{Code: wire.CodeFSM, Subcode: 1}, fmt.Sprintf("%T where an Open was due", m))
 		}
 		return
 	}
 	if s.state == OpenConfirm {
 		if _, ok := m.(*wire.Keepalive); !ok {
-			s.drop(n, &wire.Notification{Code: wire.CodeState, Sub: 2}, fmt.Sprintf("%T where a Keepalive was due", m))
+			s.drop(n, &wire.Notification{Code: wire.CodeFSM, Subcode: 2}, fmt.Sprintf("%T where a Keepalive was due", m))
 			return
 		}
 		s.establish(c)
@@ -391,15 +391,15 @@
 	switch m := m.(type) {
 	case *wire.Keepalive:
 	case *wire.Update:
-		s.do(Ignored{m})
-	case *wire.Refresh:
+		s.do(UpdateIgnored{m})
+	case *wire.RouteRefresh:
 		for _, f := range s.shared(c.open) {
 			if f == m.Family {
-				s.do(Resend{f})
+				s.do(ResendRoutes{f})
 			}
 		}
 	default:
-		s.drop(n, &wire.Notification{Code: wire.CodeState, Sub: 3}, fmt.Sprintf("%T in an established session", m))
+		s.drop(n, &wire.Notification{Code: wire.CodeFSM, Subcode: 3}, fmt.Sprintf("%T in an established session", m))
 		return
 	}
 	s.alive()
@@ -407,7 +407,7 @@
 
 func (s *Session) alive() {
 	if s.hold > 0 {
-		s.do(Set{HoldTimer, s.hold})
+		s.do(SetTimer{HoldTimer, s.hold})
 	}
 }
 
@@ -433,16 +433,16 @@
 func (s *Session) greeted(c *conn, o *wire.Open) {
 	switch {
 	case o.AS != s.peer.PeerAS:
-		s.drop(c.number, &wire.Notification{Code: wire.CodeOpen, Sub: wire.BadPeerAS}, fmt.Sprintf("the peer is AS %d, not %d", o.AS, s.peer.PeerAS))
+		s.drop(c.number, &wire.Notification{Code: wire.CodeOpen, Subcode: wire.SubcodeBadPeerAS}, fmt.Sprintf("the peer is AS %d, not %d", o.AS, s.peer.PeerAS))
 		return
 	case o.ID == s.peer.ID:
-		s.drop(c.number, &wire.Notification{Code: wire.CodeOpen, Sub: wire.BadID}, "the peer has our identifier")
+		s.drop(c.number, &wire.Notification{Code: wire.CodeOpen, Subcode: wire.SubcodeBadIdentifier}, "the peer has our identifier")
 		return
-	case !o.FourByte && (s.peer.OwnAS > 0xFFFF || s.peer.PeerAS > 0xFFFF):
-		s.drop(c.number, &wire.Notification{Code: wire.CodeOpen, Sub: wire.BadCapability}, "the peer has no four-octet AS numbers")
+	case !o.FourOctetAS && (s.peer.OwnAS > 0xFFFF || s.peer.PeerAS > 0xFFFF):
+		s.drop(c.number, &wire.Notification{Code: wire.CodeOpen, Subcode: wire.SubcodeUnsupportedCapability}, "the peer has no four-octet AS numbers")
 		return
 	case len(s.shared(o)) == 0:
-		s.drop(c.number, &wire.Notification{Code: wire.CodeOpen, Sub: wire.BadCapability}, "no family is shared")
+		s.drop(c.number, &wire.Notification{Code: wire.CodeOpen, Subcode: wire.SubcodeUnsupportedCapability}, "no family is shared")
 		return
 	}
 	for _, other := range s.ordered() {
@@ -453,43 +453,43 @@
 		if keepCalled := string(s.peer.ID[:]) < string(o.ID[:]); keepCalled == c.called {
 			loser = other
 		}
-		s.do(Send{loser.number, &wire.Notification{Code: wire.CodeCease, Sub: wire.Collision}})
-		s.do(Close{loser.number})
+		s.do(SendMessage{loser.number, &wire.Notification{Code: wire.CodeCease, Subcode: wire.SubcodeCollisionResolution}})
+		s.do(CloseConn{loser.number})
 		delete(s.conns, loser.number)
-		s.do(Mode{"two connections met: one was closed"})
+		s.do(LogMessage{"two connections met: one was closed"})
 		if loser == c {
 			return
 		}
 	}
 	c.open = o
-	s.hold = min(s.peer.Hold, scheduler.Time(o.Hold)*scheduler.Second)
+	s.hold = min(s.peer.HoldTime, scheduler.Time(o.HoldTime)*scheduler.Second)
 	s.turn(OpenConfirm)
-	s.do(Send{c.number, &wire.Keepalive{}})
+	s.do(SendMessage{c.number, &wire.Keepalive{}})
 	if s.hold == 0 {
-		s.do(Clear{HoldTimer})
-		s.do(Clear{KeepTimer})
+		s.do(ClearTimer{HoldTimer})
+		s.do(ClearTimer{KeepaliveTimer})
 		return
 	}
-	s.do(Set{HoldTimer, s.hold})
-	s.do(Set{KeepTimer, s.hold / 3})
+	s.do(SetTimer{HoldTimer, s.hold})
+	s.do(SetTimer{KeepaliveTimer, s.hold / 3})
 }
 
 // establish is the session's begin. A connection that had not got so far is closed.
 func (s *Session) establish(c *conn) {
 	for _, other := range s.ordered() {
 		if other != c {
-			s.do(Send{other.number, &wire.Notification{Code: wire.CodeCease, Sub: wire.Collision}})
-			s.do(Close{other.number})
+			s.do(SendMessage{other.number, &wire.Notification{Code: wire.CodeCease, Subcode: wire.SubcodeCollisionResolution}})
+			s.do(CloseConn{other.number})
 			delete(s.conns, other.number)
 		}
 	}
 	if s.dialing != 0 {
-		s.do(Close{s.dialing})
+		s.do(CloseConn{s.dialing})
 		s.dialing = 0
 	}
 	s.turn(Established)
 	s.alive()
 	s.pause, s.ever = idleFirst, true
-	s.do(Up{s.shared(c.open), c.open.Restart != nil && s.peer.Restart > 0, c.open.FourByte})
-	s.do(Mode{"established"})
+	s.do(SessionUp{s.shared(c.open), c.open.Restart != nil && s.peer.RestartTime > 0, c.open.FourOctetAS})
+	s.do(LogMessage{"established"})
 }
--- a/internal/bgp/session/session_test.go
+++ b/internal/bgp/session/session_test.go
@@ -13,12 +13,12 @@
 
 var both = []wire.Family{wire.IPv4, wire.IPv6}
 
-func peer() Peer {
-	return Peer{OwnAS: 65001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Hold: 90 * scheduler.Second, Families: both, Restart: 120 * scheduler.Second}
+func peer() PeerConfig {
+	return PeerConfig{OwnAS: 65001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, HoldTime: 90 * scheduler.Second, Families: both, RestartTime: 120 * scheduler.Second}
 }
 
 func open(change func(o *wire.Open)) *wire.Open {
-	o := &wire.Open{AS: 65002, Hold: 30, ID: [4]byte{10, 0, 0, 9}, Families: both, FourByte: true}
+	o := &wire.Open{AS: 65002, HoldTime: 30, ID: [4]byte{10, 0, 0, 9}, Families: both, FourOctetAS: true}
 	if change != nil {
 		change(o)
 	}
@@ -31,21 +31,21 @@
 		switch a := a.(type) {
 		case Dial:
 			all = append(all, fmt.Sprint("dial ", a.Conn))
-		case Send:
+		case SendMessage:
 			s := strings.ToLower(strings.TrimPrefix(fmt.Sprintf("%T", a.Message), "*wire."))
 			if n, ok := a.Message.(*wire.Notification); ok {
-				s = fmt.Sprintf("%d/%d", n.Code, n.Sub)
+				s = fmt.Sprintf("%d/%d", n.Code, n.Subcode)
 			}
 			all = append(all, fmt.Sprintf("%s on %d", s, a.Conn))
-		case Close:
+		case CloseConn:
 			all = append(all, fmt.Sprint("close ", a.Conn))
-		case Up:
+		case SessionUp:
 			all = append(all, fmt.Sprint("up ", len(a.Families)))
-		case Down:
+		case SessionDown:
 			all = append(all, "down")
-		case Resend:
+		case ResendRoutes:
 			all = append(all, fmt.Sprint("resend ", a.Family))
-		case Ignored:
+		case UpdateIgnored:
 			all = append(all, "ignored")
 		}
 	}
@@ -54,55 +54,55 @@
 
 // Each history starts a session and plays events; the actions of the last and the state after it are compared.
 func TestHistories(t *testing.T) {
-	called := Conn(1_000_000)
-	up := []Event{Opened{1, false}, Came{1, open(nil)}, Came{1, &wire.Keepalive{}}}
+	called := ConnID(1_000_000)
+	up := []Event{ConnOpened{1, false}, MessageReceived{1, open(nil)}, MessageReceived{1, &wire.Keepalive{}}}
 	after := func(e ...Event) []Event { return append(append([]Event(nil), up...), e...) }
 	for _, tc := range []struct {
 		name   string
-		peer   func(p *Peer)
+		peer   func(p *PeerConfig)
 		events []Event
 		want   string
 	}{
 		{"calls", nil, nil, "dial 1; Connect"},
-		{"passive waits", func(p *Peer) { p.Passive = true }, nil, "; Active"},
-		{"greets", nil, []Event{Opened{1, false}}, "open on 1; OpenSent"},
+		{"passive waits", func(p *PeerConfig) { p.Passive = true }, nil, "; Active"},
+		{"greets", nil, []Event{ConnOpened{1, false}}, "open on 1; OpenSent"},
 		{"confirms", nil, up[:2], "keepalive on 1; OpenConfirm"},
 		{"stands", nil, up, "up 2; Established"},
-		{"the peer calls", func(p *Peer) { p.Passive = true }, []Event{Opened{called, true}}, "open on 1000000; OpenSent"},
-		{"no connection", nil, []Event{Closed{1}}, "; Idle"},
-		{"tries again after a rest", nil, []Event{Closed{1}, Expired{IdleTimer}}, "dial 2; Connect"},
-		{"a try that takes too long", nil, []Event{Expired{RetryTimer}}, "close 1, dial 2; Connect"},
-		{"and opens all the same", nil, []Event{Expired{RetryTimer}, Opened{1, false}}, "close 1; Connect"},
-		{"the wrong AS", nil, []Event{Opened{1, false}, Came{1, open(func(o *wire.Open) { o.AS = 65003 })}}, "2/2 on 1, close 1; Idle"},
-		{"our identifier", nil, []Event{Opened{1, false}, Came{1, open(func(o *wire.Open) { o.ID = peer().ID })}}, "2/3 on 1, close 1; Idle"},
-		{"no family shared", func(p *Peer) { p.Families = both[1:] },
-			[]Event{Opened{1, false}, Came{1, open(func(o *wire.Open) { o.Families = nil })}}, "2/7 on 1, close 1; Idle"},
-		{"a peer without capabilities", nil, append(append([]Event{}, Opened{1, false}, Came{1, open(func(o *wire.Open) {
-			o.Families, o.FourByte = nil, false
+		{"the peer calls", func(p *PeerConfig) { p.Passive = true }, []Event{ConnOpened{called, true}}, "open on 1000000; OpenSent"},
+		{"no connection", nil, []Event{ConnClosed{1}}, "; Idle"},
+		{"tries again after a rest", nil, []Event{ConnClosed{1}, TimerExpired{IdleHoldTimer}}, "dial 2; Connect"},
+		{"a try that takes too long", nil, []Event{TimerExpired{ConnectRetryTimer}}, "close 1, dial 2; Connect"},
+		{"and opens all the same", nil, []Event{TimerExpired{ConnectRetryTimer}, ConnOpened{1, false}}, "close 1; Connect"},
+		{"the wrong AS", nil, []Event{ConnOpened{1, false}, MessageReceived{1, open(func(o *wire.Open) { o.AS = 65003 })}}, "2/2 on 1, close 1; Idle"},
+		{"our identifier", nil, []Event{ConnOpened{1, false}, MessageReceived{1, open(func(o *wire.Open) { o.ID = peer().ID })}}, "2/3 on 1, close 1; Idle"},
+		{"no family shared", func(p *PeerConfig) { p.Families = both[1:] },
+			[]Event{ConnOpened{1, false}, MessageReceived{1, open(func(o *wire.Open) { o.Families = nil })}}, "2/7 on 1, close 1; Idle"},
+		{"a peer without capabilities", nil, append(append([]Event{}, ConnOpened{1, false}, MessageReceived{1, open(func(o *wire.Open) {
+			o.Families, o.FourOctetAS = nil, false
 		})}), up[2]), "up 1; Established"},
-		{"four octets needed", func(p *Peer) { p.OwnAS = 4200000001 },
-			[]Event{Opened{1, false}, Came{1, open(func(o *wire.Open) { o.FourByte = false })}}, "2/7 on 1, close 1; Idle"},
-		{"keepalive before open", nil, []Event{Opened{1, false}, Came{1, &wire.Keepalive{}}}, "5/1 on 1, close 1; Idle"},
-		{"update before keepalive", nil, []Event{Opened{1, false}, Came{1, open(nil)}, Came{1, &wire.Update{}}}, "5/2 on 1, close 1; Idle"},
-		{"open in an established session", nil, after(Came{1, open(nil)}), "5/3 on 1, close 1, down; Idle"},
-		{"what the peer announces is not taken", nil, after(Came{1, &wire.Update{}}), "ignored; Established"},
-		{"a refresh", nil, after(Came{1, &wire.Refresh{Family: wire.IPv6}}), "resend 2; Established"},
-		{"garbage", nil, after(Broken{1, &wire.Fault{Notification: wire.Notification{Code: 1, Sub: 1}}}), "1/1 on 1, close 1, down; Idle"},
-		{"silent", nil, after(Expired{HoldTimer}), "4/0 on 1, close 1, down; Idle"},
-		{"no open in time", nil, []Event{Opened{1, false}, Expired{HoldTimer}}, "4/0 on 1, close 1; Idle"},
-		{"keeps alive", nil, after(Expired{KeepTimer}), "keepalive on 1; Established"},
-		{"the connection ends", nil, after(Closed{1}), "down; Idle"},
-		{"the peer ends it", nil, after(Came{1, wire.ShutdownWith("maintenance")}), "close 1, down; Idle"},
+		{"four octets needed", func(p *PeerConfig) { p.OwnAS = 4200000001 },
+			[]Event{ConnOpened{1, false}, MessageReceived{1, open(func(o *wire.Open) { o.FourOctetAS = false })}}, "2/7 on 1, close 1; Idle"},
+		{"keepalive before open", nil, []Event{ConnOpened{1, false}, MessageReceived{1, &wire.Keepalive{}}}, "5/1 on 1, close 1; Idle"},
+		{"update before keepalive", nil, []Event{ConnOpened{1, false}, MessageReceived{1, open(nil)}, MessageReceived{1, &wire.Update{}}}, "5/2 on 1, close 1; Idle"},
+		{"open in an established session", nil, after(MessageReceived{1, open(nil)}), "5/3 on 1, close 1, down; Idle"},
+		{"what the peer announces is not taken", nil, after(MessageReceived{1, &wire.Update{}}), "ignored; Established"},
+		{"a refresh", nil, after(MessageReceived{1, &wire.RouteRefresh{Family: wire.IPv6}}), "resend 2; Established"},
+		{"garbage", nil, after(MessageInvalid{1, &wire.MessageError{Notification: wire.Notification{Code: 1, Subcode: 1}}}), "1/1 on 1, close 1, down; Idle"},
+		{"silent", nil, after(TimerExpired{HoldTimer}), "4/0 on 1, close 1, down; Idle"},
+		{"no open in time", nil, []Event{ConnOpened{1, false}, TimerExpired{HoldTimer}}, "4/0 on 1, close 1; Idle"},
+		{"keeps alive", nil, after(TimerExpired{KeepaliveTimer}), "keepalive on 1; Established"},
+		{"the connection ends", nil, after(ConnClosed{1}), "down; Idle"},
+		{"the peer ends it", nil, after(MessageReceived{1, wire.NewShutdown("maintenance")}), "close 1, down; Idle"},
 		{"stopped", nil, after(Stop{"maintenance"}), "6/2 on 1, close 1, down; Idle"},
-		{"stopped, and stays so", nil, after(Stop{"maintenance"}, Expired{IdleTimer}), "; Idle"},
-		{"called while it stands", nil, after(Opened{called, true}), "6/5 on 1000000, close 1000000; Established"},
-		{"called while stopped", nil, after(Stop{""}, Opened{called, true}), "6/5 on 1000000, close 1000000; Idle"},
-		{"collision: the peer's identifier is higher, its call stays", nil, []Event{Opened{1, false}, Opened{called, true}, Came{1, open(nil)},
-			Came{called, open(nil)}}, "6/7 on 1, close 1, keepalive on 1000000; OpenConfirm"},
-		{"collision: ours is higher, our call stays", func(p *Peer) { p.ID = [4]byte{10, 0, 0, 99} }, []Event{Opened{1, false},
-			Opened{called, true}, Came{1, open(nil)}, Came{called, open(nil)}}, "6/7 on 1000000, close 1000000; OpenConfirm"},
-		{"collision: the other had not greeted", nil, []Event{Opened{1, false}, Opened{called, true}, Came{1, open(nil)},
-			Came{1, &wire.Keepalive{}}}, "6/7 on 1000000, close 1000000, up 2; Established"},
+		{"stopped, and stays so", nil, after(Stop{"maintenance"}, TimerExpired{IdleHoldTimer}), "; Idle"},
+		{"called while it stands", nil, after(ConnOpened{called, true}), "6/5 on 1000000, close 1000000; Established"},
+		{"called while stopped", nil, after(Stop{""}, ConnOpened{called, true}), "6/5 on 1000000, close 1000000; Idle"},
+		{"collision: the peer's identifier is higher, its call stays", nil, []Event{ConnOpened{1, false}, ConnOpened{called, true}, MessageReceived{1, open(nil)},
+			MessageReceived{called, open(nil)}}, "6/7 on 1, close 1, keepalive on 1000000; OpenConfirm"},
+		{"collision: ours is higher, our call stays", func(p *PeerConfig) { p.ID = [4]byte{10, 0, 0, 99} }, []Event{ConnOpened{1, false},
+			ConnOpened{called, true}, MessageReceived{1, open(nil)}, MessageReceived{called, open(nil)}}, "6/7 on 1000000, close 1000000; OpenConfirm"},
+		{"collision: the other had not greeted", nil, []Event{ConnOpened{1, false}, ConnOpened{called, true}, MessageReceived{1, open(nil)},
+			MessageReceived{1, &wire.Keepalive{}}}, "6/7 on 1000000, close 1000000, up 2; Established"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := peer()
@@ -127,25 +127,25 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := peer()
 		p.Passive = rapid.Bool().Draw(t, "passive")
-		s, set, called, ups := New(p), map[Timer]bool{}, Conn(1_000_000), 0
-		live, dialled := map[Conn]bool{}, map[Conn]bool{}
+		s, set, called, ups := New(p), map[Timer]bool{}, ConnID(1_000_000), 0
+		live, dialled := map[ConnID]bool{}, map[ConnID]bool{}
 		do := func(e Event) {
 			for _, a := range s.Handle(e) {
 				switch a := a.(type) {
 				case Dial:
 					dialled[a.Conn] = true
-				case Close:
+				case CloseConn:
 					delete(live, a.Conn)
 					delete(dialled, a.Conn)
-				case Set:
+				case SetTimer:
 					set[a.Timer] = true
-				case Clear:
+				case ClearTimer:
 					delete(set, a.Timer)
-				case Up:
+				case SessionUp:
 					ups++
-				case Down:
+				case SessionDown:
 					ups--
-				case Send:
+				case SendMessage:
 					if !live[a.Conn] {
 						t.Fatalf("sends on %d, which is not open", a.Conn)
 					}
@@ -154,7 +154,7 @@
 		}
 		do(Start{})
 		for range 50 {
-			var any Conn
+			var any ConnID
 			for c := range live {
 				any = max(any, c)
 			}
@@ -163,38 +163,38 @@
 				for c := range dialled {
 					live[c] = true
 					delete(dialled, c)
-					do(Opened{c, false})
+					do(ConnOpened{c, false})
 					break
 				}
 			case 1:
 				for c := range dialled {
 					delete(dialled, c)
-					do(Closed{c})
+					do(ConnClosed{c})
 					break
 				}
 			case 2:
 				called++
 				live[called] = true
-				do(Opened{called, true})
+				do(ConnOpened{called, true})
 			case 3:
 				if any > 0 {
 					delete(live, any)
-					do(Closed{any})
+					do(ConnClosed{any})
 				}
 			case 4, 5:
 				if any > 0 {
-					do(Came{any, []wire.Message{open(nil), &wire.Keepalive{}, &wire.Update{}, &wire.Notification{Code: 6},
-						&wire.Refresh{Family: wire.IPv4}}[rapid.IntRange(0, 4).Draw(t, "message")]})
+					do(MessageReceived{any, []wire.Message{open(nil), &wire.Keepalive{}, &wire.Update{}, &wire.Notification{Code: 6},
+						&wire.RouteRefresh{Family: wire.IPv4}}[rapid.IntRange(0, 4).Draw(t, "message")]})
 				}
 			case 6:
 				if any > 0 {
-					do(Broken{any, &wire.Fault{Notification: wire.Notification{Code: 1}}})
+					do(MessageInvalid{any, &wire.MessageError{Notification: wire.Notification{Code: 1}}})
 				}
 			case 7:
 				timer := Timer(rapid.IntRange(0, int(timers)-1).Draw(t, "timer"))
 				if set[timer] {
 					delete(set, timer)
-					do(Expired{timer})
+					do(TimerExpired{timer})
 				}
 			case 8:
 				if rapid.IntRange(0, 9).Draw(t, "stop") == 0 {
--- a/internal/bgp/speaker/speaker.go
+++ b/internal/bgp/speaker/speaker.go
@@ -27,40 +27,40 @@
 	atOnce     = 4000 // changes told to one peer in a turn: the loop has other work
 )
 
-// Decider is announce.Announcer, or what the laboratory puts around it.
-type Decider interface {
+// RouteDecider is announce.Announcer, or what the laboratory puts around it.
+type RouteDecider interface {
 	Handle(now scheduler.Time, events []announce.Event) []announce.Action
-	Standing() []announce.Announce
-	Why(service string) (announce.Why, bool)
+	Announced() []announce.Announce
+	Status(service string) (announce.Status, bool)
 }
 
-// Place and Peer are what the placer's file says of announcing.
+// Config and Peer are what the placer's file says of announcing.
 type (
-	Place = config.Announcing
-	Peer  = config.Neighbour
+	Config     = config.Announcing
+	PeerConfig = config.Neighbour
 )
 
 // Speaker is a running one.
 type Speaker struct {
-	place    Place
+	place    Config
 	log      *slog.Logger
 	loop     *eventloop.Loop
 	listener *eventloop.Listener
-	announce Decider
+	announce RouteDecider
 	peers    []*peer
-	lastCall session.Conn
+	lastCall session.ConnID
 	whole    bool // all that runs is known: ends of routes may be marked
 }
 
 // peer is the host's side of one session.
 type peer struct {
 	s       *Speaker
-	terms   Peer
+	terms   PeerConfig
 	session *session.Session
 	allow   bart.Lite
-	conns   map[session.Conn]*peerConn
+	conns   map[session.ConnID]*peerConn
 	timers  map[session.Timer]*eventloop.Timer
-	up      *session.Up
+	up      *session.SessionUp
 	conn    *peerConn
 	due     map[netip.Prefix]*announce.Path // changes to be told; nil: a withdrawal. Emptied as they are written
 	sent    map[netip.Prefix]bool           // what the peer was told
@@ -74,7 +74,7 @@
 // peerConn is one connection of a peer.
 type peerConn struct {
 	p      *peer
-	number session.Conn
+	number session.ConnID
 	called bool
 	conn   *eventloop.Conn
 	part   []byte
@@ -82,23 +82,23 @@
 }
 
 // New makes a speaker on a loop; Start begins its sessions.
-func New(l *eventloop.Loop, place Place, log *slog.Logger) *Speaker {
+func New(l *eventloop.Loop, place Config, log *slog.Logger) *Speaker {
 	s := &Speaker{place: place, log: log, loop: l, announce: announce.New(), lastCall: calledFrom}
 	for _, t := range place.Peers {
-		p := &peer{s: s, terms: t, conns: map[session.Conn]*peerConn{}, timers: map[session.Timer]*eventloop.Timer{},
+		p := &peer{s: s, terms: t, conns: map[session.ConnID]*peerConn{}, timers: map[session.Timer]*eventloop.Timer{},
 			due: map[netip.Prefix]*announce.Path{}, sent: map[netip.Prefix]bool{}}
 		for _, a := range t.Allow {
 			p.allow.Insert(a)
 		}
-		p.session = session.New(session.Peer{OwnAS: place.AS, PeerAS: t.AS, ID: place.ID, Hold: t.Hold, Families: t.Families,
-			Passive: t.Passive, Restart: t.Restart})
+		p.session = session.New(session.PeerConfig{OwnAS: place.AS, PeerAS: t.AS, ID: place.ID, HoldTime: t.Hold, Families: t.Families,
+			Passive: t.Passive, RestartTime: t.Restart})
 		s.peers = append(s.peers, p)
 	}
 	return s
 }
 
-// Around puts something around the decisions, before Start.
-func (s *Speaker) Around(f func(Decider) Decider) { s.announce = f(s.announce) }
+// WrapDecider puts something around the decisions, before Start.
+func (s *Speaker) WrapDecider(f func(RouteDecider) RouteDecider) { s.announce = f(s.announce) }
 
 // Start opens the listener and all sessions.
 func (s *Speaker) Start() error {
@@ -116,7 +116,7 @@
 	}
 	var events []announce.Event
 	for _, name := range s.Services() {
-		events = append(events, announce.Offered{Name: name, Service: s.place.Services[name]})
+		events = append(events, announce.ServiceSet{Name: name, Service: s.place.Services[name]})
 	}
 	s.Handle(events...)
 	for _, p := range s.peers {
@@ -131,7 +131,7 @@
 // Stop ends all sessions with a word.
 func (s *Speaker) Stop(why string) {
 	for _, p := range s.peers {
-		p.handle(session.Stop{Why: why})
+		p.handle(session.Stop{Reason: why})
 	}
 }
 
@@ -145,8 +145,8 @@
 	return names
 }
 
-// Offers tells whether a service has an address.
-func (s *Speaker) Offers(service string) bool {
+// HasService tells whether a service has an address.
+func (s *Speaker) HasService(service string) bool {
 	_, ok := s.place.Services[service]
 	return ok
 }
@@ -162,10 +162,10 @@
 		case announce.Withdraw:
 			s.change(a.Prefix, nil)
 			changed = true
-		case announce.Wake:
-			s.loop.After(eventloop.Tick(a.After), func() { s.Handle(announce.Woke{}) })
-		case announce.Mode:
-			s.log.Info("route", "prefix", a.Prefix, "text", a.Text, "penalty", int(a.Penalty))
+		case announce.SetTimer:
+			s.loop.After(eventloop.Tick(a.After), func() { s.Handle(announce.TimerFired{}) })
+		case announce.LogMessage:
+			s.log.Info("route", "prefix", a.Prefix, "text", a.Message, "penalty", int(a.Penalty))
 		}
 	}
 	if changed {
@@ -175,8 +175,8 @@
 	}
 }
 
-// Whole says that all that runs is known: peers that kept routes over a restart may now drop the rest.
-func (s *Speaker) Whole() {
+// MarkRoutesComplete says that all that runs is known: peers that kept routes over a restart may now drop the rest.
+func (s *Speaker) MarkRoutesComplete() {
 	if s.whole {
 		return
 	}
@@ -273,7 +273,7 @@
 	if p.ending && p.s.whole {
 		p.ending = false
 		for _, f := range p.up.Families {
-			p.write(wire.EndOfRoutes(f))
+			p.write(wire.EndOfRIB(f))
 		}
 	}
 }
@@ -334,34 +334,34 @@
 			w := &peerConn{p: p, number: a.Conn}
 			p.conns[a.Conn] = w
 			w.conn = p.s.loop.DialWithControl(p.terms.Addr, w, output, dialWithin, p.sign)
-		case session.Send:
+		case session.SendMessage:
 			if w := p.conns[a.Conn]; w != nil {
 				w.write(a.Message)
 			}
-		case session.Close:
+		case session.CloseConn:
 			if w := p.conns[a.Conn]; w != nil {
 				w.gone = true
 				delete(p.conns, a.Conn)
 				w.conn.Close()
 			}
-		case session.Set:
+		case session.SetTimer:
 			p.s.loop.Cancel(p.timers[a.Timer])
-			p.timers[a.Timer] = p.s.loop.After(eventloop.Tick(a.After), func() { p.handle(session.Expired{Timer: a.Timer}) })
-		case session.Clear:
+			p.timers[a.Timer] = p.s.loop.After(eventloop.Tick(a.After), func() { p.handle(session.TimerExpired{Timer: a.Timer}) })
+		case session.ClearTimer:
 			p.s.loop.Cancel(p.timers[a.Timer])
-		case session.Up:
+		case session.SessionUp:
 			p.begin(a)
-		case session.Down:
-			p.up, p.conn, p.Why = nil, nil, a.Why
+		case session.SessionDown:
+			p.up, p.conn, p.Why = nil, nil, a.Reason
 			p.Flaps++
 			clear(p.due)
 			clear(p.sent)
 			p.s.loop.Cancel(p.filling)
 			p.filling = nil
-		case session.Resend:
+		case session.ResendRoutes:
 			p.resend(a.Family)
-		case session.Mode:
-			p.s.log.Info("session", "peer", p.terms.Addr, "as", p.terms.AS, "text", a.Text)
+		case session.LogMessage:
+			p.s.log.Info("session", "peer", p.terms.Addr, "as", p.terms.AS, "text", a.Message)
 		}
 	}
 }
@@ -383,21 +383,21 @@
 }
 
 // begin tells a peer all that stands.
-func (p *peer) begin(u session.Up) {
-	p.up, p.ending = &u, u.EndMark
+func (p *peer) begin(u session.SessionUp) {
+	p.up, p.ending = &u, u.SendEndOfRIB
 	for _, w := range p.conns {
 		if !w.gone {
 			p.conn = w
 		}
 	}
-	for _, a := range p.s.announce.Standing() {
+	for _, a := range p.s.announce.Announced() {
 		p.change(a.Prefix, &a.Path)
 	}
 	p.drain()
 }
 
 func (p *peer) resend(f wire.Family) {
-	for _, a := range p.s.announce.Standing() {
+	for _, a := range p.s.announce.Announced() {
 		if (f == wire.IPv4) == a.Prefix.Addr().Is4() {
 			p.change(a.Prefix, &a.Path)
 		}
@@ -410,7 +410,7 @@
 func (w *peerConn) Opened(c *eventloop.Conn) {
 	w.conn = c
 	if !w.called {
-		w.p.handle(session.Opened{Conn: w.number})
+		w.p.handle(session.ConnOpened{Conn: w.number})
 		return
 	}
 	s := w.p.s
@@ -423,7 +423,7 @@
 		s.lastCall++
 		w.p, w.number = p, s.lastCall
 		p.conns[w.number] = w
-		p.handle(session.Opened{Conn: w.number, Called: true})
+		p.handle(session.ConnOpened{Conn: w.number, Inbound: true})
 		return
 	}
 	s.log.Warn("unknown peer turned away", "from", from)
@@ -436,7 +436,7 @@
 	}
 	w.part = append(w.part, b...)
 	for !w.gone {
-		n, err := wire.Size(w.part)
+		n, err := wire.MessageLength(w.part)
 		if err == nil && (n == 0 || len(w.part) < n) {
 			return
 		}
@@ -444,13 +444,13 @@
 		if err == nil {
 			m, err = wire.Decode(w.part[:n])
 		}
-		var f *wire.Fault
+		var f *wire.MessageError
 		if errors.As(err, &f) {
-			w.p.handle(session.Broken{Conn: w.number, Fault: f})
+			w.p.handle(session.MessageInvalid{Conn: w.number, Err: f})
 			return
 		}
 		w.part = append(w.part[:0], w.part[n:]...)
-		w.p.handle(session.Came{Conn: w.number, Message: m})
+		w.p.handle(session.MessageReceived{Conn: w.number, Message: m})
 	}
 }
 
@@ -460,27 +460,27 @@
 	}
 	w.gone = true
 	delete(w.p.conns, w.number)
-	w.p.handle(session.Closed{Conn: w.number})
+	w.p.handle(session.ConnClosed{Conn: w.number})
 }
 
-// Standing of one peer, for an operator.
-type Standing struct {
+// PeerStatus of one peer, for an operator.
+type PeerStatus struct {
 	Addr                  string
 	AS                    uint32
 	State                 string
-	Routes, Due           int
+	Routes, PendingRoutes int
 	Updates, Bytes, Flaps int
-	Why                   string
+	LastError             string
 }
 
 // Peers tells how the sessions stand.
-func (s *Speaker) Peers() (all []Standing) {
+func (s *Speaker) Peers() (all []PeerStatus) {
 	for _, p := range s.peers {
-		all = append(all, Standing{p.terms.Addr, p.terms.AS, p.session.State().String(), len(p.sent), len(p.due), p.Updates, p.Bytes,
+		all = append(all, PeerStatus{p.terms.Addr, p.terms.AS, p.session.State().String(), len(p.sent), len(p.due), p.Updates, p.Bytes,
 			p.Flaps, p.Why})
 	}
 	return all
 }
 
-// Why tells how a service's address stands.
-func (s *Speaker) Why(service string) (announce.Why, bool) { return s.announce.Why(service) }
+// Status tells how a service's address stands.
+func (s *Speaker) Status(service string) (announce.Status, bool) { return s.announce.Status(service) }
--- a/internal/bgp/speaker/speaker_test.go
+++ b/internal/bgp/speaker/speaker_test.go
@@ -55,9 +55,9 @@
 	return ok
 }
 
-func start(t *testing.T, change func(*Place)) *rig {
+func start(t *testing.T, change func(*Config)) *rig {
 	r := &rig{T: t}
-	place := Place{AS: 65001, ID: [4]byte{192, 0, 2, 5}, Listen: "127.0.0.1:0", Services: map[string]announce.Service{
+	place := Config{AS: 65001, ID: [4]byte{192, 0, 2, 5}, Listen: "127.0.0.1:0", Services: map[string]announce.Service{
 		"web": {Prefix: web, NextHop: hop}, "web6": {Prefix: web6, NextHop: hop6}, "mail": {Prefix: mail, NextHop: hop}}}
 	both := []wire.Family{wire.IPv4, wire.IPv6}
 	for _, p := range []struct {
@@ -72,7 +72,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup((*p.to).Close)
-		place.Peers = append(place.Peers, Peer{Addr: addr, AS: p.as, Hold: 3 * scheduler.Second, Families: both, Restart: 5 * scheduler.Second, Allow: p.allow})
+		place.Peers = append(place.Peers, PeerConfig{Addr: addr, AS: p.as, Hold: 3 * scheduler.Second, Families: both, Restart: 5 * scheduler.Second, Allow: p.allow})
 	}
 	if change != nil {
 		change(&place)
@@ -97,7 +97,7 @@
 func (r *rig) run(services ...string) {
 	r.on(func() {
 		for _, s := range services {
-			r.s.Handle(announce.Runs{Service: s, Container: "c"})
+			r.s.Handle(announce.ContainerRunning{Service: s, Container: "c"})
 		}
 	})
 }
@@ -131,7 +131,7 @@
 	if _, _, ends, _, _ := r.outer.Figures(); ends != 0 {
 		t.Error("the end was marked before all was known")
 	}
-	r.on(r.s.Whole)
+	r.on(r.s.MarkRoutesComplete)
 	r.until("both families are marked", func() bool { _, _, ends, _, _ := r.outer.Figures(); return ends == 2 })
 }
 
@@ -148,11 +148,11 @@
 func TestTwoSpeakers(t *testing.T) {
 	a := start(t, nil)
 	var b *rig
-	b = start(t, func(p *Place) { p.ID = [4]byte{192, 0, 2, 6} })
+	b = start(t, func(p *Config) { p.ID = [4]byte{192, 0, 2, 6} })
 	a.run("web")
 	b.run("web")
 	a.until("both announced", func() bool { return has(a.outer, web) && has(b.outer, web) })
-	a.on(func() { a.s.Handle(announce.Ends{Service: "web", Container: "c"}) })
+	a.on(func() { a.s.Handle(announce.ContainerEnded{Service: "web", Container: "c"}) })
 	a.until("the first has withdrawn", func() bool { return !has(a.outer, web) })
 	if !has(b.outer, web) {
 		t.Error("the second's route went with the first's")
--- a/internal/bgp/wire/golden_test.go
+++ b/internal/bgp/wire/golden_test.go
@@ -35,11 +35,11 @@
 	return []goldenMessage{
 		{"open",
 			"Open of AS 4200000001, hold time 90 s, identifier 10.0.0.1; capabilities: IPv4, IPv6, route refresh, graceful restart (restarted, 120 s, IPv4 kept, IPv6 not), four-octet AS",
-			&Open{AS: 4200000001, Hold: 90, ID: [4]byte{10, 0, 0, 1}, Families: []Family{IPv4, IPv6}, FourByte: true, Refresh: true,
-				Restart: &Restart{Restarted: true, Time: 120, Kept: map[Family]bool{IPv4: true, IPv6: false}}}},
+			&Open{AS: 4200000001, HoldTime: 90, ID: [4]byte{10, 0, 0, 1}, Families: []Family{IPv4, IPv6}, FourOctetAS: true, Refresh: true,
+				Restart: &GracefulRestart{Restarted: true, Time: 120, ForwardingPreserved: map[Family]bool{IPv4: true, IPv6: false}}}},
 		{"open-plain",
 			"Open of AS 65001, hold time 3 s, identifier 1.2.3.4, without any capability",
-			&Open{AS: 65001, Hold: 3, ID: [4]byte{1, 2, 3, 4}}},
+			&Open{AS: 65001, HoldTime: 3, ID: [4]byte{1, 2, 3, 4}}},
 		{"update-ipv4",
 			"Update: withdraws 198.51.100.128/25, announces 192.0.2.1/32 with origin EGP, AS path 65001 4200000001, next hop 192.0.2.254, MED 70, local preference 100, communities 65535:0 and 65000:1",
 			&Update{Withdrawn: one("198.51.100.128/25"), Announced: one("192.0.2.1/32"), Path: every}},
@@ -48,25 +48,25 @@
 			&Update{Withdrawn: one("2001:db8:1::/48"), Announced: one("2001:db8:2::7/128"), Path: six}},
 		{"end-of-routes-ipv4",
 			"Update without anything: the end of IPv4 routes",
-			EndOfRoutes(IPv4)},
+			EndOfRIB(IPv4)},
 		{"end-of-routes-ipv6",
 			"Update with an empty MP_UNREACH: the end of IPv6 routes",
-			EndOfRoutes(IPv6)},
+			EndOfRIB(IPv6)},
 		{"notification",
 			"Notification 2/2, bad peer AS, with the data 1 2 3",
-			&Notification{Code: CodeOpen, Sub: BadPeerAS, Data: []byte{1, 2, 3}}},
+			&Notification{Code: CodeOpen, Subcode: SubcodeBadPeerAS, Data: []byte{1, 2, 3}}},
 		{"notification-shutdown",
 			"Notification 6/2, administrative shutdown, with the text maintenance",
-			ShutdownWith("maintenance")},
+			NewShutdown("maintenance")},
 		{"notification-long",
 			"Notification 6/2 with a text of 128 bytes, cut from 130",
-			ShutdownWith(strings.Repeat("x", 130))},
+			NewShutdown(strings.Repeat("x", 130))},
 		{"keepalive",
 			"Keepalive",
 			&Keepalive{}},
 		{"refresh",
 			"Route refresh of IPv6 unicast",
-			&Refresh{Family: IPv6}},
+			&RouteRefresh{Family: IPv6}},
 	}
 }
 
@@ -145,12 +145,12 @@
 				foldMessage(t, sum, m)
 				continue
 			}
-			var f *Fault
+			var f *MessageError
 			if !errors.As(err, &f) {
 				t.Fatalf("%v is no fault", err)
 			}
 			faults++
-			foldNumbers(sum, 99, uint64(f.Code), uint64(f.Sub), uint64(len(f.Data)))
+			foldNumbers(sum, 99, uint64(f.Code), uint64(f.Subcode), uint64(len(f.Data)))
 			sum.Write(f.Data)
 		}
 		fmt.Fprintf(&got, "%s: %d decoded, %d faults, sha256 %x\n", name, decoded, faults, sum.Sum(nil))
@@ -224,16 +224,16 @@
 	sum.Write(p)
 	switch m := m.(type) {
 	case *Update:
-		family, ends := m.Ends()
+		family, ends := m.EndOfRIBFamily()
 		foldNumbers(sum, 1, uint64(family))
 		if ends {
 			foldNumbers(sum, 2)
 		}
-		if m.Treated != "" {
+		if m.TreatedAsWithdraw != "" {
 			foldNumbers(sum, 3)
 		}
 	case *Notification:
-		sum.Write([]byte(m.Said()))
+		sum.Write([]byte(m.ShutdownText()))
 	}
 }
 
--- a/internal/bgp/wire/message.go
+++ b/internal/bgp/wire/message.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	headerLen  = 19
-	MostLength = 4096
-	asTrans    = 23456
+	headerLen        = 19
+	MaxMessageLength = 4096
+	asTrans          = 23456
 )
 
 // Message sorts.
@@ -47,20 +47,20 @@
 
 type (
 	Open struct {
-		AS       uint32
-		Hold     uint16 // seconds
-		ID       [4]byte
-		Families []Family // announced by capability; none: IPv4
-		FourByte bool
-		Refresh  bool
-		Restart  *Restart
+		AS          uint32
+		HoldTime    uint16 // seconds
+		ID          [4]byte
+		Families    []Family // announced by capability; none: IPv4
+		FourOctetAS bool
+		Refresh     bool
+		Restart     *GracefulRestart
 	}
 
-	// Restart is the graceful restart capability.
-	Restart struct {
-		Restarted bool
-		Time      uint16 // seconds
-		Kept      map[Family]bool
+	// GracefulRestart is the graceful restart capability.
+	GracefulRestart struct {
+		Restarted           bool
+		Time                uint16 // seconds
+		ForwardingPreserved map[Family]bool
 	}
 
 	Update struct {
@@ -68,8 +68,8 @@
 		Announced []netip.Prefix
 		Path      Path
 		// Treated says that the attributes were malformed and all prefixes count as withdrawn (RFC 7606).
-		Treated string
-		ends    Family // the end of routes of a family other than IPv4
+		TreatedAsWithdraw string
+		ends              Family // the end of routes of a family other than IPv4
 	}
 
 	// Path is the set of attributes that a speaker of service addresses uses.
@@ -85,58 +85,60 @@
 	}
 
 	Notification struct {
-		Code, Sub uint8
-		Data      []byte
+		Code, Subcode uint8
+		Data          []byte
 	}
 
-	Keepalive struct{}
-	Refresh   struct{ Family Family }
+	Keepalive    struct{}
+	RouteRefresh struct{ Family Family }
 )
 
 func (*Open) sort() byte         { return typeOpen }
 func (*Update) sort() byte       { return typeUpdate }
 func (*Notification) sort() byte { return typeNotification }
 func (*Keepalive) sort() byte    { return typeKeepalive }
-func (*Refresh) sort() byte      { return typeRefresh }
+func (*RouteRefresh) sort() byte { return typeRefresh }
 
 // Notification codes and subcodes.
 const (
-	CodeHeader    = 1
-	CodeOpen      = 2
-	CodeUpdate    = 3
-	CodeHold      = 4
-	CodeState     = 5
-	CodeCease     = 6
-	NotSync       = 1
-	BadLength     = 2
-	BadType       = 3
-	BadVersion    = 1
-	BadPeerAS     = 2
-	BadID         = 3
-	BadParameter  = 4
-	BadHold       = 6
-	BadCapability = 7
-	Malformed     = 1
-	Shutdown      = 2
-	Rejected      = 5
-	Collision     = 7
+	CodeHeader                    = 1
+	CodeOpen                      = 2
+	CodeUpdate                    = 3
+	CodeHoldTimerExpired          = 4
+	CodeFSM                       = 5
+	CodeCease                     = 6
+	SubcodeNotSynchronized        = 1
+	SubcodeBadMessageLength       = 2
+	SubcodeBadMessageType         = 3
+	SubcodeUnsupportedVersion     = 1
+	SubcodeBadPeerAS              = 2
+	SubcodeBadIdentifier          = 3
+	SubcodeUnsupportedParameter   = 4
+	SubcodeUnacceptableHoldTime   = 6
+	SubcodeUnsupportedCapability  = 7
+	SubcodeMalformedAttributes    = 1
+	SubcodeAdministrativeShutdown = 2
+	SubcodeConnectionRejected     = 5
+	SubcodeCollisionResolution    = 7
 )
 
-// Fault is a message that cannot be, as the notification that answers it.
-type Fault struct {
+// MessageError is a message that cannot be, as the notification that answers it.
+type MessageError struct {
 	Notification
-	Text string
+	Reason string
 }
 
-func (f *Fault) Error() string { return fmt.Sprintf("%s (notification %d/%d)", f.Text, f.Code, f.Sub) }
+func (f *MessageError) Error() string {
+	return fmt.Sprintf("%s (notification %d/%d)", f.Reason, f.Code, f.Subcode)
+}
 
 func fault(code, sub uint8, data []byte, format string, a ...any) error {
-	return &Fault{Notification{code, sub, append([]byte(nil), data...)}, fmt.Sprintf(format, a...)}
+	return &MessageError{Notification{code, sub, append([]byte(nil), data...)}, fmt.Sprintf(format, a...)}
 }
 
-// Said is the text of a shutdown message (RFC 8203), where there is one.
-func (n *Notification) Said() string {
-	if n.Code != CodeCease || n.Sub != Shutdown && n.Sub != 4 || len(n.Data) == 0 {
+// ShutdownText is the text of a shutdown message (RFC 8203), where there is one.
+func (n *Notification) ShutdownText() string {
+	if n.Code != CodeCease || n.Subcode != SubcodeAdministrativeShutdown && n.Subcode != 4 || len(n.Data) == 0 {
 		return ""
 	}
 	size := int(n.Data[0])
@@ -146,19 +148,19 @@
 	return string(n.Data[1 : 1+size])
 }
 
-// ShutdownWith is a Cease that says why.
-func ShutdownWith(text string) *Notification {
+// NewShutdown is a Cease that says why.
+func NewShutdown(text string) *Notification {
 	for len(text) > 128 || !utf8.ValidString(text) {
 		text = text[:len(text)-1]
 	}
-	return &Notification{CodeCease, Shutdown, append([]byte{byte(len(text))}, text...)}
+	return &Notification{CodeCease, SubcodeAdministrativeShutdown, append([]byte{byte(len(text))}, text...)}
 }
 
-// Size tells how long the message at the start of p is; 0: not enough has come to tell.
-func Size(p []byte) (int, error) {
+// MessageLength tells how long the message at the start of p is; 0: not enough has come to tell.
+func MessageLength(p []byte) (int, error) {
 	for i := range min(len(p), 16) {
 		if p[i] != 0xFF {
-			return 0, fault(CodeHeader, NotSync, nil, "no marker")
+			return 0, fault(CodeHeader, SubcodeNotSynchronized, nil, "no marker")
 		}
 	}
 	if len(p) < headerLen {
@@ -166,23 +168,23 @@
 	}
 	n, sort := int(binary.BigEndian.Uint16(p[16:])), p[18]
 	if sort < typeOpen || sort > typeRefresh {
-		return 0, fault(CodeHeader, BadType, p[18:19], "unknown message type %d", sort)
+		return 0, fault(CodeHeader, SubcodeBadMessageType, p[18:19], "unknown message type %d", sort)
 	}
 	least := map[byte]int{typeOpen: 29, typeUpdate: 23, typeNotification: 21, typeKeepalive: headerLen, typeRefresh: 23}[sort]
-	if n < least || n > MostLength || sort == typeKeepalive && n != headerLen || sort == typeRefresh && n != 23 {
-		return 0, fault(CodeHeader, BadLength, p[16:18], "length %d of a message of type %d", n, sort)
+	if n < least || n > MaxMessageLength || sort == typeKeepalive && n != headerLen || sort == typeRefresh && n != 23 {
+		return 0, fault(CodeHeader, SubcodeBadMessageLength, p[16:18], "length %d of a message of type %d", n, sort)
 	}
 	return n, nil
 }
 
 // Decode reads one whole message.
 func Decode(p []byte) (Message, error) {
-	n, err := Size(p)
+	n, err := MessageLength(p)
 	if err != nil {
 		return nil, err
 	}
 	if n == 0 || n != len(p) {
-		return nil, fault(CodeHeader, BadLength, nil, "%d bytes are not one message", len(p))
+		return nil, fault(CodeHeader, SubcodeBadMessageLength, nil, "%d bytes are not one message", len(p))
 	}
 	body := p[headerLen:]
 	switch p[18] {
@@ -193,21 +195,21 @@
 	case typeNotification:
 		return &Notification{body[0], body[1], append([]byte(nil), body[2:]...)}, nil
 	case typeRefresh:
-		return &Refresh{Family(binary.BigEndian.Uint16(body))}, nil
+		return &RouteRefresh{Family(binary.BigEndian.Uint16(body))}, nil
 	}
 	return &Keepalive{}, nil
 }
 
 func decodeOpen(b []byte) (*Open, error) {
 	if b[0] != 4 {
-		return nil, fault(CodeOpen, BadVersion, []byte{0, 4}, "version %d", b[0])
+		return nil, fault(CodeOpen, SubcodeUnsupportedVersion, []byte{0, 4}, "version %d", b[0])
 	}
-	o := &Open{AS: uint32(binary.BigEndian.Uint16(b[1:])), Hold: binary.BigEndian.Uint16(b[3:]), ID: [4]byte(b[5:9])}
-	if o.Hold == 1 || o.Hold == 2 {
-		return nil, fault(CodeOpen, BadHold, nil, "hold time of %d s", o.Hold)
+	o := &Open{AS: uint32(binary.BigEndian.Uint16(b[1:])), HoldTime: binary.BigEndian.Uint16(b[3:]), ID: [4]byte(b[5:9])}
+	if o.HoldTime == 1 || o.HoldTime == 2 {
+		return nil, fault(CodeOpen, SubcodeUnacceptableHoldTime, nil, "hold time of %d s", o.HoldTime)
 	}
 	if o.ID == ([4]byte{}) {
-		return nil, fault(CodeOpen, BadID, nil, "identifier 0.0.0.0")
+		return nil, fault(CodeOpen, SubcodeBadIdentifier, nil, "identifier 0.0.0.0")
 	}
 	rest := b[10:]
 	if int(b[9]) != len(rest) {
@@ -220,7 +222,7 @@
 		sort, value := rest[0], rest[2:2+rest[1]]
 		rest = rest[2+rest[1]:]
 		if sort != 2 {
-			return nil, fault(CodeOpen, BadParameter, nil, "optional parameter %d", sort)
+			return nil, fault(CodeOpen, SubcodeUnsupportedParameter, nil, "optional parameter %d", sort)
 		}
 		for len(value) > 0 {
 			if len(value) < 2 || len(value) < 2+int(value[1]) {
@@ -252,10 +254,10 @@
 		if len(v) < 2 || (len(v)-2)%4 != 0 {
 			return short()
 		}
-		r := &Restart{Restarted: v[0]&0x80 != 0, Time: binary.BigEndian.Uint16(v) & 0x0FFF, Kept: map[Family]bool{}}
+		r := &GracefulRestart{Restarted: v[0]&0x80 != 0, Time: binary.BigEndian.Uint16(v) & 0x0FFF, ForwardingPreserved: map[Family]bool{}}
 		for x := v[2:]; len(x) > 0; x = x[4:] {
 			if f := Family(binary.BigEndian.Uint16(x)); f == IPv4 || f == IPv6 { // others could not be written again
-				r.Kept[f] = x[3]&0x80 != 0
+				r.ForwardingPreserved[f] = x[3]&0x80 != 0
 			}
 		}
 		o.Restart = r
@@ -263,7 +265,7 @@
 		if len(v) != 4 {
 			return short()
 		}
-		o.AS, o.FourByte = binary.BigEndian.Uint32(v), true
+		o.AS, o.FourOctetAS = binary.BigEndian.Uint32(v), true
 	}
 	return nil
 }
@@ -319,7 +321,7 @@
 	u := &Update{}
 	n := int(binary.BigEndian.Uint16(b))
 	if len(b) < 4+n {
-		return nil, fault(CodeUpdate, Malformed, nil, "withdrawn routes of %d bytes in %d", n, len(b))
+		return nil, fault(CodeUpdate, SubcodeMalformedAttributes, nil, "withdrawn routes of %d bytes in %d", n, len(b))
 	}
 	var ok bool
 	if u.Withdrawn, ok = prefixes(b[2:2+n], IPv4); !ok {
@@ -328,7 +330,7 @@
 	b = b[2+n:]
 	n = int(binary.BigEndian.Uint16(b))
 	if len(b) < 2+n {
-		return nil, fault(CodeUpdate, Malformed, nil, "attributes of %d bytes in %d", n, len(b))
+		return nil, fault(CodeUpdate, SubcodeMalformedAttributes, nil, "attributes of %d bytes in %d", n, len(b))
 	}
 	attrs, nlri := b[2:2+n], b[2+n:]
 	if u.Announced, ok = prefixes(nlri, IPv4); !ok {
@@ -354,7 +356,7 @@
 		attrs = attrs[head+size:]
 		if seen[code] {
 			if code == attrReach || code == attrUnreach {
-				return nil, fault(CodeUpdate, Malformed, nil, "attribute %d stands twice", code)
+				return nil, fault(CodeUpdate, SubcodeMalformedAttributes, nil, "attribute %d stands twice", code)
 			}
 			continue // the first counts
 		}
@@ -373,7 +375,7 @@
 			u.treat("there is no next hop")
 		}
 	}
-	if u.Treated != "" {
+	if u.TreatedAsWithdraw != "" {
 		u.Withdrawn = append(u.Withdrawn, u.Announced...)
 		u.Announced, u.Path = nil, Path{}
 	}
@@ -381,8 +383,8 @@
 }
 
 func (u *Update) treat(why string) {
-	if u.Treated == "" {
-		u.Treated = why
+	if u.TreatedAsWithdraw == "" {
+		u.TreatedAsWithdraw = why
 	}
 }
 
@@ -487,13 +489,13 @@
 	case *Update:
 		b = m.append(b)
 	case *Notification:
-		b = append(append(b, m.Code, m.Sub), m.Data...)
-	case *Refresh:
+		b = append(append(b, m.Code, m.Subcode), m.Data...)
+	case *RouteRefresh:
 		b = append(binary.BigEndian.AppendUint16(b, uint16(m.Family)), 0, 1)
 	}
 	n := len(b) - start
-	if n > MostLength {
-		return b[:start], fmt.Errorf("a message of %d bytes, %d are allowed", n, MostLength)
+	if n > MaxMessageLength {
+		return b[:start], fmt.Errorf("a message of %d bytes, %d are allowed", n, MaxMessageLength)
 	}
 	binary.BigEndian.PutUint16(b[start+16:], uint16(n))
 	return b, nil
@@ -506,7 +508,7 @@
 	}
 	b = append(b, 4)
 	b = binary.BigEndian.AppendUint16(b, short)
-	b = binary.BigEndian.AppendUint16(b, o.Hold)
+	b = binary.BigEndian.AppendUint16(b, o.HoldTime)
 	b = append(b, o.ID[:]...)
 	var caps []byte
 	for _, f := range o.Families {
@@ -520,9 +522,9 @@
 		if r.Restarted {
 			flags |= 0x8000
 		}
-		caps = binary.BigEndian.AppendUint16(append(caps, 64, byte(2+4*len(r.Kept))), flags)
+		caps = binary.BigEndian.AppendUint16(append(caps, 64, byte(2+4*len(r.ForwardingPreserved))), flags)
 		for _, f := range []Family{IPv4, IPv6} {
-			if kept, ok := r.Kept[f]; ok {
+			if kept, ok := r.ForwardingPreserved[f]; ok {
 				flag := byte(0)
 				if kept {
 					flag = 0x80
@@ -531,7 +533,7 @@
 			}
 		}
 	}
-	if o.FourByte {
+	if o.FourOctetAS {
 		caps = binary.BigEndian.AppendUint32(append(caps, 65, 4), o.AS)
 	}
 	if len(caps) == 0 {
@@ -636,7 +638,7 @@
 		})
 		for len(all) > 0 {
 			base, _ := Append(nil, make(all[:1]))
-			room, n := MostLength-len(base)-8, 1
+			room, n := MaxMessageLength-len(base)-8, 1
 			for n < len(all) && room >= 1+(all[n].Bits()+7)/8 {
 				room -= 1 + (all[n].Bits()+7)/8
 				n++
@@ -656,17 +658,17 @@
 	return out
 }
 
-// EndOfRoutes marks that all routes of a family were sent (RFC 4724, section 2).
-func EndOfRoutes(f Family) *Update {
+// EndOfRIB marks that all routes of a family were sent (RFC 4724, section 2).
+func EndOfRIB(f Family) *Update {
 	if f == IPv4 {
 		return &Update{}
 	}
 	return &Update{ends: f}
 }
 
-// Ends tells whether an update marks the end of routes of a family.
-func (u *Update) Ends() (Family, bool) {
-	if len(u.Withdrawn)+len(u.Announced) > 0 || u.Treated != "" {
+// EndOfRIBFamily tells whether an update marks the end of routes of a family.
+func (u *Update) EndOfRIBFamily() (Family, bool) {
+	if len(u.Withdrawn)+len(u.Announced) > 0 || u.TreatedAsWithdraw != "" {
 		return 0, false
 	}
 	if u.ends == IPv6 {
--- a/internal/bgp/wire/message_test.go
+++ b/internal/bgp/wire/message_test.go
@@ -17,9 +17,9 @@
 var path6 = Path{AS: []uint32{65001, 65002}, NextHop: netip.MustParseAddr("2001:db8::1")}
 
 func samples() []Message {
-	return []Message{&Open{AS: 4200000001, Hold: 90, ID: [4]byte{10, 0, 0, 1}, Families: []Family{IPv4, IPv6}, FourByte: true,
-		Refresh: true, Restart: &Restart{Restarted: true, Time: 120, Kept: map[Family]bool{IPv4: true, IPv6: false}}},
-		&Open{AS: 65001, Hold: 0, ID: [4]byte{1}}, &Keepalive{}, &Refresh{IPv6}, &Notification{6, 2, []byte{2, 'h', 'i'}},
+	return []Message{&Open{AS: 4200000001, HoldTime: 90, ID: [4]byte{10, 0, 0, 1}, Families: []Family{IPv4, IPv6}, FourOctetAS: true,
+		Refresh: true, Restart: &GracefulRestart{Restarted: true, Time: 120, ForwardingPreserved: map[Family]bool{IPv4: true, IPv6: false}}},
+		&Open{AS: 65001, HoldTime: 0, ID: [4]byte{1}}, &Keepalive{}, &RouteRefresh{IPv6}, &Notification{6, 2, []byte{2, 'h', 'i'}},
 		&Update{Withdrawn: []netip.Prefix{prefix("192.0.2.1/32"), prefix("198.51.100.0/25")}}, &Update{},
 		&Update{Announced: []netip.Prefix{prefix("192.0.2.0/24"), prefix("0.0.0.0/0")}, Path: path},
 		&Update{Withdrawn: []netip.Prefix{prefix("2001:db8::/48")}, Announced: []netip.Prefix{prefix("2001:db8:1::5/128")}, Path: path6}}
@@ -83,10 +83,10 @@
 		t.Run(tc.name, func(t *testing.T) {
 			m, err := Decode(tc.in)
 			got := "ok"
-			var f *Fault
+			var f *MessageError
 			if errors.As(err, &f) {
-				got = fmt.Sprintf("%d/%d", f.Code, f.Sub)
-			} else if u, ok := m.(*Update); ok && u.Treated != "" && len(u.Withdrawn) == 1 && len(u.Announced) == 0 {
+				got = fmt.Sprintf("%d/%d", f.Code, f.Subcode)
+			} else if u, ok := m.(*Update); ok && u.TreatedAsWithdraw != "" && len(u.Withdrawn) == 1 && len(u.Announced) == 0 {
 				got = "withdrawn"
 			}
 			if got != tc.want {
@@ -97,11 +97,11 @@
 }
 
 func TestShutdownMessage(t *testing.T) {
-	if got := ShutdownWith(strings.Repeat("ö", 100)).Said(); got != strings.Repeat("ö", 64) {
+	if got := NewShutdown(strings.Repeat("ö", 100)).ShutdownText(); got != strings.Repeat("ö", 64) {
 		t.Errorf("said %q", got)
 	}
 	for _, data := range [][]byte{nil, {5, 'a'}, {200}, {1, 0xFF}} {
-		if got := (&Notification{CodeCease, Shutdown, data}).Said(); got != "" {
+		if got := (&Notification{CodeCease, SubcodeAdministrativeShutdown, data}).ShutdownText(); got != "" {
 			t.Errorf("%v says %q", data, got)
 		}
 	}
@@ -147,7 +147,7 @@
 	f.Fuzz(func(t *testing.T, p []byte) {
 		m, err := Decode(p)
 		if err != nil {
-			var fault *Fault
+			var fault *MessageError
 			if !errors.As(err, &fault) || fault.Code == 0 {
 				t.Fatalf("no notification for it: %v", err)
 			}
--- a/internal/config/bgp.go
+++ b/internal/config/bgp.go
@@ -132,8 +132,8 @@
 	owner := map[netip.Prefix]string{}
 	for i, v := range f.Services {
 		c.needed(fmt.Sprintf("bgp.services[%d]", i), v)
-		x := announce.Service{Prefix: c.prefix(v.Prefix), NextHop: c.host(v.NextHop), Least: v.Least.Value, MED: uint32(v.MED.Value),
-			Healthy: v.Healthy.Value}
+		x := announce.Service{Prefix: c.prefix(v.Prefix), NextHop: c.host(v.NextHop), MinRunning: v.Least.Value, MED: uint32(v.MED.Value),
+			MEDByHealth: v.Healthy.Value}
 		if x.Prefix.Addr().Is4() != x.NextHop.Is4() {
 			c.fail(v.NextHop.Place, "the next hop is of another family than %s", x.Prefix)
 		}
--- a/internal/controller/api/api.go
+++ b/internal/controller/api/api.go
@@ -20,7 +20,7 @@
 )
 
 //go:embed openapi.yaml
-var Description []byte
+var OpenAPI []byte
 
 const (
 	mostBody     = 64 << 10
@@ -35,7 +35,7 @@
 
 // Server answers requests.
 type Server struct {
-	host *server.Host
+	host *server.Server
 	mux  *http.ServeMux
 
 	mu   sync.Mutex
@@ -50,10 +50,10 @@
 	body    []byte
 }
 
-// Line is what a watcher is sent for a change.
-func Line(o *watchcache.Object) []byte {
+// EncodeWatchEvent is what a watcher is sent for a change.
+func EncodeWatchEvent(o *watchcache.Object) []byte {
 	sort := "changed"
-	if o.Gone {
+	if o.Deleted {
 		sort = "removed"
 	}
 	p, err := json.Marshal(map[string]any{"type": sort, "kind": o.Kind, "id": o.ID, "version": o.Version, "object": versioned(o)})
@@ -80,24 +80,24 @@
 }
 
 // New makes the handler for a keeper.
-func New(h *server.Host) http.Handler {
+func New(h *server.Server) http.Handler {
 	s := &Server{host: h, mux: http.NewServeMux(), keys: map[string]*made{}}
 	for pattern, f := range map[string]http.HandlerFunc{
-		"GET /v1/jobs":                s.list(server.Jobs),
+		"GET /v1/jobs":                s.list(server.KindJobs),
 		"POST /v1/jobs":               s.create,
-		"GET /v1/jobs/{id}":           s.get(server.Jobs),
+		"GET /v1/jobs/{id}":           s.get(server.KindJobs),
 		"PUT /v1/jobs/{id}":           s.change,
 		"DELETE /v1/jobs/{id}":        s.remove,
 		"GET /v1/jobs/{id}/why":       s.jobWhy,
-		"GET /v1/containers":          s.list(server.Containers),
-		"GET /v1/containers/{id}":     s.get(server.Containers),
+		"GET /v1/containers":          s.list(server.KindContainers),
+		"GET /v1/containers/{id}":     s.get(server.KindContainers),
 		"GET /v1/containers/{id}/why": s.why,
-		"GET /v1/machines":            s.list(server.Machines),
-		"GET /v1/machines/{id}":       s.get(server.Machines),
+		"GET /v1/machines":            s.list(server.KindMachines),
+		"GET /v1/machines/{id}":       s.get(server.KindMachines),
 		"GET /v1/watch":               s.watch,
 		"GET /v1/openapi.yaml": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "application/yaml")
-			w.Write(Description)
+			w.Write(OpenAPI)
 		},
 	} {
 		s.mux.HandleFunc(pattern, f)
@@ -108,8 +108,8 @@
 	return s.mux
 }
 
-// Serve makes the HTTP server with its limits.
-func Serve(addr string, h http.Handler) *http.Server {
+// NewHTTPServer makes the HTTP server with its limits.
+func NewHTTPServer(addr string, h http.Handler) *http.Server {
 	return &http.Server{Addr: addr, Handler: h, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 15 * time.Second,
 		IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10}
 }
@@ -127,19 +127,19 @@
 
 // fail turns an error into a problem that names field and cause.
 func fail(w http.ResponseWriter, err error) {
-	var invalid *server.Invalid
-	var conflict *server.Conflict
+	var invalid *server.InvalidFieldError
+	var conflict *server.ConflictError
 	var large *http.MaxBytesError
-	var notKept *server.NotKept
+	var notKept *server.NotPersistedError
 	var typed *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &invalid):
 		problem(w, http.StatusUnprocessableEntity, err.Error(), map[string]any{"field": invalid.Field})
 	case errors.As(err, &conflict):
 		problem(w, http.StatusConflict, err.Error(), map[string]any{"version": conflict.Version})
-	case errors.Is(err, server.ErrUnknown):
+	case errors.Is(err, server.ErrNotFound):
 		problem(w, http.StatusNotFound, err.Error(), nil)
-	case errors.Is(err, watchcache.ErrGone):
+	case errors.Is(err, watchcache.ErrCompacted):
 		problem(w, http.StatusGone, err.Error(), nil)
 	case errors.As(err, &notKept):
 		w.Header().Set("Retry-After", "5")
@@ -175,7 +175,7 @@
 	d.DisallowUnknownFields()
 	if err = d.Decode(&j); err != nil {
 		if field, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
-			err = &server.Invalid{Field: strings.Trim(field, `"`), Text: "is unknown"}
+			err = &server.InvalidFieldError{Field: strings.Trim(field, `"`), Message: "is unknown"}
 		}
 		return j, nil, err
 	}
@@ -194,7 +194,7 @@
 	}
 	do := func() (int, []byte, error) {
 		digest := sha256.Sum256(raw)
-		j.Version, err = s.host.Set(j, -1, server.Made{Key: r.Header.Get("Idempotency-Key"), Request: digest[:]})
+		j.Version, err = s.host.SetJob(j, -1, server.CreationToken{Key: r.Header.Get("Idempotency-Key"), RequestDigest: digest[:]})
 		if err != nil {
 			return 0, nil, err
 		}
@@ -214,7 +214,7 @@
 		return
 	}
 	if len(key) > 200 {
-		fail(w, &server.Invalid{Field: "Idempotency-Key", Text: "is longer than 200 bytes"})
+		fail(w, &server.InvalidFieldError{Field: "Idempotency-Key", Message: "is longer than 200 bytes"})
 		return
 	}
 	s.mu.Lock()
@@ -261,7 +261,7 @@
 	}
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil || n <= 0 {
-		return 0, &server.Invalid{Field: "If-Match", Text: fmt.Sprintf("%q is no version", v)}
+		return 0, &server.InvalidFieldError{Field: "If-Match", Message: fmt.Sprintf("%q is no version", v)}
 	}
 	return n, nil
 }
@@ -274,14 +274,14 @@
 	}
 	j, _, err := readJob(w, r)
 	if err == nil && j.ID != "" && j.ID != r.PathValue("id") {
-		err = &server.Invalid{Field: "id", Text: "is not that of the path"}
+		err = &server.InvalidFieldError{Field: "id", Message: "is not that of the path"}
 	}
 	j.ID = r.PathValue("id")
-	if err == nil && s.host.Catalog.Get(server.Jobs, j.ID) == nil {
-		err = server.ErrUnknown
+	if err == nil && s.host.Cache.Get(server.KindJobs, j.ID) == nil {
+		err = server.ErrNotFound
 	}
 	if err == nil {
-		j.Version, err = s.host.Set(j, version, server.Made{})
+		j.Version, err = s.host.SetJob(j, version, server.CreationToken{})
 	}
 	if err != nil {
 		fail(w, err)
@@ -293,7 +293,7 @@
 func (s *Server) remove(w http.ResponseWriter, r *http.Request) {
 	version, err := precondition(r)
 	if err == nil {
-		err = s.host.Drop(r.PathValue("id"), version)
+		err = s.host.DeleteJob(r.PathValue("id"), version)
 	}
 	if err != nil {
 		fail(w, err)
@@ -304,9 +304,9 @@
 
 func (s *Server) get(kind string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		o := s.host.Catalog.Get(kind, r.PathValue("id"))
+		o := s.host.Cache.Get(kind, r.PathValue("id"))
 		if o == nil {
-			fail(w, server.ErrUnknown)
+			fail(w, server.ErrNotFound)
 			return
 		}
 		w.Header().Set("ETag", fmt.Sprintf("%q", strconv.FormatInt(o.Version, 10)))
@@ -321,7 +321,7 @@
 		if v := q.Get("limit"); v != "" {
 			n, err := strconv.Atoi(v)
 			if err != nil || n < 1 || n > pageMost {
-				fail(w, &server.Invalid{Field: "limit", Text: fmt.Sprintf("%q is not from 1 to %d", v, pageMost)})
+				fail(w, &server.InvalidFieldError{Field: "limit", Message: fmt.Sprintf("%q is not from 1 to %d", v, pageMost)})
 				return
 			}
 			limit = n
@@ -331,7 +331,7 @@
 			fail(w, err)
 			return
 		}
-		all, version, more := s.host.Catalog.List(kind, q.Get("after"), limit, match)
+		all, version, more := s.host.Cache.List(kind, q.Get("after"), limit, match)
 		out := struct {
 			Items   []any  `json:"items"`
 			Version int64  `json:"version"`
@@ -354,20 +354,20 @@
 		not         bool
 	}
 	var byField, byLabel []term
-	known := map[string]string{server.Jobs: "id service workload customer count", server.Containers: "id job state machine placer leaving",
-		server.Machines: "id hall kind state"}[kind]
+	known := map[string]string{server.KindJobs: "id service workload customer count", server.KindContainers: "id job state machine placer leaving",
+		server.KindMachines: "id hall kind state"}[kind]
 	for _, x := range split(fields) {
 		name, value, ok := strings.Cut(x, "=")
 		t := term{strings.TrimSuffix(name, "!"), value, strings.HasSuffix(name, "!")}
 		if !ok || !strings.Contains(" "+known+" ", " "+t.name+" ") || t.name == "" {
-			return nil, &server.Invalid{Field: "field", Text: fmt.Sprintf("%q is no term such as name=value, with a name of %s", x, known)}
+			return nil, &server.InvalidFieldError{Field: "field", Message: fmt.Sprintf("%q is no term such as name=value, with a name of %s", x, known)}
 		}
 		byField = append(byField, t)
 	}
 	for _, x := range split(labels) {
 		name, value, ok := strings.Cut(x, "=")
 		if !ok || name == "" {
-			return nil, &server.Invalid{Field: "label", Text: fmt.Sprintf("%q is no term such as key=value", x)}
+			return nil, &server.InvalidFieldError{Field: "label", Message: fmt.Sprintf("%q is no term such as key=value", x)}
 		}
 		byLabel = append(byLabel, term{name, value, false})
 	}
@@ -396,13 +396,13 @@
 func fieldOf(v any, name string) string {
 	switch v := v.(type) {
 	case server.Job:
-		return map[string]string{"id": v.ID, "service": v.Service, "workload": v.Workload, "customer": v.Customer,
+		return map[string]string{"id": v.ID, "service": v.Service, "workload": v.WorkloadClass, "customer": v.Tenant,
 			"count": strconv.Itoa(v.Count)}[name]
 	case server.Container:
-		return map[string]string{"id": v.ID, "job": v.Job, "state": v.State, "machine": v.Machine, "placer": v.Placer,
-			"leaving": strconv.FormatBool(v.Leaving)}[name]
+		return map[string]string{"id": v.ID, "job": v.Job, "state": v.State, "machine": v.Machine, "placer": v.Scheduler,
+			"leaving": strconv.FormatBool(v.Terminating)}[name]
 	case server.Machine:
-		return map[string]string{"id": v.ID, "hall": strconv.Itoa(v.Hall), "kind": v.Kind, "state": v.State}[name]
+		return map[string]string{"id": v.ID, "hall": strconv.Itoa(v.Zone), "kind": v.MachineType, "state": v.State}[name]
 	}
 	return ""
 }
@@ -413,16 +413,16 @@
 	UntilMS int64 `json:"until_ms,omitempty"`
 }
 
-// Why is the answer for one container.
-type Why struct {
+// Explanation is the answer for one container.
+type Explanation struct {
 	Container string   `json:"container"`
 	State     string   `json:"state"`
 	Reasons   []Reason `json:"reasons"`
 }
 
-func (s *Server) explain(id string) (Why, error) {
-	reasons, state, err := s.host.Why(id)
-	out := Why{id, state, []Reason{}}
+func (s *Server) explain(id string) (Explanation, error) {
+	reasons, state, err := s.host.PendingReasons(id)
+	out := Explanation{id, state, []Reason{}}
 	for _, r := range reasons {
 		out.Reasons = append(out.Reasons, Reason{r, int64(r.Until / 10)})
 	}
@@ -440,17 +440,17 @@
 
 func (s *Server) jobWhy(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	if s.host.Catalog.Get(server.Jobs, id) == nil {
-		fail(w, server.ErrUnknown)
+	if s.host.Cache.Get(server.KindJobs, id) == nil {
+		fail(w, server.ErrNotFound)
 		return
 	}
-	waitingOnes, _, _ := s.host.Catalog.List(server.Containers, id+".", whyAtOnce, func(o *watchcache.Object) bool {
+	waitingOnes, _, _ := s.host.Cache.List(server.KindContainers, id+".", whyAtOnce, func(o *watchcache.Object) bool {
 		c := o.Value.(server.Container)
 		return c.Job == id && c.State != "running" && c.State != "done"
 	})
 	out := struct {
-		Items []Why `json:"items"`
-	}{[]Why{}}
+		Items []Explanation `json:"items"`
+	}{[]Explanation{}}
 	for _, o := range waitingOnes {
 		if x, err := s.explain(o.ID); err == nil && len(x.Reasons) > 0 {
 			out.Items = append(out.Items, x)
@@ -464,24 +464,24 @@
 	q := r.URL.Query()
 	kinds := split(q.Get("kinds"))
 	if len(kinds) == 0 {
-		kinds = []string{server.Jobs, server.Containers, server.Machines}
+		kinds = []string{server.KindJobs, server.KindContainers, server.KindMachines}
 	}
 	for _, k := range kinds {
-		if k != server.Jobs && k != server.Containers && k != server.Machines {
-			fail(w, &server.Invalid{Field: "kinds", Text: fmt.Sprintf("%q is none of jobs, containers, machines", k)})
+		if k != server.KindJobs && k != server.KindContainers && k != server.KindMachines {
+			fail(w, &server.InvalidFieldError{Field: "kinds", Message: fmt.Sprintf("%q is none of jobs, containers, machines", k)})
 			return
 		}
 	}
-	from := s.host.Catalog.Version()
+	from := s.host.Cache.Version()
 	if v := q.Get("from"); v != "" {
 		n, err := strconv.ParseInt(v, 10, 64)
 		if err != nil || n < 0 {
-			fail(w, &server.Invalid{Field: "from", Text: fmt.Sprintf("%q is no version", v)})
+			fail(w, &server.InvalidFieldError{Field: "from", Message: fmt.Sprintf("%q is no version", v)})
 			return
 		}
 		from = n
 	}
-	watcher, err := s.host.Catalog.Watch(from, kinds...)
+	watcher, err := s.host.Cache.Watch(from, kinds...)
 	if err != nil {
 		fail(w, err)
 		return
@@ -508,11 +508,11 @@
 				put([]byte(`{"type":"gone","detail":"this watch fell behind: list again"}` + "\n"))
 				return
 			}
-			if !put(o.Line()) {
+			if !put(o.WatchEvent()) {
 				return
 			}
 			for n := len(watcher.Changes); n > 0 && ok; n-- {
-				if o, ok = <-watcher.Changes; ok && !put(o.Line()) {
+				if o, ok = <-watcher.Changes; ok && !put(o.WatchEvent()) {
 					return
 				}
 			}
@@ -532,9 +532,9 @@
 // bookmark is a version up to which everything was sent. Read before the queue is looked at, it can only be too
 // old, which costs a repeat and loses nothing.
 func (s *Server) bookmark(w *watchcache.Watcher) int64 {
-	v := s.host.Catalog.Version()
+	v := s.host.Cache.Version()
 	if len(w.Changes) > 0 {
-		return w.Sent()
+		return w.StartVersion()
 	}
 	return v
 }
--- a/internal/controller/api/api_test.go
+++ b/internal/controller/api/api_test.go
@@ -32,10 +32,10 @@
 
 // rig is a keeper with its API, one placer and some stand-in machines, all in this process.
 type rig struct {
-	place server.Place
+	place server.Config
 	*testing.T
 	server   *httptest.Server
-	host     *server.Host
+	host     *server.Server
 	machines []*emulator.Machine
 	router   routers.Router
 }
@@ -69,9 +69,9 @@
 		t.Fatal(err)
 	}
 	serve(t, h.Run, h.Stop)
-	r.place = server.Place{Name: "keeper", Doors: []string{h.Addr()}, List: s.ListAddr, Seed: 1, Site: s, State: t.TempDir()}
+	r.place = server.Config{Name: "keeper", Schedulers: []string{h.Addr()}, MachineList: s.ListAddr, Seed: 1, SchedulerConfig: s, StateDir: t.TempDir()}
 	r.keep()
-	doc, err := openapi3.NewLoader().LoadFromData(Description)
+	doc, err := openapi3.NewLoader().LoadFromData(OpenAPI)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 func (r *rig) keep() {
 	r.Helper()
 	var err error
-	if r.host, err = server.New(r.place, watchcache.New(Line), quiet); err != nil {
+	if r.host, err = server.New(r.place, watchcache.New(EncodeWatchEvent), quiet); err != nil {
 		r.Fatal(err)
 	}
 	serve(r.T, r.host.Run, r.host.Stop)
@@ -368,11 +368,11 @@
 	}
 	_, before := r.do("GET", "/v1/jobs", "")
 	crashed := t.TempDir() // the folder as a kill -9 leaves it
-	if err := os.CopyFS(crashed, os.DirFS(r.place.State)); err != nil {
+	if err := os.CopyFS(crashed, os.DirFS(r.place.StateDir)); err != nil {
 		t.Fatal(err)
 	}
 	r.host.Stop()
-	r.place.State = crashed
+	r.place.StateDir = crashed
 	r.keep()
 	_, after := r.do("GET", "/v1/jobs", "")
 	if fmt.Sprint(before["items"]) != fmt.Sprint(after["items"]) {
--- a/internal/controller/api/golden_test.go
+++ b/internal/controller/api/golden_test.go
@@ -26,12 +26,12 @@
 // TestAnswersMatchGoldenBytes holds what clients are sent, byte for byte, against testdata: lists, objects, watch events and
 // problems, from a controller that holds fixed objects and serves nothing else.
 func TestAnswersMatchGoldenBytes(t *testing.T) {
-	h, err := server.New(server.Place{Name: "controller", Seed: 1, Site: &config.Placer{Workloads: []string{"matcher"}}}, watchcache.New(Line), quiet)
+	h, err := server.New(server.Config{Name: "controller", Seed: 1, SchedulerConfig: &config.Placer{Workloads: []string{"matcher"}}}, watchcache.New(EncodeWatchEvent), quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	serve(t, h.Run, h.Stop)
-	fill(h.Catalog)
+	fill(h.Cache)
 	handler := New(h)
 	var got strings.Builder
 	for _, path := range []string{"/v1/jobs", "/v1/jobs?limit=1", "/v1/jobs?label=team%3Dnorth", "/v1/jobs?field=workload!%3Dmatcher",
@@ -51,15 +51,15 @@
 		handler.ServeHTTP(w, httptest.NewRequest(q.method, q.path, strings.NewReader(q.body)))
 		record(&got, fmt.Sprintf("%s %s %.30s", q.method, q.path, strings.TrimSpace(q.body)), w)
 	}
-	for _, err := range []error{&server.NotKept{Why: errors.New("no space")}, server.ErrStopped, server.ErrUnknown, watchcache.ErrGone,
-		&server.Conflict{ID: "reports", Version: 41, Text: "it exists already"}, &server.Invalid{Field: "cores", Text: "-1 is not above 0"}} {
+	for _, err := range []error{&server.NotPersistedError{Err: errors.New("no space")}, server.ErrStopped, server.ErrNotFound, watchcache.ErrCompacted,
+		&server.ConflictError{ID: "reports", Version: 41, Message: "it exists already"}, &server.InvalidFieldError{Field: "cores", Message: "-1 is not above 0"}} {
 		w := httptest.NewRecorder()
 		fail(w, err)
 		record(&got, "error", w)
 	}
 	for _, o := range []any{
-		Why{Container: "reports.0", State: "waiting", Reasons: []Reason{{}, {Reason: pending.Reason{Code: pending.NoRoom, Text: "No room.",
-			Figures: map[string]float64{"machines": 3, "full": 2.5}, Until: 70}, UntilMS: 7}}}} {
+		Explanation{Container: "reports.0", State: "waiting", Reasons: []Reason{{}, {Reason: pending.Reason{Code: pending.CodeNoCapacity, Text: "No room.",
+			Details: map[string]float64{"machines": 3, "full": 2.5}, Until: 70}, UntilMS: 7}}}} {
 		line, err := json.Marshal(o)
 		if err != nil {
 			t.Fatal(err)
@@ -91,17 +91,17 @@
 	}
 }
 
-func fill(c *watchcache.Catalog) {
-	c.Put(server.Jobs, "plain", server.Job{ID: "plain", Service: "web", Workload: "matcher", Cores: 0.5, MemoryGiB: 1, Count: 1})
-	c.Put(server.Jobs, "reports", server.Job{ID: "reports", Labels: map[string]string{"team": "north", "tier": "2"}, Service: "report",
-		Workload: "report-run", Customer: "schools", Cores: 1.5, MemoryGiB: 2.25, RunForMS: 60_000, Once: true, Count: 3})
-	c.Put(server.Containers, "reports.2", server.Container{ID: "reports.2", Job: "reports", Index: 2, State: "running", Leaving: true,
-		Machine: "m17", Placer: "p1", SinceMS: 5, UntilMS: 6, Tries: 7, Starts: 8, Last: "runs"})
-	c.Put(server.Containers, "plain.0", server.Container{ID: "plain.0", Job: "plain", State: "done", Last: "finished"})
-	c.Put(server.Machines, "m17", server.Machine{ID: "m17", Hall: 2, Kind: "large", State: "serving", FreeCores: 1.5, FreeMemoryGiB: 2.5,
+func fill(c *watchcache.Cache) {
+	c.Put(server.KindJobs, "plain", server.Job{ID: "plain", Service: "web", WorkloadClass: "matcher", Cores: 0.5, MemoryGiB: 1, Count: 1})
+	c.Put(server.KindJobs, "reports", server.Job{ID: "reports", Labels: map[string]string{"team": "north", "tier": "2"}, Service: "report",
+		WorkloadClass: "report-run", Tenant: "schools", Cores: 1.5, MemoryGiB: 2.25, RunForMS: 60_000, RunOnce: true, Count: 3})
+	c.Put(server.KindContainers, "reports.2", server.Container{ID: "reports.2", Job: "reports", Index: 2, State: "running", Terminating: true,
+		Machine: "m17", Scheduler: "p1", SinceMS: 5, UntilMS: 6, Attempts: 7, Starts: 8, LastStatus: "runs"})
+	c.Put(server.KindContainers, "plain.0", server.Container{ID: "plain.0", Job: "plain", State: "done", LastStatus: "finished"})
+	c.Put(server.KindMachines, "m17", server.Machine{ID: "m17", Zone: 2, MachineType: "large", State: "serving", FreeCores: 1.5, FreeMemoryGiB: 2.5,
 		Incarnation: 1 << 60})
-	c.Put(server.Machines, "m18", server.Machine{ID: "m18"})
-	c.Delete(server.Machines, "m18")
+	c.Put(server.KindMachines, "m18", server.Machine{ID: "m18"})
+	c.Delete(server.KindMachines, "m18")
 }
 
 func record(got *strings.Builder, what string, w *httptest.ResponseRecorder) {
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -74,21 +74,21 @@
 func (d *actionDigest) add(now scheduler.Time, a Action) {
 	var ordinal uint64
 	switch a.(type) {
-	case Submit:
+	case SubmitRequest:
 		ordinal = 1
-	case Look:
+	case LookupRequest:
 		ordinal = 2
-	case Cancel:
+	case CancelRequest:
 		ordinal = 3
-	case Changed:
+	case ContainerChanged:
 		ordinal = 4
-	case Removed:
+	case ContainerRemoved:
 		ordinal = 5
-	case Strayed:
+	case OrphanRecorded:
 		ordinal = 6
-	case Found:
+	case OrphanResolved:
 		ordinal = 7
-	case Wake:
+	case SetTimer:
 		ordinal = 8
 	default:
 		panic(fmt.Sprintf("no ordinal for %T", a))
@@ -136,15 +136,15 @@
 type history struct {
 	digest     *actionDigest
 	random     *rand.Rand
-	controller *Keeper
-	terms      Terms
+	controller *Controller
+	terms      Config
 	now        scheduler.Time
 	wakeAt     scheduler.Time
 	reachable  []bool
 	requests   []openRequest
-	jobs       map[string]Set
+	jobs       map[string]JobSet
 	containers map[string]Container
-	orphans    map[Stray]bool
+	orphans    map[Orphan]bool
 }
 
 type openRequest struct {
@@ -153,16 +153,16 @@
 }
 
 func newHistory(d *actionDigest, effect scheduler.Idempotency, schedulers int, seed uint64) *history {
-	h := &history{digest: d, random: rand.New(rand.NewPCG(seed, 17)), reachable: make([]bool, schedulers), jobs: map[string]Set{},
-		containers: map[string]Container{}, orphans: map[Stray]bool{}}
-	h.terms = Terms{Seed: seed, First: 10, Doors: schedulers, Workloads: []Workload{
-		{Effect: effect, HardStop: 4 * scheduler.Second, Window: 8 * scheduler.Second},
-		{Effect: scheduler.AtMostOnce, HardStop: scheduler.Second}}}
+	h := &history{digest: d, random: rand.New(rand.NewPCG(seed, 17)), reachable: make([]bool, schedulers), jobs: map[string]JobSet{},
+		containers: map[string]Container{}, orphans: map[Orphan]bool{}}
+	h.terms = Config{Seed: seed, FirstSequence: 10, SchedulerCount: schedulers, WorkloadClasses: []WorkloadClass{
+		{Idempotency: effect, PlacementTimeout: 4 * scheduler.Second, DedupWindow: 8 * scheduler.Second},
+		{Idempotency: scheduler.AtMostOnce, PlacementTimeout: scheduler.Second}}}
 	h.controller = New(h.terms)
 	for i := range schedulers {
 		if h.chance(0.9) {
 			h.reachable[i] = true
-			h.handle(Door{i, true})
+			h.handle(SchedulerConnection{i, true})
 		}
 	}
 	h.changeJob()
@@ -175,21 +175,21 @@
 	for _, a := range h.controller.Handle(h.now, events) {
 		h.digest.add(h.now, a)
 		switch a := a.(type) {
-		case Submit:
-			h.requests = append(h.requests, openRequest{id: a.Ask})
-		case Look:
-			h.requests = append(h.requests, openRequest{id: a.Ask})
-		case Cancel:
-			h.requests = append(h.requests, openRequest{id: a.Ask, running: h.chance(0.5)})
-		case Changed:
+		case SubmitRequest:
+			h.requests = append(h.requests, openRequest{id: a.RequestID})
+		case LookupRequest:
+			h.requests = append(h.requests, openRequest{id: a.RequestID})
+		case CancelRequest:
+			h.requests = append(h.requests, openRequest{id: a.RequestID, running: h.chance(0.5)})
+		case ContainerChanged:
 			h.containers[fmt.Sprintf("%s.%d", a.Container.Job, a.Container.Index)] = a.Container
-		case Removed:
+		case ContainerRemoved:
 			delete(h.containers, fmt.Sprintf("%s.%d", a.Job, a.Index))
-		case Strayed:
-			h.orphans[a.Stray] = true
-		case Found:
-			delete(h.orphans, a.Stray)
-		case Wake:
+		case OrphanRecorded:
+			h.orphans[a.Orphan] = true
+		case OrphanResolved:
+			delete(h.orphans, a.Orphan)
+		case SetTimer:
 			if at := h.now + a.After; h.wakeAt <= h.now || at < h.wakeAt {
 				h.wakeAt = at
 			}
@@ -211,7 +211,7 @@
 	case n < 74:
 		id := h.jobID()
 		delete(h.jobs, id)
-		h.handle(Drop{id})
+		h.handle(JobDeleted{id})
 	case n < 77:
 		h.oddEvents()
 	case n < 78:
@@ -232,7 +232,7 @@
 	}
 	if h.wakeAt > 0 && h.now >= h.wakeAt {
 		h.wakeAt = 0
-		h.handle(Woke{})
+		h.handle(TimerFired{})
 	}
 }
 
@@ -241,23 +241,23 @@
 		return
 	}
 	i := h.random.IntN(len(h.requests))
-	e := Answered{Ask: h.requests[i].id}
+	e := PlacementAnswered{RequestID: h.requests[i].id}
 	switch n := h.random.IntN(100); {
 	case n < 58:
-		e.Verdict, e.Machine = Placed, fmt.Sprint("m", h.random.IntN(9))
+		e.Verdict, e.Machine = VerdictAccepted, fmt.Sprint("m", h.random.IntN(9))
 		h.requests[i].running = true
 	case n < 73:
-		e.Verdict = PushedBack
+		e.Verdict = VerdictRejected
 	case n < 87:
-		e.Verdict = GivenUp
+		e.Verdict = VerdictFailed
 	default:
-		e.Verdict = TurnedAway
+		e.Verdict = VerdictRefused
 	}
 	if h.chance(0.3) {
-		e.HoldOff = scheduler.Time(h.random.IntN(6 * int(scheduler.Second)))
+		e.RetryAfter = scheduler.Time(h.random.IntN(6 * int(scheduler.Second)))
 	}
-	if e.Verdict != Placed {
-		e.Text = []string{"", "", "cancelled", "may run on machine m3", "does not know yet"}[h.random.IntN(5)]
+	if e.Verdict != VerdictAccepted {
+		e.Message = []string{"", "", "cancelled", "may run on machine m3", "does not know yet"}[h.random.IntN(5)]
 		h.requests = append(h.requests[:i], h.requests[i+1:]...)
 	}
 	h.handle(e)
@@ -276,7 +276,7 @@
 	i := running[h.random.IntN(len(running))]
 	outcome := []scheduler.Outcome{scheduler.OutcomeFinished, scheduler.OutcomeFinished, scheduler.OutcomeLost, scheduler.OutcomeLost, scheduler.OutcomeStopped, scheduler.OutcomeErrored}[h.random.IntN(6)]
 	reason := []scheduler.Reason{scheduler.ReasonNone, scheduler.ReasonNone, scheduler.ReasonOutOfMemory, scheduler.ReasonPreempted, scheduler.ReasonDrained}[h.random.IntN(5)]
-	e := Fated{Ask: h.requests[i].id, Outcome: outcome, Reason: reason}
+	e := ContainerEnded{RequestID: h.requests[i].id, Outcome: outcome, Reason: reason}
 	h.requests = append(h.requests[:i], h.requests[i+1:]...)
 	h.handle(e)
 }
@@ -284,19 +284,19 @@
 func (h *history) toggleScheduler() {
 	n := h.random.IntN(len(h.reachable))
 	h.reachable[n] = !h.reachable[n]
-	h.handle(Door{n, h.reachable[n]})
+	h.handle(SchedulerConnection{n, h.reachable[n]})
 }
 
 func (h *history) jobID() string { return []string{"a", "b", "c"}[h.random.IntN(3)] }
 
 func (h *history) changeJob() {
 	id := h.jobID()
-	spec := Spec{Service: "s" + id, Workload: h.random.IntN(2), Customer: h.random.IntN(2), Cores: []float64{0.5, 2}[h.random.IntN(2)],
-		Memory: 1.25, RunFor: scheduler.Time(h.random.IntN(2)) * scheduler.Second, Once: h.chance(0.3)}
+	spec := Spec{Service: "s" + id, WorkloadClass: h.random.IntN(2), Tenant: h.random.IntN(2), Cores: []float64{0.5, 2}[h.random.IntN(2)],
+		Memory: 1.25, RunFor: scheduler.Time(h.random.IntN(2)) * scheduler.Second, RunOnce: h.chance(0.3)}
 	if old, known := h.jobs[id]; known && h.chance(0.5) {
 		spec = old.Spec
 	}
-	h.jobs[id] = Set{Job: id, Count: h.random.IntN(5), Spec: spec}
+	h.jobs[id] = JobSet{Job: id, Count: h.random.IntN(5), Spec: spec}
 	h.handle(h.jobs[id])
 }
 
@@ -304,18 +304,18 @@
 func (h *history) oddEvents() {
 	switch h.random.IntN(6) {
 	case 0:
-		h.handle(Answered{Ask: "nobody/0#1", Verdict: Placed, Machine: "m"}, Fated{Ask: "nobody/0#1"})
+		h.handle(PlacementAnswered{RequestID: "nobody/0#1", Verdict: VerdictAccepted, Machine: "m"}, ContainerEnded{RequestID: "nobody/0#1"})
 	case 1:
-		h.handle(Door{-1, true}, Door{len(h.reachable), true}, Drop{"none"})
+		h.handle(SchedulerConnection{-1, true}, SchedulerConnection{len(h.reachable), true}, JobDeleted{"none"})
 	case 2:
-		h.handle(Answered{Ask: "stray#0#nobody/0/1", Verdict: GivenUp}, Fated{Ask: "stray#x#"})
+		h.handle(PlacementAnswered{RequestID: "stray#0#nobody/0/1", Verdict: VerdictFailed}, ContainerEnded{RequestID: "stray#x#"})
 	case 3: // an answer that comes twice
 		if len(h.requests) > 0 {
 			id := h.requests[h.random.IntN(len(h.requests))].id
-			h.handle(Answered{Ask: id, Verdict: Placed, Machine: "m1"}, Answered{Ask: id, Verdict: GivenUp})
+			h.handle(PlacementAnswered{RequestID: id, Verdict: VerdictAccepted, Machine: "m1"}, PlacementAnswered{RequestID: id, Verdict: VerdictFailed})
 		}
 	case 4: // a workload that the settings do not have
-		h.jobs["c"] = Set{Job: "c", Count: 1, Spec: Spec{Service: "odd", Workload: 7}}
+		h.jobs["c"] = JobSet{Job: "c", Count: 1, Spec: Spec{Service: "odd", WorkloadClass: 7}}
 		h.handle(h.jobs["c"])
 	case 5: // an empty iteration
 		h.handle()
@@ -324,22 +324,22 @@
 
 // restart begins a controller from what the one before has asked to be stored, with or without the same schedulers.
 func (h *history) restart() {
-	var left Restored
+	var left StateRestored
 	for _, id := range sortedKeys(h.jobs) {
 		left.Jobs = append(left.Jobs, h.jobs[id])
 	}
 	moved := h.chance(0.3)
 	for _, id := range sortedKeys(h.containers) {
 		c := h.containers[id]
-		if moved && c.Door == 0 {
-			c.Door = -1
+		if moved && c.Scheduler == 0 {
+			c.Scheduler = -1
 		}
 		left.Containers = append(left.Containers, c)
 	}
 	for x := range h.orphans {
-		left.Strays = append(left.Strays, x)
+		left.Orphans = append(left.Orphans, x)
 	}
-	sort.Slice(left.Strays, func(i, j int) bool { return fmt.Sprint(left.Strays[i]) < fmt.Sprint(left.Strays[j]) })
+	sort.Slice(left.Orphans, func(i, j int) bool { return fmt.Sprint(left.Orphans[i]) < fmt.Sprint(left.Orphans[j]) })
 	h.terms.Seed++
 	h.controller, h.wakeAt, h.requests = New(h.terms), 0, nil
 	clear(h.reachable)
@@ -347,7 +347,7 @@
 	for n := range h.reachable {
 		if h.chance(0.8) {
 			h.reachable[n] = true
-			h.handle(Door{n, true})
+			h.handle(SchedulerConnection{n, true})
 		}
 	}
 }
--- a/internal/controller/keeper_test.go
+++ b/internal/controller/keeper_test.go
@@ -14,25 +14,25 @@
 
 const sec = scheduler.Second
 
-func terms(effect scheduler.Idempotency) Terms {
-	return Terms{Seed: 3, Doors: 2, Workloads: []Workload{{Effect: effect, HardStop: 4 * sec, Window: 8 * sec}}}
+func terms(effect scheduler.Idempotency) Config {
+	return Config{Seed: 3, SchedulerCount: 2, WorkloadClasses: []WorkloadClass{{Idempotency: effect, PlacementTimeout: 4 * sec, DedupWindow: 8 * sec}}}
 }
 
 // rig runs a keeper on a clock of its own and remembers what it asked for last.
 type rig struct {
 	*testing.T
-	k    *Keeper
+	k    *Controller
 	now  scheduler.Time
 	wake scheduler.Time
-	sent []Submit
+	sent []SubmitRequest
 	off  []string
 	view map[string]Container
 }
 
 func newRig(t *testing.T, effect scheduler.Idempotency, count int) *rig {
 	r := &rig{T: t, k: New(terms(effect)), view: map[string]Container{}}
-	r.do(Door{0, true})
-	r.do(Set{"j", count, Spec{Service: "s", Cores: 1}})
+	r.do(SchedulerConnection{0, true})
+	r.do(JobSet{"j", count, Spec{Service: "s", Cores: 1}})
 	r.pass(sec)
 	return r
 }
@@ -40,17 +40,17 @@
 func (r *rig) do(e ...Event) {
 	for _, a := range r.k.Handle(r.now, e) {
 		switch a := a.(type) {
-		case Submit:
+		case SubmitRequest:
 			r.sent = append(r.sent, a)
-		case Look:
-			r.sent = append(r.sent, Submit{Door: a.Door, Ask: a.Ask, Key: a.Key, Again: true})
-		case Cancel:
-			r.off = append(r.off, a.Ask)
-		case Changed:
+		case LookupRequest:
+			r.sent = append(r.sent, SubmitRequest{Scheduler: a.Scheduler, RequestID: a.RequestID, IdempotencyKey: a.IdempotencyKey, Retry: true})
+		case CancelRequest:
+			r.off = append(r.off, a.RequestID)
+		case ContainerChanged:
 			r.view[fmt.Sprint(a.Container.Index)] = a.Container
-		case Removed:
+		case ContainerRemoved:
 			delete(r.view, fmt.Sprint(a.Index))
-		case Wake:
+		case SetTimer:
 			if r.wake == 0 || r.now+a.After < r.wake {
 				r.wake = r.now + a.After
 			}
@@ -66,11 +66,11 @@
 			return
 		}
 		r.now, r.wake = max(r.now, r.wake), 0
-		r.do(Woke{})
+		r.do(TimerFired{})
 	}
 }
 
-func (r *rig) last() Submit { return r.sent[len(r.sent)-1] }
+func (r *rig) last() SubmitRequest { return r.sent[len(r.sent)-1] }
 
 // Each step is a word: what a placer says of the ask sent last, or what happens. want is the state and the number
 // of asks so far.
@@ -120,42 +120,42 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, tc.effect, 1)
 			for _, w := range strings.Fields(tc.steps) {
-				ask := r.last().Ask
+				ask := r.last().RequestID
 				switch w {
 				case "placed":
-					r.do(Answered{Ask: ask, Verdict: Placed, Machine: "m"})
+					r.do(PlacementAnswered{RequestID: ask, Verdict: VerdictAccepted, Machine: "m"})
 				case "pushed":
-					r.do(Answered{Ask: ask, Verdict: PushedBack})
+					r.do(PlacementAnswered{RequestID: ask, Verdict: VerdictRejected})
 				case "held-off":
-					r.do(Answered{Ask: ask, Verdict: PushedBack, HoldOff: 5 * sec})
+					r.do(PlacementAnswered{RequestID: ask, Verdict: VerdictRejected, RetryAfter: 5 * sec})
 				case "givenup":
-					r.do(Answered{Ask: ask, Verdict: GivenUp})
+					r.do(PlacementAnswered{RequestID: ask, Verdict: VerdictFailed})
 				case "finished":
-					r.do(Fated{ask, scheduler.OutcomeFinished, 0})
+					r.do(ContainerEnded{ask, scheduler.OutcomeFinished, 0})
 				case "evicted":
-					r.do(Fated{ask, scheduler.OutcomeLost, scheduler.ReasonOutOfMemory})
+					r.do(ContainerEnded{ask, scheduler.OutcomeLost, scheduler.ReasonOutOfMemory})
 				case "stopped":
-					r.do(Fated{ask, scheduler.OutcomeStopped, 0})
+					r.do(ContainerEnded{ask, scheduler.OutcomeStopped, 0})
 				case "ceased":
-					r.do(Answered{Ask: r.off[len(r.off)-1], Verdict: GivenUp, Text: "cancelled"})
+					r.do(PlacementAnswered{RequestID: r.off[len(r.off)-1], Verdict: VerdictFailed, Message: "cancelled"})
 				case "unsure":
-					r.do(Answered{Ask: r.off[len(r.off)-1], Verdict: TurnedAway})
+					r.do(PlacementAnswered{RequestID: r.off[len(r.off)-1], Verdict: VerdictRefused})
 				case "ended":
-					r.do(Fated{r.off[len(r.off)-1], scheduler.OutcomeStopped, 0})
+					r.do(ContainerEnded{r.off[len(r.off)-1], scheduler.OutcomeStopped, 0})
 				case "lost":
-					r.do(Fated{ask, scheduler.OutcomeLost, 0})
+					r.do(ContainerEnded{ask, scheduler.OutcomeLost, 0})
 				case "away":
-					r.do(Door{0, false})
+					r.do(SchedulerConnection{0, false})
 				case "back":
-					r.do(Door{0, true})
+					r.do(SchedulerConnection{0, true})
 				case "other":
-					r.do(Door{1, true})
+					r.do(SchedulerConnection{1, true})
 				case "down":
-					r.do(Set{"j", 0, Spec{Service: "s", Cores: 1}})
+					r.do(JobSet{"j", 0, Spec{Service: "s", Cores: 1}})
 				case "up":
-					r.do(Set{"j", 1, Spec{Service: "s", Cores: 1}})
+					r.do(JobSet{"j", 1, Spec{Service: "s", Cores: 1}})
 				case "spec":
-					r.do(Set{"j", 1, Spec{Service: "s", Cores: 2}})
+					r.do(JobSet{"j", 1, Spec{Service: "s", Cores: 2}})
 				case "300ms":
 					r.pass(300 * scheduler.Millisecond)
 				default:
@@ -183,7 +183,7 @@
 func TestBackOffSpreads(t *testing.T) {
 	r := newRig(t, scheduler.Idempotent, 1000)
 	for _, s := range r.sent {
-		r.do(Answered{Ask: s.Ask, Verdict: PushedBack})
+		r.do(PlacementAnswered{RequestID: s.RequestID, Verdict: VerdictRejected})
 	}
 	first, most := len(r.sent), 0
 	for range 100 {
@@ -206,7 +206,7 @@
 		keys := map[string]string{} // key that runs, to its ask
 		doors := map[string]int{}   // key, to the placer that knows
 		type sent struct {
-			Submit
+			SubmitRequest
 			at   scheduler.Time
 			life int // of its placer
 		}
@@ -216,11 +216,11 @@
 		looks := map[string]bool{}
 		name := func(key string) string { return key[:strings.LastIndex(key, "/")] }
 		var feed func(e ...Event)
-		begin := func(s Submit) {
-			runs[name(s.Key)]++
-			keys[s.Key], doors[s.Key] = s.Ask, s.Door
-			if runs[name(s.Key)] > 1 {
-				t.Fatalf("%s runs twice at %d", name(s.Key), now)
+		begin := func(s SubmitRequest) {
+			runs[name(s.IdempotencyKey)]++
+			keys[s.IdempotencyKey], doors[s.IdempotencyKey] = s.RequestID, s.Scheduler
+			if runs[name(s.IdempotencyKey)] > 1 {
+				t.Fatalf("%s runs twice at %d", name(s.IdempotencyKey), now)
 			}
 		}
 		stop := func(key string) {
@@ -230,39 +230,39 @@
 		feed = func(e ...Event) {
 			for _, a := range k.Handle(now, e) {
 				switch a := a.(type) {
-				case Submit:
-					asked = append(asked, sent{a, now, lives[a.Door]})
-				case Look:
-					asked = append(asked, sent{Submit{Door: a.Door, Ask: a.Ask, Key: a.Key, Again: true}, now, lives[a.Door]})
-					looks[a.Ask] = true
-				case Cancel:
-					if !up[a.Door] {
+				case SubmitRequest:
+					asked = append(asked, sent{a, now, lives[a.Scheduler]})
+				case LookupRequest:
+					asked = append(asked, sent{SubmitRequest{Scheduler: a.Scheduler, RequestID: a.RequestID, IdempotencyKey: a.IdempotencyKey, Retry: true}, now, lives[a.Scheduler]})
+					looks[a.RequestID] = true
+				case CancelRequest:
+					if !up[a.Scheduler] {
 						continue
 					}
-					if _, on := keys[a.Key]; on && doors[a.Key] == a.Door {
-						stop(a.Key)
-						asked = slices.DeleteFunc(asked, func(s sent) bool { return s.Key == a.Key && s.life == lives[a.Door] })
-						feed(Fated{a.Ask, scheduler.OutcomeStopped, 0})
+					if _, on := keys[a.IdempotencyKey]; on && doors[a.IdempotencyKey] == a.Scheduler {
+						stop(a.IdempotencyKey)
+						asked = slices.DeleteFunc(asked, func(s sent) bool { return s.IdempotencyKey == a.IdempotencyKey && s.life == lives[a.Scheduler] })
+						feed(ContainerEnded{a.RequestID, scheduler.OutcomeStopped, 0})
 						continue
 					}
 					// While an earlier bid may start yet the placer is not sure, and takes no ask of its key either.
-					verdict, pending := GivenUp, -1
+					verdict, pending := VerdictFailed, -1
 					for i, s := range asked {
-						if s.Key == a.Key && s.Door == a.Door && s.life != lives[a.Door] && now-s.at < 4*sec {
-							verdict = TurnedAway
-						} else if s.Key == a.Key && s.Door == a.Door && s.life == lives[a.Door] {
+						if s.IdempotencyKey == a.IdempotencyKey && s.Scheduler == a.Scheduler && s.life != lives[a.Scheduler] && now-s.at < 4*sec {
+							verdict = VerdictRefused
+						} else if s.IdempotencyKey == a.IdempotencyKey && s.Scheduler == a.Scheduler && s.life == lives[a.Scheduler] {
 							pending = i
 						}
 					}
 					if pending >= 0 {
 						s := asked[pending]
 						asked = append(asked[:pending:pending], asked[pending+1:]...)
-						if s.Ask != a.Ask {
-							feed(Answered{Ask: s.Ask, Verdict: verdict, Text: "cancelled"})
+						if s.RequestID != a.RequestID {
+							feed(PlacementAnswered{RequestID: s.RequestID, Verdict: verdict, Message: "cancelled"})
 						}
 					}
-					feed(Answered{Ask: a.Ask, Verdict: verdict, Text: "cancelled"})
-				case Wake:
+					feed(PlacementAnswered{RequestID: a.RequestID, Verdict: verdict, Message: "cancelled"})
+				case SetTimer:
 					wake = now + a.After
 				}
 			}
@@ -274,55 +274,55 @@
 					return
 				}
 				now, wake = max(now, wake), 0
-				feed(Woke{})
+				feed(TimerFired{})
 			}
 		}
 		// answer settles the oldest ask in one of the ways a placer may.
 		answer := func(how int) {
 			s := asked[0]
 			asked = asked[1:]
-			if !up[s.Door] || lives[s.Door] != s.life {
+			if !up[s.Scheduler] || lives[s.Scheduler] != s.life {
 				// The keeper heard of its loss. The bid may start all the same, until it lapses.
-				if _, on := keys[s.Key]; !on && how == 0 && now-s.at < 4*sec && !looks[s.Ask] {
-					begin(s.Submit)
+				if _, on := keys[s.IdempotencyKey]; !on && how == 0 && now-s.at < 4*sec && !looks[s.RequestID] {
+					begin(s.SubmitRequest)
 				}
 				return
 			}
-			if _, on := keys[s.Key]; on {
-				if doors[s.Key] == s.Door {
-					keys[s.Key] = s.Ask
-					feed(Answered{Ask: s.Ask, Verdict: Placed, Machine: "m"})
+			if _, on := keys[s.IdempotencyKey]; on {
+				if doors[s.IdempotencyKey] == s.Scheduler {
+					keys[s.IdempotencyKey] = s.RequestID
+					feed(PlacementAnswered{RequestID: s.RequestID, Verdict: VerdictAccepted, Machine: "m"})
 				} else {
-					t.Fatalf("%s is asked for at %d and runs by %d", s.Key, s.Door, doors[s.Key])
+					t.Fatalf("%s is asked for at %d and runs by %d", s.IdempotencyKey, s.Scheduler, doors[s.IdempotencyKey])
 				}
 				return
 			}
-			if looks[s.Ask] {
-				verdict := PushedBack
+			if looks[s.RequestID] {
+				verdict := VerdictRejected
 				for _, x := range asked {
-					if x.Key == s.Key && !looks[x.Ask] && now-x.at < 4*sec {
-						verdict = TurnedAway
+					if x.IdempotencyKey == s.IdempotencyKey && !looks[x.RequestID] && now-x.at < 4*sec {
+						verdict = VerdictRefused
 					}
 				}
-				feed(Answered{Ask: s.Ask, Verdict: verdict})
+				feed(PlacementAnswered{RequestID: s.RequestID, Verdict: verdict})
 				return
 			}
 			switch how {
 			case 0, 1:
-				begin(s.Submit)
-				feed(Answered{Ask: s.Ask, Verdict: Placed, Machine: "m"})
+				begin(s.SubmitRequest)
+				feed(PlacementAnswered{RequestID: s.RequestID, Verdict: VerdictAccepted, Machine: "m"})
 			case 2:
-				feed(Answered{Ask: s.Ask, Verdict: PushedBack})
+				feed(PlacementAnswered{RequestID: s.RequestID, Verdict: VerdictRejected})
 			case 3: // given up, and it runs
-				begin(s.Submit)
-				feed(Answered{Ask: s.Ask, Verdict: GivenUp})
+				begin(s.SubmitRequest)
+				feed(PlacementAnswered{RequestID: s.RequestID, Verdict: VerdictFailed})
 			case 4:
-				feed(Answered{Ask: s.Ask, Verdict: GivenUp})
+				feed(PlacementAnswered{RequestID: s.RequestID, Verdict: VerdictFailed})
 			case 5:
-				feed(Answered{Ask: s.Ask, Verdict: TurnedAway})
+				feed(PlacementAnswered{RequestID: s.RequestID, Verdict: VerdictRefused})
 			}
 		}
-		feed(Set{"j", 3, Spec{}})
+		feed(JobSet{"j", 3, Spec{}})
 		for range 60 {
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1:
@@ -333,17 +333,17 @@
 				d := rapid.IntRange(0, 1).Draw(t, "door")
 				up[d] = !up[d]
 				lives[d]++
-				feed(Door{d, up[d]})
+				feed(SchedulerConnection{d, up[d]})
 			case 3:
 				pass(scheduler.Time(rapid.IntRange(1, 100_000).Draw(t, "span")))
 			case 4:
-				feed(Set{"j", rapid.IntRange(0, 4).Draw(t, "count"), Spec{}})
+				feed(JobSet{"j", rapid.IntRange(0, 4).Draw(t, "count"), Spec{}})
 			case 5:
 				for _, key := range []string{"j/0/", "j/1/", "j/2/"} {
 					for run, ask := range keys {
 						if strings.HasPrefix(run, key) && up[doors[run]] {
 							stop(run)
-							feed(Fated{ask, scheduler.OutcomeLost, scheduler.ReasonDrained})
+							feed(ContainerEnded{ask, scheduler.OutcomeLost, scheduler.ReasonDrained})
 							break
 						}
 					}
@@ -352,9 +352,9 @@
 		}
 		for d := range up {
 			up[d] = true
-			feed(Door{d, true})
+			feed(SchedulerConnection{d, true})
 		}
-		feed(Set{"j", 2, Spec{}})
+		feed(JobSet{"j", 2, Spec{}})
 		for range 200 {
 			pass(sec)
 			for len(asked) > 0 {
@@ -364,7 +364,7 @@
 		if runs["j/0"] != 1 || runs["j/1"] != 1 || runs["j/2"]+runs["j/3"] != 0 {
 			t.Fatalf("in the end these run: %v; %+v", runs, k.ordered())
 		}
-		feed(Drop{"j"})
+		feed(JobDeleted{"j"})
 		pass(20 * sec)
 		if n := len(k.jobs) + len(k.asks); n != 0 || runs["j/0"]+runs["j/1"] != 0 {
 			t.Fatalf("%d left in tables, %v running", n, runs)
@@ -376,36 +376,36 @@
 // wanted count and what happens; the state, the asks and the cancels are compared.
 func TestRestored(t *testing.T) {
 	spec := Spec{Service: "s", Cores: 1}
-	was := Container{Job: "j", Door: 0, Key: "j/0/41", Ask: "j/0#42", Again: true, With: spec}
+	was := Container{Job: "j", Scheduler: 0, IdempotencyKey: "j/0/41", RequestID: "j/0#42", Submitted: true, SubmittedSpec: spec}
 	for _, tc := range []struct {
 		name   string
 		effect scheduler.Idempotency
-		state  State
+		state  ContainerState
 		change func(c *Container)
 		count  int
 		steps  string
 		want   string
 	}{
-		{"never asked for", 2, Waiting, func(c *Container) { c.Door, c.Ask, c.Again = -1, "", false }, 1, "other 1s", "asking 1 at 1 with j/0/41"},
-		{"asked: its placer has to tell", 2, Asking, nil, 1, "other 9s", "unwatched 0"},
-		{"asked, reissuable: nor is that started twice", 0, Asking, nil, 1, "other 5s", "unwatched 0"},
-		{"asked, its placer is there", 2, Asking, nil, 1, "back 2s", "asking 1 at 0 with j/0/41"},
-		{"asked, and it runs", 2, Asking, nil, 1, "back 2s placed", "running 1 at 0 with j/0/41"},
-		{"ran", 2, Running, nil, 1, "back 2s placed", "running 1 at 0 with j/0/41"},
-		{"ran, reissuable, its placer stays away", 0, Running, nil, 1, "other 11s", "asking 1 at 1 with another key"},
-		{"ran, its placer stays away", 2, Running, nil, 1, "other 60s", "unwatched 0"},
-		{"pinned while it waited", 2, Waiting, func(c *Container) { c.Pinned = true }, 1, "other 9s", "unwatched 0"},
-		{"guarded", 2, Guarded, nil, 1, "back 7s", "guarded 0"},
-		{"guarded, the wait is over", 2, Guarded, nil, 1, "back 9s", "asking 1 at 0 with j/0/41"},
-		{"finished", 0, Done, nil, 1, "back 9s", "done 0"},
-		{"its job was dropped", 2, Running, nil, -1, "back 2s ceased", "removed 0, 1 cancelled"},
-		{"scaled down", 2, Running, nil, 0, "back 2s ceased", "removed 0, 1 cancelled"},
-		{"scaled down, never asked for", 2, Waiting, func(c *Container) { c.Door, c.Again = -1, false }, 0, "", "removed 0"},
-		{"its placer is none any more", 2, Running, func(c *Container) { c.Door = -1 }, 1, "other 60s", "waiting 0"},
-		{"its placer is none any more, reissuable", 0, Running, func(c *Container) { c.Door = -1 }, 1, "other 1s", "asking 1 at 1 with another key"},
+		{"never asked for", 2, StatePending, func(c *Container) { c.Scheduler, c.RequestID, c.Submitted = -1, "", false }, 1, "other 1s", "asking 1 at 1 with j/0/41"},
+		{"asked: its placer has to tell", 2, StatePlacing, nil, 1, "other 9s", "unwatched 0"},
+		{"asked, reissuable: nor is that started twice", 0, StatePlacing, nil, 1, "other 5s", "unwatched 0"},
+		{"asked, its placer is there", 2, StatePlacing, nil, 1, "back 2s", "asking 1 at 0 with j/0/41"},
+		{"asked, and it runs", 2, StatePlacing, nil, 1, "back 2s placed", "running 1 at 0 with j/0/41"},
+		{"ran", 2, StateRunning, nil, 1, "back 2s placed", "running 1 at 0 with j/0/41"},
+		{"ran, reissuable, its placer stays away", 0, StateRunning, nil, 1, "other 11s", "asking 1 at 1 with another key"},
+		{"ran, its placer stays away", 2, StateRunning, nil, 1, "other 60s", "unwatched 0"},
+		{"pinned while it waited", 2, StatePending, func(c *Container) { c.Sticky = true }, 1, "other 9s", "unwatched 0"},
+		{"guarded", 2, StateFencing, nil, 1, "back 7s", "guarded 0"},
+		{"guarded, the wait is over", 2, StateFencing, nil, 1, "back 9s", "asking 1 at 0 with j/0/41"},
+		{"finished", 0, StateCompleted, nil, 1, "back 9s", "done 0"},
+		{"its job was dropped", 2, StateRunning, nil, -1, "back 2s ceased", "removed 0, 1 cancelled"},
+		{"scaled down", 2, StateRunning, nil, 0, "back 2s ceased", "removed 0, 1 cancelled"},
+		{"scaled down, never asked for", 2, StatePending, func(c *Container) { c.Scheduler, c.Submitted = -1, false }, 0, "", "removed 0"},
+		{"its placer is none any more", 2, StateRunning, func(c *Container) { c.Scheduler = -1 }, 1, "other 60s", "waiting 0"},
+		{"its placer is none any more, reissuable", 0, StateRunning, func(c *Container) { c.Scheduler = -1 }, 1, "other 1s", "asking 1 at 1 with another key"},
 		// Without the check this fell over: there is no door -1.
-		{"its placer is none any more, and it is to leave", 2, Running, func(c *Container) { c.Door = -1 }, 0, "back 9s", "unwatched 0"},
-		{"a job without its container", 2, Waiting, func(c *Container) { c.Job = "" }, 1, "back 1s", "asking 1 at 0 with another key"},
+		{"its placer is none any more, and it is to leave", 2, StateRunning, func(c *Container) { c.Scheduler = -1 }, 0, "back 9s", "unwatched 0"},
+		{"a job without its container", 2, StatePending, func(c *Container) { c.Job = "" }, 1, "back 1s", "asking 1 at 0 with another key"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := &rig{T: t, k: New(terms(tc.effect)), view: map[string]Container{}}
@@ -413,9 +413,9 @@
 			if c.State = tc.state; tc.change != nil {
 				tc.change(&c)
 			}
-			e := Restored{Containers: []Container{c}}
+			e := StateRestored{Containers: []Container{c}}
 			if tc.count >= 0 {
-				e.Jobs = []Set{{"j", tc.count, spec}}
+				e.Jobs = []JobSet{{"j", tc.count, spec}}
 			}
 			if c.Job == "" {
 				e.Containers = nil
@@ -425,13 +425,13 @@
 			for _, w := range strings.Fields(tc.steps) {
 				switch w {
 				case "back":
-					r.do(Door{0, true})
+					r.do(SchedulerConnection{0, true})
 				case "other":
-					r.do(Door{1, true})
+					r.do(SchedulerConnection{1, true})
 				case "placed":
-					r.do(Answered{Ask: r.last().Ask, Verdict: Placed, Machine: "m"})
+					r.do(PlacementAnswered{RequestID: r.last().RequestID, Verdict: VerdictAccepted, Machine: "m"})
 				case "ceased":
-					r.do(Answered{Ask: r.off[len(r.off)-1], Verdict: GivenUp, Text: "cancelled"})
+					r.do(PlacementAnswered{RequestID: r.off[len(r.off)-1], Verdict: VerdictFailed, Message: "cancelled"})
 				default:
 					var n scheduler.Time
 					fmt.Sscanf(w, "%ds", &n)
@@ -444,14 +444,14 @@
 			}
 			got += fmt.Sprint(" ", len(r.sent))
 			if len(r.sent) > 0 {
-				key := r.last().Key
-				if key != c.Key {
+				key := r.last().IdempotencyKey
+				if key != c.IdempotencyKey {
 					key = "another key"
 				}
-				if r.last().Ask == c.Ask {
+				if r.last().RequestID == c.RequestID {
 					t.Error("an ask of the earlier life has come again")
 				}
-				got += fmt.Sprintf(" at %d with %s", r.last().Door, key)
+				got += fmt.Sprintf(" at %d with %s", r.last().Scheduler, key)
 			}
 			if len(r.off) > 0 {
 				got += fmt.Sprintf(", %d cancelled", len(r.off))
@@ -470,23 +470,23 @@
 	rapid.Check(t, func(t *rapid.T) {
 		effect := rapid.SampledFrom([]scheduler.Idempotency{scheduler.Idempotent, scheduler.AtMostOnce}).Draw(t, "effect")
 		spec := Spec{Service: "s", Cores: 1}
-		jobs := map[string]Set{}             // kept
+		jobs := map[string]JobSet{}          // kept
 		log := map[string]Container{}        // kept
-		strays := map[Stray]bool{}           // kept
+		strays := map[Orphan]bool{}          // kept
 		runs := [2]map[string]string{{}, {}} // by door: key to ask
 		open := [2]bool{}
 		began := map[string]bool{} // keys that ran
 		now, wake, life := scheduler.Time(0), scheduler.Time(0), uint64(0)
-		var k *Keeper
+		var k *Controller
 		var todo []Action
 		calm := false
 		chance := func(n int, label string) bool { return !calm && rapid.IntRange(0, n-1).Draw(t, label) == 0 }
 		var do func(e ...Event)
 		start := func() {
 			life += 1000
-			k = New(Terms{Seed: life, First: life, Doors: 2, Workloads: []Workload{{Effect: effect, HardStop: 4 * sec, Window: 8 * sec}}})
+			k = New(Config{Seed: life, FirstSequence: life, SchedulerCount: 2, WorkloadClasses: []WorkloadClass{{Idempotency: effect, PlacementTimeout: 4 * sec, DedupWindow: 8 * sec}}})
 			todo, wake, open = nil, 0, [2]bool{}
-			e := Restored{}
+			e := StateRestored{}
 			for _, id := range []string{"a", "b"} {
 				if j, ok := jobs[id]; ok {
 					e.Jobs = append(e.Jobs, j)
@@ -496,7 +496,7 @@
 				e.Containers = append(e.Containers, c)
 			}
 			for x := range strays {
-				e.Strays = append(e.Strays, x)
+				e.Orphans = append(e.Orphans, x)
 			}
 			do(e)
 		}
@@ -505,40 +505,40 @@
 				a := todo[0]
 				todo = todo[1:]
 				switch a := a.(type) {
-				case Look:
-					if _, there := runs[a.Door][a.Key]; there && open[a.Door] {
-						runs[a.Door][a.Key] = a.Ask // who asked last hears its fate
-						do(Answered{Ask: a.Ask, Verdict: Placed, Machine: "m"})
-					} else if open[a.Door] && chance(3, "not sure yet") {
-						do(Answered{Ask: a.Ask, Verdict: TurnedAway})
-					} else if open[a.Door] {
-						do(Answered{Ask: a.Ask, Verdict: PushedBack})
+				case LookupRequest:
+					if _, there := runs[a.Scheduler][a.IdempotencyKey]; there && open[a.Scheduler] {
+						runs[a.Scheduler][a.IdempotencyKey] = a.RequestID // who asked last hears its fate
+						do(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictAccepted, Machine: "m"})
+					} else if open[a.Scheduler] && chance(3, "not sure yet") {
+						do(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictRefused})
+					} else if open[a.Scheduler] {
+						do(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictRejected})
 					}
-				case Submit:
-					if !open[a.Door] {
+				case SubmitRequest:
+					if !open[a.Scheduler] {
 						continue
 					}
-					if began[a.Key] && effect == scheduler.AtMostOnce {
-						t.Fatalf("key %s ran, and is asked for again", a.Key)
+					if began[a.IdempotencyKey] && effect == scheduler.AtMostOnce {
+						t.Fatalf("key %s ran, and is asked for again", a.IdempotencyKey)
 					}
-					at := runs[a.Door]
-					_, there := at[a.Key]
+					at := runs[a.Scheduler]
+					_, there := at[a.IdempotencyKey]
 					switch {
 					case there:
-						at[a.Key] = a.Ask
-						do(Answered{Ask: a.Ask, Verdict: Placed, Machine: "m"})
+						at[a.IdempotencyKey] = a.RequestID
+						do(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictAccepted, Machine: "m"})
 					case chance(4, "pushed back"):
-						do(Answered{Ask: a.Ask, Verdict: PushedBack})
+						do(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictRejected})
 					case effect == scheduler.AtMostOnce && chance(4, "given up, and it runs"): // a placer calls other work off then
-						at[a.Key], began[a.Key] = a.Ask, true
-						do(Answered{Ask: a.Ask, Verdict: GivenUp})
+						at[a.IdempotencyKey], began[a.IdempotencyKey] = a.RequestID, true
+						do(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictFailed})
 					case chance(6, "its link breaks, and it runs"):
-						at[a.Key], began[a.Key] = a.Ask, true
-						open[a.Door] = false
-						do(Door{a.Door, false})
+						at[a.IdempotencyKey], began[a.IdempotencyKey] = a.RequestID, true
+						open[a.Scheduler] = false
+						do(SchedulerConnection{a.Scheduler, false})
 					default:
-						at[a.Key], began[a.Key] = a.Ask, true
-						do(Answered{Ask: a.Ask, Verdict: Placed, Machine: "m"})
+						at[a.IdempotencyKey], began[a.IdempotencyKey] = a.RequestID, true
+						do(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictAccepted, Machine: "m"})
 					}
 					if effect == scheduler.AtMostOnce {
 						seen := map[string]bool{}
@@ -552,14 +552,14 @@
 							}
 						}
 					}
-				case Cancel:
-					if _, there := runs[a.Door][a.Key]; there && open[a.Door] {
-						delete(runs[a.Door], a.Key)
-						do(Fated{a.Ask, scheduler.OutcomeStopped, 0})
-					} else if open[a.Door] && chance(3, "not sure yet") {
-						do(Answered{Ask: a.Ask, Verdict: TurnedAway})
-					} else if open[a.Door] {
-						do(Answered{Ask: a.Ask, Verdict: GivenUp, Text: "cancelled"})
+				case CancelRequest:
+					if _, there := runs[a.Scheduler][a.IdempotencyKey]; there && open[a.Scheduler] {
+						delete(runs[a.Scheduler], a.IdempotencyKey)
+						do(ContainerEnded{a.RequestID, scheduler.OutcomeStopped, 0})
+					} else if open[a.Scheduler] && chance(3, "not sure yet") {
+						do(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictRefused})
+					} else if open[a.Scheduler] {
+						do(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictFailed, Message: "cancelled"})
 					}
 				}
 			}
@@ -567,15 +567,15 @@
 		do = func(e ...Event) {
 			for _, a := range k.Handle(now, e) {
 				switch a := a.(type) {
-				case Changed:
+				case ContainerChanged:
 					log[fmt.Sprintf("%s.%d", a.Container.Job, a.Container.Index)] = a.Container
-				case Removed:
+				case ContainerRemoved:
 					delete(log, fmt.Sprintf("%s.%d", a.Job, a.Index))
-				case Strayed:
-					strays[a.Stray] = true
-				case Found:
-					delete(strays, a.Stray)
-				case Wake:
+				case OrphanRecorded:
+					strays[a.Orphan] = true
+				case OrphanResolved:
+					delete(strays, a.Orphan)
+				case SetTimer:
 					if wake == 0 || now+a.After < wake {
 						wake = now + a.After
 					}
@@ -591,7 +591,7 @@
 					return
 				}
 				now, wake = max(now, wake), 0
-				do(Woke{})
+				do(TimerFired{})
 				perform()
 			}
 		}
@@ -600,27 +600,27 @@
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1:
 				id := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "job")
-				s := Set{id, rapid.IntRange(0, 3).Draw(t, "count"), spec}
+				s := JobSet{id, rapid.IntRange(0, 3).Draw(t, "count"), spec}
 				jobs[id] = s
 				do(s)
 			case 2:
 				if id := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "job"); jobs[id].Job != "" {
 					delete(jobs, id)
-					do(Drop{id})
+					do(JobDeleted{id})
 				}
 			case 3: // kill -9: what was written is there, what was to be done is not
 				start()
 			case 4:
 				d := rapid.IntRange(0, 1).Draw(t, "door")
 				open[d] = !open[d]
-				do(Door{d, open[d]})
+				do(SchedulerConnection{d, open[d]})
 			case 5:
 				for d := range runs {
 					keys := slices.Sorted(maps.Keys(runs[d]))
 					if open[d] && len(keys) > 0 {
 						ask := runs[d][keys[0]]
 						delete(runs[d], keys[0])
-						do(Fated{ask, scheduler.OutcomeFinished, 0})
+						do(ContainerEnded{ask, scheduler.OutcomeFinished, 0})
 					}
 				}
 			}
@@ -631,7 +631,7 @@
 		for d := range open {
 			if !open[d] {
 				open[d] = true
-				do(Door{d, true})
+				do(SchedulerConnection{d, true})
 			}
 		}
 		perform()
--- a/internal/controller/pending/golden_test.go
+++ b/internal/controller/pending/golden_test.go
@@ -68,12 +68,12 @@
 		return 0
 	}
 	now := scheduler.Time(upTo(1_000_000))
-	state := controller.State(upTo(5))
-	f := Facts{Doors: 1 + upTo(4), DoorOpen: chance(0.7), Asked: group != 2 && chance(0.9),
-		ListAge: scheduler.Time(upTo(60_000)) - 5_000, ColdWindow: scheduler.Time(upTo(30_000))}
-	f.DoorsOpen = upTo(f.Doors)
-	f.Container = controller.Container{Job: "j", Index: upTo(9), State: state, Pinned: chance(0.2), Held: chance(0.3), Tries: upTo(4),
-		Door: upTo(f.Doors) - 1, Since: now - scheduler.Time(upTo(90_000)), Last: []string{"", "pushed back", "given up, and it may run",
+	state := controller.ContainerState(upTo(5))
+	f := Facts{Schedulers: 1 + upTo(4), SchedulerConnected: chance(0.7), Explained: group != 2 && chance(0.9),
+		ListAge: scheduler.Time(upTo(60_000)) - 5_000, SlowStartWindow: scheduler.Time(upTo(30_000))}
+	f.SchedulersConnected = upTo(f.Schedulers)
+	f.Container = controller.Container{Job: "j", Index: upTo(9), State: state, Sticky: chance(0.2), Refused: chance(0.3), Attempts: upTo(4),
+		Scheduler: upTo(f.Schedulers) - 1, Since: now - scheduler.Time(upTo(90_000)), LastStatus: []string{"", "pushed back", "given up, and it may run",
 			"turned away: may run on machine m3", "turned away: does not know yet", "turned away: full"}[upTo(5)]}
 	if chance(0.7) {
 		f.Container.Until = now + scheduler.Time(upTo(200_000)) - 20_000
@@ -89,12 +89,12 @@
 		x.WrongMachineType, x.TooSmall, x.Draining = 0, 0, x.Machines
 	}
 	for zone := range upTo(3) {
-		h := Hall{Name: fmt.Sprint(zone), Machines: upTo(most)}
-		h.Drained = upTo(h.Machines)
+		h := Zone{Name: fmt.Sprint(zone), Machines: upTo(most)}
+		h.Draining = upTo(h.Machines)
 		if chance(0.3) {
-			h.Drained = h.Machines
+			h.Draining = h.Machines
 		}
-		f.Halls = append(f.Halls, h)
+		f.Zones = append(f.Zones, h)
 	}
 	return now, f
 }
--- a/internal/controller/server/golden_test.go
+++ b/internal/controller/server/golden_test.go
@@ -35,20 +35,20 @@
 
 // Records of the golden folder, every field set in one of them.
 var (
-	goldenJob = KeptJob{Job: Job{ID: "reports", Labels: map[string]string{"team": "north"}, Service: "report", Workload: "report-run",
-		Customer: "schools", Cores: 1.5, MemoryGiB: 2.25, RunForMS: 60_000, Once: true, Count: 3, Version: 41},
-		Made: "key-1", Request: []byte{0xde, 0xad, 0xbe, 0xef}}
-	goldenPlainJob = KeptJob{Job: Job{ID: "plain", Service: "web", Workload: "matcher", Cores: 0.5, MemoryGiB: 1, Version: 42}}
+	goldenJob = JobRecord{Job: Job{ID: "reports", Labels: map[string]string{"team": "north"}, Service: "report", WorkloadClass: "report-run",
+		Tenant: "schools", Cores: 1.5, MemoryGiB: 2.25, RunForMS: 60_000, RunOnce: true, Count: 3, Version: 41},
+		CreationKey: "key-1", RequestDigest: []byte{0xde, 0xad, 0xbe, 0xef}}
+	goldenPlainJob = JobRecord{Job: Job{ID: "plain", Service: "web", WorkloadClass: "matcher", Cores: 0.5, MemoryGiB: 1, Version: 42}}
 
-	goldenSpec = controller.Spec{Service: "report", Workload: 1, Customer: 2, Cores: 1.5, Memory: 2.25, RunFor: 600_000, Once: true}
+	goldenSpec = controller.Spec{Service: "report", WorkloadClass: 1, Tenant: 2, Cores: 1.5, Memory: 2.25, RunFor: 600_000, RunOnce: true}
 
-	goldenContainer = KeptContainer{Door: goldenDoor, Container: controller.Container{Job: "reports", Index: 2, State: controller.Running,
-		Leaving: true, Machine: "m17", Door: 1, Pinned: true, Since: 17_000_000_000_001, Until: 17_000_000_000_002, Tries: 3,
-		Starts: 4, Last: "runs", Held: true, Key: "reports/2/31", Ask: "reports/2#32", Again: true, Replaced: true, With: goldenSpec}}
-	goldenPlainContainer = KeptContainer{Container: controller.Container{Job: "plain", Door: -1, Last: "not asked for yet",
-		Key: "plain/0/30"}}
+	goldenContainer = ContainerRecord{SchedulerAddress: goldenDoor, Container: controller.Container{Job: "reports", Index: 2, State: controller.StateRunning,
+		Terminating: true, Machine: "m17", Scheduler: 1, Sticky: true, Since: 17_000_000_000_001, Until: 17_000_000_000_002, Attempts: 3,
+		Starts: 4, LastStatus: "runs", Refused: true, IdempotencyKey: "reports/2/31", RequestID: "reports/2#32", Submitted: true, Replacing: true, SubmittedSpec: goldenSpec}}
+	goldenPlainContainer = ContainerRecord{Container: controller.Container{Job: "plain", Scheduler: -1, LastStatus: "not asked for yet",
+		IdempotencyKey: "plain/0/30"}}
 
-	goldenStray = KeptStray{Door: goldenDoor, Key: "reports/1/29"}
+	goldenStray = OrphanRecord{SchedulerAddress: goldenDoor, IdempotencyKey: "reports/1/29"}
 )
 
 type goldenRecord struct {
@@ -58,29 +58,29 @@
 
 func goldenRecords() []goldenRecord {
 	records := []goldenRecord{
-		{JobKind, "reports", &goldenJob},
-		{JobKind, "plain", &goldenPlainJob},
-		{ContainerKind, "reports.2", goldenContainer},
-		{ContainerKind, "plain.0", goldenPlainContainer},
-		{StrayKind, goldenDoor + " reports/1/29", goldenStray},
+		{RecordJob, "reports", &goldenJob},
+		{RecordJob, "plain", &goldenPlainJob},
+		{RecordContainer, "reports.2", goldenContainer},
+		{RecordContainer, "plain.0", goldenPlainContainer},
+		{RecordOrphan, goldenDoor + " reports/1/29", goldenStray},
 	}
 	// one container in each other state
-	for state := controller.Waiting; state <= controller.Done; state++ {
+	for state := controller.StatePending; state <= controller.StateCompleted; state++ {
 		c := goldenPlainContainer
 		c.Container.Job, c.Container.Index, c.Container.State = "states", int(state), state
-		records = append(records, goldenRecord{ContainerKind, containerID("states", int(state)), c})
+		records = append(records, goldenRecord{RecordContainer, containerID("states", int(state)), c})
 	}
 	return records
 }
 
-func goldenPlace(folder string) Place {
-	return Place{Name: "controller", Doors: []string{"127.0.0.1:7000", goldenDoor}, Seed: 1, State: folder,
-		Site: &config.Placer{Workloads: []string{"matcher", "report-run"}, Customers: []string{"offices", "farms", "schools"},
+func goldenPlace(folder string) Config {
+	return Config{Name: "controller", Schedulers: []string{"127.0.0.1:7000", goldenDoor}, Seed: 1, StateDir: folder,
+		SchedulerConfig: &config.Placer{Workloads: []string{"matcher", "report-run"}, Customers: []string{"offices", "farms", "schools"},
 			Terms: scheduler.Config{WorkloadClasses: []scheduler.WorkloadClass{{}, {}}}}}
 }
 
 // openGolden brings up a host on a folder, without serving; closed stops it.
-func openGolden(t *testing.T, folder string) (h *Host, closed func()) {
+func openGolden(t *testing.T, folder string) (h *Server, closed func()) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	h, err := New(goldenPlace(folder), watchcache.New(func(*watchcache.Object) []byte { return nil }), log)
@@ -89,7 +89,7 @@
 	}
 	return h, func() {
 		h.Stop()
-		h.place.Doors, h.doors = nil, nil // nobody is called
+		h.place.Schedulers, h.doors = nil, nil // nobody is called
 		if err := h.Run(); err != nil {
 			t.Error(err)
 		}
@@ -103,11 +103,11 @@
 		t.Fatal(err)
 	}
 	h, closed := openGolden(t, goldenFolder)
-	changes := []wal.Change{wal.Put(CeilingKind, ceilingKey, goldenCeiling)}
+	changes := []wal.Change{wal.Put(RecordVersionCeiling, ceilingKey, goldenCeiling)}
 	for _, r := range goldenRecords() {
 		changes = append(changes, wal.Put(r.kind, r.key, r.value))
 	}
-	if err := h.promises.log.CommitSync(changes...); err != nil {
+	if err := h.records.log.CommitSync(changes...); err != nil {
 		t.Fatal(err)
 	}
 	closed()
@@ -116,8 +116,8 @@
 	}
 	var words strings.Builder
 	words.WriteString("# The records of the state folder beside: kind and key, what they hold in CBOR diagnostic notation.\n")
-	for _, kind := range h.promises.log.State().Kinds() {
-		if err := h.promises.log.State().ForEach(kind, func(key string, value []byte) error {
+	for _, kind := range h.records.log.State().Kinds() {
+		if err := h.records.log.State().ForEach(kind, func(key string, value []byte) error {
 			text, err := cbor.Diagnose(value)
 			fmt.Fprintf(&words, "%s %q %s\n", kind, key, text)
 			return err
@@ -152,7 +152,7 @@
 			t.Fatal(err)
 		}
 	}
-	records := append(goldenRecords(), goldenRecord{CeilingKind, ceilingKey, int64(goldenCeiling)})
+	records := append(goldenRecords(), goldenRecord{RecordVersionCeiling, ceilingKey, int64(goldenCeiling)})
 	if len(raw) != len(records) {
 		t.Errorf("%d records in %s, want %d", len(raw), goldenFolder, len(records))
 	}
@@ -182,17 +182,17 @@
 	}
 	h, closed := openGolden(t, folder)
 	defer closed()
-	if got := h.promises.ceiling; got != goldenCeiling+ceilingSteps {
+	if got := h.records.ceiling; got != goldenCeiling+ceilingSteps {
 		t.Errorf("ceiling %d, want %d", got, goldenCeiling+ceilingSteps)
 	}
-	if got := h.Catalog.Taken(); got != goldenCeiling {
+	if got := h.Cache.LastReserved(); got != goldenCeiling {
 		t.Errorf("versions begin after %d, want %d", got, goldenCeiling)
 	}
-	if want := map[string]KeptJob{"reports": goldenJob, "plain": goldenPlainJob}; !reflect.DeepEqual(h.promises.made, want) {
-		t.Errorf("jobs %+v, want %+v", h.promises.made, want)
+	if want := map[string]JobRecord{"reports": goldenJob, "plain": goldenPlainJob}; !reflect.DeepEqual(h.records.made, want) {
+		t.Errorf("jobs %+v, want %+v", h.records.made, want)
 	}
 	for id, want := range map[string]Job{"reports": goldenJob.Job, "plain": goldenPlainJob.Job} {
-		o := h.Catalog.Get(Jobs, id)
+		o := h.Cache.Get(KindJobs, id)
 		if o == nil || o.Version != want.Version || !reflect.DeepEqual(o.Value, want) {
 			t.Errorf("%s: %+v, want %+v", id, o, want)
 		}
@@ -200,18 +200,18 @@
 	if len(h.events) != 1 {
 		t.Fatalf("%d events, want one", len(h.events))
 	}
-	restored, ok := h.events[0].(controller.Restored)
+	restored, ok := h.events[0].(controller.StateRestored)
 	if !ok {
 		t.Fatalf("%T, want what was restored", h.events[0])
 	}
-	plainSpec := controller.Spec{Service: "web", Customer: 3, Cores: 0.5, Memory: 1}
-	wantJobs := []controller.Set{{Job: "plain", Spec: plainSpec}, {Job: "reports", Count: 3, Spec: goldenSpec}}
+	plainSpec := controller.Spec{Service: "web", Tenant: 3, Cores: 0.5, Memory: 1}
+	wantJobs := []controller.JobSet{{Job: "plain", Spec: plainSpec}, {Job: "reports", Count: 3, Spec: goldenSpec}}
 	if !reflect.DeepEqual(restored.Jobs, wantJobs) {
 		t.Errorf("jobs %+v, want %+v", restored.Jobs, wantJobs)
 	}
 	var wantContainers []controller.Container
 	for _, r := range goldenRecords() {
-		if c, ok := r.value.(KeptContainer); ok {
+		if c, ok := r.value.(ContainerRecord); ok {
 			wantContainers = append(wantContainers, c.Container)
 		}
 	}
@@ -227,8 +227,8 @@
 			t.Errorf("container %+v, want %+v", got, want)
 		}
 	}
-	if want := []controller.Stray{{Door: 1, Key: "reports/1/29"}}; !reflect.DeepEqual(restored.Strays, want) {
-		t.Errorf("strays %+v, want %+v", restored.Strays, want)
+	if want := []controller.Orphan{{Scheduler: 1, IdempotencyKey: "reports/1/29"}}; !reflect.DeepEqual(restored.Orphans, want) {
+		t.Errorf("strays %+v, want %+v", restored.Orphans, want)
 	}
 }
 
@@ -236,9 +236,9 @@
 func TestObjectsMatchGoldenJSON(t *testing.T) {
 	objects := []any{
 		goldenJob.Job, Job{},
-		Container{ID: "reports.2", Job: "reports", Index: 2, State: "running", Leaving: true, Machine: "m17", Placer: "p1", SinceMS: 5,
-			UntilMS: 6, Tries: 7, Starts: 8, Last: "runs", Version: 9}, Container{},
-		Machine{ID: "m17", Hall: 2, Kind: "large", State: "serving", FreeCores: 1.5, FreeMemoryGiB: 2.5, Incarnation: 1 << 60, Version: 3},
+		Container{ID: "reports.2", Job: "reports", Index: 2, State: "running", Terminating: true, Machine: "m17", Scheduler: "p1", SinceMS: 5,
+			UntilMS: 6, Attempts: 7, Starts: 8, LastStatus: "runs", Version: 9}, Container{},
+		Machine{ID: "m17", Zone: 2, MachineType: "large", State: "serving", FreeCores: 1.5, FreeMemoryGiB: 2.5, Incarnation: 1 << 60, Version: 3},
 		Machine{},
 	}
 	var got strings.Builder
@@ -253,7 +253,7 @@
 			t.Errorf("%s read as %+v, %v", line, back.Elem(), err)
 		}
 	}
-	for state := controller.Waiting; state <= controller.Done; state++ {
+	for state := controller.StatePending; state <= controller.StateCompleted; state++ {
 		fmt.Fprintf(&got, "state %d %s\n", state, state)
 	}
 	if *update {
--- a/internal/controller/server/jobs.go
+++ b/internal/controller/server/jobs.go
@@ -23,9 +23,9 @@
 
 // Kinds of what the catalog holds.
 const (
-	Jobs       = "jobs"
-	Containers = "containers"
-	Machines   = "machines"
+	KindJobs       = "jobs"
+	KindContainers = "containers"
+	KindMachines   = "machines"
 )
 
 const (
@@ -36,53 +36,53 @@
 	relist    = 500 * eventloop.Millisecond
 )
 
-// Place is where a keeper finds what it works with.
-type Place struct {
-	Name  string
-	Doors []string
-	List  string
-	Seed  uint64
-	State string         // the folder of what is kept over restarts; nothing is where empty
-	Site  *config.Placer // workloads, customers, kinds
+// Config is where a keeper finds what it works with.
+type Config struct {
+	Name            string
+	Schedulers      []string
+	MachineList     string
+	Seed            uint64
+	StateDir        string         // the folder of what is kept over restarts; nothing is where empty
+	SchedulerConfig *config.Placer // workloads, customers, kinds
 }
 
 // Job is what an owner wants.
 type Job struct {
-	ID        string            `json:"id" cbor:"id"`
-	Labels    map[string]string `json:"labels,omitempty" cbor:"labels,omitempty"`
-	Service   string            `json:"service" cbor:"service"`
-	Workload  string            `json:"workload" cbor:"workload"`
-	Customer  string            `json:"customer,omitempty" cbor:"customer,omitempty"`
-	Cores     float64           `json:"cores" cbor:"cores"`
-	MemoryGiB float64           `json:"memory_gib" cbor:"memory_gib"`
-	RunForMS  int64             `json:"run_for_ms,omitempty" cbor:"run_for_ms,omitempty"`
-	Once      bool              `json:"once,omitempty" cbor:"once,omitempty"`
-	Count     int               `json:"count" cbor:"count"`
-	Version   int64             `json:"version" cbor:"version"`
+	ID            string            `json:"id" cbor:"id"`
+	Labels        map[string]string `json:"labels,omitempty" cbor:"labels,omitempty"`
+	Service       string            `json:"service" cbor:"service"`
+	WorkloadClass string            `json:"workload" cbor:"workload"`
+	Tenant        string            `json:"customer,omitempty" cbor:"customer,omitempty"`
+	Cores         float64           `json:"cores" cbor:"cores"`
+	MemoryGiB     float64           `json:"memory_gib" cbor:"memory_gib"`
+	RunForMS      int64             `json:"run_for_ms,omitempty" cbor:"run_for_ms,omitempty"`
+	RunOnce       bool              `json:"once,omitempty" cbor:"once,omitempty"`
+	Count         int               `json:"count" cbor:"count"`
+	Version       int64             `json:"version" cbor:"version"`
 }
 
 // Container is one that a job wants.
 type Container struct {
-	ID      string `json:"id"`
-	Job     string `json:"job"`
-	Index   int    `json:"index"`
-	State   string `json:"state"`
-	Leaving bool   `json:"leaving,omitempty"`
-	Machine string `json:"machine,omitempty"`
-	Placer  string `json:"placer,omitempty"`
-	SinceMS int64  `json:"since_ms"`           // unix time
-	UntilMS int64  `json:"until_ms,omitempty"` // when something is due
-	Tries   int    `json:"tries"`
-	Starts  int    `json:"starts"`
-	Last    string `json:"last"`
-	Version int64  `json:"version"`
+	ID          string `json:"id"`
+	Job         string `json:"job"`
+	Index       int    `json:"index"`
+	State       string `json:"state"`
+	Terminating bool   `json:"leaving,omitempty"`
+	Machine     string `json:"machine,omitempty"`
+	Scheduler   string `json:"placer,omitempty"`
+	SinceMS     int64  `json:"since_ms"`           // unix time
+	UntilMS     int64  `json:"until_ms,omitempty"` // when something is due
+	Attempts    int    `json:"tries"`
+	Starts      int    `json:"starts"`
+	LastStatus  string `json:"last"`
+	Version     int64  `json:"version"`
 }
 
 // Machine is one of the list.
 type Machine struct {
 	ID            string  `json:"id"`
-	Hall          int     `json:"hall"`
-	Kind          string  `json:"kind"`
+	Zone          int     `json:"hall"`
+	MachineType   string  `json:"kind"`
 	State         string  `json:"state"`
 	FreeCores     float64 `json:"free_cores"`
 	FreeMemoryGiB float64 `json:"free_memory_gib"`
@@ -90,25 +90,25 @@
 	Version       int64   `json:"version"`
 }
 
-// Host is a running keeper.
-type Host struct {
-	Catalog *watchcache.Catalog
-	place   Place
-	log     *slog.Logger
-	loop    *eventloop.Loop
-	keeper  *controller.Keeper
-	events  []controller.Event
-	doors   []*door
-	list    *listing
-	views   map[string]controller.Container  // by container id
-	halls   map[string]protocol.MachineEntry // by machine
-	asked   map[uint64]*question             // emptied by the answer or its time
-	last    map[string]*explained            // by job, for a moment
-	seq     uint64
-
-	promises *promises           // nil where nothing is kept
-	shown    []*published        // changes of the catalog that wait for the disk
-	pending  map[string][]func() // by job: changes that wait for the one under way
+// Server is a running keeper.
+type Server struct {
+	Cache  *watchcache.Cache
+	place  Config
+	log    *slog.Logger
+	loop   *eventloop.Loop
+	keeper *controller.Controller
+	events []controller.Event
+	doors  []*schedulerConn
+	list   *machineListConn
+	views  map[string]controller.Container  // by container id
+	halls  map[string]protocol.MachineEntry // by machine
+	asked  map[uint64]*question             // emptied by the answer or its time
+	last   map[string]*explained            // by job, for a moment
+	seq    uint64
+
+	records *recordLog          // nil where nothing is kept
+	shown   []*published        // changes of the catalog that wait for the disk
+	pending map[string][]func() // by job: changes that wait for the one under way
 }
 
 type explained struct {
@@ -122,23 +122,23 @@
 }
 
 // New makes a keeper's host; Run serves it.
-func New(p Place, c *watchcache.Catalog, log *slog.Logger) (*Host, error) {
-	t := controller.Terms{Seed: p.Seed, First: uint64(time.Now().UnixMicro()), Doors: len(p.Doors)}
-	for _, w := range p.Site.Terms.WorkloadClasses {
-		t.Workloads = append(t.Workloads, controller.Workload{Effect: w.Idempotency, HardStop: w.PlacementTimeout, Window: w.DedupWindow})
+func New(p Config, c *watchcache.Cache, log *slog.Logger) (*Server, error) {
+	t := controller.Config{Seed: p.Seed, FirstSequence: uint64(time.Now().UnixMicro()), SchedulerCount: len(p.Schedulers)}
+	for _, w := range p.SchedulerConfig.Terms.WorkloadClasses {
+		t.WorkloadClasses = append(t.WorkloadClasses, controller.WorkloadClass{Idempotency: w.Idempotency, PlacementTimeout: w.PlacementTimeout, DedupWindow: w.DedupWindow})
 	}
-	h := &Host{Catalog: c, place: p, log: log, keeper: controller.New(t), views: map[string]controller.Container{},
+	h := &Server{Cache: c, place: p, log: log, keeper: controller.New(t), views: map[string]controller.Container{},
 		halls: map[string]protocol.MachineEntry{}, asked: map[uint64]*question{}, last: map[string]*explained{}, pending: map[string][]func(){}}
 	var err error
 	if h.loop, err = eventloop.New(h.turn); err != nil {
 		return nil, err
 	}
-	for i, addr := range p.Doors {
-		h.doors = append(h.doors, &door{h: h, number: i, addr: addr})
+	for i, addr := range p.Schedulers {
+		h.doors = append(h.doors, &schedulerConn{h: h, number: i, addr: addr})
 	}
-	h.list = &listing{h: h}
-	if p.State != "" {
-		if h.promises, err = openPromises(h, p.State); err != nil {
+	h.list = &machineListConn{h: h}
+	if p.StateDir != "" {
+		if h.records, err = openRecords(h, p.StateDir); err != nil {
 			h.loop.Stop()
 			h.loop.Run()
 			return nil, err
@@ -148,28 +148,28 @@
 }
 
 // Run serves until Stop.
-func (h *Host) Run() error {
+func (h *Server) Run() error {
 	h.loop.Post(func() {
 		for _, d := range h.doors {
 			d.call()
 		}
-		if h.place.List != "" {
+		if h.place.MachineList != "" {
 			h.list.call()
 		}
 	})
 	err := h.loop.Run()
-	if h.promises != nil {
-		if c := h.promises.close(); err == nil {
+	if h.records != nil {
+		if c := h.records.close(); err == nil {
 			err = c
 		}
 	}
 	return err
 }
 
-func (h *Host) Stop() { h.loop.Stop() }
+func (h *Server) Stop() { h.loop.Stop() }
 
 // ask runs f on the loop and waits for it; false once the host has stopped.
-func (h *Host) ask(f func()) bool {
+func (h *Server) ask(f func()) bool {
 	done := make(chan struct{})
 	if !h.loop.Post(func() { defer close(done); f() }) {
 		return false
@@ -185,40 +185,40 @@
 // ErrClosed says that the keeper is not there to be asked.
 var ErrStopped = errors.New("the keeper has stopped")
 
-// Made tells a request that makes a job from another: the key that its sender gave it, and a digest.
-type Made struct {
-	Key     string
-	Request []byte
+// CreationToken tells a request that makes a job from another: the key that its sender gave it, and a digest.
+type CreationToken struct {
+	Key           string
+	RequestDigest []byte
 }
 
-// Set makes or changes a job and returns its version once that is on disk. With precondition above 0 the job must have
+// SetJob makes or changes a job and returns its version once that is on disk. With precondition above 0 the job must have
 // that version, below 0 there must be none; but one that the same request made is no conflict.
-func (h *Host) Set(j Job, precondition int64, by Made) (version int64, err error) {
+func (h *Server) SetJob(j Job, precondition int64, by CreationToken) (version int64, err error) {
 	spec, err := h.spec(&j)
 	if err != nil {
 		return 0, err
 	}
-	return h.changed(j.ID, func(old *Job) (*KeptJob, controller.Event, error) {
-		k := &KeptJob{Job: j, Made: by.Key, Request: by.Request}
+	return h.changed(j.ID, func(old *Job) (*JobRecord, controller.Event, error) {
+		k := &JobRecord{Job: j, CreationKey: by.Key, RequestDigest: by.RequestDigest}
 		switch {
 		case precondition < 0 && old != nil:
-			if h.promises != nil && by.Key != "" {
-				if m := h.promises.made[j.ID]; m.Made == by.Key && bytes.Equal(m.Request, by.Request) {
+			if h.records != nil && by.Key != "" {
+				if m := h.records.made[j.ID]; m.CreationKey == by.Key && bytes.Equal(m.RequestDigest, by.RequestDigest) {
 					return nil, nil, &alreadyMade{old.Version}
 				}
 			}
-			return nil, nil, &Conflict{j.ID, old.Version, "it exists already"}
+			return nil, nil, &ConflictError{j.ID, old.Version, "it exists already"}
 		case precondition > 0 && old == nil:
-			return nil, nil, ErrUnknown
+			return nil, nil, ErrNotFound
 		case precondition > 0 && old.Version != precondition:
-			return nil, nil, &Conflict{j.ID, old.Version, "it was changed meanwhile"}
+			return nil, nil, &ConflictError{j.ID, old.Version, "it was changed meanwhile"}
 		}
-		return k, controller.Set{Job: j.ID, Count: j.Count, Spec: spec}, nil
+		return k, controller.JobSet{Job: j.ID, Count: j.Count, Spec: spec}, nil
 	})
 }
 
 // changed makes a change on the loop and waits for it.
-func (h *Host) changed(id string, f func(*Job) (*KeptJob, controller.Event, error)) (int64, error) {
+func (h *Server) changed(id string, f func(*Job) (*JobRecord, controller.Event, error)) (int64, error) {
 	type answer struct {
 		version int64
 		err     error
@@ -237,44 +237,44 @@
 	}
 }
 
-// Drop ends a job.
-func (h *Host) Drop(id string, precondition int64) error {
-	_, err := h.changed(id, func(old *Job) (*KeptJob, controller.Event, error) {
+// DeleteJob ends a job.
+func (h *Server) DeleteJob(id string, precondition int64) error {
+	_, err := h.changed(id, func(old *Job) (*JobRecord, controller.Event, error) {
 		switch {
 		case old == nil:
-			return nil, nil, ErrUnknown
+			return nil, nil, ErrNotFound
 		case precondition > 0 && old.Version != precondition:
-			return nil, nil, &Conflict{id, old.Version, "it was changed meanwhile"}
+			return nil, nil, &ConflictError{id, old.Version, "it was changed meanwhile"}
 		}
-		return nil, controller.Drop{Job: id}, nil
+		return nil, controller.JobDeleted{Job: id}, nil
 	})
 	return err
 }
 
-// ErrUnknown is for what does not exist.
-var ErrUnknown = errors.New("there is none of that id")
+// ErrNotFound is for what does not exist.
+var ErrNotFound = errors.New("there is none of that id")
 
-// Conflict is for a change that came too late.
-type Conflict struct {
+// ConflictError is for a change that came too late.
+type ConflictError struct {
 	ID      string
 	Version int64
-	Text    string
+	Message string
 }
 
-func (c *Conflict) Error() string {
-	return fmt.Sprintf("%s: %s; its version is %d", c.ID, c.Text, c.Version)
+func (c *ConflictError) Error() string {
+	return fmt.Sprintf("%s: %s; its version is %d", c.ID, c.Message, c.Version)
 }
 
-// Invalid is a field that cannot be.
-type Invalid struct{ Field, Text string }
+// InvalidFieldError is a field that cannot be.
+type InvalidFieldError struct{ Field, Message string }
 
-func (e *Invalid) Error() string { return e.Field + ": " + e.Text }
+func (e *InvalidFieldError) Error() string { return e.Field + ": " + e.Message }
 
-func (h *Host) spec(j *Job) (controller.Spec, error) {
+func (h *Server) spec(j *Job) (controller.Spec, error) {
 	s := controller.Spec{Service: j.Service, Cores: j.Cores, Memory: j.MemoryGiB, RunFor: scheduler.Time(j.RunForMS) * scheduler.Millisecond,
-		Once: j.Once}
+		RunOnce: j.RunOnce}
 	bad := func(field, format string, a ...any) (controller.Spec, error) {
-		return s, &Invalid{field, fmt.Sprintf(format, a...)}
+		return s, &InvalidFieldError{field, fmt.Sprintf(format, a...)}
 	}
 	if !goodID(j.ID) {
 		return bad("id", "%q is not 1 to 63 of a to z, 0 to 9 and -", j.ID)
@@ -282,15 +282,15 @@
 	if j.Service == "" || len(j.Service) > 100 {
 		return bad("service", "1 to 100 bytes are wanted")
 	}
-	if s.Workload = indexOf(h.place.Site.Workloads, j.Workload); s.Workload < 0 {
-		return bad("workload", "%q is none of %s", j.Workload, strings.Join(h.place.Site.Workloads, ", "))
+	if s.WorkloadClass = indexOf(h.place.SchedulerConfig.Workloads, j.WorkloadClass); s.WorkloadClass < 0 {
+		return bad("workload", "%q is none of %s", j.WorkloadClass, strings.Join(h.place.SchedulerConfig.Workloads, ", "))
 	}
-	if j.Customer != "" {
-		if s.Customer = indexOf(h.place.Site.Customers, j.Customer); s.Customer < 0 {
-			return bad("customer", "%q is none of %s", j.Customer, strings.Join(h.place.Site.Customers, ", "))
+	if j.Tenant != "" {
+		if s.Tenant = indexOf(h.place.SchedulerConfig.Customers, j.Tenant); s.Tenant < 0 {
+			return bad("customer", "%q is none of %s", j.Tenant, strings.Join(h.place.SchedulerConfig.Customers, ", "))
 		}
 	} else {
-		s.Customer = len(h.place.Site.Customers)
+		s.Tenant = len(h.place.SchedulerConfig.Customers)
 	}
 	switch {
 	case !(j.Cores > 0 && j.Cores <= 1e6):
@@ -328,8 +328,8 @@
 	return -1
 }
 
-// Why returns the reasons why a container does not run, asking a placer. The times are unix milliseconds.
-func (h *Host) Why(container string) (reasons []pending.Reason, state string, err error) {
+// PendingReasons returns the reasons why a container does not run, asking a placer. The times are unix milliseconds.
+func (h *Server) PendingReasons(container string) (reasons []pending.Reason, state string, err error) {
 	type answer struct {
 		reasons []pending.Reason
 		state   string
@@ -352,7 +352,7 @@
 		return nil, "", ErrStopped
 	}
 	if !found {
-		return nil, "", ErrUnknown
+		return nil, "", ErrNotFound
 	}
 	select {
 	case a := <-got:
@@ -363,8 +363,8 @@
 }
 
 // explain asks the placer that was asked last, or another, and hands its word on; nil where none answers in time.
-func (h *Host) explain(v controller.Container, then func(*protocol.ExplainReply)) {
-	if v.State == controller.Running || v.State == controller.Done {
+func (h *Server) explain(v controller.Container, then func(*protocol.ExplainReply)) {
+	if v.State == controller.StateRunning || v.State == controller.StateCompleted {
 		then(nil)
 		return
 	}
@@ -378,8 +378,8 @@
 			return
 		}
 	}
-	o := h.Catalog.Get(Jobs, v.Job)
-	d := h.anyDoor(v.Door)
+	o := h.Cache.Get(KindJobs, v.Job)
+	d := h.anyDoor(v.Scheduler)
 	if o == nil || d == nil {
 		then(nil)
 		return
@@ -398,7 +398,7 @@
 	d.write(&protocol.ExplainRequest{Seq: n, Spec: work(spec, "why", "why")})
 }
 
-func (h *Host) answered(seq uint64, w *protocol.ExplainReply) {
+func (h *Server) answered(seq uint64, w *protocol.ExplainReply) {
 	q := h.asked[seq]
 	if q == nil {
 		return
@@ -417,7 +417,7 @@
 	}
 }
 
-func (h *Host) anyDoor(first int) *door {
+func (h *Server) anyDoor(first int) *schedulerConn {
 	if first >= 0 && first < len(h.doors) && h.doors[first].open {
 		return h.doors[first]
 	}
@@ -429,44 +429,44 @@
 	return nil
 }
 
-func (h *Host) facts(v controller.Container, w *protocol.ExplainReply) pending.Facts {
-	f := pending.Facts{Container: v, Doors: len(h.doors), ColdWindow: h.place.Site.Terms.SlowStartWindow}
+func (h *Server) facts(v controller.Container, w *protocol.ExplainReply) pending.Facts {
+	f := pending.Facts{Container: v, Schedulers: len(h.doors), SlowStartWindow: h.place.SchedulerConfig.Terms.SlowStartWindow}
 	for _, d := range h.doors {
 		if d.open {
-			f.DoorsOpen++
-			f.DoorOpen = f.DoorOpen || d.number == v.Door
+			f.SchedulersConnected++
+			f.SchedulerConnected = f.SchedulerConnected || d.number == v.Scheduler
 		}
 	}
 	if w != nil && w.Known {
-		f.Asked, f.ListAge = true, scheduler.Time(w.ListAge)
+		f.Explained, f.ListAge = true, scheduler.Time(w.ListAge)
 		f.Explanation = scheduler.Explanation{Machines: w.Machines, Gone: w.Gone, WrongMachineType: w.WrongMachineType, Draining: w.Draining,
 			TooSmall: w.TooSmall, SelfDraining: w.SelfDraining, SpreadExhausted: w.SpreadExhausted, SlowStartExhausted: w.SlowStartExhausted, Ejected: w.Ejected,
 			Suspected: w.Suspected, InsufficientCores: w.InsufficientCores, InsufficientMemory: w.InsufficientMemory, Eligible: w.Eligible, SheddingLoad: w.SheddingLoad, FullRatio: w.FullRatio}
 	}
-	halls := map[int]*pending.Hall{}
+	halls := map[int]*pending.Zone{}
 	most := -1
 	for _, e := range h.halls {
 		x := halls[e.Zone]
 		if x == nil {
-			x = &pending.Hall{Name: fmt.Sprint(e.Zone)}
+			x = &pending.Zone{Name: fmt.Sprint(e.Zone)}
 			halls[e.Zone] = x
 			most = max(most, e.Zone)
 		}
 		x.Machines++
 		if e.State == protocol.MachineDraining {
-			x.Drained++
+			x.Draining++
 		}
 	}
 	for z := 0; z <= most; z++ {
 		if halls[z] != nil {
-			f.Halls = append(f.Halls, *halls[z])
+			f.Zones = append(f.Zones, *halls[z])
 		}
 	}
 	return f
 }
 
 // turn hands the keeper what came, keeps what it makes of it, and then carries out what it wants.
-func (h *Host) turn() {
+func (h *Server) turn() {
 	events := h.events
 	if len(events) == 0 {
 		return
@@ -477,31 +477,31 @@
 	durable := false
 	for _, a := range h.keeper.Handle(scheduler.Time(h.loop.Now()), events) {
 		switch a := a.(type) {
-		case controller.Changed:
-			if h.promises != nil {
-				k := KeptContainer{Container: a.Container}
-				if d := a.Container.Door; d >= 0 {
-					k.Door = h.doors[d].addr
+		case controller.ContainerChanged:
+			if h.records != nil {
+				k := ContainerRecord{Container: a.Container}
+				if d := a.Container.Scheduler; d >= 0 {
+					k.SchedulerAddress = h.doors[d].addr
 				}
-				changes = append(changes, wal.Put(ContainerKind, containerID(a.Container.Job, a.Container.Index), k))
+				changes = append(changes, wal.Put(RecordContainer, containerID(a.Container.Job, a.Container.Index), k))
 			}
 			h.show(a.Container)
-		case controller.Removed:
+		case controller.ContainerRemoved:
 			id := containerID(a.Job, a.Index)
-			changes = append(changes, wal.Change{Kind: ContainerKind, Key: id})
+			changes = append(changes, wal.Change{Kind: RecordContainer, Key: id})
 			if _, seen := h.views[id]; seen {
 				delete(h.views, id)
-				h.publish(Containers, id, Container{ID: id, Job: a.Job, Index: a.Index}, true, true)
+				h.publish(KindContainers, id, Container{ID: id, Job: a.Job, Index: a.Index}, true, true)
 			}
-		case controller.Strayed:
-			k := KeptStray{h.doors[a.Stray.Door].addr, a.Stray.Key}
-			changes = append(changes, wal.Put(StrayKind, k.Door+" "+k.Key, k))
-		case controller.Found:
-			changes = append(changes, wal.Change{Kind: StrayKind, Key: h.doors[a.Stray.Door].addr + " " + a.Stray.Key})
-		case controller.Wake:
-			h.loop.After(eventloop.Tick(a.After), func() { h.events = append(h.events, controller.Woke{}) })
-		case controller.Submit:
-			_, sync := recovery.MustPersist(h.effect(a.Spec.Workload))
+		case controller.OrphanRecorded:
+			k := OrphanRecord{h.doors[a.Orphan.Scheduler].addr, a.Orphan.IdempotencyKey}
+			changes = append(changes, wal.Put(RecordOrphan, k.SchedulerAddress+" "+k.IdempotencyKey, k))
+		case controller.OrphanResolved:
+			changes = append(changes, wal.Change{Kind: RecordOrphan, Key: h.doors[a.Orphan.Scheduler].addr + " " + a.Orphan.IdempotencyKey})
+		case controller.SetTimer:
+			h.loop.After(eventloop.Tick(a.After), func() { h.events = append(h.events, controller.TimerFired{}) })
+		case controller.SubmitRequest:
+			_, sync := recovery.MustPersist(h.effect(a.Spec.WorkloadClass))
 			durable = durable || sync
 			todo = append(todo, a)
 		default:
@@ -521,52 +521,52 @@
 	})
 }
 
-func (h *Host) effect(workload int) scheduler.Idempotency {
-	if w := h.place.Site.Terms.WorkloadClasses; workload >= 0 && workload < len(w) {
+func (h *Server) effect(workload int) scheduler.Idempotency {
+	if w := h.place.SchedulerConfig.Terms.WorkloadClasses; workload >= 0 && workload < len(w) {
 		return w[workload].Idempotency
 	}
 	return scheduler.AtMostOnce
 }
 
 // carry does what the keeper wants done. An ask that could not be written down is not made.
-func (h *Host) carry(a controller.Action, kept error) {
+func (h *Server) carry(a controller.Action, kept error) {
 	switch a := a.(type) {
-	case controller.Submit:
+	case controller.SubmitRequest:
 		if kept != nil {
-			h.events = append(h.events, controller.Answered{Ask: a.Ask, Verdict: controller.TurnedAway, HoldOff: scheduler.Second,
-				Text: "the ask could not be written down: " + kept.Error()})
+			h.events = append(h.events, controller.PlacementAnswered{RequestID: a.RequestID, Verdict: controller.VerdictRefused, RetryAfter: scheduler.Second,
+				Message: "the ask could not be written down: " + kept.Error()})
 			return
 		}
-		h.doors[a.Door].write(&protocol.Submit{TimeToDeadline: protocol.Duration(a.Left), Spec: h.submission(a)})
-	case controller.Look:
-		h.doors[a.Door].write(&protocol.Lookup{ContainerID: a.Ask, IdempotencyKey: a.Key})
-	case controller.Cancel:
-		if a.Door >= 0 {
-			h.doors[a.Door].write(&protocol.CancelContainer{ContainerID: a.Ask, IdempotencyKey: a.Key})
+		h.doors[a.Scheduler].write(&protocol.Submit{TimeToDeadline: protocol.Duration(a.Timeout), Spec: h.submission(a)})
+	case controller.LookupRequest:
+		h.doors[a.Scheduler].write(&protocol.Lookup{ContainerID: a.RequestID, IdempotencyKey: a.IdempotencyKey})
+	case controller.CancelRequest:
+		if a.Scheduler >= 0 {
+			h.doors[a.Scheduler].write(&protocol.CancelContainer{ContainerID: a.RequestID, IdempotencyKey: a.IdempotencyKey})
 		}
 	}
 }
 
 func containerID(job string, index int) string { return fmt.Sprintf("%s.%d", job, index) }
 
-func (h *Host) show(v controller.Container) {
-	c := Container{ID: containerID(v.Job, v.Index), Job: v.Job, Index: v.Index, State: v.State.String(), Leaving: v.Leaving,
+func (h *Server) show(v controller.Container) {
+	c := Container{ID: containerID(v.Job, v.Index), Job: v.Job, Index: v.Index, State: v.State.String(), Terminating: v.Terminating,
 		Machine: v.Machine, SinceMS: int64(v.Since / scheduler.Millisecond), UntilMS: int64(v.Until / scheduler.Millisecond),
-		Tries: v.Tries, Starts: v.Starts, Last: v.Last}
-	if v.Door >= 0 {
-		c.Placer = h.doors[v.Door].name
+		Attempts: v.Attempts, Starts: v.Starts, LastStatus: v.LastStatus}
+	if v.Scheduler >= 0 {
+		c.Scheduler = h.doors[v.Scheduler].name
 	}
 	h.views[c.ID] = v
-	h.publish(Containers, c.ID, c, false, true)
+	h.publish(KindContainers, c.ID, c, false, true)
 }
 
 func work(s controller.Spec, container, key string) protocol.ContainerSpec {
-	return protocol.ContainerSpec{ContainerID: container, IdempotencyKey: key, Service: s.Service, WorkloadClass: s.Workload, Tenant: s.Customer, Cores: s.Cores,
+	return protocol.ContainerSpec{ContainerID: container, IdempotencyKey: key, Service: s.Service, WorkloadClass: s.WorkloadClass, Tenant: s.Tenant, Cores: s.Cores,
 		Memory: s.Memory, ExpectedRuntime: protocol.Duration(s.RunFor)}
 }
 
-func (h *Host) submission(a controller.Submit) protocol.ContainerSpec {
-	w := work(a.Spec, a.Ask, a.Key)
-	w.ClientRetry = a.Again
+func (h *Server) submission(a controller.SubmitRequest) protocol.ContainerSpec {
+	w := work(a.Spec, a.RequestID, a.IdempotencyKey)
+	w.ClientRetry = a.Retry
 	return w
 }
--- a/internal/controller/server/kept.go
+++ b/internal/controller/server/kept.go
@@ -19,28 +19,28 @@
 	keepAgain    = eventloop.Second
 )
 
-// NotKept says that something could not be put on disk, and so was not done.
-type NotKept struct{ Why error }
+// NotPersistedError says that something could not be put on disk, and so was not done.
+type NotPersistedError struct{ Err error }
 
-func (n *NotKept) Error() string {
-	return "it cannot be kept on disk, and was not done: " + n.Why.Error()
+func (n *NotPersistedError) Error() string {
+	return "it cannot be kept on disk, and was not done: " + n.Err.Error()
 }
-func (n *NotKept) Unwrap() error { return n.Why }
+func (n *NotPersistedError) Unwrap() error { return n.Err }
 
-// promises are what a keeper has on disk. What is asked of placers and answered to owners waits until it is there.
-type promises struct {
-	h       *Host
+// recordLog are what a keeper has on disk. What is asked of placers and answered to owners waits until it is there.
+type recordLog struct {
+	h       *Server
 	dir     *vfs.LockedDir
 	log     *wal.Log
 	ceiling int64
-	made    map[string]KeptJob    // jobs that are, by id
+	made    map[string]JobRecord  // jobs that are, by id
 	redo    map[string]wal.Change // that could not be kept, by kind and key; emptied when the disk takes them
 	redoing bool
 }
 
-// openPromises reads the folder and gives what it held to the keeper's host.
-func openPromises(h *Host, folder string) (*promises, error) {
-	p := &promises{h: h, made: map[string]KeptJob{}, redo: map[string]wal.Change{}}
+// openRecords reads the folder and gives what it held to the keeper's host.
+func openRecords(h *Server, folder string) (*recordLog, error) {
+	p := &recordLog{h: h, made: map[string]JobRecord{}, redo: map[string]wal.Change{}}
 	var err error
 	if p.dir, err = vfs.OpenLocked(folder); err != nil {
 		return nil, err
@@ -60,7 +60,7 @@
 	}
 	// No version of this life is one of an earlier: the ceiling is raised before any is given out.
 	p.ceiling += ceilingSteps
-	if err := p.log.CommitSync(wal.Put(CeilingKind, ceilingKey, p.ceiling)); err != nil {
+	if err := p.log.CommitSync(wal.Put(RecordVersionCeiling, ceilingKey, p.ceiling)); err != nil {
 		p.close()
 		return nil, fmt.Errorf("state folder %s: %w", folder, err)
 	}
@@ -70,14 +70,14 @@
 	return p, nil
 }
 
-func (p *promises) read() (r controller.Restored, err error) {
+func (p *recordLog) read() (r controller.StateRestored, err error) {
 	h, from := p.h, p.log.State()
-	if err = from.ForEach(CeilingKind, func(_ string, v []byte) error { return cbor.Unmarshal(v, &p.ceiling) }); err != nil {
+	if err = from.ForEach(RecordVersionCeiling, func(_ string, v []byte) error { return cbor.Unmarshal(v, &p.ceiling) }); err != nil {
 		return r, err
 	}
-	h.Catalog.Start(p.ceiling)
-	if err = from.ForEach(JobKind, func(id string, v []byte) error {
-		var k KeptJob
+	h.Cache.StartAfter(p.ceiling)
+	if err = from.ForEach(RecordJob, func(id string, v []byte) error {
+		var k JobRecord
 		if err := cbor.Unmarshal(v, &k); err != nil {
 			return fmt.Errorf("job %s: %w", id, err)
 		}
@@ -86,8 +86,8 @@
 			return fmt.Errorf("job %s does not fit the placer's file any more: %w", id, err)
 		}
 		p.made[id] = k
-		h.Catalog.Make(k.Job.Version, Jobs, id, k.Job, false)
-		r.Jobs = append(r.Jobs, controller.Set{Job: id, Count: k.Job.Count, Spec: spec})
+		h.Cache.Apply(k.Job.Version, KindJobs, id, k.Job, false)
+		r.Jobs = append(r.Jobs, controller.JobSet{Job: id, Count: k.Job.Count, Spec: spec})
 		return nil
 	}); err != nil {
 		return r, err
@@ -96,15 +96,15 @@
 	for i, d := range h.doors {
 		doors[d.addr] = i
 	}
-	err = from.ForEach(ContainerKind, func(id string, v []byte) error {
-		var k KeptContainer
+	err = from.ForEach(RecordContainer, func(id string, v []byte) error {
+		var k ContainerRecord
 		if err := cbor.Unmarshal(v, &k); err != nil {
 			return fmt.Errorf("container %s: %w", id, err)
 		}
-		if d, there := doors[k.Door]; there && k.Container.Door >= 0 {
-			k.Container.Door = d
+		if d, there := doors[k.SchedulerAddress]; there && k.Container.Scheduler >= 0 {
+			k.Container.Scheduler = d
 		} else {
-			k.Container.Door = -1
+			k.Container.Scheduler = -1
 		}
 		r.Containers = append(r.Containers, k.Container)
 		return nil
@@ -112,30 +112,30 @@
 	if err != nil {
 		return r, err
 	}
-	err = from.ForEach(StrayKind, func(id string, v []byte) error {
-		var k KeptStray
+	err = from.ForEach(RecordOrphan, func(id string, v []byte) error {
+		var k OrphanRecord
 		if err := cbor.Unmarshal(v, &k); err != nil {
 			return fmt.Errorf("stray %s: %w", id, err)
 		}
-		if d, there := doors[k.Door]; there {
-			r.Strays = append(r.Strays, controller.Stray{Door: d, Key: k.Key})
+		if d, there := doors[k.SchedulerAddress]; there {
+			r.Orphans = append(r.Orphans, controller.Orphan{Scheduler: d, IdempotencyKey: k.IdempotencyKey})
 		}
 		return nil
 	})
 	return r, err
 }
 
-func (p *promises) close() error {
+func (p *recordLog) close() error {
 	err := p.log.Close()
 	p.dir.Close()
 	return err
 }
 
 // keep commits changes and runs done on the loop. Versions that are given out stay below the ceiling on disk.
-func (p *promises) keep(changes []wal.Change, durable bool, done func(error)) {
-	if v := p.h.Catalog.Taken(); v+ceilingSteps/2 > p.ceiling {
+func (p *recordLog) keep(changes []wal.Change, durable bool, done func(error)) {
+	if v := p.h.Cache.LastReserved(); v+ceilingSteps/2 > p.ceiling {
 		p.ceiling = v + ceilingSteps
-		changes = append(changes, wal.Put(CeilingKind, ceilingKey, p.ceiling))
+		changes = append(changes, wal.Put(RecordVersionCeiling, ceilingKey, p.ceiling))
 		durable = true
 	}
 	for _, c := range changes {
@@ -157,7 +157,7 @@
 }
 
 // again are changes that a disk did not take before, in order.
-func (p *promises) again() []wal.Change {
+func (p *recordLog) again() []wal.Change {
 	var all []wal.Change
 	for _, c := range p.redo {
 		all = append(all, c)
@@ -171,9 +171,9 @@
 
 // failed remembers what the keeper went through and the log does not know: containers and the ceiling. A job that was
 // not kept was not changed.
-func (p *promises) failed(changes []wal.Change) {
+func (p *recordLog) failed(changes []wal.Change) {
 	for _, c := range changes {
-		if _, newer := p.redo[c.Kind+" "+c.Key]; c.Kind != JobKind && !newer {
+		if _, newer := p.redo[c.Kind+" "+c.Key]; c.Kind != RecordJob && !newer {
 			p.redo[c.Kind+" "+c.Key] = c
 		}
 	}
@@ -199,32 +199,32 @@
 }
 
 // publish puts a change behind those that wait; ready ones at the head are shown.
-func (h *Host) publish(kind, id string, value any, gone, ready bool) *published {
-	c := &published{version: h.Catalog.Take(), kind: kind, id: id, value: value, gone: gone, ready: ready}
+func (h *Server) publish(kind, id string, value any, gone, ready bool) *published {
+	c := &published{version: h.Cache.ReserveVersion(), kind: kind, id: id, value: value, gone: gone, ready: ready}
 	h.shown = append(h.shown, c)
 	h.flush()
 	return c
 }
 
-func (h *Host) flush() {
+func (h *Server) flush() {
 	for len(h.shown) > 0 && (h.shown[0].ready || h.shown[0].failed) {
 		c := h.shown[0]
 		h.shown = h.shown[1:]
 		if !c.failed {
-			h.Catalog.Make(c.version, c.kind, c.id, c.value, c.gone)
+			h.Cache.Apply(c.version, c.kind, c.id, c.value, c.gone)
 		}
 	}
 }
 
 // changeJob makes one change of a job: kept first, then shown and carried out. A second change of the same job waits
 // for the first, so that each sees what it follows on.
-func (h *Host) changeJob(id string, f func(old *Job) (value *KeptJob, e controller.Event, err error), done func(version int64, err error)) {
+func (h *Server) changeJob(id string, f func(old *Job) (value *JobRecord, e controller.Event, err error), done func(version int64, err error)) {
 	if waiting, busy := h.pending[id]; busy {
 		h.pending[id] = append(waiting, func() { h.changeJob(id, f, done) })
 		return
 	}
 	var old *Job
-	if o := h.Catalog.Get(Jobs, id); o != nil {
+	if o := h.Cache.Get(KindJobs, id); o != nil {
 		j := o.Value.(Job)
 		j.Version = o.Version
 		old = &j
@@ -243,25 +243,25 @@
 	var c *published
 	var kept wal.Change
 	if k == nil {
-		c, kept = h.publish(Jobs, id, *old, true, false), wal.Change{Kind: JobKind, Key: id}
+		c, kept = h.publish(KindJobs, id, *old, true, false), wal.Change{Kind: RecordJob, Key: id}
 	} else {
-		c = h.publish(Jobs, id, k.Job, false, false)
+		c = h.publish(KindJobs, id, k.Job, false, false)
 		k.Job.Version = c.version
 		c.value = k.Job
-		kept = wal.Put(JobKind, id, k)
+		kept = wal.Put(RecordJob, id, k)
 	}
 	h.keep([]wal.Change{kept}, true, func(err error) {
 		if c.ready, c.failed = err == nil, err != nil; err == nil {
 			h.events = append(h.events, e)
-			if h.promises != nil {
+			if h.records != nil {
 				if k == nil {
-					delete(h.promises.made, id)
+					delete(h.records.made, id)
 				} else {
-					h.promises.made[id] = *k
+					h.records.made[id] = *k
 				}
 			}
 		} else {
-			err = &NotKept{err}
+			err = &NotPersistedError{err}
 		}
 		h.flush()
 		done(c.version, err)
@@ -274,12 +274,12 @@
 }
 
 // keep commits where anything is kept, and else goes on at once.
-func (h *Host) keep(changes []wal.Change, durable bool, done func(error)) {
-	if h.promises == nil {
+func (h *Server) keep(changes []wal.Change, durable bool, done func(error)) {
+	if h.records == nil {
 		done(nil)
 		return
 	}
-	h.promises.keep(changes, durable, done)
+	h.records.keep(changes, durable, done)
 }
 
 // alreadyMade ends a repeat of the request that made a job.
--- a/internal/controller/server/links.go
+++ b/internal/controller/server/links.go
@@ -9,9 +9,9 @@
 	"glenport/scheduler"
 )
 
-// door is the link to one placer.
-type door struct {
-	h      *Host
+// schedulerConn is the link to one placer.
+type schedulerConn struct {
+	h      *Server
 	number int
 	addr   string
 	name   string
@@ -20,12 +20,12 @@
 	open   bool
 }
 
-func (d *door) call() {
+func (d *schedulerConn) call() {
 	d.reader = protocol.Reader{}
 	d.conn = d.h.loop.Dial(d.addr, d, output, eventloop.Second)
 }
 
-func (d *door) write(f protocol.Frame) {
+func (d *schedulerConn) write(f protocol.Frame) {
 	p, err := protocol.Append(nil, f)
 	if err == nil && d.conn != nil {
 		err = d.conn.Write(p)
@@ -38,28 +38,28 @@
 	}
 }
 
-func (d *door) Opened(*eventloop.Conn) {
+func (d *schedulerConn) Opened(*eventloop.Conn) {
 	d.write(protocol.NewHello(protocol.RoleClient, d.h.place.Name, uint64(d.h.loop.Now())))
 }
 
-func (d *door) Read(c *eventloop.Conn, p []byte) {
+func (d *schedulerConn) Read(c *eventloop.Conn, p []byte) {
 	if err := d.reader.Feed(p, d.take); err != nil {
 		d.h.log.Warn("link closed", "placer", d.addr, "why", err)
 		c.Reset()
 	}
 }
 
-func (d *door) Closed(_ *eventloop.Conn, why error) {
+func (d *schedulerConn) Closed(_ *eventloop.Conn, why error) {
 	d.conn = nil
 	if d.open {
 		d.open = false
 		d.h.log.Warn("placer lost", "placer", d.name, "why", why)
-		d.h.events = append(d.h.events, controller.Door{Number: d.number, Open: false})
+		d.h.events = append(d.h.events, controller.SchedulerConnection{Scheduler: d.number, Connected: false})
 	}
 	d.h.loop.After(redial, d.call)
 }
 
-func (d *door) take(f protocol.Frame) error {
+func (d *schedulerConn) take(f protocol.Frame) error {
 	h := d.h
 	switch f := f.(type) {
 	case *protocol.Hello:
@@ -68,12 +68,12 @@
 		}
 		d.name, d.open = f.Name, true
 		h.log.Info("placer found", "placer", f.Name, "door", d.addr)
-		h.events = append(h.events, controller.Door{Number: d.number, Open: true})
+		h.events = append(h.events, controller.SchedulerConnection{Scheduler: d.number, Connected: true})
 	case *protocol.PlacementReply:
-		h.events = append(h.events, controller.Answered{Ask: f.ContainerID, Verdict: verdictOf(f.Verdict), Machine: f.Machine,
-			HoldOff: scheduler.Time(f.RetryAfter), Text: f.Message})
+		h.events = append(h.events, controller.PlacementAnswered{RequestID: f.ContainerID, Verdict: verdictOf(f.Verdict), Machine: f.Machine,
+			RetryAfter: scheduler.Time(f.RetryAfter), Message: f.Message})
 	case *protocol.Termination:
-		h.events = append(h.events, controller.Fated{Ask: f.ContainerID, Outcome: f.Outcome.Scheduler(), Reason: scheduler.Reason(f.Reason)})
+		h.events = append(h.events, controller.ContainerEnded{RequestID: f.ContainerID, Outcome: f.Outcome.Scheduler(), Reason: scheduler.Reason(f.Reason)})
 	case *protocol.ExplainReply:
 		h.answered(f.Seq, f)
 	case *protocol.Heartbeat:
@@ -88,52 +88,52 @@
 func verdictOf(v protocol.Verdict) controller.Verdict {
 	switch v {
 	case protocol.VerdictPlaced:
-		return controller.Placed
+		return controller.VerdictAccepted
 	case protocol.VerdictRejected:
-		return controller.PushedBack
+		return controller.VerdictRejected
 	case protocol.VerdictNotAdmitted:
-		return controller.TurnedAway
+		return controller.VerdictRefused
 	}
-	return controller.GivenUp
+	return controller.VerdictFailed
 }
 
-// listing is the link to the list, for the machines that the API shows.
-type listing struct {
-	h       *Host
+// machineListConn is the link to the list, for the machines that the API shows.
+type machineListConn struct {
+	h       *Server
 	conn    *eventloop.Conn
 	reader  protocol.Reader
 	version int64
 }
 
-func (l *listing) call() {
+func (l *machineListConn) call() {
 	l.reader = protocol.Reader{}
-	l.conn = l.h.loop.Dial(l.h.place.List, l, output, eventloop.Second)
+	l.conn = l.h.loop.Dial(l.h.place.MachineList, l, output, eventloop.Second)
 }
 
-func (l *listing) send(f protocol.Frame) {
+func (l *machineListConn) send(f protocol.Frame) {
 	if p, err := protocol.Append(nil, f); err == nil {
 		l.conn.Write(p)
 	}
 }
 
-func (l *listing) Opened(*eventloop.Conn) {
+func (l *machineListConn) Opened(*eventloop.Conn) {
 	l.send(protocol.NewHello(protocol.RoleScheduler, l.h.place.Name, uint64(l.h.loop.Now())))
 	l.send(&protocol.WatchMachineList{Enabled: true, SinceVersion: l.version})
 }
 
-func (l *listing) Read(c *eventloop.Conn, p []byte) {
+func (l *machineListConn) Read(c *eventloop.Conn, p []byte) {
 	if err := l.reader.Feed(p, l.take); err != nil {
 		l.h.log.Warn("link closed", "peer", "list", "why", err)
 		c.Reset()
 	}
 }
 
-func (l *listing) Closed(*eventloop.Conn, error) {
+func (l *machineListConn) Closed(*eventloop.Conn, error) {
 	l.conn = nil
 	l.h.loop.After(relist, l.call)
 }
 
-func (l *listing) take(f protocol.Frame) error {
+func (l *machineListConn) take(f protocol.Frame) error {
 	switch f := f.(type) {
 	case *protocol.MachineListUpdate:
 		l.version = f.Version
@@ -149,7 +149,7 @@
 }
 
 // learn shows the machines of the list.
-func (h *Host) learn(f *protocol.MachineListUpdate) {
+func (h *Server) learn(f *protocol.MachineListUpdate) {
 	named := map[string]bool{}
 	for _, e := range f.Entries {
 		named[e.Machine] = e.State != protocol.MachineGone
@@ -157,17 +157,17 @@
 			continue
 		}
 		h.halls[e.Machine] = e
-		m := Machine{ID: e.Machine, Hall: e.Zone, State: e.State.String(), FreeCores: e.FreeCores, FreeMemoryGiB: e.FreeMemory,
+		m := Machine{ID: e.Machine, Zone: e.Zone, State: e.State.String(), FreeCores: e.FreeCores, FreeMemoryGiB: e.FreeMemory,
 			Incarnation: e.Incarnation}
-		if e.MachineType < len(h.place.Site.Kinds) {
-			m.Kind = h.place.Site.Kinds[e.MachineType]
+		if e.MachineType < len(h.place.SchedulerConfig.Kinds) {
+			m.MachineType = h.place.SchedulerConfig.Kinds[e.MachineType]
 		}
-		h.publish(Machines, m.ID, m, false, true)
+		h.publish(KindMachines, m.ID, m, false, true)
 	}
 	for id := range h.halls {
 		if on, said := named[id]; said && !on || f.FullSnapshot && !on {
 			delete(h.halls, id)
-			h.publish(Machines, id, Machine{ID: id}, true, true)
+			h.publish(KindMachines, id, Machine{ID: id}, true, true)
 		}
 	}
 }
