--- a/internal/controller/server/records.go
+++ b/internal/controller/server/records.go
@@ -6,27 +6,27 @@
 
 // Kinds of what a keeper's log holds.
 const (
-	JobKind       = "job"       // by id, with its version
-	ContainerKind = "container" // by id, as the keeper last had it
-	StrayKind     = "stray"     // by door and key: what may run at a placer that was lost
-	CeilingKind   = "ceiling"   // a version that no life has given out, and the next begins with
+	RecordJob            = "job"       // by id, with its version
+	RecordContainer      = "container" // by id, as the keeper last had it
+	RecordOrphan         = "stray"     // by door and key: what may run at a placer that was lost
+	RecordVersionCeiling = "ceiling"   // a version that no life has given out, and the next begins with
 )
 
-// KeptJob is a job as the log has it.
-type KeptJob struct {
-	Job     Job    `cbor:"Job"`
-	Made    string `cbor:"Made"` // the key with which it was made, and a digest of that request: a repeat gets the same answer
-	Request []byte `cbor:"Request"`
+// JobRecord is a job as the log has it.
+type JobRecord struct {
+	Job           Job    `cbor:"Job"`
+	CreationKey   string `cbor:"Made"` // the key with which it was made, and a digest of that request: a repeat gets the same answer
+	RequestDigest []byte `cbor:"Request"`
 }
 
-// KeptContainer is a container as the log has it.
-type KeptContainer struct {
-	Container controller.Container `cbor:"Container"`
-	Door      string               `cbor:"Door"` // the address of the placer that was asked
+// ContainerRecord is a container as the log has it.
+type ContainerRecord struct {
+	Container        controller.Container `cbor:"Container"`
+	SchedulerAddress string               `cbor:"Door"` // the address of the placer that was asked
 }
 
-// KeptStray is a stray as the log has it.
-type KeptStray struct {
-	Door string `cbor:"Door"`
-	Key  string `cbor:"Key"`
+// OrphanRecord is a stray as the log has it.
+type OrphanRecord struct {
+	SchedulerAddress string `cbor:"Door"`
+	IdempotencyKey   string `cbor:"Key"`
 }
--- a/internal/controller/watchcache/catalog.go
+++ b/internal/controller/watchcache/catalog.go
@@ -11,8 +11,8 @@
 	"github.com/tidwall/btree"
 )
 
-// ErrGone says that changes from a version on are no longer kept: list again.
-var ErrGone = errors.New("changes from that version on are no longer kept: list again")
+// ErrCompacted says that changes from a version on are no longer kept: list again.
+var ErrCompacted = errors.New("changes from that version on are no longer kept: list again")
 
 const (
 	kept    = 20_000 // changes
@@ -25,15 +25,15 @@
 	ID      string
 	Version int64
 	Value   any
-	Gone    bool
+	Deleted bool
 	line    []byte
 }
 
-// Line is the object as a watcher is sent it, made once by the function of the catalog.
-func (o *Object) Line() []byte { return o.line }
+// WatchEvent is the object as a watcher is sent it, made once by the function of the catalog.
+func (o *Object) WatchEvent() []byte { return o.line }
 
-// Catalog is a set of objects.
-type Catalog struct {
+// Cache is a set of objects.
+type Cache struct {
 	line func(*Object) []byte
 
 	mu       sync.RWMutex
@@ -47,50 +47,50 @@
 }
 
 // New makes a catalog whose watchers are sent what line makes of a change.
-func New(line func(*Object) []byte) *Catalog {
-	return &Catalog{line: line, kinds: map[string]*btree.Map[string, *Object]{}, watchers: map[*Watcher]bool{}}
+func New(line func(*Object) []byte) *Cache {
+	return &Cache{line: line, kinds: map[string]*btree.Map[string, *Object]{}, watchers: map[*Watcher]bool{}}
 }
 
-// Start begins above the versions of earlier lives; nothing is known of their changes.
-func (c *Catalog) Start(above int64) {
+// StartAfter begins above the versions of earlier lives; nothing is known of their changes.
+func (c *Cache) StartAfter(above int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.version, c.taken, c.dropped = above, above, above
 }
 
-// Take gives out the next version, for a change that is made later. Changes are made in the order of their versions;
+// ReserveVersion gives out the next version, for a change that is made later. Changes are made in the order of their versions;
 // one that is not made at all leaves a gap.
-func (c *Catalog) Take() int64 {
+func (c *Cache) ReserveVersion() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.taken++
 	return c.taken
 }
 
-// Taken is the last version that was given out.
-func (c *Catalog) Taken() int64 {
+// LastReserved is the last version that was given out.
+func (c *Cache) LastReserved() int64 {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.taken
 }
 
-// Make makes a change whose version was taken. An object that an earlier life made may be put back as it was, with its
+// Apply makes a change whose version was taken. An object that an earlier life made may be put back as it was, with its
 // version, before anything else.
-func (c *Catalog) Make(version int64, kind, id string, value any, gone bool) {
+func (c *Cache) Apply(version int64, kind, id string, value any, gone bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.change(version, kind, id, value, gone)
 }
 
 // Version is that of the last change.
-func (c *Catalog) Version() int64 {
+func (c *Cache) Version() int64 {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.version
 }
 
 // Put makes or changes an object and returns its new version.
-func (c *Catalog) Put(kind, id string, value any) int64 {
+func (c *Cache) Put(kind, id string, value any) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.taken++
@@ -99,20 +99,20 @@
 }
 
 // Delete takes an object out; false where there was none.
-func (c *Catalog) Delete(kind, id string) bool {
+func (c *Cache) Delete(kind, id string) bool {
 	o := c.Get(kind, id)
 	if o == nil {
 		return false
 	}
-	c.Make(c.Take(), kind, id, o.Value, true)
+	c.Apply(c.ReserveVersion(), kind, id, o.Value, true)
 	return true
 }
 
 // change is made under the lock.
-func (c *Catalog) change(version int64, kind, id string, value any, gone bool) {
+func (c *Cache) change(version int64, kind, id string, value any, gone bool) {
 	old := version <= c.dropped // of an earlier life: no watcher hears of it
 	c.version = max(c.version, version)
-	o := &Object{Kind: kind, ID: id, Version: version, Value: value, Gone: gone}
+	o := &Object{Kind: kind, ID: id, Version: version, Value: value, Deleted: gone}
 	o.line = c.line(o)
 	t := c.kinds[kind]
 	if t == nil {
@@ -140,7 +140,7 @@
 }
 
 // Get finds an object, or nil.
-func (c *Catalog) Get(kind, id string) *Object {
+func (c *Cache) Get(kind, id string) *Object {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	if t := c.kinds[kind]; t != nil {
@@ -152,7 +152,7 @@
 
 // List returns up to limit objects of a kind, by id, after one, that match; more tells whether there are others.
 // The version is that as of which the list holds.
-func (c *Catalog) List(kind, after string, limit int, match func(*Object) bool) (all []*Object, version int64, more bool) {
+func (c *Cache) List(kind, after string, limit int, match func(*Object) bool) (all []*Object, version int64, more bool) {
 	c.mu.Lock() // a copy marks the tree as shared
 	version = c.version
 	t := c.kinds[kind]
@@ -179,21 +179,21 @@
 
 // Watcher gets changes in order.
 type Watcher struct {
-	c       *Catalog
+	c       *Cache
 	kinds   map[string]bool
 	Changes chan *Object // closed when the watcher fell behind
 	from    int64
 }
 
-// Sent is a version whose changes the watcher surely had: that from which it began.
-func (w *Watcher) Sent() int64 { return w.from }
+// StartVersion is a version whose changes the watcher surely had: that from which it began.
+func (w *Watcher) StartVersion() int64 { return w.from }
 
 // Watch tells all changes of the kinds after a version, and from then on what comes.
-func (c *Catalog) Watch(from int64, kinds ...string) (*Watcher, error) {
+func (c *Cache) Watch(from int64, kinds ...string) (*Watcher, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if from > c.version || from < c.dropped { // of an earlier life, or too old
-		return nil, ErrGone
+		return nil, ErrCompacted
 	}
 	first := sort.Search(len(c.log), func(i int) bool { return c.at(i).Version > from })
 	missed := len(c.log) - first
@@ -209,7 +209,7 @@
 }
 
 // at is the ith of the changes that are kept, the oldest first.
-func (c *Catalog) at(i int) *Object {
+func (c *Cache) at(i int) *Object {
 	if len(c.log) < kept {
 		return c.log[i]
 	}
--- a/internal/controller/watchcache/catalog_test.go
+++ b/internal/controller/watchcache/catalog_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func fill(c *Catalog, n int) {
+func fill(c *Cache, n int) {
 	for i := range n {
 		c.Put("jobs", fmt.Sprintf("j%06d", i), i)
 	}
@@ -43,7 +43,7 @@
 	for _, tc := range []struct {
 		from int64
 		want error
-	}{{99, ErrGone}, {100, nil}, {kept + 100, nil}, {kept + 101, ErrGone}} {
+	}{{99, ErrCompacted}, {100, nil}, {kept + 100, nil}, {kept + 101, ErrCompacted}} {
 		w, err := c.Watch(tc.from, "jobs")
 		if !errors.Is(err, tc.want) {
 			t.Errorf("from %d: %v", tc.from, err)
--- a/internal/schedulerd/door.go
+++ b/internal/schedulerd/door.go
@@ -171,16 +171,16 @@
 		return out
 	}
 	for _, p := range h.speaker.Peers() {
-		out.Peers = append(out.Peers, protocol.BGPPeerStatus{Address: p.Addr, ASN: p.AS, State: p.State, Routes: p.Routes, PendingRoutes: p.Due, UpdatesSent: p.Updates,
-			BytesSent: p.Bytes, SessionsEnded: p.Flaps, LastError: p.Why})
+		out.Peers = append(out.Peers, protocol.BGPPeerStatus{Address: p.Addr, ASN: p.AS, State: p.State, Routes: p.Routes, PendingRoutes: p.PendingRoutes, UpdatesSent: p.Updates,
+			BytesSent: p.Bytes, SessionsEnded: p.Flaps, LastError: p.LastError})
 	}
 	for _, name := range h.speaker.Services() {
 		if service != "" && name != service {
 			continue
 		}
-		w, _ := h.speaker.Why(name)
+		w, _ := h.speaker.Status(name)
 		r := protocol.ServiceRoute{Service: name, Prefix: h.config.BGP.Services[name].Prefix.String(), Announced: w.Announced,
-			LocalPreference: w.Path.Preference, Running: w.Running, Draining: w.Draining, MinRunning: w.Least, Penalty: w.Penalty, Suppressed: w.Suppressed}
+			LocalPreference: w.Path.Preference, Running: w.Running, Draining: w.Draining, MinRunning: w.MinRunning, Penalty: w.Penalty, Suppressed: w.Suppressed}
 		if w.NextUpdate > 0 {
 			r.NextChangeIn = max(0, protocol.Duration(w.NextUpdate-scheduler.Time(h.loop.Now())))
 		}
--- a/internal/schedulerd/host.go
+++ b/internal/schedulerd/host.go
@@ -204,13 +204,13 @@
 // announce tells the speaker of a container that runs, or does no longer.
 func (h *Server) announce(b *attempt, runs bool) {
 	service := b.container.request.Service
-	if h.speaker == nil || !h.speaker.Offers(service) {
+	if h.speaker == nil || !h.speaker.HasService(service) {
 		return
 	}
 	if runs {
-		h.speaker.Handle(announce.Runs{Service: service, Container: string(b.container.request.ID), Draining: b.machine.draining})
+		h.speaker.Handle(announce.ContainerRunning{Service: service, Container: string(b.container.request.ID), Draining: b.machine.draining})
 	} else {
-		h.speaker.Handle(announce.Ends{Service: service, Container: string(b.container.request.ID)})
+		h.speaker.Handle(announce.ContainerEnded{Service: service, Container: string(b.container.request.ID)})
 	}
 }
 
@@ -334,7 +334,7 @@
 		}
 	case reconcile.RecoveryComplete:
 		if h.speaker != nil {
-			h.speaker.Whole()
+			h.speaker.MarkRoutesComplete()
 		}
 	case reconcile.AllMachinesReported:
 		if h.state != nil {
--- a/internal/testbed/emulator/bgppeer.go
+++ b/internal/testbed/emulator/bgppeer.go
@@ -89,7 +89,7 @@
 }
 func (p *BGPPeer) Half() {
 	p.with(func(c net.Conn) {
-		m, _ := wire.Append(nil, &wire.Refresh{Family: wire.IPv4})
+		m, _ := wire.Append(nil, &wire.RouteRefresh{Family: wire.IPv4})
 		c.Write(m[:20])
 	})
 }
@@ -149,11 +149,11 @@
 }
 
 func read(c net.Conn) (wire.Message, int, error) {
-	head := make([]byte, 19, wire.MostLength)
+	head := make([]byte, 19, wire.MaxMessageLength)
 	if _, err := io.ReadFull(c, head); err != nil {
 		return nil, 0, err
 	}
-	n, err := wire.Size(head)
+	n, err := wire.MessageLength(head)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -173,8 +173,8 @@
 			as++
 		}
 	})
-	p.send(c, &wire.Open{AS: as, Hold: uint16(p.Hold / time.Second), ID: p.ID, Families: []wire.Family{wire.IPv4, wire.IPv6}, FourByte: true,
-		Refresh: true, Restart: &wire.Restart{Time: uint16(p.Helps / time.Second), Kept: map[wire.Family]bool{}}})
+	p.send(c, &wire.Open{AS: as, HoldTime: uint16(p.Hold / time.Second), ID: p.ID, Families: []wire.Family{wire.IPv4, wire.IPv6}, FourOctetAS: true,
+		Refresh: true, Restart: &wire.GracefulRestart{Time: uint16(p.Helps / time.Second), ForwardingPreserved: map[wire.Family]bool{}}})
 	m, _, err := read(c)
 	open, ok := m.(*wire.Open)
 	if err != nil || !ok {
@@ -241,7 +241,7 @@
 	now := time.Now()
 	p.messages++
 	p.bytes += size
-	if _, end := u.Ends(); end {
+	if _, end := u.EndOfRIBFamily(); end {
 		p.ends++
 		for x, stale := range p.table {
 			if stale {
--- a/internal/testbed/mutants/routes.go
+++ b/internal/testbed/mutants/routes.go
@@ -10,7 +10,7 @@
 
 // routes spoils what an announcer decides.
 type routes struct {
-	speaker.Decider
+	speaker.RouteDecider
 	how    string
 	queue  []held
 	paths  map[string]announce.Announce // what was announced last of each service
@@ -23,8 +23,8 @@
 }
 
 // Routes makes withdrawals three seconds late ("late"), or tells each change at once ("storm").
-func Routes(how string, d speaker.Decider) speaker.Decider {
-	return &routes{Decider: d, how: how, paths: map[string]announce.Announce{}, prefix: map[string]netip.Prefix{}}
+func Routes(how string, d speaker.RouteDecider) speaker.RouteDecider {
+	return &routes{RouteDecider: d, how: how, paths: map[string]announce.Announce{}, prefix: map[string]netip.Prefix{}}
 }
 
 func (r *routes) Handle(now scheduler.Time, events []announce.Event) []announce.Action {
@@ -33,10 +33,10 @@
 		out = append(out, r.queue[0].a)
 		r.queue = r.queue[1:]
 	}
-	for _, a := range r.Decider.Handle(now, events) {
+	for _, a := range r.RouteDecider.Handle(now, events) {
 		if w, ok := a.(announce.Withdraw); ok && r.how == "late" {
 			r.queue = append(r.queue, held{now + 3*scheduler.Second, w})
-			out = append(out, announce.Wake{After: 3*scheduler.Second + 1})
+			out = append(out, announce.SetTimer{After: 3*scheduler.Second + 1})
 			continue
 		}
 		out = append(out, a)
@@ -46,12 +46,12 @@
 	}
 	for _, e := range events {
 		switch e := e.(type) {
-		case announce.Offered:
+		case announce.ServiceSet:
 			r.prefix[e.Name] = e.Service.Prefix
 			r.paths[e.Name] = announce.Announce{Prefix: e.Service.Prefix, Path: announce.Path{NextHop: e.Service.NextHop, Preference: 100}}
-		case announce.Runs:
+		case announce.ContainerRunning:
 			out = append(out, r.paths[e.Service])
-		case announce.Ends:
+		case announce.ContainerEnded:
 			out = append(out, announce.Withdraw{Prefix: r.prefix[e.Service]})
 		}
 	}
--- a/internal/testbed/scenario/loadbgp.go
+++ b/internal/testbed/scenario/loadbgp.go
@@ -17,7 +17,7 @@
 // MeasureBGP has one speaker tell so many prefixes to so many peers, and then change a tenth of them while one peer
 // reads slowly; all in this process.
 func MeasureBGP(prefixes, peers int, out io.Writer) error {
-	place := speaker.Place{AS: 65001, ID: [4]byte{192, 0, 2, 5}, Services: map[string]announce.Service{}}
+	place := speaker.Config{AS: 65001, ID: [4]byte{192, 0, 2, 5}, Services: map[string]announce.Service{}}
 	var all []*emulator.BGPPeer
 	for i := range peers {
 		p := &emulator.BGPPeer{AS: 65000, ID: [4]byte{192, 0, 3, byte(i)}, Hold: 90 * time.Second, Helps: 10 * time.Second}
@@ -27,7 +27,7 @@
 		}
 		defer p.Close()
 		all = append(all, p)
-		place.Peers = append(place.Peers, speaker.Peer{Addr: addr, AS: 65000, Hold: 900_000, Families: []wire.Family{wire.IPv4},
+		place.Peers = append(place.Peers, speaker.PeerConfig{Addr: addr, AS: 65000, Hold: 900_000, Families: []wire.Family{wire.IPv4},
 			Allow: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}})
 	}
 	hop := netip.MustParseAddr("192.0.2.5")
@@ -76,7 +76,7 @@
 	}
 	var events []announce.Event
 	for i := range prefixes {
-		events = append(events, announce.Runs{Service: name(i), Container: "c"})
+		events = append(events, announce.ContainerRunning{Service: name(i), Container: "c"})
 	}
 	began := time.Now()
 	on(func() { s.Handle(events...) })
@@ -93,7 +93,7 @@
 	tenth := prefixes / 10
 	events = events[:0]
 	for i := range tenth {
-		events = append(events, announce.Ends{Service: name(i), Container: "c"})
+		events = append(events, announce.ContainerEnded{Service: name(i), Container: "c"})
 	}
 	began = time.Now()
 	on(func() { s.Handle(events...) })
--- a/internal/testbed/scenario/restart.go
+++ b/internal/testbed/scenario/restart.go
@@ -510,19 +510,19 @@
 		"first at-most-once one that came before after %.0f ms\n", n, ms1(door), ms1(first), ms1(once))
 	folder := filepath.Join(dir, "keeper.state")
 	const each = 1000
-	spec := controller.Spec{Service: "s", Customer: 2, Cores: 0.01, Memory: 0.01, RunFor: 36_000_000}
-	if err := fill(folder, server.JobKind, (n+each-1)/each, func(i int) (string, any) {
+	spec := controller.Spec{Service: "s", Tenant: 2, Cores: 0.01, Memory: 0.01, RunFor: 36_000_000}
+	if err := fill(folder, server.RecordJob, (n+each-1)/each, func(i int) (string, any) {
 		id := fmt.Sprint("j", i)
-		return id, server.KeptJob{Job: server.Job{ID: id, Service: "s", Workload: "matcher", Cores: 0.01, MemoryGiB: 0.01, RunForMS: 3600_000,
+		return id, server.JobRecord{Job: server.Job{ID: id, Service: "s", WorkloadClass: "matcher", Cores: 0.01, MemoryGiB: 0.01, RunForMS: 3600_000,
 			Count: min(each, n-i*each), Version: int64(i + 1)}}
 	}); err != nil {
 		return err
 	}
-	if err := fill(folder, server.ContainerKind, n, func(i int) (string, any) {
+	if err := fill(folder, server.RecordContainer, n, func(i int) (string, any) {
 		j := fmt.Sprint("j", i/each)
-		return fmt.Sprintf("%s.%d", j, i%each), server.KeptContainer{Door: b.placer.Door, Container: controller.Container{Job: j, Index: i % each,
-			State: controller.Running, Machine: "machine-0000", Key: fmt.Sprintf("%s/%d/%d", j, i%each, i), Ask: fmt.Sprintf("%s/%d#%d", j, i%each, i),
-			Again: true, Starts: 1, With: spec}}
+		return fmt.Sprintf("%s.%d", j, i%each), server.ContainerRecord{SchedulerAddress: b.placer.Door, Container: controller.Container{Job: j, Index: i % each,
+			State: controller.StateRunning, Machine: "machine-0000", IdempotencyKey: fmt.Sprintf("%s/%d/%d", j, i%each, i), RequestID: fmt.Sprintf("%s/%d#%d", j, i%each, i),
+			Submitted: true, Starts: 1, SubmittedSpec: spec}}
 	}); err != nil {
 		return err
 	}
