--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -189,6 +189,8 @@
 	retries   float64 // part of the rejected requests that come again
 	listFails float64 // part of the list calls
 	oneClass  bool    // the machines fail the same class
+
+	selfReports bool // machines report their starts themselves
 }
 
 type goldenGroup struct {
@@ -266,6 +268,11 @@
 		o.config.MachineTypes = append(o.config.MachineTypes, MachineType{})
 	}},
 	{"many machines", func(r *random, o *options) { o.machines, o.services = 60, 20 }},
+	{"self-reported starts", func(r *random, o *options) {
+		o.selfReports, o.churn = true, Second/3
+		o.config.ListOnRequest, o.config.ResyncInterval = true, pick(r, 2*Second, 10*Second)
+		o.listFails = pick(r, 0.3, 0.9)
+	}},
 }
 
 func effects(e Idempotency) func(r *random, o *options) {
@@ -589,6 +596,9 @@
 	default:
 		news = append(news, pick(r, w.machines...))
 	}
+	if w.selfReports && r.chance(0.7) {
+		return []Event{MachineListUpdate{Mode: SelfReported, Entries: w.listed(news)}}
+	}
 	if r.chance(0.1) {
 		return nil // unheard of until the next full list
 	}
