--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -156,11 +156,11 @@
 
 func pick[T any](r *random, from ...T) T { return from[r.below(len(from))] }
 
-// fault is how a simulated machine treats attempts.
-type fault uint8
+// simulatedFault is how a simulated machine treats attempts.
+type simulatedFault uint8
 
 const (
-	healthy fault = iota
+	healthy simulatedFault = iota
 	unreachable
 	silent
 	erroring
@@ -172,15 +172,15 @@
 	faults
 )
 
-// options say what a sequence is about.
-type options struct {
+// sequenceOptions say what a sequence is about.
+type sequenceOptions struct {
 	config    Config
 	machines  int
 	services  int
 	arrival   Time    // mean time between requests
 	size      float64 // mean cores of a request
 	runtime   Time    // mean
-	faults    []fault
+	faults    []simulatedFault
 	faulty    float64 // part of the machines with a fault
 	lost      float64 // part of the attempts without any outcome
 	churn     Time    // mean time between changes of the list
@@ -195,88 +195,88 @@
 
 type goldenGroup struct {
 	name   string
-	adjust func(r *random, o *options)
+	adjust func(r *random, o *sequenceOptions)
 }
 
 var goldenGroups = []goldenGroup{
-	{"mixed", func(*random, *options) {}},
+	{"mixed", func(*random, *sequenceOptions) {}},
 	{"idempotent", effects(Idempotent)},
 	{"idempotent with a key", effects(IdempotentWithKey)},
 	{"at most once", effects(AtMostOnce)},
-	{"spread", func(r *random, o *options) {
+	{"spread", func(r *random, o *sequenceOptions) {
 		o.services = 1 + r.below(3)
 		for i := range o.config.WorkloadClasses {
 			w := &o.config.WorkloadClasses[i]
 			w.SpreadScope, w.MaxPerScope = pick(r, ScopeMachine, ScopeRackGroup, ScopeZone), 1+r.below(3)
 		}
 	}},
-	{"slow start", func(r *random, o *options) {
+	{"slow start", func(r *random, o *sequenceOptions) {
 		o.churn = Second / 2
 		o.config.SlowStartPeriod, o.config.SlowStartWindow = 8*Second, pick(r, Second, 2*Second)
 		o.config.SchedulerCount = pick(r, 1, 2, 3, 40)
 		o.config.SchedulerIndex = r.below(o.config.SchedulerCount)
 		o.config.SlowStartBudget = pick(r, 0, 1, 2, 5, 12, 60)
 	}},
-	{"overload", func(r *random, o *options) {
+	{"overload", func(r *random, o *sequenceOptions) {
 		o.arrival, o.size, o.runtime, o.machines = 30*Millisecond, 4, 20*Second, 1+r.below(5)
 	}},
-	{"tenants", func(r *random, o *options) {
+	{"tenants", func(r *random, o *sequenceOptions) {
 		o.arrival, o.size, o.runtime, o.machines = 40*Millisecond, 3, 20*Second, 1+r.below(4)
 		o.config.Tenants = []Tenant{{5}, {20}, {40}}
 		for i := range o.config.WorkloadClasses {
 			o.config.WorkloadClasses[i].PriorityWeight = 1 + float64(i)
 		}
 	}},
-	{"usage reports", func(r *random, o *options) {
+	{"usage reports", func(r *random, o *sequenceOptions) {
 		o.config.UsageReports, o.config.ListTracksRequests = true, true
 		o.runtime = 15 * Second
 	}},
-	{"faulty machines", func(r *random, o *options) {
+	{"faulty machines", func(r *random, o *sequenceOptions) {
 		o.faulty = 0.2 + 0.8*r.float()
 		o.config.ProbesAllowed = true
 	}},
-	{"no probes", func(r *random, o *options) {
+	{"no probes", func(r *random, o *sequenceOptions) {
 		o.faulty = 0.2 + 0.8*r.float()
 		o.config.ProbesAllowed = false
 	}},
-	{"failing classes", func(r *random, o *options) {
-		o.faults, o.faulty = []fault{failsOneClass, failsOneTenant}, 0.3
+	{"failing classes", func(r *random, o *sequenceOptions) {
+		o.faults, o.faulty = []simulatedFault{failsOneClass, failsOneTenant}, 0.3
 		o.config.Tenants = []Tenant{{20}, {20}, {20}}
 		o.config.ListTracksRequests = true
 		o.arrival, o.runtime, o.machines = 40*Millisecond, Second, 3+r.below(5)
 		if r.chance(0.2) {
-			o.oneClass, o.faults, o.faulty = true, []fault{failsOneClass}, 1
+			o.oneClass, o.faults, o.faulty = true, []simulatedFault{failsOneClass}, 1
 		}
 	}},
-	{"list on request", func(r *random, o *options) {
+	{"list on request", func(r *random, o *sequenceOptions) {
 		o.config.ListOnRequest, o.config.ResyncInterval = true, pick(r, 2*Second, 10*Second)
 		o.listFails = pick(r, 0, 0.2, 0.7)
 	}},
-	{"drains", func(r *random, o *options) {
-		o.churn, o.faults, o.faulty = Second/3, []fault{drainingItself, resetting}, 0.3
+	{"drains", func(r *random, o *sequenceOptions) {
+		o.churn, o.faults, o.faulty = Second/3, []simulatedFault{drainingItself, resetting}, 0.3
 	}},
-	{"scheduler restarts", func(r *random, o *options) {
+	{"scheduler restarts", func(r *random, o *sequenceOptions) {
 		o.restarts, o.faulty = true, 0.3
 		o.config.SlowStartPeriod, o.config.SlowStartWindow, o.config.SlowStartBudget = 6*Second, Second, 4+r.below(30)
 		o.config.SchedulerCount, o.config.SchedulerIndex = 2, r.below(2)
 	}},
-	{"lost answers", func(r *random, o *options) { o.lost = 0.4 }},
-	{"odd input", func(r *random, o *options) {
+	{"lost answers", func(r *random, o *sequenceOptions) { o.lost = 0.4 }},
+	{"odd input", func(r *random, o *sequenceOptions) {
 		o.odd = true
 		o.config.SchedulerCount, o.config.SchedulerIndex = 0, 0
 		o.config.UsageReports, o.config.ListTracksRequests = r.chance(0.7), r.chance(0.7)
 		o.config.MachineTypes = append(o.config.MachineTypes, MachineType{})
 	}},
-	{"many machines", func(r *random, o *options) { o.machines, o.services = 60, 20 }},
-	{"self-reported starts", func(r *random, o *options) {
+	{"many machines", func(r *random, o *sequenceOptions) { o.machines, o.services = 60, 20 }},
+	{"self-reported starts", func(r *random, o *sequenceOptions) {
 		o.selfReports, o.churn = true, Second/3
 		o.config.ListOnRequest, o.config.ResyncInterval = true, pick(r, 2*Second, 10*Second)
 		o.listFails = pick(r, 0.3, 0.9)
 	}},
 }
 
-func effects(e Idempotency) func(r *random, o *options) {
-	return func(r *random, o *options) {
+func effects(e Idempotency) func(r *random, o *sequenceOptions) {
+	return func(r *random, o *sequenceOptions) {
 		for i := range o.config.WorkloadClasses {
 			o.config.WorkloadClasses[i].Idempotency = e
 		}
@@ -284,11 +284,11 @@
 	}
 }
 
-func drawOptions(r *random) *options {
-	o := &options{machines: 2 + r.below(12), services: 1 + r.below(8), arrival: r.span(40*Millisecond, 300*Millisecond),
+func drawOptions(r *random) *sequenceOptions {
+	o := &sequenceOptions{machines: 2 + r.below(12), services: 1 + r.below(8), arrival: r.span(40*Millisecond, 300*Millisecond),
 		size: 1 + 2*r.float(), runtime: r.span(Second/2, 8*Second), faulty: pick(r, 0, 0.15, 0.4), lost: pick(r, 0, 0, 0.05),
 		churn: r.span(Second, 6*Second), retries: r.float(), listFails: pick(r, 0, 0.3),
-		faults: []fault{unreachable, silent, erroring, failsOneClass, failsOneTenant, resetting, drainingItself, refusing}}
+		faults: []simulatedFault{unreachable, silent, erroring, failsOneClass, failsOneTenant, resetting, drainingItself, refusing}}
 	c := &o.config
 	*c = Config{Seed: r.next(), SchedulerCount: pick(r, 1, 3, 10), OverQuotaWeight: pick(r, 0, 0.1, 0.5),
 		CoresOvercommit: pick(r, 1, 2, 2.5), MemoryOvercommit: pick(r, 1, 1.5, 2), MeanCores: pick(r, 0.5, 0.96, 2),
@@ -321,18 +321,18 @@
 	return o
 }
 
-// world answers the scheduler's actions.
-type world struct {
-	*options
+// simulatedWorld answers the scheduler's actions.
+type simulatedWorld struct {
+	*sequenceOptions
 	random     *random
 	digest     *digest
 	scheduler  *Scheduler
 	now        Time
 	queue      []scheduled
 	scheduled  int
-	machines   []*worldMachine
-	byID       map[MachineID]*worldMachine
-	containers map[ContainerID]*worldContainer
+	machines   []*simulatedMachine
+	byID       map[MachineID]*simulatedMachine
+	containers map[ContainerID]*simulatedContainer
 	ids        []ContainerID // of all containers so far
 	version    int64
 	restarted  int // attempts and timers from before it are void
@@ -345,18 +345,18 @@
 	run    func() []Event
 }
 
-type worldMachine struct {
+type simulatedMachine struct {
 	entry         MachineEntry
-	fault         fault
+	fault         simulatedFault
 	class, tenant int // that it fails
 	used          float64
 	memory        float64
 }
 
-type worldContainer struct {
+type simulatedContainer struct {
 	request PlacementRequest
 	attempt int
-	at      *worldMachine
+	at      *simulatedMachine
 	running bool
 	ended   bool
 }
@@ -366,8 +366,8 @@
 	o := drawOptions(r)
 	g.adjust(r, o)
 	d.timers = map[string]uint64{}
-	w := &world{options: o, random: r, digest: d, scheduler: New(o.config), byID: map[MachineID]*worldMachine{},
-		containers: map[ContainerID]*worldContainer{}, now: pick(r, 0, Time(r.below(1_000_000)))}
+	w := &simulatedWorld{sequenceOptions: o, random: r, digest: d, scheduler: New(o.config), byID: map[MachineID]*simulatedMachine{},
+		containers: map[ContainerID]*simulatedContainer{}, now: pick(r, 0, Time(r.below(1_000_000)))}
 	for range o.machines {
 		w.addMachine(0)
 	}
@@ -388,7 +388,7 @@
 }
 
 // step carries out what is due next, and sometimes what follows soon after in the same batch.
-func (w *world) step() {
+func (w *simulatedWorld) step() {
 	w.now = max(w.now, w.queue[0].at)
 	if w.random.chance(0.2) {
 		w.now += w.random.span(0, 20*Millisecond)
@@ -408,7 +408,7 @@
 	}
 }
 
-func (w *world) handle(events []Event) {
+func (w *simulatedWorld) handle(events []Event) {
 	actions := w.scheduler.Handle(w.now, events)
 	w.digest.batch(w.now, actions)
 	for _, a := range actions {
@@ -416,7 +416,7 @@
 	}
 }
 
-func (w *world) after(span Time, run func() []Event) {
+func (w *simulatedWorld) after(span Time, run func() []Event) {
 	s := scheduled{w.now + max(0, span), w.scheduled, run}
 	w.scheduled++
 	i, _ := slices.BinarySearchFunc(w.queue, s, func(a, b scheduled) int {
@@ -429,7 +429,7 @@
 }
 
 // afterUnlessRestarted drops what was meant for an earlier incarnation of the scheduler.
-func (w *world) afterUnlessRestarted(span Time, run func() []Event) {
+func (w *simulatedWorld) afterUnlessRestarted(span Time, run func() []Event) {
 	incarnation := w.restarted
 	w.after(span, func() []Event {
 		if w.restarted != incarnation {
@@ -439,10 +439,10 @@
 	})
 }
 
-func (w *world) addMachine(startedAt Time) *worldMachine {
+func (w *simulatedWorld) addMachine(startedAt Time) *simulatedMachine {
 	r := w.random
 	n := len(w.machines)
-	m := &worldMachine{entry: MachineEntry{Machine: MachineID(fmt.Sprint("m", n)), Zone: n % 3, RackGroup: n / 2,
+	m := &simulatedMachine{entry: MachineEntry{Machine: MachineID(fmt.Sprint("m", n)), Zone: n % 3, RackGroup: n / 2,
 		MachineType: r.below(len(w.config.MachineTypes)), StartedAt: startedAt, PowerHint: r.float()}}
 	w.setFault(m)
 	w.machines = append(w.machines, m)
@@ -450,7 +450,7 @@
 	return m
 }
 
-func (w *world) setFault(m *worldMachine) {
+func (w *simulatedWorld) setFault(m *simulatedMachine) {
 	m.fault = healthy
 	if w.random.chance(w.faulty) {
 		m.fault = pick(w.random, w.faults...)
@@ -463,7 +463,7 @@
 }
 
 // listed gives what the list says of some machines.
-func (w *world) listed(machines []*worldMachine) []MachineEntry {
+func (w *simulatedWorld) listed(machines []*simulatedMachine) []MachineEntry {
 	var all []MachineEntry
 	for _, m := range machines {
 		e := m.entry
@@ -477,8 +477,8 @@
 	return all
 }
 
-func (w *world) fullList(mode UpdateMode) MachineListUpdate {
-	var present []*worldMachine
+func (w *simulatedWorld) fullList(mode UpdateMode) MachineListUpdate {
+	var present []*simulatedMachine
 	for _, m := range w.machines {
 		if m.entry.State != MachineGone || w.random.chance(0.5) {
 			present = append(present, m)
@@ -489,7 +489,7 @@
 }
 
 // start gives a new scheduler what it is given at its start.
-func (w *world) start() {
+func (w *simulatedWorld) start() {
 	var events []Event
 	if w.random.chance(0.9) {
 		events = append(events, w.fullList(RestoredSnapshot))
@@ -503,10 +503,10 @@
 	}
 }
 
-func (w *world) adopt() Event {
+func (w *simulatedWorld) adopt() Event {
 	request := w.request()
 	m := pick(w.random, w.machines...)
-	w.containers[request.ID] = &worldContainer{request: request, at: m, running: true, attempt: 1}
+	w.containers[request.ID] = &simulatedContainer{request: request, at: m, running: true, attempt: 1}
 	w.ids = append(w.ids, request.ID)
 	w.reserve(w.containers[request.ID], 1)
 	w.run(w.containers[request.ID])
@@ -519,7 +519,7 @@
 	return ContainerAdopted{PlacementRequest: request, Machine: id}
 }
 
-func (w *world) request() PlacementRequest {
+func (w *simulatedWorld) request() PlacementRequest {
 	r := w.random
 	class := r.below(len(w.config.WorkloadClasses))
 	service := fmt.Sprint("s", r.below(w.services))
@@ -539,7 +539,7 @@
 	return a
 }
 
-func (w *world) arrive() []Event {
+func (w *simulatedWorld) arrive() []Event {
 	w.after(w.random.span(0, 2*w.arrival), w.arrive)
 	var events []Event
 	for range pick(w.random, 1, 1, 1, 3) {
@@ -548,8 +548,8 @@
 	return events
 }
 
-func (w *world) submit(request PlacementRequest) Event {
-	w.containers[request.ID] = &worldContainer{request: request}
+func (w *simulatedWorld) submit(request PlacementRequest) Event {
+	w.containers[request.ID] = &simulatedContainer{request: request}
 	w.ids = append(w.ids, request.ID)
 	if w.random.chance(0.04) {
 		w.after(w.random.span(0, 4*Second), func() []Event { return w.remove(request.ID) })
@@ -558,7 +558,7 @@
 }
 
 // remove ends a container from outside; its attempt ends later.
-func (w *world) remove(id ContainerID) []Event {
+func (w *simulatedWorld) remove(id ContainerID) []Event {
 	c := w.containers[id]
 	if c.ended {
 		return nil
@@ -573,11 +573,11 @@
 }
 
 // change alters the fleet and gives the news of it.
-func (w *world) change() []Event {
+func (w *simulatedWorld) change() []Event {
 	r := w.random
 	w.after(r.span(0, 2*w.churn), w.change)
 	m := pick(r, w.machines...)
-	news := []*worldMachine{m}
+	news := []*simulatedMachine{m}
 	switch r.below(8) {
 	case 0:
 		m.entry.State = MachineDraining
@@ -589,7 +589,7 @@
 	case 4:
 		m.entry.State = MachineServing
 	case 5:
-		news = []*worldMachine{w.addMachine(w.now - r.span(0, Second))}
+		news = []*simulatedMachine{w.addMachine(w.now - r.span(0, Second))}
 	case 6:
 		w.setFault(m)
 		return nil
@@ -610,7 +610,7 @@
 }
 
 // restart replaces the scheduler by a new one that gets what the old one knew, whole or spoilt.
-func (w *world) restart() []Event {
+func (w *simulatedWorld) restart() []Event {
 	r := w.random
 	w.after(r.span(Second, 10*Second), w.restart)
 	known := w.scheduler.Snapshot()
@@ -656,7 +656,7 @@
 }
 
 // nonsense gives events that no well-behaved host would give.
-func (w *world) nonsense() []Event {
+func (w *simulatedWorld) nonsense() []Event {
 	r := w.random
 	w.after(r.span(0, Second/2), w.nonsense)
 	id := w.ids[len(w.ids)-1-r.below(min(len(w.ids), 20))]
@@ -699,7 +699,7 @@
 	}
 }
 
-func (w *world) react(a Action) {
+func (w *simulatedWorld) react(a Action) {
 	r := w.random
 	switch a := a.(type) {
 	case StartAttempt:
@@ -724,7 +724,7 @@
 	}
 }
 
-func (w *world) rejected(id ContainerID) {
+func (w *simulatedWorld) rejected(id ContainerID) {
 	c := w.containers[id]
 	if c.at == nil {
 		c.ended = true
@@ -739,7 +739,7 @@
 	}
 }
 
-func (w *world) probe(m *worldMachine) {
+func (w *simulatedWorld) probe(m *simulatedMachine) {
 	r := w.random
 	e := ProbeCompleted{Machine: m.entry.Machine, Outcome: OutcomeFinished, Elapsed: r.span(Millisecond, 50*Millisecond)}
 	switch {
@@ -756,13 +756,13 @@
 }
 
 // reserve counts a container at its machine, release with sign -1 takes it off.
-func (w *world) reserve(c *worldContainer, sign float64) {
+func (w *simulatedWorld) reserve(c *simulatedContainer, sign float64) {
 	c.at.used += sign * c.request.Cores
 	c.at.memory += sign * c.request.Memory
 }
 
 // attempt draws what becomes of an attempt.
-func (w *world) attempt(a StartAttempt) {
+func (w *simulatedWorld) attempt(a StartAttempt) {
 	r := w.random
 	c := w.containers[a.ID]
 	c.attempt++
@@ -786,7 +786,7 @@
 }
 
 // fate gives the outcome of an attempt and when it comes; Finished without Final stands for acceptance.
-func (w *world) fate(c *worldContainer, wait Time) (AttemptEnded, Time) {
+func (w *simulatedWorld) fate(c *simulatedContainer, wait Time) (AttemptEnded, Time) {
 	r := w.random
 	m, request := c.at, &c.request
 	k := w.config.MachineTypes[m.entry.MachineType]
@@ -818,7 +818,7 @@
 	return AttemptEnded{Outcome: OutcomeFinished}, min(wait, r.span(5*Millisecond, Second))
 }
 
-func (w *world) accept(c *worldContainer, attempt int) []Event {
+func (w *simulatedWorld) accept(c *simulatedContainer, attempt int) []Event {
 	r := w.random
 	if c.at == nil || c.attempt != attempt {
 		return nil
@@ -836,7 +836,7 @@
 }
 
 // run plans the reports and the end of a running container.
-func (w *world) run(c *worldContainer) {
+func (w *simulatedWorld) run(c *simulatedContainer) {
 	r := w.random
 	attempt := c.attempt
 	if w.config.UsageReports || r.chance(0.1) {
@@ -865,7 +865,7 @@
 	w.after(e.Elapsed, func() []Event { return w.end(c, attempt, e) })
 }
 
-func (w *world) end(c *worldContainer, attempt int, e AttemptEnded) []Event {
+func (w *simulatedWorld) end(c *simulatedContainer, attempt int, e AttemptEnded) []Event {
 	if c.at == nil || c.attempt != attempt {
 		return nil
 	}
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -11,8 +11,8 @@
 
 var update = flag.Bool("update", false, "rewrite the expected values in testdata")
 
-// terms has one workload, two kinds and three placers.
-func terms(e Idempotency) Config {
+// testConfig has one workload, two kinds and three placers.
+func testConfig(e Idempotency) Config {
 	return Config{Seed: 7, SchedulerCount: 3, CoresOvercommit: 2, MemoryOvercommit: 2, MeanCores: 1, MeanMemory: 1,
 		ListTracksRequests: true, ProbesAllowed: true, MaxAttempts: 4,
 		MachineTypes:    []MachineType{{10, 20}, {40, 60}},
@@ -20,8 +20,8 @@
 		WorkloadClasses: []WorkloadClass{{Idempotency: e, MachineType: -1, LatencyObjective: Second, PlacementTimeout: 6 * Second, PriorityWeight: 1}}}
 }
 
-// fleet has four machines: a and b in zone 0, c and d in zone 1, each in a cell of its own; b is of the large kind.
-func fleet(t Config) *Scheduler {
+// testScheduler has four machines: a and b in zone 0, c and d in zone 1, each in a cell of its own; b is of the large kind.
+func testScheduler(t Config) *Scheduler {
 	p := New(t)
 	p.Handle(0, []Event{MachineListUpdate{Mode: RestoredSnapshot, Entries: []MachineEntry{
 		{Machine: "a", Zone: 0, RackGroup: 0}, {Machine: "b", Zone: 0, RackGroup: 1, MachineType: 1, FreeCores: 40, FreeMemory: 60},
@@ -29,29 +29,29 @@
 	return p
 }
 
-// ask brings a container and tells where its first bid went.
-func ask(p *Scheduler, now Time, id ContainerID, service string) MachineID {
+// submit brings a container and tells where its first bid went.
+func submit(p *Scheduler, now Time, id ContainerID, service string) MachineID {
 	acts := p.Handle(now, []Event{RequestReceived{PlacementRequest{ID: id, Service: service, Cores: 1, Memory: 1, Deadline: now + 6*Second}}})
-	if b, ok := last(acts).(StartAttempt); ok {
+	if b, ok := lastAction(acts).(StartAttempt); ok {
 		return b.Machine
 	}
 	return ""
 }
 
-func tookOver(p *Scheduler, id, service string, at MachineID) {
+func adopt(p *Scheduler, id, service string, at MachineID) {
 	p.Handle(p.now, []Event{ContainerAdopted{PlacementRequest{ID: ContainerID(id), Service: service, Cores: 1, Memory: 1}, at}})
 }
 
-// move pretends that a container's bid went elsewhere.
-func (p *Scheduler) move(id ContainerID, to MachineID) {
+// moveAttempt pretends that a container's bid went elsewhere.
+func (p *Scheduler) moveAttempt(id ContainerID, to MachineID) {
 	c := p.containers[id]
 	sent := c.sentAt
 	p.release(c)
-	p.hold(c, p.machine(to))
+	p.reserve(c, p.findOrAddMachine(to))
 	c.sentAt = sent
 }
 
-func last(a []Action) Action {
+func lastAction(a []Action) Action {
 	if len(a) == 0 {
 		return nil
 	}
--- a/scheduler/placer_test.go
+++ b/scheduler/placer_test.go
@@ -16,42 +16,42 @@
 		setup func(*Scheduler)
 		want  func(m *machine) float64
 	}{
-		{"by contract", func(*Scheduler) {}, func(m *machine) float64 { return m.contract }},
+		{"by contract", func(*Scheduler) {}, func(m *machine) float64 { return m.capacity }},
 		{"not by placement", func(p *Scheduler) {
 			for i := 0; i < 30; i++ {
-				tookOver(p, fmt.Sprint("own", i), "busy", "b")
+				adopt(p, fmt.Sprint("own", i), "busy", "b")
 			}
-		}, func(m *machine) float64 { return m.contract }},
+		}, func(m *machine) float64 { return m.capacity }},
 		{"not by reported room", func(p *Scheduler) {
 			p.Handle(1, []Event{MachineListUpdate{Mode: DeltaUpdate, Entries: []MachineEntry{
 				{Machine: "b", Zone: 0, RackGroup: 0, MachineType: 1, FreeCores: -99, FreeMemory: -99}}}})
-		}, func(m *machine) float64 { return m.contract }},
+		}, func(m *machine) float64 { return m.capacity }},
 		{"by honored capacity", func(p *Scheduler) {
-			p.terms.UsageReports = true
-			tookOver(p, "hog", "other", "b")
+			p.config.UsageReports = true
+			adopt(p, "hog", "other", "b")
 			p.Handle(1, []Event{UsageReported{ID: "hog", Machine: "b", Metric: MetricCoresUsed, Value: 35}})
 		}, func(m *machine) float64 {
 			if m.id == "b" {
 				return 40 - (35 - 1) // one core was asked for
 			}
-			return m.contract
+			return m.capacity
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := fleet(terms(Idempotent))
+			p := testScheduler(testConfig(Idempotent))
 			tc.setup(p)
 			const n = 20000
 			seen, sum := map[*machine]float64{}, 0.0
 			for i := 0; i < n; i++ {
-				c := p.take(PlacementRequest{ID: "x", Service: fmt.Sprint("s", i), Cores: 1, Memory: 1})
+				c := p.addContainer(PlacementRequest{ID: "x", Service: fmt.Sprint("s", i), Cores: 1, Memory: 1})
 				seen[p.draw(c)]++
 				c.closed = true
-				p.forget(c)
+				p.removeIfClosed(c)
 			}
-			for _, m := range p.order {
+			for _, m := range p.machineOrder {
 				sum += tc.want(m)
 			}
-			for _, m := range p.order {
+			for _, m := range p.machineOrder {
 				if got, want := seen[m]/n, tc.want(m)/sum; math.Abs(got-want) > 0.015 {
 					t.Errorf("%s: drawn %.3f of the time, want %.3f", m.id, got, want)
 				}
@@ -70,14 +70,14 @@
 		{"within the asks", true, 10, 4, 12, 40},
 		{"beyond the list's asks", true, 20, 4, 12, 32},
 		{"beyond own asks, list late", true, 20, 15, 12, 35},
-		{"floor", true, 500, 4, 12, 40 * weightFloor},
+		{"floor", true, 500, 4, 12, 40 * minWeightShare},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := fleet(terms(Idempotent))
-			p.terms.UsageReports = tc.notes
+			p := testScheduler(testConfig(Idempotent))
+			p.config.UsageReports = tc.notes
 			m := p.machines["b"]
-			m.used.cores, m.asked.cores, m.listAsks.cores = tc.used, tc.asked, tc.listAsk
-			if got := p.honored(m); math.Abs(got-tc.want) > 1e-9 {
+			m.used.cores, m.requested.cores, m.listRequested.cores = tc.used, tc.asked, tc.listAsk
+			if got := p.honoredCapacity(m); math.Abs(got-tc.want) > 1e-9 {
 				t.Errorf("honored %.2f, want %.2f", got, tc.want)
 			}
 		})
@@ -110,16 +110,16 @@
 		{"at the hard stop", Idempotent, 0, OutcomeTimedOut, 10 * Second, Reject{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			tm := terms(tc.effect)
+			tm := testConfig(tc.effect)
 			tm.WorkloadClasses[0].DedupScope, tm.WorkloadClasses[0].DedupWindow = tc.repeats, 5*Second
-			p := fleet(tm)
-			first := ask(p, 0, "x", "s")
+			p := testScheduler(tm)
+			first := submit(p, 0, "x", "s")
 			got := p.Handle(tc.wait, []Event{AttemptEnded{ID: "x", Outcome: tc.outcome, Machine: first}})
-			if !sameType(last(got), tc.want) {
-				t.Errorf("%T, want %T", last(got), tc.want)
+			if !sameType(lastAction(got), tc.want) {
+				t.Errorf("%T, want %T", lastAction(got), tc.want)
 			}
-			if b, ok := last(got).(StartAttempt); ok && (b.Machine == first ||
-				!p.machines[b.Machine].shares(p.machines[first], tc.repeats) && tc.repeats != 0) {
+			if b, ok := lastAction(got).(StartAttempt); ok && (b.Machine == first ||
+				!p.machines[b.Machine].sharesScope(p.machines[first], tc.repeats) && tc.repeats != 0) {
 				t.Errorf("bid to %s after %s", b.Machine, first)
 			}
 		})
@@ -144,8 +144,8 @@
 		{"unknown to us", []Event{UsageReported{ID: "y"}, AttemptEnded{ID: "y"}, AttemptAccepted{ID: "y"}, ContainerRemoved{"y"}}, 0, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := fleet(terms(Idempotent))
-			ask(p, 0, "x", "s")
+			p := testScheduler(testConfig(Idempotent))
+			submit(p, 0, "x", "s")
 			n := 0
 			for i, e := range tc.events {
 				now := Time(i + 1)
@@ -183,49 +183,49 @@
 		{"absent from a whole list", func(p *Scheduler) {
 			p.Handle(0, []Event{MachineListUpdate{Mode: FullSnapshot, Entries: []MachineEntry{{Machine: "c"}}}})
 		}, "c"},
-		{"kind", func(p *Scheduler) { p.terms.WorkloadClasses[0].MachineType = 1 }, "b"},
-		{"kinds too small", func(p *Scheduler) { p.terms.MachineTypes[0].Cores = 0.4 }, "b"},
+		{"kind", func(p *Scheduler) { p.config.WorkloadClasses[0].MachineType = 1 }, "b"},
+		{"kinds too small", func(p *Scheduler) { p.config.MachineTypes[0].Cores = 0.4 }, "b"},
 		{"spread over machines", func(p *Scheduler) {
-			p.terms.WorkloadClasses[0].SpreadScope, p.terms.WorkloadClasses[0].MaxPerScope = ScopeMachine, 2
-			tookOver(p, "o1", "s", "a")
-			ask(p, 0, "o2", "s")
-			p.move("o2", "a")
+			p.config.WorkloadClasses[0].SpreadScope, p.config.WorkloadClasses[0].MaxPerScope = ScopeMachine, 2
+			adopt(p, "o1", "s", "a")
+			submit(p, 0, "o2", "s")
+			p.moveAttempt("o2", "a")
 		}, "bcd"},
 		{"spread over zones", func(p *Scheduler) {
-			p.terms.WorkloadClasses[0].SpreadScope, p.terms.WorkloadClasses[0].MaxPerScope = ScopeZone, 1
-			tookOver(p, "o1", "s", "a")
+			p.config.WorkloadClasses[0].SpreadScope, p.config.WorkloadClasses[0].MaxPerScope = ScopeZone, 1
+			adopt(p, "o1", "s", "a")
 		}, "cd"},
 		{"spread: running on a machine no list has named", func(p *Scheduler) {
-			p.terms.WorkloadClasses[0].SpreadScope, p.terms.WorkloadClasses[0].MaxPerScope = ScopeZone, 1
-			tookOver(p, "o1", "s", "nowhere")
+			p.config.WorkloadClasses[0].SpreadScope, p.config.WorkloadClasses[0].MaxPerScope = ScopeZone, 1
+			adopt(p, "o1", "s", "nowhere")
 		}, ""},
 		{"cold, its budget spent", func(p *Scheduler) {
 			m := p.machines["a"]
-			m.started = p.now + 1
-			for i := 0; i < p.terms.SlowStartBudget/p.terms.SchedulerCount; i++ {
-				m.sent = append(m.sent, p.now)
+			m.startedAt = p.now + 1
+			for i := 0; i < p.config.SlowStartBudget/p.config.SchedulerCount; i++ {
+				m.recentSends = append(m.recentSends, p.now)
 			}
 		}, "bcd"},
 		{"cold, just after own start", func(p *Scheduler) {
-			p.machines["a"].started, p.began = p.now+1, p.now
+			p.machines["a"].startedAt, p.sendsKnownSince = p.now+1, p.now
 		}, "bcd"},
 		{"sent a container away", func(p *Scheduler) {
-			tookOver(p, "o1", "o", "a")
+			adopt(p, "o1", "o", "a")
 			p.Handle(p.now, []Event{AttemptEnded{ID: "o1", Final: true, Outcome: OutcomeLost, Reason: ReasonDrained}})
 		}, "bcd"},
 		{"not here", func(p *Scheduler) {
-			ask(p, p.now, "o1", "o")
-			p.move("o1", "a")
+			submit(p, p.now, "o1", "o")
+			p.moveAttempt("o1", "a")
 			p.Handle(p.now, []Event{AttemptEnded{ID: "o1", Outcome: OutcomeFull, Reason: ReasonWrongMachine}})
 		}, "bcd"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := fleet(terms(Idempotent))
-			p.now, p.began = 100*Second, 0
+			p := testScheduler(testConfig(Idempotent))
+			p.now, p.sendsKnownSince = 100*Second, 0
 			tc.setup(p)
-			c, got := p.take(PlacementRequest{ID: "x", Service: "s", Cores: 1, Memory: 1}), ""
-			for _, m := range p.order {
-				if p.mayBid(c, m) {
+			c, got := p.addContainer(PlacementRequest{ID: "x", Service: "s", Cores: 1, Memory: 1}), ""
+			for _, m := range p.machineOrder {
+				if p.eligible(c, m) {
 					got += string(m.id)
 				}
 			}
@@ -249,32 +249,32 @@
 		t.Run(fmt.Sprintf("a container every %d at each of %d, cold %s", tc.gap, tc.placers, tc.cold), func(t *testing.T) {
 			var all []*Scheduler
 			for i := 0; i < tc.placers; i++ {
-				tm := terms(Idempotent)
+				tm := testConfig(Idempotent)
 				tm.SchedulerIndex, tm.SchedulerCount, tm.MaxAttempts = i, tc.placers, 1
-				all = append(all, fleet(tm))
-				for _, m := range all[i].order {
+				all = append(all, testScheduler(tm))
+				for _, m := range all[i].machineOrder {
 					if strings.Contains(tc.cold, string(m.id)) {
-						m.started = 1
+						m.startedAt = 1
 					}
 				}
 			}
 			var sent []Time
-			for now := Time(10); now < all[0].terms.SlowStartPeriod; now += min(tc.gap, 1000) {
+			for now := Time(10); now < all[0].config.SlowStartPeriod; now += min(tc.gap, 1000) {
 				for i, p := range all {
 					if tc.gap > 1000 && (now+Time(i)*7310)%tc.gap >= 1000 {
 						continue
 					}
-					if ask(p, now, ContainerID(fmt.Sprint(now)), fmt.Sprint("s", now, i)) == "a" {
+					if submit(p, now, ContainerID(fmt.Sprint(now)), fmt.Sprint("s", now, i)) == "a" {
 						sent = append(sent, now)
 					}
 				}
 			}
 			most := 0
 			for i := range sent {
-				n := sort.Search(len(sent), func(k int) bool { return sent[k] >= sent[i]+all[0].terms.SlowStartWindow }) - i
+				n := sort.Search(len(sent), func(k int) bool { return sent[k] >= sent[i]+all[0].config.SlowStartWindow }) - i
 				most = max(most, n)
 			}
-			if len(sent) < tc.least || most > all[0].terms.SlowStartBudget {
+			if len(sent) < tc.least || most > all[0].config.SlowStartBudget {
 				t.Errorf("%d bids, up to %d in a window", len(sent), most)
 			}
 		})
@@ -294,11 +294,11 @@
 		{"late but heard of", "heard-late heard-late heard-late", false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := fleet(terms(Idempotent))
+			p := testScheduler(testConfig(Idempotent))
 			for i, word := range strings.Fields(tc.outcomes) {
 				now, id := Time(i+1)*Second, ContainerID(fmt.Sprint("x", i))
-				ask(p, now, id, "s")
-				p.move(id, "a")
+				submit(p, now, id, "s")
+				p.moveAttempt(id, "a")
 				if word == "heard-late" {
 					p.Handle(now+1, []Event{ProbeCompleted{Machine: "a"}})
 				}
@@ -309,33 +309,33 @@
 					"heard-late":  AttemptEnded{ID: id, Final: true, Outcome: OutcomeTimedOut},
 					"yes":         AttemptAccepted{ID: id}}[word]})
 			}
-			if out := p.machines["a"].restUntil > 0; out != tc.out {
-				t.Errorf("out %t, want %t (log odds %.1f)", out, tc.out, p.machines["a"].sick)
+			if out := p.machines["a"].ejectedUntil > 0; out != tc.out {
+				t.Errorf("out %t, want %t (log odds %.1f)", out, tc.out, p.machines["a"].outlierLogOdds)
 			}
 		})
 	}
 	t.Run("sick ones are the last resort", func(t *testing.T) {
-		p := fleet(terms(Idempotent))
-		for i, m := range p.order {
-			p.judge(m, true)
-			p.judge(m, true)
-			got := ask(p, 0, ContainerID(m.id), fmt.Sprint("s", i))
-			if sick := p.machines[got] == nil || p.machines[got].restUntil > 0; sick != (i == 3) {
+		p := testScheduler(testConfig(Idempotent))
+		for i, m := range p.machineOrder {
+			p.recordOutcome(m, true)
+			p.recordOutcome(m, true)
+			got := submit(p, 0, ContainerID(m.id), fmt.Sprint("s", i))
+			if sick := p.machines[got] == nil || p.machines[got].ejectedUntil > 0; sick != (i == 3) {
 				t.Errorf("with %d of 4 sick a container goes to %q", i+1, got)
 			}
 		}
 	})
 	t.Run("comes back by a probe, on trial", func(t *testing.T) {
-		p := fleet(terms(Idempotent))
+		p := testScheduler(testConfig(Idempotent))
 		m := p.machines["a"]
-		p.judge(m, true)
-		p.judge(m, true)
-		acts := p.Handle(m.restUntil, []Event{TimerFired{"sweep"}})
-		p.Handle(m.restUntil+100, []Event{ProbeCompleted{Machine: "a", Outcome: OutcomeFinished}})
-		if last(acts) != (Probe{"a"}) || m.restUntil > 0 {
-			t.Fatalf("probed by %v, out until %d", acts, m.restUntil)
+		p.recordOutcome(m, true)
+		p.recordOutcome(m, true)
+		acts := p.Handle(m.ejectedUntil, []Event{TimerFired{"sweep"}})
+		p.Handle(m.ejectedUntil+100, []Event{ProbeCompleted{Machine: "a", Outcome: OutcomeFinished}})
+		if lastAction(acts) != (Probe{"a"}) || m.ejectedUntil > 0 {
+			t.Fatalf("probed by %v, out until %d", acts, m.ejectedUntil)
 		}
-		if p.judge(m, true); m.restUntil == 0 {
+		if p.recordOutcome(m, true); m.ejectedUntil == 0 {
 			t.Error("a failure on trial does not take it out again")
 		}
 	})
@@ -355,8 +355,8 @@
 		{"two errors, then full", "eeff", 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := fleet(terms(Idempotent))
-			at := ask(p, Second, "x", "s")
+			p := testScheduler(testConfig(Idempotent))
+			at := submit(p, Second, "x", "s")
 			for i, w := range tc.words {
 				if at == "" {
 					t.Fatalf("no bid before word %d", i)
@@ -369,13 +369,13 @@
 					e = AttemptEnded{ID: "x", Attempt: i, Machine: at, Outcome: OutcomeFull, Reason: ReasonNoMemory}
 				}
 				at = ""
-				if b, ok := last(p.Handle(Second+Time(i+1), []Event{e})).(StartAttempt); ok {
+				if b, ok := lastAction(p.Handle(Second+Time(i+1), []Event{e})).(StartAttempt); ok {
 					at = b.Machine
 				}
 			}
 			sick := 0
-			for _, m := range p.order {
-				if m.sick > 0 {
+			for _, m := range p.machineOrder {
+				if m.outlierLogOdds > 0 {
 					sick++
 				}
 			}
@@ -398,13 +398,13 @@
 		{"at-most-once", AtMostOnce, Fail{"x"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			tm := terms(tc.effect)
+			tm := testConfig(tc.effect)
 			tm.WorkloadClasses[0].DedupScope, tm.WorkloadClasses[0].DedupWindow = ScopeZone, 8*Second
-			p := fleet(tm)
-			at := ask(p, Second, "x", "s")
+			p := testScheduler(tm)
+			at := submit(p, Second, "x", "s")
 			acts := p.Handle(2*Second, []Event{AttemptEnded{ID: "x", Machine: at, Outcome: OutcomeFinished}})
-			if m := p.machines[at]; len(acts) != 1 || acts[0] != tc.want || m.sick > 0 || m.heardAt != 2*Second {
-				t.Errorf("%v, log odds %.1f, heard at %d", acts, m.sick, m.heardAt)
+			if m := p.machines[at]; len(acts) != 1 || acts[0] != tc.want || m.outlierLogOdds > 0 || m.lastHeardAt != 2*Second {
+				t.Errorf("%v, log odds %.1f, heard at %d", acts, m.outlierLogOdds, m.lastHeardAt)
 			}
 			if len(p.containers) > 0 {
 				t.Error("it is kept")
@@ -430,7 +430,7 @@
 			var all []*Scheduler
 			calls, informed := make([]int, 200), 0
 			for i := 0; i < tc.placers; i++ {
-				tm := terms(Idempotent)
+				tm := testConfig(Idempotent)
 				tm.Seed, tm.SchedulerCount, tm.SchedulerIndex, tm.ListOnRequest, tm.ResyncInterval = uint64(i), tc.placers, i, true, 10*Second
 				all = append(all, New(tm))
 			}
@@ -471,16 +471,16 @@
 		{"the list itself tells", []Event{MachineListUpdate{Mode: UpdateFailed}}, DeltaUpdate, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			tm := terms(Idempotent)
+			tm := testConfig(Idempotent)
 			tm.ListOnRequest, tm.ResyncInterval = true, 4*Second
-			p := fleet(tm)
+			p := testScheduler(tm)
 			now := Millisecond
 			p.Handle(now, tc.before)
 			p.Handle(now, []Event{MachineListUpdate{Mode: tc.mode, Entries: []MachineEntry{{Machine: "a", StartedAt: now}}}})
-			if m := p.machine("a"); m.started != now || !p.isCold(m) {
-				t.Errorf("machine a started at %d, cold: %v", m.started, p.isCold(m))
+			if m := p.findOrAddMachine("a"); m.startedAt != now || !p.inSlowStart(m) {
+				t.Errorf("machine a started at %d, cold: %v", m.startedAt, p.inSlowStart(m))
 			}
-			if m := p.machine("d"); m.state != MachineServing {
+			if m := p.findOrAddMachine("d"); m.state != MachineServing {
 				t.Errorf("machine d is in state %d", m.state)
 			}
 			calls := 0
@@ -515,18 +515,18 @@
 		{"room, came before", 0.1, 1, 0, true, 0, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			tm := terms(Idempotent)
+			tm := testConfig(Idempotent)
 			tm.WorkloadClasses = append(tm.WorkloadClasses, tm.WorkloadClasses[0])
 			tm.WorkloadClasses[1].PriorityWeight = 2 * tm.WorkloadClasses[0].PriorityWeight
 			tm.Tenants = []Tenant{{QuotaCores: 50}, {QuotaCores: 50}}
-			p, n := fleet(tm), 0
+			p, n := testScheduler(tm), 0
 			for i := 0; i < 1000; i++ {
-				p.held[0], p.held[1] = 20, 80
-				p.full, p.missed = tc.full, tc.full*tm.WorkloadClasses[1].PriorityWeight
+				p.tenantCores[0], p.tenantCores[1] = 20, 80
+				p.fullRatio, p.rejectedWeight = tc.full, tc.full*tm.WorkloadClasses[1].PriorityWeight
 				id := ContainerID(fmt.Sprint(i))
 				acts := p.Handle(0, []Event{RequestReceived{PlacementRequest{ID: id, Service: "s", WorkloadClass: tc.workload,
 					Tenant: tc.customer, ClientRetry: tc.again, Cores: 1, Memory: 1, Deadline: 5 * Second}}})
-				if _, ok := last(acts).(Reject); ok {
+				if _, ok := lastAction(acts).(Reject); ok {
 					n++
 				}
 			}
@@ -555,7 +555,7 @@
 		want        string // machines that take the first ones
 	}{
 		{"unanswered", lost, yes, false, "a", 0, "bcd"},
-		{"it lifts", lost, yes, false, "a", 3 * shunFades, "abcd"},
+		{"it lifts", lost, yes, false, "a", 3 * evidenceDecay, "abcd"},
 		{"a third unanswered, of all alike", third, third, false, "", 0, "abcd"},
 		{"full for no reason", full(ReasonNone), yes, false, "a", 0, "bcd"},
 		{"full with a reason", full(ReasonNoMemory), yes, false, "a", 0, "abcd"},
@@ -563,21 +563,21 @@
 		{"everywhere", lost, yes, false, "", 0, "abcd"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			tm := terms(Idempotent)
+			tm := testConfig(Idempotent)
 			tm.WorkloadClasses = append(tm.WorkloadClasses, tm.WorkloadClasses[0])
 			tm.Tenants = []Tenant{{50}, {50}}
-			p := fleet(tm)
+			p := testScheduler(tm)
 			for i := 0; i < 6; i++ {
-				for _, m := range p.order {
-					m.listAsks = room{}
+				for _, m := range p.machineOrder {
+					m.listRequested = resources{}
 					if tc.full {
-						m.listAsks.cores = 99
+						m.listRequested.cores = 99
 					}
 					for w, event := range []func(int) Event{tc.first, tc.rest} {
 						p.Handle(1, []Event{RequestReceived{PlacementRequest{ID: "x", Service: "s", WorkloadClass: w, Tenant: w, Cores: 1, Memory: 1,
 							Deadline: 6 * Second}}})
-						p.move("x", m.id)
-						m.heardAt = 1
+						p.moveAttempt("x", m.id)
+						m.lastHeardAt = 1
 						if w == 0 && tc.at != "" && tc.at != m.id {
 							event = yes
 						}
@@ -585,11 +585,11 @@
 					}
 				}
 			}
-			p.now, p.rng = 2+tc.after, pcg{1}
+			p.now, p.random = 2+tc.after, pcg{1}
 			for _, w := range []int{0, 1} {
 				got := map[string]bool{}
 				for i := 0; i < 400; i++ {
-					c := p.take(PlacementRequest{ID: "y", Service: fmt.Sprint(i), WorkloadClass: w, Tenant: w, Cores: 1, Memory: 1})
+					c := p.addContainer(PlacementRequest{ID: "y", Service: fmt.Sprint(i), WorkloadClass: w, Tenant: w, Cores: 1, Memory: 1})
 					got[string(p.draw(c).id)] = true
 				}
 				if s := strings.Join(slices.Sorted(maps.Keys(got)), ""); w == 0 && s != tc.want || w == 1 && s != "abcd" {
@@ -603,9 +603,9 @@
 // What cannot be so is answered safely: nothing goes to a machine of unknown kind or of no capacity, and a
 // container of an unknown workload is given up at once.
 func TestOddInput(t *testing.T) {
-	tm := terms(Idempotent)
+	tm := testConfig(Idempotent)
 	tm.SchedulerCount, tm.SlowStartBudget, tm.MachineTypes = 0, 0, append(tm.MachineTypes, MachineType{})
-	p := fleet(tm)
+	p := testScheduler(tm)
 	p.Handle(1, []Event{MachineListUpdate{Mode: FullSnapshot, Entries: []MachineEntry{{Machine: "a", MachineType: 9}, {Machine: "b", MachineType: 2},
 		{Machine: "c", StartedAt: 1}}}, ContainerAdopted{PlacementRequest{ID: "r", Service: "s", WorkloadClass: 7}, "c"}})
 	for _, tc := range []struct {
@@ -616,7 +616,7 @@
 		{PlacementRequest{ID: "y", Service: "s", WorkloadClass: 7, Deadline: 2 * Second}, Fail{}},
 		{PlacementRequest{ID: "z", Service: "s", Tenant: 7, Deadline: 30 * Second}, StartAttempt{}},
 	} {
-		if got := last(p.Handle(tc.ask.Deadline-1000, []Event{RequestReceived{tc.ask}})); !sameType(got, tc.want) {
+		if got := lastAction(p.Handle(tc.ask.Deadline-1000, []Event{RequestReceived{tc.ask}})); !sameType(got, tc.want) {
 			t.Errorf("%s: %T, want %T", tc.ask.ID, got, tc.want)
 		}
 	}
@@ -633,25 +633,25 @@
 		{"free", func(*Scheduler) {}, func(x Explanation) int { return x.Eligible }, 4},
 		{"draining", func(p *Scheduler) { p.machines["a"].state = MachineDraining }, func(x Explanation) int { return x.Draining }, 1},
 		{"gone", func(p *Scheduler) { p.machines["a"].state = MachineGone }, func(x Explanation) int { return x.Gone }, 1},
-		{"kind", func(p *Scheduler) { p.terms.WorkloadClasses[0].MachineType = 1 }, func(x Explanation) int { return x.WrongMachineType }, 3},
-		{"sick", func(p *Scheduler) { p.machines["a"].restUntil = 1 }, func(x Explanation) int { return x.Ejected }, 1},
-		{"closing", func(p *Scheduler) { p.machines["a"].shutUntil = p.now + 1 }, func(x Explanation) int { return x.SelfDraining }, 1},
-		{"cold", func(p *Scheduler) { p.machines["a"].started, p.began = p.now+1, p.now }, func(x Explanation) int { return x.SlowStartExhausted }, 1},
-		{"no cores", func(p *Scheduler) { p.terms.ListTracksRequests = true; p.machines["a"].listAsks.cores = 1e6 },
+		{"kind", func(p *Scheduler) { p.config.WorkloadClasses[0].MachineType = 1 }, func(x Explanation) int { return x.WrongMachineType }, 3},
+		{"sick", func(p *Scheduler) { p.machines["a"].ejectedUntil = 1 }, func(x Explanation) int { return x.Ejected }, 1},
+		{"closing", func(p *Scheduler) { p.machines["a"].selfDrainingUntil = p.now + 1 }, func(x Explanation) int { return x.SelfDraining }, 1},
+		{"cold", func(p *Scheduler) { p.machines["a"].startedAt, p.sendsKnownSince = p.now+1, p.now }, func(x Explanation) int { return x.SlowStartExhausted }, 1},
+		{"no cores", func(p *Scheduler) { p.config.ListTracksRequests = true; p.machines["a"].listRequested.cores = 1e6 },
 			func(x Explanation) int { return x.InsufficientCores }, 1},
-		{"no memory", func(p *Scheduler) { p.terms.ListTracksRequests = true; p.machines["a"].listAsks.memory = 1e6 },
+		{"no memory", func(p *Scheduler) { p.config.ListTracksRequests = true; p.machines["a"].listRequested.memory = 1e6 },
 			func(x Explanation) int { return x.InsufficientMemory }, 1},
 		{"spread", func(p *Scheduler) {
-			p.terms.WorkloadClasses[0].SpreadScope, p.terms.WorkloadClasses[0].MaxPerScope = ScopeMachine, 1
-			tookOver(p, "o", "s", "a")
+			p.config.WorkloadClasses[0].SpreadScope, p.config.WorkloadClasses[0].MaxPerScope = ScopeMachine, 1
+			adopt(p, "o", "s", "a")
 		}, func(x Explanation) int { return x.SpreadExhausted }, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p, q := fleet(terms(Idempotent)), fleet(terms(Idempotent))
+			p, q := testScheduler(testConfig(Idempotent)), testScheduler(testConfig(Idempotent))
 			for _, x := range []*Scheduler{p, q} {
-				x.now, x.began = 100*Second, 0
-				for _, m := range x.order {
-					m.listAsks = room{}
+				x.now, x.sendsKnownSince = 100*Second, 0
+				for _, m := range x.machineOrder {
+					m.listRequested = resources{}
 				}
 				tc.setup(x)
 			}
@@ -662,7 +662,7 @@
 			for i := range 20 {
 				id := ContainerID(fmt.Sprint(i))
 				p.Explain(PlacementRequest{Service: "s", Cores: 1, Memory: 1})
-				if a, b := ask(p, 100*Second, id, "s"), ask(q, 100*Second, id, "s"); a != b {
+				if a, b := submit(p, 100*Second, id, "s"), submit(q, 100*Second, id, "s"); a != b {
 					t.Fatalf("decided otherwise after the question: %s, %s", a, b)
 				}
 			}
@@ -673,7 +673,7 @@
 // A placer that is given what an earlier life of it knew goes on as that would have: the sick machine rests, and no
 // window of a cold machine's start has more than one life's part, though the lives follow on each other within it.
 func TestRecall(t *testing.T) {
-	tm := terms(Idempotent)
+	tm := testConfig(Idempotent)
 	tm.SchedulerCount, tm.MaxAttempts = 1, 1
 	cold := MachineListUpdate{Mode: RestoredSnapshot, Entries: []MachineEntry{{Machine: "a", StartedAt: 10}}}
 	var before *Scheduler
@@ -686,7 +686,7 @@
 			p.Restore(before.Snapshot())
 		}
 		for range 40 {
-			if now += 100; ask(p, now, ContainerID(fmt.Sprint(now)), fmt.Sprint("s", now)) == "a" {
+			if now += 100; submit(p, now, ContainerID(fmt.Sprint(now)), fmt.Sprint("s", now)) == "a" {
 				sent = append(sent, now)
 				p.Handle(now, []Event{AttemptEnded{ID: ContainerID(fmt.Sprint(now)), Final: true, Machine: "a", Elapsed: 1}})
 			}
@@ -726,31 +726,31 @@
 		{"a probe that stays unanswered", []Event{ProbeCompleted{Machine: "a", Outcome: OutcomeTimedOut}, ProbeCompleted{Machine: "a", Outcome: OutcomeTimedOut}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			tm := terms(Idempotent)
+			tm := testConfig(Idempotent)
 			tm.SlowStartPeriod = 0
-			p := fleet(tm)
+			p := testScheduler(tm)
 			for _, id := range []ContainerID{"x", "y"} {
-				ask(p, Second, id, "s")
-				p.move(id, "a")
+				submit(p, Second, id, "s")
+				p.moveAttempt(id, "a")
 			}
-			p.machines["a"].probing = Second
+			p.machines["a"].probeSentAt = Second
 			p.Handle(3*Second, []Event{MachineListUpdate{Mode: DeltaUpdate, Entries: []MachineEntry{{Machine: "a", StartedAt: 2 * Second}}}})
 			for _, e := range tc.events {
 				p.Handle(3*Second, []Event{e})
 			}
-			if m := p.machines["a"]; m.sick > 0 || m.restUntil > 0 {
-				t.Errorf("log odds %.1f, out until %d", m.sick, m.restUntil)
+			if m := p.machines["a"]; m.outlierLogOdds > 0 || m.ejectedUntil > 0 {
+				t.Errorf("log odds %.1f, out until %d", m.outlierLogOdds, m.ejectedUntil)
 			}
 		})
 	}
 	t.Run("a probe that could not be sent", func(t *testing.T) {
-		p := fleet(terms(Idempotent))
+		p := testScheduler(testConfig(Idempotent))
 		for range 3 {
-			p.machines["a"].probing = Second
+			p.machines["a"].probeSentAt = Second
 			p.Handle(3*Second, []Event{ProbeCompleted{Machine: "a", Outcome: OutcomeNotSent}})
 		}
-		if m := p.machines["a"]; m.sick > 0 || m.probing > 0 {
-			t.Errorf("log odds %.1f, probing %v", m.sick, m.probing)
+		if m := p.machines["a"]; m.outlierLogOdds > 0 || m.probeSentAt > 0 {
+			t.Errorf("log odds %.1f, probing %v", m.outlierLogOdds, m.probeSentAt)
 		}
 	})
 }
