--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -4,6 +4,7 @@
 package platform
 
 import (
+	"context"
 	"fmt"
 	"log/slog"
 	"maps"
@@ -273,7 +274,7 @@
 		s.loop.After(eventloop.Tick(action.After), func() { s.notifyScheduler(scheduler.TimerFired{Name: action.Name}) })
 	case scheduler.WatchMachineList, scheduler.FetchMachineList: // the bus is followed from the start
 	case scheduler.Log:
-		s.log.Info("mode", "text", action.Message)
+		s.log.LogAttrs(context.Background(), slog.LevelInfo, action.Message, action.Attributes...)
 	}
 }
 
--- a/internal/schedulerd/host.go
+++ b/internal/schedulerd/host.go
@@ -4,6 +4,7 @@
 package schedulerd
 
 import (
+	"context"
 	"fmt"
 	"log/slog"
 	"time"
@@ -286,7 +287,7 @@
 	case scheduler.FetchMachineList:
 		h.requestList(&protocol.FetchMachineList{})
 	case scheduler.Log:
-		h.log.Info("mode", "text", a.Message)
+		h.log.LogAttrs(context.Background(), slog.LevelInfo, a.Message, a.Attributes...)
 	}
 }
 
--- a/internal/simprotocol/wire.go
+++ b/internal/simprotocol/wire.go
@@ -362,7 +362,7 @@
 	case scheduler.FetchMachineList:
 		fmt.Fprintf(b, "FETCH %d\n", instance)
 	case scheduler.Log:
-		fmt.Fprintf(b, "DEBUG %d %s\n", instance, singleLine(a.Message))
+		fmt.Fprintf(b, "DEBUG %d %s\n", instance, singleLine(a.String()))
 	}
 }
 
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"bufio"
 	"flag"
 	"os"
 	"reflect"
@@ -11,7 +10,7 @@
 
 var update = flag.Bool("update", false, "rewrite the expected values in testdata")
 
-// testConfig has one workload, two kinds and three placers.
+// testConfig has one workload class, two machine types and three schedulers.
 func testConfig(e Idempotency) Config {
 	return Config{Seed: 7, SchedulerCount: 3, CoresOvercommit: 2, MemoryOvercommit: 2, MeanCores: 1, MeanMemory: 1,
 		ListTracksRequests: true, ProbesAllowed: true, MaxAttempts: 4,
@@ -20,34 +19,35 @@
 		WorkloadClasses: []WorkloadClass{{Idempotency: e, MachineType: -1, LatencyObjective: Second, PlacementTimeout: 6 * Second, PriorityWeight: 1}}}
 }
 
-// testScheduler has four machines: a and b in zone 0, c and d in zone 1, each in a cell of its own; b is of the large kind.
-func testScheduler(t Config) *Scheduler {
-	p := New(t)
-	p.Handle(0, []Event{MachineListUpdate{Mode: RestoredSnapshot, Entries: []MachineEntry{
+// testScheduler has four machines: a and b in zone 0, c and d in zone 1, each in a rack group of its own; b is of the large
+// type.
+func testScheduler(config Config) *Scheduler {
+	s := New(config)
+	s.Handle(0, []Event{MachineListUpdate{Mode: RestoredSnapshot, Entries: []MachineEntry{
 		{Machine: "a", Zone: 0, RackGroup: 0}, {Machine: "b", Zone: 0, RackGroup: 1, MachineType: 1, FreeCores: 40, FreeMemory: 60},
 		{Machine: "c", Zone: 1, RackGroup: 2}, {Machine: "d", Zone: 1, RackGroup: 3}}}})
-	return p
+	return s
 }
 
-// submit brings a container and tells where its first bid went.
-func submit(p *Scheduler, now Time, id ContainerID, service string) MachineID {
-	acts := p.Handle(now, []Event{RequestReceived{PlacementRequest{ID: id, Service: service, Cores: 1, Memory: 1, Deadline: now + 6*Second}}})
-	if b, ok := lastAction(acts).(StartAttempt); ok {
+// submit requests a container and returns the machine of its first attempt.
+func submit(s *Scheduler, now Time, id ContainerID, service string) MachineID {
+	actions := s.Handle(now, []Event{RequestReceived{PlacementRequest{ID: id, Service: service, Cores: 1, Memory: 1, Deadline: now + 6*Second}}})
+	if b, ok := lastAction(actions).(StartAttempt); ok {
 		return b.Machine
 	}
 	return ""
 }
 
-func adopt(p *Scheduler, id, service string, at MachineID) {
-	p.Handle(p.now, []Event{ContainerAdopted{PlacementRequest{ID: ContainerID(id), Service: service, Cores: 1, Memory: 1}, at}})
+func adopt(s *Scheduler, id, service string, at MachineID) {
+	s.Handle(s.now, []Event{ContainerAdopted{PlacementRequest{ID: ContainerID(id), Service: service, Cores: 1, Memory: 1}, at}})
 }
 
-// moveAttempt pretends that a container's bid went elsewhere.
-func (p *Scheduler) moveAttempt(id ContainerID, to MachineID) {
-	c := p.containers[id]
+// moveAttempt pretends that a container's attempt went elsewhere.
+func (s *Scheduler) moveAttempt(id ContainerID, to MachineID) {
+	c := s.containers[id]
 	sent := c.sentAt
-	p.release(c)
-	p.reserve(c, p.findOrAddMachine(to))
+	s.release(c)
+	s.reserve(c, s.findOrAddMachine(to))
 	c.sentAt = sent
 }
 
@@ -69,18 +69,9 @@
 
 func readLines(t *testing.T, name string) []string {
 	t.Helper()
-	f, err := os.Open(name)
+	content, err := os.ReadFile(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	var lines []string
-	s := bufio.NewScanner(f)
-	for s.Scan() {
-		lines = append(lines, s.Text())
-	}
-	if err := s.Err(); err != nil {
-		t.Fatal(err)
-	}
-	return lines
+	return strings.Split(strings.TrimSuffix(string(content), "\n"), "\n")
 }
--- /dev/null
+++ b/scheduler/random.go
@@ -0,0 +1,30 @@
+package scheduler
+
+// pcg is a permuted congruential generator with 64 bits of state (PCG RXS M XS): seeded, so that every decision
+// can be replayed.
+type pcg struct{ state uint64 }
+
+func (g *pcg) next() uint64 {
+	state := g.state
+	g.state = state*6364136223846793005 + 1442695040888963407
+	return mix(state)
+}
+
+// uniform returns a number from 0 up to and without 1.
+func (g *pcg) uniform() float64 { return float64(g.next()>>11) / (1 << 53) }
+
+// mix is the generator's output permutation.
+func mix(state uint64) uint64 {
+	word := ((state >> ((state >> 59) + 5)) ^ state) * 12605985483714917081
+	return word>>43 ^ word
+}
+
+// hash is FNV-1a.
+func hash(text string) uint64 {
+	const offset, prime = 14695981039346656037, 1099511628211
+	h := uint64(offset)
+	for i := range len(text) {
+		h = (h ^ uint64(text[i])) * prime
+	}
+	return h
+}
--- /dev/null
+++ b/scheduler/slowstart_test.go
@@ -0,0 +1,53 @@
+package scheduler
+
+import (
+	"fmt"
+	"sort"
+	"strings"
+	"testing"
+)
+
+// However attempts come, no window of a machine in slow start holds more of them, from all schedulers, than its budget;
+// and where there are more schedulers than that, those with a quota use it for the rest.
+func TestSlowStartBudgetHoldsInAnyWindow(t *testing.T) {
+	for _, tc := range []struct {
+		gap        Time // between a scheduler's containers
+		schedulers int
+		starting   string
+		least      int // attempts on a
+	}{{10, 3, "abcd", 1}, {100, 3, "abcd", 1}, {1000, 3, "abcd", 1}, {100, 7, "abcd", 1}, {100, 40, "abcd", 1},
+		{1000, 300, "a", 1}, {20 * Second, 300, "a", 8}} {
+		t.Run(fmt.Sprintf("a container every %d at each of %d, slow start of %s", tc.gap, tc.schedulers, tc.starting), func(t *testing.T) {
+			var all []*Scheduler
+			for i := 0; i < tc.schedulers; i++ {
+				config := testConfig(Idempotent)
+				config.SchedulerIndex, config.SchedulerCount, config.MaxAttempts = i, tc.schedulers, 1
+				all = append(all, testScheduler(config))
+				for _, m := range all[i].machineOrder {
+					if strings.Contains(tc.starting, string(m.id)) {
+						m.startedAt = 1
+					}
+				}
+			}
+			var sent []Time
+			for now := Time(10); now < all[0].config.SlowStartPeriod; now += min(tc.gap, 1000) {
+				for i, s := range all {
+					if tc.gap > 1000 && (now+Time(i)*7310)%tc.gap >= 1000 {
+						continue
+					}
+					if submit(s, now, ContainerID(fmt.Sprint(now)), fmt.Sprint("s", now, i)) == "a" {
+						sent = append(sent, now)
+					}
+				}
+			}
+			most := 0
+			for i := range sent {
+				n := sort.Search(len(sent), func(k int) bool { return sent[k] >= sent[i]+all[0].config.SlowStartWindow }) - i
+				most = max(most, n)
+			}
+			if len(sent) < tc.least || most > all[0].config.SlowStartBudget {
+				t.Errorf("%d attempts, up to %d in a window", len(sent), most)
+			}
+		})
+	}
+}
