--- a/cmd/adapter/golden_test.go
+++ b/cmd/adapter/golden_test.go
@@ -14,13 +14,12 @@
 // DEBUG lines is free; that one is written, and where, is not.
 func TestTranscriptIsAnsweredByteForByte(t *testing.T) {
 	const recorded = "testdata/transcript.out"
-	in, err := os.Open("testdata/transcript.in")
+	in, err := os.ReadFile("testdata/transcript.in")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer in.Close()
 	var out bytes.Buffer
-	if err := run(in, &out); err != nil {
+	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
 	lines := strings.SplitAfter(out.String(), "\n")
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,8 +1,9 @@
-// Command adapter hosts placers on the simulator's wire: events on standard input, actions on standard output.
+// Command adapter hosts schedulers on the simulator's wire: events on standard input, actions on standard output.
 package main
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -18,33 +19,41 @@
 	}
 }
 
-// turn is one instance's part of a frame.
-type turn struct {
-	instance int
-	placer   *scheduler.Scheduler
-	events   []scheduler.Event
+// instanceBatch is what a frame holds for one instance.
+type instanceBatch struct {
+	instance  int
+	scheduler *scheduler.Scheduler // nil once it is stopped
+	events    []scheduler.Event
 }
 
+// unknownInstanceError is an event for an instance that was not started, or was stopped.
+type unknownInstanceError struct{ line, instance int }
+
+func (e *unknownInstanceError) Error() string {
+	return fmt.Sprintf("line %d: instance %d is not known", e.line, e.instance)
+}
+
+// run answers each frame of the input until its end.
 func run(in io.Reader, out io.Writer) error {
-	dec := simprotocol.NewDecoder(in)
-	placers := map[int]*scheduler.Scheduler{} // a stopped instance is taken out
+	decoder := simprotocol.NewDecoder(in)
+	schedulers := map[int]*scheduler.Scheduler{} // by instance, without those that were stopped
 	var reply bytes.Buffer
 	for {
-		frame, err := dec.Next()
-		if err == io.EOF {
+		frame, err := decoder.Next()
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		turns, err := sortOut(frame, placers)
+		batches, err := groupByInstance(frame, schedulers)
 		if err != nil {
 			return err
 		}
 		reply.Reset()
-		for _, t := range turns {
-			if t.placer != nil {
-				decide(&reply, frame.Now, t)
+		for _, b := range batches {
+			if b.scheduler != nil {
+				decide(&reply, frame.Now, b)
 			}
 		}
 		fmt.Fprintf(&reply, "DONE %s\n", frame.Seq)
@@ -54,41 +63,44 @@
 	}
 }
 
-// sortOut gathers the events of a frame by instance, in the order in which instances first appear.
-// What an instance was told before it was stopped is dropped with it.
-func sortOut(frame *simprotocol.Frame, placers map[int]*scheduler.Scheduler) ([]*turn, error) {
-	var turns []*turn
-	at := map[int]*turn{}
+// groupByInstance gathers the events of a frame by instance, in the order in which instances first appear. It starts and
+// stops instances; events from before a stop are dropped with the instance.
+func groupByInstance(frame *simprotocol.Frame, schedulers map[int]*scheduler.Scheduler) ([]*instanceBatch, error) {
+	var batches []*instanceBatch
+	byInstance := map[int]*instanceBatch{}
 	for _, d := range frame.Deliveries {
-		t := at[d.Instance]
-		if t == nil {
-			t = &turn{instance: d.Instance, placer: placers[d.Instance]}
-			at[d.Instance] = t
-			turns = append(turns, t)
+		b := byInstance[d.Instance]
+		if b == nil {
+			b = &instanceBatch{instance: d.Instance, scheduler: schedulers[d.Instance]}
+			byInstance[d.Instance] = b
+			batches = append(batches, b)
 		}
 		switch {
 		case d.Start != nil:
-			placers[d.Instance] = scheduler.New(*d.Start)
-			t.placer, t.events = placers[d.Instance], nil
-		case t.placer == nil:
-			return nil, fmt.Errorf("line %d: instance %d is not known", d.Line, d.Instance)
+			b.scheduler = scheduler.New(*d.Start)
+			b.events = nil
+			schedulers[d.Instance] = b.scheduler
+		case b.scheduler == nil:
+			return nil, &unknownInstanceError{line: d.Line, instance: d.Instance}
 		case d.Stop:
-			delete(placers, d.Instance)
-			t.placer, t.events = nil, nil
+			b.scheduler = nil
+			b.events = nil
+			delete(schedulers, d.Instance)
 		default:
-			t.events = append(t.events, d.Event)
+			b.events = append(b.events, d.Event)
 		}
 	}
-	return turns, nil
+	return batches, nil
 }
 
-func decide(reply *bytes.Buffer, now scheduler.Time, t *turn) {
+// decide writes the actions of one instance. A panic of its decisions becomes a fault of that instance alone.
+func decide(reply *bytes.Buffer, now scheduler.Time, b *instanceBatch) {
 	defer func() {
 		if r := recover(); r != nil {
-			simprotocol.AppendFault(reply, t.instance, fmt.Sprint(r))
+			simprotocol.AppendFault(reply, b.instance, fmt.Sprint(r))
 		}
 	}()
-	for _, a := range t.placer.Handle(now, t.events) {
-		simprotocol.AppendAction(reply, t.instance, a)
+	for _, a := range b.scheduler.Handle(now, b.events) {
+		simprotocol.AppendAction(reply, b.instance, a)
 	}
 }
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -2,11 +2,13 @@
 
 import (
 	"bytes"
+	"errors"
+	"io"
 	"strings"
 	"testing"
 )
 
-func TestRun(t *testing.T) {
+func TestFramesAreAnsweredUntilInvalidInput(t *testing.T) {
 	for _, tc := range []struct{ name, in, out, err string }{
 		{"empty input", "", "", ""},
 		{"empty frame", "FRAME 8412.25 1\nCOMMIT\n", "DONE 1\n", ""},
@@ -26,9 +28,17 @@
 	}
 }
 
-func TestPanicIsAFault(t *testing.T) {
+func TestUnknownInstanceIsATypedError(t *testing.T) {
+	err := run(strings.NewReader("FRAME 1 1\nVANISHED 3 r-1\nCOMMIT\n"), io.Discard)
+	var unknown *unknownInstanceError
+	if !errors.As(err, &unknown) || unknown.instance != 3 || unknown.line != 2 {
+		t.Errorf("error %v", err)
+	}
+}
+
+func TestPanicOfDecisionsIsAFault(t *testing.T) {
 	var out bytes.Buffer
-	if decide(&out, 1, &turn{instance: 3}); !strings.HasPrefix(out.String(), "FAULT 3 ") {
+	if decide(&out, 1, &instanceBatch{instance: 3}); !strings.HasPrefix(out.String(), "FAULT 3 ") {
 		t.Errorf("wrote %q", out.String())
 	}
 }
