--- a/scheduler/attempts_test.go
+++ b/scheduler/attempts_test.go
@@ -38,9 +38,9 @@
 			if !sameType(lastAction(got), tc.want) {
 				t.Errorf("%T, want %T", lastAction(got), tc.want)
 			}
-			if b, ok := lastAction(got).(StartAttempt); ok && (b.Machine == first ||
-				!s.machines[b.Machine].sharesScope(s.machines[first], tc.scope) && tc.scope != 0) {
-				t.Errorf("attempt on %s after %s", b.Machine, first)
+			if next, ok := lastAction(got).(StartAttempt); ok && (next.Machine == first ||
+				!s.machines[next.Machine].sharesScope(s.machines[first], tc.scope) && tc.scope != ScopeNone) {
+				t.Errorf("attempt on %s after %s", next.Machine, first)
 			}
 		})
 	}
@@ -56,12 +56,15 @@
 		{"removed, then its outcome", []Event{ContainerRemoved{"x"}, AttemptEnded{ID: "x", Outcome: OutcomeTimedOut}}, 0, 0},
 		{"final outcome, then removed", []Event{AttemptEnded{ID: "x", Final: true, Outcome: OutcomeFinished},
 			ContainerRemoved{"x"}}, 0, 0},
-		{"accepted, then lost", []Event{AttemptAccepted{ID: "x"}, AttemptEnded{ID: "x", Final: true, Outcome: OutcomeLost}}, 0, 0},
+		{"accepted, then lost", []Event{AttemptAccepted{ID: "x"},
+			AttemptEnded{ID: "x", Final: true, Outcome: OutcomeLost}}, 0, 0},
 		{"every machine full", []Event{AttemptEnded{ID: "x", Outcome: OutcomeFull}, AttemptEnded{ID: "x", Outcome: OutcomeFull},
 			AttemptEnded{ID: "x", Outcome: OutcomeFull}, AttemptEnded{ID: "x", Outcome: OutcomeFull}}, 4, 0},
-		{"acceptance crossed by a cancellation", []Event{AttemptAccepted{ID: "x"}, AttemptEnded{ID: "x", Outcome: OutcomeStopped}}, 1, 2},
-		{"no outcome at the deadline", []Event{TimerFired{"sweep"}, TimerFired{"due"}}, 1, 2},
-		{"unknown container", []Event{UsageReported{ID: "y"}, AttemptEnded{ID: "y"}, AttemptAccepted{ID: "y"}, ContainerRemoved{"y"}}, 0, 2},
+		{"acceptance crossed by a cancellation", []Event{AttemptAccepted{ID: "x"},
+			AttemptEnded{ID: "x", Outcome: OutcomeStopped}}, 1, 2},
+		{"no outcome at the deadline", []Event{TimerFired{maintenanceTimer}, TimerFired{deadlineTimer}}, 1, 2},
+		{"unknown container", []Event{UsageReported{ID: "y"}, AttemptEnded{ID: "y"}, AttemptAccepted{ID: "y"},
+			ContainerRemoved{"y"}}, 0, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := testScheduler(testConfig(Idempotent))
@@ -69,7 +72,7 @@
 			n := 0
 			for i, e := range tc.events {
 				now := Time(i + 1)
-				if (e == Event(TimerFired{"due"})) {
+				if (e == Event(TimerFired{deadlineTimer})) {
 					now += 6 * Second
 				}
 				for _, a := range s.Handle(now, []Event{e}) {
@@ -107,8 +110,11 @@
 			s := testScheduler(config)
 			at := submit(s, Second, "x", "s")
 			actions := s.Handle(2*Second, []Event{AttemptEnded{ID: "x", Machine: at, Outcome: OutcomeFinished}})
-			if m := s.machines[at]; len(actions) != 1 || actions[0] != tc.want || m.outlierLogOdds > 0 || m.lastHeardAt != 2*Second {
-				t.Errorf("%v, log odds %.1f, heard at %d", actions, m.outlierLogOdds, m.lastHeardAt)
+			if len(actions) != 1 || actions[0] != tc.want {
+				t.Errorf("%v, want %v", actions, tc.want)
+			}
+			if m := s.machines[at]; m.outlierLogOdds > 0 || m.lastHeardAt != 2*Second {
+				t.Errorf("log odds %.1f, heard at %d", m.outlierLogOdds, m.lastHeardAt)
 			}
 			if len(s.containers) > 0 {
 				t.Error("the container is kept")
@@ -122,8 +128,10 @@
 	config := testConfig(Idempotent)
 	config.SchedulerCount, config.SlowStartBudget, config.MachineTypes = 0, 0, append(config.MachineTypes, MachineType{})
 	s := testScheduler(config)
-	s.Handle(1, []Event{MachineListUpdate{Mode: FullSnapshot, Entries: []MachineEntry{{Machine: "a", MachineType: 9}, {Machine: "b", MachineType: 2},
-		{Machine: "c", StartedAt: 1}}}, ContainerAdopted{PlacementRequest{ID: "r", Service: "s", WorkloadClass: 7}, "c"}})
+	s.Handle(1, []Event{
+		MachineListUpdate{Mode: FullSnapshot, Entries: []MachineEntry{
+			{Machine: "a", MachineType: 9}, {Machine: "b", MachineType: 2}, {Machine: "c", StartedAt: 1}}},
+		ContainerAdopted{PlacementRequest{ID: "r", Service: "s", WorkloadClass: 7}, "c"}})
 	for _, tc := range []struct {
 		request PlacementRequest
 		want    Action // of this type
--- a/scheduler/draw_test.go
+++ b/scheduler/draw_test.go
@@ -24,8 +24,8 @@
 		}, func(m *machine) float64 { return m.capacity }},
 		{"by honored capacity", func(s *Scheduler) {
 			s.config.UsageReports = true
-			adopt(s, "hog", "other", "b")
-			s.Handle(1, []Event{UsageReported{ID: "hog", Machine: "b", Metric: MetricCoresUsed, Value: 35}})
+			adopt(s, "heavy", "other", "b")
+			s.Handle(1, []Event{UsageReported{ID: "heavy", Machine: "b", Metric: MetricCoresUsed, Value: 35}})
 		}, func(m *machine) float64 {
 			if m.id == "b" {
 				return 40 - (35 - 1) // one core was requested
@@ -39,7 +39,7 @@
 			const n = 20000
 			seen, sum := map[*machine]float64{}, 0.0
 			for i := 0; i < n; i++ {
-				c := s.addContainer(PlacementRequest{ID: "x", Service: fmt.Sprint("s", i), Cores: 1, Memory: 1})
+				c := s.addContainer(smallRequest("x", fmt.Sprint("s", i), 0))
 				seen[s.draw(c)]++
 				c.closed = true
 				s.removeIfClosed(c)
@@ -134,7 +134,7 @@
 			s := testScheduler(testConfig(Idempotent))
 			s.now, s.sendsKnownSince = 100*Second, 0
 			tc.setup(s)
-			c, got := s.addContainer(PlacementRequest{ID: "x", Service: "s", Cores: 1, Memory: 1}), ""
+			c, got := s.addContainer(smallRequest("x", "s", 0)), ""
 			for _, m := range s.machineOrder {
 				if s.eligible(c, m) {
 					got += string(m.id)
--- a/scheduler/explain_test.go
+++ b/scheduler/explain_test.go
@@ -14,15 +14,21 @@
 		n     int
 	}{
 		{"eligible", func(*Scheduler) {}, func(x Explanation) int { return x.Eligible }, 4},
-		{"draining", func(s *Scheduler) { s.machines["a"].state = MachineDraining }, func(x Explanation) int { return x.Draining }, 1},
-		{"gone", func(s *Scheduler) { s.machines["a"].state = MachineGone }, func(x Explanation) int { return x.Gone }, 1},
-		{"machine type", func(s *Scheduler) { s.config.WorkloadClasses[0].MachineType = 1 }, func(x Explanation) int { return x.WrongMachineType }, 3},
-		{"ejected", func(s *Scheduler) { s.machines["a"].ejectedUntil = 1 }, func(x Explanation) int { return x.Ejected }, 1},
-		{"self-draining", func(s *Scheduler) { s.machines["a"].selfDrainingUntil = s.now + 1 }, func(x Explanation) int { return x.SelfDraining }, 1},
-		{"slow start", func(s *Scheduler) { s.machines["a"].startedAt, s.sendsKnownSince = s.now+1, s.now }, func(x Explanation) int { return x.SlowStartExhausted }, 1},
-		{"no cores", func(s *Scheduler) { s.config.ListTracksRequests = true; s.machines["a"].listRequested.cores = 1e6 },
+		{"draining", func(s *Scheduler) { s.machines["a"].state = MachineDraining },
+			func(x Explanation) int { return x.Draining }, 1},
+		{"gone", func(s *Scheduler) { s.machines["a"].state = MachineGone },
+			func(x Explanation) int { return x.Gone }, 1},
+		{"machine type", func(s *Scheduler) { s.config.WorkloadClasses[0].MachineType = 1 },
+			func(x Explanation) int { return x.WrongMachineType }, 3},
+		{"ejected", func(s *Scheduler) { s.machines["a"].ejectedUntil = 1 },
+			func(x Explanation) int { return x.Ejected }, 1},
+		{"self-draining", func(s *Scheduler) { s.machines["a"].selfDrainingUntil = s.now + 1 },
+			func(x Explanation) int { return x.SelfDraining }, 1},
+		{"slow start", func(s *Scheduler) { s.machines["a"].startedAt, s.sendsKnownSince = s.now+1, s.now },
+			func(x Explanation) int { return x.SlowStartExhausted }, 1},
+		{"no cores", func(s *Scheduler) { s.machines["a"].listRequested.cores = 1e6 },
 			func(x Explanation) int { return x.InsufficientCores }, 1},
-		{"no memory", func(s *Scheduler) { s.config.ListTracksRequests = true; s.machines["a"].listRequested.memory = 1e6 },
+		{"no memory", func(s *Scheduler) { s.machines["a"].listRequested.memory = 1e6 },
 			func(x Explanation) int { return x.InsufficientMemory }, 1},
 		{"spread", func(s *Scheduler) {
 			s.config.WorkloadClasses[0].SpreadScope, s.config.WorkloadClasses[0].MaxPerScope = ScopeMachine, 1
@@ -30,22 +36,22 @@
 		}, func(x Explanation) int { return x.SpreadExhausted }, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s, q := testScheduler(testConfig(Idempotent)), testScheduler(testConfig(Idempotent))
-			for _, x := range []*Scheduler{s, q} {
-				x.now, x.sendsKnownSince = 100*Second, 0
-				for _, m := range x.machineOrder {
+			asked, unasked := testScheduler(testConfig(Idempotent)), testScheduler(testConfig(Idempotent))
+			for _, s := range []*Scheduler{asked, unasked} {
+				s.now, s.sendsKnownSince = 100*Second, 0
+				for _, m := range s.machineOrder {
 					m.listRequested = resources{}
 				}
-				tc.setup(x)
+				tc.setup(s)
 			}
-			x := s.Explain(PlacementRequest{Service: "s", Cores: 1, Memory: 1})
-			if got := tc.want(x); got != tc.n {
-				t.Errorf("%d, want %d: %+v", got, tc.n, x)
+			explanation := asked.Explain(smallRequest("", "s", 0))
+			if got := tc.want(explanation); got != tc.n {
+				t.Errorf("%d, want %d: %+v", got, tc.n, explanation)
 			}
 			for i := range 20 {
 				id := ContainerID(fmt.Sprint(i))
-				s.Explain(PlacementRequest{Service: "s", Cores: 1, Memory: 1})
-				if a, b := submit(s, 100*Second, id, "s"), submit(q, 100*Second, id, "s"); a != b {
+				asked.Explain(smallRequest("", "s", 0))
+				if a, b := submit(asked, 100*Second, id, "s"), submit(unasked, 100*Second, id, "s"); a != b {
 					t.Fatalf("decided differently after the question: %s, %s", a, b)
 				}
 			}
--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -96,10 +96,16 @@
 	d.value(reflect.ValueOf(a))
 }
 
-// fold takes in a value that is no action, under a number of its own.
-func (d *digest) fold(sort uint64, x any) {
+// Numbers of values that are no actions.
+const (
+	snapshotOrdinal    = 101
+	explanationOrdinal = 102
+)
+
+// fold adds a value that is no action.
+func (d *digest) fold(ordinal uint64, x any) {
 	d.buffer = d.buffer[:0]
-	d.number(sort)
+	d.number(ordinal)
 	d.value(reflect.ValueOf(x))
 	d.hash.Write(d.buffer)
 }
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -55,7 +55,7 @@
 		m := s.machines["a"]
 		s.recordFailure(m)
 		s.recordFailure(m)
-		actions := s.Handle(m.ejectedUntil, []Event{TimerFired{"sweep"}})
+		actions := s.Handle(m.ejectedUntil, []Event{TimerFired{maintenanceTimer}})
 		s.Handle(m.ejectedUntil+100, []Event{ProbeCompleted{Machine: "a", Outcome: OutcomeFinished}})
 		if lastAction(actions) != (Probe{"a"}) || m.ejectedUntil > 0 {
 			t.Fatalf("probed by %v, ejected until %d", actions, m.ejectedUntil)
@@ -82,20 +82,20 @@
 		t.Run(tc.name, func(t *testing.T) {
 			s := testScheduler(testConfig(Idempotent))
 			at := submit(s, Second, "x", "s")
-			for i, w := range tc.outcomes {
+			for i, outcome := range tc.outcomes {
 				if at == "" {
 					t.Fatalf("no attempt before outcome %d", i)
 				}
 				var e Event = AttemptAccepted{ID: "x", Attempt: i, Machine: at}
-				switch w {
+				switch outcome {
 				case 'e':
 					e = AttemptEnded{ID: "x", Attempt: i, Machine: at, Outcome: OutcomeErrored}
 				case 'f':
 					e = AttemptEnded{ID: "x", Attempt: i, Machine: at, Outcome: OutcomeFull, Reason: ReasonNoMemory}
 				}
 				at = ""
-				if b, ok := lastAction(s.Handle(Second+Time(i+1), []Event{e})).(StartAttempt); ok {
-					at = b.Machine
+				if next, ok := lastAction(s.Handle(Second+Time(i+1), []Event{e})).(StartAttempt); ok {
+					at = next.Machine
 				}
 			}
 			suspects := 0
@@ -117,10 +117,12 @@
 		name   string
 		events []Event
 	}{
-		{"containers lost with it", []Event{AttemptAccepted{ID: "x"}, AttemptAccepted{ID: "y"}, AttemptEnded{ID: "x", Final: true, Outcome: OutcomeLost},
+		{"containers lost with it", []Event{AttemptAccepted{ID: "x"}, AttemptAccepted{ID: "y"},
+			AttemptEnded{ID: "x", Final: true, Outcome: OutcomeLost},
 			AttemptEnded{ID: "y", Final: true, Outcome: OutcomeLost}}},
 		{"attempts cut short", []Event{AttemptEnded{ID: "x", Outcome: OutcomeLost}, AttemptEnded{ID: "y", Outcome: OutcomeLost}}},
-		{"a probe that stays unanswered", []Event{ProbeCompleted{Machine: "a", Outcome: OutcomeTimedOut}, ProbeCompleted{Machine: "a", Outcome: OutcomeTimedOut}}},
+		{"a probe that stays unanswered", []Event{ProbeCompleted{Machine: "a", Outcome: OutcomeTimedOut},
+			ProbeCompleted{Machine: "a", Outcome: OutcomeTimedOut}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			config := testConfig(Idempotent)
@@ -131,7 +133,8 @@
 				s.moveAttempt(id, "a")
 			}
 			s.machines["a"].probeSentAt = Second
-			s.Handle(3*Second, []Event{MachineListUpdate{Mode: DeltaUpdate, Entries: []MachineEntry{{Machine: "a", StartedAt: 2 * Second}}}})
+			restarted := MachineEntry{Machine: "a", StartedAt: 2 * Second}
+			s.Handle(3*Second, []Event{MachineListUpdate{Mode: DeltaUpdate, Entries: []MachineEntry{restarted}}})
 			for _, e := range tc.events {
 				s.Handle(3*Second, []Event{e})
 			}
--- a/scheduler/machinelist_test.go
+++ b/scheduler/machinelist_test.go
@@ -23,12 +23,16 @@
 			polls, informed := make([]int, 200), 0
 			for i := 0; i < tc.schedulers; i++ {
 				config := testConfig(Idempotent)
-				config.Seed, config.SchedulerCount, config.SchedulerIndex, config.ListOnRequest, config.ResyncInterval = uint64(i), tc.schedulers, i, true, 10*Second
+				config.Seed = uint64(i)
+				config.SchedulerCount = tc.schedulers
+				config.SchedulerIndex = i
+				config.ListOnRequest = true
+				config.ResyncInterval = 10 * Second
 				all = append(all, New(config))
 			}
 			for now := Time(0); now <= tc.by; now += Second / 4 {
 				for _, s := range all {
-					if slices.Contains(s.Handle(now, []Event{TimerFired{"sweep"}}), Action(WatchMachineList{true})) {
+					if slices.Contains(s.Handle(now, []Event{TimerFired{maintenanceTimer}}), Action(WatchMachineList{true})) {
 						polls[now/(Second/2)]++
 						if now < tc.downUntil {
 							s.Handle(now, []Event{MachineListUpdate{Mode: UpdateFailed}})
@@ -57,8 +61,8 @@
 	}{
 		{"first poll of a new incarnation", nil, SelfReported, true},
 		{"list service unreachable", []Event{MachineListUpdate{Mode: UpdateFailed}}, SelfReported, true},
-		{"list service unreachable for long", []Event{MachineListUpdate{Mode: UpdateFailed}, MachineListUpdate{Mode: UpdateFailed},
-			MachineListUpdate{Mode: UpdateFailed}}, SelfReported, true},
+		{"list service unreachable for long", []Event{MachineListUpdate{Mode: UpdateFailed},
+			MachineListUpdate{Mode: UpdateFailed}, MachineListUpdate{Mode: UpdateFailed}}, SelfReported, true},
 		{"list service answered before", []Event{MachineListUpdate{Mode: DeltaUpdate}}, SelfReported, false},
 		{"reported by the list service", []Event{MachineListUpdate{Mode: UpdateFailed}}, DeltaUpdate, false},
 	} {
@@ -77,7 +81,7 @@
 			}
 			polls := 0
 			for ; now <= 10*Second; now += Second / 4 {
-				if slices.Contains(s.Handle(now, []Event{TimerFired{"sweep"}}), Action(WatchMachineList{true})) {
+				if slices.Contains(s.Handle(now, []Event{TimerFired{maintenanceTimer}}), Action(WatchMachineList{true})) {
 					polls++
 				}
 			}
--- a/scheduler/sequences_test.go
+++ b/scheduler/sequences_test.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// goldenGroup is a sort of sequences.
+// goldenGroup is a group of sequences with settings in common.
 type goldenGroup struct {
 	name   string
 	adjust func(r *random, o *sequenceOptions)
@@ -70,7 +70,7 @@
 	}},
 	{"lost answers", func(r *random, o *sequenceOptions) { o.lost = 0.4 }},
 	{"odd input", func(r *random, o *sequenceOptions) {
-		o.odd = true
+		o.invalid = true
 		o.config.SchedulerCount, o.config.SchedulerIndex = 0, 0
 		o.config.UsageReports, o.config.ListTracksRequests = r.chance(0.7), r.chance(0.7)
 		o.config.MachineTypes = append(o.config.MachineTypes, MachineType{})
@@ -93,38 +93,79 @@
 }
 
 func drawOptions(r *random) *sequenceOptions {
-	o := &sequenceOptions{machines: 2 + r.below(12), services: 1 + r.below(8), arrival: r.span(40*Millisecond, 300*Millisecond),
-		size: 1 + 2*r.float(), runtime: r.span(Second/2, 8*Second), faulty: pick(r, 0, 0.15, 0.4), lost: pick(r, 0, 0, 0.05),
-		churn: r.span(Second, 6*Second), retries: r.float(), listFails: pick(r, 0, 0.3),
-		faults: []simulatedFault{unreachable, silent, erroring, failsOneClass, failsOneTenant, resetting, drainingItself, refusing}}
-	c := &o.config
-	*c = Config{Seed: r.next(), SchedulerCount: pick(r, 1, 3, 10), OverQuotaWeight: pick(r, 0, 0.1, 0.5),
-		CoresOvercommit: pick(r, 1, 2, 2.5), MemoryOvercommit: pick(r, 1, 1.5, 2), MeanCores: pick(r, 0.5, 0.96, 2),
-		MeanMemory: pick(r, 0.7, 1.73, 3), AcceptMeansRunning: r.chance(0.5), UsageReports: r.chance(0.5), ListTracksRequests: r.chance(0.5),
-		ProbesAllowed: r.chance(0.7), MaxAttempts: pick(r, 1, 2, 4, 4, 6), AnswerGrace: pick(r, 80, Second/2),
-		ListOnRequest: r.chance(0.3), ResyncInterval: 10 * Second, SlowStartPeriod: pick(r, 0, 5*Second), SlowStartWindow: pick(r, Second, 3*Second),
-		SlowStartBudget: pick(r, 0, 3, 30, 100)}
+	// The order of the fields is that of the random numbers.
+	o := &sequenceOptions{
+		machines:  2 + r.below(12),
+		services:  1 + r.below(8),
+		arrival:   r.span(40*Millisecond, 300*Millisecond),
+		size:      1 + 2*r.float(),
+		runtime:   r.span(Second/2, 8*Second),
+		faulty:    pick(r, 0, 0.15, 0.4),
+		lost:      pick(r, 0, 0, 0.05),
+		churn:     r.span(Second, 6*Second),
+		retries:   r.float(),
+		listFails: pick(r, 0, 0.3),
+		faults: []simulatedFault{unreachable, silent, erroring, failsOneClass, failsOneTenant, resetting, drainingItself,
+			refusing},
+	}
+	o.config = Config{
+		Seed:               r.next(),
+		SchedulerCount:     pick(r, 1, 3, 10),
+		OverQuotaWeight:    pick(r, 0, 0.1, 0.5),
+		CoresOvercommit:    pick(r, 1, 2, 2.5),
+		MemoryOvercommit:   pick(r, 1, 1.5, 2),
+		MeanCores:          pick(r, 0.5, 0.96, 2),
+		MeanMemory:         pick(r, 0.7, 1.73, 3),
+		AcceptMeansRunning: r.chance(0.5),
+		UsageReports:       r.chance(0.5),
+		ListTracksRequests: r.chance(0.5),
+		ProbesAllowed:      r.chance(0.7),
+		MaxAttempts:        pick(r, 1, 2, 4, 4, 6),
+		AnswerGrace:        pick(r, 80, Second/2),
+		ListOnRequest:      r.chance(0.3),
+		ResyncInterval:     10 * Second,
+		SlowStartPeriod:    pick(r, 0, 5*Second),
+		SlowStartWindow:    pick(r, Second, 3*Second),
+		SlowStartBudget:    pick(r, 0, 3, 30, 100),
+	}
+	drawFleet(r, &o.config)
+	return o
+}
+
+// drawFleet adds machine types, tenants and workload classes.
+func drawFleet(r *random, c *Config) {
 	c.SchedulerIndex = r.below(c.SchedulerCount)
 	for range 1 + r.below(3) {
-		c.MachineTypes = append(c.MachineTypes, MachineType{Cores: float64(4 + r.below(30)), Memory: float64(6 + r.below(50))})
+		size := MachineType{Cores: float64(4 + r.below(30)), Memory: float64(6 + r.below(50))}
+		c.MachineTypes = append(c.MachineTypes, size)
 	}
 	for range r.below(4) {
 		c.Tenants = append(c.Tenants, Tenant{QuotaCores: float64(5 + r.below(50))})
 	}
 	for range 1 + r.below(4) {
-		timeout := r.span(Second, 6*Second)
-		w := WorkloadClass{Idempotency: pick(r, Idempotent, IdempotentWithKey, AtMostOnce), LatencyObjective: timeout / 4, PlacementTimeout: timeout,
-			MachineType: -1, PriorityWeight: 0.5 + 2*r.float()}
-		if w.Idempotency == IdempotentWithKey || r.chance(0.1) {
-			w.DedupScope, w.DedupWindow = pick(r, ScopeNone, ScopeMachine, ScopeRackGroup, ScopeZone, ScopeFleet), r.span(Second/2, 6*Second)
-		}
-		if r.chance(0.2) {
-			w.MachineType = r.below(len(c.MachineTypes))
-		}
-		if r.chance(0.3) {
-			w.SpreadScope, w.MaxPerScope = pick(r, ScopeMachine, ScopeRackGroup, ScopeZone), 1+r.below(4)
-		}
-		c.WorkloadClasses = append(c.WorkloadClasses, w)
+		c.WorkloadClasses = append(c.WorkloadClasses, drawWorkloadClass(r, c))
 	}
-	return o
+}
+
+func drawWorkloadClass(r *random, c *Config) WorkloadClass {
+	timeout := r.span(Second, 6*Second)
+	class := WorkloadClass{
+		Idempotency:      pick(r, Idempotent, IdempotentWithKey, AtMostOnce),
+		LatencyObjective: timeout / 4,
+		PlacementTimeout: timeout,
+		MachineType:      -1,
+		PriorityWeight:   0.5 + 2*r.float(),
+	}
+	if class.Idempotency == IdempotentWithKey || r.chance(0.1) {
+		class.DedupScope = pick(r, ScopeNone, ScopeMachine, ScopeRackGroup, ScopeZone, ScopeFleet)
+		class.DedupWindow = r.span(Second/2, 6*Second)
+	}
+	if r.chance(0.2) {
+		class.MachineType = r.below(len(c.MachineTypes))
+	}
+	if r.chance(0.3) {
+		class.SpreadScope = pick(r, ScopeMachine, ScopeRackGroup, ScopeZone)
+		class.MaxPerScope = 1 + r.below(4)
+	}
+	return class
 }
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -34,7 +34,7 @@
 	failsOneClass  // no answer to one workload class
 	failsOneTenant // "full" without a reason to one tenant
 	resetting      // accepts, then loses its containers
-	drainingItself // refuses and sends away, before the list has it
+	drainingItself // refuses and sends away, before the machine list has it
 	refusing       // always full
 	faults
 )
@@ -50,11 +50,11 @@
 	faults    []simulatedFault
 	faulty    float64 // part of the machines with a fault
 	lost      float64 // part of the attempts without any outcome
-	churn     Time    // mean time between changes of the list
+	churn     Time    // mean time between changes of the fleet
 	restarts  bool    // of the scheduler
-	odd       bool    // events that make no sense
+	invalid   bool    // invalid events too
 	retries   float64 // part of the rejected requests that come again
-	listFails float64 // part of the list calls
+	listFails float64 // part of the polls
 	oneClass  bool    // the machines fail the same class
 
 	selfReports bool // machines report their starts themselves
@@ -63,21 +63,21 @@
 // simulatedWorld answers the scheduler's actions.
 type simulatedWorld struct {
 	*sequenceOptions
-	random     *random
-	digest     *digest
-	scheduler  *Scheduler
-	now        Time
-	queue      []scheduled
-	scheduled  int
-	machines   []*simulatedMachine
-	byID       map[MachineID]*simulatedMachine
-	containers map[ContainerID]*simulatedContainer
-	ids        []ContainerID // of all containers so far
-	version    int64
-	restarted  int // attempts and timers from before it are void
-}
-
-// scheduled is something that happens at a time; next to the events it may change the world.
+	random      *random
+	digest      *digest
+	scheduler   *Scheduler
+	now         Time
+	queue       []scheduled
+	scheduled   int
+	machines    []*simulatedMachine
+	byID        map[MachineID]*simulatedMachine
+	containers  map[ContainerID]*simulatedContainer
+	ids         []ContainerID // of all containers so far
+	version     int64
+	incarnation int // of the scheduler; attempts and timers of earlier ones are void
+}
+
+// scheduled is something that happens at a time; besides returning events it may change the world.
 type scheduled struct {
 	at     Time
 	number int
@@ -105,8 +105,15 @@
 	o := drawOptions(r)
 	g.adjust(r, o)
 	d.timers = map[string]uint64{}
-	w := &simulatedWorld{sequenceOptions: o, random: r, digest: d, scheduler: New(o.config), byID: map[MachineID]*simulatedMachine{},
-		containers: map[ContainerID]*simulatedContainer{}, now: pick(r, 0, Time(r.below(1_000_000)))}
+	w := &simulatedWorld{
+		sequenceOptions: o,
+		random:          r,
+		digest:          d,
+		scheduler:       New(o.config),
+		now:             pick(r, 0, Time(r.below(1_000_000))),
+		byID:            map[MachineID]*simulatedMachine{},
+		containers:      map[ContainerID]*simulatedContainer{},
+	}
 	for range o.machines {
 		w.addMachine(0)
 	}
@@ -116,14 +123,15 @@
 	if o.restarts {
 		w.after(r.span(Second, 10*Second), w.restart)
 	}
-	if o.odd {
-		w.after(Second/10, w.nonsense)
+	if o.invalid {
+		w.after(Second/10, w.invalidEvents)
 	}
-	end := w.now + pick(r, r.span(Second, 4*Second), r.span(Second, 4*Second), r.span(Second, 4*Second), r.span(6*Second, 16*Second))
+	end := w.now + pick(r,
+		r.span(Second, 4*Second), r.span(Second, 4*Second), r.span(Second, 4*Second), r.span(6*Second, 16*Second))
 	for len(w.queue) > 0 && w.queue[0].at < end {
 		w.step()
 	}
-	w.digest.fold(101, w.scheduler.Snapshot())
+	w.digest.fold(snapshotOrdinal, w.scheduler.Snapshot())
 }
 
 // step carries out what is due next, and sometimes what follows soon after in the same batch.
@@ -141,9 +149,9 @@
 	w.handle(events)
 	switch {
 	case w.random.chance(0.03):
-		w.digest.fold(102, w.scheduler.Explain(w.request()))
+		w.digest.fold(explanationOrdinal, w.scheduler.Explain(w.request()))
 	case w.random.chance(0.01):
-		w.digest.fold(101, w.scheduler.Snapshot())
+		w.digest.fold(snapshotOrdinal, w.scheduler.Snapshot())
 	}
 }
 
@@ -169,9 +177,9 @@
 
 // afterUnlessRestarted drops what was meant for an earlier incarnation of the scheduler.
 func (w *simulatedWorld) afterUnlessRestarted(span Time, run func() []Event) {
-	incarnation := w.restarted
+	incarnation := w.incarnation
 	w.after(span, func() []Event {
-		if w.restarted != incarnation {
+		if w.incarnation != incarnation {
 			return nil
 		}
 		return run()
@@ -201,7 +209,7 @@
 	m.tenant = w.random.below(len(w.config.Tenants) + 1)
 }
 
-// listed gives what the list says of some machines.
+// listed returns the entries of some machines.
 func (w *simulatedWorld) listed(machines []*simulatedMachine) []MachineEntry {
 	var all []MachineEntry
 	for _, m := range machines {
@@ -216,7 +224,7 @@
 	return all
 }
 
-func (w *simulatedWorld) fullList(mode UpdateMode) MachineListUpdate {
+func (w *simulatedWorld) fullUpdate(mode UpdateMode) MachineListUpdate {
 	var present []*simulatedMachine
 	for _, m := range w.machines {
 		if m.entry.State != MachineGone || w.random.chance(0.5) {
@@ -227,18 +235,18 @@
 	return MachineListUpdate{Mode: mode, Version: w.version, Entries: w.listed(present)}
 }
 
-// start gives a new scheduler what it is given at its start.
+// start hands a new scheduler the events of a process that starts.
 func (w *simulatedWorld) start() {
 	var events []Event
 	if w.random.chance(0.9) {
-		events = append(events, w.fullList(RestoredSnapshot))
+		events = append(events, w.fullUpdate(RestoredSnapshot))
 	}
 	w.handle(events)
 	for range w.random.below(4) {
 		w.handle([]Event{w.adopt()})
 	}
 	if w.random.chance(0.8) {
-		w.handle([]Event{w.fullList(FullSnapshot)})
+		w.handle([]Event{w.fullUpdate(FullSnapshot)})
 	}
 }
 
@@ -266,16 +274,24 @@
 	if r.chance(0.02) {
 		size *= 30
 	}
-	a := PlacementRequest{ID: ContainerID(fmt.Sprint("c", len(w.ids), "-", r.below(10))), IdempotencyKey: service, Service: service, WorkloadClass: class,
-		Tenant: r.below(len(w.config.Tenants) + 1), Cores: size, Memory: size * (0.5 + 2*r.float()),
-		Deadline: w.now + w.config.WorkloadClasses[class].PlacementTimeout, ClientRetry: r.chance(0.05)}
+	request := PlacementRequest{
+		ID:             ContainerID(fmt.Sprint("c", len(w.ids), "-", r.below(10))),
+		IdempotencyKey: service,
+		Service:        service,
+		WorkloadClass:  class,
+		Tenant:         r.below(len(w.config.Tenants) + 1),
+		Cores:          size,
+		Memory:         size * (0.5 + 2*r.float()),
+		Deadline:       w.now + w.config.WorkloadClasses[class].PlacementTimeout,
+		ClientRetry:    r.chance(0.05),
+	}
 	if r.chance(0.03) {
-		a.Deadline = w.now + Time(r.below(50)) // around the margin kept from deadlines
+		request.Deadline = w.now + Time(r.below(50)) // around the margin kept from deadlines
 	}
 	if r.chance(0.3) {
-		a.ExpectedRuntime = r.span(0, 2*w.runtime)
+		request.ExpectedRuntime = r.span(0, 2*w.runtime)
 	}
-	return a
+	return request
 }
 
 func (w *simulatedWorld) arrive() []Event {
@@ -311,73 +327,75 @@
 	return []Event{ContainerRemoved{ID: id}}
 }
 
-// change alters the fleet and gives the news of it.
+// change alters the fleet and returns the update of the machine list.
 func (w *simulatedWorld) change() []Event {
 	r := w.random
 	w.after(r.span(0, 2*w.churn), w.change)
 	m := pick(r, w.machines...)
-	news := []*simulatedMachine{m}
+	changed := []*simulatedMachine{m}
 	switch r.below(8) {
 	case 0:
 		m.entry.State = MachineDraining
 	case 1:
 		m.entry.State = MachineGone
-	case 2, 3: // it started anew
+	case 2, 3: // a new incarnation
 		m.entry.State, m.entry.StartedAt = MachineServing, w.now-r.span(0, Second/2)
 		w.setFault(m)
 	case 4:
 		m.entry.State = MachineServing
 	case 5:
-		news = []*simulatedMachine{w.addMachine(w.now - r.span(0, Second))}
+		changed = []*simulatedMachine{w.addMachine(w.now - r.span(0, Second))}
 	case 6:
 		w.setFault(m)
 		return nil
 	default:
-		news = append(news, pick(r, w.machines...))
+		changed = append(changed, pick(r, w.machines...))
 	}
 	if w.selfReports && r.chance(0.7) {
-		return []Event{MachineListUpdate{Mode: SelfReported, Entries: w.listed(news)}}
+		return []Event{MachineListUpdate{Mode: SelfReported, Entries: w.listed(changed)}}
 	}
 	if r.chance(0.1) {
-		return nil // unheard of until the next full list
+		return nil // not reported before the next full update
 	}
 	if r.chance(0.15) {
-		return []Event{w.fullList(FullSnapshot)}
+		return []Event{w.fullUpdate(FullSnapshot)}
 	}
 	w.version++
-	return []Event{MachineListUpdate{Mode: DeltaUpdate, Version: w.version, Entries: w.listed(news)}}
+	return []Event{MachineListUpdate{Mode: DeltaUpdate, Version: w.version, Entries: w.listed(changed)}}
 }
 
-// restart replaces the scheduler by a new one that gets what the old one knew, whole or spoilt.
+// restart replaces the scheduler by a new one that gets the snapshot of the old one, whole or damaged.
 func (w *simulatedWorld) restart() []Event {
 	r := w.random
 	w.after(r.span(Second, 10*Second), w.restart)
-	known := w.scheduler.Snapshot()
-	w.digest.fold(101, known)
-	w.restarted++
+	snapshot := w.scheduler.Snapshot()
+	w.digest.fold(snapshotOrdinal, snapshot)
+	w.incarnation++
 	w.scheduler = New(w.config)
-	w.handle([]Event{w.fullList(RestoredSnapshot)})
+	w.handle([]Event{w.fullUpdate(RestoredSnapshot)})
 	switch r.below(8) {
 	case 0:
-		known.TrafficClasses = nil
+		snapshot.TrafficClasses = nil
 	case 1:
-		for i := range known.Machines {
-			known.Machines[i].FailureEvidence = append(known.Machines[i].FailureEvidence, FailureEvidence{LogOdds: 5, AsOf: w.now})
+		for i := range snapshot.Machines {
+			m := &snapshot.Machines[i]
+			m.FailureEvidence = append(m.FailureEvidence, FailureEvidence{LogOdds: 5, AsOf: w.now})
 		}
 	case 4:
-		for i := range known.Machines {
-			known.Machines[i].OutlierLogOdds, known.Machines[i].EjectionTime = 4, 0
+		for i := range snapshot.Machines {
+			snapshot.Machines[i].OutlierLogOdds, snapshot.Machines[i].EjectionTime = 4, 0
 		}
 	case 2:
-		known.SendsKnownSince = w.now
+		snapshot.SendsKnownSince = w.now
 	case 3:
-		known.Machines = append(known.Machines, MachineSnapshot{Machine: "m0", StartedAt: 77, OutlierLogOdds: 9, EjectedUntil: w.now + Second})
+		snapshot.Machines = append(snapshot.Machines, MachineSnapshot{Machine: "m0", StartedAt: 77, OutlierLogOdds: 9,
+			EjectedUntil: w.now + Second})
 	}
 	if r.chance(0.9) {
-		w.scheduler.Restore(known)
+		w.scheduler.Restore(snapshot)
 	}
-	w.afterUnlessRestarted(r.span(0, Second), func() []Event { // what is known of machines that were listed late
-		late := Snapshot{SendsKnownSince: known.SendsKnownSince, Machines: known.Machines}
+	w.afterUnlessRestarted(r.span(0, Second), func() []Event { // for machines that were listed late
+		late := Snapshot{SendsKnownSince: snapshot.SendsKnownSince, Machines: snapshot.Machines}
 		if r.chance(0.5) {
 			w.scheduler.Restore(late)
 		}
@@ -394,10 +412,10 @@
 	return events
 }
 
-// nonsense gives events that no well-behaved host would give.
-func (w *simulatedWorld) nonsense() []Event {
+// invalidEvents are some that no correct process would give.
+func (w *simulatedWorld) invalidEvents() []Event {
 	r := w.random
-	w.after(r.span(0, Second/2), w.nonsense)
+	w.after(r.span(0, Second/2), w.invalidEvents)
 	id := w.ids[len(w.ids)-1-r.below(min(len(w.ids), 20))]
 	m := pick(r, w.machines...).entry
 	outcome := Outcome(r.below(int(OutcomeNotSent) + 1))
@@ -423,14 +441,16 @@
 	case 8:
 		request := w.request()
 		request.WorkloadClass = len(w.config.WorkloadClasses) + r.below(2)
-		w.digest.fold(102, w.scheduler.Explain(request))
-		return []Event{pick[Event](r, RequestReceived{PlacementRequest: request}, ContainerAdopted{PlacementRequest: request, Machine: m.Machine})}
+		w.digest.fold(explanationOrdinal, w.scheduler.Explain(request))
+		return []Event{pick[Event](r, RequestReceived{PlacementRequest: request},
+			ContainerAdopted{PlacementRequest: request, Machine: m.Machine})}
 	case 9:
 		request := w.request()
 		request.Tenant = 50
 		return []Event{w.submit(request)}
 	case 10:
-		return []Event{MachineListUpdate{Mode: pick(r, FullSnapshot, RestoredSnapshot)}, MachineListUpdate{Mode: UpdateFailed}, w.fullList(FullSnapshot)}
+		return []Event{MachineListUpdate{Mode: pick(r, FullSnapshot, RestoredSnapshot)},
+			MachineListUpdate{Mode: UpdateFailed}, w.fullUpdate(FullSnapshot)}
 	default:
 		request := w.request()
 		request.Deadline = w.now - r.span(0, Second)
@@ -456,7 +476,7 @@
 			if r.chance(w.listFails) {
 				return []Event{MachineListUpdate{Mode: UpdateFailed}}
 			}
-			return []Event{w.fullList(FullSnapshot)}
+			return []Event{w.fullUpdate(FullSnapshot)}
 		})
 	case Probe:
 		w.probe(w.byID[a.Machine])
@@ -515,7 +535,7 @@
 	if r.chance(w.lost) {
 		return
 	}
-	e, span := w.fate(c, wait)
+	e, span := w.outcome(c, wait)
 	w.afterUnlessRestarted(span, func() []Event {
 		if e.Outcome != OutcomeFinished || e.Final {
 			return w.end(c, attempt, e)
@@ -524,8 +544,8 @@
 	})
 }
 
-// fate gives the outcome of an attempt and when it comes; Finished without Final stands for acceptance.
-func (w *simulatedWorld) fate(c *simulatedContainer, wait Time) (AttemptEnded, Time) {
+// outcome draws the outcome of an attempt and when it comes; Finished without Final stands for acceptance.
+func (w *simulatedWorld) outcome(c *simulatedContainer, wait Time) (AttemptEnded, Time) {
 	r := w.random
 	m, request := c.at, &c.request
 	k := w.config.MachineTypes[m.entry.MachineType]
@@ -565,7 +585,7 @@
 	if c.at == nil || c.attempt != attempt {
 		return nil
 	}
-	if r.chance(0.02) { // its own time was over before it was accepted
+	if r.chance(0.02) { // its run time was over before it was accepted
 		return w.end(c, attempt, AttemptEnded{Outcome: OutcomeFinished})
 	}
 	if r.chance(0.02) { // the acceptance crosses a cancellation
@@ -574,7 +594,8 @@
 		c.running = true
 		w.run(c)
 	}
-	return []Event{AttemptAccepted{ID: c.request.ID, Attempt: attempt, Machine: c.at.entry.Machine, Elapsed: r.span(0, Second)}}
+	return []Event{AttemptAccepted{ID: c.request.ID, Attempt: attempt, Machine: c.at.entry.Machine,
+		Elapsed: r.span(0, Second)}}
 }
 
 // run plans the reports and the end of a running container.
@@ -588,11 +609,13 @@
 					return nil
 				}
 				return []Event{UsageReported{ID: c.request.ID, Machine: c.at.entry.Machine, Attempt: attempt,
-					Metric: pick(r, MetricCoresUsed, MetricMemoryUsed, MetricRunning+UsageMetric(n)), Value: 2 * w.size * r.float()}}
+					Metric: pick(r, MetricCoresUsed, MetricMemoryUsed, MetricRunning+UsageMetric(n)),
+					Value:  2 * w.size * r.float()}}
 			})
 		}
 	}
-	e := AttemptEnded{Final: true, Outcome: OutcomeFinished, Elapsed: r.span(0, 2*w.runtime), Report: LoadReport{"cores": r.float()}}
+	e := AttemptEnded{Final: true, Outcome: OutcomeFinished, Elapsed: r.span(0, 2*w.runtime),
+		Report: LoadReport{"cores": r.float()}}
 	switch {
 	case c.at.fault == resetting:
 		e.Outcome = OutcomeLost
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -17,7 +17,8 @@
 		least      int // attempts on a
 	}{{10, 3, "abcd", 1}, {100, 3, "abcd", 1}, {1000, 3, "abcd", 1}, {100, 7, "abcd", 1}, {100, 40, "abcd", 1},
 		{1000, 300, "a", 1}, {20 * Second, 300, "a", 8}} {
-		t.Run(fmt.Sprintf("a container every %d at each of %d, slow start of %s", tc.gap, tc.schedulers, tc.starting), func(t *testing.T) {
+		name := fmt.Sprintf("a container every %d at each of %d, slow start of %s", tc.gap, tc.schedulers, tc.starting)
+		t.Run(name, func(t *testing.T) {
 			var all []*Scheduler
 			for i := 0; i < tc.schedulers; i++ {
 				config := testConfig(Idempotent)
--- a/scheduler/snapshot_test.go
+++ b/scheduler/snapshot_test.go
@@ -42,9 +42,10 @@
 	restored.Handle(0, []Event{listed})
 	snapshot := restored.Snapshot()
 	snapshot.Machines[0].OutlierLogOdds, snapshot.Machines[0].EjectedUntil = 5, 4*Second
-	snapshot.Machines = append(snapshot.Machines, MachineSnapshot{Machine: "b", StartedAt: 99, OutlierLogOdds: 5, EjectedUntil: 4 * Second}) // another incarnation
+	otherIncarnation := MachineSnapshot{Machine: "b", StartedAt: 99, OutlierLogOdds: 5, EjectedUntil: 4 * Second}
+	snapshot.Machines = append(snapshot.Machines, otherIncarnation)
 	restored.Restore(snapshot)
-	if explanation := restored.Explain(PlacementRequest{Service: "s", Cores: 1, Memory: 1}); explanation.Ejected != 1 || explanation.Eligible != 1 {
+	if explanation := restored.Explain(smallRequest("", "s", 0)); explanation.Ejected != 1 || explanation.Eligible != 1 {
 		t.Errorf("%+v", explanation)
 	}
 }
--- a/scheduler/timers.go
+++ b/scheduler/timers.go
@@ -5,7 +5,7 @@
 const (
 	maintenanceInterval = Second / 4
 
-	maintenanceTimer = "sweep"
+	maintenanceTimer = "sweep" // these names pass through the simulator's wire
 	deadlineTimer    = "due"
 )
 
--- a/scheduler/trafficclass_test.go
+++ b/scheduler/trafficclass_test.go
@@ -45,8 +45,9 @@
 						m.listRequested.cores = 99
 					}
 					for class, event := range []func(int) Event{tc.first, tc.rest} {
-						s.Handle(1, []Event{RequestReceived{PlacementRequest{ID: "x", Service: "s", WorkloadClass: class, Tenant: class, Cores: 1, Memory: 1,
-							Deadline: 6 * Second}}})
+						request := smallRequest("x", "s", 6*Second)
+						request.WorkloadClass, request.Tenant = class, class
+						s.Handle(1, []Event{RequestReceived{request}})
 						s.moveAttempt("x", m.id)
 						m.lastHeardAt = 1
 						if class == 0 && tc.at != "" && tc.at != m.id {
@@ -60,11 +61,13 @@
 			for _, class := range []int{0, 1} {
 				got := map[string]bool{}
 				for i := 0; i < 400; i++ {
-					c := s.addContainer(PlacementRequest{ID: "y", Service: fmt.Sprint(i), WorkloadClass: class, Tenant: class, Cores: 1, Memory: 1})
-					got[string(s.draw(c).id)] = true
+					request := smallRequest("y", fmt.Sprint(i), 0)
+					request.WorkloadClass, request.Tenant = class, class
+					got[string(s.draw(s.addContainer(request)).id)] = true
 				}
-				if names := strings.Join(slices.Sorted(maps.Keys(got)), ""); class == 0 && names != tc.want || class == 1 && names != "abcd" {
-					t.Errorf("workload class %d goes to %s", class, names)
+				want := []string{tc.want, "abcd"}[class]
+				if names := strings.Join(slices.Sorted(maps.Keys(got)), ""); names != want {
+					t.Errorf("workload class %d goes to %s, want %s", class, names, want)
 				}
 			}
 		})
