--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -19,17 +19,8 @@
 		{1000, 300, "a", 1}, {20 * Second, 300, "a", 8}} {
 		name := fmt.Sprintf("a container every %d at each of %d, slow start of %s", tc.gap, tc.schedulers, tc.starting)
 		t.Run(name, func(t *testing.T) {
-			var all []*Scheduler
-			for i := 0; i < tc.schedulers; i++ {
-				config := testConfig(Idempotent)
-				config.SchedulerIndex, config.SchedulerCount, config.MaxAttempts = i, tc.schedulers, 1
-				all = append(all, testScheduler(config))
-				for _, m := range all[i].machineOrder {
-					if strings.Contains(tc.starting, string(m.id)) {
-						m.startedAt = 1
-					}
-				}
-			}
+			all := startingSchedulers(tc.schedulers, tc.starting)
+			budget, window := all[0].config.SlowStartBudget, all[0].config.SlowStartWindow
 			var sent []Time
 			for now := Time(10); now < all[0].config.SlowStartPeriod; now += min(tc.gap, 1000) {
 				for i, s := range all {
@@ -41,14 +32,36 @@
 					}
 				}
 			}
-			most := 0
-			for i := range sent {
-				n := sort.Search(len(sent), func(k int) bool { return sent[k] >= sent[i]+all[0].config.SlowStartWindow }) - i
-				most = max(most, n)
-			}
-			if len(sent) < tc.least || most > all[0].config.SlowStartBudget {
+			if most := mostInWindow(sent, window); len(sent) < tc.least || most > budget {
 				t.Errorf("%d attempts, up to %d in a window", len(sent), most)
 			}
 		})
 	}
 }
+
+// startingSchedulers have one attempt for each container and machines in slow start.
+func startingSchedulers(count int, starting string) []*Scheduler {
+	var all []*Scheduler
+	for i := range count {
+		config := testConfig(Idempotent)
+		config.SchedulerIndex, config.SchedulerCount, config.MaxAttempts = i, count, 1
+		s := testScheduler(config)
+		for _, m := range s.machineOrder {
+			if strings.Contains(starting, string(m.id)) {
+				m.startedAt = 1
+			}
+		}
+		all = append(all, s)
+	}
+	return all
+}
+
+// mostInWindow counts times in order that lie in one window.
+func mostInWindow(times []Time, window Time) int {
+	most := 0
+	for i := range times {
+		end := sort.Search(len(times), func(k int) bool { return times[k] >= times[i]+window })
+		most = max(most, end-i)
+	}
+	return most
+}
--- a/scheduler/trafficclass_test.go
+++ b/scheduler/trafficclass_test.go
@@ -38,38 +38,50 @@
 			config.WorkloadClasses = append(config.WorkloadClasses, config.WorkloadClasses[0])
 			config.Tenants = []Tenant{{50}, {50}}
 			s := testScheduler(config)
-			for i := 0; i < 6; i++ {
+			for turn := range 6 {
 				for _, m := range s.machineOrder {
 					m.listRequested = resources{}
 					if tc.full {
 						m.listRequested.cores = 99
 					}
-					for class, event := range []func(int) Event{tc.first, tc.rest} {
-						request := smallRequest("x", "s", 6*Second)
-						request.WorkloadClass, request.Tenant = class, class
-						s.Handle(1, []Event{RequestReceived{request}})
-						s.moveAttempt("x", m.id)
-						m.lastHeardAt = 1
-						if class == 0 && tc.at != "" && tc.at != m.id {
-							event = accepted
-						}
-						s.Handle(2, []Event{event(i), AttemptEnded{ID: "x", Final: true}})
+					first := tc.first
+					if tc.at != "" && tc.at != m.id {
+						first = accepted
 					}
+					attemptOn(s, m, 0, first(turn))
+					attemptOn(s, m, 1, tc.rest(turn))
 				}
 			}
 			s.now, s.random = 2+tc.after, pcg{1}
-			for _, class := range []int{0, 1} {
-				got := map[string]bool{}
-				for i := 0; i < 400; i++ {
-					request := smallRequest("y", fmt.Sprint(i), 0)
-					request.WorkloadClass, request.Tenant = class, class
-					got[string(s.draw(s.addContainer(request)).id)] = true
-				}
-				want := []string{tc.want, "abcd"}[class]
-				if names := strings.Join(slices.Sorted(maps.Keys(got)), ""); names != want {
+			for class, want := range []string{tc.want, "abcd"} {
+				if names := machinesDrawn(s, class); names != want {
 					t.Errorf("workload class %d goes to %s, want %s", class, names, want)
 				}
 			}
 		})
 	}
 }
+
+func requestOfClass(id ContainerID, service string, class int) PlacementRequest {
+	request := smallRequest(id, service, 6*Second)
+	request.WorkloadClass, request.Tenant = class, class
+	return request
+}
+
+// attemptOn places a container of a class and tenant on a machine that is heard of, and applies what becomes of it.
+func attemptOn(s *Scheduler, m *machine, class int, outcome Event) {
+	s.Handle(1, []Event{RequestReceived{requestOfClass("x", "s", class)}})
+	s.moveAttempt("x", m.id)
+	m.lastHeardAt = 1
+	s.Handle(2, []Event{outcome, AttemptEnded{ID: "x", Final: true}})
+}
+
+// machinesDrawn returns the names of the machines that containers of a class and tenant go to.
+func machinesDrawn(s *Scheduler, class int) string {
+	drawn := map[string]bool{}
+	for i := range 400 {
+		c := s.addContainer(requestOfClass("y", fmt.Sprint(i), class))
+		drawn[string(s.draw(c).id)] = true
+	}
+	return strings.Join(slices.Sorted(maps.Keys(drawn)), "")
+}
