--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -5,298 +5,196 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"math"
 	"net/netip"
 	"os"
-	"slices"
 	"strconv"
-	"strings"
 
 	"glenport/internal/eventloop"
 	"glenport/internal/simprotocol"
 	"glenport/scheduler"
 )
 
-// Config is what the platform tells a placer at its start.
+const (
+	minDescriptors = 64
+	minMemoryMB    = 16
+)
+
+// Config is what the platform tells a scheduler at its start.
 type Config struct {
 	Name               string
 	ListenAddr         string
 	DiscoveryAddr      string
 	Scheduler          scheduler.Config
-	KnownEvents        []watchEvent
-	LastOffset         int64 // number of the last event known
+	KnownEvents        []watchEvent // of the discovery service, the earliest first
+	LastOffset         int64        // of the last event known
 	MemoryMB           int
 	MaxDescriptors     int
-	ConnectTimeout     eventloop.Tick // a connection that does not stand by then never will
+	ConnectTimeout     eventloop.Tick // of connections to machines
 	MachineIdleTimeout eventloop.Tick // machines close connections that are idle for so long
 
-	zones, machineTypes, workloadClasses, tenants []string // by their numbers
+	zones, machineTypes, workloadClasses, tenants []string // names by their numbers
 }
 
-// LoadConfig reads the file that the platform names.
+var (
+	errNoSettings  = errors.New("settings: permissions.connect_timeout_ms and permissions.conn_idle_ms must be above 0")
+	errNoEventBody = errors.New("topology is missing")
+)
+
+// wireConfig and wireSettings are the platform's file and what is read of its settings here, as they are encoded.
+type (
+	wireConfig struct {
+		Name          string `json:"name"`
+		ListenAddr    string `json:"listen"`
+		Seed          string `json:"seed"`
+		DiscoveryAddr string `json:"bus"`
+		Limits        struct {
+			MemoryMB    float64 `json:"memory_mb"`
+			Descriptors int     `json:"sockets"`
+		} `json:"limits"`
+		Known struct {
+			LastOffset int64             `json:"offset"`
+			Events     []json.RawMessage `json:"batch"`
+		} `json:"known"`
+		Settings json.RawMessage `json:"settings"`
+	}
+	wireSettings struct {
+		Zones           []string    `json:"azs"`
+		MachineTypes    []string    `json:"kinds"`
+		WorkloadClasses []wireNamed `json:"classes"`
+		Tenants         []wireNamed `json:"tenants"`
+		Permissions     struct {
+			ConnectTimeoutMillis float64 `json:"connect_timeout_ms"`
+			IdleTimeoutMillis    float64 `json:"conn_idle_ms"`
+		} `json:"permissions"`
+	}
+	wireNamed struct {
+		Name string `json:"name"`
+	}
+)
+
+// LoadConfig reads the file that the platform names. Its errors name the place of the fault.
 func LoadConfig(path string) (*Config, error) {
-	p, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	config, err := parseConfig(p)
+	config, err := parseConfig(data)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return config, nil
 }
 
-func parseConfig(p []byte) (*Config, error) {
-	var file struct {
-		Name, Listen, Seed, Bus string
-		Limits                  struct {
-			MemoryMB float64 `json:"memory_mb"`
-			Sockets  int
-		}
-		Known struct {
-			Offset int64
-			Batch  []json.RawMessage
-		}
-		Settings json.RawMessage
-	}
-	if err := json.Unmarshal(p, &file); err != nil {
-		return nil, withLineNumber(p, err)
-	}
-	seed, err := strconv.ParseUint(file.Seed, 16, 64)
-	if err != nil {
-		return nil, fmt.Errorf("seed: %q is no number of 16 hex digits", file.Seed)
+func parseConfig(data []byte) (*Config, error) {
+	var wire wireConfig
+	if err := json.Unmarshal(data, &wire); err != nil {
+		return nil, withLineNumber(data, err)
 	}
-	for _, a := range []struct{ key, addr string }{{"listen", file.Listen}, {"bus", file.Bus}} {
-		if _, err := netip.ParseAddrPort(a.addr); err != nil {
-			return nil, fmt.Errorf("%s: %w", a.key, err)
-		}
-	}
-	if file.Limits.Sockets < 64 || file.Limits.MemoryMB < 16 {
-		return nil, fmt.Errorf("limits: %d sockets and %g MB are too little to run on", file.Limits.Sockets, file.Limits.MemoryMB)
-	}
-	pairs, err := flattenSettings(file.Settings)
+	seed, err := strconv.ParseUint(wire.Seed, 16, 64)
 	if err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	config := &Config{Name: file.Name, ListenAddr: file.Listen, DiscoveryAddr: file.Bus, LastOffset: file.Known.Offset,
-		MemoryMB: int(file.Limits.MemoryMB), MaxDescriptors: file.Limits.Sockets}
-	if config.Scheduler, err = simprotocol.ParseSettings(seed, pairs); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	config.Scheduler.ListOnRequest = false // the event bus tells unasked
-	var named struct {
-		AZs, Kinds       []string
-		Classes, Tenants []struct{ Name string }
-		Permissions      struct {
-			Connect float64 `json:"connect_timeout_ms"`
-			Idle    float64 `json:"conn_idle_ms"`
-		}
+		return nil, fieldError("seed", "%q is no number of 16 hex digits", wire.Seed)
 	}
-	if err := json.Unmarshal(file.Settings, &named); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	config.zones, config.machineTypes = named.AZs, named.Kinds
-	for _, c := range named.Classes {
-		config.workloadClasses = append(config.workloadClasses, c.Name)
+	if err := wire.validate(); err != nil {
+		return nil, err
 	}
-	for _, c := range named.Tenants {
-		config.tenants = append(config.tenants, c.Name)
+	config := &Config{
+		Name:           wire.Name,
+		ListenAddr:     wire.ListenAddr,
+		DiscoveryAddr:  wire.DiscoveryAddr,
+		LastOffset:     wire.Known.LastOffset,
+		MemoryMB:       int(wire.Limits.MemoryMB),
+		MaxDescriptors: wire.Limits.Descriptors,
 	}
-	config.ConnectTimeout, config.MachineIdleTimeout = millisecondsToTicks(named.Permissions.Connect), millisecondsToTicks(named.Permissions.Idle)
-	if config.ConnectTimeout <= 0 || config.MachineIdleTimeout <= 0 {
-		return nil, errors.New("settings: permissions.connect_timeout_ms and permissions.conn_idle_ms must be above 0")
+	if err := config.parseSettings(seed, wire.Settings); err != nil {
+		return nil, err
 	}
-	for i, raw := range file.Known.Batch {
-		e, err := config.decodeWatchEvent(raw)
-		if err == nil && e.offsetOnly {
-			err = errors.New("topology is missing")
-		}
-		if err == nil {
-			err = errors.Join(e.invalidEntries...)
-		}
-		if err != nil {
-			return nil, fmt.Errorf("known.batch[%d]: %w", i, err)
-		}
-		config.KnownEvents = append(config.KnownEvents, e)
+	if err := config.parseKnownEvents(wire.Known.Events); err != nil {
+		return nil, err
 	}
 	return config, nil
 }
 
-func millisecondsToTicks(ms float64) eventloop.Tick {
-	return eventloop.Tick(ms * float64(eventloop.Millisecond))
-}
-
-// withLineNumber names the line of a fault in a JSON file.
-func withLineNumber(p []byte, err error) error {
-	var s *json.SyntaxError
-	var t *json.UnmarshalTypeError
-	at := int64(-1)
-	if errors.As(err, &s) {
-		at = s.Offset
-	} else if errors.As(err, &t) {
-		at = t.Offset
+// validate checks addresses and limits.
+func (wire *wireConfig) validate() error {
+	for _, address := range []struct{ field, addr string }{{"listen", wire.ListenAddr}, {"bus", wire.DiscoveryAddr}} {
+		if _, err := netip.ParseAddrPort(address.addr); err != nil {
+			return &invalidFieldError{address.field, err}
+		}
 	}
-	if at < 0 || at > int64(len(p)) {
-		return err
+	limits := wire.Limits
+	if limits.Descriptors < minDescriptors || limits.MemoryMB < minMemoryMB {
+		return fieldError("limits", "%d sockets and %g MB are too little to run on", limits.Descriptors, limits.MemoryMB)
 	}
-	return fmt.Errorf("line %d: %w", 1+bytes.Count(p[:at], []byte("\n")), err)
+	return nil
 }
 
-// flattenSettings writes nested terms as the pairs that the reader of terms takes: lists of plain values joined by commas,
-// lists of objects by their count and their items.
-func flattenSettings(p []byte) ([]string, error) {
-	d := json.NewDecoder(bytes.NewReader(p))
-	d.UseNumber()
-	var top map[string]any
-	if err := d.Decode(&top); err != nil {
-		return nil, err
+// parseSettings reads the scheduler's settings, and those of this process.
+func (config *Config) parseSettings(seed uint64, settings json.RawMessage) error {
+	pairs, err := flattenSettings(settings)
+	if err != nil {
+		return &invalidFieldError{"settings", err}
 	}
-	var pairs []string
-	var walk func(path string, v any) error
-	walk = func(path string, v any) error {
-		switch v := v.(type) {
-		case map[string]any:
-			if path != "" {
-				path += "."
-			}
-			for k, x := range v {
-				if err := walk(path+k, x); err != nil {
-					return err
-				}
-			}
-		case []any:
-			if len(v) > 0 {
-				if _, nested := v[0].(map[string]any); nested {
-					pairs = append(pairs, fmt.Sprintf("%s.count=%d", path, len(v)))
-					for i, x := range v {
-						if err := walk(fmt.Sprintf("%s.%d", path, i), x); err != nil {
-							return err
-						}
-					}
-					return nil
-				}
-			}
-			words := make([]string, len(v))
-			for i, x := range v {
-				w, err := scalarText(x)
-				if err != nil {
-					return fmt.Errorf("%s[%d]: %w", path, i, err)
-				}
-				words[i] = w
-			}
-			pairs = append(pairs, path+"="+strings.Join(words, ","))
-		default:
-			w, err := scalarText(v)
-			if err != nil {
-				return fmt.Errorf("%s: %w", path, err)
-			}
-			pairs = append(pairs, path+"="+w)
-		}
-		return nil
+	if config.Scheduler, err = simprotocol.ParseSettings(seed, pairs); err != nil {
+		return &invalidFieldError{"settings", err}
 	}
-	err := walk("", top)
-	slices.Sort(pairs)
-	return pairs, err
-}
-
-func scalarText(v any) (string, error) {
-	switch v := v.(type) {
-	case json.Number:
-		return v.String(), nil
-	case bool:
-		return strconv.FormatBool(v), nil
-	case string:
-		return strings.NewReplacer(" ", "_", ",", "_").Replace(v), nil
-	case nil:
-		return "-", nil
+	config.Scheduler.ListOnRequest = false // the discovery service sends its events unasked
+	var wire wireSettings
+	if err := json.Unmarshal(settings, &wire); err != nil {
+		return &invalidFieldError{"settings", err}
 	}
-	return "", fmt.Errorf("%T is no plain value", v)
-}
-
-// watchEvent is one numbered change of the list of machines.
-type watchEvent struct {
-	offset         int64
-	offsetOnly     bool // the number of the last event alone
-	fullSnapshot   bool
-	version        int64
-	machines       []machineUpdate
-	invalidEntries []error // of entries that are left out
+	config.zones, config.machineTypes = wire.Zones, wire.MachineTypes
+	config.workloadClasses, config.tenants = namesOf(wire.WorkloadClasses), namesOf(wire.Tenants)
+	config.ConnectTimeout = millisecondsToTicks(wire.Permissions.ConnectTimeoutMillis)
+	config.MachineIdleTimeout = millisecondsToTicks(wire.Permissions.IdleTimeoutMillis)
+	if config.ConnectTimeout <= 0 || config.MachineIdleTimeout <= 0 {
+		return errNoSettings
+	}
+	return nil
 }
 
-type machineUpdate struct {
-	entry scheduler.MachineEntry
-	addr  string
+func namesOf(named []wireNamed) []string {
+	var names []string
+	for _, n := range named {
+		names = append(names, n.Name)
+	}
+	return names
 }
 
-var machineStates = map[string]scheduler.MachineState{"ready": scheduler.MachineServing, "draining": scheduler.MachineDraining, "gone": scheduler.MachineGone}
-
-// decodeWatchEvent reads an event of the bus. A machine that the terms cannot place is left out of it and named among its faults,
-// so that one such entry does not keep the others from being heard.
-func (config *Config) decodeWatchEvent(p []byte) (watchEvent, error) {
-	var raw struct {
-		Offset   int64
-		Topology *struct {
-			Seq   int64
-			Whole bool
-			Hosts []struct {
-				Host, Dial, Site, Class, Health string
-				Block                           int
-				Share                           float64
-				Born                            float64 `json:"born_ms"`
-				Free                            []float64
-			}
+// parseKnownEvents reads the events up to LastOffset. Unlike those of a running watch they have to be whole: the platform
+// writes them for these very settings.
+func (config *Config) parseKnownEvents(events []json.RawMessage) error {
+	for i, data := range events {
+		event, err := config.decodeWatchEvent(data)
+		if err == nil && event.offsetOnly {
+			err = errNoEventBody
 		}
-	}
-	if err := json.Unmarshal(p, &raw); err != nil {
-		return watchEvent{}, err
-	}
-	if raw.Offset < 0 {
-		return watchEvent{}, errors.New("offset is below 0")
-	}
-	if raw.Topology == nil {
-		return watchEvent{offset: raw.Offset, offsetOnly: true}, nil
-	}
-	e := watchEvent{offset: raw.Offset, fullSnapshot: raw.Topology.Whole, version: raw.Topology.Seq}
-	for i, h := range raw.Topology.Hosts {
-		state, zone, kind, err := config.resolveMachine(h.Host, h.Dial, h.Site, h.Class, h.Health)
-		if err != nil {
-			e.invalidEntries = append(e.invalidEntries, fmt.Errorf("hosts[%d]: %w", i, err))
-			continue
+		if err == nil {
+			err = errors.Join(event.invalidEntries...)
 		}
-		update := machineUpdate{addr: h.Dial, entry: scheduler.MachineEntry{Machine: scheduler.MachineID(h.Host), Zone: zone, MachineType: kind,
-			RackGroup: h.Block, State: state, PowerHint: h.Share, StartedAt: scheduler.Time(math.Floor(h.Born * 10))}}
-		if len(h.Free) == 2 {
-			update.entry.FreeCores, update.entry.FreeMemory = h.Free[0], h.Free[1]
+		if err != nil {
+			return fmt.Errorf("known.batch[%d]: %w", i, err)
 		}
-		e.machines = append(e.machines, update)
+		config.KnownEvents = append(config.KnownEvents, event)
 	}
-	return e, nil
+	return nil
 }
 
-// resolveMachine reads where a machine stands in the terms. Zone and kind of one that is gone do not matter, and without zones or
-// kinds in the terms there is one of each.
-func (config *Config) resolveMachine(id, addr, site, class, health string) (state scheduler.MachineState, zone, kind int, err error) {
-	state, ok := machineStates[health]
-	zone, kind = indexOrSingle(config.zones, site), indexOrSingle(config.machineTypes, class)
-	_, fault := netip.ParseAddrPort(addr)
-	switch {
-	case !ok:
-		err = fmt.Errorf("health %q is not known", health)
-	case id == "":
-		err = errors.New("host is missing")
-	case state == scheduler.MachineGone:
-		zone, kind = max(zone, 0), max(kind, 0)
-	case fault != nil:
-		err = fmt.Errorf("dial: %w", fault)
-	case zone < 0 || kind < 0:
-		err = fmt.Errorf("site %q or class %q is not known", site, class)
-	}
-	return state, zone, kind, err
+func millisecondsToTicks(milliseconds float64) eventloop.Tick {
+	return eventloop.Tick(milliseconds * float64(eventloop.Millisecond))
 }
 
-func indexOrSingle(names []string, name string) int {
-	if len(names) == 0 {
-		return 0
+// withLineNumber adds to an error of a JSON file the line at which it is.
+func withLineNumber(data []byte, err error) error {
+	var syntaxError *json.SyntaxError
+	var typeError *json.UnmarshalTypeError
+	offset := int64(-1)
+	if errors.As(err, &syntaxError) {
+		offset = syntaxError.Offset
+	} else if errors.As(err, &typeError) {
+		offset = typeError.Offset
+	}
+	if offset < 0 || offset > int64(len(data)) {
+		return err
 	}
-	return slices.Index(names, name)
+	return fmt.Errorf("line %d: %w", 1+bytes.Count(data[:offset], []byte("\n")), err)
 }
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -10,26 +10,34 @@
 
 const (
 	maxEventBytes       = 4 << 20
-	watchSilenceTimeout = 2 * eventloop.Second // twice the span in which a line is due
+	watchSilenceTimeout = 2 * eventloop.Second // twice the interval in which a line is due
+	watchConnectTimeout = eventloop.Second
 	watchReconnectDelay = eventloop.Second / 5
+	watchOutputLimit    = 1 << 10 // bytes that may wait to be written
 )
 
-// discoveryWatch follows the event bus, one connection at a time.
+// discoveryWatch follows the events of the discovery service, over one connection at a time. Each event is applied once:
+// after a break the events are requested from the last one applied.
 type discoveryWatch struct {
 	server        *Server
 	addr          string
-	conn          *eventloop.Conn
+	conn          *eventloop.Conn // nil while there is none
 	lines         jsonlines.LineSplitter
-	lastOffset    int64 // number of the last event that was taken in
+	lastOffset    int64 // of the last event applied
 	lastReadAt    eventloop.Tick
-	interrupted   bool
-	receivedEvent bool // an event came on this connection: the next has the next number
+	interrupted   bool // the connection broke, and nothing was read since
+	receivedEvent bool // an event came on this connection: the next one has the next offset
 }
 
+// missingEventError says that the service has left out an event.
+type missingEventError struct{ offset int64 }
+
+func (e *missingEventError) Error() string { return fmt.Sprintf("event %d is missing", e.offset) }
+
 func (w *discoveryWatch) connect() {
 	w.lines, w.receivedEvent = jsonlines.LineSplitter{MaxBytes: maxEventBytes}, false
 	w.lastReadAt = w.server.loop.Now()
-	w.conn = w.server.loop.Dial(w.addr, w, 1<<10, eventloop.Second)
+	w.conn = w.server.loop.Dial(w.addr, w, watchOutputLimit, watchConnectTimeout)
 }
 
 // moveTo goes on at another address.
@@ -37,7 +45,7 @@
 	if addr == w.addr {
 		return
 	}
-	w.server.log.Info("event bus moves", "to", addr, "last", w.lastOffset)
+	w.server.log.Info("discovery address changed", "address", addr, "last_offset", w.lastOffset)
 	w.addr = addr
 	if conn := w.conn; conn != nil {
 		w.conn = nil
@@ -46,23 +54,27 @@
 	w.connect()
 }
 
+// Opened implements eventloop.Handler: it requests the events behind the last one applied.
 func (w *discoveryWatch) Opened(conn *eventloop.Conn) {
 	if conn == w.conn {
-		conn.Write(fmt.Appendf(nil, "from %d\n", w.lastOffset))
+		_ = conn.Write(watchRequest(w.lastOffset)) // a new connection takes it; should it not, resetIfSilent ends the connection
 	}
 }
 
-func (w *discoveryWatch) Read(conn *eventloop.Conn, b []byte) {
+// Read implements eventloop.Handler.
+func (w *discoveryWatch) Read(conn *eventloop.Conn, data []byte) {
 	if conn != w.conn {
 		return
 	}
 	w.lastReadAt = w.server.loop.Now()
-	if err := w.lines.Feed(b, w.handleLine); err != nil {
-		w.server.log.Warn("event bus left", "why", err, "last", w.lastOffset)
+	if err := w.lines.Feed(data, w.handleLine); err != nil {
+		w.server.log.Warn("discovery watch reset", "error", err, "last_offset", w.lastOffset)
 		conn.Reset()
 	}
 }
 
+// Closed implements eventloop.Handler: it connects again after a while. The end of a connection that moveTo has replaced
+// changes nothing.
 func (w *discoveryWatch) Closed(conn *eventloop.Conn, err error) {
 	if conn != w.conn {
 		return
@@ -70,7 +82,7 @@
 	w.conn = nil
 	if !w.interrupted {
 		w.interrupted = true
-		w.server.log.Warn("event bus broken off", "why", err, "last", w.lastOffset)
+		w.server.log.Warn("discovery watch interrupted", "error", err, "last_offset", w.lastOffset)
 	}
 	w.server.loop.After(watchReconnectDelay, func() {
 		if w.conn == nil {
@@ -79,34 +91,36 @@
 	})
 }
 
+// resetIfSilent ends a connection on which nothing was read for watchSilenceTimeout.
 func (w *discoveryWatch) resetIfSilent(now eventloop.Tick) {
 	if w.conn != nil && now-w.lastReadAt > watchSilenceTimeout {
 		w.conn.Reset()
 	}
 }
 
-// handleLine takes in an event or the number of the last one. Events known already come again after a break.
+// handleLine takes in an event, or the offset of the last one. Events that were applied already are repeated after a break.
 func (w *discoveryWatch) handleLine(line []byte) error {
+	log := w.server.log
 	if w.interrupted {
 		w.interrupted = false
-		w.server.log.Info("event bus followed", "last", w.lastOffset)
+		log.Info("discovery watch resumed", "last_offset", w.lastOffset)
 	}
-	e, err := w.server.config.decodeWatchEvent(line)
+	event, err := w.server.config.decodeWatchEvent(line)
 	if err != nil {
 		return err
 	}
-	if e.offset <= w.lastOffset {
+	if event.offset <= w.lastOffset {
 		return nil
 	}
-	// What is missing is asked for again. The first event on a connection may have any number: a bus that has dropped what
-	// is old cannot tell it.
-	if e.offsetOnly || w.receivedEvent && e.offset > w.lastOffset+1 {
-		return fmt.Errorf("event %d is missing", w.lastOffset+1)
+	// Missing events are requested again. The first event on a connection may have any offset: a service that has dropped the
+	// older ones cannot send them.
+	if event.offsetOnly || w.receivedEvent && event.offset > w.lastOffset+1 {
+		return &missingEventError{w.lastOffset + 1}
 	}
-	w.lastOffset, w.receivedEvent = e.offset, true
-	for _, fault := range e.invalidEntries {
-		w.server.log.Warn("machine left out of an event", "event", e.offset, "why", fault)
+	w.lastOffset, w.receivedEvent = event.offset, true
+	for _, err := range event.invalidEntries {
+		log.Warn("machine left out of an event", "offset", event.offset, "error", err)
 	}
-	w.server.applyUpdate(scheduler.DeltaUpdate, e)
+	w.server.applyUpdate(scheduler.DeltaUpdate, event)
 	return nil
 }
--- /dev/null
+++ b/internal/platform/messages.go
@@ -0,0 +1,64 @@
+package platform
+
+import (
+	"glenport/internal/platform/jsonlines"
+	"glenport/scheduler"
+)
+
+// terminationCause says why a container or an attempt ended. Its values are those of the wire; values that are not named here
+// are passed on between machines and clients unchanged.
+type terminationCause int
+
+const (
+	causeFinished  terminationCause = jsonlines.CauseNormal    // of an open request: it is cancelled
+	causeCancelled terminationCause = jsonlines.CauseCancelled // moved, or ended by its client
+	causeLost      terminationCause = jsonlines.CauseTemporaryFailure
+)
+
+// outcomeAfterAccept is what became of a container that was running.
+func (c terminationCause) outcomeAfterAccept() scheduler.Outcome {
+	switch c {
+	case causeFinished:
+		return scheduler.OutcomeFinished
+	case causeCancelled:
+		return scheduler.OutcomeStopped
+	}
+	return scheduler.OutcomeLost
+}
+
+// outcomeBeforeAccept is what became of an attempt that a machine did not accept.
+func (c terminationCause) outcomeBeforeAccept() scheduler.Outcome {
+	switch c {
+	case jsonlines.CauseNoCapacity:
+		return scheduler.OutcomeFull
+	case jsonlines.CauseError:
+		return scheduler.OutcomeErrored
+	case jsonlines.CauseNotSent:
+		return scheduler.OutcomeNotSent
+	case causeFinished:
+		// The container's own time has passed. It may have run, as after a loss, but the machine is well.
+		return scheduler.OutcomeFinished
+	}
+	return scheduler.OutcomeLost
+}
+
+// endMessage makes the message that something has ended, or is to end.
+func endMessage(id scheduler.ContainerID, cause int) *jsonlines.Message {
+	return &jsonlines.Message{Op: jsonlines.OpEnd, RequestID: string(id), Cause: jsonlines.CausePtr(cause)}
+}
+
+// encode returns a message as a line, which is valid until the next call.
+func (s *Server) encode(msg *jsonlines.Message) ([]byte, error) {
+	var err error
+	s.encodeBuffer, err = jsonlines.Append(s.encodeBuffer[:0], msg)
+	return s.encodeBuffer, err
+}
+
+// traceMessage logs a message where that is asked for.
+func (s *Server) traceMessage(direction, peer string, msg *jsonlines.Message) {
+	if !s.traceMessages {
+		return
+	}
+	s.log.Info("message", "time", s.loop.Now(), "direction", direction, "peer", peer, "op", msg.Op, "request_id", msg.RequestID,
+		"fields", msg.Fields, "cause", msg.CauseOrNone())
+}
--- /dev/null
+++ b/internal/platform/signals.go
@@ -0,0 +1,29 @@
+package platform
+
+import "os"
+
+// Reload takes the address of the discovery service from a new configuration. Any goroutine may call it.
+func (s *Server) Reload(config *Config) {
+	s.loop.Post(func() { s.discovery.moveTo(config.DiscoveryAddr) })
+}
+
+// HandleSignals follows signals to shut down and to reload until their channels are closed; it returns at once. A
+// configuration that is slow to load holds up neither the shutdown nor a later configuration: the one that counts is loaded
+// after the last signal.
+func (s *Server) HandleSignals(shutdown, reload <-chan os.Signal, load func() (*Config, error)) {
+	go func() {
+		for range shutdown {
+			s.Shutdown()
+		}
+	}()
+	go func() {
+		for range reload {
+			config, err := load()
+			if err != nil {
+				s.log.Error("configuration not reloaded", "error", err)
+				continue
+			}
+			s.Reload(config)
+		}
+	}()
+}
