--- /dev/null
+++ b/internal/platform/config_test.go
@@ -0,0 +1,52 @@
+package platform
+
+import (
+	"strings"
+	"testing"
+
+	"glenport/scheduler"
+)
+
+func TestConfigIsValidated(t *testing.T) {
+	good := configJSON("127.0.0.1:1", 256, eventJSON(1, true, machineJSON("a", "127.0.0.1:2", "ready", 5), machineJSON("b", "127.0.0.1:3", "draining", 0)))
+	for _, tc := range []struct{ name, old, with, wantError string }{
+		{"good", "", "", ""},
+		{"no JSON", `"bus":`, `"bus"`, "line 2: invalid character"},
+		{"seed", `"8c1f`, `"xyz`, "seed: "},
+		{"address of the discovery service", `"127.0.0.1:1"`, `"bus.example"`, "bus: "},
+		{"sockets", `"sockets":256`, `"sockets":3`, "3 sockets"},
+		{"missing setting", `"me":0,`, ``, "setting me is missing"},
+		{"setting of the wrong type", `"balancers":1`, `"balancers":"x"`, "setting balancers"},
+		{"nested list", `"azs":["hall a"`, `"azs":[["x"]`, "azs[0]"},
+		{"type of a machine", `"class":"large"`, `"class":"huge"`, `known.batch[0]: hosts[0]: site "hall-b" or class "huge"`},
+		{"address of a machine", `127.0.0.1:2"`, `nowhere"`, "known.batch[0]: hosts[0]: dial"},
+		{"state of a machine", `"draining"`, `"resting"`, "known.batch[0]: hosts[1]: health"},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			config, err := parseConfig([]byte(strings.Replace(good, tc.old, tc.with, 1)))
+			if tc.wantError != "" {
+				if err == nil || !strings.Contains(err.Error(), tc.wantError) {
+					t.Errorf("error %v, want %q", err, tc.wantError)
+				}
+				return
+			}
+			if err != nil {
+				t.Fatal(err)
+			}
+			want := scheduler.MachineEntry{Machine: "a", Zone: 1, MachineType: 1, RackGroup: 2, PowerHint: 1, FreeCores: 40.5, FreeMemory: 100, StartedAt: 50}
+			if got := config.KnownEvents[0].machines[0].entry; got != want || len(config.Scheduler.WorkloadClasses) != 2 || config.Scheduler.Tenants[1].QuotaCores != 50 ||
+				config.Scheduler.Seed != 0x8c1f30d27a5be964 || config.Scheduler.ListOnRequest {
+				t.Errorf("machine %+v, settings %+v", got, config.Scheduler)
+			}
+		})
+	}
+}
+
+// Without zones and machine types in the settings there is one of each.
+func TestConfigWithoutZones(t *testing.T) {
+	text := strings.NewReplacer(`"azs":["hall a","hall-b"]`, `"azs":[]`, `"site":"hall-b"`, `"site":""`).
+		Replace(configJSON("127.0.0.1:1", 256, eventJSON(1, true, machineJSON("a", "127.0.0.1:2", "ready", 0))))
+	if config, err := parseConfig([]byte(text)); err != nil || config.KnownEvents[0].machines[0].entry.Zone != 0 {
+		t.Errorf("%+v, %v", config, err)
+	}
+}
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -276,7 +276,8 @@
 	s := &transcript{T: t}
 	discovery, moved := s.server("discovery"), s.server("discovery, moved")
 	a, b := s.server("machine a"), s.server("machine b")
-	r := startServer(t, goldenDecisions, configJSON(discovery.addr, 256, eventJSON(1, true, machineJSON("a", a.addr, "ready", 0), machineJSON("b", b.addr, "ready", 0))))
+	r := startServer(t, goldenDecisions, configJSON(discovery.addr, 256,
+		eventJSON(1, true, machineJSON("a", a.addr, "ready", 0), machineJSON("b", b.addr, "ready", 0))))
 
 	s.begin("watch")
 	watch := discovery.reads(0)
@@ -291,7 +292,7 @@
 	s.machinesThatGo(r, c, a, b, watch)
 
 	s.begin("watch resumed")
-	watch.c.Close()
+	watch.close()
 	discovery.reads(0)
 	s.begin("watch at a new address")
 	d := *r.server.config
@@ -454,7 +455,7 @@
 	c.send(strings.Replace(offerLine(isReclaimed, ";at:a"), `"2000"`, `"4294967"`, 1))
 	await[scheduler.ContainerAdopted](r, nil)
 	on := a.connected()
-	c.c.Close()
+	c.close()
 	c = s.client(r, "client 2")
 	c.test()
 	on.ends(isReclaimed, jsonlines.CauseNormal, "")
@@ -468,7 +469,7 @@
 	c.reads()
 	on.ends(endIsNotAcknowledged, jsonlines.CauseTemporaryFailure, `"note":"preempted"`)
 	c.reads()
-	c.c.Close()
+	c.close()
 	c = s.client(r, "client 3")
 	c.test()
 	c.reads()
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"glenport/internal/eventloop"
 	"glenport/internal/platform/jsonlines"
 	"glenport/scheduler"
 
@@ -21,7 +22,14 @@
 
 const testTimeout = 10 * time.Second // a test that waits longer has failed
 
-// settingsJSON are a deployment's settings: a reissuable workload and a numbered one, two kinds, two customers.
+// Identifiers of requests.
+const (
+	requestID      = "00000000000000aa"
+	otherRequestID = "00000000000000bb"
+	thirdRequestID = "00000000000000cc"
+)
+
+// settingsJSON has an idempotent workload class and one that is idempotent with a key, two machine types and two tenants.
 const settingsJSON = `{"me":0,"balancers":1,"az":0,"azs":["hall a","hall-b"],"kinds":["small","large"],"registry_mode":"on_request",
  "classes":[{"name":"matcher","effect":"safe","aim_ms":700.0,"deadline_ms":6000.0,"credit":1.0},
   {"name":"report-run","effect":"keyed","group":"zone","window_ms":8000.0,"aim_ms":700.0,"deadline_ms":6000.0,"credit":2.0}],
@@ -32,51 +40,70 @@
   "view":true,"fresh_offers":30.0,"cpu_of_kind":[24,48],"kind_memory":[60.0,120.0],"class_kind":[-1,-1],"class_most":[2,2],
   "spread_over":["silent","silent"],"quota_cores":[100.0,50.0]},"note":null}`
 
-func machineJSON(id, addr, state string, born int64) string {
+func machineJSON(id, addr, state string, startedAtMillis int64) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"hall-b","class":"large","block":2,"health":%q,"share":1,"born_ms":%d,"free":[40.5,100]}`,
-		id, addr, state, born)
+		id, addr, state, startedAtMillis)
 }
 
-func eventJSON(n int, whole bool, hosts ...string) string {
-	return fmt.Sprintf(`{"offset":%d,"topology":{"seq":%d,"whole":%t,"hosts":[%s]}}`, n, n, whole, strings.Join(hosts, ","))
+func eventJSON(offset int, fullSnapshot bool, machines ...string) string {
+	return fmt.Sprintf(`{"offset":%d,"topology":{"seq":%d,"whole":%t,"hosts":[%s]}}`, offset, offset, fullSnapshot, strings.Join(machines, ","))
 }
 
-// configJSON is a deployment's file with one event known.
-func configJSON(bus string, sockets int, known ...string) string {
+// configJSON is a platform's file that knows some events.
+func configJSON(discovery string, descriptors int, known ...string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":64,"sockets":%d},"bus":%q,
- "known":{"offset":%d,"batch":[%s]},"settings":%s}`, sockets, bus, len(known), strings.Join(known, ","), settingsJSON)
+ "known":{"offset":%d,"batch":[%s]},"settings":%s}`, descriptors, discovery, len(known), strings.Join(known, ","), settingsJSON)
+}
+
+// offerLine is a request; more is added to its extras.
+func offerLine(id, more string) string {
+	return `{"op":"offer","call":"` + id + `","with":{"class":"report-run","left":"2000","tenant":"offices","key":"k` + id +
+		`","idem":"i1","extras":"cores:1;memory:2;service:s1` + more + `"},"desc":"v=0\r\n"}`
+}
+
+func acceptLine(id string) string { return `{"op":"accept","call":"` + id + `","with":{},"desc":"d"}` }
+
+func endLine(id string, cause int) string {
+	return fmt.Sprintf(`{"op":"end","call":"%s","with":{},"why":%d}`, id, cause)
+}
+
+func endedLine(id string) string { return `{"op":"ended","call":"` + id + `","with":{}}` }
+
+func testLine(number int) string {
+	return fmt.Sprintf(`{"op":"test","call":"%016x","with":{},"why":0}`, number)
 }
 
-// scriptedScheduler stands in place of the module, or in front of it.
+// scriptedScheduler decides by a script, or records the events of the scheduler that it wraps.
 type scriptedScheduler struct {
-	mu     sync.Mutex
-	on     func(e scheduler.Event) []scheduler.Action
-	module Scheduler // decides where there is no on
-	events chan scheduler.Event
+	mu      sync.Mutex
+	on      func(e scheduler.Event) []scheduler.Action
+	wrapped Scheduler // decides where there is no script
+	events  chan scheduler.Event
 }
 
-func (s *scriptedScheduler) Handle(now scheduler.Time, events []scheduler.Event) (out []scheduler.Action) {
+func (s *scriptedScheduler) Handle(now scheduler.Time, events []scheduler.Event) []scheduler.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
+	var actions []scheduler.Action
 	if s.on == nil {
-		out = s.module.Handle(now, events)
+		actions = s.wrapped.Handle(now, events)
 	}
 	for _, e := range events {
 		if s.on != nil {
-			out = append(out, s.on(e)...)
+			actions = append(actions, s.on(e)...)
 		}
 		s.events <- e
 	}
-	return out
+	return actions
 }
 
-// attemptOnA bids each container to machine a, and gives it up after its first outcome.
-func attemptOnA(wait scheduler.Time) func(scheduler.Event) []scheduler.Action {
+// attemptOnA attempts each container on machine a, and fails its request after the first outcome.
+func attemptOnA(timeout scheduler.Time) func(scheduler.Event) []scheduler.Action {
 	return func(e scheduler.Event) []scheduler.Action {
 		switch e := e.(type) {
 		case scheduler.RequestReceived:
-			return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: "a", Timeout: wait}}
+			return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: "a", Timeout: timeout}}
 		case scheduler.AttemptEnded:
 			if !e.Final {
 				return []scheduler.Action{scheduler.Fail{ID: e.ID}}
@@ -86,20 +113,25 @@
 	}
 }
 
+// testServer is a running server with its scheduler.
 type testServer struct {
 	*testing.T
 	server    *Server
 	scheduler *scriptedScheduler
 }
 
-func startServer(t *testing.T, on func(scheduler.Event) []scheduler.Action, config string) *testServer {
+func startServer(t *testing.T, on func(scheduler.Event) []scheduler.Action, configText string) *testServer {
 	t.Helper()
-	d, err := parseConfig([]byte(config))
+	config, err := parseConfig([]byte(configText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &testServer{T: t, scheduler: &scriptedScheduler{on: on, module: scheduler.New(d.Scheduler), events: make(chan scheduler.Event, 100_000)}}
-	if r.server, err = New(d, r.scheduler, slog.New(slog.NewTextHandler(io.Discard, nil)), false); err != nil {
+	r := &testServer{T: t, scheduler: &scriptedScheduler{
+		on:      on,
+		wrapped: scheduler.New(config.Scheduler),
+		events:  make(chan scheduler.Event, 100_000),
+	}}
+	if r.server, err = New(config, r.scheduler, slog.New(slog.NewTextHandler(io.Discard, nil)), false); err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan error, 1)
@@ -113,7 +145,13 @@
 	return r
 }
 
-// await waits for an event of a sort.
+// startWithMachineA starts a server that knows machine a, with a discovery service that has no further events.
+func startWithMachineA(t *testing.T, addr string, on func(scheduler.Event) []scheduler.Action) *testServer {
+	t.Helper()
+	return startServer(t, on, configJSON(silentDiscovery(t), 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))))
+}
+
+// await waits for an event of a type for which holds is true; nil takes any.
 func await[E scheduler.Event](r *testServer, holds func(E) bool) E {
 	r.Helper()
 	timeout := time.After(testTimeout)
@@ -130,7 +168,23 @@
 	}
 }
 
-// peer is the other end of a connection, an owner or a machine.
+// runOnLoop runs f on the goroutine of the server's loop and waits for it.
+func (r *testServer) runOnLoop(f func()) {
+	done := make(chan bool)
+	r.server.loop.Post(func() { f(); close(done) })
+	select {
+	case <-done:
+	case <-time.After(testTimeout):
+		r.Fatal("the loop is stuck")
+	}
+}
+
+// markShuttingDown makes it appear on the loop that the shutdown started some time ago.
+func (r *testServer) markShuttingDown(ago eventloop.Tick) {
+	r.server.shuttingDown, r.server.shutdownStartedAt = true, r.server.loop.Now()-ago
+}
+
+// peer is the other end of a connection of the server: a client, a machine or the discovery service.
 type peer struct {
 	t *testing.T
 	c net.Conn
@@ -142,105 +196,149 @@
 	if err != nil {
 		r.Fatal(err)
 	}
-	r.Cleanup(func() { c.Close() })
-	return newPeer(r.T, c)
+	p := newPeer(r.T, c)
+	r.Cleanup(p.close)
+	return p
 }
 
 func newPeer(t *testing.T, c net.Conn) *peer {
-	c.SetDeadline(time.Now().Add(testTimeout))
+	if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Error(err)
+	}
 	return &peer{t, c, bufio.NewReader(c)}
 }
 
-func (o *peer) send(lines ...string) {
-	for _, l := range lines {
-		io.WriteString(o.c, l+"\n")
+func (p *peer) send(lines ...string) {
+	for _, line := range lines {
+		p.write(line + "\n")
+	}
+}
+
+// write does not fail where the server has closed the connection: what the peer reads then shows it.
+func (p *peer) write(text string) { _, _ = io.WriteString(p.c, text) }
+
+// close may come after the connection's end.
+func (p *peer) close() { _ = p.c.Close() }
+
+func (p *peer) readLine() (string, error) { return p.r.ReadString('\n') }
+
+// readToEnd drops what comes until the connection's end.
+func (p *peer) readToEnd() {
+	for {
+		if _, err := p.readLine(); err != nil {
+			return
+		}
 	}
 }
 
 // receive reads the next message; nil at the connection's end.
-func (o *peer) receive() *jsonlines.Message {
-	line, err := o.r.ReadBytes('\n')
+func (p *peer) receive() *jsonlines.Message {
+	line, err := p.r.ReadBytes('\n')
 	if err != nil {
 		return nil
 	}
 	msg, err := jsonlines.Decode(line)
 	if err != nil {
-		o.t.Errorf("%v: %s", err, line)
+		p.t.Errorf("%v: %s", err, line)
 	}
 	return msg
 }
 
-// serveTCP gives each caller to serve, in a goroutine of its own, until the test ends.
-func serveTCP(t *testing.T, serve func(*peer)) string {
+// listenTCP opens a listener on a port of its own.
+func listenTCP(t *testing.T) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
+	return l
+}
+
+// serveTCP calls serve for each connection, in a goroutine of its own, until the test ends.
+func serveTCP(t *testing.T, serve func(*peer)) string {
+	l := listenTCP(t)
 	t.Cleanup(serveListener(t, l, serve))
 	return l.Addr().String()
 }
 
-// serveListener serves callers of a listener until what it returns is called.
+// serveListener calls serve for each connection of a listener until what it returns is called.
 func serveListener(t *testing.T, l net.Listener, serve func(*peer)) (stop func()) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	var open []net.Conn
+	var open []*peer
 	wg.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
+			p := newPeer(t, c)
 			mu.Lock()
-			open = append(open, c)
+			open = append(open, p)
 			mu.Unlock()
 			wg.Go(func() {
-				defer c.Close()
-				serve(newPeer(t, c))
+				defer p.close()
+				serve(p)
 			})
 		}
 	})
 	return func() {
-		l.Close()
+		_ = l.Close() // a test may have closed it
 		mu.Lock()
-		for _, c := range open {
-			c.Close()
+		for _, p := range open {
+			p.close()
 		}
 		mu.Unlock()
 		wg.Wait()
 	}
 }
 
-// fakeMachine answers each set-up with lines; %s is its call.
+// fakeMachine answers each offer with lines, in which %s is the request's identifier; "close" closes the connection.
 func fakeMachine(t *testing.T, lines ...string) string {
 	return serveTCP(t, func(m *peer) {
 		for msg := m.receive(); msg != nil; msg = m.receive() {
 			if msg.Op != jsonlines.OpOffer {
 				continue
 			}
-			for _, l := range lines {
-				if l == "close" {
+			for _, line := range lines {
+				if line == "close" {
 					return
 				}
-				m.send(strings.ReplaceAll(l, "%s", msg.RequestID))
+				m.send(strings.ReplaceAll(line, "%s", msg.RequestID))
 			}
 		}
 	})
 }
 
-// silentDiscovery takes callers and tells them nothing but the last number.
+// silentDiscovery answers each watch with the offset of the last event, and has no further ones.
 func silentDiscovery(t *testing.T) string {
-	return serveTCP(t, func(b *peer) {
+	return serveTCP(t, func(p *peer) {
 		for {
-			if _, err := b.r.ReadString('\n'); err != nil {
+			if _, err := p.readLine(); err != nil {
 				return
 			}
-			b.send(`{"offset":1}`)
+			p.send(`{"offset":1}`)
 		}
 	})
 }
 
-func offerLine(call, more string) string {
-	return `{"op":"offer","call":"` + call + `","with":{"class":"report-run","left":"2000","tenant":"offices","key":"k` + call +
-		`","idem":"i1","extras":"cores:1;memory:2;service:s1` + more + `"},"desc":"v=0\r\n"}`
+// scriptedDiscovery sends each watch all events that were published so far and are published later.
+func scriptedDiscovery(t *testing.T) (addr string, publish func(events ...string)) {
+	var mu sync.Mutex
+	var published []string
+	var watches []*peer
+	addr = serveTCP(t, func(p *peer) {
+		mu.Lock()
+		p.send(published...)
+		watches = append(watches, p)
+		mu.Unlock()
+		p.readToEnd()
+	})
+	return addr, func(events ...string) {
+		mu.Lock()
+		defer mu.Unlock()
+		published = append(published, events...)
+		for _, p := range watches {
+			p.send(events...)
+		}
+	}
 }
--- /dev/null
+++ b/internal/platform/machineconns_test.go
@@ -0,0 +1,241 @@
+package platform
+
+import (
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"glenport/internal/eventloop"
+	"glenport/internal/platform/jsonlines"
+	"glenport/scheduler"
+)
+
+// An end that was on its way as its connection broke is read on the next one, which is opened although another is there.
+func TestEndIsReadAfterConnectionLoss(t *testing.T) {
+	numbers := make(chan int, 10)
+	for i := range 10 {
+		numbers <- i
+	}
+	both := make(chan bool)
+	addr := serveTCP(t, func(m *peer) {
+		n := <-numbers
+		if n >= 2 {
+			m.send(endLine(requestID, 16))
+			m.receive()
+			return
+		}
+		msg := m.receive()
+		if n == 0 {
+			both <- true
+		} else {
+			<-both // each offer has a connection of its own
+		}
+		m.send(acceptLine(msg.RequestID))
+		if msg.RequestID == requestID {
+			m.send("noise")
+		}
+		m.receive()
+	})
+	r := startWithMachineA(t, addr, attemptOnA(0))
+	client := r.dialClient()
+	client.send(offerLine(requestID, ""), offerLine(otherRequestID, ""))
+	began := time.Now()
+	for _, op := range []jsonlines.Op{jsonlines.OpAccept, jsonlines.OpAccept, jsonlines.OpEnd} {
+		if msg := client.receive(); msg == nil || msg.Op != op || op == jsonlines.OpEnd && msg.RequestID != requestID {
+			t.Fatalf("received %+v, want %s", msg, op)
+		}
+	}
+	if took := time.Since(began); took > time.Second { // the time in which clients have to be notified
+		t.Errorf("notified after %v", took)
+	}
+}
+
+// A half-closed connection is read until the machine closes it: an end that the machine reports meanwhile counts, and nothing
+// more is sent.
+func TestHalfClosedConnIsRead(t *testing.T) {
+	addr := serveTCP(t, func(m *peer) {
+		if msg := m.receive(); msg != nil {
+			m.send(`{"op":"tested","call":"` + msg.RequestID + `","with":{},"why":1}`)
+		}
+		if msg := m.receive(); msg != nil {
+			t.Errorf("received %+v", msg)
+		}
+		m.send(endLine(requestID, 16))
+	})
+	r := startServer(t, func(e scheduler.Event) []scheduler.Action {
+		switch e.(type) {
+		case scheduler.ContainerAdopted:
+			return []scheduler.Action{scheduler.Probe{Machine: "a"}}
+		case scheduler.ProbeCompleted:
+			return []scheduler.Action{scheduler.Disconnect{Machine: "a"}}
+		}
+		return nil
+	}, configJSON(silentDiscovery(t), 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))))
+	client := r.dialClient()
+	client.send(offerLine(requestID, ";at:a"))
+	if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpEnd || msg.RequestID != requestID {
+		t.Errorf("received %+v", msg)
+	}
+}
+
+// No offer is sent on a connection that its machine may be closing as idle.
+func TestIdleConnCarriesNoAttempt(t *testing.T) {
+	var mu sync.Mutex
+	conns := 0
+	carried := map[string]int{}
+	addr := serveTCP(t, func(m *peer) {
+		mu.Lock()
+		conns++
+		n := conns
+		mu.Unlock()
+		for msg := m.receive(); msg != nil; msg = m.receive() {
+			mu.Lock()
+			carried[msg.RequestID] = n
+			mu.Unlock()
+			m.send(acceptLine(msg.RequestID))
+		}
+	})
+	r := startWithMachineA(t, addr, attemptOnA(0))
+	client := r.dialClient()
+	for i, id := range []string{requestID, otherRequestID, thirdRequestID} {
+		if i == 2 {
+			r.runOnLoop(func() {
+				for _, mc := range r.server.machines["a"].conns {
+					mc.lastUsedAt -= r.server.config.MachineIdleTimeout / 2
+				}
+			})
+		}
+		client.send(offerLine(id, ""))
+		if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpAccept {
+			t.Fatalf("received %+v", msg)
+		}
+	}
+	mu.Lock()
+	defer mu.Unlock()
+	if carried[requestID] != carried[otherRequestID] || carried[thirdRequestID] == carried[requestID] {
+		t.Errorf("carried by %v", carried)
+	}
+}
+
+// With more machines than descriptors, connections stay within their limit, each offer is sent, and each end is read, also
+// where the connection was evicted.
+func TestMachineConnLimitHolds(t *testing.T) {
+	const machines, descriptors, limit = 40, 64, 16 // as many for clients, 32 for the watch, bursts and the program itself
+	var mu sync.Mutex
+	ended := map[string]bool{} // by request
+	listed := make([]string, machines)
+	for i := range listed {
+		addr := serveTCP(t, func(m *peer) {
+			mu.Lock()
+			for id := range ended {
+				if strings.HasSuffix(id, fmt.Sprintf("%04x", i)) {
+					m.send(endLine(id, 16))
+				}
+			}
+			mu.Unlock()
+			for msg := m.receive(); msg != nil; msg = m.receive() {
+				if msg.Op == jsonlines.OpOffer {
+					mu.Lock()
+					ended[msg.RequestID] = true // at once, but reported on the next connection only
+					mu.Unlock()
+					m.send(acceptLine(msg.RequestID))
+				}
+			}
+		})
+		listed[i] = machineJSON(fmt.Sprintf("m%04x", i), addr, "ready", 0)
+	}
+	most := 0
+	r := startServer(t, func(e scheduler.Event) []scheduler.Action {
+		if e, ok := e.(scheduler.RequestReceived); ok {
+			return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: scheduler.MachineID("m" + string(e.ID[12:]))}}
+		}
+		return nil
+	}, configJSON(silentDiscovery(t), descriptors, eventJSON(1, true, listed...)))
+	client := r.dialClient()
+	for i := range machines {
+		client.send(offerLine(fmt.Sprintf("%016x", i), ""))
+		if msg := client.receive(); msg == nil || msg.Op == jsonlines.OpEnd {
+			t.Fatalf("attempt %d: the client received %+v", i, msg)
+		}
+		r.runOnLoop(func() { // a connection may be evicted only after its machine had a while to report on it
+			most = max(most, r.server.machineConnCount)
+			for _, m := range r.server.machines {
+				for _, mc := range m.conns {
+					mc.lastUsedAt -= eventloop.Second
+				}
+			}
+		})
+	}
+	notified := map[string]bool{}
+	for len(notified) < machines {
+		msg := client.receive()
+		if msg == nil {
+			t.Fatalf("%d of %d ends were received", len(notified), machines)
+		}
+		if msg.Op == jsonlines.OpEnd {
+			notified[msg.RequestID] = true
+			client.send(endedLine(msg.RequestID))
+		}
+	}
+	r.runOnLoop(func() {
+		if most > limit {
+			t.Errorf("%d connections at once, %d allowed", most, limit)
+		}
+	})
+}
+
+// A burst of clients and one of attempts, with more machines than connections, leave the discovery watch its descriptor at
+// every moment.
+func TestClientBurstLeavesDescriptorReserve(t *testing.T) {
+	const descriptors, machines, clients = 64, 60, 200
+	const conns = (descriptors - 32) / 2
+	listed := make([]string, machines)
+	for i := range listed {
+		addr := fakeMachine(t, acceptLine("%s"))
+		listed[i] = machineJSON(fmt.Sprintf("m%04x", i), addr, "ready", 0)
+	}
+	r := startServer(t, func(e scheduler.Event) []scheduler.Action {
+		switch e := e.(type) {
+		case scheduler.RequestReceived:
+			return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: scheduler.MachineID("m" + string(e.ID[12:]))}}
+		case scheduler.AttemptEnded:
+			if !e.Final {
+				return []scheduler.Action{scheduler.Reject{ID: e.ID}}
+			}
+		}
+		return nil
+	}, configJSON(silentDiscovery(t), descriptors, eventJSON(1, true, listed...)))
+	client := r.dialClient()
+	for i := range conns {
+		client.send(offerLine(fmt.Sprintf("%016x", i), ""))
+		client.receive()
+	}
+	r.runOnLoop(func() { // all are there when the loop goes on
+		for range clients {
+			r.dialClient()
+		}
+	})
+	for full := false; !full; {
+		r.runOnLoop(func() { full = len(r.server.clients) >= conns })
+	}
+	r.runOnLoop(func() { // and now the attempts
+		for _, m := range r.server.machines {
+			for _, mc := range m.conns {
+				mc.lastUsedAt -= eventloop.Second
+			}
+		}
+		for i := conns; i < machines; i++ {
+			client.send(offerLine(fmt.Sprintf("%016x", i), ""))
+		}
+	})
+	await(r, func(e scheduler.RequestReceived) bool {
+		return e.ID == scheduler.ContainerID(fmt.Sprintf("%016x", machines-1))
+	})
+	r.runOnLoop(func() {
+		if n := r.server.loop.PeakConnCount(); n+14 > descriptors { // that many the program itself may hold
+			t.Errorf("%d connections at once, of %d descriptors", n, descriptors)
+		}
+	})
+}
