--- a/internal/platform/machineconns_test.go
+++ b/internal/platform/machineconns_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"glenport/internal/eventloop"
+	"glenport/internal/platform/connmanager"
 	"glenport/internal/platform/jsonlines"
 	"glenport/scheduler"
 )
@@ -239,3 +240,38 @@
 		}
 	})
 }
+
+// A maintenance tick that opens a connection may evict the last one of a machine that is gone, and the machine with it: the tick
+// then passes over that machine.
+func TestMachineEvictedDuringMaintenanceIsSkipped(t *testing.T) {
+	addr := serveTCP(t, (*peer).readToEnd)
+	discovery, publish := scriptedDiscovery(t)
+	r := startServer(t, func(e scheduler.Event) []scheduler.Action {
+		if _, adopted := e.(scheduler.ContainerAdopted); adopted {
+			return []scheduler.Action{scheduler.Probe{Machine: "z"}} // it gets no answer
+		}
+		return nil
+	}, configJSON(discovery, 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0), machineJSON("z", serveTCP(t, (*peer).readToEnd), "ready", 0))))
+	r.dialClient().send(offerLine(requestID, ";at:a"))
+	await[scheduler.ContainerAdopted](r, nil)
+	publish(eventJSON(2, false, machineJSON("z", "", "gone", 0)))
+	await(r, func(e scheduler.MachineListUpdate) bool { return e.Version == 2 })
+	await[scheduler.ProbeCompleted](r, nil)
+	r.runOnLoop(func() {
+		s := r.server
+		z := s.machines["z"]
+		if z == nil || len(z.conns) != 1 {
+			t.Errorf("machine z is %+v", z)
+			return
+		}
+		z.conns[0].lastUsedAt -= eventloop.Second
+		s.machines["a"].connLost = true
+		others := connmanager.MaxMachineConns(s.config.MaxDescriptors) - s.machineConnCount
+		s.machineConnCount += others
+		s.maintain()
+		s.machineConnCount -= others
+		if s.machines["z"] != nil {
+			t.Error("machine z was not evicted")
+		}
+	})
+}
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -173,7 +173,9 @@
 	s.notifyConnManager(connmanager.Tick{})
 	s.notifyFailureDetector(failuredetector.Tick{})
 	for _, id := range sortedKeys(s.machines) {
-		s.machines[id].maintainConns(now)
+		if m := s.machines[id]; m != nil { // one that is gone may be evicted as another one needs a connection
+			m.maintainConns(now)
+		}
 	}
 	s.discovery.resetIfSilent(now)
 	s.cutOpenAttemptsIfDue(now)
