--- a/internal/platform/actions.go
+++ b/internal/platform/actions.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// applyDetectorAction carries out one action of the failure detector. A machine that was evicted meanwhile has nothing that
-// could be lost.
+// applyDetectorAction carries out one action of the failure detector. Actions on machines that were evicted meanwhile are
+// ignored: no container runs there.
 func (s *Server) applyDetectorAction(action failuredetector.Action) {
 	switch action := action.(type) {
 	case failuredetector.Connect:
@@ -88,7 +88,7 @@
 	}
 }
 
-// connectForLiveness opens a connection on which nothing is sent: that it comes up shows that the machine is alive.
+// connectForLiveness opens a connection and sends nothing on it. A machine that is alive accepts it.
 func (s *Server) connectForLiveness(id scheduler.MachineID) {
 	if m := s.machines[id]; m != nil && m.addr != "" {
 		m.connect() // nil where there may be no more connections: the detector asks again
--- a/internal/platform/attempts.go
+++ b/internal/platform/attempts.go
@@ -5,8 +5,9 @@
 	"glenport/scheduler"
 )
 
-// attempt is one try to start a container on a machine: it waits for a connection, then its offer is pending, and once the
-// machine has accepted it the container is running by it. Each attempt has exactly one outcome (finishAttempt).
+// attempt is one try to start a container on a machine. It waits for a connection, then for the answer to its offer; once the
+// machine has accepted it, it stands for the running container. Invariant: every attempt has exactly one outcome, reported by
+// finishAttempt.
 type attempt struct {
 	container     *container
 	number        int // within its container, from 0
@@ -24,8 +25,8 @@
 func (s *Server) startAttempt(action scheduler.StartAttempt) {
 	c := s.containers[action.ID]
 	if c == nil || c.answered || c.attempt != nil {
-		// The client has gone in the same batch, with the answer to another of its requests that could not be written. Each
-		// attempt has its outcome all the same, or the scheduler would count it as pending for good.
+		// The client was disconnected in the same batch, because the answer to another of its requests could not be written.
+		// Every attempt needs an outcome all the same, or the scheduler would count it as pending forever.
 		s.log.Info("attempt for a request that is not open", "request_id", action.ID)
 		s.notifyScheduler(scheduler.AttemptEnded{ID: action.ID, Machine: action.Machine, Outcome: scheduler.OutcomeNotSent, Final: true})
 		return
@@ -62,7 +63,7 @@
 	return a
 }
 
-// sendOffer sends an attempt's offer on its connection, unless the machine takes no new containers by now.
+// sendOffer sends the offer of an attempt, unless the machine has stopped taking new containers since the attempt was made.
 func (s *Server) sendOffer(a *attempt) {
 	if a.machine.state != scheduler.MachineServing {
 		s.finishAttempt(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
@@ -94,20 +95,20 @@
 	s.finishAttempt(c.attempt, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: c.answered})
 }
 
-// cancelOffer tells the machine that the answer to an offer is not awaited any more.
+// cancelOffer cancels a sent offer at its machine.
 func (s *Server) cancelOffer(a *attempt) {
 	if a.sent && a.conn != nil {
 		a.conn.send(cancelMessage(a.container.request.ID))
 	}
 }
 
-// acceptAttempt takes in that a machine has accepted an offer: the container is running.
+// acceptAttempt marks a container as running after its machine accepted the offer, and answers the request.
 func (s *Server) acceptAttempt(a *attempt, accepted offerAccepted) error {
 	if len(accepted.description) == 0 {
 		return errNoDescription
 	}
 	if a.machine.state == scheduler.MachineGone {
-		// It was accepted before the machine went: nothing counts as running at a machine that is gone.
+		// Invariant: no container counts as running at a machine that is gone. The accept was sent before it went.
 		s.cancelOffer(a)
 		s.finishAttempt(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost})
 		return nil
@@ -123,9 +124,9 @@
 	return nil
 }
 
-// finishUnaccepted ends a container that was running at a machine whose accept is late or lost: only a running container is
-// evicted, preempted or drained. The client gets that end as its answer. A retry would go on with a container that the
-// machine and the platform count as ended.
+// finishUnaccepted ends a container whose machine evicted, preempted or drained it before its accept was read. Machines do
+// that to running containers only, so the accept is late or lost. The request fails: a retry would continue with a container
+// that machine and platform count as ended.
 func (s *Server) finishUnaccepted(a *attempt, ended scheduler.AttemptEnded) {
 	ended.Final = true
 	s.finishAttempt(a, ended)
@@ -137,7 +138,7 @@
 func (s *Server) finishAttempt(a *attempt, ended scheduler.AttemptEnded) {
 	c := a.container
 	if c.attempt != a {
-		return // it has its outcome
+		return // the attempt has its outcome already
 	}
 	s.loop.Cancel(a.timer)
 	a.release()
@@ -149,7 +150,7 @@
 	a.machine.evictIfGone()
 }
 
-// release takes an attempt off its connection and its machine.
+// release removes an attempt from its connection and its machine.
 func (a *attempt) release() {
 	id := a.container.request.ID
 	if a.conn != nil && !a.running {
--- a/internal/platform/attempts_test.go
+++ b/internal/platform/attempts_test.go
@@ -257,17 +257,17 @@
 	client.send(offerLine(otherRequestID, ""))
 	await(r, func(e scheduler.RequestReceived) bool { return e.ID == otherRequestID })
 	publish(eventJSON(2, true))
-	if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpEnd || msg.RequestID != requestID {
+	if msg := client.receive(); !isEnd(msg, requestID) {
 		t.Fatalf("received %+v", msg)
 	}
 	close(accept)
-	if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpEnd || msg.RequestID != otherRequestID {
+	if msg := client.receive(); !isEnd(msg, otherRequestID) {
 		t.Errorf("received %+v", msg)
 	}
 	if e := await(r, func(e scheduler.AttemptEnded) bool { return e.ID == otherRequestID }); e.Outcome != scheduler.OutcomeLost || e.Final {
 		t.Errorf("got %+v", e)
 	}
-	if msg := <-received; msg == nil || msg.Op != jsonlines.OpEnd || msg.RequestID != otherRequestID || msg.CauseOrNone() != jsonlines.CauseNormal {
+	if msg := <-received; !isEndWithCause(msg, otherRequestID, jsonlines.CauseNormal) {
 		t.Errorf("the machine received %+v", msg)
 	}
 }
--- a/internal/platform/clientmessages.go
+++ b/internal/platform/clientmessages.go
@@ -32,7 +32,7 @@
 		id    scheduler.ContainerID
 		cause terminationCause
 	}
-	// endAcknowledged says that the end of a container was received.
+	// endAcknowledged confirms a notification that a container has ended.
 	endAcknowledged struct{ id string }
 	// livenessTest asks whether new requests are taken.
 	livenessTest struct{ id string }
@@ -58,14 +58,14 @@
 	return nil
 }
 
-// acceptMessage answers a request whose container is running; the machine's description is passed on byte for byte.
+// acceptMessage answers a request whose container is running. The machine's description is forwarded byte for byte.
 func acceptMessage(id scheduler.ContainerID, description []byte) *jsonlines.Message {
 	return &jsonlines.Message{Op: jsonlines.OpAccept, RequestID: string(id), Description: description}
 }
 
 func isAccept(msg *jsonlines.Message) bool { return msg.Op == jsonlines.OpAccept }
 
-// rejectMessage answers a request that never ran: a retry does no harm, after retryAfter where that is above 0.
+// rejectMessage answers a request whose container never ran: the client may safely retry, after retryAfter if that is above 0.
 func rejectMessage(id scheduler.ContainerID, retryAfter scheduler.Time) *jsonlines.Message {
 	msg := endMessage(id, jsonlines.CauseNoCapacity)
 	if retryAfter > 0 {
@@ -74,7 +74,7 @@
 	return msg
 }
 
-// failMessage answers a request that has failed. It promises nothing about what ran.
+// failMessage answers a request that has failed. The container may have run.
 func failMessage(id scheduler.ContainerID) *jsonlines.Message {
 	return endMessage(id, jsonlines.CauseTemporaryFailure)
 }
@@ -107,7 +107,7 @@
 	description    []byte
 }
 
-// decodeOffer reads the fields of a request. With an error, of the offer only runsOn counts.
+// decodeOffer reads the fields of a request. With an error only runsOn of the result is valid.
 func (config *Config) decodeOffer(msg offerReceived, now eventloop.Tick) (placementOffer, error) {
 	var offer placementOffer
 	extras, err := decodeExtras(msg.fields["extras"])
@@ -171,7 +171,7 @@
 func decodeAmounts(offer *placementOffer, left string, extras map[string]string, now eventloop.Tick) error {
 	maxWait := float64(maxWaitMillis)
 	if offer.runsOn != "" {
-		maxWait = math.MaxInt32 * 1000 // a running container has no deadline, but what is no time at all is rejected
+		maxWait = math.MaxInt32 * 1000 // a running container has no deadline, but the value has to be a valid time
 	}
 	var waitMillis float64
 	for _, amount := range []struct {
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -23,7 +23,7 @@
 }
 
 var (
-	// errDuplicateRequest ends a connection: an answer would not show for which of its two requests it is.
+	// errDuplicateRequest closes the connection: an answer could not be matched to one of its two requests.
 	errDuplicateRequest = errors.New("two open requests with one id on one connection")
 	errRequestOpen      = errors.New("a request with this id is open")
 )
@@ -94,7 +94,7 @@
 	}
 }
 
-// handleLine takes in one message. An error ends the connection.
+// handleLine handles one message. An error closes the connection.
 func (cc *clientConn) handleLine(line []byte) error {
 	msg, err := jsonlines.Decode(line)
 	if err != nil {
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// handleOffer takes in a request: for a container to be placed, or for one that is running already.
+// handleOffer handles a request for a container that is to be placed, or the claim that one is running already.
 func (cc *clientConn) handleOffer(received offerReceived) error {
 	s := cc.server
 	offer, err := s.config.decodeOffer(received, s.loop.Now())
@@ -147,7 +147,7 @@
 	return errRequestOpen
 }
 
-// rejectInvalid answers a request that cannot be used. The claim that a container is running gets no answer.
+// rejectInvalid answers a request that is invalid. An invalid claim that a container is running gets no answer.
 func (cc *clientConn) rejectInvalid(received offerReceived, runsOn scheduler.MachineID, err error) {
 	cc.server.log.Debug("request rejected as invalid", "client", cc.id, "request_id", received.id, "error", err)
 	if runsOn != "" {
@@ -170,7 +170,7 @@
 	}
 }
 
-// handleLivenessTest answers whether new requests are taken.
+// handleLivenessTest answers whether new requests are accepted.
 func (cc *clientConn) handleLivenessTest(test livenessTest) {
 	cc.send(testResultMessage(test.id, !cc.server.shuttingDown))
 	cc.server.notifyConnManager(connmanager.MessageSent{Client: cc.id})
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -153,7 +153,7 @@
 	second.send(testLine(1))
 	second.receive()
 	end <- true
-	if msg := second.receive(); msg == nil || msg.Op != jsonlines.OpEnd || msg.RequestID != requestID || msg.CauseOrNone() != 16 {
+	if msg := second.receive(); !isEndWithCause(msg, requestID, 16) {
 		t.Errorf("received %+v", msg)
 	}
 	second.send(testLine(2))
@@ -215,7 +215,7 @@
 		t.Errorf("received %+v", msg)
 	}
 	client.send(offerLine(otherRequestID, ";at:a"))
-	if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpEnd || msg.RequestID != otherRequestID || msg.CauseOrNone() != jsonlines.CauseNormal {
+	if msg := client.receive(); !isEndWithCause(msg, otherRequestID, jsonlines.CauseNormal) {
 		t.Errorf("received %+v", msg)
 	}
 	if e := await(r, func(e scheduler.AttemptEnded) bool { return e.ID == otherRequestID }); !e.Final || e.Outcome != scheduler.OutcomeFinished {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -40,7 +40,7 @@
 	errNoEventBody = errors.New("topology is missing")
 )
 
-// wireConfig and wireSettings are the platform's file and what is read of its settings here, as they are encoded.
+// wireConfig is the encoding of the platform's file, wireSettings that of the settings which this process needs itself.
 type (
 	wireConfig struct {
 		Name          string `json:"name"`
@@ -72,7 +72,7 @@
 	}
 )
 
-// LoadConfig reads the file that the platform names. Its errors name the place of the fault.
+// LoadConfig reads the platform's file. Errors name the invalid line or field.
 func LoadConfig(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -160,8 +160,8 @@
 	return names
 }
 
-// parseKnownEvents reads the events up to LastOffset. Unlike those of a running watch they have to be whole: the platform
-// writes them for these very settings.
+// parseKnownEvents reads the events up to LastOffset. Invalid entries are an error, unlike in the events of a running watch:
+// the platform writes file and events together.
 func (config *Config) parseKnownEvents(events []json.RawMessage) error {
 	for i, data := range events {
 		event, err := config.decodeWatchEvent(data)
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -8,7 +8,8 @@
 )
 
 func TestConfigIsValidated(t *testing.T) {
-	good := configJSON("127.0.0.1:1", 256, eventJSON(1, true, machineJSON("a", "127.0.0.1:2", "ready", 5), machineJSON("b", "127.0.0.1:3", "draining", 0)))
+	good := configJSON("127.0.0.1:1", 256,
+		eventJSON(1, true, machineJSON("a", "127.0.0.1:2", "ready", 5), machineJSON("b", "127.0.0.1:3", "draining", 0)))
 	for _, tc := range []struct{ name, old, with, wantError string }{
 		{"good", "", "", ""},
 		{"no JSON", `"bus":`, `"bus"`, "line 2: invalid character"},
@@ -33,10 +34,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := scheduler.MachineEntry{Machine: "a", Zone: 1, MachineType: 1, RackGroup: 2, PowerHint: 1, FreeCores: 40.5, FreeMemory: 100, StartedAt: 50}
-			if got := config.KnownEvents[0].machines[0].entry; got != want || len(config.Scheduler.WorkloadClasses) != 2 || config.Scheduler.Tenants[1].QuotaCores != 50 ||
-				config.Scheduler.Seed != 0x8c1f30d27a5be964 || config.Scheduler.ListOnRequest {
-				t.Errorf("machine %+v, settings %+v", got, config.Scheduler)
+			want := scheduler.MachineEntry{Machine: "a", Zone: 1, MachineType: 1, RackGroup: 2, PowerHint: 1,
+				FreeCores: 40.5, FreeMemory: 100, StartedAt: 50}
+			if got := config.KnownEvents[0].machines[0].entry; got != want {
+				t.Errorf("machine %+v, want %+v", got, want)
+			}
+			settings := config.Scheduler
+			if len(settings.WorkloadClasses) != 2 || settings.Tenants[1].QuotaCores != 50 ||
+				settings.Seed != 0x8c1f30d27a5be964 || settings.ListOnRequest {
+				t.Errorf("settings %+v", settings)
 			}
 		})
 	}
--- a/internal/platform/containers.go
+++ b/internal/platform/containers.go
@@ -11,8 +11,8 @@
 	"glenport/scheduler"
 )
 
-// container is one that a client has requested or that is running. Its request gets exactly one answer, unless the client
-// cancels it or leaves before. It is kept until it is answered and has no attempt.
+// container is a container that a client has requested or that is running. Invariant: its request gets exactly one answer,
+// unless the client cancels it or disconnects first. A container is kept until it is answered and has no attempt.
 type container struct {
 	request        scheduler.PlacementRequest
 	className      string
@@ -24,7 +24,7 @@
 	attempt        *attempt // the pending one, or the one by which it is running
 }
 
-// openContainer takes in a request whose container is to be placed.
+// openContainer opens a request whose container is to be placed.
 func (s *Server) openContainer(cc *clientConn, offer placementOffer) {
 	c := &container{
 		request:        offer.request,
@@ -39,7 +39,7 @@
 	s.notifyScheduler(scheduler.RequestReceived{PlacementRequest: c.request})
 }
 
-// adopt counts a container that a client has named as running at a machine, unless it is known already.
+// adopt adds a container that a client claims to be running at a machine, unless the container is known already.
 func (s *Server) adopt(cc *clientConn, request scheduler.PlacementRequest, at scheduler.MachineID) {
 	if s.containers[request.ID] != nil {
 		return
@@ -55,8 +55,8 @@
 	m.addRunning(1)
 	s.notifyScheduler(scheduler.ContainerAdopted{PlacementRequest: request, Machine: at})
 	if m.listed() && m.state == scheduler.MachineGone {
-		// The list said that the machine is gone before the container was named. A successor may be at its address: its signs
-		// of life would be taken for those of the machine that is gone. So nothing ever runs at a machine that is gone.
+		// Invariant: no container counts as running at a machine that is gone. A successor may be at its address, and its
+		// activity would be attributed to the machine that is gone.
 		m.failRunning(s.loop.Now())
 		return
 	}
@@ -80,7 +80,7 @@
 	s.cancelPendingAttempt(c)
 }
 
-// cancelRequest closes a request whose client cancels it, or has gone, before it is answered.
+// cancelRequest closes an unanswered request whose client has cancelled it or is disconnected.
 func (s *Server) cancelRequest(c *container) {
 	s.markAnswered(c)
 	if c.client != nil {
@@ -90,13 +90,13 @@
 	s.cancelPendingAttempt(c)
 }
 
-// markAnswered notes that a request awaits no answer any more.
+// markAnswered marks a request as closed.
 func (s *Server) markAnswered(c *container) {
 	c.answered = true
 	s.unanswered--
 }
 
-// cancelPendingAttempt cancels the attempt of a request that awaits no answer any more. A running container goes on.
+// cancelPendingAttempt cancels the pending attempt of a closed request. A running container is not affected.
 func (s *Server) cancelPendingAttempt(c *container) {
 	if c.attempt != nil && !c.attempt.running {
 		s.cancelOffer(c.attempt)
@@ -111,7 +111,7 @@
 	}
 }
 
-// finishRunning ends a container that was running, and has a client notified unless a client ended it.
+// finishRunning ends a running container. A client is notified, unless a client has ended the container.
 func (s *Server) finishRunning(a *attempt, cause terminationCause, ended scheduler.AttemptEnded) {
 	c := a.container
 	ended.Final = true
@@ -126,7 +126,7 @@
 	s.notifyConnManager(terminated)
 }
 
-// terminateRunning passes on that a client ends a running container. The machine then reports its end.
+// terminateRunning forwards a client's order to end a running container. Its machine reports the end later.
 func (s *Server) terminateRunning(c *container, cause terminationCause) {
 	a := c.attempt
 	if a.endedByClient {
@@ -136,8 +136,8 @@
 	s.sendTermination(a, cause)
 }
 
-// sendTermination tells a machine that a client ends a container there. Where no connection is to be had it is sent as soon
-// as there is one, unless the container has ended by then.
+// sendTermination orders a machine to end a running container. Without a connection it is retried every maintenance interval
+// until the container has ended.
 func (s *Server) sendTermination(a *attempt, cause terminationCause) {
 	c := a.container
 	if a.machine.addr == "" || c.attempt != a {
@@ -151,7 +151,7 @@
 	mc.whenEstablished(func() { mc.send(machineTerminationMessage(c.request.ID, cause)) })
 }
 
-// sortedKeys returns the keys of a table in their order, so that equal events are handled alike.
+// sortedKeys returns the keys of a map in order, so that equal events have equal effects.
 func sortedKeys[K cmp.Ordered, V any](table map[K]V) []K {
 	return slices.Sorted(maps.Keys(table))
 }
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -29,7 +29,7 @@
 	receivedEvent bool // an event came on this connection: the next one has the next offset
 }
 
-// missingEventError says that the service has left out an event.
+// missingEventError is the error of a gap in the offsets of events.
 type missingEventError struct{ offset int64 }
 
 func (e *missingEventError) Error() string { return fmt.Sprintf("event %d is missing", e.offset) }
@@ -40,7 +40,7 @@
 	w.conn = w.server.loop.Dial(w.addr, w, watchOutputLimit, watchConnectTimeout)
 }
 
-// moveTo goes on at another address.
+// moveTo continues the watch at another address.
 func (w *discoveryWatch) moveTo(addr string) {
 	if addr == w.addr {
 		return
@@ -54,10 +54,10 @@
 	w.connect()
 }
 
-// Opened implements eventloop.Handler: it requests the events behind the last one applied.
+// Opened implements eventloop.Handler: it requests the events after the last one applied.
 func (w *discoveryWatch) Opened(conn *eventloop.Conn) {
 	if conn == w.conn {
-		_ = conn.Write(watchRequest(w.lastOffset)) // a new connection takes it; should it not, resetIfSilent ends the connection
+		_ = conn.Write(watchRequest(w.lastOffset)) // a new connection has room; resetIfSilent covers any failure
 	}
 }
 
@@ -73,8 +73,8 @@
 	}
 }
 
-// Closed implements eventloop.Handler: it connects again after a while. The end of a connection that moveTo has replaced
-// changes nothing.
+// Closed implements eventloop.Handler: it reconnects after watchReconnectDelay. Connections that moveTo has replaced are
+// ignored.
 func (w *discoveryWatch) Closed(conn *eventloop.Conn, err error) {
 	if conn != w.conn {
 		return
@@ -98,7 +98,8 @@
 	}
 }
 
-// handleLine takes in an event, or the offset of the last one. Events that were applied already are repeated after a break.
+// handleLine handles an event, or the offset of the last one. Events that were applied already may be repeated after a
+// reconnect, and are ignored.
 func (w *discoveryWatch) handleLine(line []byte) error {
 	log := w.server.log
 	if w.interrupted {
@@ -112,8 +113,8 @@
 	if event.offset <= w.lastOffset {
 		return nil
 	}
-	// Missing events are requested again. The first event on a connection may have any offset: a service that has dropped the
-	// older ones cannot send them.
+	// A gap is an error: the reconnect requests the missing events. The first event on a connection may have any offset, since
+	// the service may have dropped older events.
 	if event.offsetOnly || w.receivedEvent && event.offset > w.lastOffset+1 {
 		return &missingEventError{w.lastOffset + 1}
 	}
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -244,6 +244,15 @@
 	return msg
 }
 
+// isEnd reports whether a message ends a request or its container.
+func isEnd(msg *jsonlines.Message, id string) bool {
+	return msg != nil && msg.Op == jsonlines.OpEnd && msg.RequestID == id
+}
+
+func isEndWithCause(msg *jsonlines.Message, id string, cause int) bool {
+	return isEnd(msg, id) && msg.CauseOrNone() == cause
+}
+
 // listenTCP opens a listener on a port of its own.
 func listenTCP(t *testing.T) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/platform/machineconns.go
+++ b/internal/platform/machineconns.go
@@ -18,7 +18,7 @@
 	halfCloseTimeout   = eventloop.Second // a machine closes a connection that was half-closed here
 )
 
-// errNoDescription ends a connection on which an accept is not whole.
+// errNoDescription resets a connection on which an accept is incomplete.
 var errNoDescription = errors.New("accept without a description")
 
 // machineConn is one connection to a machine.
@@ -35,7 +35,7 @@
 	lastUsedAt    eventloop.Tick
 }
 
-// idle reports whether nothing is awaited on the connection.
+// idle reports whether no attempt or probe waits for the connection or for an answer on it.
 func (mc *machineConn) idle() bool {
 	return len(mc.attempts)+len(mc.probes)+len(mc.onEstablished) == 0
 }
@@ -49,8 +49,8 @@
 	}
 }
 
-// closeGracefully ends this side's output on a connection on which nothing is awaited. The machine may be reporting on it
-// right now that a container has ended, so it is read until the machine has closed it too, or halfCloseTimeout has passed.
+// closeGracefully half-closes an idle connection. The machine may be reporting the end of a container on it at this moment, so
+// reading continues until the machine has closed it too, or halfCloseTimeout has passed.
 func (mc *machineConn) closeGracefully() {
 	if mc.closing {
 		return
@@ -101,7 +101,7 @@
 	mc.onEstablished = nil
 	m.connLost = m.connLost || mc.established && !mc.closing
 	notSent := scheduler.OutcomeConnectFailed
-	if errors.Is(err, eventloop.ErrLocalResources) { // that says nothing of the machine
+	if errors.Is(err, eventloop.ErrLocalResources) { // not the fault of the machine
 		notSent = scheduler.OutcomeNotSent
 	}
 	if !mc.established && errors.Is(err, unix.ECONNREFUSED) {
@@ -112,8 +112,8 @@
 	m.evictIfGone()
 }
 
-// finishAttempts ends the attempts on a connection that has ended. One that was never sent never ran; one that was sent may
-// have run.
+// finishAttempts ends the attempts on a closed connection. A container whose offer was never sent never ran; one whose offer
+// was sent may have run.
 func (mc *machineConn) finishAttempts(notSent scheduler.Outcome, err error) {
 	s := mc.machine.server
 	for _, id := range sortedKeys(mc.attempts) {
@@ -126,7 +126,7 @@
 	}
 }
 
-// finishProbes ends the probes on a connection that has ended.
+// finishProbes ends the probes on a closed connection.
 func (mc *machineConn) finishProbes(notSent scheduler.Outcome) {
 	outcome := notSent
 	if mc.established {
@@ -137,7 +137,7 @@
 	}
 }
 
-// handleLine takes in one message. An error ends the connection.
+// handleLine handles one message. An error resets the connection.
 func (mc *machineConn) handleLine(line []byte) error {
 	msg, err := jsonlines.Decode(line)
 	if err != nil {
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// handleAccept takes in the accept of the attempt that is pending on this connection; any other accept does not count.
+// handleAccept handles the accept of the attempt that is pending on this connection. Any other accept is ignored.
 func (mc *machineConn) handleAccept(accepted offerAccepted) error {
 	a := mc.machine.attempts[accepted.id]
 	if a == nil || a.running || a.conn != mc {
@@ -166,14 +166,18 @@
 	return mc.machine.server.acceptAttempt(a, accepted)
 }
 
-// handleEnd takes in the end of a container, which counts on any connection, or the answer to the attempt that is pending on
-// this one.
+// handleEnd handles the end of a running container, which is valid on any connection, or the rejection of the attempt that is
+// pending on this one.
 func (mc *machineConn) handleEnd(event containerEnded) {
 	m, s := mc.machine, mc.machine.server
 	a := m.attempts[event.id]
 	if a == nil {
-		// After a start a client may reclaim the container yet.
-		s.notifyFailureDetector(failuredetector.UnclaimedTermination{Machine: string(m.id), RequestID: string(event.id), Cause: int(event.cause)})
+		// After a start of this process a client may still reclaim the container.
+		s.notifyFailureDetector(failuredetector.UnclaimedTermination{
+			Machine:   string(m.id),
+			RequestID: string(event.id),
+			Cause:     int(event.cause),
+		})
 		return
 	}
 	ended := scheduler.AttemptEnded{Reason: event.reason, Report: event.report}
@@ -193,7 +197,7 @@
 	s.finishAttempt(a, ended)
 }
 
-// handleUsage passes on a measurement of a container whose offer was sent.
+// handleUsage forwards a measurement of a container whose offer was sent.
 func (mc *machineConn) handleUsage(report usageReported) {
 	a := mc.machine.attempts[report.id]
 	if a == nil || !a.sent {
@@ -221,7 +225,7 @@
 	mc.machine.server.finishProbe(p, outcome, answer.report)
 }
 
-// poolState is what the connection manager is asked about.
+// poolState is the state of the connection by which the connection manager decides.
 func (mc *machineConn) poolState(now eventloop.Tick, primary bool) connmanager.MachineConn {
 	return connmanager.MachineConn{
 		Primary:            primary,
--- a/internal/platform/machineconns_test.go
+++ b/internal/platform/machineconns_test.go
@@ -76,7 +76,7 @@
 	}, configJSON(silentDiscovery(t), 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))))
 	client := r.dialClient()
 	client.send(offerLine(requestID, ";at:a"))
-	if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpEnd || msg.RequestID != requestID {
+	if msg := client.receive(); !isEnd(msg, requestID) {
 		t.Errorf("received %+v", msg)
 	}
 }
--- a/internal/platform/machinelist.go
+++ b/internal/platform/machinelist.go
@@ -5,7 +5,7 @@
 	"glenport/scheduler"
 )
 
-// applyUpdate passes an event of the discovery service to the scheduler, and keeps the machines' addresses and states.
+// applyUpdate applies an event of the discovery service to the machines and forwards it to the scheduler.
 func (s *Server) applyUpdate(mode scheduler.UpdateMode, event watchEvent) {
 	list := scheduler.MachineListUpdate{Mode: mode, Version: event.version}
 	if mode == scheduler.DeltaUpdate && event.fullSnapshot {
@@ -31,7 +31,7 @@
 	}
 }
 
-// markAllGone begins a full snapshot: what it does not name is gone.
+// markAllGone marks all machines as gone; a full snapshot then names those that are not.
 func (s *Server) markAllGone() []*machine {
 	all := make([]*machine, 0, len(s.machines))
 	for _, id := range sortedKeys(s.machines) {
@@ -42,9 +42,9 @@
 	return all
 }
 
-// evictPredecessor returns the machine at whose address an update names another one; nil where there is none. It is gone,
-// though the list has yet to say so: what was sent to that address for it would reach its successor, and go beyond the
-// successor's slow-start budget.
+// evictPredecessor marks the machine as gone at whose address an update names another one, and returns it; nil if there is
+// none. The list may report it as gone only later, but offers to it would reach its successor and exceed the successor's
+// slow-start budget.
 func (s *Server) evictPredecessor(update machineUpdate) *machine {
 	old := s.machines[s.machineAtAddr[update.addr]]
 	if old == nil || old.id == update.entry.Machine || update.entry.State == scheduler.MachineGone {
@@ -55,7 +55,7 @@
 	return old
 }
 
-// apply takes in what an event says of a machine. Containers of an earlier incarnation are lost.
+// apply applies an update to a machine. Containers of an earlier incarnation are lost.
 func (m *machine) apply(update machineUpdate) {
 	entry := update.entry
 	if m.addr != update.addr && update.addr != "" {
@@ -79,8 +79,7 @@
 	}
 }
 
-// finishUpdate ends what was running at a machine that an event has shown to be gone, also by leaving it out of a full
-// snapshot.
+// finishUpdate ends the containers of a machine that is gone by an event, or because a full snapshot left it out.
 func (m *machine) finishUpdate() {
 	if m.state == scheduler.MachineGone {
 		m.failRunning(m.server.loop.Now())
@@ -89,7 +88,7 @@
 	m.evictIfGone()
 }
 
-// releaseAddr notes that a machine is not at its address any more, unless another one is.
+// releaseAddr removes a machine from its address, unless another machine is there already.
 func (m *machine) releaseAddr() {
 	if m.server.machineAtAddr[m.addr] == m.id {
 		delete(m.server.machineAtAddr, m.addr)
--- a/internal/platform/machinemessages.go
+++ b/internal/platform/machinemessages.go
@@ -16,7 +16,7 @@
 type machineMessage interface{ machineMessage() }
 
 type (
-	// offerAccepted says that a container is running.
+	// offerAccepted reports that a container is running.
 	offerAccepted struct {
 		id          scheduler.ContainerID
 		description []byte
@@ -65,7 +65,7 @@
 	"tight": scheduler.MetricMachineMemory,
 }
 
-// decodeMachineMessage returns a message of a machine as its type; nil for one that says nothing here.
+// decodeMachineMessage returns a message of a machine as its type; nil for one that is to be ignored.
 func decodeMachineMessage(msg *jsonlines.Message) machineMessage {
 	id := scheduler.ContainerID(msg.RequestID)
 	switch msg.Op {
@@ -110,7 +110,7 @@
 	return report
 }
 
-// offerMessage offers a container to a machine, which has so long to answer.
+// offerMessage offers a container to a machine. The time left to answer is sent in whole milliseconds.
 func offerMessage(c *container, left eventloop.Tick) *jsonlines.Message {
 	fields := jsonlines.Fields{
 		"class": c.className,
@@ -123,12 +123,12 @@
 	return &jsonlines.Message{Op: jsonlines.OpOffer, RequestID: string(c.request.ID), Fields: fields, Description: c.description}
 }
 
-// cancelMessage says that the answer to an offer is not awaited any more.
+// cancelMessage cancels an offer.
 func cancelMessage(id scheduler.ContainerID) *jsonlines.Message {
 	return endMessage(id, jsonlines.CauseNormal)
 }
 
-// machineTerminationMessage ends a running container for a client. Where the client gave no cause, 0 is sent.
+// machineTerminationMessage orders the end of a running container. Without a cause by the client, 0 is sent.
 func machineTerminationMessage(id scheduler.ContainerID, cause terminationCause) *jsonlines.Message {
 	return endMessage(id, int(max(cause, 0)))
 }
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -18,7 +18,7 @@
 	conns     []*machineConn
 	attempts  map[scheduler.ContainerID]*attempt // pending, or running there
 	running   int                                // containers
-	connLost  bool                               // a connection broke while containers run: the machine repeats on the next one what it sent on that
+	connLost  bool                               // while containers run: the machine repeats its reports on the next connection
 }
 
 // machineByID returns the machine with an identifier. One that no list has named yet counts as gone.
@@ -50,14 +50,14 @@
 	m.server.notifyFailureDetector(failuredetector.RunningCountChanged{Machine: string(m.id), Count: m.running})
 }
 
-// recordActivity notes a sign of life.
+// recordActivity reports activity of the machine to the failure detector.
 func (m *machine) recordActivity() {
 	if m.running > 0 {
 		m.server.notifyFailureDetector(failuredetector.ActivityObserved{Machine: string(m.id)})
 	}
 }
 
-// failRunning ends the containers that have been running since before a moment: they are lost with the machine, or with that
+// failRunning ends the containers that were started up to a point in time: they are lost with the machine, or with an earlier
 // incarnation of it.
 func (m *machine) failRunning(before eventloop.Tick) {
 	for _, id := range sortedKeys(m.attempts) {
--- a/internal/platform/machines_test.go
+++ b/internal/platform/machines_test.go
@@ -61,7 +61,7 @@
 				events <- eventJSON(2, false, machineJSON("a", l.Addr().String(), tc.state, time.Now().UnixMilli()+1))
 				defer close(die)
 			}
-			if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpEnd || msg.RequestID != requestID || msg.CauseOrNone() != jsonlines.CauseTemporaryFailure {
+			if msg := client.receive(); !isEndWithCause(msg, requestID, jsonlines.CauseTemporaryFailure) {
 				t.Errorf("received %+v", msg)
 			}
 			if e := await[scheduler.AttemptEnded](r, nil); e.Outcome != scheduler.OutcomeLost || !e.Final {
@@ -110,7 +110,7 @@
 			client.send(strings.Replace(offerLine("00000000000000dd", ""), `"2000"`, `"60000"`, 1)) // an attempt that stays pending
 			<-offers
 			publish(tc.events(addr)...)
-			if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpEnd || msg.RequestID != requestID {
+			if msg := client.receive(); !isEnd(msg, requestID) {
 				t.Fatalf("received %+v", msg)
 			}
 			gone := await(r, func(e scheduler.MachineListUpdate) bool {
@@ -122,14 +122,14 @@
 				return false
 			})
 			client.send(offerLine(otherRequestID, "")) // the script attempts it on a, whatever the list says
-			if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpEnd || msg.RequestID != otherRequestID {
+			if msg := client.receive(); !isEnd(msg, otherRequestID) {
 				t.Errorf("received %+v, after %+v", msg, gone)
 			}
 			if len(offers) > 0 {
 				t.Errorf("%s reached the successor", <-offers)
 			}
 			client.send(offerLine(thirdRequestID, ";at:a")) // its machine is gone, and what the successor reports says nothing of it
-			if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpEnd || msg.RequestID != thirdRequestID {
+			if msg := client.receive(); !isEnd(msg, thirdRequestID) {
 				t.Errorf("received %+v", msg)
 			}
 		})
--- a/internal/platform/messages.go
+++ b/internal/platform/messages.go
@@ -5,8 +5,8 @@
 	"glenport/scheduler"
 )
 
-// terminationCause says why a container or an attempt ended. Its values are those of the wire; values that are not named here
-// are passed on between machines and clients unchanged.
+// terminationCause is the reason why a container or an attempt ended. Its values are those of the wire; unknown values are
+// forwarded from machines to clients unchanged.
 type terminationCause int
 
 const (
@@ -36,13 +36,13 @@
 	case jsonlines.CauseNotSent:
 		return scheduler.OutcomeNotSent
 	case causeFinished:
-		// The container's own time has passed. It may have run, as after a loss, but the machine is well.
+		// The request's time has passed. The container may have run, as after a loss, but the machine is healthy.
 		return scheduler.OutcomeFinished
 	}
 	return scheduler.OutcomeLost
 }
 
-// endMessage makes the message that something has ended, or is to end.
+// endMessage makes a message that a container or offer has ended, or is to end.
 func endMessage(id scheduler.ContainerID, cause int) *jsonlines.Message {
 	return &jsonlines.Message{Op: jsonlines.OpEnd, RequestID: string(id), Cause: jsonlines.CausePtr(cause)}
 }
@@ -54,7 +54,7 @@
 	return s.encodeBuffer, err
 }
 
-// traceMessage logs a message where that is asked for.
+// traceMessage logs a message if tracing is on.
 func (s *Server) traceMessage(direction, peer string, msg *jsonlines.Message) {
 	if !s.traceMessages {
 		return
--- a/internal/platform/probes.go
+++ b/internal/platform/probes.go
@@ -7,7 +7,7 @@
 
 const probeTimeout = eventloop.Second
 
-// probe is a liveness test of a machine whose answer is awaited.
+// probe is a pending liveness test of a machine.
 type probe struct {
 	id     string
 	conn   *machineConn
@@ -15,7 +15,7 @@
 	sentAt eventloop.Tick
 }
 
-// startProbe tests a machine. Each probe has exactly one result (finishProbe), unless it was never sent.
+// startProbe tests a machine. Invariant: every probe has exactly one result, reported by finishProbe once it has a connection.
 func (s *Server) startProbe(id scheduler.MachineID) {
 	m := s.machineByID(id)
 	if m.addr == "" {
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -56,7 +56,7 @@
 	shutdownStartedAt eventloop.Tick
 }
 
-// New makes a server and opens its listener. What it holds is freed by Run.
+// New makes a server and opens its listener. Its resources are freed by Run.
 func New(config *Config, decisions Scheduler, log *slog.Logger, traceMessages bool) (*Server, error) {
 	s := &Server{
 		config:          config,
@@ -109,7 +109,7 @@
 	s.loop.After(maintenanceInterval, s.maintain)
 }
 
-// iterate runs once in each iteration of the event loop, when all that was read has been turned into events.
+// iterate runs once in each iteration of the event loop, after all input has been turned into events.
 func (s *Server) iterate() {
 	s.runScheduler()
 	s.runConnManager()
@@ -166,14 +166,14 @@
 	s.failureDetectorEvents = append(s.failureDetectorEvents, e)
 }
 
-// maintain does what is due periodically.
+// maintain runs every maintenanceInterval.
 func (s *Server) maintain() {
 	s.loop.After(maintenanceInterval, s.maintain)
 	now := s.loop.Now()
 	s.notifyConnManager(connmanager.Tick{})
 	s.notifyFailureDetector(failuredetector.Tick{})
 	for _, id := range sortedKeys(s.machines) {
-		if m := s.machines[id]; m != nil { // one that is gone may be evicted as another one needs a connection
+		if m := s.machines[id]; m != nil { // it may have been evicted when another machine needed a connection
 			m.maintainConns(now)
 		}
 	}
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -6,8 +6,8 @@
 	"glenport/scheduler"
 )
 
-// Shutdown makes Run return once every request is answered; until then the server goes on as before, but for liveness tests,
-// which fail. Any goroutine may call it; calls beyond the first have no effect.
+// Shutdown makes Run return once every request is answered. Until then requests are handled as before, but liveness tests
+// fail. Any goroutine may call it; only the first call has an effect.
 func (s *Server) Shutdown() {
 	s.loop.Post(func() {
 		if s.shuttingDown {
@@ -18,8 +18,8 @@
 	})
 }
 
-// stopIfDrained ends Run where a shutdown is complete. It is called only in an iteration in which all that was read has been
-// acted on, and nothing is read between it and the exit: no request is lost.
+// stopIfDrained ends Run when a shutdown is complete. Invariant: no request is lost. It is therefore called only in an
+// iteration that has handled all its input, and nothing is read between it and the exit.
 func (s *Server) stopIfDrained() {
 	if !s.shuttingDown || connmanager.ShouldKeepDraining(s.sinceShutdown(s.loop.Now()), s.unanswered, s.longestDeadline()) {
 		return
@@ -28,7 +28,7 @@
 	s.loop.StopWhenIdle()
 }
 
-// cutOpenAttemptsIfDue ends the attempts of what is still unanswered shortly before the process is killed.
+// cutOpenAttemptsIfDue ends the attempts of unanswered requests shortly before the platform kills the process.
 func (s *Server) cutOpenAttemptsIfDue(now eventloop.Tick) {
 	if s.shuttingDown && connmanager.ShouldForceAnswers(s.sinceShutdown(now), s.longestDeadline()) {
 		s.cutOpenAttempts()
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -53,7 +53,7 @@
 		r.markShuttingDown(4 * eventloop.Second)
 		client.send(offerLine(requestID, ""))
 	})
-	if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpEnd || msg.RequestID != requestID {
+	if msg := client.receive(); !isEnd(msg, requestID) {
 		t.Errorf("received %+v", msg)
 	}
 	if msg := client.receive(); msg != nil {
@@ -92,7 +92,7 @@
 	client.send(strings.Replace(offerLine(requestID, ""), `"2000"`, `"60000"`, 1))
 	<-received
 	r.runOnLoop(func() { r.markShuttingDown(3*eventloop.Second + eventloop.Second/4) })
-	if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpEnd || msg.RequestID != requestID {
+	if msg := client.receive(); !isEnd(msg, requestID) {
 		t.Errorf("received %+v", msg)
 	}
 	if msg := <-received; msg == nil || msg.Op != jsonlines.OpEnd || msg.CauseOrNone() != jsonlines.CauseNormal {
--- a/internal/platform/watchevents.go
+++ b/internal/platform/watchevents.go
@@ -16,14 +16,14 @@
 // watchEvent is one numbered change of the machine list.
 type watchEvent struct {
 	offset         int64
-	offsetOnly     bool // it only says which event is the last one
+	offsetOnly     bool // it only carries the offset of the last event
 	fullSnapshot   bool // machines that it does not name are gone
 	version        int64
 	machines       []machineUpdate
 	invalidEntries []error // of machines that are left out
 }
 
-// machineUpdate is what an event says of one machine.
+// machineUpdate is the update of one machine in an event.
 type machineUpdate struct {
 	entry scheduler.MachineEntry
 	addr  string // empty where the machine is gone
@@ -66,8 +66,8 @@
 // watchRequest makes the line that requests the events behind an offset.
 func watchRequest(lastOffset int64) []byte { return fmt.Appendf(nil, "from %d\n", lastOffset) }
 
-// decodeWatchEvent reads an event. A machine that the settings cannot place is left out of it and named among its invalid
-// entries, so that one such entry does not keep the others from being applied.
+// decodeWatchEvent reads an event. Entries that do not fit the settings are left out and returned as invalidEntries, so that
+// one of them does not prevent the others from being applied.
 func (config *Config) decodeWatchEvent(line []byte) (watchEvent, error) {
 	var wire wireEvent
 	if err := json.Unmarshal(line, &wire); err != nil {
