--- a/internal/platform/connpool.go
+++ b/internal/platform/connpool.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// maintainConns closes connections before the machine does, but for one while containers run there: their ends are reported
-// on it. Where a connection broke a new one is opened, since an end that was on its way is repeated on that.
+// maintainConns closes idle connections before the machine does, except one while containers run there: their ends are reported
+// on it. After a broken connection a new one is opened: the machine repeats on it any report that was lost.
 func (m *machine) maintainConns(now eventloop.Tick) {
 	for i, mc := range m.activeConns() {
 		if mc.idle() && !mc.poolState(now, i == 0).ShouldKeep() {
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -38,7 +38,7 @@
 	connManager           *connmanager.Manager
 	failureDetector       *failuredetector.Detector
 	schedulerEvents       []scheduler.Event
-	connManagerEvents     []connmanager.Event     // handled behind those of the scheduler
+	connManagerEvents     []connmanager.Event     // handled after those of the scheduler
 	failureDetectorEvents []failuredetector.Event // handled last
 
 	containers    map[scheduler.ContainerID]*container // until answered and without an attempt
