--- /dev/null
+++ b/internal/platform/discovery.go
@@ -0,0 +1,127 @@
+package platform
+
+import (
+	"fmt"
+
+	"glenport/internal/eventloop"
+	"glenport/internal/platform/jsonlines"
+	"glenport/scheduler"
+)
+
+const (
+	maxEventBytes       = 4 << 20
+	watchSilenceTimeout = 2 * eventloop.Second // twice the interval in which a line is due
+	watchConnectTimeout = eventloop.Second
+	watchReconnectDelay = eventloop.Second / 5
+	watchOutputLimit    = 1 << 10 // bytes that may wait to be written
+)
+
+// discoveryWatch follows the events of the discovery service, over one connection at a time. Each event is applied once:
+// after a break the events are requested from the last one applied.
+type discoveryWatch struct {
+	server        *Server
+	addr          string
+	conn          *eventloop.Conn // nil while there is none
+	lines         jsonlines.LineSplitter
+	lastOffset    int64 // of the last event applied
+	lastReadAt    eventloop.Tick
+	interrupted   bool // the connection broke, and nothing was read since
+	receivedEvent bool // an event came on this connection: the next one has the next offset
+}
+
+// missingEventError is the error of a gap in the offsets of events.
+type missingEventError struct{ offset int64 }
+
+func (e *missingEventError) Error() string { return fmt.Sprintf("event %d is missing", e.offset) }
+
+func (w *discoveryWatch) connect() {
+	w.lines, w.receivedEvent = jsonlines.LineSplitter{MaxBytes: maxEventBytes}, false
+	w.lastReadAt = w.server.loop.Now()
+	w.conn = w.server.loop.Dial(w.addr, w, watchOutputLimit, watchConnectTimeout)
+}
+
+// moveTo continues the watch at another address.
+func (w *discoveryWatch) moveTo(addr string) {
+	if addr == w.addr {
+		return
+	}
+	w.server.log.Info("discovery address changed", "address", addr, "last_offset", w.lastOffset)
+	w.addr = addr
+	if conn := w.conn; conn != nil {
+		w.conn = nil
+		conn.Reset()
+	}
+	w.connect()
+}
+
+// Opened implements eventloop.Handler: it requests the events after the last one applied.
+func (w *discoveryWatch) Opened(conn *eventloop.Conn) {
+	if conn == w.conn {
+		_ = conn.Write(watchRequest(w.lastOffset)) // a new connection has room; resetIfSilent covers any failure
+	}
+}
+
+// Read implements eventloop.Handler.
+func (w *discoveryWatch) Read(conn *eventloop.Conn, data []byte) {
+	if conn != w.conn {
+		return
+	}
+	w.lastReadAt = w.server.loop.Now()
+	if err := w.lines.Feed(data, w.handleLine); err != nil {
+		w.server.log.Warn("discovery watch reset", "error", err, "last_offset", w.lastOffset)
+		conn.Reset()
+	}
+}
+
+// Closed implements eventloop.Handler: it reconnects after watchReconnectDelay. Connections that moveTo has replaced are
+// ignored.
+func (w *discoveryWatch) Closed(conn *eventloop.Conn, err error) {
+	if conn != w.conn {
+		return
+	}
+	w.conn = nil
+	if !w.interrupted {
+		w.interrupted = true
+		w.server.log.Warn("discovery watch interrupted", "error", err, "last_offset", w.lastOffset)
+	}
+	w.server.loop.After(watchReconnectDelay, func() {
+		if w.conn == nil {
+			w.connect()
+		}
+	})
+}
+
+// resetIfSilent ends a connection on which nothing was read for watchSilenceTimeout.
+func (w *discoveryWatch) resetIfSilent(now eventloop.Tick) {
+	if w.conn != nil && now-w.lastReadAt > watchSilenceTimeout {
+		w.conn.Reset()
+	}
+}
+
+// handleLine handles an event, or the offset of the last one. Events that were applied already may be repeated after a
+// reconnect, and are ignored.
+func (w *discoveryWatch) handleLine(line []byte) error {
+	log := w.server.log
+	if w.interrupted {
+		w.interrupted = false
+		log.Info("discovery watch resumed", "last_offset", w.lastOffset)
+	}
+	event, err := w.server.config.decodeWatchEvent(line)
+	if err != nil {
+		return err
+	}
+	if event.offset <= w.lastOffset {
+		return nil
+	}
+	// A gap is an error: the reconnect requests the missing events. The first event on a connection may have any offset, since
+	// the service may have dropped older events.
+	if event.offsetOnly || w.receivedEvent && event.offset > w.lastOffset+1 {
+		return &missingEventError{w.lastOffset + 1}
+	}
+	w.lastOffset, w.receivedEvent = event.offset, true
+	for _, err := range event.invalidEntries {
+		log.Warn("machine left out of an event", "offset", event.offset, "error", err)
+	}
+	w.server.applyUpdate(scheduler.DeltaUpdate, event)
+	return nil
+}
