--- /dev/null
+++ b/internal/platform/connmanager/connmanager.go
@@ -0,0 +1,82 @@
+// Package connmanager decides on the connections of a scheduler on the platform, where file descriptors are few. It has
+// four jobs, a file each: which client connections stay open (admission.go), which client is notified of the end of a
+// running container (notifications.go), how many connections a machine may have and for how long (pool.go), and how long
+// a scheduler drains at shutdown (shutdown.go).
+//
+// It does no I/O and has no clock: the process passes in events with the time and carries out the actions.
+package connmanager
+
+// Time is a clock reading or a duration, in tenths of a millisecond.
+type Time int64
+
+// Units of Time.
+const (
+	Millisecond Time = 10
+	Second      Time = 10_000
+)
+
+// reservedDescriptors is kept free of clients and machine connections: for event queues, runtime, log, listener, a file,
+// the discovery watch (two connections while it moves), and bursts.
+const reservedDescriptors = 32
+
+// Manager owns the state of the client connections, each until the client has disconnected, and the terminations
+// that no client has acknowledged yet, each for notificationTTL at most.
+type Manager struct {
+	maxClients    int
+	clients       map[ClientID]*client
+	activeClients int            // clients that have not been told to close
+	terminations  []*termination // in the order in which the containers ended
+
+	actions []Action // of the batch of events that is being handled
+}
+
+// New returns the manager of a scheduler that may hold so many file descriptors.
+func New(descriptors int) *Manager {
+	return &Manager{maxClients: maxClientConns(descriptors), clients: map[ClientID]*client{}}
+}
+
+// Handle takes in a batch of events that happened by now and returns the actions to carry out, in order.
+func (m *Manager) Handle(now Time, events []Event) []Action {
+	m.actions = nil
+	for _, event := range events {
+		m.handleEvent(now, event)
+	}
+	return m.actions
+}
+
+func (m *Manager) handleEvent(now Time, event Event) {
+	switch e := event.(type) {
+	case ClientConnected:
+		m.clientConnected(now, e)
+	case BytesReceived:
+		m.bytesReceived(now, e)
+	case PlacementRequested:
+		m.placementRequested(e)
+	case MessageSent:
+		m.messageSent(now, e)
+	case RequestCancelled:
+		m.requestCancelled(e)
+	case InvalidMessageReceived:
+		m.invalidMessageReceived(e)
+	case OwnershipProven:
+		m.ownershipProven(e)
+	case ContainerReclaimed:
+		m.containerReclaimed(e)
+	case ClientDisconnected:
+		m.clientDisconnected(now, e)
+	case ContainerTerminated:
+		m.containerTerminated(now, e)
+	case TerminationAcknowledged:
+		m.terminationAcknowledged(e)
+	case Tick:
+		m.tick(now)
+	}
+}
+
+// tick enforces every time limit: first those of notifications, then those of clients.
+func (m *Manager) tick(now Time) {
+	m.retryNotifications(now)
+	m.closeTimedOutClients(now)
+}
+
+func (m *Manager) emit(action Action) { m.actions = append(m.actions, action) }
--- /dev/null
+++ b/internal/platform/connmanager/shutdown_test.go
@@ -0,0 +1,31 @@
+package connmanager
+
+import "testing"
+
+func TestDrainEndsBeforeTheKill(t *testing.T) {
+	for _, tc := range []struct {
+		longest, elapsed Time
+		unanswered       int
+		drains, forces   bool
+	}{
+		{6 * Second, Second, 0, true, false},
+		{6 * Second, 3*Second - 1, 0, true, false},
+		{6 * Second, 3 * Second, 0, false, false},
+		{6 * Second, 3 * Second, 1, true, false},
+		{6 * Second, 34 * Second / 10, 1, true, true}, // killed at 3.7 s at the soonest, and checked four times a second
+		{Second, Second - 1, 0, true, false},
+		{Second, Second, 0, false, false},
+		{Second, 14 * Second / 10, 1, true, true},      // killed at 1.7 s
+		{Second / 10, 6 * Second / 10, 0, true, false}, // requests arrive for 0.6 s
+	} {
+		if got := ShouldKeepDraining(tc.elapsed, tc.unanswered, tc.longest); got != tc.drains {
+			t.Errorf("%+v: drains %t", tc, got)
+		}
+		if got := ShouldForceAnswers(tc.elapsed, tc.longest); got != tc.forces {
+			t.Errorf("%+v: forces answers %t", tc, got)
+		}
+		if killed := min(tc.longest, 3*Second) + 7*Second/10; tc.forces && tc.elapsed+Second/4 > killed {
+			t.Errorf("%+v: forces answers too late", tc)
+		}
+	}
+}
