--- /dev/null
+++ b/internal/platform/failuredetector/unclaimed_test.go
@@ -0,0 +1,50 @@
+package failuredetector
+
+import (
+	"fmt"
+	"testing"
+)
+
+// A termination that came before the reclaim is reported then, once; unclaimed ones are held for a while and not without bound.
+func TestEarlyTerminationIsReportedAtReclaim(t *testing.T) {
+	early := UnclaimedTermination{"a", "x", 16}
+	many := make([]Event, maxUnclaimed+5)
+	for i := range many {
+		many[i] = UnclaimedTermination{"a", fmt.Sprint(i), 16}
+	}
+	for _, tc := range []struct {
+		name    string
+		before  []Event
+		after   Time
+		reclaim ContainerReclaimed
+		want    int
+	}{
+		{"reclaimed soon", []Event{early}, Second, ContainerReclaimed{"a", "x"}, 1},
+		{"reported twice", []Event{early, early}, Second, ContainerReclaimed{"a", "x"}, 1},
+		{"on another machine", []Event{early}, Second, ContainerReclaimed{"b", "x"}, 0},
+		{"another request", []Event{early}, Second, ContainerReclaimed{"a", "y"}, 0},
+		{"reclaimed late", []Event{early}, unclaimedTTL + 1, ContainerReclaimed{"a", "x"}, 0},
+		{"the earliest beyond the bound", many, Second, ContainerReclaimed{"a", "0"}, 0},
+		{"the last beyond the bound", many, Second, ContainerReclaimed{"a", fmt.Sprint(maxUnclaimed + 4)}, 1},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			d := New()
+			d.Handle(0, tc.before)
+			if len(d.unclaimed) > maxUnclaimed {
+				t.Errorf("%d terminations are held", len(d.unclaimed))
+			}
+			actions := d.Handle(tc.after, []Event{Tick{}, tc.reclaim})
+			for _, a := range actions {
+				if a != (ReportTermination{tc.reclaim.Machine, tc.reclaim.RequestID, 16}) {
+					t.Errorf("got %+v", a)
+				}
+			}
+			if len(actions) != tc.want {
+				t.Errorf("%d terminations reported, want %d", len(actions), tc.want)
+			}
+			if d.Handle(tc.after+unclaimedTTL+1, []Event{Tick{}}); len(d.unclaimed) > 0 {
+				t.Errorf("%d terminations are held for good", len(d.unclaimed))
+			}
+		})
+	}
+}
