--- a/internal/simprotocol/decoder_test.go
+++ b/internal/simprotocol/decoder_test.go
@@ -1,7 +1,7 @@
 package simprotocol
 
 import (
-	"bytes"
+	"errors"
 	"io"
 	"reflect"
 	"strings"
@@ -29,16 +29,27 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := d.Next(); err != io.EOF {
+	if _, err := d.Next(); !errors.Is(err, io.EOF) {
 		return nil, err
 	}
 	return f.Deliveries, nil
 }
 
-func TestEvents(t *testing.T) {
+// isA matches errors of a type, however wrapped.
+func isA[E error](err error) bool {
+	var target E
+	return errors.As(err, &target)
+}
+
+// is matches errors that wrap a sentinel.
+func is(sentinel error) func(error) bool {
+	return func(err error) bool { return errors.Is(err, sentinel) }
+}
+
+func TestEachEventIsDecoded(t *testing.T) {
 	entry := scheduler.MachineEntry{Machine: "m:1", MachineType: 1, RackGroup: 2, FreeCores: 3.5, PowerHint: 1, FreeMemory: 12,
 		StartedAt: 61000}
-	ask := scheduler.PlacementRequest{ID: "r-1", IdempotencyKey: "t:k", Service: "c:s", WorkloadClass: 1, Tenant: 2, Cores: 2, Memory: 1.5,
+	request := scheduler.PlacementRequest{ID: "r-1", IdempotencyKey: "t:k", Service: "c:s", WorkloadClass: 1, Tenant: 2, Cores: 2, Memory: 1.5,
 		Deadline: 86522, ExpectedRuntime: 120, ClientRetry: true}
 	for _, tc := range []struct {
 		line string
@@ -48,9 +59,9 @@
 			scheduler.MachineListUpdate{Mode: scheduler.RestoredSnapshot, Version: 41, Entries: []scheduler.MachineEntry{entry}}},
 		{machineListLines + "SHEET 0 0\nUPDATE 3 Complete 42 0", scheduler.MachineListUpdate{Mode: scheduler.FullSnapshot, Version: 42}},
 		{"UPDATE 3 Error 0 -", scheduler.MachineListUpdate{Mode: scheduler.UpdateFailed}},
-		{"PENDING 3 r-1 2 17 t:k 1 1.5 2 8652.25 c:s 12.0", scheduler.RequestReceived{PlacementRequest: ask}},
+		{"PENDING 3 r-1 2 17 t:k 1 1.5 2 8652.25 c:s 12.0", scheduler.RequestReceived{PlacementRequest: request}},
 		{"ALREADY_PLACED 3 r-1 c:s 8652.25 1 2 t:k 2 1.5 16 12.0 m:1",
-			scheduler.ContainerAdopted{PlacementRequest: ask, Machine: "m:1"}},
+			scheduler.ContainerAdopted{PlacementRequest: request, Machine: "m:1"}},
 		{"CONFIRMED 3 r-1 2 m:1 18.55", scheduler.AttemptAccepted{ID: "r-1", Attempt: 2, Machine: "m:1", Elapsed: 185}},
 		{"INTERIM 3 r-1 m:1 0 2 0.5",
 			scheduler.UsageReported{ID: "r-1", Machine: "m:1", Metric: scheduler.MetricCoresUsed, Value: 0.5}},
@@ -75,7 +86,7 @@
 	}
 }
 
-func TestStart(t *testing.T) {
+func TestConfigureIsDecoded(t *testing.T) {
 	got, err := readDeliveries("FRAME 1 1\n" + configureLine + "\nCOMMIT\n")
 	if err != nil {
 		t.Fatal(err)
@@ -87,62 +98,44 @@
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestInvalidInputIsRejectedWithItsLine(t *testing.T) {
 	frame := func(s string) string { return "FRAME 1 1\n" + s + "\nCOMMIT\n" }
-	for _, tc := range []struct{ name, lines, want string }{
-		{"no frame", "COMMIT\n", "line 1: a FRAME line"},
-		{"unknown message", frame("WHAT 3"), "line 2: unknown message"},
-		{"field missing", frame("VANISHED 3"), "line 2: a field is missing"},
-		{"field too many", frame("VANISHED 3 r-1 r-2"), "1 fields too many"},
-		{"no number", frame("CONFIRMED 3 r-1 0 m:1 soon"), `"soon" is no number`},
-		{"unknown outcome", frame("DONE 3 r-1 1 0 FINE m:1 - 1 -"), `"FINE" is not known`},
-		{"unknown list", frame("UPDATE 3 Complete 1 5"), `no list has the number "5"`},
-		{"too few entries", frame("SHEET 0 2\nITEM m:1 0 0 0 SERVING 1 1 1 -"), "breaks off after 1"},
-		{"endless list", "FRAME 1 1\nSHEET 0 2\n", "input ends inside a list"},
-		{"list number", frame("SHEET 16 0"), "out of range"},
-		{"cut line", "FRAME 1 1\nVANI", "line 2: input ends inside a line"},
-		{"cut frame", "FRAME 1 1\nVANISHED 3 r-1\n", "input ends inside a frame"},
-		{"setting missing", frame("CONFIGURE 3 51 me=0 balancers=3"), "is missing"},
-		{"setting odd", frame(strings.Replace(configureLine, "safe", "sure", 1)), "is none of safe"},
-		{"setting without size", frame(strings.Replace(configureLine, "unit_cores=0.96", "unit_cores=0", 1)), "is not above 0"},
-		{"placers below none", frame(strings.Replace(configureLine, "balancers=3", "balancers=-3", 1)), "is no count"},
-		{"customer below none", frame("PENDING 3 r-1 -1 0 t:k 0 1 1 10 c:s -"), "no whole number from 0"},
-		{"setting short", frame(strings.Replace(configureLine, "59.0,71.0", "59.0", 1)), "has 1 values, not 2"},
-	} {
-		t.Run(tc.name, func(t *testing.T) {
-			if _, err := readDeliveries(tc.lines); err == nil || !strings.Contains(err.Error(), tc.want) {
-				t.Errorf("got %v, want %s", err, tc.want)
-			}
-		})
-	}
-}
-
-func TestActions(t *testing.T) {
 	for _, tc := range []struct {
-		action scheduler.Action
-		want   string
+		name, lines, want string
+		matches           func(error) bool
 	}{
-		{scheduler.StartAttempt{ID: "r-1", Machine: "m:1", Timeout: 800}, "BIND 3 r-1 m:1 80.0"},
-		{scheduler.Reject{ID: "r-1"}, "BUSY 3 r-1 0.0"},
-		{scheduler.Fail{ID: "r-1"}, "FAIL 3 r-1"},
-		{scheduler.CancelAttempt{ID: "r-1", Attempt: 1}, "UNDO_SEND 3 r-1 1"},
-		{scheduler.Probe{Machine: "m:1"}, "PING 3 m:1"},
-		{scheduler.Disconnect{Machine: "m:1"}, "CLOSE 3 m:1"},
-		{scheduler.SetTimer{After: 5000, Name: "sweep"}, "AFTER 3 500.0 sweep"},
-		{scheduler.WatchMachineList{Enabled: true}, "WATCH 3 1"},
-		{scheduler.FetchMachineList{}, "FETCH 3"},
-		{scheduler.Log{Message: "two\nlines"}, "DEBUG 3 two lines"},
+		{"no frame", "COMMIT\n", "line 1: a FRAME line", is(ErrFrameExpected)},
+		{"unknown message", frame("WHAT 3"), "line 2: unknown message", is(ErrUnknownMessage)},
+		{"field missing", frame("VANISHED 3"), "line 2: a field is missing", is(ErrMissingField)},
+		{"field too many", frame("VANISHED 3 r-1 r-2"), "1 fields too many", isA[*ExtraFieldsError]},
+		{"no number", frame("CONFIRMED 3 r-1 0 m:1 soon"), `"soon" is no number`, isA[*ValueError]},
+		{"unknown outcome", frame("DONE 3 r-1 1 0 FINE m:1 - 1 -"), `"FINE" is not known`, isA[*ValueError]},
+		{"unknown list", frame("UPDATE 3 Complete 1 5"), `no list has the number "5"`, isA[*UnknownListError]},
+		{"too few entries", frame("SHEET 0 2\nITEM m:1 0 0 0 SERVING 1 1 1 -"), "breaks off after 1", isA[*ShortListError]},
+		{"list without an end", "FRAME 1 1\nSHEET 0 2\n", "input ends inside a list", isA[*TruncatedError]},
+		{"list number", frame("SHEET 16 0"), "out of range", is(ErrListOutOfRange)},
+		{"cut line", "FRAME 1 1\nVANI", "line 2: input ends inside a line", isA[*TruncatedError]},
+		{"cut frame", "FRAME 1 1\nVANISHED 3 r-1\n", "input ends inside a frame", isA[*TruncatedError]},
+		{"setting missing", frame("CONFIGURE 3 51 me=0 balancers=3"), "is missing", isA[*SettingError]},
+		{"unknown word in a setting", frame(strings.Replace(configureLine, "safe", "sure", 1)), "is none of safe", isA[*SettingError]},
+		{"size of 0", frame(strings.Replace(configureLine, "unit_cores=0.96", "unit_cores=0", 1)), "is not above 0", isA[*SettingError]},
+		{"negative count of schedulers", frame(strings.Replace(configureLine, "balancers=3", "balancers=-3", 1)), "is no count", isA[*SettingError]},
+		{"negative tenant", frame("PENDING 3 r-1 -1 0 t:k 0 1 1 10 c:s -"), "no whole number from 0", isA[*ValueError]},
+		{"short list in a setting", frame(strings.Replace(configureLine, "59.0,71.0", "59.0", 1)), "has 1 values, not 2", isA[*SettingError]},
 	} {
-		t.Run(tc.want, func(t *testing.T) {
-			var b bytes.Buffer
-			if AppendAction(&b, 3, tc.action); b.String() != tc.want+"\n" {
-				t.Errorf("got %q", b.String())
+		t.Run(tc.name, func(t *testing.T) {
+			_, err := readDeliveries(tc.lines)
+			if err == nil || !strings.Contains(err.Error(), tc.want) {
+				t.Fatalf("got %v, want %s", err, tc.want)
+			}
+			if !tc.matches(err) {
+				t.Errorf("error %v is not of the type that is wanted", err)
 			}
 		})
 	}
 }
 
-// Whatever comes in, the decoder ends with frames or a plain error.
+// Whatever the input, the decoder returns frames, then the end of the input or an error that names a line.
 func FuzzDecoder(f *testing.F) {
 	f.Add("FRAME 1 1\n" + configureLine + "\n" + machineListLines + "UPDATE 3 Persisted 41 0\nCOMMIT\n")
 	f.Add("FRAME 1 1\nDONE 3 r-1 1 0 GOOD m:1 - 18.5 x0:1.5\nVANISHED 3 r-1\nCOMMIT\n")
@@ -150,7 +143,7 @@
 		d := NewDecoder(strings.NewReader(s))
 		for {
 			if _, err := d.Next(); err != nil {
-				if err != io.EOF && !strings.HasPrefix(err.Error(), "line ") {
+				if !errors.Is(err, io.EOF) && !strings.HasPrefix(err.Error(), "line ") {
 					t.Errorf("no line named: %v", err)
 				}
 				return
--- /dev/null
+++ b/internal/simprotocol/errors.go
@@ -0,0 +1,92 @@
+package simprotocol
+
+import (
+	"errors"
+	"fmt"
+)
+
+// Errors of a line, wrapped in a LineError.
+var (
+	ErrFrameExpected  = errors.New("a FRAME line was expected")
+	ErrUnknownMessage = errors.New("unknown message")
+	ErrMissingField   = errors.New("a field is missing")
+	ErrEmptyField     = errors.New("a field is empty")
+	ErrInvalidSeed    = errors.New("the seed is no whole number")
+	ErrListOutOfRange = errors.New("list number or count out of range")
+)
+
+// LineError is an error of a line of the input.
+type LineError struct {
+	Number int // of the line, from 1
+	Line   string
+	Err    error
+}
+
+func (e *LineError) Error() string {
+	const maxBytes = 120
+	line := e.Line
+	if len(line) > maxBytes {
+		line = line[:maxBytes] + "..."
+	}
+	return fmt.Sprintf("line %d: %v: %q", e.Number, e.Err, line)
+}
+
+func (e *LineError) Unwrap() error { return e.Err }
+
+// TruncatedError says that the input ended inside a line, a list or a frame.
+type TruncatedError struct{ Inside string }
+
+func (e *TruncatedError) Error() string { return "input ends inside a " + e.Inside }
+
+// ValueError is an invalid value of a field.
+type ValueError struct {
+	Value   string
+	Problem string
+}
+
+func (e *ValueError) Error() string { return fmt.Sprintf("%q %s", e.Value, e.Problem) }
+
+// ExtraFieldsError says that a line has more fields than its message.
+type ExtraFieldsError struct{ Count int }
+
+func (e *ExtraFieldsError) Error() string { return fmt.Sprintf("%d fields too many", e.Count) }
+
+// ReportError is a pair in a load report that has no value.
+type ReportError struct{ Pair string }
+
+func (e *ReportError) Error() string { return fmt.Sprintf("report %q has no value", e.Pair) }
+
+// UnknownListError is a reference to a machine list that was not sent.
+type UnknownListError struct{ Reference string }
+
+func (e *UnknownListError) Error() string {
+	return fmt.Sprintf("no list has the number %q", e.Reference)
+}
+
+// ShortListError says that a machine list has fewer entries than its header says.
+type ShortListError struct{ Want, Got int }
+
+func (e *ShortListError) Error() string {
+	return fmt.Sprintf("list of %d entries breaks off after %d", e.Want, e.Got)
+}
+
+// SettingError is a setting that is missing or has an invalid value.
+type SettingError struct {
+	Setting string // its path
+	Problem string // continues the path in the text of the error
+	Err     error  // of the value, nil if Problem says it all
+}
+
+func (e *SettingError) Error() string {
+	if e.Err != nil {
+		return fmt.Sprintf("setting %s: %v", e.Setting, e.Err)
+	}
+	return fmt.Sprintf("setting %s%s", e.Setting, e.Problem)
+}
+
+func (e *SettingError) Unwrap() error { return e.Err }
+
+// PairError is a setting that is not a pair path=value.
+type PairError struct{ Pair string }
+
+func (e *PairError) Error() string { return fmt.Sprintf("setting %q has no value", e.Pair) }
--- /dev/null
+++ b/internal/simprotocol/fieldreader.go
@@ -0,0 +1,138 @@
+package simprotocol
+
+import (
+	"strconv"
+	"strings"
+
+	"glenport/scheduler"
+)
+
+// absent stands on the wire for an optional field that is not set.
+const absent = "-"
+
+// fieldReader decodes the fields of a line in order. It keeps the first error, so that it is checked once, by finish.
+type fieldReader struct {
+	remaining []string
+	err       error
+}
+
+func newFieldReader(line string) *fieldReader {
+	return &fieldReader{remaining: strings.Split(line, " ")}
+}
+
+func (f *fieldReader) fail(err error) {
+	if f.err == nil {
+		f.err = err
+	}
+}
+
+// finish returns the first error; fields that were not read are one.
+func (f *fieldReader) finish() error {
+	if len(f.remaining) > 0 {
+		f.fail(&ExtraFieldsError{Count: len(f.remaining)})
+	}
+	return f.err
+}
+
+// text returns the next field, which must not be empty.
+func (f *fieldReader) text() string {
+	if len(f.remaining) == 0 {
+		f.fail(ErrMissingField)
+		return ""
+	}
+	field := f.remaining[0]
+	f.remaining = f.remaining[1:]
+	if field == "" {
+		f.fail(ErrEmptyField)
+	}
+	return field
+}
+
+func (f *fieldReader) takeRemaining() []string {
+	fields := f.remaining
+	f.remaining = nil
+	return fields
+}
+
+func (f *fieldReader) containerID() scheduler.ContainerID { return scheduler.ContainerID(f.text()) }
+func (f *fieldReader) machineID() scheduler.MachineID     { return scheduler.MachineID(f.text()) }
+
+func (f *fieldReader) parseNumber(field string) float64 {
+	number, err := parseNumber(field)
+	if err != nil {
+		f.fail(err)
+	}
+	return number
+}
+
+func (f *fieldReader) number() float64 { return f.parseNumber(f.text()) }
+
+func (f *fieldReader) numberOrZero() float64 {
+	field := f.text()
+	if field == absent {
+		return 0
+	}
+	return f.parseNumber(field)
+}
+
+func (f *fieldReader) time() scheduler.Time       { return timeFromMillis(f.number()) }
+func (f *fieldReader) timeOrZero() scheduler.Time { return timeFromMillis(f.numberOrZero()) }
+
+func (f *fieldReader) parseWholeNumber(field string) int {
+	number, err := strconv.Atoi(field)
+	if err != nil || number < 0 {
+		f.fail(&ValueError{Value: field, Problem: "is no whole number from 0"})
+		return 0
+	}
+	return number
+}
+
+func (f *fieldReader) wholeNumber() int { return f.parseWholeNumber(f.text()) }
+
+func (f *fieldReader) wholeNumberOrZero() int {
+	field := f.text()
+	if field == absent {
+		return 0
+	}
+	return f.parseWholeNumber(field)
+}
+
+func (f *fieldReader) retryFlag() bool { return f.wholeNumberOrZero()&retryFlag != 0 }
+
+func (f *fieldReader) boolean() bool {
+	field := f.text()
+	if field != "1" && field != "0" {
+		f.fail(&ValueError{Value: field, Problem: "is neither 1 nor 0"})
+	}
+	return field == "1"
+}
+
+// loadReport decodes name:value pairs. A value that is absent is left out.
+func (f *fieldReader) loadReport() scheduler.LoadReport {
+	field := f.text()
+	if field == absent || field == "" {
+		return nil
+	}
+	report := scheduler.LoadReport{}
+	for pair := range strings.SplitSeq(field, ",") {
+		name, value, found := strings.Cut(pair, ":")
+		if !found {
+			f.fail(&ReportError{Pair: pair})
+			return nil
+		}
+		if value != absent {
+			report[name] = f.parseNumber(value)
+		}
+	}
+	return report
+}
+
+// enumValue returns the value for the word in the next field.
+func enumValue[T any](f *fieldReader, values map[string]T) T {
+	word := f.text()
+	value, known := values[word]
+	if !known {
+		f.fail(&ValueError{Value: word, Problem: "is not known here"})
+	}
+	return value
+}
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"flag"
 	"fmt"
 	"io"
@@ -169,7 +170,7 @@
 	var frames []object
 	for {
 		f, err := d.Next()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil {
@@ -281,7 +282,7 @@
 	try := func(shown, in string) {
 		d := NewDecoder(strings.NewReader(in))
 		for {
-			if _, err := d.Next(); err == io.EOF {
+			if _, err := d.Next(); errors.Is(err, io.EOF) {
 				fmt.Fprintf(&got, "%q: accepted\n", shown)
 				return
 			} else if err != nil {
