--- a/internal/platform/connmanager/admission_test.go
+++ b/internal/platform/connmanager/admission_test.go
@@ -35,8 +35,8 @@
 		}, 5},
 		{"all served, the least recently active is closed", Second, func(id ClientID) []Event {
 			if id == 8 { // all but the third are active again
-				return []Event{BytesReceived{Client: 8}, MessageSent{Client: 8}, MessageSent{Client: 1}, BytesReceived{Client: 2}, BytesReceived{Client: 4},
-					BytesReceived{Client: 5}, BytesReceived{Client: 6}, BytesReceived{Client: 7}}
+				return []Event{BytesReceived{Client: 8}, MessageSent{Client: 8}, MessageSent{Client: 1},
+					BytesReceived{Client: 2}, BytesReceived{Client: 4}, BytesReceived{Client: 5}, BytesReceived{Client: 6}, BytesReceived{Client: 7}}
 			}
 			return []Event{MessageSent{Client: id}}
 		}, 3},
@@ -78,15 +78,26 @@
 		{"was answered", []Event{PlacementRequested{1}, MessageSent{1, 1}}, false},
 		{"proved to be an owner", []Event{BytesReceived{Client: 1}, OwnershipProven{1}}, false},
 		{"reclaimed a container, alone", []Event{BytesReceived{Client: 1}, ContainerReclaimed{1}}, false},
-		{"reclaimed a container, no proven owner", []Event{ContainerReclaimed{1}, ClientConnected{2}, PlacementRequested{2}, ContainerReclaimed{2}}, false},
-		{"reclaimed a container, another is a proven owner", []Event{ContainerReclaimed{1}, ClientConnected{2}, OwnershipProven{2}}, true},
-		{"reclaimed a container, the proven owner has disconnected", []Event{ContainerReclaimed{1}, ClientConnected{2}, OwnershipProven{2}, ClientDisconnected{2}}, false},
-		{"reclaimed a container and acknowledged its end", []Event{ContainerReclaimed{1}, ContainerTerminated{"x", 16, 1}, TerminationAcknowledged{"x", 1}, ClientConnected{2}, OwnershipProven{2}}, false},
+		{"reclaimed a container, no proven owner", []Event{
+			ContainerReclaimed{1}, ClientConnected{2}, PlacementRequested{2}, ContainerReclaimed{2},
+		}, false},
+		{"reclaimed a container, another is a proven owner", []Event{
+			ContainerReclaimed{1}, ClientConnected{2}, OwnershipProven{2},
+		}, true},
+		{"reclaimed a container, the proven owner has disconnected", []Event{
+			ContainerReclaimed{1}, ClientConnected{2}, OwnershipProven{2}, ClientDisconnected{2},
+		}, false},
+		{"reclaimed a container and acknowledged its end", []Event{
+			ContainerReclaimed{1}, ContainerTerminated{"x", 16, 1}, TerminationAcknowledged{"x", 1},
+			ClientConnected{2}, OwnershipProven{2},
+		}, false},
 		{"acknowledged an end that it was not notified of", []Event{TerminationAcknowledged{"x", 1}}, true},
 		{"reclaimed a container, then an incomplete message", []Event{ContainerReclaimed{1}, BytesReceived{1, true}}, true},
 		{"cancelled every request", []Event{PlacementRequested{1}, RequestCancelled{1}}, true},
 		{"incomplete message", []Event{MessageSent{Client: 1}, BytesReceived{1, true}}, true},
-		{"incomplete message, completed in time", []Event{MessageSent{Client: 1}, BytesReceived{1, true}, BytesReceived{1, false}}, false},
+		{"incomplete message, completed in time", []Event{
+			MessageSent{Client: 1}, BytesReceived{1, true}, BytesReceived{1, false},
+		}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			m := New(100)
--- a/internal/platform/connmanager/golden_test.go
+++ b/internal/platform/connmanager/golden_test.go
@@ -211,8 +211,10 @@
 	}
 	for flags := range 8 {
 		for _, closes := range []Time{0, 1, Second, 3 * Second, 10 * Second, 30 * Second} {
-			for _, idle := range []Time{0, 1, Second/2 - 1, Second / 2, Second, closes/2 - 1, closes / 2, closes, 5*Second - 1, 5 * Second, 60 * Second} {
-				conn := MachineConn{Primary: flags&1 != 0, MachineHasRunning: flags&2 != 0, CarriesRunning: flags&4 != 0, IdleFor: idle, MachineIdleTimeout: closes}
+			for _, idle := range []Time{0, 1, Second/2 - 1, Second / 2, Second, closes/2 - 1, closes / 2, closes,
+				5*Second - 1, 5 * Second, 60 * Second} {
+				conn := MachineConn{Primary: flags&1 != 0, MachineHasRunning: flags&2 != 0, CarriesRunning: flags&4 != 0,
+					IdleFor: idle, MachineIdleTimeout: closes}
 				d.flag(conn.ShouldKeep())
 				d.flag(conn.CanCarryAttempt())
 				d.fold(uint64(conn.EvictionRank()))
--- a/internal/platform/connmanager/pool_test.go
+++ b/internal/platform/connmanager/pool_test.go
@@ -3,17 +3,20 @@
 import "testing"
 
 func TestIdleMachineConnIsKeptWhileOfUse(t *testing.T) {
+	const timeout = 30 * Second
 	for _, tc := range []struct {
 		name string
 		conn MachineConn
 		want bool
 	}{
-		{"the first, its machine has a running container", MachineConn{Primary: true, MachineHasRunning: true, IdleFor: 60 * Second, MachineIdleTimeout: 30 * Second}, true},
-		{"the first, used lately", MachineConn{Primary: true, IdleFor: 14 * Second, MachineIdleTimeout: 30 * Second}, true},
-		{"the first, idle", MachineConn{Primary: true, IdleFor: 15 * Second, MachineIdleTimeout: 30 * Second}, false},
-		{"another, used lately", MachineConn{MachineHasRunning: true, IdleFor: 4 * Second, MachineIdleTimeout: 30 * Second}, true},
-		{"another, carries a running container", MachineConn{MachineHasRunning: true, CarriesRunning: true, IdleFor: 60 * Second, MachineIdleTimeout: 30 * Second}, true},
-		{"another, idle", MachineConn{MachineHasRunning: true, IdleFor: 5 * Second, MachineIdleTimeout: 30 * Second}, false},
+		{"the first, its machine has a running container",
+			MachineConn{Primary: true, MachineHasRunning: true, IdleFor: 60 * Second, MachineIdleTimeout: timeout}, true},
+		{"the first, used lately", MachineConn{Primary: true, IdleFor: 14 * Second, MachineIdleTimeout: timeout}, true},
+		{"the first, idle", MachineConn{Primary: true, IdleFor: 15 * Second, MachineIdleTimeout: timeout}, false},
+		{"another, used lately", MachineConn{MachineHasRunning: true, IdleFor: 4 * Second, MachineIdleTimeout: timeout}, true},
+		{"another, carries a running container",
+			MachineConn{MachineHasRunning: true, CarriesRunning: true, IdleFor: 60 * Second, MachineIdleTimeout: timeout}, true},
+		{"another, idle", MachineConn{MachineHasRunning: true, IdleFor: 5 * Second, MachineIdleTimeout: timeout}, false},
 		{"another, the machine closes early", MachineConn{IdleFor: 2 * Second, MachineIdleTimeout: 3 * Second}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -31,12 +34,14 @@
 // open the one that loses least is evicted.
 func TestDescriptorLimitHolds(t *testing.T) {
 	for _, n := range []int{64, 100, 256, 576, 1024} {
-		if conns := MaxMachineConns(n); conns < 8 || n >= 256 && New(n).maxClients < n/3 || New(n).maxClients+conns+reservedDescriptors > n {
+		conns, clients := MaxMachineConns(n), New(n).maxClients
+		if conns < 8 || n >= 256 && clients < n/3 || clients+conns+reservedDescriptors > n {
 			t.Errorf("of %d descriptors %d are for machine connections", n, conns)
 		}
 	}
 	conns := []MachineConn{ // in the order in which they are evicted
-		{IdleFor: Second}, {Primary: true, IdleFor: Second}, {MachineHasRunning: true, IdleFor: Second}, {MachineHasRunning: true, CarriesRunning: true, IdleFor: Second}}
+		{IdleFor: Second}, {Primary: true, IdleFor: Second}, {MachineHasRunning: true, IdleFor: Second},
+		{MachineHasRunning: true, CarriesRunning: true, IdleFor: Second}}
 	last := 0
 	for _, c := range conns {
 		if n := c.EvictionRank(); n < last {
@@ -51,7 +56,10 @@
 	if last != 2 {
 		t.Errorf("one that carries a running container has rank %d", last)
 	}
-	if at := 30 * Second; !(MachineConn{IdleFor: 15*Second - 1, MachineIdleTimeout: at}).CanCarryAttempt() || (MachineConn{IdleFor: 15 * Second, MachineIdleTimeout: at}).CanCarryAttempt() {
+	const timeout = 30 * Second
+	usable := MachineConn{IdleFor: timeout/2 - 1, MachineIdleTimeout: timeout}
+	closing := MachineConn{IdleFor: timeout / 2, MachineIdleTimeout: timeout}
+	if !usable.CanCarryAttempt() || closing.CanCarryAttempt() {
 		t.Error("an attempt may cross the close of an idle connection")
 	}
 }
--- a/internal/platform/jsonlines/splitter.go
+++ b/internal/platform/jsonlines/splitter.go
@@ -37,7 +37,8 @@
 	return s.err
 }
 
-// exceedsLimit reports whether the current line is too long, given its next bytes and where among them it ends, -1 if it does not.
+// exceedsLimit reports whether the current line is too long, given its next bytes and where among them it ends; -1 says that it
+// does not.
 func (s *LineSplitter) exceedsLimit(p []byte, end int) bool {
 	if end < 0 {
 		end = len(p)
--- a/internal/simprotocol/decoder_test.go
+++ b/internal/simprotocol/decoder_test.go
@@ -135,6 +135,18 @@
 	}
 }
 
+func TestErrorOfALineHoldsNumberAndLine(t *testing.T) {
+	long := "VANISHED 3 r-1 " + strings.Repeat("x", 200)
+	_, err := readDeliveries("FRAME 1 1\nVANISHED 3 r-1\n" + long + "\nCOMMIT\n")
+	var lineError *LineError
+	if !errors.As(err, &lineError) || lineError.Number != 3 || lineError.Line != long || !isA[*ExtraFieldsError](lineError.Err) {
+		t.Errorf("got %+v", err)
+	}
+	if want := "line 3: 1 fields too many: \"" + long[:120] + "...\""; err == nil || err.Error() != want {
+		t.Errorf("got %v, want %s", err, want)
+	}
+}
+
 // Whatever the input, the decoder returns frames, then the end of the input or an error that names a line.
 func FuzzDecoder(f *testing.F) {
 	f.Add("FRAME 1 1\n" + configureLine + "\n" + machineListLines + "UPDATE 3 Persisted 41 0\nCOMMIT\n")
