--- a/internal/platform/connmanager/admission.go
+++ b/internal/platform/connmanager/admission.go
@@ -7,15 +7,15 @@
 
 // Limits of client connections. They follow from what a peer can do to a listener, not from one deployment.
 const (
-	clientDescriptorsDivisor = 2 // one part in so many of the descriptors beyond the reserve is for clients, the rest for machines
+	clientDescriptorsDivisor = 2 // the fraction (1/2) of the descriptors beyond the reserve that is for clients; the rest is for machines
 	minClientConns           = 8
 
-	firstRequestTimeout   = 2 * Second // without a message sent to it, or a request that awaits one, a client is closed
-	partialMessageTimeout = 2 * Second // a client whose message is still incomplete is closed
-	newClientGrace        = Second / 5 // the first request of a client younger than this may be on its way
-	clientStaleAfter      = 4 * Second // owners close connections of their own that were unused for so long
-	minReadPause          = 50 * Millisecond
-	maxReadPause          = Second // after an invalid message; the pause doubles with each more
+	firstRequestTimeout   = 2 * Second       // a client to which nothing was sent by then, and that awaits nothing, is closed
+	partialMessageTimeout = 2 * Second       // a client whose message is incomplete for so long is closed
+	newClientGrace        = Second / 5       // the first request of a client younger than this may be on its way
+	clientStaleAfter      = 4 * Second       // owners themselves close connections that were unused for so long
+	minReadPause          = 50 * Millisecond // after the first invalid message; it doubles with each further one,
+	maxReadPause          = Second           // up to this
 )
 
 // client is the state of one client connection.
@@ -30,7 +30,7 @@
 	acknowledged    bool // it acknowledged a termination
 	reclaimed       bool // it claimed to own a running container
 	readPause       Time // the last pause after an invalid message
-	closing         bool // it was told to close
+	closing         bool // CloseClient was returned for it
 }
 
 // maxClientConns is the number of client connections that may be open at once.
--- a/internal/platform/connmanager/connmanager.go
+++ b/internal/platform/connmanager/connmanager.go
@@ -24,7 +24,7 @@
 type Manager struct {
 	maxClients    int
 	clients       map[ClientID]*client
-	activeClients int            // clients that have not been told to close
+	activeClients int            // clients that are not closing
 	terminations  []*termination // in the order in which the containers ended
 
 	actions []Action // of the batch of events that is being handled
--- a/internal/platform/connmanager/pool.go
+++ b/internal/platform/connmanager/pool.go
@@ -2,7 +2,7 @@
 
 // Limits of the connections to machines.
 const (
-	machineConnsDivisor = 3 // one part in so many of all descriptors is shared among the machines, as long as there are enough
+	machineConnsDivisor = 3 // the fraction (1/3) of all descriptors that the machines share equally, one connection each at least
 	minMachineConns     = 8
 
 	extraConnIdleTimeout = 5 * Second // a connection that is not the first of its machine is closed once idle for so long
--- a/internal/platform/jsonlines/message.go
+++ b/internal/platform/jsonlines/message.go
@@ -1,5 +1,5 @@
 // Package jsonlines encodes and decodes the messages of the platform's protocol, one JSON object a line. It bounds
-// what it reads and does no I/O. The words of the protocol ("call", "with", "why", "desc") appear here only.
+// what it reads and does no I/O. The names of a message's members on the wire ("call", "with", "why", "desc") end here.
 package jsonlines
 
 import (
@@ -13,17 +13,17 @@
 // Op is the type of a message.
 type Op string
 
-// The types of messages. Clients send OpOffer, OpEnd, OpEnded and OpTest to a scheduler, and a scheduler sends them to
-// machines; the others are answers.
+// The types of messages. A scheduler acts on OpOffer, OpEnd, OpEnded and OpTest of clients, and on OpAccept, OpEnd, OpInfo
+// and OpTested of machines. The others are valid and have no effect.
 const (
-	OpOffer    Op = "offer" // a container to be placed, or one that runs already
-	OpRinging  Op = "ringing"
+	OpOffer    Op = "offer"  // a container to be placed; from a client also one that runs already
 	OpAccept   Op = "accept" // the container is placed
-	OpEnd      Op = "end"    // the request or the container is over, or is to be ended
+	OpEnd      Op = "end"    // the request or the container is over, or is to be ended; see the causes
 	OpEnded    Op = "ended"  // acknowledges OpEnd
 	OpTest     Op = "test"   // health check
 	OpTested   Op = "tested" // result of a health check
 	OpInfo     Op = "info"   // resource usage of a container
+	OpRinging  Op = "ringing"
 	OpRedirect Op = "redirect"
 )
 
