--- a/internal/platform/actions.go
+++ b/internal/platform/actions.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"log/slog"
+
 	"glenport/internal/eventloop"
 	"glenport/internal/platform/connmanager"
 	"glenport/internal/platform/failuredetector"
