--- /dev/null
+++ b/internal/schedulerd/overload/events.go
@@ -0,0 +1,80 @@
+package overload
+
+import "glenport/scheduler"
+
+// Event is something that happened to a request.
+type Event interface{ event() }
+
+// RequestReceived is a new placement request. Handle answers it with Admit or Shed.
+type RequestReceived struct {
+	Client        string // whose share of all requests is watched
+	WorkloadClass int    // index into Config.WorkloadClasses
+	ClientRetry   bool   // the client has sent it before
+}
+
+// RequestStarted is an admitted request whose container runs.
+type RequestStarted struct {
+	WorkloadClass int
+	Elapsed       scheduler.Time // since the request was admitted
+}
+
+// RequestFailed is an admitted request that ended without a running container.
+type RequestFailed struct{ WorkloadClass int }
+
+func (RequestReceived) event() {}
+func (RequestStarted) event()  {}
+func (RequestFailed) event()   {}
+
+// Action is an answer to a request, or news of the limiter itself.
+type Action interface{ action() }
+
+// Admit lets a request in.
+type Admit struct{}
+
+// Shed turns a request away.
+type Shed struct {
+	Reason     Reason
+	RetryAfter scheduler.Time // how long the client should wait before it tries again
+}
+
+// SheddingStarted precedes the first Shed of an overload.
+type SheddingStarted struct {
+	Reason     Reason
+	Open       int     // admitted requests without an answer
+	Limit      float64 // of open requests
+	Throughput float64 // containers started per second
+}
+
+// SheddingEnded follows when nothing has been shed for some seconds.
+type SheddingEnded struct {
+	Shed  int // requests shed since the overload started
+	Limit float64
+}
+
+func (Admit) action()           {}
+func (Shed) action()            {}
+func (SheddingStarted) action() {}
+func (SheddingEnded) action()   {}
+
+// Reason is why a request was shed.
+type Reason uint8
+
+// Reasons for shedding a request.
+const (
+	ReasonLimitReached     Reason = iota + 1 // more requests are open than the limit allows for this priority weight
+	ReasonRetryBudgetSpent                   // client retries exceed their share of first tries
+	ReasonHeavyHitter                        // the client sends many times what the mean client does
+)
+
+// String is the text that clients are given with a rejection.
+func (r Reason) String() string {
+	switch r {
+	case ReasonLimitReached:
+		return "more is open than starts in time"
+	case ReasonRetryBudgetSpent:
+		return "too many came again"
+	case ReasonHeavyHitter:
+		return "its client asks far more than others"
+	}
+	return ""
+}
--- a/internal/schedulerd/overload/golden_test.go
+++ b/internal/schedulerd/overload/golden_test.go
@@ -9,86 +9,109 @@
 	"glenport/scheduler"
 )
 
-// foldDoor folds actions and the state that is told to others; the text of a mode is for logs alone.
-func foldDoor(d *golden.Digest, now scheduler.Time, door *Limiter, actions []Action) {
+// foldActions folds actions and the state that others read. What SheddingStarted and SheddingEnded report is for logs alone.
+func foldActions(d *golden.Digest, now scheduler.Time, limiter *Limiter, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Admit:
 			d.Add(1, now)
 		case Shed:
 			d.Add(2, now, a.Reason, a.RetryAfter)
-		case ModeChanged:
+		case SheddingStarted, SheddingEnded:
 			d.Add(3, now)
 		default:
 			panic(fmt.Sprintf("action %T is not folded", a))
 		}
 	}
-	d.Add(4, door.Open(), door.Limit())
+	d.Add(4, limiter.Open(), limiter.Limit())
 }
 
-// recordedLoad is a seeded load on one door: calm, a flood of first tries and repeats, calm again.
-func recordedLoad(d *golden.Digest, rng *rand.Rand, most int) {
-	terms := Config{Seed: rng.Uint64() | 1, MaxOpen: most,
-		WorkloadClasses: []WorkloadClass{{LatencyObjective: scheduler.Second / 2, PriorityWeight: 1}, {LatencyObjective: 2 * scheduler.Second, PriorityWeight: 4}, {LatencyObjective: 0, PriorityWeight: 0.5}}}
-	door, now := New(terms), scheduler.Time(rng.IntN(100_000))
-	var open []int
+// recordedLoad is a seeded load on one limiter: light, a flood of first tries and client retries, light again.
+type recordedLoad struct {
+	rng  *rand.Rand
+	now  scheduler.Time
+	open []int // workload classes of admitted requests
+}
+
+func (s *recordedLoad) run(d *golden.Digest, maxOpen int) {
+	config := Config{Seed: s.rng.Uint64() | 1, MaxOpen: maxOpen, WorkloadClasses: []WorkloadClass{
+		{LatencyObjective: scheduler.Second / 2, PriorityWeight: 1},
+		{LatencyObjective: 2 * scheduler.Second, PriorityWeight: 4},
+		{LatencyObjective: 0, PriorityWeight: 0.5},
+	}}
+	limiter := New(config)
+	s.now = scheduler.Time(s.rng.IntN(100_000))
 	for phase := range 5 {
 		flood := phase%2 == 1
 		for range 400 {
-			now += scheduler.Time(rng.IntN(100))
-			if flood {
-				now += scheduler.Time(rng.IntN(30))
-			}
-			if rng.IntN(150) == 0 {
-				now += scheduler.Time(rng.IntN(12 * int(scheduler.Second)))
-			}
+			s.advance(flood)
 			var events []Event
-			for range 1 + rng.IntN(3) {
-				switch n := rng.IntN(10); {
-				case n < 6 && (flood || len(open) < 12):
-					client := fmt.Sprint("c", rng.IntN(30))
-					if rng.IntN(3) == 0 {
-						client = "busy"
-					}
-					events = append(events, RequestReceived{Client: client, WorkloadClass: rng.IntN(4), ClientRetry: rng.IntN(3) == 0})
-				case n < 9 && len(open) > 0:
-					took := scheduler.Time(rng.IntN(1000))
-					if flood {
-						took = scheduler.Time(rng.IntN(30_000))
-					}
-					events = append(events, RequestStarted{WorkloadClass: open[0], Elapsed: took})
-					open = open[1:]
-				case len(open) > 0 || rng.IntN(20) == 0:
-					events = append(events, RequestFailed{WorkloadClass: rng.IntN(5)})
-				}
+			for range 1 + s.rng.IntN(3) {
+				events = s.addEvent(events, flood)
 			}
-			actions := door.Handle(now, events...)
-			foldDoor(d, now, door, actions)
+			actions := limiter.Handle(s.now, events...)
+			foldActions(d, s.now, limiter, actions)
 			for _, a := range actions {
 				if _, ok := a.(Admit); ok {
-					open = append(open, rng.IntN(4))
+					s.open = append(s.open, s.rng.IntN(4))
 				}
 			}
 		}
-		known := door.Snapshot()
-		d.Add(5, known)
-		if rng.IntN(2) == 0 { // a restart; now and then with settings that do not fit, or nothing left to believe
-			if rng.IntN(4) == 0 {
-				known.BaselineLatency = append(known.BaselineLatency, 1)
-			}
-			if rng.IntN(6) == 0 {
-				known.Limit = 0
-			}
-			door = New(terms)
-			door.Restore(known, float64(rng.IntN(5))/4)
-			d.Add(6, door.Snapshot(), door.Limit())
+		snapshot := limiter.Snapshot()
+		d.Add(5, snapshot)
+		if s.rng.IntN(2) == 0 {
+			limiter = s.restart(d, config, snapshot)
+		}
+	}
+}
+
+func (s *recordedLoad) advance(flood bool) {
+	s.now += scheduler.Time(s.rng.IntN(100))
+	if flood {
+		s.now += scheduler.Time(s.rng.IntN(30))
+	}
+	if s.rng.IntN(150) == 0 {
+		s.now += scheduler.Time(s.rng.IntN(12 * int(scheduler.Second)))
+	}
+}
+
+func (s *recordedLoad) addEvent(events []Event, flood bool) []Event {
+	switch n := s.rng.IntN(10); {
+	case n < 6 && (flood || len(s.open) < 12):
+		client := fmt.Sprint("c", s.rng.IntN(30))
+		if s.rng.IntN(3) == 0 {
+			client = "busy"
 		}
+		return append(events, RequestReceived{Client: client, WorkloadClass: s.rng.IntN(4), ClientRetry: s.rng.IntN(3) == 0})
+	case n < 9 && len(s.open) > 0:
+		elapsed := scheduler.Time(s.rng.IntN(1000))
+		if flood {
+			elapsed = scheduler.Time(s.rng.IntN(30_000))
+		}
+		events = append(events, RequestStarted{WorkloadClass: s.open[0], Elapsed: elapsed})
+		s.open = s.open[1:]
+	case len(s.open) > 0 || s.rng.IntN(20) == 0:
+		events = append(events, RequestFailed{WorkloadClass: s.rng.IntN(5)})
+	}
+	return events
+}
+
+// restart restores a snapshot that now and then does not fit the configuration, or holds no limit.
+func (s *recordedLoad) restart(d *golden.Digest, config Config, snapshot Snapshot) *Limiter {
+	if s.rng.IntN(4) == 0 {
+		snapshot.BaselineLatency = append(snapshot.BaselineLatency, 1)
+	}
+	if s.rng.IntN(6) == 0 {
+		snapshot.Limit = 0
 	}
+	limiter := New(config)
+	limiter.Restore(snapshot, float64(s.rng.IntN(5))/4)
+	d.Add(6, limiter.Snapshot(), limiter.Limit())
+	return limiter
 }
 
 func recordedCounts(d *golden.Digest, rng *rand.Rand) {
-	clients := 1 + rng.IntN(40)
-	h, now := NewHeavyHitters(clients), scheduler.Time(0)
+	h, now := NewHeavyHitters(1+rng.IntN(40)), scheduler.Time(0)
 	for range 500 {
 		now += scheduler.Time(rng.IntN(5000))
 		if rng.IntN(100) == 0 {
@@ -101,12 +124,13 @@
 
 func TestActionsMatchRecordedDigests(t *testing.T) {
 	var lines []string
-	for _, most := range []int{20, 60, 1000} {
+	for _, maxOpen := range []int{20, 60, 1000} {
 		d := golden.NewDigest()
 		for seed := range uint64(60) {
-			recordedLoad(d, rand.New(rand.NewPCG(seed, uint64(most))), most)
+			s := &recordedLoad{rng: rand.New(rand.NewPCG(seed, uint64(maxOpen)))}
+			s.run(d, maxOpen)
 		}
-		lines = append(lines, d.Line(fmt.Sprintf("at most %d open", most)))
+		lines = append(lines, d.Line(fmt.Sprintf("at most %d open", maxOpen)))
 	}
 	d := golden.NewDigest()
 	for seed := range uint64(100) {
@@ -114,8 +138,8 @@
 	}
 	lines = append(lines, d.Line("heavy clients"))
 	d = golden.NewDigest()
-	for why := range 4 {
-		d.Add(1, Reason(why).String())
+	for reason := range 4 {
+		d.Add(1, Reason(reason).String())
 	}
 	golden.Check(t, "testdata/digests.txt", append(lines, d.Line("reasons")))
 }
--- a/internal/schedulerd/overload/heavyhitters.go
+++ b/internal/schedulerd/overload/heavyhitters.go
@@ -6,14 +6,20 @@
 	"glenport/scheduler"
 )
 
-// HeavyHitters finds clients that ask far more than others in a fixed number of counters (space-saving: a new client takes the
-// place, and the count, of the one that asked least, so that no heavy one is missed and counts are never too low). Counts fade.
+const (
+	countDecayTime = 10 * scheduler.Second // counts fall to 1/e in that time
+	maxCountAge    = 20 * countDecayTime   // after which counts are rescaled, as their unit would overflow a float
+)
+
+// HeavyHitters counts requests by client in a fixed number of counters (the space-saving algorithm): a client without a
+// counter takes over the smallest, with its count, so counts are never too low and no heavy hitter is missed. Counts decay
+// exponentially.
 type HeavyHitters struct {
 	maxCounters int
-	index       map[string]int // place in the heap
-	heap        []counter      // the least first
+	index       map[string]int // position in the heap
+	heap        []counter      // a binary heap, the smallest count first
 	total       float64
-	baseTime    scheduler.Time // counts are kept as of then, in growing units, so that fading costs nothing
+	baseTime    scheduler.Time // counts are in units as of then; newer units are larger, so decay costs nothing
 }
 
 type counter struct {
@@ -21,79 +27,87 @@
 	count  float64
 }
 
-const countDecayTime = 10 * scheduler.Second // counts fall to 1/e in that time
-
-// NewHeavyHitters keeps so many counters.
-func NewHeavyHitters(most int) *HeavyHitters {
-	return &HeavyHitters{maxCounters: most, index: map[string]int{}}
+// NewHeavyHitters returns a table of at most maxCounters clients.
+func NewHeavyHitters(maxCounters int) *HeavyHitters {
+	return &HeavyHitters{maxCounters: maxCounters, index: map[string]int{}}
 }
 
-// Record counts one ask and tells how many times the mean of the clients counted it is; 0 where too little is known.
+// Record counts one request and returns how many times the mean of the other counted clients its client has sent, or 0
+// while too little is known.
 func (h *HeavyHitters) Record(now scheduler.Time, client string) float64 {
-	if now-h.baseTime > 20*countDecayTime { // units would outgrow a float
-		f := math.Exp(-float64(now-h.baseTime) / float64(countDecayTime))
-		for i := range h.heap {
-			h.heap[i].count *= f
-		}
-		h.total, h.baseTime = h.total*f, now
-	}
+	h.rescale(now)
 	unit := math.Exp(float64(now-h.baseTime) / float64(countDecayTime))
 	h.total += unit
-	i, known := h.index[client]
-	switch {
-	case known:
-		h.heap[i].count += unit
-	case len(h.heap) < h.maxCounters:
-		i = len(h.heap)
-		h.heap = append(h.heap, counter{client, unit})
-		h.index[client] = i
-		h.up(i)
-		i = h.index[client]
-	default:
-		i = 0
-		delete(h.index, h.heap[0].client)
-		h.heap[0] = counter{client, h.heap[0].count + unit}
-		h.index[client] = 0
-	}
-	n := h.heap[i].count
-	h.down(i)
+	i := h.add(client, unit)
+	count := h.heap[i].count
+	h.siftDown(i)
 	if h.total < heavyHitterMinRequests*unit || len(h.heap) < 2 {
 		return 0
 	}
-	others := (h.total - n) / float64(len(h.heap)-1)
+	others := (h.total - count) / float64(len(h.heap)-1)
 	if others <= 0 {
 		return 0
 	}
-	return n / others
+	return count / others
 }
 
 // Len is the number of counters in use.
 func (h *HeavyHitters) Len() int { return len(h.heap) }
 
+// rescale brings old counts to the units of now.
+func (h *HeavyHitters) rescale(now scheduler.Time) {
+	if now-h.baseTime <= maxCountAge {
+		return
+	}
+	factor := math.Exp(-float64(now-h.baseTime) / float64(countDecayTime))
+	for i := range h.heap {
+		h.heap[i].count *= factor
+	}
+	h.total, h.baseTime = h.total*factor, now
+}
+
+// add counts a unit for a client and returns the position of its counter, which may be too high in the heap then.
+func (h *HeavyHitters) add(client string, unit float64) int {
+	if i, known := h.index[client]; known {
+		h.heap[i].count += unit
+		return i
+	}
+	if len(h.heap) < h.maxCounters {
+		h.heap = append(h.heap, counter{client, unit})
+		h.index[client] = len(h.heap) - 1
+		h.siftUp(len(h.heap) - 1)
+		return h.index[client]
+	}
+	delete(h.index, h.heap[0].client)
+	h.heap[0] = counter{client, h.heap[0].count + unit}
+	h.index[client] = 0
+	return 0
+}
+
 func (h *HeavyHitters) swap(i, j int) {
 	h.heap[i], h.heap[j] = h.heap[j], h.heap[i]
 	h.index[h.heap[i].client], h.index[h.heap[j].client] = i, j
 }
 
-func (h *HeavyHitters) up(i int) {
+func (h *HeavyHitters) siftUp(i int) {
 	for i > 0 && h.heap[i].count < h.heap[(i-1)/2].count {
 		h.swap(i, (i-1)/2)
 		i = (i - 1) / 2
 	}
 }
 
-func (h *HeavyHitters) down(i int) {
+func (h *HeavyHitters) siftDown(i int) {
 	for {
-		least := i
-		for _, c := range []int{2*i + 1, 2*i + 2} {
-			if c < len(h.heap) && h.heap[c].count < h.heap[least].count {
-				least = c
+		smallest := i
+		for _, child := range []int{2*i + 1, 2*i + 2} {
+			if child < len(h.heap) && h.heap[child].count < h.heap[smallest].count {
+				smallest = child
 			}
 		}
-		if least == i {
+		if smallest == i {
 			return
 		}
-		h.swap(i, least)
-		i = least
+		h.swap(i, smallest)
+		i = smallest
 	}
 }
--- a/internal/schedulerd/overload/limiter.go
+++ b/internal/schedulerd/overload/limiter.go
@@ -1,14 +1,6 @@
-// Package overload decides what a door takes while more comes than can be served, and when those whom it turns away
-// should come back. In calm it takes all and costs a few additions. It is pure.
-//
-// What it guards against is load that keeps itself alive: work waits behind other work until its hard stop, is done all
-// the same, and is asked for again. So what cannot be started in time is turned away at once, at the door; what came
-// before gets a share of what comes anew and no more; and whoever is turned away gets an appointment, one after
-// another at the pace at which work is really done, so that those who obey return in a line and not in a heap.
 package overload
 
 import (
-	"fmt"
 	"math"
 
 	"glenport/scheduler"
@@ -16,288 +8,259 @@
 
 // Tuned values.
 const (
-	slowThreshold            = 0.5                         // of the agreed time: a mean start so slow narrows the door,
-	slowBaselineFactor       = 1.5                         // if it is so many times slower than in calm, too
-	minThroughputFactor      = 1.0                         // times the agreed time of work at the present pace is always let in
-	limitDecrease            = 0.85                        // the limit falls by it
-	limitIncrease            = 1.05                        // and grows by it, each once in a step
+	slowThreshold            = 0.5                         // mean start latency, as a part of the objective, from which a class is slow,
+	slowBaselineFactor       = 1.5                         // provided that it also exceeds its baseline by this factor
+	minThroughputFactor      = 1.0                         // the limit stays above throughput times objective times this
+	limitDecrease            = 0.85                        // multiplies the limit while a class is slow
+	limitIncrease            = 1.05                        // multiplies it while none is
 	limitUpdateInterval      = 200 * scheduler.Millisecond // between two changes of the limit
-	minLimit                 = 8                           // containers that are always let in
-	retryBudgetRatio         = 0.2                         // repeats, of the first tries
-	maxRetryTokens           = 50                          // repeats saved up
-	overloadEndsAfter        = 5 * scheduler.Second        // without anything turned away
-	minRetryAfter            = 200 * scheduler.Millisecond // of an appointment
-	maxRetryAfter            = 20 * scheduler.Second       // later ones are told this, by chance
-	throughputDecayTime      = 2 * scheduler.Second        // a moving mean falls to 1/e in that time
-	heavyHitterFactor        = 10                          // as often as the mean client: a heavy one
-	heavyHitterMinRequests   = 20                          // asks remembered, below which nobody is heavy
-	retryAfterJitter         = 0.25                        // of an appointment, by chance
-	scheduledThroughputShare = 0.9                         // of the pace that is given away in appointments
+	minLimit                 = 8                           // open requests that are always admitted
+	minLimitShare            = 0.5                         // part of the limit open to a class of no priority weight
+	retryBudgetRatio         = 0.2                         // client retries earned by each first try
+	maxRetryTokens           = 50                          // retries that can be saved up
+	overloadEndsAfter        = 5 * scheduler.Second        // without a request shed
+	minRetryAfter            = 200 * scheduler.Millisecond
+	maxRetryAfter            = 20 * scheduler.Second // longer ones are drawn from the upper half of it
+	throughputDecayTime      = 2 * scheduler.Second  // the moving mean falls to 1/e in that time
+	heavyHitterFactor        = 10                    // times the mean client's requests
+	heavyHitterMinRequests   = 20                    // requests remembered, below which no client is a heavy hitter
+	heavyHitterCounters      = 256
+	retryAfterJitter         = 0.25 // of a retry-after, added by chance
+	scheduledThroughputShare = 0.9  // of the throughput that is given away as scheduled retries
+	recentLatencyWeight      = 16   // samples that the recent mean spans
+	baselineLatencyWeight    = 256  // samples that the baseline spans
 )
 
-// WorkloadClass is what the door needs of one.
+// The seed is spread over the state of the generator by one step of a linear congruential generator.
+const (
+	seedMultiplier = 2862933555777941757
+	seedIncrement  = 3037000493
+)
+
+// unknownLatency marks a class in a Snapshot of which no start was seen.
+const unknownLatency = -1
+
+// WorkloadClass is what the limiter needs to know of a class.
 type WorkloadClass struct {
 	LatencyObjective scheduler.Time
 	PriorityWeight   float64
 }
 
-// Config are what a door is told.
+// Config is fixed for the life of a Limiter.
 type Config struct {
 	Seed            uint64
 	WorkloadClasses []WorkloadClass
-	MaxOpen         int // open containers, in any case
-}
-
-// Reason something is turned away.
-type Reason uint8
-
-const (
-	ReasonLimitReached     Reason = iota + 1 // what is open already is more than starts in time
-	ReasonRetryBudgetSpent                   // repeats are more than their share
-	ReasonHeavyHitter                        // its client asks far more than others
-)
-
-func (w Reason) String() string {
-	return [...]string{"", "more is open than starts in time", "too many came again", "its client asks far more than others"}[w]
+	MaxOpen         int // upper bound of the limit, in open requests
 }
 
-// Event is something that happened.
-type Event interface{ event() }
-
-type (
-	// RequestReceived is a submission, which one of Take and Shed answers at once.
-	RequestReceived struct {
-		Client        string
-		WorkloadClass int
-		ClientRetry   bool
-	}
-	// RequestStarted is a container that was taken and runs; Failed one whose answer is another.
-	RequestStarted struct {
-		WorkloadClass int
-		Elapsed       scheduler.Time // since it was taken
-	}
-	RequestFailed struct{ WorkloadClass int }
-)
-
-func (RequestReceived) event() {}
-func (RequestStarted) event()  {}
-func (RequestFailed) event()   {}
-
-// Action is something to be done.
-type Action interface{ action() }
-
-type (
-	Admit struct{}
-	Shed  struct {
-		Reason     Reason
-		RetryAfter scheduler.Time
-	}
-	ModeChanged struct{ Message string }
-)
-
-func (Admit) action()       {}
-func (Shed) action()        {}
-func (ModeChanged) action() {}
-
-// Limiter is one. Its tables are as many as there are workloads, and a fixed number of clients.
+// Limiter is an adaptive concurrency limit with a retry budget. It owns the count of open requests, the latency and
+// throughput observed, and the queue of scheduled retries; its memory does not grow with the number of clients.
 type Limiter struct {
 	config         Config
 	rngState       uint64
 	now            scheduler.Time
 	actions        []Action
 	open           int
-	limit          float64 // of open containers
+	limit          float64 // of open requests
 	limitChangedAt scheduler.Time
-	latency        []latencyMean // by workload: starts, as parts of the agreed time
-	throughput     float64       // containers done a second, a moving mean
+	latency        []latencyMean // by class
+	throughput     float64       // containers started per second, a moving mean
 	lastStartAt    scheduler.Time
 	retryTokens    float64
-	nextRetryAt    scheduler.Time // the next appointment
-	shedCount      int            // away, since the storm began
+	nextRetryAt    scheduler.Time // end of the queue of scheduled retries
+	shedCount      int            // since the overload started
 	shedAt         scheduler.Time
 	overloaded     bool
-	limitShares    []float64 // by workload: the part of the limit up to which it is let in
+	limitShares    []float64 // by class: the part of the limit that is open to it
 	clients        *HeavyHitters
 }
 
-// latencyMean is how slow starts are, lately and in calm.
+// latencyMean is the mean start latency of a class as a part of its objective.
 type latencyMean struct {
-	recent, baseline float64
-	seen             bool
+	recent   float64
+	baseline float64 // without overload
+	seen     bool
+}
+
+// New returns a limiter whose limit is config.MaxOpen.
+func New(config Config) *Limiter {
+	return &Limiter{
+		config:      config,
+		rngState:    config.Seed*seedMultiplier + seedIncrement,
+		limit:       float64(config.MaxOpen),
+		latency:     make([]latencyMean, len(config.WorkloadClasses)),
+		limitShares: limitShares(config.WorkloadClasses),
+		retryTokens: maxRetryTokens,
+		clients:     NewHeavyHitters(heavyHitterCounters),
+	}
 }
 
-// New makes a door that is wide open.
-func New(t Config) *Limiter {
-	d := &Limiter{config: t, rngState: t.Seed*2862933555777941757 + 3037000493, limit: float64(t.MaxOpen), latency: make([]latencyMean, len(t.WorkloadClasses)),
-		limitShares: make([]float64, len(t.WorkloadClasses)), retryTokens: maxRetryTokens, clients: NewHeavyHitters(256)}
-	most := 0.0
-	for _, w := range t.WorkloadClasses {
-		most = max(most, w.PriorityWeight)
+// limitShares gives the whole limit to the class of the highest priority weight, and less in proportion to others.
+func limitShares(classes []WorkloadClass) []float64 {
+	highest := 0.0
+	for _, class := range classes {
+		highest = max(highest, class.PriorityWeight)
 	}
-	for i, w := range t.WorkloadClasses { // the least gain has half of the room that the most has
-		d.limitShares[i] = 0.5 + 0.5*w.PriorityWeight/most
+	shares := make([]float64, len(classes))
+	for i, class := range classes {
+		shares[i] = minLimitShare + (1-minLimitShare)*class.PriorityWeight/highest
 	}
-	return d
+	return shares
 }
 
-// Handle takes what happened and returns what is to be done, in that order.
-func (d *Limiter) Handle(now scheduler.Time, events ...Event) []Action {
-	d.now, d.actions = now, d.actions[:0]
+// Handle applies events at a time and returns the actions that follow, in order. The slice is valid until the next call.
+func (l *Limiter) Handle(now scheduler.Time, events ...Event) []Action {
+	l.now, l.actions = now, l.actions[:0]
 	for _, e := range events {
 		switch e := e.(type) {
 		case RequestReceived:
-			d.requestReceived(e)
+			l.requestReceived(e)
 		case RequestStarted:
-			d.requestEnded()
-			if e.WorkloadClass < len(d.latency) {
-				d.requestStarted(e)
-			}
+			l.requestStarted(e)
 		case RequestFailed:
-			d.requestEnded()
+			l.requestEnded()
 		}
 	}
-	return d.actions
+	return l.actions
 }
 
-func (d *Limiter) emit(a Action) { d.actions = append(d.actions, a) }
+// Open is the number of admitted requests without an answer.
+func (l *Limiter) Open() int { return l.open }
 
-func (d *Limiter) random() float64 {
-	d.rngState ^= d.rngState << 13
-	d.rngState ^= d.rngState >> 7
-	d.rngState ^= d.rngState << 17
-	return float64(d.rngState>>11) / (1 << 53)
+// Limit is how many requests may be open.
+func (l *Limiter) Limit() float64 { return l.limit }
+
+func (l *Limiter) emit(a Action) { l.actions = append(l.actions, a) }
+
+// random draws from [0, 1) with a xorshift generator.
+func (l *Limiter) random() float64 {
+	l.rngState ^= l.rngState << 13
+	l.rngState ^= l.rngState >> 7
+	l.rngState ^= l.rngState << 17
+	return float64(l.rngState>>11) / (1 << 53)
 }
 
-// requestReceived lets in or turns away. First tries earn repeats; those of a heavy client, and repeats without an earned place,
-// are turned away only while the door is narrow, so that calm is not disturbed.
-func (d *Limiter) requestReceived(e RequestReceived) {
-	heavy := d.clients.Record(d.now, e.Client)
+// requestReceived admits or sheds. Heavy hitters and retries beyond the budget are shed only while the limit is nearly
+// reached, so that they cost nothing otherwise.
+func (l *Limiter) requestReceived(e RequestReceived) {
+	timesMean := l.clients.Record(l.now, e.Client)
 	if !e.ClientRetry {
-		d.retryTokens = min(maxRetryTokens, d.retryTokens+retryBudgetRatio)
-	}
-	room := d.limit
-	if e.WorkloadClass < len(d.limitShares) && d.limiting() {
-		room *= d.limitShares[e.WorkloadClass]
+		l.retryTokens = min(maxRetryTokens, l.retryTokens+retryBudgetRatio)
 	}
 	switch {
-	case float64(d.open) >= room:
-		d.shed(ReasonLimitReached)
-	case d.limiting() && heavy > heavyHitterFactor:
-		d.shed(ReasonHeavyHitter)
-	case d.limiting() && e.ClientRetry && d.retryTokens < 1:
-		d.shed(ReasonRetryBudgetSpent)
+	case float64(l.open) >= l.limitOf(e.WorkloadClass):
+		l.shed(ReasonLimitReached)
+	case l.limiting() && timesMean > heavyHitterFactor:
+		l.shed(ReasonHeavyHitter)
+	case l.limiting() && e.ClientRetry && l.retryTokens < 1:
+		l.shed(ReasonRetryBudgetSpent)
 	default:
-		if e.ClientRetry {
-			d.retryTokens = max(0, d.retryTokens-1)
-		}
-		d.open++
-		d.emit(Admit{})
+		l.admit(e)
 	}
-	if d.overloaded && d.now-d.shedAt > overloadEndsAfter {
-		d.overloaded = false
-		d.emit(ModeChanged{fmt.Sprintf("storm over: %d were turned away, up to %.0f are let in at once", d.shedCount, d.limit)})
+	if l.overloaded && l.now-l.shedAt > overloadEndsAfter {
+		l.overloaded = false
+		l.emit(SheddingEnded{Shed: l.shedCount, Limit: l.limit})
 	}
 }
 
-// limiting tells whether what is open is near what may be.
-func (d *Limiter) limiting() bool {
-	return d.limit < float64(d.config.MaxOpen) && float64(d.open) >= d.limit/2
+// limitOf is the limit for a class; its share counts only while the limit is nearly reached.
+func (l *Limiter) limitOf(class int) float64 {
+	if class < len(l.limitShares) && l.limiting() {
+		return l.limit * l.limitShares[class]
+	}
+	return l.limit
 }
 
-// shed turns away, with the next appointment of a line that moves at the pace at which work is done.
-func (d *Limiter) shed(why Reason) {
-	if !d.overloaded {
-		d.overloaded, d.shedCount = true, 0
-		d.emit(ModeChanged{fmt.Sprintf("storm: %s; %d open, limit %.0f, %.0f done a second", why, d.open, d.limit, d.throughput)})
-	}
-	d.shedCount++
-	d.shedAt = d.now
-	pace := max(1, d.throughput*scheduledThroughputShare)
-	d.nextRetryAt = max(d.nextRetryAt, d.now+minRetryAfter) + scheduler.Time(float64(scheduler.Second)/pace)
-	hold := d.nextRetryAt - d.now
-	if hold > maxRetryAfter { // the line is longer than anybody plans: come back by chance, and be told anew
-		d.nextRetryAt = d.now + maxRetryAfter
-		hold = maxRetryAfter/2 + scheduler.Time(d.random()*float64(maxRetryAfter)/2)
-	}
-	d.emit(Shed{why, hold + scheduler.Time(d.random()*retryAfterJitter*float64(hold))})
+// limiting reports whether the limit is below its upper bound and at least half used.
+func (l *Limiter) limiting() bool {
+	return l.limit < float64(l.config.MaxOpen) && float64(l.open) >= l.limit/2
 }
 
-// requestEnded counts the pace at which work is done, whatever its end.
-func (d *Limiter) requestEnded() {
-	d.open = max(0, d.open-1)
+func (l *Limiter) admit(e RequestReceived) {
+	if e.ClientRetry {
+		l.retryTokens = max(0, l.retryTokens-1)
+	}
+	l.open++
+	l.emit(Admit{})
 }
 
-// requestStarted follows how slow starts are, and narrows or widens the door.
-func (d *Limiter) requestStarted(e RequestStarted) {
-	span := float64(max(1, d.now-d.lastStartAt)) // the pace of a process with these gaps, as a moving mean
-	d.lastStartAt = d.now
-	w := math.Exp(-span / float64(throughputDecayTime))
-	d.throughput = d.throughput*w + (1-w)*float64(scheduler.Second)/span
-	m := &d.latency[e.WorkloadClass]
-	part := float64(e.Elapsed) / float64(max(1, d.config.WorkloadClasses[e.WorkloadClass].LatencyObjective))
-	if !m.seen {
-		m.recent, m.baseline, m.seen = part, part, true
+func (l *Limiter) shed(reason Reason) {
+	if !l.overloaded {
+		l.overloaded, l.shedCount = true, 0
+		l.emit(SheddingStarted{Reason: reason, Open: l.open, Limit: l.limit, Throughput: l.throughput})
 	}
-	m.recent += (part - m.recent) / 16
-	if !d.overloaded {
-		m.baseline += (part - m.baseline) / 256
+	l.shedCount++
+	l.shedAt = l.now
+	l.emit(Shed{Reason: reason, RetryAfter: l.scheduleRetry()})
+}
+
+// scheduleRetry takes the next place in the queue of retries, which moves at a share of the throughput. A queue longer than
+// clients wait for is not followed further: they come back at a random time of the upper half and queue again.
+func (l *Limiter) scheduleRetry() scheduler.Time {
+	perSecond := max(1, l.throughput*scheduledThroughputShare)
+	l.nextRetryAt = max(l.nextRetryAt, l.now+minRetryAfter) + scheduler.Time(float64(scheduler.Second)/perSecond)
+	wait := l.nextRetryAt - l.now
+	if wait > maxRetryAfter {
+		l.nextRetryAt = l.now + maxRetryAfter
+		wait = maxRetryAfter/2 + scheduler.Time(l.random()*float64(maxRetryAfter)/2)
 	}
-	if d.now < d.limitChangedAt+limitUpdateInterval {
+	return wait + scheduler.Time(l.random()*retryAfterJitter*float64(wait))
+}
+
+func (l *Limiter) requestEnded() { l.open = max(0, l.open-1) }
+
+func (l *Limiter) requestStarted(e RequestStarted) {
+	l.requestEnded()
+	if e.WorkloadClass >= len(l.latency) {
 		return
 	}
-	d.limitChangedAt = d.now
-	slow := false
-	for _, m := range d.latency {
-		slow = slow || m.recent > max(slowThreshold, slowBaselineFactor*m.baseline)
-	}
-	switch {
-	case slow: // never below what keeps the present pace with starts at their agreed time
-		keeps := minThroughputFactor * d.throughput * float64(d.config.WorkloadClasses[e.WorkloadClass].LatencyObjective) / float64(scheduler.Second)
-		d.limit = max(minLimit, keeps, min(d.limit, 2*float64(d.open)+minLimit)*limitDecrease)
-	case float64(d.open) > d.limit/2:
-		d.limit = min(float64(d.config.MaxOpen), d.limit*limitIncrease+1)
+	l.observeThroughput()
+	l.observeLatency(e)
+	if l.now < l.limitChangedAt+limitUpdateInterval {
+		return
 	}
+	l.limitChangedAt = l.now
+	l.adjustLimit(l.config.WorkloadClasses[e.WorkloadClass].LatencyObjective)
 }
 
-// Snapshot is what a door has learned, to be kept for another life of it.
-type Snapshot struct {
-	Limit      float64 `cbor:"Limit" json:"Limit"`
-	Throughput float64 `cbor:"Pace" json:"Pace"`
-	// By workload, as parts of the agreed time; nothing is known of those below 0.
-	Latency         []float64 `cbor:"Slow" json:"Slow"`
-	BaselineLatency []float64 `cbor:"Calm" json:"Calm"`
+// observeThroughput updates the moving mean of starts per second by the gap since the last one.
+func (l *Limiter) observeThroughput() {
+	gap := float64(max(1, l.now-l.lastStartAt))
+	l.lastStartAt = l.now
+	keep := math.Exp(-gap / float64(throughputDecayTime))
+	l.throughput = l.throughput*keep + (1-keep)*float64(scheduler.Second)/gap
 }
 
-// Snapshot gives it.
-func (d *Limiter) Snapshot() Snapshot {
-	k := Snapshot{Limit: d.limit, Throughput: d.throughput}
-	for _, m := range d.latency {
-		if !m.seen {
-			m.recent, m.baseline = -1, -1
-		}
-		k.Latency, k.BaselineLatency = append(k.Latency, m.recent), append(k.BaselineLatency, m.baseline)
+// observeLatency updates the means of a class. The baseline stands still during an overload.
+func (l *Limiter) observeLatency(e RequestStarted) {
+	mean := &l.latency[e.WorkloadClass]
+	sample := float64(e.Elapsed) / float64(max(1, l.config.WorkloadClasses[e.WorkloadClass].LatencyObjective))
+	if !mean.seen {
+		mean.recent, mean.baseline, mean.seen = sample, sample, true
+	}
+	mean.recent += (sample - mean.recent) / recentLatencyWeight
+	if !l.overloaded {
+		mean.baseline += (sample - mean.baseline) / baselineLatencyWeight
 	}
-	return k
 }
 
-// Restore takes what an earlier life knew, before anything else: a door that opens wide in the middle of a storm would let
-// in all that was turned away before. Weight, from 1 to 0, is what the limit still counts for; what calm is like is
-// believed as it was.
-func (d *Limiter) Restore(k Snapshot, weight float64) {
-	if len(k.BaselineLatency) != len(d.latency) || len(k.Latency) != len(d.latency) {
-		return
+// adjustLimit decreases the limit while any class is slow and increases it while it is used. By Little's law a limit of
+// throughput times objective keeps the present throughput with starts on time; it never falls below that.
+func (l *Limiter) adjustLimit(objective scheduler.Time) {
+	switch {
+	case l.slow():
+		floor := minThroughputFactor * l.throughput * float64(objective) / float64(scheduler.Second)
+		l.limit = max(minLimit, floor, min(l.limit, 2*float64(l.open)+minLimit)*limitDecrease)
+	case float64(l.open) > l.limit/2:
+		l.limit = min(float64(l.config.MaxOpen), l.limit*limitIncrease+1)
 	}
-	for i := range d.latency {
-		if k.BaselineLatency[i] >= 0 {
-			d.latency[i] = latencyMean{k.BaselineLatency[i] + weight*(k.Latency[i]-k.BaselineLatency[i]), k.BaselineLatency[i], true}
+}
+
+func (l *Limiter) slow() bool {
+	for _, mean := range l.latency {
+		if mean.recent > max(slowThreshold, slowBaselineFactor*mean.baseline) {
+			return true
 		}
 	}
-	if weight > 0 && k.Limit > 0 {
-		d.limit = min(float64(d.config.MaxOpen), max(minLimit, k.Limit/weight))
-		d.throughput = k.Throughput * weight
-	}
+	return false
 }
-
-// Open and Limit are for figures.
-func (d *Limiter) Open() int      { return d.open }
-func (d *Limiter) Limit() float64 { return d.limit }
--- a/internal/schedulerd/overload/limiter_test.go
+++ b/internal/schedulerd/overload/limiter_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"math"
-	"math/rand/v2"
 	"testing"
 
 	"glenport/scheduler"
@@ -16,12 +15,12 @@
 	sec = scheduler.Second
 )
 
-func terms() Config {
+func testConfig() Config {
 	return Config{Seed: 1, MaxOpen: 100_000, WorkloadClasses: []WorkloadClass{{300 * ms, 1}, {300 * ms, 2}, {500 * ms, 4}}}
 }
 
-func take(t testing.TB, d *Limiter, now scheduler.Time, e RequestReceived) (bool, Shed) {
-	for _, a := range d.Handle(now, e) {
+func request(t testing.TB, limiter *Limiter, now scheduler.Time, e RequestReceived) (bool, Shed) {
+	for _, a := range limiter.Handle(now, e) {
 		switch a := a.(type) {
 		case Admit:
 			return true, Shed{}
@@ -33,79 +32,79 @@
 	return false, Shed{}
 }
 
-// narrowed is a door behind which starts have become slow: each asks is open for two seconds.
-func narrowed(t testing.TB) (*Limiter, scheduler.Time) {
-	d, now := New(terms()), scheduler.Time(0)
-	for range 200 { // calm
+// overloadedLimiter returns a limiter that has seen starts become slow: each request is open for two seconds.
+func overloadedLimiter(t testing.TB) (*Limiter, scheduler.Time) {
+	limiter, now := New(testConfig()), scheduler.Time(0)
+	for range 200 { // without overload
 		now += 10 * ms
-		take(t, d, now, RequestReceived{Client: "a"})
-		d.Handle(now, RequestStarted{0, 60 * ms})
+		request(t, limiter, now, RequestReceived{Client: "a"})
+		limiter.Handle(now, RequestStarted{0, 60 * ms})
 	}
 	for i := range 3000 {
 		now += 2 * ms
-		take(t, d, now, RequestReceived{Client: fmt.Sprint(i % 50)})
+		request(t, limiter, now, RequestReceived{Client: fmt.Sprint(i % 50)})
 		if i%4 == 0 {
-			d.Handle(now, RequestStarted{0, 2 * sec})
+			limiter.Handle(now, RequestStarted{0, 2 * sec})
 		}
 	}
-	return d, now
+	return limiter, now
 }
 
-func TestDoor(t *testing.T) {
-	t.Run("calm takes all", func(t *testing.T) {
-		d, now := New(terms()), scheduler.Time(0)
+func TestLimitFollowsStartLatency(t *testing.T) {
+	t.Run("all is admitted without overload", func(t *testing.T) {
+		limiter, now := New(testConfig()), scheduler.Time(0)
 		for i := range 20_000 {
 			now += ms
-			if ok, s := take(t, d, now, RequestReceived{Client: fmt.Sprint(i % 7), WorkloadClass: i % 3, ClientRetry: i%2 == 0}); !ok {
-				t.Fatalf("turned away: %+v", s)
+			if ok, s := request(t, limiter, now, RequestReceived{Client: fmt.Sprint(i % 7), WorkloadClass: i % 3, ClientRetry: i%2 == 0}); !ok {
+				t.Fatalf("shed: %+v", s)
 			}
-			d.Handle(now, RequestStarted{i % 3, 60 * ms})
+			limiter.Handle(now, RequestStarted{i % 3, 60 * ms})
 		}
 	})
-	t.Run("slow starts narrow it", func(t *testing.T) {
-		d, now := narrowed(t)
-		ok, s := take(t, d, now, RequestReceived{Client: "a"})
-		if ok || s.Reason != ReasonLimitReached || d.Limit() > 500 {
-			t.Errorf("%v %+v, limit %.0f, open %d", ok, s, d.Limit(), d.Open())
+	t.Run("slow starts decrease the limit", func(t *testing.T) {
+		limiter, now := overloadedLimiter(t)
+		ok, s := request(t, limiter, now, RequestReceived{Client: "a"})
+		if ok || s.Reason != ReasonLimitReached || limiter.Limit() > 500 {
+			t.Errorf("%v %+v, limit %.0f, open %d", ok, s, limiter.Limit(), limiter.Open())
 		}
 	})
-	t.Run("and gain passes longer", func(t *testing.T) {
-		d, now := narrowed(t)
+	t.Run("a high priority weight is admitted longer", func(t *testing.T) {
+		limiter, now := overloadedLimiter(t)
 		for range 2000 {
-			if low, _ := take(t, d, now, RequestReceived{Client: "a"}); low {
+			if low, _ := request(t, limiter, now, RequestReceived{Client: "a"}); low {
 				continue
 			}
-			high, _ := take(t, d, now, RequestReceived{Client: "a", WorkloadClass: 2})
-			if !high && float64(d.Open()) < d.Limit() {
-				t.Errorf("high gain is turned away with %d open of %.0f", d.Open(), d.Limit())
+			high, _ := request(t, limiter, now, RequestReceived{Client: "a", WorkloadClass: 2})
+			if !high && float64(limiter.Open()) < limiter.Limit() {
+				t.Errorf("high priority is shed with %d open of %.0f", limiter.Open(), limiter.Limit())
 			}
 			if high {
 				return
 			}
-			d.Handle(now, RequestFailed{0})
+			limiter.Handle(now, RequestFailed{0})
 		}
-		t.Error("high gain never passed where low did not")
+		t.Error("high priority was never admitted where low was not")
 	})
-	t.Run("fast starts widen it again", func(t *testing.T) {
-		d, now := narrowed(t)
+	t.Run("fast starts increase the limit again", func(t *testing.T) {
+		limiter, now := overloadedLimiter(t)
 		for range 4000 {
 			now += 5 * ms
-			take(t, d, now, RequestReceived{Client: "a"})
-			d.Handle(now, RequestStarted{0, 40 * ms})
+			request(t, limiter, now, RequestReceived{Client: "a"})
+			limiter.Handle(now, RequestStarted{0, 40 * ms})
 		}
-		if ok, s := take(t, d, now, RequestReceived{Client: "a"}); !ok {
-			t.Errorf("still turned away: %+v, limit %.0f, open %d", s, d.Limit(), d.Open())
+		if ok, s := request(t, limiter, now, RequestReceived{Client: "a"}); !ok {
+			t.Errorf("still shed: %+v, limit %.0f, open %d", s, limiter.Limit(), limiter.Open())
 		}
 	})
-	// Those who obey come back one after another at the pace of the work, not together.
-	t.Run("appointments are a line", func(t *testing.T) {
-		d, now := narrowed(t)
+	// Clients that wait for their retry-after come back one after another, not together.
+	t.Run("scheduled retries are spread over time", func(t *testing.T) {
+		limiter, now := overloadedLimiter(t)
 		var all []float64
 		for range 300 {
-			if ok, s := take(t, d, now, RequestReceived{Client: "a"}); !ok {
+			if ok, s := request(t, limiter, now, RequestReceived{Client: "a"}); !ok {
 				all = append(all, float64(s.RetryAfter)/float64(sec))
 				if s.RetryAfter < minRetryAfter || s.RetryAfter > maxRetryAfter+maxRetryAfter/2 {
-					t.Fatalf("hold off %d", s.RetryAfter)
+					t.Fatalf("retry-after %d", s.RetryAfter)
 				}
 			}
 		}
@@ -125,81 +124,36 @@
 	})
 }
 
-// Without a budget repeats crowd out first tries.
-func TestRepeatsHaveABudget(t *testing.T) {
-	d, now := narrowed(t)
-	for ok := true; ok; { // until it is full
-		ok, _ = take(t, d, now, RequestReceived{Client: "a"})
+// Without a budget client retries crowd out first tries.
+func TestClientRetriesHaveABudget(t *testing.T) {
+	limiter, now := overloadedLimiter(t)
+	for ok := true; ok; { // until the limit is reached
+		ok, _ = request(t, limiter, now, RequestReceived{Client: "a"})
 	}
-	took := 0
+	retries := 0
 	for i := range 1000 {
-		d.Handle(now, RequestFailed{0}) // room for one
-		if ok, _ := take(t, d, now, RequestReceived{Client: fmt.Sprint(took), ClientRetry: true}); ok {
-			took++
-		} else if ok, s := take(t, d, now, RequestReceived{Client: fmt.Sprint("f", i%50)}); !ok {
-			t.Fatalf("a first try is turned away where a repeat's room was: %+v", s)
+		limiter.Handle(now, RequestFailed{0}) // room for one
+		if ok, _ := request(t, limiter, now, RequestReceived{Client: fmt.Sprint(retries), ClientRetry: true}); ok {
+			retries++
+		} else if ok, s := request(t, limiter, now, RequestReceived{Client: fmt.Sprint("f", i%50)}); !ok {
+			t.Fatalf("a first try is shed where a retry would have been admitted: %+v", s)
 		}
 	}
-	if most := maxRetryTokens + 1000*retryBudgetRatio; float64(took) > most {
-		t.Errorf("%d repeats were let in, beside 1000 first tries; open %d, limit %.0f, tokens %.1f", took, d.Open(), d.Limit(), d.retryTokens)
+	if most := maxRetryTokens + 1000*retryBudgetRatio; float64(retries) > most {
+		t.Errorf("%d client retries were admitted beside 1000 first tries; open %d, limit %.0f, tokens %.1f", retries, limiter.Open(), limiter.Limit(), limiter.retryTokens)
 	}
 }
 
-// One client that sends a hundred times its usual is found whatever the others do, in a fixed room.
-func TestHeavies(t *testing.T) {
-	r := rand.New(rand.NewPCG(1, 2))
-	h, exact, now := NewHeavyHitters(256), map[string]int{}, scheduler.Time(0)
-	worst := 0.0
-	for range 200_000 {
-		c := fmt.Sprint("c", r.IntN(100_000))
-		if r.IntN(10) == 0 {
-			c = "heavy"
-		}
-		exact[c]++
-		if x := h.Record(now, c); c == "heavy" {
-			worst = x
-		}
-	}
-	if h.Len() != 256 || worst < heavyHitterFactor {
-		t.Errorf("%d counters, the heavy one is %.1f times the others", h.Len(), worst)
-	}
-	if now += 100 * countDecayTime; h.Record(now, "heavy") > heavyHitterFactor {
-		t.Error("old counts do not fade")
-	}
-}
-
-// A hundred thousand clients cost as much as ten: compared with a plain table.
-func BenchmarkClients(b *testing.B) {
-	names := make([]string, 100_000)
-	for i := range names {
-		names[i] = fmt.Sprint("client-", i)
-	}
-	b.Run("space-saving, 256 counters", func(b *testing.B) {
-		b.ReportAllocs()
-		h := NewHeavyHitters(256)
-		for i := range b.N {
-			h.Record(scheduler.Time(i), names[i*7919%len(names)])
-		}
-	})
-	b.Run("a map of all", func(b *testing.B) {
-		b.ReportAllocs()
-		m := map[string]float64{}
-		for i := range b.N {
-			m[names[i*7919%len(names)]] += math.Exp(float64(i) / 1e9)
-		}
-	})
-}
-
-// Each ask gets one answer, equal histories equal ones, and what is open never outgrows the limit that there was.
-func TestDrawn(t *testing.T) {
+// Each request has one answer, equal sequences have equal answers, and what is open never exceeds the limit there was.
+func TestEachRequestIsAnsweredWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, now, open := New(terms()), New(terms()), scheduler.Time(0), 0
+		a, b, now, open := New(testConfig()), New(testConfig()), scheduler.Time(0), 0
 		for range 200 {
-			now += scheduler.Time(rapid.IntRange(0, 2000).Draw(t, "on"))
-			var e Event = RequestReceived{Client: fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "client")), WorkloadClass: rapid.IntRange(0, 2).Draw(t, "workload"),
-				ClientRetry: rapid.Bool().Draw(t, "again")}
-			if open > 0 && rapid.Bool().Draw(t, "ends") {
-				e = RequestStarted{rapid.IntRange(0, 2).Draw(t, "workload"), scheduler.Time(rapid.IntRange(1, 60_000).Draw(t, "took"))}
+			now += scheduler.Time(rapid.IntRange(0, 2000).Draw(t, "advance"))
+			var e Event = RequestReceived{Client: fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "client")), WorkloadClass: rapid.IntRange(0, 2).Draw(t, "class"),
+				ClientRetry: rapid.Bool().Draw(t, "retry")}
+			if open > 0 && rapid.Bool().Draw(t, "end") {
+				e = RequestStarted{rapid.IntRange(0, 2).Draw(t, "class"), scheduler.Time(rapid.IntRange(1, 60_000).Draw(t, "elapsed"))}
 				open--
 			}
 			limit := a.Limit()
@@ -221,38 +175,38 @@
 	})
 }
 
-// A storm at the moment a placer restarts: the door of its next life is as narrow as the last one's, the less so the
-// older that is, and knows what calm was like.
-func TestRecalled(t *testing.T) {
-	before, now := narrowed(t)
+// A restart during an overload: the limit of the next incarnation is as low as the last one's, the less so the older the
+// snapshot is, and the baselines are kept.
+func TestRestoredLimitCountsByWeight(t *testing.T) {
+	before, now := overloadedLimiter(t)
 	for _, tc := range []struct {
 		weight float64
 		least  float64 // times the limit before
 		most   float64
 	}{{1, 1, 1}, {0.5, 2, 2}, {0, 100, math.Inf(1)}} {
-		after := New(terms())
+		after := New(testConfig())
 		after.Restore(before.Snapshot(), tc.weight)
 		if x := after.Limit() / before.Limit(); x < tc.least-0.01 || x > tc.most+0.01 {
-			t.Errorf("weight %.1f: the limit is %.2f times as wide", tc.weight, x)
+			t.Errorf("weight %.1f: the limit is %.2f times as high", tc.weight, x)
 		}
 		if got, want := after.Snapshot().BaselineLatency[0], before.Snapshot().BaselineLatency[0]; got != want {
-			t.Errorf("weight %.1f: calm is %.2f, was %.2f", tc.weight, got, want)
+			t.Errorf("weight %.1f: the baseline is %.2f, was %.2f", tc.weight, got, want)
 		}
 		if tc.weight < 1 {
 			continue
 		}
 		shed := 0
 		for i := range 500 {
-			if ok, _ := take(t, after, now, RequestReceived{Client: fmt.Sprint(i % 50)}); !ok {
+			if ok, _ := request(t, after, now, RequestReceived{Client: fmt.Sprint(i % 50)}); !ok {
 				shed++
 			}
 		}
 		if shed == 0 {
-			t.Error("a new life takes in all that the last one turned away")
+			t.Error("a new incarnation admits all that the last one shed")
 		}
 	}
 	other := New(Config{MaxOpen: 10, WorkloadClasses: []WorkloadClass{{sec, 1}}})
 	if other.Restore(before.Snapshot(), 1); other.Limit() != 10 {
-		t.Error("what was learned of other workloads is believed")
+		t.Error("a snapshot of other workload classes is taken over")
 	}
 }
--- a/internal/schedulerd/reconcile/reconciler.go
+++ b/internal/schedulerd/reconcile/reconciler.go
@@ -402,8 +402,10 @@
 		case overload.Shed:
 			t.emit(Reject{e.Client, e.Request.ID, "storm: " + a.Reason.String(), a.RetryAfter})
 			turned = true
-		case overload.ModeChanged:
-			t.emit(Log{a.Message})
+		case overload.SheddingStarted:
+			t.emit(Log{"load shedding started"})
+		case overload.SheddingEnded:
+			t.emit(Log{"load shedding ended"})
 		}
 	}
 	return turned
