--- a/internal/schedulerd/reconcile/reconciler.go
+++ b/internal/schedulerd/reconcile/reconciler.go
@@ -315,7 +315,7 @@
 			t.emit(ConnectMachine{a.Machine})
 		case recovery.AttemptResolved:
 			t.emit(AttemptResolved{a.Attempt})
-		case recovery.RecoveryComplete:
+		case recovery.Completed:
 			t.emit(RecoveryComplete{})
 		case recovery.AllMachinesReported:
 			t.emit(AllMachinesReported{})
@@ -355,8 +355,8 @@
 		refuse(retryAfterWhenFull, "%d containers are open, no more are taken", t.openRequests)
 	case n >= t.limits.OpenRequestsPerClient:
 		refuse(retryAfterWhenFull, "%d containers of this owner are open, no more are taken", n)
-	case t.tracker.WaitReason(e.Request) != "":
-		refuse(retryAfter, "%s", t.tracker.WaitReason(e.Request))
+	case t.tracker.CheckPlacement(e.Request) != nil:
+		refuse(retryAfter, "%s", t.tracker.CheckPlacement(e.Request))
 	default:
 		if t.shed(e) {
 			return
@@ -384,8 +384,8 @@
 		}
 		t.emit(TerminateContainer{e.Client, c.id, e.ID})
 	case e.IdempotencyKey == "":
-	case t.tracker.UncertainReason(e.IdempotencyKey) != "":
-		t.emit(Reject{e.Client, e.ID, t.tracker.UncertainReason(e.IdempotencyKey), retryAfter})
+	case t.tracker.CheckKey(e.IdempotencyKey) != nil:
+		t.emit(Reject{e.Client, e.ID, t.tracker.CheckKey(e.IdempotencyKey).Error(), retryAfter})
 	default:
 		t.emit(AlreadyTerminated{e.Client, e.ID})
 	}
@@ -418,8 +418,8 @@
 		t.emit(AlreadyRunning{e.Client, e.ID, c.id, c.machine})
 	case c != nil:
 		t.emit(Reject{e.Client, e.ID, fmt.Sprintf("key %s is being placed, or ended, as %s", e.IdempotencyKey, c.id), retryAfter})
-	case t.tracker.UncertainReason(e.IdempotencyKey) != "":
-		t.emit(Reject{e.Client, e.ID, t.tracker.UncertainReason(e.IdempotencyKey), retryAfter})
+	case t.tracker.CheckKey(e.IdempotencyKey) != nil:
+		t.emit(Reject{e.Client, e.ID, t.tracker.CheckKey(e.IdempotencyKey).Error(), retryAfter})
 	default:
 		t.emit(NotRunning{e.Client, e.ID})
 	}
--- a/internal/schedulerd/recovery/golden_test.go
+++ b/internal/schedulerd/recovery/golden_test.go
@@ -11,10 +11,11 @@
 
 // recordedSequence is a seeded sequence of events to one tracker; each action and each answer is folded into a digest.
 type recordedSequence struct {
-	rng      *rand.Rand
-	digest   *golden.Digest
-	attempts []Attempt
-	lastBid  uint64
+	rng        *rand.Rand
+	digest     *golden.Digest
+	now        scheduler.Time
+	attempts   []Attempt
+	lastNumber uint64
 }
 
 func (s *recordedSequence) machine() scheduler.MachineID {
@@ -25,12 +26,22 @@
 	if len(s.attempts) > 0 && s.rng.IntN(3) > 0 {
 		return s.attempts[s.rng.IntN(len(s.attempts))]
 	}
-	s.lastBid++
+	s.lastNumber++
 	n := s.rng.IntN(12)
-	h := Attempt{Request: scheduler.PlacementRequest{ID: scheduler.ContainerID(fmt.Sprint("c", n)), IdempotencyKey: fmt.Sprint("k", n/2), WorkloadClass: s.rng.IntN(5) - 1},
-		Machine: s.machine(), Incarnation: uint64(s.rng.IntN(3)), Number: s.lastBid, Running: s.rng.IntN(2) == 0}
-	s.attempts = append(s.attempts, h)
-	return h
+	request := scheduler.PlacementRequest{
+		ID:             scheduler.ContainerID(fmt.Sprint("c", n)),
+		IdempotencyKey: fmt.Sprint("k", n/2),
+		WorkloadClass:  s.rng.IntN(5) - 1,
+	}
+	a := Attempt{
+		Request:     request,
+		Machine:     s.machine(),
+		Incarnation: uint64(s.rng.IntN(3)),
+		Number:      s.lastNumber,
+		Running:     s.rng.IntN(2) == 0,
+	}
+	s.attempts = append(s.attempts, a)
+	return a
 }
 
 func (s *recordedSequence) event() Event {
@@ -42,21 +53,7 @@
 	case n < 10:
 		return AttemptNotRunning{Attempt: s.attempt()}
 	case n < 12:
-		var all []scheduler.MachineID
-		for i := range 10 {
-			if s.rng.IntN(5) > 0 {
-				all = append(all, scheduler.MachineID(fmt.Sprint("m", i)))
-			}
-		}
-		if s.rng.IntN(8) == 0 {
-			for i := range 100 {
-				all = append(all, scheduler.MachineID(fmt.Sprint("n", i)))
-			}
-		}
-		if s.rng.IntN(8) == 0 {
-			all = nil
-		}
-		return MachinesListed{Machines: all, FullSnapshot: s.rng.IntN(2) == 0}
+		return s.list()
 	case n < 13:
 		return MachineRemoved{Machine: s.machine()}
 	case n < 16:
@@ -71,13 +68,33 @@
 	return Tick{}
 }
 
-func (s *recordedSequence) fold(now scheduler.Time, a Action) {
+// list names most machines, now and then a hundred more, and now and then none.
+func (s *recordedSequence) list() MachinesListed {
+	var all []scheduler.MachineID
+	for i := range 10 {
+		if s.rng.IntN(5) > 0 {
+			all = append(all, scheduler.MachineID(fmt.Sprint("m", i)))
+		}
+	}
+	if s.rng.IntN(8) == 0 {
+		for i := range 100 {
+			all = append(all, scheduler.MachineID(fmt.Sprint("n", i)))
+		}
+	}
+	if s.rng.IntN(8) == 0 {
+		all = nil
+	}
+	return MachinesListed{Machines: all, FullSnapshot: s.rng.IntN(2) == 0}
+}
+
+func (s *recordedSequence) fold(a Action) {
+	now := s.now
 	switch a := a.(type) {
 	case ConnectMachine:
 		s.digest.Add(1, now, a.Machine)
 	case AttemptResolved:
 		s.digest.Add(2, now, a.Attempt)
-	case RecoveryComplete:
+	case Completed:
 		s.digest.Add(3, now)
 	case AllMachinesReported:
 		s.digest.Add(4, now)
@@ -86,41 +103,62 @@
 	}
 }
 
-func (s *recordedSequence) run(log LogCoverage, steps int) {
-	r := NewTracker(log, []scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.AtMostOnce})
-	now := scheduler.Time(s.rng.IntN(2) * 1000)
+func (s *recordedSequence) handle(tracker *Tracker, events ...Event) {
+	for _, a := range tracker.Handle(s.now, events...) {
+		s.fold(a)
+	}
+}
+
+// errorText is the text that a client is given, or empty.
+func errorText(err error) string {
+	if err == nil {
+		return ""
+	}
+	return err.Error()
+}
+
+func (s *recordedSequence) foldChecks(tracker *Tracker) {
+	for k := range 7 {
+		key := fmt.Sprint("k", k)
+		for class := range 4 {
+			r := scheduler.PlacementRequest{IdempotencyKey: key, WorkloadClass: class, ClientRetry: s.rng.IntN(3) > 0}
+			s.digest.Add(5, errorText(tracker.CheckPlacement(r)))
+		}
+		s.digest.Add(6, errorText(tracker.CheckKey(key)))
+	}
+	s.digest.Add(7, tracker.UnresolvedKeys(), tracker.NextTimer())
+}
+
+func (s *recordedSequence) advance(tracker *Tracker) {
+	if next := tracker.NextTimer(); next > s.now && s.rng.IntN(3) == 0 {
+		s.now = next
+	} else {
+		s.now += scheduler.Time(s.rng.IntN(3) * s.rng.IntN(3000))
+	}
+}
+
+func (s *recordedSequence) reportAll(tracker *Tracker) {
+	for i := range 10 {
+		s.handle(tracker, MachineReported{Machine: scheduler.MachineID(fmt.Sprint("m", i))})
+	}
+	for i := range 100 {
+		s.handle(tracker, MachineReported{Machine: scheduler.MachineID(fmt.Sprint("n", i))})
+	}
+}
+
+func (s *recordedSequence) run(coverage LogCoverage, steps int) {
+	tracker := NewTracker(coverage, idempotency)
+	s.now = scheduler.Time(s.rng.IntN(2) * 1000)
 	for range steps {
 		events := make([]Event, 1+s.rng.IntN(3))
 		for i := range events {
 			events[i] = s.event()
 		}
-		for _, a := range r.Handle(now, events...) {
-			s.fold(now, a)
-		}
-		for k := range 7 {
-			key := fmt.Sprint("k", k)
-			for workload := range 4 {
-				s.digest.Add(5, r.WaitReason(scheduler.PlacementRequest{IdempotencyKey: key, WorkloadClass: workload, ClientRetry: s.rng.IntN(3) > 0}))
-			}
-			s.digest.Add(6, r.UncertainReason(key))
-		}
-		s.digest.Add(7, r.UnresolvedKeys(), r.NextTimer())
-		if next := r.NextTimer(); next > now && s.rng.IntN(3) == 0 {
-			now = next
-		} else {
-			now += scheduler.Time(s.rng.IntN(3) * s.rng.IntN(3000))
-		}
-		if s.rng.IntN(12) == 0 { // all machines report
-			for i := range 10 {
-				for _, a := range r.Handle(now, MachineReported{Machine: scheduler.MachineID(fmt.Sprint("m", i))}) {
-					s.fold(now, a)
-				}
-			}
-			for i := range 100 {
-				for _, a := range r.Handle(now, MachineReported{Machine: scheduler.MachineID(fmt.Sprint("n", i))}) {
-					s.fold(now, a)
-				}
-			}
+		s.handle(tracker, events...)
+		s.foldChecks(tracker)
+		s.advance(tracker)
+		if s.rng.IntN(12) == 0 {
+			s.reportAll(tracker)
 		}
 	}
 }
@@ -128,29 +166,29 @@
 func TestActionsMatchRecordedDigests(t *testing.T) {
 	var lines []string
 	for _, group := range []struct {
-		name string
-		log  LogCoverage
+		name     string
+		coverage LogCoverage
 	}{{"no log", LogNone}, {"synced log", LogSynced}, {"complete log", LogComplete}} {
 		d := golden.NewDigest()
 		for seed := range uint64(150) {
-			s := &recordedSequence{rng: rand.New(rand.NewPCG(seed, uint64(group.log))), digest: d}
-			s.run(group.log, 60)
+			s := &recordedSequence{rng: rand.New(rand.NewPCG(seed, uint64(group.coverage))), digest: d}
+			s.run(group.coverage, 60)
 		}
 		lines = append(lines, d.Line(group.name))
 	}
 	d := golden.NewDigest()
-	for effect := range 4 {
-		write, sync := MustPersist(scheduler.Idempotency(effect))
+	for i := range 4 {
+		write, sync := MustPersist(scheduler.Idempotency(i))
 		d.Add(1, write, sync)
 	}
 	for phase := range 7 {
 		for _, n := range []int{0, 1, 1999, 2000, 12345} {
-			step, after := Resume(ContainerPhase(phase), n)
-			d.Add(2, step, after)
+			step, delay := Resume(ContainerPhase(phase), n)
+			d.Add(2, step, delay)
 		}
 	}
-	for log := range 3 {
-		d.Add(3, LogCoverage(log).String())
+	for coverage := range 3 {
+		d.Add(3, LogCoverage(coverage).String())
 	}
 	golden.Check(t, "testdata/digests.txt", append(lines, d.Line("tables")))
 }
