--- a/internal/schedulerd/state.go
+++ b/internal/schedulerd/state.go
@@ -1,8 +1,10 @@
 package schedulerd
 
 import (
+	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"slices"
 	"sync"
 
@@ -181,8 +183,8 @@
 			s.put(SendKind, string(m.Machine), warmstart.SlowStartSends{Machine: m.Machine, Incarnation: starts[m.Machine], Times: m.RecentSends})
 		}
 	}
-	for _, text := range b.Messages {
-		h.log.Info("recall", "text", text)
+	for _, m := range b.Messages {
+		h.log.LogAttrs(context.Background(), slog.LevelInfo, m.Text, m.Attrs...)
 	}
 	s.attempts, s.sends, s.snapshot = nil, nil, nil
 	h.loop.After(snapshotInterval, s.save)
--- /dev/null
+++ b/internal/schedulerd/warmstart/ledger.go
@@ -0,0 +1,182 @@
+package warmstart
+
+import (
+	"slices"
+
+	"glenport/scheduler"
+)
+
+// transitDivisor gives the part of a window for which a send may be in transit: one made so long before a start may have
+// reached it.
+const transitDivisor = 8
+
+// SlowStartSends are attempts and probes sent to one start of a machine while it was in slow start.
+type SlowStartSends struct {
+	Machine     scheduler.MachineID `cbor:"Machine"`
+	Incarnation uint64              `cbor:"Start"` // of the machine
+	Times       []scheduler.Time    `cbor:"Times"` // in order
+}
+
+// last is the time of the latest send; there always is one.
+func (s SlowStartSends) last() scheduler.Time { return s.Times[len(s.Times)-1] }
+
+// MachineLookup returns the start of a machine by the machine list, and whether it is listed.
+type MachineLookup func(scheduler.MachineID) (MachineStart, bool)
+
+// SendLedger follows what is sent to machines, so that the slow-start budget of a machine holds also when the scheduler restarts.
+// Sends to a machine in slow start are to be recorded in the log before they are made. Sends to other machines are remembered in
+// memory, for two windows: when a start is observed late, they may have reached a machine in slow start, and are recorded then.
+// A machine leaves the record when its slow start is over or it is gone.
+type SendLedger struct {
+	slowStartPeriod scheduler.Time
+	window          scheduler.Time
+	recorded        map[scheduler.MachineID]*SlowStartSends
+	unrecorded      map[scheduler.MachineID][]scheduler.Time // in order, later than those recorded
+}
+
+// NewSendLedger returns an empty ledger for a slow-start budget per window.
+func NewSendLedger(slowStartPeriod, window scheduler.Time) *SendLedger {
+	return &SendLedger{
+		slowStartPeriod: slowStartPeriod,
+		window:          window,
+		recorded:        map[scheduler.MachineID]*SlowStartSends{},
+		unrecorded:      map[scheduler.MachineID][]scheduler.Time{},
+	}
+}
+
+// Restore takes over the sends of earlier incarnations; incarnations are those of the machines.
+func (l *SendLedger) Restore(r Restored, incarnations map[scheduler.MachineID]uint64) {
+	for _, machine := range r.Snapshot.Machines {
+		if len(machine.RecentSends) > 0 {
+			l.recorded[machine.Machine] = &SlowStartSends{
+				Machine:     machine.Machine,
+				Incarnation: incarnations[machine.Machine],
+				Times:       slices.Clone(machine.RecentSends),
+			}
+		}
+	}
+}
+
+// ResolvePending takes over pending sends to starts that the machine list names only now: a restored list may be older than
+// they are. It returns those, and the sends that are still pending. Sends older than two windows are dropped.
+func (l *SendLedger) ResolvePending(now scheduler.Time, pending []SlowStartSends,
+	lookup MachineLookup) (resolved []scheduler.MachineSnapshot, left []SlowStartSends) {
+	for _, sends := range pending {
+		start, listed := lookup(sends.Machine)
+		switch {
+		case sends.last() <= l.oldest(now):
+		case !listed || start.Incarnation != sends.Incarnation:
+			left = append(left, sends)
+		default:
+			l.resolve(sends)
+			resolved = append(resolved,
+				scheduler.MachineSnapshot{Machine: sends.Machine, StartedAt: start.StartedAt, RecentSends: sends.Times})
+		}
+	}
+	return resolved, left
+}
+
+// resolve makes pending sends the record of a machine. Sends recorded for an earlier start may have reached this one.
+func (l *SendLedger) resolve(sends SlowStartSends) {
+	if earlier := l.recorded[sends.Machine]; earlier != nil && earlier.Incarnation != sends.Incarnation {
+		l.unrecorded[sends.Machine] = append(earlier.Times, l.unrecorded[sends.Machine]...)
+	}
+	sends.Times = slices.Clone(sends.Times)
+	l.recorded[sends.Machine] = &sends
+}
+
+// RecordSend counts an attempt or probe that is about to be sent. It returns the sends that must be in the log first, and
+// whether there are any.
+func (l *SendLedger) RecordSend(now scheduler.Time, id scheduler.MachineID, start MachineStart) (SlowStartSends, bool) {
+	if !l.inSlowStart(now, start) {
+		l.unrecorded[id] = append(l.recent(now, l.unrecorded[id]), now)
+		return SlowStartSends{}, false
+	}
+	sends := l.sendsReaching(now, id, start)
+	sends.Times = append(sends.Times, now)
+	l.recorded[id] = sends
+	return *sends, true
+}
+
+// IncarnationObserved takes in a start that was just heard of. It returns the sends that may have reached it before and must be
+// recorded now, and whether there are any.
+func (l *SendLedger) IncarnationObserved(now scheduler.Time, id scheduler.MachineID, start MachineStart) (SlowStartSends, bool) {
+	if !l.inSlowStart(now, start) || l.upToDate(id, start) {
+		return SlowStartSends{}, false
+	}
+	sends := l.sendsReaching(now, id, start)
+	if len(sends.Times) == 0 {
+		return SlowStartSends{}, false
+	}
+	l.recorded[id] = sends
+	return *sends, true
+}
+
+// upToDate reports whether the record of a machine is of this start and complete.
+func (l *SendLedger) upToDate(id scheduler.MachineID, start MachineStart) bool {
+	sends := l.recorded[id]
+	return sends != nil && sends.Incarnation == start.Incarnation && len(l.unrecorded[id]) == 0
+}
+
+// sendsReaching returns the sends of two windows that may have reached a start, and forgets what was remembered of earlier starts.
+func (l *SendLedger) sendsReaching(now scheduler.Time, id scheduler.MachineID, start MachineStart) *SlowStartSends {
+	tooEarly := start.StartedAt - l.window/transitDivisor - 1
+	sends := l.recorded[id]
+	if sends == nil {
+		sends = &SlowStartSends{Machine: id, Incarnation: start.Incarnation}
+	} else if sends.Incarnation != start.Incarnation {
+		sends = &SlowStartSends{Machine: id, Incarnation: start.Incarnation, Times: after(tooEarly, sends.Times)}
+	}
+	sends.Times = l.recent(now, append(sends.Times, after(tooEarly, l.unrecorded[id])...))
+	delete(l.unrecorded, id)
+	return sends
+}
+
+// Expire ends the record of machines that are no longer in slow start, or gone, and returns these machines in order. What may
+// still reach a start that is observed later stays remembered.
+func (l *SendLedger) Expire(now scheduler.Time, lookup MachineLookup) []scheduler.MachineID {
+	var expired []scheduler.MachineID
+	for id, sends := range l.recorded {
+		if l.expired(now, sends, lookup) {
+			expired = append(expired, id)
+		}
+	}
+	slices.Sort(expired)
+	for _, id := range expired {
+		l.unrecorded[id] = append(l.recorded[id].Times, l.unrecorded[id]...)
+		delete(l.recorded, id)
+	}
+	for id, times := range l.unrecorded {
+		if l.unrecorded[id] = l.recent(now, times); len(l.unrecorded[id]) == 0 {
+			delete(l.unrecorded, id)
+		}
+	}
+	return expired
+}
+
+func (l *SendLedger) expired(now scheduler.Time, sends *SlowStartSends, lookup MachineLookup) bool {
+	start, listed := lookup(sends.Machine)
+	if !listed { // within two windows it may come back without a restart
+		return sends.last() <= l.oldest(now)
+	}
+	return start.Incarnation != sends.Incarnation || !l.inSlowStart(now, start)
+}
+
+func (l *SendLedger) inSlowStart(now scheduler.Time, start MachineStart) bool {
+	return start.StartedAt != 0 && now < start.StartedAt+l.slowStartPeriod
+}
+
+// oldest is the time up to which sends are forgotten.
+func (l *SendLedger) oldest(now scheduler.Time) scheduler.Time { return now - 2*l.window }
+
+func (l *SendLedger) recent(now scheduler.Time, times []scheduler.Time) []scheduler.Time {
+	return after(l.oldest(now), times)
+}
+
+// after returns those of ordered times that are later than t.
+func after(t scheduler.Time, times []scheduler.Time) []scheduler.Time {
+	for len(times) > 0 && times[0] <= t {
+		times = times[1:]
+	}
+	return times
+}
--- /dev/null
+++ b/internal/schedulerd/warmstart/ledger_test.go
@@ -0,0 +1,114 @@
+package warmstart
+
+import (
+	"slices"
+	"testing"
+
+	"glenport/scheduler"
+)
+
+// A machine is on record while it is in slow start, and no longer.
+func TestSendsAreRecordedDuringSlowStart(t *testing.T) {
+	ledger := NewSendLedger(17*sec, window)
+	m := MachineStart{7, 100 * sec}
+	for i, want := range []int{1, 2, 3, 3} { // the first is two windows old when the fourth is sent
+		s, record := ledger.RecordSend(101*sec+scheduler.Time(i)*2*sec+1, "m", m)
+		if !record || len(s.Times) != want {
+			t.Errorf("%d: %v", i, s)
+		}
+	}
+	if _, record := ledger.RecordSend(118*sec, "m", m); record {
+		t.Error("a machine is on record after its slow start")
+	}
+	if _, record := ledger.RecordSend(101*sec, "w", MachineStart{1, 0}); record {
+		t.Error("a machine that started long ago is on record")
+	}
+	at := func(scheduler.MachineID) (MachineStart, bool) { return m, true }
+	// A restored list may not name a start yet to which an earlier incarnation sent; its budget must not be spent twice.
+	pending := []SlowStartSends{{"m", 7, []scheduler.Time{105 * sec}}, {"n", 2, []scheduler.Time{106 * sec}}, {"o", 7, []scheduler.Time{99 * sec}}}
+	resolved, left := ledger.ResolvePending(107*sec, pending, at)
+	if len(resolved) != 1 || resolved[0].Machine != "m" || len(resolved[0].RecentSends) != 1 || len(left) != 1 || left[0].Machine != "n" {
+		t.Errorf("resolved %v, left %v", resolved, left)
+	}
+	gone := func(scheduler.MachineID) (MachineStart, bool) { return MachineStart{}, false }
+	if got := ledger.Expire(105*sec+2*window-1, gone); len(got) != 0 {
+		t.Error("expired while it may come back without a restart")
+	}
+	if got := ledger.Expire(116*sec, at); len(got) != 0 {
+		t.Error("expired in slow start")
+	}
+	if got := ledger.Expire(118*sec, at); len(got) != 1 || len(ledger.recorded) != 0 {
+		t.Errorf("%v", got)
+	}
+}
+
+// Sends to a machine whose slow start is over are remembered; if it had restarted before, they are recorded with its next send,
+// so that the next incarnation of a scheduler that dies knows of that part of the budget.
+func TestSendsBeforeStartIsObservedAreRecorded(t *testing.T) {
+	ledger := NewSendLedger(17*sec, window)
+	ledger.RecordSend(100*sec, "m", MachineStart{7, 0})
+	if s, _ := ledger.RecordSend(101*sec, "m", MachineStart{8, 99 * sec}); len(s.Times) != 2 {
+		t.Errorf("%d of 2 sends to a start at 99 s are recorded (docs/review-of-parts.md, finding 13)", len(s.Times))
+	}
+}
+
+// What may have reached a start is recorded as soon as the start is observed, with what an earlier incarnation sent to it. What
+// was sent to earlier starts is not, and what is only remembered is forgotten after two windows.
+func TestObservedStartIsRecordedWithWhatReachedIt(t *testing.T) {
+	before, after := MachineStart{7, 0}, MachineStart{8, 100 * sec}
+	for _, tc := range []struct {
+		name string
+		act  func(ledger *SendLedger)
+		want []scheduler.Time // on record once the start is observed at 102 s
+	}{
+		{"nothing was sent", func(*SendLedger) {}, nil},
+		{"sent when the slow start of the last start was over", func(ledger *SendLedger) {
+			ledger.RecordSend(98*sec, "m", before)
+			ledger.RecordSend(100*sec-window/transitDivisor, "m", before)
+			ledger.RecordSend(101*sec, "m", before)
+		}, []scheduler.Time{100*sec - window/transitDivisor, 101 * sec}},
+		{"sent in the slow start of the last start", func(ledger *SendLedger) {
+			ledger.RecordSend(99*sec, "m", MachineStart{7, 90 * sec})
+			ledger.RecordSend(101*sec, "m", MachineStart{7, 90 * sec})
+		}, []scheduler.Time{101 * sec}},
+		{"the record of the last start had expired", func(ledger *SendLedger) {
+			ledger.RecordSend(101*sec, "m", MachineStart{7, 85 * sec})
+			ledger.Expire(102*sec, func(scheduler.MachineID) (MachineStart, bool) { return MachineStart{7, 85 * sec}, true })
+			ledger.RecordSend(102*sec, "m", MachineStart{7, 85 * sec})
+		}, []scheduler.Time{101 * sec, 102 * sec}},
+		{"sent by two incarnations of the scheduler", func(ledger *SendLedger) {
+			ledger.RecordSend(102*sec, "m", before)
+			ledger.ResolvePending(102*sec, []SlowStartSends{{"m", 8, []scheduler.Time{101 * sec}}}, func(scheduler.MachineID) (MachineStart, bool) { return after, true })
+		}, []scheduler.Time{101 * sec, 102 * sec}},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			ledger := NewSendLedger(17*sec, window)
+			tc.act(ledger)
+			s, recorded := ledger.IncarnationObserved(102*sec, "m", after)
+			if recorded != (tc.want != nil) || !slices.Equal(s.Times, tc.want) || recorded && s.Incarnation != 8 {
+				t.Errorf("%+v, want %v", s, tc.want)
+			}
+			if _, again := ledger.IncarnationObserved(102*sec, "m", after); again {
+				t.Error("recorded twice")
+			}
+			ledger.Expire(102*sec+2*window, func(scheduler.MachineID) (MachineStart, bool) { return MachineStart{9, 0}, true })
+			if len(ledger.recorded)+len(ledger.unrecorded) != 0 {
+				t.Errorf("after two windows %d are on record, %d remembered", len(ledger.recorded), len(ledger.unrecorded))
+			}
+		})
+	}
+}
+
+func BenchmarkRecordSend(b *testing.B) {
+	for name, m := range map[string]MachineStart{"started long ago": {7, 0}, "in slow start": {7, sec}} {
+		b.Run(name, func(b *testing.B) { // 1,000 sends a second to one machine
+			ledger, recorded := NewSendLedger(1<<40, window), 0
+			for i := range b.N {
+				if _, ok := ledger.RecordSend(2*sec+scheduler.Time(i)*sec/1000, "m", m); ok {
+					recorded++
+				}
+			}
+			b.ReportMetric(float64(recorded)/float64(b.N), "records/op")
+		})
+	}
+}
