--- a/internal/schedulerd/overload/limiter.go
+++ b/internal/schedulerd/overload/limiter.go
@@ -8,7 +8,7 @@
 
 // Tuned values.
 const (
-	slowThreshold            = 0.5                         // mean start latency, as a part of the objective, from which a class is slow,
+	slowThreshold            = 0.5                         // mean start latency, as a part of the objective, of a slow class,
 	slowBaselineFactor       = 1.5                         // provided that it also exceeds its baseline by this factor
 	minThroughputFactor      = 1.0                         // the limit stays above throughput times objective times this
 	limitDecrease            = 0.85                        // multiplies the limit while a class is slow
@@ -231,7 +231,7 @@
 	l.throughput = l.throughput*keep + (1-keep)*float64(scheduler.Second)/gap
 }
 
-// observeLatency updates the means of a class. The baseline stands still during an overload.
+// observeLatency updates the means of a class. The baseline is frozen during an overload.
 func (l *Limiter) observeLatency(e RequestStarted) {
 	mean := &l.latency[e.WorkloadClass]
 	sample := float64(e.Elapsed) / float64(max(1, l.config.WorkloadClasses[e.WorkloadClass].LatencyObjective))
--- a/internal/schedulerd/overload/limiter_test.go
+++ b/internal/schedulerd/overload/limiter_test.go
@@ -51,77 +51,87 @@
 }
 
 func TestLimitFollowsStartLatency(t *testing.T) {
-	t.Run("all is admitted without overload", func(t *testing.T) {
-		limiter, now := New(testConfig()), scheduler.Time(0)
-		for i := range 20_000 {
-			now += ms
-			if ok, s := request(t, limiter, now, RequestReceived{Client: fmt.Sprint(i % 7), WorkloadClass: i % 3, ClientRetry: i%2 == 0}); !ok {
-				t.Fatalf("shed: %+v", s)
-			}
-			limiter.Handle(now, RequestStarted{i % 3, 60 * ms})
+	t.Run("all is admitted without overload", testAllIsAdmittedWithoutOverload)
+	t.Run("slow starts decrease the limit", testSlowStartsDecreaseTheLimit)
+	t.Run("a high priority weight is admitted longer", testHighPriorityIsAdmittedLonger)
+	t.Run("fast starts increase the limit again", testFastStartsIncreaseTheLimit)
+	t.Run("scheduled retries are spread over time", testScheduledRetriesAreSpread)
+}
+
+func testAllIsAdmittedWithoutOverload(t *testing.T) {
+	limiter, now := New(testConfig()), scheduler.Time(0)
+	for i := range 20_000 {
+		now += ms
+		if ok, s := request(t, limiter, now, RequestReceived{Client: fmt.Sprint(i % 7), WorkloadClass: i % 3, ClientRetry: i%2 == 0}); !ok {
+			t.Fatalf("shed: %+v", s)
 		}
-	})
-	t.Run("slow starts decrease the limit", func(t *testing.T) {
-		limiter, now := overloadedLimiter(t)
-		ok, s := request(t, limiter, now, RequestReceived{Client: "a"})
-		if ok || s.Reason != ReasonLimitReached || limiter.Limit() > 500 {
-			t.Errorf("%v %+v, limit %.0f, open %d", ok, s, limiter.Limit(), limiter.Open())
+		limiter.Handle(now, RequestStarted{i % 3, 60 * ms})
+	}
+}
+
+func testSlowStartsDecreaseTheLimit(t *testing.T) {
+	limiter, now := overloadedLimiter(t)
+	ok, s := request(t, limiter, now, RequestReceived{Client: "a"})
+	if ok || s.Reason != ReasonLimitReached || limiter.Limit() > 500 {
+		t.Errorf("%v %+v, limit %.0f, open %d", ok, s, limiter.Limit(), limiter.Open())
+	}
+}
+
+func testHighPriorityIsAdmittedLonger(t *testing.T) {
+	limiter, now := overloadedLimiter(t)
+	for range 2000 {
+		if low, _ := request(t, limiter, now, RequestReceived{Client: "a"}); low {
+			continue
 		}
-	})
-	t.Run("a high priority weight is admitted longer", func(t *testing.T) {
-		limiter, now := overloadedLimiter(t)
-		for range 2000 {
-			if low, _ := request(t, limiter, now, RequestReceived{Client: "a"}); low {
-				continue
-			}
-			high, _ := request(t, limiter, now, RequestReceived{Client: "a", WorkloadClass: 2})
-			if !high && float64(limiter.Open()) < limiter.Limit() {
-				t.Errorf("high priority is shed with %d open of %.0f", limiter.Open(), limiter.Limit())
-			}
-			if high {
-				return
-			}
-			limiter.Handle(now, RequestFailed{0})
+		high, _ := request(t, limiter, now, RequestReceived{Client: "a", WorkloadClass: 2})
+		if !high && float64(limiter.Open()) < limiter.Limit() {
+			t.Errorf("high priority is shed with %d open of %.0f", limiter.Open(), limiter.Limit())
 		}
-		t.Error("high priority was never admitted where low was not")
-	})
-	t.Run("fast starts increase the limit again", func(t *testing.T) {
-		limiter, now := overloadedLimiter(t)
-		for range 4000 {
-			now += 5 * ms
-			request(t, limiter, now, RequestReceived{Client: "a"})
-			limiter.Handle(now, RequestStarted{0, 40 * ms})
+		if high {
+			return
 		}
+		limiter.Handle(now, RequestFailed{0})
+	}
+	t.Error("high priority was never admitted where low was not")
+}
+
+func testFastStartsIncreaseTheLimit(t *testing.T) {
+	limiter, now := overloadedLimiter(t)
+	for range 4000 {
+		now += 5 * ms
+		request(t, limiter, now, RequestReceived{Client: "a"})
+		limiter.Handle(now, RequestStarted{0, 40 * ms})
+	}
+	if ok, s := request(t, limiter, now, RequestReceived{Client: "a"}); !ok {
+		t.Errorf("still shed: %+v, limit %.0f, open %d", s, limiter.Limit(), limiter.Open())
+	}
+}
+
+// Clients that wait for their retry-after come back one after another, not together.
+func testScheduledRetriesAreSpread(t *testing.T) {
+	limiter, now := overloadedLimiter(t)
+	var all []float64
+	for range 300 {
 		if ok, s := request(t, limiter, now, RequestReceived{Client: "a"}); !ok {
-			t.Errorf("still shed: %+v, limit %.0f, open %d", s, limiter.Limit(), limiter.Open())
-		}
-	})
-	// Clients that wait for their retry-after come back one after another, not together.
-	t.Run("scheduled retries are spread over time", func(t *testing.T) {
-		limiter, now := overloadedLimiter(t)
-		var all []float64
-		for range 300 {
-			if ok, s := request(t, limiter, now, RequestReceived{Client: "a"}); !ok {
-				all = append(all, float64(s.RetryAfter)/float64(sec))
-				if s.RetryAfter < minRetryAfter || s.RetryAfter > maxRetryAfter+maxRetryAfter/2 {
-					t.Fatalf("retry-after %d", s.RetryAfter)
-				}
+			all = append(all, float64(s.RetryAfter)/float64(sec))
+			if s.RetryAfter < minRetryAfter || s.RetryAfter > maxRetryAfter+maxRetryAfter/2 {
+				t.Fatalf("retry-after %d", s.RetryAfter)
 			}
 		}
-		most := 0
-		for i := range all {
-			n := 0
-			for _, x := range all {
-				if x >= all[i] && x < all[i]+0.5 {
-					n++
-				}
+	}
+	most := 0
+	for i := range all {
+		n := 0
+		for _, x := range all {
+			if x >= all[i] && x < all[i]+0.5 {
+				n++
 			}
-			most = max(most, n)
 		}
-		if most > len(all)/3 {
-			t.Errorf("%d of %d return in one half second", most, len(all))
-		}
-	})
+		most = max(most, n)
+	}
+	if most > len(all)/3 {
+		t.Errorf("%d of %d return in one half second", most, len(all))
+	}
 }
 
 // Without a budget client retries crowd out first tries.
--- a/internal/schedulerd/reconcile/actions.go
+++ b/internal/schedulerd/reconcile/actions.go
@@ -44,13 +44,13 @@
 	RequestedID scheduler.ContainerID // by which the client named it
 }
 
-// AlreadyTerminated tells a client that nothing of what it wanted ended is there.
+// AlreadyTerminated answers a cancellation where nothing is there to be ended.
 type AlreadyTerminated struct {
 	Client ClientID
 	ID     scheduler.ContainerID
 }
 
-// NotRunning tells a client that nothing runs under the key it looked up.
+// NotRunning answers a lookup where nothing runs under the key.
 type NotRunning struct {
 	Client ClientID
 	ID     scheduler.ContainerID
@@ -72,7 +72,7 @@
 	Confirmed bool // by its machine; else that is only unreachable
 }
 
-// ConnectMachine asks for a connection to a machine.
+// ConnectMachine requests a connection to a machine.
 type ConnectMachine struct{ Machine scheduler.MachineID }
 
 // RecoveryComplete says, once, that all that runs from earlier incarnations is known, as far as it can be.
@@ -84,7 +84,7 @@
 // AttemptResolved says that nothing waits for news of an attempt any more: its record can be dropped.
 type AttemptResolved struct{ Attempt Attempt }
 
-// SetTimer asks for a TimerFired.
+// SetTimer requests a TimerFired.
 type SetTimer struct{ After scheduler.Time }
 
 // Log is a line for the log: constant text and its attributes.
--- a/internal/schedulerd/reconcile/events.go
+++ b/internal/schedulerd/reconcile/events.go
@@ -90,7 +90,7 @@
 // MachineRemoved is a machine that has left the machine list.
 type MachineRemoved struct{ Machine scheduler.MachineID }
 
-// TimerFired lets time pass, as asked for by SetTimer.
+// TimerFired lets time pass. It follows a SetTimer.
 type TimerFired struct{}
 
 func (ClientConnected) event()       {}
--- a/internal/schedulerd/reconcile/golden_test.go
+++ b/internal/schedulerd/reconcile/golden_test.go
@@ -98,7 +98,7 @@
 }
 
 func (s *recordedSequence) event() Event {
-	if len(s.connecting) > 0 && s.rng.IntN(3) == 0 { // what becomes of a connection that was asked for
+	if len(s.connecting) > 0 && s.rng.IntN(3) == 0 { // the outcome of a ConnectMachine
 		m := s.connecting[0]
 		s.connecting = s.connecting[1:]
 		if s.rng.IntN(3) == 0 {
--- a/internal/schedulerd/reconcile/reconciler_test.go
+++ b/internal/schedulerd/reconcile/reconciler_test.go
@@ -174,7 +174,7 @@
 	return errors.As(err, &target)
 }
 
-// Why a request is rejected is told by the type of the reason, and whether a retry is of use by its retry-after.
+// The type of the reason gives why a request is rejected, its retry-after whether a retry is of use.
 func TestRejectionNamesItsReason(t *testing.T) {
 	open := place("a", 2)
 	for _, tc := range []struct {
@@ -309,75 +309,96 @@
 	})
 }
 
+// keyModel is what is known from outside of the keys of admitted containers.
+type keyModel struct {
+	open    map[scheduler.ContainerID]string
+	running map[scheduler.ContainerID]string
+	number  uint64 // of the last attempt
+}
+
+// draw returns an event, or nil where the one drawn is not possible.
+func (m *keyModel) draw(t *rapid.T) Event {
+	id := func() scheduler.ContainerID {
+		return scheduler.ContainerID(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id"))
+	}
+	switch rapid.IntRange(0, 7).Draw(t, "event") {
+	case 0, 1:
+		key := rapid.SampledFrom([]string{"x", "y"})
+		return placeAgain(string(id()), key.Draw(t, "key"), rapid.IntRange(0, 2).Draw(t, "class"))
+	case 2:
+		return m.accept(id())
+	case 3:
+		i := id()
+		delete(m.open, i)
+		delete(m.running, i)
+		return ContainerRemoved{i}
+	case 4:
+		return disconnected
+	case 5:
+		return connectFailed
+	case 6:
+		return reported
+	}
+	return TimerFired{}
+}
+
+func (m *keyModel) accept(id scheduler.ContainerID) Event {
+	key, open := m.open[id]
+	if !open {
+		return nil
+	}
+	m.number++
+	delete(m.open, id)
+	m.running[id] = key
+	return AttemptAccepted{id, "m", m.number}
+}
+
+// admit checks that no other container has the key of an admitted one.
+func (m *keyModel) admit(t *rapid.T, r scheduler.PlacementRequest) {
+	for _, containers := range []map[scheduler.ContainerID]string{m.open, m.running} {
+		for other, key := range containers {
+			if key == r.IdempotencyKey {
+				t.Fatalf("%s admitted though %s has key %s", r.ID, other, key)
+			}
+		}
+	}
+	m.open[r.ID] = r.IdempotencyKey
+}
+
 // Drawn sequences: a key that must not run twice is admitted only while it neither runs nor is open, nothing is left when all
 // containers are removed, and equal sequences have equal actions.
 func TestKeyIsAdmittedOnlyWhileFree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := admission.Limits{Clients: 9, OpenRequests: 9, OpenRequestsPerClient: 9}
 		a, b := newReconciler(limits), newReconciler(limits)
-		open, running := map[scheduler.ContainerID]string{}, map[scheduler.ContainerID]string{}
-		now, number := scheduler.Time(0), uint64(0)
-		a.Handle(0, []Event{ClientConnected{1}})
-		b.Handle(0, []Event{ClientConnected{1}})
-		id := func() scheduler.ContainerID {
-			return scheduler.ContainerID(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id"))
+		model := &keyModel{open: map[scheduler.ContainerID]string{}, running: map[scheduler.ContainerID]string{}}
+		now := scheduler.Time(0)
+		handle := func(e Event) []Action {
+			got := a.Handle(now, []Event{e})
+			if other := b.Handle(now, []Event{e}); describe(got) != describe(other) {
+				t.Fatalf("%v gives %q and %q", e, describe(got), describe(other))
+			}
+			return got
 		}
+		handle(ClientConnected{1})
 		for range 40 {
 			now += scheduler.Time(rapid.IntRange(0, 20000).Draw(t, "advance"))
-			var e Event
-			switch rapid.IntRange(0, 7).Draw(t, "event") {
-			case 0, 1:
-				r := retry(string(id()), rapid.SampledFrom([]string{"x", "y"}).Draw(t, "key"), rapid.IntRange(0, 2).Draw(t, "class"))
-				e = PlacementRequested{1, r}
-			case 2:
-				i := id()
-				if key, ok := open[i]; ok {
-					number++
-					delete(open, i)
-					running[i] = key
-					e = AttemptAccepted{i, "m", number}
-				}
-			case 3:
-				i := id()
-				delete(open, i)
-				delete(running, i)
-				e = ContainerRemoved{i}
-			case 4:
-				e = MachineDisconnected{"m"}
-			case 5:
-				e = ConnectFailed{Machine: "m"}
-			case 6:
-				e = MachineReported{"m", nil}
-			case 7:
-				e = TimerFired{}
-			}
+			e := model.draw(t)
 			if e == nil {
 				continue
 			}
-			got := a.Handle(now, []Event{e})
-			if other := b.Handle(now, []Event{e}); describe(got) != describe(other) {
-				t.Fatalf("%v gives %q and %q", e, describe(got), describe(other))
-			}
-			for _, act := range got {
-				switch act := act.(type) {
+			for _, action := range handle(e) {
+				switch action := action.(type) {
 				case Admit:
-					for _, table := range []map[scheduler.ContainerID]string{open, running} {
-						for other, key := range table {
-							if key == act.Request.IdempotencyKey {
-								t.Fatalf("%s admitted though %s has key %s", act.Request.ID, other, key)
-							}
-						}
-					}
-					open[act.Request.ID] = act.Request.IdempotencyKey
+					model.admit(t, action.Request)
 				case ContainerLost:
-					delete(running, act.ID)
-					a.Handle(now, []Event{ContainerRemoved{act.ID}})
-					b.Handle(now, []Event{ContainerRemoved{act.ID}})
+					delete(model.running, action.ID)
+					handle(ContainerRemoved{action.ID})
 				}
 			}
 		}
-		for _, i := range []scheduler.ContainerID{"a", "b", "c", "d"} {
-			a.Handle(now, []Event{ContainerRemoved{i}})
+		for _, id := range []scheduler.ContainerID{"a", "b", "c", "d"} {
+			a.Handle(now, []Event{ContainerRemoved{id}})
 		}
 		if n := len(a.containers.byID) + len(a.containers.byKey) + len(a.containers.onMachine) + len(a.reconnects) +
 			a.admission.OpenRequests() + a.admission.OpenRequestsOf(1); n != 0 {
--- a/internal/schedulerd/reconcile/requests.go
+++ b/internal/schedulerd/reconcile/requests.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// admit opens a request that no container stands against, unless a limit is reached, its key may run, or load is shed.
+// admit opens a request that conflicts with no container, unless a limit is reached, its key may run, or load is shed.
 func (r *Reconciler) admit(e PlacementRequested) {
 	if err := r.admission.CheckLimits(e.Client); err != nil {
 		r.rejectAdmission(e, err)
--- a/internal/schedulerd/recovery/events.go
+++ b/internal/schedulerd/recovery/events.go
@@ -52,7 +52,7 @@
 // Action is something to be done.
 type Action interface{ action() }
 
-// ConnectMachine asks for a connection to a machine, by which it reports what it holds.
+// ConnectMachine requests a connection to a machine, by which it reports what it holds.
 type ConnectMachine struct{ Machine scheduler.MachineID }
 
 // AttemptResolved says that nothing waits for news of an attempt any more.
--- a/internal/schedulerd/recovery/resume.go
+++ b/internal/schedulerd/recovery/resume.go
@@ -20,7 +20,7 @@
 // Steps of a resumption.
 const (
 	StepRequest ResumeStep = iota // request its placement
-	StepLookup                    // ask the scheduler that was sent the request, by the same key: it knows or finds out
+	StepLookup                    // look the key up at the scheduler that was sent the request: it knows or finds out
 	StepFence                     // begin the fencing delay anew, as nobody knows how much of it had passed
 	StepNone
 )
--- a/internal/schedulerd/recovery/tracker.go
+++ b/internal/schedulerd/recovery/tracker.go
@@ -156,7 +156,7 @@
 }
 
 // machinesListed resolves the attempts on machines that a full snapshot no longer names, and has the machines of the first
-// list queried. A list restored from disk does not tell that a machine is gone.
+// list queried. A list restored from disk is no evidence that a machine is gone.
 func (t *Tracker) machinesListed(e MachinesListed) {
 	awaited := t.awaitedMachines()
 	if e.FullSnapshot {
--- a/internal/schedulerd/recovery/tracker_test.go
+++ b/internal/schedulerd/recovery/tracker_test.go
@@ -3,6 +3,8 @@
 import (
 	"errors"
 	"fmt"
+	"maps"
+	"slices"
 	"strings"
 	"testing"
 
@@ -37,73 +39,75 @@
 	return strings.Join(all, ", ")
 }
 
-// Each case is a sequence; then a client retry under key k waits or not.
+// retryCases are sequences after which a client retry under key k waits or not.
+var retryCases = []struct {
+	name     string
+	coverage LogCoverage
+	steps    []any // an event, or the time of the next ones
+	class    int
+	wait     bool
+	last     string // what the last step led to
+}{
+	{"no log, no machine has reported", LogNone, nil, 2, true, ""},
+	{"no log, all have reported", LogNone, []any{list("m"), MachineReported{"m"}}, 2, false, "completed"},
+	{"no log, the time to report is over", LogNone, []any{list("m"), 3 * sec, Tick{}}, 2, false, "completed"},
+	{"no log, idempotent", LogNone, nil, 0, false, ""},
+	// Crash between an attempt sent and its end written: it may have run.
+	{"logged", LogComplete, []any{AttemptRestored{attempt("k", 2, "m", 9)}}, 2, true, ""},
+	{"logged, long ago", LogComplete, []any{
+		AttemptRestored{attempt("k", 2, "m", 9)}, 500 * sec, Tick{},
+	}, 2, true, "completed"},
+	{"logged, its machine has reported", LogComplete, []any{
+		AttemptRestored{attempt("k", 2, "m", 9)}, list("m"), MachineReported{"m"},
+	}, 2, false, "resolved 9, completed"},
+	{"logged, another has reported", LogComplete, []any{
+		AttemptRestored{attempt("k", 2, "m", 9)}, list("m", "n"), MachineReported{"n"},
+	}, 2, true, ""},
+	{"logged, its machine is gone", LogComplete, []any{
+		AttemptRestored{attempt("k", 2, "m", 9)}, MachineRemoved{"m"},
+	}, 2, false, "resolved 9"},
+	{"logged, a full snapshot does not name its machine", LogComplete, []any{
+		AttemptRestored{attempt("k", 2, "m", 9)}, MachinesListed{[]scheduler.MachineID{"n"}, true},
+	}, 2, false, "resolved 9, connect n"},
+	{"logged, a restored list does not name its machine", LogComplete, []any{
+		AttemptRestored{attempt("k", 2, "m", 9)}, list("n"),
+	}, 2, true, "connect n"},
+	{"logged, idempotent with a key", LogComplete, []any{AttemptRestored{attempt("k", 1, "m", 9)}}, 1, true, ""},
+	{"logged, two attempts, one machine has reported", LogComplete, []any{
+		AttemptRestored{attempt("k", 2, "m", 9)}, AttemptRestored{attempt("k", 2, "n", 10)}, list("m", "n"),
+		MachineReported{"m"},
+	}, 2, true, "resolved 9"},
+	{"machines of unresolved attempts are queried first", LogComplete, []any{
+		AttemptRestored{attempt("k", 2, "n", 9)}, list("m", "n"),
+	}, 2, true, "connect n, connect m"},
+	{"complete log, another key", LogComplete, []any{AttemptRestored{attempt("x", 2, "m", 9)}}, 2, false, ""},
+	{"complete log, idempotent with a key", LogComplete, []any{list("m")}, 1, false, "connect m"},
+	// A system that restarted has lost what was written and not synced: that is work that is idempotent with a key.
+	{"synced, at-most-once", LogSynced, []any{list("m")}, 2, false, "connect m"},
+	{"synced, idempotent with a key", LogSynced, []any{list("m"), 9 * sec, Tick{}}, 1, true, "completed"},
+	{
+		"synced, idempotent with a key, all have reported", LogSynced, []any{list("m"), MachineReported{"m"}}, 1,
+		false, "completed",
+	},
+	{"of this incarnation, at-most-once", LogComplete, []any{
+		1 * sec, AttemptOutcomeUnknown{attempt("k", 2, "m", 9)},
+	}, 2, true, "connect m"},
+	{
+		"of this incarnation, idempotent with a key: its scope and window hold", LogComplete,
+		[]any{1 * sec, AttemptOutcomeUnknown{attempt("k", 1, "m", 9)}}, 1, false, "connect m",
+	},
+	// Else the query after an attempt of this incarnation would stand until the connection ended.
+	{"the end of an attempt over a standing connection ends its query", LogSynced, []any{
+		list("m", "n"), MachineReported{"m"}, AttemptOutcomeUnknown{attempt("x", 2, "m", 9)},
+		AttemptNotRunning{attempt("x", 2, "m", 9)}, MachineReported{"n"},
+	}, 1, false, "completed"},
+	{"a machine that cannot be connected is tried again", LogComplete, []any{
+		list("m"), ConnectFailed{"m"}, 2 * sec, Tick{},
+	}, 2, false, "connect m"},
+}
+
 func TestClientRetryWaitsWhileItsKeyMayRun(t *testing.T) {
-	for _, tc := range []struct {
-		name     string
-		coverage LogCoverage
-		steps    []any // an event, or the time of the next ones
-		class    int
-		wait     bool
-		last     string // what the last step led to
-	}{
-		{"no log, no machine has reported", LogNone, nil, 2, true, ""},
-		{"no log, all have reported", LogNone, []any{list("m"), MachineReported{"m"}}, 2, false, "completed"},
-		{"no log, the time to report is over", LogNone, []any{list("m"), 3 * sec, Tick{}}, 2, false, "completed"},
-		{"no log, idempotent", LogNone, nil, 0, false, ""},
-		// Crash between an attempt sent and its end written: it may have run.
-		{"logged", LogComplete, []any{AttemptRestored{attempt("k", 2, "m", 9)}}, 2, true, ""},
-		{"logged, long ago", LogComplete, []any{
-			AttemptRestored{attempt("k", 2, "m", 9)}, 500 * sec, Tick{},
-		}, 2, true, "completed"},
-		{"logged, its machine has reported", LogComplete, []any{
-			AttemptRestored{attempt("k", 2, "m", 9)}, list("m"), MachineReported{"m"},
-		}, 2, false, "resolved 9, completed"},
-		{"logged, another has reported", LogComplete, []any{
-			AttemptRestored{attempt("k", 2, "m", 9)}, list("m", "n"), MachineReported{"n"},
-		}, 2, true, ""},
-		{"logged, its machine is gone", LogComplete, []any{
-			AttemptRestored{attempt("k", 2, "m", 9)}, MachineRemoved{"m"},
-		}, 2, false, "resolved 9"},
-		{"logged, a full snapshot does not name its machine", LogComplete, []any{
-			AttemptRestored{attempt("k", 2, "m", 9)}, MachinesListed{[]scheduler.MachineID{"n"}, true},
-		}, 2, false, "resolved 9, connect n"},
-		{"logged, a restored list does not name its machine", LogComplete, []any{
-			AttemptRestored{attempt("k", 2, "m", 9)}, list("n"),
-		}, 2, true, "connect n"},
-		{"logged, idempotent with a key", LogComplete, []any{AttemptRestored{attempt("k", 1, "m", 9)}}, 1, true, ""},
-		{"logged, two attempts, one machine has reported", LogComplete, []any{
-			AttemptRestored{attempt("k", 2, "m", 9)}, AttemptRestored{attempt("k", 2, "n", 10)}, list("m", "n"),
-			MachineReported{"m"},
-		}, 2, true, "resolved 9"},
-		{"machines of unresolved attempts are queried first", LogComplete, []any{
-			AttemptRestored{attempt("k", 2, "n", 9)}, list("m", "n"),
-		}, 2, true, "connect n, connect m"},
-		{"complete log, another key", LogComplete, []any{AttemptRestored{attempt("x", 2, "m", 9)}}, 2, false, ""},
-		{"complete log, idempotent with a key", LogComplete, []any{list("m")}, 1, false, "connect m"},
-		// A system that restarted has lost what was written and not synced: that is work that is idempotent with a key.
-		{"synced, at-most-once", LogSynced, []any{list("m")}, 2, false, "connect m"},
-		{"synced, idempotent with a key", LogSynced, []any{list("m"), 9 * sec, Tick{}}, 1, true, "completed"},
-		{
-			"synced, idempotent with a key, all have reported", LogSynced, []any{list("m"), MachineReported{"m"}}, 1,
-			false, "completed",
-		},
-		{"of this incarnation, at-most-once", LogComplete, []any{
-			1 * sec, AttemptOutcomeUnknown{attempt("k", 2, "m", 9)},
-		}, 2, true, "connect m"},
-		{
-			"of this incarnation, idempotent with a key: its scope and window hold", LogComplete,
-			[]any{1 * sec, AttemptOutcomeUnknown{attempt("k", 1, "m", 9)}}, 1, false, "connect m",
-		},
-		// Else the query after an attempt of this incarnation would stand until the connection ended.
-		{"the end of an attempt over a standing connection ends its query", LogSynced, []any{
-			list("m", "n"), MachineReported{"m"}, AttemptOutcomeUnknown{attempt("x", 2, "m", 9)},
-			AttemptNotRunning{attempt("x", 2, "m", 9)}, MachineReported{"n"},
-		}, 1, false, "completed"},
-		{"a machine that cannot be connected is tried again", LogComplete, []any{
-			list("m"), ConnectFailed{"m"}, 2 * sec, Tick{},
-		}, 2, false, "connect m"},
-	} {
+	for _, tc := range retryCases {
 		t.Run(tc.name, func(t *testing.T) {
 			tracker, now, got := NewTracker(tc.coverage, idempotency), scheduler.Time(0), ""
 			tracker.Handle(0)
@@ -156,65 +160,91 @@
 	}
 }
 
+// attemptModel is what is known from outside of the attempts that may run, by number.
+type attemptModel struct {
+	open map[uint64]Attempt
+	last uint64
+}
+
+// draw returns an event and its time, which is not before now.
+func (m *attemptModel) draw(t *rapid.T, now scheduler.Time) (Event, scheduler.Time) {
+	machine := rapid.SampledFrom(modelMachines).Draw(t, "machine")
+	key := rapid.SampledFrom(modelKeys).Draw(t, "key")
+	switch rapid.IntRange(0, 6).Draw(t, "event") {
+	case 0:
+		return m.add(attempt(key, 2, machine, m.last+1), now), now
+	case 1:
+		maps.DeleteFunc(m.open, func(_ uint64, a Attempt) bool { return a.Machine == machine })
+		return MachineReported{machine}, now
+	case 2:
+		return ConnectFailed{machine}, now
+	case 3:
+		return MachineDisconnected{machine}, now
+	case 4:
+		return MachinesListed{Machines: modelMachines}, now
+	case 5:
+		return m.end(key, machine), now
+	}
+	return Tick{}, now + scheduler.Time(rapid.IntRange(1, 40_000).Draw(t, "advance"))
+}
+
+// add opens an attempt, which is of an earlier incarnation where no time has passed.
+func (m *attemptModel) add(a Attempt, now scheduler.Time) Event {
+	m.last = a.Number
+	m.open[a.Number] = a
+	if now == 0 {
+		return AttemptRestored{a}
+	}
+	return AttemptOutcomeUnknown{a}
+}
+
+// end closes the first attempt of a key on a machine, if there is one.
+func (m *attemptModel) end(key string, machine scheduler.MachineID) Event {
+	for _, number := range slices.Sorted(maps.Keys(m.open)) {
+		if a := m.open[number]; a.Machine == machine && a.Request.IdempotencyKey == key {
+			delete(m.open, number)
+			return AttemptNotRunning{a}
+		}
+	}
+	return Tick{}
+}
+
+func (m *attemptModel) mayRun(key string) bool {
+	for _, a := range m.open {
+		if a.Request.IdempotencyKey == key {
+			return true
+		}
+	}
+	return false
+}
+
+var (
+	modelMachines = []scheduler.MachineID{"m", "n", "o"}
+	modelKeys     = []string{"x", "y"}
+)
+
 // Drawn sequences: a key under which an attempt may run is never free before its machine has reported or is gone, and nothing
 // is left in the end.
 func TestKeyOfUnresolvedAttemptIsNeverFree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		coverage := LogCoverage(rapid.IntRange(0, 2).Draw(t, "coverage"))
 		tracker := NewTracker(coverage, idempotency)
-		names := []scheduler.MachineID{"m", "n", "o"}
-		now, n := scheduler.Time(0), uint64(0)
-		open := map[uint64]Attempt{}
-		tracker.Handle(0)
+		model := &attemptModel{open: map[uint64]Attempt{}}
+		now := scheduler.Time(0)
+		tracker.Handle(now)
 		for range 40 {
-			m := rapid.SampledFrom(names).Draw(t, "machine")
-			key := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "key")
-			var e Event = Tick{}
-			switch rapid.IntRange(0, 6).Draw(t, "event") {
-			case 0:
-				if n++; now == 0 {
-					e = AttemptRestored{attempt(key, 2, m, n)}
-				} else {
-					e = AttemptOutcomeUnknown{attempt(key, 2, m, n)}
-				}
-				open[n] = attempt(key, 2, m, n)
-			case 1:
-				e = MachineReported{m}
-				for b, h := range open {
-					if h.Machine == m {
-						delete(open, b)
-					}
-				}
-			case 2:
-				e = ConnectFailed{m}
-			case 3:
-				e = MachineDisconnected{m}
-			case 4:
-				e = MachinesListed{Machines: names}
-			case 5:
-				for b, h := range open {
-					if h.Machine == m && h.Request.IdempotencyKey == key {
-						e = AttemptNotRunning{h}
-						delete(open, b)
-						break
-					}
-				}
-			case 6:
-				now += scheduler.Time(rapid.IntRange(1, 40_000).Draw(t, "advance"))
-			}
+			var e Event
+			e, now = model.draw(t, now)
 			tracker.Handle(now, e)
-			for _, key := range []string{"x", "y"} {
-				may := false
-				for _, h := range open {
-					may = may || h.Request.IdempotencyKey == key
-				}
-				if may && tracker.CheckPlacement(scheduler.PlacementRequest{IdempotencyKey: key, WorkloadClass: 2, ClientRetry: true}) == nil {
+			for _, key := range modelKeys {
+				request := scheduler.PlacementRequest{IdempotencyKey: key, WorkloadClass: 2, ClientRetry: true}
+				if model.mayRun(key) && tracker.CheckPlacement(request) == nil {
 					t.Fatalf("key %s is free, and an attempt under it may run", key)
 				}
 			}
 		}
-		for _, m := range names {
-			tracker.Handle(now, MachineRemoved{m})
+		for _, machine := range modelMachines {
+			tracker.Handle(now, MachineRemoved{machine})
 		}
 		if tracker.UnresolvedKeys()+len(tracker.queries) != 0 {
 			t.Fatalf("%d unresolved keys, %d queries left", tracker.UnresolvedKeys(), len(tracker.queries))
@@ -222,7 +252,7 @@
 	})
 }
 
-// What blocks a key is told by the type of the error.
+// The type of the error gives what blocks a key.
 func TestBlockedKeyNamesItsMachine(t *testing.T) {
 	tracker := NewTracker(LogNone, idempotency)
 	tracker.Handle(0, AttemptRestored{attempt("k", 2, "m", 9)})
--- a/internal/schedulerd/warmstart/restore.go
+++ b/internal/schedulerd/warmstart/restore.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// adjust converts a time of the earlier incarnation to the clock of this one; 0 stands for no time.
+// adjust converts a time of the earlier incarnation to the clock of this one; 0 means no time.
 func (e Elapsed) adjust(t scheduler.Time) scheduler.Time {
 	if t == 0 {
 		return 0
--- a/internal/schedulerd/warmstart/restore_test.go
+++ b/internal/schedulerd/warmstart/restore_test.go
@@ -38,66 +38,70 @@
 	return b.String()
 }
 
+// boot is a time of the boot in which the snapshot was taken.
+func boot(clock, uptime scheduler.Time) Timestamp { return Timestamp{clock, uptime, "b"} }
+
+var restoreCases = []struct {
+	name    string
+	now     Timestamp
+	change  func(p *Persisted, m map[scheduler.MachineID]MachineStart)
+	outlier float64 // log odds of m; -1: nothing of it is restored
+	ejected scheduler.Time
+	sends   int            // to m
+	known   scheduler.Time // the span before now of which all sends are known
+	ratios  bool           // of the traffic classes are restored
+	message string
+}{
+	{
+		"a second later", boot(1001*sec, 101*sec), nil, 4 * math.Exp2(-1.0/60), 1004 * sec, 2, 51 * sec, true,
+		"slow start restored sends=2 within_ms=6000",
+	},
+	{
+		"a minute later", boot(1060*sec, 160*sec), nil, 2, 1004 * sec, 0, 110 * sec, true,
+		"snapshot restored age_ms=60000 outlier_weight=0.5 full_weight=0;",
+	},
+	{
+		"so old that it is ignored", boot(1700*sec, 800*sec), nil, -1, 0, 0, 750 * sec, true,
+		"snapshot restored age_ms=700000 outlier_weight=0 ",
+	},
+	{
+		"two days old", boot((1000+48*3600)*sec, (100+48*3600)*sec), nil, -1, 0, 0, (50 + 48*3600) * sec, true,
+		"snapshot restored age_ms=172800000 outlier_weight=0 ",
+	},
+	{
+		"the clock was set forward", boot(4601*sec, 101*sec), nil, 4 * math.Exp2(-1.0/60), 4604 * sec, 2, 51 * sec,
+		true, "the clock was set since the snapshot, its times are adjusted jump_ms=3600000;",
+	},
+	{
+		"the clock was set back", boot(901*sec, 101*sec), nil, 4 * math.Exp2(-1.0/60), 904 * sec, 2, 51 * sec, true,
+		"its times are adjusted jump_ms=-100000;",
+	},
+	{
+		"another boot", Timestamp{1060 * sec, 10 * sec, "c"}, nil, 2, 1004 * sec, 0, 0, true,
+		"are not known, none are made for a window window_ms=3000",
+	},
+	{
+		"another boot, the clock went back", Timestamp{900 * sec, 10 * sec, "c"}, nil, -1, 0, 0, 0, false,
+		"the clock went back over a restart of the system, the snapshot is not restored back_ms=100000;",
+	},
+	{"a machine that restarted meanwhile", boot(1001*sec, 101*sec), func(_ *Persisted, m map[scheduler.MachineID]MachineStart) {
+		m["m"] = MachineStart{8, 1000 * sec}
+	}, -1, 0, 0, 51 * sec, true, "slow start restored sends=0"},
+	{"a machine that is gone", boot(1001*sec, 101*sec), func(_ *Persisted, m map[scheduler.MachineID]MachineStart) { delete(m, "m") },
+		-1, 0, 0, 51 * sec, true, "slow start restored sends=0"},
+	{"other workload classes", boot(1001*sec, 101*sec), func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.ClassNames[0] = "x" },
+		4 * math.Exp2(-1.0/60), 1004 * sec, 2, 51 * sec, false, "their loss ratios are not restored"},
+	{"no sends were recorded", boot(1001*sec, 101*sec), func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.History = LogHistory{} },
+		4 * math.Exp2(-1.0/60), 1004 * sec, 0, 0, true, "are not known, none are made for a window"},
+	{"no snapshot, and a log", boot(1001*sec, 101*sec), func(p *Persisted, _ map[scheduler.MachineID]MachineStart) {
+		p.TakenAt, p.Snapshot = Timestamp{}, scheduler.Snapshot{}
+	}, 0, 0, 2, 51 * sec, false, "slow start restored sends=2"},
+	{"an incarnation that has just begun", boot(951*sec, 51*sec), func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.TakenAt = Timestamp{} },
+		4, 1004 * sec, 3, sec, true, "slow start restored sends=3"},
+}
+
 func TestRestoreWeighsByAge(t *testing.T) {
-	boot := func(clock, up scheduler.Time) Timestamp { return Timestamp{clock, up, "b"} }
-	for _, tc := range []struct {
-		name    string
-		now     Timestamp
-		change  func(p *Persisted, m map[scheduler.MachineID]MachineStart)
-		outlier float64 // log odds of m; -1: nothing of it is restored
-		ejected scheduler.Time
-		sends   int            // to m
-		known   scheduler.Time // the span before now of which all sends are known
-		ratios  bool           // of the traffic classes are restored
-		message string
-	}{
-		{
-			"a second later", boot(1001*sec, 101*sec), nil, 4 * math.Exp2(-1.0/60), 1004 * sec, 2, 51 * sec, true,
-			"slow start restored sends=2 within_ms=6000",
-		},
-		{
-			"a minute later", boot(1060*sec, 160*sec), nil, 2, 1004 * sec, 0, 110 * sec, true,
-			"snapshot restored age_ms=60000 outlier_weight=0.5 full_weight=0;",
-		},
-		{
-			"so old that it is ignored", boot(1700*sec, 800*sec), nil, -1, 0, 0, 750 * sec, true,
-			"snapshot restored age_ms=700000 outlier_weight=0 ",
-		},
-		{
-			"two days old", boot((1000+48*3600)*sec, (100+48*3600)*sec), nil, -1, 0, 0, (50 + 48*3600) * sec, true,
-			"snapshot restored age_ms=172800000 outlier_weight=0 ",
-		},
-		{
-			"the clock was set forward", boot(4601*sec, 101*sec), nil, 4 * math.Exp2(-1.0/60), 4604 * sec, 2, 51 * sec,
-			true, "the clock was set since the snapshot, its times are adjusted jump_ms=3600000;",
-		},
-		{
-			"the clock was set back", boot(901*sec, 101*sec), nil, 4 * math.Exp2(-1.0/60), 904 * sec, 2, 51 * sec, true,
-			"its times are adjusted jump_ms=-100000;",
-		},
-		{
-			"another boot", Timestamp{1060 * sec, 10 * sec, "c"}, nil, 2, 1004 * sec, 0, 0, true,
-			"are not known, none are made for a window window_ms=3000",
-		},
-		{
-			"another boot, the clock went back", Timestamp{900 * sec, 10 * sec, "c"}, nil, -1, 0, 0, 0, false,
-			"the clock went back over a restart of the system, the snapshot is not restored back_ms=100000;",
-		},
-		{"a machine that restarted meanwhile", boot(1001*sec, 101*sec), func(_ *Persisted, m map[scheduler.MachineID]MachineStart) {
-			m["m"] = MachineStart{8, 1000 * sec}
-		}, -1, 0, 0, 51 * sec, true, "slow start restored sends=0"},
-		{"a machine that is gone", boot(1001*sec, 101*sec), func(_ *Persisted, m map[scheduler.MachineID]MachineStart) { delete(m, "m") },
-			-1, 0, 0, 51 * sec, true, "slow start restored sends=0"},
-		{"other workload classes", boot(1001*sec, 101*sec), func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.ClassNames[0] = "x" },
-			4 * math.Exp2(-1.0/60), 1004 * sec, 2, 51 * sec, false, "their loss ratios are not restored"},
-		{"no sends were recorded", boot(1001*sec, 101*sec), func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.History = LogHistory{} },
-			4 * math.Exp2(-1.0/60), 1004 * sec, 0, 0, true, "are not known, none are made for a window"},
-		{"no snapshot, and a log", boot(1001*sec, 101*sec), func(p *Persisted, _ map[scheduler.MachineID]MachineStart) {
-			p.TakenAt, p.Snapshot = Timestamp{}, scheduler.Snapshot{}
-		}, 0, 0, 2, 51 * sec, false, "slow start restored sends=2"},
-		{"an incarnation that has just begun", boot(951*sec, 51*sec), func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.TakenAt = Timestamp{} },
-			4, 1004 * sec, 3, sec, true, "slow start restored sends=3"},
-	} {
+	for _, tc := range restoreCases {
 		t.Run(tc.name, func(t *testing.T) {
 			p, machines := persisted(), map[scheduler.MachineID]MachineStart{"m": {7, 900 * sec}}
 			if tc.change != nil {
