--- a/internal/controller/server/kept.go
+++ b/internal/controller/server/kept.go
@@ -30,7 +30,7 @@
 // recordLog are what a keeper has on disk. What is asked of placers and answered to owners waits until it is there.
 type recordLog struct {
 	h       *Server
-	dir     *vfs.LockedDir
+	dir     *vfs.Dir
 	log     *wal.Log
 	ceiling int64
 	made    map[string]JobRecord  // jobs that are, by id
--- a/internal/controller/server/links.go
+++ b/internal/controller/server/links.go
@@ -73,7 +73,7 @@
 		h.events = append(h.events, controller.PlacementAnswered{RequestID: f.ContainerID, Verdict: verdictOf(f.Verdict), Machine: f.Machine,
 			RetryAfter: scheduler.Time(f.RetryAfter), Message: f.Message})
 	case *protocol.Termination:
-		h.events = append(h.events, controller.ContainerEnded{RequestID: f.ContainerID, Outcome: f.Outcome.Scheduler(), Reason: scheduler.Reason(f.Reason)})
+		h.events = append(h.events, controller.ContainerEnded{RequestID: f.ContainerID, Outcome: f.Outcome.SchedulerOutcome(), Reason: scheduler.Reason(f.Reason)})
 	case *protocol.ExplainReply:
 		h.answered(f.Seq, f)
 	case *protocol.Heartbeat:
--- a/internal/protocol/outcome.go
+++ b/internal/protocol/outcome.go
@@ -5,8 +5,8 @@
 var schedulerOutcomes = [...]scheduler.Outcome{OutcomeFinished: scheduler.OutcomeFinished, OutcomeErrored: scheduler.OutcomeErrored, OutcomeFull: scheduler.OutcomeFull, OutcomeStopped: scheduler.OutcomeStopped,
 	OutcomeLost: scheduler.OutcomeLost}
 
-// Scheduler is the outcome in the words of the decisions.
-func (o Outcome) Scheduler() scheduler.Outcome { return schedulerOutcomes[o] }
+// SchedulerOutcome is the outcome in the words of the decisions.
+func (o Outcome) SchedulerOutcome() scheduler.Outcome { return schedulerOutcomes[o] }
 
 // OutcomeFromScheduler is the outcome that an owner is told; what has no like on the wire was lost.
 func OutcomeFromScheduler(p scheduler.Outcome) Outcome {
--- a/internal/schedulerd/machine.go
+++ b/internal/schedulerd/machine.go
@@ -309,7 +309,7 @@
 		}
 		return
 	}
-	o := f.Outcome.Scheduler()
+	o := f.Outcome.SchedulerOutcome()
 	if !b.accepted && o == scheduler.OutcomeFinished { // it ran, whatever became of the yes
 		m.server.attemptAccepted(b)
 	}
--- a/internal/storage/vfs/disk.go
+++ b/internal/storage/vfs/disk.go
@@ -40,14 +40,14 @@
 
 const lockFileName = "lock"
 
-// LockedDir is a folder of the system's, held against other instances until Close.
-type LockedDir struct {
+// Dir is a folder of the system's, held against other instances until Close.
+type Dir struct {
 	path string
 	lock *os.File
 }
 
 // OpenLocked makes the folder where there is none, holds it, and sees that it can be written to.
-func OpenLocked(path string) (*LockedDir, error) {
+func OpenLocked(path string) (*Dir, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return nil, err
 	}
@@ -63,7 +63,7 @@
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	d := &LockedDir{path, l}
+	d := &Dir{path, l}
 	if err := l.Truncate(0); err == nil {
 		_, err = l.WriteAt(fmt.Appendf(nil, "process %d\n", os.Getpid()), 0)
 	}
@@ -75,7 +75,7 @@
 }
 
 // OpenReadOnly opens a folder to be read only; another instance may hold it.
-func OpenReadOnly(path string) (*LockedDir, error) {
+func OpenReadOnly(path string) (*Dir, error) {
 	s, err := os.Stat(path)
 	if err != nil {
 		return nil, err
@@ -83,11 +83,11 @@
 	if !s.IsDir() {
 		return nil, fmt.Errorf("%s is no folder", path)
 	}
-	return &LockedDir{path: path}, nil
+	return &Dir{path: path}, nil
 }
 
 // Close lets go of the folder.
-func (d *LockedDir) Close() error {
+func (d *Dir) Close() error {
 	if d.lock == nil {
 		return nil
 	}
@@ -99,7 +99,7 @@
 // Sync leaves out what tells only when a file was changed.
 func (f osFile) Sync() error { return unix.Fdatasync(int(f.Fd())) }
 
-func (d *LockedDir) open(name string, flags int) (File, error) {
+func (d *Dir) open(name string, flags int) (File, error) {
 	f, err := os.OpenFile(filepath.Join(d.path, name), flags|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
@@ -107,18 +107,18 @@
 	return osFile{f}, nil
 }
 
-func (d *LockedDir) Create(name string) (File, error) { return d.open(name, os.O_CREATE|os.O_EXCL) }
-func (d *LockedDir) Append(name string) (File, error) { return d.open(name, 0) }
-func (d *LockedDir) Read(name string) ([]byte, error) {
+func (d *Dir) Create(name string) (File, error) { return d.open(name, os.O_CREATE|os.O_EXCL) }
+func (d *Dir) Append(name string) (File, error) { return d.open(name, 0) }
+func (d *Dir) Read(name string) ([]byte, error) {
 	return os.ReadFile(filepath.Join(d.path, name))
 }
-func (d *LockedDir) Remove(name string) error { return os.Remove(filepath.Join(d.path, name)) }
+func (d *Dir) Remove(name string) error { return os.Remove(filepath.Join(d.path, name)) }
 
-func (d *LockedDir) Rename(from, to string) error {
+func (d *Dir) Rename(from, to string) error {
 	return os.Rename(filepath.Join(d.path, from), filepath.Join(d.path, to))
 }
 
-func (d *LockedDir) List() ([]string, error) {
+func (d *Dir) List() ([]string, error) {
 	all, err := os.ReadDir(d.path)
 	var names []string
 	for _, e := range all {
@@ -129,7 +129,7 @@
 	return names, err
 }
 
-func (d *LockedDir) Sync() error {
+func (d *Dir) Sync() error {
 	f, err := os.Open(d.path)
 	if err != nil {
 		return err
--- a/internal/storage/vfs/disk_test.go
+++ b/internal/storage/vfs/disk_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-func mustOpen(t *testing.T, path string) *LockedDir {
+func mustOpen(t *testing.T, path string) *Dir {
 	t.Helper()
 	d, err := OpenLocked(path)
 	if err != nil {
