--- a/measure/store/store_test.go
+++ b/measure/store/store_test.go
@@ -1,9 +1,11 @@
-// Package store measures glenport's store beside two libraries: commits a second with a sync each, and what becomes
-// of a folder in which one bit was turned over. It is a module of its own, so that glenport does not depend on them.
+// Package store measures the write-ahead log beside two libraries: commits a second with a sync each, and what becomes of a
+// directory in which one bit was flipped. It is a module of its own, so that glenport does not depend on the libraries.
 package store
 
 import (
+	"bytes"
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"os"
 	"os/exec"
@@ -21,185 +23,263 @@
 )
 
 const (
-	size    = 200 // bytes of a value
-	records = 1000
+	valueSize = 200 // bytes
+	records   = 1000
+	keys      = 100_000
+	flips     = 60
 )
 
-type quiet struct{}
+// Environment of the subprocess that opens a damaged directory.
+const (
+	directoryVariable = "OPEN_FOLDER"
+	engineVariable    = "OPEN_ENGINE"
+)
 
-func (quiet) Infof(string, ...any)  {}
-func (quiet) Errorf(string, ...any) {}
-func (quiet) Fatalf(f string, a ...any) {
-	panic(fmt.Sprintf(f, a...))
+// engine is an open store.
+type engine struct {
+	commit func(key, value []byte) error // returns when the value is on disk
+	get    func(key []byte) []byte
+	close  func() error
 }
 
-// opened is one of the three, with a commit that returns when it is on disk.
-type opened struct {
-	commit func(key, value []byte) error
-	get    func(key []byte) []byte
-	close  func()
+var engines = map[string]func(dir string) (engine, error){
+	"glenport": openWAL,
+	"pebble":   openPebble,
+	"bbolt":    openBolt,
 }
 
-var engines = map[string]func(dir string) (opened, error){
-	"glenport": func(dir string) (opened, error) {
-		d, err := vfs.Open(dir)
-		if err != nil {
-			return opened{}, err
-		}
-		s, _, err := wal.Open(d, wal.Terms{})
-		if err != nil {
-			return opened{}, err
-		}
-		held := map[string][]byte{}
-		s.State().Each("k", func(k string, v []byte) error {
-			held[k] = v
-			return nil
-		})
-		return opened{func(k, v []byte) error {
-			done := make(chan error, 1)
-			s.Commit([]wal.Change{{Kind: "k", Key: string(k), Value: v}}, true, func(err error) { done <- err })
-			return <-done
-		}, func(k []byte) []byte { return held[string(k)] }, func() { s.Close(); d.Close() }}, nil
-	},
-	"pebble": func(dir string) (opened, error) {
-		db, err := pebble.Open(dir, &pebble.Options{FormatMajorVersion: pebble.FormatNewest, Logger: quiet{}})
-		if err != nil {
-			return opened{}, err
-		}
-		return opened{func(k, v []byte) error { return db.Set(k, v, pebble.Sync) }, func(k []byte) []byte {
-			v, c, err := db.Get(k)
+func openWAL(path string) (engine, error) {
+	dir, err := vfs.OpenLocked(path)
+	if err != nil {
+		return engine{}, err
+	}
+	log, _, err := wal.Open(dir, wal.Options{})
+	if err != nil {
+		return engine{}, errors.Join(err, dir.Close())
+	}
+	loaded := map[string][]byte{}
+	err = log.State().ForEach("k", func(key string, value []byte) error {
+		loaded[key] = value
+		return nil
+	})
+	return engine{
+		commit: func(key, value []byte) error {
+			return log.CommitSync(wal.Change{Kind: "k", Key: string(key), Value: value})
+		},
+		get:   func(key []byte) []byte { return loaded[string(key)] },
+		close: func() error { return errors.Join(log.Close(), dir.Close()) },
+	}, err
+}
+
+// silentLogger drops the messages of pebble; a fatal one ends the process.
+type silentLogger struct{}
+
+func (silentLogger) Infof(string, ...any)  {}
+func (silentLogger) Errorf(string, ...any) {}
+func (silentLogger) Fatalf(format string, arguments ...any) {
+	panic(fmt.Sprintf(format, arguments...))
+}
+
+func openPebble(path string) (engine, error) {
+	db, err := pebble.Open(path, &pebble.Options{FormatMajorVersion: pebble.FormatNewest, Logger: silentLogger{}})
+	if err != nil {
+		return engine{}, err
+	}
+	return engine{
+		commit: func(key, value []byte) error { return db.Set(key, value, pebble.Sync) },
+		get: func(key []byte) []byte {
+			value, closer, err := db.Get(key)
 			if err != nil {
+				return nil // missing or damaged: the caller counts it as lost
+			}
+			copied := bytes.Clone(value)
+			if err := closer.Close(); err != nil {
 				return nil
 			}
-			defer c.Close()
-			return append([]byte(nil), v...)
-		}, func() { db.Close() }}, nil
-	},
-	"bbolt": func(dir string) (opened, error) {
-		db, err := bbolt.Open(filepath.Join(dir, "db"), 0o600, nil)
-		if err != nil {
-			return opened{}, err
-		}
-		db.MaxBatchDelay = time.Millisecond
-		if err := db.Update(func(t *bbolt.Tx) error {
-			_, err := t.CreateBucketIfNotExists([]byte("k"))
-			return err
-		}); err != nil {
-			return opened{}, err
-		}
-		return opened{func(k, v []byte) error {
-			return db.Batch(func(t *bbolt.Tx) error { return t.Bucket([]byte("k")).Put(k, v) })
-		}, func(k []byte) (v []byte) {
-			db.View(func(t *bbolt.Tx) error {
-				v = append([]byte(nil), t.Bucket([]byte("k")).Get(k)...)
+			return copied
+		},
+		close: db.Close,
+	}, nil
+}
+
+func openBolt(path string) (engine, error) {
+	bucket := []byte("k")
+	db, err := bbolt.Open(filepath.Join(path, "db"), 0o600, nil)
+	if err != nil {
+		return engine{}, err
+	}
+	db.MaxBatchDelay = time.Millisecond
+	err = db.Update(func(tx *bbolt.Tx) error {
+		_, err := tx.CreateBucketIfNotExists(bucket)
+		return err
+	})
+	if err != nil {
+		return engine{}, errors.Join(err, db.Close())
+	}
+	return engine{
+		commit: func(key, value []byte) error {
+			return db.Batch(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put(key, value) })
+		},
+		get: func(key []byte) (value []byte) {
+			err := db.View(func(tx *bbolt.Tx) error {
+				value = bytes.Clone(tx.Bucket(bucket).Get(key))
 				return nil
 			})
-			return v
-		}, func() { db.Close() }}, nil
-	},
+			if err != nil {
+				return nil
+			}
+			return value
+		},
+		close: db.Close,
+	}, nil
 }
 
-func key(n int64) []byte { return binary.BigEndian.AppendUint64(nil, uint64(n%100_000)) }
+func keyOf(n int64) []byte { return binary.BigEndian.AppendUint64(nil, uint64(n%keys)) }
+
+func valueOf(n int64) []byte {
+	value := make([]byte, valueSize)
+	binary.BigEndian.PutUint64(value, uint64(n))
+	return value
+}
 
 func BenchmarkCommit(b *testing.B) {
 	for _, clients := range []int{1, 16, 256} {
 		for _, name := range []string{"glenport", "pebble", "bbolt"} {
-			b.Run(fmt.Sprintf("%s/%d", name, clients), func(b *testing.B) {
-				e, err := engines[name](b.TempDir())
-				if err != nil {
-					b.Fatal(err)
-				}
-				defer e.close()
-				b.SetParallelism(clients)
-				var n atomic.Int64
-				b.RunParallel(func(p *testing.PB) {
-					v := make([]byte, size)
-					for p.Next() {
-						if err := e.commit(key(n.Add(1)), v); err != nil {
-							b.Error(err)
-						}
-					}
-				})
-				b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "commits/s")
-			})
+			b.Run(fmt.Sprintf("%s/%d", name, clients), func(b *testing.B) { benchmarkCommit(b, name, clients) })
 		}
 	}
 }
 
-// TestFlip leaves a folder as a crash would after a thousand kept commits, turns one bit over at each of many places,
-// and tells how many openings refused, fell over, or went on with less or other than what was kept.
-func TestFlip(t *testing.T) {
-	if dir := os.Getenv("OPEN_FOLDER"); dir != "" {
-		e, err := engines[os.Getenv("OPEN_ENGINE")](dir)
-		if err != nil {
-			fmt.Println("verdict: refused")
-			return
+func benchmarkCommit(b *testing.B, name string, clients int) {
+	e, err := engines[name](b.TempDir())
+	if err != nil {
+		b.Fatal(err)
+	}
+	defer func() {
+		if err := e.close(); err != nil {
+			b.Error(err)
 		}
-		good := 0
-		for n := range int64(records) {
-			if string(e.get(key(n))) == string(value(n)) {
-				good++
+	}()
+	b.SetParallelism(clients)
+	var n atomic.Int64
+	b.RunParallel(func(p *testing.PB) {
+		value := make([]byte, valueSize)
+		for p.Next() {
+			if err := e.commit(keyOf(n.Add(1)), value); err != nil {
+				b.Error(err)
 			}
 		}
-		fmt.Println("verdict: held", good)
+	})
+	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "commits/s")
+}
+
+// TestFlip leaves a directory as a crash would after a thousand commits, flips one bit at each of many places, and logs how
+// many openings were refused, crashed, or went on with less or other than what was committed. It compares the engines and
+// fails only where a trial cannot be run.
+func TestFlip(t *testing.T) {
+	if dir := os.Getenv(directoryVariable); dir != "" {
+		openDamaged(os.Getenv(engineVariable), dir)
 		return
 	}
-	for name, open := range engines {
-		dir := t.TempDir()
-		e, err := open(dir)
-		if err != nil {
-			t.Fatal(err)
+	for name := range engines {
+		t.Run(name, func(t *testing.T) { flipBits(t, name) })
+	}
+}
+
+// openDamaged prints how many values an engine finds in a directory. It runs in the subprocess.
+func openDamaged(name, dir string) {
+	e, err := engines[name](dir)
+	if err != nil {
+		fmt.Println("verdict: refused")
+		return
+	}
+	found := 0
+	for n := range int64(records) {
+		if bytes.Equal(e.get(keyOf(n)), valueOf(n)) {
+			found++
 		}
-		for n := range int64(records) {
-			if err := e.commit(key(n), value(n)); err != nil {
+	}
+	fmt.Println("verdict: held", found)
+}
+
+func flipBits(t *testing.T, name string) {
+	files := filesAfterCrash(t, name)
+	largest := ""
+	for file, data := range files {
+		if len(data) > len(files[largest]) {
+			largest = file
+		}
+	}
+	outcomes := map[string]int{}
+	for i := range flips {
+		damaged := bytes.Clone(files[largest])
+		damaged[(2*i+1)*len(damaged)/(2*flips)] ^= 4
+		dir := t.TempDir()
+		for file, data := range files {
+			if file == largest {
+				data = damaged
+			}
+			if err := os.WriteFile(filepath.Join(dir, file), data, 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
-		files := map[string][]byte{}
-		largest := ""
-		all, _ := os.ReadDir(dir)
-		for _, f := range all {
-			files[f.Name()], _ = os.ReadFile(filepath.Join(dir, f.Name()))
-			if len(files[f.Name()]) > len(files[largest]) {
-				largest = f.Name()
-			}
+		outcomes[outcomeOfOpening(t, name, dir)]++
+	}
+	t.Logf("%s: of %d flips in %s (%d bytes): %v", name, flips, largest, len(files[largest]), outcomes)
+}
+
+// filesAfterCrash returns the files of a directory with all records committed, read before the engine is closed.
+func filesAfterCrash(t *testing.T, name string) map[string][]byte {
+	t.Helper()
+	dir := t.TempDir()
+	e, err := engines[name](dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for n := range int64(records) {
+		if err := e.commit(keyOf(n), valueOf(n)); err != nil {
+			t.Fatal(err)
 		}
-		e.close()
-		tally := map[string]int{}
-		const flips = 60
-		for i := range flips {
-			copied := t.TempDir()
-			p := files[largest]
-			at := (2*i + 1) * len(p) / (2 * flips)
-			p[at] ^= 4
-			for f, data := range files {
-				os.WriteFile(filepath.Join(copied, f), data, 0o600)
-			}
-			p[at] ^= 4
-			c := exec.Command(os.Args[0], "-test.run=TestFlip", "-test.v")
-			c.Env = append(os.Environ(), "OPEN_FOLDER="+copied, "OPEN_ENGINE="+name)
-			out, _ := c.Output()
-			var good int
-			switch _, rest, ok := strings.Cut(string(out), "verdict: "); {
-			case !ok:
-				tally["fell over"]++
-			case strings.HasPrefix(rest, "refused"):
-				tally["refused"]++
-			default:
-				fmt.Sscanf(rest, "held %d", &good)
-				if good == records {
-					tally["nothing lost"]++
-				} else {
-					tally["lost or wrong without a word"]++
-				}
-			}
+	}
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	files := map[string][]byte{}
+	for _, entry := range entries {
+		if files[entry.Name()], err = os.ReadFile(filepath.Join(dir, entry.Name())); err != nil {
+			t.Fatal(err)
 		}
-		t.Logf("%s: of %d flips in %s (%d bytes): %v", name, flips, largest, len(files[largest]), tally)
 	}
+	if err := e.close(); err != nil {
+		t.Fatal(err)
+	}
+	return files
 }
 
-func value(n int64) []byte {
-	v := make([]byte, size)
-	binary.BigEndian.PutUint64(v, uint64(n))
-	return v
+// outcomeOfOpening opens a directory in a subprocess, which a library may crash.
+func outcomeOfOpening(t *testing.T, name, dir string) string {
+	t.Helper()
+	command := exec.Command(os.Args[0], "-test.run=TestFlip", "-test.v")
+	command.Env = append(os.Environ(), directoryVariable+"="+dir, engineVariable+"="+name)
+	output, err := command.Output()
+	var exit *exec.ExitError
+	if err != nil && !errors.As(err, &exit) {
+		t.Fatal(err)
+	}
+	_, verdict, ok := strings.Cut(string(output), "verdict: ")
+	if !ok {
+		return "crashed"
+	}
+	if strings.HasPrefix(verdict, "refused") {
+		return "refused"
+	}
+	found := 0
+	if _, err := fmt.Sscanf(verdict, "held %d", &found); err != nil {
+		t.Fatal(err)
+	}
+	if found == records {
+		return "nothing lost"
+	}
+	return "silently lost or wrong"
 }
