--- a/internal/storage/wal/checksummed.go
+++ b/internal/storage/wal/checksummed.go
@@ -9,37 +9,45 @@
 	"glenport/internal/storage/vfs"
 )
 
-// A whole file is replaced as one: eight bytes that name sort and version, the length of what follows, and a
-// checksum of all.
-const checksummedHeaderSize = 16
+// A checksummed file is replaced as a whole: seven bytes of magic, the version, the length of the body, a checksum of all
+// that and the body.
+const (
+	bodyLengthOffset      = 8
+	bodyChecksumOffset    = 12
+	checksummedHeaderSize = 16
+)
 
-// WriteChecksummed puts a file in the place of the one before, with a sort of seven letters.
-func WriteChecksummed(d vfs.FS, name, sort string, version byte, body []byte) error {
-	p := append([]byte(sort), version)
-	p = binary.BigEndian.AppendUint32(p, uint32(len(body)))
-	p = binary.BigEndian.AppendUint32(p, fileChecksum(p, body))
-	return vfs.WriteFileAtomic(d, name, append(p, body...))
+// WriteChecksummed replaces a file atomically. The magic is seven letters and tells the format of the body.
+func WriteChecksummed(fs vfs.FS, name, magic string, version byte, body []byte) error {
+	data := append([]byte(magic), version)
+	data = binary.BigEndian.AppendUint32(data, uint32(len(body)))
+	data = binary.BigEndian.AppendUint32(data, fileChecksum(data, body))
+	return vfs.WriteFileAtomic(fs, name, append(data, body...))
 }
 
 func fileChecksum(header, body []byte) uint32 {
-	return crc32.Update(crc32.Checksum(header[:12], castagnoli), castagnoli, body)
+	return crc32.Update(crc32.Checksum(header[:bodyChecksumOffset], castagnoli), castagnoli, body)
 }
 
-// ReadChecksummed reads such a file; its version is at most the one known.
-func ReadChecksummed(d vfs.FS, name, sort string, known byte) (version byte, body []byte, err error) {
-	p, err := d.Read(name)
+// ReadChecksummed reads a file that WriteChecksummed wrote, of any version up to the known one.
+func ReadChecksummed(fs vfs.FS, name, magic string, known byte) (version byte, body []byte, err error) {
+	data, err := fs.Read(name)
 	if err != nil {
 		return 0, nil, err
 	}
-	switch {
-	case len(p) < checksummedHeaderSize || !bytes.HasPrefix(p, []byte(sort)):
+	if len(data) < checksummedHeaderSize || !bytes.HasPrefix(data, []byte(magic)) {
 		return 0, nil, &CorruptionError{name, 0, "it does not begin as such a file does"}
-	case int(binary.BigEndian.Uint32(p[8:])) != len(p)-checksummedHeaderSize:
-		return 0, nil, &CorruptionError{name, 8, fmt.Sprintf("%d bytes follow where %d should", len(p)-checksummedHeaderSize, binary.BigEndian.Uint32(p[8:]))}
-	case fileChecksum(p, p[checksummedHeaderSize:]) != binary.BigEndian.Uint32(p[12:]):
-		return 0, nil, &CorruptionError{name, 12, "its checksum is wrong"}
-	case p[7] > known:
-		return 0, nil, &UnsupportedVersionError{name, int(p[7])}
 	}
-	return p[7], p[checksummedHeaderSize:], nil
+	version, body = data[versionOffset], data[checksummedHeaderSize:]
+	length := binary.BigEndian.Uint32(data[bodyLengthOffset:])
+	switch {
+	case int(length) != len(body):
+		detail := fmt.Sprintf("%d bytes follow where %d should", len(body), length)
+		return 0, nil, &CorruptionError{name, bodyLengthOffset, detail}
+	case fileChecksum(data, body) != binary.BigEndian.Uint32(data[bodyChecksumOffset:]):
+		return 0, nil, &CorruptionError{name, bodyChecksumOffset, "its checksum is wrong"}
+	case version > known:
+		return 0, nil, &UnsupportedVersionError{name, int(version)}
+	}
+	return version, body, nil
 }
--- /dev/null
+++ b/internal/storage/wal/compact.go
@@ -0,0 +1,65 @@
+package wal
+
+import (
+	"errors"
+	"os"
+
+	"glenport/internal/storage/vfs"
+)
+
+// Compact replaces the log of a directory that no process writes to by a snapshot.
+func Compact(fs vfs.FS) (before, after Stats, err error) {
+	l, before, err := Open(fs, Options{})
+	if err != nil {
+		return before, after, err
+	}
+	if err := l.Close(); err != nil {
+		return before, after, err
+	}
+	first := l.lastGroup + 1
+	if err := l.startSegment(first); err != nil && !errors.Is(err, os.ErrExist) { // it exists if the log is empty
+		return before, after, err
+	}
+	if err := l.closeSegment(); err != nil {
+		return before, after, err
+	}
+	if _, err := writeSnapshot(fs, first, l.state); err != nil {
+		return before, after, err
+	}
+	if err := removeFilesBefore(fs, first); err != nil {
+		return before, after, err
+	}
+	state, err := Load(fs, false)
+	if err != nil {
+		return before, after, err
+	}
+	return before, state.Stats, nil
+}
+
+// removeOlder removes what the snapshot before group first made obsolete. Recovery removes what is left after an error.
+func (l *Log) removeOlder(first uint64) {
+	if err := removeFilesBefore(l.fs, first); err != nil {
+		l.options.OnModeChange("older state not removed", "why", err)
+	}
+}
+
+// removeFilesBefore removes the segments and snapshots whose first group is before first.
+func removeFilesBefore(fs vfs.FS, first uint64) error {
+	names, err := fs.List()
+	if err != nil {
+		return err
+	}
+	for _, name := range names {
+		number, ok := parseFileName(name, segmentPrefix)
+		if !ok {
+			number, ok = parseFileName(name, snapshotPrefix)
+		}
+		if !ok || number >= first {
+			continue
+		}
+		if err := fs.Remove(name); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/storage/wal/errors.go
@@ -0,0 +1,59 @@
+package wal
+
+import (
+	"errors"
+	"fmt"
+	"syscall"
+)
+
+var (
+	// ErrSyncFailed reports that a sync failed. What of that file is on disk is unknown from then on, and a second sync
+	// would not tell: every commit is rejected until the whole state has been written to other files.
+	ErrSyncFailed = errors.New("the state folder cannot be trusted since a sync failed, and could not be written anew yet")
+
+	// ErrFull reports that the disk has no room for a commit. It stands in the chain beside the error of the file system.
+	ErrFull = errors.New("the disk is full")
+
+	// ErrClosed reports a commit after Close.
+	ErrClosed = errors.New("the state is closed")
+)
+
+// errTornGroup stops the reading of a segment at a group that is incomplete, damaged or out of sequence.
+var errTornGroup = errors.New("the group is torn")
+
+// CorruptionError reports that a file does not hold what was written to it. Nothing was changed.
+type CorruptionError struct {
+	File   string
+	Offset int // bytes from the start of the file
+	Detail string
+}
+
+func (e *CorruptionError) Error() string {
+	return fmt.Sprintf("%s, at byte %d: %s; nothing was changed: put a good copy of the folder back; `glenport state export` gives what stands before the damage",
+		e.File, e.Offset, e.Detail)
+}
+
+// UnsupportedVersionError reports that a file was written by a later version of the program.
+type UnsupportedVersionError struct {
+	File    string
+	Version int
+}
+
+func (e *UnsupportedVersionError) Error() string {
+	return fmt.Sprintf("%s is of version %d, this glenport knows %d: use the later one", e.File, e.Version, FormatVersion)
+}
+
+// fullError adds ErrFull to the chain of an error of the file system and leaves its text alone.
+type fullError struct{ cause error }
+
+func (e *fullError) Error() string        { return e.cause.Error() }
+func (e *fullError) Unwrap() error        { return e.cause }
+func (e *fullError) Is(target error) bool { return target == ErrFull }
+
+// classifyWriteError marks the errors of the file system that mean that there is no room.
+func classifyWriteError(err error) error {
+	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
+		return &fullError{err}
+	}
+	return err
+}
--- a/internal/storage/wal/golden_test.go
+++ b/internal/storage/wal/golden_test.go
@@ -178,7 +178,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := appendFileHeader(sort, first); !bytes.Equal(got, p[:headerSize]) {
+		if got := newFileHeader(sort, first); !bytes.Equal(got, p[:headerSize]) {
 			t.Errorf("%s: the header is encoded as %x, want %x", name, got, p[:headerSize])
 		}
 		fmt.Fprintf(&out, "  header: %s, version %d, first group %d\n", p[:7], p[7], first)
--- /dev/null
+++ b/internal/storage/wal/state.go
@@ -0,0 +1,93 @@
+package wal
+
+import (
+	"slices"
+
+	"github.com/tidwall/btree"
+)
+
+// State holds the values of a directory by kind and key.
+type State struct {
+	Stats
+	kinds map[string]*btree.Map[string, []byte]
+
+	// What loading found, for recovery.
+
+	skipChecksums   bool
+	segments        []segmentFile // from the newest snapshot on
+	obsolete        []string      // names of files that are no longer needed
+	lastValidSize   int           // bytes of the last segment up to its torn tail
+	lastHeaderIsBad bool          // the last segment was created and holds nothing
+}
+
+// Stats describe the files of a directory.
+type Stats struct {
+	FirstGroup     uint64 // the log is read from this group on, what precedes it is in the snapshot
+	LastGroup      uint64
+	Groups         int // read from the log
+	Records        int // values
+	Bytes          int // of snapshot and log
+	TruncatedBytes int // of an unfinished group at the end of the log
+}
+
+func newState() *State { return &State{kinds: map[string]*btree.Map[string, []byte]{}} }
+
+func (s *State) apply(changes []Change) {
+	for _, change := range changes {
+		values := s.kinds[change.Kind]
+		if values == nil {
+			values = &btree.Map[string, []byte]{}
+			s.kinds[change.Kind] = values
+		}
+		if change.Value == nil {
+			if _, existed := values.Delete(change.Key); existed {
+				s.Records--
+			}
+		} else if _, existed := values.Set(change.Key, change.Value); !existed {
+			s.Records++
+		}
+	}
+}
+
+// ForEach calls visit with the values of a kind in the order of their keys, until it returns an error.
+func (s *State) ForEach(kind string, visit func(key string, value []byte) error) error {
+	values := s.kinds[kind]
+	if values == nil {
+		return nil
+	}
+	var err error
+	values.Scan(func(key string, value []byte) bool {
+		err = visit(key, value)
+		return err == nil
+	})
+	return err
+}
+
+// Kinds returns the kinds that have values, sorted.
+func (s *State) Kinds() []string {
+	var kinds []string
+	for kind, values := range s.kinds {
+		if values.Len() > 0 {
+			kinds = append(kinds, kind)
+		}
+	}
+	slices.Sort(kinds)
+	return kinds
+}
+
+// Count returns the number of values of a kind.
+func (s *State) Count(kind string) int {
+	if values := s.kinds[kind]; values != nil {
+		return values.Len()
+	}
+	return 0
+}
+
+// clone returns a copy that shares its values with s and may be read while s changes.
+func (s *State) clone() *State {
+	copied := &State{Stats: s.Stats, kinds: map[string]*btree.Map[string, []byte]{}}
+	for kind, values := range s.kinds {
+		copied.kinds[kind] = values.Copy()
+	}
+	return copied
+}
--- a/internal/storage/wal/wal_test.go
+++ b/internal/storage/wal/wal_test.go
@@ -148,7 +148,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := appendFileHeader(segmentMagic, 1)
+	h := newFileHeader(segmentMagic, 1)
 	h[7] = version
 	h = binary.BigEndian.AppendUint32(h[:16], crc32.Checksum(h[:16], castagnoli))
 	d.Remove(name)
