--- /dev/null
+++ b/docs/docs_test.go
@@ -0,0 +1,263 @@
+// Package docs checks that the pages follow the code: paths, commands and names that they mention exist.
+package docs
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+const root = ".."
+
+// historical pages keep the paths and names of their time.
+var historical = map[string]bool{"docs/results.md": true, "docs/review-of-parts.md": true, "CHANGELOG.md": true}
+
+var (
+	codeSpan    = regexp.MustCompile("`([^`]+)`")
+	repoPath    = regexp.MustCompile(`(?:^|[\s(\x60"])((?:\.ci|cmd|deploy|docs|internal|measure|scenarios|scheduler|tools)/[\w./*-]*[\w*])`)
+	pageLink    = regexp.MustCompile(`\]\(([\w./-]+\.md)\)`)
+	commandCall = regexp.MustCompile(`(?:^|[\s/(])(glenport|glenport-testbed|adapter) ([^|;&]*)`)
+	flagName    = regexp.MustCompile(`^--([a-z-]+)`)
+	word        = regexp.MustCompile(`^[a-z][a-z-]*$`)
+	qualified   = regexp.MustCompile(`^([a-z]\w*)\.([A-Z]\w*)(?:\.([A-Z]\w*))?$`)
+	bareName    = regexp.MustCompile(`^[A-Z][A-Za-z]*[a-z][A-Za-z]*$`)
+)
+
+// pages are the texts of all pages by their path from the root.
+func pages(t *testing.T) map[string]string {
+	t.Helper()
+	all := map[string]string{}
+	for _, pattern := range []string{"*.md", "docs/*.md", "docs/*/*.md"} {
+		names, err := filepath.Glob(filepath.Join(root, pattern))
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, name := range names {
+			text, err := os.ReadFile(name)
+			if err != nil {
+				t.Fatal(err)
+			}
+			page := filepath.ToSlash(strings.TrimPrefix(name, root+string(filepath.Separator)))
+			if !historical[page] {
+				all[page] = string(text)
+			}
+		}
+	}
+	if len(all) < 20 {
+		t.Fatalf("only %d pages found", len(all))
+	}
+	return all
+}
+
+func exists(path string) bool {
+	found, err := filepath.Glob(path)
+	return err == nil && len(found) > 0
+}
+
+func TestPathsInPagesExist(t *testing.T) {
+	for page, text := range pages(t) {
+		for _, m := range repoPath.FindAllStringSubmatch(text, -1) {
+			path := strings.TrimSuffix(strings.TrimSuffix(m[1], "/..."), "...")
+			if !exists(filepath.Join(root, path)) {
+				t.Errorf("%s names %s, which does not exist", page, m[1])
+			}
+		}
+		for _, m := range pageLink.FindAllStringSubmatch(text, -1) {
+			if !exists(filepath.Join(root, filepath.Dir(page), m[1])) {
+				t.Errorf("%s links to %s, which does not exist", page, m[1])
+			}
+		}
+	}
+}
+
+// commandWords are the subcommands that the commands define, with whether one of that name takes arguments, and the flags.
+func commandWords(t *testing.T) (subcommands, flags map[string]bool) {
+	t.Helper()
+	subcommands, flags = map[string]bool{}, map[string]bool{}
+	for _, file := range sources(t, "cmd") {
+		ast.Inspect(file, func(n ast.Node) bool {
+			switch n := n.(type) {
+			case *ast.KeyValueExpr:
+				if key, ok := n.Key.(*ast.Ident); ok && (key.Name == "Use" || key.Name == "Aliases") {
+					for _, text := range literals(n.Value) {
+						if fields := strings.Fields(text); len(fields) > 0 {
+							subcommands[fields[0]] = subcommands[fields[0]] || len(fields) > 1
+						}
+					}
+				}
+			case *ast.CallExpr:
+				for _, arg := range n.Args {
+					for _, text := range literals(arg) {
+						flags[text] = true
+					}
+				}
+			}
+			return true
+		})
+	}
+	return subcommands, flags
+}
+
+// literals are the string literals of an expression, those of a slice included.
+func literals(e ast.Expr) []string {
+	switch e := e.(type) {
+	case *ast.BasicLit:
+		if s, err := strconv.Unquote(e.Value); err == nil && e.Kind == token.STRING {
+			return []string{s}
+		}
+	case *ast.CompositeLit:
+		var all []string
+		for _, x := range e.Elts {
+			all = append(all, literals(x)...)
+		}
+		return all
+	}
+	return nil
+}
+
+func TestCommandsInPagesExist(t *testing.T) {
+	subcommands, flags := commandWords(t)
+	for page, text := range pages(t) {
+		for _, call := range commandCalls(text) {
+			arguments := false
+			for _, w := range strings.Fields(call) {
+				w = strings.Trim(w, "`,.:()")
+				takes, known := subcommands[w]
+				if m := flagName.FindStringSubmatch(w); m != nil {
+					if !flags[m[1]] {
+						t.Errorf("%s: no command has --%s (%s)", page, m[1], call)
+					}
+					arguments = true
+				} else if arguments || !word.MatchString(w) {
+					arguments = true
+				} else if !known {
+					t.Errorf("%s: there is no command %q (%s)", page, w, call)
+				} else {
+					arguments = takes
+				}
+			}
+		}
+	}
+}
+
+// commandCalls are the calls of our programs in code spans and indented blocks, without the program's name. Of alternatives
+// such as "peers|routes" the first counts.
+func commandCalls(text string) []string {
+	var spans []string
+	for _, m := range codeSpan.FindAllStringSubmatch(text, -1) {
+		spans = append(spans, m[1])
+	}
+	for line := range strings.Lines(text) {
+		if strings.HasPrefix(line, "    ") {
+			spans = append(spans, strings.TrimSpace(line))
+		}
+	}
+	var calls []string
+	for _, s := range spans {
+		if m := commandCall.FindStringSubmatch(s); m != nil {
+			calls = append(calls, m[2])
+		}
+	}
+	return calls
+}
+
+// sources are the parsed files below a folder, tests left out.
+func sources(t *testing.T, folder string) map[string]*ast.File {
+	t.Helper()
+	files := map[string]*ast.File{}
+	fset := token.NewFileSet()
+	err := filepath.WalkDir(filepath.Join(root, folder), func(path string, d fs.DirEntry, err error) error {
+		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		f, err := parser.ParseFile(fset, path, nil, 0)
+		files[path] = f
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return files
+}
+
+// declared are all package-level names as package.Name, and fields and methods as package.Type.Name.
+func declared(t *testing.T) map[string]bool {
+	t.Helper()
+	names := map[string]bool{}
+	for _, folder := range []string{"scheduler", "internal"} {
+		for _, file := range sources(t, folder) {
+			for _, d := range file.Decls {
+				declare(names, file.Name.Name, d)
+			}
+		}
+	}
+	return names
+}
+
+func declare(names map[string]bool, pkg string, d ast.Decl) {
+	switch d := d.(type) {
+	case *ast.FuncDecl:
+		if d.Recv == nil {
+			names[pkg+"."+d.Name.Name] = true
+			return
+		}
+		receiver := d.Recv.List[0].Type
+		if star, ok := receiver.(*ast.StarExpr); ok {
+			receiver = star.X
+		}
+		if id, ok := receiver.(*ast.Ident); ok {
+			names[pkg+"."+id.Name+"."+d.Name.Name] = true
+		}
+	case *ast.GenDecl:
+		for _, spec := range d.Specs {
+			switch s := spec.(type) {
+			case *ast.ValueSpec:
+				for _, id := range s.Names {
+					names[pkg+"."+id.Name] = true
+				}
+			case *ast.TypeSpec:
+				names[pkg+"."+s.Name.Name] = true
+				if st, ok := s.Type.(*ast.StructType); ok {
+					for _, f := range st.Fields.List {
+						for _, id := range f.Names {
+							names[pkg+"."+s.Name.Name+"."+id.Name] = true
+						}
+					}
+				}
+			}
+		}
+	}
+}
+
+// TestGlossaryNamesExist looks up each name of the glossary's tables. A bare name that follows a type in a cell is a field or method of it.
+func TestGlossaryNamesExist(t *testing.T) {
+	names, checked := declared(t), 0
+	for line := range strings.Lines(pages(t)["docs/glossary.md"]) {
+		for _, cell := range strings.Split(line, "|") {
+			typeName := ""
+			for _, m := range codeSpan.FindAllStringSubmatch(cell, -1) {
+				name := m[1]
+				if q := qualified.FindStringSubmatch(name); q != nil {
+					typeName = q[1] + "." + q[2]
+				} else if bareName.MatchString(name) && typeName != "" {
+					name = typeName + "." + name
+				} else {
+					continue
+				}
+				if checked++; !names[name] {
+					t.Errorf("docs/glossary.md names %s, which does not exist", name)
+				}
+			}
+		}
+	}
+	if checked < 100 {
+		t.Errorf("only %d names found", checked)
+	}
+}
