--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -130,16 +130,18 @@
 			for _, w := range strings.Fields(call) {
 				w = strings.Trim(w, "`,.:()")
 				takes, known := subcommands[w]
-				if m := flagName.FindStringSubmatch(w); m != nil {
+				m := flagName.FindStringSubmatch(w)
+				switch {
+				case m != nil:
 					if !flags[m[1]] {
 						t.Errorf("%s: no command has --%s (%s)", page, m[1], call)
 					}
 					arguments = true
-				} else if arguments || !word.MatchString(w) {
+				case arguments || !word.MatchString(w):
 					arguments = true
-				} else if !known {
+				case !known:
 					t.Errorf("%s: there is no command %q (%s)", page, w, call)
-				} else {
+				default:
 					arguments = takes
 				}
 			}
