--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -20,14 +20,16 @@
 var historical = map[string]bool{"docs/results.md": true, "docs/review-of-parts.md": true, "CHANGELOG.md": true}
 
 var (
-	codeSpan    = regexp.MustCompile("`([^`]+)`")
-	repoPath    = regexp.MustCompile(`(?:^|[\s(\x60"])((?:\.ci|cmd|deploy|docs|internal|measure|scenarios|scheduler|tools)/[\w./*-]*[\w*])`)
-	pageLink    = regexp.MustCompile(`\]\(([\w./-]+\.md)\)`)
-	commandCall = regexp.MustCompile(`(?:^|[\s/(])(glenport|glenport-testbed|adapter) ([^|;&]*)`)
-	flagName    = regexp.MustCompile(`^--([a-z-]+)`)
-	word        = regexp.MustCompile(`^[a-z][a-z-]*$`)
-	qualified   = regexp.MustCompile(`^([a-z]\w*)\.([A-Z]\w*)(?:\.([A-Z]\w*))?$`)
-	bareName    = regexp.MustCompile(`^[A-Z][A-Za-z]*[a-z][A-Za-z]*$`)
+	codeSpan     = regexp.MustCompile("`([^`]+)`")
+	repoPath     = regexp.MustCompile(`(?:^|[\s(\x60"])((?:\.ci|cmd|deploy|docs|internal|measure|scenarios|scheduler|tools)/[\w./*-]*[\w*])`)
+	pageLink     = regexp.MustCompile(`\]\(([\w./-]+\.md)\)`)
+	commandCall  = regexp.MustCompile(`(?:^|[\s/(])(glenport|glenport-testbed|adapter) ([^|;&]*)`)
+	flagName     = regexp.MustCompile(`^--([a-z-]+)`)
+	word         = regexp.MustCompile(`^[a-z][a-z-]*$`)
+	qualified    = regexp.MustCompile(`^([a-z]\w*)\.([A-Z]\w*)(?:\.([A-Z]\w*))?$`)
+	testFunction = regexp.MustCompile(`(?m)^func (Test\w+)\(`)
+	testName     = regexp.MustCompile(`\bTest[A-Z]\w*`)
+	bareName     = regexp.MustCompile(`^[A-Z][A-Za-z]*[a-z][A-Za-z]*$`)
 )
 
 // pages are the texts of all pages by their path from the root.
@@ -77,6 +79,32 @@
 	}
 }
 
+func TestTestsInPagesExist(t *testing.T) {
+	defined := map[string]bool{}
+	for _, pattern := range []string{"*/*_test.go", "*/*/*_test.go", "*/*/*/*_test.go", "*/*/*/*/*_test.go"} {
+		names, err := filepath.Glob(filepath.Join(root, pattern))
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, name := range names {
+			text, err := os.ReadFile(name)
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, m := range testFunction.FindAllStringSubmatch(string(text), -1) {
+				defined[m[1]] = true
+			}
+		}
+	}
+	for page, text := range pages(t) {
+		for _, name := range testName.FindAllString(text, -1) {
+			if !defined[name] {
+				t.Errorf("%s names %s, which does not exist", page, name)
+			}
+		}
+	}
+}
+
 // commandWords are the subcommands that the commands define, with whether one of that name takes arguments, and the flags.
 func commandWords(t *testing.T) (subcommands, flags map[string]bool) {
 	t.Helper()
