--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -56,7 +56,7 @@
 // respond answers the client: a rejection where a retry by it does no harm, else a failure.
 func (s *Scheduler) respond(c *container) {
 	if c.firstRunOn == nil {
-		c.firstRunOn = c.machine
+		c.firstRunOn = c.machine // an attempt without an outcome may run
 	}
 	if c.retryIsSafe() {
 		s.emit(Reject{ID: c.request.ID})
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -8,17 +8,17 @@
 // Outlier detection is a sequential test of whether a machine is an outlier or healthy, by its failure rate.
 // Each outcome moves the log odds between the two.
 const (
-	outlierFailureRate = 0.6
-	healthyFailureRate = 0.05
+	outlierFailureRate = 0.6                   // part of its attempts that an outlier fails
+	healthyFailureRate = 0.05                  // part that a healthy machine fails
 	ejectionThreshold  = 4.6                   // 99 to 1; two failures in a row reach it
 	maxLogOdds         = 2 * ejectionThreshold // so that later evidence still counts
 	readmissionMargin  = 1                     // below the threshold: one more failure ejects again
 
-	baseEjectionTime   = 2 * Second
+	baseEjectionTime   = 2 * Second // doubles with each ejection, until the log odds are even again
 	maxEjectionTime    = 8 * Second
-	probeRetryInterval = baseEjectionTime / 2
-	silenceBeforeProbe = Second / 2 // age of an attempt on a machine that was not heard of since
-	selfDrainingTime   = 5 * Second // after the last sign of it
+	probeRetryInterval = baseEjectionTime / 2 // after a probe of an ejected machine that failed
+	silenceBeforeProbe = Second / 2           // age of an attempt on a machine that was not heard of since
+	selfDrainingTime   = 5 * Second           // after the last sign of it
 )
 
 func (m *machine) isEjected() bool { return m.ejectedUntil > 0 }
--- a/scheduler/timers.go
+++ b/scheduler/timers.go
@@ -3,7 +3,7 @@
 import "sort"
 
 const (
-	maintenanceInterval = Second / 4
+	maintenanceInterval = Second / 4 // also how far ahead deadlines get a timer
 
 	maintenanceTimer = "sweep" // these names pass through the simulator's wire
 	deadlineTimer    = "due"
--- a/scheduler/trafficclass.go
+++ b/scheduler/trafficclass.go
@@ -8,8 +8,8 @@
 // A second sequential test finds machines that fail one traffic class (a workload class or a tenant) but
 // serve others. Its hypotheses are the parts of the class's attempts that a machine loses.
 const (
-	failingClassLossRate = 0.85
-	minLossRate          = 0.02
+	failingClassLossRate = 0.85        // of a machine that fails the class: nearly all
+	minLossRate          = 0.02        // of any other, even where its peers lose nothing
 	evidenceDecay        = 20 * Second // in which evidence falls to 1/e
 	minExcessLoss        = 0.01        // bounds of the prior, for few or only lost attempts
 	maxExcessLoss        = 0.9
