--- /dev/null
+++ b/internal/storage/wal/checksummed_test.go
@@ -0,0 +1,65 @@
+package wal
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+
+	"glenport/internal/storage/faultfs"
+)
+
+const replacedFile = "testdata/replaced.bin" // magic GOLDENF, version 3, "what it holds"
+
+// A file that is replaced as a whole has the bytes that it always had, and is read again.
+func TestReplacedFileKeepsItsBytes(t *testing.T) {
+	fs := faultfs.New()
+	if err := WriteChecksummed(fs, "f", "GOLDENF", 3, []byte("what it holds")); err != nil {
+		t.Fatal(err)
+	}
+	written := mustRead(t, fs, "f")
+	if *update {
+		if err := os.WriteFile(replacedFile, written, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(replacedFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(written, want) {
+		t.Errorf("written as\n%x, want\n%x", written, want)
+	}
+	version, body, err := ReadChecksummed(directoryOf(t, map[string][]byte{"f": want}), "f", "GOLDENF", 3)
+	if err != nil || version != 3 || string(body) != "what it holds" {
+		t.Errorf("version %d, %q, %v", version, body, err)
+	}
+}
+
+// A file that does not hold what was written, or is of a later version, is refused.
+func TestDamagedChecksummedFileIsRefused(t *testing.T) {
+	whole, err := os.ReadFile(replacedFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for title, tc := range map[string]struct {
+		damage func(p []byte) []byte
+		known  byte
+		want   string
+	}{
+		"too short":        {func(p []byte) []byte { return p[:15] }, 3, "f, at byte 0: it does not begin as such a file does"},
+		"another magic":    {func(p []byte) []byte { p[0] = 'X'; return p }, 3, "f, at byte 0: it does not begin as such a file does"},
+		"cut short":        {func(p []byte) []byte { return p[:20] }, 3, "f, at byte 8: 4 bytes follow where 13 should"},
+		"one bit":          {func(p []byte) []byte { p[20] ^= 1; return p }, 3, "f, at byte 12: its checksum is wrong"},
+		"a later version":  {func(p []byte) []byte { return p }, 2, "f is of version 3, this glenport knows 1: use the later one"},
+		"an older version": {func(p []byte) []byte { return p }, 4, ""},
+		"damaged version":  {func(p []byte) []byte { p[7] = 9; return p }, 3, "f, at byte 12: its checksum is wrong"},
+	} {
+		directory := directoryOf(t, map[string][]byte{"f": tc.damage(bytes.Clone(whole))})
+		_, _, err := ReadChecksummed(directory, "f", "GOLDENF", tc.known)
+		if got := fmt.Sprint(err); (err == nil) != (tc.want == "") || err != nil && !strings.HasPrefix(got, tc.want) {
+			t.Errorf("%s: %v, want %s", title, err, tc.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/storage/wal/load_test.go
@@ -0,0 +1,134 @@
+package wal
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"hash/crc32"
+	"slices"
+	"strings"
+	"testing"
+
+	"glenport/internal/storage/faultfs"
+	"glenport/internal/storage/vfs"
+)
+
+const firstSegment = "log-0000000000000001"
+
+// tenGroups returns a directory with ten groups in one segment and the mark of a clean end.
+func tenGroups(t *testing.T) *faultfs.FS {
+	t.Helper()
+	fs := faultfs.New()
+	l, _ := mustOpen(t, fs, Options{})
+	for i := range 10 {
+		mustCommit(t, l, true, put(fmt.Sprint(i), strings.Repeat("x", 100)))
+	}
+	mustClose(t, l)
+	return fs
+}
+
+// Corruption is reported with its place, and the directory is left alone; only what a crash may leave is tolerated.
+func TestCorruptionIsReportedWithItsPlace(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		damage func(t *testing.T, fs *faultfs.FS)
+		want   string // of the error; empty: the directory is opened
+		left   int    // records
+	}{
+		{"nothing", func(*testing.T, *faultfs.FS) {}, "", 10},
+		{"a truncated tail", func(t *testing.T, fs *faultfs.FS) {
+			size := len(mustRead(t, fs, firstSegment))
+			mustTruncate(t, fs, firstSegment, size-80) // the mark of the clean end, and a part of the last group
+		}, "", 9},
+		{"a corrupt middle", func(t *testing.T, fs *faultfs.FS) { mustFlipBit(t, fs, firstSegment, 8*400) },
+			"group 3 is damaged; it was kept, as group 4", 0},
+		{"a corrupt length in the middle", func(t *testing.T, fs *faultfs.FS) {
+			mustFlipBit(t, fs, firstSegment, 8*(headerSize+groupLengthOffset))
+		}, "group 1 is damaged", 0},
+		{"a corrupt beginning", func(t *testing.T, fs *faultfs.FS) { mustFlipBit(t, fs, firstSegment, 8*3) },
+			"at byte 0: it does not begin", 0},
+		{"a later version", func(t *testing.T, fs *faultfs.FS) { changeVersion(t, fs, firstSegment, FormatVersion+1) },
+			"use the later one", 0},
+		{"a missing segment", func(t *testing.T, fs *faultfs.FS) {
+			if err := fs.Rename(firstSegment, "log-0000000000000004"); err != nil {
+				t.Fatal(err)
+			}
+		}, "a file is missing", 0},
+		{"an unfinished snapshot", func(t *testing.T, fs *faultfs.FS) {
+			mustCreate(t, fs, "snapshot-000000000000000b.new", nil)
+		}, "", 10},
+		{"a snapshot cut short", func(t *testing.T, fs *faultfs.FS) {
+			mustCompact(t, fs)
+			mustTruncate(t, fs, newestSnapshot(t, fs), 300)
+		}, "part 0 of it is damaged", 0},
+		{"a snapshot without its log", func(t *testing.T, fs *faultfs.FS) {
+			mustCompact(t, fs)
+			mustRemove(t, fs, strings.Replace(newestSnapshot(t, fs), snapshotPrefix, segmentPrefix, 1))
+		}, "the log from group 13 on is missing", 0},
+		{"compacted twice", func(t *testing.T, fs *faultfs.FS) {
+			mustCompact(t, fs)
+			mustCompact(t, fs)
+		}, "", 10},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			fs := tenGroups(t)
+			tc.damage(t, fs)
+			if tc.want != "" {
+				wantRefused(t, fs, tc.want)
+				return
+			}
+			l, stats := mustOpen(t, fs, Options{})
+			defer mustClose(t, l)
+			if stats.Records != tc.left || len(valuesOf(t, l.State())) != tc.left {
+				t.Errorf("%+v", stats)
+			}
+			mustCommit(t, l, true, put("more", "y"))
+		})
+	}
+}
+
+// wantRefused opens a directory that must be refused with a typed error and without a change to its files.
+func wantRefused(t *testing.T, fs vfs.FS, want string) {
+	t.Helper()
+	before := mustList(t, fs)
+	_, _, err := Open(fs, Options{})
+	if err == nil || !strings.Contains(err.Error(), want) {
+		t.Errorf("%v, want %s", err, want)
+	}
+	var corruption *CorruptionError
+	var unsupported *UnsupportedVersionError
+	if !errors.As(err, &corruption) && !errors.As(err, &unsupported) {
+		t.Errorf("error of type %T", err)
+	}
+	if after := mustList(t, fs); !slices.Equal(before, after) {
+		t.Errorf("a damaged directory was changed from %v to %v", before, after)
+	}
+}
+
+// changeVersion gives a segment another version, with a right checksum.
+func changeVersion(t *testing.T, fs *faultfs.FS, name string, version byte) {
+	t.Helper()
+	data := mustRead(t, fs, name)
+	header := newFileHeader(segmentMagic, 1)[:headerChecksumOffset]
+	header[versionOffset] = version
+	header = binary.BigEndian.AppendUint32(header, crc32.Checksum(header, castagnoli))
+	mustRemove(t, fs, name)
+	mustCreate(t, fs, name, append(header, data[headerSize:]...))
+}
+
+func TestErrorsNameFileAndPlace(t *testing.T) {
+	fs := tenGroups(t)
+	mustFlipBit(t, fs, firstSegment, 8*400)
+	_, err := Load(fs, false) // the third group, behind the header and two of 136 bytes
+	var corruption *CorruptionError
+	if !errors.As(err, &corruption) || corruption.File != firstSegment || corruption.Offset != 292 {
+		t.Errorf("corruption is reported as %+v", err)
+	}
+	fs = tenGroups(t)
+	changeVersion(t, fs, firstSegment, 7)
+	_, err = Load(fs, false)
+	var unsupported *UnsupportedVersionError
+	if !errors.As(err, &unsupported) || unsupported.File != firstSegment || unsupported.Version != 7 {
+		t.Errorf("a later version is reported as %+v", err)
+	}
+}
--- /dev/null
+++ b/internal/storage/wal/operations_test.go
@@ -0,0 +1,121 @@
+package wal
+
+import (
+	"crypto/sha256"
+	"errors"
+	"fmt"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+
+	"glenport/internal/storage/faultfs"
+)
+
+// describeError says what callers may ask of an error.
+func describeError(err error) string {
+	return fmt.Sprintf("failed %t, sync failed %t, closed %t, disk %t", err != nil, errors.Is(err, ErrSyncFailed),
+		errors.Is(err, ErrClosed), errors.Is(err, syscall.EIO))
+}
+
+// historyTrial plays a scripted history on a directory whose operations may fail, and notes each operation and result. No
+// snapshot is written in the background, so the order of the operations is fixed.
+type historyTrial struct {
+	fs         *faultfs.FS
+	note       func(format string, arguments ...any)
+	fails      func(operation int, kind string) bool
+	operations int
+}
+
+// run returns the number of operations.
+func (h *historyTrial) run(t *testing.T) int {
+	t.Helper()
+	h.fs = faultfs.New()
+	h.fs.InjectError = h.injectError
+	h.openAndCommit(1)
+	_, _, err := Compact(h.fs)
+	h.note("compact: %s", describeError(err))
+	h.openAndCommit(11)
+	h.note("replace: %s", describeError(WriteChecksummed(h.fs, "replaced", "GOLDENF", 1, []byte("body"))))
+	h.fs.InjectError = nil
+	h.noteResult(t)
+	return h.operations
+}
+
+func (h *historyTrial) injectError(kind, name string) error {
+	h.note("  %s %s", kind, name)
+	operation := h.operations
+	h.operations++
+	if h.fails(operation, kind) {
+		return syscall.EIO
+	}
+	return nil
+}
+
+func (h *historyTrial) openAndCommit(from int) {
+	l, _, err := Open(h.fs, Options{OnModeChange: func(string, ...any) { h.note("mode changed") }})
+	h.note("open: %s", describeError(err))
+	if err != nil {
+		return
+	}
+	for i := from; i < from+3; i++ {
+		err := commitAndWait(l, i%2 == 0, put(fmt.Sprint(i), "value"), Change{Kind: "k", Key: fmt.Sprint(i - 2)})
+		h.note("commit %d: %s", i, describeError(err))
+	}
+	h.note("keep: %s", describeError(l.CommitSync(goldenPut("kept", fmt.Sprint(from), "value"))))
+	h.note("close: %s", describeError(l.Close()))
+	h.note("commit after it: %s", describeError(commitAndWait(l, true)))
+	counters := l.Counters()
+	h.note("%d commits, %d groups, %d syncs, %d snapshots, %d refused", counters.Commits, counters.Groups, counters.Syncs,
+		counters.Snapshots, counters.Rejected)
+}
+
+func (h *historyTrial) noteResult(t *testing.T) {
+	t.Helper()
+	state, err := Load(h.fs, false)
+	if err != nil {
+		h.note("not read: %v", err)
+	} else {
+		h.note("%s", describeState(t, state))
+	}
+	names, err := h.fs.List()
+	h.note("%v %v", names, err)
+}
+
+// describeOperations lists the operations on files of a history, and folds into a digest what follows when each of them
+// fails, alone or with those of its kind among the next four.
+func describeOperations(t *testing.T) string {
+	t.Helper()
+	var out strings.Builder
+	noteText := func(format string, arguments ...any) { fmt.Fprintf(&out, format+"\n", arguments...) }
+	undisturbed := historyTrial{note: noteText, fails: func(int, string) bool { return false }}
+	operations := undisturbed.run(t)
+	digest := sha256.New()
+	noteDigest := func(format string, arguments ...any) { fold(digest, format+"\n", arguments...) }
+	for failing := range operations {
+		once := historyTrial{note: noteDigest, fails: func(operation int, _ string) bool { return operation == failing }}
+		once.run(t)
+		var failingKind string
+		repeated := historyTrial{note: noteDigest, fails: func(operation int, kind string) bool {
+			if operation == failing {
+				failingKind = kind
+			}
+			return operation >= failing && kind == failingKind && operation < failing+5
+		}}
+		repeated.run(t)
+	}
+	fmt.Fprintf(&out, "each of %d operations failing: digest %x\n", operations, digest.Sum(nil))
+	return out.String()
+}
+
+// The order in which files are written, synced, renamed and removed does not change, nor what follows when one of these
+// operations fails.
+func TestOrderOfOperationsIsKept(t *testing.T) {
+	want, err := os.ReadFile("testdata/operations.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := describeOperations(t); got != string(want) {
+		t.Errorf("got\n%s\nwant\n%s", got, want)
+	}
+}
--- /dev/null
+++ b/internal/storage/wal/snapshot_test.go
@@ -0,0 +1,52 @@
+package wal
+
+import (
+	"fmt"
+	"maps"
+	"strings"
+	"sync/atomic"
+	"testing"
+
+	"glenport/internal/storage/vfs"
+)
+
+// A directory holds a bounded amount while commits go on, and is read as it was written.
+func TestSnapshotsBoundTheLog(t *testing.T) {
+	dir, err := vfs.OpenLocked(t.TempDir())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() {
+		if err := dir.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
+	const wantSnapshots, leastCommits, mostCommits = 3, 3000, 300_000
+	l, _ := mustOpen(t, dir, Options{MinSnapshotLog: 20_000})
+	want := map[string]string{}
+	var snapshots atomic.Int64 // written in the background, so how many 3,000 commits lead to is chance
+	for i := 0; i < leastCommits || snapshots.Load() < wantSnapshots && i < mostCommits; i++ {
+		key, value := fmt.Sprint(i%50), strings.Repeat(fmt.Sprint(i), 20)
+		want[key] = value
+		l.Commit([]Change{put(key, value)}, false, func(err error) {
+			snapshots.Store(int64(l.Counters().Snapshots))
+			if err != nil {
+				t.Error(err)
+			}
+		})
+		if i%20 == 0 { // otherwise all is one group
+			mustCommit(t, l, false)
+		}
+	}
+	mustCommit(t, l, true)
+	mustClose(t, l)
+	if counters := l.Counters(); counters.Snapshots < wantSnapshots {
+		t.Errorf("%+v", counters)
+	}
+	if !maps.Equal(valuesOf(t, mustLoad(t, dir)), want) {
+		t.Error("not what was written")
+	}
+	if names := mustList(t, dir); len(names) > 4 {
+		t.Errorf("%v", names)
+	}
+}
