--- a/internal/storage/faultfs/faultfs.go
+++ b/internal/storage/faultfs/faultfs.go
@@ -1,334 +1,227 @@
-// Package faultfs is the laboratory's folder: it lives in memory, keeps every write, sync, rename and removal
-// in order, fails on demand, and makes the states in which a crash may leave a folder. What it allows: of all that
-// was not synced each sector of 512 bytes, each change of a file's length, and each change of the folder may have
-// reached the disk or not, in any order; a rename is whole or not at all; what was synced stays.
+// Package faultfs is a file system in memory for tests. It fails on demand, records every write, sync, rename and removal
+// in order, and produces the states in which a crash may leave a directory.
+//
+// The crash model: of all that was not synced, each sector of 512 bytes, each change of a file's length, and each change
+// of the directory may have reached the disk or not, in any order; a rename is atomic; what was synced stays.
 package faultfs
 
 import (
+	"bytes"
 	"fmt"
-	"math/rand/v2"
+	"maps"
 	"os"
-	"sort"
+	"slices"
 	"sync"
 
 	"glenport/internal/storage/vfs"
 )
 
-const sectorSize = 512
-
-type operationKind uint8
-
-const (
-	opCreate operationKind = iota
-	opWrite
-	opTruncate
-	opSync
-	opRename
-	opRemove
-	opSyncFolder
-)
-
-func (k operationKind) String() string {
-	return [...]string{"create", "write", "truncate", "sync", "rename", "remove", "sync folder"}[k]
-}
-
-type operation struct {
-	kind     operationKind
-	name, to string
-	inode    int
-	at       int
-	data     []byte
-}
-
-// FS is one.
+// FS is a directory in memory. Its methods may be called from any goroutine.
 type FS struct {
-	// Fail, where set, may fail an operation by its kind and file; a failed write leaves the first half of it.
+	// InjectError, if set, is asked before each operation with its kind and the name of the file, and may let it fail. A
+	// write that fails leaves its first half.
 	InjectError func(kind, name string) error
-	// IgnoreSync lets syncs do nothing, as sabotage.
+	// IgnoreSync makes syncs succeed without effect, for mutation tests.
 	IgnoreSync bool
 
 	mu         sync.Mutex
 	operations []operation
-	names      map[string]int
-	inodes     [][]byte
+	names      map[string]int // the inode of each file
+	inodes     [][]byte       // what has been written, synced or not
 }
 
-// New makes an empty one.
+var _ vfs.FS = (*FS)(nil)
+
+// New returns an empty directory.
 func New() *FS { return &FS{names: map[string]int{}} }
 
-func (d *FS) injectedError(k operationKind, name string) error {
-	if d.InjectError == nil {
+// OperationCount is the number of operations so far. A crash may come after each, see Crash.
+func (f *FS) OperationCount() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return len(f.operations)
+}
+
+func (f *FS) injectedError(kind operationKind, name string) error {
+	if f.InjectError == nil {
 		return nil
 	}
-	return d.InjectError(k.String(), name)
+	return f.InjectError(kind.String(), name)
 }
 
-type file struct {
-	d     *FS
-	inode int
-	name  string
-}
+func (f *FS) record(o operation) { f.operations = append(f.operations, o) }
 
-func (d *FS) Create(name string) (vfs.File, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if _, ok := d.names[name]; ok {
-		return nil, &os.PathError{Op: "create", Path: name, Err: os.ErrExist}
-	}
-	if err := d.injectedError(opCreate, name); err != nil {
-		return nil, err
-	}
-	d.inodes = append(d.inodes, nil)
-	n := len(d.inodes) - 1
-	d.names[name] = n
-	d.operations = append(d.operations, operation{kind: opCreate, name: name, inode: n})
-	return &file{d, n, name}, nil
+// addInode returns the number of a new file.
+func (f *FS) addInode(data []byte) int {
+	f.inodes = append(f.inodes, data)
+	return len(f.inodes) - 1
 }
 
-func (d *FS) lookup(name string) (int, error) {
-	n, ok := d.names[name]
+func (f *FS) lookup(name string) (inode int, err error) {
+	inode, ok := f.names[name]
 	if !ok {
 		return 0, &os.PathError{Op: "open", Path: name, Err: os.ErrNotExist}
 	}
-	return n, nil
+	return inode, nil
 }
 
-func (d *FS) Append(name string) (vfs.File, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	n, err := d.lookup(name)
-	return &file{d, n, name}, err
+// Create implements vfs.FS.
+func (f *FS) Create(name string) (vfs.File, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if _, ok := f.names[name]; ok {
+		return nil, &os.PathError{Op: "create", Path: name, Err: os.ErrExist}
+	}
+	if err := f.injectedError(opCreate, name); err != nil {
+		return nil, err
+	}
+	inode := f.addInode(nil)
+	f.names[name] = inode
+	f.record(operation{kind: opCreate, name: name, inode: inode})
+	return &file{f, inode, name}, nil
 }
 
-func (d *FS) Read(name string) ([]byte, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	n, err := d.lookup(name)
+// Append implements vfs.FS.
+func (f *FS) Append(name string) (vfs.File, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	inode, err := f.lookup(name)
 	if err != nil {
 		return nil, err
 	}
-	return append([]byte(nil), d.inodes[n]...), nil
+	return &file{f, inode, name}, nil
 }
 
-func (d *FS) List() ([]string, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return sortedNames(d.names), nil
+// Read implements vfs.FS.
+func (f *FS) Read(name string) ([]byte, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	inode, err := f.lookup(name)
+	if err != nil {
+		return nil, err
+	}
+	return bytes.Clone(f.inodes[inode]), nil
 }
 
-func sortedNames(names map[string]int) []string {
-	var all []string
-	for n := range names {
-		all = append(all, n)
-	}
-	sort.Strings(all)
-	return all
+// List implements vfs.FS.
+func (f *FS) List() ([]string, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return sortedNames(f.names), nil
 }
 
-func (d *FS) Rename(from, to string) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	n, err := d.lookup(from)
+func sortedNames(names map[string]int) []string { return slices.Sorted(maps.Keys(names)) }
+
+// Rename implements vfs.FS.
+func (f *FS) Rename(from, to string) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	inode, err := f.lookup(from)
 	if err == nil {
-		err = d.injectedError(opRename, to)
+		err = f.injectedError(opRename, to)
 	}
 	if err != nil {
 		return err
 	}
-	delete(d.names, from)
-	d.names[to] = n
-	d.operations = append(d.operations, operation{kind: opRename, name: from, to: to, inode: n})
+	delete(f.names, from)
+	f.names[to] = inode
+	f.record(operation{kind: opRename, name: from, to: to, inode: inode})
 	return nil
 }
 
-func (d *FS) Remove(name string) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	n, err := d.lookup(name)
+// Remove implements vfs.FS.
+func (f *FS) Remove(name string) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	inode, err := f.lookup(name)
 	if err == nil {
-		err = d.injectedError(opRemove, name)
+		err = f.injectedError(opRemove, name)
 	}
 	if err != nil {
 		return err
 	}
-	delete(d.names, name)
-	d.operations = append(d.operations, operation{kind: opRemove, name: name, inode: n})
+	delete(f.names, name)
+	f.record(operation{kind: opRemove, name: name, inode: inode})
 	return nil
 }
 
-func (d *FS) Sync() error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if err := d.injectedError(opSyncFolder, ""); err != nil {
+// Sync implements vfs.FS.
+func (f *FS) Sync() error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if err := f.injectedError(opSyncDir, ""); err != nil {
 		return err
 	}
-	if !d.IgnoreSync {
-		d.operations = append(d.operations, operation{kind: opSyncFolder})
+	if !f.IgnoreSync {
+		f.record(operation{kind: opSyncDir})
 	}
 	return nil
 }
 
+// FlipBit damages a file, past all that is recorded.
+func (f *FS) FlipBit(name string, bit int) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	inode, err := f.lookup(name)
+	if err != nil {
+		return err
+	}
+	if bit < 0 || bit/8 >= len(f.inodes[inode]) {
+		return fmt.Errorf("%s has no bit %d", name, bit)
+	}
+	f.inodes[inode][bit/8] ^= 1 << (bit % 8)
+	return nil
+}
+
+// file is an open file; it stays the same file when it is renamed.
+type file struct {
+	fs    *FS
+	inode int
+	name  string // by which it was opened
+}
+
 func (f *file) Write(p []byte) (int, error) {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	err := f.d.injectedError(opWrite, f.name)
+	f.fs.mu.Lock()
+	defer f.fs.mu.Unlock()
+	err := f.fs.injectedError(opWrite, f.name)
 	if err != nil {
 		p = p[:len(p)/2]
 	}
-	at := len(f.d.inodes[f.inode])
-	f.d.inodes[f.inode] = append(f.d.inodes[f.inode], p...)
-	f.d.operations = append(f.d.operations, operation{kind: opWrite, inode: f.inode, at: at, data: append([]byte(nil), p...)})
+	offset := len(f.fs.inodes[f.inode])
+	f.fs.inodes[f.inode] = append(f.fs.inodes[f.inode], p...)
+	f.fs.record(operation{kind: opWrite, inode: f.inode, offset: offset, data: bytes.Clone(p)})
 	return len(p), err
 }
 
 func (f *file) Truncate(size int64) error {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	if err := f.d.injectedError(opTruncate, f.name); err != nil {
+	f.fs.mu.Lock()
+	defer f.fs.mu.Unlock()
+	if err := f.fs.injectedError(opTruncate, f.name); err != nil {
 		return err
 	}
-	f.d.inodes[f.inode] = resize(f.d.inodes[f.inode], int(size))
-	f.d.operations = append(f.d.operations, operation{kind: opTruncate, inode: f.inode, at: int(size)})
+	f.fs.inodes[f.inode] = resize(f.fs.inodes[f.inode], int(size))
+	f.fs.record(operation{kind: opTruncate, inode: f.inode, offset: int(size)})
 	return nil
 }
 
-func resize(p []byte, size int) []byte {
-	if size <= len(p) {
-		return p[:size:size]
-	}
-	return append(p[:len(p):len(p)], make([]byte, size-len(p))...)
-}
-
 func (f *file) Sync() error {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	if err := f.d.injectedError(opSync, f.name); err != nil {
+	f.fs.mu.Lock()
+	defer f.fs.mu.Unlock()
+	if err := f.fs.injectedError(opSync, f.name); err != nil {
 		return err
 	}
-	if !f.d.IgnoreSync {
-		f.d.operations = append(f.d.operations, operation{kind: opSync, inode: f.inode})
+	if !f.fs.IgnoreSync {
+		f.fs.record(operation{kind: opSync, inode: f.inode})
 	}
 	return nil
 }
 
 func (f *file) Close() error { return nil }
 
-// OperationCount is the number of operations so far: a crash may come after each.
-func (d *FS) OperationCount() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return len(d.operations)
-}
-
-// Survival is what a crash does to what was not synced.
-type Survival func(what string) bool
-
-// LoseUnsynced and Kept are the two ends of it; Mixed draws for each piece.
-func LoseUnsynced(string) bool { return false }
-func KeepUnsynced(string) bool { return true }
-func KeepSome(r *rand.Rand) Survival {
-	p := r.Float64()
-	return func(string) bool { return r.Float64() < p }
-}
-
-// Crash is the folder as it may be found when the machine stopped after so many operations.
-func (d *FS) Crash(after int, keep Survival) *FS {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	content := map[int][]byte{}    // on disk for sure
-	loose := map[int][]operation{} // of each file, since its last sync
-	names := map[string]int{}
-	var moves []operation // of the folder, since its last sync
-	for _, o := range d.operations[:after] {
-		switch o.kind {
-		case opWrite, opTruncate:
-			loose[o.inode] = append(loose[o.inode], o)
-		case opSync:
-			for _, w := range loose[o.inode] {
-				content[o.inode] = applyToFile(content[o.inode], w, KeepUnsynced)
-			}
-			delete(loose, o.inode)
-		case opSyncFolder:
-			for _, m := range moves {
-				applyToNames(names, m)
-			}
-			moves = nil
-		default:
-			moves = append(moves, o)
-		}
-	}
-	for _, m := range moves {
-		if keep(m.kind.String()) {
-			applyToNames(names, m)
-		}
-	}
-	out := New()
-	for _, name := range sortedNames(names) {
-		n := names[name]
-		p := append([]byte(nil), content[n]...)
-		for _, w := range loose[n] {
-			p = applyToFile(p, w, keep)
-		}
-		out.inodes = append(out.inodes, p)
-		i := len(out.inodes) - 1
-		out.names[name] = i // what is found is on disk
-		out.operations = append(out.operations, operation{kind: opCreate, name: name, inode: i}, operation{kind: opWrite, inode: i, data: p},
-			operation{kind: opSync, inode: i})
-	}
-	out.operations = append(out.operations, operation{kind: opSyncFolder})
-	out.IgnoreSync = d.IgnoreSync
-	return out
-}
-
-// applyToFile does one write or truncation, as far as it reached the disk.
-func applyToFile(p []byte, o operation, keep Survival) []byte {
-	if o.kind == opTruncate {
-		if keep("length") {
-			return resize(p, o.at)
-		}
-		return p
-	}
-	if keep("length") {
-		p = resize(p, max(len(p), o.at+len(o.data)))
-	}
-	for from := 0; from < len(o.data); {
-		to := min(len(o.data), from+sectorSize-(o.at+from)%sectorSize)
-		if keep("sector") {
-			p = resize(p, max(len(p), o.at+to))
-			copy(p[o.at+from:], o.data[from:to])
-		}
-		from = to
-	}
-	return p
-}
-
-func applyToNames(names map[string]int, o operation) {
-	switch o.kind {
-	case opCreate:
-		names[o.name] = o.inode
-	case opRename:
-		if names[o.name] == o.inode {
-			delete(names, o.name)
-		}
-		names[o.to] = o.inode
-	case opRemove:
-		if n, ok := names[o.name]; ok && n == o.inode {
-			delete(names, o.name)
-		}
+// resize returns data cut or filled with zeros to a size. It never writes to the array behind data.
+func resize(data []byte, size int) []byte {
+	if size <= len(data) {
+		return data[:size:size]
 	}
-}
-
-// FlipBit turns one bit over.
-func (d *FS) FlipBit(name string, bit int) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	n, err := d.lookup(name)
-	if err != nil {
-		return err
-	}
-	if bit < 0 || bit/8 >= len(d.inodes[n]) {
-		return fmt.Errorf("%s has no bit %d", name, bit)
-	}
-	d.inodes[n][bit/8] ^= 1 << (bit % 8)
-	return nil
+	return append(data[:len(data):len(data)], make([]byte, size-len(data))...)
 }
--- a/internal/storage/faultfs/golden_test.go
+++ b/internal/storage/faultfs/golden_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"flag"
 	"fmt"
+	"hash"
 	"math/rand/v2"
 	"os"
 	"testing"
@@ -16,108 +17,133 @@
 
 const goldenFile = "testdata/crashes.txt"
 
-// play does a seeded history of operations, some of which fail, and notes what each returns.
-func play(r *rand.Rand, d *FS, note func(format string, a ...any)) {
-	names := []string{"a", "b", "c", "d"}
-	var open []vfs.File
-	d.InjectError = func(kind, name string) error {
-		if r.IntN(12) == 0 {
-			return fmt.Errorf("%s of %q fails", kind, name)
-		}
-		return nil
+// notes folds lines of text into a digest.
+type notes struct{ digest hash.Hash }
+
+func (n notes) add(format string, arguments ...any) {
+	if _, err := fmt.Fprintf(n.digest, format+"\n", arguments...); err != nil {
+		panic(err) // a hash returns none
+	}
+}
+
+func (n notes) addFiles(fs *FS) {
+	names, err := fs.List()
+	n.add("%v %v, after %d operations", names, err, fs.OperationCount())
+	for _, name := range names {
+		data, err := fs.Read(name)
+		n.add("%s: %x %v", name, data, err)
+	}
+}
+
+// player does a seeded history of operations, some of which fail, and notes what each returns.
+type player struct {
+	random *rand.Rand
+	fs     *FS
+	notes  notes
+	open   []vfs.File
+}
+
+var fileNames = []string{"a", "b", "c", "d"}
+
+func (p *player) drawName() string { return fileNames[p.random.IntN(len(fileNames))] }
+
+func (p *player) injectError(kind, name string) error {
+	if p.random.IntN(12) == 0 {
+		return fmt.Errorf("%s of %q fails", kind, name)
 	}
-	defer func() { d.InjectError = nil }()
+	return nil
+}
+
+func (p *player) run() {
+	p.fs.InjectError = p.injectError
 	for range 60 {
-		name := names[r.IntN(len(names))]
-		switch r.IntN(11) {
-		case 0, 1:
-			f, err := d.Create(name)
-			if err == nil {
-				open = append(open, f)
-			}
-			note("create %s: %v %t", name, err, errors.Is(err, os.ErrExist))
-		case 2:
-			f, err := d.Append(name)
-			if err == nil {
-				open = append(open, f)
-			}
-			note("append %s: %v %t", name, err, errors.Is(err, os.ErrNotExist))
-		case 3:
-			err := d.Rename(name, names[r.IntN(len(names))])
-			note("rename %s: %v", name, err)
-		case 4:
-			note("remove %s: %v", name, d.Remove(name))
-		case 5:
-			note("sync folder: %v", d.Sync())
-		case 6:
-			p, err := d.Read(name)
-			note("read %s: %x %v", name, p, err)
-		default:
-			if len(open) == 0 {
-				continue
-			}
-			f := open[r.IntN(len(open))]
-			switch r.IntN(5) {
-			case 0:
-				note("sync: %v", f.Sync())
-			case 1:
-				note("truncate: %v", f.Truncate(int64(r.IntN(1500))))
-			default:
-				p := make([]byte, r.IntN(1300))
-				for i := range p {
-					p[i] = byte(r.Uint32())
-				}
-				n, err := f.Write(p)
-				note("write: %d %v", n, err)
-			}
+		p.step(p.drawName())
+	}
+	p.fs.InjectError = nil
+}
+
+func (p *player) step(name string) {
+	switch p.random.IntN(11) {
+	case 0, 1:
+		err := p.opened(p.fs.Create(name))
+		p.notes.add("create %s: %v %t", name, err, errors.Is(err, os.ErrExist))
+	case 2:
+		err := p.opened(p.fs.Append(name))
+		p.notes.add("append %s: %v %t", name, err, errors.Is(err, os.ErrNotExist))
+	case 3:
+		p.notes.add("rename %s: %v", name, p.fs.Rename(name, p.drawName()))
+	case 4:
+		p.notes.add("remove %s: %v", name, p.fs.Remove(name))
+	case 5:
+		p.notes.add("sync folder: %v", p.fs.Sync())
+	case 6:
+		data, err := p.fs.Read(name)
+		p.notes.add("read %s: %x %v", name, data, err)
+	default:
+		if len(p.open) > 0 {
+			p.changeFile(p.open[p.random.IntN(len(p.open))])
 		}
 	}
 }
 
-func noteFiles(d *FS, note func(format string, a ...any)) {
-	names, err := d.List()
-	note("%v %v, after %d operations", names, err, d.OperationCount())
-	for _, name := range names {
-		p, err := d.Read(name)
-		note("%s: %x %v", name, p, err)
+func (p *player) opened(file vfs.File, err error) error {
+	if err == nil {
+		p.open = append(p.open, file)
+	}
+	return err
+}
+
+func (p *player) changeFile(file vfs.File) {
+	switch p.random.IntN(5) {
+	case 0:
+		p.notes.add("sync: %v", file.Sync())
+	case 1:
+		p.notes.add("truncate: %v", file.Truncate(int64(p.random.IntN(1500))))
+	default:
+		data := make([]byte, p.random.IntN(1300))
+		for i := range data {
+			data[i] = byte(p.random.Uint32())
+		}
+		written, err := file.Write(data)
+		p.notes.add("write: %d %v", written, err)
 	}
 }
 
+// digestOf plays a history and crashes it after each operation, in four ways.
 func digestOf(seed uint64) (digest string, states int) {
-	sum := sha256.New()
-	note := func(format string, a ...any) { fmt.Fprintf(sum, format+"\n", a...) }
-	r := rand.New(rand.NewPCG(seed, 7))
-	d := New()
-	d.IgnoreSync = seed%8 == 7
-	play(r, d, note)
-	noteFiles(d, note)
-	for after := range d.OperationCount() + 1 {
-		for i, fate := range []Survival{LoseUnsynced, KeepUnsynced, KeepSome(r), KeepSome(r)} {
-			found := d.Crash(after, fate)
+	n := notes{sha256.New()}
+	random := rand.New(rand.NewPCG(seed, 7))
+	fs := New()
+	fs.IgnoreSync = seed%8 == 7
+	(&player{random: random, fs: fs, notes: n}).run()
+	n.addFiles(fs)
+	for after := range fs.OperationCount() + 1 {
+		for i, survival := range []Survival{LoseUnsynced, KeepUnsynced, KeepSome(random), KeepSome(random)} {
+			found := fs.Crash(after, survival)
 			states++
-			note("crash after %d, fate %d", after, i)
-			noteFiles(found, note)
+			n.add("crash after %d, fate %d", after, i)
+			n.addFiles(found)
 			if i == 3 { // a crash of what was found, and damage to it
-				noteFiles(found.Crash(found.OperationCount(), LoseUnsynced), note)
-				note("%v", found.FlipBit("a", r.IntN(4000)))
-				noteFiles(found, note)
+				n.addFiles(found.Crash(found.OperationCount(), LoseUnsynced))
+				n.add("%v", found.FlipBit("a", random.IntN(4000)))
+				n.addFiles(found)
 			}
 		}
 	}
-	return fmt.Sprintf("%x", sum.Sum(nil)), states
+	return fmt.Sprintf("%x", n.digest.Sum(nil)), states
 }
 
 // The states in which a crash may leave a folder are the same for the same chance, in every version.
 func TestCrashStatesAreKept(t *testing.T) {
 	got := ""
 	for group := range uint64(4) {
-		all, states := sha256.New(), 0
+		all, states := notes{sha256.New()}, 0
 		for seed := group * 16; seed < group*16+16; seed++ {
 			digest, n := digestOf(seed)
-			fmt.Fprintln(all, digest)
+			all.add("%s", digest)
 			states += n
 		}
-		got += fmt.Sprintf("seeds %d to %d: %d states, digest %x\n", group*16, group*16+15, states, all.Sum(nil))
+		got += fmt.Sprintf("seeds %d to %d: %d states, digest %x\n", group*16, group*16+15, states, all.digest.Sum(nil))
 	}
 	if *update {
 		if err := os.WriteFile(goldenFile, []byte(got), 0o644); err != nil {
