--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics shows a placer's account of itself to whoever scrapes it, in the Prometheus text form.
+// Package metrics serves the status of a scheduler in the Prometheus text format.
 package metrics
 
 import (
@@ -12,64 +12,89 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Source gives the account; ok is false where the placer does not answer.
+const (
+	statsTimeout      = 2 * time.Second
+	scrapeTimeout     = 5 * time.Second
+	readHeaderTimeout = 5 * time.Second
+	writeTimeout      = 10 * time.Second
+)
+
+// sessionEstablished is the state of a BGP session that is up.
+const sessionEstablished = "Established"
+
+// Source is what is served; ok is false if the scheduler does not answer within the timeout.
 type Source interface {
-	Stats(within time.Duration) (s *protocol.StatusReply, r *protocol.RoutesReply, ok bool)
+	Stats(timeout time.Duration) (status *protocol.StatusReply, routes *protocol.RoutesReply, ok bool)
+}
+
+// Serve makes the HTTP server of /metrics; the caller starts and closes it.
+func Serve(address string, source Source) *http.Server {
+	registry := prometheus.NewRegistry()
+	registry.MustRegister(collector{source})
+	mux := http.NewServeMux()
+	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{Timeout: scrapeTimeout}))
+	return &http.Server{Addr: address, Handler: mux, ReadHeaderTimeout: readHeaderTimeout, WriteTimeout: writeTimeout}
 }
 
 type collector struct{ source Source }
 
-// Describe sends nothing: what there is follows from the account.
+// Describe implements prometheus.Collector. It sends nothing: which metrics there are depends on the status.
 func (collector) Describe(chan<- *prometheus.Desc) {}
 
-func (c collector) Collect(out chan<- prometheus.Metric) {
-	put := func(name, help string, v float64, labels ...string) {
-		names, values := []string{}, []string{}
-		for i := 0; i+1 < len(labels); i += 2 {
-			names, values = append(names, labels[i]), append(values, labels[i+1])
-		}
-		d := prometheus.NewDesc(name, help, names, nil)
-		if m, err := prometheus.NewConstMetric(d, prometheus.UntypedValue, v, values...); err == nil {
-			out <- m
-		}
-	}
-	s, r, ok := c.source.Stats(2 * time.Second)
-	up := 0.0
-	if ok {
-		up = 1
-	}
-	put("glenport_answers", "Whether the placer's loop answers.", up)
+// Collect implements prometheus.Collector.
+func (c collector) Collect(metrics chan<- prometheus.Metric) {
+	status, routes, ok := c.source.Stats(statsTimeout)
+	send(metrics, "glenport_answers", "Whether the placer's loop answers.", boolValue(ok))
 	if !ok {
 		return
 	}
-	for _, f := range s.Stats {
-		name := "glenport_" + strings.NewReplacer(" ", "_", ".", "_").Replace(f.Name)
-		if f.Unit != "" {
-			name += "_" + strings.ToLower(f.Unit)
-		}
-		put(name, "As glenport status shows it.", f.Value)
+	for _, stat := range status.Stats {
+		send(metrics, statName(stat), "As glenport status shows it.", stat.Value)
 	}
-	for _, p := range r.Peers {
-		stands := 0.0
-		if p.State == "Established" {
-			stands = 1
-		}
-		put("glenport_bgp_established", "Whether the session stands.", stands, "peer", p.Address)
-		put("glenport_bgp_routes", "Prefixes that the peer was told.", float64(p.Routes), "peer", p.Address)
-		put("glenport_bgp_due", "Changes that wait for the peer.", float64(p.PendingRoutes), "peer", p.Address)
-		put("glenport_bgp_updates", "Update messages sent.", float64(p.UpdatesSent), "peer", p.Address)
-		put("glenport_bgp_session_ends", "Sessions that ended.", float64(p.SessionsEnded), "peer", p.Address)
+	for _, peer := range routes.Peers {
+		collectPeer(metrics, peer)
 	}
-	for _, v := range r.Services {
-		put("glenport_bgp_penalty", "Damping penalty of a service's address.", v.Penalty, "service", v.Service)
+	for _, service := range routes.Services {
+		send(metrics, "glenport_bgp_penalty", "Damping penalty of a service's address.", service.Penalty, label{"service", service.Service})
 	}
 }
 
-// Serve makes the HTTP server for /metrics.
-func Serve(addr string, of Source) *http.Server {
-	reg := prometheus.NewRegistry()
-	reg.MustRegister(collector{of})
-	mux := http.NewServeMux()
-	mux.Handle("GET /metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{Timeout: 5 * time.Second}))
-	return &http.Server{Addr: addr, Handler: mux, ReadHeaderTimeout: 5 * time.Second, WriteTimeout: 10 * time.Second}
+func collectPeer(metrics chan<- prometheus.Metric, peer protocol.BGPPeerStatus) {
+	address := label{"peer", peer.Address}
+	send(metrics, "glenport_bgp_established", "Whether the session stands.", boolValue(peer.State == sessionEstablished), address)
+	send(metrics, "glenport_bgp_routes", "Prefixes that the peer was told.", float64(peer.Routes), address)
+	send(metrics, "glenport_bgp_due", "Changes that wait for the peer.", float64(peer.PendingRoutes), address)
+	send(metrics, "glenport_bgp_updates", "Update messages sent.", float64(peer.UpdatesSent), address)
+	send(metrics, "glenport_bgp_session_ends", "Sessions that ended.", float64(peer.SessionsEnded), address)
+}
+
+var statNameReplacer = strings.NewReplacer(" ", "_", ".", "_")
+
+func statName(stat protocol.Stat) string {
+	name := "glenport_" + statNameReplacer.Replace(stat.Name)
+	if stat.Unit == "" {
+		return name
+	}
+	return name + "_" + strings.ToLower(stat.Unit)
+}
+
+type label struct{ name, value string }
+
+// send leaves out a metric whose name is not valid.
+func send(metrics chan<- prometheus.Metric, name, help string, value float64, labels ...label) {
+	var names, values []string
+	for _, l := range labels {
+		names, values = append(names, l.name), append(values, l.value)
+	}
+	metric, err := prometheus.NewConstMetric(prometheus.NewDesc(name, help, names, nil), prometheus.UntypedValue, value, values...)
+	if err == nil {
+		metrics <- metric
+	}
+}
+
+func boolValue(b bool) float64 {
+	if b {
+		return 1
+	}
+	return 0
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -11,32 +11,34 @@
 
 type fakeSource struct{ ok bool }
 
-func (a fakeSource) Stats(time.Duration) (*protocol.StatusReply, *protocol.RoutesReply, bool) {
-	return &protocol.StatusReply{Stats: []protocol.Stat{{Name: "placing p99.9", Value: 0.5, Unit: "ms"}, {Name: "bids", Value: 7}}},
-		&protocol.RoutesReply{Peers: []protocol.BGPPeerStatus{{Address: "192.0.2.1:179", State: "Established", Routes: 3}}}, a.ok
+func (s fakeSource) Stats(time.Duration) (*protocol.StatusReply, *protocol.RoutesReply, bool) {
+	status := &protocol.StatusReply{Stats: []protocol.Stat{{Name: "placing p99.9", Value: 0.5, Unit: "ms"}, {Name: "bids", Value: 7}}}
+	routes := &protocol.RoutesReply{Peers: []protocol.BGPPeerStatus{{Address: "192.0.2.1:179", State: "Established", Routes: 3}}}
+	return status, routes, s.ok
 }
 
-func TestMetrics(t *testing.T) {
+func TestMetricsShowTheStatus(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		ok   bool
-		want []string
-		not  string
+		name   string
+		ok     bool
+		want   []string
+		absent string
 	}{
 		{"answers", true, []string{"glenport_answers 1", "glenport_placing_p99_9_ms 0.5", "glenport_bids 7",
 			`glenport_bgp_established{peer="192.0.2.1:179"} 1`, `glenport_bgp_routes{peer="192.0.2.1:179"} 3`}, "nothing"},
 		{"does not answer", false, []string{"glenport_answers 0"}, "glenport_bids"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := httptest.NewRecorder()
-			Serve("", fakeSource{tc.ok}).Handler.ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
+			response := httptest.NewRecorder()
+			Serve("", fakeSource{tc.ok}).Handler.ServeHTTP(response, httptest.NewRequest("GET", "/metrics", nil))
+			body := response.Body.String()
 			for _, line := range tc.want {
-				if !strings.Contains(w.Body.String(), line+"\n") {
-					t.Errorf("no line %s in\n%s", line, w.Body)
+				if !strings.Contains(body, line+"\n") {
+					t.Errorf("no line %s in\n%s", line, body)
 				}
 			}
-			if strings.Contains(w.Body.String(), tc.not) {
-				t.Errorf("%s is shown", tc.not)
+			if strings.Contains(body, tc.absent) {
+				t.Errorf("%s is shown", tc.absent)
 			}
 		})
 	}
