--- a/internal/schedulerd/clientconn.go
+++ b/internal/schedulerd/clientconn.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"sort"
 
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
@@ -10,227 +9,162 @@
 	"glenport/scheduler"
 )
 
-func sortAttempts(all []*attempt) {
-	sort.Slice(all, func(i, j int) bool { return all[i].number < all[j].number })
-}
+// helloTimeout is for how long a connection is kept whose peer has not said who it is.
+const helloTimeout = 5 * eventloop.Second
+
+// Reasons that are sent in a Goodbye.
+const (
+	reasonNoHello      = "no greeting in time"
+	reasonPartialFrame = "half a frame"
+	reasonGoodbye      = "good bye"
+)
 
-// clientConn is a caller at the door: an owner of containers, or another placer with a message.
+// unknownPeer names a connection in log lines until its hello.
+const unknownPeer = "unknown"
+
+// clientConn is an accepted connection: of a client, or of another scheduler that asks something.
 type clientConn struct {
 	server       *Server
 	id           reconcile.ClientID
 	conn         *eventloop.Conn
 	reader       protocol.Reader
 	name         string
-	role         protocol.Role
+	role         protocol.Role // 0: no hello yet
 	acceptedAt   eventloop.Tick
-	partialSince eventloop.Tick
-	disconnected bool
+	partial      partialFrame
+	disconnected bool // nothing more is read or sent
 }
 
-func (h *Server) acceptClient() (eventloop.Handler, int) {
-	h.lastClient++
-	return &clientConn{server: h, id: h.lastClient, reader: protocol.Reader{MaxSize: protocol.MaxClientFrame}, name: "stranger",
-		acceptedAt: h.loop.Now()}, h.config.Output
+func (s *Server) acceptClient() (eventloop.Handler, int) {
+	s.lastClient++
+	return &clientConn{server: s, id: s.lastClient, reader: protocol.Reader{MaxSize: protocol.MaxClientFrame}, name: unknownPeer,
+		acceptedAt: s.loop.Now()}, s.config.Output
 }
 
-func (o *clientConn) Opened(c *eventloop.Conn) {
-	o.conn = c
-	o.server.clients[o.id] = o
-	o.send(protocol.NewHello(protocol.RoleScheduler, o.server.config.Name, o.server.incarnation))
+// Opened implements eventloop.Handler.
+func (c *clientConn) Opened(conn *eventloop.Conn) {
+	c.conn = conn
+	c.server.clients[c.id] = c
+	c.send(c.server.hello())
 }
 
-func (o *clientConn) Read(_ *eventloop.Conn, p []byte) {
-	if o.disconnected {
+// Read implements eventloop.Handler.
+func (c *clientConn) Read(_ *eventloop.Conn, p []byte) {
+	if c.disconnected {
 		return
 	}
-	if err := o.reader.Feed(p, o.handleFrame); err != nil {
-		o.server.logConnectionClosed(o.name, err)
-		o.disconnect(err.Error())
-	}
-	if o.reader.Buffered() == 0 {
-		o.partialSince = 0
-	} else if o.partialSince == 0 {
-		o.partialSince = o.server.loop.Now()
+	if err := c.reader.Feed(p, c.handleFrame); err != nil {
+		c.server.logConnectionClosed(c.name, err)
+		c.disconnect(err.Error())
 	}
+	c.partial.update(c.reader.Buffered(), c.server.loop.Now())
 }
 
-func (o *clientConn) Closed(*eventloop.Conn, error) {
-	o.disconnected = true
-	delete(o.server.clients, o.id)
-	if o.role == protocol.RoleClient {
-		o.server.enqueueOwnershipEvent(reconcile.ClientDisconnected{Client: o.id})
+// Closed implements eventloop.Handler.
+func (c *clientConn) Closed(*eventloop.Conn, error) {
+	c.disconnected = true
+	delete(c.server.clients, c.id)
+	if c.role == protocol.RoleClient {
+		c.server.enqueueReconcilerEvent(reconcile.ClientDisconnected{Client: c.id})
 	}
 }
 
-// disconnect ends the link with a word why.
-func (o *clientConn) disconnect(why string) {
-	if !o.disconnected {
-		o.send(&protocol.Goodbye{Message: why})
-		o.disconnected = true
-		o.conn.Close()
+// disconnect closes the connection after a Goodbye with a reason.
+func (c *clientConn) disconnect(reason string) {
+	if c.disconnected {
+		return
 	}
+	c.send(&protocol.Goodbye{Message: reason})
+	c.disconnected = true
+	c.conn.Close()
 }
 
-// send sends a frame. An owner that takes too little is dropped: its answers cannot be kept without bound.
-func (o *clientConn) send(f protocol.Frame) {
-	if o.disconnected {
-		o.server.stats.undelivered++
+// send drops a client that does not read: the answers to it must not pile up.
+func (c *clientConn) send(f protocol.Frame) {
+	if c.disconnected {
+		c.server.stats.undelivered++
 		return
 	}
-	p, err := o.server.encode(f)
+	encoded, err := c.server.encode(f)
 	if err != nil {
-		o.server.log.Error("frame not sent", "owner", o.name, "why", err)
+		c.server.log.Error("frame not sent", "client", c.name, "error", err)
 		return
 	}
-	if err := o.conn.Write(p); err != nil {
-		o.server.stats.undelivered++
-		o.disconnected = true
-		o.server.logConnectionClosed(o.name, fmt.Errorf("%w: %d bytes wait", err, o.conn.PendingOutput()))
-		o.conn.Reset()
+	if err := c.conn.Write(encoded); err != nil {
+		c.server.stats.undelivered++
+		c.disconnected = true
+		c.server.logConnectionClosed(c.name, fmt.Errorf("%w: %d bytes pending", err, c.conn.PendingOutput()))
+		c.conn.Reset()
 	}
 }
 
-func (o *clientConn) checkTimeouts(now eventloop.Tick) {
+func (c *clientConn) checkTimeouts(now eventloop.Tick) {
 	switch {
-	case o.role == 0 && now-o.acceptedAt > helloTimeout:
-		o.server.logConnectionClosed(o.name, fmt.Errorf("no greeting in %d ms", (now-o.acceptedAt)/eventloop.Millisecond))
-		o.disconnect("no greeting in time")
-	case o.partialSince > 0 && now-o.partialSince > o.server.config.Silent:
-		o.server.logConnectionClosed(o.name, fmt.Errorf("half a frame for %d ms", (now-o.partialSince)/eventloop.Millisecond))
-		o.disconnect("half a frame")
+	case c.role == 0 && now-c.acceptedAt > helloTimeout:
+		c.server.logConnectionClosed(c.name, after(errNoHello, now-c.acceptedAt))
+		c.disconnect(reasonNoHello)
+	case c.partial.overdue(now, c.server.config.Silent):
+		c.server.logConnectionClosed(c.name, after(errPartialFrame, now-c.partial.since))
+		c.disconnect(reasonPartialFrame)
 	}
 }
 
-func (o *clientConn) handleFrame(f protocol.Frame) error {
-	h := o.server
+func (c *clientConn) handleFrame(f protocol.Frame) error {
+	s := c.server
 	switch f := f.(type) {
 	case *protocol.Hello:
-		o.name, o.role = f.Name, f.Role
-		switch f.Role {
-		case protocol.RoleClient:
-			h.enqueueOwnershipEvent(reconcile.ClientConnected{Client: o.id})
-		case protocol.RoleScheduler:
-		default:
-			return fmt.Errorf("a %s has no business at this door", f.Role)
-		}
+		return c.handleHello(f)
 	case *protocol.Submit:
-		h.submit(o, f)
+		c.handleSubmit(f)
 	case *protocol.CancelContainer:
-		h.enqueueOwnershipEvent(reconcile.CancelRequested{Client: o.id, ID: scheduler.ContainerID(f.ContainerID), IdempotencyKey: f.IdempotencyKey})
+		s.enqueueReconcilerEvent(reconcile.CancelRequested{Client: c.id, ID: scheduler.ContainerID(f.ContainerID), IdempotencyKey: f.IdempotencyKey})
 	case *protocol.Lookup:
-		h.enqueueOwnershipEvent(reconcile.LookupRequested{Client: o.id, ID: scheduler.ContainerID(f.ContainerID), IdempotencyKey: f.IdempotencyKey})
+		s.enqueueReconcilerEvent(reconcile.LookupRequested{Client: c.id, ID: scheduler.ContainerID(f.ContainerID), IdempotencyKey: f.IdempotencyKey})
 	case *protocol.ExplainRequest:
-		o.send(h.explain(f))
+		c.send(s.explainReply(f))
 	case *protocol.RoutesRequest:
-		o.send(h.routesFor(f.Service))
+		c.send(s.routesReply(f.Service))
 	case *protocol.StatusRequest:
-		o.send(h.status())
+		c.send(s.statusReply())
 	case *protocol.Heartbeat:
 	case *protocol.Goodbye:
-		o.disconnect("good bye")
+		c.disconnect(reasonGoodbye)
 	default:
-		return fmt.Errorf("%T is not for the door", f)
+		return unexpectedFromClient(f)
 	}
 	return nil
 }
 
-func (h *Server) submit(o *clientConn, f *protocol.Submit) {
-	now, w := scheduler.Time(h.loop.Now()), &f.Spec
-	ask := scheduler.PlacementRequest{ID: scheduler.ContainerID(w.ContainerID), IdempotencyKey: w.IdempotencyKey, Service: w.Service, WorkloadClass: w.WorkloadClass,
-		Tenant: w.Tenant, Cores: w.Cores, Memory: w.Memory, Deadline: now + scheduler.Time(f.TimeToDeadline),
-		ExpectedRuntime: scheduler.Time(w.ExpectedRuntime), ClientRetry: w.ClientRetry}
-	h.stats.submitted++
-	h.submittedAt[ask.ID] = h.loop.Elapsed()
-	h.enqueueOwnershipEvent(reconcile.PlacementRequested{Client: o.id, Request: ask})
-}
-
-// explain answers why work like this may wait, where the decisions can tell.
-func (h *Server) explain(f *protocol.ExplainRequest) *protocol.ExplainReply {
-	w := &protocol.ExplainReply{Seq: f.Seq, ListAge: -1}
-	if h.discovery.lastFrameAt > 0 {
-		w.ListAge = protocol.Duration(h.loop.Now() - h.discovery.lastFrameAt)
-	}
-	d, ok := h.scheduler.(interface {
-		Explain(scheduler.PlacementRequest) scheduler.Explanation
-	})
-	if !ok {
-		return w
+func (c *clientConn) handleHello(f *protocol.Hello) error {
+	c.name, c.role = f.Name, f.Role
+	switch f.Role {
+	case protocol.RoleClient:
+		c.server.enqueueReconcilerEvent(reconcile.ClientConnected{Client: c.id})
+		return nil
+	case protocol.RoleScheduler:
+		return nil
 	}
-	x := d.Explain(scheduler.PlacementRequest{IdempotencyKey: f.Spec.IdempotencyKey, Service: f.Spec.Service, WorkloadClass: f.Spec.WorkloadClass, Tenant: f.Spec.Tenant,
-		Cores: f.Spec.Cores, Memory: f.Spec.Memory})
-	return &protocol.ExplainReply{Seq: f.Seq, Known: true, Machines: x.Machines, Gone: x.Gone, WrongMachineType: x.WrongMachineType, Draining: x.Draining,
-		TooSmall: x.TooSmall, SelfDraining: x.SelfDraining, SpreadExhausted: x.SpreadExhausted, SlowStartExhausted: x.SlowStartExhausted, Ejected: x.Ejected,
-		Suspected: x.Suspected, InsufficientCores: x.InsufficientCores, InsufficientMemory: x.InsufficientMemory, Eligible: x.Eligible, SheddingLoad: x.SheddingLoad,
-		FullRatio: x.FullRatio, ListAge: w.ListAge}
+	return wrongClient(f.Role)
 }
 
-// routesFor tells how announcements stand.
-func (h *Server) routesFor(service string) *protocol.RoutesReply {
-	out := &protocol.RoutesReply{}
-	if h.speaker == nil {
-		return out
-	}
-	for _, p := range h.speaker.Peers() {
-		out.Peers = append(out.Peers, protocol.BGPPeerStatus{Address: p.Addr, ASN: p.AS, State: p.State, Routes: p.Routes, PendingRoutes: p.PendingRoutes, UpdatesSent: p.Updates,
-			BytesSent: p.Bytes, SessionsEnded: p.Flaps, LastError: p.LastError})
-	}
-	for _, name := range h.speaker.Services() {
-		if service != "" && name != service {
-			continue
-		}
-		w, _ := h.speaker.Status(name)
-		r := protocol.ServiceRoute{Service: name, Prefix: h.config.BGP.Services[name].Prefix.String(), Announced: w.Announced,
-			LocalPreference: w.Path.Preference, Running: w.Running, Draining: w.Draining, MinRunning: w.MinRunning, Penalty: w.Penalty, Suppressed: w.Suppressed}
-		if w.NextUpdate > 0 {
-			r.NextChangeIn = max(0, protocol.Duration(w.NextUpdate-scheduler.Time(h.loop.Now())))
-		}
-		out.Services = append(out.Services, r)
-	}
-	return out
+func (c *clientConn) handleSubmit(f *protocol.Submit) {
+	s := c.server
+	request := requestOf(&f.Spec)
+	request.Deadline = scheduler.Time(s.loop.Now()) + scheduler.Time(f.TimeToDeadline)
+	s.stats.submitted++
+	s.submittedAt[request.ID] = s.loop.Elapsed()
+	s.enqueueReconcilerEvent(reconcile.PlacementRequested{Client: c.id, Request: request})
 }
 
-// sendToClient reaches an owner by its number.
-func (h *Server) sendToClient(to reconcile.ClientID, f protocol.Frame) {
-	if o := h.clients[to]; o != nil {
-		o.send(f)
+// sendToClient sends a frame to a client that may have gone.
+func (s *Server) sendToClient(id reconcile.ClientID, f protocol.Frame) {
+	if client := s.clients[id]; client != nil {
+		client.send(f)
 	}
 }
 
-func (h *Server) refuse(a reconcile.Reject) {
-	h.stats.countAnswer(protocol.VerdictNotAdmitted)
-	h.sendToClient(a.Client, &protocol.PlacementReply{ContainerID: string(a.ID), Verdict: protocol.VerdictNotAdmitted, RetryAfter: protocol.Duration(a.RetryAfter), Message: a.Reason})
-}
-
-// cancelContainer ends a container that its owner no longer wants. Whoever asks for its end hears it.
-func (h *Server) cancelContainer(a reconcile.TerminateContainer) {
-	id, o := a.ID, h.clients[a.Client]
-	c := h.containers[id]
-	if c == nil || o == nil {
-		return
-	}
-	if c.client != nil && c.client != o && !c.client.disconnected {
-		o.send(&protocol.PlacementReply{ContainerID: string(a.RequestedID), Verdict: protocol.VerdictNotAdmitted, Message: "it is another owner's"})
-		return
-	}
-	if b := c.attempt; b != nil && b.accepted {
-		c.client, c.clientContainerID = o, string(a.RequestedID)
-		h.cancelAttempt(b) // its end is told when the machine says so
-		return
-	}
-	h.enqueueSchedulerEvent(scheduler.ContainerRemoved{ID: id})
-	if !c.answered {
-		c.answered = true
-		h.stats.countAnswer(protocol.VerdictFailed)
-		if c.client != nil && c.clientContainerID != string(a.RequestedID) {
-			c.client.send(&protocol.PlacementReply{ContainerID: c.clientContainerID, Verdict: protocol.VerdictFailed, Message: "cancelled"})
-		}
-		o.send(&protocol.PlacementReply{ContainerID: string(a.RequestedID), Verdict: protocol.VerdictFailed, Message: "cancelled"})
-		h.enqueueOwnershipEvent(reconcile.RequestFailed{ID: id})
-	}
-	if b := c.attempt; b != nil {
-		h.cancelAttempt(b)
-		h.endAttempt(b, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: true})
-		return
+func (s *Server) closeClient(action reconcile.CloseClient) {
+	if client := s.clients[action.Client]; client != nil {
+		client.disconnect(action.Reason)
 	}
-	h.removeContainer(c)
 }
--- /dev/null
+++ b/internal/schedulerd/clientconn_test.go
@@ -0,0 +1,93 @@
+package schedulerd
+
+import (
+	"bytes"
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"glenport/internal/protocol"
+)
+
+// goodbyeTo sends bytes to the server, one by one, and returns the reason of its Goodbye.
+func goodbyeTo(t *testing.T, address string, sent []byte, pause time.Duration) string {
+	t.Helper()
+	c, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeAgain(c)
+	if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	skipFrame(c) // the hello
+	go func() {
+		for i := range sent {
+			if _, err := c.Write(sent[i : i+1]); err != nil {
+				return
+			}
+			time.Sleep(pause)
+		}
+	}()
+	f, err := receiveFrame(c)
+	if bye, ok := f.(*protocol.Goodbye); ok {
+		return bye.Message
+	}
+	return fmt.Sprint(f, err)
+}
+
+func encodedHello(t *testing.T, role protocol.Role) []byte {
+	t.Helper()
+	encoded, err := protocol.Append(nil, protocol.NewHello(role, "peer", 1))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return encoded
+}
+
+// What exceeds the bounds, garbage, and frames that never end are refused with a reason; other clients are served.
+func TestListenerRejectsWhatExceedsItsBounds(t *testing.T) {
+	settings := testConfig(t)
+	settings.Bounds.OpenRequests, settings.Bounds.Clients, settings.Silent = 2, 2, 5000
+	h := startHarness(t, settings, nil, nil)
+	for _, id := range []string{"x", "y", "z"} {
+		h.client.submit(id, classIdempotent)
+	}
+	reply := h.client.wantReply(protocol.VerdictNotAdmitted)
+	if reply.ContainerID != "z" || !strings.Contains(reply.Message, "2 containers are open") || reply.RetryAfter == 0 {
+		t.Errorf("got %+v", reply)
+	}
+	fromScheduler := func(more ...byte) []byte { return append(encodedHello(t, protocol.RoleScheduler), more...) }
+	for _, tc := range []struct {
+		name  string
+		sent  []byte
+		pause time.Duration
+		want  string
+	}{
+		{"garbage", []byte("GET / HTTP/1.1\r\n\r\n"), 0, "over the limit"},
+		{"a machine", encodedHello(t, protocol.RoleMachine), 0, "no business at this door"},
+		{"oversize", fromScheduler(0, 0xff, 0, 0), 0, "over the limit of 65536"},
+		{"a frame for machines", fromScheduler(0, 0, 0, 3, 7, 0x81, 1), 0, "not for the door"},
+		{"one byte at a time, without end", fromScheduler(bytes.Repeat([]byte{0, 0, 0xf0, 0}, 100)...), 50 * time.Millisecond, "half a frame"},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if got := goodbyeTo(t, h.server.Addr(), tc.sent, tc.pause); !strings.Contains(got, tc.want) {
+				t.Errorf("got %q, want %q", got, tc.want)
+			}
+		})
+	}
+	dialClient(t, h.server.Addr()) // the second
+	if got := goodbyeTo(t, h.server.Addr(), encodedHello(t, protocol.RoleClient), 0); !strings.Contains(got, "2 owners are connected") {
+		t.Errorf("a third client gets %q", got)
+	}
+	sendFrames(h.client, &protocol.CancelContainer{ContainerID: "x"})
+	if reply := h.client.wantReply(protocol.VerdictFailed); reply.ContainerID != "x" {
+		t.Errorf("cancelled: %+v", reply)
+	}
+	sendFrames(h.client, &protocol.StatusRequest{})
+	if f, ok := h.client.receive().(*protocol.StatusReply); !ok || len(f.Stats) < 20 {
+		t.Errorf("status %v", f)
+	}
+}
--- a/internal/schedulerd/discovery_test.go
+++ b/internal/schedulerd/discovery_test.go
@@ -1,6 +1,7 @@
 package schedulerd
 
 import (
+	"errors"
 	"net"
 	"sync/atomic"
 	"testing"
@@ -11,111 +12,143 @@
 	"glenport/scheduler"
 )
 
-// A list that is older than the last, or of another life of its service, is not taken for news; it is asked anew, for the
-// whole.
-func TestOlderList(t *testing.T) {
+// serveThreeUpdates sends a full list on the first connection, another update on the second, by a service of the given incarnation,
+// and a full list on every further one. It reports the version since which each asks for updates.
+func serveThreeUpdates(t *testing.T, incarnation uint64, second *protocol.MachineListUpdate, requested chan<- int64) string {
+	t.Helper()
+	entry := func(machine string, state protocol.MachineState) []protocol.MachineEntry {
+		return []protocol.MachineEntry{{Machine: machine, Address: "127.0.0.1:1", State: state, Age: -1}}
+	}
+	var connections atomic.Int32
+	return listenTCP(t, func(c net.Conn) {
+		n := connections.Add(1)
+		if n == 1 {
+			sendFrames(c, protocol.NewHello(protocol.RoleMachineList, "list", 1))
+		} else {
+			sendFrames(c, protocol.NewHello(protocol.RoleMachineList, "list", incarnation))
+		}
+		skipFrame(c)
+		f, err := receiveFrame(c)
+		if err != nil {
+			return
+		}
+		requested <- f.(*protocol.WatchMachineList).SinceVersion
+		switch n {
+		case 1:
+			sendFrames(c, &protocol.MachineListUpdate{FullSnapshot: true, Version: 5, Entries: entry("a", protocol.MachineDraining)})
+		case 2:
+			sendFrames(c, second)
+		default:
+			sendFrames(c, &protocol.MachineListUpdate{FullSnapshot: true, Version: 7, Entries: entry("b", protocol.MachineServing)})
+		}
+		skipFrame(c)
+	})
+}
+
+// A list that is older than the last one, or of another incarnation of its service, is not applied. The service is asked again,
+// for the full list if it has restarted.
+func TestOlderMachineListIsNotApplied(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		life   uint64 // of the service when it is called again
-		listed protocol.MachineListUpdate
-		since  int64 // asked for then
+		name        string
+		incarnation uint64 // of the service from the second connection on
+		update      protocol.MachineListUpdate
+		since       int64 // the version of the third request
 	}{
 		{"an older version", 1, protocol.MachineListUpdate{FullSnapshot: true, Version: 4}, 5},
-		{"another life of the service", 2, protocol.MachineListUpdate{Version: 6}, 0},
+		{"another incarnation of the service", 2, protocol.MachineListUpdate{Version: 6}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			var calls atomic.Int32
-			asked := make(chan int64, 10)
-			addr := serve(t, func(c net.Conn) {
-				n := calls.Add(1)
-				put(c, protocol.NewHello(protocol.RoleMachineList, "list", 1+(tc.life-1)*uint64(min(1, n-1))))
-				protocol.ReadFrame(c, protocol.MaxFrame)
-				f, err := protocol.ReadFrame(c, protocol.MaxFrame)
-				if err != nil {
-					return
-				}
-				asked <- f.(*protocol.WatchMachineList).SinceVersion
-				switch n {
-				case 1:
-					put(c, &protocol.MachineListUpdate{FullSnapshot: true, Version: 5, Entries: []protocol.MachineEntry{{Machine: "a", Address: "127.0.0.1:1", State: protocol.MachineDraining, Age: -1}}})
-				case 2:
-					put(c, &tc.listed)
-				default:
-					put(c, &protocol.MachineListUpdate{FullSnapshot: true, Version: 7, Entries: []protocol.MachineEntry{{Machine: "b", Address: "127.0.0.1:1", Age: -1}}})
-				}
-				protocol.ReadFrame(c, protocol.MaxFrame)
-			})
-			s := terms(t)
-			s.ListAddr = addr
-			sc := &script{events: make(chan scheduler.Event, 1000)}
-			r := &rig{T: t, script: sc, h: run(t, s, sc)}
+			requested := make(chan int64, 10)
+			settings := testConfig(t)
+			settings.ListAddr = serveThreeUpdates(t, tc.incarnation, &tc.update, requested)
+			script := newScript(nil)
+			server := runServer(t, settings, script)
 			for i, want := range []scheduler.UpdateMode{scheduler.FullSnapshot, scheduler.UpdateFailed, scheduler.FullSnapshot} {
-				r.h.loop.Post(func() {
-					if r.h.discovery.conn != nil {
-						r.h.discovery.awaitingReply = false
-						r.h.discovery.conn.Reset()
+				server.loop.Post(func() {
+					d := &server.discovery
+					if d.conn != nil {
+						d.awaitingReply = false
+						d.conn.Reset()
 					}
-					r.h.requestList(&protocol.WatchMachineList{Enabled: true, SinceVersion: r.h.discovery.version})
+					d.request(&protocol.WatchMachineList{Enabled: true, SinceVersion: d.version})
 				})
-				if e := await(r, func(e scheduler.MachineListUpdate) bool { return e.Mode != scheduler.RestoredSnapshot }); e.Mode != want {
-					t.Fatalf("call %d: mode %d, version %d", i+1, e.Mode, e.Version)
+				if update := awaitList(t, script); update.Mode != want {
+					t.Fatalf("request %d: mode %d, version %d", i+1, update.Mode, update.Version)
 				}
 			}
-			<-asked
-			<-asked
-			if since := <-asked; since != tc.since {
-				t.Errorf("changes since %d were asked for", since)
+			<-requested
+			<-requested
+			if since := <-requested; since != tc.since {
+				t.Errorf("updates since %d were requested, want since %d", since, tc.since)
 			}
 		})
 	}
 }
 
-// A machine that says hello with a new incarnation while the list is out of reach does not end the calls of the list: they
-// go on until the list answers.
-func TestListIsCalledAgainAfterMachineHello(t *testing.T) {
-	machineAddr, hello, _ := slowMachine(t, "a")
-	entry := protocol.MachineEntry{Machine: "a", Address: machineAddr, Incarnation: 1, Age: -1}
+// A machine that says hello with a new incarnation while the list is out of reach does not end the requests for the list: they go
+// on until the list answers.
+func TestListIsRequestedAgainAfterMachineHello(t *testing.T) {
+	machineAddress, hello, _ := serveSlowMachine(t, "a")
+	entry := protocol.MachineEntry{Machine: "a", Address: machineAddress, Incarnation: 1, Age: -1}
 	var away atomic.Bool
-	watches := make(chan int64, 100) // the version that each call asks for changes since
-	s := terms(t)
-	s.Connect, s.Terms.ResyncInterval, s.Terms.SchedulerCount = 10*eventloop.Second, scheduler.Second, 1
-	s.ListAddr = serve(t, func(c net.Conn) {
+	requested := make(chan int64, 100) // the version since which updates are requested
+	settings := testConfig(t)
+	settings.Connect, settings.Terms.ResyncInterval, settings.Terms.SchedulerCount = 10*eventloop.Second, scheduler.Second, 1
+	settings.ListAddr = listenTCP(t, func(c net.Conn) {
 		if away.Load() {
 			return
 		}
-		put(c, protocol.NewHello(protocol.RoleMachineList, "list", 1))
+		sendFrames(c, protocol.NewHello(protocol.RoleMachineList, "list", 1))
 		for {
-			f, err := protocol.ReadFrame(c, protocol.MaxFrame)
+			f, err := receiveFrame(c)
 			if err != nil || away.Load() {
 				return
 			}
 			if w, ok := f.(*protocol.WatchMachineList); ok {
-				watches <- w.SinceVersion
-				put(c, &protocol.MachineListUpdate{FullSnapshot: true, Version: 5, Entries: []protocol.MachineEntry{entry}})
+				requested <- w.SinceVersion
+				sendFrames(c, &protocol.MachineListUpdate{FullSnapshot: true, Version: 5, Entries: []protocol.MachineEntry{entry}})
 			}
 		}
 	})
-	h := run(t, s, scheduler.New(s.Terms))
-	await := func(since int64) {
+	server := runServer(t, settings, scheduler.New(settings.Terms))
+	awaitRequest := func(since int64) {
 		t.Helper()
 		select {
-		case got := <-watches:
+		case got := <-requested:
 			if got != since {
-				t.Fatalf("changes since %d were asked for, want since %d", got, since)
+				t.Fatalf("updates since %d were requested, want since %d", got, since)
 			}
-		case <-time.After(20 * time.Second):
-			t.Fatal("the list is not called in 20 s")
+		case <-time.After(testTimeout):
+			t.Fatalf("the list is not requested in %v", testTimeout)
 		}
 	}
-	await(0)
-	until(t, func() bool { return on1(h, func() bool { return h.discovery.version == 5 }) })
+	awaitRequest(0)
+	eventuallyOnLoop(t, server, func() bool { return server.discovery.version == 5 })
 	away.Store(true)
-	on1(h, func() bool { h.discovery.conn.Reset(); return true })
-	until(t, func() bool {
-		return on1(h, func() bool { return h.discovery.conn == nil && !h.discovery.awaitingReply })
-	})
+	runOnLoop(server, func() { server.discovery.conn.Reset() })
+	eventuallyOnLoop(t, server, func() bool { return server.discovery.conn == nil && !server.discovery.awaitingReply })
 	hello <- 2
-	until(t, func() bool { return on1(h, func() bool { return h.machines["a"].selfReported }) })
+	eventuallyOnLoop(t, server, func() bool { return server.machines["a"].selfReported })
 	away.Store(false)
-	await(5)
+	awaitRequest(5)
+}
+
+func TestFaultsOfTheListServiceAreTyped(t *testing.T) {
+	d := &discoveryClient{serviceIncarnation: 1, version: 5}
+	for _, tc := range []struct {
+		name  string
+		frame protocol.Frame
+		want  error
+	}{
+		{"an older version", &protocol.MachineListUpdate{Version: 4}, errOldList},
+		{"another role", protocol.NewHello(protocol.RoleMachine, "a", 1), errUnexpectedPeer},
+		{"a goodbye", &protocol.Goodbye{Message: "maintenance"}, errPeerGoodbye},
+		{"a frame for machines", &protocol.Probe{Seq: 1}, errUnexpectedFrame},
+		{"a restart", protocol.NewHello(protocol.RoleMachineList, "list", 2), errListRestarted}, // forgets the version
+		{"the first hello of an incarnation without a version", protocol.NewHello(protocol.RoleMachineList, "list", 3), nil},
+	} {
+		if err := d.handleFrame(tc.frame); !errors.Is(err, tc.want) {
+			t.Errorf("%s: %v, want %v", tc.name, err, tc.want)
+		}
+	}
 }
--- /dev/null
+++ b/internal/schedulerd/errors.go
@@ -0,0 +1,73 @@
+package schedulerd
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+
+	"glenport/internal/eventloop"
+	"glenport/internal/protocol"
+)
+
+// Faults for which a connection is closed.
+var (
+	errDuplicateInventory = errors.New("machine reported its inventory twice")
+	errListRestarted      = errors.New("machine list service has restarted, a full list is needed")
+	errNoHello            = errors.New("no hello received")
+	errOldList            = errors.New("machine list is older than the last one")
+	errPartialFrame       = errors.New("rest of a frame missing")
+	errPeerGoodbye        = errors.New("peer said goodbye")
+	errSilent             = errors.New("no complete frame received")
+	errUnexpectedFrame    = errors.New("unexpected frame")
+	errUnexpectedPeer     = errors.New("unexpected peer")
+)
+
+// peerError is a fault of a machine or a client, which is told of it in a Goodbye: the text is part of the wire and stays as it is.
+// The log shows the fault.
+type peerError struct {
+	fault  error
+	detail string
+	text   string
+}
+
+func (e *peerError) Error() string { return e.text }
+
+func (e *peerError) Unwrap() error { return e.fault }
+
+// LogValue implements slog.LogValuer.
+func (e *peerError) LogValue() slog.Value {
+	if e.detail == "" {
+		return slog.StringValue(e.fault.Error())
+	}
+	return slog.StringValue(e.fault.Error() + ": " + e.detail)
+}
+
+func duplicateInventory() error {
+	return &peerError{fault: errDuplicateInventory, text: "says twice what it holds"}
+}
+
+func machineGoodbye(f *protocol.Goodbye) error {
+	return &peerError{fault: errPeerGoodbye, detail: f.Message, text: "machine says: " + f.Message}
+}
+
+func wrongMachine(f *protocol.Hello, want string) error {
+	return &peerError{fault: errUnexpectedPeer, detail: fmt.Sprintf("%s %q instead of machine %s", f.Role, f.Name, want),
+		text: fmt.Sprintf("%s %q answers where machine %s was called", f.Role, f.Name, want)}
+}
+
+func wrongClient(role protocol.Role) error {
+	return &peerError{fault: errUnexpectedPeer, detail: role.String(), text: fmt.Sprintf("a %s has no business at this door", role)}
+}
+
+func unexpectedFromMachine(f protocol.Frame) error { return unexpectedFrame(f, "a placer") }
+
+func unexpectedFromClient(f protocol.Frame) error { return unexpectedFrame(f, "the door") }
+
+func unexpectedFrame(f protocol.Frame, receiver string) error {
+	return &peerError{fault: errUnexpectedFrame, detail: fmt.Sprintf("%T", f), text: fmt.Sprintf("%T is not for %s", f, receiver)}
+}
+
+// after tells how long a fault has lasted.
+func after(fault error, waited eventloop.Tick) error {
+	return fmt.Errorf("%w for %d ms", fault, waited/eventloop.Millisecond)
+}
--- /dev/null
+++ b/internal/schedulerd/errors_test.go
@@ -0,0 +1,58 @@
+package schedulerd
+
+import (
+	"errors"
+	"testing"
+
+	"glenport/internal/eventloop"
+	"glenport/internal/protocol"
+	"glenport/scheduler"
+)
+
+// The texts are sent in a Goodbye: they are part of the wire.
+func TestFaultsOfPeersAreTypedAndKeepTheirTexts(t *testing.T) {
+	m := &machine{id: "a"}
+	ready := &machine{id: "a", ready: true}
+	client := &clientConn{}
+	for _, tc := range []struct {
+		name   string
+		handle func(protocol.Frame) error
+		frame  protocol.Frame
+		want   error
+		text   string
+		logged string
+	}{
+		{"another role", m.handleFrame, protocol.NewHello(protocol.RoleClient, "a", 1), errUnexpectedPeer,
+			`owner "a" answers where machine a was called`, `unexpected peer: owner "a" instead of machine a`},
+		{"another machine", m.handleFrame, protocol.NewHello(protocol.RoleMachine, "b", 1), errUnexpectedPeer,
+			`machine "b" answers where machine a was called`, `unexpected peer: machine "b" instead of machine a`},
+		{"a second inventory", ready.handleFrame, &protocol.Inventory{}, errDuplicateInventory,
+			"says twice what it holds", "machine reported its inventory twice"},
+		{"goodbye of a machine", m.handleFrame, &protocol.Goodbye{Message: "maintenance"}, errPeerGoodbye,
+			"machine says: maintenance", "peer said goodbye: maintenance"},
+		{"a frame not for machines", m.handleFrame, &protocol.StatusRequest{}, errUnexpectedFrame,
+			"*protocol.StatusRequest is not for a placer", "unexpected frame: *protocol.StatusRequest"},
+		{"a machine instead of a client", client.handleFrame, protocol.NewHello(protocol.RoleMachine, "a", 1), errUnexpectedPeer,
+			"a machine has no business at this door", "unexpected peer: machine"},
+		{"a frame not for clients", client.handleFrame, &protocol.Probe{}, errUnexpectedFrame,
+			"*protocol.Probe is not for the door", "unexpected frame: *protocol.Probe"},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			err := tc.handle(tc.frame)
+			if !errors.Is(err, tc.want) || err.Error() != tc.text {
+				t.Errorf("got %v, want %v with the text %q", err, tc.want, tc.text)
+			}
+			var fault *peerError
+			if !errors.As(err, &fault) || fault.LogValue().String() != tc.logged {
+				t.Errorf("logged %v, want %q", fault, tc.logged)
+			}
+		})
+	}
+}
+
+func TestDurationOfAFaultIsInMilliseconds(t *testing.T) {
+	err := after(errSilent, eventloop.Tick(3*scheduler.Second))
+	if !errors.Is(err, errSilent) || err.Error() != "no complete frame received for 3000 ms" {
+		t.Errorf("got %v", err)
+	}
+}
--- a/internal/schedulerd/export.go
+++ b/internal/schedulerd/export.go
@@ -8,83 +8,97 @@
 	"glenport/scheduler"
 )
 
-// The types of this file are the form in which `glenport state export` shows a Knowledge. Operators read it with
-// other programs, so that its names are fixed here, apart from those of the code.
+// The types of this file are the form in which `glenport state export` shows a WarmStartSnapshot. Other programs read it: its
+// names are fixed here, apart from those of the code.
 type (
 	exportedSnapshot struct {
-		At        warmstart.Timestamp            `json:"At"`
-		Names     []string                       `json:"Names"`
-		Learned   exportedLearned                `json:"Learned"`
-		Starts    map[scheduler.MachineID]uint64 `json:"Starts"`
-		ListIs    int64                          `json:"ListIs"`
-		Entries   []entryRecord                  `json:"Entries"`
-		AtAnOrder bool                           `json:"AtAnOrder"`
-		Door      *overload.Snapshot             `json:"Door"`
+		TakenAt         warmstart.Timestamp            `json:"At"`
+		Names           []string                       `json:"Names"`
+		Learned         exportedLearned                `json:"Learned"`
+		Incarnations    map[scheduler.MachineID]uint64 `json:"Starts"`
+		ListVersion     int64                          `json:"ListIs"`
+		Entries         []entryRecord                  `json:"Entries"`
+		OrderlyShutdown bool                           `json:"AtAnOrder"`
+		Overload        *overload.Snapshot             `json:"Door"`
 	}
 
 	exportedLearned struct {
-		Machines  []exportedMachine `json:"Machines"`
-		Traits    []exportedTrait   `json:"Traits"`
-		Full      float64           `json:"Full"`
-		Missed    float64           `json:"Missed"`
-		SentSince scheduler.Time    `json:"SentSince"`
+		Machines        []exportedMachine      `json:"Machines"`
+		TrafficClasses  []exportedTrafficClass `json:"Traits"`
+		FullRatio       float64                `json:"Full"`
+		RejectedWeight  float64                `json:"Missed"`
+		SendsKnownSince scheduler.Time         `json:"SentSince"`
 	}
 
 	exportedMachine struct {
-		Machine   scheduler.MachineID `json:"Machine"`
-		Started   scheduler.Time      `json:"Started"`
-		Sick      float64             `json:"Sick"`
-		RestUntil scheduler.Time      `json:"RestUntil"`
-		Rest      scheduler.Time      `json:"Rest"`
-		ShutUntil scheduler.Time      `json:"ShutUntil"`
-		Doubts    []exportedDoubt     `json:"Doubts"`
-		Cold      []scheduler.Time    `json:"Cold"`
+		Machine           scheduler.MachineID `json:"Machine"`
+		StartedAt         scheduler.Time      `json:"Started"`
+		OutlierLogOdds    float64             `json:"Sick"`
+		EjectedUntil      scheduler.Time      `json:"RestUntil"`
+		EjectionTime      scheduler.Time      `json:"Rest"`
+		SelfDrainingUntil scheduler.Time      `json:"ShutUntil"`
+		FailureEvidence   []exportedEvidence  `json:"Doubts"`
+		RecentSends       []scheduler.Time    `json:"Cold"`
 	}
 
-	exportedTrait struct {
-		Lost float64 `json:"Lost"`
-		Bar  float64 `json:"Bar"`
+	exportedTrafficClass struct {
+		LossRatio          float64 `json:"Lost"`
+		SuspicionThreshold float64 `json:"Bar"`
 	}
 
-	exportedDoubt struct {
-		Odds float64        `json:"Odds"`
-		At   scheduler.Time `json:"At"`
+	exportedEvidence struct {
+		LogOdds float64        `json:"Odds"`
+		AsOf    scheduler.Time `json:"At"`
 	}
 )
 
-// MarshalJSON gives the form of `glenport state export`.
-func (k WarmStartSnapshot) MarshalJSON() ([]byte, error) {
-	return json.Marshal(exportedSnapshot{At: k.TakenAt, Names: k.Names, Learned: exportLearned(k.Learned), Starts: k.Incarnations,
-		ListIs: k.ListVersion, Entries: k.Entries, AtAnOrder: k.OrderlyShutdown, Door: k.Overload})
+// MarshalJSON implements json.Marshaler, in the form of `glenport state export`.
+func (w WarmStartSnapshot) MarshalJSON() ([]byte, error) {
+	return json.Marshal(exportedSnapshot{
+		TakenAt:         w.TakenAt,
+		Names:           w.Names,
+		Learned:         exportLearned(w.Learned),
+		Incarnations:    w.Incarnations,
+		ListVersion:     w.ListVersion,
+		Entries:         w.Entries,
+		OrderlyShutdown: w.OrderlyShutdown,
+		Overload:        w.Overload,
+	})
 }
 
-func exportLearned(k scheduler.Snapshot) exportedLearned {
+func exportLearned(s scheduler.Snapshot) exportedLearned {
 	return exportedLearned{
-		Machines: exportEach(k.Machines, exportMachine),
-		Traits: exportEach(k.TrafficClasses, func(t scheduler.TrafficClass) exportedTrait {
-			return exportedTrait{Lost: t.LossRatio, Bar: t.SuspicionThreshold}
-		}),
-		Full:      k.FullRatio,
-		Missed:    k.RejectedWeight,
-		SentSince: k.SendsKnownSince,
+		Machines:        exportAll(s.Machines, exportMachine),
+		TrafficClasses:  exportAll(s.TrafficClasses, exportTrafficClass),
+		FullRatio:       s.FullRatio,
+		RejectedWeight:  s.RejectedWeight,
+		SendsKnownSince: s.SendsKnownSince,
 	}
 }
 
 func exportMachine(m scheduler.MachineSnapshot) exportedMachine {
 	return exportedMachine{
-		Machine:   m.Machine,
-		Started:   m.StartedAt,
-		Sick:      m.OutlierLogOdds,
-		RestUntil: m.EjectedUntil,
-		Rest:      m.EjectionTime,
-		ShutUntil: m.SelfDrainingUntil,
-		Doubts:    exportEach(m.FailureEvidence, func(d scheduler.FailureEvidence) exportedDoubt { return exportedDoubt{Odds: d.LogOdds, At: d.AsOf} }),
-		Cold:      m.RecentSends,
+		Machine:           m.Machine,
+		StartedAt:         m.StartedAt,
+		OutlierLogOdds:    m.OutlierLogOdds,
+		EjectedUntil:      m.EjectedUntil,
+		EjectionTime:      m.EjectionTime,
+		SelfDrainingUntil: m.SelfDrainingUntil,
+		FailureEvidence:   exportAll(m.FailureEvidence, exportEvidence),
+		RecentSends:       m.RecentSends,
 	}
 }
 
-// exportEach keeps nil: JSON shows it as null and an empty slice as [].
-func exportEach[From, To any](from []From, export func(From) To) []To {
+func exportTrafficClass(c scheduler.TrafficClass) exportedTrafficClass {
+	return exportedTrafficClass{LossRatio: c.LossRatio, SuspicionThreshold: c.SuspicionThreshold}
+}
+
+func exportEvidence(e scheduler.FailureEvidence) exportedEvidence {
+	return exportedEvidence{LogOdds: e.LogOdds, AsOf: e.AsOf}
+}
+
+// exportAll keeps nil, which JSON shows as null and an empty slice as [].
+func exportAll[From, To any](from []From, export func(From) To) []To {
 	if from == nil {
 		return nil
 	}
--- /dev/null
+++ b/internal/schedulerd/faultydir_test.go
@@ -0,0 +1,94 @@
+package schedulerd
+
+import (
+	"os"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+
+	"glenport/internal/config"
+	"glenport/internal/storage/vfs"
+	"glenport/internal/storage/wal"
+)
+
+// faultyDir is a folder that may be full, or slow to sync.
+type faultyDir struct {
+	stateDir
+	full atomic.Bool
+	gate sync.RWMutex // syncs wait while it is locked
+}
+
+type faultyFile struct {
+	vfs.File
+	dir *faultyDir
+}
+
+func (d *faultyDir) Create(name string) (vfs.File, error) {
+	if d.full.Load() {
+		return nil, syscall.ENOSPC
+	}
+	f, err := d.stateDir.Create(name)
+	return faultyFile{f, d}, err
+}
+
+func (d *faultyDir) Append(name string) (vfs.File, error) {
+	f, err := d.stateDir.Append(name)
+	return faultyFile{f, d}, err
+}
+
+func (f faultyFile) Write(p []byte) (int, error) {
+	if f.dir.full.Load() {
+		return 0, syscall.ENOSPC
+	}
+	return f.File.Write(p)
+}
+
+func (f faultyFile) Sync() error {
+	f.dir.gate.RLock()
+	defer f.dir.gate.RUnlock()
+	return f.File.Sync()
+}
+
+// useFaultyDir makes every server of the test open a folder whose faults the test sets.
+func useFaultyDir(t *testing.T, settings *config.Placer) *faultyDir {
+	t.Helper()
+	d := &faultyDir{}
+	settings.State = t.TempDir()
+	original := openStateDir
+	openStateDir = func(path string) (stateDir, error) {
+		var err error
+		d.stateDir, err = vfs.OpenLocked(path)
+		return d, err
+	}
+	t.Cleanup(func() { openStateDir = original })
+	return d
+}
+
+// countRecords counts the records of a kind in a folder that nobody holds.
+func countRecords(t *testing.T, path, kind string) (n int) {
+	t.Helper()
+	d, err := vfs.OpenLocked(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeAgain(d)
+	records, err := wal.Load(d, false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := records.ForEach(kind, func(string, []byte) error { n++; return nil }); err != nil {
+		t.Fatal(err)
+	}
+	return n
+}
+
+// copyState copies a folder as a kill -9 would leave it.
+func copyState(t *testing.T, path string) string {
+	t.Helper()
+	to := t.TempDir()
+	if err := os.CopyFS(to, os.DirFS(path)); err != nil {
+		t.Fatal(err)
+	}
+	return to
+}
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -45,8 +45,18 @@
 var update = flag.Bool("update", false, "write the golden stored data anew with the program as it is")
 
 func goldenRequest(n float64, id string) scheduler.PlacementRequest {
-	return scheduler.PlacementRequest{ID: scheduler.ContainerID("container-" + id), IdempotencyKey: "key-" + id, Service: "service-" + id, WorkloadClass: 10 + int(n),
-		Tenant: 20 + int(n), Cores: n + 0.25, Memory: n + 0.5, Deadline: scheduler.Time(1000 + n), ExpectedRuntime: scheduler.Time(2000 + n), ClientRetry: true}
+	return scheduler.PlacementRequest{
+		ID:              scheduler.ContainerID("container-" + id),
+		IdempotencyKey:  "key-" + id,
+		Service:         "service-" + id,
+		WorkloadClass:   10 + int(n),
+		Tenant:          20 + int(n),
+		Cores:           n + 0.25,
+		Memory:          n + 0.5,
+		Deadline:        scheduler.Time(1000 + n),
+		ExpectedRuntime: scheduler.Time(2000 + n),
+		ClientRetry:     true,
+	}
 }
 
 // Attempts by number. Number 3 is deleted again by the log.
@@ -62,13 +72,16 @@
 	{Machine: "machine-six", Incarnation: 206, Times: []scheduler.Time{3004}},
 }
 
-var goldenIncarnation = warmstart.LogHistory{SendsRecordedSince: warmstart.Timestamp{Clock: 17_000_000_000_001, Uptime: 17_000_002, BootID: "boot-of-the-record"}, Coverage: recovery.LogSynced}
+var goldenHistory = warmstart.LogHistory{
+	SendsRecordedSince: warmstart.Timestamp{Clock: 17_000_000_000_001, Uptime: 17_000_002, BootID: "boot-of-the-record"},
+	Coverage:           recovery.LogSynced,
+}
 
 var goldenEntries = []protocol.MachineEntry{
-	{Machine: "machine-seven", Address: "127.0.0.7:7007", Zone: 31, MachineType: 32, RackGroup: 33, State: protocol.MachineDraining, FreeCores: 34.5, FreeMemory: 35.5,
-		PowerHint: 36.5, Incarnation: 207, Age: 5001},
-	{Machine: "machine-eight", Address: "127.0.0.8:8008", Zone: 41, MachineType: 42, RackGroup: 43, State: protocol.MachineGone, FreeCores: 44.5, FreeMemory: 45.5,
-		PowerHint: 46.5, Incarnation: 208, Age: -1},
+	{Machine: "machine-seven", Address: "127.0.0.7:7007", Zone: 31, MachineType: 32, RackGroup: 33, State: protocol.MachineDraining,
+		FreeCores: 34.5, FreeMemory: 35.5, PowerHint: 36.5, Incarnation: 207, Age: 5001},
+	{Machine: "machine-eight", Address: "127.0.0.8:8008", Zone: 41, MachineType: 42, RackGroup: 43, State: protocol.MachineGone,
+		FreeCores: 44.5, FreeMemory: 45.5, PowerHint: 46.5, Incarnation: 208, Age: -1},
 }
 
 // There is one entry in the map: the order in which several are encoded is random.
@@ -77,10 +90,14 @@
 		TakenAt: warmstart.Timestamp{Clock: 17_000_000_000_101, Uptime: 17_000_102, BootID: "boot-of-the-file"},
 		Names:   []string{"class-a", "class-b", "tenant-a"},
 		Learned: scheduler.Snapshot{
-			Machines: []scheduler.MachineSnapshot{{Machine: "machine-seven", StartedAt: 4001, OutlierLogOdds: 5.25, EjectedUntil: 4002, EjectionTime: 4003, SelfDrainingUntil: 4004,
-				FailureEvidence: []scheduler.FailureEvidence{{LogOdds: 0.125, AsOf: 4005}, {LogOdds: 1.125, AsOf: 4006}}, RecentSends: []scheduler.Time{4007, 4008}}},
-			TrafficClasses: []scheduler.TrafficClass{{LossRatio: 0.0625, SuspicionThreshold: 6.5}, {LossRatio: 0.1875, SuspicionThreshold: 7.5}, {LossRatio: 0.3125, SuspicionThreshold: 8.5}},
-			FullRatio:      0.4375, RejectedWeight: 0.5625, SendsKnownSince: 4009,
+			Machines: []scheduler.MachineSnapshot{{Machine: "machine-seven", StartedAt: 4001, OutlierLogOdds: 5.25, EjectedUntil: 4002, EjectionTime: 4003,
+				SelfDrainingUntil: 4004, FailureEvidence: []scheduler.FailureEvidence{{LogOdds: 0.125, AsOf: 4005}, {LogOdds: 1.125, AsOf: 4006}},
+				RecentSends: []scheduler.Time{4007, 4008}}},
+			TrafficClasses: []scheduler.TrafficClass{{LossRatio: 0.0625, SuspicionThreshold: 6.5}, {LossRatio: 0.1875, SuspicionThreshold: 7.5},
+				{LossRatio: 0.3125, SuspicionThreshold: 8.5}},
+			FullRatio:       0.4375,
+			RejectedWeight:  0.5625,
+			SendsKnownSince: 4009,
 		},
 		Incarnations:    map[scheduler.MachineID]uint64{"machine-seven": 207},
 		ListVersion:     301,
@@ -94,33 +111,34 @@
 // the snapshot; the log deletes one attempt, puts another and replaces a send.
 func writeGoldenState(t *testing.T, path string) {
 	t.Helper()
-	commit := func(f func(s *stateStore)) {
+	commit := func(change func(*stateStore)) {
 		d, err := openStateDir(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &stateStore{dir: d}
-		if s.log, _, err = wal.Open(d, wal.Options{}); err != nil {
+		st := &stateStore{dir: d}
+		if st.log, _, err = wal.Open(d, wal.Options{}); err != nil {
 			t.Fatal(err)
 		}
-		f(s)
-		s.commit()
-		if err := s.log.Close(); err != nil {
+		change(st)
+		st.commit()
+		if err := st.log.Close(); err != nil {
 			t.Fatal(err)
 		}
 		if err := d.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	commit(func(s *stateStore) {
-		s.current = goldenIncarnation
-		s.changes = append(s.changes, s.incarnationChange())
-		for _, h := range goldenAttempts[:3] {
-			b := &attempt{number: h.Number, incarnation: h.Incarnation, container: &container{request: h.Request}, machine: &machine{id: h.Machine}}
-			s.put(AttemptKind, attemptKey(b.number), b.record())
+	commit(func(st *stateStore) {
+		st.history = goldenHistory
+		st.changes = append(st.changes, st.historyChange())
+		for _, logged := range goldenAttempts[:3] {
+			a := &attempt{number: logged.Number, incarnation: logged.Incarnation, container: &container{request: logged.Request},
+				machine: &machine{id: logged.Machine}}
+			st.put(AttemptKind, attemptKey(a.number), a.record())
 		}
 		for _, sent := range goldenSends {
-			s.put(SendKind, string(sent.Machine), warmstart.SlowStartSends{Machine: sent.Machine, Incarnation: 1, Times: []scheduler.Time{1}})
+			st.put(SendKind, string(sent.Machine), warmstart.SlowStartSends{Machine: sent.Machine, Incarnation: 1, Times: []scheduler.Time{1}})
 		}
 	})
 	d, err := vfs.OpenLocked(path)
@@ -133,13 +151,13 @@
 	if err := d.Close(); err != nil {
 		t.Fatal(err)
 	}
-	commit(func(s *stateStore) {
-		s.remove(AttemptKind, attemptKey(goldenAttempts[2].Number))
-		s.put(AttemptKind, attemptKey(goldenAttempts[3].Number), goldenAttempts[3])
+	commit(func(st *stateStore) {
+		st.remove(AttemptKind, attemptKey(goldenAttempts[2].Number))
+		st.put(AttemptKind, attemptKey(goldenAttempts[3].Number), goldenAttempts[3])
 		for _, sent := range goldenSends {
-			s.put(SendKind, string(sent.Machine), sent)
+			st.put(SendKind, string(sent.Machine), sent)
 		}
-		if err := goldenSnapshot().write(s.dir); err != nil {
+		if err := goldenSnapshot().write(st.dir); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -217,37 +235,37 @@
 }
 
 func TestGoldenStateIsRead(t *testing.T) {
-	s := terms(t)
-	s.State = t.TempDir()
-	if err := os.CopyFS(s.State, os.DirFS(goldenState)); err != nil {
+	settings := testConfig(t)
+	settings.State = t.TempDir()
+	if err := os.CopyFS(settings.State, os.DirFS(goldenState)); err != nil {
 		t.Fatal(err)
 	}
-	h, err := New(s, learning(scheduler.Snapshot{}), discard)
+	server, err := New(settings, newWarmStartScript(scheduler.Snapshot{}), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { // a loop that was made is run to its end
-		h.Stop()
-		if err := h.Run(); err != nil {
+	defer func() { // the loop is released when Run returns
+		server.Stop()
+		if err := server.Run(); err != nil {
 			t.Error(err)
 		}
 	}()
-	read := h.state
+	loaded := server.state.loaded
 	attempts := []reconcile.Attempt{goldenAttempts[0], goldenAttempts[1], goldenAttempts[3]}
 	for _, record := range []struct {
 		name      string
 		got, want any
 	}{
-		{"incarnation", read.previous, goldenIncarnation},
-		{"attempts", read.attempts, attempts},
-		{"sends", read.sends, goldenSends},
-		{"snapshot", read.snapshot, goldenSnapshot()},
+		{"incarnation", loaded.history, goldenHistory},
+		{"attempts", loaded.attempts, attempts},
+		{"sends", loaded.sends, goldenSends},
+		{"snapshot", loaded.snapshot, goldenSnapshot()},
 	} {
 		if !reflect.DeepEqual(record.got, record.want) {
 			t.Errorf("%s: read %+v, want %+v", record.name, record.got, record.want)
 		}
 		if record.name == "snapshot" {
-			for i, r := range read.snapshot.Entries {
+			for i, r := range loaded.snapshot.Entries {
 				if r.entry() != goldenEntries[i] {
 					t.Errorf("entry %d: read %+v", i, r.entry())
 				}
@@ -270,9 +288,10 @@
 	}
 }
 
-// Nothing learned is exported as null, as it was before the export had types of its own.
+// What is empty is exported as null.
 func TestEmptySnapshotIsExported(t *testing.T) {
-	got, err := json.Marshal(map[string]any{"kind": "knowledge", "value": WarmStartSnapshot{Learned: scheduler.Snapshot{Machines: []scheduler.MachineSnapshot{{}}}}})
+	empty := WarmStartSnapshot{Learned: scheduler.Snapshot{Machines: []scheduler.MachineSnapshot{{}}}}
+	got, err := json.Marshal(map[string]any{"kind": "knowledge", "value": empty})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -284,22 +303,23 @@
 	}
 }
 
-// A bar that nothing reaches is infinite; it is kept as such.
-func TestInfiniteBarIsKept(t *testing.T) {
+// A threshold that nothing reaches is infinite, which CBOR can encode.
+func TestInfiniteThresholdIsStored(t *testing.T) {
 	d, err := vfs.OpenLocked(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Close()
-	k := &WarmStartSnapshot{Learned: scheduler.Snapshot{TrafficClasses: []scheduler.TrafficClass{{LossRatio: 0.5, SuspicionThreshold: math.Inf(1)}}}}
-	if err := k.write(d); err != nil {
+	defer closeAgain(d)
+	want := &WarmStartSnapshot{Learned: scheduler.Snapshot{TrafficClasses: []scheduler.TrafficClass{
+		{LossRatio: 0.5, SuspicionThreshold: math.Inf(1)}}}}
+	if err := want.write(d); err != nil {
 		t.Fatal(err)
 	}
 	got, err := ReadWarmStart(d)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(got.Learned, k.Learned) {
+	if !reflect.DeepEqual(got.Learned, want.Learned) {
 		t.Errorf("read %+v", got.Learned)
 	}
 }
--- a/internal/schedulerd/helpers_test.go
+++ b/internal/schedulerd/helpers_test.go
@@ -15,215 +15,367 @@
 	"go.uber.org/goleak"
 )
 
+// testTimeout bounds every wait of a test.
+const testTimeout = 20 * time.Second
+
+// Workload classes of the configuration that most tests use.
+const (
+	classIdempotent = 0
+	classWithKey    = 1
+	classAtMostOnce = 2
+)
+
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
+
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// script stands in place of the module: it passes on what happens, and does what it is told for an ask.
-type script struct {
+// scriptedScheduler stands in for the scheduler: it passes events on to the test and reacts as the test says.
+type scriptedScheduler struct {
 	mu     sync.Mutex
-	on     func(e scheduler.Event) []scheduler.Action
+	react  func(e scheduler.Event) []scheduler.Action // may be nil
 	events chan scheduler.Event
 }
 
-func (s *script) Handle(_ scheduler.Time, events []scheduler.Event) []scheduler.Action {
+func newScript(react func(scheduler.Event) []scheduler.Action) *scriptedScheduler {
+	return &scriptedScheduler{react: react, events: make(chan scheduler.Event, 100_000)}
+}
+
+func (s *scriptedScheduler) Handle(_ scheduler.Time, events []scheduler.Event) []scheduler.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []scheduler.Action
+	var actions []scheduler.Action
 	for _, e := range events {
-		if s.on != nil {
-			out = append(out, s.on(e)...)
+		if s.react != nil {
+			actions = append(actions, s.react(e)...)
 		}
 		s.events <- e
 	}
-	return out
+	return actions
+}
+
+// awaitEvent waits for an event of a type that satisfies the condition, if there is one; others are skipped.
+func awaitEvent[E scheduler.Event](t *testing.T, script *scriptedScheduler, condition func(E) bool) E {
+	t.Helper()
+	timeout := time.After(testTimeout)
+	for {
+		select {
+		case e := <-script.events:
+			if e, ok := e.(E); ok && (condition == nil || condition(e)) {
+				return e
+			}
+		case <-timeout:
+			t.Fatalf("no %T in %v", *new(E), testTimeout)
+		}
+	}
+}
+
+// awaitList waits for an update of the machine list that is not the restored one.
+func awaitList(t *testing.T, script *scriptedScheduler) scheduler.MachineListUpdate {
+	t.Helper()
+	return awaitEvent(t, script, func(e scheduler.MachineListUpdate) bool { return e.Mode != scheduler.RestoredSnapshot })
+}
+
+// attemptOn reacts to each request with an attempt on machine a, and fails it after its first outcome.
+func attemptOn(timeout scheduler.Time) func(scheduler.Event) []scheduler.Action {
+	return func(e scheduler.Event) []scheduler.Action {
+		switch e := e.(type) {
+		case scheduler.RequestReceived:
+			return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: "a", Timeout: timeout}}
+		case scheduler.AttemptEnded:
+			if !e.Final {
+				return []scheduler.Action{scheduler.Fail{ID: e.ID}}
+			}
+		}
+		return nil
+	}
 }
 
-// rig is a host with a list that names machines, and a caller at its door.
-type rig struct {
-	*testing.T
-	h      *Server
-	script *script
-	door   *caller
+// harness is a server whose list names machines, with a client.
+type harness struct {
+	t      *testing.T
+	server *Server
+	script *scriptedScheduler
+	client *testClient
 }
 
-func terms(t *testing.T) *config.Placer {
-	s, err := config.Load("../../deploy/placer.yaml")
+func testConfig(t *testing.T) *config.Placer {
+	t.Helper()
+	settings, err := config.Load("../../deploy/placer.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Door, s.State = "127.0.0.1:0", ""
-	return s
+	settings.Door, settings.State = "127.0.0.1:0", ""
+	return settings
 }
 
-func start(t *testing.T, s *config.Placer, on func(scheduler.Event) []scheduler.Action, machines map[string]string) *rig {
+// startHarness takes the addresses of machines by their names.
+func startHarness(t *testing.T, settings *config.Placer, react func(scheduler.Event) []scheduler.Action, machines map[string]string) *harness {
 	t.Helper()
-	sc := &script{on: on, events: make(chan scheduler.Event, 100_000)}
-	r := &rig{T: t, script: sc}
-	s.ListAddr = listing(t, machines)
-	r.h = run(t, s, sc)
-	r.h.loop.Post(func() { r.h.requestList(&protocol.WatchMachineList{Enabled: true}) })
-	await[scheduler.MachineListUpdate](r, func(e scheduler.MachineListUpdate) bool { return e.Mode != scheduler.RestoredSnapshot })
-	r.door = callDoor(t, r.h.Addr())
-	return r
+	h := &harness{t: t, script: newScript(react)}
+	settings.ListAddr = serveMachineList(t, machines)
+	h.server = runServer(t, settings, h.script)
+	watchList(h.server)
+	awaitList(t, h.script)
+	h.client = dialClient(t, h.server.Addr())
+	return h
 }
 
-func run(t *testing.T, s *config.Placer, d Scheduler) *Server {
+func runServer(t *testing.T, settings *config.Placer, decisions Scheduler) *Server {
 	t.Helper()
-	h, err := New(s, d, discard)
+	server, err := New(settings, decisions, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan error, 1)
-	go func() { done <- h.Run() }()
+	go func() { done <- server.Run() }()
 	t.Cleanup(func() {
-		h.Stop()
+		server.Stop()
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
 	})
-	return h
+	return server
 }
 
-// await waits for an event of a sort; others before it are passed over.
-func await[E scheduler.Event](r *rig, want func(E) bool) E {
-	r.Helper()
-	limit := time.After(20 * time.Second)
-	for {
-		select {
-		case e := <-r.script.events:
-			if e, ok := e.(E); ok && (want == nil || want(e)) {
-				return e
-			}
-		case <-limit:
-			r.Fatalf("no such event in 20 s: %T", *new(E))
+// runIncarnation runs a server until f returns, and stops it in order.
+func runIncarnation(t *testing.T, settings *config.Placer, decisions Scheduler, f func(*Server)) {
+	t.Helper()
+	server, err := New(settings, decisions, discardLog)
+	if err != nil {
+		t.Fatal(err)
+	}
+	done := make(chan error, 1)
+	go func() { done <- server.Run() }()
+	f(server)
+	server.Stop()
+	if err := <-done; err != nil {
+		t.Error(err)
+	}
+}
+
+func watchList(server *Server) {
+	server.loop.Post(func() { server.discovery.request(&protocol.WatchMachineList{Enabled: true}) })
+}
+
+// onLoop returns what f returns on the loop of the server.
+func onLoop[T any](server *Server, f func() T) T {
+	result := make(chan T, 1)
+	server.loop.Post(func() { result <- f() })
+	return <-result
+}
+
+func runOnLoop(server *Server, f func()) {
+	onLoop(server, func() struct{} { f(); return struct{}{} })
+}
+
+// eventually waits for what another goroutine brings about.
+func eventually(t *testing.T, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("the condition does not hold in %v", testTimeout)
 		}
 	}
 }
 
-// serve listens and runs each connection in f until it returns.
-func serve(t *testing.T, f func(c net.Conn)) string {
+// eventuallyOnLoop waits for a condition that is evaluated on the loop of the server.
+func eventuallyOnLoop(t *testing.T, server *Server, condition func() bool) {
+	t.Helper()
+	eventually(t, func() bool { return onLoop(server, condition) })
+}
+
+// awaitReady waits until a machine has sent its inventory.
+func (h *harness) awaitReady(id scheduler.MachineID) {
+	h.t.Helper()
+	eventuallyOnLoop(h.t, h.server, func() bool { return h.server.machines[id].ready })
+}
+
+// applyList applies an update of one entry.
+func (h *harness) applyList(entry protocol.MachineEntry) {
+	runOnLoop(h.server, func() { h.server.applyList(scheduler.DeltaUpdate, 2, []protocol.MachineEntry{entry}) })
+}
+
+// listenTCP listens and serves each connection on a goroutine until serve returns.
+func listenTCP(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all sync.WaitGroup
+	var serving sync.WaitGroup
 	var mu sync.Mutex
 	var conns []net.Conn
-	all.Go(func() {
+	serving.Go(func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			mu.Lock()
 			conns = append(conns, c)
 			mu.Unlock()
-			all.Go(func() {
-				defer c.Close()
-				f(c)
+			serving.Go(func() {
+				defer closeAgain(c)
+				serve(c)
 			})
 		}
 	})
 	t.Cleanup(func() {
-		l.Close()
+		closeAgain(listener)
 		mu.Lock()
 		for _, c := range conns {
-			c.Close()
+			closeAgain(c)
 		}
 		mu.Unlock()
-		all.Wait()
+		serving.Wait()
 	})
-	return l.Addr().String()
+	return listener.Addr().String()
+}
+
+// closeAgain closes what may be closed already, which is an error of no account.
+func closeAgain(c io.Closer) { _ = c.Close() }
+
+func receiveFrame(c net.Conn) (protocol.Frame, error) {
+	return protocol.ReadFrame(c, protocol.MaxFrame)
 }
 
-func put(c net.Conn, frames ...protocol.Frame) {
+// skipFrame waits for a frame, or for the end of the connection.
+func skipFrame(c net.Conn) { _, _ = receiveFrame(c) }
+
+// sendFrames sends frames to a peer that may have closed the connection.
+func sendFrames(c net.Conn, frames ...protocol.Frame) {
 	for _, f := range frames {
-		if p, err := protocol.Append(nil, f); err == nil {
-			c.Write(p)
+		encoded, err := protocol.Append(nil, f)
+		if err != nil {
+			panic(err) // a test sends what can be encoded
 		}
+		_, _ = c.Write(encoded)
 	}
 }
 
-func listing(t *testing.T, machines map[string]string) string {
-	return serve(t, func(c net.Conn) {
-		put(c, protocol.NewHello(protocol.RoleMachineList, "list", 1))
-		l := &protocol.MachineListUpdate{FullSnapshot: true, Version: 1}
-		for id, addr := range machines {
-			l.Entries = append(l.Entries, protocol.MachineEntry{Machine: id, Address: addr, Incarnation: 1, Age: -1})
+// serveMachineList names machines by their addresses in a full list.
+func serveMachineList(t *testing.T, machines map[string]string) string {
+	t.Helper()
+	return listenTCP(t, func(c net.Conn) {
+		sendFrames(c, protocol.NewHello(protocol.RoleMachineList, "list", 1))
+		list := &protocol.MachineListUpdate{FullSnapshot: true, Version: 1}
+		for id, address := range machines {
+			list.Entries = append(list.Entries, protocol.MachineEntry{Machine: id, Address: address, Incarnation: 1, Age: -1})
 		}
 		for {
-			f, err := protocol.ReadFrame(c, protocol.MaxFrame)
+			f, err := receiveFrame(c)
 			if err != nil {
 				return
 			}
 			if _, ok := f.(*protocol.WatchMachineList); ok {
-				put(c, l)
+				sendFrames(c, list)
+			}
+		}
+	})
+}
+
+// serveMachine sends hello and inventory, and hands each frame to handle until that returns false.
+func serveMachine(t *testing.T, name string, inventory *protocol.Inventory, handle func(net.Conn, protocol.Frame) bool) string {
+	t.Helper()
+	return listenTCP(t, func(c net.Conn) {
+		if f, err := receiveFrame(c); err != nil || f.(*protocol.Hello).Role != protocol.RoleScheduler {
+			return
+		}
+		sendFrames(c, protocol.NewHello(protocol.RoleMachine, name, 1), inventory)
+		for {
+			f, err := receiveFrame(c)
+			if err != nil || !handle(c, f) {
+				return
 			}
 		}
 	})
 }
 
-// fakeMachine greets, says what it holds and answers each frame by answer; nil ends the link.
-func machineThat(t *testing.T, name string, holds *protocol.Inventory, answer func(c net.Conn, f protocol.Frame) bool) string {
-	return serve(t, func(c net.Conn) {
-		if f, err := protocol.ReadFrame(c, protocol.MaxFrame); err != nil || f.(*protocol.Hello).Role != protocol.RoleScheduler {
+func ignoreFrame(net.Conn, protocol.Frame) bool { return true }
+
+// serveSlowMachine sends hello and inventory when it gets an incarnation, and accepts every offer.
+func serveSlowMachine(t *testing.T, name string) (address string, hello chan uint64, offered chan string) {
+	t.Helper()
+	hello, offered = make(chan uint64), make(chan string, 100)
+	done := make(chan struct{})
+	address = listenTCP(t, func(c net.Conn) {
+		var incarnation uint64
+		select {
+		case incarnation = <-hello:
+		case <-done:
 			return
 		}
-		put(c, protocol.NewHello(protocol.RoleMachine, name, 1), holds)
+		skipFrame(c)
+		sendFrames(c, protocol.NewHello(protocol.RoleMachine, name, incarnation), &protocol.Inventory{MachineIncarnation: incarnation})
 		for {
-			f, err := protocol.ReadFrame(c, protocol.MaxFrame)
-			if err != nil || !answer(c, f) {
+			f, err := receiveFrame(c)
+			if err != nil {
 				return
 			}
+			if o, ok := f.(*protocol.Offer); ok {
+				offered <- o.Spec.ContainerID
+				sendFrames(c, &protocol.Accept{AttemptID: o.AttemptID, Running: true})
+			}
 		}
 	})
+	t.Cleanup(func() { close(done) })
+	return address, hello, offered
 }
 
-type caller struct {
+type testClient struct {
 	t *testing.T
 	net.Conn
 }
 
-func callDoor(t *testing.T, addr string) *caller {
+func dialClient(t *testing.T, address string) *testClient {
 	t.Helper()
-	c, err := net.Dial("tcp", addr)
+	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(20 * time.Second))
-	d := &caller{t, c}
-	put(c, protocol.NewHello(protocol.RoleClient, "owner", 1))
-	if hello, ok := d.next().(*protocol.Hello); !ok || hello.Role != protocol.RoleScheduler {
-		t.Fatal("the door does not greet")
+	t.Cleanup(func() { closeAgain(c) })
+	if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
 	}
-	return d
+	client := &testClient{t, c}
+	sendFrames(c, protocol.NewHello(protocol.RoleClient, "client", 1))
+	if hello, ok := client.receive().(*protocol.Hello); !ok || hello.Role != protocol.RoleScheduler {
+		t.Fatal("the scheduler sends no hello")
+	}
+	return client
 }
 
-func (c *caller) next() protocol.Frame {
+func (c *testClient) receive() protocol.Frame {
 	c.t.Helper()
-	f, err := protocol.ReadFrame(c, protocol.MaxFrame)
+	f, err := receiveFrame(c)
 	if err != nil {
-		c.t.Fatalf("the door is closed: %v", err)
+		c.t.Fatalf("connection closed: %v", err)
 	}
 	return f
 }
 
-func (c *caller) submit(id string, workload int) {
-	put(c, &protocol.Submit{TimeToDeadline: 60000, Spec: protocol.ContainerSpec{ContainerID: id, IdempotencyKey: "k-" + id, Service: "s", WorkloadClass: workload,
-		Cores: 1, Memory: 1}})
-}
-
-func (c *caller) answer() *protocol.PlacementReply {
+func (c *testClient) receiveReply() *protocol.PlacementReply {
 	c.t.Helper()
-	a, ok := c.next().(*protocol.PlacementReply)
+	f := c.receive()
+	reply, ok := f.(*protocol.PlacementReply)
 	if !ok {
-		c.t.Fatal("no answer")
+		c.t.Fatalf("got a %T, want a reply", f)
 	}
-	return a
+	return reply
 }
 
-// site1 is a placer's file, by value where a test changes it.
-type site1 struct{ *config.Placer }
+// wantReply receives a reply and checks its verdict.
+func (c *testClient) wantReply(want protocol.Verdict) *protocol.PlacementReply {
+	c.t.Helper()
+	reply := c.receiveReply()
+	if reply.Verdict != want {
+		c.t.Fatalf("got %+v, want %v", reply, want)
+	}
+	return reply
+}
 
-var discard = slog.New(slog.NewTextHandler(io.Discard, nil))
+// submit asks for a container under a key of its own.
+func (c *testClient) submit(id string, class int) {
+	sendFrames(c, &protocol.Submit{TimeToDeadline: 60_000, Spec: protocol.ContainerSpec{ContainerID: id, IdempotencyKey: "k-" + id, Service: "s",
+		WorkloadClass: class, Cores: 1, Memory: 1}})
+}
--- /dev/null
+++ b/internal/schedulerd/legacylist.go
@@ -0,0 +1,53 @@
+package schedulerd
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"os"
+
+	"glenport/internal/protocol"
+	"glenport/internal/schedulerd/warmstart"
+	"glenport/scheduler"
+)
+
+// Layout of the legacy list: the clock, the length of the rest, and a frame without its length.
+const (
+	legacyLengthOffset = 8
+	legacyFrameOffset  = 12
+)
+
+var errLegacyList = errors.New("no complete machine list")
+
+// readLegacyList reads the machine list that version 1 kept in a file of its own. It returns nil if there is none.
+func readLegacyList(path string) (*WarmStartSnapshot, error) {
+	if path == "" {
+		return nil, nil
+	}
+	data, err := os.ReadFile(path)
+	if errors.Is(err, os.ErrNotExist) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, err
+	}
+	if len(data) <= legacyFrameOffset || int(binary.BigEndian.Uint32(data[legacyLengthOffset:])) != len(data)-legacyFrameOffset {
+		return nil, fmt.Errorf("%s: %w", path, errLegacyList)
+	}
+	frame, err := protocol.Decode(data[legacyFrameOffset:])
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	list, ok := frame.(*protocol.MachineListUpdate)
+	if !ok {
+		return nil, fmt.Errorf("%s: %w: %T", path, errUnexpectedFrame, frame)
+	}
+	snapshot := &WarmStartSnapshot{
+		TakenAt:     warmstart.Timestamp{Clock: scheduler.Time(binary.BigEndian.Uint64(data))},
+		ListVersion: list.Version,
+	}
+	for _, entry := range list.Entries {
+		snapshot.Entries = append(snapshot.Entries, recordOfEntry(entry))
+	}
+	return snapshot, nil
+}
--- /dev/null
+++ b/internal/schedulerd/restore_test.go
@@ -0,0 +1,245 @@
+package schedulerd
+
+import (
+	"encoding/binary"
+	"errors"
+	"net"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"glenport/internal/eventloop"
+	"glenport/internal/protocol"
+	"glenport/internal/storage/vfs"
+	"glenport/internal/storage/wal"
+	"glenport/scheduler"
+)
+
+// warmStartScript is a script that has learned something.
+type warmStartScript struct {
+	*scriptedScheduler
+	snapshot scheduler.Snapshot
+	restored chan scheduler.Snapshot
+}
+
+func (s *warmStartScript) Snapshot() scheduler.Snapshot { return s.snapshot }
+func (s *warmStartScript) Restore(k scheduler.Snapshot) { s.restored <- k }
+
+func newWarmStartScript(snapshot scheduler.Snapshot) *warmStartScript {
+	return &warmStartScript{newScript(nil), snapshot, make(chan scheduler.Snapshot, 1)}
+}
+
+// A restarted scheduler has its last list and what it learned, without what no longer counts. A snapshot that is damaged is not
+// used; one of a later version stops the start.
+func TestRestartRestoresListAndSnapshot(t *testing.T) {
+	settings := testConfig(t)
+	settings.State = t.TempDir()
+	settings.ListAddr = serveMachineList(t, map[string]string{"a": "127.0.0.1:1", "b": "127.0.0.1:1"})
+	first := newWarmStartScript(scheduler.Snapshot{Machines: []scheduler.MachineSnapshot{
+		{Machine: "a", OutlierLogOdds: 4}, {Machine: "gone", OutlierLogOdds: 4}}})
+	runIncarnation(t, settings, first, func(server *Server) {
+		watchList(server)
+		awaitList(t, first.scriptedScheduler)
+	})
+	second := newWarmStartScript(scheduler.Snapshot{})
+	runIncarnation(t, settings, second, func(*Server) {
+		update := awaitEvent[scheduler.MachineListUpdate](t, second.scriptedScheduler, nil)
+		if update.Mode != scheduler.RestoredSnapshot || len(update.Entries) != 2 {
+			t.Errorf("restored list %+v", update)
+		}
+		restored := <-second.restored
+		if len(restored.Machines) != 1 || restored.Machines[0].Machine != "a" || restored.Machines[0].OutlierLogOdds < 3.5 ||
+			restored.Machines[0].OutlierLogOdds > 4 {
+			t.Errorf("restored %+v", restored.Machines)
+		}
+	})
+	name := filepath.Join(settings.State, WarmStartFile)
+	data := readFile(t, name)
+	flipped := append([]byte(nil), data...)
+	flipped[len(flipped)/2] ^= 1
+	for _, damaged := range [][]byte{{}, data[:len(data)/2], append([]byte("x"), data...), flipped} {
+		writeFile(t, name, damaged)
+		third := newWarmStartScript(scheduler.Snapshot{})
+		runIncarnation(t, settings, third, func(*Server) {
+			if update := awaitEvent[scheduler.MachineListUpdate](t, third.scriptedScheduler, nil); len(update.Entries) != 0 {
+				t.Errorf("%d bytes that are no snapshot are restored", len(damaged))
+			}
+		})
+	}
+	writeLaterSnapshot(t, settings.State)
+	var unsupported *wal.UnsupportedVersionError
+	if _, err := New(settings, newWarmStartScript(scheduler.Snapshot{}), discardLog); !errors.As(err, &unsupported) {
+		t.Errorf("a file of a later version: %v", err)
+	}
+}
+
+func writeLaterSnapshot(t *testing.T, path string) {
+	t.Helper()
+	d, err := vfs.OpenLocked(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := wal.WriteChecksummed(d, WarmStartFile, WarmStartMagic, WarmStartVersion+1, nil); err != nil {
+		t.Fatal(err)
+	}
+	if err := d.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// The list of version 1 is read if the folder holds no snapshot yet, and used if it is of today.
+func TestLegacyListIsReadOnce(t *testing.T) {
+	const longAgo = 1000
+	var now uint64
+	runIncarnation(t, testConfig(t), newScript(nil), func(server *Server) { now = uint64(server.loop.Now()) })
+	settings := testConfig(t)
+	settings.Keep = filepath.Join(t.TempDir(), "list")
+	data, err := protocol.Append(binary.BigEndian.AppendUint64(nil, 0), &protocol.MachineListUpdate{FullSnapshot: true, Version: 7,
+		Entries: []protocol.MachineEntry{{Machine: "a", Address: "127.0.0.1:1", Age: 50}}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, tc := range []struct {
+		name     string
+		at       uint64
+		machines int
+	}{{"older than a day", longAgo, 0}, {"of today", now, 1}} {
+		binary.BigEndian.PutUint64(data, tc.at)
+		writeFile(t, settings.Keep, data)
+		settings.State = t.TempDir()
+		script := newWarmStartScript(scheduler.Snapshot{})
+		runIncarnation(t, settings, script, func(*Server) {
+			if update := awaitEvent[scheduler.MachineListUpdate](t, script.scriptedScheduler, nil); len(update.Entries) != tc.machines {
+				t.Errorf("%s: %+v", tc.name, update)
+			}
+		})
+	}
+}
+
+// crashDuringAttempt runs an incarnation that attempts one request on a silent machine, and returns the state as a kill -9 leaves it
+// with what the machine would report if the container runs.
+func crashDuringAttempt(t *testing.T, class int) (state string, running protocol.InventoryItem) {
+	t.Helper()
+	offered := make(chan *protocol.Offer, 1)
+	silent := serveMachine(t, "a", &protocol.Inventory{}, func(_ net.Conn, f protocol.Frame) bool {
+		if o, ok := f.(*protocol.Offer); ok {
+			offered <- o
+		}
+		return true
+	})
+	settings := testConfig(t)
+	settings.State = t.TempDir()
+	h := startHarness(t, settings, func(e scheduler.Event) []scheduler.Action {
+		if e, ok := e.(scheduler.RequestReceived); ok {
+			return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: "a"}}
+		}
+		return nil
+	}, map[string]string{"a": silent})
+	h.client.submit("x", class)
+	o := <-offered
+	return copyState(t, settings.State), protocol.InventoryItem{SchedulerIncarnation: h.server.incarnation, AttemptID: o.AttemptID,
+		Running: true, Spec: o.Spec}
+}
+
+// serveReportingMachine sends hello and inventory when report is closed.
+func serveReportingMachine(t *testing.T, inventory *protocol.Inventory, report <-chan struct{}) string {
+	t.Helper()
+	return listenTCP(t, func(c net.Conn) {
+		if _, err := receiveFrame(c); err != nil {
+			return
+		}
+		<-report
+		sendFrames(c, protocol.NewHello(protocol.RoleMachine, "a", 1), inventory)
+		skipFrame(c)
+	})
+}
+
+func failRequests(e scheduler.Event) []scheduler.Action {
+	if e, ok := e.(scheduler.RequestReceived); ok {
+		return []scheduler.Action{scheduler.Fail{ID: e.ID}}
+	}
+	return nil
+}
+
+// After a crash between an attempt and its end the next incarnation knows that it may run. It asks the machine first, and adopts
+// the container or lets its key be used again by what the machine reports. Idempotent work is not logged.
+func TestAttemptOpenAtACrashIsResolvedByItsMachine(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		class  int
+		runs   bool
+		logged int
+		want   protocol.Verdict
+	}{
+		{"at-most-once, and it runs", classAtMostOnce, true, 1, protocol.VerdictPlaced},
+		{"at-most-once, and it does not", classAtMostOnce, false, 1, protocol.VerdictFailed}, // every request fails
+		{"idempotent with a key, and it runs", classWithKey, true, 1, protocol.VerdictPlaced},
+		{"idempotent", classIdempotent, false, 0, protocol.VerdictFailed},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			settings := testConfig(t)
+			state, running := crashDuringAttempt(t, tc.class)
+			settings.State, settings.Connect = state, 10*eventloop.Second
+			inventory := &protocol.Inventory{}
+			if tc.runs {
+				inventory.Containers = []protocol.InventoryItem{running}
+			}
+			report := make(chan struct{})
+			h := startHarness(t, settings, failRequests, map[string]string{"a": serveReportingMachine(t, inventory, report)})
+			unresolved := func() int { return h.server.reconciler.UnresolvedKeys() }
+			if n := onLoop(h.server, unresolved); n != tc.logged {
+				t.Errorf("%d attempts are known to be open", n)
+			}
+			retry := func() *protocol.PlacementReply {
+				sendFrames(h.client, &protocol.Submit{TimeToDeadline: 60_000, Spec: protocol.ContainerSpec{ContainerID: "y", IdempotencyKey: "k-x",
+					Service: "s", WorkloadClass: tc.class, Cores: 1, Memory: 1, ClientRetry: true}})
+				return h.client.receiveReply()
+			}
+			if tc.logged > 0 {
+				if reply := retry(); reply.Verdict != protocol.VerdictNotAdmitted || !strings.Contains(reply.Message, "may run on machine a") {
+					t.Errorf("retried before the machine reported: %+v", reply)
+				}
+			}
+			close(report)
+			eventuallyOnLoop(t, h.server, func() bool { return unresolved() == 0 })
+			if reply := retry(); reply.Verdict != tc.want {
+				t.Errorf("retried after the machine reported: %+v", reply)
+			}
+		})
+	}
+}
+
+// Sends to a machine that was not in slow start are logged when an incarnation is heard of that they may have reached, so that the
+// next incarnation of the scheduler has them.
+func TestSendsBeforeAnIncarnationIsHeardOfAreLogged(t *testing.T) {
+	settings := testConfig(t)
+	settings.State = t.TempDir()
+	address := serveMachine(t, "a", &protocol.Inventory{}, ignoreFrame)
+	h := startHarness(t, settings, attemptOn(0), map[string]string{"a": address})
+	h.client.submit("x", classIdempotent)
+	eventuallyOnLoop(t, h.server, func() bool { return len(h.server.machines["a"].attempts) > 0 })
+	if n := countRecords(t, copyState(t, settings.State), SendKind); n != 0 {
+		t.Errorf("%d records of sends to a machine that is not in slow start", n)
+	}
+	entry := protocol.MachineEntry{Machine: "a", Address: address, Incarnation: 2, Age: protocol.Duration(2 * eventloop.Second)}
+	h.applyList(entry)
+	eventually(t, func() bool { return countRecords(t, copyState(t, settings.State), SendKind) == 1 })
+	next := testConfig(t)
+	next.State = copyState(t, settings.State)
+	next.ListAddr = listenTCP(t, func(c net.Conn) {
+		sendFrames(c, protocol.NewHello(protocol.RoleMachineList, "list", 1),
+			&protocol.MachineListUpdate{FullSnapshot: true, Version: 2, Entries: []protocol.MachineEntry{entry}})
+		for range 3 { // hello, request, end of the connection
+			skipFrame(c)
+		}
+	})
+	script := newWarmStartScript(scheduler.Snapshot{})
+	runIncarnation(t, next, script, func(server *Server) {
+		<-script.restored // at the start, when no list has told of the incarnation
+		watchList(server)
+		restored := <-script.restored
+		if len(restored.Machines) != 1 || restored.Machines[0].Machine != "a" || len(restored.Machines[0].RecentSends) != 1 {
+			t.Errorf("restored %+v", restored.Machines)
+		}
+	})
+}
--- a/internal/schedulerd/snapshot.go
+++ b/internal/schedulerd/snapshot.go
@@ -1,12 +1,11 @@
 package schedulerd
 
 import (
-	"encoding/binary"
+	"cmp"
 	"errors"
 	"fmt"
 	"os"
-	"sort"
-	"strings"
+	"slices"
 
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
@@ -16,138 +15,139 @@
 	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
-	"golang.org/x/sys/unix"
 )
 
-// The file of what a placer has learned. Version 1 was the list alone, without sort, version and checksum, in a file
-// of its own that the setting "keep" named.
+// The file of a WarmStartSnapshot. Version 1 was the machine list alone, in another format and place: see readLegacyList.
 const (
 	WarmStartFile    = "knowledge"
 	WarmStartMagic   = "GLENKNW"
 	WarmStartVersion = 2
-	snapshotInterval = 2 * eventloop.Second
 )
 
-// warmStarter is a decider whose knowledge can be kept.
-type warmStarter interface {
-	Snapshot() scheduler.Snapshot
-	Restore(scheduler.Snapshot)
-}
+// Offsets in the file for the report of damage.
+const (
+	versionOffset = 7
+	bodyOffset    = 16
+)
 
-// readClocks reads the clocks.
-func readClocks(clock scheduler.Time) warmstart.Timestamp {
-	s := warmstart.Timestamp{Clock: clock}
-	var t unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) == nil {
-		s.Uptime = scheduler.Time(t.Nano() / 100_000)
-	}
-	if id, err := os.ReadFile("/proc/sys/kernel/random/boot_id"); err == nil {
-		s.BootID = strings.TrimSpace(string(id))
-	}
-	return s
-}
+const snapshotInterval = 2 * eventloop.Second
 
-// ReadWarmStart reads the file; nil where there is none.
-func ReadWarmStart(d vfs.FS) (*WarmStartSnapshot, error) {
-	version, body, err := wal.ReadChecksummed(d, WarmStartFile, WarmStartMagic, WarmStartVersion)
+// ReadWarmStart reads the snapshot of a state folder. It returns nil if there is none, *wal.CorruptionError if the file is damaged,
+// and *wal.UnsupportedVersionError if a later version of the program wrote it.
+func ReadWarmStart(dir vfs.FS) (*WarmStartSnapshot, error) {
+	version, body, err := wal.ReadChecksummed(dir, WarmStartFile, WarmStartMagic, WarmStartVersion)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	k := &WarmStartSnapshot{}
 	if version != WarmStartVersion {
-		return nil, &wal.CorruptionError{File: WarmStartFile, Offset: 7, Detail: fmt.Sprintf("there was no version %d of such a file", version)}
+		return nil, &wal.CorruptionError{File: WarmStartFile, Offset: versionOffset, Detail: fmt.Sprintf("there was no version %d of such a file", version)}
 	}
-	if err := cbor.Unmarshal(body, k); err != nil {
-		return nil, &wal.CorruptionError{File: WarmStartFile, Offset: 16, Detail: err.Error()}
+	snapshot := &WarmStartSnapshot{}
+	if err := cbor.Unmarshal(body, snapshot); err != nil {
+		return nil, &wal.CorruptionError{File: WarmStartFile, Offset: bodyOffset, Detail: err.Error()}
 	}
-	return k, nil
+	return snapshot, nil
 }
 
-// readLegacyList reads the file of version 1.
-func readLegacyList(path string) (*WarmStartSnapshot, error) {
-	data, err := os.ReadFile(path)
-	if path == "" || errors.Is(err, os.ErrNotExist) {
-		return nil, nil
-	}
-	if err != nil {
-		return nil, err
-	}
-	if len(data) < 13 || int(binary.BigEndian.Uint32(data[8:])) != len(data)-12 {
-		return nil, fmt.Errorf("%s is cut short or no kept list", path)
-	}
-	f, err := protocol.Decode(data[12:])
+// write may be called on any goroutine: file operations must not hold up the loop.
+func (w *WarmStartSnapshot) write(dir vfs.FS) error {
+	body, err := cbor.Marshal(w)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
-	}
-	listed, ok := f.(*protocol.MachineListUpdate)
-	if !ok {
-		return nil, fmt.Errorf("%s holds a %T", path, f)
-	}
-	k := &WarmStartSnapshot{TakenAt: warmstart.Timestamp{Clock: scheduler.Time(binary.BigEndian.Uint64(data))}, ListVersion: listed.Version}
-	for _, e := range listed.Entries {
-		k.Entries = append(k.Entries, recordOfEntry(e))
+		return err
 	}
-	return k, nil
+	return wal.WriteChecksummed(dir, WarmStartFile, WarmStartMagic, WarmStartVersion, body)
 }
 
-// agedEntries gives the entries of a kept list as they stand now. A machine whose age is not known counts as just started:
-// it is then spared as a cold one.
-func (k *WarmStartSnapshot) agedEntries(now warmstart.Timestamp) []protocol.MachineEntry {
-	since := now.Since(k.TakenAt)
+// agedEntries returns the machine list with the ages of now; nil if it is too old to be used. A machine whose age cannot be told
+// counts as just started, which puts it in slow start.
+func (w *WarmStartSnapshot) agedEntries(now warmstart.Timestamp) []protocol.MachineEntry {
+	since := now.Since(w.TakenAt)
 	if since.Age >= 0 && warmstart.Weight(warmstart.MachineList, since.Age) == 0 {
 		return nil
 	}
-	var all []protocol.MachineEntry
-	for _, r := range k.Entries {
-		e := r.entry()
-		if e.Age >= 0 && since.Age >= 0 {
-			e.Age += protocol.Duration(since.Age)
-		} else if e.Age >= 0 {
-			e.Age = 0
+	var entries []protocol.MachineEntry
+	for _, record := range w.Entries {
+		entry := record.entry()
+		switch {
+		case entry.Age < 0: // it was long ago
+		case since.Age < 0:
+			entry.Age = 0
+		default:
+			entry.Age += protocol.Duration(since.Age)
 		}
-		all = append(all, e)
+		entries = append(entries, entry)
 	}
-	return all
+	return entries
 }
 
-// collectSnapshot gathers what is to be kept.
-func (h *Server) collectSnapshot(orderly bool) *WarmStartSnapshot {
-	k := &WarmStartSnapshot{TakenAt: readClocks(scheduler.Time(h.loop.Now())), Names: h.classNames(), Incarnations: map[scheduler.MachineID]uint64{},
-		ListVersion: h.discovery.cache.version, OrderlyShutdown: orderly}
-	for _, e := range h.discovery.cache.entries {
-		if m := h.machines[scheduler.MachineID(e.Machine)]; m != nil && m.startedAt > 0 {
-			e.Age = protocol.Duration(scheduler.Time(h.loop.Now()) - m.startedAt)
+// takeSnapshot collects what the next incarnation should know.
+func (s *Server) takeSnapshot(orderlyShutdown bool) *WarmStartSnapshot {
+	now := scheduler.Time(s.loop.Now())
+	snapshot := &WarmStartSnapshot{
+		TakenAt:         readClocks(now),
+		Names:           s.classNames(),
+		Incarnations:    map[scheduler.MachineID]uint64{},
+		ListVersion:     s.discovery.cache.version,
+		OrderlyShutdown: orderlyShutdown,
+	}
+	for _, entry := range s.discovery.cache.entries {
+		if m := s.machines[scheduler.MachineID(entry.Machine)]; m != nil && m.startedAt > 0 {
+			entry.Age = protocol.Duration(now - m.startedAt)
 		}
-		k.Entries = append(k.Entries, recordOfEntry(e))
-	}
-	sort.Slice(k.Entries, func(i, j int) bool { return k.Entries[i].Machine < k.Entries[j].Machine })
-	if d := h.ownership.Limiter(); d != nil {
-		known := d.Snapshot()
-		k.Overload = &known
-	}
-	if l, ok := h.scheduler.(warmStarter); ok {
-		k.Learned = l.Snapshot()
-		for _, m := range k.Learned.Machines {
-			if at := h.machines[m.Machine]; at != nil {
-				k.Incarnations[m.Machine] = at.incarnation
+		snapshot.Entries = append(snapshot.Entries, recordOfEntry(entry))
+	}
+	slices.SortFunc(snapshot.Entries, func(a, b entryRecord) int { return cmp.Compare(a.Machine, b.Machine) })
+	if limiter := s.reconciler.Limiter(); limiter != nil {
+		overload := limiter.Snapshot()
+		snapshot.Overload = &overload
+	}
+	if source, ok := s.scheduler.(warmStarter); ok {
+		snapshot.Learned = source.Snapshot()
+		for _, learned := range snapshot.Learned.Machines {
+			if m := s.machines[learned.Machine]; m != nil {
+				snapshot.Incarnations[learned.Machine] = m.incarnation
 			}
 		}
 	}
-	return k
+	return snapshot
 }
 
-func (h *Server) classNames() []string {
-	return append(append([]string{}, h.config.Workloads...), h.config.Customers...)
+// classNames are the workload classes, then the tenants, in the order of the configuration.
+func (s *Server) classNames() []string {
+	names := append([]string{}, s.config.Workloads...)
+	return append(names, s.config.Customers...)
 }
 
-// write runs on a goroutine of its own: file work must not hold up the loop.
-func (k *WarmStartSnapshot) write(d vfs.FS) error {
-	body, err := cbor.Marshal(k)
-	if err != nil {
-		return err
-	}
-	return wal.WriteChecksummed(d, WarmStartFile, WarmStartMagic, WarmStartVersion, body)
+// save writes a snapshot at intervals, forgets machines that have left slow start, and repeats what the log did not take.
+func (st *stateStore) save() {
+	s := st.server
+	s.loop.After(snapshotInterval, st.save)
+	for _, id := range st.ledger.Expire(scheduler.Time(s.loop.Now()), st.machineStart) {
+		st.remove(SendKind, string(id))
+	}
+	st.changes, st.retryDeletes = append(st.retryDeletes, st.changes...), nil
+	if st.saving {
+		return
+	}
+	st.saving = true
+	snapshot := s.takeSnapshot(false)
+	st.writers.Go(func() {
+		err := snapshot.write(st.dir)
+		s.loop.Post(func() { st.saved(err) })
+	})
+}
+
+// saved logs the first failure of a row and its end.
+func (st *stateStore) saved(err error) {
+	st.saving = false
+	switch {
+	case err != nil && !st.saveFailed:
+		st.server.log.Warn("snapshot not saved", "error", err)
+	case err == nil && st.saveFailed:
+		st.server.log.Info("snapshot saved again")
+	}
+	st.saveFailed = err != nil
 }
--- /dev/null
+++ b/internal/schedulerd/specs.go
@@ -0,0 +1,38 @@
+package schedulerd
+
+import (
+	"glenport/internal/protocol"
+	"glenport/scheduler"
+)
+
+// specOf is a request as an offer carries it.
+func specOf(c *container) protocol.ContainerSpec {
+	r := &c.request
+	return protocol.ContainerSpec{
+		ContainerID:     string(r.ID),
+		IdempotencyKey:  r.IdempotencyKey,
+		Service:         r.Service,
+		WorkloadClass:   r.WorkloadClass,
+		Tenant:          r.Tenant,
+		Cores:           r.Cores,
+		Memory:          r.Memory,
+		DedupWindow:     c.dedupWindow,
+		ExpectedRuntime: protocol.Duration(r.ExpectedRuntime),
+		ClientRetry:     r.ClientRetry,
+	}
+}
+
+// requestOf is a container of the protocol as a request; it has no deadline.
+func requestOf(spec *protocol.ContainerSpec) scheduler.PlacementRequest {
+	return scheduler.PlacementRequest{
+		ID:              scheduler.ContainerID(spec.ContainerID),
+		IdempotencyKey:  spec.IdempotencyKey,
+		Service:         spec.Service,
+		WorkloadClass:   spec.WorkloadClass,
+		Tenant:          spec.Tenant,
+		Cores:           spec.Cores,
+		Memory:          spec.Memory,
+		ExpectedRuntime: scheduler.Time(spec.ExpectedRuntime),
+		ClientRetry:     spec.ClientRetry,
+	}
+}
