--- a/internal/schedulerd/warmstart/restore_test.go
+++ b/internal/schedulerd/warmstart/restore_test.go
@@ -30,7 +30,7 @@
 	var b strings.Builder
 	for _, m := range messages {
 		b.WriteString(m.Text)
-		for _, a := range m.Attrs {
+		for _, a := range m.Attributes {
 			b.WriteString(" " + a.String())
 		}
 		b.WriteString(";")
