--- /dev/null
+++ b/internal/protocol/client.go
@@ -0,0 +1,100 @@
+package protocol
+
+// Verdict is the one answer of a scheduler to a placement request.
+type Verdict uint8
+
+// The verdicts.
+const (
+	VerdictPlaced      Verdict = 1 + iota
+	VerdictRejected            // may be retried after PlacementReply.RetryAfter
+	VerdictFailed              // no further attempt is made
+	VerdictNotAdmitted         // the request was not considered; the message says why
+	verdictCount
+)
+
+var verdictNames = []string{"", "placed", "pushed back", "given up", "turned away"}
+
+// String is the name of the verdict in docs/protocol.md.
+func (v Verdict) String() string { return enumName(verdictNames, int(v)) }
+
+// Submit asks for a container. One PlacementReply answers, and after VerdictPlaced one Termination follows.
+type Submit struct {
+	_              struct{}      `cbor:",toarray"`
+	TimeToDeadline Duration      `cbor:"Left"`
+	Spec           ContainerSpec `cbor:"Work"`
+}
+
+// CancelContainer ends a container, by its ID or, if that is not known, by the key it runs under.
+type CancelContainer struct {
+	_              struct{} `cbor:",toarray"`
+	ContainerID    string   `cbor:"Container"`
+	IdempotencyKey string   `cbor:"Key"` // may be empty
+}
+
+// Lookup asks what runs under a key and starts nothing. A PlacementReply answers: VerdictPlaced with the machine,
+// VerdictRejected if nothing runs, VerdictNotAdmitted while that is not certain.
+type Lookup struct {
+	_              struct{} `cbor:",toarray"`
+	ContainerID    string   `cbor:"Container"`
+	IdempotencyKey string   `cbor:"Key"`
+}
+
+// PlacementReply answers a Submit or a Lookup.
+type PlacementReply struct {
+	_           struct{} `cbor:",toarray"`
+	ContainerID string   `cbor:"Container"`
+	Verdict     Verdict  `cbor:"Verdict"`
+	Machine     string   `cbor:"Machine"`
+	RetryAfter  Duration `cbor:"HoldOff"`
+	Message     string   `cbor:"Text"`
+}
+
+// Termination reports the end of a container that was placed.
+type Termination struct {
+	_           struct{} `cbor:",toarray"`
+	ContainerID string   `cbor:"Container"`
+	Machine     string   `cbor:"Machine"`
+	Outcome     Outcome  `cbor:"Outcome"`
+	Reason      Reason   `cbor:"Reason"`
+}
+
+func (*Submit) kind() kind          { return kindSubmit }
+func (*CancelContainer) kind() kind { return kindCancelContainer }
+func (*Lookup) kind() kind          { return kindLookup }
+func (*PlacementReply) kind() kind  { return kindPlacementReply }
+func (*Termination) kind() kind     { return kindTermination }
+
+func (f *Submit) validate() error {
+	var v validator
+	v.duration("left", f.TimeToDeadline)
+	f.Spec.validate(&v)
+	return v.err
+}
+
+func (f *CancelContainer) validate() error {
+	var v validator
+	v.name("container", f.ContainerID)
+	return v.err
+}
+
+func (f *Lookup) validate() error {
+	var v validator
+	v.name("container", f.ContainerID)
+	v.name("key", f.IdempotencyKey)
+	return v.err
+}
+
+func (f *PlacementReply) validate() error {
+	var v validator
+	v.name("container", f.ContainerID)
+	v.duration("hold-off", f.RetryAfter)
+	v.enum("verdict", int(f.Verdict), int(VerdictPlaced), int(verdictCount))
+	return v.err
+}
+
+func (f *Termination) validate() error {
+	var v validator
+	v.name("container", f.ContainerID)
+	validateOutcome(&v, f.Outcome, f.Reason)
+	return v.err
+}
--- /dev/null
+++ b/internal/protocol/reader.go
@@ -0,0 +1,112 @@
+package protocol
+
+import (
+	"encoding/binary"
+	"io"
+)
+
+// maxHello is the limit until a Hello has been read: a peer that is not known yet gets no larger buffer.
+const maxHello = 1 << 10
+
+// Reader cuts a stream into frames. The first frame must be a Hello, and no other may be one. The first error ends it.
+type Reader struct {
+	MaxSize int // of a frame in bytes after its length; 0 means MaxFrame
+
+	partial   []byte // of a frame that is not complete
+	helloSeen bool
+	err       error
+}
+
+// Feed takes the next bytes of the stream and calls each for every frame that they complete. An error of each ends the
+// reader like one of the stream.
+func (r *Reader) Feed(data []byte, each func(Frame) error) error {
+	if r.err != nil {
+		return r.err
+	}
+	if len(r.partial) > 0 {
+		r.partial = append(r.partial, data...)
+		data = r.partial
+	}
+	for {
+		f, size, err := r.next(data)
+		if err != nil {
+			return r.fail(err)
+		}
+		if f == nil {
+			r.partial = append(r.partial[:0], data...)
+			return nil
+		}
+		data = data[size:]
+		if err := each(f); err != nil {
+			return r.fail(err)
+		}
+	}
+}
+
+// next decodes the frame at the start of data and returns its size with its length; the frame is nil if it is not complete.
+func (r *Reader) next(data []byte) (f Frame, size int, err error) {
+	if len(data) < lengthSize {
+		return nil, 0, nil
+	}
+	length, err := frameLength(data, r.sizeLimit())
+	if err != nil {
+		return nil, 0, err
+	}
+	size = lengthSize + length
+	if len(data) < size {
+		return nil, 0, nil
+	}
+	f, err = Decode(data[lengthSize:size])
+	if err != nil {
+		return nil, 0, err
+	}
+	if _, isHello := f.(*Hello); isHello == r.helloSeen {
+		return nil, 0, &OutOfTurnError{Name(f)}
+	}
+	r.helloSeen = true
+	return f, size, nil
+}
+
+// frameLength reads the length in front of a frame and compares it with a limit.
+func frameLength(data []byte, limit int) (int, error) {
+	length := int(binary.BigEndian.Uint32(data))
+	if length > limit {
+		return 0, &SizeError{"frame", length, limit}
+	}
+	return length, nil
+}
+
+// Buffered is the number of bytes of an incomplete frame.
+func (r *Reader) Buffered() int { return len(r.partial) }
+
+func (r *Reader) sizeLimit() int {
+	switch {
+	case !r.helloSeen:
+		return maxHello
+	case r.MaxSize > 0:
+		return r.MaxSize
+	}
+	return MaxFrame
+}
+
+func (r *Reader) fail(err error) error {
+	r.err, r.partial = err, nil
+	return err
+}
+
+// ReadFrame reads one frame of at most maxSize bytes from a blocking stream.
+func ReadFrame(in io.Reader, maxSize int) (Frame, error) {
+	var prefix [lengthSize]byte
+	if _, err := io.ReadFull(in, prefix[:]); err != nil {
+		return nil, err
+	}
+	length, err := frameLength(prefix[:], maxSize)
+	if err != nil {
+		return nil, err
+	}
+	data := make([]byte, length)
+	if _, err := io.ReadFull(in, data); err != nil {
+		return nil, err
+	}
+	return Decode(data)
+}
--- /dev/null
+++ b/internal/protocol/reader_test.go
@@ -0,0 +1,246 @@
+package protocol
+
+import (
+	"bytes"
+	"encoding/binary"
+	"encoding/json"
+	"errors"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+var sampleSpec = ContainerSpec{ContainerID: "c-1", IdempotencyKey: "k", Service: "reports", WorkloadClass: 1, Tenant: 2,
+	Cores: 0.5, Memory: 1.25, DedupWindow: 80000, ExpectedRuntime: 120, ClientRetry: true}
+
+// samples has one frame of each kind, the Hello first.
+func samples() []Frame {
+	return []Frame{
+		NewHello(RoleMachine, "m1", 7),
+		&Offer{AttemptID: 9, Timeout: 3500, Spec: sampleSpec},
+		&Accept{AttemptID: 9, Running: true},
+		&Result{AttemptID: 9, Outcome: OutcomeFull, Reason: ReasonNoMemory, Report: map[string]float64{"queue": 2}},
+		&UsageReport{AttemptID: 9, Metric: MetricCoresUsed, Value: 0.25},
+		&CancelAttempt{SchedulerIncarnation: 7, AttemptID: 9},
+		&Probe{Seq: 1},
+		&ProbeReply{Seq: 1, Report: map[string]float64{"util": 0.5}},
+		&Inventory{MachineIncarnation: 3, Containers: []InventoryItem{
+			{SchedulerIncarnation: 6, AttemptID: 1, Running: true, Spec: sampleSpec}}},
+		&FetchMachineList{},
+		&WatchMachineList{Enabled: true, SinceVersion: 5},
+		&MachineListUpdate{FullSnapshot: true, Version: 6, Entries: []MachineEntry{
+			{Machine: "m1", Address: "127.0.0.1:1", State: MachineDraining, FreeCores: -3, Incarnation: 3, Age: -1}}},
+		&MachineListError{Message: "busy"},
+		&Heartbeat{},
+		&Submit{TimeToDeadline: 60000, Spec: sampleSpec},
+		&CancelContainer{ContainerID: "c-1"},
+		&PlacementReply{ContainerID: "c-1", Verdict: VerdictRejected, RetryAfter: 100},
+		&Termination{ContainerID: "c-1", Outcome: OutcomeLost},
+		&StatusRequest{},
+		&StatusReply{Name: "p", Stats: []Stat{{Name: "open", Value: 3}}},
+		&Goodbye{Message: "garbage"},
+		&ExplainRequest{Seq: 3, Spec: sampleSpec},
+		&Lookup{ContainerID: "c", IdempotencyKey: "k"},
+		&ExplainReply{Seq: 3, Known: true, InsufficientCores: 4, ListAge: -1},
+		&RoutesRequest{Service: "s"},
+		&RoutesReply{Peers: []BGPPeerStatus{{Address: "a", ASN: 1}}, Services: []ServiceRoute{{Service: "s", Penalty: 2}}},
+	}
+}
+
+// stream encodes frames one after the other.
+func stream(t testing.TB, frames ...Frame) []byte {
+	t.Helper()
+	var data []byte
+	for _, f := range frames {
+		var err error
+		if data, err = Append(data, f); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return data
+}
+
+func ignoreFrame(Frame) error { return nil }
+
+func TestFramesComeBackInWhateverPiecesTheStreamArrives(t *testing.T) {
+	want := samples()
+	known := 0
+	for number := range 256 {
+		if newFrame(kind(number)) != nil {
+			known++
+		}
+	}
+	if len(want) != known {
+		t.Fatalf("%d samples of %d kinds", len(want), known)
+	}
+	data := stream(t, want...)
+	for _, piece := range []int{1, 3, 100, len(data)} {
+		var r Reader
+		var got []Frame
+		for rest := data; len(rest) > 0; {
+			n := min(piece, len(rest))
+			err := r.Feed(rest[:n], func(f Frame) error {
+				got = append(got, f)
+				return nil
+			})
+			if err != nil {
+				t.Fatal(err)
+			}
+			rest = rest[n:]
+		}
+		if !reflect.DeepEqual(got, want) || r.Buffered() != 0 {
+			t.Errorf("in pieces of %d: got %d frames, %d bytes left", piece, len(got), r.Buffered())
+		}
+	}
+}
+
+func TestInvalidStreamEndsTheReader(t *testing.T) {
+	hello := stream(t, NewHello(RoleClient, "o", 1))
+	raw := func(number byte, body ...byte) []byte {
+		data := binary.BigEndian.AppendUint32(nil, uint32(kindSize+len(body)))
+		return append(append(data, number), body...)
+	}
+	afterHello := func(data ...byte) []byte { return append(bytes.Clone(hello), data...) }
+	otherVersion := NewHello(RoleClient, "o", 1)
+	otherVersion.Version = 99
+	otherVersionBody, err := encoder.Marshal(otherVersion)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, tc := range []struct {
+		name  string
+		input []byte
+		want  string
+	}{
+		{"garbage", []byte("GET / HTTP/1.1\r\n\r\n"), "over the limit of 1024"},
+		{"no Hello", stream(t, &Heartbeat{}), "Beat out of turn"},
+		{"two Hellos", afterHello(hello...), "Hello out of turn"},
+		{"another version", raw(1, otherVersionBody...), "version 99 is not 1"},
+		{"oversize", afterHello(0xff, 0xff, 0xff, 0xff), "over the limit"},
+		{"empty frame", afterHello(0, 0, 0, 0), "empty frame"},
+		{"unknown kind", afterHello(raw(77)...), "unknown sort of frame 77"},
+		{"a kind no longer in use", afterHello(raw(19)...), "unknown sort of frame 19"},
+		{"no CBOR", afterHello(raw(2, 0xff)...), "Offer"},
+		{"too few fields", afterHello(raw(7, 0x80)...), "Probe"},
+		{"unknown outcome", afterHello(raw(4, 0x84, 1, 0x18, 99, 0, 0xa0)...), "outcome is unknown"},
+		{"text without a length", afterHello(raw(16, 0x82, 0x7f)...), "Cancel"},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			var r Reader
+			err := r.Feed(tc.input, ignoreFrame)
+			if err == nil || !strings.Contains(err.Error(), tc.want) {
+				t.Errorf("got %v, want %s", err, tc.want)
+			}
+			if again := r.Feed(hello, nil); !errors.Is(again, err) {
+				t.Errorf("goes on after an error: %v", again)
+			}
+		})
+	}
+}
+
+// Callers can tell the errors of a stream apart by their types.
+func TestErrorsAreTyped(t *testing.T) {
+	_, err := Decode(nil)
+	if !errors.Is(err, ErrEmptyFrame) {
+		t.Errorf("empty frame: %v", err)
+	}
+	_, err = Decode([]byte{77})
+	var unknown *UnknownKindError
+	if !errors.As(err, &unknown) || unknown.Kind != 77 {
+		t.Errorf("unknown kind: %v", err)
+	}
+	_, err = Append(nil, &MachineListUpdate{Entries: []MachineEntry{{Machine: "m"}}})
+	var frame *FrameError
+	var field *FieldError
+	if !errors.As(err, &frame) || frame.Frame != "Listed" || !errors.As(err, &field) || *field != (FieldError{"address", "is empty"}) {
+		t.Errorf("a field out of range: %v", err)
+	}
+	var r Reader
+	err = r.Feed(stream(t, &Heartbeat{}), ignoreFrame)
+	var outOfTurn *OutOfTurnError
+	if !errors.As(err, &outOfTurn) || outOfTurn.Frame != "Beat" {
+		t.Errorf("out of turn: %v", err)
+	}
+	_, err = ReadFrame(bytes.NewReader([]byte{0, 0, 1, 0}), 255)
+	var size *SizeError
+	if !errors.As(err, &size) || *size != (SizeError{"frame", 256, 255}) {
+		t.Errorf("oversize: %v", err)
+	}
+	refused := errors.New("refused by the receiver")
+	r = Reader{}
+	if err := r.Feed(stream(t, NewHello(RoleClient, "c", 1)), func(Frame) error { return refused }); !errors.Is(err, refused) {
+		t.Errorf("error of the receiver: %v", err)
+	}
+}
+
+func TestFramesOutOfRangeAreNotEncoded(t *testing.T) {
+	tooLongSpec := ContainerSpec{ContainerID: strings.Repeat("x", 201), IdempotencyKey: "k", Service: "s"}
+	for _, f := range []Frame{&Offer{Spec: tooLongSpec}, &Submit{TimeToDeadline: -1, Spec: sampleSpec},
+		&PlacementReply{ContainerID: "c"}, &UsageReport{Metric: 6}} {
+		if _, err := Append(nil, f); err == nil {
+			t.Errorf("%s with a value out of range is encoded", Name(f))
+		}
+	}
+}
+
+// Whatever comes, a reader ends with frames or an error, and what it accepts it can encode again.
+func FuzzReader(f *testing.F) {
+	f.Add(stream(f, samples()...))
+	f.Add([]byte("GET / HTTP/1.1\r\n\r\n"))
+	f.Fuzz(func(t *testing.T, data []byte) {
+		var whole, cut Reader
+		var wholeFrames, cutFrames []Frame
+		wholeErr := whole.Feed(data, func(f Frame) error {
+			wholeFrames = append(wholeFrames, f)
+			return nil
+		})
+		var cutErr error
+		for i := range data {
+			cutErr = cut.Feed(data[i:i+1], func(f Frame) error {
+				cutFrames = append(cutFrames, f)
+				return nil
+			})
+		}
+		if len(wholeFrames) != len(cutFrames) || (wholeErr == nil) != (cutErr == nil) {
+			t.Fatalf("whole: %d frames, %v; cut: %d, %v", len(wholeFrames), wholeErr, len(cutFrames), cutErr)
+		}
+		for _, f := range wholeFrames {
+			if _, err := Append(nil, f); err != nil {
+				t.Errorf("accepted, but not encoded: %v", err)
+			}
+		}
+	})
+}
+
+// An offer there and back, by the codec in use and by the standard library's JSON.
+func BenchmarkOffer(b *testing.B) {
+	offer := &Offer{AttemptID: 9, Timeout: 3500, Spec: sampleSpec}
+	b.Run("cbor", func(b *testing.B) {
+		var data []byte
+		b.ReportAllocs()
+		for b.Loop() {
+			var err error
+			if data, err = Append(data[:0], offer); err != nil {
+				b.Fatal(err)
+			}
+			if _, err = Decode(data[lengthSize:]); err != nil {
+				b.Fatal(err)
+			}
+		}
+		b.ReportMetric(float64(len(data)), "bytes")
+	})
+	b.Run("json", func(b *testing.B) {
+		var data []byte
+		b.ReportAllocs()
+		for b.Loop() {
+			var err error
+			if data, err = json.Marshal(offer); err != nil {
+				b.Fatal(err)
+			}
+			if err = json.Unmarshal(data, new(Offer)); err != nil {
+				b.Fatal(err)
+			}
+		}
+		b.ReportMetric(float64(len(data)), "bytes")
+	})
+}
--- /dev/null
+++ b/internal/protocol/section_test.go
@@ -0,0 +1,120 @@
+package protocol
+
+import (
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"os"
+	"reflect"
+	"sort"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "record the golden files of this package anew")
+
+// words lists the values of a frame in their order on the wire, under the names of docs/protocol.md as the cbor tags
+// hold them.
+func words(out *strings.Builder, path string, v reflect.Value) {
+	switch v.Kind() {
+	case reflect.Pointer:
+		words(out, path, v.Elem())
+	case reflect.Struct:
+		for i := range v.NumField() {
+			field := v.Type().Field(i)
+			if field.Name == "_" {
+				continue
+			}
+			name := field.Name
+			if tag := field.Tag.Get("cbor"); tag != "" {
+				name = tag
+			}
+			words(out, path+"."+name, v.Field(i))
+		}
+	case reflect.Slice:
+		if v.IsNil() {
+			fmt.Fprintf(out, "%s = none\n", path)
+		}
+		for i := range v.Len() {
+			words(out, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
+		}
+	case reflect.Map:
+		if v.IsNil() {
+			fmt.Fprintf(out, "%s = none\n", path)
+		}
+		keys := v.MapKeys()
+		sort.Slice(keys, func(a, b int) bool { return keys[a].String() < keys[b].String() })
+		for _, k := range keys {
+			words(out, fmt.Sprintf("%s[%s]", path, k), v.MapIndex(k))
+		}
+	case reflect.String:
+		fmt.Fprintf(out, "%s = %q\n", path, v.String())
+	case reflect.Bool:
+		fmt.Fprintf(out, "%s = %t\n", path, v.Bool())
+	case reflect.Float64:
+		fmt.Fprintf(out, "%s = %v\n", path, v.Float())
+	case reflect.Int, reflect.Int64:
+		fmt.Fprintf(out, "%s = %d\n", path, v.Int())
+	case reflect.Uint, reflect.Uint8, reflect.Uint32, reflect.Uint64:
+		fmt.Fprintf(out, "%s = %d\n", path, v.Uint())
+	default:
+		panic("a frame holds a " + v.Kind().String())
+	}
+}
+
+func describe(f Frame) string {
+	var out strings.Builder
+	words(&out, "", reflect.ValueOf(f))
+	return out.String()
+}
+
+// section is one entry of a golden file: a title, lines of text, and bytes.
+type section struct {
+	title, text string
+	bytes       []byte
+}
+
+func readSections(t *testing.T, file string) []section {
+	t.Helper()
+	content, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var all []section
+	for _, part := range strings.Split(string(content), "\n== ")[1:] {
+		title, rest, _ := strings.Cut(part, "\n")
+		text, code, ok := strings.Cut("\n"+rest, "\nbytes ")
+		if !ok {
+			t.Fatalf("%s: %s has no bytes", file, title)
+		}
+		raw, err := hex.DecodeString(strings.Join(strings.Fields(code), ""))
+		if err != nil {
+			t.Fatalf("%s: %s: %v", file, title, err)
+		}
+		if text != "" {
+			text = text[1:] + "\n"
+		}
+		all = append(all, section{title, text, raw})
+	}
+	return all
+}
+
+func writeSections(t *testing.T, file, head string, all []section) {
+	t.Helper()
+	out := strings.Builder{}
+	out.WriteString(head)
+	for _, s := range all {
+		fmt.Fprintf(&out, "\n== %s\n%sbytes ", s.title, s.text)
+		for rest := s.bytes; len(rest) > 0; {
+			n := min(len(rest), 48)
+			fmt.Fprintf(&out, "%x\n", rest[:n])
+			rest = rest[n:]
+		}
+		if len(s.bytes) == 0 {
+			out.WriteString("\n")
+		}
+	}
+	if err := os.WriteFile(file, []byte(out.String()), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
