--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -5,6 +5,7 @@
 	"encoding/hex"
 	"fmt"
 	"reflect"
+	"slices"
 	"strings"
 	"testing"
 )
@@ -16,85 +17,135 @@
 	frame Frame
 }
 
+// goldenSpec has a distinct value in each field.
 func goldenSpec(n int) ContainerSpec {
-	return ContainerSpec{ContainerID: fmt.Sprint("container-", n), IdempotencyKey: fmt.Sprint("key-", n), Service: fmt.Sprint("service-", n),
-		WorkloadClass: n + 1, Tenant: n + 2, Cores: float64(n) + 0.25, Memory: float64(n) + 0.5, DedupWindow: Duration(n + 3),
-		ExpectedRuntime: Duration(n + 4), ClientRetry: true}
+	return ContainerSpec{
+		ContainerID:     fmt.Sprint("container-", n),
+		IdempotencyKey:  fmt.Sprint("key-", n),
+		Service:         fmt.Sprint("service-", n),
+		WorkloadClass:   n + 1,
+		Tenant:          n + 2,
+		Cores:           float64(n) + 0.25,
+		Memory:          float64(n) + 0.5,
+		DedupWindow:     Duration(n + 3),
+		ExpectedRuntime: Duration(n + 4),
+		ClientRetry:     true,
+	}
 }
 
-// goldenFrames has each kind of frame with a distinct value in every field, and each value of each enumeration.
+// goldenFrames has each kind of frame with a distinct value in every field, each value of each enumeration, and the limits, in
+// the order of the golden file.
 func goldenFrames() []namedFrame {
-	frames := []namedFrame{
+	return slices.Concat(goldenConnectionFrames(), goldenMachineFrames(), goldenListFrames(), goldenClientFrames(),
+		goldenStatusFrames(), goldenEnumerations(), goldenLimits())
+}
+
+func goldenConnectionFrames() []namedFrame {
+	return []namedFrame{
 		{"1 Hello, scheduler", &Hello{Magic: "glenport", Version: 1, Role: RoleScheduler, Name: "scheduler-1", Incarnation: 11}},
 		{"1 Hello, machine", &Hello{Magic: "glenport", Version: 1, Role: RoleMachine, Name: "machine-1", Incarnation: 12}},
 		{"1 Hello, machine list", &Hello{Magic: "glenport", Version: 1, Role: RoleMachineList, Name: "list-1", Incarnation: 13}},
 		{"1 Hello, client", &Hello{Magic: "glenport", Version: 1, Role: RoleClient, Name: "client-1", Incarnation: 1 << 63}},
+	}
+}
+
+func goldenMachineFrames() []namedFrame {
+	return []namedFrame{
 		{"2 Offer", &Offer{AttemptID: 1001, Timeout: 1002, Spec: goldenSpec(1100)}},
 		{"3 Accept, running", &Accept{AttemptID: 2001, Running: true}},
 		{"3 Accept, not yet running", &Accept{AttemptID: 2002}},
-		{"4 Result", &Result{AttemptID: 3001, Outcome: OutcomeFull, Reason: ReasonNoMemory, Report: map[string]float64{"queue": 3.5}}},
+		{"4 Result", &Result{AttemptID: 3001, Outcome: OutcomeFull, Reason: ReasonNoMemory,
+			Report: map[string]float64{"queue": 3.5}}},
 		{"4 Result without a report", &Result{AttemptID: 3002}},
-		{"5 UsageReport", &UsageReport{AttemptID: 4001, Metric: 5, Value: 0.75}},
+		{"5 UsageReport", &UsageReport{AttemptID: 4001, Metric: MetricMachineMemory, Value: 0.75}},
 		{"6 CancelAttempt", &CancelAttempt{SchedulerIncarnation: 5001, AttemptID: 5002}},
 		{"7 Probe", &Probe{Seq: 6001}},
 		{"8 ProbeReply", &ProbeReply{Seq: 7001, Report: map[string]float64{"util": 0.125}}},
 		{"9 Inventory", &Inventory{MachineIncarnation: 8001, Containers: []InventoryItem{
 			{SchedulerIncarnation: 8002, AttemptID: 8003, Running: true, Spec: goldenSpec(8100)},
 			{SchedulerIncarnation: 8004, AttemptID: 8005, Spec: goldenSpec(8200)}}}},
+	}
+}
+
+func goldenListFrames() []namedFrame {
+	return []namedFrame{
 		{"10 FetchMachineList", &FetchMachineList{}},
 		{"11 WatchMachineList", &WatchMachineList{Enabled: true, SinceVersion: 9001}},
 		{"12 MachineListUpdate", &MachineListUpdate{FullSnapshot: true, Version: 10001, Entries: []MachineEntry{
-			{Machine: "machine-2", Address: "127.0.0.1:2", Zone: 10002, MachineType: 10003, RackGroup: 10004, State: MachineDraining,
-				FreeCores: 10005.5, FreeMemory: -10006.5, PowerHint: 1.75, Incarnation: 10007, Age: -10008},
+			{Machine: "machine-2", Address: "127.0.0.1:2", Zone: 10002, MachineType: 10003, RackGroup: 10004,
+				State: MachineDraining, FreeCores: 10005.5, FreeMemory: -10006.5, PowerHint: 1.75, Incarnation: 10007, Age: -10008},
 			{Machine: "machine-3", Zone: 10009, MachineType: 10010, RackGroup: 10011, State: MachineGone, FreeCores: 10012.25,
 				FreeMemory: 10013.25, PowerHint: 1.25, Incarnation: 10014, Age: 10015}}}},
 		{"13 MachineListError", &MachineListError{Message: "text 11001"}},
 		{"14 Heartbeat", &Heartbeat{}},
+	}
+}
+
+func goldenClientFrames() []namedFrame {
+	return []namedFrame{
 		{"15 Submit", &Submit{TimeToDeadline: 12001, Spec: goldenSpec(12100)}},
 		{"16 CancelContainer", &CancelContainer{ContainerID: "container-13001", IdempotencyKey: "key-13002"}},
-		{"17 PlacementReply", &PlacementReply{ContainerID: "container-14001", Verdict: VerdictRejected, Machine: "machine-14002",
-			RetryAfter: 14003, Message: "text 14004"}},
-		{"18 Termination", &Termination{ContainerID: "container-15001", Machine: "machine-15002", Outcome: OutcomeLost, Reason: ReasonDrained}},
+		{"17 PlacementReply", &PlacementReply{ContainerID: "container-14001", Verdict: VerdictRejected,
+			Machine: "machine-14002", RetryAfter: 14003, Message: "text 14004"}},
+		{"18 Termination", &Termination{ContainerID: "container-15001", Machine: "machine-15002", Outcome: OutcomeLost,
+			Reason: ReasonDrained}},
+	}
+}
+
+func goldenStatusFrames() []namedFrame {
+	return []namedFrame{
 		{"20 StatusRequest", &StatusRequest{}},
 		{"21 StatusReply", &StatusReply{Name: "scheduler-16001", Stats: []Stat{
 			{Name: "open", Value: 16002, Unit: "containers"}, {Name: "lag", Value: 0.016003, Unit: "s"}}}},
 		{"22 Goodbye", &Goodbye{Message: "text 17001"}},
 		{"23 ExplainRequest", &ExplainRequest{Seq: 18001, Spec: goldenSpec(18100)}},
-		{"24 ExplainReply", &ExplainReply{Seq: 19001, Known: true, Machines: 19002, Gone: 19003, WrongMachineType: 19004, Draining: 19005,
-			TooSmall: 19006, SelfDraining: 19007, SpreadExhausted: 19008, SlowStartExhausted: 19009, Ejected: 19010, Suspected: 19011,
-			InsufficientCores: 19012, InsufficientMemory: 19013, Eligible: 19014, SheddingLoad: true, FullRatio: 0.19015, ListAge: 19016}},
+		{"24 ExplainReply", &ExplainReply{Seq: 19001, Known: true, Machines: 19002, Gone: 19003, WrongMachineType: 19004,
+			Draining: 19005, TooSmall: 19006, SelfDraining: 19007, SpreadExhausted: 19008, SlowStartExhausted: 19009,
+			Ejected: 19010, Suspected: 19011, InsufficientCores: 19012, InsufficientMemory: 19013, Eligible: 19014,
+			SheddingLoad: true, FullRatio: 0.19015, ListAge: 19016}},
 		{"24 ExplainReply, list never heard", &ExplainReply{Seq: 19017, ListAge: -1}},
 		{"25 RoutesRequest", &RoutesRequest{Service: "service-20001"}},
 		{"26 RoutesReply", &RoutesReply{
-			Peers: []BGPPeerStatus{{Address: "127.0.0.1:179", ASN: 21001, State: "Established", Routes: 21002, PendingRoutes: 21003,
-				UpdatesSent: 21004, BytesSent: 21005, SessionsEnded: 21006, LastError: "text 21007"}},
+			Peers: []BGPPeerStatus{{Address: "127.0.0.1:179", ASN: 21001, State: "Established", Routes: 21002,
+				PendingRoutes: 21003, UpdatesSent: 21004, BytesSent: 21005, SessionsEnded: 21006, LastError: "text 21007"}},
 			Services: []ServiceRoute{{Service: "service-21008", Prefix: "10.0.0.0/24", Announced: true, LocalPreference: 21009,
 				Running: 21010, Draining: 21011, MinRunning: 21012, Penalty: 21013.5, Suppressed: true, NextChangeIn: 21014}}}},
 		{"27 Lookup", &Lookup{ContainerID: "container-22001", IdempotencyKey: "key-22002"}},
 	}
-	for i, o := range []Outcome{OutcomeFinished, OutcomeErrored, OutcomeFull, OutcomeStopped, OutcomeLost} {
-		frames = append(frames, namedFrame{fmt.Sprint("4 Result, outcome ", i), &Result{AttemptID: 23001, Outcome: o}})
+}
+
+func goldenEnumerations() []namedFrame {
+	var frames []namedFrame
+	add := func(title string, value int, f Frame) {
+		frames = append(frames, namedFrame{fmt.Sprint(title, " ", value), f})
+	}
+	for i, outcome := range []Outcome{OutcomeFinished, OutcomeErrored, OutcomeFull, OutcomeStopped, OutcomeLost} {
+		add("4 Result, outcome", i, &Result{AttemptID: 23001, Outcome: outcome})
+	}
+	for i, reason := range []Reason{ReasonNone, ReasonNoCores, ReasonNoMemory, ReasonQueueTooLong, ReasonWrongMachine,
+		ReasonOutOfMemory, ReasonPreempted, ReasonDrained} {
+		add("18 Termination, reason", i, &Termination{ContainerID: "container-24001", Outcome: OutcomeStopped, Reason: reason})
 	}
-	for i, r := range []Reason{ReasonNone, ReasonNoCores, ReasonNoMemory, ReasonQueueTooLong, ReasonWrongMachine, ReasonOutOfMemory, ReasonPreempted, ReasonDrained} {
-		frames = append(frames, namedFrame{fmt.Sprint("18 Termination, reason ", i),
-			&Termination{ContainerID: "container-24001", Outcome: OutcomeStopped, Reason: r}})
+	for i, verdict := range []Verdict{VerdictPlaced, VerdictRejected, VerdictFailed, VerdictNotAdmitted} {
+		add("17 PlacementReply, verdict", i+1, &PlacementReply{ContainerID: "container-25001", Verdict: verdict})
 	}
-	for i, v := range []Verdict{VerdictPlaced, VerdictRejected, VerdictFailed, VerdictNotAdmitted} {
-		frames = append(frames, namedFrame{fmt.Sprint("17 PlacementReply, verdict ", i+1), &PlacementReply{ContainerID: "container-25001", Verdict: v}})
+	for i, state := range []MachineState{MachineServing, MachineDraining, MachineGone} {
+		entry := MachineEntry{Machine: "machine-26001", Address: "127.0.0.1:3", State: state}
+		add("12 MachineListUpdate, state", i, &MachineListUpdate{Entries: []MachineEntry{entry}})
 	}
-	for i, s := range []MachineState{MachineServing, MachineDraining, MachineGone} {
-		frames = append(frames, namedFrame{fmt.Sprint("12 MachineListUpdate, state ", i),
-			&MachineListUpdate{Entries: []MachineEntry{{Machine: "machine-26001", Address: "127.0.0.1:3", State: s}}}})
+	for i, metric := range []UsageMetric{MetricRunning, MetricCoresUsed, MetricMemoryUsed, MetricServedShare, MetricMachineMemory} {
+		add("5 UsageReport, metric", i+1, &UsageReport{AttemptID: 27001, Metric: metric})
 	}
-	for m := uint8(1); m <= 5; m++ {
-		frames = append(frames, namedFrame{fmt.Sprint("5 UsageReport, metric ", m), &UsageReport{AttemptID: 27001, Metric: m}})
+	return frames
+}
+
+func goldenLimits() []namedFrame {
+	return []namedFrame{
+		{"16 CancelContainer, the longest name, no key", &CancelContainer{ContainerID: strings.Repeat("n", 200)}},
+		{"15 Submit, the longest time", &Submit{TimeToDeadline: 315_360_000_000, Spec: goldenSpec(28100)}},
+		{"5 UsageReport, the largest number", &UsageReport{AttemptID: 1<<64 - 1, Metric: MetricRunning, Value: 1e12}},
+		{"24 ExplainReply, the largest count", &ExplainReply{Machines: 1 << 20}},
 	}
-	longest := strings.Repeat("n", 200)
-	return append(frames,
-		namedFrame{"16 CancelContainer, the longest name, no key", &CancelContainer{ContainerID: longest}},
-		namedFrame{"15 Submit, the longest time", &Submit{TimeToDeadline: 315_360_000_000, Spec: goldenSpec(28100)}},
-		namedFrame{"5 UsageReport, the largest number", &UsageReport{AttemptID: 1<<64 - 1, Metric: 1, Value: 1e12}},
-		namedFrame{"24 ExplainReply, the largest count", &ExplainReply{Machines: 1 << 20}})
 }
 
 // The bytes of each frame on the wire are those of version 1 of the protocol, in both directions.
