--- /dev/null
+++ b/internal/platform/config.go
@@ -0,0 +1,200 @@
+package platform
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/netip"
+	"os"
+	"strconv"
+
+	"glenport/internal/eventloop"
+	"glenport/internal/simprotocol"
+	"glenport/scheduler"
+)
+
+const (
+	minDescriptors = 64
+	minMemoryMB    = 16
+)
+
+// Config is what the platform tells a scheduler at its start.
+type Config struct {
+	Name               string
+	ListenAddr         string
+	DiscoveryAddr      string
+	Scheduler          scheduler.Config
+	KnownEvents        []watchEvent // of the discovery service, the earliest first
+	LastOffset         int64        // of the last event known
+	MemoryMB           int
+	MaxDescriptors     int
+	ConnectTimeout     eventloop.Tick // of connections to machines
+	MachineIdleTimeout eventloop.Tick // machines close connections that are idle for so long
+
+	zones, machineTypes, workloadClasses, tenants []string // names by their numbers
+}
+
+var (
+	errNoSettings  = errors.New("settings: permissions.connect_timeout_ms and permissions.conn_idle_ms must be above 0")
+	errNoEventBody = errors.New("topology is missing")
+)
+
+// wireConfig is the encoding of the platform's file, wireSettings that of the settings which this process needs itself.
+type (
+	wireConfig struct {
+		Name          string `json:"name"`
+		ListenAddr    string `json:"listen"`
+		Seed          string `json:"seed"`
+		DiscoveryAddr string `json:"bus"`
+		Limits        struct {
+			MemoryMB    float64 `json:"memory_mb"`
+			Descriptors int     `json:"sockets"`
+		} `json:"limits"`
+		Known struct {
+			LastOffset int64             `json:"offset"`
+			Events     []json.RawMessage `json:"batch"`
+		} `json:"known"`
+		Settings json.RawMessage `json:"settings"`
+	}
+	wireSettings struct {
+		Zones           []string    `json:"azs"`
+		MachineTypes    []string    `json:"kinds"`
+		WorkloadClasses []wireNamed `json:"classes"`
+		Tenants         []wireNamed `json:"tenants"`
+		Permissions     struct {
+			ConnectTimeoutMillis float64 `json:"connect_timeout_ms"`
+			IdleTimeoutMillis    float64 `json:"conn_idle_ms"`
+		} `json:"permissions"`
+	}
+	wireNamed struct {
+		Name string `json:"name"`
+	}
+)
+
+// LoadConfig reads the platform's file. Errors name the invalid line or field.
+func LoadConfig(path string) (*Config, error) {
+	data, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	config, err := parseConfig(data)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return config, nil
+}
+
+func parseConfig(data []byte) (*Config, error) {
+	var wire wireConfig
+	if err := json.Unmarshal(data, &wire); err != nil {
+		return nil, withLineNumber(data, err)
+	}
+	seed, err := strconv.ParseUint(wire.Seed, 16, 64)
+	if err != nil {
+		return nil, fieldError("seed", "%q is no number of 16 hex digits", wire.Seed)
+	}
+	if err := wire.validate(); err != nil {
+		return nil, err
+	}
+	config := &Config{
+		Name:           wire.Name,
+		ListenAddr:     wire.ListenAddr,
+		DiscoveryAddr:  wire.DiscoveryAddr,
+		LastOffset:     wire.Known.LastOffset,
+		MemoryMB:       int(wire.Limits.MemoryMB),
+		MaxDescriptors: wire.Limits.Descriptors,
+	}
+	if err := config.parseSettings(seed, wire.Settings); err != nil {
+		return nil, err
+	}
+	if err := config.parseKnownEvents(wire.Known.Events); err != nil {
+		return nil, err
+	}
+	return config, nil
+}
+
+// validate checks addresses and limits.
+func (wire *wireConfig) validate() error {
+	for _, address := range []struct{ field, addr string }{{"listen", wire.ListenAddr}, {"bus", wire.DiscoveryAddr}} {
+		if _, err := netip.ParseAddrPort(address.addr); err != nil {
+			return &invalidFieldError{address.field, err}
+		}
+	}
+	limits := wire.Limits
+	if limits.Descriptors < minDescriptors || limits.MemoryMB < minMemoryMB {
+		return fieldError("limits", "%d sockets and %g MB are too little to run on", limits.Descriptors, limits.MemoryMB)
+	}
+	return nil
+}
+
+// parseSettings reads the scheduler's settings, and those of this process.
+func (config *Config) parseSettings(seed uint64, settings json.RawMessage) error {
+	pairs, err := flattenSettings(settings)
+	if err != nil {
+		return &invalidFieldError{"settings", err}
+	}
+	if config.Scheduler, err = simprotocol.ParseSettings(seed, pairs); err != nil {
+		return &invalidFieldError{"settings", err}
+	}
+	config.Scheduler.ListOnRequest = false // the discovery service sends its events unasked
+	var wire wireSettings
+	if err := json.Unmarshal(settings, &wire); err != nil {
+		return &invalidFieldError{"settings", err}
+	}
+	config.zones, config.machineTypes = wire.Zones, wire.MachineTypes
+	config.workloadClasses, config.tenants = namesOf(wire.WorkloadClasses), namesOf(wire.Tenants)
+	config.ConnectTimeout = millisecondsToTicks(wire.Permissions.ConnectTimeoutMillis)
+	config.MachineIdleTimeout = millisecondsToTicks(wire.Permissions.IdleTimeoutMillis)
+	if config.ConnectTimeout <= 0 || config.MachineIdleTimeout <= 0 {
+		return errNoSettings
+	}
+	return nil
+}
+
+func namesOf(named []wireNamed) []string {
+	var names []string
+	for _, n := range named {
+		names = append(names, n.Name)
+	}
+	return names
+}
+
+// parseKnownEvents reads the events up to LastOffset. Invalid entries are an error, unlike in the events of a running watch:
+// the platform writes file and events together.
+func (config *Config) parseKnownEvents(events []json.RawMessage) error {
+	for i, data := range events {
+		event, err := config.decodeWatchEvent(data)
+		if err == nil && event.offsetOnly {
+			err = errNoEventBody
+		}
+		if err == nil {
+			err = errors.Join(event.invalidEntries...)
+		}
+		if err != nil {
+			return fmt.Errorf("known.batch[%d]: %w", i, err)
+		}
+		config.KnownEvents = append(config.KnownEvents, event)
+	}
+	return nil
+}
+
+func millisecondsToTicks(milliseconds float64) eventloop.Tick {
+	return eventloop.Tick(milliseconds * float64(eventloop.Millisecond))
+}
+
+// withLineNumber adds to an error of a JSON file the line at which it is.
+func withLineNumber(data []byte, err error) error {
+	var syntaxError *json.SyntaxError
+	var typeError *json.UnmarshalTypeError
+	offset := int64(-1)
+	if errors.As(err, &syntaxError) {
+		offset = syntaxError.Offset
+	} else if errors.As(err, &typeError) {
+		offset = typeError.Offset
+	}
+	if offset < 0 || offset > int64(len(data)) {
+		return err
+	}
+	return fmt.Errorf("line %d: %w", 1+bytes.Count(data[:offset], []byte("\n")), err)
+}
--- /dev/null
+++ b/internal/schedulerd/overload/limiter_test.go
@@ -0,0 +1,222 @@
+package overload
+
+import (
+	"fmt"
+	"math"
+	"testing"
+
+	"glenport/scheduler"
+
+	"pgregory.net/rapid"
+)
+
+const (
+	ms  = scheduler.Millisecond
+	sec = scheduler.Second
+)
+
+func testConfig() Config {
+	return Config{Seed: 1, MaxOpen: 100_000, WorkloadClasses: []WorkloadClass{{300 * ms, 1}, {300 * ms, 2}, {500 * ms, 4}}}
+}
+
+func request(t testing.TB, limiter *Limiter, now scheduler.Time, e RequestReceived) (bool, Shed) {
+	for _, a := range limiter.Handle(now, e) {
+		switch a := a.(type) {
+		case Admit:
+			return true, Shed{}
+		case Shed:
+			return false, a
+		}
+	}
+	t.Fatal("no answer")
+	return false, Shed{}
+}
+
+// overloadedLimiter returns a limiter that has seen starts become slow: each request is open for two seconds.
+func overloadedLimiter(t testing.TB) (*Limiter, scheduler.Time) {
+	limiter, now := New(testConfig()), scheduler.Time(0)
+	for range 200 { // without overload
+		now += 10 * ms
+		request(t, limiter, now, RequestReceived{Client: "a"})
+		limiter.Handle(now, RequestStarted{0, 60 * ms})
+	}
+	for i := range 3000 {
+		now += 2 * ms
+		request(t, limiter, now, RequestReceived{Client: fmt.Sprint(i % 50)})
+		if i%4 == 0 {
+			limiter.Handle(now, RequestStarted{0, 2 * sec})
+		}
+	}
+	return limiter, now
+}
+
+func TestLimitFollowsStartLatency(t *testing.T) {
+	t.Run("all is admitted without overload", testAllIsAdmittedWithoutOverload)
+	t.Run("slow starts decrease the limit", testSlowStartsDecreaseTheLimit)
+	t.Run("a high priority weight is admitted longer", testHighPriorityIsAdmittedLonger)
+	t.Run("fast starts increase the limit again", testFastStartsIncreaseTheLimit)
+	t.Run("scheduled retries are spread over time", testScheduledRetriesAreSpread)
+}
+
+func testAllIsAdmittedWithoutOverload(t *testing.T) {
+	limiter, now := New(testConfig()), scheduler.Time(0)
+	for i := range 20_000 {
+		now += ms
+		if ok, s := request(t, limiter, now, RequestReceived{Client: fmt.Sprint(i % 7), WorkloadClass: i % 3, ClientRetry: i%2 == 0}); !ok {
+			t.Fatalf("shed: %+v", s)
+		}
+		limiter.Handle(now, RequestStarted{i % 3, 60 * ms})
+	}
+}
+
+func testSlowStartsDecreaseTheLimit(t *testing.T) {
+	limiter, now := overloadedLimiter(t)
+	ok, s := request(t, limiter, now, RequestReceived{Client: "a"})
+	if ok || s.Reason != ReasonLimitReached || limiter.Limit() > 500 {
+		t.Errorf("%v %+v, limit %.0f, open %d", ok, s, limiter.Limit(), limiter.Open())
+	}
+}
+
+func testHighPriorityIsAdmittedLonger(t *testing.T) {
+	limiter, now := overloadedLimiter(t)
+	for range 2000 {
+		if low, _ := request(t, limiter, now, RequestReceived{Client: "a"}); low {
+			continue
+		}
+		high, _ := request(t, limiter, now, RequestReceived{Client: "a", WorkloadClass: 2})
+		if !high && float64(limiter.Open()) < limiter.Limit() {
+			t.Errorf("high priority is shed with %d open of %.0f", limiter.Open(), limiter.Limit())
+		}
+		if high {
+			return
+		}
+		limiter.Handle(now, RequestFailed{0})
+	}
+	t.Error("high priority was never admitted where low was not")
+}
+
+func testFastStartsIncreaseTheLimit(t *testing.T) {
+	limiter, now := overloadedLimiter(t)
+	for range 4000 {
+		now += 5 * ms
+		request(t, limiter, now, RequestReceived{Client: "a"})
+		limiter.Handle(now, RequestStarted{0, 40 * ms})
+	}
+	if ok, s := request(t, limiter, now, RequestReceived{Client: "a"}); !ok {
+		t.Errorf("still shed: %+v, limit %.0f, open %d", s, limiter.Limit(), limiter.Open())
+	}
+}
+
+// Clients that wait for their retry-after come back one after another, not together.
+func testScheduledRetriesAreSpread(t *testing.T) {
+	limiter, now := overloadedLimiter(t)
+	var all []float64
+	for range 300 {
+		if ok, s := request(t, limiter, now, RequestReceived{Client: "a"}); !ok {
+			all = append(all, float64(s.RetryAfter)/float64(sec))
+			if s.RetryAfter < minRetryAfter || s.RetryAfter > maxRetryAfter+maxRetryAfter/2 {
+				t.Fatalf("retry-after %d", s.RetryAfter)
+			}
+		}
+	}
+	most := 0
+	for i := range all {
+		n := 0
+		for _, x := range all {
+			if x >= all[i] && x < all[i]+0.5 {
+				n++
+			}
+		}
+		most = max(most, n)
+	}
+	if most > len(all)/3 {
+		t.Errorf("%d of %d return in one half second", most, len(all))
+	}
+}
+
+// Without a budget client retries crowd out first tries.
+func TestClientRetriesHaveABudget(t *testing.T) {
+	limiter, now := overloadedLimiter(t)
+	for ok := true; ok; { // until the limit is reached
+		ok, _ = request(t, limiter, now, RequestReceived{Client: "a"})
+	}
+	retries := 0
+	for i := range 1000 {
+		limiter.Handle(now, RequestFailed{0}) // room for one
+		if ok, _ := request(t, limiter, now, RequestReceived{Client: fmt.Sprint(retries), ClientRetry: true}); ok {
+			retries++
+		} else if ok, s := request(t, limiter, now, RequestReceived{Client: fmt.Sprint("f", i%50)}); !ok {
+			t.Fatalf("a first try is shed where a retry would have been admitted: %+v", s)
+		}
+	}
+	if most := maxRetryTokens + 1000*retryBudgetRatio; float64(retries) > most {
+		t.Errorf("%d client retries were admitted beside 1000 first tries; open %d, limit %.0f, tokens %.1f", retries, limiter.Open(), limiter.Limit(), limiter.retryTokens)
+	}
+}
+
+// Each request has one answer, equal sequences have equal answers, and what is open never exceeds the limit there was.
+func TestEachRequestIsAnsweredWithinTheLimit(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		a, b, now, open := New(testConfig()), New(testConfig()), scheduler.Time(0), 0
+		for range 200 {
+			now += scheduler.Time(rapid.IntRange(0, 2000).Draw(t, "advance"))
+			var e Event = RequestReceived{Client: fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "client")), WorkloadClass: rapid.IntRange(0, 2).Draw(t, "class"),
+				ClientRetry: rapid.Bool().Draw(t, "retry")}
+			if open > 0 && rapid.Bool().Draw(t, "end") {
+				e = RequestStarted{rapid.IntRange(0, 2).Draw(t, "class"), scheduler.Time(rapid.IntRange(1, 60_000).Draw(t, "elapsed"))}
+				open--
+			}
+			limit := a.Limit()
+			got, other := fmt.Sprint(a.Handle(now, e)), fmt.Sprint(b.Handle(now, e))
+			if got != other {
+				t.Fatalf("%s and %s", got, other)
+			}
+			if _, is := e.(RequestReceived); is {
+				if a.Open() > open {
+					open++
+					if float64(open) > limit+1 {
+						t.Fatalf("%d open, the limit was %.0f", open, limit)
+					}
+				} else if len(got) < 3 {
+					t.Fatalf("no answer: %s", got)
+				}
+			}
+		}
+	})
+}
+
+// A restart during an overload: the limit of the next incarnation is as low as the last one's, the less so the older the
+// snapshot is, and the baselines are kept.
+func TestRestoredLimitCountsByWeight(t *testing.T) {
+	before, now := overloadedLimiter(t)
+	for _, tc := range []struct {
+		weight float64
+		least  float64 // times the limit before
+		most   float64
+	}{{1, 1, 1}, {0.5, 2, 2}, {0, 100, math.Inf(1)}} {
+		after := New(testConfig())
+		after.Restore(before.Snapshot(), tc.weight)
+		if x := after.Limit() / before.Limit(); x < tc.least-0.01 || x > tc.most+0.01 {
+			t.Errorf("weight %.1f: the limit is %.2f times as high", tc.weight, x)
+		}
+		if got, want := after.Snapshot().BaselineLatency[0], before.Snapshot().BaselineLatency[0]; got != want {
+			t.Errorf("weight %.1f: the baseline is %.2f, was %.2f", tc.weight, got, want)
+		}
+		if tc.weight < 1 {
+			continue
+		}
+		shed := 0
+		for i := range 500 {
+			if ok, _ := request(t, after, now, RequestReceived{Client: fmt.Sprint(i % 50)}); !ok {
+				shed++
+			}
+		}
+		if shed == 0 {
+			t.Error("a new incarnation admits all that the last one shed")
+		}
+	}
+	other := New(Config{MaxOpen: 10, WorkloadClasses: []WorkloadClass{{sec, 1}}})
+	if other.Restore(before.Snapshot(), 1); other.Limit() != 10 {
+		t.Error("a snapshot of other workload classes is taken over")
+	}
+}
--- /dev/null
+++ b/internal/schedulerd/warmstart/restore_test.go
@@ -0,0 +1,136 @@
+package warmstart
+
+import (
+	"math"
+	"strings"
+	"testing"
+
+	"glenport/scheduler"
+)
+
+const (
+	sec    = scheduler.Second
+	window = 3 * sec
+)
+
+// persisted is what a scheduler left at 1,000 s of its clock, 100 s after its system booted: machine m looked like an outlier, was
+// ejected, and was sent to in its slow start.
+func persisted() Persisted {
+	at := Timestamp{Clock: 1000 * sec, Uptime: 100 * sec, BootID: "b"}
+	return Persisted{TakenAt: at, ClassNames: []string{"w", "c"}, Incarnations: map[scheduler.MachineID]uint64{"m": 7},
+		History: LogHistory{SendsRecordedSince: Timestamp{Clock: 950 * sec, Uptime: 50 * sec, BootID: "b"}},
+		Sends:   []SlowStartSends{{"m", 7, []scheduler.Time{992 * sec, 998 * sec, 999 * sec}}},
+		Snapshot: scheduler.Snapshot{TrafficClasses: make([]scheduler.TrafficClass, 3), FullRatio: 0.8, RejectedWeight: 2,
+			Machines: []scheduler.MachineSnapshot{{Machine: "m", StartedAt: 900 * sec, OutlierLogOdds: 4, EjectedUntil: 1004 * sec, EjectionTime: 4 * sec,
+				SelfDrainingUntil: 1003 * sec, FailureEvidence: make([]scheduler.FailureEvidence, 3)}}}}
+}
+
+// text is messages as a log prints them, each closed by a semicolon.
+func text(messages []Message) string {
+	var b strings.Builder
+	for _, m := range messages {
+		b.WriteString(m.Text)
+		for _, a := range m.Attrs {
+			b.WriteString(" " + a.String())
+		}
+		b.WriteString(";")
+	}
+	return b.String()
+}
+
+// boot is a time of the boot in which the snapshot was taken.
+func boot(clock, uptime scheduler.Time) Timestamp { return Timestamp{clock, uptime, "b"} }
+
+var restoreCases = []struct {
+	name    string
+	now     Timestamp
+	change  func(p *Persisted, m map[scheduler.MachineID]MachineStart)
+	outlier float64 // log odds of m; -1: nothing of it is restored
+	ejected scheduler.Time
+	sends   int            // to m
+	known   scheduler.Time // the span before now of which all sends are known
+	ratios  bool           // of the traffic classes are restored
+	message string
+}{
+	{
+		"a second later", boot(1001*sec, 101*sec), nil, 4 * math.Exp2(-1.0/60), 1004 * sec, 2, 51 * sec, true,
+		"slow start restored sends=2 within_ms=6000",
+	},
+	{
+		"a minute later", boot(1060*sec, 160*sec), nil, 2, 1004 * sec, 0, 110 * sec, true,
+		"snapshot restored age_ms=60000 outlier_weight=0.5 full_weight=0;",
+	},
+	{
+		"so old that it is ignored", boot(1700*sec, 800*sec), nil, -1, 0, 0, 750 * sec, true,
+		"snapshot restored age_ms=700000 outlier_weight=0 ",
+	},
+	{
+		"two days old", boot((1000+48*3600)*sec, (100+48*3600)*sec), nil, -1, 0, 0, (50 + 48*3600) * sec, true,
+		"snapshot restored age_ms=172800000 outlier_weight=0 ",
+	},
+	{
+		"the clock was set forward", boot(4601*sec, 101*sec), nil, 4 * math.Exp2(-1.0/60), 4604 * sec, 2, 51 * sec,
+		true, "the clock was set since the snapshot, its times are adjusted jump_ms=3600000;",
+	},
+	{
+		"the clock was set back", boot(901*sec, 101*sec), nil, 4 * math.Exp2(-1.0/60), 904 * sec, 2, 51 * sec, true,
+		"its times are adjusted jump_ms=-100000;",
+	},
+	{
+		"another boot", Timestamp{1060 * sec, 10 * sec, "c"}, nil, 2, 1004 * sec, 0, 0, true,
+		"are not known, none are made for a window window_ms=3000",
+	},
+	{
+		"another boot, the clock went back", Timestamp{900 * sec, 10 * sec, "c"}, nil, -1, 0, 0, 0, false,
+		"the clock went back over a restart of the system, the snapshot is not restored back_ms=100000;",
+	},
+	{"a machine that restarted meanwhile", boot(1001*sec, 101*sec), func(_ *Persisted, m map[scheduler.MachineID]MachineStart) {
+		m["m"] = MachineStart{8, 1000 * sec}
+	}, -1, 0, 0, 51 * sec, true, "slow start restored sends=0"},
+	{"a machine that is gone", boot(1001*sec, 101*sec), func(_ *Persisted, m map[scheduler.MachineID]MachineStart) { delete(m, "m") },
+		-1, 0, 0, 51 * sec, true, "slow start restored sends=0"},
+	{"other workload classes", boot(1001*sec, 101*sec), func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.ClassNames[0] = "x" },
+		4 * math.Exp2(-1.0/60), 1004 * sec, 2, 51 * sec, false, "their loss ratios are not restored"},
+	{"no sends were recorded", boot(1001*sec, 101*sec), func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.History = LogHistory{} },
+		4 * math.Exp2(-1.0/60), 1004 * sec, 0, 0, true, "are not known, none are made for a window"},
+	{"no snapshot, and a log", boot(1001*sec, 101*sec), func(p *Persisted, _ map[scheduler.MachineID]MachineStart) {
+		p.TakenAt, p.Snapshot = Timestamp{}, scheduler.Snapshot{}
+	}, 0, 0, 2, 51 * sec, false, "slow start restored sends=2"},
+	{"an incarnation that has just begun", boot(951*sec, 51*sec), func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.TakenAt = Timestamp{} },
+		4, 1004 * sec, 3, sec, true, "slow start restored sends=3"},
+}
+
+func TestRestoreWeighsByAge(t *testing.T) {
+	for _, tc := range restoreCases {
+		t.Run(tc.name, func(t *testing.T) {
+			p, machines := persisted(), map[scheduler.MachineID]MachineStart{"m": {7, 900 * sec}}
+			if tc.change != nil {
+				tc.change(&p, machines)
+			}
+			if tc.name == "an incarnation that has just begun" { // sends of it and of the one before it
+				p.TakenAt = p.History.SendsRecordedSince
+				p.Sends[0].Times = []scheduler.Time{946 * sec, 949 * sec, 951 * sec}
+			}
+			r := Restore(tc.now, p, machines, []string{"w", "c"}, window)
+			outlier, ejected, sends := -1.0, scheduler.Time(0), 0
+			for _, m := range r.Snapshot.Machines {
+				outlier, ejected, sends = m.OutlierLogOdds, m.EjectedUntil, len(m.RecentSends)
+				if m.StartedAt != machines[m.Machine].StartedAt {
+					t.Errorf("restored for a start at %d", m.StartedAt)
+				}
+			}
+			if math.Abs(outlier-tc.outlier) > 0.05 || ejected != tc.ejected || sends != tc.sends {
+				t.Errorf("log odds %.2f, ejected until %d, %d sends; want %.2f, %d, %d", outlier, ejected, sends, tc.outlier, tc.ejected, tc.sends)
+			}
+			if got := tc.now.Clock - r.Snapshot.SendsKnownSince; got != tc.known {
+				t.Errorf("sends are known for %d", got)
+			}
+			if (len(r.Snapshot.TrafficClasses) > 0) != tc.ratios {
+				t.Errorf("loss ratios %v", r.Snapshot.TrafficClasses)
+			}
+			if got := text(r.Messages); !strings.Contains(got, tc.message) {
+				t.Errorf("messages %q", got)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/simprotocol/decoder.go
@@ -0,0 +1,141 @@
+// Package simprotocol is the codec of the simulator's wire: it decodes lines into the events of a scheduler, and encodes its
+// actions as lines. The words of the wire and of its settings end here.
+package simprotocol
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+
+	"glenport/scheduler"
+)
+
+const (
+	readBufferBytes = 1 << 16
+	maxMachineLists = 16
+)
+
+// Delivery is one message for one scheduler instance: an event, or the start or end of the instance.
+type Delivery struct {
+	Line     int // where it stands in the input, from 1
+	Instance int
+	Event    scheduler.Event
+	Start    *scheduler.Config // starts a new instance
+	Stop     bool              // ends the instance
+}
+
+// Frame is a batch of messages that happened by a time.
+type Frame struct {
+	Now        scheduler.Time
+	Seq        string // repeated in the answer
+	Deliveries []Delivery
+}
+
+// machineList is a numbered list of machines, to which updates refer.
+type machineList struct {
+	entries []scheduler.MachineEntry
+	defined bool
+}
+
+// Decoder decodes frames. It holds the numbered machine lists; a new list replaces the last one of its number.
+type Decoder struct {
+	reader       *bufio.Reader
+	lineNumber   int
+	machineLists [maxMachineLists]machineList
+}
+
+// NewDecoder returns a decoder that reads from r.
+func NewDecoder(r io.Reader) *Decoder {
+	return &Decoder{reader: bufio.NewReaderSize(r, readBufferBytes)}
+}
+
+// Next decodes a frame. It returns io.EOF at the end of the input between frames; every other error names a line.
+func (d *Decoder) Next() (*Frame, error) {
+	line, err := d.readLine()
+	if err != nil {
+		return nil, err
+	}
+	frame, err := decodeFrameHeader(line)
+	if err != nil {
+		return nil, d.lineError(line, err)
+	}
+	for {
+		line, err := d.readLine()
+		if errors.Is(err, io.EOF) {
+			return nil, fmt.Errorf("line %d: %w", d.lineNumber, &TruncatedError{Inside: "frame"})
+		}
+		if err != nil {
+			return nil, err
+		}
+		if line == "COMMIT" {
+			return frame, nil
+		}
+		if err := d.decodeLine(frame, line); err != nil {
+			return nil, d.lineError(line, err)
+		}
+	}
+}
+
+func decodeFrameHeader(line string) (*Frame, error) {
+	f := newFieldReader(line)
+	if f.text() != "FRAME" {
+		return nil, ErrFrameExpected
+	}
+	frame := &Frame{Now: f.time(), Seq: f.text()}
+	return frame, f.finish()
+}
+
+// readLine returns the next line without its end, or io.EOF itself if the input has ended after a whole line.
+func (d *Decoder) readLine() (string, error) {
+	line, err := d.reader.ReadString('\n')
+	if errors.Is(err, io.EOF) && line != "" {
+		return "", fmt.Errorf("line %d: %w", d.lineNumber+1, &TruncatedError{Inside: "line"})
+	}
+	if err != nil {
+		return "", err
+	}
+	d.lineNumber++
+	return strings.TrimSuffix(strings.TrimSuffix(line, "\n"), "\r"), nil
+}
+
+func (d *Decoder) lineError(line string, err error) error {
+	return &LineError{Number: d.lineNumber, Line: line, Err: err}
+}
+
+// decodeLine decodes a line inside a frame: a machine list for later updates, or a message for an instance.
+func (d *Decoder) decodeLine(frame *Frame, line string) error {
+	f := newFieldReader(line)
+	name := f.text()
+	if name == "SHEET" {
+		return d.decodeMachineList(f)
+	}
+	delivery := Delivery{Line: d.lineNumber, Instance: f.wholeNumber()}
+	switch name {
+	case "NOTE_FROM": // from another scheduler: none is ever sent, and none is heeded
+		return nil
+	case "CONFIGURE":
+		config, err := decodeConfigure(f)
+		if err != nil {
+			return err
+		}
+		delivery.Start = config
+	case "KILLED":
+		delivery.Stop = true
+	case "UPDATE":
+		update, err := d.decodeUpdate(f)
+		if err != nil {
+			return err
+		}
+		delivery.Event = update
+	default:
+		decode := eventDecoders[name]
+		if decode == nil {
+			return ErrUnknownMessage
+		}
+		delivery.Event = decode(f)
+	}
+	frame.Deliveries = append(frame.Deliveries, delivery)
+	return f.finish()
+}
--- /dev/null
+++ b/scheduler/attempts_test.go
@@ -0,0 +1,147 @@
+package scheduler
+
+import (
+	"testing"
+)
+
+// What may follow by the idempotency of the class and the outcome of the first attempt.
+func TestOutcomeDecidesWhatMayFollow(t *testing.T) {
+	for _, tc := range []struct {
+		name        string
+		idempotency Idempotency
+		scope       Scope
+		outcome     Outcome
+		wait        Time   // until the outcome
+		want        Action // of this type
+	}{
+		{"idempotent, timed out", Idempotent, 0, OutcomeTimedOut, Second, StartAttempt{}},
+		{"idempotent, full", Idempotent, 0, OutcomeFull, Second, StartAttempt{}},
+		{"at most once, full", AtMostOnce, 0, OutcomeFull, Second, StartAttempt{}},
+		{"at most once, connection refused", AtMostOnce, 0, OutcomeConnectFailed, Second, StartAttempt{}},
+		{"at most once, not sent", AtMostOnce, 0, OutcomeNotSent, Second, StartAttempt{}},
+		{"at most once, timed out", AtMostOnce, 0, OutcomeTimedOut, Second, Fail{}},
+		{"at most once, error", AtMostOnce, 0, OutcomeErrored, Second, Fail{}},
+		{"at most once, lost", AtMostOnce, 0, OutcomeLost, Second, Fail{}},
+		{"with a key, stays in its zone", IdempotentWithKey, ScopeZone, OutcomeTimedOut, Second, StartAttempt{}},
+		{"with a key, stays in its rack group", IdempotentWithKey, ScopeRackGroup, OutcomeTimedOut, Second, Fail{}},
+		{"with a key, anywhere", IdempotentWithKey, ScopeFleet, OutcomeTimedOut, Second, StartAttempt{}},
+		{"with a key, past its window", IdempotentWithKey, ScopeZone, OutcomeTimedOut, 5 * Second, Fail{}},
+		{"with a key, past its window, anywhere", IdempotentWithKey, ScopeFleet, OutcomeTimedOut, 5 * Second, Reject{}},
+		{"at the deadline", Idempotent, 0, OutcomeTimedOut, 10 * Second, Reject{}},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			config := testConfig(tc.idempotency)
+			config.WorkloadClasses[0].DedupScope, config.WorkloadClasses[0].DedupWindow = tc.scope, 5*Second
+			s := testScheduler(config)
+			first := submit(s, 0, "x", "s")
+			got := s.Handle(tc.wait, []Event{AttemptEnded{ID: "x", Outcome: tc.outcome, Machine: first}})
+			if !sameType(lastAction(got), tc.want) {
+				t.Errorf("%T, want %T", lastAction(got), tc.want)
+			}
+			if next, ok := lastAction(got).(StartAttempt); ok && (next.Machine == first ||
+				!s.machines[next.Machine].sharesScope(s.machines[first], tc.scope) && tc.scope != ScopeNone) {
+				t.Errorf("attempt on %s after %s", next.Machine, first)
+			}
+		})
+	}
+}
+
+func TestEachContainerIsAnsweredOnce(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		events []Event
+		want   int // actions for the container after its first attempt
+		left   int
+	}{
+		{"removed, then its outcome", []Event{ContainerRemoved{"x"}, AttemptEnded{ID: "x", Outcome: OutcomeTimedOut}}, 0, 0},
+		{"final outcome, then removed", []Event{AttemptEnded{ID: "x", Final: true, Outcome: OutcomeFinished},
+			ContainerRemoved{"x"}}, 0, 0},
+		{"accepted, then lost", []Event{AttemptAccepted{ID: "x"},
+			AttemptEnded{ID: "x", Final: true, Outcome: OutcomeLost}}, 0, 0},
+		{"every machine full", []Event{AttemptEnded{ID: "x", Outcome: OutcomeFull}, AttemptEnded{ID: "x", Outcome: OutcomeFull},
+			AttemptEnded{ID: "x", Outcome: OutcomeFull}, AttemptEnded{ID: "x", Outcome: OutcomeFull}}, 4, 0},
+		{"acceptance crossed by a cancellation", []Event{AttemptAccepted{ID: "x"},
+			AttemptEnded{ID: "x", Outcome: OutcomeStopped}}, 1, 2},
+		{"no outcome at the deadline", []Event{TimerFired{maintenanceTimer}, TimerFired{deadlineTimer}}, 1, 2},
+		{"unknown container", []Event{UsageReported{ID: "y"}, AttemptEnded{ID: "y"}, AttemptAccepted{ID: "y"},
+			ContainerRemoved{"y"}}, 0, 2},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			s := testScheduler(testConfig(Idempotent))
+			submit(s, 0, "x", "s")
+			n := 0
+			for i, e := range tc.events {
+				now := Time(i + 1)
+				if (e == Event(TimerFired{deadlineTimer})) {
+					now += 6 * Second
+				}
+				for _, a := range s.Handle(now, []Event{e}) {
+					switch a.(type) {
+					case StartAttempt, Reject, Fail, CancelAttempt:
+						n++
+					}
+				}
+			}
+			if n != tc.want {
+				t.Errorf("%d actions, want %d", n, tc.want)
+			}
+			if left := len(s.containers) + len(s.services); left != tc.left {
+				t.Errorf("%d left in tables, want %d", left, tc.left)
+			}
+		})
+	}
+}
+
+// A container whose run time passed before it was accepted is answered at once, by what may have run, and is no evidence
+// against a machine.
+func TestRunTimePassedUnacceptedIsAnsweredAtOnce(t *testing.T) {
+	for _, tc := range []struct {
+		name        string
+		idempotency Idempotency
+		want        Action
+	}{
+		{"idempotent", Idempotent, Reject{ID: "x"}},
+		{"with a key", IdempotentWithKey, Fail{"x"}},
+		{"at most once", AtMostOnce, Fail{"x"}},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			config := testConfig(tc.idempotency)
+			config.WorkloadClasses[0].DedupScope, config.WorkloadClasses[0].DedupWindow = ScopeZone, 8*Second
+			s := testScheduler(config)
+			at := submit(s, Second, "x", "s")
+			actions := s.Handle(2*Second, []Event{AttemptEnded{ID: "x", Machine: at, Outcome: OutcomeFinished}})
+			if len(actions) != 1 || actions[0] != tc.want {
+				t.Errorf("%v, want %v", actions, tc.want)
+			}
+			if m := s.machines[at]; m.outlierLogOdds > 0 || m.lastHeardAt != 2*Second {
+				t.Errorf("log odds %.1f, heard at %d", m.outlierLogOdds, m.lastHeardAt)
+			}
+			if len(s.containers) > 0 {
+				t.Error("the container is kept")
+			}
+		})
+	}
+}
+
+// Nothing goes to a machine of unknown type or of no capacity, and a container of an unknown workload class fails at once.
+func TestInvalidInputIsAnsweredSafely(t *testing.T) {
+	config := testConfig(Idempotent)
+	config.SchedulerCount, config.SlowStartBudget, config.MachineTypes = 0, 0, append(config.MachineTypes, MachineType{})
+	s := testScheduler(config)
+	s.Handle(1, []Event{
+		MachineListUpdate{Mode: FullSnapshot, Entries: []MachineEntry{
+			{Machine: "a", MachineType: 9}, {Machine: "b", MachineType: 2}, {Machine: "c", StartedAt: 1}}},
+		ContainerAdopted{PlacementRequest{ID: "r", Service: "s", WorkloadClass: 7}, "c"}})
+	for _, tc := range []struct {
+		request PlacementRequest
+		want    Action // of this type
+	}{
+		{PlacementRequest{ID: "x", Service: "s", Deadline: 2 * Second}, Reject{}},
+		{PlacementRequest{ID: "y", Service: "s", WorkloadClass: 7, Deadline: 2 * Second}, Fail{}},
+		{PlacementRequest{ID: "z", Service: "s", Tenant: 7, Deadline: 30 * Second}, StartAttempt{}},
+	} {
+		if got := lastAction(s.Handle(tc.request.Deadline-1000, []Event{RequestReceived{tc.request}})); !sameType(got, tc.want) {
+			t.Errorf("%s: %T, want %T", tc.request.ID, got, tc.want)
+		}
+	}
+}
