--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -6,7 +6,6 @@
 	"io"
 	"reflect"
 	"sort"
-	"strings"
 
 	"glenport/internal/protocol"
 	"glenport/internal/testbed/faultproxy"
@@ -605,7 +604,7 @@
 			show = bids[f.AttemptID]
 		}
 		if show {
-			say(fmt.Sprintf("%s %+v%s", strings.TrimPrefix(fmt.Sprintf("%T", f), "*link."), reflect.ValueOf(f).Elem(), lost))
+			say(fmt.Sprintf("%s %+v%s", protocol.Name(f), reflect.ValueOf(f).Elem(), lost))
 		}
 		return nil
 	})
