--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -291,3 +291,62 @@
 		t.Errorf("only %d names found", checked)
 	}
 }
+
+// TestOnCallPageHasEachLogLine compares the messages that the programs log with the rows of docs/on-call.md, both ways.
+func TestOnCallPageHasEachLogLine(t *testing.T) {
+	logged, listed := map[string]bool{}, map[string]bool{}
+	for _, folder := range []string{"scheduler", "internal", "cmd/glenport"} {
+		for path, file := range sources(t, folder) {
+			if !strings.Contains(filepath.ToSlash(path), "/testbed/") {
+				addLogMessages(logged, file)
+			}
+		}
+	}
+	for line := range strings.Lines(pages(t)["docs/on-call.md"]) {
+		if cells := strings.Split(line, "|"); len(cells) == 6 { // message, attributes, meaning, what to do
+			if m := codeSpan.FindStringSubmatch(cells[1]); m != nil {
+				listed[m[1]] = true
+			}
+		}
+	}
+	for message := range logged {
+		if !listed[message] {
+			t.Errorf("docs/on-call.md has no row for %q", message)
+		}
+	}
+	for message := range listed {
+		if !logged[message] {
+			t.Errorf("docs/on-call.md lists %q, which nothing logs", message)
+		}
+	}
+	if len(logged) < 40 {
+		t.Errorf("only %d messages found", len(logged))
+	}
+}
+
+// addLogMessages finds constant messages: of slog calls, of the decision packages' log methods, and of their log actions.
+func addLogMessages(messages map[string]bool, file *ast.File) {
+	methods := map[string]bool{"Info": true, "Warn": true, "Error": true, "Debug": true, "log": true, "logMachine": true,
+		"message": true, "OnModeChange": true}
+	ast.Inspect(file, func(n ast.Node) bool {
+		switch n := n.(type) {
+		case *ast.CallExpr:
+			if s, ok := n.Fun.(*ast.SelectorExpr); ok && methods[s.Sel.Name] && len(n.Args) > 0 {
+				for _, text := range literals(n.Args[0]) {
+					messages[text] = true
+				}
+			}
+		case *ast.CompositeLit:
+			if id, ok := n.Type.(*ast.Ident); ok && id.Name == "Log" {
+				for _, e := range n.Elts {
+					if kv, ok := e.(*ast.KeyValueExpr); ok {
+						for _, text := range literals(kv.Value) {
+							messages[text] = true
+						}
+					}
+				}
+			}
+		}
+		return true
+	})
+}
