--- a/internal/platform/attempts_test.go
+++ b/internal/platform/attempts_test.go
@@ -17,63 +17,83 @@
 // Each outcome of the scheduler's contract follows from what a machine really sends, and the client gets one answer.
 func TestEachMachineAnswerHasItsOutcome(t *testing.T) {
 	accept := `{"op":"accept","call":"%s","with":{},"desc":"made\u0020here"}`
+	otherAccept := strings.Replace(accept, "%s", otherRequestID, 1)
 	end := func(cause int, fields string) string {
 		return fmt.Sprintf(`{"op":"end","call":"%%s","with":{%s},"why":%d}`, fields, cause)
 	}
+	lost := outcomeTest{outcome: scheduler.OutcomeLost, causes: []int{41}}
+	noMemory := outcomeTest{outcome: scheduler.OutcomeLost, reason: scheduler.ReasonOutOfMemory, final: true, causes: []int{41}}
+	drained := outcomeTest{outcome: scheduler.OutcomeLost, reason: scheduler.ReasonDrained, final: true, causes: []int{41}}
+	finished := outcomeTest{outcome: scheduler.OutcomeFinished, final: true, causes: []int{causeOfAccept, 16}}
 	for _, tc := range []struct {
 		name    string
 		answers []string
-		want    scheduler.Outcome
-		reason  scheduler.Reason
-		final   bool
-		causes  []int // that the client receives; -1 is an accept
+		want    outcomeTest
 	}{
-		{"full", []string{end(34, `"note":"mem_full","load":"x0:1.5;x1:2"`)}, scheduler.OutcomeFull, scheduler.ReasonNoMemory, false, []int{41}},
-		{"erred", []string{end(47, "")}, scheduler.OutcomeErrored, 0, false, []int{41}},
-		{"not sent", []string{end(102, "")}, scheduler.OutcomeNotSent, 0, false, []int{41}},
-		{"lost on its way", []string{end(41, "")}, scheduler.OutcomeLost, 0, false, []int{41}},
-		{"out of memory, its accept is late", []string{end(41, `"note":"oom"`), accept}, scheduler.OutcomeLost, scheduler.ReasonOutOfMemory, true, []int{41}},
-		{"drained, its accept is lost", []string{end(41, `"note":"drained"`)}, scheduler.OutcomeLost, scheduler.ReasonDrained, true, []int{41}},
-		{"its time has passed", []string{end(16, "")}, scheduler.OutcomeFinished, 0, false, []int{41}},
-		{"another cause", []string{end(99, "")}, scheduler.OutcomeLost, 0, false, []int{41}},
-		{"finished", []string{accept, end(16, "")}, scheduler.OutcomeFinished, 0, true, []int{-1, 16}},
-		{"out of memory", []string{accept, end(41, `"note":"oom"`)}, scheduler.OutcomeLost, scheduler.ReasonOutOfMemory, true, []int{-1, 41}},
-		{"drained", []string{accept, end(41, `"note":"drained"`)}, scheduler.OutcomeLost, scheduler.ReasonDrained, true, []int{-1, 41}},
-		{"two accepts", []string{accept, accept, end(16, "")}, scheduler.OutcomeFinished, 0, true, []int{-1, 16}},
-		{"an accept of another container ahead", []string{strings.Replace(accept, "%s", "00000000000000bb", 1), accept, end(16, "")},
-			scheduler.OutcomeFinished, 0, true, []int{-1, 16}},
-		{"an accept without a description", []string{`{"op":"accept","call":"%s","with":{}}`}, scheduler.OutcomeLost, 0, false, []int{41}},
-		{"noise", []string{"\x01\x02\xff"}, scheduler.OutcomeLost, 0, false, []int{41}},
-		{"a line that never ends", []string{strings.Repeat("x", 20<<10)}, scheduler.OutcomeLost, 0, false, []int{41}},
-		{"closes the connection", []string{"close"}, scheduler.OutcomeLost, 0, false, []int{41}},
-		{"answers nothing", nil, scheduler.OutcomeTimedOut, 0, false, []int{41}},
+		{"full", []string{end(34, `"note":"mem_full","load":"x0:1.5;x1:2"`)},
+			outcomeTest{outcome: scheduler.OutcomeFull, reason: scheduler.ReasonNoMemory, report: 1.5, causes: []int{41}}},
+		{"erred", []string{end(47, "")}, outcomeTest{outcome: scheduler.OutcomeErrored, causes: []int{41}}},
+		{"not sent", []string{end(102, "")}, outcomeTest{outcome: scheduler.OutcomeNotSent, causes: []int{41}}},
+		{"lost on its way", []string{end(41, "")}, lost},
+		{"out of memory, its accept is late", []string{end(41, `"note":"oom"`), accept}, noMemory},
+		{"drained, its accept is lost", []string{end(41, `"note":"drained"`)}, drained},
+		{"its time has passed", []string{end(16, "")}, outcomeTest{outcome: scheduler.OutcomeFinished, causes: []int{41}}},
+		{"another cause", []string{end(99, "")}, lost},
+		{"finished", []string{accept, end(16, "")}, finished},
+		{"out of memory", []string{accept, end(41, `"note":"oom"`)}, noMemory.accepted()},
+		{"drained", []string{accept, end(41, `"note":"drained"`)}, drained.accepted()},
+		{"two accepts", []string{accept, accept, end(16, "")}, finished},
+		{"an accept of another container ahead", []string{otherAccept, accept, end(16, "")}, finished},
+		{"an accept without a description", []string{`{"op":"accept","call":"%s","with":{}}`}, lost},
+		{"noise", []string{"\x01\x02\xff"}, lost},
+		{"a line that never ends", []string{strings.Repeat("x", 20<<10)}, lost},
+		{"closes the connection", []string{"close"}, lost},
+		{"answers nothing", nil, outcomeTest{outcome: scheduler.OutcomeTimedOut, causes: []int{41}}},
 	} {
-		t.Run(tc.name, func(t *testing.T) {
-			addr := fakeMachine(t, tc.answers...)
-			r := startWithMachineA(t, addr, attemptOnA(300*scheduler.Millisecond))
-			client := r.dialClient()
-			client.send(offerLine(requestID, ""))
-			e := await[scheduler.AttemptEnded](r, nil)
-			if e.Outcome != tc.want || e.Reason != tc.reason || e.Final != tc.final || e.Machine != "a" || e.ID != requestID {
-				t.Errorf("got %+v", e)
-			}
-			if tc.name == "full" && e.Report["x0"] != 1.5 {
-				t.Errorf("report %v", e.Report)
-			}
-			for _, want := range tc.causes {
-				msg := client.receive()
-				if msg == nil || msg.RequestID != requestID || msg.CauseOrNone() != want {
-					t.Fatalf("the client received %+v, want cause %d", msg, want)
-				}
-				if want == -1 && (msg.Op != jsonlines.OpAccept || string(msg.Description) != `"made\u0020here"`) {
-					t.Errorf("received %+v", msg)
-				}
-			}
-			client.send(testLine(1))
-			if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpTested || msg.CauseOrNone() != jsonlines.CauseTestPassed {
-				t.Errorf("after the last answer received %+v", msg)
-			}
-		})
+		t.Run(tc.name, func(t *testing.T) { tc.want.check(t, tc.answers) })
+	}
+}
+
+const causeOfAccept = -1 // an accept has no cause
+
+// outcomeTest is what has to follow from the answers of a machine to one offer.
+type outcomeTest struct {
+	outcome scheduler.Outcome
+	reason  scheduler.Reason
+	report  float64 // value x0 of the load report
+	final   bool
+	causes  []int // of the messages that the client receives, in order
+}
+
+// accepted is the same after an accept.
+func (want outcomeTest) accepted() outcomeTest {
+	want.causes = append([]int{causeOfAccept}, want.causes...)
+	return want
+}
+
+func (want outcomeTest) check(t *testing.T, answers []string) {
+	r := startWithMachineA(t, fakeMachine(t, answers...), attemptOnA(300*scheduler.Millisecond))
+	client := r.dialClient()
+	client.send(offerLine(requestID, ""))
+	e := await[scheduler.AttemptEnded](r, nil)
+	if e.Outcome != want.outcome || e.Reason != want.reason || e.Final != want.final || e.Machine != "a" || e.ID != requestID {
+		t.Errorf("got %+v", e)
+	}
+	if e.Report["x0"] != want.report {
+		t.Errorf("report %v", e.Report)
+	}
+	for _, cause := range want.causes {
+		msg := client.receive()
+		if msg == nil || msg.RequestID != requestID || msg.CauseOrNone() != cause {
+			t.Fatalf("the client received %+v, want cause %d", msg, cause)
+		}
+		if cause == causeOfAccept && (msg.Op != jsonlines.OpAccept || string(msg.Description) != `"made\u0020here"`) {
+			t.Errorf("received %+v", msg)
+		}
+	}
+	client.send(testLine(1))
+	if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpTested || msg.CauseOrNone() != jsonlines.CauseTestPassed {
+		t.Errorf("after the last answer received %+v", msg)
 	}
 }
 
@@ -96,12 +116,13 @@
 	r := startWithMachineA(t, addr, attemptOnA(scheduler.Second))
 	r.dialClient().send(offerLine(requestID, ""))
 	a := await[scheduler.RequestReceived](r, nil)
-	if a.WorkloadClass != 1 || a.Tenant != 1 || a.Cores != 1 || a.Memory != 2 || a.Service != "s1" || a.IdempotencyKey != "k"+requestID || a.ClientRetry {
+	if a.WorkloadClass != 1 || a.Tenant != 1 || a.Cores != 1 || a.Memory != 2 || a.Service != "s1" ||
+		a.IdempotencyKey != "k"+requestID || a.ClientRetry {
 		t.Errorf("requested %+v", a.PlacementRequest)
 	}
 	msg := <-got
-	if msg.RequestID != requestID || msg.Fields["class"] != "report-run" || msg.Fields["key"] != "k"+requestID || msg.Fields["idem"] != "i1" ||
-		len(msg.Fields) != 4 || string(msg.Description) != `"v=0\r\n"` {
+	if msg.RequestID != requestID || msg.Fields["class"] != "report-run" || msg.Fields["key"] != "k"+requestID ||
+		msg.Fields["idem"] != "i1" || len(msg.Fields) != 4 || string(msg.Description) != `"v=0\r\n"` {
 		t.Errorf("offered %+v", msg)
 	}
 }
@@ -136,7 +157,8 @@
 func TestAttemptForUnknownContainerHasOutcome(t *testing.T) {
 	r := startWithMachineA(t, "127.0.0.1:1", attemptOnA(0))
 	r.runOnLoop(func() { r.server.applySchedulerAction(scheduler.StartAttempt{ID: requestID, Machine: "a"}) })
-	if e := await[scheduler.AttemptEnded](r, nil); e.ID != requestID || e.Machine != "a" || e.Outcome != scheduler.OutcomeNotSent || !e.Final {
+	e := await[scheduler.AttemptEnded](r, nil)
+	if e.ID != requestID || e.Machine != "a" || e.Outcome != scheduler.OutcomeNotSent || !e.Final {
 		t.Errorf("got %+v", e)
 	}
 }
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -218,7 +218,8 @@
 	if msg := client.receive(); !isEndWithCause(msg, otherRequestID, jsonlines.CauseNormal) {
 		t.Errorf("received %+v", msg)
 	}
-	if e := await(r, func(e scheduler.AttemptEnded) bool { return e.ID == otherRequestID }); !e.Final || e.Outcome != scheduler.OutcomeFinished {
+	e := await(r, func(e scheduler.AttemptEnded) bool { return e.ID == otherRequestID })
+	if !e.Final || e.Outcome != scheduler.OutcomeFinished {
 		t.Errorf("got %+v", e)
 	}
 }
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -91,8 +91,8 @@
 	if from := <-requested; from != "from 2" {
 		t.Errorf("requested %q", from)
 	}
-	p.send(eventJSON(3, false, strings.Replace(machineJSON("x", "127.0.0.1:1", "ready", 0), "large", "huge", 1), machineJSON("a", "127.0.0.1:1", "ready", 0)),
-		eventJSON(4, false))
+	unknownType := strings.Replace(machineJSON("x", "127.0.0.1:1", "ready", 0), "large", "huge", 1)
+	p.send(eventJSON(3, false, unknownType, machineJSON("a", "127.0.0.1:1", "ready", 0)), eventJSON(4, false))
 	if e := await[scheduler.MachineListUpdate](r, nil); e.Version != 3 || len(e.Entries) != 1 || e.Entries[0].Machine != "a" {
 		t.Errorf("got %+v", e)
 	}
--- a/internal/platform/machineconns_test.go
+++ b/internal/platform/machineconns_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -124,49 +123,21 @@
 // where the connection was evicted.
 func TestMachineConnLimitHolds(t *testing.T) {
 	const machines, descriptors, limit = 40, 64, 16 // as many for clients, 32 for the watch, bursts and the program itself
-	var mu sync.Mutex
-	ended := map[string]bool{} // by request
 	listed := make([]string, machines)
 	for i := range listed {
-		addr := serveTCP(t, func(m *peer) {
-			mu.Lock()
-			for id := range ended {
-				if strings.HasSuffix(id, fmt.Sprintf("%04x", i)) {
-					m.send(endLine(id, 16))
-				}
-			}
-			mu.Unlock()
-			for msg := m.receive(); msg != nil; msg = m.receive() {
-				if msg.Op == jsonlines.OpOffer {
-					mu.Lock()
-					ended[msg.RequestID] = true // at once, but reported on the next connection only
-					mu.Unlock()
-					m.send(acceptLine(msg.RequestID))
-				}
-			}
-		})
-		listed[i] = machineJSON(fmt.Sprintf("m%04x", i), addr, "ready", 0)
+		listed[i] = machineJSON(numberedMachine(i), lateReportingMachine(t), "ready", 0)
 	}
-	most := 0
-	r := startServer(t, func(e scheduler.Event) []scheduler.Action {
-		if e, ok := e.(scheduler.RequestReceived); ok {
-			return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: scheduler.MachineID("m" + string(e.ID[12:]))}}
-		}
-		return nil
-	}, configJSON(silentDiscovery(t), descriptors, eventJSON(1, true, listed...)))
+	r := startServer(t, attemptOnNumberedMachine, configJSON(silentDiscovery(t), descriptors, eventJSON(1, true, listed...)))
 	client := r.dialClient()
+	most := 0
 	for i := range machines {
-		client.send(offerLine(fmt.Sprintf("%016x", i), ""))
+		client.send(offerLine(numberedRequest(i), ""))
 		if msg := client.receive(); msg == nil || msg.Op == jsonlines.OpEnd {
 			t.Fatalf("attempt %d: the client received %+v", i, msg)
 		}
-		r.runOnLoop(func() { // a connection may be evicted only after its machine had a while to report on it
+		r.runOnLoop(func() {
 			most = max(most, r.server.machineConnCount)
-			for _, m := range r.server.machines {
-				for _, mc := range m.conns {
-					mc.lastUsedAt -= eventloop.Second
-				}
-			}
+			r.ageMachineConns()
 		})
 	}
 	notified := map[string]bool{}
@@ -187,6 +158,52 @@
 	})
 }
 
+func numberedMachine(i int) string { return fmt.Sprintf("m%04x", i) }
+func numberedRequest(i int) string { return fmt.Sprintf("%016x", i) }
+
+// attemptOnNumberedMachine attempts each container on the machine with its number, and rejects it after an outcome.
+func attemptOnNumberedMachine(e scheduler.Event) []scheduler.Action {
+	switch e := e.(type) {
+	case scheduler.RequestReceived:
+		return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: scheduler.MachineID("m" + string(e.ID[12:]))}}
+	case scheduler.AttemptEnded:
+		if !e.Final {
+			return []scheduler.Action{scheduler.Reject{ID: e.ID}}
+		}
+	}
+	return nil
+}
+
+// lateReportingMachine accepts each offer. Its containers end at once, but it reports that on its next connections only.
+func lateReportingMachine(t *testing.T) string {
+	var mu sync.Mutex
+	var ended []string
+	return serveTCP(t, func(m *peer) {
+		mu.Lock()
+		for _, id := range ended {
+			m.send(endLine(id, 16))
+		}
+		mu.Unlock()
+		for msg := m.receive(); msg != nil; msg = m.receive() {
+			if msg.Op == jsonlines.OpOffer {
+				mu.Lock()
+				ended = append(ended, msg.RequestID)
+				mu.Unlock()
+				m.send(acceptLine(msg.RequestID))
+			}
+		}
+	})
+}
+
+// ageMachineConns makes it appear on the loop that no connection was used for a second, so that idle ones may be evicted.
+func (r *testServer) ageMachineConns() {
+	for _, m := range r.server.machines {
+		for _, mc := range m.conns {
+			mc.lastUsedAt -= eventloop.Second
+		}
+	}
+}
+
 // A burst of clients and one of attempts, with more machines than connections, leave the discovery watch its descriptor at
 // every moment.
 func TestClientBurstLeavesDescriptorReserve(t *testing.T) {
@@ -194,23 +211,12 @@
 	const conns = (descriptors - 32) / 2
 	listed := make([]string, machines)
 	for i := range listed {
-		addr := fakeMachine(t, acceptLine("%s"))
-		listed[i] = machineJSON(fmt.Sprintf("m%04x", i), addr, "ready", 0)
+		listed[i] = machineJSON(numberedMachine(i), fakeMachine(t, acceptLine("%s")), "ready", 0)
 	}
-	r := startServer(t, func(e scheduler.Event) []scheduler.Action {
-		switch e := e.(type) {
-		case scheduler.RequestReceived:
-			return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: scheduler.MachineID("m" + string(e.ID[12:]))}}
-		case scheduler.AttemptEnded:
-			if !e.Final {
-				return []scheduler.Action{scheduler.Reject{ID: e.ID}}
-			}
-		}
-		return nil
-	}, configJSON(silentDiscovery(t), descriptors, eventJSON(1, true, listed...)))
+	r := startServer(t, attemptOnNumberedMachine, configJSON(silentDiscovery(t), descriptors, eventJSON(1, true, listed...)))
 	client := r.dialClient()
 	for i := range conns {
-		client.send(offerLine(fmt.Sprintf("%016x", i), ""))
+		client.send(offerLine(numberedRequest(i), ""))
 		client.receive()
 	}
 	r.runOnLoop(func() { // all are there when the loop goes on
@@ -222,18 +228,13 @@
 		r.runOnLoop(func() { full = len(r.server.clients) >= conns })
 	}
 	r.runOnLoop(func() { // and now the attempts
-		for _, m := range r.server.machines {
-			for _, mc := range m.conns {
-				mc.lastUsedAt -= eventloop.Second
-			}
-		}
+		r.ageMachineConns()
 		for i := conns; i < machines; i++ {
-			client.send(offerLine(fmt.Sprintf("%016x", i), ""))
+			client.send(offerLine(numberedRequest(i), ""))
 		}
 	})
-	await(r, func(e scheduler.RequestReceived) bool {
-		return e.ID == scheduler.ContainerID(fmt.Sprintf("%016x", machines-1))
-	})
+	last := scheduler.ContainerID(numberedRequest(machines - 1))
+	await(r, func(e scheduler.RequestReceived) bool { return e.ID == last })
 	r.runOnLoop(func() {
 		if n := r.server.loop.PeakConnCount(); n+14 > descriptors { // that many the program itself may hold
 			t.Errorf("%d connections at once, of %d descriptors", n, descriptors)
@@ -244,14 +245,15 @@
 // A maintenance tick that opens a connection may evict the last one of a machine that is gone, and the machine with it: the tick
 // then passes over that machine.
 func TestMachineEvictedDuringMaintenanceIsSkipped(t *testing.T) {
-	addr := serveTCP(t, (*peer).readToEnd)
+	a := machineJSON("a", serveTCP(t, (*peer).readToEnd), "ready", 0)
+	z := machineJSON("z", serveTCP(t, (*peer).readToEnd), "ready", 0)
 	discovery, publish := scriptedDiscovery(t)
 	r := startServer(t, func(e scheduler.Event) []scheduler.Action {
 		if _, adopted := e.(scheduler.ContainerAdopted); adopted {
 			return []scheduler.Action{scheduler.Probe{Machine: "z"}} // it gets no answer
 		}
 		return nil
-	}, configJSON(discovery, 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0), machineJSON("z", serveTCP(t, (*peer).readToEnd), "ready", 0))))
+	}, configJSON(discovery, 256, eventJSON(1, true, a, z)))
 	r.dialClient().send(offerLine(requestID, ";at:a"))
 	await[scheduler.ContainerAdopted](r, nil)
 	publish(eventJSON(2, false, machineJSON("z", "", "gone", 0)))
