--- a/internal/schedulerd/attempt.go
+++ b/internal/schedulerd/attempt.go
@@ -131,7 +131,7 @@
 	s.endAttempt(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeTimedOut})
 }
 
-// attemptAccepted takes a machine's accept: the container runs or, if the configuration says so, will run.
+// attemptAccepted handles the accept of a machine: the container runs, or will run where an accept does not mean that it runs already.
 func (s *Server) attemptAccepted(a *attempt) {
 	c := a.container
 	s.loop.Cancel(a.timer)
@@ -162,7 +162,7 @@
 	s.endAttempt(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: c.answered})
 }
 
-// cancelUnknown cancels an attempt of which the reconciler alone knows.
+// cancelUnknown cancels an attempt that only the reconciler tracks.
 func (s *Server) cancelUnknown(action reconcile.CancelAttempt) {
 	if m := s.machines[action.Machine]; m != nil && m.ready {
 		m.send(&protocol.CancelAttempt{SchedulerIncarnation: action.Incarnation, AttemptID: action.Attempt})
--- a/internal/schedulerd/attempt_test.go
+++ b/internal/schedulerd/attempt_test.go
@@ -175,7 +175,7 @@
 	})
 }
 
-// probeAfterEnd attempts each request on machine a, cancels the attempt at once if told to, and probes the machine after it.
+// probeAfterEnd attempts each request on machine a, optionally cancels the attempt at once, and probes the machine after it.
 func probeAfterEnd(timeout scheduler.Time, cancel bool, seen chan<- string) func(scheduler.Event) []scheduler.Action {
 	react := attemptOn(timeout)
 	return func(e scheduler.Event) []scheduler.Action {
@@ -226,7 +226,7 @@
 			if got != tc.want {
 				t.Errorf("%s, want %s", got, tc.want)
 			}
-			if tc.want == lateAdopted { // a client that asks again hears of it
+			if tc.want == lateAdopted { // a repeated request is answered with the machine
 				spec.ContainerID = "y"
 				sendFrames(h.client, &protocol.Submit{TimeToDeadline: 60_000, Spec: spec})
 				if reply := h.client.wantReply(protocol.VerdictPlaced); reply.Machine != "a" {
@@ -237,7 +237,7 @@
 	}
 }
 
-// A closed connection alone loses nothing: the next inventory tells. What it no longer names is lost, what it names of an earlier
+// A closed connection alone loses nothing: the next inventory decides. What it no longer lists is lost, what it lists of an earlier
 // incarnation is adopted.
 func TestInventoryAfterReconnectDecidesWhatIsLost(t *testing.T) {
 	for _, tc := range []struct {
--- a/internal/schedulerd/clientconn.go
+++ b/internal/schedulerd/clientconn.go
@@ -19,7 +19,7 @@
 	reasonGoodbye      = "good bye"
 )
 
-// unknownPeer names a connection in log lines until its hello.
+// unknownPeer stands for a connection in log lines until its hello.
 const unknownPeer = "unknown"
 
 // clientConn is an accepted connection: of a client, or of another scheduler that asks something.
--- a/internal/schedulerd/connection.go
+++ b/internal/schedulerd/connection.go
@@ -26,8 +26,8 @@
 	s.log.Warn("connection closed", "peer", peer, "error", cause)
 }
 
-// partialFrame tells since when a peer owes the rest of a frame.
-type partialFrame struct{ since eventloop.Tick } // 0: it owes nothing
+// partialFrame records since when the rest of a frame is missing.
+type partialFrame struct{ since eventloop.Tick } // 0: none is missing
 
 // update takes the number of bytes that are left over after a read.
 func (p *partialFrame) update(buffered int, now eventloop.Tick) {
--- a/internal/schedulerd/container.go
+++ b/internal/schedulerd/container.go
@@ -49,7 +49,7 @@
 		RetryAfter: protocol.Duration(action.RetryAfter), Message: action.Reason})
 }
 
-// replyAlreadyRunning answers a request for what runs. The client that asked last hears of its termination.
+// replyAlreadyRunning answers a request for what runs. The client that requested it last receives its termination.
 func (s *Server) replyAlreadyRunning(action reconcile.AlreadyRunning) {
 	s.sendToClient(action.Client, &protocol.PlacementReply{ContainerID: string(action.ID), Verdict: protocol.VerdictPlaced,
 		Machine: string(action.Machine), Message: messageAlreadyRunning})
@@ -76,8 +76,8 @@
 	}
 }
 
-// terminate ends a container that a client has cancelled. The client that cancels hears of the end, whoever requested the
-// container.
+// terminate ends a container that a client has cancelled. The client that cancels receives the termination, whoever requested
+// the container.
 func (s *Server) terminate(action reconcile.TerminateContainer) {
 	c, client := s.containers[action.ID], s.clients[action.Client]
 	if c == nil || client == nil {
--- a/internal/schedulerd/discovery.go
+++ b/internal/schedulerd/discovery.go
@@ -8,7 +8,7 @@
 	"glenport/scheduler"
 )
 
-// discoveryPeer names the machine list service in log lines.
+// discoveryPeer stands for the machine list service in log lines.
 const discoveryPeer = "list"
 
 // discoveryClient is the connection to the machine list service. The scheduler decides when and how often it is asked.
@@ -16,11 +16,11 @@
 	server             *Server
 	conn               *eventloop.Conn // nil if there is none
 	reader             protocol.Reader
-	serviceIncarnation uint64 // of the service that told the version
+	serviceIncarnation uint64 // of the service that sent the version
 	version            int64
 	cache              machineListCache
 	lastReadAt         eventloop.Tick
-	lastFrameAt        eventloop.Tick // 0: the service was never heard
+	lastFrameAt        eventloop.Tick // 0: no frame has been received
 	awaitingReply      bool           // a reply or updates are due, so that a closed connection is a failed update
 }
 
--- a/internal/schedulerd/discovery_test.go
+++ b/internal/schedulerd/discovery_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// A machine that says hello with a new incarnation while the list is out of reach does not end the requests for the list: they go
-// on until the list answers.
+// A machine hello with a new incarnation while the list service is unreachable does not end the requests for the list: they go on
+// until the service answers.
 func TestListIsRequestedAgainAfterMachineHello(t *testing.T) {
 	machineAddress, hello, _ := serveSlowMachine(t, "a")
 	entry := protocol.MachineEntry{Machine: "a", Address: machineAddress, Incarnation: 1, Age: -1}
--- a/internal/schedulerd/errors.go
+++ b/internal/schedulerd/errors.go
@@ -22,8 +22,8 @@
 	errUnexpectedPeer     = errors.New("unexpected peer")
 )
 
-// peerError is a fault of a machine or a client, which is told of it in a Goodbye: the text is part of the wire and stays as it is.
-// The log shows the fault.
+// peerError is a fault of a machine or a client. Its text is sent to the peer in a Goodbye: it is part of the wire and must not
+// change. The log shows fault and detail instead.
 type peerError struct {
 	fault  error
 	detail string
@@ -67,7 +67,7 @@
 	return &peerError{fault: errUnexpectedFrame, detail: fmt.Sprintf("%T", f), text: fmt.Sprintf("%T is not for %s", f, receiver)}
 }
 
-// after tells how long a fault has lasted.
+// after adds to a fault how long it has lasted.
 func after(fault error, waited eventloop.Tick) error {
 	return fmt.Errorf("%w for %d ms", fault, waited/eventloop.Millisecond)
 }
--- a/internal/schedulerd/explain.go
+++ b/internal/schedulerd/explain.go
@@ -5,12 +5,12 @@
 	"glenport/scheduler"
 )
 
-// explainer is a Scheduler that tells why a request may find no machine.
+// explainer is a Scheduler that can explain why a request may find no machine.
 type explainer interface {
 	Explain(scheduler.PlacementRequest) scheduler.Explanation
 }
 
-// explainReply tells why a container like that of the request may wait, if the scheduler can tell.
+// explainReply explains why a container like that of the request may wait, if the scheduler can explain it.
 func (s *Server) explainReply(f *protocol.ExplainRequest) *protocol.ExplainReply {
 	reply := &protocol.ExplainReply{Seq: f.Seq, ListAge: -1}
 	if s.discovery.lastFrameAt > 0 {
--- a/internal/schedulerd/export.go
+++ b/internal/schedulerd/export.go
@@ -13,7 +13,7 @@
 type (
 	exportedSnapshot struct {
 		TakenAt         warmstart.Timestamp            `json:"At"`
-		Names           []string                       `json:"Names"`
+		ClassNames      []string                       `json:"Names"`
 		Learned         exportedLearned                `json:"Learned"`
 		Incarnations    map[scheduler.MachineID]uint64 `json:"Starts"`
 		ListVersion     int64                          `json:"ListIs"`
@@ -56,7 +56,7 @@
 func (w WarmStartSnapshot) MarshalJSON() ([]byte, error) {
 	return json.Marshal(exportedSnapshot{
 		TakenAt:         w.TakenAt,
-		Names:           w.Names,
+		ClassNames:      w.ClassNames,
 		Learned:         exportLearned(w.Learned),
 		Incarnations:    w.Incarnations,
 		ListVersion:     w.ListVersion,
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -87,8 +87,8 @@
 // There is one entry in the map: the order in which several are encoded is random.
 func goldenSnapshot() *WarmStartSnapshot {
 	return &WarmStartSnapshot{
-		TakenAt: warmstart.Timestamp{Clock: 17_000_000_000_101, Uptime: 17_000_102, BootID: "boot-of-the-file"},
-		Names:   []string{"class-a", "class-b", "tenant-a"},
+		TakenAt:    warmstart.Timestamp{Clock: 17_000_000_000_101, Uptime: 17_000_102, BootID: "boot-of-the-file"},
+		ClassNames: []string{"class-a", "class-b", "tenant-a"},
 		Learned: scheduler.Snapshot{
 			Machines: []scheduler.MachineSnapshot{{Machine: "machine-seven", StartedAt: 4001, OutlierLogOdds: 5.25, EjectedUntil: 4002, EjectionTime: 4003,
 				SelfDrainingUntil: 4004, FailureEvidence: []scheduler.FailureEvidence{{LogOdds: 0.125, AsOf: 4005}, {LogOdds: 1.125, AsOf: 4006}},
@@ -353,7 +353,7 @@
 	return ""
 }
 
-// describeState tells what a folder holds by the names in its bytes, without the types of this program.
+// describeState lists the fields of a folder under the names in its bytes, without the types of this program.
 func describeState(t *testing.T, path string) string {
 	t.Helper()
 	d, err := vfs.OpenReadOnly(path)
--- a/internal/schedulerd/interleaving_model_test.go
+++ b/internal/schedulerd/interleaving_model_test.go
@@ -135,10 +135,10 @@
 	closeFD(l.t, l.fd)
 }
 
-// modelMachine is a machine that does what a step says.
+// modelMachine is a machine that acts as the steps of an interleaving demand.
 type modelMachine struct {
 	*rawListener
-	protocol.MachineEntry // as the list tells it
+	protocol.MachineEntry // as listed
 	incarnation           uint64
 	startedAt             scheduler.Time           // of the incarnation; 0: long ago
 	attempts              map[uint64]*modelAttempt // by number
@@ -212,7 +212,7 @@
 	return onLoop(w.server, func() scheduler.Time { return scheduler.Time(w.server.loop.Now()) })
 }
 
-// settle lets the server take all that is on its way, and takes all that comes of it: until every byte that one side wrote was
+// settle exchanges frames until nothing is in flight: every byte that one side wrote was
 // read by the other, no connection is being opened or closed, and no event is left.
 func (w *model) settle() {
 	for limit := time.Now().Add(20 * time.Second); ; {
--- a/internal/schedulerd/interleaving_test.go
+++ b/internal/schedulerd/interleaving_test.go
@@ -21,7 +21,7 @@
 	stepErrored = "errored"
 	stepFinish  = "finish"
 	stepBreak   = "break"   // the connection of a machine
-	stepRestart = "restart" // a machine; "restart late a": its list tells later
+	stepRestart = "restart" // a machine; "restart late a": the list follows later
 	stepDrain   = "drain"
 	stepLeave   = "leave" // the list
 	stepBack    = "back"  // on the list
--- a/internal/schedulerd/machine.go
+++ b/internal/schedulerd/machine.go
@@ -17,7 +17,7 @@
 	inventoryTimeouts = 3
 )
 
-// machine is one that a list has named, with the one connection to it that all its attempts share.
+// machine is a listed machine with the one connection that all its attempts share.
 type machine struct {
 	server       *Server
 	id           scheduler.MachineID
@@ -26,7 +26,7 @@
 	draining     bool
 	incarnation  uint64
 	startedAt    scheduler.Time // of the incarnation; 0: long ago, or not known
-	selfReported bool           // no list has told of the incarnation yet, only the machine itself
+	selfReported bool           // the incarnation is known from the hello of the machine alone
 
 	conn       *eventloop.Conn // nil if there is none
 	reader     protocol.Reader
@@ -70,7 +70,7 @@
 	delete(m.server.machines, m.id)
 }
 
-// start tells the incarnation for which sends in slow start are counted.
+// start returns the incarnation for which sends in slow start are counted.
 func (m *machine) start() warmstart.MachineStart {
 	return warmstart.MachineStart{Incarnation: m.incarnation, StartedAt: m.startedAt}
 }
@@ -138,7 +138,7 @@
 	default:
 		m.failProbes(scheduler.OutcomeConnectFailed)
 	}
-	clear(m.expired) // the next inventory tells what of them runs
+	clear(m.expired) // the next inventory lists those that run
 	if wasReady {
 		m.server.enqueueReconcilerEvent(reconcile.MachineDisconnected{Machine: m.id})
 	} else {
--- a/internal/schedulerd/machinelist.go
+++ b/internal/schedulerd/machinelist.go
@@ -31,7 +31,7 @@
 	s.discovery.cache.merge(mode, version, entries)
 }
 
-// removeGone forgets machines that an update says are gone, or that a full list does not name.
+// removeGone removes machines that an update marks as gone, or that a full list does not contain.
 func (s *Server) removeGone(mode scheduler.UpdateMode, listed map[scheduler.MachineID]bool) {
 	for id, m := range s.machines {
 		if mode != scheduler.DeltaUpdate && !listed[id] {
@@ -55,7 +55,7 @@
 	}
 }
 
-// applyEntry reports whether the entry tells the start of an incarnation that was not known.
+// applyEntry reports whether the start of the machine's incarnation was unknown before.
 func (m *machine) applyEntry(entry *protocol.MachineEntry) (restarted bool) {
 	m.gone = entry.State == protocol.MachineGone
 	if draining := entry.State == protocol.MachineDraining; draining != m.draining {
@@ -91,8 +91,8 @@
 	return true
 }
 
-// noteSelfReported takes an incarnation from the hello of a machine if no list has told of it yet. A hello tells no age: until a
-// list does, the incarnation counts as new.
+// noteSelfReported takes an incarnation from the hello of a machine if no list has contained it yet. A hello has no age: until a
+// list has, the incarnation counts as new.
 func (s *Server) noteSelfReported(m *machine, incarnation uint64) {
 	entry, listed := s.discovery.cache.entries[string(m.id)]
 	if incarnation <= m.incarnation || !listed {
--- a/internal/schedulerd/queue.go
+++ b/internal/schedulerd/queue.go
@@ -28,13 +28,13 @@
 }
 
 // sendQueued sends the queued attempts, but for those that still wait for the log. A stale one is not sent: the scheduler, which
-// knows of the change by now, decides again.
+// has processed the change by now, decides again.
 func (m *machine) sendQueued() {
 	if !m.ready {
 		return
 	}
 	for _, a := range append([]*attempt(nil), m.queued...) {
-		stale := a.stale() // before dequeue, which forgets adoptions with the last queued attempt
+		stale := a.stale() // before dequeue, which clears the adoptions with the last queued attempt
 		if a.awaitingLog || !m.dequeue(a) {
 			continue
 		}
@@ -46,8 +46,8 @@
 	}
 }
 
-// adoptionTracker tells queued attempts whether containers of their service were adopted since they were decided. It forgets
-// when no attempt is queued, so that it stays as small as the queues.
+// adoptionTracker records whether containers of a service were adopted since a queued attempt was decided. It is cleared when no
+// attempt is queued, so that it stays as small as the queues.
 type adoptionTracker struct {
 	total     int            // adoptions so far
 	byService map[string]int // total after the service's last adoption
--- a/internal/schedulerd/queue_test.go
+++ b/internal/schedulerd/queue_test.go
@@ -9,8 +9,8 @@
 	"glenport/scheduler"
 )
 
-// A queued attempt is not sent if what it was decided on has changed meanwhile. The scheduler hears of the change first and decides
-// again. The hello of a machine tells of an incarnation before the list does.
+// A queued attempt is not sent if what it was decided on has changed meanwhile. The scheduler receives the change first and decides
+// again. The hello of a machine may announce an incarnation before the list does.
 func TestStaleQueuedAttemptIsNotSent(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -58,7 +58,7 @@
 	}
 }
 
-// adoptOnMachineB lets a machine report a container of the service that an earlier incarnation of the scheduler has started.
+// adoptOnMachineB makes machine b report a container of the service that an earlier incarnation of the scheduler has started.
 func (h *harness) adoptOnMachineB() {
 	h.t.Helper()
 	runOnLoop(h.server, func() {
@@ -69,7 +69,7 @@
 	awaitEvent[scheduler.ContainerAdopted](h.t, h.script, nil)
 }
 
-// A queued probe was not counted for an incarnation of which only the hello tells, and is not sent to it.
+// A queued probe was not counted for an incarnation that is known from the hello alone, and is not sent to it.
 func TestProbeOfAnEarlierIncarnationIsNotSent(t *testing.T) {
 	for incarnation, want := range map[uint64]scheduler.Outcome{1: scheduler.OutcomeTimedOut, 2: scheduler.OutcomeNotSent} {
 		address, hello, _ := serveSlowMachine(t, "a")
--- a/internal/schedulerd/restore.go
+++ b/internal/schedulerd/restore.go
@@ -40,7 +40,7 @@
 // restoreLimiter restores the concurrency limit if the workload classes are those of the snapshot.
 func (st *stateStore) restoreLimiter(now warmstart.Timestamp) {
 	limiter, snapshot := st.server.reconciler.Limiter(), st.loaded.snapshot
-	if limiter == nil || snapshot == nil || snapshot.Overload == nil || !slices.Equal(snapshot.Names, st.server.classNames()) {
+	if limiter == nil || snapshot == nil || snapshot.Overload == nil || !slices.Equal(snapshot.ClassNames, st.server.classNames()) {
 		return
 	}
 	limiter.Restore(*snapshot.Overload, warmstart.Weight(warmstart.ConcurrencyLimit, now.Since(snapshot.TakenAt).Age))
@@ -92,7 +92,7 @@
 	p := warmstart.Persisted{History: st.loaded.history, Sends: st.loaded.sends}
 	if snapshot := st.loaded.snapshot; snapshot != nil {
 		p.TakenAt, p.Snapshot = snapshot.TakenAt, snapshot.Learned
-		p.Incarnations, p.ClassNames = snapshot.Incarnations, snapshot.Names
+		p.Incarnations, p.ClassNames = snapshot.Incarnations, snapshot.ClassNames
 	}
 	return p
 }
--- a/internal/schedulerd/restore_test.go
+++ b/internal/schedulerd/restore_test.go
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// After a crash between an attempt and its end the next incarnation knows that it may run. It asks the machine first, and adopts
-// the container or lets its key be used again by what the machine reports. Idempotent work is not logged.
+// After a crash between an attempt and its end the next incarnation finds it in the log. It waits for the machine's inventory, and
+// adopts the container or releases its key accordingly. Idempotent work is not logged.
 func TestAttemptOpenAtACrashIsResolvedByItsMachine(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -209,7 +209,7 @@
 	}
 }
 
-// Sends to a machine that was not in slow start are logged when an incarnation is heard of that they may have reached, so that the
+// Sends to a machine that was not in slow start are logged when an incarnation is announced that they may have reached, so that the
 // next incarnation of the scheduler has them.
 func TestSendsBeforeAnIncarnationIsHeardOfAreLogged(t *testing.T) {
 	settings := testConfig(t)
@@ -235,7 +235,7 @@
 	})
 	script := newWarmStartScript(scheduler.Snapshot{})
 	runIncarnation(t, next, script, func(server *Server) {
-		<-script.restored // at the start, when no list has told of the incarnation
+		<-script.restored // at the start, when no list contains the incarnation yet
 		watchList(server)
 		restored := <-script.restored
 		if len(restored.Machines) != 1 || restored.Machines[0].Machine != "a" || len(restored.Machines[0].RecentSends) != 1 {
--- a/internal/schedulerd/routes.go
+++ b/internal/schedulerd/routes.go
@@ -25,7 +25,7 @@
 	return s.speaker != nil && s.speaker.HasService(service)
 }
 
-// routesReply tells the state of the BGP peers and the announcements of one service, or of all if it is empty.
+// routesReply returns the state of the BGP peers and the announcements of one service, or of all services if it is empty.
 func (s *Server) routesReply(service string) *protocol.RoutesReply {
 	reply := &protocol.RoutesReply{}
 	if s.speaker == nil {
--- a/internal/schedulerd/snapshot.go
+++ b/internal/schedulerd/snapshot.go
@@ -43,7 +43,8 @@
 		return nil, err
 	}
 	if version != WarmStartVersion {
-		return nil, &wal.CorruptionError{File: WarmStartFile, Offset: versionOffset, Detail: fmt.Sprintf("there was no version %d of such a file", version)}
+		return nil, &wal.CorruptionError{File: WarmStartFile, Offset: versionOffset,
+			Detail: fmt.Sprintf("there was no version %d of such a file", version)}
 	}
 	snapshot := &WarmStartSnapshot{}
 	if err := cbor.Unmarshal(body, snapshot); err != nil {
@@ -61,7 +62,7 @@
 	return wal.WriteChecksummed(dir, WarmStartFile, WarmStartMagic, WarmStartVersion, body)
 }
 
-// agedEntries returns the machine list with the ages of now; nil if it is too old to be used. A machine whose age cannot be told
+// agedEntries returns the machine list with the ages of now; nil if it is too old to be used. A machine whose age is not known
 // counts as just started, which puts it in slow start.
 func (w *WarmStartSnapshot) agedEntries(now warmstart.Timestamp) []protocol.MachineEntry {
 	since := now.Since(w.TakenAt)
@@ -88,7 +89,7 @@
 	now := scheduler.Time(s.loop.Now())
 	snapshot := &WarmStartSnapshot{
 		TakenAt:         readClocks(now),
-		Names:           s.classNames(),
+		ClassNames:      s.classNames(),
 		Incarnations:    map[scheduler.MachineID]uint64{},
 		ListVersion:     s.discovery.cache.version,
 		OrderlyShutdown: orderlyShutdown,
--- a/internal/schedulerd/staterecords.go
+++ b/internal/schedulerd/staterecords.go
@@ -41,7 +41,7 @@
 	return st.putSends(m, st.ledger.RecordSend)
 }
 
-// logIncarnation logs what may have reached an incarnation that was just heard of while an earlier one was known.
+// logIncarnation logs sends that may have reached an incarnation that has just been announced, while an earlier one was known.
 func (st *stateStore) logIncarnation(m *machine) {
 	st.putSends(m, st.ledger.IncarnationObserved)
 }
--- a/internal/schedulerd/statestore.go
+++ b/internal/schedulerd/statestore.go
@@ -37,7 +37,7 @@
 	incarnationUnlogged bool // the log does not hold history yet
 
 	ledger          *warmstart.SendLedger
-	pendingSends    []warmstart.SlowStartSends // to incarnations that no list has told of yet; for two slow-start windows
+	pendingSends    []warmstart.SlowStartSends // to incarnations that are not listed yet; kept for two slow-start windows
 	sendsKnownSince scheduler.Time             // all slow-start sends from then on are known
 
 	changes      []wal.Change // of this iteration
@@ -206,7 +206,7 @@
 	}
 }
 
-// retryLater keeps the changes of a failed commit that tell what has happened: the end of attempts, and the history. An attempt
+// retryLater keeps the changes of a failed commit that record what has happened: the end of attempts, and the history. An attempt
 // that could not be logged was not sent.
 func (st *stateStore) retryLater(changes []wal.Change) {
 	for _, c := range changes {
--- a/internal/schedulerd/statestore_test.go
+++ b/internal/schedulerd/statestore_test.go
@@ -12,7 +12,7 @@
 	"glenport/scheduler"
 )
 
-// acceptAll is a machine that accepts every offer, and finishes the container "before" when it is told to.
+// acceptAll is a machine that accepts every offer, and finishes the container "before" on a signal.
 func acceptAll(t *testing.T, offered chan<- string, finish <-chan struct{}) string {
 	t.Helper()
 	return serveMachine(t, "a", &protocol.Inventory{}, func(c net.Conn, f protocol.Frame) bool {
@@ -87,7 +87,7 @@
 	}
 }
 
-// An attempt that waits for a slow disk longer than a connection may take is not sent, whatever is heard meanwhile, and is no failure
+// An attempt that waits for a slow disk longer than a connection may take is not sent, whatever update arrives meanwhile, and is no failure
 // of its machine.
 func TestAttemptHeldBackByASlowDiskIsNotSentLate(t *testing.T) {
 	offered := make(chan string, 10)
--- a/internal/schedulerd/stats.go
+++ b/internal/schedulerd/stats.go
@@ -8,7 +8,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcomes of attempts that are counted beside those that machines report. The names are part of the status.
+// Outcomes of attempts that are counted in addition to those that machines report. The names are part of the status.
 const (
 	statTimedOut       = "timed out"
 	statLateAccept     = "late yes"
--- a/internal/schedulerd/status.go
+++ b/internal/schedulerd/status.go
@@ -38,7 +38,7 @@
 
 const bytesPerMiB = 1 << 20
 
-// statusReply is the account for `glenport status` and the metrics, which are known by the names here.
+// statusReply returns the counters of `glenport status` and the metrics, under the names that operators know.
 func (s *Server) statusReply() *protocol.StatusReply {
 	list := statList{}
 	list.add("up", s.loop.Elapsed().Seconds(), "s")
