--- /dev/null
+++ b/internal/platform/connmanager/admission_test.go
@@ -0,0 +1,129 @@
+package connmanager
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+)
+
+// closedClients returns the clients that a batch of actions closes.
+func closedClients(actions []Action) (out []ClientID) {
+	for _, a := range actions {
+		if a, ok := a.(CloseClient); ok {
+			out = append(out, a.Client)
+		}
+	}
+	return out
+}
+
+// A full listener closes one client for each that connects, and none that awaits an answer as long as another does not.
+func TestFullListenerClosesTheClientThatLosesLeast(t *testing.T) {
+	const most = 8
+	for _, tc := range []struct {
+		name   string
+		at     Time                      // when one more connects
+		events func(id ClientID) []Event // of each that was connected before
+		want   ClientID
+	}{
+		{"all silent, the first is closed", Second, func(ClientID) []Event { return nil }, 1},
+		{"all new, the newest is closed", Second / 10, func(ClientID) []Event { return nil }, most + 1},
+		{"one silent client among served ones", Second, func(id ClientID) []Event {
+			if id == 5 {
+				return nil
+			}
+			return []Event{MessageSent{Client: id}}
+		}, 5},
+		{"all served, the least recently active is closed", Second, func(id ClientID) []Event {
+			if id == 8 { // all but the third are active again
+				return []Event{BytesReceived{Client: 8}, MessageSent{Client: 8}, MessageSent{Client: 1},
+					BytesReceived{Client: 2}, BytesReceived{Client: 4}, BytesReceived{Client: 5}, BytesReceived{Client: 6}, BytesReceived{Client: 7}}
+			}
+			return []Event{MessageSent{Client: id}}
+		}, 3},
+		{"one without an open request", Second, func(id ClientID) []Event {
+			if id == 6 {
+				return []Event{PlacementRequested{id}, MessageSent{id, 1}}
+			}
+			return []Event{PlacementRequested{id}}
+		}, 6},
+		{"all but the newest await an answer", Second, func(id ClientID) []Event { return []Event{PlacementRequested{id}} }, most + 1},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			m := New(2 * most)
+			var before []Event
+			for id := ClientID(1); id <= most; id++ {
+				before = append(append(before, ClientConnected{id}), tc.events(id)...)
+			}
+			for i, e := range before {
+				if got := closedClients(m.Handle(Time(i+1), []Event{e})); len(got) > 0 {
+					t.Fatalf("%v closed while there is room", got)
+				}
+			}
+			if got := closedClients(m.Handle(tc.at, []Event{ClientConnected{most + 1}})); !slices.Equal(got, []ClientID{tc.want}) {
+				t.Errorf("%v closed, want %d", got, tc.want)
+			}
+		})
+	}
+}
+
+// A client that holds its connection for nothing is closed after a while, not earlier.
+func TestUnusedClientIsClosedInTime(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		events []Event
+		closed bool
+	}{
+		{"no request", nil, true},
+		{"awaits an answer", []Event{BytesReceived{Client: 1}, PlacementRequested{1}}, false},
+		{"was answered", []Event{PlacementRequested{1}, MessageSent{1, 1}}, false},
+		{"proved to be an owner", []Event{BytesReceived{Client: 1}, OwnershipProven{1}}, false},
+		{"reclaimed a container, alone", []Event{BytesReceived{Client: 1}, ContainerReclaimed{1}}, false},
+		{"reclaimed a container, no proven owner", []Event{
+			ContainerReclaimed{1}, ClientConnected{2}, PlacementRequested{2}, ContainerReclaimed{2},
+		}, false},
+		{"reclaimed a container, another is a proven owner", []Event{
+			ContainerReclaimed{1}, ClientConnected{2}, OwnershipProven{2},
+		}, true},
+		{"reclaimed a container, the proven owner has disconnected", []Event{
+			ContainerReclaimed{1}, ClientConnected{2}, OwnershipProven{2}, ClientDisconnected{2},
+		}, false},
+		{"reclaimed a container and acknowledged its end", []Event{
+			ContainerReclaimed{1}, ContainerTerminated{"x", 16, 1}, TerminationAcknowledged{"x", 1},
+			ClientConnected{2}, OwnershipProven{2},
+		}, false},
+		{"acknowledged an end that it was not notified of", []Event{TerminationAcknowledged{"x", 1}}, true},
+		{"reclaimed a container, then an incomplete message", []Event{ContainerReclaimed{1}, BytesReceived{1, true}}, true},
+		{"cancelled every request", []Event{PlacementRequested{1}, RequestCancelled{1}}, true},
+		{"incomplete message", []Event{MessageSent{Client: 1}, BytesReceived{1, true}}, true},
+		{"incomplete message, completed in time", []Event{
+			MessageSent{Client: 1}, BytesReceived{1, true}, BytesReceived{1, false},
+		}, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			m := New(100)
+			m.Handle(1, append([]Event{ClientConnected{1}}, tc.events...))
+			if early := closedClients(m.Handle(Second, []Event{Tick{}})); len(early) > 0 {
+				t.Errorf("closed after a second")
+			}
+			if got := closedClients(m.Handle(2*Second+2, []Event{Tick{}})); (len(got) > 0) != tc.closed {
+				t.Errorf("closed: %v, want %t", got, tc.closed)
+			}
+		})
+	}
+}
+
+// The state of a client is removed when it disconnects.
+func TestReadPauseDoublesUpToItsLimit(t *testing.T) {
+	m := New(100)
+	m.Handle(0, []Event{ClientConnected{1}})
+	var got []Time
+	for range 7 {
+		got = append(got, m.Handle(0, []Event{InvalidMessageReceived{1}})[0].(PauseReading).Duration)
+	}
+	if want := "[500 1000 2000 4000 8000 10000 10000]"; fmt.Sprint(got) != want {
+		t.Errorf("pauses %v, want %s", got, want)
+	}
+	if m.Handle(0, []Event{ClientDisconnected{1}, ClientDisconnected{1}}); len(m.clients) != 0 || m.activeClients != 0 {
+		t.Errorf("%d clients kept, %d active", len(m.clients), m.activeClients)
+	}
+}
--- a/internal/schedulerd/clientconn.go
+++ b/internal/schedulerd/clientconn.go
@@ -165,6 +165,6 @@
 
 func (s *Server) closeClient(action reconcile.CloseClient) {
 	if client := s.clients[action.Client]; client != nil {
-		client.disconnect(action.Reason)
+		client.disconnect(action.Reason.Error())
 	}
 }
--- a/internal/schedulerd/container.go
+++ b/internal/schedulerd/container.go
@@ -46,7 +46,7 @@
 func (s *Server) refuse(action reconcile.Reject) {
 	s.stats.countAnswer(protocol.VerdictNotAdmitted)
 	s.sendToClient(action.Client, &protocol.PlacementReply{ContainerID: string(action.ID), Verdict: protocol.VerdictNotAdmitted,
-		RetryAfter: protocol.Duration(action.RetryAfter), Message: action.Reason})
+		RetryAfter: protocol.Duration(action.RetryAfter), Message: action.Reason.Error()})
 }
 
 // replyAlreadyRunning answers a request for what runs. The client that requested it last receives its termination.
--- a/internal/schedulerd/iteration.go
+++ b/internal/schedulerd/iteration.go
@@ -1,6 +1,9 @@
 package schedulerd
 
 import (
+	"context"
+	"log/slog"
+
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/reconcile"
@@ -80,7 +83,7 @@
 	case scheduler.FetchMachineList:
 		s.discovery.request(&protocol.FetchMachineList{})
 	case scheduler.Log:
-		s.log.Info("scheduler mode", "message", action.Message)
+		s.log.LogAttrs(context.Background(), slog.LevelInfo, action.Message, action.Attributes...)
 	}
 }
 
@@ -125,6 +128,6 @@
 	case reconcile.SetTimer:
 		s.loop.After(eventloop.Tick(action.After), func() { s.enqueueReconcilerEvent(reconcile.TimerFired{}) })
 	case reconcile.Log:
-		s.log.Info("reconciler mode", "message", action.Message)
+		s.log.LogAttrs(context.Background(), slog.LevelInfo, action.Message, action.Attributes...)
 	}
 }
--- a/internal/schedulerd/machineframes.go
+++ b/internal/schedulerd/machineframes.go
@@ -97,7 +97,7 @@
 		m.handleLateResult(f)
 		return
 	}
-	outcome := f.Outcome.Scheduler()
+	outcome := f.Outcome.SchedulerOutcome()
 	if !a.accepted && outcome == scheduler.OutcomeFinished { // it has run, whatever became of the accept
 		m.server.attemptAccepted(a)
 	}
--- /dev/null
+++ b/internal/schedulerd/reconcile/reconciler_test.go
@@ -0,0 +1,408 @@
+package reconcile
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+
+	"glenport/internal/schedulerd/admission"
+	"glenport/internal/schedulerd/recovery"
+	"glenport/scheduler"
+
+	"pgregory.net/rapid"
+)
+
+const ms = scheduler.Millisecond
+
+var idempotency = []scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.AtMostOnce}
+
+func request(id string, class int) scheduler.PlacementRequest {
+	return scheduler.PlacementRequest{ID: scheduler.ContainerID(id), IdempotencyKey: "k-" + id, Service: "s", WorkloadClass: class}
+}
+
+func retry(id, key string, class int) scheduler.PlacementRequest {
+	r := request(id, class)
+	r.IdempotencyKey, r.ClientRetry = key, true
+	return r
+}
+
+func attempt(id string, class int, incarnation, number uint64, running bool) Attempt {
+	return Attempt{Request: request(id, class), Machine: "m", Incarnation: incarnation, Number: number, Running: running}
+}
+
+func describe(actions []Action) string {
+	var all []string
+	for _, a := range actions {
+		switch a := a.(type) {
+		case Admit:
+			all = append(all, "admit "+string(a.Request.ID))
+		case Reject:
+			all = append(all, "reject "+string(a.ID))
+		case AlreadyRunning:
+			all = append(all, fmt.Sprintf("running %s on %s", a.ID, a.Machine))
+		case CancelAttempt:
+			all = append(all, fmt.Sprintf("cancel %d.%d", a.Incarnation, a.Attempt))
+		case Adopt:
+			all = append(all, "adopt "+string(a.Attempt.Request.ID))
+		case ContainerLost:
+			all = append(all, "lost "+string(a.ID))
+		case ConnectMachine:
+			all = append(all, "connect "+string(a.Machine))
+		case TerminateContainer:
+			all = append(all, fmt.Sprintf("terminate %s as %s", a.ID, a.RequestedID))
+		case NotRunning:
+			all = append(all, "not running "+string(a.ID))
+		case AlreadyTerminated:
+			all = append(all, "terminated "+string(a.ID))
+		case CloseClient:
+			all = append(all, fmt.Sprint("close ", a.Client))
+		}
+	}
+	return strings.Join(all, ", ")
+}
+
+// Events of machine m and of container a, which has idempotency key k-a.
+var (
+	listed         = MachinesListed{Machines: []scheduler.MachineID{"m"}}
+	reported       = MachineReported{Machine: "m"} // it holds nothing
+	disconnected   = MachineDisconnected{"m"}
+	connectFailed  = ConnectFailed{Machine: "m"}
+	accepted       = AttemptAccepted{"a", "m", 9}
+	outcomeUnknown = AttemptOutcomeUnknown{attempt("a", 2, 5, 9, false)}
+)
+
+// place and placeAgain are requests of client 1.
+func place(id string, class int) PlacementRequested { return PlacementRequested{1, request(id, class)} }
+
+func placeAgain(id, key string, class int) PlacementRequested {
+	return PlacementRequested{1, retry(id, key, class)}
+}
+
+// sequence is a test case: the actions of its last step are compared. The incarnation is 5, the first client 1.
+type sequence struct {
+	name  string
+	steps []any // an event, or the time of the next ones
+	want  string
+}
+
+func newReconciler(limits admission.Limits) *Reconciler {
+	return New(Config{Incarnation: 5, Limits: limits, Idempotency: idempotency, LogCoverage: recovery.LogNone})
+}
+
+func runSequences(t *testing.T, sequences []sequence) {
+	t.Helper()
+	for _, tc := range sequences {
+		t.Run(tc.name, func(t *testing.T) {
+			reconciler := newReconciler(admission.Limits{Clients: 2, OpenRequests: 3, OpenRequestsPerClient: 2})
+			now, got := scheduler.Time(0), ""
+			reconciler.Handle(now, []Event{ClientConnected{1}})
+			for _, s := range tc.steps {
+				switch s := s.(type) {
+				case scheduler.Time:
+					now = s
+				case Event:
+					got = describe(reconciler.Handle(now, []Event{s}))
+				}
+			}
+			if got != tc.want {
+				t.Errorf("got %q, want %q", got, tc.want)
+			}
+		})
+	}
+}
+
+func TestRequestIsAnsweredByWhatIsKnown(t *testing.T) {
+	runSequences(t, []sequence{
+		{"a request", []any{place("a", 0)}, "admit a"},
+		{"an id twice", []any{place("a", 0), place("a", 0)}, "reject a"},
+		{"a key that is being placed", []any{place("a", 2), placeAgain("b", "k-a", 2)}, "reject b"},
+		{"a key that runs", []any{place("a", 2), accepted, placeAgain("b", "k-a", 2)}, "running b on m"},
+		{"a key that has ended", []any{
+			4000 * ms, place("a", 2), accepted, ContainerRemoved{"a"}, place("b", 2),
+		}, "admit b"},
+		{"an unknown workload class", []any{place("a", 3)}, "reject a"},
+		{"of a client that disconnected", []any{ClientDisconnected{1}, place("a", 0)}, ""},
+		{"too many clients", []any{ClientConnected{2}, ClientConnected{3}}, "close 3"},
+		{"too many open", []any{
+			ClientConnected{2}, place("a", 0), place("b", 0), PlacementRequested{2, request("c", 0)},
+			PlacementRequested{2, request("d", 0)},
+		}, "reject d"},
+		{"too many of one client", []any{place("a", 0), place("b", 0), place("c", 0)}, "reject c"},
+		{"room again after a final answer", []any{
+			place("a", 0), place("b", 0), RequestFailed{"a"}, place("c", 0),
+		}, "admit c"},
+
+		// What a killed scheduler left running must not be started a second time for a client that retries.
+		{"a retry, no machine has reported", []any{placeAgain("b", "k-a", 2)}, "reject b"},
+		{"a retry, idempotent", []any{placeAgain("b", "k-a", 0)}, "admit b"},
+		{"a retry, all machines have reported", []any{listed, reported, placeAgain("b", "k-a", 2)}, "admit b"},
+		{"a retry, a machine cannot be connected", []any{
+			listed, connectFailed, 3100 * ms, placeAgain("b", "k-a", 2),
+		}, "connect m, admit b"},
+		{"a retry, and it runs", []any{
+			listed, MachineReported{"m", []Attempt{attempt("a", 2, 4, 7, true)}}, placeAgain("b", "k-a", 2),
+		}, "running b on m"},
+
+		{"cancelled", []any{place("a", 0), CancelRequested{1, "a", "k-a"}}, "terminate a as a"},
+		{"cancelled by its key", []any{place("a", 0), CancelRequested{1, "x", "k-a"}}, "terminate a as x"},
+		{"cancelled, and an earlier attempt runs", []any{
+			place("a", 1), LateAccept{attempt("a", 1, 5, 9, true)}, CancelRequested{1, "a", "k-a"},
+		}, "cancel 5.9, terminate a as a"},
+		// A scheduler that has just started does not know what runs: "nothing" would leave it running for ever.
+		{"cancelled, and no machine has reported", []any{CancelRequested{1, "x", "k-a"}}, "reject x"},
+		{"cancelled, all machines have reported", []any{
+			listed, reported, CancelRequested{1, "x", "k-a"},
+		}, "terminated x"},
+		{"cancelled, and its outcome is unknown", []any{
+			listed, reported, outcomeUnknown, CancelRequested{1, "x", "k-a"},
+		}, "reject x"},
+		{"cancelled, only an id is known", []any{listed, reported, CancelRequested{1, "x", ""}}, ""},
+
+		{"lookup, and it runs", []any{place("a", 2), accepted, LookupRequested{1, "x", "k-a"}}, "running x on m"},
+		{"lookup while it is placed", []any{place("a", 2), LookupRequested{1, "x", "k-a"}}, "reject x"},
+		{"lookup, and no machine has reported", []any{LookupRequested{1, "x", "k-a"}}, "reject x"},
+		{"lookup, and all machines have reported", []any{
+			listed, reported, LookupRequested{1, "x", "k-a"},
+		}, "not running x"},
+	})
+}
+
+// isError reports whether an error of a type is in a chain.
+func isError[E error](err error) bool {
+	var target E
+	return errors.As(err, &target)
+}
+
+// The type of the reason gives why a request is rejected, its retry-after whether a retry is of use.
+func TestRejectionNamesItsReason(t *testing.T) {
+	open := place("a", 2)
+	for _, tc := range []struct {
+		name       string
+		steps      []Event
+		is         func(error) bool
+		retryAfter scheduler.Time
+	}{
+		{"unknown class", []Event{place("b", 3)}, isError[*UnknownClassError], 0},
+		{"duplicate container", []Event{open, open}, isError[*DuplicateContainerError], 0},
+		{"key in use", []Event{open, placeAgain("b", "k-a", 2)}, isError[*KeyInUseError], retryAfter},
+		{"limit", []Event{open, place("b", 0), place("c", 0)}, isError[*admission.LimitError], scheduler.Second},
+		{"key may run", []Event{
+			AttemptRestored{attempt("a", 2, 4, 7, true)}, place("a", 2),
+		}, isError[*recovery.MayRunError], retryAfter},
+		{"recovering", []Event{placeAgain("b", "k-a", 2)}, isError[*recovery.RecoveringError], retryAfter},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			reconciler := newReconciler(admission.Limits{Clients: 1, OpenRequests: 2, OpenRequestsPerClient: 9})
+			actions := reconciler.Handle(0, append([]Event{ClientConnected{1}}, tc.steps...))
+			var rejected []Reject
+			for _, a := range actions {
+				if a, ok := a.(Reject); ok {
+					rejected = append(rejected, a)
+				}
+			}
+			if len(rejected) != 1 || !tc.is(rejected[0].Reason) || rejected[0].RetryAfter != tc.retryAfter {
+				t.Errorf("got %+v", rejected)
+			}
+		})
+	}
+}
+
+func TestAttemptThatMayRunIsResolved(t *testing.T) {
+	runSequences(t, []sequence{
+		{"late accept, idempotent", []any{place("a", 0), LateAccept{attempt("a", 0, 5, 9, true)}}, "cancel 5.9"},
+		{"late accept, failed", []any{
+			place("a", 2), RequestFailed{"a"}, ContainerRemoved{"a"}, LateAccept{attempt("a", 2, 5, 9, true)},
+		}, "adopt a"},
+		{"late accept while the request is open", []any{place("a", 1), LateAccept{attempt("a", 1, 5, 9, true)}}, ""},
+		{"then the container is removed", []any{
+			place("a", 1), LateAccept{attempt("a", 1, 5, 9, true)}, ContainerRemoved{"a"},
+		}, "adopt a"},
+		{"then it is placed elsewhere", []any{
+			place("a", 1), LateAccept{attempt("a", 1, 5, 9, true)}, AttemptAccepted{"a", "n", 10},
+		}, "cancel 5.9"},
+		// A machine that fell silent with an at-most-once attempt may run it: a client that retries waits until it has reported.
+		{"outcome unknown", []any{
+			4000 * ms, place("a", 2), outcomeUnknown, ContainerRemoved{"a"}, placeAgain("b", "k-a", 2),
+		}, "reject b"},
+		// Else the machine would never be queried, and the attempt never be resolved.
+		{"outcome unknown, the machine is connected", []any{4000 * ms, place("a", 2), outcomeUnknown}, "connect m"},
+		{
+			"outcome unknown, and connected again when its connection breaks",
+			[]any{4000 * ms, place("a", 2), outcomeUnknown, disconnected}, "connect m",
+		},
+		{"outcome unknown, the machine has reported", []any{
+			4000 * ms, place("a", 2), outcomeUnknown, ContainerRemoved{"a"}, reported, placeAgain("b", "k-a", 2),
+		}, "admit b"},
+		{"outcome unknown, the attempt was reported", []any{
+			4000 * ms, place("a", 2), outcomeUnknown, ContainerRemoved{"a"},
+			AttemptNotRunning{attempt("a", 2, 5, 9, false)}, placeAgain("b", "k-a", 2),
+		}, "admit b"},
+		{"outcome unknown, the machine is gone", []any{
+			4000 * ms, place("a", 2), outcomeUnknown, ContainerRemoved{"a"}, MachineRemoved{"m"},
+			placeAgain("b", "k-a", 2),
+		}, "admit b"},
+		{"outcome unknown, idempotent", []any{
+			4000 * ms, place("a", 0), AttemptOutcomeUnknown{attempt("a", 0, 5, 9, false)}, ContainerRemoved{"a"},
+			placeAgain("b", "k-a", 0),
+		}, "admit b"},
+		{"removed, then reported by its machine", []any{
+			place("a", 2), ContainerRemoved{"a"}, MachineReported{"m", []Attempt{attempt("a", 2, 5, 9, true)}},
+		}, "adopt a"},
+	})
+}
+
+func TestMachineReportDecidesWhatRuns(t *testing.T) {
+	runSequences(t, []sequence{
+		{"listed machines are connected", []any{listed}, "connect m"},
+		{
+			"a machine that could not be connected is tried again",
+			[]any{listed, connectFailed, 2100 * ms, TimerFired{}}, "connect m",
+		},
+		{"one that is gone is not", []any{listed, connectFailed, MachineRemoved{"m"}, 5100 * ms, TimerFired{}}, ""},
+
+		{"earlier incarnation, running", []any{
+			MachineReported{"m", []Attempt{attempt("a", 0, 4, 7, true)}},
+		}, "adopt a"},
+		{"earlier incarnation, waiting: it counts until it has ended", []any{
+			MachineReported{"m", []Attempt{attempt("a", 2, 4, 7, false)}},
+		}, "cancel 4.7, adopt a"},
+		{"earlier incarnation, waiting, and requested again", []any{
+			MachineReported{"m", []Attempt{attempt("a", 2, 4, 7, false)}}, placeAgain("b", "k-a", 2),
+		}, "reject b"},
+		{"reported twice", []any{
+			MachineReported{"m", []Attempt{attempt("a", 0, 4, 7, true)}},
+			MachineReported{"m", []Attempt{attempt("a", 0, 4, 7, true)}},
+		}, ""},
+		{"earlier incarnation, then gone", []any{
+			MachineReported{"m", []Attempt{attempt("a", 0, 4, 7, true)}}, MachineReported{"m", nil},
+		}, "lost a"},
+		{"two copies of one key", []any{
+			place("a", 1), AttemptAccepted{"a", "n", 9},
+			MachineReported{"m", []Attempt{{Request: retry("b", "k-a", 1), Machine: "m", Incarnation: 4, Number: 7, Running: true}}},
+		}, "cancel 4.7"},
+
+		{"disconnected, tried at once", []any{place("a", 0), accepted, disconnected}, "connect m"},
+		{"disconnected, and nothing runs there", []any{disconnected}, ""},
+		{"reconnected, and still reported", []any{
+			place("a", 0), accepted, disconnected, MachineReported{"m", []Attempt{attempt("a", 0, 5, 9, true)}},
+		}, ""},
+		{"reconnected, and no longer reported", []any{
+			place("a", 0), accepted, disconnected, MachineReported{"m", nil},
+		}, "lost a"},
+		{"tried again after the backoff", []any{
+			place("a", 0), accepted, disconnected, connectFailed, 200 * ms, TimerFired{},
+		}, "connect m"},
+		{"lost after some attempts", []any{
+			place("a", 0), accepted, disconnected, connectFailed, 200 * ms, TimerFired{}, connectFailed, 1000 * ms,
+			TimerFired{}, connectFailed,
+		}, "lost a"},
+		{"not lost by a local shortage", []any{
+			place("a", 0), accepted, disconnected, connectFailed, 200 * ms, TimerFired{}, connectFailed, 1000 * ms,
+			TimerFired{}, ConnectFailed{"m", true}, 1200 * ms, TimerFired{},
+		}, "connect m"},
+		// Else a container that ran on behind a partition would never be known again.
+		{"lost, and its machine is queried later", []any{
+			place("a", 0), accepted, disconnected, connectFailed, 200 * ms, TimerFired{}, connectFailed, 1000 * ms,
+			TimerFired{}, connectFailed, ContainerRemoved{"a"}, 3100 * ms, TimerFired{},
+		}, "connect m"},
+	})
+}
+
+// keyModel is what is known from outside of the keys of admitted containers.
+type keyModel struct {
+	open    map[scheduler.ContainerID]string
+	running map[scheduler.ContainerID]string
+	number  uint64 // of the last attempt
+}
+
+// draw returns an event, or nil where the one drawn is not possible.
+func (m *keyModel) draw(t *rapid.T) Event {
+	id := func() scheduler.ContainerID {
+		return scheduler.ContainerID(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id"))
+	}
+	switch rapid.IntRange(0, 7).Draw(t, "event") {
+	case 0, 1:
+		key := rapid.SampledFrom([]string{"x", "y"})
+		return placeAgain(string(id()), key.Draw(t, "key"), rapid.IntRange(0, 2).Draw(t, "class"))
+	case 2:
+		return m.accept(id())
+	case 3:
+		i := id()
+		delete(m.open, i)
+		delete(m.running, i)
+		return ContainerRemoved{i}
+	case 4:
+		return disconnected
+	case 5:
+		return connectFailed
+	case 6:
+		return reported
+	}
+	return TimerFired{}
+}
+
+func (m *keyModel) accept(id scheduler.ContainerID) Event {
+	key, open := m.open[id]
+	if !open {
+		return nil
+	}
+	m.number++
+	delete(m.open, id)
+	m.running[id] = key
+	return AttemptAccepted{id, "m", m.number}
+}
+
+// admit checks that no other container has the key of an admitted one.
+func (m *keyModel) admit(t *rapid.T, r scheduler.PlacementRequest) {
+	for _, containers := range []map[scheduler.ContainerID]string{m.open, m.running} {
+		for other, key := range containers {
+			if key == r.IdempotencyKey {
+				t.Fatalf("%s admitted though %s has key %s", r.ID, other, key)
+			}
+		}
+	}
+	m.open[r.ID] = r.IdempotencyKey
+}
+
+// Drawn sequences: a key that must not run twice is admitted only while it neither runs nor is open, nothing is left when all
+// containers are removed, and equal sequences have equal actions.
+func TestKeyIsAdmittedOnlyWhileFree(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		limits := admission.Limits{Clients: 9, OpenRequests: 9, OpenRequestsPerClient: 9}
+		a, b := newReconciler(limits), newReconciler(limits)
+		model := &keyModel{open: map[scheduler.ContainerID]string{}, running: map[scheduler.ContainerID]string{}}
+		now := scheduler.Time(0)
+		handle := func(e Event) []Action {
+			got := a.Handle(now, []Event{e})
+			if other := b.Handle(now, []Event{e}); describe(got) != describe(other) {
+				t.Fatalf("%v gives %q and %q", e, describe(got), describe(other))
+			}
+			return got
+		}
+		handle(ClientConnected{1})
+		for range 40 {
+			now += scheduler.Time(rapid.IntRange(0, 20000).Draw(t, "advance"))
+			e := model.draw(t)
+			if e == nil {
+				continue
+			}
+			for _, action := range handle(e) {
+				switch action := action.(type) {
+				case Admit:
+					model.admit(t, action.Request)
+				case ContainerLost:
+					delete(model.running, action.ID)
+					handle(ContainerRemoved{action.ID})
+				}
+			}
+		}
+		for _, id := range []scheduler.ContainerID{"a", "b", "c", "d"} {
+			a.Handle(now, []Event{ContainerRemoved{id}})
+		}
+		if n := len(a.containers.byID) + len(a.containers.byKey) + len(a.containers.onMachine) + len(a.reconnects) +
+			a.admission.OpenRequests() + a.admission.OpenRequestsOf(1); n != 0 {
+			t.Fatalf("%d entries left", n)
+		}
+	})
+}
--- a/internal/schedulerd/restore.go
+++ b/internal/schedulerd/restore.go
@@ -1,6 +1,8 @@
 package schedulerd
 
 import (
+	"context"
+	"log/slog"
 	"slices"
 
 	"glenport/internal/protocol"
@@ -84,7 +86,7 @@
 		}
 	}
 	for _, message := range restored.Messages {
-		s.log.Info("warm start", "message", message)
+		s.log.LogAttrs(context.Background(), slog.LevelInfo, message.Text, message.Attributes...)
 	}
 }
 
--- a/internal/schedulerd/server.go
+++ b/internal/schedulerd/server.go
@@ -120,7 +120,13 @@
 			limited = append(limited, overload.WorkloadClass{LatencyObjective: class.LatencyObjective, PriorityWeight: class.PriorityWeight})
 		}
 	}
-	return reconcile.New(s.incarnation, s.config.Bounds, idempotency, coverage, limited)
+	return reconcile.New(reconcile.Config{
+		Incarnation:     s.incarnation,
+		Limits:          s.config.Bounds,
+		Idempotency:     idempotency,
+		LogCoverage:     coverage,
+		OverloadClasses: limited,
+	})
 }
 
 // Speaker announces the addresses of services by BGP; nil if none is announced.
