--- a/internal/schedulerd/iteration.go
+++ b/internal/schedulerd/iteration.go
@@ -83,7 +83,7 @@
 	case scheduler.FetchMachineList:
 		s.discovery.request(&protocol.FetchMachineList{})
 	case scheduler.Log:
-		s.log.LogAttrs(context.Background(), slog.LevelInfo, action.Message, action.Attributes...)
+		s.logDecision(action.Message, action.Attributes)
 	}
 }
 
@@ -128,6 +128,11 @@
 	case reconcile.SetTimer:
 		s.loop.After(eventloop.Tick(action.After), func() { s.enqueueReconcilerEvent(reconcile.TimerFired{}) })
 	case reconcile.Log:
-		s.log.LogAttrs(context.Background(), slog.LevelInfo, action.Message, action.Attributes...)
+		s.logDecision(action.Message, action.Attributes)
 	}
 }
+
+// logDecision logs what a decision package wants the operator to know.
+func (s *Server) logDecision(message string, attributes []slog.Attr) {
+	s.log.LogAttrs(context.Background(), slog.LevelInfo, message, attributes...)
+}
--- a/internal/schedulerd/restore.go
+++ b/internal/schedulerd/restore.go
@@ -1,8 +1,6 @@
 package schedulerd
 
 import (
-	"context"
-	"log/slog"
 	"slices"
 
 	"glenport/internal/protocol"
@@ -86,7 +84,7 @@
 		}
 	}
 	for _, message := range restored.Messages {
-		s.log.LogAttrs(context.Background(), slog.LevelInfo, message.Text, message.Attributes...)
+		s.logDecision(message.Text, message.Attributes)
 	}
 }
 
