--- a/internal/schedulerd/discovery.go
+++ b/internal/schedulerd/discovery.go
@@ -9,7 +9,7 @@
 )
 
 // discoveryPeer stands for the machine list service in log lines.
-const discoveryPeer = "list"
+const discoveryPeer = "machine list"
 
 // discoveryClient is the connection to the machine list service. The scheduler decides when and how often it is asked.
 type discoveryClient struct {
