--- a/internal/schedulerd/errors.go
+++ b/internal/schedulerd/errors.go
@@ -64,7 +64,8 @@
 func unexpectedFromClient(f protocol.Frame) error { return unexpectedFrame(f, "the door") }
 
 func unexpectedFrame(f protocol.Frame, receiver string) error {
-	return &peerError{fault: errUnexpectedFrame, detail: fmt.Sprintf("%T", f), text: fmt.Sprintf("%T is not for %s", f, receiver)}
+	name := protocol.Name(f)
+	return &peerError{fault: errUnexpectedFrame, detail: name, text: name + " is not for " + receiver}
 }
 
 // after adds to a fault how long it has lasted.
