--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -362,11 +362,11 @@
 			}
 		}
 		if runs["j/0"] != 1 || runs["j/1"] != 1 || runs["j/2"]+runs["j/3"] != 0 {
-			t.Fatalf("in the end these run: %v; %+v", runs, k.ordered())
+			t.Fatalf("in the end these run: %v; %+v", runs, k.sortedReplicas())
 		}
 		feed(JobDeleted{"j"})
 		pass(20 * sec)
-		if n := len(k.jobs) + len(k.asks); n != 0 || runs["j/0"]+runs["j/1"] != 0 {
+		if n := len(k.jobs) + len(k.requests); n != 0 || runs["j/0"]+runs["j/1"] != 0 {
 			t.Fatalf("%d left in tables, %v running", n, runs)
 		}
 	})
