--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -77,8 +77,8 @@
 	c.rollOut(r.job)
 }
 
-// terminatingAnswered removes a replica that was not accepted, unless it may run and its scheduler is not sure: then it is cancelled
-// again later.
+// terminatingAnswered removes a replica that was not accepted, unless it may run and its scheduler is not sure: then it is
+// cancelled again later.
 func (c *Controller) terminatingAnswered(r *replica, e PlacementAnswered) {
 	mayRun := r.Sticky || r.cancelling
 	if e.Verdict == VerdictRefused && mayRun {
