--- /dev/null
+++ b/internal/controller/crash_test.go
@@ -0,0 +1,244 @@
+package controller
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"testing"
+
+	"glenport/scheduler"
+
+	"pgregory.net/rapid"
+)
+
+// A controller is killed at any moment, with schedulers that accept, reject, fail, lose their connection and do not know yet. What
+// it stored is what was there before a request was sent. Whatever happens, no container of at-most-once work runs twice at once,
+// no key of it that ran is requested again, and once faults end each wanted container runs and no other does.
+func TestKilledControllerRunsWhatIsWanted(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := newCrashModel(t)
+		m.restart()
+		for range rapid.IntRange(10, 40).Draw(t, "steps") {
+			m.step()
+			m.perform()
+			m.pass(scheduler.Time(rapid.IntRange(0, 120_000).Draw(t, "span")))
+		}
+		m.faultsOver = true
+		for n := range m.connected {
+			if !m.connected[n] {
+				m.connect(n, true)
+			}
+		}
+		m.perform()
+		m.pass(300 * second)
+		wanted, running := 0, 0
+		for _, j := range m.jobs {
+			wanted += j.Count
+		}
+		for _, keys := range m.running {
+			running += len(keys)
+		}
+		if running != wanted || len(m.orphans) > 0 { // without orphans a second copy of idempotent work ran on for ever
+			t.Fatalf("%d run, %d are wanted: %v, stored %+v", running, wanted, m.running, m.containers)
+		}
+	})
+}
+
+// crashModel is a controller that is killed, what it has stored, and its schedulers.
+type crashModel struct {
+	t *rapid.T
+	testClock
+	idempotency scheduler.Idempotency
+	controller  *Controller
+	sequence    uint64   // each incarnation numbers above it
+	actions     []Action // to be performed; lost when the controller is killed
+	connected   [2]bool
+	running     [2]map[string]string // by scheduler: request id by key
+	started     map[string]bool      // keys that ran
+	faultsOver  bool
+
+	// Stored.
+	jobs       map[string]JobSet
+	containers map[string]Container
+	orphans    map[Orphan]bool
+}
+
+var crashModelJobs = []string{"a", "b"}
+
+func newCrashModel(t *rapid.T) *crashModel {
+	idempotency := rapid.SampledFrom([]scheduler.Idempotency{scheduler.Idempotent, scheduler.AtMostOnce}).Draw(t, "idempotency")
+	return &crashModel{t: t, idempotency: idempotency, running: [2]map[string]string{{}, {}}, started: map[string]bool{},
+		jobs: map[string]JobSet{}, containers: map[string]Container{}, orphans: map[Orphan]bool{}}
+}
+
+// fault draws one of n chances, until faults are over.
+func (m *crashModel) fault(n int, label string) bool {
+	return !m.faultsOver && rapid.IntRange(0, n-1).Draw(m.t, label) == 0
+}
+
+// restart begins an incarnation with what is stored. Actions that were not performed are lost.
+func (m *crashModel) restart() {
+	m.sequence += 1000
+	config := testConfig(m.idempotency)
+	config.Seed, config.FirstSequence = m.sequence, m.sequence
+	m.controller = New(config)
+	m.actions, m.timerAt, m.connected = nil, 0, [2]bool{}
+	var e StateRestored
+	for _, id := range crashModelJobs {
+		if j, ok := m.jobs[id]; ok {
+			e.Jobs = append(e.Jobs, j)
+		}
+	}
+	e.Containers = slices.Collect(maps.Values(m.containers))
+	e.Orphans = slices.Collect(maps.Keys(m.orphans))
+	m.handle(e)
+}
+
+// handle stores what the controller wants stored, and keeps other actions for perform.
+func (m *crashModel) handle(events ...Event) {
+	for _, a := range m.controller.Handle(m.now, events) {
+		switch a := a.(type) {
+		case ContainerChanged:
+			m.containers[fmt.Sprintf("%s.%d", a.Container.Job, a.Container.Index)] = a.Container
+		case ContainerRemoved:
+			delete(m.containers, fmt.Sprintf("%s.%d", a.Job, a.Index))
+		case OrphanRecorded:
+			m.orphans[a.Orphan] = true
+		case OrphanResolved:
+			delete(m.orphans, a.Orphan)
+		case SetTimer:
+			m.setTimer(a.After)
+		default:
+			m.actions = append(m.actions, a)
+		}
+	}
+}
+
+func (m *crashModel) connect(n int, connected bool) {
+	m.connected[n] = connected
+	m.handle(SchedulerConnection{n, connected})
+}
+
+func (m *crashModel) pass(span scheduler.Time) {
+	m.advance(span, func() {
+		m.handle(TimerFired{})
+		m.perform()
+	})
+}
+
+// perform carries actions out, and those that follow from the answers. Requests to a scheduler that is not connected are lost.
+func (m *crashModel) perform() {
+	for len(m.actions) > 0 {
+		a := m.actions[0]
+		m.actions = m.actions[1:]
+		switch a := a.(type) {
+		case LookupRequest:
+			if m.connected[a.Scheduler] {
+				m.lookup(a)
+			}
+		case SubmitRequest:
+			if m.connected[a.Scheduler] {
+				m.submit(a)
+				m.checkSingleCopies()
+			}
+		case CancelRequest:
+			if m.connected[a.Scheduler] {
+				m.cancel(a)
+			}
+		}
+	}
+}
+
+func (m *crashModel) lookup(a LookupRequest) {
+	keys := m.running[a.Scheduler]
+	if _, runs := keys[a.IdempotencyKey]; runs {
+		keys[a.IdempotencyKey] = a.RequestID // the end is reported under the last request
+		m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictAccepted, Machine: "m"})
+	} else if m.fault(3, "not sure yet") {
+		m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictRefused})
+	} else {
+		m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictRejected})
+	}
+}
+
+func (m *crashModel) submit(a SubmitRequest) {
+	atMostOnce := m.idempotency == scheduler.AtMostOnce
+	if m.started[a.IdempotencyKey] && atMostOnce {
+		m.t.Fatalf("key %s ran, and is requested again", a.IdempotencyKey)
+	}
+	keys := m.running[a.Scheduler]
+	_, runs := keys[a.IdempotencyKey]
+	start := func() { keys[a.IdempotencyKey], m.started[a.IdempotencyKey] = a.RequestID, true }
+	switch {
+	case runs:
+		keys[a.IdempotencyKey] = a.RequestID
+		m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictAccepted, Machine: "m"})
+	case m.fault(4, "rejected"):
+		m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictRejected})
+	case atMostOnce && m.fault(4, "failed, and it runs"): // a scheduler cancels other work then
+		start()
+		m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictFailed})
+	case m.fault(6, "connection lost, and it runs"):
+		start()
+		m.connect(a.Scheduler, false)
+	default:
+		start()
+		m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictAccepted, Machine: "m"})
+	}
+}
+
+func (m *crashModel) cancel(a CancelRequest) {
+	if _, runs := m.running[a.Scheduler][a.IdempotencyKey]; runs {
+		delete(m.running[a.Scheduler], a.IdempotencyKey)
+		m.handle(ContainerEnded{a.RequestID, scheduler.OutcomeStopped, 0})
+	} else if m.fault(3, "not sure yet") {
+		m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictRefused})
+	} else {
+		m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictFailed, Message: "cancelled"})
+	}
+}
+
+func (m *crashModel) checkSingleCopies() {
+	if m.idempotency != scheduler.AtMostOnce {
+		return
+	}
+	seen := map[string]bool{}
+	for _, keys := range m.running {
+		for key := range keys {
+			container := containerOf(key)
+			if seen[container] {
+				m.t.Fatalf("%s runs twice: %v", container, m.running)
+			}
+			seen[container] = true
+		}
+	}
+}
+
+func (m *crashModel) step() {
+	switch rapid.IntRange(0, 6).Draw(m.t, "step") {
+	case 0, 1:
+		id := rapid.SampledFrom(crashModelJobs).Draw(m.t, "job")
+		set := JobSet{id, rapid.IntRange(0, 3).Draw(m.t, "count"), Spec{Service: "s", Cores: 1}}
+		m.jobs[id] = set
+		m.handle(set)
+	case 2:
+		if id := rapid.SampledFrom(crashModelJobs).Draw(m.t, "job"); m.jobs[id].Job != "" {
+			delete(m.jobs, id)
+			m.handle(JobDeleted{id})
+		}
+	case 3: // killed: what was stored is there, actions that were not performed are lost
+		m.restart()
+	case 4:
+		n := rapid.IntRange(0, 1).Draw(m.t, "scheduler")
+		m.connect(n, !m.connected[n])
+	case 5:
+		for n, keys := range m.running {
+			sorted := slices.Sorted(maps.Keys(keys))
+			if m.connected[n] && len(sorted) > 0 {
+				requestID := keys[sorted[0]]
+				delete(keys, sorted[0])
+				m.handle(ContainerEnded{requestID, scheduler.OutcomeFinished, 0})
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/controller/driver_test.go
@@ -0,0 +1,178 @@
+package controller
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"glenport/scheduler"
+)
+
+const second = scheduler.Second
+
+// testPlacementTimeout is for which an attempt may start after its scheduler was lost.
+const testPlacementTimeout = 4 * second
+
+// testConfig has two schedulers and one workload class.
+func testConfig(idempotency scheduler.Idempotency) Config {
+	class := WorkloadClass{Idempotency: idempotency, PlacementTimeout: testPlacementTimeout, DedupWindow: 8 * second}
+	return Config{Seed: 3, SchedulerCount: 2, WorkloadClasses: []WorkloadClass{class}}
+}
+
+// testClock is the time of a test, with the timer that a controller has set.
+type testClock struct {
+	now     scheduler.Time
+	timerAt scheduler.Time // 0: none
+}
+
+func (c *testClock) setTimer(after scheduler.Time) {
+	if at := c.now + after; c.timerAt == 0 || at < c.timerAt {
+		c.timerAt = at
+	}
+}
+
+// advance lets time pass and calls fired at each timer.
+func (c *testClock) advance(span scheduler.Time, fired func()) {
+	end := c.now + span
+	for c.timerAt > 0 && c.timerAt <= end {
+		c.now, c.timerAt = max(c.now, c.timerAt), 0
+		fired()
+	}
+	c.now = end
+}
+
+// driver runs a controller of one job and records what it requests.
+type driver struct {
+	*testing.T
+	testClock
+	controller *Controller
+	requests   []SubmitRequest // placement requests, and lookups as retries
+	cancels    []string        // request ids
+	containers map[int]Container
+}
+
+func newDriver(t *testing.T, idempotency scheduler.Idempotency) *driver {
+	return &driver{T: t, controller: New(testConfig(idempotency)), containers: map[int]Container{}}
+}
+
+// newRunningDriver has scheduler 0 connected and the placement of count containers requested.
+func newRunningDriver(t *testing.T, idempotency scheduler.Idempotency, count int) *driver {
+	d := newDriver(t, idempotency)
+	d.handle(SchedulerConnection{0, true})
+	d.handle(JobSet{"j", count, Spec{Service: "s", Cores: 1}})
+	d.pass(second)
+	return d
+}
+
+func (d *driver) handle(events ...Event) {
+	for _, a := range d.controller.Handle(d.now, events) {
+		switch a := a.(type) {
+		case SubmitRequest:
+			d.requests = append(d.requests, a)
+		case LookupRequest:
+			d.requests = append(d.requests, lookupAsRequest(a))
+		case CancelRequest:
+			d.cancels = append(d.cancels, a.RequestID)
+		case ContainerChanged:
+			d.containers[a.Container.Index] = a.Container
+		case ContainerRemoved:
+			delete(d.containers, a.Index)
+		case SetTimer:
+			d.setTimer(a.After)
+		}
+	}
+}
+
+func lookupAsRequest(a LookupRequest) SubmitRequest {
+	return SubmitRequest{Scheduler: a.Scheduler, RequestID: a.RequestID, IdempotencyKey: a.IdempotencyKey, Retry: true}
+}
+
+func (d *driver) pass(span scheduler.Time) { d.advance(span, func() { d.handle(TimerFired{}) }) }
+
+func (d *driver) lastRequest() SubmitRequest { return d.requests[len(d.requests)-1] }
+
+// step plays one word of a sequence: a scheduler's answer to the last request or cancel, another event, or a duration that passes.
+func (d *driver) step(word string) {
+	d.Helper()
+	spec := Spec{Service: "s", Cores: 1}
+	switch word {
+	case "accept":
+		d.answerLast(PlacementAnswered{Verdict: VerdictAccepted, Machine: "m"})
+	case "reject":
+		d.answerLast(PlacementAnswered{Verdict: VerdictRejected})
+	case "reject-for-5s":
+		d.answerLast(PlacementAnswered{Verdict: VerdictRejected, RetryAfter: 5 * second})
+	case "fail":
+		d.answerLast(PlacementAnswered{Verdict: VerdictFailed})
+	case "finish":
+		d.handle(ContainerEnded{d.lastRequest().RequestID, scheduler.OutcomeFinished, 0})
+	case "evict":
+		d.handle(ContainerEnded{d.lastRequest().RequestID, scheduler.OutcomeLost, scheduler.ReasonOutOfMemory})
+	case "stop":
+		d.handle(ContainerEnded{d.lastRequest().RequestID, scheduler.OutcomeStopped, 0})
+	case "lose":
+		d.handle(ContainerEnded{d.lastRequest().RequestID, scheduler.OutcomeLost, 0})
+	case "cancelled":
+		d.handle(PlacementAnswered{RequestID: d.lastCancel(), Verdict: VerdictFailed, Message: "cancelled"})
+	case "cancel-refused":
+		d.handle(PlacementAnswered{RequestID: d.lastCancel(), Verdict: VerdictRefused})
+	case "cancel-stopped":
+		d.handle(ContainerEnded{d.lastCancel(), scheduler.OutcomeStopped, 0})
+	case "disconnect":
+		d.handle(SchedulerConnection{0, false})
+	case "connect":
+		d.handle(SchedulerConnection{0, true})
+	case "connect-other":
+		d.handle(SchedulerConnection{1, true})
+	case "scale-0":
+		d.handle(JobSet{"j", 0, spec})
+	case "scale-1":
+		d.handle(JobSet{"j", 1, spec})
+	case "new-spec":
+		d.handle(JobSet{"j", 1, Spec{Service: "s", Cores: 2}})
+	default:
+		d.passText(word)
+	}
+}
+
+func (d *driver) answerLast(e PlacementAnswered) {
+	e.RequestID = d.lastRequest().RequestID
+	d.handle(e)
+}
+
+func (d *driver) lastCancel() string { return d.cancels[len(d.cancels)-1] }
+
+func (d *driver) passText(word string) {
+	d.Helper()
+	span, err := time.ParseDuration(word)
+	if err != nil {
+		d.Fatalf("step %q: %v", word, err)
+	}
+	d.pass(scheduler.Time(span.Milliseconds()) * scheduler.Millisecond)
+}
+
+var stateNames = map[ContainerState]string{
+	StatePending:    "pending",
+	StatePlacing:    "placing",
+	StateRunning:    "running",
+	StateFencing:    "fencing",
+	StateUnobserved: "unobserved",
+	StateCompleted:  "completed",
+}
+
+// state names the state of container 0 and how many requests there were.
+func (d *driver) state() string {
+	name := "removed"
+	if container, ok := d.containers[0]; ok {
+		name = stateNames[container.State]
+	}
+	return fmt.Sprint(name, " ", len(d.requests))
+}
+
+// cancelCount names how many cancels there were.
+func (d *driver) cancelCount() string {
+	if len(d.cancels) == 0 {
+		return ""
+	}
+	return fmt.Sprintf(", %d cancelled", len(d.cancels))
+}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -25,16 +25,16 @@
 func TestDecisionsMatchGoldenDigests(t *testing.T) {
 	const sequences, steps = 120, 160
 	var got strings.Builder
-	for group, effect := range []scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.AtMostOnce} {
+	for group, idempotency := range []scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.AtMostOnce} {
 		for _, schedulers := range []int{1, 2, 5} {
 			digest := newActionDigest()
 			for seed := range sequences {
-				h := newHistory(digest, effect, schedulers, uint64(1000*group+100_000*schedulers+seed))
+				h := newHistory(digest, idempotency, schedulers, uint64(1000*group+100_000*schedulers+seed))
 				for range steps {
 					h.step()
 				}
 			}
-			fmt.Fprintf(&got, "effect %d, %d schedulers: %s\n", effect, schedulers, digest)
+			fmt.Fprintf(&got, "effect %d, %d schedulers: %s\n", idempotency, schedulers, digest)
 		}
 	}
 	compareGolden(t, "decisions.txt", got.String())
@@ -137,10 +137,10 @@
 	digest     *actionDigest
 	random     *rand.Rand
 	controller *Controller
-	terms      Config
+	config     Config
 	now        scheduler.Time
-	wakeAt     scheduler.Time
-	reachable  []bool
+	timerAt    scheduler.Time
+	connected  []bool
 	requests   []openRequest
 	jobs       map[string]JobSet
 	containers map[string]Container
@@ -152,16 +152,16 @@
 	running bool
 }
 
-func newHistory(d *actionDigest, effect scheduler.Idempotency, schedulers int, seed uint64) *history {
-	h := &history{digest: d, random: rand.New(rand.NewPCG(seed, 17)), reachable: make([]bool, schedulers), jobs: map[string]JobSet{},
+func newHistory(d *actionDigest, idempotency scheduler.Idempotency, schedulers int, seed uint64) *history {
+	h := &history{digest: d, random: rand.New(rand.NewPCG(seed, 17)), connected: make([]bool, schedulers), jobs: map[string]JobSet{},
 		containers: map[string]Container{}, orphans: map[Orphan]bool{}}
-	h.terms = Config{Seed: seed, FirstSequence: 10, SchedulerCount: schedulers, WorkloadClasses: []WorkloadClass{
-		{Idempotency: effect, PlacementTimeout: 4 * scheduler.Second, DedupWindow: 8 * scheduler.Second},
+	h.config = Config{Seed: seed, FirstSequence: 10, SchedulerCount: schedulers, WorkloadClasses: []WorkloadClass{
+		{Idempotency: idempotency, PlacementTimeout: 4 * scheduler.Second, DedupWindow: 8 * scheduler.Second},
 		{Idempotency: scheduler.AtMostOnce, PlacementTimeout: scheduler.Second}}}
-	h.controller = New(h.terms)
+	h.controller = New(h.config)
 	for i := range schedulers {
 		if h.chance(0.9) {
-			h.reachable[i] = true
+			h.connected[i] = true
 			h.handle(SchedulerConnection{i, true})
 		}
 	}
@@ -190,8 +190,8 @@
 		case OrphanResolved:
 			delete(h.orphans, a.Orphan)
 		case SetTimer:
-			if at := h.now + a.After; h.wakeAt <= h.now || at < h.wakeAt {
-				h.wakeAt = at
+			if at := h.now + a.After; h.timerAt <= h.now || at < h.timerAt {
+				h.timerAt = at
 			}
 		}
 	}
@@ -224,14 +224,14 @@
 	case n < 45:
 		h.now += scheduler.Time(h.random.IntN(2000))
 	case n < 85:
-		h.now = max(h.now, h.wakeAt)
+		h.now = max(h.now, h.timerAt)
 	case n < 97:
 		h.now += scheduler.Time(h.random.IntN(5 * int(scheduler.Second)))
 	default:
 		h.now += scheduler.Time(h.random.IntN(25 * int(scheduler.Second)))
 	}
-	if h.wakeAt > 0 && h.now >= h.wakeAt {
-		h.wakeAt = 0
+	if h.timerAt > 0 && h.now >= h.timerAt {
+		h.timerAt = 0
 		h.handle(TimerFired{})
 	}
 }
@@ -274,25 +274,28 @@
 		return
 	}
 	i := running[h.random.IntN(len(running))]
-	outcome := []scheduler.Outcome{scheduler.OutcomeFinished, scheduler.OutcomeFinished, scheduler.OutcomeLost, scheduler.OutcomeLost, scheduler.OutcomeStopped, scheduler.OutcomeErrored}[h.random.IntN(6)]
-	reason := []scheduler.Reason{scheduler.ReasonNone, scheduler.ReasonNone, scheduler.ReasonOutOfMemory, scheduler.ReasonPreempted, scheduler.ReasonDrained}[h.random.IntN(5)]
+	outcome := []scheduler.Outcome{scheduler.OutcomeFinished, scheduler.OutcomeFinished, scheduler.OutcomeLost, scheduler.OutcomeLost,
+		scheduler.OutcomeStopped, scheduler.OutcomeErrored}[h.random.IntN(6)]
+	reason := []scheduler.Reason{scheduler.ReasonNone, scheduler.ReasonNone, scheduler.ReasonOutOfMemory, scheduler.ReasonPreempted,
+		scheduler.ReasonDrained}[h.random.IntN(5)]
 	e := ContainerEnded{RequestID: h.requests[i].id, Outcome: outcome, Reason: reason}
 	h.requests = append(h.requests[:i], h.requests[i+1:]...)
 	h.handle(e)
 }
 
 func (h *history) toggleScheduler() {
-	n := h.random.IntN(len(h.reachable))
-	h.reachable[n] = !h.reachable[n]
-	h.handle(SchedulerConnection{n, h.reachable[n]})
+	n := h.random.IntN(len(h.connected))
+	h.connected[n] = !h.connected[n]
+	h.handle(SchedulerConnection{n, h.connected[n]})
 }
 
 func (h *history) jobID() string { return []string{"a", "b", "c"}[h.random.IntN(3)] }
 
 func (h *history) changeJob() {
 	id := h.jobID()
-	spec := Spec{Service: "s" + id, WorkloadClass: h.random.IntN(2), Tenant: h.random.IntN(2), Cores: []float64{0.5, 2}[h.random.IntN(2)],
-		Memory: 1.25, RunFor: scheduler.Time(h.random.IntN(2)) * scheduler.Second, RunOnce: h.chance(0.3)}
+	spec := Spec{Service: "s" + id, WorkloadClass: h.random.IntN(2), Tenant: h.random.IntN(2),
+		Cores: []float64{0.5, 2}[h.random.IntN(2)], Memory: 1.25,
+		RunFor: scheduler.Time(h.random.IntN(2)) * scheduler.Second, RunOnce: h.chance(0.3)}
 	if old, known := h.jobs[id]; known && h.chance(0.5) {
 		spec = old.Spec
 	}
@@ -300,21 +303,23 @@
 	h.handle(h.jobs[id])
 }
 
-// oddEvents are such as no peer should send, and several at once.
+// oddEvents are events that no peer should send, and several at once.
 func (h *history) oddEvents() {
 	switch h.random.IntN(6) {
 	case 0:
-		h.handle(PlacementAnswered{RequestID: "nobody/0#1", Verdict: VerdictAccepted, Machine: "m"}, ContainerEnded{RequestID: "nobody/0#1"})
+		h.handle(PlacementAnswered{RequestID: "nobody/0#1", Verdict: VerdictAccepted, Machine: "m"},
+			ContainerEnded{RequestID: "nobody/0#1"})
 	case 1:
-		h.handle(SchedulerConnection{-1, true}, SchedulerConnection{len(h.reachable), true}, JobDeleted{"none"})
+		h.handle(SchedulerConnection{-1, true}, SchedulerConnection{len(h.connected), true}, JobDeleted{"none"})
 	case 2:
 		h.handle(PlacementAnswered{RequestID: "stray#0#nobody/0/1", Verdict: VerdictFailed}, ContainerEnded{RequestID: "stray#x#"})
 	case 3: // an answer that comes twice
 		if len(h.requests) > 0 {
 			id := h.requests[h.random.IntN(len(h.requests))].id
-			h.handle(PlacementAnswered{RequestID: id, Verdict: VerdictAccepted, Machine: "m1"}, PlacementAnswered{RequestID: id, Verdict: VerdictFailed})
+			h.handle(PlacementAnswered{RequestID: id, Verdict: VerdictAccepted, Machine: "m1"},
+				PlacementAnswered{RequestID: id, Verdict: VerdictFailed})
 		}
-	case 4: // a workload that the settings do not have
+	case 4: // a workload class that is not configured
 		h.jobs["c"] = JobSet{Job: "c", Count: 1, Spec: Spec{Service: "odd", WorkloadClass: 7}}
 		h.handle(h.jobs["c"])
 	case 5: // an empty iteration
@@ -340,13 +345,13 @@
 		left.Orphans = append(left.Orphans, x)
 	}
 	sort.Slice(left.Orphans, func(i, j int) bool { return fmt.Sprint(left.Orphans[i]) < fmt.Sprint(left.Orphans[j]) })
-	h.terms.Seed++
-	h.controller, h.wakeAt, h.requests = New(h.terms), 0, nil
-	clear(h.reachable)
+	h.config.Seed++
+	h.controller, h.timerAt, h.requests = New(h.config), 0, nil
+	clear(h.connected)
 	h.handle(left)
-	for n := range h.reachable {
+	for n := range h.connected {
 		if h.chance(0.8) {
-			h.reachable[n] = true
+			h.connected[n] = true
 			h.handle(SchedulerConnection{n, true})
 		}
 	}
--- /dev/null
+++ b/internal/controller/lifecycle_test.go
@@ -0,0 +1,76 @@
+package controller
+
+import (
+	"strings"
+	"testing"
+
+	"glenport/scheduler"
+)
+
+// Each case is a sequence of steps of driver.step, then the state of the container, how many requests were sent for it (placements
+// and lookups) and how many cancels.
+func TestContainerFollowsItsSchedulersAnswers(t *testing.T) {
+	const idempotent, atMostOnce = scheduler.Idempotent, scheduler.AtMostOnce
+	for _, tc := range []struct {
+		name        string
+		idempotency scheduler.Idempotency
+		steps       string
+		want        string
+	}{
+		{"requested at once", idempotent, "", "placing 1"},
+		{"accepted", idempotent, "accept", "running 1"},
+		{"rejected", idempotent, "reject", "pending 1"},
+		{"requested again after the backoff", idempotent, "reject 2s", "placing 2"},
+		{"retry-after is observed", idempotent, "reject-for-5s 4s", "pending 1"},
+		{"requested again after retry-after", idempotent, "reject-for-5s 7s", "placing 2"},
+		{"failed, idempotent", idempotent, "fail 2s", "placing 2"},
+		{"failed, at-most-once", atMostOnce, "fail 7s", "fencing 1"},
+		{"failed, at-most-once, fencing delay over", atMostOnce, "fail 9s", "placing 2"},
+		// A key that ran must not run again: what is not there any more is begun anew.
+		{"failed, at-most-once, nothing of it runs", atMostOnce, "fail 9s reject 1s", "placing 3"},
+		{"scheduler reconnects and nothing runs", atMostOnce, "accept disconnect connect 2s reject 1s", "placing 3"},
+		{"finished and started again", idempotent, "accept finish 1s", "placing 2"},
+		{"evicted", idempotent, "accept evict 300ms", "pending 1"},
+		{"evicted and requested again", idempotent, "accept evict 2s", "placing 2"},
+		{"lost, idempotent", idempotent, "accept lose 1s", "placing 2"},
+		{"lost, at-most-once", atMostOnce, "accept lose 7s", "fencing 1"},
+		{"no scheduler connected", idempotent, "reject disconnect 9s", "pending 1"},
+		{"scheduler reconnects", idempotent, "reject disconnect 9s connect 2s", "placing 2"},
+		{"scheduler lost while placing, idempotent: what it may have started is cancelled", idempotent, "disconnect connect 2s",
+			"placing 2, 1 cancelled"},
+		{"scheduler lost while placing, at-most-once", atMostOnce, "disconnect connect 7s", "fencing 1"},
+		{"scheduler lost while running", atMostOnce, "accept disconnect 60s", "unobserved 1"},
+		{"scheduler lost while running, and reconnects", atMostOnce, "accept disconnect 60s connect 2s", "placing 2"},
+		{"scheduler lost for long, idempotent", idempotent, "accept disconnect connect-other 11s", "placing 2"},
+		{"scaled down while placing", idempotent, "scale-0", "placing 1, 1 cancelled"},
+		{"scaled down while placing, answered", idempotent, "scale-0 fail", "removed 1, 1 cancelled"},
+		{"scaled down while fencing", atMostOnce, "fail scale-0 5s", "fencing 1"},
+		{"scaled down while fencing, delay over", atMostOnce, "fail scale-0 9s", "placing 1, 1 cancelled"},
+		{"scaled down while fencing, nothing of it runs", atMostOnce, "fail scale-0 9s cancelled", "removed 1, 1 cancelled"},
+		// Without another cancel a copy that its scheduler had not heard of yet ran on, and nothing would end it.
+		{"scaled down while fencing, scheduler not sure", atMostOnce, "fail scale-0 9s cancel-refused 1s", "placing 1, 2 cancelled"},
+		{"scaled down while fencing, it ran and was stopped", atMostOnce, "fail scale-0 9s cancel-stopped", "removed 1, 1 cancelled"},
+		{"scaled down and up while fencing", atMostOnce, "fail scale-0 scale-1 9s", "placing 2"},
+		{"scaled down while running", idempotent, "accept scale-0 stop", "removed 1, 1 cancelled"},
+		{"new spec replaces it", idempotent, "accept new-spec stop 1s", "placing 2, 1 cancelled"},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			d := newRunningDriver(t, tc.idempotency, 1)
+			for _, word := range strings.Fields(tc.steps) {
+				d.step(word)
+			}
+			if got := d.state() + d.cancelCount(); got != tc.want {
+				t.Errorf("got %q, want %q", got, tc.want)
+			}
+		})
+	}
+}
+
+func TestStatesKeepTheirNamesInTheAPI(t *testing.T) {
+	want := []string{"waiting", "asking", "running", "guarded", "unwatched", "done"}
+	for state := StatePending; state <= StateCompleted; state++ {
+		if got := state.String(); got != want[state] {
+			t.Errorf("state %d is %q, want %q", state, got, want[state])
+		}
+	}
+}
--- a/internal/controller/pending/golden_test.go
+++ b/internal/controller/pending/golden_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// randomFacts draws facts: group 0 small fleets, 1 large ones, 2 no scheduler that explains, 3 anything at all.
+// randomFacts draws facts: group 0 of small fleets, 1 of large ones, 2 without an explanation, 3 of any.
 func randomFacts(random *rand.Rand, group int) (scheduler.Time, Facts) {
 	chance := func(p float64) bool { return random.Float64() < p }
 	upTo := func(n int) int { return random.IntN(n + 1) }
@@ -72,9 +72,11 @@
 	f := Facts{Schedulers: 1 + upTo(4), SchedulerConnected: chance(0.7), Explained: group != 2 && chance(0.9),
 		ListAge: scheduler.Time(upTo(60_000)) - 5_000, SlowStartWindow: scheduler.Time(upTo(30_000))}
 	f.SchedulersConnected = upTo(f.Schedulers)
-	f.Container = controller.Container{Job: "j", Index: upTo(9), State: state, Sticky: chance(0.2), Refused: chance(0.3), Attempts: upTo(4),
-		Scheduler: upTo(f.Schedulers) - 1, Since: now - scheduler.Time(upTo(90_000)), LastStatus: []string{"", "pushed back", "given up, and it may run",
-			"turned away: may run on machine m3", "turned away: does not know yet", "turned away: full"}[upTo(5)]}
+	statuses := []string{"", "pushed back", "given up, and it may run", "turned away: may run on machine m3",
+		"turned away: does not know yet", "turned away: full"}
+	f.Container = controller.Container{Job: "j", Index: upTo(9), State: state, Sticky: chance(0.2), Refused: chance(0.3),
+		Attempts: upTo(4), Scheduler: upTo(f.Schedulers) - 1, Since: now - scheduler.Time(upTo(90_000)),
+		LastStatus: statuses[upTo(len(statuses)-1)]}
 	if chance(0.7) {
 		f.Container.Until = now + scheduler.Time(upTo(200_000)) - 20_000
 	}
@@ -83,18 +85,18 @@
 	x.SelfDraining, x.SpreadExhausted, x.SlowStartExhausted, x.Ejected, x.Suspected = some(0.2), some(0.2), some(0.2), some(0.2), some(0.2)
 	x.InsufficientCores, x.InsufficientMemory, x.Eligible, x.Gone = some(0.4), some(0.4), some(0.3), some(0.2)
 	x.SheddingLoad, x.FullRatio = chance(0.3), float64(upTo(100))/100
-	if chance(0.15) { // as where no machine is of the kind that is needed, or all of them drain
+	if chance(0.15) { // no machine has the type that is needed, or all of them drain
 		x.WrongMachineType, x.TooSmall = x.Machines, 0
 	} else if chance(0.15) {
 		x.WrongMachineType, x.TooSmall, x.Draining = 0, 0, x.Machines
 	}
 	for zone := range upTo(3) {
-		h := Zone{Name: fmt.Sprint(zone), Machines: upTo(most)}
-		h.Draining = upTo(h.Machines)
+		z := Zone{Name: fmt.Sprint(zone), Machines: upTo(most)}
+		z.Draining = upTo(z.Machines)
 		if chance(0.3) {
-			h.Draining = h.Machines
+			z.Draining = z.Machines
 		}
-		f.Zones = append(f.Zones, h)
+		f.Zones = append(f.Zones, z)
 	}
 	return now, f
 }
--- /dev/null
+++ b/internal/controller/singlecopy_test.go
@@ -0,0 +1,241 @@
+package controller
+
+import (
+	"slices"
+	"strings"
+	"testing"
+
+	"glenport/scheduler"
+
+	"pgregory.net/rapid"
+)
+
+// Whatever happens, work that is not idempotent has one copy at most. Once faults end every wanted container runs, no other
+// does, and the controller's tables are emptied with the last job.
+func TestNonIdempotentWorkHasOneCopy(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := newSingleCopyModel(t)
+		m.handle(JobSet{"j", 3, Spec{}})
+		for range 60 {
+			m.step()
+		}
+		for n := range m.connected {
+			m.connected[n] = true
+			m.handle(SchedulerConnection{n, true})
+		}
+		m.handle(JobSet{"j", 2, Spec{}})
+		for range 200 {
+			m.pass(second)
+			for len(m.requests) > 0 {
+				m.answerOldest(answerAccept)
+			}
+		}
+		if c := m.copies; c["j/0"] != 1 || c["j/1"] != 1 || c["j/2"]+c["j/3"] != 0 {
+			t.Fatalf("in the end these run: %v; %+v", c, m.controller.sortedReplicas())
+		}
+		m.handle(JobDeleted{"j"})
+		m.pass(20 * second)
+		if n := len(m.controller.jobs) + len(m.controller.requests); n != 0 || m.copies["j/0"]+m.copies["j/1"] != 0 {
+			t.Fatalf("%d left in tables, %v running", n, m.copies)
+		}
+	})
+}
+
+// modelRequest is a request that a scheduler has not answered.
+type modelRequest struct {
+	SubmitRequest
+	sentAt      scheduler.Time
+	incarnation int // of the scheduler
+}
+
+// singleCopyModel is a controller with schedulers that answer late and in all ways, lose their connection and start what was sent
+// to them after it.
+type singleCopyModel struct {
+	t *rapid.T
+	testClock
+	controller   *Controller
+	copies       map[string]int    // of a container, by job/index
+	running      map[string]string // request id by key
+	runsAt       map[string]int    // scheduler by key
+	requests     []modelRequest
+	lookups      map[string]bool // request ids
+	incarnations [2]int
+	connected    [2]bool
+}
+
+func newSingleCopyModel(t *rapid.T) *singleCopyModel {
+	idempotency := scheduler.Idempotency(rapid.IntRange(1, 2).Draw(t, "idempotency"))
+	return &singleCopyModel{t: t, controller: New(testConfig(idempotency)), copies: map[string]int{}, running: map[string]string{},
+		runsAt: map[string]int{}, lookups: map[string]bool{}}
+}
+
+// containerOf is the job/index of a key.
+func containerOf(key string) string { return key[:strings.LastIndex(key, "/")] }
+
+func (m *singleCopyModel) handle(events ...Event) {
+	for _, a := range m.controller.Handle(m.now, events) {
+		switch a := a.(type) {
+		case SubmitRequest:
+			m.send(a)
+		case LookupRequest:
+			m.send(lookupAsRequest(a))
+			m.lookups[a.RequestID] = true
+		case CancelRequest:
+			m.cancel(a)
+		case SetTimer:
+			m.setTimer(a.After)
+		}
+	}
+}
+
+func (m *singleCopyModel) pass(span scheduler.Time) {
+	m.advance(span, func() { m.handle(TimerFired{}) })
+}
+
+func (m *singleCopyModel) send(r SubmitRequest) {
+	m.requests = append(m.requests, modelRequest{r, m.now, m.incarnations[r.Scheduler]})
+}
+
+func (m *singleCopyModel) start(r SubmitRequest) {
+	container := containerOf(r.IdempotencyKey)
+	m.copies[container]++
+	m.running[r.IdempotencyKey], m.runsAt[r.IdempotencyKey] = r.RequestID, r.Scheduler
+	if m.copies[container] > 1 {
+		m.t.Fatalf("%s runs twice at %d", container, m.now)
+	}
+}
+
+func (m *singleCopyModel) stop(key string) {
+	m.copies[containerOf(key)]--
+	delete(m.running, key)
+}
+
+// cancel is a scheduler's answer to a cancel: the end of what runs, or of the request that is open, or that it is not sure.
+func (m *singleCopyModel) cancel(a CancelRequest) {
+	if !m.connected[a.Scheduler] {
+		return
+	}
+	incarnation := m.incarnations[a.Scheduler]
+	if _, runs := m.running[a.IdempotencyKey]; runs && m.runsAt[a.IdempotencyKey] == a.Scheduler {
+		m.stop(a.IdempotencyKey)
+		m.requests = slices.DeleteFunc(m.requests, func(r modelRequest) bool {
+			return r.IdempotencyKey == a.IdempotencyKey && r.incarnation == incarnation
+		})
+		m.handle(ContainerEnded{a.RequestID, scheduler.OutcomeStopped, 0})
+		return
+	}
+	// While an earlier attempt may start yet the scheduler is not sure, and accepts no request of its key either.
+	verdict, open := VerdictFailed, -1
+	for i, r := range m.requests {
+		if r.IdempotencyKey != a.IdempotencyKey || r.Scheduler != a.Scheduler {
+			continue
+		}
+		if r.incarnation == incarnation {
+			open = i
+		} else if m.now-r.sentAt < testPlacementTimeout {
+			verdict = VerdictRefused
+		}
+	}
+	if open >= 0 {
+		r := m.requests[open]
+		m.requests = slices.Delete(m.requests, open, open+1)
+		if r.RequestID != a.RequestID {
+			m.handle(PlacementAnswered{RequestID: r.RequestID, Verdict: verdict, Message: "cancelled"})
+		}
+	}
+	m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: verdict, Message: "cancelled"})
+}
+
+// Ways in which a scheduler answers a placement request.
+const (
+	answerAcceptLate = iota // accepted, even if the scheduler was lost since
+	answerAccept
+	answerReject
+	answerFailAndRun // failed, though it runs
+	answerFail
+	answerRefuse
+)
+
+// answerOldest answers the oldest request in one of the ways that a scheduler may.
+func (m *singleCopyModel) answerOldest(way int) {
+	r := m.requests[0]
+	m.requests = m.requests[1:]
+	_, runs := m.running[r.IdempotencyKey]
+	lookup := m.lookups[r.RequestID]
+	switch {
+	case !m.connected[r.Scheduler] || m.incarnations[r.Scheduler] != r.incarnation:
+		// The controller has learned of the loss. The attempt may start all the same, until its timeout.
+		if !runs && way == answerAcceptLate && m.now-r.sentAt < testPlacementTimeout && !lookup {
+			m.start(r.SubmitRequest)
+		}
+	case runs && m.runsAt[r.IdempotencyKey] != r.Scheduler:
+		m.t.Fatalf("%s is requested at %d and runs at %d", r.IdempotencyKey, r.Scheduler, m.runsAt[r.IdempotencyKey])
+	case runs:
+		m.running[r.IdempotencyKey] = r.RequestID
+		m.handle(PlacementAnswered{RequestID: r.RequestID, Verdict: VerdictAccepted, Machine: "m"})
+	case lookup:
+		m.handle(PlacementAnswered{RequestID: r.RequestID, Verdict: m.lookupVerdict(r)})
+	default:
+		m.answerPlacement(r.SubmitRequest, way)
+	}
+}
+
+// lookupVerdict is the answer about a key under which nothing runs now.
+func (m *singleCopyModel) lookupVerdict(lookup modelRequest) Verdict {
+	for _, r := range m.requests {
+		if r.IdempotencyKey == lookup.IdempotencyKey && !m.lookups[r.RequestID] && m.now-r.sentAt < testPlacementTimeout {
+			return VerdictRefused
+		}
+	}
+	return VerdictRejected
+}
+
+func (m *singleCopyModel) answerPlacement(r SubmitRequest, way int) {
+	switch way {
+	case answerAcceptLate, answerAccept:
+		m.start(r)
+		m.handle(PlacementAnswered{RequestID: r.RequestID, Verdict: VerdictAccepted, Machine: "m"})
+	case answerReject:
+		m.handle(PlacementAnswered{RequestID: r.RequestID, Verdict: VerdictRejected})
+	case answerFailAndRun:
+		m.start(r)
+		m.handle(PlacementAnswered{RequestID: r.RequestID, Verdict: VerdictFailed})
+	case answerFail:
+		m.handle(PlacementAnswered{RequestID: r.RequestID, Verdict: VerdictFailed})
+	case answerRefuse:
+		m.handle(PlacementAnswered{RequestID: r.RequestID, Verdict: VerdictRefused})
+	}
+}
+
+func (m *singleCopyModel) step() {
+	switch rapid.IntRange(0, 5).Draw(m.t, "step") {
+	case 0, 1:
+		if len(m.requests) > 0 {
+			m.answerOldest(rapid.IntRange(answerAcceptLate, answerRefuse).Draw(m.t, "way"))
+		}
+	case 2:
+		n := rapid.IntRange(0, 1).Draw(m.t, "scheduler")
+		m.connected[n] = !m.connected[n]
+		m.incarnations[n]++
+		m.handle(SchedulerConnection{n, m.connected[n]})
+	case 3:
+		m.pass(scheduler.Time(rapid.IntRange(1, 100_000).Draw(m.t, "span")))
+	case 4:
+		m.handle(JobSet{"j", rapid.IntRange(0, 4).Draw(m.t, "count"), Spec{}})
+	case 5:
+		for _, container := range []string{"j/0", "j/1", "j/2"} {
+			m.drain(container)
+		}
+	}
+}
+
+// drain has the machine of a container send it away, where a scheduler can report that.
+func (m *singleCopyModel) drain(container string) {
+	for key, requestID := range m.running {
+		if containerOf(key) == container && m.connected[m.runsAt[key]] {
+			m.stop(key)
+			m.handle(ContainerEnded{requestID, scheduler.OutcomeLost, scheduler.ReasonDrained})
+			return
+		}
+	}
+}
