--- a/internal/controller/pending/golden_test.go
+++ b/internal/controller/pending/golden_test.go
@@ -82,7 +82,8 @@
 	}
 	x := &f.Explanation
 	x.Machines, x.WrongMachineType, x.Draining, x.TooSmall = upTo(most), some(0.4), some(0.4), some(0.3)
-	x.SelfDraining, x.SpreadExhausted, x.SlowStartExhausted, x.Ejected, x.Suspected = some(0.2), some(0.2), some(0.2), some(0.2), some(0.2)
+	x.SelfDraining, x.SpreadExhausted, x.SlowStartExhausted = some(0.2), some(0.2), some(0.2)
+	x.Ejected, x.Suspected = some(0.2), some(0.2)
 	x.InsufficientCores, x.InsufficientMemory, x.Eligible, x.Gone = some(0.4), some(0.4), some(0.3), some(0.2)
 	x.SheddingLoad, x.FullRatio = chance(0.3), float64(upTo(100))/100
 	if chance(0.15) { // no machine has the type that is needed, or all of them drain
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -22,7 +22,7 @@
 // States of a container.
 const (
 	StatePending    ContainerState = iota // its placement is requested when its time comes
-	StatePlacing                          // a scheduler has the request
+	StatePlacing                          // a scheduler has a placement, lookup or cancel request
 	StateRunning                          // a machine runs it
 	StateFencing                          // it may run: nothing is requested until the fencing delay is over
 	StateUnobserved                       // it ran, or may have, when its scheduler was lost
--- a/internal/controller/restore_test.go
+++ b/internal/controller/restore_test.go
@@ -100,3 +100,25 @@
 	}
 	return fmt.Sprintf(" at %d with %s", last.Scheduler, key)
 }
+
+func TestRestartedControllerNumbersAboveStoredIDs(t *testing.T) {
+	for _, stored := range []Container{
+		{Job: "j", Scheduler: -1, IdempotencyKey: "j/0/41"},
+		{Job: "j", Scheduler: -1, IdempotencyKey: "j/0/7", RequestID: "j/0#41"},
+	} {
+		d := newDriver(t, scheduler.Idempotent)
+		d.handle(restoredState(stored, 2, Spec{}), SchedulerConnection{0, true})
+		d.pass(second)
+		if len(d.requests) != 2 {
+			t.Fatalf("%d requests, want 2", len(d.requests))
+		}
+		for _, r := range d.requests {
+			if n := sequenceAfter("#", r.RequestID); n <= 41 {
+				t.Errorf("request %s is not numbered above 41", r.RequestID)
+			}
+		}
+		if key := d.containers[1].IdempotencyKey; sequenceAfter("/", key) <= 41 {
+			t.Errorf("key %s is not numbered above 41", key)
+		}
+	}
+}
