--- /dev/null
+++ b/internal/controller/watchcache/history.go
@@ -0,0 +1,41 @@
+package watchcache
+
+import "sort"
+
+// historyLength is the number of changes that are kept for watches that resume.
+const historyLength = 20_000
+
+// history holds the last changes in a ring.
+type history struct {
+	changes   []*Object
+	next      int   // the position that the next change takes
+	compacted int64 // changes up to this version are no longer here
+}
+
+func (h *history) add(o *Object) {
+	if len(h.changes) < historyLength {
+		h.changes = append(h.changes, o)
+	} else {
+		h.compacted = h.changes[h.next].Version
+		h.changes[h.next] = o
+	}
+	h.next = (h.next + 1) % historyLength
+}
+
+// at returns the ith of the changes, the oldest first.
+func (h *history) at(i int) *Object {
+	if len(h.changes) < historyLength {
+		return h.changes[i]
+	}
+	return h.changes[(h.next+i)%historyLength]
+}
+
+// since returns the changes after a version, the oldest first.
+func (h *history) since(version int64) []*Object {
+	first := sort.Search(len(h.changes), func(i int) bool { return h.at(i).Version > version })
+	changes := make([]*Object, 0, len(h.changes)-first)
+	for i := first; i < len(h.changes); i++ {
+		changes = append(changes, h.at(i))
+	}
+	return changes
+}
--- a/internal/controller/watchcache/watchcache.go
+++ b/internal/controller/watchcache/watchcache.go
@@ -1,104 +1,105 @@
-// Package watchcache holds objects by kind and id with versions, and tells watchers what changes. Any goroutine may
-// use it. Readers work on a copy that shares what has not changed, so a long list holds nobody up; a watcher that
-// does not keep up is dropped, never waited for.
+// Package watchcache holds versioned objects by kind and ID, and streams their changes to watchers.
+//
+// Every change has a version, larger than those before it over all kinds. A client lists objects together with the version
+// as of which the list holds, and watches from there: no change is missed and none is sent twice. The last changes are kept
+// for watches that resume; a watch from an older version gets ErrCompacted, and its client lists again.
+//
+// All methods may be called from any goroutine. A list works on a snapshot, so a long one blocks no change; a watcher that
+// does not keep up is dropped, so that it never blocks a change either.
 package watchcache
 
 import (
 	"errors"
-	"sort"
 	"sync"
 
 	"github.com/tidwall/btree"
 )
 
-// ErrCompacted says that changes from a version on are no longer kept: list again.
+// ErrCompacted is returned for a watch from a version whose later changes are no longer known: the client has to list again.
 var ErrCompacted = errors.New("changes from that version on are no longer kept: list again")
 
-const (
-	kept    = 20_000 // changes
-	mayWait = 2_000  // changes for one watcher
-)
-
-// Object is one version of a thing. It is not changed any more.
+// Object is one version of an object. It is immutable once it is in the cache.
 type Object struct {
 	Kind    string
 	ID      string
 	Version int64
 	Value   any
-	Deleted bool
-	line    []byte
+	Deleted bool // this version is the object's deletion; Value is its last one
+
+	watchEvent []byte
 }
 
-// WatchEvent is the object as a watcher is sent it, made once by the function of the catalog.
-func (o *Object) WatchEvent() []byte { return o.line }
+// WatchEvent returns the encoded form of the change that led to this version. It is encoded once for all watchers and must
+// not be modified.
+func (o *Object) WatchEvent() []byte { return o.watchEvent }
 
-// Cache is a set of objects.
+// Cache is a set of objects with the history of their last changes.
 type Cache struct {
-	line func(*Object) []byte
-
-	mu       sync.RWMutex
-	version  int64 // of the last change
-	taken    int64 // the last version that was given out
-	dropped  int64 // changes up to it are no longer in the log
-	kinds    map[string]*btree.Map[string, *Object]
-	log      []*Object // the last changes, in a ring
-	next     int
-	watchers map[*Watcher]bool
+	encode func(*Object) []byte
+
+	mu           sync.RWMutex
+	version      int64 // of the last change
+	lastReserved int64
+	objects      map[string]*btree.Map[string, *Object] // by kind and ID
+	history      history
+	watchers     map[*Watcher]bool
 }
 
-// New makes a catalog whose watchers are sent what line makes of a change.
-func New(line func(*Object) []byte) *Cache {
-	return &Cache{line: line, kinds: map[string]*btree.Map[string, *Object]{}, watchers: map[*Watcher]bool{}}
+// New returns an empty cache. It calls encode once for each change, while it holds its lock; watchers get the result as
+// Object.WatchEvent.
+func New(encode func(*Object) []byte) *Cache {
+	return &Cache{encode: encode, objects: map[string]*btree.Map[string, *Object]{}, watchers: map[*Watcher]bool{}}
 }
 
-// StartAfter begins above the versions of earlier lives; nothing is known of their changes.
-func (c *Cache) StartAfter(above int64) {
+// StartAfter makes versions begin above the given one, which an earlier process may have given out. Changes up to it count
+// as compacted. It is called before any change.
+func (c *Cache) StartAfter(version int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.version, c.taken, c.dropped = above, above, above
+	c.version, c.lastReserved, c.history.compacted = version, version, version
 }
 
-// ReserveVersion gives out the next version, for a change that is made later. Changes are made in the order of their versions;
-// one that is not made at all leaves a gap.
+// ReserveVersion returns the next version, for a change that is applied later. Changes are applied in the order of their
+// versions; one that is never applied leaves a gap.
 func (c *Cache) ReserveVersion() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.taken++
-	return c.taken
+	c.lastReserved++
+	return c.lastReserved
 }
 
-// LastReserved is the last version that was given out.
+// LastReserved returns the last version that was given out.
 func (c *Cache) LastReserved() int64 {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	return c.taken
-}
-
-// Apply makes a change whose version was taken. An object that an earlier life made may be put back as it was, with its
-// version, before anything else.
-func (c *Cache) Apply(version int64, kind, id string, value any, gone bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.change(version, kind, id, value, gone)
+	return c.lastReserved
 }
 
-// Version is that of the last change.
+// Version returns the version of the last change.
 func (c *Cache) Version() int64 {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.version
 }
 
-// Put makes or changes an object and returns its new version.
+// Apply makes a change whose version was reserved. Before any other change, an object of an earlier process may be restored
+// with the version that it had there.
+func (c *Cache) Apply(version int64, kind, id string, value any, deleted bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.applyLocked(version, kind, id, value, deleted)
+}
+
+// Put creates or updates an object and returns its new version.
 func (c *Cache) Put(kind, id string, value any) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.taken++
-	c.change(c.taken, kind, id, value, false)
-	return c.taken
+	c.lastReserved++
+	c.applyLocked(c.lastReserved, kind, id, value, false)
+	return c.lastReserved
 }
 
-// Delete takes an object out; false where there was none.
+// Delete removes an object and reports whether there was one.
 func (c *Cache) Delete(kind, id string) bool {
 	o := c.Get(kind, id)
 	if o == nil {
@@ -108,129 +109,73 @@
 	return true
 }
 
-// change is made under the lock.
-func (c *Cache) change(version int64, kind, id string, value any, gone bool) {
-	old := version <= c.dropped // of an earlier life: no watcher hears of it
+func (c *Cache) applyLocked(version int64, kind, id string, value any, deleted bool) {
+	restored := version <= c.history.compacted // of an earlier process: no watcher can have asked for it
 	c.version = max(c.version, version)
-	o := &Object{Kind: kind, ID: id, Version: version, Value: value, Deleted: gone}
-	o.line = c.line(o)
-	t := c.kinds[kind]
-	if t == nil {
-		t = &btree.Map[string, *Object]{}
-		c.kinds[kind] = t
+	o := &Object{Kind: kind, ID: id, Version: version, Value: value, Deleted: deleted}
+	o.watchEvent = c.encode(o)
+	c.storeLocked(o)
+	if restored {
+		return
 	}
-	if gone {
-		t.Delete(id)
-	} else {
-		t.Set(id, o)
+	c.history.add(o)
+	for w := range c.watchers {
+		w.offerLocked(o)
 	}
-	if old {
-		return
+}
+
+func (c *Cache) storeLocked(o *Object) {
+	objects := c.objects[o.Kind]
+	if objects == nil {
+		objects = &btree.Map[string, *Object]{}
+		c.objects[o.Kind] = objects
 	}
-	if len(c.log) < kept {
-		c.log = append(c.log, o)
+	if o.Deleted {
+		objects.Delete(o.ID)
 	} else {
-		c.dropped = c.log[c.next].Version
-		c.log[c.next] = o
-	}
-	c.next = (c.next + 1) % kept
-	for w := range c.watchers {
-		w.offer(o)
+		objects.Set(o.ID, o)
 	}
 }
 
-// Get finds an object, or nil.
+// Get returns an object, nil where there is none.
 func (c *Cache) Get(kind, id string) *Object {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	if t := c.kinds[kind]; t != nil {
-		o, _ := t.Get(id)
+	if objects := c.objects[kind]; objects != nil {
+		o, _ := objects.Get(id)
 		return o
 	}
 	return nil
 }
 
-// List returns up to limit objects of a kind, by id, after one, that match; more tells whether there are others.
-// The version is that as of which the list holds.
-func (c *Cache) List(kind, after string, limit int, match func(*Object) bool) (all []*Object, version int64, more bool) {
-	c.mu.Lock() // a copy marks the tree as shared
-	version = c.version
-	t := c.kinds[kind]
-	if t != nil {
-		t = t.Copy()
-	}
-	c.mu.Unlock()
-	if t == nil {
+// List returns up to limit objects of a kind that match, in the order of their IDs, beginning behind the ID after. It also
+// returns the version as of which the list holds, and whether more objects match.
+func (c *Cache) List(kind, after string, limit int, match func(*Object) bool) (list []*Object, version int64, more bool) {
+	objects, version := c.snapshot(kind)
+	if objects == nil {
 		return nil, version, false
 	}
-	t.Ascend(after, func(id string, o *Object) bool {
+	objects.Ascend(after, func(id string, o *Object) bool {
 		if id == after && after != "" || !match(o) {
 			return true
 		}
-		if len(all) == limit {
+		if len(list) == limit {
 			more = true
 			return false
 		}
-		all = append(all, o)
+		list = append(list, o)
 		return true
 	})
-	return all, version, more
+	return list, version, more
 }
 
-// Watcher gets changes in order.
-type Watcher struct {
-	c       *Cache
-	kinds   map[string]bool
-	Changes chan *Object // closed when the watcher fell behind
-	from    int64
-}
-
-// StartVersion is a version whose changes the watcher surely had: that from which it began.
-func (w *Watcher) StartVersion() int64 { return w.from }
-
-// Watch tells all changes of the kinds after a version, and from then on what comes.
-func (c *Cache) Watch(from int64, kinds ...string) (*Watcher, error) {
-	c.mu.Lock()
+// snapshot returns a copy of the objects of a kind (nil where there never was one) that shares its nodes with them.
+func (c *Cache) snapshot(kind string) (*btree.Map[string, *Object], int64) {
+	c.mu.Lock() // Copy marks the tree as shared, which is a write
 	defer c.mu.Unlock()
-	if from > c.version || from < c.dropped { // of an earlier life, or too old
-		return nil, ErrCompacted
-	}
-	first := sort.Search(len(c.log), func(i int) bool { return c.at(i).Version > from })
-	missed := len(c.log) - first
-	w := &Watcher{c: c, kinds: map[string]bool{}, Changes: make(chan *Object, mayWait+missed), from: from}
-	for _, k := range kinds {
-		w.kinds[k] = true
-	}
-	for i := first; i < len(c.log); i++ {
-		w.offer(c.at(i))
-	}
-	c.watchers[w] = true
-	return w, nil
-}
-
-// at is the ith of the changes that are kept, the oldest first.
-func (c *Cache) at(i int) *Object {
-	if len(c.log) < kept {
-		return c.log[i]
+	objects := c.objects[kind]
+	if objects != nil {
+		objects = objects.Copy()
 	}
-	return c.log[(c.next+i)%kept]
-}
-
-func (w *Watcher) offer(o *Object) {
-	if !w.kinds[o.Kind] {
-		return
-	}
-	select {
-	case w.Changes <- o:
-	default:
-		delete(w.c.watchers, w)
-		close(w.Changes)
-	}
-}
-
-// Close ends the watch.
-func (w *Watcher) Close() {
-	w.c.mu.Lock()
-	delete(w.c.watchers, w)
-	w.c.mu.Unlock()
+	return objects, c.version
 }
--- a/internal/controller/watchcache/watchcache_test.go
+++ b/internal/controller/watchcache/watchcache_test.go
@@ -12,7 +12,7 @@
 	}
 }
 
-func TestListAndWatch(t *testing.T) {
+func TestListIsPagedAndWatchResumesAfterVersion(t *testing.T) {
 	c := New(func(o *Object) []byte { return []byte(o.ID) })
 	fill(c, 10)
 	all, version, more := c.List("jobs", "j000002", 3, func(o *Object) bool { return o.Value.(int)%2 == 1 })
@@ -26,7 +26,7 @@
 	c.Put("machines", "m", 1)
 	c.Delete("jobs", "j000000")
 	if c.Delete("jobs", "j000000") {
-		t.Error("taken out twice")
+		t.Error("deleted twice")
 	}
 	for _, want := range []string{"j000008", "j000009", "j000000"} {
 		if o := <-w.Changes; o.ID != want {
@@ -36,14 +36,14 @@
 	w.Close()
 }
 
-// Versions that are too old, or of another life, are told apart from an empty watch.
-func TestGone(t *testing.T) {
+// Too old a version, and one that was never given out, differ from a watch without changes.
+func TestWatchFromUnknownVersionIsCompacted(t *testing.T) {
 	c := New(func(*Object) []byte { return nil })
-	fill(c, kept+100)
+	fill(c, historyLength+100)
 	for _, tc := range []struct {
 		from int64
 		want error
-	}{{99, ErrCompacted}, {100, nil}, {kept + 100, nil}, {kept + 101, ErrCompacted}} {
+	}{{99, ErrCompacted}, {100, nil}, {historyLength + 100, nil}, {historyLength + 101, ErrCompacted}} {
 		w, err := c.Watch(tc.from, "jobs")
 		if !errors.Is(err, tc.want) {
 			t.Errorf("from %d: %v", tc.from, err)
@@ -51,7 +51,7 @@
 		if err != nil {
 			continue
 		}
-		for v := tc.from + 1; v <= kept+100; v++ {
+		for v := tc.from + 1; v <= historyLength+100; v++ {
 			if o := <-w.Changes; o.Version != v {
 				t.Fatalf("from %d: %d, want %d", tc.from, o.Version, v)
 			}
@@ -59,12 +59,17 @@
 	}
 }
 
-// A watcher that stalls is dropped; the others miss nothing.
-func TestStalledWatcher(t *testing.T) {
+func TestStalledWatcherIsDroppedAndOthersMissNothing(t *testing.T) {
 	c := New(func(*Object) []byte { return nil })
-	stalled, _ := c.Watch(0, "jobs")
-	live, _ := c.Watch(0, "jobs")
-	for i := range mayWait + 10 {
+	stalled, err := c.Watch(0, "jobs")
+	if err != nil {
+		t.Fatal(err)
+	}
+	live, err := c.Watch(0, "jobs")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := range watcherBuffer + 10 {
 		c.Put("jobs", "j", i)
 		if o := <-live.Changes; o.Value.(int) != i {
 			t.Fatalf("%v, want %d", o.Value, i)
@@ -74,7 +79,7 @@
 	for range stalled.Changes {
 		n++
 	}
-	if n != mayWait || len(c.watchers) != 1 {
+	if n != watcherBuffer || len(c.watchers) != 1 {
 		t.Errorf("%d before it was dropped, %d watchers left", n, len(c.watchers))
 	}
 }
