--- /dev/null
+++ b/internal/controller/server/errors.go
@@ -0,0 +1,47 @@
+package server
+
+import (
+	"errors"
+	"fmt"
+)
+
+var (
+	// ErrStopped is returned where the server has stopped, or its loop does not answer in time.
+	ErrStopped = errors.New("the keeper has stopped")
+	// ErrNotFound is returned for a job or container that does not exist.
+	ErrNotFound = errors.New("there is none of that id")
+)
+
+// ConflictError rejects a change whose precondition on the job's version does not hold.
+type ConflictError struct {
+	ID      string
+	Version int64 // that the job has
+	Message string
+}
+
+func (e *ConflictError) Error() string {
+	return fmt.Sprintf("%s: %s; its version is %d", e.ID, e.Message, e.Version)
+}
+
+// InvalidFieldError rejects a request because of one of its fields.
+type InvalidFieldError struct {
+	Field   string // its name on the wire
+	Message string
+}
+
+func (e *InvalidFieldError) Error() string { return e.Field + ": " + e.Message }
+
+// NotPersistedError rejects a change that could not be written to disk; it was not made.
+type NotPersistedError struct{ Err error }
+
+func (e *NotPersistedError) Error() string {
+	return "it cannot be kept on disk, and was not done: " + e.Err.Error()
+}
+
+// Unwrap returns the error of the storage.
+func (e *NotPersistedError) Unwrap() error { return e.Err }
+
+// alreadyCreatedError ends a retry of the request that created a job. The client gets the first answer again.
+type alreadyCreatedError struct{ version int64 }
+
+func (e *alreadyCreatedError) Error() string { return "it was made by the same request" }
--- /dev/null
+++ b/internal/controller/server/explainer.go
@@ -0,0 +1,104 @@
+package server
+
+import (
+	"glenport/internal/controller"
+	"glenport/internal/eventloop"
+	"glenport/internal/protocol"
+)
+
+const (
+	explainTimeout  = 400 * eventloop.Millisecond // for a scheduler to reply
+	explanationLife = 100 * eventloop.Millisecond // a reply answers all requests for the job for this long
+	explainSpecID   = "why"                       // container ID and idempotency key in the spec of an explain request
+)
+
+// explainer asks schedulers why a job's containers find no machine. Requests that come while one for the same job is open, or
+// shortly after its reply, share that reply.
+type explainer struct {
+	server  *Server
+	lastSeq uint64
+	open    map[uint64]*explainRequest    // by sequence number; each ends with the reply or at explainTimeout
+	recent  map[string]*recentExplanation // by job, for explanationLife
+}
+
+// explainRequest is a request that a scheduler has not replied to.
+type explainRequest struct {
+	job     string
+	waiting []func(*protocol.ExplainReply)
+}
+
+type recentExplanation struct {
+	at    eventloop.Tick
+	reply *protocol.ExplainReply
+}
+
+func newExplainer(s *Server) explainer {
+	return explainer{server: s, open: map[uint64]*explainRequest{}, recent: map[string]*recentExplanation{}}
+}
+
+// explain calls done with a scheduler's explanation of why a container is pending: that of the scheduler that was asked last for
+// the container, or of another. It calls done with nil where there is nothing to explain or no scheduler replies in time.
+func (e *explainer) explain(c controller.Container, done func(*protocol.ExplainReply)) {
+	if c.State == controller.StateRunning || c.State == controller.StateCompleted {
+		done(nil)
+		return
+	}
+	if r := e.recent[c.Job]; r != nil && e.server.loop.Now()-r.at < explanationLife {
+		done(r.reply)
+		return
+	}
+	for _, request := range e.open {
+		if request.job == c.Job {
+			request.waiting = append(request.waiting, done)
+			return
+		}
+	}
+	if !e.request(c, done) {
+		done(nil)
+	}
+}
+
+// request sends an explain request. It reports false where none can be sent.
+func (e *explainer) request(c controller.Container, done func(*protocol.ExplainReply)) bool {
+	s := e.server
+	job := s.currentJob(c.Job)
+	conn := s.connectedScheduler(c.Scheduler)
+	if job == nil || conn == nil {
+		return false
+	}
+	spec, err := s.specOf(job)
+	if err != nil {
+		return false
+	}
+	e.lastSeq++
+	seq := e.lastSeq
+	e.open[seq] = &explainRequest{job: c.Job, waiting: []func(*protocol.ExplainReply){done}}
+	s.loop.After(explainTimeout, func() { e.finish(seq, nil) })
+	conn.write(&protocol.ExplainRequest{Seq: seq, Spec: containerSpec(spec, explainSpecID, explainSpecID)})
+	return true
+}
+
+// finish ends an open request with its reply, or with nil at its timeout.
+func (e *explainer) finish(seq uint64, reply *protocol.ExplainReply) {
+	request := e.open[seq]
+	if request == nil {
+		return
+	}
+	delete(e.open, seq)
+	if reply != nil && reply.Known {
+		e.remember(request.job, reply)
+	}
+	for _, done := range request.waiting {
+		done(reply)
+	}
+}
+
+func (e *explainer) remember(job string, reply *protocol.ExplainReply) {
+	loop := e.server.loop
+	e.recent[job] = &recentExplanation{loop.Now(), reply}
+	loop.After(explanationLife, func() {
+		if r := e.recent[job]; r != nil && loop.Now()-r.at >= explanationLife {
+			delete(e.recent, job)
+		}
+	})
+}
--- a/internal/controller/server/golden_test.go
+++ b/internal/controller/server/golden_test.go
@@ -26,14 +26,14 @@
 var update = flag.Bool("update", false, "write the golden state folder anew")
 
 const (
-	goldenFolder  = "testdata/state"
-	goldenWords   = "testdata/state.txt"
-	goldenJSON    = "testdata/objects.txt"
-	goldenCeiling = 5_000_000
-	goldenDoor    = "127.0.0.1:7001"
+	goldenFolder    = "testdata/state"
+	goldenWords     = "testdata/state.txt"
+	goldenJSON      = "testdata/objects.txt"
+	goldenCeiling   = 5_000_000
+	goldenScheduler = "127.0.0.1:7001"
 )
 
-// Records of the golden folder, every field set in one of them.
+// The records of the golden folder; for each kind one that has every field set.
 var (
 	goldenJob = JobRecord{Job: Job{ID: "reports", Labels: map[string]string{"team": "north"}, Service: "report", WorkloadClass: "report-run",
 		Tenant: "schools", Cores: 1.5, MemoryGiB: 2.25, RunForMS: 60_000, RunOnce: true, Count: 3, Version: 41},
@@ -42,13 +42,13 @@
 
 	goldenSpec = controller.Spec{Service: "report", WorkloadClass: 1, Tenant: 2, Cores: 1.5, Memory: 2.25, RunFor: 600_000, RunOnce: true}
 
-	goldenContainer = ContainerRecord{SchedulerAddress: goldenDoor, Container: controller.Container{Job: "reports", Index: 2, State: controller.StateRunning,
+	goldenContainer = ContainerRecord{SchedulerAddress: goldenScheduler, Container: controller.Container{Job: "reports", Index: 2, State: controller.StateRunning,
 		Terminating: true, Machine: "m17", Scheduler: 1, Sticky: true, Since: 17_000_000_000_001, Until: 17_000_000_000_002, Attempts: 3,
 		Starts: 4, LastStatus: "runs", Refused: true, IdempotencyKey: "reports/2/31", RequestID: "reports/2#32", Submitted: true, Replacing: true, SubmittedSpec: goldenSpec}}
 	goldenPlainContainer = ContainerRecord{Container: controller.Container{Job: "plain", Scheduler: -1, LastStatus: "not asked for yet",
 		IdempotencyKey: "plain/0/30"}}
 
-	goldenStray = OrphanRecord{SchedulerAddress: goldenDoor, IdempotencyKey: "reports/1/29"}
+	goldenOrphan = OrphanRecord{SchedulerAddress: goldenScheduler, IdempotencyKey: "reports/1/29"}
 )
 
 type goldenRecord struct {
@@ -62,7 +62,7 @@
 		{RecordJob, "plain", &goldenPlainJob},
 		{RecordContainer, "reports.2", goldenContainer},
 		{RecordContainer, "plain.0", goldenPlainContainer},
-		{RecordOrphan, goldenDoor + " reports/1/29", goldenStray},
+		{RecordOrphan, goldenScheduler + " reports/1/29", goldenOrphan},
 	}
 	// one container in each other state
 	for state := controller.StatePending; state <= controller.StateCompleted; state++ {
@@ -73,24 +73,24 @@
 	return records
 }
 
-func goldenPlace(folder string) Config {
-	return Config{Name: "controller", Schedulers: []string{"127.0.0.1:7000", goldenDoor}, Seed: 1, StateDir: folder,
+func goldenConfig(folder string) Config {
+	return Config{Name: "controller", Schedulers: []string{"127.0.0.1:7000", goldenScheduler}, Seed: 1, StateDir: folder,
 		SchedulerConfig: &config.Placer{Workloads: []string{"matcher", "report-run"}, Customers: []string{"offices", "farms", "schools"},
 			Terms: scheduler.Config{WorkloadClasses: []scheduler.WorkloadClass{{}, {}}}}}
 }
 
-// openGolden brings up a host on a folder, without serving; closed stops it.
-func openGolden(t *testing.T, folder string) (h *Server, closed func()) {
+// openGolden opens a server on a folder, without serving; closed stops it.
+func openGolden(t *testing.T, folder string) (s *Server, closed func()) {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	h, err := New(goldenPlace(folder), watchcache.New(func(*watchcache.Object) []byte { return nil }), log)
+	s, err := New(goldenConfig(folder), watchcache.New(func(*watchcache.Object) []byte { return nil }), log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return h, func() {
-		h.Stop()
-		h.place.Schedulers, h.doors = nil, nil // nobody is called
-		if err := h.Run(); err != nil {
+	return s, func() {
+		s.Stop()
+		s.config.Schedulers, s.schedulers = nil, nil // no scheduler is dialed
+		if err := s.Run(); err != nil {
 			t.Error(err)
 		}
 	}
@@ -102,12 +102,12 @@
 	if err := os.RemoveAll(goldenFolder); err != nil {
 		t.Fatal(err)
 	}
-	h, closed := openGolden(t, goldenFolder)
-	changes := []wal.Change{wal.Put(RecordVersionCeiling, ceilingKey, goldenCeiling)}
+	s, closed := openGolden(t, goldenFolder)
+	changes := []wal.Change{wal.Put(RecordVersionCeiling, versionCeilingKey, goldenCeiling)}
 	for _, r := range goldenRecords() {
 		changes = append(changes, wal.Put(r.kind, r.key, r.value))
 	}
-	if err := h.records.log.CommitSync(changes...); err != nil {
+	if err := s.store.log.CommitSync(changes...); err != nil {
 		t.Fatal(err)
 	}
 	closed()
@@ -116,8 +116,8 @@
 	}
 	var words strings.Builder
 	words.WriteString("# The records of the state folder beside: kind and key, what they hold in CBOR diagnostic notation.\n")
-	for _, kind := range h.records.log.State().Kinds() {
-		if err := h.records.log.State().ForEach(kind, func(key string, value []byte) error {
+	for _, kind := range s.store.log.State().Kinds() {
+		if err := s.store.log.State().ForEach(kind, func(key string, value []byte) error {
 			text, err := cbor.Diagnose(value)
 			fmt.Fprintf(&words, "%s %q %s\n", kind, key, text)
 			return err
@@ -152,7 +152,7 @@
 			t.Fatal(err)
 		}
 	}
-	records := append(goldenRecords(), goldenRecord{RecordVersionCeiling, ceilingKey, int64(goldenCeiling)})
+	records := append(goldenRecords(), goldenRecord{RecordVersionCeiling, versionCeilingKey, int64(goldenCeiling)})
 	if len(raw) != len(records) {
 		t.Errorf("%d records in %s, want %d", len(raw), goldenFolder, len(records))
 	}
@@ -174,35 +174,35 @@
 	}
 }
 
-// TestControllerRestoresGoldenFolder brings up a controller on a copy of the golden folder, as at a restart.
+// TestControllerRestoresGoldenFolder opens a server on a copy of the golden folder, as at a restart.
 func TestControllerRestoresGoldenFolder(t *testing.T) {
 	folder := t.TempDir()
 	if err := os.CopyFS(folder, os.DirFS(goldenFolder)); err != nil {
 		t.Fatal(err)
 	}
-	h, closed := openGolden(t, folder)
+	s, closed := openGolden(t, folder)
 	defer closed()
-	if got := h.records.ceiling; got != goldenCeiling+ceilingSteps {
-		t.Errorf("ceiling %d, want %d", got, goldenCeiling+ceilingSteps)
+	if got := s.store.versionCeiling; got != goldenCeiling+versionCeilingStep {
+		t.Errorf("ceiling %d, want %d", got, goldenCeiling+versionCeilingStep)
 	}
-	if got := h.Cache.LastReserved(); got != goldenCeiling {
+	if got := s.Cache.LastReserved(); got != goldenCeiling {
 		t.Errorf("versions begin after %d, want %d", got, goldenCeiling)
 	}
-	if want := map[string]JobRecord{"reports": goldenJob, "plain": goldenPlainJob}; !reflect.DeepEqual(h.records.made, want) {
-		t.Errorf("jobs %+v, want %+v", h.records.made, want)
+	if want := map[string]JobRecord{"reports": goldenJob, "plain": goldenPlainJob}; !reflect.DeepEqual(s.store.jobs, want) {
+		t.Errorf("jobs %+v, want %+v", s.store.jobs, want)
 	}
 	for id, want := range map[string]Job{"reports": goldenJob.Job, "plain": goldenPlainJob.Job} {
-		o := h.Cache.Get(KindJobs, id)
+		o := s.Cache.Get(KindJobs, id)
 		if o == nil || o.Version != want.Version || !reflect.DeepEqual(o.Value, want) {
 			t.Errorf("%s: %+v, want %+v", id, o, want)
 		}
 	}
-	if len(h.events) != 1 {
-		t.Fatalf("%d events, want one", len(h.events))
+	if len(s.events) != 1 {
+		t.Fatalf("%d events, want one", len(s.events))
 	}
-	restored, ok := h.events[0].(controller.StateRestored)
+	restored, ok := s.events[0].(controller.StateRestored)
 	if !ok {
-		t.Fatalf("%T, want what was restored", h.events[0])
+		t.Fatalf("%T, want what was restored", s.events[0])
 	}
 	plainSpec := controller.Spec{Service: "web", Tenant: 3, Cores: 0.5, Memory: 1}
 	wantJobs := []controller.JobSet{{Job: "plain", Spec: plainSpec}, {Job: "reports", Count: 3, Spec: goldenSpec}}
@@ -228,7 +228,7 @@
 		}
 	}
 	if want := []controller.Orphan{{Scheduler: 1, IdempotencyKey: "reports/1/29"}}; !reflect.DeepEqual(restored.Orphans, want) {
-		t.Errorf("strays %+v, want %+v", restored.Orphans, want)
+		t.Errorf("orphans %+v, want %+v", restored.Orphans, want)
 	}
 }
 
--- /dev/null
+++ b/internal/controller/server/objects.go
@@ -0,0 +1,81 @@
+package server
+
+import (
+	"fmt"
+
+	"glenport/internal/controller"
+	"glenport/scheduler"
+)
+
+// Kinds of objects in the cache.
+const (
+	KindJobs       = "jobs"
+	KindContainers = "containers"
+	KindMachines   = "machines"
+)
+
+// Job is what a client wants to run. It is stored and sent under the names in the tags.
+type Job struct {
+	ID            string            `json:"id" cbor:"id"`
+	Labels        map[string]string `json:"labels,omitempty" cbor:"labels,omitempty"`
+	Service       string            `json:"service" cbor:"service"`
+	WorkloadClass string            `json:"workload" cbor:"workload"`
+	Tenant        string            `json:"customer,omitempty" cbor:"customer,omitempty"`
+	Cores         float64           `json:"cores" cbor:"cores"`
+	MemoryGiB     float64           `json:"memory_gib" cbor:"memory_gib"`
+	RunForMS      int64             `json:"run_for_ms,omitempty" cbor:"run_for_ms,omitempty"` // 0: until it is stopped
+	RunOnce       bool              `json:"once,omitempty" cbor:"once,omitempty"`             // a container that finished is not started again
+	Count         int               `json:"count" cbor:"count"`                               // of containers
+	Version       int64             `json:"version" cbor:"version"`
+}
+
+// Container is one container of a job.
+type Container struct {
+	ID          string `json:"id"`
+	Job         string `json:"job"`
+	Index       int    `json:"index"` // in the job, from 0
+	State       string `json:"state"`
+	Terminating bool   `json:"leaving,omitempty"`
+	Machine     string `json:"machine,omitempty"`
+	Scheduler   string `json:"placer,omitempty"`   // the name of the one that was asked last
+	SinceMS     int64  `json:"since_ms"`           // when it entered its state, Unix time
+	UntilMS     int64  `json:"until_ms,omitempty"` // when the next step is due, Unix time
+	Attempts    int    `json:"tries"`              // since it last ran
+	Starts      int    `json:"starts"`
+	LastStatus  string `json:"last"` // the last answer or outcome, in words
+	Version     int64  `json:"version"`
+}
+
+// Machine is one machine of the machine list.
+type Machine struct {
+	ID            string  `json:"id"`
+	Zone          int     `json:"hall"`
+	MachineType   string  `json:"kind"`
+	State         string  `json:"state"`
+	FreeCores     float64 `json:"free_cores"`
+	FreeMemoryGiB float64 `json:"free_memory_gib"`
+	Incarnation   uint64  `json:"incarnation"`
+	Version       int64   `json:"version"`
+}
+
+func containerID(job string, index int) string { return fmt.Sprintf("%s.%d", job, index) }
+
+// publishContainer shows a container as the controller reports it.
+func (s *Server) publishContainer(c controller.Container) {
+	object := Container{ID: containerID(c.Job, c.Index), Job: c.Job, Index: c.Index, State: c.State.String(), Terminating: c.Terminating,
+		Machine: c.Machine, SinceMS: int64(c.Since / scheduler.Millisecond), UntilMS: int64(c.Until / scheduler.Millisecond),
+		Attempts: c.Attempts, Starts: c.Starts, LastStatus: c.LastStatus}
+	if c.Scheduler >= 0 {
+		object.Scheduler = s.schedulers[c.Scheduler].name
+	}
+	s.containers[object.ID] = c
+	s.publisher.put(KindContainers, object.ID, object)
+}
+
+func (s *Server) unpublishContainer(job string, index int) {
+	id := containerID(job, index)
+	if _, published := s.containers[id]; published {
+		delete(s.containers, id)
+		s.publisher.delete(KindContainers, id, Container{ID: id, Job: job, Index: index})
+	}
+}
--- /dev/null
+++ b/internal/controller/server/pendingreasons.go
@@ -0,0 +1,96 @@
+package server
+
+import (
+	"strconv"
+	"time"
+
+	"glenport/internal/controller"
+	"glenport/internal/controller/pending"
+	"glenport/internal/protocol"
+	"glenport/scheduler"
+)
+
+// reasonsTimeout bounds how long a client waits for reasons once the loop has begun to collect them.
+const reasonsTimeout = 5 * time.Second
+
+// PendingReasons returns the state of a container and the reasons why it does not run, for which a scheduler is asked. Their
+// times are Unix time in units of scheduler.Time. Errors are ErrNotFound and ErrStopped.
+func (s *Server) PendingReasons(id string) (reasons []pending.Reason, state string, err error) {
+	type result struct {
+		reasons []pending.Reason
+		state   string
+	}
+	results := make(chan result, 1)
+	found := make(chan bool, 1)
+	if !s.loop.Post(func() {
+		c, ok := s.containers[id]
+		if found <- ok; !ok {
+			return
+		}
+		s.explainer.explain(c, func(reply *protocol.ExplainReply) {
+			if latest, ok := s.containers[id]; ok {
+				c = latest
+			}
+			results <- result{pending.Explain(scheduler.Time(s.loop.Now()), s.pendingFacts(c, reply)), c.State.String()}
+		})
+	}) {
+		return nil, "", ErrStopped
+	}
+	exists, err := receive(found, loopTimeout)
+	if err != nil {
+		return nil, "", err
+	}
+	if !exists {
+		return nil, "", ErrNotFound
+	}
+	r, err := receive(results, reasonsTimeout)
+	return r.reasons, r.state, err
+}
+
+// pendingFacts returns what is known on why a container is pending; reply is nil where no scheduler replied.
+func (s *Server) pendingFacts(c controller.Container, reply *protocol.ExplainReply) pending.Facts {
+	facts := pending.Facts{Container: c, Schedulers: len(s.schedulers), Zones: s.zones(),
+		SlowStartWindow: s.config.SchedulerConfig.Terms.SlowStartWindow}
+	for _, conn := range s.schedulers {
+		if conn.connected {
+			facts.SchedulersConnected++
+			facts.SchedulerConnected = facts.SchedulerConnected || conn.number == c.Scheduler
+		}
+	}
+	if reply != nil && reply.Known {
+		facts.Explained, facts.ListAge = true, scheduler.Time(reply.ListAge)
+		facts.Explanation = explanationOf(reply)
+	}
+	return facts
+}
+
+func explanationOf(r *protocol.ExplainReply) scheduler.Explanation {
+	return scheduler.Explanation{Machines: r.Machines, Gone: r.Gone, WrongMachineType: r.WrongMachineType, Draining: r.Draining,
+		TooSmall: r.TooSmall, SelfDraining: r.SelfDraining, SpreadExhausted: r.SpreadExhausted, SlowStartExhausted: r.SlowStartExhausted,
+		Ejected: r.Ejected, Suspected: r.Suspected, InsufficientCores: r.InsufficientCores, InsufficientMemory: r.InsufficientMemory,
+		Eligible: r.Eligible, SheddingLoad: r.SheddingLoad, FullRatio: r.FullRatio}
+}
+
+// zones returns the zones of the listed machines in the order of their numbers.
+func (s *Server) zones() (zones []pending.Zone) {
+	byNumber := map[int]*pending.Zone{}
+	last := -1
+	for _, m := range s.machines {
+		zone := byNumber[m.Zone]
+		if zone == nil {
+			zone = &pending.Zone{Name: strconv.Itoa(m.Zone)}
+			byNumber[m.Zone] = zone
+			last = max(last, m.Zone)
+		}
+		zone.Machines++
+		if m.State == protocol.MachineDraining {
+			zone.Draining++
+		}
+	}
+	for number := 0; number <= last; number++ {
+		if zone := byNumber[number]; zone != nil {
+			zones = append(zones, *zone)
+		}
+	}
+	return zones
+}
--- /dev/null
+++ b/internal/controller/server/publisher.go
@@ -0,0 +1,63 @@
+package server
+
+import "glenport/internal/controller/watchcache"
+
+// publisher applies changes to the cache in the order of their versions. A change whose version is taken before it is on disk
+// holds back those behind it, so that clients see no change that is undone and no version out of order.
+type publisher struct {
+	cache *watchcache.Cache
+	queue []*publication
+}
+
+// publication is a change of the cache that has its version.
+type publication struct {
+	version  int64
+	kind, id string
+	value    any
+	deleted  bool
+	state    publicationState
+}
+
+type publicationState uint8
+
+const (
+	publicationWaiting publicationState = iota // for the disk
+	publicationReady
+	publicationDiscarded
+)
+
+// put publishes an object that need not be on disk first.
+func (p *publisher) put(kind, id string, value any) {
+	p.add(&publication{kind: kind, id: id, value: value, state: publicationReady})
+}
+
+// delete publishes the end of an object that need not be on disk first.
+func (p *publisher) delete(kind, id string, value any) {
+	p.add(&publication{kind: kind, id: id, value: value, deleted: true, state: publicationReady})
+}
+
+// add gives a change its version and queues it.
+func (p *publisher) add(change *publication) {
+	change.version = p.cache.ReserveVersion()
+	p.queue = append(p.queue, change)
+	p.flush()
+}
+
+// complete ends the wait of a change: it is applied in its turn, or discarded.
+func (p *publisher) complete(change *publication, persisted bool) {
+	change.state = publicationDiscarded
+	if persisted {
+		change.state = publicationReady
+	}
+	p.flush()
+}
+
+func (p *publisher) flush() {
+	for len(p.queue) > 0 && p.queue[0].state != publicationWaiting {
+		change := p.queue[0]
+		p.queue = p.queue[1:]
+		if change.state == publicationReady {
+			p.cache.Apply(change.version, change.kind, change.id, change.value, change.deleted)
+		}
+	}
+}
--- a/internal/controller/server/records.go
+++ b/internal/controller/server/records.go
@@ -4,29 +4,31 @@
 
 // The records below are stored under the names in their tags: a name that changes there makes stored state unreadable.
 
-// Kinds of what a keeper's log holds.
+// Kinds of records in a controller's log.
 const (
-	RecordJob            = "job"       // by id, with its version
-	RecordContainer      = "container" // by id, as the keeper last had it
-	RecordOrphan         = "stray"     // by door and key: what may run at a placer that was lost
-	RecordVersionCeiling = "ceiling"   // a version that no life has given out, and the next begins with
+	RecordJob            = "job"       // by job ID
+	RecordContainer      = "container" // by container ID
+	RecordOrphan         = "stray"     // by scheduler address and idempotency key
+	RecordVersionCeiling = "ceiling"   // one int64: no process has given out a version above it
 )
 
 // JobRecord is a job as the log has it.
 type JobRecord struct {
 	Job           Job    `cbor:"Job"`
-	CreationKey   string `cbor:"Made"` // the key with which it was made, and a digest of that request: a repeat gets the same answer
-	RequestDigest []byte `cbor:"Request"`
+	CreationKey   string `cbor:"Made"`    // idempotency key of the request that created it; empty: it had none
+	RequestDigest []byte `cbor:"Request"` // of that request: a retry of it gets the first answer
 }
 
 // ContainerRecord is a container as the log has it.
 type ContainerRecord struct {
-	Container        controller.Container `cbor:"Container"`
-	SchedulerAddress string               `cbor:"Door"` // the address of the placer that was asked
+	Container        controller.Container `cbor:"Container"` // its Scheduler counts at the time; the address below identifies it
+	SchedulerAddress string               `cbor:"Door"`      // of the scheduler that was asked last; empty: none
 }
 
-// OrphanRecord is a stray as the log has it.
+// OrphanRecord is an orphan as the log has it: idempotent work that may run behind a scheduler whose connection was lost.
 type OrphanRecord struct {
 	SchedulerAddress string `cbor:"Door"`
 	IdempotencyKey   string `cbor:"Key"`
 }
+
+func (r OrphanRecord) storeKey() string { return r.SchedulerAddress + " " + r.IdempotencyKey }
--- /dev/null
+++ b/internal/controller/server/restore.go
@@ -0,0 +1,85 @@
+package server
+
+import (
+	"fmt"
+
+	"glenport/internal/controller"
+	"glenport/internal/storage/wal"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// restore reads the records of earlier processes. Jobs go into the cache with their versions; all else is for the controller.
+func (st *stateStore) restore() (restored controller.StateRestored, err error) {
+	state := st.log.State()
+	if err := state.ForEach(RecordVersionCeiling, func(_ string, value []byte) error {
+		return cbor.Unmarshal(value, &st.versionCeiling)
+	}); err != nil {
+		return restored, err
+	}
+	st.server.Cache.StartAfter(st.versionCeiling)
+	if restored.Jobs, err = st.restoreJobs(state); err != nil {
+		return restored, err
+	}
+	numbers := map[string]int{}
+	for i, conn := range st.server.schedulers {
+		numbers[conn.address] = i
+	}
+	if restored.Containers, err = restoreContainers(state, numbers); err != nil {
+		return restored, err
+	}
+	restored.Orphans, err = restoreOrphans(state, numbers)
+	return restored, err
+}
+
+func (st *stateStore) restoreJobs(state *wal.State) (jobs []controller.JobSet, err error) {
+	err = state.ForEach(RecordJob, func(id string, value []byte) error {
+		var record JobRecord
+		if err := cbor.Unmarshal(value, &record); err != nil {
+			return fmt.Errorf("job %s: %w", id, err)
+		}
+		spec, err := st.server.specOf(&record.Job)
+		if err != nil {
+			return fmt.Errorf("job %s does not fit the placer's file any more: %w", id, err)
+		}
+		st.jobs[id] = record
+		st.server.Cache.Apply(record.Job.Version, KindJobs, id, record.Job, false)
+		jobs = append(jobs, controller.JobSet{Job: id, Count: record.Job.Count, Spec: spec})
+		return nil
+	})
+	return jobs, err
+}
+
+// restoreContainers binds each container to the scheduler with the stored address, by its present number; to none where that
+// scheduler is no longer configured.
+func restoreContainers(state *wal.State, schedulerNumbers map[string]int) (containers []controller.Container, err error) {
+	err = state.ForEach(RecordContainer, func(id string, value []byte) error {
+		var record ContainerRecord
+		if err := cbor.Unmarshal(value, &record); err != nil {
+			return fmt.Errorf("container %s: %w", id, err)
+		}
+		number, configured := schedulerNumbers[record.SchedulerAddress]
+		if !configured || record.Container.Scheduler < 0 {
+			number = -1
+		}
+		record.Container.Scheduler = number
+		containers = append(containers, record.Container)
+		return nil
+	})
+	return containers, err
+}
+
+// restoreOrphans leaves out those of schedulers that are no longer configured: nobody can be asked to end them.
+func restoreOrphans(state *wal.State, schedulerNumbers map[string]int) (orphans []controller.Orphan, err error) {
+	err = state.ForEach(RecordOrphan, func(id string, value []byte) error {
+		var record OrphanRecord
+		if err := cbor.Unmarshal(value, &record); err != nil {
+			return fmt.Errorf("stray %s: %w", id, err)
+		}
+		if number, configured := schedulerNumbers[record.SchedulerAddress]; configured {
+			orphans = append(orphans, controller.Orphan{Scheduler: number, IdempotencyKey: record.IdempotencyKey})
+		}
+		return nil
+	})
+	return orphans, err
+}
--- a/internal/controller/server/schedulerconn.go
+++ b/internal/controller/server/schedulerconn.go
@@ -9,82 +9,108 @@
 	"glenport/scheduler"
 )
 
-// schedulerConn is the link to one placer.
+const schedulerRedialDelay = 200 * eventloop.Millisecond
+
+// schedulerConn is the connection to one scheduler. It is dialed again whenever it is lost.
 type schedulerConn struct {
-	h      *Server
-	number int
-	addr   string
-	name   string
-	conn   *eventloop.Conn
-	reader protocol.Reader
-	open   bool
+	server    *Server
+	number    int
+	address   string
+	name      string          // from its hello, kept while it is not connected
+	conn      *eventloop.Conn // nil between a loss and the next dial
+	reader    protocol.Reader
+	connected bool // the scheduler has sent its hello
+}
+
+// connectedScheduler returns the connection to a scheduler, or to another one where that is not connected; nil where none is.
+func (s *Server) connectedScheduler(preferred int) *schedulerConn {
+	if preferred >= 0 && preferred < len(s.schedulers) && s.schedulers[preferred].connected {
+		return s.schedulers[preferred]
+	}
+	for _, c := range s.schedulers {
+		if c.connected {
+			return c
+		}
+	}
+	return nil
 }
 
-func (d *schedulerConn) call() {
-	d.reader = protocol.Reader{}
-	d.conn = d.h.loop.Dial(d.addr, d, output, eventloop.Second)
+func (c *schedulerConn) dial() {
+	c.reader = protocol.Reader{}
+	c.conn = c.server.loop.Dial(c.address, c, maxOutput, dialTimeout)
 }
 
-func (d *schedulerConn) write(f protocol.Frame) {
-	p, err := protocol.Append(nil, f)
-	if err == nil && d.conn != nil {
-		err = d.conn.Write(p)
+// write sends a frame. Where that fails the connection is reset, so that the controller learns that the frame is lost.
+func (c *schedulerConn) write(f protocol.Frame) {
+	encoded, err := protocol.Append(nil, f)
+	if err == nil && c.conn != nil {
+		err = c.conn.Write(encoded)
 	}
 	if err != nil {
-		d.h.log.Warn("not sent", "placer", d.addr, "why", err)
-		if d.conn != nil {
-			d.conn.Reset()
+		c.server.log.Warn("frame not sent", "address", c.address, "error", err)
+		if c.conn != nil {
+			c.conn.Reset()
 		}
 	}
 }
 
-func (d *schedulerConn) Opened(*eventloop.Conn) {
-	d.write(protocol.NewHello(protocol.RoleClient, d.h.place.Name, uint64(d.h.loop.Now())))
+// Opened implements eventloop.Handler.
+func (c *schedulerConn) Opened(*eventloop.Conn) {
+	c.write(protocol.NewHello(protocol.RoleClient, c.server.config.Name, uint64(c.server.loop.Now())))
 }
 
-func (d *schedulerConn) Read(c *eventloop.Conn, p []byte) {
-	if err := d.reader.Feed(p, d.take); err != nil {
-		d.h.log.Warn("link closed", "placer", d.addr, "why", err)
-		c.Reset()
+// Read implements eventloop.Handler.
+func (c *schedulerConn) Read(conn *eventloop.Conn, data []byte) {
+	if err := c.reader.Feed(data, c.handleFrame); err != nil {
+		c.server.log.Warn("connection closed", "peer", "scheduler", "address", c.address, "error", err)
+		conn.Reset()
 	}
 }
 
-func (d *schedulerConn) Closed(_ *eventloop.Conn, why error) {
-	d.conn = nil
-	if d.open {
-		d.open = false
-		d.h.log.Warn("placer lost", "placer", d.name, "why", why)
-		d.h.events = append(d.h.events, controller.SchedulerConnection{Scheduler: d.number, Connected: false})
+// Closed implements eventloop.Handler.
+func (c *schedulerConn) Closed(_ *eventloop.Conn, cause error) {
+	c.conn = nil
+	if c.connected {
+		c.connected = false
+		c.server.log.Warn("scheduler disconnected", "scheduler", c.name, "address", c.address, "error", cause)
+		c.addEvent(controller.SchedulerConnection{Scheduler: c.number, Connected: false})
 	}
-	d.h.loop.After(redial, d.call)
+	c.server.loop.After(schedulerRedialDelay, c.dial)
 }
 
-func (d *schedulerConn) take(f protocol.Frame) error {
-	h := d.h
+func (c *schedulerConn) addEvent(e controller.Event) { c.server.events = append(c.server.events, e) }
+
+func (c *schedulerConn) handleFrame(f protocol.Frame) error {
 	switch f := f.(type) {
 	case *protocol.Hello:
-		if f.Role != protocol.RoleScheduler {
-			return fmt.Errorf("a %s answers where a placer was called", f.Role)
-		}
-		d.name, d.open = f.Name, true
-		h.log.Info("placer found", "placer", f.Name, "door", d.addr)
-		h.events = append(h.events, controller.SchedulerConnection{Scheduler: d.number, Connected: true})
+		return c.handleHello(f)
 	case *protocol.PlacementReply:
-		h.events = append(h.events, controller.PlacementAnswered{RequestID: f.ContainerID, Verdict: verdictOf(f.Verdict), Machine: f.Machine,
+		c.addEvent(controller.PlacementAnswered{RequestID: f.ContainerID, Verdict: verdictOf(f.Verdict), Machine: f.Machine,
 			RetryAfter: scheduler.Time(f.RetryAfter), Message: f.Message})
 	case *protocol.Termination:
-		h.events = append(h.events, controller.ContainerEnded{RequestID: f.ContainerID, Outcome: f.Outcome.SchedulerOutcome(), Reason: scheduler.Reason(f.Reason)})
+		c.addEvent(controller.ContainerEnded{RequestID: f.ContainerID, Outcome: f.Outcome.SchedulerOutcome(),
+			Reason: scheduler.Reason(f.Reason)})
 	case *protocol.ExplainReply:
-		h.answered(f.Seq, f)
-	case *protocol.Heartbeat:
+		c.server.explainer.finish(f.Seq, f)
+	case *protocol.Heartbeat: // the connection's own timeouts are enough
 	case *protocol.Goodbye:
-		return fmt.Errorf("placer says: %s", f.Message)
+		return fmt.Errorf("peer said goodbye: %s", f.Message)
 	default:
-		return fmt.Errorf("%T is not for a keeper", f)
+		return fmt.Errorf("unexpected frame: %T", f)
 	}
 	return nil
 }
 
+func (c *schedulerConn) handleHello(hello *protocol.Hello) error {
+	if hello.Role != protocol.RoleScheduler {
+		return fmt.Errorf("unexpected peer: a %s at a scheduler's address", hello.Role)
+	}
+	c.name, c.connected = hello.Name, true
+	c.server.log.Info("scheduler connected", "scheduler", c.name, "address", c.address)
+	c.addEvent(controller.SchedulerConnection{Scheduler: c.number, Connected: true})
+	return nil
+}
+
 func verdictOf(v protocol.Verdict) controller.Verdict {
 	switch v {
 	case protocol.VerdictPlaced:
@@ -96,78 +122,3 @@
 	}
 	return controller.VerdictFailed
 }
-
-// machineListConn is the link to the list, for the machines that the API shows.
-type machineListConn struct {
-	h       *Server
-	conn    *eventloop.Conn
-	reader  protocol.Reader
-	version int64
-}
-
-func (l *machineListConn) call() {
-	l.reader = protocol.Reader{}
-	l.conn = l.h.loop.Dial(l.h.place.MachineList, l, output, eventloop.Second)
-}
-
-func (l *machineListConn) send(f protocol.Frame) {
-	if p, err := protocol.Append(nil, f); err == nil {
-		l.conn.Write(p)
-	}
-}
-
-func (l *machineListConn) Opened(*eventloop.Conn) {
-	l.send(protocol.NewHello(protocol.RoleScheduler, l.h.place.Name, uint64(l.h.loop.Now())))
-	l.send(&protocol.WatchMachineList{Enabled: true, SinceVersion: l.version})
-}
-
-func (l *machineListConn) Read(c *eventloop.Conn, p []byte) {
-	if err := l.reader.Feed(p, l.take); err != nil {
-		l.h.log.Warn("link closed", "peer", "list", "why", err)
-		c.Reset()
-	}
-}
-
-func (l *machineListConn) Closed(*eventloop.Conn, error) {
-	l.conn = nil
-	l.h.loop.After(relist, l.call)
-}
-
-func (l *machineListConn) take(f protocol.Frame) error {
-	switch f := f.(type) {
-	case *protocol.MachineListUpdate:
-		l.version = f.Version
-		l.h.learn(f)
-	case *protocol.MachineListError:
-		l.h.loop.After(relist, func() {
-			if l.conn != nil {
-				l.send(&protocol.WatchMachineList{Enabled: true, SinceVersion: l.version})
-			}
-		})
-	}
-	return nil
-}
-
-// learn shows the machines of the list.
-func (h *Server) learn(f *protocol.MachineListUpdate) {
-	named := map[string]bool{}
-	for _, e := range f.Entries {
-		named[e.Machine] = e.State != protocol.MachineGone
-		if e.State == protocol.MachineGone {
-			continue
-		}
-		h.halls[e.Machine] = e
-		m := Machine{ID: e.Machine, Zone: e.Zone, State: e.State.String(), FreeCores: e.FreeCores, FreeMemoryGiB: e.FreeMemory,
-			Incarnation: e.Incarnation}
-		if e.MachineType < len(h.place.SchedulerConfig.Kinds) {
-			m.MachineType = h.place.SchedulerConfig.Kinds[e.MachineType]
-		}
-		h.publish(KindMachines, m.ID, m, false, true)
-	}
-	for id := range h.halls {
-		if on, said := named[id]; said && !on || f.FullSnapshot && !on {
-			delete(h.halls, id)
-			h.publish(KindMachines, id, Machine{ID: id}, true, true)
-		}
-	}
-}
