--- a/internal/controller/api/golden_test.go
+++ b/internal/controller/api/golden_test.go
@@ -26,13 +26,13 @@
 // TestAnswersMatchGoldenBytes holds what clients are sent, byte for byte, against testdata: lists, objects, watch events and
 // problems, from a controller that holds fixed objects and serves nothing else.
 func TestAnswersMatchGoldenBytes(t *testing.T) {
-	h, err := server.New(server.Config{Name: "controller", Seed: 1, SchedulerConfig: &config.Placer{Workloads: []string{"matcher"}}}, watchcache.New(EncodeWatchEvent), quiet)
+	s, err := server.New(server.Config{Name: "controller", Seed: 1, SchedulerConfig: &config.Placer{Workloads: []string{"matcher"}}}, watchcache.New(EncodeWatchEvent), quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	serve(t, h.Run, h.Stop)
-	fill(h.Cache)
-	handler := New(h)
+	serve(t, s.Run, s.Stop)
+	fill(s.Cache)
+	handler := New(s)
 	var got strings.Builder
 	for _, path := range []string{"/v1/jobs", "/v1/jobs?limit=1", "/v1/jobs?label=team%3Dnorth", "/v1/jobs?field=workload!%3Dmatcher",
 		"/v1/jobs/reports", "/v1/jobs/none", "/v1/jobs/reports/why", "/v1/jobs/none/why", "/v1/containers", "/v1/containers/reports.2",
@@ -54,7 +54,7 @@
 	for _, err := range []error{&server.NotPersistedError{Err: errors.New("no space")}, server.ErrStopped, server.ErrNotFound, watchcache.ErrCompacted,
 		&server.ConflictError{ID: "reports", Version: 41, Message: "it exists already"}, &server.InvalidFieldError{Field: "cores", Message: "-1 is not above 0"}} {
 		w := httptest.NewRecorder()
-		fail(w, err)
+		writeError(w, err)
 		record(&got, "error", w)
 	}
 	for _, o := range []any{
--- /dev/null
+++ b/internal/controller/api/helpers_test.go
@@ -0,0 +1,197 @@
+package api
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"glenport/internal/config"
+	"glenport/internal/controller/server"
+	"glenport/internal/controller/watchcache"
+	"glenport/internal/schedulerd"
+	"glenport/internal/testbed/emulator"
+	"glenport/scheduler"
+
+	"github.com/getkin/kin-openapi/openapi3"
+	"github.com/getkin/kin-openapi/openapi3filter"
+	"github.com/getkin/kin-openapi/routers"
+	"github.com/getkin/kin-openapi/routers/gorillamux"
+)
+
+var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+
+// fixture is a controller with its API, one scheduler and some emulated machines, all in this process.
+type fixture struct {
+	*testing.T
+	config     server.Config
+	controller *server.Server
+	api        *httptest.Server
+	machines   []*emulator.Machine
+	router     routers.Router // of the API's description
+}
+
+func startFixture(t *testing.T, machines int) *fixture {
+	t.Helper()
+	f := &fixture{T: t}
+	schedulerConfig, err := config.Load("../../../scenarios/why-placer.yaml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	f.startMachines(machines)
+	list := &emulator.List{Lag: 0, Notice: time.Second, Period: 50 * time.Millisecond, Address: (*emulator.Machine).Addr}
+	if schedulerConfig.ListAddr, err = list.Open(f.machines); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(list.Close)
+	schedulerConfig.Door, schedulerConfig.State, schedulerConfig.Terms.SchedulerCount = "127.0.0.1:0", "", 1
+	schedulerProcess, err := schedulerd.New(schedulerConfig, scheduler.New(schedulerConfig.Terms), quiet)
+	if err != nil {
+		t.Fatal(err)
+	}
+	serve(t, schedulerProcess.Run, schedulerProcess.Stop)
+	f.config = server.Config{Name: "keeper", Schedulers: []string{schedulerProcess.Addr()}, MachineList: schedulerConfig.ListAddr, Seed: 1,
+		SchedulerConfig: schedulerConfig, StateDir: t.TempDir()}
+	f.startController()
+	f.loadDescription()
+	return f
+}
+
+func (f *fixture) startMachines(machines int) {
+	f.Helper()
+	group := &emulator.Group{}
+	for i := range machines {
+		m := emulator.NewMachine(emulator.Shape{Name: fmt.Sprint("m", i), Cores: 24, Memory: 60, AcceptCores: 2, AcceptMemory: 1.5,
+			Admit: time.Millisecond, Queue: 100, Starts: 20, Start: 5 * time.Millisecond, Setup: 1, Kept: 5, ColdFor: time.Second,
+			ColdFrom: 1, YesRuns: true, NeedsKind: []int{-1, -1, -1, -1}}, group, uint64(i))
+		if err := m.Up(true); err != nil {
+			f.Fatal(err)
+		}
+		f.Cleanup(m.Close)
+		f.machines = append(f.machines, m)
+	}
+}
+
+func (f *fixture) loadDescription() {
+	f.Helper()
+	description, err := openapi3.NewLoader().LoadFromData(OpenAPI)
+	if err != nil {
+		f.Fatal(err)
+	}
+	if err := description.Validate(context.Background()); err != nil {
+		f.Fatal(err)
+	}
+	if f.router, err = gorillamux.NewRouter(description); err != nil {
+		f.Fatal(err)
+	}
+}
+
+// startController starts a controller on the fixture's state folder, and an API server of its own.
+func (f *fixture) startController() {
+	f.Helper()
+	var err error
+	if f.controller, err = server.New(f.config, watchcache.New(EncodeWatchEvent), quiet); err != nil {
+		f.Fatal(err)
+	}
+	serve(f.T, f.controller.Run, f.controller.Stop)
+	f.api = httptest.NewServer(New(f.controller))
+	f.Cleanup(f.api.Close)
+}
+
+// closeBody closes the body of a response that was read as far as the test needs it.
+func closeBody(t testing.TB, response *http.Response) {
+	t.Helper()
+	if err := response.Body.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+// serve runs a process until the end of the test.
+func serve(t *testing.T, run func() error, stop func()) {
+	done := make(chan error, 1)
+	go func() { done <- run() }()
+	t.Cleanup(func() {
+		stop()
+		if err := <-done; err != nil {
+			t.Error(err)
+		}
+	})
+}
+
+// do sends a request and checks the answer against the API's description. It returns the status and the decoded body.
+func (f *fixture) do(method, path, body string, headers ...string) (int, map[string]any) {
+	f.Helper()
+	request, err := http.NewRequest(method, f.api.URL+path, strings.NewReader(body))
+	if err != nil {
+		f.Fatal(err)
+	}
+	if body != "" {
+		request.Header.Set("Content-Type", "application/json")
+	}
+	for i := 0; i+1 < len(headers); i += 2 {
+		request.Header.Set(headers[i], headers[i+1])
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		f.Fatal(err)
+	}
+	defer closeBody(f, response)
+	data, err := io.ReadAll(response.Body)
+	if err != nil {
+		f.Fatal(err)
+	}
+	f.checkDescribed(request, response, data)
+	var decoded map[string]any
+	if len(data) > 0 {
+		if err := json.Unmarshal(data, &decoded); err != nil {
+			f.Errorf("%s %s: %q is not JSON: %v", method, path, data, err)
+		}
+	}
+	return response.StatusCode, decoded
+}
+
+func (f *fixture) checkDescribed(request *http.Request, response *http.Response, body []byte) {
+	f.Helper()
+	route, params, err := f.router.FindRoute(request)
+	if err != nil {
+		if response.StatusCode < 400 {
+			f.Errorf("%s %s is not described", request.Method, request.URL)
+		}
+		return
+	}
+	input := &openapi3filter.ResponseValidationInput{RequestValidationInput: &openapi3filter.RequestValidationInput{Request: request,
+		PathParams: params, Route: route}, Status: response.StatusCode, Header: response.Header,
+		Options: &openapi3filter.Options{IncludeResponseStatus: true}}
+	input.SetBodyBytes(body)
+	if err := openapi3filter.ValidateResponse(context.Background(), input); err != nil {
+		f.Errorf("%s %s: %d %s is not as described: %v", request.Method, request.URL, response.StatusCode, body, err)
+	}
+}
+
+// until waits until a condition holds.
+func (f *fixture) until(what string, holds func() bool) {
+	f.Helper()
+	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(end) {
+			f.Fatal("not in 20 s: " + what)
+		}
+	}
+}
+
+// count returns the number of containers that a field selector matches.
+func (f *fixture) count(query string) int {
+	_, out := f.do("GET", "/v1/containers?limit=1000&field="+query, "")
+	items, _ := out["items"].([]any)
+	return len(items)
+}
+
+// job returns the JSON of a job whose containers run for an hour.
+func job(id string, count int, cores float64) string {
+	return fmt.Sprintf(`{"id":%q,"service":"s","workload":"matcher","cores":%g,"memory_gib":0.1,"count":%d,"run_for_ms":3600000}`, id, cores, count)
+}
--- /dev/null
+++ b/internal/controller/api/jobs_test.go
@@ -0,0 +1,59 @@
+package api
+
+import (
+	"fmt"
+	"testing"
+)
+
+// Every answer is checked against the description.
+func TestJobIsCreatedChangedAndDeletedWithItsContainers(t *testing.T) {
+	f := startFixture(t, 3)
+	if code, j := f.do("POST", "/v1/jobs", job("a", 3, 0.5)); code != 201 || j["version"] == 0.0 {
+		t.Fatalf("created: %d %v", code, j)
+	}
+	f.until("three run", func() bool { return f.count("job=a,state=running") == 3 })
+	code, j := f.do("GET", "/v1/jobs/a", "")
+	if code != 200 || j["count"] != 3.0 {
+		t.Errorf("got %d %v", code, j)
+	}
+	version := fmt.Sprint(int(j["version"].(float64)))
+	if code, _ := f.do("PUT", "/v1/jobs/a", job("", 5, 0.5), "If-Match", version); code != 200 {
+		t.Errorf("changed: %d", code)
+	}
+	if code, p := f.do("PUT", "/v1/jobs/a", job("", 1, 0.5), "If-Match", version); code != 409 || p["version"] == nil {
+		t.Errorf("changed by an old version: %d %v", code, p)
+	}
+	f.until("five run", func() bool { return f.count("job=a,state=running") == 5 })
+	if code, why := f.do("GET", "/v1/jobs/a/why", ""); code != 200 || len(why["items"].([]any)) != 0 {
+		t.Errorf("why: %d %v", code, why)
+	}
+	f.do("GET", "/v1/containers/a.0", "")
+	if code, m := f.do("GET", "/v1/machines/m0", ""); code != 200 || m["kind"] != "small" {
+		t.Errorf("machine: %d %v", code, m)
+	}
+	f.do("GET", "/v1/machines?field=state=serving,kind!=large&limit=2", "")
+	if code, _ := f.do("DELETE", "/v1/jobs/a", ""); code != 204 {
+		t.Errorf("deleted: %d", code)
+	}
+	f.until("nothing is left", func() bool { return f.count("job=a") == 0 })
+	for _, m := range f.machines {
+		f.until("nothing runs", func() bool { s, ok := m.State(); return ok && s.Running == 0 })
+	}
+}
+
+func TestRetryWithIdempotencyKeyGetsTheFirstAnswer(t *testing.T) {
+	f := startFixture(t, 1)
+	_, first := f.do("POST", "/v1/jobs", job("a", 1, 1), "Idempotency-Key", "k")
+	if code, second := f.do("POST", "/v1/jobs", job("a", 1, 1), "Idempotency-Key", "k"); code != 201 || second["version"] != first["version"] {
+		t.Errorf("the repeat got %d %v, the first %v", code, second, first)
+	}
+	if code, p := f.do("POST", "/v1/jobs", job("b", 1, 1), "Idempotency-Key", "k"); code != 422 || p["field"] != "Idempotency-Key" {
+		t.Errorf("another body got %d %v", code, p)
+	}
+	if code, _ := f.do("POST", "/v1/jobs", job("", 1, 1), "Idempotency-Key", "l"); code != 422 {
+		t.Errorf("an invalid job got %d", code)
+	}
+	if code, _ := f.do("POST", "/v1/jobs", job("c", 1, 1), "Idempotency-Key", "l"); code != 201 {
+		t.Errorf("the key of the invalid job is not free again: %d", code)
+	}
+}
--- /dev/null
+++ b/internal/controller/api/objects.go
@@ -0,0 +1,95 @@
+package api
+
+import (
+	"fmt"
+	"net/http"
+	"strconv"
+
+	"glenport/internal/controller/server"
+	"glenport/internal/controller/watchcache"
+)
+
+const (
+	defaultPageSize = 100
+	maxPageSize     = 1000
+)
+
+// objectPage is one page of a list.
+type objectPage struct {
+	Items   []any  `json:"items"`
+	Version int64  `json:"version"`         // a watch from it misses nothing
+	After   string `json:"after,omitempty"` // where the next page begins; empty on the last one
+}
+
+// get returns the handler of one object of a kind.
+func (h *handler) get(kind string) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		o := h.server.Cache.Get(kind, r.PathValue("id"))
+		if o == nil {
+			writeError(w, server.ErrNotFound)
+			return
+		}
+		w.Header().Set("ETag", fmt.Sprintf("%q", strconv.FormatInt(o.Version, 10)))
+		writeJSON(w, http.StatusOK, withVersion(o))
+	}
+}
+
+// list returns the handler of a kind's list.
+func (h *handler) list(kind string) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		page, err := h.page(kind, r)
+		if err != nil {
+			writeError(w, err)
+			return
+		}
+		writeJSON(w, http.StatusOK, page)
+	}
+}
+
+func (h *handler) page(kind string, r *http.Request) (page objectPage, err error) {
+	query := r.URL.Query()
+	limit, err := pageSize(query.Get("limit"))
+	if err != nil {
+		return page, err
+	}
+	s, err := parseSelector(kind, query.Get("label"), query.Get("field"))
+	if err != nil {
+		return page, err
+	}
+	objects, version, more := h.server.Cache.List(kind, query.Get("after"), limit, s.matches)
+	page = objectPage{Items: []any{}, Version: version}
+	for _, o := range objects {
+		page.Items = append(page.Items, withVersion(o))
+	}
+	if more {
+		page.After = objects[len(objects)-1].ID
+	}
+	return page, nil
+}
+
+func pageSize(limit string) (int, error) {
+	if limit == "" {
+		return defaultPageSize, nil
+	}
+	n, err := strconv.Atoi(limit)
+	if err != nil || n < 1 || n > maxPageSize {
+		return 0, invalidField("limit", "%q is not from 1 to %d", limit, maxPageSize)
+	}
+	return n, nil
+}
+
+// withVersion returns an object's value with its version, which the cache alone knows.
+func withVersion(o *watchcache.Object) any {
+	switch value := o.Value.(type) {
+	case server.Job:
+		value.Version = o.Version
+		return value
+	case server.Container:
+		value.Version = o.Version
+		return value
+	case server.Machine:
+		value.Version = o.Version
+		return value
+	}
+	return o.Value
+}
--- /dev/null
+++ b/internal/controller/api/watch_test.go
@@ -0,0 +1,134 @@
+package api
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+
+	"glenport/internal/controller/server"
+)
+
+// A watch is cut while containers are placed, and resumed from its last version: no change is missed or sent twice, and every
+// container begins to run exactly once.
+func TestResumedWatchMissesNothing(t *testing.T) {
+	f := startFixture(t, 3)
+	_, list := f.do("GET", "/v1/containers", "")
+	from := int64(list["version"].(float64))
+	f.do("POST", "/v1/jobs", job("a", 40, 0.2))
+	running, seen := map[string]int{}, map[int64]bool{}
+	for round := 0; len(running) < 40; round++ {
+		if round > 50 {
+			t.Fatalf("%d run after %d watches", len(running), round)
+		}
+		for _, line := range f.watchLines(from, 9) {
+			if line.Type == watchBookmark {
+				from = max(from, line.Version)
+				continue
+			}
+			if seen[line.Version] || line.Version <= from {
+				t.Fatalf("version %d came twice, after %d", line.Version, from)
+			}
+			seen[line.Version], from = true, line.Version
+			if line.Object.State == "running" {
+				running[line.ID]++
+			}
+		}
+	}
+	for id, n := range running {
+		if n != 1 {
+			t.Errorf("%s began to run %d times", id, n)
+		}
+	}
+}
+
+// containerLine is a line of a watch on containers.
+type containerLine struct {
+	Type    string
+	Version int64
+	ID      string
+	Object  server.Container
+}
+
+// watchLines watches containers from a version and cuts the watch after some lines, or after its first bookmark.
+func (f *fixture) watchLines(from int64, limit int) (lines []containerLine) {
+	f.Helper()
+	response, err := http.Get(fmt.Sprintf("%s/v1/watch?kinds=containers&from=%d", f.api.URL, from))
+	if err != nil {
+		f.Fatal(err)
+	}
+	defer closeBody(f, response)
+	if response.StatusCode != http.StatusOK {
+		f.Fatalf("watch from %d: %s", from, response.Status)
+	}
+	for scanner := bufio.NewScanner(response.Body); len(lines) < limit && scanner.Scan(); {
+		var line containerLine
+		if err := json.Unmarshal(scanner.Bytes(), &line); err != nil {
+			f.Fatal(err)
+		}
+		lines = append(lines, line)
+		if line.Type == watchBookmark {
+			break
+		}
+	}
+	return lines
+}
+
+func TestStalledReaderHoldsUpNoOther(t *testing.T) {
+	f := startFixture(t, 1)
+	stalled, err := http.Get(f.api.URL + "/v1/watch?kinds=jobs")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeBody(t, stalled)
+	live, err := http.Get(f.api.URL + "/v1/watch?kinds=jobs")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeBody(t, live)
+	labels := fmt.Sprintf(`"labels":{"x":%q},`, strings.Repeat("y", 60))
+	const n = 3000
+	sent := make(chan struct{})
+	go func() {
+		defer close(sent)
+		for i := range n {
+			body := strings.Replace(job("a", 0, 1), `"service"`, labels+`"service"`, 1)
+			method, path := "PUT", "/v1/jobs/a"
+			if i == 0 {
+				method, path = "POST", "/v1/jobs"
+			}
+			sendJob(t, method, f.api.URL+path, body)
+		}
+	}()
+	lines, got := bufio.NewScanner(live.Body), 0
+	for got < n && lines.Scan() {
+		if strings.Contains(lines.Text(), `"changed"`) {
+			got++
+		}
+	}
+	<-sent
+	if got != n {
+		t.Errorf("the live reader got %d of %d", got, n)
+	}
+}
+
+// sendJob sends a job and drops the answer.
+func sendJob(t *testing.T, method, url, body string) {
+	request, err := http.NewRequest(method, url, strings.NewReader(body))
+	if err != nil {
+		t.Error(err)
+		return
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		t.Error(err)
+		return
+	}
+	defer closeBody(t, response)
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
+		t.Error(err)
+	}
+}
