--- a/internal/schedulerd/reconcile/actions.go
+++ b/internal/schedulerd/reconcile/actions.go
@@ -89,8 +89,8 @@
 
 // Log is a line for the log: constant text and its attributes.
 type Log struct {
-	Message string
-	Attrs   []slog.Attr
+	Message    string
+	Attributes []slog.Attr
 }
 
 func (CloseClient) action()         {}
--- a/internal/schedulerd/warmstart/message.go
+++ b/internal/schedulerd/warmstart/message.go
@@ -4,6 +4,6 @@
 
 // Message is a line for the log: constant text and its attributes.
 type Message struct {
-	Text  string
-	Attrs []slog.Attr
+	Text       string
+	Attributes []slog.Attr
 }
--- a/internal/schedulerd/warmstart/restore.go
+++ b/internal/schedulerd/warmstart/restore.go
@@ -49,7 +49,7 @@
 }
 
 func (r *Restored) message(text string, attrs ...slog.Attr) {
-	r.Messages = append(r.Messages, Message{Text: text, Attrs: attrs})
+	r.Messages = append(r.Messages, Message{Text: text, Attributes: attrs})
 }
 
 func millis(key string, t scheduler.Time) slog.Attr {
