--- a/internal/controller/api/helpers_test.go
+++ b/internal/controller/api/helpers_test.go
@@ -195,3 +195,18 @@
 func job(id string, count int, cores float64) string {
 	return fmt.Sprintf(`{"id":%q,"service":"s","workload":"matcher","cores":%g,"memory_gib":0.1,"count":%d,"run_for_ms":3600000}`, id, cores, count)
 }
+
+// get returns the answer for a path, with its body, as it is.
+func (f *fixture) get(path string) (*http.Response, string) {
+	f.Helper()
+	response, err := http.Get(f.api.URL + path)
+	if err != nil {
+		f.Fatal(err)
+	}
+	defer closeBody(f, response)
+	body, err := io.ReadAll(response.Body)
+	if err != nil {
+		f.Fatal(err)
+	}
+	return response, string(body)
+}
--- a/internal/controller/api/watch_test.go
+++ b/internal/controller/api/watch_test.go
@@ -77,6 +77,17 @@
 	return lines
 }
 
+func TestWatchWithoutChangesGetsABookmark(t *testing.T) {
+	f := startFixture(t, 1)
+	f.do("POST", "/v1/jobs", job("a", 0, 1)) // no containers, so the watch below has nothing to send
+	_, list := f.do("GET", "/v1/containers", "")
+	version := int64(list["version"].(float64))
+	lines := f.watchLines(version, 1)
+	if len(lines) != 1 || lines[0].Type != watchBookmark || lines[0].Version < version {
+		t.Errorf("got %+v, want a bookmark of version %d or later", lines, version)
+	}
+}
+
 func TestStalledReaderHoldsUpNoOther(t *testing.T) {
 	f := startFixture(t, 1)
 	stalled, err := http.Get(f.api.URL + "/v1/watch?kinds=jobs")
--- /dev/null
+++ b/internal/controller/server/explainer_test.go
@@ -0,0 +1,86 @@
+package server
+
+import (
+	"testing"
+
+	"glenport/internal/controller"
+	"glenport/internal/protocol"
+)
+
+// pendingContainer is a container of a job that the server shows, with one scheduler that counts as connected.
+func pendingContainer(s *Server) controller.Container {
+	s.publisher.put(KindJobs, "reports", validJob())
+	s.schedulers[1].connected = true
+	return controller.Container{Job: "reports", State: controller.StatePending, Scheduler: -1}
+}
+
+func TestExplainRequestsOfAJobShareAReply(t *testing.T) {
+	s := openServer(t)
+	c := pendingContainer(s)
+	var replies []*protocol.ExplainReply
+	collect := func(reply *protocol.ExplainReply) { replies = append(replies, reply) }
+	s.explainer.explain(c, collect)
+	c.Index = 1
+	s.explainer.explain(c, collect)
+	if len(replies) != 0 || len(s.explainer.open) != 1 {
+		t.Fatalf("%d replies and %d open requests, want one request", len(replies), len(s.explainer.open))
+	}
+	reply := &protocol.ExplainReply{Seq: s.explainer.lastSeq, Known: true, Machines: 7}
+	s.explainer.finish(reply.Seq, reply)
+	s.explainer.finish(reply.Seq, nil) // its timeout, after the reply
+	s.explainer.explain(c, collect)
+	if len(replies) != 3 || len(s.explainer.open) != 0 {
+		t.Fatalf("%d replies and %d open requests, want three replies", len(replies), len(s.explainer.open))
+	}
+	for _, got := range replies {
+		if got != reply {
+			t.Errorf("got %+v, want the shared reply", got)
+		}
+	}
+	if facts := s.pendingFacts(c, reply); !facts.Explained || facts.Explanation.Machines != 7 || facts.Schedulers != 2 ||
+		facts.SchedulersConnected != 1 || facts.SchedulerConnected {
+		t.Errorf("facts %+v", facts)
+	}
+}
+
+func TestUnansweredExplainRequestEndsWithoutReply(t *testing.T) {
+	s := openServer(t)
+	c := pendingContainer(s)
+	answers := 0
+	s.explainer.explain(c, func(reply *protocol.ExplainReply) {
+		if answers++; reply != nil {
+			t.Errorf("got %+v, want none", reply)
+		}
+	})
+	s.explainer.finish(s.explainer.lastSeq, nil)
+	if answers != 1 || len(s.explainer.recent) != 0 {
+		t.Errorf("%d answers and %d remembered, want one answer and none remembered", answers, len(s.explainer.recent))
+	}
+}
+
+func TestNothingIsAskedWhereNoExplanationCanCome(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		change func(*Server, *controller.Container)
+	}{
+		{"running", func(_ *Server, c *controller.Container) { c.State = controller.StateRunning }},
+		{"completed", func(_ *Server, c *controller.Container) { c.State = controller.StateCompleted }},
+		{"no scheduler connected", func(s *Server, _ *controller.Container) { s.schedulers[1].connected = false }},
+		{"unknown job", func(_ *Server, c *controller.Container) { c.Job = "none" }},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			s := openServer(t)
+			c := pendingContainer(s)
+			tc.change(s, &c)
+			answers := 0
+			s.explainer.explain(c, func(reply *protocol.ExplainReply) {
+				if answers++; reply != nil {
+					t.Errorf("got %+v, want none", reply)
+				}
+			})
+			if answers != 1 || len(s.explainer.open) != 0 {
+				t.Errorf("%d answers, %d open requests", answers, len(s.explainer.open))
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/controller/server/helpers_test.go
@@ -0,0 +1,29 @@
+package server
+
+import (
+	"io"
+	"log/slog"
+	"testing"
+
+	"glenport/internal/config"
+	"glenport/internal/controller/watchcache"
+	"glenport/scheduler"
+)
+
+// openServer opens a server without state and without connections. It does not serve: the test stands in for its loop.
+func openServer(t *testing.T) *Server {
+	t.Helper()
+	s, err := New(Config{Name: "controller", Schedulers: []string{"127.0.0.1:1", "127.0.0.1:2"}, Seed: 1,
+		SchedulerConfig: &config.Placer{Workloads: []string{"matcher"}, Customers: []string{"offices"}, Kinds: []string{"small", "large"},
+			Terms: scheduler.Config{WorkloadClasses: []scheduler.WorkloadClass{{}}}}},
+		watchcache.New(func(*watchcache.Object) []byte { return nil }), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(s.closeLoop)
+	return s
+}
+
+func validJob() Job {
+	return Job{ID: "reports", Service: "report", WorkloadClass: "matcher", Cores: 1, MemoryGiB: 1, Count: 1}
+}
--- /dev/null
+++ b/internal/controller/server/statestore_test.go
@@ -0,0 +1,66 @@
+package server
+
+import (
+	"errors"
+	"reflect"
+	"testing"
+
+	"glenport/internal/controller"
+	"glenport/internal/storage/wal"
+)
+
+func TestRejectedChangesAreRepeatedUnlessNewerOrOfAJob(t *testing.T) {
+	s := openServer(t)
+	st := &stateStore{server: s, unwritten: map[string]wal.Change{}}
+	change := func(kind, key, value string) wal.Change {
+		return wal.Change{Kind: kind, Key: key, Value: []byte(value)}
+	}
+	st.retryLater([]wal.Change{change(RecordOrphan, "o", "1"), change(RecordContainer, "b", "1"), change(RecordJob, "j", "1")})
+	st.retryLater([]wal.Change{change(RecordContainer, "b", "older"), change(RecordContainer, "a", "1")})
+	want := []wal.Change{change(RecordContainer, "a", "1"), change(RecordContainer, "b", "1"), change(RecordOrphan, "o", "1")}
+	if got := st.takeUnwritten(); !reflect.DeepEqual(got, want) {
+		t.Errorf("repeated %v, want %v", got, want)
+	}
+	if got := st.takeUnwritten(); len(got) != 0 {
+		t.Errorf("repeated again: %v", got)
+	}
+}
+
+func TestPlacementRequestWithoutStoredRecordIsNotSent(t *testing.T) {
+	s := openServer(t)
+	s.sendRequest(controller.SubmitRequest{RequestID: "reports/0#1"}, errors.New("no space"))
+	if len(s.events) != 1 {
+		t.Fatalf("%d events, want one", len(s.events))
+	}
+	answer, ok := s.events[0].(controller.PlacementAnswered)
+	if !ok || answer.RequestID != "reports/0#1" || answer.Verdict != controller.VerdictRefused || answer.RetryAfter == 0 {
+		t.Errorf("the controller gets %+v, want its request back as refused", s.events[0])
+	}
+}
+
+// A change that is decided while another of the same job is under way would be decided on what the other replaces.
+func TestChangesOfAJobAreMadeOneAfterAnother(t *testing.T) {
+	s := openServer(t)
+	s.jobChanges["reports"] = nil // one is under way
+	var decidedOn []*Job
+	change := &jobChange{job: "reports", decide: func(current *Job) (*JobRecord, controller.Event, error) {
+		decidedOn = append(decidedOn, current)
+		return &JobRecord{Job: validJob()}, controller.JobSet{Job: "reports"}, nil
+	}, done: func(_ int64, err error) {
+		if err != nil {
+			t.Error(err)
+		}
+	}}
+	s.startJobChange(change)
+	s.startJobChange(change)
+	if len(decidedOn) != 0 {
+		t.Fatal("decided while another change is under way")
+	}
+	s.startWaitingChanges("reports")
+	if len(decidedOn) != 2 || decidedOn[0] != nil || decidedOn[1] == nil || decidedOn[1].Version != 1 || len(s.events) != 2 {
+		t.Errorf("decided on %v with %d events, want the second change to see the first", decidedOn, len(s.events))
+	}
+	if _, busy := s.jobChanges["reports"]; busy {
+		t.Error("the job counts as busy after its last change")
+	}
+}
