--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -1,6 +1,10 @@
 package platform
 
 import (
+	"errors"
+	"io/fs"
+	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 
@@ -56,3 +60,31 @@
 		t.Errorf("%+v, %v", config, err)
 	}
 }
+
+// Errors of a file name the file and the line.
+func TestLoadConfigNamesTheFile(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "config.json")
+	if _, err := LoadConfig(path); !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("error %v", err)
+	}
+	for _, tc := range []struct{ old, with, wantError string }{
+		{"", "", ""},
+		{`"memory_mb":64`, `"memory_mb":"64"`, "line 2: "},
+		{`"connect_timeout_ms":250.0`, `"connect_timeout_ms":0`, "settings: permissions.connect_timeout_ms"},
+	} {
+		text := strings.Replace(configJSON("127.0.0.1:1", 256), tc.old, tc.with, 1)
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		config, err := LoadConfig(path)
+		if tc.wantError == "" {
+			if err != nil || config.Name != "n0" || config.MemoryMB != 64 || config.MaxDescriptors != 256 {
+				t.Errorf("loaded %+v, %v", config, err)
+			}
+			continue
+		}
+		if err == nil || !strings.HasPrefix(err.Error(), path+": "+tc.wantError) {
+			t.Errorf("error %v, want %q", err, tc.wantError)
+		}
+	}
+}
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -1,6 +1,7 @@
 package platform
 
 import (
+	"errors"
 	"strings"
 	"testing"
 	"time"
@@ -103,3 +104,32 @@
 		t.Errorf("got %+v", e)
 	}
 }
+
+// Entries that do not fit the settings are left out of an event and named, and an event that cannot be read is an error.
+func TestInvalidEntriesAreLeftOut(t *testing.T) {
+	config := testConfig(t)
+	good := machineJSON("a", "127.0.0.1:1", "ready", 3)
+	gone := strings.Replace(machineJSON("b", "", "gone", 0), "large", "huge", 1)
+	event, err := config.decodeWatchEvent([]byte(eventJSON(2, true, good,
+		machineJSON("", "127.0.0.1:1", "ready", 0), machineJSON("c", "nowhere", "ready", 0), machineJSON("d", "127.0.0.1:1", "resting", 0), gone)))
+	if err != nil || event.offset != 2 || event.version != 2 || !event.fullSnapshot || len(event.machines) != 2 || len(event.invalidEntries) != 3 {
+		t.Fatalf("decoded %+v, %v", event, err)
+	}
+	a := scheduler.MachineEntry{Machine: "a", Zone: 1, MachineType: 1, RackGroup: 2, PowerHint: 1, FreeCores: 40.5, FreeMemory: 100,
+		StartedAt: 3 * scheduler.Millisecond}
+	if got := event.machines[0]; got != (machineUpdate{a, "127.0.0.1:1"}) {
+		t.Errorf("machine a is %+v", got)
+	}
+	if b := event.machines[1]; b.entry.Machine != "b" || b.entry.State != scheduler.MachineGone || b.addr != "" {
+		t.Errorf("machine b is %+v", b)
+	}
+	if !errors.Is(event.invalidEntries[0], errNoMachineID) {
+		t.Errorf("error %v", event.invalidEntries[0])
+	}
+	if _, err := config.decodeWatchEvent([]byte(`{"offset":-1}`)); !errors.Is(err, errNegativeOffset) {
+		t.Errorf("error %v", err)
+	}
+	if event, err := config.decodeWatchEvent([]byte(`{"offset":7}`)); err != nil || !event.offsetOnly || event.offset != 7 {
+		t.Errorf("decoded %+v, %v", event, err)
+	}
+}
