--- /dev/null
+++ b/internal/eventloop/order_test.go
@@ -0,0 +1,322 @@
+package eventloop
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// callbackOrder is what a scripted exchange must lead to, one iteration of the loop a paragraph. Within an iteration the
+// order is: posted callbacks as posted, sockets as they became ready, timers by expiry and then as scheduled, onIteration,
+// connections that close at the flush as they were queued, onFlushed. Reset notifies its handler before it returns.
+const callbackOrder = `
+posted before Run
+iteration
+flushed
+
+opened 0
+opened 1
+opened 2
+opened 3
+opened 4
+opened 5
+opened 6
+opened 7
+iteration
+flushed
+
+opened 8
+iteration
+flushed
+
+posted first
+posted second
+read 2: 1 bytes
+read 0: 1 bytes
+read 1: 1 bytes
+timer of 1 tick, scheduled first
+timer of 1 tick, scheduled second
+timer of 3 ticks
+iteration
+flushed
+
+closed 4: EOF
+closed 5: reset
+iteration
+closed 3: closed here
+flushed
+
+read 6: 65536 bytes
+read 6: 10 bytes
+closed 6: EOF
+iteration
+flushed
+
+iteration
+flushed
+
+read 7: 1 bytes
+iteration
+closed 0: closed here
+closed 1: closed here
+flushed
+
+opened dialed
+closed without address: connect failed
+iteration
+flushed
+
+posted that resets a connection
+closed dialed: closed here
+closed 2: EOF
+iteration
+closed 8: closed here
+flushed
+
+read 7: 2 bytes
+iteration
+flushed
+
+closed 7: closed here
+`
+
+// exchange is a loop on the test's goroutine, its peers, and the record of its callbacks.
+type exchange struct {
+	t        *testing.T
+	loop     *Loop
+	listener *Listener
+	record   strings.Builder
+	accepted []*Conn
+	peers    []int // descriptors of the peers, in the order of accepted
+	dialed   *Conn
+}
+
+func (e *exchange) note(format string, args ...any) { fmt.Fprintf(&e.record, format+"\n", args...) }
+
+// must fails the test where the script itself cannot be played.
+func (e *exchange) must(err error) {
+	e.t.Helper()
+	if err != nil {
+		e.t.Fatal(err)
+	}
+}
+
+// until waits for a state of the kernel that the next step builds on.
+func (e *exchange) until(what string, reached func() bool) {
+	e.t.Helper()
+	for deadline := time.Now().Add(20 * time.Second); !reached(); time.Sleep(100 * time.Microsecond) {
+		if time.Now().After(deadline) {
+			e.t.Fatalf("not in 20 s: %s", what)
+		}
+	}
+}
+
+// ready waits until a connection of the loop has one of the events for the next iteration.
+func (e *exchange) ready(c *Conn, events int16) {
+	e.t.Helper()
+	e.until("connection ready", func() bool {
+		fds := []unix.PollFd{{Fd: int32(c.fd), Events: events}}
+		n, _ := unix.Poll(fds, 0) // an interrupted poll is one more try
+		return n == 1 && fds[0].Revents&events != 0
+	})
+}
+
+// connect opens a peer and waits for its place in the accept queue.
+func (e *exchange) connect() {
+	e.t.Helper()
+	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	e.must(err)
+	e.must(unix.Connect(fd, sockaddr(e.listener.Addr())))
+	e.peers = append(e.peers, fd)
+	queued := uint32(len(e.peers) - len(e.accepted))
+	e.until("peer in the accept queue", func() bool {
+		info, err := unix.GetsockoptTCPInfo(e.listener.fd, unix.IPPROTO_TCP, unix.TCP_INFO)
+		e.must(err)
+		return info.Unacked == queued // of a listening socket: the length of its accept queue
+	})
+}
+
+// send writes to a connection from its peer and waits until it can be read.
+func (e *exchange) send(peer int, bytes []byte) {
+	e.t.Helper()
+	_, err := unix.Write(e.peers[peer], bytes)
+	e.must(err)
+	e.until("bytes arrived", func() bool {
+		n, err := unix.IoctlGetInt(e.accepted[peer].fd, unix.TIOCINQ)
+		e.must(err)
+		return n == len(bytes)
+	})
+}
+
+// recorder is the handler of one connection of an exchange.
+type recorder struct {
+	exchange *exchange
+	name     string
+}
+
+func (r *recorder) Opened(*Conn) { r.exchange.note("opened %s", r.name) }
+
+// Read answers with the first byte.
+func (r *recorder) Read(c *Conn, p []byte) {
+	r.exchange.note("read %s: %d bytes", r.name, len(p))
+	r.exchange.must(c.Write(p[:1]))
+}
+
+func (r *recorder) Closed(_ *Conn, reason error) {
+	kind := reason.Error()
+	for _, known := range []struct {
+		err  error
+		name string
+	}{{io.EOF, "EOF"}, {ErrReset, "reset"}, {ErrClosed, "closed here"}, {ErrConnectFailed, "connect failed"}} {
+		if errors.Is(reason, known.err) {
+			kind = known.name
+		}
+	}
+	r.exchange.note("closed %s: %s", r.name, kind)
+}
+
+// farewell is a recorder that echoes what it reads and then closes the connection.
+type farewell struct{ *recorder }
+
+func (f farewell) Read(c *Conn, p []byte) {
+	f.exchange.must(c.Write(p))
+	c.Close()
+}
+
+// accept names connections by the order in which they are accepted.
+func (e *exchange) accept() (Handler, int) {
+	r := &recorder{e, fmt.Sprint(len(e.accepted))}
+	e.accepted = append(e.accepted, nil)
+	if r.name == "3" {
+		return kept{farewell{r}, e, 3}, 100
+	}
+	return kept{r, e, len(e.accepted) - 1}, 100
+}
+
+// kept keeps the connection for the script.
+type kept struct {
+	Handler
+	exchange *exchange
+	index    int
+}
+
+func (k kept) Opened(c *Conn) {
+	k.exchange.accepted[k.index] = c
+	k.Handler.Opened(c)
+}
+
+// steps is the script: each runs as the onIteration of one iteration and prepares the next.
+func (e *exchange) steps(otherListener string) []func() {
+	return []func(){
+		func() {
+			for range maxAcceptsPerIteration + 1 {
+				e.connect()
+			}
+		},
+		func() {}, // the last of the accept queue
+		func() {
+			e.send(2, []byte("a"))
+			e.send(0, []byte("b"))
+			e.send(1, []byte("c"))
+			e.loop.Post(func() { e.note("posted first") })
+			e.loop.Post(func() { e.note("posted second") })
+			e.loop.After(3, func() { e.note("timer of 3 ticks") })
+			e.loop.After(1, func() { e.note("timer of 1 tick, scheduled first") })
+			e.loop.Cancel(e.loop.After(2, func() { e.note("cancelled timer") }))
+			e.loop.After(1, func() { e.note("timer of 1 tick, scheduled second") })
+			time.Sleep(2 * time.Millisecond)
+		},
+		func() {
+			e.send(3, []byte("bye"))
+			e.must(unix.Shutdown(e.peers[4], unix.SHUT_WR))
+			e.ready(e.accepted[4], unix.POLLRDHUP)
+			e.must(unix.SetsockoptLinger(e.peers[5], unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1}))
+			e.must(unix.Close(e.peers[5]))
+			e.peers[5] = -1
+			e.ready(e.accepted[5], unix.POLLERR|unix.POLLHUP)
+		},
+		func() {
+			e.send(6, make([]byte, readBufferSize+10))
+			e.must(unix.Shutdown(e.peers[6], unix.SHUT_WR))
+			e.ready(e.accepted[6], unix.POLLRDHUP)
+		},
+		func() {
+			e.accepted[7].SetReadPaused(true)
+			e.send(7, []byte("z"))
+		},
+		func() {
+			e.accepted[7].SetReadPaused(false)
+			e.ready(e.accepted[7], unix.POLLIN)
+		},
+		func() {
+			for _, c := range e.accepted[:2] {
+				e.must(c.Write([]byte("last")))
+				c.Close()
+			}
+			e.dialed = e.loop.Dial(otherListener, &recorder{e, "dialed"}, 100, Second)
+			e.ready(e.dialed, unix.POLLOUT)
+			e.loop.Dial("nowhere", &recorder{e, "without address"}, 100, Second)
+			time.Sleep(2 * time.Millisecond)
+		},
+		func() {
+			e.loop.Post(func() {
+				e.note("posted that resets a connection")
+				e.dialed.Reset()
+			})
+			e.accepted[2].CloseWrite()
+			e.must(unix.Shutdown(e.peers[2], unix.SHUT_WR))
+			e.ready(e.accepted[2], unix.POLLRDHUP)
+		},
+		func() {
+			e.accepted[8].Reset()
+			e.send(7, []byte("zz"))
+			e.loop.StopWhenIdle()
+		},
+		func() { e.loop.StopWhenIdle() },
+	}
+}
+
+func TestCallbacksComeInTheOrderOfTheirPhases(t *testing.T) {
+	e := &exchange{t: t}
+	var steps []func()
+	loop, err := New(func() {
+		e.note("iteration")
+		e.loop.SkipWait()
+		steps[0]()
+		steps = steps[1:]
+	})
+	e.must(err)
+	e.loop = loop
+	loop.OnFlushed(func() { e.note("flushed\n") })
+	e.listener, err = loop.Listen("127.0.0.1:0", e.accept, func(err error) { e.note("accept state: %v", err) })
+	e.must(err)
+
+	other, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	e.must(err)
+	e.must(unix.Bind(other, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
+	e.must(unix.Listen(other, 1))
+	bound, err := unix.Getsockname(other)
+	e.must(err)
+	steps = e.steps(addrPort(bound).String())
+	t.Cleanup(func() {
+		for _, fd := range append(e.peers, other) {
+			if fd >= 0 {
+				e.must(unix.Close(fd))
+			}
+		}
+	})
+
+	loop.Post(func() { e.note("posted before Run") })
+	e.must(loop.Run())
+	if got := "\n" + e.record.String(); got != callbackOrder {
+		t.Errorf("callbacks came in this order:\n%s\nwant:\n%s", got, callbackOrder)
+	}
+	if len(steps) != 0 || loop.ConnCount() != 0 {
+		t.Errorf("%d steps left unplayed, %d connections left", len(steps), loop.ConnCount())
+	}
+}
