--- /dev/null
+++ b/internal/eventloop/dial.go
@@ -0,0 +1,84 @@
+package eventloop
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+
+	"golang.org/x/sys/unix"
+)
+
+// Dial begins to connect to addr, an IP address and port. The handler is notified by Opened, or by Closed with
+// ErrConnectFailed or ErrLocalResources, never before Dial has returned. maxOutput limits the pending output in bytes; the
+// connection fails unless it is established within timeout ticks.
+func (l *Loop) Dial(addr string, handler Handler, maxOutput int, timeout Tick) *Conn {
+	return l.DialWithControl(addr, handler, maxOutput, timeout, nil)
+}
+
+// DialWithControl is Dial with a function that prepares the socket before it connects; an error of it fails the connection.
+func (l *Loop) DialWithControl(addr string, handler Handler, maxOutput int, timeout Tick, control func(fd int) error) *Conn {
+	conn := &Conn{loop: l, fd: -1, handler: handler, maxOutput: maxOutput}
+	l.countConn()
+	if err := conn.connect(addr, timeout, control); err != nil {
+		l.connCount--
+		conn.closed = true
+		kind := ErrConnectFailed
+		if isLocalResourceError(err) {
+			kind = ErrLocalResources
+		}
+		l.wheel.Schedule(l.now, func() { conn.reportClosed(fmt.Errorf("%w: %s: %w", kind, addr, err)) })
+	}
+	return conn
+}
+
+// connect starts the connection; on an error nothing of it is left.
+func (c *Conn) connect(addr string, timeout Tick, control func(fd int) error) error {
+	address, err := netip.ParseAddrPort(addr)
+	if err != nil {
+		return err
+	}
+	fd, err := unix.Socket(family(address), unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		return err
+	}
+	if err := c.startConnect(fd, address, control); err != nil {
+		closeFD(fd)
+		return err
+	}
+	c.fd = fd
+	c.connectTimer = c.loop.After(timeout, func() {
+		c.fail(fmt.Errorf("%w: %s: no answer within %d ms", ErrConnectFailed, addr, timeout/Millisecond))
+	})
+	return nil
+}
+
+// startConnect prepares the socket, begins the handshake, and has the socket watched for its end.
+func (c *Conn) startConnect(fd int, address netip.AddrPort, control func(fd int) error) error {
+	setNoDelay(fd)
+	if control != nil {
+		if err := control(fd); err != nil {
+			return err
+		}
+	}
+	if err := unix.Connect(fd, sockaddr(address)); err != nil && !errors.Is(err, unix.EINPROGRESS) {
+		return err
+	}
+	return c.loop.register(fd, unix.EPOLLOUT, c)
+}
+
+// finishConnect takes the result of the handshake and notifies the handler. Output written meanwhile follows in the flush
+// of this iteration.
+func (c *Conn) finishConnect() {
+	c.loop.Cancel(c.connectTimer)
+	c.connectTimer = nil
+	if err := socketError(c.fd); err != nil {
+		c.fail(fmt.Errorf("%w: %w", ErrConnectFailed, err))
+		return
+	}
+	c.open = true
+	c.updateEvents()
+	c.handler.Opened(c)
+	if len(c.output) > 0 {
+		c.queueFlush()
+	}
+}
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -12,7 +12,7 @@
 )
 
 // callbackOrder is what a scripted exchange must lead to, one iteration of the loop a paragraph. Within an iteration the
-// order is: posted callbacks as posted, sockets as they became ready, timers by expiry and then as scheduled, onIteration,
+// order is: posted callbacks as posted, sockets as they became ready, timers by expiry, onIteration,
 // connections that close at the flush as they were queued, onFlushed. Reset notifies its handler before it returns.
 const callbackOrder = `
 posted before Run
--- /dev/null
+++ b/internal/eventloop/timers.go
@@ -0,0 +1,35 @@
+package eventloop
+
+import "time"
+
+// After schedules a callback to run once, delay ticks after Now, with the timers of the first iteration at that time or
+// later, and never before After has returned. Where the delay is not positive, that is this iteration if its timers have not
+// run yet, else the next one.
+func (l *Loop) After(delay Tick, callback func()) *Timer {
+	return l.wheel.Schedule(l.now+delay, callback)
+}
+
+// Cancel keeps a timer from running. It has no effect on nil and on timers that have run or were cancelled.
+func (l *Loop) Cancel(timer *Timer) { l.wheel.Cancel(timer) }
+
+// TimerCount is the number of timers scheduled and not yet run or cancelled.
+func (l *Loop) TimerCount() int { return l.wheel.Len() }
+
+// readClock reads the loop's clock: wall time at New, advanced by monotonic time.
+func (l *Loop) readClock() Tick {
+	return l.base + Tick(time.Since(l.started).Microseconds()/microsecondsPerTick)
+}
+
+// waitTimeout is how long to wait for events, in milliseconds; -1 means without limit. It is rounded up: a timer may run up
+// to a millisecond late, never early.
+func (l *Loop) waitTimeout() int {
+	if l.skipWait || l.stopWhenIdle {
+		return 0
+	}
+	expiry, scheduled := l.wheel.NextExpiry()
+	if !scheduled {
+		return -1
+	}
+	left := expiry - l.readClock()
+	return int(min(max(0, (left+Millisecond-1)/Millisecond), maxWaitMilliseconds))
+}
--- a/internal/eventloop/wheel.go
+++ b/internal/eventloop/wheel.go
@@ -5,9 +5,10 @@
 // Tick is a moment or a span on a loop's clock, in tenths of a millisecond.
 type Tick int64
 
+// Common spans.
 const (
 	Millisecond Tick = 10
-	Second      Tick = 10_000
+	Second      Tick = 1000 * Millisecond
 )
 
 const (
@@ -17,60 +18,65 @@
 	maxSpan  = Tick(1)<<(slotBits*levels) - 1 // some 13 years
 )
 
-// Timer is a moment at which something is due. It belongs to one wheel.
+// Timer is a callback scheduled on one wheel. It runs at most once.
 type Timer struct {
 	expiry     Tick
 	callback   func()
-	prev, next *Timer
-	slot       *slot
+	prev, next *Timer // in the list of its slot
+	slot       *slot  // nil: has run or was cancelled; &expiringSlot: about to run
 }
 
+// slot holds the timers whose expiry has its index as the digit of its level.
 type slot struct {
 	level, index int
-	first        *Timer
+	first        *Timer // the one inserted last
 }
 
-// TimerWheel is a hierarchical timing wheel: each level holds 64 slots, each slot of a level spans all of the
-// level below. Setting and cancelling take constant time; a timer moves down at most once a level.
+// TimerWheel is a hierarchical timing wheel: each level holds 64 slots, and each slot of a level spans all of the level
+// below. Scheduling and cancelling take constant time; a timer moves down at most once a level. It is not safe for use by
+// several goroutines.
 type TimerWheel struct {
 	now      Tick
 	size     int
-	occupied [levels]uint64
+	occupied [levels]uint64 // bit i: slot i of the level holds a timer
 	slots    [levels][slots]slot
 }
 
+// NewTimerWheel creates an empty wheel at the time now.
 func NewTimerWheel(now Tick) *TimerWheel {
 	w := &TimerWheel{now: now}
-	for l := range w.slots {
-		for i := range w.slots[l] {
-			w.slots[l][i] = slot{level: l, index: i}
+	for level := range w.slots {
+		for index := range w.slots[level] {
+			w.slots[level][index] = slot{level: level, index: index}
 		}
 	}
 	return w
 }
 
-// Len is the number of timers set.
+// Len is the number of timers scheduled and not yet run or cancelled.
 func (w *TimerWheel) Len() int { return w.size }
 
-// Schedule makes do run in the first Advance to at or later, never in the one that is under way.
+// Schedule has a callback run by the first Advance to the time at or later, never by one that is under way. A time further
+// away than half the wheel's span, some six years, is brought forward to that.
 func (w *TimerWheel) Schedule(at Tick, callback func()) *Timer {
-	timer := &Timer{expiry: max(at, w.now+1), callback: callback}
-	timer.expiry = min(timer.expiry, w.now+maxSpan/2)
+	expiry := min(max(at, w.now+1), w.now+maxSpan/2)
+	timer := &Timer{expiry: expiry, callback: callback}
 	w.insert(timer)
 	w.size++
 	return timer
 }
 
-// Cancel takes a timer out; it tells whether the timer was still set.
-func (w *TimerWheel) Cancel(t *Timer) bool {
-	if t == nil || t.slot == nil {
+// Cancel keeps a timer from running and reports whether it was still scheduled. A nil timer is not.
+func (w *TimerWheel) Cancel(timer *Timer) bool {
+	if timer == nil || timer.slot == nil {
 		return false
 	}
-	w.remove(t)
+	w.remove(timer)
 	w.size--
 	return true
 }
 
+// insert puts a timer in the slot of the highest digit in which its expiry differs from now.
 func (w *TimerWheel) insert(t *Timer) {
 	level := (bits.Len64(uint64(t.expiry^w.now)|(slots-1)) - 1) / slotBits
 	level = min(level, levels-1)
@@ -99,7 +105,8 @@
 	t.slot, t.prev, t.next = nil, nil, nil
 }
 
-// earliestSlot is the slot that is due first and when it is; its timers may be due later.
+// earliestSlot is the occupied slot that begins first, and when it begins; its timers may expire later. It is nil on an
+// empty wheel.
 func (w *TimerWheel) earliestSlot() (*slot, Tick) {
 	for level := range levels {
 		occupied := w.occupied[level]
@@ -107,54 +114,69 @@
 			continue
 		}
 		shift := slotBits * level
-		turn := Tick(1) << (shift + slotBits)
+		revolution := Tick(1) << (shift + slotBits) // the span of all slots of the level
 		cursor := int(w.now>>shift) & (slots - 1)
 		ahead := bits.TrailingZeros64(bits.RotateLeft64(occupied, -cursor))
 		index := (cursor + ahead) & (slots - 1)
-		at := w.now&^(turn-1) + Tick(index)<<shift
+		begin := w.now&^(revolution-1) + Tick(index)<<shift
 		if index < cursor {
-			at += turn
+			begin += revolution
 		}
-		return &w.slots[level][index], at
+		return &w.slots[level][index], begin
 	}
 	return nil, 0
 }
 
-// NextExpiry is the moment at which Advance has something to do.
-func (w *TimerWheel) NextExpiry() (Tick, bool) {
-	s, at := w.earliestSlot()
-	return at, s != nil
+// NextExpiry is the time at which Advance next has work, never later than the first expiry; false on an empty wheel.
+func (w *TimerWheel) NextExpiry() (at Tick, scheduled bool) {
+	s, begin := w.earliestSlot()
+	return begin, s != nil
 }
 
-// Advance moves the wheel on to now and runs what is due, in order of time.
+// Advance moves the wheel on to now and runs the callbacks that have expired, by expiry. Those of one tick run in an order
+// that depends only on the calls before: as scheduled, reversed by each move to a lower level. The callbacks may schedule
+// and cancel timers.
 func (w *TimerWheel) Advance(now Tick) {
 	for {
-		s, at := w.earliestSlot()
-		if s == nil || at > now {
+		s, begin := w.earliestSlot()
+		if s == nil || begin > now {
 			w.now = max(w.now, now)
 			return
 		}
-		w.now = max(w.now, at)
-		// All of the slot is taken out before anything runs: what runs may set or cancel timers.
-		var due []*Timer
-		for t := s.first; t != nil; t = s.first {
-			w.remove(t)
-			if t.expiry > w.now {
-				w.insert(t)
-				continue
-			}
-			t.slot = &expiringSlot
-			due = append(due, t)
+		w.now = max(w.now, begin)
+		w.runExpired(w.takeExpired(s))
+	}
+}
+
+// takeExpired empties a slot that has begun: timers that expire later move to lower levels, the others are returned. The
+// slot is empty before the first callback runs, as callbacks may schedule timers into it.
+func (w *TimerWheel) takeExpired(s *slot) []*Timer {
+	var expired []*Timer
+	for t := s.first; t != nil; t = s.first {
+		w.remove(t)
+		if t.expiry > w.now {
+			w.insert(t)
+			continue
 		}
-		for i := len(due) - 1; i >= 0; i-- { // a slot's list starts with the timer set last
-			if t := due[i]; t.slot == &expiringSlot {
-				t.slot = nil
-				w.size--
-				t.callback()
-			}
+		t.slot = &expiringSlot
+		expired = append(expired, t)
+	}
+	return expired
+}
+
+// runExpired runs the callbacks of timers taken from a slot, the last one first, as a slot's list begins with the timer that
+// was inserted last. A timer that an earlier callback cancels does not run.
+func (w *TimerWheel) runExpired(expired []*Timer) {
+	for i := len(expired) - 1; i >= 0; i-- {
+		t := expired[i]
+		if t.slot != &expiringSlot {
+			continue
 		}
+		t.slot = nil
+		w.size--
+		t.callback()
 	}
 }
 
-// expiringSlot marks timers taken out to be run; cancelling one of them keeps it from running.
+// expiringSlot marks timers that were taken from their slot to be run, so that Cancel still finds them scheduled.
 var expiringSlot slot
