--- a/internal/bgp/speaker/speaker.go
+++ b/internal/bgp/speaker/speaker.go
@@ -105,7 +105,7 @@
 	if s.place.Listen != "" {
 		var err error
 		if s.listener, err = s.loop.Listen(s.place.Listen, func() (eventloop.Handler, int) { return &peerConn{called: true, p: &peer{s: s}}, output },
-			s.loop.AcceptStateLogger(s.log, "BGP callers")); err != nil {
+			s.loop.AcceptStateLogger(s.log, "BGP peers")); err != nil {
 			return err
 		}
 		for _, p := range s.peers {
--- /dev/null
+++ b/internal/eventloop/conn_test.go
@@ -0,0 +1,155 @@
+package eventloop
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"net"
+	"syscall"
+	"testing"
+)
+
+func TestEchoedBytesAreCompleteAndInOrder(t *testing.T) {
+	l, handler := runLoop(t, func() {}), newEcho(t)
+	peer := dial(t, listen(t, l, handler, 1<<20, nil))
+	sent := bytes.Repeat([]byte("container "), 50_000)
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		_, err := peer.Write(sent)
+		check(t, err)
+		check(t, peer.CloseWrite())
+	}()
+	got, err := io.ReadAll(peer)
+	if err != nil || !bytes.Equal(got, sent) {
+		t.Errorf("%d of %d bytes came back, %v", len(got), len(sent), err)
+	}
+	<-done
+	closedByEOF(t, handler)
+}
+
+func TestEachEndIsReportedOnceWithItsReason(t *testing.T) {
+	for _, tc := range []struct {
+		name string
+		end  func(t *testing.T, l *Loop, c *Conn, peer *net.TCPConn)
+		want error
+	}{
+		{"peer closes", func(t *testing.T, _ *Loop, _ *Conn, peer *net.TCPConn) { check(t, peer.Close()) }, io.EOF},
+		{"peer resets", func(t *testing.T, _ *Loop, _ *Conn, peer *net.TCPConn) {
+			check(t, peer.SetLinger(0))
+			check(t, peer.Close())
+		}, ErrReset},
+		{"closed locally after the last byte", func(t *testing.T, l *Loop, c *Conn, peer *net.TCPConn) {
+			l.Post(func() {
+				check(t, c.Write([]byte("last")))
+				c.Close()
+			})
+			if got, err := io.ReadAll(peer); string(got) != "last" || err != nil {
+				t.Errorf("peer got %q, %v", got, err)
+			}
+		}, ErrClosed},
+		{"reset locally", func(t *testing.T, l *Loop, c *Conn, peer *net.TCPConn) {
+			l.Post(c.Reset)
+			if _, err := io.ReadAll(peer); !errors.Is(err, syscall.ECONNRESET) {
+				t.Errorf("peer got %v", err)
+			}
+		}, ErrClosed},
+		{"write side closed locally, then by the peer", func(t *testing.T, l *Loop, c *Conn, peer *net.TCPConn) {
+			l.Post(c.CloseWrite)
+			if got, err := io.ReadAll(peer); len(got) > 0 || err != nil {
+				t.Errorf("peer got %q, %v", got, err)
+			}
+			check(t, peer.Close())
+		}, io.EOF},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			l, handler := runLoop(t, func() {}), newProbe()
+			peer := dial(t, listen(t, l, handler, 1<<20, nil))
+			tc.end(t, l, wait(t, handler.opened), peer)
+			if reason := wait(t, handler.closed); !errors.Is(reason, tc.want) {
+				t.Errorf("closed by %v, want %v", reason, tc.want)
+			}
+			if n := call(l, func() int { l.SkipWait(); return len(handler.closed) }); n != 0 {
+				t.Errorf("closed is reported %d times more", n)
+			}
+			if n := call(l, l.ConnCount); n != 0 {
+				t.Errorf("%d connections left", n)
+			}
+		})
+	}
+}
+
+func TestPeerThatReadsNothingFillsOnlyItsOwnOutput(t *testing.T) {
+	l, stuck := runLoop(t, func() {}), newProbe()
+	dial(t, listen(t, l, stuck, 1<<20, nil))
+	c := wait(t, stuck.opened)
+	taken := call(l, func() int {
+		n := 0
+		for c.Write(make([]byte, 64<<10)) == nil {
+			n++
+		}
+		return n
+	})
+	if taken != 16 {
+		t.Errorf("%d writes taken, want 16", taken)
+	}
+	peer := dial(t, listen(t, l, newEcho(t), 1<<20, nil))
+	_, err := peer.Write([]byte("ping"))
+	check(t, err)
+	got := make([]byte, 4)
+	if _, err := io.ReadFull(peer, got); err != nil || string(got) != "ping" {
+		t.Errorf("%q, %v", got, err)
+	}
+}
+
+// observer is a probe that runs a function on the loop when its connection is closed.
+type observer struct {
+	*probe
+	onClosed func()
+}
+
+func (o observer) Closed(c *Conn, reason error) {
+	o.onClosed()
+	o.probe.Closed(c, reason)
+}
+
+func TestPeerThatHungUpIsReadToItsEndInOneIteration(t *testing.T) {
+	for _, tc := range []struct {
+		name    string
+		prepare func(c *Conn)
+		sent    int // bytes, before the peer hangs up
+	}{
+		{"sends and hangs up", func(*Conn) {}, readBufferSize / 2},
+		{"while reading is paused", func(c *Conn) { c.SetReadPaused(true) }, readBufferSize / 2},
+		{"while output is blocked", func(c *Conn) {
+			for c.Write(make([]byte, 1<<20)) == nil {
+			}
+		}, 1},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			iteration, read, first, last := 0, 0, -1, 0
+			l := runLoop(t, func() { iteration++ })
+			handler := observer{newProbe(), func() { last = iteration }}
+			handler.onRead = func(_ *Conn, p []byte) {
+				if read += len(p); first < 0 {
+					first = iteration
+				}
+			}
+			peer := dial(t, listen(t, l, handler, 32<<20, nil))
+			c := wait(t, handler.opened)
+			do(l, func() { tc.prepare(c) })
+			do(l, func() { // the loop reads nothing until all is sent
+				check(t, peer.SetReadBuffer(1<<10))
+				_, err := peer.Write(make([]byte, tc.sent))
+				check(t, err)
+				check(t, peer.CloseWrite())
+			})
+			closedByEOF(t, handler.probe)
+			do(l, func() {
+				if read != tc.sent || first != last {
+					t.Errorf("%d of %d bytes were read, first in iteration %d, closed in iteration %d", read, tc.sent, first, last)
+				}
+			})
+		})
+	}
+}
--- /dev/null
+++ b/internal/eventloop/helpers_test.go
@@ -0,0 +1,186 @@
+package eventloop
+
+import (
+	"bytes"
+	"errors"
+	"flag"
+	"io"
+	"net"
+	"syscall"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+)
+
+// Generated histories are the same in every run; -rapid.seed=0 draws others.
+func init() {
+	if err := flag.Set("rapid.seed", "1"); err != nil {
+		panic(err)
+	}
+}
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// probe is a handler that passes its notifications on to the test; onRead, where set, handles the bytes in its place.
+type probe struct {
+	opened chan *Conn
+	closed chan error
+	read   chan []byte
+	onRead func(c *Conn, p []byte)
+}
+
+func newProbe() *probe {
+	return &probe{opened: make(chan *Conn, 100), closed: make(chan error, 100), read: make(chan []byte, 10000)}
+}
+
+// newEcho is a probe that writes back what it reads.
+func newEcho(t *testing.T) *probe {
+	p := newProbe()
+	p.onRead = func(c *Conn, received []byte) { check(t, c.Write(received)) }
+	return p
+}
+
+func (p *probe) Opened(c *Conn) { p.opened <- c }
+
+func (p *probe) Read(c *Conn, received []byte) {
+	if p.onRead != nil {
+		p.onRead(c, received)
+		return
+	}
+	p.read <- bytes.Clone(received)
+}
+
+func (p *probe) Closed(_ *Conn, reason error) { p.closed <- reason }
+
+// check reports an error of a step that has to succeed. Any goroutine may call it.
+func check(t *testing.T, err error) {
+	t.Helper()
+	if err != nil {
+		t.Error(err)
+	}
+}
+
+// isExactly reports whether an error is the wanted one itself, not wrapped.
+func isExactly(err, want error) bool { return errors.Is(err, want) && err.Error() == want.Error() }
+
+// closedByEOF expects io.EOF as the reason of the end.
+func closedByEOF(t *testing.T, p *probe) {
+	t.Helper()
+	if reason := wait(t, p.closed); !isExactly(reason, io.EOF) {
+		t.Errorf("closed by %v", reason)
+	}
+}
+
+func newLoop(t *testing.T, onIteration func()) *Loop {
+	t.Helper()
+	l, err := New(onIteration)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l
+}
+
+// runLoop runs a loop until the end of the test.
+func runLoop(t *testing.T, onIteration func()) *Loop {
+	t.Helper()
+	l := newLoop(t, onIteration)
+	done := make(chan error, 1)
+	go func() { done <- l.Run() }()
+	t.Cleanup(func() {
+		l.Stop()
+		check(t, <-done)
+	})
+	return l
+}
+
+// call runs a function on the loop and returns its result.
+func call[T any](l *Loop, function func() T) T {
+	result := make(chan T, 1)
+	l.Post(func() { result <- function() })
+	return <-result
+}
+
+// do runs a function on the loop and waits for its end.
+func do(l *Loop, function func()) {
+	call(l, func() struct{} {
+		function()
+		return struct{}{}
+	})
+}
+
+func wait[T any](t *testing.T, c <-chan T) T {
+	t.Helper()
+	select {
+	case v := <-c:
+		return v
+	case <-time.After(20 * time.Second):
+		t.Fatal("nothing came in 20 s")
+		panic("unreachable")
+	}
+}
+
+// listen opens a listener whose connections all have one handler, and returns its address.
+func listen(t *testing.T, l *Loop, handler Handler, maxOutput int, onAcceptState func(error)) string {
+	t.Helper()
+	ln := call(l, func() *Listener {
+		ln, err := l.Listen("127.0.0.1:0", func() (Handler, int) { return handler, maxOutput }, onAcceptState)
+		check(t, err)
+		return ln
+	})
+	if ln == nil {
+		t.FailNow()
+	}
+	return ln.Addr().String()
+}
+
+func dial(t *testing.T, addr string) *net.TCPConn {
+	t.Helper()
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = c.Close() }) // the test may have closed it
+	return c.(*net.TCPConn)
+}
+
+// newSocket creates a socket before descriptors run out; connectSocket can use it then.
+func newSocket(t *testing.T) int {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { check(t, syscall.Close(fd)) })
+	return fd
+}
+
+func connectSocket(t *testing.T, fd int, addr string) {
+	t.Helper()
+	to, err := net.ResolveTCPAddr("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	check(t, syscall.Connect(fd, &syscall.SockaddrInet4{Port: to.Port, Addr: [4]byte{127, 0, 0, 1}}))
+}
+
+// exhaustDescriptors lowers the limit of the process to the descriptors in use, until restore is called or the test ends.
+func exhaustDescriptors(t *testing.T) (restore func()) {
+	t.Helper()
+	var before syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &before); err != nil {
+		t.Fatal(err)
+	}
+	lowestFree, err := syscall.Dup(0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	check(t, syscall.Close(lowestFree))
+	restore = func() { check(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &before)) }
+	t.Cleanup(restore)
+	lowered := syscall.Rlimit{Cur: uint64(lowestFree), Max: before.Max}
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &lowered); err != nil {
+		t.Fatal(err)
+	}
+	return restore
+}
--- a/internal/eventloop/md5_test.go
+++ b/internal/eventloop/md5_test.go
@@ -3,33 +3,38 @@
 import (
 	"errors"
 	"net/netip"
+	"strings"
 	"testing"
-
-	"golang.org/x/sys/unix"
 )
 
-// With the same key on both ends a connection stands; with another, or none, it does not. Where the kernel does not
-// offer it that must be said, and the socket is not used unsigned.
-func TestSignTCP(t *testing.T) {
+// Where the kernel has no signatures SetTCPMD5Key must fail, so that no socket is used unsigned by mistake.
+func TestMD5KeyConnectsOnlyPeersWithTheSameKey(t *testing.T) {
 	local := netip.MustParseAddr("127.0.0.1")
-	l, h := run(t, func() {}), newProbe()
+	l, handler := runLoop(t, func() {}), newProbe()
 	var refused error
-	s := on(l, func() *Listener {
-		s, err := l.Listen("127.0.0.1:0", func() (Handler, int) { return h, 1000 }, nil)
+	ln := call(l, func() *Listener {
+		ln, err := l.Listen("127.0.0.1:0", func() (Handler, int) { return handler, 1000 }, nil)
 		if err != nil {
-			t.Fatal(err)
+			t.Error(err)
+			return nil
 		}
-		refused = SetTCPMD5Key(s.FD(), local, "secret")
-		return s
+		refused = SetTCPMD5Key(ln.FD(), local, "secret")
+		return ln
 	})
+	if ln == nil {
+		t.FailNow()
+	}
+	if refused != nil && !errors.Is(refused, ErrMD5Unavailable) {
+		t.Errorf("refused by %v", refused)
+	}
 	for _, tc := range []struct {
 		name, key string
-		stands    bool
+		connects  bool
 	}{{"the same key", "secret", true}, {"another key", "other", false}, {"no key", "", false}} {
 		t.Run(tc.name, func(t *testing.T) {
-			c := newProbe()
+			dialer := newProbe()
 			l.Post(func() {
-				l.DialWithControl(s.Addr().String(), c, 1000, 300*Millisecond, func(fd int) error {
+				l.DialWithControl(ln.Addr().String(), dialer, 1000, 300*Millisecond, func(fd int) error {
 					if tc.key == "" {
 						return nil
 					}
@@ -37,22 +42,28 @@
 				})
 			})
 			if refused != nil && tc.key != "" {
-				if why := wait(t, c.closed); !errors.Is(why, ErrConnectFailed) {
-					t.Errorf("closed by %v", why)
+				if reason := wait(t, dialer.closed); !errors.Is(reason, ErrConnectFailed) {
+					t.Errorf("closed by %v", reason)
 				}
 				t.Skipf("not offered here: %v", refused)
 			}
 			if refused != nil {
 				t.Skip("not offered here")
 			}
-			if tc.stands {
-				wait(t, c.opened)
-			} else if why := wait(t, c.closed); !errors.Is(why, ErrConnectFailed) {
-				t.Errorf("closed by %v", why)
+			if tc.connects {
+				wait(t, dialer.opened)
+			} else if reason := wait(t, dialer.closed); !errors.Is(reason, ErrConnectFailed) {
+				t.Errorf("closed by %v", reason)
 			}
 		})
 	}
-	if err := SetTCPMD5Key(0, local, ""); err == nil || errors.Is(err, unix.ENOPROTOOPT) {
-		t.Errorf("an empty key gives %v", err)
+}
+
+func TestMD5KeyOfInvalidLengthIsRefused(t *testing.T) {
+	local := netip.MustParseAddr("127.0.0.1")
+	for _, key := range []string{"", strings.Repeat("k", maxMD5KeyLength+1)} {
+		if err := SetTCPMD5Key(0, local, key); !errors.Is(err, ErrMD5KeyLength) || errors.Is(err, ErrMD5Unavailable) {
+			t.Errorf("a key of %d bytes gives %v", len(key), err)
+		}
 	}
 }
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -210,8 +210,10 @@
 	k.Handler.Opened(c)
 }
 
-// steps is the script: each runs as the onIteration of one iteration and prepares the next.
-func (e *exchange) steps(otherListener string) []func() {
+// The script: each step runs as the onIteration of one iteration and prepares the next.
+
+// readSteps open connections and have them read, together with timers, posted callbacks and ends by the peer.
+func (e *exchange) readSteps() []func() {
 	return []func(){
 		func() {
 			for range maxAcceptsPerIteration + 1 {
@@ -253,6 +255,12 @@
 			e.accepted[7].SetReadPaused(false)
 			e.ready(e.accepted[7], unix.POLLIN)
 		},
+	}
+}
+
+// closeSteps dial, end connections on this side, and stop the loop.
+func (e *exchange) closeSteps(otherListener string) []func() {
+	return []func(){
 		func() {
 			for _, c := range e.accepted[:2] {
 				e.must(c.Write([]byte("last")))
@@ -302,7 +310,7 @@
 	e.must(unix.Listen(other, 1))
 	bound, err := unix.Getsockname(other)
 	e.must(err)
-	steps = e.steps(addrPort(bound).String())
+	steps = append(e.readSteps(), e.closeSteps(addrPort(bound).String())...)
 	t.Cleanup(func() {
 		for _, fd := range append(e.peers, other) {
 			if fd >= 0 {
--- /dev/null
+++ b/internal/eventloop/shortage_test.go
@@ -0,0 +1,111 @@
+package eventloop
+
+import (
+	"errors"
+	"io"
+	"net"
+	"sync/atomic"
+	"syscall"
+	"testing"
+
+	"golang.org/x/sys/unix"
+)
+
+// dropSpare leaves the loop without its spare descriptor.
+func dropSpare(t *testing.T, l *Loop) {
+	t.Helper()
+	check(t, unix.Close(l.spareFD))
+	l.spareFD = -1
+}
+
+func TestWithoutDescriptorsConnectionsAreRefusedAndOthersServed(t *testing.T) {
+	l, handler := runLoop(t, func() {}), newEcho(t)
+	states := make(chan error, 100)
+	addr := listen(t, l, handler, 100, func(err error) { states <- err })
+	first, second := dial(t, addr), dial(t, addr)
+	wait(t, handler.opened)
+	wait(t, handler.opened)
+	refused := newSocket(t)
+	exhaustDescriptors(t)
+	connectSocket(t, refused, addr)
+	if err := wait(t, states); !errors.Is(err, syscall.EMFILE) {
+		t.Errorf("refused by %v", err)
+	}
+	check(t, syscall.SetsockoptTimeval(refused, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &syscall.Timeval{Sec: 20}))
+	// By means of the spare descriptor the connection is closed, so the read ends well before its timeout.
+	if n, err := syscall.Read(refused, make([]byte, 1)); n > 0 || errors.Is(err, syscall.EAGAIN) {
+		t.Errorf("the refused connection reads %d bytes, %v", n, err)
+	}
+	for _, peer := range []net.Conn{first, second} {
+		_, err := peer.Write([]byte("x"))
+		check(t, err)
+		_, err = io.ReadFull(peer, make([]byte, 1))
+		check(t, err)
+	}
+}
+
+func TestListenerThatCannotAcceptRetriesWithoutSpinning(t *testing.T) {
+	for _, tc := range []struct {
+		name string
+		err  error // nil: there are no descriptors, and the spare one could not be opened again
+	}{{"no buffers", syscall.ENOBUFS}, {"no memory", syscall.ENOMEM}, {"network down", syscall.ENETDOWN}, {"no spare descriptor", nil}} {
+		t.Run(tc.name, func(t *testing.T) {
+			l, handler := runLoop(t, func() {}), newProbe()
+			states, tries := make(chan error, 100), make(chan Tick, 1_000_000)
+			addr := listen(t, l, handler, 100, func(err error) { states <- err })
+			waiting := newSocket(t)
+			var failing atomic.Bool
+			failing.Store(true)
+			do(l, func() {
+				l.accept4 = func(fd, flags int) (int, unix.Sockaddr, error) {
+					tries <- l.now
+					if failing.Load() && tc.err != nil {
+						return -1, nil, tc.err
+					}
+					return unix.Accept4(fd, flags)
+				}
+				if tc.err == nil {
+					dropSpare(t, l)
+				}
+			})
+			restore := func() {}
+			if tc.err == nil {
+				restore = exhaustDescriptors(t)
+			}
+			connectSocket(t, waiting, addr)
+			if err := wait(t, states); err == nil || tc.err != nil && !isExactly(err, tc.err) {
+				t.Errorf("refused by %v", err)
+			}
+			first := wait(t, tries)
+			wait(t, tries)
+			if third := wait(t, tries); third-first < acceptRetryDelay {
+				t.Errorf("three tries in %d ms: the loop spins", (third-first)/Millisecond)
+			}
+			failing.Store(false)
+			restore()
+			wait(t, handler.opened)
+			if err := wait(t, states); err != nil || len(states) > 0 {
+				t.Errorf("state %v and %d more, want nil once", err, len(states))
+			}
+		})
+	}
+}
+
+// A descriptor that is freed between a failed accept and the attempt to open a spare one belongs to the connection.
+func TestDescriptorFreedAfterFailedAcceptServesTheConnection(t *testing.T) {
+	l, handler := runLoop(t, func() {}), newProbe()
+	addr := listen(t, l, handler, 100, func(error) {})
+	do(l, func() {
+		dropSpare(t, l)
+		failed := false
+		l.accept4 = func(fd, flags int) (int, unix.Sockaddr, error) {
+			if !failed {
+				failed = true
+				return -1, nil, unix.EMFILE
+			}
+			return unix.Accept4(fd, flags)
+		}
+	})
+	dial(t, addr)
+	wait(t, handler.opened)
+}
--- a/internal/eventloop/wheel_test.go
+++ b/internal/eventloop/wheel_test.go
@@ -9,73 +9,103 @@
 	"pgregory.net/rapid"
 )
 
-// The wheel against a plain list: every timer runs once, in the first Advance to its moment or later, never
-// before, in order of time; Next is never late.
-func TestWheelAgainstList(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		now := Tick(rapid.Int64Range(0, 1<<40).Draw(t, "start"))
-		w := NewTimerWheel(now)
-		type item struct {
-			at    Tick
-			timer *Timer
+// wheelModel is a wheel and the plain list of timers that it is compared with.
+type wheelModel struct {
+	t     *rapid.T
+	wheel *TimerWheel
+	now   Tick
+	last  Tick // expiry of the timer that ran last in this Advance
+	items []*wheelItem
+}
+
+type wheelItem struct {
+	expiry Tick
+	timer  *Timer // nil: has run or was cancelled
+}
+
+func (m *wheelModel) schedule() {
+	delay := rapid.Int64Range(-5, 1<<rapid.IntRange(3, 38).Draw(m.t, "size")).Draw(m.t, "delay")
+	item := &wheelItem{}
+	item.timer = m.wheel.Schedule(m.now+Tick(delay), func() { m.run(item) })
+	item.expiry = item.timer.expiry
+	m.items = append(m.items, item)
+}
+
+func (m *wheelModel) run(item *wheelItem) {
+	if m.now < item.expiry {
+		m.t.Fatalf("ran at %d, expires at %d", m.now, item.expiry)
+	}
+	if item.expiry < m.last {
+		m.t.Fatalf("%d ran after %d", item.expiry, m.last)
+	}
+	if item.timer == nil {
+		m.t.Fatal("ran twice or after it was cancelled")
+	}
+	m.last, item.timer = item.expiry, nil
+}
+
+func (m *wheelModel) cancel() {
+	if len(m.items) == 0 {
+		return
+	}
+	item := m.items[rapid.IntRange(0, len(m.items)-1).Draw(m.t, "which")]
+	if item.timer != nil && !m.wheel.Cancel(item.timer) {
+		m.t.Fatal("a scheduled timer could not be cancelled")
+	}
+	item.timer = nil
+}
+
+func (m *wheelModel) advance() {
+	m.now += Tick(rapid.Int64Range(0, 1<<rapid.IntRange(1, 38).Draw(m.t, "size")).Draw(m.t, "by"))
+	m.last = 0
+	m.wheel.Advance(m.now)
+}
+
+// verify compares the wheel with the list.
+func (m *wheelModel) verify() {
+	left, first := 0, Tick(1)<<62
+	for _, item := range m.items {
+		if item.timer == nil {
+			continue
+		}
+		left++
+		first = min(first, item.expiry)
+		if item.expiry <= m.now {
+			m.t.Fatalf("expires at %d, not run by %d", item.expiry, m.now)
 		}
-		var set []*item
-		last := Tick(0)
+	}
+	if next, scheduled := m.wheel.NextExpiry(); scheduled != (left > 0) || scheduled && next > first || m.wheel.Len() != left {
+		m.t.Fatalf("next %d %t with %d left, the first at %d; %d counted", next, scheduled, left, first, m.wheel.Len())
+	}
+}
+
+// Every timer runs once, in the first Advance to its expiry or later, never before, in order of expiry; NextExpiry is never
+// late.
+func TestWheelRunsTimersAsItsModelDoes(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		start := Tick(rapid.Int64Range(0, 1<<40).Draw(t, "start"))
+		m := &wheelModel{t: t, wheel: NewTimerWheel(start), now: start}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
-				i := &item{at: now + Tick(rapid.Int64Range(-5, 1<<rapid.IntRange(3, 38).Draw(t, "size")).Draw(t, "span"))}
-				i.timer = w.Schedule(i.at, func() {
-					if now < i.at {
-						t.Fatalf("ran at %d, due at %d", now, i.at)
-					}
-					if i.at < last {
-						t.Fatalf("%d ran after %d", i.at, last)
-					}
-					if i.at = max(i.at, 0); i.timer == nil {
-						t.Fatal("ran twice")
-					}
-					last, i.timer = i.at, nil
-				})
-				i.at = i.timer.expiry
-				set = append(set, i)
+				m.schedule()
 			case 2:
-				if len(set) > 0 {
-					i := set[rapid.IntRange(0, len(set)-1).Draw(t, "which")]
-					if i.timer != nil && !w.Cancel(i.timer) {
-						t.Fatal("a set timer could not be cancelled")
-					}
-					i.timer = nil
-				}
+				m.cancel()
 			case 3:
-				now += Tick(rapid.Int64Range(0, 1<<rapid.IntRange(1, 38).Draw(t, "size")).Draw(t, "on"))
-				last = 0
-				w.Advance(now)
-			}
-			left, first := 0, Tick(1)<<62
-			for _, i := range set {
-				if i.timer != nil {
-					left++
-					first = min(first, i.at)
-					if i.at <= now {
-						t.Fatalf("due at %d, not run by %d", i.at, now)
-					}
-				}
-			}
-			if next, ok := w.NextExpiry(); ok != (left > 0) || ok && next > first || w.Len() != left {
-				t.Fatalf("next %d %t with %d left, the first at %d; %d counted", next, ok, left, first, w.Len())
+				m.advance()
 			}
+			m.verify()
 		}
 	})
 }
 
-func TestWheelFromWithin(t *testing.T) {
+func TestWheelCallbacksMayCancelAndSchedule(t *testing.T) {
 	w, ran := NewTimerWheel(0), ""
 	var b *Timer
 	w.Schedule(5, func() {
 		ran += "a"
 		if !w.Cancel(b) {
-			t.Error("b was not to be cancelled")
+			t.Error("b could not be cancelled")
 		}
 		w.Schedule(5, func() { ran += "c" })
 	})
@@ -89,11 +119,13 @@
 	}
 }
 
-type heaped struct {
+// heapTimer is a timer of timerHeap, the binary heap that the benchmark compares the wheel with.
+type heapTimer struct {
 	at    Tick
 	index int
 }
-type timerHeap []*heaped
+
+type timerHeap []*heapTimer
 
 func (h timerHeap) Len() int           { return len(h) }
 func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
@@ -102,8 +134,8 @@
 	h[i].index, h[j].index = i, j
 }
 func (h *timerHeap) Push(x any) {
-	x.(*heaped).index = len(*h)
-	*h = append(*h, x.(*heaped))
+	x.(*heapTimer).index = len(*h)
+	*h = append(*h, x.(*heapTimer))
 }
 func (h *timerHeap) Pop() any {
 	old := *h
@@ -112,8 +144,8 @@
 	return x
 }
 
-// One step is what a bid does: a timer is set, and one of those set before is cancelled, as most bids are
-// answered before their time is up. The span is up to 6 s.
+// One step is what an attempt does: a timer is scheduled, and one scheduled before is cancelled, as most attempts are
+// answered before their timeout. The delay is up to 6 s.
 func BenchmarkTimers(b *testing.B) {
 	for _, n := range []int{1e3, 1e4, 1e5, 1e6} {
 		b.Run(fmt.Sprintf("wheel/%d", n), func(b *testing.B) {
@@ -135,9 +167,9 @@
 		b.Run(fmt.Sprintf("heap/%d", n), func(b *testing.B) {
 			rng, now := rand.New(rand.NewPCG(1, 2)), Tick(0)
 			var h timerHeap
-			timers := make([]*heaped, n)
+			timers := make([]*heapTimer, n)
 			for i := range timers {
-				timers[i] = &heaped{at: Tick(rng.IntN(60000))}
+				timers[i] = &heapTimer{at: Tick(rng.IntN(60000))}
 				heap.Push(&h, timers[i])
 			}
 			b.ReportAllocs()
@@ -145,11 +177,11 @@
 				if t := timers[i%n]; t.index >= 0 {
 					heap.Remove(&h, t.index)
 				}
-				timers[i%n] = &heaped{at: now + Tick(rng.IntN(60000))}
+				timers[i%n] = &heapTimer{at: now + Tick(rng.IntN(60000))}
 				heap.Push(&h, timers[i%n])
 				if i%64 == 0 {
 					for now++; len(h) > 0 && h[0].at <= now; {
-						heap.Pop(&h).(*heaped).index = -1
+						heap.Pop(&h).(*heapTimer).index = -1
 					}
 				}
 			}
--- a/internal/schedulerd/server.go
+++ b/internal/schedulerd/server.go
@@ -134,7 +134,7 @@
 		h.speaker = speaker.New(h.loop, *s.BGP, log)
 	}
 	h.loop.OnFlushed(func() { h.stats.flushed(h.loop.Elapsed()) })
-	if h.listener, err = h.loop.Listen(s.Door, h.acceptClient, h.loop.AcceptStateLogger(log, "callers")); err != nil {
+	if h.listener, err = h.loop.Listen(s.Door, h.acceptClient, h.loop.AcceptStateLogger(log, "clients")); err != nil {
 		h.loop.Stop()
 		h.loop.Run()
 		h.closeState()
