--- a/internal/schedulerd/discovery.go
+++ b/internal/schedulerd/discovery.go
@@ -8,19 +8,19 @@
 	"glenport/scheduler"
 )
 
-// discoveryPeer names the machine list service in log lines.
-const discoveryPeer = "list"
+// discoveryPeer stands for the machine list service in log lines.
+const discoveryPeer = "machine list"
 
 // discoveryClient is the connection to the machine list service. The scheduler decides when and how often it is asked.
 type discoveryClient struct {
 	server             *Server
 	conn               *eventloop.Conn // nil if there is none
 	reader             protocol.Reader
-	serviceIncarnation uint64 // of the service that told the version
+	serviceIncarnation uint64 // of the service that sent the version
 	version            int64
 	cache              machineListCache
 	lastReadAt         eventloop.Tick
-	lastFrameAt        eventloop.Tick // 0: the service was never heard
+	lastFrameAt        eventloop.Tick // 0: no frame has been received
 	awaitingReply      bool           // a reply or updates are due, so that a closed connection is a failed update
 }
 
@@ -96,7 +96,7 @@
 	case *protocol.Goodbye:
 		return fmt.Errorf("%w: %s", errPeerGoodbye, f.Message)
 	default:
-		return fmt.Errorf("%w: %T", errUnexpectedFrame, f)
+		return fmt.Errorf("%w: %s", errUnexpectedFrame, protocol.Name(f))
 	}
 	return nil
 }
