--- a/cmd/glenport-testbed/main.go
+++ b/cmd/glenport-testbed/main.go
@@ -111,15 +111,15 @@
 	c := &cobra.Command{Use: "audit RECORD", Short: "Judge a record alone", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if container != "" {
-				return audit.Show(args[0], container, os.Stdout)
+				return audit.PrintContainer(args[0], container, os.Stdout)
 			}
-			j, err := audit.Record(args[0])
+			j, err := audit.CheckRecording(args[0])
 			if err != nil {
 				return err
 			}
 			fmt.Printf("%d frames, %d submissions, %d offers\n", j.Frames, j.Submitted, j.Offers)
-			scenario.PrintFindings(os.Stdout, j)
-			if !j.Kept() {
+			scenario.PrintViolations(os.Stdout, j)
+			if !j.Passed() {
 				return errNotHeld
 			}
 			fmt.Println("rules: kept")
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -13,44 +13,44 @@
 	"glenport/scheduler"
 )
 
-// Finding is one break of a rule.
-type Finding struct {
-	Rule   int
-	At     int64 // tenths of a millisecond since the record's start
-	Text   string
-	Frames []string // those that show it
+// Violation is one break of a rule.
+type Violation struct {
+	Rule     int
+	At       int64 // tenths of a millisecond since the record's start
+	Message  string
+	Evidence []string // those that show it
 }
 
-func (f Finding) String() string {
-	s := fmt.Sprintf("rule %d at %.1f ms: %s", f.Rule, float64(f.At)/10, f.Text)
-	for _, x := range f.Frames {
+func (f Violation) String() string {
+	s := fmt.Sprintf("rule %d at %.1f ms: %s", f.Rule, float64(f.At)/10, f.Message)
+	for _, x := range f.Evidence {
 		s += "\n    " + x
 	}
 	return s
 }
 
-// Judgement is the outcome of an audit.
-type Judgement struct {
-	Findings  []Finding
-	Frames    int
-	Submitted int
-	Answers   [5]int // by verdict
-	Offers    int
-	Unheard   int // submissions whose placer or link ended before an answer was due
-	Running   int // yeses
-	ColdMost  int // offers in a window that came nearest to a cold machine's budget
-	ColdBound int
-	DrainLate float64 // ms after hearing of a drain at which the last offer went out
+// Report is the outcome of an audit.
+type Report struct {
+	Violations      []Violation
+	Frames          int
+	Submitted       int
+	Replies         [5]int // by verdict
+	Offers          int
+	Abandoned       int // submissions whose placer or link ended before an answer was due
+	Accepted        int // yeses
+	SlowStartPeak   int // offers in a window that came nearest to a cold machine's budget
+	SlowStartBudget int
+	DrainLatency    float64 // ms after hearing of a drain at which the last offer went out
 }
 
-// Kept tells whether no rule was broken.
-func (j *Judgement) Kept() bool { return len(j.Findings) == 0 }
+// Passed tells whether no rule was broken.
+func (j *Report) Passed() bool { return len(j.Violations) == 0 }
 
 // mostFindings of one rule are kept.
 const mostFindings = 20
 
 type judge struct {
-	Judgement
+	Report
 	h       faultproxy.Header
 	found   map[int]int
 	placers map[string]*life
@@ -143,8 +143,8 @@
 		links: map[uint32]*channel{}, starts: map[string]*coldStart{}, ran: map[string]*offer{}}
 }
 
-// Record judges a record in a file.
-func Record(path string) (*Judgement, error) {
+// CheckRecording judges a record in a file.
+func CheckRecording(path string) (*Report, error) {
 	j := newJudge()
 	err := faultproxy.Read(path, &j.h, func(e *faultproxy.Entry) error {
 		j.now = e.At
@@ -155,12 +155,12 @@
 		return nil, err
 	}
 	j.finish()
-	return &j.Judgement, nil
+	return &j.Report, nil
 }
 
 func (j *judge) fail(rule int, at int64, frames []string, format string, a ...any) {
 	if j.found[rule]++; j.found[rule] <= mostFindings {
-		j.Findings = append(j.Findings, Finding{rule, at, fmt.Sprintf(format, a...), frames})
+		j.Violations = append(j.Violations, Violation{rule, at, fmt.Sprintf(format, a...), frames})
 	}
 }
 
@@ -222,7 +222,7 @@
 		j.cold(l, e)
 	case *protocol.Accept:
 		if o := ch.offers[f.AttemptID]; o != nil && f.Running {
-			j.Running++
+			j.Accepted++
 			j.began(l, o)
 		}
 	case *protocol.Result:
@@ -262,7 +262,7 @@
 		if j.now > c.due+j.grace() {
 			j.lost(c)
 		} else {
-			j.Unheard++
+			j.Abandoned++
 		}
 	}
 	c.dropped = true
@@ -298,7 +298,7 @@
 		j.fail(1, e.At, nil, "an answer for %s, which was not asked of %s", f.ContainerID, l.name)
 		return
 	}
-	j.Answers[f.Verdict]++
+	j.Replies[f.Verdict]++
 	c.answers++
 	said := fmt.Sprintf("%.1f ms answer %s: %s", float64(e.At)/10, c.name, f.Verdict)
 	if c.answers > 1 {
@@ -373,7 +373,7 @@
 		}
 	}
 	if m := l.machines[o.machine]; m != nil && m.shutAt > 0 {
-		j.DrainLate = max(j.DrainLate, float64(e.At-m.shutAt)/10)
+		j.DrainLatency = max(j.DrainLatency, float64(e.At-m.shutAt)/10)
 		if e.At > m.shutAt+int64(j.h.DrainGrace)+slack {
 			j.fail(3, e.At, []string{o.text}, "%s is told at %.1f ms that %s is %s", l.name, float64(m.shutAt)/10, o.machine, m.State)
 		}
@@ -401,7 +401,7 @@
 		s.offers = s.offers[1:]
 	}
 	n := len(s.offers)
-	j.ColdMost, j.ColdBound = max(j.ColdMost, n), t.SlowStartBudget
+	j.SlowStartPeak, j.SlowStartBudget = max(j.SlowStartPeak, n), t.SlowStartBudget
 	if n > t.SlowStartBudget {
 		var frames []string
 		for _, at := range s.offers {
@@ -558,11 +558,11 @@
 			j.drop(c)
 		}
 	}
-	sort.SliceStable(j.Findings, func(a, b int) bool { return j.Findings[a].At < j.Findings[b].At })
+	sort.SliceStable(j.Violations, func(a, b int) bool { return j.Violations[a].At < j.Violations[b].At })
 }
 
-// Show writes out what a record has on one container: its frames and the ends of the links they went over.
-func Show(path, container string, out io.Writer) error {
+// PrintContainer writes out what a record has on one container: its frames and the ends of the links they went over.
+func PrintContainer(path, container string, out io.Writer) error {
 	var h faultproxy.Header
 	bids, links := map[uint64]bool{}, map[uint32]bool{}
 	return faultproxy.Read(path, &h, func(e *faultproxy.Entry) error {
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -249,7 +249,7 @@
 			h := begin(t)
 			tc.play(h)
 			h.j.finish()
-			for _, f := range h.j.Findings {
+			for _, f := range h.j.Violations {
 				if f.Rule != tc.broke {
 					t.Errorf("found %v", f)
 				}
--- a/internal/testbed/scenario/restart.go
+++ b/internal/testbed/scenario/restart.go
@@ -310,7 +310,7 @@
 	if err := c.Close(); err != nil {
 		return false, err
 	}
-	j, err := audit.Record(filepath.Join(dir, "record"))
+	j, err := audit.CheckRecording(filepath.Join(dir, "record"))
 	if err != nil {
 		return false, err
 	}
@@ -319,17 +319,17 @@
 	fmt.Fprintf(t.Out, "jobs: %d changes acknowledged, %d asked again; %d jobs with %d containers at the end, %d run; at-most-once seen twice: %d\n",
 		own.acked, own.again, len(own.wanted), want, there, twice.Load())
 	fmt.Fprintf(t.Out, "owners: %d submitted, %d placed, %d answers too many, %d without one; record: %d frames, %d offers, %d yeses; cold machines "+
-		"at most at %d of %d\n", tally.Submitted, tally.Placed, tally.Twice, tally.Waiting, j.Frames, j.Offers, j.Running, j.ColdMost, j.ColdBound)
-	PrintFindings(t.Out, j)
+		"at most at %d of %d\n", tally.Submitted, tally.Placed, tally.Twice, tally.Waiting, j.Frames, j.Offers, j.Accepted, j.SlowStartPeak, j.SlowStartBudget)
+	PrintViolations(t.Out, j)
 	for i, f := range faults {
 		if i < 8 {
 			fmt.Fprintln(t.Out, "fault:", f)
 		}
 	}
-	if j.Kept() {
+	if j.Passed() {
 		fmt.Fprintln(t.Out, "rules: kept over all lives")
 	}
-	return len(faults) == 0 && j.Kept() && tally.Twice == 0 && tally.Waiting == 0, nil
+	return len(faults) == 0 && j.Passed() && tally.Twice == 0 && tally.Waiting == 0, nil
 }
 
 // settled waits until every wanted container runs, and compares the API with what was acknowledged.
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -17,16 +17,16 @@
 
 // Outcome is what a day came to.
 type Outcome struct {
-	Tally     emulator.Tally
-	Judgement *audit.Judgement
-	Fell      int // cold machines pushed over
-	Played    map[string]int
-	Status    map[string]map[string]float64
+	Tally  emulator.Tally
+	Audit  *audit.Report
+	Fell   int // cold machines pushed over
+	Played map[string]int
+	Status map[string]map[string]float64
 }
 
 // Held tells whether every rule was kept and every container got its one answer.
 func (o *Outcome) Held() bool {
-	return o.Judgement.Kept() && o.Tally.Twice == 0 && o.Tally.Waiting == 0
+	return o.Audit.Passed() && o.Tally.Twice == 0 && o.Tally.Waiting == 0
 }
 
 // Run plays the day with placers started by program, in a folder where its record and logs stay.
@@ -93,7 +93,7 @@
 	if err := c.Close(); err != nil {
 		return nil, fmt.Errorf("the record is not whole: %w", err)
 	}
-	if o.Judgement, err = audit.Record(filepath.Join(dir, "record")); err != nil {
+	if o.Audit, err = audit.CheckRecording(filepath.Join(dir, "record")); err != nil {
 		return nil, err
 	}
 	return o, nil
@@ -115,7 +115,7 @@
 
 // Print writes the day's figures.
 func (o *Outcome) Print(out io.Writer) {
-	t, j := &o.Tally, o.Judgement
+	t, j := &o.Tally, o.Audit
 	fmt.Fprintf(out, "owners: %d submitted (%d of them again), %d placed, %d pushed back, %d given up, %d turned away, "+
 		"%d whose placer went first, %d unsent, %d without an answer, %d answers too many\n", t.Submitted, t.Again, t.Placed,
 		t.PushedBack, t.GivenUp, t.TurnedAway, t.NoAnswer, t.Unsent, t.Waiting, t.Twice)
@@ -134,20 +134,20 @@
 			100*s["busy"]/s["up"], 100*s["deciding"]/s["busy"], s["containers taken over"], s["memory"], s["goroutines"])
 	}
 	fmt.Fprintf(out, "record: %d frames, %d submissions, %d offers, %d yeses; cold machines at most at %d of %d offers in a window, "+
-		"%d pushed over; last offer after a drain was told %.1f ms\n", j.Frames, j.Submitted, j.Offers, j.Running, j.ColdMost,
-		j.ColdBound, o.Fell, j.DrainLate)
-	PrintFindings(out, j)
+		"%d pushed over; last offer after a drain was told %.1f ms\n", j.Frames, j.Submitted, j.Offers, j.Accepted, j.SlowStartPeak,
+		j.SlowStartBudget, o.Fell, j.DrainLatency)
+	PrintViolations(out, j)
 	if o.Held() {
 		fmt.Fprintf(out, "rules: kept, one final answer for each of %d containers\n", t.Submitted-t.NoAnswer-t.Unsent)
-	} else if j.Kept() {
+	} else if j.Passed() {
 		fmt.Fprintf(out, "rules: kept on the record, but %d containers without an answer and %d answers too many\n", t.Waiting, t.Twice)
 	}
 }
 
-// PrintFindings writes the breaks of rules, and ends with the rules' numbers where there are any.
-func PrintFindings(out io.Writer, j *audit.Judgement) {
+// PrintViolations writes the first violations of each rule, and ends with the rules' numbers where there are any.
+func PrintViolations(out io.Writer, j *audit.Report) {
 	rules := map[int]int{}
-	for _, f := range j.Findings {
+	for _, f := range j.Violations {
 		if rules[f.Rule]++; rules[f.Rule] <= 3 {
 			fmt.Fprintln(out, f)
 		}
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -89,12 +89,12 @@
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
 	}
-	j, err := audit.Record(filepath.Join(dir, "record"))
+	j, err := audit.CheckRecording(filepath.Join(dir, "record"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !j.Kept() || tally.Twice > 0 || tally.NoAnswer < 400 {
-		t.Errorf("%v; %+v", j.Findings, tally)
+	if !j.Passed() || tally.Twice > 0 || tally.NoAnswer < 400 {
+		t.Errorf("%v; %+v", j.Violations, tally)
 	}
 }
 
@@ -108,7 +108,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o.Print(&out); !o.Held() || o.Judgement.ColdMost == 0 || o.Tally.Lost == 0 {
+	if o.Print(&out); !o.Held() || o.Audit.SlowStartPeak == 0 || o.Tally.Lost == 0 {
 		t.Error(out.String())
 	}
 }
--- a/internal/testbed/scenario/storm.go
+++ b/internal/testbed/scenario/storm.go
@@ -246,12 +246,12 @@
 	if err := c.Close(); err != nil {
 		return r, false, err
 	}
-	j, err := audit.Record(filepath.Join(dir, "record"))
+	j, err := audit.CheckRecording(filepath.Join(dir, "record"))
 	if err != nil {
 		return r, false, err
 	}
-	PrintFindings(t.Out, j)
+	PrintViolations(t.Out, j)
 	fmt.Fprintf(t.Out, "  %d submitted (%d again), %d placed, %d pushed back, %d turned away, %d given up; %d machines pushed over, cold ones at most at "+
-		"%d of %d\n", tally.Submitted, tally.Again, tally.Placed, tally.PushedBack, tally.TurnedAway, tally.GivenUp, fell, j.ColdMost, j.ColdBound)
-	return judge(good, trouble), j.Kept() && fell == 0, nil
+		"%d of %d\n", tally.Submitted, tally.Again, tally.Placed, tally.PushedBack, tally.TurnedAway, tally.GivenUp, fell, j.SlowStartPeak, j.SlowStartBudget)
+	return judge(good, trouble), j.Passed() && fell == 0, nil
 }
