--- /dev/null
+++ b/internal/testbed/audit/state.go
@@ -0,0 +1,149 @@
+package audit
+
+import (
+	"fmt"
+
+	"glenport/internal/protocol"
+	"glenport/scheduler"
+)
+
+// schedulerState is one incarnation of a scheduler, as seen from outside.
+type schedulerState struct {
+	name     string
+	requests map[string]*request // by container
+	machines map[string]*listedMachine
+	inFlight map[*attempt]bool // offered without an outcome, or running
+	lookups  map[string]bool   // lookups and cancels by key, by container: a reply to each is due
+}
+
+// request is a container that a client asked a scheduler to place.
+type request struct {
+	container  string
+	spec       protocol.ContainerSpec
+	connection uint32 // of the client
+	submitted  scheduler.Time
+	deadline   scheduler.Time
+	attempts   []*attempt
+
+	replies   int
+	verdict   protocol.Verdict
+	repliedAt scheduler.Time
+	abandoned bool // its connection or scheduler ended: no reply is owed
+}
+
+// attempt is one offer of a container to a machine, or a container that a machine's inventory names.
+type attempt struct {
+	id       uint64
+	machine  string
+	spec     protocol.ContainerSpec
+	sent     scheduler.Time
+	deadline scheduler.Time
+	ran      bool
+	ended    bool
+	neverRan bool   // the machine refused it
+	text     string // for evidence
+}
+
+// connection is one between a scheduler and a client, a machine or the machine list.
+type connection struct {
+	peer     protocol.Role
+	name     string              // of the peer
+	attempts map[uint64]*attempt // without an outcome, by id
+}
+
+func (c *checker) scheduler(name string) *schedulerState {
+	s := c.schedulers[name]
+	if s == nil {
+		s = &schedulerState{
+			name:     name,
+			requests: map[string]*request{},
+			machines: map[string]*listedMachine{},
+			inFlight: map[*attempt]bool{},
+			lookups:  map[string]bool{},
+		}
+		c.schedulers[name] = s
+	}
+	return s
+}
+
+// offered takes an offer and checks the rules on offers.
+func (c *checker) offered(s *schedulerState, conn *connection, f *protocol.Offer) {
+	c.report.Offers++
+	a := &attempt{
+		id:       f.AttemptID,
+		machine:  conn.name,
+		spec:     f.Spec,
+		sent:     c.now,
+		deadline: c.now + scheduler.Time(f.Timeout),
+		text: fmt.Sprintf("%.1f ms %s offers %s to %s, attempt %d, timeout %.1f ms", milliseconds(c.now), s.name, f.Spec.ContainerID,
+			conn.name, f.AttemptID, milliseconds(scheduler.Time(f.Timeout))),
+	}
+	r := c.checkOfferIsOwed(s, a)
+	class, known := c.workloadClass(f.Spec.WorkloadClass)
+	if !known {
+		c.violate(RuleFinalReply, c.now, []string{a.text}, "workload class %d is unknown", f.Spec.WorkloadClass)
+		return
+	}
+	c.checkRetry(s, r, a, class)
+	c.checkDraining(s, a)
+	c.checkSlowStart(s, a.machine)
+	r.attempts = append(r.attempts, a)
+	conn.attempts[a.id] = a
+	s.inFlight[a] = true
+	c.checkSpread(s, a, class)
+}
+
+// accepted takes a machine's accept; it counts once the container runs.
+func (c *checker) accepted(s *schedulerState, conn *connection, f *protocol.Accept) {
+	if a := conn.attempts[f.AttemptID]; a != nil && f.Running {
+		c.report.Accepted++
+		c.started(s, a)
+	}
+}
+
+// started notes that an attempt's container runs.
+func (c *checker) started(s *schedulerState, a *attempt) {
+	if a.ran {
+		return
+	}
+	a.ran = true
+	s.inFlight[a] = true
+	c.checkRanOnce(a, func(earlier *attempt) bool { return earlier == a })
+}
+
+// ended takes the outcome of an attempt.
+func (c *checker) ended(s *schedulerState, conn *connection, f *protocol.Result) {
+	a := conn.attempts[f.AttemptID]
+	if a == nil {
+		return
+	}
+	delete(conn.attempts, f.AttemptID)
+	delete(s.inFlight, a)
+	a.ended = true
+	a.neverRan = f.Outcome == protocol.OutcomeFull && !a.ran
+	if f.Outcome == protocol.OutcomeFinished {
+		c.started(s, a)
+		delete(s.inFlight, a)
+	}
+}
+
+// inventory takes what a machine says that it runs for a scheduler, for this and earlier incarnations.
+func (c *checker) inventory(s *schedulerState, conn *connection, f *protocol.Inventory) {
+	for _, item := range f.Containers {
+		if !item.Running {
+			continue
+		}
+		a := &attempt{
+			id:      item.AttemptID,
+			machine: conn.name,
+			spec:    item.Spec,
+			sent:    c.now,
+			ran:     true,
+			text: fmt.Sprintf("%.1f ms %s has %s of %s in its inventory", milliseconds(c.now), conn.name, item.Spec.ContainerID,
+				s.name),
+		}
+		conn.attempts[a.id] = a
+		s.inFlight[a] = true
+		c.checkRanOnce(a, func(earlier *attempt) bool { return earlier.id == a.id })
+	}
+}
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -146,7 +146,7 @@
 
 // PrintViolations writes the first violations of each rule, and ends with the rules' numbers where there are any.
 func PrintViolations(out io.Writer, j *audit.Report) {
-	rules := map[int]int{}
+	rules := map[audit.Rule]int{}
 	for _, f := range j.Violations {
 		if rules[f.Rule]++; rules[f.Rule] <= 3 {
 			fmt.Fprintln(out, f)
@@ -156,7 +156,7 @@
 		return
 	}
 	s := ""
-	for r := 1; r <= 5; r++ {
+	for r := audit.RuleFinalReply; r <= audit.LastRule; r++ {
 		if rules[r] > 0 {
 			s += fmt.Sprintf(" %d (%d times or more)", r, rules[r])
 		}
