--- a/internal/schedulerd/reconcile/requests.go
+++ b/internal/schedulerd/reconcile/requests.go
@@ -97,7 +97,7 @@
 }
 
 func (r *Reconciler) log(message string, attrs ...slog.Attr) {
-	r.emit(Log{Message: message, Attrs: attrs})
+	r.emit(Log{Message: message, Attributes: attrs})
 }
 
 // cancelRequested ends the container that an id or a key names. Where nothing is known under a key, the answer depends on
