--- /dev/null
+++ b/internal/controller/api/creations_test.go
@@ -0,0 +1,55 @@
+package api
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestRetryWaitsForTheFirstAnswer(t *testing.T) {
+	c := creations{byKey: map[string]*creation{}}
+	entry, first := c.begin("key", []byte("body"))
+	retry, retryIsFirst := c.begin("key", []byte("body"))
+	if !first || retryIsFirst || retry != entry {
+		t.Fatalf("first %t, retry first %t", first, retryIsFirst)
+	}
+	select {
+	case <-retry.done:
+		t.Error("done before the first request has its answer")
+	default:
+	}
+	c.finish("key", entry, []byte("answer"), nil)
+	<-retry.done
+	if string(retry.response) != "answer" || string(retry.body) != "body" {
+		t.Errorf("the retry gets %q for %q", retry.response, retry.body)
+	}
+}
+
+func TestFailedCreationFreesItsKey(t *testing.T) {
+	c := creations{byKey: map[string]*creation{}}
+	entry, _ := c.begin("key", nil)
+	c.finish("key", entry, nil, errors.New("not valid"))
+	<-entry.done
+	if entry.response != nil {
+		t.Errorf("a retry that waited gets %q", entry.response)
+	}
+	if _, first := c.begin("key", nil); !first {
+		t.Error("the key is still taken")
+	}
+}
+
+func TestOldAndExcessCreationsAreForgotten(t *testing.T) {
+	c := creations{byKey: map[string]*creation{}}
+	old, _ := c.begin("old", nil)
+	old.begun = time.Now().Add(-creationRetention - time.Second)
+	if _, first := c.begin("old", nil); !first {
+		t.Error("an old creation is still known")
+	}
+	for i := range maxCreations + 10 {
+		c.begin(fmt.Sprint("key", i), nil)
+	}
+	if len(c.byKey) > maxCreations {
+		t.Errorf("%d creations, want at most %d", len(c.byKey), maxCreations)
+	}
+}
--- a/internal/controller/api/golden_test.go
+++ b/internal/controller/api/golden_test.go
@@ -23,10 +23,11 @@
 
 var update = flag.Bool("update", false, "write the golden answers anew")
 
-// TestAnswersMatchGoldenBytes holds what clients are sent, byte for byte, against testdata: lists, objects, watch events and
-// problems, from a controller that holds fixed objects and serves nothing else.
+// TestAnswersMatchGoldenBytes compares what clients are sent, byte for byte, with testdata: lists, objects, watch events and problems,
+// from a controller that holds fixed objects and has no scheduler.
 func TestAnswersMatchGoldenBytes(t *testing.T) {
-	s, err := server.New(server.Config{Name: "controller", Seed: 1, SchedulerConfig: &config.Placer{Workloads: []string{"matcher"}}}, watchcache.New(EncodeWatchEvent), quiet)
+	s, err := server.New(server.Config{Name: "controller", Seed: 1, SchedulerConfig: &config.Placer{Workloads: []string{"matcher"}}},
+		watchcache.New(EncodeWatchEvent), quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +52,8 @@
 		handler.ServeHTTP(w, httptest.NewRequest(q.method, q.path, strings.NewReader(q.body)))
 		record(&got, fmt.Sprintf("%s %s %.30s", q.method, q.path, strings.TrimSpace(q.body)), w)
 	}
-	for _, err := range []error{&server.NotPersistedError{Err: errors.New("no space")}, server.ErrStopped, server.ErrNotFound, watchcache.ErrCompacted,
+	for _, err := range []error{&server.NotPersistedError{Err: errors.New("no space")}, server.ErrStopped,
+		server.ErrNotFound, watchcache.ErrCompacted,
 		&server.ConflictError{ID: "reports", Version: 41, Message: "it exists already"}, &server.InvalidFieldError{Field: "cores", Message: "-1 is not above 0"}} {
 		w := httptest.NewRecorder()
 		writeError(w, err)
@@ -114,7 +116,7 @@
 	fmt.Fprintf(got, "\n%s", w.Body)
 }
 
-// watched are the lines of a watch from the beginning, up to the first bookmark.
+// watched returns the lines of a watch from the beginning, up to the first bookmark.
 func watched(t *testing.T, handler http.Handler) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
--- a/internal/controller/api/watch_test.go
+++ b/internal/controller/api/watch_test.go
@@ -10,6 +10,7 @@
 	"testing"
 
 	"glenport/internal/controller/server"
+	"glenport/internal/controller/watchcache"
 )
 
 // A watch is cut while containers are placed, and resumed from its last version: no change is missed or sent twice, and every
@@ -143,3 +144,27 @@
 		t.Error(err)
 	}
 }
+
+// A client that resumes from a bookmark must not miss the changes that waited when it was written.
+func TestBookmarkCoversOnlyWhatWasSent(t *testing.T) {
+	cache := watchcache.New(EncodeWatchEvent)
+	cache.Put(server.KindJobs, "a", server.Job{})
+	watcher, err := cache.Watch(cache.Version(), server.KindJobs)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer watcher.Close()
+	stream := &watchStream{watcher: watcher, cache: cache}
+	cache.Put(server.KindMachines, "m", server.Machine{})
+	if v := stream.sentVersion(); v != 2 {
+		t.Errorf("bookmark of version %d, want 2: nothing waits", v)
+	}
+	cache.Put(server.KindJobs, "b", server.Job{})
+	if v := stream.sentVersion(); v != 1 {
+		t.Errorf("bookmark of version %d, want 1, where the watch began: a change waits", v)
+	}
+	<-watcher.Changes
+	if v := stream.sentVersion(); v != 3 {
+		t.Errorf("bookmark of version %d, want 3: everything was sent", v)
+	}
+}
--- a/internal/controller/server/errors.go
+++ b/internal/controller/server/errors.go
@@ -44,4 +44,4 @@
 // alreadyCreatedError ends a retry of the request that created a job. The client gets the first answer again.
 type alreadyCreatedError struct{ version int64 }
 
-func (e *alreadyCreatedError) Error() string { return "it was made by the same request" }
+func (e *alreadyCreatedError) Error() string { return "the same request has created it" }
--- a/internal/controller/server/golden_test.go
+++ b/internal/controller/server/golden_test.go
@@ -42,9 +42,11 @@
 
 	goldenSpec = controller.Spec{Service: "report", WorkloadClass: 1, Tenant: 2, Cores: 1.5, Memory: 2.25, RunFor: 600_000, RunOnce: true}
 
-	goldenContainer = ContainerRecord{SchedulerAddress: goldenScheduler, Container: controller.Container{Job: "reports", Index: 2, State: controller.StateRunning,
+	goldenContainer = ContainerRecord{SchedulerAddress: goldenScheduler, Container: controller.Container{Job: "reports", Index: 2,
+		State:       controller.StateRunning,
 		Terminating: true, Machine: "m17", Scheduler: 1, Sticky: true, Since: 17_000_000_000_001, Until: 17_000_000_000_002, Attempts: 3,
-		Starts: 4, LastStatus: "runs", Refused: true, IdempotencyKey: "reports/2/31", RequestID: "reports/2#32", Submitted: true, Replacing: true, SubmittedSpec: goldenSpec}}
+		Starts: 4, LastStatus: "runs", Refused: true, IdempotencyKey: "reports/2/31", RequestID: "reports/2#32",
+		Submitted: true, Replacing: true, SubmittedSpec: goldenSpec}}
 	goldenPlainContainer = ContainerRecord{Container: controller.Container{Job: "plain", Scheduler: -1, LastStatus: "not asked for yet",
 		IdempotencyKey: "plain/0/30"}}
 
@@ -232,7 +234,7 @@
 	}
 }
 
-// TestObjectsMatchGoldenJSON holds what the API shows of each kind, full and empty, against testdata/objects.txt, and reads it back.
+// TestObjectsMatchGoldenJSON compares the JSON of each kind of object, full and empty, with testdata/objects.txt, and reads it back.
 func TestObjectsMatchGoldenJSON(t *testing.T) {
 	objects := []any{
 		goldenJob.Job, Job{},
--- a/internal/controller/server/restore.go
+++ b/internal/controller/server/restore.go
@@ -40,7 +40,7 @@
 		}
 		spec, err := st.server.specOf(&record.Job)
 		if err != nil {
-			return fmt.Errorf("job %s does not fit the placer's file any more: %w", id, err)
+			return fmt.Errorf("job %s does not fit the scheduler configuration: %w", id, err)
 		}
 		st.jobs[id] = record
 		st.server.Cache.Apply(record.Job.Version, KindJobs, id, record.Job, false)
@@ -74,7 +74,7 @@
 	err = state.ForEach(RecordOrphan, func(id string, value []byte) error {
 		var record OrphanRecord
 		if err := cbor.Unmarshal(value, &record); err != nil {
-			return fmt.Errorf("stray %s: %w", id, err)
+			return fmt.Errorf("orphan %s: %w", id, err)
 		}
 		if number, configured := schedulerNumbers[record.SchedulerAddress]; configured {
 			orphans = append(orphans, controller.Orphan{Scheduler: number, IdempotencyKey: record.IdempotencyKey})
