--- a/internal/schedulerd/restore.go
+++ b/internal/schedulerd/restore.go
@@ -1,8 +1,6 @@
 package schedulerd
 
 import (
-	"context"
-	"log/slog"
 	"slices"
 
 	"glenport/internal/protocol"
@@ -42,7 +40,7 @@
 // restoreLimiter restores the concurrency limit if the workload classes are those of the snapshot.
 func (st *stateStore) restoreLimiter(now warmstart.Timestamp) {
 	limiter, snapshot := st.server.reconciler.Limiter(), st.loaded.snapshot
-	if limiter == nil || snapshot == nil || snapshot.Overload == nil || !slices.Equal(snapshot.Names, st.server.classNames()) {
+	if limiter == nil || snapshot == nil || snapshot.Overload == nil || !slices.Equal(snapshot.ClassNames, st.server.classNames()) {
 		return
 	}
 	limiter.Restore(*snapshot.Overload, warmstart.Weight(warmstart.ConcurrencyLimit, now.Since(snapshot.TakenAt).Age))
@@ -86,7 +84,7 @@
 		}
 	}
 	for _, message := range restored.Messages {
-		s.log.LogAttrs(context.Background(), slog.LevelInfo, message.Text, message.Attributes...)
+		s.logDecision(message.Text, message.Attributes)
 	}
 }
 
@@ -94,7 +92,7 @@
 	p := warmstart.Persisted{History: st.loaded.history, Sends: st.loaded.sends}
 	if snapshot := st.loaded.snapshot; snapshot != nil {
 		p.TakenAt, p.Snapshot = snapshot.TakenAt, snapshot.Learned
-		p.Incarnations, p.ClassNames = snapshot.Incarnations, snapshot.Names
+		p.Incarnations, p.ClassNames = snapshot.Incarnations, snapshot.ClassNames
 	}
 	return p
 }
