--- a/internal/bgp/speaker/speaker.go
+++ b/internal/bgp/speaker/speaker.go
@@ -256,7 +256,7 @@
 		p.sent[prefix] = true
 	}
 	sort.Slice(order, func(i, j int) bool { return less(order[i].path, order[j].path) })
-	updates := wire.Pack(gone, nil, wire.Path{})
+	updates := wire.Pack(gone, nil, wire.PathAttributes{})
 	for _, g := range order {
 		updates = append(updates, wire.Pack(nil, g.prefixes, p.path(g.path))...)
 	}
@@ -289,12 +289,12 @@
 }
 
 // path is the path as this peer is told it: outside our AS with our number on it and no local preference.
-func (p *peer) path(a announce.Path) wire.Path {
-	x := wire.Path{NextHop: a.NextHop}
+func (p *peer) path(a announce.Path) wire.PathAttributes {
+	x := wire.PathAttributes{NextHop: a.NextHop}
 	if p.terms.AS == p.s.place.AS {
-		x.LocalPref, x.HasPref = a.Preference, true
+		x.LocalPref, x.HasLocalPref = a.Preference, true
 	} else {
-		x.AS = []uint32{p.s.place.AS}
+		x.ASPath = []uint32{p.s.place.AS}
 	}
 	if a.MED > 0 {
 		x.MED, x.HasMED = a.MED, true
--- a/internal/bgp/wire/golden_test.go
+++ b/internal/bgp/wire/golden_test.go
@@ -28,9 +28,9 @@
 
 // goldenMessages are the messages whose bytes testdata/messages.txt holds, every field set somewhere.
 func goldenMessages() []goldenMessage {
-	every := Path{Origin: 1, AS: []uint32{65001, 4200000001}, NextHop: netip.MustParseAddr("192.0.2.254"), MED: 70, HasMED: true,
-		LocalPref: 100, HasPref: true, Communities: []uint32{0xFFFF0000, 65000<<16 | 1}}
-	six := Path{Origin: 2, AS: []uint32{65001}, NextHop: netip.MustParseAddr("2001:db8::1"), MED: 0, HasMED: true}
+	every := PathAttributes{Origin: 1, ASPath: []uint32{65001, 4200000001}, NextHop: netip.MustParseAddr("192.0.2.254"), MED: 70, HasMED: true,
+		LocalPref: 100, HasLocalPref: true, Communities: []uint32{0xFFFF0000, 65000<<16 | 1}}
+	six := PathAttributes{Origin: 2, ASPath: []uint32{65001}, NextHop: netip.MustParseAddr("2001:db8::1"), MED: 0, HasMED: true}
 	one := func(s string) []netip.Prefix { return []netip.Prefix{netip.MustParsePrefix(s)} }
 	return []goldenMessage{
 		{"open",
@@ -177,8 +177,8 @@
 	global, local := netip.MustParseAddr("2001:db8::1").As16(), netip.MustParseAddr("fe80::1").As16()
 	reach := append([]byte{0, byte(IPv6), 1, 32}, append(global[:], local[:]...)...)
 	reach = append(reach, 0, 48, 0x20, 1, 0xd, 0xb8, 0, 2)
-	attributes := append([]byte{0x40, attrOrigin, 1, 0, 0x40, attrPath, 0, 0x80, attrReach, byte(len(reach))}, reach...)
-	p := append(bytes.Repeat([]byte{0xFF}, 16), 0, 0, typeUpdate, 0, 0, 0, byte(len(attributes)))
+	attributes := append([]byte{0x40, byte(attributeOrigin), 1, 0, 0x40, byte(attributeASPath), 0, 0x80, byte(attributeMPReach), byte(len(reach))}, reach...)
+	p := append(bytes.Repeat([]byte{0xFF}, 16), 0, 0, byte(typeUpdate), 0, 0, 0, byte(len(attributes)))
 	return append(p, attributes...)
 }
 
@@ -241,7 +241,7 @@
 func packedDigest(t *testing.T) string {
 	t.Helper()
 	random, sum, messages := rand.New(rand.NewPCG(1, 41)), sha256.New(), 0
-	path := Path{AS: []uint32{65001}, NextHop: netip.MustParseAddr("192.0.2.254"), LocalPref: 100, HasPref: true}
+	path := PathAttributes{ASPath: []uint32{65001}, NextHop: netip.MustParseAddr("192.0.2.254"), LocalPref: 100, HasLocalPref: true}
 	for size := 1; size <= 20_000; size *= 3 {
 		routes := func() (all []netip.Prefix) {
 			for range random.IntN(size) {
--- a/internal/bgp/wire/message_test.go
+++ b/internal/bgp/wire/message_test.go
@@ -11,10 +11,10 @@
 
 func prefix(s string) netip.Prefix { return netip.MustParsePrefix(s) }
 
-var path = Path{AS: []uint32{4200000001}, NextHop: netip.MustParseAddr("192.0.2.254"), MED: 7, HasMED: true, LocalPref: 100,
-	HasPref: true, Communities: []uint32{0xFFFF0000, 65000<<16 | 1}}
+var path = PathAttributes{ASPath: []uint32{4200000001}, NextHop: netip.MustParseAddr("192.0.2.254"), MED: 7, HasMED: true, LocalPref: 100,
+	HasLocalPref: true, Communities: []uint32{0xFFFF0000, 65000<<16 | 1}}
 
-var path6 = Path{AS: []uint32{65001, 65002}, NextHop: netip.MustParseAddr("2001:db8::1")}
+var path6 = PathAttributes{ASPath: []uint32{65001, 65002}, NextHop: netip.MustParseAddr("2001:db8::1")}
 
 func samples() []Message {
 	return []Message{&Open{AS: 4200000001, HoldTime: 90, ID: [4]byte{10, 0, 0, 1}, Families: []Family{IPv4, IPv6}, FourOctetAS: true,
@@ -33,7 +33,8 @@
 	return p
 }
 
-func TestRoundTrip(t *testing.T) {
+// What is encoded is decoded again with the same values.
+func TestEncodedMessageIsDecodedUnchanged(t *testing.T) {
 	for i, m := range samples() {
 		got, err := Decode(encode(t, m))
 		if err != nil || !reflect.DeepEqual(got, m) {
@@ -42,11 +43,12 @@
 	}
 }
 
-// Each fault is answered by the notification that its RFC asks for, or treated as a withdrawal.
-func TestFaults(t *testing.T) {
+// Each malformed message is answered by the notification that its RFC asks for, or treated as a withdrawal.
+func TestMalformedMessageIsAnsweredAsItsRFCAsks(t *testing.T) {
 	change := func(m Message, f func(p []byte) []byte) []byte { return f(encode(t, m)) }
 	update := func(attrs ...byte) []byte { // of attributes and the prefix 192.0.2.0/24
-		p := append(encode(t, &Keepalive{})[:18], typeUpdate, 0, 0, byte(len(attrs)>>8), byte(len(attrs)))
+		p := encode(t, &Keepalive{})[:typeOffset]
+		p = append(p, byte(typeUpdate), 0, 0, byte(len(attrs)>>8), byte(len(attrs)))
 		p = append(append(p, attrs...), 24, 192, 0, 2)
 		p[17] = byte(len(p))
 		return p
@@ -65,8 +67,8 @@
 		{"hold time", change(open, func(p []byte) []byte { p[23] = 2; return p }), "2/6"},
 		{"identifier", change(open, func(p []byte) []byte { p[24] = 0; return p }), "2/3"},
 		{"parameters beyond the end", change(open, func(p []byte) []byte { p[28] = 9; return p }), "2/0"},
-		{"parameter of another sort", change(open, func(p []byte) []byte { p[28], p[17] = 2, p[17]+2; return append(p, 1, 0) }), "2/4"},
-		{"capability cut short", change(open, func(p []byte) []byte { p[28], p[17] = 4, p[17]+4; return append(p, 2, 2, 65, 4) }), "2/0"},
+		{"parameter of another type", change(open, func(p []byte) []byte { p[28], p[17] = 2, p[17]+2; return append(p, 1, 0) }), "2/4"},
+		{"capability is truncated", change(open, func(p []byte) []byte { p[28], p[17] = 4, p[17]+4; return append(p, 2, 2, 65, 4) }), "2/0"},
 		{"withdrawn beyond the end", change(&Update{}, func(p []byte) []byte { p[20] = 9; return p }), "3/1"},
 		{"prefix too long", change(&Update{Withdrawn: []netip.Prefix{prefix("192.0.2.1/32")}}, func(p []byte) []byte { p[21] = 33; return p }), "3/10"},
 		{"good", update(good...), "ok"},
@@ -75,8 +77,8 @@
 		{"no next hop", update(good[:7]...), "withdrawn"},
 		{"path", update(append([]byte{0x40, 1, 1, 0, 0x40, 2, 2, 2, 0}, good[7:]...)...), "withdrawn"},
 		{"communities", update(append(good, 0xC0, 8, 3, 1, 2, 3)...), "withdrawn"},
-		{"attribute cut short", update(append(good, 0x80, 4, 9)...), "withdrawn"},
-		{"an attribute twice", update(append(good, 0x40, 1, 1, 2)...), "ok"},
+		{"attribute is truncated", update(append(good, 0x80, 4, 9)...), "withdrawn"},
+		{"an attribute is repeated", update(append(good, 0x40, 1, 1, 2)...), "ok"},
 		{"an unknown attribute", update(append(good, 0xC0, 99, 2, 1, 2)...), "ok"},
 		{"reachable prefixes", update(append(good, 0x80, 14, 5, 0, 2, 1, 16, 0)...), "3/9"},
 	} {
@@ -96,19 +98,20 @@
 	}
 }
 
-func TestShutdownMessage(t *testing.T) {
+// A shutdown text is cut to 128 bytes between characters, and read only where it is valid.
+func TestShutdownTextIsValidAndOfLimitedLength(t *testing.T) {
 	if got := NewShutdown(strings.Repeat("ö", 100)).ShutdownText(); got != strings.Repeat("ö", 64) {
-		t.Errorf("said %q", got)
+		t.Errorf("the text is %q", got)
 	}
 	for _, data := range [][]byte{nil, {5, 'a'}, {200}, {1, 0xFF}} {
 		if got := (&Notification{CodeCease, SubcodeAdministrativeShutdown, data}).ShutdownText(); got != "" {
-			t.Errorf("%v says %q", data, got)
+			t.Errorf("the text of %v is %q", data, got)
 		}
 	}
 }
 
-// A hundred thousand prefixes of one path are shared out without loss into few messages, none too long.
-func TestPack(t *testing.T) {
+// A hundred thousand prefixes of one path are distributed without loss over few messages, none too long.
+func TestPackedUpdatesHoldEveryPrefixInFewMessages(t *testing.T) {
 	var all []netip.Prefix
 	for i := range 100_000 {
 		a := netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)})
@@ -139,7 +142,7 @@
 	t.Logf("%d prefixes: %d messages, %d bytes", len(all), len(updates), bytes)
 }
 
-// Whatever comes, decoding ends with a message or a fault; what it reads it can write and read again.
+// Decoding ends with a message or a MessageError for any input; what it decodes it can encode and decode again.
 func FuzzDecode(f *testing.F) {
 	for _, m := range samples() {
 		f.Add(encode(f, m))
--- /dev/null
+++ b/internal/bgp/wire/mpunreach.go
@@ -0,0 +1,34 @@
+package wire
+
+import (
+	"net/netip"
+)
+
+// mpUnreachPrefixes is the offset of the prefixes in MP_UNREACH_NLRI (RFC 4760, section 4), after AFI and SAFI.
+const mpUnreachPrefixes = 3
+
+// decodeMPUnreach decodes withdrawn prefixes; none at all mark the end of the family's routes. Families that were
+// never agreed on are ignored.
+func (u *Update) decodeMPUnreach(value []byte) error {
+	if len(value) < mpUnreachPrefixes {
+		return newMessageError(CodeUpdate, SubcodeOptionalAttributeError, nil, "unreachable prefixes are malformed")
+	}
+	family := decodeFamily(value)
+	if value[2] != safiUnicast || !family.supported() {
+		return nil
+	}
+	if len(value) == mpUnreachPrefixes {
+		u.endOfRIB = family
+	}
+	prefixes, ok := decodePrefixes(value[mpUnreachPrefixes:], family)
+	if !ok {
+		return newMessageError(CodeUpdate, SubcodeOptionalAttributeError, nil, "an unreachable prefix is malformed")
+	}
+	u.Withdrawn = append(u.Withdrawn, prefixes...)
+	return nil
+}
+
+func appendMPUnreach(b []byte, f Family, prefixes []netip.Prefix) []byte {
+	value := append(appendFamily(nil, f), safiUnicast)
+	return appendAttribute(b, flagOptional, attributeMPUnreach, appendPrefixes(value, prefixes))
+}
--- /dev/null
+++ b/internal/bgp/wire/open.go
@@ -0,0 +1,96 @@
+package wire
+
+import (
+	"encoding/binary"
+)
+
+const (
+	version = 4
+	// asTrans stands in the two-octet field for an AS number that needs four octets (RFC 6793).
+	asTrans = 23456
+	// openFixedLength is the length of an Open's body before its optional parameters.
+	openFixedLength = 10
+	// parameterCapabilities is the type of the only optional parameter in use (RFC 5492).
+	parameterCapabilities = 2
+)
+
+// Open is the first message on a connection.
+type Open struct {
+	AS          uint32
+	HoldTime    uint16   // seconds
+	ID          [4]byte  // the BGP identifier
+	Families    []Family // by capability; none means IPv4
+	FourOctetAS bool
+	Refresh     bool
+	Restart     *GracefulRestart // nil: no such capability
+}
+
+func (*Open) messageType() messageType { return typeOpen }
+
+func (o *Open) appendBody(b []byte) []byte {
+	shortAS := uint16(asTrans)
+	if o.AS <= 0xFFFF {
+		shortAS = uint16(o.AS)
+	}
+	b = append(b, version)
+	b = binary.BigEndian.AppendUint16(b, shortAS)
+	b = binary.BigEndian.AppendUint16(b, o.HoldTime)
+	b = append(b, o.ID[:]...)
+	capabilities := o.appendCapabilities(nil)
+	if len(capabilities) == 0 {
+		return append(b, 0)
+	}
+	b = append(b, byte(2+len(capabilities)), parameterCapabilities, byte(len(capabilities)))
+	return append(b, capabilities...)
+}
+
+func decodeOpen(body []byte) (Message, error) {
+	if body[0] != version {
+		return nil, newMessageError(CodeOpen, SubcodeUnsupportedVersion, []byte{0, version}, "version %d", body[0])
+	}
+	o := &Open{
+		AS:       uint32(binary.BigEndian.Uint16(body[1:])),
+		HoldTime: binary.BigEndian.Uint16(body[3:]),
+		ID:       [4]byte(body[5:9]),
+	}
+	if o.HoldTime == 1 || o.HoldTime == 2 {
+		return nil, newMessageError(CodeOpen, SubcodeUnacceptableHoldTime, nil, "hold time of %d s", o.HoldTime)
+	}
+	if o.ID == ([4]byte{}) {
+		return nil, newMessageError(CodeOpen, SubcodeBadIdentifier, nil, "identifier 0.0.0.0")
+	}
+	length, parameters := int(body[9]), body[openFixedLength:]
+	if length != len(parameters) {
+		return nil, newMessageError(CodeOpen, SubcodeUnspecific, nil, "optional parameters of %d bytes in %d", length, len(parameters))
+	}
+	if err := o.decodeParameters(parameters); err != nil {
+		return nil, err
+	}
+	return o, nil
+}
+
+func (o *Open) decodeParameters(b []byte) error {
+	for len(b) > 0 {
+		kind, value, rest, ok := nextTLV(b)
+		if !ok {
+			return newMessageError(CodeOpen, SubcodeUnspecific, nil, "an optional parameter is truncated")
+		}
+		if kind != parameterCapabilities {
+			return newMessageError(CodeOpen, SubcodeUnsupportedParameter, nil, "optional parameter %d", kind)
+		}
+		if err := o.decodeCapabilities(value); err != nil {
+			return err
+		}
+		b = rest
+	}
+	return nil
+}
+
+// nextTLV splits off a value with its type and length, of one byte each. It returns false if b is too short.
+func nextTLV(b []byte) (kind byte, value, rest []byte, ok bool) {
+	if len(b) < 2 || len(b) < 2+int(b[1]) {
+		return 0, nil, nil, false
+	}
+	end := 2 + int(b[1])
+	return b[0], b[2:end], b[end:], true
+}
--- /dev/null
+++ b/internal/bgp/wire/pack.go
@@ -0,0 +1,40 @@
+package wire
+
+import (
+	"net/netip"
+	"slices"
+)
+
+// attributeGrowth is room for what the lengths of attributes may grow by beyond those of a single prefix.
+const attributeGrowth = 8
+
+// Pack distributes withdrawn prefixes, and announced ones of one path, over as few updates as hold them, each family
+// apart and none longer than MaxMessageLength.
+func Pack(withdrawn, announced []netip.Prefix, path PathAttributes) []*Update {
+	withdraw := func(prefixes []netip.Prefix) *Update { return &Update{Withdrawn: prefixes} }
+	announce := func(prefixes []netip.Prefix) *Update { return &Update{Announced: prefixes, Path: path} }
+	withdrawn4, withdrawn6 := splitByFamily(withdrawn)
+	announced4, announced6 := splitByFamily(announced)
+	return slices.Concat(
+		pack(withdrawn4, withdraw),
+		pack(withdrawn6, withdraw),
+		pack(announced4, announce),
+		pack(announced6, announce),
+	)
+}
+
+// pack sorts prefixes of one family in place and distributes them over updates that newUpdate makes.
+func pack(prefixes []netip.Prefix, newUpdate func([]netip.Prefix) *Update) (updates []*Update) {
+	slices.SortFunc(prefixes, comparePrefixes)
+	for len(prefixes) > 0 {
+		single := headerLength + len(newUpdate(prefixes[:1]).appendBody(nil))
+		room, n := MaxMessageLength-attributeGrowth-single, 1
+		for n < len(prefixes) && room >= encodedPrefixLength(prefixes[n]) {
+			room -= encodedPrefixLength(prefixes[n])
+			n++
+		}
+		updates = append(updates, newUpdate(prefixes[:n]))
+		prefixes = prefixes[n:]
+	}
+	return updates
+}
