--- a/internal/bgp/session/golden_test.go
+++ b/internal/bgp/session/golden_test.go
@@ -79,21 +79,21 @@
 		d.numbers(4, uint64(a.Timer), uint64(a.After))
 	case ClearTimer:
 		d.numbers(5, uint64(a.Timer))
-	case SessionUp:
+	case Up:
 		d.numbers(6, uint64(len(a.Families)))
 		for _, f := range a.Families {
 			d.numbers(uint64(f))
 		}
 		d.truth(a.SendEndOfRIB)
 		d.truth(a.FourOctetAS)
-	case SessionDown:
+	case Down:
 		d.numbers(7)
 	case ResendRoutes:
 		d.numbers(8, uint64(a.Family))
 	case UpdateIgnored:
 		d.numbers(9)
 		d.message(a.Update)
-	case LogMessage:
+	case Log:
 		d.numbers(10)
 	default:
 		panic(fmt.Sprintf("no ordinal for %T", a))
@@ -129,7 +129,7 @@
 const (
 	dialed = iota
 	connected
-	openReceived
+	peerOpenReceived
 )
 
 // history plays one seeded sequence: a peer that mostly goes on as RFC 4271 says, and now and then anything else.
@@ -181,7 +181,7 @@
 		h.numbers = append(h.numbers, c)
 		h.handle(ConnOpened{Conn: c, Inbound: true})
 	case n < 92:
-		h.handle(TimerExpired{Timer: Timer(h.random.IntN(int(timers)))})
+		h.handle(TimerExpired{Timer: Timer(h.random.IntN(int(timerCount)))})
 	case n < 94 && len(h.numbers) > 0:
 		c := h.numbers[h.random.IntN(len(h.numbers))]
 		h.handle(MessageInvalid{Conn: c, Err: &wire.MessageError{Notification: wire.Notification{Code: wire.CodeHeader, Subcode: wire.SubcodeNotSynchronized,
@@ -208,7 +208,7 @@
 		h.connections[c] = connected
 		h.handle(ConnOpened{Conn: c})
 	case connected:
-		h.connections[c] = openReceived
+		h.connections[c] = peerOpenReceived
 		if h.chance(0.05) {
 			h.handle(MessageReceived{Conn: c, Message: h.message()})
 			return
--- a/internal/bgp/session/session_test.go
+++ b/internal/bgp/session/session_test.go
@@ -2,13 +2,12 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 
 	"glenport/internal/bgp/wire"
 	"glenport/scheduler"
-
-	"pgregory.net/rapid"
 )
 
 var both = []wire.Family{wire.IPv4, wire.IPv6}
@@ -25,9 +24,9 @@
 	return o
 }
 
-func show(acts []Action) string {
+func show(actions []Action) string {
 	var all []string
-	for _, a := range acts {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case Dial:
 			all = append(all, fmt.Sprint("dial ", a.Conn))
@@ -39,9 +38,9 @@
 			all = append(all, fmt.Sprintf("%s on %d", s, a.Conn))
 		case CloseConn:
 			all = append(all, fmt.Sprint("close ", a.Conn))
-		case SessionUp:
+		case Up:
 			all = append(all, fmt.Sprint("up ", len(a.Families)))
-		case SessionDown:
+		case Down:
 			all = append(all, "down")
 		case ResendRoutes:
 			all = append(all, fmt.Sprint("resend ", a.Family))
@@ -52,165 +51,125 @@
 	return strings.Join(all, ", ")
 }
 
-// Each history starts a session and plays events; the actions of the last and the state after it are compared.
-func TestHistories(t *testing.T) {
-	called := ConnID(1_000_000)
-	up := []Event{ConnOpened{1, false}, MessageReceived{1, open(nil)}, MessageReceived{1, &wire.Keepalive{}}}
-	after := func(e ...Event) []Event { return append(append([]Event(nil), up...), e...) }
-	for _, tc := range []struct {
-		name   string
-		peer   func(p *PeerConfig)
-		events []Event
-		want   string
-	}{
-		{"calls", nil, nil, "dial 1; Connect"},
-		{"passive waits", func(p *PeerConfig) { p.Passive = true }, nil, "; Active"},
-		{"greets", nil, []Event{ConnOpened{1, false}}, "open on 1; OpenSent"},
-		{"confirms", nil, up[:2], "keepalive on 1; OpenConfirm"},
-		{"stands", nil, up, "up 2; Established"},
-		{"the peer calls", func(p *PeerConfig) { p.Passive = true }, []Event{ConnOpened{called, true}}, "open on 1000000; OpenSent"},
-		{"no connection", nil, []Event{ConnClosed{1}}, "; Idle"},
-		{"tries again after a rest", nil, []Event{ConnClosed{1}, TimerExpired{IdleHoldTimer}}, "dial 2; Connect"},
-		{"a try that takes too long", nil, []Event{TimerExpired{ConnectRetryTimer}}, "close 1, dial 2; Connect"},
-		{"and opens all the same", nil, []Event{TimerExpired{ConnectRetryTimer}, ConnOpened{1, false}}, "close 1; Connect"},
-		{"the wrong AS", nil, []Event{ConnOpened{1, false}, MessageReceived{1, open(func(o *wire.Open) { o.AS = 65003 })}}, "2/2 on 1, close 1; Idle"},
-		{"our identifier", nil, []Event{ConnOpened{1, false}, MessageReceived{1, open(func(o *wire.Open) { o.ID = peer().ID })}}, "2/3 on 1, close 1; Idle"},
-		{"no family shared", func(p *PeerConfig) { p.Families = both[1:] },
-			[]Event{ConnOpened{1, false}, MessageReceived{1, open(func(o *wire.Open) { o.Families = nil })}}, "2/7 on 1, close 1; Idle"},
-		{"a peer without capabilities", nil, append(append([]Event{}, ConnOpened{1, false}, MessageReceived{1, open(func(o *wire.Open) {
-			o.Families, o.FourOctetAS = nil, false
-		})}), up[2]), "up 1; Established"},
-		{"four octets needed", func(p *PeerConfig) { p.OwnAS = 4200000001 },
-			[]Event{ConnOpened{1, false}, MessageReceived{1, open(func(o *wire.Open) { o.FourOctetAS = false })}}, "2/7 on 1, close 1; Idle"},
-		{"keepalive before open", nil, []Event{ConnOpened{1, false}, MessageReceived{1, &wire.Keepalive{}}}, "5/1 on 1, close 1; Idle"},
-		{"update before keepalive", nil, []Event{ConnOpened{1, false}, MessageReceived{1, open(nil)}, MessageReceived{1, &wire.Update{}}}, "5/2 on 1, close 1; Idle"},
-		{"open in an established session", nil, after(MessageReceived{1, open(nil)}), "5/3 on 1, close 1, down; Idle"},
-		{"what the peer announces is not taken", nil, after(MessageReceived{1, &wire.Update{}}), "ignored; Established"},
-		{"a refresh", nil, after(MessageReceived{1, &wire.RouteRefresh{Family: wire.IPv6}}), "resend 2; Established"},
-		{"garbage", nil, after(MessageInvalid{1, &wire.MessageError{Notification: wire.Notification{Code: 1, Subcode: 1}}}), "1/1 on 1, close 1, down; Idle"},
-		{"silent", nil, after(TimerExpired{HoldTimer}), "4/0 on 1, close 1, down; Idle"},
-		{"no open in time", nil, []Event{ConnOpened{1, false}, TimerExpired{HoldTimer}}, "4/0 on 1, close 1; Idle"},
-		{"keeps alive", nil, after(TimerExpired{KeepaliveTimer}), "keepalive on 1; Established"},
-		{"the connection ends", nil, after(ConnClosed{1}), "down; Idle"},
-		{"the peer ends it", nil, after(MessageReceived{1, wire.NewShutdown("maintenance")}), "close 1, down; Idle"},
-		{"stopped", nil, after(Stop{"maintenance"}), "6/2 on 1, close 1, down; Idle"},
-		{"stopped, and stays so", nil, after(Stop{"maintenance"}, TimerExpired{IdleHoldTimer}), "; Idle"},
-		{"called while it stands", nil, after(ConnOpened{called, true}), "6/5 on 1000000, close 1000000; Established"},
-		{"called while stopped", nil, after(Stop{""}, ConnOpened{called, true}), "6/5 on 1000000, close 1000000; Idle"},
-		{"collision: the peer's identifier is higher, its call stays", nil, []Event{ConnOpened{1, false}, ConnOpened{called, true}, MessageReceived{1, open(nil)},
-			MessageReceived{called, open(nil)}}, "6/7 on 1, close 1, keepalive on 1000000; OpenConfirm"},
-		{"collision: ours is higher, our call stays", func(p *PeerConfig) { p.ID = [4]byte{10, 0, 0, 99} }, []Event{ConnOpened{1, false},
-			ConnOpened{called, true}, MessageReceived{1, open(nil)}, MessageReceived{called, open(nil)}}, "6/7 on 1000000, close 1000000; OpenConfirm"},
-		{"collision: the other had not greeted", nil, []Event{ConnOpened{1, false}, ConnOpened{called, true}, MessageReceived{1, open(nil)},
-			MessageReceived{1, &wire.Keepalive{}}}, "6/7 on 1000000, close 1000000, up 2; Established"},
-	} {
+// exchange starts a session and plays events; the actions of the last event and the state after it are compared.
+type exchange struct {
+	name   string
+	change func(p *PeerConfig)
+	events []Event
+	want   string
+}
+
+func checkExchanges(t *testing.T, exchanges []exchange) {
+	t.Helper()
+	for _, tc := range exchanges {
 		t.Run(tc.name, func(t *testing.T) {
 			p := peer()
-			if tc.peer != nil {
-				tc.peer(&p)
+			if tc.change != nil {
+				tc.change(&p)
 			}
 			s := New(p)
-			acts := s.Handle(Start{})
+			actions := s.Handle(Start{})
 			for _, e := range tc.events {
-				acts = s.Handle(e)
+				actions = s.Handle(e)
 			}
-			if got := show(acts) + "; " + s.State().String(); got != tc.want {
+			if got := show(actions) + "; " + s.State().String(); got != tc.want {
 				t.Errorf("got  %s\nwant %s", got, tc.want)
 			}
 		})
 	}
 }
 
-// Every event in every state leads to a state, never to a panic; an established session has one connection, a
-// running one always has something under way that moves it on, and what is dialled or opened is closed or known.
-func TestEveryPair(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		p := peer()
-		p.Passive = rapid.Bool().Draw(t, "passive")
-		s, set, called, ups := New(p), map[Timer]bool{}, ConnID(1_000_000), 0
-		live, dialled := map[ConnID]bool{}, map[ConnID]bool{}
-		do := func(e Event) {
-			for _, a := range s.Handle(e) {
-				switch a := a.(type) {
-				case Dial:
-					dialled[a.Conn] = true
-				case CloseConn:
-					delete(live, a.Conn)
-					delete(dialled, a.Conn)
-				case SetTimer:
-					set[a.Timer] = true
-				case ClearTimer:
-					delete(set, a.Timer)
-				case SessionUp:
-					ups++
-				case SessionDown:
-					ups--
-				case SendMessage:
-					if !live[a.Conn] {
-						t.Fatalf("sends on %d, which is not open", a.Conn)
-					}
-				}
-			}
-		}
-		do(Start{})
-		for range 50 {
-			var any ConnID
-			for c := range live {
-				any = max(any, c)
-			}
-			switch rapid.IntRange(0, 8).Draw(t, "event") {
-			case 0:
-				for c := range dialled {
-					live[c] = true
-					delete(dialled, c)
-					do(ConnOpened{c, false})
-					break
-				}
-			case 1:
-				for c := range dialled {
-					delete(dialled, c)
-					do(ConnClosed{c})
-					break
-				}
-			case 2:
-				called++
-				live[called] = true
-				do(ConnOpened{called, true})
-			case 3:
-				if any > 0 {
-					delete(live, any)
-					do(ConnClosed{any})
-				}
-			case 4, 5:
-				if any > 0 {
-					do(MessageReceived{any, []wire.Message{open(nil), &wire.Keepalive{}, &wire.Update{}, &wire.Notification{Code: 6},
-						&wire.RouteRefresh{Family: wire.IPv4}}[rapid.IntRange(0, 4).Draw(t, "message")]})
-				}
-			case 6:
-				if any > 0 {
-					do(MessageInvalid{any, &wire.MessageError{Notification: wire.Notification{Code: 1}}})
-				}
-			case 7:
-				timer := Timer(rapid.IntRange(0, int(timers)-1).Draw(t, "timer"))
-				if set[timer] {
-					delete(set, timer)
-					do(TimerExpired{timer})
-				}
-			case 8:
-				if rapid.IntRange(0, 9).Draw(t, "stop") == 0 {
-					do(Stop{"x"})
-					do(Start{})
-				}
-			}
-			if (s.State() == Established) != (ups == 1) || ups < 0 || ups > 1 {
-				t.Fatalf("%s with %d up", s.State(), ups)
-			}
-			if s.State() == Established && len(live) != 1 {
-				t.Fatalf("established with %d connections", len(live))
-			}
-			if len(set) == 0 && len(dialled) == 0 {
-				t.Fatalf("%s, and nothing will move it on", s.State())
-			}
-		}
+const inbound ConnID = 1_000_000
+
+// established are the events that establish a session on connection 1, followed by more.
+func established(more ...Event) []Event {
+	return append([]Event{ConnOpened{1, false}, MessageReceived{1, open(nil)}, MessageReceived{1, &wire.Keepalive{}}}, more...)
+}
+
+// openReceivedOn1 are the events up to the peer's Open, which is changed, on connection 1, followed by more.
+func openReceivedOn1(change func(o *wire.Open), more ...Event) []Event {
+	return append([]Event{ConnOpened{1, false}, MessageReceived{1, open(change)}}, more...)
+}
+
+func passive(p *PeerConfig) { p.Passive = true }
+
+func TestSessionIsEstablishedStepByStep(t *testing.T) {
+	checkExchanges(t, []exchange{
+		{"dials", nil, nil, "dial 1; Connect"},
+		{"passive waits", passive, nil, "; Active"},
+		{"sends its Open", nil, []Event{ConnOpened{1, false}}, "open on 1; OpenSent"},
+		{"confirms", nil, openReceivedOn1(nil), "keepalive on 1; OpenConfirm"},
+		{"is established", nil, established(), "up 2; Established"},
+		{"the peer connects", passive, []Event{ConnOpened{inbound, true}}, "open on 1000000; OpenSent"},
+		{"a peer without capabilities", nil, openReceivedOn1(func(o *wire.Open) { o.Families, o.FourOctetAS = nil, false },
+			MessageReceived{1, &wire.Keepalive{}}), "up 1; Established"},
+	})
+}
+
+func TestFailedAttemptIsRetriedAndAbandonedOneClosed(t *testing.T) {
+	checkExchanges(t, []exchange{
+		{"no connection", nil, []Event{ConnClosed{1}}, "; Idle"},
+		{"retries after the idle hold time", nil, []Event{ConnClosed{1}, TimerExpired{IdleHoldTimer}}, "dial 2; Connect"},
+		{"an attempt that takes too long", nil, []Event{TimerExpired{ConnectRetryTimer}}, "close 1, dial 2; Connect"},
+		{"and opens all the same", nil, []Event{TimerExpired{ConnectRetryTimer}, ConnOpened{1, false}}, "close 1; Connect"},
+	})
+}
+
+func TestUnacceptableOpenIsRejected(t *testing.T) {
+	checkExchanges(t, []exchange{
+		{"the wrong AS", nil, openReceivedOn1(func(o *wire.Open) { o.AS = 65003 }), "2/2 on 1, close 1; Idle"},
+		{"our identifier", nil, openReceivedOn1(func(o *wire.Open) { o.ID = peer().ID }), "2/3 on 1, close 1; Idle"},
+		{"no family shared", func(p *PeerConfig) { p.Families = both[1:] },
+			openReceivedOn1(func(o *wire.Open) { o.Families = nil }), "2/7 on 1, close 1; Idle"},
+		{"four octets needed", func(p *PeerConfig) { p.OwnAS = 4200000001 },
+			openReceivedOn1(func(o *wire.Open) { o.FourOctetAS = false }), "2/7 on 1, close 1; Idle"},
+	})
+}
+
+func TestUnexpectedMessageResetsTheConnection(t *testing.T) {
+	checkExchanges(t, []exchange{
+		{"keepalive before open", nil, []Event{ConnOpened{1, false}, MessageReceived{1, &wire.Keepalive{}}}, "5/1 on 1, close 1; Idle"},
+		{"update before keepalive", nil, openReceivedOn1(nil, MessageReceived{1, &wire.Update{}}), "5/2 on 1, close 1; Idle"},
+		{"open in an established session", nil, established(MessageReceived{1, open(nil)}), "5/3 on 1, close 1, down; Idle"},
+		{"garbage", nil, established(MessageInvalid{1, &wire.MessageError{Notification: wire.Notification{Code: 1, Subcode: 1}}}),
+			"1/1 on 1, close 1, down; Idle"},
+	})
+}
+
+func TestEstablishedSessionAnswersItsPeer(t *testing.T) {
+	checkExchanges(t, []exchange{
+		{"routes of the peer are not imported", nil, established(MessageReceived{1, &wire.Update{}}), "ignored; Established"},
+		{"a refresh", nil, established(MessageReceived{1, &wire.RouteRefresh{Family: wire.IPv6}}), "resend 2; Established"},
+		{"sends keepalives", nil, established(TimerExpired{KeepaliveTimer}), "keepalive on 1; Established"},
+	})
+}
+
+func TestSessionEndsInIdle(t *testing.T) {
+	checkExchanges(t, []exchange{
+		{"silent", nil, established(TimerExpired{HoldTimer}), "4/0 on 1, close 1, down; Idle"},
+		{"no open in time", nil, []Event{ConnOpened{1, false}, TimerExpired{HoldTimer}}, "4/0 on 1, close 1; Idle"},
+		{"the connection ends", nil, established(ConnClosed{1}), "down; Idle"},
+		{"the peer ends it", nil, established(MessageReceived{1, wire.NewShutdown("maintenance")}), "close 1, down; Idle"},
+		{"stopped", nil, established(Stop{"maintenance"}), "6/2 on 1, close 1, down; Idle"},
+		{"stopped, and stays so", nil, established(Stop{"maintenance"}, TimerExpired{IdleHoldTimer}), "; Idle"},
+	})
+}
+
+func TestConnectionThatNoStateExpectsIsClosed(t *testing.T) {
+	checkExchanges(t, []exchange{
+		{"while established", nil, established(ConnOpened{inbound, true}), "6/5 on 1000000, close 1000000; Established"},
+		{"while stopped", nil, established(Stop{""}, ConnOpened{inbound, true}), "6/5 on 1000000, close 1000000; Idle"},
+	})
+}
+
+func TestCollisionLeavesTheConnectionOfTheHigherIdentifier(t *testing.T) {
+	opened := []Event{ConnOpened{1, false}, ConnOpened{inbound, true}, MessageReceived{1, open(nil)}}
+	both := append(slices.Clone(opened), MessageReceived{inbound, open(nil)})
+	checkExchanges(t, []exchange{
+		{"the peer's is higher: the inbound one stays", nil, both, "6/7 on 1, close 1, keepalive on 1000000; OpenConfirm"},
+		{"ours is higher: the dialed one stays", func(p *PeerConfig) { p.ID = [4]byte{10, 0, 0, 99} }, both,
+			"6/7 on 1000000, close 1000000; OpenConfirm"},
+		{"the other had sent no Open", nil, append(slices.Clone(opened), MessageReceived{1, &wire.Keepalive{}}),
+			"6/7 on 1000000, close 1000000, up 2; Established"},
 	})
 }
--- a/internal/bgp/speaker/speaker.go
+++ b/internal/bgp/speaker/speaker.go
@@ -3,6 +3,7 @@
 package speaker
 
 import (
+	"context"
 	"errors"
 	"log/slog"
 	"net/netip"
@@ -60,7 +61,7 @@
 	allow   bart.Lite
 	conns   map[session.ConnID]*peerConn
 	timers  map[session.Timer]*eventloop.Timer
-	up      *session.SessionUp
+	up      *session.Up
 	conn    *peerConn
 	due     map[netip.Prefix]*announce.Path // changes to be told; nil: a withdrawal. Emptied as they are written
 	sent    map[netip.Prefix]bool           // what the peer was told
@@ -349,9 +350,9 @@
 			p.timers[a.Timer] = p.s.loop.After(eventloop.Tick(a.After), func() { p.handle(session.TimerExpired{Timer: a.Timer}) })
 		case session.ClearTimer:
 			p.s.loop.Cancel(p.timers[a.Timer])
-		case session.SessionUp:
+		case session.Up:
 			p.begin(a)
-		case session.SessionDown:
+		case session.Down:
 			p.up, p.conn, p.Why = nil, nil, a.Reason
 			p.Flaps++
 			clear(p.due)
@@ -360,12 +361,17 @@
 			p.filling = nil
 		case session.ResendRoutes:
 			p.resend(a.Family)
-		case session.LogMessage:
-			p.s.log.Info("session", "peer", p.terms.Addr, "as", p.terms.AS, "text", a.Message)
+		case session.Log:
+			p.logSession(a)
 		}
 	}
 }
 
+func (p *peer) logSession(l session.Log) {
+	attributes := append([]slog.Attr{slog.String("peer", p.terms.Addr), slog.Uint64("as", uint64(p.terms.AS))}, l.Attributes...)
+	p.s.log.LogAttrs(context.Background(), slog.LevelInfo, l.Message, attributes...)
+}
+
 // sign sets the key up on a socket to the peer. Where the kernel refuses, no session is opened: an unsigned one is
 // not what the file asks for.
 func (p *peer) sign(fd int) error {
@@ -383,7 +389,7 @@
 }
 
 // begin tells a peer all that stands.
-func (p *peer) begin(u session.SessionUp) {
+func (p *peer) begin(u session.Up) {
 	p.up, p.ending = &u, u.SendEndOfRIB
 	for _, w := range p.conns {
 		if !w.gone {
