--- a/internal/bgp/announce/announce.go
+++ b/internal/bgp/announce/announce.go
@@ -1,338 +1,197 @@
-// Package announce decides which service addresses are announced by BGP, with which path, and when: from containers
-// that run, drain, fail or end, it keeps what each peer is to be told, never more than one change a second for an
-// address, and withdraws in time when the last container behind an address has ended. It is pure: Handle takes what
-// happened and returns what is to be done.
+// Package announce decides which service addresses are announced by BGP, with which path, and when. From containers
+// that run, drain and end it derives the routes that all peers should have, never more than one update a second for
+// an address, and withdraws in time when the last container behind an address has ended. It is pure: Handle takes
+// events and returns actions.
 package announce
 
 import (
-	"math"
-	"math/bits"
-	"net/netip"
-	"sort"
+	"cmp"
+	"maps"
+	"slices"
 
 	"glenport/scheduler"
 )
 
-// Tuned values. Those of the damping are the recommendations of RFC 7196, section 4, with its high threshold.
-const (
-	pace         = scheduler.Second     // at least between two updates of one address
-	lastWithin   = 2 * scheduler.Second // a withdrawal for the last container is out within this
-	flapPenalty  = 1000.0               // for each withdrawal
-	suppressAt   = 6000.0               // an address is no longer announced from here
-	reuseBelow   = 750.0                // and again from here
-	halfLife     = 15 * 60 * scheduler.Second
-	mostPenalty  = 12000.0 // what half-lives of an hour would come to
-	forgetBelow  = 50.0    // a penalty so small is dropped
-	drainedPref  = 0       // local preference of what is about to go, RFC 8326
-	ordinaryPref = 100
-	healthStep   = 10 // of MED, for each halving of what serves below
-	healthHalves = 5  // sixteen
-)
-
-// GracefulShutdown is the well-known community of RFC 8326.
-const GracefulShutdown = 0xFFFF0000
-
-// Path is what goes with a prefix.
-type Path struct {
-	NextHop     netip.Addr
-	Preference  uint32
-	MED         uint32
-	Communities string // of four bytes each, so that paths compare
-}
-
-// Service is an address to be announced while containers behind it run.
-type Service struct {
-	Prefix      netip.Prefix
-	NextHop     netip.Addr
-	MED         uint32
-	MinRunning  int  // running containers below which it is not announced; 0 counts as 1
-	MEDByHealth bool // the more of them serve, the lower the MED: peers prefer the placer with most
-}
-
-// Event is something that happened.
-type Event interface{ event() }
-
-type (
-	// ServiceSet makes or changes a service's address; Dropped ends it.
-	ServiceSet struct {
-		Name    string
-		Service Service
-	}
-	ServiceRemoved struct{ Name string }
-	// ContainerRunning and Ends are a container's; Drains says that its machine is about to go, or is not any more.
-	ContainerRunning struct {
-		Service, Container string
-		Draining           bool
-	}
-	ContainerEnded struct{ Service, Container string }
-	TimerFired     struct{}
-)
-
-func (ServiceSet) event()       {}
-func (ServiceRemoved) event()   {}
-func (ContainerRunning) event() {}
-func (ContainerEnded) event()   {}
-func (TimerFired) event()       {}
-
-// Action is something to be done.
-type Action interface{ action() }
-
-type (
-	// Announce replaces the path of a prefix at all peers, Withdraw ends it.
-	Announce struct {
-		Prefix netip.Prefix
-		Path   Path
-	}
-	Withdraw struct{ Prefix netip.Prefix }
-	SetTimer struct{ After scheduler.Time }
-	// LogMessage is a change worth a line in the log, with its figure.
-	LogMessage struct {
-		Prefix  netip.Prefix
-		Message string
-		Penalty float64
-	}
-)
-
-func (Announce) action()   {}
-func (Withdraw) action()   {}
-func (SetTimer) action()   {}
-func (LogMessage) action() {}
-
-// Status tells an operator where an address stands.
-type Status struct {
-	Announced  bool
-	Path       Path
-	Running    int
-	Draining   int
-	MinRunning int
-	Penalty    float64
-	Suppressed bool
-	NextUpdate scheduler.Time // 0: at once
-}
+// minUpdateInterval is the least time between two updates of one address. It is half of the two seconds in which a
+// withdrawal has to be sent after the last container's end, so that a withdrawal may wait for it too.
+const minUpdateInterval = scheduler.Second
 
-// Announcer is the state of all services: one entry each while it is offered, runs, or is remembered for its
-// flapping.
+// Announcer holds all services: each is kept while it is configured or announced, has containers, or is remembered for
+// its flapping.
 type Announcer struct {
 	now      scheduler.Time
-	out      []Action
+	actions  []Action
 	services map[string]*service
-	wakeAt   scheduler.Time
-}
-
-type service struct {
-	name       string
-	offered    bool
-	terms      Service
-	containers map[string]bool // whether they drain
-	told       bool            // a path stands at the peers
-	path       Path
-	prefix     netip.Prefix // under which it was told
-	toldAt     scheduler.Time
-	ever       bool
-	due        bool // a change waits for its pace
-	penalty    float64
-	penaltyAt  scheduler.Time
-	suppressed bool
+	changed  map[string]bool // names of services that the current events concern
+	wakeAt   scheduler.Time  // when the timer fires
 }
 
+// New returns an Announcer without services.
 func New() *Announcer { return &Announcer{services: map[string]*service{}} }
 
-// Handle takes what happened by now and returns what is to be done.
+// Handle takes the events up to now and returns what is to be done, in order.
 func (a *Announcer) Handle(now scheduler.Time, events []Event) []Action {
-	a.now, a.out = now, nil
-	touched := map[string]bool{}
+	a.now, a.actions, a.changed = now, nil, map[string]bool{}
 	for _, e := range events {
 		switch e := e.(type) {
 		case ServiceSet:
-			s := a.service(e.Name)
-			s.offered, s.terms = true, e.Service
-			touched[e.Name] = true
+			a.setService(e)
 		case ServiceRemoved:
-			if s := a.services[e.Name]; s != nil {
-				s.offered = false
-				touched[e.Name] = true
-			}
+			a.removeService(e)
 		case ContainerRunning:
-			a.service(e.Service).containers[e.Container] = e.Draining
-			touched[e.Service] = true
+			a.addContainer(e)
 		case ContainerEnded:
-			if s := a.services[e.Service]; s != nil {
-				delete(s.containers, e.Container)
-				touched[e.Service] = true
-			}
+			a.removeContainer(e)
 		case TimerFired:
-			for name, s := range a.services {
-				if s.due || s.suppressed || s.penalty > 0 {
-					touched[name] = true
-				}
-			}
+			a.checkWaiting()
 		}
 	}
-	names := make([]string, 0, len(touched))
-	for name := range touched {
-		names = append(names, name)
-	}
-	sort.Strings(names)
-	for _, name := range names {
-		a.settle(a.services[name])
+	for _, name := range slices.Sorted(maps.Keys(a.changed)) {
+		a.update(a.services[name])
 	}
-	a.setWake()
-	return a.out
+	a.setTimer()
+	return a.actions
 }
 
-func (a *Announcer) service(name string) *service {
-	s := a.services[name]
-	if s == nil {
-		s = &service{name: name, containers: map[string]bool{}}
-		a.services[name] = s
+func (a *Announcer) setService(e ServiceSet) {
+	s := a.findOrAdd(e.Name)
+	s.configured, s.config = true, e.Service
+	a.changed[e.Name] = true
+}
+
+func (a *Announcer) removeService(e ServiceRemoved) {
+	if s := a.services[e.Name]; s != nil {
+		s.configured = false
+		a.changed[e.Name] = true
 	}
-	return s
 }
 
-func (a *Announcer) do(x Action) { a.out = append(a.out, x) }
+func (a *Announcer) addContainer(e ContainerRunning) {
+	a.findOrAdd(e.Service).draining[e.Container] = e.Draining
+	a.changed[e.Service] = true
+}
 
-// fade lets a penalty decay to now.
-func (s *service) fade(now scheduler.Time) {
-	if s.penalty > 0 {
-		s.penalty *= math.Exp2(-float64(now-s.penaltyAt) / float64(halfLife))
-		if s.penalty < forgetBelow {
-			s.penalty = 0
-		}
+func (a *Announcer) removeContainer(e ContainerEnded) {
+	if s := a.services[e.Service]; s != nil {
+		delete(s.draining, e.Container)
+		a.changed[e.Service] = true
 	}
-	s.penaltyAt = now
 }
 
-// wanted is the path that a service should have now. One whose containers all drain is still announced, but as
-// the last choice, so that its traffic moves before it ends.
-func (s *service) wanted() (Path, bool) {
-	serving := 0
-	for _, draining := range s.containers {
-		if !draining {
-			serving++
+// checkWaiting has all services updated that wait for something to pass.
+func (a *Announcer) checkWaiting() {
+	for name, s := range a.services {
+		if s.pending || s.damping.suppressed || s.damping.penalty > 0 {
+			a.changed[name] = true
 		}
 	}
-	n := len(s.containers)
-	if !s.offered || s.suppressed || n == 0 || n < s.terms.MinRunning {
-		return Path{}, false
-	}
-	p := Path{NextHop: s.terms.NextHop, MED: s.terms.MED, Preference: ordinaryPref}
-	if s.terms.MEDByHealth { // by halves, so that one more or less of many changes nothing
-		p.MED += healthStep * uint32(max(0, healthHalves-bits.Len(uint(serving))))
-	}
-	if serving == 0 {
-		p.Preference = drainedPref
-		p.Communities = string([]byte{GracefulShutdown >> 24, GracefulShutdown >> 16 & 0xFF, 0, 0})
+}
+
+func (a *Announcer) findOrAdd(name string) *service {
+	s := a.services[name]
+	if s == nil {
+		s = &service{name: name, draining: map[string]bool{}}
+		a.services[name] = s
 	}
-	return p, true
+	return s
 }
 
-// settle tells the peers what has changed, if the address's pace allows. What changes back meanwhile is never
-// told. A withdrawal waits as others do: the pace is half of the time it has.
-func (a *Announcer) settle(s *service) {
-	s.fade(a.now)
-	if s.suppressed && s.penalty < reuseBelow {
-		s.suppressed = false
-		a.do(LogMessage{s.terms.Prefix, "announced again as it has been steady", s.penalty})
+func (a *Announcer) emit(x Action) { a.actions = append(a.actions, x) }
+
+// update emits what has changed for a service, or leaves it pending until minUpdateInterval has passed. A change that
+// is reverted meanwhile is never emitted.
+func (a *Announcer) update(s *service) {
+	s.damping.decay(a.now)
+	if s.damping.endSuppression() {
+		a.emit(Log{Message: "route is stable, announced again", Prefix: s.config.Prefix, Penalty: s.damping.penalty})
 	}
-	path, on := s.wanted()
-	moved := s.told && on && s.prefix != s.terms.Prefix
-	if on == s.told && (!on || path == s.path && !moved) {
-		s.due = false
-		a.forget(s)
+	path, wanted := s.desiredPath()
+	moved := s.announced && wanted && s.prefix != s.config.Prefix
+	if !moved && s.matches(path, wanted) {
+		s.pending = false
+		a.evictIfUnused(s)
 		return
 	}
-	if s.ever && a.now < s.toldAt+pace {
-		s.due = true
+	if s.everUpdated && a.now < s.updatedAt+minUpdateInterval {
+		s.pending = true
 		return
 	}
-	s.due = false
-	if s.told && (!on || moved) {
-		a.do(Withdraw{s.prefix})
-		s.told = false
-		s.penalty = min(mostPenalty, s.penalty+flapPenalty)
-		if !s.suppressed && s.penalty >= suppressAt {
-			s.suppressed = true
-			a.do(LogMessage{s.prefix, "flaps: not announced until it is steady", s.penalty})
-		}
-		s.toldAt, s.ever = a.now, true
-		if moved {
-			s.due = true
-		}
-		a.forget(s)
+	if s.announced && (!wanted || moved) {
+		a.withdraw(s)
+		s.pending = moved // the new address follows
+		a.evictIfUnused(s)
 		return
 	}
-	a.do(Announce{s.terms.Prefix, path})
-	s.told, s.path, s.prefix = true, path, s.terms.Prefix
-	s.toldAt, s.ever = a.now, true
+	a.announce(s, path)
+	s.pending = false
 }
 
-// forget drops a service that is not offered, not told and not remembered for anything.
-func (a *Announcer) forget(s *service) {
-	if !s.offered && !s.told && len(s.containers) == 0 && s.penalty == 0 && a.now >= s.toldAt+pace {
+func (a *Announcer) announce(s *service, path Path) {
+	a.emit(Announce{Prefix: s.config.Prefix, Path: path})
+	s.announced, s.path, s.prefix = true, path, s.config.Prefix
+	s.updatedAt, s.everUpdated = a.now, true
+}
+
+func (a *Announcer) withdraw(s *service) {
+	a.emit(Withdraw{Prefix: s.prefix})
+	s.announced = false
+	if s.damping.addWithdrawal() {
+		a.emit(Log{Message: "route flaps, suppressed until it is stable", Prefix: s.prefix, Penalty: s.damping.penalty})
+	}
+	s.updatedAt, s.everUpdated = a.now, true
+}
+
+func (a *Announcer) evictIfUnused(s *service) {
+	if s.unused() && s.damping.penalty == 0 && a.now >= s.updatedAt+minUpdateInterval {
 		delete(a.services, s.name)
 	}
 }
 
-// setWake asks to be woken for the first change that waits, and now and then for what fades.
-func (a *Announcer) setWake() {
+// setTimer sets the timer for the first service that needs an update without an event, unless it fires before.
+func (a *Announcer) setTimer() {
 	next := scheduler.Time(0)
 	for _, s := range a.services {
-		at := scheduler.Time(0)
-		switch {
-		case s.due:
-			at = s.toldAt + pace
-		case s.suppressed:
-			left := math.Log2(s.penalty/reuseBelow) * float64(halfLife)
-			at = a.now + max(pace, scheduler.Time(left)+1)
-		case !s.offered && !s.told && len(s.containers) == 0:
-			at = max(s.toldAt+pace, a.now+pace)
-			if s.penalty > 0 {
-				at = a.now + scheduler.Time(math.Log2(max(2, s.penalty/forgetBelow))*float64(halfLife)) + 1
-			}
-		}
-		if at > 0 && (next == 0 || at < next) {
+		if at := s.nextUpdate(a.now); at > 0 && (next == 0 || at < next) {
 			next = at
 		}
 	}
 	if next > 0 && (a.wakeAt <= a.now || next < a.wakeAt) {
 		a.wakeAt = next
-		a.do(SetTimer{next - a.now})
-	}
-}
-
-// Status answers for one service.
-func (a *Announcer) Status(name string) (w Status, ok bool) {
-	s := a.services[name]
-	if s == nil {
-		return w, false
-	}
-	w = Status{Announced: s.told, Path: s.path, Running: len(s.containers), MinRunning: max(1, s.terms.MinRunning), Penalty: s.penalty,
-		Suppressed: s.suppressed}
-	for _, draining := range s.containers {
-		if draining {
-			w.Draining++
-		}
-	}
-	if s.due {
-		w.NextUpdate = s.toldAt + pace
+		a.emit(SetTimer{After: next - a.now})
 	}
-	return w, true
 }
 
-// Announced gives all that is announced now, in order of prefixes: what a peer is told when its session comes up.
+// Announced returns all that is announced, in order of prefixes: what a peer receives when its session comes up.
 func (a *Announcer) Announced() []Announce {
 	var all []Announce
 	for _, s := range a.services {
-		if s.told {
-			all = append(all, Announce{s.prefix, s.path})
+		if s.announced {
+			all = append(all, Announce{Prefix: s.prefix, Path: s.path})
 		}
 	}
-	sort.Slice(all, func(i, j int) bool {
-		x, y := all[i].Prefix, all[j].Prefix
-		if c := x.Addr().Compare(y.Addr()); c != 0 {
-			return c < 0
-		}
-		return x.Bits() < y.Bits()
+	slices.SortFunc(all, func(x, y Announce) int {
+		return cmp.Or(x.Prefix.Compare(y.Prefix), x.Path.Compare(y.Path))
 	})
 	return all
 }
+
+// Status is the state of a service's address, for operators.
+type Status struct {
+	Announced  bool
+	Path       Path // the latest announced, if any
+	Running    int  // containers, draining ones included
+	Draining   int
+	MinRunning int
+	Penalty    float64
+	Suppressed bool
+	NextUpdate scheduler.Time // when a pending change is sent; 0: none is pending
+}
+
+// Status returns the state of a service's address, and whether the service is known.
+func (a *Announcer) Status(name string) (status Status, ok bool) {
+	s := a.services[name]
+	if s == nil {
+		return Status{}, false
+	}
+	return s.status(), true
+}
--- /dev/null
+++ b/internal/bgp/announce/damping.go
@@ -0,0 +1,66 @@
+package announce
+
+import (
+	"math"
+
+	"glenport/scheduler"
+)
+
+// Values of the flap damping: those that RFC 7196, section 4, recommends, with its high suppress threshold.
+const (
+	withdrawalPenalty = 1000.0
+	suppressThreshold = 6000.0
+	reuseThreshold    = 750.0
+	penaltyHalfLife   = 15 * 60 * scheduler.Second
+	maxPenalty        = 12000.0 // suppression ends within four half-lives of the last withdrawal: an hour
+	negligiblePenalty = 50.0    // counts as none
+)
+
+// damping suppresses a route that is withdrawn again and again (RFC 2439). Its penalty grows with each withdrawal and
+// decays exponentially.
+type damping struct {
+	penalty    float64 // as of decayedAt
+	decayedAt  scheduler.Time
+	suppressed bool
+}
+
+func (d *damping) decay(now scheduler.Time) {
+	if d.penalty > 0 {
+		d.penalty *= math.Exp2(-float64(now-d.decayedAt) / float64(penaltyHalfLife))
+		if d.penalty < negligiblePenalty {
+			d.penalty = 0
+		}
+	}
+	d.decayedAt = now
+}
+
+// addWithdrawal adds the penalty of a withdrawal, and returns whether suppression begins with it.
+func (d *damping) addWithdrawal() (begins bool) {
+	d.penalty = min(maxPenalty, d.penalty+withdrawalPenalty)
+	if d.suppressed || d.penalty < suppressThreshold {
+		return false
+	}
+	d.suppressed = true
+	return true
+}
+
+// endSuppression ends the suppression if the penalty has decayed, and returns whether it did.
+func (d *damping) endSuppression() (ended bool) {
+	if !d.suppressed || d.penalty >= reuseThreshold {
+		return false
+	}
+	d.suppressed = false
+	return true
+}
+
+// untilReuse returns how long the penalty takes to decay below reuseThreshold.
+func (d *damping) untilReuse() scheduler.Time {
+	halfLives := math.Log2(d.penalty / reuseThreshold)
+	return scheduler.Time(halfLives*float64(penaltyHalfLife)) + 1
+}
+
+// untilForgotten returns how long the penalty takes to become negligible, one half-life at least.
+func (d *damping) untilForgotten() scheduler.Time {
+	halfLives := math.Log2(max(2, d.penalty/negligiblePenalty))
+	return scheduler.Time(halfLives*float64(penaltyHalfLife)) + 1
+}
--- a/internal/bgp/announce/golden_test.go
+++ b/internal/bgp/announce/golden_test.go
@@ -24,15 +24,15 @@
 func TestDecisionsMatchGoldenDigests(t *testing.T) {
 	const sequences, steps = 250, 150
 	var got strings.Builder
-	for group, pace := range []scheduler.Time{100 * scheduler.Millisecond, 2 * scheduler.Second, 60 * scheduler.Second, 1200 * scheduler.Second} {
+	for group, maxStep := range []scheduler.Time{100 * scheduler.Millisecond, 2 * scheduler.Second, 60 * scheduler.Second, 1200 * scheduler.Second} {
 		digest := &actionDigest{sum: sha256.New()}
 		for seed := range sequences {
-			h := &history{digest: digest, random: rand.New(rand.NewPCG(uint64(1000*group+seed), 29)), announcer: New(), pace: pace}
+			h := &history{digest: digest, random: rand.New(rand.NewPCG(uint64(1000*group+seed), 29)), announcer: New(), maxStep: maxStep}
 			for range steps {
 				h.step()
 			}
 		}
-		fmt.Fprintf(&got, "steps of up to %d: %d actions, sha256 %x\n", pace, digest.actions, digest.sum.Sum(nil))
+		fmt.Fprintf(&got, "steps of up to %d: %d actions, sha256 %x\n", maxStep, digest.actions, digest.sum.Sum(nil))
 	}
 	path := filepath.Join("testdata", "decisions.txt")
 	if *update {
@@ -69,7 +69,7 @@
 	case SetTimer:
 		d.number(3)
 		d.number(uint64(a.After))
-	case LogMessage:
+	case Log:
 		d.number(4)
 		d.text(a.Prefix.String())
 		d.number(math.Float64bits(a.Penalty))
@@ -114,7 +114,7 @@
 	digest    *actionDigest
 	random    *rand.Rand
 	announcer *Announcer
-	pace      scheduler.Time
+	maxStep   scheduler.Time
 	now       scheduler.Time
 	wakeAt    scheduler.Time
 }
@@ -134,7 +134,7 @@
 	if h.chance(0.4) && h.wakeAt > h.now {
 		h.now = h.wakeAt
 	} else {
-		h.now += scheduler.Time(h.random.IntN(int(h.pace)))
+		h.now += scheduler.Time(h.random.IntN(int(h.maxStep)))
 	}
 	if h.wakeAt > 0 && h.now >= h.wakeAt {
 		h.wakeAt = 0
@@ -155,7 +155,7 @@
 	container := fmt.Sprint("c", h.random.IntN(7))
 	switch n := h.random.IntN(100); {
 	case n < 12:
-		return h.offer(name)
+		return h.configure(name)
 	case n < 16:
 		return ServiceRemoved{Name: name}
 	case n < 55:
@@ -166,7 +166,7 @@
 	return TimerFired{}
 }
 
-func (h *history) offer(name string) Event {
+func (h *history) configure(name string) Event {
 	prefix, hop := netip.MustParsePrefix("192.0.2."+name[1:]+"/32"), netip.MustParseAddr("198.51.100.1")
 	switch h.random.IntN(6) {
 	case 0:
--- /dev/null
+++ b/internal/bgp/announce/invariants_test.go
@@ -0,0 +1,130 @@
+package announce
+
+import (
+	"fmt"
+	"net/netip"
+	"testing"
+
+	"glenport/scheduler"
+
+	"pgregory.net/rapid"
+)
+
+// maxWithdrawalDelay is the time in which a withdrawal has to be sent after the last container's end.
+const maxWithdrawalDelay = 2 * scheduler.Second
+
+// For every sequence of events: never two updates of an address within their interval, a withdrawal within two seconds
+// of the last container's end, the peers' table right whenever nothing is pending, and no state left when all is gone.
+func TestInvariantsHoldForDrawnSequences(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := newInvariantModel(t)
+		for range 80 {
+			m.step()
+			m.checkWithdrawals()
+		}
+		m.advanceBy(2 * sec)
+		m.checkTable()
+		m.removeAll()
+		m.advanceBy(5 * 60 * 60 * sec)
+		if len(m.announcer.services) > 0 || len(m.table) > 0 {
+			t.Fatalf("%d services and %d routes are left", len(m.announcer.services), len(m.table))
+		}
+	})
+}
+
+// invariantModel follows what peers have by the updates, and what they should have by the events.
+type invariantModel struct {
+	*driver
+	t          *rapid.T
+	table      map[netip.Prefix]bool // what peers have
+	updatedAt  map[netip.Prefix]scheduler.Time
+	running    map[string]map[string]bool // containers by service
+	configured map[string]bool
+	emptyAt    map[string]scheduler.Time // when a service's last container ended
+}
+
+func newInvariantModel(t *rapid.T) *invariantModel {
+	m := &invariantModel{t: t, table: map[netip.Prefix]bool{}, updatedAt: map[netip.Prefix]scheduler.Time{},
+		running: map[string]map[string]bool{}, configured: map[string]bool{}, emptyAt: map[string]scheduler.Time{}}
+	m.driver = newDriver(m.followUpdate)
+	return m
+}
+
+func prefixOf(service string) netip.Prefix {
+	return netip.MustParsePrefix("192.0.2." + service + "/32")
+}
+
+func (m *invariantModel) followUpdate(a Action) {
+	var prefix netip.Prefix
+	switch a := a.(type) {
+	case Announce:
+		prefix = a.Prefix
+		m.table[prefix] = true
+	case Withdraw:
+		prefix = a.Prefix
+		delete(m.table, prefix)
+	default:
+		return
+	}
+	if at, updated := m.updatedAt[prefix]; updated && m.now-at < minUpdateInterval {
+		m.t.Fatalf("%s is updated twice within %d", prefix, m.now-at)
+	}
+	m.updatedAt[prefix] = m.now
+}
+
+func (m *invariantModel) advanceBy(span scheduler.Time) { m.advance(m.now + span) }
+
+func (m *invariantModel) step() {
+	service := fmt.Sprint(rapid.IntRange(1, 3).Draw(m.t, "service"))
+	if m.running[service] == nil {
+		m.running[service] = map[string]bool{}
+	}
+	container := fmt.Sprint(rapid.IntRange(1, 2).Draw(m.t, "container"))
+	switch rapid.IntRange(0, 4).Draw(m.t, "step") {
+	case 0:
+		config := web
+		config.Prefix = prefixOf(service)
+		m.configured[service] = true
+		m.handle(ServiceSet{service, config})
+	case 1:
+		m.running[service][container] = true
+		m.handle(ContainerRunning{service, container, rapid.Bool().Draw(m.t, "draining")})
+	case 2:
+		if delete(m.running[service], container); len(m.running[service]) == 0 {
+			m.emptyAt[service] = m.now
+		}
+		m.handle(ContainerEnded{service, container})
+	case 3:
+		m.advanceBy(scheduler.Time(rapid.IntRange(0, 30000).Draw(m.t, "span")))
+	case 4:
+		m.configured[service] = false
+		m.handle(ServiceRemoved{service})
+	}
+}
+
+func (m *invariantModel) checkWithdrawals() {
+	for service, containers := range m.running {
+		if len(containers) == 0 && m.table[prefixOf(service)] && m.now > m.emptyAt[service]+maxWithdrawalDelay {
+			m.t.Fatalf("%s is announced %d after its last container's end", service, m.now-m.emptyAt[service])
+		}
+	}
+}
+
+func (m *invariantModel) checkTable() {
+	for service, containers := range m.running {
+		status, _ := m.announcer.Status(service)
+		want := m.configured[service] && len(containers) > 0 && !status.Suppressed
+		if announced := m.table[prefixOf(service)]; announced != want {
+			m.t.Fatalf("%s is announced: %t; configured %t, %d containers", service, announced, m.configured[service], len(containers))
+		}
+	}
+}
+
+func (m *invariantModel) removeAll() {
+	for service, containers := range m.running {
+		for container := range containers {
+			m.handle(ContainerEnded{service, container})
+		}
+		m.handle(ServiceRemoved{service})
+	}
+}
--- /dev/null
+++ b/internal/bgp/announce/path.go
@@ -0,0 +1,47 @@
+package announce
+
+import (
+	"cmp"
+	"encoding/binary"
+	"net/netip"
+)
+
+// GracefulShutdown is the well-known community of routes that are about to be withdrawn (RFC 8326).
+const GracefulShutdown = 0xFFFF0000
+
+// Local preferences.
+const (
+	ordinaryPreference = 100
+	drainedPreference  = 0 // of routes that are about to be withdrawn (RFC 8326, section 3)
+)
+
+// Path is what is announced with a prefix. It is comparable.
+type Path struct {
+	NextHop     netip.Addr
+	Preference  uint32 // local preference
+	MED         uint32
+	Communities string // each in four bytes; see CommunityList
+}
+
+// CommunityList returns the communities as numbers.
+func (p Path) CommunityList() []uint32 {
+	var communities []uint32
+	for rest := []byte(p.Communities); len(rest) >= 4; rest = rest[4:] {
+		communities = append(communities, binary.BigEndian.Uint32(rest))
+	}
+	return communities
+}
+
+func encodeCommunity(community uint32) string {
+	return string(binary.BigEndian.AppendUint32(nil, community))
+}
+
+// Compare orders paths by next hop, then preferred ones first.
+func (p Path) Compare(q Path) int {
+	return cmp.Or(
+		p.NextHop.Compare(q.NextHop),
+		cmp.Compare(q.Preference, p.Preference),
+		cmp.Compare(p.MED, q.MED),
+		cmp.Compare(p.Communities, q.Communities),
+	)
+}
--- a/internal/bgp/speaker/speaker.go
+++ b/internal/bgp/speaker/speaker.go
@@ -165,8 +165,8 @@
 			changed = true
 		case announce.SetTimer:
 			s.loop.After(eventloop.Tick(a.After), func() { s.Handle(announce.TimerFired{}) })
-		case announce.LogMessage:
-			s.log.Info("route", "prefix", a.Prefix, "text", a.Message, "penalty", int(a.Penalty))
+		case announce.Log:
+			s.log.Info(a.Message, "prefix", a.Prefix, "penalty", int(a.Penalty))
 		}
 	}
 	if changed {
--- a/internal/bgp/wire/pack.go
+++ b/internal/bgp/wire/pack.go
@@ -25,7 +25,7 @@
 
 // pack sorts prefixes of one family in place and distributes them over updates that newUpdate makes.
 func pack(prefixes []netip.Prefix, newUpdate func([]netip.Prefix) *Update) (updates []*Update) {
-	slices.SortFunc(prefixes, comparePrefixes)
+	slices.SortFunc(prefixes, netip.Prefix.Compare)
 	for len(prefixes) > 0 {
 		single := headerLength + len(newUpdate(prefixes[:1]).appendBody(nil))
 		room, n := MaxMessageLength-attributeGrowth-single, 1
--- a/internal/bgp/wire/prefix.go
+++ b/internal/bgp/wire/prefix.go
@@ -53,11 +53,3 @@
 	}
 	return b
 }
-
-// comparePrefixes orders prefixes by address, shorter ones first.
-func comparePrefixes(a, b netip.Prefix) int {
-	if c := a.Addr().Compare(b.Addr()); c != 0 {
-		return c
-	}
-	return a.Bits() - b.Bits()
-}
