--- /dev/null
+++ b/internal/controller/server/schedulerconn.go
@@ -0,0 +1,124 @@
+package server
+
+import (
+	"fmt"
+
+	"glenport/internal/controller"
+	"glenport/internal/eventloop"
+	"glenport/internal/protocol"
+	"glenport/scheduler"
+)
+
+const schedulerRedialDelay = 200 * eventloop.Millisecond
+
+// schedulerConn is the connection to one scheduler. It is dialed again whenever it is lost.
+type schedulerConn struct {
+	server    *Server
+	number    int
+	address   string
+	name      string          // from its hello, kept while it is not connected
+	conn      *eventloop.Conn // nil between a loss and the next dial
+	reader    protocol.Reader
+	connected bool // the scheduler has sent its hello
+}
+
+// connectedScheduler returns the connection to a scheduler, or to another one where that is not connected; nil where none is.
+func (s *Server) connectedScheduler(preferred int) *schedulerConn {
+	if preferred >= 0 && preferred < len(s.schedulers) && s.schedulers[preferred].connected {
+		return s.schedulers[preferred]
+	}
+	for _, c := range s.schedulers {
+		if c.connected {
+			return c
+		}
+	}
+	return nil
+}
+
+func (c *schedulerConn) dial() {
+	c.reader = protocol.Reader{}
+	c.conn = c.server.loop.Dial(c.address, c, maxOutput, dialTimeout)
+}
+
+// write sends a frame. Where that fails the connection is reset, so that the controller learns that the frame is lost.
+func (c *schedulerConn) write(f protocol.Frame) {
+	encoded, err := protocol.Append(nil, f)
+	if err == nil && c.conn != nil {
+		err = c.conn.Write(encoded)
+	}
+	if err != nil {
+		c.server.log.Warn("frame not sent", "address", c.address, "error", err)
+		if c.conn != nil {
+			c.conn.Reset()
+		}
+	}
+}
+
+// Opened implements eventloop.Handler.
+func (c *schedulerConn) Opened(*eventloop.Conn) {
+	c.write(protocol.NewHello(protocol.RoleClient, c.server.config.Name, uint64(c.server.loop.Now())))
+}
+
+// Read implements eventloop.Handler.
+func (c *schedulerConn) Read(conn *eventloop.Conn, data []byte) {
+	if err := c.reader.Feed(data, c.handleFrame); err != nil {
+		c.server.log.Warn("connection closed", "peer", "scheduler", "address", c.address, "error", err)
+		conn.Reset()
+	}
+}
+
+// Closed implements eventloop.Handler.
+func (c *schedulerConn) Closed(_ *eventloop.Conn, cause error) {
+	c.conn = nil
+	if c.connected {
+		c.connected = false
+		c.server.log.Warn("scheduler disconnected", "scheduler", c.name, "address", c.address, "error", cause)
+		c.addEvent(controller.SchedulerConnection{Scheduler: c.number, Connected: false})
+	}
+	c.server.loop.After(schedulerRedialDelay, c.dial)
+}
+
+func (c *schedulerConn) addEvent(e controller.Event) { c.server.events = append(c.server.events, e) }
+
+func (c *schedulerConn) handleFrame(f protocol.Frame) error {
+	switch f := f.(type) {
+	case *protocol.Hello:
+		return c.handleHello(f)
+	case *protocol.PlacementReply:
+		c.addEvent(controller.PlacementAnswered{RequestID: f.ContainerID, Verdict: verdictOf(f.Verdict), Machine: f.Machine,
+			RetryAfter: scheduler.Time(f.RetryAfter), Message: f.Message})
+	case *protocol.Termination:
+		c.addEvent(controller.ContainerEnded{RequestID: f.ContainerID, Outcome: f.Outcome.SchedulerOutcome(),
+			Reason: scheduler.Reason(f.Reason)})
+	case *protocol.ExplainReply:
+		c.server.explainer.finish(f.Seq, f)
+	case *protocol.Heartbeat: // the connection's own timeouts are enough
+	case *protocol.Goodbye:
+		return fmt.Errorf("peer said goodbye: %s", f.Message)
+	default:
+		return fmt.Errorf("unexpected frame: %T", f)
+	}
+	return nil
+}
+
+func (c *schedulerConn) handleHello(hello *protocol.Hello) error {
+	if hello.Role != protocol.RoleScheduler {
+		return fmt.Errorf("unexpected peer: a %s at a scheduler's address", hello.Role)
+	}
+	c.name, c.connected = hello.Name, true
+	c.server.log.Info("scheduler connected", "scheduler", c.name, "address", c.address)
+	c.addEvent(controller.SchedulerConnection{Scheduler: c.number, Connected: true})
+	return nil
+}
+
+func verdictOf(v protocol.Verdict) controller.Verdict {
+	switch v {
+	case protocol.VerdictPlaced:
+		return controller.VerdictAccepted
+	case protocol.VerdictRejected:
+		return controller.VerdictRejected
+	case protocol.VerdictNotAdmitted:
+		return controller.VerdictRefused
+	}
+	return controller.VerdictFailed
+}
