--- /dev/null
+++ b/internal/config/golden_test.go
@@ -0,0 +1,259 @@
+package config
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "record the golden texts anew")
+
+// compareGolden compares lines with a recorded file, or records them with -update.
+func compareGolden(t *testing.T, name string, lines []string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	recorded := strings.Split(strings.TrimSuffix(string(data), "\n"), "\n")
+	for i := range max(len(lines), len(recorded)) {
+		got, want := "(nothing)", "(nothing)"
+		if i < len(lines) {
+			got = lines[i]
+		}
+		if i < len(recorded) {
+			want = recorded[i]
+		}
+		if got != want {
+			t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, got, want)
+		}
+	}
+}
+
+// schedulerValues lists every value of a scheduler's settings by the key that it is read from.
+func schedulerValues(p *Placer) []string {
+	var lines []string
+	add := func(key string, value any) { lines = append(lines, fmt.Sprintf("%s = %v", key, value)) }
+	terms := p.Terms
+	add("name", p.Name)
+	add("number", terms.SchedulerIndex)
+	add("placers", terms.SchedulerCount)
+	add("seed", terms.Seed)
+	add("door", p.Door)
+	add("state", p.State)
+	add("keep", p.Keep)
+	add("metrics", p.Metrics)
+	add("list.address", p.ListAddr)
+	add("list.ask_within", int64(terms.ResyncInterval))
+	add("links.connect_within", int64(p.Connect))
+	add("links.close_idle_after", int64(p.Idle))
+	add("links.broken_when_silent_for", int64(p.Silent))
+	add("links.most_waiting_output", p.Output)
+	add("bounds", p.Bounds)
+	add("bounds.narrow_when_slow", p.Damped)
+	add("machines.kinds", p.Kinds)
+	add("machines.kinds", terms.MachineTypes)
+	add("machines.accept.cores", terms.CoresOvercommit)
+	add("machines.accept.memory", terms.MemoryOvercommit)
+	add("machines.mean_container.cores", terms.MeanCores)
+	add("machines.mean_container.memory", terms.MeanMemory)
+	add("machines.say_yes_when", terms.AcceptMeansRunning)
+	add("machines.tell_use", terms.UsageReports)
+	add("machines.list_tells_room", terms.ListTracksRequests)
+	add("machines.may_be_probed", terms.ProbesAllowed)
+	add("machines.cold_for", int64(terms.SlowStartPeriod))
+	add("machines.cold_window", int64(terms.SlowStartWindow))
+	add("machines.cold_bids", terms.SlowStartBudget)
+	add("bids.most", terms.MaxAttempts)
+	add("bids.answer_grace", int64(terms.AnswerGrace))
+	for i, class := range terms.WorkloadClasses {
+		add("workloads.name", p.Workloads[i])
+		add("workloads", class)
+	}
+	for i, tenant := range terms.Tenants {
+		add("customers.name", p.Customers[i])
+		add("customers.cores", tenant.QuotaCores)
+	}
+	add("over_share", terms.OverQuotaWeight)
+	// All of it, also what no key sets.
+	add("terms", terms)
+	if p.BGP == nil {
+		return append(lines, "bgp = none")
+	}
+	add("bgp.as", p.BGP.AS)
+	add("bgp.identifier", p.BGP.ID)
+	add("bgp.listen", p.BGP.Listen)
+	for _, peer := range p.BGP.Peers {
+		add("bgp.peers", []any{peer.Addr, peer.AS, int64(peer.Hold), int64(peer.Restart), peer.Passive, peer.Families, peer.Allow, peer.Key})
+	}
+	var services []string
+	for name, service := range p.BGP.Services {
+		services = append(services, fmt.Sprintf("bgp.services %s = %v", name, service))
+	}
+	slices.Sort(services)
+	return append(lines, services...)
+}
+
+func controllerValues(c *Keeper) []string {
+	return []string{fmt.Sprint("name = ", c.Name), fmt.Sprint("api = ", c.API), fmt.Sprint("doors = ", c.Doors), fmt.Sprint("list = ", c.List),
+		fmt.Sprint("seed = ", c.Seed), fmt.Sprint("state = ", c.State), fmt.Sprint("placer_file names ", c.Terms.Name)}
+}
+
+func TestValuesReadAreAsRecorded(t *testing.T) {
+	var lines []string
+	for _, path := range []string{"../../deploy/placer.yaml", "testdata/every-key.yaml"} {
+		settings, err := Load(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines = append(lines, schedulerValues(settings)...)
+	}
+	for _, path := range []string{"../../deploy/keeper.yaml", "testdata/controller.yaml"} {
+		settings, err := LoadKeeper(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines = append(lines, controllerValues(settings)...)
+	}
+	compareGolden(t, "values.txt", lines)
+}
+
+// replacements stand in turn in place of each value of a file.
+var replacements = []string{"bogus", "[1]", "0", "1.5", "2s", "0s", "4KiB", "0GiB", "192.0.2.1", "[bogus]"}
+
+// replacementsByKey stand in turn in place of the values of one key.
+var replacementsByKey = map[string][]string{
+	"name": {"small", "large", "matcher", "report-run", `""`, "~"}, "number": {"2", "3", "-1", "9999999999"},
+	"door": {"192.0.2.1:99999", "localhost:1", "127.0.0.1:1"}, "connect_within": {"187ms", "188ms", "9000h"}, "most_waiting_output": {"63KiB", "64KiB"},
+	"cores": {"-2", "1e400", "nan"}, "memory": {"60", "60GB", "-1GiB"}, "say_yes_when": {"accepted", "yes"}, "may_be_probed": {"false", "yes"},
+	"cold_window": {"2s", "12parsecs"}, "cold_bids": {"0"}, "effect": {"reissuable", "numbered", "at-most-once"},
+	"repeats_dropped_in": {"zone", "everywhere", "machine"}, "agreed_time": {"20s", "2h", "1min"}, "hard_stop": {"100ms"}, "kind": {"small", "large"},
+	"spread_over": {"machine", "cell", "everywhere"}, "over_share": {"-0.1", "1", "1.1"}, "as": {"1", "23456", "-1"}, "identifier": {"0.0.0.0", "2001:db8::1"},
+	"hold": {"1s", "2s", "3s", "1500ms", "65535s", "65536s"}, "families": {"[ipv6]", "[]", "[ipv5]"}, "allow": {"[192.0.2.1/24]", "[]", "[192.0.2.0/24]"},
+	"tcp_md5_key": {strings.Repeat("k", 80), strings.Repeat("k", 81)}, "prefix": {"192.0.2.1/24", "2001:db8::/32", "198.51.100.7/32"},
+	"next_hop": {"2001:db8::1", "localhost"}, "api": {"localhost"}, "placer_file": {"absent.yaml", "keeper.yaml", "/absent.yaml"},
+	"doors": {"[localhost]", "[127.0.0.1:1]", "[]"}}
+
+// mutations are all files that differ from one in a single line: left out, doubled, renamed, or with another value.
+func mutations(text string, visit func(label, text string)) {
+	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
+	for i, line := range lines {
+		try := func(what string, replaced ...string) {
+			visit(fmt.Sprintf("line %d %s", i+1, what), strings.Join(slices.Concat(lines[:i], replaced, lines[i+1:]), "\n")+"\n")
+		}
+		key, value, _ := strings.Cut(line, ": ")
+		try("doubled", line, line)
+		try("renamed", strings.TrimSuffix(key, ":")+"x: "+value)
+		if value == "" { // without it several keys are unknown, and the YAML package names any of them
+			continue
+		}
+		try("left out")
+		name := strings.TrimLeft(key, " -")
+		for _, replacement := range slices.Concat(replacements, replacementsByKey[name]) {
+			try(replacement, key+": "+replacement)
+		}
+	}
+}
+
+// outcome is a fault's text, or the values that differ from those of the unchanged file.
+func outcome(label string, err error, values, unchanged []string) string {
+	if err != nil {
+		return label + ": " + strings.ReplaceAll(err.Error(), "\n", `\n`)
+	}
+	changed := 0
+	for i := range values {
+		if i >= len(unchanged) || values[i] != unchanged[i] {
+			changed++
+		}
+	}
+	return fmt.Sprintf("%s: read, %d values of %d differ", label, changed, len(values))
+}
+
+func TestFaultsOfSchedulerSettingsAreAsRecorded(t *testing.T) {
+	data, err := os.ReadFile("testdata/every-key.yaml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	settings, err := Parse("placer.yaml", data)
+	if err != nil {
+		t.Fatal(err)
+	}
+	unchanged := schedulerValues(settings)
+	var lines []string
+	visit := func(label, text string) {
+		var values []string
+		settings, err := Parse("placer.yaml", []byte(text))
+		if err == nil {
+			values = schedulerValues(settings)
+		}
+		lines = append(lines, outcome(label, err, values, unchanged))
+	}
+	mutations(string(data), visit)
+	sections := []string{"list", "links", "bounds", "machines", "bids", "workloads", "customers", "bgp"}
+	for _, section := range sections { // the section and all below it
+		before, rest, _ := strings.Cut(string(data), "\n"+section+":\n")
+		after := strings.Split(rest, "\n")
+		for len(after) > 0 && strings.HasPrefix(after[0], " ") {
+			after = after[1:]
+		}
+		visit("without "+section, before+"\n"+strings.Join(after, "\n"))
+	}
+	visit("empty", "")
+	visit("two documents", string(data)+"---\nname: x\n")
+	visit("twice the prefix", strings.Replace(strings.Replace(string(data), "2001:db8:1::7/128", "198.51.100.7/32", 1), "2001:db8::5", "192.0.2.9", 1))
+	visit("passive without listener", strings.Replace(string(data), "  listen: 127.0.0.1:1790\n", "", 1))
+	visit("no machine types", strings.Replace(string(data), "  kinds:\n", "  kinds: []\n  other:\n", 1))
+	compareGolden(t, "scheduler-faults.txt", lines)
+}
+
+func TestFaultsOfControllerSettingsAreAsRecorded(t *testing.T) {
+	data, err := os.ReadFile("testdata/controller.yaml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	schedulerText, err := os.ReadFile("testdata/every-key.yaml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(filepath.Join(dir, "every-key.yaml"), schedulerText, 0o644); err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(dir, "keeper.yaml")
+	var lines, unchanged []string
+	visit := func(label, text string) {
+		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		var values []string
+		settings, err := LoadKeeper(path)
+		if err == nil {
+			values = controllerValues(settings)
+		}
+		if label == "unchanged" {
+			unchanged = values
+		}
+		lines = append(lines, strings.ReplaceAll(outcome(label, err, values, unchanged), dir, "DIR"))
+	}
+	visit("unchanged", string(data))
+	mutations(string(data), visit)
+	visit("empty", "")
+	compareGolden(t, "controller-faults.txt", lines)
+	if _, err := LoadKeeper(filepath.Join(dir, "absent.yaml")); !os.IsNotExist(err) {
+		t.Errorf("an absent file: %v", err)
+	}
+	if _, err := Load(filepath.Join(dir, "absent.yaml")); !os.IsNotExist(err) {
+		t.Errorf("an absent file: %v", err)
+	}
+}
--- /dev/null
+++ b/internal/config/strictyaml/golden_test.go
@@ -0,0 +1,97 @@
+package strictyaml
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "record the golden texts anew")
+
+type goldenFile struct {
+	Word   Word     `yaml:"word"`
+	Number Number   `yaml:"number" settings:"may"`
+	Count  Count    `yaml:"count" settings:"may"`
+	Flag   Flag     `yaml:"flag" settings:"may"`
+	Span   Span     `yaml:"span" settings:"may"`
+	Memory Memory   `yaml:"memory" settings:"may"`
+	Inner  inner    `yaml:"inner"`
+	List   []inner  `yaml:"list"`
+	Words  []Word   `yaml:"words"`
+	Plain  []string `yaml:"plain"`
+}
+
+type inner struct {
+	Choice Word `yaml:"choice,omitempty"`
+}
+
+// readGolden lists what reading a text gives: each value with its place, or the fault.
+func readGolden(text string) string {
+	var f goldenFile
+	src, err := Read("f.yaml", []byte(text), &f)
+	if err == nil {
+		err = Needed(src, "", f)
+	}
+	if err == nil {
+		err = Needed(src, "inner", f.Inner)
+	}
+	for i := range f.List {
+		if err == nil {
+			err = Needed(src, fmt.Sprintf("list[%d]", i), f.List[i])
+		}
+	}
+	chosen := -1
+	if err == nil && f.Inner.Choice.Set() {
+		chosen, err = Choose(src, f.Inner.Choice, "one", "two")
+	}
+	if err != nil {
+		return err.Error()
+	}
+	return fmt.Sprint(f.Word, f.Word.Place, f.Number.Value, f.Number.Place, f.Count.Value, f.Count.Place, f.Flag.Value, f.Flag.Place, f.Span.Tenths, f.Span.Place,
+		f.Memory.GiB, f.Memory.Place, f.Inner.Choice, chosen, f.List, len(f.Words), f.Plain)
+}
+
+func TestValuesAndFaultsAreAsRecorded(t *testing.T) {
+	var texts []string
+	scalars := []string{"bogus", "[1]", "{a: 1}", "0", "1", "-1", "1.5", "1e3", "1e400", "nan", "inf", "true", "True", "yes", "~", "\"\"", "'12'", "2s", "250ms", "0.05ms", "3min", "1h",
+		"9000h", "-2s", "2 s", "2GiB", "512MiB", "64KiB", "1TiB", "2GB", "s", "1.2.3s", "99999999999", "1000000000", "0x10", "|\n  text", "&a 5", "*a", "!!str 5"}
+	for _, key := range []string{"word", "number", "count", "flag", "span", "memory"} {
+		for _, scalar := range scalars {
+			if key == "word" {
+				texts = append(texts, "word: "+scalar+"\ninner: {choice: one}\n")
+			} else {
+				texts = append(texts, "word: w\n"+key+": "+scalar+"\ninner: {choice: two}\n")
+			}
+		}
+	}
+	texts = append(texts, "", "\n", "# nothing\n", "word: w\n", "word: w\ninner:\n  choice: three\n", "word: w\ninner: {}\n", "inner: {choice: one}\n",
+		"word: w\ninner: {choice: one}\nlist:\n  - {choice: x}\n  - {}\n", "word: w\ninner: {choice: one}\nlist: [{choice: x}]\nwords: [a, b]\nplain: [c]\n",
+		"word: w\ninner: {choice: one}\nwords: [a, [b]]\n", "word: w\ninner: {choice: one}\nwords: a\n", "word: w\ninner: 5\n", "word: w\ninner: {choice: one, other: 2}\n",
+		"word: w\nword: v\n", "unknown: 1\n", "word: w\ninner: {choice: one}\n---\nword: v\n", "word: [\n", "word: w\n\tinner: x\n", "- 1\n", "5\n", "word: \"w\n", "word: w\n  inner: {choice: one}\n")
+	var got strings.Builder
+	for _, text := range texts {
+		fmt.Fprintf(&got, "%q\n  %q\n", text, readGolden(text))
+	}
+	const path = "testdata/values-and-faults.txt"
+	if *update {
+		if err := os.WriteFile(path, []byte(got.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	recorded, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := strings.Split(got.String(), "\n")
+	for i, want := range strings.Split(string(recorded), "\n") {
+		if i >= len(lines) || lines[i] != want {
+			t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, lines[min(i, len(lines)-1)], want)
+		}
+	}
+	if len(lines) != strings.Count(string(recorded), "\n")+1 {
+		t.Errorf("%d lines, recorded are %d", len(lines), strings.Count(string(recorded), "\n")+1)
+	}
+}
