--- a/cmd/glenport-testbed/main.go
+++ b/cmd/glenport-testbed/main.go
@@ -152,14 +152,14 @@
 	var rule int
 	var damped bool
 	c := &cobra.Command{Use: "scheduler", Aliases: []string{"placer"}, Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		s, err := config.Load(file)
+		s, err := config.LoadScheduler(file)
 		if err != nil {
 			return err
 		}
-		s.Damped = s.Damped || damped
-		var d schedulerd.Scheduler = scheduler.New(s.Terms)
+		s.AdaptiveLimit = s.AdaptiveLimit || damped
+		var d schedulerd.Scheduler = scheduler.New(s.Policy)
 		if rule > 0 {
-			if d, err = mutants.New(rule, s.Terms, d); err != nil {
+			if d, err = mutants.New(rule, s.Policy, d); err != nil {
 				return err
 			}
 		}
--- a/internal/bgp/speaker/speaker.go
+++ b/internal/bgp/speaker/speaker.go
@@ -36,8 +36,8 @@
 
 // Config and Peer are what the placer's file says of announcing.
 type (
-	Config     = config.Announcing
-	PeerConfig = config.Neighbour
+	Config     = config.BGP
+	PeerConfig = config.BGPPeer
 )
 
 // Speaker is a running one.
@@ -90,8 +90,8 @@
 		for _, a := range t.Allow {
 			p.allow.Insert(a)
 		}
-		p.session = session.New(session.PeerConfig{OwnAS: place.AS, PeerAS: t.AS, ID: place.ID, HoldTime: t.Hold, Families: t.Families,
-			Passive: t.Passive, RestartTime: t.Restart})
+		p.session = session.New(session.PeerConfig{OwnAS: place.ASN, PeerAS: t.ASN, ID: place.RouterID, HoldTime: t.HoldTime, Families: t.Families,
+			Passive: t.Passive, RestartTime: t.RestartTime})
 		s.peers = append(s.peers, p)
 	}
 	return s
@@ -102,9 +102,9 @@
 
 // Start opens the listener and all sessions.
 func (s *Speaker) Start() error {
-	if s.place.Listen != "" {
+	if s.place.ListenAddr != "" {
 		var err error
-		if s.listener, err = s.loop.Listen(s.place.Listen, func() (eventloop.Handler, int) { return &peerConn{called: true, p: &peer{s: s}}, output },
+		if s.listener, err = s.loop.Listen(s.place.ListenAddr, func() (eventloop.Handler, int) { return &peerConn{called: true, p: &peer{s: s}}, output },
 			s.loop.AcceptStateLogger(s.log, "BGP callers")); err != nil {
 			return err
 		}
@@ -291,10 +291,10 @@
 // path is the path as this peer is told it: outside our AS with our number on it and no local preference.
 func (p *peer) path(a announce.Path) wire.Path {
 	x := wire.Path{NextHop: a.NextHop}
-	if p.terms.AS == p.s.place.AS {
+	if p.terms.ASN == p.s.place.ASN {
 		x.LocalPref, x.HasPref = a.Preference, true
 	} else {
-		x.AS = []uint32{p.s.place.AS}
+		x.AS = []uint32{p.s.place.ASN}
 	}
 	if a.MED > 0 {
 		x.MED, x.HasMED = a.MED, true
@@ -361,7 +361,7 @@
 		case session.ResendRoutes:
 			p.resend(a.Family)
 		case session.LogMessage:
-			p.s.log.Info("session", "peer", p.terms.Addr, "as", p.terms.AS, "text", a.Message)
+			p.s.log.Info("session", "peer", p.terms.Addr, "as", p.terms.ASN, "text", a.Message)
 		}
 	}
 }
@@ -369,12 +369,12 @@
 // sign sets the key up on a socket to the peer. Where the kernel refuses, no session is opened: an unsigned one is
 // not what the file asks for.
 func (p *peer) sign(fd int) error {
-	if p.terms.Key == "" {
+	if p.terms.MD5Key == "" {
 		return nil
 	}
 	a, err := netip.ParseAddrPort(p.terms.Addr)
 	if err == nil {
-		err = eventloop.SetTCPMD5Key(fd, a.Addr(), p.terms.Key)
+		err = eventloop.SetTCPMD5Key(fd, a.Addr(), p.terms.MD5Key)
 	}
 	if err != nil {
 		p.s.log.Error("no session", "peer", p.terms.Addr, "why", err)
@@ -476,7 +476,7 @@
 // Peers tells how the sessions stand.
 func (s *Speaker) Peers() (all []PeerStatus) {
 	for _, p := range s.peers {
-		all = append(all, PeerStatus{p.terms.Addr, p.terms.AS, p.session.State().String(), len(p.sent), len(p.due), p.Updates, p.Bytes,
+		all = append(all, PeerStatus{p.terms.Addr, p.terms.ASN, p.session.State().String(), len(p.sent), len(p.due), p.Updates, p.Bytes,
 			p.Flaps, p.Why})
 	}
 	return all
--- a/internal/bgp/speaker/speaker_test.go
+++ b/internal/bgp/speaker/speaker_test.go
@@ -57,7 +57,7 @@
 
 func start(t *testing.T, change func(*Config)) *rig {
 	r := &rig{T: t}
-	place := Config{AS: 65001, ID: [4]byte{192, 0, 2, 5}, Listen: "127.0.0.1:0", Services: map[string]announce.Service{
+	place := Config{ASN: 65001, RouterID: [4]byte{192, 0, 2, 5}, ListenAddr: "127.0.0.1:0", Services: map[string]announce.Service{
 		"web": {Prefix: web, NextHop: hop}, "web6": {Prefix: web6, NextHop: hop6}, "mail": {Prefix: mail, NextHop: hop}}}
 	both := []wire.Family{wire.IPv4, wire.IPv6}
 	for _, p := range []struct {
@@ -72,7 +72,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup((*p.to).Close)
-		place.Peers = append(place.Peers, PeerConfig{Addr: addr, AS: p.as, Hold: 3 * scheduler.Second, Families: both, Restart: 5 * scheduler.Second, Allow: p.allow})
+		place.Peers = append(place.Peers, PeerConfig{Addr: addr, ASN: p.as, HoldTime: 3 * scheduler.Second, Families: both, RestartTime: 5 * scheduler.Second, Allow: p.allow})
 	}
 	if change != nil {
 		change(&place)
@@ -148,7 +148,7 @@
 func TestTwoSpeakers(t *testing.T) {
 	a := start(t, nil)
 	var b *rig
-	b = start(t, func(p *Config) { p.ID = [4]byte{192, 0, 2, 6} })
+	b = start(t, func(p *Config) { p.RouterID = [4]byte{192, 0, 2, 6} })
 	a.run("web")
 	b.run("web")
 	a.until("both announced", func() bool { return has(a.outer, web) && has(b.outer, web) })
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -42,27 +42,27 @@
 }
 
 // schedulerValues lists every value of a scheduler's settings by the key that it is read from.
-func schedulerValues(p *Placer) []string {
+func schedulerValues(p *Scheduler) []string {
 	var lines []string
 	add := func(key string, value any) { lines = append(lines, fmt.Sprintf("%s = %v", key, value)) }
-	terms := p.Terms
+	terms := p.Policy
 	add("name", p.Name)
 	add("number", terms.SchedulerIndex)
 	add("placers", terms.SchedulerCount)
 	add("seed", terms.Seed)
-	add("door", p.Door)
-	add("state", p.State)
-	add("keep", p.Keep)
-	add("metrics", p.Metrics)
-	add("list.address", p.ListAddr)
+	add("door", p.ListenAddr)
+	add("state", p.StateDir)
+	add("keep", p.LegacyListFile)
+	add("metrics", p.MetricsAddr)
+	add("list.address", p.MachineListAddr)
 	add("list.ask_within", int64(terms.ResyncInterval))
-	add("links.connect_within", int64(p.Connect))
-	add("links.close_idle_after", int64(p.Idle))
-	add("links.broken_when_silent_for", int64(p.Silent))
-	add("links.most_waiting_output", p.Output)
-	add("bounds", p.Bounds)
-	add("bounds.narrow_when_slow", p.Damped)
-	add("machines.kinds", p.Kinds)
+	add("links.connect_within", int64(p.ConnectTimeout))
+	add("links.close_idle_after", int64(p.IdleTimeout))
+	add("links.broken_when_silent_for", int64(p.SilenceTimeout))
+	add("links.most_waiting_output", p.MaxOutput)
+	add("bounds", p.Limits)
+	add("bounds.narrow_when_slow", p.AdaptiveLimit)
+	add("machines.kinds", p.MachineTypes)
 	add("machines.kinds", terms.MachineTypes)
 	add("machines.accept.cores", terms.CoresOvercommit)
 	add("machines.accept.memory", terms.MemoryOvercommit)
@@ -78,11 +78,11 @@
 	add("bids.most", terms.MaxAttempts)
 	add("bids.answer_grace", int64(terms.AnswerGrace))
 	for i, class := range terms.WorkloadClasses {
-		add("workloads.name", p.Workloads[i])
+		add("workloads.name", p.WorkloadClasses[i])
 		add("workloads", class)
 	}
 	for i, tenant := range terms.Tenants {
-		add("customers.name", p.Customers[i])
+		add("customers.name", p.Tenants[i])
 		add("customers.cores", tenant.QuotaCores)
 	}
 	add("over_share", terms.OverQuotaWeight)
@@ -91,11 +91,11 @@
 	if p.BGP == nil {
 		return append(lines, "bgp = none")
 	}
-	add("bgp.as", p.BGP.AS)
-	add("bgp.identifier", p.BGP.ID)
-	add("bgp.listen", p.BGP.Listen)
+	add("bgp.as", p.BGP.ASN)
+	add("bgp.identifier", p.BGP.RouterID)
+	add("bgp.listen", p.BGP.ListenAddr)
 	for _, peer := range p.BGP.Peers {
-		add("bgp.peers", []any{peer.Addr, peer.AS, int64(peer.Hold), int64(peer.Restart), peer.Passive, peer.Families, peer.Allow, peer.Key})
+		add("bgp.peers", []any{peer.Addr, peer.ASN, int64(peer.HoldTime), int64(peer.RestartTime), peer.Passive, peer.Families, peer.Allow, peer.MD5Key})
 	}
 	var services []string
 	for name, service := range p.BGP.Services {
@@ -105,22 +105,22 @@
 	return append(lines, services...)
 }
 
-func controllerValues(c *Keeper) []string {
-	return []string{fmt.Sprint("name = ", c.Name), fmt.Sprint("api = ", c.API), fmt.Sprint("doors = ", c.Doors), fmt.Sprint("list = ", c.List),
-		fmt.Sprint("seed = ", c.Seed), fmt.Sprint("state = ", c.State), fmt.Sprint("placer_file names ", c.Terms.Name)}
+func controllerValues(c *Controller) []string {
+	return []string{fmt.Sprint("name = ", c.Name), fmt.Sprint("api = ", c.APIAddr), fmt.Sprint("doors = ", c.SchedulerAddrs), fmt.Sprint("list = ", c.MachineListAddr),
+		fmt.Sprint("seed = ", c.Seed), fmt.Sprint("state = ", c.StateDir), fmt.Sprint("placer_file names ", c.Scheduler.Name)}
 }
 
 func TestValuesReadAreAsRecorded(t *testing.T) {
 	var lines []string
 	for _, path := range []string{"../../deploy/placer.yaml", "testdata/every-key.yaml"} {
-		settings, err := Load(path)
+		settings, err := LoadScheduler(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		lines = append(lines, schedulerValues(settings)...)
 	}
 	for _, path := range []string{"../../deploy/keeper.yaml", "testdata/controller.yaml"} {
-		settings, err := LoadKeeper(path)
+		settings, err := LoadController(path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -185,7 +185,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	settings, err := Parse("placer.yaml", data)
+	settings, err := ParseScheduler("placer.yaml", data)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -193,7 +193,7 @@
 	var lines []string
 	visit := func(label, text string) {
 		var values []string
-		settings, err := Parse("placer.yaml", []byte(text))
+		settings, err := ParseScheduler("placer.yaml", []byte(text))
 		if err == nil {
 			values = schedulerValues(settings)
 		}
@@ -237,7 +237,7 @@
 			t.Fatal(err)
 		}
 		var values []string
-		settings, err := LoadKeeper(path)
+		settings, err := LoadController(path)
 		if err == nil {
 			values = controllerValues(settings)
 		}
@@ -250,10 +250,10 @@
 	mutations(string(data), visit)
 	visit("empty", "")
 	compareGolden(t, "controller-faults.txt", lines)
-	if _, err := LoadKeeper(filepath.Join(dir, "absent.yaml")); !os.IsNotExist(err) {
+	if _, err := LoadController(filepath.Join(dir, "absent.yaml")); !os.IsNotExist(err) {
 		t.Errorf("an absent file: %v", err)
 	}
-	if _, err := Load(filepath.Join(dir, "absent.yaml")); !os.IsNotExist(err) {
+	if _, err := LoadScheduler(filepath.Join(dir, "absent.yaml")); !os.IsNotExist(err) {
 		t.Errorf("an absent file: %v", err)
 	}
 }
--- a/internal/config/strictyaml/golden_test.go
+++ b/internal/config/strictyaml/golden_test.go
@@ -11,20 +11,20 @@
 var update = flag.Bool("update", false, "record the golden texts anew")
 
 type goldenFile struct {
-	Word   Word     `yaml:"word"`
-	Number Number   `yaml:"number" settings:"may"`
-	Count  Count    `yaml:"count" settings:"may"`
-	Flag   Flag     `yaml:"flag" settings:"may"`
-	Span   Span     `yaml:"span" settings:"may"`
-	Memory Memory   `yaml:"memory" settings:"may"`
+	Word   String   `yaml:"word"`
+	Number Float    `yaml:"number" settings:"optional"`
+	Count  Count    `yaml:"count" settings:"optional"`
+	Flag   Bool     `yaml:"flag" settings:"optional"`
+	Span   Duration `yaml:"span" settings:"optional"`
+	Memory Memory   `yaml:"memory" settings:"optional"`
 	Inner  inner    `yaml:"inner"`
 	List   []inner  `yaml:"list"`
-	Words  []Word   `yaml:"words"`
+	Words  []String `yaml:"words"`
 	Plain  []string `yaml:"plain"`
 }
 
 type inner struct {
-	Choice Word `yaml:"choice,omitempty"`
+	Choice String `yaml:"choice,omitempty"`
 }
 
 // readGolden lists what reading a text gives: each value with its place, or the fault.
@@ -32,25 +32,25 @@
 	var f goldenFile
 	src, err := Read("f.yaml", []byte(text), &f)
 	if err == nil {
-		err = Needed(src, "", f)
+		err = CheckRequired(src, "", f)
 	}
 	if err == nil {
-		err = Needed(src, "inner", f.Inner)
+		err = CheckRequired(src, "inner", f.Inner)
 	}
 	for i := range f.List {
 		if err == nil {
-			err = Needed(src, fmt.Sprintf("list[%d]", i), f.List[i])
+			err = CheckRequired(src, fmt.Sprintf("list[%d]", i), f.List[i])
 		}
 	}
 	chosen := -1
-	if err == nil && f.Inner.Choice.Set() {
-		chosen, err = Choose(src, f.Inner.Choice, "one", "two")
+	if err == nil && f.Inner.Choice.IsSet() {
+		chosen, err = OneOf(src, f.Inner.Choice, "one", "two")
 	}
 	if err != nil {
 		return err.Error()
 	}
-	return fmt.Sprint(f.Word, f.Word.Place, f.Number.Value, f.Number.Place, f.Count.Value, f.Count.Place, f.Flag.Value, f.Flag.Place, f.Span.Tenths, f.Span.Place,
-		f.Memory.GiB, f.Memory.Place, f.Inner.Choice, chosen, f.List, len(f.Words), f.Plain)
+	return fmt.Sprint(f.Word, f.Word.Position, f.Number.Value, f.Number.Position, f.Count.Value, f.Count.Position, f.Flag.Value, f.Flag.Position, f.Span.Ticks, f.Span.Position,
+		f.Memory.GiB, f.Memory.Position, f.Inner.Choice, chosen, f.List, len(f.Words), f.Plain)
 }
 
 func TestValuesAndFaultsAreAsRecorded(t *testing.T) {
--- a/internal/controller/server/server.go
+++ b/internal/controller/server/server.go
@@ -24,12 +24,12 @@
 
 // Config says what a controller process works with.
 type Config struct {
-	Name            string         // in the hello to schedulers and the machine list
-	Schedulers      []string       // addresses of the schedulers' listeners
-	MachineList     string         // address of the machine list; where empty, no machines are shown
-	Seed            uint64         // of the controller's random numbers
-	StateDir        string         // folder of the state that survives restarts; where empty, nothing is stored
-	SchedulerConfig *config.Placer // the schedulers' workload classes, tenants and machine types
+	Name            string            // in the hello to schedulers and the machine list
+	Schedulers      []string          // addresses of the schedulers' listeners
+	MachineList     string            // address of the machine list; where empty, no machines are shown
+	Seed            uint64            // of the controller's random numbers
+	StateDir        string            // folder of the state that survives restarts; where empty, nothing is stored
+	SchedulerConfig *config.Scheduler // the schedulers' workload classes, tenants and machine types
 }
 
 // Server is a controller process.
@@ -77,7 +77,7 @@
 
 func controllerConfig(c Config) controller.Config {
 	out := controller.Config{Seed: c.Seed, FirstSequence: uint64(time.Now().UnixMicro()), SchedulerCount: len(c.Schedulers)}
-	for _, w := range c.SchedulerConfig.Terms.WorkloadClasses {
+	for _, w := range c.SchedulerConfig.Policy.WorkloadClasses {
 		out.WorkloadClasses = append(out.WorkloadClasses, controller.WorkloadClass{Idempotency: w.Idempotency,
 			PlacementTimeout: w.PlacementTimeout, DedupWindow: w.DedupWindow})
 	}
--- a/internal/testbed/scenario/cluster.go
+++ b/internal/testbed/scenario/cluster.go
@@ -29,8 +29,8 @@
 	Net      *faultproxy.Net
 	Owners   *emulator.Owners
 	Placers  []*Placer
-	Site     *config.Placer // of the first placer
-	ListAddr string         // the list's own, without a tap
+	Site     *config.Scheduler // of the first placer
+	ListAddr string            // the list's own, without a tap
 	record   *faultproxy.Writer
 }
 
@@ -152,7 +152,7 @@
 }
 
 // placerFile writes one placer's file after a template.
-func placerFile(template []byte, path string, extra, set map[string]any) (*config.Placer, error) {
+func placerFile(template []byte, path string, extra, set map[string]any) (*config.Scheduler, error) {
 	var all map[string]any
 	if err := yaml.Unmarshal(template, &all); err != nil {
 		return nil, err
@@ -179,7 +179,7 @@
 	if err := os.WriteFile(path, data, 0o644); err != nil {
 		return nil, err
 	}
-	return config.Load(path)
+	return config.LoadScheduler(path)
 }
 
 // Bring brings a day's cluster up, in a folder of its own.
@@ -195,10 +195,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.Site, err = config.Parse(d.Template, template); err != nil {
+	if c.Site, err = config.ParseScheduler(d.Template, template); err != nil {
 		return nil, err
 	}
-	terms := c.Site.Terms
+	terms := c.Site.Policy
 	terms.SchedulerCount = d.Placers
 	if c.record, err = faultproxy.Create(filepath.Join(dir, "record"), faultproxy.Header{Terms: terms,
 		DrainGrace: d.DrainGrace, Slack: d.Slack}); err != nil {
@@ -231,7 +231,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Owners = &emulator.Owners{Works: d.Works, Customers: len(c.Site.Customers)}
+	c.Owners = &emulator.Owners{Works: d.Works, Customers: len(c.Site.Tenants)}
 	for i := range d.Placers {
 		p := &Placer{Name: fmt.Sprint("placer-", i), Hall: i % len(d.Halls), run: program}
 		if p.Door, err = freePort(); err != nil {
--- a/internal/testbed/scenario/loadbgp.go
+++ b/internal/testbed/scenario/loadbgp.go
@@ -17,7 +17,7 @@
 // MeasureBGP has one speaker tell so many prefixes to so many peers, and then change a tenth of them while one peer
 // reads slowly; all in this process.
 func MeasureBGP(prefixes, peers int, out io.Writer) error {
-	place := speaker.Config{AS: 65001, ID: [4]byte{192, 0, 2, 5}, Services: map[string]announce.Service{}}
+	place := speaker.Config{ASN: 65001, RouterID: [4]byte{192, 0, 2, 5}, Services: map[string]announce.Service{}}
 	var all []*emulator.BGPPeer
 	for i := range peers {
 		p := &emulator.BGPPeer{AS: 65000, ID: [4]byte{192, 0, 3, byte(i)}, Hold: 90 * time.Second, Helps: 10 * time.Second}
@@ -27,7 +27,7 @@
 		}
 		defer p.Close()
 		all = append(all, p)
-		place.Peers = append(place.Peers, speaker.PeerConfig{Addr: addr, AS: 65000, Hold: 900_000, Families: []wire.Family{wire.IPv4},
+		place.Peers = append(place.Peers, speaker.PeerConfig{Addr: addr, ASN: 65000, HoldTime: 900_000, Families: []wire.Family{wire.IPv4},
 			Allow: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}})
 	}
 	hop := netip.MustParseAddr("192.0.2.5")
--- a/internal/testbed/scenario/restart.go
+++ b/internal/testbed/scenario/restart.go
@@ -225,7 +225,7 @@
 	watching.Go(func() { // by the machines' own word
 		for {
 			for key, x := range copies(c) {
-				if x.n > 1 && c.Site.Terms.WorkloadClasses[x.workload].Idempotency == scheduler.AtMostOnce {
+				if x.n > 1 && c.Site.Policy.WorkloadClasses[x.workload].Idempotency == scheduler.AtMostOnce {
 					twice.Add(1)
 					fault("%s runs %d times at once:%s", key, x.n, x.at)
 				}
@@ -405,7 +405,7 @@
 	for _, m := range c.Machines {
 		for _, w := range m.Holds() {
 			if strings.HasPrefix(w.IdempotencyKey, "job-") {
-				id := fmt.Sprintf("%s of %s", w.IdempotencyKey[:strings.LastIndex(w.IdempotencyKey, "/")], c.Site.Workloads[w.WorkloadClass])
+				id := fmt.Sprintf("%s of %s", w.IdempotencyKey[:strings.LastIndex(w.IdempotencyKey, "/")], c.Site.WorkloadClasses[w.WorkloadClass])
 				out[id] = copyOf{out[id].n + 1, w.WorkloadClass, out[id].at + " " + m.Name + " " + w.IdempotencyKey + " as " + w.ContainerID}
 			}
 		}
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -58,68 +58,70 @@
 }
 
 type dayFile struct {
-	Name       strictyaml.Word   `yaml:"name"`
-	Seed       strictyaml.Count  `yaml:"seed"`
-	Length     strictyaml.Span   `yaml:"length"`
-	Settle     strictyaml.Span   `yaml:"settle"`
-	Placers    strictyaml.Count  `yaml:"placers"`
-	Template   strictyaml.Word   `yaml:"placer_file"`
-	Rate       strictyaml.Number `yaml:"submissions_a_second"`
-	DrainGrace strictyaml.Span   `yaml:"drain_grace"`
-	Slack      strictyaml.Span   `yaml:"slack"`
-	Halls      []strictyaml.Word `yaml:"halls"`
-	Machines   []dayMachines     `yaml:"machines"`
-	Machine    dayMachine        `yaml:"machine"`
-	List       dayList           `yaml:"list"`
-	Work       []dayWork         `yaml:"work"`
-	Troubles   []dayTrouble      `yaml:"troubles"`
+	Name       strictyaml.String   `yaml:"name"`
+	Seed       strictyaml.Count    `yaml:"seed"`
+	Length     strictyaml.Duration `yaml:"length"`
+	Settle     strictyaml.Duration `yaml:"settle"`
+	Placers    strictyaml.Count    `yaml:"placers"`
+	Template   strictyaml.String   `yaml:"placer_file"`
+	Rate       strictyaml.Float    `yaml:"submissions_a_second"`
+	DrainGrace strictyaml.Duration `yaml:"drain_grace"`
+	Slack      strictyaml.Duration `yaml:"slack"`
+	Halls      []strictyaml.String `yaml:"halls"`
+	Machines   []dayMachines       `yaml:"machines"`
+	Machine    dayMachine          `yaml:"machine"`
+	List       dayList             `yaml:"list"`
+	Work       []dayWork           `yaml:"work"`
+	Troubles   []dayTrouble        `yaml:"troubles"`
 }
 
 type dayMachines struct {
-	Kind strictyaml.Word  `yaml:"kind"`
-	Each strictyaml.Count `yaml:"in_each_hall"`
+	Kind strictyaml.String `yaml:"kind"`
+	Each strictyaml.Count  `yaml:"in_each_hall"`
 }
 
 type dayMachine struct {
-	Admit    strictyaml.Span   `yaml:"look_at_an_offer"`
-	Queue    strictyaml.Count  `yaml:"offers_may_wait"`
-	Starts   strictyaml.Count  `yaml:"starts_at_once"`
-	Start    strictyaml.Span   `yaml:"start"`
-	Setup    strictyaml.Number `yaml:"first_start_times"`
-	Kept     strictyaml.Count  `yaml:"programs_kept"`
-	ColdFrom strictyaml.Number `yaml:"cold_pace"`
-	Bears    strictyaml.Count  `yaml:"cold_bears"`
-	Drift    strictyaml.Number `yaml:"use_drifts"`
+	Admit    strictyaml.Duration `yaml:"look_at_an_offer"`
+	Queue    strictyaml.Count    `yaml:"offers_may_wait"`
+	Starts   strictyaml.Count    `yaml:"starts_at_once"`
+	Start    strictyaml.Duration `yaml:"start"`
+	Setup    strictyaml.Float    `yaml:"first_start_times"`
+	Kept     strictyaml.Count    `yaml:"programs_kept"`
+	ColdFrom strictyaml.Float    `yaml:"cold_pace"`
+	Bears    strictyaml.Count    `yaml:"cold_bears"`
+	Drift    strictyaml.Float    `yaml:"use_drifts"`
 }
 
 type dayList struct {
-	Lag    strictyaml.Span  `yaml:"behind"`
-	Notice strictyaml.Span  `yaml:"notices_death_after"`
-	Period strictyaml.Span  `yaml:"looks_every"`
-	Calls  strictyaml.Count `yaml:"calls_a_second"`
+	Lag    strictyaml.Duration `yaml:"behind"`
+	Notice strictyaml.Duration `yaml:"notices_death_after"`
+	Period strictyaml.Duration `yaml:"looks_every"`
+	Calls  strictyaml.Count    `yaml:"calls_a_second"`
 }
 
 type dayWork struct {
-	Workload  strictyaml.Word     `yaml:"workload"`
-	Share     strictyaml.Number   `yaml:"share"`
+	Workload  strictyaml.String   `yaml:"workload"`
+	Share     strictyaml.Float    `yaml:"share"`
 	Services  strictyaml.Count    `yaml:"services"`
-	Cores     []strictyaml.Number `yaml:"cores"`
+	Cores     []strictyaml.Float  `yaml:"cores"`
 	Memory    []strictyaml.Memory `yaml:"memory"`
-	Life      strictyaml.Span     `yaml:"life"`
-	Again     strictyaml.Flag     `yaml:"asked_again"`
-	AgainLost strictyaml.Flag     `yaml:"asked_again_when_unheard" settings:"may"`
+	Life      strictyaml.Duration `yaml:"life"`
+	Again     strictyaml.Bool     `yaml:"asked_again"`
+	AgainLost strictyaml.Bool     `yaml:"asked_again_when_unheard" settings:"optional"`
 }
 
 type dayTrouble struct {
-	Kind strictyaml.Word   `yaml:"kind"`
-	At   strictyaml.Span   `yaml:"at"`
-	For  strictyaml.Span   `yaml:"for"`
-	Part strictyaml.Number `yaml:"part" settings:"may"`
-	Size strictyaml.Number `yaml:"size" settings:"may"`
-	Hall strictyaml.Word   `yaml:"hall" settings:"may"`
+	Kind strictyaml.String   `yaml:"kind"`
+	At   strictyaml.Duration `yaml:"at"`
+	For  strictyaml.Duration `yaml:"for"`
+	Part strictyaml.Float    `yaml:"part" settings:"optional"`
+	Size strictyaml.Float    `yaml:"size" settings:"optional"`
+	Hall strictyaml.String   `yaml:"hall" settings:"optional"`
 }
 
-func span(s strictyaml.Span) time.Duration { return time.Duration(s.Tenths) * 100 * time.Microsecond }
+func span(s strictyaml.Duration) time.Duration {
+	return time.Duration(s.Ticks) * 100 * time.Microsecond
+}
 
 // LoadDay reads a day's file.
 func LoadDay(path string) (*Day, error) {
@@ -155,53 +157,53 @@
 		}{fmt.Sprintf("troubles[%d]", i), f.Troubles[i]})
 	}
 	for _, n := range needed {
-		if err := strictyaml.Needed(src, n.path, n.of); err != nil {
+		if err := strictyaml.CheckRequired(src, n.path, n.of); err != nil {
 			return nil, err
 		}
 	}
 	m := &f.Machine
-	d := &Day{Name: f.Name.Text, Seed: uint64(f.Seed.Value), Length: span(f.Length), Settle: span(f.Settle),
-		Placers: f.Placers.Value, Template: filepath.Join(filepath.Dir(path), f.Template.Text), Rate: f.Rate.Value,
-		DrainGrace: scheduler.Time(f.DrainGrace.Tenths), Slack: scheduler.Time(f.Slack.Tenths),
+	d := &Day{Name: f.Name.Value, Seed: uint64(f.Seed.Value), Length: span(f.Length), Settle: span(f.Settle),
+		Placers: f.Placers.Value, Template: filepath.Join(filepath.Dir(path), f.Template.Value), Rate: f.Rate.Value,
+		DrainGrace: scheduler.Time(f.DrainGrace.Ticks), Slack: scheduler.Time(f.Slack.Ticks),
 		Machine: emulator.Shape{Admit: span(m.Admit), Queue: m.Queue.Value, Starts: m.Starts.Value, Start: span(m.Start),
 			Setup: m.Setup.Value, Kept: m.Kept.Value, ColdFrom: m.ColdFrom.Value, ColdBears: m.Bears.Value, Drift: m.Drift.Value},
 		List: listShape{span(f.List.Lag), span(f.List.Notice), span(f.List.Period), f.List.Calls.Value}}
 	for _, h := range f.Halls {
-		d.Halls = append(d.Halls, h.Text)
+		d.Halls = append(d.Halls, h.Value)
 	}
 	if len(d.Halls) == 0 || d.Placers == 0 || len(f.Machines) == 0 || len(f.Work) == 0 {
-		return nil, src.At(f.Name.Place, "a day needs halls, placers, machines and work")
+		return nil, src.ErrorAt(f.Name.Position, "a day needs halls, placers, machines and work")
 	}
 	for _, k := range f.Machines {
-		d.Counts = append(d.Counts, kindCount{k.Kind.Text, k.Each.Value})
+		d.Counts = append(d.Counts, kindCount{k.Kind.Value, k.Each.Value})
 	}
-	s, err := config.Load(d.Template)
+	s, err := config.LoadScheduler(d.Template)
 	if err != nil {
 		return nil, err
 	}
-	d.Works = make([]emulator.Work, len(s.Workloads))
+	d.Works = make([]emulator.Work, len(s.WorkloadClasses))
 	for _, w := range f.Work {
-		n, err := strictyaml.Choose(src, w.Workload, s.Workloads...)
+		n, err := strictyaml.OneOf(src, w.Workload, s.WorkloadClasses...)
 		if err != nil {
 			return nil, err
 		}
 		if len(w.Cores) == 0 || len(w.Cores) != len(w.Memory) || w.Services.Value == 0 {
-			return nil, src.At(w.Workload.Place, "work needs services, and as many memories as cores")
+			return nil, src.ErrorAt(w.Workload.Position, "work needs services, and as many memories as cores")
 		}
 		x := emulator.Work{Share: w.Share.Value, Services: w.Services.Value, Life: span(w.Life), Again: w.Again.Value,
-			AgainLost: w.AgainLost.Value, HardStop: time.Duration(s.Terms.WorkloadClasses[n].PlacementTimeout) * 100 * time.Microsecond}
+			AgainLost: w.AgainLost.Value, HardStop: time.Duration(s.Policy.WorkloadClasses[n].PlacementTimeout) * 100 * time.Microsecond}
 		for i := range w.Cores {
 			x.Cores, x.Memory = append(x.Cores, w.Cores[i].Value), append(x.Memory, w.Memory[i].GiB)
 		}
 		d.Works[n] = x
 	}
 	for _, t := range f.Troubles {
-		if troubles[t.Kind.Text] == nil {
-			return nil, src.At(t.Kind.Place, "%q is no trouble; there are %v", t.Kind.Text, kindsOfTrouble())
+		if troubles[t.Kind.Value] == nil {
+			return nil, src.ErrorAt(t.Kind.Position, "%q is no trouble; there are %v", t.Kind.Value, kindsOfTrouble())
 		}
-		x := Trouble{Kind: t.Kind.Text, At: span(t.At), For: span(t.For), Part: t.Part.Value, Size: t.Size.Value}
-		if t.Hall.Set() {
-			if x.Hall, err = strictyaml.Choose(src, t.Hall, d.Halls...); err != nil {
+		x := Trouble{Kind: t.Kind.Value, At: span(t.At), For: span(t.For), Part: t.Part.Value, Size: t.Size.Value}
+		if t.Hall.IsSet() {
+			if x.Hall, err = strictyaml.OneOf(src, t.Hall, d.Halls...); err != nil {
 				return nil, err
 			}
 		}
@@ -211,14 +213,14 @@
 }
 
 // shapes are the day's machines, hall by hall.
-func (d *Day) shapes(s *config.Placer) []emulator.Shape {
+func (d *Day) shapes(s *config.Scheduler) []emulator.Shape {
 	var all []emulator.Shape
 	byName := map[string]int{}
-	for i, k := range s.Kinds {
+	for i, k := range s.MachineTypes {
 		byName[k] = i
 	}
 	var needs, rank []int
-	for _, w := range s.Terms.WorkloadClasses {
+	for _, w := range s.Policy.WorkloadClasses {
 		needs = append(needs, w.MachineType)
 		rank = append(rank, int(w.PriorityWeight*100))
 	}
@@ -227,13 +229,13 @@
 			for i := range c.each {
 				m := d.Machine
 				n := byName[c.kind]
-				k := s.Terms.MachineTypes[n]
+				k := s.Policy.MachineTypes[n]
 				m.Name, m.Zone, m.ZoneN, m.KindN = fmt.Sprintf("%s-%s-%d", hall, c.kind, i), hall, z, n
 				m.CellN = z*1000 + i/4
-				m.Cores, m.Memory, m.AcceptCores, m.AcceptMemory = k.Cores, k.Memory, s.Terms.CoresOvercommit, s.Terms.MemoryOvercommit
-				m.ColdFor = time.Duration(s.Terms.SlowStartPeriod) * 100 * time.Microsecond
-				m.ColdWindow = time.Duration(s.Terms.SlowStartWindow) * 100 * time.Microsecond
-				m.YesRuns, m.TellUse, m.NeedsKind, m.Rank = s.Terms.AcceptMeansRunning, s.Terms.UsageReports, needs, rank
+				m.Cores, m.Memory, m.AcceptCores, m.AcceptMemory = k.Cores, k.Memory, s.Policy.CoresOvercommit, s.Policy.MemoryOvercommit
+				m.ColdFor = time.Duration(s.Policy.SlowStartPeriod) * 100 * time.Microsecond
+				m.ColdWindow = time.Duration(s.Policy.SlowStartWindow) * 100 * time.Microsecond
+				m.YesRuns, m.TellUse, m.NeedsKind, m.Rank = s.Policy.AcceptMeansRunning, s.Policy.UsageReports, needs, rank
 				all = append(all, m)
 			}
 		}
--- a/internal/testbed/scenario/storm.go
+++ b/internal/testbed/scenario/storm.go
@@ -202,7 +202,7 @@
 	rng := rand.New(rand.NewPCG(seed, 8))
 	began := time.Now()
 	c.Owners.OnPlaced = func(kind int, took time.Duration) {
-		agreed := time.Duration(c.Site.Terms.WorkloadClasses[kind].LatencyObjective) * 100 * time.Microsecond
+		agreed := time.Duration(c.Site.Policy.WorkloadClasses[kind].LatencyObjective) * 100 * time.Microsecond
 		if at := int(time.Since(began).Seconds()); took <= agreed && at < length {
 			mu.Lock()
 			good[at]++
