--- a/internal/config/strictyaml/golden_test.go
+++ b/internal/config/strictyaml/golden_test.go
@@ -27,9 +27,15 @@
 	Choice String `yaml:"choice,omitempty"`
 }
 
-// readGolden lists what reading a text gives: each value with its place, or the fault.
-func readGolden(text string) string {
-	var f goldenFile
+// readAll reads a text and checks its required keys and its choice, as packages with settings do.
+func readAll(text string) error {
+	_, _, err := readGoldenFile(text)
+	return err
+}
+
+// readGoldenFile returns the values read and the index of the choice, -1 where there is none.
+func readGoldenFile(text string) (f goldenFile, chosen int, err error) {
+	chosen = -1
 	src, err := Read("f.yaml", []byte(text), &f)
 	if err == nil {
 		err = CheckRequired(src, "", f)
@@ -42,15 +48,20 @@
 			err = CheckRequired(src, fmt.Sprintf("list[%d]", i), f.List[i])
 		}
 	}
-	chosen := -1
 	if err == nil && f.Inner.Choice.IsSet() {
 		chosen, err = OneOf(src, f.Inner.Choice, "one", "two")
 	}
+	return f, chosen, err
+}
+
+// readGolden lists what reading a text gives: each value with its place, or the fault.
+func readGolden(text string) string {
+	f, chosen, err := readGoldenFile(text)
 	if err != nil {
 		return err.Error()
 	}
-	return fmt.Sprint(f.Word, f.Word.Position, f.Number.Value, f.Number.Position, f.Count.Value, f.Count.Position, f.Flag.Value, f.Flag.Position, f.Span.Ticks, f.Span.Position,
-		f.Memory.GiB, f.Memory.Position, f.Inner.Choice, chosen, f.List, len(f.Words), f.Plain)
+	return fmt.Sprint(f.Word, f.Word.Position, f.Number.Value, f.Number.Position, f.Count.Value, f.Count.Position, f.Flag.Value, f.Flag.Position,
+		f.Span.Ticks, f.Span.Position, f.Memory.GiB, f.Memory.Position, f.Inner.Choice, chosen, f.List, len(f.Words), f.Plain)
 }
 
 func TestValuesAndFaultsAreAsRecorded(t *testing.T) {
--- /dev/null
+++ b/internal/config/strictyaml/values.go
@@ -0,0 +1,140 @@
+package strictyaml
+
+import (
+	"math"
+	"strconv"
+
+	"github.com/goccy/go-yaml/ast"
+	"github.com/goccy/go-yaml/token"
+)
+
+const (
+	maxCount         = 1_000_000_000
+	maxDurationTicks = 3.2e11 // a little more than a year
+)
+
+// scalar returns the text of a plain value, its token and its position; expected describes the value in the error.
+func scalar(node ast.Node, expected string) (string, *token.Token, Position, error) {
+	t := node.GetToken()
+	if _, ok := node.(ast.ScalarNode); !ok {
+		return "", t, positionOf(t), syntaxError(t, "a value is wanted here: %s", expected)
+	}
+	return t.Value, t, positionOf(t), nil
+}
+
+// String is a text of any form.
+type String struct {
+	Position
+	Value string
+}
+
+// UnmarshalYAML reads any plain value as text.
+func (s *String) UnmarshalYAML(node ast.Node) (err error) {
+	s.Value, _, s.Position, err = scalar(node, "a word")
+	return err
+}
+
+// String returns the text.
+func (s String) String() string { return s.Value }
+
+// Float is a finite number without a unit.
+type Float struct {
+	Position
+	Value float64
+}
+
+// UnmarshalYAML reads a finite number.
+func (v *Float) UnmarshalYAML(node ast.Node) error {
+	text, t, at, err := scalar(node, "a number")
+	if err != nil {
+		return err
+	}
+	number, err := strconv.ParseFloat(text, 64)
+	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
+		return syntaxError(t, "%q is no number", text)
+	}
+	v.Position, v.Value = at, number
+	return nil
+}
+
+// Count is a whole number from 0 to 1,000,000,000.
+type Count struct {
+	Position
+	Value int
+}
+
+// UnmarshalYAML reads a whole number from 0.
+func (v *Count) UnmarshalYAML(node ast.Node) error {
+	text, t, at, err := scalar(node, "a whole number")
+	if err != nil {
+		return err
+	}
+	number, err := strconv.Atoi(text)
+	if err != nil || number < 0 || number > maxCount {
+		return syntaxError(t, "%q is no whole number from 0", text)
+	}
+	v.Position, v.Value = at, number
+	return nil
+}
+
+// Bool is true or false, in just these two forms.
+type Bool struct {
+	Position
+	Value bool
+}
+
+// UnmarshalYAML reads true or false.
+func (v *Bool) UnmarshalYAML(node ast.Node) error {
+	text, t, at, err := scalar(node, "true or false")
+	if err != nil {
+		return err
+	}
+	if text != "true" && text != "false" {
+		return syntaxError(t, "%q is neither true nor false", text)
+	}
+	v.Position, v.Value = at, text == "true"
+	return nil
+}
+
+// Duration is a length of time, written with one of the units ms, s, min and h.
+type Duration struct {
+	Position
+	Ticks int64 // of 100 microseconds each, as in package eventloop and package scheduler
+}
+
+// UnmarshalYAML reads a length of time with its unit.
+func (v *Duration) UnmarshalYAML(node ast.Node) error {
+	text, t, at, err := scalar(node, "a span such as 250ms or 8s")
+	if err != nil {
+		return err
+	}
+	ticks, err := parseQuantity(text, durationUnits)
+	if err != nil {
+		return syntaxError(t, "%v", err)
+	}
+	if ticks > maxDurationTicks {
+		return syntaxError(t, "%q is longer than a year", text)
+	}
+	v.Position, v.Ticks = at, int64(math.Round(ticks))
+	return nil
+}
+
+// Memory is an amount of memory, written with one of the units KiB, MiB, GiB and TiB.
+type Memory struct {
+	Position
+	GiB float64
+}
+
+// UnmarshalYAML reads an amount of memory with its unit.
+func (v *Memory) UnmarshalYAML(node ast.Node) error {
+	text, t, at, err := scalar(node, "memory such as 512MiB or 4GiB")
+	if err != nil {
+		return err
+	}
+	amount, err := parseQuantity(text, memoryUnits)
+	if err != nil {
+		return syntaxError(t, "%v", err)
+	}
+	v.Position, v.GiB = at, amount
+	return nil
+}
