--- a/internal/config/bgp.go
+++ b/internal/config/bgp.go
@@ -10,138 +10,116 @@
 	"glenport/scheduler"
 )
 
-// BGP is what a placer is told of addresses to announce.
+const (
+	maxMD5Key      = 80    // bytes of a TCP MD5 key
+	minHoldSeconds = 3     // of a hold time other than 0 (RFC 4271, section 4.2)
+	maxHoldSeconds = 65535 // as the OPEN message has two bytes for it
+)
+
+// BGP holds the settings of the service addresses that a scheduler announces.
 type BGP struct {
 	ASN        uint32
 	RouterID   [4]byte
-	ListenAddr string // empty: peers do not call
+	ListenAddr string // empty: peers cannot connect
 	Peers      []BGPPeer
-	Services   map[string]announce.Service
+	Services   map[string]announce.Service // by name of the service
 }
 
-// BGPPeer is one peer. What is not allowed is not announced to it (RFC 8212).
+// BGPPeer holds the settings of one peer. A prefix outside Allow is never announced to it (RFC 8212).
 type BGPPeer struct {
 	Addr        string
 	ASN         uint32
 	HoldTime    scheduler.Time
 	Families    []wire.Family
-	Passive     bool
-	RestartTime scheduler.Time
+	Passive     bool           // the peer connects to this scheduler
+	RestartTime scheduler.Time // for which the peer keeps routes over a restart (RFC 4724); 0: not asked for
 	Allow       []netip.Prefix
-	MD5Key      string // signs its segments (TCP MD5, RFC 2385); none where empty
-}
-
-type bgpSection struct {
-	ASN        strictyaml.Count  `yaml:"as"`
-	RouterID   strictyaml.String `yaml:"identifier"`
-	ListenAddr strictyaml.String `yaml:"listen" settings:"optional"`
-	Peers      []bgpPeerEntry    `yaml:"peers"`
-	Services   []bgpServiceEntry `yaml:"services"`
-}
-
-type bgpPeerEntry struct {
-	Addr        strictyaml.String   `yaml:"address"`
-	ASN         strictyaml.Count    `yaml:"as"`
-	HoldTime    strictyaml.Duration `yaml:"hold"`
-	RestartTime strictyaml.Duration `yaml:"keep_routes_for" settings:"optional"`
-	Passive     strictyaml.Bool     `yaml:"it_calls" settings:"optional"`
-	Families    []strictyaml.String `yaml:"families"`
-	Allow       []strictyaml.String `yaml:"allow"`
-	MD5Key      strictyaml.String   `yaml:"tcp_md5_key" settings:"optional"`
-}
-
-type bgpServiceEntry struct {
-	Service     strictyaml.String `yaml:"service"`
-	Prefix      strictyaml.String `yaml:"prefix"`
-	NextHop     strictyaml.String `yaml:"next_hop"`
-	MinRunning  strictyaml.Count  `yaml:"least_running" settings:"optional"`
-	MED         strictyaml.Count  `yaml:"med" settings:"optional"`
-	MEDByHealth strictyaml.Bool   `yaml:"fewer_is_worse" settings:"optional"`
+	MD5Key      string // signs TCP segments (RFC 2385); empty: they are not signed
 }
 
-func (c *validator) prefix(w strictyaml.String) netip.Prefix {
-	p, err := netip.ParsePrefix(w.Value)
-	if err != nil {
-		c.fail(w.Position, "%q is no prefix such as 192.0.2.0/24", w.Value)
-	} else if p != p.Masked() {
-		c.fail(w.Position, "%q has bits beyond its length; %s has not", w.Value, p.Masked())
+// bgp checks the section on announced addresses and returns its settings, nil where a required key is missing.
+func (v *validator) bgp(f *bgpSection) *BGP {
+	v.required("bgp", *f)
+	if v.err != nil {
+		return nil
 	}
-	return p
-}
-
-func (c *validator) ipAddress(w strictyaml.String) netip.Addr {
-	a, err := netip.ParseAddr(w.Value)
-	if err != nil {
-		c.fail(w.Position, "%q is no address such as 192.0.2.1", w.Value)
+	s := &BGP{ASN: v.asn(f.ASN), RouterID: v.routerID(f.RouterID), ListenAddr: v.address(f.ListenAddr)}
+	for i := range f.Peers {
+		s.Peers = append(s.Peers, v.bgpPeer(fmt.Sprintf("bgp.peers[%d]", i), &f.Peers[i], s.ListenAddr != ""))
 	}
-	return a
+	s.Services = v.bgpServices(f.Services)
+	return s
 }
 
-func (c *validator) asn(n strictyaml.Count) uint32 {
-	if n.Value == 0 || n.Value == 23456 {
-		c.fail(n.Position, "%d is no AS number to use", n.Value)
+func (v *validator) routerID(value strictyaml.String) [4]byte {
+	address := v.ipAddress(value)
+	if !address.Is4() || address.IsUnspecified() {
+		v.fail(value.Position, "an identifier is an IPv4 address other than 0.0.0.0")
+		return [4]byte{}
 	}
-	return uint32(n.Value)
+	return address.As4()
 }
 
-// bgp checks the section on addresses to announce.
-func (c *validator) bgp(f *bgpSection) *BGP {
-	c.required("bgp", *f)
-	if c.err != nil {
-		return nil
+func (v *validator) bgpPeer(path string, entry *bgpPeerEntry, listening bool) BGPPeer {
+	v.required(path, *entry)
+	peer := BGPPeer{
+		Addr:        v.address(entry.Addr),
+		ASN:         v.asn(entry.ASN),
+		HoldTime:    duration(entry.HoldTime),
+		RestartTime: duration(entry.RestartTime),
+		Passive:     entry.Passive.Value,
+		MD5Key:      entry.MD5Key.Value,
 	}
-	s := &BGP{ASN: c.asn(f.ASN), Services: map[string]announce.Service{}}
-	if id := c.ipAddress(f.RouterID); id.Is4() && !id.IsUnspecified() {
-		s.RouterID = id.As4()
-	} else {
-		c.fail(f.RouterID.Position, "an identifier is an IPv4 address other than 0.0.0.0")
+	if len(peer.MD5Key) > maxMD5Key {
+		v.fail(entry.MD5Key.Position, "a key has up to 80 bytes")
 	}
-	if f.ListenAddr.IsSet() {
-		s.ListenAddr = c.address(f.ListenAddr)
+	if !validHoldTime(peer.HoldTime) {
+		v.fail(entry.HoldTime.Position, "a hold time is 0 or whole seconds from 3 to 65535")
 	}
-	for i, p := range f.Peers {
-		path := fmt.Sprintf("bgp.peers[%d]", i)
-		c.required(path, p)
-		x := BGPPeer{Addr: c.address(p.Addr), ASN: c.asn(p.ASN), HoldTime: c.duration(p.HoldTime), RestartTime: c.duration(p.RestartTime), Passive: p.Passive.Value,
-			MD5Key: p.MD5Key.Value}
-		if len(x.MD5Key) > 80 {
-			c.fail(p.MD5Key.Position, "a key has up to 80 bytes")
-		}
-		if h := p.HoldTime.Ticks / 10_000; p.HoldTime.Ticks%10_000 != 0 || h == 1 || h == 2 || h > 65535 {
-			c.fail(p.HoldTime.Position, "a hold time is 0 or whole seconds from 3 to 65535")
-		}
-		if p.Passive.Value && s.ListenAddr == "" {
-			c.fail(p.Passive.Position, "a peer that calls needs bgp.listen")
-		}
-		for _, w := range p.Families {
-			n, err := strictyaml.OneOf(c.file, w, "ipv4", "ipv6")
-			c.record(err)
-			x.Families = append(x.Families, []wire.Family{wire.IPv4, wire.IPv6}[n])
-		}
-		if len(p.Families) == 0 {
-			x.Families = []wire.Family{wire.IPv4}
-		}
-		for _, w := range p.Allow {
-			x.Allow = append(x.Allow, c.prefix(w))
-		}
-		if len(p.Allow) == 0 { // nothing is announced without a policy (RFC 8212): say so rather than be silent
-			c.record(c.file.MissingKey(path, "allow"))
-		}
-		s.Peers = append(s.Peers, x)
+	if peer.Passive && !listening {
+		v.fail(entry.Passive.Position, "a peer that calls needs bgp.listen")
+	}
+	for _, name := range entry.Families {
+		families := []wire.Family{wire.IPv4, wire.IPv6}
+		peer.Families = append(peer.Families, families[v.oneOf(name, "ipv4", "ipv6")])
+	}
+	if len(entry.Families) == 0 {
+		peer.Families = []wire.Family{wire.IPv4}
+	}
+	for _, prefix := range entry.Allow {
+		peer.Allow = append(peer.Allow, v.prefix(prefix))
 	}
-	owner := map[netip.Prefix]string{}
-	for i, v := range f.Services {
-		c.required(fmt.Sprintf("bgp.services[%d]", i), v)
-		x := announce.Service{Prefix: c.prefix(v.Prefix), NextHop: c.ipAddress(v.NextHop), MinRunning: v.MinRunning.Value, MED: uint32(v.MED.Value),
-			MEDByHealth: v.MEDByHealth.Value}
-		if x.Prefix.Addr().Is4() != x.NextHop.Is4() {
-			c.fail(v.NextHop.Position, "the next hop is of another family than %s", x.Prefix)
+	if len(entry.Allow) == 0 { // without a policy nothing would be announced (RFC 8212): an error rather than silence
+		v.record(v.file.MissingKey(path, "allow"))
+	}
+	return peer
+}
+
+func validHoldTime(t scheduler.Time) bool {
+	seconds := t / scheduler.Second
+	return t == 0 || t%scheduler.Second == 0 && seconds >= minHoldSeconds && seconds <= maxHoldSeconds
+}
+
+// bgpServices returns the announced services by name; no two of them may share a prefix.
+func (v *validator) bgpServices(entries []bgpServiceEntry) map[string]announce.Service {
+	services, owners := map[string]announce.Service{}, map[netip.Prefix]string{}
+	for i, entry := range entries {
+		v.required(fmt.Sprintf("bgp.services[%d]", i), entry)
+		service := announce.Service{
+			Prefix:      v.prefix(entry.Prefix),
+			NextHop:     v.ipAddress(entry.NextHop),
+			MinRunning:  entry.MinRunning.Value,
+			MED:         uint32(entry.MED.Value),
+			MEDByHealth: entry.MEDByHealth.Value,
+		}
+		if service.Prefix.Addr().Is4() != service.NextHop.Is4() {
+			v.fail(entry.NextHop.Position, "the next hop is of another family than %s", service.Prefix)
 		}
-		if o, twice := owner[x.Prefix]; twice {
-			c.fail(v.Prefix.Position, "%s is that of service %s already", x.Prefix, o)
+		if owner, duplicate := owners[service.Prefix]; duplicate {
+			v.fail(entry.Prefix.Position, "%s is that of service %s already", service.Prefix, owner)
 		}
-		owner[x.Prefix] = v.Service.Value
-		s.Services[v.Service.Value] = x
+		owners[service.Prefix] = entry.Service.Value
+		services[entry.Service.Value] = service
 	}
-	return s
+	return services
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,10 +1,14 @@
 package config
 
 import (
+	"errors"
+	"io/fs"
 	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 
+	"glenport/internal/config/strictyaml"
 	"glenport/scheduler"
 )
 
@@ -16,7 +20,7 @@
 	return string(data)
 }
 
-func TestSample(t *testing.T) {
+func TestSampleFileIsReadAsWritten(t *testing.T) {
 	p, err := ParseScheduler("placer.yaml", []byte(sample(t)))
 	if err != nil {
 		t.Fatal(err)
@@ -31,8 +35,7 @@
 	}
 }
 
-// Every fault is told with its line and column.
-func TestFaults(t *testing.T) {
+func TestErrorsNamePlaceAndCause(t *testing.T) {
 	for _, tc := range []struct{ name, old, new, want string }{
 		{"unknown key", "seed: 17", "sead: 17", `placer.yaml:5:1: unknown field "sead"`},
 		{"key twice", "seed: 17", "seed: 17\nseed: 18", "placer.yaml:6:1: "},
@@ -45,8 +48,8 @@
 		{"missing in a list", "effect: reissuable, ", "", "workloads[0].effect is missing"},
 		{"no address", "127.0.0.1:7400", "localhost", `placer.yaml:6:7: "localhost" is no address`},
 		{"number beyond placers", "number: 0 ", "number: 3 ", "placer.yaml:3:9: number 3 is not below placers, 3"},
-		// Bids that wait longer for a link would reach a cold machine in a heap.
-		{"link slower than the cold window bears", "connect_within: 180ms", "connect_within: 200ms", "a sixteenth of cold_window, 187.5 ms"},
+		// Attempts that wait longer for a connection would reach a machine in slow start in one burst.
+		{"connect timeout beyond its part of the slow-start window", "connect_within: 180ms", "connect_within: 200ms", "a sixteenth of cold_window, 187.5 ms"},
 		{"no such effect", "effect: numbered", "effect: keyed", `"keyed" is none of reissuable, numbered, at-most-once`},
 		{"numbered without a group", "repeats_dropped_in: zone, ", "", "workloads[1].repeats_dropped_in is missing"},
 		{"window of what has none", "effect: reissuable", "effect: reissuable, repeats_dropped_for: 8s", "only numbered work"},
@@ -56,7 +59,7 @@
 		{"spread without most", ", most_in_one: 2", "", "workloads[2].most_in_one is missing"},
 		{"agreed after hard stop", "agreed_time: 2s", "agreed_time: 20s", "the agreed time is after the hard stop"},
 		{"neither true nor false", "may_be_probed: true", "may_be_probed: maybe", `"maybe" is neither true nor false`},
-		{"part out of range", "over_share: 0.2", "over_share: 2", "2 is no part from 0 to 1"},
+		{"weight out of range", "over_share: 0.2", "over_share: 2", "2 is no part from 0 to 1"},
 		{"prefix with spare bits", "198.51.100.7/32", "198.51.100.7/24", "has bits beyond its length; 198.51.100.0/24 has not"},
 		{"next hop of another family", "next_hop: 192.0.2.5", "next_hop: 2001:db8::5", "is of another family than"},
 		{"peer without a policy", "allow: [198.51.100.0/24, \"2001:db8:1::/64\"]", "it_calls: false", "bgp.peers[0].allow is missing"},
@@ -80,3 +83,46 @@
 		t.Errorf("empty: %v", err)
 	}
 }
+
+func TestErrorsAreTypedWithFileLineColumnAndKey(t *testing.T) {
+	for _, tc := range []struct {
+		name, old, new string
+		line, column   int
+		key            string
+	}{
+		{"value of a section", "most: 4", "most: 0", 36, 9, "bids.most"},
+		{"value of an entry", "kind: large", "kind: huge", 43, 12, "workloads[2].kind"},
+		{"value without its unit", "ask_within: 10s", "ask_within: 10", 11, 15, "list.ask_within"},
+		{"value in a list", "families: [ipv4, ipv6]", "families: [ipv4, ipv5]", 52, 96, "bgp.peers[0].families[1]"},
+		{"unknown key", "seed: 17", "sead: 17", 5, 1, "sead"},
+		{"key left out", "effect: reissuable, ", "", 39, 6, "workloads[0].effect"},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			_, err := ParseScheduler("placer.yaml", []byte(strings.Replace(sample(t), tc.old, tc.new, 1)))
+			var located *strictyaml.Error
+			if !errors.As(err, &located) {
+				t.Fatalf("got %T: %v", err, err)
+			}
+			want := strictyaml.Position{Line: tc.line, Column: tc.column}
+			if located.File != "placer.yaml" || located.Position != want || located.Key != tc.key {
+				t.Errorf("got %v with key %q, want %v with key %q: %v", located.Position, located.Key, want, tc.key, err)
+			}
+		})
+	}
+}
+
+func TestMissingSchedulerFileIsLocatedInControllerFile(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "keeper.yaml")
+	text := "name: keeper\napi: 127.0.0.1:1\nplacer_file: absent.yaml\ndoors: [127.0.0.1:2]\n"
+	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	_, err := LoadController(path)
+	var located *strictyaml.Error
+	if !errors.As(err, &located) || located.Key != "placer_file" || located.Line != 3 {
+		t.Errorf("got %v", err)
+	}
+	if !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("%v does not wrap fs.ErrNotExist", err)
+	}
+}
--- a/internal/config/controller.go
+++ b/internal/config/controller.go
@@ -1,68 +1,73 @@
 package config
 
 import (
+	"errors"
+	"io/fs"
 	"os"
 	"path/filepath"
 
 	"glenport/internal/config/strictyaml"
 )
 
-// Controller is a keeper's file, checked.
+// Controller holds the checked settings of a controller process.
 type Controller struct {
 	Name            string
 	APIAddr         string
-	SchedulerAddrs  []string
-	MachineListAddr string
+	SchedulerAddrs  []string // of all schedulers, by their index
+	MachineListAddr string   // empty: the machine list is not watched
 	Seed            uint64
-	StateDir        string     // the folder of what is kept over restarts; nothing is where empty
-	Scheduler       *Scheduler // workloads, customers and kinds
+	StateDir        string     // folder of the state kept over restarts; empty: none is kept
+	Scheduler       *Scheduler // a scheduler's settings, for workload classes, tenants and machine types
 }
 
-type controllerFile struct {
-	Name            strictyaml.String   `yaml:"name"`
-	APIAddr         strictyaml.String   `yaml:"api"`
-	SchedulerFile   strictyaml.String   `yaml:"placer_file"`
-	SchedulerAddrs  []strictyaml.String `yaml:"doors"`
-	MachineListAddr strictyaml.String   `yaml:"list" settings:"optional"`
-	Seed            strictyaml.Count    `yaml:"seed" settings:"optional"`
-	StateDir        strictyaml.String   `yaml:"state" settings:"optional"`
-}
-
-// LoadController reads and checks a keeper's file and the placer's file that it names, beside it.
+// LoadController reads and checks a controller's settings file and the scheduler's file that it names, beside it.
 func LoadController(path string) (*Controller, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	var f controllerFile
-	src, err := strictyaml.Read(path, data, &f)
+	var content controllerFile
+	file, err := strictyaml.Read(path, data, &content)
 	if err != nil {
 		return nil, err
 	}
-	c := &validator{file: src}
-	c.required("", f)
-	if c.err != nil {
-		return nil, c.err
+	v := &validator{file: file}
+	settings := v.controller(&content)
+	if v.err != nil {
+		return nil, v.err
 	}
-	k := &Controller{Name: f.Name.Value, APIAddr: c.address(f.APIAddr), Seed: uint64(f.Seed.Value), StateDir: f.StateDir.Value}
-	if f.MachineListAddr.IsSet() {
-		k.MachineListAddr = c.address(f.MachineListAddr)
+	schedulerPath := content.SchedulerFile.Value
+	if !filepath.IsAbs(schedulerPath) {
+		schedulerPath = filepath.Join(filepath.Dir(path), schedulerPath)
 	}
-	for _, d := range f.SchedulerAddrs {
-		k.SchedulerAddrs = append(k.SchedulerAddrs, c.address(d))
+	settings.Scheduler, err = LoadScheduler(schedulerPath)
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil, file.ErrorAt(content.SchedulerFile.Position, "%w", err)
 	}
-	if len(k.SchedulerAddrs) == 0 {
-		c.record(src.MissingKey("", "doors"))
+	if err != nil {
+		return nil, err
+	}
+	return settings, nil
+}
+
+// controller checks a controller's file and returns its settings, nil where a required key is missing.
+func (v *validator) controller(f *controllerFile) *Controller {
+	v.required("", *f)
+	if v.err != nil {
+		return nil
 	}
-	if c.err != nil {
-		return nil, c.err
+	s := &Controller{
+		Name:            f.Name.Value,
+		APIAddr:         v.address(f.APIAddr),
+		MachineListAddr: v.address(f.MachineListAddr),
+		Seed:            uint64(f.Seed.Value),
+		StateDir:        f.StateDir.Value,
 	}
-	terms := f.SchedulerFile.Value
-	if !filepath.IsAbs(terms) {
-		terms = filepath.Join(filepath.Dir(path), terms)
+	for _, address := range f.SchedulerAddrs {
+		s.SchedulerAddrs = append(s.SchedulerAddrs, v.address(address))
 	}
-	if k.Scheduler, err = LoadScheduler(terms); os.IsNotExist(err) {
-		return nil, src.ErrorAt(f.SchedulerFile.Position, "%v", err)
+	if len(s.SchedulerAddrs) == 0 {
+		v.record(v.file.MissingKey("", "doors"))
 	}
-	return k, err
+	return s
 }
--- a/internal/config/strictyaml/error.go
+++ b/internal/config/strictyaml/error.go
@@ -14,7 +14,7 @@
 	Key      string // path of the key, as "links.connect_within" or "workloads[0].effect"; empty where it is not known
 	Message  string
 
-	cause error // of the YAML package; nil where the check is of this program
+	cause error // of the YAML package or the operating system, where there is one
 }
 
 // Error returns file, line, column and message.
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Message)
 }
 
-// Unwrap returns the error of the YAML package, where there is one.
+// Unwrap returns the cause: an error of the YAML package or the operating system, nil where a check of this program failed.
 func (e *Error) Unwrap() error { return e.cause }
 
 // Position is the place of a value in its file, both parts counted from 1; the zero Position is that of a value left out.
--- a/internal/config/strictyaml/strictyaml.go
+++ b/internal/config/strictyaml/strictyaml.go
@@ -66,9 +66,10 @@
 	return &Error{File: f.Name, Position: at, Key: f.keyAt(at), Message: located.GetMessage(), cause: err}
 }
 
-// ErrorAt returns an *Error about the value at the given position.
+// ErrorAt returns an *Error about the value at the given position. It wraps the operand of a %w in the format.
 func (f *File) ErrorAt(at Position, format string, args ...any) error {
-	return &Error{File: f.Name, Position: at, Key: f.keyAt(at), Message: fmt.Sprintf(format, args...)}
+	err := fmt.Errorf(format, args...)
+	return &Error{File: f.Name, Position: at, Key: f.keyAt(at), Message: err.Error(), cause: errors.Unwrap(err)}
 }
 
 // MissingKey returns an *Error about a key left out of the mapping at a path such as "list" or "machines.kinds[0]"; the path
--- /dev/null
+++ b/internal/config/workloadclass.go
@@ -0,0 +1,96 @@
+package config
+
+import (
+	"fmt"
+	"slices"
+
+	"glenport/internal/config/strictyaml"
+	"glenport/scheduler"
+)
+
+// workloadClasses adds the workload classes to the settings; typeIndex holds the machine types by name.
+func (v *validator) workloadClasses(entries []workloadClassEntry, typeIndex map[string]int, s *Scheduler) {
+	for i := range entries {
+		entry, path := &entries[i], fmt.Sprintf("workloads[%d]", i)
+		v.required(path, *entry)
+		if v.err != nil {
+			return
+		}
+		class := v.workloadClass(path, entry, typeIndex)
+		if slices.Contains(s.WorkloadClasses, entry.Name.Value) {
+			v.fail(entry.Name.Position, "workload %q stands twice", entry.Name.Value)
+		}
+		s.WorkloadClasses = append(s.WorkloadClasses, entry.Name.Value)
+		s.Policy.WorkloadClasses = append(s.Policy.WorkloadClasses, class)
+	}
+	if len(entries) == 0 {
+		v.record(v.file.MissingKey("", "workloads"))
+	}
+}
+
+func (v *validator) workloadClass(path string, entry *workloadClassEntry, typeIndex map[string]int) scheduler.WorkloadClass {
+	class := scheduler.WorkloadClass{
+		LatencyObjective: v.positiveDuration(entry.LatencyObjective),
+		PlacementTimeout: v.positiveDuration(entry.PlacementTimeout),
+		MachineType:      -1, // any
+		PriorityWeight:   v.positive(entry.PriorityWeight),
+	}
+	if class.LatencyObjective > class.PlacementTimeout {
+		v.fail(entry.LatencyObjective.Position, "the agreed time is after the hard stop")
+	}
+	v.idempotency(path, entry, &class)
+	if entry.MachineType.IsSet() {
+		index, ok := typeIndex[entry.MachineType.Value]
+		if !ok {
+			v.fail(entry.MachineType.Position, "there is no kind %q", entry.MachineType.Value)
+		}
+		class.MachineType = index
+	}
+	v.spread(path, entry, &class)
+	return class
+}
+
+// idempotency sets what may happen to a container that is requested twice. Scope and window belong to IdempotentWithKey alone.
+func (v *validator) idempotency(path string, entry *workloadClassEntry, class *scheduler.WorkloadClass) {
+	levels := []scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.AtMostOnce}
+	class.Idempotency = levels[v.oneOf(entry.Idempotency, "reissuable", "numbered", "at-most-once")]
+	if class.Idempotency != scheduler.IdempotentWithKey {
+		if entry.DedupScope.IsSet() || entry.DedupWindow.IsSet() {
+			v.fail(firstSet(entry.DedupScope.Position, entry.DedupWindow.Position), "only numbered work has its repeats dropped")
+		}
+		return
+	}
+	if !entry.DedupScope.IsSet() {
+		v.record(v.file.MissingKey(path, "repeats_dropped_in"))
+	}
+	if !entry.DedupWindow.IsSet() {
+		v.record(v.file.MissingKey(path, "repeats_dropped_for"))
+	}
+	scopes := []scheduler.Scope{scheduler.ScopeRackGroup, scheduler.ScopeZone, scheduler.ScopeFleet}
+	class.DedupScope = scopes[v.oneOf(entry.DedupScope, "cell", "zone", "everywhere")]
+	class.DedupWindow = duration(entry.DedupWindow)
+}
+
+// spread sets how many containers of a service may share a failure domain.
+func (v *validator) spread(path string, entry *workloadClassEntry, class *scheduler.WorkloadClass) {
+	if !entry.SpreadScope.IsSet() {
+		if entry.MaxPerScope.IsSet() {
+			v.fail(entry.MaxPerScope.Position, "most_in_one needs spread_over")
+		}
+		return
+	}
+	scopes := []scheduler.Scope{scheduler.ScopeMachine, scheduler.ScopeRackGroup, scheduler.ScopeZone}
+	class.SpreadScope = scopes[v.oneOf(entry.SpreadScope, "machine", "cell", "zone")]
+	if !entry.MaxPerScope.IsSet() {
+		v.record(v.file.MissingKey(path, "most_in_one"))
+	}
+	class.MaxPerScope = v.positiveCount(entry.MaxPerScope)
+}
+
+// firstSet returns the first of two positions that is that of a value given.
+func firstSet(a, b strictyaml.Position) strictyaml.Position {
+	if a.IsSet() {
+		return a
+	}
+	return b
+}
