--- /dev/null
+++ b/cmd/glenport/apiclient.go
@@ -0,0 +1,119 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/goccy/go-yaml"
+	"github.com/spf13/cobra"
+)
+
+const (
+	apiTimeout = 20 * time.Second // of one request
+	listLimit  = "?limit=1000"    // of the entries of a list
+)
+
+// Values of --output.
+const (
+	formatTable = "table"
+	formatJSON  = "json"
+	formatYAML  = "yaml"
+)
+
+// apiClient sends requests to a controller's API and prints the answers.
+type apiClient struct {
+	address string
+	format  string
+	out     io.Writer
+}
+
+// items is a list as the API answers with it.
+type items[T any] struct{ Items []T }
+
+// problemError is an answer with an error status, a problem document of RFC 9457.
+type problemError struct{ Title, Detail string }
+
+// Error implements error.
+func (e *problemError) Error() string { return e.Title + ": " + e.Detail }
+
+// withAPI adds the flags of a client of the API to a command and makes it run a function with that client.
+func withAPI(c *cobra.Command, run func(client *apiClient, args []string) error) *cobra.Command {
+	client := &apiClient{}
+	c.Flags().StringVar(&client.address, "api", "127.0.0.1:7500", "the address of the controller's API")
+	c.Flags().StringVarP(&client.format, "output", "o", formatTable, "table, json or yaml")
+	c.RunE = func(c *cobra.Command, args []string) error {
+		switch client.format {
+		case formatTable, formatJSON, formatYAML:
+		default:
+			return fmt.Errorf("--output %q is none of table, json, yaml", client.format)
+		}
+		client.out = c.OutOrStdout()
+		return run(client, args)
+	}
+	return c
+}
+
+// do sends a request with a body, none where it is nil, and decodes the answer into a value, which may be nil too. An answer
+// with an error status is returned as a *problemError.
+func (c *apiClient) do(method, path string, body, into any) error {
+	var reader io.Reader
+	if body != nil {
+		encoded, err := json.Marshal(body)
+		if err != nil {
+			return err
+		}
+		reader = bytes.NewReader(encoded)
+	}
+	request, err := http.NewRequest(method, "http://"+c.address+path, reader)
+	if err != nil {
+		return err
+	}
+	response, err := (&http.Client{Timeout: apiTimeout}).Do(request)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = response.Body.Close() }() // it has been read to its end
+	data, err := io.ReadAll(response.Body)
+	if err != nil {
+		return err
+	}
+	if response.StatusCode >= http.StatusBadRequest {
+		problem := &problemError{}
+		_ = json.Unmarshal(data, problem) // what is no problem document has neither title nor detail
+		return problem
+	}
+	if into == nil || len(data) == 0 {
+		return nil
+	}
+	return json.Unmarshal(data, into)
+}
+
+func (c *apiClient) get(path string, into any) error { return c.do(http.MethodGet, path, nil, into) }
+
+// print prints a value as JSON or YAML, or as the table that a header and rows make.
+func (c *apiClient) print(value any, header string, rows func(p *printer)) error {
+	switch c.format {
+	case formatJSON:
+		encoded, err := json.MarshalIndent(value, "", "  ")
+		if err != nil {
+			return err
+		}
+		_, err = fmt.Fprintln(c.out, string(encoded))
+		return err
+	case formatYAML:
+		encoded, err := json.Marshal(value)
+		if err != nil {
+			return err
+		}
+		if encoded, err = yaml.JSONToYAML(encoded); err != nil {
+			return err
+		}
+		_, err = c.out.Write(encoded)
+		return err
+	}
+	return printTable(c.out, header, rows)
+}
--- /dev/null
+++ b/cmd/glenport/check.go
@@ -0,0 +1,47 @@
+package main
+
+import (
+	"io"
+
+	"glenport/internal/config"
+
+	"github.com/spf13/cobra"
+)
+
+func newCheckCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:     "check FILE...",
+		Short:   "Check settings files of schedulers",
+		Long:    "Check settings files of schedulers. The first error of each file is printed with file, line and column; the exit code is then 1.",
+		Example: "  glenport check deploy/placer.yaml",
+		Args:    cobra.MinimumNArgs(1),
+		RunE: func(c *cobra.Command, files []string) error {
+			return checkFiles(files, c.OutOrStdout(), c.ErrOrStderr())
+		},
+	}
+}
+
+func checkFiles(files []string, out, errOut io.Writer) error {
+	results, faults := &printer{w: out}, &printer{w: errOut}
+	valid := true
+	for _, file := range files {
+		s, err := config.LoadScheduler(file)
+		if err != nil {
+			faults.printf("%v\n", err)
+			valid = false
+			continue
+		}
+		results.printf("%s: placer %s, %d of %d, %d workloads, %d kinds of machine: good\n", file, s.Name,
+			s.Policy.SchedulerIndex+1, s.Policy.SchedulerCount, len(s.Policy.WorkloadClasses), len(s.Policy.MachineTypes))
+	}
+	if results.err != nil {
+		return results.err
+	}
+	if faults.err != nil {
+		return faults.err
+	}
+	if !valid {
+		return exitNegative
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/glenport/commands_test.go
@@ -0,0 +1,73 @@
+package main
+
+import (
+	"strings"
+	"testing"
+
+	"github.com/spf13/cobra"
+)
+
+// allCommands returns a command and all below it, without those that cobra adds.
+func allCommands(c *cobra.Command) []*cobra.Command {
+	all := []*cobra.Command{c}
+	for _, sub := range c.Commands() {
+		all = append(all, allCommands(sub)...)
+	}
+	return all
+}
+
+func TestHelpOfEachCommandHasAnExampleThatParses(t *testing.T) {
+	commands := allCommands(newRootCommand())
+	if len(commands) < 20 {
+		t.Fatalf("only %d commands found", len(commands))
+	}
+	for _, c := range commands {
+		t.Run(c.CommandPath(), func(t *testing.T) {
+			help, _, err := runCommand(append(strings.Fields(c.CommandPath())[1:], "--help")...)
+			if err != nil || !strings.Contains(help, "Examples:\n"+c.Example) {
+				t.Errorf("help without its example, %v:\n%s", err, help)
+			}
+			if c.Example == "" {
+				t.Fatal("no example")
+			}
+			for line := range strings.SplitSeq(c.Example, "\n") {
+				checkExample(t, c, line)
+			}
+		})
+	}
+}
+
+// checkExample checks that the call in an example is one of the command, or of one below it, with flags and arguments that it has.
+func checkExample(t *testing.T, c *cobra.Command, line string) {
+	t.Helper()
+	call, _, _ := strings.Cut(strings.TrimSpace(line), " >")
+	words := strings.Fields(call)
+	if !strings.HasPrefix(call+" ", c.CommandPath()+" ") {
+		t.Fatalf("%q is no call of %s", call, c.CommandPath())
+	}
+	called, rest, err := newRootCommand().Find(words[1:])
+	if err != nil {
+		t.Fatalf("%q: %v", call, err)
+	}
+	if err := called.ParseFlags(rest); err != nil {
+		t.Errorf("%q: %v", call, err)
+	}
+	if err := called.ValidateArgs(called.Flags().Args()); err != nil {
+		t.Errorf("%q: %v", call, err)
+	}
+	if err := called.ValidateRequiredFlags(); err != nil {
+		t.Errorf("%q: %v", call, err)
+	}
+	if called.RunE == nil {
+		t.Errorf("%q runs nothing", call)
+	}
+}
+
+func TestFormerNamesOfProcessesAreAliases(t *testing.T) {
+	for former, name := range map[string]string{"placer": "scheduler", "keeper": "controller"} {
+		c, _, err := newRootCommand().Find([]string{former, "-c", "FILE"})
+		if err != nil || c.Name() != name {
+			t.Errorf("%s runs %v, %v; want %s", former, c, err, name)
+		}
+	}
+}
--- a/cmd/glenport/controller.go
+++ b/cmd/glenport/controller.go
@@ -4,10 +4,7 @@
 	"context"
 	"errors"
 	"net/http"
-	"os"
-	"os/signal"
 	"runtime"
-	"syscall"
 	"time"
 
 	"glenport/internal/config"
@@ -18,55 +15,72 @@
 	"github.com/spf13/cobra"
 )
 
-func keeperCommand() *cobra.Command {
-	var file, form string
-	c := &cobra.Command{Use: "controller", Aliases: []string{"keeper"}, Short: "Keep jobs running and serve the API", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error {
-			log, err := logger(form)
-			if err != nil {
-				return err
-			}
-			k, err := config.LoadController(file)
-			if err != nil {
-				return err
-			}
-			h, err := server.New(server.Config{Name: k.Name, Schedulers: k.SchedulerAddrs, MachineList: k.MachineListAddr, Seed: k.Seed, StateDir: k.StateDir, SchedulerConfig: k.Scheduler},
-				watchcache.New(api.EncodeWatchEvent), log)
-			if err != nil {
-				return err
-			}
-			server := api.NewHTTPServer(k.APIAddr, api.New(h))
-			told := make(chan os.Signal, 1)
-			signal.Notify(told, syscall.SIGINT, syscall.SIGTERM)
-			failed := make(chan error, 1)
-			go func() {
-				if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
-					failed <- err
-					h.Stop()
-				}
-			}()
-			go func() {
-				<-told
-				ctx, done := context.WithTimeout(context.Background(), 2*time.Second)
-				defer done()
-				server.Shutdown(ctx)
-				server.Close()
-				h.Stop()
-			}()
-			log.Info("keeper up", "name", k.Name, "api", k.APIAddr, "placers", len(k.SchedulerAddrs))
-			runtime.LockOSThread()
-			if err := h.Run(); err != nil {
-				return err
-			}
-			select {
-			case err := <-failed:
-				return err
-			default:
-				return nil
-			}
-		}}
-	c.Flags().StringVarP(&file, "config", "c", "", "the keeper's file")
-	c.Flags().StringVar(&form, "log", "text", "form of the log: text or json")
-	c.MarkFlagRequired("config")
+// apiShutdownTimeout is how long requests in progress may take once the controller stops.
+const apiShutdownTimeout = 2 * time.Second
+
+func newControllerCommand() *cobra.Command {
+	var flags processFlags
+	c := &cobra.Command{
+		Use:     "controller",
+		Aliases: []string{"keeper"},
+		Short:   "Keep jobs running and serve the API",
+		Example: "  glenport controller -c deploy/keeper.yaml --log json",
+		Args:    cobra.NoArgs,
+		RunE:    func(*cobra.Command, []string) error { return runController(&flags) },
+	}
+	flags.register(c, "the controller's settings file")
 	return c
 }
+
+func runController(flags *processFlags) error {
+	log, err := flags.logger()
+	if err != nil {
+		return err
+	}
+	settings, err := config.LoadController(flags.configFile)
+	if err != nil {
+		return err
+	}
+	process, err := server.New(server.Config{
+		Name:            settings.Name,
+		Schedulers:      settings.SchedulerAddrs,
+		MachineList:     settings.MachineListAddr,
+		Seed:            settings.Seed,
+		StateDir:        settings.StateDir,
+		SchedulerConfig: settings.Scheduler,
+	}, watchcache.New(api.EncodeWatchEvent), log)
+	if err != nil {
+		return err
+	}
+	httpServer := api.NewHTTPServer(settings.APIAddr, api.New(process))
+	failed := make(chan error, 1)
+	go func() {
+		if err := httpServer.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
+			failed <- err
+			process.Stop()
+		}
+	}()
+	stopOnSignal(func() {
+		shutdownAPI(httpServer)
+		process.Stop()
+	})
+	log.Info("controller started", "name", settings.Name, "api", settings.APIAddr, "schedulers", len(settings.SchedulerAddrs))
+	runtime.LockOSThread()
+	if err := process.Run(); err != nil {
+		return err
+	}
+	select {
+	case err := <-failed:
+		return err
+	default:
+		return nil
+	}
+}
+
+// shutdownAPI lets requests in progress end within apiShutdownTimeout, and then closes all connections.
+func shutdownAPI(s *http.Server) {
+	ctx, cancel := context.WithTimeout(context.Background(), apiShutdownTimeout)
+	defer cancel()
+	_ = s.Shutdown(ctx) // a watch outlasts it: Close ends what is left
+	_ = s.Close()       // the process ends
+}
--- a/cmd/glenport/golden_test.go
+++ b/cmd/glenport/golden_test.go
@@ -16,17 +16,13 @@
 	"testing"
 
 	"glenport/internal/protocol"
-
-	"github.com/spf13/cobra"
 )
 
 var update = flag.Bool("update", false, "record the golden texts anew")
 
 // runCommand runs the program with arguments, and returns what it prints and how it ends.
 func runCommand(args ...string) (stdout, stderr string, err error) {
-	root := &cobra.Command{Use: "glenport", SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(placerCommand(), keeperCommand(), checkCommand(), submitCommand(), statusCommand(), jobCommand(), whyCommand(),
-		machinesCommand(), bgpCommand(), stateCommand(), platformCommand())
+	root := newRootCommand()
 	var out, errOut bytes.Buffer
 	root.SetOut(&out)
 	root.SetErr(&errOut)
@@ -57,7 +53,7 @@
 
 // serveClient answers until the client leaves. Each service has an answer of its own.
 func serveClient(conn net.Conn, role protocol.Role) {
-	defer conn.Close() //nolint:errcheck // the client has left
+	defer func() { _ = conn.Close() }() // the client has left
 	send := func(frames ...protocol.Frame) {
 		for _, f := range frames {
 			if p, err := protocol.Append(nil, f); err == nil {
@@ -145,7 +141,7 @@
 
 // TestOutputOfCommandsIsAsRecorded holds what commands print, byte for byte, and how they end.
 func TestOutputOfCommandsIsAsRecorded(t *testing.T) {
-	t.Setenv(deploymentFile, "")
+	t.Setenv(platformFileVariable, "")
 	scheduler, api := fakeScheduler(t, protocol.RoleScheduler), fakeAPI(t)
 	machine := fakeScheduler(t, protocol.RoleMachine)
 	dir := t.TempDir()
--- /dev/null
+++ b/cmd/glenport/machines.go
@@ -0,0 +1,26 @@
+package main
+
+import (
+	"glenport/internal/controller/server"
+
+	"github.com/spf13/cobra"
+)
+
+func newMachinesCommand() *cobra.Command {
+	return withAPI(&cobra.Command{
+		Use:     "machines",
+		Short:   "Show the machines",
+		Example: "  glenport machines -o json",
+		Args:    cobra.NoArgs,
+	}, func(client *apiClient, _ []string) error {
+		var machines items[server.Machine]
+		if err := client.get("/v1/machines"+listLimit, &machines); err != nil {
+			return err
+		}
+		return client.print(machines.Items, "MACHINE\tHALL\tKIND\tSTATE\tFREE CORES\tFREE GIB", func(p *printer) {
+			for _, m := range machines.Items {
+				p.printf("%s\t%d\t%s\t%s\t%g\t%g\n", m.ID, m.Zone, m.MachineType, m.State, m.FreeCores, m.FreeMemoryGiB)
+			}
+		})
+	})
+}
--- a/cmd/glenport/main.go
+++ b/cmd/glenport/main.go
@@ -1,116 +1,60 @@
-// Command glenport places long-running work on the machines of a cluster.
+// Command glenport places long-running work on the machines of a cluster: it runs the scheduler and the controller, and talks to
+// them on behalf of a user or an operator.
 package main
 
 import (
 	"errors"
 	"fmt"
-	"log/slog"
-	"net/http"
 	"os"
-	"os/signal"
-	"runtime"
-	"syscall"
-
-	"glenport/internal/config"
-	"glenport/internal/metrics"
-	"glenport/internal/schedulerd"
-	"glenport/scheduler"
 
 	"github.com/spf13/cobra"
 )
 
+// exitFailure is the exit code of an error that is printed by main.
+const exitFailure = 2
+
 func main() {
-	root := &cobra.Command{Use: "glenport", Short: "Place long-running work on the machines of a cluster",
-		SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(placerCommand(), keeperCommand(), checkCommand(), submitCommand(), statusCommand(), jobCommand(), whyCommand(),
-		machinesCommand(), bgpCommand(), stateCommand(), platformCommand())
-	if err := root.Execute(); err != nil {
-		var code exitCode
-		if errors.As(err, &code) {
-			os.Exit(int(code))
-		}
-		fmt.Fprintln(os.Stderr, "glenport:", err)
-		os.Exit(2)
+	err := newRootCommand().Execute()
+	if err == nil {
+		return
+	}
+	var code exitCode
+	if errors.As(err, &code) {
+		os.Exit(int(code))
 	}
+	fmt.Fprintln(os.Stderr, "glenport:", err)
+	os.Exit(exitFailure)
 }
 
-// exitCode ends the program without a further word.
+// exitCode is an error that ends the program with this code; all that is to be said has been printed.
 type exitCode int
 
-func (c exitCode) Error() string { return fmt.Sprintf("exit %d", int(c)) }
+// exitNegative is the exit code of a command that ran, and found something wrong or was refused.
+const exitNegative exitCode = 1
 
-func placerCommand() *cobra.Command {
-	var file, form string
-	c := &cobra.Command{Use: "scheduler", Aliases: []string{"placer"}, Short: "Run one placer until it is told to stop", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error {
-			log, err := logger(form)
-			if err != nil {
-				return err
-			}
-			s, err := config.LoadScheduler(file)
-			if err != nil {
-				return err
-			}
-			h, err := schedulerd.New(s, scheduler.New(s.Policy), log)
-			if err != nil {
-				return err
-			}
-			if s.MetricsAddr != "" {
-				server := metrics.Serve(s.MetricsAddr, h)
-				go func() {
-					if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
-						log.Error("no metrics", "why", err)
-					}
-				}()
-				defer server.Close()
-			}
-			return runUntilTold(h)
-		}}
-	c.Flags().StringVarP(&file, "config", "c", "", "the placer's file")
-	c.Flags().StringVar(&form, "log", "text", "form of the log: text or json")
-	c.MarkFlagRequired("config")
-	return c
-}
+// Error implements error.
+func (c exitCode) Error() string { return fmt.Sprintf("exit %d", int(c)) }
 
-func logger(form string) (*slog.Logger, error) {
-	switch form {
-	case "text":
-		return slog.New(slog.NewTextHandler(os.Stderr, nil)), nil
-	case "json":
-		return slog.New(slog.NewJSONHandler(os.Stderr, nil)), nil
+func newRootCommand() *cobra.Command {
+	root := &cobra.Command{
+		Use:           "glenport",
+		Short:         "Place long-running work on the machines of a cluster",
+		Example:       "  glenport scheduler -c deploy/placer.yaml",
+		SilenceUsage:  true,
+		SilenceErrors: true,
 	}
-	return nil, fmt.Errorf("--log %q is neither text nor json", form)
-}
-
-// runUntilTold runs a host until it ends or an interrupt or a termination comes.
-func runUntilTold(h *schedulerd.Server) error {
-	told := make(chan os.Signal, 1)
-	signal.Notify(told, syscall.SIGINT, syscall.SIGTERM)
-	go func() {
-		<-told
-		h.Stop()
-	}()
-	runtime.LockOSThread()
-	return h.Run()
+	root.AddCommand(
+		newSchedulerCommand(), newControllerCommand(), newPlatformCommand(), newCheckCommand(),
+		newSubmitCommand(), newStatusCommand(), newBGPCommand(),
+		newJobCommand(), newWhyCommand(), newMachinesCommand(),
+		newStateCommand(),
+	)
+	return root
 }
 
-func checkCommand() *cobra.Command {
-	return &cobra.Command{Use: "check FILE...", Short: "Check placers' files", Args: cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, files []string) error {
-			bad := false
-			for _, f := range files {
-				s, err := config.LoadScheduler(f)
-				if err != nil {
-					fmt.Fprintln(c.ErrOrStderr(), err)
-					bad = true
-					continue
-				}
-				fmt.Fprintf(c.OutOrStdout(), "%s: placer %s, %d of %d, %d workloads, %d kinds of machine: good\n",
-					f, s.Name, s.Policy.SchedulerIndex+1, s.Policy.SchedulerCount, len(s.Policy.WorkloadClasses), len(s.Policy.MachineTypes))
-			}
-			if bad {
-				return exitCode(1)
-			}
-			return nil
-		}}
+// requireFlag marks a flag of a command as required.
+func requireFlag(c *cobra.Command, name string) {
+	if err := c.MarkFlagRequired(name); err != nil {
+		panic(err) // the command has no such flag: a mistake in this program
+	}
 }
--- /dev/null
+++ b/cmd/glenport/output.go
@@ -0,0 +1,34 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"text/tabwriter"
+)
+
+// printer writes text and keeps the first error; after it nothing is written.
+type printer struct {
+	w   io.Writer
+	err error
+}
+
+func (p *printer) printf(format string, args ...any) {
+	if p.err == nil {
+		_, p.err = fmt.Fprintf(p.w, format, args...)
+	}
+}
+
+// columnGap is the number of blanks between two columns of a table.
+const columnGap = 2
+
+// printTable prints a header and rows, whose cells are separated by tabs, in aligned columns.
+func printTable(out io.Writer, header string, rows func(p *printer)) error {
+	w := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
+	p := &printer{w: w}
+	p.printf("%s\n", header)
+	rows(p)
+	if p.err != nil {
+		return p.err
+	}
+	return w.Flush()
+}
--- a/cmd/glenport/platform.go
+++ b/cmd/glenport/platform.go
@@ -16,41 +16,50 @@
 )
 
 const (
-	deploymentFile = "ROUTER_CONFIG" // names the file that the platform writes
-	heapShare      = 0.6             // of the memory that a placer may have
+	platformFileVariable = "ROUTER_CONFIG" // environment variable with the path of the file that the platform writes
+	heapShare            = 0.6             // of the memory that the process may have, for the heap
 )
 
-func platformCommand() *cobra.Command {
+func newPlatformCommand() *cobra.Command {
 	var file string
 	var trace bool
-	c := &cobra.Command{Use: "platform", Short: "Run one placer behind the platform's protocol", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error {
-			if file == "" {
-				return errors.New("neither --config nor " + deploymentFile + " names a file")
-			}
-			d, err := platform.LoadConfig(file)
-			if err != nil {
-				return err
-			}
-			runtime.GOMAXPROCS(1)
-			debug.SetMemoryLimit(int64(heapShare * float64(d.MemoryMB<<20)))
-			level := slog.LevelInfo
-			if trace {
-				level = slog.LevelDebug
-			}
-			log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-			leave, renew := make(chan os.Signal, 1), make(chan os.Signal, 1) // of each sort the last one waits
-			signal.Notify(leave, syscall.SIGINT, syscall.SIGTERM)
-			signal.Notify(renew, syscall.SIGHUP)
-			p, err := platform.New(d, scheduler.New(d.Scheduler), log, trace)
-			if err != nil {
-				return err
-			}
-			p.HandleSignals(leave, renew, func() (*platform.Config, error) { return platform.LoadConfig(file) })
-			runtime.LockOSThread()
-			return p.Run()
-		}}
-	c.Flags().StringVarP(&file, "config", "c", os.Getenv(deploymentFile), "the platform's file")
+	c := &cobra.Command{
+		Use:     "platform",
+		Short:   "Run one scheduler behind the platform's protocol",
+		Long:    "Run one scheduler behind the platform's protocol. Without --config, " + platformFileVariable + " names the platform's file.",
+		Example: "  glenport platform -c router.toml --trace",
+		Args:    cobra.NoArgs,
+		RunE:    func(*cobra.Command, []string) error { return runPlatform(file, trace) },
+	}
+	c.Flags().StringVarP(&file, "config", "c", os.Getenv(platformFileVariable), "the platform's file")
 	c.Flags().BoolVar(&trace, "trace", false, "log every message")
 	return c
 }
+
+func runPlatform(file string, trace bool) error {
+	if file == "" {
+		return errors.New("neither --config nor " + platformFileVariable + " names a file")
+	}
+	settings, err := platform.LoadConfig(file)
+	if err != nil {
+		return err
+	}
+	runtime.GOMAXPROCS(1)
+	debug.SetMemoryLimit(int64(heapShare * float64(settings.MemoryMB<<20)))
+	level := slog.LevelInfo
+	if trace {
+		level = slog.LevelDebug
+	}
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
+	// Of each sort of signal one may be pending while the last is handled.
+	shutdown, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(shutdown, syscall.SIGINT, syscall.SIGTERM)
+	signal.Notify(reload, syscall.SIGHUP)
+	process, err := platform.New(settings, scheduler.New(settings.Scheduler), log, trace)
+	if err != nil {
+		return err
+	}
+	process.HandleSignals(shutdown, reload, func() (*platform.Config, error) { return platform.LoadConfig(file) })
+	runtime.LockOSThread()
+	return process.Run()
+}
--- /dev/null
+++ b/cmd/glenport/schedulerclient.go
@@ -0,0 +1,107 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"time"
+
+	"glenport/internal/protocol"
+
+	"github.com/spf13/cobra"
+)
+
+const requestTimeout = 5 * time.Second // of a connection and all requests on it, unless a command sets a deadline of its own
+
+// addSchedulerFlag adds the flag with a scheduler's address to a command and its subcommands.
+func addSchedulerFlag(c *cobra.Command, address *string) {
+	c.PersistentFlags().StringVar(address, "placer", "127.0.0.1:7400", "the address at which the scheduler listens")
+}
+
+// schedulerConn is a client's connection to a scheduler.
+type schedulerConn struct {
+	net.Conn
+	name string // of the scheduler
+}
+
+// notSchedulerError says that what listens at an address did not answer as a scheduler does.
+type notSchedulerError struct {
+	address string
+	frame   protocol.Frame // its answer; nil where there was none
+	err     error          // nil where the answer is a frame
+}
+
+// Error implements error.
+func (e *notSchedulerError) Error() string {
+	return fmt.Sprintf("%s is no placer's door: %T, %v", e.address, e.frame, e.err)
+}
+
+// Unwrap returns the error of the connection.
+func (e *notSchedulerError) Unwrap() error { return e.err }
+
+// dialScheduler connects to a scheduler and exchanges hellos.
+func dialScheduler(address string) (*schedulerConn, error) {
+	conn, err := net.DialTimeout("tcp", address, requestTimeout)
+	if err != nil {
+		return nil, err
+	}
+	c := &schedulerConn{Conn: conn}
+	if err := c.hello(address); err != nil {
+		c.close()
+		return nil, err
+	}
+	return c, nil
+}
+
+func (c *schedulerConn) hello(address string) error {
+	now := time.Now()
+	if err := c.SetDeadline(now.Add(requestTimeout)); err != nil {
+		return err
+	}
+	host, _ := os.Hostname() // a client without a host name is known by its process alone
+	name, incarnation := fmt.Sprintf("%s-%d", host, os.Getpid()), uint64(now.UnixMicro())
+	if err := c.send(protocol.NewHello(protocol.RoleClient, name, incarnation)); err != nil {
+		return err
+	}
+	frame, err := protocol.ReadFrame(c, protocol.MaxFrame)
+	hello, ok := frame.(*protocol.Hello)
+	if err != nil || !ok || hello.Role != protocol.RoleScheduler {
+		return &notSchedulerError{address: address, frame: frame, err: err}
+	}
+	c.name = hello.Name
+	return nil
+}
+
+// close ends the connection. Its error says nothing of use: all answers have been read.
+func (c *schedulerConn) close() { _ = c.Close() }
+
+func (c *schedulerConn) send(f protocol.Frame) error {
+	p, err := protocol.Append(nil, f)
+	if err != nil {
+		return err
+	}
+	_, err = c.Write(p)
+	return err
+}
+
+// request connects to a scheduler, sends a request and returns its reply, which must be of type R.
+func request[R protocol.Frame](address string, f protocol.Frame) (R, error) {
+	var none R
+	c, err := dialScheduler(address)
+	if err != nil {
+		return none, err
+	}
+	defer c.close()
+	if err := c.send(f); err != nil {
+		return none, err
+	}
+	frame, err := protocol.ReadFrame(c, protocol.MaxFrame)
+	if err != nil {
+		return none, err
+	}
+	reply, ok := frame.(R)
+	if !ok {
+		return none, fmt.Errorf("placer %s answers with %T", c.name, frame)
+	}
+	return reply, nil
+}
--- a/cmd/glenport/state.go
+++ b/cmd/glenport/state.go
@@ -5,151 +5,228 @@
 	"errors"
 	"fmt"
 	"io"
+	"math"
 	"reflect"
+	"slices"
 	"time"
 
 	"glenport/internal/schedulerd"
 	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
-	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
 	"github.com/spf13/cobra"
 )
 
-func stateCommand() *cobra.Command {
-	c := &cobra.Command{Use: "state", Short: "Look at the state folder of a placer or a keeper"}
+// maxExportedThreshold stands for infinity in JSON, which cannot express it.
+const maxExportedThreshold = 1e308
+
+func newStateCommand() *cobra.Command {
+	c := &cobra.Command{
+		Use:     "state",
+		Short:   "Look at the state folder of a scheduler or a controller",
+		Example: "  glenport state inspect /var/tmp/glenport-north-1",
+	}
 	c.AddCommand(
-		&cobra.Command{Use: "inspect FOLDER", Short: "Tell what a folder holds", Args: cobra.ExactArgs(1),
-			RunE: func(c *cobra.Command, args []string) error { return inspect(args[0], c.OutOrStdout()) }},
-		&cobra.Command{Use: "verify FOLDER", Short: "Read all of a folder and check it", Args: cobra.ExactArgs(1),
-			RunE: func(c *cobra.Command, args []string) error { return verify(args[0], c.OutOrStdout(), c.ErrOrStderr()) }},
-		&cobra.Command{Use: "export FOLDER", Short: "Write a folder's records as lines of JSON", Args: cobra.ExactArgs(1),
-			RunE: func(c *cobra.Command, args []string) error { return export(args[0], c.OutOrStdout()) }},
-		&cobra.Command{Use: "compact FOLDER", Short: "Make a snapshot of a folder that nobody holds", Args: cobra.ExactArgs(1),
-			RunE: func(c *cobra.Command, args []string) error { return compact(args[0], c.OutOrStdout()) }})
+		&cobra.Command{
+			Use:     "inspect FOLDER",
+			Short:   "Summarize what a folder holds",
+			Example: "  glenport state inspect /var/tmp/glenport-north-1",
+			Args:    cobra.ExactArgs(1),
+			RunE:    func(c *cobra.Command, args []string) error { return inspectState(args[0], c.OutOrStdout()) },
+		},
+		&cobra.Command{
+			Use:     "verify FOLDER",
+			Short:   "Read all of a folder and check it",
+			Long:    "Read all of a folder and check it. The exit code is 1 where anything is damaged.",
+			Example: "  glenport state verify /var/tmp/glenport-north-1",
+			Args:    cobra.ExactArgs(1),
+			RunE: func(c *cobra.Command, args []string) error {
+				return verifyState(args[0], c.OutOrStdout(), c.ErrOrStderr())
+			},
+		},
+		&cobra.Command{
+			Use:     "export FOLDER",
+			Short:   "Write the records of a folder as lines of JSON",
+			Example: "  glenport state export /var/tmp/glenport-north-1 >records.jsonl",
+			Args:    cobra.ExactArgs(1),
+			RunE:    func(c *cobra.Command, args []string) error { return exportState(args[0], c.OutOrStdout()) },
+		},
+		&cobra.Command{
+			Use:     "compact FOLDER",
+			Short:   "Make a snapshot of a folder that no process uses",
+			Example: "  glenport state compact /var/tmp/glenport-north-1",
+			Args:    cobra.ExactArgs(1),
+			RunE:    func(c *cobra.Command, args []string) error { return compactState(args[0], c.OutOrStdout()) },
+		})
 	return c
 }
 
-// looked is a folder that was read, as far as it can be.
-type looked struct {
-	state     *wal.State
-	stateErr  error
-	knowledge *schedulerd.WarmStartSnapshot // nil where there is none
-	knownErr  error
+// stateFolder is what could be read of a state folder.
+type stateFolder struct {
+	log         *wal.State // nil where there is none
+	logErr      error
+	snapshot    *schedulerd.WarmStartSnapshot // nil where there is none
+	snapshotErr error
 }
 
-func look(path string) (*looked, error) {
-	d, err := vfs.OpenReadOnly(path)
+// readStateFolder reads a folder as far as it can be. The error says that the folder cannot be opened; what is damaged in it is
+// reported by damage.
+func readStateFolder(path string) (*stateFolder, error) {
+	dir, err := vfs.OpenReadOnly(path)
 	if err != nil {
 		return nil, err
 	}
-	l := &looked{}
-	l.state, l.stateErr = wal.Load(d, false)
-	l.knowledge, l.knownErr = schedulerd.ReadWarmStart(d)
-	return l, nil
+	f := &stateFolder{}
+	f.log, f.logErr = wal.Load(dir, false)
+	f.snapshot, f.snapshotErr = schedulerd.ReadWarmStart(dir)
+	return f, nil
 }
 
-func inspect(path string, out io.Writer) error {
-	l, err := look(path)
+// damage returns what is wrong with the content of the folder, nil where nothing is.
+func (f *stateFolder) damage() error { return errors.Join(f.logErr, f.snapshotErr) }
+
+func inspectState(path string, out io.Writer) error {
+	f, err := readStateFolder(path)
 	if err != nil {
 		return err
 	}
-	if s := l.state; s != nil {
-		fmt.Fprintf(out, "log: version %d, %d records in %d bytes; the snapshot ends before group %d, the log with group %d (%d read)\n",
-			wal.FormatVersion, s.Records, s.Bytes, s.FirstGroup, s.LastGroup, s.Groups)
-		if s.TruncatedBytes > 0 {
-			fmt.Fprintf(out, "log: %d bytes of an unfinished group at the end, never acknowledged: cut off at the next start\n", s.TruncatedBytes)
-		}
-		for _, k := range s.Kinds() {
-			fmt.Fprintf(out, "  %-10s %d\n", k, s.Count(k))
-		}
+	p := &printer{w: out}
+	if f.log != nil {
+		printLogSummary(p, f.log)
 	}
-	if k := l.knowledge; k != nil {
-		sick, resting := 0, 0
-		for _, m := range k.Learned.Machines {
-			if m.OutlierLogOdds > 0 {
-				sick++
-			}
-			if m.EjectedUntil > 0 {
-				resting++
-			}
+	if f.snapshot != nil {
+		printSnapshotSummary(p, f.snapshot)
+	}
+	if p.err != nil {
+		return p.err
+	}
+	return f.damage()
+}
+
+func printLogSummary(p *printer, log *wal.State) {
+	p.printf("log: version %d, %d records in %d bytes; the snapshot ends before group %d, the log with group %d (%d read)\n",
+		wal.FormatVersion, log.Records, log.Bytes, log.FirstGroup, log.LastGroup, log.Groups)
+	if log.TruncatedBytes > 0 {
+		p.printf("log: %d bytes of an unfinished group at the end, never acknowledged: cut off at the next start\n", log.TruncatedBytes)
+	}
+	for _, kind := range log.Kinds() {
+		p.printf("  %-10s %d\n", kind, log.Count(kind))
+	}
+}
+
+func printSnapshotSummary(p *printer, snapshot *schedulerd.WarmStartSnapshot) {
+	suspected, ejected := 0, 0
+	for _, machine := range snapshot.Learned.Machines {
+		if machine.OutlierLogOdds > 0 {
+			suspected++
 		}
-		at := time.UnixMicro(int64(k.TakenAt.Clock) * 100)
-		how := "while it ran"
-		if k.OrderlyShutdown {
-			how = "at an orderly end"
+		if machine.EjectedUntil > 0 {
+			ejected++
 		}
-		fmt.Fprintf(out, "knowledge: version %d, written %s ago, %s; list version %d with %d machines, evidence against %d, %d resting\n",
-			schedulerd.WarmStartVersion, time.Since(at).Round(time.Millisecond), how, k.ListVersion, len(k.Entries), sick, resting)
 	}
-	return errors.Join(l.stateErr, l.knownErr)
+	takenAt := time.UnixMicro(int64(snapshot.TakenAt.Clock) * tick.Microseconds())
+	occasion := "while it ran"
+	if snapshot.OrderlyShutdown {
+		occasion = "at an orderly end"
+	}
+	p.printf("knowledge: version %d, written %s ago, %s; list version %d with %d machines, evidence against %d, %d resting\n",
+		schedulerd.WarmStartVersion, time.Since(takenAt).Round(time.Millisecond), occasion, snapshot.ListVersion, len(snapshot.Entries),
+		suspected, ejected)
 }
 
-// verify exits with 1 where anything is not as it was written.
-func verify(path string, out, fault io.Writer) error {
-	l, err := look(path)
+// verifyState returns exitNegative where anything is not as it was written.
+func verifyState(path string, out, errOut io.Writer) error {
+	f, err := readStateFolder(path)
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(l.stateErr, l.knownErr); err != nil {
-		fmt.Fprintln(fault, err)
-		return exitCode(1)
+	if damage := f.damage(); damage != nil {
+		if _, err := fmt.Fprintln(errOut, damage); err != nil {
+			return err
+		}
+		return exitNegative
 	}
-	fmt.Fprintf(out, "%s: good, %d records, %d groups\n", path, l.state.Records, l.state.Groups)
-	return nil
+	_, err = fmt.Fprintf(out, "%s: good, %d records, %d groups\n", path, f.log.Records, f.log.Groups)
+	return err
 }
 
-// export writes what can be read, and then the fault where there is one.
-func export(path string, out io.Writer) error {
-	l, err := look(path)
-	if err != nil {
-		return err
-	}
-	decode, err := cbor.DecOptions{DefaultMapType: reflect.TypeFor[map[string]any]()}.DecMode()
+// exportState writes what can be read, and returns the damage where there is any.
+func exportState(path string, out io.Writer) error {
+	f, err := readStateFolder(path)
 	if err != nil {
 		return err
 	}
 	lines := json.NewEncoder(out)
-	if l.state != nil {
-		for _, kind := range l.state.Kinds() {
-			if err := l.state.ForEach(kind, func(key string, value []byte) error {
-				var v any
-				if err := decode.Unmarshal(value, &v); err != nil {
-					return fmt.Errorf("%s %s: %w", kind, key, err)
-				}
-				return lines.Encode(map[string]any{"kind": kind, "key": key, "value": v})
-			}); err != nil {
-				return err
-			}
+	if f.log != nil {
+		if err := exportLog(lines, f.log); err != nil {
+			return err
 		}
 	}
-	if k := l.knowledge; k != nil {
-		known := *k
-		known.Learned.TrafficClasses = append([]scheduler.TrafficClass(nil), known.Learned.TrafficClasses...)
-		for i := range known.Learned.TrafficClasses { // JSON has no word for infinity: the highest number stands for it
-			known.Learned.TrafficClasses[i].SuspicionThreshold = min(known.Learned.TrafficClasses[i].SuspicionThreshold, 1e308)
+	if f.snapshot != nil {
+		if err := exportSnapshot(lines, f.snapshot); err != nil {
+			return err
 		}
-		if err := lines.Encode(map[string]any{"kind": "knowledge", "value": known}); err != nil {
+	}
+	return f.damage()
+}
+
+// exportedRecord is the line of one record. Its fields are in the order of their names.
+type exportedRecord struct {
+	Key   string `json:"key"`
+	Kind  string `json:"kind"`
+	Value any    `json:"value"`
+}
+
+// exportedSnapshot is the line of the warm-start snapshot.
+type exportedSnapshot struct {
+	Kind  string                        `json:"kind"`
+	Value *schedulerd.WarmStartSnapshot `json:"value"`
+}
+
+func exportLog(lines *json.Encoder, log *wal.State) error {
+	decoder, err := cbor.DecOptions{DefaultMapType: reflect.TypeFor[map[string]any]()}.DecMode()
+	if err != nil {
+		return err
+	}
+	for _, kind := range log.Kinds() {
+		err := log.ForEach(kind, func(key string, value []byte) error {
+			var decoded any
+			if err := decoder.Unmarshal(value, &decoded); err != nil {
+				return fmt.Errorf("%s %s: %w", kind, key, err)
+			}
+			return lines.Encode(exportedRecord{Key: key, Kind: kind, Value: decoded})
+		})
+		if err != nil {
 			return err
 		}
 	}
-	return errors.Join(l.stateErr, l.knownErr)
+	return nil
 }
 
-func compact(path string, out io.Writer) error {
-	if _, err := vfs.OpenReadOnly(path); err != nil { // Open would make it
+func exportSnapshot(lines *json.Encoder, snapshot *schedulerd.WarmStartSnapshot) error {
+	exported := *snapshot
+	exported.Learned.TrafficClasses = slices.Clone(snapshot.Learned.TrafficClasses)
+	for i := range exported.Learned.TrafficClasses {
+		class := &exported.Learned.TrafficClasses[i]
+		class.SuspicionThreshold = math.Min(class.SuspicionThreshold, maxExportedThreshold)
+	}
+	return lines.Encode(exportedSnapshot{Kind: "knowledge", Value: &exported})
+}
+
+func compactState(path string, out io.Writer) (err error) {
+	if _, err := vfs.OpenReadOnly(path); err != nil { // OpenLocked would create the folder
 		return err
 	}
-	d, err := vfs.OpenLocked(path)
+	dir, err := vfs.OpenLocked(path)
 	if err != nil {
 		return err
 	}
-	defer d.Close()
-	before, after, err := wal.Compact(d)
+	defer func() { err = errors.Join(err, dir.Close()) }()
+	before, after, err := wal.Compact(dir)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s: %d records, %d bytes before, %d after\n", path, after.Records, before.Bytes, after.Bytes)
-	return nil
+	_, err = fmt.Fprintf(out, "%s: %d records, %d bytes before, %d after\n", path, after.Records, before.Bytes, after.Bytes)
+	return err
 }
--- a/cmd/glenport/state_test.go
+++ b/cmd/glenport/state_test.go
@@ -11,8 +11,9 @@
 	"glenport/internal/storage/wal"
 )
 
-// A folder is told, checked, exported and compacted; a damaged one is named with file and place, and exported up to there.
-func TestState(t *testing.T) {
+// A folder is inspected, checked, exported and compacted; of a damaged one the file and the place are named, and what comes before
+// is exported.
+func TestStateCommandsReadAndCompactAFolder(t *testing.T) {
 	dir := t.TempDir()
 	d, err := vfs.OpenLocked(dir)
 	if err != nil {
@@ -29,10 +30,14 @@
 			t.Fatal(err)
 		}
 	}
-	s.Close()
-	d.Close()
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if err := d.Close(); err != nil {
+		t.Fatal(err)
+	}
 	run := func(what string) (string, error) {
-		c := stateCommand()
+		c := newStateCommand()
 		var out bytes.Buffer
 		c.SetOut(&out)
 		c.SetErr(&out)
@@ -49,13 +54,18 @@
 			t.Errorf("%s: %q, %v", tc.what, out, err)
 		}
 	}
-	all, _ := filepath.Glob(filepath.Join(dir, "snapshot-*"))
+	all, err := filepath.Glob(filepath.Join(dir, "snapshot-*"))
+	if err != nil || len(all) == 0 {
+		t.Fatalf("snapshots %v, %v", all, err)
+	}
 	p, err := os.ReadFile(all[0])
 	if err != nil {
 		t.Fatal(err)
 	}
 	p[len(p)/2] ^= 1
-	os.WriteFile(all[0], p, 0o644)
+	if err := os.WriteFile(all[0], p, 0o644); err != nil {
+		t.Fatal(err)
+	}
 	if out, err := run("verify"); err == nil || !strings.Contains(out, filepath.Base(all[0])+", at byte") {
 		t.Errorf("damaged: %q, %v", out, err)
 	}
--- a/cmd/glenport/submit.go
+++ b/cmd/glenport/submit.go
@@ -1,12 +1,9 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"net"
-	"os"
 	"time"
 
 	"glenport/internal/protocol"
@@ -14,150 +11,131 @@
 	"github.com/spf13/cobra"
 )
 
-// door is a plain link to a placer's door.
-type door struct {
-	net.Conn
-	placer string
+const (
+	tick = 100 * time.Microsecond // the unit of protocol.Duration
+
+	// answerGrace is how long after the deadline of the requests their answers may arrive.
+	answerGrace = 5 * time.Second
+)
+
+// submission is what one call of the submit command asks for.
+type submission struct {
+	address string
+	spec    protocol.ContainerSpec // of each container, but for its ID and, where none is given, its key
+	key     string
+	count   int
+	timeout time.Duration // to the deadline of the requests
+	wait    bool          // until the containers end
+}
+
+func newSubmitCommand() *cobra.Command {
+	var s submission
+	c := &cobra.Command{
+		Use:     "submit SERVICE",
+		Short:   "Ask a scheduler to place containers of a service",
+		Long:    "Ask a scheduler to place containers of a service. The exit code is 1 where one of them is not placed.",
+		Example: "  glenport submit reports -n 3 --workload 1 --cores 2 --memory 4 --hard-stop 6s --stay",
+		Args:    cobra.ExactArgs(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			s.spec.Service = args[0]
+			return s.run(c.OutOrStdout())
+		},
+	}
+	addSchedulerFlag(c, &s.address)
+	f := c.Flags()
+	f.IntVarP(&s.count, "count", "n", 1, "how many containers")
+	f.IntVar(&s.spec.WorkloadClass, "workload", 0, "index of the workload class in the scheduler's settings file, from 0")
+	f.IntVar(&s.spec.Tenant, "customer", 0, "index of the tenant, from 0")
+	f.Float64Var(&s.spec.Cores, "cores", 1, "cores of each container")
+	f.Float64Var(&s.spec.Memory, "memory", 1, "memory of each container, in GiB")
+	f.DurationVar(&s.timeout, "hard-stop", 6*time.Second, "time to the deadline of the requests")
+	f.StringVar(&s.key, "key", "", "idempotency key; made up for each container where empty")
+	f.BoolVar(&s.wait, "stay", false, "wait until the containers end")
+	return c
 }
 
-func call(addr string, within time.Duration) (*door, error) {
-	c, err := net.DialTimeout("tcp", addr, within)
+// run sends the requests, prints the answers, and returns exitNegative where a container is not placed.
+func (s *submission) run(out io.Writer) error {
+	c, err := dialScheduler(s.address)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	d := &door{Conn: c}
-	d.SetDeadline(time.Now().Add(within))
-	host, _ := os.Hostname()
-	if err := d.send(protocol.NewHello(protocol.RoleClient, fmt.Sprintf("%s-%d", host, os.Getpid()), uint64(time.Now().UnixMicro()))); err != nil {
-		c.Close()
-		return nil, err
+	defer c.close()
+	var deadline time.Time // none while it waits for the containers to end
+	if !s.wait {
+		deadline = time.Now().Add(s.timeout + answerGrace)
 	}
-	f, err := protocol.ReadFrame(c, protocol.MaxFrame)
-	if hello, ok := f.(*protocol.Hello); err == nil && ok && hello.Role == protocol.RoleScheduler {
-		d.placer = hello.Name
-		return d, nil
+	if err := c.SetDeadline(deadline); err != nil {
+		return err
 	}
-	c.Close()
-	return nil, fmt.Errorf("%s is no placer's door: %T, %v", addr, f, err)
-}
-
-func (d *door) send(f protocol.Frame) error {
-	p, err := protocol.Append(nil, f)
-	if err == nil {
-		_, err = d.Write(p)
+	if err := s.send(c); err != nil {
+		return err
 	}
-	return err
+	return s.follow(c, &printer{w: out})
 }
 
-func submitCommand() *cobra.Command {
-	var addr, key string
-	var w protocol.ContainerSpec
-	var count int
-	var left time.Duration
-	var stay bool
-	c := &cobra.Command{Use: "submit SERVICE", Short: "Ask a placer for containers of a service", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			w.Service = args[0]
-			d, err := call(addr, 5*time.Second)
-			if err != nil {
-				return err
-			}
-			defer d.Close()
-			d.SetDeadline(time.Time{})
-			if !stay {
-				d.SetDeadline(time.Now().Add(left + 5*time.Second))
-			}
-			stem := fmt.Sprintf("%s-%x", w.Service, rand.Uint64()>>16)
-			for i := range count {
-				w := w
-				w.ContainerID = fmt.Sprintf("%s-%d", stem, i)
-				w.IdempotencyKey = w.ContainerID
-				if key != "" {
-					w.IdempotencyKey = key
-				}
-				if err := d.send(&protocol.Submit{TimeToDeadline: protocol.Duration(left.Microseconds() / 100), Spec: w}); err != nil {
-					return err
-				}
-			}
-			return follow(c.OutOrStdout(), d, count, stay)
-		}}
-	f := c.Flags()
-	f.StringVar(&addr, "placer", "127.0.0.1:7400", "the placer's door")
-	f.IntVarP(&count, "count", "n", 1, "how many containers")
-	f.IntVar(&w.WorkloadClass, "workload", 0, "number of the workload in the placer's file, from 0")
-	f.IntVar(&w.Tenant, "customer", 0, "number of the customer, from 0")
-	f.Float64Var(&w.Cores, "cores", 1, "cores asked for")
-	f.Float64Var(&w.Memory, "memory", 1, "memory asked for, in GiB")
-	f.DurationVar(&left, "hard-stop", 6*time.Second, "time to the hard stop")
-	f.StringVar(&key, "key", "", "the key by which repeats are known; made up where empty")
-	f.BoolVar(&stay, "stay", false, "wait until the containers end")
-	return c
+func (s *submission) send(c *schedulerConn) error {
+	prefix := fmt.Sprintf("%s-%x", s.spec.Service, rand.Uint64()>>16)
+	for i := range s.count {
+		spec := s.spec
+		spec.ContainerID = fmt.Sprintf("%s-%d", prefix, i)
+		spec.IdempotencyKey = spec.ContainerID
+		if s.key != "" {
+			spec.IdempotencyKey = s.key
+		}
+		if err := c.send(&protocol.Submit{TimeToDeadline: protocol.Duration(s.timeout / tick), Spec: spec}); err != nil {
+			return err
+		}
+	}
+	return nil
 }
 
-// follow prints answers and fates until all are in.
-func follow(out io.Writer, d *door, count int, stay bool) error {
-	fates, bad := 0, false
-	for count > 0 || stay && fates > 0 {
-		f, err := protocol.ReadFrame(d, protocol.MaxFrame)
+// follow prints answers, and terminations where they are waited for, until all have arrived.
+func (s *submission) follow(c *schedulerConn, p *printer) error {
+	unanswered, running, refused := s.count, 0, false
+	for unanswered > 0 || s.wait && running > 0 {
+		frame, err := protocol.ReadFrame(c, protocol.MaxFrame)
 		if err != nil {
-			return fmt.Errorf("placer %s is gone: %w", d.placer, err)
+			return fmt.Errorf("placer %s is gone: %w", c.name, err)
 		}
-		switch f := f.(type) {
+		switch f := frame.(type) {
 		case *protocol.PlacementReply:
-			count--
-			fmt.Fprintf(out, "%s %s", f.ContainerID, f.Verdict)
+			unanswered--
 			if f.Verdict == protocol.VerdictPlaced {
-				fates++
-				fmt.Fprintf(out, " on %s", f.Machine)
+				running++
 			} else {
-				bad = true
-			}
-			if f.RetryAfter > 0 {
-				fmt.Fprintf(out, ", come back in %d ms", f.RetryAfter/10)
+				refused = true
 			}
-			if f.Message != "" {
-				fmt.Fprintf(out, ": %s", f.Message)
-			}
-			fmt.Fprintln(out)
+			printReply(p, f)
 		case *protocol.Termination:
-			fates--
-			fmt.Fprintf(out, "%s ended on %s: %s, %s\n", f.ContainerID, f.Machine, f.Outcome, f.Reason)
+			running--
+			p.printf("%s ended on %s: %s, %s\n", f.ContainerID, f.Machine, f.Outcome, f.Reason)
 		case *protocol.Goodbye:
-			return errors.New("placer " + d.placer + " says: " + f.Message)
+			return fmt.Errorf("placer %s says: %s", c.name, f.Message)
+		}
+		if p.err != nil {
+			return p.err
 		}
 	}
-	if bad {
-		return exitCode(1)
+	if refused {
+		return exitNegative
 	}
 	return nil
 }
 
-func statusCommand() *cobra.Command {
-	var addr string
-	c := &cobra.Command{Use: "status", Short: "Show a placer's account of itself", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			d, err := call(addr, 5*time.Second)
-			if err != nil {
-				return err
-			}
-			defer d.Close()
-			if err := d.send(&protocol.StatusRequest{}); err != nil {
-				return err
-			}
-			f, err := protocol.ReadFrame(d, protocol.MaxFrame)
-			if err != nil {
-				return err
-			}
-			s, ok := f.(*protocol.StatusReply)
-			if !ok {
-				return fmt.Errorf("placer %s answers with %T", d.placer, f)
-			}
-			fmt.Fprintf(c.OutOrStdout(), "placer %s\n", s.Name)
-			for _, g := range s.Stats {
-				fmt.Fprintf(c.OutOrStdout(), "  %-24s %12.6g %s\n", g.Name, g.Value, g.Unit)
-			}
-			return nil
-		}}
-	c.Flags().StringVar(&addr, "placer", "127.0.0.1:7400", "the placer's door")
-	return c
+func printReply(p *printer, f *protocol.PlacementReply) {
+	p.printf("%s %s", f.ContainerID, f.Verdict)
+	if f.Verdict == protocol.VerdictPlaced {
+		p.printf(" on %s", f.Machine)
+	}
+	if f.RetryAfter > 0 {
+		p.printf(", come back in %d ms", milliseconds(f.RetryAfter))
+	}
+	if f.Message != "" {
+		p.printf(": %s", f.Message)
+	}
+	p.printf("\n")
 }
+
+// milliseconds returns a duration of the protocol in whole milliseconds.
+func milliseconds(d protocol.Duration) int64 { return int64(d) / int64(time.Millisecond/tick) }
