--- a/cmd/glenport/golden_test.go
+++ b/cmd/glenport/golden_test.go
@@ -137,22 +137,14 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-var randomID = regexp.MustCompile(`-[0-9a-f]{6,12}-(\d)`)
-
-// TestOutputOfCommandsIsAsRecorded holds what commands print, byte for byte, and how they end.
-func TestOutputOfCommandsIsAsRecorded(t *testing.T) {
-	t.Setenv(platformFileVariable, "")
-	scheduler, api := fakeScheduler(t, protocol.RoleScheduler), fakeAPI(t)
-	machine := fakeScheduler(t, protocol.RoleMachine)
-	dir := t.TempDir()
+// recordedCalls are the calls of the program whose output is recorded, with the addresses of a fake scheduler, of a fake machine
+// and of a fake API, and a folder with the settings file bad.yaml.
+func recordedCalls(scheduler, machine, api, dir string) [][]string {
+	const state = "../../internal/schedulerd/testdata/state"
 	bad := filepath.Join(dir, "bad.yaml")
-	if err := os.WriteFile(bad, []byte("name: x\nnumber: many\n"), 0o644); err != nil {
-		t.Fatal(err)
-	}
 	toScheduler := func(args ...string) []string { return append(args, "--placer", scheduler) }
 	toAPI := func(args ...string) []string { return append(args, "--api", api) }
-	var got strings.Builder
-	for _, args := range [][]string{
+	return [][]string{
 		{"check", "../../deploy/placer.yaml"}, {"check", bad, "../../deploy/placer.yaml", filepath.Join(dir, "absent.yaml")}, {"check"},
 		toScheduler("status"), {"status", "--placer", machine}, {"status", "--placer", "127.0.0.1:1"}, {"status", "extra"},
 		toScheduler("bgp", "peers"), toScheduler("bgp", "routes"), toScheduler("bgp", "why", "reports"), toScheduler("bgp", "why", "198.51.100.8"),
@@ -174,20 +166,43 @@
 		{"platform"}, {"platform", "-c", filepath.Join(dir, "absent.toml")},
 		{"state", "inspect", filepath.Join(dir, "absent")}, {"state", "verify", filepath.Join(dir, "absent")}, {"state", "export", filepath.Join(dir, "absent")},
 		{"state", "compact", filepath.Join(dir, "absent")}, {"state", "inspect", dir}, {"state", "verify", dir}, {"state", "export", dir},
+		{"state", "inspect", state}, {"state", "verify", state}, {"state", "export", state},
 		{"unheard-of"},
-	} {
-		stdout, stderr, err := runCommand(args...)
-		text := fmt.Sprintf("$ glenport %s\n%s", strings.Join(args, " "), stdout)
-		if stderr != "" {
-			text += "stderr: " + stderr
-		}
-		var code exitCode
-		if errors.As(err, &code) {
-			text += fmt.Sprintf("exit %d\n", int(code))
-		} else if err != nil {
-			text += fmt.Sprintf("error: %v\n", err)
-		}
-		text = strings.NewReplacer(scheduler, "SCHEDULER", api, "API", machine, "MACHINE", dir, "DIR").Replace(text)
+	}
+}
+
+// transcript is a call with what it prints and how it ends.
+func transcript(args []string) string {
+	stdout, stderr, err := runCommand(args...)
+	text := fmt.Sprintf("$ glenport %s\n%s", strings.Join(args, " "), stdout)
+	if stderr != "" {
+		text += "stderr: " + stderr
+	}
+	var code exitCode
+	if errors.As(err, &code) {
+		text += fmt.Sprintf("exit %d\n", int(code))
+	} else if err != nil {
+		text += fmt.Sprintf("error: %v\n", err)
+	}
+	return text
+}
+
+var (
+	randomID    = regexp.MustCompile(`-[0-9a-f]{6,12}-(\d)`)
+	snapshotAge = regexp.MustCompile(`written \S+ ago`)
+)
+
+// TestOutputOfCommandsIsAsRecorded holds what commands print, byte for byte, and how they end.
+func TestOutputOfCommandsIsAsRecorded(t *testing.T) {
+	t.Setenv(platformFileVariable, "")
+	scheduler, machine, api, dir := fakeScheduler(t, protocol.RoleScheduler), fakeScheduler(t, protocol.RoleMachine), fakeAPI(t), t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, "bad.yaml"), []byte("name: x\nnumber: many\n"), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	var got strings.Builder
+	for _, args := range recordedCalls(scheduler, machine, api, dir) {
+		text := strings.NewReplacer(scheduler, "SCHEDULER", api, "API", machine, "MACHINE", dir, "DIR").Replace(transcript(args))
+		text = snapshotAge.ReplaceAllString(text, "written AGE ago")
 		got.WriteString(randomID.ReplaceAllString(text, "-RANDOM-$1") + "\n")
 	}
 	const path = "testdata/output.txt"
--- a/internal/config/bgp.go
+++ b/internal/config/bgp.go
@@ -102,7 +102,7 @@
 
 // bgpServices returns the announced services by name; no two of them may share a prefix.
 func (v *validator) bgpServices(entries []bgpServiceEntry) map[string]announce.Service {
-	services, owners := map[string]announce.Service{}, map[netip.Prefix]string{}
+	services, serviceOf := map[string]announce.Service{}, map[netip.Prefix]string{}
 	for i, entry := range entries {
 		v.required(fmt.Sprintf("bgp.services[%d]", i), entry)
 		service := announce.Service{
@@ -115,10 +115,10 @@
 		if service.Prefix.Addr().Is4() != service.NextHop.Is4() {
 			v.fail(entry.NextHop.Position, "the next hop is of another family than %s", service.Prefix)
 		}
-		if owner, duplicate := owners[service.Prefix]; duplicate {
-			v.fail(entry.Prefix.Position, "%s is that of service %s already", service.Prefix, owner)
+		if other, duplicate := serviceOf[service.Prefix]; duplicate {
+			v.fail(entry.Prefix.Position, "%s is that of service %s already", service.Prefix, other)
 		}
-		owners[service.Prefix] = entry.Service.Value
+		serviceOf[service.Prefix] = entry.Service.Value
 		services[entry.Service.Value] = service
 	}
 	return services
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -88,17 +88,20 @@
 	add("over_share", terms.OverQuotaWeight)
 	// All of it, also what no key sets.
 	add("terms", terms)
-	if p.BGP == nil {
-		return append(lines, "bgp = none")
+	return append(lines, bgpValues(p.BGP)...)
+}
+
+func bgpValues(b *BGP) []string {
+	if b == nil {
+		return []string{"bgp = none"}
 	}
-	add("bgp.as", p.BGP.ASN)
-	add("bgp.identifier", p.BGP.RouterID)
-	add("bgp.listen", p.BGP.ListenAddr)
-	for _, peer := range p.BGP.Peers {
-		add("bgp.peers", []any{peer.Addr, peer.ASN, int64(peer.HoldTime), int64(peer.RestartTime), peer.Passive, peer.Families, peer.Allow, peer.MD5Key})
+	lines := []string{fmt.Sprintf("bgp.as = %v", b.ASN), fmt.Sprintf("bgp.identifier = %v", b.RouterID), fmt.Sprintf("bgp.listen = %v", b.ListenAddr)}
+	for _, peer := range b.Peers {
+		lines = append(lines, fmt.Sprintf("bgp.peers = %v", []any{peer.Addr, peer.ASN, int64(peer.HoldTime), int64(peer.RestartTime), peer.Passive,
+			peer.Families, peer.Allow, peer.MD5Key}))
 	}
 	var services []string
-	for name, service := range p.BGP.Services {
+	for name, service := range b.Services {
 		services = append(services, fmt.Sprintf("bgp.services %s = %v", name, service))
 	}
 	slices.Sort(services)
