--- a/internal/schedulerd/server.go
+++ b/internal/schedulerd/server.go
@@ -107,7 +107,7 @@
 	}
 	s.loop.OnFlushed(func() { s.stats.flushed(s.loop.Elapsed()) })
 	var err error
-	s.listener, err = s.loop.Listen(s.config.ListenAddr, s.acceptClient, s.loop.AcceptStateLogger(s.log, "callers"))
+	s.listener, err = s.loop.Listen(s.config.ListenAddr, s.acceptClient, s.loop.AcceptStateLogger(s.log, "clients"))
 	return err
 }
 
