--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -7,6 +7,7 @@
 	"net"
 	"syscall"
 	"testing"
+	"time"
 )
 
 func TestEchoedBytesAreCompleteAndInOrder(t *testing.T) {
@@ -102,6 +103,28 @@
 	}
 }
 
+func TestOutputThatThePeerDidNotTakeFollowsOnceItReads(t *testing.T) {
+	const size = 16 << 20 // more than the kernel buffers for a connection
+	l, handler := runLoop(t, func() {}), newProbe()
+	peer := dial(t, listen(t, l, handler, size, nil))
+	check(t, peer.SetReadDeadline(time.Now().Add(20*time.Second)))
+	c := wait(t, handler.opened)
+	do(l, func() { check(t, c.Write(make([]byte, size))) })
+	do(l, func() { // in the iteration after the flush
+		if _, written := c.BytesTransferred(); !c.WriteBlocked() || written+c.PendingOutput() != size {
+			t.Errorf("write blocked %t with %d bytes written and %d pending", c.WriteBlocked(), written, c.PendingOutput())
+		}
+	})
+	if n, err := io.ReadFull(peer, make([]byte, size)); err != nil {
+		t.Errorf("peer got %d of %d bytes, %v", n, size, err)
+	}
+	do(l, func() {
+		if _, written := c.BytesTransferred(); c.WriteBlocked() || written != size {
+			t.Errorf("write blocked %t with %d of %d bytes written", c.WriteBlocked(), written, size)
+		}
+	})
+}
+
 // observer is a probe that runs a function on the loop when its connection is closed.
 type observer struct {
 	*probe
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -42,7 +42,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			handler := newProbe()
-			l.Post(func() {
+			do(l, func() { // nothing receives from handler.closed meanwhile
 				c := l.Dial(tc.addr, handler, 100, 50*Millisecond)
 				if err := c.Write([]byte("never sent")); err != nil && !errors.Is(err, ErrClosed) {
 					t.Error(err)
