--- a/internal/eventloop/connio.go
+++ b/internal/eventloop/connio.go
@@ -47,7 +47,7 @@
 	switch {
 	case !hungUp && !readable:
 		return
-	case c.closeReason != nil: // input is ignored; a peer that is gone takes no more output
+	case c.closeReason != nil: // input is ignored; a peer that has ended both sides takes no more output
 		if events&failEvents != 0 {
 			c.fail(c.closeReason)
 		}
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -41,7 +41,8 @@
 
 // setEvents replaces the events for which a registered descriptor is watched.
 func (l *Loop) setEvents(fd int, events uint32) {
-	// Modifying an entry fails only where the descriptor is not registered; its owner calls this only while it is.
+	// Modifying an entry fails only where the descriptor is not registered. Connections call this only while it is; a listener
+	// that was closed by its own callback may call it once more, to no effect.
 	_ = unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_MOD, fd, epollEvent(fd, events))
 }
 
