--- /dev/null
+++ b/cmd/glenport/submit.go
@@ -0,0 +1,141 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"time"
+
+	"glenport/internal/protocol"
+
+	"github.com/spf13/cobra"
+)
+
+const (
+	tick = 100 * time.Microsecond // the unit of protocol.Duration
+
+	// answerGrace is how long after the deadline of the requests their answers may arrive.
+	answerGrace = 5 * time.Second
+)
+
+// submission is what one call of the submit command asks for.
+type submission struct {
+	address string
+	spec    protocol.ContainerSpec // of each container, but for its ID and, where none is given, its key
+	key     string
+	count   int
+	timeout time.Duration // to the deadline of the requests
+	wait    bool          // until the containers end
+}
+
+func newSubmitCommand() *cobra.Command {
+	var s submission
+	c := &cobra.Command{
+		Use:     "submit SERVICE",
+		Short:   "Ask a scheduler to place containers of a service",
+		Long:    "Ask a scheduler to place containers of a service. The exit code is 1 where one of them is not placed.",
+		Example: "  glenport submit reports -n 3 --workload 1 --cores 2 --memory 4 --hard-stop 6s --stay",
+		Args:    cobra.ExactArgs(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			s.spec.Service = args[0]
+			return s.run(c.OutOrStdout())
+		},
+	}
+	addSchedulerFlag(c, &s.address)
+	f := c.Flags()
+	f.IntVarP(&s.count, "count", "n", 1, "how many containers")
+	f.IntVar(&s.spec.WorkloadClass, "workload", 0, "index of the workload class in the scheduler's settings file, from 0")
+	f.IntVar(&s.spec.Tenant, "customer", 0, "index of the tenant, from 0")
+	f.Float64Var(&s.spec.Cores, "cores", 1, "cores of each container")
+	f.Float64Var(&s.spec.Memory, "memory", 1, "memory of each container, in GiB")
+	f.DurationVar(&s.timeout, "hard-stop", 6*time.Second, "time to the deadline of the requests")
+	f.StringVar(&s.key, "key", "", "idempotency key; made up for each container where empty")
+	f.BoolVar(&s.wait, "stay", false, "wait until the containers end")
+	return c
+}
+
+// run sends the requests, prints the answers, and returns exitNegative where a container is not placed.
+func (s *submission) run(out io.Writer) error {
+	c, err := dialScheduler(s.address)
+	if err != nil {
+		return err
+	}
+	defer c.close()
+	var deadline time.Time // none while it waits for the containers to end
+	if !s.wait {
+		deadline = time.Now().Add(s.timeout + answerGrace)
+	}
+	if err := c.SetDeadline(deadline); err != nil {
+		return err
+	}
+	if err := s.send(c); err != nil {
+		return err
+	}
+	return s.follow(c, &printer{w: out})
+}
+
+func (s *submission) send(c *schedulerConn) error {
+	prefix := fmt.Sprintf("%s-%x", s.spec.Service, rand.Uint64()>>16)
+	for i := range s.count {
+		spec := s.spec
+		spec.ContainerID = fmt.Sprintf("%s-%d", prefix, i)
+		spec.IdempotencyKey = spec.ContainerID
+		if s.key != "" {
+			spec.IdempotencyKey = s.key
+		}
+		if err := c.send(&protocol.Submit{TimeToDeadline: protocol.Duration(s.timeout / tick), Spec: spec}); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// follow prints answers, and terminations where they are waited for, until all have arrived.
+func (s *submission) follow(c *schedulerConn, p *printer) error {
+	unanswered, running, refused := s.count, 0, false
+	for unanswered > 0 || s.wait && running > 0 {
+		frame, err := protocol.ReadFrame(c, protocol.MaxFrame)
+		if err != nil {
+			return fmt.Errorf("placer %s is gone: %w", c.name, err)
+		}
+		switch f := frame.(type) {
+		case *protocol.PlacementReply:
+			unanswered--
+			if f.Verdict == protocol.VerdictPlaced {
+				running++
+			} else {
+				refused = true
+			}
+			printReply(p, f)
+		case *protocol.Termination:
+			running--
+			p.printf("%s ended on %s: %s, %s\n", f.ContainerID, f.Machine, f.Outcome, f.Reason)
+		case *protocol.Goodbye:
+			return fmt.Errorf("placer %s says: %s", c.name, f.Message)
+		}
+		if p.err != nil {
+			return p.err
+		}
+	}
+	if refused {
+		return exitNegative
+	}
+	return nil
+}
+
+func printReply(p *printer, f *protocol.PlacementReply) {
+	p.printf("%s %s", f.ContainerID, f.Verdict)
+	if f.Verdict == protocol.VerdictPlaced {
+		p.printf(" on %s", f.Machine)
+	}
+	if f.RetryAfter > 0 {
+		p.printf(", come back in %d ms", milliseconds(f.RetryAfter))
+	}
+	if f.Message != "" {
+		p.printf(": %s", f.Message)
+	}
+	p.printf("\n")
+}
+
+// milliseconds returns a duration of the protocol in whole milliseconds.
+func milliseconds(d protocol.Duration) int64 { return int64(d) / int64(time.Millisecond/tick) }
