--- a/internal/config/bgp.go
+++ b/internal/config/bgp.go
@@ -10,138 +10,116 @@
 	"glenport/scheduler"
 )
 
-// Announcing is what a placer is told of addresses to announce.
-type Announcing struct {
-	AS       uint32
-	ID       [4]byte
-	Listen   string // empty: peers do not call
-	Peers    []Neighbour
-	Services map[string]announce.Service
-}
-
-// Neighbour is one peer. What is not allowed is not announced to it (RFC 8212).
-type Neighbour struct {
-	Addr     string
-	AS       uint32
-	Hold     scheduler.Time
-	Families []wire.Family
-	Passive  bool
-	Restart  scheduler.Time
-	Allow    []netip.Prefix
-	Key      string // signs its segments (TCP MD5, RFC 2385); none where empty
-}
-
-type bgpFile struct {
-	AS       strictyaml.Count `yaml:"as"`
-	ID       strictyaml.Word  `yaml:"identifier"`
-	Listen   strictyaml.Word  `yaml:"listen" settings:"may"`
-	Peers    []bgpPeer        `yaml:"peers"`
-	Services []bgpService     `yaml:"services"`
-}
+const (
+	maxMD5Key      = 80    // bytes of a TCP MD5 key
+	minHoldSeconds = 3     // of a hold time other than 0 (RFC 4271, section 4.2)
+	maxHoldSeconds = 65535 // as the OPEN message has two bytes for it
+)
 
-type bgpPeer struct {
-	Addr     strictyaml.Word   `yaml:"address"`
-	AS       strictyaml.Count  `yaml:"as"`
-	Hold     strictyaml.Span   `yaml:"hold"`
-	Restart  strictyaml.Span   `yaml:"keep_routes_for" settings:"may"`
-	Passive  strictyaml.Flag   `yaml:"it_calls" settings:"may"`
-	Families []strictyaml.Word `yaml:"families"`
-	Allow    []strictyaml.Word `yaml:"allow"`
-	Key      strictyaml.Word   `yaml:"tcp_md5_key" settings:"may"`
+// BGP holds the settings of the service addresses that a scheduler announces.
+type BGP struct {
+	ASN        uint32
+	RouterID   [4]byte
+	ListenAddr string // empty: peers cannot connect
+	Peers      []BGPPeer
+	Services   map[string]announce.Service // by name of the service
 }
 
-type bgpService struct {
-	Service strictyaml.Word  `yaml:"service"`
-	Prefix  strictyaml.Word  `yaml:"prefix"`
-	NextHop strictyaml.Word  `yaml:"next_hop"`
-	Least   strictyaml.Count `yaml:"least_running" settings:"may"`
-	MED     strictyaml.Count `yaml:"med" settings:"may"`
-	Healthy strictyaml.Flag  `yaml:"fewer_is_worse" settings:"may"`
+// BGPPeer holds the settings of one peer. A prefix outside Allow is never announced to it (RFC 8212).
+type BGPPeer struct {
+	Addr        string
+	ASN         uint32
+	HoldTime    scheduler.Time
+	Families    []wire.Family
+	Passive     bool           // the peer connects to this scheduler
+	RestartTime scheduler.Time // for which the peer keeps routes over a restart (RFC 4724); 0: not asked for
+	Allow       []netip.Prefix
+	MD5Key      string // signs TCP segments (RFC 2385); empty: they are not signed
 }
 
-func (c *check) prefix(w strictyaml.Word) netip.Prefix {
-	p, err := netip.ParsePrefix(w.Text)
-	if err != nil {
-		c.fail(w.Place, "%q is no prefix such as 192.0.2.0/24", w.Text)
-	} else if p != p.Masked() {
-		c.fail(w.Place, "%q has bits beyond its length; %s has not", w.Text, p.Masked())
+// bgp checks the section on announced addresses and returns its settings, nil where a required key is missing.
+func (v *validator) bgp(f *bgpSection) *BGP {
+	v.required("bgp", *f)
+	if v.err != nil {
+		return nil
 	}
-	return p
-}
-
-func (c *check) host(w strictyaml.Word) netip.Addr {
-	a, err := netip.ParseAddr(w.Text)
-	if err != nil {
-		c.fail(w.Place, "%q is no address such as 192.0.2.1", w.Text)
+	s := &BGP{ASN: v.asn(f.ASN), RouterID: v.routerID(f.RouterID), ListenAddr: v.address(f.ListenAddr)}
+	for i := range f.Peers {
+		s.Peers = append(s.Peers, v.bgpPeer(fmt.Sprintf("bgp.peers[%d]", i), &f.Peers[i], s.ListenAddr != ""))
 	}
-	return a
+	s.Services = v.bgpServices(f.Services)
+	return s
 }
 
-func (c *check) as(n strictyaml.Count) uint32 {
-	if n.Value == 0 || n.Value == 23456 {
-		c.fail(n.Place, "%d is no AS number to use", n.Value)
+func (v *validator) routerID(value strictyaml.String) [4]byte {
+	address := v.ipAddress(value)
+	if !address.Is4() || address.IsUnspecified() {
+		v.fail(value.Position, "an identifier is an IPv4 address other than 0.0.0.0")
+		return [4]byte{}
 	}
-	return uint32(n.Value)
+	return address.As4()
 }
 
-// bgp checks the section on addresses to announce.
-func (c *check) bgp(f *bgpFile) *Announcing {
-	c.needed("bgp", *f)
-	if c.fault != nil {
-		return nil
+func (v *validator) bgpPeer(path string, entry *bgpPeerEntry, listening bool) BGPPeer {
+	v.required(path, *entry)
+	peer := BGPPeer{
+		Addr:        v.address(entry.Addr),
+		ASN:         v.asn(entry.ASN),
+		HoldTime:    duration(entry.HoldTime),
+		RestartTime: duration(entry.RestartTime),
+		Passive:     entry.Passive.Value,
+		MD5Key:      entry.MD5Key.Value,
 	}
-	s := &Announcing{AS: c.as(f.AS), Services: map[string]announce.Service{}}
-	if id := c.host(f.ID); id.Is4() && !id.IsUnspecified() {
-		s.ID = id.As4()
-	} else {
-		c.fail(f.ID.Place, "an identifier is an IPv4 address other than 0.0.0.0")
+	if len(peer.MD5Key) > maxMD5Key {
+		v.fail(entry.MD5Key.Position, "a key has up to 80 bytes")
 	}
-	if f.Listen.Set() {
-		s.Listen = c.address(f.Listen)
+	if !validHoldTime(peer.HoldTime) {
+		v.fail(entry.HoldTime.Position, "a hold time is 0 or whole seconds from 3 to 65535")
 	}
-	for i, p := range f.Peers {
-		path := fmt.Sprintf("bgp.peers[%d]", i)
-		c.needed(path, p)
-		x := Neighbour{Addr: c.address(p.Addr), AS: c.as(p.AS), Hold: c.span(p.Hold), Restart: c.span(p.Restart), Passive: p.Passive.Value,
-			Key: p.Key.Text}
-		if len(x.Key) > 80 {
-			c.fail(p.Key.Place, "a key has up to 80 bytes")
-		}
-		if h := p.Hold.Tenths / 10_000; p.Hold.Tenths%10_000 != 0 || h == 1 || h == 2 || h > 65535 {
-			c.fail(p.Hold.Place, "a hold time is 0 or whole seconds from 3 to 65535")
-		}
-		if p.Passive.Value && s.Listen == "" {
-			c.fail(p.Passive.Place, "a peer that calls needs bgp.listen")
-		}
-		for _, w := range p.Families {
-			n, err := strictyaml.Choose(c.src, w, "ipv4", "ipv6")
-			c.keep(err)
-			x.Families = append(x.Families, []wire.Family{wire.IPv4, wire.IPv6}[n])
-		}
-		if len(p.Families) == 0 {
-			x.Families = []wire.Family{wire.IPv4}
-		}
-		for _, w := range p.Allow {
-			x.Allow = append(x.Allow, c.prefix(w))
-		}
-		if len(p.Allow) == 0 { // nothing is announced without a policy (RFC 8212): say so rather than be silent
-			c.keep(c.src.Missing(path, "allow"))
-		}
-		s.Peers = append(s.Peers, x)
+	if peer.Passive && !listening {
+		v.fail(entry.Passive.Position, "a peer that calls needs bgp.listen")
+	}
+	for _, name := range entry.Families {
+		families := []wire.Family{wire.IPv4, wire.IPv6}
+		peer.Families = append(peer.Families, families[v.oneOf(name, "ipv4", "ipv6")])
+	}
+	if len(entry.Families) == 0 {
+		peer.Families = []wire.Family{wire.IPv4}
+	}
+	for _, prefix := range entry.Allow {
+		peer.Allow = append(peer.Allow, v.prefix(prefix))
 	}
-	owner := map[netip.Prefix]string{}
-	for i, v := range f.Services {
-		c.needed(fmt.Sprintf("bgp.services[%d]", i), v)
-		x := announce.Service{Prefix: c.prefix(v.Prefix), NextHop: c.host(v.NextHop), MinRunning: v.Least.Value, MED: uint32(v.MED.Value),
-			MEDByHealth: v.Healthy.Value}
-		if x.Prefix.Addr().Is4() != x.NextHop.Is4() {
-			c.fail(v.NextHop.Place, "the next hop is of another family than %s", x.Prefix)
+	if len(entry.Allow) == 0 { // without a policy nothing would be announced (RFC 8212): an error rather than silence
+		v.record(v.file.MissingKey(path, "allow"))
+	}
+	return peer
+}
+
+func validHoldTime(t scheduler.Time) bool {
+	seconds := t / scheduler.Second
+	return t == 0 || t%scheduler.Second == 0 && seconds >= minHoldSeconds && seconds <= maxHoldSeconds
+}
+
+// bgpServices returns the announced services by name; no two of them may share a prefix.
+func (v *validator) bgpServices(entries []bgpServiceEntry) map[string]announce.Service {
+	services, serviceOf := map[string]announce.Service{}, map[netip.Prefix]string{}
+	for i, entry := range entries {
+		v.required(fmt.Sprintf("bgp.services[%d]", i), entry)
+		service := announce.Service{
+			Prefix:      v.prefix(entry.Prefix),
+			NextHop:     v.ipAddress(entry.NextHop),
+			MinRunning:  entry.MinRunning.Value,
+			MED:         uint32(entry.MED.Value),
+			MEDByHealth: entry.MEDByHealth.Value,
+		}
+		if service.Prefix.Addr().Is4() != service.NextHop.Is4() {
+			v.fail(entry.NextHop.Position, "the next hop is of another family than %s", service.Prefix)
 		}
-		if o, twice := owner[x.Prefix]; twice {
-			c.fail(v.Prefix.Place, "%s is that of service %s already", x.Prefix, o)
+		if other, duplicate := serviceOf[service.Prefix]; duplicate {
+			v.fail(entry.Prefix.Position, "%s is that of service %s already", service.Prefix, other)
 		}
-		owner[x.Prefix] = v.Service.Text
-		s.Services[v.Service.Text] = x
+		serviceOf[service.Prefix] = entry.Service.Value
+		services[entry.Service.Value] = service
 	}
-	return s
+	return services
 }
