--- a/cmd/glenport-testbed/load.go
+++ b/cmd/glenport-testbed/load.go
@@ -18,7 +18,7 @@
 	var template string
 	c := &cobra.Command{Use: "load", Short: "Measure one placer against machines that answer at once", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			program, err := placerProgram(0)
+			program, err := schedulerProgram(0)
 			if err != nil {
 				return err
 			}
@@ -36,7 +36,7 @@
 						return err
 					}
 					fmt.Fprintf(w, "%d\t%d\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f%%\t%.1f us\t%.0f%%\t%.1f\t%.1f\t%.0f\t\n", m, r, l.PlacedPerSecond,
-						l.P50, l.P99, l.P999, l.Worst, 100*l.Busy, l.DecidingEach, 100*l.Deciding, l.MiB, l.MiBBefore, l.Open)
+						l.P50, l.P99, l.P999, l.Worst, 100*l.Busy, l.DecidingMicroseconds, 100*l.DecidingShare, l.MiB, l.MiBBefore, l.KnownContainers)
 				}
 			}
 			return w.Flush()
@@ -44,7 +44,7 @@
 	var fleet, waiting, watchers int
 	api := &cobra.Command{Use: "api", Short: "Measure a keeper with containers that wait", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return withPlacers("", 0, func(program []string, dir string) error {
+			return withSchedulers("", 0, func(program []string, dir string) error {
 				return scenario.MeasureAPI("scenarios/why-placer.yaml", dir, program, fleet, waiting, watchers, os.Stdout)
 			})
 		}}
@@ -54,8 +54,8 @@
 	var keptRate int
 	kept := &cobra.Command{Use: "kept", Short: "Measure the way of jobs through a keeper", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return withPlacers("", 0, func(program []string, dir string) error {
-				return scenario.MeasureKept("scenarios/why-placer.yaml", dir, program, fleet, keptRate, 5*time.Second, os.Stdout)
+			return withSchedulers("", 0, func(program []string, dir string) error {
+				return scenario.MeasureJobs("scenarios/why-placer.yaml", dir, program, fleet, keptRate, 5*time.Second, os.Stdout)
 			})
 		}}
 	kept.Flags().IntVar(&fleet, "machines", 100, "how many machines")
--- a/cmd/glenport-testbed/main.go
+++ b/cmd/glenport-testbed/main.go
@@ -23,13 +23,13 @@
 	"github.com/spf13/cobra"
 )
 
-var errNotHeld = errors.New("not held")
+var errFailed = errors.New("not held")
 
 func main() {
 	root := &cobra.Command{Use: "glenport-testbed", Short: "Stand-ins, bad days and their audit, on loopback",
 		SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(dayCommand(), auditCommand(), replayCommand(), loadCommand(), trialCommand(), placerCommand())
-	if err := root.Execute(); errors.Is(err, errNotHeld) {
+	root.AddCommand(scenarioCommand(), auditCommand(), replayCommand(), loadCommand(), trialCommand(), schedulerCommand())
+	if err := root.Execute(); errors.Is(err, errFailed) {
 		os.Exit(1)
 	} else if err != nil {
 		fmt.Fprintln(os.Stderr, "glenport-testbed:", err)
@@ -46,8 +46,8 @@
 	return dir, func() { os.RemoveAll(dir) }, err
 }
 
-// placerProgram is glenport itself, from beside this program; with sabotage it is this program's own host.
-func placerProgram(rule int) ([]string, error) {
+// schedulerProgram is glenport itself, from beside this program; with sabotage it is this program's own host.
+func schedulerProgram(rule int) ([]string, error) {
 	own, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -62,9 +62,9 @@
 	return []string{p, "scheduler"}, nil
 }
 
-// withPlacers runs f with the program that placers are, and a folder for their files.
-func withPlacers(named string, rule int, f func(program []string, dir string) error) error {
-	program, err := placerProgram(rule)
+// withSchedulers runs f with the program that placers are, and a folder for their files.
+func withSchedulers(named string, rule int, f func(program []string, dir string) error) error {
+	program, err := schedulerProgram(rule)
 	if err != nil {
 		return err
 	}
@@ -76,30 +76,30 @@
 	return f(program, dir)
 }
 
-func play(d *scenario.Day, dir string, rule int) error {
-	return withPlacers(dir, rule, func(program []string, dir string) error {
+func runScenario(d *scenario.Scenario, dir string, rule int) error {
+	return withSchedulers(dir, rule, func(program []string, dir string) error {
 		o, err := d.Run(dir, program, os.Stdout)
 		if err != nil {
 			return err
 		}
 		o.Print(os.Stdout)
-		if !o.Held() {
-			return errNotHeld
+		if !o.Passed() {
+			return errFailed
 		}
 		return nil
 	})
 }
 
-func dayCommand() *cobra.Command {
+func scenarioCommand() *cobra.Command {
 	var dir string
 	var rule int
 	c := &cobra.Command{Use: "scenario FILE", Aliases: []string{"day"}, Short: "Play a day's troubles on a cluster and judge its record", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			d, err := scenario.LoadDay(args[0])
+			d, err := scenario.Load(args[0])
 			if err != nil {
 				return err
 			}
-			return play(d, dir, rule)
+			return runScenario(d, dir, rule)
 		}}
 	c.Flags().StringVar(&dir, "dir", "", "folder to keep the record and the logs in")
 	c.Flags().IntVar(&rule, "sabotage", 0, "break this rule on purpose, 1 to 5")
@@ -120,7 +120,7 @@
 			fmt.Printf("%d frames, %d submissions, %d offers\n", j.Frames, j.Submitted, j.Offers)
 			scenario.PrintViolations(os.Stdout, j)
 			if !j.Passed() {
-				return errNotHeld
+				return errFailed
 			}
 			fmt.Println("rules: kept")
 			return nil
@@ -138,7 +138,7 @@
 			if err != nil {
 				return err
 			}
-			return play(d, dir, 0)
+			return runScenario(d, dir, 0)
 		}}
 	c.Flags().StringVar(&dir, "dir", "", "folder to keep the record and the logs in")
 	c.Flags().StringVar(&template, "day", "scenarios/bad-day.yaml", "day file that gives the cluster")
@@ -146,8 +146,8 @@
 	return c
 }
 
-// placerCommand runs a placer of the product's host, with or without one rule broken.
-func placerCommand() *cobra.Command {
+// schedulerCommand runs a placer of the product's host, with or without one rule broken.
+func schedulerCommand() *cobra.Command {
 	var file, spoil string
 	var rule int
 	var damped bool
@@ -190,11 +190,11 @@
 	var lie bool
 	why := &cobra.Command{Use: "why", Short: "Owners read the true reason why their work waits, within a second", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			program, err := placerProgram(0)
+			program, err := schedulerProgram(0)
 			if err != nil {
 				return err
 			}
-			d, err := scenario.LoadDay("scenarios/why.yaml")
+			d, err := scenario.Load("scenarios/why.yaml")
 			if err != nil {
 				return err
 			}
@@ -203,7 +203,7 @@
 				return err
 			}
 			defer done()
-			t := &scenario.WhyTrial{Cycles: cycles, Steps: steps, Lie: lie, Out: os.Stdout}
+			t := &scenario.WhyTrial{Cycles: cycles, Steps: steps, Sabotage: lie, Out: os.Stdout}
 			ok, err := t.Run(d, dir, program)
 			return verdict("why", ok, err, "an owner read what was not so, or too late")
 		}}
@@ -211,7 +211,7 @@
 	why.Flags().IntVar(&cycles, "cycles", 50, "of draining and filling, four changes each")
 	why.Flags().IntVar(&steps, "steps", 0, "play the first so many steps only; 0: all")
 	why.Flags().BoolVar(&lie, "sabotage", false, "read another reason than the API tells")
-	trial.AddCommand(why, bgpTrialCommand(), restartTrialCommand(), stormTrialCommand())
+	trial.AddCommand(why, bgpTrialCommand(), restartTrialCommand(), overloadTrialCommand())
 	return trial
 }
 
@@ -220,7 +220,7 @@
 	var rounds int
 	c := &cobra.Command{Use: "bgp", Short: "Addresses are announced while containers run, in time and without storms", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			program, err := placerProgram(0)
+			program, err := schedulerProgram(0)
 			if err != nil {
 				return err
 			}
@@ -231,7 +231,7 @@
 				}
 				program = []string{own, "scheduler", "--spoil-routes", spoil}
 			}
-			d, err := scenario.LoadDay("scenarios/why.yaml")
+			d, err := scenario.Load("scenarios/why.yaml")
 			if err != nil {
 				return err
 			}
@@ -256,18 +256,18 @@
 	t := &scenario.RestartTrial{Out: os.Stdout}
 	c := &cobra.Command{Use: "restart", Short: "Nothing that was promised is lost when programs are killed while they write", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if t.Spoil != "" && t.Spoil != "sync" && t.Spoil != "checksum" {
-				return fmt.Errorf("--sabotage %q is neither sync nor checksum", t.Spoil)
+			if t.Sabotage != "" && t.Sabotage != "sync" && t.Sabotage != "checksum" {
+				return fmt.Errorf("--sabotage %q is neither sync nor checksum", t.Sabotage)
 			}
-			t.Sizes, t.Lost = []int{100, 10_000, 100_000}, true
+			t.LogSizes, t.MeasureLost = []int{100, 10_000, 100_000}, true
 			if short {
-				t.Sizes, t.Lost = []int{100}, false
+				t.LogSizes, t.MeasureLost = []int{100}, false
 			}
-			d, err := scenario.LoadDay("scenarios/short.yaml")
+			d, err := scenario.Load("scenarios/short.yaml")
 			if err != nil {
 				return err
 			}
-			return withPlacers(dir, 0, func(program []string, dir string) error {
+			return withSchedulers(dir, 0, func(program []string, dir string) error {
 				ok, err := t.Run(d, dir, program)
 				return verdict("restart", ok, err, "what was promised was lost, or a rule broken")
 			})
@@ -275,7 +275,7 @@
 	c.Flags().StringVar(&dir, "dir", "", "folder to keep the records and the logs in")
 	c.Flags().IntVar(&t.Kills, "kills", 1000, "of placers; the keeper dies now and then beside")
 	c.Flags().BoolVar(&short, "short", false, "leave out the long measurements")
-	c.Flags().StringVar(&t.Spoil, "sabotage", "", "sync or checksum: the store leaves it out")
+	c.Flags().StringVar(&t.Sabotage, "sabotage", "", "sync or checksum: the store leaves it out")
 	return c
 }
 
@@ -290,25 +290,25 @@
 		fmt.Printf("trial %s: ok\n", name)
 		return nil
 	}
-	return errNotHeld
+	return errFailed
 }
 
-func stormTrialCommand() *cobra.Command {
+func overloadTrialCommand() *cobra.Command {
 	var dir string
 	var placers int
-	t := &scenario.StormTrial{Ignore: 0.5, Out: os.Stdout}
+	t := &scenario.OverloadTrial{IgnoringClients: 0.5, Out: os.Stdout}
 	c := &cobra.Command{Use: "storm", Short: "When most of a fleet restarts at once, what follows is not worse than that", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			d, err := scenario.LoadDay("scenarios/storm.yaml")
+			d, err := scenario.Load("scenarios/storm.yaml")
 			if err != nil {
 				return err
 			}
-			d.Placers = placers
+			d.Schedulers = placers
 			own, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			return withPlacers(dir, 0, func(program []string, dir string) error {
+			return withSchedulers(dir, 0, func(program []string, dir string) error {
 				t.Program = func(damped bool) []string {
 					if damped {
 						return []string{own, "scheduler", "--damped"}
--- a/internal/testbed/scenario/cluster.go
+++ b/internal/testbed/scenario/cluster.go
@@ -23,51 +23,51 @@
 
 // Cluster is a running one.
 type Cluster struct {
-	Dir      string
-	Machines []*emulator.Machine
-	List     *emulator.List
-	Net      *faultproxy.Net
-	Owners   *emulator.Owners
-	Placers  []*Placer
-	Site     *config.Placer // of the first placer
-	ListAddr string         // the list's own, without a tap
-	record   *faultproxy.Writer
+	Dir        string
+	Machines   []*emulator.Machine
+	List       *emulator.List
+	Net        *faultproxy.Net
+	Clients    *emulator.Owners
+	Schedulers []*SchedulerProcess
+	Config     *config.Placer // of the first placer
+	ListAddr   string         // the list's own, without a tap
+	recording  *faultproxy.Writer
 }
 
-// Placer is a placer's process.
-type Placer struct {
-	Name  string
-	Hall  int
-	Door  string // its own; owners go through a tap
-	file  string
-	run   []string
-	log   *os.File
-	mu    sync.Mutex
-	proc  *os.Process
-	ended chan struct{}
+// SchedulerProcess is a placer's process.
+type SchedulerProcess struct {
+	Name    string
+	Zone    int
+	Address string // its own; owners go through a tap
+	file    string
+	command []string
+	log     *os.File
+	mu      sync.Mutex
+	process *os.Process
+	exited  chan struct{}
 }
 
 // Start brings the process up and waits until its door answers.
-func (p *Placer) Start() error {
+func (p *SchedulerProcess) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.proc != nil {
+	if p.process != nil {
 		return nil
 	}
 	started := make(chan error, 1)
-	p.ended = make(chan struct{})
-	ended := p.ended
+	p.exited = make(chan struct{})
+	ended := p.exited
 	go func() { // the thread that starts a process must outlive it: its death is the process's
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
-		c := exec.Command(p.run[0], append(p.run[1:], "-c", p.file)...)
+		c := exec.Command(p.command[0], append(p.command[1:], "-c", p.file)...)
 		c.Stderr = p.log
 		c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 		if err := c.Start(); err != nil {
 			started <- err
 			return
 		}
-		p.proc = c.Process
+		p.process = c.Process
 		started <- nil
 		c.Wait()
 		close(ended)
@@ -76,7 +76,7 @@
 		return err
 	}
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		if c, err := net.Dial("tcp", p.Door); err == nil {
+		if c, err := net.Dial("tcp", p.Address); err == nil {
 			return c.Close()
 		}
 		select {
@@ -91,32 +91,32 @@
 }
 
 // Stop ends the process by a signal and waits for its end.
-func (p *Placer) Stop(s syscall.Signal) {
+func (p *SchedulerProcess) Stop(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.proc == nil {
+	if p.process == nil {
 		return
 	}
-	p.proc.Signal(s)
+	p.process.Signal(s)
 	select {
-	case <-p.ended:
+	case <-p.exited:
 	case <-time.After(5 * time.Second):
-		p.proc.Kill()
-		<-p.ended
+		p.process.Kill()
+		<-p.exited
 	}
-	p.proc = nil
+	p.process = nil
 }
 
-// Up tells whether the process runs.
-func (p *Placer) Up() bool {
+// Running tells whether the process runs.
+func (p *SchedulerProcess) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.proc != nil
+	return p.process != nil
 }
 
 // Status asks the placer for its account.
-func (p *Placer) Status() (map[string]float64, error) {
-	c, err := net.DialTimeout("tcp", p.Door, time.Second)
+func (p *SchedulerProcess) Status() (map[string]float64, error) {
+	c, err := net.DialTimeout("tcp", p.Address, time.Second)
 	if err != nil {
 		return nil, err
 	}
@@ -151,8 +151,8 @@
 	return l.Addr().String(), nil
 }
 
-// placerFile writes one placer's file after a template.
-func placerFile(template []byte, path string, extra, set map[string]any) (*config.Placer, error) {
+// writeSchedulerConfig writes one placer's file after a template.
+func writeSchedulerConfig(template []byte, path string, extra, set map[string]any) (*config.Placer, error) {
 	var all map[string]any
 	if err := yaml.Unmarshal(template, &all); err != nil {
 		return nil, err
@@ -182,8 +182,8 @@
 	return config.Load(path)
 }
 
-// Bring brings a day's cluster up, in a folder of its own.
-func Bring(d *Day, dir string, program []string) (c *Cluster, err error) {
+// StartCluster brings a day's cluster up, in a folder of its own.
+func StartCluster(d *Scenario, dir string, program []string) (c *Cluster, err error) {
 	c = &Cluster{Dir: dir}
 	begun := c
 	defer func() {
@@ -195,22 +195,22 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.Site, err = config.Parse(d.Template, template); err != nil {
+	if c.Config, err = config.Parse(d.Template, template); err != nil {
 		return nil, err
 	}
-	terms := c.Site.Terms
-	terms.SchedulerCount = d.Placers
-	if c.record, err = faultproxy.Create(filepath.Join(dir, "record"), faultproxy.Header{Terms: terms,
+	terms := c.Config.Terms
+	terms.SchedulerCount = d.Schedulers
+	if c.recording, err = faultproxy.Create(filepath.Join(dir, "record"), faultproxy.Header{Terms: terms,
 		DrainGrace: d.DrainGrace, Slack: d.Slack}); err != nil {
 		return nil, err
 	}
-	c.Net = faultproxy.NewNet(c.record, d.Seed)
-	groups := make([]*emulator.Group, len(d.Halls))
+	c.Net = faultproxy.NewNet(c.recording, d.Seed)
+	groups := make([]*emulator.Group, len(d.Zones))
 	for i := range groups {
 		groups[i] = &emulator.Group{}
 	}
 	taps := map[*emulator.Machine]string{}
-	for i, s := range d.shapes(c.Site) {
+	for i, s := range d.machineShapes(c.Config) {
 		m := emulator.NewMachine(s, groups[s.ZoneN], d.Seed+uint64(i))
 		c.Machines = append(c.Machines, m)
 		if err := m.Up(true); err != nil {
@@ -220,7 +220,7 @@
 			return nil, err
 		}
 	}
-	c.List = &emulator.List{Lag: d.List.Lag, Notice: d.List.Notice, Period: d.List.Period, CallsPS: d.List.Calls,
+	c.List = &emulator.List{Lag: d.List.Lag, Notice: d.List.DeathNotice, Period: d.List.Period, CallsPS: d.List.CallsPerSecond,
 		Address: func(m *emulator.Machine) string { return taps[m] }}
 	list, err := c.List.Open(c.Machines)
 	if err != nil {
@@ -231,67 +231,67 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Owners = &emulator.Owners{Works: d.Works, Customers: len(c.Site.Customers)}
-	for i := range d.Placers {
-		p := &Placer{Name: fmt.Sprint("placer-", i), Hall: i % len(d.Halls), run: program}
-		if p.Door, err = freePort(); err != nil {
+	c.Clients = &emulator.Owners{Works: d.Workloads, Customers: len(c.Config.Customers)}
+	for i := range d.Schedulers {
+		p := &SchedulerProcess{Name: fmt.Sprint("placer-", i), Zone: i % len(d.Zones), command: program}
+		if p.Address, err = freePort(); err != nil {
 			return nil, err
 		}
 		p.file = filepath.Join(dir, p.Name+".yaml")
 		if p.log, err = os.Create(filepath.Join(dir, p.Name+".log")); err != nil {
 			return nil, err
 		}
-		if _, err = placerFile(template, p.file, d.Extra, map[string]any{"name": p.Name, "number": i, "placers": d.Placers,
-			"seed": int(d.Seed) + i, "door": p.Door, "state": filepath.Join(dir, p.Name+".state"),
+		if _, err = writeSchedulerConfig(template, p.file, d.ExtraConfig, map[string]any{"name": p.Name, "number": i, "placers": d.Schedulers,
+			"seed": int(d.Seed) + i, "door": p.Address, "state": filepath.Join(dir, p.Name+".state"),
 			"list": map[string]any{"address": listTap}}); err != nil {
 			return nil, err
 		}
-		door, err := c.Net.Tap(protocol.RoleClient, p.Name, func() string { return p.Door })
+		door, err := c.Net.Tap(protocol.RoleClient, p.Name, func() string { return p.Address })
 		if err != nil {
 			return nil, err
 		}
-		c.Owners.Doors = append(c.Owners.Doors, door)
-		c.Placers = append(c.Placers, p)
-		if err = c.Up(p); err != nil {
+		c.Clients.Doors = append(c.Clients.Doors, door)
+		c.Schedulers = append(c.Schedulers, p)
+		if err = c.StartScheduler(p); err != nil {
 			return nil, err
 		}
 	}
-	return c, c.ready(d)
+	return c, c.waitReady(d)
 }
 
-// ready waits until every placer knows every machine that is up.
-func (c *Cluster) ready(d *Day) error {
+// waitReady waits until every placer knows every machine that is up.
+func (c *Cluster) waitReady(d *Scenario) error {
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		n := 0
-		for _, p := range c.Placers {
+		for _, p := range c.Schedulers {
 			if s, err := p.Status(); err == nil && int(s["machines known"]) == len(c.Machines) && s["list version"] > 0 {
 				n++
 			}
 		}
-		if n == len(c.Placers) {
+		if n == len(c.Schedulers) {
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%d of %d placers know their %d machines after 20 s", n, len(c.Placers), len(c.Machines))
+			return fmt.Errorf("%d of %d placers know their %d machines after 20 s", n, len(c.Schedulers), len(c.Machines))
 		}
 	}
 }
 
-// Up starts a placer; Kill ends it by SIGKILL. Both are noted in the record.
-func (c *Cluster) Up(p *Placer) error {
-	c.record.Note(faultproxy.Started, p.Name)
+// StartScheduler starts a placer; Kill ends it by SIGKILL. Both are noted in the record.
+func (c *Cluster) StartScheduler(p *SchedulerProcess) error {
+	c.recording.Note(faultproxy.Started, p.Name)
 	return p.Start()
 }
 
-func (c *Cluster) Kill(p *Placer) {
+func (c *Cluster) KillScheduler(p *SchedulerProcess) {
 	p.Stop(syscall.SIGKILL)
 	c.Net.Quiet(p.Name) // or the next life would be taken for the sender of what this one sent last
-	c.record.Note(faultproxy.Killed, p.Name)
+	c.recording.Note(faultproxy.Killed, p.Name)
 }
 
 // Close ends all that was started and finishes the record.
 func (c *Cluster) Close() error {
-	for _, p := range c.Placers {
+	for _, p := range c.Schedulers {
 		p.Stop(syscall.SIGTERM)
 		if p.log != nil {
 			p.log.Close()
@@ -306,10 +306,10 @@
 	for _, m := range c.Machines {
 		m.Close()
 	}
-	c.List, c.Net, c.Machines, c.Placers = nil, nil, nil, nil
-	if c.record != nil {
-		r := c.record
-		c.record = nil
+	c.List, c.Net, c.Machines, c.Schedulers = nil, nil, nil, nil
+	if c.recording != nil {
+		r := c.recording
+		c.recording = nil
 		return r.Close()
 	}
 	return nil
--- a/internal/testbed/scenario/controller.go
+++ b/internal/testbed/scenario/controller.go
@@ -14,25 +14,25 @@
 	"time"
 )
 
-// keeperProcess is a keeper and its API.
-type keeperProcess struct {
+// controllerProcess is a keeper and its API.
+type controllerProcess struct {
 	api     string
 	program string
 	file    string
 	log     string
-	proc    *exec.Cmd
+	process *exec.Cmd
 }
 
-// newKeeper writes a keeper's file beside that of the first placer. Doors are those of taps where any are given; with a
+// newController writes a keeper's file beside that of the first placer. Doors are those of taps where any are given; with a
 // state folder the keeper keeps its jobs.
-func newKeeper(dir, program, list string, placers []*Placer, doors []string, state string) (k keeperProcess, err error) {
-	k = keeperProcess{program: program, file: filepath.Join(dir, "keeper.yaml"), log: filepath.Join(dir, "keeper.log")}
+func newController(dir, program, list string, placers []*SchedulerProcess, doors []string, state string) (k controllerProcess, err error) {
+	k = controllerProcess{program: program, file: filepath.Join(dir, "keeper.yaml"), log: filepath.Join(dir, "keeper.log")}
 	if k.api, err = freePort(); err != nil {
 		return k, err
 	}
 	if doors == nil {
 		for _, p := range placers {
-			doors = append(doors, p.Door)
+			doors = append(doors, p.Address)
 		}
 	}
 	text := fmt.Sprintf("name: keeper\napi: %s\nplacer_file: %s\nlist: %s\ndoors: [%s]\n", k.api, filepath.Base(placers[0].file), list,
@@ -44,37 +44,37 @@
 }
 
 // start brings it up and waits until it knows so many machines.
-func (k *keeperProcess) start(machines int) error {
-	if err := k.begin(); err != nil {
+func (k *controllerProcess) start(machines int) error {
+	if err := k.launch(); err != nil {
 		return err
 	}
-	return k.until("the keeper answers and knows all machines", 20*time.Second, func() bool {
+	return k.waitUntil("the keeper answers and knows all machines", 20*time.Second, func() bool {
 		var all struct{ Items []any }
 		return k.get("/v1/machines?limit=1000", &all) == nil && len(all.Items) == min(machines, 1000)
 	})
 }
 
-func (k *keeperProcess) begin() error {
-	k.proc = exec.Command(k.program, "controller", "-c", k.file)
+func (k *controllerProcess) launch() error {
+	k.process = exec.Command(k.program, "controller", "-c", k.file)
 	log, err := os.OpenFile(k.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	k.proc.Stderr = log
-	return k.proc.Start()
+	k.process.Stderr = log
+	return k.process.Start()
 }
 
-func (k *keeperProcess) end(s syscall.Signal) {
-	if k.proc != nil && k.proc.Process != nil {
-		k.proc.Process.Signal(s)
-		k.proc.Wait()
+func (k *controllerProcess) signal(s syscall.Signal) {
+	if k.process != nil && k.process.Process != nil {
+		k.process.Process.Signal(s)
+		k.process.Wait()
 	}
 }
 
-func (k *keeperProcess) stopKeeper() { k.end(syscall.SIGTERM) }
+func (k *controllerProcess) terminate() { k.signal(syscall.SIGTERM) }
 
-func (k *keeperProcess) until(what string, within time.Duration, holds func() bool) error {
+func (k *controllerProcess) waitUntil(what string, within time.Duration, holds func() bool) error {
 	for end := time.Now().Add(within); !holds(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			return fmt.Errorf("not within %v: %s", within, what)
@@ -83,9 +83,9 @@
 	return nil
 }
 
-func (k *keeperProcess) get(path string, into any) error { return k.do("GET", path, nil, into) }
+func (k *controllerProcess) get(path string, into any) error { return k.do("GET", path, nil, into) }
 
-func (k *keeperProcess) do(method, path string, in, into any) error {
+func (k *controllerProcess) do(method, path string, in, into any) error {
 	status, data, err := k.request(method, path, "", in)
 	if err != nil {
 		return err
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// send changes a job, by a key that a repeat has too, and returns the job's version.
-func (k *keeperProcess) send(method, path, key string, in any) (status int, version int64, err error) {
+// changeJob changes a job, by a key that a repeat has too, and returns the job's version.
+func (k *controllerProcess) changeJob(method, path, key string, in any) (status int, version int64, err error) {
 	status, data, err := k.request(method, path, key, in)
 	var j struct{ Version int64 }
 	if err == nil && status < 300 && len(data) > 0 {
@@ -109,7 +109,7 @@
 	return status, j.Version, err
 }
 
-func (k *keeperProcess) request(method, path, key string, in any) (status int, data []byte, err error) {
+func (k *controllerProcess) request(method, path, key string, in any) (status int, data []byte, err error) {
 	var body io.Reader
 	if in != nil {
 		p, _ := json.Marshal(in)
@@ -131,21 +131,21 @@
 	return a.StatusCode, data, err
 }
 
-type jobText map[string]any
+type jobDocument map[string]any
 
-func (k *keeperProcess) run(id, workload string, count int, cores, memory float64) error {
-	return k.do("POST", "/v1/jobs", jobText{"id": id, "service": id, "workload": workload, "cores": cores, "memory_gib": memory,
+func (k *controllerProcess) createJob(id, workload string, count int, cores, memory float64) error {
+	return k.do("POST", "/v1/jobs", jobDocument{"id": id, "service": id, "workload": workload, "cores": cores, "memory_gib": memory,
 		"count": count, "run_for_ms": 3600_000}, nil)
 }
 
-func (k *keeperProcess) stop(id string) error {
+func (k *controllerProcess) deleteJob(id string) error {
 	if err := k.do("DELETE", "/v1/jobs/"+id, nil, nil); err != nil {
 		return err
 	}
-	return k.until(id+" has ended", 30*time.Second, func() bool { return k.count(id, "") == 0 })
+	return k.waitUntil(id+" has ended", 30*time.Second, func() bool { return k.countContainers(id, "") == 0 })
 }
 
-func (k *keeperProcess) count(job, state string) int {
+func (k *controllerProcess) countContainers(job, state string) int {
 	var all struct{ Items []struct{ State string } }
 	if k.get("/v1/containers?limit=1000&field=job="+job, &all) != nil {
 		return -1
@@ -159,6 +159,6 @@
 	return n
 }
 
-func (k *keeperProcess) running(job string, n int) error {
-	return k.until(fmt.Sprintf("%d of %s run", n, job), 30*time.Second, func() bool { return k.count(job, "running") == n })
+func (k *controllerProcess) waitRunning(job string, n int) error {
+	return k.waitUntil(fmt.Sprintf("%d of %s run", n, job), 30*time.Second, func() bool { return k.countContainers(job, "running") == n })
 }
--- a/internal/testbed/scenario/crashes.go
+++ b/internal/testbed/scenario/crashes.go
@@ -11,34 +11,34 @@
 	"glenport/internal/storage/wal"
 )
 
-// Crashes plays a history of commits on a folder in memory and looks at every state in which a crash, or a crash of
+// CrashCheck plays a history of commits on a folder in memory and looks at every state in which a crash, or a crash of
 // the recovery from a crash, may leave it.
-type Crashes struct {
-	Seed    uint64
-	Commits int
-	Mixed   int    // states drawn at each operation, beside all lost and all kept
-	Spoil   string // sync or checksum: sabotage
+type CrashCheck struct {
+	Seed         uint64
+	Commits      int
+	RandomStates int    // states drawn at each operation, beside all lost and all kept
+	Sabotage     string // sync or checksum: sabotage
 
-	Ops, States, Again, Flips, Refused int
+	Operations, States, SecondCrashes, BitFlips, Refused int
 }
 
-// moment is one commit of the history.
-type moment struct {
-	state   string
-	began   int // operations before it
-	ended   int // operations when it was acknowledged
-	durable bool
+// commitPoint is one commit of the history.
+type commitPoint struct {
+	state          string
+	firstOperation int // operations before it
+	lastOperation  int // operations when it was acknowledged
+	durable        bool
 }
 
 // history commits and notes what must be found. Every commit changes the value of "n", so that states differ.
-func (c *Crashes) history(d *faultfs.FS) ([]moment, error) {
+func (c *CrashCheck) history(d *faultfs.FS) ([]commitPoint, error) {
 	s, _, err := wal.Open(d, wal.Options{MinSnapshotLog: 2000})
 	if err != nil {
 		return nil, err
 	}
 	r := rand.New(rand.NewPCG(c.Seed, 3))
 	model := map[string]string{}
-	all := []moment{{state: text(model)}}
+	all := []commitPoint{{state: encodeModel(model)}}
 	for n := range c.Commits {
 		changes := []wal.Change{{Kind: "count", Key: "n", Value: fmt.Append(nil, n+1)}}
 		for range r.IntN(4) {
@@ -55,10 +55,10 @@
 				model[ch.Kind+"/"+ch.Key] = string(ch.Value)
 			}
 		}
-		m := moment{state: text(model), began: d.OperationCount(), durable: r.IntN(3) > 0}
+		m := commitPoint{state: encodeModel(model), firstOperation: d.OperationCount(), durable: r.IntN(3) > 0}
 		done := make(chan error, 1)
 		s.Commit(changes, m.durable, func(err error) {
-			m.ended = d.OperationCount()
+			m.lastOperation = d.OperationCount()
 			done <- err
 		})
 		if err := <-done; err != nil {
@@ -69,7 +69,7 @@
 	return all, s.Close()
 }
 
-func text(model map[string]string) string {
+func encodeModel(model map[string]string) string {
 	var all []string
 	for k, v := range model {
 		all = append(all, k+"="+v)
@@ -78,7 +78,7 @@
 	return strings.Join(all, "\n")
 }
 
-func textOf(s *wal.State) string {
+func encodeState(s *wal.State) string {
 	model := map[string]string{}
 	for _, kind := range s.Kinds() {
 		s.ForEach(kind, func(k string, v []byte) error {
@@ -86,73 +86,73 @@
 			return nil
 		})
 	}
-	return text(model)
+	return encodeModel(model)
 }
 
-// open recovers a folder and tells what it holds.
-func (c *Crashes) open(d *faultfs.FS) (string, error) {
-	s, _, err := wal.Open(d, wal.Options{SkipChecksums: c.Spoil == "checksum"})
+// recoverState recovers a folder and tells what it holds.
+func (c *CrashCheck) recoverState(d *faultfs.FS) (string, error) {
+	s, _, err := wal.Open(d, wal.Options{SkipChecksums: c.Sabotage == "checksum"})
 	if err != nil {
 		return "", err
 	}
-	held := textOf(s.State())
+	held := encodeState(s.State())
 	return held, s.Close()
 }
 
 // Run returns what was found to be wrong first, or nil.
-func (c *Crashes) Run() error {
+func (c *CrashCheck) Run() error {
 	d := faultfs.New()
-	d.IgnoreSync = c.Spoil == "sync"
+	d.IgnoreSync = c.Sabotage == "sync"
 	moments, err := c.history(d)
 	if err != nil {
 		return err
 	}
-	c.Ops = d.OperationCount()
+	c.Operations = d.OperationCount()
 	r := rand.New(rand.NewPCG(c.Seed, 4))
-	for at := 0; at <= c.Ops; at++ {
+	for at := 0; at <= c.Operations; at++ {
 		floor, ceiling := 0, 0
 		for i, m := range moments {
-			if i > 0 && m.ended <= at && m.durable {
+			if i > 0 && m.lastOperation <= at && m.durable {
 				floor = i
 			}
-			if i > 0 && m.began < at {
+			if i > 0 && m.firstOperation < at {
 				ceiling = i
 			}
 		}
 		fates := []faultfs.Survival{faultfs.LoseUnsynced, faultfs.KeepUnsynced}
-		for range c.Mixed {
+		for range c.RandomStates {
 			fates = append(fates, faultfs.KeepSome(r))
 		}
 		for n, fate := range fates {
 			left := d.Crash(at, fate)
 			before := left.OperationCount()
-			held, err := c.open(left)
+			held, err := c.recoverState(left)
 			if err != nil {
-				return fmt.Errorf("crash after operation %d of %d, fate %d: not opened: %w", at, c.Ops, n, err)
+				return fmt.Errorf("crash after operation %d of %d, fate %d: not opened: %w", at, c.Operations, n, err)
 			}
 			c.States++
-			if err := legal(held, moments, floor, ceiling); err != nil {
-				return fmt.Errorf("crash after operation %d of %d, fate %d: %w", at, c.Ops, n, err)
+			if err := checkRecoveredState(held, moments, floor, ceiling); err != nil {
+				return fmt.Errorf("crash after operation %d of %d, fate %d: %w", at, c.Operations, n, err)
 			}
 			if n < len(fates)-1 && at%7 != 0 {
 				continue
 			}
 			for again := before; again <= left.OperationCount(); again++ { // a second crash, during the recovery from the first
-				twice, err := c.open(left.Crash(again, faultfs.KeepSome(r)))
+				twice, err := c.recoverState(left.Crash(again, faultfs.KeepSome(r)))
 				if err != nil {
 					return fmt.Errorf("crash after operation %d, and again after %d of its recovery: not opened: %w", at, again-before, err)
 				}
-				c.Again++
-				if err := legal(twice, moments, floor, ceiling); err != nil {
+				c.SecondCrashes++
+				if err := checkRecoveredState(twice, moments, floor, ceiling); err != nil {
 					return fmt.Errorf("crash after operation %d, and again after %d of its recovery: %w", at, again-before, err)
 				}
 			}
 		}
 	}
-	return c.flip(d, moments, r)
+	return c.flipBits(d, moments, r)
 }
 
-func legal(held string, moments []moment, floor, ceiling int) error {
+func checkRecoveredState(held string, moments []commitPoint, floor, ceiling int) error {
 	for i := floor; i <= ceiling; i++ {
 		if moments[i].state == held {
 			return nil
@@ -166,9 +166,9 @@
 	return errors.New("the state is that after no commit")
 }
 
-// flip turns single bits over in what a clean end left. Each must be refused, but in the last group: there it
+// flipBits turns single bits over in what a clean end left. Each must be refused, but in the last group: there it
 // cannot be told from a group that a crash cut off, and the state before it is found.
-func (c *Crashes) flip(d *faultfs.FS, moments []moment, r *rand.Rand) error {
+func (c *CrashCheck) flipBits(d *faultfs.FS, moments []commitPoint, r *rand.Rand) error {
 	names, _ := d.List()
 	last := len(moments) - 1
 	for _, name := range names {
@@ -176,14 +176,14 @@
 		if err != nil {
 			return err
 		}
-		for range 40 * c.Mixed {
+		for range 40 * c.RandomStates {
 			bit := r.IntN(8 * len(p))
-			left := d.Crash(c.Ops, faultfs.KeepUnsynced)
+			left := d.Crash(c.Operations, faultfs.KeepUnsynced)
 			if err := left.FlipBit(name, bit); err != nil {
 				return err
 			}
-			held, err := c.open(left)
-			c.Flips++
+			held, err := c.recoverState(left)
+			c.BitFlips++
 			switch {
 			case err != nil:
 				c.Refused++
--- a/internal/testbed/scenario/crashes_test.go
+++ b/internal/testbed/scenario/crashes_test.go
@@ -9,12 +9,12 @@
 		ok    bool
 	}{{"", true}, {"sync", false}, {"checksum", false}} {
 		t.Run("spoilt: "+tc.spoil, func(t *testing.T) {
-			c := &Crashes{Seed: 1, Commits: 40, Mixed: 6, Spoil: tc.spoil}
+			c := &CrashCheck{Seed: 1, Commits: 40, RandomStates: 6, Sabotage: tc.spoil}
 			err := c.Run()
 			if (err == nil) != tc.ok {
 				t.Errorf("%v", err)
 			}
-			t.Logf("%d operations, %d states, %d of a second crash, %d of %d flips refused: %v", c.Ops, c.States, c.Again, c.Refused, c.Flips, err)
+			t.Logf("%d operations, %d states, %d of a second crash, %d of %d flips refused: %v", c.Operations, c.States, c.SecondCrashes, c.Refused, c.BitFlips, err)
 		})
 	}
 }
--- a/internal/testbed/scenario/load.go
+++ b/internal/testbed/scenario/load.go
@@ -12,29 +12,29 @@
 	"glenport/internal/protocol"
 )
 
-// Load is what a placer did under a load.
-type Load struct {
-	PlacedPerSecond float64
-	P50, P99, P999  float64 // ms from a submission at the door to its bid on the socket
-	Worst           float64
-	Busy            float64 // part of the time that the loop was at work
-	Deciding        float64 // part of that spent in the module
-	DecidingEach    float64 // microseconds of it a container
-	MiB             float64
-	MiBBefore       float64 // with all links open and nothing submitted
-	Open            float64 // containers known at the end
-	Connections     float64
+// PlacementLoad is what a placer did under a load.
+type PlacementLoad struct {
+	PlacedPerSecond      float64
+	P50, P99, P999       float64 // ms from a submission at the door to its bid on the socket
+	Worst                float64
+	Busy                 float64 // part of the time that the loop was at work
+	DecidingShare        float64 // part of that spent in the module
+	DecidingMicroseconds float64 // microseconds of it a container
+	MiB                  float64
+	MiBBefore            float64 // with all links open and nothing submitted
+	KnownContainers      float64 // containers known at the end
+	Connections          float64
 }
 
-// instant is a machine that says yes to every offer as it comes and ends each container when its time is up. It
+// instantMachine is a machine that says yes to every offer as it comes and ends each container when its time is up. It
 // has no state beyond that, so that what is measured is the placer.
-type instant struct {
+type instantMachine struct {
 	name string
 	net.Listener
 	full bool // it has no cores for anything
 }
 
-func (m *instant) serve(each *sync.WaitGroup, stop chan struct{}) {
+func (m *instantMachine) serve(each *sync.WaitGroup, stop chan struct{}) {
 	for {
 		c, err := m.Accept()
 		if err != nil {
@@ -85,8 +85,8 @@
 	}
 }
 
-// instantList answers every question with all machines.
-func instantList(l net.Listener, machines []*instant, each *sync.WaitGroup, stop chan struct{}) {
+// serveInstantList answers every question with all machines.
+func serveInstantList(l net.Listener, machines []*instantMachine, each *sync.WaitGroup, stop chan struct{}) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -137,64 +137,64 @@
 	}
 }
 
-// bench is one placer process, a list and machines that answer at once.
-type bench struct {
-	placer    *Placer
-	list      net.Listener
-	listeners []net.Listener
-	stop      chan struct{}
-	all       sync.WaitGroup
+// benchCluster is one placer process, a list and machines that answer at once.
+type benchCluster struct {
+	scheduler  *SchedulerProcess
+	list       net.Listener
+	listeners  []net.Listener
+	stop       chan struct{}
+	goroutines sync.WaitGroup
 }
 
-func (b *bench) close() {
-	if b.placer != nil {
-		b.placer.Stop(9)
-		b.placer.log.Close()
+func (b *benchCluster) close() {
+	if b.scheduler != nil {
+		b.scheduler.Stop(9)
+		b.scheduler.log.Close()
 	}
 	close(b.stop)
 	for _, l := range b.listeners {
 		l.Close()
 	}
-	b.all.Wait()
+	b.goroutines.Wait()
 }
 
-// bringBench waits until the placer has links to all machines; full ones have no room for anything.
-func bringBench(template, dir string, program []string, machines int, full bool) (b *bench, err error) {
+// startBench waits until the placer has links to all machines; full ones have no room for anything.
+func startBench(template, dir string, program []string, machines int, full bool) (b *benchCluster, err error) {
 	text, err := os.ReadFile(template)
 	if err != nil {
 		return nil, err
 	}
-	b = &bench{stop: make(chan struct{})}
+	b = &benchCluster{stop: make(chan struct{})}
 	defer func() {
 		if err != nil {
 			b.close()
 		}
 	}()
-	var fleet []*instant
+	var fleet []*instantMachine
 	for i := range machines {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
-		m := &instant{fmt.Sprintf("machine-%04d", i), l, full}
+		m := &instantMachine{fmt.Sprintf("machine-%04d", i), l, full}
 		b.listeners = append(b.listeners, l)
 		fleet = append(fleet, m)
-		b.all.Go(func() { m.serve(&b.all, b.stop) })
+		b.goroutines.Go(func() { m.serve(&b.goroutines, b.stop) })
 	}
 	if b.list, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return nil, err
 	}
 	b.listeners = append(b.listeners, b.list)
-	b.all.Go(func() { instantList(b.list, fleet, &b.all, b.stop) })
-	p := &Placer{Name: "measured", run: program, file: filepath.Join(dir, "placer.yaml")}
-	if p.Door, err = freePort(); err != nil {
+	b.goroutines.Go(func() { serveInstantList(b.list, fleet, &b.goroutines, b.stop) })
+	p := &SchedulerProcess{Name: "measured", command: program, file: filepath.Join(dir, "placer.yaml")}
+	if p.Address, err = freePort(); err != nil {
 		return nil, err
 	}
 	if p.log, err = os.Create(filepath.Join(dir, "placer.log")); err != nil {
 		return nil, err
 	}
-	b.placer = p
-	if _, err := placerFile(text, p.file, nil, map[string]any{"name": "measured", "number": 0, "placers": 1, "door": p.Door,
+	b.scheduler = p
+	if _, err := writeSchedulerConfig(text, p.file, nil, map[string]any{"name": "measured", "number": 0, "placers": 1, "door": p.Address,
 		"state": filepath.Join(dir, "state"), "list": map[string]any{"address": b.list.Addr().String()},
 		"links":  map[string]any{"close_idle_after": "10min"},
 		"bounds": map[string]any{"open_containers": 1000000, "open_containers_of_one_owner": 1000000}}); err != nil {
@@ -214,18 +214,18 @@
 }
 
 // MeasureLoad runs one placer process for a while against machines that answer at once.
-func MeasureLoad(template, dir string, program []string, machines, rate int, length, life time.Duration) (*Load, error) {
-	b, err := bringBench(template, dir, program, machines, false)
+func MeasureLoad(template, dir string, program []string, machines, rate int, length, life time.Duration) (*PlacementLoad, error) {
+	b, err := startBench(template, dir, program, machines, false)
 	if err != nil {
 		return nil, err
 	}
 	defer b.close()
-	p := b.placer
+	p := b.scheduler
 	before, err := p.Status()
 	if err != nil {
 		return nil, err
 	}
-	placed, err := submitSteadily(p.Door, rate, length, life)
+	placed, err := submitSteadily(p.Address, rate, length, life)
 	if err != nil {
 		return nil, err
 	}
@@ -235,10 +235,10 @@
 	}
 	busy := s["busy"] - before["busy"]
 	deciding := s["deciding"] - before["deciding"]
-	return &Load{PlacedPerSecond: float64(placed) / length.Seconds(), P50: s["placing p50"], P99: s["placing p99"],
-		P999: s["placing p99.9"], Worst: s["placing worst"], Busy: busy / (s["up"] - before["up"]), Deciding: deciding / busy,
-		DecidingEach: deciding / s["submissions"] * 1e6, MiB: s["heap live"], MiBBefore: before["heap live"],
-		Open: s["containers known"], Connections: s["connections"]}, nil
+	return &PlacementLoad{PlacedPerSecond: float64(placed) / length.Seconds(), P50: s["placing p50"], P99: s["placing p99"],
+		P999: s["placing p99.9"], Worst: s["placing worst"], Busy: busy / (s["up"] - before["up"]), DecidingShare: deciding / busy,
+		DecidingMicroseconds: deciding / s["submissions"] * 1e6, MiB: s["heap live"], MiBBefore: before["heap live"],
+		KnownContainers: s["containers known"], Connections: s["connections"]}, nil
 }
 
 // submitSteadily submits at even intervals, whatever the answers, and counts those that say placed.
--- a/internal/testbed/scenario/loadapi.go
+++ b/internal/testbed/scenario/loadapi.go
@@ -16,16 +16,16 @@
 // MeasureAPI measures a keeper with many containers that wait: what a why costs, how many requests it answers a
 // second, and how long a change takes to many watchers.
 func MeasureAPI(template, dir string, program []string, machines, waiting, watchers int, out io.Writer) error {
-	b, err := bringBench(template, dir, program, machines, true)
+	b, err := startBench(template, dir, program, machines, true)
 	if err != nil {
 		return err
 	}
 	defer b.close()
-	t, err := newKeeper(dir, program[0], b.list.Addr().String(), []*Placer{b.placer}, nil, dir+"/kept")
+	t, err := newController(dir, program[0], b.list.Addr().String(), []*SchedulerProcess{b.scheduler}, nil, dir+"/kept")
 	if err != nil {
 		return err
 	}
-	defer t.stopKeeper()
+	defer t.terminate()
 	if err := t.start(machines); err != nil {
 		return err
 	}
@@ -44,10 +44,10 @@
 		}
 		return nil
 	}
-	if err := t.run("many", "matcher", waiting, 1, 1); err != nil {
+	if err := t.createJob("many", "matcher", waiting, 1, 1); err != nil {
 		return err
 	}
-	if err := t.until("all wait", time.Minute, func() bool {
+	if err := t.waitUntil("all wait", time.Minute, func() bool {
 		var all struct{ Items []any }
 		return t.get(fmt.Sprintf("/v1/containers?limit=1000&after=many.%d&field=state=waiting", waiting-2), &all) == nil &&
 			t.get("/v1/containers/many.0/why", nil) == nil && len(all.Items) > 0
@@ -64,7 +64,7 @@
 		whys.RecordValue(max(1, time.Since(began).Microseconds()))
 	}
 	fmt.Fprintf(out, "why, %d containers waiting, %d machines: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms\n", waiting, machines,
-		ms(whys, 50), ms(whys, 99), ms(whys, 99.9))
+		quantileMS(whys, 50), quantileMS(whys, 99), quantileMS(whys, 99.9))
 	var done atomic.Int64
 	var fault atomic.Value
 	var each sync.WaitGroup
@@ -88,12 +88,14 @@
 	return t.fanOut(watchers, out)
 }
 
-func ms(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
+func quantileMS(h *hdrhistogram.Histogram, q float64) float64 {
+	return float64(h.ValueAtQuantile(q)) / 1000
+}
 
 // fanOut changes a job and has every watcher tell when it read of it.
-func (t *keeperProcess) fanOut(watchers int, out io.Writer) error {
+func (t *controllerProcess) fanOut(watchers int, out io.Writer) error {
 	const changes = 50
-	if err := t.run("watched", "matcher", 0, 1, 1); err != nil {
+	if err := t.createJob("watched", "matcher", 0, 1, 1); err != nil {
 		return err
 	}
 	var sent [changes]atomic.Int64
@@ -135,7 +137,7 @@
 	ready.Wait()
 	for i := range changes {
 		sent[i].Store(time.Now().UnixNano())
-		if err := t.do("PUT", "/v1/jobs/watched", jobText{"service": "watched", "workload": "matcher", "cores": 1, "memory_gib": 1,
+		if err := t.do("PUT", "/v1/jobs/watched", jobDocument{"service": "watched", "workload": "matcher", "cores": 1, "memory_gib": 1,
 			"count": 0, "run_for_ms": i + 1}, nil); err != nil {
 			return err
 		}
@@ -143,23 +145,23 @@
 	}
 	each.Wait()
 	fmt.Fprintf(out, "%d watchers, %d changes: from the request to the line p50 %.1f ms, p99 %.1f ms, worst %.1f ms; %d lines missed\n",
-		watchers, changes, ms(delays, 50), ms(delays, 99), ms(delays, 100), missed.Load())
+		watchers, changes, quantileMS(delays, 50), quantileMS(delays, 99), quantileMS(delays, 100), missed.Load())
 	return nil
 }
 
-// MeasureKept measures the way through a keeper: jobs of one container each, posted at a steady rate, from the
+// MeasureJobs measures the way through a keeper: jobs of one container each, posted at a steady rate, from the
 // request to the line of a watch that says running, against machines that answer at once.
-func MeasureKept(template, dir string, program []string, machines, rate int, length time.Duration, out io.Writer) error {
-	b, err := bringBench(template, dir, program, machines, false)
+func MeasureJobs(template, dir string, program []string, machines, rate int, length time.Duration, out io.Writer) error {
+	b, err := startBench(template, dir, program, machines, false)
 	if err != nil {
 		return err
 	}
 	defer b.close()
-	t, err := newKeeper(dir, program[0], b.list.Addr().String(), []*Placer{b.placer}, nil, dir+"/kept")
+	t, err := newController(dir, program[0], b.list.Addr().String(), []*SchedulerProcess{b.scheduler}, nil, dir+"/kept")
 	if err != nil {
 		return err
 	}
-	defer t.stopKeeper()
+	defer t.terminate()
 	if err := t.start(machines); err != nil {
 		return err
 	}
@@ -200,7 +202,7 @@
 				}
 				time.Sleep(time.Until(began.Add(time.Duration(float64(i) / float64(rate) * float64(time.Second)))))
 				sent[i].Store(time.Now().UnixNano())
-				t.run(fmt.Sprint("j", i), "matcher", 1, 0.1, 0.1)
+				t.createJob(fmt.Sprint("j", i), "matcher", 1, 0.1, 0.1)
 			}
 		})
 	}
@@ -211,12 +213,12 @@
 	case <-time.After(10 * time.Second):
 		return fmt.Errorf("not all of %d jobs run", total)
 	}
-	s, err := b.placer.Status()
+	s, err := b.scheduler.Status()
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%d jobs at %d a second, %d machines: request to running in a watch p50 %.1f ms, p99 %.1f ms (of it the first "+
 		"100 ms at most are the keeper's spreading by chance); at the placer submission to bid p50 %.2f ms, p99 %.2f ms\n", n, rate,
-		machines, ms(took, 50), ms(took, 99), s["placing p50"], s["placing p99"])
+		machines, quantileMS(took, 50), quantileMS(took, 99), s["placing p50"], s["placing p99"])
 	return nil
 }
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -17,21 +17,21 @@
 
 // Outcome is what a day came to.
 type Outcome struct {
-	Tally  emulator.Tally
-	Audit  *audit.Report
-	Fell   int // cold machines pushed over
-	Played map[string]int
-	Status map[string]map[string]float64
+	Tally              emulator.Tally
+	Audit              *audit.Report
+	OverloadedMachines int // cold machines pushed over
+	Injected           map[string]int
+	Status             map[string]map[string]float64
 }
 
-// Held tells whether every rule was kept and every container got its one answer.
-func (o *Outcome) Held() bool {
+// Passed tells whether every rule was kept and every container got its one answer.
+func (o *Outcome) Passed() bool {
 	return o.Audit.Passed() && o.Tally.Twice == 0 && o.Tally.Waiting == 0
 }
 
 // Run plays the day with placers started by program, in a folder where its record and logs stay.
-func (d *Day) Run(dir string, program []string, out io.Writer) (*Outcome, error) {
-	c, err := Bring(d, dir, program)
+func (d *Scenario) Run(dir string, program []string, out io.Writer) (*Outcome, error) {
+	c, err := StartCluster(d, dir, program)
 	if err != nil {
 		return nil, err
 	}
@@ -43,10 +43,10 @@
 		defer say.Unlock()
 		fmt.Fprintf(out, "%6.1f s  %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, a...))
 	}
-	note("%d placers, %d machines in %d halls, %.0f submissions a second", len(c.Placers), len(c.Machines), len(d.Halls), d.Rate)
-	p := &player{Cluster: c, day: d, rng: rand.New(rand.NewPCG(d.Seed, 11)), note: note,
-		faults: map[int]func(string, protocol.Role, string) faultproxy.Fault{}}
-	c.Owners.Start(d.Rate, d.Seed)
+	note("%d placers, %d machines in %d halls, %.0f submissions a second", len(c.Schedulers), len(c.Machines), len(d.Zones), d.Rate)
+	p := &faultInjector{Cluster: c, scenario: d, rng: rand.New(rand.NewPCG(d.Seed, 11)), logf: note,
+		networkRules: map[int]func(string, protocol.Role, string) faultproxy.Fault{}}
+	c.Clients.Start(d.Rate, d.Seed)
 	over := make(chan struct{})
 	wait := func(s time.Duration) {
 		select {
@@ -54,9 +54,9 @@
 		case <-time.After(s):
 		}
 	}
-	o := &Outcome{Played: map[string]int{}, Status: map[string]map[string]float64{}}
+	o := &Outcome{Injected: map[string]int{}, Status: map[string]map[string]float64{}}
 	var playing sync.WaitGroup
-	for _, t := range d.Troubles {
+	for _, t := range d.Faults {
 		playing.Go(func() {
 			wait(t.At - time.Since(began))
 			select {
@@ -65,31 +65,31 @@
 			default:
 			}
 			say.Lock()
-			o.Played[t.Kind]++
+			o.Injected[t.Kind]++
 			say.Unlock()
-			note("%s%s", t.Kind, t.figures(d))
+			note("%s%s", t.Kind, t.describe(d))
 			troubles[t.Kind](p, t, wait)
 			note("%s: over", t.Kind)
 		})
 	}
 	time.Sleep(d.Length - time.Since(began))
 	close(over)
-	c.Owners.Rate(0)
+	c.Clients.Rate(0)
 	playing.Wait()
-	for end := time.Now().Add(d.Settle); c.Owners.Waiting() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(d.Settle); c.Clients.Waiting() > 0 && time.Now().Before(end); {
 		time.Sleep(20 * time.Millisecond)
 	}
-	for _, x := range c.Placers {
+	for _, x := range c.Schedulers {
 		if s, err := x.Status(); err == nil {
 			o.Status[x.Name] = s
 		}
 	}
 	for _, m := range c.Machines {
 		if s, ok := m.State(); ok && s.Fell {
-			o.Fell++
+			o.OverloadedMachines++
 		}
 	}
-	o.Tally = c.Owners.Close()
+	o.Tally = c.Clients.Close()
 	if err := c.Close(); err != nil {
 		return nil, fmt.Errorf("the record is not whole: %w", err)
 	}
@@ -99,16 +99,16 @@
 	return o, nil
 }
 
-func (t Trouble) figures(d *Day) string {
-	s := fmt.Sprintf(", for %.1f s", t.For.Seconds())
-	if t.Part > 0 {
-		s += fmt.Sprintf(", part %.2f", t.Part)
+func (t Fault) describe(d *Scenario) string {
+	s := fmt.Sprintf(", for %.1f s", t.Duration.Seconds())
+	if t.Fraction > 0 {
+		s += fmt.Sprintf(", part %.2f", t.Fraction)
 	}
 	if t.Size > 0 {
 		s += fmt.Sprintf(", size %.1f", t.Size)
 	}
 	if t.Kind == "hall cut off" || t.Kind == "hall restarts cold" {
-		s += ", " + d.Halls[t.Hall]
+		s += ", " + d.Zones[t.Zone]
 	}
 	return s
 }
@@ -135,9 +135,9 @@
 	}
 	fmt.Fprintf(out, "record: %d frames, %d submissions, %d offers, %d yeses; cold machines at most at %d of %d offers in a window, "+
 		"%d pushed over; last offer after a drain was told %.1f ms\n", j.Frames, j.Submitted, j.Offers, j.Accepted, j.SlowStartPeak,
-		j.SlowStartBudget, o.Fell, j.DrainLatency)
+		j.SlowStartBudget, o.OverloadedMachines, j.DrainLatency)
 	PrintViolations(out, j)
-	if o.Held() {
+	if o.Passed() {
 		fmt.Fprintf(out, "rules: kept, one final answer for each of %d containers\n", t.Submitted-t.NoAnswer-t.Unsent)
 	} else if j.Passed() {
 		fmt.Fprintf(out, "rules: kept on the record, but %d containers without an answer and %d answers too many\n", t.Waiting, t.Twice)
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -17,70 +17,70 @@
 	"glenport/scheduler"
 )
 
-// Day is a cluster, its load and its troubles.
-type Day struct {
-	Name       string
-	Seed       uint64
-	Length     time.Duration
-	Settle     time.Duration // after the last submission
-	Placers    int
-	Template   string // a placer's file
-	Rate       float64
-	Halls      []string
-	Counts     []kindCount
-	Machine    emulator.Shape
-	List       listShape
-	Works      []emulator.Work
-	DrainGrace scheduler.Time
-	Slack      scheduler.Time
-	Troubles   []Trouble
-	Extra      map[string]any // sections that every placer's file gets
+// Scenario is a cluster, its load and its troubles.
+type Scenario struct {
+	Name          string
+	Seed          uint64
+	Length        time.Duration
+	Settle        time.Duration // after the last submission
+	Schedulers    int
+	Template      string // a placer's file
+	Rate          float64
+	Zones         []string
+	MachineCounts []machineCount
+	Machine       emulator.Shape
+	List          listTiming
+	Workloads     []emulator.Work
+	DrainGrace    scheduler.Time
+	Slack         scheduler.Time
+	Faults        []Fault
+	ExtraConfig   map[string]any // sections that every placer's file gets
 }
 
-type kindCount struct {
-	kind string
-	each int
+type machineCount struct {
+	machineType string
+	perZone     int
 }
 
-type listShape struct {
-	Lag, Notice, Period time.Duration
-	Calls               int
+type listTiming struct {
+	Lag, DeathNotice, Period time.Duration
+	CallsPerSecond           int
 }
 
-// Trouble is one thing that goes wrong.
-type Trouble struct {
-	Kind string
-	At   time.Duration
-	For  time.Duration
-	Part float64 // of the machines, or what the kind says
-	Size float64
-	Hall int
+// Fault is one thing that goes wrong.
+type Fault struct {
+	Kind     string
+	At       time.Duration
+	Duration time.Duration
+	Fraction float64 // of the machines, or what the kind says
+	Size     float64
+	Zone     int
 }
 
-type dayFile struct {
-	Name       strictyaml.Word   `yaml:"name"`
-	Seed       strictyaml.Count  `yaml:"seed"`
-	Length     strictyaml.Span   `yaml:"length"`
-	Settle     strictyaml.Span   `yaml:"settle"`
-	Placers    strictyaml.Count  `yaml:"placers"`
-	Template   strictyaml.Word   `yaml:"placer_file"`
-	Rate       strictyaml.Number `yaml:"submissions_a_second"`
-	DrainGrace strictyaml.Span   `yaml:"drain_grace"`
-	Slack      strictyaml.Span   `yaml:"slack"`
-	Halls      []strictyaml.Word `yaml:"halls"`
-	Machines   []dayMachines     `yaml:"machines"`
-	Machine    dayMachine        `yaml:"machine"`
-	List       dayList           `yaml:"list"`
-	Work       []dayWork         `yaml:"work"`
-	Troubles   []dayTrouble      `yaml:"troubles"`
+type scenarioFile struct {
+	Name       strictyaml.Word       `yaml:"name"`
+	Seed       strictyaml.Count      `yaml:"seed"`
+	Length     strictyaml.Span       `yaml:"length"`
+	Settle     strictyaml.Span       `yaml:"settle"`
+	Placers    strictyaml.Count      `yaml:"placers"`
+	Template   strictyaml.Word       `yaml:"placer_file"`
+	Rate       strictyaml.Number     `yaml:"submissions_a_second"`
+	DrainGrace strictyaml.Span       `yaml:"drain_grace"`
+	Slack      strictyaml.Span       `yaml:"slack"`
+	Halls      []strictyaml.Word     `yaml:"halls"`
+	Machines   []machineGroupSection `yaml:"machines"`
+	Machine    machineSection        `yaml:"machine"`
+	List       listSection           `yaml:"list"`
+	Work       []workSection         `yaml:"work"`
+	Troubles   []faultSection        `yaml:"troubles"`
 }
 
-type dayMachines struct {
+type machineGroupSection struct {
 	Kind strictyaml.Word  `yaml:"kind"`
 	Each strictyaml.Count `yaml:"in_each_hall"`
 }
 
-type dayMachine struct {
+type machineSection struct {
 	Admit    strictyaml.Span   `yaml:"look_at_an_offer"`
 	Queue    strictyaml.Count  `yaml:"offers_may_wait"`
 	Starts   strictyaml.Count  `yaml:"starts_at_once"`
@@ -92,14 +92,14 @@
 	Drift    strictyaml.Number `yaml:"use_drifts"`
 }
 
-type dayList struct {
+type listSection struct {
 	Lag    strictyaml.Span  `yaml:"behind"`
 	Notice strictyaml.Span  `yaml:"notices_death_after"`
 	Period strictyaml.Span  `yaml:"looks_every"`
 	Calls  strictyaml.Count `yaml:"calls_a_second"`
 }
 
-type dayWork struct {
+type workSection struct {
 	Workload  strictyaml.Word     `yaml:"workload"`
 	Share     strictyaml.Number   `yaml:"share"`
 	Services  strictyaml.Count    `yaml:"services"`
@@ -110,7 +110,7 @@
 	AgainLost strictyaml.Flag     `yaml:"asked_again_when_unheard" settings:"may"`
 }
 
-type dayTrouble struct {
+type faultSection struct {
 	Kind strictyaml.Word   `yaml:"kind"`
 	At   strictyaml.Span   `yaml:"at"`
 	For  strictyaml.Span   `yaml:"for"`
@@ -119,15 +119,17 @@
 	Hall strictyaml.Word   `yaml:"hall" settings:"may"`
 }
 
-func span(s strictyaml.Span) time.Duration { return time.Duration(s.Tenths) * 100 * time.Microsecond }
+func duration(s strictyaml.Span) time.Duration {
+	return time.Duration(s.Tenths) * 100 * time.Microsecond
+}
 
-// LoadDay reads a day's file.
-func LoadDay(path string) (*Day, error) {
+// Load reads a day's file.
+func Load(path string) (*Scenario, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	var f dayFile
+	var f scenarioFile
 	src, err := strictyaml.Read(path, data, &f)
 	if err != nil {
 		return nil, err
@@ -160,26 +162,26 @@
 		}
 	}
 	m := &f.Machine
-	d := &Day{Name: f.Name.Text, Seed: uint64(f.Seed.Value), Length: span(f.Length), Settle: span(f.Settle),
-		Placers: f.Placers.Value, Template: filepath.Join(filepath.Dir(path), f.Template.Text), Rate: f.Rate.Value,
+	d := &Scenario{Name: f.Name.Text, Seed: uint64(f.Seed.Value), Length: duration(f.Length), Settle: duration(f.Settle),
+		Schedulers: f.Placers.Value, Template: filepath.Join(filepath.Dir(path), f.Template.Text), Rate: f.Rate.Value,
 		DrainGrace: scheduler.Time(f.DrainGrace.Tenths), Slack: scheduler.Time(f.Slack.Tenths),
-		Machine: emulator.Shape{Admit: span(m.Admit), Queue: m.Queue.Value, Starts: m.Starts.Value, Start: span(m.Start),
+		Machine: emulator.Shape{Admit: duration(m.Admit), Queue: m.Queue.Value, Starts: m.Starts.Value, Start: duration(m.Start),
 			Setup: m.Setup.Value, Kept: m.Kept.Value, ColdFrom: m.ColdFrom.Value, ColdBears: m.Bears.Value, Drift: m.Drift.Value},
-		List: listShape{span(f.List.Lag), span(f.List.Notice), span(f.List.Period), f.List.Calls.Value}}
+		List: listTiming{duration(f.List.Lag), duration(f.List.Notice), duration(f.List.Period), f.List.Calls.Value}}
 	for _, h := range f.Halls {
-		d.Halls = append(d.Halls, h.Text)
+		d.Zones = append(d.Zones, h.Text)
 	}
-	if len(d.Halls) == 0 || d.Placers == 0 || len(f.Machines) == 0 || len(f.Work) == 0 {
+	if len(d.Zones) == 0 || d.Schedulers == 0 || len(f.Machines) == 0 || len(f.Work) == 0 {
 		return nil, src.At(f.Name.Place, "a day needs halls, placers, machines and work")
 	}
 	for _, k := range f.Machines {
-		d.Counts = append(d.Counts, kindCount{k.Kind.Text, k.Each.Value})
+		d.MachineCounts = append(d.MachineCounts, machineCount{k.Kind.Text, k.Each.Value})
 	}
 	s, err := config.Load(d.Template)
 	if err != nil {
 		return nil, err
 	}
-	d.Works = make([]emulator.Work, len(s.Workloads))
+	d.Workloads = make([]emulator.Work, len(s.Workloads))
 	for _, w := range f.Work {
 		n, err := strictyaml.Choose(src, w.Workload, s.Workloads...)
 		if err != nil {
@@ -188,30 +190,30 @@
 		if len(w.Cores) == 0 || len(w.Cores) != len(w.Memory) || w.Services.Value == 0 {
 			return nil, src.At(w.Workload.Place, "work needs services, and as many memories as cores")
 		}
-		x := emulator.Work{Share: w.Share.Value, Services: w.Services.Value, Life: span(w.Life), Again: w.Again.Value,
+		x := emulator.Work{Share: w.Share.Value, Services: w.Services.Value, Life: duration(w.Life), Again: w.Again.Value,
 			AgainLost: w.AgainLost.Value, HardStop: time.Duration(s.Terms.WorkloadClasses[n].PlacementTimeout) * 100 * time.Microsecond}
 		for i := range w.Cores {
 			x.Cores, x.Memory = append(x.Cores, w.Cores[i].Value), append(x.Memory, w.Memory[i].GiB)
 		}
-		d.Works[n] = x
+		d.Workloads[n] = x
 	}
 	for _, t := range f.Troubles {
 		if troubles[t.Kind.Text] == nil {
-			return nil, src.At(t.Kind.Place, "%q is no trouble; there are %v", t.Kind.Text, kindsOfTrouble())
+			return nil, src.At(t.Kind.Place, "%q is no trouble; there are %v", t.Kind.Text, faultKinds())
 		}
-		x := Trouble{Kind: t.Kind.Text, At: span(t.At), For: span(t.For), Part: t.Part.Value, Size: t.Size.Value}
+		x := Fault{Kind: t.Kind.Text, At: duration(t.At), Duration: duration(t.For), Fraction: t.Part.Value, Size: t.Size.Value}
 		if t.Hall.Set() {
-			if x.Hall, err = strictyaml.Choose(src, t.Hall, d.Halls...); err != nil {
+			if x.Zone, err = strictyaml.Choose(src, t.Hall, d.Zones...); err != nil {
 				return nil, err
 			}
 		}
-		d.Troubles = append(d.Troubles, x)
+		d.Faults = append(d.Faults, x)
 	}
 	return d, nil
 }
 
-// shapes are the day's machines, hall by hall.
-func (d *Day) shapes(s *config.Placer) []emulator.Shape {
+// machineShapes are the day's machines, hall by hall.
+func (d *Scenario) machineShapes(s *config.Placer) []emulator.Shape {
 	var all []emulator.Shape
 	byName := map[string]int{}
 	for i, k := range s.Kinds {
@@ -222,13 +224,13 @@
 		needs = append(needs, w.MachineType)
 		rank = append(rank, int(w.PriorityWeight*100))
 	}
-	for z, hall := range d.Halls {
-		for _, c := range d.Counts {
-			for i := range c.each {
+	for z, hall := range d.Zones {
+		for _, c := range d.MachineCounts {
+			for i := range c.perZone {
 				m := d.Machine
-				n := byName[c.kind]
+				n := byName[c.machineType]
 				k := s.Terms.MachineTypes[n]
-				m.Name, m.Zone, m.ZoneN, m.KindN = fmt.Sprintf("%s-%s-%d", hall, c.kind, i), hall, z, n
+				m.Name, m.Zone, m.ZoneN, m.KindN = fmt.Sprintf("%s-%s-%d", hall, c.machineType, i), hall, z, n
 				m.CellN = z*1000 + i/4
 				m.Cores, m.Memory, m.AcceptCores, m.AcceptMemory = k.Cores, k.Memory, s.Terms.CoresOvercommit, s.Terms.MemoryOvercommit
 				m.ColdFor = time.Duration(s.Terms.SlowStartPeriod) * 100 * time.Microsecond
@@ -241,38 +243,38 @@
 	return all
 }
 
-// player plays troubles on a cluster.
-type player struct {
+// faultInjector plays troubles on a cluster.
+type faultInjector struct {
 	*Cluster
-	day *Day
-	rng *rand.Rand
+	scenario *Scenario
+	rng      *rand.Rand
 
-	mu     sync.Mutex
-	faults map[int]func(placer string, far protocol.Role, name string) faultproxy.Fault
-	last   int
-	note   func(format string, a ...any)
+	mu           sync.Mutex
+	networkRules map[int]func(placer string, far protocol.Role, name string) faultproxy.Fault
+	lastRule     int
+	logf         func(format string, a ...any)
 }
 
-// fault puts a rule of network faults in force and returns what ends it.
-func (p *player) fault(f func(placer string, far protocol.Role, name string) faultproxy.Fault) (end func()) {
+// addNetworkRule puts a rule of network faults in force and returns what ends it.
+func (p *faultInjector) addNetworkRule(f func(placer string, far protocol.Role, name string) faultproxy.Fault) (end func()) {
 	p.mu.Lock()
-	p.last++
-	n := p.last
-	p.faults[n] = f
+	p.lastRule++
+	n := p.lastRule
+	p.networkRules[n] = f
 	p.mu.Unlock()
-	p.apply()
+	p.applyNetworkRules()
 	return func() {
 		p.mu.Lock()
-		delete(p.faults, n)
+		delete(p.networkRules, n)
 		p.mu.Unlock()
-		p.apply()
+		p.applyNetworkRules()
 	}
 }
 
-func (p *player) apply() {
+func (p *faultInjector) applyNetworkRules() {
 	p.mu.Lock()
 	var all []func(string, protocol.Role, string) faultproxy.Fault
-	for _, f := range p.faults {
+	for _, f := range p.networkRules {
 		all = append(all, f)
 	}
 	p.mu.Unlock()
@@ -287,8 +289,8 @@
 	})
 }
 
-// some picks a part of the machines, one at least.
-func (p *player) some(part float64) []*emulator.Machine {
+// pickMachines picks a part of the machines, one at least.
+func (p *faultInjector) pickMachines(part float64) []*emulator.Machine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := max(1, int(part*float64(len(p.Machines))+0.5))
@@ -299,7 +301,7 @@
 	return out
 }
 
-func (p *player) hall(n int) (out []*emulator.Machine) {
+func (p *faultInjector) zoneMachines(n int) (out []*emulator.Machine) {
 	for _, m := range p.Machines {
 		if m.ZoneN == n {
 			out = append(out, m)
@@ -308,7 +310,7 @@
 	return out
 }
 
-func in(ms []*emulator.Machine) map[string]bool {
+func machineNames(ms []*emulator.Machine) map[string]bool {
 	names := map[string]bool{}
 	for _, m := range ms {
 		names[m.Name] = true
@@ -317,82 +319,82 @@
 }
 
 // troubles play one each; they return when the trouble is over. wait sleeps unless the day is over.
-var troubles = map[string]func(p *player, t Trouble, wait func(time.Duration)){
-	"crash": func(p *player, t Trouble, wait func(time.Duration)) {
-		p.restart(p.some(t.Part), t.For, wait)
+var troubles = map[string]func(p *faultInjector, t Fault, wait func(time.Duration)){
+	"crash": func(p *faultInjector, t Fault, wait func(time.Duration)) {
+		p.restart(p.pickMachines(t.Fraction), t.Duration, wait)
 	},
-	"hall restarts cold": func(p *player, t Trouble, wait func(time.Duration)) {
-		p.restart(p.hall(t.Hall), t.For, wait)
+	"hall restarts cold": func(p *faultInjector, t Fault, wait func(time.Duration)) {
+		p.restart(p.zoneMachines(t.Zone), t.Duration, wait)
 	},
-	"silence": func(p *player, t Trouble, wait func(time.Duration)) {
-		ms := p.some(t.Part)
+	"silence": func(p *faultInjector, t Fault, wait func(time.Duration)) {
+		ms := p.pickMachines(t.Fraction)
 		for _, m := range ms {
 			m.Freeze(true)
 		}
-		wait(t.For)
+		wait(t.Duration)
 		for _, m := range ms {
 			m.Freeze(false)
 		}
 	},
-	"silence, then cold": func(p *player, t Trouble, wait func(time.Duration)) {
-		ms := p.some(t.Part)
+	"silence, then cold": func(p *faultInjector, t Fault, wait func(time.Duration)) {
+		ms := p.pickMachines(t.Fraction)
 		for _, m := range ms {
 			m.Freeze(true)
 		}
-		wait(t.For)
+		wait(t.Duration)
 		p.restart(ms, 0, wait)
 	},
-	"half-open links": func(p *player, t Trouble, wait func(time.Duration)) {
-		names := in(p.some(t.Part))
-		end := p.fault(func(_ string, far protocol.Role, name string) faultproxy.Fault {
+	"half-open links": func(p *faultInjector, t Fault, wait func(time.Duration)) {
+		names := machineNames(p.pickMachines(t.Fraction))
+		end := p.addNetworkRule(func(_ string, far protocol.Role, name string) faultproxy.Fault {
 			return faultproxy.Fault{Cut: far == protocol.RoleMachine && names[name]}
 		})
-		wait(t.For)
+		wait(t.Duration)
 		end()
 	},
-	"hall cut off": func(p *player, t Trouble, wait func(time.Duration)) {
-		names := in(p.hall(t.Hall))
+	"hall cut off": func(p *faultInjector, t Fault, wait func(time.Duration)) {
+		names := machineNames(p.zoneMachines(t.Zone))
 		here := map[string]bool{}
-		for _, x := range p.Placers {
-			here[x.Name] = x.Hall == t.Hall
+		for _, x := range p.Schedulers {
+			here[x.Name] = x.Zone == t.Zone
 		}
-		end := p.fault(func(placer string, far protocol.Role, name string) faultproxy.Fault {
+		end := p.addNetworkRule(func(placer string, far protocol.Role, name string) faultproxy.Fault {
 			return faultproxy.Fault{Cut: far == protocol.RoleMachine && names[name] != here[placer]}
 		})
-		wait(t.For)
+		wait(t.Duration)
 		end()
 	},
-	"resets": func(p *player, t Trouble, wait func(time.Duration)) {
-		for end := t.For; end > 0; end -= time.Second {
-			names := in(p.some(t.Part))
+	"resets": func(p *faultInjector, t Fault, wait func(time.Duration)) {
+		for end := t.Duration; end > 0; end -= time.Second {
+			names := machineNames(p.pickMachines(t.Fraction))
 			p.Net.Reset(func(_ string, far protocol.Role, name string) bool { return far == protocol.RoleMachine && names[name] })
 			wait(min(end, time.Second))
 		}
 	},
-	"slow": func(p *player, t Trouble, wait func(time.Duration)) {
-		ms := p.some(t.Part)
+	"slow": func(p *faultInjector, t Fault, wait func(time.Duration)) {
+		ms := p.pickMachines(t.Fraction)
 		for _, m := range ms {
 			m.Slow(t.Size)
 		}
-		wait(t.For)
+		wait(t.Duration)
 		for _, m := range ms {
 			m.Slow(1)
 		}
 	},
-	"drain": func(p *player, t Trouble, wait func(time.Duration)) {
-		ms := p.some(t.Part)
+	"drain": func(p *faultInjector, t Fault, wait func(time.Duration)) {
+		ms := p.pickMachines(t.Fraction)
 		for _, m := range ms {
 			p.List.Mark(m, protocol.MachineDraining)
 			m.Drain(true, t.Size > 0)
 		}
-		wait(t.For)
+		wait(t.Duration)
 		for _, m := range ms {
 			p.List.Mark(m, protocol.MachineServing)
 			m.Drain(false, false)
 		}
 	},
-	"rolling deploy": func(p *player, t Trouble, wait func(time.Duration)) {
-		ms := p.some(t.Part)
+	"rolling deploy": func(p *faultInjector, t Fault, wait func(time.Duration)) {
+		ms := p.pickMachines(t.Fraction)
 		step := max(1, int(t.Size*float64(len(p.Machines))+0.5))
 		steps := (len(ms) + step - 1) / step
 		for len(ms) > 0 {
@@ -402,100 +404,100 @@
 				p.List.Mark(m, protocol.MachineDraining)
 				m.Drain(true, true)
 			}
-			wait(t.For / time.Duration(2*steps))
+			wait(t.Duration / time.Duration(2*steps))
 			for _, m := range now {
 				p.List.Mark(m, protocol.MachineServing)
 			}
-			p.restart(now, t.For/time.Duration(2*steps), wait)
+			p.restart(now, t.Duration/time.Duration(2*steps), wait)
 		}
 	},
-	"list away": func(p *player, t Trouble, wait func(time.Duration)) {
+	"list away": func(p *faultInjector, t Fault, wait func(time.Duration)) {
 		p.List.Away(true)
-		wait(t.For)
+		wait(t.Duration)
 		p.List.Away(false)
 	},
-	"list stale": func(p *player, t Trouble, wait func(time.Duration)) {
+	"list stale": func(p *faultInjector, t Fault, wait func(time.Duration)) {
 		p.List.Stale(time.Duration(t.Size * float64(time.Second)))
-		wait(t.For)
+		wait(t.Duration)
 		p.List.Stale(0)
 	},
-	"placers killed": func(p *player, t Trouble, wait func(time.Duration)) {
-		n := max(1, int(t.Part*float64(len(p.Placers))+0.5))
+	"placers killed": func(p *faultInjector, t Fault, wait func(time.Duration)) {
+		n := max(1, int(t.Fraction*float64(len(p.Schedulers))+0.5))
 		p.mu.Lock()
-		order := p.rng.Perm(len(p.Placers))[:min(n, len(p.Placers))]
+		order := p.rng.Perm(len(p.Schedulers))[:min(n, len(p.Schedulers))]
 		p.mu.Unlock()
 		for _, i := range order {
-			p.Kill(p.Placers[i])
+			p.KillScheduler(p.Schedulers[i])
 		}
-		wait(t.For)
+		wait(t.Duration)
 		for _, i := range order {
-			if err := p.Up(p.Placers[i]); err != nil {
-				p.note("placer %s did not come back: %v", p.Placers[i].Name, err)
+			if err := p.StartScheduler(p.Schedulers[i]); err != nil {
+				p.logf("placer %s did not come back: %v", p.Schedulers[i].Name, err)
 			}
 		}
 	},
-	"burst": func(p *player, t Trouble, wait func(time.Duration)) {
-		p.Owners.Rate(p.day.Rate * t.Size)
-		wait(t.For)
-		p.Owners.Rate(p.day.Rate)
+	"burst": func(p *faultInjector, t Fault, wait func(time.Duration)) {
+		p.Clients.Rate(p.scenario.Rate * t.Size)
+		wait(t.Duration)
+		p.Clients.Rate(p.scenario.Rate)
 	},
-	"asked again": func(p *player, t Trouble, wait func(time.Duration)) {
-		p.Owners.Reask(t.Part)
-		wait(t.For)
+	"asked again": func(p *faultInjector, t Fault, wait func(time.Duration)) {
+		p.Clients.Reask(t.Fraction)
+		wait(t.Duration)
 	},
-	"answers lost": func(p *player, t Trouble, wait func(time.Duration)) {
-		end := p.fault(func(_ string, far protocol.Role, _ string) faultproxy.Fault {
+	"answers lost": func(p *faultInjector, t Fault, wait func(time.Duration)) {
+		end := p.addNetworkRule(func(_ string, far protocol.Role, _ string) faultproxy.Fault {
 			if far == protocol.RoleMachine {
 				return faultproxy.Fault{LoseAnswers: t.Size}
 			}
 			return faultproxy.Fault{}
 		})
-		wait(t.For)
+		wait(t.Duration)
 		end()
 	},
-	"late network": func(p *player, t Trouble, wait func(time.Duration)) {
-		end := p.fault(func(string, protocol.Role, string) faultproxy.Fault {
+	"late network": func(p *faultInjector, t Fault, wait func(time.Duration)) {
+		end := p.addNetworkRule(func(string, protocol.Role, string) faultproxy.Fault {
 			return faultproxy.Fault{Delay: time.Duration(t.Size * float64(time.Millisecond))}
 		})
-		wait(t.For)
+		wait(t.Duration)
 		end()
 	},
-	"workload unanswered": func(p *player, t Trouble, wait func(time.Duration)) {
-		ms := p.some(t.Part)
+	"workload unanswered": func(p *faultInjector, t Fault, wait func(time.Duration)) {
+		ms := p.pickMachines(t.Fraction)
 		for _, m := range ms {
 			m.Shun(int(t.Size), true)
 		}
-		wait(t.For)
+		wait(t.Duration)
 		for _, m := range ms {
 			m.Shun(int(t.Size), false)
 		}
 	},
-	"customer turned away": func(p *player, t Trouble, wait func(time.Duration)) {
-		ms := p.some(t.Part)
+	"customer turned away": func(p *faultInjector, t Fault, wait func(time.Duration)) {
+		ms := p.pickMachines(t.Fraction)
 		for _, m := range ms {
 			m.Throttle(int(t.Size), true)
 		}
-		wait(t.For)
+		wait(t.Duration)
 		for _, m := range ms {
 			m.Throttle(int(t.Size), false)
 		}
 	},
-	"memory swells": func(p *player, t Trouble, wait func(time.Duration)) {
-		ms := p.some(t.Part)
+	"memory swells": func(p *faultInjector, t Fault, wait func(time.Duration)) {
+		ms := p.pickMachines(t.Fraction)
 		for _, m := range ms {
 			m.Swell(t.Size)
 		}
-		wait(t.For)
+		wait(t.Duration)
 		for _, m := range ms {
 			m.Swell(1)
 		}
 	},
-	"fleet grows": func(p *player, t Trouble, wait func(time.Duration)) {
-		p.restart(p.some(t.Part), t.For, wait)
+	"fleet grows": func(p *faultInjector, t Fault, wait func(time.Duration)) {
+		p.restart(p.pickMachines(t.Fraction), t.Duration, wait)
 	},
 }
 
-func kindsOfTrouble() []string {
+func faultKinds() []string {
 	var all []string
 	for k := range troubles {
 		all = append(all, k)
@@ -505,14 +507,14 @@
 }
 
 // restart takes machines down and up again, cold.
-func (p *player) restart(ms []*emulator.Machine, down time.Duration, wait func(time.Duration)) {
+func (p *faultInjector) restart(ms []*emulator.Machine, down time.Duration, wait func(time.Duration)) {
 	for _, m := range ms {
 		m.Crash()
 	}
 	wait(down)
 	for _, m := range ms {
 		if err := m.Up(false); err != nil {
-			p.note("machine %s did not come back: %v", m.Name, err)
+			p.logf("machine %s did not come back: %v", m.Name, err)
 		}
 	}
 }
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -34,12 +34,12 @@
 	os.Exit(m.Run())
 }
 
-func day(t *testing.T) *Day {
-	d, err := LoadDay("../../../scenarios/short.yaml")
+func day(t *testing.T) *Scenario {
+	d, err := Load("../../../scenarios/short.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Placers, d.Troubles = 1, nil
+	d.Schedulers, d.Faults = 1, nil
 	return d
 }
 
@@ -57,35 +57,35 @@
 func TestKilledWithBidsOut(t *testing.T) {
 	d, dir := day(t), t.TempDir()
 	d.Machine.Start, d.Machine.Queue, d.Machine.Starts, d.Machine.Setup = 150*time.Millisecond, 1000, 3, 1
-	d.Works = []emulator.Work{{}, {}, {Share: 1, Services: 400, Cores: []float64{0.1}, Memory: []float64{0.1}, Life: 30 * time.Second,
+	d.Workloads = []emulator.Work{{}, {}, {Share: 1, Services: 400, Cores: []float64{0.1}, Memory: []float64{0.1}, Life: 30 * time.Second,
 		HardStop: 4 * time.Second, Again: true, AgainLost: true}}
-	c, err := Bring(d, dir, []string{os.Args[0], "placer"})
+	c, err := StartCluster(d, dir, []string{os.Args[0], "placer"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	p := c.Placers[0]
-	c.Owners.Start(4000, 1)
+	p := c.Schedulers[0]
+	c.Clients.Start(4000, 1)
 	until(t, "500 bids out", func() bool {
 		s, err := p.Status()
 		return err == nil && s["bids"] > 500 && s["containers running"] > 20 && s["containers known"]-s["containers running"] > 500
 	})
-	c.Owners.Rate(0)
-	c.Kill(p)
+	c.Clients.Rate(0)
+	c.KillScheduler(p)
 	ran := 0
 	for _, m := range c.Machines {
 		s, _ := m.State()
 		ran += s.Running
 	}
-	if err := c.Up(p); err != nil {
+	if err := c.StartScheduler(p); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "what runs is taken over", func() bool {
 		s, err := p.Status()
 		return err == nil && int(s["containers taken over"]) >= ran
 	})
-	until(t, "what was lost is asked for again, and answered", func() bool { return c.Owners.Again() >= 400 && c.Owners.Waiting() == 0 })
-	tally := c.Owners.Close()
+	until(t, "what was lost is asked for again, and answered", func() bool { return c.Clients.Again() >= 400 && c.Clients.Waiting() == 0 })
+	tally := c.Clients.Close()
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -101,14 +101,14 @@
 // A hall is lost and comes back cold at the same addresses, under load, in a cluster of one process.
 func TestHallComesBack(t *testing.T) {
 	d, dir := day(t), t.TempDir()
-	d.Length, d.Placers = 3*time.Second, 2
-	d.Troubles = []Trouble{{Kind: "hall restarts cold", At: 500 * time.Millisecond, For: 300 * time.Millisecond, Hall: 1}}
+	d.Length, d.Schedulers = 3*time.Second, 2
+	d.Faults = []Fault{{Kind: "hall restarts cold", At: 500 * time.Millisecond, Duration: 300 * time.Millisecond, Zone: 1}}
 	var out bytes.Buffer
 	o, err := d.Run(dir, []string{os.Args[0], "placer"}, &out)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o.Print(&out); !o.Held() || o.Audit.SlowStartPeak == 0 || o.Tally.Lost == 0 {
+	if o.Print(&out); !o.Passed() || o.Audit.SlowStartPeak == 0 || o.Tally.Lost == 0 {
 		t.Error(out.String())
 	}
 }
@@ -131,7 +131,7 @@
 			os.WriteFile(filepath.Join(dir, "placer.yaml"), terms, 0o644)
 			path := filepath.Join(dir, "day.yaml")
 			os.WriteFile(path, []byte(strings.Replace(string(good), tc.old, tc.new, 1)), 0o644)
-			if _, err := LoadDay(path); err == nil || !strings.Contains(err.Error(), tc.want) {
+			if _, err := Load(path); err == nil || !strings.Contains(err.Error(), tc.want) {
 				t.Errorf("got %v, want %s", err, tc.want)
 			}
 		})
@@ -149,10 +149,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []Trouble{{Kind: "crash", At: time.Second, For: 500 * time.Millisecond, Part: 0.5},
-		{Kind: "placers killed", At: 2 * time.Second, For: time.Microsecond, Part: 0.5}}
-	if len(d.Troubles) != 2 || d.Troubles[0] != want[0] || d.Troubles[1] != want[1] || !strings.Contains(out.String(), "left out: report_late") {
-		t.Errorf("%+v\n%s", d.Troubles, out.String())
+	want := []Fault{{Kind: "crash", At: time.Second, Duration: 500 * time.Millisecond, Fraction: 0.5},
+		{Kind: "placers killed", At: 2 * time.Second, Duration: time.Microsecond, Fraction: 0.5}}
+	if len(d.Faults) != 2 || d.Faults[0] != want[0] || d.Faults[1] != want[1] || !strings.Contains(out.String(), "left out: report_late") {
+		t.Errorf("%+v\n%s", d.Faults, out.String())
 	}
 	os.WriteFile(path, []byte(`{}`), 0o644)
 	if _, err := LoadReplay(path, "../../../scenarios/short.yaml", 100, io.Discard); err == nil {
--- a/internal/testbed/scenario/sim_test.go
+++ b/internal/testbed/scenario/sim_test.go
@@ -7,27 +7,27 @@
 	"glenport/scheduler"
 )
 
-func simulatedOnce(d Damping) (*World, recoveryOf) {
-	w := &World{Seed: 1, Placers: 2, Machines: 12, Rate: 420, Length: 40 * scheduler.Second, Damping: d, Restart: 10, RestartAt: 8 * scheduler.Second,
+func simulatedOnce(d Damping) (*Simulation, goodputRecovery) {
+	w := &Simulation{Seed: 1, Schedulers: 2, Machines: 12, Rate: 420, Length: 40 * scheduler.Second, Damping: d, Restart: 10, RestartAt: 8 * scheduler.Second,
 		DownFor: 2 * scheduler.Second}
 	w.Run()
 	var good []float64
 	for _, s := range w.Seconds[:40] {
 		good = append(good, float64(s.Placed))
 	}
-	return w, judge(good, 8)
+	return w, evaluateGoodput(good, 8)
 }
 
 // Behind doors that narrow a small fleet comes back after a restart; without them what follows outlives its cause. The
 // same seed gives the same world.
 func TestStorm(t *testing.T) {
-	w, damped := simulatedOnce(Damped)
+	w, damped := simulatedOnce(Limited)
 	_, none := simulatedOnce(NoDamping)
-	again, _ := simulatedOnce(Damped)
+	again, _ := simulatedOnce(Limited)
 	if fmt.Sprint(w.Seconds) != fmt.Sprint(again.Seconds) {
 		t.Error("one seed, two outcomes")
 	}
-	if damped.back < 0 || damped.lost >= none.lost {
+	if damped.secondsToRecover < 0 || damped.lost >= none.lost {
 		t.Errorf("damped: %s; not: %s", damped, none)
 	} else {
 		t.Logf("damped: %s; not: %s", damped, none)
--- a/internal/testbed/scenario/storm.go
+++ b/internal/testbed/scenario/storm.go
@@ -15,29 +15,29 @@
 	"glenport/scheduler"
 )
 
-// StormTrial restarts most of a fleet at once under load, without damping, with clients that back off, and with
+// OverloadTrial restarts most of a fleet at once under load, without damping, with clients that back off, and with
 // glenport's doors, on a simulated clock and over sockets.
-type StormTrial struct {
-	Seeds   int // of the simulated form
-	Sockets int // runs of each form over sockets; 0: none
-	Ignore  float64
-	Program func(damped bool) []string
-	Out     io.Writer
+type OverloadTrial struct {
+	Seeds           int // of the simulated form
+	Sockets         int // runs of each form over sockets; 0: none
+	IgnoringClients float64
+	Program         func(damped bool) []string
+	Out             io.Writer
 }
 
-var dampings = []Damping{NoDamping, Exponential, Damped}
+var dampings = []Damping{NoDamping, Exponential, Limited}
 
 // recovery is how a run came through: seconds from the trouble until goodput was back, -1: it never was.
-type recoveryOf struct {
-	before, lowest float64 // goodput a second
-	back           int
-	lost           float64 // starts in time that were missed, against the time before
+type goodputRecovery struct {
+	before, lowest   float64 // goodput a second
+	secondsToRecover int
+	lost             float64 // starts in time that were missed, against the time before
 }
 
 // back judges a run by its goodput in each second: it is back when it reaches 95% of before and holds that over three
 // seconds on average.
-func judge(good []float64, trouble int) recoveryOf {
-	r := recoveryOf{lowest: math.Inf(1), back: -1}
+func evaluateGoodput(good []float64, trouble int) goodputRecovery {
+	r := goodputRecovery{lowest: math.Inf(1), secondsToRecover: -1}
 	for _, g := range good[2:trouble] {
 		r.before += g / float64(trouble-2)
 	}
@@ -47,39 +47,39 @@
 	}
 	for i := trouble + 2; i+3 <= len(good); i++ {
 		if good[i]+good[i+1]+good[i+2] >= 3*0.95*r.before {
-			r.back = i - trouble
+			r.secondsToRecover = i - trouble
 			break
 		}
 	}
 	return r
 }
 
-func (r recoveryOf) String() string {
+func (r goodputRecovery) String() string {
 	back := "never in the run (metastable)"
-	if r.back >= 0 {
-		back = fmt.Sprintf("back after %d s", r.back)
+	if r.secondsToRecover >= 0 {
+		back = fmt.Sprintf("back after %d s", r.secondsToRecover)
 	}
 	return fmt.Sprintf("in time %.0f a second before, at worst %.0f, %s, %.0f starts in time lost", r.before, r.lowest, back, r.lost)
 }
 
 // Run returns whether glenport came back in every run, sooner than the others or with fewer starts lost.
-func (t *StormTrial) Run(day *Day, dir string) (bool, error) {
-	ok := t.simulated()
-	ok = t.calm() && ok
-	t.restarted()
+func (t *OverloadTrial) Run(day *Scenario, dir string) (bool, error) {
+	ok := t.runSimulations()
+	ok = t.runCalm() && ok
+	t.runSchedulerRestarts()
 	for i := range t.Sockets {
-		var all []recoveryOf
+		var all []goodputRecovery
 		for _, d := range dampings {
-			r, kept, err := t.sockets(day, filepath.Join(dir, fmt.Sprintf("%s-%d", d, i)), d, uint64(i))
+			r, kept, err := t.runSockets(day, filepath.Join(dir, fmt.Sprintf("%s-%d", d, i)), d, uint64(i))
 			if err != nil {
 				return false, err
 			}
-			fmt.Fprintf(t.Out, "sockets, %d placers, damping %-11s: %s\n", day.Placers, d, r)
+			fmt.Fprintf(t.Out, "sockets, %d placers, damping %-11s: %s\n", day.Schedulers, d, r)
 			all = append(all, r)
 			ok = ok && kept
 		}
 		glenport := all[len(all)-1]
-		ok = ok && glenport.back >= 0
+		ok = ok && glenport.secondsToRecover >= 0
 		for _, other := range all[:len(all)-1] {
 			ok = ok && glenport.lost < other.lost
 		}
@@ -87,11 +87,11 @@
 	return ok, nil
 }
 
-// simulated plays the world for each seed and damping; the dampings of a seed have the same clients.
-func (t *StormTrial) simulated() bool {
+// runSimulations plays the world for each seed and damping; the dampings of a seed have the same clients.
+func (t *OverloadTrial) runSimulations() bool {
 	ok := true
-	for _, ignore := range []float64{0, t.Ignore} {
-		all := map[Damping][]recoveryOf{}
+	for _, ignore := range []float64{0, t.IgnoringClients} {
+		all := map[Damping][]goodputRecovery{}
 		began := time.Now()
 		acts, kept, honored := 0, 0, 0
 		for seed := range t.Seeds {
@@ -99,7 +99,7 @@
 			var each sync.WaitGroup
 			for _, d := range dampings {
 				each.Go(func() {
-					w := &World{Seed: uint64(seed + 1), Placers: 3, Machines: 24, Rate: 1200, Length: 60 * scheduler.Second, Damping: d, Ignore: ignore,
+					w := &Simulation{Seed: uint64(seed + 1), Schedulers: 3, Machines: 24, Rate: 1200, Length: 60 * scheduler.Second, Damping: d, IgnoringClients: ignore,
 						Restart: 20, RestartAt: 10 * scheduler.Second, DownFor: 2 * scheduler.Second}
 					w.Run()
 					var good []float64
@@ -108,9 +108,9 @@
 					}
 					mu.Lock()
 					defer mu.Unlock()
-					all[d] = append(all[d], judge(good, 10))
-					acts += w.Acts
-					kept, honored = kept+w.Kept, honored+w.Honored
+					all[d] = append(all[d], evaluateGoodput(good, 10))
+					acts += w.Actions
+					kept, honored = kept+w.ScheduledRetries, honored+w.AdmittedRetries
 				})
 			}
 			each.Wait()
@@ -119,10 +119,10 @@
 			var back []int
 			never, lost := 0, 0.0
 			for _, r := range all[d] {
-				if r.back < 0 {
+				if r.secondsToRecover < 0 {
 					never++
 				} else {
-					back = append(back, r.back)
+					back = append(back, r.secondsToRecover)
 				}
 				lost += r.lost / float64(len(all[d]))
 			}
@@ -133,42 +133,42 @@
 			}
 			fmt.Fprintf(t.Out, "simulated, 20 of 24 machines restart, %3.0f%% of the clients ignore advice, damping %-11s: %s, metastable in %d of %d; %.0f "+
 				"starts in time lost on average\n", 100*ignore, d, when, never, len(all[d]), lost)
-			if d == Damped && never > 0 {
+			if d == Limited && never > 0 {
 				ok = false
 			}
 		}
 		fmt.Fprintf(t.Out, "simulated: %d actions of the modules in %.1f s; %d appointments kept, at %.0f%% of them there was room\n", acts,
 			time.Since(began).Seconds(), kept, 100*float64(honored)/float64(max(1, kept)))
-		if mean(all[Damped]) >= min(mean(all[NoDamping]), mean(all[Exponential])) {
+		if meanLost(all[Limited]) >= min(meanLost(all[NoDamping]), meanLost(all[Exponential])) {
 			ok = false
 		}
 	}
 	return ok
 }
 
-// restarted lets all placers die two seconds after the machines are back, with and without what their doors knew.
-func (t *StormTrial) restarted() {
+// runSchedulerRestarts lets all placers die two seconds after the machines are back, with and without what their doors knew.
+func (t *OverloadTrial) runSchedulerRestarts() {
 	for _, forget := range []bool{false, true} {
-		w := &World{Seed: 1, Placers: 3, Machines: 24, Rate: 1200, Length: 60 * scheduler.Second, Damping: Damped, Restart: 20,
-			RestartAt: 10 * scheduler.Second, DownFor: 2 * scheduler.Second, PlacersDie: 14 * scheduler.Second, Forget: forget}
+		w := &Simulation{Seed: 1, Schedulers: 3, Machines: 24, Rate: 1200, Length: 60 * scheduler.Second, Damping: Limited, Restart: 20,
+			RestartAt: 10 * scheduler.Second, DownFor: 2 * scheduler.Second, SchedulersRestartAt: 14 * scheduler.Second, DropLimiterState: forget}
 		w.Run()
 		var good []float64
 		for _, s := range w.Seconds[:len(w.Seconds)-1] {
 			good = append(good, float64(s.Placed))
 		}
-		fmt.Fprintf(t.Out, "simulated, all placers die in the storm, what the doors knew is kept %-5v: %s\n", !forget, judge(good, 10))
+		fmt.Fprintf(t.Out, "simulated, all placers die in the storm, what the doors knew is kept %-5v: %s\n", !forget, evaluateGoodput(good, 10))
 	}
 }
 
-// calm plays an ordinary time without and with the door: it must turn next to nothing away and cost no start in time.
-func (t *StormTrial) calm() bool {
+// runCalm plays an ordinary time without and with the door: it must turn next to nothing away and cost no start in time.
+func (t *OverloadTrial) runCalm() bool {
 	var inTime, asked, shed [2]int
-	for i, d := range []Damping{NoDamping, Damped} {
-		w := &World{Seed: 5, Placers: 3, Machines: 24, Rate: 700, Length: 120 * scheduler.Second, Damping: d}
+	for i, d := range []Damping{NoDamping, Limited} {
+		w := &Simulation{Seed: 5, Schedulers: 3, Machines: 24, Rate: 700, Length: 120 * scheduler.Second, Damping: d}
 		w.Run()
 		for _, s := range w.Seconds {
 			inTime[i] += s.Placed
-			asked[i] += s.Asked
+			asked[i] += s.Submitted
 			shed[i] += s.Shed
 		}
 	}
@@ -178,19 +178,19 @@
 	return lost < 0.01
 }
 
-func mean(all []recoveryOf) (lost float64) {
+func meanLost(all []goodputRecovery) (lost float64) {
 	for _, r := range all {
 		lost += r.lost / float64(len(all))
 	}
 	return lost
 }
 
-// sockets plays it with real placers; kept tells whether the rules held and no machine was pushed over.
-func (t *StormTrial) sockets(day *Day, dir string, d Damping, seed uint64) (r recoveryOf, kept bool, err error) {
+// runSockets plays it with real placers; kept tells whether the rules held and no machine was pushed over.
+func (t *OverloadTrial) runSockets(day *Scenario, dir string, d Damping, seed uint64) (r goodputRecovery, kept bool, err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return r, false, err
 	}
-	c, err := Bring(day, dir, t.Program(d == Damped))
+	c, err := StartCluster(day, dir, t.Program(d == Limited))
 	if err != nil {
 		return r, false, err
 	}
@@ -201,25 +201,25 @@
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 8))
 	began := time.Now()
-	c.Owners.OnPlaced = func(kind int, took time.Duration) {
-		agreed := time.Duration(c.Site.Terms.WorkloadClasses[kind].LatencyObjective) * 100 * time.Microsecond
+	c.Clients.OnPlaced = func(kind int, took time.Duration) {
+		agreed := time.Duration(c.Config.Terms.WorkloadClasses[kind].LatencyObjective) * 100 * time.Microsecond
 		if at := int(time.Since(began).Seconds()); took <= agreed && at < length {
 			mu.Lock()
 			good[at]++
 			mu.Unlock()
 		}
 	}
-	c.Owners.Back = func(tries int, hold time.Duration) time.Duration { // called under the owners' lock
+	c.Clients.Back = func(tries int, hold time.Duration) time.Duration { // called under the owners' lock
 		switch {
-		case d == Exponential || d == Damped && hold == 0:
+		case d == Exponential || d == Limited && hold == 0:
 			span := 200 * time.Millisecond << min(tries+1, 7)
 			return span/2 + time.Duration(rng.Int64N(int64(span/2)))
-		case d == Damped:
+		case d == Limited:
 			return hold
 		}
 		return 50*time.Millisecond + time.Duration(rng.Int64N(int64(100*time.Millisecond)))
 	}
-	c.Owners.Start(day.Rate, day.Seed+seed)
+	c.Clients.Start(day.Rate, day.Seed+seed)
 	time.Sleep(time.Until(began.Add(trouble * time.Second)))
 	struck := c.Machines[:20]
 	for _, m := range struck {
@@ -232,8 +232,8 @@
 		}
 	}
 	time.Sleep(time.Until(began.Add(day.Length)))
-	c.Owners.Rate(0)
-	for end := time.Now().Add(day.Settle); c.Owners.Waiting() > 0 && time.Now().Before(end); {
+	c.Clients.Rate(0)
+	for end := time.Now().Add(day.Settle); c.Clients.Waiting() > 0 && time.Now().Before(end); {
 		time.Sleep(20 * time.Millisecond)
 	}
 	fell := 0
@@ -242,7 +242,7 @@
 			fell++
 		}
 	}
-	tally := c.Owners.Close()
+	tally := c.Clients.Close()
 	if err := c.Close(); err != nil {
 		return r, false, err
 	}
@@ -253,5 +253,5 @@
 	PrintViolations(t.Out, j)
 	fmt.Fprintf(t.Out, "  %d submitted (%d again), %d placed, %d pushed back, %d turned away, %d given up; %d machines pushed over, cold ones at most at "+
 		"%d of %d\n", tally.Submitted, tally.Again, tally.Placed, tally.PushedBack, tally.TurnedAway, tally.GivenUp, fell, j.SlowStartPeak, j.SlowStartBudget)
-	return judge(good, trouble), j.Passed() && fell == 0, nil
+	return evaluateGoodput(good, trouble), j.Passed() && fell == 0, nil
 }
--- a/internal/testbed/scenario/why.go
+++ b/internal/testbed/scenario/why.go
@@ -16,60 +16,60 @@
 // WhyTrial brings up a cluster with a keeper, makes work wait for known reasons, and compares what an owner reads
 // through the API with what the stand-ins themselves are like.
 type WhyTrial struct {
-	Cluster *Cluster
-	Cycles  int  // of draining and filling; each holds four changes
-	Steps   int  // how many of the trial's steps are played; 0: all
-	Lie     bool // read another code than the API tells, to show that the trial sees it
-	Out     io.Writer
+	Cluster  *Cluster
+	Cycles   int  // of draining and filling; each holds four changes
+	Steps    int  // how many of the trial's steps are played; 0: all
+	Sabotage bool // read another code than the API tells, to show that the trial sees it
+	Out      io.Writer
 
-	keeperProcess
+	controllerProcess
 	delays *hdrhistogram.Histogram
 	checks int
-	missed []string
+	misses []string
 }
 
-const whyWithin = time.Second
+const reasonLimit = time.Second
 
 // Run plays the trial; it returns whether all held.
-func (t *WhyTrial) Run(day *Day, dir string, program []string) (ok bool, err error) {
+func (t *WhyTrial) Run(day *Scenario, dir string, program []string) (ok bool, err error) {
 	t.delays = hdrhistogram.New(1, 60_000, 3) // milliseconds
-	if t.Cluster, err = Bring(day, dir, program); err != nil {
+	if t.Cluster, err = StartCluster(day, dir, program); err != nil {
 		return false, err
 	}
 	defer t.Cluster.Close()
-	if t.keeperProcess, err = newKeeper(dir, program[0], t.Cluster.ListAddr, t.Cluster.Placers, nil, ""); err != nil {
+	if t.controllerProcess, err = newController(dir, program[0], t.Cluster.ListAddr, t.Cluster.Schedulers, nil, ""); err != nil {
 		return false, err
 	}
-	defer t.stopKeeper()
+	defer t.terminate()
 	if err := t.start(len(t.Cluster.Machines)); err != nil {
 		return false, err
 	}
 	for i, step := range []struct {
 		name string
 		play func() error
-	}{{"drains and room", t.drainsAndRoom}, {"four reasons at once", t.four}, {"spread", t.spread}, {"guard", t.guard},
-		{"scaled down in the guard", t.scaledInGuard}, {"list away", t.listAway}, {"placers killed while the owner asks", t.placersGone}} {
+	}{{"drains and room", t.playDrainsAndRoom}, {"four reasons at once", t.playCombinedReasons}, {"spread", t.playSpread}, {"guard", t.playFencing},
+		{"scaled down in the guard", t.playScaleDownWhileFenced}, {"list away", t.playListUnavailable}, {"placers killed while the owner asks", t.playSchedulersKilled}} {
 		if t.Steps > 0 && i >= t.Steps {
 			break
 		}
 		began := time.Now()
-		before := len(t.missed)
+		before := len(t.misses)
 		if err := step.play(); err != nil {
 			return false, fmt.Errorf("%s: %w", step.name, err)
 		}
-		fmt.Fprintf(t.Out, "%-38s %5.1f s, %d missed\n", step.name, time.Since(began).Seconds(), len(t.missed)-before)
+		fmt.Fprintf(t.Out, "%-38s %5.1f s, %d missed\n", step.name, time.Since(began).Seconds(), len(t.misses)-before)
 	}
-	for i, m := range t.missed {
+	for i, m := range t.misses {
 		if i < 5 {
 			fmt.Fprintln(t.Out, "missed:", m)
 		}
 	}
 	fmt.Fprintf(t.Out, "%d changes: the true reason was read after p50 %d ms, p99 %d ms, worst %d ms\n", t.checks,
 		t.delays.ValueAtQuantile(50), t.delays.ValueAtQuantile(99), t.delays.Max())
-	return len(t.missed) == 0, nil
+	return len(t.misses) == 0, nil
 }
 
-type whyAnswer struct {
+type pendingReasons struct {
 	State   string
 	Reasons []struct {
 		Code    string
@@ -80,15 +80,15 @@
 }
 
 // codes reads a container's reasons.
-func (t *WhyTrial) codes(container string) (map[string]bool, whyAnswer, error) {
-	var a whyAnswer
+func (t *WhyTrial) codes(container string) (map[string]bool, pendingReasons, error) {
+	var a pendingReasons
 	if err := t.get("/v1/containers/"+container+"/why", &a); err != nil {
 		return nil, a, err
 	}
 	codes := map[string]bool{}
 	for _, r := range a.Reasons {
 		c := r.Code
-		if t.Lie {
+		if t.Sabotage {
 			c = map[string]string{"no_machine": "no_room", "no_room": "no_machine", "guard": "backing_off"}[c]
 		}
 		codes[c] = true
@@ -99,14 +99,14 @@
 // expect waits until the owner reads the codes wanted and none of those not, all of them ones that are judged; it
 // counts the delay from since, and misses what takes longer than a second.
 func (t *WhyTrial) expect(what, container string, since time.Time, want, not []string) error {
-	return t.judge(what, container, since, want, not, func(whyAnswer) bool { return true })
+	return t.expectMatching(what, container, since, want, not, func(pendingReasons) bool { return true })
 }
 
-// judge does so, and holds what was read against a further condition too.
-func (t *WhyTrial) judge(what, container string, since time.Time, want, not []string, holds func(whyAnswer) bool) error {
+// expectMatching does so, and holds what was read against a further condition too.
+func (t *WhyTrial) expectMatching(what, container string, since time.Time, want, not []string, holds func(pendingReasons) bool) error {
 	t.checks++
 	var last map[string]bool
-	var wrong whyAnswer
+	var wrong pendingReasons
 	for {
 		codes, a, err := t.codes(container)
 		if err != nil {
@@ -123,20 +123,20 @@
 		took := time.Since(since)
 		if right {
 			t.delays.RecordValue(max(1, took.Milliseconds()))
-			if took > whyWithin {
-				t.missed = append(t.missed, fmt.Sprintf("%s: the truth was read after %d ms, before that %s %+v", what, took.Milliseconds(),
+			if took > reasonLimit {
+				t.misses = append(t.misses, fmt.Sprintf("%s: the truth was read after %d ms, before that %s %+v", what, took.Milliseconds(),
 					wrong.State, wrong.Reasons))
 			}
 			return nil
 		}
 		wrong = a
-		if took > 5*whyWithin {
+		if took > 5*reasonLimit {
 			var got []string
 			for c := range last {
 				got = append(got, c)
 			}
 			sort.Strings(got)
-			t.missed = append(t.missed, fmt.Sprintf("%s: read [%s], true is [%s] and not [%s]", what, strings.Join(got, " "),
+			t.misses = append(t.misses, fmt.Sprintf("%s: read [%s], true is [%s] and not [%s]", what, strings.Join(got, " "),
 				strings.Join(want, " "), strings.Join(not, " ")))
 			t.delays.RecordValue(took.Milliseconds())
 			return nil
@@ -145,8 +145,8 @@
 	}
 }
 
-// fits counts, by the machines' own state, those that would take a container.
-func (t *WhyTrial) fits(cores, memory float64) int {
+// countFittingMachines counts, by the machines' own state, those that would take a container.
+func (t *WhyTrial) countFittingMachines(cores, memory float64) int {
 	n := 0
 	for _, m := range t.Cluster.Machines {
 		s, ok := m.State()
@@ -171,9 +171,9 @@
 	}
 }
 
-// drainsAndRoom changes the reason of one waiting container again and again: no room, then all that could run it
+// playDrainsAndRoom changes the reason of one waiting container again and again: no room, then all that could run it
 // drain, then no room, then room.
-func (t *WhyTrial) drainsAndRoom() error {
+func (t *WhyTrial) playDrainsAndRoom() error {
 	large := func(m *emulator.Machine) bool { return m.Kind == "large" || m.KindN == 1 }
 	n := 0
 	for _, m := range t.Cluster.Machines {
@@ -182,18 +182,18 @@
 		}
 	}
 	// Each large machine takes one container of 60 cores, of 96 that it accepts; the next needs 60 more.
-	if err := t.run("filler", "on-large", n, 60, 1); err != nil {
+	if err := t.createJob("filler", "on-large", n, 60, 1); err != nil {
 		return err
 	}
-	if err := t.running("filler", n); err != nil {
+	if err := t.waitRunning("filler", n); err != nil {
 		return err
 	}
 	for range t.Cycles {
-		if t.fits(60, 1) != 0 {
-			return fmt.Errorf("the fleet was to be full, and has room on %d", t.fits(60, 1))
+		if t.countFittingMachines(60, 1) != 0 {
+			return fmt.Errorf("the fleet was to be full, and has room on %d", t.countFittingMachines(60, 1))
 		}
 		since := time.Now()
-		if err := t.run("waits", "on-large", 1, 60, 1); err != nil {
+		if err := t.createJob("waits", "on-large", 1, 60, 1); err != nil {
 			return err
 		}
 		if err := t.expect("full", "waits.0", since, []string{"no_room"}, []string{"no_machine"}); err != nil {
@@ -210,20 +210,20 @@
 			return err
 		}
 		since = time.Now()
-		if err := t.do("PUT", "/v1/jobs/filler", jobText{"service": "filler", "workload": "on-large", "cores": 60, "memory_gib": 1,
+		if err := t.do("PUT", "/v1/jobs/filler", jobDocument{"service": "filler", "workload": "on-large", "cores": 60, "memory_gib": 1,
 			"count": n - 1, "run_for_ms": 3600_000}, nil); err != nil {
 			return err
 		}
-		if err := t.until("the stand-in has room", 5*time.Second, func() bool { return t.fits(60, 1) > 0 || t.count("waits", "running") > 0 }); err != nil {
+		if err := t.waitUntil("the stand-in has room", 5*time.Second, func() bool { return t.countFittingMachines(60, 1) > 0 || t.countContainers("waits", "running") > 0 }); err != nil {
 			return err
 		}
-		if since = time.Now(); t.count("waits", "running") == 0 {
+		if since = time.Now(); t.countContainers("waits", "running") == 0 {
 			// The machine with room may be left out for another reason: it drained a moment ago, and turned work
 			// away then. But no more machines may be told as full than are.
-			if err := t.judge("room", "waits.0", since, nil, []string{"no_machine"}, func(a whyAnswer) bool {
+			if err := t.expectMatching("room", "waits.0", since, nil, []string{"no_machine"}, func(a pendingReasons) bool {
 				for _, r := range a.Reasons {
 					if r.Code == "no_room" {
-						return int(r.Figures["full"]) == n-t.fits(60, 1)
+						return int(r.Figures["full"]) == n-t.countFittingMachines(60, 1)
 					}
 				}
 				return true
@@ -231,26 +231,26 @@
 				return err
 			}
 		}
-		if err := t.stop("waits"); err != nil {
+		if err := t.deleteJob("waits"); err != nil {
 			return err
 		}
-		if err := t.do("PUT", "/v1/jobs/filler", jobText{"service": "filler", "workload": "on-large", "cores": 60, "memory_gib": 1,
+		if err := t.do("PUT", "/v1/jobs/filler", jobDocument{"service": "filler", "workload": "on-large", "cores": 60, "memory_gib": 1,
 			"count": n, "run_for_ms": 3600_000}, nil); err != nil {
 			return err
 		}
-		if err := t.running("filler", n); err != nil {
+		if err := t.waitRunning("filler", n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// four makes a whole hall drain while the rest is full of what waits' own service and other work, so that several
+// playCombinedReasons makes a whole hall drain while the rest is full of what waits' own service and other work, so that several
 // reasons hold at once, each by the machines' own state.
-func (t *WhyTrial) four() error {
+func (t *WhyTrial) playCombinedReasons() error {
 	since := time.Now()
 	t.drain(true, func(m *emulator.Machine) bool { return m.ZoneN == 0 })
-	if err := t.run("waits", "on-large", 1, 60, 1); err != nil {
+	if err := t.createJob("waits", "on-large", 1, 60, 1); err != nil {
 		return err
 	}
 	if err := t.expect("a hall drains, the rest is full", "waits.0", since, []string{"hall_drains", "no_room", "backing_off"}, []string{"no_machine"}); err != nil {
@@ -264,23 +264,23 @@
 	}
 	t.Cluster.List.Away(false)
 	t.drain(false, func(m *emulator.Machine) bool { return m.ZoneN == 0 })
-	if err := t.stop("waits"); err != nil {
+	if err := t.deleteJob("waits"); err != nil {
 		return err
 	}
-	return t.stop("filler")
+	return t.deleteJob("filler")
 }
 
-// spread asks for more of a service than its spread leaves room for.
-func (t *WhyTrial) spread() error {
-	most := 2 * len(t.Cluster.Machines) * len(t.Cluster.Placers) // two a machine at each placer
-	if err := t.run("spread", "corpus-merge", most+4, 0.1, 0.1); err != nil {
+// playSpread asks for more of a service than its spread leaves room for.
+func (t *WhyTrial) playSpread() error {
+	most := 2 * len(t.Cluster.Machines) * len(t.Cluster.Schedulers) // two a machine at each placer
+	if err := t.createJob("spread", "corpus-merge", most+4, 0.1, 0.1); err != nil {
 		return err
 	}
-	if err := t.until("the spread is full", 60*time.Second, func() bool { return t.count("spread", "running") >= most-2 }); err != nil {
+	if err := t.waitUntil("the spread is full", 60*time.Second, func() bool { return t.countContainers("spread", "running") >= most-2 }); err != nil {
 		return err
 	}
 	// One placer's places may be full while the other has one; the true reason is that of the placer asked.
-	if err := t.until("both placers are full", 60*time.Second, func() bool { return t.count("spread", "running") == most }); err != nil {
+	if err := t.waitUntil("both placers are full", 60*time.Second, func() bool { return t.countContainers("spread", "running") == most }); err != nil {
 		return err
 	}
 	var all struct{ Items []struct{ ID string } }
@@ -290,16 +290,16 @@
 	if err := t.expect("spread full", all.Items[len(all.Items)-1].ID, time.Now(), []string{"spread_full"}, []string{"no_machine", "no_room"}); err != nil {
 		return err
 	}
-	return t.stop("spread")
+	return t.deleteJob("spread")
 }
 
-// guard loses the answer to an at-most-once bid: nothing may be done for the settling time, and then it is.
-func (t *WhyTrial) guard() error {
+// playFencing loses the answer to an at-most-once bid: nothing may be done for the settling time, and then it is.
+func (t *WhyTrial) playFencing() error {
 	for _, m := range t.Cluster.Machines {
 		m.Freeze(true)
 	}
 	since := time.Now()
-	if err := t.run("guarded", "corpus-merge", 2, 0.1, 0.1); err != nil {
+	if err := t.createJob("guarded", "corpus-merge", 2, 0.1, 0.1); err != nil {
 		return err
 	}
 	hardStop := 4 * time.Second
@@ -318,43 +318,43 @@
 		}
 	}
 	if left := time.Until(ends); left <= 0 || left > 9*time.Second {
-		t.missed = append(t.missed, fmt.Sprintf("the guard is said to end in %v", left))
+		t.misses = append(t.misses, fmt.Sprintf("the guard is said to end in %v", left))
 		return nil
 	}
 	time.Sleep(time.Until(ends))
 	if err := t.expect("the guard is over", "guarded.0", ends, nil, []string{"guard"}); err != nil {
 		return err
 	}
-	if err := t.running("guarded", 2); err != nil {
+	if err := t.waitRunning("guarded", 2); err != nil {
 		return err
 	}
-	return t.stop("guarded")
+	return t.deleteJob("guarded")
 }
 
-// scaledInGuard scales a job down while its containers are in the guard: none of them may be left running.
-func (t *WhyTrial) scaledInGuard() error {
+// playScaleDownWhileFenced scales a job down while its containers are in the guard: none of them may be left running.
+func (t *WhyTrial) playScaleDownWhileFenced() error {
 	// The freeze before has cost links; a bid over a link that does not stand provably never runs, and asks for no
 	// guard. So every machine is used once first.
-	n := 2 * len(t.Cluster.Machines) * len(t.Cluster.Placers)
-	if err := t.run("warm", "corpus-merge", n, 0.1, 0.1); err != nil {
+	n := 2 * len(t.Cluster.Machines) * len(t.Cluster.Schedulers)
+	if err := t.createJob("warm", "corpus-merge", n, 0.1, 0.1); err != nil {
 		return err
 	}
-	if err := t.until("every machine is in use again", 60*time.Second, func() bool { return t.count("warm", "running") == n }); err != nil {
+	if err := t.waitUntil("every machine is in use again", 60*time.Second, func() bool { return t.countContainers("warm", "running") == n }); err != nil {
 		return err
 	}
-	if err := t.stop("warm"); err != nil {
+	if err := t.deleteJob("warm"); err != nil {
 		return err
 	}
 	for _, m := range t.Cluster.Machines {
 		m.Freeze(true)
 	}
 	since := time.Now()
-	if err := t.run("shrinks", "corpus-merge", 2, 0.1, 0.1); err != nil {
+	if err := t.createJob("shrinks", "corpus-merge", 2, 0.1, 0.1); err != nil {
 		return err
 	}
 	err := t.expect("in the guard", "shrinks.1", since.Add(4*time.Second), []string{"guard"}, nil)
 	if err == nil {
-		err = t.do("PUT", "/v1/jobs/shrinks", jobText{"service": "shrinks", "workload": "corpus-merge", "cores": 0.1, "memory_gib": 0.1,
+		err = t.do("PUT", "/v1/jobs/shrinks", jobDocument{"service": "shrinks", "workload": "corpus-merge", "cores": 0.1, "memory_gib": 0.1,
 			"count": 0, "run_for_ms": 3600_000}, nil)
 	}
 	for _, m := range t.Cluster.Machines {
@@ -363,10 +363,10 @@
 	if err != nil {
 		return err
 	}
-	if err := t.stop("shrinks"); err != nil {
+	if err := t.deleteJob("shrinks"); err != nil {
 		return err
 	}
-	return t.until("nothing of it runs", 10*time.Second, func() bool {
+	return t.waitUntil("nothing of it runs", 10*time.Second, func() bool {
 		n := 0
 		for _, m := range t.Cluster.Machines {
 			if s, ok := m.State(); ok {
@@ -378,13 +378,13 @@
 }
 
 // waiting is a container that never runs: no machine is large enough.
-func (t *WhyTrial) waitsForever() error {
-	return t.run("huge", "matcher", 1, 500, 1)
+func (t *WhyTrial) createUnplaceableJob() error {
+	return t.createJob("huge", "matcher", 1, 500, 1)
 }
 
-func (t *WhyTrial) listAway() error {
+func (t *WhyTrial) playListUnavailable() error {
 	since := time.Now()
-	if err := t.waitsForever(); err != nil {
+	if err := t.createUnplaceableJob(); err != nil {
 		return err
 	}
 	if err := t.expect("too large for all", "huge.0", since, []string{"no_machine"}, []string{"no_room", "list_away"}); err != nil {
@@ -398,27 +398,27 @@
 	}
 	t.Cluster.List.Away(false)
 	// The placers ask again after a pause of their own; the reason must go within a second of their hearing it.
-	return t.until("the list is heard again", 10*time.Second, func() bool {
+	return t.waitUntil("the list is heard again", 10*time.Second, func() bool {
 		codes, _, err := t.codes("huge.0")
 		return err == nil && !codes["list_away"]
 	})
 }
 
-func (t *WhyTrial) placersGone() error {
+func (t *WhyTrial) playSchedulersKilled() error {
 	since := time.Now()
-	for _, p := range t.Cluster.Placers {
-		t.Cluster.Kill(p)
+	for _, p := range t.Cluster.Schedulers {
+		t.Cluster.KillScheduler(p)
 	}
 	if err := t.expect("all placers killed", "huge.0", since, []string{"no_placer"}, []string{"no_machine"}); err != nil {
 		return err
 	}
-	for _, p := range t.Cluster.Placers {
-		if err := t.Cluster.Up(p); err != nil {
+	for _, p := range t.Cluster.Schedulers {
+		if err := t.Cluster.StartScheduler(p); err != nil {
 			return err
 		}
 	}
 	if err := t.expect("and up again", "huge.0", time.Now(), nil, []string{"no_placer"}); err != nil {
 		return err
 	}
-	return t.stop("huge")
+	return t.deleteJob("huge")
 }
