--- a/internal/testbed/scenario/cluster.go
+++ b/internal/testbed/scenario/cluster.go
@@ -1,27 +1,27 @@
-// Package scenario brings up a cluster of stand-ins on loopback with real placers, plays a day's troubles on it and
-// has the record judged.
+// Package scenario starts clusters of emulated machines on loopback with real scheduler processes, injects the faults
+// of a scenario file and has the recording audited. It also holds the trials, which prove one subsystem each, the load
+// measurements and a simulation of schedulers on a virtual clock.
 package scenario
 
 import (
 	"fmt"
-	"net"
 	"os"
-	"os/exec"
 	"path/filepath"
-	"runtime"
-	"sync"
 	"syscall"
 	"time"
 
 	"glenport/internal/config"
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/audit"
 	"glenport/internal/testbed/emulator"
 	"glenport/internal/testbed/faultproxy"
-
-	"github.com/goccy/go-yaml"
 )
 
-// Cluster is a running one.
+// readyTimeout bounds the time until all schedulers know all machines.
+const readyTimeout = 20 * time.Second
+
+// Cluster is a running cluster: emulated machines, list and clients, real schedulers, and proxies between them that
+// record and inject faults.
 type Cluster struct {
 	Dir        string
 	Machines   []*emulator.Machine
@@ -29,274 +29,227 @@
 	Net        *faultproxy.Net
 	Clients    *emulator.Owners
 	Schedulers []*SchedulerProcess
-	Config     *config.Placer // of the first placer
-	ListAddr   string         // the list's own, without a tap
+	Config     *config.Placer // the template that the schedulers' settings derive from
+	ListAddr   string         // the list's own, without a proxy
 	recording  *faultproxy.Writer
 }
 
-// SchedulerProcess is a placer's process.
-type SchedulerProcess struct {
-	Name    string
-	Zone    int
-	Address string // its own; owners go through a tap
-	file    string
-	command []string
-	log     *os.File
-	mu      sync.Mutex
-	process *os.Process
-	exited  chan struct{}
-}
-
-// Start brings the process up and waits until its door answers.
-func (p *SchedulerProcess) Start() error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.process != nil {
-		return nil
+// StartCluster starts a scenario's cluster with its files in dir, and returns when all schedulers know all machines.
+func StartCluster(s *Scenario, dir string, program []string) (_ *Cluster, err error) {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
+		return nil, err
 	}
-	started := make(chan error, 1)
-	p.exited = make(chan struct{})
-	ended := p.exited
-	go func() { // the thread that starts a process must outlive it: its death is the process's
-		runtime.LockOSThread()
-		defer runtime.UnlockOSThread()
-		c := exec.Command(p.command[0], append(p.command[1:], "-c", p.file)...)
-		c.Stderr = p.log
-		c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-		if err := c.Start(); err != nil {
-			started <- err
-			return
+	c := &Cluster{Dir: dir}
+	defer func() {
+		if err != nil {
+			c.shutdown()
 		}
-		p.process = c.Process
-		started <- nil
-		c.Wait()
-		close(ended)
 	}()
-	if err := <-started; err != nil {
-		return err
+	template, err := os.ReadFile(s.Template)
+	if err != nil {
+		return nil, err
 	}
-	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		if c, err := net.Dial("tcp", p.Address); err == nil {
-			return c.Close()
-		}
-		select {
-		case <-ended:
-			return fmt.Errorf("placer %s ended at once; its log is %s", p.Name, p.log.Name())
-		default:
-		}
-		if time.Now().After(end) {
-			return fmt.Errorf("placer %s does not open its door", p.Name)
-		}
+	if c.Config, err = config.Parse(s.Template, template); err != nil {
+		return nil, err
 	}
-}
-
-// Stop ends the process by a signal and waits for its end.
-func (p *SchedulerProcess) Stop(s syscall.Signal) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.process == nil {
-		return
+	if err := c.startRecording(s); err != nil {
+		return nil, err
 	}
-	p.process.Signal(s)
-	select {
-	case <-p.exited:
-	case <-time.After(5 * time.Second):
-		p.process.Kill()
-		<-p.exited
+	proxies, err := c.startMachines(s)
+	if err != nil {
+		return nil, err
 	}
-	p.process = nil
-}
-
-// Running tells whether the process runs.
-func (p *SchedulerProcess) Running() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.process != nil
-}
-
-// Status asks the placer for its account.
-func (p *SchedulerProcess) Status() (map[string]float64, error) {
-	c, err := net.DialTimeout("tcp", p.Address, time.Second)
+	listProxy, err := c.startList(s.List, proxies)
 	if err != nil {
 		return nil, err
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	hello, _ := protocol.Append(nil, protocol.NewHello(protocol.RoleScheduler, "laboratory", 1))
-	ask, _ := protocol.Append(hello, &protocol.StatusRequest{})
-	c.Write(ask)
-	for {
-		f, err := protocol.ReadFrame(c, protocol.MaxFrame)
-		if err != nil {
+	c.Clients = &emulator.Owners{Works: s.Workloads, Customers: len(c.Config.Customers)}
+	for i := range s.Schedulers {
+		if err := c.addScheduler(s, i, template, listProxy, program); err != nil {
 			return nil, err
 		}
-		if s, ok := f.(*protocol.StatusReply); ok {
-			out := map[string]float64{}
-			for _, g := range s.Stats {
-				out[g.Name] = g.Value
-			}
-			return out, nil
-		}
 	}
+	return c, c.waitReady()
 }
 
-// freePort finds a port of the system's choice. It is closed again before the placer opens it, which leaves a
-// moment for another program to take it: the start then fails, with a word.
-func freePort() (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return "", err
+func (c *Cluster) startRecording(s *Scenario) (err error) {
+	terms := c.Config.Terms
+	terms.SchedulerCount = s.Schedulers
+	header := faultproxy.Header{Terms: terms, DrainGrace: s.DrainGrace, Slack: s.Slack}
+	if c.recording, err = faultproxy.Create(c.recordingPath(), header); err != nil {
+		return err
 	}
-	defer l.Close()
-	return l.Addr().String(), nil
+	c.Net = faultproxy.NewNet(c.recording, s.Seed)
+	return nil
 }
 
-// writeSchedulerConfig writes one placer's file after a template.
-func writeSchedulerConfig(template []byte, path string, extra, set map[string]any) (*config.Placer, error) {
-	var all map[string]any
-	if err := yaml.Unmarshal(template, &all); err != nil {
-		return nil, err
-	}
-	for k, v := range extra {
-		all[k] = v
-	}
-	for k, v := range set {
-		if m, ok := v.(map[string]any); ok {
-			old, _ := all[k].(map[string]any)
-			for kk, vv := range m {
-				if old != nil {
-					old[kk] = vv
-				}
-			}
-			continue
-		}
-		all[k] = v
-	}
-	data, err := yaml.Marshal(all)
-	if err != nil {
-		return nil, err
-	}
-	if err := os.WriteFile(path, data, 0o644); err != nil {
-		return nil, err
-	}
-	return config.Load(path)
-}
+func (c *Cluster) recordingPath() string { return filepath.Join(c.Dir, "record") }
 
-// StartCluster brings a day's cluster up, in a folder of its own.
-func StartCluster(d *Scenario, dir string, program []string) (c *Cluster, err error) {
-	c = &Cluster{Dir: dir}
-	begun := c
-	defer func() {
-		if err != nil {
-			begun.Close()
-		}
-	}()
-	template, err := os.ReadFile(d.Template)
-	if err != nil {
-		return nil, err
-	}
-	if c.Config, err = config.Parse(d.Template, template); err != nil {
-		return nil, err
-	}
-	terms := c.Config.Terms
-	terms.SchedulerCount = d.Schedulers
-	if c.recording, err = faultproxy.Create(filepath.Join(dir, "record"), faultproxy.Header{Terms: terms,
-		DrainGrace: d.DrainGrace, Slack: d.Slack}); err != nil {
-		return nil, err
-	}
-	c.Net = faultproxy.NewNet(c.recording, d.Seed)
-	groups := make([]*emulator.Group, len(d.Zones))
+// startMachines starts the machines and returns the address of the proxy before each.
+func (c *Cluster) startMachines(s *Scenario) (map[*emulator.Machine]string, error) {
+	groups := make([]*emulator.Group, len(s.Zones))
 	for i := range groups {
 		groups[i] = &emulator.Group{}
 	}
-	taps := map[*emulator.Machine]string{}
-	for i, s := range d.machineShapes(c.Config) {
-		m := emulator.NewMachine(s, groups[s.ZoneN], d.Seed+uint64(i))
+	proxies := map[*emulator.Machine]string{}
+	for i, shape := range s.machineShapes(c.Config) {
+		m := emulator.NewMachine(shape, groups[shape.ZoneN], s.Seed+uint64(i))
 		c.Machines = append(c.Machines, m)
 		if err := m.Up(true); err != nil {
 			return nil, err
 		}
-		if taps[m], err = c.Net.Tap(protocol.RoleMachine, m.Name, func() string { return m.Addr() }); err != nil {
+		proxy, err := c.Net.Tap(protocol.RoleMachine, m.Name, m.Addr)
+		if err != nil {
 			return nil, err
 		}
+		proxies[m] = proxy
 	}
-	c.List = &emulator.List{Lag: d.List.Lag, Notice: d.List.DeathNotice, Period: d.List.Period, CallsPS: d.List.CallsPerSecond,
-		Address: func(m *emulator.Machine) string { return taps[m] }}
-	list, err := c.List.Open(c.Machines)
-	if err != nil {
-		return nil, err
+	return proxies, nil
+}
+
+// startList starts the machine list, which knows machines by their proxies, and returns the address of its own proxy.
+func (c *Cluster) startList(timing listTiming, proxies map[*emulator.Machine]string) (proxy string, err error) {
+	c.List = &emulator.List{Lag: timing.Lag, Notice: timing.DeathNotice, Period: timing.Period, CallsPS: timing.CallsPerSecond,
+		Address: func(m *emulator.Machine) string { return proxies[m] }}
+	if c.ListAddr, err = c.List.Open(c.Machines); err != nil {
+		return "", err
 	}
-	c.ListAddr = list
-	listTap, err := c.Net.Tap(protocol.RoleMachineList, "list", func() string { return list })
+	address := c.ListAddr
+	return c.Net.Tap(protocol.RoleMachineList, "list", func() string { return address })
+}
+
+// addScheduler writes a scheduler's settings, starts it and opens the proxy by which clients reach it.
+func (c *Cluster) addScheduler(s *Scenario, index int, template []byte, listProxy string, program []string) error {
+	name := fmt.Sprint("placer-", index)
+	path := filepath.Join(c.Dir, name)
+	p, err := newSchedulerProcess(name, path+".yaml", path+".log", program)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	c.Clients = &emulator.Owners{Works: d.Workloads, Customers: len(c.Config.Customers)}
-	for i := range d.Schedulers {
-		p := &SchedulerProcess{Name: fmt.Sprint("placer-", i), Zone: i % len(d.Zones), command: program}
-		if p.Address, err = freePort(); err != nil {
-			return nil, err
-		}
-		p.file = filepath.Join(dir, p.Name+".yaml")
-		if p.log, err = os.Create(filepath.Join(dir, p.Name+".log")); err != nil {
-			return nil, err
-		}
-		if _, err = writeSchedulerConfig(template, p.file, d.ExtraConfig, map[string]any{"name": p.Name, "number": i, "placers": d.Schedulers,
-			"seed": int(d.Seed) + i, "door": p.Address, "state": filepath.Join(dir, p.Name+".state"),
-			"list": map[string]any{"address": listTap}}); err != nil {
-			return nil, err
-		}
-		door, err := c.Net.Tap(protocol.RoleClient, p.Name, func() string { return p.Address })
-		if err != nil {
-			return nil, err
-		}
-		c.Clients.Doors = append(c.Clients.Doors, door)
-		c.Schedulers = append(c.Schedulers, p)
-		if err = c.StartScheduler(p); err != nil {
-			return nil, err
-		}
+	p.Zone = index % len(s.Zones)
+	c.Schedulers = append(c.Schedulers, p)
+	if err := writeSchedulerConfig(template, p.file, s.ExtraConfig, map[string]any{
+		"name":    name,
+		"number":  index,
+		"placers": s.Schedulers,
+		"seed":    int(s.Seed) + index,
+		"door":    p.Address,
+		"state":   path + ".state",
+		"list":    map[string]any{"address": listProxy},
+	}); err != nil {
+		return err
+	}
+	proxy, err := c.Net.Tap(protocol.RoleClient, name, func() string { return p.Address })
+	if err != nil {
+		return err
 	}
-	return c, c.waitReady(d)
+	c.Clients.Doors = append(c.Clients.Doors, proxy)
+	return c.StartScheduler(p)
 }
 
-// waitReady waits until every placer knows every machine that is up.
-func (c *Cluster) waitReady(d *Scenario) error {
-	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		n := 0
-		for _, p := range c.Schedulers {
-			if s, err := p.Status(); err == nil && int(s["machines known"]) == len(c.Machines) && s["list version"] > 0 {
-				n++
+// waitReady waits until every scheduler knows every machine.
+func (c *Cluster) waitReady() error {
+	for end := time.Now().Add(readyTimeout); ; time.Sleep(20 * time.Millisecond) {
+		ready := 0
+		for _, stats := range c.statusByScheduler() {
+			if int(stats["machines known"]) == len(c.Machines) && stats["list version"] > 0 {
+				ready++
 			}
 		}
-		if n == len(c.Schedulers) {
+		if ready == len(c.Schedulers) {
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%d of %d placers know their %d machines after 20 s", n, len(c.Schedulers), len(c.Machines))
+			return fmt.Errorf("%d of %d placers know their %d machines after 20 s", ready, len(c.Schedulers), len(c.Machines))
 		}
 	}
 }
 
-// StartScheduler starts a placer; Kill ends it by SIGKILL. Both are noted in the record.
+// StartScheduler starts a scheduler and notes it in the recording.
 func (c *Cluster) StartScheduler(p *SchedulerProcess) error {
 	c.recording.Note(faultproxy.Started, p.Name)
 	return p.Start()
 }
 
+// KillScheduler ends a scheduler by SIGKILL and notes it in the recording, once what it sent last has passed the
+// proxies: it would otherwise be recorded as sent by the next incarnation.
 func (c *Cluster) KillScheduler(p *SchedulerProcess) {
 	p.Stop(syscall.SIGKILL)
-	c.Net.Quiet(p.Name) // or the next life would be taken for the sender of what this one sent last
+	c.Net.Quiet(p.Name)
 	c.recording.Note(faultproxy.Killed, p.Name)
 }
 
-// Close ends all that was started and finishes the record.
-func (c *Cluster) Close() error {
+// statusByScheduler returns the stats of each scheduler that answers, by its name.
+func (c *Cluster) statusByScheduler() map[string]map[string]float64 {
+	status := map[string]map[string]float64{}
 	for _, p := range c.Schedulers {
-		p.Stop(syscall.SIGTERM)
-		if p.log != nil {
-			p.log.Close()
+		if stats, err := p.Status(); err == nil {
+			status[p.Name] = stats
+		}
+	}
+	return status
+}
+
+// waitForReplies waits until no client waits for a reply, for a time at most.
+func (c *Cluster) waitForReplies(atMost time.Duration) {
+	for end := time.Now().Add(atMost); c.Clients.Waiting() > 0 && time.Now().Before(end); {
+		time.Sleep(20 * time.Millisecond)
+	}
+}
+
+// countOverloaded counts the machines that failed under load while in slow start.
+func (c *Cluster) countOverloaded() int {
+	n := 0
+	for _, m := range c.Machines {
+		if s, ok := m.State(); ok && s.Fell {
+			n++
 		}
 	}
+	return n
+}
+
+// machine returns the machine of a name.
+func (c *Cluster) machine(name string) (*emulator.Machine, error) {
+	for _, m := range c.Machines {
+		if m.Name == name {
+			return m, nil
+		}
+	}
+	return nil, fmt.Errorf("the cluster has no machine %q", name)
+}
+
+// countRunning counts the containers that run, by the machines' own state.
+func (c *Cluster) countRunning() int {
+	n := 0
+	for _, m := range c.Machines {
+		if s, ok := m.State(); ok {
+			n += s.Running
+		}
+	}
+	return n
+}
+
+// freezeAll stops all machines from answering, or lets them answer again.
+func (c *Cluster) freezeAll(frozen bool) {
+	for _, m := range c.Machines {
+		m.Freeze(frozen)
+	}
+}
+
+// CloseAndAudit closes the cluster and audits its recording.
+func (c *Cluster) CloseAndAudit() (*audit.Report, error) {
+	path := c.recordingPath()
+	if err := c.Close(); err != nil {
+		return nil, fmt.Errorf("the record is not whole: %w", err)
+	}
+	return audit.CheckRecording(path)
+}
+
+// Close ends all that was started and finishes the recording. It may be called again.
+func (c *Cluster) Close() error {
+	for _, p := range c.Schedulers {
+		p.close(syscall.SIGTERM)
+	}
 	if c.List != nil {
 		c.List.Close()
 	}
@@ -307,10 +260,13 @@
 		m.Close()
 	}
 	c.List, c.Net, c.Machines, c.Schedulers = nil, nil, nil, nil
-	if c.recording != nil {
-		r := c.recording
-		c.recording = nil
-		return r.Close()
+	if c.recording == nil {
+		return nil
 	}
-	return nil
+	recording := c.recording
+	c.recording = nil
+	return recording.Close()
 }
+
+// shutdown closes the cluster after a failure, or once Close has been called and its error reported.
+func (c *Cluster) shutdown() { _ = c.Close() }
--- a/internal/testbed/scenario/controller.go
+++ b/internal/testbed/scenario/controller.go
@@ -14,7 +14,20 @@
 	"time"
 )
 
-// controllerProcess is a keeper and its API.
+const (
+	controllerTimeout = 20 * time.Second // until a controller answers and knows all machines
+	jobTimeout        = 30 * time.Second // until a job runs or has ended
+	pageLimit         = 1000             // items that the API lists at most at once
+	hourMS            = 3600_000
+)
+
+// The states of a container in the API.
+const (
+	anyState     = ""
+	stateRunning = "running"
+)
+
+// controllerProcess is a controller's process and a client of its API.
 type controllerProcess struct {
 	api     string
 	program string
@@ -23,34 +36,59 @@
 	process *exec.Cmd
 }
 
-// newController writes a keeper's file beside that of the first placer. Doors are those of taps where any are given; with a
-// state folder the keeper keeps its jobs.
-func newController(dir, program, list string, placers []*SchedulerProcess, doors []string, state string) (k controllerProcess, err error) {
-	k = controllerProcess{program: program, file: filepath.Join(dir, "keeper.yaml"), log: filepath.Join(dir, "keeper.log")}
-	if k.api, err = freePort(); err != nil {
-		return k, err
+// jobSpec is a job as the API takes it.
+type jobSpec struct {
+	ID        string  `json:"id,omitempty"`
+	Service   string  `json:"service"`
+	Workload  string  `json:"workload"`
+	Cores     float64 `json:"cores"`
+	MemoryGiB float64 `json:"memory_gib"`
+	Count     int     `json:"count"`
+	RunForMS  int     `json:"run_for_ms"`
+}
+
+// newController writes a controller's settings file beside that of the first scheduler. It submits to addresses, or to
+// the schedulers' own where none are given; with a state folder it persists its jobs.
+func newController(dir, program, list string, schedulers []*SchedulerProcess, addresses []string, state string) (*controllerProcess, error) {
+	api, err := freePort()
+	if err != nil {
+		return nil, err
 	}
-	if doors == nil {
-		for _, p := range placers {
-			doors = append(doors, p.Address)
+	k := &controllerProcess{api: api, program: program, file: filepath.Join(dir, "keeper.yaml"), log: filepath.Join(dir, "keeper.log")}
+	if addresses == nil {
+		for _, p := range schedulers {
+			addresses = append(addresses, p.Address)
 		}
 	}
-	text := fmt.Sprintf("name: keeper\napi: %s\nplacer_file: %s\nlist: %s\ndoors: [%s]\n", k.api, filepath.Base(placers[0].file), list,
-		strings.Join(doors, ", "))
+	text := fmt.Sprintf("name: keeper\napi: %s\nplacer_file: %s\nlist: %s\ndoors: [%s]\n", k.api, filepath.Base(schedulers[0].file), list,
+		strings.Join(addresses, ", "))
 	if state != "" {
 		text += "state: " + state + "\n"
 	}
 	return k, os.WriteFile(k.file, []byte(text), 0o644)
 }
 
-// start brings it up and waits until it knows so many machines.
+// startController starts a controller before the cluster's schedulers and waits until it knows all machines.
+func (c *Cluster) startController(program string, addresses []string, state string) (*controllerProcess, error) {
+	k, err := newController(c.Dir, program, c.ListAddr, c.Schedulers, addresses, state)
+	if err != nil {
+		return nil, err
+	}
+	if err := k.start(len(c.Machines)); err != nil {
+		k.terminate()
+		return nil, err
+	}
+	return k, nil
+}
+
+// start starts the process and waits until it knows so many machines.
 func (k *controllerProcess) start(machines int) error {
 	if err := k.launch(); err != nil {
 		return err
 	}
-	return k.waitUntil("the keeper answers and knows all machines", 20*time.Second, func() bool {
+	return waitUntil("the keeper answers and knows all machines", controllerTimeout, func() bool {
 		var all struct{ Items []any }
-		return k.get("/v1/machines?limit=1000", &all) == nil && len(all.Items) == min(machines, 1000)
+		return k.get(fmt.Sprintf("/v1/machines?limit=%d", pageLimit), &all) == nil && len(all.Items) == min(machines, pageLimit)
 	})
 }
 
@@ -60,37 +98,42 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close()
+	defer closeQuietly(log) // the process has a descriptor of its own
 	k.process.Stderr = log
 	return k.process.Start()
 }
 
+// signal sends a signal that ends the process and waits for its exit.
 func (k *controllerProcess) signal(s syscall.Signal) {
 	if k.process != nil && k.process.Process != nil {
-		k.process.Process.Signal(s)
-		k.process.Wait()
+		_ = k.process.Process.Signal(s) // fails only if the process has exited already
+		_ = k.process.Wait()            // a process that was killed has no clean exit
 	}
 }
 
 func (k *controllerProcess) terminate() { k.signal(syscall.SIGTERM) }
 
-func (k *controllerProcess) waitUntil(what string, within time.Duration, holds func() bool) error {
-	for end := time.Now().Add(within); !holds(); time.Sleep(10 * time.Millisecond) {
+// waitUntil waits until a condition holds, for a time at most.
+func waitUntil(what string, atMost time.Duration, holds func() bool) error {
+	for end := time.Now().Add(atMost); !holds(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			return fmt.Errorf("not within %v: %s", within, what)
+			return fmt.Errorf("not within %v: %s", atMost, what)
 		}
 	}
 	return nil
 }
 
-func (k *controllerProcess) get(path string, into any) error { return k.do("GET", path, nil, into) }
+func (k *controllerProcess) get(path string, into any) error {
+	return k.do(http.MethodGet, path, nil, into)
+}
 
+// do sends a request and decodes its response, unless into is nil.
 func (k *controllerProcess) do(method, path string, in, into any) error {
 	status, data, err := k.request(method, path, "", in)
 	if err != nil {
 		return err
 	}
-	if status >= 400 {
+	if status >= http.StatusBadRequest {
 		return fmt.Errorf("%s %s: %s", method, path, data)
 	}
 	if into != nil {
@@ -99,66 +142,97 @@
 	return nil
 }
 
-// changeJob changes a job, by a key that a repeat has too, and returns the job's version.
+// changeJob changes a job, by an idempotency key that a retry has too, and returns the job's version.
 func (k *controllerProcess) changeJob(method, path, key string, in any) (status int, version int64, err error) {
 	status, data, err := k.request(method, path, key, in)
-	var j struct{ Version int64 }
-	if err == nil && status < 300 && len(data) > 0 {
-		err = json.Unmarshal(data, &j)
+	var job struct{ Version int64 }
+	if err == nil && status < http.StatusMultipleChoices && len(data) > 0 {
+		err = json.Unmarshal(data, &job)
 	}
-	return status, j.Version, err
+	return status, job.Version, err
 }
 
 func (k *controllerProcess) request(method, path, key string, in any) (status int, data []byte, err error) {
 	var body io.Reader
 	if in != nil {
-		p, _ := json.Marshal(in)
-		body = bytes.NewReader(p)
+		encoded, err := json.Marshal(in)
+		if err != nil {
+			return 0, nil, err
+		}
+		body = bytes.NewReader(encoded)
 	}
-	r, err := http.NewRequest(method, "http://"+k.api+path, body)
+	request, err := http.NewRequest(method, "http://"+k.api+path, body)
 	if err != nil {
 		return 0, nil, err
 	}
 	if key != "" {
-		r.Header.Set("Idempotency-Key", key)
+		request.Header.Set("Idempotency-Key", key)
 	}
-	a, err := http.DefaultClient.Do(r)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer a.Body.Close()
-	data, err = io.ReadAll(a.Body)
-	return a.StatusCode, data, err
+	defer closeQuietly(response.Body)
+	data, err = io.ReadAll(response.Body)
+	return response.StatusCode, data, err
 }
 
-type jobDocument map[string]any
+// watch opens a watch of a kind of object, one JSON line for each event.
+func (k *controllerProcess) watch(kind string) (io.ReadCloser, error) {
+	response, err := http.Get("http://" + k.api + "/v1/watch?kinds=" + kind)
+	if err != nil {
+		return nil, err
+	}
+	return response.Body, nil
+}
 
+// createJob creates a job whose service has the job's name.
 func (k *controllerProcess) createJob(id, workload string, count int, cores, memory float64) error {
-	return k.do("POST", "/v1/jobs", jobDocument{"id": id, "service": id, "workload": workload, "cores": cores, "memory_gib": memory,
-		"count": count, "run_for_ms": 3600_000}, nil)
+	return k.do(http.MethodPost, "/v1/jobs", newJobSpec(id, workload, count, cores, memory), nil)
+}
+
+// replaceJob replaces a job by one whose service has the job's name.
+func (k *controllerProcess) replaceJob(id, workload string, count int, cores, memory float64) error {
+	return k.do(http.MethodPut, "/v1/jobs/"+id, newJobSpec(id, workload, count, cores, memory), nil)
 }
 
+func newJobSpec(id, workload string, count int, cores, memory float64) jobSpec {
+	return jobSpec{ID: id, Service: id, Workload: workload, Cores: cores, MemoryGiB: memory, Count: count, RunForMS: hourMS}
+}
+
+// deleteJob deletes a job and waits until its containers have ended.
 func (k *controllerProcess) deleteJob(id string) error {
-	if err := k.do("DELETE", "/v1/jobs/"+id, nil, nil); err != nil {
+	if err := k.do(http.MethodDelete, "/v1/jobs/"+id, nil, nil); err != nil {
 		return err
 	}
-	return k.waitUntil(id+" has ended", 30*time.Second, func() bool { return k.countContainers(id, "") == 0 })
+	return waitUntil(id+" has ended", jobTimeout, func() bool { return k.countContainers(id, anyState) == 0 })
 }
 
+// countContainers counts a job's containers in a state; it returns -1 if the API does not answer.
 func (k *controllerProcess) countContainers(job, state string) int {
 	var all struct{ Items []struct{ State string } }
-	if k.get("/v1/containers?limit=1000&field=job="+job, &all) != nil {
+	if k.get(fmt.Sprintf("/v1/containers?limit=%d&field=job=%s", pageLimit, job), &all) != nil {
 		return -1
 	}
 	n := 0
-	for _, c := range all.Items {
-		if state == "" || c.State == state {
+	for _, container := range all.Items {
+		if state == anyState || container.State == state {
 			n++
 		}
 	}
 	return n
 }
 
+// countByState counts the containers of all jobs in a state; it returns -1 if the API does not answer.
+func (k *controllerProcess) countByState(state string) int {
+	var all struct{ Items []any }
+	if k.get(fmt.Sprintf("/v1/containers?limit=%d&field=state=%s", pageLimit, state), &all) != nil {
+		return -1
+	}
+	return len(all.Items)
+}
+
+// waitRunning waits until exactly n containers of a job run.
 func (k *controllerProcess) waitRunning(job string, n int) error {
-	return k.waitUntil(fmt.Sprintf("%d of %s run", n, job), 30*time.Second, func() bool { return k.countContainers(job, "running") == n })
+	return waitUntil(fmt.Sprintf("%d of %s run", n, job), jobTimeout, func() bool { return k.countContainers(job, stateRunning) == n })
 }
--- a/internal/testbed/scenario/crash_check.go
+++ b/internal/testbed/scenario/crash_check.go
@@ -81,7 +81,7 @@
 func encodeState(s *wal.State) string {
 	model := map[string]string{}
 	for _, kind := range s.Kinds() {
-		s.ForEach(kind, func(k string, v []byte) error {
+		_ = s.ForEach(kind, func(k string, v []byte) error { // only the callback, which does not fail, may fail
 			model[kind+"/"+k] = string(v)
 			return nil
 		})
@@ -91,7 +91,7 @@
 
 // recoverState recovers a folder and tells what it holds.
 func (c *CrashCheck) recoverState(d *faultfs.FS) (string, error) {
-	s, _, err := wal.Open(d, wal.Options{SkipChecksums: c.Sabotage == "checksum"})
+	s, _, err := wal.Open(d, wal.Options{SkipChecksums: c.Sabotage == SabotageChecksum})
 	if err != nil {
 		return "", err
 	}
@@ -99,68 +99,110 @@
 	return held, s.Close()
 }
 
-// Run returns what was found to be wrong first, or nil.
+// add adds another check's counts.
+func (c *CrashCheck) add(other *CrashCheck) {
+	c.Operations += other.Operations
+	c.States += other.States
+	c.SecondCrashes += other.SecondCrashes
+	c.BitFlips += other.BitFlips
+	c.Refused += other.Refused
+}
+
+// crashPoint is a crash after one of the operations of a history.
+type crashPoint struct {
+	after   int // operations
+	commits []commitPoint
+	floor   int // the last commit that must be found
+	ceiling int // the last commit that may be found
+}
+
+func newCrashPoint(after int, commits []commitPoint) crashPoint {
+	point := crashPoint{after: after, commits: commits}
+	for i, m := range commits {
+		if i > 0 && m.lastOperation <= after && m.durable {
+			point.floor = i
+		}
+		if i > 0 && m.firstOperation < after {
+			point.ceiling = i
+		}
+	}
+	return point
+}
+
+// Run returns the first violation found, or nil.
 func (c *CrashCheck) Run() error {
 	d := faultfs.New()
-	d.IgnoreSync = c.Sabotage == "sync"
-	moments, err := c.history(d)
+	d.IgnoreSync = c.Sabotage == SabotageSync
+	commits, err := c.history(d)
 	if err != nil {
 		return err
 	}
 	c.Operations = d.OperationCount()
 	r := rand.New(rand.NewPCG(c.Seed, 4))
-	for at := 0; at <= c.Operations; at++ {
-		floor, ceiling := 0, 0
-		for i, m := range moments {
-			if i > 0 && m.lastOperation <= at && m.durable {
-				floor = i
-			}
-			if i > 0 && m.firstOperation < at {
-				ceiling = i
-			}
+	for after := 0; after <= c.Operations; after++ {
+		if err := c.checkPoint(d, newCrashPoint(after, commits), r); err != nil {
+			return err
 		}
-		fates := []faultfs.Survival{faultfs.LoseUnsynced, faultfs.KeepUnsynced}
-		for range c.RandomStates {
-			fates = append(fates, faultfs.KeepSome(r))
+	}
+	return c.flipBits(d, commits, r)
+}
+
+// secondCrashEach is the interval of operations at which every state is crashed a second time; at the others only the
+// last one is.
+const secondCrashEach = 7
+
+// checkPoint recovers from the states that a crash may leave: all unsynced lost, all kept, and some drawn at random.
+func (c *CrashCheck) checkPoint(d *faultfs.FS, point crashPoint, r *rand.Rand) error {
+	survivals := []faultfs.Survival{faultfs.LoseUnsynced, faultfs.KeepUnsynced}
+	for range c.RandomStates {
+		survivals = append(survivals, faultfs.KeepSome(r))
+	}
+	for n, survival := range survivals {
+		crashed := d.Crash(point.after, survival)
+		before := crashed.OperationCount()
+		recovered, err := c.recoverState(crashed)
+		if err != nil {
+			return fmt.Errorf("crash after operation %d of %d, fate %d: not opened: %w", point.after, c.Operations, n, err)
 		}
-		for n, fate := range fates {
-			left := d.Crash(at, fate)
-			before := left.OperationCount()
-			held, err := c.recoverState(left)
-			if err != nil {
-				return fmt.Errorf("crash after operation %d of %d, fate %d: not opened: %w", at, c.Operations, n, err)
-			}
-			c.States++
-			if err := checkRecoveredState(held, moments, floor, ceiling); err != nil {
-				return fmt.Errorf("crash after operation %d of %d, fate %d: %w", at, c.Operations, n, err)
-			}
-			if n < len(fates)-1 && at%7 != 0 {
-				continue
-			}
-			for again := before; again <= left.OperationCount(); again++ { // a second crash, during the recovery from the first
-				twice, err := c.recoverState(left.Crash(again, faultfs.KeepSome(r)))
-				if err != nil {
-					return fmt.Errorf("crash after operation %d, and again after %d of its recovery: not opened: %w", at, again-before, err)
-				}
-				c.SecondCrashes++
-				if err := checkRecoveredState(twice, moments, floor, ceiling); err != nil {
-					return fmt.Errorf("crash after operation %d, and again after %d of its recovery: %w", at, again-before, err)
-				}
-			}
+		c.States++
+		if err := point.check(recovered); err != nil {
+			return fmt.Errorf("crash after operation %d of %d, fate %d: %w", point.after, c.Operations, n, err)
+		}
+		if n < len(survivals)-1 && point.after%secondCrashEach != 0 {
+			continue
+		}
+		if err := c.crashRecovery(crashed, before, point, r); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// crashRecovery crashes the recovery from a crash after each of its operations.
+func (c *CrashCheck) crashRecovery(crashed *faultfs.FS, before int, point crashPoint, r *rand.Rand) error {
+	for again := before; again <= crashed.OperationCount(); again++ {
+		recovered, err := c.recoverState(crashed.Crash(again, faultfs.KeepSome(r)))
+		if err != nil {
+			return fmt.Errorf("crash after operation %d, and again after %d of its recovery: not opened: %w", point.after, again-before, err)
+		}
+		c.SecondCrashes++
+		if err := point.check(recovered); err != nil {
+			return fmt.Errorf("crash after operation %d, and again after %d of its recovery: %w", point.after, again-before, err)
 		}
 	}
-	return c.flipBits(d, moments, r)
+	return nil
 }
 
-func checkRecoveredState(held string, moments []commitPoint, floor, ceiling int) error {
-	for i := floor; i <= ceiling; i++ {
-		if moments[i].state == held {
+// check reports a recovered state that the crash may not leave.
+func (p crashPoint) check(recovered string) error {
+	for i := p.floor; i <= p.ceiling; i++ {
+		if p.commits[i].state == recovered {
 			return nil
 		}
 	}
-	for i := range moments {
-		if moments[i].state == held {
-			return fmt.Errorf("the state is that after commit %d; kept were all up to %d, begun %d", i, floor, ceiling)
+	for i := range p.commits {
+		if p.commits[i].state == recovered {
+			return fmt.Errorf("the state is that after commit %d; kept were all up to %d, begun %d", i, p.floor, p.ceiling)
 		}
 	}
 	return errors.New("the state is that after no commit")
@@ -168,9 +210,12 @@
 
 // flipBits turns single bits over in what a clean end left. Each must be refused, but in the last group: there it
 // cannot be told from a group that a crash cut off, and the state before it is found.
-func (c *CrashCheck) flipBits(d *faultfs.FS, moments []commitPoint, r *rand.Rand) error {
-	names, _ := d.List()
-	last := len(moments) - 1
+func (c *CrashCheck) flipBits(d *faultfs.FS, commits []commitPoint, r *rand.Rand) error {
+	names, err := d.List()
+	if err != nil {
+		return err
+	}
+	last := len(commits) - 1
 	for _, name := range names {
 		p, err := d.Read(name)
 		if err != nil {
@@ -187,7 +232,7 @@
 			switch {
 			case err != nil:
 				c.Refused++
-			case held != moments[last].state && held != moments[last-1].state:
+			case held != commits[last].state && held != commits[last-1].state:
 				return fmt.Errorf("bit %d of %s turned over: opened without a word, and what was kept is not there", bit, name)
 			}
 		}
--- a/internal/testbed/scenario/crash_check_test.go
+++ b/internal/testbed/scenario/crash_check_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// Every crash leaves what was kept, and the laboratory sees a store that does not sync, or trusts what it reads.
-func TestCrashes(t *testing.T) {
+// The check finds a log that does not sync, and one that does not check what it reads.
+func TestCrashLeavesWhatWasCommitted(t *testing.T) {
 	for _, tc := range []struct {
-		spoil string
-		ok    bool
-	}{{"", true}, {"sync", false}, {"checksum", false}} {
-		t.Run("spoilt: "+tc.spoil, func(t *testing.T) {
-			c := &CrashCheck{Seed: 1, Commits: 40, RandomStates: 6, Sabotage: tc.spoil}
+		sabotage string
+		ok       bool
+	}{{"", true}, {SabotageSync, false}, {SabotageChecksum, false}} {
+		t.Run("sabotage: "+tc.sabotage, func(t *testing.T) {
+			c := &CrashCheck{Seed: 1, Commits: 40, RandomStates: 6, Sabotage: tc.sabotage}
 			err := c.Run()
 			if (err == nil) != tc.ok {
 				t.Errorf("%v", err)
--- /dev/null
+++ b/internal/testbed/scenario/file.go
@@ -0,0 +1,224 @@
+package scenario
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"time"
+
+	"glenport/internal/config"
+	"glenport/internal/config/strictyaml"
+	"glenport/internal/testbed/emulator"
+	"glenport/scheduler"
+)
+
+// tick is the resolution of times in settings files and in the scheduler's decisions.
+const tick = 100 * time.Microsecond
+
+type scenarioFile struct {
+	Name       strictyaml.Word       `yaml:"name"`
+	Seed       strictyaml.Count      `yaml:"seed"`
+	Length     strictyaml.Span       `yaml:"length"`
+	Settle     strictyaml.Span       `yaml:"settle"`
+	Placers    strictyaml.Count      `yaml:"placers"`
+	Template   strictyaml.Word       `yaml:"placer_file"`
+	Rate       strictyaml.Number     `yaml:"submissions_a_second"`
+	DrainGrace strictyaml.Span       `yaml:"drain_grace"`
+	Slack      strictyaml.Span       `yaml:"slack"`
+	Halls      []strictyaml.Word     `yaml:"halls"`
+	Machines   []machineGroupSection `yaml:"machines"`
+	Machine    machineSection        `yaml:"machine"`
+	List       listSection           `yaml:"list"`
+	Work       []workSection         `yaml:"work"`
+	Troubles   []faultSection        `yaml:"troubles"`
+}
+
+type machineGroupSection struct {
+	Kind strictyaml.Word  `yaml:"kind"`
+	Each strictyaml.Count `yaml:"in_each_hall"`
+}
+
+type machineSection struct {
+	Admit    strictyaml.Span   `yaml:"look_at_an_offer"`
+	Queue    strictyaml.Count  `yaml:"offers_may_wait"`
+	Starts   strictyaml.Count  `yaml:"starts_at_once"`
+	Start    strictyaml.Span   `yaml:"start"`
+	Setup    strictyaml.Number `yaml:"first_start_times"`
+	Kept     strictyaml.Count  `yaml:"programs_kept"`
+	ColdFrom strictyaml.Number `yaml:"cold_pace"`
+	Bears    strictyaml.Count  `yaml:"cold_bears"`
+	Drift    strictyaml.Number `yaml:"use_drifts"`
+}
+
+type listSection struct {
+	Lag    strictyaml.Span  `yaml:"behind"`
+	Notice strictyaml.Span  `yaml:"notices_death_after"`
+	Period strictyaml.Span  `yaml:"looks_every"`
+	Calls  strictyaml.Count `yaml:"calls_a_second"`
+}
+
+type workSection struct {
+	Workload  strictyaml.Word     `yaml:"workload"`
+	Share     strictyaml.Number   `yaml:"share"`
+	Services  strictyaml.Count    `yaml:"services"`
+	Cores     []strictyaml.Number `yaml:"cores"`
+	Memory    []strictyaml.Memory `yaml:"memory"`
+	Life      strictyaml.Span     `yaml:"life"`
+	Again     strictyaml.Flag     `yaml:"asked_again"`
+	AgainLost strictyaml.Flag     `yaml:"asked_again_when_unheard" settings:"may"`
+}
+
+type faultSection struct {
+	Kind strictyaml.Word   `yaml:"kind"`
+	At   strictyaml.Span   `yaml:"at"`
+	For  strictyaml.Span   `yaml:"for"`
+	Part strictyaml.Number `yaml:"part" settings:"may"`
+	Size strictyaml.Number `yaml:"size" settings:"may"`
+	Hall strictyaml.Word   `yaml:"hall" settings:"may"`
+}
+
+func duration(s strictyaml.Span) time.Duration { return time.Duration(s.Tenths) * tick }
+
+// Load reads a scenario file. An error names the file, the line and the key.
+func Load(path string) (*Scenario, error) {
+	data, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	var file scenarioFile
+	source, err := strictyaml.Read(path, data, &file)
+	if err != nil {
+		return nil, err
+	}
+	if err := file.checkRequired(source); err != nil {
+		return nil, err
+	}
+	s := file.scenario(path)
+	if len(s.Zones) == 0 || s.Schedulers == 0 || len(file.Machines) == 0 || len(file.Work) == 0 {
+		return nil, source.At(file.Name.Place, "a day needs halls, placers, machines and work")
+	}
+	settings, err := config.Load(s.Template)
+	if err != nil {
+		return nil, err
+	}
+	if s.Workloads, err = file.workloads(source, settings); err != nil {
+		return nil, err
+	}
+	if s.Faults, err = file.faults(source, s.Zones); err != nil {
+		return nil, err
+	}
+	return s, nil
+}
+
+// checkRequired reports the first key that a section lacks.
+func (f *scenarioFile) checkRequired(source *strictyaml.File) error {
+	type section struct {
+		path  string
+		value any
+	}
+	sections := []section{{"", *f}, {"machine", f.Machine}, {"list", f.List}}
+	for i := range f.Machines {
+		sections = append(sections, section{fmt.Sprintf("machines[%d]", i), f.Machines[i]})
+	}
+	for i := range f.Work {
+		sections = append(sections, section{fmt.Sprintf("work[%d]", i), f.Work[i]})
+	}
+	for i := range f.Troubles {
+		sections = append(sections, section{fmt.Sprintf("troubles[%d]", i), f.Troubles[i]})
+	}
+	for _, s := range sections {
+		if err := strictyaml.Needed(source, s.path, s.value); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// scenario converts all but the workloads and faults, which refer to names from elsewhere.
+func (f *scenarioFile) scenario(path string) *Scenario {
+	s := &Scenario{
+		Name:       f.Name.Text,
+		Seed:       uint64(f.Seed.Value),
+		Length:     duration(f.Length),
+		Settle:     duration(f.Settle),
+		Schedulers: f.Placers.Value,
+		Template:   filepath.Join(filepath.Dir(path), f.Template.Text),
+		Rate:       f.Rate.Value,
+		DrainGrace: scheduler.Time(f.DrainGrace.Tenths),
+		Slack:      scheduler.Time(f.Slack.Tenths),
+		Machine:    f.Machine.shape(),
+		List:       listTiming{duration(f.List.Lag), duration(f.List.Notice), duration(f.List.Period), f.List.Calls.Value},
+	}
+	for _, zone := range f.Halls {
+		s.Zones = append(s.Zones, zone.Text)
+	}
+	for _, m := range f.Machines {
+		s.MachineCounts = append(s.MachineCounts, machineCount{m.Kind.Text, m.Each.Value})
+	}
+	return s
+}
+
+func (m *machineSection) shape() emulator.Shape {
+	return emulator.Shape{
+		Admit:     duration(m.Admit),
+		Queue:     m.Queue.Value,
+		Starts:    m.Starts.Value,
+		Start:     duration(m.Start),
+		Setup:     m.Setup.Value,
+		Kept:      m.Kept.Value,
+		ColdFrom:  m.ColdFrom.Value,
+		ColdBears: m.Bears.Value,
+		Drift:     m.Drift.Value,
+	}
+}
+
+// workloads returns the load of each workload class, in the order of the scheduler's settings.
+func (f *scenarioFile) workloads(source *strictyaml.File, settings *config.Placer) ([]emulator.Work, error) {
+	workloads := make([]emulator.Work, len(settings.Workloads))
+	for _, section := range f.Work {
+		class, err := strictyaml.Choose(source, section.Workload, settings.Workloads...)
+		if err != nil {
+			return nil, err
+		}
+		if len(section.Cores) == 0 || len(section.Cores) != len(section.Memory) || section.Services.Value == 0 {
+			return nil, source.At(section.Workload.Place, "work needs services, and as many memories as cores")
+		}
+		workloads[class] = section.work(settings.Terms.WorkloadClasses[class])
+	}
+	return workloads, nil
+}
+
+func (s *workSection) work(class scheduler.WorkloadClass) emulator.Work {
+	work := emulator.Work{
+		Share:     s.Share.Value,
+		Services:  s.Services.Value,
+		Life:      duration(s.Life),
+		Again:     s.Again.Value,
+		AgainLost: s.AgainLost.Value,
+		HardStop:  time.Duration(class.PlacementTimeout) * tick,
+	}
+	for i := range s.Cores {
+		work.Cores = append(work.Cores, s.Cores[i].Value)
+		work.Memory = append(work.Memory, s.Memory[i].GiB)
+	}
+	return work
+}
+
+func (f *scenarioFile) faults(source *strictyaml.File, zones []string) ([]Fault, error) {
+	var faults []Fault
+	for _, section := range f.Troubles {
+		if injectors[section.Kind.Text] == nil {
+			return nil, source.At(section.Kind.Place, "%q is no trouble; there are %v", section.Kind.Text, faultKinds())
+		}
+		fault := Fault{Kind: section.Kind.Text, At: duration(section.At), Duration: duration(section.For),
+			Fraction: section.Part.Value, Size: section.Size.Value}
+		if section.Hall.Set() {
+			var err error
+			if fault.Zone, err = strictyaml.Choose(source, section.Hall, zones...); err != nil {
+				return nil, err
+			}
+		}
+		faults = append(faults, fault)
+	}
+	return faults, nil
+}
--- a/internal/testbed/scenario/load_bgp.go
+++ b/internal/testbed/scenario/load_bgp.go
@@ -14,107 +14,154 @@
 	"glenport/internal/testbed/emulator"
 )
 
-// MeasureBGP has one speaker tell so many prefixes to so many peers, and then change a tenth of them while one peer
-// reads slowly; all in this process.
+// bgpBench is a speaker in this process and its emulated peers.
+type bgpBench struct {
+	prefixes int
+	peers    []*emulator.BGPPeer
+	loop     *eventloop.Loop
+	loopEnd  chan error
+	speaker  *speaker.Speaker
+}
+
+// MeasureBGP has one speaker announce so many prefixes to so many peers, and then change a tenth of them while one peer
+// reads slowly.
 func MeasureBGP(prefixes, peers int, out io.Writer) error {
-	place := speaker.Config{AS: 65001, ID: [4]byte{192, 0, 2, 5}, Services: map[string]announce.Service{}}
-	var all []*emulator.BGPPeer
+	b := &bgpBench{prefixes: prefixes}
+	defer b.close()
+	if err := b.start(peers); err != nil {
+		return err
+	}
+	if err := b.measureAnnouncements(out); err != nil {
+		return err
+	}
+	time.Sleep(1100 * time.Millisecond) // the least interval between two updates of a route
+	return b.measureWithdrawals(out)
+}
+
+func (b *bgpBench) start(peers int) error {
+	config := speaker.Config{AS: 65001, ID: [4]byte{192, 0, 2, 5}, Services: map[string]announce.Service{}}
 	for i := range peers {
 		p := &emulator.BGPPeer{AS: 65000, ID: [4]byte{192, 0, 3, byte(i)}, Hold: 90 * time.Second, Helps: 10 * time.Second}
-		addr, err := p.Open()
+		address, err := p.Open()
 		if err != nil {
 			return err
 		}
-		defer p.Close()
-		all = append(all, p)
-		place.Peers = append(place.Peers, speaker.PeerConfig{Addr: addr, AS: 65000, Hold: 900_000, Families: []wire.Family{wire.IPv4},
+		b.peers = append(b.peers, p)
+		config.Peers = append(config.Peers, speaker.PeerConfig{Addr: address, AS: 65000, Hold: 900_000, Families: []wire.Family{wire.IPv4},
 			Allow: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}})
 	}
-	hop := netip.MustParseAddr("192.0.2.5")
-	name := func(i int) string { return fmt.Sprint("s", i) }
-	for i := range prefixes {
-		place.Services[name(i)] = announce.Service{Prefix: netip.PrefixFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 32), NextHop: hop}
+	nextHop := netip.MustParseAddr("192.0.2.5")
+	for i := range b.prefixes {
+		address := netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)})
+		config.Services[benchService(i)] = announce.Service{Prefix: netip.PrefixFrom(address, 32), NextHop: nextHop}
 	}
-	l, err := eventloop.New(func() {})
-	if err != nil {
+	if err := b.startSpeaker(config); err != nil {
 		return err
 	}
-	done := make(chan error, 1)
-	go func() { done <- l.Run() }()
-	defer func() { l.Stop(); <-done }()
-	on := func(f func()) {
-		ready := make(chan struct{})
-		l.Post(func() { f(); close(ready) })
-		<-ready
+	return b.waitForPeers("session", b.peers, (*emulator.BGPPeer).Up)
+}
+
+func benchService(i int) string { return fmt.Sprint("s", i) }
+
+func (b *bgpBench) startSpeaker(config speaker.Config) (err error) {
+	if b.loop, err = eventloop.New(func() {}); err != nil {
+		return err
 	}
-	var s *speaker.Speaker
-	on(func() {
-		s = speaker.New(l, place, slog.New(slog.NewTextHandler(io.Discard, nil)))
-		err = s.Start()
+	b.loopEnd = make(chan error, 1)
+	go func() { b.loopEnd <- b.loop.Run() }()
+	b.onLoop(func() {
+		b.speaker = speaker.New(b.loop, config, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		err = b.speaker.Start()
 	})
-	if err != nil {
-		return err
+	return err
+}
+
+func (b *bgpBench) close() {
+	if b.loopEnd != nil {
+		b.loop.Stop()
+		<-b.loopEnd // the error of a loop that was stopped says nothing about the measurement
 	}
-	wait := func(what string, holds func(p *emulator.BGPPeer) bool) error {
-		for end := time.Now().Add(60 * time.Second); ; time.Sleep(time.Millisecond) {
-			n := 0
-			for _, p := range all {
-				if holds(p) {
-					n++
-				}
-			}
-			if n == len(all) {
-				return nil
-			}
-			if time.Now().After(end) {
-				return fmt.Errorf("%d of %d peers after 60 s: %s", n, len(all), what)
+	for _, p := range b.peers {
+		p.Close()
+	}
+}
+
+// onLoop calls f on the event loop and waits for its end.
+func (b *bgpBench) onLoop(f func()) {
+	done := make(chan struct{})
+	b.loop.Post(func() {
+		f()
+		close(done)
+	})
+	<-done
+}
+
+// waitForPeers waits until a condition holds for all of some peers.
+func (b *bgpBench) waitForPeers(what string, peers []*emulator.BGPPeer, holds func(*emulator.BGPPeer) bool) error {
+	for end := time.Now().Add(time.Minute); ; time.Sleep(time.Millisecond) {
+		n := 0
+		for _, p := range peers {
+			if holds(p) {
+				n++
 			}
 		}
+		if n == len(peers) {
+			return nil
+		}
+		if time.Now().After(end) {
+			return fmt.Errorf("%d of %d peers after 60 s: %s", n, len(peers), what)
+		}
 	}
-	if err := wait("session", (*emulator.BGPPeer).Up); err != nil {
-		return err
-	}
+}
+
+// waitForRoutes waits until each of some peers has exactly n routes.
+func (b *bgpBench) waitForRoutes(what string, peers []*emulator.BGPPeer, n int) error {
+	return b.waitForPeers(what, peers, func(p *emulator.BGPPeer) bool {
+		routes, _, _, _, _ := p.Figures()
+		return routes == n
+	})
+}
+
+func (b *bgpBench) measureAnnouncements(out io.Writer) error {
 	var events []announce.Event
-	for i := range prefixes {
-		events = append(events, announce.ContainerRunning{Service: name(i), Container: "c"})
+	for i := range b.prefixes {
+		events = append(events, announce.ContainerRunning{Service: benchService(i), Container: "c"})
 	}
 	began := time.Now()
-	on(func() { s.Handle(events...) })
-	if err := wait("all routes", func(p *emulator.BGPPeer) bool { n, _, _, _, _ := p.Figures(); return n == prefixes }); err != nil {
+	b.onLoop(func() { b.speaker.Handle(events...) })
+	if err := b.waitForRoutes("all routes", b.peers, b.prefixes); err != nil {
 		return err
 	}
 	took := time.Since(began)
-	_, _, _, messages, bytes := all[0].Figures()
-	fmt.Fprintf(out, "%d prefixes to %d peers: all have them after %d ms, %d messages and %d bytes a peer\n", prefixes, peers, took.Milliseconds(),
-		messages, bytes)
-	// A tenth changes, one peer slow: the others must not wait for it.
-	time.Sleep(1100 * time.Millisecond) // the pace
-	all[0].SetSlow(20 * time.Millisecond)
-	tenth := prefixes / 10
-	events = events[:0]
+	_, _, _, messages, bytes := b.peers[0].Figures()
+	printf(out, "%d prefixes to %d peers: all have them after %d ms, %d messages and %d bytes a peer\n", b.prefixes, len(b.peers),
+		took.Milliseconds(), messages, bytes)
+	return nil
+}
+
+// measureWithdrawals withdraws a tenth while one peer reads slowly: the others must not wait for it.
+func (b *bgpBench) measureWithdrawals(out io.Writer) error {
+	slow, others := b.peers[0], b.peers[1:]
+	slow.SetSlow(20 * time.Millisecond)
+	tenth := b.prefixes / 10
+	var events []announce.Event
 	for i := range tenth {
-		events = append(events, announce.ContainerEnded{Service: name(i), Container: "c"})
+		events = append(events, announce.ContainerEnded{Service: benchService(i), Container: "c"})
 	}
-	began = time.Now()
-	on(func() { s.Handle(events...) })
-	slow, rest := all[0], all[1:]
-	if len(rest) > 0 {
-		all = rest
-		if err := wait("withdrawals", func(p *emulator.BGPPeer) bool { n, _, _, _, _ := p.Figures(); return n == prefixes-tenth }); err != nil {
+	began := time.Now()
+	b.onLoop(func() { b.speaker.Handle(events...) })
+	if len(others) == 0 {
+		printf(out, "%d of them change at once, the peer takes a message each 20 ms: it", tenth)
+	} else {
+		if err := b.waitForRoutes("withdrawals", others, b.prefixes-tenth); err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "%d of them change at once, one of %d peers takes a message each 20 ms: the others have it after %d ms", tenth, peers,
-			time.Since(began).Milliseconds())
-	} else {
-		fmt.Fprintf(out, "%d of them change at once, the peer takes a message each 20 ms: it", tenth)
+		printf(out, "%d of them change at once, one of %d peers takes a message each 20 ms: the others have it after %d ms, it", tenth,
+			len(b.peers), time.Since(began).Milliseconds())
 	}
-	all = []*emulator.BGPPeer{slow}
-	if err := wait("withdrawals", func(p *emulator.BGPPeer) bool { n, _, _, _, _ := p.Figures(); return n == prefixes-tenth }); err != nil {
+	if err := b.waitForRoutes("withdrawals", []*emulator.BGPPeer{slow}, b.prefixes-tenth); err != nil {
 		return err
 	}
-	if len(rest) > 0 {
-		fmt.Fprint(out, ", it")
-	}
-	fmt.Fprintf(out, " after %d ms\n", time.Since(began).Milliseconds())
+	printf(out, " after %d ms\n", time.Since(began).Milliseconds())
 	return nil
 }
--- /dev/null
+++ b/internal/testbed/scenario/load_jobs.go
@@ -0,0 +1,106 @@
+package scenario
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+const jobClients = 16
+
+// jobLoad creates jobs of one container each at a steady rate and measures when a watch says that each runs.
+type jobLoad struct {
+	controller *controllerProcess
+	rate       int
+	sent       []atomic.Int64 // when, in nanoseconds, by job
+	delays     *delays
+}
+
+// MeasureJobs measures the way through a controller: from the request to the line of a watch that says running, against
+// machines that answer at once.
+func MeasureJobs(template, dir string, program []string, machines, rate int, length time.Duration, out io.Writer) error {
+	b, err := startBench(template, dir, program, machines, false)
+	if err != nil {
+		return err
+	}
+	defer b.close()
+	k, err := b.startController(program[0], machines)
+	if err != nil {
+		return err
+	}
+	defer k.terminate()
+	total := int(float64(rate) * length.Seconds())
+	load := &jobLoad{controller: k, rate: rate, sent: make([]atomic.Int64, total), delays: newDelays()}
+	events, err := k.watch("containers")
+	if err != nil {
+		return err
+	}
+	defer closeQuietly(events)
+	done := make(chan int, 1)
+	go func() { done <- load.readRunning(events) }()
+	if err := load.createJobs(); err != nil {
+		return err
+	}
+	running := 0
+	select {
+	case running = <-done:
+	case <-time.After(10 * time.Second):
+		return fmt.Errorf("not all of %d jobs run", total)
+	}
+	stats, err := b.scheduler.Status()
+	if err != nil {
+		return err
+	}
+	printf(out, "%d jobs at %d a second, %d machines: request to running in a watch p50 %.1f ms, p99 %.1f ms (of it the first "+
+		"100 ms at most are the keeper's spreading by chance); at the placer submission to bid p50 %.2f ms, p99 %.2f ms\n", running, rate,
+		machines, load.delays.quantile(50), load.delays.quantile(99), stats["placing p50"], stats["placing p99"])
+	return nil
+}
+
+// readRunning reads events until all jobs run, and returns how many do.
+func (l *jobLoad) readRunning(events io.Reader) int {
+	running := 0
+	for lines := bufio.NewScanner(events); running < len(l.sent) && lines.Scan(); {
+		var event struct {
+			ID     string
+			Object struct{ State string }
+		}
+		if json.Unmarshal(lines.Bytes(), &event) != nil {
+			continue // a job that is never seen to run fails the measurement
+		}
+		var job int
+		if _, err := fmt.Sscanf(event.ID, "j%d.0", &job); err == nil && event.Object.State == stateRunning {
+			l.delays.record(time.Unix(0, l.sent[job].Load()))
+			running++
+		}
+	}
+	return running
+}
+
+// createJobs creates the jobs, each at its time, whatever the API's delays.
+func (l *jobLoad) createJobs() error {
+	var next atomic.Int64
+	var creating sync.WaitGroup
+	errs := make([]error, jobClients)
+	began := time.Now()
+	for client := range jobClients {
+		creating.Go(func() {
+			for errs[client] == nil {
+				job := int(next.Add(1)) - 1
+				if job >= len(l.sent) {
+					return
+				}
+				time.Sleep(time.Until(began.Add(time.Duration(float64(job) / float64(l.rate) * float64(time.Second)))))
+				l.sent[job].Store(time.Now().UnixNano())
+				errs[client] = l.controller.createJob(fmt.Sprint("j", job), workloadMatcher, 1, 0.1, 0.1)
+			}
+		})
+	}
+	creating.Wait()
+	return errors.Join(errs...)
+}
--- /dev/null
+++ b/internal/testbed/scenario/process.go
@@ -0,0 +1,204 @@
+package scenario
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"runtime"
+	"sync"
+	"syscall"
+	"time"
+
+	"glenport/internal/protocol"
+)
+
+const (
+	startTimeout  = 10 * time.Second // until a scheduler's listener accepts
+	stopTimeout   = 5 * time.Second  // from a signal to SIGKILL
+	statusTimeout = 5 * time.Second
+	dialTimeout   = time.Second
+)
+
+// SchedulerProcess is a scheduler's process and its files.
+type SchedulerProcess struct {
+	Name    string
+	Zone    int
+	Address string // of its own listener; clients of a cluster go through a proxy
+	file    string
+	command []string
+	log     *os.File
+	mu      sync.Mutex
+	process *os.Process
+	exited  chan struct{}
+}
+
+// newSchedulerProcess chooses a port for a scheduler and opens its log; the settings file is the caller's to write.
+func newSchedulerProcess(name, file, logFile string, command []string) (*SchedulerProcess, error) {
+	address, err := freePort()
+	if err != nil {
+		return nil, err
+	}
+	log, err := os.Create(logFile)
+	if err != nil {
+		return nil, err
+	}
+	return &SchedulerProcess{Name: name, Address: address, file: file, command: command, log: log}, nil
+}
+
+// Start starts the process and waits until its listener accepts.
+func (p *SchedulerProcess) Start() error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.process != nil {
+		return nil
+	}
+	if err := p.launch(); err != nil {
+		return err
+	}
+	return p.waitListening()
+}
+
+// launch starts the process from a thread that outlives it: the process is to die with the test bed, and the kernel
+// takes the end of the thread that started it for the end of its parent.
+func (p *SchedulerProcess) launch() error {
+	started := make(chan error, 1)
+	exited := make(chan struct{})
+	p.exited = exited
+	go func() {
+		runtime.LockOSThread()
+		defer runtime.UnlockOSThread()
+		command := exec.Command(p.command[0], append(p.command[1:], "-c", p.file)...)
+		command.Stderr = p.log
+		command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+		if err := command.Start(); err != nil {
+			started <- err
+			return
+		}
+		p.process = command.Process
+		started <- nil
+		_ = command.Wait() // a process that was killed has no clean exit
+		close(exited)
+	}()
+	return <-started
+}
+
+func (p *SchedulerProcess) waitListening() error {
+	for end := time.Now().Add(startTimeout); ; time.Sleep(5 * time.Millisecond) {
+		if c, err := net.Dial("tcp", p.Address); err == nil {
+			return c.Close()
+		}
+		select {
+		case <-p.exited:
+			return fmt.Errorf("placer %s ended at once; its log is %s", p.Name, p.log.Name())
+		default:
+		}
+		if time.Now().After(end) {
+			return fmt.Errorf("placer %s does not open its door", p.Name)
+		}
+	}
+}
+
+// Stop ends the process by a signal and waits for its exit; it is killed if that takes longer than stopTimeout.
+func (p *SchedulerProcess) Stop(signal syscall.Signal) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.process == nil {
+		return
+	}
+	_ = p.process.Signal(signal) // fails only if the process has exited already
+	select {
+	case <-p.exited:
+	case <-time.After(stopTimeout):
+		_ = p.process.Kill()
+		<-p.exited
+	}
+	p.process = nil
+}
+
+// close stops the process and closes its log.
+func (p *SchedulerProcess) close(signal syscall.Signal) {
+	p.Stop(signal)
+	if p.log != nil {
+		_ = p.log.Close() // written by the process, not through this descriptor
+	}
+}
+
+// Running reports whether the process was started and not stopped since.
+func (p *SchedulerProcess) Running() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.process != nil
+}
+
+// Status returns the scheduler's stats by name. Times in it are in the unit that the name says.
+func (p *SchedulerProcess) Status() (map[string]float64, error) {
+	c, err := dialProtocol(p.Address, statusTimeout, protocol.NewHello(protocol.RoleScheduler, "laboratory", 1), &protocol.StatusRequest{})
+	if err != nil {
+		return nil, err
+	}
+	defer closeQuietly(c)
+	reply, err := readUntil[*protocol.StatusReply](c)
+	if err != nil {
+		return nil, err
+	}
+	stats := map[string]float64{}
+	for _, stat := range reply.Stats {
+		stats[stat.Name] = stat.Value
+	}
+	return stats, nil
+}
+
+// dialProtocol connects to a listener, sends frames and bounds whatever else is done on the connection.
+func dialProtocol(address string, timeout time.Duration, frames ...protocol.Frame) (net.Conn, error) {
+	c, err := net.DialTimeout("tcp", address, dialTimeout)
+	if err != nil {
+		return nil, err
+	}
+	if err = c.SetDeadline(time.Now().Add(timeout)); err == nil {
+		err = writeFrames(c, frames...)
+	}
+	if err != nil {
+		closeQuietly(c)
+		return nil, err
+	}
+	return c, nil
+}
+
+func writeFrames(c net.Conn, frames ...protocol.Frame) (err error) {
+	var data []byte
+	for _, frame := range frames {
+		if data, err = protocol.Append(data, frame); err != nil {
+			return err
+		}
+	}
+	_, err = c.Write(data)
+	return err
+}
+
+// readUntil skips frames until one of type T.
+func readUntil[T protocol.Frame](c net.Conn) (T, error) {
+	for {
+		frame, err := protocol.ReadFrame(c, protocol.MaxFrame)
+		if err != nil {
+			var none T
+			return none, err
+		}
+		if wanted, ok := frame.(T); ok {
+			return wanted, nil
+		}
+	}
+}
+
+// freePort returns a port of the system's choice. It is closed again before the process opens it, which leaves a
+// moment for another program to take it: the start then fails with an error.
+func freePort() (string, error) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return "", err
+	}
+	return l.Addr().String(), l.Close()
+}
+
+// closeQuietly closes what was only read from, or whose writes have been checked.
+func closeQuietly(c interface{ Close() error }) { _ = c.Close() }
--- /dev/null
+++ b/internal/testbed/scenario/restart_client.go
@@ -0,0 +1,129 @@
+package scenario
+
+import (
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"net/http"
+	"slices"
+	"time"
+)
+
+// acknowledgedJob is what the API acknowledged last of a job.
+type acknowledgedJob struct {
+	spec    jobSpec
+	version int64
+}
+
+// jobClient creates, changes and deletes jobs all the time, retrying each change until it is acknowledged.
+type jobClient struct {
+	*controllerProcess
+	jobs         map[string]acknowledgedJob
+	acknowledged int
+	retries      int
+	err          error // a reply that no client should get
+}
+
+// jobChange is one request to the API.
+type jobChange struct {
+	method, path, key string
+	spec              jobSpec
+}
+
+// changeJobs changes random jobs until stop is closed.
+func (c *jobClient) changeJobs(stop chan struct{}, r *rand.Rand) {
+	for n := 0; ; n++ {
+		select {
+		case <-stop:
+			return
+		case <-time.After(time.Duration(10+r.IntN(40)) * time.Millisecond):
+		}
+		change := c.nextChange(r)
+		change.key = fmt.Sprintf("key-%d", n)
+		if c.err = c.apply(change); c.err != nil {
+			return
+		}
+	}
+}
+
+// nextChange draws a job and what is done with it.
+func (c *jobClient) nextChange(r *rand.Rand) jobChange {
+	id := fmt.Sprint("job-", r.IntN(24))
+	job, exists := c.jobs[id]
+	workloads := []string{workloadMatcher, workloadAtMostOnce, workloadReport}
+	spec := newJobSpec(id, workloads[r.IntN(len(workloads))], 1+r.IntN(4), 0.1, 0.1)
+	if !exists {
+		return jobChange{method: http.MethodPost, path: "/v1/jobs", spec: spec}
+	}
+	spec.Workload = job.spec.Workload // a job keeps its workload class
+	if r.IntN(4) == 0 {
+		return jobChange{method: http.MethodDelete, path: "/v1/jobs/" + id, spec: spec}
+	}
+	return jobChange{method: http.MethodPut, path: "/v1/jobs/" + id, spec: spec}
+}
+
+// apply sends a change until it is acknowledged. A retried deletion may find that the first one was carried out.
+func (c *jobClient) apply(change jobChange) error {
+	var body any
+	if change.method != http.MethodDelete {
+		body = change.spec
+	}
+	for try := 1; ; try++ {
+		status, version, err := c.changeJob(change.method, change.path, change.key, body)
+		deletedBefore := change.method == http.MethodDelete && status == http.StatusNotFound && try > 1
+		if err == nil && status < http.StatusMultipleChoices || deletedBefore {
+			c.acknowledge(change, version)
+			return nil
+		}
+		if err == nil && status < http.StatusInternalServerError {
+			return fmt.Errorf("%s %s, try %d: %d", change.method, change.path, try, status)
+		}
+		c.retries++
+		time.Sleep(10 * time.Millisecond)
+	}
+}
+
+func (c *jobClient) acknowledge(change jobChange, version int64) {
+	c.acknowledged++
+	if change.method == http.MethodDelete {
+		delete(c.jobs, change.spec.ID)
+	} else {
+		c.jobs[change.spec.ID] = acknowledgedJob{change.spec, version}
+	}
+}
+
+// wantedContainers is how many containers the acknowledged jobs have.
+func (c *jobClient) wantedContainers() (n int) {
+	for _, job := range c.jobs {
+		n += job.spec.Count
+	}
+	return n
+}
+
+// listedJob is a job as the API lists it.
+type listedJob struct {
+	ID       string
+	Workload string
+	Count    int
+	Version  int64
+}
+
+// compareJobs reports where the jobs that the API lists differ from those that it acknowledged.
+func (c *jobClient) compareJobs(listed []listedJob, report func(format string, args ...any)) {
+	seen := map[string]bool{}
+	for _, job := range listed {
+		acknowledged, ok := c.jobs[job.ID]
+		seen[job.ID] = true
+		switch {
+		case !ok:
+			report("job %s is there, its end was acknowledged", job.ID)
+		case job.Version != acknowledged.version || job.Count != acknowledged.spec.Count || job.Workload != acknowledged.spec.Workload:
+			report("job %s is %+v, acknowledged was version %d of %+v", job.ID, job, acknowledged.version, acknowledged.spec)
+		}
+	}
+	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
+		if !seen[id] {
+			report("job %s was acknowledged and is not there", id)
+		}
+	}
+}
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -17,9 +17,12 @@
 	"glenport/scheduler"
 )
 
-// The test program is its own placer process, so that one can be killed for good.
+// schedulerArgument makes the test program a scheduler.
+const schedulerArgument = "scheduler"
+
+// The test program is its own scheduler process, so that one can be killed.
 func TestMain(m *testing.M) {
-	if len(os.Args) == 4 && os.Args[1] == "placer" {
+	if len(os.Args) == 4 && os.Args[1] == schedulerArgument {
 		s, err := config.Load(os.Args[3])
 		if err != nil {
 			panic(err)
@@ -28,13 +31,16 @@
 		if err != nil {
 			panic(err)
 		}
-		h.Run()
+		if err := h.Run(); err != nil {
+			panic(err)
+		}
 		return
 	}
 	os.Exit(m.Run())
 }
 
-func day(t *testing.T) *Scenario {
+// shortScenario is a scenario with one scheduler and no faults.
+func shortScenario(t *testing.T) *Scenario {
 	d, err := Load("../../../scenarios/short.yaml")
 	if err != nil {
 		t.Fatal(err)
@@ -43,7 +49,14 @@
 	return d
 }
 
-func until(t *testing.T, what string, holds func() bool) {
+func writeFile(t *testing.T, path string, data []byte) {
+	t.Helper()
+	if err := os.WriteFile(path, data, 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func requireWithin30s(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -52,21 +65,21 @@
 	}
 }
 
-// A placer is killed with 500 bids out. The next life calls off what has not started, takes over what runs, and
-// no key of at-most-once work runs twice though its owners ask for all of it again.
-func TestKilledWithBidsOut(t *testing.T) {
-	d, dir := day(t), t.TempDir()
+// The next incarnation cancels what has not started and adopts what runs, and no idempotency key of at-most-once work
+// runs twice though its clients retry all of it.
+func TestSchedulerKilledWith500AttemptsRunsNothingTwice(t *testing.T) {
+	d, dir := shortScenario(t), t.TempDir()
 	d.Machine.Start, d.Machine.Queue, d.Machine.Starts, d.Machine.Setup = 150*time.Millisecond, 1000, 3, 1
 	d.Workloads = []emulator.Work{{}, {}, {Share: 1, Services: 400, Cores: []float64{0.1}, Memory: []float64{0.1}, Life: 30 * time.Second,
 		HardStop: 4 * time.Second, Again: true, AgainLost: true}}
-	c, err := StartCluster(d, dir, []string{os.Args[0], "placer"})
+	c, err := StartCluster(d, dir, []string{os.Args[0], schedulerArgument})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer c.shutdown()
 	p := c.Schedulers[0]
 	c.Clients.Start(4000, 1)
-	until(t, "500 bids out", func() bool {
+	requireWithin30s(t, "500 bids out", func() bool {
 		s, err := p.Status()
 		return err == nil && s["bids"] > 500 && s["containers running"] > 20 && s["containers known"]-s["containers running"] > 500
 	})
@@ -80,11 +93,11 @@
 	if err := c.StartScheduler(p); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "what runs is taken over", func() bool {
+	requireWithin30s(t, "what runs is taken over", func() bool {
 		s, err := p.Status()
 		return err == nil && int(s["containers taken over"]) >= ran
 	})
-	until(t, "what was lost is asked for again, and answered", func() bool { return c.Clients.Again() >= 400 && c.Clients.Waiting() == 0 })
+	requireWithin30s(t, "what was lost is asked for again, and answered", func() bool { return c.Clients.Again() >= 400 && c.Clients.Waiting() == 0 })
 	tally := c.Clients.Close()
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
@@ -98,13 +111,13 @@
 	}
 }
 
-// A hall is lost and comes back cold at the same addresses, under load, in a cluster of one process.
+// The zone comes back in slow start, at the same addresses and under load.
 func TestHallComesBack(t *testing.T) {
-	d, dir := day(t), t.TempDir()
+	d, dir := shortScenario(t), t.TempDir()
 	d.Length, d.Schedulers = 3*time.Second, 2
 	d.Faults = []Fault{{Kind: "hall restarts cold", At: 500 * time.Millisecond, Duration: 300 * time.Millisecond, Zone: 1}}
 	var out bytes.Buffer
-	o, err := d.Run(dir, []string{os.Args[0], "placer"}, &out)
+	o, err := d.Run(dir, []string{os.Args[0], schedulerArgument}, &out)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,12 +126,16 @@
 	}
 }
 
-func TestDayFaults(t *testing.T) {
+// The error names what is wrong.
+func TestInvalidScenarioFileIsRefused(t *testing.T) {
 	good, err := os.ReadFile("../../../scenarios/short.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	terms, _ := os.ReadFile("../../../scenarios/placer.yaml")
+	terms, err := os.ReadFile("../../../scenarios/placer.yaml")
+	if err != nil {
+		t.Fatal(err)
+	}
 	for _, tc := range []struct{ name, old, new, want string }{
 		{"no such trouble", "kind: slow", "kind: sloth", `"sloth" is no trouble`},
 		{"no such hall", "hall: middle", "hall: centre", `"centre" is none of north, middle, south`},
@@ -128,9 +145,9 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			dir := t.TempDir()
-			os.WriteFile(filepath.Join(dir, "placer.yaml"), terms, 0o644)
+			writeFile(t, filepath.Join(dir, "placer.yaml"), terms)
 			path := filepath.Join(dir, "day.yaml")
-			os.WriteFile(path, []byte(strings.Replace(string(good), tc.old, tc.new, 1)), 0o644)
+			writeFile(t, path, []byte(strings.Replace(string(good), tc.old, tc.new, 1)))
 			if _, err := Load(path); err == nil || !strings.Contains(err.Error(), tc.want) {
 				t.Errorf("got %v, want %s", err, tc.want)
 			}
@@ -138,12 +155,12 @@
 	}
 }
 
-// The kinds of trouble of a simulated day find their like; what has none is named.
-func TestReplay(t *testing.T) {
+// What has no counterpart is named.
+func TestReplayPlaysTheCounterpartsOfSimulatedFaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "day.json")
-	os.WriteFile(path, []byte(`{"site":"s","length":9000000,"servers":[{},{},{},{}],"balancers":[{},{}],"troubles":[
+	writeFile(t, path, []byte(`{"site":"s","length":9000000,"servers":[{},{},{},{}],"balancers":[{},{}],"troubles":[
 		{"kind":"mass_restart","at":1000000,"len":500000,"on":[1,2]},{"kind":"balancer_crash","at":2000000,"len":1,"on":[0]},
-		{"kind":"report_late","at":1,"len":2}]}`), 0o644)
+		{"kind":"report_late","at":1,"len":2}]}`))
 	var out bytes.Buffer
 	d, err := LoadReplay(path, "../../../scenarios/short.yaml", 100, &out)
 	if err != nil {
@@ -154,7 +171,7 @@
 	if len(d.Faults) != 2 || d.Faults[0] != want[0] || d.Faults[1] != want[1] || !strings.Contains(out.String(), "left out: report_late") {
 		t.Errorf("%+v\n%s", d.Faults, out.String())
 	}
-	os.WriteFile(path, []byte(`{}`), 0o644)
+	writeFile(t, path, []byte(`{}`))
 	if _, err := LoadReplay(path, "../../../scenarios/short.yaml", 100, io.Discard); err == nil {
 		t.Error("what is no day is played")
 	}
--- a/internal/testbed/scenario/simulation_test.go
+++ b/internal/testbed/scenario/simulation_test.go
@@ -11,16 +11,12 @@
 	w := &Simulation{Seed: 1, Schedulers: 2, Machines: 12, Rate: 420, Length: 40 * scheduler.Second, Damping: d, Restart: 10, RestartAt: 8 * scheduler.Second,
 		DownFor: 2 * scheduler.Second}
 	w.Run()
-	var good []float64
-	for _, s := range w.Seconds[:40] {
-		good = append(good, float64(s.Placed))
-	}
-	return w, evaluateGoodput(good, 8)
+	return w, evaluateGoodput(w.goodput(), 8)
 }
 
-// Behind doors that narrow a small fleet comes back after a restart; without them what follows outlives its cause. The
-// same seed gives the same world.
-func TestStorm(t *testing.T) {
+// With a concurrency limit a small fleet recovers from a restart; without one the overload outlives its cause. The same
+// seed gives the same outcome.
+func TestConcurrencyLimitRecoversFromFleetRestart(t *testing.T) {
 	w, damped := simulatedOnce(Limited)
 	_, none := simulatedOnce(NoDamping)
 	again, _ := simulatedOnce(Limited)
--- a/internal/testbed/scenario/trial_overload.go
+++ b/internal/testbed/scenario/trial_overload.go
@@ -5,18 +5,17 @@
 	"io"
 	"math"
 	"math/rand/v2"
-	"os"
 	"path/filepath"
 	"slices"
 	"sync"
 	"time"
 
-	"glenport/internal/testbed/audit"
+	"glenport/internal/testbed/emulator"
 	"glenport/scheduler"
 )
 
 // OverloadTrial restarts most of a fleet at once under load, without damping, with clients that back off, and with
-// glenport's doors, on a simulated clock and over sockets.
+// glenport's concurrency limit, on a virtual clock and over sockets.
 type OverloadTrial struct {
 	Seeds           int // of the simulated form
 	Sockets         int // runs of each form over sockets; 0: none
@@ -27,27 +26,32 @@
 
 var dampings = []Damping{NoDamping, Exponential, Limited}
 
-// recovery is how a run came through: seconds from the trouble until goodput was back, -1: it never was.
+// goodputRecovery is how a run came through a fault.
 type goodputRecovery struct {
 	before, lowest   float64 // goodput a second
-	secondsToRecover int
-	lost             float64 // starts in time that were missed, against the time before
+	secondsToRecover int     // from the fault until goodput was back; -1: it never was
+	lost             float64 // starts within the latency objective that were missed, against the time before
 }
 
-// back judges a run by its goodput in each second: it is back when it reaches 95% of before and holds that over three
-// seconds on average.
-func evaluateGoodput(good []float64, trouble int) goodputRecovery {
+const (
+	warmupSeconds  = 2    // that are not counted as before the fault
+	recoveredShare = 0.95 // of the goodput before
+	recoveredFor   = 3    // seconds over which that share must hold on average
+)
+
+// evaluateGoodput evaluates a run by its goodput in each second and the second of the fault.
+func evaluateGoodput(goodput []float64, fault int) goodputRecovery {
 	r := goodputRecovery{lowest: math.Inf(1), secondsToRecover: -1}
-	for _, g := range good[2:trouble] {
-		r.before += g / float64(trouble-2)
+	for _, g := range goodput[warmupSeconds:fault] {
+		r.before += g / float64(fault-warmupSeconds)
 	}
-	for i := trouble; i < len(good); i++ {
-		r.lowest = min(r.lowest, good[i])
-		r.lost += max(0, r.before-good[i])
+	for _, g := range goodput[fault:] {
+		r.lowest = min(r.lowest, g)
+		r.lost += max(0, r.before-g)
 	}
-	for i := trouble + 2; i+3 <= len(good); i++ {
-		if good[i]+good[i+1]+good[i+2] >= 3*0.95*r.before {
-			r.secondsToRecover = i - trouble
+	for i := fault + 2; i+recoveredFor <= len(goodput); i++ {
+		if goodput[i]+goodput[i+1]+goodput[i+2] >= recoveredFor*recoveredShare*r.before {
+			r.secondsToRecover = i - fault
 			break
 		}
 	}
@@ -62,196 +66,255 @@
 	return fmt.Sprintf("in time %.0f a second before, at worst %.0f, %s, %.0f starts in time lost", r.before, r.lowest, back, r.lost)
 }
 
-// Run returns whether glenport came back in every run, sooner than the others or with fewer starts lost.
-func (t *OverloadTrial) Run(day *Scenario, dir string) (bool, error) {
+// Run reports whether glenport recovered in every run, with fewer starts lost than the others.
+func (t *OverloadTrial) Run(s *Scenario, dir string) (bool, error) {
 	ok := t.runSimulations()
 	ok = t.runCalm() && ok
 	t.runSchedulerRestarts()
 	for i := range t.Sockets {
-		var all []goodputRecovery
-		for _, d := range dampings {
-			r, kept, err := t.runSockets(day, filepath.Join(dir, fmt.Sprintf("%s-%d", d, i)), d, uint64(i))
-			if err != nil {
-				return false, err
-			}
-			fmt.Fprintf(t.Out, "sockets, %d placers, damping %-11s: %s\n", day.Schedulers, d, r)
-			all = append(all, r)
-			ok = ok && kept
+		held, err := t.compareOnSockets(s, dir, i)
+		if err != nil {
+			return false, err
 		}
-		glenport := all[len(all)-1]
-		ok = ok && glenport.secondsToRecover >= 0
-		for _, other := range all[:len(all)-1] {
-			ok = ok && glenport.lost < other.lost
+		ok = ok && held
+	}
+	return ok, nil
+}
+
+// compareOnSockets plays one run of each damping and reports whether the limit came off best.
+func (t *OverloadTrial) compareOnSockets(s *Scenario, dir string, run int) (bool, error) {
+	ok := true
+	var all []goodputRecovery
+	for _, d := range dampings {
+		r, kept, err := t.runSockets(s, filepath.Join(dir, fmt.Sprintf("%s-%d", d, run)), d, uint64(run))
+		if err != nil {
+			return false, err
 		}
+		printf(t.Out, "sockets, %d placers, damping %-11s: %s\n", s.Schedulers, d, r)
+		all = append(all, r)
+		ok = ok && kept
+	}
+	limited := all[len(all)-1]
+	ok = ok && limited.secondsToRecover >= 0
+	for _, other := range all[:len(all)-1] {
+		ok = ok && limited.lost < other.lost
 	}
 	return ok, nil
 }
 
-// runSimulations plays the world for each seed and damping; the dampings of a seed have the same clients.
+// The simulated fleet and its restart.
+const (
+	simulatedMachines  = 24
+	simulatedRestart   = 20
+	simulatedRestartAt = 10 // seconds
+)
+
+func restartSimulation(seed uint64, damping Damping) *Simulation {
+	return &Simulation{Seed: seed, Schedulers: 3, Machines: simulatedMachines, Rate: 1200, Length: 60 * scheduler.Second, Damping: damping,
+		Restart: simulatedRestart, RestartAt: simulatedRestartAt * scheduler.Second, DownFor: 2 * scheduler.Second}
+}
+
+// simulatedRuns collects the runs of one share of ignoring clients.
+type simulatedRuns struct {
+	mu         sync.Mutex
+	recoveries map[Damping][]goodputRecovery
+	actions    int
+	scheduled  int // retries at the time that the limiter gave
+	admitted   int // of these, those for which there was room
+}
+
+func (r *simulatedRuns) add(s *Simulation) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.recoveries[s.Damping] = append(r.recoveries[s.Damping], evaluateGoodput(s.goodput(), simulatedRestartAt))
+	r.actions += s.Actions
+	r.scheduled += s.ScheduledRetries
+	r.admitted += s.AdmittedRetries
+}
+
+func (r *simulatedRuns) meanLost(d Damping) float64 { return meanLost(r.recoveries[d]) }
+
+// runSimulations plays the simulation for each seed and damping; the dampings of a seed have the same clients.
 func (t *OverloadTrial) runSimulations() bool {
 	ok := true
-	for _, ignore := range []float64{0, t.IgnoringClients} {
-		all := map[Damping][]goodputRecovery{}
+	for _, ignoring := range []float64{0, t.IgnoringClients} {
 		began := time.Now()
-		acts, kept, honored := 0, 0, 0
-		for seed := range t.Seeds {
-			var mu sync.Mutex
-			var each sync.WaitGroup
-			for _, d := range dampings {
-				each.Go(func() {
-					w := &Simulation{Seed: uint64(seed + 1), Schedulers: 3, Machines: 24, Rate: 1200, Length: 60 * scheduler.Second, Damping: d, IgnoringClients: ignore,
-						Restart: 20, RestartAt: 10 * scheduler.Second, DownFor: 2 * scheduler.Second}
-					w.Run()
-					var good []float64
-					for _, s := range w.Seconds[:len(w.Seconds)-1] {
-						good = append(good, float64(s.Placed))
-					}
-					mu.Lock()
-					defer mu.Unlock()
-					all[d] = append(all[d], evaluateGoodput(good, 10))
-					acts += w.Actions
-					kept, honored = kept+w.ScheduledRetries, honored+w.AdmittedRetries
-				})
-			}
-			each.Wait()
-		}
+		runs := t.simulateDampings(ignoring)
 		for _, d := range dampings {
-			var back []int
-			never, lost := 0, 0.0
-			for _, r := range all[d] {
-				if r.secondsToRecover < 0 {
-					never++
-				} else {
-					back = append(back, r.secondsToRecover)
-				}
-				lost += r.lost / float64(len(all[d]))
-			}
-			slices.Sort(back)
-			when := "none came back"
-			if len(back) > 0 {
-				when = fmt.Sprintf("back after %d to %d s", back[0], back[len(back)-1])
-			}
-			fmt.Fprintf(t.Out, "simulated, 20 of 24 machines restart, %3.0f%% of the clients ignore advice, damping %-11s: %s, metastable in %d of %d; %.0f "+
-				"starts in time lost on average\n", 100*ignore, d, when, never, len(all[d]), lost)
-			if d == Limited && never > 0 {
-				ok = false
-			}
-		}
-		fmt.Fprintf(t.Out, "simulated: %d actions of the modules in %.1f s; %d appointments kept, at %.0f%% of them there was room\n", acts,
-			time.Since(began).Seconds(), kept, 100*float64(honored)/float64(max(1, kept)))
-		if meanLost(all[Limited]) >= min(meanLost(all[NoDamping]), meanLost(all[Exponential])) {
-			ok = false
+			never := t.printRecoveries(ignoring, d, runs.recoveries[d])
+			ok = ok && (d != Limited || never == 0)
 		}
+		printf(t.Out, "simulated: %d actions of the modules in %.1f s; %d appointments kept, at %.0f%% of them there was room\n", runs.actions,
+			time.Since(began).Seconds(), runs.scheduled, 100*float64(runs.admitted)/float64(max(1, runs.scheduled)))
+		ok = ok && runs.meanLost(Limited) < min(runs.meanLost(NoDamping), runs.meanLost(Exponential))
 	}
 	return ok
 }
 
-// runSchedulerRestarts lets all placers die two seconds after the machines are back, with and without what their doors knew.
-func (t *OverloadTrial) runSchedulerRestarts() {
-	for _, forget := range []bool{false, true} {
-		w := &Simulation{Seed: 1, Schedulers: 3, Machines: 24, Rate: 1200, Length: 60 * scheduler.Second, Damping: Limited, Restart: 20,
-			RestartAt: 10 * scheduler.Second, DownFor: 2 * scheduler.Second, SchedulersRestartAt: 14 * scheduler.Second, DropLimiterState: forget}
-		w.Run()
-		var good []float64
-		for _, s := range w.Seconds[:len(w.Seconds)-1] {
-			good = append(good, float64(s.Placed))
+func (t *OverloadTrial) simulateDampings(ignoring float64) *simulatedRuns {
+	runs := &simulatedRuns{recoveries: map[Damping][]goodputRecovery{}}
+	for seed := range t.Seeds {
+		var simulating sync.WaitGroup
+		for _, d := range dampings {
+			simulating.Go(func() {
+				s := restartSimulation(uint64(seed+1), d)
+				s.IgnoringClients = ignoring
+				s.Run()
+				runs.add(s)
+			})
 		}
-		fmt.Fprintf(t.Out, "simulated, all placers die in the storm, what the doors knew is kept %-5v: %s\n", !forget, evaluateGoodput(good, 10))
+		simulating.Wait()
 	}
+	return runs
 }
 
-// runCalm plays an ordinary time without and with the door: it must turn next to nothing away and cost no start in time.
-func (t *OverloadTrial) runCalm() bool {
-	var inTime, asked, shed [2]int
-	for i, d := range []Damping{NoDamping, Limited} {
-		w := &Simulation{Seed: 5, Schedulers: 3, Machines: 24, Rate: 700, Length: 120 * scheduler.Second, Damping: d}
-		w.Run()
-		for _, s := range w.Seconds {
-			inTime[i] += s.Placed
-			asked[i] += s.Submitted
-			shed[i] += s.Shed
+// printRecoveries prints the runs of one damping and returns in how many goodput never recovered.
+func (t *OverloadTrial) printRecoveries(ignoring float64, d Damping, recoveries []goodputRecovery) (never int) {
+	var seconds []int
+	for _, r := range recoveries {
+		if r.secondsToRecover < 0 {
+			never++
+		} else {
+			seconds = append(seconds, r.secondsToRecover)
 		}
 	}
-	lost := 1 - float64(inTime[1])/float64(asked[1])/(float64(inTime[0])/float64(asked[0]))
-	fmt.Fprintf(t.Out, "simulated, calm: %d asked, %d turned away; starts in time %.2f%% without the door, %.2f%% with it\n", asked[1], shed[1],
-		100*float64(inTime[0])/float64(asked[0]), 100*float64(inTime[1])/float64(asked[1]))
-	return lost < 0.01
+	when := "none came back"
+	if len(seconds) > 0 {
+		when = fmt.Sprintf("back after %d to %d s", slices.Min(seconds), slices.Max(seconds))
+	}
+	printf(t.Out, "simulated, %d of %d machines restart, %3.0f%% of the clients ignore advice, damping %-11s: %s, metastable in %d of %d; %.0f "+
+		"starts in time lost on average\n", simulatedRestart, simulatedMachines, 100*ignoring, d, when, never, len(recoveries),
+		meanLost(recoveries))
+	return never
 }
 
-func meanLost(all []goodputRecovery) (lost float64) {
-	for _, r := range all {
-		lost += r.lost / float64(len(all))
+// runSchedulerRestarts restarts all schedulers two seconds after the machines are back, with and without the state of
+// their limiters.
+func (t *OverloadTrial) runSchedulerRestarts() {
+	for _, drop := range []bool{false, true} {
+		s := restartSimulation(1, Limited)
+		s.SchedulersRestartAt, s.DropLimiterState = 14*scheduler.Second, drop
+		s.Run()
+		printf(t.Out, "simulated, all placers die in the storm, what the doors knew is kept %-5v: %s\n", !drop,
+			evaluateGoodput(s.goodput(), simulatedRestartAt))
 	}
-	return lost
 }
 
-// runSockets plays it with real placers; kept tells whether the rules held and no machine was pushed over.
-func (t *OverloadTrial) runSockets(day *Scenario, dir string, d Damping, seed uint64) (r goodputRecovery, kept bool, err error) {
-	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return r, false, err
+// calmRun counts the containers of a run without a fault.
+type calmRun struct{ inTime, submitted, shed int }
+
+func runCalm(d Damping) (run calmRun) {
+	s := &Simulation{Seed: 5, Schedulers: 3, Machines: simulatedMachines, Rate: 700, Length: 120 * scheduler.Second, Damping: d}
+	s.Run()
+	for _, second := range s.Seconds {
+		run.inTime += second.Placed
+		run.submitted += second.Submitted
+		run.shed += second.Shed
+	}
+	return run
+}
+
+func (r calmRun) share() float64 { return float64(r.inTime) / float64(r.submitted) }
+
+// runCalm plays an ordinary time without and with the limit: it must shed next to nothing and cost no start within the
+// latency objective.
+func (t *OverloadTrial) runCalm() bool {
+	without, with := runCalm(NoDamping), runCalm(Limited)
+	printf(t.Out, "simulated, calm: %d asked, %d turned away; starts in time %.2f%% without the door, %.2f%% with it\n", with.submitted,
+		with.shed, 100*without.share(), 100*with.share())
+	return 1-with.share()/without.share() < 0.01
+}
+
+func meanLost(recoveries []goodputRecovery) (lost float64) {
+	for _, r := range recoveries {
+		lost += r.lost / float64(len(recoveries))
 	}
-	c, err := StartCluster(day, dir, t.Program(d == Limited))
+	return lost
+}
+
+// The restart over sockets.
+const (
+	socketRestart   = 20 // machines
+	socketRestartAt = 10 // seconds
+	socketDownFor   = 1500 * time.Millisecond
+)
+
+// runSockets plays it with real schedulers; kept reports whether the rules were kept and no machine was overloaded.
+func (t *OverloadTrial) runSockets(s *Scenario, dir string, d Damping, seed uint64) (r goodputRecovery, kept bool, err error) {
+	c, err := StartCluster(s, dir, t.Program(d == Limited))
 	if err != nil {
 		return r, false, err
 	}
-	defer c.Close()
-	const trouble = 10
-	length := int(day.Length.Seconds())
-	good := make([]float64, length)
-	var mu sync.Mutex
-	rng := rand.New(rand.NewPCG(seed, 8))
+	defer c.shutdown()
 	began := time.Now()
-	c.Clients.OnPlaced = func(kind int, took time.Duration) {
-		agreed := time.Duration(c.Config.Terms.WorkloadClasses[kind].LatencyObjective) * 100 * time.Microsecond
-		if at := int(time.Since(began).Seconds()); took <= agreed && at < length {
-			mu.Lock()
-			good[at]++
-			mu.Unlock()
-		}
+	measured := newGoodputMeter(c, began, int(s.Length.Seconds()))
+	c.Clients.OnPlaced = measured.placed
+	c.Clients.Back = clientBackoff(d, rand.New(rand.NewPCG(seed, 8)))
+	c.Clients.Start(s.Rate, s.Seed+seed)
+	time.Sleep(time.Until(began.Add(socketRestartAt * time.Second)))
+	if err := restartFor(c.Machines[:socketRestart], socketDownFor); err != nil {
+		return r, false, err
 	}
-	c.Clients.Back = func(tries int, hold time.Duration) time.Duration { // called under the owners' lock
-		switch {
-		case d == Exponential || d == Limited && hold == 0:
-			span := 200 * time.Millisecond << min(tries+1, 7)
-			return span/2 + time.Duration(rng.Int64N(int64(span/2)))
-		case d == Limited:
-			return hold
-		}
-		return 50*time.Millisecond + time.Duration(rng.Int64N(int64(100*time.Millisecond)))
+	time.Sleep(time.Until(began.Add(s.Length)))
+	c.Clients.Rate(0)
+	c.waitForReplies(s.Settle)
+	overloaded := c.countOverloaded()
+	tally := c.Clients.Close()
+	report, err := c.CloseAndAudit()
+	if err != nil {
+		return r, false, err
 	}
-	c.Clients.Start(day.Rate, day.Seed+seed)
-	time.Sleep(time.Until(began.Add(trouble * time.Second)))
-	struck := c.Machines[:20]
-	for _, m := range struck {
+	PrintViolations(t.Out, report)
+	printf(t.Out, "  %d submitted (%d again), %d placed, %d pushed back, %d turned away, %d given up; %d machines pushed over, cold ones at most at "+
+		"%d of %d\n", tally.Submitted, tally.Again, tally.Placed, tally.PushedBack, tally.TurnedAway, tally.GivenUp, overloaded,
+		report.SlowStartPeak, report.SlowStartBudget)
+	return evaluateGoodput(measured.perSecond, socketRestartAt), report.Passed() && overloaded == 0, nil
+}
+
+func restartFor(machines []*emulator.Machine, down time.Duration) error {
+	for _, m := range machines {
 		m.Crash()
 	}
-	time.Sleep(1500 * time.Millisecond)
-	for _, m := range struck {
+	time.Sleep(down)
+	for _, m := range machines {
 		if err := m.Up(false); err != nil {
-			return r, false, err
+			return err
 		}
 	}
-	time.Sleep(time.Until(began.Add(day.Length)))
-	c.Clients.Rate(0)
-	for end := time.Now().Add(day.Settle); c.Clients.Waiting() > 0 && time.Now().Before(end); {
-		time.Sleep(20 * time.Millisecond)
+	return nil
+}
+
+// goodputMeter counts, in each second, what was placed within its latency objective.
+type goodputMeter struct {
+	classes   []scheduler.WorkloadClass
+	began     time.Time
+	mu        sync.Mutex
+	perSecond []float64
+}
+
+func newGoodputMeter(c *Cluster, began time.Time, seconds int) *goodputMeter {
+	return &goodputMeter{classes: c.Config.Terms.WorkloadClasses, began: began, perSecond: make([]float64, seconds)}
+}
+
+func (g *goodputMeter) placed(class int, took time.Duration) {
+	objective := time.Duration(g.classes[class].LatencyObjective) * tick
+	if second := int(time.Since(g.began).Seconds()); took <= objective && second < len(g.perSecond) {
+		g.mu.Lock()
+		defer g.mu.Unlock()
+		g.perSecond[second]++
 	}
-	fell := 0
-	for _, m := range c.Machines {
-		if s, ok := m.State(); ok && s.Fell {
-			fell++
+}
+
+// clientBackoff returns how long a client waits before it retries. It is called under the clients' lock.
+func clientBackoff(d Damping, random *rand.Rand) func(tries int, retryAfter time.Duration) time.Duration {
+	return func(tries int, retryAfter time.Duration) time.Duration {
+		switch {
+		case d == Exponential || d == Limited && retryAfter == 0:
+			span := 200 * time.Millisecond << min(tries+1, 7)
+			return span/2 + time.Duration(random.Int64N(int64(span/2)))
+		case d == Limited:
+			return retryAfter
 		}
+		return 50*time.Millisecond + time.Duration(random.Int64N(int64(100*time.Millisecond)))
 	}
-	tally := c.Clients.Close()
-	if err := c.Close(); err != nil {
-		return r, false, err
-	}
-	j, err := audit.CheckRecording(filepath.Join(dir, "record"))
-	if err != nil {
-		return r, false, err
-	}
-	PrintViolations(t.Out, j)
-	fmt.Fprintf(t.Out, "  %d submitted (%d again), %d placed, %d pushed back, %d turned away, %d given up; %d machines pushed over, cold ones at most at "+
-		"%d of %d\n", tally.Submitted, tally.Again, tally.Placed, tally.PushedBack, tally.TurnedAway, tally.GivenUp, fell, j.SlowStartPeak, j.SlowStartBudget)
-	return evaluateGoodput(good, trouble), j.Passed() && fell == 0, nil
 }
--- a/internal/testbed/scenario/trial_why.go
+++ b/internal/testbed/scenario/trial_why.go
@@ -1,9 +1,11 @@
 package scenario
 
 import (
+	"errors"
 	"fmt"
 	"io"
-	"sort"
+	"maps"
+	"slices"
 	"strings"
 	"time"
 
@@ -13,139 +15,195 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// WhyTrial brings up a cluster with a keeper, makes work wait for known reasons, and compares what an owner reads
-// through the API with what the stand-ins themselves are like.
+// WhyTrial starts a cluster with a controller, makes containers pend for known reasons, and compares what a client reads
+// through the API with the state of the emulated machines themselves.
 type WhyTrial struct {
 	Cluster  *Cluster
 	Cycles   int  // of draining and filling; each holds four changes
 	Steps    int  // how many of the trial's steps are played; 0: all
-	Sabotage bool // read another code than the API tells, to show that the trial sees it
+	Sabotage bool // read another code than the API returns, to show that the trial sees it
 	Out      io.Writer
 
-	controllerProcess
-	delays *hdrhistogram.Histogram
+	*controllerProcess
+	missList
+	delays *hdrhistogram.Histogram // milliseconds
 	checks int
-	misses []string
 }
 
+// reasonLimit is the time in which a client must read the true reason.
 const reasonLimit = time.Second
 
-// Run plays the trial; it returns whether all held.
-func (t *WhyTrial) Run(day *Scenario, dir string, program []string) (ok bool, err error) {
-	t.delays = hdrhistogram.New(1, 60_000, 3) // milliseconds
-	if t.Cluster, err = StartCluster(day, dir, program); err != nil {
+// The workload classes and reason codes that the trials use.
+const (
+	workloadMatcher    = "matcher"
+	workloadAtMostOnce = "corpus-merge"
+	workloadReport     = "report-run"
+	workloadLargeOnly  = "on-large"
+	reasonNoMachine    = "no_machine"
+	reasonNoRoom       = "no_room"
+	reasonNoScheduler  = "no_placer"
+	reasonFencing      = "guard"
+	reasonBackingOff   = "backing_off"
+	reasonZoneDrains   = "hall_drains"
+	reasonListAway     = "list_away"
+	reasonSpreadFull   = "spread_full"
+	placementTimeout   = 4 * time.Second // of the trial's at-most-once work
+	listSilenceLimit   = 4 * time.Second // after which the list counts as unavailable
+	spreadTimeout      = time.Minute
+)
+
+// Run plays the trial and reports whether all held.
+func (t *WhyTrial) Run(s *Scenario, dir string, program []string) (ok bool, err error) {
+	t.delays = hdrhistogram.New(1, 60_000, 3)
+	if t.Cluster, err = StartCluster(s, dir, program); err != nil {
 		return false, err
 	}
-	defer t.Cluster.Close()
-	if t.controllerProcess, err = newController(dir, program[0], t.Cluster.ListAddr, t.Cluster.Schedulers, nil, ""); err != nil {
+	defer t.Cluster.shutdown()
+	if t.controllerProcess, err = t.Cluster.startController(program[0], nil, ""); err != nil {
 		return false, err
 	}
 	defer t.terminate()
-	if err := t.start(len(t.Cluster.Machines)); err != nil {
+	steps := []trialStep{
+		{"drains and room", timed(t.playDrainsAndRoom)},
+		{"four reasons at once", timed(t.playCombinedReasons)},
+		{"spread", timed(t.playSpread)},
+		{"guard", timed(t.playFencing)},
+		{"scaled down in the guard", timed(t.playScaleDownWhileFenced)},
+		{"list away", timed(t.playListUnavailable)},
+		{"placers killed while the owner asks", timed(t.playSchedulersKilled)},
+	}
+	if t.Steps > 0 {
+		steps = steps[:min(t.Steps, len(steps))]
+	}
+	if err := t.playSteps(t.Out, 38, steps); err != nil {
 		return false, err
 	}
-	for i, step := range []struct {
-		name string
-		play func() error
-	}{{"drains and room", t.playDrainsAndRoom}, {"four reasons at once", t.playCombinedReasons}, {"spread", t.playSpread}, {"guard", t.playFencing},
-		{"scaled down in the guard", t.playScaleDownWhileFenced}, {"list away", t.playListUnavailable}, {"placers killed while the owner asks", t.playSchedulersKilled}} {
-		if t.Steps > 0 && i >= t.Steps {
-			break
-		}
+	printf(t.Out, "%d changes: the true reason was read after p50 %d ms, p99 %d ms, worst %d ms\n", t.checks,
+		t.delays.ValueAtQuantile(50), t.delays.ValueAtQuantile(99), t.delays.Max())
+	return t.passed(), nil
+}
+
+// timed makes a step of a function: its figures are the time that it took.
+func timed(play func() error) func() (string, error) {
+	return func() (string, error) {
 		began := time.Now()
-		before := len(t.misses)
-		if err := step.play(); err != nil {
-			return false, fmt.Errorf("%s: %w", step.name, err)
-		}
-		fmt.Fprintf(t.Out, "%-38s %5.1f s, %d missed\n", step.name, time.Since(began).Seconds(), len(t.misses)-before)
+		err := play()
+		return fmt.Sprintf("%5.1f s", time.Since(began).Seconds()), err
 	}
-	for i, m := range t.misses {
-		if i < 5 {
-			fmt.Fprintln(t.Out, "missed:", m)
-		}
-	}
-	fmt.Fprintf(t.Out, "%d changes: the true reason was read after p50 %d ms, p99 %d ms, worst %d ms\n", t.checks,
-		t.delays.ValueAtQuantile(50), t.delays.ValueAtQuantile(99), t.delays.Max())
-	return len(t.misses) == 0, nil
 }
 
+// pendingReasons is the API's answer to why a container is pending.
 type pendingReasons struct {
 	State   string
-	Reasons []struct {
-		Code    string
-		Text    string
-		Figures map[string]float64
-		UntilMS int64 `json:"until_ms"`
+	Reasons []pendingReason
+}
+
+type pendingReason struct {
+	Code    string
+	Text    string
+	Figures map[string]float64
+	UntilMS int64 `json:"until_ms"`
+}
+
+// find returns the reason with a code.
+func (r *pendingReasons) find(code string) (pendingReason, bool) {
+	for _, reason := range r.Reasons {
+		if reason.Code == code {
+			return reason, true
+		}
 	}
+	return pendingReason{}, false
+}
+
+// sabotagedCodes has the codes that a sabotaged trial reads in place of the true ones.
+var sabotagedCodes = map[string]string{
+	reasonNoMachine: reasonNoRoom,
+	reasonNoRoom:    reasonNoMachine,
+	reasonFencing:   reasonBackingOff,
 }
 
 // codes reads a container's reasons.
 func (t *WhyTrial) codes(container string) (map[string]bool, pendingReasons, error) {
-	var a pendingReasons
-	if err := t.get("/v1/containers/"+container+"/why", &a); err != nil {
-		return nil, a, err
+	var answer pendingReasons
+	if err := t.get("/v1/containers/"+container+"/why", &answer); err != nil {
+		return nil, answer, err
 	}
 	codes := map[string]bool{}
-	for _, r := range a.Reasons {
-		c := r.Code
+	for _, reason := range answer.Reasons {
+		code := reason.Code
 		if t.Sabotage {
-			c = map[string]string{"no_machine": "no_room", "no_room": "no_machine", "guard": "backing_off"}[c]
+			code = sabotagedCodes[code]
+		}
+		codes[code] = true
+	}
+	return codes, answer, nil
+}
+
+// expectation is what a client must read of a container.
+type expectation struct {
+	what      string // names the change before
+	container string
+	since     time.Time // when it became true
+	want      []string  // codes that must be read
+	not       []string  // codes that must not be read; all others may
+	holds     func(pendingReasons) bool
+}
+
+func (e *expectation) met(codes map[string]bool, answer pendingReasons) bool {
+	if e.holds != nil && !e.holds(answer) {
+		return false
+	}
+	for _, code := range e.want {
+		if !codes[code] {
+			return false
+		}
+	}
+	for _, code := range e.not {
+		if codes[code] {
+			return false
 		}
-		codes[c] = true
 	}
-	return codes, a, nil
+	return true
 }
 
-// expect waits until the owner reads the codes wanted and none of those not, all of them ones that are judged; it
-// counts the delay from since, and misses what takes longer than a second.
+// expect waits until the client reads the codes wanted and none of those excluded.
 func (t *WhyTrial) expect(what, container string, since time.Time, want, not []string) error {
-	return t.expectMatching(what, container, since, want, not, func(pendingReasons) bool { return true })
+	return t.expectMatching(expectation{what: what, container: container, since: since, want: want, not: not})
 }
 
-// expectMatching does so, and holds what was read against a further condition too.
-func (t *WhyTrial) expectMatching(what, container string, since time.Time, want, not []string, holds func(pendingReasons) bool) error {
+// expectMatching waits until what is read meets an expectation. It records the delay, and a miss if that is longer
+// than reasonLimit.
+func (t *WhyTrial) expectMatching(e expectation) error {
 	t.checks++
-	var last map[string]bool
-	var wrong pendingReasons
-	for {
-		codes, a, err := t.codes(container)
+	for wrong := (pendingReasons{}); ; time.Sleep(10 * time.Millisecond) {
+		codes, answer, err := t.codes(e.container)
 		if err != nil {
 			return err
 		}
-		last = codes
-		right := holds(a)
-		for _, c := range want {
-			right = right && codes[c]
-		}
-		for _, c := range not {
-			right = right && !codes[c]
-		}
-		took := time.Since(since)
-		if right {
-			t.delays.RecordValue(max(1, took.Milliseconds()))
+		took := time.Since(e.since)
+		switch {
+		case e.met(codes, answer):
+			t.recordDelay(max(1, took.Milliseconds()))
 			if took > reasonLimit {
-				t.misses = append(t.misses, fmt.Sprintf("%s: the truth was read after %d ms, before that %s %+v", what, took.Milliseconds(),
-					wrong.State, wrong.Reasons))
+				t.miss("%s: the truth was read after %d ms, before that %s %+v", e.what, took.Milliseconds(), wrong.State, wrong.Reasons)
 			}
 			return nil
-		}
-		wrong = a
-		if took > 5*reasonLimit {
-			var got []string
-			for c := range last {
-				got = append(got, c)
-			}
-			sort.Strings(got)
-			t.misses = append(t.misses, fmt.Sprintf("%s: read [%s], true is [%s] and not [%s]", what, strings.Join(got, " "),
-				strings.Join(want, " "), strings.Join(not, " ")))
-			t.delays.RecordValue(took.Milliseconds())
+		case took > 5*reasonLimit:
+			read := slices.Sorted(maps.Keys(codes))
+			t.miss("%s: read [%s], true is [%s] and not [%s]", e.what, strings.Join(read, " "), strings.Join(e.want, " "),
+				strings.Join(e.not, " "))
+			t.recordDelay(took.Milliseconds())
 			return nil
 		}
-		time.Sleep(10 * time.Millisecond)
+		wrong = answer
 	}
 }
 
-// countFittingMachines counts, by the machines' own state, those that would take a container.
+func (t *WhyTrial) recordDelay(milliseconds int64) {
+	_ = t.delays.RecordValue(milliseconds) // longer than its range is a miss already
+}
+
+// countFittingMachines counts, by the machines' own state, those that would accept a container.
 func (t *WhyTrial) countFittingMachines(cores, memory float64) int {
 	n := 0
 	for _, m := range t.Cluster.Machines {
@@ -171,245 +229,257 @@
 	}
 }
 
-// playDrainsAndRoom changes the reason of one waiting container again and again: no room, then all that could run it
+// Each large machine accepts 96 cores and thus one container of fillerCores; the next needs as many more.
+const (
+	fillerCores  = 60
+	fillerMemory = 1
+	fillerJob    = "filler"
+	pendingJob   = "waits"
+	pendingOne   = "waits.0" // its container
+)
+
+func isLarge(m *emulator.Machine) bool { return m.Kind == "large" || m.KindN == 1 }
+
+func inFirstZone(m *emulator.Machine) bool { return m.ZoneN == 0 }
+
+// playDrainsAndRoom changes the reason of one pending container again and again: no room, then all that could run it
 // drain, then no room, then room.
 func (t *WhyTrial) playDrainsAndRoom() error {
-	large := func(m *emulator.Machine) bool { return m.Kind == "large" || m.KindN == 1 }
-	n := 0
+	large := 0
 	for _, m := range t.Cluster.Machines {
-		if large(m) {
-			n++
+		if isLarge(m) {
+			large++
 		}
 	}
-	// Each large machine takes one container of 60 cores, of 96 that it accepts; the next needs 60 more.
-	if err := t.createJob("filler", "on-large", n, 60, 1); err != nil {
+	if err := t.createJob(fillerJob, workloadLargeOnly, large, fillerCores, fillerMemory); err != nil {
 		return err
 	}
-	if err := t.waitRunning("filler", n); err != nil {
+	if err := t.waitRunning(fillerJob, large); err != nil {
 		return err
 	}
 	for range t.Cycles {
-		if t.countFittingMachines(60, 1) != 0 {
-			return fmt.Errorf("the fleet was to be full, and has room on %d", t.countFittingMachines(60, 1))
-		}
-		since := time.Now()
-		if err := t.createJob("waits", "on-large", 1, 60, 1); err != nil {
-			return err
-		}
-		if err := t.expect("full", "waits.0", since, []string{"no_room"}, []string{"no_machine"}); err != nil {
-			return err
-		}
-		since = time.Now()
-		t.drain(true, large)
-		if err := t.expect("all draining", "waits.0", since, []string{"no_machine"}, []string{"no_room"}); err != nil {
-			return err
-		}
-		since = time.Now()
-		t.drain(false, large)
-		if err := t.expect("in service, and full", "waits.0", since, []string{"no_room"}, []string{"no_machine"}); err != nil {
-			return err
-		}
-		since = time.Now()
-		if err := t.do("PUT", "/v1/jobs/filler", jobDocument{"service": "filler", "workload": "on-large", "cores": 60, "memory_gib": 1,
-			"count": n - 1, "run_for_ms": 3600_000}, nil); err != nil {
-			return err
-		}
-		if err := t.waitUntil("the stand-in has room", 5*time.Second, func() bool { return t.countFittingMachines(60, 1) > 0 || t.countContainers("waits", "running") > 0 }); err != nil {
-			return err
-		}
-		if since = time.Now(); t.countContainers("waits", "running") == 0 {
-			// The machine with room may be left out for another reason: it drained a moment ago, and turned work
-			// away then. But no more machines may be told as full than are.
-			if err := t.expectMatching("room", "waits.0", since, nil, []string{"no_machine"}, func(a pendingReasons) bool {
-				for _, r := range a.Reasons {
-					if r.Code == "no_room" {
-						return int(r.Figures["full"]) == n-t.countFittingMachines(60, 1)
-					}
-				}
-				return true
-			}); err != nil {
-				return err
-			}
-		}
-		if err := t.deleteJob("waits"); err != nil {
+		if err := t.fullThenDraining(); err != nil {
 			return err
 		}
-		if err := t.do("PUT", "/v1/jobs/filler", jobDocument{"service": "filler", "workload": "on-large", "cores": 60, "memory_gib": 1,
-			"count": n, "run_for_ms": 3600_000}, nil); err != nil {
+		if err := t.roomAgain(large); err != nil {
 			return err
 		}
-		if err := t.waitRunning("filler", n); err != nil {
+	}
+	return nil
+}
+
+// fullThenDraining submits one container more than fits, drains all machines that may run it and ends the drain.
+func (t *WhyTrial) fullThenDraining() error {
+	if n := t.countFittingMachines(fillerCores, fillerMemory); n != 0 {
+		return fmt.Errorf("the fleet was to be full, and has room on %d", n)
+	}
+	since := time.Now()
+	if err := t.createJob(pendingJob, workloadLargeOnly, 1, fillerCores, fillerMemory); err != nil {
+		return err
+	}
+	if err := t.expect("full", pendingOne, since, []string{reasonNoRoom}, []string{reasonNoMachine}); err != nil {
+		return err
+	}
+	since = time.Now()
+	t.drain(true, isLarge)
+	if err := t.expect("all draining", pendingOne, since, []string{reasonNoMachine}, []string{reasonNoRoom}); err != nil {
+		return err
+	}
+	since = time.Now()
+	t.drain(false, isLarge)
+	return t.expect("in service, and full", pendingOne, since, []string{reasonNoRoom}, []string{reasonNoMachine})
+}
+
+// roomAgain scales the filler down by one, so that the pending container fits, and restores the fleet after that.
+func (t *WhyTrial) roomAgain(large int) error {
+	if err := t.replaceJob(fillerJob, workloadLargeOnly, large-1, fillerCores, fillerMemory); err != nil {
+		return err
+	}
+	placed := func() bool { return t.countContainers(pendingJob, stateRunning) > 0 }
+	if err := waitUntil("the stand-in has room", 5*time.Second, func() bool {
+		return t.countFittingMachines(fillerCores, fillerMemory) > 0 || placed()
+	}); err != nil {
+		return err
+	}
+	if since := time.Now(); t.countContainers(pendingJob, stateRunning) == 0 {
+		// The machine with room may be excluded for another reason: it drained a moment ago, and rejected work then.
+		// But no more machines may be reported as full than are.
+		if err := t.expectMatching(expectation{what: "room", container: pendingOne, since: since, not: []string{reasonNoMachine},
+			holds: func(answer pendingReasons) bool {
+				noRoom, found := answer.find(reasonNoRoom)
+				return !found || int(noRoom.Figures["full"]) == large-t.countFittingMachines(fillerCores, fillerMemory)
+			}}); err != nil {
 			return err
 		}
 	}
-	return nil
+	if err := t.deleteJob(pendingJob); err != nil {
+		return err
+	}
+	if err := t.replaceJob(fillerJob, workloadLargeOnly, large, fillerCores, fillerMemory); err != nil {
+		return err
+	}
+	return t.waitRunning(fillerJob, large)
 }
 
-// playCombinedReasons makes a whole hall drain while the rest is full of what waits' own service and other work, so that several
-// reasons hold at once, each by the machines' own state.
+// playCombinedReasons drains a whole zone while the rest is full of the pending container's own service and other work,
+// so that several reasons hold at once, each by the machines' own state.
 func (t *WhyTrial) playCombinedReasons() error {
 	since := time.Now()
-	t.drain(true, func(m *emulator.Machine) bool { return m.ZoneN == 0 })
-	if err := t.createJob("waits", "on-large", 1, 60, 1); err != nil {
+	t.drain(true, inFirstZone)
+	if err := t.createJob(pendingJob, workloadLargeOnly, 1, fillerCores, fillerMemory); err != nil {
 		return err
 	}
-	if err := t.expect("a hall drains, the rest is full", "waits.0", since, []string{"hall_drains", "no_room", "backing_off"}, []string{"no_machine"}); err != nil {
+	if err := t.expect("a hall drains, the rest is full", pendingOne, since,
+		[]string{reasonZoneDrains, reasonNoRoom, reasonBackingOff}, []string{reasonNoMachine}); err != nil {
 		return err
 	}
 	since = time.Now()
 	t.Cluster.List.Away(true)
-	if err := t.expect("and the list is away", "waits.0", since.Add(4*time.Second),
-		[]string{"hall_drains", "no_room", "backing_off", "list_away"}, []string{"no_machine"}); err != nil {
+	if err := t.expect("and the list is away", pendingOne, since.Add(listSilenceLimit),
+		[]string{reasonZoneDrains, reasonNoRoom, reasonBackingOff, reasonListAway}, []string{reasonNoMachine}); err != nil {
 		return err
 	}
 	t.Cluster.List.Away(false)
-	t.drain(false, func(m *emulator.Machine) bool { return m.ZoneN == 0 })
-	if err := t.deleteJob("waits"); err != nil {
+	t.drain(false, inFirstZone)
+	if err := t.deleteJob(pendingJob); err != nil {
 		return err
 	}
-	return t.deleteJob("filler")
+	return t.deleteJob(fillerJob)
 }
 
-// playSpread asks for more of a service than its spread leaves room for.
+// spreadCapacity is how many containers of an at-most-once service fit by its spread: two a machine at each scheduler.
+func (t *WhyTrial) spreadCapacity() int {
+	return 2 * len(t.Cluster.Machines) * len(t.Cluster.Schedulers)
+}
+
+// playSpread submits more of a service than its spread leaves room for.
 func (t *WhyTrial) playSpread() error {
-	most := 2 * len(t.Cluster.Machines) * len(t.Cluster.Schedulers) // two a machine at each placer
-	if err := t.createJob("spread", "corpus-merge", most+4, 0.1, 0.1); err != nil {
+	const job = "spread"
+	capacity := t.spreadCapacity()
+	if err := t.createJob(job, workloadAtMostOnce, capacity+4, 0.1, 0.1); err != nil {
 		return err
 	}
-	if err := t.waitUntil("the spread is full", 60*time.Second, func() bool { return t.countContainers("spread", "running") >= most-2 }); err != nil {
+	if err := waitUntil("the spread is full", spreadTimeout, func() bool { return t.countContainers(job, stateRunning) >= capacity-2 }); err != nil {
 		return err
 	}
-	// One placer's places may be full while the other has one; the true reason is that of the placer asked.
-	if err := t.waitUntil("both placers are full", 60*time.Second, func() bool { return t.countContainers("spread", "running") == most }); err != nil {
+	// One scheduler's places may be full while the other has one; the true reason is that of the scheduler asked.
+	if err := waitUntil("both placers are full", spreadTimeout, func() bool { return t.countContainers(job, stateRunning) == capacity }); err != nil {
 		return err
 	}
-	var all struct{ Items []struct{ ID string } }
-	if err := t.get("/v1/containers?limit=1000&field=job=spread,state!=running", &all); err != nil || len(all.Items) == 0 {
-		return fmt.Errorf("none of the spread job waits: %v", err)
+	var pending struct{ Items []struct{ ID string } }
+	if err := t.get("/v1/containers?limit=1000&field=job=spread,state!=running", &pending); err != nil {
+		return fmt.Errorf("list the pending containers of the spread job: %w", err)
+	}
+	if len(pending.Items) == 0 {
+		return errors.New("none of the spread job waits")
 	}
-	if err := t.expect("spread full", all.Items[len(all.Items)-1].ID, time.Now(), []string{"spread_full"}, []string{"no_machine", "no_room"}); err != nil {
+	last := pending.Items[len(pending.Items)-1].ID
+	if err := t.expect("spread full", last, time.Now(), []string{reasonSpreadFull}, []string{reasonNoMachine, reasonNoRoom}); err != nil {
 		return err
 	}
-	return t.deleteJob("spread")
+	return t.deleteJob(job)
 }
 
-// playFencing loses the answer to an at-most-once bid: nothing may be done for the settling time, and then it is.
+// playFencing loses the reply to an at-most-once attempt: nothing may be done for the fencing delay, and then it is.
 func (t *WhyTrial) playFencing() error {
-	for _, m := range t.Cluster.Machines {
-		m.Freeze(true)
-	}
+	const job, first = "guarded", "guarded.0"
+	t.Cluster.freezeAll(true)
 	since := time.Now()
-	if err := t.createJob("guarded", "corpus-merge", 2, 0.1, 0.1); err != nil {
+	if err := t.createJob(job, workloadAtMostOnce, 2, 0.1, 0.1); err != nil {
 		return err
 	}
-	hardStop := 4 * time.Second
-	err := t.expect("given up, and it may run", "guarded.0", since.Add(hardStop), []string{"guard"}, nil)
-	_, a, _ := t.codes("guarded.0")
-	for _, m := range t.Cluster.Machines {
-		m.Freeze(false)
-	}
-	if err != nil {
+	err := t.expect("given up, and it may run", first, since.Add(placementTimeout), []string{reasonFencing}, nil)
+	_, answer, readErr := t.codes(first)
+	t.Cluster.freezeAll(false)
+	if err := errors.Join(err, readErr); err != nil {
 		return err
 	}
-	var ends time.Time
-	for _, r := range a.Reasons {
-		if r.Code == "guard" {
-			ends = time.UnixMilli(r.UntilMS)
-		}
-	}
+	fencing, _ := answer.find(reasonFencing) // its time, if it is missing, is a miss below
+	ends := time.UnixMilli(fencing.UntilMS)
 	if left := time.Until(ends); left <= 0 || left > 9*time.Second {
-		t.misses = append(t.misses, fmt.Sprintf("the guard is said to end in %v", left))
+		t.miss("the guard is said to end in %v", left)
 		return nil
 	}
 	time.Sleep(time.Until(ends))
-	if err := t.expect("the guard is over", "guarded.0", ends, nil, []string{"guard"}); err != nil {
+	if err := t.expect("the guard is over", first, ends, nil, []string{reasonFencing}); err != nil {
 		return err
 	}
-	if err := t.waitRunning("guarded", 2); err != nil {
+	if err := t.waitRunning(job, 2); err != nil {
 		return err
 	}
-	return t.deleteJob("guarded")
+	return t.deleteJob(job)
 }
 
-// playScaleDownWhileFenced scales a job down while its containers are in the guard: none of them may be left running.
-func (t *WhyTrial) playScaleDownWhileFenced() error {
-	// The freeze before has cost links; a bid over a link that does not stand provably never runs, and asks for no
-	// guard. So every machine is used once first.
-	n := 2 * len(t.Cluster.Machines) * len(t.Cluster.Schedulers)
-	if err := t.createJob("warm", "corpus-merge", n, 0.1, 0.1); err != nil {
+// connectAllMachines uses every machine once. A freeze before has cost connections; an attempt over a connection that
+// is not up provably never runs, and needs no fencing.
+func (t *WhyTrial) connectAllMachines() error {
+	const job = "warm"
+	capacity := t.spreadCapacity()
+	if err := t.createJob(job, workloadAtMostOnce, capacity, 0.1, 0.1); err != nil {
 		return err
 	}
-	if err := t.waitUntil("every machine is in use again", 60*time.Second, func() bool { return t.countContainers("warm", "running") == n }); err != nil {
+	if err := waitUntil("every machine is in use again", spreadTimeout, func() bool { return t.countContainers(job, stateRunning) == capacity }); err != nil {
 		return err
 	}
-	if err := t.deleteJob("warm"); err != nil {
+	return t.deleteJob(job)
+}
+
+// playScaleDownWhileFenced scales a job down while its containers are fenced: none of them may be left running.
+func (t *WhyTrial) playScaleDownWhileFenced() error {
+	const job = "shrinks"
+	if err := t.connectAllMachines(); err != nil {
 		return err
 	}
-	for _, m := range t.Cluster.Machines {
-		m.Freeze(true)
-	}
+	t.Cluster.freezeAll(true)
 	since := time.Now()
-	if err := t.createJob("shrinks", "corpus-merge", 2, 0.1, 0.1); err != nil {
+	if err := t.createJob(job, workloadAtMostOnce, 2, 0.1, 0.1); err != nil {
 		return err
 	}
-	err := t.expect("in the guard", "shrinks.1", since.Add(4*time.Second), []string{"guard"}, nil)
+	err := t.expect("in the guard", "shrinks.1", since.Add(placementTimeout), []string{reasonFencing}, nil)
 	if err == nil {
-		err = t.do("PUT", "/v1/jobs/shrinks", jobDocument{"service": "shrinks", "workload": "corpus-merge", "cores": 0.1, "memory_gib": 0.1,
-			"count": 0, "run_for_ms": 3600_000}, nil)
-	}
-	for _, m := range t.Cluster.Machines {
-		m.Freeze(false)
+		err = t.replaceJob(job, workloadAtMostOnce, 0, 0.1, 0.1)
 	}
+	t.Cluster.freezeAll(false)
 	if err != nil {
 		return err
 	}
-	if err := t.deleteJob("shrinks"); err != nil {
+	if err := t.deleteJob(job); err != nil {
 		return err
 	}
-	return t.waitUntil("nothing of it runs", 10*time.Second, func() bool {
-		n := 0
-		for _, m := range t.Cluster.Machines {
-			if s, ok := m.State(); ok {
-				n += s.Running
-			}
-		}
-		return n == 0
-	})
+	return waitUntil("nothing of it runs", 10*time.Second, func() bool { return t.Cluster.countRunning() == 0 })
 }
 
-// waiting is a container that never runs: no machine is large enough.
-func (t *WhyTrial) createUnplaceableJob() error {
-	return t.createJob("huge", "matcher", 1, 500, 1)
-}
+// unplaceableJob has a container that never runs: no machine is large enough.
+const unplaceableJob, unplaceableOne = "huge", "huge.0"
 
 func (t *WhyTrial) playListUnavailable() error {
 	since := time.Now()
-	if err := t.createUnplaceableJob(); err != nil {
+	if err := t.createJob(unplaceableJob, workloadMatcher, 1, 500, 1); err != nil {
 		return err
 	}
-	if err := t.expect("too large for all", "huge.0", since, []string{"no_machine"}, []string{"no_room", "list_away"}); err != nil {
+	if err := t.expect("too large for all", unplaceableOne, since, []string{reasonNoMachine}, []string{reasonNoRoom, reasonListAway}); err != nil {
 		return err
 	}
 	since = time.Now()
 	t.Cluster.List.Away(true)
-	// It counts as away once it has been silent for four seconds.
-	if err := t.expect("the list is away", "huge.0", since.Add(4*time.Second), []string{"list_away", "no_machine"}, nil); err != nil {
+	if err := t.expect("the list is away", unplaceableOne, since.Add(listSilenceLimit), []string{reasonListAway, reasonNoMachine}, nil); err != nil {
 		return err
 	}
 	t.Cluster.List.Away(false)
-	// The placers ask again after a pause of their own; the reason must go within a second of their hearing it.
-	return t.waitUntil("the list is heard again", 10*time.Second, func() bool {
-		codes, _, err := t.codes("huge.0")
-		return err == nil && !codes["list_away"]
+	// The schedulers connect again after a backoff of their own; the reason must go within a second after that.
+	return waitUntil("the list is heard again", 10*time.Second, func() bool {
+		codes, _, err := t.codes(unplaceableOne)
+		return err == nil && !codes[reasonListAway]
 	})
 }
 
+// playSchedulersKilled kills all schedulers while the unplaceable container is pending.
 func (t *WhyTrial) playSchedulersKilled() error {
 	since := time.Now()
 	for _, p := range t.Cluster.Schedulers {
 		t.Cluster.KillScheduler(p)
 	}
-	if err := t.expect("all placers killed", "huge.0", since, []string{"no_placer"}, []string{"no_machine"}); err != nil {
+	if err := t.expect("all placers killed", unplaceableOne, since, []string{reasonNoScheduler}, []string{reasonNoMachine}); err != nil {
 		return err
 	}
 	for _, p := range t.Cluster.Schedulers {
@@ -417,8 +487,8 @@
 			return err
 		}
 	}
-	if err := t.expect("and up again", "huge.0", time.Now(), nil, []string{"no_placer"}); err != nil {
+	if err := t.expect("and up again", unplaceableOne, time.Now(), nil, []string{reasonNoScheduler}); err != nil {
 		return err
 	}
-	return t.deleteJob("huge")
+	return t.deleteJob(unplaceableJob)
 }
