--- a/cmd/glenport-testbed/load.go
+++ b/cmd/glenport-testbed/load.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"io"
 	"os"
 	"text/tabwriter"
 	"time"
@@ -11,58 +12,102 @@
 	"github.com/spf13/cobra"
 )
 
-// loadCommand measures one placer against stand-ins that answer at once.
+// controllerTemplate gives the settings of the schedulers behind a measured controller.
+const controllerTemplate = "scenarios/why-placer.yaml"
+
+// schedulerLoad is what the load of a scheduler is measured with.
+type schedulerLoad struct {
+	machines, rates []int
+	length, life    time.Duration
+	template        string
+}
+
+// loadCommand measures one scheduler against emulated machines that answer at once.
 func loadCommand() *cobra.Command {
-	var machines, rates []int
-	var length, life time.Duration
-	var template string
-	c := &cobra.Command{Use: "load", Short: "Measure one placer against machines that answer at once", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error {
-			program, err := schedulerProgram(0)
-			if err != nil {
+	var l schedulerLoad
+	c := &cobra.Command{Use: "load", Short: "Measure one scheduler against machines that answer at once", Args: cobra.NoArgs,
+		Example: "  glenport-testbed load --machines 100 --rates 300 --length 5s",
+		RunE:    func(*cobra.Command, []string) error { return l.run() }}
+	c.AddCommand(apiLoadCommand(), jobLoadCommand(), bgpLoadCommand())
+	c.Flags().IntSliceVar(&l.machines, "machines", []int{10, 100, 1000}, "how many machines")
+	c.Flags().IntSliceVar(&l.rates, "rates", []int{300, 3000}, "submissions a second")
+	c.Flags().DurationVar(&l.length, "length", 10*time.Second, "of each measurement")
+	c.Flags().DurationVar(&l.life, "life", 2*time.Second, "of each container")
+	c.Flags().StringVar(&l.template, "placer-file", "scenarios/placer.yaml", "the scheduler's settings")
+	return c
+}
+
+// run prints a row for each number of machines and rate.
+func (l *schedulerLoad) run() error {
+	program, err := schedulerProgram(0)
+	if err != nil {
+		return err
+	}
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
+	if _, err := fmt.Fprintln(table,
+		"machines\tasked/s\tplaced/s\tp50 ms\tp99 ms\tp99.9 ms\tworst ms\tbusy\tdeciding\tof busy\tlive MiB\tbefore\topen\t"); err != nil {
+		return err
+	}
+	for _, machines := range l.machines {
+		for _, rate := range l.rates {
+			if err := l.measure(table, program, machines, rate); err != nil {
 				return err
 			}
-			w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
-			fmt.Fprintln(w, "machines\tasked/s\tplaced/s\tp50 ms\tp99 ms\tp99.9 ms\tworst ms\tbusy\tdeciding\tof busy\tlive MiB\tbefore\topen\t")
-			for _, m := range machines {
-				for _, r := range rates {
-					dir, done, err := folder("")
-					if err != nil {
-						return err
-					}
-					l, err := scenario.MeasureLoad(template, dir, program, m, r, length, life)
-					done()
-					if err != nil {
-						return err
-					}
-					fmt.Fprintf(w, "%d\t%d\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f%%\t%.1f us\t%.0f%%\t%.1f\t%.1f\t%.0f\t\n", m, r, l.PlacedPerSecond,
-						l.P50, l.P99, l.P999, l.Worst, 100*l.Busy, l.DecidingMicroseconds, 100*l.DecidingShare, l.MiB, l.MiBBefore, l.KnownContainers)
-				}
-			}
-			return w.Flush()
-		}}
-	var fleet, waiting, watchers int
-	api := &cobra.Command{Use: "api", Short: "Measure a keeper with containers that wait", Args: cobra.NoArgs,
+		}
+	}
+	return table.Flush()
+}
+
+func (l *schedulerLoad) measure(table io.Writer, program []string, machines, rate int) error {
+	dir, done, err := folder("")
+	if err != nil {
+		return err
+	}
+	defer done()
+	r, err := scenario.MeasureLoad(l.template, dir, program, machines, rate, l.length, l.life)
+	if err != nil {
+		return err
+	}
+	_, err = fmt.Fprintf(table, "%d\t%d\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f%%\t%.1f us\t%.0f%%\t%.1f\t%.1f\t%.0f\t\n", machines, rate,
+		r.PlacedPerSecond, r.P50, r.P99, r.P999, r.Worst, 100*r.Busy, r.DecidingMicroseconds, 100*r.DecidingShare, r.MiB, r.MiBBefore,
+		r.KnownContainers)
+	return err
+}
+
+func apiLoadCommand() *cobra.Command {
+	var machines, waiting, watchers int
+	c := &cobra.Command{Use: "api", Short: "Measure a controller with pending containers", Args: cobra.NoArgs,
+		Example: "  glenport-testbed load api --machines 100 --waiting 1000 --watchers 100",
 		RunE: func(*cobra.Command, []string) error {
 			return withSchedulers("", 0, func(program []string, dir string) error {
-				return scenario.MeasureAPI("scenarios/why-placer.yaml", dir, program, fleet, waiting, watchers, os.Stdout)
+				return scenario.MeasureAPI(controllerTemplate, dir, program, machines, waiting, watchers, os.Stdout)
 			})
 		}}
-	api.Flags().IntVar(&fleet, "machines", 1000, "how many machines")
-	api.Flags().IntVar(&waiting, "waiting", 10000, "how many containers wait")
-	api.Flags().IntVar(&watchers, "watchers", 1000, "how many watch")
-	var keptRate int
-	kept := &cobra.Command{Use: "kept", Short: "Measure the way of jobs through a keeper", Args: cobra.NoArgs,
+	c.Flags().IntVar(&machines, "machines", 1000, "how many machines")
+	c.Flags().IntVar(&waiting, "waiting", 10000, "how many containers are pending")
+	c.Flags().IntVar(&watchers, "watchers", 1000, "how many watch")
+	return c
+}
+
+func jobLoadCommand() *cobra.Command {
+	var machines, rate int
+	c := &cobra.Command{Use: "kept", Short: "Measure the way of jobs through a controller", Args: cobra.NoArgs,
+		Example: "  glenport-testbed load kept --machines 100 --rate 300",
 		RunE: func(*cobra.Command, []string) error {
 			return withSchedulers("", 0, func(program []string, dir string) error {
-				return scenario.MeasureJobs("scenarios/why-placer.yaml", dir, program, fleet, keptRate, 5*time.Second, os.Stdout)
+				return scenario.MeasureJobs(controllerTemplate, dir, program, machines, rate, 5*time.Second, os.Stdout)
 			})
 		}}
-	kept.Flags().IntVar(&fleet, "machines", 100, "how many machines")
-	kept.Flags().IntVar(&keptRate, "rate", 300, "jobs a second")
+	c.Flags().IntVar(&machines, "machines", 100, "how many machines")
+	c.Flags().IntVar(&rate, "rate", 300, "jobs a second")
+	return c
+}
+
+func bgpLoadCommand() *cobra.Command {
 	var prefixes int
 	var peers []int
-	bgp := &cobra.Command{Use: "bgp", Short: "Measure a speaker with many prefixes and peers", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "bgp", Short: "Measure a speaker with many prefixes and peers", Args: cobra.NoArgs,
+		Example: "  glenport-testbed load bgp --prefixes 1000 --peers 1,10",
 		RunE: func(*cobra.Command, []string) error {
 			for _, n := range peers {
 				if err := scenario.MeasureBGP(prefixes, n, os.Stdout); err != nil {
@@ -71,13 +116,7 @@
 			}
 			return nil
 		}}
-	bgp.Flags().IntVar(&prefixes, "prefixes", 100_000, "how many prefixes")
-	bgp.Flags().IntSliceVar(&peers, "peers", []int{1, 10, 50}, "how many peers")
-	c.AddCommand(api, kept, bgp)
-	c.Flags().IntSliceVar(&machines, "machines", []int{10, 100, 1000}, "how many machines")
-	c.Flags().IntSliceVar(&rates, "rates", []int{300, 3000}, "submissions a second")
-	c.Flags().DurationVar(&length, "length", 10*time.Second, "of each measurement")
-	c.Flags().DurationVar(&life, "life", 2*time.Second, "of each container")
-	c.Flags().StringVar(&template, "placer-file", "scenarios/placer.yaml", "the placer's terms")
+	c.Flags().IntVar(&prefixes, "prefixes", 100_000, "how many prefixes")
+	c.Flags().IntSliceVar(&peers, "peers", []int{1, 10, 50}, "how many peers")
 	return c
 }
--- /dev/null
+++ b/cmd/glenport-testbed/scenario.go
@@ -0,0 +1,73 @@
+package main
+
+import (
+	"fmt"
+	"os"
+
+	"glenport/internal/testbed/audit"
+	"glenport/internal/testbed/scenario"
+
+	"github.com/spf13/cobra"
+)
+
+func scenarioCommand() *cobra.Command {
+	var dir string
+	var rule int
+	c := &cobra.Command{Use: "scenario FILE", Aliases: []string{"day"}, Short: "Play a scenario's faults on a cluster and audit its recording",
+		Example: "  glenport-testbed scenario scenarios/short.yaml\n  glenport-testbed scenario scenarios/short.yaml --sabotage 2",
+		Args:    cobra.ExactArgs(1),
+		RunE: func(_ *cobra.Command, args []string) error {
+			s, err := scenario.Load(args[0])
+			if err != nil {
+				return err
+			}
+			return runScenario(s, dir, rule)
+		}}
+	c.Flags().StringVar(&dir, "dir", "", "folder to keep the recording and the logs in")
+	c.Flags().IntVar(&rule, "sabotage", 0, "break this rule on purpose, 1 to 5")
+	return c
+}
+
+func auditCommand() *cobra.Command {
+	var container string
+	c := &cobra.Command{Use: "audit RECORD", Short: "Audit a recording alone",
+		Example: "  glenport-testbed audit /tmp/run/record\n  glenport-testbed audit /tmp/run/record --show job-1/0/1",
+		Args:    cobra.ExactArgs(1),
+		RunE: func(_ *cobra.Command, args []string) error {
+			if container != "" {
+				return audit.PrintContainer(args[0], container, os.Stdout)
+			}
+			report, err := audit.CheckRecording(args[0])
+			if err != nil {
+				return err
+			}
+			fmt.Printf("%d frames, %d submissions, %d offers\n", report.Frames, report.Submitted, report.Offers)
+			scenario.PrintViolations(os.Stdout, report)
+			if !report.Passed() {
+				return errFailed
+			}
+			fmt.Println("rules: kept")
+			return nil
+		}}
+	c.Flags().StringVar(&container, "show", "", "show what passed for this container instead")
+	return c
+}
+
+func replayCommand() *cobra.Command {
+	var dir, template string
+	var rate float64
+	c := &cobra.Command{Use: "replay DAY.json", Short: "Play the kinds of fault of a simulated day, scaled down, on real schedulers",
+		Example: "  glenport-testbed replay day.json --rate 150",
+		Args:    cobra.ExactArgs(1),
+		RunE: func(_ *cobra.Command, args []string) error {
+			s, err := scenario.LoadReplay(args[0], template, rate, os.Stdout)
+			if err != nil {
+				return err
+			}
+			return runScenario(s, dir, 0)
+		}}
+	c.Flags().StringVar(&dir, "dir", "", "folder to keep the recording and the logs in")
+	c.Flags().StringVar(&template, "day", "scenarios/bad-day.yaml", "scenario file that gives the cluster")
+	c.Flags().Float64Var(&rate, "rate", 150, "submissions a second at the day's mean load")
+	return c
+}
--- /dev/null
+++ b/cmd/glenport-testbed/scheduler.go
@@ -0,0 +1,67 @@
+package main
+
+import (
+	"log/slog"
+	"os"
+	"os/signal"
+	"runtime"
+	"syscall"
+
+	"glenport/internal/bgp/speaker"
+	"glenport/internal/config"
+	"glenport/internal/schedulerd"
+	"glenport/internal/testbed/mutants"
+	"glenport/scheduler"
+
+	"github.com/spf13/cobra"
+)
+
+// schedulerFlags are how the test bed's own scheduler differs from glenport's.
+type schedulerFlags struct {
+	file            string
+	sabotagedRule   int
+	sabotagedRoutes string
+	damped          bool
+}
+
+// schedulerCommand runs a scheduler as glenport does, with or without one rule broken.
+func schedulerCommand() *cobra.Command {
+	var f schedulerFlags
+	c := &cobra.Command{Use: "scheduler", Aliases: []string{"placer"}, Hidden: true, Args: cobra.NoArgs,
+		Example: "  glenport-testbed scheduler -c placer.yaml --sabotage 2",
+		RunE:    func(*cobra.Command, []string) error { return f.run() }}
+	c.Flags().StringVarP(&f.file, "config", "c", "", "the scheduler's settings file")
+	c.Flags().IntVar(&f.sabotagedRule, "sabotage", 0, "rule to break")
+	c.Flags().BoolVar(&f.damped, "damped", false, "limit concurrency when starts become slow")
+	c.Flags().StringVar(&f.sabotagedRoutes, "spoil-routes", "", "late or storm")
+	return c
+}
+
+func (f *schedulerFlags) run() error {
+	settings, err := config.Load(f.file)
+	if err != nil {
+		return err
+	}
+	settings.Damped = settings.Damped || f.damped
+	var decider schedulerd.Scheduler = scheduler.New(settings.Terms)
+	if f.sabotagedRule > 0 {
+		if decider, err = mutants.New(f.sabotagedRule, settings.Terms, decider); err != nil {
+			return err
+		}
+	}
+	server, err := schedulerd.New(settings, decider, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+	if err != nil {
+		return err
+	}
+	if routes := server.Speaker(); routes != nil && f.sabotagedRoutes != "" {
+		routes.WrapDecider(func(d speaker.RouteDecider) speaker.RouteDecider { return mutants.Routes(f.sabotagedRoutes, d) })
+	}
+	stop := make(chan os.Signal, 1)
+	signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
+	go func() {
+		<-stop
+		server.Stop()
+	}()
+	runtime.LockOSThread()
+	return server.Run()
+}
--- /dev/null
+++ b/cmd/glenport-testbed/trial.go
@@ -0,0 +1,150 @@
+package main
+
+import (
+	"fmt"
+	"os"
+
+	"glenport/internal/testbed/scenario"
+
+	"github.com/spf13/cobra"
+)
+
+func trialCommand() *cobra.Command {
+	c := &cobra.Command{Use: "trial", Short: "Prove a subsystem end to end, with faults",
+		Example: "  glenport-testbed trial why --cycles 2\n  glenport-testbed trial restart --short --kills 60"}
+	c.AddCommand(whyTrialCommand(), bgpTrialCommand(), restartTrialCommand(), overloadTrialCommand())
+	return c
+}
+
+// trial is what all trials have in common.
+type trial struct {
+	name     string
+	scenario string // path of the scenario file that gives the cluster
+	failure  string // printed if something did not hold
+	play     func(s *scenario.Scenario, dir string, program []string) (ok bool, err error)
+}
+
+// run plays the trial with a scheduler program and prints its verdict.
+func (t trial) run(namedDir string, program []string) error {
+	s, err := scenario.Load(t.scenario)
+	if err != nil {
+		return err
+	}
+	dir, done, err := folder(namedDir)
+	if err != nil {
+		return err
+	}
+	defer done()
+	ok, err := t.play(s, dir, program)
+	switch {
+	case err != nil:
+		fmt.Printf("trial %s: FAILED %v\n", t.name, err)
+	case !ok:
+		fmt.Printf("trial %s: FAILED %s\n", t.name, t.failure)
+	default:
+		fmt.Printf("trial %s: ok\n", t.name)
+		return nil
+	}
+	return errFailed
+}
+
+func whyTrialCommand() *cobra.Command {
+	var dir string
+	t := &scenario.WhyTrial{Out: os.Stdout}
+	c := &cobra.Command{Use: "why", Short: "Clients read the true reason why their containers are pending, within a second", Args: cobra.NoArgs,
+		Example: "  glenport-testbed trial why --cycles 2",
+		RunE: func(*cobra.Command, []string) error {
+			program, err := schedulerProgram(0)
+			if err != nil {
+				return err
+			}
+			return trial{"why", "scenarios/why.yaml", "an owner read what was not so, or too late", t.Run}.run(dir, program)
+		}}
+	c.Flags().StringVar(&dir, "dir", "", "folder to keep the logs in")
+	c.Flags().IntVar(&t.Cycles, "cycles", 50, "of draining and filling, four changes each")
+	c.Flags().IntVar(&t.Steps, "steps", 0, "play the first so many steps only; 0: all")
+	c.Flags().BoolVar(&t.Sabotage, "sabotage", false, "read another reason than the API returns")
+	return c
+}
+
+func bgpTrialCommand() *cobra.Command {
+	var dir, sabotage string
+	t := &scenario.BGPTrial{Out: os.Stdout}
+	c := &cobra.Command{Use: "bgp", Short: "Addresses are announced while containers run, in time and without storms", Args: cobra.NoArgs,
+		Example: "  glenport-testbed trial bgp --rounds 1",
+		RunE: func(*cobra.Command, []string) error {
+			program, err := schedulerProgram(0)
+			if err == nil && sabotage != "" {
+				program, err = ownScheduler("--spoil-routes", sabotage)
+			}
+			if err != nil {
+				return err
+			}
+			return trial{"bgp", "scenarios/why.yaml", "a peer was told too late, too often or what was not so", t.Run}.run(dir, program)
+		}}
+	c.Flags().StringVar(&dir, "dir", "", "folder to keep the logs in")
+	c.Flags().IntVar(&t.Rounds, "rounds", 10, "of fifty ends each")
+	c.Flags().StringVar(&sabotage, "sabotage", "", "late or storm: withdrawals come late, or every change is announced at once")
+	return c
+}
+
+func restartTrialCommand() *cobra.Command {
+	var dir string
+	var short bool
+	t := &scenario.RestartTrial{Out: os.Stdout}
+	c := &cobra.Command{Use: "restart", Short: "Nothing that was acknowledged is lost when programs are killed while they write", Args: cobra.NoArgs,
+		Example: "  glenport-testbed trial restart --short --kills 60",
+		RunE: func(*cobra.Command, []string) error {
+			if t.Sabotage != "" && t.Sabotage != scenario.SabotageSync && t.Sabotage != scenario.SabotageChecksum {
+				return fmt.Errorf("--sabotage %q is neither sync nor checksum", t.Sabotage)
+			}
+			t.LogSizes, t.MeasureLost = []int{100, 10_000, 100_000}, true
+			if short {
+				t.LogSizes, t.MeasureLost = []int{100}, false
+			}
+			program, err := schedulerProgram(0)
+			if err != nil {
+				return err
+			}
+			return trial{"restart", "scenarios/short.yaml", "what was promised was lost, or a rule broken", t.Run}.run(dir, program)
+		}}
+	c.Flags().StringVar(&dir, "dir", "", "folder to keep the recordings and the logs in")
+	c.Flags().IntVar(&t.Kills, "kills", 1000, "of schedulers; the controller is killed now and then beside")
+	c.Flags().BoolVar(&short, "short", false, "leave out the long measurements")
+	c.Flags().StringVar(&t.Sabotage, "sabotage", "", "sync or checksum: the log leaves it out")
+	return c
+}
+
+func overloadTrialCommand() *cobra.Command {
+	var dir string
+	var schedulers int
+	t := &scenario.OverloadTrial{IgnoringClients: 0.5, Out: os.Stdout}
+	c := &cobra.Command{Use: "storm", Short: "When most of a fleet restarts at once, what follows is not worse than that", Args: cobra.NoArgs,
+		Example: "  glenport-testbed trial storm --seeds 2 --sockets 0",
+		RunE: func(*cobra.Command, []string) error {
+			program, err := schedulerProgram(0)
+			if err != nil {
+				return err
+			}
+			damped, err := ownScheduler("--damped")
+			if err != nil {
+				return err
+			}
+			t.Program = func(withLimit bool) []string {
+				if withLimit {
+					return damped
+				}
+				return program
+			}
+			play := func(s *scenario.Scenario, dir string, _ []string) (bool, error) {
+				s.Schedulers = schedulers
+				return t.Run(s, dir)
+			}
+			return trial{"storm", "scenarios/storm.yaml", "a storm outlived its cause, or a rule was broken", play}.run(dir, program)
+		}}
+	c.Flags().StringVar(&dir, "dir", "", "folder to keep the recordings and the logs in")
+	c.Flags().IntVar(&t.Seeds, "seeds", 10, "of the simulated form")
+	c.Flags().IntVar(&t.Sockets, "sockets", 1, "runs of each damping over sockets")
+	c.Flags().IntVar(&schedulers, "placers", 3, "over sockets")
+	return c
+}
--- a/internal/testbed/scenario/load_bgp.go
+++ b/internal/testbed/scenario/load_bgp.go
@@ -5,6 +5,7 @@
 	"io"
 	"log/slog"
 	"net/netip"
+	"sync"
 	"time"
 
 	"glenport/internal/bgp/announce"
@@ -19,7 +20,7 @@
 	prefixes int
 	peers    []*emulator.BGPPeer
 	loop     *eventloop.Loop
-	loopEnd  chan error
+	loopEnd  sync.WaitGroup
 	speaker  *speaker.Speaker
 }
 
@@ -67,8 +68,9 @@
 	if b.loop, err = eventloop.New(func() {}); err != nil {
 		return err
 	}
-	b.loopEnd = make(chan error, 1)
-	go func() { b.loopEnd <- b.loop.Run() }()
+	b.loopEnd.Go(func() {
+		_ = b.loop.Run() // a loop that ended early leaves a wait below without its condition
+	})
 	b.onLoop(func() {
 		b.speaker = speaker.New(b.loop, config, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		err = b.speaker.Start()
@@ -77,9 +79,9 @@
 }
 
 func (b *bgpBench) close() {
-	if b.loopEnd != nil {
+	if b.loop != nil {
 		b.loop.Stop()
-		<-b.loopEnd // the error of a loop that was stopped says nothing about the measurement
+		b.loopEnd.Wait()
 	}
 	for _, p := range b.peers {
 		p.Close()
--- a/internal/testbed/scenario/load_jobs.go
+++ b/internal/testbed/scenario/load_jobs.go
@@ -46,7 +46,7 @@
 	if err := load.createJobs(); err != nil {
 		return err
 	}
-	running := 0
+	var running int
 	select {
 	case running = <-done:
 	case <-time.After(10 * time.Second):
