--- a/cmd/glenport-testbed/scheduler.go
+++ b/cmd/glenport-testbed/scheduler.go
@@ -54,7 +54,7 @@
 		return err
 	}
 	if routes := server.Speaker(); routes != nil && f.sabotagedRoutes != "" {
-		routes.WrapDecider(func(d speaker.RouteDecider) speaker.RouteDecider { return mutants.Routes(f.sabotagedRoutes, d) })
+		routes.WrapDecider(func(d speaker.RouteDecider) speaker.RouteDecider { return mutants.NewRouteMutant(f.sabotagedRoutes, d) })
 	}
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
--- a/internal/bgp/speaker/speaker_test.go
+++ b/internal/bgp/speaker/speaker_test.go
@@ -52,7 +52,7 @@
 }
 
 func has(p *emulator.BGPPeer, x netip.Prefix) bool {
-	ok, _ := p.Has(x)
+	ok, _ := p.Route(x)
 	return ok
 }
 
@@ -67,7 +67,7 @@
 		allow []netip.Prefix
 	}{{&f.outer, 65000, []netip.Prefix{netip.MustParsePrefix("198.51.100.0/24"), netip.MustParsePrefix("2001:db8:1::/64")}},
 		{&f.inner, 65001, []netip.Prefix{netip.MustParsePrefix("0.0.0.0/0")}}} {
-		*p.to = &emulator.BGPPeer{AS: p.as, ID: [4]byte{192, 0, 2, 250}, Hold: 3 * time.Second, Helps: 5 * time.Second, Journal: true}
+		*p.to = &emulator.BGPPeer{AS: p.as, ID: [4]byte{192, 0, 2, 250}, HoldTime: 3 * time.Second, RestartTime: 5 * time.Second, RecordChanges: true}
 		addr, err := (*p.to).Open()
 		if err != nil {
 			t.Fatal(err)
@@ -96,7 +96,7 @@
 			t.Error(err)
 		}
 	})
-	f.waitUntil("both sessions are established", func() bool { return f.outer.Up() && f.inner.Up() })
+	f.waitUntil("both sessions are established", func() bool { return f.outer.Established() && f.inner.Established() })
 	return f
 }
 
@@ -117,14 +117,14 @@
 	if has(f.outer, mail) || has(f.inner, web6) {
 		t.Error("a peer received what its policy does not allow")
 	}
-	for _, x := range f.outer.Told() {
-		if x.Pref != 0 {
-			t.Errorf("the outer peer received the local preference %d", x.Pref)
+	for _, x := range f.outer.Changes() {
+		if x.LocalPref != 0 {
+			t.Errorf("the outer peer received the local preference %d", x.LocalPref)
 		}
 	}
-	for _, x := range f.inner.Told() {
-		if x.Pref != 100 {
-			t.Errorf("the inner peer received the local preference %d", x.Pref)
+	for _, x := range f.inner.Changes() {
+		if x.LocalPref != 100 {
+			t.Errorf("the inner peer received the local preference %d", x.LocalPref)
 		}
 	}
 }
@@ -133,11 +133,11 @@
 	f := startSpeaker(t, nil)
 	f.runContainers("web")
 	f.waitUntil("it is announced", func() bool { return has(f.outer, web) })
-	if _, _, ends, _, _ := f.outer.Figures(); ends != 0 {
+	if _, _, ends, _, _ := f.outer.Stats(); ends != 0 {
 		t.Error("the end was marked before all was known")
 	}
 	f.onLoop(f.speaker.MarkRoutesComplete)
-	f.waitUntil("both families are marked", func() bool { _, _, ends, _, _ := f.outer.Figures(); return ends == 2 })
+	f.waitUntil("both families are marked", func() bool { _, _, ends, _, _ := f.outer.Stats(); return ends == 2 })
 }
 
 // A stop sends a shutdown message, by which peers drop routes that they would keep over a restart.
@@ -146,7 +146,7 @@
 	f.runContainers("web")
 	f.waitUntil("it is announced", func() bool { return has(f.outer, web) })
 	f.onLoop(func() { f.speaker.Stop("done") })
-	f.waitUntil("it is gone", func() bool { return !has(f.outer, web) && !f.outer.Up() })
+	f.waitUntil("it is gone", func() bool { return !has(f.outer, web) && !f.outer.Established() })
 }
 
 // Two speakers announce one address, each for its own containers.
--- a/internal/testbed/audit/checker.go
+++ b/internal/testbed/audit/checker.go
@@ -48,7 +48,7 @@
 
 // workloadClass is false for a class that the recording's terms do not have.
 func (c *checker) workloadClass(index int) (scheduler.WorkloadClass, bool) {
-	if classes := c.header.Terms.WorkloadClasses; index < len(classes) {
+	if classes := c.header.Config.WorkloadClasses; index < len(classes) {
 		return classes[index], true
 	}
 	return scheduler.WorkloadClass{}, false
@@ -58,13 +58,13 @@
 func (c *checker) process(e *faultproxy.Entry) error {
 	c.now = scheduler.Time(e.At)
 	c.checkOverlaps(c.now)
-	switch e.Sort {
+	switch e.Kind {
 	case faultproxy.Opened:
-		c.connections[e.Link] = &connection{peer: e.Far, name: e.Name, attempts: map[uint64]*attempt{}}
+		c.connections[e.ConnID] = &connection{peer: e.Peer, name: e.PeerName, attempts: map[uint64]*attempt{}}
 	case faultproxy.Closed:
 		c.connectionClosed(e)
 	case faultproxy.Killed:
-		c.schedulerKilled(e.Placer)
+		c.schedulerKilled(e.Scheduler)
 	case faultproxy.Started, faultproxy.Lost:
 	default:
 		return c.processFrame(e)
@@ -78,14 +78,14 @@
 	if err != nil {
 		return fmt.Errorf("at %d: %w", e.At, err)
 	}
-	conn := c.connections[e.Link]
+	conn := c.connections[e.ConnID]
 	if conn == nil {
-		return fmt.Errorf("at %d: a frame on connection %d, which was never opened", e.At, e.Link)
+		return fmt.Errorf("at %d: a frame on connection %d, which was never opened", e.At, e.ConnID)
 	}
-	s := c.scheduler(e.Placer)
+	s := c.scheduler(e.Scheduler)
 	switch f := frame.(type) {
 	case *protocol.Submit:
-		c.submitted(s, e.Link, f)
+		c.submitted(s, e.ConnID, f)
 	case *protocol.CancelContainer:
 		s.cancelled(f)
 	case *protocol.Lookup:
@@ -111,18 +111,18 @@
 // connectionClosed ends the attempts on a connection. What ran behind it may still run: it counts again when its machine
 // says so in the inventory on its next connection.
 func (c *checker) connectionClosed(e *faultproxy.Entry) {
-	conn := c.connections[e.Link]
+	conn := c.connections[e.ConnID]
 	if conn == nil {
 		return
 	}
-	delete(c.connections, e.Link)
-	s := c.scheduler(e.Placer)
+	delete(c.connections, e.ConnID)
+	s := c.scheduler(e.Scheduler)
 	for _, a := range conn.attempts {
 		a.ended = true
 		delete(s.inFlight, a)
 	}
 	if conn.peer == protocol.RoleClient {
-		c.abandon(s, func(r *request) bool { return r.connection == e.Link })
+		c.abandon(s, func(r *request) bool { return r.connection == e.ConnID })
 	}
 }
 
--- a/internal/testbed/audit/checker_test.go
+++ b/internal/testbed/audit/checker_test.go
@@ -23,7 +23,7 @@
 	h.checker.header = faultproxy.Header{
 		DrainGrace: 250 * ms,
 		Slack:      20 * ms,
-		Terms: scheduler.Config{
+		Config: scheduler.Config{
 			AnswerGrace:     10 * ms,
 			SlowStartPeriod: 5000 * ms,
 			SlowStartWindow: 1000 * ms,
@@ -41,14 +41,14 @@
 }
 
 func (h *history) put(at int64, e faultproxy.Entry) {
-	e.At, e.Placer = at*ms, "p"
+	e.At, e.Scheduler = at*ms, "p"
 	if err := h.checker.process(&e); err != nil {
 		h.Fatal(err)
 	}
 }
 
 func (h *history) open(id uint32, far protocol.Role, name string) {
-	h.put(0, faultproxy.Entry{Sort: faultproxy.Opened, Link: id, Far: far, Name: name})
+	h.put(0, faultproxy.Entry{Kind: faultproxy.Opened, ConnID: id, Peer: far, PeerName: name})
 }
 
 // connect opens the connections to a client, the machine list and the machines.
@@ -60,13 +60,13 @@
 	}
 }
 
-func (h *history) frame(at int64, s faultproxy.Sort, id uint32, f protocol.Frame) {
+func (h *history) frame(at int64, s faultproxy.EntryKind, id uint32, f protocol.Frame) {
 	p, err := protocol.Append(nil, f)
 	if err != nil {
 		h.Fatal(err)
 	}
 	conn := h.checker.connections[id]
-	h.put(at, faultproxy.Entry{Sort: s, Link: id, Far: conn.peer, Name: conn.name, Frame: p[4:]})
+	h.put(at, faultproxy.Entry{Kind: s, ConnID: id, Peer: conn.peer, PeerName: conn.name, Frame: p[4:]})
 }
 
 func (h *history) list(at int64, entries map[string]protocol.MachineEntry) {
@@ -80,16 +80,16 @@
 			f.Entries = append(f.Entries, e)
 		}
 	}
-	h.frame(at, faultproxy.ToPlacer, 2, f)
+	h.frame(at, faultproxy.ToScheduler, 2, f)
 }
 
 // restart kills the scheduler and starts it again; its connections are new, and the machine list is not heard yet.
 func (h *history) restart(at int64) {
 	for _, id := range []uint32{1, 2, 10, 11, 12} {
-		h.put(at, faultproxy.Entry{Sort: faultproxy.Closed, Link: id})
+		h.put(at, faultproxy.Entry{Kind: faultproxy.Closed, ConnID: id})
 	}
-	h.put(at, faultproxy.Entry{Sort: faultproxy.Killed})
-	h.put(at, faultproxy.Entry{Sort: faultproxy.Started})
+	h.put(at, faultproxy.Entry{Kind: faultproxy.Killed})
+	h.put(at, faultproxy.Entry{Kind: faultproxy.Started})
 	h.connect()
 }
 
@@ -98,25 +98,25 @@
 }
 
 func (h *history) submit(at int64, container string, class int) {
-	h.frame(at, faultproxy.ToPlacer, 1, &protocol.Submit{TimeToDeadline: 2000 * ms, Spec: h.spec(container, class)})
+	h.frame(at, faultproxy.ToScheduler, 1, &protocol.Submit{TimeToDeadline: 2000 * ms, Spec: h.spec(container, class)})
 }
 
 func (h *history) offer(at int64, container string, class int, id uint32) uint64 {
 	h.attempts++
-	h.frame(at, faultproxy.FromPlacer, id, &protocol.Offer{AttemptID: h.attempts, Timeout: 500 * ms, Spec: h.spec(container, class)})
+	h.frame(at, faultproxy.FromScheduler, id, &protocol.Offer{AttemptID: h.attempts, Timeout: 500 * ms, Spec: h.spec(container, class)})
 	return h.attempts
 }
 
 func (h *history) result(at int64, id uint32, attempt uint64, o protocol.Outcome) {
-	h.frame(at, faultproxy.ToPlacer, id, &protocol.Result{AttemptID: attempt, Outcome: o})
+	h.frame(at, faultproxy.ToScheduler, id, &protocol.Result{AttemptID: attempt, Outcome: o})
 }
 
 func (h *history) accept(at int64, id uint32, attempt uint64) {
-	h.frame(at, faultproxy.ToPlacer, id, &protocol.Accept{AttemptID: attempt, Running: true})
+	h.frame(at, faultproxy.ToScheduler, id, &protocol.Accept{AttemptID: attempt, Running: true})
 }
 
 func (h *history) reply(at int64, container string, v protocol.Verdict) {
-	h.frame(at, faultproxy.FromPlacer, 1, &protocol.PlacementReply{ContainerID: container, Verdict: v})
+	h.frame(at, faultproxy.FromScheduler, 1, &protocol.PlacementReply{ContainerID: container, Verdict: v})
 }
 
 // Each history either keeps the rules or breaks one, and the audit reports which.
@@ -133,19 +133,19 @@
 		}, 0},
 		{"no reply", func(h *history) {
 			h.submit(1, "x", 0)
-			h.frame(3000, faultproxy.ToPlacer, 1, &protocol.Heartbeat{})
+			h.frame(3000, faultproxy.ToScheduler, 1, &protocol.Heartbeat{})
 		}, 1},
 		{"no reply, its scheduler killed in time", func(h *history) {
 			h.submit(1, "x", 0)
-			h.put(500, faultproxy.Entry{Sort: faultproxy.Killed})
+			h.put(500, faultproxy.Entry{Kind: faultproxy.Killed})
 		}, 0},
 		{"no reply, its scheduler killed too late", func(h *history) {
 			h.submit(1, "x", 0)
-			h.put(5000, faultproxy.Entry{Sort: faultproxy.Killed})
+			h.put(5000, faultproxy.Entry{Kind: faultproxy.Killed})
 		}, 1},
 		{"no reply, its client left", func(h *history) {
 			h.submit(1, "x", 0)
-			h.put(500, faultproxy.Entry{Sort: faultproxy.Closed, Link: 1})
+			h.put(500, faultproxy.Entry{Kind: faultproxy.Closed, ConnID: 1})
 		}, 0},
 		{"two replies", func(h *history) {
 			h.submit(1, "x", 0)
@@ -196,7 +196,7 @@
 			h.submit(1, "x", 0)
 			h.offer(2, "x", 0, 10)
 			h.offer(100, "x", 0, 12)
-			h.put(110, faultproxy.Entry{Sort: faultproxy.Closed, Link: 10})
+			h.put(110, faultproxy.Entry{Kind: faultproxy.Closed, ConnID: 10})
 			h.reply(700, "x", protocol.VerdictRejected)
 		}, 0},
 		{"idempotent with a key stays in its zone", func(h *history) {
@@ -244,7 +244,7 @@
 			h.submit(1, "x", 2)
 			h.accept(3, 10, h.offer(2, "x", 2, 10))
 			h.reply(4, "x", protocol.VerdictPlaced)
-			h.frame(9, faultproxy.ToPlacer, 11, &protocol.Inventory{
+			h.frame(9, faultproxy.ToScheduler, 11, &protocol.Inventory{
 				Containers: []protocol.InventoryItem{{AttemptID: 99, Running: true, Spec: h.spec("x", 2)}}})
 		}, 2},
 
--- a/internal/testbed/audit/print.go
+++ b/internal/testbed/audit/print.go
@@ -27,9 +27,9 @@
 }
 
 func (p *containerPrinter) print(e *faultproxy.Entry) error {
-	switch e.Sort {
+	switch e.Kind {
 	case faultproxy.Closed:
-		if p.connections[e.Link] {
+		if p.connections[e.ConnID] {
 			return p.printEntry(e, "closed")
 		}
 	case faultproxy.Killed:
@@ -52,7 +52,7 @@
 		return err
 	}
 	text := fmt.Sprintf("%s %+v", protocol.Name(frame), reflect.ValueOf(frame).Elem())
-	if e.Sort == faultproxy.Lost {
+	if e.Kind == faultproxy.Lost {
 		text += " LOST"
 	}
 	return p.printEntry(e, text)
@@ -65,7 +65,7 @@
 		if f.Spec.ContainerID != p.container {
 			return false
 		}
-		p.attempts[f.AttemptID], p.connections[e.Link] = true, true
+		p.attempts[f.AttemptID], p.connections[e.ConnID] = true, true
 		return true
 	case *protocol.Submit:
 		return f.Spec.ContainerID == p.container
@@ -87,12 +87,12 @@
 }
 
 func (p *containerPrinter) printEntry(e *faultproxy.Entry, text string) error {
-	_, err := fmt.Fprintf(p.out, "%9.1f ms  connection %d, %s and %s %s: %s\n", milliseconds(scheduler.Time(e.At)), e.Link, e.Placer,
-		e.Far, e.Name, text)
+	_, err := fmt.Fprintf(p.out, "%9.1f ms  connection %d, %s and %s %s: %s\n", milliseconds(scheduler.Time(e.At)), e.ConnID, e.Scheduler,
+		e.Peer, e.PeerName, text)
 	return err
 }
 
 func (p *containerPrinter) printScheduler(e *faultproxy.Entry, text string) error {
-	_, err := fmt.Fprintf(p.out, "%9.1f ms  %s %s\n", milliseconds(scheduler.Time(e.At)), e.Placer, text)
+	_, err := fmt.Fprintf(p.out, "%9.1f ms  %s %s\n", milliseconds(scheduler.Time(e.At)), e.Scheduler, text)
 	return err
 }
--- a/internal/testbed/audit/rule_final_reply.go
+++ b/internal/testbed/audit/rule_final_reply.go
@@ -109,4 +109,4 @@
 }
 
 // replyGrace is how long after the deadline a reply may be recorded.
-func (c *checker) replyGrace() scheduler.Time { return c.header.Terms.AnswerGrace + c.header.Slack }
+func (c *checker) replyGrace() scheduler.Time { return c.header.Config.AnswerGrace + c.header.Slack }
--- a/internal/testbed/audit/rule_slow_start.go
+++ b/internal/testbed/audit/rule_slow_start.go
@@ -32,7 +32,7 @@
 	if m == nil {
 		return
 	}
-	terms := &c.header.Terms
+	terms := &c.header.Config
 	start := c.slowStarts[m.key()]
 	if start == nil || !start.schedulers[s.name] || c.now >= start.began+terms.SlowStartPeriod {
 		return
--- a/internal/testbed/scenario/cluster.go
+++ b/internal/testbed/scenario/cluster.go
@@ -25,9 +25,9 @@
 type Cluster struct {
 	Dir        string
 	Machines   []*emulator.Machine
-	List       *emulator.List
-	Net        *faultproxy.Net
-	Clients    *emulator.Owners
+	List       *emulator.MachineList
+	Net        *faultproxy.Proxy
+	Clients    *emulator.Clients
 	Schedulers []*SchedulerProcess
 	Config     *config.Placer // the template that the schedulers' settings derive from
 	ListAddr   string         // the list's own, without a proxy
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Clients = &emulator.Owners{Works: s.Workloads, Customers: len(c.Config.Customers)}
+	c.Clients = &emulator.Clients{Workloads: s.Workloads, Tenants: len(c.Config.Customers)}
 	for i := range s.Schedulers {
 		if err := c.addScheduler(s, i, template, listProxy, program); err != nil {
 			return nil, err
@@ -75,11 +75,11 @@
 func (c *Cluster) startRecording(s *Scenario) (err error) {
 	terms := c.Config.Terms
 	terms.SchedulerCount = s.Schedulers
-	header := faultproxy.Header{Terms: terms, DrainGrace: s.DrainGrace, Slack: s.Slack}
+	header := faultproxy.Header{Config: terms, DrainGrace: s.DrainGrace, Slack: s.Slack}
 	if c.recording, err = faultproxy.Create(c.recordingPath(), header); err != nil {
 		return err
 	}
-	c.Net = faultproxy.NewNet(c.recording, s.Seed)
+	c.Net = faultproxy.New(c.recording, s.Seed)
 	return nil
 }
 
@@ -87,18 +87,18 @@
 
 // startMachines starts the machines and returns the address of the proxy before each.
 func (c *Cluster) startMachines(s *Scenario) (map[*emulator.Machine]string, error) {
-	groups := make([]*emulator.Group, len(s.Zones))
+	groups := make([]*emulator.DedupGroup, len(s.Zones))
 	for i := range groups {
-		groups[i] = &emulator.Group{}
+		groups[i] = &emulator.DedupGroup{}
 	}
 	proxies := map[*emulator.Machine]string{}
 	for i, shape := range s.machineShapes(c.Config) {
-		m := emulator.NewMachine(shape, groups[shape.ZoneN], s.Seed+uint64(i))
+		m := emulator.NewMachine(shape, groups[shape.ZoneIndex], s.Seed+uint64(i))
 		c.Machines = append(c.Machines, m)
-		if err := m.Up(true); err != nil {
+		if err := m.Start(true); err != nil {
 			return nil, err
 		}
-		proxy, err := c.Net.Tap(protocol.RoleMachine, m.Name, m.Addr)
+		proxy, err := c.Net.Listen(protocol.RoleMachine, m.Name, m.Addr)
 		if err != nil {
 			return nil, err
 		}
@@ -109,13 +109,13 @@
 
 // startList starts the machine list, which knows machines by their proxies, and returns the address of its own proxy.
 func (c *Cluster) startList(timing listTiming, proxies map[*emulator.Machine]string) (proxy string, err error) {
-	c.List = &emulator.List{Lag: timing.Lag, Notice: timing.DeathNotice, Period: timing.Period, CallsPS: timing.CallsPerSecond,
+	c.List = &emulator.MachineList{Lag: timing.Lag, FailureDetection: timing.DeathNotice, PollInterval: timing.Period, CallsPerSecond: timing.CallsPerSecond,
 		Address: func(m *emulator.Machine) string { return proxies[m] }}
 	if c.ListAddr, err = c.List.Open(c.Machines); err != nil {
 		return "", err
 	}
 	address := c.ListAddr
-	return c.Net.Tap(protocol.RoleMachineList, "list", func() string { return address })
+	return c.Net.Listen(protocol.RoleMachineList, "list", func() string { return address })
 }
 
 // addScheduler writes a scheduler's settings, starts it and opens the proxy by which clients reach it.
@@ -139,11 +139,11 @@
 	}); err != nil {
 		return err
 	}
-	proxy, err := c.Net.Tap(protocol.RoleClient, name, func() string { return p.Address })
+	proxy, err := c.Net.Listen(protocol.RoleClient, name, func() string { return p.Address })
 	if err != nil {
 		return err
 	}
-	c.Clients.Doors = append(c.Clients.Doors, proxy)
+	c.Clients.SchedulerAddrs = append(c.Clients.SchedulerAddrs, proxy)
 	return c.StartScheduler(p)
 }
 
@@ -167,7 +167,7 @@
 
 // StartScheduler starts a scheduler and notes it in the recording.
 func (c *Cluster) StartScheduler(p *SchedulerProcess) error {
-	c.recording.Note(faultproxy.Started, p.Name)
+	c.recording.RecordLifecycle(faultproxy.Started, p.Name)
 	return p.Start()
 }
 
@@ -175,8 +175,8 @@
 // proxies: it would otherwise be recorded as sent by the next incarnation.
 func (c *Cluster) KillScheduler(p *SchedulerProcess) {
 	p.Stop(syscall.SIGKILL)
-	c.Net.Quiet(p.Name)
-	c.recording.Note(faultproxy.Killed, p.Name)
+	c.Net.WaitRecorded(p.Name)
+	c.recording.RecordLifecycle(faultproxy.Killed, p.Name)
 }
 
 // statusByScheduler returns the stats of each scheduler that answers, by its name.
@@ -192,7 +192,7 @@
 
 // waitForReplies waits until no client waits for a reply, for a time at most.
 func (c *Cluster) waitForReplies(atMost time.Duration) {
-	for end := time.Now().Add(atMost); c.Clients.Waiting() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(atMost); c.Clients.Pending() > 0 && time.Now().Before(end); {
 		time.Sleep(20 * time.Millisecond)
 	}
 }
@@ -201,7 +201,7 @@
 func (c *Cluster) countOverloaded() int {
 	n := 0
 	for _, m := range c.Machines {
-		if s, ok := m.State(); ok && s.Fell {
+		if s, ok := m.Status(); ok && s.Overwhelmed {
 			n++
 		}
 	}
@@ -222,7 +222,7 @@
 func (c *Cluster) countRunning() int {
 	n := 0
 	for _, m := range c.Machines {
-		if s, ok := m.State(); ok {
+		if s, ok := m.Status(); ok {
 			n += s.Running
 		}
 	}
@@ -232,7 +232,7 @@
 // freezeAll stops all machines from answering, or lets them answer again.
 func (c *Cluster) freezeAll(frozen bool) {
 	for _, m := range c.Machines {
-		m.Freeze(frozen)
+		m.SetFrozen(frozen)
 	}
 }
 
--- a/internal/testbed/scenario/faults.go
+++ b/internal/testbed/scenario/faults.go
@@ -116,16 +116,16 @@
 	}
 }
 
-func freeze(m *emulator.Machine, _ Fault)         { m.Freeze(true) }
-func unfreeze(m *emulator.Machine, _ Fault)       { m.Freeze(false) }
-func slowDown(m *emulator.Machine, f Fault)       { m.Slow(f.Size) }
-func resumeSpeed(m *emulator.Machine, _ Fault)    { m.Slow(1) }
-func ignoreWorkload(m *emulator.Machine, f Fault) { m.Shun(int(f.Size), true) }
-func heedWorkload(m *emulator.Machine, f Fault)   { m.Shun(int(f.Size), false) }
-func throttleTenant(m *emulator.Machine, f Fault) { m.Throttle(int(f.Size), true) }
-func admitTenant(m *emulator.Machine, f Fault)    { m.Throttle(int(f.Size), false) }
-func growMemory(m *emulator.Machine, f Fault)     { m.Swell(f.Size) }
-func resetMemory(m *emulator.Machine, _ Fault)    { m.Swell(1) }
+func freeze(m *emulator.Machine, _ Fault)         { m.SetFrozen(true) }
+func unfreeze(m *emulator.Machine, _ Fault)       { m.SetFrozen(false) }
+func slowDown(m *emulator.Machine, f Fault)       { m.SetSlowdown(f.Size) }
+func resumeSpeed(m *emulator.Machine, _ Fault)    { m.SetSlowdown(1) }
+func ignoreWorkload(m *emulator.Machine, f Fault) { m.SetIgnoredWorkload(int(f.Size), true) }
+func heedWorkload(m *emulator.Machine, f Fault)   { m.SetIgnoredWorkload(int(f.Size), false) }
+func throttleTenant(m *emulator.Machine, f Fault) { m.SetThrottledTenant(int(f.Size), true) }
+func admitTenant(m *emulator.Machine, f Fault)    { m.SetThrottledTenant(int(f.Size), false) }
+func growMemory(m *emulator.Machine, f Fault)     { m.SetMemoryFactor(f.Size) }
+func resetMemory(m *emulator.Machine, _ Fault)    { m.SetMemoryFactor(1) }
 
 // machineRestart takes a fraction of the machines down and brings them back in slow start.
 type machineRestart struct{}
@@ -147,7 +147,7 @@
 func (silenceThenRestart) inject(i *faultInjector, f Fault) {
 	machines := i.pickMachines(f.Fraction)
 	for _, m := range machines {
-		m.Freeze(true)
+		m.SetFrozen(true)
 	}
 	i.wait(f.Duration)
 	i.restartMachines(machines, 0)
@@ -159,7 +159,7 @@
 func (halfOpenConnections) inject(i *faultInjector, f Fault) {
 	names := machineNames(i.pickMachines(f.Fraction))
 	remove := i.addNetworkRule(func(_ string, peerRole protocol.Role, peer string) faultproxy.Fault {
-		return faultproxy.Fault{Cut: peerRole == protocol.RoleMachine && names[peer]}
+		return faultproxy.Fault{Partitioned: peerRole == protocol.RoleMachine && names[peer]}
 	})
 	i.wait(f.Duration)
 	remove()
@@ -175,7 +175,7 @@
 		inside[s.Name] = s.Zone == f.Zone
 	}
 	remove := i.addNetworkRule(func(scheduler string, peerRole protocol.Role, peer string) faultproxy.Fault {
-		return faultproxy.Fault{Cut: peerRole == protocol.RoleMachine && names[peer] != inside[scheduler]}
+		return faultproxy.Fault{Partitioned: peerRole == protocol.RoleMachine && names[peer] != inside[scheduler]}
 	})
 	i.wait(f.Duration)
 	remove()
@@ -200,13 +200,13 @@
 func (drain) inject(i *faultInjector, f Fault) {
 	machines := i.pickMachines(f.Fraction)
 	for _, m := range machines {
-		i.List.Mark(m, protocol.MachineDraining)
-		m.Drain(true, f.Size > 0)
+		i.List.SetState(m, protocol.MachineDraining)
+		m.SetDraining(true, f.Size > 0)
 	}
 	i.wait(f.Duration)
 	for _, m := range machines {
-		i.List.Mark(m, protocol.MachineServing)
-		m.Drain(false, false)
+		i.List.SetState(m, protocol.MachineServing)
+		m.SetDraining(false, false)
 	}
 }
 
@@ -220,12 +220,12 @@
 	half := f.Duration / time.Duration(2*batches)
 	for batch := range slices.Chunk(machines, batchSize) {
 		for _, m := range batch {
-			i.List.Mark(m, protocol.MachineDraining)
-			m.Drain(true, true)
+			i.List.SetState(m, protocol.MachineDraining)
+			m.SetDraining(true, true)
 		}
 		i.wait(half)
 		for _, m := range batch {
-			i.List.Mark(m, protocol.MachineServing)
+			i.List.SetState(m, protocol.MachineServing)
 		}
 		i.restartMachines(batch, half)
 	}
@@ -235,18 +235,18 @@
 type listUnavailable struct{}
 
 func (listUnavailable) inject(i *faultInjector, f Fault) {
-	i.List.Away(true)
+	i.List.SetUnreachable(true)
 	i.wait(f.Duration)
-	i.List.Away(false)
+	i.List.SetUnreachable(false)
 }
 
 // listStale lets the machine list lag by as many seconds as its size says.
 type listStale struct{}
 
 func (listStale) inject(i *faultInjector, f Fault) {
-	i.List.Stale(time.Duration(f.Size * float64(time.Second)))
+	i.List.SetStaleness(time.Duration(f.Size * float64(time.Second)))
 	i.wait(f.Duration)
-	i.List.Stale(0)
+	i.List.SetStaleness(0)
 }
 
 // schedulerKill kills a fraction of the schedulers and starts them again.
@@ -269,16 +269,16 @@
 type burst struct{}
 
 func (burst) inject(i *faultInjector, f Fault) {
-	i.Clients.Rate(i.scenario.Rate * f.Size)
+	i.Clients.SetRate(i.scenario.Rate * f.Size)
 	i.wait(f.Duration)
-	i.Clients.Rate(i.scenario.Rate)
+	i.Clients.SetRate(i.scenario.Rate)
 }
 
 // clientRetries has clients submit a fraction of what waits once more.
 type clientRetries struct{}
 
 func (clientRetries) inject(i *faultInjector, f Fault) {
-	i.Clients.Reask(f.Fraction)
+	i.Clients.Redeploy(f.Fraction)
 	i.wait(f.Duration)
 }
 
@@ -288,7 +288,7 @@
 func (lostAnswers) inject(i *faultInjector, f Fault) {
 	remove := i.addNetworkRule(func(_ string, peerRole protocol.Role, _ string) faultproxy.Fault {
 		if peerRole == protocol.RoleMachine {
-			return faultproxy.Fault{LoseAnswers: f.Size}
+			return faultproxy.Fault{LoseAccepts: f.Size}
 		}
 		return faultproxy.Fault{}
 	})
--- a/internal/testbed/scenario/file.go
+++ b/internal/testbed/scenario/file.go
@@ -158,23 +158,23 @@
 	return s
 }
 
-func (m *machineSection) shape() emulator.Shape {
-	return emulator.Shape{
-		Admit:     duration(m.Admit),
-		Queue:     m.Queue.Value,
-		Starts:    m.Starts.Value,
-		Start:     duration(m.Start),
-		Setup:     m.Setup.Value,
-		Kept:      m.Kept.Value,
-		ColdFrom:  m.ColdFrom.Value,
-		ColdBears: m.Bears.Value,
-		Drift:     m.Drift.Value,
+func (m *machineSection) shape() emulator.MachineSpec {
+	return emulator.MachineSpec{
+		AdmissionTime:        duration(m.Admit),
+		MaxQueuedOffers:      m.Queue.Value,
+		ConcurrentStarts:     m.Starts.Value,
+		StartTime:            duration(m.Start),
+		ImageMissFactor:      m.Setup.Value,
+		CachedImages:         m.Kept.Value,
+		SlowStartInitialPace: m.ColdFrom.Value,
+		SlowStartCapacity:    m.Bears.Value,
+		MemoryDrift:          m.Drift.Value,
 	}
 }
 
 // workloads returns the load of each workload class, in the order of the scheduler's settings.
-func (f *scenarioFile) workloads(source *strictyaml.File, settings *config.Placer) ([]emulator.Work, error) {
-	workloads := make([]emulator.Work, len(settings.Workloads))
+func (f *scenarioFile) workloads(source *strictyaml.File, settings *config.Placer) ([]emulator.WorkloadProfile, error) {
+	workloads := make([]emulator.WorkloadProfile, len(settings.Workloads))
 	for _, section := range f.Work {
 		class, err := strictyaml.Choose(source, section.Workload, settings.Workloads...)
 		if err != nil {
@@ -188,14 +188,14 @@
 	return workloads, nil
 }
 
-func (s *workSection) work(class scheduler.WorkloadClass) emulator.Work {
-	work := emulator.Work{
-		Share:     s.Share.Value,
-		Services:  s.Services.Value,
-		Life:      duration(s.Life),
-		Again:     s.Again.Value,
-		AgainLost: s.AgainLost.Value,
-		HardStop:  time.Duration(class.PlacementTimeout) * tick,
+func (s *workSection) work(class scheduler.WorkloadClass) emulator.WorkloadProfile {
+	work := emulator.WorkloadProfile{
+		Share:            s.Share.Value,
+		Services:         s.Services.Value,
+		MeanRuntime:      duration(s.Life),
+		RetryRejected:    s.Again.Value,
+		RetryUnanswered:  s.AgainLost.Value,
+		PlacementTimeout: time.Duration(class.PlacementTimeout) * tick,
 	}
 	for i := range s.Cores {
 		work.Cores = append(work.Cores, s.Cores[i].Value)
--- a/internal/testbed/scenario/injector.go
+++ b/internal/testbed/scenario/injector.go
@@ -89,11 +89,11 @@
 		rules = append(rules, rule)
 	}
 	i.mu.Unlock()
-	i.Net.Set(func(scheduler string, peerRole protocol.Role, peer string) (combined faultproxy.Fault) {
+	i.Net.SetFaults(func(scheduler string, peerRole protocol.Role, peer string) (combined faultproxy.Fault) {
 		for _, rule := range rules {
 			fault := rule(scheduler, peerRole, peer)
-			combined.Cut = combined.Cut || fault.Cut
-			combined.LoseAnswers = max(combined.LoseAnswers, fault.LoseAnswers)
+			combined.Partitioned = combined.Partitioned || fault.Partitioned
+			combined.LoseAccepts = max(combined.LoseAccepts, fault.LoseAccepts)
 			combined.Delay = max(combined.Delay, fault.Delay)
 		}
 		return combined
@@ -121,7 +121,7 @@
 
 func (c *Cluster) zoneMachines(zone int) (machines []*emulator.Machine) {
 	for _, m := range c.Machines {
-		if m.ZoneN == zone {
+		if m.ZoneIndex == zone {
 			machines = append(machines, m)
 		}
 	}
@@ -135,7 +135,7 @@
 	}
 	i.wait(down)
 	for _, m := range machines {
-		if err := m.Up(false); err != nil {
+		if err := m.Start(false); err != nil {
 			i.log.printf("machine %s did not come back: %v", m.Name, err)
 		}
 	}
--- a/internal/testbed/scenario/load_bgp.go
+++ b/internal/testbed/scenario/load_bgp.go
@@ -42,7 +42,7 @@
 func (b *bgpBench) start(peers int) error {
 	config := speaker.Config{AS: 65001, ID: [4]byte{192, 0, 2, 5}, Services: map[string]announce.Service{}}
 	for i := range peers {
-		p := &emulator.BGPPeer{AS: 65000, ID: [4]byte{192, 0, 3, byte(i)}, Hold: 90 * time.Second, Helps: 10 * time.Second}
+		p := &emulator.BGPPeer{AS: 65000, ID: [4]byte{192, 0, 3, byte(i)}, HoldTime: 90 * time.Second, RestartTime: 10 * time.Second}
 		address, err := p.Open()
 		if err != nil {
 			return err
@@ -59,7 +59,7 @@
 	if err := b.startSpeaker(config); err != nil {
 		return err
 	}
-	return b.waitForPeers("session", b.peers, (*emulator.BGPPeer).Up)
+	return b.waitForPeers("session", b.peers, (*emulator.BGPPeer).Established)
 }
 
 func benchService(i int) string { return fmt.Sprint("s", i) }
@@ -119,7 +119,7 @@
 // waitForRoutes waits until each of some peers has exactly n routes.
 func (b *bgpBench) waitForRoutes(what string, peers []*emulator.BGPPeer, n int) error {
 	return b.waitForPeers(what, peers, func(p *emulator.BGPPeer) bool {
-		routes, _, _, _, _ := p.Figures()
+		routes, _, _, _, _ := p.Stats()
 		return routes == n
 	})
 }
@@ -135,7 +135,7 @@
 		return err
 	}
 	took := time.Since(began)
-	_, _, _, messages, bytes := b.peers[0].Figures()
+	_, _, _, messages, bytes := b.peers[0].Stats()
 	printf(out, "%d prefixes to %d peers: all have them after %d ms, %d messages and %d bytes a peer\n", b.prefixes, len(b.peers),
 		took.Milliseconds(), messages, bytes)
 	return nil
@@ -144,7 +144,7 @@
 // measureWithdrawals withdraws a tenth while one peer reads slowly: the others must not wait for it.
 func (b *bgpBench) measureWithdrawals(out io.Writer) error {
 	slow, others := b.peers[0], b.peers[1:]
-	slow.SetSlow(20 * time.Millisecond)
+	slow.SetReadDelay(20 * time.Millisecond)
 	tenth := b.prefixes / 10
 	var events []announce.Event
 	for i := range tenth {
--- a/internal/testbed/scenario/report.go
+++ b/internal/testbed/scenario/report.go
@@ -29,9 +29,9 @@
 	PrintViolations(out, report)
 	tally := &o.Tally
 	if o.Passed() {
-		printf(out, "rules: kept, one final answer for each of %d containers\n", tally.Submitted-tally.NoAnswer-tally.Unsent)
+		printf(out, "rules: kept, one final answer for each of %d containers\n", tally.Submitted-tally.Unanswered-tally.Unsent)
 	} else if report.Passed() {
-		printf(out, "rules: kept on the record, but %d containers without an answer and %d answers too many\n", tally.Waiting, tally.Twice)
+		printf(out, "rules: kept on the record, but %d containers without an answer and %d answers too many\n", tally.Pending, tally.DuplicateReplies)
 	}
 }
 
@@ -39,11 +39,11 @@
 func (o *Outcome) printClients(out io.Writer) {
 	tally := &o.Tally
 	printf(out, "owners: %d submitted (%d of them again), %d placed, %d pushed back, %d given up, %d turned away, "+
-		"%d whose placer went first, %d unsent, %d without an answer, %d answers too many\n", tally.Submitted, tally.Again, tally.Placed,
-		tally.PushedBack, tally.GivenUp, tally.TurnedAway, tally.NoAnswer, tally.Unsent, tally.Waiting, tally.Twice)
+		"%d whose placer went first, %d unsent, %d without an answer, %d answers too many\n", tally.Submitted, tally.Retried, tally.Placed,
+		tally.Rejected, tally.Failed, tally.NotAdmitted, tally.Unanswered, tally.Unsent, tally.Pending, tally.DuplicateReplies)
 	printf(out, "placed: %d ended in their owner's hearing, %d evicted, %d lost with a machine\n", tally.Ended, tally.Evicted, tally.Lost)
-	printf(out, "submission to yes: p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms\n", quantileMS(tally.Took, 50), quantileMS(tally.Took, 99),
-		quantileMS(tally.Took, 99.9))
+	printf(out, "submission to yes: p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms\n", quantileMS(tally.PlacementLatency, 50), quantileMS(tally.PlacementLatency, 99),
+		quantileMS(tally.PlacementLatency, 99.9))
 }
 
 // PrintViolations writes the first violations of each rule and, where there are any, the numbers of the rules.
--- a/internal/testbed/scenario/restart_kills.go
+++ b/internal/testbed/scenario/restart_kills.go
@@ -47,7 +47,7 @@
 	}
 	defer c.shutdown()
 	r := &killRun{kills: int64(t.Kills), seed: s.Seed, dir: dir, cluster: c}
-	if r.controller, err = c.startController(program[0], c.Clients.Doors, r.controllerState()); err != nil {
+	if r.controller, err = c.startController(program[0], c.Clients.SchedulerAddrs, r.controllerState()); err != nil {
 		return false, err
 	}
 	defer r.controller.terminate()
@@ -59,7 +59,7 @@
 	watching.Go(func() { r.watchDuplicates(over) })
 	r.killUnderLoad()
 	length := time.Since(began)
-	c.Clients.Rate(0)
+	c.Clients.SetRate(0)
 	wanted, running := r.waitSettled()
 	c.waitForReplies(s.Settle)
 	close(over)
@@ -75,12 +75,12 @@
 	printf(t.Out, "jobs: %d changes acknowledged, %d asked again; %d jobs with %d containers at the end, %d run; at-most-once seen twice: %d\n",
 		r.client.acknowledged, r.client.retries, len(r.client.jobs), wanted, running, r.duplicates.Load())
 	t.printKillAudit(&tally, report, r.violations)
-	return len(r.violations) == 0 && report.Passed() && tally.Twice == 0 && tally.Waiting == 0, nil
+	return len(r.violations) == 0 && report.Passed() && tally.DuplicateReplies == 0 && tally.Pending == 0, nil
 }
 
 func (t *RestartTrial) printKillAudit(tally *emulator.Tally, report *audit.Report, violations []string) {
 	printf(t.Out, "owners: %d submitted, %d placed, %d answers too many, %d without one; record: %d frames, %d offers, %d yeses; cold machines "+
-		"at most at %d of %d\n", tally.Submitted, tally.Placed, tally.Twice, tally.Waiting, report.Frames, report.Offers, report.Accepted,
+		"at most at %d of %d\n", tally.Submitted, tally.Placed, tally.DuplicateReplies, tally.Pending, report.Frames, report.Offers, report.Accepted,
 		report.SlowStartPeak, report.SlowStartBudget)
 	PrintViolations(t.Out, report)
 	for _, violation := range violations[:min(len(violations), printedViolations)] {
@@ -154,7 +154,7 @@
 		time.Sleep(700 * time.Millisecond)
 		m := r.cluster.Machines[i%len(r.cluster.Machines)]
 		m.Crash()
-		if err := m.Up(false); err != nil {
+		if err := m.Start(false); err != nil {
 			r.report("%v", err)
 			return
 		}
@@ -243,7 +243,7 @@
 func runningJobCopies(c *Cluster) map[string]runningCopies {
 	all := map[string]runningCopies{}
 	for _, m := range c.Machines {
-		for _, spec := range m.Holds() {
+		for _, spec := range m.RunningContainers() {
 			if !strings.HasPrefix(spec.IdempotencyKey, "job-") {
 				continue
 			}
--- a/internal/testbed/scenario/restart_lost.go
+++ b/internal/testbed/scenario/restart_lost.go
@@ -48,7 +48,7 @@
 	}
 	time.Sleep(measured)
 	after := c.Clients.Snapshot()
-	submitted, placed, late := after.Submitted-before.Submitted, after.Placed-before.Placed, after.Late-before.Late
+	submitted, placed, late := after.Submitted-before.Submitted, after.Placed-before.Placed, after.PlacedLate-before.PlacedLate
 	printf(t.Out, "ten seconds after a restart, kept state %-5v: %d submitted, %d not placed, %d of the placed after more than 1 s\n",
 		withState, submitted, submitted-placed, late)
 	c.freezeAll(false)
@@ -61,13 +61,13 @@
 	const restartedZone, hangsEach = 1, 5
 	for i, m := range c.Machines {
 		switch {
-		case m.ZoneN == restartedZone:
+		case m.ZoneIndex == restartedZone:
 			m.Crash()
-			if err := m.Up(false); err != nil {
+			if err := m.Start(false); err != nil {
 				return err
 			}
 		case i%hangsEach == 0:
-			m.Freeze(true)
+			m.SetFrozen(true)
 		}
 	}
 	return nil
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -20,7 +20,7 @@
 
 // Passed reports whether every rule was kept and every container got exactly one final reply.
 func (o *Outcome) Passed() bool {
-	return o.Audit.Passed() && o.Tally.Twice == 0 && o.Tally.Waiting == 0
+	return o.Audit.Passed() && o.Tally.DuplicateReplies == 0 && o.Tally.Pending == 0
 }
 
 // Run plays the scenario with schedulers started by program. The recording and the logs stay in dir.
@@ -40,7 +40,7 @@
 	}
 	time.Sleep(s.Length - time.Since(log.began))
 	close(injector.over)
-	c.Clients.Rate(0)
+	c.Clients.SetRate(0)
 	playing.Wait()
 	c.waitForReplies(s.Settle)
 	outcome := &Outcome{Injected: injector.injected, Status: c.statusByScheduler(), OverloadedMachines: c.countOverloaded()}
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -20,9 +20,9 @@
 	Rate          float64 // submissions a second
 	Zones         []string
 	MachineCounts []machineCount
-	Machine       emulator.Shape // what all machines have in common
+	Machine       emulator.MachineSpec // what all machines have in common
 	List          listTiming
-	Workloads     []emulator.Work // by workload class
+	Workloads     []emulator.WorkloadProfile // by workload class
 	DrainGrace    scheduler.Time
 	Slack         scheduler.Time
 	Faults        []Fault
@@ -48,13 +48,13 @@
 )
 
 // machineShapes returns the scenario's machines, zone by zone.
-func (s *Scenario) machineShapes(settings *config.Placer) []emulator.Shape {
+func (s *Scenario) machineShapes(settings *config.Placer) []emulator.MachineSpec {
 	base := s.machineDefaults(settings)
 	typeIndex := map[string]int{}
 	for i, name := range settings.Kinds {
 		typeIndex[name] = i
 	}
-	var shapes []emulator.Shape
+	var shapes []emulator.MachineSpec
 	for zone, zoneName := range s.Zones {
 		for _, count := range s.MachineCounts {
 			index := typeIndex[count.machineType]
@@ -62,9 +62,9 @@
 			for i := range count.perZone {
 				shape := base
 				shape.Name = fmt.Sprintf("%s-%s-%d", zoneName, count.machineType, i)
-				shape.Zone, shape.ZoneN = zoneName, zone
-				shape.KindN = index
-				shape.CellN = zone*rackGroupsPerZone + i/machinesPerRackGroup
+				shape.Zone, shape.ZoneIndex = zoneName, zone
+				shape.MachineTypeIndex = index
+				shape.RackGroupIndex = zone*rackGroupsPerZone + i/machinesPerRackGroup
 				shape.Cores, shape.Memory = machineType.Cores, machineType.Memory
 				shapes = append(shapes, shape)
 			}
@@ -74,16 +74,16 @@
 }
 
 // machineDefaults adds to the scenario's machine what the scheduler's settings promise of all machines.
-func (s *Scenario) machineDefaults(settings *config.Placer) emulator.Shape {
+func (s *Scenario) machineDefaults(settings *config.Placer) emulator.MachineSpec {
 	terms := settings.Terms
 	shape := s.Machine
 	shape.AcceptCores, shape.AcceptMemory = terms.CoresOvercommit, terms.MemoryOvercommit
-	shape.ColdFor = time.Duration(terms.SlowStartPeriod) * tick
-	shape.ColdWindow = time.Duration(terms.SlowStartWindow) * tick
-	shape.YesRuns, shape.TellUse = terms.AcceptMeansRunning, terms.UsageReports
+	shape.SlowStartPeriod = time.Duration(terms.SlowStartPeriod) * tick
+	shape.SlowStartWindow = time.Duration(terms.SlowStartWindow) * tick
+	shape.AcceptMeansRunning, shape.UsageReports = terms.AcceptMeansRunning, terms.UsageReports
 	for _, class := range terms.WorkloadClasses {
-		shape.NeedsKind = append(shape.NeedsKind, class.MachineType)
-		shape.Rank = append(shape.Rank, int(class.PriorityWeight*100))
+		shape.RequiredMachineType = append(shape.RequiredMachineType, class.MachineType)
+		shape.EvictionRank = append(shape.EvictionRank, int(class.PriorityWeight*100))
 	}
 	return shape
 }
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -69,9 +69,9 @@
 // runs twice though its clients retry all of it.
 func TestSchedulerKilledWith500AttemptsRunsNothingTwice(t *testing.T) {
 	d, dir := shortScenario(t), t.TempDir()
-	d.Machine.Start, d.Machine.Queue, d.Machine.Starts, d.Machine.Setup = 150*time.Millisecond, 1000, 3, 1
-	d.Workloads = []emulator.Work{{}, {}, {Share: 1, Services: 400, Cores: []float64{0.1}, Memory: []float64{0.1}, Life: 30 * time.Second,
-		HardStop: 4 * time.Second, Again: true, AgainLost: true}}
+	d.Machine.StartTime, d.Machine.MaxQueuedOffers, d.Machine.ConcurrentStarts, d.Machine.ImageMissFactor = 150*time.Millisecond, 1000, 3, 1
+	d.Workloads = []emulator.WorkloadProfile{{}, {}, {Share: 1, Services: 400, Cores: []float64{0.1}, Memory: []float64{0.1}, MeanRuntime: 30 * time.Second,
+		PlacementTimeout: 4 * time.Second, RetryRejected: true, RetryUnanswered: true}}
 	c, err := StartCluster(d, dir, []string{os.Args[0], schedulerArgument})
 	if err != nil {
 		t.Fatal(err)
@@ -83,11 +83,11 @@
 		s, err := p.Status()
 		return err == nil && s["bids"] > 500 && s["containers running"] > 20 && s["containers known"]-s["containers running"] > 500
 	})
-	c.Clients.Rate(0)
+	c.Clients.SetRate(0)
 	c.KillScheduler(p)
 	ran := 0
 	for _, m := range c.Machines {
-		s, _ := m.State()
+		s, _ := m.Status()
 		ran += s.Running
 	}
 	if err := c.StartScheduler(p); err != nil {
@@ -97,7 +97,7 @@
 		s, err := p.Status()
 		return err == nil && int(s["containers taken over"]) >= ran
 	})
-	requireWithin30s(t, "what was lost is asked for again, and answered", func() bool { return c.Clients.Again() >= 400 && c.Clients.Waiting() == 0 })
+	requireWithin30s(t, "what was lost is asked for again, and answered", func() bool { return c.Clients.Retried() >= 400 && c.Clients.Pending() == 0 })
 	tally := c.Clients.Close()
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
@@ -106,7 +106,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !j.Passed() || tally.Twice > 0 || tally.NoAnswer < 400 {
+	if !j.Passed() || tally.DuplicateReplies > 0 || tally.Unanswered < 400 {
 		t.Errorf("%v; %+v", j.Violations, tally)
 	}
 }
--- a/internal/testbed/scenario/trial_bgp.go
+++ b/internal/testbed/scenario/trial_bgp.go
@@ -58,13 +58,13 @@
 
 // announced reports whether a peer has the route of a service.
 func announced(p *emulator.BGPPeer, service int) bool {
-	has, _ := p.Has(bgpPrefix(service))
+	has, _ := p.Route(bgpPrefix(service))
 	return has
 }
 
 // establishedCount is how many sessions the peer has had.
 func establishedCount(p *emulator.BGPPeer) int {
-	_, sessions, _, _, _ := p.Figures()
+	_, sessions, _, _, _ := p.Stats()
 	return sessions
 }
 
@@ -89,7 +89,7 @@
 	for _, m := range t.cluster.Machines {
 		m.OnEnd = t.recordEnd
 	}
-	if err := t.waitUntil("both sessions stand", func() bool { return t.peers[0].Up() && t.peers[1].Up() }); err != nil {
+	if err := t.waitUntil("both sessions stand", func() bool { return t.peers[0].Established() && t.peers[1].Established() }); err != nil {
 		return false, err
 	}
 	if err := t.connect(); err != nil {
@@ -112,7 +112,7 @@
 func (t *BGPTrial) startPeers() ([]any, error) {
 	var configs []any
 	for i := range 2 {
-		p := &emulator.BGPPeer{AS: 65000, ID: [4]byte{192, 0, 2, byte(250 + i)}, Hold: 3 * time.Second, Helps: 10 * time.Second, Journal: true}
+		p := &emulator.BGPPeer{AS: 65000, ID: [4]byte{192, 0, 2, byte(250 + i)}, HoldTime: 3 * time.Second, RestartTime: 10 * time.Second, RecordChanges: true}
 		address, err := p.Open()
 		if err != nil {
 			return nil, err
@@ -291,9 +291,9 @@
 
 func (t *BGPTrial) measureRound(measured *withdrawals, first int, ids []string) {
 	for k, p := range t.peers {
-		for _, update := range p.Told() {
+		for _, update := range p.Changes() {
 			measured.updates++
-			if !update.Gone {
+			if !update.Withdrawn {
 				continue
 			}
 			service := int(update.Prefix.Addr().As4()[3])
@@ -311,7 +311,7 @@
 func (t *BGPTrial) playFlaps() (string, error) {
 	const flaps = 400
 	for _, p := range t.peers {
-		p.Told()
+		p.Changes()
 	}
 	began := time.Now()
 	for i := range flaps {
@@ -338,7 +338,7 @@
 func (t *BGPTrial) checkUpdateInterval(peer int, p *emulator.BGPPeer) (shortest time.Duration, updates int) {
 	shortest = time.Hour
 	var last time.Time
-	for _, update := range p.Told() {
+	for _, update := range p.Changes() {
 		if update.Prefix != bgpPrefix(flapService) {
 			continue
 		}
@@ -365,15 +365,15 @@
 		if err := t.waitAnnounced(p, drainService); err != nil {
 			return "", err
 		}
-		p.Told()
+		p.Changes()
 	}
 	m, err := t.cluster.machine(machine)
 	if err != nil {
 		return "", err
 	}
 	began := time.Now()
-	t.cluster.List.Mark(m, protocol.MachineDraining)
-	defer t.cluster.List.Mark(m, protocol.MachineServing)
+	t.cluster.List.SetState(m, protocol.MachineDraining)
+	defer t.cluster.List.SetState(m, protocol.MachineServing)
 	for k, p := range t.peers {
 		if err := t.waitShutdownAnnounced(p); err != nil {
 			t.miss("peer %d: %v", k, err)
@@ -395,8 +395,8 @@
 func (t *BGPTrial) waitShutdownAnnounced(p *emulator.BGPPeer) error {
 	lastChoice := false
 	return t.waitUntil("the peer hears of the drain", func() bool {
-		for _, update := range p.Told() {
-			lastChoice = lastChoice || update.Prefix == bgpPrefix(drainService) && update.Shut && !update.Gone
+		for _, update := range p.Changes() {
+			lastChoice = lastChoice || update.Prefix == bgpPrefix(drainService) && update.GracefulShutdown && !update.Withdrawn
 		}
 		return lastChoice
 	})
@@ -427,7 +427,7 @@
 func restartAll(machines []*emulator.Machine) error {
 	var errs []error
 	for _, m := range machines {
-		errs = append(errs, m.Up(true))
+		errs = append(errs, m.Start(true))
 	}
 	return errors.Join(errs...)
 }
@@ -450,7 +450,7 @@
 	before := establishedCount(reset)
 	go reset.Reset()
 	m.Crash()
-	if err := t.waitUntil("the session is back", func() bool { return establishedCount(reset) > before && reset.Up() }); err != nil {
+	if err := t.waitUntil("the session is back", func() bool { return establishedCount(reset) > before && reset.Established() }); err != nil {
 		return m, 0, err
 	}
 	for k, p := range t.peers {
@@ -474,12 +474,12 @@
 }
 
 func protocolErrors(p *emulator.BGPPeer) []protocolError {
-	endSilence := func() { p.Silence(false) }
+	endSilence := func() { p.SetSilent(false) }
 	return []protocolError{
-		{"garbage", p.Garble, func() {}},
-		{"half a message, then silence", func() { p.Half(); p.Silence(true) }, endSilence},
-		{"silence", func() { p.Silence(true) }, endSilence},
-		{"another AS", func() { p.WrongAS(true); p.Reset(); time.Sleep(2 * time.Second) }, func() { p.WrongAS(false) }},
+		{"garbage", p.SendGarbage, func() {}},
+		{"half a message, then silence", func() { p.SendPartial(); p.SetSilent(true) }, endSilence},
+		{"silence", func() { p.SetSilent(true) }, endSilence},
+		{"another AS", func() { p.SetWrongAS(true); p.Reset(); time.Sleep(2 * time.Second) }, func() { p.SetWrongAS(false) }},
 	}
 }
 
@@ -499,13 +499,13 @@
 	for _, e := range protocolErrors(bad) {
 		before := establishedCount(bad)
 		e.start()
-		if err := t.waitUntil(e.name+" ends the session", func() bool { return !bad.Up() || establishedCount(bad) > before }); err != nil {
+		if err := t.waitUntil(e.name+" ends the session", func() bool { return !bad.Established() || establishedCount(bad) > before }); err != nil {
 			return "", err
 		}
 		e.end()
 		if err := t.waitUntil("the session is back and whole", func() bool {
-			has, stale := bad.Has(bgpPrefix(service))
-			return bad.Up() && has && !stale
+			has, stale := bad.Route(bgpPrefix(service))
+			return bad.Established() && has && !stale
 		}); err != nil {
 			return "", fmt.Errorf("%s: %w", e.name, err)
 		}
@@ -537,16 +537,16 @@
 	if err != nil {
 		return "", err
 	}
-	zone := machineNames(t.cluster.zoneMachines(m.ZoneN))
+	zone := machineNames(t.cluster.zoneMachines(m.ZoneIndex))
 	began := time.Now()
-	t.cluster.Net.Set(func(_ string, peerRole protocol.Role, name string) faultproxy.Fault {
-		return faultproxy.Fault{Cut: peerRole == protocol.RoleMachine && zone[name]}
+	t.cluster.Net.SetFaults(func(_ string, peerRole protocol.Role, name string) faultproxy.Fault {
+		return faultproxy.Fault{Partitioned: peerRole == protocol.RoleMachine && zone[name]}
 	})
 	if err := t.waitWithdrawn("the route is gone", peer, service); err != nil {
 		return "", err
 	}
 	withdrawn := time.Since(began)
-	t.cluster.Net.Set(func(string, protocol.Role, string) faultproxy.Fault { return faultproxy.Fault{} })
+	t.cluster.Net.SetFaults(func(string, protocol.Role, string) faultproxy.Fault { return faultproxy.Fault{} })
 	began = time.Now()
 	if err := t.waitUntil("the route is back", func() bool { return announced(peer, service) }); err != nil {
 		return "", err
@@ -578,7 +578,7 @@
 		}); err != nil {
 			return "", err
 		}
-		p.Told()
+		p.Changes()
 	}
 	scheduler := t.cluster.Schedulers[0]
 	t.cluster.KillScheduler(scheduler)
@@ -597,13 +597,13 @@
 
 func (t *BGPTrial) checkRoutesAfterRestart(peer int, p *emulator.BGPPeer) {
 	if err := t.waitUntil("the dead one's route is gone and the live one's fresh", func() bool {
-		has, stale := p.Has(bgpPrefix(surviveService))
+		has, stale := p.Route(bgpPrefix(surviveService))
 		return has && !stale && !announced(p, endWhileDownService)
 	}); err != nil {
 		t.miss("peer %d: %v", peer, err)
 	}
-	for _, update := range p.Told() {
-		if update.Prefix == bgpPrefix(surviveService) && update.Gone {
+	for _, update := range p.Changes() {
+		if update.Prefix == bgpPrefix(surviveService) && update.Withdrawn {
 			t.miss("peer %d lost the route of a service that ran all the while", peer)
 		}
 	}
--- a/internal/testbed/scenario/trial_overload.go
+++ b/internal/testbed/scenario/trial_overload.go
@@ -249,14 +249,14 @@
 	began := time.Now()
 	measured := newGoodputMeter(c, began, int(s.Length.Seconds()))
 	c.Clients.OnPlaced = measured.placed
-	c.Clients.Back = clientBackoff(d, rand.New(rand.NewPCG(seed, 8)))
+	c.Clients.Backoff = clientBackoff(d, rand.New(rand.NewPCG(seed, 8)))
 	c.Clients.Start(s.Rate, s.Seed+seed)
 	time.Sleep(time.Until(began.Add(socketRestartAt * time.Second)))
 	if err := restartFor(c.Machines[:socketRestart], socketDownFor); err != nil {
 		return r, false, err
 	}
 	time.Sleep(time.Until(began.Add(s.Length)))
-	c.Clients.Rate(0)
+	c.Clients.SetRate(0)
 	c.waitForReplies(s.Settle)
 	overloaded := c.countOverloaded()
 	tally := c.Clients.Close()
@@ -266,7 +266,7 @@
 	}
 	PrintViolations(t.Out, report)
 	printf(t.Out, "  %d submitted (%d again), %d placed, %d pushed back, %d turned away, %d given up; %d machines pushed over, cold ones at most at "+
-		"%d of %d\n", tally.Submitted, tally.Again, tally.Placed, tally.PushedBack, tally.TurnedAway, tally.GivenUp, overloaded,
+		"%d of %d\n", tally.Submitted, tally.Retried, tally.Placed, tally.Rejected, tally.NotAdmitted, tally.Failed, overloaded,
 		report.SlowStartPeak, report.SlowStartBudget)
 	return evaluateGoodput(measured.perSecond, socketRestartAt), report.Passed() && overloaded == 0, nil
 }
@@ -277,7 +277,7 @@
 	}
 	time.Sleep(down)
 	for _, m := range machines {
-		if err := m.Up(false); err != nil {
+		if err := m.Start(false); err != nil {
 			return err
 		}
 	}
--- a/internal/testbed/scenario/trial_why.go
+++ b/internal/testbed/scenario/trial_why.go
@@ -207,7 +207,7 @@
 func (t *WhyTrial) countFittingMachines(cores, memory float64) int {
 	n := 0
 	for _, m := range t.Cluster.Machines {
-		s, ok := m.State()
+		s, ok := m.Status()
 		if ok && s.Up && !s.Draining && m.Cores*(m.AcceptCores-1)+s.FreeCores >= cores &&
 			m.Memory*(m.AcceptMemory-1)+s.FreeMemory >= memory {
 			n++
@@ -223,8 +223,8 @@
 	}
 	for _, m := range t.Cluster.Machines {
 		if which(m) {
-			t.Cluster.List.Mark(m, state)
-			m.Drain(on, false)
+			t.Cluster.List.SetState(m, state)
+			m.SetDraining(on, false)
 		}
 	}
 }
@@ -238,9 +238,9 @@
 	pendingOne   = "waits.0" // its container
 )
 
-func isLarge(m *emulator.Machine) bool { return m.Kind == "large" || m.KindN == 1 }
+func isLarge(m *emulator.Machine) bool { return m.MachineType == "large" || m.MachineTypeIndex == 1 }
 
-func inFirstZone(m *emulator.Machine) bool { return m.ZoneN == 0 }
+func inFirstZone(m *emulator.Machine) bool { return m.ZoneIndex == 0 }
 
 // playDrainsAndRoom changes the reason of one pending container again and again: no room, then all that could run it
 // drain, then no room, then room.
@@ -334,12 +334,12 @@
 		return err
 	}
 	since = time.Now()
-	t.Cluster.List.Away(true)
+	t.Cluster.List.SetUnreachable(true)
 	if err := t.expect("and the list is away", pendingOne, since.Add(listSilenceLimit),
 		[]string{reasonZoneDrains, reasonNoRoom, reasonBackingOff, reasonListAway}, []string{reasonNoMachine}); err != nil {
 		return err
 	}
-	t.Cluster.List.Away(false)
+	t.Cluster.List.SetUnreachable(false)
 	t.drain(false, inFirstZone)
 	if err := t.deleteJob(pendingJob); err != nil {
 		return err
@@ -461,11 +461,11 @@
 		return err
 	}
 	since = time.Now()
-	t.Cluster.List.Away(true)
+	t.Cluster.List.SetUnreachable(true)
 	if err := t.expect("the list is away", unplaceableOne, since.Add(listSilenceLimit), []string{reasonListAway, reasonNoMachine}, nil); err != nil {
 		return err
 	}
-	t.Cluster.List.Away(false)
+	t.Cluster.List.SetUnreachable(false)
 	// The schedulers connect again after a backoff of their own; the reason must go within a second after that.
 	return waitUntil("the list is heard again", 10*time.Second, func() bool {
 		codes, _, err := t.codes(unplaceableOne)
