--- a/internal/bgp/speaker/speaker_test.go
+++ b/internal/bgp/speaker/speaker_test.go
@@ -51,7 +51,7 @@
 }
 
 func has(p *emulator.BGPPeer, x netip.Prefix) bool {
-	ok, _ := p.Has(x)
+	ok, _ := p.Route(x)
 	return ok
 }
 
@@ -66,7 +66,7 @@
 		allow []netip.Prefix
 	}{{&r.outer, 65000, []netip.Prefix{netip.MustParsePrefix("198.51.100.0/24"), netip.MustParsePrefix("2001:db8:1::/64")}},
 		{&r.inner, 65001, []netip.Prefix{netip.MustParsePrefix("0.0.0.0/0")}}} {
-		*p.to = &emulator.BGPPeer{AS: p.as, ID: [4]byte{192, 0, 2, 250}, Hold: 3 * time.Second, Helps: 5 * time.Second, Journal: true}
+		*p.to = &emulator.BGPPeer{AS: p.as, ID: [4]byte{192, 0, 2, 250}, HoldTime: 3 * time.Second, RestartTime: 5 * time.Second, RecordChanges: true}
 		addr, err := (*p.to).Open()
 		if err != nil {
 			t.Fatal(err)
@@ -90,7 +90,7 @@
 			t.Error(err)
 		}
 	})
-	r.until("both sessions stand", func() bool { return r.outer.Up() && r.inner.Up() })
+	r.until("both sessions stand", func() bool { return r.outer.Established() && r.inner.Established() })
 	return r
 }
 
@@ -111,14 +111,14 @@
 	if has(r.outer, mail) || has(r.inner, web6) {
 		t.Error("a peer was told what its policy does not allow")
 	}
-	for _, x := range r.outer.Told() {
-		if x.Pref != 0 {
-			t.Errorf("the outer peer was told the local preference %d", x.Pref)
+	for _, x := range r.outer.Changes() {
+		if x.LocalPref != 0 {
+			t.Errorf("the outer peer was told the local preference %d", x.LocalPref)
 		}
 	}
-	for _, x := range r.inner.Told() {
-		if x.Pref != 100 {
-			t.Errorf("the inner peer was told the local preference %d", x.Pref)
+	for _, x := range r.inner.Changes() {
+		if x.LocalPref != 100 {
+			t.Errorf("the inner peer was told the local preference %d", x.LocalPref)
 		}
 	}
 }
@@ -128,11 +128,11 @@
 	r := start(t, nil)
 	r.run("web")
 	r.until("it is announced", func() bool { return has(r.outer, web) })
-	if _, _, ends, _, _ := r.outer.Figures(); ends != 0 {
+	if _, _, ends, _, _ := r.outer.Stats(); ends != 0 {
 		t.Error("the end was marked before all was known")
 	}
 	r.on(r.s.MarkRoutesComplete)
-	r.until("both families are marked", func() bool { _, _, ends, _, _ := r.outer.Figures(); return ends == 2 })
+	r.until("both families are marked", func() bool { _, _, ends, _, _ := r.outer.Stats(); return ends == 2 })
 }
 
 // A stop with a word makes peers drop routes at once, though they would keep them over a restart.
@@ -141,7 +141,7 @@
 	r.run("web")
 	r.until("it is announced", func() bool { return has(r.outer, web) })
 	r.on(func() { r.s.Stop("done") })
-	r.until("it is gone", func() bool { return !has(r.outer, web) && !r.outer.Up() })
+	r.until("it is gone", func() bool { return !has(r.outer, web) && !r.outer.Established() })
 }
 
 // Two speakers announce one address: each tells for its own containers, and one that withdraws leaves the other's path.
--- a/internal/controller/api/helpers_test.go
+++ b/internal/controller/api/helpers_test.go
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	f.startMachines(machines)
-	list := &emulator.List{Lag: 0, Notice: time.Second, Period: 50 * time.Millisecond, Address: (*emulator.Machine).Addr}
+	list := &emulator.MachineList{Lag: 0, FailureDetection: time.Second, PollInterval: 50 * time.Millisecond, Address: (*emulator.Machine).Addr}
 	if schedulerConfig.ListAddr, err = list.Open(f.machines); err != nil {
 		t.Fatal(err)
 	}
@@ -65,12 +65,12 @@
 
 func (f *fixture) startMachines(machines int) {
 	f.Helper()
-	group := &emulator.Group{}
+	group := &emulator.DedupGroup{}
 	for i := range machines {
-		m := emulator.NewMachine(emulator.Shape{Name: fmt.Sprint("m", i), Cores: 24, Memory: 60, AcceptCores: 2, AcceptMemory: 1.5,
-			Admit: time.Millisecond, Queue: 100, Starts: 20, Start: 5 * time.Millisecond, Setup: 1, Kept: 5, ColdFor: time.Second,
-			ColdFrom: 1, YesRuns: true, NeedsKind: []int{-1, -1, -1, -1}}, group, uint64(i))
-		if err := m.Up(true); err != nil {
+		m := emulator.NewMachine(emulator.MachineSpec{Name: fmt.Sprint("m", i), Cores: 24, Memory: 60, AcceptCores: 2, AcceptMemory: 1.5,
+			AdmissionTime: time.Millisecond, MaxQueuedOffers: 100, ConcurrentStarts: 20, StartTime: 5 * time.Millisecond, ImageMissFactor: 1, CachedImages: 5, SlowStartPeriod: time.Second,
+			SlowStartInitialPace: 1, AcceptMeansRunning: true, RequiredMachineType: []int{-1, -1, -1, -1}}, group, uint64(i))
+		if err := m.Start(true); err != nil {
 			f.Fatal(err)
 		}
 		f.Cleanup(m.Close)
--- a/internal/controller/api/jobs_test.go
+++ b/internal/controller/api/jobs_test.go
@@ -37,7 +37,7 @@
 	}
 	f.until("nothing is left", func() bool { return f.count("job=a") == 0 })
 	for _, m := range f.machines {
-		f.until("nothing runs", func() bool { s, ok := m.State(); return ok && s.Running == 0 })
+		f.until("nothing runs", func() bool { s, ok := m.Status(); return ok && s.Running == 0 })
 	}
 }
 
--- a/internal/controller/api/restart_test.go
+++ b/internal/controller/api/restart_test.go
@@ -26,7 +26,7 @@
 	f.until("five run", running)
 	ran := func() (n int) {
 		for _, m := range f.machines {
-			if s, ok := m.State(); ok {
+			if s, ok := m.Status(); ok {
 				n += s.Running
 			}
 		}
--- a/internal/schedulerd/interleaving_model_test.go
+++ b/internal/schedulerd/interleaving_model_test.go
@@ -156,7 +156,7 @@
 type model struct {
 	t         *testing.T
 	server    *Server
-	judge     *modelcheck.Judge
+	judge     *modelcheck.Checker
 	list      *rawListener
 	version   int64
 	machines  map[string]*modelMachine
@@ -180,7 +180,7 @@
 	own.ListAddr = w.list.addr
 	decisions := scheduler.New(own.Terms)
 	decisions.Restore(scheduler.Snapshot{SendsKnownSince: 1})
-	w.judge = modelcheck.NewJudge(own.Terms, 1, 0)
+	w.judge = modelcheck.NewChecker(own.Terms, 1, 0)
 	var err error
 	if w.server, err = New(&own, wrap(decisions), discardLog); err != nil {
 		t.Fatal(err)
@@ -292,7 +292,7 @@
 	for _, entry := range entries {
 		update.Entries = append(update.Entries, w.judgedEntry(entry, entry.Incarnation))
 	}
-	w.judge.In(0, now, update)
+	w.judge.ObserveEvent(0, now, update)
 }
 
 func (w *model) judgedEntry(entry protocol.MachineEntry, incarnation uint64) scheduler.MachineEntry {
@@ -322,12 +322,12 @@
 		if a.judgedAs == "" {
 			w.adopted++
 			a.judgedAs = fmt.Sprint("found ", w.adopted)
-			w.judge.In(0, now, scheduler.ContainerAdopted{PlacementRequest: scheduler.PlacementRequest{ID: scheduler.ContainerID(a.judgedAs),
+			w.judge.ObserveEvent(0, now, scheduler.ContainerAdopted{PlacementRequest: scheduler.PlacementRequest{ID: scheduler.ContainerID(a.judgedAs),
 				Service: a.Spec.Service, WorkloadClass: a.Spec.WorkloadClass}, Machine: scheduler.MachineID(m.Machine)})
 		}
 	}
 	if m.incarnation > 1 {
-		w.judge.In(0, now, scheduler.MachineListUpdate{Entries: []scheduler.MachineEntry{w.judgedEntry(m.MachineEntry, m.incarnation)}})
+		w.judge.ObserveEvent(0, now, scheduler.MachineListUpdate{Entries: []scheduler.MachineEntry{w.judgedEntry(m.MachineEntry, m.incarnation)}})
 	}
 	m.conn.send(inventory)
 }
@@ -337,11 +337,11 @@
 	case *protocol.Offer:
 		item := protocol.InventoryItem{AttemptID: f.AttemptID, SchedulerIncarnation: w.server.incarnation, Running: true, Spec: f.Spec}
 		m.attempts[f.AttemptID] = &modelAttempt{item, true, f.Spec.ContainerID}
-		w.judge.Out(0, now, scheduler.StartAttempt{ID: scheduler.ContainerID(f.Spec.ContainerID), Machine: scheduler.MachineID(m.Machine)})
+		w.judge.ObserveAction(0, now, scheduler.StartAttempt{ID: scheduler.ContainerID(f.Spec.ContainerID), Machine: scheduler.MachineID(m.Machine)})
 	case *protocol.CancelAttempt:
 		if a := m.attempts[f.AttemptID]; a != nil {
 			delete(m.attempts, f.AttemptID)
-			w.judge.In(0, now, scheduler.AttemptEnded{ID: scheduler.ContainerID(a.judgedAs), Outcome: scheduler.OutcomeStopped, Final: true})
+			w.judge.ObserveEvent(0, now, scheduler.AttemptEnded{ID: scheduler.ContainerID(a.judgedAs), Outcome: scheduler.OutcomeStopped, Final: true})
 			m.conn.send(&protocol.Result{AttemptID: f.AttemptID, Outcome: protocol.OutcomeStopped})
 		}
 	case *protocol.Probe:
@@ -358,14 +358,14 @@
 	id := scheduler.ContainerID(reply.ContainerID)
 	w.answers[reply.ContainerID]++
 	if w.answers[reply.ContainerID] > 1 {
-		w.judge.Breaks = append(w.judge.Breaks, fmt.Sprintf("rule 1: %s is answered twice", id))
+		w.judge.Violations = append(w.judge.Violations, fmt.Sprintf("rule 1: %s is answered twice", id))
 	}
 	switch reply.Verdict {
 	case protocol.VerdictRejected, protocol.VerdictNotAdmitted:
-		w.judge.Out(0, now, scheduler.Reject{ID: id})
+		w.judge.ObserveAction(0, now, scheduler.Reject{ID: id})
 	case protocol.VerdictFailed:
 		if reply.Message != "cancelled" {
-			w.judge.Out(0, now, scheduler.Fail{ID: id})
+			w.judge.ObserveAction(0, now, scheduler.Fail{ID: id})
 		}
 	}
 }
--- a/internal/schedulerd/interleaving_test.go
+++ b/internal/schedulerd/interleaving_test.go
@@ -109,14 +109,14 @@
 	request := scheduler.PlacementRequest{ID: scheduler.ContainerID(id), IdempotencyKey: "k-" + id, Service: "s", WorkloadClass: w.submitted,
 		Cores: 1, Memory: 1, Deadline: now + timeout}
 	w.submitted++
-	w.judge.In(0, now, scheduler.RequestReceived{PlacementRequest: request})
+	w.judge.ObserveEvent(0, now, scheduler.RequestReceived{PlacementRequest: request})
 	w.client.send(&protocol.Submit{TimeToDeadline: protocol.Duration(timeout), Spec: protocol.ContainerSpec{ContainerID: id,
 		IdempotencyKey: request.IdempotencyKey, Service: request.Service, WorkloadClass: request.WorkloadClass, Cores: 1, Memory: 1}})
 }
 
 func (w *model) cancel(now scheduler.Time, id string) {
 	if w.answers[id] == 0 {
-		w.judge.In(0, now, scheduler.ContainerRemoved{ID: scheduler.ContainerID(id)})
+		w.judge.ObserveEvent(0, now, scheduler.ContainerRemoved{ID: scheduler.ContainerID(id)})
 	}
 	w.cancelled[id] = w.answers[id] > 0
 	w.client.send(&protocol.CancelContainer{ContainerID: id, IdempotencyKey: "k-" + id})
@@ -125,14 +125,14 @@
 func (w *model) accept(now scheduler.Time, id string) {
 	m, a := w.findAttempt(id, true)
 	a.pending = false
-	w.judge.In(0, now, scheduler.AttemptAccepted{ID: scheduler.ContainerID(a.judgedAs)})
+	w.judge.ObserveEvent(0, now, scheduler.AttemptAccepted{ID: scheduler.ContainerID(a.judgedAs)})
 	m.conn.send(&protocol.Accept{AttemptID: a.AttemptID, Running: true})
 }
 
 func (w *model) result(now scheduler.Time, id string, pending bool, sent protocol.Outcome, judged scheduler.Outcome) {
 	m, a := w.findAttempt(id, pending)
 	delete(m.attempts, a.AttemptID)
-	w.judge.In(0, now, scheduler.AttemptEnded{ID: scheduler.ContainerID(a.judgedAs), Outcome: judged, Final: !pending})
+	w.judge.ObserveEvent(0, now, scheduler.AttemptEnded{ID: scheduler.ContainerID(a.judgedAs), Outcome: judged, Final: !pending})
 	m.conn.send(&protocol.Result{AttemptID: a.AttemptID, Outcome: sent})
 }
 
@@ -141,7 +141,7 @@
 	for _, number := range m.numbers() {
 		if a := m.attempts[number]; a.pending {
 			a.pending = false
-			w.judge.In(0, now, scheduler.AttemptEnded{ID: scheduler.ContainerID(a.judgedAs), Outcome: scheduler.OutcomeLost})
+			w.judge.ObserveEvent(0, now, scheduler.AttemptEnded{ID: scheduler.ContainerID(a.judgedAs), Outcome: scheduler.OutcomeLost})
 			a.judgedAs = ""
 		}
 	}
@@ -151,7 +151,7 @@
 func (w *model) restart(now scheduler.Time, m *modelMachine, listed bool) {
 	w.breakConnection(now, m)
 	for _, a := range m.attempts {
-		w.judge.In(0, now, scheduler.AttemptEnded{ID: scheduler.ContainerID(a.judgedAs), Outcome: scheduler.OutcomeLost, Final: true})
+		w.judge.ObserveEvent(0, now, scheduler.AttemptEnded{ID: scheduler.ContainerID(a.judgedAs), Outcome: scheduler.OutcomeLost, Final: true})
 	}
 	m.incarnation++
 	m.startedAt = now
@@ -179,7 +179,7 @@
 	}
 	for i := range w.submitted {
 		if id := containerName(i); w.answers[id] != 1 {
-			w.judge.Breaks = append(w.judge.Breaks, fmt.Sprintf("rule 1: %s has %d answers", id, w.answers[id]))
+			w.judge.Violations = append(w.judge.Violations, fmt.Sprintf("rule 1: %s has %d answers", id, w.answers[id]))
 		}
 	}
 }
@@ -241,22 +241,22 @@
 // explore tries every sequence of steps up to a depth, until one violates an invariant.
 func explore(t *testing.T, settings *config.Placer, steps []string, depth int, wrap func(modelcheck.Decider) modelcheck.Decider) (
 	n int, done, violations []string) {
-	modelcheck.Each(depth, func(path []int) (widths []int, on bool) {
+	modelcheck.EnumeratePaths(depth, func(path []int) (widths []int, on bool) {
 		w := newModel(t, settings, wrap)
 		defer w.close()
 		done = nil
 		for _, choice := range path {
 			possible := w.enabled(steps)
-			if len(possible) == 0 || len(w.judge.Breaks) > 0 {
+			if len(possible) == 0 || len(w.judge.Violations) > 0 {
 				break
 			}
 			widths, done = append(widths, len(possible)), append(done, possible[choice])
 			w.apply(possible[choice])
 		}
-		if len(w.judge.Breaks) == 0 {
+		if len(w.judge.Violations) == 0 {
 			w.answerAll()
 		}
-		n, violations = n+1, w.judge.Breaks
+		n, violations = n+1, w.judge.Violations
 		return widths, len(violations) == 0
 	})
 	return n, done, violations
@@ -277,7 +277,7 @@
 		rule := i + 1
 		t.Run(fmt.Sprint("rule ", rule), func(t *testing.T) {
 			_, done, violations := explore(t, modelConfig(t, tc.classes...), strings.Split(tc.steps, ", "), 5,
-				func(d modelcheck.Decider) modelcheck.Decider { return modelcheck.Breaker{Decider: d, Rule: rule} })
+				func(d modelcheck.Decider) modelcheck.Decider { return modelcheck.Mutant{Decider: d, Rule: rule} })
 			if len(violations) == 0 || !strings.HasPrefix(violations[0], fmt.Sprintf("rule %d", rule)) {
 				t.Errorf("after %q: %q", done, violations)
 			}
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -174,20 +174,20 @@
 }
 
 func (j *judge) entry(e *faultproxy.Entry) error {
-	switch e.Sort {
+	switch e.Kind {
 	case faultproxy.Opened:
-		j.links[e.Link] = &channel{far: e.Far, name: e.Name, placer: e.Placer, offers: map[uint64]*offer{}}
+		j.links[e.ConnID] = &channel{far: e.Peer, name: e.PeerName, placer: e.Scheduler, offers: map[uint64]*offer{}}
 		return nil
 	case faultproxy.Closed:
 		j.closed(e)
 		return nil
 	case faultproxy.Killed:
-		if l := j.placers[e.Placer]; l != nil {
+		if l := j.placers[e.Scheduler]; l != nil {
 			for _, c := range l.containers {
 				j.drop(c)
 			}
 		}
-		delete(j.placers, e.Placer)
+		delete(j.placers, e.Scheduler)
 		return nil
 	case faultproxy.Started, faultproxy.Lost:
 		return nil
@@ -197,11 +197,11 @@
 	if err != nil {
 		return fmt.Errorf("at %d: %w", e.At, err)
 	}
-	ch := j.links[e.Link]
+	ch := j.links[e.ConnID]
 	if ch == nil {
-		return fmt.Errorf("at %d: a frame on link %d, which was never opened", e.At, e.Link)
+		return fmt.Errorf("at %d: a frame on link %d, which was never opened", e.At, e.ConnID)
 	}
-	l := j.life(e.Placer)
+	l := j.life(e.Scheduler)
 	switch f := f.(type) {
 	case *protocol.Submit:
 		j.submitted(l, e, f)
@@ -237,19 +237,19 @@
 // closed ends what the link's offers wait for. What ran behind it may still run; it counts again when its
 // machine says so on the next link.
 func (j *judge) closed(e *faultproxy.Entry) {
-	ch := j.links[e.Link]
+	ch := j.links[e.ConnID]
 	if ch == nil {
 		return
 	}
-	delete(j.links, e.Link)
-	l := j.life(e.Placer)
+	delete(j.links, e.ConnID)
+	l := j.life(e.Scheduler)
 	for _, o := range ch.offers {
 		o.ended = true
 		delete(l.held, o)
 	}
 	if ch.far == protocol.RoleClient {
 		for _, c := range l.containers {
-			if c.link == e.Link {
+			if c.link == e.ConnID {
 				j.drop(c)
 			}
 		}
@@ -267,7 +267,7 @@
 	c.dropped = true
 }
 
-func (j *judge) grace() int64 { return int64(j.h.Terms.AnswerGrace + j.h.Slack) }
+func (j *judge) grace() int64 { return int64(j.h.Config.AnswerGrace + j.h.Slack) }
 
 func (j *judge) lost(c *container) {
 	frames := []string{fmt.Sprintf("%.1f ms submit %s, due in %.1f ms", float64(c.asked)/10, c.name, float64(c.due-c.asked)/10)}
@@ -282,7 +282,7 @@
 	if c := l.containers[f.Spec.ContainerID]; c != nil && c.answers == 0 {
 		return // asked twice under one id; the first is owed
 	}
-	l.containers[f.Spec.ContainerID] = &container{name: f.Spec.ContainerID, asked: e.At, due: e.At + int64(f.TimeToDeadline), link: e.Link,
+	l.containers[f.Spec.ContainerID] = &container{name: f.Spec.ContainerID, asked: e.At, due: e.At + int64(f.TimeToDeadline), link: e.ConnID,
 		work: f.Spec}
 }
 
@@ -324,15 +324,15 @@
 }
 
 func (j *judge) workload(i int) (scheduler.WorkloadClass, bool) {
-	if i < len(j.h.Terms.WorkloadClasses) {
-		return j.h.Terms.WorkloadClasses[i], true
+	if i < len(j.h.Config.WorkloadClasses) {
+		return j.h.Config.WorkloadClasses[i], true
 	}
 	return scheduler.WorkloadClass{}, false
 }
 
 func (j *judge) offered(l *life, e *faultproxy.Entry, ch *channel, f *protocol.Offer) {
 	j.Offers++
-	o := &offer{at: e.At, bid: f.AttemptID, machine: ch.name, link: e.Link, until: e.At + int64(f.Timeout), work: f.Spec,
+	o := &offer{at: e.At, bid: f.AttemptID, machine: ch.name, link: e.ConnID, until: e.At + int64(f.Timeout), work: f.Spec,
 		text: fmt.Sprintf("%.1f ms %s offers %s to %s, bid %d, wait %.1f ms", float64(e.At)/10, l.name, f.Spec.ContainerID,
 			ch.name, f.AttemptID, float64(f.Timeout)/10)}
 	c := l.containers[f.Spec.ContainerID]
@@ -386,8 +386,8 @@
 
 // cold counts what a machine is offered after a start that the sender was told of.
 func (j *judge) cold(l *life, e *faultproxy.Entry) {
-	t := &j.h.Terms
-	m := l.machines[e.Name]
+	t := &j.h.Config
+	m := l.machines[e.PeerName]
 	if m == nil {
 		return
 	}
@@ -404,10 +404,10 @@
 	if n > t.SlowStartBudget {
 		var frames []string
 		for _, at := range s.offers {
-			frames = append(frames, fmt.Sprintf("%.1f ms an offer or a probe for %s", float64(at)/10, e.Name))
+			frames = append(frames, fmt.Sprintf("%.1f ms an offer or a probe for %s", float64(at)/10, e.PeerName))
 		}
 		j.fail(4, e.At, frames, "cold machine %s, up since %.1f ms, is offered %d in %.1f ms, and bears %d; the last by %s",
-			e.Name, float64(s.began)/10, n, float64(t.SlowStartWindow)/10, t.SlowStartBudget, l.name)
+			e.PeerName, float64(s.began)/10, n, float64(t.SlowStartWindow)/10, t.SlowStartBudget, l.name)
 	}
 }
 
@@ -536,7 +536,7 @@
 		if !k.Running {
 			continue
 		}
-		o := &offer{at: e.At, bid: k.AttemptID, machine: ch.name, link: e.Link, work: k.Spec, yes: true,
+		o := &offer{at: e.At, bid: k.AttemptID, machine: ch.name, link: e.ConnID, work: k.Spec, yes: true,
 			text: fmt.Sprintf("%.1f ms %s says it holds %s of %s", float64(e.At)/10, ch.name, k.Spec.ContainerID, l.name)}
 		ch.offers[k.AttemptID] = o
 		l.held[o] = true
@@ -566,13 +566,13 @@
 	bids, links := map[uint64]bool{}, map[uint32]bool{}
 	return faultproxy.Read(path, &h, func(e *faultproxy.Entry) error {
 		say := func(what string) {
-			fmt.Fprintf(out, "%9.1f ms  link %d, %s and %s %s: %s\n", float64(e.At)/10, e.Link, e.Placer, e.Far, e.Name, what)
+			fmt.Fprintf(out, "%9.1f ms  link %d, %s and %s %s: %s\n", float64(e.At)/10, e.ConnID, e.Scheduler, e.Peer, e.PeerName, what)
 		}
-		if e.Sort == faultproxy.Closed && links[e.Link] {
+		if e.Kind == faultproxy.Closed && links[e.ConnID] {
 			say("closed")
 		}
-		if e.Sort == faultproxy.Killed || e.Sort == faultproxy.Started {
-			fmt.Fprintf(out, "%9.1f ms  %s %s\n", float64(e.At)/10, e.Placer, map[faultproxy.Sort]string{faultproxy.Killed: "killed", faultproxy.Started: "started"}[e.Sort])
+		if e.Kind == faultproxy.Killed || e.Kind == faultproxy.Started {
+			fmt.Fprintf(out, "%9.1f ms  %s %s\n", float64(e.At)/10, e.Scheduler, map[faultproxy.EntryKind]string{faultproxy.Killed: "killed", faultproxy.Started: "started"}[e.Kind])
 		}
 		if len(e.Frame) == 0 {
 			return nil
@@ -581,12 +581,12 @@
 		if err != nil {
 			return err
 		}
-		lost := map[bool]string{true: " LOST"}[e.Sort == faultproxy.Lost]
+		lost := map[bool]string{true: " LOST"}[e.Kind == faultproxy.Lost]
 		show := false
 		switch f := f.(type) {
 		case *protocol.Offer:
 			if show = f.Spec.ContainerID == container; show {
-				bids[f.AttemptID], links[e.Link] = true, true
+				bids[f.AttemptID], links[e.ConnID] = true, true
 			}
 		case *protocol.Submit:
 			show = f.Spec.ContainerID == container
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -20,7 +20,7 @@
 
 func begin(t *testing.T) *history {
 	h := &history{T: t, j: newJudge()}
-	h.j.h = faultproxy.Header{DrainGrace: 250 * ms, Slack: 20 * ms, Terms: scheduler.Config{AnswerGrace: 10 * ms, SlowStartPeriod: 5000 * ms,
+	h.j.h = faultproxy.Header{DrainGrace: 250 * ms, Slack: 20 * ms, Config: scheduler.Config{AnswerGrace: 10 * ms, SlowStartPeriod: 5000 * ms,
 		SlowStartWindow: 1000 * ms, SlowStartBudget: 3, WorkloadClasses: []scheduler.WorkloadClass{{}, {Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeZone,
 			DedupWindow: 4000 * ms}, {Idempotency: scheduler.AtMostOnce, SpreadScope: scheduler.ScopeZone, MaxPerScope: 2}}}}
 	h.connect()
@@ -29,7 +29,7 @@
 }
 
 func (h *history) put(at int64, e faultproxy.Entry) {
-	e.At, e.Placer = at*ms, "p"
+	e.At, e.Scheduler = at*ms, "p"
 	h.j.now = e.At
 	h.j.judgePairs(e.At)
 	if err := h.j.entry(&e); err != nil {
@@ -38,7 +38,7 @@
 }
 
 func (h *history) open(id uint32, far protocol.Role, name string) {
-	h.put(0, faultproxy.Entry{Sort: faultproxy.Opened, Link: id, Far: far, Name: name})
+	h.put(0, faultproxy.Entry{Kind: faultproxy.Opened, ConnID: id, Peer: far, PeerName: name})
 }
 
 // connect opens the links to a client, the list and the machines.
@@ -50,12 +50,12 @@
 	}
 }
 
-func (h *history) frame(at int64, s faultproxy.Sort, id uint32, f protocol.Frame) {
+func (h *history) frame(at int64, s faultproxy.EntryKind, id uint32, f protocol.Frame) {
 	p, err := protocol.Append(nil, f)
 	if err != nil {
 		h.Fatal(err)
 	}
-	h.put(at, faultproxy.Entry{Sort: s, Link: id, Far: h.j.links[id].far, Name: h.j.links[id].name, Frame: p[4:]})
+	h.put(at, faultproxy.Entry{Kind: s, ConnID: id, Peer: h.j.links[id].far, PeerName: h.j.links[id].name, Frame: p[4:]})
 }
 
 func (h *history) list(at int64, entries map[string]protocol.MachineEntry) {
@@ -69,16 +69,16 @@
 			f.Entries = append(f.Entries, e)
 		}
 	}
-	h.frame(at, faultproxy.ToPlacer, 2, f)
+	h.frame(at, faultproxy.ToScheduler, 2, f)
 }
 
 // restart kills the placer and starts it again; its links are new, and the list is not heard yet.
 func (h *history) restart(at int64) {
 	for _, id := range []uint32{1, 2, 10, 11, 12} {
-		h.put(at, faultproxy.Entry{Sort: faultproxy.Closed, Link: id})
+		h.put(at, faultproxy.Entry{Kind: faultproxy.Closed, ConnID: id})
 	}
-	h.put(at, faultproxy.Entry{Sort: faultproxy.Killed})
-	h.put(at, faultproxy.Entry{Sort: faultproxy.Started})
+	h.put(at, faultproxy.Entry{Kind: faultproxy.Killed})
+	h.put(at, faultproxy.Entry{Kind: faultproxy.Started})
 	h.connect()
 }
 
@@ -87,25 +87,25 @@
 }
 
 func (h *history) ask(at int64, c string, workload int) {
-	h.frame(at, faultproxy.ToPlacer, 1, &protocol.Submit{TimeToDeadline: 2000 * ms, Spec: h.work(c, workload)})
+	h.frame(at, faultproxy.ToScheduler, 1, &protocol.Submit{TimeToDeadline: 2000 * ms, Spec: h.work(c, workload)})
 }
 
 func (h *history) offer(at int64, c string, workload int, id uint32) uint64 {
 	h.bids++
-	h.frame(at, faultproxy.FromPlacer, id, &protocol.Offer{AttemptID: h.bids, Timeout: 500 * ms, Spec: h.work(c, workload)})
+	h.frame(at, faultproxy.FromScheduler, id, &protocol.Offer{AttemptID: h.bids, Timeout: 500 * ms, Spec: h.work(c, workload)})
 	return h.bids
 }
 
 func (h *history) result(at int64, id uint32, bid uint64, o protocol.Outcome) {
-	h.frame(at, faultproxy.ToPlacer, id, &protocol.Result{AttemptID: bid, Outcome: o})
+	h.frame(at, faultproxy.ToScheduler, id, &protocol.Result{AttemptID: bid, Outcome: o})
 }
 
 func (h *history) yes(at int64, id uint32, bid uint64) {
-	h.frame(at, faultproxy.ToPlacer, id, &protocol.Accept{AttemptID: bid, Running: true})
+	h.frame(at, faultproxy.ToScheduler, id, &protocol.Accept{AttemptID: bid, Running: true})
 }
 
 func (h *history) answer(at int64, c string, v protocol.Verdict) {
-	h.frame(at, faultproxy.FromPlacer, 1, &protocol.PlacementReply{ContainerID: c, Verdict: v})
+	h.frame(at, faultproxy.FromScheduler, 1, &protocol.PlacementReply{ContainerID: c, Verdict: v})
 }
 
 // Each history either keeps the rules or breaks one, and the audit tells which.
@@ -120,10 +120,10 @@
 			h.yes(9, 10, h.offer(2, "x", 0, 10))
 			h.answer(9, "x", protocol.VerdictPlaced)
 		}, 0},
-		{"no answer", func(h *history) { h.ask(1, "x", 0); h.frame(3000, faultproxy.ToPlacer, 1, &protocol.Heartbeat{}) }, 1},
-		{"no answer, its placer killed in time", func(h *history) { h.ask(1, "x", 0); h.put(500, faultproxy.Entry{Sort: faultproxy.Killed}) }, 0},
-		{"no answer, its placer killed too late", func(h *history) { h.ask(1, "x", 0); h.put(5000, faultproxy.Entry{Sort: faultproxy.Killed}) }, 1},
-		{"no answer, its owner left", func(h *history) { h.ask(1, "x", 0); h.put(500, faultproxy.Entry{Sort: faultproxy.Closed, Link: 1}) }, 0},
+		{"no answer", func(h *history) { h.ask(1, "x", 0); h.frame(3000, faultproxy.ToScheduler, 1, &protocol.Heartbeat{}) }, 1},
+		{"no answer, its placer killed in time", func(h *history) { h.ask(1, "x", 0); h.put(500, faultproxy.Entry{Kind: faultproxy.Killed}) }, 0},
+		{"no answer, its placer killed too late", func(h *history) { h.ask(1, "x", 0); h.put(5000, faultproxy.Entry{Kind: faultproxy.Killed}) }, 1},
+		{"no answer, its owner left", func(h *history) { h.ask(1, "x", 0); h.put(500, faultproxy.Entry{Kind: faultproxy.Closed, ConnID: 1}) }, 0},
 		{"two answers", func(h *history) {
 			h.ask(1, "x", 0)
 			h.answer(2, "x", protocol.VerdictRejected)
@@ -166,7 +166,7 @@
 			h.ask(1, "x", 0)
 			h.offer(2, "x", 0, 10)
 			h.offer(100, "x", 0, 12)
-			h.put(110, faultproxy.Entry{Sort: faultproxy.Closed, Link: 10})
+			h.put(110, faultproxy.Entry{Kind: faultproxy.Closed, ConnID: 10})
 			h.answer(700, "x", protocol.VerdictRejected)
 		}, 0},
 		{"numbered stays in its group", func(h *history) {
@@ -214,7 +214,7 @@
 			h.ask(1, "x", 2)
 			h.yes(3, 10, h.offer(2, "x", 2, 10))
 			h.answer(4, "x", protocol.VerdictPlaced)
-			h.frame(9, faultproxy.ToPlacer, 11, &protocol.Inventory{Containers: []protocol.InventoryItem{{AttemptID: 99, Running: true, Spec: h.work("x", 2)}}})
+			h.frame(9, faultproxy.ToScheduler, 11, &protocol.Inventory{Containers: []protocol.InventoryItem{{AttemptID: 99, Running: true, Spec: h.work("x", 2)}}})
 		}, 2},
 
 		{"sent to a draining machine", func(h *history) {
--- a/internal/testbed/audit/show_test.go
+++ b/internal/testbed/audit/show_test.go
@@ -33,7 +33,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := encoder.Encode(faultproxy.Entry{Sort: faultproxy.FromPlacer, Link: 1, Frame: data[4:]}); err != nil {
+		if err := encoder.Encode(faultproxy.Entry{Kind: faultproxy.FromScheduler, ConnID: 1, Frame: data[4:]}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -12,95 +12,95 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Work is one sort of containers that owners submit.
-type Work struct {
-	Share     float64
-	Services  int
-	Cores     []float64 // one of them, by chance
-	Memory    []float64
-	Life      time.Duration // on average
-	HardStop  time.Duration
-	Again     bool // asked again after a push-back
-	AgainLost bool // and when nothing was heard
+// WorkloadProfile is one sort of containers that owners submit.
+type WorkloadProfile struct {
+	Share            float64
+	Services         int
+	Cores            []float64 // one of them, by chance
+	Memory           []float64
+	MeanRuntime      time.Duration // on average
+	PlacementTimeout time.Duration
+	RetryRejected    bool // asked again after a push-back
+	RetryUnanswered  bool // and when nothing was heard
 }
 
 // Tally counts what owners saw. Every container a client submits ends in one of the first five.
 type Tally struct {
-	Submitted  int
-	Placed     int
-	PushedBack int
-	GivenUp    int
-	TurnedAway int
-	NoAnswer   int // the link to the placer ended first
-	Twice      int // answers beyond the one
-	Again      int // submissions that came before
-	Ended      int // containers placed that ended while their owner listened
-	Evicted    int
-	Lost       int
-	Unsent     int // no placer could be reached
-	Waiting    int
-	Late       int                     // of the placed, those that took more than a second
-	Took       *hdrhistogram.Histogram // submission to Placed, in microseconds
+	Submitted        int
+	Placed           int
+	Rejected         int
+	Failed           int
+	NotAdmitted      int
+	Unanswered       int // the link to the placer ended first
+	DuplicateReplies int // answers beyond the one
+	Retried          int // submissions that came before
+	Ended            int // containers placed that ended while their owner listened
+	Evicted          int
+	Lost             int
+	Unsent           int // no placer could be reached
+	Pending          int
+	PlacedLate       int                     // of the placed, those that took more than a second
+	PlacementLatency *hdrhistogram.Histogram // submission to Placed, in microseconds
 }
 
-// Owners submit work to placers in open loop: the next submission never waits for an answer.
-type Owners struct {
-	Doors     []string // of placers
-	Works     []Work
-	Customers int
-	Back      func(tries int, holdOff time.Duration) time.Duration // until it is asked again; nil: a second, or the hold-off
-	OnPlaced  func(kind int, took time.Duration)                   // of each yes; may be nil
+// Clients submit work to placers in open loop: the next submission never waits for an answer.
+type Clients struct {
+	SchedulerAddrs []string // of placers
+	Workloads      []WorkloadProfile
+	Tenants        int
+	Backoff        func(tries int, holdOff time.Duration) time.Duration // until it is asked again; nil: a second, or the hold-off
+	OnPlaced       func(kind int, took time.Duration)                   // of each yes; may be nil
 
-	mu      sync.Mutex
-	rate    float64
-	links   []*doorLink
-	open    map[string]*wanted
-	tally   Tally
-	rng     *rand.Rand
-	next    int
-	stop    chan struct{}
-	working sync.WaitGroup
+	mu          sync.Mutex
+	rate        float64
+	conns       []*clientConn
+	outstanding map[string]*submission
+	tally       Tally
+	rng         *rand.Rand
+	lastID      int
+	stop        chan struct{}
+	background  sync.WaitGroup
 }
 
-type wanted struct {
-	work   protocol.ContainerSpec
-	kind   int
-	left   time.Duration
-	sentAt time.Time
-	door   int
-	placed bool
-	tries  int
+type submission struct {
+	spec           protocol.ContainerSpec
+	workload       int
+	timeToDeadline time.Duration
+	sentAt         time.Time
+	scheduler      int
+	placed         bool
+	retries        int
 }
 
-type doorLink struct {
+type clientConn struct {
 	net.Conn
-	out chan protocol.Frame
+	frames chan protocol.Frame
 }
 
 // Start begins to submit so many a second.
-func (o *Owners) Start(rate float64, seed uint64) {
-	o.rate, o.rng, o.stop, o.open = rate, rand.New(rand.NewPCG(seed, 5)), make(chan struct{}), map[string]*wanted{}
-	o.tally.Took = hdrhistogram.New(1, 60_000_000, 3)
-	o.links = make([]*doorLink, len(o.Doors))
-	for i := range o.Doors {
-		o.working.Go(func() { o.keepLink(i) })
+func (o *Clients) Start(rate float64, seed uint64) {
+	o.rate, o.rng, o.stop, o.outstanding = rate, rand.New(rand.NewPCG(seed, 5)), make(chan struct{}), map[string]*submission{}
+	o.tally.PlacementLatency = hdrhistogram.New(1, 60_000_000, 3)
+	o.conns = make([]*clientConn, len(o.SchedulerAddrs))
+	for i := range o.SchedulerAddrs {
+		o.background.Go(func() { o.maintainConn(i) })
 	}
-	o.working.Go(o.submitAll)
+	o.background.Go(o.submitAll)
 }
 
-// Rate changes how much is submitted.
-func (o *Owners) Rate(perSecond float64) {
+// SetRate changes how much is submitted.
+func (o *Clients) SetRate(perSecond float64) {
 	o.mu.Lock()
 	o.rate = perSecond
 	o.mu.Unlock()
 }
 
-// Waiting is the number of containers without an answer.
-func (o *Owners) Waiting() int {
+// Pending is the number of containers without an answer.
+func (o *Clients) Pending() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n := 0
-	for _, w := range o.open {
+	for _, w := range o.outstanding {
 		if !w.placed {
 			n++
 		}
@@ -109,43 +109,43 @@
 }
 
 // Snapshot is the tally so far, without the times.
-func (o *Owners) Snapshot() Tally {
+func (o *Clients) Snapshot() Tally {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.tally
-	t.Took = nil
+	t.PlacementLatency = nil
 	return t
 }
 
-// Again is the number of submissions so far that came before.
-func (o *Owners) Again() int {
+// Retried is the number of submissions so far that came before.
+func (o *Clients) Retried() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.tally.Again
+	return o.tally.Retried
 }
 
 // Close ends the owners and returns what they saw.
-func (o *Owners) Close() Tally {
+func (o *Clients) Close() Tally {
 	close(o.stop)
 	o.mu.Lock()
-	for _, l := range o.links {
+	for _, l := range o.conns {
 		if l != nil {
 			l.Close()
 		}
 	}
 	o.mu.Unlock()
-	o.working.Wait()
+	o.background.Wait()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, w := range o.open {
+	for _, w := range o.outstanding {
 		if !w.placed {
-			o.tally.Waiting++
+			o.tally.Pending++
 		}
 	}
 	return o.tally
 }
 
-func (o *Owners) pause(d time.Duration) bool {
+func (o *Clients) pause(d time.Duration) bool {
 	select {
 	case <-o.stop:
 		return false
@@ -154,37 +154,37 @@
 	}
 }
 
-// Reask cancels a part of what is placed and asks for all of it again, as a redeploy does.
-func (o *Owners) Reask(part float64) {
+// Redeploy cancels a part of what is placed and asks for all of it again, as a redeploy does.
+func (o *Clients) Redeploy(part float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for id, w := range o.open {
-		l := o.links[w.door]
+	for id, w := range o.outstanding {
+		l := o.conns[w.scheduler]
 		if !w.placed || l == nil || o.rng.Float64() >= part {
 			continue
 		}
-		delete(o.open, id)
+		delete(o.outstanding, id)
 		select {
-		case l.out <- &protocol.CancelContainer{ContainerID: id}:
+		case l.frames <- &protocol.CancelContainer{ContainerID: id}:
 		default:
 		}
 		fresh := *w
-		fresh.placed, fresh.work.IdempotencyKey = false, ""
-		o.send(&fresh)
+		fresh.placed, fresh.spec.IdempotencyKey = false, ""
+		o.submit(&fresh)
 	}
 }
 
-// keepLink holds a link to one door and reads it.
-func (o *Owners) keepLink(i int) {
+// maintainConn holds a link to one door and reads it.
+func (o *Clients) maintainConn(i int) {
 	for o.pause(20 * time.Millisecond) {
-		c, err := net.DialTimeout("tcp", o.Doors[i], time.Second)
+		c, err := net.DialTimeout("tcp", o.SchedulerAddrs[i], time.Second)
 		if err != nil {
 			o.pause(100 * time.Millisecond)
 			continue
 		}
 		hello, _ := protocol.Append(nil, protocol.NewHello(protocol.RoleClient, fmt.Sprint("owners-", i), uint64(time.Now().UnixMicro())))
 		c.Write(hello)
-		l := &doorLink{c, make(chan protocol.Frame, 10_000)}
+		l := &clientConn{c, make(chan protocol.Frame, 10_000)}
 		if f, err := protocol.ReadFrame(c, 4096); err != nil {
 			c.Close()
 			continue
@@ -193,31 +193,31 @@
 			continue
 		}
 		o.mu.Lock()
-		o.links[i] = l
+		o.conns[i] = l
 		o.mu.Unlock()
 		done := make(chan struct{})
-		o.working.Go(func() { l.writeAll(done) })
+		o.background.Go(func() { l.writeAll(done) })
 		for {
 			f, err := protocol.ReadFrame(c, protocol.MaxFrame)
 			if err != nil {
 				break
 			}
-			o.heard(i, f)
+			o.handleFrame(i, f)
 		}
 		close(done)
 		c.Close()
-		o.broke(i)
+		o.connectionLost(i)
 	}
 }
 
-func (l *doorLink) writeAll(done chan struct{}) {
+func (l *clientConn) writeAll(done chan struct{}) {
 	var p []byte
 	for {
 		select {
-		case f := <-l.out:
+		case f := <-l.frames:
 			p, _ = protocol.Append(p[:0], f)
-			for len(l.out) > 0 && len(p) < 32<<10 {
-				p, _ = protocol.Append(p, <-l.out)
+			for len(l.frames) > 0 && len(p) < 32<<10 {
+				p, _ = protocol.Append(p, <-l.frames)
 			}
 			if _, err := l.Write(p); err != nil {
 				l.Close()
@@ -229,49 +229,49 @@
 	}
 }
 
-// broke settles what was open at a door whose link has ended. What may have run and must not run twice is left
+// connectionLost settles what was open at a door whose link has ended. What may have run and must not run twice is left
 // alone; the rest is asked again elsewhere.
-func (o *Owners) broke(i int) {
+func (o *Clients) connectionLost(i int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.links[i] = nil
-	for id, w := range o.open {
-		if w.door != i {
+	o.conns[i] = nil
+	for id, w := range o.outstanding {
+		if w.scheduler != i {
 			continue
 		}
-		delete(o.open, id)
+		delete(o.outstanding, id)
 		if w.placed {
 			continue
 		}
-		o.tally.NoAnswer++
-		if o.Works[w.kind].AgainLost {
-			o.later(w, 200*time.Millisecond)
+		o.tally.Unanswered++
+		if o.Workloads[w.workload].RetryUnanswered {
+			o.retryLater(w, 200*time.Millisecond)
 		}
 	}
 }
 
-// later submits again, over a span of chance that doubles with each try.
-func (o *Owners) later(w *wanted, base time.Duration) {
-	if w.tries >= 6 && o.Back == nil || w.tries >= 12 {
+// retryLater submits again, over a span of chance that doubles with each try.
+func (o *Clients) retryLater(w *submission, base time.Duration) {
+	if w.retries >= 6 && o.Backoff == nil || w.retries >= 12 {
 		return
 	}
 	wait := base
-	if o.Back == nil {
-		wait += time.Duration(o.rng.Float64() * float64(base) * float64(int(1)<<min(w.tries, 5)))
+	if o.Backoff == nil {
+		wait += time.Duration(o.rng.Float64() * float64(base) * float64(int(1)<<min(w.retries, 5)))
 	}
-	again := &wanted{work: w.work, kind: w.kind, left: w.left, tries: w.tries + 1}
-	again.work.ClientRetry = true
-	o.working.Go(func() {
+	again := &submission{spec: w.spec, workload: w.workload, timeToDeadline: w.timeToDeadline, retries: w.retries + 1}
+	again.spec.ClientRetry = true
+	o.background.Go(func() {
 		if o.pause(wait) {
 			o.mu.Lock()
-			o.tally.Again++
-			o.send(again)
+			o.tally.Retried++
+			o.submit(again)
 			o.mu.Unlock()
 		}
 	})
 }
 
-func (o *Owners) submitAll() {
+func (o *Clients) submitAll() {
 	next := time.Now()
 	for {
 		o.mu.Lock()
@@ -294,47 +294,47 @@
 		}
 		o.mu.Lock()
 		next = next.Add(time.Duration(o.rng.ExpFloat64() / rate * float64(time.Second)))
-		o.send(o.draw())
+		o.submit(o.drawSubmission())
 		o.mu.Unlock()
 	}
 }
 
-func (o *Owners) draw() *wanted {
+func (o *Clients) drawSubmission() *submission {
 	x, kind := o.rng.Float64(), 0
-	for i, w := range o.Works {
+	for i, w := range o.Workloads {
 		if kind = i; x < w.Share {
 			break
 		}
 		x -= w.Share
 	}
-	w := &o.Works[kind]
+	w := &o.Workloads[kind]
 	n := o.rng.IntN(w.Services)
 	pick := o.rng.IntN(len(w.Cores))
-	life := time.Duration(float64(w.Life) * (0.3 + 1.4*o.rng.Float64()))
-	return &wanted{kind: kind, left: w.HardStop, work: protocol.ContainerSpec{Service: fmt.Sprintf("service-%d-%d", kind, n), WorkloadClass: kind,
-		Tenant: o.rng.IntN(max(1, o.Customers)), Cores: w.Cores[pick], Memory: w.Memory[pick],
+	life := time.Duration(float64(w.MeanRuntime) * (0.3 + 1.4*o.rng.Float64()))
+	return &submission{workload: kind, timeToDeadline: w.PlacementTimeout, spec: protocol.ContainerSpec{Service: fmt.Sprintf("service-%d-%d", kind, n), WorkloadClass: kind,
+		Tenant: o.rng.IntN(max(1, o.Tenants)), Cores: w.Cores[pick], Memory: w.Memory[pick],
 		ExpectedRuntime: protocol.Duration(life.Microseconds() / 100)}}
 }
 
-// send submits to a placer by chance, or to the next that can be reached.
-func (o *Owners) send(w *wanted) {
-	o.next++
-	w.work.ContainerID = fmt.Sprint("c", o.next)
-	if w.work.IdempotencyKey == "" {
-		w.work.IdempotencyKey = fmt.Sprint("key", o.next)
+// submit submits to a placer by chance, or to the next that can be reached.
+func (o *Clients) submit(w *submission) {
+	o.lastID++
+	w.spec.ContainerID = fmt.Sprint("c", o.lastID)
+	if w.spec.IdempotencyKey == "" {
+		w.spec.IdempotencyKey = fmt.Sprint("key", o.lastID)
 	}
 	o.tally.Submitted++
-	first := o.rng.IntN(len(o.links))
-	for i := range o.links {
-		n := (first + i) % len(o.links)
-		l := o.links[n]
+	first := o.rng.IntN(len(o.conns))
+	for i := range o.conns {
+		n := (first + i) % len(o.conns)
+		l := o.conns[n]
 		if l == nil {
 			continue
 		}
-		w.door, w.sentAt = n, time.Now()
-		o.open[w.work.ContainerID] = w
+		w.scheduler, w.sentAt = n, time.Now()
+		o.outstanding[w.spec.ContainerID] = w
 		select {
-		case l.out <- &protocol.Submit{TimeToDeadline: protocol.Duration(w.left.Microseconds() / 100), Spec: w.work}:
+		case l.frames <- &protocol.Submit{TimeToDeadline: protocol.Duration(w.timeToDeadline.Microseconds() / 100), Spec: w.spec}:
 		default:
 			l.Close()
 		}
@@ -343,14 +343,14 @@
 	o.tally.Unsent++
 }
 
-func (o *Owners) heard(door int, f protocol.Frame) {
+func (o *Clients) handleFrame(door int, f protocol.Frame) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch f := f.(type) {
 	case *protocol.PlacementReply:
-		w := o.open[f.ContainerID]
-		if w == nil || w.placed || w.door != door {
-			o.tally.Twice++
+		w := o.outstanding[f.ContainerID]
+		if w == nil || w.placed || w.scheduler != door {
+			o.tally.DuplicateReplies++
 			return
 		}
 		switch f.Verdict {
@@ -358,36 +358,36 @@
 			w.placed = true
 			o.tally.Placed++
 			took := time.Since(w.sentAt)
-			o.tally.Took.RecordValue(max(1, took.Microseconds()))
+			o.tally.PlacementLatency.RecordValue(max(1, took.Microseconds()))
 			if took > time.Second {
-				o.tally.Late++
+				o.tally.PlacedLate++
 			}
 			if o.OnPlaced != nil {
-				o.OnPlaced(w.kind, took)
+				o.OnPlaced(w.workload, took)
 			}
 			return
 		case protocol.VerdictRejected:
-			o.tally.PushedBack++
+			o.tally.Rejected++
 		case protocol.VerdictFailed:
-			o.tally.GivenUp++
+			o.tally.Failed++
 		case protocol.VerdictNotAdmitted:
-			o.tally.TurnedAway++
+			o.tally.NotAdmitted++
 		}
-		delete(o.open, f.ContainerID)
-		if f.Verdict != protocol.VerdictFailed && o.Works[w.kind].Again {
+		delete(o.outstanding, f.ContainerID)
+		if f.Verdict != protocol.VerdictFailed && o.Workloads[w.workload].RetryRejected {
 			hold := time.Duration(f.RetryAfter) * 100 * time.Microsecond
-			if o.Back != nil {
-				o.later(w, o.Back(w.tries, hold))
+			if o.Backoff != nil {
+				o.retryLater(w, o.Backoff(w.retries, hold))
 			} else {
-				o.later(w, max(time.Second, hold))
+				o.retryLater(w, max(time.Second, hold))
 			}
 		}
 	case *protocol.Termination:
-		w := o.open[f.ContainerID]
+		w := o.outstanding[f.ContainerID]
 		if w == nil || !w.placed {
 			return
 		}
-		delete(o.open, f.ContainerID)
+		delete(o.outstanding, f.ContainerID)
 		o.tally.Ended++
 		switch {
 		case f.Reason == protocol.ReasonOutOfMemory:
--- a/internal/testbed/emulator/machine.go
+++ b/internal/testbed/emulator/machine.go
@@ -13,42 +13,42 @@
 	"glenport/internal/protocol"
 )
 
-// Shape is what a machine is and how it behaves.
-type Shape struct {
-	Name, Zone, Cell, Kind    string
-	ZoneN, CellN, KindN       int
-	Cores, Memory             float64
-	AcceptCores, AcceptMemory float64       // multiples of its size
-	Admit                     time.Duration // to look at one offer
-	Queue                     int           // offers that may wait for that
-	Starts                    int           // at a time
-	Start                     time.Duration // of a container whose program is there
-	Setup                     float64       // times that where it is not
-	Kept                      int           // programs kept after their last container
-	ColdFor                   time.Duration
-	ColdFrom                  float64 // part of its pace just after its start
-	ColdWindow                time.Duration
-	ColdBears                 int // offers in a window beyond which it falls over; 0: any
-	YesRuns                   bool
-	TellUse                   bool
-	NeedsKind                 []int // kind that each workload needs, -1 any
-	Rank                      []int // of each workload; the lowest is evicted first
-	Drift                     float64
-}
-
-// Group drops repeats of numbered work among its machines.
-type Group struct {
+// MachineSpec is what a machine is and how it behaves.
+type MachineSpec struct {
+	Name, Zone, RackGroup, MachineType          string
+	ZoneIndex, RackGroupIndex, MachineTypeIndex int
+	Cores, Memory                               float64
+	AcceptCores, AcceptMemory                   float64       // multiples of its size
+	AdmissionTime                               time.Duration // to look at one offer
+	MaxQueuedOffers                             int           // offers that may wait for that
+	ConcurrentStarts                            int           // at a time
+	StartTime                                   time.Duration // of a container whose program is there
+	ImageMissFactor                             float64       // times that where it is not
+	CachedImages                                int           // programs kept after their last container
+	SlowStartPeriod                             time.Duration
+	SlowStartInitialPace                        float64 // part of its pace just after its start
+	SlowStartWindow                             time.Duration
+	SlowStartCapacity                           int // offers in a window beyond which it falls over; 0: any
+	AcceptMeansRunning                          bool
+	UsageReports                                bool
+	RequiredMachineType                         []int // kind that each workload needs, -1 any
+	EvictionRank                                []int // of each workload; the lowest is evicted first
+	MemoryDrift                                 float64
+}
+
+// DedupGroup drops repeats of numbered work among its machines.
+type DedupGroup struct {
 	mu   sync.Mutex
 	keys map[string]*claim // emptied a while after the window
 }
 
 type claim struct {
-	by    *run
-	until time.Time
+	holder    *container
+	expiresAt time.Time
 }
 
-// take claims a key for a container; false where another copy stands or stood within the window.
-func (g *Group) take(r *run, window time.Duration) bool {
+// claim claims a key for a container; false where another copy stands or stood within the window.
+func (g *DedupGroup) claim(r *container, window time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.keys == nil {
@@ -56,24 +56,24 @@
 	}
 	now := time.Now()
 	for k, c := range g.keys {
-		if c.by == nil && now.After(c.until) {
+		if c.holder == nil && now.After(c.expiresAt) {
 			delete(g.keys, k)
 		}
 	}
-	if c := g.keys[r.work.IdempotencyKey]; c != nil && c.by != r && (c.by != nil || now.Before(c.until)) {
+	if c := g.keys[r.spec.IdempotencyKey]; c != nil && c.holder != r && (c.holder != nil || now.Before(c.expiresAt)) {
 		return false
 	}
-	g.keys[r.work.IdempotencyKey] = &claim{r, now.Add(window)}
+	g.keys[r.spec.IdempotencyKey] = &claim{r, now.Add(window)}
 	return true
 }
 
-// free ends a claim: at once where the container never ran, after the window where it did.
-func (g *Group) free(r *run, ran bool) {
+// release ends a claim: at once where the container never ran, after the window where it did.
+func (g *DedupGroup) release(r *container, ran bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if c := g.keys[r.work.IdempotencyKey]; c != nil && c.by == r {
-		if c.by = nil; !ran {
-			delete(g.keys, r.work.IdempotencyKey)
+	if c := g.keys[r.spec.IdempotencyKey]; c != nil && c.holder == r {
+		if c.holder = nil; !ran {
+			delete(g.keys, r.spec.IdempotencyKey)
 		}
 	}
 }
@@ -81,88 +81,88 @@
 // Machine is one stand-in machine. Its state belongs to one goroutine; a frozen machine does nothing until it
 // is thawed, as a stopped process would.
 type Machine struct {
-	Shape
-	Group *Group
-	OnEnd func(container string, at time.Time) // of one that ran; may be nil
-	addr  string
-
-	mu      sync.Mutex
-	gate    *sync.Cond
-	mail    []func()
-	frozen  bool
-	ended   bool
-	working sync.WaitGroup
-
-	up          bool
-	fell        bool
+	MachineSpec
+	DedupGroup *DedupGroup
+	OnEnd      func(container string, at time.Time) // of one that ran; may be nil
+	addr       string
+
+	mu         sync.Mutex
+	wake       *sync.Cond
+	tasks      []func()
+	frozen     bool
+	closed     bool
+	background sync.WaitGroup
+
+	up               bool
+	overwhelmed      bool
+	incarnation      uint64
+	started          time.Time
+	listener         net.Listener
+	conns            map[string]*schedulerConn // by placer
+	queue            []*container
+	admitting        bool
+	starting         int
+	accepted         []*container // accepted, not yet being started
+	containers       map[attemptKey]*container
+	reserved         struct{ cores, memory float64 }
+	imageCache       []string // kept, the last used first
+	runningByService map[string]int
+	draining         bool
+	evacuating       bool
+	slowdown         float64
+	memoryFactor     float64      // times the memory that containers use
+	ignoredWorkloads map[int]bool // workloads that it leaves unanswered
+	throttledTenants map[int]bool // customers that it turns away without a reason
+	recentOffers     []time.Time
+	totalRan         int
+	rng              *rand.Rand
+}
+
+type attemptKey struct {
+	scheduler   string
 	incarnation uint64
-	started     time.Time
-	listener    net.Listener
-	callers     map[string]*caller // by placer
-	queue       []*run
-	looking     bool
-	starting    int
-	pending     []*run // accepted, not yet being started
-	runs        map[runID]*run
-	asked       struct{ cores, memory float64 }
-	programs    []string // kept, the last used first
-	serving     map[string]int
-	draining    bool
-	sendAway    bool
-	slow        float64
-	swell       float64      // times the memory that containers use
-	shuns       map[int]bool // workloads that it leaves unanswered
-	throttled   map[int]bool // customers that it turns away without a reason
-	offers      []time.Time
-	ran         int
-	rng         *rand.Rand
-}
-
-type runID struct {
-	placer string
-	life   uint64
-	bid    uint64
-}
-
-type run struct {
-	id       runID
-	work     protocol.ContainerSpec
-	until    time.Time // it lapses when it is not running by then
-	accepted bool
-	running  bool
-	over     bool
-	use      float64 // of the memory asked
-}
-
-type caller struct {
+	attemptID   uint64
+}
+
+type container struct {
+	key       attemptKey
+	spec      protocol.ContainerSpec
+	deadline  time.Time // it lapses when it is not running by then
+	accepted  bool
+	running   bool
+	ended     bool
+	memoryUse float64 // of the memory asked
+}
+
+type schedulerConn struct {
 	net.Conn
-	placer string
-	life   uint64
-	out    chan []byte
+	scheduler   string
+	incarnation uint64
+	frames      chan []byte
 }
 
 // NewMachine makes a machine that is down.
-func NewMachine(s Shape, g *Group, seed uint64) *Machine {
-	m := &Machine{Shape: s, Group: g, slow: 1, swell: 1, shuns: map[int]bool{}, throttled: map[int]bool{}, rng: rand.New(rand.NewPCG(seed, 77)), callers: map[string]*caller{},
-		runs: map[runID]*run{}, serving: map[string]int{}}
-	m.gate = sync.NewCond(&m.mu)
-	m.working.Go(m.work)
+func NewMachine(s MachineSpec, g *DedupGroup, seed uint64) *Machine {
+	m := &Machine{MachineSpec: s, DedupGroup: g, slowdown: 1, memoryFactor: 1, ignoredWorkloads: map[int]bool{}, throttledTenants: map[int]bool{}, rng: rand.New(rand.NewPCG(seed, 77)), conns: map[string]*schedulerConn{},
+		containers: map[attemptKey]*container{}, runningByService: map[string]int{}}
+	m.wake = sync.NewCond(&m.mu)
+	m.background.Go(m.runTasks)
 	return m
 }
 
-// work runs what is posted, one after another.
-func (m *Machine) work() {
+// runTasks runs what is posted, one after another.
+func (m *Machine) runTasks() {
 	for {
 		m.mu.Lock()
-		for (len(m.mail) == 0 || m.frozen) && !m.ended {
-			m.gate.Wait()
+		for (len(m.tasks) == 0 || m.frozen) && !m.closed {
+			m.wake.Wait()
 		}
-		if m.ended {
+		if m.closed {
 			m.mu.Unlock()
 			return
 		}
-		f := m.mail[0]
-		m.mail = m.mail[1:]
+		f := m.tasks[0]
+		m.tasks = m.tasks[1:]
 		m.mu.Unlock()
 		f()
 	}
@@ -170,24 +170,24 @@
 
 func (m *Machine) post(f func()) {
 	m.mu.Lock()
-	if !m.ended {
-		m.mail = append(m.mail, f)
-		m.gate.Signal()
+	if !m.closed {
+		m.tasks = append(m.tasks, f)
+		m.wake.Signal()
 	}
 	m.mu.Unlock()
 }
 
-func (m *Machine) do(f func()) {
+func (m *Machine) postAndWait(f func()) {
 	done := make(chan struct{})
 	m.post(func() { f(); close(done) })
 	<-done
 }
 
-// Freeze stops everything the machine does; Thaw lets it go on.
-func (m *Machine) Freeze(on bool) {
+// SetFrozen stops everything the machine does; Thaw lets it go on.
+func (m *Machine) SetFrozen(on bool) {
 	m.mu.Lock()
 	m.frozen = on
-	m.gate.Broadcast()
+	m.wake.Broadcast()
 	m.mu.Unlock()
 }
 
@@ -203,10 +203,10 @@
 	})
 }
 
-// Up starts the machine, cold unless warm is set. It listens where it listened before.
-func (m *Machine) Up(warm bool) (err error) {
-	m.do(func() {
-		if m.up || m.fell {
+// Start starts the machine, cold unless warm is set. It listens where it listened before.
+func (m *Machine) Start(warm bool) (err error) {
+	m.postAndWait(func() {
+		if m.up || m.overwhelmed {
 			return
 		}
 		at := m.addr
@@ -225,24 +225,24 @@
 		m.mu.Lock()
 		m.addr = m.listener.Addr().String()
 		m.mu.Unlock()
-		m.up, m.draining, m.sendAway = true, false, false
+		m.up, m.draining, m.evacuating = true, false, false
 		m.incarnation++
 		m.started = time.Now()
 		if warm {
-			m.started = m.started.Add(-m.ColdFor)
+			m.started = m.started.Add(-m.SlowStartPeriod)
 		}
-		m.offers = nil
+		m.recentOffers = nil
 		l := m.listener
-		m.working.Go(func() { m.listen(l) })
-		m.after(500*time.Millisecond, m.drift)
+		m.background.Go(func() { m.listen(l) })
+		m.after(500*time.Millisecond, m.driftMemory)
 	})
 	return err
 }
 
 // Crash ends everything it runs. With quiet set nobody is told: the links just fall silent.
 func (m *Machine) Crash() {
-	m.Freeze(false)
-	m.do(m.crash)
+	m.SetFrozen(false)
+	m.postAndWait(m.crash)
 }
 
 func (m *Machine) crash() {
@@ -251,68 +251,72 @@
 	}
 	m.up = false
 	m.listener.Close()
-	for _, c := range m.callers {
+	for _, c := range m.conns {
 		c.Close()
 	}
-	for _, r := range m.runs {
-		r.over = true
+	for _, r := range m.containers {
+		r.ended = true
 		if r.running && m.OnEnd != nil {
-			m.OnEnd(r.work.ContainerID, time.Now())
+			m.OnEnd(r.spec.ContainerID, time.Now())
 		}
-		m.Group.free(r, r.running)
+		m.DedupGroup.release(r, r.running)
 	}
-	m.callers, m.runs, m.serving = map[string]*caller{}, map[runID]*run{}, map[string]int{}
-	m.queue, m.pending, m.programs, m.starting, m.looking = nil, nil, nil, 0, false
-	m.asked.cores, m.asked.memory = 0, 0
+	m.conns, m.containers, m.runningByService = map[string]*schedulerConn{}, map[attemptKey]*container{}, map[string]int{}
+	m.queue, m.accepted, m.imageCache, m.starting, m.admitting = nil, nil, nil, 0, false
+	m.reserved.cores, m.reserved.memory = 0, 0
 }
 
 // Close ends the machine for good.
 func (m *Machine) Close() {
 	m.Crash()
 	m.mu.Lock()
-	m.ended = true
-	m.gate.Broadcast()
+	m.closed = true
+	m.wake.Broadcast()
 	m.mu.Unlock()
-	m.working.Wait()
+	m.background.Wait()
 }
 
-// Drain takes nothing new; with sendAway it sends its containers away bit by bit.
-func (m *Machine) Drain(on, sendAway bool) {
-	m.do(func() {
-		m.draining, m.sendAway = on, on && sendAway
-		if m.sendAway {
-			m.after(100*time.Millisecond, m.sendOneAway)
+// SetDraining takes nothing new; with evacuating it sends its containers away bit by bit.
+func (m *Machine) SetDraining(on, sendAway bool) {
+	m.postAndWait(func() {
+		m.draining, m.evacuating = on, on && sendAway
+		if m.evacuating {
+			m.after(100*time.Millisecond, m.evacuateOne)
 		}
 	})
 }
 
-func (m *Machine) sendOneAway() {
-	if !m.sendAway {
+func (m *Machine) evacuateOne() {
+	if !m.evacuating {
 		return
 	}
-	for _, r := range m.ordered() {
+	for _, r := range m.sortedContainers() {
 		if r.running {
 			m.end(r, protocol.OutcomeLost, protocol.ReasonDrained)
 			break
 		}
 	}
-	m.after(100*time.Millisecond, m.sendOneAway)
+	m.after(100*time.Millisecond, m.evacuateOne)
 }
 
-// Slow makes everything take so many times as long.
-func (m *Machine) Slow(times float64) { m.do(func() { m.slow = times }) }
+// SetSlowdown makes everything take so many times as long.
+func (m *Machine) SetSlowdown(times float64) { m.postAndWait(func() { m.slowdown = times }) }
 
-// Swell makes containers use so many times the memory.
-func (m *Machine) Swell(times float64) { m.do(func() { m.swell = times }) }
+// SetMemoryFactor makes containers use so many times the memory.
+func (m *Machine) SetMemoryFactor(times float64) { m.postAndWait(func() { m.memoryFactor = times }) }
 
-// Shun leaves a workload's offers unanswered; Throttle turns a customer's away without a reason.
-func (m *Machine) Shun(workload int, on bool)     { m.do(func() { m.shuns[workload] = on }) }
-func (m *Machine) Throttle(customer int, on bool) { m.do(func() { m.throttled[customer] = on }) }
+// SetIgnoredWorkload leaves a workload's offers unanswered; Throttle turns a customer's away without a reason.
+func (m *Machine) SetIgnoredWorkload(workload int, on bool) {
+	m.postAndWait(func() { m.ignoredWorkloads[workload] = on })
+}
+func (m *Machine) SetThrottledTenant(customer int, on bool) {
+	m.postAndWait(func() { m.throttledTenants[customer] = on })
+}
 
-// Reset resets every link.
-func (m *Machine) Reset() {
-	m.do(func() {
-		for _, c := range m.callers {
+// ResetConns resets every link.
+func (m *Machine) ResetConns() {
+	m.postAndWait(func() {
+		for _, c := range m.conns {
 			if t, ok := c.Conn.(*net.TCPConn); ok {
 				t.SetLinger(0)
 			}
@@ -321,29 +325,29 @@
 	})
 }
 
-// State is a machine's own account, for the list and the judge of a trial.
-type State struct {
-	Up, Fell, Draining    bool
-	Incarnation           uint64
-	Started               time.Time
-	FreeCores, FreeMemory float64
-	Addr                  string
-	Running, Ran          int
+// MachineStatus is a machine's own account, for the list and the judge of a trial.
+type MachineStatus struct {
+	Up, Overwhelmed, Draining bool
+	Incarnation               uint64
+	Started                   time.Time
+	FreeCores, FreeMemory     float64
+	Addr                      string
+	Running, TotalRan         int
 }
 
-// State waits for the machine's goroutine; ok is false while it is frozen.
-func (m *Machine) State() (s State, ok bool) {
+// Status waits for the machine's goroutine; ok is false while it is frozen.
+func (m *Machine) Status() (s MachineStatus, ok bool) {
 	m.mu.Lock()
-	frozen := m.frozen || m.ended
+	frozen := m.frozen || m.closed
 	m.mu.Unlock()
 	if frozen {
 		return s, false
 	}
-	got := make(chan State, 1)
+	got := make(chan MachineStatus, 1)
 	m.post(func() {
-		s := State{Up: m.up, Fell: m.fell, Draining: m.draining, Incarnation: m.incarnation, Started: m.started,
-			FreeCores: m.Cores - m.asked.cores, FreeMemory: m.Memory - m.asked.memory, Addr: m.addr, Ran: m.ran}
-		for _, r := range m.runs {
+		s := MachineStatus{Up: m.up, Overwhelmed: m.overwhelmed, Draining: m.draining, Incarnation: m.incarnation, Started: m.started,
+			FreeCores: m.Cores - m.reserved.cores, FreeMemory: m.Memory - m.reserved.memory, Addr: m.addr, TotalRan: m.totalRan}
+		for _, r := range m.containers {
 			if r.running {
 				s.Running++
 			}
@@ -358,10 +362,10 @@
 	}
 }
 
-// Holds is the work that runs, or nothing while the machine is frozen.
-func (m *Machine) Holds() []protocol.ContainerSpec {
+// RunningContainers is the work that runs, or nothing while the machine is frozen.
+func (m *Machine) RunningContainers() []protocol.ContainerSpec {
 	m.mu.Lock()
-	idle := m.frozen || m.ended
+	idle := m.frozen || m.closed
 	m.mu.Unlock()
 	if idle {
 		return nil
@@ -369,9 +373,9 @@
 	got := make(chan []protocol.ContainerSpec, 1)
 	m.post(func() {
 		var all []protocol.ContainerSpec
-		for _, r := range m.runs {
+		for _, r := range m.containers {
 			if r.running {
-				all = append(all, r.work)
+				all = append(all, r.spec)
 			}
 		}
 		got <- all
@@ -390,7 +394,7 @@
 		if err != nil {
 			return
 		}
-		m.working.Go(func() { m.serve(c) })
+		m.background.Go(func() { m.serve(c) })
 	}
 }
 
@@ -402,23 +406,23 @@
 	if err != nil || !ok || hello.Role != protocol.RoleScheduler {
 		return
 	}
-	c := &caller{Conn: conn, placer: hello.Name, life: hello.Incarnation, out: make(chan []byte, 4096)}
+	c := &schedulerConn{Conn: conn, scheduler: hello.Name, incarnation: hello.Incarnation, frames: make(chan []byte, 4096)}
 	stop := make(chan struct{})
 	defer close(stop)
-	m.working.Go(func() { c.writeAll(stop) })
-	m.post(func() { m.greet(c) })
+	m.background.Go(func() { c.writeAll(stop) })
+	m.post(func() { m.register(c) })
 	for {
 		f, err := protocol.ReadFrame(conn, protocol.MaxFrame)
 		if err != nil {
-			m.post(func() { m.left(c) })
+			m.post(func() { m.unregister(c) })
 			return
 		}
-		m.post(func() { m.take(c, f) })
+		m.post(func() { m.handleFrame(c, f) })
 	}
 }
 
 // writeAll writes what is queued; whoever does not read for ten seconds is dropped.
-func (c *caller) writeAll(stop chan struct{}) {
+func (c *schedulerConn) writeAll(stop chan struct{}) {
 	beat := time.NewTicker(time.Second)
 	defer beat.Stop()
 	hello, _ := protocol.Append(nil, &protocol.Heartbeat{})
@@ -426,7 +430,7 @@
 	for {
 		var p []byte
 		select {
-		case p = <-c.out:
+		case p = <-c.frames:
 			greeted = true
 		case <-beat.C:
 			if !greeted {
@@ -444,175 +448,175 @@
 	}
 }
 
-func (c *caller) send(f protocol.Frame) {
+func (c *schedulerConn) send(f protocol.Frame) {
 	p, err := protocol.Append(nil, f)
 	if err != nil {
 		panic(err) // a stand-in that cannot say what it means is a fault of the laboratory
 	}
 	select {
-	case c.out <- p:
+	case c.frames <- p:
 	default:
 		c.Close()
 	}
 }
 
-func (m *Machine) greet(c *caller) {
+func (m *Machine) register(c *schedulerConn) {
 	if !m.up {
 		c.Close()
 		return
 	}
-	if old := m.callers[c.placer]; old != nil {
+	if old := m.conns[c.scheduler]; old != nil {
 		old.Close()
-		m.dropQueued(c.placer)
+		m.removeQueued(c.scheduler)
 	}
-	m.callers[c.placer] = c
+	m.conns[c.scheduler] = c
 	holds := &protocol.Inventory{MachineIncarnation: m.incarnation}
-	for _, r := range m.ordered() {
-		if r.id.placer == c.placer && r.accepted {
-			holds.Containers = append(holds.Containers, protocol.InventoryItem{SchedulerIncarnation: r.id.life, AttemptID: r.id.bid, Running: r.running, Spec: r.work})
+	for _, r := range m.sortedContainers() {
+		if r.key.scheduler == c.scheduler && r.accepted {
+			holds.Containers = append(holds.Containers, protocol.InventoryItem{SchedulerIncarnation: r.key.incarnation, AttemptID: r.key.attemptID, Running: r.running, Spec: r.spec})
 		}
 	}
 	c.send(protocol.NewHello(protocol.RoleMachine, m.Name, m.incarnation))
 	c.send(holds)
 }
 
-func (m *Machine) left(c *caller) {
-	if m.callers[c.placer] == c {
-		delete(m.callers, c.placer)
-		m.dropQueued(c.placer)
+func (m *Machine) unregister(c *schedulerConn) {
+	if m.conns[c.scheduler] == c {
+		delete(m.conns, c.scheduler)
+		m.removeQueued(c.scheduler)
 	}
 }
 
-// dropQueued lets go of offers that nobody waits for any more.
-func (m *Machine) dropQueued(placer string) {
-	for _, r := range append([]*run(nil), m.queue...) {
-		if r.id.placer == placer {
-			m.drop(r)
+// removeQueued lets go of offers that nobody waits for any more.
+func (m *Machine) removeQueued(placer string) {
+	for _, r := range append([]*container(nil), m.queue...) {
+		if r.key.scheduler == placer {
+			m.remove(r)
 		}
 	}
 }
 
-func (m *Machine) ordered() []*run {
-	all := make([]*run, 0, len(m.runs))
-	for _, r := range m.runs {
+func (m *Machine) sortedContainers() []*container {
+	all := make([]*container, 0, len(m.containers))
+	for _, r := range m.containers {
 		all = append(all, r)
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i].id.bid < all[j].id.bid })
+	sort.Slice(all, func(i, j int) bool { return all[i].key.attemptID < all[j].key.attemptID })
 	return all
 }
 
-func (m *Machine) take(c *caller, f protocol.Frame) {
-	if m.callers[c.placer] != c || !m.up {
+func (m *Machine) handleFrame(c *schedulerConn, f protocol.Frame) {
+	if m.conns[c.scheduler] != c || !m.up {
 		return
 	}
 	switch f := f.(type) {
 	case *protocol.Offer:
-		m.offered(c, f)
+		m.handleOffer(c, f)
 	case *protocol.CancelAttempt:
-		id := runID{c.placer, f.SchedulerIncarnation, f.AttemptID}
-		if r := m.runs[id]; r != nil {
+		id := attemptKey{c.scheduler, f.SchedulerIncarnation, f.AttemptID}
+		if r := m.containers[id]; r != nil {
 			m.end(r, protocol.OutcomeStopped, 0)
 		}
 	case *protocol.Probe:
-		if m.overwhelmed() {
+		if m.exceedsSlowStartCapacity() {
 			return
 		}
-		m.after(m.span(m.Admit/2), func() { c.send(&protocol.ProbeReply{Seq: f.Seq, Report: m.report()}) })
+		m.after(m.jitter(m.AdmissionTime/2), func() { c.send(&protocol.ProbeReply{Seq: f.Seq, Report: m.report()}) })
 	}
 }
 
-func (m *Machine) span(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * m.slow * (0.7 + 0.6*m.rng.Float64()))
+func (m *Machine) jitter(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * m.slowdown * (0.7 + 0.6*m.rng.Float64()))
 }
 
 func (m *Machine) report() map[string]float64 {
-	return map[string]float64{"x0": m.Cores - m.asked.cores, "x1": m.Memory - m.asked.memory,
-		"queue": float64(len(m.queue) + len(m.pending)), "util": min(1, m.asked.cores/m.Cores)}
+	return map[string]float64{"x0": m.Cores - m.reserved.cores, "x1": m.Memory - m.reserved.memory,
+		"queue": float64(len(m.queue) + len(m.accepted)), "util": min(1, m.reserved.cores/m.Cores)}
 }
 
 // pace is the part of its full pace that a machine starts at; it grows with its age.
 func (m *Machine) pace() float64 {
 	age := time.Since(m.started)
-	if age >= m.ColdFor {
+	if age >= m.SlowStartPeriod {
 		return 1
 	}
-	return m.ColdFrom + (1-m.ColdFrom)*float64(age)/float64(m.ColdFor)
+	return m.SlowStartInitialPace + (1-m.SlowStartInitialPace)*float64(age)/float64(m.SlowStartPeriod)
 }
 
-// overwhelmed counts an offer and tells whether the machine falls over: it is cold and was offered more in a
+// exceedsSlowStartCapacity counts an offer and tells whether the machine falls over: it is cold and was offered more in a
 // window than it bears.
-func (m *Machine) overwhelmed() bool {
+func (m *Machine) exceedsSlowStartCapacity() bool {
 	now := time.Now()
-	if m.ColdBears == 0 || now.Sub(m.started) >= m.ColdFor {
-		m.offers = nil
+	if m.SlowStartCapacity == 0 || now.Sub(m.started) >= m.SlowStartPeriod {
+		m.recentOffers = nil
 		return false
 	}
-	m.offers = append(m.offers, now)
-	for len(m.offers) > 0 && now.Sub(m.offers[0]) > m.ColdWindow {
-		m.offers = m.offers[1:]
+	m.recentOffers = append(m.recentOffers, now)
+	for len(m.recentOffers) > 0 && now.Sub(m.recentOffers[0]) > m.SlowStartWindow {
+		m.recentOffers = m.recentOffers[1:]
 	}
-	if len(m.offers) <= m.ColdBears {
+	if len(m.recentOffers) <= m.SlowStartCapacity {
 		return false
 	}
-	m.fell = true
+	m.overwhelmed = true
 	m.crash()
 	return true
 }
 
-func (m *Machine) offered(c *caller, f *protocol.Offer) {
-	if m.overwhelmed() {
+func (m *Machine) handleOffer(c *schedulerConn, f *protocol.Offer) {
+	if m.exceedsSlowStartCapacity() {
 		return
 	}
-	if m.shuns[f.Spec.WorkloadClass] {
+	if m.ignoredWorkloads[f.Spec.WorkloadClass] {
 		return
 	}
-	r := &run{id: runID{c.placer, c.life, f.AttemptID}, work: f.Spec, use: 0.4 + 0.4*m.rng.Float64(),
-		until: time.Now().Add(time.Duration(f.Timeout) * 100 * time.Microsecond)}
-	m.runs[r.id] = r
-	if m.throttled[f.Spec.Tenant] {
+	r := &container{key: attemptKey{c.scheduler, c.incarnation, f.AttemptID}, spec: f.Spec, memoryUse: 0.4 + 0.4*m.rng.Float64(),
+		deadline: time.Now().Add(time.Duration(f.Timeout) * 100 * time.Microsecond)}
+	m.containers[r.key] = r
+	if m.throttledTenants[f.Spec.Tenant] {
 		m.end(r, protocol.OutcomeFull, 0)
 		return
 	}
-	if len(m.queue) >= m.Queue {
+	if len(m.queue) >= m.MaxQueuedOffers {
 		m.end(r, protocol.OutcomeFull, protocol.ReasonQueueTooLong)
 		return
 	}
 	m.queue = append(m.queue, r)
-	m.look()
+	m.admitNext()
 }
 
-// look examines offers one at a time.
-func (m *Machine) look() {
-	if m.looking || len(m.queue) == 0 {
+// admitNext examines offers one at a time.
+func (m *Machine) admitNext() {
+	if m.admitting || len(m.queue) == 0 {
 		return
 	}
-	m.looking = true
-	m.after(m.span(m.Admit), func() {
-		m.looking = false
+	m.admitting = true
+	m.after(m.jitter(m.AdmissionTime), func() {
+		m.admitting = false
 		if len(m.queue) > 0 {
 			r := m.queue[0]
 			m.queue = m.queue[1:]
 			m.admit(r)
 		}
-		m.look()
+		m.admitNext()
 	})
 }
 
-func (m *Machine) admit(r *run) {
-	if r.over {
+func (m *Machine) admit(r *container) {
+	if r.ended {
 		return
 	}
-	w := &r.work
+	w := &r.spec
 	no := protocol.ReasonNone
 	switch {
-	case m.draining || time.Now().After(r.until) || w.WorkloadClass >= len(m.NeedsKind),
-		m.NeedsKind[w.WorkloadClass] >= 0 && m.NeedsKind[w.WorkloadClass] != m.KindN:
+	case m.draining || time.Now().After(r.deadline) || w.WorkloadClass >= len(m.RequiredMachineType),
+		m.RequiredMachineType[w.WorkloadClass] >= 0 && m.RequiredMachineType[w.WorkloadClass] != m.MachineTypeIndex:
 		no = protocol.ReasonWrongMachine
-	case m.asked.cores+w.Cores > m.Cores*m.AcceptCores:
+	case m.reserved.cores+w.Cores > m.Cores*m.AcceptCores:
 		no = protocol.ReasonNoCores
-	case m.asked.memory+w.Memory > m.Memory*m.AcceptMemory:
+	case m.reserved.memory+w.Memory > m.Memory*m.AcceptMemory:
 		no = protocol.ReasonNoMemory
-	case w.DedupWindow > 0 && !m.Group.take(r, time.Duration(w.DedupWindow)*100*time.Microsecond):
+	case w.DedupWindow > 0 && !m.DedupGroup.claim(r, time.Duration(w.DedupWindow)*100*time.Microsecond):
 		no = protocol.ReasonWrongMachine
 	}
 	if no != 0 {
@@ -620,83 +624,83 @@
 		return
 	}
 	r.accepted = true
-	m.asked.cores += w.Cores
-	m.asked.memory += w.Memory
-	if !m.YesRuns {
-		m.tell(r, &protocol.Accept{AttemptID: r.id.bid})
+	m.reserved.cores += w.Cores
+	m.reserved.memory += w.Memory
+	if !m.AcceptMeansRunning {
+		m.sendTo(r, &protocol.Accept{AttemptID: r.key.attemptID})
 	}
-	m.pending = append(m.pending, r)
+	m.accepted = append(m.accepted, r)
 	m.startNext()
 }
 
 func (m *Machine) startNext() {
-	for m.starting < max(1, m.Starts) && len(m.pending) > 0 {
-		r := m.pending[0]
-		m.pending = m.pending[1:]
-		if r.over {
+	for m.starting < max(1, m.ConcurrentStarts) && len(m.accepted) > 0 {
+		r := m.accepted[0]
+		m.accepted = m.accepted[1:]
+		if r.ended {
 			continue
 		}
-		took := float64(m.span(m.Start)) / m.pace()
-		if !m.knows(r.work.Service) {
-			took *= max(1, m.Setup)
+		took := float64(m.jitter(m.StartTime)) / m.pace()
+		if !m.imageCached(r.spec.Service) {
+			took *= max(1, m.ImageMissFactor)
 		}
-		m.use(r.work.Service)
+		m.touchImage(r.spec.Service)
 		m.starting++
 		m.after(time.Duration(took), func() {
 			m.starting--
-			if !r.over {
-				m.began(r)
+			if !r.ended {
+				m.markRunning(r)
 			}
 			m.startNext()
 		})
 	}
 }
 
-func (m *Machine) knows(service string) bool {
-	for _, p := range m.programs {
+func (m *Machine) imageCached(service string) bool {
+	for _, p := range m.imageCache {
 		if p == service {
 			return true
 		}
 	}
-	return m.serving[service] > 0
+	return m.runningByService[service] > 0
 }
 
-func (m *Machine) use(service string) {
-	for i, p := range m.programs {
+func (m *Machine) touchImage(service string) {
+	for i, p := range m.imageCache {
 		if p == service {
-			m.programs = append(m.programs[:i], m.programs[i+1:]...)
+			m.imageCache = append(m.imageCache[:i], m.imageCache[i+1:]...)
 			break
 		}
 	}
-	m.programs = append([]string{service}, m.programs...)
-	m.programs = m.programs[:min(len(m.programs), max(1, m.Kept))]
+	m.imageCache = append([]string{service}, m.imageCache...)
+	m.imageCache = m.imageCache[:min(len(m.imageCache), max(1, m.CachedImages))]
 }
 
-// began makes a container run, unless its placer has stopped waiting for it.
-func (m *Machine) began(r *run) {
-	if time.Now().After(r.until) && m.YesRuns {
+// markRunning makes a container run, unless its placer has stopped waiting for it.
+func (m *Machine) markRunning(r *container) {
+	if time.Now().After(r.deadline) && m.AcceptMeansRunning {
 		m.end(r, protocol.OutcomeFull, protocol.ReasonWrongMachine)
 		return
 	}
 	r.running = true
-	m.ran++
-	m.serving[r.work.Service]++
-	m.tell(r, &protocol.Accept{AttemptID: r.id.bid, Running: true})
-	life := time.Duration(r.work.ExpectedRuntime) * 100 * time.Microsecond
+	m.totalRan++
+	m.runningByService[r.spec.Service]++
+	m.sendTo(r, &protocol.Accept{AttemptID: r.key.attemptID, Running: true})
+	life := time.Duration(r.spec.ExpectedRuntime) * 100 * time.Microsecond
 	if life <= 0 {
 		life = time.Second
 	}
 	m.after(life, func() {
-		if !r.over {
+		if !r.ended {
 			m.end(r, protocol.OutcomeFinished, 0)
 		}
 	})
 }
 
-// drop forgets a container that never ran, without a word.
-func (m *Machine) drop(r *run) {
-	r.over = true
-	delete(m.runs, r.id)
+// remove forgets a container that never ran, without a word.
+func (m *Machine) remove(r *container) {
+	r.ended = true
+	delete(m.containers, r.key)
 	for i, q := range m.queue {
 		if q == r {
 			m.queue = append(m.queue[:i], m.queue[i+1:]...)
@@ -706,62 +710,62 @@
 }
 
 // end ends a container and tells its placer.
-func (m *Machine) end(r *run, o protocol.Outcome, why protocol.Reason) {
-	m.drop(r)
+func (m *Machine) end(r *container, o protocol.Outcome, why protocol.Reason) {
+	m.remove(r)
 	if r.accepted {
-		m.asked.cores -= r.work.Cores
-		m.asked.memory -= r.work.Memory
+		m.reserved.cores -= r.spec.Cores
+		m.reserved.memory -= r.spec.Memory
 		if r.running {
 			if m.OnEnd != nil {
-				m.OnEnd(r.work.ContainerID, time.Now())
+				m.OnEnd(r.spec.ContainerID, time.Now())
 			}
-			if m.serving[r.work.Service]--; m.serving[r.work.Service] <= 0 {
-				delete(m.serving, r.work.Service)
+			if m.runningByService[r.spec.Service]--; m.runningByService[r.spec.Service] <= 0 {
+				delete(m.runningByService, r.spec.Service)
 			}
 		}
-		if r.work.DedupWindow > 0 {
-			m.Group.free(r, r.running)
+		if r.spec.DedupWindow > 0 {
+			m.DedupGroup.release(r, r.running)
 		}
 	}
-	m.tell(r, &protocol.Result{AttemptID: r.id.bid, Outcome: o, Reason: why, Report: m.report()})
+	m.sendTo(r, &protocol.Result{AttemptID: r.key.attemptID, Outcome: o, Reason: why, Report: m.report()})
 }
 
-func (m *Machine) tell(r *run, f protocol.Frame) {
-	if c := m.callers[r.id.placer]; c != nil {
+func (m *Machine) sendTo(r *container, f protocol.Frame) {
+	if c := m.conns[r.key.scheduler]; c != nil {
 		c.send(f)
 	}
 }
 
-// drift changes what containers use, and evicts for memory, lowest rank first.
-func (m *Machine) drift() {
-	m.after(500*time.Millisecond, m.drift)
+// driftMemory changes what containers use, and evicts for memory, lowest rank first.
+func (m *Machine) driftMemory() {
+	m.after(500*time.Millisecond, m.driftMemory)
 	used := 0.0
-	all := m.ordered()
+	all := m.sortedContainers()
 	for _, r := range all {
 		if !r.running {
 			continue
 		}
-		r.use = min(max(0.2, r.use+m.Drift*(m.rng.Float64()-0.5)), 1.6)
-		used += r.use * m.swell * r.work.Memory
-		if m.TellUse {
-			m.tell(r, &protocol.UsageReport{AttemptID: r.id.bid, Metric: 3, Value: r.use * m.swell * r.work.Memory})
+		r.memoryUse = min(max(0.2, r.memoryUse+m.MemoryDrift*(m.rng.Float64()-0.5)), 1.6)
+		used += r.memoryUse * m.memoryFactor * r.spec.Memory
+		if m.UsageReports {
+			m.sendTo(r, &protocol.UsageReport{AttemptID: r.key.attemptID, Metric: 3, Value: r.memoryUse * m.memoryFactor * r.spec.Memory})
 		}
 	}
-	sort.SliceStable(all, func(i, j int) bool { return m.rank(all[i]) < m.rank(all[j]) })
+	sort.SliceStable(all, func(i, j int) bool { return m.evictionRank(all[i]) < m.evictionRank(all[j]) })
 	for _, r := range all {
 		if used <= m.Memory {
 			return
 		}
 		if r.running {
-			used -= r.use * m.swell * r.work.Memory
+			used -= r.memoryUse * m.memoryFactor * r.spec.Memory
 			m.end(r, protocol.OutcomeLost, protocol.ReasonOutOfMemory)
 		}
 	}
 }
 
-func (m *Machine) rank(r *run) int {
-	if r.work.WorkloadClass < len(m.Rank) {
-		return m.Rank[r.work.WorkloadClass]
+func (m *Machine) evictionRank(r *container) int {
+	if r.spec.WorkloadClass < len(m.EvictionRank) {
+		return m.EvictionRank[r.spec.WorkloadClass]
 	}
 	return 0
 }
--- a/internal/testbed/faultproxy/faultproxy.go
+++ b/internal/testbed/faultproxy/faultproxy.go
@@ -13,48 +13,48 @@
 
 // Fault is what the network does to a link.
 type Fault struct {
-	Cut         bool    // nothing passes; what was sent waits until it ends, or the link does
-	LoseAnswers float64 // part of the machines' yeses that never arrive
+	Partitioned bool    // nothing passes; what was sent waits until it ends, or the link does
+	LoseAccepts float64 // part of the machines' yeses that never arrive
 	Delay       time.Duration
 }
 
-// Net is the network of a trial: taps, and the faults between placers and what they talk to.
-type Net struct {
+// Proxy is the network of a trial: taps, and the faults between placers and what they talk to.
+type Proxy struct {
 	record *Writer
 
-	mu      sync.Mutex
-	changed *sync.Cond
-	fault   func(placer string, far protocol.Role, name string) Fault
-	links   map[*wire]bool
-	taps    []net.Listener
-	last    uint32
-	rng     *rand.Rand
-	ended   bool
-	working sync.WaitGroup
+	mu           sync.Mutex
+	stateChanged *sync.Cond
+	fault        func(placer string, far protocol.Role, name string) Fault
+	connections  map[*connection]bool
+	listeners    []net.Listener
+	lastID       uint32
+	rng          *rand.Rand
+	closed       bool
+	background   sync.WaitGroup
 }
 
-func NewNet(record *Writer, seed uint64) *Net {
-	n := &Net{record: record, links: map[*wire]bool{}, rng: rand.New(rand.NewPCG(seed, 3))}
-	n.changed = sync.NewCond(&n.mu)
+func New(record *Writer, seed uint64) *Proxy {
+	n := &Proxy{record: record, connections: map[*connection]bool{}, rng: rand.New(rand.NewPCG(seed, 3))}
+	n.stateChanged = sync.NewCond(&n.mu)
 	n.fault = func(string, protocol.Role, string) Fault { return Fault{} }
 	return n
 }
 
-// Set puts another rule of faults in force; it is asked for each frame.
-func (n *Net) Set(fault func(placer string, far protocol.Role, name string) Fault) {
+// SetFaults puts another rule of faults in force; it is asked for each frame.
+func (n *Proxy) SetFaults(fault func(placer string, far protocol.Role, name string) Fault) {
 	n.mu.Lock()
 	n.fault = fault
-	n.changed.Broadcast()
+	n.stateChanged.Broadcast()
 	n.mu.Unlock()
 }
 
 // Reset resets every link for which which is true, at both ends.
-func (n *Net) Reset(which func(placer string, far protocol.Role, name string) bool) int {
+func (n *Proxy) Reset(which func(placer string, far protocol.Role, name string) bool) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	count := 0
-	for w := range n.links {
-		if which(w.placer, w.far, w.name) {
+	for w := range n.connections {
+		if which(w.scheduler, w.peer, w.peerName) {
 			count++
 			w.reset()
 		}
@@ -63,83 +63,83 @@
 }
 
 // Close ends all taps and links.
-func (n *Net) Close() {
+func (n *Proxy) Close() {
 	n.mu.Lock()
-	n.ended = true
-	for _, t := range n.taps {
+	n.closed = true
+	for _, t := range n.listeners {
 		t.Close()
 	}
-	for w := range n.links {
+	for w := range n.connections {
 		w.reset()
 	}
-	n.changed.Broadcast()
+	n.stateChanged.Broadcast()
 	n.mu.Unlock()
-	n.working.Wait()
+	n.background.Wait()
 }
 
-// Tap opens a way to what is at the address that to gives. Of the two ends of a link through it one is a placer;
+// Listen opens a way to what is at the address that to gives. Of the two ends of a link through it one is a placer;
 // far and name are the other's, where it is the one called, and else the placer's own name is name and far is
 // the role of the caller.
-func (n *Net) Tap(far protocol.Role, name string, to func() string) (string, error) {
+func (n *Proxy) Listen(far protocol.Role, name string, to func() string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	n.mu.Lock()
-	n.taps = append(n.taps, l)
+	n.listeners = append(n.listeners, l)
 	n.mu.Unlock()
-	n.working.Go(func() {
+	n.background.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			n.working.Go(func() { n.carry(c, far, name, to) })
+			n.background.Go(func() { n.serve(c, far, name, to) })
 		}
 	})
 	return l.Addr().String(), nil
 }
 
-// Quiet waits until all that a dead placer had sent is written down.
-func (n *Net) Quiet(placer string) {
+// WaitRecorded waits until all that a dead placer had sent is written down.
+func (n *Proxy) WaitRecorded(placer string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for open := true; open; {
 		open = false
-		for w := range n.links {
-			open = open || w.placer == placer && !w.over
+		for w := range n.connections {
+			open = open || w.scheduler == placer && !w.closeRecorded
 		}
 		if open {
-			n.changed.Wait()
+			n.stateChanged.Wait()
 		}
 	}
 }
 
-// wire is one link through a tap.
-type wire struct {
-	n           *Net
-	id          uint32
-	caller, far protocol.Role
-	placer      string
-	name        string
-	ends        [2]net.Conn // the caller, the called
-	dead        bool        // nothing more passes
-	over        bool        // and its end is written down
+// connection is one link through a tap.
+type connection struct {
+	proxy            *Proxy
+	id               uint32
+	callerRole, peer protocol.Role
+	scheduler        string
+	peerName         string
+	conns            [2]net.Conn // the caller, the called
+	dead             bool        // nothing more passes
+	closeRecorded    bool        // and its end is written down
 }
 
-func (w *wire) reset() {
+func (w *connection) reset() {
 	w.dead = true
-	for _, c := range w.ends {
+	for _, c := range w.conns {
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
 			t.Close()
 		}
 	}
-	w.n.changed.Broadcast()
+	w.proxy.stateChanged.Broadcast()
 }
 
-// carry reads the caller's greeting, calls the other end and passes frames both ways until one end closes.
-func (n *Net) carry(caller net.Conn, far protocol.Role, name string, to func() string) {
+// serve reads the caller's greeting, calls the other end and passes frames both ways until one end closes.
+func (n *Proxy) serve(caller net.Conn, far protocol.Role, name string, to func() string) {
 	defer caller.Close()
 	p, err := readFrame(caller)
 	if err != nil {
@@ -150,133 +150,133 @@
 	if err != nil || !ok {
 		return
 	}
-	w := &wire{n: n, caller: hello.Role, far: far, placer: hello.Name, name: name}
+	w := &connection{proxy: n, callerRole: hello.Role, peer: far, scheduler: hello.Name, peerName: name}
 	if far == protocol.RoleClient { // an owner calls a placer's door
-		w.placer, w.name = name, hello.Name
+		w.scheduler, w.peerName = name, hello.Name
 	}
 	called, err := net.DialTimeout("tcp", to(), time.Second)
 	if err != nil {
 		caller.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	w.ends = [2]net.Conn{caller, called}
+	w.conns = [2]net.Conn{caller, called}
 	n.mu.Lock()
-	if n.ended {
+	if n.closed {
 		n.mu.Unlock()
 		called.Close()
 		return
 	}
-	n.last++
-	w.id = n.last
-	n.links[w] = true
+	n.lastID++
+	w.id = n.lastID
+	n.connections[w] = true
 	n.mu.Unlock()
-	n.record.put(Entry{Sort: Opened, Link: w.id, Placer: w.placer, Far: w.far, Name: w.name})
+	n.record.add(Entry{Kind: Opened, ConnID: w.id, Scheduler: w.scheduler, Peer: w.peer, PeerName: w.peerName})
 	done := make(chan struct{}, 2)
-	n.working.Go(func() { w.pass(0, p); done <- struct{}{} })
-	n.working.Go(func() { w.pass(1, nil); done <- struct{}{} })
+	n.background.Go(func() { w.forward(0, p); done <- struct{}{} })
+	n.background.Go(func() { w.forward(1, nil); done <- struct{}{} })
 	<-done
 	n.mu.Lock()
 	w.dead = true
-	n.changed.Broadcast()
+	n.stateChanged.Broadcast()
 	n.mu.Unlock()
 	called.Close()
 	caller.Close()
 	<-done
 	n.mu.Lock()
-	delete(n.links, w)
+	delete(n.connections, w)
 	n.mu.Unlock()
 }
 
-// pass carries what one end sends to the other. Reading never waits for a fault to end: what a placer sent is
+// forward carries what one end sends to the other. Reading never waits for a fault to end: what a placer sent is
 // written down when it was sent.
-func (w *wire) pass(from int, first []byte) {
+func (w *connection) forward(from int, first []byte) {
 	type held struct {
 		p  []byte
 		at time.Time
 	}
 	queue := make(chan held, 100_000)
 	stopped := make(chan struct{})
-	fromPlacer := (w.far == protocol.RoleClient) == (from == 1)
-	w.n.working.Go(func() {
+	fromPlacer := (w.peer == protocol.RoleClient) == (from == 1)
+	w.proxy.background.Go(func() {
 		defer close(stopped)
 		for h := range queue {
-			if !w.let(h.p, h.at, fromPlacer) {
+			if !w.awaitDelivery(h.p, h.at, fromPlacer) {
 				continue
 			}
 			if !fromPlacer {
 				// Before it goes: a placer may answer before this goroutine runs again, and the record
 				// must not show the answer first.
-				if !w.put(ToPlacer, h.p) {
+				if !w.record(ToScheduler, h.p) {
 					continue
 				}
 			}
-			if _, err := w.ends[1-from].Write(h.p); err != nil {
-				w.ends[from].Close()
+			if _, err := w.conns[1-from].Write(h.p); err != nil {
+				w.conns[from].Close()
 			}
 		}
 	})
 	for p := first; ; {
 		if p != nil {
 			if fromPlacer {
-				w.put(FromPlacer, p)
+				w.record(FromScheduler, p)
 			}
 			select {
 			case queue <- held{p, time.Now()}:
 			default: // more than any buffer holds: the sender would have been stopped long before
-				w.ends[from].Close()
+				w.conns[from].Close()
 			}
 		}
 		var err error
-		if p, err = readFrame(w.ends[from]); err != nil {
+		if p, err = readFrame(w.conns[from]); err != nil {
 			break
 		}
 	}
 	// What the far end sent before it closed still arrives, when the network lets it. A placer's own end is told
 	// at once, and what it had sent is lost with it.
 	if fromPlacer {
-		w.end()
+		w.recordClose()
 	}
 	close(queue)
 	<-stopped
 }
 
-// end writes down that the link is over for its placer, and lets nothing more pass.
-func (w *wire) end() {
-	w.n.mu.Lock()
-	defer w.n.mu.Unlock()
-	w.over, w.dead = true, true
-	w.n.changed.Broadcast()
-	w.n.record.put(Entry{Sort: Closed, Link: w.id, Placer: w.placer, Far: w.far, Name: w.name})
+// recordClose writes down that the link is over for its placer, and lets nothing more pass.
+func (w *connection) recordClose() {
+	w.proxy.mu.Lock()
+	defer w.proxy.mu.Unlock()
+	w.closeRecorded, w.dead = true, true
+	w.proxy.stateChanged.Broadcast()
+	w.proxy.record.add(Entry{Kind: Closed, ConnID: w.id, Scheduler: w.scheduler, Peer: w.peer, PeerName: w.peerName})
 }
 
-// put writes a frame down, unless its placer's end is over: the record of a link ends with that end.
-func (w *wire) put(s Sort, p []byte) bool {
-	w.n.mu.Lock()
-	defer w.n.mu.Unlock()
-	if w.over {
+// record writes a frame down, unless its placer's end is over: the record of a link ends with that end.
+func (w *connection) record(s EntryKind, p []byte) bool {
+	w.proxy.mu.Lock()
+	defer w.proxy.mu.Unlock()
+	if w.closeRecorded {
 		return false
 	}
-	w.n.record.put(Entry{Sort: s, Link: w.id, Placer: w.placer, Far: w.far, Name: w.name, Frame: p[4:]})
+	w.proxy.record.add(Entry{Kind: s, ConnID: w.id, Scheduler: w.scheduler, Peer: w.peer, PeerName: w.peerName, Frame: p[4:]})
 	return true
 }
 
-// let waits while the link is cut and tells whether a frame arrives at all.
-func (w *wire) let(p []byte, sent time.Time, fromPlacer bool) bool {
-	n := w.n
+// awaitDelivery waits while the link is cut and tells whether a frame arrives at all.
+func (w *connection) awaitDelivery(p []byte, sent time.Time, fromPlacer bool) bool {
+	n := w.proxy
 	n.mu.Lock()
-	f := n.fault(w.placer, w.far, w.name)
-	for f.Cut && !w.dead && !n.ended {
-		n.changed.Wait()
-		f = n.fault(w.placer, w.far, w.name)
+	f := n.fault(w.scheduler, w.peer, w.peerName)
+	for f.Partitioned && !w.dead && !n.closed {
+		n.stateChanged.Wait()
+		f = n.fault(w.scheduler, w.peer, w.peerName)
 	}
-	dead := w.dead || n.ended
-	lost := !fromPlacer && f.LoseAnswers > 0 && p[4] == 3 && n.rng.Float64() < f.LoseAnswers
+	dead := w.dead || n.closed
+	lost := !fromPlacer && f.LoseAccepts > 0 && p[4] == 3 && n.rng.Float64() < f.LoseAccepts
 	n.mu.Unlock()
 	if dead {
 		return false
 	}
 	if lost {
-		w.put(Lost, p)
+		w.record(Lost, p)
 		return false
 	}
 	time.Sleep(f.Delay - time.Since(sent))
--- a/internal/testbed/faultproxy/record.go
+++ b/internal/testbed/faultproxy/record.go
@@ -17,29 +17,29 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Sort tells what an entry of a record is.
-type Sort uint8
+// EntryKind tells what an entry of a record is.
+type EntryKind uint8
 
 const (
-	Opened Sort = 1 + iota // a link, once both sides have greeted or the caller has
+	Opened EntryKind = 1 + iota // a link, once both sides have greeted or the caller has
 	Closed
-	FromPlacer // a frame that a placer sent, when it was sent
-	ToPlacer   // a frame that a placer got, just before it was passed on
-	Killed     // a placer was killed, or came up, by Placer's name
+	FromScheduler // a frame that a placer sent, when it was sent
+	ToScheduler   // a frame that a placer got, just before it was passed on
+	Killed        // a placer was killed, or came up, by Placer's name
 	Started
 	Lost // a frame to a placer that the network lost
 )
 
 // Entry is one line of a record; times are tenths of a millisecond since its start.
 type Entry struct {
-	_      struct{}      `cbor:",toarray"`
-	At     int64         `cbor:"At"`
-	Sort   Sort          `cbor:"Sort"`
-	Link   uint32        `cbor:"Link"`
-	Placer string        `cbor:"Placer"`
-	Far    protocol.Role `cbor:"Far"`   // what is at the other end
-	Name   string        `cbor:"Name"`  // and its name
-	Frame  []byte        `cbor:"Frame"` // without its length
+	_         struct{}      `cbor:",toarray"`
+	At        int64         `cbor:"At"`
+	Kind      EntryKind     `cbor:"Sort"`
+	ConnID    uint32        `cbor:"Link"`
+	Scheduler string        `cbor:"Placer"`
+	Peer      protocol.Role `cbor:"Far"`   // what is at the other end
+	PeerName  string        `cbor:"Name"`  // and its name
+	Frame     []byte        `cbor:"Frame"` // without its length
 }
 
 // Decoded is the frame of an entry.
@@ -49,7 +49,7 @@
 type Header struct {
 	_          struct{}         `cbor:",toarray"`
 	Format     string           `cbor:"Format"`
-	Terms      scheduler.Config `cbor:"Terms"`
+	Config     scheduler.Config `cbor:"Terms"`
 	DrainGrace scheduler.Time   `cbor:"DrainGrace"`
 	Slack      scheduler.Time   `cbor:"Slack"` // by which a time on the sockets may differ from a placer's own
 }
@@ -59,12 +59,12 @@
 // Writer writes a record; any goroutine may use it. Entries are stamped and put in order at once, and encoded and
 // written by a goroutine of their own: a slow disk must not hold up what passes.
 type Writer struct {
-	began time.Time
-	mu    sync.Mutex
-	due   []Entry
-	more  *sync.Cond
-	ended bool
-	done  chan error
+	startedAt time.Time
+	mu        sync.Mutex
+	pending   []Entry
+	wake      *sync.Cond
+	ended     bool
+	result    chan error
 }
 
 // Create begins a record in a file.
@@ -73,10 +73,10 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &Writer{began: time.Now(), done: make(chan error, 1)}
-	w.more = sync.NewCond(&w.mu)
+	w := &Writer{startedAt: time.Now(), result: make(chan error, 1)}
+	w.wake = sync.NewCond(&w.mu)
 	h.Format = format
-	go func() { w.done <- w.write(f, h) }()
+	go func() { w.result <- w.write(f, h) }()
 	return w, nil
 }
 
@@ -87,11 +87,11 @@
 	first := enc.Encode(h)
 	for {
 		w.mu.Lock()
-		for len(w.due) == 0 && !w.ended {
-			w.more.Wait()
+		for len(w.pending) == 0 && !w.ended {
+			w.wake.Wait()
 		}
-		due, ended := w.due, w.ended
-		w.due = nil
+		due, ended := w.pending, w.ended
+		w.pending = nil
 		w.mu.Unlock()
 		for i := range due {
 			if err := enc.Encode(due[i]); err != nil && first == nil {
@@ -104,24 +104,26 @@
 	}
 }
 
-func (w *Writer) put(e Entry) {
+func (w *Writer) add(e Entry) {
 	w.mu.Lock()
-	e.At = time.Since(w.began).Microseconds() / 100
-	w.due = append(w.due, e)
-	w.more.Signal()
+	e.At = time.Since(w.startedAt).Microseconds() / 100
+	w.pending = append(w.pending, e)
+	w.wake.Signal()
 	w.mu.Unlock()
 }
 
-// Note writes down that a placer was killed or started.
-func (w *Writer) Note(s Sort, placer string) { w.put(Entry{Sort: s, Placer: placer}) }
+// RecordLifecycle writes down that a placer was killed or started.
+func (w *Writer) RecordLifecycle(s EntryKind, placer string) {
+	w.add(Entry{Kind: s, Scheduler: placer})
+}
 
 // Close ends the record and tells the first fault met in writing it.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	w.ended = true
-	w.more.Signal()
+	w.wake.Signal()
 	w.mu.Unlock()
-	return <-w.done
+	return <-w.result
 }
 
 // Read reads a record's header, then hands each entry to each.
--- a/internal/testbed/faultproxy/record_test.go
+++ b/internal/testbed/faultproxy/record_test.go
@@ -24,7 +24,7 @@
 )
 
 func goldenHeader() Header {
-	return Header{Format: "glenport record 1", DrainGrace: 1001, Slack: 1002, Terms: scheduler.Config{
+	return Header{Format: "glenport record 1", DrainGrace: 1001, Slack: 1002, Config: scheduler.Config{
 		Seed: 1<<64 - 1, SchedulerIndex: 2001, SchedulerCount: 2002,
 		WorkloadClasses: []scheduler.WorkloadClass{
 			{Idempotency: scheduler.Idempotent, DedupScope: scheduler.ScopeNone, DedupWindow: 3001, LatencyObjective: 3002, PlacementTimeout: 3003, MachineType: -1,
@@ -49,24 +49,24 @@
 		return p[4:]
 	}
 	return []Entry{
-		{At: 7001, Sort: Opened, Link: 7002, Placer: "scheduler-7003", Far: protocol.RoleMachine, Name: "machine-7004"},
-		{At: 7011, Sort: FromPlacer, Link: 7012, Placer: "scheduler-7013", Far: protocol.RoleMachine, Name: "machine-7014",
+		{At: 7001, Kind: Opened, ConnID: 7002, Scheduler: "scheduler-7003", Peer: protocol.RoleMachine, PeerName: "machine-7004"},
+		{At: 7011, Kind: FromScheduler, ConnID: 7012, Scheduler: "scheduler-7013", Peer: protocol.RoleMachine, PeerName: "machine-7014",
 			Frame: frame(&protocol.Offer{AttemptID: 7015, Timeout: 7016, Spec: protocol.ContainerSpec{ContainerID: "c", IdempotencyKey: "k", Service: "s"}})},
-		{At: 7021, Sort: ToPlacer, Link: 7022, Placer: "scheduler-7023", Far: protocol.RoleMachine, Name: "machine-7024",
+		{At: 7021, Kind: ToScheduler, ConnID: 7022, Scheduler: "scheduler-7023", Peer: protocol.RoleMachine, PeerName: "machine-7024",
 			Frame: frame(&protocol.Accept{AttemptID: 7025, Running: true})},
-		{At: 7031, Sort: Lost, Link: 7032, Placer: "scheduler-7033", Far: protocol.RoleMachineList, Name: "list-7034",
+		{At: 7031, Kind: Lost, ConnID: 7032, Scheduler: "scheduler-7033", Peer: protocol.RoleMachineList, PeerName: "list-7034",
 			Frame: frame(&protocol.MachineListError{Message: "text 7035"})},
-		{At: 7041, Sort: Closed, Link: 7042, Placer: "scheduler-7043", Far: protocol.RoleClient, Name: "client-7044"},
-		{At: 7051, Sort: Killed, Placer: "scheduler-7053"},
-		{At: 7061, Sort: Started, Placer: "scheduler-7063", Far: protocol.RoleScheduler},
-		{At: -1, Sort: 255, Link: 1<<32 - 1},
+		{At: 7041, Kind: Closed, ConnID: 7042, Scheduler: "scheduler-7043", Peer: protocol.RoleClient, PeerName: "client-7044"},
+		{At: 7051, Kind: Killed, Scheduler: "scheduler-7053"},
+		{At: 7061, Kind: Started, Scheduler: "scheduler-7063", Peer: protocol.RoleScheduler},
+		{At: -1, Kind: 255, ConnID: 1<<32 - 1},
 	}
 }
 
 // words lists what a record holds, by the names that the fields had when the format was made.
 func words(h Header, entries []Entry) string {
 	var out strings.Builder
-	terms := h.Terms
+	terms := h.Config
 	fmt.Fprintf(&out, "Format %q, DrainGrace %d, Slack %d\n", h.Format, h.DrainGrace, h.Slack)
 	fmt.Fprintf(&out, "Seed %d, Me %d, Placers %d\n", terms.Seed, terms.SchedulerIndex, terms.SchedulerCount)
 	for _, w := range terms.WorkloadClasses {
@@ -86,8 +86,8 @@
 	fmt.Fprintf(&out, "AskWithin %d, ColdFor %d, ColdWindow %d, ColdBids %d\n", terms.ResyncInterval, terms.SlowStartPeriod,
 		terms.SlowStartWindow, terms.SlowStartBudget)
 	for _, e := range entries {
-		fmt.Fprintf(&out, "Entry: At %d, Sort %d, Link %d, Placer %q, Far %d, Name %q, Frame %x\n", e.At, e.Sort, e.Link,
-			e.Placer, e.Far, e.Name, e.Frame)
+		fmt.Fprintf(&out, "Entry: At %d, Sort %d, Link %d, Placer %q, Far %d, Name %q, Frame %x\n", e.At, e.Kind, e.ConnID,
+			e.Scheduler, e.Peer, e.PeerName, e.Frame)
 	}
 	return out.String()
 }
@@ -168,10 +168,10 @@
 	}
 	want := goldenEntries(t)
 	for _, e := range want {
-		w.put(e)
+		w.add(e)
 	}
-	w.Note(Killed, "scheduler-8001")
-	want = append(want, Entry{Sort: Killed, Placer: "scheduler-8001"})
+	w.RecordLifecycle(Killed, "scheduler-8001")
+	want = append(want, Entry{Kind: Killed, Scheduler: "scheduler-8001"})
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/modelcheck/mutant.go
+++ b/internal/testbed/modelcheck/mutant.go
@@ -6,13 +6,13 @@
 	"glenport/scheduler"
 )
 
-// Breaker keeps something from a placer, so that it breaks one rule: a judge that does not see it sees nothing.
-type Breaker struct {
+// Mutant keeps something from a placer, so that it breaks one rule: a judge that does not see it sees nothing.
+type Mutant struct {
 	Decider
 	Rule int
 }
 
-func (b Breaker) Handle(now scheduler.Time, events []scheduler.Event) []scheduler.Action {
+func (b Mutant) Handle(now scheduler.Time, events []scheduler.Event) []scheduler.Action {
 	var kept []scheduler.Event
 	for _, e := range events {
 		switch e := e.(type) {
--- a/internal/testbed/mutants/routes.go
+++ b/internal/testbed/mutants/routes.go
@@ -8,51 +8,51 @@
 	"glenport/scheduler"
 )
 
-// routes spoils what an announcer decides.
-type routes struct {
+// routeMutant spoils what an announcer decides.
+type routeMutant struct {
 	speaker.RouteDecider
-	how    string
-	queue  []held
-	paths  map[string]announce.Announce // what was announced last of each service
-	prefix map[string]netip.Prefix
+	kind          string
+	delayed       []delayedAction
+	lastAnnounced map[string]announce.Announce // what was announced last of each service
+	prefixes      map[string]netip.Prefix
 }
 
-type held struct {
-	at scheduler.Time
-	a  announce.Action
+type delayedAction struct {
+	dueAt  scheduler.Time
+	action announce.Action
 }
 
-// Routes makes withdrawals three seconds late ("late"), or tells each change at once ("storm").
-func Routes(how string, d speaker.RouteDecider) speaker.RouteDecider {
-	return &routes{RouteDecider: d, how: how, paths: map[string]announce.Announce{}, prefix: map[string]netip.Prefix{}}
+// NewRouteMutant makes withdrawals three seconds late ("late"), or tells each change at once ("storm").
+func NewRouteMutant(how string, d speaker.RouteDecider) speaker.RouteDecider {
+	return &routeMutant{RouteDecider: d, kind: how, lastAnnounced: map[string]announce.Announce{}, prefixes: map[string]netip.Prefix{}}
 }
 
-func (r *routes) Handle(now scheduler.Time, events []announce.Event) []announce.Action {
+func (r *routeMutant) Handle(now scheduler.Time, events []announce.Event) []announce.Action {
 	var out []announce.Action
-	for len(r.queue) > 0 && r.queue[0].at <= now {
-		out = append(out, r.queue[0].a)
-		r.queue = r.queue[1:]
+	for len(r.delayed) > 0 && r.delayed[0].dueAt <= now {
+		out = append(out, r.delayed[0].action)
+		r.delayed = r.delayed[1:]
 	}
 	for _, a := range r.RouteDecider.Handle(now, events) {
-		if w, ok := a.(announce.Withdraw); ok && r.how == "late" {
-			r.queue = append(r.queue, held{now + 3*scheduler.Second, w})
+		if w, ok := a.(announce.Withdraw); ok && r.kind == "late" {
+			r.delayed = append(r.delayed, delayedAction{now + 3*scheduler.Second, w})
 			out = append(out, announce.SetTimer{After: 3*scheduler.Second + 1})
 			continue
 		}
 		out = append(out, a)
 	}
-	if r.how != "storm" {
+	if r.kind != "storm" {
 		return out
 	}
 	for _, e := range events {
 		switch e := e.(type) {
 		case announce.ServiceSet:
-			r.prefix[e.Name] = e.Service.Prefix
-			r.paths[e.Name] = announce.Announce{Prefix: e.Service.Prefix, Path: announce.Path{NextHop: e.Service.NextHop, Preference: 100}}
+			r.prefixes[e.Name] = e.Service.Prefix
+			r.lastAnnounced[e.Name] = announce.Announce{Prefix: e.Service.Prefix, Path: announce.Path{NextHop: e.Service.NextHop, Preference: 100}}
 		case announce.ContainerRunning:
-			out = append(out, r.paths[e.Service])
+			out = append(out, r.lastAnnounced[e.Service])
 		case announce.ContainerEnded:
-			out = append(out, announce.Withdraw{Prefix: r.prefix[e.Service]})
+			out = append(out, announce.Withdraw{Prefix: r.prefixes[e.Service]})
 		}
 	}
 	return out
--- a/internal/testbed/scenario/bgp.go
+++ b/internal/testbed/scenario/bgp.go
@@ -47,7 +47,7 @@
 	t.answers, t.ended = map[string]chan *protocol.PlacementReply{}, map[string]time.Time{}
 	var peers []any
 	for i := range 2 {
-		p := &emulator.BGPPeer{AS: 65000, ID: [4]byte{192, 0, 2, byte(250 + i)}, Hold: 3 * time.Second, Helps: 10 * time.Second, Journal: true}
+		p := &emulator.BGPPeer{AS: 65000, ID: [4]byte{192, 0, 2, byte(250 + i)}, HoldTime: 3 * time.Second, RestartTime: 10 * time.Second, RecordChanges: true}
 		addr, err := p.Open()
 		if err != nil {
 			return false, err
@@ -74,7 +74,7 @@
 			t.mu.Unlock()
 		}
 	}
-	if err := t.until("both sessions stand", func() bool { return t.peers[0].Up() && t.peers[1].Up() }); err != nil {
+	if err := t.until("both sessions stand", func() bool { return t.peers[0].Established() && t.peers[1].Established() }); err != nil {
 		return false, err
 	}
 	if err := t.call(); err != nil {
@@ -208,15 +208,15 @@
 				return "", err
 			}
 			for k, p := range t.peers {
-				if err := t.until(fmt.Sprintf("peer %d is told that %s is gone", k, bgpPrefix(first+i)), func() bool { has, _ := p.Has(bgpPrefix(first + i)); return !has }); err != nil {
+				if err := t.until(fmt.Sprintf("peer %d is told that %s is gone", k, bgpPrefix(first+i)), func() bool { has, _ := p.Route(bgpPrefix(first + i)); return !has }); err != nil {
 					return "", err
 				}
 			}
 		}
 		for k, p := range t.peers {
-			for _, x := range p.Told() {
+			for _, x := range p.Changes() {
 				updates++
-				if !x.Gone {
+				if !x.Withdrawn {
 					continue
 				}
 				late := x.At.Sub(t.endOf(ids[int(x.Prefix.Addr().As4()[3])-first]))
@@ -240,7 +240,7 @@
 func (t *BGPTrial) flap() (string, error) {
 	const flaps = 400
 	for _, p := range t.peers {
-		p.Told()
+		p.Changes()
 	}
 	began := time.Now()
 	for i := range flaps {
@@ -251,7 +251,7 @@
 	worst, n := time.Hour, 0
 	for k, p := range t.peers {
 		var last time.Time
-		for _, x := range p.Told() {
+		for _, x := range p.Changes() {
 			if x.Prefix != bgpPrefix(ownServices) {
 				continue
 			}
@@ -264,7 +264,7 @@
 			}
 			last = x.At
 		}
-		if has, _ := p.Has(bgpPrefix(ownServices)); has {
+		if has, _ := p.Route(bgpPrefix(ownServices)); has {
 			t.miss("peer %d still has the route of a service without a container", k)
 		}
 	}
@@ -279,23 +279,23 @@
 		return "", err
 	}
 	for _, p := range t.peers {
-		if err := t.until("it is announced", func() bool { has, _ := p.Has(bgpPrefix(service)); return has }); err != nil {
+		if err := t.until("it is announced", func() bool { has, _ := p.Route(bgpPrefix(service)); return has }); err != nil {
 			return "", err
 		}
-		p.Told()
+		p.Changes()
 	}
 	began := time.Now()
 	for _, m := range t.cluster.Machines {
 		if m.Name == machine {
-			t.cluster.List.Mark(m, protocol.MachineDraining)
-			defer t.cluster.List.Mark(m, protocol.MachineServing)
+			t.cluster.List.SetState(m, protocol.MachineDraining)
+			defer t.cluster.List.SetState(m, protocol.MachineServing)
 		}
 	}
 	for k, p := range t.peers {
 		shut := false
 		if err := t.until("the peer hears of the drain", func() bool {
-			for _, x := range p.Told() {
-				shut = shut || x.Prefix == bgpPrefix(service) && x.Shut && !x.Gone
+			for _, x := range p.Changes() {
+				shut = shut || x.Prefix == bgpPrefix(service) && x.GracefulShutdown && !x.Withdrawn
 			}
 			return shut
 		}); err != nil {
@@ -305,7 +305,7 @@
 	took := time.Since(began)
 	t.send(&protocol.CancelContainer{ContainerID: id})
 	for _, p := range t.peers {
-		if err := t.until("it is gone", func() bool { has, _ := p.Has(bgpPrefix(service)); return !has }); err != nil {
+		if err := t.until("it is gone", func() bool { has, _ := p.Route(bgpPrefix(service)); return !has }); err != nil {
 			return "", err
 		}
 	}
@@ -323,23 +323,23 @@
 			return "", err
 		}
 		for _, p := range t.peers {
-			if err := t.until("it is announced", func() bool { has, _ := p.Has(bgpPrefix(service)); return has }); err != nil {
+			if err := t.until("it is announced", func() bool { has, _ := p.Route(bgpPrefix(service)); return has }); err != nil {
 				return "", err
 			}
 		}
-		_, before, _, _, _ := t.peers[0].Figures()
+		_, before, _, _, _ := t.peers[0].Stats()
 		for _, m := range t.cluster.Machines {
 			if m.Name == machine {
 				go t.peers[0].Reset()
 				m.Crash()
-				defer m.Up(true)
+				defer m.Start(true)
 			}
 		}
-		if err := t.until("the session is back", func() bool { _, n, _, _, _ := t.peers[0].Figures(); return n > before && t.peers[0].Up() }); err != nil {
+		if err := t.until("the session is back", func() bool { _, n, _, _, _ := t.peers[0].Stats(); return n > before && t.peers[0].Established() }); err != nil {
 			return "", err
 		}
 		for k, p := range t.peers {
-			if err := t.until("the route is gone", func() bool { has, _ := p.Has(bgpPrefix(service)); return !has }); err != nil {
+			if err := t.until("the route is gone", func() bool { has, _ := p.Route(bgpPrefix(service)); return !has }); err != nil {
 				t.miss("peer %d: %v", k, err)
 				continue
 			}
@@ -362,40 +362,40 @@
 	}
 	bad, good := t.peers[0], t.peers[1]
 	if err := t.until("it is announced", func() bool {
-		a, _ := bad.Has(bgpPrefix(service))
-		b, _ := good.Has(bgpPrefix(service))
+		a, _ := bad.Route(bgpPrefix(service))
+		b, _ := good.Route(bgpPrefix(service))
 		return a && b
 	}); err != nil {
 		return "", err
 	}
-	_, stood, _, _, _ := good.Figures()
+	_, stood, _, _, _ := good.Stats()
 	for _, do := range []struct {
 		name string
 		f    func()
 		over func()
-	}{{"garbage", bad.Garble, func() {}}, {"half a message, then silence", func() { bad.Half(); bad.Silence(true) }, func() { bad.Silence(false) }},
-		{"silence", func() { bad.Silence(true) }, func() { bad.Silence(false) }},
-		{"another AS", func() { bad.WrongAS(true); bad.Reset(); time.Sleep(2 * time.Second) }, func() { bad.WrongAS(false) }}} {
-		_, before, _, _, _ := bad.Figures()
+	}{{"garbage", bad.SendGarbage, func() {}}, {"half a message, then silence", func() { bad.SendPartial(); bad.SetSilent(true) }, func() { bad.SetSilent(false) }},
+		{"silence", func() { bad.SetSilent(true) }, func() { bad.SetSilent(false) }},
+		{"another AS", func() { bad.SetWrongAS(true); bad.Reset(); time.Sleep(2 * time.Second) }, func() { bad.SetWrongAS(false) }}} {
+		_, before, _, _, _ := bad.Stats()
 		do.f()
-		if err := t.until(do.name+" ends the session", func() bool { _, n, _, _, _ := bad.Figures(); return !bad.Up() || n > before }); err != nil {
+		if err := t.until(do.name+" ends the session", func() bool { _, n, _, _, _ := bad.Stats(); return !bad.Established() || n > before }); err != nil {
 			return "", err
 		}
 		do.over()
 		if err := t.until("the session is back and whole", func() bool {
-			has, stale := bad.Has(bgpPrefix(service))
-			return bad.Up() && has && !stale
+			has, stale := bad.Route(bgpPrefix(service))
+			return bad.Established() && has && !stale
 		}); err != nil {
 			return "", fmt.Errorf("%s: %w", do.name, err)
 		}
 	}
-	if _, n, _, _, _ := good.Figures(); n != stood {
+	if _, n, _, _, _ := good.Stats(); n != stood {
 		t.miss("the other peer's session was touched")
 	}
 	t.send(&protocol.CancelContainer{ContainerID: id})
 	return "each ends its session, which comes back whole; the other stands", t.until("it is gone", func() bool {
-		a, _ := bad.Has(bgpPrefix(service))
-		b, _ := good.Has(bgpPrefix(service))
+		a, _ := bad.Route(bgpPrefix(service))
+		b, _ := good.Route(bgpPrefix(service))
 		return !a && !b
 	})
 }
@@ -409,28 +409,28 @@
 		return "", err
 	}
 	for _, p := range t.peers {
-		if err := t.until("it is announced", func() bool { has, _ := p.Has(bgpPrefix(service)); return has }); err != nil {
+		if err := t.until("it is announced", func() bool { has, _ := p.Route(bgpPrefix(service)); return has }); err != nil {
 			return "", err
 		}
 	}
 	hall := map[string]bool{}
 	for _, m := range t.cluster.Machines {
 		for _, o := range t.cluster.Machines {
-			if o.Name == machine && o.ZoneN == m.ZoneN {
+			if o.Name == machine && o.ZoneIndex == m.ZoneIndex {
 				hall[m.Name] = true
 			}
 		}
 	}
 	began := time.Now()
-	t.cluster.Net.Set(func(_ string, far protocol.Role, name string) faultproxy.Fault {
-		return faultproxy.Fault{Cut: far == protocol.RoleMachine && hall[name]}
+	t.cluster.Net.SetFaults(func(_ string, far protocol.Role, name string) faultproxy.Fault {
+		return faultproxy.Fault{Partitioned: far == protocol.RoleMachine && hall[name]}
 	})
-	gone := func() bool { has, _ := t.peers[0].Has(bgpPrefix(service)); return !has }
+	gone := func() bool { has, _ := t.peers[0].Route(bgpPrefix(service)); return !has }
 	if err := t.until("the route is gone", gone); err != nil {
 		return "", err
 	}
 	cut := time.Since(began)
-	t.cluster.Net.Set(func(string, protocol.Role, string) faultproxy.Fault { return faultproxy.Fault{} })
+	t.cluster.Net.SetFaults(func(string, protocol.Role, string) faultproxy.Fault { return faultproxy.Fault{} })
 	began = time.Now()
 	if err := t.until("the route is back", func() bool { return !gone() }); err != nil {
 		return "", err
@@ -456,13 +456,13 @@
 	}
 	for _, p := range t.peers {
 		if err := t.until("both are announced", func() bool {
-			a, _ := p.Has(bgpPrefix(lives))
-			b, _ := p.Has(bgpPrefix(dies))
+			a, _ := p.Route(bgpPrefix(lives))
+			b, _ := p.Route(bgpPrefix(dies))
 			return a && b
 		}); err != nil {
 			return "", err
 		}
-		p.Told()
+		p.Changes()
 	}
 	t.cluster.Kill(t.cluster.Placers[0])
 	if err := t.until("one ends meanwhile", func() bool { return !t.endOf(id).IsZero() }); err != nil {
@@ -474,14 +474,14 @@
 	}
 	for k, p := range t.peers {
 		if err := t.until("the dead one's route is gone and the live one's fresh", func() bool {
-			has, stale := p.Has(bgpPrefix(lives))
-			dead, _ := p.Has(bgpPrefix(dies))
+			has, stale := p.Route(bgpPrefix(lives))
+			dead, _ := p.Route(bgpPrefix(dies))
 			return has && !stale && !dead
 		}); err != nil {
 			t.miss("peer %d: %v", k, err)
 		}
-		for _, x := range p.Told() {
-			if x.Prefix == bgpPrefix(lives) && x.Gone {
+		for _, x := range p.Changes() {
+			if x.Prefix == bgpPrefix(lives) && x.Withdrawn {
 				t.miss("peer %d lost the route of a service that ran all the while", k)
 			}
 		}
--- a/internal/testbed/scenario/cluster.go
+++ b/internal/testbed/scenario/cluster.go
@@ -25,9 +25,9 @@
 type Cluster struct {
 	Dir      string
 	Machines []*emulator.Machine
-	List     *emulator.List
-	Net      *faultproxy.Net
-	Owners   *emulator.Owners
+	List     *emulator.MachineList
+	Net      *faultproxy.Proxy
+	Owners   *emulator.Clients
 	Placers  []*Placer
 	Site     *config.Placer // of the first placer
 	ListAddr string         // the list's own, without a tap
@@ -200,38 +200,38 @@
 	}
 	terms := c.Site.Terms
 	terms.SchedulerCount = d.Placers
-	if c.record, err = faultproxy.Create(filepath.Join(dir, "record"), faultproxy.Header{Terms: terms,
+	if c.record, err = faultproxy.Create(filepath.Join(dir, "record"), faultproxy.Header{Config: terms,
 		DrainGrace: d.DrainGrace, Slack: d.Slack}); err != nil {
 		return nil, err
 	}
-	c.Net = faultproxy.NewNet(c.record, d.Seed)
-	groups := make([]*emulator.Group, len(d.Halls))
+	c.Net = faultproxy.New(c.record, d.Seed)
+	groups := make([]*emulator.DedupGroup, len(d.Halls))
 	for i := range groups {
-		groups[i] = &emulator.Group{}
+		groups[i] = &emulator.DedupGroup{}
 	}
 	taps := map[*emulator.Machine]string{}
 	for i, s := range d.shapes(c.Site) {
-		m := emulator.NewMachine(s, groups[s.ZoneN], d.Seed+uint64(i))
+		m := emulator.NewMachine(s, groups[s.ZoneIndex], d.Seed+uint64(i))
 		c.Machines = append(c.Machines, m)
-		if err := m.Up(true); err != nil {
+		if err := m.Start(true); err != nil {
 			return nil, err
 		}
-		if taps[m], err = c.Net.Tap(protocol.RoleMachine, m.Name, func() string { return m.Addr() }); err != nil {
+		if taps[m], err = c.Net.Listen(protocol.RoleMachine, m.Name, func() string { return m.Addr() }); err != nil {
 			return nil, err
 		}
 	}
-	c.List = &emulator.List{Lag: d.List.Lag, Notice: d.List.Notice, Period: d.List.Period, CallsPS: d.List.Calls,
+	c.List = &emulator.MachineList{Lag: d.List.Lag, FailureDetection: d.List.Notice, PollInterval: d.List.Period, CallsPerSecond: d.List.Calls,
 		Address: func(m *emulator.Machine) string { return taps[m] }}
 	list, err := c.List.Open(c.Machines)
 	if err != nil {
 		return nil, err
 	}
 	c.ListAddr = list
-	listTap, err := c.Net.Tap(protocol.RoleMachineList, "list", func() string { return list })
+	listTap, err := c.Net.Listen(protocol.RoleMachineList, "list", func() string { return list })
 	if err != nil {
 		return nil, err
 	}
-	c.Owners = &emulator.Owners{Works: d.Works, Customers: len(c.Site.Customers)}
+	c.Owners = &emulator.Clients{Workloads: d.Works, Tenants: len(c.Site.Customers)}
 	for i := range d.Placers {
 		p := &Placer{Name: fmt.Sprint("placer-", i), Hall: i % len(d.Halls), run: program}
 		if p.Door, err = freePort(); err != nil {
@@ -246,11 +246,11 @@
 			"list": map[string]any{"address": listTap}}); err != nil {
 			return nil, err
 		}
-		door, err := c.Net.Tap(protocol.RoleClient, p.Name, func() string { return p.Door })
+		door, err := c.Net.Listen(protocol.RoleClient, p.Name, func() string { return p.Door })
 		if err != nil {
 			return nil, err
 		}
-		c.Owners.Doors = append(c.Owners.Doors, door)
+		c.Owners.SchedulerAddrs = append(c.Owners.SchedulerAddrs, door)
 		c.Placers = append(c.Placers, p)
 		if err = c.Up(p); err != nil {
 			return nil, err
@@ -279,14 +279,14 @@
 
 // Up starts a placer; Kill ends it by SIGKILL. Both are noted in the record.
 func (c *Cluster) Up(p *Placer) error {
-	c.record.Note(faultproxy.Started, p.Name)
+	c.record.RecordLifecycle(faultproxy.Started, p.Name)
 	return p.Start()
 }
 
 func (c *Cluster) Kill(p *Placer) {
 	p.Stop(syscall.SIGKILL)
-	c.Net.Quiet(p.Name) // or the next life would be taken for the sender of what this one sent last
-	c.record.Note(faultproxy.Killed, p.Name)
+	c.Net.WaitRecorded(p.Name) // or the next life would be taken for the sender of what this one sent last
+	c.record.RecordLifecycle(faultproxy.Killed, p.Name)
 }
 
 // Close ends all that was started and finishes the record.
--- a/internal/testbed/scenario/loadbgp.go
+++ b/internal/testbed/scenario/loadbgp.go
@@ -20,7 +20,7 @@
 	place := speaker.Config{AS: 65001, ID: [4]byte{192, 0, 2, 5}, Services: map[string]announce.Service{}}
 	var all []*emulator.BGPPeer
 	for i := range peers {
-		p := &emulator.BGPPeer{AS: 65000, ID: [4]byte{192, 0, 3, byte(i)}, Hold: 90 * time.Second, Helps: 10 * time.Second}
+		p := &emulator.BGPPeer{AS: 65000, ID: [4]byte{192, 0, 3, byte(i)}, HoldTime: 90 * time.Second, RestartTime: 10 * time.Second}
 		addr, err := p.Open()
 		if err != nil {
 			return err
@@ -71,7 +71,7 @@
 			}
 		}
 	}
-	if err := wait("session", (*emulator.BGPPeer).Up); err != nil {
+	if err := wait("session", (*emulator.BGPPeer).Established); err != nil {
 		return err
 	}
 	var events []announce.Event
@@ -80,16 +80,16 @@
 	}
 	began := time.Now()
 	on(func() { s.Handle(events...) })
-	if err := wait("all routes", func(p *emulator.BGPPeer) bool { n, _, _, _, _ := p.Figures(); return n == prefixes }); err != nil {
+	if err := wait("all routes", func(p *emulator.BGPPeer) bool { n, _, _, _, _ := p.Stats(); return n == prefixes }); err != nil {
 		return err
 	}
 	took := time.Since(began)
-	_, _, _, messages, bytes := all[0].Figures()
+	_, _, _, messages, bytes := all[0].Stats()
 	fmt.Fprintf(out, "%d prefixes to %d peers: all have them after %d ms, %d messages and %d bytes a peer\n", prefixes, peers, took.Milliseconds(),
 		messages, bytes)
 	// A tenth changes, one peer slow: the others must not wait for it.
 	time.Sleep(1100 * time.Millisecond) // the pace
-	all[0].SetSlow(20 * time.Millisecond)
+	all[0].SetReadDelay(20 * time.Millisecond)
 	tenth := prefixes / 10
 	events = events[:0]
 	for i := range tenth {
@@ -100,7 +100,7 @@
 	slow, rest := all[0], all[1:]
 	if len(rest) > 0 {
 		all = rest
-		if err := wait("withdrawals", func(p *emulator.BGPPeer) bool { n, _, _, _, _ := p.Figures(); return n == prefixes-tenth }); err != nil {
+		if err := wait("withdrawals", func(p *emulator.BGPPeer) bool { n, _, _, _, _ := p.Stats(); return n == prefixes-tenth }); err != nil {
 			return err
 		}
 		fmt.Fprintf(out, "%d of them change at once, one of %d peers takes a message each 20 ms: the others have it after %d ms", tenth, peers,
@@ -109,7 +109,7 @@
 		fmt.Fprintf(out, "%d of them change at once, the peer takes a message each 20 ms: it", tenth)
 	}
 	all = []*emulator.BGPPeer{slow}
-	if err := wait("withdrawals", func(p *emulator.BGPPeer) bool { n, _, _, _, _ := p.Figures(); return n == prefixes-tenth }); err != nil {
+	if err := wait("withdrawals", func(p *emulator.BGPPeer) bool { n, _, _, _, _ := p.Stats(); return n == prefixes-tenth }); err != nil {
 		return err
 	}
 	if len(rest) > 0 {
--- a/internal/testbed/scenario/restart.go
+++ b/internal/testbed/scenario/restart.go
@@ -195,7 +195,7 @@
 	}
 	defer c.Close()
 	folder := filepath.Join(dir, "keeper.state")
-	k, err := newKeeper(dir, program[0], c.ListAddr, c.Placers, c.Owners.Doors, folder)
+	k, err := newKeeper(dir, program[0], c.ListAddr, c.Placers, c.Owners.SchedulerAddrs, folder)
 	if err != nil {
 		return false, err
 	}
@@ -285,7 +285,7 @@
 			time.Sleep(700 * time.Millisecond)
 			m := c.Machines[i%len(c.Machines)]
 			m.Crash()
-			if err := m.Up(false); err != nil {
+			if err := m.Start(false); err != nil {
 				fault("%v", err)
 				return
 			}
@@ -295,12 +295,12 @@
 	close(stop)
 	<-clientDone
 	length := time.Since(began)
-	c.Owners.Rate(0)
+	c.Owners.SetRate(0)
 	if own.fault != nil {
 		fault("%v", own.fault)
 	}
 	want, there := t.settled(c, own, fault)
-	for end := time.Now().Add(day.Settle); c.Owners.Waiting() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(day.Settle); c.Owners.Pending() > 0 && time.Now().Before(end); {
 		time.Sleep(20 * time.Millisecond)
 	}
 	close(over)
@@ -319,7 +319,7 @@
 	fmt.Fprintf(t.Out, "jobs: %d changes acknowledged, %d asked again; %d jobs with %d containers at the end, %d run; at-most-once seen twice: %d\n",
 		own.acked, own.again, len(own.wanted), want, there, twice.Load())
 	fmt.Fprintf(t.Out, "owners: %d submitted, %d placed, %d answers too many, %d without one; record: %d frames, %d offers, %d yeses; cold machines "+
-		"at most at %d of %d\n", tally.Submitted, tally.Placed, tally.Twice, tally.Waiting, j.Frames, j.Offers, j.Running, j.ColdMost, j.ColdBound)
+		"at most at %d of %d\n", tally.Submitted, tally.Placed, tally.DuplicateReplies, tally.Pending, j.Frames, j.Offers, j.Running, j.ColdMost, j.ColdBound)
 	PrintFindings(t.Out, j)
 	for i, f := range faults {
 		if i < 8 {
@@ -329,7 +329,7 @@
 	if j.Kept() {
 		fmt.Fprintln(t.Out, "rules: kept over all lives")
 	}
-	return len(faults) == 0 && j.Kept() && tally.Twice == 0 && tally.Waiting == 0, nil
+	return len(faults) == 0 && j.Kept() && tally.DuplicateReplies == 0 && tally.Pending == 0, nil
 }
 
 // settled waits until every wanted container runs, and compares the API with what was acknowledged.
@@ -403,7 +403,7 @@
 func copies(c *Cluster) map[string]copyOf {
 	out := map[string]copyOf{}
 	for _, m := range c.Machines {
-		for _, w := range m.Holds() {
+		for _, w := range m.RunningContainers() {
 			if strings.HasPrefix(w.IdempotencyKey, "job-") {
 				id := fmt.Sprintf("%s of %s", w.IdempotencyKey[:strings.LastIndex(w.IdempotencyKey, "/")], c.Site.Workloads[w.WorkloadClass])
 				out[id] = copyOf{out[id].n + 1, w.WorkloadClass, out[id].at + " " + m.Name + " " + w.IdempotencyKey + " as " + w.ContainerID}
@@ -568,14 +568,14 @@
 		c.Owners.Start(d.Rate*2, d.Seed)
 		time.Sleep(4 * time.Second)
 		for i, m := range c.Machines {
-			if m.ZoneN == 1 {
+			if m.ZoneIndex == 1 {
 				m.Crash()
-				if err := m.Up(false); err != nil {
+				if err := m.Start(false); err != nil {
 					c.Close()
 					return err
 				}
 			} else if i%5 == 0 {
-				m.Freeze(true)
+				m.SetFrozen(true)
 			}
 		}
 		time.Sleep(1500 * time.Millisecond)
@@ -597,11 +597,11 @@
 		time.Sleep(after)
 		now := c.Owners.Snapshot()
 		submitted, placed := now.Submitted-before.Submitted, now.Placed-before.Placed
-		late := now.Late - before.Late
+		late := now.PlacedLate - before.PlacedLate
 		fmt.Fprintf(t.Out, "ten seconds after a restart, kept state %-5v: %d submitted, %d not placed, %d of the placed after more than 1 s\n", with,
 			submitted, submitted-placed, late)
 		for _, m := range c.Machines {
-			m.Freeze(false)
+			m.SetFrozen(false)
 		}
 		c.Owners.Close()
 		if err := c.Close(); err != nil {
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -26,7 +26,7 @@
 
 // Held tells whether every rule was kept and every container got its one answer.
 func (o *Outcome) Held() bool {
-	return o.Judgement.Kept() && o.Tally.Twice == 0 && o.Tally.Waiting == 0
+	return o.Judgement.Kept() && o.Tally.DuplicateReplies == 0 && o.Tally.Pending == 0
 }
 
 // Run plays the day with placers started by program, in a folder where its record and logs stay.
@@ -74,9 +74,9 @@
 	}
 	time.Sleep(d.Length - time.Since(began))
 	close(over)
-	c.Owners.Rate(0)
+	c.Owners.SetRate(0)
 	playing.Wait()
-	for end := time.Now().Add(d.Settle); c.Owners.Waiting() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(d.Settle); c.Owners.Pending() > 0 && time.Now().Before(end); {
 		time.Sleep(20 * time.Millisecond)
 	}
 	for _, x := range c.Placers {
@@ -85,7 +85,7 @@
 		}
 	}
 	for _, m := range c.Machines {
-		if s, ok := m.State(); ok && s.Fell {
+		if s, ok := m.Status(); ok && s.Overwhelmed {
 			o.Fell++
 		}
 	}
@@ -117,11 +117,11 @@
 func (o *Outcome) Print(out io.Writer) {
 	t, j := &o.Tally, o.Judgement
 	fmt.Fprintf(out, "owners: %d submitted (%d of them again), %d placed, %d pushed back, %d given up, %d turned away, "+
-		"%d whose placer went first, %d unsent, %d without an answer, %d answers too many\n", t.Submitted, t.Again, t.Placed,
-		t.PushedBack, t.GivenUp, t.TurnedAway, t.NoAnswer, t.Unsent, t.Waiting, t.Twice)
+		"%d whose placer went first, %d unsent, %d without an answer, %d answers too many\n", t.Submitted, t.Retried, t.Placed,
+		t.Rejected, t.Failed, t.NotAdmitted, t.Unanswered, t.Unsent, t.Pending, t.DuplicateReplies)
 	fmt.Fprintf(out, "placed: %d ended in their owner's hearing, %d evicted, %d lost with a machine\n", t.Ended, t.Evicted, t.Lost)
-	fmt.Fprintf(out, "submission to yes: p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms\n", float64(t.Took.ValueAtQuantile(50))/1000,
-		float64(t.Took.ValueAtQuantile(99))/1000, float64(t.Took.ValueAtQuantile(99.9))/1000)
+	fmt.Fprintf(out, "submission to yes: p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms\n", float64(t.PlacementLatency.ValueAtQuantile(50))/1000,
+		float64(t.PlacementLatency.ValueAtQuantile(99))/1000, float64(t.PlacementLatency.ValueAtQuantile(99.9))/1000)
 	var names []string
 	for n := range o.Status {
 		names = append(names, n)
@@ -138,9 +138,9 @@
 		j.ColdBound, o.Fell, j.DrainLate)
 	PrintFindings(out, j)
 	if o.Held() {
-		fmt.Fprintf(out, "rules: kept, one final answer for each of %d containers\n", t.Submitted-t.NoAnswer-t.Unsent)
+		fmt.Fprintf(out, "rules: kept, one final answer for each of %d containers\n", t.Submitted-t.Unanswered-t.Unsent)
 	} else if j.Kept() {
-		fmt.Fprintf(out, "rules: kept on the record, but %d containers without an answer and %d answers too many\n", t.Waiting, t.Twice)
+		fmt.Fprintf(out, "rules: kept on the record, but %d containers without an answer and %d answers too many\n", t.Pending, t.DuplicateReplies)
 	}
 }
 
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -28,9 +28,9 @@
 	Rate       float64
 	Halls      []string
 	Counts     []kindCount
-	Machine    emulator.Shape
+	Machine    emulator.MachineSpec
 	List       listShape
-	Works      []emulator.Work
+	Works      []emulator.WorkloadProfile
 	DrainGrace scheduler.Time
 	Slack      scheduler.Time
 	Troubles   []Trouble
@@ -163,8 +163,8 @@
 	d := &Day{Name: f.Name.Text, Seed: uint64(f.Seed.Value), Length: span(f.Length), Settle: span(f.Settle),
 		Placers: f.Placers.Value, Template: filepath.Join(filepath.Dir(path), f.Template.Text), Rate: f.Rate.Value,
 		DrainGrace: scheduler.Time(f.DrainGrace.Tenths), Slack: scheduler.Time(f.Slack.Tenths),
-		Machine: emulator.Shape{Admit: span(m.Admit), Queue: m.Queue.Value, Starts: m.Starts.Value, Start: span(m.Start),
-			Setup: m.Setup.Value, Kept: m.Kept.Value, ColdFrom: m.ColdFrom.Value, ColdBears: m.Bears.Value, Drift: m.Drift.Value},
+		Machine: emulator.MachineSpec{AdmissionTime: span(m.Admit), MaxQueuedOffers: m.Queue.Value, ConcurrentStarts: m.Starts.Value, StartTime: span(m.Start),
+			ImageMissFactor: m.Setup.Value, CachedImages: m.Kept.Value, SlowStartInitialPace: m.ColdFrom.Value, SlowStartCapacity: m.Bears.Value, MemoryDrift: m.Drift.Value},
 		List: listShape{span(f.List.Lag), span(f.List.Notice), span(f.List.Period), f.List.Calls.Value}}
 	for _, h := range f.Halls {
 		d.Halls = append(d.Halls, h.Text)
@@ -179,7 +179,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d.Works = make([]emulator.Work, len(s.Workloads))
+	d.Works = make([]emulator.WorkloadProfile, len(s.Workloads))
 	for _, w := range f.Work {
 		n, err := strictyaml.Choose(src, w.Workload, s.Workloads...)
 		if err != nil {
@@ -188,8 +188,8 @@
 		if len(w.Cores) == 0 || len(w.Cores) != len(w.Memory) || w.Services.Value == 0 {
 			return nil, src.At(w.Workload.Place, "work needs services, and as many memories as cores")
 		}
-		x := emulator.Work{Share: w.Share.Value, Services: w.Services.Value, Life: span(w.Life), Again: w.Again.Value,
-			AgainLost: w.AgainLost.Value, HardStop: time.Duration(s.Terms.WorkloadClasses[n].PlacementTimeout) * 100 * time.Microsecond}
+		x := emulator.WorkloadProfile{Share: w.Share.Value, Services: w.Services.Value, MeanRuntime: span(w.Life), RetryRejected: w.Again.Value,
+			RetryUnanswered: w.AgainLost.Value, PlacementTimeout: time.Duration(s.Terms.WorkloadClasses[n].PlacementTimeout) * 100 * time.Microsecond}
 		for i := range w.Cores {
 			x.Cores, x.Memory = append(x.Cores, w.Cores[i].Value), append(x.Memory, w.Memory[i].GiB)
 		}
@@ -211,8 +211,8 @@
 }
 
 // shapes are the day's machines, hall by hall.
-func (d *Day) shapes(s *config.Placer) []emulator.Shape {
-	var all []emulator.Shape
+func (d *Day) shapes(s *config.Placer) []emulator.MachineSpec {
+	var all []emulator.MachineSpec
 	byName := map[string]int{}
 	for i, k := range s.Kinds {
 		byName[k] = i
@@ -228,12 +228,12 @@
 				m := d.Machine
 				n := byName[c.kind]
 				k := s.Terms.MachineTypes[n]
-				m.Name, m.Zone, m.ZoneN, m.KindN = fmt.Sprintf("%s-%s-%d", hall, c.kind, i), hall, z, n
-				m.CellN = z*1000 + i/4
+				m.Name, m.Zone, m.ZoneIndex, m.MachineTypeIndex = fmt.Sprintf("%s-%s-%d", hall, c.kind, i), hall, z, n
+				m.RackGroupIndex = z*1000 + i/4
 				m.Cores, m.Memory, m.AcceptCores, m.AcceptMemory = k.Cores, k.Memory, s.Terms.CoresOvercommit, s.Terms.MemoryOvercommit
-				m.ColdFor = time.Duration(s.Terms.SlowStartPeriod) * 100 * time.Microsecond
-				m.ColdWindow = time.Duration(s.Terms.SlowStartWindow) * 100 * time.Microsecond
-				m.YesRuns, m.TellUse, m.NeedsKind, m.Rank = s.Terms.AcceptMeansRunning, s.Terms.UsageReports, needs, rank
+				m.SlowStartPeriod = time.Duration(s.Terms.SlowStartPeriod) * 100 * time.Microsecond
+				m.SlowStartWindow = time.Duration(s.Terms.SlowStartWindow) * 100 * time.Microsecond
+				m.AcceptMeansRunning, m.UsageReports, m.RequiredMachineType, m.EvictionRank = s.Terms.AcceptMeansRunning, s.Terms.UsageReports, needs, rank
 				all = append(all, m)
 			}
 		}
@@ -276,11 +276,11 @@
 		all = append(all, f)
 	}
 	p.mu.Unlock()
-	p.Net.Set(func(placer string, far protocol.Role, name string) (sum faultproxy.Fault) {
+	p.Net.SetFaults(func(placer string, far protocol.Role, name string) (sum faultproxy.Fault) {
 		for _, f := range all {
 			x := f(placer, far, name)
-			sum.Cut = sum.Cut || x.Cut
-			sum.LoseAnswers = max(sum.LoseAnswers, x.LoseAnswers)
+			sum.Partitioned = sum.Partitioned || x.Partitioned
+			sum.LoseAccepts = max(sum.LoseAccepts, x.LoseAccepts)
 			sum.Delay = max(sum.Delay, x.Delay)
 		}
 		return sum
@@ -301,7 +301,7 @@
 
 func (p *player) hall(n int) (out []*emulator.Machine) {
 	for _, m := range p.Machines {
-		if m.ZoneN == n {
+		if m.ZoneIndex == n {
 			out = append(out, m)
 		}
 	}
@@ -327,17 +327,17 @@
 	"silence": func(p *player, t Trouble, wait func(time.Duration)) {
 		ms := p.some(t.Part)
 		for _, m := range ms {
-			m.Freeze(true)
+			m.SetFrozen(true)
 		}
 		wait(t.For)
 		for _, m := range ms {
-			m.Freeze(false)
+			m.SetFrozen(false)
 		}
 	},
 	"silence, then cold": func(p *player, t Trouble, wait func(time.Duration)) {
 		ms := p.some(t.Part)
 		for _, m := range ms {
-			m.Freeze(true)
+			m.SetFrozen(true)
 		}
 		wait(t.For)
 		p.restart(ms, 0, wait)
@@ -345,7 +345,7 @@
 	"half-open links": func(p *player, t Trouble, wait func(time.Duration)) {
 		names := in(p.some(t.Part))
 		end := p.fault(func(_ string, far protocol.Role, name string) faultproxy.Fault {
-			return faultproxy.Fault{Cut: far == protocol.RoleMachine && names[name]}
+			return faultproxy.Fault{Partitioned: far == protocol.RoleMachine && names[name]}
 		})
 		wait(t.For)
 		end()
@@ -357,7 +357,7 @@
 			here[x.Name] = x.Hall == t.Hall
 		}
 		end := p.fault(func(placer string, far protocol.Role, name string) faultproxy.Fault {
-			return faultproxy.Fault{Cut: far == protocol.RoleMachine && names[name] != here[placer]}
+			return faultproxy.Fault{Partitioned: far == protocol.RoleMachine && names[name] != here[placer]}
 		})
 		wait(t.For)
 		end()
@@ -372,23 +372,23 @@
 	"slow": func(p *player, t Trouble, wait func(time.Duration)) {
 		ms := p.some(t.Part)
 		for _, m := range ms {
-			m.Slow(t.Size)
+			m.SetSlowdown(t.Size)
 		}
 		wait(t.For)
 		for _, m := range ms {
-			m.Slow(1)
+			m.SetSlowdown(1)
 		}
 	},
 	"drain": func(p *player, t Trouble, wait func(time.Duration)) {
 		ms := p.some(t.Part)
 		for _, m := range ms {
-			p.List.Mark(m, protocol.MachineDraining)
-			m.Drain(true, t.Size > 0)
+			p.List.SetState(m, protocol.MachineDraining)
+			m.SetDraining(true, t.Size > 0)
 		}
 		wait(t.For)
 		for _, m := range ms {
-			p.List.Mark(m, protocol.MachineServing)
-			m.Drain(false, false)
+			p.List.SetState(m, protocol.MachineServing)
+			m.SetDraining(false, false)
 		}
 	},
 	"rolling deploy": func(p *player, t Trouble, wait func(time.Duration)) {
@@ -399,25 +399,25 @@
 			now := ms[:min(step, len(ms))]
 			ms = ms[len(now):]
 			for _, m := range now {
-				p.List.Mark(m, protocol.MachineDraining)
-				m.Drain(true, true)
+				p.List.SetState(m, protocol.MachineDraining)
+				m.SetDraining(true, true)
 			}
 			wait(t.For / time.Duration(2*steps))
 			for _, m := range now {
-				p.List.Mark(m, protocol.MachineServing)
+				p.List.SetState(m, protocol.MachineServing)
 			}
 			p.restart(now, t.For/time.Duration(2*steps), wait)
 		}
 	},
 	"list away": func(p *player, t Trouble, wait func(time.Duration)) {
-		p.List.Away(true)
+		p.List.SetUnreachable(true)
 		wait(t.For)
-		p.List.Away(false)
+		p.List.SetUnreachable(false)
 	},
 	"list stale": func(p *player, t Trouble, wait func(time.Duration)) {
-		p.List.Stale(time.Duration(t.Size * float64(time.Second)))
+		p.List.SetStaleness(time.Duration(t.Size * float64(time.Second)))
 		wait(t.For)
-		p.List.Stale(0)
+		p.List.SetStaleness(0)
 	},
 	"placers killed": func(p *player, t Trouble, wait func(time.Duration)) {
 		n := max(1, int(t.Part*float64(len(p.Placers))+0.5))
@@ -435,18 +435,18 @@
 		}
 	},
 	"burst": func(p *player, t Trouble, wait func(time.Duration)) {
-		p.Owners.Rate(p.day.Rate * t.Size)
+		p.Owners.SetRate(p.day.Rate * t.Size)
 		wait(t.For)
-		p.Owners.Rate(p.day.Rate)
+		p.Owners.SetRate(p.day.Rate)
 	},
 	"asked again": func(p *player, t Trouble, wait func(time.Duration)) {
-		p.Owners.Reask(t.Part)
+		p.Owners.Redeploy(t.Part)
 		wait(t.For)
 	},
 	"answers lost": func(p *player, t Trouble, wait func(time.Duration)) {
 		end := p.fault(func(_ string, far protocol.Role, _ string) faultproxy.Fault {
 			if far == protocol.RoleMachine {
-				return faultproxy.Fault{LoseAnswers: t.Size}
+				return faultproxy.Fault{LoseAccepts: t.Size}
 			}
 			return faultproxy.Fault{}
 		})
@@ -463,31 +463,31 @@
 	"workload unanswered": func(p *player, t Trouble, wait func(time.Duration)) {
 		ms := p.some(t.Part)
 		for _, m := range ms {
-			m.Shun(int(t.Size), true)
+			m.SetIgnoredWorkload(int(t.Size), true)
 		}
 		wait(t.For)
 		for _, m := range ms {
-			m.Shun(int(t.Size), false)
+			m.SetIgnoredWorkload(int(t.Size), false)
 		}
 	},
 	"customer turned away": func(p *player, t Trouble, wait func(time.Duration)) {
 		ms := p.some(t.Part)
 		for _, m := range ms {
-			m.Throttle(int(t.Size), true)
+			m.SetThrottledTenant(int(t.Size), true)
 		}
 		wait(t.For)
 		for _, m := range ms {
-			m.Throttle(int(t.Size), false)
+			m.SetThrottledTenant(int(t.Size), false)
 		}
 	},
 	"memory swells": func(p *player, t Trouble, wait func(time.Duration)) {
 		ms := p.some(t.Part)
 		for _, m := range ms {
-			m.Swell(t.Size)
+			m.SetMemoryFactor(t.Size)
 		}
 		wait(t.For)
 		for _, m := range ms {
-			m.Swell(1)
+			m.SetMemoryFactor(1)
 		}
 	},
 	"fleet grows": func(p *player, t Trouble, wait func(time.Duration)) {
@@ -511,7 +511,7 @@
 	}
 	wait(down)
 	for _, m := range ms {
-		if err := m.Up(false); err != nil {
+		if err := m.Start(false); err != nil {
 			p.note("machine %s did not come back: %v", m.Name, err)
 		}
 	}
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -56,9 +56,9 @@
 // no key of at-most-once work runs twice though its owners ask for all of it again.
 func TestKilledWithBidsOut(t *testing.T) {
 	d, dir := day(t), t.TempDir()
-	d.Machine.Start, d.Machine.Queue, d.Machine.Starts, d.Machine.Setup = 150*time.Millisecond, 1000, 3, 1
-	d.Works = []emulator.Work{{}, {}, {Share: 1, Services: 400, Cores: []float64{0.1}, Memory: []float64{0.1}, Life: 30 * time.Second,
-		HardStop: 4 * time.Second, Again: true, AgainLost: true}}
+	d.Machine.StartTime, d.Machine.MaxQueuedOffers, d.Machine.ConcurrentStarts, d.Machine.ImageMissFactor = 150*time.Millisecond, 1000, 3, 1
+	d.Works = []emulator.WorkloadProfile{{}, {}, {Share: 1, Services: 400, Cores: []float64{0.1}, Memory: []float64{0.1}, MeanRuntime: 30 * time.Second,
+		PlacementTimeout: 4 * time.Second, RetryRejected: true, RetryUnanswered: true}}
 	c, err := Bring(d, dir, []string{os.Args[0], "placer"})
 	if err != nil {
 		t.Fatal(err)
@@ -70,11 +70,11 @@
 		s, err := p.Status()
 		return err == nil && s["bids"] > 500 && s["containers running"] > 20 && s["containers known"]-s["containers running"] > 500
 	})
-	c.Owners.Rate(0)
+	c.Owners.SetRate(0)
 	c.Kill(p)
 	ran := 0
 	for _, m := range c.Machines {
-		s, _ := m.State()
+		s, _ := m.Status()
 		ran += s.Running
 	}
 	if err := c.Up(p); err != nil {
@@ -84,7 +84,7 @@
 		s, err := p.Status()
 		return err == nil && int(s["containers taken over"]) >= ran
 	})
-	until(t, "what was lost is asked for again, and answered", func() bool { return c.Owners.Again() >= 400 && c.Owners.Waiting() == 0 })
+	until(t, "what was lost is asked for again, and answered", func() bool { return c.Owners.Retried() >= 400 && c.Owners.Pending() == 0 })
 	tally := c.Owners.Close()
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !j.Kept() || tally.Twice > 0 || tally.NoAnswer < 400 {
+	if !j.Kept() || tally.DuplicateReplies > 0 || tally.Unanswered < 400 {
 		t.Errorf("%v; %+v", j.Findings, tally)
 	}
 }
--- a/internal/testbed/scenario/storm.go
+++ b/internal/testbed/scenario/storm.go
@@ -209,7 +209,7 @@
 			mu.Unlock()
 		}
 	}
-	c.Owners.Back = func(tries int, hold time.Duration) time.Duration { // called under the owners' lock
+	c.Owners.Backoff = func(tries int, hold time.Duration) time.Duration { // called under the owners' lock
 		switch {
 		case d == Exponential || d == Damped && hold == 0:
 			span := 200 * time.Millisecond << min(tries+1, 7)
@@ -227,18 +227,18 @@
 	}
 	time.Sleep(1500 * time.Millisecond)
 	for _, m := range struck {
-		if err := m.Up(false); err != nil {
+		if err := m.Start(false); err != nil {
 			return r, false, err
 		}
 	}
 	time.Sleep(time.Until(began.Add(day.Length)))
-	c.Owners.Rate(0)
-	for end := time.Now().Add(day.Settle); c.Owners.Waiting() > 0 && time.Now().Before(end); {
+	c.Owners.SetRate(0)
+	for end := time.Now().Add(day.Settle); c.Owners.Pending() > 0 && time.Now().Before(end); {
 		time.Sleep(20 * time.Millisecond)
 	}
 	fell := 0
 	for _, m := range c.Machines {
-		if s, ok := m.State(); ok && s.Fell {
+		if s, ok := m.Status(); ok && s.Overwhelmed {
 			fell++
 		}
 	}
@@ -252,6 +252,6 @@
 	}
 	PrintFindings(t.Out, j)
 	fmt.Fprintf(t.Out, "  %d submitted (%d again), %d placed, %d pushed back, %d turned away, %d given up; %d machines pushed over, cold ones at most at "+
-		"%d of %d\n", tally.Submitted, tally.Again, tally.Placed, tally.PushedBack, tally.TurnedAway, tally.GivenUp, fell, j.ColdMost, j.ColdBound)
+		"%d of %d\n", tally.Submitted, tally.Retried, tally.Placed, tally.Rejected, tally.NotAdmitted, tally.Failed, fell, j.ColdMost, j.ColdBound)
 	return judge(good, trouble), j.Kept() && fell == 0, nil
 }
--- a/internal/testbed/scenario/why.go
+++ b/internal/testbed/scenario/why.go
@@ -149,7 +149,7 @@
 func (t *WhyTrial) fits(cores, memory float64) int {
 	n := 0
 	for _, m := range t.Cluster.Machines {
-		s, ok := m.State()
+		s, ok := m.Status()
 		if ok && s.Up && !s.Draining && m.Cores*(m.AcceptCores-1)+s.FreeCores >= cores &&
 			m.Memory*(m.AcceptMemory-1)+s.FreeMemory >= memory {
 			n++
@@ -165,8 +165,8 @@
 	}
 	for _, m := range t.Cluster.Machines {
 		if which(m) {
-			t.Cluster.List.Mark(m, state)
-			m.Drain(on, false)
+			t.Cluster.List.SetState(m, state)
+			m.SetDraining(on, false)
 		}
 	}
 }
@@ -174,7 +174,7 @@
 // drainsAndRoom changes the reason of one waiting container again and again: no room, then all that could run it
 // drain, then no room, then room.
 func (t *WhyTrial) drainsAndRoom() error {
-	large := func(m *emulator.Machine) bool { return m.Kind == "large" || m.KindN == 1 }
+	large := func(m *emulator.Machine) bool { return m.MachineType == "large" || m.MachineTypeIndex == 1 }
 	n := 0
 	for _, m := range t.Cluster.Machines {
 		if large(m) {
@@ -249,7 +249,7 @@
 // reasons hold at once, each by the machines' own state.
 func (t *WhyTrial) four() error {
 	since := time.Now()
-	t.drain(true, func(m *emulator.Machine) bool { return m.ZoneN == 0 })
+	t.drain(true, func(m *emulator.Machine) bool { return m.ZoneIndex == 0 })
 	if err := t.run("waits", "on-large", 1, 60, 1); err != nil {
 		return err
 	}
@@ -257,13 +257,13 @@
 		return err
 	}
 	since = time.Now()
-	t.Cluster.List.Away(true)
+	t.Cluster.List.SetUnreachable(true)
 	if err := t.expect("and the list is away", "waits.0", since.Add(4*time.Second),
 		[]string{"hall_drains", "no_room", "backing_off", "list_away"}, []string{"no_machine"}); err != nil {
 		return err
 	}
-	t.Cluster.List.Away(false)
-	t.drain(false, func(m *emulator.Machine) bool { return m.ZoneN == 0 })
+	t.Cluster.List.SetUnreachable(false)
+	t.drain(false, func(m *emulator.Machine) bool { return m.ZoneIndex == 0 })
 	if err := t.stop("waits"); err != nil {
 		return err
 	}
@@ -296,7 +296,7 @@
 // guard loses the answer to an at-most-once bid: nothing may be done for the settling time, and then it is.
 func (t *WhyTrial) guard() error {
 	for _, m := range t.Cluster.Machines {
-		m.Freeze(true)
+		m.SetFrozen(true)
 	}
 	since := time.Now()
 	if err := t.run("guarded", "corpus-merge", 2, 0.1, 0.1); err != nil {
@@ -306,7 +306,7 @@
 	err := t.expect("given up, and it may run", "guarded.0", since.Add(hardStop), []string{"guard"}, nil)
 	_, a, _ := t.codes("guarded.0")
 	for _, m := range t.Cluster.Machines {
-		m.Freeze(false)
+		m.SetFrozen(false)
 	}
 	if err != nil {
 		return err
@@ -346,7 +346,7 @@
 		return err
 	}
 	for _, m := range t.Cluster.Machines {
-		m.Freeze(true)
+		m.SetFrozen(true)
 	}
 	since := time.Now()
 	if err := t.run("shrinks", "corpus-merge", 2, 0.1, 0.1); err != nil {
@@ -358,7 +358,7 @@
 			"count": 0, "run_for_ms": 3600_000}, nil)
 	}
 	for _, m := range t.Cluster.Machines {
-		m.Freeze(false)
+		m.SetFrozen(false)
 	}
 	if err != nil {
 		return err
@@ -369,7 +369,7 @@
 	return t.until("nothing of it runs", 10*time.Second, func() bool {
 		n := 0
 		for _, m := range t.Cluster.Machines {
-			if s, ok := m.State(); ok {
+			if s, ok := m.Status(); ok {
 				n += s.Running
 			}
 		}
@@ -391,12 +391,12 @@
 		return err
 	}
 	since = time.Now()
-	t.Cluster.List.Away(true)
+	t.Cluster.List.SetUnreachable(true)
 	// It counts as away once it has been silent for four seconds.
 	if err := t.expect("the list is away", "huge.0", since.Add(4*time.Second), []string{"list_away", "no_machine"}, nil); err != nil {
 		return err
 	}
-	t.Cluster.List.Away(false)
+	t.Cluster.List.SetUnreachable(false)
 	// The placers ask again after a pause of their own; the reason must go within a second of their hearing it.
 	return t.until("the list is heard again", 10*time.Second, func() bool {
 		codes, _, err := t.codes("huge.0")
