--- a/internal/bgp/speaker/speaker_test.go
+++ b/internal/bgp/speaker/speaker_test.go
@@ -128,11 +128,11 @@
 	r := start(t, nil)
 	r.run("web")
 	r.until("it is announced", func() bool { return has(r.outer, web) })
-	if _, _, ends, _, _ := r.outer.Stats(); ends != 0 {
+	if ends := r.outer.Stats().EndOfRIBs; ends != 0 {
 		t.Error("the end was marked before all was known")
 	}
 	r.on(r.s.MarkRoutesComplete)
-	r.until("both families are marked", func() bool { _, _, ends, _, _ := r.outer.Stats(); return ends == 2 })
+	r.until("both families are marked", func() bool { return r.outer.Stats().EndOfRIBs == 2 })
 }
 
 // A stop with a word makes peers drop routes at once, though they would keep them over a restart.
--- a/internal/testbed/emulator/bgppeer.go
+++ b/internal/testbed/emulator/bgppeer.go
@@ -10,94 +10,108 @@
 	"glenport/internal/bgp/wire"
 )
 
-// RouteChange is one change that a stand-in peer was told of.
+const (
+	bgpHeaderLength           = 19 // bytes
+	bgpWriteTimeout           = 5 * time.Second
+	minKeepaliveInterval      = 100 * time.Millisecond
+	communityGracefulShutdown = 0xFFFF0000 // RFC 8326
+)
+
+// RouteChange is one route that a peer was sent or that it lost.
 type RouteChange struct {
 	At               time.Time
 	Prefix           netip.Prefix
 	Withdrawn        bool
 	LocalPref        uint32
-	GracefulShutdown bool // with the graceful shutdown community
+	GracefulShutdown bool // it carries the community of that name
 }
 
-// BGPPeer is a stand-in for a routing peer: it takes sessions, keeps a route table and what it was told, helps a
-// speaker that restarts, and misbehaves on demand.
+// BGPPeer is an emulated BGP peer: it accepts sessions, keeps a route table and a log of changes, helps a speaker that
+// restarts (RFC 4724), and misbehaves on demand. Sessions are not authenticated.
 type BGPPeer struct {
 	AS            uint32
 	ID            [4]byte
-	HoldTime      time.Duration
-	RestartTime   time.Duration // for how long routes stay when a session that agreed on it ends
-	RecordChanges bool          // keep all that was told, not only the table
+	HoldTime      time.Duration // whole seconds
+	RestartTime   time.Duration // whole seconds, offered in the graceful restart capability
+	RecordChanges bool          // keep the log that Changes returns
 
 	mu         sync.Mutex
 	listener   net.Listener
-	conn       net.Conn
-	table      map[netip.Prefix]bool // true: stale
+	conn       net.Conn // of the established session; nil without one
+	routes     map[netip.Prefix]routeState
 	changes    []RouteChange
-	sessions   int
-	endOfRIBs  int // of routes that were marked
-	messages   int
-	bytes      int
+	stats      BGPPeerStats
 	silent     bool
 	readDelay  time.Duration // before each read
 	wrongAS    bool
 	staleTimer *time.Timer
-	background sync.WaitGroup
 	closed     bool
+	background sync.WaitGroup
 }
 
-// Open begins to take sessions.
+// routeState says whether a route is kept only until its speaker has restarted.
+type routeState struct{ stale bool }
+
+// BGPPeerStats counts what a peer has seen since it was opened.
+type BGPPeerStats struct {
+	Routes     int // in the table now
+	Sessions   int
+	EndOfRIBs  int
+	Updates    int
+	UpdateSize int // bytes of all updates
+}
+
+// Open starts to accept sessions, and returns the address.
 func (p *BGPPeer) Open() (addr string, err error) {
 	if p.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return "", err
 	}
-	p.table = map[netip.Prefix]bool{}
+	p.routes = map[netip.Prefix]routeState{}
 	p.background.Go(func() {
-		for {
-			c, err := p.listener.Accept()
-			if err != nil {
-				return
-			}
-			p.background.Go(func() { p.serve(c) })
-		}
+		acceptAll(p.listener, func(conn net.Conn) { p.background.Go(func() { p.serve(conn) }) })
 	})
 	return p.listener.Addr().String(), nil
 }
 
+// Close ends the session and waits for the peer's goroutines.
 func (p *BGPPeer) Close() {
-	p.mu.Lock()
-	p.closed = true
-	if p.conn != nil {
-		p.conn.Close()
-	}
-	if p.staleTimer != nil {
-		p.staleTimer.Stop()
-	}
-	p.mu.Unlock()
-	p.listener.Close()
+	p.locked(func() {
+		p.closed = true
+		if p.conn != nil {
+			closeQuietly(p.conn)
+		}
+		if p.staleTimer != nil {
+			p.staleTimer.Stop()
+		}
+	})
+	closeQuietly(p.listener)
 	p.background.Wait()
 }
 
-// Reset resets the session, Garble sends garbage into it, Silence stops keepalives, WrongAS greets as another.
-func (p *BGPPeer) Reset() {
-	p.withConn(func(c net.Conn) {
-		c.(*net.TCPConn).SetLinger(0)
-		c.Close()
-	})
-}
+// Reset resets the session's connection.
+func (p *BGPPeer) Reset() { p.withConn(resetConn) }
+
+// SendGarbage sends bytes into the session that are no message of the protocol.
 func (p *BGPPeer) SendGarbage() {
-	p.withConn(func(c net.Conn) { c.Write([]byte("this is no message of the protocol, nor the half of one")) })
+	p.withConn(func(conn net.Conn) {
+		writeBestEffort(conn, []byte("this is no message of the protocol, nor the half of one"))
+	})
 }
+
+// SendPartial sends the beginning of a message into the session.
 func (p *BGPPeer) SendPartial() {
-	p.withConn(func(c net.Conn) {
-		m, _ := wire.Append(nil, &wire.RouteRefresh{Family: wire.IPv4})
-		c.Write(m[:20])
-	})
+	message := mustEncodeBGP(&wire.RouteRefresh{Family: wire.IPv4})
+	p.withConn(func(conn net.Conn) { writeBestEffort(conn, message[:bgpHeaderLength+1]) })
 }
-func (p *BGPPeer) SetSilent(on bool) { p.locked(func() { p.silent = on }) }
 
-// SetReadDelay makes it wait so long before each message that it reads.
-func (p *BGPPeer) SetReadDelay(by time.Duration) { p.locked(func() { p.readDelay = by }) }
-func (p *BGPPeer) SetWrongAS(on bool)            { p.locked(func() { p.wrongAS = on }) }
+// SetSilent stops keepalives, or sends them again.
+func (p *BGPPeer) SetSilent(silent bool) { p.locked(func() { p.silent = silent }) }
+
+// SetReadDelay makes the peer wait before each message that it reads.
+func (p *BGPPeer) SetReadDelay(delay time.Duration) { p.locked(func() { p.readDelay = delay }) }
+
+// SetWrongAS has the peer open sessions with an autonomous system number that is not its own.
+func (p *BGPPeer) SetWrongAS(wrong bool) { p.locked(func() { p.wrongAS = wrong }) }
 
 func (p *BGPPeer) locked(f func()) {
 	p.mu.Lock()
@@ -113,178 +127,223 @@
 	})
 }
 
-// Route tells whether a route is in the table, and whether it is a stale one.
-func (p *BGPPeer) Route(x netip.Prefix) (has, stale bool) {
-	p.locked(func() { stale, has = p.table[x] })
-	return has, stale
+// Route reports whether a route is in the table, and whether it is stale: kept only until its speaker has restarted.
+func (p *BGPPeer) Route(prefix netip.Prefix) (present, stale bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	state, present := p.routes[prefix]
+	return present, state.stale
 }
 
-// Stats are the number of routes, sessions so far, ends of routes marked, messages and bytes of updates.
-func (p *BGPPeer) Stats() (routes, sessions, ends, messages, bytes int) {
-	p.locked(func() {
-		routes, sessions, ends, messages, bytes = len(p.table), p.sessions, p.endOfRIBs, p.messages, p.bytes
-	})
-	return
+// Stats returns the counts so far.
+func (p *BGPPeer) Stats() BGPPeerStats {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	stats := p.stats
+	stats.Routes = len(p.routes)
+	return stats
 }
 
-// Changes returns what it was told since the last call.
-func (p *BGPPeer) Changes() (all []RouteChange) {
-	p.locked(func() { all, p.changes = p.changes, nil })
-	return all
+// Changes returns the changes since the last call, where RecordChanges is set.
+func (p *BGPPeer) Changes() []RouteChange {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	changes := p.changes
+	p.changes = nil
+	return changes
 }
 
-// Established tells whether a session stands.
-func (p *BGPPeer) Established() (up bool) {
-	p.locked(func() { up = p.conn != nil })
-	return up
+// Established reports whether a session is established.
+func (p *BGPPeer) Established() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.conn != nil
 }
 
-func (p *BGPPeer) send(c net.Conn, m wire.Message) {
-	b, err := wire.Append(nil, m)
+// mustEncodeBGP encodes a message that the peer itself has made; one that cannot be encoded is a programming error.
+func mustEncodeBGP(message wire.Message) []byte {
+	data, err := wire.Append(nil, message)
 	if err != nil {
 		panic(err)
 	}
-	c.SetWriteDeadline(time.Now().Add(5 * time.Second))
-	c.Write(b)
+	return data
 }
 
-func readMessage(c net.Conn) (wire.Message, int, error) {
-	head := make([]byte, 19, wire.MaxMessageLength)
-	if _, err := io.ReadFull(c, head); err != nil {
+// writeBestEffort writes to a session. An error is ignored: it means that the session is ending, which its reader sees.
+func writeBestEffort(conn net.Conn, data []byte) { _ = writeWithin(conn, data, bgpWriteTimeout) }
+
+func send(conn net.Conn, message wire.Message) { writeBestEffort(conn, mustEncodeBGP(message)) }
+
+// readMessage reads one message and its size in bytes.
+func readMessage(conn net.Conn) (message wire.Message, size int, err error) {
+	data := make([]byte, bgpHeaderLength, wire.MaxMessageLength)
+	if _, err := io.ReadFull(conn, data); err != nil {
 		return nil, 0, err
 	}
-	n, err := wire.MessageLength(head)
+	size, err = wire.MessageLength(data)
 	if err != nil {
 		return nil, 0, err
 	}
-	head = head[:n]
-	if _, err := io.ReadFull(c, head[19:]); err != nil {
+	data = data[:size]
+	if _, err := io.ReadFull(conn, data[bgpHeaderLength:]); err != nil {
 		return nil, 0, err
 	}
-	m, err := wire.Decode(head)
-	return m, n, err
+	message, err = wire.Decode(data)
+	return message, size, err
 }
 
-func (p *BGPPeer) serve(c net.Conn) {
-	defer c.Close()
+// serve runs one session from its opening to its end.
+func (p *BGPPeer) serve(conn net.Conn) {
+	defer closeQuietly(conn)
+	open := p.openSession(conn)
+	if open == nil {
+		return
+	}
+	p.locked(func() {
+		p.conn = conn
+		p.stats.Sessions++
+		if p.staleTimer != nil {
+			p.staleTimer.Stop()
+		}
+	})
+	stop := make(chan struct{})
+	defer close(stop)
+	p.background.Go(func() { p.sendKeepalives(conn, stop) })
+	notified := p.receive(conn)
+	p.locked(func() {
+		if p.conn == conn {
+			p.conn = nil
+			p.sessionLost(open, notified)
+		}
+	})
+}
+
+// openSession exchanges the opening messages; nil where the other side breaks off.
+func (p *BGPPeer) openSession(conn net.Conn) *wire.Open {
 	as := p.AS
 	p.locked(func() {
 		if p.wrongAS {
 			as++
 		}
 	})
-	p.send(c, &wire.Open{AS: as, HoldTime: uint16(p.HoldTime / time.Second), ID: p.ID, Families: []wire.Family{wire.IPv4, wire.IPv6}, FourOctetAS: true,
-		Refresh: true, Restart: &wire.GracefulRestart{Time: uint16(p.RestartTime / time.Second), ForwardingPreserved: map[wire.Family]bool{}}})
-	m, _, err := readMessage(c)
-	open, ok := m.(*wire.Open)
+	send(conn, &wire.Open{
+		AS:          as,
+		HoldTime:    uint16(p.HoldTime / time.Second),
+		ID:          p.ID,
+		Families:    []wire.Family{wire.IPv4, wire.IPv6},
+		FourOctetAS: true,
+		Refresh:     true,
+		Restart: &wire.GracefulRestart{
+			Time:                uint16(p.RestartTime / time.Second),
+			ForwardingPreserved: map[wire.Family]bool{},
+		},
+	})
+	message, _, err := readMessage(conn)
+	open, ok := message.(*wire.Open)
 	if err != nil || !ok {
-		return
+		return nil
 	}
-	p.send(c, &wire.Keepalive{})
-	if m, _, err = readMessage(c); err != nil {
-		return
+	send(conn, &wire.Keepalive{})
+	message, _, err = readMessage(conn)
+	if _, ok := message.(*wire.Keepalive); err != nil || !ok {
+		return nil
 	}
-	if _, ok := m.(*wire.Keepalive); !ok {
-		return
-	}
-	p.locked(func() {
-		p.conn = c
-		p.sessions++
-		if p.staleTimer != nil {
-			p.staleTimer.Stop()
+	return open
+}
+
+func (p *BGPPeer) sendKeepalives(conn net.Conn, stop chan struct{}) {
+	ticker := time.NewTicker(max(minKeepaliveInterval, p.HoldTime/3))
+	defer ticker.Stop()
+	for {
+		select {
+		case <-stop:
+			return
+		case <-ticker.C:
 		}
-	})
-	gone := make(chan struct{})
-	defer close(gone)
-	p.background.Go(func() {
-		tick := time.NewTicker(max(100*time.Millisecond, p.HoldTime/3))
-		defer tick.Stop()
-		for {
-			select {
-			case <-gone:
-				return
-			case <-tick.C:
-				quiet := false
-				p.locked(func() { quiet = p.silent })
-				if !quiet {
-					p.send(c, &wire.Keepalive{})
-				}
-			}
+		silent := false
+		p.locked(func() { silent = p.silent })
+		if !silent {
+			send(conn, &wire.Keepalive{})
 		}
-	})
-	shut := false
+	}
+}
+
+// receive applies updates until the session ends, and reports whether a notification ended it.
+func (p *BGPPeer) receive(conn net.Conn) (notified bool) {
 	for {
-		slow := time.Duration(0)
-		p.locked(func() { slow = p.readDelay })
-		time.Sleep(slow)
-		m, n, err := readMessage(c)
+		delay := time.Duration(0)
+		p.locked(func() { delay = p.readDelay })
+		time.Sleep(delay)
+		message, size, err := readMessage(conn)
 		if err != nil {
-			break
-		}
-		if _, ok := m.(*wire.Notification); ok {
-			shut = true
-			break
+			return false
 		}
-		if u, ok := m.(*wire.Update); ok {
-			p.locked(func() { p.applyUpdate(u, n) })
+		switch message := message.(type) {
+		case *wire.Notification:
+			return true
+		case *wire.Update:
+			p.locked(func() { p.applyUpdate(message, size) })
 		}
 	}
-	p.locked(func() {
-		if p.conn == c {
-			p.conn = nil
-			p.sessionLost(open, shut)
-		}
-	})
 }
 
-func (p *BGPPeer) applyUpdate(u *wire.Update, size int) {
+func (p *BGPPeer) applyUpdate(update *wire.Update, size int) {
 	now := time.Now()
-	p.messages++
-	p.bytes += size
-	if _, end := u.EndOfRIBFamily(); end {
-		p.endOfRIBs++
-		for x, stale := range p.table {
-			if stale {
-				delete(p.table, x)
-				p.recordChange(RouteChange{At: now, Prefix: x, Withdrawn: true})
-			}
-		}
+	p.stats.Updates++
+	p.stats.UpdateSize += size
+	if _, isEndOfRIB := update.EndOfRIBFamily(); isEndOfRIB {
+		p.stats.EndOfRIBs++
+		p.removeStale(now)
 		return
 	}
-	for _, x := range u.Withdrawn {
-		delete(p.table, x)
-		p.recordChange(RouteChange{At: now, Prefix: x, Withdrawn: true})
+	for _, prefix := range update.Withdrawn {
+		p.remove(prefix, now)
 	}
-	shut := false
-	for _, c := range u.Path.Communities {
-		shut = shut || c == 0xFFFF0000
+	shutdown := false
+	for _, community := range update.Path.Communities {
+		shutdown = shutdown || community == communityGracefulShutdown
 	}
-	for _, x := range u.Announced {
-		p.table[x] = false
-		p.recordChange(RouteChange{At: now, Prefix: x, LocalPref: u.Path.LocalPref, GracefulShutdown: shut})
+	for _, prefix := range update.Announced {
+		p.routes[prefix] = routeState{}
+		p.recordChange(RouteChange{At: now, Prefix: prefix, LocalPref: update.Path.LocalPref, GracefulShutdown: shutdown})
 	}
 }
 
-func (p *BGPPeer) recordChange(t RouteChange) {
-	if p.RecordChanges {
-		p.changes = append(p.changes, t)
+func (p *BGPPeer) removeStale(now time.Time) {
+	for prefix, state := range p.routes {
+		if state.stale {
+			p.remove(prefix, now)
+		}
 	}
 }
 
-// sessionLost is a session's end: routes go, or stay for a while where the speaker may restart.
-func (p *BGPPeer) sessionLost(open *wire.Open, shut bool) {
-	drop := func() {
-		for x := range p.table {
-			delete(p.table, x)
-			p.recordChange(RouteChange{At: time.Now(), Prefix: x, Withdrawn: true})
-		}
+func (p *BGPPeer) removeAll() {
+	for prefix := range p.routes {
+		p.remove(prefix, time.Now())
+	}
+}
+
+func (p *BGPPeer) remove(prefix netip.Prefix, now time.Time) {
+	delete(p.routes, prefix)
+	p.recordChange(RouteChange{At: now, Prefix: prefix, Withdrawn: true})
+}
+
+func (p *BGPPeer) recordChange(change RouteChange) {
+	if p.RecordChanges {
+		p.changes = append(p.changes, change)
 	}
-	if open.Restart == nil || shut || p.closed {
-		drop()
+}
+
+// sessionLost removes the routes of a session that has ended; they stay stale for the agreed time where the speaker may be
+// restarting.
+func (p *BGPPeer) sessionLost(open *wire.Open, notified bool) {
+	if open.Restart == nil || notified || p.closed {
+		p.removeAll()
 		return
 	}
-	for x := range p.table {
-		p.table[x] = true
+	for prefix := range p.routes {
+		p.routes[prefix] = routeState{stale: true}
 	}
-	p.staleTimer = time.AfterFunc(time.Duration(open.Restart.Time)*time.Second, func() { p.locked(drop) })
+	restartTime := time.Duration(open.Restart.Time) * time.Second
+	p.staleTimer = time.AfterFunc(restartTime, func() { p.locked(p.removeAll) })
 }
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"net"
 	"sync"
 	"time"
 
@@ -12,49 +11,64 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// WorkloadProfile is one sort of containers that owners submit.
+const (
+	maxLatencyMicros    = 60_000_000
+	lateAfter           = time.Second // a placement that took longer counts as late
+	defaultRetryDelay   = time.Second
+	unansweredDelay     = 200 * time.Millisecond
+	maxRetries          = 6  // with the default backoff
+	maxRetriesOfBackoff = 12 // with a Backoff of the trial
+	idlePause           = 10 * time.Millisecond
+)
+
+// WorkloadProfile is one sort of containers that clients submit.
 type WorkloadProfile struct {
-	Share            float64
+	Share            float64 // of all submissions
 	Services         int
-	Cores            []float64 // one of them, by chance
+	Cores            []float64 // one of them by chance, with the memory at the same index
 	Memory           []float64
-	MeanRuntime      time.Duration // on average
+	MeanRuntime      time.Duration
 	PlacementTimeout time.Duration
-	RetryRejected    bool // asked again after a push-back
-	RetryUnanswered  bool // and when nothing was heard
+	RetryRejected    bool // retried after a retryable rejection
+	RetryUnanswered  bool // retried when the connection ended without an answer
 }
 
-// Tally counts what owners saw. Every container a client submits ends in one of the first five.
+// Tally counts what clients saw. Every submission ends in one of Placed, Rejected, Failed, NotAdmitted, Unanswered, Unsent and
+// Pending.
 type Tally struct {
 	Submitted        int
 	Placed           int
 	Rejected         int
 	Failed           int
 	NotAdmitted      int
-	Unanswered       int // the link to the placer ended first
-	DuplicateReplies int // answers beyond the one
-	Retried          int // submissions that came before
-	Ended            int // containers placed that ended while their owner listened
-	Evicted          int
-	Lost             int
-	Unsent           int // no placer could be reached
-	Pending          int
+	Unanswered       int                     // the connection to the scheduler ended first
+	DuplicateReplies int                     // replies beyond the first
+	Retried          int                     // submissions that repeat an earlier one
+	Ended            int                     // placed containers whose end a client was told of
+	Evicted          int                     // of the ended, for memory
+	Lost             int                     // of the ended, with their machine
+	Unsent           int                     // no scheduler could be reached
+	Pending          int                     // without an answer when the clients closed
 	PlacedLate       int                     // of the placed, those that took more than a second
-	PlacementLatency *hdrhistogram.Histogram // submission to Placed, in microseconds
+	PlacementLatency *hdrhistogram.Histogram // in microseconds
 }
 
-// Clients submit work to placers in open loop: the next submission never waits for an answer.
+// Clients submit containers to schedulers in an open loop: the next submission never waits for an answer. The exported
+// fields are set before Start.
 type Clients struct {
-	SchedulerAddrs []string // of placers
+	SchedulerAddrs []string
 	Workloads      []WorkloadProfile
 	Tenants        int
-	Backoff        func(tries int, holdOff time.Duration) time.Duration // until it is asked again; nil: a second, or the hold-off
-	OnPlaced       func(kind int, took time.Duration)                   // of each yes; may be nil
+	// Backoff is the delay before a retry, given how many came before and the scheduler's retry-after; nil: the
+	// retry-after, at least a second, spread by chance. It is called with the clients' lock held.
+	Backoff func(retries int, retryAfter time.Duration) time.Duration
+	// OnPlaced is called for each placement, with the lock held; may be nil.
+	OnPlaced func(workload int, latency time.Duration)
 
 	mu          sync.Mutex
-	rate        float64
+	rate        float64 // submissions a second
 	conns       []*clientConn
-	outstanding map[string]*submission
+	outstanding map[string]*submission // by container, until its end is known
 	tally       Tally
 	rng         *rand.Rand
 	lastID      int
@@ -67,333 +81,305 @@
 	workload       int
 	timeToDeadline time.Duration
 	sentAt         time.Time
-	scheduler      int
+	scheduler      int // index of its address
 	placed         bool
 	retries        int
 }
 
-type clientConn struct {
-	net.Conn
-	frames chan protocol.Frame
-}
-
-// Start begins to submit so many a second.
-func (o *Clients) Start(rate float64, seed uint64) {
-	o.rate, o.rng, o.stop, o.outstanding = rate, rand.New(rand.NewPCG(seed, 5)), make(chan struct{}), map[string]*submission{}
-	o.tally.PlacementLatency = hdrhistogram.New(1, 60_000_000, 3)
-	o.conns = make([]*clientConn, len(o.SchedulerAddrs))
-	for i := range o.SchedulerAddrs {
-		o.background.Go(func() { o.maintainConn(i) })
+// Start begins to submit at a rate in submissions a second.
+func (c *Clients) Start(rate float64, seed uint64) {
+	c.rate = rate
+	c.rng = rand.New(rand.NewPCG(seed, 5))
+	c.stop = make(chan struct{})
+	c.outstanding = map[string]*submission{}
+	c.tally.PlacementLatency = hdrhistogram.New(1, maxLatencyMicros, 3)
+	c.conns = make([]*clientConn, len(c.SchedulerAddrs))
+	for i := range c.SchedulerAddrs {
+		c.background.Go(func() { c.maintainConn(i) })
 	}
-	o.background.Go(o.submitAll)
+	c.background.Go(c.submitAll)
 }
 
-// SetRate changes how much is submitted.
-func (o *Clients) SetRate(perSecond float64) {
-	o.mu.Lock()
-	o.rate = perSecond
-	o.mu.Unlock()
+// SetRate changes the rate; at 0 nothing new is submitted.
+func (c *Clients) SetRate(perSecond float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.rate = perSecond
 }
 
 // Pending is the number of containers without an answer.
-func (o *Clients) Pending() int {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	n := 0
-	for _, w := range o.outstanding {
-		if !w.placed {
-			n++
+func (c *Clients) Pending() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.pending()
+}
+
+func (c *Clients) pending() int {
+	count := 0
+	for _, s := range c.outstanding {
+		if !s.placed {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Snapshot is the tally so far, without the times.
-func (o *Clients) Snapshot() Tally {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	t := o.tally
-	t.PlacementLatency = nil
-	return t
+// Snapshot is the tally so far, without latencies.
+func (c *Clients) Snapshot() Tally {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	tally := c.tally
+	tally.PlacementLatency = nil
+	return tally
 }
 
-// Retried is the number of submissions so far that came before.
-func (o *Clients) Retried() int {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.tally.Retried
+// Retried is the number of retries so far.
+func (c *Clients) Retried() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.tally.Retried
 }
 
-// Close ends the owners and returns what they saw.
-func (o *Clients) Close() Tally {
-	close(o.stop)
-	o.mu.Lock()
-	for _, l := range o.conns {
-		if l != nil {
-			l.Close()
+// Close ends the clients and returns what they saw.
+func (c *Clients) Close() Tally {
+	close(c.stop)
+	c.mu.Lock()
+	for _, conn := range c.conns {
+		if conn != nil {
+			closeQuietly(conn)
 		}
 	}
-	o.mu.Unlock()
-	o.background.Wait()
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for _, w := range o.outstanding {
-		if !w.placed {
-			o.tally.Pending++
-		}
-	}
-	return o.tally
+	c.mu.Unlock()
+	c.background.Wait()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.tally.Pending += c.pending()
+	return c.tally
 }
 
-func (o *Clients) pause(d time.Duration) bool {
+// pause waits and reports whether the clients go on.
+func (c *Clients) pause(d time.Duration) bool {
 	select {
-	case <-o.stop:
+	case <-c.stop:
 		return false
 	case <-time.After(d):
 		return true
 	}
 }
 
-// Redeploy cancels a part of what is placed and asks for all of it again, as a redeploy does.
-func (o *Clients) Redeploy(part float64) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for id, w := range o.outstanding {
-		l := o.conns[w.scheduler]
-		if !w.placed || l == nil || o.rng.Float64() >= part {
+func (c *Clients) submitAll() {
+	next := time.Now()
+	for {
+		c.mu.Lock()
+		rate := c.rate
+		c.mu.Unlock()
+		if rate <= 0 {
+			if !c.pause(idlePause) {
+				return
+			}
+			next = time.Now()
 			continue
 		}
-		delete(o.outstanding, id)
+		if wait := time.Until(next); wait > 0 && !c.pause(wait) {
+			return
+		}
 		select {
-		case l.frames <- &protocol.CancelContainer{ContainerID: id}:
+		case <-c.stop:
+			return
 		default:
 		}
-		fresh := *w
-		fresh.placed, fresh.spec.IdempotencyKey = false, ""
-		o.submit(&fresh)
+		c.mu.Lock()
+		next = next.Add(time.Duration(c.rng.ExpFloat64() / rate * float64(time.Second)))
+		c.submit(c.drawSubmission())
+		c.mu.Unlock()
 	}
 }
 
-// maintainConn holds a link to one door and reads it.
-func (o *Clients) maintainConn(i int) {
-	for o.pause(20 * time.Millisecond) {
-		c, err := net.DialTimeout("tcp", o.SchedulerAddrs[i], time.Second)
-		if err != nil {
-			o.pause(100 * time.Millisecond)
-			continue
+func (c *Clients) drawSubmission() *submission {
+	workload := c.drawWorkload()
+	profile := &c.Workloads[workload]
+	service := c.rng.IntN(profile.Services)
+	size := c.rng.IntN(len(profile.Cores))
+	runtime := time.Duration(float64(profile.MeanRuntime) * (0.3 + 1.4*c.rng.Float64()))
+	return &submission{
+		workload:       workload,
+		timeToDeadline: profile.PlacementTimeout,
+		spec: protocol.ContainerSpec{
+			Service:         fmt.Sprintf("service-%d-%d", workload, service),
+			WorkloadClass:   workload,
+			Tenant:          c.rng.IntN(max(1, c.Tenants)),
+			Cores:           profile.Cores[size],
+			Memory:          profile.Memory[size],
+			ExpectedRuntime: toProtocol(runtime),
+		},
+	}
+}
+
+func (c *Clients) drawWorkload() int {
+	x, workload := c.rng.Float64(), 0
+	for i, profile := range c.Workloads {
+		workload = i
+		if x < profile.Share {
+			break
 		}
-		hello, _ := protocol.Append(nil, protocol.NewHello(protocol.RoleClient, fmt.Sprint("owners-", i), uint64(time.Now().UnixMicro())))
-		c.Write(hello)
-		l := &clientConn{c, make(chan protocol.Frame, 10_000)}
-		if f, err := protocol.ReadFrame(c, 4096); err != nil {
-			c.Close()
-			continue
-		} else if _, ok := f.(*protocol.Hello); !ok {
-			c.Close()
+		x -= profile.Share
+	}
+	return workload
+}
+
+// submit sends a submission, under a new container id, to a scheduler by chance, or to the next one that is connected.
+func (c *Clients) submit(s *submission) {
+	c.lastID++
+	s.spec.ContainerID = fmt.Sprint("c", c.lastID)
+	if s.spec.IdempotencyKey == "" {
+		s.spec.IdempotencyKey = fmt.Sprint("key", c.lastID)
+	}
+	c.tally.Submitted++
+	first := c.rng.IntN(len(c.conns))
+	for i := range c.conns {
+		index := (first + i) % len(c.conns)
+		conn := c.conns[index]
+		if conn == nil {
 			continue
 		}
-		o.mu.Lock()
-		o.conns[i] = l
-		o.mu.Unlock()
-		done := make(chan struct{})
-		o.background.Go(func() { l.writeAll(done) })
-		for {
-			f, err := protocol.ReadFrame(c, protocol.MaxFrame)
-			if err != nil {
-				break
-			}
-			o.handleFrame(i, f)
+		s.scheduler, s.sentAt = index, time.Now()
+		c.outstanding[s.spec.ContainerID] = s
+		if !conn.send(&protocol.Submit{TimeToDeadline: toProtocol(s.timeToDeadline), Spec: s.spec}) {
+			closeQuietly(conn)
 		}
-		close(done)
-		c.Close()
-		o.connectionLost(i)
+		return
 	}
+	c.tally.Unsent++
 }
 
-func (l *clientConn) writeAll(done chan struct{}) {
-	var p []byte
-	for {
-		select {
-		case f := <-l.frames:
-			p, _ = protocol.Append(p[:0], f)
-			for len(l.frames) > 0 && len(p) < 32<<10 {
-				p, _ = protocol.Append(p, <-l.frames)
-			}
-			if _, err := l.Write(p); err != nil {
-				l.Close()
-				return
-			}
-		case <-done:
-			return
+// Redeploy cancels a part of the placed containers and submits all of that part again.
+func (c *Clients) Redeploy(part float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for id, s := range c.outstanding {
+		conn := c.conns[s.scheduler]
+		if !s.placed || conn == nil || c.rng.Float64() >= part {
+			continue
 		}
+		delete(c.outstanding, id)
+		conn.send(&protocol.CancelContainer{ContainerID: id}) // a cancel that does not fit into the queue is dropped
+		fresh := *s
+		fresh.placed, fresh.spec.IdempotencyKey = false, ""
+		c.submit(&fresh)
 	}
 }
 
-// connectionLost settles what was open at a door whose link has ended. What may have run and must not run twice is left
-// alone; the rest is asked again elsewhere.
-func (o *Clients) connectionLost(i int) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.conns[i] = nil
-	for id, w := range o.outstanding {
-		if w.scheduler != i {
+// connectionLost ends what was outstanding at a scheduler. What may run and must not run twice is left alone; the rest is
+// retried elsewhere.
+func (c *Clients) connectionLost(scheduler int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.conns[scheduler] = nil
+	for id, s := range c.outstanding {
+		if s.scheduler != scheduler {
 			continue
 		}
-		delete(o.outstanding, id)
-		if w.placed {
+		delete(c.outstanding, id)
+		if s.placed {
 			continue
 		}
-		o.tally.Unanswered++
-		if o.Workloads[w.workload].RetryUnanswered {
-			o.retryLater(w, 200*time.Millisecond)
+		c.tally.Unanswered++
+		if c.Workloads[s.workload].RetryUnanswered {
+			c.retryLater(s, unansweredDelay)
 		}
 	}
 }
 
-// retryLater submits again, over a span of chance that doubles with each try.
-func (o *Clients) retryLater(w *submission, base time.Duration) {
-	if w.retries >= 6 && o.Backoff == nil || w.retries >= 12 {
+// retryLater submits again after a delay, to which the default backoff adds a span by chance that doubles with each retry.
+func (c *Clients) retryLater(s *submission, delay time.Duration) {
+	limit := maxRetries
+	if c.Backoff != nil {
+		limit = maxRetriesOfBackoff
+	}
+	if s.retries >= limit {
 		return
 	}
-	wait := base
-	if o.Backoff == nil {
-		wait += time.Duration(o.rng.Float64() * float64(base) * float64(int(1)<<min(w.retries, 5)))
+	if c.Backoff == nil {
+		delay += time.Duration(c.rng.Float64() * float64(delay) * float64(int(1)<<min(s.retries, 5)))
 	}
-	again := &submission{spec: w.spec, workload: w.workload, timeToDeadline: w.timeToDeadline, retries: w.retries + 1}
-	again.spec.ClientRetry = true
-	o.background.Go(func() {
-		if o.pause(wait) {
-			o.mu.Lock()
-			o.tally.Retried++
-			o.submit(again)
-			o.mu.Unlock()
+	retry := &submission{spec: s.spec, workload: s.workload, timeToDeadline: s.timeToDeadline, retries: s.retries + 1}
+	retry.spec.ClientRetry = true
+	c.background.Go(func() {
+		if !c.pause(delay) {
+			return
 		}
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.tally.Retried++
+		c.submit(retry)
 	})
 }
 
-func (o *Clients) submitAll() {
-	next := time.Now()
-	for {
-		o.mu.Lock()
-		rate := o.rate
-		o.mu.Unlock()
-		if rate <= 0 {
-			if !o.pause(10 * time.Millisecond) {
-				return
-			}
-			next = time.Now()
-			continue
-		}
-		if wait := time.Until(next); wait > 0 && !o.pause(wait) {
-			return
-		}
-		select {
-		case <-o.stop:
-			return
-		default:
-		}
-		o.mu.Lock()
-		next = next.Add(time.Duration(o.rng.ExpFloat64() / rate * float64(time.Second)))
-		o.submit(o.drawSubmission())
-		o.mu.Unlock()
+func (c *Clients) handleFrame(scheduler int, frame protocol.Frame) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	switch frame := frame.(type) {
+	case *protocol.PlacementReply:
+		c.handleReply(scheduler, frame)
+	case *protocol.Termination:
+		c.handleTermination(frame)
 	}
 }
 
-func (o *Clients) drawSubmission() *submission {
-	x, kind := o.rng.Float64(), 0
-	for i, w := range o.Workloads {
-		if kind = i; x < w.Share {
-			break
-		}
-		x -= w.Share
+func (c *Clients) handleReply(scheduler int, reply *protocol.PlacementReply) {
+	s := c.outstanding[reply.ContainerID]
+	if s == nil || s.placed || s.scheduler != scheduler {
+		c.tally.DuplicateReplies++
+		return
+	}
+	switch reply.Verdict {
+	case protocol.VerdictPlaced:
+		c.markPlaced(s)
+		return
+	case protocol.VerdictRejected:
+		c.tally.Rejected++
+	case protocol.VerdictFailed:
+		c.tally.Failed++
+	case protocol.VerdictNotAdmitted:
+		c.tally.NotAdmitted++
+	}
+	delete(c.outstanding, reply.ContainerID)
+	if reply.Verdict == protocol.VerdictFailed || !c.Workloads[s.workload].RetryRejected {
+		return
+	}
+	retryAfter := fromProtocol(reply.RetryAfter)
+	delay := max(defaultRetryDelay, retryAfter)
+	if c.Backoff != nil {
+		delay = c.Backoff(s.retries, retryAfter)
 	}
-	w := &o.Workloads[kind]
-	n := o.rng.IntN(w.Services)
-	pick := o.rng.IntN(len(w.Cores))
-	life := time.Duration(float64(w.MeanRuntime) * (0.3 + 1.4*o.rng.Float64()))
-	return &submission{workload: kind, timeToDeadline: w.PlacementTimeout, spec: protocol.ContainerSpec{Service: fmt.Sprintf("service-%d-%d", kind, n), WorkloadClass: kind,
-		Tenant: o.rng.IntN(max(1, o.Tenants)), Cores: w.Cores[pick], Memory: w.Memory[pick],
-		ExpectedRuntime: protocol.Duration(life.Microseconds() / 100)}}
+	c.retryLater(s, delay)
 }
 
-// submit submits to a placer by chance, or to the next that can be reached.
-func (o *Clients) submit(w *submission) {
-	o.lastID++
-	w.spec.ContainerID = fmt.Sprint("c", o.lastID)
-	if w.spec.IdempotencyKey == "" {
-		w.spec.IdempotencyKey = fmt.Sprint("key", o.lastID)
+func (c *Clients) markPlaced(s *submission) {
+	s.placed = true
+	c.tally.Placed++
+	latency := time.Since(s.sentAt)
+	// A latency above the histogram's bound is not recorded, the error is ignored: the placement still counts as late.
+	_ = c.tally.PlacementLatency.RecordValue(max(1, latency.Microseconds()))
+	if latency > lateAfter {
+		c.tally.PlacedLate++
 	}
-	o.tally.Submitted++
-	first := o.rng.IntN(len(o.conns))
-	for i := range o.conns {
-		n := (first + i) % len(o.conns)
-		l := o.conns[n]
-		if l == nil {
-			continue
-		}
-		w.scheduler, w.sentAt = n, time.Now()
-		o.outstanding[w.spec.ContainerID] = w
-		select {
-		case l.frames <- &protocol.Submit{TimeToDeadline: protocol.Duration(w.timeToDeadline.Microseconds() / 100), Spec: w.spec}:
-		default:
-			l.Close()
-		}
-		return
+	if c.OnPlaced != nil {
+		c.OnPlaced(s.workload, latency)
 	}
-	o.tally.Unsent++
 }
 
-func (o *Clients) handleFrame(door int, f protocol.Frame) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	switch f := f.(type) {
-	case *protocol.PlacementReply:
-		w := o.outstanding[f.ContainerID]
-		if w == nil || w.placed || w.scheduler != door {
-			o.tally.DuplicateReplies++
-			return
-		}
-		switch f.Verdict {
-		case protocol.VerdictPlaced:
-			w.placed = true
-			o.tally.Placed++
-			took := time.Since(w.sentAt)
-			o.tally.PlacementLatency.RecordValue(max(1, took.Microseconds()))
-			if took > time.Second {
-				o.tally.PlacedLate++
-			}
-			if o.OnPlaced != nil {
-				o.OnPlaced(w.workload, took)
-			}
-			return
-		case protocol.VerdictRejected:
-			o.tally.Rejected++
-		case protocol.VerdictFailed:
-			o.tally.Failed++
-		case protocol.VerdictNotAdmitted:
-			o.tally.NotAdmitted++
-		}
-		delete(o.outstanding, f.ContainerID)
-		if f.Verdict != protocol.VerdictFailed && o.Workloads[w.workload].RetryRejected {
-			hold := time.Duration(f.RetryAfter) * 100 * time.Microsecond
-			if o.Backoff != nil {
-				o.retryLater(w, o.Backoff(w.retries, hold))
-			} else {
-				o.retryLater(w, max(time.Second, hold))
-			}
-		}
-	case *protocol.Termination:
-		w := o.outstanding[f.ContainerID]
-		if w == nil || !w.placed {
-			return
-		}
-		delete(o.outstanding, f.ContainerID)
-		o.tally.Ended++
-		switch {
-		case f.Reason == protocol.ReasonOutOfMemory:
-			o.tally.Evicted++
-		case f.Outcome == protocol.OutcomeLost:
-			o.tally.Lost++
-		}
+func (c *Clients) handleTermination(termination *protocol.Termination) {
+	s := c.outstanding[termination.ContainerID]
+	if s == nil || !s.placed {
+		return
+	}
+	delete(c.outstanding, termination.ContainerID)
+	c.tally.Ended++
+	switch {
+	case termination.Reason == protocol.ReasonOutOfMemory:
+		c.tally.Evicted++
+	case termination.Outcome == protocol.OutcomeLost:
+		c.tally.Lost++
 	}
 }
--- a/internal/testbed/emulator/list.go
+++ b/internal/testbed/emulator/list.go
@@ -8,13 +8,20 @@
 	"glenport/internal/protocol"
 )
 
-// MachineList is the list service: what it says is some time old, and it answers only so many calls a second.
+const (
+	listWriteTimeout    = 2 * time.Second
+	maxQueuedListFrames = 1000   // beyond which a scheduler's connection is closed
+	maxDeltaEntries     = 10_000 // beyond which a watch is answered by a full snapshot
+)
+
+// MachineList is the machine list service: its view of the machines is some time old, and it answers only so many calls a
+// second.
 type MachineList struct {
 	Lag              time.Duration // from a change to its place in the list
-	FailureDetection time.Duration // until a dead machine is taken as gone
-	PollInterval     time.Duration // between looks at the machines
-	CallsPerSecond   int
-	Address          func(*Machine) string // what the list says of where a machine is
+	FailureDetection time.Duration // until a machine that is down is listed as gone
+	PollInterval     time.Duration // between two looks at the machines
+	CallsPerSecond   int           // 0: no limit
+	Address          func(*Machine) string
 
 	mu            sync.Mutex
 	machines      []*Machine
@@ -22,8 +29,8 @@
 	current       map[string]protocol.MachineEntry
 	startedAt     map[string]time.Time
 	downSince     map[string]time.Time
-	operatorState map[string]protocol.MachineState // by an operator
-	conns         map[*listConn]bool               // whether they watch
+	operatorState map[string]protocol.MachineState
+	conns         map[*listConn]bool // whether they watch
 	unreachable   bool
 	staleness     time.Duration
 	recentCalls   []time.Time
@@ -32,116 +39,112 @@
 	background    sync.WaitGroup
 }
 
+// listConn is a scheduler's connection to the list.
 type listConn struct {
 	net.Conn
 	frames chan protocol.Frame
 }
 
-// send queues a frame; whoever lets a thousand wait is dropped.
-func (c *listConn) send(f protocol.Frame) {
+func (c *listConn) send(frame protocol.Frame) {
 	select {
-	case c.frames <- f:
+	case c.frames <- frame:
 	default:
-		c.Close()
+		closeQuietly(c)
 	}
 }
 
+// writeAll writes queued frames and heartbeats; a scheduler that does not read in time is disconnected.
 func (c *listConn) writeAll(stop chan struct{}) {
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
+	ticker := time.NewTicker(heartbeatInterval)
+	defer ticker.Stop()
 	for {
-		var f protocol.Frame
+		var frame protocol.Frame
 		select {
-		case f = <-c.frames:
-		case <-tick.C:
-			f = &protocol.Heartbeat{}
+		case frame = <-c.frames:
+		case <-ticker.C:
+			frame = &protocol.Heartbeat{}
 		case <-stop:
 			return
 		}
-		p, err := protocol.Append(nil, f)
-		if err != nil {
-			panic(err)
-		}
-		c.SetWriteDeadline(time.Now().Add(2 * time.Second))
-		if _, err := c.Write(p); err != nil {
-			c.Close()
+		if err := writeWithin(c, mustEncode(nil, frame), listWriteTimeout); err != nil {
+			closeQuietly(c)
 			return
 		}
 	}
 }
 
-// Open starts the service for machines that are up by now.
+// Open starts the service for machines that are up by now, and returns its address.
 func (l *MachineList) Open(machines []*Machine) (addr string, err error) {
 	if l.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return "", err
 	}
 	l.machines, l.stop = machines, make(chan struct{})
-	l.current, l.startedAt, l.downSince = map[string]protocol.MachineEntry{}, map[string]time.Time{}, map[string]time.Time{}
+	l.current = map[string]protocol.MachineEntry{}
+	l.startedAt, l.downSince = map[string]time.Time{}, map[string]time.Time{}
 	l.operatorState, l.conns = map[string]protocol.MachineState{}, map[*listConn]bool{}
 	l.apply(l.observe())
 	l.background.Go(l.watch)
 	l.background.Go(func() {
-		for {
-			c, err := l.listener.Accept()
-			if err != nil {
-				return
-			}
-			l.background.Go(func() { l.serve(&listConn{c, make(chan protocol.Frame, 1000)}) })
-		}
+		acceptAll(l.listener, func(conn net.Conn) {
+			l.background.Go(func() { l.serve(&listConn{conn, make(chan protocol.Frame, maxQueuedListFrames)}) })
+		})
 	})
 	return l.listener.Addr().String(), nil
 }
 
+// Close ends the service and its connections.
 func (l *MachineList) Close() {
 	close(l.stop)
-	l.listener.Close()
+	closeQuietly(l.listener)
 	l.SetUnreachable(true)
 	l.background.Wait()
 }
 
-// SetState sets what an operator says of a machine.
-func (l *MachineList) SetState(m *Machine, s protocol.MachineState) {
+// SetState sets the state in which an operator puts a machine.
+func (l *MachineList) SetState(m *Machine, state protocol.MachineState) {
 	l.mu.Lock()
-	l.operatorState[m.Name] = s
-	l.mu.Unlock()
+	defer l.mu.Unlock()
+	l.operatorState[m.Name] = state
 }
 
-// SetUnreachable makes the service unreachable, or reachable again.
-func (l *MachineList) SetUnreachable(on bool) {
+// SetUnreachable ends all connections and refuses new ones, or takes them again.
+func (l *MachineList) SetUnreachable(unreachable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.unreachable = on; on {
-		for c := range l.conns {
-			c.Close()
-		}
+	l.unreachable = unreachable
+	if !unreachable {
+		return
+	}
+	for conn := range l.conns {
+		closeQuietly(conn)
 	}
 }
 
-// SetStaleness makes the list run so much further behind.
-func (l *MachineList) SetStaleness(by time.Duration) {
+// SetStaleness makes the list lag so much further behind.
+func (l *MachineList) SetStaleness(staleness time.Duration) {
 	l.mu.Lock()
-	l.staleness = by
-	l.mu.Unlock()
+	defer l.mu.Unlock()
+	l.staleness = staleness
 }
 
 func (l *MachineList) watch() {
-	tick := time.NewTicker(l.PollInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(l.PollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-l.stop:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		seen := l.observe()
+		observed := l.observe()
 		l.mu.Lock()
 		lag := l.Lag + l.staleness
 		l.mu.Unlock()
 		if lag == 0 {
-			l.apply(seen)
+			l.apply(observed)
 			continue
 		}
-		time.AfterFunc(lag, func() { l.apply(seen) })
+		time.AfterFunc(lag, func() { l.apply(observed) })
 	}
 }
 
@@ -150,133 +153,167 @@
 	var all []protocol.MachineEntry
 	now := time.Now()
 	for _, m := range l.machines {
-		s, ok := m.Status()
-		l.mu.Lock()
-		e, known := l.current[m.Name]
-		if ok {
-			e = protocol.MachineEntry{Machine: m.Name, Address: l.Address(m), Zone: m.ZoneIndex, MachineType: m.MachineTypeIndex, RackGroup: m.RackGroupIndex,
-				FreeCores: s.FreeCores, FreeMemory: s.FreeMemory, PowerHint: 1, Incarnation: s.Incarnation, State: l.operatorState[m.Name]}
-			l.startedAt[m.Name] = s.Started
-		}
-		switch dead, was := l.downSince[m.Name]; {
-		case ok && s.Up:
-			delete(l.downSince, m.Name)
-		case !was:
-			l.downSince[m.Name] = now
-		case now.Sub(dead) > l.FailureDetection:
-			e.State = protocol.MachineGone
-		}
-		l.mu.Unlock()
-		if known || ok && s.Up {
-			all = append(all, e)
+		if entry, listed := l.observeMachine(m, now); listed {
+			all = append(all, entry)
 		}
 	}
 	return all
 }
 
-// apply puts what has changed into the list and tells the watchers.
-func (l *MachineList) apply(seen []protocol.MachineEntry) {
+// observeMachine is a machine's entry; a machine that does not answer keeps its last one until it counts as gone. A machine
+// that was never up is not listed.
+func (l *MachineList) observeMachine(m *Machine, now time.Time) (entry protocol.MachineEntry, listed bool) {
+	status, ok := m.Status()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	entry, known := l.current[m.Name]
+	if ok {
+		entry = protocol.MachineEntry{Machine: m.Name, Address: l.Address(m), Zone: m.ZoneIndex, MachineType: m.MachineTypeIndex,
+			RackGroup: m.RackGroupIndex, FreeCores: status.FreeCores, FreeMemory: status.FreeMemory, PowerHint: 1,
+			Incarnation: status.Incarnation, State: l.operatorState[m.Name]}
+		l.startedAt[m.Name] = status.StartedAt
+	}
+	up := ok && status.Up
+	switch downSince, down := l.downSince[m.Name]; {
+	case up:
+		delete(l.downSince, m.Name)
+	case !down:
+		l.downSince[m.Name] = now
+	case now.Sub(downSince) > l.FailureDetection:
+		entry.State = protocol.MachineGone
+	}
+	return entry, known || up
+}
+
+// apply puts what has changed into the list and sends it to the watching schedulers.
+func (l *MachineList) apply(observed []protocol.MachineEntry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var changed []protocol.MachineEntry
-	for _, e := range seen {
-		e.Age = 0
-		old, known := l.current[e.Machine]
-		if known && old == e || !known && e.State == protocol.MachineGone {
+	for _, entry := range observed {
+		entry.Age = 0
+		if !l.isChange(entry) {
 			continue
 		}
-		if e.State == protocol.MachineGone && known && old.State == protocol.MachineGone {
-			continue
-		}
-		l.current[e.Machine] = e
-		l.changes = append(l.changes, e)
-		changed = append(changed, e)
+		l.current[entry.Machine] = entry
+		l.changes = append(l.changes, entry)
+		changed = append(changed, entry)
 	}
 	if len(changed) == 0 || l.unreachable {
 		return
 	}
-	f := &protocol.MachineListUpdate{Version: int64(len(l.changes)), Entries: l.withAge(changed)}
-	for c, watches := range l.conns {
+	update := &protocol.MachineListUpdate{Version: int64(len(l.changes)), Entries: l.withAge(changed)}
+	for conn, watches := range l.conns {
 		if watches {
-			c.send(f)
+			conn.send(update)
 		}
 	}
 }
 
+// isChange reports whether an entry differs from the list; two entries of a machine that is gone do not.
+func (l *MachineList) isChange(entry protocol.MachineEntry) bool {
+	old, known := l.current[entry.Machine]
+	if !known {
+		return entry.State != protocol.MachineGone
+	}
+	bothGone := entry.State == protocol.MachineGone && old.State == protocol.MachineGone
+	return old != entry && !bothGone
+}
+
+// withAge copies entries and fills in how long ago their machines started.
 func (l *MachineList) withAge(entries []protocol.MachineEntry) []protocol.MachineEntry {
-	out := append([]protocol.MachineEntry(nil), entries...)
-	for i := range out {
-		out[i].Age = protocol.Duration(time.Since(l.startedAt[out[i].Machine]).Microseconds() / 100)
+	aged := append([]protocol.MachineEntry(nil), entries...)
+	for i := range aged {
+		aged[i].Age = toProtocol(time.Since(l.startedAt[aged[i].Machine]))
 	}
-	return out
+	return aged
 }
 
-func (l *MachineList) serve(c *listConn) {
-	defer c.Close()
-	f, err := protocol.ReadFrame(c, 1024)
-	if hello, ok := f.(*protocol.Hello); err != nil || !ok || hello.Role != protocol.RoleScheduler {
+func (l *MachineList) serve(conn *listConn) {
+	defer closeQuietly(conn)
+	first, err := protocol.ReadFrame(conn, maxHelloSize)
+	if hello, ok := first.(*protocol.Hello); err != nil || !ok || hello.Role != protocol.RoleScheduler {
 		return
 	}
-	l.mu.Lock()
-	away := l.unreachable
-	if !away {
-		l.conns[c] = false
-	}
-	l.mu.Unlock()
-	if away {
+	if !l.register(conn) {
 		return
 	}
-	gone := make(chan struct{})
-	defer close(gone)
-	c.send(protocol.NewHello(protocol.RoleMachineList, "list", 1))
-	l.background.Go(func() { c.writeAll(gone) })
-	defer func() {
-		l.mu.Lock()
-		delete(l.conns, c)
-		l.mu.Unlock()
-	}()
+	defer l.unregister(conn)
+	stop := make(chan struct{})
+	defer close(stop)
+	conn.send(protocol.NewHello(protocol.RoleMachineList, "list", 1))
+	l.background.Go(func() { conn.writeAll(stop) })
 	for {
-		f, err := protocol.ReadFrame(c, protocol.MaxFrame)
+		frame, err := protocol.ReadFrame(conn, protocol.MaxFrame)
 		if err != nil {
 			return
 		}
-		if a := l.reply(c, f); a != nil {
-			c.send(a)
+		if reply := l.reply(conn, frame); reply != nil {
+			conn.send(reply)
 		}
 	}
 }
 
-func (l *MachineList) reply(c *listConn, f protocol.Frame) protocol.Frame {
+func (l *MachineList) register(conn *listConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := time.Now()
-	for len(l.recentCalls) > 0 && now.Sub(l.recentCalls[0]) > time.Second {
-		l.recentCalls = l.recentCalls[1:]
+	if l.unreachable {
+		return false
 	}
-	if l.recentCalls = append(l.recentCalls, now); l.CallsPerSecond > 0 && len(l.recentCalls) > l.CallsPerSecond {
+	l.conns[conn] = false
+	return true
+}
+
+func (l *MachineList) unregister(conn *listConn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.conns, conn)
+}
+
+// reply answers a call of a scheduler; nil where it gets no answer.
+func (l *MachineList) reply(conn *listConn, frame protocol.Frame) protocol.Frame {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.exceedsCallLimit() {
 		return &protocol.MachineListError{Message: "too many calls"}
 	}
-	version := int64(len(l.changes))
-	since := int64(0)
-	if w, ok := f.(*protocol.WatchMachineList); ok {
-		if !w.Enabled {
-			l.conns[c] = false
+	switch frame := frame.(type) {
+	case *protocol.FetchMachineList:
+		return l.fullSnapshot()
+	case *protocol.WatchMachineList:
+		l.conns[conn] = frame.Enabled
+		if !frame.Enabled {
 			return nil
 		}
-		l.conns[c] = true
-		since = w.SinceVersion
-	} else if _, ok := f.(*protocol.FetchMachineList); !ok {
-		return nil
+		return l.updateSince(frame.SinceVersion)
 	}
-	if since > 0 && since <= version && version-since < 10_000 {
+	return nil
+}
+
+func (l *MachineList) exceedsCallLimit() bool {
+	now := time.Now()
+	for len(l.recentCalls) > 0 && now.Sub(l.recentCalls[0]) > time.Second {
+		l.recentCalls = l.recentCalls[1:]
+	}
+	l.recentCalls = append(l.recentCalls, now)
+	return l.CallsPerSecond > 0 && len(l.recentCalls) > l.CallsPerSecond
+}
+
+func (l *MachineList) updateSince(since int64) protocol.Frame {
+	version := int64(len(l.changes))
+	if since > 0 && since <= version && version-since < maxDeltaEntries {
 		return &protocol.MachineListUpdate{Version: version, Entries: l.withAge(l.changes[since:])}
 	}
-	whole := &protocol.MachineListUpdate{FullSnapshot: true, Version: version}
+	return l.fullSnapshot()
+}
+
+func (l *MachineList) fullSnapshot() protocol.Frame {
+	snapshot := &protocol.MachineListUpdate{FullSnapshot: true, Version: int64(len(l.changes))}
 	for _, m := range l.machines {
-		if e, ok := l.current[m.Name]; ok && e.State != protocol.MachineGone {
-			whole.Entries = append(whole.Entries, e)
+		if entry, ok := l.current[m.Name]; ok && entry.State != protocol.MachineGone {
+			snapshot.Entries = append(snapshot.Entries, entry)
 		}
 	}
-	whole.Entries = l.withAge(whole.Entries)
-	return whole
+	snapshot.Entries = l.withAge(snapshot.Entries)
+	return snapshot
 }
--- a/internal/testbed/scenario/bgp.go
+++ b/internal/testbed/scenario/bgp.go
@@ -327,7 +327,7 @@
 				return "", err
 			}
 		}
-		_, before, _, _, _ := t.peers[0].Stats()
+		before := t.peers[0].Stats().Sessions
 		for _, m := range t.cluster.Machines {
 			if m.Name == machine {
 				go t.peers[0].Reset()
@@ -335,7 +335,7 @@
 				defer m.Start(true)
 			}
 		}
-		if err := t.until("the session is back", func() bool { _, n, _, _, _ := t.peers[0].Stats(); return n > before && t.peers[0].Established() }); err != nil {
+		if err := t.until("the session is back", func() bool { return t.peers[0].Stats().Sessions > before && t.peers[0].Established() }); err != nil {
 			return "", err
 		}
 		for k, p := range t.peers {
@@ -368,7 +368,7 @@
 	}); err != nil {
 		return "", err
 	}
-	_, stood, _, _, _ := good.Stats()
+	stood := good.Stats().Sessions
 	for _, do := range []struct {
 		name string
 		f    func()
@@ -376,9 +376,9 @@
 	}{{"garbage", bad.SendGarbage, func() {}}, {"half a message, then silence", func() { bad.SendPartial(); bad.SetSilent(true) }, func() { bad.SetSilent(false) }},
 		{"silence", func() { bad.SetSilent(true) }, func() { bad.SetSilent(false) }},
 		{"another AS", func() { bad.SetWrongAS(true); bad.Reset(); time.Sleep(2 * time.Second) }, func() { bad.SetWrongAS(false) }}} {
-		_, before, _, _, _ := bad.Stats()
+		before := bad.Stats().Sessions
 		do.f()
-		if err := t.until(do.name+" ends the session", func() bool { _, n, _, _, _ := bad.Stats(); return !bad.Established() || n > before }); err != nil {
+		if err := t.until(do.name+" ends the session", func() bool { return !bad.Established() || bad.Stats().Sessions > before }); err != nil {
 			return "", err
 		}
 		do.over()
@@ -389,7 +389,7 @@
 			return "", fmt.Errorf("%s: %w", do.name, err)
 		}
 	}
-	if _, n, _, _, _ := good.Stats(); n != stood {
+	if n := good.Stats().Sessions; n != stood {
 		t.miss("the other peer's session was touched")
 	}
 	t.send(&protocol.CancelContainer{ContainerID: id})
--- a/internal/testbed/scenario/loadbgp.go
+++ b/internal/testbed/scenario/loadbgp.go
@@ -80,11 +80,12 @@
 	}
 	began := time.Now()
 	on(func() { s.Handle(events...) })
-	if err := wait("all routes", func(p *emulator.BGPPeer) bool { n, _, _, _, _ := p.Stats(); return n == prefixes }); err != nil {
+	if err := wait("all routes", func(p *emulator.BGPPeer) bool { return p.Stats().Routes == prefixes }); err != nil {
 		return err
 	}
 	took := time.Since(began)
-	_, _, _, messages, bytes := all[0].Stats()
+	stats := all[0].Stats()
+	messages, bytes := stats.Updates, stats.UpdateSize
 	fmt.Fprintf(out, "%d prefixes to %d peers: all have them after %d ms, %d messages and %d bytes a peer\n", prefixes, peers, took.Milliseconds(),
 		messages, bytes)
 	// A tenth changes, one peer slow: the others must not wait for it.
@@ -100,7 +101,7 @@
 	slow, rest := all[0], all[1:]
 	if len(rest) > 0 {
 		all = rest
-		if err := wait("withdrawals", func(p *emulator.BGPPeer) bool { n, _, _, _, _ := p.Stats(); return n == prefixes-tenth }); err != nil {
+		if err := wait("withdrawals", func(p *emulator.BGPPeer) bool { return p.Stats().Routes == prefixes-tenth }); err != nil {
 			return err
 		}
 		fmt.Fprintf(out, "%d of them change at once, one of %d peers takes a message each 20 ms: the others have it after %d ms", tenth, peers,
@@ -109,7 +110,7 @@
 		fmt.Fprintf(out, "%d of them change at once, the peer takes a message each 20 ms: it", tenth)
 	}
 	all = []*emulator.BGPPeer{slow}
-	if err := wait("withdrawals", func(p *emulator.BGPPeer) bool { n, _, _, _, _ := p.Stats(); return n == prefixes-tenth }); err != nil {
+	if err := wait("withdrawals", func(p *emulator.BGPPeer) bool { return p.Stats().Routes == prefixes-tenth }); err != nil {
 		return err
 	}
 	if len(rest) > 0 {
