--- a/internal/testbed/faultproxy/record.go
+++ b/internal/testbed/faultproxy/record.go
@@ -1,5 +1,5 @@
-// Package faultproxy sits on the sockets between placers and what they talk to: it passes frames on, writes down what
-// passed and when, and plays faults of the network. It is no part of a placer.
+// Package faultproxy sits on the connections between schedulers and what they talk to. It forwards frames, records what
+// passed and when, and injects faults of the network. A scheduler does not know of it.
 package faultproxy
 
 import (
@@ -17,47 +17,63 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// EntryKind tells what an entry of a record is.
+const (
+	format        = "glenport record 1"
+	bufferSize    = 1 << 20 // bytes
+	recordingTick = 100 * time.Microsecond
+)
+
+// EntryKind says what an entry of a recording is about.
 type EntryKind uint8
 
+// The kinds of entries. Their values are part of the format.
 const (
-	Opened EntryKind = 1 + iota // a link, once both sides have greeted or the caller has
-	Closed
-	FromScheduler // a frame that a placer sent, when it was sent
-	ToScheduler   // a frame that a placer got, just before it was passed on
-	Killed        // a placer was killed, or came up, by Placer's name
-	Started
-	Lost // a frame to a placer that the network lost
+	Opened        EntryKind = 1 + iota // a connection, once the caller has sent its hello and the target is reached
+	Closed                             // the scheduler's end of a connection
+	FromScheduler                      // a frame that a scheduler sent, when it was sent
+	ToScheduler                        // a frame to a scheduler, just before it was forwarded
+	Killed                             // a scheduler's process
+	Started                            // a scheduler's process
+	Lost                               // a frame to a scheduler that the network lost
 )
 
-// Entry is one line of a record; times are tenths of a millisecond since its start.
+// Entry is one entry of a recording. The names in the tags, and the order of the fields, are those of the format.
 type Entry struct {
 	_         struct{}      `cbor:",toarray"`
-	At        int64         `cbor:"At"`
+	At        int64         `cbor:"At"` // tenths of a millisecond since the recording began
 	Kind      EntryKind     `cbor:"Sort"`
 	ConnID    uint32        `cbor:"Link"`
 	Scheduler string        `cbor:"Placer"`
 	Peer      protocol.Role `cbor:"Far"`   // what is at the other end
-	PeerName  string        `cbor:"Name"`  // and its name
-	Frame     []byte        `cbor:"Frame"` // without its length
+	PeerName  string        `cbor:"Name"`  // of that
+	Frame     []byte        `cbor:"Frame"` // without its length prefix
 }
 
 // Decoded is the frame of an entry.
 func (e *Entry) Decoded() (protocol.Frame, error) { return protocol.Decode(e.Frame) }
 
-// Header says what a record must be judged by.
+// Header says against what a recording is to be checked.
 type Header struct {
 	_          struct{}         `cbor:",toarray"`
 	Format     string           `cbor:"Format"`
 	Config     scheduler.Config `cbor:"Terms"`
 	DrainGrace scheduler.Time   `cbor:"DrainGrace"`
-	Slack      scheduler.Time   `cbor:"Slack"` // by which a time on the sockets may differ from a placer's own
+	Slack      scheduler.Time   `cbor:"Slack"` // by which a recorded time may differ from a scheduler's own
 }
 
-const format = "glenport record 1"
+// FormatError says that a file is no recording of this format.
+type FormatError struct {
+	Path  string
+	Cause error // of decoding the header; nil where it names another format
+}
+
+func (e *FormatError) Error() string { return fmt.Sprintf("%s is no %s (%v)", e.Path, format, e.Cause) }
+
+// Unwrap returns the cause.
+func (e *FormatError) Unwrap() error { return e.Cause }
 
-// Writer writes a record; any goroutine may use it. Entries are stamped and put in order at once, and encoded and
-// written by a goroutine of their own: a slow disk must not hold up what passes.
+// Writer writes a recording; any goroutine may use it. Entries are stamped and ordered at once, and encoded and written by
+// a goroutine of the writer: a slow disk must not delay the frames.
 type Writer struct {
 	startedAt time.Time
 	mu        sync.Mutex
@@ -67,57 +83,63 @@
 	result    chan error
 }
 
-// Create begins a record in a file.
-func Create(path string, h Header) (*Writer, error) {
-	f, err := os.Create(path)
+// Create begins a recording in a file. It sets the header's format.
+func Create(path string, header Header) (*Writer, error) {
+	file, err := os.Create(path)
 	if err != nil {
 		return nil, err
 	}
 	w := &Writer{startedAt: time.Now(), result: make(chan error, 1)}
 	w.wake = sync.NewCond(&w.mu)
-	h.Format = format
-	go func() { w.result <- w.write(f, h) }()
+	header.Format = format
+	go func() { w.result <- w.writeAll(file, header) }()
 	return w, nil
 }
 
-// write encodes what is due until the end; it goes on past a fault, so that nobody waits, and tells the first.
-func (w *Writer) write(f *os.File, h Header) error {
-	out := bufio.NewWriterSize(f, 1<<20)
-	enc := cbor.NewEncoder(out)
-	first := enc.Encode(h)
+// writeAll encodes pending entries until the end. It goes on after an error, so that nobody waits, and returns the first.
+func (w *Writer) writeAll(file *os.File, header Header) error {
+	out := bufio.NewWriterSize(file, bufferSize)
+	encoder := cbor.NewEncoder(out)
+	firstErr := encoder.Encode(header)
 	for {
-		w.mu.Lock()
-		for len(w.pending) == 0 && !w.ended {
-			w.wake.Wait()
+		entries := w.takePending()
+		if len(entries) == 0 {
+			return errors.Join(firstErr, out.Flush(), file.Close())
 		}
-		due, ended := w.pending, w.ended
-		w.pending = nil
-		w.mu.Unlock()
-		for i := range due {
-			if err := enc.Encode(due[i]); err != nil && first == nil {
-				first = err
+		for i := range entries {
+			if err := encoder.Encode(entries[i]); err != nil && firstErr == nil {
+				firstErr = err
 			}
 		}
-		if ended && len(due) == 0 {
-			return errors.Join(first, out.Flush(), f.Close())
-		}
 	}
 }
 
-func (w *Writer) add(e Entry) {
+// takePending waits for entries; none once the recording has ended.
+func (w *Writer) takePending() []Entry {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for len(w.pending) == 0 && !w.ended {
+		w.wake.Wait()
+	}
+	entries := w.pending
+	w.pending = nil
+	return entries
+}
+
+func (w *Writer) add(entry Entry) {
 	w.mu.Lock()
-	e.At = time.Since(w.startedAt).Microseconds() / 100
-	w.pending = append(w.pending, e)
+	defer w.mu.Unlock()
+	entry.At = int64(time.Since(w.startedAt) / recordingTick)
+	w.pending = append(w.pending, entry)
 	w.wake.Signal()
-	w.mu.Unlock()
 }
 
-// RecordLifecycle writes down that a placer was killed or started.
-func (w *Writer) RecordLifecycle(s EntryKind, placer string) {
-	w.add(Entry{Kind: s, Scheduler: placer})
+// RecordLifecycle records that a scheduler's process was killed or started.
+func (w *Writer) RecordLifecycle(kind EntryKind, schedulerName string) {
+	w.add(Entry{Kind: kind, Scheduler: schedulerName})
 }
 
-// Close ends the record and tells the first fault met in writing it.
+// Close ends the recording and returns the first error met in writing it.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	w.ended = true
@@ -126,25 +148,26 @@
 	return <-w.result
 }
 
-// Read reads a record's header, then hands each entry to each.
-func Read(path string, h *Header, each func(*Entry) error) error {
-	f, err := os.Open(path)
+// Read reads a recording's header, then calls each for every entry. It stops at the first error of each. A file of
+// another format is a *FormatError.
+func Read(path string, header *Header, each func(*Entry) error) error {
+	file, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	d := cbor.NewDecoder(bufio.NewReaderSize(f, 1<<20))
-	if err := d.Decode(h); err != nil || h.Format != format {
-		return fmt.Errorf("%s is no %s (%v)", path, format, err)
+	defer func() { _ = file.Close() }() // it was only read
+	decoder := cbor.NewDecoder(bufio.NewReaderSize(file, bufferSize))
+	if err := decoder.Decode(header); err != nil || header.Format != format {
+		return &FormatError{Path: path, Cause: err}
 	}
 	for n := 1; ; n++ {
-		var e Entry
-		if err := d.Decode(&e); err == io.EOF {
+		var entry Entry
+		if err := decoder.Decode(&entry); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return fmt.Errorf("%s: entry %d: %w", path, n, err)
 		}
-		if err := each(&e); err != nil {
+		if err := each(&entry); err != nil {
 			return err
 		}
 	}
--- a/internal/testbed/faultproxy/record_test.go
+++ b/internal/testbed/faultproxy/record_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"flag"
 	"fmt"
 	"os"
@@ -220,5 +221,9 @@
 		if err == nil || err.Error() != path+tc.want {
 			t.Errorf("%s: %v, want %s", title, err, path+tc.want)
 		}
+		var formatError *FormatError
+		if isFormat := errors.As(err, &formatError); isFormat != (title != "cut short") {
+			t.Errorf("%s: %v is a FormatError: %v", title, err, isFormat)
+		}
 	}
 }
