--- a/cmd/glenport-testbed/main.go
+++ b/cmd/glenport-testbed/main.go
@@ -168,7 +168,7 @@
 			return err
 		}
 		if r := h.Speaker(); r != nil && spoil != "" {
-			r.WrapDecider(func(d speaker.RouteDecider) speaker.RouteDecider { return mutants.NewRouteMutant(spoil, d) })
+			r.WrapDecider(func(d speaker.RouteDecider) speaker.RouteDecider { return mutants.NewRouteMutant(mutants.RouteMutation(spoil), d) })
 		}
 		told := make(chan os.Signal, 1)
 		signal.Notify(told, syscall.SIGINT, syscall.SIGTERM)
--- a/internal/testbed/mutants/mutants.go
+++ b/internal/testbed/mutants/mutants.go
@@ -1,122 +1,177 @@
-// Package mutants breaks one of the five rules on purpose, so that an audit can prove that it sees it. Only
-// the laboratory uses it.
+// Package mutants wraps the decisions of a scheduler or of a route announcer so that they break a rule on purpose: a check
+// that does not see the mutant checks nothing. Only the test bed uses it.
 package mutants
 
 import (
 	"fmt"
-	"sort"
+	"slices"
 
 	"glenport/internal/schedulerd"
 	"glenport/scheduler"
 )
 
-// Mutant stands between a host and the decisions and breaks one rule.
+// The rules that a mutant may break.
+const (
+	ruleOneAnswer  = 1 + iota // every request gets one final answer
+	ruleAtMostOnce            // nothing runs more often than its idempotency allows
+	ruleDraining              // no attempt goes to a draining machine
+	ruleSlowStart             // machines in slow start get no more than their budget
+	ruleSpread                // no group holds more of a service than it may
+	lastRule       = ruleSpread
+)
+
+const (
+	lostRequestInterval = 25 // of this many requests one is never answered
+	hastyTimeout        = 5 * scheduler.Millisecond
+)
+
+// UnknownRuleError says that there is no rule of a number.
+type UnknownRuleError struct{ Rule int }
+
+func (e *UnknownRuleError) Error() string {
+	return fmt.Sprintf("there are rules 1 to %d, no rule %d", lastRule, e.Rule)
+}
+
+// Mutant stands between a scheduler's process and its decisions and breaks one rule.
 type Mutant struct {
 	schedulerd.Scheduler
 	rule       int
 	config     scheduler.Config
 	requests   int
 	machines   map[scheduler.MachineID]scheduler.MachineEntry
-	atMostOnce map[scheduler.ContainerID]scheduler.PlacementRequest // at-most-once, until their end
-	duplicated map[scheduler.ContainerID]bool
+	atMostOnce map[scheduler.ContainerID]bool // requests of that idempotency, until their end
+	duplicated map[scheduler.ContainerID]bool // those of which a second copy was started
 }
 
-// New breaks the rule of that number.
-func New(rule int, t scheduler.Config, d schedulerd.Scheduler) (*Mutant, error) {
-	if rule < 1 || rule > 5 {
-		return nil, fmt.Errorf("there are rules 1 to 5, no rule %d", rule)
+// New returns a mutant that breaks the rule of that number. The error is an *UnknownRuleError.
+func New(rule int, config scheduler.Config, decisions schedulerd.Scheduler) (*Mutant, error) {
+	if rule < ruleOneAnswer || rule > lastRule {
+		return nil, &UnknownRuleError{Rule: rule}
 	}
-	return &Mutant{Scheduler: d, rule: rule, config: t, machines: map[scheduler.MachineID]scheduler.MachineEntry{},
-		atMostOnce: map[scheduler.ContainerID]scheduler.PlacementRequest{}, duplicated: map[scheduler.ContainerID]bool{}}, nil
+	return &Mutant{
+		Scheduler:  decisions,
+		rule:       rule,
+		config:     config,
+		machines:   map[scheduler.MachineID]scheduler.MachineEntry{},
+		atMostOnce: map[scheduler.ContainerID]bool{},
+		duplicated: map[scheduler.ContainerID]bool{},
+	}, nil
 }
 
-func (b *Mutant) Handle(now scheduler.Time, events []scheduler.Event) []scheduler.Action {
-	var extra []scheduler.Action
+// Handle withholds events from the decisions and changes the machines of their attempts, as the broken rule asks for.
+func (m *Mutant) Handle(now scheduler.Time, events []scheduler.Event) []scheduler.Action {
+	var duplicates []scheduler.Action
 	kept := events[:0]
-	for _, e := range events {
-		switch e := e.(type) {
+	for _, event := range events {
+		switch event := event.(type) {
 		case scheduler.MachineListUpdate:
-			for _, m := range e.Entries {
-				b.machines[m.Machine] = m
+			for _, entry := range event.Entries {
+				m.machines[entry.Machine] = entry
 			}
 		case scheduler.RequestReceived:
-			if b.requests++; b.rule == 1 && b.requests%25 == 0 {
-				continue // nobody will ever answer it
-			}
-			if b.idempotency(e.WorkloadClass) == scheduler.AtMostOnce {
-				b.atMostOnce[e.ID] = e.PlacementRequest
+			if m.losesRequest(event) {
+				continue
 			}
 		case scheduler.AttemptEnded:
-			_, open := b.atMostOnce[e.ID]
-			mayHaveRun := e.Outcome == scheduler.OutcomeTimedOut || e.Outcome == scheduler.OutcomeLost || e.Outcome == scheduler.OutcomeErrored
-			if b.rule == 2 && open && !e.Final && mayHaveRun && !b.duplicated[e.ID] {
-				if m, ok := b.firstMatching(e.Machine, func(scheduler.MachineEntry) bool { return true }); ok {
-					b.duplicated[e.ID] = true
-					extra = append(extra, scheduler.StartAttempt{ID: e.ID, Machine: m})
-					continue
-				}
-			}
-			if e.Final {
-				delete(b.atMostOnce, e.ID)
-				delete(b.duplicated, e.ID)
+			if duplicate, ok := m.duplicate(event); ok {
+				duplicates = append(duplicates, duplicate)
+				continue
 			}
 		}
-		kept = append(kept, e)
+		kept = append(kept, event)
 	}
-	actions := append(b.Scheduler.Handle(now, kept), extra...)
-	for i, a := range actions {
-		bid, ok := a.(scheduler.StartAttempt)
-		if !ok {
-			continue
+	actions := append(m.Scheduler.Handle(now, kept), duplicates...)
+	for i, action := range actions {
+		if attempt, ok := action.(scheduler.StartAttempt); ok {
+			actions[i] = m.mutate(now, attempt)
 		}
-		to, found := bid.Machine, false
-		switch b.rule {
-		case 2:
-			if _, open := b.atMostOnce[bid.ID]; open && !b.duplicated[bid.ID] {
-				bid.Timeout = 5 * scheduler.Millisecond // no yes comes so soon
-			}
-		case 3:
-			// Each in turn: what waits for the link of one that cannot be reached the host does not send.
-			if all := b.matching("", func(m scheduler.MachineEntry) bool { return m.State == scheduler.MachineDraining }); len(all) > 0 {
-				to, found = all[b.requests%len(all)], true
-			}
-		case 4:
-			to, found = b.firstMatching("", func(m scheduler.MachineEntry) bool {
-				return m.State == scheduler.MachineServing && m.StartedAt > 0 && now < m.StartedAt+b.config.SlowStartPeriod
-			})
-		case 5:
-			to, found = b.firstMatching("", func(m scheduler.MachineEntry) bool { return m.State == scheduler.MachineServing })
+	}
+	return actions
+}
+
+// losesRequest takes note of a request and reports whether the decisions never hear of it.
+func (m *Mutant) losesRequest(request scheduler.RequestReceived) bool {
+	m.requests++
+	if m.rule == ruleOneAnswer && m.requests%lostRequestInterval == 0 {
+		return true
+	}
+	if m.idempotency(request.WorkloadClass) == scheduler.AtMostOnce {
+		m.atMostOnce[request.ID] = true
+	}
+	return false
+}
+
+// duplicate starts a second copy of a container that may have run and must not run again.
+func (m *Mutant) duplicate(ended scheduler.AttemptEnded) (scheduler.StartAttempt, bool) {
+	id := ended.ID
+	if m.rule == ruleAtMostOnce && m.atMostOnce[id] && !ended.Final && mayHaveRun(ended.Outcome) && !m.duplicated[id] {
+		anyMachine := func(scheduler.MachineEntry) bool { return true }
+		if machine, ok := m.firstMatching(ended.Machine, anyMachine); ok {
+			m.duplicated[id] = true
+			return scheduler.StartAttempt{ID: id, Machine: machine}, true
+		}
+	}
+	if ended.Final {
+		delete(m.atMostOnce, id)
+		delete(m.duplicated, id)
+	}
+	return scheduler.StartAttempt{}, false
+}
+
+func mayHaveRun(outcome scheduler.Outcome) bool {
+	return outcome == scheduler.OutcomeTimedOut || outcome == scheduler.OutcomeLost || outcome == scheduler.OutcomeErrored
+}
+
+// mutate changes an attempt so that it breaks the rule, where a machine for that exists.
+func (m *Mutant) mutate(now scheduler.Time, attempt scheduler.StartAttempt) scheduler.StartAttempt {
+	machine, found := scheduler.MachineID(""), false
+	switch m.rule {
+	case ruleAtMostOnce:
+		if m.atMostOnce[attempt.ID] && !m.duplicated[attempt.ID] {
+			attempt.Timeout = hastyTimeout // no machine accepts so soon
 		}
-		if found {
-			bid.Machine = to
+	case ruleDraining:
+		// Each in turn: the process does not send what waits for a connection to an unreachable machine.
+		draining := m.matching("", func(e scheduler.MachineEntry) bool { return e.State == scheduler.MachineDraining })
+		if len(draining) > 0 {
+			machine, found = draining[m.requests%len(draining)], true
 		}
-		actions[i] = bid
+	case ruleSlowStart:
+		machine, found = m.firstMatching("", func(e scheduler.MachineEntry) bool {
+			return e.State == scheduler.MachineServing && e.StartedAt > 0 && now < e.StartedAt+m.config.SlowStartPeriod
+		})
+	case ruleSpread:
+		machine, found = m.firstMatching("", func(e scheduler.MachineEntry) bool { return e.State == scheduler.MachineServing })
 	}
-	return actions
+	if found {
+		attempt.Machine = machine
+	}
+	return attempt
 }
 
-func (b *Mutant) idempotency(workload int) scheduler.Idempotency {
-	if workload < len(b.config.WorkloadClasses) {
-		return b.config.WorkloadClasses[workload].Idempotency
+func (m *Mutant) idempotency(workload int) scheduler.Idempotency {
+	if workload < len(m.config.WorkloadClasses) {
+		return m.config.WorkloadClasses[workload].Idempotency
 	}
 	return scheduler.Idempotent
 }
 
-// firstMatching is the first machine, by name, that fits and is not the one given.
-func (b *Mutant) firstMatching(than scheduler.MachineID, fits func(scheduler.MachineEntry) bool) (scheduler.MachineID, bool) {
-	if all := b.matching(than, fits); len(all) > 0 {
-		return all[0], true
+// firstMatching is the first machine by name that matches and is not the excluded one.
+func (m *Mutant) firstMatching(excluded scheduler.MachineID, matches func(scheduler.MachineEntry) bool) (scheduler.MachineID, bool) {
+	all := m.matching(excluded, matches)
+	if len(all) == 0 {
+		return "", false
 	}
-	return "", false
+	return all[0], true
 }
 
-func (b *Mutant) matching(than scheduler.MachineID, fits func(scheduler.MachineEntry) bool) []scheduler.MachineID {
+func (m *Mutant) matching(excluded scheduler.MachineID, matches func(scheduler.MachineEntry) bool) []scheduler.MachineID {
 	var all []scheduler.MachineID
-	for id, m := range b.machines {
-		if id != than && fits(m) {
+	for id, entry := range m.machines {
+		if id != excluded && matches(entry) {
 			all = append(all, id)
 		}
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i] < all[j] })
+	slices.Sort(all)
 	return all
 }
--- a/internal/testbed/mutants/routes.go
+++ b/internal/testbed/mutants/routes.go
@@ -8,13 +8,29 @@
 	"glenport/scheduler"
 )
 
-// routeMutant spoils what an announcer decides.
+// RouteMutation is a way to break the announcing of routes; its text is the value of the command line flag.
+type RouteMutation string
+
+const (
+	// LateWithdrawals makes each withdrawal three seconds late.
+	LateWithdrawals RouteMutation = "late"
+	// UpdateStorm announces and withdraws at each start and end of a container, without damping.
+	UpdateStorm RouteMutation = "storm"
+)
+
+const (
+	withdrawalDelay  = 3 * scheduler.Second
+	stormPreference  = 100
+	timerGranularity = 1 // by which the timer fires after a delayed action is due
+)
+
+// routeMutant stands between a BGP speaker and its decisions.
 type routeMutant struct {
 	speaker.RouteDecider
-	kind          string
+	mutation      RouteMutation
 	delayed       []delayedAction
-	lastAnnounced map[string]announce.Announce // what was announced last of each service
-	prefixes      map[string]netip.Prefix
+	announcements map[string]announce.Announce // by service
+	prefixes      map[string]netip.Prefix      // by service
 }
 
 type delayedAction struct {
@@ -22,38 +38,52 @@
 	action announce.Action
 }
 
-// NewRouteMutant makes withdrawals three seconds late ("late"), or tells each change at once ("storm").
-func NewRouteMutant(how string, d speaker.RouteDecider) speaker.RouteDecider {
-	return &routeMutant{RouteDecider: d, kind: how, lastAnnounced: map[string]announce.Announce{}, prefixes: map[string]netip.Prefix{}}
+// NewRouteMutant wraps decisions so that they are broken as the mutation says; an unknown mutation breaks nothing.
+func NewRouteMutant(mutation RouteMutation, decisions speaker.RouteDecider) speaker.RouteDecider {
+	return &routeMutant{RouteDecider: decisions, mutation: mutation,
+		announcements: map[string]announce.Announce{}, prefixes: map[string]netip.Prefix{}}
 }
 
+// Handle changes the actions of the decisions.
 func (r *routeMutant) Handle(now scheduler.Time, events []announce.Event) []announce.Action {
-	var out []announce.Action
-	for len(r.delayed) > 0 && r.delayed[0].dueAt <= now {
-		out = append(out, r.delayed[0].action)
-		r.delayed = r.delayed[1:]
-	}
-	for _, a := range r.RouteDecider.Handle(now, events) {
-		if w, ok := a.(announce.Withdraw); ok && r.kind == "late" {
-			r.delayed = append(r.delayed, delayedAction{now + 3*scheduler.Second, w})
-			out = append(out, announce.SetTimer{After: 3*scheduler.Second + 1})
-			continue
+	actions := r.takeDue(now)
+	for _, action := range r.RouteDecider.Handle(now, events) {
+		if withdraw, ok := action.(announce.Withdraw); ok && r.mutation == LateWithdrawals {
+			r.delayed = append(r.delayed, delayedAction{now + withdrawalDelay, withdraw})
+			action = announce.SetTimer{After: withdrawalDelay + timerGranularity}
 		}
-		out = append(out, a)
+		actions = append(actions, action)
 	}
-	if r.kind != "storm" {
-		return out
+	if r.mutation == UpdateStorm {
+		actions = append(actions, r.storm(events)...)
 	}
-	for _, e := range events {
-		switch e := e.(type) {
+	return actions
+}
+
+func (r *routeMutant) takeDue(now scheduler.Time) []announce.Action {
+	var due []announce.Action
+	for len(r.delayed) > 0 && r.delayed[0].dueAt <= now {
+		due = append(due, r.delayed[0].action)
+		r.delayed = r.delayed[1:]
+	}
+	return due
+}
+
+// storm answers each event of a container at once.
+func (r *routeMutant) storm(events []announce.Event) []announce.Action {
+	var actions []announce.Action
+	for _, event := range events {
+		switch event := event.(type) {
 		case announce.ServiceSet:
-			r.prefixes[e.Name] = e.Service.Prefix
-			r.lastAnnounced[e.Name] = announce.Announce{Prefix: e.Service.Prefix, Path: announce.Path{NextHop: e.Service.NextHop, Preference: 100}}
+			service := event.Service
+			r.prefixes[event.Name] = service.Prefix
+			r.announcements[event.Name] = announce.Announce{Prefix: service.Prefix,
+				Path: announce.Path{NextHop: service.NextHop, Preference: stormPreference}}
 		case announce.ContainerRunning:
-			out = append(out, r.lastAnnounced[e.Service])
+			actions = append(actions, r.announcements[event.Service])
 		case announce.ContainerEnded:
-			out = append(out, announce.Withdraw{Prefix: r.prefixes[e.Service]})
+			actions = append(actions, announce.Withdraw{Prefix: r.prefixes[event.Service]})
 		}
 	}
-	return out
+	return actions
 }
