--- a/internal/bgp/speaker/speaker_test.go
+++ b/internal/bgp/speaker/speaker_test.go
@@ -133,11 +133,11 @@
 	f := startSpeaker(t, nil)
 	f.runContainers("web")
 	f.waitUntil("it is announced", func() bool { return has(f.outer, web) })
-	if _, _, ends, _, _ := f.outer.Stats(); ends != 0 {
+	if ends := f.outer.Stats().EndOfRIBs; ends != 0 {
 		t.Error("the end was marked before all was known")
 	}
 	f.onLoop(f.speaker.MarkRoutesComplete)
-	f.waitUntil("both families are marked", func() bool { _, _, ends, _, _ := f.outer.Stats(); return ends == 2 })
+	f.waitUntil("both families are marked", func() bool { return f.outer.Stats().EndOfRIBs == 2 })
 }
 
 // A stop sends a shutdown message, by which peers drop routes that they would keep over a restart.
--- a/internal/testbed/scenario/load_bgp.go
+++ b/internal/testbed/scenario/load_bgp.go
@@ -119,8 +119,7 @@
 // waitForRoutes waits until each of some peers has exactly n routes.
 func (b *bgpBench) waitForRoutes(what string, peers []*emulator.BGPPeer, n int) error {
 	return b.waitForPeers(what, peers, func(p *emulator.BGPPeer) bool {
-		routes, _, _, _, _ := p.Stats()
-		return routes == n
+		return p.Stats().Routes == n
 	})
 }
 
@@ -135,9 +134,9 @@
 		return err
 	}
 	took := time.Since(began)
-	_, _, _, messages, bytes := b.peers[0].Stats()
+	stats := b.peers[0].Stats()
 	printf(out, "%d prefixes to %d peers: all have them after %d ms, %d messages and %d bytes a peer\n", b.prefixes, len(b.peers),
-		took.Milliseconds(), messages, bytes)
+		took.Milliseconds(), stats.Updates, stats.UpdateSize)
 	return nil
 }
 
--- a/internal/testbed/scenario/trial_bgp.go
+++ b/internal/testbed/scenario/trial_bgp.go
@@ -64,8 +64,7 @@
 
 // establishedCount is how many sessions the peer has had.
 func establishedCount(p *emulator.BGPPeer) int {
-	_, sessions, _, _, _ := p.Stats()
-	return sessions
+	return p.Stats().Sessions
 }
 
 // Run plays the trial and reports whether all held.
