--- a/internal/testbed/scenario/cluster.go
+++ b/internal/testbed/scenario/cluster.go
@@ -109,7 +109,7 @@
 
 // startList starts the machine list, which knows machines by their proxies, and returns the address of its own proxy.
 func (c *Cluster) startList(timing listTiming, proxies map[*emulator.Machine]string) (proxy string, err error) {
-	c.List = &emulator.MachineList{Lag: timing.Lag, FailureDetection: timing.DeathNotice, PollInterval: timing.Period, CallsPerSecond: timing.CallsPerSecond,
+	c.List = &emulator.MachineList{Lag: timing.Lag, FailureDetection: timing.FailureDetection, PollInterval: timing.PollInterval, CallsPerSecond: timing.CallsPerSecond,
 		Address: func(m *emulator.Machine) string { return proxies[m] }}
 	if c.ListAddr, err = c.List.Open(c.Machines); err != nil {
 		return "", err
--- a/internal/testbed/scenario/crash_check.go
+++ b/internal/testbed/scenario/crash_check.go
@@ -17,79 +17,98 @@
 	Seed         uint64
 	Commits      int
 	RandomStates int    // states drawn at each operation, beside all lost and all kept
-	Sabotage     string // sync or checksum: sabotage
+	Sabotage     string // SabotageSync, SabotageChecksum or none
 
-	Operations, States, SecondCrashes, BitFlips, Refused int
+	Operations    int // of the history on the file system
+	States        int // left by one crash and recovered
+	SecondCrashes int // of recoveries
+	BitFlips      int
+	Refused       int // bit flips that recovery refused
 }
 
 // commitPoint is one commit of the history.
 type commitPoint struct {
-	state          string
-	firstOperation int // operations before it
-	lastOperation  int // operations when it was acknowledged
+	state          string // encoded
+	firstOperation int    // operations before it
+	lastOperation  int    // operations when it was acknowledged
 	durable        bool
 }
 
-// history commits and notes what must be found. Every commit changes the value of "n", so that states differ.
-func (c *CrashCheck) history(d *faultfs.FS) ([]commitPoint, error) {
-	s, _, err := wal.Open(d, wal.Options{MinSnapshotLog: 2000})
+// model is what a log holds after some commits, by kind and key.
+type model map[string]string
+
+// history commits random changes and returns what must be found after each. Every commit changes the value of "n", so
+// that states differ.
+func (c *CrashCheck) history(fs *faultfs.FS) ([]commitPoint, error) {
+	log, _, err := wal.Open(fs, wal.Options{MinSnapshotLog: 2000})
 	if err != nil {
 		return nil, err
 	}
 	r := rand.New(rand.NewPCG(c.Seed, 3))
-	model := map[string]string{}
-	all := []commitPoint{{state: encodeModel(model)}}
+	held := model{}
+	commits := []commitPoint{{state: held.encode()}}
 	for n := range c.Commits {
-		changes := []wal.Change{{Kind: "count", Key: "n", Value: fmt.Append(nil, n+1)}}
-		for range r.IntN(4) {
-			ch := wal.Change{Kind: "job", Key: fmt.Sprint(r.IntN(20))}
-			if r.IntN(3) > 0 {
-				ch.Value = []byte(strings.Repeat(string(rune('a'+r.IntN(26))), r.IntN(700)+1))
-			}
-			changes = append(changes, ch)
-		}
-		for _, ch := range changes {
-			if ch.Value == nil {
-				delete(model, ch.Kind+"/"+ch.Key)
-			} else {
-				model[ch.Kind+"/"+ch.Key] = string(ch.Value)
-			}
-		}
-		m := commitPoint{state: encodeModel(model), firstOperation: d.OperationCount(), durable: r.IntN(3) > 0}
+		changes := randomChanges(n, r)
+		held.apply(changes)
+		commit := commitPoint{state: held.encode(), firstOperation: fs.OperationCount(), durable: r.IntN(3) > 0}
 		done := make(chan error, 1)
-		s.Commit(changes, m.durable, func(err error) {
-			m.lastOperation = d.OperationCount()
+		log.Commit(changes, commit.durable, func(err error) {
+			commit.lastOperation = fs.OperationCount()
 			done <- err
 		})
 		if err := <-done; err != nil {
 			return nil, err
 		}
-		all = append(all, m)
+		commits = append(commits, commit)
+	}
+	return commits, log.Close()
+}
+
+// randomChanges draws the changes of commit n.
+func randomChanges(n int, r *rand.Rand) []wal.Change {
+	changes := []wal.Change{{Kind: "count", Key: "n", Value: fmt.Append(nil, n+1)}}
+	for range r.IntN(4) {
+		change := wal.Change{Kind: "job", Key: fmt.Sprint(r.IntN(20))}
+		if r.IntN(3) > 0 {
+			change.Value = []byte(strings.Repeat(string(rune('a'+r.IntN(26))), r.IntN(700)+1))
+		}
+		changes = append(changes, change)
+	}
+	return changes
+}
+
+func (m model) apply(changes []wal.Change) {
+	for _, change := range changes {
+		key := change.Kind + "/" + change.Key
+		if change.Value == nil {
+			delete(m, key)
+		} else {
+			m[key] = string(change.Value)
+		}
 	}
-	return all, s.Close()
 }
 
-func encodeModel(model map[string]string) string {
-	var all []string
-	for k, v := range model {
-		all = append(all, k+"="+v)
+func (m model) encode() string {
+	var lines []string
+	for key, value := range m {
+		lines = append(lines, key+"="+value)
 	}
-	sort.Strings(all)
-	return strings.Join(all, "\n")
+	sort.Strings(lines)
+	return strings.Join(lines, "\n")
 }
 
 func encodeState(s *wal.State) string {
-	model := map[string]string{}
+	held := model{}
 	for _, kind := range s.Kinds() {
-		_ = s.ForEach(kind, func(k string, v []byte) error { // only the callback, which does not fail, may fail
-			model[kind+"/"+k] = string(v)
+		_ = s.ForEach(kind, func(key string, value []byte) error { // only the callback, which does not fail, may fail
+			held[kind+"/"+key] = string(value)
 			return nil
 		})
 	}
-	return encodeModel(model)
+	return held.encode()
 }
 
-// recoverState recovers a folder and tells what it holds.
+// recoverState recovers a folder and returns what it holds.
 func (c *CrashCheck) recoverState(d *faultfs.FS) (string, error) {
 	s, _, err := wal.Open(d, wal.Options{SkipChecksums: c.Sabotage == SabotageChecksum})
 	if err != nil {
@@ -209,7 +228,7 @@
 }
 
 // flipBits turns single bits over in what a clean end left. Each must be refused, but in the last group: there it
-// cannot be told from a group that a crash cut off, and the state before it is found.
+// cannot be distinguished from a group that a crash cut off, and the state before it is found.
 func (c *CrashCheck) flipBits(d *faultfs.FS, commits []commitPoint, r *rand.Rand) error {
 	names, err := d.List()
 	if err != nil {
--- a/internal/testbed/scenario/file.go
+++ b/internal/testbed/scenario/file.go
@@ -20,61 +20,61 @@
 	Seed       strictyaml.Count      `yaml:"seed"`
 	Length     strictyaml.Span       `yaml:"length"`
 	Settle     strictyaml.Span       `yaml:"settle"`
-	Placers    strictyaml.Count      `yaml:"placers"`
+	Schedulers strictyaml.Count      `yaml:"placers"`
 	Template   strictyaml.Word       `yaml:"placer_file"`
 	Rate       strictyaml.Number     `yaml:"submissions_a_second"`
 	DrainGrace strictyaml.Span       `yaml:"drain_grace"`
 	Slack      strictyaml.Span       `yaml:"slack"`
-	Halls      []strictyaml.Word     `yaml:"halls"`
+	Zones      []strictyaml.Word     `yaml:"halls"`
 	Machines   []machineGroupSection `yaml:"machines"`
 	Machine    machineSection        `yaml:"machine"`
 	List       listSection           `yaml:"list"`
 	Work       []workSection         `yaml:"work"`
-	Troubles   []faultSection        `yaml:"troubles"`
+	Faults     []faultSection        `yaml:"troubles"`
 }
 
 type machineGroupSection struct {
-	Kind strictyaml.Word  `yaml:"kind"`
-	Each strictyaml.Count `yaml:"in_each_hall"`
+	MachineType strictyaml.Word  `yaml:"kind"`
+	PerZone     strictyaml.Count `yaml:"in_each_hall"`
 }
 
 type machineSection struct {
-	Admit    strictyaml.Span   `yaml:"look_at_an_offer"`
-	Queue    strictyaml.Count  `yaml:"offers_may_wait"`
-	Starts   strictyaml.Count  `yaml:"starts_at_once"`
-	Start    strictyaml.Span   `yaml:"start"`
-	Setup    strictyaml.Number `yaml:"first_start_times"`
-	Kept     strictyaml.Count  `yaml:"programs_kept"`
-	ColdFrom strictyaml.Number `yaml:"cold_pace"`
-	Bears    strictyaml.Count  `yaml:"cold_bears"`
-	Drift    strictyaml.Number `yaml:"use_drifts"`
+	AdmissionTime     strictyaml.Span   `yaml:"look_at_an_offer"`
+	MaxQueuedOffers   strictyaml.Count  `yaml:"offers_may_wait"`
+	ConcurrentStarts  strictyaml.Count  `yaml:"starts_at_once"`
+	StartTime         strictyaml.Span   `yaml:"start"`
+	ImageMissFactor   strictyaml.Number `yaml:"first_start_times"`
+	CachedImages      strictyaml.Count  `yaml:"programs_kept"`
+	SlowStartPace     strictyaml.Number `yaml:"cold_pace"`
+	SlowStartCapacity strictyaml.Count  `yaml:"cold_bears"`
+	MemoryDrift       strictyaml.Number `yaml:"use_drifts"`
 }
 
 type listSection struct {
-	Lag    strictyaml.Span  `yaml:"behind"`
-	Notice strictyaml.Span  `yaml:"notices_death_after"`
-	Period strictyaml.Span  `yaml:"looks_every"`
-	Calls  strictyaml.Count `yaml:"calls_a_second"`
+	Lag              strictyaml.Span  `yaml:"behind"`
+	FailureDetection strictyaml.Span  `yaml:"notices_death_after"`
+	PollInterval     strictyaml.Span  `yaml:"looks_every"`
+	CallsPerSecond   strictyaml.Count `yaml:"calls_a_second"`
 }
 
 type workSection struct {
-	Workload  strictyaml.Word     `yaml:"workload"`
-	Share     strictyaml.Number   `yaml:"share"`
-	Services  strictyaml.Count    `yaml:"services"`
-	Cores     []strictyaml.Number `yaml:"cores"`
-	Memory    []strictyaml.Memory `yaml:"memory"`
-	Life      strictyaml.Span     `yaml:"life"`
-	Again     strictyaml.Flag     `yaml:"asked_again"`
-	AgainLost strictyaml.Flag     `yaml:"asked_again_when_unheard" settings:"may"`
+	Workload        strictyaml.Word     `yaml:"workload"`
+	Share           strictyaml.Number   `yaml:"share"`
+	Services        strictyaml.Count    `yaml:"services"`
+	Cores           []strictyaml.Number `yaml:"cores"`
+	Memory          []strictyaml.Memory `yaml:"memory"`
+	MeanRuntime     strictyaml.Span     `yaml:"life"`
+	RetryRejected   strictyaml.Flag     `yaml:"asked_again"`
+	RetryUnanswered strictyaml.Flag     `yaml:"asked_again_when_unheard" settings:"may"`
 }
 
 type faultSection struct {
-	Kind strictyaml.Word   `yaml:"kind"`
-	At   strictyaml.Span   `yaml:"at"`
-	For  strictyaml.Span   `yaml:"for"`
-	Part strictyaml.Number `yaml:"part" settings:"may"`
-	Size strictyaml.Number `yaml:"size" settings:"may"`
-	Hall strictyaml.Word   `yaml:"hall" settings:"may"`
+	Kind     strictyaml.Word   `yaml:"kind"`
+	At       strictyaml.Span   `yaml:"at"`
+	Duration strictyaml.Span   `yaml:"for"`
+	Fraction strictyaml.Number `yaml:"part" settings:"may"`
+	Size     strictyaml.Number `yaml:"size" settings:"may"`
+	Zone     strictyaml.Word   `yaml:"hall" settings:"may"`
 }
 
 func duration(s strictyaml.Span) time.Duration { return time.Duration(s.Tenths) * tick }
@@ -123,8 +123,8 @@
 	for i := range f.Work {
 		sections = append(sections, section{fmt.Sprintf("work[%d]", i), f.Work[i]})
 	}
-	for i := range f.Troubles {
-		sections = append(sections, section{fmt.Sprintf("troubles[%d]", i), f.Troubles[i]})
+	for i := range f.Faults {
+		sections = append(sections, section{fmt.Sprintf("troubles[%d]", i), f.Faults[i]})
 	}
 	for _, s := range sections {
 		if err := strictyaml.Needed(source, s.path, s.value); err != nil {
@@ -141,34 +141,34 @@
 		Seed:       uint64(f.Seed.Value),
 		Length:     duration(f.Length),
 		Settle:     duration(f.Settle),
-		Schedulers: f.Placers.Value,
+		Schedulers: f.Schedulers.Value,
 		Template:   filepath.Join(filepath.Dir(path), f.Template.Text),
 		Rate:       f.Rate.Value,
 		DrainGrace: scheduler.Time(f.DrainGrace.Tenths),
 		Slack:      scheduler.Time(f.Slack.Tenths),
 		Machine:    f.Machine.shape(),
-		List:       listTiming{duration(f.List.Lag), duration(f.List.Notice), duration(f.List.Period), f.List.Calls.Value},
+		List:       listTiming{duration(f.List.Lag), duration(f.List.FailureDetection), duration(f.List.PollInterval), f.List.CallsPerSecond.Value},
 	}
-	for _, zone := range f.Halls {
+	for _, zone := range f.Zones {
 		s.Zones = append(s.Zones, zone.Text)
 	}
 	for _, m := range f.Machines {
-		s.MachineCounts = append(s.MachineCounts, machineCount{m.Kind.Text, m.Each.Value})
+		s.MachineCounts = append(s.MachineCounts, machineCount{m.MachineType.Text, m.PerZone.Value})
 	}
 	return s
 }
 
 func (m *machineSection) shape() emulator.MachineSpec {
 	return emulator.MachineSpec{
-		AdmissionTime:        duration(m.Admit),
-		MaxQueuedOffers:      m.Queue.Value,
-		ConcurrentStarts:     m.Starts.Value,
-		StartTime:            duration(m.Start),
-		ImageMissFactor:      m.Setup.Value,
-		CachedImages:         m.Kept.Value,
-		SlowStartInitialPace: m.ColdFrom.Value,
-		SlowStartCapacity:    m.Bears.Value,
-		MemoryDrift:          m.Drift.Value,
+		AdmissionTime:        duration(m.AdmissionTime),
+		MaxQueuedOffers:      m.MaxQueuedOffers.Value,
+		ConcurrentStarts:     m.ConcurrentStarts.Value,
+		StartTime:            duration(m.StartTime),
+		ImageMissFactor:      m.ImageMissFactor.Value,
+		CachedImages:         m.CachedImages.Value,
+		SlowStartInitialPace: m.SlowStartPace.Value,
+		SlowStartCapacity:    m.SlowStartCapacity.Value,
+		MemoryDrift:          m.MemoryDrift.Value,
 	}
 }
 
@@ -192,9 +192,9 @@
 	work := emulator.WorkloadProfile{
 		Share:            s.Share.Value,
 		Services:         s.Services.Value,
-		MeanRuntime:      duration(s.Life),
-		RetryRejected:    s.Again.Value,
-		RetryUnanswered:  s.AgainLost.Value,
+		MeanRuntime:      duration(s.MeanRuntime),
+		RetryRejected:    s.RetryRejected.Value,
+		RetryUnanswered:  s.RetryUnanswered.Value,
 		PlacementTimeout: time.Duration(class.PlacementTimeout) * tick,
 	}
 	for i := range s.Cores {
@@ -206,15 +206,15 @@
 
 func (f *scenarioFile) faults(source *strictyaml.File, zones []string) ([]Fault, error) {
 	var faults []Fault
-	for _, section := range f.Troubles {
+	for _, section := range f.Faults {
 		if injectors[section.Kind.Text] == nil {
 			return nil, source.At(section.Kind.Place, "%q is no trouble; there are %v", section.Kind.Text, faultKinds())
 		}
-		fault := Fault{Kind: section.Kind.Text, At: duration(section.At), Duration: duration(section.For),
-			Fraction: section.Part.Value, Size: section.Size.Value}
-		if section.Hall.Set() {
+		fault := Fault{Kind: section.Kind.Text, At: duration(section.At), Duration: duration(section.Duration),
+			Fraction: section.Fraction.Value, Size: section.Size.Value}
+		if section.Zone.Set() {
 			var err error
-			if fault.Zone, err = strictyaml.Choose(source, section.Hall, zones...); err != nil {
+			if fault.Zone, err = strictyaml.Choose(source, section.Zone, zones...); err != nil {
 				return nil, err
 			}
 		}
--- a/internal/testbed/scenario/replay.go
+++ b/internal/testbed/scenario/replay.go
@@ -10,24 +10,24 @@
 
 // simulatedDay is what a replay takes of a simulated day: its length, its fleet and its faults.
 type simulatedDay struct {
-	Site     string            `json:"site"`
-	Length   int64             `json:"length"` // microseconds
-	Servers  []json.RawMessage `json:"servers"`
-	Placers  []json.RawMessage `json:"balancers"`
-	Troubles []simulatedFault  `json:"troubles"`
+	Site       string            `json:"site"`
+	Length     int64             `json:"length"` // microseconds
+	Servers    []json.RawMessage `json:"servers"`
+	Schedulers []json.RawMessage `json:"balancers"`
+	Faults     []simulatedFault  `json:"troubles"`
 }
 
 // simulatedFault is one fault of a simulated day; times are in microseconds.
 type simulatedFault struct {
-	Kind  string          `json:"kind"`
-	At    int64           `json:"at"`
-	Len   int64           `json:"len"`
-	Size  float64         `json:"size"`
-	Extra float64         `json:"extra"`
-	On    []int           `json:"on"`
-	Which int             `json:"which"`
-	How   string          `json:"how"`
-	Steps []simulatedStep `json:"steps"`
+	Kind     string          `json:"kind"`
+	At       int64           `json:"at"`
+	Duration int64           `json:"len"`
+	Size     float64         `json:"size"`
+	Extra    float64         `json:"extra"`
+	On       []int           `json:"on"`
+	Which    int             `json:"which"`
+	How      string          `json:"how"`
+	Steps    []simulatedStep `json:"steps"`
 }
 
 type simulatedStep struct {
@@ -53,9 +53,9 @@
 		machines += c.perZone * len(s.Zones)
 	}
 	printf(out, "replay of a day of %s, SCALED DOWN: %d machines for %d, %d placers for %d, %.0f submissions a second\n",
-		day.Site, machines, len(day.Servers), s.Schedulers, len(day.Placers), rate)
-	for i := range day.Troubles {
-		simulated := &day.Troubles[i]
+		day.Site, machines, len(day.Servers), s.Schedulers, len(day.Schedulers), rate)
+	for i := range day.Faults {
+		simulated := &day.Faults[i]
 		fault, ok := day.counterpart(simulated)
 		if !ok {
 			printf(out, "left out: %s at %.1f s has no like on the sockets\n", simulated.Kind, fault.At.Seconds())
@@ -76,7 +76,7 @@
 	if err := json.Unmarshal(data, &day); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if day.Length <= 0 || len(day.Servers) == 0 || len(day.Placers) == 0 {
+	if day.Length <= 0 || len(day.Servers) == 0 || len(day.Schedulers) == 0 {
 		return nil, fmt.Errorf("%s is no simulated day: it has no length, servers or balancers", path)
 	}
 	return &day, nil
@@ -86,7 +86,7 @@
 
 // counterpart returns the fault of a scenario that comes closest; ok reports whether there is one.
 func (d *simulatedDay) counterpart(t *simulatedFault) (f Fault, ok bool) {
-	f = Fault{At: microseconds(t.At), Duration: microseconds(t.Len), Size: t.Size, Fraction: float64(len(t.On)) / float64(len(d.Servers))}
+	f = Fault{At: microseconds(t.At), Duration: microseconds(t.Duration), Size: t.Size, Fraction: float64(len(t.On)) / float64(len(d.Servers))}
 	switch t.Kind {
 	case "mass_restart":
 		f.Kind = kindCrash
@@ -107,7 +107,7 @@
 	case "reconnect":
 		f.Kind, f.Fraction = kindClientRetries, t.Size
 	case "balancer_crash":
-		f.Kind, f.Fraction = kindSchedulersKilled, float64(len(t.On))/float64(len(d.Placers))
+		f.Kind, f.Fraction = kindSchedulersKilled, float64(len(t.On))/float64(len(d.Schedulers))
 	case "discovery_down":
 		f.Kind = kindListUnavailable
 	case "discovery_stale":
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -37,8 +37,8 @@
 
 // listTiming is how the machine list lags behind the machines and how often it may be called.
 type listTiming struct {
-	Lag, DeathNotice, Period time.Duration
-	CallsPerSecond           int
+	Lag, FailureDetection, PollInterval time.Duration
+	CallsPerSecond                      int
 }
 
 // machinesPerRackGroup machines of one type share a rack group; rackGroupsPerZone bounds their numbers.
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -112,7 +112,7 @@
 }
 
 // The zone comes back in slow start, at the same addresses and under load.
-func TestHallComesBack(t *testing.T) {
+func TestZoneComesBackInSlowStart(t *testing.T) {
 	d, dir := shortScenario(t), t.TempDir()
 	d.Length, d.Schedulers = 3*time.Second, 2
 	d.Faults = []Fault{{Kind: "hall restarts cold", At: 500 * time.Millisecond, Duration: 300 * time.Millisecond, Zone: 1}}
--- a/internal/testbed/scenario/trial_bgp.go
+++ b/internal/testbed/scenario/trial_bgp.go
@@ -16,8 +16,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// BGPTrial starts a cluster whose scheduler announces addresses to two emulated peers, and judges by what they
-// received.
+// BGPTrial starts a cluster whose scheduler announces addresses to two emulated peers, and checks what they
+// receive.
 type BGPTrial struct {
 	Rounds int
 	Out    io.Writer
