--- a/cmd/glenport-testbed/scheduler.go
+++ b/cmd/glenport-testbed/scheduler.go
@@ -38,14 +38,14 @@
 }
 
 func (f *schedulerFlags) run() error {
-	settings, err := config.Load(f.file)
+	settings, err := config.LoadScheduler(f.file)
 	if err != nil {
 		return err
 	}
-	settings.Damped = settings.Damped || f.damped
-	var decider schedulerd.Scheduler = scheduler.New(settings.Terms)
+	settings.AdaptiveLimit = settings.AdaptiveLimit || f.damped
+	var decider schedulerd.Scheduler = scheduler.New(settings.Policy)
 	if f.sabotagedRule > 0 {
-		if decider, err = mutants.New(f.sabotagedRule, settings.Terms, decider); err != nil {
+		if decider, err = mutants.New(f.sabotagedRule, settings.Policy, decider); err != nil {
 			return err
 		}
 	}
--- a/cmd/glenport/controller.go
+++ b/cmd/glenport/controller.go
@@ -26,16 +26,16 @@
 			if err != nil {
 				return err
 			}
-			k, err := config.LoadKeeper(file)
+			k, err := config.LoadController(file)
 			if err != nil {
 				return err
 			}
-			h, err := server.New(server.Config{Name: k.Name, Schedulers: k.Doors, MachineList: k.List, Seed: k.Seed, StateDir: k.State, SchedulerConfig: k.Terms},
+			h, err := server.New(server.Config{Name: k.Name, Schedulers: k.SchedulerAddrs, MachineList: k.MachineListAddr, Seed: k.Seed, StateDir: k.StateDir, SchedulerConfig: k.Scheduler},
 				watchcache.New(api.EncodeWatchEvent), log)
 			if err != nil {
 				return err
 			}
-			server := api.NewHTTPServer(k.API, api.New(h))
+			server := api.NewHTTPServer(k.APIAddr, api.New(h))
 			told := make(chan os.Signal, 1)
 			signal.Notify(told, syscall.SIGINT, syscall.SIGTERM)
 			failed := make(chan error, 1)
@@ -53,7 +53,7 @@
 				server.Close()
 				h.Stop()
 			}()
-			log.Info("keeper up", "name", k.Name, "api", k.API, "placers", len(k.Doors))
+			log.Info("keeper up", "name", k.Name, "api", k.APIAddr, "placers", len(k.SchedulerAddrs))
 			runtime.LockOSThread()
 			if err := h.Run(); err != nil {
 				return err
--- a/cmd/glenport/main.go
+++ b/cmd/glenport/main.go
@@ -47,16 +47,16 @@
 			if err != nil {
 				return err
 			}
-			s, err := config.Load(file)
+			s, err := config.LoadScheduler(file)
 			if err != nil {
 				return err
 			}
-			h, err := schedulerd.New(s, scheduler.New(s.Terms), log)
+			h, err := schedulerd.New(s, scheduler.New(s.Policy), log)
 			if err != nil {
 				return err
 			}
-			if s.Metrics != "" {
-				server := metrics.Serve(s.Metrics, h)
+			if s.MetricsAddr != "" {
+				server := metrics.Serve(s.MetricsAddr, h)
 				go func() {
 					if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 						log.Error("no metrics", "why", err)
@@ -99,14 +99,14 @@
 		RunE: func(c *cobra.Command, files []string) error {
 			bad := false
 			for _, f := range files {
-				s, err := config.Load(f)
+				s, err := config.LoadScheduler(f)
 				if err != nil {
 					fmt.Fprintln(c.ErrOrStderr(), err)
 					bad = true
 					continue
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s: placer %s, %d of %d, %d workloads, %d kinds of machine: good\n",
-					f, s.Name, s.Terms.SchedulerIndex+1, s.Terms.SchedulerCount, len(s.Terms.WorkloadClasses), len(s.Terms.MachineTypes))
+					f, s.Name, s.Policy.SchedulerIndex+1, s.Policy.SchedulerCount, len(s.Policy.WorkloadClasses), len(s.Policy.MachineTypes))
 			}
 			if bad {
 				return exitCode(1)
--- a/internal/bgp/speaker/peer.go
+++ b/internal/bgp/speaker/peer.go
@@ -45,13 +45,13 @@
 		p.allowed.Insert(prefix)
 	}
 	p.session = session.New(session.PeerConfig{
-		OwnAS:       s.settings.AS,
-		PeerAS:      settings.AS,
-		ID:          s.settings.ID,
-		HoldTime:    settings.Hold,
+		OwnAS:       s.settings.ASN,
+		PeerAS:      settings.ASN,
+		ID:          s.settings.RouterID,
+		HoldTime:    settings.HoldTime,
 		Families:    settings.Families,
 		Passive:     settings.Passive,
-		RestartTime: settings.Restart,
+		RestartTime: settings.RestartTime,
 	})
 	return p
 }
@@ -129,7 +129,7 @@
 func (p *peer) logSession(l session.Log) {
 	attributes := append([]slog.Attr{
 		slog.String("peer", p.settings.Addr),
-		slog.Uint64("as", uint64(p.settings.AS)),
+		slog.Uint64("as", uint64(p.settings.ASN)),
 	}, l.Attributes...)
 	p.speaker.log.LogAttrs(context.Background(), slog.LevelInfo, l.Message, attributes...)
 }
@@ -137,12 +137,12 @@
 // setMD5Key sets the peer's key on a socket, if one is configured (RFC 2385). Where the kernel refuses it the socket
 // must not be used: the settings ask for a signed session.
 func (p *peer) setMD5Key(fd int) error {
-	if p.settings.Key == "" {
+	if p.settings.MD5Key == "" {
 		return nil
 	}
 	address, err := netip.ParseAddrPort(p.settings.Addr)
 	if err == nil {
-		err = eventloop.SetTCPMD5Key(fd, address.Addr(), p.settings.Key)
+		err = eventloop.SetTCPMD5Key(fd, address.Addr(), p.settings.MD5Key)
 	}
 	if err != nil {
 		p.speaker.log.Error("no BGP session, TCP MD5 key not set", "peer", p.settings.Addr, "error", err)
--- a/internal/bgp/speaker/routes.go
+++ b/internal/bgp/speaker/routes.go
@@ -93,10 +93,10 @@
 // preference.
 func (p *peer) pathAttributes(path announce.Path) wire.PathAttributes {
 	attributes := wire.PathAttributes{NextHop: path.NextHop, Communities: path.CommunityList()}
-	if p.settings.AS == p.speaker.settings.AS {
+	if p.settings.ASN == p.speaker.settings.ASN {
 		attributes.LocalPref, attributes.HasLocalPref = path.Preference, true
 	} else {
-		attributes.ASPath = []uint32{p.speaker.settings.AS}
+		attributes.ASPath = []uint32{p.speaker.settings.ASN}
 	}
 	if path.MED > 0 {
 		attributes.MED, attributes.HasMED = path.MED, true
--- a/internal/bgp/speaker/speaker.go
+++ b/internal/bgp/speaker/speaker.go
@@ -26,10 +26,10 @@
 }
 
 // Config is the BGP part of the scheduler's settings.
-type Config = config.Announcing
+type Config = config.BGP
 
 // PeerConfig is the configuration of one peer.
-type PeerConfig = config.Neighbour
+type PeerConfig = config.BGPPeer
 
 // Speaker runs the sessions to all peers.
 type Speaker struct {
@@ -57,7 +57,7 @@
 
 // Start opens the listener, if one is configured, and starts all sessions.
 func (s *Speaker) Start() error {
-	if s.settings.Listen != "" {
+	if s.settings.ListenAddr != "" {
 		if err := s.listen(); err != nil {
 			return err
 		}
@@ -77,7 +77,7 @@
 func (s *Speaker) listen() error {
 	accept := func() (eventloop.Handler, int) { return &connection{speaker: s, inbound: true}, outputLimit }
 	var err error
-	s.listener, err = s.loop.Listen(s.settings.Listen, accept, s.loop.AcceptStateLogger(s.log, "BGP peers"))
+	s.listener, err = s.loop.Listen(s.settings.ListenAddr, accept, s.loop.AcceptStateLogger(s.log, "BGP peers"))
 	if err != nil {
 		return err
 	}
--- a/internal/bgp/speaker/speaker_test.go
+++ b/internal/bgp/speaker/speaker_test.go
@@ -58,7 +58,7 @@
 
 func startSpeaker(t *testing.T, change func(*Config)) *fixture {
 	f := &fixture{T: t}
-	settings := Config{AS: 65001, ID: [4]byte{192, 0, 2, 5}, Listen: "127.0.0.1:0", Services: map[string]announce.Service{
+	settings := Config{ASN: 65001, RouterID: [4]byte{192, 0, 2, 5}, ListenAddr: "127.0.0.1:0", Services: map[string]announce.Service{
 		"web": {Prefix: web, NextHop: hop}, "web6": {Prefix: web6, NextHop: hop6}, "mail": {Prefix: mail, NextHop: hop}}}
 	both := []wire.Family{wire.IPv4, wire.IPv6}
 	for _, p := range []struct {
@@ -73,7 +73,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup((*p.to).Close)
-		settings.Peers = append(settings.Peers, PeerConfig{Addr: addr, AS: p.as, Hold: 3 * scheduler.Second, Families: both, Restart: 5 * scheduler.Second, Allow: p.allow})
+		settings.Peers = append(settings.Peers, PeerConfig{Addr: addr, ASN: p.as, HoldTime: 3 * scheduler.Second, Families: both, RestartTime: 5 * scheduler.Second, Allow: p.allow})
 	}
 	if change != nil {
 		change(&settings)
@@ -152,7 +152,7 @@
 // Two speakers announce one address, each for its own containers.
 func TestWithdrawalLeavesTheRouteOfAnotherSpeaker(t *testing.T) {
 	a := startSpeaker(t, nil)
-	b := startSpeaker(t, func(p *Config) { p.ID = [4]byte{192, 0, 2, 6} })
+	b := startSpeaker(t, func(p *Config) { p.RouterID = [4]byte{192, 0, 2, 6} })
 	a.runContainers("web")
 	b.runContainers("web")
 	a.waitUntil("both announced", func() bool { return has(a.outer, web) && has(b.outer, web) })
--- a/internal/bgp/speaker/status.go
+++ b/internal/bgp/speaker/status.go
@@ -32,7 +32,7 @@
 func (p *peer) status() PeerStatus {
 	return PeerStatus{
 		Addr:          p.settings.Addr,
-		AS:            p.settings.AS,
+		AS:            p.settings.ASN,
 		State:         p.session.State().String(),
 		Routes:        len(p.rib.sent),
 		PendingRoutes: len(p.rib.pending),
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,333 +13,333 @@
 	"glenport/scheduler"
 )
 
-// Placer is a placer's file, checked.
-type Placer struct {
+// Scheduler is a placer's file, checked.
+type Scheduler struct {
 	Name      string
-	Door      string
-	ListAddr  string
-	State     string // the folder of what is kept over restarts; nothing is where empty
-	Keep      string // an earlier version's file of the last list, read once
-	Metrics   string // where to be scraped; nowhere where empty
-	Terms     scheduler.Config
-	Bounds    admission.Limits
-	Output    int // bytes that may wait on one link
-	Connect   eventloop.Tick
-	Idle      eventloop.Tick
-	Silent    eventloop.Tick
-	Kinds     []string // their names, in the order of the terms
-	Workloads []string
-	Customers []string
-	Damped    bool        // the door narrows when starts become slow
-	BGP       *Announcing // nil where no address is announced
+	ListenAddr      string
+	MachineListAddr  string
+	StateDir     string // the folder of what is kept over restarts; nothing is where empty
+	LegacyListFile      string // an earlier version's file of the last list, read once
+	MetricsAddr   string // where to be scraped; nowhere where empty
+	Policy     scheduler.Config
+	Limits    admission.Limits
+	MaxOutput    int // bytes that may wait on one link
+	ConnectTimeout   eventloop.Tick
+	IdleTimeout      eventloop.Tick
+	SilenceTimeout    eventloop.Tick
+	MachineTypes     []string // their names, in the order of the terms
+	WorkloadClasses []string
+	Tenants []string
+	AdaptiveLimit    bool        // the door narrows when starts become slow
+	BGP       *BGP // nil where no address is announced
 }
 
-type file struct {
-	Name      strictyaml.Word   `yaml:"name"`
-	Number    strictyaml.Count  `yaml:"number"`
-	Placers   strictyaml.Count  `yaml:"placers"`
+type schedulerFile struct {
+	Name      strictyaml.String   `yaml:"name"`
+	Index    strictyaml.Count  `yaml:"number"`
+	Schedulers   strictyaml.Count  `yaml:"placers"`
 	Seed      strictyaml.Count  `yaml:"seed" settings:"may"`
-	Door      strictyaml.Word   `yaml:"door"`
-	State     strictyaml.Word   `yaml:"state" settings:"may"`
-	Keep      strictyaml.Word   `yaml:"keep" settings:"may"`
-	Metrics   strictyaml.Word   `yaml:"metrics" settings:"may"`
-	List      list              `yaml:"list"`
-	Links     links             `yaml:"links"`
-	Bounds    bounds            `yaml:"bounds"`
-	Machines  machines          `yaml:"machines"`
-	Bids      bids              `yaml:"bids"`
-	Workloads []workload        `yaml:"workloads"`
-	Customers []customer        `yaml:"customers"`
-	OverShare strictyaml.Number `yaml:"over_share" settings:"may"`
-	BGP       *bgpFile          `yaml:"bgp"`
+	ListenAddr      strictyaml.String   `yaml:"door"`
+	StateDir     strictyaml.String   `yaml:"state" settings:"may"`
+	LegacyListFile      strictyaml.String   `yaml:"keep" settings:"may"`
+	MetricsAddr   strictyaml.String   `yaml:"metrics" settings:"may"`
+	MachineList      machineListSection              `yaml:"list"`
+	Connections     connectionsSection             `yaml:"links"`
+	Limits    limitsSection            `yaml:"bounds"`
+	Machines  machinesSection          `yaml:"machines"`
+	Attempts      attemptsSection              `yaml:"bids"`
+	WorkloadClasses []workloadClassEntry        `yaml:"workloads"`
+	Tenants []tenantEntry        `yaml:"customers"`
+	OverQuotaWeight strictyaml.Float `yaml:"over_share" settings:"may"`
+	BGP       *bgpSection          `yaml:"bgp"`
 }
 
-type list struct {
-	Address   strictyaml.Word `yaml:"address"`
-	AskWithin strictyaml.Span `yaml:"ask_within"`
+type machineListSection struct {
+	Address   strictyaml.String `yaml:"address"`
+	ResyncInterval strictyaml.Duration `yaml:"ask_within"`
 }
 
-type links struct {
-	Connect strictyaml.Span   `yaml:"connect_within"`
-	Idle    strictyaml.Span   `yaml:"close_idle_after"`
-	Silent  strictyaml.Span   `yaml:"broken_when_silent_for"`
-	Output  strictyaml.Memory `yaml:"most_waiting_output"`
+type connectionsSection struct {
+	ConnectTimeout strictyaml.Duration   `yaml:"connect_within"`
+	IdleTimeout    strictyaml.Duration   `yaml:"close_idle_after"`
+	SilenceTimeout  strictyaml.Duration   `yaml:"broken_when_silent_for"`
+	MaxOutput  strictyaml.Memory `yaml:"most_waiting_output"`
 }
 
-type bounds struct {
-	Owners       strictyaml.Count `yaml:"owners"`
-	Open         strictyaml.Count `yaml:"open_containers"`
-	OpenPerOwner strictyaml.Count `yaml:"open_containers_of_one_owner"`
-	Narrow       strictyaml.Flag  `yaml:"narrow_when_slow" settings:"may"`
+type limitsSection struct {
+	Clients       strictyaml.Count `yaml:"owners"`
+	OpenRequests         strictyaml.Count `yaml:"open_containers"`
+	OpenRequestsPerClient strictyaml.Count `yaml:"open_containers_of_one_owner"`
+	AdaptiveLimit       strictyaml.Bool  `yaml:"narrow_when_slow" settings:"may"`
 }
 
-type machines struct {
-	Kinds      []kind           `yaml:"kinds"`
-	Accept     multiples        `yaml:"accept"`
-	Mean       mean             `yaml:"mean_container"`
-	Yes        strictyaml.Word  `yaml:"say_yes_when"`
-	UseNotes   strictyaml.Flag  `yaml:"tell_use"`
-	ListedAsks strictyaml.Flag  `yaml:"list_tells_room"`
-	Probes     strictyaml.Flag  `yaml:"may_be_probed"`
-	ColdFor    strictyaml.Span  `yaml:"cold_for"`
-	ColdWindow strictyaml.Span  `yaml:"cold_window"`
-	ColdBids   strictyaml.Count `yaml:"cold_bids"`
+type machinesSection struct {
+	MachineTypes      []machineTypeEntry           `yaml:"kinds"`
+	Overcommit     overcommitSection        `yaml:"accept"`
+	MeanContainer       meanContainerSection             `yaml:"mean_container"`
+	AcceptMeans        strictyaml.String  `yaml:"say_yes_when"`
+	UsageReports   strictyaml.Bool  `yaml:"tell_use"`
+	ListTracksRequests strictyaml.Bool  `yaml:"list_tells_room"`
+	ProbesAllowed     strictyaml.Bool  `yaml:"may_be_probed"`
+	SlowStartPeriod    strictyaml.Duration  `yaml:"cold_for"`
+	SlowStartWindow strictyaml.Duration  `yaml:"cold_window"`
+	SlowStartBudget   strictyaml.Count `yaml:"cold_bids"`
 }
 
-type kind struct {
-	Name   strictyaml.Word   `yaml:"name"`
-	Cores  strictyaml.Number `yaml:"cores"`
+type machineTypeEntry struct {
+	Name   strictyaml.String   `yaml:"name"`
+	Cores  strictyaml.Float `yaml:"cores"`
 	Memory strictyaml.Memory `yaml:"memory"`
 }
 
-type multiples struct {
-	Cores  strictyaml.Number `yaml:"cores"`
-	Memory strictyaml.Number `yaml:"memory"`
+type overcommitSection struct {
+	Cores  strictyaml.Float `yaml:"cores"`
+	Memory strictyaml.Float `yaml:"memory"`
 }
 
-type mean struct {
-	Cores  strictyaml.Number `yaml:"cores"`
+type meanContainerSection struct {
+	Cores  strictyaml.Float `yaml:"cores"`
 	Memory strictyaml.Memory `yaml:"memory"`
 }
 
-type bids struct {
-	Most  strictyaml.Count `yaml:"most"`
-	Grace strictyaml.Span  `yaml:"answer_grace"`
+type attemptsSection struct {
+	MaxAttempts  strictyaml.Count `yaml:"most"`
+	AnswerGrace strictyaml.Duration  `yaml:"answer_grace"`
 }
 
-type workload struct {
-	Name     strictyaml.Word   `yaml:"name"`
-	Effect   strictyaml.Word   `yaml:"effect"`
-	Repeats  strictyaml.Word   `yaml:"repeats_dropped_in" settings:"may"`
-	Window   strictyaml.Span   `yaml:"repeats_dropped_for" settings:"may"`
-	Agreed   strictyaml.Span   `yaml:"agreed_time"`
-	HardStop strictyaml.Span   `yaml:"hard_stop"`
-	Kind     strictyaml.Word   `yaml:"kind" settings:"may"`
-	Spread   strictyaml.Word   `yaml:"spread_over" settings:"may"`
-	Most     strictyaml.Count  `yaml:"most_in_one" settings:"may"`
-	Gain     strictyaml.Number `yaml:"gain"`
+type workloadClassEntry struct {
+	Name     strictyaml.String   `yaml:"name"`
+	Idempotency   strictyaml.String   `yaml:"effect"`
+	DedupScope  strictyaml.String   `yaml:"repeats_dropped_in" settings:"may"`
+	DedupWindow   strictyaml.Duration   `yaml:"repeats_dropped_for" settings:"may"`
+	LatencyObjective   strictyaml.Duration   `yaml:"agreed_time"`
+	PlacementTimeout strictyaml.Duration   `yaml:"hard_stop"`
+	MachineType     strictyaml.String   `yaml:"kind" settings:"may"`
+	SpreadScope   strictyaml.String   `yaml:"spread_over" settings:"may"`
+	MaxPerScope     strictyaml.Count  `yaml:"most_in_one" settings:"may"`
+	PriorityWeight     strictyaml.Float `yaml:"gain"`
 }
 
-type customer struct {
-	Name  strictyaml.Word   `yaml:"name"`
-	Cores strictyaml.Number `yaml:"cores"`
+type tenantEntry struct {
+	Name  strictyaml.String   `yaml:"name"`
+	Cores strictyaml.Float `yaml:"cores"`
 }
 
-// Load reads and checks a placer's file.
-func Load(path string) (*Placer, error) {
+// LoadScheduler reads and checks a placer's file.
+func LoadScheduler(path string) (*Scheduler, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return Parse(path, data)
+	return ParseScheduler(path, data)
 }
 
-// Parse checks the text of a placer's file; the first fault is returned.
-func Parse(name string, data []byte) (*Placer, error) {
-	var f file
+// ParseScheduler checks the text of a placer's file; the first fault is returned.
+func ParseScheduler(name string, data []byte) (*Scheduler, error) {
+	var f schedulerFile
 	src, err := strictyaml.Read(name, data, &f)
 	if err != nil {
 		return nil, err
 	}
-	c := &check{src: src}
-	p := c.placer(&f)
-	if c.fault != nil {
-		return nil, c.fault
+	c := &validator{file: src}
+	p := c.scheduler(&f)
+	if c.err != nil {
+		return nil, c.err
 	}
 	return p, nil
 }
 
-// check keeps the first fault met.
-type check struct {
-	src   *strictyaml.File
-	fault error
+// validator keeps the first fault met.
+type validator struct {
+	file   *strictyaml.File
+	err error
 }
 
-func (c *check) keep(err error) {
-	if c.fault == nil {
-		c.fault = err
+func (c *validator) record(err error) {
+	if c.err == nil {
+		c.err = err
 	}
 }
 
-func (c *check) fail(at strictyaml.Place, format string, a ...any) {
-	c.keep(c.src.At(at, format, a...))
+func (c *validator) fail(at strictyaml.Position, format string, a ...any) {
+	c.record(c.file.ErrorAt(at, format, a...))
 }
 
-func (c *check) needed(path string, mapping any) { c.keep(strictyaml.Needed(c.src, path, mapping)) }
+func (c *validator) required(path string, mapping any) { c.record(strictyaml.CheckRequired(c.file, path, mapping)) }
 
-func (c *check) address(w strictyaml.Word) string {
-	if _, err := netip.ParseAddrPort(w.Text); err != nil && w.Set() {
-		c.fail(w.Place, "%q is no address such as 127.0.0.1:7400", w.Text)
+func (c *validator) address(w strictyaml.String) string {
+	if _, err := netip.ParseAddrPort(w.Value); err != nil && w.IsSet() {
+		c.fail(w.Position, "%q is no address such as 127.0.0.1:7400", w.Value)
 	}
-	return w.Text
+	return w.Value
 }
 
-func (c *check) above0(n strictyaml.Number) float64 {
+func (c *validator) positive(n strictyaml.Float) float64 {
 	if n.Value <= 0 {
-		c.fail(n.Place, "%g is not above 0", n.Value)
+		c.fail(n.Position, "%g is not above 0", n.Value)
 	}
 	return n.Value
 }
 
-func (c *check) some(n strictyaml.Count) int {
+func (c *validator) positiveCount(n strictyaml.Count) int {
 	if n.Value == 0 {
-		c.fail(n.Place, "0 would let nothing pass")
+		c.fail(n.Position, "0 would let nothing pass")
 	}
 	return n.Value
 }
 
-func (c *check) span(s strictyaml.Span) scheduler.Time { return scheduler.Time(s.Tenths) }
+func (c *validator) duration(s strictyaml.Duration) scheduler.Time { return scheduler.Time(s.Ticks) }
 
-func (c *check) lasting(s strictyaml.Span) scheduler.Time {
-	if s.Tenths == 0 {
-		c.fail(s.Place, "a span above 0 is wanted")
+func (c *validator) positiveDuration(s strictyaml.Duration) scheduler.Time {
+	if s.Ticks == 0 {
+		c.fail(s.Position, "a span above 0 is wanted")
 	}
-	return scheduler.Time(s.Tenths)
+	return scheduler.Time(s.Ticks)
 }
 
-func (c *check) placer(f *file) *Placer {
-	c.needed("", *f)
+func (c *validator) scheduler(f *schedulerFile) *Scheduler {
+	c.required("", *f)
 	for _, m := range []struct {
 		path string
 		of   any
-	}{{"list", f.List}, {"links", f.Links}, {"bounds", f.Bounds}, {"machines", f.Machines},
-		{"machines.accept", f.Machines.Accept}, {"machines.mean_container", f.Machines.Mean}, {"bids", f.Bids}} {
-		c.needed(m.path, m.of)
+	}{{"list", f.MachineList}, {"links", f.Connections}, {"bounds", f.Limits}, {"machines", f.Machines},
+		{"machines.accept", f.Machines.Overcommit}, {"machines.mean_container", f.Machines.MeanContainer}, {"bids", f.Attempts}} {
+		c.required(m.path, m.of)
 	}
-	if c.fault != nil {
+	if c.err != nil {
 		return nil
 	}
-	if f.Number.Value >= f.Placers.Value {
-		c.fail(f.Number.Place, "number %d is not below placers, %d", f.Number.Value, f.Placers.Value)
+	if f.Index.Value >= f.Schedulers.Value {
+		c.fail(f.Index.Position, "number %d is not below placers, %d", f.Index.Value, f.Schedulers.Value)
 	}
 	m := &f.Machines
-	p := &Placer{Name: f.Name.Text, Door: c.address(f.Door), ListAddr: c.address(f.List.Address), State: f.State.Text, Keep: f.Keep.Text,
-		Bounds: admission.Limits{Clients: c.some(f.Bounds.Owners), OpenRequests: c.some(f.Bounds.Open),
-			OpenRequestsPerClient: c.some(f.Bounds.OpenPerOwner)},
-		Damped: f.Bounds.Narrow.Value, Output: int(f.Links.Output.GiB * (1 << 30)),
-		Connect: eventloop.Tick(c.lasting(f.Links.Connect)), Idle: eventloop.Tick(c.lasting(f.Links.Idle)),
-		Silent: eventloop.Tick(c.lasting(f.Links.Silent)),
-		Terms: scheduler.Config{Seed: uint64(f.Seed.Value), SchedulerIndex: f.Number.Value, SchedulerCount: f.Placers.Value,
-			OverQuotaWeight: f.OverShare.Value, CoresOvercommit: c.above0(m.Accept.Cores), MemoryOvercommit: c.above0(m.Accept.Memory),
-			MeanCores: c.above0(m.Mean.Cores), MeanMemory: m.Mean.Memory.GiB, UsageReports: m.UseNotes.Value,
-			ListTracksRequests: m.ListedAsks.Value, ProbesAllowed: m.Probes.Value, MaxAttempts: c.some(f.Bids.Most),
-			AnswerGrace: c.span(f.Bids.Grace), ListOnRequest: true, ResyncInterval: c.lasting(f.List.AskWithin),
-			SlowStartPeriod: c.span(m.ColdFor), SlowStartWindow: c.span(m.ColdWindow), SlowStartBudget: m.ColdBids.Value}}
-	if t := &p.Terms; t.SlowStartBudget > 0 && 16*p.Connect > eventloop.Tick(t.SlowStartWindow) {
-		c.fail(f.Links.Connect.Place, "a bid may wait for its link no longer than a sixteenth of cold_window, %g ms",
+	p := &Scheduler{Name: f.Name.Value, ListenAddr: c.address(f.ListenAddr), MachineListAddr: c.address(f.MachineList.Address), StateDir: f.StateDir.Value, LegacyListFile: f.LegacyListFile.Value,
+		Limits: admission.Limits{Clients: c.positiveCount(f.Limits.Clients), OpenRequests: c.positiveCount(f.Limits.OpenRequests),
+			OpenRequestsPerClient: c.positiveCount(f.Limits.OpenRequestsPerClient)},
+		AdaptiveLimit: f.Limits.AdaptiveLimit.Value, MaxOutput: int(f.Connections.MaxOutput.GiB * (1 << 30)),
+		ConnectTimeout: eventloop.Tick(c.positiveDuration(f.Connections.ConnectTimeout)), IdleTimeout: eventloop.Tick(c.positiveDuration(f.Connections.IdleTimeout)),
+		SilenceTimeout: eventloop.Tick(c.positiveDuration(f.Connections.SilenceTimeout)),
+		Policy: scheduler.Config{Seed: uint64(f.Seed.Value), SchedulerIndex: f.Index.Value, SchedulerCount: f.Schedulers.Value,
+			OverQuotaWeight: f.OverQuotaWeight.Value, CoresOvercommit: c.positive(m.Overcommit.Cores), MemoryOvercommit: c.positive(m.Overcommit.Memory),
+			MeanCores: c.positive(m.MeanContainer.Cores), MeanMemory: m.MeanContainer.Memory.GiB, UsageReports: m.UsageReports.Value,
+			ListTracksRequests: m.ListTracksRequests.Value, ProbesAllowed: m.ProbesAllowed.Value, MaxAttempts: c.positiveCount(f.Attempts.MaxAttempts),
+			AnswerGrace: c.duration(f.Attempts.AnswerGrace), ListOnRequest: true, ResyncInterval: c.positiveDuration(f.MachineList.ResyncInterval),
+			SlowStartPeriod: c.duration(m.SlowStartPeriod), SlowStartWindow: c.duration(m.SlowStartWindow), SlowStartBudget: m.SlowStartBudget.Value}}
+	if t := &p.Policy; t.SlowStartBudget > 0 && 16*p.ConnectTimeout > eventloop.Tick(t.SlowStartWindow) {
+		c.fail(f.Connections.ConnectTimeout.Position, "a bid may wait for its link no longer than a sixteenth of cold_window, %g ms",
 			float64(t.SlowStartWindow)/16/float64(scheduler.Millisecond))
 	}
-	if p.Output < 64<<10 {
-		c.fail(f.Links.Output.Place, "%d bytes are too few for a frame: 64KiB at least", p.Output)
+	if p.MaxOutput < 64<<10 {
+		c.fail(f.Connections.MaxOutput.Position, "%d bytes are too few for a frame: 64KiB at least", p.MaxOutput)
 	}
-	if p.Terms.MeanMemory <= 0 {
-		c.fail(m.Mean.Memory.Place, "a container of mean size needs memory above 0")
+	if p.Policy.MeanMemory <= 0 {
+		c.fail(m.MeanContainer.Memory.Position, "a container of mean size needs memory above 0")
 	}
-	yes, err := strictyaml.Choose(c.src, m.Yes, "accepted", "running")
-	c.keep(err)
-	p.Terms.AcceptMeansRunning = yes == 1
-	kinds := c.kinds(m.Kinds, p)
-	for i := range f.Workloads {
-		c.workload(fmt.Sprintf("workloads[%d]", i), &f.Workloads[i], kinds, p)
+	yes, err := strictyaml.OneOf(c.file, m.AcceptMeans, "accepted", "running")
+	c.record(err)
+	p.Policy.AcceptMeansRunning = yes == 1
+	kinds := c.machineTypes(m.MachineTypes, p)
+	for i := range f.WorkloadClasses {
+		c.workload(fmt.Sprintf("workloads[%d]", i), &f.WorkloadClasses[i], kinds, p)
 	}
-	if len(f.Workloads) == 0 {
-		c.keep(c.src.Missing("", "workloads"))
+	if len(f.WorkloadClasses) == 0 {
+		c.record(c.file.MissingKey("", "workloads"))
 	}
-	for i, k := range f.Customers {
-		c.needed(fmt.Sprintf("customers[%d]", i), k)
-		p.Terms.Tenants = append(p.Terms.Tenants, scheduler.Tenant{QuotaCores: c.above0(k.Cores)})
-		p.Customers = append(p.Customers, k.Name.Text)
+	for i, k := range f.Tenants {
+		c.required(fmt.Sprintf("customers[%d]", i), k)
+		p.Policy.Tenants = append(p.Policy.Tenants, scheduler.Tenant{QuotaCores: c.positive(k.Cores)})
+		p.Tenants = append(p.Tenants, k.Name.Value)
 	}
-	if f.Keep.Set() && !f.State.Set() {
-		c.fail(f.Keep.Place, "keep is only read once, when state names a folder: name one")
+	if f.LegacyListFile.IsSet() && !f.StateDir.IsSet() {
+		c.fail(f.LegacyListFile.Position, "keep is only read once, when state names a folder: name one")
 	}
-	if f.Metrics.Set() {
-		p.Metrics = c.address(f.Metrics)
+	if f.MetricsAddr.IsSet() {
+		p.MetricsAddr = c.address(f.MetricsAddr)
 	}
 	if f.BGP != nil {
 		p.BGP = c.bgp(f.BGP)
 	}
-	if f.OverShare.Value < 0 || f.OverShare.Value > 1 {
-		c.fail(f.OverShare.Place, "%g is no part from 0 to 1", f.OverShare.Value)
+	if f.OverQuotaWeight.Value < 0 || f.OverQuotaWeight.Value > 1 {
+		c.fail(f.OverQuotaWeight.Position, "%g is no part from 0 to 1", f.OverQuotaWeight.Value)
 	}
 	return p
 }
 
-func (c *check) kinds(all []kind, p *Placer) map[string]int {
+func (c *validator) machineTypes(all []machineTypeEntry, p *Scheduler) map[string]int {
 	byName := map[string]int{}
 	for i, k := range all {
-		c.needed(fmt.Sprintf("machines.kinds[%d]", i), k)
-		if _, twice := byName[k.Name.Text]; twice {
-			c.fail(k.Name.Place, "kind %q stands twice", k.Name.Text)
+		c.required(fmt.Sprintf("machines.kinds[%d]", i), k)
+		if _, twice := byName[k.Name.Value]; twice {
+			c.fail(k.Name.Position, "kind %q stands twice", k.Name.Value)
 		}
-		byName[k.Name.Text] = i
-		p.Kinds = append(p.Kinds, k.Name.Text)
+		byName[k.Name.Value] = i
+		p.MachineTypes = append(p.MachineTypes, k.Name.Value)
 		if k.Memory.GiB <= 0 {
-			c.fail(k.Memory.Place, "a machine needs memory above 0")
+			c.fail(k.Memory.Position, "a machine needs memory above 0")
 		}
-		p.Terms.MachineTypes = append(p.Terms.MachineTypes, scheduler.MachineType{Cores: c.above0(k.Cores), Memory: k.Memory.GiB})
+		p.Policy.MachineTypes = append(p.Policy.MachineTypes, scheduler.MachineType{Cores: c.positive(k.Cores), Memory: k.Memory.GiB})
 	}
 	if len(all) == 0 {
-		c.keep(c.src.Missing("machines", "kinds"))
+		c.record(c.file.MissingKey("machines", "kinds"))
 	}
 	return byName
 }
 
-func (c *check) workload(path string, f *workload, kinds map[string]int, p *Placer) {
-	c.needed(path, *f)
-	if c.fault != nil {
+func (c *validator) workload(path string, f *workloadClassEntry, kinds map[string]int, p *Scheduler) {
+	c.required(path, *f)
+	if c.err != nil {
 		return
 	}
-	w := scheduler.WorkloadClass{LatencyObjective: c.lasting(f.Agreed), PlacementTimeout: c.lasting(f.HardStop), MachineType: -1, PriorityWeight: c.above0(f.Gain)}
+	w := scheduler.WorkloadClass{LatencyObjective: c.positiveDuration(f.LatencyObjective), PlacementTimeout: c.positiveDuration(f.PlacementTimeout), MachineType: -1, PriorityWeight: c.positive(f.PriorityWeight)}
 	if w.LatencyObjective > w.PlacementTimeout {
-		c.fail(f.Agreed.Place, "the agreed time is after the hard stop")
+		c.fail(f.LatencyObjective.Position, "the agreed time is after the hard stop")
 	}
-	effect, err := strictyaml.Choose(c.src, f.Effect, "reissuable", "numbered", "at-most-once")
-	c.keep(err)
+	effect, err := strictyaml.OneOf(c.file, f.Idempotency, "reissuable", "numbered", "at-most-once")
+	c.record(err)
 	w.Idempotency = scheduler.Idempotency(effect)
 	if w.Idempotency == scheduler.IdempotentWithKey {
-		if !f.Repeats.Set() {
-			c.keep(c.src.Missing(path, "repeats_dropped_in"))
+		if !f.DedupScope.IsSet() {
+			c.record(c.file.MissingKey(path, "repeats_dropped_in"))
 		}
-		if !f.Window.Set() {
-			c.keep(c.src.Missing(path, "repeats_dropped_for"))
+		if !f.DedupWindow.IsSet() {
+			c.record(c.file.MissingKey(path, "repeats_dropped_for"))
 		}
-		n, err := strictyaml.Choose(c.src, f.Repeats, "cell", "zone", "everywhere")
-		c.keep(err)
-		w.DedupScope, w.DedupWindow = []scheduler.Scope{scheduler.ScopeRackGroup, scheduler.ScopeZone, scheduler.ScopeFleet}[n], c.span(f.Window)
-	} else if f.Repeats.Set() || f.Window.Set() {
-		c.fail(max1(f.Repeats.Place, f.Window.Place), "only numbered work has its repeats dropped")
+		n, err := strictyaml.OneOf(c.file, f.DedupScope, "cell", "zone", "everywhere")
+		c.record(err)
+		w.DedupScope, w.DedupWindow = []scheduler.Scope{scheduler.ScopeRackGroup, scheduler.ScopeZone, scheduler.ScopeFleet}[n], c.duration(f.DedupWindow)
+	} else if f.DedupScope.IsSet() || f.DedupWindow.IsSet() {
+		c.fail(firstSet(f.DedupScope.Position, f.DedupWindow.Position), "only numbered work has its repeats dropped")
 	}
-	if f.Kind.Set() {
-		n, ok := kinds[f.Kind.Text]
+	if f.MachineType.IsSet() {
+		n, ok := kinds[f.MachineType.Value]
 		if !ok {
-			c.fail(f.Kind.Place, "there is no kind %q", f.Kind.Text)
+			c.fail(f.MachineType.Position, "there is no kind %q", f.MachineType.Value)
 		}
 		w.MachineType = n
 	}
-	if f.Spread.Set() {
-		n, err := strictyaml.Choose(c.src, f.Spread, "machine", "cell", "zone")
-		c.keep(err)
+	if f.SpreadScope.IsSet() {
+		n, err := strictyaml.OneOf(c.file, f.SpreadScope, "machine", "cell", "zone")
+		c.record(err)
 		w.SpreadScope = []scheduler.Scope{scheduler.ScopeMachine, scheduler.ScopeRackGroup, scheduler.ScopeZone}[n]
-		if !f.Most.Set() {
-			c.keep(c.src.Missing(path, "most_in_one"))
+		if !f.MaxPerScope.IsSet() {
+			c.record(c.file.MissingKey(path, "most_in_one"))
 		}
-		w.MaxPerScope = c.some(f.Most)
-	} else if f.Most.Set() {
-		c.fail(f.Most.Place, "most_in_one needs spread_over")
+		w.MaxPerScope = c.positiveCount(f.MaxPerScope)
+	} else if f.MaxPerScope.IsSet() {
+		c.fail(f.MaxPerScope.Position, "most_in_one needs spread_over")
 	}
-	for _, name := range p.Workloads {
-		if name == f.Name.Text {
-			c.fail(f.Name.Place, "workload %q stands twice", name)
+	for _, name := range p.WorkloadClasses {
+		if name == f.Name.Value {
+			c.fail(f.Name.Position, "workload %q stands twice", name)
 		}
 	}
-	p.Workloads = append(p.Workloads, f.Name.Text)
-	p.Terms.WorkloadClasses = append(p.Terms.WorkloadClasses, w)
+	p.WorkloadClasses = append(p.WorkloadClasses, f.Name.Value)
+	p.Policy.WorkloadClasses = append(p.Policy.WorkloadClasses, w)
 }
 
-// max1 is the first of two places that is set.
-func max1(a, b strictyaml.Place) strictyaml.Place {
-	if a.Set() {
+// firstSet is the first of two places that is set.
+func firstSet(a, b strictyaml.Position) strictyaml.Position {
+	if a.IsSet() {
 		return a
 	}
 	return b
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,16 +17,16 @@
 }
 
 func TestSample(t *testing.T) {
-	p, err := Parse("placer.yaml", []byte(sample(t)))
+	p, err := ParseScheduler("placer.yaml", []byte(sample(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := scheduler.WorkloadClass{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeZone, DedupWindow: 8 * scheduler.Second,
 		LatencyObjective: 700 * scheduler.Millisecond, PlacementTimeout: 6 * scheduler.Second, MachineType: -1, PriorityWeight: 2}
-	if got := p.Terms.WorkloadClasses[1]; got != want {
+	if got := p.Policy.WorkloadClasses[1]; got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
-	if k := p.Terms.MachineTypes[1]; k.Cores != 48 || k.Memory != 120 || p.Output != 1<<20 || p.Terms.SlowStartBudget != 60 {
+	if k := p.Policy.MachineTypes[1]; k.Cores != 48 || k.Memory != 120 || p.MaxOutput != 1<<20 || p.Policy.SlowStartBudget != 60 {
 		t.Errorf("got %+v", p)
 	}
 }
@@ -71,12 +71,12 @@
 			if text == sample(t) {
 				t.Fatal("nothing was changed")
 			}
-			if _, err := Parse("placer.yaml", []byte(text)); err == nil || !strings.Contains(err.Error(), tc.want) {
+			if _, err := ParseScheduler("placer.yaml", []byte(text)); err == nil || !strings.Contains(err.Error(), tc.want) {
 				t.Errorf("got %v, want %s", err, tc.want)
 			}
 		})
 	}
-	if _, err := Parse("placer.yaml", nil); err == nil || err.Error() != "placer.yaml: is empty" {
+	if _, err := ParseScheduler("placer.yaml", nil); err == nil || err.Error() != "placer.yaml: is empty" {
 		t.Errorf("empty: %v", err)
 	}
 }
--- a/internal/config/controller.go
+++ b/internal/config/controller.go
@@ -7,62 +7,62 @@
 	"glenport/internal/config/strictyaml"
 )
 
-// Keeper is a keeper's file, checked.
-type Keeper struct {
+// Controller is a keeper's file, checked.
+type Controller struct {
 	Name  string
-	API   string
-	Doors []string
-	List  string
+	APIAddr   string
+	SchedulerAddrs []string
+	MachineListAddr  string
 	Seed  uint64
-	State string  // the folder of what is kept over restarts; nothing is where empty
-	Terms *Placer // workloads, customers and kinds
+	StateDir string  // the folder of what is kept over restarts; nothing is where empty
+	Scheduler *Scheduler // workloads, customers and kinds
 }
 
-type keeperFile struct {
-	Name  strictyaml.Word   `yaml:"name"`
-	API   strictyaml.Word   `yaml:"api"`
-	Terms strictyaml.Word   `yaml:"placer_file"`
-	Doors []strictyaml.Word `yaml:"doors"`
-	List  strictyaml.Word   `yaml:"list" settings:"may"`
+type controllerFile struct {
+	Name  strictyaml.String   `yaml:"name"`
+	APIAddr   strictyaml.String   `yaml:"api"`
+	SchedulerFile strictyaml.String   `yaml:"placer_file"`
+	SchedulerAddrs []strictyaml.String `yaml:"doors"`
+	MachineListAddr  strictyaml.String   `yaml:"list" settings:"may"`
 	Seed  strictyaml.Count  `yaml:"seed" settings:"may"`
-	State strictyaml.Word   `yaml:"state" settings:"may"`
+	StateDir strictyaml.String   `yaml:"state" settings:"may"`
 }
 
-// LoadKeeper reads and checks a keeper's file and the placer's file that it names, beside it.
-func LoadKeeper(path string) (*Keeper, error) {
+// LoadController reads and checks a keeper's file and the placer's file that it names, beside it.
+func LoadController(path string) (*Controller, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	var f keeperFile
+	var f controllerFile
 	src, err := strictyaml.Read(path, data, &f)
 	if err != nil {
 		return nil, err
 	}
-	c := &check{src: src}
-	c.needed("", f)
-	if c.fault != nil {
-		return nil, c.fault
+	c := &validator{file: src}
+	c.required("", f)
+	if c.err != nil {
+		return nil, c.err
 	}
-	k := &Keeper{Name: f.Name.Text, API: c.address(f.API), Seed: uint64(f.Seed.Value), State: f.State.Text}
-	if f.List.Set() {
-		k.List = c.address(f.List)
+	k := &Controller{Name: f.Name.Value, APIAddr: c.address(f.APIAddr), Seed: uint64(f.Seed.Value), StateDir: f.StateDir.Value}
+	if f.MachineListAddr.IsSet() {
+		k.MachineListAddr = c.address(f.MachineListAddr)
 	}
-	for _, d := range f.Doors {
-		k.Doors = append(k.Doors, c.address(d))
+	for _, d := range f.SchedulerAddrs {
+		k.SchedulerAddrs = append(k.SchedulerAddrs, c.address(d))
 	}
-	if len(k.Doors) == 0 {
-		c.keep(src.Missing("", "doors"))
+	if len(k.SchedulerAddrs) == 0 {
+		c.record(src.MissingKey("", "doors"))
 	}
-	if c.fault != nil {
-		return nil, c.fault
+	if c.err != nil {
+		return nil, c.err
 	}
-	terms := f.Terms.Text
+	terms := f.SchedulerFile.Value
 	if !filepath.IsAbs(terms) {
 		terms = filepath.Join(filepath.Dir(path), terms)
 	}
-	if k.Terms, err = Load(terms); os.IsNotExist(err) {
-		return nil, src.At(f.Terms.Place, "%v", err)
+	if k.Scheduler, err = LoadScheduler(terms); os.IsNotExist(err) {
+		return nil, src.ErrorAt(f.SchedulerFile.Position, "%v", err)
 	}
 	return k, err
 }
--- a/internal/controller/api/golden_test.go
+++ b/internal/controller/api/golden_test.go
@@ -26,7 +26,7 @@
 // TestAnswersMatchGoldenBytes compares what clients are sent, byte for byte, with testdata: lists, objects, watch events and problems,
 // from a controller that holds fixed objects and has no scheduler.
 func TestAnswersMatchGoldenBytes(t *testing.T) {
-	s, err := server.New(server.Config{Name: "controller", Seed: 1, SchedulerConfig: &config.Placer{Workloads: []string{"matcher"}}},
+	s, err := server.New(server.Config{Name: "controller", Seed: 1, SchedulerConfig: &config.Scheduler{WorkloadClasses: []string{"matcher"}}},
 		watchcache.New(EncodeWatchEvent), quiet)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controller/api/helpers_test.go
+++ b/internal/controller/api/helpers_test.go
@@ -40,23 +40,23 @@
 func startFixture(t *testing.T, machines int) *fixture {
 	t.Helper()
 	f := &fixture{T: t}
-	schedulerConfig, err := config.Load("../../../scenarios/why-placer.yaml")
+	schedulerConfig, err := config.LoadScheduler("../../../scenarios/why-placer.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.startMachines(machines)
 	list := &emulator.MachineList{Lag: 0, FailureDetection: time.Second, PollInterval: 50 * time.Millisecond, Address: (*emulator.Machine).Addr}
-	if schedulerConfig.ListAddr, err = list.Open(f.machines); err != nil {
+	if schedulerConfig.MachineListAddr, err = list.Open(f.machines); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(list.Close)
-	schedulerConfig.Door, schedulerConfig.State, schedulerConfig.Terms.SchedulerCount = "127.0.0.1:0", "", 1
-	schedulerProcess, err := schedulerd.New(schedulerConfig, scheduler.New(schedulerConfig.Terms), quiet)
+	schedulerConfig.ListenAddr, schedulerConfig.StateDir, schedulerConfig.Policy.SchedulerCount = "127.0.0.1:0", "", 1
+	schedulerProcess, err := schedulerd.New(schedulerConfig, scheduler.New(schedulerConfig.Policy), quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	serve(t, schedulerProcess.Run, schedulerProcess.Stop)
-	f.config = server.Config{Name: "keeper", Schedulers: []string{schedulerProcess.Addr()}, MachineList: schedulerConfig.ListAddr, Seed: 1,
+	f.config = server.Config{Name: "keeper", Schedulers: []string{schedulerProcess.Addr()}, MachineList: schedulerConfig.MachineListAddr, Seed: 1,
 		SchedulerConfig: schedulerConfig, StateDir: t.TempDir()}
 	f.startController()
 	f.loadDescription()
--- a/internal/controller/server/golden_test.go
+++ b/internal/controller/server/golden_test.go
@@ -77,8 +77,8 @@
 
 func goldenConfig(folder string) Config {
 	return Config{Name: "controller", Schedulers: []string{"127.0.0.1:7000", goldenScheduler}, Seed: 1, StateDir: folder,
-		SchedulerConfig: &config.Placer{Workloads: []string{"matcher", "report-run"}, Customers: []string{"offices", "farms", "schools"},
-			Terms: scheduler.Config{WorkloadClasses: []scheduler.WorkloadClass{{}, {}}}}}
+		SchedulerConfig: &config.Scheduler{WorkloadClasses: []string{"matcher", "report-run"}, Tenants: []string{"offices", "farms", "schools"},
+			Policy: scheduler.Config{WorkloadClasses: []scheduler.WorkloadClass{{}, {}}}}}
 }
 
 // openGolden opens a server on a folder, without serving; closed stops it.
--- a/internal/controller/server/iteration.go
+++ b/internal/controller/server/iteration.go
@@ -82,7 +82,7 @@
 
 // idempotency returns that of a workload class; the most careful one for a class that is not configured.
 func (s *Server) idempotency(workloadClass int) scheduler.Idempotency {
-	if classes := s.config.SchedulerConfig.Terms.WorkloadClasses; workloadClass >= 0 && workloadClass < len(classes) {
+	if classes := s.config.SchedulerConfig.Policy.WorkloadClasses; workloadClass >= 0 && workloadClass < len(classes) {
 		return classes[workloadClass].Idempotency
 	}
 	return scheduler.AtMostOnce
--- a/internal/controller/server/machinelist.go
+++ b/internal/controller/server/machinelist.go
@@ -95,7 +95,7 @@
 func (s *Server) machineObject(entry protocol.MachineEntry) Machine {
 	m := Machine{ID: entry.Machine, Zone: entry.Zone, State: entry.State.String(), FreeCores: entry.FreeCores,
 		FreeMemoryGiB: entry.FreeMemory, Incarnation: entry.Incarnation}
-	if types := s.config.SchedulerConfig.Kinds; entry.MachineType < len(types) {
+	if types := s.config.SchedulerConfig.MachineTypes; entry.MachineType < len(types) {
 		m.MachineType = types[entry.MachineType]
 	}
 	return m
--- a/internal/controller/server/pendingreasons.go
+++ b/internal/controller/server/pendingreasons.go
@@ -50,7 +50,7 @@
 // pendingFacts returns what is known on why a container is pending; reply is nil where no scheduler replied.
 func (s *Server) pendingFacts(c controller.Container, reply *protocol.ExplainReply) pending.Facts {
 	facts := pending.Facts{Container: c, Schedulers: len(s.schedulers), Zones: s.zones(),
-		SlowStartWindow: s.config.SchedulerConfig.Terms.SlowStartWindow}
+		SlowStartWindow: s.config.SchedulerConfig.Policy.SlowStartWindow}
 	for _, conn := range s.schedulers {
 		if conn.connected {
 			facts.SchedulersConnected++
--- a/internal/controller/server/server.go
+++ b/internal/controller/server/server.go
@@ -29,7 +29,7 @@
 	MachineList     string         // address of the machine list; where empty, no machines are shown
 	Seed            uint64         // of the controller's random numbers
 	StateDir        string         // folder of the state that survives restarts; where empty, nothing is stored
-	SchedulerConfig *config.Placer // the schedulers' workload classes, tenants and machine types
+	SchedulerConfig *config.Scheduler // the schedulers' workload classes, tenants and machine types
 }
 
 // Server is a controller process.
@@ -77,7 +77,7 @@
 
 func controllerConfig(c Config) controller.Config {
 	out := controller.Config{Seed: c.Seed, FirstSequence: uint64(time.Now().UnixMicro()), SchedulerCount: len(c.Schedulers)}
-	for _, w := range c.SchedulerConfig.Terms.WorkloadClasses {
+	for _, w := range c.SchedulerConfig.Policy.WorkloadClasses {
 		out.WorkloadClasses = append(out.WorkloadClasses, controller.WorkloadClass{Idempotency: w.Idempotency,
 			PlacementTimeout: w.PlacementTimeout, DedupWindow: w.DedupWindow})
 	}
--- a/internal/controller/server/spec.go
+++ b/internal/controller/server/spec.go
@@ -35,7 +35,7 @@
 	if job.Service == "" || len(job.Service) > maxServiceLength {
 		return spec, invalidField("service", "1 to 100 bytes are wanted")
 	}
-	workloadClasses, tenants := s.config.SchedulerConfig.Workloads, s.config.SchedulerConfig.Customers
+	workloadClasses, tenants := s.config.SchedulerConfig.WorkloadClasses, s.config.SchedulerConfig.Tenants
 	if spec.WorkloadClass = slices.Index(workloadClasses, job.WorkloadClass); spec.WorkloadClass < 0 {
 		return spec, invalidField("workload", "%q is none of %s", job.WorkloadClass, strings.Join(workloadClasses, ", "))
 	}
--- a/internal/schedulerd/attempt_test.go
+++ b/internal/schedulerd/attempt_test.go
@@ -133,7 +133,7 @@
 	})
 	defer close(done)
 	settings := testConfig(t)
-	settings.Bounds.OpenRequests, settings.Bounds.OpenRequestsPerClient = 1_000_000, 1_000_000
+	settings.Limits.OpenRequests, settings.Limits.OpenRequestsPerClient = 1_000_000, 1_000_000
 	h := startHarness(t, settings, attemptOn(0), map[string]string{"a": address})
 	sent := 0
 	for notSent := false; !notSent; {
--- a/internal/schedulerd/clientconn.go
+++ b/internal/schedulerd/clientconn.go
@@ -38,7 +38,7 @@
 func (s *Server) acceptClient() (eventloop.Handler, int) {
 	s.lastClient++
 	return &clientConn{server: s, id: s.lastClient, reader: protocol.Reader{MaxSize: protocol.MaxClientFrame}, name: unknownPeer,
-		acceptedAt: s.loop.Now()}, s.config.Output
+		acceptedAt: s.loop.Now()}, s.config.MaxOutput
 }
 
 // Opened implements eventloop.Handler.
@@ -103,7 +103,7 @@
 	case c.role == 0 && now-c.acceptedAt > helloTimeout:
 		c.server.logConnectionClosed(c.name, after(errNoHello, now-c.acceptedAt))
 		c.disconnect(reasonNoHello)
-	case c.partial.overdue(now, c.server.config.Silent):
+	case c.partial.overdue(now, c.server.config.SilenceTimeout):
 		c.server.logConnectionClosed(c.name, after(errPartialFrame, now-c.partial.since))
 		c.disconnect(reasonPartialFrame)
 	}
--- a/internal/schedulerd/clientconn_test.go
+++ b/internal/schedulerd/clientconn_test.go
@@ -50,7 +50,7 @@
 // What exceeds the bounds, garbage, and frames that never end are refused with a reason; other clients are served.
 func TestListenerRejectsWhatExceedsItsBounds(t *testing.T) {
 	settings := testConfig(t)
-	settings.Bounds.OpenRequests, settings.Bounds.Clients, settings.Silent = 2, 2, 5000
+	settings.Limits.OpenRequests, settings.Limits.Clients, settings.SilenceTimeout = 2, 2, 5000
 	h := startHarness(t, settings, nil, nil)
 	for _, id := range []string{"x", "y", "z"} {
 		h.client.submit(id, classIdempotent)
--- a/internal/schedulerd/container.go
+++ b/internal/schedulerd/container.go
@@ -31,7 +31,7 @@
 // admit hands an admitted request to the scheduler.
 func (s *Server) admit(action reconcile.Admit) {
 	id := action.Request.ID
-	class := s.config.Terms.WorkloadClasses[action.Request.WorkloadClass]
+	class := s.config.Policy.WorkloadClasses[action.Request.WorkloadClass]
 	s.containers[id] = &container{
 		request:           action.Request,
 		dedupWindow:       protocol.Duration(class.DedupWindow),
--- a/internal/schedulerd/discovery.go
+++ b/internal/schedulerd/discovery.go
@@ -29,7 +29,7 @@
 	s := d.server
 	if d.conn == nil {
 		d.reader, d.lastReadAt = protocol.Reader{}, s.loop.Now()
-		d.conn = s.loop.Dial(s.config.ListAddr, d, s.config.Output, s.config.Connect)
+		d.conn = s.loop.Dial(s.config.MachineListAddr, d, s.config.MaxOutput, s.config.ConnectTimeout)
 		d.send(s.hello())
 	}
 	d.awaitingReply = true
@@ -77,7 +77,7 @@
 }
 
 func (d *discoveryClient) checkTimeouts(now eventloop.Tick) {
-	if d.conn != nil && now-d.lastReadAt > d.server.config.Silent {
+	if d.conn != nil && now-d.lastReadAt > d.server.config.SilenceTimeout {
 		d.server.logConnectionClosed(discoveryPeer, after(errSilent, now-d.lastReadAt))
 		d.conn.Reset()
 	}
--- a/internal/schedulerd/discovery_test.go
+++ b/internal/schedulerd/discovery_test.go
@@ -63,7 +63,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			third := make(chan int64, 1)
 			settings := testConfig(t)
-			settings.ListAddr = serveThreeUpdates(t, tc.incarnation, &tc.update, third)
+			settings.MachineListAddr = serveThreeUpdates(t, tc.incarnation, &tc.update, third)
 			script := newScript(nil)
 			server := runServer(t, settings, script)
 			for i, want := range []scheduler.UpdateMode{scheduler.FullSnapshot, scheduler.UpdateFailed, scheduler.FullSnapshot} {
@@ -94,8 +94,8 @@
 	var away atomic.Bool
 	requested := make(chan int64, 100) // the version since which updates are requested
 	settings := testConfig(t)
-	settings.Connect, settings.Terms.ResyncInterval, settings.Terms.SchedulerCount = 10*eventloop.Second, scheduler.Second, 1
-	settings.ListAddr = listenTCP(t, func(c net.Conn) {
+	settings.ConnectTimeout, settings.Policy.ResyncInterval, settings.Policy.SchedulerCount = 10*eventloop.Second, scheduler.Second, 1
+	settings.MachineListAddr = listenTCP(t, func(c net.Conn) {
 		if away.Load() {
 			return
 		}
@@ -111,7 +111,7 @@
 			}
 		}
 	})
-	server := runServer(t, settings, scheduler.New(settings.Terms))
+	server := runServer(t, settings, scheduler.New(settings.Policy))
 	awaitRequest := func(since int64) {
 		t.Helper()
 		select {
--- a/internal/schedulerd/faultydir_test.go
+++ b/internal/schedulerd/faultydir_test.go
@@ -51,10 +51,10 @@
 }
 
 // useFaultyDir makes every server of the test open a folder whose faults the test sets.
-func useFaultyDir(t *testing.T, settings *config.Placer) *faultyDir {
+func useFaultyDir(t *testing.T, settings *config.Scheduler) *faultyDir {
 	t.Helper()
 	d := &faultyDir{}
-	settings.State = t.TempDir()
+	settings.StateDir = t.TempDir()
 	original := openStateDir
 	openStateDir = func(path string) (stateDir, error) {
 		var err error
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -236,8 +236,8 @@
 
 func TestGoldenStateIsRead(t *testing.T) {
 	settings := testConfig(t)
-	settings.State = t.TempDir()
-	if err := os.CopyFS(settings.State, os.DirFS(goldenState)); err != nil {
+	settings.StateDir = t.TempDir()
+	if err := os.CopyFS(settings.StateDir, os.DirFS(goldenState)); err != nil {
 		t.Fatal(err)
 	}
 	server, err := New(settings, newWarmStartScript(scheduler.Snapshot{}), discardLog)
--- a/internal/schedulerd/helpers_test.go
+++ b/internal/schedulerd/helpers_test.go
@@ -98,21 +98,21 @@
 	client *testClient
 }
 
-func testConfig(t *testing.T) *config.Placer {
+func testConfig(t *testing.T) *config.Scheduler {
 	t.Helper()
-	settings, err := config.Load("../../deploy/placer.yaml")
+	settings, err := config.LoadScheduler("../../deploy/placer.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	settings.Door, settings.State = "127.0.0.1:0", ""
+	settings.ListenAddr, settings.StateDir = "127.0.0.1:0", ""
 	return settings
 }
 
 // startHarness takes the addresses of machines by their names.
-func startHarness(t *testing.T, settings *config.Placer, react func(scheduler.Event) []scheduler.Action, machines map[string]string) *harness {
+func startHarness(t *testing.T, settings *config.Scheduler, react func(scheduler.Event) []scheduler.Action, machines map[string]string) *harness {
 	t.Helper()
 	h := &harness{t: t, script: newScript(react)}
-	settings.ListAddr = serveMachineList(t, machines)
+	settings.MachineListAddr = serveMachineList(t, machines)
 	h.server = runServer(t, settings, h.script)
 	watchList(h.server)
 	awaitList(t, h.script)
@@ -120,7 +120,7 @@
 	return h
 }
 
-func runServer(t *testing.T, settings *config.Placer, decisions Scheduler) *Server {
+func runServer(t *testing.T, settings *config.Scheduler, decisions Scheduler) *Server {
 	t.Helper()
 	server, err := New(settings, decisions, discardLog)
 	if err != nil {
@@ -138,7 +138,7 @@
 }
 
 // runIncarnation runs a server until f returns, and stops it in order.
-func runIncarnation(t *testing.T, settings *config.Placer, decisions Scheduler, f func(*Server)) {
+func runIncarnation(t *testing.T, settings *config.Scheduler, decisions Scheduler, f func(*Server)) {
 	t.Helper()
 	server, err := New(settings, decisions, discardLog)
 	if err != nil {
--- a/internal/schedulerd/interleaving_model_test.go
+++ b/internal/schedulerd/interleaving_model_test.go
@@ -169,7 +169,7 @@
 
 var modelMachineNames = []string{"a", "b"}
 
-func newModel(t *testing.T, settings *config.Placer, wrap func(modelcheck.Decider) modelcheck.Decider) *model {
+func newModel(t *testing.T, settings *config.Scheduler, wrap func(modelcheck.Decider) modelcheck.Decider) *model {
 	w := &model{t: t, list: listenRaw(t), machines: map[string]*modelMachine{}, answers: map[string]int{}, cancelled: map[string]bool{}}
 	for i, name := range modelMachineNames {
 		m := &modelMachine{rawListener: listenRaw(t), incarnation: 1, attempts: map[uint64]*modelAttempt{}}
@@ -177,10 +177,10 @@
 		w.machines[name] = m
 	}
 	own := *settings
-	own.ListAddr = w.list.addr
-	decisions := scheduler.New(own.Terms)
+	own.MachineListAddr = w.list.addr
+	decisions := scheduler.New(own.Policy)
 	decisions.Restore(scheduler.Snapshot{SendsKnownSince: 1})
-	w.judge = modelcheck.NewChecker(own.Terms, 1, 0)
+	w.judge = modelcheck.NewChecker(own.Policy, 1, 0)
 	var err error
 	if w.server, err = New(&own, wrap(decisions), discardLog); err != nil {
 		t.Fatal(err)
--- a/internal/schedulerd/interleaving_test.go
+++ b/internal/schedulerd/interleaving_test.go
@@ -185,15 +185,15 @@
 }
 
 // modelConfig has one workload class for each of the three containers.
-func modelConfig(t *testing.T, classes ...scheduler.WorkloadClass) *config.Placer {
+func modelConfig(t *testing.T, classes ...scheduler.WorkloadClass) *config.Scheduler {
 	s := testConfig(t)
-	s.Connect, s.Silent, s.Idle = 30*eventloop.Second, 600*eventloop.Second, 600*eventloop.Second
-	s.Terms.SchedulerCount, s.Terms.SchedulerIndex, s.Terms.MachineTypes = 1, 0, []scheduler.MachineType{{Cores: 20, Memory: 20}}
-	s.Terms.SlowStartPeriod, s.Terms.SlowStartWindow, s.Terms.SlowStartBudget = 1200*scheduler.Second, 600*scheduler.Second, 1
-	s.Terms.WorkloadClasses, s.Terms.ListOnRequest = nil, false
+	s.ConnectTimeout, s.SilenceTimeout, s.IdleTimeout = 30*eventloop.Second, 600*eventloop.Second, 600*eventloop.Second
+	s.Policy.SchedulerCount, s.Policy.SchedulerIndex, s.Policy.MachineTypes = 1, 0, []scheduler.MachineType{{Cores: 20, Memory: 20}}
+	s.Policy.SlowStartPeriod, s.Policy.SlowStartWindow, s.Policy.SlowStartBudget = 1200*scheduler.Second, 600*scheduler.Second, 1
+	s.Policy.WorkloadClasses, s.Policy.ListOnRequest = nil, false
 	for _, class := range classes {
 		class.MachineType, class.LatencyObjective, class.PlacementTimeout, class.PriorityWeight = -1, scheduler.Second, 600*scheduler.Second, 1
-		s.Terms.WorkloadClasses = append(s.Terms.WorkloadClasses, class)
+		s.Policy.WorkloadClasses = append(s.Policy.WorkloadClasses, class)
 	}
 	return s
 }
@@ -239,7 +239,7 @@
 }
 
 // explore tries every sequence of steps up to a depth, until one violates an invariant.
-func explore(t *testing.T, settings *config.Placer, steps []string, depth int, wrap func(modelcheck.Decider) modelcheck.Decider) (
+func explore(t *testing.T, settings *config.Scheduler, steps []string, depth int, wrap func(modelcheck.Decider) modelcheck.Decider) (
 	n int, done, violations []string) {
 	modelcheck.EnumeratePaths(depth, func(path []int) (widths []int, on bool) {
 		w := newModel(t, settings, wrap)
--- a/internal/schedulerd/machine.go
+++ b/internal/schedulerd/machine.go
@@ -82,9 +82,9 @@
 	}
 	m.reader, m.ready = protocol.Reader{}, false
 	m.lastReadAt, m.lastSentAt = s.loop.Now(), s.loop.Now()
-	m.conn = s.loop.Dial(m.address, m, s.config.Output, s.config.Connect)
+	m.conn = s.loop.Dial(m.address, m, s.config.MaxOutput, s.config.ConnectTimeout)
 	conn := m.conn
-	s.loop.After(inventoryTimeouts*s.config.Connect, func() {
+	s.loop.After(inventoryTimeouts*s.config.ConnectTimeout, func() {
 		if m.conn == conn && !m.ready {
 			conn.Reset()
 		}
@@ -210,9 +210,9 @@
 	}
 	limits := m.server.config
 	switch {
-	case m.idle() && now-m.lastSentAt > limits.Idle:
+	case m.idle() && now-m.lastSentAt > limits.IdleTimeout:
 		m.conn.Close()
-	case now-m.lastReadAt > limits.Silent, m.partial.overdue(now, limits.Silent):
+	case now-m.lastReadAt > limits.SilenceTimeout, m.partial.overdue(now, limits.SilenceTimeout):
 		m.server.logConnectionClosed(string(m.id), after(errSilent, now-m.lastReadAt))
 		m.conn.Reset()
 	}
--- a/internal/schedulerd/machineframes.go
+++ b/internal/schedulerd/machineframes.go
@@ -65,7 +65,7 @@
 }
 
 func (m *machine) handleAccept(f *protocol.Accept) {
-	if m.server.config.Terms.AcceptMeansRunning && !f.Running {
+	if m.server.config.Policy.AcceptMeansRunning && !f.Running {
 		return
 	}
 	a := m.attempts[f.AttemptID]
--- a/internal/schedulerd/queue.go
+++ b/internal/schedulerd/queue.go
@@ -7,7 +7,7 @@
 	m := a.machine
 	m.queued = append(m.queued, a)
 	s.adoptions.queued++
-	s.loop.After(s.config.Connect, func() {
+	s.loop.After(s.config.ConnectTimeout, func() {
 		if m.dequeue(a) {
 			s.attemptUnreached(a)
 		}
--- a/internal/schedulerd/queue_test.go
+++ b/internal/schedulerd/queue_test.go
@@ -29,7 +29,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			address, hello, offered := serveSlowMachine(t, "a")
 			settings := testConfig(t)
-			settings.Connect = 10 * eventloop.Second
+			settings.ConnectTimeout = 10 * eventloop.Second
 			h := startHarness(t, settings, attemptOn(0), map[string]string{"a": address})
 			h.client.submit("x", classIdempotent)
 			eventuallyOnLoop(t, h.server, func() bool { return len(h.server.machines["a"].queued) > 0 })
@@ -74,7 +74,7 @@
 	for incarnation, want := range map[uint64]scheduler.Outcome{1: scheduler.OutcomeTimedOut, 2: scheduler.OutcomeNotSent} {
 		address, hello, _ := serveSlowMachine(t, "a")
 		settings := testConfig(t)
-		settings.Connect = 10 * eventloop.Second
+		settings.ConnectTimeout = 10 * eventloop.Second
 		h := startHarness(t, settings, nil, map[string]string{"a": address})
 		runOnLoop(h.server, func() { h.server.probe("a") })
 		hello <- incarnation
--- a/internal/schedulerd/restore.go
+++ b/internal/schedulerd/restore.go
@@ -67,7 +67,7 @@
 		starts[id], incarnations[id] = m.start(), m.incarnation
 	}
 	persisted := st.persisted()
-	restored := warmstart.Restore(now, persisted, starts, s.classNames(), s.config.Terms.SlowStartWindow)
+	restored := warmstart.Restore(now, persisted, starts, s.classNames(), s.config.Policy.SlowStartWindow)
 	target.Restore(restored.Snapshot)
 	st.pendingSends, st.sendsKnownSince = restored.PendingSends, restored.Snapshot.SendsKnownSince
 	st.ledger.Restore(restored, incarnations)
--- a/internal/schedulerd/restore_test.go
+++ b/internal/schedulerd/restore_test.go
@@ -33,8 +33,8 @@
 // used; one of a later version stops the start.
 func TestRestartRestoresListAndSnapshot(t *testing.T) {
 	settings := testConfig(t)
-	settings.State = t.TempDir()
-	settings.ListAddr = serveMachineList(t, map[string]string{"a": "127.0.0.1:1", "b": "127.0.0.1:1"})
+	settings.StateDir = t.TempDir()
+	settings.MachineListAddr = serveMachineList(t, map[string]string{"a": "127.0.0.1:1", "b": "127.0.0.1:1"})
 	first := newWarmStartScript(scheduler.Snapshot{Machines: []scheduler.MachineSnapshot{
 		{Machine: "a", OutlierLogOdds: 4}, {Machine: "gone", OutlierLogOdds: 4}}})
 	runIncarnation(t, settings, first, func(server *Server) {
@@ -53,7 +53,7 @@
 			t.Errorf("restored %+v", restored.Machines)
 		}
 	})
-	name := filepath.Join(settings.State, WarmStartFile)
+	name := filepath.Join(settings.StateDir, WarmStartFile)
 	data := readFile(t, name)
 	flipped := append([]byte(nil), data...)
 	flipped[len(flipped)/2] ^= 1
@@ -66,7 +66,7 @@
 			}
 		})
 	}
-	writeLaterSnapshot(t, settings.State)
+	writeLaterSnapshot(t, settings.StateDir)
 	var unsupported *wal.UnsupportedVersionError
 	if _, err := New(settings, newWarmStartScript(scheduler.Snapshot{}), discardLog); !errors.As(err, &unsupported) {
 		t.Errorf("a file of a later version: %v", err)
@@ -93,7 +93,7 @@
 	var now uint64
 	runIncarnation(t, testConfig(t), newScript(nil), func(server *Server) { now = uint64(server.loop.Now()) })
 	settings := testConfig(t)
-	settings.Keep = filepath.Join(t.TempDir(), "list")
+	settings.LegacyListFile = filepath.Join(t.TempDir(), "list")
 	data, err := protocol.Append(binary.BigEndian.AppendUint64(nil, 0), &protocol.MachineListUpdate{FullSnapshot: true, Version: 7,
 		Entries: []protocol.MachineEntry{{Machine: "a", Address: "127.0.0.1:1", Age: 50}}})
 	if err != nil {
@@ -105,8 +105,8 @@
 		machines int
 	}{{"older than a day", longAgo, 0}, {"of today", now, 1}} {
 		binary.BigEndian.PutUint64(data, tc.at)
-		writeFile(t, settings.Keep, data)
-		settings.State = t.TempDir()
+		writeFile(t, settings.LegacyListFile, data)
+		settings.StateDir = t.TempDir()
 		script := newWarmStartScript(scheduler.Snapshot{})
 		runIncarnation(t, settings, script, func(*Server) {
 			if update := awaitEvent[scheduler.MachineListUpdate](t, script.scriptedScheduler, nil); len(update.Entries) != tc.machines {
@@ -128,7 +128,7 @@
 		return true
 	})
 	settings := testConfig(t)
-	settings.State = t.TempDir()
+	settings.StateDir = t.TempDir()
 	h := startHarness(t, settings, func(e scheduler.Event) []scheduler.Action {
 		if e, ok := e.(scheduler.RequestReceived); ok {
 			return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: "a"}}
@@ -137,7 +137,7 @@
 	}, map[string]string{"a": silent})
 	h.client.submit("x", class)
 	o := <-offered
-	return copyState(t, settings.State), protocol.InventoryItem{SchedulerIncarnation: h.server.incarnation, AttemptID: o.AttemptID,
+	return copyState(t, settings.StateDir), protocol.InventoryItem{SchedulerIncarnation: h.server.incarnation, AttemptID: o.AttemptID,
 		Running: true, Spec: o.Spec}
 }
 
@@ -179,7 +179,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			settings := testConfig(t)
 			state, running := crashDuringAttempt(t, tc.class)
-			settings.State, settings.Connect = state, 10*eventloop.Second
+			settings.StateDir, settings.ConnectTimeout = state, 10*eventloop.Second
 			inventory := &protocol.Inventory{}
 			if tc.runs {
 				inventory.Containers = []protocol.InventoryItem{running}
@@ -213,20 +213,20 @@
 // next incarnation of the scheduler has them.
 func TestSendsBeforeAnIncarnationIsHeardOfAreLogged(t *testing.T) {
 	settings := testConfig(t)
-	settings.State = t.TempDir()
+	settings.StateDir = t.TempDir()
 	address := serveMachine(t, "a", &protocol.Inventory{}, ignoreFrame)
 	h := startHarness(t, settings, attemptOn(0), map[string]string{"a": address})
 	h.client.submit("x", classIdempotent)
 	eventuallyOnLoop(t, h.server, func() bool { return len(h.server.machines["a"].attempts) > 0 })
-	if n := countRecords(t, copyState(t, settings.State), SendKind); n != 0 {
+	if n := countRecords(t, copyState(t, settings.StateDir), SendKind); n != 0 {
 		t.Errorf("%d records of sends to a machine that is not in slow start", n)
 	}
 	entry := protocol.MachineEntry{Machine: "a", Address: address, Incarnation: 2, Age: protocol.Duration(2 * eventloop.Second)}
 	h.applyList(entry)
-	eventually(t, func() bool { return countRecords(t, copyState(t, settings.State), SendKind) == 1 })
+	eventually(t, func() bool { return countRecords(t, copyState(t, settings.StateDir), SendKind) == 1 })
 	next := testConfig(t)
-	next.State = copyState(t, settings.State)
-	next.ListAddr = listenTCP(t, func(c net.Conn) {
+	next.StateDir = copyState(t, settings.StateDir)
+	next.MachineListAddr = listenTCP(t, func(c net.Conn) {
 		sendFrames(c, protocol.NewHello(protocol.RoleMachineList, "list", 1),
 			&protocol.MachineListUpdate{FullSnapshot: true, Version: 2, Entries: []protocol.MachineEntry{entry}})
 		for range 3 { // hello, request, end of the connection
--- a/internal/schedulerd/server.go
+++ b/internal/schedulerd/server.go
@@ -32,7 +32,7 @@
 
 // Server is one incarnation of a scheduler process.
 type Server struct {
-	config      *config.Placer
+	config      *config.Scheduler
 	incarnation uint64 // microseconds since 1970 when it was made
 	log         *slog.Logger
 	loop        *eventloop.Loop
@@ -62,7 +62,7 @@
 
 // New opens the state folder and the listener of a scheduler. Run serves; what New has opened is released when Run returns, so
 // that Run must be called even if the server is stopped at once.
-func New(settings *config.Placer, decisions Scheduler, log *slog.Logger) (*Server, error) {
+func New(settings *config.Scheduler, decisions Scheduler, log *slog.Logger) (*Server, error) {
 	s := &Server{
 		config:      settings,
 		incarnation: uint64(time.Now().UnixMicro()),
@@ -93,7 +93,7 @@
 // open reads the state and begins to listen.
 func (s *Server) open() error {
 	coverage := recovery.LogNone
-	if s.config.State != "" {
+	if s.config.StateDir != "" {
 		state, err := openState(s)
 		if err != nil {
 			return err
@@ -107,22 +107,22 @@
 	}
 	s.loop.OnFlushed(func() { s.stats.flushed(s.loop.Elapsed()) })
 	var err error
-	s.listener, err = s.loop.Listen(s.config.Door, s.acceptClient, s.loop.AcceptStateLogger(s.log, "clients"))
+	s.listener, err = s.loop.Listen(s.config.ListenAddr, s.acceptClient, s.loop.AcceptStateLogger(s.log, "clients"))
 	return err
 }
 
 func (s *Server) newReconciler(coverage recovery.LogCoverage) *reconcile.Reconciler {
 	var idempotency []scheduler.Idempotency
 	var limited []overload.WorkloadClass
-	for _, class := range s.config.Terms.WorkloadClasses {
+	for _, class := range s.config.Policy.WorkloadClasses {
 		idempotency = append(idempotency, class.Idempotency)
-		if s.config.Damped {
+		if s.config.AdaptiveLimit {
 			limited = append(limited, overload.WorkloadClass{LatencyObjective: class.LatencyObjective, PriorityWeight: class.PriorityWeight})
 		}
 	}
 	return reconcile.New(reconcile.Config{
 		Incarnation:     s.incarnation,
-		Limits:          s.config.Bounds,
+		Limits:          s.config.Limits,
 		Idempotency:     idempotency,
 		LogCoverage:     coverage,
 		OverloadClasses: limited,
--- a/internal/schedulerd/snapshot.go
+++ b/internal/schedulerd/snapshot.go
@@ -118,8 +118,8 @@
 
 // classNames are the workload classes, then the tenants, in the order of the configuration.
 func (s *Server) classNames() []string {
-	names := append([]string{}, s.config.Workloads...)
-	return append(names, s.config.Customers...)
+	names := append([]string{}, s.config.WorkloadClasses...)
+	return append(names, s.config.Tenants...)
 }
 
 // save writes a snapshot at intervals, forgets machines that have left slow start, and repeats what the log did not take.
--- a/internal/schedulerd/staterecords.go
+++ b/internal/schedulerd/staterecords.go
@@ -33,7 +33,7 @@
 func (st *stateStore) removeAttempt(number uint64) { st.remove(AttemptKind, attemptKey(number)) }
 
 func (st *stateStore) idempotency(class int) scheduler.Idempotency {
-	return st.server.config.Terms.WorkloadClasses[class].Idempotency
+	return st.server.config.Policy.WorkloadClasses[class].Idempotency
 }
 
 // logSend counts an attempt or a probe for a machine in slow start. It reports whether there is anything to log.
--- a/internal/schedulerd/statestore.go
+++ b/internal/schedulerd/statestore.go
@@ -71,13 +71,13 @@
 // openState loads a folder and logs that this incarnation begins. A folder that cannot be read or locked is an error; a full disk
 // is not.
 func openState(s *Server) (*stateStore, error) {
-	dir, err := openStateDir(s.config.State)
+	dir, err := openStateDir(s.config.StateDir)
 	if err != nil {
 		return nil, err
 	}
-	st := &stateStore{server: s, dir: dir, ledger: warmstart.NewSendLedger(s.config.Terms.SlowStartPeriod, s.config.Terms.SlowStartWindow)}
+	st := &stateStore{server: s, dir: dir, ledger: warmstart.NewSendLedger(s.config.Policy.SlowStartPeriod, s.config.Policy.SlowStartWindow)}
 	if err := st.open(); err != nil {
-		return nil, errors.Join(fmt.Errorf("state folder %s: %w", s.config.State, err), dir.Close())
+		return nil, errors.Join(fmt.Errorf("state folder %s: %w", s.config.StateDir, err), dir.Close())
 	}
 	return st, nil
 }
@@ -97,7 +97,7 @@
 		st.incarnationUnlogged = true
 		s.log.Warn("incarnation not logged yet, what must be logged waits", "error", err)
 	}
-	s.log.Info("state loaded", "folder", s.config.State, "records", found.Records, "groups", found.Groups, "bytes", found.Bytes,
+	s.log.Info("state loaded", "folder", s.config.StateDir, "records", found.Records, "groups", found.Groups, "bytes", found.Bytes,
 		"truncated_bytes", found.TruncatedBytes, "open_attempts", len(st.loaded.attempts), "log_coverage", st.history.Coverage)
 	return nil
 }
@@ -151,12 +151,12 @@
 		st.loaded.snapshot = snapshot
 		return nil
 	}
-	snapshot, err = readLegacyList(s.config.Keep)
+	snapshot, err = readLegacyList(s.config.LegacyListFile)
 	switch {
 	case err != nil:
 		s.log.Warn("legacy machine list not used", "error", err)
 	case snapshot != nil:
-		s.log.Info("legacy machine list loaded, the state folder replaces it", "file", s.config.Keep)
+		s.log.Info("legacy machine list loaded, the state folder replaces it", "file", s.config.LegacyListFile)
 		st.loaded.snapshot = snapshot
 	}
 	return nil
--- a/internal/schedulerd/statestore_test.go
+++ b/internal/schedulerd/statestore_test.go
@@ -78,8 +78,8 @@
 			}
 			h.server.Stop()
 			eventually(t, func() bool { return !h.server.loop.Post(func() {}) })
-			eventually(t, func() bool { d, err := vfs.OpenLocked(settings.State); return err == nil && d.Close() == nil })
-			attempts, incarnations := countRecords(t, settings.State, AttemptKind), countRecords(t, settings.State, IncarnationKind)
+			eventually(t, func() bool { d, err := vfs.OpenLocked(settings.StateDir); return err == nil && d.Close() == nil })
+			attempts, incarnations := countRecords(t, settings.StateDir, AttemptKind), countRecords(t, settings.StateDir, IncarnationKind)
 			if attempts != 1 || incarnations != 1 {
 				t.Errorf("%d attempts and %d incarnations in the log, want the running one and one", attempts, incarnations)
 			}
@@ -98,7 +98,7 @@
 		return true
 	})
 	settings := testConfig(t)
-	settings.Connect = 50 * eventloop.Millisecond
+	settings.ConnectTimeout = 50 * eventloop.Millisecond
 	dir := useFaultyDir(t, settings)
 	h := startHarness(t, settings, attemptOn(0), map[string]string{"a": address})
 	h.awaitReady("a")
@@ -118,14 +118,14 @@
 // A folder that another instance holds, or that cannot be made, is an error of New.
 func TestStateFolderThatCannotBeHeldStopsTheStart(t *testing.T) {
 	settings := testConfig(t)
-	settings.State = t.TempDir()
+	settings.StateDir = t.TempDir()
 	runIncarnation(t, settings, newWarmStartScript(scheduler.Snapshot{}), func(*Server) {
 		var locked *vfs.LockedError
 		if _, err := New(settings, newWarmStartScript(scheduler.Snapshot{}), discardLog); !errors.As(err, &locked) {
 			t.Errorf("%v", err)
 		}
 	})
-	settings.State = filepath.Join(settings.State, WarmStartFile, "below a file")
+	settings.StateDir = filepath.Join(settings.StateDir, WarmStartFile, "below a file")
 	if _, err := New(settings, newWarmStartScript(scheduler.Snapshot{}), discardLog); err == nil {
 		t.Error("a folder that cannot be made is opened")
 	}
--- a/internal/testbed/scenario/cluster.go
+++ b/internal/testbed/scenario/cluster.go
@@ -29,8 +29,8 @@
 	Net        *faultproxy.Proxy
 	Clients    *emulator.Clients
 	Schedulers []*SchedulerProcess
-	Config     *config.Placer // the template that the schedulers' settings derive from
-	ListAddr   string         // the list's own, without a proxy
+	Config     *config.Scheduler // the template that the schedulers' settings derive from
+	ListAddr   string            // the list's own, without a proxy
 	recording  *faultproxy.Writer
 }
 
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.Config, err = config.Parse(s.Template, template); err != nil {
+	if c.Config, err = config.ParseScheduler(s.Template, template); err != nil {
 		return nil, err
 	}
 	if err := c.startRecording(s); err != nil {
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Clients = &emulator.Clients{Workloads: s.Workloads, Tenants: len(c.Config.Customers)}
+	c.Clients = &emulator.Clients{Workloads: s.Workloads, Tenants: len(c.Config.Tenants)}
 	for i := range s.Schedulers {
 		if err := c.addScheduler(s, i, template, listProxy, program); err != nil {
 			return nil, err
@@ -73,7 +73,7 @@
 }
 
 func (c *Cluster) startRecording(s *Scenario) (err error) {
-	terms := c.Config.Terms
+	terms := c.Config.Policy
 	terms.SchedulerCount = s.Schedulers
 	header := faultproxy.Header{Config: terms, DrainGrace: s.DrainGrace, Slack: s.Slack}
 	if c.recording, err = faultproxy.Create(c.recordingPath(), header); err != nil {
--- a/internal/testbed/scenario/file.go
+++ b/internal/testbed/scenario/file.go
@@ -16,16 +16,16 @@
 const tick = 100 * time.Microsecond
 
 type scenarioFile struct {
-	Name       strictyaml.Word       `yaml:"name"`
+	Name       strictyaml.String     `yaml:"name"`
 	Seed       strictyaml.Count      `yaml:"seed"`
-	Length     strictyaml.Span       `yaml:"length"`
-	Settle     strictyaml.Span       `yaml:"settle"`
+	Length     strictyaml.Duration   `yaml:"length"`
+	Settle     strictyaml.Duration   `yaml:"settle"`
 	Schedulers strictyaml.Count      `yaml:"placers"`
-	Template   strictyaml.Word       `yaml:"placer_file"`
-	Rate       strictyaml.Number     `yaml:"submissions_a_second"`
-	DrainGrace strictyaml.Span       `yaml:"drain_grace"`
-	Slack      strictyaml.Span       `yaml:"slack"`
-	Zones      []strictyaml.Word     `yaml:"halls"`
+	Template   strictyaml.String     `yaml:"placer_file"`
+	Rate       strictyaml.Float      `yaml:"submissions_a_second"`
+	DrainGrace strictyaml.Duration   `yaml:"drain_grace"`
+	Slack      strictyaml.Duration   `yaml:"slack"`
+	Zones      []strictyaml.String   `yaml:"halls"`
 	Machines   []machineGroupSection `yaml:"machines"`
 	Machine    machineSection        `yaml:"machine"`
 	List       listSection           `yaml:"list"`
@@ -34,50 +34,50 @@
 }
 
 type machineGroupSection struct {
-	MachineType strictyaml.Word  `yaml:"kind"`
-	PerZone     strictyaml.Count `yaml:"in_each_hall"`
+	MachineType strictyaml.String `yaml:"kind"`
+	PerZone     strictyaml.Count  `yaml:"in_each_hall"`
 }
 
 type machineSection struct {
-	AdmissionTime     strictyaml.Span   `yaml:"look_at_an_offer"`
-	MaxQueuedOffers   strictyaml.Count  `yaml:"offers_may_wait"`
-	ConcurrentStarts  strictyaml.Count  `yaml:"starts_at_once"`
-	StartTime         strictyaml.Span   `yaml:"start"`
-	ImageMissFactor   strictyaml.Number `yaml:"first_start_times"`
-	CachedImages      strictyaml.Count  `yaml:"programs_kept"`
-	SlowStartPace     strictyaml.Number `yaml:"cold_pace"`
-	SlowStartCapacity strictyaml.Count  `yaml:"cold_bears"`
-	MemoryDrift       strictyaml.Number `yaml:"use_drifts"`
+	AdmissionTime     strictyaml.Duration `yaml:"look_at_an_offer"`
+	MaxQueuedOffers   strictyaml.Count    `yaml:"offers_may_wait"`
+	ConcurrentStarts  strictyaml.Count    `yaml:"starts_at_once"`
+	StartTime         strictyaml.Duration `yaml:"start"`
+	ImageMissFactor   strictyaml.Float    `yaml:"first_start_times"`
+	CachedImages      strictyaml.Count    `yaml:"programs_kept"`
+	SlowStartPace     strictyaml.Float    `yaml:"cold_pace"`
+	SlowStartCapacity strictyaml.Count    `yaml:"cold_bears"`
+	MemoryDrift       strictyaml.Float    `yaml:"use_drifts"`
 }
 
 type listSection struct {
-	Lag              strictyaml.Span  `yaml:"behind"`
-	FailureDetection strictyaml.Span  `yaml:"notices_death_after"`
-	PollInterval     strictyaml.Span  `yaml:"looks_every"`
-	CallsPerSecond   strictyaml.Count `yaml:"calls_a_second"`
+	Lag              strictyaml.Duration `yaml:"behind"`
+	FailureDetection strictyaml.Duration `yaml:"notices_death_after"`
+	PollInterval     strictyaml.Duration `yaml:"looks_every"`
+	CallsPerSecond   strictyaml.Count    `yaml:"calls_a_second"`
 }
 
 type workSection struct {
-	Workload        strictyaml.Word     `yaml:"workload"`
-	Share           strictyaml.Number   `yaml:"share"`
+	Workload        strictyaml.String   `yaml:"workload"`
+	Share           strictyaml.Float    `yaml:"share"`
 	Services        strictyaml.Count    `yaml:"services"`
-	Cores           []strictyaml.Number `yaml:"cores"`
+	Cores           []strictyaml.Float  `yaml:"cores"`
 	Memory          []strictyaml.Memory `yaml:"memory"`
-	MeanRuntime     strictyaml.Span     `yaml:"life"`
-	RetryRejected   strictyaml.Flag     `yaml:"asked_again"`
-	RetryUnanswered strictyaml.Flag     `yaml:"asked_again_when_unheard" settings:"may"`
+	MeanRuntime     strictyaml.Duration `yaml:"life"`
+	RetryRejected   strictyaml.Bool     `yaml:"asked_again"`
+	RetryUnanswered strictyaml.Bool     `yaml:"asked_again_when_unheard" settings:"may"`
 }
 
 type faultSection struct {
-	Kind     strictyaml.Word   `yaml:"kind"`
-	At       strictyaml.Span   `yaml:"at"`
-	Duration strictyaml.Span   `yaml:"for"`
-	Fraction strictyaml.Number `yaml:"part" settings:"may"`
-	Size     strictyaml.Number `yaml:"size" settings:"may"`
-	Zone     strictyaml.Word   `yaml:"hall" settings:"may"`
+	Kind     strictyaml.String   `yaml:"kind"`
+	At       strictyaml.Duration `yaml:"at"`
+	Duration strictyaml.Duration `yaml:"for"`
+	Fraction strictyaml.Float    `yaml:"part" settings:"may"`
+	Size     strictyaml.Float    `yaml:"size" settings:"may"`
+	Zone     strictyaml.String   `yaml:"hall" settings:"may"`
 }
 
-func duration(s strictyaml.Span) time.Duration { return time.Duration(s.Tenths) * tick }
+func duration(s strictyaml.Duration) time.Duration { return time.Duration(s.Ticks) * tick }
 
 // Load reads a scenario file. An error names the file, the line and the key.
 func Load(path string) (*Scenario, error) {
@@ -95,9 +95,9 @@
 	}
 	s := file.scenario(path)
 	if len(s.Zones) == 0 || s.Schedulers == 0 || len(file.Machines) == 0 || len(file.Work) == 0 {
-		return nil, source.At(file.Name.Place, "a day needs halls, placers, machines and work")
+		return nil, source.ErrorAt(file.Name.Position, "a day needs halls, placers, machines and work")
 	}
-	settings, err := config.Load(s.Template)
+	settings, err := config.LoadScheduler(s.Template)
 	if err != nil {
 		return nil, err
 	}
@@ -127,7 +127,7 @@
 		sections = append(sections, section{fmt.Sprintf("troubles[%d]", i), f.Faults[i]})
 	}
 	for _, s := range sections {
-		if err := strictyaml.Needed(source, s.path, s.value); err != nil {
+		if err := strictyaml.CheckRequired(source, s.path, s.value); err != nil {
 			return err
 		}
 	}
@@ -137,23 +137,23 @@
 // scenario converts all but the workloads and faults, which refer to names from elsewhere.
 func (f *scenarioFile) scenario(path string) *Scenario {
 	s := &Scenario{
-		Name:       f.Name.Text,
+		Name:       f.Name.Value,
 		Seed:       uint64(f.Seed.Value),
 		Length:     duration(f.Length),
 		Settle:     duration(f.Settle),
 		Schedulers: f.Schedulers.Value,
-		Template:   filepath.Join(filepath.Dir(path), f.Template.Text),
+		Template:   filepath.Join(filepath.Dir(path), f.Template.Value),
 		Rate:       f.Rate.Value,
-		DrainGrace: scheduler.Time(f.DrainGrace.Tenths),
-		Slack:      scheduler.Time(f.Slack.Tenths),
+		DrainGrace: scheduler.Time(f.DrainGrace.Ticks),
+		Slack:      scheduler.Time(f.Slack.Ticks),
 		Machine:    f.Machine.shape(),
 		List:       listTiming{duration(f.List.Lag), duration(f.List.FailureDetection), duration(f.List.PollInterval), f.List.CallsPerSecond.Value},
 	}
 	for _, zone := range f.Zones {
-		s.Zones = append(s.Zones, zone.Text)
+		s.Zones = append(s.Zones, zone.Value)
 	}
 	for _, m := range f.Machines {
-		s.MachineCounts = append(s.MachineCounts, machineCount{m.MachineType.Text, m.PerZone.Value})
+		s.MachineCounts = append(s.MachineCounts, machineCount{m.MachineType.Value, m.PerZone.Value})
 	}
 	return s
 }
@@ -173,17 +173,17 @@
 }
 
 // workloads returns the load of each workload class, in the order of the scheduler's settings.
-func (f *scenarioFile) workloads(source *strictyaml.File, settings *config.Placer) ([]emulator.WorkloadProfile, error) {
-	workloads := make([]emulator.WorkloadProfile, len(settings.Workloads))
+func (f *scenarioFile) workloads(source *strictyaml.File, settings *config.Scheduler) ([]emulator.WorkloadProfile, error) {
+	workloads := make([]emulator.WorkloadProfile, len(settings.WorkloadClasses))
 	for _, section := range f.Work {
-		class, err := strictyaml.Choose(source, section.Workload, settings.Workloads...)
+		class, err := strictyaml.OneOf(source, section.Workload, settings.WorkloadClasses...)
 		if err != nil {
 			return nil, err
 		}
 		if len(section.Cores) == 0 || len(section.Cores) != len(section.Memory) || section.Services.Value == 0 {
-			return nil, source.At(section.Workload.Place, "work needs services, and as many memories as cores")
+			return nil, source.ErrorAt(section.Workload.Position, "work needs services, and as many memories as cores")
 		}
-		workloads[class] = section.work(settings.Terms.WorkloadClasses[class])
+		workloads[class] = section.work(settings.Policy.WorkloadClasses[class])
 	}
 	return workloads, nil
 }
@@ -207,14 +207,14 @@
 func (f *scenarioFile) faults(source *strictyaml.File, zones []string) ([]Fault, error) {
 	var faults []Fault
 	for _, section := range f.Faults {
-		if injectors[section.Kind.Text] == nil {
-			return nil, source.At(section.Kind.Place, "%q is no trouble; there are %v", section.Kind.Text, faultKinds())
+		if injectors[section.Kind.Value] == nil {
+			return nil, source.ErrorAt(section.Kind.Position, "%q is no trouble; there are %v", section.Kind.Value, faultKinds())
 		}
-		fault := Fault{Kind: section.Kind.Text, At: duration(section.At), Duration: duration(section.Duration),
+		fault := Fault{Kind: section.Kind.Value, At: duration(section.At), Duration: duration(section.Duration),
 			Fraction: section.Fraction.Value, Size: section.Size.Value}
-		if section.Zone.Set() {
+		if section.Zone.IsSet() {
 			var err error
-			if fault.Zone, err = strictyaml.Choose(source, section.Zone, zones...); err != nil {
+			if fault.Zone, err = strictyaml.OneOf(source, section.Zone, zones...); err != nil {
 				return nil, err
 			}
 		}
--- a/internal/testbed/scenario/load_bgp.go
+++ b/internal/testbed/scenario/load_bgp.go
@@ -40,7 +40,7 @@
 }
 
 func (b *bgpBench) start(peers int) error {
-	config := speaker.Config{AS: 65001, ID: [4]byte{192, 0, 2, 5}, Services: map[string]announce.Service{}}
+	config := speaker.Config{ASN: 65001, RouterID: [4]byte{192, 0, 2, 5}, Services: map[string]announce.Service{}}
 	for i := range peers {
 		p := &emulator.BGPPeer{AS: 65000, ID: [4]byte{192, 0, 3, byte(i)}, HoldTime: 90 * time.Second, RestartTime: 10 * time.Second}
 		address, err := p.Open()
@@ -48,7 +48,7 @@
 			return err
 		}
 		b.peers = append(b.peers, p)
-		config.Peers = append(config.Peers, speaker.PeerConfig{Addr: address, AS: 65000, Hold: 900_000, Families: []wire.Family{wire.IPv4},
+		config.Peers = append(config.Peers, speaker.PeerConfig{Addr: address, ASN: 65000, HoldTime: 900_000, Families: []wire.Family{wire.IPv4},
 			Allow: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}})
 	}
 	nextHop := netip.MustParseAddr("192.0.2.5")
--- a/internal/testbed/scenario/restart_kills.go
+++ b/internal/testbed/scenario/restart_kills.go
@@ -182,7 +182,7 @@
 func (r *killRun) watchDuplicates(over chan struct{}) {
 	for {
 		for id, copies := range runningJobCopies(r.cluster) {
-			class := r.cluster.Config.Terms.WorkloadClasses[copies.workload]
+			class := r.cluster.Config.Policy.WorkloadClasses[copies.workload]
 			if copies.count > 1 && class.Idempotency == scheduler.AtMostOnce {
 				r.duplicates.Add(1)
 				r.report("%s runs %d times at once:%s", id, copies.count, copies.where)
@@ -248,7 +248,7 @@
 				continue
 			}
 			container := spec.IdempotencyKey[:strings.LastIndex(spec.IdempotencyKey, "/")]
-			id := fmt.Sprintf("%s of %s", container, c.Config.Workloads[spec.WorkloadClass])
+			id := fmt.Sprintf("%s of %s", container, c.Config.WorkloadClasses[spec.WorkloadClass])
 			copies := all[id]
 			copies.count++
 			copies.workload = spec.WorkloadClass
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -48,17 +48,17 @@
 )
 
 // machineShapes returns the scenario's machines, zone by zone.
-func (s *Scenario) machineShapes(settings *config.Placer) []emulator.MachineSpec {
+func (s *Scenario) machineShapes(settings *config.Scheduler) []emulator.MachineSpec {
 	base := s.machineDefaults(settings)
 	typeIndex := map[string]int{}
-	for i, name := range settings.Kinds {
+	for i, name := range settings.MachineTypes {
 		typeIndex[name] = i
 	}
 	var shapes []emulator.MachineSpec
 	for zone, zoneName := range s.Zones {
 		for _, count := range s.MachineCounts {
 			index := typeIndex[count.machineType]
-			machineType := settings.Terms.MachineTypes[index]
+			machineType := settings.Policy.MachineTypes[index]
 			for i := range count.perZone {
 				shape := base
 				shape.Name = fmt.Sprintf("%s-%s-%d", zoneName, count.machineType, i)
@@ -74,8 +74,8 @@
 }
 
 // machineDefaults adds to the scenario's machine what the scheduler's settings promise of all machines.
-func (s *Scenario) machineDefaults(settings *config.Placer) emulator.MachineSpec {
-	terms := settings.Terms
+func (s *Scenario) machineDefaults(settings *config.Scheduler) emulator.MachineSpec {
+	terms := settings.Policy
 	shape := s.Machine
 	shape.AcceptCores, shape.AcceptMemory = terms.CoresOvercommit, terms.MemoryOvercommit
 	shape.SlowStartPeriod = time.Duration(terms.SlowStartPeriod) * tick
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -23,11 +23,11 @@
 // The test program is its own scheduler process, so that one can be killed.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 4 && os.Args[1] == schedulerArgument {
-		s, err := config.Load(os.Args[3])
+		s, err := config.LoadScheduler(os.Args[3])
 		if err != nil {
 			panic(err)
 		}
-		h, err := schedulerd.New(s, scheduler.New(s.Terms), slog.New(slog.NewTextHandler(os.Stderr, nil)))
+		h, err := schedulerd.New(s, scheduler.New(s.Policy), slog.New(slog.NewTextHandler(os.Stderr, nil)))
 		if err != nil {
 			panic(err)
 		}
--- a/internal/testbed/scenario/settings.go
+++ b/internal/testbed/scenario/settings.go
@@ -34,6 +34,6 @@
 	if err := os.WriteFile(path, data, 0o644); err != nil {
 		return err
 	}
-	_, err = config.Load(path) // reports what the scheduler itself would refuse
+	_, err = config.LoadScheduler(path) // reports what the scheduler itself would refuse
 	return err
 }
--- a/internal/testbed/scenario/trial_overload.go
+++ b/internal/testbed/scenario/trial_overload.go
@@ -293,7 +293,7 @@
 }
 
 func newGoodputMeter(c *Cluster, began time.Time, seconds int) *goodputMeter {
-	return &goodputMeter{classes: c.Config.Terms.WorkloadClasses, began: began, perSecond: make([]float64, seconds)}
+	return &goodputMeter{classes: c.Config.Policy.WorkloadClasses, began: began, perSecond: make([]float64, seconds)}
 }
 
 func (g *goodputMeter) placed(class int, took time.Duration) {
