--- /dev/null
+++ b/internal/config/scheduler.go
@@ -0,0 +1,209 @@
+// Package config reads the settings files of schedulers and controllers, checks them and turns them into the terms of the
+// packages that they configure. schema.go lists every key with its default.
+//
+// An error about the content of a file is an [*strictyaml.Error] with file, line, column and key, the first one that the
+// checks meet; a file that cannot be read gives the error of the operating system.
+package config
+
+import (
+	"fmt"
+	"os"
+
+	"glenport/internal/config/strictyaml"
+	"glenport/internal/eventloop"
+	"glenport/internal/schedulerd/admission"
+	"glenport/scheduler"
+)
+
+const (
+	minOutput = 64 << 10 // bytes: a frame has to fit
+
+	// connectsPerSlowStartWindow is how many connection attempts in turn fit into a slow-start window at least. Attempts that
+	// wait longer for a connection would reach a machine in slow start in one burst.
+	connectsPerSlowStartWindow = 16
+
+	bytesPerGiB = 1 << 30
+)
+
+// Scheduler holds the checked settings of a scheduler process.
+type Scheduler struct {
+	Name            string
+	ListenAddr      string
+	MachineListAddr string
+	StateDir        string // folder of the state kept over restarts; empty: none is kept
+	LegacyListFile  string // an earlier version's file with the last machine list, read once; empty: none
+	MetricsAddr     string // where metrics are served; empty: nowhere
+	Policy          scheduler.Config
+	Limits          admission.Limits
+	MaxOutput       int // bytes that may wait to be written on one connection
+	ConnectTimeout  eventloop.Tick
+	IdleTimeout     eventloop.Tick
+	SilenceTimeout  eventloop.Tick
+	MachineTypes    []string // names, in the order of Policy.MachineTypes
+	WorkloadClasses []string // names, in the order of Policy.WorkloadClasses
+	Tenants         []string // names, in the order of Policy.Tenants
+	AdaptiveLimit   bool     // admission adapts its concurrency limit to the latency of placements
+	BGP             *BGP     // nil: no address is announced
+}
+
+// LoadScheduler reads and checks a scheduler's settings file.
+func LoadScheduler(path string) (*Scheduler, error) {
+	data, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	return ParseScheduler(path, data)
+}
+
+// ParseScheduler checks the text of a scheduler's settings file. The name of the file goes into errors.
+func ParseScheduler(name string, data []byte) (*Scheduler, error) {
+	var content schedulerFile
+	file, err := strictyaml.Read(name, data, &content)
+	if err != nil {
+		return nil, err
+	}
+	v := &validator{file: file}
+	settings := v.scheduler(&content)
+	if v.err != nil {
+		return nil, v.err
+	}
+	return settings, nil
+}
+
+// scheduler checks a whole file and returns its settings, nil where a required key is missing.
+func (v *validator) scheduler(f *schedulerFile) *Scheduler {
+	v.schedulerRequired(f)
+	if v.err != nil {
+		return nil
+	}
+	if f.Index.Value >= f.Schedulers.Value {
+		v.fail(f.Index.Position, "number %d is not below placers, %d", f.Index.Value, f.Schedulers.Value)
+	}
+	s := &Scheduler{
+		Name:            f.Name.Value,
+		ListenAddr:      v.address(f.ListenAddr),
+		MachineListAddr: v.address(f.MachineList.Address),
+		StateDir:        f.StateDir.Value,
+		LegacyListFile:  f.LegacyList.Value,
+		Limits:          v.limits(&f.Limits),
+		AdaptiveLimit:   f.Limits.AdaptiveLimit.Value,
+		MaxOutput:       int(f.Connections.MaxOutput.GiB * bytesPerGiB),
+		ConnectTimeout:  eventloop.Tick(v.positiveDuration(f.Connections.ConnectTimeout)),
+		IdleTimeout:     eventloop.Tick(v.positiveDuration(f.Connections.IdleTimeout)),
+		SilenceTimeout:  eventloop.Tick(v.positiveDuration(f.Connections.SilenceTimeout)),
+		Policy:          v.policy(f),
+	}
+	v.connections(&f.Connections, s)
+	if s.Policy.MeanMemory <= 0 {
+		v.fail(f.Machines.MeanContainer.Memory.Position, "a container of mean size needs memory above 0")
+	}
+	s.Policy.AcceptMeansRunning = v.oneOf(f.Machines.AcceptMeans, "accepted", "running") == 1
+	typeIndex := v.machineTypes(f.Machines.MachineTypes, s)
+	v.workloadClasses(f.WorkloadClasses, typeIndex, s)
+	v.tenants(f.Tenants, s)
+	if f.LegacyList.IsSet() && !f.StateDir.IsSet() {
+		v.fail(f.LegacyList.Position, "keep is only read once, when state names a folder: name one")
+	}
+	s.MetricsAddr = v.address(f.Metrics)
+	if f.BGP != nil {
+		s.BGP = v.bgp(f.BGP)
+	}
+	if f.OverQuotaWeight.Value < 0 || f.OverQuotaWeight.Value > 1 {
+		v.fail(f.OverQuotaWeight.Position, "%g is no part from 0 to 1", f.OverQuotaWeight.Value)
+	}
+	return s
+}
+
+// schedulerRequired checks the required keys of the file and of its sections; those of list entries are checked with them.
+func (v *validator) schedulerRequired(f *schedulerFile) {
+	for _, section := range []struct {
+		path    string
+		content any
+	}{
+		{"", *f},
+		{"list", f.MachineList},
+		{"links", f.Connections},
+		{"bounds", f.Limits},
+		{"machines", f.Machines},
+		{"machines.accept", f.Machines.Overcommit},
+		{"machines.mean_container", f.Machines.MeanContainer},
+		{"bids", f.Attempts},
+	} {
+		v.required(section.path, section.content)
+	}
+}
+
+func (v *validator) limits(f *limitsSection) admission.Limits {
+	return admission.Limits{
+		Clients:               v.positiveCount(f.Clients),
+		OpenRequests:          v.positiveCount(f.OpenRequests),
+		OpenRequestsPerClient: v.positiveCount(f.OpenRequestsPerClient),
+	}
+}
+
+// policy returns the settings of the decisions, without those that come from lists.
+func (v *validator) policy(f *schedulerFile) scheduler.Config {
+	machines := &f.Machines
+	return scheduler.Config{
+		Seed:               uint64(f.Seed.Value),
+		SchedulerIndex:     f.Index.Value,
+		SchedulerCount:     f.Schedulers.Value,
+		OverQuotaWeight:    f.OverQuotaWeight.Value,
+		CoresOvercommit:    v.positive(machines.Overcommit.Cores),
+		MemoryOvercommit:   v.positive(machines.Overcommit.Memory),
+		MeanCores:          v.positive(machines.MeanContainer.Cores),
+		MeanMemory:         machines.MeanContainer.Memory.GiB,
+		UsageReports:       machines.UsageReports.Value,
+		ListTracksRequests: machines.ListTracksRequests.Value,
+		ProbesAllowed:      machines.ProbesAllowed.Value,
+		MaxAttempts:        v.positiveCount(f.Attempts.MaxAttempts),
+		AnswerGrace:        duration(f.Attempts.AnswerGrace),
+		ListOnRequest:      true,
+		ResyncInterval:     v.positiveDuration(f.MachineList.ResyncInterval),
+		SlowStartPeriod:    duration(machines.SlowStartPeriod),
+		SlowStartWindow:    duration(machines.SlowStartWindow),
+		SlowStartBudget:    machines.SlowStartBudget.Value,
+	}
+}
+
+// connections checks the limits of connections against each other and against the slow start of machines.
+func (v *validator) connections(f *connectionsSection, s *Scheduler) {
+	window := s.Policy.SlowStartWindow
+	if s.Policy.SlowStartBudget > 0 && connectsPerSlowStartWindow*s.ConnectTimeout > eventloop.Tick(window) {
+		v.fail(f.ConnectTimeout.Position, "a bid may wait for its link no longer than a sixteenth of cold_window, %g ms",
+			float64(window)/connectsPerSlowStartWindow/float64(scheduler.Millisecond))
+	}
+	if s.MaxOutput < minOutput {
+		v.fail(f.MaxOutput.Position, "%d bytes are too few for a frame: 64KiB at least", s.MaxOutput)
+	}
+}
+
+// machineTypes adds the types of machines to the settings and returns their indices by name.
+func (v *validator) machineTypes(entries []machineTypeEntry, s *Scheduler) map[string]int {
+	indices := map[string]int{}
+	for i, entry := range entries {
+		v.required(fmt.Sprintf("machines.kinds[%d]", i), entry)
+		if _, duplicate := indices[entry.Name.Value]; duplicate {
+			v.fail(entry.Name.Position, "kind %q stands twice", entry.Name.Value)
+		}
+		indices[entry.Name.Value] = i
+		if entry.Memory.GiB <= 0 {
+			v.fail(entry.Memory.Position, "a machine needs memory above 0")
+		}
+		s.MachineTypes = append(s.MachineTypes, entry.Name.Value)
+		s.Policy.MachineTypes = append(s.Policy.MachineTypes, scheduler.MachineType{Cores: v.positive(entry.Cores), Memory: entry.Memory.GiB})
+	}
+	if len(entries) == 0 {
+		v.record(v.file.MissingKey("machines", "kinds"))
+	}
+	return indices
+}
+
+// tenants adds the tenants to the settings.
+func (v *validator) tenants(entries []tenantEntry, s *Scheduler) {
+	for i, entry := range entries {
+		v.required(fmt.Sprintf("customers[%d]", i), entry)
+		s.Tenants = append(s.Tenants, entry.Name.Value)
+		s.Policy.Tenants = append(s.Policy.Tenants, scheduler.Tenant{QuotaCores: v.positive(entry.Cores)})
+	}
+}
--- a/internal/controller/server/server.go
+++ b/internal/controller/server/server.go
@@ -24,11 +24,11 @@
 
 // Config says what a controller process works with.
 type Config struct {
-	Name            string         // in the hello to schedulers and the machine list
-	Schedulers      []string       // addresses of the schedulers' listeners
-	MachineList     string         // address of the machine list; where empty, no machines are shown
-	Seed            uint64         // of the controller's random numbers
-	StateDir        string         // folder of the state that survives restarts; where empty, nothing is stored
+	Name            string            // in the hello to schedulers and the machine list
+	Schedulers      []string          // addresses of the schedulers' listeners
+	MachineList     string            // address of the machine list; where empty, no machines are shown
+	Seed            uint64            // of the controller's random numbers
+	StateDir        string            // folder of the state that survives restarts; where empty, nothing is stored
 	SchedulerConfig *config.Scheduler // the schedulers' workload classes, tenants and machine types
 }
 
--- a/internal/testbed/scenario/file.go
+++ b/internal/testbed/scenario/file.go
@@ -65,16 +65,16 @@
 	Memory          []strictyaml.Memory `yaml:"memory"`
 	MeanRuntime     strictyaml.Duration `yaml:"life"`
 	RetryRejected   strictyaml.Bool     `yaml:"asked_again"`
-	RetryUnanswered strictyaml.Bool     `yaml:"asked_again_when_unheard" settings:"may"`
+	RetryUnanswered strictyaml.Bool     `yaml:"asked_again_when_unheard" settings:"optional"`
 }
 
 type faultSection struct {
 	Kind     strictyaml.String   `yaml:"kind"`
 	At       strictyaml.Duration `yaml:"at"`
 	Duration strictyaml.Duration `yaml:"for"`
-	Fraction strictyaml.Float    `yaml:"part" settings:"may"`
-	Size     strictyaml.Float    `yaml:"size" settings:"may"`
-	Zone     strictyaml.String   `yaml:"hall" settings:"may"`
+	Fraction strictyaml.Float    `yaml:"part" settings:"optional"`
+	Size     strictyaml.Float    `yaml:"size" settings:"optional"`
+	Zone     strictyaml.String   `yaml:"hall" settings:"optional"`
 }
 
 func duration(s strictyaml.Duration) time.Duration { return time.Duration(s.Ticks) * tick }
