--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"net"
 	"sync"
 	"time"
 
@@ -12,388 +11,375 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Work is one sort of containers that owners submit.
-type Work struct {
-	Share     float64
-	Services  int
-	Cores     []float64 // one of them, by chance
-	Memory    []float64
-	Life      time.Duration // on average
-	HardStop  time.Duration
-	Again     bool // asked again after a push-back
-	AgainLost bool // and when nothing was heard
+const (
+	maxLatencyMicros    = 60_000_000
+	lateAfter           = time.Second // a placement that took longer counts as late
+	defaultRetryDelay   = time.Second
+	unansweredDelay     = 200 * time.Millisecond
+	maxRetries          = 6  // with the default backoff
+	maxRetriesOfBackoff = 12 // with a Backoff of the trial
+	idlePause           = 10 * time.Millisecond
+)
+
+// WorkloadProfile is one sort of containers that clients submit.
+type WorkloadProfile struct {
+	Share            float64 // of all submissions
+	Services         int
+	Cores            []float64 // one of them by chance, with the memory at the same index
+	Memory           []float64
+	MeanRuntime      time.Duration
+	PlacementTimeout time.Duration
+	RetryRejected    bool // retried after a retryable rejection
+	RetryUnanswered  bool // retried when the connection ended without an answer
 }
 
-// Tally counts what owners saw. Every container a client submits ends in one of the first five.
+// Tally counts what clients saw. Every submission ends in one of Placed, Rejected, Failed, NotAdmitted, Unanswered, Unsent and
+// Pending.
 type Tally struct {
-	Submitted  int
-	Placed     int
-	PushedBack int
-	GivenUp    int
-	TurnedAway int
-	NoAnswer   int // the link to the placer ended first
-	Twice      int // answers beyond the one
-	Again      int // submissions that came before
-	Ended      int // containers placed that ended while their owner listened
-	Evicted    int
-	Lost       int
-	Unsent     int // no placer could be reached
-	Waiting    int
-	Late       int                     // of the placed, those that took more than a second
-	Took       *hdrhistogram.Histogram // submission to Placed, in microseconds
+	Submitted        int
+	Placed           int
+	Rejected         int
+	Failed           int
+	NotAdmitted      int
+	Unanswered       int                     // the connection to the scheduler ended first
+	DuplicateReplies int                     // replies beyond the first
+	Retried          int                     // submissions that repeat an earlier one
+	Ended            int                     // placed containers whose end a client was told of
+	Evicted          int                     // of the ended, for memory
+	Lost             int                     // of the ended, with their machine
+	Unsent           int                     // no scheduler could be reached
+	Pending          int                     // without an answer when the clients closed
+	PlacedLate       int                     // of the placed, those that took more than a second
+	PlacementLatency *hdrhistogram.Histogram // in microseconds
 }
 
-// Owners submit work to placers in open loop: the next submission never waits for an answer.
-type Owners struct {
-	Doors     []string // of placers
-	Works     []Work
-	Customers int
-	Back      func(tries int, holdOff time.Duration) time.Duration // until it is asked again; nil: a second, or the hold-off
-	OnPlaced  func(kind int, took time.Duration)                   // of each yes; may be nil
+// Clients submit containers to schedulers in an open loop: the next submission never waits for an answer. The exported
+// fields are set before Start.
+type Clients struct {
+	SchedulerAddrs []string
+	Workloads      []WorkloadProfile
+	Tenants        int
+	// Backoff is the delay before a retry, given how many came before and the scheduler's retry-after; nil: the
+	// retry-after, at least a second, spread by chance. It is called with the clients' lock held.
+	Backoff func(retries int, retryAfter time.Duration) time.Duration
+	// OnPlaced is called for each placement, with the lock held; may be nil.
+	OnPlaced func(workload int, latency time.Duration)
 
-	mu      sync.Mutex
-	rate    float64
-	links   []*doorLink
-	open    map[string]*wanted
-	tally   Tally
-	rng     *rand.Rand
-	next    int
-	stop    chan struct{}
-	working sync.WaitGroup
+	mu          sync.Mutex
+	rate        float64 // submissions a second
+	conns       []*clientConn
+	outstanding map[string]*submission // by container, until its end is known
+	tally       Tally
+	rng         *rand.Rand
+	lastID      int
+	stop        chan struct{}
+	background  sync.WaitGroup
 }
 
-type wanted struct {
-	work   protocol.ContainerSpec
-	kind   int
-	left   time.Duration
-	sentAt time.Time
-	door   int
-	placed bool
-	tries  int
+type submission struct {
+	spec           protocol.ContainerSpec
+	workload       int
+	timeToDeadline time.Duration
+	sentAt         time.Time
+	scheduler      int // index of its address
+	placed         bool
+	retries        int
 }
 
-type doorLink struct {
-	net.Conn
-	out chan protocol.Frame
+// Start begins to submit at a rate in submissions a second.
+func (c *Clients) Start(rate float64, seed uint64) {
+	c.rate = rate
+	c.rng = rand.New(rand.NewPCG(seed, 5))
+	c.stop = make(chan struct{})
+	c.outstanding = map[string]*submission{}
+	c.tally.PlacementLatency = hdrhistogram.New(1, maxLatencyMicros, 3)
+	c.conns = make([]*clientConn, len(c.SchedulerAddrs))
+	for i := range c.SchedulerAddrs {
+		c.background.Go(func() { c.maintainConn(i) })
+	}
+	c.background.Go(c.submitAll)
 }
 
-// Start begins to submit so many a second.
-func (o *Owners) Start(rate float64, seed uint64) {
-	o.rate, o.rng, o.stop, o.open = rate, rand.New(rand.NewPCG(seed, 5)), make(chan struct{}), map[string]*wanted{}
-	o.tally.Took = hdrhistogram.New(1, 60_000_000, 3)
-	o.links = make([]*doorLink, len(o.Doors))
-	for i := range o.Doors {
-		o.working.Go(func() { o.keepLink(i) })
-	}
-	o.working.Go(o.submitAll)
+// SetRate changes the rate; at 0 nothing new is submitted.
+func (c *Clients) SetRate(perSecond float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.rate = perSecond
 }
 
-// Rate changes how much is submitted.
-func (o *Owners) Rate(perSecond float64) {
-	o.mu.Lock()
-	o.rate = perSecond
-	o.mu.Unlock()
+// Pending is the number of containers without an answer.
+func (c *Clients) Pending() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.pending()
 }
 
-// Waiting is the number of containers without an answer.
-func (o *Owners) Waiting() int {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	n := 0
-	for _, w := range o.open {
-		if !w.placed {
-			n++
+func (c *Clients) pending() int {
+	count := 0
+	for _, s := range c.outstanding {
+		if !s.placed {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Snapshot is the tally so far, without the times.
-func (o *Owners) Snapshot() Tally {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	t := o.tally
-	t.Took = nil
-	return t
+// Snapshot is the tally so far, without latencies.
+func (c *Clients) Snapshot() Tally {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	tally := c.tally
+	tally.PlacementLatency = nil
+	return tally
 }
 
-// Again is the number of submissions so far that came before.
-func (o *Owners) Again() int {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.tally.Again
+// Retried is the number of retries so far.
+func (c *Clients) Retried() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.tally.Retried
 }
 
-// Close ends the owners and returns what they saw.
-func (o *Owners) Close() Tally {
-	close(o.stop)
-	o.mu.Lock()
-	for _, l := range o.links {
-		if l != nil {
-			l.Close()
-		}
-	}
-	o.mu.Unlock()
-	o.working.Wait()
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for _, w := range o.open {
-		if !w.placed {
-			o.tally.Waiting++
+// Close ends the clients and returns what they saw.
+func (c *Clients) Close() Tally {
+	close(c.stop)
+	c.mu.Lock()
+	for _, conn := range c.conns {
+		if conn != nil {
+			closeQuietly(conn)
 		}
 	}
-	return o.tally
+	c.mu.Unlock()
+	c.background.Wait()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.tally.Pending += c.pending()
+	return c.tally
 }
 
-func (o *Owners) pause(d time.Duration) bool {
+// pause waits and reports whether the clients go on.
+func (c *Clients) pause(d time.Duration) bool {
 	select {
-	case <-o.stop:
+	case <-c.stop:
 		return false
 	case <-time.After(d):
 		return true
 	}
 }
 
-// Reask cancels a part of what is placed and asks for all of it again, as a redeploy does.
-func (o *Owners) Reask(part float64) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for id, w := range o.open {
-		l := o.links[w.door]
-		if !w.placed || l == nil || o.rng.Float64() >= part {
+func (c *Clients) submitAll() {
+	next := time.Now()
+	for {
+		c.mu.Lock()
+		rate := c.rate
+		c.mu.Unlock()
+		if rate <= 0 {
+			if !c.pause(idlePause) {
+				return
+			}
+			next = time.Now()
 			continue
 		}
-		delete(o.open, id)
+		if wait := time.Until(next); wait > 0 && !c.pause(wait) {
+			return
+		}
 		select {
-		case l.out <- &protocol.CancelContainer{ContainerID: id}:
+		case <-c.stop:
+			return
 		default:
 		}
-		fresh := *w
-		fresh.placed, fresh.work.IdempotencyKey = false, ""
-		o.send(&fresh)
+		c.mu.Lock()
+		next = next.Add(time.Duration(c.rng.ExpFloat64() / rate * float64(time.Second)))
+		c.submit(c.drawSubmission())
+		c.mu.Unlock()
 	}
 }
 
-// keepLink holds a link to one door and reads it.
-func (o *Owners) keepLink(i int) {
-	for o.pause(20 * time.Millisecond) {
-		c, err := net.DialTimeout("tcp", o.Doors[i], time.Second)
-		if err != nil {
-			o.pause(100 * time.Millisecond)
-			continue
+func (c *Clients) drawSubmission() *submission {
+	workload := c.drawWorkload()
+	profile := &c.Workloads[workload]
+	service := c.rng.IntN(profile.Services)
+	size := c.rng.IntN(len(profile.Cores))
+	runtime := time.Duration(float64(profile.MeanRuntime) * (0.3 + 1.4*c.rng.Float64()))
+	return &submission{
+		workload:       workload,
+		timeToDeadline: profile.PlacementTimeout,
+		spec: protocol.ContainerSpec{
+			Service:         fmt.Sprintf("service-%d-%d", workload, service),
+			WorkloadClass:   workload,
+			Tenant:          c.rng.IntN(max(1, c.Tenants)),
+			Cores:           profile.Cores[size],
+			Memory:          profile.Memory[size],
+			ExpectedRuntime: toProtocol(runtime),
+		},
+	}
+}
+
+func (c *Clients) drawWorkload() int {
+	x, workload := c.rng.Float64(), 0
+	for i, profile := range c.Workloads {
+		workload = i
+		if x < profile.Share {
+			break
 		}
-		hello, _ := protocol.Append(nil, protocol.NewHello(protocol.RoleClient, fmt.Sprint("owners-", i), uint64(time.Now().UnixMicro())))
-		c.Write(hello)
-		l := &doorLink{c, make(chan protocol.Frame, 10_000)}
-		if f, err := protocol.ReadFrame(c, 4096); err != nil {
-			c.Close()
-			continue
-		} else if _, ok := f.(*protocol.Hello); !ok {
-			c.Close()
+		x -= profile.Share
+	}
+	return workload
+}
+
+// submit sends a submission, under a new container id, to a scheduler by chance, or to the next one that is connected.
+func (c *Clients) submit(s *submission) {
+	c.lastID++
+	s.spec.ContainerID = fmt.Sprint("c", c.lastID)
+	if s.spec.IdempotencyKey == "" {
+		s.spec.IdempotencyKey = fmt.Sprint("key", c.lastID)
+	}
+	c.tally.Submitted++
+	first := c.rng.IntN(len(c.conns))
+	for i := range c.conns {
+		index := (first + i) % len(c.conns)
+		conn := c.conns[index]
+		if conn == nil {
 			continue
 		}
-		o.mu.Lock()
-		o.links[i] = l
-		o.mu.Unlock()
-		done := make(chan struct{})
-		o.working.Go(func() { l.writeAll(done) })
-		for {
-			f, err := protocol.ReadFrame(c, protocol.MaxFrame)
-			if err != nil {
-				break
-			}
-			o.heard(i, f)
+		s.scheduler, s.sentAt = index, time.Now()
+		c.outstanding[s.spec.ContainerID] = s
+		if !conn.send(&protocol.Submit{TimeToDeadline: toProtocol(s.timeToDeadline), Spec: s.spec}) {
+			closeQuietly(conn)
 		}
-		close(done)
-		c.Close()
-		o.broke(i)
+		return
 	}
+	c.tally.Unsent++
 }
 
-func (l *doorLink) writeAll(done chan struct{}) {
-	var p []byte
-	for {
-		select {
-		case f := <-l.out:
-			p, _ = protocol.Append(p[:0], f)
-			for len(l.out) > 0 && len(p) < 32<<10 {
-				p, _ = protocol.Append(p, <-l.out)
-			}
-			if _, err := l.Write(p); err != nil {
-				l.Close()
-				return
-			}
-		case <-done:
-			return
+// Redeploy cancels a part of the placed containers and submits all of that part again.
+func (c *Clients) Redeploy(part float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for id, s := range c.outstanding {
+		conn := c.conns[s.scheduler]
+		if !s.placed || conn == nil || c.rng.Float64() >= part {
+			continue
 		}
+		delete(c.outstanding, id)
+		conn.send(&protocol.CancelContainer{ContainerID: id}) // a cancel that does not fit into the queue is dropped
+		fresh := *s
+		fresh.placed, fresh.spec.IdempotencyKey = false, ""
+		c.submit(&fresh)
 	}
 }
 
-// broke settles what was open at a door whose link has ended. What may have run and must not run twice is left
-// alone; the rest is asked again elsewhere.
-func (o *Owners) broke(i int) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.links[i] = nil
-	for id, w := range o.open {
-		if w.door != i {
+// connectionLost ends what was outstanding at a scheduler. What may run and must not run twice is left alone; the rest is
+// retried elsewhere.
+func (c *Clients) connectionLost(scheduler int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.conns[scheduler] = nil
+	for id, s := range c.outstanding {
+		if s.scheduler != scheduler {
 			continue
 		}
-		delete(o.open, id)
-		if w.placed {
+		delete(c.outstanding, id)
+		if s.placed {
 			continue
 		}
-		o.tally.NoAnswer++
-		if o.Works[w.kind].AgainLost {
-			o.later(w, 200*time.Millisecond)
+		c.tally.Unanswered++
+		if c.Workloads[s.workload].RetryUnanswered {
+			c.retryLater(s, unansweredDelay)
 		}
 	}
 }
 
-// later submits again, over a span of chance that doubles with each try.
-func (o *Owners) later(w *wanted, base time.Duration) {
-	if w.tries >= 6 && o.Back == nil || w.tries >= 12 {
+// retryLater submits again after a delay, to which the default backoff adds a span by chance that doubles with each retry.
+func (c *Clients) retryLater(s *submission, delay time.Duration) {
+	limit := maxRetries
+	if c.Backoff != nil {
+		limit = maxRetriesOfBackoff
+	}
+	if s.retries >= limit {
 		return
 	}
-	wait := base
-	if o.Back == nil {
-		wait += time.Duration(o.rng.Float64() * float64(base) * float64(int(1)<<min(w.tries, 5)))
+	if c.Backoff == nil {
+		delay += time.Duration(c.rng.Float64() * float64(delay) * float64(int(1)<<min(s.retries, 5)))
 	}
-	again := &wanted{work: w.work, kind: w.kind, left: w.left, tries: w.tries + 1}
-	again.work.ClientRetry = true
-	o.working.Go(func() {
-		if o.pause(wait) {
-			o.mu.Lock()
-			o.tally.Again++
-			o.send(again)
-			o.mu.Unlock()
+	retry := &submission{spec: s.spec, workload: s.workload, timeToDeadline: s.timeToDeadline, retries: s.retries + 1}
+	retry.spec.ClientRetry = true
+	c.background.Go(func() {
+		if !c.pause(delay) {
+			return
 		}
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.tally.Retried++
+		c.submit(retry)
 	})
 }
 
-func (o *Owners) submitAll() {
-	next := time.Now()
-	for {
-		o.mu.Lock()
-		rate := o.rate
-		o.mu.Unlock()
-		if rate <= 0 {
-			if !o.pause(10 * time.Millisecond) {
-				return
-			}
-			next = time.Now()
-			continue
-		}
-		if wait := time.Until(next); wait > 0 && !o.pause(wait) {
-			return
-		}
-		select {
-		case <-o.stop:
-			return
-		default:
-		}
-		o.mu.Lock()
-		next = next.Add(time.Duration(o.rng.ExpFloat64() / rate * float64(time.Second)))
-		o.send(o.draw())
-		o.mu.Unlock()
+func (c *Clients) handleFrame(scheduler int, frame protocol.Frame) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	switch frame := frame.(type) {
+	case *protocol.PlacementReply:
+		c.handleReply(scheduler, frame)
+	case *protocol.Termination:
+		c.handleTermination(frame)
 	}
 }
 
-func (o *Owners) draw() *wanted {
-	x, kind := o.rng.Float64(), 0
-	for i, w := range o.Works {
-		if kind = i; x < w.Share {
-			break
-		}
-		x -= w.Share
+func (c *Clients) handleReply(scheduler int, reply *protocol.PlacementReply) {
+	s := c.outstanding[reply.ContainerID]
+	if s == nil || s.placed || s.scheduler != scheduler {
+		c.tally.DuplicateReplies++
+		return
+	}
+	switch reply.Verdict {
+	case protocol.VerdictPlaced:
+		c.markPlaced(s)
+		return
+	case protocol.VerdictRejected:
+		c.tally.Rejected++
+	case protocol.VerdictFailed:
+		c.tally.Failed++
+	case protocol.VerdictNotAdmitted:
+		c.tally.NotAdmitted++
+	}
+	delete(c.outstanding, reply.ContainerID)
+	if reply.Verdict == protocol.VerdictFailed || !c.Workloads[s.workload].RetryRejected {
+		return
 	}
-	w := &o.Works[kind]
-	n := o.rng.IntN(w.Services)
-	pick := o.rng.IntN(len(w.Cores))
-	life := time.Duration(float64(w.Life) * (0.3 + 1.4*o.rng.Float64()))
-	return &wanted{kind: kind, left: w.HardStop, work: protocol.ContainerSpec{Service: fmt.Sprintf("service-%d-%d", kind, n), WorkloadClass: kind,
-		Tenant: o.rng.IntN(max(1, o.Customers)), Cores: w.Cores[pick], Memory: w.Memory[pick],
-		ExpectedRuntime: protocol.Duration(life.Microseconds() / 100)}}
+	retryAfter := fromProtocol(reply.RetryAfter)
+	delay := max(defaultRetryDelay, retryAfter)
+	if c.Backoff != nil {
+		delay = c.Backoff(s.retries, retryAfter)
+	}
+	c.retryLater(s, delay)
 }
 
-// send submits to a placer by chance, or to the next that can be reached.
-func (o *Owners) send(w *wanted) {
-	o.next++
-	w.work.ContainerID = fmt.Sprint("c", o.next)
-	if w.work.IdempotencyKey == "" {
-		w.work.IdempotencyKey = fmt.Sprint("key", o.next)
+func (c *Clients) markPlaced(s *submission) {
+	s.placed = true
+	c.tally.Placed++
+	latency := time.Since(s.sentAt)
+	// A latency above the histogram's bound is not recorded, the error is ignored: the placement still counts as late.
+	_ = c.tally.PlacementLatency.RecordValue(max(1, latency.Microseconds()))
+	if latency > lateAfter {
+		c.tally.PlacedLate++
 	}
-	o.tally.Submitted++
-	first := o.rng.IntN(len(o.links))
-	for i := range o.links {
-		n := (first + i) % len(o.links)
-		l := o.links[n]
-		if l == nil {
-			continue
-		}
-		w.door, w.sentAt = n, time.Now()
-		o.open[w.work.ContainerID] = w
-		select {
-		case l.out <- &protocol.Submit{TimeToDeadline: protocol.Duration(w.left.Microseconds() / 100), Spec: w.work}:
-		default:
-			l.Close()
-		}
-		return
+	if c.OnPlaced != nil {
+		c.OnPlaced(s.workload, latency)
 	}
-	o.tally.Unsent++
 }
 
-func (o *Owners) heard(door int, f protocol.Frame) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	switch f := f.(type) {
-	case *protocol.PlacementReply:
-		w := o.open[f.ContainerID]
-		if w == nil || w.placed || w.door != door {
-			o.tally.Twice++
-			return
-		}
-		switch f.Verdict {
-		case protocol.VerdictPlaced:
-			w.placed = true
-			o.tally.Placed++
-			took := time.Since(w.sentAt)
-			o.tally.Took.RecordValue(max(1, took.Microseconds()))
-			if took > time.Second {
-				o.tally.Late++
-			}
-			if o.OnPlaced != nil {
-				o.OnPlaced(w.kind, took)
-			}
-			return
-		case protocol.VerdictRejected:
-			o.tally.PushedBack++
-		case protocol.VerdictFailed:
-			o.tally.GivenUp++
-		case protocol.VerdictNotAdmitted:
-			o.tally.TurnedAway++
-		}
-		delete(o.open, f.ContainerID)
-		if f.Verdict != protocol.VerdictFailed && o.Works[w.kind].Again {
-			hold := time.Duration(f.RetryAfter) * 100 * time.Microsecond
-			if o.Back != nil {
-				o.later(w, o.Back(w.tries, hold))
-			} else {
-				o.later(w, max(time.Second, hold))
-			}
-		}
-	case *protocol.Termination:
-		w := o.open[f.ContainerID]
-		if w == nil || !w.placed {
-			return
-		}
-		delete(o.open, f.ContainerID)
-		o.tally.Ended++
-		switch {
-		case f.Reason == protocol.ReasonOutOfMemory:
-			o.tally.Evicted++
-		case f.Outcome == protocol.OutcomeLost:
-			o.tally.Lost++
-		}
+func (c *Clients) handleTermination(termination *protocol.Termination) {
+	s := c.outstanding[termination.ContainerID]
+	if s == nil || !s.placed {
+		return
+	}
+	delete(c.outstanding, termination.ContainerID)
+	c.tally.Ended++
+	switch {
+	case termination.Reason == protocol.ReasonOutOfMemory:
+		c.tally.Evicted++
+	case termination.Outcome == protocol.OutcomeLost:
+		c.tally.Lost++
 	}
 }
--- /dev/null
+++ b/internal/testbed/faultproxy/proxy.go
@@ -0,0 +1,188 @@
+package faultproxy
+
+import (
+	"io"
+	"math/rand/v2"
+	"net"
+	"sync"
+	"time"
+
+	"glenport/internal/protocol"
+)
+
+const dialTimeout = time.Second
+
+// Fault is what the network does to a connection.
+type Fault struct {
+	Partitioned bool    // nothing passes; frames wait until the partition ends, or the connection does
+	LoseAccepts float64 // part of the machines' accept frames that never arrive
+	Delay       time.Duration
+}
+
+// Rule decides on the fault of the connection between a scheduler and a peer. It is called for each frame with the proxy's
+// lock held.
+type Rule func(scheduler string, peer protocol.Role, peerName string) Fault
+
+// Proxy is the network of a trial: listeners in front of what schedulers talk to, which record what passes, and the
+// faults between the two.
+type Proxy struct {
+	recorder *Writer
+
+	mu           sync.Mutex
+	stateChanged *sync.Cond
+	rule         Rule
+	connections  map[*connection]bool
+	listeners    []net.Listener
+	lastID       uint32
+	rng          *rand.Rand
+	closed       bool
+	background   sync.WaitGroup
+}
+
+// New returns a proxy without faults that writes to a recording.
+func New(recorder *Writer, seed uint64) *Proxy {
+	p := &Proxy{
+		recorder:    recorder,
+		connections: map[*connection]bool{},
+		rng:         rand.New(rand.NewPCG(seed, 3)),
+		rule:        func(string, protocol.Role, string) Fault { return Fault{} },
+	}
+	p.stateChanged = sync.NewCond(&p.mu)
+	return p
+}
+
+// SetFaults puts a rule into force in place of the one before.
+func (p *Proxy) SetFaults(rule Rule) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.rule = rule
+	p.stateChanged.Broadcast()
+}
+
+// Reset resets both ends of every connection that matches, and returns how many there were.
+func (p *Proxy) Reset(matches func(scheduler string, peer protocol.Role, peerName string) bool) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	count := 0
+	for c := range p.connections {
+		if matches(c.scheduler, c.peer, c.peerName) {
+			count++
+			c.reset()
+		}
+	}
+	return count
+}
+
+// Close ends all listeners and connections and waits for the proxy's goroutines.
+func (p *Proxy) Close() {
+	p.mu.Lock()
+	p.closed = true
+	for _, listener := range p.listeners {
+		closeQuietly(listener)
+	}
+	for c := range p.connections {
+		c.reset()
+	}
+	p.stateChanged.Broadcast()
+	p.mu.Unlock()
+	p.background.Wait()
+}
+
+// Listen opens a listener in front of the address that target returns at each connection, and returns its own address. One
+// of the two ends of a connection is a scheduler. Where the scheduler connects, peer and name are those of the target;
+// where clients connect to a scheduler, peer is RoleClient and name is the scheduler's.
+func (p *Proxy) Listen(peer protocol.Role, name string, target func() string) (string, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return "", err
+	}
+	p.mu.Lock()
+	p.listeners = append(p.listeners, listener)
+	p.mu.Unlock()
+	p.background.Go(func() {
+		for {
+			caller, err := listener.Accept()
+			if err != nil {
+				return // the listener was closed
+			}
+			p.background.Go(func() { p.serve(caller, peer, name, target) })
+		}
+	})
+	return listener.Addr().String(), nil
+}
+
+// WaitRecorded waits until all that a scheduler had sent before it was killed is in the recording.
+func (p *Proxy) WaitRecorded(scheduler string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for p.hasOpenConnection(scheduler) {
+		p.stateChanged.Wait()
+	}
+}
+
+func (p *Proxy) hasOpenConnection(scheduler string) bool {
+	for c := range p.connections {
+		if c.scheduler == scheduler && !c.closeRecorded {
+			return true
+		}
+	}
+	return false
+}
+
+// serve reads the caller's hello, connects to the target and forwards frames both ways until one end closes.
+func (p *Proxy) serve(caller net.Conn, peer protocol.Role, name string, target func() string) {
+	defer closeQuietly(caller)
+	first, err := readFrame(caller)
+	if err != nil {
+		return
+	}
+	frame, err := protocol.Decode(first.payload())
+	hello, ok := frame.(*protocol.Hello)
+	if err != nil || !ok {
+		return
+	}
+	c := &connection{proxy: p, peer: peer, scheduler: hello.Name, peerName: name}
+	if peer == protocol.RoleClient { // a client connects to a scheduler
+		c.scheduler, c.peerName = name, hello.Name
+	}
+	called, err := net.DialTimeout("tcp", target(), dialTimeout)
+	if err != nil {
+		resetConn(caller)
+		return
+	}
+	c.conns = [2]net.Conn{caller, called}
+	if !p.add(c) {
+		closeQuietly(called)
+		return
+	}
+	p.recorder.add(c.entry(Opened))
+	c.run(first)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.connections, c)
+}
+
+// add numbers a connection and keeps it; false once the proxy is closed.
+func (p *Proxy) add(c *connection) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
+		return false
+	}
+	p.lastID++
+	c.id = p.lastID
+	p.connections[c] = true
+	return true
+}
+
+// closeQuietly closes a connection or listener that is given up. The error is ignored: whoever reads from it sees the end
+// either way.
+func closeQuietly(c io.Closer) { _ = c.Close() }
+
+// resetConn closes a connection with a TCP reset in place of an orderly end.
+func resetConn(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // fails only on a connection that is closed already
+	}
+	closeQuietly(conn)
+}
--- /dev/null
+++ b/internal/testbed/modelcheck/checker.go
@@ -0,0 +1,205 @@
+// Package modelcheck plays every order of a few events against schedulers of a tiny fleet, and checks the five rules after
+// each event. Only tests use it. The checker sees the events that go into schedulers and the actions that come out, never
+// their fields, and keeps its own account.
+package modelcheck
+
+import (
+	"fmt"
+
+	"glenport/scheduler"
+)
+
+// The rules, as the violations number them.
+const (
+	ruleOneAnswer  = 1 + iota // every request gets one final answer, in time
+	ruleAtMostOnce            // nothing runs more often than its idempotency allows
+	ruleDraining              // no attempt goes to a machine that drains or is gone
+	ruleSlowStart             // machines in slow start get no more than their budget
+	ruleSpread                // no group holds more of a service than it may
+)
+
+// Checker follows all schedulers of a fleet through one sequence of events.
+type Checker struct {
+	// Violations lists what was broken, in order; each begins with "rule N: ", or with "placement: " for an attempt at a
+	// machine that the container was offered to before.
+	Violations []string
+
+	config          scheduler.Config
+	drainGrace      scheduler.Time // in which attempts may still go to a machine that is seen to drain
+	incarnations    []*incarnation // by scheduler
+	attemptsChecked int
+}
+
+// incarnation is what one incarnation of a scheduler was given and did.
+type incarnation struct {
+	containers map[scheduler.ContainerID]*container
+	machines   map[scheduler.MachineID]*machine
+	sent       map[scheduler.MachineID][]recordedSend // of all incarnations of the scheduler
+}
+
+type container struct {
+	request  scheduler.PlacementRequest
+	attempts []*attempt
+	answered bool
+	settled  bool // nothing is owed any more
+	running  bool
+}
+
+type attempt struct {
+	machine     scheduler.MachineID
+	sentAt      scheduler.Time
+	outstanding bool
+	mayRun      bool
+	zone        int
+	rackGroup   int
+	unlisted    bool // its machine has been in no list, so its zone and rack group are unknown
+}
+
+type machine struct {
+	scheduler.MachineEntry
+	unavailableSince scheduler.Time // when it was seen to drain or to be gone; 0: it is available
+}
+
+type recordedSend struct {
+	at            scheduler.Time
+	knewSlowStart bool
+}
+
+// NewChecker is for schedulers of one configuration, apart from their index.
+func NewChecker(config scheduler.Config, schedulers int, drainGrace scheduler.Time) *Checker {
+	c := &Checker{config: config, drainGrace: drainGrace}
+	for range schedulers {
+		c.incarnations = append(c.incarnations, newIncarnation())
+	}
+	return c
+}
+
+func newIncarnation() *incarnation {
+	return &incarnation{
+		containers: map[scheduler.ContainerID]*container{},
+		machines:   map[scheduler.MachineID]*machine{},
+		sent:       map[scheduler.MachineID][]recordedSend{},
+	}
+}
+
+// Restarted begins another incarnation of a scheduler; clients handle what it had open.
+func (c *Checker) Restarted(index int) {
+	sent := c.incarnations[index].sent
+	c.incarnations[index] = newIncarnation()
+	c.incarnations[index].sent = sent
+}
+
+func (c *Checker) violate(rule int, format string, arguments ...any) {
+	c.Violations = append(c.Violations, fmt.Sprintf("rule %d: ", rule)+fmt.Sprintf(format, arguments...))
+}
+
+// ObserveEvent takes an event that a scheduler is given.
+func (c *Checker) ObserveEvent(index int, now scheduler.Time, event scheduler.Event) {
+	in := c.incarnations[index]
+	switch event := event.(type) {
+	case scheduler.MachineListUpdate:
+		in.applyUpdate(now, event)
+	case scheduler.RequestReceived:
+		in.containers[event.ID] = &container{request: event.PlacementRequest}
+	case scheduler.ContainerAdopted:
+		in.adopt(event)
+	case scheduler.AttemptAccepted:
+		if container := in.containers[event.ID]; container != nil {
+			container.answered, container.running = true, true
+		}
+	case scheduler.AttemptEnded:
+		if container := in.containers[event.ID]; container != nil {
+			container.attemptEnded(event)
+		}
+	case scheduler.ContainerRemoved:
+		if container := in.containers[event.ID]; container != nil {
+			container.answered, container.settled = true, true
+		}
+	}
+}
+
+func (in *incarnation) adopt(event scheduler.ContainerAdopted) {
+	running := &attempt{machine: event.Machine, outstanding: true, mayRun: true}
+	running.setLocation(in.machines[event.Machine])
+	in.containers[event.ID] = &container{request: event.PlacementRequest, attempts: []*attempt{running},
+		answered: true, settled: true, running: true}
+}
+
+func (c *container) attemptEnded(event scheduler.AttemptEnded) {
+	c.running = false
+	for _, attempt := range c.attempts {
+		if attempt.outstanding {
+			attempt.outstanding = false
+			attempt.mayRun = !neverRan(event.Outcome)
+		}
+	}
+	if event.Final {
+		c.answered, c.settled = true, true
+	} else if !c.settled {
+		c.answered = false // an accept that crossed the cancel of its attempt answers nothing
+	}
+}
+
+func neverRan(outcome scheduler.Outcome) bool {
+	return outcome == scheduler.OutcomeFull || outcome == scheduler.OutcomeConnectFailed || outcome == scheduler.OutcomeNotSent
+}
+
+func (in *incarnation) applyUpdate(now scheduler.Time, update scheduler.MachineListUpdate) {
+	if update.Mode == scheduler.UpdateFailed {
+		return
+	}
+	listed := map[scheduler.MachineID]bool{}
+	for _, entry := range update.Entries {
+		listed[entry.Machine] = true
+		in.applyEntry(now, entry)
+	}
+	if update.Mode != scheduler.DeltaUpdate {
+		for id, m := range in.machines {
+			if !listed[id] && m.unavailableSince == 0 {
+				m.State, m.unavailableSince = scheduler.MachineGone, max(1, now)
+			}
+		}
+	}
+	for _, container := range in.containers {
+		for _, attempt := range container.attempts {
+			if listed[attempt.machine] {
+				attempt.setLocation(in.machines[attempt.machine])
+			}
+		}
+	}
+}
+
+func (in *incarnation) applyEntry(now scheduler.Time, entry scheduler.MachineEntry) {
+	m := in.machines[entry.Machine]
+	if m == nil {
+		m = &machine{}
+		in.machines[entry.Machine] = m
+	}
+	if entry.State == scheduler.MachineServing {
+		m.unavailableSince = 0
+	} else if m.unavailableSince == 0 {
+		m.unavailableSince = max(1, now)
+	}
+	m.MachineEntry = entry
+}
+
+func (a *attempt) setLocation(m *machine) {
+	a.unlisted = m == nil
+	if m != nil {
+		a.zone, a.rackGroup = m.Zone, m.RackGroup
+	}
+}
+
+// sharesScope reports whether two attempts went, or may have gone, to the same group of machines.
+func (a *attempt) sharesScope(other *attempt, scope scheduler.Scope) bool {
+	unknown := a.unlisted || other.unlisted
+	switch scope {
+	case scheduler.ScopeFleet:
+		return true
+	case scheduler.ScopeZone:
+		return unknown || a.zone == other.zone
+	case scheduler.ScopeRackGroup:
+		return unknown || a.rackGroup == other.rackGroup
+	}
+	return a.machine == other.machine
+}
--- /dev/null
+++ b/internal/testbed/scenario/crash_check_test.go
@@ -0,0 +1,20 @@
+package scenario
+
+import "testing"
+
+// The check finds a log that does not sync, and one that does not check what it reads.
+func TestCrashLeavesWhatWasCommitted(t *testing.T) {
+	for _, tc := range []struct {
+		sabotage string
+		ok       bool
+	}{{"", true}, {SabotageSync, false}, {SabotageChecksum, false}} {
+		t.Run("sabotage: "+tc.sabotage, func(t *testing.T) {
+			c := &CrashCheck{Seed: 1, Commits: 40, RandomStates: 6, Sabotage: tc.sabotage}
+			err := c.Run()
+			if (err == nil) != tc.ok {
+				t.Errorf("%v", err)
+			}
+			t.Logf("%d operations, %d states, %d of a second crash, %d of %d flips refused: %v", c.Operations, c.States, c.SecondCrashes, c.Refused, c.BitFlips, err)
+		})
+	}
+}
--- /dev/null
+++ b/internal/testbed/scenario/load_api.go
@@ -0,0 +1,216 @@
+package scenario
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+const (
+	longestDelay   = 60_000_000 // of a histogram, in microseconds
+	waitingJob     = "many"
+	whyRequests    = 2000
+	requestClients = 8
+	requestTime    = 4 * time.Second
+	watchedChanges = 50
+	watchedJob     = "watched"
+)
+
+// delays is a histogram of delays in microseconds; it may be recorded to from any goroutine.
+type delays struct {
+	mu        sync.Mutex
+	histogram *hdrhistogram.Histogram
+}
+
+func newDelays() *delays { return &delays{histogram: hdrhistogram.New(1, longestDelay, 3)} }
+
+// record records the time since a moment; one beyond the histogram's range counts as the longest.
+func (d *delays) record(since time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	_ = d.histogram.RecordValue(min(longestDelay, max(1, time.Since(since).Microseconds()))) // in range by the bounds
+}
+
+// quantile is in milliseconds.
+func (d *delays) quantile(q float64) float64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return quantileMS(d.histogram, q)
+}
+
+// quantileMS is a quantile, in milliseconds, of a histogram in microseconds.
+func quantileMS(h *hdrhistogram.Histogram, q float64) float64 {
+	return float64(h.ValueAtQuantile(q)) / 1000
+}
+
+// MeasureAPI measures a controller with many containers pending: what a why costs, how many requests it answers a
+// second, and how long a change takes to many watchers.
+func MeasureAPI(template, dir string, program []string, machines, waiting, watchers int, out io.Writer) error {
+	b, err := startBench(template, dir, program, machines, true)
+	if err != nil {
+		return err
+	}
+	defer b.close()
+	k, err := b.startController(program[0], machines)
+	if err != nil {
+		return err
+	}
+	defer k.terminate()
+	if err := k.createPending(waiting); err != nil {
+		return err
+	}
+	api := &apiReader{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}, base: "http://" + k.api}
+	whys, err := api.measureWhy(waiting)
+	if err != nil {
+		return err
+	}
+	printf(out, "why, %d containers waiting, %d machines: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms\n", waiting, machines,
+		whys.quantile(50), whys.quantile(99), whys.quantile(99.9))
+	rate, err := api.measureRequests()
+	if err != nil {
+		return err
+	}
+	printf(out, "requests answered: %.0f a second, %d clients\n", rate, requestClients)
+	return k.measureFanOut(watchers, out)
+}
+
+// createPending creates a job whose containers pend, and waits until the last of them does.
+func (k *controllerProcess) createPending(n int) error {
+	if err := k.createJob(waitingJob, workloadMatcher, n, 1, 1); err != nil {
+		return err
+	}
+	err := waitUntil("all wait", time.Minute, func() bool {
+		var all struct{ Items []any }
+		return k.get(fmt.Sprintf("/v1/containers?limit=1000&after=%s.%d&field=state=waiting", waitingJob, n-2), &all) == nil &&
+			k.get("/v1/containers/"+waitingJob+".0/why", nil) == nil && len(all.Items) > 0
+	})
+	time.Sleep(3 * time.Second) // the schedulers' first retries are over
+	return err
+}
+
+// apiReader reads the API over connections that stay open.
+type apiReader struct {
+	client *http.Client
+	base   string
+}
+
+func (a *apiReader) get(path string) error {
+	response, err := a.client.Get(a.base + path)
+	if err != nil {
+		return err
+	}
+	defer closeQuietly(response.Body)
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
+		return err
+	}
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("%s: %s", path, response.Status)
+	}
+	return nil
+}
+
+func (a *apiReader) measureWhy(waiting int) (*delays, error) {
+	measured := newDelays()
+	for i := range whyRequests {
+		began := time.Now()
+		if err := a.get(fmt.Sprintf("/v1/containers/%s.%d/why", waitingJob, i*7%waiting)); err != nil {
+			return nil, err
+		}
+		measured.record(began)
+	}
+	return measured, nil
+}
+
+// measureRequests returns how many requests a second are answered to concurrent clients.
+func (a *apiReader) measureRequests() (perSecond float64, err error) {
+	var done atomic.Int64
+	var requesting sync.WaitGroup
+	errs := make([]error, requestClients)
+	began := time.Now()
+	for i := range requestClients {
+		requesting.Go(func() {
+			for time.Since(began) < requestTime && errs[i] == nil {
+				if errs[i] = a.get("/v1/jobs/" + waitingJob); errs[i] == nil {
+					done.Add(1)
+				}
+			}
+		})
+	}
+	requesting.Wait()
+	return float64(done.Load()) / time.Since(began).Seconds(), errors.Join(errs...)
+}
+
+// fanOut measures how long changes of a job take to its watchers.
+type fanOut struct {
+	sent   [watchedChanges]atomic.Int64 // when, in nanoseconds
+	delays *delays
+	missed atomic.Int64
+}
+
+// measureFanOut changes a job and measures when each watcher reads of it.
+func (k *controllerProcess) measureFanOut(watchers int, out io.Writer) error {
+	if err := k.createJob(watchedJob, workloadMatcher, 0, 1, 1); err != nil {
+		return err
+	}
+	f := &fanOut{delays: newDelays()}
+	var ready, watching sync.WaitGroup
+	ready.Add(watchers)
+	for range watchers {
+		watching.Go(func() {
+			events, err := k.watch("jobs")
+			ready.Done()
+			if err != nil {
+				f.missed.Add(watchedChanges)
+				return
+			}
+			defer closeQuietly(events)
+			f.readChanges(events)
+		})
+	}
+	ready.Wait()
+	for i := range watchedChanges {
+		job := newJobSpec(watchedJob, workloadMatcher, 0, 1, 1)
+		job.RunForMS = i + 1 // by which watchers know the change
+		f.sent[i].Store(time.Now().UnixNano())
+		if err := k.do(http.MethodPut, "/v1/jobs/"+watchedJob, job, nil); err != nil {
+			return err
+		}
+		time.Sleep(50 * time.Millisecond)
+	}
+	watching.Wait()
+	printf(out, "%d watchers, %d changes: from the request to the line p50 %.1f ms, p99 %.1f ms, worst %.1f ms; %d lines missed\n",
+		watchers, watchedChanges, f.delays.quantile(50), f.delays.quantile(99), f.delays.quantile(100), f.missed.Load())
+	return nil
+}
+
+// readChanges reads events until it has had all changes, or the watch is ended by the server.
+func (f *fanOut) readChanges(events io.Reader) {
+	lines := bufio.NewScanner(events)
+	for n := 0; n < watchedChanges && lines.Scan(); {
+		var event struct {
+			Type   string
+			Object struct {
+				RunForMS int `json:"run_for_ms"`
+			}
+		}
+		if json.Unmarshal(lines.Bytes(), &event) != nil {
+			continue // not an event of a job: the line is missed if it should have been one
+		}
+		switch event.Type {
+		case "changed":
+			f.delays.record(time.Unix(0, f.sent[event.Object.RunForMS-1].Load()))
+			n++
+		case "gone":
+			f.missed.Add(int64(watchedChanges - n))
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/testbed/scenario/load_scheduler.go
@@ -0,0 +1,121 @@
+package scenario
+
+import (
+	"fmt"
+	"net"
+	"sync/atomic"
+	"time"
+
+	"glenport/internal/protocol"
+)
+
+// PlacementLoad is what a scheduler did under a load.
+type PlacementLoad struct {
+	PlacedPerSecond      float64
+	P50, P99, P999       float64 // milliseconds from the arrival of a submission to its offer on the socket
+	Worst                float64 // milliseconds
+	Busy                 float64 // part of the time that the event loop was at work
+	DecidingShare        float64 // part of that spent in decisions
+	DecidingMicroseconds float64 // of decisions for each container
+	MiB                  float64 // live heap
+	MiBBefore            float64 // with all connections open and nothing submitted
+	KnownContainers      float64 // at the end
+	Connections          float64
+}
+
+const (
+	submitTimeout = protocol.Duration(40000) // 4 s
+	drainTime     = time.Second              // for replies after the last submission
+	loadServices  = 500
+)
+
+// MeasureLoad runs one scheduler for a while against machines that answer at once.
+func MeasureLoad(template, dir string, program []string, machines, rate int, length, life time.Duration) (*PlacementLoad, error) {
+	b, err := startBench(template, dir, program, machines, false)
+	if err != nil {
+		return nil, err
+	}
+	defer b.close()
+	before, err := b.scheduler.Status()
+	if err != nil {
+		return nil, err
+	}
+	placed, err := submitSteadily(b.scheduler.Address, rate, length, life)
+	if err != nil {
+		return nil, err
+	}
+	stats, err := b.scheduler.Status()
+	if err != nil {
+		return nil, err
+	}
+	busy := stats["busy"] - before["busy"]
+	deciding := stats["deciding"] - before["deciding"]
+	return &PlacementLoad{
+		PlacedPerSecond:      float64(placed) / length.Seconds(),
+		P50:                  stats["placing p50"],
+		P99:                  stats["placing p99"],
+		P999:                 stats["placing p99.9"],
+		Worst:                stats["placing worst"],
+		Busy:                 busy / (stats["up"] - before["up"]),
+		DecidingShare:        deciding / busy,
+		DecidingMicroseconds: deciding / stats["submissions"] * 1e6,
+		MiB:                  stats["heap live"],
+		MiBBefore:            before["heap live"],
+		KnownContainers:      stats["containers known"],
+		Connections:          stats["connections"],
+	}, nil
+}
+
+// submitSteadily submits at even intervals, whatever the replies, and counts those that say placed.
+func submitSteadily(address string, rate int, length, life time.Duration) (int, error) {
+	c, err := net.Dial("tcp", address)
+	if err != nil {
+		return 0, err
+	}
+	defer closeQuietly(c)
+	if err := writeFrames(c, protocol.NewHello(protocol.RoleClient, "load", 1)); err != nil {
+		return 0, err
+	}
+	var placed atomic.Int64
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		countPlaced(c, &placed)
+	}()
+	total := int(float64(rate) * length.Seconds())
+	began := time.Now()
+	for sent := 0; sent < total; {
+		due := min(int(time.Since(began).Seconds()*float64(rate)), total)
+		var batch []protocol.Frame
+		for ; sent < due; sent++ {
+			batch = append(batch, loadSubmission(sent, life))
+		}
+		if err := writeFrames(c, batch...); err != nil {
+			return 0, err
+		}
+		time.Sleep(500 * time.Microsecond)
+	}
+	time.Sleep(drainTime)
+	result := int(placed.Load())
+	closeQuietly(c)
+	<-done
+	return result, nil
+}
+
+func countPlaced(c net.Conn, placed *atomic.Int64) {
+	for {
+		reply, err := readUntil[*protocol.PlacementReply](c)
+		if err != nil {
+			return
+		}
+		if reply.Verdict == protocol.VerdictPlaced {
+			placed.Add(1)
+		}
+	}
+}
+
+func loadSubmission(number int, life time.Duration) *protocol.Submit {
+	id := fmt.Sprint("c", number)
+	return &protocol.Submit{TimeToDeadline: submitTimeout, Spec: protocol.ContainerSpec{ContainerID: id, IdempotencyKey: id,
+		Service: fmt.Sprint("s", number%loadServices), Cores: 0.5, Memory: 1, ExpectedRuntime: protocol.Duration(life / tick)}}
+}
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -17,9 +17,12 @@
 	"glenport/scheduler"
 )
 
-// The test program is its own placer process, so that one can be killed for good.
+// schedulerArgument makes the test program a scheduler.
+const schedulerArgument = "scheduler"
+
+// The test program is its own scheduler process, so that one can be killed.
 func TestMain(m *testing.M) {
-	if len(os.Args) == 4 && os.Args[1] == "placer" {
+	if len(os.Args) == 4 && os.Args[1] == schedulerArgument {
 		s, err := config.LoadScheduler(os.Args[3])
 		if err != nil {
 			panic(err)
@@ -28,22 +31,32 @@
 		if err != nil {
 			panic(err)
 		}
-		h.Run()
+		if err := h.Run(); err != nil {
+			panic(err)
+		}
 		return
 	}
 	os.Exit(m.Run())
 }
 
-func day(t *testing.T) *Day {
-	d, err := LoadDay("../../../scenarios/short.yaml")
+// shortScenario is a scenario with one scheduler and no faults.
+func shortScenario(t *testing.T) *Scenario {
+	d, err := Load("../../../scenarios/short.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Placers, d.Troubles = 1, nil
+	d.Schedulers, d.Faults = 1, nil
 	return d
 }
 
-func until(t *testing.T, what string, holds func() bool) {
+func writeFile(t *testing.T, path string, data []byte) {
+	t.Helper()
+	if err := os.WriteFile(path, data, 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func requireWithin30s(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -52,40 +65,40 @@
 	}
 }
 
-// A placer is killed with 500 bids out. The next life calls off what has not started, takes over what runs, and
-// no key of at-most-once work runs twice though its owners ask for all of it again.
-func TestKilledWithBidsOut(t *testing.T) {
-	d, dir := day(t), t.TempDir()
-	d.Machine.Start, d.Machine.Queue, d.Machine.Starts, d.Machine.Setup = 150*time.Millisecond, 1000, 3, 1
-	d.Works = []emulator.Work{{}, {}, {Share: 1, Services: 400, Cores: []float64{0.1}, Memory: []float64{0.1}, Life: 30 * time.Second,
-		HardStop: 4 * time.Second, Again: true, AgainLost: true}}
-	c, err := Bring(d, dir, []string{os.Args[0], "placer"})
+// The next incarnation cancels what has not started and adopts what runs, and no idempotency key of at-most-once work
+// runs twice though its clients retry all of it.
+func TestSchedulerKilledWith500AttemptsRunsNothingTwice(t *testing.T) {
+	d, dir := shortScenario(t), t.TempDir()
+	d.Machine.StartTime, d.Machine.MaxQueuedOffers, d.Machine.ConcurrentStarts, d.Machine.ImageMissFactor = 150*time.Millisecond, 1000, 3, 1
+	d.Workloads = []emulator.WorkloadProfile{{}, {}, {Share: 1, Services: 400, Cores: []float64{0.1}, Memory: []float64{0.1}, MeanRuntime: 30 * time.Second,
+		PlacementTimeout: 4 * time.Second, RetryRejected: true, RetryUnanswered: true}}
+	c, err := StartCluster(d, dir, []string{os.Args[0], schedulerArgument})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	p := c.Placers[0]
-	c.Owners.Start(4000, 1)
-	until(t, "500 bids out", func() bool {
+	defer c.shutdown()
+	p := c.Schedulers[0]
+	c.Clients.Start(4000, 1)
+	requireWithin30s(t, "500 bids out", func() bool {
 		s, err := p.Status()
 		return err == nil && s["bids"] > 500 && s["containers running"] > 20 && s["containers known"]-s["containers running"] > 500
 	})
-	c.Owners.Rate(0)
-	c.Kill(p)
+	c.Clients.SetRate(0)
+	c.KillScheduler(p)
 	ran := 0
 	for _, m := range c.Machines {
-		s, _ := m.State()
+		s, _ := m.Status()
 		ran += s.Running
 	}
-	if err := c.Up(p); err != nil {
+	if err := c.StartScheduler(p); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "what runs is taken over", func() bool {
+	requireWithin30s(t, "what runs is taken over", func() bool {
 		s, err := p.Status()
 		return err == nil && int(s["containers taken over"]) >= ran
 	})
-	until(t, "what was lost is asked for again, and answered", func() bool { return c.Owners.Again() >= 400 && c.Owners.Waiting() == 0 })
-	tally := c.Owners.Close()
+	requireWithin30s(t, "what was lost is asked for again, and answered", func() bool { return c.Clients.Retried() >= 400 && c.Clients.Pending() == 0 })
+	tally := c.Clients.Close()
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -93,32 +106,36 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !j.Passed() || tally.Twice > 0 || tally.NoAnswer < 400 {
+	if !j.Passed() || tally.DuplicateReplies > 0 || tally.Unanswered < 400 {
 		t.Errorf("%v; %+v", j.Violations, tally)
 	}
 }
 
-// A hall is lost and comes back cold at the same addresses, under load, in a cluster of one process.
-func TestHallComesBack(t *testing.T) {
-	d, dir := day(t), t.TempDir()
-	d.Length, d.Placers = 3*time.Second, 2
-	d.Troubles = []Trouble{{Kind: "hall restarts cold", At: 500 * time.Millisecond, For: 300 * time.Millisecond, Hall: 1}}
+// The zone comes back in slow start, at the same addresses and under load.
+func TestZoneComesBackInSlowStart(t *testing.T) {
+	d, dir := shortScenario(t), t.TempDir()
+	d.Length, d.Schedulers = 3*time.Second, 2
+	d.Faults = []Fault{{Kind: "hall restarts cold", At: 500 * time.Millisecond, Duration: 300 * time.Millisecond, Zone: 1}}
 	var out bytes.Buffer
-	o, err := d.Run(dir, []string{os.Args[0], "placer"}, &out)
+	o, err := d.Run(dir, []string{os.Args[0], schedulerArgument}, &out)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o.Print(&out); !o.Held() || o.Audit.SlowStartPeak == 0 || o.Tally.Lost == 0 {
+	if o.Print(&out); !o.Passed() || o.Audit.SlowStartPeak == 0 || o.Tally.Lost == 0 {
 		t.Error(out.String())
 	}
 }
 
-func TestDayFaults(t *testing.T) {
+// The error names what is wrong.
+func TestInvalidScenarioFileIsRefused(t *testing.T) {
 	good, err := os.ReadFile("../../../scenarios/short.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	terms, _ := os.ReadFile("../../../scenarios/placer.yaml")
+	terms, err := os.ReadFile("../../../scenarios/placer.yaml")
+	if err != nil {
+		t.Fatal(err)
+	}
 	for _, tc := range []struct{ name, old, new, want string }{
 		{"no such trouble", "kind: slow", "kind: sloth", `"sloth" is no trouble`},
 		{"no such hall", "hall: middle", "hall: centre", `"centre" is none of north, middle, south`},
@@ -128,33 +145,33 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			dir := t.TempDir()
-			os.WriteFile(filepath.Join(dir, "placer.yaml"), terms, 0o644)
+			writeFile(t, filepath.Join(dir, "placer.yaml"), terms)
 			path := filepath.Join(dir, "day.yaml")
-			os.WriteFile(path, []byte(strings.Replace(string(good), tc.old, tc.new, 1)), 0o644)
-			if _, err := LoadDay(path); err == nil || !strings.Contains(err.Error(), tc.want) {
+			writeFile(t, path, []byte(strings.Replace(string(good), tc.old, tc.new, 1)))
+			if _, err := Load(path); err == nil || !strings.Contains(err.Error(), tc.want) {
 				t.Errorf("got %v, want %s", err, tc.want)
 			}
 		})
 	}
 }
 
-// The kinds of trouble of a simulated day find their like; what has none is named.
-func TestReplay(t *testing.T) {
+// What has no counterpart is named.
+func TestReplayPlaysTheCounterpartsOfSimulatedFaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "day.json")
-	os.WriteFile(path, []byte(`{"site":"s","length":9000000,"servers":[{},{},{},{}],"balancers":[{},{}],"troubles":[
+	writeFile(t, path, []byte(`{"site":"s","length":9000000,"servers":[{},{},{},{}],"balancers":[{},{}],"troubles":[
 		{"kind":"mass_restart","at":1000000,"len":500000,"on":[1,2]},{"kind":"balancer_crash","at":2000000,"len":1,"on":[0]},
-		{"kind":"report_late","at":1,"len":2}]}`), 0o644)
+		{"kind":"report_late","at":1,"len":2}]}`))
 	var out bytes.Buffer
 	d, err := LoadReplay(path, "../../../scenarios/short.yaml", 100, &out)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []Trouble{{Kind: "crash", At: time.Second, For: 500 * time.Millisecond, Part: 0.5},
-		{Kind: "placers killed", At: 2 * time.Second, For: time.Microsecond, Part: 0.5}}
-	if len(d.Troubles) != 2 || d.Troubles[0] != want[0] || d.Troubles[1] != want[1] || !strings.Contains(out.String(), "left out: report_late") {
-		t.Errorf("%+v\n%s", d.Troubles, out.String())
+	want := []Fault{{Kind: "crash", At: time.Second, Duration: 500 * time.Millisecond, Fraction: 0.5},
+		{Kind: "placers killed", At: 2 * time.Second, Duration: time.Microsecond, Fraction: 0.5}}
+	if len(d.Faults) != 2 || d.Faults[0] != want[0] || d.Faults[1] != want[1] || !strings.Contains(out.String(), "left out: report_late") {
+		t.Errorf("%+v\n%s", d.Faults, out.String())
 	}
-	os.WriteFile(path, []byte(`{}`), 0o644)
+	writeFile(t, path, []byte(`{}`))
 	if _, err := LoadReplay(path, "../../../scenarios/short.yaml", 100, io.Discard); err == nil {
 		t.Error("what is no day is played")
 	}
--- /dev/null
+++ b/internal/testbed/scenario/simulation.go
@@ -0,0 +1,220 @@
+package scenario
+
+import (
+	"container/heap"
+	"fmt"
+	"math/rand/v2"
+
+	"glenport/scheduler"
+)
+
+// Simulation is a cluster on a virtual clock: the real decisions of many schedulers and their concurrency limits, with a
+// plain model of machines, connections and clients. One seed gives one outcome.
+type Simulation struct {
+	Seed            uint64
+	Schedulers      int
+	Machines        int
+	Rate            float64 // first tries a second, of all clients
+	Length          scheduler.Time
+	Damping         Damping
+	IgnoringClients float64 // part of the clients that ignore all advice
+	// Restart is how many machines go down together at RestartAt. They are back, in slow start, after DownFor.
+	Restart   int
+	RestartAt scheduler.Time
+	DownFor   scheduler.Time
+	// SchedulersRestartAt is when all schedulers restart, where it is above 0; with or without their limiters' state.
+	SchedulersRestartAt scheduler.Time
+	DropLimiterState    bool
+
+	now        scheduler.Time
+	seq        uint64
+	events     simEvents
+	rng        *rand.Rand
+	terms      scheduler.Config
+	schedulers []*simScheduler
+	fleet      []*simMachine
+	byID       map[scheduler.MachineID]*simMachine
+	nextID     int
+
+	Seconds []SimSecond
+	Actions int
+	// ScheduledRetries came at the time that a limiter gave; AdmittedRetries are those of them for which there was room.
+	ScheduledRetries, AdmittedRetries int
+}
+
+// Damping is what schedulers and clients do against overload.
+type Damping uint8
+
+const (
+	// NoDamping has clients retry at once.
+	NoDamping Damping = iota
+	// Exponential has clients back off exponentially, with jitter.
+	Exponential
+	// Limited has schedulers limit concurrency, and clients heed the retry-after that they are given.
+	Limited
+)
+
+func (d Damping) String() string { return [...]string{"none", "exponential", "glenport"}[d] }
+
+// SimSecond counts the results of the containers first tried in one second, at whichever try.
+type SimSecond struct {
+	Submitted, Retried, InTime, Late, Shed, Rejected, Failed, Abandoned int
+	Placed                                                              int // in this second and within the latency objective, whenever they were first tried
+}
+
+// simEvent is something that happens at a moment of virtual time.
+type simEvent struct {
+	at  scheduler.Time
+	seq uint64
+	do  func()
+}
+
+// simEvents is a heap of events, the next one first.
+type simEvents []simEvent
+
+func (h simEvents) Len() int { return len(h) }
+func (h simEvents) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
+}
+func (h simEvents) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *simEvents) Push(x any)   { *h = append(*h, x.(simEvent)) }
+func (h *simEvents) Pop() any {
+	old := *h
+	x := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return x
+}
+
+// schedule calls do after a span of virtual time; events of one moment are called in the order of scheduling.
+func (sim *Simulation) schedule(span scheduler.Time, do func()) {
+	sim.seq++
+	heap.Push(&sim.events, simEvent{sim.now + max(0, span), sim.seq, do})
+}
+
+const (
+	simLatency      = 5 // of a message, in tenths of a millisecond
+	simServices     = 60
+	simCores        = 0.5 // of a container
+	simSharedBudget = 60  // slow-start budget of a machine in a window, from all schedulers
+)
+
+// The workload classes of simConfig.
+const (
+	simIdempotent = iota
+	simIdempotentWithKey
+	simAtMostOnce
+)
+
+// simConfig is the configuration of a small site.
+func simConfig(schedulers int) scheduler.Config {
+	const objective, timeout, anyMachine = 300 * scheduler.Millisecond, 4 * scheduler.Second, -1
+	return scheduler.Config{
+		SchedulerCount:     schedulers,
+		CoresOvercommit:    2,
+		MemoryOvercommit:   1.5,
+		MeanCores:          1,
+		MeanMemory:         2,
+		AcceptMeansRunning: true,
+		ListTracksRequests: false,
+		ProbesAllowed:      true,
+		MaxAttempts:        4,
+		AnswerGrace:        50 * scheduler.Millisecond,
+		ResyncInterval:     10 * scheduler.Second,
+		SlowStartPeriod:    10 * scheduler.Second,
+		SlowStartWindow:    scheduler.Second,
+		SlowStartBudget:    simSharedBudget,
+		MachineTypes:       []scheduler.MachineType{{Cores: 48, Memory: 120}},
+		WorkloadClasses: []scheduler.WorkloadClass{
+			simIdempotent: {Idempotency: scheduler.Idempotent, LatencyObjective: objective, PlacementTimeout: timeout, MachineType: anyMachine,
+				PriorityWeight: 1},
+			simIdempotentWithKey: {Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeZone, DedupWindow: 4 * scheduler.Second,
+				LatencyObjective: objective, PlacementTimeout: timeout, MachineType: anyMachine, PriorityWeight: 2},
+			simAtMostOnce: {Idempotency: scheduler.AtMostOnce, LatencyObjective: 500 * scheduler.Millisecond, PlacementTimeout: timeout,
+				MachineType: anyMachine, PriorityWeight: 4},
+		},
+	}
+}
+
+// Run plays the simulation to its end.
+func (sim *Simulation) Run() {
+	sim.rng = rand.New(rand.NewPCG(sim.Seed, 41))
+	sim.terms = simConfig(sim.Schedulers)
+	sim.byID = map[scheduler.MachineID]*simMachine{}
+	sim.Seconds = make([]SimSecond, int(sim.Length/scheduler.Second)+1)
+	for i := range sim.Machines {
+		m := &simMachine{simulation: sim, id: scheduler.MachineID(fmt.Sprintf("m%05d", i)), up: true, incarnation: 1}
+		sim.fleet, sim.byID[m.id] = append(sim.fleet, m), m
+	}
+	for i := range sim.Schedulers {
+		t := sim.terms
+		t.SchedulerIndex, t.Seed = i, sim.Seed*1000+uint64(i)
+		p := &simScheduler{simulation: sim, config: t}
+		sim.schedulers = append(sim.schedulers, p)
+		p.start()
+	}
+	if sim.SchedulersRestartAt > 0 {
+		sim.schedule(sim.SchedulersRestartAt, func() {
+			for _, p := range sim.schedulers {
+				p.restart()
+			}
+		})
+	}
+	sim.schedule(0, sim.nextClient)
+	if sim.Restart > 0 {
+		sim.schedule(sim.RestartAt, func() { sim.restartMachines() })
+	}
+	for len(sim.events) > 0 && sim.events[0].at <= sim.Length {
+		e := heap.Pop(&sim.events).(simEvent)
+		sim.now = e.at
+		e.do()
+	}
+}
+
+// machineList returns the list's entries of some machines, or of all.
+func (sim *Simulation) machineList(only map[scheduler.MachineID]bool) []scheduler.MachineEntry {
+	var all []scheduler.MachineEntry
+	for i, m := range sim.fleet {
+		if only != nil && !only[m.id] {
+			continue
+		}
+		s := scheduler.MachineServing
+		if !m.up {
+			s = scheduler.MachineGone
+		}
+		all = append(all, scheduler.MachineEntry{Machine: m.id, Zone: i % 3, RackGroup: i / 4, State: s, StartedAt: m.started})
+	}
+	return all
+}
+
+// restartMachines takes machines down together and brings them back. The list reports either with a delay.
+func (sim *Simulation) restartMachines() {
+	which := map[scheduler.MachineID]bool{}
+	for i := range min(sim.Restart, len(sim.fleet)) {
+		m := sim.fleet[i]
+		which[m.id] = true
+		m.crash()
+	}
+	report := func() {
+		for _, p := range sim.schedulers {
+			p.handle(scheduler.MachineListUpdate{Mode: scheduler.DeltaUpdate, Entries: sim.machineList(which)})
+		}
+	}
+	sim.schedule(scheduler.Second, report)
+	sim.schedule(sim.DownFor, func() {
+		for i := range min(sim.Restart, len(sim.fleet)) {
+			m := sim.fleet[i]
+			m.up, m.started = true, sim.now
+			m.incarnation++
+		}
+		sim.schedule(scheduler.Second/4, report)
+	})
+}
+
+// goodput is what was placed within its latency objective in each whole second.
+func (sim *Simulation) goodput() []float64 {
+	var perSecond []float64
+	for _, s := range sim.Seconds[:len(sim.Seconds)-1] {
+		perSecond = append(perSecond, float64(s.Placed))
+	}
+	return perSecond
+}
