--- a/internal/testbed/audit/show_test.go
+++ b/internal/testbed/audit/print_test.go
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	if err := Show(path, "c", &out); err != nil {
+	if err := PrintContainer(path, "c", &out); err != nil {
 		t.Fatal(err)
 	}
 	var names []string
