--- a/internal/config/controller.go
+++ b/internal/config/controller.go
@@ -1,68 +1,73 @@
 package config
 
 import (
+	"errors"
+	"io/fs"
 	"os"
 	"path/filepath"
 
 	"glenport/internal/config/strictyaml"
 )
 
-// Keeper is a keeper's file, checked.
-type Keeper struct {
-	Name  string
-	API   string
-	Doors []string
-	List  string
-	Seed  uint64
-	State string  // the folder of what is kept over restarts; nothing is where empty
-	Terms *Placer // workloads, customers and kinds
+// Controller holds the checked settings of a controller process.
+type Controller struct {
+	Name            string
+	APIAddr         string
+	SchedulerAddrs  []string // of all schedulers, by their index
+	MachineListAddr string   // empty: the machine list is not watched
+	Seed            uint64
+	StateDir        string     // folder of the state kept over restarts; empty: none is kept
+	Scheduler       *Scheduler // a scheduler's settings, for workload classes, tenants and machine types
 }
 
-type keeperFile struct {
-	Name  strictyaml.Word   `yaml:"name"`
-	API   strictyaml.Word   `yaml:"api"`
-	Terms strictyaml.Word   `yaml:"placer_file"`
-	Doors []strictyaml.Word `yaml:"doors"`
-	List  strictyaml.Word   `yaml:"list" settings:"may"`
-	Seed  strictyaml.Count  `yaml:"seed" settings:"may"`
-	State strictyaml.Word   `yaml:"state" settings:"may"`
-}
-
-// LoadKeeper reads and checks a keeper's file and the placer's file that it names, beside it.
-func LoadKeeper(path string) (*Keeper, error) {
+// LoadController reads and checks a controller's settings file and the scheduler's file that it names, beside it.
+func LoadController(path string) (*Controller, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	var f keeperFile
-	src, err := strictyaml.Read(path, data, &f)
+	var content controllerFile
+	file, err := strictyaml.Read(path, data, &content)
 	if err != nil {
 		return nil, err
 	}
-	c := &check{src: src}
-	c.needed("", f)
-	if c.fault != nil {
-		return nil, c.fault
+	v := &validator{file: file}
+	settings := v.controller(&content)
+	if v.err != nil {
+		return nil, v.err
 	}
-	k := &Keeper{Name: f.Name.Text, API: c.address(f.API), Seed: uint64(f.Seed.Value), State: f.State.Text}
-	if f.List.Set() {
-		k.List = c.address(f.List)
+	schedulerPath := content.SchedulerFile.Value
+	if !filepath.IsAbs(schedulerPath) {
+		schedulerPath = filepath.Join(filepath.Dir(path), schedulerPath)
 	}
-	for _, d := range f.Doors {
-		k.Doors = append(k.Doors, c.address(d))
+	settings.Scheduler, err = LoadScheduler(schedulerPath)
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil, file.ErrorAt(content.SchedulerFile.Position, "%w", err)
 	}
-	if len(k.Doors) == 0 {
-		c.keep(src.Missing("", "doors"))
+	if err != nil {
+		return nil, err
+	}
+	return settings, nil
+}
+
+// controller checks a controller's file and returns its settings, nil where a required key is missing.
+func (v *validator) controller(f *controllerFile) *Controller {
+	v.required("", *f)
+	if v.err != nil {
+		return nil
 	}
-	if c.fault != nil {
-		return nil, c.fault
+	s := &Controller{
+		Name:            f.Name.Value,
+		APIAddr:         v.address(f.APIAddr),
+		MachineListAddr: v.address(f.MachineListAddr),
+		Seed:            uint64(f.Seed.Value),
+		StateDir:        f.StateDir.Value,
 	}
-	terms := f.Terms.Text
-	if !filepath.IsAbs(terms) {
-		terms = filepath.Join(filepath.Dir(path), terms)
+	for _, address := range f.SchedulerAddrs {
+		s.SchedulerAddrs = append(s.SchedulerAddrs, v.address(address))
 	}
-	if k.Terms, err = Load(terms); os.IsNotExist(err) {
-		return nil, src.At(f.Terms.Place, "%v", err)
+	if len(s.SchedulerAddrs) == 0 {
+		v.record(v.file.MissingKey("", "doors"))
 	}
-	return k, err
+	return s
 }
