--- a/internal/schedulerd/reconcile/machines.go
+++ b/internal/schedulerd/reconcile/machines.go
@@ -29,7 +29,7 @@
 // machineReported compares a machine's report with what is known. Containers that it does not name are lost. What it names and
 // is not known comes from an earlier incarnation, or from an attempt that was over.
 func (r *Reconciler) machineReported(e MachineReported) {
-	r.track(recovery.MachineReported{Machine: e.Machine})
+	completed := r.trackReport(e.Machine)
 	delete(r.reconnects, e.Machine)
 	r.loseUnreported(e)
 	adopted := 0
@@ -41,6 +41,23 @@
 	if adopted > 0 {
 		r.log("containers of an earlier incarnation adopted", slog.String("machine", string(e.Machine)), slog.Int("containers", adopted))
 	}
+	if completed {
+		r.emit(RecoveryComplete{})
+	}
+}
+
+// trackReport passes a report to the recovery tracker, and returns whether recovery is complete with it. Invariant:
+// RecoveryComplete follows the adoption of all that the report contains, as BGP peers drop the routes that have not been
+// announced by then.
+func (r *Reconciler) trackReport(machine scheduler.MachineID) (completed bool) {
+	for _, a := range r.tracker.Handle(r.now, recovery.MachineReported{Machine: machine}) {
+		if _, ok := a.(recovery.Completed); ok {
+			completed = true
+			continue
+		}
+		r.passOn(a)
+	}
+	return completed
 }
 
 func (r *Reconciler) loseUnreported(e MachineReported) {
--- a/internal/schedulerd/reconcile/reconciler.go
+++ b/internal/schedulerd/reconcile/reconciler.go
@@ -98,16 +98,20 @@
 // track passes an event to the recovery tracker, and on what it wants done.
 func (r *Reconciler) track(e recovery.Event) {
 	for _, a := range r.tracker.Handle(r.now, e) {
-		switch a := a.(type) {
-		case recovery.ConnectMachine:
-			r.emit(ConnectMachine{Machine: a.Machine})
-		case recovery.AttemptResolved:
-			r.emit(AttemptResolved{Attempt: a.Attempt})
-		case recovery.Completed:
-			r.emit(RecoveryComplete{})
-		case recovery.AllMachinesReported:
-			r.emit(AllMachinesReported{})
-		}
+		r.passOn(a)
+	}
+}
+
+func (r *Reconciler) passOn(a recovery.Action) {
+	switch a := a.(type) {
+	case recovery.ConnectMachine:
+		r.emit(ConnectMachine{Machine: a.Machine})
+	case recovery.AttemptResolved:
+		r.emit(AttemptResolved{Attempt: a.Attempt})
+	case recovery.Completed:
+		r.emit(RecoveryComplete{})
+	case recovery.AllMachinesReported:
+		r.emit(AllMachinesReported{})
 	}
 }
 
--- a/internal/schedulerd/reconcile/reconciler_test.go
+++ b/internal/schedulerd/reconcile/reconciler_test.go
@@ -406,3 +406,24 @@
 		}
 	})
 }
+
+// BGP peers drop the routes that have not been announced when recovery is complete, so the last machine to report has its
+// containers adopted before.
+func TestRecoveryIsCompleteOnlyAfterTheLastReportIsAdopted(t *testing.T) {
+	reconciler := newReconciler(admission.Limits{Clients: 1, OpenRequests: 2, OpenRequestsPerClient: 9})
+	reconciler.Handle(0, []Event{MachinesListed{Machines: []scheduler.MachineID{"m", "n"}, FullSnapshot: true}})
+	reconciler.Handle(1, []Event{MachineReported{Machine: "n"}})
+	actions := reconciler.Handle(2, []Event{MachineReported{"m", []Attempt{attempt("a", 0, 4, 7, true)}}})
+	adopted, completed := -1, -1
+	for i, a := range actions {
+		switch a.(type) {
+		case Adopt:
+			adopted = i
+		case RecoveryComplete:
+			completed = i
+		}
+	}
+	if adopted < 0 || completed < adopted {
+		t.Errorf("adopted at %d, complete at %d of %+v", adopted, completed, actions)
+	}
+}
