--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// groupByInstance gathers the events of a frame by instance, in the order in which instances first appear. It starts and
-// stops instances; events from before a stop are dropped with the instance.
+// groupByInstance gathers the events of a frame by instance, in the order in which instances first appear. It starts
+// and stops instances; events from before a stop are dropped with the instance.
 func groupByInstance(frame *simprotocol.Frame, schedulers map[int]*scheduler.Scheduler) ([]*instanceBatch, error) {
 	var batches []*instanceBatch
 	byInstance := map[int]*instanceBatch{}
--- a/cmd/glenport-testbed/load.go
+++ b/cmd/glenport-testbed/load.go
@@ -25,9 +25,11 @@
 // loadCommand measures one scheduler against emulated machines that answer at once.
 func loadCommand() *cobra.Command {
 	var l schedulerLoad
-	c := &cobra.Command{Use: "load", Short: "Measure one scheduler against machines that answer at once", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use: "load", Short: "Measure one scheduler against machines that answer at once", Args: cobra.NoArgs,
 		Example: "  glenport-testbed load --machines 100 --rates 300 --length 5s",
-		RunE:    func(*cobra.Command, []string) error { return l.run() }}
+		RunE:    func(*cobra.Command, []string) error { return l.run() },
+	}
 	c.AddCommand(apiLoadCommand(), jobLoadCommand(), bgpLoadCommand())
 	c.Flags().IntSliceVar(&l.machines, "machines", []int{10, 100, 1000}, "how many machines")
 	c.Flags().IntSliceVar(&l.rates, "rates", []int{300, 3000}, "submissions a second")
@@ -44,8 +46,10 @@
 		return err
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
-	if _, err := fmt.Fprintln(table,
-		"machines\tasked/s\tplaced/s\tp50 ms\tp99 ms\tp99.9 ms\tworst ms\tbusy\tdeciding\tof busy\tlive MiB\tbefore\topen\t"); err != nil {
+	if _, err := fmt.Fprintln(
+		table,
+		"machines\tasked/s\tplaced/s\tp50 ms\tp99 ms\tp99.9 ms\tworst ms\tbusy\tdeciding\tof busy\tlive MiB\tbefore\topen\t",
+	); err != nil {
 		return err
 	}
 	for _, machines := range l.machines {
@@ -68,21 +72,37 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(table, "%d\t%d\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f%%\t%.1f us\t%.0f%%\t%.1f\t%.1f\t%.0f\t\n", machines, rate,
-		r.PlacedPerSecond, r.P50, r.P99, r.P999, r.Worst, 100*r.Busy, r.DecidingMicroseconds, 100*r.DecidingShare, r.MiB, r.MiBBefore,
-		r.KnownContainers)
+	_, err = fmt.Fprintf(
+		table,
+		"%d\t%d\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f%%\t%.1f us\t%.0f%%\t%.1f\t%.1f\t%.0f\t\n",
+		machines,
+		rate,
+		r.PlacedPerSecond,
+		r.P50,
+		r.P99,
+		r.P999,
+		r.Worst,
+		100*r.Busy,
+		r.DecidingMicroseconds,
+		100*r.DecidingShare,
+		r.MiB,
+		r.MiBBefore,
+		r.KnownContainers,
+	)
 	return err
 }
 
 func apiLoadCommand() *cobra.Command {
 	var machines, waiting, watchers int
-	c := &cobra.Command{Use: "api", Short: "Measure a controller with pending containers", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use: "api", Short: "Measure a controller with pending containers", Args: cobra.NoArgs,
 		Example: "  glenport-testbed load api --machines 100 --waiting 1000 --watchers 100",
 		RunE: func(*cobra.Command, []string) error {
 			return withSchedulers("", 0, func(program []string, dir string) error {
 				return scenario.MeasureAPI(controllerTemplate, dir, program, machines, waiting, watchers, os.Stdout)
 			})
-		}}
+		},
+	}
 	c.Flags().IntVar(&machines, "machines", 1000, "how many machines")
 	c.Flags().IntVar(&waiting, "waiting", 10000, "how many containers are pending")
 	c.Flags().IntVar(&watchers, "watchers", 1000, "how many watch")
@@ -91,13 +111,15 @@
 
 func jobLoadCommand() *cobra.Command {
 	var machines, rate int
-	c := &cobra.Command{Use: "kept", Short: "Measure the way of jobs through a controller", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use: "kept", Short: "Measure the way of jobs through a controller", Args: cobra.NoArgs,
 		Example: "  glenport-testbed load kept --machines 100 --rate 300",
 		RunE: func(*cobra.Command, []string) error {
 			return withSchedulers("", 0, func(program []string, dir string) error {
 				return scenario.MeasureJobs(controllerTemplate, dir, program, machines, rate, 5*time.Second, os.Stdout)
 			})
-		}}
+		},
+	}
 	c.Flags().IntVar(&machines, "machines", 100, "how many machines")
 	c.Flags().IntVar(&rate, "rate", 300, "jobs a second")
 	return c
@@ -106,7 +128,8 @@
 func bgpLoadCommand() *cobra.Command {
 	var prefixes int
 	var peers []int
-	c := &cobra.Command{Use: "bgp", Short: "Measure a speaker with many prefixes and peers", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use: "bgp", Short: "Measure a speaker with many prefixes and peers", Args: cobra.NoArgs,
 		Example: "  glenport-testbed load bgp --prefixes 1000 --peers 1,10",
 		RunE: func(*cobra.Command, []string) error {
 			for _, n := range peers {
@@ -115,7 +138,8 @@
 				}
 			}
 			return nil
-		}}
+		},
+	}
 	c.Flags().IntVar(&prefixes, "prefixes", 100_000, "how many prefixes")
 	c.Flags().IntSliceVar(&peers, "peers", []int{1, 10, 50}, "how many peers")
 	return c
--- a/cmd/glenport-testbed/main.go
+++ b/cmd/glenport-testbed/main.go
@@ -17,9 +17,18 @@
 var errFailed = errors.New("not held")
 
 func main() {
-	root := &cobra.Command{Use: "glenport-testbed", Short: "Emulated clusters, fault scenarios and their audit, on loopback",
-		SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(scenarioCommand(), auditCommand(), replayCommand(), loadCommand(), trialCommand(), schedulerCommand())
+	root := &cobra.Command{
+		Use: "glenport-testbed", Short: "Emulated clusters, fault scenarios and their audit, on loopback",
+		SilenceUsage: true, SilenceErrors: true,
+	}
+	root.AddCommand(
+		scenarioCommand(),
+		auditCommand(),
+		replayCommand(),
+		loadCommand(),
+		trialCommand(),
+		schedulerCommand(),
+	)
 	if err := root.Execute(); errors.Is(err, errFailed) {
 		os.Exit(1)
 	} else if err != nil {
@@ -46,7 +55,8 @@
 	return append([]string{own, "scheduler"}, flags...), nil
 }
 
-// schedulerProgram is glenport itself, from beside this program; with a rule to break it is this program's own scheduler.
+// schedulerProgram is glenport itself, from beside this program; with a rule to break it is this program's own
+// scheduler.
 func schedulerProgram(rule int) ([]string, error) {
 	if rule > 0 {
 		return ownScheduler("--sabotage", fmt.Sprint(rule))
--- a/cmd/glenport-testbed/scenario.go
+++ b/cmd/glenport-testbed/scenario.go
@@ -13,7 +13,10 @@
 func scenarioCommand() *cobra.Command {
 	var dir string
 	var rule int
-	c := &cobra.Command{Use: "scenario FILE", Aliases: []string{"day"}, Short: "Play a scenario's faults on a cluster and audit its recording",
+	c := &cobra.Command{
+		Use:     "scenario FILE",
+		Aliases: []string{"day"},
+		Short:   "Play a scenario's faults on a cluster and audit its recording",
 		Example: "  glenport-testbed scenario scenarios/short.yaml\n  glenport-testbed scenario scenarios/short.yaml --sabotage 2",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -22,7 +25,8 @@
 				return err
 			}
 			return runScenario(s, dir, rule)
-		}}
+		},
+	}
 	c.Flags().StringVar(&dir, "dir", "", "folder to keep the recording and the logs in")
 	c.Flags().IntVar(&rule, "sabotage", 0, "break this rule on purpose, 1 to 5")
 	return c
@@ -30,7 +34,8 @@
 
 func auditCommand() *cobra.Command {
 	var container string
-	c := &cobra.Command{Use: "audit RECORD", Short: "Audit a recording alone",
+	c := &cobra.Command{
+		Use: "audit RECORD", Short: "Audit a recording alone",
 		Example: "  glenport-testbed audit /tmp/run/record\n  glenport-testbed audit /tmp/run/record --show job-1/0/1",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -48,7 +53,8 @@
 			}
 			fmt.Println("rules: kept")
 			return nil
-		}}
+		},
+	}
 	c.Flags().StringVar(&container, "show", "", "show what passed for this container instead")
 	return c
 }
@@ -56,7 +62,8 @@
 func replayCommand() *cobra.Command {
 	var dir, template string
 	var rate float64
-	c := &cobra.Command{Use: "replay DAY.json", Short: "Play the kinds of fault of a simulated day, scaled down, on real schedulers",
+	c := &cobra.Command{
+		Use: "replay DAY.json", Short: "Play the kinds of fault of a simulated day, scaled down, on real schedulers",
 		Example: "  glenport-testbed replay day.json --rate 150",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -65,7 +72,8 @@
 				return err
 			}
 			return runScenario(s, dir, 0)
-		}}
+		},
+	}
 	c.Flags().StringVar(&dir, "dir", "", "folder to keep the recording and the logs in")
 	c.Flags().StringVar(&template, "day", "scenarios/bad-day.yaml", "scenario file that gives the cluster")
 	c.Flags().Float64Var(&rate, "rate", 150, "submissions a second at the day's mean load")
--- a/cmd/glenport-testbed/scheduler.go
+++ b/cmd/glenport-testbed/scheduler.go
@@ -27,9 +27,11 @@
 // schedulerCommand runs a scheduler as glenport does, with or without one rule broken.
 func schedulerCommand() *cobra.Command {
 	var f schedulerFlags
-	c := &cobra.Command{Use: "scheduler", Aliases: []string{"placer"}, Hidden: true, Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use: "scheduler", Aliases: []string{"placer"}, Hidden: true, Args: cobra.NoArgs,
 		Example: "  glenport-testbed scheduler -c placer.yaml --sabotage 2",
-		RunE:    func(*cobra.Command, []string) error { return f.run() }}
+		RunE:    func(*cobra.Command, []string) error { return f.run() },
+	}
 	c.Flags().StringVarP(&f.file, "config", "c", "", "the scheduler's settings file")
 	c.Flags().IntVar(&f.sabotagedRule, "sabotage", 0, "rule to break")
 	c.Flags().BoolVar(&f.damped, "damped", false, "limit concurrency when starts become slow")
--- a/cmd/glenport-testbed/trial.go
+++ b/cmd/glenport-testbed/trial.go
@@ -10,8 +10,10 @@
 )
 
 func trialCommand() *cobra.Command {
-	c := &cobra.Command{Use: "trial", Short: "Prove a subsystem end to end, with faults",
-		Example: "  glenport-testbed trial why --cycles 2\n  glenport-testbed trial restart --short --kills 60"}
+	c := &cobra.Command{
+		Use: "trial", Short: "Prove a subsystem end to end, with faults",
+		Example: "  glenport-testbed trial why --cycles 2\n  glenport-testbed trial restart --short --kills 60",
+	}
 	c.AddCommand(whyTrialCommand(), bgpTrialCommand(), restartTrialCommand(), overloadTrialCommand())
 	return c
 }
@@ -51,15 +53,27 @@
 func whyTrialCommand() *cobra.Command {
 	var dir string
 	t := &scenario.WhyTrial{Out: os.Stdout}
-	c := &cobra.Command{Use: "why", Short: "Clients read the true reason why their containers are pending, within a second", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use:     "why",
+		Short:   "Clients read the true reason why their containers are pending, within a second",
+		Args:    cobra.NoArgs,
 		Example: "  glenport-testbed trial why --cycles 2",
 		RunE: func(*cobra.Command, []string) error {
 			program, err := schedulerProgram(0)
 			if err != nil {
 				return err
 			}
-			return trial{"why", "scenarios/why.yaml", "an owner read what was not so, or too late", t.Run}.run(dir, program)
-		}}
+			return trial{
+				"why",
+				"scenarios/why.yaml",
+				"an owner read what was not so, or too late",
+				t.Run,
+			}.run(
+				dir,
+				program,
+			)
+		},
+	}
 	c.Flags().StringVar(&dir, "dir", "", "folder to keep the logs in")
 	c.Flags().IntVar(&t.Cycles, "cycles", 50, "of draining and filling, four changes each")
 	c.Flags().IntVar(&t.Steps, "steps", 0, "play the first so many steps only; 0: all")
@@ -70,7 +84,10 @@
 func bgpTrialCommand() *cobra.Command {
 	var dir, sabotage string
 	t := &scenario.BGPTrial{Out: os.Stdout}
-	c := &cobra.Command{Use: "bgp", Short: "Addresses are announced while containers run, in time and without storms", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use:     "bgp",
+		Short:   "Addresses are announced while containers run, in time and without storms",
+		Args:    cobra.NoArgs,
 		Example: "  glenport-testbed trial bgp --rounds 1",
 		RunE: func(*cobra.Command, []string) error {
 			program, err := schedulerProgram(0)
@@ -80,11 +97,21 @@
 			if err != nil {
 				return err
 			}
-			return trial{"bgp", "scenarios/why.yaml", "a peer was told too late, too often or what was not so", t.Run}.run(dir, program)
-		}}
+			return trial{
+				"bgp",
+				"scenarios/why.yaml",
+				"a peer was told too late, too often or what was not so",
+				t.Run,
+			}.run(
+				dir,
+				program,
+			)
+		},
+	}
 	c.Flags().StringVar(&dir, "dir", "", "folder to keep the logs in")
 	c.Flags().IntVar(&t.Rounds, "rounds", 10, "of fifty ends each")
-	c.Flags().StringVar(&sabotage, "sabotage", "", "late or storm: withdrawals come late, or every change is announced at once")
+	c.Flags().
+		StringVar(&sabotage, "sabotage", "", "late or storm: withdrawals come late, or every change is announced at once")
 	return c
 }
 
@@ -92,7 +119,10 @@
 	var dir string
 	var short bool
 	t := &scenario.RestartTrial{Out: os.Stdout}
-	c := &cobra.Command{Use: "restart", Short: "Nothing that was acknowledged is lost when programs are killed while they write", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use:     "restart",
+		Short:   "Nothing that was acknowledged is lost when programs are killed while they write",
+		Args:    cobra.NoArgs,
 		Example: "  glenport-testbed trial restart --short --kills 60",
 		RunE: func(*cobra.Command, []string) error {
 			if t.Sabotage != "" && t.Sabotage != scenario.SabotageSync && t.Sabotage != scenario.SabotageChecksum {
@@ -106,8 +136,17 @@
 			if err != nil {
 				return err
 			}
-			return trial{"restart", "scenarios/short.yaml", "what was promised was lost, or a rule broken", t.Run}.run(dir, program)
-		}}
+			return trial{
+				"restart",
+				"scenarios/short.yaml",
+				"what was promised was lost, or a rule broken",
+				t.Run,
+			}.run(
+				dir,
+				program,
+			)
+		},
+	}
 	c.Flags().StringVar(&dir, "dir", "", "folder to keep the recordings and the logs in")
 	c.Flags().IntVar(&t.Kills, "kills", 1000, "of schedulers; the controller is killed now and then beside")
 	c.Flags().BoolVar(&short, "short", false, "leave out the long measurements")
@@ -119,7 +158,10 @@
 	var dir string
 	var schedulers int
 	t := &scenario.OverloadTrial{IgnoringClients: 0.5, Out: os.Stdout}
-	c := &cobra.Command{Use: "storm", Short: "When most of a fleet restarts at once, what follows is not worse than that", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use:     "storm",
+		Short:   "When most of a fleet restarts at once, what follows is not worse than that",
+		Args:    cobra.NoArgs,
 		Example: "  glenport-testbed trial storm --seeds 2 --sockets 0",
 		RunE: func(*cobra.Command, []string) error {
 			program, err := schedulerProgram(0)
@@ -140,8 +182,17 @@
 				s.Schedulers = schedulers
 				return t.Run(s, dir)
 			}
-			return trial{"storm", "scenarios/storm.yaml", "a storm outlived its cause, or a rule was broken", play}.run(dir, program)
-		}}
+			return trial{
+				"storm",
+				"scenarios/storm.yaml",
+				"a storm outlived its cause, or a rule was broken",
+				play,
+			}.run(
+				dir,
+				program,
+			)
+		},
+	}
 	c.Flags().StringVar(&dir, "dir", "", "folder to keep the recordings and the logs in")
 	c.Flags().IntVar(&t.Seeds, "seeds", 10, "of the simulated form")
 	c.Flags().IntVar(&t.Sockets, "sockets", 1, "runs of each damping over sockets")
--- a/cmd/glenport/apiclient.go
+++ b/cmd/glenport/apiclient.go
@@ -57,8 +57,8 @@
 	return c
 }
 
-// do sends a request with a body, none where it is nil, and decodes the answer into a value, which may be nil too. An answer
-// with an error status is returned as a *problemError.
+// do sends a request with a body, none where it is nil, and decodes the answer into a value, which may be nil too. An
+// answer with an error status is returned as a *problemError.
 func (c *apiClient) do(method, path string, body, into any) error {
 	var reader io.Reader
 	if body != nil {
--- a/cmd/glenport/bgp.go
+++ b/cmd/glenport/bgp.go
@@ -25,7 +25,10 @@
 			Example: "  glenport bgp peers --placer 127.0.0.1:7400",
 			Args:    cobra.NoArgs,
 			RunE: func(c *cobra.Command, _ []string) error {
-				return withRoutes(address, func(r *protocol.RoutesReply) error { return printPeers(c.OutOrStdout(), r.Peers) })
+				return withRoutes(
+					address,
+					func(r *protocol.RoutesReply) error { return printPeers(c.OutOrStdout(), r.Peers) },
+				)
 			},
 		},
 		&cobra.Command{
@@ -34,7 +37,10 @@
 			Example: "  glenport bgp routes --placer 127.0.0.1:7400",
 			Args:    cobra.NoArgs,
 			RunE: func(c *cobra.Command, _ []string) error {
-				return withRoutes(address, func(r *protocol.RoutesReply) error { return printRoutes(c.OutOrStdout(), r.Services) })
+				return withRoutes(
+					address,
+					func(r *protocol.RoutesReply) error { return printRoutes(c.OutOrStdout(), r.Services) },
+				)
 			},
 		},
 		&cobra.Command{
@@ -43,7 +49,10 @@
 			Example: "  glenport bgp why reports\n  glenport bgp why 198.51.100.7/32",
 			Args:    cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
-				return withRoutes(address, func(r *protocol.RoutesReply) error { return printExplanation(c.OutOrStdout(), r.Services, args[0]) })
+				return withRoutes(
+					address,
+					func(r *protocol.RoutesReply) error { return printExplanation(c.OutOrStdout(), r.Services, args[0]) },
+				)
 			},
 		})
 	return c
@@ -61,8 +70,18 @@
 func printPeers(out io.Writer, peers []protocol.BGPPeerStatus) error {
 	return printTable(out, "PEER\tAS\tSTATE\tROUTES\tDUE\tUPDATES\tBYTES\tENDS\tLAST END", func(p *printer) {
 		for _, peer := range peers {
-			p.printf("%s\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t%s\n", peer.Address, peer.ASN, peer.State, peer.Routes, peer.PendingRoutes,
-				peer.UpdatesSent, peer.BytesSent, peer.SessionsEnded, peer.LastError)
+			p.printf(
+				"%s\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t%s\n",
+				peer.Address,
+				peer.ASN,
+				peer.State,
+				peer.Routes,
+				peer.PendingRoutes,
+				peer.UpdatesSent,
+				peer.BytesSent,
+				peer.SessionsEnded,
+				peer.LastError,
+			)
 		}
 	})
 }
@@ -91,11 +110,19 @@
 	fmt.Fprintf(&text, "%s of service %s is ", s.Prefix, s.Service)
 	switch {
 	case s.Announced && s.Running > 0 && s.Draining == s.Running:
-		fmt.Fprintf(&text, "announced as the last choice: all of its %d containers here run on machines that drain.", s.Running)
+		fmt.Fprintf(
+			&text,
+			"announced as the last choice: all of its %d containers here run on machines that drain.",
+			s.Running,
+		)
 	case s.Announced:
 		fmt.Fprintf(&text, "announced: %d containers run here, %d are wanted at least.", s.Running, s.MinRunning)
 	case s.Suppressed:
-		fmt.Fprintf(&text, "not announced: it flapped (penalty %.0f), and is left out until it has been steady.", s.Penalty)
+		fmt.Fprintf(
+			&text,
+			"not announced: it flapped (penalty %.0f), and is left out until it has been steady.",
+			s.Penalty,
+		)
 	default:
 		fmt.Fprintf(&text, "not announced: %d containers run here, %d are wanted at least.", s.Running, s.MinRunning)
 	}
--- a/cmd/glenport/check.go
+++ b/cmd/glenport/check.go
@@ -31,8 +31,15 @@
 			valid = false
 			continue
 		}
-		results.printf("%s: placer %s, %d of %d, %d workloads, %d kinds of machine: good\n", file, s.Name,
-			s.Policy.SchedulerIndex+1, s.Policy.SchedulerCount, len(s.Policy.WorkloadClasses), len(s.Policy.MachineTypes))
+		results.printf(
+			"%s: placer %s, %d of %d, %d workloads, %d kinds of machine: good\n",
+			file,
+			s.Name,
+			s.Policy.SchedulerIndex+1,
+			s.Policy.SchedulerCount,
+			len(s.Policy.WorkloadClasses),
+			len(s.Policy.MachineTypes),
+		)
 	}
 	if results.err != nil {
 		return results.err
--- a/cmd/glenport/commands_test.go
+++ b/cmd/glenport/commands_test.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// checkExample checks that the call in an example is one of the command, or of one below it, with flags and arguments that it has.
+// checkExample checks that the call in an example is one of the command, or of one below it, with flags and arguments
+// that it has.
 func checkExample(t *testing.T, c *cobra.Command, line string) {
 	t.Helper()
 	call, _, _ := strings.Cut(strings.TrimSpace(line), " >")
--- a/cmd/glenport/golden_test.go
+++ b/cmd/glenport/golden_test.go
@@ -73,16 +73,58 @@
 		case *protocol.Hello:
 			send(protocol.NewHello(role, "north-1", 7))
 		case *protocol.StatusRequest:
-			send(&protocol.StatusReply{Name: "north-1", Stats: []protocol.Stat{{Name: "open", Value: 12, Unit: ""}, {Name: "latency p99", Value: 0.123456789, Unit: "s"}}})
+			send(
+				&protocol.StatusReply{
+					Name: "north-1",
+					Stats: []protocol.Stat{
+						{Name: "open", Value: 12, Unit: ""},
+						{Name: "latency p99", Value: 0.123456789, Unit: "s"},
+					},
+				},
+			)
 		case *protocol.RoutesRequest:
 			send(&protocol.RoutesReply{
-				Peers: []protocol.BGPPeerStatus{{Address: "192.0.2.254:179", ASN: 65000, State: "established", Routes: 2, PendingRoutes: 1, UpdatesSent: 5, BytesSent: 700,
-					SessionsEnded: 1, LastError: "hold timer expired"}},
+				Peers: []protocol.BGPPeerStatus{
+					{
+						Address:       "192.0.2.254:179",
+						ASN:           65000,
+						State:         "established",
+						Routes:        2,
+						PendingRoutes: 1,
+						UpdatesSent:   5,
+						BytesSent:     700,
+						SessionsEnded: 1,
+						LastError:     "hold timer expired",
+					},
+				},
 				Services: []protocol.ServiceRoute{
-					{Service: "reports", Prefix: "198.51.100.7/32", Announced: true, Running: 3, Draining: 1, MinRunning: 1},
-					{Service: "leaving", Prefix: "198.51.100.8/32", Announced: true, Running: 2, Draining: 2, MinRunning: 1, NextChangeIn: 4567},
-					{Service: "flapping", Prefix: "2001:db8:1::7/128", Suppressed: true, Penalty: 6123.4, MinRunning: 1},
-					{Service: "down", Prefix: "198.51.100.9/32", Running: 1, MinRunning: 2}}})
+					{
+						Service:    "reports",
+						Prefix:     "198.51.100.7/32",
+						Announced:  true,
+						Running:    3,
+						Draining:   1,
+						MinRunning: 1,
+					},
+					{
+						Service:      "leaving",
+						Prefix:       "198.51.100.8/32",
+						Announced:    true,
+						Running:      2,
+						Draining:     2,
+						MinRunning:   1,
+						NextChangeIn: 4567,
+					},
+					{
+						Service:    "flapping",
+						Prefix:     "2001:db8:1::7/128",
+						Suppressed: true,
+						Penalty:    6123.4,
+						MinRunning: 1,
+					},
+					{Service: "down", Prefix: "198.51.100.9/32", Running: 1, MinRunning: 2},
+				},
+			})
 		case *protocol.Submit:
 			id := f.Spec.ContainerID
 			switch f.Spec.Service {
@@ -91,11 +133,24 @@
 			case "ends":
 				send(placed(id), &protocol.Termination{ContainerID: id, Machine: "m1", Outcome: 1, Reason: 1})
 			case "rejected":
-				send(&protocol.PlacementReply{ContainerID: id, Verdict: protocol.VerdictRejected, RetryAfter: 2500, Message: "no room"})
+				send(
+					&protocol.PlacementReply{
+						ContainerID: id,
+						Verdict:     protocol.VerdictRejected,
+						RetryAfter:  2500,
+						Message:     "no room",
+					},
+				)
 			case "failed":
 				send(&protocol.PlacementReply{ContainerID: id, Verdict: protocol.VerdictFailed})
 			case "spec":
-				send(&protocol.PlacementReply{ContainerID: id, Verdict: protocol.VerdictNotAdmitted, Message: fmt.Sprintf("%v %v %v", f.TimeToDeadline, f.Spec, f.Spec.IdempotencyKey == id)})
+				send(
+					&protocol.PlacementReply{
+						ContainerID: id,
+						Verdict:     protocol.VerdictNotAdmitted,
+						Message:     fmt.Sprintf("%v %v %v", f.TimeToDeadline, f.Spec, f.Spec.IdempotencyKey == id),
+					},
+				)
 			case "goodbye":
 				send(&protocol.Goodbye{Message: "shutting down"})
 			case "hangs-up":
@@ -137,36 +192,158 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// recordedCalls are the calls of the program whose output is recorded, with the addresses of a fake scheduler, of a fake machine
-// and of a fake API, and a folder with the settings file bad.yaml.
+// recordedCalls are the calls of the program whose output is recorded, with the addresses of a fake scheduler, of a
+// fake machine and of a fake API, and a folder with the settings file bad.yaml.
 func recordedCalls(scheduler, machine, api, dir string) [][]string {
 	const state = "../../internal/schedulerd/testdata/state"
 	bad := filepath.Join(dir, "bad.yaml")
 	toScheduler := func(args ...string) []string { return append(args, "--placer", scheduler) }
 	toAPI := func(args ...string) []string { return append(args, "--api", api) }
 	return [][]string{
-		{"check", "../../deploy/placer.yaml"}, {"check", bad, "../../deploy/placer.yaml", filepath.Join(dir, "absent.yaml")}, {"check"},
-		toScheduler("status"), {"status", "--placer", machine}, {"status", "--placer", "127.0.0.1:1"}, {"status", "extra"},
-		toScheduler("bgp", "peers"), toScheduler("bgp", "routes"), toScheduler("bgp", "why", "reports"), toScheduler("bgp", "why", "198.51.100.8"),
-		toScheduler("bgp", "why", "2001:db8:1::7"), toScheduler("bgp", "why", "198.51.100.9/32"), toScheduler("bgp", "why", "absent"),
-		toScheduler("submit", "placed"), toScheduler("submit", "placed", "-n", "3"), toScheduler("submit", "ends", "--stay", "-n", "2"),
-		toScheduler("submit", "rejected"), toScheduler("submit", "failed"), toScheduler("submit", "goodbye"), toScheduler("submit", "hangs-up"),
-		toScheduler("submit", "spec"), toScheduler("submit", "spec", "--key", "k", "--workload", "2", "--customer", "1", "--cores", "1.5", "--memory", "3", "--hard-stop", "250ms"),
-		toAPI("job", "get"), toAPI("job", "get", "-o", "json"), toAPI("job", "get", "-o", "yaml"), toAPI("job", "get", "web"), toAPI("job", "get", "web", "-o", "json"),
-		toAPI("job", "get", "web", "-o", "yaml"), toAPI("job", "get", "absent"), toAPI("job", "get", "garbled"), toAPI("job", "get", "-o", "xml"),
+		{"check", "../../deploy/placer.yaml"},
+		{"check", bad, "../../deploy/placer.yaml", filepath.Join(dir, "absent.yaml")},
+		{"check"},
+		toScheduler("status"),
+		{"status", "--placer", machine},
+		{"status", "--placer", "127.0.0.1:1"},
+		{"status", "extra"},
+		toScheduler(
+			"bgp",
+			"peers",
+		),
+		toScheduler("bgp", "routes"),
+		toScheduler("bgp", "why", "reports"),
+		toScheduler("bgp", "why", "198.51.100.8"),
+		toScheduler(
+			"bgp",
+			"why",
+			"2001:db8:1::7",
+		),
+		toScheduler("bgp", "why", "198.51.100.9/32"),
+		toScheduler("bgp", "why", "absent"),
+		toScheduler(
+			"submit",
+			"placed",
+		),
+		toScheduler("submit", "placed", "-n", "3"),
+		toScheduler("submit", "ends", "--stay", "-n", "2"),
+		toScheduler(
+			"submit",
+			"rejected",
+		),
+		toScheduler("submit", "failed"),
+		toScheduler("submit", "goodbye"),
+		toScheduler("submit", "hangs-up"),
+		toScheduler(
+			"submit",
+			"spec",
+		),
+		toScheduler(
+			"submit",
+			"spec",
+			"--key",
+			"k",
+			"--workload",
+			"2",
+			"--customer",
+			"1",
+			"--cores",
+			"1.5",
+			"--memory",
+			"3",
+			"--hard-stop",
+			"250ms",
+		),
+		toAPI(
+			"job",
+			"get",
+		),
+		toAPI("job", "get", "-o", "json"),
+		toAPI("job", "get", "-o", "yaml"),
+		toAPI("job", "get", "web"),
+		toAPI("job", "get", "web", "-o", "json"),
+		toAPI(
+			"job",
+			"get",
+			"web",
+			"-o",
+			"yaml",
+		),
+		toAPI("job", "get", "absent"),
+		toAPI("job", "get", "garbled"),
+		toAPI("job", "get", "-o", "xml"),
 		toAPI("job", "run", "web", "--workload", "matcher", "-o", "json"),
-		toAPI("job", "run", "web", "--workload", "matcher", "--service", "s", "--customer", "c", "--cores", "2.5", "--memory", "0.5", "-n", "4", "--run-for", "90s", "--once",
-			"--label", "a=b", "--label", "c=d", "-o", "json"),
-		toAPI("job", "run", "web", "--workload", "matcher"), toAPI("job", "run", "web"),
-		toAPI("job", "scale", "web", "-n", "7"), toAPI("job", "scale", "web", "-n", "7", "-o", "json"), toAPI("job", "scale", "absent", "-n", "7"), toAPI("job", "scale", "web"),
-		toAPI("job", "stop", "web"), toAPI("job", "stop", "absent"),
-		toAPI("why", "web"), toAPI("why", "web", "-o", "json"), toAPI("why", "idle"), toAPI("why", "web.1"), toAPI("why", "web.0"), toAPI("why", "absent"), toAPI("why", "absent.0"),
-		toAPI("machines"), toAPI("machines", "-o", "yaml"), {"machines", "--api", "127.0.0.1:1"},
-		{"scheduler"}, {"placer", "-c", bad}, {"scheduler", "-c", bad, "--log", "xml"}, {"controller"}, {"keeper", "-c", bad}, {"controller", "-c", bad, "--log", "xml"},
-		{"platform"}, {"platform", "-c", filepath.Join(dir, "absent.toml")},
-		{"state", "inspect", filepath.Join(dir, "absent")}, {"state", "verify", filepath.Join(dir, "absent")}, {"state", "export", filepath.Join(dir, "absent")},
-		{"state", "compact", filepath.Join(dir, "absent")}, {"state", "inspect", dir}, {"state", "verify", dir}, {"state", "export", dir},
-		{"state", "inspect", state}, {"state", "verify", state}, {"state", "export", state},
+		toAPI(
+			"job",
+			"run",
+			"web",
+			"--workload",
+			"matcher",
+			"--service",
+			"s",
+			"--customer",
+			"c",
+			"--cores",
+			"2.5",
+			"--memory",
+			"0.5",
+			"-n",
+			"4",
+			"--run-for",
+			"90s",
+			"--once",
+			"--label",
+			"a=b",
+			"--label",
+			"c=d",
+			"-o",
+			"json",
+		),
+		toAPI("job", "run", "web", "--workload", "matcher"),
+		toAPI("job", "run", "web"),
+		toAPI(
+			"job",
+			"scale",
+			"web",
+			"-n",
+			"7",
+		),
+		toAPI("job", "scale", "web", "-n", "7", "-o", "json"),
+		toAPI("job", "scale", "absent", "-n", "7"),
+		toAPI("job", "scale", "web"),
+		toAPI("job", "stop", "web"),
+		toAPI("job", "stop", "absent"),
+		toAPI(
+			"why",
+			"web",
+		),
+		toAPI("why", "web", "-o", "json"),
+		toAPI("why", "idle"),
+		toAPI("why", "web.1"),
+		toAPI("why", "web.0"),
+		toAPI("why", "absent"),
+		toAPI("why", "absent.0"),
+		toAPI("machines"),
+		toAPI("machines", "-o", "yaml"),
+		{"machines", "--api", "127.0.0.1:1"},
+		{"scheduler"},
+		{"placer", "-c", bad},
+		{"scheduler", "-c", bad, "--log", "xml"},
+		{"controller"},
+		{"keeper", "-c", bad},
+		{"controller", "-c", bad, "--log", "xml"},
+		{"platform"},
+		{"platform", "-c", filepath.Join(dir, "absent.toml")},
+		{"state", "inspect", filepath.Join(dir, "absent")},
+		{"state", "verify", filepath.Join(dir, "absent")},
+		{"state", "export", filepath.Join(dir, "absent")},
+		{"state", "compact", filepath.Join(dir, "absent")},
+		{"state", "inspect", dir},
+		{"state", "verify", dir},
+		{"state", "export", dir},
+		{"state", "inspect", state},
+		{"state", "verify", state},
+		{"state", "export", state},
 		{"unheard-of"},
 	}
 }
@@ -195,13 +372,22 @@
 // TestOutputOfCommandsIsAsRecorded holds what commands print, byte for byte, and how they end.
 func TestOutputOfCommandsIsAsRecorded(t *testing.T) {
 	t.Setenv(platformFileVariable, "")
-	scheduler, machine, api, dir := fakeScheduler(t, protocol.RoleScheduler), fakeScheduler(t, protocol.RoleMachine), fakeAPI(t), t.TempDir()
+	scheduler, machine, api, dir := fakeScheduler(
+		t,
+		protocol.RoleScheduler,
+	), fakeScheduler(
+		t,
+		protocol.RoleMachine,
+	), fakeAPI(
+		t,
+	), t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "bad.yaml"), []byte("name: x\nnumber: many\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	var got strings.Builder
 	for _, args := range recordedCalls(scheduler, machine, api, dir) {
-		text := strings.NewReplacer(scheduler, "SCHEDULER", api, "API", machine, "MACHINE", dir, "DIR").Replace(transcript(args))
+		text := strings.NewReplacer(scheduler, "SCHEDULER", api, "API", machine, "MACHINE", dir, "DIR").
+			Replace(transcript(args))
 		text = snapshotAge.ReplaceAllString(text, "written AGE ago")
 		got.WriteString(randomID.ReplaceAllString(text, "-RANDOM-$1") + "\n")
 	}
--- a/cmd/glenport/job.go
+++ b/cmd/glenport/job.go
@@ -116,7 +116,16 @@
 }
 
 func printJobRow(p *printer, job *server.Job) {
-	p.printf("%s\t%s\t%s\t%d\t%g\t%g\t%d\n", job.ID, job.Service, job.WorkloadClass, job.Count, job.Cores, job.MemoryGiB, job.Version)
+	p.printf(
+		"%s\t%s\t%s\t%d\t%g\t%g\t%d\n",
+		job.ID,
+		job.Service,
+		job.WorkloadClass,
+		job.Count,
+		job.Cores,
+		job.MemoryGiB,
+		job.Version,
+	)
 }
 
 func printJobs(client *apiClient) error {
--- a/cmd/glenport/main.go
+++ b/cmd/glenport/main.go
@@ -1,5 +1,5 @@
-// Command glenport places long-running work on the machines of a cluster: it runs the scheduler and the controller, and talks to
-// them on behalf of a user or an operator.
+// Command glenport places long-running work on the machines of a cluster: it runs the scheduler and the controller, and
+// talks to them on behalf of a user or an operator.
 package main
 
 import (
--- a/cmd/glenport/schedulerclient.go
+++ b/cmd/glenport/schedulerclient.go
@@ -11,7 +11,8 @@
 	"github.com/spf13/cobra"
 )
 
-const requestTimeout = 5 * time.Second // of a connection and all requests on it, unless a command sets a deadline of its own
+// of a connection and all requests on it, unless a command sets a deadline of its own
+const requestTimeout = 5 * time.Second
 
 // addSchedulerFlag adds the flag with a scheduler's address to a command and its subcommands.
 func addSchedulerFlag(c *cobra.Command, address *string) {
--- a/cmd/glenport/state.go
+++ b/cmd/glenport/state.go
@@ -70,8 +70,8 @@
 	snapshotErr error
 }
 
-// readStateFolder reads a folder as far as it can be. The error says that the folder cannot be opened; what is damaged in it is
-// reported by damage.
+// readStateFolder reads a folder as far as it can be. The error says that the folder cannot be opened; what is damaged
+// in it is reported by damage.
 func readStateFolder(path string) (*stateFolder, error) {
 	dir, err := vfs.OpenReadOnly(path)
 	if err != nil {
@@ -105,10 +105,20 @@
 }
 
 func printLogSummary(p *printer, log *wal.State) {
-	p.printf("log: version %d, %d records in %d bytes; the snapshot ends before group %d, the log with group %d (%d read)\n",
-		wal.FormatVersion, log.Records, log.Bytes, log.FirstGroup, log.LastGroup, log.Groups)
+	p.printf(
+		"log: version %d, %d records in %d bytes; the snapshot ends before group %d, the log with group %d (%d read)\n",
+		wal.FormatVersion,
+		log.Records,
+		log.Bytes,
+		log.FirstGroup,
+		log.LastGroup,
+		log.Groups,
+	)
 	if log.TruncatedBytes > 0 {
-		p.printf("log: %d bytes of an unfinished group at the end, never acknowledged: cut off at the next start\n", log.TruncatedBytes)
+		p.printf(
+			"log: %d bytes of an unfinished group at the end, never acknowledged: cut off at the next start\n",
+			log.TruncatedBytes,
+		)
 	}
 	for _, kind := range log.Kinds() {
 		p.printf("  %-10s %d\n", kind, log.Count(kind))
@@ -130,9 +140,16 @@
 	if snapshot.OrderlyShutdown {
 		occasion = "at an orderly end"
 	}
-	p.printf("knowledge: version %d, written %s ago, %s; list version %d with %d machines, evidence against %d, %d resting\n",
-		schedulerd.WarmStartVersion, time.Since(takenAt).Round(time.Millisecond), occasion, snapshot.ListVersion, len(snapshot.Entries),
-		suspected, ejected)
+	p.printf(
+		"knowledge: version %d, written %s ago, %s; list version %d with %d machines, evidence against %d, %d resting\n",
+		schedulerd.WarmStartVersion,
+		time.Since(takenAt).Round(time.Millisecond),
+		occasion,
+		snapshot.ListVersion,
+		len(snapshot.Entries),
+		suspected,
+		ejected,
+	)
 }
 
 // verifyState returns exitNegative where anything is not as it was written.
@@ -227,6 +244,13 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(out, "%s: %d records, %d bytes before, %d after\n", path, after.Records, before.Bytes, after.Bytes)
+	_, err = fmt.Fprintf(
+		out,
+		"%s: %d records, %d bytes before, %d after\n",
+		path,
+		after.Records,
+		before.Bytes,
+		after.Bytes,
+	)
 	return err
 }
--- a/cmd/glenport/state_test.go
+++ b/cmd/glenport/state_test.go
@@ -11,8 +11,8 @@
 	"glenport/internal/storage/wal"
 )
 
-// A folder is inspected, checked, exported and compacted; of a damaged one the file and the place are named, and what comes before
-// is exported.
+// A folder is inspected, checked, exported and compacted; of a damaged one the file and the place are named, and what
+// comes before is exported.
 func TestStateCommandsReadAndCompactAFolder(t *testing.T) {
 	dir := t.TempDir()
 	d, err := vfs.OpenLocked(dir)
@@ -47,8 +47,12 @@
 		return out.String(), err
 	}
 	for _, tc := range []struct{ what, want string }{
-		{"inspect", "3 records"}, {"verify", "good, 3 records"}, {"export", `{"key":"b","kind":"job","value":"x"}`}, {"compact", "3 records"},
-		{"verify", "good, 3 records, 0 groups"}, {"export", `{"key":"c","kind":"job","value":"x"}`},
+		{"inspect", "3 records"},
+		{"verify", "good, 3 records"},
+		{"export", `{"key":"b","kind":"job","value":"x"}`},
+		{"compact", "3 records"},
+		{"verify", "good, 3 records, 0 groups"},
+		{"export", `{"key":"c","kind":"job","value":"x"}`},
 	} {
 		if out, err := run(tc.what); err != nil || !strings.Contains(out, tc.want) {
 			t.Errorf("%s: %q, %v", tc.what, out, err)
--- a/cmd/glenport/submit.go
+++ b/cmd/glenport/submit.go
@@ -44,7 +44,12 @@
 	addSchedulerFlag(c, &s.address)
 	f := c.Flags()
 	f.IntVarP(&s.count, "count", "n", 1, "how many containers")
-	f.IntVar(&s.spec.WorkloadClass, "workload", 0, "index of the workload class in the scheduler's settings file, from 0")
+	f.IntVar(
+		&s.spec.WorkloadClass,
+		"workload",
+		0,
+		"index of the workload class in the scheduler's settings file, from 0",
+	)
 	f.IntVar(&s.spec.Tenant, "customer", 0, "index of the tenant, from 0")
 	f.Float64Var(&s.spec.Cores, "cores", 1, "cores of each container")
 	f.Float64Var(&s.spec.Memory, "memory", 1, "memory of each container, in GiB")
@@ -83,7 +88,9 @@
 		if s.key != "" {
 			spec.IdempotencyKey = s.key
 		}
-		if err := c.send(&protocol.Submit{TimeToDeadline: protocol.Duration(s.timeout / tick), Spec: spec}); err != nil {
+		if err := c.send(
+			&protocol.Submit{TimeToDeadline: protocol.Duration(s.timeout / tick), Spec: spec},
+		); err != nil {
 			return err
 		}
 	}
--- a/cmd/glenport/why.go
+++ b/cmd/glenport/why.go
@@ -55,7 +55,8 @@
 	}
 }
 
-// explain returns the explanations of a job, or of a container where the ID has a dot. One without reasons is left out there.
+// explain returns the explanations of a job, or of a container where the ID has a dot. One without reasons is left out
+// there.
 func explain(client *apiClient, id string) ([]api.Explanation, error) {
 	if !strings.Contains(id, ".") {
 		var explanations items[api.Explanation]
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -20,8 +20,10 @@
 var historical = map[string]bool{"docs/results.md": true, "docs/review-of-parts.md": true, "CHANGELOG.md": true}
 
 var (
-	codeSpan     = regexp.MustCompile("`([^`]+)`")
-	repoPath     = regexp.MustCompile(`(?:^|[\s(\x60"])((?:\.ci|cmd|deploy|docs|internal|measure|scenarios|scheduler|tools)/[\w./*-]*[\w*])`)
+	codeSpan = regexp.MustCompile("`([^`]+)`")
+	repoPath = regexp.MustCompile(
+		`(?:^|[\s(\x60"])((?:\.ci|cmd|deploy|docs|internal|measure|scenarios|scheduler|tools)/[\w./*-]*[\w*])`,
+	)
 	pageLink     = regexp.MustCompile(`\]\(([\w./-]+\.md)\)`)
 	commandCall  = regexp.MustCompile(`(?:^|[\s/(])(glenport|glenport-testbed|adapter) ([^|;&]*)`)
 	flagName     = regexp.MustCompile(`^--([a-z-]+)`)
@@ -105,7 +107,8 @@
 	}
 }
 
-// commandWords are the subcommands that the commands define, with whether one of that name takes arguments, and the flags.
+// commandWords are the subcommands that the commands define, with whether one of that name takes arguments, and the
+// flags.
 func commandWords(t *testing.T) (subcommands, flags map[string]bool) {
 	t.Helper()
 	subcommands, flags = map[string]bool{}, map[string]bool{}
@@ -177,8 +180,8 @@
 	}
 }
 
-// commandCalls are the calls of our programs in code spans and indented blocks, without the program's name. Of alternatives
-// such as "peers|routes" the first counts.
+// commandCalls are the calls of our programs in code spans and indented blocks, without the program's name. Of
+// alternatives such as "peers|routes" the first counts.
 func commandCalls(text string) []string {
 	var spans []string
 	for _, m := range codeSpan.FindAllStringSubmatch(text, -1) {
@@ -266,7 +269,8 @@
 	}
 }
 
-// TestGlossaryNamesExist looks up each name of the glossary's tables. A bare name that follows a type in a cell is a field or method of it.
+// TestGlossaryNamesExist looks up each name of the glossary's tables. A bare name that follows a type in a cell is a
+// field or method of it.
 func TestGlossaryNamesExist(t *testing.T) {
 	names, checked := declared(t), 0
 	for line := range strings.Lines(pages(t)["docs/glossary.md"]) {
@@ -324,10 +328,13 @@
 	}
 }
 
-// addLogMessages finds constant messages: of slog calls, of the decision packages' log methods, and of their log actions.
+// addLogMessages finds constant messages: of slog calls, of the decision packages' log methods, and of their log
+// actions.
 func addLogMessages(messages map[string]bool, file *ast.File) {
-	methods := map[string]bool{"Info": true, "Warn": true, "Error": true, "Debug": true, "log": true, "logMachine": true,
-		"message": true, "OnModeChange": true}
+	methods := map[string]bool{
+		"Info": true, "Warn": true, "Error": true, "Debug": true, "log": true, "logMachine": true,
+		"message": true, "OnModeChange": true,
+	}
 	ast.Inspect(file, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.CallExpr:
--- a/internal/bgp/announce/announce_test.go
+++ b/internal/bgp/announce/announce_test.go
@@ -11,7 +11,11 @@
 
 const sec = scheduler.Second
 
-var web = Service{Prefix: netip.MustParsePrefix("192.0.2.1/32"), NextHop: netip.MustParseAddr("192.0.2.254"), MinRunning: 1}
+var web = Service{
+	Prefix:     netip.MustParsePrefix("192.0.2.1/32"),
+	NextHop:    netip.MustParseAddr("192.0.2.254"),
+	MinRunning: 1,
+}
 
 func show(actions []Action) string {
 	var all []string
@@ -40,20 +44,38 @@
 		events []timed
 		want   string
 	}{
-		{"announced with the first, withdrawn with the last", []timed{configured, runs(1, "a"), runs(1.2, "b"), ends(5, "a"), ends(6, "b")},
-			"1.0 announce 192.0.2.1/32 100; 6.0 withdraw 192.0.2.1/32"},
+		{
+			"announced with the first, withdrawn with the last",
+			[]timed{configured, runs(1, "a"), runs(1.2, "b"), ends(5, "a"), ends(6, "b")},
+			"1.0 announce 192.0.2.1/32 100; 6.0 withdraw 192.0.2.1/32",
+		},
 		{"not configured", []timed{runs(1, "a")}, ""},
-		{"the last ends at once after the first: within the two seconds", []timed{configured, runs(1, "a"), ends(1.1, "a")},
-			"1.0 announce 192.0.2.1/32 100; 2.0 withdraw 192.0.2.1/32"},
-		{"gone and back within the interval is not sent", []timed{configured, runs(1, "a"), ends(1.3, "a"), runs(1.6, "a")},
-			"1.0 announce 192.0.2.1/32 100"},
-		{"a threshold", []timed{{0, ServiceSet{"web", two}}, runs(1, "a"), runs(3, "b"), ends(5, "a")},
-			"3.0 announce 192.0.2.1/32 100; 5.0 withdraw 192.0.2.1/32"},
-		{"all drain: last choice first, then gone", []timed{configured, runs(1, "a"), {3, ContainerRunning{"web", "a", true}}, ends(9, "a")},
-			"1.0 announce 192.0.2.1/32 100; 3.0 announce 192.0.2.1/32 0; 9.0 withdraw 192.0.2.1/32"},
+		{
+			"the last ends at once after the first: within the two seconds",
+			[]timed{configured, runs(1, "a"), ends(1.1, "a")},
+			"1.0 announce 192.0.2.1/32 100; 2.0 withdraw 192.0.2.1/32",
+		},
+		{
+			"gone and back within the interval is not sent",
+			[]timed{configured, runs(1, "a"), ends(1.3, "a"), runs(1.6, "a")},
+			"1.0 announce 192.0.2.1/32 100",
+		},
+		{
+			"a threshold",
+			[]timed{{0, ServiceSet{"web", two}}, runs(1, "a"), runs(3, "b"), ends(5, "a")},
+			"3.0 announce 192.0.2.1/32 100; 5.0 withdraw 192.0.2.1/32",
+		},
+		{
+			"all drain: last choice first, then gone",
+			[]timed{configured, runs(1, "a"), {3, ContainerRunning{"web", "a", true}}, ends(9, "a")},
+			"1.0 announce 192.0.2.1/32 100; 3.0 announce 192.0.2.1/32 0; 9.0 withdraw 192.0.2.1/32",
+		},
 		{"one of two drains", []timed{configured, runs(1, "a"), runs(1, "b"), {3, ContainerRunning{"web", "a", true}}}, "1.0 announce 192.0.2.1/32 100"},
-		{"another address", []timed{configured, runs(1, "a"), {5, ServiceSet{"web", other}}},
-			"1.0 announce 192.0.2.1/32 100; 5.0 withdraw 192.0.2.1/32; 6.0 announce 192.0.2.2/32 100"},
+		{
+			"another address",
+			[]timed{configured, runs(1, "a"), {5, ServiceSet{"web", other}}},
+			"1.0 announce 192.0.2.1/32 100; 5.0 withdraw 192.0.2.1/32; 6.0 announce 192.0.2.2/32 100",
+		},
 		{"no longer configured", []timed{configured, runs(1, "a"), {5, ServiceRemoved{"web"}}}, "1.0 announce 192.0.2.1/32 100; 5.0 withdraw 192.0.2.1/32"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/bgp/announce/golden_test.go
+++ b/internal/bgp/announce/golden_test.go
@@ -27,7 +27,12 @@
 	for group, maxStep := range []scheduler.Time{100 * scheduler.Millisecond, 2 * scheduler.Second, 60 * scheduler.Second, 1200 * scheduler.Second} {
 		digest := &actionDigest{sum: sha256.New()}
 		for seed := range sequences {
-			h := &history{digest: digest, random: rand.New(rand.NewPCG(uint64(1000*group+seed), 29)), announcer: New(), maxStep: maxStep}
+			h := &history{
+				digest:    digest,
+				random:    rand.New(rand.NewPCG(uint64(1000*group+seed), 29)),
+				announcer: New(),
+				maxStep:   maxStep,
+			}
 			for range steps {
 				h.step()
 			}
@@ -174,8 +179,10 @@
 	case 1:
 		hop = netip.MustParseAddr("198.51.100.2")
 	}
-	return ServiceSet{Name: name, Service: Service{Prefix: prefix, NextHop: hop, MED: uint32(h.random.IntN(3) * 50),
-		MinRunning: h.random.IntN(4), MEDByHealth: h.chance(0.5)}}
+	return ServiceSet{Name: name, Service: Service{
+		Prefix: prefix, NextHop: hop, MED: uint32(h.random.IntN(3) * 50),
+		MinRunning: h.random.IntN(4), MEDByHealth: h.chance(0.5),
+	}}
 }
 
 // foldState folds what an operator is shown and what a peer is sent when its session comes up.
--- a/internal/bgp/announce/invariants_test.go
+++ b/internal/bgp/announce/invariants_test.go
@@ -44,8 +44,10 @@
 }
 
 func newInvariantModel(t *rapid.T) *invariantModel {
-	m := &invariantModel{t: t, table: map[netip.Prefix]bool{}, updatedAt: map[netip.Prefix]scheduler.Time{},
-		running: map[string]map[string]bool{}, configured: map[string]bool{}, emptyAt: map[string]scheduler.Time{}}
+	m := &invariantModel{
+		t: t, table: map[netip.Prefix]bool{}, updatedAt: map[netip.Prefix]scheduler.Time{},
+		running: map[string]map[string]bool{}, configured: map[string]bool{}, emptyAt: map[string]scheduler.Time{},
+	}
 	m.driver = newDriver(m.followUpdate)
 	return m
 }
@@ -115,7 +117,13 @@
 		status, _ := m.announcer.Status(service)
 		want := m.configured[service] && len(containers) > 0 && !status.Suppressed
 		if announced := m.table[prefixOf(service)]; announced != want {
-			m.t.Fatalf("%s is announced: %t; configured %t, %d containers", service, announced, m.configured[service], len(containers))
+			m.t.Fatalf(
+				"%s is announced: %t; configured %t, %d containers",
+				service,
+				announced,
+				m.configured[service],
+				len(containers),
+			)
 		}
 	}
 }
--- a/internal/bgp/session/connecting.go
+++ b/internal/bgp/session/connecting.go
@@ -82,7 +82,9 @@
 // rejectConnection turns a connection away that no state is waiting for.
 func (s *Session) rejectConnection(in input) {
 	s.endDial(in.opened)
-	s.emit(SendMessage{in.opened.Conn, &wire.Notification{Code: wire.CodeCease, Subcode: wire.SubcodeConnectionRejected}})
+	s.emit(
+		SendMessage{in.opened.Conn, &wire.Notification{Code: wire.CodeCease, Subcode: wire.SubcodeConnectionRejected}},
+	)
 	s.emit(CloseConn{in.opened.Conn})
 }
 
--- a/internal/bgp/session/golden_test.go
+++ b/internal/bgp/session/golden_test.go
@@ -19,8 +19,8 @@
 
 var update = flag.Bool("update", false, "write the golden digests anew")
 
-// TestDecisionsMatchGoldenDigests plays seeded histories and compares a digest of all actions, in order, and of the state
-// after each event, with that in testdata. A changed decision changes the digest; a rename does not.
+// TestDecisionsMatchGoldenDigests plays seeded histories and compares a digest of all actions, in order, and of the
+// state after each event, with that in testdata. A changed decision changes the digest; a rename does not.
 func TestDecisionsMatchGoldenDigests(t *testing.T) {
 	const sequences, steps = 1000, 100
 	both := []wire.Family{wire.IPv4, wire.IPv6}
@@ -33,8 +33,10 @@
 	} {
 		digest := &actionDigest{sum: sha256.New()}
 		for seed := range sequences {
-			h := &history{digest: digest, random: rand.New(rand.NewPCG(uint64(10_000*group+seed), 31)), session: New(p), peer: p,
-				connections: map[ConnID]int{}}
+			h := &history{
+				digest: digest, random: rand.New(rand.NewPCG(uint64(10_000*group+seed), 31)), session: New(p), peer: p,
+				connections: map[ConnID]int{},
+			}
 			h.handle(Start{})
 			for range steps {
 				h.step()
@@ -184,8 +186,10 @@
 		h.handle(TimerExpired{Timer: Timer(h.random.IntN(int(timerCount)))})
 	case n < 94 && len(h.numbers) > 0:
 		c := h.numbers[h.random.IntN(len(h.numbers))]
-		h.handle(MessageInvalid{Conn: c, Err: &wire.MessageError{Notification: wire.Notification{Code: wire.CodeHeader, Subcode: wire.SubcodeNotSynchronized,
-			Data: []byte{1, 2}}, Reason: "no marker"}})
+		h.handle(MessageInvalid{Conn: c, Err: &wire.MessageError{Notification: wire.Notification{
+			Code: wire.CodeHeader, Subcode: wire.SubcodeNotSynchronized,
+			Data: []byte{1, 2},
+		}, Reason: "no marker"}})
 	case n < 96:
 		h.odd()
 	case n < 97:
@@ -224,10 +228,20 @@
 }
 
 func (h *history) openMessage() *wire.Open {
-	o := &wire.Open{AS: h.peer.PeerAS, HoldTime: []uint16{0, 3, 30, 180}[h.random.IntN(4)], ID: [4]byte{10, 0, 0, byte(6 + h.random.IntN(9))},
-		Families: []wire.Family{wire.IPv4, wire.IPv6}, FourOctetAS: true, Refresh: h.chance(0.5)}
+	o := &wire.Open{
+		AS:          h.peer.PeerAS,
+		HoldTime:    []uint16{0, 3, 30, 180}[h.random.IntN(4)],
+		ID:          [4]byte{10, 0, 0, byte(6 + h.random.IntN(9))},
+		Families:    []wire.Family{wire.IPv4, wire.IPv6},
+		FourOctetAS: true,
+		Refresh:     h.chance(0.5),
+	}
 	if h.chance(0.5) {
-		o.Restart = &wire.GracefulRestart{Restarted: h.chance(0.5), Time: 60, ForwardingPreserved: map[wire.Family]bool{wire.IPv4: true}}
+		o.Restart = &wire.GracefulRestart{
+			Restarted:           h.chance(0.5),
+			Time:                60,
+			ForwardingPreserved: map[wire.Family]bool{wire.IPv4: true},
+		}
 	}
 	switch h.random.IntN(20) {
 	case 0:
--- a/internal/bgp/session/invariants_test.go
+++ b/internal/bgp/session/invariants_test.go
@@ -16,8 +16,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := peer()
 		p.Passive = rapid.Bool().Draw(t, "passive")
-		m := &invariantModel{T: t, session: New(p), timers: map[Timer]bool{}, open: map[ConnID]bool{}, dialed: map[ConnID]bool{},
-			lastInbound: inbound}
+		m := &invariantModel{
+			T: t, session: New(p), timers: map[Timer]bool{}, open: map[ConnID]bool{}, dialed: map[ConnID]bool{},
+			lastInbound: inbound,
+		}
 		m.handle(Start{})
 		for range 50 {
 			m.step()
@@ -133,8 +135,10 @@
 	if c == 0 {
 		return
 	}
-	messages := []wire.Message{open(nil), &wire.Keepalive{}, &wire.Update{}, &wire.Notification{Code: 6},
-		&wire.RouteRefresh{Family: wire.IPv4}}
+	messages := []wire.Message{
+		open(nil), &wire.Keepalive{}, &wire.Update{}, &wire.Notification{Code: 6},
+		&wire.RouteRefresh{Family: wire.IPv4},
+	}
 	m.handle(MessageReceived{c, messages[rapid.IntRange(0, len(messages)-1).Draw(m.T, "message")]})
 }
 
--- a/internal/bgp/session/session_test.go
+++ b/internal/bgp/session/session_test.go
@@ -13,7 +13,14 @@
 var both = []wire.Family{wire.IPv4, wire.IPv6}
 
 func peer() PeerConfig {
-	return PeerConfig{OwnAS: 65001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, HoldTime: 90 * scheduler.Second, Families: both, RestartTime: 120 * scheduler.Second}
+	return PeerConfig{
+		OwnAS:       65001,
+		PeerAS:      65002,
+		ID:          [4]byte{10, 0, 0, 5},
+		HoldTime:    90 * scheduler.Second,
+		Families:    both,
+		RestartTime: 120 * scheduler.Second,
+	}
 }
 
 func open(change func(o *wire.Open)) *wire.Open {
@@ -83,7 +90,9 @@
 
 // established are the events that establish a session on connection 1, followed by more.
 func established(more ...Event) []Event {
-	return append([]Event{ConnOpened{1, false}, MessageReceived{1, open(nil)}, MessageReceived{1, &wire.Keepalive{}}}, more...)
+	return append(
+		[]Event{ConnOpened{1, false}, MessageReceived{1, open(nil)}, MessageReceived{1, &wire.Keepalive{}}},
+		more...)
 }
 
 // openReceivedOn1 are the events up to the peer's Open, which is changed, on connection 1, followed by more.
@@ -101,17 +110,32 @@
 		{"confirms", nil, openReceivedOn1(nil), "keepalive on 1; OpenConfirm"},
 		{"is established", nil, established(), "up 2; Established"},
 		{"the peer connects", passive, []Event{ConnOpened{inbound, true}}, "open on 1000000; OpenSent"},
-		{"a peer without capabilities", nil, openReceivedOn1(func(o *wire.Open) { o.Families, o.FourOctetAS = nil, false },
-			MessageReceived{1, &wire.Keepalive{}}), "up 1; Established"},
+		{
+			"a peer without capabilities",
+			nil,
+			openReceivedOn1(func(o *wire.Open) { o.Families, o.FourOctetAS = nil, false },
+				MessageReceived{1, &wire.Keepalive{}}),
+			"up 1; Established",
+		},
 	})
 }
 
 func TestFailedAttemptIsRetriedAndAbandonedOneClosed(t *testing.T) {
 	checkExchanges(t, []exchange{
 		{"no connection", nil, []Event{ConnClosed{1}}, "; Idle"},
-		{"retries after the idle hold time", nil, []Event{ConnClosed{1}, TimerExpired{IdleHoldTimer}}, "dial 2; Connect"},
+		{
+			"retries after the idle hold time",
+			nil,
+			[]Event{ConnClosed{1}, TimerExpired{IdleHoldTimer}},
+			"dial 2; Connect",
+		},
 		{"an attempt that takes too long", nil, []Event{TimerExpired{ConnectRetryTimer}}, "close 1, dial 2; Connect"},
-		{"and opens all the same", nil, []Event{TimerExpired{ConnectRetryTimer}, ConnOpened{1, false}}, "close 1; Connect"},
+		{
+			"and opens all the same",
+			nil,
+			[]Event{TimerExpired{ConnectRetryTimer}, ConnOpened{1, false}},
+			"close 1; Connect",
+		},
 	})
 }
 
@@ -119,27 +143,60 @@
 	checkExchanges(t, []exchange{
 		{"the wrong AS", nil, openReceivedOn1(func(o *wire.Open) { o.AS = 65003 }), "2/2 on 1, close 1; Idle"},
 		{"our identifier", nil, openReceivedOn1(func(o *wire.Open) { o.ID = peer().ID }), "2/3 on 1, close 1; Idle"},
-		{"no family shared", func(p *PeerConfig) { p.Families = both[1:] },
-			openReceivedOn1(func(o *wire.Open) { o.Families = nil }), "2/7 on 1, close 1; Idle"},
-		{"four octets needed", func(p *PeerConfig) { p.OwnAS = 4200000001 },
-			openReceivedOn1(func(o *wire.Open) { o.FourOctetAS = false }), "2/7 on 1, close 1; Idle"},
+		{
+			"no family shared", func(p *PeerConfig) { p.Families = both[1:] },
+			openReceivedOn1(func(o *wire.Open) { o.Families = nil }), "2/7 on 1, close 1; Idle",
+		},
+		{
+			"four octets needed", func(p *PeerConfig) { p.OwnAS = 4200000001 },
+			openReceivedOn1(func(o *wire.Open) { o.FourOctetAS = false }), "2/7 on 1, close 1; Idle",
+		},
 	})
 }
 
 func TestUnexpectedMessageResetsTheConnection(t *testing.T) {
 	checkExchanges(t, []exchange{
-		{"keepalive before open", nil, []Event{ConnOpened{1, false}, MessageReceived{1, &wire.Keepalive{}}}, "5/1 on 1, close 1; Idle"},
-		{"update before keepalive", nil, openReceivedOn1(nil, MessageReceived{1, &wire.Update{}}), "5/2 on 1, close 1; Idle"},
-		{"open in an established session", nil, established(MessageReceived{1, open(nil)}), "5/3 on 1, close 1, down; Idle"},
-		{"garbage", nil, established(MessageInvalid{1, &wire.MessageError{Notification: wire.Notification{Code: 1, Subcode: 1}}}),
-			"1/1 on 1, close 1, down; Idle"},
+		{
+			"keepalive before open",
+			nil,
+			[]Event{ConnOpened{1, false}, MessageReceived{1, &wire.Keepalive{}}},
+			"5/1 on 1, close 1; Idle",
+		},
+		{
+			"update before keepalive",
+			nil,
+			openReceivedOn1(nil, MessageReceived{1, &wire.Update{}}),
+			"5/2 on 1, close 1; Idle",
+		},
+		{
+			"open in an established session",
+			nil,
+			established(MessageReceived{1, open(nil)}),
+			"5/3 on 1, close 1, down; Idle",
+		},
+		{
+			"garbage",
+			nil,
+			established(MessageInvalid{1, &wire.MessageError{Notification: wire.Notification{Code: 1, Subcode: 1}}}),
+			"1/1 on 1, close 1, down; Idle",
+		},
 	})
 }
 
 func TestEstablishedSessionAnswersItsPeer(t *testing.T) {
 	checkExchanges(t, []exchange{
-		{"routes of the peer are not imported", nil, established(MessageReceived{1, &wire.Update{}}), "ignored; Established"},
-		{"a refresh", nil, established(MessageReceived{1, &wire.RouteRefresh{Family: wire.IPv6}}), "resend 2; Established"},
+		{
+			"routes of the peer are not imported",
+			nil,
+			established(MessageReceived{1, &wire.Update{}}),
+			"ignored; Established",
+		},
+		{
+			"a refresh",
+			nil,
+			established(MessageReceived{1, &wire.RouteRefresh{Family: wire.IPv6}}),
+			"resend 2; Established",
+		},
 		{"sends keepalives", nil, established(TimerExpired{KeepaliveTimer}), "keepalive on 1; Established"},
 	})
 }
@@ -149,7 +206,12 @@
 		{"silent", nil, established(TimerExpired{HoldTimer}), "4/0 on 1, close 1, down; Idle"},
 		{"no open in time", nil, []Event{ConnOpened{1, false}, TimerExpired{HoldTimer}}, "4/0 on 1, close 1; Idle"},
 		{"the connection ends", nil, established(ConnClosed{1}), "down; Idle"},
-		{"the peer ends it", nil, established(MessageReceived{1, wire.NewShutdown("maintenance")}), "close 1, down; Idle"},
+		{
+			"the peer ends it",
+			nil,
+			established(MessageReceived{1, wire.NewShutdown("maintenance")}),
+			"close 1, down; Idle",
+		},
 		{"stopped", nil, established(Stop{"maintenance"}), "6/2 on 1, close 1, down; Idle"},
 		{"stopped, and stays so", nil, established(Stop{"maintenance"}, TimerExpired{IdleHoldTimer}), "; Idle"},
 	})
@@ -157,7 +219,12 @@
 
 func TestConnectionThatNoStateExpectsIsClosed(t *testing.T) {
 	checkExchanges(t, []exchange{
-		{"while established", nil, established(ConnOpened{inbound, true}), "6/5 on 1000000, close 1000000; Established"},
+		{
+			"while established",
+			nil,
+			established(ConnOpened{inbound, true}),
+			"6/5 on 1000000, close 1000000; Established",
+		},
 		{"while stopped", nil, established(Stop{""}, ConnOpened{inbound, true}), "6/5 on 1000000, close 1000000; Idle"},
 	})
 }
@@ -166,10 +233,19 @@
 	opened := []Event{ConnOpened{1, false}, ConnOpened{inbound, true}, MessageReceived{1, open(nil)}}
 	both := append(slices.Clone(opened), MessageReceived{inbound, open(nil)})
 	checkExchanges(t, []exchange{
-		{"the peer's is higher: the inbound one stays", nil, both, "6/7 on 1, close 1, keepalive on 1000000; OpenConfirm"},
-		{"ours is higher: the dialed one stays", func(p *PeerConfig) { p.ID = [4]byte{10, 0, 0, 99} }, both,
-			"6/7 on 1000000, close 1000000; OpenConfirm"},
-		{"the other had sent no Open", nil, append(slices.Clone(opened), MessageReceived{1, &wire.Keepalive{}}),
-			"6/7 on 1000000, close 1000000, up 2; Established"},
+		{
+			"the peer's is higher: the inbound one stays",
+			nil,
+			both,
+			"6/7 on 1, close 1, keepalive on 1000000; OpenConfirm",
+		},
+		{
+			"ours is higher: the dialed one stays", func(p *PeerConfig) { p.ID = [4]byte{10, 0, 0, 99} }, both,
+			"6/7 on 1000000, close 1000000; OpenConfirm",
+		},
+		{
+			"the other had sent no Open", nil, append(slices.Clone(opened), MessageReceived{1, &wire.Keepalive{}}),
+			"6/7 on 1000000, close 1000000, up 2; Established",
+		},
 	})
 }
--- a/internal/bgp/speaker/speaker_test.go
+++ b/internal/bgp/speaker/speaker_test.go
@@ -58,22 +58,51 @@
 
 func startSpeaker(t *testing.T, change func(*Config)) *fixture {
 	f := &fixture{T: t}
-	settings := Config{ASN: 65001, RouterID: [4]byte{192, 0, 2, 5}, ListenAddr: "127.0.0.1:0", Services: map[string]announce.Service{
-		"web": {Prefix: web, NextHop: hop}, "web6": {Prefix: web6, NextHop: hop6}, "mail": {Prefix: mail, NextHop: hop}}}
+	settings := Config{
+		ASN:        65001,
+		RouterID:   [4]byte{192, 0, 2, 5},
+		ListenAddr: "127.0.0.1:0",
+		Services: map[string]announce.Service{
+			"web": {
+				Prefix:  web,
+				NextHop: hop,
+			},
+			"web6": {Prefix: web6, NextHop: hop6},
+			"mail": {Prefix: mail, NextHop: hop},
+		},
+	}
 	both := []wire.Family{wire.IPv4, wire.IPv6}
 	for _, p := range []struct {
 		to    **emulator.BGPPeer
 		as    uint32
 		allow []netip.Prefix
-	}{{&f.outer, 65000, []netip.Prefix{netip.MustParsePrefix("198.51.100.0/24"), netip.MustParsePrefix("2001:db8:1::/64")}},
-		{&f.inner, 65001, []netip.Prefix{netip.MustParsePrefix("0.0.0.0/0")}}} {
-		*p.to = &emulator.BGPPeer{AS: p.as, ID: [4]byte{192, 0, 2, 250}, HoldTime: 3 * time.Second, RestartTime: 5 * time.Second, RecordChanges: true}
+	}{
+		{&f.outer, 65000, []netip.Prefix{netip.MustParsePrefix("198.51.100.0/24"), netip.MustParsePrefix("2001:db8:1::/64")}},
+		{&f.inner, 65001, []netip.Prefix{netip.MustParsePrefix("0.0.0.0/0")}},
+	} {
+		*p.to = &emulator.BGPPeer{
+			AS:            p.as,
+			ID:            [4]byte{192, 0, 2, 250},
+			HoldTime:      3 * time.Second,
+			RestartTime:   5 * time.Second,
+			RecordChanges: true,
+		}
 		addr, err := (*p.to).Open()
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup((*p.to).Close)
-		settings.Peers = append(settings.Peers, PeerConfig{Addr: addr, ASN: p.as, HoldTime: 3 * scheduler.Second, Families: both, RestartTime: 5 * scheduler.Second, Allow: p.allow})
+		settings.Peers = append(
+			settings.Peers,
+			PeerConfig{
+				Addr:        addr,
+				ASN:         p.as,
+				HoldTime:    3 * scheduler.Second,
+				Families:    both,
+				RestartTime: 5 * scheduler.Second,
+				Allow:       p.allow,
+			},
+		)
 	}
 	if change != nil {
 		change(&settings)
--- a/internal/bgp/wire/golden_test.go
+++ b/internal/bgp/wire/golden_test.go
@@ -28,45 +28,92 @@
 
 // goldenMessages are the messages whose bytes testdata/messages.txt holds, every field set somewhere.
 func goldenMessages() []goldenMessage {
-	every := PathAttributes{Origin: 1, ASPath: []uint32{65001, 4200000001}, NextHop: netip.MustParseAddr("192.0.2.254"), MED: 70, HasMED: true,
-		LocalPref: 100, HasLocalPref: true, Communities: []uint32{0xFFFF0000, 65000<<16 | 1}}
-	six := PathAttributes{Origin: 2, ASPath: []uint32{65001}, NextHop: netip.MustParseAddr("2001:db8::1"), MED: 0, HasMED: true}
+	every := PathAttributes{
+		Origin:       1,
+		ASPath:       []uint32{65001, 4200000001},
+		NextHop:      netip.MustParseAddr("192.0.2.254"),
+		MED:          70,
+		HasMED:       true,
+		LocalPref:    100,
+		HasLocalPref: true,
+		Communities:  []uint32{0xFFFF0000, 65000<<16 | 1},
+	}
+	six := PathAttributes{
+		Origin:  2,
+		ASPath:  []uint32{65001},
+		NextHop: netip.MustParseAddr("2001:db8::1"),
+		MED:     0,
+		HasMED:  true,
+	}
 	one := func(s string) []netip.Prefix { return []netip.Prefix{netip.MustParsePrefix(s)} }
 	return []goldenMessage{
-		{"open",
+		{
+			"open",
 			"Open of AS 4200000001, hold time 90 s, identifier 10.0.0.1; capabilities: IPv4, IPv6, route refresh, graceful restart (restarted, 120 s, IPv4 kept, IPv6 not), four-octet AS",
-			&Open{AS: 4200000001, HoldTime: 90, ID: [4]byte{10, 0, 0, 1}, Families: []Family{IPv4, IPv6}, FourOctetAS: true, Refresh: true,
-				Restart: &GracefulRestart{Restarted: true, Time: 120, ForwardingPreserved: map[Family]bool{IPv4: true, IPv6: false}}}},
-		{"open-plain",
+			&Open{
+				AS:          4200000001,
+				HoldTime:    90,
+				ID:          [4]byte{10, 0, 0, 1},
+				Families:    []Family{IPv4, IPv6},
+				FourOctetAS: true,
+				Refresh:     true,
+				Restart: &GracefulRestart{
+					Restarted:           true,
+					Time:                120,
+					ForwardingPreserved: map[Family]bool{IPv4: true, IPv6: false},
+				},
+			},
+		},
+		{
+			"open-plain",
 			"Open of AS 65001, hold time 3 s, identifier 1.2.3.4, without any capability",
-			&Open{AS: 65001, HoldTime: 3, ID: [4]byte{1, 2, 3, 4}}},
-		{"update-ipv4",
+			&Open{AS: 65001, HoldTime: 3, ID: [4]byte{1, 2, 3, 4}},
+		},
+		{
+			"update-ipv4",
 			"Update: withdraws 198.51.100.128/25, announces 192.0.2.1/32 with origin EGP, AS path 65001 4200000001, next hop 192.0.2.254, MED 70, local preference 100, communities 65535:0 and 65000:1",
-			&Update{Withdrawn: one("198.51.100.128/25"), Announced: one("192.0.2.1/32"), Path: every}},
-		{"update-ipv6",
+			&Update{Withdrawn: one("198.51.100.128/25"), Announced: one("192.0.2.1/32"), Path: every},
+		},
+		{
+			"update-ipv6",
 			"Update: withdraws 2001:db8:1::/48, announces 2001:db8:2::7/128 with origin incomplete, AS path 65001, next hop 2001:db8::1, MED 0",
-			&Update{Withdrawn: one("2001:db8:1::/48"), Announced: one("2001:db8:2::7/128"), Path: six}},
-		{"end-of-routes-ipv4",
+			&Update{Withdrawn: one("2001:db8:1::/48"), Announced: one("2001:db8:2::7/128"), Path: six},
+		},
+		{
+			"end-of-routes-ipv4",
 			"Update without anything: the end of IPv4 routes",
-			EndOfRIB(IPv4)},
-		{"end-of-routes-ipv6",
+			EndOfRIB(IPv4),
+		},
+		{
+			"end-of-routes-ipv6",
 			"Update with an empty MP_UNREACH: the end of IPv6 routes",
-			EndOfRIB(IPv6)},
-		{"notification",
+			EndOfRIB(IPv6),
+		},
+		{
+			"notification",
 			"Notification 2/2, bad peer AS, with the data 1 2 3",
-			&Notification{Code: CodeOpen, Subcode: SubcodeBadPeerAS, Data: []byte{1, 2, 3}}},
-		{"notification-shutdown",
+			&Notification{Code: CodeOpen, Subcode: SubcodeBadPeerAS, Data: []byte{1, 2, 3}},
+		},
+		{
+			"notification-shutdown",
 			"Notification 6/2, administrative shutdown, with the text maintenance",
-			NewShutdown("maintenance")},
-		{"notification-long",
+			NewShutdown("maintenance"),
+		},
+		{
+			"notification-long",
 			"Notification 6/2 with a text of 128 bytes, cut from 130",
-			NewShutdown(strings.Repeat("x", 130))},
-		{"keepalive",
+			NewShutdown(strings.Repeat("x", 130)),
+		},
+		{
+			"keepalive",
 			"Keepalive",
-			&Keepalive{}},
-		{"refresh",
+			&Keepalive{},
+		},
+		{
+			"refresh",
 			"Route refresh of IPv6 unicast",
-			&RouteRefresh{Family: IPv6}},
+			&RouteRefresh{Family: IPv6},
+		},
 	}
 }
 
@@ -122,8 +169,8 @@
 	}
 }
 
-// TestDecodingMatchesGoldenDigests decodes seeded messages, whole and damaged, and compares a digest of what each holds,
-// or of the notification that answers it, with that in testdata. The texts of faults are left out.
+// TestDecodingMatchesGoldenDigests decodes seeded messages, whole and damaged, and compares a digest of what each
+// holds, or of the notification that answers it, with that in testdata. The texts of faults are left out.
 func TestDecodingMatchesGoldenDigests(t *testing.T) {
 	var got strings.Builder
 	inputs := goldenMessages()
@@ -172,12 +219,26 @@
 	}
 }
 
-// updateWithTwoNextHops announces 2001:db8:2::/48 with a global and a link-local next hop, as some routers do (RFC 2545).
+// updateWithTwoNextHops announces 2001:db8:2::/48 with a global and a link-local next hop, as some routers do (RFC
+// 2545).
 func updateWithTwoNextHops() []byte {
 	global, local := netip.MustParseAddr("2001:db8::1").As16(), netip.MustParseAddr("fe80::1").As16()
 	reach := append([]byte{0, byte(IPv6), 1, 32}, append(global[:], local[:]...)...)
 	reach = append(reach, 0, 48, 0x20, 1, 0xd, 0xb8, 0, 2)
-	attributes := append([]byte{0x40, byte(attributeOrigin), 1, 0, 0x40, byte(attributeASPath), 0, 0x80, byte(attributeMPReach), byte(len(reach))}, reach...)
+	attributes := append(
+		[]byte{
+			0x40,
+			byte(attributeOrigin),
+			1,
+			0,
+			0x40,
+			byte(attributeASPath),
+			0,
+			0x80,
+			byte(attributeMPReach),
+			byte(len(reach)),
+		},
+		reach...)
 	p := append(bytes.Repeat([]byte{0xFF}, 16), 0, 0, byte(typeUpdate), 0, 0, 0, byte(len(attributes)))
 	return append(p, attributes...)
 }
@@ -241,7 +302,12 @@
 func packedDigest(t *testing.T) string {
 	t.Helper()
 	random, sum, messages := rand.New(rand.NewPCG(1, 41)), sha256.New(), 0
-	path := PathAttributes{ASPath: []uint32{65001}, NextHop: netip.MustParseAddr("192.0.2.254"), LocalPref: 100, HasLocalPref: true}
+	path := PathAttributes{
+		ASPath:       []uint32{65001},
+		NextHop:      netip.MustParseAddr("192.0.2.254"),
+		LocalPref:    100,
+		HasLocalPref: true,
+	}
 	for size := 1; size <= 20_000; size *= 3 {
 		routes := func() (all []netip.Prefix) {
 			for range random.IntN(size) {
--- a/internal/bgp/wire/message.go
+++ b/internal/bgp/wire/message.go
@@ -63,11 +63,23 @@
 	length, kind := int(binary.BigEndian.Uint16(p[lengthOffset:])), messageType(p[typeOffset])
 	bounds, known := lengthBounds[kind]
 	if !known {
-		return 0, newMessageError(CodeHeader, SubcodeBadMessageType, p[typeOffset:headerLength], "unknown message type %d", kind)
+		return 0, newMessageError(
+			CodeHeader,
+			SubcodeBadMessageType,
+			p[typeOffset:headerLength],
+			"unknown message type %d",
+			kind,
+		)
 	}
 	if length < bounds.min || length > bounds.max {
-		return 0, newMessageError(CodeHeader, SubcodeBadMessageLength, p[lengthOffset:typeOffset], "length %d of a message of type %d",
-			length, kind)
+		return 0, newMessageError(
+			CodeHeader,
+			SubcodeBadMessageLength,
+			p[lengthOffset:typeOffset],
+			"length %d of a message of type %d",
+			length,
+			kind,
+		)
 	}
 	return length, nil
 }
--- a/internal/bgp/wire/message_test.go
+++ b/internal/bgp/wire/message_test.go
@@ -11,18 +11,45 @@
 
 func prefix(s string) netip.Prefix { return netip.MustParsePrefix(s) }
 
-var path = PathAttributes{ASPath: []uint32{4200000001}, NextHop: netip.MustParseAddr("192.0.2.254"), MED: 7, HasMED: true, LocalPref: 100,
-	HasLocalPref: true, Communities: []uint32{0xFFFF0000, 65000<<16 | 1}}
+var path = PathAttributes{
+	ASPath: []uint32{4200000001}, NextHop: netip.MustParseAddr("192.0.2.254"), MED: 7, HasMED: true, LocalPref: 100,
+	HasLocalPref: true, Communities: []uint32{0xFFFF0000, 65000<<16 | 1},
+}
 
 var path6 = PathAttributes{ASPath: []uint32{65001, 65002}, NextHop: netip.MustParseAddr("2001:db8::1")}
 
 func samples() []Message {
-	return []Message{&Open{AS: 4200000001, HoldTime: 90, ID: [4]byte{10, 0, 0, 1}, Families: []Family{IPv4, IPv6}, FourOctetAS: true,
-		Refresh: true, Restart: &GracefulRestart{Restarted: true, Time: 120, ForwardingPreserved: map[Family]bool{IPv4: true, IPv6: false}}},
-		&Open{AS: 65001, HoldTime: 0, ID: [4]byte{1}}, &Keepalive{}, &RouteRefresh{IPv6}, &Notification{6, 2, []byte{2, 'h', 'i'}},
-		&Update{Withdrawn: []netip.Prefix{prefix("192.0.2.1/32"), prefix("198.51.100.0/25")}}, &Update{},
+	return []Message{
+		&Open{
+			AS:          4200000001,
+			HoldTime:    90,
+			ID:          [4]byte{10, 0, 0, 1},
+			Families:    []Family{IPv4, IPv6},
+			FourOctetAS: true,
+			Refresh:     true,
+			Restart: &GracefulRestart{
+				Restarted:           true,
+				Time:                120,
+				ForwardingPreserved: map[Family]bool{IPv4: true, IPv6: false},
+			},
+		},
+		&Open{
+			AS:       65001,
+			HoldTime: 0,
+			ID:       [4]byte{1},
+		},
+		&Keepalive{},
+		&RouteRefresh{IPv6},
+		&Notification{6, 2, []byte{2, 'h', 'i'}},
+		&Update{Withdrawn: []netip.Prefix{prefix("192.0.2.1/32"), prefix("198.51.100.0/25")}},
+		&Update{},
 		&Update{Announced: []netip.Prefix{prefix("192.0.2.0/24"), prefix("0.0.0.0/0")}, Path: path},
-		&Update{Withdrawn: []netip.Prefix{prefix("2001:db8::/48")}, Announced: []netip.Prefix{prefix("2001:db8:1::5/128")}, Path: path6}}
+		&Update{
+			Withdrawn: []netip.Prefix{prefix("2001:db8::/48")},
+			Announced: []netip.Prefix{prefix("2001:db8:1::5/128")},
+			Path:      path6,
+		},
+	}
 }
 
 func encode(t testing.TB, m Message) []byte {
--- a/internal/bgp/wire/open.go
+++ b/internal/bgp/wire/open.go
@@ -61,7 +61,14 @@
 	}
 	length, parameters := int(body[9]), body[openFixedLength:]
 	if length != len(parameters) {
-		return nil, newMessageError(CodeOpen, SubcodeUnspecific, nil, "optional parameters of %d bytes in %d", length, len(parameters))
+		return nil, newMessageError(
+			CodeOpen,
+			SubcodeUnspecific,
+			nil,
+			"optional parameters of %d bytes in %d",
+			length,
+			len(parameters),
+		)
 	}
 	if err := o.decodeParameters(parameters); err != nil {
 		return nil, err
--- a/internal/bgp/wire/update.go
+++ b/internal/bgp/wire/update.go
@@ -135,7 +135,13 @@
 		b = rest
 		if present[a.code] {
 			if a.code == attributeMPReach || a.code == attributeMPUnreach {
-				return nil, newMessageError(CodeUpdate, SubcodeMalformedAttributes, nil, "attribute %d is repeated", a.code)
+				return nil, newMessageError(
+					CodeUpdate,
+					SubcodeMalformedAttributes,
+					nil,
+					"attribute %d is repeated",
+					a.code,
+				)
 			}
 			continue
 		}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,12 +25,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := scheduler.WorkloadClass{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeZone, DedupWindow: 8 * scheduler.Second,
-		LatencyObjective: 700 * scheduler.Millisecond, PlacementTimeout: 6 * scheduler.Second, MachineType: -1, PriorityWeight: 2}
+	want := scheduler.WorkloadClass{
+		Idempotency:      scheduler.IdempotentWithKey,
+		DedupScope:       scheduler.ScopeZone,
+		DedupWindow:      8 * scheduler.Second,
+		LatencyObjective: 700 * scheduler.Millisecond,
+		PlacementTimeout: 6 * scheduler.Second,
+		MachineType:      -1,
+		PriorityWeight:   2,
+	}
 	if got := p.Policy.WorkloadClasses[1]; got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
-	if k := p.Policy.MachineTypes[1]; k.Cores != 48 || k.Memory != 120 || p.MaxOutput != 1<<20 || p.Policy.SlowStartBudget != 60 {
+	if k := p.Policy.MachineTypes[1]; k.Cores != 48 || k.Memory != 120 || p.MaxOutput != 1<<20 ||
+		p.Policy.SlowStartBudget != 60 {
 		t.Errorf("got %+v", p)
 	}
 }
@@ -74,7 +82,11 @@
 			if text == sample(t) {
 				t.Fatal("nothing was changed")
 			}
-			if _, err := ParseScheduler("placer.yaml", []byte(text)); err == nil || !strings.Contains(err.Error(), tc.want) {
+			if _, err := ParseScheduler(
+				"placer.yaml",
+				[]byte(text),
+			); err == nil ||
+				!strings.Contains(err.Error(), tc.want) {
 				t.Errorf("got %v, want %s", err, tc.want)
 			}
 		})
@@ -105,7 +117,14 @@
 			}
 			want := strictyaml.Position{Line: tc.line, Column: tc.column}
 			if located.File != "placer.yaml" || located.Position != want || located.Key != tc.key {
-				t.Errorf("got %v with key %q, want %v with key %q: %v", located.Position, located.Key, want, tc.key, err)
+				t.Errorf(
+					"got %v with key %q, want %v with key %q: %v",
+					located.Position,
+					located.Key,
+					want,
+					tc.key,
+					err,
+				)
 			}
 		})
 	}
--- a/internal/config/scheduler.go
+++ b/internal/config/scheduler.go
@@ -1,8 +1,8 @@
-// Package config reads the settings files of schedulers and controllers, checks them and turns them into the terms of the
-// packages that they configure. schema.go lists every key with its default.
+// Package config reads the settings files of schedulers and controllers, checks them and turns them into the terms of
+// the packages that they configure. schema.go lists every key with its default.
 //
-// An error about the content of a file is an [*strictyaml.Error] with file, line, column and key, the first one that the
-// checks meet; a file that cannot be read gives the error of the operating system.
+// An error about the content of a file is an [*strictyaml.Error] with file, line, column and key, the first one that
+// the checks meet; a file that cannot be read gives the error of the operating system.
 package config
 
 import (
@@ -18,8 +18,8 @@
 const (
 	minOutput = 64 << 10 // bytes: a frame has to fit
 
-	// connectsPerSlowStartWindow is how many connection attempts in turn fit into a slow-start window at least. Attempts that
-	// wait longer for a connection would reach a machine in slow start in one burst.
+	// connectsPerSlowStartWindow is how many connection attempts in turn fit into a slow-start window at least.
+	// Attempts that wait longer for a connection would reach a machine in slow start in one burst.
 	connectsPerSlowStartWindow = 16
 
 	bytesPerGiB = 1 << 30
@@ -114,7 +114,8 @@
 	return s
 }
 
-// schedulerRequired checks the required keys of the file and of its sections; those of list entries are checked with them.
+// schedulerRequired checks the required keys of the file and of its sections; those of list entries are checked with
+// them.
 func (v *validator) schedulerRequired(f *schedulerFile) {
 	for _, section := range []struct {
 		path    string
@@ -170,8 +171,11 @@
 func (v *validator) connections(f *connectionsSection, s *Scheduler) {
 	window := s.Policy.SlowStartWindow
 	if s.Policy.SlowStartBudget > 0 && connectsPerSlowStartWindow*s.ConnectTimeout > eventloop.Tick(window) {
-		v.fail(f.ConnectTimeout.Position, "a bid may wait for its link no longer than a sixteenth of cold_window, %g ms",
-			float64(window)/connectsPerSlowStartWindow/float64(scheduler.Millisecond))
+		v.fail(
+			f.ConnectTimeout.Position,
+			"a bid may wait for its link no longer than a sixteenth of cold_window, %g ms",
+			float64(window)/connectsPerSlowStartWindow/float64(scheduler.Millisecond),
+		)
 	}
 	if s.MaxOutput < minOutput {
 		v.fail(f.MaxOutput.Position, "%d bytes are too few for a frame: 64KiB at least", s.MaxOutput)
@@ -191,7 +195,10 @@
 			v.fail(entry.Memory.Position, "a machine needs memory above 0")
 		}
 		s.MachineTypes = append(s.MachineTypes, entry.Name.Value)
-		s.Policy.MachineTypes = append(s.Policy.MachineTypes, scheduler.MachineType{Cores: v.positive(entry.Cores), Memory: entry.Memory.GiB})
+		s.Policy.MachineTypes = append(
+			s.Policy.MachineTypes,
+			scheduler.MachineType{Cores: v.positive(entry.Cores), Memory: entry.Memory.GiB},
+		)
 	}
 	if len(entries) == 0 {
 		v.record(v.file.MissingKey("machines", "kinds"))
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -2,18 +2,18 @@
 
 import "glenport/internal/config/strictyaml"
 
-// This file is the schema of both settings files: the keys, their types and, for each optional key, its default. Keys that
-// are not marked optional must be given, except for the lists and sections that say so.
+// This file is the schema of both settings files: the keys, their types and, for each optional key, its default. Keys
+// that are not marked optional must be given, except for the lists and sections that say so.
 
 // schedulerFile is a scheduler's settings file, such as deploy/placer.yaml.
 type schedulerFile struct {
 	Name       strictyaml.String `yaml:"name"`
 	Index      strictyaml.Count  `yaml:"number"`                      // of this scheduler among all, from 0
 	Schedulers strictyaml.Count  `yaml:"placers"`                     // how many there are
-	Seed       strictyaml.Count  `yaml:"seed" settings:"optional"`    // of the random numbers; default 0
+	Seed       strictyaml.Count  `yaml:"seed"    settings:"optional"` // of the random numbers; default 0
 	ListenAddr strictyaml.String `yaml:"door"`                        // address and port that clients connect to
-	StateDir   strictyaml.String `yaml:"state" settings:"optional"`   // default: no state is kept over restarts
-	LegacyList strictyaml.String `yaml:"keep" settings:"optional"`    // needs state; default: none is read
+	StateDir   strictyaml.String `yaml:"state"   settings:"optional"` // default: no state is kept over restarts
+	LegacyList strictyaml.String `yaml:"keep"    settings:"optional"` // needs state; default: none is read
 	Metrics    strictyaml.String `yaml:"metrics" settings:"optional"` // address and port; default: metrics are not served
 
 	MachineList     machineListSection   `yaml:"list"`
@@ -47,7 +47,7 @@
 	Clients               strictyaml.Count `yaml:"owners"`
 	OpenRequests          strictyaml.Count `yaml:"open_containers"`
 	OpenRequestsPerClient strictyaml.Count `yaml:"open_containers_of_one_owner"`
-	AdaptiveLimit         strictyaml.Bool  `yaml:"narrow_when_slow" settings:"optional"` // default false
+	AdaptiveLimit         strictyaml.Bool  `yaml:"narrow_when_slow"             settings:"optional"` // default false
 }
 
 // machinesSection says what machines there are and how they behave.
@@ -93,13 +93,13 @@
 type workloadClassEntry struct {
 	Name             strictyaml.String   `yaml:"name"`                                    // unique
 	Idempotency      strictyaml.String   `yaml:"effect"`                                  // reissuable, numbered or at-most-once
-	DedupScope       strictyaml.String   `yaml:"repeats_dropped_in" settings:"optional"`  // cell, zone or everywhere; with numbered alone, and needed there
+	DedupScope       strictyaml.String   `yaml:"repeats_dropped_in"  settings:"optional"` // cell, zone or everywhere; with numbered alone, and needed there
 	DedupWindow      strictyaml.Duration `yaml:"repeats_dropped_for" settings:"optional"` // with numbered alone, and needed there
 	LatencyObjective strictyaml.Duration `yaml:"agreed_time"`                             // up to hard_stop
 	PlacementTimeout strictyaml.Duration `yaml:"hard_stop"`
-	MachineType      strictyaml.String   `yaml:"kind" settings:"optional"`        // a name of machines.kinds; default: any
-	SpreadScope      strictyaml.String   `yaml:"spread_over" settings:"optional"` // machine, cell or zone; default: no spread
-	MaxPerScope      strictyaml.Count    `yaml:"most_in_one" settings:"optional"` // with spread_over alone, and needed there
+	MachineType      strictyaml.String   `yaml:"kind"                settings:"optional"` // a name of machines.kinds; default: any
+	SpreadScope      strictyaml.String   `yaml:"spread_over"         settings:"optional"` // machine, cell or zone; default: no spread
+	MaxPerScope      strictyaml.Count    `yaml:"most_in_one"         settings:"optional"` // with spread_over alone, and needed there
 	PriorityWeight   strictyaml.Float    `yaml:"gain"`
 }
 
@@ -112,10 +112,10 @@
 // bgpSection says which addresses are announced, and to whom.
 type bgpSection struct {
 	ASN        strictyaml.Count  `yaml:"as"`
-	RouterID   strictyaml.String `yaml:"identifier"`                 // an IPv4 address other than 0.0.0.0
-	ListenAddr strictyaml.String `yaml:"listen" settings:"optional"` // default: peers cannot connect
-	Peers      []bgpPeerEntry    `yaml:"peers"`                      // default: none
-	Services   []bgpServiceEntry `yaml:"services"`                   // default: none
+	RouterID   strictyaml.String `yaml:"identifier"`                     // an IPv4 address other than 0.0.0.0
+	ListenAddr strictyaml.String `yaml:"listen"     settings:"optional"` // default: peers cannot connect
+	Peers      []bgpPeerEntry    `yaml:"peers"`                          // default: none
+	Services   []bgpServiceEntry `yaml:"services"`                       // default: none
 }
 
 // bgpPeerEntry is one BGP peer.
@@ -124,10 +124,10 @@
 	ASN         strictyaml.Count    `yaml:"as"`
 	HoldTime    strictyaml.Duration `yaml:"hold"`                                // 0, or whole seconds from 3 to 65535
 	RestartTime strictyaml.Duration `yaml:"keep_routes_for" settings:"optional"` // default 0: no graceful restart
-	Passive     strictyaml.Bool     `yaml:"it_calls" settings:"optional"`        // needs bgp.listen; default false
+	Passive     strictyaml.Bool     `yaml:"it_calls"        settings:"optional"` // needs bgp.listen; default false
 	Families    []strictyaml.String `yaml:"families"`                            // ipv4, ipv6; default ipv4 alone
 	Allow       []strictyaml.String `yaml:"allow"`                               // at least one prefix
-	MD5Key      strictyaml.String   `yaml:"tcp_md5_key" settings:"optional"`     // up to 80 bytes; default: segments are not signed
+	MD5Key      strictyaml.String   `yaml:"tcp_md5_key"     settings:"optional"` // up to 80 bytes; default: segments are not signed
 }
 
 // bgpServiceEntry is one service address.
@@ -135,8 +135,8 @@
 	Service     strictyaml.String `yaml:"service"`
 	Prefix      strictyaml.String `yaml:"prefix"` // unique
 	NextHop     strictyaml.String `yaml:"next_hop"`
-	MinRunning  strictyaml.Count  `yaml:"least_running" settings:"optional"`  // default 0, which counts as 1
-	MED         strictyaml.Count  `yaml:"med" settings:"optional"`            // default 0
+	MinRunning  strictyaml.Count  `yaml:"least_running"  settings:"optional"` // default 0, which counts as 1
+	MED         strictyaml.Count  `yaml:"med"            settings:"optional"` // default 0
 	MEDByHealth strictyaml.Bool   `yaml:"fewer_is_worse" settings:"optional"` // default false
 }
 
@@ -144,9 +144,9 @@
 type controllerFile struct {
 	Name            strictyaml.String   `yaml:"name"`
 	APIAddr         strictyaml.String   `yaml:"api"`
-	SchedulerFile   strictyaml.String   `yaml:"placer_file"`               // relative to the folder of this file
-	SchedulerAddrs  []strictyaml.String `yaml:"doors"`                     // at least one
-	MachineListAddr strictyaml.String   `yaml:"list" settings:"optional"`  // default: the list is not watched
-	Seed            strictyaml.Count    `yaml:"seed" settings:"optional"`  // of the random numbers; default 0
-	StateDir        strictyaml.String   `yaml:"state" settings:"optional"` // default: no state is kept over restarts
+	SchedulerFile   strictyaml.String   `yaml:"placer_file"`                     // relative to the folder of this file
+	SchedulerAddrs  []strictyaml.String `yaml:"doors"`                           // at least one
+	MachineListAddr strictyaml.String   `yaml:"list"        settings:"optional"` // default: the list is not watched
+	Seed            strictyaml.Count    `yaml:"seed"        settings:"optional"` // of the random numbers; default 0
+	StateDir        strictyaml.String   `yaml:"state"       settings:"optional"` // default: no state is kept over restarts
 }
--- a/internal/config/strictyaml/error.go
+++ b/internal/config/strictyaml/error.go
@@ -25,10 +25,12 @@
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Message)
 }
 
-// Unwrap returns the cause: an error of the YAML package or the operating system, nil where a check of this program failed.
+// Unwrap returns the cause: an error of the YAML package or the operating system, nil where a check of this program
+// failed.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Position is the place of a value in its file, both parts counted from 1; the zero Position is that of a value left out.
+// Position is the place of a value in its file, both parts counted from 1; the zero Position is that of a value left
+// out.
 type Position struct{ Line, Column int }
 
 // IsSet reports whether the value was given.
--- a/internal/config/strictyaml/strictyaml.go
+++ b/internal/config/strictyaml/strictyaml.go
@@ -1,9 +1,10 @@
-// Package strictyaml reads YAML settings files strictly: unknown keys, duplicate keys, values without their unit and further
-// documents are errors. Every error is an [*Error] with file, line, column and key. Values remember their position in the
-// file, so that a value found wrong later, beside other values, can still be located with [File.ErrorAt].
+// Package strictyaml reads YAML settings files strictly: unknown keys, duplicate keys, values without their unit and
+// further documents are errors. Every error is an [*Error] with file, line, column and key. Values remember their
+// position in the file, so that a value found wrong later, beside other values, can still be located with
+// [File.ErrorAt].
 //
-// The schema of a file is a struct whose fields have the types of this package, bound to keys by yaml tags. A key may be left
-// out only where its field has the tag settings:"optional", or is a list, a map or a struct.
+// The schema of a file is a struct whose fields have the types of this package, bound to keys by yaml tags. A key may
+// be left out only where its field has the tag settings:"optional", or is a list, a map or a struct.
 package strictyaml
 
 import (
@@ -30,8 +31,8 @@
 	root ast.Node
 }
 
-// Read decodes the single document in data into the struct that into points to. The name of the file goes into errors, which
-// are of type *Error.
+// Read decodes the single document in data into the struct that into points to. The name of the file goes into errors,
+// which are of type *Error.
 func Read(name string, data []byte, into any) (*File, error) {
 	f := &File{Name: name}
 	decoder := yaml.NewDecoder(bytes.NewReader(data), yaml.Strict())
@@ -53,7 +54,8 @@
 	return f, nil
 }
 
-// locate turns an error of the YAML package into an *Error. The key is known only where the file is syntactically correct.
+// locate turns an error of the YAML package into an *Error. The key is known only where the file is syntactically
+// correct.
 func (f *File) locate(err error, data []byte) error {
 	var located yaml.Error
 	if !errors.As(err, &located) || located.GetToken() == nil || located.GetToken().Position == nil {
@@ -72,8 +74,8 @@
 	return &Error{File: f.Name, Position: at, Key: f.keyAt(at), Message: err.Error(), cause: errors.Unwrap(err)}
 }
 
-// MissingKey returns an *Error about a key left out of the mapping at a path such as "list" or "machines.kinds[0]"; the path
-// of the top is empty. The error is located at the first key of the mapping.
+// MissingKey returns an *Error about a key left out of the mapping at a path such as "list" or "machines.kinds[0]"; the
+// path of the top is empty. The error is located at the first key of the mapping.
 func (f *File) MissingKey(mapping, key string) error {
 	expression, full := "$", key
 	if mapping != "" {
@@ -135,8 +137,8 @@
 	return 0, f.ErrorAt(value.Position, "%q is none of %s", value.Value, strings.Join(allowed, ", "))
 }
 
-// CheckRequired returns an error about the first field of a mapping, a struct of this package's types, that was left out
-// though its key is required. The path is that of the mapping, as for [File.MissingKey].
+// CheckRequired returns an error about the first field of a mapping, a struct of this package's types, that was left
+// out though its key is required. The path is that of the mapping, as for [File.MissingKey].
 func CheckRequired(f *File, path string, mapping any) error {
 	value := reflect.ValueOf(mapping)
 	for i := range value.NumField() {
--- a/internal/config/strictyaml/strictyaml_test.go
+++ b/internal/config/strictyaml/strictyaml_test.go
@@ -31,8 +31,17 @@
 			if !errors.As(err, &located) {
 				t.Fatalf("got %T: %v", err, err)
 			}
-			if want := (Position{tc.line, tc.column}); located.File != "f.yaml" || located.Position != want || located.Key != tc.key {
-				t.Errorf("got %s, %v, key %q; want f.yaml, %v, key %q (%v)", located.File, located.Position, located.Key, want, tc.key, err)
+			if want := (Position{tc.line, tc.column}); located.File != "f.yaml" || located.Position != want ||
+				located.Key != tc.key {
+				t.Errorf(
+					"got %s, %v, key %q; want f.yaml, %v, key %q (%v)",
+					located.File,
+					located.Position,
+					located.Key,
+					want,
+					tc.key,
+					err,
+				)
 			}
 		})
 	}
--- a/internal/config/validator.go
+++ b/internal/config/validator.go
@@ -10,8 +10,8 @@
 // reservedASN is AS_TRANS, which stands for an AS number of four bytes where only two fit (RFC 6793).
 const reservedASN = 23456
 
-// validator checks the values of one file and records the first error. After an error its methods still return a value, the
-// zero value where there is no better one, so that checks need no branch each.
+// validator checks the values of one file and records the first error. After an error its methods still return a value,
+// the zero value where there is no better one, so that checks need no branch each.
 type validator struct {
 	file *strictyaml.File
 	err  error // the first one; an *strictyaml.Error
--- a/internal/config/workloadclass.go
+++ b/internal/config/workloadclass.go
@@ -28,7 +28,11 @@
 	}
 }
 
-func (v *validator) workloadClass(path string, entry *workloadClassEntry, typeIndex map[string]int) scheduler.WorkloadClass {
+func (v *validator) workloadClass(
+	path string,
+	entry *workloadClassEntry,
+	typeIndex map[string]int,
+) scheduler.WorkloadClass {
 	class := scheduler.WorkloadClass{
 		LatencyObjective: v.positiveDuration(entry.LatencyObjective),
 		PlacementTimeout: v.positiveDuration(entry.PlacementTimeout),
@@ -50,13 +54,17 @@
 	return class
 }
 
-// idempotency sets what may happen to a container that is requested twice. Scope and window belong to IdempotentWithKey alone.
+// idempotency sets what may happen to a container that is requested twice. Scope and window belong to IdempotentWithKey
+// alone.
 func (v *validator) idempotency(path string, entry *workloadClassEntry, class *scheduler.WorkloadClass) {
 	levels := []scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.AtMostOnce}
 	class.Idempotency = levels[v.oneOf(entry.Idempotency, "reissuable", "numbered", "at-most-once")]
 	if class.Idempotency != scheduler.IdempotentWithKey {
 		if entry.DedupScope.IsSet() || entry.DedupWindow.IsSet() {
-			v.fail(firstSet(entry.DedupScope.Position, entry.DedupWindow.Position), "only numbered work has its repeats dropped")
+			v.fail(
+				firstSet(entry.DedupScope.Position, entry.DedupWindow.Position),
+				"only numbered work has its repeats dropped",
+			)
 		}
 		return
 	}
--- a/internal/controller/api/api.go
+++ b/internal/controller/api/api.go
@@ -1,5 +1,5 @@
-// Package api serves the controller's HTTP API as openapi.yaml describes it: jobs, containers and machines, the reasons why
-// containers are pending, and watches.
+// Package api serves the controller's HTTP API as openapi.yaml describes it: jobs, containers and machines, the reasons
+// why containers are pending, and watches.
 package api
 
 import (
@@ -57,11 +57,13 @@
 	return mux
 }
 
-// NewHTTPServer returns an HTTP server that bounds how long and how much a client may send. It sets no limit on the time of an
-// answer, as a watch has none.
+// NewHTTPServer returns an HTTP server that bounds how long and how much a client may send. It sets no limit on the
+// time of an answer, as a watch has none.
 func NewHTTPServer(address string, h http.Handler) *http.Server {
-	return &http.Server{Addr: address, Handler: h, ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout,
-		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
+	return &http.Server{
+		Addr: address, Handler: h, ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout,
+		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+	}
 }
 
 func serveOpenAPI(w http.ResponseWriter, _ *http.Request) {
--- a/internal/controller/api/creations.go
+++ b/internal/controller/api/creations.go
@@ -10,14 +10,15 @@
 	maxCreations      = 10_000
 )
 
-// creations remembers the answers to requests with an idempotency key that created a job, so that a retry gets the same answer.
-// After creationRetention, and over a restart, the job's record does the same for as long as the job exists.
+// creations remembers the answers to requests with an idempotency key that created a job, so that a retry gets the same
+// answer. After creationRetention, and over a restart, the job's record does the same for as long as the job exists.
 type creations struct {
 	mu    sync.Mutex
 	byKey map[string]*creation
 }
 
-// creation is a request that creates a job. The response may be read once done is closed; it is nil where the request failed.
+// creation is a request that creates a job. The response may be read once done is closed; it is nil where the request
+// failed.
 type creation struct {
 	begun    time.Time
 	body     []byte
--- a/internal/controller/api/explanations.go
+++ b/internal/controller/api/explanations.go
@@ -46,10 +46,16 @@
 		writeError(w, server.ErrNotFound)
 		return
 	}
-	containers, _, _ := h.server.Cache.List(server.KindContainers, job+".", maxExplained, func(o *watchcache.Object) bool {
-		c := o.Value.(server.Container)
-		return c.Job == job && c.State != controller.StateRunning.String() && c.State != controller.StateCompleted.String()
-	})
+	containers, _, _ := h.server.Cache.List(
+		server.KindContainers,
+		job+".",
+		maxExplained,
+		func(o *watchcache.Object) bool {
+			c := o.Value.(server.Container)
+			return c.Job == job && c.State != controller.StateRunning.String() &&
+				c.State != controller.StateCompleted.String()
+		},
+	)
 	answer := jobExplanation{Items: []Explanation{}}
 	for _, o := range containers {
 		explanation, err := h.explain(o.ID)
@@ -64,7 +70,10 @@
 	reasons, state, err := h.server.PendingReasons(container)
 	explanation := Explanation{Container: container, State: state, Reasons: []Reason{}}
 	for _, r := range reasons {
-		explanation.Reasons = append(explanation.Reasons, Reason{Reason: r, UntilMS: int64(r.Until / scheduler.Millisecond)})
+		explanation.Reasons = append(
+			explanation.Reasons,
+			Reason{Reason: r, UntilMS: int64(r.Until / scheduler.Millisecond)},
+		)
 	}
 	return explanation, err
 }
--- a/internal/controller/api/golden_test.go
+++ b/internal/controller/api/golden_test.go
@@ -23,11 +23,18 @@
 
 var update = flag.Bool("update", false, "write the golden answers anew")
 
-// TestAnswersMatchGoldenBytes compares what clients are sent, byte for byte, with testdata: lists, objects, watch events and problems,
-// from a controller that holds fixed objects and has no scheduler.
+// TestAnswersMatchGoldenBytes compares what clients are sent, byte for byte, with testdata: lists, objects, watch
+// events and problems, from a controller that holds fixed objects and has no scheduler.
 func TestAnswersMatchGoldenBytes(t *testing.T) {
-	s, err := server.New(server.Config{Name: "controller", Seed: 1, SchedulerConfig: &config.Scheduler{WorkloadClasses: []string{"matcher"}}},
-		watchcache.New(EncodeWatchEvent), quiet)
+	s, err := server.New(
+		server.Config{
+			Name:            "controller",
+			Seed:            1,
+			SchedulerConfig: &config.Scheduler{WorkloadClasses: []string{"matcher"}},
+		},
+		watchcache.New(EncodeWatchEvent),
+		quiet,
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,33 +42,46 @@
 	fill(s.Cache)
 	handler := New(s)
 	var got strings.Builder
-	for _, path := range []string{"/v1/jobs", "/v1/jobs?limit=1", "/v1/jobs?label=team%3Dnorth", "/v1/jobs?field=workload!%3Dmatcher",
+	for _, path := range []string{
+		"/v1/jobs", "/v1/jobs?limit=1", "/v1/jobs?label=team%3Dnorth", "/v1/jobs?field=workload!%3Dmatcher",
 		"/v1/jobs/reports", "/v1/jobs/none", "/v1/jobs/reports/why", "/v1/jobs/none/why", "/v1/containers", "/v1/containers/reports.2",
 		"/v1/containers?field=state%3Drunning", "/v1/containers/none/why", "/v1/machines", "/v1/machines/m17", "/v1/jobs?limit=x",
-		"/v1/jobs?field=color%3Dred", "/v1/jobs?label=x", "/v1/watch?kinds=x", "/v1/watch?from=x", "/v1/watch?from=99", "/v1/none"} {
+		"/v1/jobs?field=color%3Dred", "/v1/jobs?label=x", "/v1/watch?kinds=x", "/v1/watch?from=x", "/v1/watch?from=99", "/v1/none",
+	} {
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, nil))
 		record(&got, "GET "+path, w)
 	}
 	for _, q := range []struct{ method, path, body string }{
-		{"POST", "/v1/jobs", `{"id":"X"}`}, {"POST", "/v1/jobs", `{"id":"x","color":1}`}, {"POST", "/v1/jobs", `{"id":1}`},
-		{"POST", "/v1/jobs", `{"id":"x"} {}`}, {"POST", "/v1/jobs", `{`}, {"PUT", "/v1/jobs/none", `{"id":"none"}`},
-		{"PUT", "/v1/jobs/a", `{"id":"b"}`}, {"DELETE", "/v1/jobs/none", ""}, {"POST", "/v1/jobs", strings.Repeat(" ", 70_000)},
+		{"POST", "/v1/jobs", `{"id":"X"}`},
+		{"POST", "/v1/jobs", `{"id":"x","color":1}`},
+		{"POST", "/v1/jobs", `{"id":1}`},
+		{"POST", "/v1/jobs", `{"id":"x"} {}`},
+		{"POST", "/v1/jobs", `{`},
+		{"PUT", "/v1/jobs/none", `{"id":"none"}`},
+		{"PUT", "/v1/jobs/a", `{"id":"b"}`},
+		{"DELETE", "/v1/jobs/none", ""},
+		{"POST", "/v1/jobs", strings.Repeat(" ", 70_000)},
 	} {
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, httptest.NewRequest(q.method, q.path, strings.NewReader(q.body)))
 		record(&got, fmt.Sprintf("%s %s %.30s", q.method, q.path, strings.TrimSpace(q.body)), w)
 	}
-	for _, err := range []error{&server.NotPersistedError{Err: errors.New("no space")}, server.ErrStopped,
+	for _, err := range []error{
+		&server.NotPersistedError{Err: errors.New("no space")}, server.ErrStopped,
 		server.ErrNotFound, watchcache.ErrCompacted,
-		&server.ConflictError{ID: "reports", Version: 41, Message: "it exists already"}, &server.InvalidFieldError{Field: "cores", Message: "-1 is not above 0"}} {
+		&server.ConflictError{ID: "reports", Version: 41, Message: "it exists already"}, &server.InvalidFieldError{Field: "cores", Message: "-1 is not above 0"},
+	} {
 		w := httptest.NewRecorder()
 		writeError(w, err)
 		record(&got, "error", w)
 	}
 	for _, o := range []any{
-		Explanation{Container: "reports.0", State: "waiting", Reasons: []Reason{{}, {Reason: pending.Reason{Code: pending.CodeNoCapacity, Text: "No room.",
-			Details: map[string]float64{"machines": 3, "full": 2.5}, Until: 70}, UntilMS: 7}}}} {
+		Explanation{Container: "reports.0", State: "waiting", Reasons: []Reason{{}, {Reason: pending.Reason{
+			Code: pending.CodeNoCapacity, Text: "No room.",
+			Details: map[string]float64{"machines": 3, "full": 2.5}, Until: 70,
+		}, UntilMS: 7}}},
+	} {
 		line, err := json.Marshal(o)
 		if err != nil {
 			t.Fatal(err)
@@ -94,14 +114,36 @@
 }
 
 func fill(c *watchcache.Cache) {
-	c.Put(server.KindJobs, "plain", server.Job{ID: "plain", Service: "web", WorkloadClass: "matcher", Cores: 0.5, MemoryGiB: 1, Count: 1})
-	c.Put(server.KindJobs, "reports", server.Job{ID: "reports", Labels: map[string]string{"team": "north", "tier": "2"}, Service: "report",
-		WorkloadClass: "report-run", Tenant: "schools", Cores: 1.5, MemoryGiB: 2.25, RunForMS: 60_000, RunOnce: true, Count: 3})
-	c.Put(server.KindContainers, "reports.2", server.Container{ID: "reports.2", Job: "reports", Index: 2, State: "running", Terminating: true,
-		Machine: "m17", Scheduler: "p1", SinceMS: 5, UntilMS: 6, Attempts: 7, Starts: 8, LastStatus: "runs"})
-	c.Put(server.KindContainers, "plain.0", server.Container{ID: "plain.0", Job: "plain", State: "done", LastStatus: "finished"})
-	c.Put(server.KindMachines, "m17", server.Machine{ID: "m17", Zone: 2, MachineType: "large", State: "serving", FreeCores: 1.5, FreeMemoryGiB: 2.5,
-		Incarnation: 1 << 60})
+	c.Put(
+		server.KindJobs,
+		"plain",
+		server.Job{ID: "plain", Service: "web", WorkloadClass: "matcher", Cores: 0.5, MemoryGiB: 1, Count: 1},
+	)
+	c.Put(server.KindJobs, "reports", server.Job{
+		ID:            "reports",
+		Labels:        map[string]string{"team": "north", "tier": "2"},
+		Service:       "report",
+		WorkloadClass: "report-run",
+		Tenant:        "schools",
+		Cores:         1.5,
+		MemoryGiB:     2.25,
+		RunForMS:      60_000,
+		RunOnce:       true,
+		Count:         3,
+	})
+	c.Put(server.KindContainers, "reports.2", server.Container{
+		ID: "reports.2", Job: "reports", Index: 2, State: "running", Terminating: true,
+		Machine: "m17", Scheduler: "p1", SinceMS: 5, UntilMS: 6, Attempts: 7, Starts: 8, LastStatus: "runs",
+	})
+	c.Put(
+		server.KindContainers,
+		"plain.0",
+		server.Container{ID: "plain.0", Job: "plain", State: "done", LastStatus: "finished"},
+	)
+	c.Put(server.KindMachines, "m17", server.Machine{
+		ID: "m17", Zone: 2, MachineType: "large", State: "serving", FreeCores: 1.5, FreeMemoryGiB: 2.5,
+		Incarnation: 1 << 60,
+	})
 	c.Put(server.KindMachines, "m18", server.Machine{ID: "m18"})
 	c.Delete(server.KindMachines, "m18")
 }
--- a/internal/controller/api/helpers_test.go
+++ b/internal/controller/api/helpers_test.go
@@ -45,7 +45,12 @@
 		t.Fatal(err)
 	}
 	f.startMachines(machines)
-	list := &emulator.MachineList{Lag: 0, FailureDetection: time.Second, PollInterval: 50 * time.Millisecond, Address: (*emulator.Machine).Addr}
+	list := &emulator.MachineList{
+		Lag:              0,
+		FailureDetection: time.Second,
+		PollInterval:     50 * time.Millisecond,
+		Address:          (*emulator.Machine).Addr,
+	}
 	if schedulerConfig.MachineListAddr, err = list.Open(f.machines); err != nil {
 		t.Fatal(err)
 	}
@@ -56,8 +61,14 @@
 		t.Fatal(err)
 	}
 	serve(t, schedulerProcess.Run, schedulerProcess.Stop)
-	f.config = server.Config{Name: "keeper", Schedulers: []string{schedulerProcess.Addr()}, MachineList: schedulerConfig.MachineListAddr, Seed: 1,
-		SchedulerConfig: schedulerConfig, StateDir: t.TempDir()}
+	f.config = server.Config{
+		Name:            "keeper",
+		Schedulers:      []string{schedulerProcess.Addr()},
+		MachineList:     schedulerConfig.MachineListAddr,
+		Seed:            1,
+		SchedulerConfig: schedulerConfig,
+		StateDir:        t.TempDir(),
+	}
 	f.startController()
 	f.loadDescription()
 	return f
@@ -67,9 +78,23 @@
 	f.Helper()
 	group := &emulator.DedupGroup{}
 	for i := range machines {
-		m := emulator.NewMachine(emulator.MachineSpec{Name: fmt.Sprint("m", i), Cores: 24, Memory: 60, AcceptCores: 2, AcceptMemory: 1.5,
-			AdmissionTime: time.Millisecond, MaxQueuedOffers: 100, ConcurrentStarts: 20, StartTime: 5 * time.Millisecond, ImageMissFactor: 1, CachedImages: 5, SlowStartPeriod: time.Second,
-			SlowStartInitialPace: 1, AcceptMeansRunning: true, RequiredMachineType: []int{-1, -1, -1, -1}}, group, uint64(i))
+		m := emulator.NewMachine(emulator.MachineSpec{
+			Name:                 fmt.Sprint("m", i),
+			Cores:                24,
+			Memory:               60,
+			AcceptCores:          2,
+			AcceptMemory:         1.5,
+			AdmissionTime:        time.Millisecond,
+			MaxQueuedOffers:      100,
+			ConcurrentStarts:     20,
+			StartTime:            5 * time.Millisecond,
+			ImageMissFactor:      1,
+			CachedImages:         5,
+			SlowStartPeriod:      time.Second,
+			SlowStartInitialPace: 1,
+			AcceptMeansRunning:   true,
+			RequiredMachineType:  []int{-1, -1, -1, -1},
+		}, group, uint64(i))
 		if err := m.Start(true); err != nil {
 			f.Fatal(err)
 		}
@@ -165,9 +190,13 @@
 		}
 		return
 	}
-	input := &openapi3filter.ResponseValidationInput{RequestValidationInput: &openapi3filter.RequestValidationInput{Request: request,
-		PathParams: params, Route: route}, Status: response.StatusCode, Header: response.Header,
-		Options: &openapi3filter.Options{IncludeResponseStatus: true}}
+	input := &openapi3filter.ResponseValidationInput{
+		RequestValidationInput: &openapi3filter.RequestValidationInput{
+			Request:    request,
+			PathParams: params, Route: route,
+		}, Status: response.StatusCode, Header: response.Header,
+		Options: &openapi3filter.Options{IncludeResponseStatus: true},
+	}
 	input.SetBodyBytes(body)
 	if err := openapi3filter.ValidateResponse(context.Background(), input); err != nil {
 		f.Errorf("%s %s: %d %s is not as described: %v", request.Method, request.URL, response.StatusCode, body, err)
@@ -193,7 +222,12 @@
 
 // job returns the JSON of a job whose containers run for an hour.
 func job(id string, count int, cores float64) string {
-	return fmt.Sprintf(`{"id":%q,"service":"s","workload":"matcher","cores":%g,"memory_gib":0.1,"count":%d,"run_for_ms":3600000}`, id, cores, count)
+	return fmt.Sprintf(
+		`{"id":%q,"service":"s","workload":"matcher","cores":%g,"memory_gib":0.1,"count":%d,"run_for_ms":3600000}`,
+		id,
+		cores,
+		count,
+	)
 }
 
 // get returns the answer for a path, with its body, as it is.
--- a/internal/controller/api/jobs.go
+++ b/internal/controller/api/jobs.go
@@ -22,8 +22,8 @@
 // errTrailingData rejects a body with more than one JSON value.
 var errTrailingData = errors.New("more than one value")
 
-// createJob creates a job. With an idempotency key, a retry of the request gets the first answer, and another request with the
-// same key is rejected.
+// createJob creates a job. With an idempotency key, a retry of the request gets the first answer, and another request
+// with the same key is rejected.
 func (h *handler) createJob(w http.ResponseWriter, r *http.Request) {
 	job, body, err := readJob(w, r)
 	if err != nil {
@@ -47,7 +47,8 @@
 	h.createJobOnce(w, job, body, key)
 }
 
-// createJobOnce creates a job unless the request with this key has; either way it answers with what that request created.
+// createJobOnce creates a job unless the request with this key has; either way it answers with what that request
+// created.
 func (h *handler) createJobOnce(w http.ResponseWriter, job server.Job, body []byte, key string) {
 	c, first := h.creations.begin(key, body)
 	if first {
@@ -63,7 +64,14 @@
 	switch {
 	case !bytes.Equal(c.body, body):
 		field := idempotencyKeyHeader
-		writeProblem(w, problem{Status: http.StatusUnprocessableEntity, Detail: "the key was used with another body", Field: &field})
+		writeProblem(
+			w,
+			problem{
+				Status: http.StatusUnprocessableEntity,
+				Detail: "the key was used with another body",
+				Field:  &field,
+			},
+		)
 	case c.response == nil:
 		writeProblem(w, problem{Status: http.StatusConflict, Detail: "the first request of that key failed: try again"})
 	default:
@@ -75,7 +83,11 @@
 func (h *handler) create(job server.Job, body []byte, key string) ([]byte, error) {
 	digest := sha256.Sum256(body)
 	var err error
-	job.Version, err = h.server.SetJob(job, server.MustNotExist, server.CreationToken{Key: key, RequestDigest: digest[:]})
+	job.Version, err = h.server.SetJob(
+		job,
+		server.MustNotExist,
+		server.CreationToken{Key: key, RequestDigest: digest[:]},
+	)
 	if err != nil {
 		return nil, err
 	}
@@ -139,8 +151,8 @@
 	return job, body, nil
 }
 
-// unknownFieldError returns the error for an unknown field by its name; encoding/json has no type for it. It returns any other
-// error as it is.
+// unknownFieldError returns the error for an unknown field by its name; encoding/json has no type for it. It returns
+// any other error as it is.
 func unknownFieldError(err error) error {
 	if field, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
 		return invalidField(strings.Trim(field, `"`), "is unknown")
--- a/internal/controller/api/jobs_test.go
+++ b/internal/controller/api/jobs_test.go
@@ -44,10 +44,24 @@
 func TestRetryWithIdempotencyKeyGetsTheFirstAnswer(t *testing.T) {
 	f := startFixture(t, 1)
 	_, first := f.do("POST", "/v1/jobs", job("a", 1, 1), "Idempotency-Key", "k")
-	if code, second := f.do("POST", "/v1/jobs", job("a", 1, 1), "Idempotency-Key", "k"); code != 201 || second["version"] != first["version"] {
+	if code, second := f.do(
+		"POST",
+		"/v1/jobs",
+		job("a", 1, 1),
+		"Idempotency-Key",
+		"k",
+	); code != 201 ||
+		second["version"] != first["version"] {
 		t.Errorf("the repeat got %d %v, the first %v", code, second, first)
 	}
-	if code, p := f.do("POST", "/v1/jobs", job("b", 1, 1), "Idempotency-Key", "k"); code != 422 || p["field"] != "Idempotency-Key" {
+	if code, p := f.do(
+		"POST",
+		"/v1/jobs",
+		job("b", 1, 1),
+		"Idempotency-Key",
+		"k",
+	); code != 422 ||
+		p["field"] != "Idempotency-Key" {
 		t.Errorf("another body got %d %v", code, p)
 	}
 	if code, _ := f.do("POST", "/v1/jobs", job("", 1, 1), "Idempotency-Key", "l"); code != 422 {
--- a/internal/controller/api/problem.go
+++ b/internal/controller/api/problem.go
@@ -41,8 +41,8 @@
 	writeProblem(w, problemOf(err))
 }
 
-// problemOf maps the errors of the server, the cache and the request's body to status codes. An error of another type is the
-// client's: the body is not the JSON that is wanted.
+// problemOf maps the errors of the server, the cache and the request's body to status codes. An error of another type
+// is the client's: the body is not the JSON that is wanted.
 func problemOf(err error) problem {
 	var (
 		invalid      *server.InvalidFieldError
--- a/internal/controller/api/problem_test.go
+++ b/internal/controller/api/problem_test.go
@@ -38,7 +38,8 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			code, p := f.do(tc.method, tc.path, tc.body, tc.headers...)
-			if code != tc.code || !strings.Contains(fmt.Sprint(p["detail"]), tc.detail) || tc.field != "" && p["field"] != tc.field {
+			if code != tc.code || !strings.Contains(fmt.Sprint(p["detail"]), tc.detail) ||
+				tc.field != "" && p["field"] != tc.field {
 				t.Errorf("got %d %v", code, p)
 			}
 		})
--- a/internal/controller/api/restart_test.go
+++ b/internal/controller/api/restart_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A restarted controller has every job that it acknowledged, with its version, and finds the containers that run; a retry of the
-// request that created a job gets the same answer, and no version is given out twice.
+// A restarted controller has every job that it acknowledged, with its version, and finds the containers that run; a
+// retry of the request that created a job gets the same answer, and no version is given out twice.
 func TestKilledControllerRestoresJobsAndVersions(t *testing.T) {
 	f := startFixture(t, 3)
 	const text = `{"id":"j","service":"s","workload":"matcher","cores":1,"memory_gib":1,"count":5}`
@@ -48,7 +48,14 @@
 	if n := ran(); n != 5 {
 		t.Errorf("%d run, 5 are wanted", n)
 	}
-	if status, again := f.do("POST", "/v1/jobs", text, "Idempotency-Key", "k1"); status != 201 || again["version"] != made["version"] {
+	if status, again := f.do(
+		"POST",
+		"/v1/jobs",
+		text,
+		"Idempotency-Key",
+		"k1",
+	); status != 201 ||
+		again["version"] != made["version"] {
 		t.Errorf("the retry got %d %v", status, again)
 	}
 	if status, _ := f.do("POST", "/v1/jobs", text, "Idempotency-Key", "k2"); status != 409 {
--- a/internal/controller/api/selector.go
+++ b/internal/controller/api/selector.go
@@ -89,11 +89,15 @@
 func fieldsOf(value any) map[string]string {
 	switch v := value.(type) {
 	case server.Job:
-		return map[string]string{"id": v.ID, "service": v.Service, "workload": v.WorkloadClass, "customer": v.Tenant,
-			"count": strconv.Itoa(v.Count)}
+		return map[string]string{
+			"id": v.ID, "service": v.Service, "workload": v.WorkloadClass, "customer": v.Tenant,
+			"count": strconv.Itoa(v.Count),
+		}
 	case server.Container:
-		return map[string]string{"id": v.ID, "job": v.Job, "state": v.State, "machine": v.Machine, "placer": v.Scheduler,
-			"leaving": strconv.FormatBool(v.Terminating)}
+		return map[string]string{
+			"id": v.ID, "job": v.Job, "state": v.State, "machine": v.Machine, "placer": v.Scheduler,
+			"leaving": strconv.FormatBool(v.Terminating),
+		}
 	case server.Machine:
 		return map[string]string{"id": v.ID, "hall": strconv.Itoa(v.Zone), "kind": v.MachineType, "state": v.State}
 	}
--- a/internal/controller/api/watch.go
+++ b/internal/controller/api/watch.go
@@ -155,8 +155,8 @@
 	return err == nil
 }
 
-// sentVersion returns a version up to which everything was sent. It reads the cache's version before it looks at the queue, so
-// that the result can only be too old: a client that resumes there may get a change twice, but misses none.
+// sentVersion returns a version up to which everything was sent. It reads the cache's version before it looks at the
+// queue, so that the result can only be too old: a client that resumes there may get a change twice, but misses none.
 func (s *watchStream) sentVersion() int64 {
 	version := s.cache.Version()
 	if len(s.watcher.Changes) > 0 {
--- a/internal/controller/api/watch_test.go
+++ b/internal/controller/api/watch_test.go
@@ -13,8 +13,8 @@
 	"glenport/internal/controller/watchcache"
 )
 
-// A watch is cut while containers are placed, and resumed from its last version: no change is missed or sent twice, and every
-// container begins to run exactly once.
+// A watch is cut while containers are placed, and resumed from its last version: no change is missed or sent twice, and
+// every container begins to run exactly once.
 func TestResumedWatchMissesNothing(t *testing.T) {
 	f := startFixture(t, 3)
 	_, list := f.do("GET", "/v1/containers", "")
--- a/internal/controller/connections.go
+++ b/internal/controller/connections.go
@@ -7,8 +7,9 @@
 	lookupDelay       = 500 * scheduler.Millisecond // after a reconnect; up to three times that, at random
 )
 
-// schedulerConnection follows the connection to a scheduler. What was requested there and may run twice is requested elsewhere;
-// the rest waits. What runs there runs on, and is looked up by its key once the scheduler is connected again.
+// schedulerConnection follows the connection to a scheduler. What was requested there and may run twice is requested
+// elsewhere; the rest waits. What runs there runs on, and is looked up by its key once the scheduler is connected
+// again.
 func (c *Controller) schedulerConnection(e SchedulerConnection) {
 	if e.Scheduler < 0 || e.Scheduler >= len(c.connected) || c.connected[e.Scheduler] == e.Connected {
 		return
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -16,14 +16,15 @@
 
 // Config is what one incarnation of the controller starts with.
 type Config struct {
-	Seed            uint64 // of its random numbers
-	FirstSequence   uint64 // keys and request ids are numbered above it, so that none of an earlier incarnation comes again
+	Seed uint64 // of its random numbers
+	// keys and request ids are numbered above it, so that none of an earlier incarnation comes again
+	FirstSequence   uint64
 	SchedulerCount  int
 	WorkloadClasses []WorkloadClass
 }
 
-// Controller is the state of all jobs. It holds a job while containers of it are wanted or not yet ended, a request while its
-// container is being placed or runs, an orphan until it is resolved.
+// Controller is the state of all jobs. It holds a job while containers of it are wanted or not yet ended, a request
+// while its container is being placed or runs, an orphan until it is resolved.
 type Controller struct {
 	workloadClasses []WorkloadClass
 	now             scheduler.Time
@@ -43,12 +44,13 @@
 func New(config Config) *Controller {
 	return &Controller{
 		workloadClasses: config.WorkloadClasses,
-		randomState:     config.Seed*2862933555777941757 + 3037000493, // a linear congruential step, so that near seeds part
-		lastSequence:    config.FirstSequence,
-		jobs:            map[string]*job{},
-		requests:        map[string]*replica{},
-		connected:       make([]bool, config.SchedulerCount),
-		orphans:         map[Orphan]scheduler.Time{},
+		// a linear congruential step, so that near seeds part
+		randomState:  config.Seed*2862933555777941757 + 3037000493,
+		lastSequence: config.FirstSequence,
+		jobs:         map[string]*job{},
+		requests:     map[string]*replica{},
+		connected:    make([]bool, config.SchedulerCount),
+		orphans:      map[Orphan]scheduler.Time{},
 	}
 }
 
@@ -117,7 +119,8 @@
 	return float64(c.randomState>>11) / (1 << 53)
 }
 
-// jitter is a random delay below span: what happens to many containers at once is not followed by requests for all at once.
+// jitter is a random delay below span: what happens to many containers at once is not followed by requests for all at
+// once.
 func (c *Controller) jitter(span scheduler.Time) scheduler.Time {
 	return scheduler.Time(c.random() * float64(span))
 }
--- a/internal/controller/crash_test.go
+++ b/internal/controller/crash_test.go
@@ -11,9 +11,10 @@
 	"pgregory.net/rapid"
 )
 
-// A controller is killed at any moment, with schedulers that accept, reject, fail, lose their connection and do not know yet. What
-// it stored is what was there before a request was sent. Whatever happens, no container of at-most-once work runs twice at once,
-// no key of it that ran is requested again, and once faults end each wanted container runs and no other does.
+// A controller is killed at any moment, with schedulers that accept, reject, fail, lose their connection and do not
+// know yet. What it stored is what was there before a request was sent. Whatever happens, no container of at-most-once
+// work runs twice at once, no key of it that ran is requested again, and once faults end each wanted container runs and
+// no other does.
 func TestKilledControllerRunsWhatIsWanted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newCrashModel(t)
@@ -66,9 +67,12 @@
 var crashModelJobs = []string{"a", "b"}
 
 func newCrashModel(t *rapid.T) *crashModel {
-	idempotency := rapid.SampledFrom([]scheduler.Idempotency{scheduler.Idempotent, scheduler.AtMostOnce}).Draw(t, "idempotency")
-	return &crashModel{t: t, idempotency: idempotency, running: [2]map[string]string{{}, {}}, started: map[string]bool{},
-		jobs: map[string]JobSet{}, containers: map[string]Container{}, orphans: map[Orphan]bool{}}
+	idempotency := rapid.SampledFrom([]scheduler.Idempotency{scheduler.Idempotent, scheduler.AtMostOnce}).
+		Draw(t, "idempotency")
+	return &crashModel{
+		t: t, idempotency: idempotency, running: [2]map[string]string{{}, {}}, started: map[string]bool{},
+		jobs: map[string]JobSet{}, containers: map[string]Container{}, orphans: map[Orphan]bool{},
+	}
 }
 
 // fault draws one of n chances, until faults are over.
@@ -126,7 +130,8 @@
 	})
 }
 
-// perform carries actions out, and those that follow from the answers. Requests to a scheduler that is not connected are lost.
+// perform carries actions out, and those that follow from the answers. Requests to a scheduler that is not connected
+// are lost.
 func (m *crashModel) perform() {
 	for len(m.actions) > 0 {
 		a := m.actions[0]
--- a/internal/controller/driver_test.go
+++ b/internal/controller/driver_test.go
@@ -91,7 +91,8 @@
 
 func (d *driver) lastRequest() SubmitRequest { return d.requests[len(d.requests)-1] }
 
-// step plays one word of a sequence: a scheduler's answer to the last request or cancel, another event, or a duration that passes.
+// step plays one word of a sequence: a scheduler's answer to the last request or cancel, another event, or a duration
+// that passes.
 func (d *driver) step(word string) {
 	d.Helper()
 	spec := Spec{Service: "s", Cores: 1}
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -15,8 +15,8 @@
 // JobDeleted ends a job and all its containers.
 type JobDeleted struct{ Job string }
 
-// StateRestored is what an earlier incarnation of the controller has stored: the jobs as they are wanted, the containers as they
-// were. It comes before all other events.
+// StateRestored is what an earlier incarnation of the controller has stored: the jobs as they are wanted, the
+// containers as they were. It comes before all other events.
 type StateRestored struct {
 	Jobs       []JobSet
 	Containers []Container
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -11,7 +11,8 @@
 	c.setState(r, StateFencing, max(minFencingDelay, c.classOf(r).DedupWindow), status)
 }
 
-// fencingOver has a replica looked up at the scheduler that was sent its request, or cancelled there if it is not wanted.
+// fencingOver has a replica looked up at the scheduler that was sent its request, or cancelled there if it is not
+// wanted.
 func (c *Controller) fencingOver(r *replica) {
 	if r.Terminating {
 		c.cancelAttempt(r)
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -153,11 +153,18 @@
 }
 
 func newHistory(d *actionDigest, idempotency scheduler.Idempotency, schedulers int, seed uint64) *history {
-	h := &history{digest: d, random: rand.New(rand.NewPCG(seed, 17)), connected: make([]bool, schedulers), jobs: map[string]JobSet{},
-		containers: map[string]Container{}, orphans: map[Orphan]bool{}}
+	h := &history{
+		digest:     d,
+		random:     rand.New(rand.NewPCG(seed, 17)),
+		connected:  make([]bool, schedulers),
+		jobs:       map[string]JobSet{},
+		containers: map[string]Container{},
+		orphans:    map[Orphan]bool{},
+	}
 	h.config = Config{Seed: seed, FirstSequence: 10, SchedulerCount: schedulers, WorkloadClasses: []WorkloadClass{
 		{Idempotency: idempotency, PlacementTimeout: 4 * scheduler.Second, DedupWindow: 8 * scheduler.Second},
-		{Idempotency: scheduler.AtMostOnce, PlacementTimeout: scheduler.Second}}}
+		{Idempotency: scheduler.AtMostOnce, PlacementTimeout: scheduler.Second},
+	}}
 	h.controller = New(h.config)
 	for i := range schedulers {
 		if h.chance(0.9) {
@@ -274,10 +281,14 @@
 		return
 	}
 	i := running[h.random.IntN(len(running))]
-	outcome := []scheduler.Outcome{scheduler.OutcomeFinished, scheduler.OutcomeFinished, scheduler.OutcomeLost, scheduler.OutcomeLost,
-		scheduler.OutcomeStopped, scheduler.OutcomeErrored}[h.random.IntN(6)]
-	reason := []scheduler.Reason{scheduler.ReasonNone, scheduler.ReasonNone, scheduler.ReasonOutOfMemory, scheduler.ReasonPreempted,
-		scheduler.ReasonDrained}[h.random.IntN(5)]
+	outcome := []scheduler.Outcome{
+		scheduler.OutcomeFinished, scheduler.OutcomeFinished, scheduler.OutcomeLost, scheduler.OutcomeLost,
+		scheduler.OutcomeStopped, scheduler.OutcomeErrored,
+	}[h.random.IntN(6)]
+	reason := []scheduler.Reason{
+		scheduler.ReasonNone, scheduler.ReasonNone, scheduler.ReasonOutOfMemory, scheduler.ReasonPreempted,
+		scheduler.ReasonDrained,
+	}[h.random.IntN(5)]
 	e := ContainerEnded{RequestID: h.requests[i].id, Outcome: outcome, Reason: reason}
 	h.requests = append(h.requests[:i], h.requests[i+1:]...)
 	h.handle(e)
@@ -293,9 +304,11 @@
 
 func (h *history) changeJob() {
 	id := h.jobID()
-	spec := Spec{Service: "s" + id, WorkloadClass: h.random.IntN(2), Tenant: h.random.IntN(2),
+	spec := Spec{
+		Service: "s" + id, WorkloadClass: h.random.IntN(2), Tenant: h.random.IntN(2),
 		Cores: []float64{0.5, 2}[h.random.IntN(2)], Memory: 1.25,
-		RunFor: scheduler.Time(h.random.IntN(2)) * scheduler.Second, RunOnce: h.chance(0.3)}
+		RunFor: scheduler.Time(h.random.IntN(2)) * scheduler.Second, RunOnce: h.chance(0.3),
+	}
 	if old, known := h.jobs[id]; known && h.chance(0.5) {
 		spec = old.Spec
 	}
@@ -312,7 +325,10 @@
 	case 1:
 		h.handle(SchedulerConnection{-1, true}, SchedulerConnection{len(h.connected), true}, JobDeleted{"none"})
 	case 2:
-		h.handle(PlacementAnswered{RequestID: "stray#0#nobody/0/1", Verdict: VerdictFailed}, ContainerEnded{RequestID: "stray#x#"})
+		h.handle(
+			PlacementAnswered{RequestID: "stray#0#nobody/0/1", Verdict: VerdictFailed},
+			ContainerEnded{RequestID: "stray#x#"},
+		)
 	case 3: // an answer that comes twice
 		if len(h.requests) > 0 {
 			id := h.requests[h.random.IntN(len(h.requests))].id
--- a/internal/controller/lifecycle.go
+++ b/internal/controller/lifecycle.go
@@ -9,12 +9,13 @@
 // replica is one container that a job wants, or wanted and that has not ended.
 type replica struct {
 	Container
-	job             *job
-	revision        int            // of the spec in its last placement request
-	lookupDelay     scheduler.Time // added to its next lookup, so that a restarted controller does not look up all at once
-	timerGeneration int            // timers of earlier generations are void
-	cancelling      bool           // its open request is the one of cancelAttempt
-	changed         bool           // it is in Controller.changed
+	job      *job
+	revision int // of the spec in its last placement request
+	// added to its next lookup, so that a restarted controller does not look up all at once
+	lookupDelay     scheduler.Time
+	timerGeneration int  // timers of earlier generations are void
+	cancelling      bool // its open request is the one of cancelAttempt
+	changed         bool // it is in Controller.changed
 	removed         bool
 }
 
@@ -73,8 +74,8 @@
 	c.emit(CancelRequest{r.Scheduler, r.RequestID, r.IdempotencyKey})
 }
 
-// cancelAttempt ends a replica that may run, by a request of its own to the scheduler that can know. While that is not connected
-// the replica stays, as one that takes its place could be a second copy.
+// cancelAttempt ends a replica that may run, by a request of its own to the scheduler that can know. While that is not
+// connected the replica stays, as one that takes its place could be a second copy.
 func (c *Controller) cancelAttempt(r *replica) {
 	if r.Scheduler == noScheduler || !c.connected[r.Scheduler] {
 		c.setState(r, StateUnobserved, noTimer, r.LastStatus)
@@ -96,8 +97,8 @@
 	c.trim(r.job)
 }
 
-// newIdempotencyKey separates the next container of a replica from those before: what ran under the old key has surely ended, or
-// may run twice.
+// newIdempotencyKey separates the next container of a replica from those before: what ran under the old key has surely
+// ended, or may run twice.
 func (c *Controller) newIdempotencyKey(r *replica) {
 	r.IdempotencyKey = fmt.Sprintf("%s/%d/%d", r.Job, r.Index, c.nextSequence())
 	r.Sticky, r.Submitted = false, false
@@ -150,7 +151,8 @@
 	}
 }
 
-// mayEnd says that the end of its container is expected. While it is being placed that is so only once it was cancelled.
+// mayEnd says that the end of its container is expected. While it is being placed that is so only once it was
+// cancelled.
 func (r *replica) mayEnd() bool {
 	switch r.State {
 	case StateRunning, StateUnobserved:
--- a/internal/controller/lifecycle_test.go
+++ b/internal/controller/lifecycle_test.go
@@ -7,8 +7,8 @@
 	"glenport/scheduler"
 )
 
-// Each case is a sequence of steps of driver.step, then the state of the container, how many requests were sent for it (placements
-// and lookups) and how many cancels.
+// Each case is a sequence of steps of driver.step, then the state of the container, how many requests were sent for it
+// (placements and lookups) and how many cancels.
 func TestContainerFollowsItsSchedulersAnswers(t *testing.T) {
 	const idempotent, atMostOnce = scheduler.Idempotent, scheduler.AtMostOnce
 	for _, tc := range []struct {
@@ -36,8 +36,10 @@
 		{"lost, at-most-once", atMostOnce, "accept lose 7s", "fencing 1"},
 		{"no scheduler connected", idempotent, "reject disconnect 9s", "pending 1"},
 		{"scheduler reconnects", idempotent, "reject disconnect 9s connect 2s", "placing 2"},
-		{"scheduler lost while placing, idempotent: what it may have started is cancelled", idempotent, "disconnect connect 2s",
-			"placing 2, 1 cancelled"},
+		{
+			"scheduler lost while placing, idempotent: what it may have started is cancelled", idempotent, "disconnect connect 2s",
+			"placing 2, 1 cancelled",
+		},
 		{"scheduler lost while placing, at-most-once", atMostOnce, "disconnect connect 7s", "fencing 1"},
 		{"scheduler lost while running", atMostOnce, "accept disconnect 60s", "unobserved 1"},
 		{"scheduler lost while running, and reconnects", atMostOnce, "accept disconnect 60s connect 2s", "placing 2"},
--- a/internal/controller/orphans.go
+++ b/internal/controller/orphans.go
@@ -12,12 +12,12 @@
 // orphanCancelDelay is how long a scheduler has been connected again before orphans are cancelled there.
 const orphanCancelDelay = scheduler.Second
 
-// orphanRequestPrefix begins the id of a request that cancels an orphan. Requests for containers of jobs begin with the job's id,
-// which has no #.
+// orphanRequestPrefix begins the id of a request that cancels an orphan. Requests for containers of jobs begin with the
+// job's id, which has no #.
 const orphanRequestPrefix = "stray#"
 
-// Orphan is a copy of idempotent work that may run at a scheduler that was lost, while its container was requested elsewhere since.
-// Nothing but the controller would end it.
+// Orphan is a copy of idempotent work that may run at a scheduler that was lost, while its container was requested
+// elsewhere since. Nothing but the controller would end it.
 type Orphan struct {
 	Scheduler      int
 	IdempotencyKey string
@@ -68,7 +68,8 @@
 	}
 }
 
-// orphanAnswered resolves an orphan once its scheduler is sure that nothing of it runs. What runs is resolved by its end.
+// orphanAnswered resolves an orphan once its scheduler is sure that nothing of it runs. What runs is resolved by its
+// end.
 func (c *Controller) orphanAnswered(orphan Orphan, e PlacementAnswered) {
 	if _, known := c.orphans[orphan]; !known {
 		return
@@ -87,7 +88,8 @@
 	}
 }
 
-// cancelOrphans cancels those that are due, in order of scheduler and key, and returns when the next are; 0 where none is.
+// cancelOrphans cancels those that are due, in order of scheduler and key, and returns when the next are; 0 where none
+// is.
 func (c *Controller) cancelOrphans() (next scheduler.Time) {
 	var due []Orphan
 	for orphan, at := range c.orphans {
--- a/internal/controller/pending/fleet.go
+++ b/internal/controller/pending/fleet.go
@@ -19,7 +19,8 @@
 	e.explainLoadShedding()
 }
 
-// suitable is how many machines have the type and size that the container needs, and inService how many of them do not drain.
+// suitable is how many machines have the type and size that the container needs, and inService how many of them do not
+// drain.
 func (f *Facts) suitable() int {
 	return f.Explanation.Machines - f.Explanation.WrongMachineType - f.Explanation.TooSmall
 }
@@ -36,7 +37,13 @@
 func (e *explainer) explainZones() {
 	for _, z := range e.facts.Zones {
 		if z.Machines > 0 && z.Draining == z.Machines {
-			e.add(CodeZoneDraining, map[string]float64{"machines": float64(z.Machines)}, textZoneDraining, z.Name, z.Machines)
+			e.add(
+				CodeZoneDraining,
+				map[string]float64{"machines": float64(z.Machines)},
+				textZoneDraining,
+				z.Name,
+				z.Machines,
+			)
 		}
 	}
 }
@@ -106,6 +113,11 @@
 func (e *explainer) explainLoadShedding() {
 	x := &e.facts.Explanation
 	if x.SheddingLoad {
-		e.add(CodeLoadShedding, map[string]float64{"share_without_room": x.FullRatio}, textLoadShedding, 100*x.FullRatio)
+		e.add(
+			CodeLoadShedding,
+			map[string]float64{"share_without_room": x.FullRatio},
+			textLoadShedding,
+			100*x.FullRatio,
+		)
 	}
 }
--- a/internal/controller/pending/golden_test.go
+++ b/internal/controller/pending/golden_test.go
@@ -17,8 +17,8 @@
 
 var update = flag.Bool("update", false, "write the golden digests anew")
 
-// TestReasonsMatchGoldenDigests explains seeded facts, likely and odd ones, and compares a digest of all reasons, in order,
-// as clients read them, with that in testdata.
+// TestReasonsMatchGoldenDigests explains seeded facts, likely and odd ones, and compares a digest of all reasons, in
+// order, as clients read them, with that in testdata.
 func TestReasonsMatchGoldenDigests(t *testing.T) {
 	const sequences = 4000
 	var got strings.Builder
@@ -69,14 +69,20 @@
 	}
 	now := scheduler.Time(upTo(1_000_000))
 	state := controller.ContainerState(upTo(5))
-	f := Facts{Schedulers: 1 + upTo(4), SchedulerConnected: chance(0.7), Explained: group != 2 && chance(0.9),
-		ListAge: scheduler.Time(upTo(60_000)) - 5_000, SlowStartWindow: scheduler.Time(upTo(30_000))}
+	f := Facts{
+		Schedulers: 1 + upTo(4), SchedulerConnected: chance(0.7), Explained: group != 2 && chance(0.9),
+		ListAge: scheduler.Time(upTo(60_000)) - 5_000, SlowStartWindow: scheduler.Time(upTo(30_000)),
+	}
 	f.SchedulersConnected = upTo(f.Schedulers)
-	statuses := []string{"", "pushed back", "given up, and it may run", "turned away: may run on machine m3",
-		"turned away: does not know yet", "turned away: full"}
-	f.Container = controller.Container{Job: "j", Index: upTo(9), State: state, Sticky: chance(0.2), Refused: chance(0.3),
+	statuses := []string{
+		"", "pushed back", "given up, and it may run", "turned away: may run on machine m3",
+		"turned away: does not know yet", "turned away: full",
+	}
+	f.Container = controller.Container{
+		Job: "j", Index: upTo(9), State: state, Sticky: chance(0.2), Refused: chance(0.3),
 		Attempts: upTo(4), Scheduler: upTo(f.Schedulers) - 1, Since: now - scheduler.Time(upTo(90_000)),
-		LastStatus: statuses[upTo(len(statuses)-1)]}
+		LastStatus: statuses[upTo(len(statuses)-1)],
+	}
 	if chance(0.7) {
 		f.Container.Until = now + scheduler.Time(upTo(200_000)) - 20_000
 	}
--- a/internal/controller/pending/pending.go
+++ b/internal/controller/pending/pending.go
@@ -93,8 +93,14 @@
 	c := &e.facts.Container
 	switch c.State {
 	case controller.StateFencing:
-		e.addUntil(CodeFencing, c.Until, map[string]float64{"seconds": seconds(e.remaining())}, textFencing, c.LastStatus,
-			seconds(e.remaining()))
+		e.addUntil(
+			CodeFencing,
+			c.Until,
+			map[string]float64{"seconds": seconds(e.remaining())},
+			textFencing,
+			c.LastStatus,
+			seconds(e.remaining()),
+		)
 	case controller.StateUnobserved:
 		e.addUntil(CodeUnobserved, c.Until, nil, textUnobserved)
 	case controller.StatePlacing:
--- a/internal/controller/pending/pending_test.go
+++ b/internal/controller/pending/pending_test.go
@@ -16,9 +16,16 @@
 func explained(change func(x *scheduler.Explanation)) Facts {
 	x := scheduler.Explanation{Machines: 10}
 	change(&x)
-	container := controller.Container{State: controller.StatePending, Until: 7 * second, Attempts: 2, LastStatus: "pushed back"}
-	return Facts{Container: container, Schedulers: 2, SchedulersConnected: 2, SchedulerConnected: true, Explained: true,
-		Explanation: x, SlowStartWindow: 3 * second}
+	container := controller.Container{
+		State:      controller.StatePending,
+		Until:      7 * second,
+		Attempts:   2,
+		LastStatus: "pushed back",
+	}
+	return Facts{
+		Container: container, Schedulers: 2, SchedulersConnected: 2, SchedulerConnected: true, Explained: true,
+		Explanation: x, SlowStartWindow: 3 * second,
+	}
 }
 
 // fullFleet are the facts where no machine has room, with a change.
@@ -88,26 +95,46 @@
 	})
 	manyReasons.Zones = []Zone{{"north", 4, 4}, {"south", 6, 0}}
 	for _, tc := range []explainCase{
-		{"no capacity", fullFleet(unchanged), "no_room backing_off",
-			"10 of 10 machines have no room: memory is short (2 lack cores, 8 memory)"},
-		{"capacity, and the backoff is not over", explained(func(x *scheduler.Explanation) { x.Eligible, x.InsufficientCores = 1, 9 }),
-			"backing_off", "after 2 tries the next is in 2.0 s"},
-		{"no machine of its type", explained(func(x *scheduler.Explanation) { x.WrongMachineType = 10 }), "no_machine backing_off",
-			"None of the 10 machines"},
-		{"machines of its type drain", explained(func(x *scheduler.Explanation) { x.WrongMachineType, x.Draining = 6, 4 }),
-			"no_machine backing_off", "All 4 machines that could run it drain"},
-		{"spread exhausted", explained(func(x *scheduler.Explanation) { x.SpreadExhausted = 10 }), "spread_full backing_off",
-			"On 10 of 10 machines"},
-		{"slow start exhausted", explained(func(x *scheduler.Explanation) { x.SlowStartExhausted = 10 }), "cold_budget backing_off",
-			"every 3.0 s"},
-		{"machines ejected", explained(func(x *scheduler.Explanation) { x.Ejected, x.Suspected = 4, 6 }), "machines_sick backing_off",
-			"4 look sick, 6 leave"},
-		{"load is shed", explained(func(x *scheduler.Explanation) { x.Eligible, x.SheddingLoad, x.FullRatio = 2, true, 0.4 }),
-			"low_gain backing_off", "40%"},
-		{"stale machine list", fullFleet(func(f *Facts) { f.ListAge = 9 * second }), "no_room list_away backing_off",
-			"not been heard for 9 s"},
-		{"four at once", manyReasons, "hall_drains no_room spread_full cold_budget backing_off",
-			"Hall north is under maintenance: all of its 4 machines drain"},
+		{
+			"no capacity", fullFleet(unchanged), "no_room backing_off",
+			"10 of 10 machines have no room: memory is short (2 lack cores, 8 memory)",
+		},
+		{
+			"capacity, and the backoff is not over", explained(func(x *scheduler.Explanation) { x.Eligible, x.InsufficientCores = 1, 9 }),
+			"backing_off", "after 2 tries the next is in 2.0 s",
+		},
+		{
+			"no machine of its type", explained(func(x *scheduler.Explanation) { x.WrongMachineType = 10 }), "no_machine backing_off",
+			"None of the 10 machines",
+		},
+		{
+			"machines of its type drain", explained(func(x *scheduler.Explanation) { x.WrongMachineType, x.Draining = 6, 4 }),
+			"no_machine backing_off", "All 4 machines that could run it drain",
+		},
+		{
+			"spread exhausted", explained(func(x *scheduler.Explanation) { x.SpreadExhausted = 10 }), "spread_full backing_off",
+			"On 10 of 10 machines",
+		},
+		{
+			"slow start exhausted", explained(func(x *scheduler.Explanation) { x.SlowStartExhausted = 10 }), "cold_budget backing_off",
+			"every 3.0 s",
+		},
+		{
+			"machines ejected", explained(func(x *scheduler.Explanation) { x.Ejected, x.Suspected = 4, 6 }), "machines_sick backing_off",
+			"4 look sick, 6 leave",
+		},
+		{
+			"load is shed", explained(func(x *scheduler.Explanation) { x.Eligible, x.SheddingLoad, x.FullRatio = 2, true, 0.4 }),
+			"low_gain backing_off", "40%",
+		},
+		{
+			"stale machine list", fullFleet(func(f *Facts) { f.ListAge = 9 * second }), "no_room list_away backing_off",
+			"not been heard for 9 s",
+		},
+		{
+			"four at once", manyReasons, "hall_drains no_room spread_full cold_budget backing_off",
+			"Hall north is under maintenance: all of its 4 machines drain",
+		},
 	} {
 		t.Run(tc.name, tc.run)
 	}
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -1,7 +1,8 @@
 package controller
 
-// place requests the placement of a replica from a connected scheduler drawn at random. A sticky one is looked up at its
-// scheduler instead, which starts nothing: only that scheduler can know whether it runs, and a key that ran is not run again.
+// place requests the placement of a replica from a connected scheduler drawn at random. A sticky one is looked up at
+// its scheduler instead, which starts nothing: only that scheduler can know whether it runs, and a key that ran is not
+// run again.
 func (c *Controller) place(r *replica) {
 	target := r.Scheduler
 	if !r.Sticky {
@@ -77,8 +78,8 @@
 	c.rollOut(r.job)
 }
 
-// terminatingAnswered removes a replica that was not accepted, unless it may run and its scheduler is not sure: then it is
-// cancelled again later.
+// terminatingAnswered removes a replica that was not accepted, unless it may run and its scheduler is not sure: then it
+// is cancelled again later.
 func (c *Controller) terminatingAnswered(r *replica, e PlacementAnswered) {
 	mayRun := r.Sticky || r.cancelling
 	if e.Verdict == VerdictRefused && mayRun {
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -2,8 +2,8 @@
 
 import "glenport/scheduler"
 
-// The types below are stored under the names in their tags and by the order of the states: a change there makes stored state
-// unreadable.
+// The types below are stored under the names in their tags and by the order of the states: a change there makes stored
+// state unreadable.
 
 // Spec is what one container of a job is.
 type Spec struct {
--- a/internal/controller/restore.go
+++ b/internal/controller/restore.go
@@ -12,8 +12,8 @@
 // restoredRevision is that of the specs of restored jobs. Containers of another spec keep revision 0 and are replaced.
 const restoredRevision = 1
 
-// stateRestored adopts what an earlier incarnation has stored. What may run is looked up at the scheduler that was sent the
-// request; placements are requested at a limited rate.
+// stateRestored adopts what an earlier incarnation has stored. What may run is looked up at the scheduler that was sent
+// the request; placements are requested at a limited rate.
 func (c *Controller) stateRestored(e StateRestored) {
 	for _, set := range e.Jobs {
 		c.jobs[set.Job] = &job{id: set.Job, spec: set.Spec, revision: restoredRevision, count: set.Count}
@@ -43,7 +43,8 @@
 	return sorted
 }
 
-// restoreReplica puts a stored container in its place in its job. Places before it that have no container count as removed.
+// restoreReplica puts a stored container in its place in its job. Places before it that have no container count as
+// removed.
 func (c *Controller) restoreReplica(container Container) *replica {
 	j := c.jobs[container.Job]
 	if j == nil { // the job was deleted, and this container has to end
@@ -62,8 +63,8 @@
 	return r
 }
 
-// sequenceAfter is the number at the end of a key or request id, behind the last separator. One without a number, as where nothing
-// was requested yet, counts as 0: it cannot come again.
+// sequenceAfter is the number at the end of a key or request id, behind the last separator. One without a number, as
+// where nothing was requested yet, counts as 0: it cannot come again.
 func sequenceAfter(separator, id string) uint64 {
 	number := id[strings.LastIndex(id, separator)+1:]
 	n, err := strconv.ParseUint(number, 10, 64)
@@ -73,7 +74,8 @@
 	return n
 }
 
-// resume takes the first step about a restored replica, which recovery decides. The position among all restored ones paces it.
+// resume takes the first step about a restored replica, which recovery decides. The position among all restored ones
+// paces it.
 func (c *Controller) resume(r *replica, position int) {
 	step, delay := recovery.Resume(recoveryPhase(&r.Container), position)
 	switch step {
@@ -88,8 +90,8 @@
 	}
 }
 
-// resumeLookup waits for the scheduler of a replica that may run. If that is no longer configured, idempotent work is started anew,
-// and other work stays as it is.
+// resumeLookup waits for the scheduler of a replica that may run. If that is no longer configured, idempotent work is
+// started anew, and other work stays as it is.
 func (c *Controller) resumeLookup(r *replica, delay scheduler.Time) {
 	switch {
 	case r.Scheduler != noScheduler:
--- a/internal/controller/restore_test.go
+++ b/internal/controller/restore_test.go
@@ -11,8 +11,8 @@
 // jobDeleted stands for the count of a job that is not stored any more.
 const jobDeleted = -1
 
-// Each case is a container as it was stored, the count its job has, and steps of driver.step; then the state of the container, how
-// many requests were sent for it, the scheduler and key of the last one, and how many cancels.
+// Each case is a container as it was stored, the count its job has, and steps of driver.step; then the state of the
+// container, how many requests were sent for it, the scheduler and key of the last one, and how many cancels.
 func TestRestoredContainerIsResumed(t *testing.T) {
 	const idempotent, atMostOnce = scheduler.Idempotent, scheduler.AtMostOnce
 	neverRequested := func(c *Container) { c.Scheduler, c.RequestID, c.Submitted = -1, "", false }
@@ -34,8 +34,10 @@
 		{"placing, scheduler connected", atMostOnce, StatePlacing, nil, 1, "connect 2s", "placing 1 at 0 with j/0/41"},
 		{"placing, and it runs", atMostOnce, StatePlacing, nil, 1, "connect 2s accept", "running 1 at 0 with j/0/41"},
 		{"running", atMostOnce, StateRunning, nil, 1, "connect 2s accept", "running 1 at 0 with j/0/41"},
-		{"running, idempotent, scheduler stays away", idempotent, StateRunning, nil, 1, "connect-other 11s",
-			"placing 1 at 1 with another key"},
+		{
+			"running, idempotent, scheduler stays away", idempotent, StateRunning, nil, 1, "connect-other 11s",
+			"placing 1 at 1 with another key",
+		},
 		{"running, scheduler stays away", atMostOnce, StateRunning, nil, 1, "connect-other 60s", "unobserved 0"},
 		{"sticky while pending", atMostOnce, StatePending, sticky, 1, "connect-other 9s", "unobserved 0"},
 		{"fencing", atMostOnce, StateFencing, nil, 1, "connect 7s", "fencing 0"},
@@ -45,17 +47,23 @@
 		{"scaled down", atMostOnce, StateRunning, nil, 0, "connect 2s cancelled", "removed 0, 1 cancelled"},
 		{"scaled down, never requested", atMostOnce, StatePending, neverSubmitted, 0, "", "removed 0"},
 		{"scheduler no longer configured", atMostOnce, StateRunning, schedulerRemoved, 1, "connect-other 60s", "pending 0"},
-		{"scheduler no longer configured, idempotent", idempotent, StateRunning, schedulerRemoved, 1, "connect-other 1s",
-			"placing 1 at 1 with another key"},
+		{
+			"scheduler no longer configured, idempotent", idempotent, StateRunning, schedulerRemoved, 1, "connect-other 1s",
+			"placing 1 at 1 with another key",
+		},
 		// Without its check this indexed a scheduler -1.
 		{"scheduler no longer configured, scaled down", atMostOnce, StateRunning, schedulerRemoved, 0, "connect 9s", "unobserved 0"},
-		{"job without its container", atMostOnce, StatePending, func(c *Container) { c.Job = "" }, 1, "connect 1s",
-			"placing 1 at 0 with another key"},
+		{
+			"job without its container", atMostOnce, StatePending, func(c *Container) { c.Job = "" }, 1, "connect 1s",
+			"placing 1 at 0 with another key",
+		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			spec := Spec{Service: "s", Cores: 1}
-			stored := Container{Job: "j", State: tc.state, IdempotencyKey: "j/0/41", RequestID: "j/0#42", Submitted: true,
-				SubmittedSpec: spec}
+			stored := Container{
+				Job: "j", State: tc.state, IdempotencyKey: "j/0/41", RequestID: "j/0#42", Submitted: true,
+				SubmittedSpec: spec,
+			}
 			if tc.change != nil {
 				tc.change(&stored)
 			}
@@ -84,7 +92,8 @@
 	return e
 }
 
-// lastTarget names the scheduler and key of the last request, which must have an id that no earlier incarnation has used.
+// lastTarget names the scheduler and key of the last request, which must have an id that no earlier incarnation has
+// used.
 func (d *driver) lastTarget(stored Container) string {
 	d.Helper()
 	if len(d.requests) == 0 {
--- a/internal/controller/server/explainer.go
+++ b/internal/controller/server/explainer.go
@@ -12,8 +12,8 @@
 	explainSpecID   = "why"                       // container ID and idempotency key in the spec of an explain request
 )
 
-// explainer asks schedulers why a job's containers find no machine. Requests that come while one for the same job is open, or
-// shortly after its reply, share that reply.
+// explainer asks schedulers why a job's containers find no machine. Requests that come while one for the same job is
+// open, or shortly after its reply, share that reply.
 type explainer struct {
 	server  *Server
 	lastSeq uint64
@@ -36,8 +36,9 @@
 	return explainer{server: s, open: map[uint64]*explainRequest{}, recent: map[string]*recentExplanation{}}
 }
 
-// explain calls done with a scheduler's explanation of why a container is pending: that of the scheduler that was asked last for
-// the container, or of another. It calls done with nil where there is nothing to explain or no scheduler replies in time.
+// explain calls done with a scheduler's explanation of why a container is pending: that of the scheduler that was asked
+// last for the container, or of another. It calls done with nil where there is nothing to explain or no scheduler
+// replies in time.
 func (e *explainer) explain(c controller.Container, done func(*protocol.ExplainReply)) {
 	if c.State == controller.StateRunning || c.State == controller.StateCompleted {
 		done(nil)
--- a/internal/controller/server/explainer_test.go
+++ b/internal/controller/server/explainer_test.go
@@ -37,8 +37,12 @@
 			t.Errorf("got %+v, want the shared reply", got)
 		}
 	}
-	if facts := s.pendingFacts(c, reply); !facts.Explained || facts.Explanation.Machines != 7 || facts.Schedulers != 2 ||
-		facts.SchedulersConnected != 1 || facts.SchedulerConnected {
+	if facts := s.pendingFacts(
+		c,
+		reply,
+	); !facts.Explained || facts.Explanation.Machines != 7 || facts.Schedulers != 2 ||
+		facts.SchedulersConnected != 1 ||
+		facts.SchedulerConnected {
 		t.Errorf("facts %+v", facts)
 	}
 }
--- a/internal/controller/server/golden_test.go
+++ b/internal/controller/server/golden_test.go
@@ -35,20 +35,51 @@
 
 // The records of the golden folder; for each kind one that has every field set.
 var (
-	goldenJob = JobRecord{Job: Job{ID: "reports", Labels: map[string]string{"team": "north"}, Service: "report", WorkloadClass: "report-run",
-		Tenant: "schools", Cores: 1.5, MemoryGiB: 2.25, RunForMS: 60_000, RunOnce: true, Count: 3, Version: 41},
-		CreationKey: "key-1", RequestDigest: []byte{0xde, 0xad, 0xbe, 0xef}}
-	goldenPlainJob = JobRecord{Job: Job{ID: "plain", Service: "web", WorkloadClass: "matcher", Cores: 0.5, MemoryGiB: 1, Version: 42}}
+	goldenJob = JobRecord{
+		Job: Job{
+			ID: "reports", Labels: map[string]string{"team": "north"}, Service: "report", WorkloadClass: "report-run",
+			Tenant: "schools", Cores: 1.5, MemoryGiB: 2.25, RunForMS: 60_000, RunOnce: true, Count: 3, Version: 41,
+		},
+		CreationKey: "key-1", RequestDigest: []byte{0xde, 0xad, 0xbe, 0xef},
+	}
+	goldenPlainJob = JobRecord{
+		Job: Job{ID: "plain", Service: "web", WorkloadClass: "matcher", Cores: 0.5, MemoryGiB: 1, Version: 42},
+	}
 
-	goldenSpec = controller.Spec{Service: "report", WorkloadClass: 1, Tenant: 2, Cores: 1.5, Memory: 2.25, RunFor: 600_000, RunOnce: true}
+	goldenSpec = controller.Spec{
+		Service:       "report",
+		WorkloadClass: 1,
+		Tenant:        2,
+		Cores:         1.5,
+		Memory:        2.25,
+		RunFor:        600_000,
+		RunOnce:       true,
+	}
 
-	goldenContainer = ContainerRecord{SchedulerAddress: goldenScheduler, Container: controller.Container{Job: "reports", Index: 2,
-		State:       controller.StateRunning,
-		Terminating: true, Machine: "m17", Scheduler: 1, Sticky: true, Since: 17_000_000_000_001, Until: 17_000_000_000_002, Attempts: 3,
-		Starts: 4, LastStatus: "runs", Refused: true, IdempotencyKey: "reports/2/31", RequestID: "reports/2#32",
-		Submitted: true, Replacing: true, SubmittedSpec: goldenSpec}}
-	goldenPlainContainer = ContainerRecord{Container: controller.Container{Job: "plain", Scheduler: -1, LastStatus: "not asked for yet",
-		IdempotencyKey: "plain/0/30"}}
+	goldenContainer = ContainerRecord{SchedulerAddress: goldenScheduler, Container: controller.Container{
+		Job:            "reports",
+		Index:          2,
+		State:          controller.StateRunning,
+		Terminating:    true,
+		Machine:        "m17",
+		Scheduler:      1,
+		Sticky:         true,
+		Since:          17_000_000_000_001,
+		Until:          17_000_000_000_002,
+		Attempts:       3,
+		Starts:         4,
+		LastStatus:     "runs",
+		Refused:        true,
+		IdempotencyKey: "reports/2/31",
+		RequestID:      "reports/2#32",
+		Submitted:      true,
+		Replacing:      true,
+		SubmittedSpec:  goldenSpec,
+	}}
+	goldenPlainContainer = ContainerRecord{Container: controller.Container{
+		Job: "plain", Scheduler: -1, LastStatus: "not asked for yet",
+		IdempotencyKey: "plain/0/30",
+	}}
 
 	goldenOrphan = OrphanRecord{SchedulerAddress: goldenScheduler, IdempotencyKey: "reports/1/29"}
 )
@@ -76,9 +107,13 @@
 }
 
 func goldenConfig(folder string) Config {
-	return Config{Name: "controller", Schedulers: []string{"127.0.0.1:7000", goldenScheduler}, Seed: 1, StateDir: folder,
-		SchedulerConfig: &config.Scheduler{WorkloadClasses: []string{"matcher", "report-run"}, Tenants: []string{"offices", "farms", "schools"},
-			Policy: scheduler.Config{WorkloadClasses: []scheduler.WorkloadClass{{}, {}}}}}
+	return Config{
+		Name: "controller", Schedulers: []string{"127.0.0.1:7000", goldenScheduler}, Seed: 1, StateDir: folder,
+		SchedulerConfig: &config.Scheduler{
+			WorkloadClasses: []string{"matcher", "report-run"}, Tenants: []string{"offices", "farms", "schools"},
+			Policy: scheduler.Config{WorkloadClasses: []scheduler.WorkloadClass{{}, {}}},
+		},
+	}
 }
 
 // openGolden opens a server on a folder, without serving; closed stops it.
@@ -117,7 +152,9 @@
 		t.Fatal(err)
 	}
 	var words strings.Builder
-	words.WriteString("# The records of the state folder beside: kind and key, what they hold in CBOR diagnostic notation.\n")
+	words.WriteString(
+		"# The records of the state folder beside: kind and key, what they hold in CBOR diagnostic notation.\n",
+	)
 	for _, kind := range s.store.log.State().Kinds() {
 		if err := s.store.log.State().ForEach(kind, func(key string, value []byte) error {
 			text, err := cbor.Diagnose(value)
@@ -190,7 +227,13 @@
 	if got := s.Cache.LastReserved(); got != goldenCeiling {
 		t.Errorf("versions begin after %d, want %d", got, goldenCeiling)
 	}
-	if want := map[string]JobRecord{"reports": goldenJob, "plain": goldenPlainJob}; !reflect.DeepEqual(s.store.jobs, want) {
+	if want := map[string]JobRecord{
+		"reports": goldenJob,
+		"plain":   goldenPlainJob,
+	}; !reflect.DeepEqual(
+		s.store.jobs,
+		want,
+	) {
 		t.Errorf("jobs %+v, want %+v", s.store.jobs, want)
 	}
 	for id, want := range map[string]Job{"reports": goldenJob.Job, "plain": goldenPlainJob.Job} {
@@ -229,18 +272,48 @@
 			t.Errorf("container %+v, want %+v", got, want)
 		}
 	}
-	if want := []controller.Orphan{{Scheduler: 1, IdempotencyKey: "reports/1/29"}}; !reflect.DeepEqual(restored.Orphans, want) {
+	if want := []controller.Orphan{
+		{Scheduler: 1, IdempotencyKey: "reports/1/29"},
+	}; !reflect.DeepEqual(
+		restored.Orphans,
+		want,
+	) {
 		t.Errorf("orphans %+v, want %+v", restored.Orphans, want)
 	}
 }
 
-// TestObjectsMatchGoldenJSON compares the JSON of each kind of object, full and empty, with testdata/objects.txt, and reads it back.
+// TestObjectsMatchGoldenJSON compares the JSON of each kind of object, full and empty, with testdata/objects.txt, and
+// reads it back.
 func TestObjectsMatchGoldenJSON(t *testing.T) {
 	objects := []any{
-		goldenJob.Job, Job{},
-		Container{ID: "reports.2", Job: "reports", Index: 2, State: "running", Terminating: true, Machine: "m17", Scheduler: "p1", SinceMS: 5,
-			UntilMS: 6, Attempts: 7, Starts: 8, LastStatus: "runs", Version: 9}, Container{},
-		Machine{ID: "m17", Zone: 2, MachineType: "large", State: "serving", FreeCores: 1.5, FreeMemoryGiB: 2.5, Incarnation: 1 << 60, Version: 3},
+		goldenJob.Job,
+		Job{},
+		Container{
+			ID:          "reports.2",
+			Job:         "reports",
+			Index:       2,
+			State:       "running",
+			Terminating: true,
+			Machine:     "m17",
+			Scheduler:   "p1",
+			SinceMS:     5,
+			UntilMS:     6,
+			Attempts:    7,
+			Starts:      8,
+			LastStatus:  "runs",
+			Version:     9,
+		},
+		Container{},
+		Machine{
+			ID:            "m17",
+			Zone:          2,
+			MachineType:   "large",
+			State:         "serving",
+			FreeCores:     1.5,
+			FreeMemoryGiB: 2.5,
+			Incarnation:   1 << 60,
+			Version:       3,
+		},
 		Machine{},
 	}
 	var got strings.Builder
--- a/internal/controller/server/helpers_test.go
+++ b/internal/controller/server/helpers_test.go
@@ -13,9 +13,17 @@
 // openServer opens a server without state and without connections. It does not serve: the test stands in for its loop.
 func openServer(t *testing.T) *Server {
 	t.Helper()
-	s, err := New(Config{Name: "controller", Schedulers: []string{"127.0.0.1:1", "127.0.0.1:2"}, Seed: 1,
-		SchedulerConfig: &config.Scheduler{WorkloadClasses: []string{"matcher"}, Tenants: []string{"offices"}, MachineTypes: []string{"small", "large"},
-			Policy: scheduler.Config{WorkloadClasses: []scheduler.WorkloadClass{{}}}}},
+	s, err := New(Config{
+		Name: "controller", Schedulers: []string{"127.0.0.1:1", "127.0.0.1:2"}, Seed: 1,
+		SchedulerConfig: &config.Scheduler{
+			WorkloadClasses: []string{
+				"matcher",
+			},
+			Tenants:      []string{"offices"},
+			MachineTypes: []string{"small", "large"},
+			Policy:       scheduler.Config{WorkloadClasses: []scheduler.WorkloadClass{{}}},
+		},
+	},
 		watchcache.New(func(*watchcache.Object) []byte { return nil }), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controller/server/iteration.go
+++ b/internal/controller/server/iteration.go
@@ -16,8 +16,8 @@
 	requests []controller.Action // to schedulers; sent once the changes are stored
 }
 
-// handleEvents passes the events of an iteration to the controller, stores what its actions change, and then carries out its
-// requests to schedulers: no request is sent before its record is stored.
+// handleEvents passes the events of an iteration to the controller, stores what its actions change, and then carries
+// out its requests to schedulers: no request is sent before its record is stored.
 func (s *Server) handleEvents() {
 	events := s.events
 	if len(events) == 0 {
@@ -50,13 +50,19 @@
 		}
 		s.publishContainer(action.Container)
 	case controller.ContainerRemoved:
-		batch.changes = append(batch.changes, wal.Change{Kind: RecordContainer, Key: containerID(action.Job, action.Index)})
+		batch.changes = append(
+			batch.changes,
+			wal.Change{Kind: RecordContainer, Key: containerID(action.Job, action.Index)},
+		)
 		s.unpublishContainer(action.Job, action.Index)
 	case controller.OrphanRecorded:
 		record := s.orphanRecord(action.Orphan)
 		batch.changes = append(batch.changes, wal.Put(RecordOrphan, record.storeKey(), record))
 	case controller.OrphanResolved:
-		batch.changes = append(batch.changes, wal.Change{Kind: RecordOrphan, Key: s.orphanRecord(action.Orphan).storeKey()})
+		batch.changes = append(
+			batch.changes,
+			wal.Change{Kind: RecordOrphan, Key: s.orphanRecord(action.Orphan).storeKey()},
+		)
 	case controller.SetTimer:
 		s.loop.After(eventloop.Tick(action.After), func() { s.events = append(s.events, controller.TimerFired{}) })
 	case controller.SubmitRequest:
@@ -88,31 +94,41 @@
 	return scheduler.AtMostOnce
 }
 
-// sendRequest sends a request to its scheduler. A placement request whose record was not stored is not sent; the controller
-// gets it back as refused.
+// sendRequest sends a request to its scheduler. A placement request whose record was not stored is not sent; the
+// controller gets it back as refused.
 func (s *Server) sendRequest(request controller.Action, storeErr error) {
 	switch request := request.(type) {
 	case controller.SubmitRequest:
 		if storeErr != nil {
-			s.events = append(s.events, controller.PlacementAnswered{RequestID: request.RequestID, Verdict: controller.VerdictRefused,
-				RetryAfter: scheduler.Second, Message: "the ask could not be written down: " + storeErr.Error()})
+			s.events = append(s.events, controller.PlacementAnswered{
+				RequestID: request.RequestID, Verdict: controller.VerdictRefused,
+				RetryAfter: scheduler.Second, Message: "the ask could not be written down: " + storeErr.Error(),
+			})
 			return
 		}
 		spec := containerSpec(request.Spec, request.RequestID, request.IdempotencyKey)
 		spec.ClientRetry = request.Retry
-		s.schedulers[request.Scheduler].write(&protocol.Submit{TimeToDeadline: protocol.Duration(request.Timeout), Spec: spec})
+		s.schedulers[request.Scheduler].write(
+			&protocol.Submit{TimeToDeadline: protocol.Duration(request.Timeout), Spec: spec},
+		)
 	case controller.LookupRequest:
-		s.schedulers[request.Scheduler].write(&protocol.Lookup{ContainerID: request.RequestID, IdempotencyKey: request.IdempotencyKey})
+		s.schedulers[request.Scheduler].write(
+			&protocol.Lookup{ContainerID: request.RequestID, IdempotencyKey: request.IdempotencyKey},
+		)
 	case controller.CancelRequest:
 		if request.Scheduler >= 0 {
-			s.schedulers[request.Scheduler].write(&protocol.CancelContainer{ContainerID: request.RequestID,
-				IdempotencyKey: request.IdempotencyKey})
+			s.schedulers[request.Scheduler].write(&protocol.CancelContainer{
+				ContainerID:    request.RequestID,
+				IdempotencyKey: request.IdempotencyKey,
+			})
 		}
 	}
 }
 
 func containerSpec(spec controller.Spec, requestID, idempotencyKey string) protocol.ContainerSpec {
-	return protocol.ContainerSpec{ContainerID: requestID, IdempotencyKey: idempotencyKey, Service: spec.Service,
+	return protocol.ContainerSpec{
+		ContainerID: requestID, IdempotencyKey: idempotencyKey, Service: spec.Service,
 		WorkloadClass: spec.WorkloadClass, Tenant: spec.Tenant, Cores: spec.Cores, Memory: spec.Memory,
-		ExpectedRuntime: protocol.Duration(spec.RunFor)}
+		ExpectedRuntime: protocol.Duration(spec.RunFor),
+	}
 }
--- a/internal/controller/server/jobs.go
+++ b/internal/controller/server/jobs.go
@@ -28,13 +28,13 @@
 	done   func(version int64, err error) // called once, on the loop
 }
 
-// jobDecision returns the record and the event of a change, given the job as it is (nil where there is none), or the error that
-// rejects it. A nil record deletes the job.
+// jobDecision returns the record and the event of a change, given the job as it is (nil where there is none), or the
+// error that rejects it. A nil record deletes the job.
 type jobDecision func(current *Job) (*JobRecord, controller.Event, error)
 
-// SetJob creates or changes a job and returns its version once that is on disk. A precondition above 0 is the version that the
-// job must have, 0 is none; with MustNotExist a retry of the request that created the job gets its version, and no conflict.
-// Errors are *InvalidFieldError, *ConflictError, *NotPersistedError, ErrNotFound and ErrStopped.
+// SetJob creates or changes a job and returns its version once that is on disk. A precondition above 0 is the version
+// that the job must have, 0 is none; with MustNotExist a retry of the request that created the job gets its version,
+// and no conflict. Errors are *InvalidFieldError, *ConflictError, *NotPersistedError, ErrNotFound and ErrStopped.
 func (s *Server) SetJob(job Job, precondition int64, token CreationToken) (version int64, err error) {
 	spec, err := s.specOf(&job)
 	if err != nil {
@@ -54,7 +54,8 @@
 	})
 }
 
-// DeleteJob ends a job and its containers. It returns once that is on disk; precondition and errors are as those of SetJob.
+// DeleteJob ends a job and its containers. It returns once that is on disk; precondition and errors are as those of
+// SetJob.
 func (s *Server) DeleteJob(id string, precondition int64) error {
 	_, err := s.changeJob(id, func(current *Job) (*JobRecord, controller.Event, error) {
 		if current == nil {
@@ -98,7 +99,11 @@
 		err     error
 	}
 	results := make(chan result, 1)
-	change := &jobChange{job: id, decide: decide, done: func(version int64, err error) { results <- result{version, err} }}
+	change := &jobChange{
+		job:    id,
+		decide: decide,
+		done:   func(version int64, err error) { results <- result{version, err} },
+	}
 	if !s.loop.Post(func() { s.startJobChange(change) }) {
 		return 0, ErrStopped
 	}
@@ -119,8 +124,8 @@
 	}
 }
 
-// startJobChange stores a change; once it is on disk, clients see it and the controller acts on it. A change of a job that has
-// another under way waits for it, so that each is decided on what the last one left.
+// startJobChange stores a change; once it is on disk, clients see it and the controller acts on it. A change of a job
+// that has another under way waits for it, so that each is decided on what the last one left.
 func (s *Server) startJobChange(change *jobChange) {
 	if waiting, busy := s.jobChanges[change.job]; busy {
 		s.jobChanges[change.job] = append(waiting, change)
--- a/internal/controller/server/machinelist.go
+++ b/internal/controller/server/machinelist.go
@@ -11,7 +11,8 @@
 // machineListRetryDelay passes before the machine list is dialed, or asked, again.
 const machineListRetryDelay = 500 * eventloop.Millisecond
 
-// machineListConn is the connection to the machine list, whose machines the API shows. It is dialed again whenever it is lost.
+// machineListConn is the connection to the machine list, whose machines the API shows. It is dialed again whenever it
+// is lost.
 type machineListConn struct {
 	server  *Server
 	conn    *eventloop.Conn // nil between a loss and the next dial
@@ -93,8 +94,10 @@
 }
 
 func (s *Server) machineObject(entry protocol.MachineEntry) Machine {
-	m := Machine{ID: entry.Machine, Zone: entry.Zone, State: entry.State.String(), FreeCores: entry.FreeCores,
-		FreeMemoryGiB: entry.FreeMemory, Incarnation: entry.Incarnation}
+	m := Machine{
+		ID: entry.Machine, Zone: entry.Zone, State: entry.State.String(), FreeCores: entry.FreeCores,
+		FreeMemoryGiB: entry.FreeMemory, Incarnation: entry.Incarnation,
+	}
 	if types := s.config.SchedulerConfig.MachineTypes; entry.MachineType < len(types) {
 		m.MachineType = types[entry.MachineType]
 	}
--- a/internal/controller/server/objects.go
+++ b/internal/controller/server/objects.go
@@ -16,17 +16,17 @@
 
 // Job is what a client wants to run. It is stored and sent under the names in the tags.
 type Job struct {
-	ID            string            `json:"id" cbor:"id"`
-	Labels        map[string]string `json:"labels,omitempty" cbor:"labels,omitempty"`
-	Service       string            `json:"service" cbor:"service"`
-	WorkloadClass string            `json:"workload" cbor:"workload"`
-	Tenant        string            `json:"customer,omitempty" cbor:"customer,omitempty"`
-	Cores         float64           `json:"cores" cbor:"cores"`
-	MemoryGiB     float64           `json:"memory_gib" cbor:"memory_gib"`
+	ID            string            `json:"id"                   cbor:"id"`
+	Labels        map[string]string `json:"labels,omitempty"     cbor:"labels,omitempty"`
+	Service       string            `json:"service"              cbor:"service"`
+	WorkloadClass string            `json:"workload"             cbor:"workload"`
+	Tenant        string            `json:"customer,omitempty"   cbor:"customer,omitempty"`
+	Cores         float64           `json:"cores"                cbor:"cores"`
+	MemoryGiB     float64           `json:"memory_gib"           cbor:"memory_gib"`
 	RunForMS      int64             `json:"run_for_ms,omitempty" cbor:"run_for_ms,omitempty"` // 0: until it is stopped
-	RunOnce       bool              `json:"once,omitempty" cbor:"once,omitempty"`             // a container that finished is not started again
-	Count         int               `json:"count" cbor:"count"`                               // of containers
-	Version       int64             `json:"version" cbor:"version"`
+	RunOnce       bool              `json:"once,omitempty"       cbor:"once,omitempty"`       // a container that finished is not started again
+	Count         int               `json:"count"                cbor:"count"`                // of containers
+	Version       int64             `json:"version"              cbor:"version"`
 }
 
 // Container is one container of a job.
@@ -62,9 +62,22 @@
 
 // publishContainer shows a container as the controller reports it.
 func (s *Server) publishContainer(c controller.Container) {
-	object := Container{ID: containerID(c.Job, c.Index), Job: c.Job, Index: c.Index, State: c.State.String(), Terminating: c.Terminating,
-		Machine: c.Machine, SinceMS: int64(c.Since / scheduler.Millisecond), UntilMS: int64(c.Until / scheduler.Millisecond),
-		Attempts: c.Attempts, Starts: c.Starts, LastStatus: c.LastStatus}
+	object := Container{
+		ID: containerID(
+			c.Job,
+			c.Index,
+		),
+		Job:         c.Job,
+		Index:       c.Index,
+		State:       c.State.String(),
+		Terminating: c.Terminating,
+		Machine:     c.Machine,
+		SinceMS:     int64(c.Since / scheduler.Millisecond),
+		UntilMS:     int64(c.Until / scheduler.Millisecond),
+		Attempts:    c.Attempts,
+		Starts:      c.Starts,
+		LastStatus:  c.LastStatus,
+	}
 	if c.Scheduler >= 0 {
 		object.Scheduler = s.schedulers[c.Scheduler].name
 	}
--- a/internal/controller/server/pendingreasons.go
+++ b/internal/controller/server/pendingreasons.go
@@ -13,8 +13,8 @@
 // reasonsTimeout bounds how long a client waits for reasons once the loop has begun to collect them.
 const reasonsTimeout = 5 * time.Second
 
-// PendingReasons returns the state of a container and the reasons why it does not run, for which a scheduler is asked. Their
-// times are Unix time in units of scheduler.Time. Errors are ErrNotFound and ErrStopped.
+// PendingReasons returns the state of a container and the reasons why it does not run, for which a scheduler is asked.
+// Their times are Unix time in units of scheduler.Time. Errors are ErrNotFound and ErrStopped.
 func (s *Server) PendingReasons(id string) (reasons []pending.Reason, state string, err error) {
 	type result struct {
 		reasons []pending.Reason
@@ -49,8 +49,10 @@
 
 // pendingFacts returns what is known on why a container is pending; reply is nil where no scheduler replied.
 func (s *Server) pendingFacts(c controller.Container, reply *protocol.ExplainReply) pending.Facts {
-	facts := pending.Facts{Container: c, Schedulers: len(s.schedulers), Zones: s.zones(),
-		SlowStartWindow: s.config.SchedulerConfig.Policy.SlowStartWindow}
+	facts := pending.Facts{
+		Container: c, Schedulers: len(s.schedulers), Zones: s.zones(),
+		SlowStartWindow: s.config.SchedulerConfig.Policy.SlowStartWindow,
+	}
 	for _, conn := range s.schedulers {
 		if conn.connected {
 			facts.SchedulersConnected++
@@ -65,10 +67,23 @@
 }
 
 func explanationOf(r *protocol.ExplainReply) scheduler.Explanation {
-	return scheduler.Explanation{Machines: r.Machines, Gone: r.Gone, WrongMachineType: r.WrongMachineType, Draining: r.Draining,
-		TooSmall: r.TooSmall, SelfDraining: r.SelfDraining, SpreadExhausted: r.SpreadExhausted, SlowStartExhausted: r.SlowStartExhausted,
-		Ejected: r.Ejected, Suspected: r.Suspected, InsufficientCores: r.InsufficientCores, InsufficientMemory: r.InsufficientMemory,
-		Eligible: r.Eligible, SheddingLoad: r.SheddingLoad, FullRatio: r.FullRatio}
+	return scheduler.Explanation{
+		Machines:           r.Machines,
+		Gone:               r.Gone,
+		WrongMachineType:   r.WrongMachineType,
+		Draining:           r.Draining,
+		TooSmall:           r.TooSmall,
+		SelfDraining:       r.SelfDraining,
+		SpreadExhausted:    r.SpreadExhausted,
+		SlowStartExhausted: r.SlowStartExhausted,
+		Ejected:            r.Ejected,
+		Suspected:          r.Suspected,
+		InsufficientCores:  r.InsufficientCores,
+		InsufficientMemory: r.InsufficientMemory,
+		Eligible:           r.Eligible,
+		SheddingLoad:       r.SheddingLoad,
+		FullRatio:          r.FullRatio,
+	}
 }
 
 // zones returns the zones of the listed machines in the order of their numbers.
--- a/internal/controller/server/publisher.go
+++ b/internal/controller/server/publisher.go
@@ -2,8 +2,8 @@
 
 import "glenport/internal/controller/watchcache"
 
-// publisher applies changes to the cache in the order of their versions. A change whose version is taken before it is on disk
-// holds back those behind it, so that clients see no change that is undone and no version out of order.
+// publisher applies changes to the cache in the order of their versions. A change whose version is taken before it is
+// on disk holds back those behind it, so that clients see no change that is undone and no version out of order.
 type publisher struct {
 	cache *watchcache.Cache
 	queue []*publication
--- a/internal/controller/server/publisher_test.go
+++ b/internal/controller/server/publisher_test.go
@@ -18,7 +18,8 @@
 		t.Errorf("version %d is shown before the first change is stored", v)
 	}
 	s.publisher.complete(first, false)
-	if s.Cache.Get(KindJobs, "first") != nil || s.Cache.Get(KindJobs, "second") == nil || s.Cache.Get(KindMachines, "m") == nil {
+	if s.Cache.Get(KindJobs, "first") != nil || s.Cache.Get(KindJobs, "second") == nil ||
+		s.Cache.Get(KindMachines, "m") == nil {
 		t.Error("a discarded change is shown, or one behind it is not")
 	}
 	if v := s.Cache.Version(); v != 3 {
@@ -32,20 +33,37 @@
 		return protocol.MachineEntry{Machine: id, Zone: 1, MachineType: 1, State: state}
 	}
 	shown := func(id string) bool { return s.Cache.Get(KindMachines, id) != nil }
-	s.applyMachineList(&protocol.MachineListUpdate{FullSnapshot: true,
-		Entries: []protocol.MachineEntry{entry("a", protocol.MachineServing), entry("b", protocol.MachineServing), entry("c", protocol.MachineServing)}})
-	if m := s.Cache.Get(KindMachines, "a").Value.(Machine); m.MachineType != "large" || m.Zone != 1 || m.State != "serving" {
+	s.applyMachineList(&protocol.MachineListUpdate{
+		FullSnapshot: true,
+		Entries: []protocol.MachineEntry{
+			entry("a", protocol.MachineServing),
+			entry("b", protocol.MachineServing),
+			entry("c", protocol.MachineServing),
+		},
+	})
+	if m := s.Cache.Get(KindMachines, "a").Value.(Machine); m.MachineType != "large" || m.Zone != 1 ||
+		m.State != "serving" {
 		t.Errorf("shown as %+v", m)
 	}
 	s.applyMachineList(&protocol.MachineListUpdate{
-		Entries: []protocol.MachineEntry{entry("a", protocol.MachineDraining), entry("b", protocol.MachineGone), entry("x", protocol.MachineGone)}})
+		Entries: []protocol.MachineEntry{
+			entry("a", protocol.MachineDraining),
+			entry("b", protocol.MachineGone),
+			entry("x", protocol.MachineGone),
+		},
+	})
 	if !shown("a") || shown("b") || !shown("c") || len(s.machines) != 2 {
 		t.Errorf("after an update: %v", s.machines)
 	}
 	if zones := s.zones(); len(zones) != 1 || zones[0].Name != "1" || zones[0].Machines != 2 || zones[0].Draining != 1 {
 		t.Errorf("zones %+v", zones)
 	}
-	s.applyMachineList(&protocol.MachineListUpdate{FullSnapshot: true, Entries: []protocol.MachineEntry{entry("a", protocol.MachineServing)}})
+	s.applyMachineList(
+		&protocol.MachineListUpdate{
+			FullSnapshot: true,
+			Entries:      []protocol.MachineEntry{entry("a", protocol.MachineServing)},
+		},
+	)
 	if !shown("a") || shown("c") || len(s.machines) != 1 {
 		t.Errorf("after a full snapshot: %v", s.machines)
 	}
--- a/internal/controller/server/records.go
+++ b/internal/controller/server/records.go
@@ -25,7 +25,8 @@
 	SchedulerAddress string               `cbor:"Door"`      // of the scheduler that was asked last; empty: none
 }
 
-// OrphanRecord is an orphan as the log has it: idempotent work that may run behind a scheduler whose connection was lost.
+// OrphanRecord is an orphan as the log has it: idempotent work that may run behind a scheduler whose connection was
+// lost.
 type OrphanRecord struct {
 	SchedulerAddress string `cbor:"Door"`
 	IdempotencyKey   string `cbor:"Key"`
--- a/internal/controller/server/restore.go
+++ b/internal/controller/server/restore.go
@@ -9,7 +9,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// restore reads the records of earlier processes. Jobs go into the cache with their versions; all else is for the controller.
+// restore reads the records of earlier processes. Jobs go into the cache with their versions; all else is for the
+// controller.
 func (st *stateStore) restore() (restored controller.StateRestored, err error) {
 	state := st.log.State()
 	if err := state.ForEach(RecordVersionCeiling, func(_ string, value []byte) error {
@@ -50,9 +51,12 @@
 	return jobs, err
 }
 
-// restoreContainers binds each container to the scheduler with the stored address, by its present number; to none where that
-// scheduler is no longer configured.
-func restoreContainers(state *wal.State, schedulerNumbers map[string]int) (containers []controller.Container, err error) {
+// restoreContainers binds each container to the scheduler with the stored address, by its present number; to none where
+// that scheduler is no longer configured.
+func restoreContainers(
+	state *wal.State,
+	schedulerNumbers map[string]int,
+) (containers []controller.Container, err error) {
 	err = state.ForEach(RecordContainer, func(id string, value []byte) error {
 		var record ContainerRecord
 		if err := cbor.Unmarshal(value, &record); err != nil {
--- a/internal/controller/server/schedulerconn.go
+++ b/internal/controller/server/schedulerconn.go
@@ -22,7 +22,8 @@
 	connected bool // the scheduler has sent its hello
 }
 
-// connectedScheduler returns the connection to a scheduler, or to another one where that is not connected; nil where none is.
+// connectedScheduler returns the connection to a scheduler, or to another one where that is not connected; nil where
+// none is.
 func (s *Server) connectedScheduler(preferred int) *schedulerConn {
 	if preferred >= 0 && preferred < len(s.schedulers) && s.schedulers[preferred].connected {
 		return s.schedulers[preferred]
@@ -85,11 +86,15 @@
 	case *protocol.Hello:
 		return c.handleHello(f)
 	case *protocol.PlacementReply:
-		c.addEvent(controller.PlacementAnswered{RequestID: f.ContainerID, Verdict: verdictOf(f.Verdict), Machine: f.Machine,
-			RetryAfter: scheduler.Time(f.RetryAfter), Message: f.Message})
+		c.addEvent(controller.PlacementAnswered{
+			RequestID: f.ContainerID, Verdict: verdictOf(f.Verdict), Machine: f.Machine,
+			RetryAfter: scheduler.Time(f.RetryAfter), Message: f.Message,
+		})
 	case *protocol.Termination:
-		c.addEvent(controller.ContainerEnded{RequestID: f.ContainerID, Outcome: f.Outcome.SchedulerOutcome(),
-			Reason: scheduler.Reason(f.Reason)})
+		c.addEvent(controller.ContainerEnded{
+			RequestID: f.ContainerID, Outcome: f.Outcome.SchedulerOutcome(),
+			Reason: scheduler.Reason(f.Reason),
+		})
 	case *protocol.ExplainReply:
 		c.server.explainer.finish(f.Seq, f)
 	case *protocol.Heartbeat: // the connection's own timeouts are enough
--- a/internal/controller/server/server.go
+++ b/internal/controller/server/server.go
@@ -1,9 +1,9 @@
-// Package server runs the controller as a process. It carries events and actions between the decisions of package controller,
-// the schedulers and the disk, publishes jobs, containers and machines in a watch cache, and collects the facts on why a
-// container is pending.
+// Package server runs the controller as a process. It carries events and actions between the decisions of package
+// controller, the schedulers and the disk, publishes jobs, containers and machines in a watch cache, and collects the
+// facts on why a container is pending.
 //
-// The server runs on one event loop. New, Run, Stop and the methods for clients (SetJob, DeleteJob, PendingReasons) may be
-// called from any goroutine; everything else runs on the loop.
+// The server runs on one event loop. New, Run, Stop and the methods for clients (SetJob, DeleteJob, PendingReasons) may
+// be called from any goroutine; everything else runs on the loop.
 package server
 
 import (
@@ -51,12 +51,14 @@
 	jobChanges  map[string][]*jobChange // by job with a change under way: the changes that wait for it
 }
 
-// New returns a server that publishes in cache, with the state of its folder restored. It serves once Run is called; a server
-// that is not run keeps its folder locked.
+// New returns a server that publishes in cache, with the state of its folder restored. It serves once Run is called; a
+// server that is not run keeps its folder locked.
 func New(c Config, cache *watchcache.Cache, log *slog.Logger) (*Server, error) {
-	s := &Server{Cache: cache, config: c, log: log, controller: controller.New(controllerConfig(c)),
+	s := &Server{
+		Cache: cache, config: c, log: log, controller: controller.New(controllerConfig(c)),
 		containers: map[string]controller.Container{}, machines: map[string]protocol.MachineEntry{},
-		publisher: publisher{cache: cache}, jobChanges: map[string][]*jobChange{}}
+		publisher: publisher{cache: cache}, jobChanges: map[string][]*jobChange{},
+	}
 	s.explainer = newExplainer(s)
 	var err error
 	if s.loop, err = eventloop.New(s.handleEvents); err != nil {
@@ -76,10 +78,16 @@
 }
 
 func controllerConfig(c Config) controller.Config {
-	out := controller.Config{Seed: c.Seed, FirstSequence: uint64(time.Now().UnixMicro()), SchedulerCount: len(c.Schedulers)}
+	out := controller.Config{
+		Seed:           c.Seed,
+		FirstSequence:  uint64(time.Now().UnixMicro()),
+		SchedulerCount: len(c.Schedulers),
+	}
 	for _, w := range c.SchedulerConfig.Policy.WorkloadClasses {
-		out.WorkloadClasses = append(out.WorkloadClasses, controller.WorkloadClass{Idempotency: w.Idempotency,
-			PlacementTimeout: w.PlacementTimeout, DedupWindow: w.DedupWindow})
+		out.WorkloadClasses = append(out.WorkloadClasses, controller.WorkloadClass{
+			Idempotency:      w.Idempotency,
+			PlacementTimeout: w.PlacementTimeout, DedupWindow: w.DedupWindow,
+		})
 	}
 	return out
 }
--- a/internal/controller/server/spec.go
+++ b/internal/controller/server/spec.go
@@ -27,8 +27,10 @@
 
 // specOf returns the spec of a job's containers, or an *InvalidFieldError for the first field that is not valid.
 func (s *Server) specOf(job *Job) (controller.Spec, error) {
-	spec := controller.Spec{Service: job.Service, Cores: job.Cores, Memory: job.MemoryGiB,
-		RunFor: scheduler.Time(job.RunForMS) * scheduler.Millisecond, RunOnce: job.RunOnce}
+	spec := controller.Spec{
+		Service: job.Service, Cores: job.Cores, Memory: job.MemoryGiB,
+		RunFor: scheduler.Time(job.RunForMS) * scheduler.Millisecond, RunOnce: job.RunOnce,
+	}
 	if !isValidID(job.ID) {
 		return spec, invalidField("id", "%q is not 1 to 63 of a to z, 0 to 9 and -", job.ID)
 	}
@@ -37,7 +39,12 @@
 	}
 	workloadClasses, tenants := s.config.SchedulerConfig.WorkloadClasses, s.config.SchedulerConfig.Tenants
 	if spec.WorkloadClass = slices.Index(workloadClasses, job.WorkloadClass); spec.WorkloadClass < 0 {
-		return spec, invalidField("workload", "%q is none of %s", job.WorkloadClass, strings.Join(workloadClasses, ", "))
+		return spec, invalidField(
+			"workload",
+			"%q is none of %s",
+			job.WorkloadClass,
+			strings.Join(workloadClasses, ", "),
+		)
 	}
 	spec.Tenant = len(tenants) // of no tenant
 	if job.Tenant != "" {
@@ -86,7 +93,8 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(labels)) {
 		value := labels[key]
-		if key == "" || len(key) > maxLabelLength || len(value) > maxLabelLength || strings.ContainsAny(key+value, "=,") {
+		if key == "" || len(key) > maxLabelLength || len(value) > maxLabelLength ||
+			strings.ContainsAny(key+value, "=,") {
 			return invalidField("labels", "%q: keys and values have up to 63 bytes, no = and no comma", key)
 		}
 	}
--- a/internal/controller/server/statestore.go
+++ b/internal/controller/server/statestore.go
@@ -16,7 +16,8 @@
 	storeRetryDelay    = eventloop.Second
 )
 
-// stateStore is the controller's state on disk. What is sent to schedulers and answered to clients waits until it is stored.
+// stateStore is the controller's state on disk. What is sent to schedulers and answered to clients waits until it is
+// stored.
 type stateStore struct {
 	server         *Server
 	dir            *vfs.Dir
@@ -27,8 +28,8 @@
 	retryScheduled bool
 }
 
-// openStore opens the state folder, restores what it holds and raises the version ceiling, so that this process gives out no
-// version of an earlier one.
+// openStore opens the state folder, restores what it holds and raises the version ceiling, so that this process gives
+// out no version of an earlier one.
 func (s *Server) openStore() error {
 	folder := s.config.StateDir
 	dir, err := vfs.OpenLocked(folder)
@@ -78,7 +79,8 @@
 	}
 }
 
-// persist stores changes and then calls done on the loop, at once where nothing is stored. A durable change is synced to disk.
+// persist stores changes and then calls done on the loop, at once where nothing is stored. A durable change is synced
+// to disk.
 func (s *Server) persist(changes []wal.Change, durable bool, done func(error)) {
 	if s.store == nil {
 		done(nil)
@@ -127,8 +129,8 @@
 	return changes
 }
 
-// retryLater repeats changes that the disk rejected: the controller has moved on, and the log has to follow. A job whose change
-// was not stored was not changed, so that is not repeated.
+// retryLater repeats changes that the disk rejected: the controller has moved on, and the log has to follow. A job
+// whose change was not stored was not changed, so that is not repeated.
 func (st *stateStore) retryLater(changes []wal.Change) {
 	for _, c := range changes {
 		if _, newer := st.unwritten[recordID(c)]; c.Kind != RecordJob && !newer {
--- a/internal/controller/server/statestore_test.go
+++ b/internal/controller/server/statestore_test.go
@@ -15,9 +15,15 @@
 	change := func(kind, key, value string) wal.Change {
 		return wal.Change{Kind: kind, Key: key, Value: []byte(value)}
 	}
-	st.retryLater([]wal.Change{change(RecordOrphan, "o", "1"), change(RecordContainer, "b", "1"), change(RecordJob, "j", "1")})
+	st.retryLater(
+		[]wal.Change{change(RecordOrphan, "o", "1"), change(RecordContainer, "b", "1"), change(RecordJob, "j", "1")},
+	)
 	st.retryLater([]wal.Change{change(RecordContainer, "b", "older"), change(RecordContainer, "a", "1")})
-	want := []wal.Change{change(RecordContainer, "a", "1"), change(RecordContainer, "b", "1"), change(RecordOrphan, "o", "1")}
+	want := []wal.Change{
+		change(RecordContainer, "a", "1"),
+		change(RecordContainer, "b", "1"),
+		change(RecordOrphan, "o", "1"),
+	}
 	if got := st.takeUnwritten(); !reflect.DeepEqual(got, want) {
 		t.Errorf("repeated %v, want %v", got, want)
 	}
@@ -33,7 +39,8 @@
 		t.Fatalf("%d events, want one", len(s.events))
 	}
 	answer, ok := s.events[0].(controller.PlacementAnswered)
-	if !ok || answer.RequestID != "reports/0#1" || answer.Verdict != controller.VerdictRefused || answer.RetryAfter == 0 {
+	if !ok || answer.RequestID != "reports/0#1" || answer.Verdict != controller.VerdictRefused ||
+		answer.RetryAfter == 0 {
 		t.Errorf("the controller gets %+v, want its request back as refused", s.events[0])
 	}
 }
@@ -57,7 +64,8 @@
 		t.Fatal("decided while another change is under way")
 	}
 	s.startWaitingChanges("reports")
-	if len(decidedOn) != 2 || decidedOn[0] != nil || decidedOn[1] == nil || decidedOn[1].Version != 1 || len(s.events) != 2 {
+	if len(decidedOn) != 2 || decidedOn[0] != nil || decidedOn[1] == nil || decidedOn[1].Version != 1 ||
+		len(s.events) != 2 {
 		t.Errorf("decided on %v with %d events, want the second change to see the first", decidedOn, len(s.events))
 	}
 	if _, busy := s.jobChanges["reports"]; busy {
--- a/internal/controller/singlecopy_test.go
+++ b/internal/controller/singlecopy_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever happens, work that is not idempotent has one copy at most. Once faults end every wanted container runs, no other
-// does, and the controller's tables are emptied with the last job.
+// Whatever happens, work that is not idempotent has one copy at most. Once faults end every wanted container runs, no
+// other does, and the controller's tables are emptied with the last job.
 func TestNonIdempotentWorkHasOneCopy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newSingleCopyModel(t)
@@ -48,8 +48,8 @@
 	incarnation int // of the scheduler
 }
 
-// singleCopyModel is a controller with schedulers that answer late and in all ways, lose their connection and start what was sent
-// to them after it.
+// singleCopyModel is a controller with schedulers that answer late and in all ways, lose their connection and start
+// what was sent to them after it.
 type singleCopyModel struct {
 	t *rapid.T
 	testClock
@@ -65,8 +65,10 @@
 
 func newSingleCopyModel(t *rapid.T) *singleCopyModel {
 	idempotency := scheduler.Idempotency(rapid.IntRange(1, 2).Draw(t, "idempotency"))
-	return &singleCopyModel{t: t, controller: New(testConfig(idempotency)), copies: map[string]int{}, running: map[string]string{},
-		runsAt: map[string]int{}, lookups: map[string]bool{}}
+	return &singleCopyModel{
+		t: t, controller: New(testConfig(idempotency)), copies: map[string]int{}, running: map[string]string{},
+		runsAt: map[string]int{}, lookups: map[string]bool{},
+	}
 }
 
 // containerOf is the job/index of a key.
@@ -110,7 +112,8 @@
 	delete(m.running, key)
 }
 
-// cancel is a scheduler's answer to a cancel: the end of what runs, or of the request that is open, or that it is not sure.
+// cancel is a scheduler's answer to a cancel: the end of what runs, or of the request that is open, or that it is not
+// sure.
 func (m *singleCopyModel) cancel(a CancelRequest) {
 	if !m.connected[a.Scheduler] {
 		return
@@ -183,7 +186,8 @@
 // lookupVerdict is the answer about a key under which nothing runs now.
 func (m *singleCopyModel) lookupVerdict(lookup modelRequest) Verdict {
 	for _, r := range m.requests {
-		if r.IdempotencyKey == lookup.IdempotencyKey && !m.lookups[r.RequestID] && m.now-r.sentAt < testPlacementTimeout {
+		if r.IdempotencyKey == lookup.IdempotencyKey && !m.lookups[r.RequestID] &&
+			m.now-r.sentAt < testPlacementTimeout {
 			return VerdictRefused
 		}
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -50,8 +50,8 @@
 	return status
 }
 
-// outcomeStatus is the status after the end of a container. The texts of outcome and reason are joined as they are: a reason is
-// expected with OutcomeLost alone, which has no text here.
+// outcomeStatus is the status after the end of a container. The texts of outcome and reason are joined as they are: a
+// reason is expected with OutcomeLost alone, which has no text here.
 func outcomeStatus(e ContainerEnded) string {
 	var outcome, reason string
 	switch e.Outcome {
--- a/internal/controller/timers.go
+++ b/internal/controller/timers.go
@@ -44,7 +44,8 @@
 	return last
 }
 
-// setTimer makes the next step of a replica due after a delay, at least one unit of time from now. Earlier timers of it are void.
+// setTimer makes the next step of a replica due after a delay, at least one unit of time from now. Earlier timers of it
+// are void.
 func (c *Controller) setTimer(r *replica, delay scheduler.Time) {
 	r.Until = 0
 	r.timerGeneration++
--- a/internal/controller/watchcache/watchcache.go
+++ b/internal/controller/watchcache/watchcache.go
@@ -1,11 +1,12 @@
 // Package watchcache holds versioned objects by kind and ID, and streams their changes to watchers.
 //
-// Every change has a version, larger than those before it over all kinds. A client lists objects together with the version
-// as of which the list holds, and watches from there: no change is missed and none is sent twice. The last changes are kept
-// for watches that resume; a watch from an older version gets ErrCompacted, and its client lists again.
+// Every change has a version, larger than those before it over all kinds. A client lists objects together with the
+// version as of which the list holds, and watches from there: no change is missed and none is sent twice. The last
+// changes are kept for watches that resume; a watch from an older version gets ErrCompacted, and its client lists
+// again.
 //
-// All methods may be called from any goroutine. A list works on a snapshot, so a long one blocks no change; a watcher that
-// does not keep up is dropped, so that it never blocks a change either.
+// All methods may be called from any goroutine. A list works on a snapshot, so a long one blocks no change; a watcher
+// that does not keep up is dropped, so that it never blocks a change either.
 package watchcache
 
 import (
@@ -15,7 +16,8 @@
 	"github.com/tidwall/btree"
 )
 
-// ErrCompacted is returned for a watch from a version whose later changes are no longer known: the client has to list again.
+// ErrCompacted is returned for a watch from a version whose later changes are no longer known: the client has to list
+// again.
 var ErrCompacted = errors.New("changes from that version on are no longer kept: list again")
 
 // Object is one version of an object. It is immutable once it is in the cache.
@@ -29,8 +31,8 @@
 	watchEvent []byte
 }
 
-// WatchEvent returns the encoded form of the change that led to this version. It is encoded once for all watchers and must
-// not be modified.
+// WatchEvent returns the encoded form of the change that led to this version. It is encoded once for all watchers and
+// must not be modified.
 func (o *Object) WatchEvent() []byte { return o.watchEvent }
 
 // Cache is a set of objects with the history of their last changes.
@@ -51,16 +53,16 @@
 	return &Cache{encode: encode, objects: map[string]*btree.Map[string, *Object]{}, watchers: map[*Watcher]bool{}}
 }
 
-// StartAfter makes versions begin above the given one, which an earlier process may have given out. Changes up to it count
-// as compacted. It is called before any change.
+// StartAfter makes versions begin above the given one, which an earlier process may have given out. Changes up to it
+// count as compacted. It is called before any change.
 func (c *Cache) StartAfter(version int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.version, c.lastReserved, c.history.compacted = version, version, version
 }
 
-// ReserveVersion returns the next version, for a change that is applied later. Changes are applied in the order of their
-// versions; one that is never applied leaves a gap.
+// ReserveVersion returns the next version, for a change that is applied later. Changes are applied in the order of
+// their versions; one that is never applied leaves a gap.
 func (c *Cache) ReserveVersion() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,8 +84,8 @@
 	return c.version
 }
 
-// Apply makes a change whose version was reserved. Before any other change, an object of an earlier process may be restored
-// with the version that it had there.
+// Apply makes a change whose version was reserved. Before any other change, an object of an earlier process may be
+// restored with the version that it had there.
 func (c *Cache) Apply(version int64, kind, id string, value any, deleted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,9 +150,13 @@
 	return nil
 }
 
-// List returns up to limit objects of a kind that match, in the order of their IDs, beginning behind the ID after. It also
-// returns the version as of which the list holds, and whether more objects match.
-func (c *Cache) List(kind, after string, limit int, match func(*Object) bool) (list []*Object, version int64, more bool) {
+// List returns up to limit objects of a kind that match, in the order of their IDs, beginning behind the ID after. It
+// also returns the version as of which the list holds, and whether more objects match.
+func (c *Cache) List(
+	kind, after string,
+	limit int,
+	match func(*Object) bool,
+) (list []*Object, version int64, more bool) {
 	objects, version := c.snapshot(kind)
 	if objects == nil {
 		return nil, version, false
--- a/internal/controller/watchcache/watcher.go
+++ b/internal/controller/watchcache/watcher.go
@@ -13,8 +13,8 @@
 	startVersion int64
 }
 
-// Watch sends the changes of the kinds after a version, those that are in the history first. It returns ErrCompacted for a
-// version that is older than the history or that has not been given out. The caller closes the watcher.
+// Watch sends the changes of the kinds after a version, those that are in the history first. It returns ErrCompacted
+// for a version that is older than the history or that has not been given out. The caller closes the watcher.
 func (c *Cache) Watch(after int64, kinds ...string) (*Watcher, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -22,7 +22,12 @@
 		return nil, ErrCompacted
 	}
 	missed := c.history.since(after)
-	w := &Watcher{Changes: make(chan *Object, watcherBuffer+len(missed)), cache: c, kinds: map[string]bool{}, startVersion: after}
+	w := &Watcher{
+		Changes:      make(chan *Object, watcherBuffer+len(missed)),
+		cache:        c,
+		kinds:        map[string]bool{},
+		startVersion: after,
+	}
 	for _, kind := range kinds {
 		w.kinds[kind] = true
 	}
