--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -15,8 +15,9 @@
 	Opened(c *Conn)
 	// Read is called with bytes received, in order. They are valid only until it returns.
 	Read(c *Conn, p []byte)
-	// Closed is called exactly once, and nothing is called after it. The reason is io.EOF where the peer closed its side,
-	// else it wraps one of the errors of this package. Output may still be flushed to a peer that closed its side only.
+	// Closed is called exactly once, and nothing is called after it. The reason is io.EOF where the peer closed its
+	// side, else it wraps one of the errors of this package. Output may still be flushed to a peer that closed its side
+	// only.
 	Closed(c *Conn, reason error)
 }
 
@@ -44,9 +45,9 @@
 	bytesWritten  int
 }
 
-// Write queues all of p to be written at the end of the iteration, or nothing: it returns ErrOutputFull where the limit of
-// pending output would be exceeded, ErrClosed after Close, Reset or CloseWrite and once the connection has ended. p is
-// copied.
+// Write queues all of p to be written at the end of the iteration, or nothing: it returns ErrOutputFull where the limit
+// of pending output would be exceeded, ErrClosed after Close, Reset or CloseWrite and once the connection has ended. p
+// is copied.
 func (c *Conn) Write(p []byte) error {
 	if c.closed || c.closeReason != nil || c.writeClosed {
 		return ErrClosed
@@ -77,11 +78,12 @@
 }
 
 // Close ends the connection with ErrClosed once its pending output is written, at the latest after two seconds. Without
-// pending output, and before the connection is established, it ends at once and the handler is notified before Close returns.
+// pending output, and before the connection is established, it ends at once and the handler is notified before Close
+// returns.
 func (c *Conn) Close() { c.closeAfterFlush(ErrClosed) }
 
-// Reset ends the connection with ErrClosed and drops its pending output; the peer receives a reset. The handler is notified
-// before Reset returns.
+// Reset ends the connection with ErrClosed and drops its pending output; the peer receives a reset. The handler is
+// notified before Reset returns.
 func (c *Conn) Reset() {
 	if c.fd >= 0 && !c.closed {
 		// Where the option is refused, the peer receives an orderly end in place of a reset.
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -112,7 +112,12 @@
 	do(l, func() { check(t, c.Write(make([]byte, size))) })
 	do(l, func() { // in the iteration after the flush
 		if _, written := c.BytesTransferred(); !c.WriteBlocked() || written+c.PendingOutput() != size {
-			t.Errorf("write blocked %t with %d bytes written and %d pending", c.WriteBlocked(), written, c.PendingOutput())
+			t.Errorf(
+				"write blocked %t with %d bytes written and %d pending",
+				c.WriteBlocked(),
+				written,
+				c.PendingOutput(),
+			)
 		}
 	})
 	if n, err := io.ReadFull(peer, make([]byte, size)); err != nil {
@@ -170,7 +175,13 @@
 			closedByEOF(t, handler.probe)
 			do(l, func() {
 				if read != tc.sent || first != last {
-					t.Errorf("%d of %d bytes were read, first in iteration %d, closed in iteration %d", read, tc.sent, first, last)
+					t.Errorf(
+						"%d of %d bytes were read, first in iteration %d, closed in iteration %d",
+						read,
+						tc.sent,
+						first,
+						last,
+					)
 				}
 			})
 		})
--- a/internal/eventloop/connio.go
+++ b/internal/eventloop/connio.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// maxDrainReads bounds the reads in a row from a peer that has hung up; with readBufferSize it is more than the kernel
-	// holds of what the peer sent before.
+	// maxDrainReads bounds the reads in a row from a peer that has hung up; with readBufferSize it is more than the
+	// kernel holds of what the peer sent before.
 	maxDrainReads = 128
 
 	hangUpEvents = unix.EPOLLRDHUP | unix.EPOLLHUP | unix.EPOLLERR
 	failEvents   = unix.EPOLLHUP | unix.EPOLLERR
 )
 
-// updateEvents has epoll watch for what the state of the connection allows: input unless paused, the peer's hang-up unless
-// the connection is closing, room for output while writing is blocked.
+// updateEvents has epoll watch for what the state of the connection allows: input unless paused, the peer's hang-up
+// unless the connection is closing, room for output while writing is blocked.
 func (c *Conn) updateEvents() {
 	events := uint32(unix.EPOLLIN | unix.EPOLLRDHUP)
 	if c.closeReason != nil {
@@ -132,7 +132,8 @@
 	return true
 }
 
-// shutdownWrite ends the write side. It fails only where the peer has reset the connection, which the next event reports.
+// shutdownWrite ends the write side. It fails only where the peer has reset the connection, which the next event
+// reports.
 func (c *Conn) shutdownWrite() { _ = unix.Shutdown(c.fd, unix.SHUT_WR) }
 
 // drainInput ends the write side and drops unread input: closing a socket with unread input sends a reset, by which the
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -9,14 +9,21 @@
 )
 
 // Dial begins to connect to addr, an IP address and port. The handler is notified by Opened, or by Closed with
-// ErrConnectFailed or ErrLocalResources, never before Dial has returned. maxOutput limits the pending output in bytes; the
-// connection fails unless it is established within timeout ticks.
+// ErrConnectFailed or ErrLocalResources, never before Dial has returned. maxOutput limits the pending output in bytes;
+// the connection fails unless it is established within timeout ticks.
 func (l *Loop) Dial(addr string, handler Handler, maxOutput int, timeout Tick) *Conn {
 	return l.DialWithControl(addr, handler, maxOutput, timeout, nil)
 }
 
-// DialWithControl is Dial with a function that prepares the socket before it connects; an error of it fails the connection.
-func (l *Loop) DialWithControl(addr string, handler Handler, maxOutput int, timeout Tick, control func(fd int) error) *Conn {
+// DialWithControl is Dial with a function that prepares the socket before it connects; an error of it fails the
+// connection.
+func (l *Loop) DialWithControl(
+	addr string,
+	handler Handler,
+	maxOutput int,
+	timeout Tick,
+	control func(fd int) error,
+) *Conn {
 	conn := &Conn{loop: l, fd: -1, handler: handler, maxOutput: maxOutput}
 	l.countConn()
 	if err := conn.connect(addr, timeout, control); err != nil {
@@ -66,8 +73,8 @@
 	return c.loop.register(fd, unix.EPOLLOUT, c)
 }
 
-// finishConnect takes the result of the handshake and notifies the handler. Output written meanwhile follows in the flush
-// of this iteration.
+// finishConnect takes the result of the handshake and notifies the handler. Output written meanwhile follows in the
+// flush of this iteration.
 func (c *Conn) finishConnect() {
 	c.loop.Cancel(c.connectTimer)
 	c.connectTimer = nil
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// fullBacklog is the address of a listener whose accept queue is full, so that the kernel answers no further connection.
+// fullBacklog is the address of a listener whose accept queue is full, so that the kernel answers no further
+// connection.
 func fullBacklog(t *testing.T, l *Loop) string {
 	t.Helper()
 	fd := newSocket(t)
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -1,17 +1,18 @@
-// Package eventloop is a single-threaded event loop on epoll: TCP connections, listeners, timers and callbacks posted by
-// other goroutines, all served by the goroutine that calls Loop.Run. It moves bytes and keeps time; it decides nothing.
+// Package eventloop is a single-threaded event loop on epoll: TCP connections, listeners, timers and callbacks posted
+// by other goroutines, all served by the goroutine that calls Loop.Run. It moves bytes and keeps time; it decides
+// nothing.
 //
 // # Order within an iteration
 //
-// An iteration waits for events, reads the clock once, and then runs, in this order: the callbacks that were posted, the
-// sockets that are ready, the timers that have expired, the iteration callback given to New, the writes of connections
-// with output, and the callback set by Loop.OnFlushed. Fairness: in one iteration a connection is read at most once and
-// written at most once, whatever it has waiting; only a peer that has hung up is read to its end.
+// An iteration waits for events, reads the clock once, and then runs, in this order: the callbacks that were posted,
+// the sockets that are ready, the timers that have expired, the iteration callback given to New, the writes of
+// connections with output, and the callback set by Loop.OnFlushed. Fairness: in one iteration a connection is read at
+// most once and written at most once, whatever it has waiting; only a peer that has hung up is read to its end.
 //
 // # Threads
 //
-// Loop.Post and Loop.Stop may be called from any goroutine. All else, including every method of Conn and Listener, may be
-// called only on the loop's goroutine: from a callback, or before Run begins.
+// Loop.Post and Loop.Stop may be called from any goroutine. All else, including every method of Conn and Listener, may
+// be called only on the loop's goroutine: from a callback, or before Run begins.
 //
 // # Units
 //
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -6,15 +6,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Reasons for which a connection ends, as given to Handler.Closed, and for which a call is refused. They come wrapped with
-// the cause; test for them with errors.Is. A peer that closes its side in order is reported as io.EOF.
+// Reasons for which a connection ends, as given to Handler.Closed, and for which a call is refused. They come wrapped
+// with the cause; test for them with errors.Is. A peer that closes its side in order is reported as io.EOF.
 var (
 	// ErrConnectFailed means that the connection was never established: refused, timed out, or the address is invalid.
 	// Nothing was sent.
 	ErrConnectFailed = errors.New("connect failed")
 
-	// ErrLocalResources means that this process lacks descriptors, memory or ports for the connection. Nothing was sent,
-	// and nothing follows about the peer.
+	// ErrLocalResources means that this process lacks descriptors, memory or ports for the connection. Nothing was
+	// sent, and nothing follows about the peer.
 	ErrLocalResources = errors.New("local resources exhausted")
 
 	// ErrReset means that reading or writing failed. Whether the peer received what was written is unknown.
@@ -33,7 +33,8 @@
 	ErrMD5Unavailable = errors.New("TCP MD5 signatures unavailable")
 )
 
-// isLocalResourceError reports whether an error is due to a shortage on this side, so that it says nothing about the peer.
+// isLocalResourceError reports whether an error is due to a shortage on this side, so that it says nothing about the
+// peer.
 func isLocalResourceError(err error) bool {
 	for _, shortage := range []unix.Errno{
 		unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EAGAIN, unix.EADDRNOTAVAIL,
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -164,7 +164,8 @@
 	check(t, syscall.Connect(fd, &syscall.SockaddrInet4{Port: to.Port, Addr: [4]byte{127, 0, 0, 1}}))
 }
 
-// exhaustDescriptors lowers the limit of the process to the descriptors in use, until restore is called or the test ends.
+// exhaustDescriptors lowers the limit of the process to the descriptors in use, until restore is called or the test
+// ends.
 func exhaustDescriptors(t *testing.T) (restore func()) {
 	t.Helper()
 	var before syscall.Rlimit
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -12,8 +12,8 @@
 const (
 	listenBacklog = 1024
 
-	// maxAcceptsPerIteration bounds the accepts in a row: connections that an accept callback evicts to make room free their
-	// descriptors only at the end of the iteration.
+	// maxAcceptsPerIteration bounds the accepts in a row: connections that an accept callback evicts to make room free
+	// their descriptors only at the end of the iteration.
 	maxAcceptsPerIteration = 8
 )
 
@@ -28,9 +28,10 @@
 	closed        bool
 }
 
-// Listen opens a listener on addr, an IP address and port; port 0 lets the kernel choose. For each connection, accept gives
-// its handler and the limit of its pending output in bytes, or a nil handler to close it without notice. onAcceptState is called
-// with the error when connections cannot be accepted, and with nil when they are again, once per change.
+// Listen opens a listener on addr, an IP address and port; port 0 lets the kernel choose. For each connection, accept
+// gives its handler and the limit of its pending output in bytes, or a nil handler to close it without notice.
+// onAcceptState is called with the error when connections cannot be accepted, and with nil when they are again, once
+// per change.
 func (l *Loop) Listen(addr string, accept func() (Handler, int), onAcceptState func(error)) (*Listener, error) {
 	address, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -72,8 +73,8 @@
 // Addr is the address that the listener is bound to.
 func (ln *Listener) Addr() netip.AddrPort { return ln.addr }
 
-// Close stops accepting and closes the descriptor at once. Connections accepted before are not affected. Closing twice has
-// no effect.
+// Close stops accepting and closes the descriptor at once. Connections accepted before are not affected. Closing twice
+// has no effect.
 func (ln *Listener) Close() {
 	if !ln.closed {
 		ln.closed = true
@@ -128,8 +129,8 @@
 	}
 }
 
-// AcceptStateLogger gives a callback for Listen that logs when connections of the named group of peers cannot be accepted,
-// and when they are accepted again.
+// AcceptStateLogger gives a callback for Listen that logs when connections of the named group of peers cannot be
+// accepted, and when they are accepted again.
 func (l *Loop) AcceptStateLogger(log *slog.Logger, peers string) func(error) {
 	return func(err error) {
 		if err != nil {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -45,8 +45,8 @@
 	stopped       bool
 }
 
-// New creates a loop whose Run calls onIteration once in every iteration, after sockets and timers and before the writes.
-// It fails where epoll or eventfd descriptors cannot be created.
+// New creates a loop whose Run calls onIteration once in every iteration, after sockets and timers and before the
+// writes. It fails where epoll or eventfd descriptors cannot be created.
 func New(onIteration func()) (*Loop, error) {
 	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -79,8 +79,8 @@
 	return l, nil
 }
 
-// Run serves until Stop, or until StopWhenIdle finds nothing left, and returns nil then; an error means that waiting for
-// events failed. It closes every connection and listener before it returns. It is called once.
+// Run serves until Stop, or until StopWhenIdle finds nothing left, and returns nil then; an error means that waiting
+// for events failed. It closes every connection and listener before it returns. It is called once.
 func (l *Loop) Run() error {
 	defer l.shutdown()
 	for l.onIteration != nil {
@@ -116,8 +116,8 @@
 	l.busy += time.Since(l.started) - began
 }
 
-// flushConns writes the output of queued connections. A connection that closes while the queue is worked off is appended
-// to it, and released by the same call.
+// flushConns writes the output of queued connections. A connection that closes while the queue is worked off is
+// appended to it, and released by the same call.
 func (l *Loop) flushConns() {
 	for i := 0; i < len(l.flushQueue); i++ {
 		c := l.flushQueue[i]
@@ -137,12 +137,12 @@
 // SkipWait makes the next iteration begin without waiting for an event.
 func (l *Loop) SkipWait() { l.skipWait = true }
 
-// StopWhenIdle ends Run after this iteration if no event has arrived by then. Else one more iteration handles what arrived,
-// and may call StopWhenIdle again. So nothing that a peer had written is left unhandled.
+// StopWhenIdle ends Run after this iteration if no event has arrived by then. Else one more iteration handles what
+// arrived, and may call StopWhenIdle again. So nothing that a peer had written is left unhandled.
 func (l *Loop) StopWhenIdle() { l.stopWhenIdle = true }
 
-// shutdown ends Run: what can be written at once is written, handlers are notified with ErrClosed, and every descriptor is
-// closed.
+// shutdown ends Run: what can be written at once is written, handlers are notified with ErrClosed, and every descriptor
+// is closed.
 func (l *Loop) shutdown() {
 	l.refusePosts()
 	for _, source := range l.sources {
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// callbackOrder is what a scripted exchange must lead to, one iteration of the loop a paragraph. Within an iteration the
-// order is: posted callbacks as posted, sockets as they became ready, timers by expiry, onIteration,
-// connections that close at the flush as they were queued, onFlushed. Reset notifies its handler before it returns.
+// callbackOrder is what a scripted exchange must lead to, one iteration of the loop a paragraph. Within an iteration
+// the order is: posted callbacks as posted, sockets as they became ready, timers by expiry, onIteration, connections
+// that close at the flush as they were queued, onFlushed. Reset notifies its handler before it returns.
 const callbackOrder = `
 posted before Run
 iteration
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -8,8 +8,8 @@
 
 // eventSource is the owner of a descriptor that epoll watches.
 //
-// A connection's descriptor is closed only by the flush at the end of an iteration, so that events of this iteration that
-// are yet to be dispatched never reach another owner of the same descriptor number.
+// A connection's descriptor is closed only by the flush at the end of an iteration, so that events of this iteration
+// that are yet to be dispatched never reach another owner of the same descriptor number.
 type eventSource interface {
 	// handleEvents reacts to epoll events of the descriptor.
 	handleEvents(events uint32)
@@ -41,8 +41,8 @@
 
 // setEvents replaces the events for which a registered descriptor is watched.
 func (l *Loop) setEvents(fd int, events uint32) {
-	// Modifying an entry fails only where the descriptor is not registered. Connections call this only while it is; a listener
-	// that was closed by its own callback may call it once more, to no effect.
+	// Modifying an entry fails only where the descriptor is not registered. Connections call this only while it is; a
+	// listener that was closed by its own callback may call it once more, to no effect.
 	_ = unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_MOD, fd, epollEvent(fd, events))
 }
 
@@ -50,8 +50,8 @@
 	return &unix.EpollEvent{Events: events, Fd: int32(fd)}
 }
 
-// dispatch hands the first ready entries of events to the owners of their descriptors. The wakeup descriptor has no owner:
-// runPosted empties it.
+// dispatch hands the first ready entries of events to the owners of their descriptors. The wakeup descriptor has no
+// owner: runPosted empties it.
 func (l *Loop) dispatch(ready int) {
 	for i := range ready {
 		if source := l.sources[int(l.events[i].Fd)]; source != nil {
@@ -68,6 +68,6 @@
 	}
 }
 
-// closeFD closes a descriptor. Linux releases it even where close reports an error, and no retry is allowed, so there is
-// nothing to do about one.
+// closeFD closes a descriptor. Linux releases it even where close reports an error, and no retry is allowed, so there
+// is nothing to do about one.
 func closeFD(fd int) { _ = unix.Close(fd) }
--- a/internal/eventloop/shortage.go
+++ b/internal/eventloop/shortage.go
@@ -14,8 +14,8 @@
 }
 
 // handleAcceptError reports that accepting failed. A connection left in the accept queue would have epoll report the
-// listener again and again, so the loop would spin: for want of descriptors one connection is refused by means of the spare
-// one, and where that cannot be done the listener is not watched for acceptRetryDelay.
+// listener again and again, so the loop would spin: for want of descriptors one connection is refused by means of the
+// spare one, and where that cannot be done the listener is not watched for acceptRetryDelay.
 func (ln *Listener) handleAcceptError(err error) {
 	ln.reportAcceptState(err)
 	if !isDescriptorShortage(err) {
@@ -26,7 +26,8 @@
 		ln.refuseOne()
 		return
 	}
-	// Where a spare descriptor can be opened by now, there was one for the connection too: the next iteration accepts it.
+	// Where a spare descriptor can be opened by now, there was one for the connection too: the next iteration accepts
+	// it.
 	if ln.loop.openSpare(); ln.loop.spareFD < 0 {
 		ln.pause()
 	}
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// setNoDelay has the kernel send small writes at once. Where the option is refused the connection works all the same, with
-// more delay.
+// setNoDelay has the kernel send small writes at once. Where the option is refused the connection works all the same,
+// with more delay.
 func setNoDelay(fd int) { _ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) }
 
 // socketError takes the pending error of a socket; nil means that there is none.
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -3,8 +3,8 @@
 import "time"
 
 // After schedules a callback to run once, delay ticks after Now, with the timers of the first iteration at that time or
-// later, and never before After has returned. Where the delay is not positive, that is this iteration if its timers have not
-// run yet, else the next one.
+// later, and never before After has returned. Where the delay is not positive, that is this iteration if its timers
+// have not run yet, else the next one.
 func (l *Loop) After(delay Tick, callback func()) *Timer {
 	return l.wheel.Schedule(l.now+delay, callback)
 }
@@ -20,8 +20,8 @@
 	return l.base + Tick(time.Since(l.started).Microseconds()/microsecondsPerTick)
 }
 
-// waitTimeout is how long to wait for events, in milliseconds; -1 means without limit. It is rounded up: a timer may run up
-// to a millisecond late, never early.
+// waitTimeout is how long to wait for events, in milliseconds; -1 means without limit. It is rounded up: a timer may
+// run up to a millisecond late, never early.
 func (l *Loop) waitTimeout() int {
 	if l.skipWait || l.stopWhenIdle {
 		return 0
--- a/internal/eventloop/wakeup.go
+++ b/internal/eventloop/wakeup.go
@@ -2,9 +2,9 @@
 
 import "golang.org/x/sys/unix"
 
-// Post queues a callback to run on the loop's goroutine at the start of the next iteration, in the order of the calls. It
-// reports whether the callback was queued: false once Run has ended; what is queued then is dropped. Any goroutine may call
-// it.
+// Post queues a callback to run on the loop's goroutine at the start of the next iteration, in the order of the calls.
+// It reports whether the callback was queued: false once Run has ended; what is queued then is dropped. Any goroutine
+// may call it.
 func (l *Loop) Post(callback func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -21,8 +21,8 @@
 	return true
 }
 
-// Stop ends Run after the iteration that handles the call; what was written until then is flushed once more. Any goroutine
-// may call it.
+// Stop ends Run after the iteration that handles the call; what was written until then is flushed once more. Any
+// goroutine may call it.
 func (l *Loop) Stop() {
 	l.Post(func() { l.onIteration = nil })
 }
@@ -48,8 +48,8 @@
 	return posted
 }
 
-// refusePosts drops what is queued and has Post refuse more. After it the wakeup descriptor is no longer written and may
-// be closed.
+// refusePosts drops what is queued and has Post refuse more. After it the wakeup descriptor is no longer written and
+// may be closed.
 func (l *Loop) refusePosts() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/eventloop/wheel.go
+++ b/internal/eventloop/wheel.go
@@ -33,8 +33,8 @@
 }
 
 // TimerWheel is a hierarchical timing wheel: each level holds 64 slots, and each slot of a level spans all of the level
-// below. Scheduling and cancelling take constant time; a timer moves down at most once a level. It is not safe for use by
-// several goroutines.
+// below. Scheduling and cancelling take constant time; a timer moves down at most once a level. It is not safe for use
+// by several goroutines.
 type TimerWheel struct {
 	now      Tick
 	size     int
@@ -56,8 +56,8 @@
 // Len is the number of timers scheduled and not yet run or cancelled.
 func (w *TimerWheel) Len() int { return w.size }
 
-// Schedule has a callback run by the first Advance to the time at or later, never by one that is under way. A time further
-// away than half the wheel's span, some six years, is brought forward to that.
+// Schedule has a callback run by the first Advance to the time at or later, never by one that is under way. A time
+// further away than half the wheel's span, some six years, is brought forward to that.
 func (w *TimerWheel) Schedule(at Tick, callback func()) *Timer {
 	expiry := min(max(at, w.now+1), w.now+maxSpan/2)
 	timer := &Timer{expiry: expiry, callback: callback}
@@ -133,9 +133,9 @@
 	return begin, s != nil
 }
 
-// Advance moves the wheel on to now and runs the callbacks that have expired, by expiry. Those of one tick run in an order
-// that depends only on the calls before: as scheduled, reversed by each move to a lower level. The callbacks may schedule
-// and cancel timers.
+// Advance moves the wheel on to now and runs the callbacks that have expired, by expiry. Those of one tick run in an
+// order that depends only on the calls before: as scheduled, reversed by each move to a lower level. The callbacks may
+// schedule and cancel timers.
 func (w *TimerWheel) Advance(now Tick) {
 	for {
 		s, begin := w.earliestSlot()
@@ -148,8 +148,8 @@
 	}
 }
 
-// takeExpired empties a slot that has begun: timers that expire later move to lower levels, the others are returned. The
-// slot is empty before the first callback runs, as callbacks may schedule timers into it.
+// takeExpired empties a slot that has begun: timers that expire later move to lower levels, the others are returned.
+// The slot is empty before the first callback runs, as callbacks may schedule timers into it.
 func (w *TimerWheel) takeExpired(s *slot) []*Timer {
 	var expired []*Timer
 	for t := s.first; t != nil; t = s.first {
@@ -164,8 +164,8 @@
 	return expired
 }
 
-// runExpired runs the callbacks of timers taken from a slot, the last one first, as a slot's list begins with the timer that
-// was inserted last. A timer that an earlier callback cancels does not run.
+// runExpired runs the callbacks of timers taken from a slot, the last one first, as a slot's list begins with the timer
+// that was inserted last. A timer that an earlier callback cancels does not run.
 func (w *TimerWheel) runExpired(expired []*Timer) {
 	for i := len(expired) - 1; i >= 0; i-- {
 		t := expired[i]
--- a/internal/eventloop/wheel_golden_test.go
+++ b/internal/eventloop/wheel_golden_test.go
@@ -11,8 +11,8 @@
 // expiryOrderDigest was recorded before the wheel's code was divided into smaller functions.
 const expiryOrderDigest = "85e9d97acd14c599e427d5b4724296c8c7a8fcbd5f3970036198dad6f1d4679e"
 
-// Timers of one tick run in an order that callers may not rely on, but that must be the same in every run of one history:
-// seeded runs of the whole scheduler repeat to the digit only then.
+// Timers of one tick run in an order that callers may not rely on, but that must be the same in every run of one
+// history: seeded runs of the whole scheduler repeat to the digit only then.
 func TestExpiryOrderIsTheRecordedOne(t *testing.T) {
 	digest, ran := sha256.New(), 0
 	note := func(values ...int64) {
--- a/internal/eventloop/wheel_test.go
+++ b/internal/eventloop/wheel_test.go
@@ -74,13 +74,14 @@
 			m.t.Fatalf("expires at %d, not run by %d", item.expiry, m.now)
 		}
 	}
-	if next, scheduled := m.wheel.NextExpiry(); scheduled != (left > 0) || scheduled && next > first || m.wheel.Len() != left {
+	if next, scheduled := m.wheel.NextExpiry(); scheduled != (left > 0) || scheduled && next > first ||
+		m.wheel.Len() != left {
 		m.t.Fatalf("next %d %t with %d left, the first at %d; %d counted", next, scheduled, left, first, m.wheel.Len())
 	}
 }
 
-// Every timer runs once, in the first Advance to its expiry or later, never before, in order of expiry; NextExpiry is never
-// late.
+// Every timer runs once, in the first Advance to its expiry or later, never before, in order of expiry; NextExpiry is
+// never late.
 func TestWheelRunsTimersAsItsModelDoes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := Tick(rapid.Int64Range(0, 1<<40).Draw(t, "start"))
@@ -133,10 +134,12 @@
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
 }
+
 func (h *timerHeap) Push(x any) {
 	x.(*heapTimer).index = len(*h)
 	*h = append(*h, x.(*heapTimer))
 }
+
 func (h *timerHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,10 +1,10 @@
-// Package golden folds the results of decision packages into digests that their tests compare with recorded ones, so that a
-// refactoring which changes a decision, its order or its time turns a test red.
+// Package golden folds the results of decision packages into digests that their tests compare with recorded ones, so
+// that a refactoring which changes a decision, its order or its time turns a test red.
 //
-// A digest depends on values and their order alone, not on the names of types and fields: it survives a rename or a move. Each
-// record has an ordinal that the test gives its type and never changes. Struct fields count by position, so a field that is added,
-// removed or moved changes the digest. Only tests import this package; a test's flag -update records its digests anew, which a
-// refactoring never needs.
+// A digest depends on values and their order alone, not on the names of types and fields: it survives a rename or a
+// move. Each record has an ordinal that the test gives its type and never changes. Struct fields count by position, so
+// a field that is added, removed or moved changes the digest. Only tests import this package; a test's flag -update
+// records its digests anew, which a refactoring never needs.
 package golden
 
 import (
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -55,13 +55,25 @@
 		collectPeer(metrics, peer)
 	}
 	for _, service := range routes.Services {
-		send(metrics, "glenport_bgp_penalty", "Damping penalty of a service's address.", service.Penalty, label{"service", service.Service})
+		send(
+			metrics,
+			"glenport_bgp_penalty",
+			"Damping penalty of a service's address.",
+			service.Penalty,
+			label{"service", service.Service},
+		)
 	}
 }
 
 func collectPeer(metrics chan<- prometheus.Metric, peer protocol.BGPPeerStatus) {
 	address := label{"peer", peer.Address}
-	send(metrics, "glenport_bgp_established", "Whether the session stands.", boolValue(peer.State == sessionEstablished), address)
+	send(
+		metrics,
+		"glenport_bgp_established",
+		"Whether the session stands.",
+		boolValue(peer.State == sessionEstablished),
+		address,
+	)
 	send(metrics, "glenport_bgp_routes", "Prefixes that the peer was told.", float64(peer.Routes), address)
 	send(metrics, "glenport_bgp_due", "Changes that wait for the peer.", float64(peer.PendingRoutes), address)
 	send(metrics, "glenport_bgp_updates", "Update messages sent.", float64(peer.UpdatesSent), address)
@@ -86,7 +98,11 @@
 	for _, l := range labels {
 		names, values = append(names, l.name), append(values, l.value)
 	}
-	metric, err := prometheus.NewConstMetric(prometheus.NewDesc(name, help, names, nil), prometheus.UntypedValue, value, values...)
+	metric, err := prometheus.NewConstMetric(
+		prometheus.NewDesc(name, help, names, nil),
+		prometheus.UntypedValue,
+		value,
+		values...)
 	if err == nil {
 		metrics <- metric
 	}
--- a/internal/platform/actions.go
+++ b/internal/platform/actions.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// applyDetectorAction carries out one action of the failure detector. Actions on machines that were evicted meanwhile are
-// ignored: no container runs there.
+// applyDetectorAction carries out one action of the failure detector. Actions on machines that were evicted meanwhile
+// are ignored: no container runs there.
 func (s *Server) applyDetectorAction(action failuredetector.Action) {
 	switch action := action.(type) {
 	case failuredetector.Connect:
--- a/internal/platform/attempts.go
+++ b/internal/platform/attempts.go
@@ -5,9 +5,9 @@
 	"glenport/scheduler"
 )
 
-// attempt is one try to start a container on a machine. It waits for a connection, then for the answer to its offer; once the
-// machine has accepted it, it stands for the running container. Invariant: every attempt has exactly one outcome, reported by
-// finishAttempt.
+// attempt is one try to start a container on a machine. It waits for a connection, then for the answer to its offer;
+// once the machine has accepted it, it stands for the running container. Invariant: every attempt has exactly one
+// outcome, reported by finishAttempt.
 type attempt struct {
 	container     *container
 	number        int // within its container, from 0
@@ -25,10 +25,17 @@
 func (s *Server) startAttempt(action scheduler.StartAttempt) {
 	c := s.containers[action.ID]
 	if c == nil || c.answered || c.attempt != nil {
-		// The client was disconnected in the same batch, because the answer to another of its requests could not be written.
-		// Every attempt needs an outcome all the same, or the scheduler would count it as pending forever.
+		// The client was disconnected in the same batch, because the answer to another of its requests could not be
+		// written. Every attempt needs an outcome all the same, or the scheduler would count it as pending forever.
 		s.log.Info("attempt for a request that is not open", "request_id", action.ID)
-		s.notifyScheduler(scheduler.AttemptEnded{ID: action.ID, Machine: action.Machine, Outcome: scheduler.OutcomeNotSent, Final: true})
+		s.notifyScheduler(
+			scheduler.AttemptEnded{
+				ID:      action.ID,
+				Machine: action.Machine,
+				Outcome: scheduler.OutcomeNotSent,
+				Final:   true,
+			},
+		)
 		return
 	}
 	a := s.newAttempt(c, action)
@@ -49,21 +56,29 @@
 	})
 }
 
-// newAttempt makes the pending attempt of a container. It ends with the request's deadline, or with its own if that is earlier.
+// newAttempt makes the pending attempt of a container. It ends with the request's deadline, or with its own if that is
+// earlier.
 func (s *Server) newAttempt(c *container, action scheduler.StartAttempt) *attempt {
 	now := s.loop.Now()
 	deadline := eventloop.Tick(c.request.Deadline)
 	if action.Timeout != 0 {
 		deadline = min(deadline, now+eventloop.Tick(action.Timeout))
 	}
-	a := &attempt{container: c, number: c.attemptsMade, machine: s.machineByID(action.Machine), createdAt: now, deadline: deadline}
+	a := &attempt{
+		container: c,
+		number:    c.attemptsMade,
+		machine:   s.machineByID(action.Machine),
+		createdAt: now,
+		deadline:  deadline,
+	}
 	c.attemptsMade++
 	c.attempt = a
 	a.machine.attempts[c.request.ID] = a
 	return a
 }
 
-// sendOffer sends the offer of an attempt, unless the machine has stopped taking new containers since the attempt was made.
+// sendOffer sends the offer of an attempt, unless the machine has stopped taking new containers since the attempt was
+// made.
 func (s *Server) sendOffer(a *attempt) {
 	if a.machine.state != scheduler.MachineServing {
 		s.finishAttempt(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
@@ -119,14 +134,21 @@
 	a.running = true
 	a.conn.running++
 	a.machine.addRunning(1)
-	s.notifyScheduler(scheduler.AttemptAccepted{ID: id, Attempt: a.number, Machine: a.machine.id, Elapsed: s.elapsedSince(a.createdAt)})
+	s.notifyScheduler(
+		scheduler.AttemptAccepted{
+			ID:      id,
+			Attempt: a.number,
+			Machine: a.machine.id,
+			Elapsed: s.elapsedSince(a.createdAt),
+		},
+	)
 	s.answer(id, acceptMessage(id, accepted.description))
 	return nil
 }
 
-// finishUnaccepted ends a container whose machine evicted, preempted or drained it before its accept was read. Machines do
-// that to running containers only, so the accept is late or lost. The request fails: a retry would continue with a container
-// that machine and platform count as ended.
+// finishUnaccepted ends a container whose machine evicted, preempted or drained it before its accept was read. Machines
+// do that to running containers only, so the accept is late or lost. The request fails: a retry would continue with a
+// container that machine and platform count as ended.
 func (s *Server) finishUnaccepted(a *attempt, ended scheduler.AttemptEnded) {
 	ended.Final = true
 	s.finishAttempt(a, ended)
--- a/internal/platform/attempts_test.go
+++ b/internal/platform/attempts_test.go
@@ -22,16 +22,29 @@
 		return fmt.Sprintf(`{"op":"end","call":"%%s","with":{%s},"why":%d}`, fields, cause)
 	}
 	lost := outcomeTest{outcome: scheduler.OutcomeLost, causes: []int{41}}
-	noMemory := outcomeTest{outcome: scheduler.OutcomeLost, reason: scheduler.ReasonOutOfMemory, final: true, causes: []int{41}}
-	drained := outcomeTest{outcome: scheduler.OutcomeLost, reason: scheduler.ReasonDrained, final: true, causes: []int{41}}
+	noMemory := outcomeTest{
+		outcome: scheduler.OutcomeLost,
+		reason:  scheduler.ReasonOutOfMemory,
+		final:   true,
+		causes:  []int{41},
+	}
+	drained := outcomeTest{
+		outcome: scheduler.OutcomeLost,
+		reason:  scheduler.ReasonDrained,
+		final:   true,
+		causes:  []int{41},
+	}
 	finished := outcomeTest{outcome: scheduler.OutcomeFinished, final: true, causes: []int{causeOfAccept, 16}}
 	for _, tc := range []struct {
 		name    string
 		answers []string
 		want    outcomeTest
 	}{
-		{"full", []string{end(34, `"note":"mem_full","load":"x0:1.5;x1:2"`)},
-			outcomeTest{outcome: scheduler.OutcomeFull, reason: scheduler.ReasonNoMemory, report: 1.5, causes: []int{41}}},
+		{
+			"full",
+			[]string{end(34, `"note":"mem_full","load":"x0:1.5;x1:2"`)},
+			outcomeTest{outcome: scheduler.OutcomeFull, reason: scheduler.ReasonNoMemory, report: 1.5, causes: []int{41}},
+		},
 		{"erred", []string{end(47, "")}, outcomeTest{outcome: scheduler.OutcomeErrored, causes: []int{41}}},
 		{"not sent", []string{end(102, "")}, outcomeTest{outcome: scheduler.OutcomeNotSent, causes: []int{41}}},
 		{"lost on its way", []string{end(41, "")}, lost},
@@ -76,7 +89,8 @@
 	client := r.dialClient()
 	client.send(offerLine(requestID, ""))
 	e := await[scheduler.AttemptEnded](r, nil)
-	if e.Outcome != want.outcome || e.Reason != want.reason || e.Final != want.final || e.Machine != "a" || e.ID != requestID {
+	if e.Outcome != want.outcome || e.Reason != want.reason || e.Final != want.final || e.Machine != "a" ||
+		e.ID != requestID {
 		t.Errorf("got %+v", e)
 	}
 	if e.Report["x0"] != want.report {
@@ -92,7 +106,8 @@
 		}
 	}
 	client.send(testLine(1))
-	if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpTested || msg.CauseOrNone() != jsonlines.CauseTestPassed {
+	if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpTested ||
+		msg.CauseOrNone() != jsonlines.CauseTestPassed {
 		t.Errorf("after the last answer received %+v", msg)
 	}
 }
@@ -202,13 +217,17 @@
 	}
 }
 
-// A connection is established after the attempt that waited for it timed out: that is not sent on it, and the next one is.
+// A connection is established after the attempt that waited for it timed out: that is not sent on it, and the next one
+// is.
 func TestLateConnCarriesNextAttempt(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := errors.Join(syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), syscall.Listen(fd, 0)); err != nil {
+	if err := errors.Join(
+		syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}),
+		syscall.Listen(fd, 0),
+	); err != nil {
 		t.Fatal(err)
 	}
 	own, err := syscall.Getsockname(fd)
@@ -272,7 +291,11 @@
 			m.send(acceptLine(msg.RequestID))
 		}
 	})
-	r := startServer(t, attemptOnA(0), configJSON(discovery, 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))))
+	r := startServer(
+		t,
+		attemptOnA(0),
+		configJSON(discovery, 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))),
+	)
 	client := r.dialClient()
 	client.send(offerLine(requestID, ""))
 	client.receive()
@@ -286,7 +309,11 @@
 	if msg := client.receive(); !isEnd(msg, otherRequestID) {
 		t.Errorf("received %+v", msg)
 	}
-	if e := await(r, func(e scheduler.AttemptEnded) bool { return e.ID == otherRequestID }); e.Outcome != scheduler.OutcomeLost || e.Final {
+	if e := await(
+		r,
+		func(e scheduler.AttemptEnded) bool { return e.ID == otherRequestID },
+	); e.Outcome != scheduler.OutcomeLost ||
+		e.Final {
 		t.Errorf("got %+v", e)
 	}
 	if msg := <-received; !isEndWithCause(msg, otherRequestID, jsonlines.CauseNormal) {
--- a/internal/platform/clientmessages.go
+++ b/internal/platform/clientmessages.go
@@ -65,7 +65,8 @@
 
 func isAccept(msg *jsonlines.Message) bool { return msg.Op == jsonlines.OpAccept }
 
-// rejectMessage answers a request whose container never ran: the client may safely retry, after retryAfter if that is above 0.
+// rejectMessage answers a request whose container never ran: the client may safely retry, after retryAfter if that is
+// above 0.
 func rejectMessage(id scheduler.ContainerID, retryAfter scheduler.Time) *jsonlines.Message {
 	msg := endMessage(id, jsonlines.CauseNoCapacity)
 	if retryAfter > 0 {
@@ -100,8 +101,9 @@
 
 // placementOffer is a request as decoded.
 type placementOffer struct {
-	request        scheduler.PlacementRequest
-	runsOn         scheduler.MachineID // the machine at which the container is running already; empty: it is to be placed
+	request scheduler.PlacementRequest
+	// the machine at which the container is running already; empty: it is to be placed
+	runsOn         scheduler.MachineID
 	className      string
 	idempotencyKey string
 	description    []byte
@@ -167,7 +169,8 @@
 	return nil
 }
 
-// decodeAmounts reads what a container asks for, and its deadline. For a container that is running they may be left out.
+// decodeAmounts reads what a container asks for, and its deadline. For a container that is running they may be left
+// out.
 func decodeAmounts(offer *placementOffer, left string, extras map[string]string, now eventloop.Tick) error {
 	maxWait := float64(maxWaitMillis)
 	if offer.runsOn != "" {
--- a/internal/platform/clientmessages_test.go
+++ b/internal/platform/clientmessages_test.go
@@ -48,8 +48,10 @@
 
 func TestOfferIsDecoded(t *testing.T) {
 	const now = 5 * eventloop.Second
-	request := scheduler.PlacementRequest{ID: requestID, IdempotencyKey: "k" + requestID, Service: "s1", WorkloadClass: 1, Tenant: 1,
-		Cores: 1, Memory: 2, Deadline: scheduler.Time(now) + 2*scheduler.Second}
+	request := scheduler.PlacementRequest{
+		ID: requestID, IdempotencyKey: "k" + requestID, Service: "s1", WorkloadClass: 1, Tenant: 1,
+		Cores: 1, Memory: 2, Deadline: scheduler.Time(now) + 2*scheduler.Second,
+	}
 	running := request
 	running.Cores, running.Memory, running.Deadline = 0, 0, scheduler.Time(now)
 	retried := request
@@ -65,8 +67,10 @@
 		{"retried", `"idem":"i1"`, `"idem":"i1","retry":"1"`, retried, ""},
 		{"again after a loss", ";service:s1", ";service:s1;again:1", retried, ""},
 		{"without a tenant", `"tenant":"offices",`, "", withoutTenant, ""},
-		{"running, without amounts", `"left":"2000","tenant":"offices","key":"k` + requestID + `","idem":"i1","extras":"cores:1;memory:2;`,
-			`"tenant":"offices","key":"k` + requestID + `","idem":"i1","extras":"at:a;`, running, "a"},
+		{
+			"running, without amounts", `"left":"2000","tenant":"offices","key":"k` + requestID + `","idem":"i1","extras":"cores:1;memory:2;`,
+			`"tenant":"offices","key":"k` + requestID + `","idem":"i1","extras":"at:a;`, running, "a",
+		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			msg := decodeLine(t, strings.Replace(offerLine(requestID, ""), tc.old, tc.with, 1))
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -31,7 +31,11 @@
 // accept makes the handler of a new client connection.
 func (s *Server) accept() (eventloop.Handler, int) {
 	s.lastClientID++
-	return &clientConn{server: s, id: s.lastClientID, lines: jsonlines.LineSplitter{MaxBytes: jsonlines.MaxLineBytes}}, clientOutputLimit
+	return &clientConn{
+		server: s,
+		id:     s.lastClientID,
+		lines:  jsonlines.LineSplitter{MaxBytes: jsonlines.MaxLineBytes},
+	}, clientOutputLimit
 }
 
 // Opened implements eventloop.Handler.
@@ -158,7 +162,8 @@
 	cc.server.notifyConnManager(connmanager.InvalidMessageReceived{Client: cc.id})
 }
 
-// handleEnd cancels an open request of this client, or ends a running container. Any client may end a running container.
+// handleEnd cancels an open request of this client, or ends a running container. Any client may end a running
+// container.
 func (cc *clientConn) handleEnd(request endRequested) {
 	c := cc.server.containers[request.id]
 	switch {
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -34,7 +34,8 @@
 			client := r.dialClient()
 			go client.send(tc.line) // it may never be read to its end
 			msg := client.receive()
-			if tc.closed != (msg == nil) || msg != nil && (msg.Op != jsonlines.OpEnd || msg.CauseOrNone() != jsonlines.CauseInvalidContents) {
+			if tc.closed != (msg == nil) ||
+				msg != nil && (msg.Op != jsonlines.OpEnd || msg.CauseOrNone() != jsonlines.CauseInvalidContents) {
 				t.Errorf("received %+v", msg)
 			}
 			r.server.loop.Post(func() { r.scheduler.events <- scheduler.TimerFired{Name: "last"} })
@@ -43,8 +44,8 @@
 	}
 }
 
-// A client that names a running container with impossible values has proven nothing: it is closed like one that requests
-// nothing, and no container is counted. With possible values it stays.
+// A client that names a running container with impossible values has proven nothing: it is closed like one that
+// requests nothing, and no container is counted. With possible values it stays.
 func TestImpossibleReclaimIsIgnored(t *testing.T) {
 	for _, tc := range []struct {
 		left  string
@@ -53,7 +54,11 @@
 		t.Run(tc.left, func(t *testing.T) {
 			t.Parallel()
 			addr := serveTCP(t, func(m *peer) { m.receive() })
-			r := startServer(t, attemptOnA(0), configJSON(silentDiscovery(t), 256, eventJSON(1, true, machineJSON("a", addr, "draining", 0))))
+			r := startServer(
+				t,
+				attemptOnA(0),
+				configJSON(silentDiscovery(t), 256, eventJSON(1, true, machineJSON("a", addr, "draining", 0))),
+			)
 			client := r.dialClient()
 			client.send(strings.Replace(offerLine(requestID, ";at:a"), `"2000"`, tc.left, 1))
 			if tc.stays {
@@ -61,7 +66,9 @@
 			} else if msg := client.receive(); msg != nil {
 				t.Errorf("received %+v", msg)
 			}
-			r.server.loop.Post(func() { r.scheduler.events <- scheduler.TimerFired{Name: fmt.Sprint(len(r.server.containers))} })
+			r.server.loop.Post(
+				func() { r.scheduler.events <- scheduler.TimerFired{Name: fmt.Sprint(len(r.server.containers))} },
+			)
 			want := map[bool]string{true: "1", false: "0"}[tc.stays]
 			if e := await(r, func(e scheduler.TimerFired) bool { return e.Name != "" }); e.Name != want {
 				t.Errorf("%s containers are counted, want %s", e.Name, want)
@@ -70,8 +77,8 @@
 	}
 }
 
-// An identifier that is in use is not taken twice: from another client the second request is rejected, on one connection both
-// end with it.
+// An identifier that is in use is not taken twice: from another client the second request is rejected, on one
+// connection both end with it.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	addr := serveTCP(t, func(m *peer) { m.receive(); m.receive() })
 	r := startWithMachineA(t, addr, attemptOnA(0))
@@ -89,7 +96,8 @@
 	await(r, func(e scheduler.ContainerRemoved) bool { return e.ID == requestID })
 }
 
-// The identifier of a cancelled request may be used again at once: that is another request, offered once and answered once.
+// The identifier of a cancelled request may be used again at once: that is another request, offered once and answered
+// once.
 func TestRequestIDIsReusedAfterCancel(t *testing.T) {
 	addr := fakeMachine(t, acceptLine("%s"))
 	r := startWithMachineA(t, addr, nil)
@@ -187,7 +195,8 @@
 				if i == len(want)-1 {
 					other.send(testLine(3))
 				}
-				if msg := other.receive(); msg == nil || msg.Op != op || op == jsonlines.OpEnd && msg.RequestID != requestID {
+				if msg := other.receive(); msg == nil || msg.Op != op ||
+					op == jsonlines.OpEnd && msg.RequestID != requestID {
 					t.Fatalf("received %+v, want %s", msg, op)
 				}
 			}
@@ -195,7 +204,8 @@
 	}
 }
 
-// After a start a machine may report an end before a client names the container as running: the client is notified then.
+// After a start a machine may report an end before a client names the container as running: the client is notified
+// then.
 func TestEndBeforeReclaimIsDelivered(t *testing.T) {
 	reported := make(chan bool)
 	addr := serveTCP(t, func(m *peer) {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -123,7 +123,12 @@
 	}
 	limits := wire.Limits
 	if limits.Descriptors < minDescriptors || limits.MemoryMB < minMemoryMB {
-		return fieldError("limits", "%d sockets and %g MB are too little to run on", limits.Descriptors, limits.MemoryMB)
+		return fieldError(
+			"limits",
+			"%d sockets and %g MB are too little to run on",
+			limits.Descriptors,
+			limits.MemoryMB,
+		)
 	}
 	return nil
 }
@@ -160,8 +165,8 @@
 	return names
 }
 
-// parseKnownEvents reads the events up to LastOffset. Invalid entries are an error, unlike in the events of a running watch:
-// the platform writes file and events together.
+// parseKnownEvents reads the events up to LastOffset. Invalid entries are an error, unlike in the events of a running
+// watch: the platform writes file and events together.
 func (config *Config) parseKnownEvents(events []json.RawMessage) error {
 	for i, data := range events {
 		event, err := config.decodeWatchEvent(data)
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -38,8 +38,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := scheduler.MachineEntry{Machine: "a", Zone: 1, MachineType: 1, RackGroup: 2, PowerHint: 1,
-				FreeCores: 40.5, FreeMemory: 100, StartedAt: 50}
+			want := scheduler.MachineEntry{
+				Machine: "a", Zone: 1, MachineType: 1, RackGroup: 2, PowerHint: 1,
+				FreeCores: 40.5, FreeMemory: 100, StartedAt: 50,
+			}
 			if got := config.KnownEvents[0].machines[0].entry; got != want {
 				t.Errorf("machine %+v, want %+v", got, want)
 			}
--- a/internal/platform/connmanager/admission.go
+++ b/internal/platform/connmanager/admission.go
@@ -7,10 +7,12 @@
 
 // Limits of client connections. They follow from what a peer can do to a listener, not from one deployment.
 const (
-	clientDescriptorsDivisor = 2 // the fraction (1/2) of the descriptors beyond the reserve that is for clients; the rest is for machines
+	// the fraction (1/2) of the descriptors beyond the reserve that is for clients; the rest is for machines
+	clientDescriptorsDivisor = 2
 	minClientConns           = 8
 
-	firstRequestTimeout   = 2 * Second       // a client to which nothing was sent by then, and that awaits nothing, is closed
+	// a client to which nothing was sent by then, and that awaits nothing, is closed
+	firstRequestTimeout   = 2 * Second
 	partialMessageTimeout = 2 * Second       // a client whose message is incomplete for so long is closed
 	newClientGrace        = Second / 5       // the first request of a client younger than this may be on its way
 	clientStaleAfter      = 4 * Second       // owners themselves close connections that were unused for so long
@@ -130,8 +132,8 @@
 	}
 }
 
-// firstRequestTimedOut reports whether a client without an open request has used its connection for nothing so far. One that
-// reclaimed a container stays as long as no proven owner is connected that could be notified of its end instead.
+// firstRequestTimedOut reports whether a client without an open request has used its connection for nothing so far. One
+// that reclaimed a container stays as long as no proven owner is connected that could be notified of its end instead.
 func (c *client) firstRequestTimedOut(now Time, ownerKnown bool) bool {
 	if c.messageSent || c.ownershipProven || c.reclaimed && !ownerKnown {
 		return false
--- a/internal/platform/connmanager/admission_test.go
+++ b/internal/platform/connmanager/admission_test.go
@@ -35,8 +35,16 @@
 		}, 5},
 		{"all served, the least recently active is closed", Second, func(id ClientID) []Event {
 			if id == 8 { // all but the third are active again
-				return []Event{BytesReceived{Client: 8}, MessageSent{Client: 8}, MessageSent{Client: 1},
-					BytesReceived{Client: 2}, BytesReceived{Client: 4}, BytesReceived{Client: 5}, BytesReceived{Client: 6}, BytesReceived{Client: 7}}
+				return []Event{
+					BytesReceived{Client: 8},
+					MessageSent{Client: 8},
+					MessageSent{Client: 1},
+					BytesReceived{Client: 2},
+					BytesReceived{Client: 4},
+					BytesReceived{Client: 5},
+					BytesReceived{Client: 6},
+					BytesReceived{Client: 7},
+				}
 			}
 			return []Event{MessageSent{Client: id}}
 		}, 3},
@@ -59,7 +67,12 @@
 					t.Fatalf("%v closed while there is room", got)
 				}
 			}
-			if got := closedClients(m.Handle(tc.at, []Event{ClientConnected{most + 1}})); !slices.Equal(got, []ClientID{tc.want}) {
+			if got := closedClients(
+				m.Handle(tc.at, []Event{ClientConnected{most + 1}}),
+			); !slices.Equal(
+				got,
+				[]ClientID{tc.want},
+			) {
 				t.Errorf("%v closed, want %d", got, tc.want)
 			}
 		})
@@ -88,8 +101,11 @@
 			ContainerReclaimed{1}, ClientConnected{2}, OwnershipProven{2}, ClientDisconnected{2},
 		}, false},
 		{"reclaimed a container and acknowledged its end", []Event{
-			ContainerReclaimed{1}, ContainerTerminated{"x", 16, 1}, TerminationAcknowledged{"x", 1},
-			ClientConnected{2}, OwnershipProven{2},
+			ContainerReclaimed{1},
+			ContainerTerminated{"x", 16, 1},
+			TerminationAcknowledged{"x", 1},
+			ClientConnected{2},
+			OwnershipProven{2},
 		}, false},
 		{"acknowledged an end that it was not notified of", []Event{TerminationAcknowledged{"x", 1}}, true},
 		{"reclaimed a container, then an incomplete message", []Event{ContainerReclaimed{1}, BytesReceived{1, true}}, true},
--- a/internal/platform/connmanager/connmanager.go
+++ b/internal/platform/connmanager/connmanager.go
@@ -1,7 +1,7 @@
 // Package connmanager decides on the connections of a scheduler on the platform, where file descriptors are few. It has
 // four jobs, a file each: which client connections stay open (admission.go), which client is notified of the end of a
-// running container (notifications.go), how many connections a machine may have and for how long (pool.go), and how long
-// a scheduler drains at shutdown (shutdown.go).
+// running container (notifications.go), how many connections a machine may have and for how long (pool.go), and how
+// long a scheduler drains at shutdown (shutdown.go).
 //
 // It does no I/O and has no clock: the process passes in events with the time and carries out the actions.
 package connmanager
@@ -15,8 +15,8 @@
 	Second      Time = 10_000
 )
 
-// reservedDescriptors is kept free of clients and machine connections: for event queues, runtime, log, listener, a file,
-// the discovery watch (two connections while it moves), and bursts.
+// reservedDescriptors is kept free of clients and machine connections: for event queues, runtime, log, listener, a
+// file, the discovery watch (two connections while it moves), and bursts.
 const reservedDescriptors = 32
 
 // Manager owns the state of the client connections, each until the client has disconnected, and the terminations
--- a/internal/platform/connmanager/events.go
+++ b/internal/platform/connmanager/events.go
@@ -3,8 +3,8 @@
 // ClientID identifies a client connection. IDs ascend in the order in which the clients connected; 0 is none.
 type ClientID uint64
 
-// Event is something that happened to a client connection or to a container that a client owns. Events of a client that is
-// not connected have no effect.
+// Event is something that happened to a client connection or to a container that a client owns. Events of a client that
+// is not connected have no effect.
 type Event interface{ event() }
 
 type (
@@ -35,8 +35,8 @@
 	// OwnershipProven says that a placement request of a client was accepted: it owns a running container.
 	OwnershipProven struct{ Client ClientID }
 
-	// ContainerReclaimed says that a client claimed to own a running container. Anybody can, so that it is weaker evidence than
-	// OwnershipProven; but after a restart of the scheduler, reclaims are all that owners send at first.
+	// ContainerReclaimed says that a client claimed to own a running container. Anybody can, so that it is weaker
+	// evidence than OwnershipProven; but after a restart of the scheduler, reclaims are all that owners send at first.
 	ContainerReclaimed struct{ Client ClientID }
 
 	// ClientDisconnected says that the connection of a client has ended.
@@ -82,8 +82,8 @@
 		Reason CloseReason
 	}
 
-	// NotifyTermination sends a client the end of a container. Unless TerminationAcknowledged follows, it is repeated to
-	// other clients.
+	// NotifyTermination sends a client the end of a container. Unless TerminationAcknowledged follows, it is repeated
+	// to other clients.
 	NotifyTermination struct {
 		RequestID string
 		Cause     int
--- a/internal/platform/connmanager/golden_test.go
+++ b/internal/platform/connmanager/golden_test.go
@@ -129,8 +129,10 @@
 type weights struct{ connect, receive, request, send, cancel, invalid, prove, reclaim, disconnect, terminate, acknowledge, tick int }
 
 func (s *sequence) event(w weights) Event {
-	n := s.random.IntN(w.connect + w.receive + w.request + w.send + w.cancel + w.invalid + w.prove + w.reclaim + w.disconnect +
-		w.terminate + w.acknowledge + w.tick)
+	n := s.random.IntN(
+		w.connect + w.receive + w.request + w.send + w.cancel + w.invalid + w.prove + w.reclaim + w.disconnect +
+			w.terminate + w.acknowledge + w.tick,
+	)
 	for _, kind := range []struct {
 		weight int
 		make   func() Event
@@ -211,10 +213,14 @@
 	}
 	for flags := range 8 {
 		for _, closes := range []Time{0, 1, Second, 3 * Second, 10 * Second, 30 * Second} {
-			for _, idle := range []Time{0, 1, Second/2 - 1, Second / 2, Second, closes/2 - 1, closes / 2, closes,
-				5*Second - 1, 5 * Second, 60 * Second} {
-				conn := MachineConn{Primary: flags&1 != 0, MachineHasRunning: flags&2 != 0, CarriesRunning: flags&4 != 0,
-					IdleFor: idle, MachineIdleTimeout: closes}
+			for _, idle := range []Time{
+				0, 1, Second/2 - 1, Second / 2, Second, closes/2 - 1, closes / 2, closes,
+				5*Second - 1, 5 * Second, 60 * Second,
+			} {
+				conn := MachineConn{
+					Primary: flags&1 != 0, MachineHasRunning: flags&2 != 0, CarriesRunning: flags&4 != 0,
+					IdleFor: idle, MachineIdleTimeout: closes,
+				}
 				d.flag(conn.ShouldKeep())
 				d.flag(conn.CanCarryAttempt())
 				d.fold(uint64(conn.EvictionRank()))
--- a/internal/platform/connmanager/notifications.go
+++ b/internal/platform/connmanager/notifications.go
@@ -56,8 +56,8 @@
 	m.notify(now, t)
 }
 
-// terminationAcknowledged ends the notifications of a container. The acknowledgement proves ownership only where the client
-// was notified of that very end: anybody can acknowledge another.
+// terminationAcknowledged ends the notifications of a container. The acknowledgement proves ownership only where the
+// client was notified of that very end: anybody can acknowledge another.
 func (m *Manager) terminationAcknowledged(e TerminationAcknowledged) {
 	notified := func(t *termination) bool {
 		return t.requestID == e.RequestID && slices.Contains(t.attemptedClients, e.Client)
@@ -71,7 +71,10 @@
 
 // retryNotifications notifies further clients of what was not acknowledged in time, and drops what is too old.
 func (m *Manager) retryNotifications(now Time) {
-	m.terminations = slices.DeleteFunc(m.terminations, func(t *termination) bool { return now-t.endedAt > notificationTTL })
+	m.terminations = slices.DeleteFunc(
+		m.terminations,
+		func(t *termination) bool { return now-t.endedAt > notificationTTL },
+	)
 	for _, t := range m.terminations {
 		if t.notifiedClient == 0 || now-t.notifiedAt >= notificationRetryInterval {
 			m.notify(now, t)
@@ -102,9 +105,9 @@
 	m.emit(NotifyTermination{RequestID: t.requestID, Cause: t.cause, Client: c.id})
 }
 
-// nextRecipient returns the likeliest owner that was not notified of a termination yet, nil if there is none. After a delay
-// any client counts that has an open request or was served: where placements take seconds, the new connections of an owner
-// may all be such.
+// nextRecipient returns the likeliest owner that was not notified of a termination yet, nil if there is none. After a
+// delay any client counts that has an open request or was served: where placements take seconds, the new connections of
+// an owner may all be such.
 func (m *Manager) nextRecipient(now Time, t *termination) *client {
 	clients := m.sortedClients()
 	delay := fallbackDelay
@@ -125,8 +128,8 @@
 	return best
 }
 
-// likelierOwner reports whether a client is likelier to own a container than one that connected earlier: by evidence, then by
-// the latest activity.
+// likelierOwner reports whether a client is likelier to own a container than one that connected earlier: by evidence,
+// then by the latest activity.
 func (c *client) likelierOwner(earlier *client) bool {
 	evidence, earlierEvidence := c.ownershipEvidence(), earlier.ownershipEvidence()
 	if evidence != earlierEvidence {
--- a/internal/platform/connmanager/notifications_test.go
+++ b/internal/platform/connmanager/notifications_test.go
@@ -36,23 +36,46 @@
 		want      []ClientID
 	}{
 		{"the requester acknowledges", owner(1), 1, map[Time]Event{1: TerminationAcknowledged{RequestID: "x"}}, []ClientID{1}},
-		{"the requester has disconnected", slices.Concat(owner(1), served(2), owner(3), served(4), []Event{ClientDisconnected{1}}), 1,
-			map[Time]Event{1: TerminationAcknowledged{RequestID: "x"}}, []ClientID{3}},
-		{"the requester disconnects before it acknowledges", slices.Concat(owner(1), owner(2)), 1,
-			map[Time]Event{1: ClientDisconnected{1}, 2: TerminationAcknowledged{RequestID: "x"}}, []ClientID{1, 2}},
+		{
+			"the requester has disconnected", slices.Concat(owner(1), served(2), owner(3), served(4), []Event{ClientDisconnected{1}}), 1,
+			map[Time]Event{1: TerminationAcknowledged{RequestID: "x"}},
+			[]ClientID{3},
+		},
+		{
+			"the requester disconnects before it acknowledges", slices.Concat(owner(1), owner(2)), 1,
+			map[Time]Event{1: ClientDisconnected{1}, 2: TerminationAcknowledged{RequestID: "x"}},
+			[]ClientID{1, 2},
+		},
 		{"nobody acknowledges", slices.Concat(owner(1), owner(2), owner(3), served(4)), 2, nil, []ClientID{2, 3, 1, 4}},
-		{"another termination is acknowledged", slices.Concat(owner(1), owner(2)), 1,
-			map[Time]Event{1: TerminationAcknowledged{RequestID: "y"}}, []ClientID{1, 2}},
-		{"no client is an owner", served(4), 0,
-			map[Time]Event{15: TerminationAcknowledged{RequestID: "x"}}, []ClientID{4}},
-		{"an owner connects later", served(4), 0,
-			map[Time]Event{4: ClientConnected{5}, 5: OwnershipProven{5}, 9: TerminationAcknowledged{RequestID: "x"}}, []ClientID{5}},
-		{"only a client that awaits its first answer", []Event{ClientConnected{4}, PlacementRequested{4}}, 0,
-			map[Time]Event{8: TerminationAcknowledged{RequestID: "x"}}, []ClientID{4}},
-		{"one that acknowledged before one that claims to have", slices.Concat(
-			[]Event{ClientConnected{1}, ContainerReclaimed{1}, ContainerTerminated{"w", 16, 1}, TerminationAcknowledged{"w", 1}},
-			[]Event{ClientConnected{2}}, owner(3), []Event{ContainerReclaimed{2}, TerminationAcknowledged{"w", 2}, TerminationAcknowledged{"v", 2}}),
-			0, nil, []ClientID{1, 3, 2}},
+		{
+			"another termination is acknowledged", slices.Concat(owner(1), owner(2)), 1,
+			map[Time]Event{1: TerminationAcknowledged{RequestID: "y"}},
+			[]ClientID{1, 2},
+		},
+		{
+			"no client is an owner", served(4), 0,
+			map[Time]Event{15: TerminationAcknowledged{RequestID: "x"}},
+			[]ClientID{4},
+		},
+		{
+			"an owner connects later", served(4), 0,
+			map[Time]Event{4: ClientConnected{5}, 5: OwnershipProven{5}, 9: TerminationAcknowledged{RequestID: "x"}},
+			[]ClientID{5},
+		},
+		{
+			"only a client that awaits its first answer",
+			[]Event{ClientConnected{4}, PlacementRequested{4}},
+			0,
+			map[Time]Event{8: TerminationAcknowledged{RequestID: "x"}},
+			[]ClientID{4},
+		},
+		{
+			"one that acknowledged before one that claims to have", slices.Concat(
+				[]Event{ClientConnected{1}, ContainerReclaimed{1}, ContainerTerminated{"w", 16, 1}, TerminationAcknowledged{"w", 1}},
+				[]Event{ClientConnected{2}}, owner(3), []Event{ContainerReclaimed{2}, TerminationAcknowledged{"w", 2}, TerminationAcknowledged{"v", 2}}),
+			0, nil,
+			[]ClientID{1, 3, 2},
+		},
 		{"no client", nil, 0, nil, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/platform/connmanager/pool.go
+++ b/internal/platform/connmanager/pool.go
@@ -2,11 +2,14 @@
 
 // Limits of the connections to machines.
 const (
-	machineConnsDivisor = 3 // the fraction (1/3) of all descriptors that the machines share equally, one connection each at least
+	// the fraction (1/3) of all descriptors that the machines share equally, one connection each at least
+	machineConnsDivisor = 3
 	minMachineConns     = 8
 
-	extraConnIdleTimeout = 5 * Second // a connection that is not the first of its machine is closed once idle for so long
-	minEvictionIdle      = Second / 2 // an idle connection may be evicted after so long: until then its machine may still send
+	// a connection that is not the first of its machine is closed once idle for so long
+	extraConnIdleTimeout = 5 * Second
+	// an idle connection may be evicted after so long: until then its machine may still send
+	minEvictionIdle = Second / 2
 )
 
 // Eviction ranks of idle connections to machines.
@@ -27,9 +30,9 @@
 	return max(minMachineConns, descriptors-maxClientConns(descriptors)-reservedDescriptors)
 }
 
-// CanOpenBeforeClose reports whether a connection may be opened before the evicted one is closed. The descriptor of that is
-// free only after the iteration of the event loop; until then a quarter of the reserve holds the new one, and the rest what
-// the reserve is for and as many new clients.
+// CanOpenBeforeClose reports whether a connection may be opened before the evicted one is closed. The descriptor of
+// that is free only after the iteration of the event loop; until then a quarter of the reserve holds the new one, and
+// the rest what the reserve is for and as many new clients.
 func CanOpenBeforeClose(descriptors, connections int) bool {
 	return connections < descriptors-reservedDescriptors+reservedDescriptors/4
 }
@@ -43,8 +46,8 @@
 	MachineIdleTimeout Time // the machine closes a connection that is idle for so long
 }
 
-// ShouldKeep reports whether an idle connection stays open. One on which an end may come must not be closed, as the two could
-// cross. Others are closed well before the machine would: an attempt that crosses that close may have run.
+// ShouldKeep reports whether an idle connection stays open. One on which an end may come must not be closed, as the two
+// could cross. Others are closed well before the machine would: an attempt that crosses that close may have run.
 func (c MachineConn) ShouldKeep() bool {
 	switch {
 	case c.CarriesRunning || c.Primary && c.MachineHasRunning:
--- a/internal/platform/connmanager/pool_test.go
+++ b/internal/platform/connmanager/pool_test.go
@@ -9,13 +9,19 @@
 		conn MachineConn
 		want bool
 	}{
-		{"the first, its machine has a running container",
-			MachineConn{Primary: true, MachineHasRunning: true, IdleFor: 60 * Second, MachineIdleTimeout: timeout}, true},
+		{
+			"the first, its machine has a running container",
+			MachineConn{Primary: true, MachineHasRunning: true, IdleFor: 60 * Second, MachineIdleTimeout: timeout},
+			true,
+		},
 		{"the first, used lately", MachineConn{Primary: true, IdleFor: 14 * Second, MachineIdleTimeout: timeout}, true},
 		{"the first, idle", MachineConn{Primary: true, IdleFor: 15 * Second, MachineIdleTimeout: timeout}, false},
 		{"another, used lately", MachineConn{MachineHasRunning: true, IdleFor: 4 * Second, MachineIdleTimeout: timeout}, true},
-		{"another, carries a running container",
-			MachineConn{MachineHasRunning: true, CarriesRunning: true, IdleFor: 60 * Second, MachineIdleTimeout: timeout}, true},
+		{
+			"another, carries a running container",
+			MachineConn{MachineHasRunning: true, CarriesRunning: true, IdleFor: 60 * Second, MachineIdleTimeout: timeout},
+			true,
+		},
 		{"another, idle", MachineConn{MachineHasRunning: true, IdleFor: 5 * Second, MachineIdleTimeout: timeout}, false},
 		{"another, the machine closes early", MachineConn{IdleFor: 2 * Second, MachineIdleTimeout: 3 * Second}, false},
 	} {
@@ -30,8 +36,8 @@
 	}
 }
 
-// Clients, machine connections and the reserve stay within the descriptors, however few, and where no more connections may be
-// open the one that loses least is evicted.
+// Clients, machine connections and the reserve stay within the descriptors, however few, and where no more connections
+// may be open the one that loses least is evicted.
 func TestDescriptorLimitHolds(t *testing.T) {
 	for _, n := range []int{64, 100, 256, 576, 1024} {
 		conns, clients := MaxMachineConns(n), New(n).maxClients
@@ -40,8 +46,11 @@
 		}
 	}
 	conns := []MachineConn{ // in the order in which they are evicted
-		{IdleFor: Second}, {Primary: true, IdleFor: Second}, {MachineHasRunning: true, IdleFor: Second},
-		{MachineHasRunning: true, CarriesRunning: true, IdleFor: Second}}
+		{IdleFor: Second},
+		{Primary: true, IdleFor: Second},
+		{MachineHasRunning: true, IdleFor: Second},
+		{MachineHasRunning: true, CarriesRunning: true, IdleFor: Second},
+	}
 	last := 0
 	for _, c := range conns {
 		if n := c.EvictionRank(); n < last {
--- a/internal/platform/connmanager/shutdown_test.go
+++ b/internal/platform/connmanager/shutdown_test.go
@@ -12,7 +12,8 @@
 		{6 * Second, 3*Second - 1, 0, true, false},
 		{6 * Second, 3 * Second, 0, false, false},
 		{6 * Second, 3 * Second, 1, true, false},
-		{6 * Second, 34 * Second / 10, 1, true, true}, // killed at 3.7 s at the soonest, and checked four times a second
+		// killed at 3.7 s at the soonest, and checked four times a second
+		{6 * Second, 34 * Second / 10, 1, true, true},
 		{Second, Second - 1, 0, true, false},
 		{Second, Second, 0, false, false},
 		{Second, 14 * Second / 10, 1, true, true},      // killed at 1.7 s
--- a/internal/platform/connpool.go
+++ b/internal/platform/connpool.go
@@ -14,8 +14,8 @@
 	return slices.DeleteFunc(slices.Clone(m.conns), func(mc *machineConn) bool { return mc.closing })
 }
 
-// acquireConn returns a connection that carries no offer, a new one, or the one that carries the fewest. It returns nil where
-// there is none and none may be opened.
+// acquireConn returns a connection that carries no offer, a new one, or the one that carries the fewest. It returns nil
+// where there is none and none may be opened.
 func (m *machine) acquireConn() *machineConn {
 	conns := m.activeConns()
 	best := leastLoaded(conns, m.server.loop.Now())
@@ -25,8 +25,8 @@
 	return m.connect()
 }
 
-// leastLoaded returns the usable connection that carries the fewest offers. Not usable is one that its machine may be closing
-// as idle, and one that is still being established for another offer.
+// leastLoaded returns the usable connection that carries the fewest offers. Not usable is one that its machine may be
+// closing as idle, and one that is still being established for another offer.
 func leastLoaded(conns []*machineConn, now eventloop.Tick) *machineConn {
 	var best *machineConn
 	for _, mc := range conns {
@@ -72,8 +72,8 @@
 	}
 }
 
-// maintainConns closes idle connections before the machine does, except one while containers run there: their ends are reported
-// on it. After a broken connection a new one is opened: the machine repeats on it any report that was lost.
+// maintainConns closes idle connections before the machine does, except one while containers run there: their ends are
+// reported on it. After a broken connection a new one is opened: the machine repeats on it any report that was lost.
 func (m *machine) maintainConns(now eventloop.Tick) {
 	for i, mc := range m.activeConns() {
 		if mc.idle() && !mc.poolState(now, i == 0).ShouldKeep() {
@@ -87,13 +87,14 @@
 	}
 }
 
-// atMachineConnLimit reports whether there may be no more connections to machines. Each holds a descriptor; clients and the
-// discovery watch need theirs.
+// atMachineConnLimit reports whether there may be no more connections to machines. Each holds a descriptor; clients and
+// the discovery watch need theirs.
 func (s *Server) atMachineConnLimit() bool {
 	return s.machineConnCount >= connmanager.MaxMachineConns(s.config.MaxDescriptors)
 }
 
-// makeRoomForMachineConn reports whether a connection to a machine may be opened. At the limit an idle one is closed for it.
+// makeRoomForMachineConn reports whether a connection to a machine may be opened. At the limit an idle one is closed
+// for it.
 func (s *Server) makeRoomForMachineConn() bool {
 	if !s.atMachineConnLimit() {
 		return true
@@ -108,8 +109,8 @@
 	return !s.atMachineConnLimit()
 }
 
-// firstToEvict returns the idle connection with the lowest eviction rank, the least recently used of several; nil where none
-// may be evicted.
+// firstToEvict returns the idle connection with the lowest eviction rank, the least recently used of several; nil where
+// none may be evicted.
 func (s *Server) firstToEvict(now eventloop.Tick) *machineConn {
 	var first *machineConn
 	lowest := 0
--- a/internal/platform/containers.go
+++ b/internal/platform/containers.go
@@ -11,8 +11,9 @@
 	"glenport/scheduler"
 )
 
-// container is a container that a client has requested or that is running. Invariant: its request gets exactly one answer,
-// unless the client cancels it or disconnects first. A container is kept until it is answered and has no attempt.
+// container is a container that a client has requested or that is running. Invariant: its request gets exactly one
+// answer, unless the client cancels it or disconnects first. A container is kept until it is answered and has no
+// attempt.
 type container struct {
 	request        scheduler.PlacementRequest
 	className      string
@@ -55,8 +56,8 @@
 	m.addRunning(1)
 	s.notifyScheduler(scheduler.ContainerAdopted{PlacementRequest: request, Machine: at})
 	if m.listed() && m.state == scheduler.MachineGone {
-		// Invariant: no container counts as running at a machine that is gone. A successor may be at its address, and its
-		// activity would be attributed to the machine that is gone.
+		// Invariant: no container counts as running at a machine that is gone. A successor may be at its address, and
+		// its activity would be attributed to the machine that is gone.
 		m.failRunning(s.loop.Now())
 		return
 	}
@@ -136,8 +137,8 @@
 	s.sendTermination(a, cause)
 }
 
-// sendTermination orders a machine to end a running container. Without a connection it is retried every maintenance interval
-// until the container has ended.
+// sendTermination orders a machine to end a running container. Without a connection it is retried every maintenance
+// interval until the container has ended.
 func (s *Server) sendTermination(a *attempt, cause terminationCause) {
 	c := a.container
 	if a.machine.addr == "" || c.attempt != a {
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -16,8 +16,8 @@
 	watchOutputLimit    = 1 << 10 // bytes that may wait to be written
 )
 
-// discoveryWatch follows the events of the discovery service, over one connection at a time. Each event is applied once:
-// after a break the events are requested from the last one applied.
+// discoveryWatch follows the events of the discovery service, over one connection at a time. Each event is applied
+// once: after a break the events are requested from the last one applied.
 type discoveryWatch struct {
 	server        *Server
 	addr          string
@@ -73,8 +73,8 @@
 	}
 }
 
-// Closed implements eventloop.Handler: it reconnects after watchReconnectDelay. Connections that moveTo has replaced are
-// ignored.
+// Closed implements eventloop.Handler: it reconnects after watchReconnectDelay. Connections that moveTo has replaced
+// are ignored.
 func (w *discoveryWatch) Closed(conn *eventloop.Conn, err error) {
 	if conn != w.conn {
 		return
@@ -113,8 +113,8 @@
 	if event.offset <= w.lastOffset {
 		return nil
 	}
-	// A gap is an error: the reconnect requests the missing events. The first event on a connection may have any offset, since
-	// the service may have dropped older events.
+	// A gap is an error: the reconnect requests the missing events. The first event on a connection may have any
+	// offset, since the service may have dropped older events.
 	if event.offsetOnly || w.receivedEvent && event.offset > w.lastOffset+1 {
 		return &missingEventError{w.lastOffset + 1}
 	}
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -28,7 +28,11 @@
 		}), watches
 	}
 	old, watches := next()
-	r := startServer(t, attemptOnA(0), configJSON(old, 256, eventJSON(1, true, machineJSON("a", "127.0.0.1:1", "ready", 0))))
+	r := startServer(
+		t,
+		attemptOnA(0),
+		configJSON(old, 256, eventJSON(1, true, machineJSON("a", "127.0.0.1:1", "ready", 0))),
+	)
 	applied := func(version int64) {
 		t.Helper()
 		if e := await[scheduler.MachineListUpdate](r, nil); e.Version != version {
@@ -50,7 +54,12 @@
 		}
 	}
 	p := follow(watches, "from 1")
-	p.send(eventJSON(1, true), eventJSON(2, false, machineJSON("a", "127.0.0.1:1", "draining", 0)), eventJSON(2, false), `{"offset":2}`)
+	p.send(
+		eventJSON(1, true),
+		eventJSON(2, false, machineJSON("a", "127.0.0.1:1", "draining", 0)),
+		eventJSON(2, false),
+		`{"offset":2}`,
+	)
 	applied(2)
 	p.write(`{"offset":3,"topo`) // broken off
 	p.close()
@@ -94,29 +103,53 @@
 	}
 	unknownType := strings.Replace(machineJSON("x", "127.0.0.1:1", "ready", 0), "large", "huge", 1)
 	p.send(eventJSON(3, false, unknownType, machineJSON("a", "127.0.0.1:1", "ready", 0)), eventJSON(4, false))
-	if e := await[scheduler.MachineListUpdate](r, nil); e.Version != 3 || len(e.Entries) != 1 || e.Entries[0].Machine != "a" {
+	if e := await[scheduler.MachineListUpdate](
+		r,
+		nil,
+	); e.Version != 3 || len(e.Entries) != 1 ||
+		e.Entries[0].Machine != "a" {
 		t.Errorf("got %+v", e)
 	}
 	p.close()
 	p = <-watches
 	p.send(eventJSON(9, true)) // all that the service still has
-	if e := await(r, func(e scheduler.MachineListUpdate) bool { return e.Version != 4 }); e.Version != 9 || e.Mode != scheduler.FullSnapshot {
+	if e := await(
+		r,
+		func(e scheduler.MachineListUpdate) bool { return e.Version != 4 },
+	); e.Version != 9 ||
+		e.Mode != scheduler.FullSnapshot {
 		t.Errorf("got %+v", e)
 	}
 }
 
-// Entries that do not fit the settings are left out of an event and named, and an event that cannot be read is an error.
+// Entries that do not fit the settings are left out of an event and named, and an event that cannot be read is an
+// error.
 func TestInvalidEntriesAreLeftOut(t *testing.T) {
 	config := testConfig(t)
 	good := machineJSON("a", "127.0.0.1:1", "ready", 3)
 	gone := strings.Replace(machineJSON("b", "", "gone", 0), "large", "huge", 1)
-	event, err := config.decodeWatchEvent([]byte(eventJSON(2, true, good,
-		machineJSON("", "127.0.0.1:1", "ready", 0), machineJSON("c", "nowhere", "ready", 0), machineJSON("d", "127.0.0.1:1", "resting", 0), gone)))
-	if err != nil || event.offset != 2 || event.version != 2 || !event.fullSnapshot || len(event.machines) != 2 || len(event.invalidEntries) != 3 {
+	event, err := config.decodeWatchEvent([]byte(eventJSON(
+		2,
+		true,
+		good,
+		machineJSON(
+			"",
+			"127.0.0.1:1",
+			"ready",
+			0,
+		),
+		machineJSON("c", "nowhere", "ready", 0),
+		machineJSON("d", "127.0.0.1:1", "resting", 0),
+		gone,
+	)))
+	if err != nil || event.offset != 2 || event.version != 2 || !event.fullSnapshot || len(event.machines) != 2 ||
+		len(event.invalidEntries) != 3 {
 		t.Fatalf("decoded %+v, %v", event, err)
 	}
-	a := scheduler.MachineEntry{Machine: "a", Zone: 1, MachineType: 1, RackGroup: 2, PowerHint: 1, FreeCores: 40.5, FreeMemory: 100,
-		StartedAt: 3 * scheduler.Millisecond}
+	a := scheduler.MachineEntry{
+		Machine: "a", Zone: 1, MachineType: 1, RackGroup: 2, PowerHint: 1, FreeCores: 40.5, FreeMemory: 100,
+		StartedAt: 3 * scheduler.Millisecond,
+	}
 	if got := event.machines[0]; got != (machineUpdate{a, "127.0.0.1:1"}) {
 		t.Errorf("machine a is %+v", got)
 	}
@@ -129,7 +162,10 @@
 	if _, err := config.decodeWatchEvent([]byte(`{"offset":-1}`)); !errors.Is(err, errNegativeOffset) {
 		t.Errorf("error %v", err)
 	}
-	if event, err := config.decodeWatchEvent([]byte(`{"offset":7}`)); err != nil || !event.offsetOnly || event.offset != 7 {
+	if event, err := config.decodeWatchEvent(
+		[]byte(`{"offset":7}`),
+	); err != nil || !event.offsetOnly ||
+		event.offset != 7 {
 		t.Errorf("decoded %+v, %v", event, err)
 	}
 }
--- a/internal/platform/failuredetector/detector.go
+++ b/internal/platform/failuredetector/detector.go
@@ -1,6 +1,6 @@
-// Package failuredetector decides when the containers on a machine that has fallen silent are lost. A machine that crashes
-// may send nothing at all, and the owners of its containers are to be notified in time. It also holds the ends of
-// containers that machines report before an owner reclaims them.
+// Package failuredetector decides when the containers on a machine that has fallen silent are lost. A machine that
+// crashes may send nothing at all, and the owners of its containers are to be notified in time. It also holds the ends
+// of containers that machines report before an owner reclaims them.
 //
 // It does no I/O and has no clock: the process passes in events with the time and carries out the actions.
 package failuredetector
--- a/internal/platform/failuredetector/detector_test.go
+++ b/internal/platform/failuredetector/detector_test.go
@@ -35,8 +35,10 @@
 		{"silent", nil, 5, 66 * tenth},
 		{"its last container ends", map[Time]Event{30 * tenth: RunningCountChanged{"a", 0}}, 1, 0},
 		{"active in time, then silent", map[Time]Event{60 * tenth: ActivityObserved{"a"}}, 9, 125 * tenth},
-		{"active now and then", map[Time]Event{15 * tenth: ActivityObserved{"a"}, 30 * tenth: ActivityObserved{"a"}, 45 * tenth: ActivityObserved{"a"},
-			60 * tenth: ActivityObserved{"a"}, 75 * tenth: ActivityObserved{"a"}, 90 * tenth: RunningCountChanged{"a", 0}}, 0, 0},
+		{"active now and then", map[Time]Event{
+			15 * tenth: ActivityObserved{"a"}, 30 * tenth: ActivityObserved{"a"}, 45 * tenth: ActivityObserved{"a"},
+			60 * tenth: ActivityObserved{"a"}, 75 * tenth: ActivityObserved{"a"}, 90 * tenth: RunningCountChanged{"a", 0},
+		}, 0, 0},
 		{"another machine is active", map[Time]Event{60 * tenth: ActivityObserved{"b"}}, 5, 66 * tenth},
 		{"refuses a connection", map[Time]Event{22 * tenth: ConnectionRefused{"a"}}, 1, 22 * tenth},
 		{"refuses a connection once nothing runs on it", map[Time]Event{5 * tenth: RunningCountChanged{"a", 0}, 22 * tenth: ConnectionRefused{"a"}}, 0, 0},
@@ -53,7 +55,13 @@
 				}
 			}
 			if connects != tc.connects || lostAt != tc.lostAt {
-				t.Errorf("%d connects, lost at %s, want %d and %s", connects, fmt.Sprint(lostAt), tc.connects, fmt.Sprint(tc.lostAt))
+				t.Errorf(
+					"%d connects, lost at %s, want %d and %s",
+					connects,
+					fmt.Sprint(lostAt),
+					tc.connects,
+					fmt.Sprint(tc.lostAt),
+				)
 			}
 			if len(d.machines) > 0 {
 				t.Errorf("%d machines are still monitored", len(d.machines))
--- a/internal/platform/failuredetector/events.go
+++ b/internal/platform/failuredetector/events.go
@@ -16,9 +16,9 @@
 	// ConnectionRefused says that the address of a machine refused a connection: no process listens there any more.
 	ConnectionRefused struct{ Machine string }
 
-	// UnclaimedTermination says that a machine reported the end of a container which no client has requested or reclaimed yet.
-	// After a restart of the scheduler, machines report what has ended meanwhile on their first connection, and owners
-	// may reclaim it only then.
+	// UnclaimedTermination says that a machine reported the end of a container which no client has requested or
+	// reclaimed yet. After a restart of the scheduler, machines report what has ended meanwhile on their first
+	// connection, and owners may reclaim it only then.
 	UnclaimedTermination struct {
 		Machine, RequestID string
 		Cause              int
--- a/internal/platform/failuredetector/golden_test.go
+++ b/internal/platform/failuredetector/golden_test.go
@@ -16,8 +16,8 @@
 
 const digestFile = "testdata/decisions.txt"
 
-// digest folds decisions into a hash. It knows no names of types or fields: an action counts by its ordinal below and its
-// values in order.
+// digest folds decisions into a hash. It knows no names of types or fields: an action counts by its ordinal below and
+// its values in order.
 type digest struct {
 	hash    hash.Hash
 	actions int
@@ -127,7 +127,12 @@
 	return func(d *digest) {
 		for i := range sequences {
 			grids := []Time{0, Second / 2, Second / 10}
-			s := &sequence{random: rand.New(rand.NewPCG(seed, uint64(i))), machines: machines, requests: requests, grid: grids[i%len(grids)]}
+			s := &sequence{
+				random:   rand.New(rand.NewPCG(seed, uint64(i))),
+				machines: machines,
+				requests: requests,
+				grid:     grids[i%len(grids)],
+			}
 			s.run(d, batches, longest, w)
 		}
 	}
--- a/internal/platform/failuredetector/unclaimed.go
+++ b/internal/platform/failuredetector/unclaimed.go
@@ -34,5 +34,8 @@
 }
 
 func (d *Detector) dropExpired(now Time) {
-	d.unclaimed = slices.DeleteFunc(d.unclaimed, func(h heldTermination) bool { return now-h.receivedAt > unclaimedTTL })
+	d.unclaimed = slices.DeleteFunc(
+		d.unclaimed,
+		func(h heldTermination) bool { return now-h.receivedAt > unclaimedTTL },
+	)
 }
--- a/internal/platform/failuredetector/unclaimed_test.go
+++ b/internal/platform/failuredetector/unclaimed_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A termination that came before the reclaim is reported then, once; unclaimed ones are held for a while and not without bound.
+// A termination that came before the reclaim is reported then, once; unclaimed ones are held for a while and not
+// without bound.
 func TestEarlyTerminationIsReportedAtReclaim(t *testing.T) {
 	early := UnclaimedTermination{"a", "x", 16}
 	many := make([]Event, maxUnclaimed+5)
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -25,8 +25,8 @@
 // leftField is the only part of a line that the clock decides: the milliseconds until the attempt's deadline.
 var leftField = regexp.MustCompile(`"left":"([0-9]+)"`)
 
-// transcript gathers each line that the process under test writes, in the order in which the scripted conversation reads
-// them, with the peer that received it in front.
+// transcript gathers each line that the process under test writes, in the order in which the scripted conversation
+// reads them, with the peer that received it in front.
 type transcript struct {
 	*testing.T
 	step  string
@@ -36,8 +36,8 @@
 // begin names the step to which the following lines belong.
 func (s *transcript) begin(step string) { s.step = step }
 
-// record takes in one line as it was read, its end included. The remaining time of an offer is checked against the most it
-// may be, and then replaced.
+// record takes in one line as it was read, its end included. The remaining time of an offer is checked against the most
+// it may be, and then replaced.
 func (s *transcript) record(receiver string, line []byte, mostLeft int) {
 	s.Helper()
 	if !strings.HasSuffix(string(line), "\n") {
@@ -313,8 +313,11 @@
 // outcomesBeforeAccept plays the answers of a machine to an offer other than an accept.
 func (s *transcript) outcomesBeforeAccept(c *goldenClient, a *goldenServer) {
 	s.begin("rejected, no room")
-	c.send(strings.NewReplacer(`"report-run"`, `"matcher"`, `,"idem":"i1"`, "", `"k`+hasNoRoom+`"`, `"<k> & \"q\" \u00e9 \u2028"`,
-		`"v=0\r\n"`, `"\u0076=0\r\n<&>\/"`).Replace(offer(hasNoRoom)))
+	c.send(
+		strings.NewReplacer(`"report-run"`, `"matcher"`, `,"idem":"i1"`, "", `"k`+hasNoRoom+`"`, `"<k> & \"q\" \u00e9 \u2028"`,
+			`"v=0\r\n"`, `"\u0076=0\r\n<&>\/"`).
+			Replace(offer(hasNoRoom)),
+	)
 	a.reads(2000).ends(hasNoRoom, 34, `"note":"cpu_full","load":"x0:1.5"`)
 	c.reads()
 
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -29,7 +29,8 @@
 	thirdRequestID = "00000000000000cc"
 )
 
-// settingsJSON has an idempotent workload class and one that is idempotent with a key, two machine types and two tenants.
+// settingsJSON has an idempotent workload class and one that is idempotent with a key, two machine types and two
+// tenants.
 const settingsJSON = `{"me":0,"balancers":1,"az":0,"azs":["hall a","hall-b"],"kinds":["small","large"],"registry_mode":"on_request",
  "classes":[{"name":"matcher","effect":"safe","aim_ms":700.0,"deadline_ms":6000.0,"credit":1.0},
   {"name":"report-run","effect":"keyed","group":"zone","window_ms":8000.0,"aim_ms":700.0,"deadline_ms":6000.0,"credit":2.0}],
@@ -41,12 +42,23 @@
   "spread_over":["silent","silent"],"quota_cores":[100.0,50.0]},"note":null}`
 
 func machineJSON(id, addr, state string, startedAtMillis int64) string {
-	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"hall-b","class":"large","block":2,"health":%q,"share":1,"born_ms":%d,"free":[40.5,100]}`,
-		id, addr, state, startedAtMillis)
+	return fmt.Sprintf(
+		`{"host":%q,"dial":%q,"site":"hall-b","class":"large","block":2,"health":%q,"share":1,"born_ms":%d,"free":[40.5,100]}`,
+		id,
+		addr,
+		state,
+		startedAtMillis,
+	)
 }
 
 func eventJSON(offset int, fullSnapshot bool, machines ...string) string {
-	return fmt.Sprintf(`{"offset":%d,"topology":{"seq":%d,"whole":%t,"hosts":[%s]}}`, offset, offset, fullSnapshot, strings.Join(machines, ","))
+	return fmt.Sprintf(
+		`{"offset":%d,"topology":{"seq":%d,"whole":%t,"hosts":[%s]}}`,
+		offset,
+		offset,
+		fullSnapshot,
+		strings.Join(machines, ","),
+	)
 }
 
 // configJSON is a platform's file that knows some events.
@@ -148,7 +160,11 @@
 // startWithMachineA starts a server that knows machine a, with a discovery service that has no further events.
 func startWithMachineA(t *testing.T, addr string, on func(scheduler.Event) []scheduler.Action) *testServer {
 	t.Helper()
-	return startServer(t, on, configJSON(silentDiscovery(t), 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))))
+	return startServer(
+		t,
+		on,
+		configJSON(silentDiscovery(t), 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))),
+	)
 }
 
 // await waits for an event of a type for which holds is true; nil takes any.
--- a/internal/platform/jsonlines/codec_test.go
+++ b/internal/platform/jsonlines/codec_test.go
@@ -55,7 +55,11 @@
 
 // A decoded message is encoded again with its description byte for byte and its numbers as they were written.
 func TestMessageSurvivesRoundTrip(t *testing.T) {
-	m, err := Decode([]byte(`{"op":"offer","call":"9b1f03aa5c7e2d41","with":{"left":1500,"key":"<k>"},"why":0,"desc":"a\u00e9\/\r\n"}`))
+	m, err := Decode(
+		[]byte(
+			`{"op":"offer","call":"9b1f03aa5c7e2d41","with":{"left":1500,"key":"<k>"},"why":0,"desc":"a\u00e9\/\r\n"}`,
+		),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/jsonlines/golden_test.go
+++ b/internal/platform/jsonlines/golden_test.go
@@ -61,7 +61,12 @@
 	text := err.Error()
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
-		text = strings.Replace(text, wrongType.Error(), fmt.Sprintf("<%s at %s, byte %d>", wrongType.Value, wrongType.Field, wrongType.Offset), 1)
+		text = strings.Replace(
+			text,
+			wrongType.Error(),
+			fmt.Sprintf("<%s at %s, byte %d>", wrongType.Value, wrongType.Field, wrongType.Offset),
+			1,
+		)
 	}
 	return text
 }
@@ -96,21 +101,49 @@
 
 // invalidLines are lines that are no message.
 var invalidLines = []string{
-	``, ` `, `null`, `[1]`, `7`, `"offer"`, `{`, `{"op":"end"`, `{"op":"end",}`, `{"op":"ended",` + id + `}{}`, "\x00",
-	`{}`, `{"op":"run",` + id + `}`, `{"op":"",` + id + `}`, `{"op":"END",` + id + `}`, `{"op":7,` + id + `}`,
+	``,
+	` `,
+	`null`,
+	`[1]`,
+	`7`,
+	`"offer"`,
+	`{`,
+	`{"op":"end"`,
+	`{"op":"end",}`,
+	`{"op":"ended",` + id + `}{}`,
+	"\x00",
+	`{}`,
+	`{"op":"run",` + id + `}`,
+	`{"op":"",` + id + `}`,
+	`{"op":"END",` + id + `}`,
+	`{"op":7,` + id + `}`,
 	`{"op":"` + strings.Repeat("o", 100) + `",` + id + `}`,
-	`{"op":"end","why":16}`, `{"op":"end","call":"9b1f03aa5c7e2d4g"}`, `{"op":"end","call":"9b1f03aa5c7e2d4"}`,
-	`{"op":"end","call":"9b1f03aa5c7e2d411"}`, `{"op":"end","call":7}`, `{"op":"end","call":"` + strings.Repeat("0", 100) + `"}`,
-	`{"op":"end",` + id + `,"why":"x"}`, `{"op":"end",` + id + `,"why":1.5}`, `{"op":"end",` + id + `,"why":1e30}`,
+	`{"op":"end","why":16}`,
+	`{"op":"end","call":"9b1f03aa5c7e2d4g"}`,
+	`{"op":"end","call":"9b1f03aa5c7e2d4"}`,
+	`{"op":"end","call":"9b1f03aa5c7e2d411"}`,
+	`{"op":"end","call":7}`,
+	`{"op":"end","call":"` + strings.Repeat("0", 100) + `"}`,
+	`{"op":"end",` + id + `,"why":"x"}`,
+	`{"op":"end",` + id + `,"why":1.5}`,
+	`{"op":"end",` + id + `,"why":1e30}`,
 	`{"op":"end",` + id + `,"why":{}}`,
-	`{"op":"offer",` + id + `,"with":{"left":[1]}}`, `{"op":"offer",` + id + `,"with":{"left":true}}`,
-	`{"op":"offer",` + id + `,"with":{"left":null}}`, `{"op":"offer",` + id + `,"with":{"left":{}}}`,
-	`{"op":"offer",` + id + `,"with":[]}`, `{"op":"offer",` + id + `,"with":"x"}`,
-	`{"op":"accept",` + id + `,"desc":null}`, `{"op":"accept",` + id + `,"desc":5}`, `{"op":"accept",` + id + `,"desc":["x"]}`, `{"op":"accept",` + id + `,"desc":true}`,
-	`{"op":"accept",` + id + `,"desc":"` + "\xff" + `"}`, `{"op":"accept",` + id + `,"desc":"` + "a\tb" + `"}`,
+	`{"op":"offer",` + id + `,"with":{"left":[1]}}`,
+	`{"op":"offer",` + id + `,"with":{"left":true}}`,
+	`{"op":"offer",` + id + `,"with":{"left":null}}`,
+	`{"op":"offer",` + id + `,"with":{"left":{}}}`,
+	`{"op":"offer",` + id + `,"with":[]}`,
+	`{"op":"offer",` + id + `,"with":"x"}`,
+	`{"op":"accept",` + id + `,"desc":null}`,
+	`{"op":"accept",` + id + `,"desc":5}`,
+	`{"op":"accept",` + id + `,"desc":["x"]}`,
+	`{"op":"accept",` + id + `,"desc":true}`,
+	`{"op":"accept",` + id + `,"desc":"` + "\xff" + `"}`,
+	`{"op":"accept",` + id + `,"desc":"` + "a\tb" + `"}`,
 }
 
-// TestDecodedMessagesAreUnchanged reads lines of every type, and lines that are none, and compares every value or error.
+// TestDecodedMessagesAreUnchanged reads lines of every type, and lines that are none, and compares every value or
+// error.
 func TestDecodedMessagesAreUnchanged(t *testing.T) {
 	var got bytes.Buffer
 	for _, line := range slices.Concat(validLines, invalidLines) {
@@ -177,8 +210,10 @@
 func TestLinesAreSplitAsBefore(t *testing.T) {
 	refused := errors.New("the reader refuses this line")
 	var got bytes.Buffer
-	for _, in := range []string{"", "\n", "\r\n", "a\nbc\r\n\n", "a\nbc", "123456789\n", "1234567890\n", "12345678\r\n", "123456789\r\n",
-		"a\n1234567890", "a\n123456789", "x\nstop\ny\n", "a\r\rb\n"} {
+	for _, in := range []string{
+		"", "\n", "\r\n", "a\nbc\r\n\n", "a\nbc", "123456789\n", "1234567890\n", "12345678\r\n", "123456789\r\n",
+		"a\n1234567890", "a\n123456789", "x\nstop\ny\n", "a\r\rb\n",
+	} {
 		for _, step := range []int{1, 2, 3, 7, 100} {
 			lines := LineSplitter{MaxBytes: 10}
 			fmt.Fprintf(&got, "%q by %d:", in, step)
@@ -205,7 +240,14 @@
 	var got bytes.Buffer
 	fmt.Fprintf(&got, "limit %d\n", MaxLineBytes)
 	for _, n := range []int{16322, 16323, 16324, 16325, 16326, 16327, 16328, 20000} {
-		out, err := Append([]byte("kept"), &Message{Op: OpAccept, RequestID: "9b1f03aa5c7e2d41", Description: []byte(`"` + strings.Repeat("x", n) + `"`)})
+		out, err := Append(
+			[]byte("kept"),
+			&Message{
+				Op:          OpAccept,
+				RequestID:   "9b1f03aa5c7e2d41",
+				Description: []byte(`"` + strings.Repeat("x", n) + `"`),
+			},
+		)
 		fmt.Fprintf(&got, "%d: %d bytes, error: %v\n", n, len(out), err)
 	}
 	golden(t, "limit.txt", got.Bytes())
--- a/internal/platform/jsonlines/message.go
+++ b/internal/platform/jsonlines/message.go
@@ -13,8 +13,8 @@
 // Op is the type of a message.
 type Op string
 
-// The types of messages. A scheduler acts on OpOffer, OpEnd, OpEnded and OpTest of clients, and on OpAccept, OpEnd, OpInfo
-// and OpTested of machines. The others are valid and have no effect.
+// The types of messages. A scheduler acts on OpOffer, OpEnd, OpEnded and OpTest of clients, and on OpAccept, OpEnd,
+// OpInfo and OpTested of machines. The others are valid and have no effect.
 const (
 	OpOffer    Op = "offer"  // a container to be placed; from a client also one that runs already
 	OpAccept   Op = "accept" // the container is placed
--- a/internal/platform/jsonlines/splitter.go
+++ b/internal/platform/jsonlines/splitter.go
@@ -5,8 +5,8 @@
 // maxRetainedBytes bounds the buffer that a splitter retains between lines.
 const maxRetainedBytes = 1 << 10
 
-// LineSplitter splits a stream into lines of less than MaxBytes, their end not included. Its buffer holds the incomplete
-// line, and is empty between lines.
+// LineSplitter splits a stream into lines of less than MaxBytes, their end not included. Its buffer holds the
+// incomplete line, and is empty between lines.
 type LineSplitter struct {
 	MaxBytes int
 	partial  []byte
@@ -16,8 +16,8 @@
 // Buffered returns the number of bytes of the incomplete line.
 func (s *LineSplitter) Buffered() int { return len(s.partial) }
 
-// Feed passes each line that p completes to handle, without its end; the line is valid until handle returns. The first error,
-// of handle or a *LineLengthError, is returned by this and every later call, and nothing more is passed on.
+// Feed passes each line that p completes to handle, without its end; the line is valid until handle returns. The first
+// error, of handle or a *LineLengthError, is returned by this and every later call, and nothing more is passed on.
 func (s *LineSplitter) Feed(p []byte, handle func(line []byte) error) error {
 	for len(p) > 0 && s.err == nil {
 		end := bytes.IndexByte(p, '\n')
@@ -37,8 +37,8 @@
 	return s.err
 }
 
-// exceedsLimit reports whether the current line is too long, given its next bytes and where among them it ends; -1 says that it
-// does not.
+// exceedsLimit reports whether the current line is too long, given its next bytes and where among them it ends; -1 says
+// that it does not.
 func (s *LineSplitter) exceedsLimit(p []byte, end int) bool {
 	if end < 0 {
 		end = len(p)
--- a/internal/platform/jsonlines/splitter_test.go
+++ b/internal/platform/jsonlines/splitter_test.go
@@ -31,7 +31,8 @@
 						return nil
 					})
 				}
-				if got != tc.lines || splitter.Buffered() != tc.buffered || (err != nil) != tc.tooLong || tc.tooLong && !isA[*LineLengthError](err) {
+				if got != tc.lines || splitter.Buffered() != tc.buffered || (err != nil) != tc.tooLong ||
+					tc.tooLong && !isA[*LineLengthError](err) {
 					t.Errorf("lines %q, %d bytes buffered, error %v", got, splitter.Buffered(), err)
 				}
 			})
--- a/internal/platform/machineconns.go
+++ b/internal/platform/machineconns.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// closeGracefully half-closes an idle connection. The machine may be reporting the end of a container on it at this moment, so
-// reading continues until the machine has closed it too, or halfCloseTimeout has passed.
+// closeGracefully half-closes an idle connection. The machine may be reporting the end of a container on it at this
+// moment, so reading continues until the machine has closed it too, or halfCloseTimeout has passed.
 func (mc *machineConn) closeGracefully() {
 	if mc.closing {
 		return
@@ -112,8 +112,8 @@
 	m.evictIfGone()
 }
 
-// finishAttempts ends the attempts on a closed connection. A container whose offer was never sent never ran; one whose offer
-// was sent may have run.
+// finishAttempts ends the attempts on a closed connection. A container whose offer was never sent never ran; one whose
+// offer was sent may have run.
 func (mc *machineConn) finishAttempts(notSent scheduler.Outcome, err error) {
 	s := mc.machine.server
 	for _, id := range sortedKeys(mc.attempts) {
@@ -166,8 +166,8 @@
 	return mc.machine.server.acceptAttempt(a, accepted)
 }
 
-// handleEnd handles the end of a running container, which is valid on any connection, or the rejection of the attempt that is
-// pending on this one.
+// handleEnd handles the end of a running container, which is valid on any connection, or the rejection of the attempt
+// that is pending on this one.
 func (mc *machineConn) handleEnd(event containerEnded) {
 	m, s := mc.machine, mc.machine.server
 	a := m.attempts[event.id]
--- a/internal/platform/machineconns_test.go
+++ b/internal/platform/machineconns_test.go
@@ -12,7 +12,8 @@
 	"glenport/scheduler"
 )
 
-// An end that was on its way as its connection broke is read on the next one, which is opened although another is there.
+// An end that was on its way as its connection broke is read on the next one, which is opened although another is
+// there.
 func TestEndIsReadAfterConnectionLoss(t *testing.T) {
 	numbers := make(chan int, 10)
 	for i := range 10 {
@@ -52,8 +53,8 @@
 	}
 }
 
-// A half-closed connection is read until the machine closes it: an end that the machine reports meanwhile counts, and nothing
-// more is sent.
+// A half-closed connection is read until the machine closes it: an end that the machine reports meanwhile counts, and
+// nothing more is sent.
 func TestHalfClosedConnIsRead(t *testing.T) {
 	addr := serveTCP(t, func(m *peer) {
 		if msg := m.receive(); msg != nil {
@@ -119,15 +120,20 @@
 	}
 }
 
-// With more machines than descriptors, connections stay within their limit, each offer is sent, and each end is read, also
-// where the connection was evicted.
+// With more machines than descriptors, connections stay within their limit, each offer is sent, and each end is read,
+// also where the connection was evicted.
 func TestMachineConnLimitHolds(t *testing.T) {
-	const machines, descriptors, limit = 40, 64, 16 // as many for clients, 32 for the watch, bursts and the program itself
+	// as many for clients, 32 for the watch, bursts and the program itself
+	const machines, descriptors, limit = 40, 64, 16
 	listed := make([]string, machines)
 	for i := range listed {
 		listed[i] = machineJSON(numberedMachine(i), lateReportingMachine(t), "ready", 0)
 	}
-	r := startServer(t, attemptOnNumberedMachine, configJSON(silentDiscovery(t), descriptors, eventJSON(1, true, listed...)))
+	r := startServer(
+		t,
+		attemptOnNumberedMachine,
+		configJSON(silentDiscovery(t), descriptors, eventJSON(1, true, listed...)),
+	)
 	client := r.dialClient()
 	most := 0
 	for i := range machines {
@@ -165,7 +171,9 @@
 func attemptOnNumberedMachine(e scheduler.Event) []scheduler.Action {
 	switch e := e.(type) {
 	case scheduler.RequestReceived:
-		return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: scheduler.MachineID("m" + string(e.ID[12:]))}}
+		return []scheduler.Action{
+			scheduler.StartAttempt{ID: e.ID, Machine: scheduler.MachineID("m" + string(e.ID[12:]))},
+		}
 	case scheduler.AttemptEnded:
 		if !e.Final {
 			return []scheduler.Action{scheduler.Reject{ID: e.ID}}
@@ -174,7 +182,8 @@
 	return nil
 }
 
-// lateReportingMachine accepts each offer. Its containers end at once, but it reports that on its next connections only.
+// lateReportingMachine accepts each offer. Its containers end at once, but it reports that on its next connections
+// only.
 func lateReportingMachine(t *testing.T) string {
 	var mu sync.Mutex
 	var ended []string
@@ -195,7 +204,8 @@
 	})
 }
 
-// ageMachineConns makes it appear on the loop that no connection was used for a second, so that idle ones may be evicted.
+// ageMachineConns makes it appear on the loop that no connection was used for a second, so that idle ones may be
+// evicted.
 func (r *testServer) ageMachineConns() {
 	for _, m := range r.server.machines {
 		for _, mc := range m.conns {
@@ -204,8 +214,8 @@
 	}
 }
 
-// A burst of clients and one of attempts, with more machines than connections, leave the discovery watch its descriptor at
-// every moment.
+// A burst of clients and one of attempts, with more machines than connections, leave the discovery watch its descriptor
+// at every moment.
 func TestClientBurstLeavesDescriptorReserve(t *testing.T) {
 	const descriptors, machines, clients = 64, 60, 200
 	const conns = (descriptors - 32) / 2
@@ -213,7 +223,11 @@
 	for i := range listed {
 		listed[i] = machineJSON(numberedMachine(i), fakeMachine(t, acceptLine("%s")), "ready", 0)
 	}
-	r := startServer(t, attemptOnNumberedMachine, configJSON(silentDiscovery(t), descriptors, eventJSON(1, true, listed...)))
+	r := startServer(
+		t,
+		attemptOnNumberedMachine,
+		configJSON(silentDiscovery(t), descriptors, eventJSON(1, true, listed...)),
+	)
 	client := r.dialClient()
 	for i := range conns {
 		client.send(offerLine(numberedRequest(i), ""))
@@ -242,8 +256,8 @@
 	})
 }
 
-// A maintenance tick that opens a connection may evict the last one of a machine that is gone, and the machine with it: the tick
-// then passes over that machine.
+// A maintenance tick that opens a connection may evict the last one of a machine that is gone, and the machine with it:
+// the tick then passes over that machine.
 func TestMachineEvictedDuringMaintenanceIsSkipped(t *testing.T) {
 	a := machineJSON("a", serveTCP(t, (*peer).readToEnd), "ready", 0)
 	z := machineJSON("z", serveTCP(t, (*peer).readToEnd), "ready", 0)
--- a/internal/platform/machinelist.go
+++ b/internal/platform/machinelist.go
@@ -42,9 +42,9 @@
 	return all
 }
 
-// evictPredecessor marks the machine as gone at whose address an update names another one, and returns it; nil if there is
-// none. The list may report it as gone only later, but offers to it would reach its successor and exceed the successor's
-// slow-start budget.
+// evictPredecessor marks the machine as gone at whose address an update names another one, and returns it; nil if there
+// is none. The list may report it as gone only later, but offers to it would reach its successor and exceed the
+// successor's slow-start budget.
 func (s *Server) evictPredecessor(update machineUpdate) *machine {
 	old := s.machines[s.machineAtAddr[update.addr]]
 	if old == nil || old.id == update.entry.Machine || update.entry.State == scheduler.MachineGone {
--- a/internal/platform/machinemessages.go
+++ b/internal/platform/machinemessages.go
@@ -120,7 +120,12 @@
 	if c.idempotencyKey != "" {
 		fields["idem"] = c.idempotencyKey
 	}
-	return &jsonlines.Message{Op: jsonlines.OpOffer, RequestID: string(c.request.ID), Fields: fields, Description: c.description}
+	return &jsonlines.Message{
+		Op:          jsonlines.OpOffer,
+		RequestID:   string(c.request.ID),
+		Fields:      fields,
+		Description: c.description,
+	}
 }
 
 // cancelMessage cancels an offer.
--- a/internal/platform/machinemessages_test.go
+++ b/internal/platform/machinemessages_test.go
@@ -17,8 +17,10 @@
 		want machineMessage
 	}{
 		{acceptLine(requestID), offerAccepted{requestID, []byte(`"d"`)}},
-		{withFields("end", `"note":"busy","load":"x0:1.5;x1:2;x2:-"`, `,"why":34`),
-			containerEnded{requestID, 34, scheduler.ReasonQueueTooLong, load}},
+		{
+			withFields("end", `"note":"busy","load":"x0:1.5;x1:2;x2:-"`, `,"why":34`),
+			containerEnded{requestID, 34, scheduler.ReasonQueueTooLong, load},
+		},
 		{withFields("end", `"note":"of a later version"`, ""), containerEnded{id: requestID, cause: -1}},
 		{withFields("info", `"note":"share","value":0.5`, ""), usageReported{requestID, scheduler.MetricServedShare, 0.5}},
 		{withFields("info", `"note":"share","value":"much"`, ""), nil},
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -6,8 +6,9 @@
 	"glenport/scheduler"
 )
 
-// machine is one that the machine list has named, or that a client has named as running its container, with its connections.
-// An offer has a connection of its own as long as there are enough, so that an answer that cannot be read harms no other.
+// machine is one that the machine list has named, or that a client has named as running its container, with its
+// connections. An offer has a connection of its own as long as there are enough, so that an answer that cannot be read
+// harms no other.
 type machine struct {
 	server    *Server
 	id        scheduler.MachineID
@@ -18,7 +19,8 @@
 	conns     []*machineConn
 	attempts  map[scheduler.ContainerID]*attempt // pending, or running there
 	running   int                                // containers
-	connLost  bool                               // while containers run: the machine repeats its reports on the next connection
+	// while containers run: the machine repeats its reports on the next connection
+	connLost bool
 }
 
 // machineByID returns the machine with an identifier. One that no list has named yet counts as gone.
@@ -57,8 +59,8 @@
 	}
 }
 
-// failRunning ends the containers that were started up to a point in time: they are lost with the machine, or with an earlier
-// incarnation of it.
+// failRunning ends the containers that were started up to a point in time: they are lost with the machine, or with an
+// earlier incarnation of it.
 func (m *machine) failRunning(before eventloop.Tick) {
 	for _, id := range sortedKeys(m.attempts) {
 		if a := m.attempts[id]; a.running && a.createdAt <= before {
--- a/internal/platform/machines_test.go
+++ b/internal/platform/machines_test.go
@@ -18,8 +18,8 @@
 	t.Run("refuses connections", func(t *testing.T) { checkLostMachine(t, "") })
 }
 
-// checkLostMachine loses a machine on which a container runs: by an event with a state and a new start, or, without a state,
-// by the end of the machine.
+// checkLostMachine loses a machine on which a container runs: by an event with a state and a new start, or, without a
+// state, by the end of the machine.
 func checkLostMachine(t *testing.T, state string) {
 	l := listenTCP(t)
 	die, done := make(chan bool), make(chan bool)
@@ -38,7 +38,11 @@
 		p.readToEnd()
 	})
 	addr := l.Addr().String()
-	r := startServer(t, attemptOnA(0), configJSON(discovery, 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))))
+	r := startServer(
+		t,
+		attemptOnA(0),
+		configJSON(discovery, 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))),
+	)
 	client := r.dialClient()
 	client.send(offerLine(requestID, ""))
 	if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpAccept {
@@ -62,7 +66,8 @@
 	}
 }
 
-// acceptOnceUntil accepts one connection and one offer, refuses further connections, and closes the first when die is closed.
+// acceptOnceUntil accepts one connection and one offer, refuses further connections, and closes the first when die is
+// closed.
 func acceptOnceUntil(t *testing.T, l net.Listener, die <-chan bool) {
 	closeListener := func() { _ = l.Close() } // it may be closed
 	defer closeListener()
@@ -78,8 +83,8 @@
 	<-die
 }
 
-// A machine at whose address the list names another is gone, in whatever order the events come: nothing meant for it reaches
-// the other, and its containers have ended.
+// A machine at whose address the list names another is gone, in whatever order the events come: nothing meant for it
+// reaches the other, and its containers have ended.
 func TestReusedAddressEvictsPredecessor(t *testing.T) {
 	const elsewhere = "127.0.0.1:1"
 	for _, tc := range []struct {
@@ -113,12 +118,18 @@
 			}
 		}
 	})
-	r := startServer(t, attemptOnA(0), configJSON(discovery, 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))))
+	r := startServer(
+		t,
+		attemptOnA(0),
+		configJSON(discovery, 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))),
+	)
 	client := r.dialClient()
 	client.send(offerLine(requestID, ""))
 	client.receive()
 	<-offers
-	client.send(strings.Replace(offerLine("00000000000000dd", ""), `"2000"`, `"60000"`, 1)) // an attempt that stays pending
+	client.send(
+		strings.Replace(offerLine("00000000000000dd", ""), `"2000"`, `"60000"`, 1),
+	) // an attempt that stays pending
 	<-offers
 	publish(events(addr)...)
 	if msg := client.receive(); !isEnd(msg, requestID) {
--- a/internal/platform/messages.go
+++ b/internal/platform/messages.go
@@ -5,8 +5,8 @@
 	"glenport/scheduler"
 )
 
-// terminationCause is the reason why a container or an attempt ended. Its values are those of the wire; unknown values are
-// forwarded from machines to clients unchanged.
+// terminationCause is the reason why a container or an attempt ended. Its values are those of the wire; unknown values
+// are forwarded from machines to clients unchanged.
 type terminationCause int
 
 const (
@@ -59,6 +59,21 @@
 	if !s.traceMessages {
 		return
 	}
-	s.log.Info("message", "time", s.loop.Now(), "direction", direction, "peer", peer, "op", msg.Op, "request_id", msg.RequestID,
-		"fields", msg.Fields, "cause", msg.CauseOrNone())
+	s.log.Info(
+		"message",
+		"time",
+		s.loop.Now(),
+		"direction",
+		direction,
+		"peer",
+		peer,
+		"op",
+		msg.Op,
+		"request_id",
+		msg.RequestID,
+		"fields",
+		msg.Fields,
+		"cause",
+		msg.CauseOrNone(),
+	)
 }
--- a/internal/platform/probes.go
+++ b/internal/platform/probes.go
@@ -15,7 +15,8 @@
 	sentAt eventloop.Tick
 }
 
-// startProbe tests a machine. Invariant: every probe has exactly one result, reported by finishProbe once it has a connection.
+// startProbe tests a machine. Invariant: every probe has exactly one result, reported by finishProbe once it has a
+// connection.
 func (s *Server) startProbe(id scheduler.MachineID) {
 	m := s.machineByID(id)
 	if m.addr == "" {
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -1,9 +1,9 @@
 // Package platform runs one scheduler behind the platform's protocol.
 //
-// Messages of clients and machines, and events of the discovery service, become events of the scheduler, and the actions
-// that it returns are carried out in their order. The process itself decides nothing: package scheduler decides on placement,
-// connmanager on connections and notifications, failuredetector on machines that have fallen silent. The words of the wire
-// end in clientmessages.go, machinemessages.go, watchevents.go and config.go.
+// Messages of clients and machines, and events of the discovery service, become events of the scheduler, and the
+// actions that it returns are carried out in their order. The process itself decides nothing: package scheduler decides
+// on placement, connmanager on connections and notifications, failuredetector on machines that have fallen silent. The
+// words of the wire end in clientmessages.go, machinemessages.go, watchevents.go and config.go.
 //
 // The goroutine of the event loop owns all state. Shutdown, Reload and HandleSignals may be called on any goroutine.
 package platform
@@ -75,7 +75,11 @@
 	if s.loop, err = eventloop.New(s.iterate); err != nil {
 		return nil, err
 	}
-	if s.listener, err = s.loop.Listen(config.ListenAddr, s.accept, s.loop.AcceptStateLogger(log, "clients")); err != nil {
+	if s.listener, err = s.loop.Listen(
+		config.ListenAddr,
+		s.accept,
+		s.loop.AcceptStateLogger(log, "clients"),
+	); err != nil {
 		s.loop.Stop()
 		_ = s.loop.Run() // only frees what the loop holds; the error of Listen is the one to report
 		return nil, err
--- a/internal/platform/settings.go
+++ b/internal/platform/settings.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// flattenSettings writes nested settings as the path=value pairs that simprotocol.ParseSettings takes, sorted: a list of plain
-// values with commas between them, a list of objects by its count and its items.
+// flattenSettings writes nested settings as the path=value pairs that simprotocol.ParseSettings takes, sorted: a list
+// of plain values with commas between them, a list of objects by its count and its items.
 func flattenSettings(data []byte) ([]string, error) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.UseNumber()
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -6,8 +6,8 @@
 	"glenport/scheduler"
 )
 
-// Shutdown makes Run return once every request is answered. Until then requests are handled as before, but liveness tests
-// fail. Any goroutine may call it; only the first call has an effect.
+// Shutdown makes Run return once every request is answered. Until then requests are handled as before, but liveness
+// tests fail. Any goroutine may call it; only the first call has an effect.
 func (s *Server) Shutdown() {
 	s.loop.Post(func() {
 		if s.shuttingDown {
@@ -21,7 +21,8 @@
 // stopIfDrained ends Run when a shutdown is complete. Invariant: no request is lost. It is therefore called only in an
 // iteration that has handled all its input, and nothing is read between it and the exit.
 func (s *Server) stopIfDrained() {
-	if !s.shuttingDown || connmanager.ShouldKeepDraining(s.sinceShutdown(s.loop.Now()), s.unanswered, s.longestDeadline()) {
+	if !s.shuttingDown ||
+		connmanager.ShouldKeepDraining(s.sinceShutdown(s.loop.Now()), s.unanswered, s.longestDeadline()) {
 		return
 	}
 	s.log.Info("shutdown complete", "running", len(s.containers), "max_connections", s.loop.PeakConnCount())
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -106,7 +106,8 @@
 	}
 }
 
-// A configuration that is slow to load does not hold up a shutdown; one that is broken is not used, and the next one is.
+// A configuration that is slow to load does not hold up a shutdown; one that is broken is not used, and the next one
+// is.
 func TestReloadAndShutdownDoNotBlockEachOther(t *testing.T) {
 	old, publish := scriptedDiscovery(t)
 	later, publishLater := scriptedDiscovery(t)
--- a/internal/platform/signals.go
+++ b/internal/platform/signals.go
@@ -7,8 +7,9 @@
 	s.loop.Post(func() { s.discovery.moveTo(config.DiscoveryAddr) })
 }
 
-// HandleSignals handles signals to shut down and to reload in goroutines of their own, until the channels are closed. A slow
-// load delays neither a shutdown nor a later reload: the configuration that counts is loaded after the last signal.
+// HandleSignals handles signals to shut down and to reload in goroutines of their own, until the channels are closed. A
+// slow load delays neither a shutdown nor a later reload: the configuration that counts is loaded after the last
+// signal.
 func (s *Server) HandleSignals(shutdown, reload <-chan os.Signal, load func() (*Config, error)) {
 	go func() {
 		for range shutdown {
--- a/internal/platform/watchevents.go
+++ b/internal/platform/watchevents.go
@@ -66,8 +66,8 @@
 // watchRequest makes the line that requests the events behind an offset.
 func watchRequest(lastOffset int64) []byte { return fmt.Appendf(nil, "from %d\n", lastOffset) }
 
-// decodeWatchEvent reads an event. Entries that do not fit the settings are left out and returned as invalidEntries, so that
-// one of them does not prevent the others from being applied.
+// decodeWatchEvent reads an event. Entries that do not fit the settings are left out and returned as invalidEntries, so
+// that one of them does not prevent the others from being applied.
 func (config *Config) decodeWatchEvent(line []byte) (watchEvent, error) {
 	var wire wireEvent
 	if err := json.Unmarshal(line, &wire); err != nil {
@@ -107,8 +107,8 @@
 	return machineUpdate{entry: entry, addr: wire.Addr}, nil
 }
 
-// resolveMachine replaces the names of state, zone and machine type by their numbers. Zone and type of a machine that is gone
-// do not matter. Without zones or machine types in the settings there is one of each.
+// resolveMachine replaces the names of state, zone and machine type by their numbers. Zone and type of a machine that
+// is gone do not matter. Without zones or machine types in the settings there is one of each.
 func (config *Config) resolveMachine(entry *scheduler.MachineEntry, wire wireMachine) error {
 	state, ok := machineStates[wire.State]
 	if !ok {
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// goldenFrames has each kind of frame with a distinct value in every field, each value of each enumeration, and the limits, in
-// the order of the golden file.
+// goldenFrames has each kind of frame with a distinct value in every field, each value of each enumeration, and the
+// limits, in the order of the golden file.
 func goldenFrames() []namedFrame {
 	return slices.Concat(goldenConnectionFrames(), goldenMachineFrames(), goldenListFrames(), goldenClientFrames(),
 		goldenStatusFrames(), goldenEnumerations(), goldenLimits())
@@ -42,10 +42,22 @@
 
 func goldenConnectionFrames() []namedFrame {
 	return []namedFrame{
-		{"1 Hello, scheduler", &Hello{Magic: "glenport", Version: 1, Role: RoleScheduler, Name: "scheduler-1", Incarnation: 11}},
-		{"1 Hello, machine", &Hello{Magic: "glenport", Version: 1, Role: RoleMachine, Name: "machine-1", Incarnation: 12}},
-		{"1 Hello, machine list", &Hello{Magic: "glenport", Version: 1, Role: RoleMachineList, Name: "list-1", Incarnation: 13}},
-		{"1 Hello, client", &Hello{Magic: "glenport", Version: 1, Role: RoleClient, Name: "client-1", Incarnation: 1 << 63}},
+		{
+			"1 Hello, scheduler",
+			&Hello{Magic: "glenport", Version: 1, Role: RoleScheduler, Name: "scheduler-1", Incarnation: 11},
+		},
+		{
+			"1 Hello, machine",
+			&Hello{Magic: "glenport", Version: 1, Role: RoleMachine, Name: "machine-1", Incarnation: 12},
+		},
+		{
+			"1 Hello, machine list",
+			&Hello{Magic: "glenport", Version: 1, Role: RoleMachineList, Name: "list-1", Incarnation: 13},
+		},
+		{
+			"1 Hello, client",
+			&Hello{Magic: "glenport", Version: 1, Role: RoleClient, Name: "client-1", Incarnation: 1 << 63},
+		},
 	}
 }
 
@@ -54,8 +66,10 @@
 		{"2 Offer", &Offer{AttemptID: 1001, Timeout: 1002, Spec: goldenSpec(1100)}},
 		{"3 Accept, running", &Accept{AttemptID: 2001, Running: true}},
 		{"3 Accept, not yet running", &Accept{AttemptID: 2002}},
-		{"4 Result", &Result{AttemptID: 3001, Outcome: OutcomeFull, Reason: ReasonNoMemory,
-			Report: map[string]float64{"queue": 3.5}}},
+		{"4 Result", &Result{
+			AttemptID: 3001, Outcome: OutcomeFull, Reason: ReasonNoMemory,
+			Report: map[string]float64{"queue": 3.5},
+		}},
 		{"4 Result without a report", &Result{AttemptID: 3002}},
 		{"5 UsageReport", &UsageReport{AttemptID: 4001, Metric: MetricMachineMemory, Value: 0.75}},
 		{"6 CancelAttempt", &CancelAttempt{SchedulerIncarnation: 5001, AttemptID: 5002}},
@@ -63,7 +77,8 @@
 		{"8 ProbeReply", &ProbeReply{Seq: 7001, Report: map[string]float64{"util": 0.125}}},
 		{"9 Inventory", &Inventory{MachineIncarnation: 8001, Containers: []InventoryItem{
 			{SchedulerIncarnation: 8002, AttemptID: 8003, Running: true, Spec: goldenSpec(8100)},
-			{SchedulerIncarnation: 8004, AttemptID: 8005, Spec: goldenSpec(8200)}}}},
+			{SchedulerIncarnation: 8004, AttemptID: 8005, Spec: goldenSpec(8200)},
+		}}},
 	}
 }
 
@@ -72,10 +87,32 @@
 		{"10 FetchMachineList", &FetchMachineList{}},
 		{"11 WatchMachineList", &WatchMachineList{Enabled: true, SinceVersion: 9001}},
 		{"12 MachineListUpdate", &MachineListUpdate{FullSnapshot: true, Version: 10001, Entries: []MachineEntry{
-			{Machine: "machine-2", Address: "127.0.0.1:2", Zone: 10002, MachineType: 10003, RackGroup: 10004,
-				State: MachineDraining, FreeCores: 10005.5, FreeMemory: -10006.5, PowerHint: 1.75, Incarnation: 10007, Age: -10008},
-			{Machine: "machine-3", Zone: 10009, MachineType: 10010, RackGroup: 10011, State: MachineGone, FreeCores: 10012.25,
-				FreeMemory: 10013.25, PowerHint: 1.25, Incarnation: 10014, Age: 10015}}}},
+			{
+				Machine:     "machine-2",
+				Address:     "127.0.0.1:2",
+				Zone:        10002,
+				MachineType: 10003,
+				RackGroup:   10004,
+				State:       MachineDraining,
+				FreeCores:   10005.5,
+				FreeMemory:  -10006.5,
+				PowerHint:   1.75,
+				Incarnation: 10007,
+				Age:         -10008,
+			},
+			{
+				Machine:     "machine-3",
+				Zone:        10009,
+				MachineType: 10010,
+				RackGroup:   10011,
+				State:       MachineGone,
+				FreeCores:   10012.25,
+				FreeMemory:  10013.25,
+				PowerHint:   1.25,
+				Incarnation: 10014,
+				Age:         10015,
+			},
+		}}},
 		{"13 MachineListError", &MachineListError{Message: "text 11001"}},
 		{"14 Heartbeat", &Heartbeat{}},
 	}
@@ -85,10 +122,14 @@
 	return []namedFrame{
 		{"15 Submit", &Submit{TimeToDeadline: 12001, Spec: goldenSpec(12100)}},
 		{"16 CancelContainer", &CancelContainer{ContainerID: "container-13001", IdempotencyKey: "key-13002"}},
-		{"17 PlacementReply", &PlacementReply{ContainerID: "container-14001", Verdict: VerdictRejected,
-			Machine: "machine-14002", RetryAfter: 14003, Message: "text 14004"}},
-		{"18 Termination", &Termination{ContainerID: "container-15001", Machine: "machine-15002", Outcome: OutcomeLost,
-			Reason: ReasonDrained}},
+		{"17 PlacementReply", &PlacementReply{
+			ContainerID: "container-14001", Verdict: VerdictRejected,
+			Machine: "machine-14002", RetryAfter: 14003, Message: "text 14004",
+		}},
+		{"18 Termination", &Termination{
+			ContainerID: "container-15001", Machine: "machine-15002", Outcome: OutcomeLost,
+			Reason: ReasonDrained,
+		}},
 	}
 }
 
@@ -96,20 +137,47 @@
 	return []namedFrame{
 		{"20 StatusRequest", &StatusRequest{}},
 		{"21 StatusReply", &StatusReply{Name: "scheduler-16001", Stats: []Stat{
-			{Name: "open", Value: 16002, Unit: "containers"}, {Name: "lag", Value: 0.016003, Unit: "s"}}}},
+			{Name: "open", Value: 16002, Unit: "containers"}, {Name: "lag", Value: 0.016003, Unit: "s"},
+		}}},
 		{"22 Goodbye", &Goodbye{Message: "text 17001"}},
 		{"23 ExplainRequest", &ExplainRequest{Seq: 18001, Spec: goldenSpec(18100)}},
-		{"24 ExplainReply", &ExplainReply{Seq: 19001, Known: true, Machines: 19002, Gone: 19003, WrongMachineType: 19004,
+		{"24 ExplainReply", &ExplainReply{
+			Seq: 19001, Known: true, Machines: 19002, Gone: 19003, WrongMachineType: 19004,
 			Draining: 19005, TooSmall: 19006, SelfDraining: 19007, SpreadExhausted: 19008, SlowStartExhausted: 19009,
 			Ejected: 19010, Suspected: 19011, InsufficientCores: 19012, InsufficientMemory: 19013, Eligible: 19014,
-			SheddingLoad: true, FullRatio: 0.19015, ListAge: 19016}},
+			SheddingLoad: true, FullRatio: 0.19015, ListAge: 19016,
+		}},
 		{"24 ExplainReply, list never heard", &ExplainReply{Seq: 19017, ListAge: -1}},
 		{"25 RoutesRequest", &RoutesRequest{Service: "service-20001"}},
 		{"26 RoutesReply", &RoutesReply{
-			Peers: []BGPPeerStatus{{Address: "127.0.0.1:179", ASN: 21001, State: "Established", Routes: 21002,
-				PendingRoutes: 21003, UpdatesSent: 21004, BytesSent: 21005, SessionsEnded: 21006, LastError: "text 21007"}},
-			Services: []ServiceRoute{{Service: "service-21008", Prefix: "10.0.0.0/24", Announced: true, LocalPreference: 21009,
-				Running: 21010, Draining: 21011, MinRunning: 21012, Penalty: 21013.5, Suppressed: true, NextChangeIn: 21014}}}},
+			Peers: []BGPPeerStatus{
+				{
+					Address:       "127.0.0.1:179",
+					ASN:           21001,
+					State:         "Established",
+					Routes:        21002,
+					PendingRoutes: 21003,
+					UpdatesSent:   21004,
+					BytesSent:     21005,
+					SessionsEnded: 21006,
+					LastError:     "text 21007",
+				},
+			},
+			Services: []ServiceRoute{
+				{
+					Service:         "service-21008",
+					Prefix:          "10.0.0.0/24",
+					Announced:       true,
+					LocalPreference: 21009,
+					Running:         21010,
+					Draining:        21011,
+					MinRunning:      21012,
+					Penalty:         21013.5,
+					Suppressed:      true,
+					NextChangeIn:    21014,
+				},
+			},
+		}},
 		{"27 Lookup", &Lookup{ContainerID: "container-22001", IdempotencyKey: "key-22002"}},
 	}
 }
@@ -122,9 +190,15 @@
 	for i, outcome := range []Outcome{OutcomeFinished, OutcomeErrored, OutcomeFull, OutcomeStopped, OutcomeLost} {
 		add("4 Result, outcome", i, &Result{AttemptID: 23001, Outcome: outcome})
 	}
-	for i, reason := range []Reason{ReasonNone, ReasonNoCores, ReasonNoMemory, ReasonQueueTooLong, ReasonWrongMachine,
-		ReasonOutOfMemory, ReasonPreempted, ReasonDrained} {
-		add("18 Termination, reason", i, &Termination{ContainerID: "container-24001", Outcome: OutcomeStopped, Reason: reason})
+	for i, reason := range []Reason{
+		ReasonNone, ReasonNoCores, ReasonNoMemory, ReasonQueueTooLong, ReasonWrongMachine,
+		ReasonOutOfMemory, ReasonPreempted, ReasonDrained,
+	} {
+		add(
+			"18 Termination, reason",
+			i,
+			&Termination{ContainerID: "container-24001", Outcome: OutcomeStopped, Reason: reason},
+		)
 	}
 	for i, verdict := range []Verdict{VerdictPlaced, VerdictRejected, VerdictFailed, VerdictNotAdmitted} {
 		add("17 PlacementReply, verdict", i+1, &PlacementReply{ContainerID: "container-25001", Verdict: verdict})
@@ -156,8 +230,13 @@
 		for _, f := range frames {
 			all = append(all, section{f.title, describe(f.frame), stream(t, f.frame)})
 		}
-		writeSections(t, framesFile, "Frames of protocol version 1: number and name, fields in their order on the wire\n"+
-			"(names as in docs/protocol.md), bytes with the length in front.\n", all)
+		writeSections(
+			t,
+			framesFile,
+			"Frames of protocol version 1: number and name, fields in their order on the wire\n"+
+				"(names as in docs/protocol.md), bytes with the length in front.\n",
+			all,
+		)
 	}
 	recorded := readSections(t, framesFile)
 	if len(recorded) != len(frames) {
@@ -203,7 +282,9 @@
 
 // A report of several values has no order on the wire, so only its decoding is compared.
 func TestReportOfSeveralValuesIsDecoded(t *testing.T) {
-	p, err := hex.DecodeString("0484190bb90000" + "a3" + "6162fb3ff8000000000000" + "6161fb4004000000000000" + "6163f93c00")
+	p, err := hex.DecodeString(
+		"0484190bb90000" + "a3" + "6162fb3ff8000000000000" + "6161fb4004000000000000" + "6163f93c00",
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -211,7 +292,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := (&Result{AttemptID: 3001, Report: map[string]float64{"a": 2.5, "b": 1.5, "c": 1}}); !reflect.DeepEqual(got, want) {
+	if want := (&Result{AttemptID: 3001, Report: map[string]float64{"a": 2.5, "b": 1.5, "c": 1}}); !reflect.DeepEqual(
+		got,
+		want,
+	) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
--- a/internal/protocol/machine.go
+++ b/internal/protocol/machine.go
@@ -44,8 +44,8 @@
 	Value     float64     `cbor:"Amount"`
 }
 
-// CancelAttempt cancels an attempt, whether its container waits or runs. A Result with OutcomeStopped follows if the machine
-// knew the attempt.
+// CancelAttempt cancels an attempt, whether its container waits or runs. A Result with OutcomeStopped follows if the
+// machine knew the attempt.
 type CancelAttempt struct {
 	_                    struct{} `cbor:",toarray"`
 	SchedulerIncarnation uint64   `cbor:"Life"`
@@ -65,8 +65,8 @@
 	Report map[string]float64 `cbor:"Report"` // as in Result
 }
 
-// Inventory follows the Hello of a machine: all containers that it has accepted from the scheduler of that name, in any of
-// its incarnations.
+// Inventory follows the Hello of a machine: all containers that it has accepted from the scheduler of that name, in any
+// of its incarnations.
 type Inventory struct {
 	_                  struct{}        `cbor:",toarray"`
 	MachineIncarnation uint64          `cbor:"Incarnation"` // grows with each start of the machine
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -1,9 +1,9 @@
 // Package protocol is the framed protocol between schedulers, machines, the machine list and clients. docs/protocol.md
 // describes it.
 //
-// A frame is a length of four bytes, big-endian, one byte for its kind, and a CBOR array of its fields in order. The kinds
-// and the order of the fields are the wire format; the cbor tags hold the names that the page gives to the fields, for
-// errors. Memory is in GiB.
+// A frame is a length of four bytes, big-endian, one byte for its kind, and a CBOR array of its fields in order. The
+// kinds and the order of the fields are the wire format; the cbor tags hold the names that the page gives to the
+// fields, for errors. Memory is in GiB.
 package protocol
 
 import "fmt"
--- a/internal/protocol/reader.go
+++ b/internal/protocol/reader.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// next decodes the frame at the start of data and returns its size with its length; the frame is nil if it is not complete.
+// next decodes the frame at the start of data and returns its size with its length; the frame is nil if it is not
+// complete.
 func (r *Reader) next(data []byte) (f Frame, size int, err error) {
 	if len(data) < lengthSize {
 		return nil, 0, nil
--- a/internal/protocol/reader_test.go
+++ b/internal/protocol/reader_test.go
@@ -10,8 +10,10 @@
 	"testing"
 )
 
-var sampleSpec = ContainerSpec{ContainerID: "c-1", IdempotencyKey: "k", Service: "reports", WorkloadClass: 1, Tenant: 2,
-	Cores: 0.5, Memory: 1.25, DedupWindow: 80000, ExpectedRuntime: 120, ClientRetry: true}
+var sampleSpec = ContainerSpec{
+	ContainerID: "c-1", IdempotencyKey: "k", Service: "reports", WorkloadClass: 1, Tenant: 2,
+	Cores: 0.5, Memory: 1.25, DedupWindow: 80000, ExpectedRuntime: 120, ClientRetry: true,
+}
 
 // samples has one frame of each kind, the Hello first.
 func samples() []Frame {
@@ -25,11 +27,13 @@
 		&Probe{Seq: 1},
 		&ProbeReply{Seq: 1, Report: map[string]float64{"util": 0.5}},
 		&Inventory{MachineIncarnation: 3, Containers: []InventoryItem{
-			{SchedulerIncarnation: 6, AttemptID: 1, Running: true, Spec: sampleSpec}}},
+			{SchedulerIncarnation: 6, AttemptID: 1, Running: true, Spec: sampleSpec},
+		}},
 		&FetchMachineList{},
 		&WatchMachineList{Enabled: true, SinceVersion: 5},
 		&MachineListUpdate{FullSnapshot: true, Version: 6, Entries: []MachineEntry{
-			{Machine: "m1", Address: "127.0.0.1:1", State: MachineDraining, FreeCores: -3, Incarnation: 3, Age: -1}}},
+			{Machine: "m1", Address: "127.0.0.1:1", State: MachineDraining, FreeCores: -3, Incarnation: 3, Age: -1},
+		}},
 		&MachineListError{Message: "busy"},
 		&Heartbeat{},
 		&Submit{TimeToDeadline: 60000, Spec: sampleSpec},
@@ -43,7 +47,10 @@
 		&Lookup{ContainerID: "c", IdempotencyKey: "k"},
 		&ExplainReply{Seq: 3, Known: true, InsufficientCores: 4, ListAge: -1},
 		&RoutesRequest{Service: "s"},
-		&RoutesReply{Peers: []BGPPeerStatus{{Address: "a", ASN: 1}}, Services: []ServiceRoute{{Service: "s", Penalty: 2}}},
+		&RoutesReply{
+			Peers:    []BGPPeerStatus{{Address: "a", ASN: 1}},
+			Services: []ServiceRoute{{Service: "s", Penalty: 2}},
+		},
 	}
 }
 
@@ -152,7 +159,8 @@
 	_, err = Append(nil, &MachineListUpdate{Entries: []MachineEntry{{Machine: "m"}}})
 	var frame *FrameError
 	var field *FieldError
-	if !errors.As(err, &frame) || frame.Frame != "Listed" || !errors.As(err, &field) || *field != (FieldError{"address", "is empty"}) {
+	if !errors.As(err, &frame) || frame.Frame != "Listed" || !errors.As(err, &field) ||
+		*field != (FieldError{"address", "is empty"}) {
 		t.Errorf("a field out of range: %v", err)
 	}
 	var r Reader
@@ -168,15 +176,23 @@
 	}
 	refused := errors.New("refused by the receiver")
 	r = Reader{}
-	if err := r.Feed(stream(t, NewHello(RoleClient, "c", 1)), func(Frame) error { return refused }); !errors.Is(err, refused) {
+	if err := r.Feed(
+		stream(t, NewHello(RoleClient, "c", 1)),
+		func(Frame) error { return refused },
+	); !errors.Is(
+		err,
+		refused,
+	) {
 		t.Errorf("error of the receiver: %v", err)
 	}
 }
 
 func TestFramesOutOfRangeAreNotEncoded(t *testing.T) {
 	tooLongSpec := ContainerSpec{ContainerID: strings.Repeat("x", 201), IdempotencyKey: "k", Service: "s"}
-	for _, f := range []Frame{&Offer{Spec: tooLongSpec}, &Submit{TimeToDeadline: -1, Spec: sampleSpec},
-		&PlacementReply{ContainerID: "c"}, &UsageReport{Metric: 6}} {
+	for _, f := range []Frame{
+		&Offer{Spec: tooLongSpec}, &Submit{TimeToDeadline: -1, Spec: sampleSpec},
+		&PlacementReply{ContainerID: "c"}, &UsageReport{Metric: 6},
+	} {
 		if _, err := Append(nil, f); err == nil {
 			t.Errorf("%s with a value out of range is encoded", Name(f))
 		}
--- a/internal/protocol/status.go
+++ b/internal/protocol/status.go
@@ -74,8 +74,10 @@
 func (f *ExplainReply) validate() error {
 	var v validator
 	v.number("share", f.FullRatio)
-	for _, count := range []int{f.Machines, f.Gone, f.WrongMachineType, f.Draining, f.TooSmall, f.SelfDraining,
-		f.SpreadExhausted, f.SlowStartExhausted, f.Ejected, f.Suspected, f.InsufficientCores, f.InsufficientMemory, f.Eligible} {
+	for _, count := range []int{
+		f.Machines, f.Gone, f.WrongMachineType, f.Draining, f.TooSmall, f.SelfDraining,
+		f.SpreadExhausted, f.SlowStartExhausted, f.Ejected, f.Suspected, f.InsufficientCores, f.InsufficientMemory, f.Eligible,
+	} {
 		v.count("count", count)
 	}
 	return v.err
--- a/internal/schedulerd/admission/admission.go
+++ b/internal/schedulerd/admission/admission.go
@@ -1,5 +1,6 @@
-// Package admission decides which clients, and which of their placement requests, the scheduler takes at its listener. It owns the
-// count of open requests, in all and by client, and the load shedding. The package is pure: no I/O, clock or goroutine.
+// Package admission decides which clients, and which of their placement requests, the scheduler takes at its listener.
+// It owns the count of open requests, in all and by client, and the load shedding. The package is pure: no I/O, clock
+// or goroutine.
 package admission
 
 import (
@@ -22,7 +23,8 @@
 	OpenRequestsPerClient int
 }
 
-// Controller admits clients and requests within limits. A client leaves it with its connection, a request when it is closed.
+// Controller admits clients and requests within limits. A client leaves it with its connection, a request when it is
+// closed.
 type Controller struct {
 	limits       Limits
 	limiter      *overload.Limiter // nil where load is not shed
@@ -30,8 +32,8 @@
 	openByClient map[ClientID]int // of the connected clients
 }
 
-// New returns a controller. With workload classes it also sheds load when containers become slow to start; the seed is for what
-// that decides by chance.
+// New returns a controller. With workload classes it also sheds load when containers become slow to start; the seed is
+// for what that decides by chance.
 func New(limits Limits, seed uint64, classes []overload.WorkloadClass) *Controller {
 	c := &Controller{limits: limits, openByClient: map[ClientID]int{}}
 	if len(classes) > 0 {
@@ -73,9 +75,13 @@
 	return &Rejection{Cause: &LimitError{Limit: limit, Current: current}, RetryAfter: retryAfterWhenFull}
 }
 
-// Open admits a request within the limits and counts it as open, or returns a *Rejection where load is shed. Changes are
-// overload.SheddingStarted and overload.SheddingEnded, in order.
-func (c *Controller) Open(now scheduler.Time, client ClientID, r scheduler.PlacementRequest) (changes []overload.Action, err error) {
+// Open admits a request within the limits and counts it as open, or returns a *Rejection where load is shed. Changes
+// are overload.SheddingStarted and overload.SheddingEnded, in order.
+func (c *Controller) Open(
+	now scheduler.Time,
+	client ClientID,
+	r scheduler.PlacementRequest,
+) (changes []overload.Action, err error) {
 	if changes, err = c.shedLoad(now, client, r); err != nil {
 		return changes, err
 	}
@@ -84,7 +90,11 @@
 	return changes, nil
 }
 
-func (c *Controller) shedLoad(now scheduler.Time, client ClientID, r scheduler.PlacementRequest) (changes []overload.Action, err error) {
+func (c *Controller) shedLoad(
+	now scheduler.Time,
+	client ClientID,
+	r scheduler.PlacementRequest,
+) (changes []overload.Action, err error) {
 	if c.limiter == nil {
 		return nil, nil
 	}
--- a/internal/schedulerd/admission/admission_test.go
+++ b/internal/schedulerd/admission/admission_test.go
@@ -16,7 +16,10 @@
 		}
 	}
 	var limit *LimitError
-	if err := c.Connect(2); !errors.As(err, &limit) || limit.Limit != LimitClients || limit.Current != 2 || c.Connected(2) {
+	if err := c.Connect(
+		2,
+	); !errors.As(err, &limit) || limit.Limit != LimitClients || limit.Current != 2 ||
+		c.Connected(2) {
 		t.Errorf("a third client: %v", err)
 	}
 	c.Disconnect(0)
--- a/internal/schedulerd/admission/errors.go
+++ b/internal/schedulerd/admission/errors.go
@@ -7,7 +7,8 @@
 	"glenport/scheduler"
 )
 
-// Rejection turns a request away. Nothing was sent to a machine for it, so a retry does no harm. Its text is given to the client.
+// Rejection turns a request away. Nothing was sent to a machine for it, so a retry does no harm. Its text is given to
+// the client.
 type Rejection struct {
 	Cause      error
 	RetryAfter scheduler.Time // 0: a retry is of no use
--- a/internal/schedulerd/attempt.go
+++ b/internal/schedulerd/attempt.go
@@ -32,8 +32,8 @@
 	adoptionsBefore    int    // when it was decided
 }
 
-// startAttempt offers a container to a machine, at once or as soon as the connection is ready and the log holds what it must.
-// Each attempt ends in exactly one AttemptEnded, also one that cannot be sent.
+// startAttempt offers a container to a machine, at once or as soon as the connection is ready and the log holds what it
+// must. Each attempt ends in exactly one AttemptEnded, also one that cannot be sent.
 func (s *Server) startAttempt(action scheduler.StartAttempt) {
 	c, m := s.containers[action.ID], s.machines[action.Machine]
 	if c == nil {
@@ -41,8 +41,10 @@
 		return
 	}
 	if c.attempt != nil || m == nil || c.answered {
-		s.enqueueSchedulerEvent(scheduler.AttemptEnded{ID: action.ID, Outcome: scheduler.OutcomeNotSent, Machine: action.Machine,
-			Attempt: c.attempts, Final: c.answered})
+		s.enqueueSchedulerEvent(scheduler.AttemptEnded{
+			ID: action.ID, Outcome: scheduler.OutcomeNotSent, Machine: action.Machine,
+			Attempt: c.attempts, Final: c.answered,
+		})
 		return
 	}
 	a := s.newAttempt(c, m, eventloop.Tick(action.Timeout))
@@ -102,8 +104,8 @@
 	}
 }
 
-// attemptUnreached ends an attempt whose machine was not reached in time. If the connection is ready the attempt waited for the
-// log, which is no failure of the machine.
+// attemptUnreached ends an attempt whose machine was not reached in time. If the connection is ready the attempt waited
+// for the log, which is no failure of the machine.
 func (s *Server) attemptUnreached(a *attempt) {
 	if a.awaitingLog || a.machine.ready {
 		s.attemptNotSent(a)
@@ -131,7 +133,8 @@
 	s.endAttempt(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeTimedOut})
 }
 
-// attemptAccepted handles the accept of a machine: the container runs, or will run where an accept does not mean that it runs already.
+// attemptAccepted handles the accept of a machine: the container runs, or will run where an accept does not mean that
+// it runs already.
 func (s *Server) attemptAccepted(a *attempt) {
 	c := a.container
 	s.loop.Cancel(a.timer)
@@ -145,9 +148,17 @@
 	}
 	c.answered = true
 	s.stats.countAnswer(protocol.VerdictPlaced)
-	s.enqueueSchedulerEvent(scheduler.AttemptAccepted{ID: c.request.ID, Attempt: a.ordinal, Machine: a.machine.id, Elapsed: s.elapsed(a)})
+	s.enqueueSchedulerEvent(
+		scheduler.AttemptAccepted{ID: c.request.ID, Attempt: a.ordinal, Machine: a.machine.id, Elapsed: s.elapsed(a)},
+	)
 	if c.client != nil {
-		c.client.send(&protocol.PlacementReply{ContainerID: string(c.request.ID), Verdict: protocol.VerdictPlaced, Machine: string(a.machine.id)})
+		c.client.send(
+			&protocol.PlacementReply{
+				ContainerID: string(c.request.ID),
+				Verdict:     protocol.VerdictPlaced,
+				Machine:     string(a.machine.id),
+			},
+		)
 	}
 }
 
@@ -223,8 +234,10 @@
 	s.stats.running--
 	s.announceEnded(a)
 	if client := a.container.client; client != nil {
-		client.send(&protocol.Termination{ContainerID: a.container.clientContainerID, Machine: string(a.machine.id),
-			Outcome: protocol.OutcomeFromScheduler(ended.Outcome), Reason: protocol.Reason(ended.Reason)})
+		client.send(&protocol.Termination{
+			ContainerID: a.container.clientContainerID, Machine: string(a.machine.id),
+			Outcome: protocol.OutcomeFromScheduler(ended.Outcome), Reason: protocol.Reason(ended.Reason),
+		})
 	}
 }
 
@@ -234,11 +247,17 @@
 
 // record is the attempt as the reconciler and the log know it.
 func (a *attempt) record() reconcile.Attempt {
-	return reconcile.Attempt{Request: a.container.request, Machine: a.machine.id, Incarnation: a.incarnation, Number: a.number, Running: true}
+	return reconcile.Attempt{
+		Request:     a.container.request,
+		Machine:     a.machine.id,
+		Incarnation: a.incarnation,
+		Number:      a.number,
+		Running:     true,
+	}
 }
 
-// stale reports whether what a queued attempt was decided on has changed: the machine drains, is gone or has restarted, or more
-// containers of the service were found running.
+// stale reports whether what a queued attempt was decided on has changed: the machine drains, is gone or has restarted,
+// or more containers of the service were found running.
 func (a *attempt) stale() bool {
 	m := a.machine
 	return m.gone || m.draining || m.incarnation != a.machineIncarnation ||
--- a/internal/schedulerd/attempt_test.go
+++ b/internal/schedulerd/attempt_test.go
@@ -28,14 +28,23 @@
 
 func refuseWith(outcome protocol.Outcome, reason protocol.Reason) machineServer {
 	return respondToOffer(func(o *protocol.Offer) []protocol.Frame {
-		return []protocol.Frame{&protocol.Result{AttemptID: o.AttemptID, Outcome: outcome, Reason: reason, Report: map[string]float64{"queue": 3}}}
+		return []protocol.Frame{
+			&protocol.Result{
+				AttemptID: o.AttemptID,
+				Outcome:   outcome,
+				Reason:    reason,
+				Report:    map[string]float64{"queue": 3},
+			},
+		}
 	})
 }
 
 func acceptThenEnd(outcome protocol.Outcome, reason protocol.Reason) machineServer {
 	return respondToOffer(func(o *protocol.Offer) []protocol.Frame {
-		return []protocol.Frame{&protocol.Accept{AttemptID: o.AttemptID, Running: true},
-			&protocol.Result{AttemptID: o.AttemptID, Outcome: outcome, Reason: reason}}
+		return []protocol.Frame{
+			&protocol.Accept{AttemptID: o.AttemptID, Running: true},
+			&protocol.Result{AttemptID: o.AttemptID, Outcome: outcome, Reason: reason},
+		}
 	})
 }
 
@@ -79,7 +88,12 @@
 // Each outcome of the scheduler's contract arises from what happens on a socket.
 func TestEveryOutcomeArisesOnSockets(t *testing.T) {
 	unexpectedFrame := respondToOffer(func(*protocol.Offer) []protocol.Frame {
-		return []protocol.Frame{&protocol.Submit{TimeToDeadline: 1, Spec: protocol.ContainerSpec{ContainerID: "x", IdempotencyKey: "x", Service: "x"}}}
+		return []protocol.Frame{
+			&protocol.Submit{
+				TimeToDeadline: 1,
+				Spec:           protocol.ContainerSpec{ContainerID: "x", IdempotencyKey: "x", Service: "x"},
+			},
+		}
 	})
 	for _, tc := range []struct {
 		name        string
@@ -92,10 +106,14 @@
 		{"full", refuseWith(protocol.OutcomeFull, protocol.ReasonNoMemory), scheduler.OutcomeFull, scheduler.ReasonNoMemory, false, 0},
 		{"errored", refuseWith(protocol.OutcomeErrored, 0), scheduler.OutcomeErrored, 0, false, 0},
 		{"finished", acceptThenEnd(protocol.OutcomeFinished, 0), scheduler.OutcomeFinished, 0, true, protocol.OutcomeFinished},
-		{"out of memory", acceptThenEnd(protocol.OutcomeLost, protocol.ReasonOutOfMemory), scheduler.OutcomeLost, scheduler.ReasonOutOfMemory, true,
-			protocol.OutcomeLost},
-		{"drained", acceptThenEnd(protocol.OutcomeLost, protocol.ReasonDrained), scheduler.OutcomeLost, scheduler.ReasonDrained, true,
-			protocol.OutcomeLost},
+		{
+			"out of memory", acceptThenEnd(protocol.OutcomeLost, protocol.ReasonOutOfMemory), scheduler.OutcomeLost, scheduler.ReasonOutOfMemory, true,
+			protocol.OutcomeLost,
+		},
+		{
+			"drained", acceptThenEnd(protocol.OutcomeLost, protocol.ReasonDrained), scheduler.OutcomeLost, scheduler.ReasonDrained, true,
+			protocol.OutcomeLost,
+		},
 		{"no answer", ignoreOffers("a"), scheduler.OutcomeTimedOut, 0, false, 0},
 		{"connection closed between offer and answer", closeOnOffer(false), scheduler.OutcomeLost, 0, false, 0},
 		{"connection reset between offer and answer", closeOnOffer(true), scheduler.OutcomeLost, 0, false, 0},
@@ -105,10 +123,17 @@
 		{"another machine answers", ignoreOffers("b"), scheduler.OutcomeConnectFailed, 0, false, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := startHarness(t, testConfig(t), attemptOn(1500*scheduler.Millisecond), map[string]string{"a": tc.machine(t)})
+			h := startHarness(
+				t,
+				testConfig(t),
+				attemptOn(1500*scheduler.Millisecond),
+				map[string]string{"a": tc.machine(t)},
+			)
 			h.client.submit("x", classAtMostOnce)
 			ended := awaitEvent[scheduler.AttemptEnded](t, h.script, nil)
-			if ended.Outcome != tc.want || ended.Reason != tc.reason || ended.Final != tc.final || ended.Machine != "a" || ended.ID != "x" {
+			if ended.Outcome != tc.want || ended.Reason != tc.reason || ended.Final != tc.final ||
+				ended.Machine != "a" ||
+				ended.ID != "x" {
 				t.Errorf("got %+v", ended)
 			}
 			if !tc.final {
@@ -123,7 +148,8 @@
 	}
 }
 
-// A machine that never reads blocks its own output alone: no more is sent to it, and other clients are served meanwhile.
+// A machine that never reads blocks its own output alone: no more is sent to it, and other clients are served
+// meanwhile.
 func TestMachineThatNeverReadsIsNotSentMore(t *testing.T) {
 	done := make(chan struct{})
 	address := listenTCP(t, func(c net.Conn) {
@@ -138,8 +164,10 @@
 	sent := 0
 	for notSent := false; !notSent; {
 		for range 1000 {
-			sendFrames(h.client, &protocol.Submit{TimeToDeadline: 600_000, Spec: protocol.ContainerSpec{ContainerID: fmt.Sprint("x", sent),
-				IdempotencyKey: fmt.Sprint(sent), Service: strings.Repeat("s", 150), WorkloadClass: classAtMostOnce}})
+			sendFrames(h.client, &protocol.Submit{TimeToDeadline: 600_000, Spec: protocol.ContainerSpec{
+				ContainerID:    fmt.Sprint("x", sent),
+				IdempotencyKey: fmt.Sprint(sent), Service: strings.Repeat("s", 150), WorkloadClass: classAtMostOnce,
+			}})
 			sent++
 		}
 		sendFrames(h.client, &protocol.StatusRequest{})
@@ -159,7 +187,8 @@
 	lateAdopted   = "adopted"
 )
 
-// acceptAtProbe is a machine that accepts an offer when it is probed, which is the test's sign that the attempt has ended.
+// acceptAtProbe is a machine that accepts an offer when it is probed, which is the test's sign that the attempt has
+// ended.
 func acceptAtProbe(t *testing.T, seen chan<- string) string {
 	attempts := make(chan uint64, 1)
 	return serveMachine(t, "a", &protocol.Inventory{}, func(c net.Conn, f protocol.Frame) bool {
@@ -175,7 +204,8 @@
 	})
 }
 
-// probeAfterEnd attempts each request on machine a, optionally cancels the attempt at once, and probes the machine after it.
+// probeAfterEnd attempts each request on machine a, optionally cancels the attempt at once, and probes the machine
+// after it.
 func probeAfterEnd(timeout scheduler.Time, cancel bool, seen chan<- string) func(scheduler.Event) []scheduler.Action {
 	react := attemptOn(timeout)
 	return func(e scheduler.Event) []scheduler.Action {
@@ -193,8 +223,8 @@
 	}
 }
 
-// An accept that comes after its attempt was cancelled or has timed out changes no answer: idempotent work is cancelled, work that
-// must not run twice is adopted.
+// An accept that comes after its attempt was cancelled or has timed out changes no answer: idempotent work is
+// cancelled, work that must not run twice is adopted.
 func TestLateAcceptChangesNoAnswer(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -211,12 +241,22 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			seen := make(chan string, 10)
-			h := startHarness(t, testConfig(t), probeAfterEnd(tc.timeout, tc.cancel, seen), map[string]string{"a": acceptAtProbe(t, seen)})
+			h := startHarness(
+				t,
+				testConfig(t),
+				probeAfterEnd(tc.timeout, tc.cancel, seen),
+				map[string]string{"a": acceptAtProbe(t, seen)},
+			)
 			if tc.cancel { // without a ready connection the attempt is never sent
 				h.server.loop.Post(func() { h.server.connect(h.server.machines["a"]) })
 				h.awaitReady("a")
 			}
-			spec := protocol.ContainerSpec{ContainerID: "x", IdempotencyKey: "k-x", Service: "s", WorkloadClass: tc.class}
+			spec := protocol.ContainerSpec{
+				ContainerID:    "x",
+				IdempotencyKey: "k-x",
+				Service:        "s",
+				WorkloadClass:  tc.class,
+			}
 			sendFrames(h.client, &protocol.Submit{TimeToDeadline: 3000, Spec: spec})
 			h.client.wantReply(protocol.VerdictFailed)
 			got := <-seen
@@ -237,8 +277,8 @@
 	}
 }
 
-// A closed connection alone loses nothing: the next inventory decides. What it no longer lists is lost, what it lists of an earlier
-// incarnation is adopted.
+// A closed connection alone loses nothing: the next inventory decides. What it no longer lists is lost, what it lists
+// of an earlier incarnation is adopted.
 func TestInventoryAfterReconnectDecidesWhatIsLost(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -246,9 +286,16 @@
 	}{{"still named", true}, {"no longer named", false}} {
 		t.Run(tc.name, func(t *testing.T) {
 			connections, attempt := 0, uint64(0)
-			spec := protocol.ContainerSpec{ContainerID: "x", IdempotencyKey: "k-x", Service: "s", WorkloadClass: classAtMostOnce}
-			earlier := protocol.InventoryItem{SchedulerIncarnation: 1, AttemptID: 7, Running: true,
-				Spec: protocol.ContainerSpec{ContainerID: "old", IdempotencyKey: "k-old", Service: "s"}}
+			spec := protocol.ContainerSpec{
+				ContainerID:    "x",
+				IdempotencyKey: "k-x",
+				Service:        "s",
+				WorkloadClass:  classAtMostOnce,
+			}
+			earlier := protocol.InventoryItem{
+				SchedulerIncarnation: 1, AttemptID: 7, Running: true,
+				Spec: protocol.ContainerSpec{ContainerID: "old", IdempotencyKey: "k-old", Service: "s"},
+			}
 			reconnected := make(chan net.Conn, 10)
 			address := listenTCP(t, func(c net.Conn) {
 				hello, err := receiveFrame(c)
@@ -259,7 +306,11 @@
 				connections++
 				if connections == 2 && tc.named {
 					inventory.Containers = append(inventory.Containers, protocol.InventoryItem{
-						SchedulerIncarnation: hello.(*protocol.Hello).Incarnation, AttemptID: attempt, Running: true, Spec: spec})
+						SchedulerIncarnation: hello.(*protocol.Hello).Incarnation,
+						AttemptID:            attempt,
+						Running:              true,
+						Spec:                 spec,
+					})
 				}
 				sendFrames(c, protocol.NewHello(protocol.RoleMachine, "a", 1), inventory)
 				if connections == 2 {
@@ -278,7 +329,12 @@
 				}
 			})
 			h := startHarness(t, testConfig(t), attemptOn(0), map[string]string{"a": address})
-			if found := awaitEvent[scheduler.ContainerAdopted](t, h.script, nil); found.ID != "old" || found.Machine != "a" {
+			if found := awaitEvent[scheduler.ContainerAdopted](
+				t,
+				h.script,
+				nil,
+			); found.ID != "old" ||
+				found.Machine != "a" {
 				t.Errorf("adopted %+v", found)
 			}
 			h.client.submit("x", classAtMostOnce)
@@ -339,7 +395,8 @@
 	}
 	setLimit(syscall.Rlimit{Cur: uint64(lowest), Max: old.Max})
 	h.client.submit("x", classAtMostOnce)
-	if ended := awaitEvent[scheduler.AttemptEnded](t, h.script, nil); ended.Outcome != scheduler.OutcomeNotSent { // no failure of the machine
+	// no failure of the machine
+	if ended := awaitEvent[scheduler.AttemptEnded](t, h.script, nil); ended.Outcome != scheduler.OutcomeNotSent {
 		t.Errorf("got %+v", ended)
 	}
 	h.client.wantReply(protocol.VerdictFailed)
--- a/internal/schedulerd/clientconn.go
+++ b/internal/schedulerd/clientconn.go
@@ -37,8 +37,10 @@
 
 func (s *Server) acceptClient() (eventloop.Handler, int) {
 	s.lastClient++
-	return &clientConn{server: s, id: s.lastClient, reader: protocol.Reader{MaxSize: protocol.MaxClientFrame}, name: unknownPeer,
-		acceptedAt: s.loop.Now()}, s.config.MaxOutput
+	return &clientConn{
+		server: s, id: s.lastClient, reader: protocol.Reader{MaxSize: protocol.MaxClientFrame}, name: unknownPeer,
+		acceptedAt: s.loop.Now(),
+	}, s.config.MaxOutput
 }
 
 // Opened implements eventloop.Handler.
@@ -117,9 +119,21 @@
 	case *protocol.Submit:
 		c.handleSubmit(f)
 	case *protocol.CancelContainer:
-		s.enqueueReconcilerEvent(reconcile.CancelRequested{Client: c.id, ID: scheduler.ContainerID(f.ContainerID), IdempotencyKey: f.IdempotencyKey})
+		s.enqueueReconcilerEvent(
+			reconcile.CancelRequested{
+				Client:         c.id,
+				ID:             scheduler.ContainerID(f.ContainerID),
+				IdempotencyKey: f.IdempotencyKey,
+			},
+		)
 	case *protocol.Lookup:
-		s.enqueueReconcilerEvent(reconcile.LookupRequested{Client: c.id, ID: scheduler.ContainerID(f.ContainerID), IdempotencyKey: f.IdempotencyKey})
+		s.enqueueReconcilerEvent(
+			reconcile.LookupRequested{
+				Client:         c.id,
+				ID:             scheduler.ContainerID(f.ContainerID),
+				IdempotencyKey: f.IdempotencyKey,
+			},
+		)
 	case *protocol.ExplainRequest:
 		c.send(s.explainReply(f))
 	case *protocol.RoutesRequest:
--- a/internal/schedulerd/clientconn_test.go
+++ b/internal/schedulerd/clientconn_test.go
@@ -79,7 +79,15 @@
 		})
 	}
 	dialClient(t, h.server.Addr()) // the second
-	if got := goodbyeTo(t, h.server.Addr(), encodedHello(t, protocol.RoleClient), 0); !strings.Contains(got, "2 owners are connected") {
+	if got := goodbyeTo(
+		t,
+		h.server.Addr(),
+		encodedHello(t, protocol.RoleClient),
+		0,
+	); !strings.Contains(
+		got,
+		"2 owners are connected",
+	) {
 		t.Errorf("a third client gets %q", got)
 	}
 	sendFrames(h.client, &protocol.CancelContainer{ContainerID: "x"})
--- a/internal/schedulerd/clocks.go
+++ b/internal/schedulerd/clocks.go
@@ -16,7 +16,8 @@
 // nanosecondsPerTime is the length of one unit of scheduler.Time.
 const nanosecondsPerTime = 100_000
 
-// readClocks adds the uptime and the boot of the system to a reading of the clock. Either stays empty if the system does not provide it.
+// readClocks adds the uptime and the boot of the system to a reading of the clock. Either stays empty if the system
+// does not provide it.
 func readClocks(clock scheduler.Time) warmstart.Timestamp {
 	now := warmstart.Timestamp{Clock: clock}
 	var uptime unix.Timespec
--- a/internal/schedulerd/container.go
+++ b/internal/schedulerd/container.go
@@ -45,14 +45,18 @@
 // refuse answers a request that is not admitted.
 func (s *Server) refuse(action reconcile.Reject) {
 	s.stats.countAnswer(protocol.VerdictNotAdmitted)
-	s.sendToClient(action.Client, &protocol.PlacementReply{ContainerID: string(action.ID), Verdict: protocol.VerdictNotAdmitted,
-		RetryAfter: protocol.Duration(action.RetryAfter), Message: action.Reason.Error()})
+	s.sendToClient(action.Client, &protocol.PlacementReply{
+		ContainerID: string(action.ID), Verdict: protocol.VerdictNotAdmitted,
+		RetryAfter: protocol.Duration(action.RetryAfter), Message: action.Reason.Error(),
+	})
 }
 
 // replyAlreadyRunning answers a request for what runs. The client that requested it last receives its termination.
 func (s *Server) replyAlreadyRunning(action reconcile.AlreadyRunning) {
-	s.sendToClient(action.Client, &protocol.PlacementReply{ContainerID: string(action.ID), Verdict: protocol.VerdictPlaced,
-		Machine: string(action.Machine), Message: messageAlreadyRunning})
+	s.sendToClient(action.Client, &protocol.PlacementReply{
+		ContainerID: string(action.ID), Verdict: protocol.VerdictPlaced,
+		Machine: string(action.Machine), Message: messageAlreadyRunning,
+	})
 	if c := s.containers[action.RunningID]; c != nil {
 		c.client, c.clientContainerID = s.clients[action.Client], string(action.ID)
 	}
@@ -76,8 +80,8 @@
 	}
 }
 
-// terminate ends a container that a client has cancelled. The client that cancels receives the termination, whoever requested
-// the container.
+// terminate ends a container that a client has cancelled. The client that cancels receives the termination, whoever
+// requested the container.
 func (s *Server) terminate(action reconcile.TerminateContainer) {
 	c, client := s.containers[action.ID], s.clients[action.Client]
 	if c == nil || client == nil {
@@ -85,7 +89,13 @@
 	}
 	requestedID := string(action.RequestedID)
 	if c.client != nil && c.client != client && !c.client.disconnected {
-		client.send(&protocol.PlacementReply{ContainerID: requestedID, Verdict: protocol.VerdictNotAdmitted, Message: messageOtherClient})
+		client.send(
+			&protocol.PlacementReply{
+				ContainerID: requestedID,
+				Verdict:     protocol.VerdictNotAdmitted,
+				Message:     messageOtherClient,
+			},
+		)
 		return
 	}
 	if c.attempt != nil && c.attempt.accepted {
@@ -111,9 +121,17 @@
 	c.answered = true
 	s.stats.countAnswer(protocol.VerdictFailed)
 	if c.client != nil && c.clientContainerID != requestedID {
-		c.client.send(&protocol.PlacementReply{ContainerID: c.clientContainerID, Verdict: protocol.VerdictFailed, Message: messageCancelled})
-	}
-	client.send(&protocol.PlacementReply{ContainerID: requestedID, Verdict: protocol.VerdictFailed, Message: messageCancelled})
+		c.client.send(
+			&protocol.PlacementReply{
+				ContainerID: c.clientContainerID,
+				Verdict:     protocol.VerdictFailed,
+				Message:     messageCancelled,
+			},
+		)
+	}
+	client.send(
+		&protocol.PlacementReply{ContainerID: requestedID, Verdict: protocol.VerdictFailed, Message: messageCancelled},
+	)
 	s.enqueueReconcilerEvent(reconcile.RequestFailed{ID: c.request.ID})
 }
 
@@ -136,8 +154,15 @@
 		return
 	}
 	c := &container{request: found.Request, answered: true, attempts: 1}
-	a := &attempt{number: found.Number, incarnation: found.Incarnation, container: c, machine: m, decidedAt: s.loop.Now(), sent: true,
-		accepted: true}
+	a := &attempt{
+		number:      found.Number,
+		incarnation: found.Incarnation,
+		container:   c,
+		machine:     m,
+		decidedAt:   s.loop.Now(),
+		sent:        true,
+		accepted:    true,
+	}
 	c.attempt, m.attempts[found.Number] = a, a
 	if s.state != nil {
 		s.state.logAdopted(a, found)
--- a/internal/schedulerd/discovery.go
+++ b/internal/schedulerd/discovery.go
@@ -101,7 +101,8 @@
 	return nil
 }
 
-// handleHello forgets the version if the service has restarted: updates since a version of an earlier incarnation mean nothing.
+// handleHello forgets the version if the service has restarted: updates since a version of an earlier incarnation mean
+// nothing.
 func (d *discoveryClient) handleHello(f *protocol.Hello) error {
 	if f.Role != protocol.RoleMachineList {
 		return fmt.Errorf("%w: %s instead of the machine list", errUnexpectedPeer, f.Role)
--- a/internal/schedulerd/discovery_test.go
+++ b/internal/schedulerd/discovery_test.go
@@ -12,10 +12,15 @@
 	"glenport/scheduler"
 )
 
-// serveThreeUpdates sends a full list on the first connection, another update on the second, by a service of the given incarnation,
-// and a full list on every further one. It reports the version since which the third asks for updates: connections are served side
-// by side, so the report of an earlier one may come after it.
-func serveThreeUpdates(t *testing.T, incarnation uint64, second *protocol.MachineListUpdate, third chan<- int64) string {
+// serveThreeUpdates sends a full list on the first connection, another update on the second, by a service of the given
+// incarnation, and a full list on every further one. It reports the version since which the third asks for updates:
+// connections are served side by side, so the report of an earlier one may come after it.
+func serveThreeUpdates(
+	t *testing.T,
+	incarnation uint64,
+	second *protocol.MachineListUpdate,
+	third chan<- int64,
+) string {
 	t.Helper()
 	entry := func(machine string, state protocol.MachineState) []protocol.MachineEntry {
 		return []protocol.MachineEntry{{Machine: machine, Address: "127.0.0.1:1", State: state, Age: -1}}
@@ -38,18 +43,32 @@
 		}
 		switch n {
 		case 1:
-			sendFrames(c, &protocol.MachineListUpdate{FullSnapshot: true, Version: 5, Entries: entry("a", protocol.MachineDraining)})
+			sendFrames(
+				c,
+				&protocol.MachineListUpdate{
+					FullSnapshot: true,
+					Version:      5,
+					Entries:      entry("a", protocol.MachineDraining),
+				},
+			)
 		case 2:
 			sendFrames(c, second)
 		default:
-			sendFrames(c, &protocol.MachineListUpdate{FullSnapshot: true, Version: 7, Entries: entry("b", protocol.MachineServing)})
+			sendFrames(
+				c,
+				&protocol.MachineListUpdate{
+					FullSnapshot: true,
+					Version:      7,
+					Entries:      entry("b", protocol.MachineServing),
+				},
+			)
 		}
 		skipFrame(c)
 	})
 }
 
-// A list that is older than the last one, or of another incarnation of its service, is not applied. The service is asked again,
-// for the full list if it has restarted.
+// A list that is older than the last one, or of another incarnation of its service, is not applied. The service is
+// asked again, for the full list if it has restarted.
 func TestOlderMachineListIsNotApplied(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -86,8 +105,8 @@
 	}
 }
 
-// A machine hello with a new incarnation while the list service is unreachable does not end the requests for the list: they go on
-// until the service answers.
+// A machine hello with a new incarnation while the list service is unreachable does not end the requests for the list:
+// they go on until the service answers.
 func TestListIsRequestedAgainAfterMachineHello(t *testing.T) {
 	machineAddress, hello, _ := serveSlowMachine(t, "a")
 	entry := protocol.MachineEntry{Machine: "a", Address: machineAddress, Incarnation: 1, Age: -1}
@@ -107,7 +126,14 @@
 			}
 			if w, ok := f.(*protocol.WatchMachineList); ok {
 				requested <- w.SinceVersion
-				sendFrames(c, &protocol.MachineListUpdate{FullSnapshot: true, Version: 5, Entries: []protocol.MachineEntry{entry}})
+				sendFrames(
+					c,
+					&protocol.MachineListUpdate{
+						FullSnapshot: true,
+						Version:      5,
+						Entries:      []protocol.MachineEntry{entry},
+					},
+				)
 			}
 		}
 	})
--- a/internal/schedulerd/errors.go
+++ b/internal/schedulerd/errors.go
@@ -22,8 +22,8 @@
 	errUnexpectedPeer     = errors.New("unexpected peer")
 )
 
-// peerError is a fault of a machine or a client. Its text is sent to the peer in a Goodbye: it is part of the wire and must not
-// change. The log shows fault and detail instead.
+// peerError is a fault of a machine or a client. Its text is sent to the peer in a Goodbye: it is part of the wire and
+// must not change. The log shows fault and detail instead.
 type peerError struct {
 	fault  error
 	detail string
@@ -51,12 +51,18 @@
 }
 
 func wrongMachine(f *protocol.Hello, want string) error {
-	return &peerError{fault: errUnexpectedPeer, detail: fmt.Sprintf("%s %q instead of machine %s", f.Role, f.Name, want),
-		text: fmt.Sprintf("%s %q answers where machine %s was called", f.Role, f.Name, want)}
+	return &peerError{
+		fault: errUnexpectedPeer, detail: fmt.Sprintf("%s %q instead of machine %s", f.Role, f.Name, want),
+		text: fmt.Sprintf("%s %q answers where machine %s was called", f.Role, f.Name, want),
+	}
 }
 
 func wrongClient(role protocol.Role) error {
-	return &peerError{fault: errUnexpectedPeer, detail: role.String(), text: fmt.Sprintf("a %s has no business at this door", role)}
+	return &peerError{
+		fault:  errUnexpectedPeer,
+		detail: role.String(),
+		text:   fmt.Sprintf("a %s has no business at this door", role),
+	}
 }
 
 func unexpectedFromMachine(f protocol.Frame) error { return unexpectedFrame(f, "a placer") }
--- a/internal/schedulerd/errors_test.go
+++ b/internal/schedulerd/errors_test.go
@@ -22,20 +22,34 @@
 		text   string
 		logged string
 	}{
-		{"another role", m.handleFrame, protocol.NewHello(protocol.RoleClient, "a", 1), errUnexpectedPeer,
-			`owner "a" answers where machine a was called`, `unexpected peer: owner "a" instead of machine a`},
-		{"another machine", m.handleFrame, protocol.NewHello(protocol.RoleMachine, "b", 1), errUnexpectedPeer,
-			`machine "b" answers where machine a was called`, `unexpected peer: machine "b" instead of machine a`},
-		{"a second inventory", ready.handleFrame, &protocol.Inventory{}, errDuplicateInventory,
-			"says twice what it holds", "machine reported its inventory twice"},
-		{"goodbye of a machine", m.handleFrame, &protocol.Goodbye{Message: "maintenance"}, errPeerGoodbye,
-			"machine says: maintenance", "peer said goodbye: maintenance"},
-		{"a frame not for machines", m.handleFrame, &protocol.StatusRequest{}, errUnexpectedFrame,
-			"AskStatus is not for a placer", "unexpected frame: AskStatus"},
-		{"a machine instead of a client", client.handleFrame, protocol.NewHello(protocol.RoleMachine, "a", 1), errUnexpectedPeer,
-			"a machine has no business at this door", "unexpected peer: machine"},
-		{"a frame not for clients", client.handleFrame, &protocol.Probe{}, errUnexpectedFrame,
-			"Probe is not for the door", "unexpected frame: Probe"},
+		{
+			"another role", m.handleFrame, protocol.NewHello(protocol.RoleClient, "a", 1), errUnexpectedPeer,
+			`owner "a" answers where machine a was called`, `unexpected peer: owner "a" instead of machine a`,
+		},
+		{
+			"another machine", m.handleFrame, protocol.NewHello(protocol.RoleMachine, "b", 1), errUnexpectedPeer,
+			`machine "b" answers where machine a was called`, `unexpected peer: machine "b" instead of machine a`,
+		},
+		{
+			"a second inventory", ready.handleFrame, &protocol.Inventory{}, errDuplicateInventory,
+			"says twice what it holds", "machine reported its inventory twice",
+		},
+		{
+			"goodbye of a machine", m.handleFrame, &protocol.Goodbye{Message: "maintenance"}, errPeerGoodbye,
+			"machine says: maintenance", "peer said goodbye: maintenance",
+		},
+		{
+			"a frame not for machines", m.handleFrame, &protocol.StatusRequest{}, errUnexpectedFrame,
+			"AskStatus is not for a placer", "unexpected frame: AskStatus",
+		},
+		{
+			"a machine instead of a client", client.handleFrame, protocol.NewHello(protocol.RoleMachine, "a", 1), errUnexpectedPeer,
+			"a machine has no business at this door", "unexpected peer: machine",
+		},
+		{
+			"a frame not for clients", client.handleFrame, &protocol.Probe{}, errUnexpectedFrame,
+			"Probe is not for the door", "unexpected frame: Probe",
+		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			err := tc.handle(tc.frame)
--- a/internal/schedulerd/explain.go
+++ b/internal/schedulerd/explain.go
@@ -20,8 +20,10 @@
 	if !ok {
 		return reply
 	}
-	found := e.Explain(scheduler.PlacementRequest{IdempotencyKey: f.Spec.IdempotencyKey, Service: f.Spec.Service,
-		WorkloadClass: f.Spec.WorkloadClass, Tenant: f.Spec.Tenant, Cores: f.Spec.Cores, Memory: f.Spec.Memory})
+	found := e.Explain(scheduler.PlacementRequest{
+		IdempotencyKey: f.Spec.IdempotencyKey, Service: f.Spec.Service,
+		WorkloadClass: f.Spec.WorkloadClass, Tenant: f.Spec.Tenant, Cores: f.Spec.Cores, Memory: f.Spec.Memory,
+	})
 	reply.Known = true
 	reply.Machines = found.Machines
 	reply.Gone = found.Gone
--- a/internal/schedulerd/export.go
+++ b/internal/schedulerd/export.go
@@ -8,8 +8,8 @@
 	"glenport/scheduler"
 )
 
-// The types of this file are the form in which `glenport state export` shows a WarmStartSnapshot. Other programs read it: its
-// names are fixed here, apart from those of the code.
+// The types of this file are the form in which `glenport state export` shows a WarmStartSnapshot. Other programs read
+// it: its names are fixed here, apart from those of the code.
 type (
 	exportedSnapshot struct {
 		TakenAt         warmstart.Timestamp            `json:"At"`
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -64,7 +64,13 @@
 	{Request: goldenRequest(1, "one"), Machine: "machine-one", Incarnation: 101, Number: 0x11, Running: true},
 	{Request: goldenRequest(2, "two"), Machine: "machine-two", Incarnation: 102, Number: 0x22, Running: true},
 	{Request: goldenRequest(3, "three"), Machine: "machine-three", Incarnation: 103, Number: 0x33, Running: true},
-	{Request: goldenRequest(4, "four"), Machine: "machine-four", Incarnation: 104, Number: 0x1122334455667788, Running: true},
+	{
+		Request:     goldenRequest(4, "four"),
+		Machine:     "machine-four",
+		Incarnation: 104,
+		Number:      0x1122334455667788,
+		Running:     true,
+	},
 }
 
 var goldenSends = []warmstart.SlowStartSends{
@@ -73,15 +79,41 @@
 }
 
 var goldenHistory = warmstart.LogHistory{
-	SendsRecordedSince: warmstart.Timestamp{Clock: 17_000_000_000_001, Uptime: 17_000_002, BootID: "boot-of-the-record"},
-	Coverage:           recovery.LogSynced,
+	SendsRecordedSince: warmstart.Timestamp{
+		Clock:  17_000_000_000_001,
+		Uptime: 17_000_002,
+		BootID: "boot-of-the-record",
+	},
+	Coverage: recovery.LogSynced,
 }
 
 var goldenEntries = []protocol.MachineEntry{
-	{Machine: "machine-seven", Address: "127.0.0.7:7007", Zone: 31, MachineType: 32, RackGroup: 33, State: protocol.MachineDraining,
-		FreeCores: 34.5, FreeMemory: 35.5, PowerHint: 36.5, Incarnation: 207, Age: 5001},
-	{Machine: "machine-eight", Address: "127.0.0.8:8008", Zone: 41, MachineType: 42, RackGroup: 43, State: protocol.MachineGone,
-		FreeCores: 44.5, FreeMemory: 45.5, PowerHint: 46.5, Incarnation: 208, Age: -1},
+	{
+		Machine:     "machine-seven",
+		Address:     "127.0.0.7:7007",
+		Zone:        31,
+		MachineType: 32,
+		RackGroup:   33,
+		State:       protocol.MachineDraining,
+		FreeCores:   34.5,
+		FreeMemory:  35.5,
+		PowerHint:   36.5,
+		Incarnation: 207,
+		Age:         5001,
+	},
+	{
+		Machine:     "machine-eight",
+		Address:     "127.0.0.8:8008",
+		Zone:        41,
+		MachineType: 42,
+		RackGroup:   43,
+		State:       protocol.MachineGone,
+		FreeCores:   44.5,
+		FreeMemory:  45.5,
+		PowerHint:   46.5,
+		Incarnation: 208,
+		Age:         -1,
+	},
 }
 
 // There is one entry in the map: the order in which several are encoded is random.
@@ -90,11 +122,26 @@
 		TakenAt:    warmstart.Timestamp{Clock: 17_000_000_000_101, Uptime: 17_000_102, BootID: "boot-of-the-file"},
 		ClassNames: []string{"class-a", "class-b", "tenant-a"},
 		Learned: scheduler.Snapshot{
-			Machines: []scheduler.MachineSnapshot{{Machine: "machine-seven", StartedAt: 4001, OutlierLogOdds: 5.25, EjectedUntil: 4002, EjectionTime: 4003,
-				SelfDrainingUntil: 4004, FailureEvidence: []scheduler.FailureEvidence{{LogOdds: 0.125, AsOf: 4005}, {LogOdds: 1.125, AsOf: 4006}},
-				RecentSends: []scheduler.Time{4007, 4008}}},
-			TrafficClasses: []scheduler.TrafficClass{{LossRatio: 0.0625, SuspicionThreshold: 6.5}, {LossRatio: 0.1875, SuspicionThreshold: 7.5},
-				{LossRatio: 0.3125, SuspicionThreshold: 8.5}},
+			Machines: []scheduler.MachineSnapshot{
+				{
+					Machine:           "machine-seven",
+					StartedAt:         4001,
+					OutlierLogOdds:    5.25,
+					EjectedUntil:      4002,
+					EjectionTime:      4003,
+					SelfDrainingUntil: 4004,
+					FailureEvidence: []scheduler.FailureEvidence{
+						{LogOdds: 0.125, AsOf: 4005},
+						{LogOdds: 1.125, AsOf: 4006},
+					},
+					RecentSends: []scheduler.Time{4007, 4008},
+				},
+			},
+			TrafficClasses: []scheduler.TrafficClass{
+				{LossRatio: 0.0625, SuspicionThreshold: 6.5},
+				{LossRatio: 0.1875, SuspicionThreshold: 7.5},
+				{LossRatio: 0.3125, SuspicionThreshold: 8.5},
+			},
 			FullRatio:       0.4375,
 			RejectedWeight:  0.5625,
 			SendsKnownSince: 4009,
@@ -103,12 +150,17 @@
 		ListVersion:     301,
 		Entries:         []entryRecord{recordOfEntry(goldenEntries[0]), recordOfEntry(goldenEntries[1])},
 		OrderlyShutdown: true,
-		Overload:        &overload.Snapshot{Limit: 91.5, Throughput: 92.5, Latency: []float64{0.71, 0.72}, BaselineLatency: []float64{0.81, 0.82}},
+		Overload: &overload.Snapshot{
+			Limit:           91.5,
+			Throughput:      92.5,
+			Latency:         []float64{0.71, 0.72},
+			BaselineLatency: []float64{0.81, 0.82},
+		},
 	}
 }
 
-// writeGoldenState writes the folder by the package's own writing path: three attempts, the sends and the incarnation go into
-// the snapshot; the log deletes one attempt, puts another and replaces a send.
+// writeGoldenState writes the folder by the package's own writing path: three attempts, the sends and the incarnation
+// go into the snapshot; the log deletes one attempt, puts another and replaces a send.
 func writeGoldenState(t *testing.T, path string) {
 	t.Helper()
 	commit := func(change func(*stateStore)) {
@@ -133,12 +185,18 @@
 		st.history = goldenHistory
 		st.changes = append(st.changes, st.historyChange())
 		for _, logged := range goldenAttempts[:3] {
-			a := &attempt{number: logged.Number, incarnation: logged.Incarnation, container: &container{request: logged.Request},
-				machine: &machine{id: logged.Machine}}
+			a := &attempt{
+				number: logged.Number, incarnation: logged.Incarnation, container: &container{request: logged.Request},
+				machine: &machine{id: logged.Machine},
+			}
 			st.put(AttemptKind, attemptKey(a.number), a.record())
 		}
 		for _, sent := range goldenSends {
-			st.put(SendKind, string(sent.Machine), warmstart.SlowStartSends{Machine: sent.Machine, Incarnation: 1, Times: []scheduler.Time{1}})
+			st.put(
+				SendKind,
+				string(sent.Machine),
+				warmstart.SlowStartSends{Machine: sent.Machine, Incarnation: 1, Times: []scheduler.Time{1}},
+			)
 		}
 	})
 	d, err := vfs.OpenLocked(path)
@@ -169,7 +227,10 @@
 // goldenListFile is the file of version 1: the clock, the length, and a list frame without its length.
 func goldenListFile(t *testing.T) []byte {
 	t.Helper()
-	frame, err := protocol.Append(nil, &protocol.MachineListUpdate{FullSnapshot: true, Version: 302, Entries: goldenEntries})
+	frame, err := protocol.Append(
+		nil,
+		&protocol.MachineListUpdate{FullSnapshot: true, Version: 302, Entries: goldenEntries},
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -282,7 +343,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &WarmStartSnapshot{TakenAt: warmstart.Timestamp{Clock: 17_000_000_000_201}, ListVersion: 302, Entries: goldenSnapshot().Entries}
+	want := &WarmStartSnapshot{
+		TakenAt:     warmstart.Timestamp{Clock: 17_000_000_000_201},
+		ListVersion: 302,
+		Entries:     goldenSnapshot().Entries,
+	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, want %+v", got, want)
 	}
@@ -311,7 +376,8 @@
 	}
 	defer closeAgain(d)
 	want := &WarmStartSnapshot{Learned: scheduler.Snapshot{TrafficClasses: []scheduler.TrafficClass{
-		{LossRatio: 0.5, SuspicionThreshold: math.Inf(1)}}}}
+		{LossRatio: 0.5, SuspicionThreshold: math.Inf(1)},
+	}}}
 	if err := want.write(d); err != nil {
 		t.Fatal(err)
 	}
@@ -376,7 +442,10 @@
 		return err
 	}
 	for _, kind := range records.Kinds() {
-		if err := records.ForEach(kind, func(key string, p []byte) error { return value(kind+" "+key+":", p) }); err != nil {
+		if err := records.ForEach(
+			kind,
+			func(key string, p []byte) error { return value(kind+" "+key+":", p) },
+		); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/schedulerd/helpers_test.go
+++ b/internal/schedulerd/helpers_test.go
@@ -72,7 +72,11 @@
 // awaitList waits for an update of the machine list that is not the restored one.
 func awaitList(t *testing.T, script *scriptedScheduler) scheduler.MachineListUpdate {
 	t.Helper()
-	return awaitEvent(t, script, func(e scheduler.MachineListUpdate) bool { return e.Mode != scheduler.RestoredSnapshot })
+	return awaitEvent(
+		t,
+		script,
+		func(e scheduler.MachineListUpdate) bool { return e.Mode != scheduler.RestoredSnapshot },
+	)
 }
 
 // attemptOn reacts to each request with an attempt on machine a, and fails it after its first outcome.
@@ -109,7 +113,12 @@
 }
 
 // startHarness takes the addresses of machines by their names.
-func startHarness(t *testing.T, settings *config.Scheduler, react func(scheduler.Event) []scheduler.Action, machines map[string]string) *harness {
+func startHarness(
+	t *testing.T,
+	settings *config.Scheduler,
+	react func(scheduler.Event) []scheduler.Action,
+	machines map[string]string,
+) *harness {
 	t.Helper()
 	h := &harness{t: t, script: newScript(react)}
 	settings.MachineListAddr = serveMachineList(t, machines)
@@ -260,7 +269,10 @@
 		sendFrames(c, protocol.NewHello(protocol.RoleMachineList, "list", 1))
 		list := &protocol.MachineListUpdate{FullSnapshot: true, Version: 1}
 		for id, address := range machines {
-			list.Entries = append(list.Entries, protocol.MachineEntry{Machine: id, Address: address, Incarnation: 1, Age: -1})
+			list.Entries = append(
+				list.Entries,
+				protocol.MachineEntry{Machine: id, Address: address, Incarnation: 1, Age: -1},
+			)
 		}
 		for {
 			f, err := receiveFrame(c)
@@ -275,7 +287,12 @@
 }
 
 // serveMachine sends hello and inventory, and hands each frame to handle until that returns false.
-func serveMachine(t *testing.T, name string, inventory *protocol.Inventory, handle func(net.Conn, protocol.Frame) bool) string {
+func serveMachine(
+	t *testing.T,
+	name string,
+	inventory *protocol.Inventory,
+	handle func(net.Conn, protocol.Frame) bool,
+) string {
 	t.Helper()
 	return listenTCP(t, func(c net.Conn) {
 		if f, err := receiveFrame(c); err != nil || f.(*protocol.Hello).Role != protocol.RoleScheduler {
@@ -306,7 +323,11 @@
 			return
 		}
 		skipFrame(c)
-		sendFrames(c, protocol.NewHello(protocol.RoleMachine, name, incarnation), &protocol.Inventory{MachineIncarnation: incarnation})
+		sendFrames(
+			c,
+			protocol.NewHello(protocol.RoleMachine, name, incarnation),
+			&protocol.Inventory{MachineIncarnation: incarnation},
+		)
 		for {
 			f, err := receiveFrame(c)
 			if err != nil {
@@ -376,6 +397,8 @@
 
 // submit asks for a container under a key of its own.
 func (c *testClient) submit(id string, class int) {
-	sendFrames(c, &protocol.Submit{TimeToDeadline: 60_000, Spec: protocol.ContainerSpec{ContainerID: id, IdempotencyKey: "k-" + id, Service: "s",
-		WorkloadClass: class, Cores: 1, Memory: 1}})
+	sendFrames(c, &protocol.Submit{TimeToDeadline: 60_000, Spec: protocol.ContainerSpec{
+		ContainerID: id, IdempotencyKey: "k-" + id, Service: "s",
+		WorkloadClass: class, Cores: 1, Memory: 1,
+	}})
 }
--- a/internal/schedulerd/interleaving_model_test.go
+++ b/internal/schedulerd/interleaving_model_test.go
@@ -170,10 +170,24 @@
 var modelMachineNames = []string{"a", "b"}
 
 func newModel(t *testing.T, settings *config.Scheduler, wrap func(modelcheck.Decider) modelcheck.Decider) *model {
-	w := &model{t: t, list: listenRaw(t), machines: map[string]*modelMachine{}, answers: map[string]int{}, cancelled: map[string]bool{}}
+	w := &model{
+		t:         t,
+		list:      listenRaw(t),
+		machines:  map[string]*modelMachine{},
+		answers:   map[string]int{},
+		cancelled: map[string]bool{},
+	}
 	for i, name := range modelMachineNames {
 		m := &modelMachine{rawListener: listenRaw(t), incarnation: 1, attempts: map[uint64]*modelAttempt{}}
-		m.MachineEntry = protocol.MachineEntry{Machine: name, Address: m.addr, RackGroup: i, Incarnation: 1, Age: -1, FreeCores: 20, FreeMemory: 20}
+		m.MachineEntry = protocol.MachineEntry{
+			Machine:     name,
+			Address:     m.addr,
+			RackGroup:   i,
+			Incarnation: 1,
+			Age:         -1,
+			FreeCores:   20,
+			FreeMemory:  20,
+		}
 		w.machines[name] = m
 	}
 	own := *settings
@@ -237,7 +251,8 @@
 // quiet runs on the loop of the server.
 func (w *model) quiet() bool {
 	s := w.server
-	if len(s.clients) != 1 || len(s.schedulerEvents)+len(s.reconcilerEvents) > 0 || !drained(s.discovery.conn, w.list.conn) {
+	if len(s.clients) != 1 || len(s.schedulerEvents)+len(s.reconcilerEvents) > 0 ||
+		!drained(s.discovery.conn, w.list.conn) {
 		return false
 	}
 	for _, client := range s.clients {
@@ -296,8 +311,10 @@
 }
 
 func (w *model) judgedEntry(entry protocol.MachineEntry, incarnation uint64) scheduler.MachineEntry {
-	judged := scheduler.MachineEntry{Machine: scheduler.MachineID(entry.Machine), Zone: entry.Zone, RackGroup: entry.RackGroup,
-		State: scheduler.MachineState(entry.State)}
+	judged := scheduler.MachineEntry{
+		Machine: scheduler.MachineID(entry.Machine), Zone: entry.Zone, RackGroup: entry.RackGroup,
+		State: scheduler.MachineState(entry.State),
+	}
 	if incarnation > 1 {
 		judged.StartedAt = w.machines[entry.Machine].startedAt
 	}
@@ -322,12 +339,20 @@
 		if a.judgedAs == "" {
 			w.adopted++
 			a.judgedAs = fmt.Sprint("found ", w.adopted)
-			w.judge.ObserveEvent(0, now, scheduler.ContainerAdopted{PlacementRequest: scheduler.PlacementRequest{ID: scheduler.ContainerID(a.judgedAs),
-				Service: a.Spec.Service, WorkloadClass: a.Spec.WorkloadClass}, Machine: scheduler.MachineID(m.Machine)})
+			w.judge.ObserveEvent(0, now, scheduler.ContainerAdopted{PlacementRequest: scheduler.PlacementRequest{
+				ID:      scheduler.ContainerID(a.judgedAs),
+				Service: a.Spec.Service, WorkloadClass: a.Spec.WorkloadClass,
+			}, Machine: scheduler.MachineID(m.Machine)})
 		}
 	}
 	if m.incarnation > 1 {
-		w.judge.ObserveEvent(0, now, scheduler.MachineListUpdate{Entries: []scheduler.MachineEntry{w.judgedEntry(m.MachineEntry, m.incarnation)}})
+		w.judge.ObserveEvent(
+			0,
+			now,
+			scheduler.MachineListUpdate{
+				Entries: []scheduler.MachineEntry{w.judgedEntry(m.MachineEntry, m.incarnation)},
+			},
+		)
 	}
 	m.conn.send(inventory)
 }
@@ -335,13 +360,33 @@
 func (w *model) handleMachineFrame(now scheduler.Time, m *modelMachine, f protocol.Frame) {
 	switch f := f.(type) {
 	case *protocol.Offer:
-		item := protocol.InventoryItem{AttemptID: f.AttemptID, SchedulerIncarnation: w.server.incarnation, Running: true, Spec: f.Spec}
+		item := protocol.InventoryItem{
+			AttemptID:            f.AttemptID,
+			SchedulerIncarnation: w.server.incarnation,
+			Running:              true,
+			Spec:                 f.Spec,
+		}
 		m.attempts[f.AttemptID] = &modelAttempt{item, true, f.Spec.ContainerID}
-		w.judge.ObserveAction(0, now, scheduler.StartAttempt{ID: scheduler.ContainerID(f.Spec.ContainerID), Machine: scheduler.MachineID(m.Machine)})
+		w.judge.ObserveAction(
+			0,
+			now,
+			scheduler.StartAttempt{
+				ID:      scheduler.ContainerID(f.Spec.ContainerID),
+				Machine: scheduler.MachineID(m.Machine),
+			},
+		)
 	case *protocol.CancelAttempt:
 		if a := m.attempts[f.AttemptID]; a != nil {
 			delete(m.attempts, f.AttemptID)
-			w.judge.ObserveEvent(0, now, scheduler.AttemptEnded{ID: scheduler.ContainerID(a.judgedAs), Outcome: scheduler.OutcomeStopped, Final: true})
+			w.judge.ObserveEvent(
+				0,
+				now,
+				scheduler.AttemptEnded{
+					ID:      scheduler.ContainerID(a.judgedAs),
+					Outcome: scheduler.OutcomeStopped,
+					Final:   true,
+				},
+			)
 			m.conn.send(&protocol.Result{AttemptID: f.AttemptID, Outcome: protocol.OutcomeStopped})
 		}
 	case *protocol.Probe:
--- a/internal/schedulerd/interleaving_test.go
+++ b/internal/schedulerd/interleaving_test.go
@@ -106,12 +106,20 @@
 func (w *model) submit(now scheduler.Time) {
 	const timeout = 600 * scheduler.Second
 	id := containerName(w.submitted)
-	request := scheduler.PlacementRequest{ID: scheduler.ContainerID(id), IdempotencyKey: "k-" + id, Service: "s", WorkloadClass: w.submitted,
-		Cores: 1, Memory: 1, Deadline: now + timeout}
+	request := scheduler.PlacementRequest{
+		ID: scheduler.ContainerID(id), IdempotencyKey: "k-" + id, Service: "s", WorkloadClass: w.submitted,
+		Cores: 1, Memory: 1, Deadline: now + timeout,
+	}
 	w.submitted++
 	w.judge.ObserveEvent(0, now, scheduler.RequestReceived{PlacementRequest: request})
-	w.client.send(&protocol.Submit{TimeToDeadline: protocol.Duration(timeout), Spec: protocol.ContainerSpec{ContainerID: id,
-		IdempotencyKey: request.IdempotencyKey, Service: request.Service, WorkloadClass: request.WorkloadClass, Cores: 1, Memory: 1}})
+	w.client.send(&protocol.Submit{TimeToDeadline: protocol.Duration(timeout), Spec: protocol.ContainerSpec{
+		ContainerID:    id,
+		IdempotencyKey: request.IdempotencyKey,
+		Service:        request.Service,
+		WorkloadClass:  request.WorkloadClass,
+		Cores:          1,
+		Memory:         1,
+	}})
 }
 
 func (w *model) cancel(now scheduler.Time, id string) {
@@ -132,7 +140,11 @@
 func (w *model) result(now scheduler.Time, id string, pending bool, sent protocol.Outcome, judged scheduler.Outcome) {
 	m, a := w.findAttempt(id, pending)
 	delete(m.attempts, a.AttemptID)
-	w.judge.ObserveEvent(0, now, scheduler.AttemptEnded{ID: scheduler.ContainerID(a.judgedAs), Outcome: judged, Final: !pending})
+	w.judge.ObserveEvent(
+		0,
+		now,
+		scheduler.AttemptEnded{ID: scheduler.ContainerID(a.judgedAs), Outcome: judged, Final: !pending},
+	)
 	m.conn.send(&protocol.Result{AttemptID: a.AttemptID, Outcome: sent})
 }
 
@@ -141,7 +153,11 @@
 	for _, number := range m.numbers() {
 		if a := m.attempts[number]; a.pending {
 			a.pending = false
-			w.judge.ObserveEvent(0, now, scheduler.AttemptEnded{ID: scheduler.ContainerID(a.judgedAs), Outcome: scheduler.OutcomeLost})
+			w.judge.ObserveEvent(
+				0,
+				now,
+				scheduler.AttemptEnded{ID: scheduler.ContainerID(a.judgedAs), Outcome: scheduler.OutcomeLost},
+			)
 			a.judgedAs = ""
 		}
 	}
@@ -151,7 +167,11 @@
 func (w *model) restart(now scheduler.Time, m *modelMachine, listed bool) {
 	w.breakConnection(now, m)
 	for _, a := range m.attempts {
-		w.judge.ObserveEvent(0, now, scheduler.AttemptEnded{ID: scheduler.ContainerID(a.judgedAs), Outcome: scheduler.OutcomeLost, Final: true})
+		w.judge.ObserveEvent(
+			0,
+			now,
+			scheduler.AttemptEnded{ID: scheduler.ContainerID(a.judgedAs), Outcome: scheduler.OutcomeLost, Final: true},
+		)
 	}
 	m.incarnation++
 	m.startedAt = now
@@ -188,7 +208,9 @@
 func modelConfig(t *testing.T, classes ...scheduler.WorkloadClass) *config.Scheduler {
 	s := testConfig(t)
 	s.ConnectTimeout, s.SilenceTimeout, s.IdleTimeout = 30*eventloop.Second, 600*eventloop.Second, 600*eventloop.Second
-	s.Policy.SchedulerCount, s.Policy.SchedulerIndex, s.Policy.MachineTypes = 1, 0, []scheduler.MachineType{{Cores: 20, Memory: 20}}
+	s.Policy.SchedulerCount, s.Policy.SchedulerIndex, s.Policy.MachineTypes = 1, 0, []scheduler.MachineType{
+		{Cores: 20, Memory: 20},
+	}
 	s.Policy.SlowStartPeriod, s.Policy.SlowStartWindow, s.Policy.SlowStartBudget = 1200*scheduler.Second, 600*scheduler.Second, 1
 	s.Policy.WorkloadClasses, s.Policy.ListOnRequest = nil, false
 	for _, class := range classes {
@@ -200,11 +222,17 @@
 
 var (
 	idempotent = scheduler.WorkloadClass{}
-	withKey    = scheduler.WorkloadClass{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeZone,
-		DedupWindow: 600 * scheduler.Second}
+	withKey    = scheduler.WorkloadClass{
+		Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeZone,
+		DedupWindow: 600 * scheduler.Second,
+	}
 	atMostOnce       = scheduler.WorkloadClass{Idempotency: scheduler.AtMostOnce}
 	spread           = scheduler.WorkloadClass{SpreadScope: scheduler.ScopeMachine, MaxPerScope: 1}
-	spreadAtMostOnce = scheduler.WorkloadClass{Idempotency: scheduler.AtMostOnce, SpreadScope: scheduler.ScopeMachine, MaxPerScope: 1}
+	spreadAtMostOnce = scheduler.WorkloadClass{
+		Idempotency: scheduler.AtMostOnce,
+		SpreadScope: scheduler.ScopeMachine,
+		MaxPerScope: 1,
+	}
 )
 
 var interleavings = []struct {
@@ -213,14 +241,26 @@
 	steps   string
 	depth   int
 }{
-	{"connections that break", []scheduler.WorkloadClass{atMostOnce, withKey, atMostOnce},
-		"submit, accept x, full x, errored y, break a, break b, cancel x", 4},
-	{"machines that leave and come back", []scheduler.WorkloadClass{withKey, atMostOnce, atMostOnce},
-		"submit, full x, accept y, drain a, leave b, back b, restart late a, list", 4},
-	{"spread behind broken connections", []scheduler.WorkloadClass{spreadAtMostOnce, spread, spreadAtMostOnce},
-		"submit, accept x, full y, break a, break b, finish x, restart b", 4},
-	{"slow start", []scheduler.WorkloadClass{idempotent, idempotent, idempotent},
-		"submit, full x, restart a, restart late a, restart late b, list", 4},
+	{
+		"connections that break",
+		[]scheduler.WorkloadClass{atMostOnce, withKey, atMostOnce},
+		"submit, accept x, full x, errored y, break a, break b, cancel x", 4,
+	},
+	{
+		"machines that leave and come back",
+		[]scheduler.WorkloadClass{withKey, atMostOnce, atMostOnce},
+		"submit, full x, accept y, drain a, leave b, back b, restart late a, list", 4,
+	},
+	{
+		"spread behind broken connections",
+		[]scheduler.WorkloadClass{spreadAtMostOnce, spread, spreadAtMostOnce},
+		"submit, accept x, full y, break a, break b, finish x, restart b", 4,
+	},
+	{
+		"slow start",
+		[]scheduler.WorkloadClass{idempotent, idempotent, idempotent},
+		"submit, full x, restart a, restart late a, restart late b, list", 4,
+	},
 }
 
 // Scheduler, reconciler, recovery and server together keep all invariants, over sockets.
@@ -239,8 +279,15 @@
 }
 
 // explore tries every sequence of steps up to a depth, until one violates an invariant.
-func explore(t *testing.T, settings *config.Scheduler, steps []string, depth int, wrap func(modelcheck.Decider) modelcheck.Decider) (
-	n int, done, violations []string) {
+func explore(
+	t *testing.T,
+	settings *config.Scheduler,
+	steps []string,
+	depth int,
+	wrap func(modelcheck.Decider) modelcheck.Decider,
+) (
+	n int, done, violations []string,
+) {
 	modelcheck.EnumeratePaths(depth, func(path []int) (widths []int, on bool) {
 		w := newModel(t, settings, wrap)
 		defer w.close()
--- a/internal/schedulerd/iteration.go
+++ b/internal/schedulerd/iteration.go
@@ -18,9 +18,9 @@
 	s.schedulerEvents = append(s.schedulerEvents, e)
 }
 
-// runIteration hands the events of one iteration of the loop to the decisions and executes what they return. The reconciler
-// comes first: the scheduler has to know of adopted containers before it decides. State is committed last, so that all changes
-// of an iteration are one group.
+// runIteration hands the events of one iteration of the loop to the decisions and executes what they return. The
+// reconciler comes first: the scheduler has to know of adopted containers before it decides. State is committed last,
+// so that all changes of an iteration are one group.
 func (s *Server) runIteration() {
 	s.runReconciler()
 	for _, m := range s.newlyReady { // their inventory is adopted by now
@@ -69,7 +69,13 @@
 	case scheduler.CancelAttempt:
 		s.cancelUnanswered(action)
 	case scheduler.Reject:
-		s.answer(action.ID, &protocol.PlacementReply{Verdict: protocol.VerdictRejected, RetryAfter: protocol.Duration(action.RetryAfter)})
+		s.answer(
+			action.ID,
+			&protocol.PlacementReply{
+				Verdict:    protocol.VerdictRejected,
+				RetryAfter: protocol.Duration(action.RetryAfter),
+			},
+		)
 	case scheduler.Fail:
 		s.answer(action.ID, &protocol.PlacementReply{Verdict: protocol.VerdictFailed})
 	case scheduler.Probe:
@@ -77,7 +83,10 @@
 	case scheduler.Disconnect:
 		s.disconnectIdle(action.Machine)
 	case scheduler.SetTimer:
-		s.loop.After(eventloop.Tick(action.After), func() { s.enqueueSchedulerEvent(scheduler.TimerFired{Name: action.Name}) })
+		s.loop.After(
+			eventloop.Tick(action.After),
+			func() { s.enqueueSchedulerEvent(scheduler.TimerFired{Name: action.Name}) },
+		)
 	case scheduler.WatchMachineList:
 		s.discovery.request(&protocol.WatchMachineList{Enabled: action.Enabled, SinceVersion: s.discovery.version})
 	case scheduler.FetchMachineList:
@@ -98,11 +107,15 @@
 	case reconcile.AlreadyRunning:
 		s.replyAlreadyRunning(action)
 	case reconcile.NotRunning:
-		s.sendToClient(action.Client, &protocol.PlacementReply{ContainerID: string(action.ID), Verdict: protocol.VerdictRejected,
-			Message: messageNotRunning})
+		s.sendToClient(action.Client, &protocol.PlacementReply{
+			ContainerID: string(action.ID), Verdict: protocol.VerdictRejected,
+			Message: messageNotRunning,
+		})
 	case reconcile.AlreadyTerminated:
-		s.sendToClient(action.Client, &protocol.PlacementReply{ContainerID: string(action.ID), Verdict: protocol.VerdictFailed,
-			Message: messageCancelled})
+		s.sendToClient(action.Client, &protocol.PlacementReply{
+			ContainerID: string(action.ID), Verdict: protocol.VerdictFailed,
+			Message: messageCancelled,
+		})
 	case reconcile.TerminateContainer:
 		s.terminate(action)
 	case reconcile.CancelAttempt:
--- a/internal/schedulerd/legacylist.go
+++ b/internal/schedulerd/legacylist.go
@@ -31,7 +31,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(data) <= legacyFrameOffset || int(binary.BigEndian.Uint32(data[legacyLengthOffset:])) != len(data)-legacyFrameOffset {
+	if len(data) <= legacyFrameOffset ||
+		int(binary.BigEndian.Uint32(data[legacyLengthOffset:])) != len(data)-legacyFrameOffset {
 		return nil, fmt.Errorf("%s: %w", path, errLegacyList)
 	}
 	frame, err := protocol.Decode(data[legacyFrameOffset:])
