--- a/internal/schedulerd/machine.go
+++ b/internal/schedulerd/machine.go
@@ -35,10 +35,11 @@
 	lastSentAt eventloop.Tick
 	partial    partialFrame
 
-	queued   []*attempt                            // not sent yet
-	attempts map[uint64]*attempt                   // sent, or running there; by number
-	expired  map[uint64]scheduler.PlacementRequest // attempts that are over and may still be accepted, for lateAcceptWindow
-	probes   map[uint64]*pendingProbe              // by sequence number, until the reply or the timeout
+	queued   []*attempt          // not sent yet
+	attempts map[uint64]*attempt // sent, or running there; by number
+	// attempts that are over and may still be accepted, for lateAcceptWindow
+	expired map[uint64]scheduler.PlacementRequest
+	probes  map[uint64]*pendingProbe // by sequence number, until the reply or the timeout
 }
 
 // machineFor returns the machine of an ID, and makes it if there is none.
@@ -75,7 +76,8 @@
 	return warmstart.MachineStart{Incarnation: m.incarnation, StartedAt: m.startedAt}
 }
 
-// connect opens the connection of a machine if there is none. A machine that accepts it and sends no inventory loses it again.
+// connect opens the connection of a machine if there is none. A machine that accepts it and sends no inventory loses it
+// again.
 func (s *Server) connect(m *machine) {
 	if m.conn != nil {
 		return
@@ -120,8 +122,8 @@
 	m.partial.update(m.reader.Buffered(), m.lastReadAt)
 }
 
-// Closed implements eventloop.Handler. It ends what was under way: an attempt that was never sent never ran, one that was sent
-// may have. Containers that run are left to the reconciler.
+// Closed implements eventloop.Handler. It ends what was under way: an attempt that was never sent never ran, one that
+// was sent may have. Containers that run are left to the reconciler.
 func (m *machine) Closed(conn *eventloop.Conn, cause error) {
 	if conn != m.conn {
 		return
@@ -186,7 +188,11 @@
 
 // sendOffer sends an attempt, unless the machine reads too slowly.
 func (m *machine) sendOffer(a *attempt) {
-	offer := &protocol.Offer{AttemptID: a.number, Timeout: protocol.Duration(a.deadline - m.server.loop.Now()), Spec: specOf(a.container)}
+	offer := &protocol.Offer{
+		AttemptID: a.number,
+		Timeout:   protocol.Duration(a.deadline - m.server.loop.Now()),
+		Spec:      specOf(a.container),
+	}
 	a.sent = !m.conn.WriteBlocked() && m.send(offer)
 	if !a.sent {
 		m.server.attemptNotSent(a)
@@ -203,7 +209,8 @@
 	m.server.loop.After(lateAcceptWindow, func() { delete(m.expired, number) })
 }
 
-// checkTimeouts closes a connection that nothing has used for long, that is silent, or on which the rest of a frame is missing.
+// checkTimeouts closes a connection that nothing has used for long, that is silent, or on which the rest of a frame is
+// missing.
 func (m *machine) checkTimeouts(now eventloop.Tick) {
 	if m.conn == nil {
 		return
--- a/internal/schedulerd/machineframes.go
+++ b/internal/schedulerd/machineframes.go
@@ -45,8 +45,10 @@
 	reported := reconcile.MachineReported{Machine: m.id}
 	for i := range f.Containers {
 		item := &f.Containers[i]
-		reported.Attempts = append(reported.Attempts, reconcile.Attempt{Machine: m.id, Incarnation: item.SchedulerIncarnation,
-			Number: item.AttemptID, Running: item.Running, Request: requestOf(&item.Spec)})
+		reported.Attempts = append(reported.Attempts, reconcile.Attempt{
+			Machine: m.id, Incarnation: item.SchedulerIncarnation,
+			Number: item.AttemptID, Running: item.Running, Request: requestOf(&item.Spec),
+		})
 	}
 	m.server.enqueueReconcilerEvent(reported)
 	m.ready = true
@@ -75,8 +77,10 @@
 	case !a.accepted:
 		m.server.attemptAccepted(a)
 	case f.Running: // it was accepted before
-		m.server.enqueueSchedulerEvent(scheduler.UsageReported{ID: a.container.request.ID, Machine: m.id, Attempt: a.ordinal,
-			Metric: scheduler.MetricRunning, Value: 1})
+		m.server.enqueueSchedulerEvent(scheduler.UsageReported{
+			ID: a.container.request.ID, Machine: m.id, Attempt: a.ordinal,
+			Metric: scheduler.MetricRunning, Value: 1,
+		})
 	}
 }
 
@@ -87,8 +91,10 @@
 	}
 	delete(m.expired, f.AttemptID)
 	m.server.stats.countOutcome(statLateAccept)
-	m.server.enqueueReconcilerEvent(reconcile.LateAccept{Attempt: reconcile.Attempt{Request: request, Machine: m.id,
-		Incarnation: m.server.incarnation, Number: f.AttemptID, Running: true}})
+	m.server.enqueueReconcilerEvent(reconcile.LateAccept{Attempt: reconcile.Attempt{
+		Request: request, Machine: m.id,
+		Incarnation: m.server.incarnation, Number: f.AttemptID, Running: true,
+	}})
 }
 
 func (m *machine) handleResult(f *protocol.Result) {
@@ -104,7 +110,15 @@
 	if !a.accepted {
 		m.server.stats.countOutcome(f.Outcome.String())
 	}
-	m.server.endAttempt(a, scheduler.AttemptEnded{Outcome: outcome, Reason: scheduler.Reason(f.Reason), Report: f.Report, Final: a.accepted})
+	m.server.endAttempt(
+		a,
+		scheduler.AttemptEnded{
+			Outcome: outcome,
+			Reason:  scheduler.Reason(f.Reason),
+			Report:  f.Report,
+			Final:   a.accepted,
+		},
+	)
 }
 
 func (m *machine) handleLateResult(f *protocol.Result) {
@@ -113,14 +127,18 @@
 		return
 	}
 	delete(m.expired, f.AttemptID)
-	m.server.enqueueReconcilerEvent(reconcile.AttemptNotRunning{Attempt: reconcile.Attempt{Request: request, Machine: m.id,
-		Incarnation: m.server.incarnation, Number: f.AttemptID}})
+	m.server.enqueueReconcilerEvent(reconcile.AttemptNotRunning{Attempt: reconcile.Attempt{
+		Request: request, Machine: m.id,
+		Incarnation: m.server.incarnation, Number: f.AttemptID,
+	}})
 }
 
 func (m *machine) handleUsage(f *protocol.UsageReport) {
 	if a := m.attempts[f.AttemptID]; a != nil {
-		m.server.enqueueSchedulerEvent(scheduler.UsageReported{ID: a.container.request.ID, Machine: m.id, Attempt: a.ordinal,
-			Metric: scheduler.UsageMetric(f.Metric), Value: f.Value})
+		m.server.enqueueSchedulerEvent(scheduler.UsageReported{
+			ID: a.container.request.ID, Machine: m.id, Attempt: a.ordinal,
+			Metric: scheduler.UsageMetric(f.Metric), Value: f.Value,
+		})
 	}
 }
 
--- a/internal/schedulerd/machinelist.go
+++ b/internal/schedulerd/machinelist.go
@@ -8,7 +8,11 @@
 
 // applyList takes over where machines are and hands the list on to the scheduler and the reconciler.
 func (s *Server) applyList(mode scheduler.UpdateMode, version int64, entries []protocol.MachineEntry) {
-	update := scheduler.MachineListUpdate{Mode: mode, Version: version, Entries: make([]scheduler.MachineEntry, 0, len(entries))}
+	update := scheduler.MachineListUpdate{
+		Mode:    mode,
+		Version: version,
+		Entries: make([]scheduler.MachineEntry, 0, len(entries)),
+	}
 	listed := map[scheduler.MachineID]bool{}
 	var ids []scheduler.MachineID
 	var restarted []*machine
@@ -75,8 +79,8 @@
 	return m.applyIncarnation(entry)
 }
 
-// applyIncarnation computes the start of a machine once for each incarnation: an age that came by another way must not look like
-// another start.
+// applyIncarnation computes the start of a machine once for each incarnation: an age that came by another way must not
+// look like another start.
 func (m *machine) applyIncarnation(entry *protocol.MachineEntry) (restarted bool) {
 	newer := entry.Incarnation > m.incarnation
 	startUnknown := entry.Incarnation == m.incarnation && (m.startedAt == 0 || m.selfReported)
@@ -91,16 +95,18 @@
 	return true
 }
 
-// noteSelfReported takes an incarnation from the hello of a machine if no list has contained it yet. A hello has no age: until a
-// list has, the incarnation counts as new.
+// noteSelfReported takes an incarnation from the hello of a machine if no list has contained it yet. A hello has no
+// age: until a list has, the incarnation counts as new.
 func (s *Server) noteSelfReported(m *machine, incarnation uint64) {
 	entry, listed := s.discovery.cache.entries[string(m.id)]
 	if incarnation <= m.incarnation || !listed {
 		return
 	}
 	m.incarnation, m.startedAt, m.selfReported = incarnation, scheduler.Time(s.loop.Now()), true
-	s.enqueueSchedulerEvent(scheduler.MachineListUpdate{Mode: scheduler.SelfReported, Version: s.discovery.version,
-		Entries: []scheduler.MachineEntry{m.schedulerEntry(&entry)}})
+	s.enqueueSchedulerEvent(scheduler.MachineListUpdate{
+		Mode: scheduler.SelfReported, Version: s.discovery.version,
+		Entries: []scheduler.MachineEntry{m.schedulerEntry(&entry)},
+	})
 	s.noteIncarnations(m)
 }
 
--- a/internal/schedulerd/machinelist_test.go
+++ b/internal/schedulerd/machinelist_test.go
@@ -7,7 +7,8 @@
 	"glenport/scheduler"
 )
 
-// A new incarnation in the list sets the start of a machine once; the same incarnation with another age does not change it.
+// A new incarnation in the list sets the start of a machine once; the same incarnation with another age does not change
+// it.
 func TestStartOfAnIncarnationIsComputedOnce(t *testing.T) {
 	h := startHarness(t, testConfig(t), nil, map[string]string{"a": "127.0.0.1:1"})
 	startedAt := func(incarnation uint64, age protocol.Duration) scheduler.Time {
--- a/internal/schedulerd/overload/golden_test.go
+++ b/internal/schedulerd/overload/golden_test.go
@@ -9,7 +9,8 @@
 	"glenport/scheduler"
 )
 
-// foldActions folds actions and the state that others read. What SheddingStarted and SheddingEnded report is for logs alone.
+// foldActions folds actions and the state that others read. What SheddingStarted and SheddingEnded report is for logs
+// alone.
 func foldActions(d *golden.Digest, now scheduler.Time, limiter *Limiter, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -82,7 +83,10 @@
 		if s.rng.IntN(3) == 0 {
 			client = "busy"
 		}
-		return append(events, RequestReceived{Client: client, WorkloadClass: s.rng.IntN(4), ClientRetry: s.rng.IntN(3) == 0})
+		return append(
+			events,
+			RequestReceived{Client: client, WorkloadClass: s.rng.IntN(4), ClientRetry: s.rng.IntN(3) == 0},
+		)
 	case n < 9 && len(s.open) > 0:
 		elapsed := scheduler.Time(s.rng.IntN(1000))
 		if flood {
--- a/internal/schedulerd/overload/heavyhitters.go
+++ b/internal/schedulerd/overload/heavyhitters.go
@@ -12,8 +12,8 @@
 )
 
 // HeavyHitters counts requests by client in a fixed number of counters (the space-saving algorithm): a client without a
-// counter takes over the smallest, with its count, so counts are never too low and no heavy hitter is missed. Counts decay
-// exponentially.
+// counter takes over the smallest, with its count, so counts are never too low and no heavy hitter is missed. Counts
+// decay exponentially.
 type HeavyHitters struct {
 	maxCounters int
 	index       map[string]int // position in the heap
--- a/internal/schedulerd/overload/limiter.go
+++ b/internal/schedulerd/overload/limiter.go
@@ -8,9 +8,11 @@
 
 // Tuned values.
 const (
-	slowThreshold            = 0.5                         // mean start latency, as a part of the objective, of a slow class,
-	slowBaselineFactor       = 1.5                         // provided that it also exceeds its baseline by this factor
-	minThroughputFactor      = 1.0                         // the limit stays above throughput times objective times this
+	// mean start latency, as a part of the objective, of a slow class,
+	slowThreshold      = 0.5
+	slowBaselineFactor = 1.5 // provided that it also exceeds its baseline by this factor
+	// the limit stays above throughput times objective times this
+	minThroughputFactor      = 1.0
 	limitDecrease            = 0.85                        // multiplies the limit while a class is slow
 	limitIncrease            = 1.05                        // multiplies it while none is
 	limitUpdateInterval      = 200 * scheduler.Millisecond // between two changes of the limit
@@ -108,7 +110,8 @@
 	return shares
 }
 
-// Handle applies events at a time and returns the actions that follow, in order. The slice is valid until the next call.
+// Handle applies events at a time and returns the actions that follow, in order. The slice is valid until the next
+// call.
 func (l *Limiter) Handle(now scheduler.Time, events ...Event) []Action {
 	l.now, l.actions = now, l.actions[:0]
 	for _, e := range events {
@@ -194,8 +197,8 @@
 	l.emit(Shed{Reason: reason, RetryAfter: l.scheduleRetry()})
 }
 
-// scheduleRetry takes the next place in the queue of retries, which moves at a share of the throughput. A queue longer than
-// clients wait for is not followed further: they come back at a random time of the upper half and queue again.
+// scheduleRetry takes the next place in the queue of retries, which moves at a share of the throughput. A queue longer
+// than clients wait for is not followed further: they come back at a random time of the upper half and queue again.
 func (l *Limiter) scheduleRetry() scheduler.Time {
 	perSecond := max(1, l.throughput*scheduledThroughputShare)
 	l.nextRetryAt = max(l.nextRetryAt, l.now+minRetryAfter) + scheduler.Time(float64(scheduler.Second)/perSecond)
--- a/internal/schedulerd/overload/limiter_test.go
+++ b/internal/schedulerd/overload/limiter_test.go
@@ -16,7 +16,11 @@
 )
 
 func testConfig() Config {
-	return Config{Seed: 1, MaxOpen: 100_000, WorkloadClasses: []WorkloadClass{{300 * ms, 1}, {300 * ms, 2}, {500 * ms, 4}}}
+	return Config{
+		Seed:            1,
+		MaxOpen:         100_000,
+		WorkloadClasses: []WorkloadClass{{300 * ms, 1}, {300 * ms, 2}, {500 * ms, 4}},
+	}
 }
 
 func request(t testing.TB, limiter *Limiter, now scheduler.Time, e RequestReceived) (bool, Shed) {
@@ -62,7 +66,12 @@
 	limiter, now := New(testConfig()), scheduler.Time(0)
 	for i := range 20_000 {
 		now += ms
-		if ok, s := request(t, limiter, now, RequestReceived{Client: fmt.Sprint(i % 7), WorkloadClass: i % 3, ClientRetry: i%2 == 0}); !ok {
+		if ok, s := request(
+			t,
+			limiter,
+			now,
+			RequestReceived{Client: fmt.Sprint(i % 7), WorkloadClass: i % 3, ClientRetry: i%2 == 0},
+		); !ok {
 			t.Fatalf("shed: %+v", s)
 		}
 		limiter.Handle(now, RequestStarted{i % 3, 60 * ms})
@@ -150,7 +159,13 @@
 		}
 	}
 	if most := maxRetryTokens + 1000*retryBudgetRatio; float64(retries) > most {
-		t.Errorf("%d client retries were admitted beside 1000 first tries; open %d, limit %.0f, tokens %.1f", retries, limiter.Open(), limiter.Limit(), limiter.retryTokens)
+		t.Errorf(
+			"%d client retries were admitted beside 1000 first tries; open %d, limit %.0f, tokens %.1f",
+			retries,
+			limiter.Open(),
+			limiter.Limit(),
+			limiter.retryTokens,
+		)
 	}
 }
 
@@ -160,10 +175,18 @@
 		a, b, now, open := New(testConfig()), New(testConfig()), scheduler.Time(0), 0
 		for range 200 {
 			now += scheduler.Time(rapid.IntRange(0, 2000).Draw(t, "advance"))
-			var e Event = RequestReceived{Client: fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "client")), WorkloadClass: rapid.IntRange(0, 2).Draw(t, "class"),
-				ClientRetry: rapid.Bool().Draw(t, "retry")}
+			var e Event = RequestReceived{
+				Client: fmt.Sprint(
+					rapid.IntRange(0, 5).Draw(t, "client"),
+				),
+				WorkloadClass: rapid.IntRange(0, 2).Draw(t, "class"),
+				ClientRetry:   rapid.Bool().Draw(t, "retry"),
+			}
 			if open > 0 && rapid.Bool().Draw(t, "end") {
-				e = RequestStarted{rapid.IntRange(0, 2).Draw(t, "class"), scheduler.Time(rapid.IntRange(1, 60_000).Draw(t, "elapsed"))}
+				e = RequestStarted{
+					rapid.IntRange(0, 2).Draw(t, "class"),
+					scheduler.Time(rapid.IntRange(1, 60_000).Draw(t, "elapsed")),
+				}
 				open--
 			}
 			limit := a.Limit()
@@ -185,8 +208,8 @@
 	})
 }
 
-// A restart during an overload: the limit of the next incarnation is as low as the last one's, the less so the older the
-// snapshot is, and the baselines are kept.
+// A restart during an overload: the limit of the next incarnation is as low as the last one's, the less so the older
+// the snapshot is, and the baselines are kept.
 func TestRestoredLimitCountsByWeight(t *testing.T) {
 	before, now := overloadedLimiter(t)
 	for _, tc := range []struct {
--- a/internal/schedulerd/probe.go
+++ b/internal/schedulerd/probe.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// sendProbe sends a probe, at once or as soon as the connection is ready. One that was decided on another incarnation of the
-// machine is not sent, as it is not counted for this one.
+// sendProbe sends a probe, at once or as soon as the connection is ready. One that was decided on another incarnation
+// of the machine is not sent, as it is not counted for this one.
 func (m *machine) sendProbe(p *pendingProbe) {
 	switch {
 	case !m.ready:
@@ -73,6 +73,8 @@
 	}
 	delete(m.probes, p.seq)
 	m.server.loop.Cancel(p.timer)
-	m.server.enqueueSchedulerEvent(scheduler.ProbeCompleted{Machine: m.id, Outcome: outcome,
-		Elapsed: scheduler.Time(m.server.loop.Now() - p.requestedAt), Report: report})
+	m.server.enqueueSchedulerEvent(scheduler.ProbeCompleted{
+		Machine: m.id, Outcome: outcome,
+		Elapsed: scheduler.Time(m.server.loop.Now() - p.requestedAt), Report: report,
+	})
 }
--- a/internal/schedulerd/queue.go
+++ b/internal/schedulerd/queue.go
@@ -1,8 +1,9 @@
 package schedulerd
 
-// queueAttempt holds an attempt back until its connection is ready and the log holds it, but no longer than a connection may
-// take. The scheduler charges a machine in slow start for an attempt when it decides, and keeps an eighth of the slow-start
-// window for the way: attempts that pile up behind a slow connection would arrive together and overload the machine.
+// queueAttempt holds an attempt back until its connection is ready and the log holds it, but no longer than a
+// connection may take. The scheduler charges a machine in slow start for an attempt when it decides, and keeps an
+// eighth of the slow-start window for the way: attempts that pile up behind a slow connection would arrive together and
+// overload the machine.
 func (s *Server) queueAttempt(a *attempt) {
 	m := a.machine
 	m.queued = append(m.queued, a)
@@ -27,8 +28,8 @@
 	return false
 }
 
-// sendQueued sends the queued attempts, but for those that still wait for the log. A stale one is not sent: the scheduler, which
-// has processed the change by now, decides again.
+// sendQueued sends the queued attempts, but for those that still wait for the log. A stale one is not sent: the
+// scheduler, which has processed the change by now, decides again.
 func (m *machine) sendQueued() {
 	if !m.ready {
 		return
@@ -46,8 +47,8 @@
 	}
 }
 
-// adoptionTracker records whether containers of a service were adopted since a queued attempt was decided. It is cleared when no
-// attempt is queued, so that it stays as small as the queues.
+// adoptionTracker records whether containers of a service were adopted since a queued attempt was decided. It is
+// cleared when no attempt is queued, so that it stays as small as the queues.
 type adoptionTracker struct {
 	total     int            // adoptions so far
 	byService map[string]int // total after the service's last adoption
--- a/internal/schedulerd/queue_test.go
+++ b/internal/schedulerd/queue_test.go
@@ -9,8 +9,8 @@
 	"glenport/scheduler"
 )
 
-// A queued attempt is not sent if what it was decided on has changed meanwhile. The scheduler receives the change first and decides
-// again. The hello of a machine may announce an incarnation before the list does.
+// A queued attempt is not sent if what it was decided on has changed meanwhile. The scheduler receives the change first
+// and decides again. The hello of a machine may announce an incarnation before the list does.
 func TestStaleQueuedAttemptIsNotSent(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -46,25 +46,44 @@
 				return
 			}
 			if tc.incarnation == 2 {
-				update := awaitEvent(t, h.script, func(e scheduler.MachineListUpdate) bool { return len(e.Entries) > 0 && e.Entries[0].StartedAt > 0 })
-				if now := onLoop(h.server, func() scheduler.Time { return scheduler.Time(h.server.loop.Now()) }); update.Entries[0].StartedAt > now {
+				update := awaitEvent(
+					t,
+					h.script,
+					func(e scheduler.MachineListUpdate) bool { return len(e.Entries) > 0 && e.Entries[0].StartedAt > 0 },
+				)
+				if now := onLoop(
+					h.server,
+					func() scheduler.Time { return scheduler.Time(h.server.loop.Now()) },
+				); update.Entries[0].StartedAt > now {
 					t.Errorf("%+v at %d", update, now)
 				}
 			}
-			if ended := awaitEvent[scheduler.AttemptEnded](t, h.script, nil); ended.Outcome != scheduler.OutcomeNotSent || len(offered) > 0 {
+			if ended := awaitEvent[scheduler.AttemptEnded](
+				t,
+				h.script,
+				nil,
+			); ended.Outcome != scheduler.OutcomeNotSent ||
+				len(offered) > 0 {
 				t.Errorf("%+v, %d offered", ended, len(offered))
 			}
 		})
 	}
 }
 
-// adoptOnMachineB makes machine b report a container of the service that an earlier incarnation of the scheduler has started.
+// adoptOnMachineB makes machine b report a container of the service that an earlier incarnation of the scheduler has
+// started.
 func (h *harness) adoptOnMachineB() {
 	h.t.Helper()
 	runOnLoop(h.server, func() {
-		h.server.applyList(scheduler.DeltaUpdate, 2, []protocol.MachineEntry{{Machine: "b", Address: "127.0.0.1:1", Incarnation: 1, Age: -1}})
-		h.server.enqueueReconcilerEvent(reconcile.MachineReported{Machine: "b", Attempts: []reconcile.Attempt{{Machine: "b", Incarnation: 1,
-			Number: 1, Running: true, Request: scheduler.PlacementRequest{ID: "o", IdempotencyKey: "k-o", Service: "s"}}}})
+		h.server.applyList(
+			scheduler.DeltaUpdate,
+			2,
+			[]protocol.MachineEntry{{Machine: "b", Address: "127.0.0.1:1", Incarnation: 1, Age: -1}},
+		)
+		h.server.enqueueReconcilerEvent(reconcile.MachineReported{Machine: "b", Attempts: []reconcile.Attempt{{
+			Machine: "b", Incarnation: 1,
+			Number: 1, Running: true, Request: scheduler.PlacementRequest{ID: "o", IdempotencyKey: "k-o", Service: "s"},
+		}}})
 	})
 	awaitEvent[scheduler.ContainerAdopted](h.t, h.script, nil)
 }
--- a/internal/schedulerd/reconcile/containers.go
+++ b/internal/schedulerd/reconcile/containers.go
@@ -27,7 +27,8 @@
 
 func (c *container) placed() bool { return c.machine != "" }
 
-// containerTable indexes containers. Each is in byID; byKey holds the first one of a key; onMachine holds those that are placed.
+// containerTable indexes containers. Each is in byID; byKey holds the first one of a key; onMachine holds those that
+// are placed.
 type containerTable struct {
 	byID      map[scheduler.ContainerID]*container
 	byKey     map[string]*container
@@ -137,9 +138,9 @@
 	r.runsAfterAll(a)
 }
 
-// runsAfterAll decides on an attempt that runs although it was over. Idempotent work is cancelled: its container went elsewhere
-// or its request was answered, and the copy takes room for nobody. Work that must not run twice is not cancelled for that: it is
-// adopted, once the request of its container is closed.
+// runsAfterAll decides on an attempt that runs although it was over. Idempotent work is cancelled: its container went
+// elsewhere or its request was answered, and the copy takes room for nobody. Work that must not run twice is not
+// cancelled for that: it is adopted, once the request of its container is closed.
 func (r *Reconciler) runsAfterAll(a Attempt) {
 	c := r.containers.byID[a.Request.ID]
 	switch {
@@ -157,8 +158,8 @@
 	}
 }
 
-// adopt takes over an attempt that runs, unless its container is known. A second copy under a key is cancelled where another
-// one runs, or where the work is idempotent and another one is being placed.
+// adopt takes over an attempt that runs, unless its container is known. A second copy under a key is cancelled where
+// another one runs, or where the work is idempotent and another one is being placed.
 func (r *Reconciler) adopt(a Attempt) {
 	if a.Request.WorkloadClass >= len(r.idempotency) {
 		r.log("container of unknown workload class left alone", slog.String("machine", string(a.Machine)),
--- a/internal/schedulerd/reconcile/golden_test.go
+++ b/internal/schedulerd/reconcile/golden_test.go
@@ -14,8 +14,8 @@
 
 const recordedIncarnation = 3
 
-// recordedSequence is a seeded sequence of events to one reconciler, many of which answer its actions; each action is folded into
-// a digest.
+// recordedSequence is a seeded sequence of events to one reconciler, many of which answer its actions; each action is
+// folded into a digest.
 type recordedSequence struct {
 	rng        *rand.Rand
 	digest     *golden.Digest
@@ -92,7 +92,13 @@
 		s.admitted = append(s.admitted[:n], s.admitted[n+1:]...)
 	}
 	s.lastNumber++
-	a := Attempt{Request: r, Machine: s.machine(), Incarnation: recordedIncarnation, Number: s.lastNumber, Running: true}
+	a := Attempt{
+		Request:     r,
+		Machine:     s.machine(),
+		Incarnation: recordedIncarnation,
+		Number:      s.lastNumber,
+		Running:     true,
+	}
 	s.attempts = append(s.attempts, a)
 	return AttemptAccepted{ID: r.ID, Machine: a.Machine, Attempt: a.Number}
 }
@@ -251,7 +257,12 @@
 	} {
 		d := golden.NewDigest()
 		for seed := range uint64(120) {
-			s := &recordedSequence{rng: rand.New(rand.NewPCG(seed, uint64(i))), digest: d, ids: group.ids, now: scheduler.Time(seed % 2 * 1000)}
+			s := &recordedSequence{
+				rng:    rand.New(rand.NewPCG(seed, uint64(i))),
+				digest: d,
+				ids:    group.ids,
+				now:    scheduler.Time(seed % 2 * 1000),
+			}
 			s.reconciler = New(Config{
 				Incarnation:     recordedIncarnation,
 				Limits:          group.limits,
--- a/internal/schedulerd/reconcile/machines.go
+++ b/internal/schedulerd/reconcile/machines.go
@@ -26,8 +26,8 @@
 // attemptID names an attempt over all incarnations of the scheduler.
 type attemptID struct{ incarnation, number uint64 }
 
-// machineReported compares a machine's report with what is known. Containers that it does not name are lost. What it names and
-// is not known comes from an earlier incarnation, or from an attempt that was over.
+// machineReported compares a machine's report with what is known. Containers that it does not name are lost. What it
+// names and is not known comes from an earlier incarnation, or from an attempt that was over.
 func (r *Reconciler) machineReported(e MachineReported) {
 	completed := r.trackReport(e.Machine)
 	delete(r.reconnects, e.Machine)
@@ -39,7 +39,11 @@
 		}
 	}
 	if adopted > 0 {
-		r.log("containers of an earlier incarnation adopted", slog.String("machine", string(e.Machine)), slog.Int("containers", adopted))
+		r.log(
+			"containers of an earlier incarnation adopted",
+			slog.String("machine", string(e.Machine)),
+			slog.Int("containers", adopted),
+		)
 	}
 	if completed {
 		r.emit(RecoveryComplete{})
@@ -47,8 +51,8 @@
 }
 
 // trackReport passes a report to the recovery tracker, and returns whether recovery is complete with it. Invariant:
-// RecoveryComplete follows the adoption of all that the report contains, as BGP peers drop the routes that have not been
-// announced by then.
+// RecoveryComplete follows the adoption of all that the report contains, as BGP peers drop the routes that have not
+// been announced by then.
 func (r *Reconciler) trackReport(machine scheduler.MachineID) (completed bool) {
 	for _, a := range r.tracker.Handle(r.now, recovery.MachineReported{Machine: machine}) {
 		if _, ok := a.(recovery.Completed); ok {
@@ -72,8 +76,9 @@
 	}
 }
 
-// attemptReported decides on one attempt of a report, and returns whether it was taken over from an earlier incarnation. An
-// attempt that waits is cancelled, as nobody would receive its answer; one of an earlier incarnation counts until it has ended.
+// attemptReported decides on one attempt of a report, and returns whether it was taken over from an earlier
+// incarnation. An attempt that waits is cancelled, as nobody would receive its answer; one of an earlier incarnation
+// counts until it has ended.
 func (r *Reconciler) attemptReported(machine scheduler.MachineID, a Attempt) (adopted bool) {
 	known := r.containers.byID[a.Request.ID]
 	switch {
@@ -99,8 +104,9 @@
 	}
 }
 
-// connectFailed has the connection tried again, and gives up the machine's containers after some attempts. A short loss of the
-// connection costs nothing then. Containers that run on behind a longer one are adopted, or cancelled, when it ends.
+// connectFailed has the connection tried again, and gives up the machine's containers after some attempts. A short loss
+// of the connection costs nothing then. Containers that run on behind a longer one are adopted, or cancelled, when it
+// ends.
 func (r *Reconciler) connectFailed(e ConnectFailed) {
 	r.track(recovery.ConnectFailed{Machine: e.Machine})
 	pending := r.reconnects[e.Machine]
@@ -120,8 +126,12 @@
 // machineUnreachable loses the containers of a machine. They may run on, so it is queried until it reports or is gone.
 func (r *Reconciler) machineUnreachable(machine scheduler.MachineID, attempts int) {
 	lost := r.containers.runningOn(machine)
-	r.log("machine unreachable, its containers are lost", slog.String("machine", string(machine)), slog.Int("attempts", attempts),
-		slog.Int("containers", len(lost)))
+	r.log(
+		"machine unreachable, its containers are lost",
+		slog.String("machine", string(machine)),
+		slog.Int("attempts", attempts),
+		slog.Int("containers", len(lost)),
+	)
 	delete(r.reconnects, machine)
 	for _, c := range lost {
 		r.emit(ContainerLost{ID: c.id, Confirmed: false})
--- a/internal/schedulerd/reconcile/reconciler.go
+++ b/internal/schedulerd/reconcile/reconciler.go
@@ -16,8 +16,8 @@
 	OverloadClasses []overload.WorkloadClass // none: load is not shed
 }
 
-// Reconciler keeps what runs in line with what clients want, for one incarnation of the scheduler. A container leaves it when it is
-// removed, a client with its connection, a machine once it has reported, was reconnected or is gone.
+// Reconciler keeps what runs in line with what clients want, for one incarnation of the scheduler. A container leaves
+// it when it is removed, a client with its connection, a machine once it has reported, was reconnected or is gone.
 type Reconciler struct {
 	incarnation uint64
 	idempotency []scheduler.Idempotency // by workload class
--- a/internal/schedulerd/reconcile/reconciler_test.go
+++ b/internal/schedulerd/reconcile/reconciler_test.go
@@ -18,7 +18,12 @@
 var idempotency = []scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.AtMostOnce}
 
 func request(id string, class int) scheduler.PlacementRequest {
-	return scheduler.PlacementRequest{ID: scheduler.ContainerID(id), IdempotencyKey: "k-" + id, Service: "s", WorkloadClass: class}
+	return scheduler.PlacementRequest{
+		ID:             scheduler.ContainerID(id),
+		IdempotencyKey: "k-" + id,
+		Service:        "s",
+		WorkloadClass:  class,
+	}
 }
 
 func retry(id, key string, class int) scheduler.PlacementRequest {
@@ -28,7 +33,13 @@
 }
 
 func attempt(id string, class int, incarnation, number uint64, running bool) Attempt {
-	return Attempt{Request: request(id, class), Machine: "m", Incarnation: incarnation, Number: number, Running: running}
+	return Attempt{
+		Request:     request(id, class),
+		Machine:     "m",
+		Incarnation: incarnation,
+		Number:      number,
+		Running:     running,
+	}
 }
 
 func describe(actions []Action) string {
@@ -125,7 +136,9 @@
 		{"of a client that disconnected", []any{ClientDisconnected{1}, place("a", 0)}, ""},
 		{"too many clients", []any{ClientConnected{2}, ClientConnected{3}}, "close 3"},
 		{"too many open", []any{
-			ClientConnected{2}, place("a", 0), place("b", 0), PlacementRequested{2, request("c", 0)},
+			ClientConnected{2},
+			place("a", 0), place("b", 0),
+			PlacementRequested{2, request("c", 0)},
 			PlacementRequested{2, request("d", 0)},
 		}, "reject d"},
 		{"too many of one client", []any{place("a", 0), place("b", 0), place("c", 0)}, "reject c"},
@@ -221,7 +234,8 @@
 		{"then it is placed elsewhere", []any{
 			place("a", 1), LateAccept{attempt("a", 1, 5, 9, true)}, AttemptAccepted{"a", "n", 10},
 		}, "cancel 5.9"},
-		// A machine that fell silent with an at-most-once attempt may run it: a client that retries waits until it has reported.
+		// A machine that fell silent with an at-most-once attempt may run it: a client that retries waits until it has
+		// reported.
 		{"outcome unknown", []any{
 			4000 * ms, place("a", 2), outcomeUnknown, ContainerRemoved{"a"}, placeAgain("b", "k-a", 2),
 		}, "reject b"},
@@ -229,21 +243,28 @@
 		{"outcome unknown, the machine is connected", []any{4000 * ms, place("a", 2), outcomeUnknown}, "connect m"},
 		{
 			"outcome unknown, and connected again when its connection breaks",
-			[]any{4000 * ms, place("a", 2), outcomeUnknown, disconnected}, "connect m",
+			[]any{4000 * ms, place("a", 2), outcomeUnknown, disconnected},
+			"connect m",
 		},
 		{"outcome unknown, the machine has reported", []any{
 			4000 * ms, place("a", 2), outcomeUnknown, ContainerRemoved{"a"}, reported, placeAgain("b", "k-a", 2),
 		}, "admit b"},
 		{"outcome unknown, the attempt was reported", []any{
-			4000 * ms, place("a", 2), outcomeUnknown, ContainerRemoved{"a"},
-			AttemptNotRunning{attempt("a", 2, 5, 9, false)}, placeAgain("b", "k-a", 2),
+			4000 * ms, place("a", 2), outcomeUnknown,
+			ContainerRemoved{"a"},
+			AttemptNotRunning{attempt("a", 2, 5, 9, false)},
+			placeAgain("b", "k-a", 2),
 		}, "admit b"},
 		{"outcome unknown, the machine is gone", []any{
-			4000 * ms, place("a", 2), outcomeUnknown, ContainerRemoved{"a"}, MachineRemoved{"m"},
+			4000 * ms, place("a", 2), outcomeUnknown,
+			ContainerRemoved{"a"},
+			MachineRemoved{"m"},
 			placeAgain("b", "k-a", 2),
 		}, "admit b"},
 		{"outcome unknown, idempotent", []any{
-			4000 * ms, place("a", 0), AttemptOutcomeUnknown{attempt("a", 0, 5, 9, false)}, ContainerRemoved{"a"},
+			4000 * ms, place("a", 0),
+			AttemptOutcomeUnknown{attempt("a", 0, 5, 9, false)},
+			ContainerRemoved{"a"},
 			placeAgain("b", "k-a", 0),
 		}, "admit b"},
 		{"removed, then reported by its machine", []any{
@@ -257,7 +278,8 @@
 		{"listed machines are connected", []any{listed}, "connect m"},
 		{
 			"a machine that could not be connected is tried again",
-			[]any{listed, connectFailed, 2100 * ms, TimerFired{}}, "connect m",
+			[]any{listed, connectFailed, 2100 * ms, TimerFired{}},
+			"connect m",
 		},
 		{"one that is gone is not", []any{listed, connectFailed, MachineRemoved{"m"}, 5100 * ms, TimerFired{}}, ""},
 
@@ -277,10 +299,18 @@
 		{"earlier incarnation, then gone", []any{
 			MachineReported{"m", []Attempt{attempt("a", 0, 4, 7, true)}}, MachineReported{"m", nil},
 		}, "lost a"},
-		{"two copies of one key", []any{
-			place("a", 1), AttemptAccepted{"a", "n", 9},
-			MachineReported{"m", []Attempt{{Request: retry("b", "k-a", 1), Machine: "m", Incarnation: 4, Number: 7, Running: true}}},
-		}, "cancel 4.7"},
+		{
+			"two copies of one key",
+			[]any{
+				place("a", 1),
+				AttemptAccepted{"a", "n", 9},
+				MachineReported{
+					"m",
+					[]Attempt{{Request: retry("b", "k-a", 1), Machine: "m", Incarnation: 4, Number: 7, Running: true}},
+				},
+			},
+			"cancel 4.7",
+		},
 
 		{"disconnected, tried at once", []any{place("a", 0), accepted, disconnected}, "connect m"},
 		{"disconnected, and nothing runs there", []any{disconnected}, ""},
@@ -294,17 +324,31 @@
 			place("a", 0), accepted, disconnected, connectFailed, 200 * ms, TimerFired{},
 		}, "connect m"},
 		{"lost after some attempts", []any{
-			place("a", 0), accepted, disconnected, connectFailed, 200 * ms, TimerFired{}, connectFailed, 1000 * ms,
-			TimerFired{}, connectFailed,
+			place("a", 0), accepted, disconnected, connectFailed, 200 * ms,
+			TimerFired{},
+			connectFailed, 1000 * ms,
+			TimerFired{},
+			connectFailed,
 		}, "lost a"},
 		{"not lost by a local shortage", []any{
-			place("a", 0), accepted, disconnected, connectFailed, 200 * ms, TimerFired{}, connectFailed, 1000 * ms,
-			TimerFired{}, ConnectFailed{"m", true}, 1200 * ms, TimerFired{},
+			place("a", 0), accepted, disconnected, connectFailed, 200 * ms,
+			TimerFired{},
+			connectFailed, 1000 * ms,
+			TimerFired{},
+			ConnectFailed{"m", true},
+			1200 * ms,
+			TimerFired{},
 		}, "connect m"},
 		// Else a container that ran on behind a partition would never be known again.
 		{"lost, and its machine is queried later", []any{
-			place("a", 0), accepted, disconnected, connectFailed, 200 * ms, TimerFired{}, connectFailed, 1000 * ms,
-			TimerFired{}, connectFailed, ContainerRemoved{"a"}, 3100 * ms, TimerFired{},
+			place("a", 0), accepted, disconnected, connectFailed, 200 * ms,
+			TimerFired{},
+			connectFailed, 1000 * ms,
+			TimerFired{},
+			connectFailed,
+			ContainerRemoved{"a"},
+			3100 * ms,
+			TimerFired{},
 		}, "connect m"},
 	})
 }
@@ -365,8 +409,8 @@
 	m.open[r.ID] = r.IdempotencyKey
 }
 
-// Drawn sequences: a key that must not run twice is admitted only while it neither runs nor is open, nothing is left when all
-// containers are removed, and equal sequences have equal actions.
+// Drawn sequences: a key that must not run twice is admitted only while it neither runs nor is open, nothing is left
+// when all containers are removed, and equal sequences have equal actions.
 func TestKeyIsAdmittedOnlyWhileFree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := admission.Limits{Clients: 9, OpenRequests: 9, OpenRequestsPerClient: 9}
@@ -407,8 +451,8 @@
 	})
 }
 
-// BGP peers drop the routes that have not been announced when recovery is complete, so the last machine to report has its
-// containers adopted before.
+// BGP peers drop the routes that have not been announced when recovery is complete, so the last machine to report has
+// its containers adopted before.
 func TestRecoveryIsCompleteOnlyAfterTheLastReportIsAdopted(t *testing.T) {
 	reconciler := newReconciler(admission.Limits{Clients: 1, OpenRequests: 2, OpenRequestsPerClient: 9})
 	reconciler.Handle(0, []Event{MachinesListed{Machines: []scheduler.MachineID{"m", "n"}, FullSnapshot: true}})
--- a/internal/schedulerd/reconcile/requests.go
+++ b/internal/schedulerd/reconcile/requests.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// placementRequested admits a request, or answers it by the container that uses its key. Nothing was sent to a machine for a
-// request that is rejected here, so a retry does no harm.
+// placementRequested admits a request, or answers it by the container that uses its key. Nothing was sent to a machine
+// for a request that is rejected here, so a retry does no harm.
 func (r *Reconciler) placementRequested(e PlacementRequested) {
 	if !r.admission.Connected(e.Client) {
 		return // nobody would receive an answer
@@ -100,8 +100,8 @@
 	r.emit(Log{Message: message, Attributes: attrs})
 }
 
-// cancelRequested ends the container that an id or a key names. Where nothing is known under a key, the answer depends on
-// whether that is certain: a scheduler that has just started does not know yet what runs.
+// cancelRequested ends the container that an id or a key names. Where nothing is known under a key, the answer depends
+// on whether that is certain: a scheduler that has just started does not know yet what runs.
 func (r *Reconciler) cancelRequested(e CancelRequested) {
 	if c := r.containers.find(e.ID, e.IdempotencyKey); c != nil {
 		r.cancelLateAccept(c) // else it would be adopted once the container is removed, and nobody would end it
--- a/internal/schedulerd/records.go
+++ b/internal/schedulerd/records.go
@@ -7,8 +7,8 @@
 	"glenport/scheduler"
 )
 
-// The types of this file are stored. Their tags, not the names of their fields, are the format of the file WarmStartFile. The
-// records of the log are recovery.Attempt, warmstart.SlowStartSends and warmstart.LogHistory.
+// The types of this file are stored. Their tags, not the names of their fields, are the format of the file
+// WarmStartFile. The records of the log are recovery.Attempt, warmstart.SlowStartSends and warmstart.LogHistory.
 
 // WarmStartSnapshot is what the next incarnation should know and the log does not hold.
 type WarmStartSnapshot struct {
@@ -22,21 +22,21 @@
 	Overload        *overload.Snapshot             `cbor:"Door"`      // nil if there is no concurrency limit
 }
 
-// entryRecord is a stored protocol.MachineEntry. CBOR encodes it as an array, so that the order of the fields is part of the
-// format; the JSON names are those of the export.
+// entryRecord is a stored protocol.MachineEntry. CBOR encodes it as an array, so that the order of the fields is part
+// of the format; the JSON names are those of the export.
 type entryRecord struct {
 	_           struct{}              `cbor:",toarray"`
-	Machine     string                `json:"Machine"`
-	Address     string                `json:"Addr"`
-	Zone        int                   `json:"Zone"`
-	MachineType int                   `json:"Kind"`
-	RackGroup   int                   `json:"Cell"`
-	State       protocol.MachineState `json:"State"`
-	FreeCores   float64               `json:"FreeCores"`
-	FreeMemory  float64               `json:"FreeMemory"`
-	PowerHint   float64               `json:"Hint"`
-	Incarnation uint64                `json:"Incarnation"`
-	Age         protocol.Duration     `json:"Age"` // when the snapshot was taken; below 0: long ago
+	Machine     string                `                json:"Machine"`
+	Address     string                `                json:"Addr"`
+	Zone        int                   `                json:"Zone"`
+	MachineType int                   `                json:"Kind"`
+	RackGroup   int                   `                json:"Cell"`
+	State       protocol.MachineState `                json:"State"`
+	FreeCores   float64               `                json:"FreeCores"`
+	FreeMemory  float64               `                json:"FreeMemory"`
+	PowerHint   float64               `                json:"Hint"`
+	Incarnation uint64                `                json:"Incarnation"`
+	Age         protocol.Duration     `                json:"Age"` // when the snapshot was taken; below 0: long ago
 }
 
 func recordOfEntry(e protocol.MachineEntry) entryRecord {
--- a/internal/schedulerd/recovery/attempt.go
+++ b/internal/schedulerd/recovery/attempt.go
@@ -2,7 +2,8 @@
 
 import "glenport/scheduler"
 
-// Attempt is the placement of a container on a machine by one incarnation of the scheduler. It is stored in the scheduler's log.
+// Attempt is the placement of a container on a machine by one incarnation of the scheduler. It is stored in the
+// scheduler's log.
 type Attempt struct {
 	Request     scheduler.PlacementRequest `cbor:"Ask"`
 	Machine     scheduler.MachineID        `cbor:"Machine"`
@@ -16,9 +17,10 @@
 
 // Degrees of coverage. They are stored as numbers.
 const (
-	LogNone     LogCoverage = iota
-	LogSynced               // each attempt of at-most-once work was on disk before it was sent
-	LogComplete             // each attempt of work that is not idempotent was written, and the system has not restarted since
+	LogNone   LogCoverage = iota
+	LogSynced             // each attempt of at-most-once work was on disk before it was sent
+	// each attempt of work that is not idempotent was written, and the system has not restarted since
+	LogComplete
 )
 
 // String is the form used in logs.
@@ -32,9 +34,10 @@
 	return "none"
 }
 
-// MustPersist reports what must have happened before an attempt of work is sent: whether it must be in the log, and whether
-// the log must be synced to disk. At-most-once work is worth a sync. Work that is idempotent with a key is only written, which
-// the death of the process does not undo; after a restart of the system every machine reports before such work is retried.
+// MustPersist reports what must have happened before an attempt of work is sent: whether it must be in the log, and
+// whether the log must be synced to disk. At-most-once work is worth a sync. Work that is idempotent with a key is only
+// written, which the death of the process does not undo; after a restart of the system every machine reports before
+// such work is retried.
 func MustPersist(i scheduler.Idempotency) (write, sync bool) {
 	return i != scheduler.Idempotent, i == scheduler.AtMostOnce
 }
--- a/internal/schedulerd/recovery/resume.go
+++ b/internal/schedulerd/recovery/resume.go
@@ -25,8 +25,8 @@
 	StepNone
 )
 
-// resumeRate is how many containers a recovering controller resumes in a second. A scheduler decides on some 10,000 requests a
-// second, and new ones must not wait behind old ones.
+// resumeRate is how many containers a recovering controller resumes in a second. A scheduler decides on some 10,000
+// requests a second, and new ones must not wait behind old ones.
 const resumeRate = 2000
 
 // Resume decides what is done first, and how long after the start, about the nth container in the controller's log. A
--- a/internal/schedulerd/recovery/tracker.go
+++ b/internal/schedulerd/recovery/tracker.go
@@ -17,9 +17,9 @@
 // notStarted is the start time of a Tracker that has handled no event.
 const notStarted scheduler.Time = -1
 
-// Tracker follows, for one incarnation of the scheduler, the attempts that may run although no machine has confirmed it, and the
-// machines that are still to report. An attempt leaves it when its machine reports or is gone, a machine once it has reported
-// or is gone.
+// Tracker follows, for one incarnation of the scheduler, the attempts that may run although no machine has confirmed
+// it, and the machines that are still to report. An attempt leaves it when its machine reports or is gone, a machine
+// once it has reported or is gone.
 type Tracker struct {
 	coverage     LogCoverage
 	idempotency  []scheduler.Idempotency // by workload class
@@ -45,8 +45,8 @@
 	sent    bool
 }
 
-// NewTracker begins an incarnation whose log covers earlier ones as stated. Idempotency is that of the workload classes; a class
-// beyond them counts as at-most-once.
+// NewTracker begins an incarnation whose log covers earlier ones as stated. Idempotency is that of the workload
+// classes; a class beyond them counts as at-most-once.
 func NewTracker(coverage LogCoverage, idempotency []scheduler.Idempotency) *Tracker {
 	return &Tracker{
 		coverage:    coverage,
@@ -155,8 +155,8 @@
 	}
 }
 
-// machinesListed resolves the attempts on machines that a full snapshot no longer names, and has the machines of the first
-// list queried. A list restored from disk is no evidence that a machine is gone.
+// machinesListed resolves the attempts on machines that a full snapshot no longer names, and has the machines of the
+// first list queried. A list restored from disk is no evidence that a machine is gone.
 func (t *Tracker) machinesListed(e MachinesListed) {
 	awaited := t.awaitedMachines()
 	if e.FullSnapshot {
@@ -223,8 +223,8 @@
 	return slices.IndexFunc(t.queries, func(q *machineQuery) bool { return q.machine == id })
 }
 
-// scheduleQuery has a machine connected. Where it is connected already nothing follows: it reports by that connection, or
-// is connected anew when the connection ends.
+// scheduleQuery has a machine connected. Where it is connected already nothing follows: it reports by that connection,
+// or is connected anew when the connection ends.
 func (t *Tracker) scheduleQuery(id scheduler.MachineID, dueAt scheduler.Time) {
 	if t.query(id) == nil {
 		t.queries = append(t.queries, &machineQuery{machine: id, dueAt: dueAt})
@@ -285,9 +285,9 @@
 	return next
 }
 
-// CheckPlacement returns a *MayRunError or *RecoveringError where a request must wait. Work that must not run twice is never
-// placed while an attempt under its key may run. Beyond that, a client retry waits until it is known what runs from earlier
-// incarnations.
+// CheckPlacement returns a *MayRunError or *RecoveringError where a request must wait. Work that must not run twice is
+// never placed while an attempt under its key may run. Beyond that, a client retry waits until it is known what runs
+// from earlier incarnations.
 func (t *Tracker) CheckPlacement(r scheduler.PlacementRequest) error {
 	idempotency := t.idempotencyOf(r.WorkloadClass)
 	if idempotency == scheduler.Idempotent {
@@ -304,9 +304,9 @@
 	return nil
 }
 
-// knowsEarlierAttempts reports whether no attempt of earlier incarnations can be missing: because the log holds them all, all
-// machines have reported, or, without a log, had their time to. A log that was only synced lacks attempts of work that is
-// idempotent with a key; that waits for every machine.
+// knowsEarlierAttempts reports whether no attempt of earlier incarnations can be missing: because the log holds them
+// all, all machines have reported, or, without a log, had their time to. A log that was only synced lacks attempts of
+// work that is idempotent with a key; that waits for every machine.
 func (t *Tracker) knowsEarlierAttempts(idempotency scheduler.Idempotency) bool {
 	switch {
 	case t.allReported():
@@ -319,8 +319,8 @@
 	return t.completed || t.timedOut()
 }
 
-// fromEarlierIncarnation matters for work that is idempotent with a key: the scheduler keeps attempts of its own incarnation to
-// their scope and window, but when an earlier one was sent nobody knows.
+// fromEarlierIncarnation matters for work that is idempotent with a key: the scheduler keeps attempts of its own
+// incarnation to their scope and window, but when an earlier one was sent nobody knows.
 func (t *Tracker) fromEarlierIncarnation(u unresolvedAttempt) bool { return u.since == t.startedAt }
 
 // CheckKey returns a *MayRunError or *RecoveringError where it is not known whether anything runs under a key.
--- a/internal/schedulerd/recovery/tracker_test.go
+++ b/internal/schedulerd/recovery/tracker_test.go
@@ -74,7 +74,9 @@
 	}, 2, true, "connect n"},
 	{"logged, idempotent with a key", LogComplete, []any{AttemptRestored{attempt("k", 1, "m", 9)}}, 1, true, ""},
 	{"logged, two attempts, one machine has reported", LogComplete, []any{
-		AttemptRestored{attempt("k", 2, "m", 9)}, AttemptRestored{attempt("k", 2, "n", 10)}, list("m", "n"),
+		AttemptRestored{attempt("k", 2, "m", 9)},
+		AttemptRestored{attempt("k", 2, "n", 10)},
+		list("m", "n"),
 		MachineReported{"m"},
 	}, 2, true, "resolved 9"},
 	{"machines of unresolved attempts are queried first", LogComplete, []any{
@@ -86,7 +88,9 @@
 	{"synced, at-most-once", LogSynced, []any{list("m")}, 2, false, "connect m"},
 	{"synced, idempotent with a key", LogSynced, []any{list("m"), 9 * sec, Tick{}}, 1, true, "completed"},
 	{
-		"synced, idempotent with a key, all have reported", LogSynced, []any{list("m"), MachineReported{"m"}}, 1,
+		"synced, idempotent with a key, all have reported", LogSynced,
+		[]any{list("m"), MachineReported{"m"}},
+		1,
 		false, "completed",
 	},
 	{"of this incarnation, at-most-once", LogComplete, []any{
@@ -94,12 +98,16 @@
 	}, 2, true, "connect m"},
 	{
 		"of this incarnation, idempotent with a key: its scope and window hold", LogComplete,
-		[]any{1 * sec, AttemptOutcomeUnknown{attempt("k", 1, "m", 9)}}, 1, false, "connect m",
+		[]any{1 * sec, AttemptOutcomeUnknown{attempt("k", 1, "m", 9)}},
+		1, false, "connect m",
 	},
 	// Else the query after an attempt of this incarnation would stand until the connection ended.
 	{"the end of an attempt over a standing connection ends its query", LogSynced, []any{
-		list("m", "n"), MachineReported{"m"}, AttemptOutcomeUnknown{attempt("x", 2, "m", 9)},
-		AttemptNotRunning{attempt("x", 2, "m", 9)}, MachineReported{"n"},
+		list("m", "n"),
+		MachineReported{"m"},
+		AttemptOutcomeUnknown{attempt("x", 2, "m", 9)},
+		AttemptNotRunning{attempt("x", 2, "m", 9)},
+		MachineReported{"n"},
 	}, 1, false, "completed"},
 	{"a machine that cannot be connected is tried again", LogComplete, []any{
 		list("m"), ConnectFailed{"m"}, 2 * sec, Tick{},
@@ -122,7 +130,12 @@
 			if got != tc.last {
 				t.Errorf("%q, want %q", got, tc.last)
 			}
-			request := scheduler.PlacementRequest{ID: "b", IdempotencyKey: "k", WorkloadClass: tc.class, ClientRetry: true}
+			request := scheduler.PlacementRequest{
+				ID:             "b",
+				IdempotencyKey: "k",
+				WorkloadClass:  tc.class,
+				ClientRetry:    true,
+			}
 			if err := tracker.CheckPlacement(request); (err != nil) != tc.wait {
 				t.Errorf("waits: %v", err)
 			}
@@ -223,8 +236,8 @@
 	modelKeys     = []string{"x", "y"}
 )
 
-// Drawn sequences: a key under which an attempt may run is never free before its machine has reported or is gone, and nothing
-// is left in the end.
+// Drawn sequences: a key under which an attempt may run is never free before its machine has reported or is gone, and
+// nothing is left in the end.
 func TestKeyOfUnresolvedAttemptIsNeverFree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		coverage := LogCoverage(rapid.IntRange(0, 2).Draw(t, "coverage"))
--- a/internal/schedulerd/restore.go
+++ b/internal/schedulerd/restore.go
@@ -15,8 +15,8 @@
 	Restore(scheduler.Snapshot)
 }
 
-// restore hands what earlier incarnations have left to the decisions: attempts to the reconciler, the machine list and what was
-// learned to the scheduler.
+// restore hands what earlier incarnations have left to the decisions: attempts to the reconciler, the machine list and
+// what was learned to the scheduler.
 func (st *stateStore) restore() {
 	s := st.server
 	now := readClocks(scheduler.Time(s.loop.Now()))
@@ -40,7 +40,8 @@
 // restoreLimiter restores the concurrency limit if the workload classes are those of the snapshot.
 func (st *stateStore) restoreLimiter(now warmstart.Timestamp) {
 	limiter, snapshot := st.server.reconciler.Limiter(), st.loaded.snapshot
-	if limiter == nil || snapshot == nil || snapshot.Overload == nil || !slices.Equal(snapshot.ClassNames, st.server.classNames()) {
+	if limiter == nil || snapshot == nil || snapshot.Overload == nil ||
+		!slices.Equal(snapshot.ClassNames, st.server.classNames()) {
 		return
 	}
 	limiter.Restore(*snapshot.Overload, warmstart.Weight(warmstart.ConcurrencyLimit, now.Since(snapshot.TakenAt).Age))
@@ -79,8 +80,10 @@
 	}
 	for _, m := range restored.Snapshot.Machines {
 		if len(m.RecentSends) > 0 {
-			st.put(SendKind, string(m.Machine), warmstart.SlowStartSends{Machine: m.Machine, Incarnation: incarnations[m.Machine],
-				Times: m.RecentSends})
+			st.put(SendKind, string(m.Machine), warmstart.SlowStartSends{
+				Machine: m.Machine, Incarnation: incarnations[m.Machine],
+				Times: m.RecentSends,
+			})
 		}
 	}
 	for _, message := range restored.Messages {
@@ -97,8 +100,8 @@
 	return p
 }
 
-// restorePending restores slow-start sends of earlier incarnations to machines that were listed only now. The scheduler learns
-// of them before it sees any further request.
+// restorePending restores slow-start sends of earlier incarnations to machines that were listed only now. The scheduler
+// learns of them before it sees any further request.
 func (st *stateStore) restorePending() {
 	s := st.server
 	target, ok := s.scheduler.(warmStarter)
--- a/internal/schedulerd/restore_test.go
+++ b/internal/schedulerd/restore_test.go
@@ -29,14 +29,15 @@
 	return &warmStartScript{newScript(nil), snapshot, make(chan scheduler.Snapshot, 1)}
 }
 
-// A restarted scheduler has its last list and what it learned, without what no longer counts. A snapshot that is damaged is not
-// used; one of a later version stops the start.
+// A restarted scheduler has its last list and what it learned, without what no longer counts. A snapshot that is
+// damaged is not used; one of a later version stops the start.
 func TestRestartRestoresListAndSnapshot(t *testing.T) {
 	settings := testConfig(t)
 	settings.StateDir = t.TempDir()
 	settings.MachineListAddr = serveMachineList(t, map[string]string{"a": "127.0.0.1:1", "b": "127.0.0.1:1"})
 	first := newWarmStartScript(scheduler.Snapshot{Machines: []scheduler.MachineSnapshot{
-		{Machine: "a", OutlierLogOdds: 4}, {Machine: "gone", OutlierLogOdds: 4}}})
+		{Machine: "a", OutlierLogOdds: 4}, {Machine: "gone", OutlierLogOdds: 4},
+	}})
 	runIncarnation(t, settings, first, func(server *Server) {
 		watchList(server)
 		awaitList(t, first.scriptedScheduler)
@@ -48,7 +49,8 @@
 			t.Errorf("restored list %+v", update)
 		}
 		restored := <-second.restored
-		if len(restored.Machines) != 1 || restored.Machines[0].Machine != "a" || restored.Machines[0].OutlierLogOdds < 3.5 ||
+		if len(restored.Machines) != 1 || restored.Machines[0].Machine != "a" ||
+			restored.Machines[0].OutlierLogOdds < 3.5 ||
 			restored.Machines[0].OutlierLogOdds > 4 {
 			t.Errorf("restored %+v", restored.Machines)
 		}
@@ -61,7 +63,13 @@
 		writeFile(t, name, damaged)
 		third := newWarmStartScript(scheduler.Snapshot{})
 		runIncarnation(t, settings, third, func(*Server) {
-			if update := awaitEvent[scheduler.MachineListUpdate](t, third.scriptedScheduler, nil); len(update.Entries) != 0 {
+			if update := awaitEvent[scheduler.MachineListUpdate](
+				t,
+				third.scriptedScheduler,
+				nil,
+			); len(
+				update.Entries,
+			) != 0 {
 				t.Errorf("%d bytes that are no snapshot are restored", len(damaged))
 			}
 		})
@@ -94,8 +102,10 @@
 	runIncarnation(t, testConfig(t), newScript(nil), func(server *Server) { now = uint64(server.loop.Now()) })
 	settings := testConfig(t)
 	settings.LegacyListFile = filepath.Join(t.TempDir(), "list")
-	data, err := protocol.Append(binary.BigEndian.AppendUint64(nil, 0), &protocol.MachineListUpdate{FullSnapshot: true, Version: 7,
-		Entries: []protocol.MachineEntry{{Machine: "a", Address: "127.0.0.1:1", Age: 50}}})
+	data, err := protocol.Append(binary.BigEndian.AppendUint64(nil, 0), &protocol.MachineListUpdate{
+		FullSnapshot: true, Version: 7,
+		Entries: []protocol.MachineEntry{{Machine: "a", Address: "127.0.0.1:1", Age: 50}},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,15 +119,21 @@
 		settings.StateDir = t.TempDir()
 		script := newWarmStartScript(scheduler.Snapshot{})
 		runIncarnation(t, settings, script, func(*Server) {
-			if update := awaitEvent[scheduler.MachineListUpdate](t, script.scriptedScheduler, nil); len(update.Entries) != tc.machines {
+			if update := awaitEvent[scheduler.MachineListUpdate](
+				t,
+				script.scriptedScheduler,
+				nil,
+			); len(
+				update.Entries,
+			) != tc.machines {
 				t.Errorf("%s: %+v", tc.name, update)
 			}
 		})
 	}
 }
 
-// crashDuringAttempt runs an incarnation that attempts one request on a silent machine, and returns the state as a kill -9 leaves it
-// with what the machine would report if the container runs.
+// crashDuringAttempt runs an incarnation that attempts one request on a silent machine, and returns the state as a kill
+// -9 leaves it with what the machine would report if the container runs.
 func crashDuringAttempt(t *testing.T, class int) (state string, running protocol.InventoryItem) {
 	t.Helper()
 	offered := make(chan *protocol.Offer, 1)
@@ -137,8 +153,10 @@
 	}, map[string]string{"a": silent})
 	h.client.submit("x", class)
 	o := <-offered
-	return copyState(t, settings.StateDir), protocol.InventoryItem{SchedulerIncarnation: h.server.incarnation, AttemptID: o.AttemptID,
-		Running: true, Spec: o.Spec}
+	return copyState(t, settings.StateDir), protocol.InventoryItem{
+		SchedulerIncarnation: h.server.incarnation, AttemptID: o.AttemptID,
+		Running: true, Spec: o.Spec,
+	}
 }
 
 // serveReportingMachine sends hello and inventory when report is closed.
@@ -161,8 +179,8 @@
 	return nil
 }
 
-// After a crash between an attempt and its end the next incarnation finds it in the log. It waits for the machine's inventory, and
-// adopts the container or releases its key accordingly. Idempotent work is not logged.
+// After a crash between an attempt and its end the next incarnation finds it in the log. It waits for the machine's
+// inventory, and adopts the container or releases its key accordingly. Idempotent work is not logged.
 func TestAttemptOpenAtACrashIsResolvedByItsMachine(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -185,18 +203,26 @@
 				inventory.Containers = []protocol.InventoryItem{running}
 			}
 			report := make(chan struct{})
-			h := startHarness(t, settings, failRequests, map[string]string{"a": serveReportingMachine(t, inventory, report)})
+			h := startHarness(
+				t,
+				settings,
+				failRequests,
+				map[string]string{"a": serveReportingMachine(t, inventory, report)},
+			)
 			unresolved := func() int { return h.server.reconciler.UnresolvedKeys() }
 			if n := onLoop(h.server, unresolved); n != tc.logged {
 				t.Errorf("%d attempts are known to be open", n)
 			}
 			retry := func() *protocol.PlacementReply {
-				sendFrames(h.client, &protocol.Submit{TimeToDeadline: 60_000, Spec: protocol.ContainerSpec{ContainerID: "y", IdempotencyKey: "k-x",
-					Service: "s", WorkloadClass: tc.class, Cores: 1, Memory: 1, ClientRetry: true}})
+				sendFrames(h.client, &protocol.Submit{TimeToDeadline: 60_000, Spec: protocol.ContainerSpec{
+					ContainerID: "y", IdempotencyKey: "k-x",
+					Service: "s", WorkloadClass: tc.class, Cores: 1, Memory: 1, ClientRetry: true,
+				}})
 				return h.client.receiveReply()
 			}
 			if tc.logged > 0 {
-				if reply := retry(); reply.Verdict != protocol.VerdictNotAdmitted || !strings.Contains(reply.Message, "may run on machine a") {
+				if reply := retry(); reply.Verdict != protocol.VerdictNotAdmitted ||
+					!strings.Contains(reply.Message, "may run on machine a") {
 					t.Errorf("retried before the machine reported: %+v", reply)
 				}
 			}
@@ -209,8 +235,8 @@
 	}
 }
 
-// Sends to a machine that was not in slow start are logged when an incarnation is announced that they may have reached, so that the
-// next incarnation of the scheduler has them.
+// Sends to a machine that was not in slow start are logged when an incarnation is announced that they may have reached,
+// so that the next incarnation of the scheduler has them.
 func TestSendsBeforeAnIncarnationIsHeardOfAreLogged(t *testing.T) {
 	settings := testConfig(t)
 	settings.StateDir = t.TempDir()
@@ -221,7 +247,12 @@
 	if n := countRecords(t, copyState(t, settings.StateDir), SendKind); n != 0 {
 		t.Errorf("%d records of sends to a machine that is not in slow start", n)
 	}
-	entry := protocol.MachineEntry{Machine: "a", Address: address, Incarnation: 2, Age: protocol.Duration(2 * eventloop.Second)}
+	entry := protocol.MachineEntry{
+		Machine:     "a",
+		Address:     address,
+		Incarnation: 2,
+		Age:         protocol.Duration(2 * eventloop.Second),
+	}
 	h.applyList(entry)
 	eventually(t, func() bool { return countRecords(t, copyState(t, settings.StateDir), SendKind) == 1 })
 	next := testConfig(t)
@@ -238,7 +269,8 @@
 		<-script.restored // at the start, when no list contains the incarnation yet
 		watchList(server)
 		restored := <-script.restored
-		if len(restored.Machines) != 1 || restored.Machines[0].Machine != "a" || len(restored.Machines[0].RecentSends) != 1 {
+		if len(restored.Machines) != 1 || restored.Machines[0].Machine != "a" ||
+			len(restored.Machines[0].RecentSends) != 1 {
 			t.Errorf("restored %+v", restored.Machines)
 		}
 	})
--- a/internal/schedulerd/routes.go
+++ b/internal/schedulerd/routes.go
@@ -10,7 +10,13 @@
 func (s *Server) announceRunning(a *attempt) {
 	request := &a.container.request
 	if s.announces(request.Service) {
-		s.speaker.Handle(announce.ContainerRunning{Service: request.Service, Container: string(request.ID), Draining: a.machine.draining})
+		s.speaker.Handle(
+			announce.ContainerRunning{
+				Service:   request.Service,
+				Container: string(request.ID),
+				Draining:  a.machine.draining,
+			},
+		)
 	}
 }
 
@@ -25,7 +31,8 @@
 	return s.speaker != nil && s.speaker.HasService(service)
 }
 
-// routesReply returns the state of the BGP peers and the announcements of one service, or of all services if it is empty.
+// routesReply returns the state of the BGP peers and the announcements of one service, or of all services if it is
+// empty.
 func (s *Server) routesReply(service string) *protocol.RoutesReply {
 	reply := &protocol.RoutesReply{}
 	if s.speaker == nil {
--- a/internal/schedulerd/server.go
+++ b/internal/schedulerd/server.go
@@ -1,6 +1,7 @@
-// Package schedulerd runs one scheduler on sockets. Server owns an event loop, on which it turns frames, connections and timers
-// into events, hands them to the decision packages once an iteration, and executes the actions that they return, in order. It
-// decides nothing itself. Where nothing else is said, code of this package runs on the goroutine of the event loop.
+// Package schedulerd runs one scheduler on sockets. Server owns an event loop, on which it turns frames, connections
+// and timers into events, hands them to the decision packages once an iteration, and executes the actions that they
+// return, in order. It decides nothing itself. Where nothing else is said, code of this package runs on the goroutine
+// of the event loop.
 package schedulerd
 
 import (
@@ -18,8 +19,8 @@
 	"glenport/scheduler"
 )
 
-// Scheduler decides on which machine each container is started: scheduler.Scheduler, or a wrapper or a script of a test in its
-// place.
+// Scheduler decides on which machine each container is started: scheduler.Scheduler, or a wrapper or a script of a test
+// in its place.
 type Scheduler interface {
 	Handle(now scheduler.Time, events []scheduler.Event) []scheduler.Action
 }
@@ -60,8 +61,8 @@
 	encodeBuffer []byte
 }
 
-// New opens the state folder and the listener of a scheduler. Run serves; what New has opened is released when Run returns, so
-// that Run must be called even if the server is stopped at once.
+// New opens the state folder and the listener of a scheduler. Run serves; what New has opened is released when Run
+// returns, so that Run must be called even if the server is stopped at once.
 func New(settings *config.Scheduler, decisions Scheduler, log *slog.Logger) (*Server, error) {
 	s := &Server{
 		config:      settings,
@@ -117,7 +118,10 @@
 	for _, class := range s.config.Policy.WorkloadClasses {
 		idempotency = append(idempotency, class.Idempotency)
 		if s.config.AdaptiveLimit {
-			limited = append(limited, overload.WorkloadClass{LatencyObjective: class.LatencyObjective, PriorityWeight: class.PriorityWeight})
+			limited = append(
+				limited,
+				overload.WorkloadClass{LatencyObjective: class.LatencyObjective, PriorityWeight: class.PriorityWeight},
+			)
 		}
 	}
 	return reconcile.New(reconcile.Config{
@@ -153,8 +157,8 @@
 	s.loop.Stop()
 }
 
-// Stats returns the counters and the routes. Any goroutine may call it; ok is false if the loop has stopped or does not answer
-// within the timeout.
+// Stats returns the counters and the routes. Any goroutine may call it; ok is false if the loop has stopped or does not
+// answer within the timeout.
 func (s *Server) Stats(timeout time.Duration) (status *protocol.StatusReply, routes *protocol.RoutesReply, ok bool) {
 	type snapshot struct {
 		status *protocol.StatusReply
--- a/internal/schedulerd/snapshot.go
+++ b/internal/schedulerd/snapshot.go
@@ -17,7 +17,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// The file of a WarmStartSnapshot. Version 1 was the machine list alone, in another format and place: see readLegacyList.
+// The file of a WarmStartSnapshot. Version 1 was the machine list alone, in another format and place: see
+// readLegacyList.
 const (
 	WarmStartFile    = "knowledge"
 	WarmStartMagic   = "GLENKNW"
@@ -32,8 +33,8 @@
 
 const snapshotInterval = 2 * eventloop.Second
 
-// ReadWarmStart reads the snapshot of a state folder. It returns nil if there is none, *wal.CorruptionError if the file is damaged,
-// and *wal.UnsupportedVersionError if a later version of the program wrote it.
+// ReadWarmStart reads the snapshot of a state folder. It returns nil if there is none, *wal.CorruptionError if the file
+// is damaged, and *wal.UnsupportedVersionError if a later version of the program wrote it.
 func ReadWarmStart(dir vfs.FS) (*WarmStartSnapshot, error) {
 	version, body, err := wal.ReadChecksummed(dir, WarmStartFile, WarmStartMagic, WarmStartVersion)
 	if errors.Is(err, os.ErrNotExist) {
@@ -43,8 +44,10 @@
 		return nil, err
 	}
 	if version != WarmStartVersion {
-		return nil, &wal.CorruptionError{File: WarmStartFile, Offset: versionOffset,
-			Detail: fmt.Sprintf("there was no version %d of such a file", version)}
+		return nil, &wal.CorruptionError{
+			File: WarmStartFile, Offset: versionOffset,
+			Detail: fmt.Sprintf("there was no version %d of such a file", version),
+		}
 	}
 	snapshot := &WarmStartSnapshot{}
 	if err := cbor.Unmarshal(body, snapshot); err != nil {
@@ -62,8 +65,8 @@
 	return wal.WriteChecksummed(dir, WarmStartFile, WarmStartMagic, WarmStartVersion, body)
 }
 
-// agedEntries returns the machine list with the ages of now; nil if it is too old to be used. A machine whose age is not known
-// counts as just started, which puts it in slow start.
+// agedEntries returns the machine list with the ages of now; nil if it is too old to be used. A machine whose age is
+// not known counts as just started, which puts it in slow start.
 func (w *WarmStartSnapshot) agedEntries(now warmstart.Timestamp) []protocol.MachineEntry {
 	since := now.Since(w.TakenAt)
 	if since.Age >= 0 && warmstart.Weight(warmstart.MachineList, since.Age) == 0 {
@@ -122,7 +125,8 @@
 	return append(names, s.config.Tenants...)
 }
 
-// save writes a snapshot at intervals, forgets machines that have left slow start, and repeats what the log did not take.
+// save writes a snapshot at intervals, forgets machines that have left slow start, and repeats what the log did not
+// take.
 func (st *stateStore) save() {
 	s := st.server
 	s.loop.After(snapshotInterval, st.save)
--- a/internal/schedulerd/staterecords.go
+++ b/internal/schedulerd/staterecords.go
@@ -11,8 +11,8 @@
 
 func attemptKey(number uint64) string { return fmt.Sprintf("%016x", number) }
 
-// logAttempt logs what must be known of an attempt after a crash. It reports whether the attempt has to wait for the log, and
-// whether for the disk.
+// logAttempt logs what must be known of an attempt after a crash. It reports whether the attempt has to wait for the
+// log, and whether for the disk.
 func (st *stateStore) logAttempt(a *attempt) (write, sync bool) {
 	write, sync = recovery.MustPersist(st.idempotency(a.container.request.WorkloadClass))
 	if write {
@@ -41,13 +41,15 @@
 	return st.putSends(m, st.ledger.RecordSend)
 }
 
-// logIncarnation logs sends that may have reached an incarnation that has just been announced, while an earlier one was known.
+// logIncarnation logs sends that may have reached an incarnation that has just been announced, while an earlier one was
+// known.
 func (st *stateStore) logIncarnation(m *machine) {
 	st.putSends(m, st.ledger.IncarnationObserved)
 }
 
 func (st *stateStore) putSends(m *machine,
-	sendsOf func(scheduler.Time, scheduler.MachineID, warmstart.MachineStart) (warmstart.SlowStartSends, bool)) bool {
+	sendsOf func(scheduler.Time, scheduler.MachineID, warmstart.MachineStart) (warmstart.SlowStartSends, bool),
+) bool {
 	sends, changed := sendsOf(scheduler.Time(st.server.loop.Now()), m.id, m.start())
 	if changed {
 		st.put(SendKind, string(m.id), sends)
--- a/internal/schedulerd/statestore.go
+++ b/internal/schedulerd/statestore.go
@@ -24,9 +24,9 @@
 // incarnationKey is the key of the one record of IncarnationKind.
 const incarnationKey = "this"
 
-// stateStore persists what the next incarnation needs: attempts and slow-start sends in the log, and what was learned in a file
-// of its own. The changes of one iteration of the loop are one commit. What has to wait for the commit is run when it is
-// written, or on disk if the work demands that.
+// stateStore persists what the next incarnation needs: attempts and slow-start sends in the log, and what was learned
+// in a file of its own. The changes of one iteration of the loop are one commit. What has to wait for the commit is run
+// when it is written, or on disk if the work demands that.
 type stateStore struct {
 	server *Server
 	dir    stateDir
@@ -36,9 +36,10 @@
 	history             warmstart.LogHistory
 	incarnationUnlogged bool // the log does not hold history yet
 
-	ledger          *warmstart.SendLedger
-	pendingSends    []warmstart.SlowStartSends // to incarnations that are not listed yet; kept for two slow-start windows
-	sendsKnownSince scheduler.Time             // all slow-start sends from then on are known
+	ledger *warmstart.SendLedger
+	// to incarnations that are not listed yet; kept for two slow-start windows
+	pendingSends    []warmstart.SlowStartSends
+	sendsKnownSince scheduler.Time // all slow-start sends from then on are known
 
 	changes      []wal.Change // of this iteration
 	callbacks    []func(error)
@@ -68,14 +69,18 @@
 // openStateDir is replaced by tests that inject faults.
 var openStateDir = func(path string) (stateDir, error) { return vfs.OpenLocked(path) }
 
-// openState loads a folder and logs that this incarnation begins. A folder that cannot be read or locked is an error; a full disk
-// is not.
+// openState loads a folder and logs that this incarnation begins. A folder that cannot be read or locked is an error; a
+// full disk is not.
 func openState(s *Server) (*stateStore, error) {
 	dir, err := openStateDir(s.config.StateDir)
 	if err != nil {
 		return nil, err
 	}
-	st := &stateStore{server: s, dir: dir, ledger: warmstart.NewSendLedger(s.config.Policy.SlowStartPeriod, s.config.Policy.SlowStartWindow)}
+	st := &stateStore{
+		server: s,
+		dir:    dir,
+		ledger: warmstart.NewSendLedger(s.config.Policy.SlowStartPeriod, s.config.Policy.SlowStartWindow),
+	}
 	if err := st.open(); err != nil {
 		return nil, errors.Join(fmt.Errorf("state folder %s: %w", s.config.StateDir, err), dir.Close())
 	}
@@ -93,12 +98,28 @@
 		return errors.Join(err, st.log.Close())
 	}
 	st.history = st.loaded.history.Next(readClocks(scheduler.Time(s.loop.Now())))
-	if err := st.log.CommitSync(st.historyChange()); err != nil { // nothing that needs the log is sent before it holds this
+	// nothing that needs the log is sent before it holds this
+	if err := st.log.CommitSync(st.historyChange()); err != nil {
 		st.incarnationUnlogged = true
 		s.log.Warn("incarnation not logged yet, what must be logged waits", "error", err)
 	}
-	s.log.Info("state loaded", "folder", s.config.StateDir, "records", found.Records, "groups", found.Groups, "bytes", found.Bytes,
-		"truncated_bytes", found.TruncatedBytes, "open_attempts", len(st.loaded.attempts), "log_coverage", st.history.Coverage)
+	s.log.Info(
+		"state loaded",
+		"folder",
+		s.config.StateDir,
+		"records",
+		found.Records,
+		"groups",
+		found.Groups,
+		"bytes",
+		found.Bytes,
+		"truncated_bytes",
+		found.TruncatedBytes,
+		"open_attempts",
+		len(st.loaded.attempts),
+		"log_coverage",
+		st.history.Coverage,
+	)
 	return nil
 }
 
@@ -135,8 +156,8 @@
 	return all, err
 }
 
-// loadSnapshot reads what was learned. That is no promise: a file that cannot be read is left out, but one of a later version of
-// the program stops the start, so that it is not replaced.
+// loadSnapshot reads what was learned. That is no promise: a file that cannot be read is left out, but one of a later
+// version of the program stops the start, so that it is not replaced.
 func (st *stateStore) loadSnapshot() error {
 	s := st.server
 	var unsupported *wal.UnsupportedVersionError
@@ -206,8 +227,8 @@
 	}
 }
 
-// retryLater keeps the changes of a failed commit that record what has happened: the end of attempts, and the history. An attempt
-// that could not be logged was not sent.
+// retryLater keeps the changes of a failed commit that record what has happened: the end of attempts, and the history.
+// An attempt that could not be logged was not sent.
 func (st *stateStore) retryLater(changes []wal.Change) {
 	for _, c := range changes {
 		switch {
@@ -229,8 +250,8 @@
 	st.changes = append(st.changes, st.historyChange())
 }
 
-// close writes what is left. The loop has ended. Where the state was not restored, the folder holds a better snapshot than this
-// incarnation has.
+// close writes what is left. The loop has ended. Where the state was not restored, the folder holds a better snapshot
+// than this incarnation has.
 func (st *stateStore) close() {
 	log := st.server.log
 	st.changes = append(st.retryDeletes, st.changes...)
--- a/internal/schedulerd/statestore_test.go
+++ b/internal/schedulerd/statestore_test.go
@@ -32,8 +32,9 @@
 	})
 }
 
-// What must be logged and cannot be is not sent; other work goes on. With room again it is sent by the same incarnation, and the log
-// holds nothing that has ended meanwhile. An incarnation that starts without room is no exception.
+// What must be logged and cannot be is not sent; other work goes on. With room again it is sent by the same
+// incarnation, and the log holds nothing that has ended meanwhile. An incarnation that starts without room is no
+// exception.
 func TestFullDiskHoldsBackOnlyWhatMustBeLogged(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -59,7 +60,12 @@
 				h.client.receive() // its termination
 			}
 			h.client.submit("once", classAtMostOnce)
-			if ended := awaitEvent[scheduler.AttemptEnded](t, h.script, nil); ended.Outcome != scheduler.OutcomeNotSent || ended.ID != "once" {
+			if ended := awaitEvent[scheduler.AttemptEnded](
+				t,
+				h.script,
+				nil,
+			); ended.Outcome != scheduler.OutcomeNotSent ||
+				ended.ID != "once" {
 				t.Errorf("%+v", ended)
 			}
 			h.client.receiveReply()
@@ -78,17 +84,32 @@
 			}
 			h.server.Stop()
 			eventually(t, func() bool { return !h.server.loop.Post(func() {}) })
-			eventually(t, func() bool { d, err := vfs.OpenLocked(settings.StateDir); return err == nil && d.Close() == nil })
-			attempts, incarnations := countRecords(t, settings.StateDir, AttemptKind), countRecords(t, settings.StateDir, IncarnationKind)
+			eventually(
+				t,
+				func() bool { d, err := vfs.OpenLocked(settings.StateDir); return err == nil && d.Close() == nil },
+			)
+			attempts, incarnations := countRecords(
+				t,
+				settings.StateDir,
+				AttemptKind,
+			), countRecords(
+				t,
+				settings.StateDir,
+				IncarnationKind,
+			)
 			if attempts != 1 || incarnations != 1 {
-				t.Errorf("%d attempts and %d incarnations in the log, want the running one and one", attempts, incarnations)
+				t.Errorf(
+					"%d attempts and %d incarnations in the log, want the running one and one",
+					attempts,
+					incarnations,
+				)
 			}
 		})
 	}
 }
 
-// An attempt that waits for a slow disk longer than a connection may take is not sent, whatever update arrives meanwhile, and is no failure
-// of its machine.
+// An attempt that waits for a slow disk longer than a connection may take is not sent, whatever update arrives
+// meanwhile, and is no failure of its machine.
 func TestAttemptHeldBackByASlowDiskIsNotSentLate(t *testing.T) {
 	offered := make(chan string, 10)
 	address := serveMachine(t, "a", &protocol.Inventory{}, func(_ net.Conn, f protocol.Frame) bool {
@@ -107,7 +128,9 @@
 	if ended := awaitEvent[scheduler.AttemptEnded](t, h.script, nil); ended.Outcome != scheduler.OutcomeNotSent {
 		t.Errorf("%+v", ended)
 	}
-	h.applyList(protocol.MachineEntry{Machine: "a", Address: address, State: protocol.MachineDraining, Incarnation: 1, Age: -1})
+	h.applyList(
+		protocol.MachineEntry{Machine: "a", Address: address, State: protocol.MachineDraining, Incarnation: 1, Age: -1},
+	)
 	dir.gate.Unlock()
 	h.client.submit("again", classIdempotent)
 	if got := <-offered; got != "again" {
--- a/internal/schedulerd/stats.go
+++ b/internal/schedulerd/stats.go
@@ -64,7 +64,8 @@
 // flushed records how long first attempts took from the submission until they were written to the socket.
 func (s *stats) flushed(now time.Duration) {
 	for _, submittedAt := range s.firstAttempts {
-		_ = s.placementLatency.RecordValue(max(minLatency, (now - submittedAt).Microseconds())) // fails beyond maxLatency only
+		// fails beyond maxLatency only
+		_ = s.placementLatency.RecordValue(max(minLatency, (now - submittedAt).Microseconds()))
 	}
 	s.firstAttempts = s.firstAttempts[:0]
 }
--- a/internal/schedulerd/status_test.go
+++ b/internal/schedulerd/status_test.go
@@ -9,11 +9,46 @@
 
 // `glenport status`, the metrics and dashboards know the counters by these names, in this order.
 func TestStatusKeepsItsNames(t *testing.T) {
-	want := []string{"up", "machines known", "list version", "owners", "connections", "timers", "containers known", "containers running",
-		"containers taken over", "submissions", "placed", "pushed back", "given up", "turned away", "answers nobody heard", "bids",
-		"bids full", "bids erred", "bids stopped", "bids lost", "bids timed out", "bids late yes", "bids no connection", "bids reset",
-		"bids not sent", "placing p50", "placing p99", "placing p99.9", "placing worst", "turns", "batches", "events", "busy", "deciding",
-		"slowest decision", "heap live", "memory", "goroutines"}
+	want := []string{
+		"up",
+		"machines known",
+		"list version",
+		"owners",
+		"connections",
+		"timers",
+		"containers known",
+		"containers running",
+		"containers taken over",
+		"submissions",
+		"placed",
+		"pushed back",
+		"given up",
+		"turned away",
+		"answers nobody heard",
+		"bids",
+		"bids full",
+		"bids erred",
+		"bids stopped",
+		"bids lost",
+		"bids timed out",
+		"bids late yes",
+		"bids no connection",
+		"bids reset",
+		"bids not sent",
+		"placing p50",
+		"placing p99",
+		"placing p99.9",
+		"placing worst",
+		"turns",
+		"batches",
+		"events",
+		"busy",
+		"deciding",
+		"slowest decision",
+		"heap live",
+		"memory",
+		"goroutines",
+	}
 	server := runServer(t, testConfig(t), newScript(nil))
 	var got []string
 	for _, stat := range onLoop(server, server.statusReply).Stats {
@@ -28,8 +63,10 @@
 			units[stat.Name] = stat.Unit
 		}
 	}
-	for name, unit := range map[string]string{"up": "s", "placing p50": "ms", "placing p99": "ms", "placing p99.9": "ms", "placing worst": "ms",
-		"busy": "s", "deciding": "s", "slowest decision": "ms", "heap live": "MiB", "memory": "MiB"} {
+	for name, unit := range map[string]string{
+		"up": "s", "placing p50": "ms", "placing p99": "ms", "placing p99.9": "ms", "placing worst": "ms",
+		"busy": "s", "deciding": "s", "slowest decision": "ms", "heap live": "MiB", "memory": "MiB",
+	} {
 		if units[name] != unit {
 			t.Errorf("%s is in %q, want %q", name, units[name], unit)
 		}
--- a/internal/schedulerd/warmstart/decay.go
+++ b/internal/schedulerd/warmstart/decay.go
@@ -25,9 +25,9 @@
 	categories
 )
 
-// decay holds tuned values: what is learned counts half after a half-life, and not at all from the maximum age on. How full a
-// fleet is changes in seconds and an outlier is repaired in minutes, while programs behave tomorrow as they do today. Where they
-// are wrong, a machine repaired meanwhile stays ejected for one probe more.
+// decay holds tuned values: what is learned counts half after a half-life, and not at all from the maximum age on. How
+// full a fleet is changes in seconds and an outlier is repaired in minutes, while programs behave tomorrow as they do
+// today. Where they are wrong, a machine repaired meanwhile stays ejected for one probe more.
 var decay = [categories]struct{ halfLife, maxAge scheduler.Time }{
 	MachineList:      {halfLife: 24 * hour, maxAge: 24 * hour},
 	Outliers:         {halfLife: minute, maxAge: 10 * minute},
--- a/internal/schedulerd/warmstart/golden_test.go
+++ b/internal/schedulerd/warmstart/golden_test.go
@@ -17,7 +17,11 @@
 }
 
 func recordedTimestamp(rng *rand.Rand) Timestamp {
-	s := Timestamp{Clock: 1000*sec + recordedTime(rng), Uptime: 100*sec + recordedTime(rng), BootID: fmt.Sprint("b", rng.IntN(10)/6)}
+	s := Timestamp{
+		Clock:  1000*sec + recordedTime(rng),
+		Uptime: 100*sec + recordedTime(rng),
+		BootID: fmt.Sprint("b", rng.IntN(10)/6),
+	}
 	switch rng.IntN(12) {
 	case 0:
 		return Timestamp{}
@@ -64,7 +68,11 @@
 
 // recordedPersisted is what an earlier incarnation left, and the machines of the list at the restart.
 func recordedPersisted(rng *rand.Rand) (Persisted, map[scheduler.MachineID]MachineStart) {
-	p := Persisted{TakenAt: recordedTimestamp(rng), ClassNames: []string{"w", "c"}, Incarnations: map[scheduler.MachineID]uint64{}}
+	p := Persisted{
+		TakenAt:      recordedTimestamp(rng),
+		ClassNames:   []string{"w", "c"},
+		Incarnations: map[scheduler.MachineID]uint64{},
+	}
 	p.History = LogHistory{SendsRecordedSince: recordedTimestamp(rng), Coverage: recovery.LogCoverage(rng.IntN(3))}
 	p.Snapshot.FullRatio, p.Snapshot.RejectedWeight = rng.Float64(), rng.Float64()
 	p.Snapshot.TrafficClasses = []scheduler.TrafficClass{
@@ -134,8 +142,8 @@
 	}
 }
 
-// recordedSends folds what a ledger records of sends to machines that restart now and then. Quiet machines restart only after
-// two windows without a send, so that no send may have reached a start before it was observed.
+// recordedSends folds what a ledger records of sends to machines that restart now and then. Quiet machines restart only
+// after two windows without a send, so that no send may have reached a start before it was observed.
 func recordedSends(d *golden.Digest, rng *rand.Rand, quiet bool) {
 	ledger, now := NewSendLedger(recordedSlowStartPeriod, window), 1000*sec
 	machines, lastSend := map[scheduler.MachineID]MachineStart{}, map[scheduler.MachineID]scheduler.Time{}
--- a/internal/schedulerd/warmstart/ledger.go
+++ b/internal/schedulerd/warmstart/ledger.go
@@ -6,8 +6,8 @@
 	"glenport/scheduler"
 )
 
-// transitDivisor gives the part of a window for which a send may be in transit: one made so long before a start may have
-// reached it.
+// transitDivisor gives the part of a window for which a send may be in transit: one made so long before a start may
+// have reached it.
 const transitDivisor = 8
 
 // SlowStartSends are attempts and probes sent to one start of a machine while it was in slow start.
@@ -23,10 +23,10 @@
 // MachineLookup returns the start of a machine by the machine list, and whether it is listed.
 type MachineLookup func(scheduler.MachineID) (MachineStart, bool)
 
-// SendLedger follows what is sent to machines, so that the slow-start budget of a machine holds also when the scheduler restarts.
-// Sends to a machine in slow start are to be recorded in the log before they are made. Sends to other machines are remembered in
-// memory, for two windows: when a start is observed late, they may have reached a machine in slow start, and are recorded then.
-// A machine leaves the record when its slow start is over or it is gone.
+// SendLedger follows what is sent to machines, so that the slow-start budget of a machine holds also when the scheduler
+// restarts. Sends to a machine in slow start are to be recorded in the log before they are made. Sends to other
+// machines are remembered in memory, for two windows: when a start is observed late, they may have reached a machine in
+// slow start, and are recorded then. A machine leaves the record when its slow start is over or it is gone.
 type SendLedger struct {
 	slowStartPeriod scheduler.Time
 	window          scheduler.Time
@@ -57,10 +57,11 @@
 	}
 }
 
-// ResolvePending takes over pending sends to starts that the machine list names only now: a restored list may be older than
-// they are. It returns those, and the sends that are still pending. Sends older than two windows are dropped.
+// ResolvePending takes over pending sends to starts that the machine list names only now: a restored list may be older
+// than they are. It returns those, and the sends that are still pending. Sends older than two windows are dropped.
 func (l *SendLedger) ResolvePending(now scheduler.Time, pending []SlowStartSends,
-	lookup MachineLookup) (resolved []scheduler.MachineSnapshot, left []SlowStartSends) {
+	lookup MachineLookup,
+) (resolved []scheduler.MachineSnapshot, left []SlowStartSends) {
 	for _, sends := range pending {
 		start, listed := lookup(sends.Machine)
 		switch {
@@ -85,8 +86,8 @@
 	l.recorded[sends.Machine] = &sends
 }
 
-// RecordSend counts an attempt or probe that is about to be sent. It returns the sends that must be in the log first, and
-// whether there are any.
+// RecordSend counts an attempt or probe that is about to be sent. It returns the sends that must be in the log first,
+// and whether there are any.
 func (l *SendLedger) RecordSend(now scheduler.Time, id scheduler.MachineID, start MachineStart) (SlowStartSends, bool) {
 	if !l.inSlowStart(now, start) {
 		l.unrecorded[id] = append(l.recent(now, l.unrecorded[id]), now)
@@ -98,9 +99,13 @@
 	return *sends, true
 }
 
-// IncarnationObserved takes in a start that was just heard of. It returns the sends that may have reached it before and must be
-// recorded now, and whether there are any.
-func (l *SendLedger) IncarnationObserved(now scheduler.Time, id scheduler.MachineID, start MachineStart) (SlowStartSends, bool) {
+// IncarnationObserved takes in a start that was just heard of. It returns the sends that may have reached it before and
+// must be recorded now, and whether there are any.
+func (l *SendLedger) IncarnationObserved(
+	now scheduler.Time,
+	id scheduler.MachineID,
+	start MachineStart,
+) (SlowStartSends, bool) {
 	if !l.inSlowStart(now, start) || l.upToDate(id, start) {
 		return SlowStartSends{}, false
 	}
@@ -118,7 +123,8 @@
 	return sends != nil && sends.Incarnation == start.Incarnation && len(l.unrecorded[id]) == 0
 }
 
-// sendsReaching returns the sends of two windows that may have reached a start, and forgets what was remembered of earlier starts.
+// sendsReaching returns the sends of two windows that may have reached a start, and forgets what was remembered of
+// earlier starts.
 func (l *SendLedger) sendsReaching(now scheduler.Time, id scheduler.MachineID, start MachineStart) *SlowStartSends {
 	tooEarly := start.StartedAt - l.window/transitDivisor - 1
 	sends := l.recorded[id]
@@ -132,8 +138,8 @@
 	return sends
 }
 
-// Expire ends the record of machines that are no longer in slow start, or gone, and returns these machines in order. What may
-// still reach a start that is observed later stays remembered.
+// Expire ends the record of machines that are no longer in slow start, or gone, and returns these machines in order.
+// What may still reach a start that is observed later stays remembered.
 func (l *SendLedger) Expire(now scheduler.Time, lookup MachineLookup) []scheduler.MachineID {
 	var expired []scheduler.MachineID
 	for id, sends := range l.recorded {
--- a/internal/schedulerd/warmstart/ledger_test.go
+++ b/internal/schedulerd/warmstart/ledger_test.go
@@ -24,10 +24,16 @@
 		t.Error("a machine that started long ago is on record")
 	}
 	at := func(scheduler.MachineID) (MachineStart, bool) { return m, true }
-	// A restored list may not name a start yet to which an earlier incarnation sent; its budget must not be spent twice.
-	pending := []SlowStartSends{{"m", 7, []scheduler.Time{105 * sec}}, {"n", 2, []scheduler.Time{106 * sec}}, {"o", 7, []scheduler.Time{99 * sec}}}
+	// A restored list may not name a start yet to which an earlier incarnation sent; its budget must not be spent
+	// twice.
+	pending := []SlowStartSends{
+		{"m", 7, []scheduler.Time{105 * sec}},
+		{"n", 2, []scheduler.Time{106 * sec}},
+		{"o", 7, []scheduler.Time{99 * sec}},
+	}
 	resolved, left := ledger.ResolvePending(107*sec, pending, at)
-	if len(resolved) != 1 || resolved[0].Machine != "m" || len(resolved[0].RecentSends) != 1 || len(left) != 1 || left[0].Machine != "n" {
+	if len(resolved) != 1 || resolved[0].Machine != "m" || len(resolved[0].RecentSends) != 1 || len(left) != 1 ||
+		left[0].Machine != "n" {
 		t.Errorf("resolved %v, left %v", resolved, left)
 	}
 	gone := func(scheduler.MachineID) (MachineStart, bool) { return MachineStart{}, false }
@@ -42,8 +48,8 @@
 	}
 }
 
-// Sends to a machine whose slow start is over are remembered; if it had restarted before, they are recorded with its next send,
-// so that the next incarnation of a scheduler that dies knows of that part of the budget.
+// Sends to a machine whose slow start is over are remembered; if it had restarted before, they are recorded with its
+// next send, so that the next incarnation of a scheduler that dies knows of that part of the budget.
 func TestSendsBeforeStartIsObservedAreRecorded(t *testing.T) {
 	ledger := NewSendLedger(17*sec, window)
 	ledger.RecordSend(100*sec, "m", MachineStart{7, 0})
@@ -52,8 +58,8 @@
 	}
 }
 
-// What may have reached a start is recorded as soon as the start is observed, with what an earlier incarnation sent to it. What
-// was sent to earlier starts is not, and what is only remembered is forgotten after two windows.
+// What may have reached a start is recorded as soon as the start is observed, with what an earlier incarnation sent to
+// it. What was sent to earlier starts is not, and what is only remembered is forgotten after two windows.
 func TestObservedStartIsRecordedWithWhatReachedIt(t *testing.T) {
 	before, after := MachineStart{7, 0}, MachineStart{8, 100 * sec}
 	for _, tc := range []struct {
@@ -91,9 +97,16 @@
 			if _, again := ledger.IncarnationObserved(102*sec, "m", after); again {
 				t.Error("recorded twice")
 			}
-			ledger.Expire(102*sec+2*window, func(scheduler.MachineID) (MachineStart, bool) { return MachineStart{9, 0}, true })
+			ledger.Expire(
+				102*sec+2*window,
+				func(scheduler.MachineID) (MachineStart, bool) { return MachineStart{9, 0}, true },
+			)
 			if len(ledger.recorded)+len(ledger.unrecorded) != 0 {
-				t.Errorf("after two windows %d are on record, %d remembered", len(ledger.recorded), len(ledger.unrecorded))
+				t.Errorf(
+					"after two windows %d are on record, %d remembered",
+					len(ledger.recorded),
+					len(ledger.unrecorded),
+				)
 			}
 		})
 	}
--- a/internal/schedulerd/warmstart/restore.go
+++ b/internal/schedulerd/warmstart/restore.go
@@ -33,9 +33,11 @@
 	Messages     []Message
 }
 
-// Restore weighs what was persisted. Window is that of the slow-start budget; classNames are those of the present configuration.
+// Restore weighs what was persisted. Window is that of the slow-start budget; classNames are those of the present
+// configuration.
 func Restore(now Timestamp, p Persisted, machines map[scheduler.MachineID]MachineStart, classNames []string,
-	window scheduler.Time) Restored {
+	window scheduler.Time,
+) Restored {
 	r := Restored{Snapshot: scheduler.Snapshot{SendsKnownSince: now.Clock}}
 	sameClasses := slices.Equal(classNames, p.ClassNames)
 	if p.TakenAt != (Timestamp{}) {
@@ -61,7 +63,12 @@
 }
 
 // restoreSnapshot scales what was learned by its age.
-func (r *Restored) restoreSnapshot(now Timestamp, p Persisted, machines map[scheduler.MachineID]MachineStart, sameClasses bool) {
+func (r *Restored) restoreSnapshot(
+	now Timestamp,
+	p Persisted,
+	machines map[scheduler.MachineID]MachineStart,
+	sameClasses bool,
+) {
 	elapsed := now.Since(p.TakenAt)
 	if elapsed.Age < 0 {
 		r.message("the clock went back over a restart of the system, the snapshot is not restored",
@@ -75,8 +82,15 @@
 		r.restoreRatios(elapsed, p.Snapshot)
 	}
 	r.restoreMachines(elapsed, p, machines, sameClasses)
-	r.message("snapshot restored", millis("age_ms", elapsed.Age),
-		weightAttr("outlier_weight", Weight(Outliers, elapsed.Age)), weightAttr("full_weight", Weight(FullRatio, elapsed.Age)))
+	r.message(
+		"snapshot restored",
+		millis("age_ms", elapsed.Age),
+		weightAttr(
+			"outlier_weight",
+			Weight(Outliers, elapsed.Age),
+		),
+		weightAttr("full_weight", Weight(FullRatio, elapsed.Age)),
+	)
 }
 
 func (r *Restored) restoreRatios(elapsed Elapsed, s scheduler.Snapshot) {
@@ -90,7 +104,12 @@
 }
 
 // restoreMachines takes over evidence against machines that have not restarted since.
-func (r *Restored) restoreMachines(elapsed Elapsed, p Persisted, machines map[scheduler.MachineID]MachineStart, sameClasses bool) {
+func (r *Restored) restoreMachines(
+	elapsed Elapsed,
+	p Persisted,
+	machines map[scheduler.MachineID]MachineStart,
+	sameClasses bool,
+) {
 	weight := Weight(Outliers, elapsed.Age)
 	if weight == 0 {
 		return
@@ -131,17 +150,28 @@
 	return adjusted
 }
 
-// restoreSends takes over what was sent to machines in slow start. Each send is written to the log first, which a process that
-// dies cannot undo but a system that dies can: after a restart of the system, as after a first start, the scheduler sends nothing
-// to such machines for a window. Two windows of sends are taken over.
-func (r *Restored) restoreSends(now Timestamp, p Persisted, machines map[scheduler.MachineID]MachineStart, window scheduler.Time) {
+// restoreSends takes over what was sent to machines in slow start. Each send is written to the log first, which a
+// process that dies cannot undo but a system that dies can: after a restart of the system, as after a first start, the
+// scheduler sends nothing to such machines for a window. Two windows of sends are taken over.
+func (r *Restored) restoreSends(
+	now Timestamp,
+	p Persisted,
+	machines map[scheduler.MachineID]MachineStart,
+	window scheduler.Time,
+) {
 	elapsed := now.Since(p.History.SendsRecordedSince)
 	if p.History.SendsRecordedSince == (Timestamp{}) || !elapsed.SameBoot {
-		r.message("sends to machines in slow start are not known, none are made for a window", millis("window_ms", window))
+		r.message(
+			"sends to machines in slow start are not known, none are made for a window",
+			millis("window_ms", window),
+		)
 		return
 	}
 	r.Snapshot.SendsKnownSince = now.Clock - elapsed.Age
-	slices.SortFunc(p.Sends, func(a, b SlowStartSends) int { return strings.Compare(string(a.Machine), string(b.Machine)) })
+	slices.SortFunc(
+		p.Sends,
+		func(a, b SlowStartSends) int { return strings.Compare(string(a.Machine), string(b.Machine)) },
+	)
 	restored, index := 0, r.machineIndex()
 	for _, sends := range p.Sends {
 		sends.Times = elapsed.recentTimes(sends.Times, now.Clock, 2*window)
@@ -182,7 +212,10 @@
 	i, known := index[sends.Machine]
 	if !known {
 		i = len(r.Snapshot.Machines)
-		r.Snapshot.Machines = append(r.Snapshot.Machines, scheduler.MachineSnapshot{Machine: sends.Machine, StartedAt: start.StartedAt})
+		r.Snapshot.Machines = append(
+			r.Snapshot.Machines,
+			scheduler.MachineSnapshot{Machine: sends.Machine, StartedAt: start.StartedAt},
+		)
 	}
 	r.Snapshot.Machines[i].RecentSends = sends.Times
 }
--- a/internal/schedulerd/warmstart/restore_test.go
+++ b/internal/schedulerd/warmstart/restore_test.go
@@ -13,16 +13,22 @@
 	window = 3 * sec
 )
 
-// persisted is what a scheduler left at 1,000 s of its clock, 100 s after its system booted: machine m looked like an outlier, was
-// ejected, and was sent to in its slow start.
+// persisted is what a scheduler left at 1,000 s of its clock, 100 s after its system booted: machine m looked like an
+// outlier, was ejected, and was sent to in its slow start.
 func persisted() Persisted {
 	at := Timestamp{Clock: 1000 * sec, Uptime: 100 * sec, BootID: "b"}
-	return Persisted{TakenAt: at, ClassNames: []string{"w", "c"}, Incarnations: map[scheduler.MachineID]uint64{"m": 7},
+	return Persisted{
+		TakenAt: at, ClassNames: []string{"w", "c"}, Incarnations: map[scheduler.MachineID]uint64{"m": 7},
 		History: LogHistory{SendsRecordedSince: Timestamp{Clock: 950 * sec, Uptime: 50 * sec, BootID: "b"}},
 		Sends:   []SlowStartSends{{"m", 7, []scheduler.Time{992 * sec, 998 * sec, 999 * sec}}},
-		Snapshot: scheduler.Snapshot{TrafficClasses: make([]scheduler.TrafficClass, 3), FullRatio: 0.8, RejectedWeight: 2,
-			Machines: []scheduler.MachineSnapshot{{Machine: "m", StartedAt: 900 * sec, OutlierLogOdds: 4, EjectedUntil: 1004 * sec, EjectionTime: 4 * sec,
-				SelfDrainingUntil: 1003 * sec, FailureEvidence: make([]scheduler.FailureEvidence, 3)}}}}
+		Snapshot: scheduler.Snapshot{
+			TrafficClasses: make([]scheduler.TrafficClass, 3), FullRatio: 0.8, RejectedWeight: 2,
+			Machines: []scheduler.MachineSnapshot{{
+				Machine: "m", StartedAt: 900 * sec, OutlierLogOdds: 4, EjectedUntil: 1004 * sec, EjectionTime: 4 * sec,
+				SelfDrainingUntil: 1003 * sec, FailureEvidence: make([]scheduler.FailureEvidence, 3),
+			}},
+		},
+	}
 }
 
 // text is messages as a log prints them, each closed by a semicolon.
@@ -77,27 +83,77 @@
 		"its times are adjusted jump_ms=-100000;",
 	},
 	{
-		"another boot", Timestamp{1060 * sec, 10 * sec, "c"}, nil, 2, 1004 * sec, 0, 0, true,
+		"another boot",
+		Timestamp{1060 * sec, 10 * sec, "c"},
+		nil, 2, 1004 * sec, 0, 0, true,
 		"are not known, none are made for a window window_ms=3000",
 	},
 	{
-		"another boot, the clock went back", Timestamp{900 * sec, 10 * sec, "c"}, nil, -1, 0, 0, 0, false,
+		"another boot, the clock went back",
+		Timestamp{900 * sec, 10 * sec, "c"},
+		nil, -1, 0, 0, 0, false,
 		"the clock went back over a restart of the system, the snapshot is not restored back_ms=100000;",
 	},
-	{"a machine that restarted meanwhile", boot(1001*sec, 101*sec), func(_ *Persisted, m map[scheduler.MachineID]MachineStart) {
-		m["m"] = MachineStart{8, 1000 * sec}
-	}, -1, 0, 0, 51 * sec, true, "slow start restored sends=0"},
-	{"a machine that is gone", boot(1001*sec, 101*sec), func(_ *Persisted, m map[scheduler.MachineID]MachineStart) { delete(m, "m") },
-		-1, 0, 0, 51 * sec, true, "slow start restored sends=0"},
-	{"other workload classes", boot(1001*sec, 101*sec), func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.ClassNames[0] = "x" },
-		4 * math.Exp2(-1.0/60), 1004 * sec, 2, 51 * sec, false, "their loss ratios are not restored"},
-	{"no sends were recorded", boot(1001*sec, 101*sec), func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.History = LogHistory{} },
-		4 * math.Exp2(-1.0/60), 1004 * sec, 0, 0, true, "are not known, none are made for a window"},
+	{
+		"a machine that restarted meanwhile",
+		boot(1001*sec, 101*sec),
+		func(_ *Persisted, m map[scheduler.MachineID]MachineStart) {
+			m["m"] = MachineStart{8, 1000 * sec}
+		},
+		-1,
+		0,
+		0,
+		51 * sec,
+		true,
+		"slow start restored sends=0",
+	},
+	{
+		"a machine that is gone",
+		boot(1001*sec, 101*sec),
+		func(_ *Persisted, m map[scheduler.MachineID]MachineStart) { delete(m, "m") },
+		-1,
+		0,
+		0,
+		51 * sec,
+		true,
+		"slow start restored sends=0",
+	},
+	{
+		"other workload classes",
+		boot(1001*sec, 101*sec),
+		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.ClassNames[0] = "x" },
+		4 * math.Exp2(-1.0/60),
+		1004 * sec,
+		2,
+		51 * sec,
+		false,
+		"their loss ratios are not restored",
+	},
+	{
+		"no sends were recorded",
+		boot(1001*sec, 101*sec),
+		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.History = LogHistory{} },
+		4 * math.Exp2(-1.0/60),
+		1004 * sec,
+		0,
+		0,
+		true,
+		"are not known, none are made for a window",
+	},
 	{"no snapshot, and a log", boot(1001*sec, 101*sec), func(p *Persisted, _ map[scheduler.MachineID]MachineStart) {
 		p.TakenAt, p.Snapshot = Timestamp{}, scheduler.Snapshot{}
 	}, 0, 0, 2, 51 * sec, false, "slow start restored sends=2"},
-	{"an incarnation that has just begun", boot(951*sec, 51*sec), func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.TakenAt = Timestamp{} },
-		4, 1004 * sec, 3, sec, true, "slow start restored sends=3"},
+	{
+		"an incarnation that has just begun",
+		boot(951*sec, 51*sec),
+		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.TakenAt = Timestamp{} },
+		4,
+		1004 * sec,
+		3,
+		sec,
+		true,
+		"slow start restored sends=3",
+	},
 }
 
 func TestRestoreWeighsByAge(t *testing.T) {
@@ -120,7 +176,15 @@
 				}
 			}
 			if math.Abs(outlier-tc.outlier) > 0.05 || ejected != tc.ejected || sends != tc.sends {
-				t.Errorf("log odds %.2f, ejected until %d, %d sends; want %.2f, %d, %d", outlier, ejected, sends, tc.outlier, tc.ejected, tc.sends)
+				t.Errorf(
+					"log odds %.2f, ejected until %d, %d sends; want %.2f, %d, %d",
+					outlier,
+					ejected,
+					sends,
+					tc.outlier,
+					tc.ejected,
+					tc.sends,
+				)
 			}
 			if got := tc.now.Clock - r.Snapshot.SendsKnownSince; got != tc.known {
 				t.Errorf("sends are known for %d", got)
--- a/internal/simprotocol/decoder.go
+++ b/internal/simprotocol/decoder.go
@@ -1,5 +1,5 @@
-// Package simprotocol is the codec of the simulator's wire: it decodes lines into the events of a scheduler, and encodes its
-// actions as lines. The words of the wire and of its settings end here.
+// Package simprotocol is the codec of the simulator's wire: it decodes lines into the events of a scheduler, and
+// encodes its actions as lines. The words of the wire and of its settings end here.
 package simprotocol
 
 import (
--- a/internal/simprotocol/decoder_test.go
+++ b/internal/simprotocol/decoder_test.go
@@ -47,30 +47,46 @@
 }
 
 func TestEachEventIsDecoded(t *testing.T) {
-	entry := scheduler.MachineEntry{Machine: "m:1", MachineType: 1, RackGroup: 2, FreeCores: 3.5, PowerHint: 1, FreeMemory: 12,
-		StartedAt: 61000}
-	request := scheduler.PlacementRequest{ID: "r-1", IdempotencyKey: "t:k", Service: "c:s", WorkloadClass: 1, Tenant: 2, Cores: 2, Memory: 1.5,
-		Deadline: 86522, ExpectedRuntime: 120, ClientRetry: true}
+	entry := scheduler.MachineEntry{
+		Machine: "m:1", MachineType: 1, RackGroup: 2, FreeCores: 3.5, PowerHint: 1, FreeMemory: 12,
+		StartedAt: 61000,
+	}
+	request := scheduler.PlacementRequest{
+		ID: "r-1", IdempotencyKey: "t:k", Service: "c:s", WorkloadClass: 1, Tenant: 2, Cores: 2, Memory: 1.5,
+		Deadline: 86522, ExpectedRuntime: 120, ClientRetry: true,
+	}
 	for _, tc := range []struct {
 		line string
 		want scheduler.Event
 	}{
-		{machineListLines + "UPDATE 3 Persisted 41 0",
-			scheduler.MachineListUpdate{Mode: scheduler.RestoredSnapshot, Version: 41, Entries: []scheduler.MachineEntry{entry}}},
+		{
+			machineListLines + "UPDATE 3 Persisted 41 0",
+			scheduler.MachineListUpdate{Mode: scheduler.RestoredSnapshot, Version: 41, Entries: []scheduler.MachineEntry{entry}},
+		},
 		{machineListLines + "SHEET 0 0\nUPDATE 3 Complete 42 0", scheduler.MachineListUpdate{Mode: scheduler.FullSnapshot, Version: 42}},
 		{"UPDATE 3 Error 0 -", scheduler.MachineListUpdate{Mode: scheduler.UpdateFailed}},
 		{"PENDING 3 r-1 2 17 t:k 1 1.5 2 8652.25 c:s 12.0", scheduler.RequestReceived{PlacementRequest: request}},
-		{"ALREADY_PLACED 3 r-1 c:s 8652.25 1 2 t:k 2 1.5 16 12.0 m:1",
-			scheduler.ContainerAdopted{PlacementRequest: request, Machine: "m:1"}},
+		{
+			"ALREADY_PLACED 3 r-1 c:s 8652.25 1 2 t:k 2 1.5 16 12.0 m:1",
+			scheduler.ContainerAdopted{PlacementRequest: request, Machine: "m:1"},
+		},
 		{"CONFIRMED 3 r-1 2 m:1 18.55", scheduler.AttemptAccepted{ID: "r-1", Attempt: 2, Machine: "m:1", Elapsed: 185}},
-		{"INTERIM 3 r-1 m:1 0 2 0.5",
-			scheduler.UsageReported{ID: "r-1", Machine: "m:1", Metric: scheduler.MetricCoresUsed, Value: 0.5}},
-		{"DONE 3 r-1 1 0 GOOD m:1 - 18.5 x0:1.5,new:2,x1:-", scheduler.AttemptEnded{ID: "r-1", Final: true,
-			Machine: "m:1", Elapsed: 185, Report: scheduler.LoadReport{"x0": 1.5, "new": 2}}},
-		{"DONE 3 r-1 0 1 FULL m:1 2 - -", scheduler.AttemptEnded{ID: "r-1", Attempt: 1, Outcome: scheduler.OutcomeFull,
-			Reason: scheduler.ReasonNoMemory, Machine: "m:1"}},
-		{"HEALTH_RESULT 3 m:1 LATE 250.0 -",
-			scheduler.ProbeCompleted{Machine: "m:1", Outcome: scheduler.OutcomeTimedOut, Elapsed: 2500}},
+		{
+			"INTERIM 3 r-1 m:1 0 2 0.5",
+			scheduler.UsageReported{ID: "r-1", Machine: "m:1", Metric: scheduler.MetricCoresUsed, Value: 0.5},
+		},
+		{"DONE 3 r-1 1 0 GOOD m:1 - 18.5 x0:1.5,new:2,x1:-", scheduler.AttemptEnded{
+			ID: "r-1", Final: true,
+			Machine: "m:1", Elapsed: 185, Report: scheduler.LoadReport{"x0": 1.5, "new": 2},
+		}},
+		{"DONE 3 r-1 0 1 FULL m:1 2 - -", scheduler.AttemptEnded{
+			ID: "r-1", Attempt: 1, Outcome: scheduler.OutcomeFull,
+			Reason: scheduler.ReasonNoMemory, Machine: "m:1",
+		}},
+		{
+			"HEALTH_RESULT 3 m:1 LATE 250.0 -",
+			scheduler.ProbeCompleted{Machine: "m:1", Outcome: scheduler.OutcomeTimedOut, Elapsed: 2500},
+		},
 		{"TICK_DUE 3 sweep", scheduler.TimerFired{Name: "sweep"}},
 		{"VANISHED 3 r-1", scheduler.ContainerRemoved{ID: "r-1"}},
 	} {
@@ -91,9 +107,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := scheduler.WorkloadClass{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeZone, DedupWindow: 80000, LatencyObjective: 7000,
-		PlacementTimeout: 60000, MachineType: 1, SpreadScope: scheduler.ScopeRackGroup, MaxPerScope: 3, PriorityWeight: 2}
-	if s := got[0].Start; s.Seed != 51 || s.SchedulerCount != 3 || s.WorkloadClasses[1] != want || s.MachineTypes[1].Memory != 71 {
+	want := scheduler.WorkloadClass{
+		Idempotency:      scheduler.IdempotentWithKey,
+		DedupScope:       scheduler.ScopeZone,
+		DedupWindow:      80000,
+		LatencyObjective: 7000,
+		PlacementTimeout: 60000,
+		MachineType:      1,
+		SpreadScope:      scheduler.ScopeRackGroup,
+		MaxPerScope:      3,
+		PriorityWeight:   2,
+	}
+	if s := got[0].Start; s.Seed != 51 || s.SchedulerCount != 3 || s.WorkloadClasses[1] != want ||
+		s.MachineTypes[1].Memory != 71 {
 		t.Errorf("got %+v", s)
 	}
 }
@@ -139,7 +165,8 @@
 	long := "VANISHED 3 r-1 " + strings.Repeat("x", 200)
 	_, err := readDeliveries("FRAME 1 1\nVANISHED 3 r-1\n" + long + "\nCOMMIT\n")
 	var lineError *LineError
-	if !errors.As(err, &lineError) || lineError.Number != 3 || lineError.Line != long || !isA[*ExtraFieldsError](lineError.Err) {
+	if !errors.As(err, &lineError) || lineError.Number != 3 || lineError.Line != long ||
+		!isA[*ExtraFieldsError](lineError.Err) {
 		t.Errorf("got %+v", err)
 	}
 	if want := "line 3: 1 fields too many: \"" + long[:120] + "...\""; err == nil || err.Error() != want {
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -48,15 +48,27 @@
 }
 
 func describeRequest(t *testing.T, a scheduler.PlacementRequest) object {
-	return whole(t, a, object{"id": a.ID, "key": a.IdempotencyKey, "service": a.Service, "class": a.WorkloadClass, "tenant": a.Tenant,
-		"cores": a.Cores, "memory": a.Memory, "deadline": a.Deadline, "runs for": a.ExpectedRuntime, "retried": a.ClientRetry})
+	return whole(t, a, object{
+		"id":       a.ID,
+		"key":      a.IdempotencyKey,
+		"service":  a.Service,
+		"class":    a.WorkloadClass,
+		"tenant":   a.Tenant,
+		"cores":    a.Cores,
+		"memory":   a.Memory,
+		"deadline": a.Deadline,
+		"runs for": a.ExpectedRuntime,
+		"retried":  a.ClientRetry,
+	})
 }
 
 func describeEntries(t *testing.T, entries []scheduler.MachineEntry) []object {
 	var out []object
 	for _, e := range entries {
-		out = append(out, whole(t, e, object{"machine": e.Machine, "zone": e.Zone, "type": e.MachineType, "cell": e.RackGroup, "state": int(e.State),
-			"free cores": e.FreeCores, "free memory": e.FreeMemory, "power": e.PowerHint, "started at": e.StartedAt}))
+		out = append(out, whole(t, e, object{
+			"machine": e.Machine, "zone": e.Zone, "type": e.MachineType, "cell": e.RackGroup, "state": int(e.State),
+			"free cores": e.FreeCores, "free memory": e.FreeMemory, "power": e.PowerHint, "started at": e.StartedAt,
+		}))
 	}
 	return out
 }
@@ -67,20 +79,42 @@
 	var o object
 	switch e := event.(type) {
 	case scheduler.MachineListUpdate:
-		name, o = "UPDATE", whole(t, e, object{"mode": int(e.Mode), "version": e.Version, "entries": describeEntries(t, e.Entries)})
+		name, o = "UPDATE", whole(
+			t,
+			e,
+			object{"mode": int(e.Mode), "version": e.Version, "entries": describeEntries(t, e.Entries)},
+		)
 	case scheduler.RequestReceived:
 		name, o = "PENDING", whole(t, e, object{"request": describeRequest(t, e.PlacementRequest)})
 	case scheduler.ContainerAdopted:
-		name, o = "ALREADY_PLACED", whole(t, e, object{"request": describeRequest(t, e.PlacementRequest), "machine": e.Machine})
+		name, o = "ALREADY_PLACED", whole(
+			t,
+			e,
+			object{"request": describeRequest(t, e.PlacementRequest), "machine": e.Machine},
+		)
 	case scheduler.AttemptAccepted:
-		name, o = "CONFIRMED", whole(t, e, object{"id": e.ID, "attempt": e.Attempt, "machine": e.Machine, "took": e.Elapsed})
+		name, o = "CONFIRMED", whole(
+			t,
+			e,
+			object{"id": e.ID, "attempt": e.Attempt, "machine": e.Machine, "took": e.Elapsed},
+		)
 	case scheduler.UsageReported:
-		name, o = "INTERIM", whole(t, e, object{"id": e.ID, "machine": e.Machine, "attempt": e.Attempt, "sort": int(e.Metric), "amount": e.Value})
+		name, o = "INTERIM", whole(
+			t,
+			e,
+			object{"id": e.ID, "machine": e.Machine, "attempt": e.Attempt, "sort": int(e.Metric), "amount": e.Value},
+		)
 	case scheduler.AttemptEnded:
-		name, o = "DONE", whole(t, e, object{"id": e.ID, "final": e.Final, "attempt": e.Attempt, "outcome": int(e.Outcome), "machine": e.Machine,
-			"reason": int(e.Reason), "took": e.Elapsed, "report": e.Report})
+		name, o = "DONE", whole(t, e, object{
+			"id": e.ID, "final": e.Final, "attempt": e.Attempt, "outcome": int(e.Outcome), "machine": e.Machine,
+			"reason": int(e.Reason), "took": e.Elapsed, "report": e.Report,
+		})
 	case scheduler.ProbeCompleted:
-		name, o = "HEALTH_RESULT", whole(t, e, object{"machine": e.Machine, "outcome": int(e.Outcome), "took": e.Elapsed, "report": e.Report})
+		name, o = "HEALTH_RESULT", whole(
+			t,
+			e,
+			object{"machine": e.Machine, "outcome": int(e.Outcome), "took": e.Elapsed, "report": e.Report},
+		)
 	case scheduler.TimerFired:
 		name, o = "TICK_DUE", whole(t, e, object{"timer": e.Name})
 	case scheduler.ContainerRemoved:
@@ -96,8 +130,19 @@
 	t.Helper()
 	var classes, types, tenants []object
 	for _, w := range s.WorkloadClasses {
-		classes = append(classes, whole(t, w, object{"effect": int(w.Idempotency), "group": int(w.DedupScope), "window": w.DedupWindow, "aim": w.LatencyObjective,
-			"deadline": w.PlacementTimeout, "type": w.MachineType, "spread": int(w.SpreadScope), "most": w.MaxPerScope, "credit": w.PriorityWeight}))
+		classes = append(classes, whole(t, w, object{
+			"effect": int(
+				w.Idempotency,
+			),
+			"group":    int(w.DedupScope),
+			"window":   w.DedupWindow,
+			"aim":      w.LatencyObjective,
+			"deadline": w.PlacementTimeout,
+			"type":     w.MachineType,
+			"spread":   int(w.SpreadScope),
+			"most":     w.MaxPerScope,
+			"credit":   w.PriorityWeight,
+		}))
 	}
 	for _, k := range s.MachineTypes {
 		types = append(types, whole(t, k, object{"cores": k.Cores, "memory": k.Memory}))
@@ -105,12 +150,30 @@
 	for _, c := range s.Tenants {
 		tenants = append(tenants, whole(t, c, object{"cores": c.QuotaCores}))
 	}
-	return whole(t, s, object{"seed": s.Seed, "me": s.SchedulerIndex, "balancers": s.SchedulerCount, "classes": classes, "types": types,
-		"tenants": tenants, "over share": s.OverQuotaWeight, "admit cores": s.CoresOvercommit, "admit memory": s.MemoryOvercommit,
-		"mean cores": s.MeanCores, "mean memory": s.MeanMemory, "yes when running": s.AcceptMeansRunning, "use notes": s.UsageReports,
-		"entries tell free room": s.ListTracksRequests, "probes": s.ProbesAllowed, "attempts": s.MaxAttempts, "grace": s.AnswerGrace,
-		"list on request": s.ListOnRequest, "list every": s.ResyncInterval, "cold for": s.SlowStartPeriod, "cold window": s.SlowStartWindow,
-		"cold offers": s.SlowStartBudget})
+	return whole(t, s, object{
+		"seed":                   s.Seed,
+		"me":                     s.SchedulerIndex,
+		"balancers":              s.SchedulerCount,
+		"classes":                classes,
+		"types":                  types,
+		"tenants":                tenants,
+		"over share":             s.OverQuotaWeight,
+		"admit cores":            s.CoresOvercommit,
+		"admit memory":           s.MemoryOvercommit,
+		"mean cores":             s.MeanCores,
+		"mean memory":            s.MeanMemory,
+		"yes when running":       s.AcceptMeansRunning,
+		"use notes":              s.UsageReports,
+		"entries tell free room": s.ListTracksRequests,
+		"probes":                 s.ProbesAllowed,
+		"attempts":               s.MaxAttempts,
+		"grace":                  s.AnswerGrace,
+		"list on request":        s.ListOnRequest,
+		"list every":             s.ResyncInterval,
+		"cold for":               s.SlowStartPeriod,
+		"cold window":            s.SlowStartWindow,
+		"cold offers":            s.SlowStartBudget,
+	})
 }
 
 func indented(t *testing.T, v any) []byte {
@@ -219,12 +282,40 @@
 			return slices.Contains(keys, key)
 		})
 	}
-	pushed := append(without("registry_mode", "rules.ask_every_ms", "over_share_worth", "family_info.yes_at", "family_info.use_notes",
-		"family_info.view", "permissions.probes", "tenants.count"), "registry_mode=pushed", "family_info.yes_at=accepted",
-		"family_info.use_notes=false", "family_info.view=false", "permissions.probes=false")
-	noClasses := append(without("classes.count", "family_info.class_kind", "family_info.class_most", "family_info.spread_over",
-		"family_info.cpu_of_kind", "family_info.kind_memory", "family_info.quota_cores"), "classes.count=0", "family_info.class_kind=-",
-		"family_info.class_most=", "family_info.spread_over=-", "family_info.cpu_of_kind=", "family_info.kind_memory=-")
+	pushed := append(
+		without(
+			"registry_mode",
+			"rules.ask_every_ms",
+			"over_share_worth",
+			"family_info.yes_at",
+			"family_info.use_notes",
+			"family_info.view",
+			"permissions.probes",
+			"tenants.count",
+		),
+		"registry_mode=pushed",
+		"family_info.yes_at=accepted",
+		"family_info.use_notes=false",
+		"family_info.view=false",
+		"permissions.probes=false",
+	)
+	noClasses := append(
+		without(
+			"classes.count",
+			"family_info.class_kind",
+			"family_info.class_most",
+			"family_info.spread_over",
+			"family_info.cpu_of_kind",
+			"family_info.kind_memory",
+			"family_info.quota_cores",
+		),
+		"classes.count=0",
+		"family_info.class_kind=-",
+		"family_info.class_most=",
+		"family_info.spread_over=-",
+		"family_info.cpu_of_kind=",
+		"family_info.kind_memory=-",
+	)
 	var got []object
 	for i, pairs := range [][]string{all, pushed, noClasses} {
 		s, err := ParseSettings(uint64(1)<<63+uint64(i), pairs)
@@ -249,7 +340,8 @@
 	}
 }
 
-// TestFaultySettingsAreRefusedAsBefore leaves each setting out and gives it values of a wrong sort, and compares the errors.
+// TestFaultySettingsAreRefusedAsBefore leaves each setting out and gives it values of a wrong sort, and compares the
+// errors.
 func TestFaultySettingsAreRefusedAsBefore(t *testing.T) {
 	all := strings.Fields(fullSettings)
 	var got bytes.Buffer
@@ -276,7 +368,8 @@
 	golden(t, "faulty-settings.txt", got.Bytes())
 }
 
-// TestFaultyMessagesAreRefusedAsBefore cuts each message short, adds a field, spoils each field, and compares the errors.
+// TestFaultyMessagesAreRefusedAsBefore cuts each message short, adds a field, spoils each field, and compares the
+// errors.
 func TestFaultyMessagesAreRefusedAsBefore(t *testing.T) {
 	var got bytes.Buffer
 	try := func(shown, in string) {
@@ -292,10 +385,12 @@
 		}
 	}
 	const sheet = "SHEET 0 1\nITEM m:1 0 1 2 SERVING 3.5 1 12 6100.05\n"
-	for _, line := range []string{"UPDATE 3 Partial 41 0", "UPDATE 3 Error 41 -", "PENDING 0 r-1 2 17 t:k 1 1.5 2.25 8652.25 c:s 12.05",
+	for _, line := range []string{
+		"UPDATE 3 Partial 41 0", "UPDATE 3 Error 41 -", "PENDING 0 r-1 2 17 t:k 1 1.5 2.25 8652.25 c:s 12.05",
 		"ALREADY_PLACED 3 r-1 c:s 8652.25 1 2.25 t:k 2 1.5 16 12.05 m:1", "CONFIRMED 3 r-1 2 m:1 18.55", "INTERIM 3 r-1 m:1 2 1 0.5",
 		"DONE 3 r-1 1 2 GOOD m:1 3 18.55 x0:1.5", "HEALTH_RESULT 3 m:1 GOOD 250.05 cpu:0.5", "TICK_DUE 3 sweep", "NOTE_FROM 3 x",
-		"VANISHED 3 r-1", "KILLED 3", "WHAT 3", "CONFIGURE 3 51 me=0", "SHEET 1 0", "ITEM m:1 0 1 2 SERVING 3.5 1 12 6100.05"} {
+		"VANISHED 3 r-1", "KILLED 3", "WHAT 3", "CONFIGURE 3 51 me=0", "SHEET 1 0", "ITEM m:1 0 1 2 SERVING 3.5 1 12 6100.05",
+	} {
 		words := strings.Split(line, " ")
 		frame := func(line string) { try(line, "FRAME 1 1\n"+sheet+line+"\nCOMMIT\n") }
 		for n := range words {
@@ -310,10 +405,12 @@
 		try(line+", then the end inside the line", "FRAME 1 1\n"+sheet+line)
 		try(line+", then the end inside the frame", "FRAME 1 1\n"+sheet+line+"\n")
 	}
-	for _, in := range []string{"", "\n", "FRAME 1 1", "FRAME 1 1\n", "FRAME\nCOMMIT\n", "FRAME x 1\nCOMMIT\n", "FRAME 1\nCOMMIT\n", "FRAME 1 1 1\nCOMMIT\n",
+	for _, in := range []string{
+		"", "\n", "FRAME 1 1", "FRAME 1 1\n", "FRAME\nCOMMIT\n", "FRAME x 1\nCOMMIT\n", "FRAME 1\nCOMMIT\n", "FRAME 1 1 1\nCOMMIT\n",
 		"FRAME 1e15 1\nCOMMIT\n", "FRAME -1 1\nCOMMIT\n", "COMMIT\n", "FRAME 1 1\nCOMMIT", "FRAME 1 1\nCOMMIT\nFRAME 2 2\n",
 		"FRAME 1 1\nSHEET 0 2\nITEM m:1 0 0 0 SERVING 1 1 1 -\nCOMMIT\n", "FRAME 1 1\nSHEET 0 2\n", "FRAME 1 1\nSHEET 0 1\nITEM m:1\n",
-		"FRAME 1 1\nSHEET 0 1\nITEM m:1 0 0 0 GONE 1 1 1 -\n", "FRAME 1 1\n" + strings.Repeat("x", 200) + "\n", "FRAME 1 1\n\nCOMMIT\n"} {
+		"FRAME 1 1\nSHEET 0 1\nITEM m:1 0 0 0 GONE 1 1 1 -\n", "FRAME 1 1\n" + strings.Repeat("x", 200) + "\n", "FRAME 1 1\n\nCOMMIT\n",
+	} {
 		try(in, in)
 	}
 	golden(t, "faulty-messages.txt", got.Bytes())
@@ -323,16 +420,22 @@
 func TestOutgoingMessagesAreUnchanged(t *testing.T) {
 	var got bytes.Buffer
 	for _, a := range []scheduler.Action{
-		scheduler.StartAttempt{ID: "r-1", Machine: "m:1", Timeout: 801}, scheduler.StartAttempt{ID: "r-1", Machine: "m:1"},
-		scheduler.Reject{ID: "r-1", RetryAfter: 2505}, scheduler.Reject{ID: "r-1"},
+		scheduler.StartAttempt{ID: "r-1", Machine: "m:1", Timeout: 801},
+		scheduler.StartAttempt{ID: "r-1", Machine: "m:1"},
+		scheduler.Reject{ID: "r-1", RetryAfter: 2505},
+		scheduler.Reject{ID: "r-1"},
 		scheduler.Fail{ID: "r-1"},
-		scheduler.CancelAttempt{ID: "r-1", Attempt: 2}, scheduler.CancelAttempt{ID: "r-1"},
+		scheduler.CancelAttempt{ID: "r-1", Attempt: 2},
+		scheduler.CancelAttempt{ID: "r-1"},
 		scheduler.Probe{Machine: "m:1"},
 		scheduler.Disconnect{Machine: "m:1"},
-		scheduler.SetTimer{After: 5001, Name: "sweep"}, scheduler.SetTimer{After: -1, Name: "sweep"},
-		scheduler.WatchMachineList{Enabled: true}, scheduler.WatchMachineList{},
+		scheduler.SetTimer{After: 5001, Name: "sweep"},
+		scheduler.SetTimer{After: -1, Name: "sweep"},
+		scheduler.WatchMachineList{Enabled: true},
+		scheduler.WatchMachineList{},
 		scheduler.FetchMachineList{},
-		scheduler.Log{Message: " two\nlines\tand  more "}, scheduler.Log{},
+		scheduler.Log{Message: " two\nlines\tand  more "},
+		scheduler.Log{},
 		nil,
 	} {
 		AppendAction(&got, 3, a)
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -105,10 +105,16 @@
 		class.SpreadScope = scope
 		// These two go before other errors of the class.
 		if !known {
-			s.err = &SettingError{Setting: "family_info.spread_over", Problem: fmt.Sprintf(": %q is no place", spreadOfClass[i])}
+			s.err = &SettingError{
+				Setting: "family_info.spread_over",
+				Problem: fmt.Sprintf(": %q is no place", spreadOfClass[i]),
+			}
 		}
 		if class.MachineType >= machineTypes {
-			s.err = &SettingError{Setting: "family_info.class_kind", Problem: fmt.Sprintf(": no kind %d", class.MachineType)}
+			s.err = &SettingError{
+				Setting: "family_info.class_kind",
+				Problem: fmt.Sprintf(": no kind %d", class.MachineType),
+			}
 		}
 		classes = append(classes, class)
 	}
--- a/internal/simprotocol/settingsreader.go
+++ b/internal/simprotocol/settingsreader.go
@@ -79,7 +79,8 @@
 	return count
 }
 
-// itemCount is the count of a list of objects. As each has settings of its own, there are never more than settings in all.
+// itemCount is the count of a list of objects. As each has settings of its own, there are never more than settings in
+// all.
 func (s *settingsReader) itemCount(path string) int {
 	count := s.count(path)
 	if count > s.total {
--- a/internal/storage/faultfs/crash.go
+++ b/internal/storage/faultfs/crash.go
@@ -7,8 +7,8 @@
 
 const sectorSize = 512
 
-// Survival decides for each piece that was not synced whether it survives a crash. The piece is "sector", "length", or the
-// kind of an operation on the directory.
+// Survival decides for each piece that was not synced whether it survives a crash. The piece is "sector", "length", or
+// the kind of an operation on the directory.
 type Survival func(piece string) bool
 
 // Pieces of a file.
@@ -56,7 +56,8 @@
 	}
 }
 
-// Crash returns the directory as it may be found after a crash behind a number of operations. All that is found is on disk.
+// Crash returns the directory as it may be found after a crash behind a number of operations. All that is found is on
+// disk.
 func (f *FS) Crash(after int, survives Survival) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/storage/faultfs/faultfs.go
+++ b/internal/storage/faultfs/faultfs.go
@@ -1,8 +1,8 @@
-// Package faultfs is a file system in memory for tests. It fails on demand, records every write, sync, rename and removal
-// in order, and produces the states in which a crash may leave a directory.
+// Package faultfs is a file system in memory for tests. It fails on demand, records every write, sync, rename and
+// removal in order, and produces the states in which a crash may leave a directory.
 //
-// The crash model: of all that was not synced, each sector of 512 bytes, each change of a file's length, and each change
-// of the directory may have reached the disk or not, in any order; a rename is atomic; what was synced stays.
+// The crash model: of all that was not synced, each sector of 512 bytes, each change of a file's length, and each
+// change of the directory may have reached the disk or not, in any order; a rename is atomic; what was synced stays.
 package faultfs
 
 import (
@@ -18,8 +18,8 @@
 
 // FS is a directory in memory. Its methods may be called from any goroutine.
 type FS struct {
-	// InjectError, if set, is asked before each operation with its kind and the name of the file, and may let it fail. A
-	// write that fails leaves its first half.
+	// InjectError, if set, is asked before each operation with its kind and the name of the file, and may let it fail.
+	// A write that fails leaves its first half.
 	InjectError func(kind, name string) error
 	// IgnoreSync makes syncs succeed without effect, for mutation tests.
 	IgnoreSync bool
--- a/internal/storage/vfs/dir_test.go
+++ b/internal/storage/vfs/dir_test.go
@@ -77,7 +77,10 @@
 	path := t.TempDir()
 	d := mustOpen(t, path)
 	var owned *LockedError
-	if _, err := OpenLocked(path); !errors.As(err, &owned) || owned.Path != path || owned.Holder != fmt.Sprint("process ", os.Getpid()) {
+	if _, err := OpenLocked(
+		path,
+	); !errors.As(err, &owned) || owned.Path != path ||
+		owned.Holder != fmt.Sprint("process ", os.Getpid()) {
 		t.Errorf("opened twice: %v", err)
 	}
 	want := fmt.Sprintf("%s is held by another instance, process %d: each needs a folder of its own", path, os.Getpid())
@@ -107,7 +110,10 @@
 	if _, err := OpenReadOnly(filepath.Join(path, "none")); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("a folder that is not there: %v", err)
 	}
-	if _, err := OpenReadOnly(filepath.Join(path, "a")); err == nil || err.Error() != filepath.Join(path, "a")+" is no folder" {
+	if _, err := OpenReadOnly(
+		filepath.Join(path, "a"),
+	); err == nil ||
+		err.Error() != filepath.Join(path, "a")+" is no folder" {
 		t.Errorf("a file in place of a folder: %v", err)
 	}
 }
--- a/internal/storage/vfs/vfs.go
+++ b/internal/storage/vfs/vfs.go
@@ -1,5 +1,5 @@
-// Package vfs is the seam between the stored state and the file system: the few operations on the files of one directory
-// that the state needs. Tests put a crash model in its place, see package faultfs.
+// Package vfs is the seam between the stored state and the file system: the few operations on the files of one
+// directory that the state needs. Tests put a crash model in its place, see package faultfs.
 package vfs
 
 import (
@@ -29,8 +29,8 @@
 	Close() error
 }
 
-// WriteFileAtomic replaces a file, or creates it: after a crash it holds the old data or the new. It is not a library's,
-// which would write past FS, where the crash model cannot see it.
+// WriteFileAtomic replaces a file, or creates it: after a crash it holds the old data or the new. It is not a
+// library's, which would write past FS, where the crash model cannot see it.
 func WriteFileAtomic(fs FS, name string, data []byte) error {
 	temp := name + TempSuffix
 	if err := fs.Remove(temp); err != nil && !errors.Is(err, os.ErrNotExist) {
--- a/internal/storage/wal/checksummed.go
+++ b/internal/storage/wal/checksummed.go
@@ -9,8 +9,8 @@
 	"glenport/internal/storage/vfs"
 )
 
-// A checksummed file is replaced as a whole: seven bytes of magic, the version, the length of the body, a checksum of all
-// that and the body.
+// A checksummed file is replaced as a whole: seven bytes of magic, the version, the length of the body, a checksum of
+// all that and the body.
 const (
 	bodyLengthOffset      = 8
 	bodyChecksumOffset    = 12
--- a/internal/storage/wal/crash_test.go
+++ b/internal/storage/wal/crash_test.go
@@ -22,8 +22,8 @@
 // acknowledgement is a durable commit and the number of operations after which it was acknowledged.
 type acknowledgement struct{ operations, commit int }
 
-// After each crash the directory holds the state after some commit, and never one before the last that was acknowledged as
-// durable. Crashes come during recovery too.
+// After each crash the directory holds the state after some commit, and never one before the last that was acknowledged
+// as durable. Crashes come during recovery too.
 func TestStateAfterCrashIsThatOfSomeCommit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &crashModel{fs: faultfs.New(), history: []map[string]string{{}}}
@@ -128,9 +128,9 @@
 	}
 }
 
-// After a failed sync the state is rewritten by the same process once that is possible. Wherever the system crashes on the
-// way, what was acknowledged survives, in each state that the disk may be found in; and the file that failed is not used
-// again.
+// After a failed sync the state is rewritten by the same process once that is possible. Wherever the system crashes on
+// the way, what was acknowledged survives, in each state that the disk may be found in; and the file that failed is not
+// used again.
 func TestRewriteAfterFailedSyncSurvivesCrashes(t *testing.T) {
 	for _, operation := range []string{"sync", "sync folder", "create", "rename", "remove", "write"} {
 		t.Run("a sync fails, then "+operation, func(t *testing.T) {
--- a/internal/storage/wal/damage_test.go
+++ b/internal/storage/wal/damage_test.go
@@ -68,8 +68,8 @@
 
 func (d *damageTrial) remove(t *testing.T, name string, _ []byte) { d.load(t, name, nil) }
 
-// damageDigests loads each golden folder with each of its bytes damaged in turn, each of its files missing, and each cut
-// short at every length.
+// damageDigests loads each golden folder with each of its bytes damaged in turn, each of its files missing, and each
+// cut short at every length.
 func damageDigests(t *testing.T) string {
 	t.Helper()
 	var out strings.Builder
@@ -88,13 +88,22 @@
 			for _, name := range sortedNames(d.files) {
 				damage.apply(d, t, name, d.files[name])
 			}
-			fmt.Fprintf(&out, "%s, %s: %d cases, %d refused, digest %x\n", folder, damage.name, d.cases, d.refused, d.digest.Sum(nil))
+			fmt.Fprintf(
+				&out,
+				"%s, %s: %d cases, %d refused, digest %x\n",
+				folder,
+				damage.name,
+				d.cases,
+				d.refused,
+				d.digest.Sum(nil),
+			)
 		}
 	}
 	return out.String()
 }
 
-// What becomes of damage does not change: which is refused, with which error and place, and what is read in spite of it.
+// What becomes of damage does not change: which is refused, with which error and place, and what is read in spite of
+// it.
 func TestDamageOfGoldenFoldersIsJudgedAlike(t *testing.T) {
 	want, err := os.ReadFile("testdata/damage.txt")
 	if err != nil {
--- a/internal/storage/wal/errors.go
+++ b/internal/storage/wal/errors.go
@@ -9,9 +9,12 @@
 var (
 	// ErrSyncFailed reports that a sync failed. What of that file is on disk is unknown from then on, and a second sync
 	// would not tell: every commit is rejected until the whole state has been written to other files.
-	ErrSyncFailed = errors.New("the state folder cannot be trusted since a sync failed, and could not be written anew yet")
+	ErrSyncFailed = errors.New(
+		"the state folder cannot be trusted since a sync failed, and could not be written anew yet",
+	)
 
-	// ErrFull reports that the disk has no room for a commit. It stands in the chain beside the error of the file system.
+	// ErrFull reports that the disk has no room for a commit. It stands in the chain beside the error of the file
+	// system.
 	ErrFull = errors.New("the disk is full")
 
 	// ErrClosed reports a commit after Close.
@@ -29,8 +32,12 @@
 }
 
 func (e *CorruptionError) Error() string {
-	return fmt.Sprintf("%s, at byte %d: %s; nothing was changed: put a good copy of the folder back; `glenport state export` gives what stands before the damage",
-		e.File, e.Offset, e.Detail)
+	return fmt.Sprintf(
+		"%s, at byte %d: %s; nothing was changed: put a good copy of the folder back; `glenport state export` gives what stands before the damage",
+		e.File,
+		e.Offset,
+		e.Detail,
+	)
 }
 
 // UnsupportedVersionError reports that a file was written by a later version of the program.
@@ -40,7 +47,12 @@
 }
 
 func (e *UnsupportedVersionError) Error() string {
-	return fmt.Sprintf("%s is of version %d, this glenport knows %d: use the later one", e.File, e.Version, FormatVersion)
+	return fmt.Sprintf(
+		"%s is of version %d, this glenport knows %d: use the later one",
+		e.File,
+		e.Version,
+		FormatVersion,
+	)
 }
 
 // fullError adds ErrFull to the chain of an error of the file system and leaves its text alone.
--- a/internal/storage/wal/failure_test.go
+++ b/internal/storage/wal/failure_test.go
@@ -38,14 +38,18 @@
 				return nil
 			}
 			err := commitAndWait(l, true, put("b", "2"))
-			if !errors.Is(err, tc.err) || errors.Is(err, ErrFull) != tc.full || errors.Is(err, ErrSyncFailed) != (tc.failing != "write") {
+			if !errors.Is(err, tc.err) || errors.Is(err, ErrFull) != tc.full ||
+				errors.Is(err, ErrSyncFailed) != (tc.failing != "write") {
 				t.Errorf("rejected with %v", err)
 			}
 			fs.InjectError = nil
 			mustCommit(t, l, true, put("c", "3"))
 			mustClose(t, l)
 			if modeChanges != 2 {
-				t.Errorf("%d changes of mode reported, want one when commits are rejected and one when they are accepted again", modeChanges)
+				t.Errorf(
+					"%d changes of mode reported, want one when commits are rejected and one when they are accepted again",
+					modeChanges,
+				)
 			}
 			values := valuesOf(t, mustLoad(t, fs))
 			if values["a"] != "1" || values["b"] != "" || values["c"] != "3" {
@@ -70,7 +74,10 @@
 		t.Fatal(err)
 	}
 	var locked *vfs.LockedError
-	if _, err := vfs.OpenLocked(path); !errors.As(err, &locked) || !strings.Contains(locked.Holder, fmt.Sprint(os.Getpid())) {
+	if _, err := vfs.OpenLocked(
+		path,
+	); !errors.As(err, &locked) ||
+		!strings.Contains(locked.Holder, fmt.Sprint(os.Getpid())) {
 		t.Errorf("%v", err)
 	}
 	if err := held.Close(); err != nil {
--- a/internal/storage/wal/fileheader.go
+++ b/internal/storage/wal/fileheader.go
@@ -13,8 +13,8 @@
 // FormatVersion is the version of segments and snapshots that this program writes; it reads this one and earlier ones.
 const FormatVersion = 1
 
-// A segment of the log and a snapshot begin alike: seven bytes of magic, the version, the number of the first group that
-// follows, and a checksum of all that. Integers are big-endian. Groups follow, see appendGroup.
+// A segment of the log and a snapshot begin alike: seven bytes of magic, the version, the number of the first group
+// that follows, and a checksum of all that. Integers are big-endian. Groups follow, see appendGroup.
 const (
 	segmentMagic  = "GLENLOG"
 	snapshotMagic = "GLENSNP"
@@ -90,5 +90,9 @@
 	if first == file.first {
 		return nil
 	}
-	return &CorruptionError{file.name, firstGroupOffset, fmt.Sprintf("its name does not fit its first group, %d", first)}
+	return &CorruptionError{
+		file.name,
+		firstGroupOffset,
+		fmt.Sprintf("its name does not fit its first group, %d", first),
+	}
 }
--- a/internal/storage/wal/golden_test.go
+++ b/internal/storage/wal/golden_test.go
@@ -67,7 +67,8 @@
 	}
 }
 
-// writeOrderly returns a directory with a snapshot, several segments and a clean end, and its files before the snapshot.
+// writeOrderly returns a directory with a snapshot, several segments and a clean end, and its files before the
+// snapshot.
 func writeOrderly(t *testing.T) (fs *faultfs.FS, older map[string][]byte) {
 	t.Helper()
 	fs = faultfs.New()
@@ -145,8 +146,8 @@
 	return last
 }
 
-// describeFolder says in words what the files of a folder hold, and checks that each header and group is encoded again to
-// the same bytes.
+// describeFolder says in words what the files of a folder hold, and checks that each header and group is encoded again
+// to the same bytes.
 func describeFolder(t *testing.T, files map[string][]byte) string {
 	t.Helper()
 	var out strings.Builder
@@ -170,7 +171,13 @@
 		if got := newFileHeader(magic, first); !bytes.Equal(got, data[:headerSize]) {
 			t.Errorf("%s: the header is encoded as %x, want %x", name, got, data[:headerSize])
 		}
-		fmt.Fprintf(&out, "  header: %s, version %d, first group %d\n", data[:versionOffset], data[versionOffset], first)
+		fmt.Fprintf(
+			&out,
+			"  header: %s, version %d, first group %d\n",
+			data[:versionOffset],
+			data[versionOffset],
+			first,
+		)
 		describeGroups(t, &out, name, data[headerSize:])
 	}
 	return out.String()
@@ -223,8 +230,16 @@
 func describeState(t *testing.T, s *State) string {
 	t.Helper()
 	var out strings.Builder
-	fmt.Fprintf(&out, "read: the log from group %d on, the last is %d, %d groups, %d records, %d bytes, %d of them cut off\n",
-		s.FirstGroup, s.LastGroup, s.Groups, s.Records, s.Bytes, s.TruncatedBytes)
+	fmt.Fprintf(
+		&out,
+		"read: the log from group %d on, the last is %d, %d groups, %d records, %d bytes, %d of them cut off\n",
+		s.FirstGroup,
+		s.LastGroup,
+		s.Groups,
+		s.Records,
+		s.Bytes,
+		s.TruncatedBytes,
+	)
 	for _, kind := range s.Kinds() {
 		fmt.Fprintf(&out, "kind %q, %d records\n", kind, s.Count(kind))
 		err := s.ForEach(kind, func(key string, value []byte) error {
@@ -285,8 +300,8 @@
 	mustWriteFile(t, "testdata/operations.txt", []byte(describeOperations(t)))
 }
 
-// A folder that an earlier version wrote is read value by value as it was written, and its parts are encoded again to the
-// same bytes.
+// A folder that an earlier version wrote is read value by value as it was written, and its parts are encoded again to
+// the same bytes.
 func TestGoldenFoldersAreRead(t *testing.T) {
 	if *update {
 		record(t)
@@ -308,7 +323,12 @@
 			mustClose(t, l)
 			again := mustLoad(t, fs)
 			if again.Records != state.Records+1 || again.TruncatedBytes != 0 {
-				t.Errorf("%d records and %d bytes cut off after one more, before %d", again.Records, again.TruncatedBytes, state.Records)
+				t.Errorf(
+					"%d records and %d bytes cut off after one more, before %d",
+					again.Records,
+					again.TruncatedBytes,
+					state.Records,
+				)
 			}
 		})
 	}
--- a/internal/storage/wal/load.go
+++ b/internal/storage/wal/load.go
@@ -16,8 +16,8 @@
 	size  int // in bytes; set when a segment is read
 }
 
-// Load reads a directory and changes nothing in it. What a crash may leave is tolerated: an unacknowledged group at the end
-// of the last segment, and files that were being written. Everything else that is not as it was written is a
+// Load reads a directory and changes nothing in it. What a crash may leave is tolerated: an unacknowledged group at the
+// end of the last segment, and files that were being written. Everything else that is not as it was written is a
 // *CorruptionError or *UnsupportedVersionError; the state up to there is returned with it. With skipChecksums set the
 // checksums are not compared.
 func Load(fs vfs.FS, skipChecksums bool) (*State, error) {
@@ -118,7 +118,11 @@
 	for i := range segments {
 		segment := &segments[i]
 		if next := s.LastGroup + 1; segment.first != next {
-			detail := fmt.Sprintf("it begins with group %d, and the one wanted next is %d: a file is missing", segment.first, next)
+			detail := fmt.Sprintf(
+				"it begins with group %d, and the one wanted next is %d: a file is missing",
+				segment.first,
+				next,
+			)
 			return &CorruptionError{segment.name, 0, detail}
 		}
 		isLast := i == len(segments)-1
@@ -155,8 +159,8 @@
 	return nil
 }
 
-// applyGroups applies the groups of a segment. It returns the offset of the first that is torn with errTornGroup, or the
-// size of the segment.
+// applyGroups applies the groups of a segment. It returns the offset of the first that is torn with errTornGroup, or
+// the size of the segment.
 func (s *State) applyGroups(file string, data []byte) (offset int, err error) {
 	for offset = headerSize; offset < len(data); {
 		g, ok := parseGroup(data[offset:], s.skipChecksums)
@@ -182,8 +186,8 @@
 	return nil
 }
 
-// checkTornHeader decides on a segment whose header cannot be read: a crash may leave the last segment so, before anything
-// was acknowledged in it.
+// checkTornHeader decides on a segment whose header cannot be read: a crash may leave the last segment so, before
+// anything was acknowledged in it.
 func (s *State) checkTornHeader(segment segmentFile, data []byte, isLast bool, headerErr error) error {
 	var unsupported *UnsupportedVersionError
 	if errors.As(headerErr, &unsupported) || !isLast || laterDurableGroup(data, 0, segment.first) > 0 {
@@ -193,8 +197,8 @@
 	return nil
 }
 
-// checkTornTail decides on the torn group at an offset: a crash may leave it in the last segment, with no whole group behind
-// it that was written when the torn one was already on disk. Anything else is corruption.
+// checkTornTail decides on the torn group at an offset: a crash may leave it in the last segment, with no whole group
+// behind it that was written when the torn one was already on disk. Anything else is corruption.
 func (s *State) checkTornTail(file string, data []byte, offset int, isLast bool) error {
 	torn := s.LastGroup + 1
 	if !isLast {
--- a/internal/storage/wal/load_test.go
+++ b/internal/storage/wal/load_test.go
@@ -40,15 +40,21 @@
 			size := len(mustRead(t, fs, firstSegment))
 			mustTruncate(t, fs, firstSegment, size-80) // the mark of the clean end, and a part of the last group
 		}, "", 9},
-		{"a corrupt middle", func(t *testing.T, fs *faultfs.FS) { mustFlipBit(t, fs, firstSegment, 8*400) },
-			"group 3 is damaged; it was kept, as group 4", 0},
+		{
+			"a corrupt middle", func(t *testing.T, fs *faultfs.FS) { mustFlipBit(t, fs, firstSegment, 8*400) },
+			"group 3 is damaged; it was kept, as group 4", 0,
+		},
 		{"a corrupt length in the middle", func(t *testing.T, fs *faultfs.FS) {
 			mustFlipBit(t, fs, firstSegment, 8*(headerSize+groupLengthOffset))
 		}, "group 1 is damaged", 0},
-		{"a corrupt beginning", func(t *testing.T, fs *faultfs.FS) { mustFlipBit(t, fs, firstSegment, 8*3) },
-			"at byte 0: it does not begin", 0},
-		{"a later version", func(t *testing.T, fs *faultfs.FS) { changeVersion(t, fs, firstSegment, FormatVersion+1) },
-			"use the later one", 0},
+		{
+			"a corrupt beginning", func(t *testing.T, fs *faultfs.FS) { mustFlipBit(t, fs, firstSegment, 8*3) },
+			"at byte 0: it does not begin", 0,
+		},
+		{
+			"a later version", func(t *testing.T, fs *faultfs.FS) { changeVersion(t, fs, firstSegment, FormatVersion+1) },
+			"use the later one", 0,
+		},
 		{"a missing segment", func(t *testing.T, fs *faultfs.FS) {
 			if err := fs.Rename(firstSegment, "log-0000000000000004"); err != nil {
 				t.Fatal(err)
--- a/internal/storage/wal/operations_test.go
+++ b/internal/storage/wal/operations_test.go
@@ -18,8 +18,8 @@
 		errors.Is(err, ErrClosed), errors.Is(err, syscall.EIO))
 }
 
-// historyTrial plays a scripted history on a directory whose operations may fail, and notes each operation and result. No
-// snapshot is written in the background, so the order of the operations is fixed.
+// historyTrial plays a scripted history on a directory whose operations may fail, and notes each operation and result.
+// No snapshot is written in the background, so the order of the operations is fixed.
 type historyTrial struct {
 	fs         *faultfs.FS
 	note       func(format string, arguments ...any)
@@ -66,8 +66,14 @@
 	h.note("close: %s", describeError(l.Close()))
 	h.note("commit after it: %s", describeError(commitAndWait(l, true)))
 	counters := l.Counters()
-	h.note("%d commits, %d groups, %d syncs, %d snapshots, %d refused", counters.Commits, counters.Groups, counters.Syncs,
-		counters.Snapshots, counters.Rejected)
+	h.note(
+		"%d commits, %d groups, %d syncs, %d snapshots, %d refused",
+		counters.Commits,
+		counters.Groups,
+		counters.Syncs,
+		counters.Snapshots,
+		counters.Rejected,
+	)
 }
 
 func (h *historyTrial) noteResult(t *testing.T) {
@@ -93,7 +99,10 @@
 	digest := sha256.New()
 	noteDigest := func(format string, arguments ...any) { fold(digest, format+"\n", arguments...) }
 	for failing := range operations {
-		once := historyTrial{note: noteDigest, fails: func(operation int, _ string) bool { return operation == failing }}
+		once := historyTrial{
+			note:  noteDigest,
+			fails: func(operation int, _ string) bool { return operation == failing },
+		}
 		once.run(t)
 		var failingKind string
 		repeated := historyTrial{note: noteDigest, fails: func(operation int, kind string) bool {
--- a/internal/storage/wal/rewrite.go
+++ b/internal/storage/wal/rewrite.go
@@ -6,9 +6,9 @@
 	"os"
 )
 
-// rewrite writes the whole state to other files after a sync has failed: a snapshot, and a segment that follows it. Until
-// both are on disk the directory is read as it was, or from that snapshot on; no commit is accepted meanwhile, so both are
-// right. The file whose sync failed is never synced again. Each group of waiting commits tries once.
+// rewrite writes the whole state to other files after a sync has failed: a snapshot, and a segment that follows it.
+// Until both are on disk the directory is read as it was, or from that snapshot on; no commit is accepted meanwhile, so
+// both are right. The file whose sync failed is never synced again. Each group of waiting commits tries once.
 func (l *Log) rewrite() error {
 	if l.syncErr == nil {
 		return nil
--- a/internal/storage/wal/segment.go
+++ b/internal/storage/wal/segment.go
@@ -8,8 +8,8 @@
 	"glenport/internal/storage/vfs"
 )
 
-// recover leaves a directory in which everything is on disk and one segment is open. A crash may cut it off at each step:
-// the next recovery repairs what it leaves.
+// recover leaves a directory in which everything is on disk and one segment is open. A crash may cut it off at each
+// step: the next recovery repairs what it leaves.
 func (l *Log) recover() error {
 	segments := l.state.segments
 	if len(segments) == 0 { // before the rewrite marker that explains why there is none is removed
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// startSegment creates the segment of the groups from first on and closes the one before. The file and its name are on disk
-// before any group is written to it.
+// startSegment creates the segment of the groups from first on and closes the one before. The file and its name are on
+// disk before any group is written to it.
 func (l *Log) startSegment(first uint64) error {
 	name := segmentName(first)
 	file, err := l.fs.Create(name)
@@ -103,8 +103,8 @@
 	return err
 }
 
-// writeGroup appends one group to the segment. A write that fails, as on a full disk, is undone, and the next may succeed;
-// after a sync that fails the whole state is rewritten.
+// writeGroup appends one group to the segment. A write that fails, as on a full disk, is undone, and the next may
+// succeed; after a sync that fails the whole state is rewritten.
 func (l *Log) writeGroup(changes []Change, durable bool) error {
 	body, err := encodeChanges(changes)
 	if err != nil {
@@ -160,8 +160,8 @@
 	return l.syncErr
 }
 
-// writeCleanEnd ends the segment with an empty group, whose number tells that all groups before it were on disk: damage to
-// them is then distinguished from what a crash leaves.
+// writeCleanEnd ends the segment with an empty group, whose number tells that all groups before it were on disk: damage
+// to them is then distinguished from what a crash leaves.
 func (l *Log) writeCleanEnd() error {
 	if l.segmentSize == headerSize {
 		return nil
--- a/internal/storage/wal/snapshot.go
+++ b/internal/storage/wal/snapshot.go
@@ -4,8 +4,8 @@
 	"glenport/internal/storage/vfs"
 )
 
-// snapshotIfDue starts a snapshot in the background when the log has outgrown the last one. The directory holds at most the
-// old snapshot with its log, the new one, and what was written meanwhile.
+// snapshotIfDue starts a snapshot in the background when the log has outgrown the last one. The directory holds at most
+// the old snapshot with its log, the new one, and what was written meanwhile.
 func (l *Log) snapshotIfDue() {
 	if l.snapshotRuns() || l.syncErr != nil {
 		return
--- a/internal/storage/wal/wal.go
+++ b/internal/storage/wal/wal.go
@@ -1,6 +1,6 @@
-// Package wal keeps a key-value state on disk as a write-ahead log with snapshots. Values are addressed by kind and key.
-// Each commit is applied whole or not at all, commits are applied in order, and commits that wait at the same time share
-// one group and one sync. Snapshots bound the length of the log.
+// Package wal keeps a key-value state on disk as a write-ahead log with snapshots. Values are addressed by kind and
+// key. Each commit is applied whole or not at all, commits are applied in order, and commits that wait at the same time
+// share one group and one sync. Snapshots bound the length of the log.
 //
 // docs/notes/state.md explains the guarantees and why the log is not a library.
 package wal
@@ -51,8 +51,9 @@
 	durableGroup uint64 // all groups up to this one are known to be on disk
 
 	bytesSinceSnapshot int
-	snapshotSize       int           // of the last snapshot; written by the snapshot goroutine, read once snapshotDone is closed
-	snapshotDone       chan struct{} // closed when the running snapshot ends; nil when none runs
+	// of the last snapshot; written by the snapshot goroutine, read once snapshotDone is closed
+	snapshotSize int
+	snapshotDone chan struct{} // closed when the running snapshot ends; nil when none runs
 
 	syncErr       error  // set while the segment cannot be trusted, see rewrite
 	rewriteFirst  uint64 // first group of the log that a rewrite begins; 0 when none was tried
--- a/internal/testbed/audit/checker.go
+++ b/internal/testbed/audit/checker.go
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// connectionClosed ends the attempts on a connection. What ran behind it may still run: it counts again when its machine
-// says so in the inventory on its next connection.
+// connectionClosed ends the attempts on a connection. What ran behind it may still run: it counts again when its
+// machine says so in the inventory on its next connection.
 func (c *checker) connectionClosed(e *faultproxy.Entry) {
 	conn := c.connections[e.ConnID]
 	if conn == nil {
--- a/internal/testbed/audit/checker_test.go
+++ b/internal/testbed/audit/checker_test.go
@@ -94,7 +94,12 @@
 }
 
 func (h *history) spec(container string, class int) protocol.ContainerSpec {
-	return protocol.ContainerSpec{ContainerID: container, IdempotencyKey: "k-" + container, Service: "s", WorkloadClass: class}
+	return protocol.ContainerSpec{
+		ContainerID:    container,
+		IdempotencyKey: "k-" + container,
+		Service:        "s",
+		WorkloadClass:  class,
+	}
 }
 
 func (h *history) submit(at int64, container string, class int) {
@@ -103,7 +108,12 @@
 
 func (h *history) offer(at int64, container string, class int, id uint32) uint64 {
 	h.attempts++
-	h.frame(at, faultproxy.FromScheduler, id, &protocol.Offer{AttemptID: h.attempts, Timeout: 500 * ms, Spec: h.spec(container, class)})
+	h.frame(
+		at,
+		faultproxy.FromScheduler,
+		id,
+		&protocol.Offer{AttemptID: h.attempts, Timeout: 500 * ms, Spec: h.spec(container, class)},
+	)
 	return h.attempts
 }
 
@@ -245,7 +255,8 @@
 			h.accept(3, 10, h.offer(2, "x", 2, 10))
 			h.reply(4, "x", protocol.VerdictPlaced)
 			h.frame(9, faultproxy.ToScheduler, 11, &protocol.Inventory{
-				Containers: []protocol.InventoryItem{{AttemptID: 99, Running: true, Spec: h.spec("x", 2)}}})
+				Containers: []protocol.InventoryItem{{AttemptID: 99, Running: true, Spec: h.spec("x", 2)}},
+			})
 		}, 2},
 
 		{"offered to a draining machine", func(h *history) {
--- a/internal/testbed/audit/machinelist.go
+++ b/internal/testbed/audit/machinelist.go
@@ -12,8 +12,8 @@
 	unavailable      bool
 }
 
-// location is where a machine is, as the list last told a scheduler. It outlasts the scheduler's incarnations: a scheduler
-// persists its machine list and goes by it after a restart until the list is heard again.
+// location is where a machine is, as the list last told a scheduler. It outlasts the scheduler's incarnations: a
+// scheduler persists its machine list and goes by it after a restart until the list is heard again.
 type location struct{ zone, rackGroup int }
 
 // machineIncarnation is one start of a machine.
--- a/internal/testbed/audit/print.go
+++ b/internal/testbed/audit/print.go
@@ -10,8 +10,8 @@
 	"glenport/scheduler"
 )
 
-// PrintContainer writes what a recording has on one container: its frames, the ends of the connections over which they went, and
-// the starts and kills of schedulers.
+// PrintContainer writes what a recording has on one container: its frames, the ends of the connections over which they
+// went, and the starts and kills of schedulers.
 func PrintContainer(path, container string, out io.Writer) error {
 	p := &containerPrinter{container: container, out: out, attempts: map[uint64]bool{}, connections: map[uint32]bool{}}
 	var header faultproxy.Header
@@ -87,8 +87,16 @@
 }
 
 func (p *containerPrinter) printEntry(e *faultproxy.Entry, text string) error {
-	_, err := fmt.Fprintf(p.out, "%9.1f ms  connection %d, %s and %s %s: %s\n", milliseconds(scheduler.Time(e.At)), e.ConnID, e.Scheduler,
-		e.Peer, e.PeerName, text)
+	_, err := fmt.Fprintf(
+		p.out,
+		"%9.1f ms  connection %d, %s and %s %s: %s\n",
+		milliseconds(scheduler.Time(e.At)),
+		e.ConnID,
+		e.Scheduler,
+		e.Peer,
+		e.PeerName,
+		text,
+	)
 	return err
 }
 
--- a/internal/testbed/audit/print_test.go
+++ b/internal/testbed/audit/print_test.go
@@ -33,7 +33,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := encoder.Encode(faultproxy.Entry{Kind: faultproxy.FromScheduler, ConnID: 1, Frame: data[4:]}); err != nil {
+		if err := encoder.Encode(
+			faultproxy.Entry{Kind: faultproxy.FromScheduler, ConnID: 1, Frame: data[4:]},
+		); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/testbed/audit/report.go
+++ b/internal/testbed/audit/report.go
@@ -1,5 +1,6 @@
-// Package audit checks the five rules of the scheduler on a recording of what passed over the sockets, and on nothing else: no
-// scheduler's own account is believed. The checker holds the state that the recorded frames add up to; each rule has a file.
+// Package audit checks the five rules of the scheduler on a recording of what passed over the sockets, and on nothing
+// else: no scheduler's own account is believed. The checker holds the state that the recorded frames add up to; each
+// rule has a file.
 package audit
 
 import (
--- a/internal/testbed/audit/rule_draining.go
+++ b/internal/testbed/audit/rule_draining.go
@@ -1,6 +1,7 @@
 package audit
 
-// checkDraining checks that a machine gets no offers once the sender was told that it drains or is gone, but for a grace period.
+// checkDraining checks that a machine gets no offers once the sender was told that it drains or is gone, but for a
+// grace period.
 func (c *checker) checkDraining(s *schedulerState, a *attempt) {
 	m := s.machines[a.machine]
 	if m == nil || !m.unavailable {
--- a/internal/testbed/audit/rule_duplicate_run.go
+++ b/internal/testbed/audit/rule_duplicate_run.go
@@ -2,9 +2,10 @@
 
 import "glenport/scheduler"
 
-// overlap is an attempt that was sent while the one before it seems to be in flight. A scheduler that resets a connection sends the
-// next attempt in the same moment, over another connection; which of the two the recording shows first is chance. So an overlap is
-// checked only once the slack is over, and of two attempts sent that close to each other the one of the lower id went first.
+// overlap is an attempt that was sent while the one before it seems to be in flight. A scheduler that resets a
+// connection sends the next attempt in the same moment, over another connection; which of the two the recording shows
+// first is chance. So an overlap is checked only once the slack is over, and of two attempts sent that close to each
+// other the one of the lower id went first.
 type overlap struct{ first, second *attempt }
 
 // checkOverlaps checks the overlaps for which the slack is over by now.
@@ -22,8 +23,8 @@
 	}
 }
 
-// checkRetry holds an attempt against the earlier ones of its request: one that may have run limits where and when the container
-// may run again.
+// checkRetry holds an attempt against the earlier ones of its request: one that may have run limits where and when the
+// container may run again.
 func (c *checker) checkRetry(s *schedulerState, r *request, a *attempt, class scheduler.WorkloadClass) {
 	for _, earlier := range r.attempts {
 		if earlier.neverRan {
@@ -33,12 +34,30 @@
 		evidence := []string{earlier.text, a.text}
 		switch class.Idempotency {
 		case scheduler.AtMostOnce:
-			c.violate(RuleDuplicateRun, c.now, evidence, "at-most-once container %s is offered again though it may have run", r.container)
+			c.violate(
+				RuleDuplicateRun,
+				c.now,
+				evidence,
+				"at-most-once container %s is offered again though it may have run",
+				r.container,
+			)
 		case scheduler.IdempotentWithKey:
 			if !c.sameScope(s, earlier.machine, a.machine, class.DedupScope) {
-				c.violate(RuleDuplicateRun, c.now, evidence, "container %s leaves the scope that deduplicates its key", r.container)
+				c.violate(
+					RuleDuplicateRun,
+					c.now,
+					evidence,
+					"container %s leaves the scope that deduplicates its key",
+					r.container,
+				)
 			} else if c.now > earlier.sent+class.DedupWindow+c.header.Slack {
-				c.violate(RuleDuplicateRun, c.now, evidence, "container %s is offered after the deduplication window of its key", r.container)
+				c.violate(
+					RuleDuplicateRun,
+					c.now,
+					evidence,
+					"container %s is offered after the deduplication window of its key",
+					r.container,
+				)
 			}
 		}
 	}
@@ -55,8 +74,8 @@
 	c.overlaps = append(c.overlaps, o)
 }
 
-// checkRanOnce checks that no other attempt with the idempotency key of an at-most-once container ran, whichever scheduler sent
-// it. The function same reports whether the attempt that ran before is this one.
+// checkRanOnce checks that no other attempt with the idempotency key of an at-most-once container ran, whichever
+// scheduler sent it. The function same reports whether the attempt that ran before is this one.
 func (c *checker) checkRanOnce(a *attempt, same func(earlier *attempt) bool) {
 	class, known := c.workloadClass(a.spec.WorkloadClass)
 	if !known || class.Idempotency != scheduler.AtMostOnce {
@@ -77,7 +96,13 @@
 	}
 	for _, a := range r.attempts {
 		if !a.neverRan {
-			c.violate(RuleDuplicateRun, c.now, []string{a.text, reply}, "container %s is rejected though it may have run", r.container)
+			c.violate(
+				RuleDuplicateRun,
+				c.now,
+				[]string{a.text, reply},
+				"container %s is rejected though it may have run",
+				r.container,
+			)
 			return
 		}
 	}
--- a/internal/testbed/audit/rule_final_reply.go
+++ b/internal/testbed/audit/rule_final_reply.go
@@ -37,7 +37,14 @@
 	r := s.requests[f.ContainerID]
 	if r == nil {
 		if !s.lookups[f.ContainerID] {
-			c.violate(RuleFinalReply, c.now, nil, "a reply for %s, which was not submitted to %s", f.ContainerID, s.name)
+			c.violate(
+				RuleFinalReply,
+				c.now,
+				nil,
+				"a reply for %s, which was not submitted to %s",
+				f.ContainerID,
+				s.name,
+			)
 		}
 		delete(s.lookups, f.ContainerID)
 		return
@@ -46,8 +53,14 @@
 	text := fmt.Sprintf("%.1f ms reply for %s: %s", milliseconds(c.now), r.container, f.Verdict)
 	c.checkReplyCount(r, f.Verdict, text)
 	if c.now > r.deadline+c.replyGrace() {
-		c.violate(RuleFinalReply, c.now, []string{text}, "container %s gets its reply %.1f ms after its deadline", r.container,
-			milliseconds(c.now-r.deadline))
+		c.violate(
+			RuleFinalReply,
+			c.now,
+			[]string{text},
+			"container %s gets its reply %.1f ms after its deadline",
+			r.container,
+			milliseconds(c.now-r.deadline),
+		)
 	}
 	r.verdict, r.repliedAt = f.Verdict, c.now
 	if f.Verdict == protocol.VerdictRejected {
@@ -70,13 +83,27 @@
 func (c *checker) checkOfferIsOwed(s *schedulerState, a *attempt) *request {
 	r := s.requests[a.spec.ContainerID]
 	if r == nil {
-		c.violate(RuleFinalReply, c.now, []string{a.text}, "container %s was not submitted to %s", a.spec.ContainerID, s.name)
+		c.violate(
+			RuleFinalReply,
+			c.now,
+			[]string{a.text},
+			"container %s was not submitted to %s",
+			a.spec.ContainerID,
+			s.name,
+		)
 		r = &request{container: a.spec.ContainerID, spec: a.spec, abandoned: true}
 		s.requests[r.container] = r
 	}
 	if r.replies > 0 && c.now > r.repliedAt+c.header.Slack {
-		c.violate(RuleFinalReply, c.now, []string{a.text}, "container %s is offered after its reply, %s at %.1f ms", r.container,
-			r.verdict, milliseconds(r.repliedAt))
+		c.violate(
+			RuleFinalReply,
+			c.now,
+			[]string{a.text},
+			"container %s is offered after its reply, %s at %.1f ms",
+			r.container,
+			r.verdict,
+			milliseconds(r.repliedAt),
+		)
 	}
 	return r
 }
--- a/internal/testbed/audit/rule_slow_start.go
+++ b/internal/testbed/audit/rule_slow_start.go
@@ -26,7 +26,8 @@
 	start.schedulers[s.name] = true
 }
 
-// checkSlowStart counts an offer or a probe to a machine, from schedulers that were told of its start, against its budget.
+// checkSlowStart counts an offer or a probe to a machine, from schedulers that were told of its start, against its
+// budget.
 func (c *checker) checkSlowStart(s *schedulerState, machine string) {
 	m := s.machines[machine]
 	if m == nil {
--- a/internal/testbed/audit/rule_spread.go
+++ b/internal/testbed/audit/rule_spread.go
@@ -6,8 +6,8 @@
 	"glenport/scheduler"
 )
 
-// checkSpread counts what a scheduler has of a service in the scope of an attempt's machine, with this attempt: what runs, and the
-// attempts whose timeout is not over.
+// checkSpread counts what a scheduler has of a service in the scope of an attempt's machine, with this attempt: what
+// runs, and the attempts whose timeout is not over.
 func (c *checker) checkSpread(s *schedulerState, a *attempt, class scheduler.WorkloadClass) {
 	if class.SpreadScope == scheduler.ScopeNone {
 		return
@@ -24,7 +24,15 @@
 	}
 	if count := len(evidence); count > class.MaxPerScope {
 		slices.Sort(evidence)
-		c.violate(RuleSpread, a.sent, evidence, "%s has %d containers of service %s in one scope, %d are allowed", s.name, count,
-			a.spec.Service, class.MaxPerScope)
+		c.violate(
+			RuleSpread,
+			a.sent,
+			evidence,
+			"%s has %d containers of service %s in one scope, %d are allowed",
+			s.name,
+			count,
+			a.spec.Service,
+			class.MaxPerScope,
+		)
 	}
 }
--- a/internal/testbed/audit/state.go
+++ b/internal/testbed/audit/state.go
@@ -75,8 +75,15 @@
 		spec:     f.Spec,
 		sent:     c.now,
 		deadline: c.now + scheduler.Time(f.Timeout),
-		text: fmt.Sprintf("%.1f ms %s offers %s to %s, attempt %d, timeout %.1f ms", milliseconds(c.now), s.name, f.Spec.ContainerID,
-			conn.name, f.AttemptID, milliseconds(scheduler.Time(f.Timeout))),
+		text: fmt.Sprintf(
+			"%.1f ms %s offers %s to %s, attempt %d, timeout %.1f ms",
+			milliseconds(c.now),
+			s.name,
+			f.Spec.ContainerID,
+			conn.name,
+			f.AttemptID,
+			milliseconds(scheduler.Time(f.Timeout)),
+		),
 	}
 	r := c.checkOfferIsOwed(s, a)
 	class, known := c.workloadClass(f.Spec.WorkloadClass)
@@ -139,8 +146,13 @@
 			spec:    item.Spec,
 			sent:    c.now,
 			ran:     true,
-			text: fmt.Sprintf("%.1f ms %s has %s of %s in its inventory", milliseconds(c.now), conn.name, item.Spec.ContainerID,
-				s.name),
+			text: fmt.Sprintf(
+				"%.1f ms %s has %s of %s in its inventory",
+				milliseconds(c.now),
+				conn.name,
+				item.Spec.ContainerID,
+				s.name,
+			),
 		}
 		conn.attempts[a.id] = a
 		s.inFlight[a] = true
--- a/internal/testbed/emulator/bgppeer.go
+++ b/internal/testbed/emulator/bgppeer.go
@@ -305,7 +305,9 @@
 	}
 	for _, prefix := range update.Announced {
 		p.routes[prefix] = routeState{}
-		p.recordChange(RouteChange{At: now, Prefix: prefix, LocalPref: update.Path.LocalPref, GracefulShutdown: shutdown})
+		p.recordChange(
+			RouteChange{At: now, Prefix: prefix, LocalPref: update.Path.LocalPref, GracefulShutdown: shutdown},
+		)
 	}
 }
 
@@ -334,8 +336,8 @@
 	}
 }
 
-// sessionLost removes the routes of a session that has ended; they stay stale for the agreed time where the speaker may be
-// restarting.
+// sessionLost removes the routes of a session that has ended; they stay stale for the agreed time where the speaker may
+// be restarting.
 func (p *BGPPeer) sessionLost(open *wire.Open, notified bool) {
 	if open.Restart == nil || notified || p.closed {
 		p.removeAll()
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -33,8 +33,8 @@
 	RetryUnanswered  bool // retried when the connection ended without an answer
 }
 
-// Tally counts what clients saw. Every submission ends in one of Placed, Rejected, Failed, NotAdmitted, Unanswered, Unsent and
-// Pending.
+// Tally counts what clients saw. Every submission ends in one of Placed, Rejected, Failed, NotAdmitted, Unanswered,
+// Unsent and Pending.
 type Tally struct {
 	Submitted        int
 	Placed           int
@@ -269,8 +269,8 @@
 	}
 }
 
-// connectionLost ends what was outstanding at a scheduler. What may run and must not run twice is left alone; the rest is
-// retried elsewhere.
+// connectionLost ends what was outstanding at a scheduler. What may run and must not run twice is left alone; the rest
+// is retried elsewhere.
 func (c *Clients) connectionLost(scheduler int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -290,7 +290,8 @@
 	}
 }
 
-// retryLater submits again after a delay, to which the default backoff adds a span by chance that doubles with each retry.
+// retryLater submits again after a delay, to which the default backoff adds a span by chance that doubles with each
+// retry.
 func (c *Clients) retryLater(s *submission, delay time.Duration) {
 	limit := maxRetries
 	if c.Backoff != nil {
--- a/internal/testbed/emulator/conn.go
+++ b/internal/testbed/emulator/conn.go
@@ -14,8 +14,8 @@
 	protocolTick      = 100 * time.Microsecond
 )
 
-// closeQuietly closes a connection or listener that is given up. The error is ignored: whoever reads from it sees the end
-// either way, and nothing buffered is owed to the other side.
+// closeQuietly closes a connection or listener that is given up. The error is ignored: whoever reads from it sees the
+// end either way, and nothing buffered is owed to the other side.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
 // resetConn closes a connection with a TCP reset in place of an orderly end.
--- a/internal/testbed/emulator/list.go
+++ b/internal/testbed/emulator/list.go
@@ -14,8 +14,8 @@
 	maxDeltaEntries     = 10_000 // beyond which a watch is answered by a full snapshot
 )
 
-// MachineList is the machine list service: its view of the machines is some time old, and it answers only so many calls a
-// second.
+// MachineList is the machine list service: its view of the machines is some time old, and it answers only so many calls
+// a second.
 type MachineList struct {
 	Lag              time.Duration // from a change to its place in the list
 	FailureDetection time.Duration // until a machine that is down is listed as gone
@@ -160,17 +160,19 @@
 	return all
 }
 
-// observeMachine is a machine's entry; a machine that does not answer keeps its last one until it counts as gone. A machine
-// that was never up is not listed.
+// observeMachine is a machine's entry; a machine that does not answer keeps its last one until it counts as gone. A
+// machine that was never up is not listed.
 func (l *MachineList) observeMachine(m *Machine, now time.Time) (entry protocol.MachineEntry, listed bool) {
 	status, ok := m.Status()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	entry, known := l.current[m.Name]
 	if ok {
-		entry = protocol.MachineEntry{Machine: m.Name, Address: l.Address(m), Zone: m.ZoneIndex, MachineType: m.MachineTypeIndex,
+		entry = protocol.MachineEntry{
+			Machine: m.Name, Address: l.Address(m), Zone: m.ZoneIndex, MachineType: m.MachineTypeIndex,
 			RackGroup: m.RackGroupIndex, FreeCores: status.FreeCores, FreeMemory: status.FreeMemory, PowerHint: 1,
-			Incarnation: status.Incarnation, State: l.operatorState[m.Name]}
+			Incarnation: status.Incarnation, State: l.operatorState[m.Name],
+		}
 		l.startedAt[m.Name] = status.StartedAt
 	}
 	up := ok && status.Up
--- a/internal/testbed/emulator/machine.go
+++ b/internal/testbed/emulator/machine.go
@@ -32,16 +32,17 @@
 	SlowStartPeriod                             time.Duration // after a start
 	SlowStartInitialPace                        float64       // part of the full pace just after a start
 	SlowStartWindow                             time.Duration
-	SlowStartCapacity                           int   // offers in a window beyond which it crashes in slow start; 0: no limit
-	AcceptMeansRunning                          bool  // it accepts once the container runs, not before
-	UsageReports                                bool  // it reports the memory in use
-	RequiredMachineType                         []int // -1: any
-	EvictionRank                                []int // the lowest is evicted first
-	MemoryDrift                                 float64
+	// offers in a window beyond which it crashes in slow start; 0: no limit
+	SlowStartCapacity   int
+	AcceptMeansRunning  bool  // it accepts once the container runs, not before
+	UsageReports        bool  // it reports the memory in use
+	RequiredMachineType []int // -1: any
+	EvictionRank        []int // the lowest is evicted first
+	MemoryDrift         float64
 }
 
-// Machine is one emulated machine. Its state belongs to one goroutine, which runs posted tasks one after another; a frozen
-// machine runs none, as a stopped process would.
+// Machine is one emulated machine. Its state belongs to one goroutine, which runs posted tasks one after another; a
+// frozen machine runs none, as a stopped process would.
 type Machine struct {
 	MachineSpec
 	DedupGroup *DedupGroup
@@ -162,8 +163,8 @@
 	m.wake.Broadcast()
 }
 
-// Start starts the machine, in slow start unless warm is set. It listens where it listened before. A machine that is up, or
-// that was overwhelmed, stays as it is.
+// Start starts the machine, in slow start unless warm is set. It listens where it listened before. A machine that is
+// up, or that was overwhelmed, stays as it is.
 func (m *Machine) Start(warm bool) (err error) {
 	m.postAndWait(func() {
 		if !m.up && !m.overwhelmed {
@@ -254,7 +255,8 @@
 	m.background.Wait()
 }
 
-// SetDraining has the machine refuse offers or take them again; with evacuate set it also ends its containers one by one.
+// SetDraining has the machine refuse offers or take them again; with evacuate set it also ends its containers one by
+// one.
 func (m *Machine) SetDraining(draining, evacuate bool) {
 	m.postAndWait(func() {
 		m.draining, m.evacuating = draining, draining && evacuate
--- a/internal/testbed/emulator/machine_conn.go
+++ b/internal/testbed/emulator/machine_conn.go
@@ -29,8 +29,10 @@
 	if err != nil || !ok || hello.Role != protocol.RoleScheduler {
 		return
 	}
-	sc := &schedulerConn{Conn: conn, scheduler: hello.Name, incarnation: hello.Incarnation,
-		frames: make(chan []byte, maxQueuedFrames)}
+	sc := &schedulerConn{
+		Conn: conn, scheduler: hello.Name, incarnation: hello.Incarnation,
+		frames: make(chan []byte, maxQueuedFrames),
+	}
 	stop := make(chan struct{})
 	defer close(stop)
 	m.background.Go(func() { sc.writeAll(stop) })
@@ -94,7 +96,8 @@
 	for _, c := range m.sortedContainers() {
 		if c.key.scheduler == sc.scheduler && c.accepted {
 			inventory.Containers = append(inventory.Containers, protocol.InventoryItem{
-				SchedulerIncarnation: c.key.incarnation, AttemptID: c.key.attemptID, Running: c.running, Spec: c.spec})
+				SchedulerIncarnation: c.key.incarnation, AttemptID: c.key.attemptID, Running: c.running, Spec: c.spec,
+			})
 		}
 	}
 	sc.send(protocol.NewHello(protocol.RoleMachine, m.Name, m.incarnation))
--- a/internal/testbed/emulator/machine_containers.go
+++ b/internal/testbed/emulator/machine_containers.go
@@ -136,7 +136,14 @@
 		c.memoryUse = min(max(0.2, c.memoryUse+m.MemoryDrift*(m.rng.Float64()-0.5)), 1.6)
 		used += m.memoryInUse(c)
 		if m.UsageReports {
-			m.sendTo(c, &protocol.UsageReport{AttemptID: c.key.attemptID, Metric: protocol.MetricMemoryUsed, Value: m.memoryInUse(c)})
+			m.sendTo(
+				c,
+				&protocol.UsageReport{
+					AttemptID: c.key.attemptID,
+					Metric:    protocol.MetricMemoryUsed,
+					Value:     m.memoryInUse(c),
+				},
+			)
 		}
 	}
 	m.evictUntilFits(all, used)
--- a/internal/testbed/faultproxy/connection.go
+++ b/internal/testbed/faultproxy/connection.go
@@ -51,8 +51,8 @@
 	c.proxy.stateChanged.Broadcast()
 }
 
-// run forwards both ways, first the frame that was read already, and returns when both directions have ended. The end of
-// one ends the other.
+// run forwards both ways, first the frame that was read already, and returns when both directions have ended. The end
+// of one ends the other.
 func (c *connection) run(first rawFrame) {
 	done := make(chan struct{}, 2)
 	c.proxy.background.Go(func() {
--- a/internal/testbed/faultproxy/proxy.go
+++ b/internal/testbed/faultproxy/proxy.go
@@ -19,8 +19,8 @@
 	Delay       time.Duration
 }
 
-// Rule decides on the fault of the connection between a scheduler and a peer. It is called for each frame with the proxy's
-// lock held.
+// Rule decides on the fault of the connection between a scheduler and a peer. It is called for each frame with the
+// proxy's lock held.
 type Rule func(scheduler string, peer protocol.Role, peerName string) Fault
 
 // Proxy is the network of a trial: listeners in front of what schedulers talk to, which record what passes, and the
@@ -88,9 +88,9 @@
 	p.background.Wait()
 }
 
-// Listen opens a listener in front of the address that target returns at each connection, and returns its own address. One
-// of the two ends of a connection is a scheduler. Where the scheduler connects, peer and name are those of the target;
-// where clients connect to a scheduler, peer is RoleClient and name is the scheduler's.
+// Listen opens a listener in front of the address that target returns at each connection, and returns its own address.
+// One of the two ends of a connection is a scheduler. Where the scheduler connects, peer and name are those of the
+// target; where clients connect to a scheduler, peer is RoleClient and name is the scheduler's.
 func (p *Proxy) Listen(peer protocol.Role, name string, target func() string) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -175,8 +175,8 @@
 	return true
 }
 
-// closeQuietly closes a connection or listener that is given up. The error is ignored: whoever reads from it sees the end
-// either way.
+// closeQuietly closes a connection or listener that is given up. The error is ignored: whoever reads from it sees the
+// end either way.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
 // resetConn closes a connection with a TCP reset in place of an orderly end.
--- a/internal/testbed/faultproxy/record.go
+++ b/internal/testbed/faultproxy/record.go
@@ -72,8 +72,8 @@
 // Unwrap returns the cause.
 func (e *FormatError) Unwrap() error { return e.Cause }
 
-// Writer writes a recording; any goroutine may use it. Entries are stamped and ordered at once, and encoded and written by
-// a goroutine of the writer: a slow disk must not delay the frames.
+// Writer writes a recording; any goroutine may use it. Entries are stamped and ordered at once, and encoded and written
+// by a goroutine of the writer: a slow disk must not delay the frames.
 type Writer struct {
 	startedAt time.Time
 	mu        sync.Mutex
@@ -96,7 +96,8 @@
 	return w, nil
 }
 
-// writeAll encodes pending entries until the end. It goes on after an error, so that nobody waits, and returns the first.
+// writeAll encodes pending entries until the end. It goes on after an error, so that nobody waits, and returns the
+// first.
 func (w *Writer) writeAll(file *os.File, header Header) error {
 	out := bufio.NewWriterSize(file, bufferSize)
 	encoder := cbor.NewEncoder(out)
--- a/internal/testbed/faultproxy/record_test.go
+++ b/internal/testbed/faultproxy/record_test.go
@@ -26,19 +26,63 @@
 
 func goldenHeader() Header {
 	return Header{Format: "glenport record 1", DrainGrace: 1001, Slack: 1002, Config: scheduler.Config{
-		Seed: 1<<64 - 1, SchedulerIndex: 2001, SchedulerCount: 2002,
+		Seed:           1<<64 - 1,
+		SchedulerIndex: 2001,
+		SchedulerCount: 2002,
 		WorkloadClasses: []scheduler.WorkloadClass{
-			{Idempotency: scheduler.Idempotent, DedupScope: scheduler.ScopeNone, DedupWindow: 3001, LatencyObjective: 3002, PlacementTimeout: 3003, MachineType: -1,
-				SpreadScope: scheduler.ScopeMachine, MaxPerScope: 3004, PriorityWeight: 3005.5},
-			{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeRackGroup, DedupWindow: 3011, LatencyObjective: 3012, PlacementTimeout: 3013, MachineType: 3014,
-				SpreadScope: scheduler.ScopeZone, MaxPerScope: 3015, PriorityWeight: 0.25},
-			{Idempotency: scheduler.AtMostOnce, DedupScope: scheduler.ScopeFleet, DedupWindow: 3021, LatencyObjective: 3022, PlacementTimeout: 3023, MachineType: 3024,
-				SpreadScope: scheduler.ScopeNone, MaxPerScope: 3025, PriorityWeight: 1}},
-		MachineTypes:    []scheduler.MachineType{{Cores: 4001.5, Memory: 4002.5}, {Cores: 4003, Memory: 4004}},
-		Tenants:         []scheduler.Tenant{{QuotaCores: 5001.5}, {QuotaCores: 5002}},
-		OverQuotaWeight: 6001.5, CoresOvercommit: 6002.5, MemoryOvercommit: 6003.5, MeanCores: 6004.5, MeanMemory: 6005.5,
-		AcceptMeansRunning: true, UsageReports: false, ListTracksRequests: true, ProbesAllowed: false, MaxAttempts: 6006, AnswerGrace: 6007, ListOnRequest: true,
-		ResyncInterval: 6008, SlowStartPeriod: 6009, SlowStartWindow: 6010, SlowStartBudget: 6011}}
+			{
+				Idempotency:      scheduler.Idempotent,
+				DedupScope:       scheduler.ScopeNone,
+				DedupWindow:      3001,
+				LatencyObjective: 3002,
+				PlacementTimeout: 3003,
+				MachineType:      -1,
+				SpreadScope:      scheduler.ScopeMachine,
+				MaxPerScope:      3004,
+				PriorityWeight:   3005.5,
+			},
+			{
+				Idempotency:      scheduler.IdempotentWithKey,
+				DedupScope:       scheduler.ScopeRackGroup,
+				DedupWindow:      3011,
+				LatencyObjective: 3012,
+				PlacementTimeout: 3013,
+				MachineType:      3014,
+				SpreadScope:      scheduler.ScopeZone,
+				MaxPerScope:      3015,
+				PriorityWeight:   0.25,
+			},
+			{
+				Idempotency:      scheduler.AtMostOnce,
+				DedupScope:       scheduler.ScopeFleet,
+				DedupWindow:      3021,
+				LatencyObjective: 3022,
+				PlacementTimeout: 3023,
+				MachineType:      3024,
+				SpreadScope:      scheduler.ScopeNone,
+				MaxPerScope:      3025,
+				PriorityWeight:   1,
+			},
+		},
+		MachineTypes:       []scheduler.MachineType{{Cores: 4001.5, Memory: 4002.5}, {Cores: 4003, Memory: 4004}},
+		Tenants:            []scheduler.Tenant{{QuotaCores: 5001.5}, {QuotaCores: 5002}},
+		OverQuotaWeight:    6001.5,
+		CoresOvercommit:    6002.5,
+		MemoryOvercommit:   6003.5,
+		MeanCores:          6004.5,
+		MeanMemory:         6005.5,
+		AcceptMeansRunning: true,
+		UsageReports:       false,
+		ListTracksRequests: true,
+		ProbesAllowed:      false,
+		MaxAttempts:        6006,
+		AnswerGrace:        6007,
+		ListOnRequest:      true,
+		ResyncInterval:     6008,
+		SlowStartPeriod:    6009,
+		SlowStartWindow:    6010,
+		SlowStartBudget:    6011,
+	}}
 }
 
 func goldenEntries(t *testing.T) []Entry {
@@ -50,14 +94,55 @@
 		return p[4:]
 	}
 	return []Entry{
-		{At: 7001, Kind: Opened, ConnID: 7002, Scheduler: "scheduler-7003", Peer: protocol.RoleMachine, PeerName: "machine-7004"},
-		{At: 7011, Kind: FromScheduler, ConnID: 7012, Scheduler: "scheduler-7013", Peer: protocol.RoleMachine, PeerName: "machine-7014",
-			Frame: frame(&protocol.Offer{AttemptID: 7015, Timeout: 7016, Spec: protocol.ContainerSpec{ContainerID: "c", IdempotencyKey: "k", Service: "s"}})},
-		{At: 7021, Kind: ToScheduler, ConnID: 7022, Scheduler: "scheduler-7023", Peer: protocol.RoleMachine, PeerName: "machine-7024",
-			Frame: frame(&protocol.Accept{AttemptID: 7025, Running: true})},
-		{At: 7031, Kind: Lost, ConnID: 7032, Scheduler: "scheduler-7033", Peer: protocol.RoleMachineList, PeerName: "list-7034",
-			Frame: frame(&protocol.MachineListError{Message: "text 7035"})},
-		{At: 7041, Kind: Closed, ConnID: 7042, Scheduler: "scheduler-7043", Peer: protocol.RoleClient, PeerName: "client-7044"},
+		{
+			At:        7001,
+			Kind:      Opened,
+			ConnID:    7002,
+			Scheduler: "scheduler-7003",
+			Peer:      protocol.RoleMachine,
+			PeerName:  "machine-7004",
+		},
+		{
+			At:        7011,
+			Kind:      FromScheduler,
+			ConnID:    7012,
+			Scheduler: "scheduler-7013",
+			Peer:      protocol.RoleMachine,
+			PeerName:  "machine-7014",
+			Frame: frame(
+				&protocol.Offer{
+					AttemptID: 7015,
+					Timeout:   7016,
+					Spec:      protocol.ContainerSpec{ContainerID: "c", IdempotencyKey: "k", Service: "s"},
+				},
+			),
+		},
+		{
+			At:        7021,
+			Kind:      ToScheduler,
+			ConnID:    7022,
+			Scheduler: "scheduler-7023",
+			Peer:      protocol.RoleMachine,
+			PeerName:  "machine-7024",
+			Frame:     frame(&protocol.Accept{AttemptID: 7025, Running: true}),
+		},
+		{
+			At:        7031,
+			Kind:      Lost,
+			ConnID:    7032,
+			Scheduler: "scheduler-7033",
+			Peer:      protocol.RoleMachineList,
+			PeerName:  "list-7034",
+			Frame:     frame(&protocol.MachineListError{Message: "text 7035"}),
+		},
+		{
+			At:        7041,
+			Kind:      Closed,
+			ConnID:    7042,
+			Scheduler: "scheduler-7043",
+			Peer:      protocol.RoleClient,
+			PeerName:  "client-7044",
+		},
 		{At: 7051, Kind: Killed, Scheduler: "scheduler-7053"},
 		{At: 7061, Kind: Started, Scheduler: "scheduler-7063", Peer: protocol.RoleScheduler},
 		{At: -1, Kind: 255, ConnID: 1<<32 - 1},
@@ -71,8 +156,19 @@
 	fmt.Fprintf(&out, "Format %q, DrainGrace %d, Slack %d\n", h.Format, h.DrainGrace, h.Slack)
 	fmt.Fprintf(&out, "Seed %d, Me %d, Placers %d\n", terms.Seed, terms.SchedulerIndex, terms.SchedulerCount)
 	for _, w := range terms.WorkloadClasses {
-		fmt.Fprintf(&out, "Workload: Effect %d, Repeats %d, Window %d, Agreed %d, HardStop %d, Kind %d, Spread %d, Most %d, Gain %v\n",
-			w.Idempotency, w.DedupScope, w.DedupWindow, w.LatencyObjective, w.PlacementTimeout, w.MachineType, w.SpreadScope, w.MaxPerScope, w.PriorityWeight)
+		fmt.Fprintf(
+			&out,
+			"Workload: Effect %d, Repeats %d, Window %d, Agreed %d, HardStop %d, Kind %d, Spread %d, Most %d, Gain %v\n",
+			w.Idempotency,
+			w.DedupScope,
+			w.DedupWindow,
+			w.LatencyObjective,
+			w.PlacementTimeout,
+			w.MachineType,
+			w.SpreadScope,
+			w.MaxPerScope,
+			w.PriorityWeight,
+		)
 	}
 	for _, k := range terms.MachineTypes {
 		fmt.Fprintf(&out, "Kind: Cores %v, Memory %v\n", k.Cores, k.Memory)
@@ -80,15 +176,46 @@
 	for _, c := range terms.Tenants {
 		fmt.Fprintf(&out, "Customer: Cores %v\n", c.QuotaCores)
 	}
-	fmt.Fprintf(&out, "OverShare %v, AcceptCores %v, AcceptMemory %v, MeanCores %v, MeanMemory %v\n", terms.OverQuotaWeight,
-		terms.CoresOvercommit, terms.MemoryOvercommit, terms.MeanCores, terms.MeanMemory)
-	fmt.Fprintf(&out, "YesRuns %t, UseNotes %t, ListedAsks %t, MayProbe %t, MostBids %d, AnswerGrace %d, ListOnAsk %t\n",
-		terms.AcceptMeansRunning, terms.UsageReports, terms.ListTracksRequests, terms.ProbesAllowed, terms.MaxAttempts, terms.AnswerGrace, terms.ListOnRequest)
-	fmt.Fprintf(&out, "AskWithin %d, ColdFor %d, ColdWindow %d, ColdBids %d\n", terms.ResyncInterval, terms.SlowStartPeriod,
-		terms.SlowStartWindow, terms.SlowStartBudget)
+	fmt.Fprintf(
+		&out,
+		"OverShare %v, AcceptCores %v, AcceptMemory %v, MeanCores %v, MeanMemory %v\n",
+		terms.OverQuotaWeight,
+		terms.CoresOvercommit,
+		terms.MemoryOvercommit,
+		terms.MeanCores,
+		terms.MeanMemory,
+	)
+	fmt.Fprintf(
+		&out,
+		"YesRuns %t, UseNotes %t, ListedAsks %t, MayProbe %t, MostBids %d, AnswerGrace %d, ListOnAsk %t\n",
+		terms.AcceptMeansRunning,
+		terms.UsageReports,
+		terms.ListTracksRequests,
+		terms.ProbesAllowed,
+		terms.MaxAttempts,
+		terms.AnswerGrace,
+		terms.ListOnRequest,
+	)
+	fmt.Fprintf(
+		&out,
+		"AskWithin %d, ColdFor %d, ColdWindow %d, ColdBids %d\n",
+		terms.ResyncInterval,
+		terms.SlowStartPeriod,
+		terms.SlowStartWindow,
+		terms.SlowStartBudget,
+	)
 	for _, e := range entries {
-		fmt.Fprintf(&out, "Entry: At %d, Sort %d, Link %d, Placer %q, Far %d, Name %q, Frame %x\n", e.At, e.Kind, e.ConnID,
-			e.Scheduler, e.Peer, e.PeerName, e.Frame)
+		fmt.Fprintf(
+			&out,
+			"Entry: At %d, Sort %d, Link %d, Placer %q, Far %d, Name %q, Frame %x\n",
+			e.At,
+			e.Kind,
+			e.ConnID,
+			e.Scheduler,
+			e.Peer,
+			e.PeerName,
+			e.Frame,
+		)
 	}
 	return out.String()
 }
--- a/internal/testbed/modelcheck/checker.go
+++ b/internal/testbed/modelcheck/checker.go
@@ -1,6 +1,6 @@
-// Package modelcheck plays every order of a few events against schedulers of a tiny fleet, and checks the five rules after
-// each event. Only tests use it. The checker sees the events that go into schedulers and the actions that come out, never
-// their fields, and keeps its own account.
+// Package modelcheck plays every order of a few events against schedulers of a tiny fleet, and checks the five rules
+// after each event. Only tests use it. The checker sees the events that go into schedulers and the actions that come
+// out, never their fields, and keeps its own account.
 package modelcheck
 
 import (
@@ -20,8 +20,8 @@
 
 // Checker follows all schedulers of a fleet through one sequence of events.
 type Checker struct {
-	// Violations lists what was broken, in order; each begins with "rule N: ", or with "placement: " for an attempt at a
-	// machine that the container was offered to before.
+	// Violations lists what was broken, in order; each begins with "rule N: ", or with "placement: " for an attempt at
+	// a machine that the container was offered to before.
 	Violations []string
 
 	config          scheduler.Config
@@ -121,8 +121,10 @@
 func (in *incarnation) adopt(event scheduler.ContainerAdopted) {
 	running := &attempt{machine: event.Machine, outstanding: true, mayRun: true}
 	running.setLocation(in.machines[event.Machine])
-	in.containers[event.ID] = &container{request: event.PlacementRequest, attempts: []*attempt{running},
-		answered: true, settled: true, running: true}
+	in.containers[event.ID] = &container{
+		request: event.PlacementRequest, attempts: []*attempt{running},
+		answered: true, settled: true, running: true,
+	}
 }
 
 func (c *container) attemptEnded(event scheduler.AttemptEnded) {
@@ -141,7 +143,8 @@
 }
 
 func neverRan(outcome scheduler.Outcome) bool {
-	return outcome == scheduler.OutcomeFull || outcome == scheduler.OutcomeConnectFailed || outcome == scheduler.OutcomeNotSent
+	return outcome == scheduler.OutcomeFull || outcome == scheduler.OutcomeConnectFailed ||
+		outcome == scheduler.OutcomeNotSent
 }
 
 func (in *incarnation) applyUpdate(now scheduler.Time, update scheduler.MachineListUpdate) {
--- a/internal/testbed/modelcheck/events.go
+++ b/internal/testbed/modelcheck/events.go
@@ -170,8 +170,10 @@
 // adopt gives the first scheduler a container that was found running on a machine.
 func (w *World) adopt(e event) {
 	like := w.Requests[0]
-	found := scheduler.PlacementRequest{ID: w.newContainerID(), Service: like.Service, WorkloadClass: like.WorkloadClass,
-		Cores: 1, Memory: 1}
+	found := scheduler.PlacementRequest{
+		ID: w.newContainerID(), Service: like.Service, WorkloadClass: like.WorkloadClass,
+		Cores: 1, Memory: 1,
+	}
 	w.deliver(0, scheduler.ContainerAdopted{PlacementRequest: found, Machine: e.machine}, e.batched)
 }
 
@@ -190,8 +192,10 @@
 		return
 	}
 	delete(w.placements, e.container)
-	w.deliver(placed.scheduler, scheduler.AttemptEnded{ID: e.container, Outcome: outcomes[e.kind], Machine: placed.machine,
-		Final: e.kind == eventFinished || e.kind == eventLost}, e.batched)
+	w.deliver(placed.scheduler, scheduler.AttemptEnded{
+		ID: e.container, Outcome: outcomes[e.kind], Machine: placed.machine,
+		Final: e.kind == eventFinished || e.kind == eventLost,
+	}, e.batched)
 }
 
 func (w *World) changeMachine(e event) {
@@ -219,8 +223,8 @@
 	}
 }
 
-// restartScheduler ends the first scheduler and starts its next incarnation, with or without what it had learned. It adopts
-// what runs; what was only offered is cancelled.
+// restartScheduler ends the first scheduler and starts its next incarnation, with or without what it had learned. It
+// adopts what runs; what was only offered is cancelled.
 func (w *World) restartScheduler(withSnapshot bool) {
 	config := w.Config
 	config.SchedulerCount = w.Schedulers
--- a/internal/testbed/modelcheck/modelcheck_test.go
+++ b/internal/testbed/modelcheck/modelcheck_test.go
@@ -10,26 +10,52 @@
 
 // tiny has machines a and b in one zone and c in another, and a workload class of each idempotency and of spread.
 func tiny() World {
-	w := World{Schedulers: 1, DrainGrace: 250 * scheduler.Millisecond, NewScheduler: func(t scheduler.Config) Decider { return scheduler.New(t) },
-		Config: scheduler.Config{Seed: 7, CoresOvercommit: 2, MemoryOvercommit: 2, MeanCores: 1, MeanMemory: 1, ProbesAllowed: true, MaxAttempts: 4,
-			SchedulerCount: 1, MachineTypes: []scheduler.MachineType{{Cores: 10, Memory: 10}}, SlowStartPeriod: 10 * scheduler.Second, SlowStartWindow: 2 * scheduler.Second,
-			SlowStartBudget: 2, AnswerGrace: 10 * scheduler.Millisecond, ResyncInterval: 10 * scheduler.Second}}
-	for _, l := range []scheduler.WorkloadClass{{Idempotency: scheduler.Idempotent}, {Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeZone, DedupWindow: scheduler.Second},
-		{Idempotency: scheduler.AtMostOnce}, {Idempotency: scheduler.Idempotent, SpreadScope: scheduler.ScopeZone, MaxPerScope: 1},
-		{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeFleet, DedupWindow: scheduler.Second}} {
+	w := World{
+		Schedulers:   1,
+		DrainGrace:   250 * scheduler.Millisecond,
+		NewScheduler: func(t scheduler.Config) Decider { return scheduler.New(t) },
+		Config: scheduler.Config{
+			Seed:             7,
+			CoresOvercommit:  2,
+			MemoryOvercommit: 2,
+			MeanCores:        1,
+			MeanMemory:       1,
+			ProbesAllowed:    true,
+			MaxAttempts:      4,
+			SchedulerCount:   1,
+			MachineTypes:     []scheduler.MachineType{{Cores: 10, Memory: 10}},
+			SlowStartPeriod:  10 * scheduler.Second,
+			SlowStartWindow:  2 * scheduler.Second,
+			SlowStartBudget:  2,
+			AnswerGrace:      10 * scheduler.Millisecond,
+			ResyncInterval:   10 * scheduler.Second,
+		},
+	}
+	for _, l := range []scheduler.WorkloadClass{
+		{Idempotency: scheduler.Idempotent},
+		{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeZone, DedupWindow: scheduler.Second},
+		{Idempotency: scheduler.AtMostOnce},
+		{Idempotency: scheduler.Idempotent, SpreadScope: scheduler.ScopeZone, MaxPerScope: 1},
+		{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeFleet, DedupWindow: scheduler.Second},
+	} {
 		l.MachineType, l.LatencyObjective, l.PlacementTimeout, l.PriorityWeight = -1, scheduler.Second, 3*scheduler.Second, 1
 		w.Config.WorkloadClasses = append(w.Config.WorkloadClasses, l)
 	}
 	for i, id := range []scheduler.MachineID{"a", "b", "c"} {
-		w.Machines = append(w.Machines, scheduler.MachineEntry{Machine: id, Zone: i / 2, RackGroup: i, FreeCores: 10, FreeMemory: 10})
+		w.Machines = append(
+			w.Machines,
+			scheduler.MachineEntry{Machine: id, Zone: i / 2, RackGroup: i, FreeCores: 10, FreeMemory: 10},
+		)
 	}
 	return w
 }
 
 func (w World) withRequests(workloads ...int) World {
 	for i, l := range workloads {
-		w.Requests = append(w.Requests, scheduler.PlacementRequest{ID: scheduler.ContainerID(string(rune('x' + i))), Service: "s", WorkloadClass: l, Cores: 1, Memory: 1,
-			Deadline: 3 * scheduler.Second})
+		w.Requests = append(w.Requests, scheduler.PlacementRequest{
+			ID: scheduler.ContainerID(string(rune('x' + i))), Service: "s", WorkloadClass: l, Cores: 1, Memory: 1,
+			Deadline: 3 * scheduler.Second,
+		})
 	}
 	return w
 }
@@ -51,13 +77,46 @@
 	world World
 	depth int
 }{
-	{"outcomes of each idempotency, and machine lists", tiny().withRequests(2, 1, 0).withEvents("request, accept x, timeout x, full x, timeout y, errored y, timeout z, drain a, leave b, back b, list, usage x"), 5},
-	{"idempotent with a key, its machine leaves and comes back", tiny().withRequests(1).withEvents("request, timeout x, full x, unsent x, stopped x, accept x, leave a, back a, leave b, restart b, wait, list"), 5},
-	{"machine list changes during attempts", tiny().withRequests(0, 2).withEvents("request, full x, timeout y, drain a, drain b, back a, leave c, back c, list, failed, wait"), 5},
-	{"cancelled, stopped and lost", tiny().withRequests(4, 2).withEvents("request, accept x, stopped x, cancel x, lost x, reset y, cancel y, unsent y, usage x, wait"), 6},
-	{"slow-start budget of two schedulers", pair().withRequests(0, 0, 0, 0, 0, 0, 0, 0).withEvents("request, full x, restart a, leave a, back a"), 7},
-	{"slow start, listed late", pair().withRequests(0, 0, 0, 0, 0, 0, 0, 0).withEvents("request, restart late a, list, timeout x, full z, probed a, wait"), 7},
-	{"slow start, and the scheduler restarts", pair().withRequests(0, 0, 0, 0, 0, 0, 0, 0).withEvents("request, restart a, crash, forget, full x, wait"), 6},
+	{
+		"outcomes of each idempotency, and machine lists",
+		tiny().withRequests(2, 1, 0).
+			withEvents("request, accept x, timeout x, full x, timeout y, errored y, timeout z, drain a, leave b, back b, list, usage x"),
+		5,
+	},
+	{
+		"idempotent with a key, its machine leaves and comes back",
+		tiny().withRequests(1).
+			withEvents("request, timeout x, full x, unsent x, stopped x, accept x, leave a, back a, leave b, restart b, wait, list"),
+		5,
+	},
+	{
+		"machine list changes during attempts",
+		tiny().withRequests(0, 2).
+			withEvents("request, full x, timeout y, drain a, drain b, back a, leave c, back c, list, failed, wait"),
+		5,
+	},
+	{
+		"cancelled, stopped and lost",
+		tiny().withRequests(4, 2).
+			withEvents("request, accept x, stopped x, cancel x, lost x, reset y, cancel y, unsent y, usage x, wait"),
+		6,
+	},
+	{
+		"slow-start budget of two schedulers",
+		pair().withRequests(0, 0, 0, 0, 0, 0, 0, 0).withEvents("request, full x, restart a, leave a, back a"),
+		7,
+	},
+	{
+		"slow start, listed late",
+		pair().withRequests(0, 0, 0, 0, 0, 0, 0, 0).
+			withEvents("request, restart late a, list, timeout x, full z, probed a, wait"),
+		7,
+	},
+	{
+		"slow start, and the scheduler restarts",
+		pair().withRequests(0, 0, 0, 0, 0, 0, 0, 0).withEvents("request, restart a, crash, forget, full x, wait"),
+		6,
+	},
 	{"spread, and adopted containers", func() World { w := tiny().withRequests(3, 3, 3); w.Batches = true; return w }().
 		withEvents("request, adopt a, adopt c, accept x, full x, full y, cancel x, lost x, leave a, back a"), 4},
 }
--- a/internal/testbed/modelcheck/mutant.go
+++ b/internal/testbed/modelcheck/mutant.go
@@ -6,7 +6,8 @@
 	"glenport/scheduler"
 )
 
-// Mutant withholds something from a scheduler, so that it breaks one rule: a checker that does not see it checks nothing.
+// Mutant withholds something from a scheduler, so that it breaks one rule: a checker that does not see it checks
+// nothing.
 type Mutant struct {
 	Decider
 	Rule int // 1 to 5
--- a/internal/testbed/modelcheck/rules.go
+++ b/internal/testbed/modelcheck/rules.go
@@ -86,7 +86,13 @@
 			c.Violations = append(c.Violations, fmt.Sprintf("placement: %s is offered to %s again", id, next.machine))
 		}
 		if earlier.outstanding {
-			c.violate(ruleAtMostOnce, "%s is offered to %s while its attempt at %s is outstanding", id, next.machine, earlier.machine)
+			c.violate(
+				ruleAtMostOnce,
+				"%s is offered to %s while its attempt at %s is outstanding",
+				id,
+				next.machine,
+				earlier.machine,
+			)
 		}
 		if earlier.mayRun && first == nil {
 			first = earlier
@@ -98,7 +104,13 @@
 	case class.Idempotency == scheduler.AtMostOnce:
 		c.violate(ruleAtMostOnce, "%s is offered to %s, and may have run on %s", id, next.machine, first.machine)
 	case !next.sharesScope(first, class.DedupScope) || next.sentAt >= first.sentAt+class.DedupWindow:
-		c.violate(ruleAtMostOnce, "%s is offered to %s, outside the group or window of %s", id, next.machine, first.machine)
+		c.violate(
+			ruleAtMostOnce,
+			"%s is offered to %s, outside the group or window of %s",
+			id,
+			next.machine,
+			first.machine,
+		)
 	}
 }
 
@@ -120,12 +132,20 @@
 		}
 	}
 	if count > class.MaxPerScope {
-		c.violate(ruleSpread, "%s is offered to %s: %d of %s there, %d may be", id, next.machine, count, service, class.MaxPerScope)
+		c.violate(
+			ruleSpread,
+			"%s is offered to %s: %d of %s there, %d may be",
+			id,
+			next.machine,
+			count,
+			service,
+			class.MaxPerScope,
+		)
 	}
 }
 
-// checkSlowStart counts a send, and checks it against what its sender knows: a sender answers for all that it sent since
-// the start that it has seen, and for what others sent since they saw it.
+// checkSlowStart counts a send, and checks it against what its sender knows: a sender answers for all that it sent
+// since the start that it has seen, and for what others sent since they saw it.
 func (c *Checker) checkSlowStart(in *incarnation, id scheduler.MachineID, now scheduler.Time) {
 	m := in.machines[id]
 	knows := m != nil && m.StartedAt > 0 && now < m.StartedAt+c.config.SlowStartPeriod
@@ -143,6 +163,12 @@
 		}
 	}
 	if count > c.config.SlowStartBudget {
-		c.violate(ruleSlowStart, "%s in slow start gets %d in a window, and bears %d", id, count, c.config.SlowStartBudget)
+		c.violate(
+			ruleSlowStart,
+			"%s in slow start gets %d in a window, and bears %d",
+			id,
+			count,
+			c.config.SlowStartBudget,
+		)
 	}
 }
