--- a/internal/testbed/modelcheck/world.go
+++ b/internal/testbed/modelcheck/world.go
@@ -23,7 +23,8 @@
 	probeTimerName = "probe " // before the machine, as the name of a timer
 )
 
-// World is a tiny fleet with its schedulers. The exported fields describe it; Run makes a new one of them for each sequence.
+// World is a tiny fleet with its schedulers. The exported fields describe it; Run makes a new one of them for each
+// sequence.
 type World struct {
 	Config       scheduler.Config
 	Schedulers   int
@@ -162,7 +163,10 @@
 			continue
 		}
 		delete(w.placements, request.ID)
-		w.handle(placed.scheduler, scheduler.AttemptEnded{ID: request.ID, Outcome: scheduler.OutcomeTimedOut, Machine: placed.machine})
+		w.handle(
+			placed.scheduler,
+			scheduler.AttemptEnded{ID: request.ID, Outcome: scheduler.OutcomeTimedOut, Machine: placed.machine},
+		)
 	}
 	w.checker.CheckDeadlines(w.now)
 }
@@ -217,7 +221,8 @@
 	}
 }
 
-// advance lets time go by: timers fire, and the answers that are owed by then are checked. Outcomes come only as events.
+// advance lets time go by: timers fire, and the answers that are owed by then are checked. Outcomes come only as
+// events.
 func (w *World) advance(span scheduler.Time) {
 	if len(w.batched) > 0 && span > Step { // a batch is not held up for so long
 		events := w.batched
--- a/internal/testbed/mutants/mutants.go
+++ b/internal/testbed/mutants/mutants.go
@@ -1,5 +1,5 @@
-// Package mutants wraps the decisions of a scheduler or of a route announcer so that they break a rule on purpose: a check
-// that does not see the mutant checks nothing. Only the test bed uses it.
+// Package mutants wraps the decisions of a scheduler or of a route announcer so that they break a rule on purpose: a
+// check that does not see the mutant checks nothing. Only the test bed uses it.
 package mutants
 
 import (
@@ -119,7 +119,8 @@
 }
 
 func mayHaveRun(outcome scheduler.Outcome) bool {
-	return outcome == scheduler.OutcomeTimedOut || outcome == scheduler.OutcomeLost || outcome == scheduler.OutcomeErrored
+	return outcome == scheduler.OutcomeTimedOut || outcome == scheduler.OutcomeLost ||
+		outcome == scheduler.OutcomeErrored
 }
 
 // mutate changes an attempt so that it breaks the rule, where a machine for that exists.
@@ -141,7 +142,10 @@
 			return e.State == scheduler.MachineServing && e.StartedAt > 0 && now < e.StartedAt+m.config.SlowStartPeriod
 		})
 	case ruleSpread:
-		machine, found = m.firstMatching("", func(e scheduler.MachineEntry) bool { return e.State == scheduler.MachineServing })
+		machine, found = m.firstMatching(
+			"",
+			func(e scheduler.MachineEntry) bool { return e.State == scheduler.MachineServing },
+		)
 	}
 	if found {
 		attempt.Machine = machine
@@ -157,7 +161,10 @@
 }
 
 // firstMatching is the first machine by name that matches and is not the excluded one.
-func (m *Mutant) firstMatching(excluded scheduler.MachineID, matches func(scheduler.MachineEntry) bool) (scheduler.MachineID, bool) {
+func (m *Mutant) firstMatching(
+	excluded scheduler.MachineID,
+	matches func(scheduler.MachineEntry) bool,
+) (scheduler.MachineID, bool) {
 	all := m.matching(excluded, matches)
 	if len(all) == 0 {
 		return "", false
@@ -165,7 +172,10 @@
 	return all[0], true
 }
 
-func (m *Mutant) matching(excluded scheduler.MachineID, matches func(scheduler.MachineEntry) bool) []scheduler.MachineID {
+func (m *Mutant) matching(
+	excluded scheduler.MachineID,
+	matches func(scheduler.MachineEntry) bool,
+) []scheduler.MachineID {
 	var all []scheduler.MachineID
 	for id, entry := range m.machines {
 		if id != excluded && matches(entry) {
--- a/internal/testbed/mutants/routes.go
+++ b/internal/testbed/mutants/routes.go
@@ -40,8 +40,10 @@
 
 // NewRouteMutant wraps decisions so that they are broken as the mutation says; an unknown mutation breaks nothing.
 func NewRouteMutant(mutation RouteMutation, decisions speaker.RouteDecider) speaker.RouteDecider {
-	return &routeMutant{RouteDecider: decisions, mutation: mutation,
-		announcements: map[string]announce.Announce{}, prefixes: map[string]netip.Prefix{}}
+	return &routeMutant{
+		RouteDecider: decisions, mutation: mutation,
+		announcements: map[string]announce.Announce{}, prefixes: map[string]netip.Prefix{},
+	}
 }
 
 // Handle changes the actions of the decisions.
@@ -77,8 +79,10 @@
 		case announce.ServiceSet:
 			service := event.Service
 			r.prefixes[event.Name] = service.Prefix
-			r.announcements[event.Name] = announce.Announce{Prefix: service.Prefix,
-				Path: announce.Path{NextHop: service.NextHop, Preference: stormPreference}}
+			r.announcements[event.Name] = announce.Announce{
+				Prefix: service.Prefix,
+				Path:   announce.Path{NextHop: service.NextHop, Preference: stormPreference},
+			}
 		case announce.ContainerRunning:
 			actions = append(actions, r.announcements[event.Service])
 		case announce.ContainerEnded:
--- a/internal/testbed/scenario/bench.go
+++ b/internal/testbed/scenario/bench.go
@@ -91,7 +91,12 @@
 }
 
 func (b *benchCluster) startScheduler(template []byte, program []string) error {
-	p, err := newSchedulerProcess(benchName, filepath.Join(b.dir, "placer.yaml"), filepath.Join(b.dir, "placer.log"), program)
+	p, err := newSchedulerProcess(
+		benchName,
+		filepath.Join(b.dir, "placer.yaml"),
+		filepath.Join(b.dir, "placer.log"),
+		program,
+	)
 	if err != nil {
 		return err
 	}
@@ -124,7 +129,14 @@
 
 // startController starts a controller before the bench's scheduler and waits until it knows all machines.
 func (b *benchCluster) startController(program string, machines int) (*controllerProcess, error) {
-	controller, err := newController(b.dir, program, b.list.Addr().String(), []*SchedulerProcess{b.scheduler}, nil, filepath.Join(b.dir, "kept"))
+	controller, err := newController(
+		b.dir,
+		program,
+		b.list.Addr().String(),
+		[]*SchedulerProcess{b.scheduler},
+		nil,
+		filepath.Join(b.dir, "kept"),
+	)
 	if err != nil {
 		return nil, err
 	}
@@ -195,7 +207,13 @@
 		send(protocol.NewHello(protocol.RoleMachine, m.name, 1), &protocol.Inventory{MachineIncarnation: 1})
 	case *protocol.Offer:
 		if m.full {
-			send(&protocol.Result{AttemptID: frame.AttemptID, Outcome: protocol.OutcomeFull, Reason: protocol.ReasonNoCores})
+			send(
+				&protocol.Result{
+					AttemptID: frame.AttemptID,
+					Outcome:   protocol.OutcomeFull,
+					Reason:    protocol.ReasonNoCores,
+				},
+			)
 			return
 		}
 		send(&protocol.Accept{AttemptID: frame.AttemptID, Running: true})
@@ -211,8 +229,18 @@
 	if m.full {
 		freeCores = -100
 	}
-	return protocol.MachineEntry{Machine: m.name, Address: m.address, Zone: index % 3, MachineType: index % 2,
-		RackGroup: index / machinesPerRackGroup, FreeCores: freeCores, FreeMemory: 100, PowerHint: 1, Incarnation: 1, Age: -1}
+	return protocol.MachineEntry{
+		Machine:     m.name,
+		Address:     m.address,
+		Zone:        index % 3,
+		MachineType: index % 2,
+		RackGroup:   index / machinesPerRackGroup,
+		FreeCores:   freeCores,
+		FreeMemory:  100,
+		PowerHint:   1,
+		Incarnation: 1,
+		Age:         -1,
+	}
 }
 
 // instantList answers every watch with a full snapshot.
--- a/internal/testbed/scenario/cluster.go
+++ b/internal/testbed/scenario/cluster.go
@@ -109,8 +109,13 @@
 
 // startList starts the machine list, which knows machines by their proxies, and returns the address of its own proxy.
 func (c *Cluster) startList(timing listTiming, proxies map[*emulator.Machine]string) (proxy string, err error) {
-	c.List = &emulator.MachineList{Lag: timing.Lag, FailureDetection: timing.FailureDetection, PollInterval: timing.PollInterval, CallsPerSecond: timing.CallsPerSecond,
-		Address: func(m *emulator.Machine) string { return proxies[m] }}
+	c.List = &emulator.MachineList{
+		Lag:              timing.Lag,
+		FailureDetection: timing.FailureDetection,
+		PollInterval:     timing.PollInterval,
+		CallsPerSecond:   timing.CallsPerSecond,
+		Address:          func(m *emulator.Machine) string { return proxies[m] },
+	}
 	if c.ListAddr, err = c.List.Open(c.Machines); err != nil {
 		return "", err
 	}
@@ -160,7 +165,12 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%d of %d placers know their %d machines after 20 s", ready, len(c.Schedulers), len(c.Machines))
+			return fmt.Errorf(
+				"%d of %d placers know their %d machines after 20 s",
+				ready,
+				len(c.Schedulers),
+				len(c.Machines),
+			)
 		}
 	}
 }
--- a/internal/testbed/scenario/controller.go
+++ b/internal/testbed/scenario/controller.go
@@ -49,19 +49,34 @@
 
 // newController writes a controller's settings file beside that of the first scheduler. It submits to addresses, or to
 // the schedulers' own where none are given; with a state folder it persists its jobs.
-func newController(dir, program, list string, schedulers []*SchedulerProcess, addresses []string, state string) (*controllerProcess, error) {
+func newController(
+	dir, program, list string,
+	schedulers []*SchedulerProcess,
+	addresses []string,
+	state string,
+) (*controllerProcess, error) {
 	api, err := freePort()
 	if err != nil {
 		return nil, err
 	}
-	k := &controllerProcess{api: api, program: program, file: filepath.Join(dir, "keeper.yaml"), log: filepath.Join(dir, "keeper.log")}
+	k := &controllerProcess{
+		api:     api,
+		program: program,
+		file:    filepath.Join(dir, "keeper.yaml"),
+		log:     filepath.Join(dir, "keeper.log"),
+	}
 	if addresses == nil {
 		for _, p := range schedulers {
 			addresses = append(addresses, p.Address)
 		}
 	}
-	text := fmt.Sprintf("name: keeper\napi: %s\nplacer_file: %s\nlist: %s\ndoors: [%s]\n", k.api, filepath.Base(schedulers[0].file), list,
-		strings.Join(addresses, ", "))
+	text := fmt.Sprintf(
+		"name: keeper\napi: %s\nplacer_file: %s\nlist: %s\ndoors: [%s]\n",
+		k.api,
+		filepath.Base(schedulers[0].file),
+		list,
+		strings.Join(addresses, ", "),
+	)
 	if state != "" {
 		text += "state: " + state + "\n"
 	}
@@ -88,7 +103,8 @@
 	}
 	return waitUntil("the keeper answers and knows all machines", controllerTimeout, func() bool {
 		var all struct{ Items []any }
-		return k.get(fmt.Sprintf("/v1/machines?limit=%d", pageLimit), &all) == nil && len(all.Items) == min(machines, pageLimit)
+		return k.get(fmt.Sprintf("/v1/machines?limit=%d", pageLimit), &all) == nil &&
+			len(all.Items) == min(machines, pageLimit)
 	})
 }
 
@@ -197,7 +213,15 @@
 }
 
 func newJobSpec(id, workload string, count int, cores, memory float64) jobSpec {
-	return jobSpec{ID: id, Service: id, Workload: workload, Cores: cores, MemoryGiB: memory, Count: count, RunForMS: hourMS}
+	return jobSpec{
+		ID:        id,
+		Service:   id,
+		Workload:  workload,
+		Cores:     cores,
+		MemoryGiB: memory,
+		Count:     count,
+		RunForMS:  hourMS,
+	}
 }
 
 // deleteJob deletes a job and waits until its containers have ended.
@@ -234,5 +258,9 @@
 
 // waitRunning waits until exactly n containers of a job run.
 func (k *controllerProcess) waitRunning(job string, n int) error {
-	return waitUntil(fmt.Sprintf("%d of %s run", n, job), jobTimeout, func() bool { return k.countContainers(job, stateRunning) == n })
+	return waitUntil(
+		fmt.Sprintf("%d of %s run", n, job),
+		jobTimeout,
+		func() bool { return k.countContainers(job, stateRunning) == n },
+	)
 }
--- a/internal/testbed/scenario/crash_check.go
+++ b/internal/testbed/scenario/crash_check.go
@@ -181,7 +181,13 @@
 		before := crashed.OperationCount()
 		recovered, err := c.recoverState(crashed)
 		if err != nil {
-			return fmt.Errorf("crash after operation %d of %d, fate %d: not opened: %w", point.after, c.Operations, n, err)
+			return fmt.Errorf(
+				"crash after operation %d of %d, fate %d: not opened: %w",
+				point.after,
+				c.Operations,
+				n,
+				err,
+			)
 		}
 		c.States++
 		if err := point.check(recovered); err != nil {
@@ -202,11 +208,21 @@
 	for again := before; again <= crashed.OperationCount(); again++ {
 		recovered, err := c.recoverState(crashed.Crash(again, faultfs.KeepSome(r)))
 		if err != nil {
-			return fmt.Errorf("crash after operation %d, and again after %d of its recovery: not opened: %w", point.after, again-before, err)
+			return fmt.Errorf(
+				"crash after operation %d, and again after %d of its recovery: not opened: %w",
+				point.after,
+				again-before,
+				err,
+			)
 		}
 		c.SecondCrashes++
 		if err := point.check(recovered); err != nil {
-			return fmt.Errorf("crash after operation %d, and again after %d of its recovery: %w", point.after, again-before, err)
+			return fmt.Errorf(
+				"crash after operation %d, and again after %d of its recovery: %w",
+				point.after,
+				again-before,
+				err,
+			)
 		}
 	}
 	return nil
@@ -221,7 +237,12 @@
 	}
 	for i := range p.commits {
 		if p.commits[i].state == recovered {
-			return fmt.Errorf("the state is that after commit %d; kept were all up to %d, begun %d", i, p.floor, p.ceiling)
+			return fmt.Errorf(
+				"the state is that after commit %d; kept were all up to %d, begun %d",
+				i,
+				p.floor,
+				p.ceiling,
+			)
 		}
 	}
 	return errors.New("the state is that after no commit")
@@ -252,7 +273,11 @@
 			case err != nil:
 				c.Refused++
 			case held != commits[last].state && held != commits[last-1].state:
-				return fmt.Errorf("bit %d of %s turned over: opened without a word, and what was kept is not there", bit, name)
+				return fmt.Errorf(
+					"bit %d of %s turned over: opened without a word, and what was kept is not there",
+					bit,
+					name,
+				)
 			}
 		}
 	}
--- a/internal/testbed/scenario/crash_check_test.go
+++ b/internal/testbed/scenario/crash_check_test.go
@@ -14,7 +14,15 @@
 			if (err == nil) != tc.ok {
 				t.Errorf("%v", err)
 			}
-			t.Logf("%d operations, %d states, %d of a second crash, %d of %d flips refused: %v", c.Operations, c.States, c.SecondCrashes, c.Refused, c.BitFlips, err)
+			t.Logf(
+				"%d operations, %d states, %d of a second crash, %d of %d flips refused: %v",
+				c.Operations,
+				c.States,
+				c.SecondCrashes,
+				c.Refused,
+				c.BitFlips,
+				err,
+			)
 		})
 	}
 }
--- a/internal/testbed/scenario/file.go
+++ b/internal/testbed/scenario/file.go
@@ -147,7 +147,12 @@
 		DrainGrace: scheduler.Time(f.DrainGrace.Ticks),
 		Slack:      scheduler.Time(f.Slack.Ticks),
 		Machine:    f.Machine.shape(),
-		List:       listTiming{duration(f.List.Lag), duration(f.List.FailureDetection), duration(f.List.PollInterval), f.List.CallsPerSecond.Value},
+		List: listTiming{
+			duration(f.List.Lag),
+			duration(f.List.FailureDetection),
+			duration(f.List.PollInterval),
+			f.List.CallsPerSecond.Value,
+		},
 	}
 	for _, zone := range f.Zones {
 		s.Zones = append(s.Zones, zone.Value)
@@ -173,7 +178,10 @@
 }
 
 // workloads returns the load of each workload class, in the order of the scheduler's settings.
-func (f *scenarioFile) workloads(source *strictyaml.File, settings *config.Scheduler) ([]emulator.WorkloadProfile, error) {
+func (f *scenarioFile) workloads(
+	source *strictyaml.File,
+	settings *config.Scheduler,
+) ([]emulator.WorkloadProfile, error) {
 	workloads := make([]emulator.WorkloadProfile, len(settings.WorkloadClasses))
 	for _, section := range f.Work {
 		class, err := strictyaml.OneOf(source, section.Workload, settings.WorkloadClasses...)
@@ -208,10 +216,17 @@
 	var faults []Fault
 	for _, section := range f.Faults {
 		if injectors[section.Kind.Value] == nil {
-			return nil, source.ErrorAt(section.Kind.Position, "%q is no trouble; there are %v", section.Kind.Value, faultKinds())
+			return nil, source.ErrorAt(
+				section.Kind.Position,
+				"%q is no trouble; there are %v",
+				section.Kind.Value,
+				faultKinds(),
+			)
+		}
+		fault := Fault{
+			Kind: section.Kind.Value, At: duration(section.At), Duration: duration(section.Duration),
+			Fraction: section.Fraction.Value, Size: section.Size.Value,
 		}
-		fault := Fault{Kind: section.Kind.Value, At: duration(section.At), Duration: duration(section.Duration),
-			Fraction: section.Fraction.Value, Size: section.Size.Value}
 		if section.Zone.IsSet() {
 			var err error
 			if fault.Zone, err = strictyaml.OneOf(source, section.Zone, zones...); err != nil {
--- a/internal/testbed/scenario/load_api.go
+++ b/internal/testbed/scenario/load_api.go
@@ -67,7 +67,10 @@
 	if err := k.createPending(waiting); err != nil {
 		return err
 	}
-	api := &apiReader{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}, base: "http://" + k.api}
+	api := &apiReader{
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}},
+		base:   "http://" + k.api,
+	}
 	whys, err := api.measureWhy(waiting)
 	if err != nil {
 		return err
@@ -89,8 +92,12 @@
 	}
 	err := waitUntil("all wait", time.Minute, func() bool {
 		var all struct{ Items []any }
-		return k.get(fmt.Sprintf("/v1/containers?limit=1000&after=%s.%d&field=state=waiting", waitingJob, n-2), &all) == nil &&
-			k.get("/v1/containers/"+waitingJob+".0/why", nil) == nil && len(all.Items) > 0
+		return k.get(
+			fmt.Sprintf("/v1/containers?limit=1000&after=%s.%d&field=state=waiting", waitingJob, n-2),
+			&all,
+		) == nil &&
+			k.get("/v1/containers/"+waitingJob+".0/why", nil) == nil &&
+			len(all.Items) > 0
 	})
 	time.Sleep(3 * time.Second) // the schedulers' first retries are over
 	return err
@@ -186,8 +193,16 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	watching.Wait()
-	printf(out, "%d watchers, %d changes: from the request to the line p50 %.1f ms, p99 %.1f ms, worst %.1f ms; %d lines missed\n",
-		watchers, watchedChanges, f.delays.quantile(50), f.delays.quantile(99), f.delays.quantile(100), f.missed.Load())
+	printf(
+		out,
+		"%d watchers, %d changes: from the request to the line p50 %.1f ms, p99 %.1f ms, worst %.1f ms; %d lines missed\n",
+		watchers,
+		watchedChanges,
+		f.delays.quantile(50),
+		f.delays.quantile(99),
+		f.delays.quantile(100),
+		f.missed.Load(),
+	)
 	return nil
 }
 
--- a/internal/testbed/scenario/load_bgp.go
+++ b/internal/testbed/scenario/load_bgp.go
@@ -42,14 +42,21 @@
 func (b *bgpBench) start(peers int) error {
 	config := speaker.Config{ASN: 65001, RouterID: [4]byte{192, 0, 2, 5}, Services: map[string]announce.Service{}}
 	for i := range peers {
-		p := &emulator.BGPPeer{AS: 65000, ID: [4]byte{192, 0, 3, byte(i)}, HoldTime: 90 * time.Second, RestartTime: 10 * time.Second}
+		p := &emulator.BGPPeer{
+			AS:          65000,
+			ID:          [4]byte{192, 0, 3, byte(i)},
+			HoldTime:    90 * time.Second,
+			RestartTime: 10 * time.Second,
+		}
 		address, err := p.Open()
 		if err != nil {
 			return err
 		}
 		b.peers = append(b.peers, p)
-		config.Peers = append(config.Peers, speaker.PeerConfig{Addr: address, ASN: 65000, HoldTime: 900_000, Families: []wire.Family{wire.IPv4},
-			Allow: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")}})
+		config.Peers = append(config.Peers, speaker.PeerConfig{
+			Addr: address, ASN: 65000, HoldTime: 900_000, Families: []wire.Family{wire.IPv4},
+			Allow: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")},
+		})
 	}
 	nextHop := netip.MustParseAddr("192.0.2.5")
 	for i := range b.prefixes {
@@ -135,8 +142,15 @@
 	}
 	took := time.Since(began)
 	stats := b.peers[0].Stats()
-	printf(out, "%d prefixes to %d peers: all have them after %d ms, %d messages and %d bytes a peer\n", b.prefixes, len(b.peers),
-		took.Milliseconds(), stats.Updates, stats.UpdateSize)
+	printf(
+		out,
+		"%d prefixes to %d peers: all have them after %d ms, %d messages and %d bytes a peer\n",
+		b.prefixes,
+		len(b.peers),
+		took.Milliseconds(),
+		stats.Updates,
+		stats.UpdateSize,
+	)
 	return nil
 }
 
@@ -157,8 +171,13 @@
 		if err := b.waitForRoutes("withdrawals", others, b.prefixes-tenth); err != nil {
 			return err
 		}
-		printf(out, "%d of them change at once, one of %d peers takes a message each 20 ms: the others have it after %d ms, it", tenth,
-			len(b.peers), time.Since(began).Milliseconds())
+		printf(
+			out,
+			"%d of them change at once, one of %d peers takes a message each 20 ms: the others have it after %d ms, it",
+			tenth,
+			len(b.peers),
+			time.Since(began).Milliseconds(),
+		)
 	}
 	if err := b.waitForRoutes("withdrawals", []*emulator.BGPPeer{slow}, b.prefixes-tenth); err != nil {
 		return err
--- a/internal/testbed/scenario/load_jobs.go
+++ b/internal/testbed/scenario/load_jobs.go
@@ -23,7 +23,13 @@
 
 // MeasureJobs measures the way through a controller: from the request to the line of a watch that says running, against
 // machines that answer at once.
-func MeasureJobs(template, dir string, program []string, machines, rate int, length time.Duration, out io.Writer) error {
+func MeasureJobs(
+	template, dir string,
+	program []string,
+	machines, rate int,
+	length time.Duration,
+	out io.Writer,
+) error {
 	b, err := startBench(template, dir, program, machines, false)
 	if err != nil {
 		return err
@@ -56,9 +62,18 @@
 	if err != nil {
 		return err
 	}
-	printf(out, "%d jobs at %d a second, %d machines: request to running in a watch p50 %.1f ms, p99 %.1f ms (of it the first "+
-		"100 ms at most are the keeper's spreading by chance); at the placer submission to bid p50 %.2f ms, p99 %.2f ms\n", running, rate,
-		machines, load.delays.quantile(50), load.delays.quantile(99), stats["placing p50"], stats["placing p99"])
+	printf(
+		out,
+		"%d jobs at %d a second, %d machines: request to running in a watch p50 %.1f ms, p99 %.1f ms (of it the first "+
+			"100 ms at most are the keeper's spreading by chance); at the placer submission to bid p50 %.2f ms, p99 %.2f ms\n",
+		running,
+		rate,
+		machines,
+		load.delays.quantile(50),
+		load.delays.quantile(99),
+		stats["placing p50"],
+		stats["placing p99"],
+	)
 	return nil
 }
 
--- a/internal/testbed/scenario/load_scheduler.go
+++ b/internal/testbed/scenario/load_scheduler.go
@@ -30,7 +30,12 @@
 )
 
 // MeasureLoad runs one scheduler for a while against machines that answer at once.
-func MeasureLoad(template, dir string, program []string, machines, rate int, length, life time.Duration) (*PlacementLoad, error) {
+func MeasureLoad(
+	template, dir string,
+	program []string,
+	machines, rate int,
+	length, life time.Duration,
+) (*PlacementLoad, error) {
 	b, err := startBench(template, dir, program, machines, false)
 	if err != nil {
 		return nil, err
@@ -116,6 +121,15 @@
 
 func loadSubmission(number int, life time.Duration) *protocol.Submit {
 	id := fmt.Sprint("c", number)
-	return &protocol.Submit{TimeToDeadline: submitTimeout, Spec: protocol.ContainerSpec{ContainerID: id, IdempotencyKey: id,
-		Service: fmt.Sprint("s", number%loadServices), Cores: 0.5, Memory: 1, ExpectedRuntime: protocol.Duration(life / tick)}}
+	return &protocol.Submit{TimeToDeadline: submitTimeout, Spec: protocol.ContainerSpec{
+		ContainerID:    id,
+		IdempotencyKey: id,
+		Service: fmt.Sprint(
+			"s",
+			number%loadServices,
+		),
+		Cores:           0.5,
+		Memory:          1,
+		ExpectedRuntime: protocol.Duration(life / tick),
+	}}
 }
--- a/internal/testbed/scenario/process.go
+++ b/internal/testbed/scenario/process.go
@@ -133,7 +133,12 @@
 
 // Status returns the scheduler's stats by name. Times in it are in the unit that the name says.
 func (p *SchedulerProcess) Status() (map[string]float64, error) {
-	c, err := dialProtocol(p.Address, statusTimeout, protocol.NewHello(protocol.RoleScheduler, "laboratory", 1), &protocol.StatusRequest{})
+	c, err := dialProtocol(
+		p.Address,
+		statusTimeout,
+		protocol.NewHello(protocol.RoleScheduler, "laboratory", 1),
+		&protocol.StatusRequest{},
+	)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/scenario/replay.go
+++ b/internal/testbed/scenario/replay.go
@@ -52,8 +52,16 @@
 	for _, c := range s.MachineCounts {
 		machines += c.perZone * len(s.Zones)
 	}
-	printf(out, "replay of a day of %s, SCALED DOWN: %d machines for %d, %d placers for %d, %.0f submissions a second\n",
-		day.Site, machines, len(day.Servers), s.Schedulers, len(day.Schedulers), rate)
+	printf(
+		out,
+		"replay of a day of %s, SCALED DOWN: %d machines for %d, %d placers for %d, %.0f submissions a second\n",
+		day.Site,
+		machines,
+		len(day.Servers),
+		s.Schedulers,
+		len(day.Schedulers),
+		rate,
+	)
 	for i := range day.Faults {
 		simulated := &day.Faults[i]
 		fault, ok := day.counterpart(simulated)
@@ -61,7 +69,14 @@
 			printf(out, "left out: %s at %.1f s has no like on the sockets\n", simulated.Kind, fault.At.Seconds())
 			continue
 		}
-		printf(out, "%s at %.1f s is played as: %s%s\n", simulated.Kind, fault.At.Seconds(), fault.Kind, fault.describe(s))
+		printf(
+			out,
+			"%s at %.1f s is played as: %s%s\n",
+			simulated.Kind,
+			fault.At.Seconds(),
+			fault.Kind,
+			fault.describe(s),
+		)
 		s.Faults = append(s.Faults, fault)
 	}
 	return s, nil
@@ -86,7 +101,12 @@
 
 // counterpart returns the fault of a scenario that comes closest; ok reports whether there is one.
 func (d *simulatedDay) counterpart(t *simulatedFault) (f Fault, ok bool) {
-	f = Fault{At: microseconds(t.At), Duration: microseconds(t.Duration), Size: t.Size, Fraction: float64(len(t.On)) / float64(len(d.Servers))}
+	f = Fault{
+		At:       microseconds(t.At),
+		Duration: microseconds(t.Duration),
+		Size:     t.Size,
+		Fraction: float64(len(t.On)) / float64(len(d.Servers)),
+	}
 	switch t.Kind {
 	case "mass_restart":
 		f.Kind = kindCrash
--- a/internal/testbed/scenario/restart_client.go
+++ b/internal/testbed/scenario/restart_client.go
@@ -118,7 +118,13 @@
 		case !ok:
 			report("job %s is there, its end was acknowledged", job.ID)
 		case job.Version != acknowledged.version || job.Count != acknowledged.spec.Count || job.Workload != acknowledged.spec.Workload:
-			report("job %s is %+v, acknowledged was version %d of %+v", job.ID, job, acknowledged.version, acknowledged.spec)
+			report(
+				"job %s is %+v, acknowledged was version %d of %+v",
+				job.ID,
+				job,
+				acknowledged.version,
+				acknowledged.spec,
+			)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
--- a/internal/testbed/scenario/restart_commits.go
+++ b/internal/testbed/scenario/restart_commits.go
@@ -55,9 +55,19 @@
 		return err
 	}
 	counters := log.Counters()
-	printf(t.Out, "commits, %d clients, group commit %v: %.0f a second, mean %.2f ms, worst %.1f ms; %d syncs of mean %.3f ms\n", writers,
-		!syncEach, float64(stats.count.Load())/length.Seconds(), float64(stats.total.Load())/1000/float64(max(1, stats.count.Load())),
-		float64(stats.worst.Load())/1000, counters.Syncs, counters.SyncTime.Seconds()*1000/float64(max(1, counters.Syncs)))
+	printf(
+		t.Out,
+		"commits, %d clients, group commit %v: %.0f a second, mean %.2f ms, worst %.1f ms; %d syncs of mean %.3f ms\n",
+		writers,
+		!syncEach,
+		float64(stats.count.Load())/length.Seconds(),
+		float64(stats.total.Load())/1000/float64(max(1, stats.count.Load())),
+		float64(
+			stats.worst.Load(),
+		)/1000,
+		counters.Syncs,
+		counters.SyncTime.Seconds()*1000/float64(max(1, counters.Syncs)),
+	)
 	return nil
 }
 
--- a/internal/testbed/scenario/restart_kills.go
+++ b/internal/testbed/scenario/restart_kills.go
@@ -70,18 +70,44 @@
 	if err != nil {
 		return false, err
 	}
-	printf(t.Out, "kills: %d of placers and %d of the keeper by SIGKILL in %.0f s; every folder read after each, %d with an unfinished group "+
-		"at its end\n", r.schedulerKills.Load(), r.controllerKills.Load(), length.Seconds(), r.truncatedLogs.Load())
-	printf(t.Out, "jobs: %d changes acknowledged, %d asked again; %d jobs with %d containers at the end, %d run; at-most-once seen twice: %d\n",
-		r.client.acknowledged, r.client.retries, len(r.client.jobs), wanted, running, r.duplicates.Load())
+	printf(
+		t.Out,
+		"kills: %d of placers and %d of the keeper by SIGKILL in %.0f s; every folder read after each, %d with an unfinished group "+
+			"at its end\n",
+		r.schedulerKills.Load(),
+		r.controllerKills.Load(),
+		length.Seconds(),
+		r.truncatedLogs.Load(),
+	)
+	printf(
+		t.Out,
+		"jobs: %d changes acknowledged, %d asked again; %d jobs with %d containers at the end, %d run; at-most-once seen twice: %d\n",
+		r.client.acknowledged,
+		r.client.retries,
+		len(r.client.jobs),
+		wanted,
+		running,
+		r.duplicates.Load(),
+	)
 	t.printKillAudit(&tally, report, r.violations)
 	return len(r.violations) == 0 && report.Passed() && tally.DuplicateReplies == 0 && tally.Pending == 0, nil
 }
 
 func (t *RestartTrial) printKillAudit(tally *emulator.Tally, report *audit.Report, violations []string) {
-	printf(t.Out, "owners: %d submitted, %d placed, %d answers too many, %d without one; record: %d frames, %d offers, %d yeses; cold machines "+
-		"at most at %d of %d\n", tally.Submitted, tally.Placed, tally.DuplicateReplies, tally.Pending, report.Frames, report.Offers, report.Accepted,
-		report.SlowStartPeak, report.SlowStartBudget)
+	printf(
+		t.Out,
+		"owners: %d submitted, %d placed, %d answers too many, %d without one; record: %d frames, %d offers, %d yeses; cold machines "+
+			"at most at %d of %d\n",
+		tally.Submitted,
+		tally.Placed,
+		tally.DuplicateReplies,
+		tally.Pending,
+		report.Frames,
+		report.Offers,
+		report.Accepted,
+		report.SlowStartPeak,
+		report.SlowStartBudget,
+	)
 	PrintViolations(t.Out, report)
 	for _, violation := range violations[:min(len(violations), printedViolations)] {
 		printf(t.Out, "fault: %s\n", violation)
@@ -215,7 +241,13 @@
 		return running == wanted && r.controller.countByState(stateRunning) == wanted
 	})
 	if err != nil {
-		r.report("%v: %d run, the API has %d, %d are wanted", err, running, r.controller.countByState(stateRunning), wanted)
+		r.report(
+			"%v: %d run, the API has %d, %d are wanted",
+			err,
+			running,
+			r.controller.countByState(stateRunning),
+			wanted,
+		)
 		r.reportUnwanted()
 	}
 	return wanted, running
@@ -238,8 +270,8 @@
 	where    string // machines and keys
 }
 
-// runningJobCopies counts what runs of the jobs, by job, index and workload class, in the machines' own state: a job that
-// was deleted and created again with another class is another.
+// runningJobCopies counts what runs of the jobs, by job, index and workload class, in the machines' own state: a job
+// that was deleted and created again with another class is another.
 func runningJobCopies(c *Cluster) map[string]runningCopies {
 	all := map[string]runningCopies{}
 	for _, m := range c.Machines {
--- a/internal/testbed/scenario/restart_lost.go
+++ b/internal/testbed/scenario/restart_lost.go
@@ -49,8 +49,14 @@
 	time.Sleep(measured)
 	after := c.Clients.Snapshot()
 	submitted, placed, late := after.Submitted-before.Submitted, after.Placed-before.Placed, after.PlacedLate-before.PlacedLate
-	printf(t.Out, "ten seconds after a restart, kept state %-5v: %d submitted, %d not placed, %d of the placed after more than 1 s\n",
-		withState, submitted, submitted-placed, late)
+	printf(
+		t.Out,
+		"ten seconds after a restart, kept state %-5v: %d submitted, %d not placed, %d of the placed after more than 1 s\n",
+		withState,
+		submitted,
+		submitted-placed,
+		late,
+	)
 	c.freezeAll(false)
 	c.Clients.Close()
 	return c.Close()
--- a/internal/testbed/scenario/restart_start.go
+++ b/internal/testbed/scenario/restart_start.go
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// measureStart times a start with n containers in the log: of a scheduler to its first container placed, of a controller
-// to the first that runs.
+// measureStart times a start with n containers in the log: of a scheduler to its first container placed, of a
+// controller to the first that runs.
 func (t *RestartTrial) measureStart(s *Scenario, dir string, program []string, n int) error {
 	b, err := startBench(s.Template, dir, program, startMachines, false)
 	if err != nil {
@@ -108,8 +108,10 @@
 	return writeLog(filepath.Join(dir, "state"), schedulerd.AttemptKind, n, func(i int) (string, any) {
 		id := fmt.Sprint("old-", i)
 		return fmt.Sprintf("%016x", i+1), reconcile.Attempt{
-			Request: scheduler.PlacementRequest{ID: scheduler.ContainerID(id), IdempotencyKey: id, Service: fmt.Sprint("s", i%loadServices),
-				WorkloadClass: atMostOnceClass, Cores: 1, Memory: 1},
+			Request: scheduler.PlacementRequest{
+				ID: scheduler.ContainerID(id), IdempotencyKey: id, Service: fmt.Sprint("s", i%loadServices),
+				WorkloadClass: atMostOnceClass, Cores: 1, Memory: 1,
+			},
 			Machine:     scheduler.MachineID(fmt.Sprintf("machine-%04d", i%startMachines)),
 			Incarnation: 1,
 			Number:      uint64(i + 1),
@@ -123,7 +125,14 @@
 		return err
 	}
 	listening := time.Since(began)
-	spec := protocol.ContainerSpec{ContainerID: "first", IdempotencyKey: "first", Service: "s", Cores: 1, Memory: 1, ExpectedRuntime: longRuntime}
+	spec := protocol.ContainerSpec{
+		ContainerID:     "first",
+		IdempotencyKey:  "first",
+		Service:         "s",
+		Cores:           1,
+		Memory:          1,
+		ExpectedRuntime: longRuntime,
+	}
 	if err := placeContainer(b.scheduler.Address, spec); err != nil {
 		return err
 	}
@@ -132,8 +141,15 @@
 	if err := placeContainer(b.scheduler.Address, spec); err != nil {
 		return err
 	}
-	printf(t.Out, "start of a placer, %d containers in its log: door open after %.0f ms, first container placed after %.0f ms, "+
-		"first at-most-once one that came before after %.0f ms\n", n, milliseconds(listening), milliseconds(first), milliseconds(time.Since(began)))
+	printf(
+		t.Out,
+		"start of a placer, %d containers in its log: door open after %.0f ms, first container placed after %.0f ms, "+
+			"first at-most-once one that came before after %.0f ms\n",
+		n,
+		milliseconds(listening),
+		milliseconds(first),
+		milliseconds(time.Since(began)),
+	)
 	return nil
 }
 
@@ -142,25 +158,34 @@
 	jobs := (n + containersPerJob - 1) / containersPerJob
 	if err := writeLog(folder, server.RecordJob, jobs, func(i int) (string, any) {
 		id := fmt.Sprint("j", i)
-		return id, server.JobRecord{Job: server.Job{ID: id, Service: "s", WorkloadClass: workloadMatcher, Cores: 0.01, MemoryGiB: 0.01,
-			RunForMS: hourMS, Count: min(containersPerJob, n-i*containersPerJob), Version: int64(i + 1)}}
+		return id, server.JobRecord{Job: server.Job{
+			ID: id, Service: "s", WorkloadClass: workloadMatcher, Cores: 0.01, MemoryGiB: 0.01,
+			RunForMS: hourMS, Count: min(containersPerJob, n-i*containersPerJob), Version: int64(i + 1),
+		}}
 	}); err != nil {
 		return err
 	}
 	spec := controller.Spec{Service: "s", Tenant: 2, Cores: 0.01, Memory: 0.01, RunFor: scheduler.Time(longRuntime)}
 	return writeLog(folder, server.RecordContainer, n, func(i int) (string, any) {
 		job, index := fmt.Sprint("j", i/containersPerJob), i%containersPerJob
-		return fmt.Sprintf("%s.%d", job, index), server.ContainerRecord{SchedulerAddress: schedulerAddress, Container: controller.Container{
-			Job:            job,
-			Index:          index,
-			State:          controller.StateRunning,
-			Machine:        "machine-0000",
-			IdempotencyKey: fmt.Sprintf("%s/%d/%d", job, index, i),
-			RequestID:      fmt.Sprintf("%s/%d#%d", job, index, i),
-			Submitted:      true,
-			Starts:         1,
-			SubmittedSpec:  spec,
-		}}
+		return fmt.Sprintf(
+				"%s.%d",
+				job,
+				index,
+			), server.ContainerRecord{
+				SchedulerAddress: schedulerAddress,
+				Container: controller.Container{
+					Job:            job,
+					Index:          index,
+					State:          controller.StateRunning,
+					Machine:        "machine-0000",
+					IdempotencyKey: fmt.Sprintf("%s/%d/%d", job, index, i),
+					RequestID:      fmt.Sprintf("%s/%d#%d", job, index, i),
+					Submitted:      true,
+					Starts:         1,
+					SubmittedSpec:  spec,
+				},
+			}
 	})
 }
 
@@ -174,7 +199,11 @@
 	if err := k.launch(); err != nil {
 		return err
 	}
-	if err := waitUntil("the keeper answers", 30*time.Second, func() bool { return k.get("/v1/jobs?limit=1", nil) == nil }); err != nil {
+	if err := waitUntil(
+		"the keeper answers",
+		30*time.Second,
+		func() bool { return k.get("/v1/jobs?limit=1", nil) == nil },
+	); err != nil {
 		return err
 	}
 	listening := time.Since(began)
@@ -184,8 +213,13 @@
 	}); err != nil {
 		return err
 	}
-	printf(t.Out, "start of a keeper, %d containers in its log: API open after %.0f ms, the first found or started after %.0f ms\n", n,
-		milliseconds(listening), milliseconds(time.Since(began)))
+	printf(
+		t.Out,
+		"start of a keeper, %d containers in its log: API open after %.0f ms, the first found or started after %.0f ms\n",
+		n,
+		milliseconds(listening),
+		milliseconds(time.Since(began)),
+	)
 	return nil
 }
 
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -31,7 +31,13 @@
 	}
 	defer c.shutdown()
 	log := &timedLog{began: time.Now(), out: out}
-	log.printf("%d placers, %d machines in %d halls, %.0f submissions a second", len(c.Schedulers), len(c.Machines), len(s.Zones), s.Rate)
+	log.printf(
+		"%d placers, %d machines in %d halls, %.0f submissions a second",
+		len(c.Schedulers),
+		len(c.Machines),
+		len(s.Zones),
+		s.Rate,
+	)
 	injector := newFaultInjector(c, s, log)
 	c.Clients.Start(s.Rate, s.Seed)
 	var playing sync.WaitGroup
@@ -43,7 +49,11 @@
 	c.Clients.SetRate(0)
 	playing.Wait()
 	c.waitForReplies(s.Settle)
-	outcome := &Outcome{Injected: injector.injected, Status: c.statusByScheduler(), OverloadedMachines: c.countOverloaded()}
+	outcome := &Outcome{
+		Injected:           injector.injected,
+		Status:             c.statusByScheduler(),
+		OverloadedMachines: c.countOverloaded(),
+	}
 	outcome.Tally = c.Clients.Close()
 	outcome.Audit, err = c.CloseAndAudit()
 	return outcome, err
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -70,8 +70,10 @@
 func TestSchedulerKilledWith500AttemptsRunsNothingTwice(t *testing.T) {
 	d, dir := shortScenario(t), t.TempDir()
 	d.Machine.StartTime, d.Machine.MaxQueuedOffers, d.Machine.ConcurrentStarts, d.Machine.ImageMissFactor = 150*time.Millisecond, 1000, 3, 1
-	d.Workloads = []emulator.WorkloadProfile{{}, {}, {Share: 1, Services: 400, Cores: []float64{0.1}, Memory: []float64{0.1}, MeanRuntime: 30 * time.Second,
-		PlacementTimeout: 4 * time.Second, RetryRejected: true, RetryUnanswered: true}}
+	d.Workloads = []emulator.WorkloadProfile{{}, {}, {
+		Share: 1, Services: 400, Cores: []float64{0.1}, Memory: []float64{0.1}, MeanRuntime: 30 * time.Second,
+		PlacementTimeout: 4 * time.Second, RetryRejected: true, RetryUnanswered: true,
+	}}
 	c, err := StartCluster(d, dir, []string{os.Args[0], schedulerArgument})
 	if err != nil {
 		t.Fatal(err)
@@ -81,7 +83,8 @@
 	c.Clients.Start(4000, 1)
 	requireWithin30s(t, "500 bids out", func() bool {
 		s, err := p.Status()
-		return err == nil && s["bids"] > 500 && s["containers running"] > 20 && s["containers known"]-s["containers running"] > 500
+		return err == nil && s["bids"] > 500 && s["containers running"] > 20 &&
+			s["containers known"]-s["containers running"] > 500
 	})
 	c.Clients.SetRate(0)
 	c.KillScheduler(p)
@@ -97,7 +100,11 @@
 		s, err := p.Status()
 		return err == nil && int(s["containers taken over"]) >= ran
 	})
-	requireWithin30s(t, "what was lost is asked for again, and answered", func() bool { return c.Clients.Retried() >= 400 && c.Clients.Pending() == 0 })
+	requireWithin30s(
+		t,
+		"what was lost is asked for again, and answered",
+		func() bool { return c.Clients.Retried() >= 400 && c.Clients.Pending() == 0 },
+	)
 	tally := c.Clients.Close()
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
@@ -115,7 +122,9 @@
 func TestZoneComesBackInSlowStart(t *testing.T) {
 	d, dir := shortScenario(t), t.TempDir()
 	d.Length, d.Schedulers = 3*time.Second, 2
-	d.Faults = []Fault{{Kind: "hall restarts cold", At: 500 * time.Millisecond, Duration: 300 * time.Millisecond, Zone: 1}}
+	d.Faults = []Fault{
+		{Kind: "hall restarts cold", At: 500 * time.Millisecond, Duration: 300 * time.Millisecond, Zone: 1},
+	}
 	var out bytes.Buffer
 	o, err := d.Run(dir, []string{os.Args[0], schedulerArgument}, &out)
 	if err != nil {
@@ -166,9 +175,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []Fault{{Kind: "crash", At: time.Second, Duration: 500 * time.Millisecond, Fraction: 0.5},
-		{Kind: "placers killed", At: 2 * time.Second, Duration: time.Microsecond, Fraction: 0.5}}
-	if len(d.Faults) != 2 || d.Faults[0] != want[0] || d.Faults[1] != want[1] || !strings.Contains(out.String(), "left out: report_late") {
+	want := []Fault{
+		{Kind: "crash", At: time.Second, Duration: 500 * time.Millisecond, Fraction: 0.5},
+		{Kind: "placers killed", At: 2 * time.Second, Duration: time.Microsecond, Fraction: 0.5},
+	}
+	if len(d.Faults) != 2 || d.Faults[0] != want[0] || d.Faults[1] != want[1] ||
+		!strings.Contains(out.String(), "left out: report_late") {
 		t.Errorf("%+v\n%s", d.Faults, out.String())
 	}
 	writeFile(t, path, []byte(`{}`))
--- a/internal/testbed/scenario/simulation.go
+++ b/internal/testbed/scenario/simulation.go
@@ -8,8 +8,8 @@
 	"glenport/scheduler"
 )
 
-// Simulation is a cluster on a virtual clock: the real decisions of many schedulers and their concurrency limits, with a
-// plain model of machines, connections and clients. One seed gives one outcome.
+// Simulation is a cluster on a virtual clock: the real decisions of many schedulers and their concurrency limits, with
+// a plain model of machines, connections and clients. One seed gives one outcome.
 type Simulation struct {
 	Seed            uint64
 	Schedulers      int
@@ -38,7 +38,8 @@
 
 	Seconds []SimSecond
 	Actions int
-	// ScheduledRetries came at the time that a limiter gave; AdmittedRetries are those of them for which there was room.
+	// ScheduledRetries came at the time that a limiter gave; AdmittedRetries are those of them for which there was
+	// room.
 	ScheduledRetries, AdmittedRetries int
 }
 
@@ -59,7 +60,8 @@
 // SimSecond counts the results of the containers first tried in one second, at whichever try.
 type SimSecond struct {
 	Submitted, Retried, InTime, Late, Shed, Rejected, Failed, Abandoned int
-	Placed                                                              int // in this second and within the latency objective, whenever they were first tried
+	// in this second and within the latency objective, whenever they were first tried
+	Placed int
 }
 
 // simEvent is something that happens at a moment of virtual time.
@@ -125,12 +127,29 @@
 		SlowStartBudget:    simSharedBudget,
 		MachineTypes:       []scheduler.MachineType{{Cores: 48, Memory: 120}},
 		WorkloadClasses: []scheduler.WorkloadClass{
-			simIdempotent: {Idempotency: scheduler.Idempotent, LatencyObjective: objective, PlacementTimeout: timeout, MachineType: anyMachine,
-				PriorityWeight: 1},
-			simIdempotentWithKey: {Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeZone, DedupWindow: 4 * scheduler.Second,
-				LatencyObjective: objective, PlacementTimeout: timeout, MachineType: anyMachine, PriorityWeight: 2},
-			simAtMostOnce: {Idempotency: scheduler.AtMostOnce, LatencyObjective: 500 * scheduler.Millisecond, PlacementTimeout: timeout,
-				MachineType: anyMachine, PriorityWeight: 4},
+			simIdempotent: {
+				Idempotency:      scheduler.Idempotent,
+				LatencyObjective: objective,
+				PlacementTimeout: timeout,
+				MachineType:      anyMachine,
+				PriorityWeight:   1,
+			},
+			simIdempotentWithKey: {
+				Idempotency:      scheduler.IdempotentWithKey,
+				DedupScope:       scheduler.ScopeZone,
+				DedupWindow:      4 * scheduler.Second,
+				LatencyObjective: objective,
+				PlacementTimeout: timeout,
+				MachineType:      anyMachine,
+				PriorityWeight:   2,
+			},
+			simAtMostOnce: {
+				Idempotency:      scheduler.AtMostOnce,
+				LatencyObjective: 500 * scheduler.Millisecond,
+				PlacementTimeout: timeout,
+				MachineType:      anyMachine,
+				PriorityWeight:   4,
+			},
 		},
 	}
 }
@@ -181,7 +200,10 @@
 		if !m.up {
 			s = scheduler.MachineGone
 		}
-		all = append(all, scheduler.MachineEntry{Machine: m.id, Zone: i % 3, RackGroup: i / 4, State: s, StartedAt: m.started})
+		all = append(
+			all,
+			scheduler.MachineEntry{Machine: m.id, Zone: i % 3, RackGroup: i / 4, State: s, StartedAt: m.started},
+		)
 	}
 	return all
 }
--- a/internal/testbed/scenario/simulation_scheduler.go
+++ b/internal/testbed/scenario/simulation_scheduler.go
@@ -57,8 +57,10 @@
 	const snapshotConfidence = 0.9
 	config := overload.Config{Seed: s.config.Seed, MaxOpen: 1_000_000}
 	for _, class := range s.config.WorkloadClasses {
-		config.WorkloadClasses = append(config.WorkloadClasses, overload.WorkloadClass{LatencyObjective: class.LatencyObjective,
-			PriorityWeight: class.PriorityWeight})
+		config.WorkloadClasses = append(config.WorkloadClasses, overload.WorkloadClass{
+			LatencyObjective: class.LatencyObjective,
+			PriorityWeight:   class.PriorityWeight,
+		})
 	}
 	old := s.limiter
 	s.limiter = overload.New(config)
@@ -193,8 +195,10 @@
 		deadline = min(deadline, sim.now+action.Timeout)
 	}
 	c := request.container
-	attempt := &simAttempt{scheduler: s, id: action.ID, machine: m, deadline: deadline,
-		service: fmt.Sprint(c.workloadClass, c.number%simServices), cores: simCores}
+	attempt := &simAttempt{
+		scheduler: s, id: action.ID, machine: m, deadline: deadline,
+		service: fmt.Sprint(c.workloadClass, c.number%simServices), cores: simCores,
+	}
 	request.attempt = attempt
 	request.attempts++
 	sim.schedule(deadline-sim.now, func() {
@@ -221,7 +225,16 @@
 	if final {
 		delete(s.requests, a.id)
 	}
-	s.handle(scheduler.AttemptEnded{ID: a.id, Attempt: request.attempts - 1, Outcome: outcome, Machine: a.machine.id, Reason: reason, Final: final})
+	s.handle(
+		scheduler.AttemptEnded{
+			ID:      a.id,
+			Attempt: request.attempts - 1,
+			Outcome: outcome,
+			Machine: a.machine.id,
+			Reason:  reason,
+			Final:   final,
+		},
+	)
 }
 
 // accept is the machine's accept as it reaches the scheduler; one that comes too late stops what has started.
--- a/internal/testbed/scenario/simulation_test.go
+++ b/internal/testbed/scenario/simulation_test.go
@@ -8,8 +8,17 @@
 )
 
 func simulatedOnce(d Damping) (*Simulation, goodputRecovery) {
-	w := &Simulation{Seed: 1, Schedulers: 2, Machines: 12, Rate: 420, Length: 40 * scheduler.Second, Damping: d, Restart: 10, RestartAt: 8 * scheduler.Second,
-		DownFor: 2 * scheduler.Second}
+	w := &Simulation{
+		Seed:       1,
+		Schedulers: 2,
+		Machines:   12,
+		Rate:       420,
+		Length:     40 * scheduler.Second,
+		Damping:    d,
+		Restart:    10,
+		RestartAt:  8 * scheduler.Second,
+		DownFor:    2 * scheduler.Second,
+	}
 	w.Run()
 	return w, evaluateGoodput(w.goodput(), 8)
 }
--- a/internal/testbed/scenario/trial_bgp.go
+++ b/internal/testbed/scenario/trial_bgp.go
@@ -33,9 +33,10 @@
 }
 
 const (
-	bgpServices          = 250
-	endsPerRound         = 50
-	firstReservedService = 200 // each step but the first has services of its own from here on: those before are damped by their many ends
+	bgpServices  = 250
+	endsPerRound = 50
+	// each step but the first has services of its own from here on: those before are damped by their many ends
+	firstReservedService = 200
 	withdrawalLimit      = 2 * time.Second
 	minUpdateInterval    = time.Second
 	clockTolerance       = 30 * time.Millisecond // between a peer's reading and the scheduler's writing
@@ -88,7 +89,10 @@
 	for _, m := range t.cluster.Machines {
 		m.OnEnd = t.recordEnd
 	}
-	if err := t.waitUntil("both sessions stand", func() bool { return t.peers[0].Established() && t.peers[1].Established() }); err != nil {
+	if err := t.waitUntil(
+		"both sessions stand",
+		func() bool { return t.peers[0].Established() && t.peers[1].Established() },
+	); err != nil {
 		return false, err
 	}
 	if err := t.connect(); err != nil {
@@ -111,14 +115,22 @@
 func (t *BGPTrial) startPeers() ([]any, error) {
 	var configs []any
 	for i := range 2 {
-		p := &emulator.BGPPeer{AS: 65000, ID: [4]byte{192, 0, 2, byte(250 + i)}, HoldTime: 3 * time.Second, RestartTime: 10 * time.Second, RecordChanges: true}
+		p := &emulator.BGPPeer{
+			AS:            65000,
+			ID:            [4]byte{192, 0, 2, byte(250 + i)},
+			HoldTime:      3 * time.Second,
+			RestartTime:   10 * time.Second,
+			RecordChanges: true,
+		}
 		address, err := p.Open()
 		if err != nil {
 			return nil, err
 		}
 		t.peers = append(t.peers, p)
-		configs = append(configs, map[string]any{"address": address, "as": 65000, "hold": "3s", "keep_routes_for": "10s",
-			"allow": []any{"198.51.100.0/24"}})
+		configs = append(configs, map[string]any{
+			"address": address, "as": 65000, "hold": "3s", "keep_routes_for": "10s",
+			"allow": []any{"198.51.100.0/24"},
+		})
 	}
 	return configs, nil
 }
@@ -127,7 +139,10 @@
 func bgpConfig(peers []any) map[string]any {
 	var services []any
 	for i := range bgpServices {
-		services = append(services, map[string]any{"service": bgpServiceName(i), "prefix": bgpPrefix(i).String(), "next_hop": "192.0.2.5"})
+		services = append(
+			services,
+			map[string]any{"service": bgpServiceName(i), "prefix": bgpPrefix(i).String(), "next_hop": "192.0.2.5"},
+		)
 	}
 	return map[string]any{"as": 65001, "identifier": "192.0.2.5", "peers": peers, "services": services}
 }
@@ -216,8 +231,17 @@
 	id = fmt.Sprint("c", t.lastContainer)
 	t.replies[id] = waiting
 	t.mu.Unlock()
-	if err := t.send(&protocol.Submit{TimeToDeadline: submitTimeout, Spec: protocol.ContainerSpec{ContainerID: id, IdempotencyKey: id,
-		Service: bgpServiceName(service), WorkloadClass: workload, Cores: 0.1, Memory: 0.1, ExpectedRuntime: protocol.Duration(life / tick)}}); err != nil {
+	if err := t.send(&protocol.Submit{TimeToDeadline: submitTimeout, Spec: protocol.ContainerSpec{
+		ContainerID:    id,
+		IdempotencyKey: id,
+		Service: bgpServiceName(
+			service,
+		),
+		WorkloadClass:   workload,
+		Cores:           0.1,
+		Memory:          0.1,
+		ExpectedRuntime: protocol.Duration(life / tick),
+	}}); err != nil {
 		return id, "", err
 	}
 	select {
@@ -255,9 +279,15 @@
 	if measured.count < expected {
 		t.miss("%d withdrawals for %d ends at %d peers", measured.count, t.Rounds*endsPerRound, len(t.peers))
 	}
-	return fmt.Sprintf("%d ends at %d peers, withdrawn after p50 %d ms, p99 %d ms, worst %d ms; %.1f updates an end and peer",
-		t.Rounds*endsPerRound, len(t.peers), measured.delays.ValueAtQuantile(50), measured.delays.ValueAtQuantile(99), measured.delays.Max(),
-		float64(measured.updates)/float64(expected)), nil
+	return fmt.Sprintf(
+		"%d ends at %d peers, withdrawn after p50 %d ms, p99 %d ms, worst %d ms; %.1f updates an end and peer",
+		t.Rounds*endsPerRound,
+		len(t.peers),
+		measured.delays.ValueAtQuantile(50),
+		measured.delays.ValueAtQuantile(99),
+		measured.delays.Max(),
+		float64(measured.updates)/float64(expected),
+	), nil
 }
 
 // placeRound places one container of each of a round's services and returns their names.
@@ -280,7 +310,11 @@
 			return err
 		}
 		for k, p := range t.peers {
-			if err := t.waitWithdrawn(fmt.Sprintf("peer %d is told that %s is gone", k, bgpPrefix(first+i)), p, first+i); err != nil {
+			if err := t.waitWithdrawn(
+				fmt.Sprintf("peer %d is told that %s is gone", k, bgpPrefix(first+i)),
+				p,
+				first+i,
+			); err != nil {
 				return err
 			}
 		}
@@ -316,7 +350,8 @@
 	for i := range flaps {
 		time.Sleep(time.Until(began.Add(time.Duration(i) * 20 * time.Millisecond)))
 		go func() {
-			_, _, _ = t.place(flapService, 10*time.Millisecond) // under this load some may be rejected; the route is what counts
+			// under this load some may be rejected; the route is what counts
+			_, _, _ = t.place(flapService, 10*time.Millisecond)
 		}()
 	}
 	time.Sleep(3 * time.Second)
@@ -329,8 +364,12 @@
 			t.miss("peer %d still has the route of a service without a container", k)
 		}
 	}
-	return fmt.Sprintf("%d starts, %.1f updates a peer, none within %d ms of another", flaps, float64(updates)/float64(len(t.peers)),
-		shortest.Milliseconds()), nil
+	return fmt.Sprintf(
+		"%d starts, %.1f updates a peer, none within %d ms of another",
+		flaps,
+		float64(updates)/float64(len(t.peers)),
+		shortest.Milliseconds(),
+	), nil
 }
 
 // checkUpdateInterval returns the shortest time between two updates of the flapping service, and their number.
@@ -395,7 +434,8 @@
 	lastChoice := false
 	return t.waitUntil("the peer hears of the drain", func() bool {
 		for _, update := range p.Changes() {
-			lastChoice = lastChoice || update.Prefix == bgpPrefix(drainService) && update.GracefulShutdown && !update.Withdrawn
+			lastChoice = lastChoice ||
+				update.Prefix == bgpPrefix(drainService) && update.GracefulShutdown && !update.Withdrawn
 		}
 		return lastChoice
 	})
@@ -420,7 +460,11 @@
 	if err := restartAll(crashed); err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("%d times, the route gone at most %d ms after the machine's death", tries, worst.Milliseconds()), nil
+	return fmt.Sprintf(
+		"%d times, the route gone at most %d ms after the machine's death",
+		tries,
+		worst.Milliseconds(),
+	), nil
 }
 
 func restartAll(machines []*emulator.Machine) error {
@@ -449,7 +493,10 @@
 	before := establishedCount(reset)
 	go reset.Reset()
 	m.Crash()
-	if err := t.waitUntil("the session is back", func() bool { return establishedCount(reset) > before && reset.Established() }); err != nil {
+	if err := t.waitUntil(
+		"the session is back",
+		func() bool { return establishedCount(reset) > before && reset.Established() },
+	); err != nil {
 		return m, 0, err
 	}
 	for k, p := range t.peers {
@@ -478,7 +525,11 @@
 		{"garbage", p.SendGarbage, func() {}},
 		{"half a message, then silence", func() { p.SendPartial(); p.SetSilent(true) }, endSilence},
 		{"silence", func() { p.SetSilent(true) }, endSilence},
-		{"another AS", func() { p.SetWrongAS(true); p.Reset(); time.Sleep(2 * time.Second) }, func() { p.SetWrongAS(false) }},
+		{
+			"another AS",
+			func() { p.SetWrongAS(true); p.Reset(); time.Sleep(2 * time.Second) },
+			func() { p.SetWrongAS(false) },
+		},
 	}
 }
 
@@ -498,7 +549,10 @@
 	for _, e := range protocolErrors(bad) {
 		before := establishedCount(bad)
 		e.start()
-		if err := t.waitUntil(e.name+" ends the session", func() bool { return !bad.Established() || establishedCount(bad) > before }); err != nil {
+		if err := t.waitUntil(
+			e.name+" ends the session",
+			func() bool { return !bad.Established() || establishedCount(bad) > before },
+		); err != nil {
 			return "", err
 		}
 		e.end()
@@ -591,7 +645,10 @@
 	for k, p := range t.peers {
 		t.checkRoutesAfterRestart(k, p)
 	}
-	return fmt.Sprintf("routes right again %d ms after its start, the live one never gone", time.Since(began).Milliseconds()), nil
+	return fmt.Sprintf(
+		"routes right again %d ms after its start, the live one never gone",
+		time.Since(began).Milliseconds(),
+	), nil
 }
 
 func (t *BGPTrial) checkRoutesAfterRestart(peer int, p *emulator.BGPPeer) {
--- a/internal/testbed/scenario/trial_overload.go
+++ b/internal/testbed/scenario/trial_overload.go
@@ -63,7 +63,13 @@
 	if r.secondsToRecover >= 0 {
 		back = fmt.Sprintf("back after %d s", r.secondsToRecover)
 	}
-	return fmt.Sprintf("in time %.0f a second before, at worst %.0f, %s, %.0f starts in time lost", r.before, r.lowest, back, r.lost)
+	return fmt.Sprintf(
+		"in time %.0f a second before, at worst %.0f, %s, %.0f starts in time lost",
+		r.before,
+		r.lowest,
+		back,
+		r.lost,
+	)
 }
 
 // Run reports whether glenport recovered in every run, with fewer starts lost than the others.
@@ -110,8 +116,17 @@
 )
 
 func restartSimulation(seed uint64, damping Damping) *Simulation {
-	return &Simulation{Seed: seed, Schedulers: 3, Machines: simulatedMachines, Rate: 1200, Length: 60 * scheduler.Second, Damping: damping,
-		Restart: simulatedRestart, RestartAt: simulatedRestartAt * scheduler.Second, DownFor: 2 * scheduler.Second}
+	return &Simulation{
+		Seed:       seed,
+		Schedulers: 3,
+		Machines:   simulatedMachines,
+		Rate:       1200,
+		Length:     60 * scheduler.Second,
+		Damping:    damping,
+		Restart:    simulatedRestart,
+		RestartAt:  simulatedRestartAt * scheduler.Second,
+		DownFor:    2 * scheduler.Second,
+	}
 }
 
 // simulatedRuns collects the runs of one share of ignoring clients.
@@ -144,8 +159,14 @@
 			never := t.printRecoveries(ignoring, d, runs.recoveries[d])
 			ok = ok && (d != Limited || never == 0)
 		}
-		printf(t.Out, "simulated: %d actions of the modules in %.1f s; %d appointments kept, at %.0f%% of them there was room\n", runs.actions,
-			time.Since(began).Seconds(), runs.scheduled, 100*float64(runs.admitted)/float64(max(1, runs.scheduled)))
+		printf(
+			t.Out,
+			"simulated: %d actions of the modules in %.1f s; %d appointments kept, at %.0f%% of them there was room\n",
+			runs.actions,
+			time.Since(began).Seconds(),
+			runs.scheduled,
+			100*float64(runs.admitted)/float64(max(1, runs.scheduled)),
+		)
 		ok = ok && runs.meanLost(Limited) < min(runs.meanLost(NoDamping), runs.meanLost(Exponential))
 	}
 	return ok
@@ -182,9 +203,19 @@
 	if len(seconds) > 0 {
 		when = fmt.Sprintf("back after %d to %d s", slices.Min(seconds), slices.Max(seconds))
 	}
-	printf(t.Out, "simulated, %d of %d machines restart, %3.0f%% of the clients ignore advice, damping %-11s: %s, metastable in %d of %d; %.0f "+
-		"starts in time lost on average\n", simulatedRestart, simulatedMachines, 100*ignoring, d, when, never, len(recoveries),
-		meanLost(recoveries))
+	printf(
+		t.Out,
+		"simulated, %d of %d machines restart, %3.0f%% of the clients ignore advice, damping %-11s: %s, metastable in %d of %d; %.0f "+
+			"starts in time lost on average\n",
+		simulatedRestart,
+		simulatedMachines,
+		100*ignoring,
+		d,
+		when,
+		never,
+		len(recoveries),
+		meanLost(recoveries),
+	)
 	return never
 }
 
@@ -204,7 +235,14 @@
 type calmRun struct{ inTime, submitted, shed int }
 
 func runCalm(d Damping) (run calmRun) {
-	s := &Simulation{Seed: 5, Schedulers: 3, Machines: simulatedMachines, Rate: 700, Length: 120 * scheduler.Second, Damping: d}
+	s := &Simulation{
+		Seed:       5,
+		Schedulers: 3,
+		Machines:   simulatedMachines,
+		Rate:       700,
+		Length:     120 * scheduler.Second,
+		Damping:    d,
+	}
 	s.Run()
 	for _, second := range s.Seconds {
 		run.inTime += second.Placed
@@ -220,8 +258,14 @@
 // latency objective.
 func (t *OverloadTrial) runCalm() bool {
 	without, with := runCalm(NoDamping), runCalm(Limited)
-	printf(t.Out, "simulated, calm: %d asked, %d turned away; starts in time %.2f%% without the door, %.2f%% with it\n", with.submitted,
-		with.shed, 100*without.share(), 100*with.share())
+	printf(
+		t.Out,
+		"simulated, calm: %d asked, %d turned away; starts in time %.2f%% without the door, %.2f%% with it\n",
+		with.submitted,
+		with.shed,
+		100*without.share(),
+		100*with.share(),
+	)
 	return 1-with.share()/without.share() < 0.01
 }
 
@@ -240,7 +284,12 @@
 )
 
 // runSockets plays it with real schedulers; kept reports whether the rules were kept and no machine was overloaded.
-func (t *OverloadTrial) runSockets(s *Scenario, dir string, d Damping, seed uint64) (r goodputRecovery, kept bool, err error) {
+func (t *OverloadTrial) runSockets(
+	s *Scenario,
+	dir string,
+	d Damping,
+	seed uint64,
+) (r goodputRecovery, kept bool, err error) {
 	c, err := StartCluster(s, dir, t.Program(d == Limited))
 	if err != nil {
 		return r, false, err
@@ -265,9 +314,20 @@
 		return r, false, err
 	}
 	PrintViolations(t.Out, report)
-	printf(t.Out, "  %d submitted (%d again), %d placed, %d pushed back, %d turned away, %d given up; %d machines pushed over, cold ones at most at "+
-		"%d of %d\n", tally.Submitted, tally.Retried, tally.Placed, tally.Rejected, tally.NotAdmitted, tally.Failed, overloaded,
-		report.SlowStartPeak, report.SlowStartBudget)
+	printf(
+		t.Out,
+		"  %d submitted (%d again), %d placed, %d pushed back, %d turned away, %d given up; %d machines pushed over, cold ones at most at "+
+			"%d of %d\n",
+		tally.Submitted,
+		tally.Retried,
+		tally.Placed,
+		tally.Rejected,
+		tally.NotAdmitted,
+		tally.Failed,
+		overloaded,
+		report.SlowStartPeak,
+		report.SlowStartBudget,
+	)
 	return evaluateGoodput(measured.perSecond, socketRestartAt), report.Passed() && overloaded == 0, nil
 }
 
--- a/internal/testbed/scenario/trial_restart.go
+++ b/internal/testbed/scenario/trial_restart.go
@@ -63,8 +63,15 @@
 			return false
 		}
 	}
-	printf(t.Out, "crash states: %d operations, %d states after one crash and %d after a second in recovery, all legal; "+
-		"%d of %d single bits turned over were refused, the others were in the last group\n", sum.Operations, sum.States,
-		sum.SecondCrashes, sum.Refused, sum.BitFlips)
+	printf(
+		t.Out,
+		"crash states: %d operations, %d states after one crash and %d after a second in recovery, all legal; "+
+			"%d of %d single bits turned over were refused, the others were in the last group\n",
+		sum.Operations,
+		sum.States,
+		sum.SecondCrashes,
+		sum.Refused,
+		sum.BitFlips,
+	)
 	return true
 }
--- a/internal/testbed/scenario/trial_why.go
+++ b/internal/testbed/scenario/trial_why.go
@@ -15,8 +15,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// WhyTrial starts a cluster with a controller, makes containers pend for known reasons, and compares what a client reads
-// through the API with the state of the emulated machines themselves.
+// WhyTrial starts a cluster with a controller, makes containers pend for known reasons, and compares what a client
+// reads through the API with the state of the emulated machines themselves.
 type WhyTrial struct {
 	Cluster  *Cluster
 	Cycles   int  // of draining and filling; each holds four changes
@@ -185,13 +185,24 @@
 		case e.met(codes, answer):
 			t.recordDelay(max(1, took.Milliseconds()))
 			if took > reasonLimit {
-				t.miss("%s: the truth was read after %d ms, before that %s %+v", e.what, took.Milliseconds(), wrong.State, wrong.Reasons)
+				t.miss(
+					"%s: the truth was read after %d ms, before that %s %+v",
+					e.what,
+					took.Milliseconds(),
+					wrong.State,
+					wrong.Reasons,
+				)
 			}
 			return nil
 		case took > 5*reasonLimit:
 			read := slices.Sorted(maps.Keys(codes))
-			t.miss("%s: read [%s], true is [%s] and not [%s]", e.what, strings.Join(read, " "), strings.Join(e.want, " "),
-				strings.Join(e.not, " "))
+			t.miss(
+				"%s: read [%s], true is [%s] and not [%s]",
+				e.what,
+				strings.Join(read, " "),
+				strings.Join(e.want, " "),
+				strings.Join(e.not, " "),
+			)
 			t.recordDelay(took.Milliseconds())
 			return nil
 		}
@@ -282,7 +293,13 @@
 	}
 	since = time.Now()
 	t.drain(true, isLarge)
-	if err := t.expect("all draining", pendingOne, since, []string{reasonNoMachine}, []string{reasonNoRoom}); err != nil {
+	if err := t.expect(
+		"all draining",
+		pendingOne,
+		since,
+		[]string{reasonNoMachine},
+		[]string{reasonNoRoom},
+	); err != nil {
 		return err
 	}
 	since = time.Now()
@@ -304,11 +321,13 @@
 	if since := time.Now(); t.countContainers(pendingJob, stateRunning) == 0 {
 		// The machine with room may be excluded for another reason: it drained a moment ago, and rejected work then.
 		// But no more machines may be reported as full than are.
-		if err := t.expectMatching(expectation{what: "room", container: pendingOne, since: since, not: []string{reasonNoMachine},
+		if err := t.expectMatching(expectation{
+			what: "room", container: pendingOne, since: since, not: []string{reasonNoMachine},
 			holds: func(answer pendingReasons) bool {
 				noRoom, found := answer.find(reasonNoRoom)
 				return !found || int(noRoom.Figures["full"]) == large-t.countFittingMachines(fillerCores, fillerMemory)
-			}}); err != nil {
+			},
+		}); err != nil {
 			return err
 		}
 	}
@@ -335,8 +354,18 @@
 	}
 	since = time.Now()
 	t.Cluster.List.SetUnreachable(true)
-	if err := t.expect("and the list is away", pendingOne, since.Add(listSilenceLimit),
-		[]string{reasonZoneDrains, reasonNoRoom, reasonBackingOff, reasonListAway}, []string{reasonNoMachine}); err != nil {
+	if err := t.expect(
+		"and the list is away",
+		pendingOne,
+		since.Add(listSilenceLimit),
+		[]string{
+			reasonZoneDrains,
+			reasonNoRoom,
+			reasonBackingOff,
+			reasonListAway,
+		},
+		[]string{reasonNoMachine},
+	); err != nil {
 		return err
 	}
 	t.Cluster.List.SetUnreachable(false)
@@ -359,11 +388,19 @@
 	if err := t.createJob(job, workloadAtMostOnce, capacity+4, 0.1, 0.1); err != nil {
 		return err
 	}
-	if err := waitUntil("the spread is full", spreadTimeout, func() bool { return t.countContainers(job, stateRunning) >= capacity-2 }); err != nil {
+	if err := waitUntil(
+		"the spread is full",
+		spreadTimeout,
+		func() bool { return t.countContainers(job, stateRunning) >= capacity-2 },
+	); err != nil {
 		return err
 	}
 	// One scheduler's places may be full while the other has one; the true reason is that of the scheduler asked.
-	if err := waitUntil("both placers are full", spreadTimeout, func() bool { return t.countContainers(job, stateRunning) == capacity }); err != nil {
+	if err := waitUntil(
+		"both placers are full",
+		spreadTimeout,
+		func() bool { return t.countContainers(job, stateRunning) == capacity },
+	); err != nil {
 		return err
 	}
 	var pending struct{ Items []struct{ ID string } }
@@ -374,7 +411,13 @@
 		return errors.New("none of the spread job waits")
 	}
 	last := pending.Items[len(pending.Items)-1].ID
-	if err := t.expect("spread full", last, time.Now(), []string{reasonSpreadFull}, []string{reasonNoMachine, reasonNoRoom}); err != nil {
+	if err := t.expect(
+		"spread full",
+		last,
+		time.Now(),
+		[]string{reasonSpreadFull},
+		[]string{reasonNoMachine, reasonNoRoom},
+	); err != nil {
 		return err
 	}
 	return t.deleteJob(job)
@@ -418,7 +461,11 @@
 	if err := t.createJob(job, workloadAtMostOnce, capacity, 0.1, 0.1); err != nil {
 		return err
 	}
-	if err := waitUntil("every machine is in use again", spreadTimeout, func() bool { return t.countContainers(job, stateRunning) == capacity }); err != nil {
+	if err := waitUntil(
+		"every machine is in use again",
+		spreadTimeout,
+		func() bool { return t.countContainers(job, stateRunning) == capacity },
+	); err != nil {
 		return err
 	}
 	return t.deleteJob(job)
@@ -457,12 +504,24 @@
 	if err := t.createJob(unplaceableJob, workloadMatcher, 1, 500, 1); err != nil {
 		return err
 	}
-	if err := t.expect("too large for all", unplaceableOne, since, []string{reasonNoMachine}, []string{reasonNoRoom, reasonListAway}); err != nil {
+	if err := t.expect(
+		"too large for all",
+		unplaceableOne,
+		since,
+		[]string{reasonNoMachine},
+		[]string{reasonNoRoom, reasonListAway},
+	); err != nil {
 		return err
 	}
 	since = time.Now()
 	t.Cluster.List.SetUnreachable(true)
-	if err := t.expect("the list is away", unplaceableOne, since.Add(listSilenceLimit), []string{reasonListAway, reasonNoMachine}, nil); err != nil {
+	if err := t.expect(
+		"the list is away",
+		unplaceableOne,
+		since.Add(listSilenceLimit),
+		[]string{reasonListAway, reasonNoMachine},
+		nil,
+	); err != nil {
 		return err
 	}
 	t.Cluster.List.SetUnreachable(false)
@@ -479,7 +538,13 @@
 	for _, p := range t.Cluster.Schedulers {
 		t.Cluster.KillScheduler(p)
 	}
-	if err := t.expect("all placers killed", unplaceableOne, since, []string{reasonNoScheduler}, []string{reasonNoMachine}); err != nil {
+	if err := t.expect(
+		"all placers killed",
+		unplaceableOne,
+		since,
+		[]string{reasonNoScheduler},
+		[]string{reasonNoMachine},
+	); err != nil {
 		return err
 	}
 	for _, p := range t.Cluster.Schedulers {
--- a/measure/store/store_test.go
+++ b/measure/store/store_test.go
@@ -1,5 +1,6 @@
-// Package store measures the write-ahead log beside two libraries: commits a second with a sync each, and what becomes of a
-// directory in which one bit was flipped. It is a module of its own, so that glenport does not depend on the libraries.
+// Package store measures the write-ahead log beside two libraries: commits a second with a sync each, and what becomes
+// of a directory in which one bit was flipped. It is a module of its own, so that glenport does not depend on the
+// libraries.
 package store
 
 import (
@@ -173,9 +174,9 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "commits/s")
 }
 
-// TestFlip leaves a directory as a crash would after a thousand commits, flips one bit at each of many places, and logs how
-// many openings were refused, crashed, or went on with less or other than what was committed. It compares the engines and
-// fails only where a trial cannot be run.
+// TestFlip leaves a directory as a crash would after a thousand commits, flips one bit at each of many places, and logs
+// how many openings were refused, crashed, or went on with less or other than what was committed. It compares the
+// engines and fails only where a trial cannot be run.
 func TestFlip(t *testing.T) {
 	if dir := os.Getenv(directoryVariable); dir != "" {
 		openDamaged(os.Getenv(engineVariable), dir)
