--- a/cmd/adapter/golden_test.go
+++ b/cmd/adapter/golden_test.go
@@ -2,13 +2,12 @@
 
 import (
 	"bytes"
-	"flag"
 	"os"
 	"strings"
 	"testing"
-)
 
-var update = flag.Bool("update", false, "rewrite the expected values in testdata")
+	"glenport/internal/golden"
+)
 
 // TestTranscriptIsAnsweredByteForByte replays frames of two instances with all kinds of messages. The text of
 // DEBUG lines is free; that one is written, and where, is not.
@@ -29,16 +28,5 @@
 		}
 	}
 	got := strings.Join(lines, "")
-	if *update {
-		if err := os.WriteFile(recorded, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(recorded)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("answered\n%s\nwant\n%s", got, want)
-	}
+	golden.CheckText(t, recorded, got)
 }
--- a/cmd/glenport/golden_test.go
+++ b/cmd/glenport/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
 	"net"
@@ -15,11 +14,10 @@
 	"strings"
 	"testing"
 
+	"glenport/internal/golden"
 	"glenport/internal/protocol"
 )
 
-var update = flag.Bool("update", false, "record the golden texts anew")
-
 // runCommand runs the program with arguments, and returns what it prints and how it ends.
 func runCommand(args ...string) (stdout, stderr string, err error) {
 	root := newRootCommand()
@@ -391,24 +389,5 @@
 		text = snapshotAge.ReplaceAllString(text, "written AGE ago")
 		got.WriteString(randomID.ReplaceAllString(text, "-RANDOM-$1") + "\n")
 	}
-	const path = "testdata/output.txt"
-	if *update {
-		if err := os.WriteFile(path, []byte(got.String()), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	recorded, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if string(recorded) != got.String() {
-		gotLines, wantLines := strings.Split(got.String(), "\n"), strings.Split(string(recorded), "\n")
-		for i := range min(len(gotLines), len(wantLines)) {
-			if gotLines[i] != wantLines[i] {
-				t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, gotLines[i], wantLines[i])
-			}
-		}
-		t.Fatalf("%d lines, recorded are %d", len(gotLines), len(wantLines))
-	}
+	golden.CheckText(t, "testdata/output.txt", got.String())
 }
--- a/internal/bgp/announce/golden_test.go
+++ b/internal/bgp/announce/golden_test.go
@@ -1,31 +1,24 @@
 package announce
 
 import (
-	"crypto/sha256"
-	"encoding/binary"
-	"flag"
 	"fmt"
-	"hash"
 	"math"
 	"math/rand/v2"
 	"net/netip"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
+	"glenport/internal/golden"
 	"glenport/scheduler"
 )
 
-var update = flag.Bool("update", false, "write the golden digests anew")
-
 // TestDecisionsMatchGoldenDigests plays seeded histories and compares a digest of all actions, in order and with the
 // time at which each was returned, with that in testdata. A changed decision changes the digest; a rename does not.
 func TestDecisionsMatchGoldenDigests(t *testing.T) {
 	const sequences, steps = 250, 150
 	var got strings.Builder
 	for group, maxStep := range []scheduler.Time{100 * scheduler.Millisecond, 2 * scheduler.Second, 60 * scheduler.Second, 1200 * scheduler.Second} {
-		digest := &actionDigest{sum: sha256.New()}
+		digest := actionDigest{golden.NewDigest()}
 		for seed := range sequences {
 			h := &history{
 				digest:    digest,
@@ -37,86 +30,51 @@
 				h.step()
 			}
 		}
-		fmt.Fprintf(&got, "steps of up to %d: %d actions, sha256 %x\n", maxStep, digest.actions, digest.sum.Sum(nil))
-	}
-	path := filepath.Join("testdata", "decisions.txt")
-	if *update {
-		if err := os.WriteFile(path, []byte(got.String()), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got.String() != string(want) {
-		t.Errorf("%s: got\n%swant\n%s", path, got.String(), want)
+		fmt.Fprintf(&got, "steps of up to %d: %d actions, sha256 %s\n", maxStep, digest.Records(), digest.Sum())
 	}
+	golden.CheckText(t, "testdata/decisions.txt", got.String())
 }
 
 // actionDigest folds actions by an ordinal of their type and the values of their fields, but for texts of the log.
-type actionDigest struct {
-	sum     hash.Hash
-	actions int
-}
+type actionDigest struct{ *golden.Digest }
 
-func (d *actionDigest) add(now scheduler.Time, a Action) {
-	d.actions++
-	d.number(uint64(now))
+func (d actionDigest) add(now scheduler.Time, a Action) {
+	d.Count(1)
+	d.Numbers(uint64(now))
 	switch a := a.(type) {
 	case Announce:
-		d.number(1)
+		d.Numbers(1)
 		d.announcement(a)
 	case Withdraw:
-		d.number(2)
-		d.text(a.Prefix.String())
+		d.Numbers(2)
+		d.Text(a.Prefix.String())
 	case SetTimer:
-		d.number(3)
-		d.number(uint64(a.After))
+		d.Numbers(3)
+		d.Numbers(uint64(a.After))
 	case Log:
-		d.number(4)
-		d.text(a.Prefix.String())
-		d.number(math.Float64bits(a.Penalty))
+		d.Numbers(4)
+		d.Text(a.Prefix.String())
+		d.Numbers(math.Float64bits(a.Penalty))
 	default:
 		panic(fmt.Sprintf("no ordinal for %T", a))
 	}
 }
 
-func (d *actionDigest) announcement(a Announce) {
-	d.text(a.Prefix.String())
+func (d actionDigest) announcement(a Announce) {
+	d.Text(a.Prefix.String())
 	d.path(a.Path)
 }
 
-func (d *actionDigest) path(p Path) {
-	d.text(p.NextHop.String())
-	d.number(uint64(p.Preference))
-	d.number(uint64(p.MED))
-	d.text(p.Communities)
-}
-
-func (d *actionDigest) number(n uint64) {
-	var b [8]byte
-	binary.BigEndian.PutUint64(b[:], n)
-	d.sum.Write(b[:])
-}
-
-func (d *actionDigest) text(s string) {
-	d.number(uint64(len(s)))
-	d.sum.Write([]byte(s))
-}
-
-func (d *actionDigest) truth(b bool) {
-	if b {
-		d.number(1)
-	} else {
-		d.number(0)
-	}
+func (d actionDigest) path(p Path) {
+	d.Text(p.NextHop.String())
+	d.Numbers(uint64(p.Preference))
+	d.Numbers(uint64(p.MED))
+	d.Text(p.Communities)
 }
 
 // history plays one seeded sequence on four services.
 type history struct {
-	digest    *actionDigest
+	digest    actionDigest
 	random    *rand.Rand
 	announcer *Announcer
 	maxStep   scheduler.Time
@@ -192,14 +150,14 @@
 	}
 	for i := range 5 {
 		w, known := h.announcer.Status(fmt.Sprint("s", i))
-		h.digest.truth(known)
-		h.digest.truth(w.Announced)
+		h.digest.Value(known)
+		h.digest.Value(w.Announced)
 		h.digest.path(w.Path)
-		h.digest.number(uint64(w.Running))
-		h.digest.number(uint64(w.Draining))
-		h.digest.number(uint64(w.MinRunning))
-		h.digest.number(math.Float64bits(w.Penalty))
-		h.digest.truth(w.Suppressed)
-		h.digest.number(uint64(w.NextUpdate))
+		h.digest.Numbers(uint64(w.Running))
+		h.digest.Numbers(uint64(w.Draining))
+		h.digest.Numbers(uint64(w.MinRunning))
+		h.digest.Numbers(math.Float64bits(w.Penalty))
+		h.digest.Value(w.Suppressed)
+		h.digest.Numbers(uint64(w.NextUpdate))
 	}
 }
--- a/internal/bgp/session/golden_test.go
+++ b/internal/bgp/session/golden_test.go
@@ -1,24 +1,17 @@
 package session
 
 import (
-	"crypto/sha256"
-	"encoding/binary"
-	"flag"
 	"fmt"
-	"hash"
 	"math/rand/v2"
 	"net/netip"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
 	"glenport/internal/bgp/wire"
+	"glenport/internal/golden"
 	"glenport/scheduler"
 )
 
-var update = flag.Bool("update", false, "write the golden digests anew")
-
 // TestDecisionsMatchGoldenDigests plays seeded histories and compares a digest of all actions, in order, and of the
 // state after each event, with that in testdata. A changed decision changes the digest; a rename does not.
 func TestDecisionsMatchGoldenDigests(t *testing.T) {
@@ -31,7 +24,7 @@
 		{OwnAS: 4_200_000_001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Families: both, RestartTime: 9000 * scheduler.Second},
 		{OwnAS: 65002, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, HoldTime: 3 * scheduler.Second, Families: both[1:]},
 	} {
-		digest := &actionDigest{sum: sha256.New()}
+		digest := actionDigest{golden.NewDigest()}
 		for seed := range sequences {
 			h := &history{
 				digest: digest, random: rand.New(rand.NewPCG(uint64(10_000*group+seed), 31)), session: New(p), peer: p,
@@ -42,89 +35,56 @@
 				h.step()
 			}
 		}
-		fmt.Fprintf(&got, "peer %d: %d actions, sha256 %x\n", group, digest.actions, digest.sum.Sum(nil))
-	}
-	path := filepath.Join("testdata", "decisions.txt")
-	if *update {
-		if err := os.WriteFile(path, []byte(got.String()), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got.String() != string(want) {
-		t.Errorf("%s: got\n%swant\n%s", path, got.String(), want)
+		fmt.Fprintf(&got, "peer %d: %d actions, sha256 %s\n", group, digest.Records(), digest.Sum())
 	}
+	golden.CheckText(t, "testdata/decisions.txt", got.String())
 }
 
 // actionDigest folds actions by an ordinal of their type and the values of their fields, but for texts of the log;
 // messages are folded as they go on the wire.
-type actionDigest struct {
-	sum     hash.Hash
-	actions int
-}
+type actionDigest struct{ *golden.Digest }
 
-func (d *actionDigest) add(a Action) {
-	d.actions++
+func (d actionDigest) add(a Action) {
+	d.Count(1)
 	switch a := a.(type) {
 	case Dial:
-		d.numbers(1, uint64(a.Conn))
+		d.Numbers(1, uint64(a.Conn))
 	case SendMessage:
-		d.numbers(2, uint64(a.Conn))
+		d.Numbers(2, uint64(a.Conn))
 		d.message(a.Message)
 	case CloseConn:
-		d.numbers(3, uint64(a.Conn))
+		d.Numbers(3, uint64(a.Conn))
 	case SetTimer:
-		d.numbers(4, uint64(a.Timer), uint64(a.After))
+		d.Numbers(4, uint64(a.Timer), uint64(a.After))
 	case ClearTimer:
-		d.numbers(5, uint64(a.Timer))
+		d.Numbers(5, uint64(a.Timer))
 	case Up:
-		d.numbers(6, uint64(len(a.Families)))
+		d.Numbers(6, uint64(len(a.Families)))
 		for _, f := range a.Families {
-			d.numbers(uint64(f))
+			d.Numbers(uint64(f))
 		}
-		d.truth(a.SendEndOfRIB)
-		d.truth(a.FourOctetAS)
+		d.Value(a.SendEndOfRIB)
+		d.Value(a.FourOctetAS)
 	case Down:
-		d.numbers(7)
+		d.Numbers(7)
 	case ResendRoutes:
-		d.numbers(8, uint64(a.Family))
+		d.Numbers(8, uint64(a.Family))
 	case UpdateIgnored:
-		d.numbers(9)
+		d.Numbers(9)
 		d.message(a.Update)
 	case Log:
-		d.numbers(10)
+		d.Numbers(10)
 	default:
 		panic(fmt.Sprintf("no ordinal for %T", a))
 	}
 }
 
-func (d *actionDigest) message(m wire.Message) {
+func (d actionDigest) message(m wire.Message) {
 	p, err := wire.Append(nil, m)
 	if err != nil {
 		panic(err)
 	}
-	d.numbers(uint64(len(p)))
-	d.sum.Write(p)
-}
-
-func (d *actionDigest) numbers(all ...uint64) {
-	for _, n := range all {
-		var b [8]byte
-		binary.BigEndian.PutUint64(b[:], n)
-		d.sum.Write(b[:])
-	}
-}
-
-func (d *actionDigest) truth(b bool) {
-	if b {
-		d.numbers(1)
-	} else {
-		d.numbers(0)
-	}
+	d.Text(string(p))
 }
 
 // How far a connection has got, as the peer sees it.
@@ -136,7 +96,7 @@
 
 // history plays one seeded sequence: a peer that mostly goes on as RFC 4271 says, and now and then anything else.
 type history struct {
-	digest      *actionDigest
+	digest      actionDigest
 	random      *rand.Rand
 	session     *Session
 	peer        PeerConfig
@@ -158,7 +118,7 @@
 			delete(h.connections, a.Conn)
 		}
 	}
-	h.digest.numbers(uint64(h.session.State()))
+	h.digest.Numbers(uint64(h.session.State()))
 	open := h.numbers[:0]
 	for _, n := range h.numbers {
 		if _, there := h.connections[n]; there {
--- a/internal/bgp/wire/golden_test.go
+++ b/internal/bgp/wire/golden_test.go
@@ -2,13 +2,10 @@
 
 import (
 	"bytes"
-	"crypto/sha256"
 	"encoding/binary"
 	"encoding/hex"
 	"errors"
-	"flag"
 	"fmt"
-	"hash"
 	"math/rand/v2"
 	"net/netip"
 	"os"
@@ -16,9 +13,9 @@
 	"reflect"
 	"strings"
 	"testing"
-)
 
-var update = flag.Bool("update", false, "write the golden data anew")
+	"glenport/internal/golden"
+)
 
 type goldenMessage struct {
 	name    string
@@ -120,7 +117,7 @@
 // TestMessagesMatchGoldenBytes reads each message of testdata/messages.txt, compares every field, and writes it again.
 func TestMessagesMatchGoldenBytes(t *testing.T) {
 	path := filepath.Join("testdata", "messages.txt")
-	if *update {
+	if golden.Updating() {
 		writeGoldenMessages(t, path)
 		return
 	}
@@ -184,7 +181,7 @@
 				t.Fatal(err)
 			}
 		}
-		sum, decoded, faults := sha256.New(), 0, 0
+		sum, decoded, faults := golden.NewDigest(), 0, 0
 		for range 4000 {
 			m, err := Decode(damaged(random, whole))
 			if err == nil {
@@ -197,26 +194,13 @@
 				t.Fatalf("%v is no fault", err)
 			}
 			faults++
-			foldNumbers(sum, 99, uint64(f.Code), uint64(f.Subcode), uint64(len(f.Data)))
+			sum.Numbers(99, uint64(f.Code), uint64(f.Subcode), uint64(len(f.Data)))
 			sum.Write(f.Data)
 		}
-		fmt.Fprintf(&got, "%s: %d decoded, %d faults, sha256 %x\n", name, decoded, faults, sum.Sum(nil))
+		fmt.Fprintf(&got, "%s: %d decoded, %d faults, sha256 %s\n", name, decoded, faults, sum.Sum())
 	}
 	got.WriteString(packedDigest(t))
-	path := filepath.Join("testdata", "decoding.txt")
-	if *update {
-		if err := os.WriteFile(path, []byte(got.String()), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got.String() != string(want) {
-		t.Errorf("%s: got\n%swant\n%s", path, got.String(), want)
-	}
+	golden.CheckText(t, "testdata/decoding.txt", got.String())
 }
 
 // updateWithTwoNextHops announces 2001:db8:2::/48 with a global and a link-local next hop, as some routers do (RFC
@@ -266,32 +250,24 @@
 	return p
 }
 
-func foldNumbers(sum hash.Hash, all ...uint64) {
-	for _, n := range all {
-		var b [8]byte
-		binary.BigEndian.PutUint64(b[:], n)
-		sum.Write(b[:])
-	}
-}
-
 // foldMessage folds a message as it would be written again, and what is lost by that.
-func foldMessage(t *testing.T, sum hash.Hash, m Message) {
+func foldMessage(t *testing.T, sum *golden.Digest, m Message) {
 	t.Helper()
 	p, err := Append(nil, m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	foldNumbers(sum, uint64(len(p)))
+	sum.Numbers(uint64(len(p)))
 	sum.Write(p)
 	switch m := m.(type) {
 	case *Update:
 		family, ends := m.EndOfRIBFamily()
-		foldNumbers(sum, 1, uint64(family))
+		sum.Numbers(1, uint64(family))
 		if ends {
-			foldNumbers(sum, 2)
+			sum.Numbers(2)
 		}
 		if m.TreatedAsWithdraw != "" {
-			foldNumbers(sum, 3)
+			sum.Numbers(3)
 		}
 	case *Notification:
 		sum.Write([]byte(m.ShutdownText()))
@@ -301,7 +277,7 @@
 // packedDigest folds how routes are shared out over messages.
 func packedDigest(t *testing.T) string {
 	t.Helper()
-	random, sum, messages := rand.New(rand.NewPCG(1, 41)), sha256.New(), 0
+	random, sum, messages := rand.New(rand.NewPCG(1, 41)), golden.NewDigest(), 0
 	path := PathAttributes{
 		ASPath:       []uint32{65001},
 		NextHop:      netip.MustParseAddr("192.0.2.254"),
@@ -326,5 +302,5 @@
 			foldMessage(t, sum, u)
 		}
 	}
-	return fmt.Sprintf("packed: %d messages, sha256 %x\n", messages, sum.Sum(nil))
+	return fmt.Sprintf("packed: %d messages, sha256 %s\n", messages, sum.Sum())
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -1,45 +1,15 @@
 package config
 
 import (
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
-)
-
-var update = flag.Bool("update", false, "record the golden texts anew")
 
-// compareGolden compares lines with a recorded file, or records them with -update.
-func compareGolden(t *testing.T, name string, lines []string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	data, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	recorded := strings.Split(strings.TrimSuffix(string(data), "\n"), "\n")
-	for i := range max(len(lines), len(recorded)) {
-		got, want := "(nothing)", "(nothing)"
-		if i < len(lines) {
-			got = lines[i]
-		}
-		if i < len(recorded) {
-			want = recorded[i]
-		}
-		if got != want {
-			t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, got, want)
-		}
-	}
-}
+	"glenport/internal/golden"
+)
 
 // schedulerValues lists every value of a scheduler's settings by the key that it is read from.
 func schedulerValues(p *Scheduler) []string {
@@ -148,7 +118,7 @@
 		}
 		lines = append(lines, controllerValues(settings)...)
 	}
-	compareGolden(t, "values.txt", lines)
+	golden.Check(t, "testdata/values.txt", lines)
 }
 
 // replacements stand in turn in place of each value of a file.
@@ -296,7 +266,7 @@
 	)
 	visit("passive without listener", strings.Replace(string(data), "  listen: 127.0.0.1:1790\n", "", 1))
 	visit("no machine types", strings.Replace(string(data), "  kinds:\n", "  kinds: []\n  other:\n", 1))
-	compareGolden(t, "scheduler-faults.txt", lines)
+	golden.Check(t, "testdata/scheduler-faults.txt", lines)
 }
 
 func TestFaultsOfControllerSettingsAreAsRecorded(t *testing.T) {
@@ -331,7 +301,7 @@
 	visit("unchanged", string(data))
 	mutations(string(data), visit)
 	visit("empty", "")
-	compareGolden(t, "controller-faults.txt", lines)
+	golden.Check(t, "testdata/controller-faults.txt", lines)
 	if _, err := LoadController(filepath.Join(dir, "absent.yaml")); !os.IsNotExist(err) {
 		t.Errorf("an absent file: %v", err)
 	}
--- a/internal/config/strictyaml/golden_test.go
+++ b/internal/config/strictyaml/golden_test.go
@@ -1,14 +1,12 @@
 package strictyaml
 
 import (
-	"flag"
 	"fmt"
-	"os"
 	"strings"
 	"testing"
-)
 
-var update = flag.Bool("update", false, "record the golden texts anew")
+	"glenport/internal/golden"
+)
 
 type goldenFile struct {
 	Word   String   `yaml:"word"`
@@ -162,24 +160,5 @@
 	for _, text := range texts {
 		fmt.Fprintf(&got, "%q\n  %q\n", text, readGolden(text))
 	}
-	const path = "testdata/values-and-faults.txt"
-	if *update {
-		if err := os.WriteFile(path, []byte(got.String()), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	recorded, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	lines := strings.Split(got.String(), "\n")
-	for i, want := range strings.Split(string(recorded), "\n") {
-		if i >= len(lines) || lines[i] != want {
-			t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, lines[min(i, len(lines)-1)], want)
-		}
-	}
-	if len(lines) != strings.Count(string(recorded), "\n")+1 {
-		t.Errorf("%d lines, recorded are %d", len(lines), strings.Count(string(recorded), "\n")+1)
-	}
+	golden.CheckText(t, "testdata/values-and-faults.txt", got.String())
 }
--- a/internal/controller/api/golden_test.go
+++ b/internal/controller/api/golden_test.go
@@ -5,12 +5,9 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"flag"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
@@ -19,10 +16,9 @@
 	"glenport/internal/controller/pending"
 	"glenport/internal/controller/server"
 	"glenport/internal/controller/watchcache"
+	"glenport/internal/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden answers anew")
-
 // TestAnswersMatchGoldenBytes compares what clients are sent, byte for byte, with testdata: lists, objects, watch
 // events and problems, from a controller that holds fixed objects and has no scheduler.
 func TestAnswersMatchGoldenBytes(t *testing.T) {
@@ -89,28 +85,7 @@
 		fmt.Fprintf(&got, "why\n%s\n", line)
 	}
 	got.WriteString(watched(t, handler))
-	compareGolden(t, got.String())
-}
-
-func compareGolden(t *testing.T, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "answers.txt")
-	if *update {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s: got\n%swant\n%s", path, got, want)
-	}
+	golden.CheckText(t, "testdata/answers.txt", got.String())
 }
 
 func fill(c *watchcache.Cache) {
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -1,25 +1,16 @@
 package controller
 
 import (
-	"crypto/sha256"
-	"encoding/binary"
-	"flag"
 	"fmt"
-	"hash"
-	"math"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
-	"reflect"
 	"sort"
 	"strings"
 	"testing"
 
+	"glenport/internal/golden"
 	"glenport/scheduler"
 )
 
-var update = flag.Bool("update", false, "write the golden digests anew")
-
 // TestDecisionsMatchGoldenDigests plays seeded histories and compares a digest of all actions, in order and with the
 // time at which each was returned, with that in testdata. A changed decision changes the digest; a rename does not.
 func TestDecisionsMatchGoldenDigests(t *testing.T) {
@@ -37,38 +28,16 @@
 			fmt.Fprintf(&got, "effect %d, %d schedulers: %s\n", idempotency, schedulers, digest)
 		}
 	}
-	compareGolden(t, "decisions.txt", got.String())
-}
-
-// compareGolden holds text against a file of testdata, or writes the file where -update asks for it.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s: got\n%swant\n%s", path, got, want)
-	}
+	golden.CheckText(t, "testdata/decisions.txt", got.String())
 }
 
 // actionDigest folds actions by an ordinal of their type and the values of their fields in order.
-type actionDigest struct {
-	sum     hash.Hash
-	actions int
-}
+type actionDigest struct{ *golden.Digest }
 
-func newActionDigest() *actionDigest { return &actionDigest{sum: sha256.New()} }
+func newActionDigest() *actionDigest { return &actionDigest{golden.NewDigest()} }
 
 func (d *actionDigest) String() string {
-	return fmt.Sprintf("%d actions, sha256 %x", d.actions, d.sum.Sum(nil))
+	return fmt.Sprintf("%d actions, sha256 %s", d.Records(), d.Sum())
 }
 
 func (d *actionDigest) add(now scheduler.Time, a Action) {
@@ -93,42 +62,9 @@
 	default:
 		panic(fmt.Sprintf("no ordinal for %T", a))
 	}
-	d.actions++
-	d.number(uint64(now))
-	d.number(ordinal)
-	d.value(reflect.ValueOf(a))
-}
-
-func (d *actionDigest) number(n uint64) {
-	var b [8]byte
-	binary.BigEndian.PutUint64(b[:], n)
-	d.sum.Write(b[:])
-}
-
-func (d *actionDigest) value(v reflect.Value) {
-	switch v.Kind() {
-	case reflect.Struct:
-		for i := range v.NumField() {
-			d.value(v.Field(i))
-		}
-	case reflect.Bool:
-		n := uint64(0)
-		if v.Bool() {
-			n = 1
-		}
-		d.number(n)
-	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		d.number(uint64(v.Int()))
-	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		d.number(v.Uint())
-	case reflect.Float32, reflect.Float64:
-		d.number(math.Float64bits(v.Float()))
-	case reflect.String:
-		d.number(uint64(v.Len()))
-		d.sum.Write([]byte(v.String()))
-	default:
-		panic(fmt.Sprintf("a field of kind %s", v.Kind()))
-	}
+	d.Count(1)
+	d.Numbers(uint64(now), ordinal)
+	d.Value(a)
 }
 
 // history plays one seeded sequence: schedulers that answer, fail and come back, jobs that change, and restarts of the
--- a/internal/controller/pending/golden_test.go
+++ b/internal/controller/pending/golden_test.go
@@ -1,29 +1,24 @@
 package pending
 
 import (
-	"crypto/sha256"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
 	"glenport/internal/controller"
+	"glenport/internal/golden"
 	"glenport/scheduler"
 )
 
-var update = flag.Bool("update", false, "write the golden digests anew")
-
 // TestReasonsMatchGoldenDigests explains seeded facts, likely and odd ones, and compares a digest of all reasons, in
 // order, as clients read them, with that in testdata.
 func TestReasonsMatchGoldenDigests(t *testing.T) {
 	const sequences = 4000
 	var got strings.Builder
 	for group := range 4 {
-		sum, reasons := sha256.New(), 0
+		sum, reasons := golden.NewDigest(), 0
 		random := rand.New(rand.NewPCG(uint64(group), 23))
 		for range sequences {
 			now, facts := randomFacts(random, group)
@@ -34,26 +29,13 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				sum.Write(fmt.Appendf(nil, "%s %d\n", line, r.Until))
+				fmt.Fprintf(sum, "%s %d\n", line, r.Until)
 			}
 			sum.Write([]byte{'\n'})
 		}
-		fmt.Fprintf(&got, "group %d: %d reasons, sha256 %x\n", group, reasons, sum.Sum(nil))
-	}
-	path := filepath.Join("testdata", "reasons.txt")
-	if *update {
-		if err := os.WriteFile(path, []byte(got.String()), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got.String() != string(want) {
-		t.Errorf("%s: got\n%swant\n%s", path, got.String(), want)
+		fmt.Fprintf(&got, "group %d: %d reasons, sha256 %s\n", group, reasons, sum.Sum())
 	}
+	golden.CheckText(t, "testdata/reasons.txt", got.String())
 }
 
 // randomFacts draws facts: group 0 of small fleets, 1 of large ones, 2 without an explanation, 3 of any.
--- a/internal/controller/server/golden_test.go
+++ b/internal/controller/server/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"io"
 	"log/slog"
@@ -16,6 +15,7 @@
 	"glenport/internal/config"
 	"glenport/internal/controller"
 	"glenport/internal/controller/watchcache"
+	"glenport/internal/golden"
 	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
 	"glenport/scheduler"
@@ -23,8 +23,6 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-var update = flag.Bool("update", false, "write the golden state folder anew")
-
 const (
 	goldenFolder    = "testdata/state"
 	goldenWords     = "testdata/state.txt"
@@ -171,7 +169,7 @@
 
 // TestStoredRecordsKeepTheirBytes reads each record of the golden folder, compares every field, and encodes it again.
 func TestStoredRecordsKeepTheirBytes(t *testing.T) {
-	if *update {
+	if golden.Updating() {
 		writeGolden(t)
 	}
 	folder, err := vfs.OpenReadOnly(goldenFolder)
@@ -331,16 +329,5 @@
 	for state := controller.StatePending; state <= controller.StateCompleted; state++ {
 		fmt.Fprintf(&got, "state %d %s\n", state, state)
 	}
-	if *update {
-		if err := os.WriteFile(goldenJSON, []byte(got.String()), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(goldenJSON)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got.String() != string(want) {
-		t.Errorf("got\n%swant\n%s", got.String(), want)
-	}
+	golden.CheckText(t, goldenJSON, got.String())
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,15 +1,18 @@
-// Package golden folds the results of decision packages into digests that their tests compare with recorded ones, so
-// that a refactoring which changes a decision, its order or its time turns a test red.
+// Package golden compares what tests find with what is recorded in testdata, so that a refactoring which changes a
+// decision, its order or its time turns a test red. Many results are folded into a digest; few are recorded as text.
 //
 // A digest depends on values and their order alone, not on the names of types and fields: it survives a rename or a
 // move. Each record has an ordinal that the test gives its type and never changes. Struct fields count by position, so
-// a field that is added, removed or moved changes the digest. Only tests import this package; a test's flag -update
-// records its digests anew, which a refactoring never needs.
+// a field that is added, removed or moved changes the digest. Add folds a record with the number of its values; a test
+// whose recorded digests were folded otherwise uses Numbers, Text, Value and Write, which add nothing of their own.
+//
+// Only tests import this package; a test's flag -update records its files anew, which a refactoring never needs.
 package golden
 
 import (
 	"crypto/sha256"
 	"encoding/binary"
+	"encoding/hex"
 	"flag"
 	"fmt"
 	"hash"
@@ -22,100 +25,147 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "record the digests anew")
+var update = flag.Bool("update", false, "record the files of testdata anew")
 
-// Digest folds records into a SHA-256 sum.
-type Digest struct {
-	sum     hash.Hash
-	records int
-}
+// maxDifferences is the number of differing lines that a failure prints.
+const maxDifferences = 20
 
-// NewDigest returns an empty digest.
-func NewDigest() *Digest { return &Digest{sum: sha256.New()} }
+// Updating reports whether the flag -update asks for the recorded files to be written anew. Tests that record more than
+// a text, such as a folder, ask it themselves.
+func Updating() bool { return *update }
 
-// Add folds one record: a stable ordinal of its type and its values in order.
-func (d *Digest) Add(ordinal int, values ...any) {
-	d.records++
-	d.number(uint64(ordinal))
-	d.number(uint64(len(values)))
-	for _, v := range values {
-		d.fold(reflect.ValueOf(v))
+// CheckText compares a text byte for byte, its last line end included, with that recorded in a file, or records it
+// where the flag -update is given.
+func CheckText(tb testing.TB, file, got string) {
+	tb.Helper()
+	if *update {
+		record(tb, file, got)
+		return
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	if got != string(want) {
+		tb.Errorf("%s differs from what is recorded\n%s", file, differences(got, string(want)))
 	}
 }
 
-// Line is the recorded form of the digest: a name, the number of records and the sum.
-func (d *Digest) Line(name string) string {
-	return fmt.Sprintf("%s: %d %x", name, d.records, d.sum.Sum(nil))
+// Check compares lines with those recorded in a file as CheckText does.
+func Check(tb testing.TB, file string, lines []string) {
+	tb.Helper()
+	CheckText(tb, file, strings.Join(lines, "\n")+"\n")
 }
 
-// Check compares lines with those recorded in a file, or records them where the flag -update is given.
-func Check(t testing.TB, file string, lines []string) {
-	t.Helper()
-	got := strings.Join(lines, "\n") + "\n"
-	if *update {
-		if err := os.MkdirAll(filepath.Dir(file), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
+func record(tb testing.TB, file, text string) {
+	tb.Helper()
+	if err := os.MkdirAll(filepath.Dir(file), 0o755); err != nil {
+		tb.Fatal(err)
 	}
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
+	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
+		tb.Fatal(err)
 	}
-	recorded := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
-	for i := range max(len(lines), len(recorded)) {
-		if i >= len(lines) || i >= len(recorded) || lines[i] != recorded[i] {
-			t.Errorf("digest %d differs\ngot  %q\nwant %q", i, at(lines, i), at(recorded, i))
+}
+
+// differences lists the lines that differ, with their line ends, and the number of lines where that differs.
+func differences(got, want string) string {
+	gotLines, wantLines := strings.SplitAfter(got, "\n"), strings.SplitAfter(want, "\n")
+	var text strings.Builder
+	differing := 0
+	for i := range max(len(gotLines), len(wantLines)) {
+		gotLine, wantLine := lineAt(gotLines, i), lineAt(wantLines, i)
+		if gotLine == wantLine && i < min(len(gotLines), len(wantLines)) {
+			continue
+		}
+		if differing++; differing <= maxDifferences {
+			fmt.Fprintf(&text, "line %d: got\n%q\nwant\n%q\n", i+1, gotLine, wantLine)
 		}
 	}
+	fmt.Fprintf(&text, "differing lines: %d; lines: %d, recorded: %d", differing, len(gotLines), len(wantLines))
+	return text.String()
 }
 
-func at(lines []string, i int) string {
+func lineAt(lines []string, i int) string {
 	if i >= len(lines) {
 		return ""
 	}
 	return lines[i]
 }
 
-func (d *Digest) number(n uint64) {
-	var b [8]byte
-	binary.BigEndian.PutUint64(b[:], n)
-	d.sum.Write(b[:]) // a hash returns no error
+// Digest folds values into a SHA-256 sum.
+type Digest struct {
+	sum     hash.Hash
+	records int
+}
+
+// NewDigest returns an empty digest.
+func NewDigest() *Digest { return &Digest{sum: sha256.New()} }
+
+// Add folds one record: a stable ordinal of its type, the number of its values, and the values in order.
+func (d *Digest) Add(ordinal int, values ...any) {
+	d.records++
+	d.Numbers(uint64(ordinal), uint64(len(values)))
+	for _, v := range values {
+		d.Value(v)
+	}
+}
+
+// Count adds to the number of records and folds nothing.
+func (d *Digest) Count(records int) { d.records += records }
+
+// Numbers folds each number as eight bytes, the highest first.
+func (d *Digest) Numbers(numbers ...uint64) {
+	for _, n := range numbers {
+		d.sum.Write(binary.BigEndian.AppendUint64(nil, n))
+	}
 }
 
-func (d *Digest) text(s string) {
-	d.number(uint64(len(s)))
+// Text folds the length of a text and its bytes.
+func (d *Digest) Text(s string) {
+	d.Numbers(uint64(len(s)))
 	d.sum.Write([]byte(s))
 }
 
-// fold walks a value: struct fields by position, maps in the order of their keys.
+// Value folds a value of any kind but pointers: a truth value as the number 1 or 0, struct fields by position, maps in
+// the order of their keys.
+func (d *Digest) Value(v any) { d.fold(reflect.ValueOf(v)) }
+
+// Write folds bytes as they are; it returns no error.
+func (d *Digest) Write(p []byte) (int, error) { return d.sum.Write(p) }
+
+// Records is the number of records that were added or counted.
+func (d *Digest) Records() int { return d.records }
+
+// Sum is the sum of all that was folded, in hexadecimal digits.
+func (d *Digest) Sum() string { return hex.EncodeToString(d.sum.Sum(nil)) }
+
+// Line is the recorded form of the digest: a name, the number of records and the sum.
+func (d *Digest) Line(name string) string { return fmt.Sprintf("%s: %d %s", name, d.records, d.Sum()) }
+
 func (d *Digest) fold(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
 		if v.Bool() {
-			d.number(1)
+			d.Numbers(1)
 		} else {
-			d.number(0)
+			d.Numbers(0)
 		}
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		d.number(uint64(v.Int()))
+		d.Numbers(uint64(v.Int()))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		d.number(v.Uint())
+		d.Numbers(v.Uint())
 	case reflect.Float32, reflect.Float64:
-		d.number(math.Float64bits(v.Float()))
+		d.Numbers(math.Float64bits(v.Float()))
 	case reflect.String:
-		d.text(v.String())
+		d.Text(v.String())
 	case reflect.Slice, reflect.Array:
-		d.number(uint64(v.Len()))
+		d.Numbers(uint64(v.Len()))
 		for i := range v.Len() {
 			d.fold(v.Index(i))
 		}
 	case reflect.Struct:
-		for i := range v.NumField() {
-			d.fold(v.Field(i))
+		for _, field := range v.Fields() {
+			d.fold(field)
 		}
 	case reflect.Map:
 		d.foldMap(v)
@@ -127,12 +177,12 @@
 func (d *Digest) foldMap(v reflect.Value) {
 	keys := v.MapKeys()
 	sort.Slice(keys, func(i, j int) bool { return keys[i].String() < keys[j].String() })
-	d.number(uint64(len(keys)))
+	d.Numbers(uint64(len(keys)))
 	for _, k := range keys {
 		if k.Kind() != reflect.String {
 			panic("golden: only maps with text keys are folded")
 		}
-		d.text(k.String())
+		d.Text(k.String())
 		d.fold(v.MapIndex(k))
 	}
 }
--- a/internal/platform/connmanager/golden_test.go
+++ b/internal/platform/connmanager/golden_test.go
@@ -1,70 +1,45 @@
 package connmanager
 
 import (
-	"bytes"
-	"crypto/sha256"
-	"encoding/binary"
-	"flag"
 	"fmt"
-	"hash"
 	"math/rand/v2"
-	"os"
+	"strings"
 	"testing"
-)
 
-var update = flag.Bool("update", false, "record the digests in testdata anew")
+	"glenport/internal/golden"
+)
 
 const digestFile = "testdata/decisions.txt"
 
 // digest folds decisions into a hash. It knows no names of types or fields and no text of a reason: an action counts by
 // its ordinal below and its values in order, a reason by the order of its first appearance.
 type digest struct {
-	hash    hash.Hash
-	actions int
+	*golden.Digest
 	reasons map[string]uint64
 }
 
-func newDigest() *digest { return &digest{hash: sha256.New(), reasons: map[string]uint64{}} }
-
-func (d *digest) fold(values ...uint64) {
-	for _, v := range values {
-		d.hash.Write(binary.BigEndian.AppendUint64(nil, v))
-	}
-}
-
-func (d *digest) text(s string) {
-	d.fold(uint64(len(s)))
-	d.hash.Write([]byte(s))
-}
-
-func (d *digest) flag(b bool) {
-	if b {
-		d.fold(1)
-	} else {
-		d.fold(0)
-	}
-}
+func newDigest() *digest { return &digest{Digest: golden.NewDigest(), reasons: map[string]uint64{}} }
 
 func (d *digest) reason(why any) {
 	text := fmt.Sprint(why)
 	if _, ok := d.reasons[text]; !ok {
 		d.reasons[text] = uint64(len(d.reasons))
 	}
-	d.fold(d.reasons[text])
+	d.Numbers(d.reasons[text])
 }
 
 func (d *digest) action(now Time, action Action) {
-	d.actions++
-	d.fold(uint64(now))
+	d.Count(1)
+	d.Numbers(uint64(now))
 	switch a := action.(type) {
 	case CloseClient:
-		d.fold(0, uint64(a.Client))
+		d.Numbers(0, uint64(a.Client))
 		d.reason(a.Reason)
 	case NotifyTermination:
-		d.fold(1, uint64(a.Cause), uint64(a.Client))
-		d.text(a.RequestID)
+		d.Numbers(1, uint64(a.Cause), uint64(a.Client))
+		d.Text(a.RequestID)
 	case PauseReading:
-		d.fold(2, uint64(a.Client), uint64(a.Duration))
+		d.Numbers(2, uint64(a.Client), uint64(a.Duration))
 	default:
 		panic(fmt.Sprintf("action %T has no ordinal", action))
 	}
@@ -202,14 +177,14 @@
 // machineConnections folds every decision on connections to machines, at and around each limit.
 func machineConnections(d *digest) {
 	for _, descriptors := range []int{0, 1, 16, 31, 32, 33, 48, 64, 100, 255, 256, 384, 576, 1024, 65536} {
-		d.fold(uint64(MaxMachineConns(descriptors)))
+		d.Numbers(uint64(MaxMachineConns(descriptors)))
 		for _, machines := range []int{0, 1, 2, 12, 100, 1000} {
-			d.fold(uint64(MaxConnsPerMachine(descriptors, machines)))
+			d.Numbers(uint64(MaxConnsPerMachine(descriptors, machines)))
 		}
 		for connections := max(0, descriptors-40); connections <= descriptors+1; connections++ {
-			d.flag(CanOpenBeforeClose(descriptors, connections))
+			d.Value(CanOpenBeforeClose(descriptors, connections))
 		}
-		d.actions += 2
+		d.Count(2)
 	}
 	for flags := range 8 {
 		for _, closes := range []Time{0, 1, Second, 3 * Second, 10 * Second, 30 * Second} {
@@ -221,10 +196,10 @@
 					Primary: flags&1 != 0, MachineHasRunning: flags&2 != 0, CarriesRunning: flags&4 != 0,
 					IdleFor: idle, MachineIdleTimeout: closes,
 				}
-				d.flag(conn.ShouldKeep())
-				d.flag(conn.CanCarryAttempt())
-				d.fold(uint64(conn.EvictionRank()))
-				d.actions += 3
+				d.Value(conn.ShouldKeep())
+				d.Value(conn.CanCarryAttempt())
+				d.Numbers(uint64(conn.EvictionRank()))
+				d.Count(3)
 			}
 		}
 	}
@@ -234,10 +209,10 @@
 	for _, longest := range []Time{0, 1, Second / 10, Second / 2, 7 * Second / 10, Second, 3 * Second, 6 * Second, 60 * Second} {
 		for since := Time(0); since <= 5*Second; since += Second / 20 {
 			for _, at := range []Time{since - 1, since, since + 1} {
-				d.flag(ShouldKeepDraining(at, 0, longest))
-				d.flag(ShouldKeepDraining(at, 1, longest))
-				d.flag(ShouldForceAnswers(at, longest))
-				d.actions += 3
+				d.Value(ShouldKeepDraining(at, 0, longest))
+				d.Value(ShouldKeepDraining(at, 1, longest))
+				d.Value(ShouldForceAnswers(at, longest))
+				d.Count(3)
 			}
 		}
 	}
@@ -250,7 +225,7 @@
 	notices := weights{3, 4, 3, 4, 1, 0, 3, 3, 3, 10, 4, 15}
 	quiet := weights{6, 3, 1, 1, 1, 1, 1, 2, 1, 1, 1, 12}
 	invalid := weights{2, 4, 2, 2, 2, 12, 1, 1, 3, 1, 1, 3}
-	var got bytes.Buffer
+	var got strings.Builder
 	for _, group := range []struct {
 		name string
 		run  func(*digest)
@@ -266,18 +241,7 @@
 	} {
 		d := newDigest()
 		group.run(d)
-		fmt.Fprintf(&got, "%s: %x, %d decisions\n", group.name, d.hash.Sum(nil), d.actions)
-	}
-	if *update {
-		if err := os.WriteFile(digestFile, got.Bytes(), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(digestFile)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got.Bytes(), want) {
-		t.Errorf("decisions changed, got\n%swant\n%s", got.Bytes(), want)
+		fmt.Fprintf(&got, "%s: %s, %d decisions\n", group.name, d.Sum(), d.Records())
 	}
+	golden.CheckText(t, digestFile, got.String())
 }
--- a/internal/platform/failuredetector/golden_test.go
+++ b/internal/platform/failuredetector/golden_test.go
@@ -1,53 +1,34 @@
 package failuredetector
 
 import (
-	"bytes"
-	"crypto/sha256"
-	"encoding/binary"
-	"flag"
 	"fmt"
-	"hash"
 	"math/rand/v2"
-	"os"
+	"strings"
 	"testing"
-)
 
-var update = flag.Bool("update", false, "record the digests in testdata anew")
+	"glenport/internal/golden"
+)
 
 const digestFile = "testdata/decisions.txt"
 
 // digest folds decisions into a hash. It knows no names of types or fields: an action counts by its ordinal below and
 // its values in order.
-type digest struct {
-	hash    hash.Hash
-	actions int
-}
-
-func (d *digest) fold(values ...uint64) {
-	for _, v := range values {
-		d.hash.Write(binary.BigEndian.AppendUint64(nil, v))
-	}
-}
-
-func (d *digest) text(s string) {
-	d.fold(uint64(len(s)))
-	d.hash.Write([]byte(s))
-}
+type digest struct{ *golden.Digest }
 
 func (d *digest) action(now Time, action Action) {
-	d.actions++
-	d.fold(uint64(now))
+	d.Count(1)
+	d.Numbers(uint64(now))
 	switch a := action.(type) {
 	case Connect:
-		d.fold(0)
-		d.text(a.Machine)
+		d.Numbers(0)
+		d.Text(a.Machine)
 	case DeclareLost:
-		d.fold(1, uint64(a.SilentFor))
-		d.text(a.Machine)
+		d.Numbers(1, uint64(a.SilentFor))
+		d.Text(a.Machine)
 	case ReportTermination:
-		d.fold(2, uint64(a.Cause))
-		d.text(a.Machine)
-		d.text(a.RequestID)
+		d.Numbers(2, uint64(a.Cause))
+		d.Text(a.Machine)
+		d.Text(a.RequestID)
 	default:
 		panic(fmt.Sprintf("action %T has no ordinal", action))
 	}
@@ -140,7 +121,7 @@
 
 // TestDecisionsAreUnchanged compares every decision on some thousand random sequences of events with those recorded.
 func TestDecisionsAreUnchanged(t *testing.T) {
-	var got bytes.Buffer
+	var got strings.Builder
 	for _, group := range []struct {
 		name string
 		run  func(*digest)
@@ -151,20 +132,9 @@
 		{"terminations before the reclaim", group(4, 400, 2, 8, 100, 6, weights{1, 1, 0, 6, 6, 3})},
 		{"more terminations than are kept", group(5, 4, 1, 6000, 70, 400, weights{0, 1, 0, 30, 8, 0})},
 	} {
-		d := &digest{hash: sha256.New()}
+		d := &digest{golden.NewDigest()}
 		group.run(d)
-		fmt.Fprintf(&got, "%s: %x, %d decisions\n", group.name, d.hash.Sum(nil), d.actions)
-	}
-	if *update {
-		if err := os.WriteFile(digestFile, got.Bytes(), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(digestFile)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got.Bytes(), want) {
-		t.Errorf("decisions changed, got\n%swant\n%s", got.Bytes(), want)
+		fmt.Fprintf(&got, "%s: %s, %d decisions\n", group.name, d.Sum(), d.Records())
 	}
+	golden.CheckText(t, digestFile, got.String())
 }
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -2,10 +2,8 @@
 
 import (
 	"errors"
-	"flag"
 	"fmt"
 	"io"
-	"os"
 	"regexp"
 	"strconv"
 	"strings"
@@ -14,12 +12,11 @@
 	"time"
 
 	"glenport/internal/eventloop"
+	"glenport/internal/golden"
 	"glenport/internal/platform/jsonlines"
 	"glenport/scheduler"
 )
 
-var update = flag.Bool("update", false, "write testdata/conversation.golden anew")
-
 const goldenFile = "testdata/conversation.golden"
 
 // leftField is the only part of a line that the clock decides: the milliseconds until the attempt's deadline.
@@ -56,28 +53,7 @@
 // compare checks the whole transcript against the golden file.
 func (s *transcript) compare() {
 	s.Helper()
-	got := strings.Join(s.lines, "")
-	if *update {
-		if err := os.WriteFile(goldenFile, []byte(got), 0o644); err != nil {
-			s.Fatal(err)
-		}
-	}
-	golden, err := os.ReadFile(goldenFile)
-	if err != nil {
-		s.Fatal(err)
-	}
-	want := strings.SplitAfter(strings.TrimSuffix(string(golden), "\n"), "\n")
-	lines := strings.SplitAfter(strings.TrimSuffix(got, "\n"), "\n")
-	for i := range max(len(want), len(lines)) {
-		switch {
-		case i >= len(want):
-			s.Errorf("line %d is written, but was not recorded: %q", i+1, lines[i])
-		case i >= len(lines):
-			s.Errorf("line %d is not written: %q", i+1, want[i])
-		case want[i] != lines[i]:
-			s.Errorf("line %d is\n%q, want\n%q", i+1, lines[i], want[i])
-		}
-	}
+	golden.CheckText(s, goldenFile, strings.Join(s.lines, ""))
 }
 
 // goldenClient is a client's connection whose received lines are recorded.
--- a/internal/platform/jsonlines/golden_test.go
+++ b/internal/platform/jsonlines/golden_test.go
@@ -4,33 +4,14 @@
 	"bytes"
 	"encoding/json"
 	"errors"
-	"flag"
 	"fmt"
 	"maps"
-	"os"
 	"slices"
 	"strings"
 	"testing"
-)
-
-var update = flag.Bool("update", false, "record the golden files in testdata anew")
 
-// golden compares what the program gives with what is recorded in a file of testdata.
-func golden(t *testing.T, file string, got []byte) {
-	t.Helper()
-	if *update {
-		if err := os.WriteFile("testdata/"+file, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile("testdata/" + file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
-	}
-}
+	"glenport/internal/golden"
+)
 
 // describe writes every value of a message by its name on the wire.
 func describe(m *Message) string {
@@ -157,7 +138,7 @@
 		}
 		fmt.Fprintf(&got, "%q\n\t%s\n", line, describe(m))
 	}
-	golden(t, "decoded.txt", got.Bytes())
+	golden.CheckText(t, "testdata/decoded.txt", got.String())
 }
 
 // TestEncodedMessagesAreUnchanged writes messages of every type with every field set and compares the bytes.
@@ -188,7 +169,7 @@
 			t.Fatalf("%+v: %v", m, err)
 		}
 	}
-	golden(t, "encoded.txt", got)
+	golden.CheckText(t, "testdata/encoded.txt", string(got))
 }
 
 // TestDecodedMessagesAreEncodedAgain writes what was read from each valid line and compares the bytes.
@@ -203,7 +184,7 @@
 			t.Fatal(err)
 		}
 	}
-	golden(t, "encoded-again.txt", got)
+	golden.CheckText(t, "testdata/encoded-again.txt", string(got))
 }
 
 // TestLinesAreSplitAsBefore feeds streams in pieces and compares the lines, what is left, and the error, at each limit.
@@ -232,7 +213,7 @@
 			fmt.Fprintf(&got, " left %d\n", lines.Buffered())
 		}
 	}
-	golden(t, "split.txt", got.Bytes())
+	golden.CheckText(t, "testdata/split.txt", got.String())
 }
 
 // TestMessagesOverTheLimitAreNotEncoded finds the longest message by its bytes.
@@ -250,5 +231,5 @@
 		)
 		fmt.Fprintf(&got, "%d: %d bytes, error: %v\n", n, len(out), err)
 	}
-	golden(t, "limit.txt", got.Bytes())
+	golden.CheckText(t, "testdata/limit.txt", got.String())
 }
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -8,6 +8,8 @@
 	"slices"
 	"strings"
 	"testing"
+
+	"glenport/internal/golden"
 )
 
 const framesFile = "testdata/frames.txt"
@@ -225,7 +227,7 @@
 // The bytes of each frame on the wire are those of version 1 of the protocol, in both directions.
 func TestFramesKeepTheirBytes(t *testing.T) {
 	frames := goldenFrames()
-	if *update {
+	if golden.Updating() {
 		var all []section
 		for _, f := range frames {
 			all = append(all, section{f.title, describe(f.frame), stream(t, f.frame)})
--- a/internal/protocol/invalid_test.go
+++ b/internal/protocol/invalid_test.go
@@ -10,6 +10,8 @@
 	"regexp"
 	"strings"
 	"testing"
+
+	"glenport/internal/golden"
 )
 
 const invalidFile = "testdata/invalid_frames.txt"
@@ -267,7 +269,7 @@
 // error that was recorded.
 func TestInvalidFramesKeepTheirErrors(t *testing.T) {
 	frames := invalidFrames(t)
-	if *update {
+	if golden.Updating() {
 		var all []section
 		for _, f := range frames {
 			_, err := Decode(f.body)
--- a/internal/protocol/section_test.go
+++ b/internal/protocol/section_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/hex"
-	"flag"
 	"fmt"
 	"os"
 	"reflect"
@@ -11,8 +10,6 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "record the golden files of this package anew")
-
 // words lists the values of a frame in their order on the wire, under the names of docs/protocol.md as the cbor tags
 // hold them.
 func words(out *strings.Builder, path string, v reflect.Value) {
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"encoding/binary"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"math"
 	"os"
@@ -15,6 +14,7 @@
 	"strings"
 	"testing"
 
+	"glenport/internal/golden"
 	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/overload"
 	"glenport/internal/schedulerd/reconcile"
@@ -42,8 +42,6 @@
 	goldenList   = "testdata/list"
 )
 
-var update = flag.Bool("update", false, "write the golden stored data anew with the program as it is")
-
 func goldenRequest(n float64, id string) scheduler.PlacementRequest {
 	return scheduler.PlacementRequest{
 		ID:              scheduler.ContainerID("container-" + id),
@@ -257,7 +255,7 @@
 func TestWritingPathGivesGoldenBytes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	writeGoldenState(t, path)
-	if *update {
+	if golden.Updating() {
 		if err := os.RemoveAll(goldenState); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -4,37 +4,17 @@
 	"bytes"
 	"encoding/json"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
-	"os"
 	"reflect"
 	"slices"
 	"strings"
 	"testing"
 
+	"glenport/internal/golden"
 	"glenport/scheduler"
 )
 
-var update = flag.Bool("update", false, "record the golden files in testdata anew")
-
-// golden compares what the program gives with what is recorded in a file of testdata.
-func golden(t *testing.T, file string, got []byte) {
-	t.Helper()
-	if *update {
-		if err := os.WriteFile("testdata/"+file, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile("testdata/" + file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
-	}
-}
-
 // object is a value with its fields in words that stay when names in the code change; enumerations stand as numbers.
 type object = map[string]any
 
@@ -252,7 +232,7 @@
 		}
 		frames = append(frames, whole(t, *f, object{"now": f.Now, "seq": f.Seq, "deliveries": deliveries}))
 	}
-	golden(t, "incoming.json", indented(t, frames))
+	golden.CheckText(t, "testdata/incoming.json", string(indented(t, frames)))
 }
 
 // fullSettings sets every setting that is read, each to a value of its own.
@@ -327,7 +307,7 @@
 			setFields(t, reflect.ValueOf(s))
 		}
 	}
-	golden(t, "settings.json", indented(t, got))
+	golden.CheckText(t, "testdata/settings.json", string(indented(t, got)))
 }
 
 // setFields fails where a field of the settings has its zero value: one that is never set is never compared.
@@ -365,7 +345,7 @@
 		try(fmt.Sprintf("%q", key), pairs)
 	}
 	try("none", nil)
-	golden(t, "faulty-settings.txt", got.Bytes())
+	golden.CheckText(t, "testdata/faulty-settings.txt", got.String())
 }
 
 // TestFaultyMessagesAreRefusedAsBefore cuts each message short, adds a field, spoils each field, and compares the
@@ -413,7 +393,7 @@
 	} {
 		try(in, in)
 	}
-	golden(t, "faulty-messages.txt", got.Bytes())
+	golden.CheckText(t, "testdata/faulty-messages.txt", got.String())
 }
 
 // TestOutgoingMessagesAreUnchanged compares the bytes of every message that goes out, with every field set and absent.
@@ -441,5 +421,5 @@
 		AppendAction(&got, 3, a)
 	}
 	AppendFault(&got, 4, "what\nwent wrong")
-	golden(t, "outgoing.txt", got.Bytes())
+	golden.CheckText(t, "testdata/outgoing.txt", got.String())
 }
--- a/internal/storage/faultfs/golden_test.go
+++ b/internal/storage/faultfs/golden_test.go
@@ -3,18 +3,16 @@
 import (
 	"crypto/sha256"
 	"errors"
-	"flag"
 	"fmt"
 	"hash"
 	"math/rand/v2"
 	"os"
 	"testing"
 
+	"glenport/internal/golden"
 	"glenport/internal/storage/vfs"
 )
 
-var update = flag.Bool("update", false, "record the golden file of this package anew")
-
 const goldenFile = "testdata/crashes.txt"
 
 // notes folds lines of text into a digest.
@@ -145,16 +143,5 @@
 		}
 		got += fmt.Sprintf("seeds %d to %d: %d states, digest %x\n", group*16, group*16+15, states, all.digest.Sum(nil))
 	}
-	if *update {
-		if err := os.WriteFile(goldenFile, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(goldenFile)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("got\n%swant\n%s", got, want)
-	}
+	golden.CheckText(t, goldenFile, got)
 }
--- a/internal/storage/wal/checksummed_test.go
+++ b/internal/storage/wal/checksummed_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"glenport/internal/golden"
 	"glenport/internal/storage/faultfs"
 )
 
@@ -19,18 +20,11 @@
 		t.Fatal(err)
 	}
 	written := mustRead(t, fs, "f")
-	if *update {
-		if err := os.WriteFile(replacedFile, written, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
+	golden.CheckText(t, replacedFile, string(written))
 	want, err := os.ReadFile(replacedFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(written, want) {
-		t.Errorf("written as\n%x, want\n%x", written, want)
-	}
 	version, body, err := ReadChecksummed(directoryOf(t, map[string][]byte{"f": want}), "f", "GOLDENF", 3)
 	if err != nil || version != 3 || string(body) != "what it holds" {
 		t.Errorf("version %d, %q, %v", version, body, err)
--- a/internal/storage/wal/damage_test.go
+++ b/internal/storage/wal/damage_test.go
@@ -7,10 +7,11 @@
 	"fmt"
 	"hash"
 	"maps"
-	"os"
 	"regexp"
 	"strings"
 	"testing"
+
+	"glenport/internal/golden"
 )
 
 // goType matches Go's names of types in errors of the CBOR library: they are no part of what is recorded.
@@ -105,11 +106,5 @@
 // What becomes of damage does not change: which is refused, with which error and place, and what is read in spite of
 // it.
 func TestDamageOfGoldenFoldersIsJudgedAlike(t *testing.T) {
-	want, err := os.ReadFile("testdata/damage.txt")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got := damageDigests(t); got != string(want) {
-		t.Errorf("got\n%swant\n%s", got, want)
-	}
+	golden.CheckText(t, "testdata/damage.txt", damageDigests(t))
 }
--- a/internal/storage/wal/golden_test.go
+++ b/internal/storage/wal/golden_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"crypto/sha256"
 	"errors"
-	"flag"
 	"fmt"
 	"maps"
 	"os"
@@ -14,14 +13,13 @@
 	"syscall"
 	"testing"
 
+	"glenport/internal/golden"
 	"glenport/internal/storage/faultfs"
 	"glenport/internal/storage/vfs"
 
 	"github.com/fxamacker/cbor/v2"
 )
 
-var update = flag.Bool("update", false, "record the golden folders of this package anew")
-
 // The folders in testdata, each with a text file beside it that says what it holds.
 const (
 	orderlyFolder   = "orderly"   // a snapshot and three log files, closed in order
@@ -303,7 +301,7 @@
 // A folder that an earlier version wrote is read value by value as it was written, and its parts are encoded again to
 // the same bytes.
 func TestGoldenFoldersAreRead(t *testing.T) {
-	if *update {
+	if golden.Updating() {
 		record(t)
 	}
 	for _, folder := range goldenFolders {
--- a/internal/storage/wal/operations_test.go
+++ b/internal/storage/wal/operations_test.go
@@ -4,11 +4,11 @@
 	"crypto/sha256"
 	"errors"
 	"fmt"
-	"os"
 	"strings"
 	"syscall"
 	"testing"
 
+	"glenport/internal/golden"
 	"glenport/internal/storage/faultfs"
 )
 
@@ -120,11 +120,5 @@
 // The order in which files are written, synced, renamed and removed does not change, nor what follows when one of these
 // operations fails.
 func TestOrderOfOperationsIsKept(t *testing.T) {
-	want, err := os.ReadFile("testdata/operations.txt")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got := describeOperations(t); got != string(want) {
-		t.Errorf("got\n%s\nwant\n%s", got, want)
-	}
+	golden.CheckText(t, "testdata/operations.txt", describeOperations(t))
 }
--- a/internal/testbed/faultproxy/record_test.go
+++ b/internal/testbed/faultproxy/record_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -11,14 +10,13 @@
 	"strings"
 	"testing"
 
+	"glenport/internal/golden"
 	"glenport/internal/protocol"
 	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
 )
 
-var update = flag.Bool("update", false, "record the golden record of this package anew")
-
 const (
 	goldenRecord = "testdata/record.bin"
 	goldenWords  = "testdata/record.txt"
@@ -251,7 +249,7 @@
 // A record that an earlier version wrote is read with each of its values, and encoded again to the same bytes.
 func TestGoldenRecordIsRead(t *testing.T) {
 	wantHeader, wantEntries := goldenHeader(), goldenEntries(t)
-	if *update {
+	if golden.Updating() {
 		if err := os.WriteFile(goldenRecord, encoded(t, wantHeader, wantEntries), 0o644); err != nil {
 			t.Fatal(err)
 		}
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -1,15 +1,12 @@
 package scheduler
 
 import (
-	"flag"
 	"os"
 	"reflect"
 	"strings"
 	"testing"
 )
 
-var update = flag.Bool("update", false, "rewrite the expected values in testdata")
-
 // testConfig has one workload class, two machine types and three schedulers.
 func testConfig(e Idempotency) Config {
 	class := WorkloadClass{Idempotency: e, MachineType: -1, LatencyObjective: Second, PlacementTimeout: 6 * Second,
@@ -80,13 +77,6 @@
 
 func sameType(a, b Action) bool { return reflect.TypeOf(a) == reflect.TypeOf(b) }
 
-func writeLines(t *testing.T, name string, lines []string) {
-	t.Helper()
-	if err := os.WriteFile(name, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
-		t.Fatal(err)
-	}
-}
-
 func readLines(t *testing.T, name string) []string {
 	t.Helper()
 	content, err := os.ReadFile(name)
