--- a/internal/testbed/emulator/bgppeer.go
+++ b/internal/testbed/emulator/bgppeer.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"fmt"
 	"io"
 	"net"
 	"net/netip"
@@ -8,6 +9,7 @@
 	"time"
 
 	"glenport/internal/bgp/wire"
+	"glenport/internal/testbed/loopback"
 )
 
 const (
@@ -63,12 +65,12 @@
 
 // Open starts to accept sessions, and returns the address.
 func (p *BGPPeer) Open() (addr string, err error) {
-	if p.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
-		return "", err
+	if p.listener, err = loopback.Listen(loopback.AnyPort); err != nil {
+		return "", fmt.Errorf("BGP peer: %w", err)
 	}
 	p.routes = map[netip.Prefix]routeState{}
 	p.background.Go(func() {
-		acceptAll(p.listener, func(conn net.Conn) { p.background.Go(func() { p.serve(conn) }) })
+		loopback.AcceptAll(p.listener, func(conn net.Conn) { p.background.Go(func() { p.serve(conn) }) })
 	})
 	return p.listener.Addr().String(), nil
 }
@@ -78,18 +80,18 @@
 	p.locked(func() {
 		p.closed = true
 		if p.conn != nil {
-			closeQuietly(p.conn)
+			loopback.CloseQuietly(p.conn)
 		}
 		if p.staleTimer != nil {
 			p.staleTimer.Stop()
 		}
 	})
-	closeQuietly(p.listener)
+	loopback.CloseQuietly(p.listener)
 	p.background.Wait()
 }
 
 // Reset resets the session's connection.
-func (p *BGPPeer) Reset() { p.withConn(resetConn) }
+func (p *BGPPeer) Reset() { p.withConn(loopback.Reset) }
 
 // SendGarbage sends bytes into the session that are no message of the protocol.
 func (p *BGPPeer) SendGarbage() {
@@ -194,7 +196,7 @@
 
 // serve runs one session from its opening to its end.
 func (p *BGPPeer) serve(conn net.Conn) {
-	defer closeQuietly(conn)
+	defer loopback.CloseQuietly(conn)
 	open := p.openSession(conn)
 	if open == nil {
 		return
--- a/internal/testbed/emulator/client_conn.go
+++ b/internal/testbed/emulator/client_conn.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/loopback"
 )
 
 const (
@@ -44,7 +45,7 @@
 				data = mustEncode(data, <-c.frames)
 			}
 			if _, err := c.Write(data); err != nil {
-				closeQuietly(c)
+				loopback.CloseQuietly(c)
 				return
 			}
 		case <-stop:
@@ -56,13 +57,13 @@
 // maintainConn holds a connection to one scheduler and reads it, until the clients close.
 func (c *Clients) maintainConn(scheduler int) {
 	for c.pause(reconnectDelay) {
-		conn, err := net.DialTimeout("tcp", c.SchedulerAddrs[scheduler], dialTimeout)
+		conn, err := loopback.Dial(c.SchedulerAddrs[scheduler], dialTimeout)
 		if err != nil {
 			c.pause(failedDialDelay)
 			continue
 		}
 		if err := greet(conn, scheduler); err != nil {
-			closeQuietly(conn)
+			loopback.CloseQuietly(conn)
 			continue
 		}
 		c.useConn(conn, scheduler)
@@ -102,6 +103,6 @@
 		c.handleFrame(scheduler, frame)
 	}
 	close(stop)
-	closeQuietly(conn)
+	loopback.CloseQuietly(conn)
 	c.connectionLost(scheduler)
 }
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/loopback"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -146,7 +147,7 @@
 	c.mu.Lock()
 	for _, conn := range c.conns {
 		if conn != nil {
-			closeQuietly(conn)
+			loopback.CloseQuietly(conn)
 		}
 	}
 	c.mu.Unlock()
@@ -245,7 +246,7 @@
 		s.scheduler, s.sentAt = index, time.Now()
 		c.outstanding[s.spec.ContainerID] = s
 		if !conn.send(&protocol.Submit{TimeToDeadline: toProtocol(s.timeToDeadline), Spec: s.spec}) {
-			closeQuietly(conn)
+			loopback.CloseQuietly(conn)
 		}
 		return
 	}
--- a/internal/testbed/emulator/list.go
+++ b/internal/testbed/emulator/list.go
@@ -1,11 +1,13 @@
 package emulator
 
 import (
+	"fmt"
 	"net"
 	"sync"
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/loopback"
 )
 
 const (
@@ -49,7 +51,7 @@
 	select {
 	case c.frames <- frame:
 	default:
-		closeQuietly(c)
+		loopback.CloseQuietly(c)
 	}
 }
 
@@ -67,7 +69,7 @@
 			return
 		}
 		if err := writeWithin(c, mustEncode(nil, frame), listWriteTimeout); err != nil {
-			closeQuietly(c)
+			loopback.CloseQuietly(c)
 			return
 		}
 	}
@@ -75,8 +77,8 @@
 
 // Open starts the service for machines that are up by now, and returns its address.
 func (l *MachineList) Open(machines []*Machine) (addr string, err error) {
-	if l.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
-		return "", err
+	if l.listener, err = loopback.Listen(loopback.AnyPort); err != nil {
+		return "", fmt.Errorf("machine list: %w", err)
 	}
 	l.machines, l.stop = machines, make(chan struct{})
 	l.current = map[string]protocol.MachineEntry{}
@@ -85,7 +87,7 @@
 	l.apply(l.observe())
 	l.background.Go(l.watch)
 	l.background.Go(func() {
-		acceptAll(l.listener, func(conn net.Conn) {
+		loopback.AcceptAll(l.listener, func(conn net.Conn) {
 			l.background.Go(func() { l.serve(&listConn{conn, make(chan protocol.Frame, maxQueuedListFrames)}) })
 		})
 	})
@@ -95,7 +97,7 @@
 // Close ends the service and its connections.
 func (l *MachineList) Close() {
 	close(l.stop)
-	closeQuietly(l.listener)
+	loopback.CloseQuietly(l.listener)
 	l.SetUnreachable(true)
 	l.background.Wait()
 }
@@ -116,7 +118,7 @@
 		return
 	}
 	for conn := range l.conns {
-		closeQuietly(conn)
+		loopback.CloseQuietly(conn)
 	}
 }
 
@@ -232,7 +234,7 @@
 }
 
 func (l *MachineList) serve(conn *listConn) {
-	defer closeQuietly(conn)
+	defer loopback.CloseQuietly(conn)
 	first, err := protocol.ReadFrame(conn, maxHelloSize)
 	if hello, ok := first.(*protocol.Hello); err != nil || !ok || hello.Role != protocol.RoleScheduler {
 		return
--- a/internal/testbed/emulator/machine.go
+++ b/internal/testbed/emulator/machine.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/loopback"
 )
 
 const (
@@ -188,7 +189,7 @@
 	}
 	m.recentOffers = nil
 	m.background.Go(func() {
-		acceptAll(listener, func(conn net.Conn) { m.background.Go(func() { m.serve(conn) }) })
+		loopback.AcceptAll(listener, func(conn net.Conn) { m.background.Go(func() { m.serve(conn) }) })
 	})
 	m.after(memoryDriftInterval, m.driftMemory)
 	return nil
@@ -198,11 +199,11 @@
 func (m *Machine) reopenListener() (net.Listener, error) {
 	addr := m.Addr()
 	if addr == "" {
-		addr = "127.0.0.1:0"
+		addr = loopback.AnyPort
 	}
 	var lastErr error
 	for range maxListenRetries {
-		listener, err := net.Listen("tcp", addr)
+		listener, err := loopback.Listen(addr)
 		if err == nil {
 			m.mu.Lock()
 			m.addr = listener.Addr().String()
@@ -226,9 +227,9 @@
 		return
 	}
 	m.up = false
-	closeQuietly(m.listener)
+	loopback.CloseQuietly(m.listener)
 	for _, conn := range m.conns {
-		closeQuietly(conn)
+		loopback.CloseQuietly(conn)
 	}
 	for _, c := range m.containers {
 		c.ended = true
@@ -299,7 +300,7 @@
 func (m *Machine) ResetConns() {
 	m.postAndWait(func() {
 		for _, conn := range m.conns {
-			resetConn(conn.Conn)
+			loopback.Reset(conn.Conn)
 		}
 	})
 }
--- a/internal/testbed/emulator/machine_conn.go
+++ b/internal/testbed/emulator/machine_conn.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/loopback"
 )
 
 const (
@@ -23,7 +24,7 @@
 
 // serve reads one scheduler's connection.
 func (m *Machine) serve(conn net.Conn) {
-	defer closeQuietly(conn)
+	defer loopback.CloseQuietly(conn)
 	first, err := protocol.ReadFrame(conn, maxHelloSize)
 	hello, ok := first.(*protocol.Hello)
 	if err != nil || !ok || hello.Role != protocol.RoleScheduler {
@@ -67,7 +68,7 @@
 			return
 		}
 		if err := writeWithin(sc, data, machineWriteTimeout); err != nil {
-			closeQuietly(sc)
+			loopback.CloseQuietly(sc)
 			return
 		}
 	}
@@ -77,18 +78,18 @@
 	select {
 	case sc.frames <- mustEncode(nil, frame):
 	default:
-		closeQuietly(sc)
+		loopback.CloseQuietly(sc)
 	}
 }
 
 // register greets a scheduler with the inventory of what the machine holds for it; its former connection ends.
 func (m *Machine) register(sc *schedulerConn) {
 	if !m.up {
-		closeQuietly(sc)
+		loopback.CloseQuietly(sc)
 		return
 	}
 	if old := m.conns[sc.scheduler]; old != nil {
-		closeQuietly(old)
+		loopback.CloseQuietly(old)
 		m.removeQueued(sc.scheduler)
 	}
 	m.conns[sc.scheduler] = sc
--- a/internal/testbed/faultproxy/connection.go
+++ b/internal/testbed/faultproxy/connection.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/loopback"
 )
 
 // maxQueuedFrames is more than the buffers of any real connection hold.
@@ -46,7 +47,7 @@
 func (c *connection) reset() {
 	c.dead = true
 	for _, conn := range c.conns {
-		resetConn(conn)
+		loopback.Reset(conn)
 	}
 	c.proxy.stateChanged.Broadcast()
 }
@@ -68,8 +69,8 @@
 	c.dead = true
 	c.proxy.stateChanged.Broadcast()
 	c.proxy.mu.Unlock()
-	closeQuietly(c.conns[fromCalled])
-	closeQuietly(c.conns[fromCaller])
+	loopback.CloseQuietly(c.conns[fromCalled])
+	loopback.CloseQuietly(c.conns[fromCaller])
 	<-done
 }
 
@@ -111,7 +112,7 @@
 	select {
 	case queue <- queuedFrame{frame, time.Now()}:
 	default: // a real network would have blocked the sender long before
-		closeQuietly(c.conns[from])
+		loopback.CloseQuietly(c.conns[from])
 	}
 }
 
@@ -125,7 +126,7 @@
 		return
 	}
 	if _, err := c.conns[1-from].Write(queued.frame); err != nil {
-		closeQuietly(c.conns[from])
+		loopback.CloseQuietly(c.conns[from])
 	}
 }
 
--- a/internal/testbed/faultproxy/proxy.go
+++ b/internal/testbed/faultproxy/proxy.go
@@ -1,13 +1,14 @@
 package faultproxy
 
 import (
-	"io"
+	"fmt"
 	"math/rand/v2"
 	"net"
 	"sync"
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/loopback"
 )
 
 const dialTimeout = time.Second
@@ -78,7 +79,7 @@
 	p.mu.Lock()
 	p.closed = true
 	for _, listener := range p.listeners {
-		closeQuietly(listener)
+		loopback.CloseQuietly(listener)
 	}
 	for c := range p.connections {
 		c.reset()
@@ -92,21 +93,17 @@
 // One of the two ends of a connection is a scheduler. Where the scheduler connects, peer and name are those of the
 // target; where clients connect to a scheduler, peer is RoleClient and name is the scheduler's.
 func (p *Proxy) Listen(peer protocol.Role, name string, target func() string) (string, error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := loopback.Listen(loopback.AnyPort)
 	if err != nil {
-		return "", err
+		return "", fmt.Errorf("proxy before %s: %w", name, err)
 	}
 	p.mu.Lock()
 	p.listeners = append(p.listeners, listener)
 	p.mu.Unlock()
 	p.background.Go(func() {
-		for {
-			caller, err := listener.Accept()
-			if err != nil {
-				return // the listener was closed
-			}
+		loopback.AcceptAll(listener, func(caller net.Conn) {
 			p.background.Go(func() { p.serve(caller, peer, name, target) })
-		}
+		})
 	})
 	return listener.Addr().String(), nil
 }
@@ -131,7 +128,7 @@
 
 // serve reads the caller's hello, connects to the target and forwards frames both ways until one end closes.
 func (p *Proxy) serve(caller net.Conn, peer protocol.Role, name string, target func() string) {
-	defer closeQuietly(caller)
+	defer loopback.CloseQuietly(caller)
 	first, err := readFrame(caller)
 	if err != nil {
 		return
@@ -145,14 +142,14 @@
 	if peer == protocol.RoleClient { // a client connects to a scheduler
 		c.scheduler, c.peerName = name, hello.Name
 	}
-	called, err := net.DialTimeout("tcp", target(), dialTimeout)
+	called, err := loopback.Dial(target(), dialTimeout)
 	if err != nil {
-		resetConn(caller)
+		loopback.Reset(caller)
 		return
 	}
 	c.conns = [2]net.Conn{caller, called}
 	if !p.add(c) {
-		closeQuietly(called)
+		loopback.CloseQuietly(called)
 		return
 	}
 	p.recorder.add(c.entry(Opened))
@@ -174,15 +171,3 @@
 	p.connections[c] = true
 	return true
 }
-
-// closeQuietly closes a connection or listener that is given up. The error is ignored: whoever reads from it sees the
-// end either way.
-func closeQuietly(c io.Closer) { _ = c.Close() }
-
-// resetConn closes a connection with a TCP reset in place of an orderly end.
-func resetConn(conn net.Conn) {
-	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails only on a connection that is closed already
-	}
-	closeQuietly(conn)
-}
