--- a/cmd/glenport-testbed/scenario.go
+++ b/cmd/glenport-testbed/scenario.go
@@ -5,6 +5,7 @@
 	"os"
 
 	"glenport/internal/testbed/audit"
+	"glenport/internal/testbed/report"
 	"glenport/internal/testbed/scenario"
 
 	"github.com/spf13/cobra"
@@ -42,13 +43,13 @@
 			if container != "" {
 				return audit.PrintContainer(args[0], container, os.Stdout)
 			}
-			report, err := audit.CheckRecording(args[0])
+			findings, err := audit.CheckRecording(args[0])
 			if err != nil {
 				return err
 			}
-			fmt.Printf("%d frames, %d submissions, %d offers\n", report.Frames, report.Submitted, report.Offers)
-			scenario.PrintViolations(os.Stdout, report)
-			if !report.Passed() {
+			fmt.Printf("%d frames, %d submissions, %d offers\n", findings.Frames, findings.Submitted, findings.Offers)
+			report.Violations(os.Stdout, findings)
+			if !findings.Passed() {
 				return errFailed
 			}
 			fmt.Println("rules: kept")
--- a/cmd/glenport-testbed/trial.go
+++ b/cmd/glenport-testbed/trial.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"os"
 
+	"glenport/internal/testbed/crashcheck"
 	"glenport/internal/testbed/scenario"
 
 	"github.com/spf13/cobra"
@@ -125,7 +126,7 @@
 		Args:    cobra.NoArgs,
 		Example: "  glenport-testbed trial restart --short --kills 60",
 		RunE: func(*cobra.Command, []string) error {
-			if t.Sabotage != "" && t.Sabotage != scenario.SabotageSync && t.Sabotage != scenario.SabotageChecksum {
+			if t.Sabotage != "" && t.Sabotage != crashcheck.SabotageSync && t.Sabotage != crashcheck.SabotageChecksum {
 				return fmt.Errorf("--sabotage %q is neither sync nor checksum", t.Sabotage)
 			}
 			t.LogSizes, t.MeasureLost = []int{100, 10_000, 100_000}, true
--- a/internal/testbed/scenario/crash_check.go
+++ b/internal/testbed/crashcheck/crashcheck.go
@@ -1,4 +1,6 @@
-package scenario
+// Package crashcheck looks at every state in which a crash may leave the log of package wal, on a file system in
+// memory.
+package crashcheck
 
 import (
 	"errors"
@@ -11,9 +13,15 @@
 	"glenport/internal/storage/wal"
 )
 
-// CrashCheck plays a history of commits on a folder in memory and looks at every state in which a crash, or a crash of
+// The sabotages of the log, which a Check is to see.
+const (
+	SabotageSync     = "sync"     // the log does not sync
+	SabotageChecksum = "checksum" // the log does not check what it reads
+)
+
+// Check plays a history of commits on a folder in memory and looks at every state in which a crash, or a crash of
 // the recovery from a crash, may leave it.
-type CrashCheck struct {
+type Check struct {
 	Seed         uint64
 	Commits      int
 	RandomStates int    // states drawn at each operation, beside all lost and all kept
@@ -39,7 +47,7 @@
 
 // history commits random changes and returns what must be found after each. Every commit changes the value of "n", so
 // that states differ.
-func (c *CrashCheck) history(fs *faultfs.FS) ([]commitPoint, error) {
+func (c *Check) history(fs *faultfs.FS) ([]commitPoint, error) {
 	log, _, err := wal.Open(fs, wal.Options{MinSnapshotLog: 2000})
 	if err != nil {
 		return nil, err
@@ -109,7 +117,7 @@
 }
 
 // recoverState recovers a folder and returns what it holds.
-func (c *CrashCheck) recoverState(d *faultfs.FS) (string, error) {
+func (c *Check) recoverState(d *faultfs.FS) (string, error) {
 	s, _, err := wal.Open(d, wal.Options{SkipChecksums: c.Sabotage == SabotageChecksum})
 	if err != nil {
 		return "", err
@@ -118,8 +126,8 @@
 	return held, s.Close()
 }
 
-// add adds another check's counts.
-func (c *CrashCheck) add(other *CrashCheck) {
+// Add adds another check's counts.
+func (c *Check) Add(other *Check) {
 	c.Operations += other.Operations
 	c.States += other.States
 	c.SecondCrashes += other.SecondCrashes
@@ -149,7 +157,7 @@
 }
 
 // Run returns the first violation found, or nil.
-func (c *CrashCheck) Run() error {
+func (c *Check) Run() error {
 	d := faultfs.New()
 	d.IgnoreSync = c.Sabotage == SabotageSync
 	commits, err := c.history(d)
@@ -171,7 +179,7 @@
 const secondCrashEach = 7
 
 // checkPoint recovers from the states that a crash may leave: all unsynced lost, all kept, and some drawn at random.
-func (c *CrashCheck) checkPoint(d *faultfs.FS, point crashPoint, r *rand.Rand) error {
+func (c *Check) checkPoint(d *faultfs.FS, point crashPoint, r *rand.Rand) error {
 	survivals := []faultfs.Survival{faultfs.LoseUnsynced, faultfs.KeepUnsynced}
 	for range c.RandomStates {
 		survivals = append(survivals, faultfs.KeepSome(r))
@@ -204,7 +212,7 @@
 }
 
 // crashRecovery crashes the recovery from a crash after each of its operations.
-func (c *CrashCheck) crashRecovery(crashed *faultfs.FS, before int, point crashPoint, r *rand.Rand) error {
+func (c *Check) crashRecovery(crashed *faultfs.FS, before int, point crashPoint, r *rand.Rand) error {
 	for again := before; again <= crashed.OperationCount(); again++ {
 		recovered, err := c.recoverState(crashed.Crash(again, faultfs.KeepSome(r)))
 		if err != nil {
@@ -250,7 +258,7 @@
 
 // flipBits turns single bits over in what a clean end left. Each must be refused, but in the last group: there it
 // cannot be distinguished from a group that a crash cut off, and the state before it is found.
-func (c *CrashCheck) flipBits(d *faultfs.FS, commits []commitPoint, r *rand.Rand) error {
+func (c *Check) flipBits(d *faultfs.FS, commits []commitPoint, r *rand.Rand) error {
 	names, err := d.List()
 	if err != nil {
 		return err
--- a/internal/testbed/scenario/crash_check_test.go
+++ b/internal/testbed/crashcheck/crashcheck_test.go
@@ -1,4 +1,4 @@
-package scenario
+package crashcheck
 
 import "testing"
 
@@ -9,7 +9,7 @@
 		ok       bool
 	}{{"", true}, {SabotageSync, false}, {SabotageChecksum, false}} {
 		t.Run("sabotage: "+tc.sabotage, func(t *testing.T) {
-			c := &CrashCheck{Seed: 1, Commits: 40, RandomStates: 6, Sabotage: tc.sabotage}
+			c := &Check{Seed: 1, Commits: 40, RandomStates: 6, Sabotage: tc.sabotage}
 			err := c.Run()
 			if (err == nil) != tc.ok {
 				t.Errorf("%v", err)
--- /dev/null
+++ b/internal/testbed/report/report.go
@@ -0,0 +1,45 @@
+// Package report prints the results of the testbed.
+package report
+
+import (
+	"fmt"
+	"io"
+
+	"glenport/internal/testbed/audit"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+// Printf writes to a report. Its error is ignored: a trial's result is its exit status, and a reader that closed the
+// terminal must not end a measurement.
+func Printf(out io.Writer, format string, args ...any) {
+	_, _ = fmt.Fprintf(out, format, args...)
+}
+
+// violationsPerRule is how many violations of a rule are printed.
+const violationsPerRule = 3
+
+// Violations writes the first violations of each rule and, where there are any, the numbers of the rules.
+func Violations(out io.Writer, findings *audit.Report) {
+	byRule := map[audit.Rule]int{}
+	for _, violation := range findings.Violations {
+		if byRule[violation.Rule]++; byRule[violation.Rule] <= violationsPerRule {
+			Printf(out, "%v\n", violation)
+		}
+	}
+	if len(byRule) == 0 {
+		return
+	}
+	summary := ""
+	for rule := audit.RuleFinalReply; rule <= audit.LastRule; rule++ {
+		if byRule[rule] > 0 {
+			summary += fmt.Sprintf(" %d (%d times or more)", rule, byRule[rule])
+		}
+	}
+	Printf(out, "rules: broken:%s\n", summary)
+}
+
+// QuantileMS is a quantile, in milliseconds, of a histogram in microseconds.
+func QuantileMS(h *hdrhistogram.Histogram, q float64) float64 {
+	return float64(h.ValueAtQuantile(q)) / 1000
+}
--- a/internal/testbed/scenario/injector.go
+++ b/internal/testbed/scenario/injector.go
@@ -10,6 +10,7 @@
 	"glenport/internal/protocol"
 	"glenport/internal/testbed/emulator"
 	"glenport/internal/testbed/faultproxy"
+	"glenport/internal/testbed/report"
 )
 
 // networkRule returns the fault of the connection between a scheduler and its peer.
@@ -159,5 +160,5 @@
 func (l *timedLog) printf(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	printf(l.out, "%6.1f s  %s\n", time.Since(l.began).Seconds(), fmt.Sprintf(format, args...))
+	report.Printf(l.out, "%6.1f s  %s\n", time.Since(l.began).Seconds(), fmt.Sprintf(format, args...))
 }
--- a/internal/testbed/scenario/load_api.go
+++ b/internal/testbed/scenario/load_api.go
@@ -11,6 +11,8 @@
 	"sync/atomic"
 	"time"
 
+	"glenport/internal/testbed/report"
+
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
@@ -43,12 +45,7 @@
 func (d *delays) quantile(q float64) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return quantileMS(d.histogram, q)
-}
-
-// quantileMS is a quantile, in milliseconds, of a histogram in microseconds.
-func quantileMS(h *hdrhistogram.Histogram, q float64) float64 {
-	return float64(h.ValueAtQuantile(q)) / 1000
+	return report.QuantileMS(d.histogram, q)
 }
 
 // MeasureAPI measures a controller with many containers pending: what a why costs, how many requests it answers a
@@ -75,13 +72,13 @@
 	if err != nil {
 		return err
 	}
-	printf(out, "why, %d containers waiting, %d machines: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms\n", waiting, machines,
+	report.Printf(out, "why, %d containers waiting, %d machines: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms\n", waiting, machines,
 		whys.quantile(50), whys.quantile(99), whys.quantile(99.9))
 	rate, err := api.measureRequests()
 	if err != nil {
 		return err
 	}
-	printf(out, "requests answered: %.0f a second, %d clients\n", rate, requestClients)
+	report.Printf(out, "requests answered: %.0f a second, %d clients\n", rate, requestClients)
 	return k.measureFanOut(watchers, out)
 }
 
@@ -193,7 +190,7 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	watching.Wait()
-	printf(
+	report.Printf(
 		out,
 		"%d watchers, %d changes: from the request to the line p50 %.1f ms, p99 %.1f ms, worst %.1f ms; %d lines missed\n",
 		watchers,
--- a/internal/testbed/scenario/load_bgp.go
+++ b/internal/testbed/scenario/load_bgp.go
@@ -13,6 +13,7 @@
 	"glenport/internal/bgp/wire"
 	"glenport/internal/eventloop"
 	"glenport/internal/testbed/emulator"
+	"glenport/internal/testbed/report"
 )
 
 // bgpBench is a speaker in this process and its emulated peers.
@@ -142,7 +143,7 @@
 	}
 	took := time.Since(began)
 	stats := b.peers[0].Stats()
-	printf(
+	report.Printf(
 		out,
 		"%d prefixes to %d peers: all have them after %d ms, %d messages and %d bytes a peer\n",
 		b.prefixes,
@@ -166,12 +167,12 @@
 	began := time.Now()
 	b.onLoop(func() { b.speaker.Handle(events...) })
 	if len(others) == 0 {
-		printf(out, "%d of them change at once, the peer takes a message each 20 ms: it", tenth)
+		report.Printf(out, "%d of them change at once, the peer takes a message each 20 ms: it", tenth)
 	} else {
 		if err := b.waitForRoutes("withdrawals", others, b.prefixes-tenth); err != nil {
 			return err
 		}
-		printf(
+		report.Printf(
 			out,
 			"%d of them change at once, one of %d peers takes a message each 20 ms: the others have it after %d ms, it",
 			tenth,
@@ -182,6 +183,6 @@
 	if err := b.waitForRoutes("withdrawals", []*emulator.BGPPeer{slow}, b.prefixes-tenth); err != nil {
 		return err
 	}
-	printf(out, " after %d ms\n", time.Since(began).Milliseconds())
+	report.Printf(out, " after %d ms\n", time.Since(began).Milliseconds())
 	return nil
 }
--- a/internal/testbed/scenario/load_jobs.go
+++ b/internal/testbed/scenario/load_jobs.go
@@ -9,6 +9,8 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"glenport/internal/testbed/report"
 )
 
 const jobClients = 16
@@ -62,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	printf(
+	report.Printf(
 		out,
 		"%d jobs at %d a second, %d machines: request to running in a watch p50 %.1f ms, p99 %.1f ms (of it the first "+
 			"100 ms at most are the keeper's spreading by chance); at the placer submission to bid p50 %.2f ms, p99 %.2f ms\n",
--- a/internal/testbed/scenario/replay.go
+++ b/internal/testbed/scenario/replay.go
@@ -6,6 +6,8 @@
 	"io"
 	"os"
 	"time"
+
+	"glenport/internal/testbed/report"
 )
 
 // simulatedDay is what a replay takes of a simulated day: its length, its fleet and its faults.
@@ -52,7 +54,7 @@
 	for _, c := range s.MachineCounts {
 		machines += c.perZone * len(s.Zones)
 	}
-	printf(
+	report.Printf(
 		out,
 		"replay of a day of %s, SCALED DOWN: %d machines for %d, %d placers for %d, %.0f submissions a second\n",
 		day.Site,
@@ -66,10 +68,10 @@
 		simulated := &day.Faults[i]
 		fault, ok := day.counterpart(simulated)
 		if !ok {
-			printf(out, "left out: %s at %.1f s has no like on the sockets\n", simulated.Kind, fault.At.Seconds())
+			report.Printf(out, "left out: %s at %.1f s has no like on the sockets\n", simulated.Kind, fault.At.Seconds())
 			continue
 		}
-		printf(
+		report.Printf(
 			out,
 			"%s at %.1f s is played as: %s%s\n",
 			simulated.Kind,
--- a/internal/testbed/scenario/report.go
+++ b/internal/testbed/scenario/report.go
@@ -1,23 +1,19 @@
 package scenario
 
 import (
-	"fmt"
 	"io"
 	"maps"
 	"slices"
 
-	"glenport/internal/testbed/audit"
+	"glenport/internal/testbed/report"
 )
 
-// violationsPerRule is how many violations of a rule are printed.
-const violationsPerRule = 3
-
 // Print writes the outcome's figures and, last, whether the rules were kept.
 func (o *Outcome) Print(out io.Writer) {
 	o.printClients(out)
 	for _, name := range slices.Sorted(maps.Keys(o.Status)) {
 		stats := o.Status[name]
-		printf(
+		report.Printf(
 			out,
 			"%s: submission to bid p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms; busy %.1f%%, deciding %.1f%% of that; "+
 				"%.0f taken over, %.0f MiB, %.0f goroutines\n",
@@ -32,30 +28,30 @@
 			stats["goroutines"],
 		)
 	}
-	report := o.Audit
-	printf(
+	findings := o.Audit
+	report.Printf(
 		out,
 		"record: %d frames, %d submissions, %d offers, %d yeses; cold machines at most at %d of %d offers in a window, "+
 			"%d pushed over; last offer after a drain was told %.1f ms\n",
-		report.Frames,
-		report.Submitted,
-		report.Offers,
-		report.Accepted,
-		report.SlowStartPeak,
-		report.SlowStartBudget,
+		findings.Frames,
+		findings.Submitted,
+		findings.Offers,
+		findings.Accepted,
+		findings.SlowStartPeak,
+		findings.SlowStartBudget,
 		o.OverloadedMachines,
-		report.DrainLatency,
+		findings.DrainLatency,
 	)
-	PrintViolations(out, report)
+	report.Violations(out, findings)
 	tally := &o.Tally
 	if o.Passed() {
-		printf(
+		report.Printf(
 			out,
 			"rules: kept, one final answer for each of %d containers\n",
 			tally.Submitted-tally.Unanswered-tally.Unsent,
 		)
-	} else if report.Passed() {
-		printf(
+	} else if findings.Passed() {
+		report.Printf(
 			out,
 			"rules: kept on the record, but %d containers without an answer and %d answers too many\n",
 			tally.Pending,
@@ -67,7 +63,7 @@
 // printClients writes what the clients saw.
 func (o *Outcome) printClients(out io.Writer) {
 	tally := &o.Tally
-	printf(
+	report.Printf(
 		out,
 		"owners: %d submitted (%d of them again), %d placed, %d pushed back, %d given up, %d turned away, "+
 			"%d whose placer went first, %d unsent, %d without an answer, %d answers too many\n",
@@ -82,38 +78,18 @@
 		tally.Pending,
 		tally.DuplicateReplies,
 	)
-	printf(
+	report.Printf(
 		out,
 		"placed: %d ended in their owner's hearing, %d evicted, %d lost with a machine\n",
 		tally.Ended,
 		tally.Evicted,
 		tally.Lost,
 	)
-	printf(
+	report.Printf(
 		out,
 		"submission to yes: p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms\n",
-		quantileMS(tally.PlacementLatency, 50),
-		quantileMS(tally.PlacementLatency, 99),
-		quantileMS(tally.PlacementLatency, 99.9),
+		report.QuantileMS(tally.PlacementLatency, 50),
+		report.QuantileMS(tally.PlacementLatency, 99),
+		report.QuantileMS(tally.PlacementLatency, 99.9),
 	)
 }
-
-// PrintViolations writes the first violations of each rule and, where there are any, the numbers of the rules.
-func PrintViolations(out io.Writer, report *audit.Report) {
-	byRule := map[audit.Rule]int{}
-	for _, violation := range report.Violations {
-		if byRule[violation.Rule]++; byRule[violation.Rule] <= violationsPerRule {
-			printf(out, "%v\n", violation)
-		}
-	}
-	if len(byRule) == 0 {
-		return
-	}
-	summary := ""
-	for rule := audit.RuleFinalReply; rule <= audit.LastRule; rule++ {
-		if byRule[rule] > 0 {
-			summary += fmt.Sprintf(" %d (%d times or more)", rule, byRule[rule])
-		}
-	}
-	printf(out, "rules: broken:%s\n", summary)
-}
--- a/internal/testbed/scenario/restart_commits.go
+++ b/internal/testbed/scenario/restart_commits.go
@@ -9,6 +9,7 @@
 
 	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
+	"glenport/internal/testbed/report"
 )
 
 // commitStats counts the commits of concurrent writers; times are in microseconds.
@@ -55,7 +56,7 @@
 		return err
 	}
 	counters := log.Counters()
-	printf(
+	report.Printf(
 		t.Out,
 		"commits, %d clients, group commit %v: %.0f a second, mean %.2f ms, worst %.1f ms; %d syncs of mean %.3f ms\n",
 		writers,
--- a/internal/testbed/scenario/restart_kills.go
+++ b/internal/testbed/scenario/restart_kills.go
@@ -15,6 +15,7 @@
 	"glenport/internal/storage/wal"
 	"glenport/internal/testbed/audit"
 	"glenport/internal/testbed/emulator"
+	"glenport/internal/testbed/report"
 	"glenport/scheduler"
 )
 
@@ -66,11 +67,11 @@
 	watching.Wait()
 	tally := c.Clients.Close()
 	r.controller.terminate()
-	report, err := c.CloseAndAudit()
+	findings, err := c.CloseAndAudit()
 	if err != nil {
 		return false, err
 	}
-	printf(
+	report.Printf(
 		t.Out,
 		"kills: %d of placers and %d of the keeper by SIGKILL in %.0f s; every folder read after each, %d with an unfinished group "+
 			"at its end\n",
@@ -79,7 +80,7 @@
 		length.Seconds(),
 		r.truncatedLogs.Load(),
 	)
-	printf(
+	report.Printf(
 		t.Out,
 		"jobs: %d changes acknowledged, %d asked again; %d jobs with %d containers at the end, %d run; at-most-once seen twice: %d\n",
 		r.client.acknowledged,
@@ -89,12 +90,12 @@
 		running,
 		r.duplicates.Load(),
 	)
-	t.printKillAudit(&tally, report, r.violations)
-	return len(r.violations) == 0 && report.Passed() && tally.DuplicateReplies == 0 && tally.Pending == 0, nil
+	t.printKillAudit(&tally, findings, r.violations)
+	return len(r.violations) == 0 && findings.Passed() && tally.DuplicateReplies == 0 && tally.Pending == 0, nil
 }
 
-func (t *RestartTrial) printKillAudit(tally *emulator.Tally, report *audit.Report, violations []string) {
-	printf(
+func (t *RestartTrial) printKillAudit(tally *emulator.Tally, findings *audit.Report, violations []string) {
+	report.Printf(
 		t.Out,
 		"owners: %d submitted, %d placed, %d answers too many, %d without one; record: %d frames, %d offers, %d yeses; cold machines "+
 			"at most at %d of %d\n",
@@ -102,18 +103,18 @@
 		tally.Placed,
 		tally.DuplicateReplies,
 		tally.Pending,
-		report.Frames,
-		report.Offers,
-		report.Accepted,
-		report.SlowStartPeak,
-		report.SlowStartBudget,
+		findings.Frames,
+		findings.Offers,
+		findings.Accepted,
+		findings.SlowStartPeak,
+		findings.SlowStartBudget,
 	)
-	PrintViolations(t.Out, report)
+	report.Violations(t.Out, findings)
 	for _, violation := range violations[:min(len(violations), printedViolations)] {
-		printf(t.Out, "fault: %s\n", violation)
+		report.Printf(t.Out, "fault: %s\n", violation)
 	}
-	if report.Passed() {
-		printf(t.Out, "rules: kept over all lives\n")
+	if findings.Passed() {
+		report.Printf(t.Out, "rules: kept over all lives\n")
 	}
 }
 
--- a/internal/testbed/scenario/restart_lost.go
+++ b/internal/testbed/scenario/restart_lost.go
@@ -5,6 +5,8 @@
 	"os"
 	"path/filepath"
 	"time"
+
+	"glenport/internal/testbed/report"
 )
 
 // measureLost plays the same restart with and without the schedulers' persisted state: a zone restarts, a part of the
@@ -49,7 +51,7 @@
 	time.Sleep(measured)
 	after := c.Clients.Snapshot()
 	submitted, placed, late := after.Submitted-before.Submitted, after.Placed-before.Placed, after.PlacedLate-before.PlacedLate
-	printf(
+	report.Printf(
 		t.Out,
 		"ten seconds after a restart, kept state %-5v: %d submitted, %d not placed, %d of the placed after more than 1 s\n",
 		withState,
--- a/internal/testbed/scenario/restart_start.go
+++ b/internal/testbed/scenario/restart_start.go
@@ -14,6 +14,7 @@
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
+	"glenport/internal/testbed/report"
 	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
@@ -141,7 +142,7 @@
 	if err := placeContainer(b.scheduler.Address, spec); err != nil {
 		return err
 	}
-	printf(
+	report.Printf(
 		t.Out,
 		"start of a placer, %d containers in its log: door open after %.0f ms, first container placed after %.0f ms, "+
 			"first at-most-once one that came before after %.0f ms\n",
@@ -169,23 +170,23 @@
 	return writeLog(folder, server.RecordContainer, n, func(i int) (string, any) {
 		job, index := fmt.Sprint("j", i/containersPerJob), i%containersPerJob
 		return fmt.Sprintf(
-				"%s.%d",
-				job,
-				index,
-			), server.ContainerRecord{
-				SchedulerAddress: schedulerAddress,
-				Container: controller.Container{
-					Job:            job,
-					Index:          index,
-					State:          controller.StateRunning,
-					Machine:        "machine-0000",
-					IdempotencyKey: fmt.Sprintf("%s/%d/%d", job, index, i),
-					RequestID:      fmt.Sprintf("%s/%d#%d", job, index, i),
-					Submitted:      true,
-					Starts:         1,
-					SubmittedSpec:  spec,
-				},
-			}
+			"%s.%d",
+			job,
+			index,
+		), server.ContainerRecord{
+			SchedulerAddress: schedulerAddress,
+			Container: controller.Container{
+				Job:            job,
+				Index:          index,
+				State:          controller.StateRunning,
+				Machine:        "machine-0000",
+				IdempotencyKey: fmt.Sprintf("%s/%d/%d", job, index, i),
+				RequestID:      fmt.Sprintf("%s/%d#%d", job, index, i),
+				Submitted:      true,
+				Starts:         1,
+				SubmittedSpec:  spec,
+			},
+		}
 	})
 }
 
@@ -213,7 +214,7 @@
 	}); err != nil {
 		return err
 	}
-	printf(
+	report.Printf(
 		t.Out,
 		"start of a keeper, %d containers in its log: API open after %.0f ms, the first found or started after %.0f ms\n",
 		n,
--- a/internal/testbed/scenario/steps.go
+++ b/internal/testbed/scenario/steps.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"io"
+
+	"glenport/internal/testbed/report"
 )
 
 // printedMisses is how many of a trial's misses are printed.
@@ -33,10 +35,10 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", step.name, err)
 		}
-		printf(out, "%-*s %s, %d missed\n", nameWidth, step.name, figures, len(m.misses)-before)
+		report.Printf(out, "%-*s %s, %d missed\n", nameWidth, step.name, figures, len(m.misses)-before)
 	}
 	for _, miss := range m.misses[:min(len(m.misses), printedMisses)] {
-		printf(out, "missed: %s\n", miss)
+		report.Printf(out, "missed: %s\n", miss)
 	}
 	return nil
 }
--- a/internal/testbed/scenario/trial_overload.go
+++ b/internal/testbed/scenario/trial_overload.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"io"
-	"math"
 	"math/rand/v2"
 	"path/filepath"
 	"slices"
@@ -11,6 +10,8 @@
 	"time"
 
 	"glenport/internal/testbed/emulator"
+	"glenport/internal/testbed/report"
+	"glenport/internal/testbed/simulation"
 	"glenport/scheduler"
 )
 
@@ -24,53 +25,7 @@
 	Out             io.Writer
 }
 
-var dampings = []Damping{NoDamping, Exponential, Limited}
-
-// goodputRecovery is how a run came through a fault.
-type goodputRecovery struct {
-	before, lowest   float64 // goodput a second
-	secondsToRecover int     // from the fault until goodput was back; -1: it never was
-	lost             float64 // starts within the latency objective that were missed, against the time before
-}
-
-const (
-	warmupSeconds  = 2    // that are not counted as before the fault
-	recoveredShare = 0.95 // of the goodput before
-	recoveredFor   = 3    // seconds over which that share must hold on average
-)
-
-// evaluateGoodput evaluates a run by its goodput in each second and the second of the fault.
-func evaluateGoodput(goodput []float64, fault int) goodputRecovery {
-	r := goodputRecovery{lowest: math.Inf(1), secondsToRecover: -1}
-	for _, g := range goodput[warmupSeconds:fault] {
-		r.before += g / float64(fault-warmupSeconds)
-	}
-	for _, g := range goodput[fault:] {
-		r.lowest = min(r.lowest, g)
-		r.lost += max(0, r.before-g)
-	}
-	for i := fault + 2; i+recoveredFor <= len(goodput); i++ {
-		if goodput[i]+goodput[i+1]+goodput[i+2] >= recoveredFor*recoveredShare*r.before {
-			r.secondsToRecover = i - fault
-			break
-		}
-	}
-	return r
-}
-
-func (r goodputRecovery) String() string {
-	back := "never in the run (metastable)"
-	if r.secondsToRecover >= 0 {
-		back = fmt.Sprintf("back after %d s", r.secondsToRecover)
-	}
-	return fmt.Sprintf(
-		"in time %.0f a second before, at worst %.0f, %s, %.0f starts in time lost",
-		r.before,
-		r.lowest,
-		back,
-		r.lost,
-	)
-}
+var dampings = []simulation.Damping{simulation.NoDamping, simulation.Exponential, simulation.Limited}
 
 // Run reports whether glenport recovered in every run, with fewer starts lost than the others.
 func (t *OverloadTrial) Run(s *Scenario, dir string) (bool, error) {
@@ -90,20 +45,20 @@
 // compareOnSockets plays one run of each damping and reports whether the limit came off best.
 func (t *OverloadTrial) compareOnSockets(s *Scenario, dir string, run int) (bool, error) {
 	ok := true
-	var all []goodputRecovery
+	var all []simulation.Recovery
 	for _, d := range dampings {
 		r, kept, err := t.runSockets(s, filepath.Join(dir, fmt.Sprintf("%s-%d", d, run)), d, uint64(run))
 		if err != nil {
 			return false, err
 		}
-		printf(t.Out, "sockets, %d placers, damping %-11s: %s\n", s.Schedulers, d, r)
+		report.Printf(t.Out, "sockets, %d placers, damping %-11s: %s\n", s.Schedulers, d, r)
 		all = append(all, r)
 		ok = ok && kept
 	}
 	limited := all[len(all)-1]
-	ok = ok && limited.secondsToRecover >= 0
+	ok = ok && limited.SecondsToRecover >= 0
 	for _, other := range all[:len(all)-1] {
-		ok = ok && limited.lost < other.lost
+		ok = ok && limited.Lost < other.Lost
 	}
 	return ok, nil
 }
@@ -115,8 +70,8 @@
 	simulatedRestartAt = 10 // seconds
 )
 
-func restartSimulation(seed uint64, damping Damping) *Simulation {
-	return &Simulation{
+func restartSimulation(seed uint64, damping simulation.Damping) *simulation.Simulation {
+	return &simulation.Simulation{
 		Seed:       seed,
 		Schedulers: 3,
 		Machines:   simulatedMachines,
@@ -132,22 +87,22 @@
 // simulatedRuns collects the runs of one share of ignoring clients.
 type simulatedRuns struct {
 	mu         sync.Mutex
-	recoveries map[Damping][]goodputRecovery
+	recoveries map[simulation.Damping][]simulation.Recovery
 	actions    int
 	scheduled  int // retries at the time that the limiter gave
 	admitted   int // of these, those for which there was room
 }
 
-func (r *simulatedRuns) add(s *Simulation) {
+func (r *simulatedRuns) add(s *simulation.Simulation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.recoveries[s.Damping] = append(r.recoveries[s.Damping], evaluateGoodput(s.goodput(), simulatedRestartAt))
+	r.recoveries[s.Damping] = append(r.recoveries[s.Damping], simulation.EvaluateRecovery(s.Goodput(), simulatedRestartAt))
 	r.actions += s.Actions
 	r.scheduled += s.ScheduledRetries
 	r.admitted += s.AdmittedRetries
 }
 
-func (r *simulatedRuns) meanLost(d Damping) float64 { return meanLost(r.recoveries[d]) }
+func (r *simulatedRuns) meanLost(d simulation.Damping) float64 { return meanLost(r.recoveries[d]) }
 
 // runSimulations plays the simulation for each seed and damping; the dampings of a seed have the same clients.
 func (t *OverloadTrial) runSimulations() bool {
@@ -157,9 +112,9 @@
 		runs := t.simulateDampings(ignoring)
 		for _, d := range dampings {
 			never := t.printRecoveries(ignoring, d, runs.recoveries[d])
-			ok = ok && (d != Limited || never == 0)
+			ok = ok && (d != simulation.Limited || never == 0)
 		}
-		printf(
+		report.Printf(
 			t.Out,
 			"simulated: %d actions of the modules in %.1f s; %d appointments kept, at %.0f%% of them there was room\n",
 			runs.actions,
@@ -167,13 +122,13 @@
 			runs.scheduled,
 			100*float64(runs.admitted)/float64(max(1, runs.scheduled)),
 		)
-		ok = ok && runs.meanLost(Limited) < min(runs.meanLost(NoDamping), runs.meanLost(Exponential))
+		ok = ok && runs.meanLost(simulation.Limited) < min(runs.meanLost(simulation.NoDamping), runs.meanLost(simulation.Exponential))
 	}
 	return ok
 }
 
 func (t *OverloadTrial) simulateDampings(ignoring float64) *simulatedRuns {
-	runs := &simulatedRuns{recoveries: map[Damping][]goodputRecovery{}}
+	runs := &simulatedRuns{recoveries: map[simulation.Damping][]simulation.Recovery{}}
 	for seed := range t.Seeds {
 		var simulating sync.WaitGroup
 		for _, d := range dampings {
@@ -190,20 +145,20 @@
 }
 
 // printRecoveries prints the runs of one damping and returns in how many goodput never recovered.
-func (t *OverloadTrial) printRecoveries(ignoring float64, d Damping, recoveries []goodputRecovery) (never int) {
+func (t *OverloadTrial) printRecoveries(ignoring float64, d simulation.Damping, recoveries []simulation.Recovery) (never int) {
 	var seconds []int
 	for _, r := range recoveries {
-		if r.secondsToRecover < 0 {
+		if r.SecondsToRecover < 0 {
 			never++
 		} else {
-			seconds = append(seconds, r.secondsToRecover)
+			seconds = append(seconds, r.SecondsToRecover)
 		}
 	}
 	when := "none came back"
 	if len(seconds) > 0 {
 		when = fmt.Sprintf("back after %d to %d s", slices.Min(seconds), slices.Max(seconds))
 	}
-	printf(
+	report.Printf(
 		t.Out,
 		"simulated, %d of %d machines restart, %3.0f%% of the clients ignore advice, damping %-11s: %s, metastable in %d of %d; %.0f "+
 			"starts in time lost on average\n",
@@ -223,19 +178,19 @@
 // their limiters.
 func (t *OverloadTrial) runSchedulerRestarts() {
 	for _, drop := range []bool{false, true} {
-		s := restartSimulation(1, Limited)
+		s := restartSimulation(1, simulation.Limited)
 		s.SchedulersRestartAt, s.DropLimiterState = 14*scheduler.Second, drop
 		s.Run()
-		printf(t.Out, "simulated, all placers die in the storm, what the doors knew is kept %-5v: %s\n", !drop,
-			evaluateGoodput(s.goodput(), simulatedRestartAt))
+		report.Printf(t.Out, "simulated, all placers die in the storm, what the doors knew is kept %-5v: %s\n", !drop,
+			simulation.EvaluateRecovery(s.Goodput(), simulatedRestartAt))
 	}
 }
 
 // calmRun counts the containers of a run without a fault.
 type calmRun struct{ inTime, submitted, shed int }
 
-func runCalm(d Damping) (run calmRun) {
-	s := &Simulation{
+func runCalm(d simulation.Damping) (run calmRun) {
+	s := &simulation.Simulation{
 		Seed:       5,
 		Schedulers: 3,
 		Machines:   simulatedMachines,
@@ -257,8 +212,8 @@
 // runCalm plays an ordinary time without and with the limit: it must shed next to nothing and cost no start within the
 // latency objective.
 func (t *OverloadTrial) runCalm() bool {
-	without, with := runCalm(NoDamping), runCalm(Limited)
-	printf(
+	without, with := runCalm(simulation.NoDamping), runCalm(simulation.Limited)
+	report.Printf(
 		t.Out,
 		"simulated, calm: %d asked, %d turned away; starts in time %.2f%% without the door, %.2f%% with it\n",
 		with.submitted,
@@ -269,9 +224,9 @@
 	return 1-with.share()/without.share() < 0.01
 }
 
-func meanLost(recoveries []goodputRecovery) (lost float64) {
+func meanLost(recoveries []simulation.Recovery) (lost float64) {
 	for _, r := range recoveries {
-		lost += r.lost / float64(len(recoveries))
+		lost += r.Lost / float64(len(recoveries))
 	}
 	return lost
 }
@@ -287,10 +242,10 @@
 func (t *OverloadTrial) runSockets(
 	s *Scenario,
 	dir string,
-	d Damping,
+	d simulation.Damping,
 	seed uint64,
-) (r goodputRecovery, kept bool, err error) {
-	c, err := StartCluster(s, dir, t.Program(d == Limited))
+) (r simulation.Recovery, kept bool, err error) {
+	c, err := StartCluster(s, dir, t.Program(d == simulation.Limited))
 	if err != nil {
 		return r, false, err
 	}
@@ -309,12 +264,12 @@
 	c.waitForReplies(s.Settle)
 	overloaded := c.countOverloaded()
 	tally := c.Clients.Close()
-	report, err := c.CloseAndAudit()
+	findings, err := c.CloseAndAudit()
 	if err != nil {
 		return r, false, err
 	}
-	PrintViolations(t.Out, report)
-	printf(
+	report.Violations(t.Out, findings)
+	report.Printf(
 		t.Out,
 		"  %d submitted (%d again), %d placed, %d pushed back, %d turned away, %d given up; %d machines pushed over, cold ones at most at "+
 			"%d of %d\n",
@@ -325,10 +280,10 @@
 		tally.NotAdmitted,
 		tally.Failed,
 		overloaded,
-		report.SlowStartPeak,
-		report.SlowStartBudget,
+		findings.SlowStartPeak,
+		findings.SlowStartBudget,
 	)
-	return evaluateGoodput(measured.perSecond, socketRestartAt), report.Passed() && overloaded == 0, nil
+	return simulation.EvaluateRecovery(measured.perSecond, socketRestartAt), findings.Passed() && overloaded == 0, nil
 }
 
 func restartFor(machines []*emulator.Machine, down time.Duration) error {
@@ -366,13 +321,13 @@
 }
 
 // clientBackoff returns how long a client waits before it retries. It is called under the clients' lock.
-func clientBackoff(d Damping, random *rand.Rand) func(tries int, retryAfter time.Duration) time.Duration {
+func clientBackoff(d simulation.Damping, random *rand.Rand) func(tries int, retryAfter time.Duration) time.Duration {
 	return func(tries int, retryAfter time.Duration) time.Duration {
 		switch {
-		case d == Exponential || d == Limited && retryAfter == 0:
+		case d == simulation.Exponential || d == simulation.Limited && retryAfter == 0:
 			span := 200 * time.Millisecond << min(tries+1, 7)
 			return span/2 + time.Duration(random.Int64N(int64(span/2)))
-		case d == Limited:
+		case d == simulation.Limited:
 			return retryAfter
 		}
 		return 50*time.Millisecond + time.Duration(random.Int64N(int64(100*time.Millisecond)))
--- a/internal/testbed/scenario/trial_restart.go
+++ b/internal/testbed/scenario/trial_restart.go
@@ -4,12 +4,9 @@
 	"fmt"
 	"io"
 	"path/filepath"
-)
 
-// The sabotages of the log that a RestartTrial can play.
-const (
-	SabotageSync     = "sync"     // the log does not sync
-	SabotageChecksum = "checksum" // the log does not check what it reads
+	"glenport/internal/testbed/crashcheck"
+	"glenport/internal/testbed/report"
 )
 
 // RestartTrial kills schedulers and the controller while they write, and looks for anything that was acknowledged and
@@ -18,7 +15,7 @@
 	Kills       int    // of schedulers; the controller is killed a tenth as often
 	LogSizes    []int  // containers in the log at a start that is timed
 	MeasureLost bool   // measure the starts lost after a restart
-	Sabotage    string // SabotageSync, SabotageChecksum or none
+	Sabotage    string // crashcheck.SabotageSync, crashcheck.SabotageChecksum or none
 	Out         io.Writer
 }
 
@@ -53,17 +50,17 @@
 // trial, not an error.
 func (t *RestartTrial) checkCrashStates() bool {
 	const histories = 5
-	var sum CrashCheck
+	var sum crashcheck.Check
 	for seed := uint64(1); seed <= histories; seed++ {
-		check := &CrashCheck{Seed: seed, Commits: 60, RandomStates: 8, Sabotage: t.Sabotage}
+		check := &crashcheck.Check{Seed: seed, Commits: 60, RandomStates: 8, Sabotage: t.Sabotage}
 		err := check.Run()
-		sum.add(check)
+		sum.Add(check)
 		if err != nil {
-			printf(t.Out, "crash states, history %d: %v\n", seed, err)
+			report.Printf(t.Out, "crash states, history %d: %v\n", seed, err)
 			return false
 		}
 	}
-	printf(
+	report.Printf(
 		t.Out,
 		"crash states: %d operations, %d states after one crash and %d after a second in recovery, all legal; "+
 			"%d of %d single bits turned over were refused, the others were in the last group\n",
--- a/internal/testbed/scenario/trial_why.go
+++ b/internal/testbed/scenario/trial_why.go
@@ -11,6 +11,7 @@
 
 	"glenport/internal/protocol"
 	"glenport/internal/testbed/emulator"
+	"glenport/internal/testbed/report"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -78,7 +79,7 @@
 	if err := t.playSteps(t.Out, 38, steps); err != nil {
 		return false, err
 	}
-	printf(t.Out, "%d changes: the true reason was read after p50 %d ms, p99 %d ms, worst %d ms\n", t.checks,
+	report.Printf(t.Out, "%d changes: the true reason was read after p50 %d ms, p99 %d ms, worst %d ms\n", t.checks,
 		t.delays.ValueAtQuantile(50), t.delays.ValueAtQuantile(99), t.delays.Max())
 	return t.passed(), nil
 }
--- a/internal/testbed/scenario/simulation_scheduler.go
+++ b/internal/testbed/simulation/scheduler.go
@@ -1,4 +1,4 @@
-package scenario
+package simulation
 
 import (
 	"fmt"
--- a/internal/testbed/scenario/simulation.go
+++ b/internal/testbed/simulation/simulation.go
@@ -1,4 +1,4 @@
-package scenario
+package simulation
 
 import (
 	"container/heap"
@@ -232,8 +232,8 @@
 	})
 }
 
-// goodput is what was placed within its latency objective in each whole second.
-func (sim *Simulation) goodput() []float64 {
+// Goodput is what was placed within its latency objective in each whole second.
+func (sim *Simulation) Goodput() []float64 {
 	var perSecond []float64
 	for _, s := range sim.Seconds[:len(sim.Seconds)-1] {
 		perSecond = append(perSecond, float64(s.Placed))
--- a/internal/testbed/scenario/simulation_test.go
+++ b/internal/testbed/simulation/simulation_test.go
@@ -1,4 +1,4 @@
-package scenario
+package simulation
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"glenport/scheduler"
 )
 
-func simulatedOnce(d Damping) (*Simulation, goodputRecovery) {
+func simulatedOnce(d Damping) (*Simulation, Recovery) {
 	w := &Simulation{
 		Seed:       1,
 		Schedulers: 2,
@@ -20,7 +20,7 @@
 		DownFor:    2 * scheduler.Second,
 	}
 	w.Run()
-	return w, evaluateGoodput(w.goodput(), 8)
+	return w, EvaluateRecovery(w.Goodput(), 8)
 }
 
 // With a concurrency limit a small fleet recovers from a restart; without one the overload outlives its cause. The same
@@ -32,7 +32,7 @@
 	if fmt.Sprint(w.Seconds) != fmt.Sprint(again.Seconds) {
 		t.Error("one seed, two outcomes")
 	}
-	if damped.secondsToRecover < 0 || damped.lost >= none.lost {
+	if damped.SecondsToRecover < 0 || damped.Lost >= none.Lost {
 		t.Errorf("damped: %s; not: %s", damped, none)
 	} else {
 		t.Logf("damped: %s; not: %s", damped, none)
