--- a/cmd/glenport-testbed/load.go
+++ b/cmd/glenport-testbed/load.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 	"time"
 
-	"glenport/internal/testbed/scenario"
+	"glenport/internal/testbed/load"
 
 	"github.com/spf13/cobra"
 )
@@ -68,7 +68,7 @@
 		return err
 	}
 	defer done()
-	r, err := scenario.MeasureLoad(l.template, dir, program, machines, rate, l.length, l.life)
+	r, err := load.MeasureScheduler(l.template, dir, program, machines, rate, l.length, l.life)
 	if err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 		Example: "  glenport-testbed load api --machines 100 --waiting 1000 --watchers 100",
 		RunE: func(*cobra.Command, []string) error {
 			return withSchedulers("", 0, func(program []string, dir string) error {
-				return scenario.MeasureAPI(controllerTemplate, dir, program, machines, waiting, watchers, os.Stdout)
+				return load.MeasureAPI(controllerTemplate, dir, program, machines, waiting, watchers, os.Stdout)
 			})
 		},
 	}
@@ -116,7 +116,7 @@
 		Example: "  glenport-testbed load kept --machines 100 --rate 300",
 		RunE: func(*cobra.Command, []string) error {
 			return withSchedulers("", 0, func(program []string, dir string) error {
-				return scenario.MeasureJobs(controllerTemplate, dir, program, machines, rate, 5*time.Second, os.Stdout)
+				return load.MeasureJobs(controllerTemplate, dir, program, machines, rate, 5*time.Second, os.Stdout)
 			})
 		},
 	}
@@ -133,7 +133,7 @@
 		Example: "  glenport-testbed load bgp --prefixes 1000 --peers 1,10",
 		RunE: func(*cobra.Command, []string) error {
 			for _, n := range peers {
-				if err := scenario.MeasureBGP(prefixes, n, os.Stdout); err != nil {
+				if err := load.MeasureBGP(prefixes, n, os.Stdout); err != nil {
 					return err
 				}
 			}
--- a/cmd/glenport-testbed/trial.go
+++ b/cmd/glenport-testbed/trial.go
@@ -6,6 +6,10 @@
 
 	"glenport/internal/testbed/crashcheck"
 	"glenport/internal/testbed/scenario"
+	"glenport/internal/testbed/trials/bgp"
+	"glenport/internal/testbed/trials/overload"
+	"glenport/internal/testbed/trials/restart"
+	"glenport/internal/testbed/trials/why"
 
 	"github.com/spf13/cobra"
 )
@@ -53,7 +57,7 @@
 
 func whyTrialCommand() *cobra.Command {
 	var dir string
-	t := &scenario.WhyTrial{Out: os.Stdout}
+	t := &why.Trial{Out: os.Stdout}
 	c := &cobra.Command{
 		Use:     "why",
 		Short:   "Clients read the true reason why their containers are pending, within a second",
@@ -84,7 +88,7 @@
 
 func bgpTrialCommand() *cobra.Command {
 	var dir, sabotage string
-	t := &scenario.BGPTrial{Out: os.Stdout}
+	t := &bgp.Trial{Out: os.Stdout}
 	c := &cobra.Command{
 		Use:     "bgp",
 		Short:   "Addresses are announced while containers run, in time and without storms",
@@ -119,7 +123,7 @@
 func restartTrialCommand() *cobra.Command {
 	var dir string
 	var short bool
-	t := &scenario.RestartTrial{Out: os.Stdout}
+	t := &restart.Trial{Out: os.Stdout}
 	c := &cobra.Command{
 		Use:     "restart",
 		Short:   "Nothing that was acknowledged is lost when programs are killed while they write",
@@ -158,7 +162,7 @@
 func overloadTrialCommand() *cobra.Command {
 	var dir string
 	var schedulers int
-	t := &scenario.OverloadTrial{IgnoringClients: 0.5, Out: os.Stdout}
+	t := &overload.Trial{IgnoringClients: 0.5, Out: os.Stdout}
 	c := &cobra.Command{
 		Use:     "storm",
 		Short:   "When most of a fleet restarts at once, what follows is not worse than that",
--- a/internal/testbed/scenario/bench.go
+++ b/internal/testbed/bench/bench.go
@@ -1,4 +1,6 @@
-package scenario
+// Package bench measures one scheduler process against a machine list and machines that answer at once and keep no
+// state, so that what is measured is the scheduler.
+package bench
 
 import (
 	"fmt"
@@ -10,35 +12,43 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/process"
 )
 
+// rackGroupSize machines share a rack group.
+const rackGroupSize = 4
+
+// readyTimeout bounds the time until the scheduler is connected to all machines.
+const readyTimeout = 20 * time.Second
+
 // benchName names the one scheduler of a bench.
 const benchName = "measured"
 
-// benchCluster is one scheduler process with a list and machines that answer at once and keep no state, so that what
+// Cluster is one scheduler process with a list and machines that answer at once and keep no state, so that what
 // is measured is the scheduler.
-type benchCluster struct {
-	dir        string
-	scheduler  *SchedulerProcess
+type Cluster struct {
+	Dir        string
+	Scheduler  *process.Scheduler
 	list       net.Listener
 	listeners  []net.Listener
 	stop       chan struct{}
 	goroutines sync.WaitGroup
 }
 
-func (b *benchCluster) close() {
-	if b.scheduler != nil {
-		b.scheduler.close(syscall.SIGKILL)
+// Close ends all that was started.
+func (b *Cluster) Close() {
+	if b.Scheduler != nil {
+		b.Scheduler.Close(syscall.SIGKILL)
 	}
 	close(b.stop)
 	for _, l := range b.listeners {
-		closeQuietly(l)
+		process.CloseQuietly(l)
 	}
 	b.goroutines.Wait()
 }
 
-// startBench returns when the scheduler is connected to all machines; full ones have no room for anything.
-func startBench(template, dir string, program []string, machines int, full bool) (_ *benchCluster, err error) {
+// Start returns when the scheduler is connected to all machines; full ones have no room for anything.
+func Start(template, dir string, program []string, machines int, full bool) (_ *Cluster, err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
@@ -46,10 +56,10 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &benchCluster{dir: dir, stop: make(chan struct{})}
+	b := &Cluster{Dir: dir, stop: make(chan struct{})}
 	defer func() {
 		if err != nil {
-			b.close()
+			b.Close()
 		}
 	}()
 	if err := b.startPeers(machines, full); err != nil {
@@ -61,8 +71,11 @@
 	return b, b.waitConnected(machines)
 }
 
+// ListAddr returns the address of the machine list.
+func (b *Cluster) ListAddr() string { return b.list.Addr().String() }
+
 // startPeers starts the machines and the list.
-func (b *benchCluster) startPeers(machines int, full bool) error {
+func (b *Cluster) startPeers(machines int, full bool) error {
 	var fleet []*instantMachine
 	for i := range machines {
 		l, err := b.listen()
@@ -82,7 +95,7 @@
 	return nil
 }
 
-func (b *benchCluster) listen() (net.Listener, error) {
+func (b *Cluster) listen() (net.Listener, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err == nil {
 		b.listeners = append(b.listeners, l)
@@ -90,24 +103,24 @@
 	return l, err
 }
 
-func (b *benchCluster) startScheduler(template []byte, program []string) error {
-	p, err := newSchedulerProcess(
+func (b *Cluster) startScheduler(template []byte, program []string) error {
+	p, err := process.NewScheduler(
 		benchName,
-		filepath.Join(b.dir, "placer.yaml"),
-		filepath.Join(b.dir, "placer.log"),
+		filepath.Join(b.Dir, "placer.yaml"),
+		filepath.Join(b.Dir, "placer.log"),
 		program,
 	)
 	if err != nil {
 		return err
 	}
-	b.scheduler = p
-	if err := writeSchedulerConfig(template, p.file, nil, map[string]any{
+	b.Scheduler = p
+	if err := process.WriteSchedulerConfig(template, p.File, nil, map[string]any{
 		"name":    benchName,
 		"number":  0,
 		"placers": 1,
 		"door":    p.Address,
-		"state":   filepath.Join(b.dir, "state"),
-		"list":    map[string]any{"address": b.list.Addr().String()},
+		"state":   filepath.Join(b.Dir, "state"),
+		"list":    map[string]any{"address": b.ListAddr()},
 		"links":   map[string]any{"close_idle_after": "10min"},
 		"bounds":  map[string]any{"open_containers": 1000000, "open_containers_of_one_owner": 1000000},
 	}); err != nil {
@@ -116,9 +129,9 @@
 	return p.Start()
 }
 
-func (b *benchCluster) waitConnected(machines int) error {
+func (b *Cluster) waitConnected(machines int) error {
 	for end := time.Now().Add(readyTimeout); ; time.Sleep(20 * time.Millisecond) {
-		if stats, err := b.scheduler.Status(); err == nil && int(stats["connections"]) >= machines {
+		if stats, err := b.Scheduler.Status(); err == nil && int(stats["connections"]) >= machines {
 			return nil
 		}
 		if time.Now().After(end) {
@@ -127,21 +140,21 @@
 	}
 }
 
-// startController starts a controller before the bench's scheduler and waits until it knows all machines.
-func (b *benchCluster) startController(program string, machines int) (*controllerProcess, error) {
-	controller, err := newController(
-		b.dir,
+// StartController starts a controller before the bench's scheduler and waits until it knows all machines.
+func (b *Cluster) StartController(program string, machines int) (*process.Controller, error) {
+	controller, err := process.NewController(
+		b.Dir,
 		program,
-		b.list.Addr().String(),
-		[]*SchedulerProcess{b.scheduler},
+		b.ListAddr(),
+		[]*process.Scheduler{b.Scheduler},
 		nil,
-		filepath.Join(b.dir, "kept"),
+		filepath.Join(b.Dir, "kept"),
 	)
 	if err != nil {
 		return nil, err
 	}
-	if err := controller.start(machines); err != nil {
-		controller.terminate()
+	if err := controller.Start(machines); err != nil {
+		controller.Terminate()
 		return nil, err
 	}
 	return controller, nil
@@ -153,7 +166,7 @@
 }
 
 // serve answers on all connections that l accepts until it is closed.
-func (b *benchCluster) serve(l net.Listener, peer instantPeer) {
+func (b *Cluster) serve(l net.Listener, peer instantPeer) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -163,13 +176,13 @@
 	}
 }
 
-func (b *benchCluster) serveConnection(c net.Conn, peer instantPeer) {
-	defer closeQuietly(c)
+func (b *Cluster) serveConnection(c net.Conn, peer instantPeer) {
+	defer process.CloseQuietly(c)
 	var mu sync.Mutex // keeps frames whole
 	send := func(frames ...protocol.Frame) {
 		mu.Lock()
 		defer mu.Unlock()
-		_ = writeFrames(c, frames...) // a broken connection ends the reader below
+		_ = process.WriteFrames(c, frames...) // a broken connection ends the reader below
 	}
 	b.goroutines.Go(func() { b.sendHeartbeats(c, send) })
 	for {
@@ -182,11 +195,11 @@
 }
 
 // sendHeartbeats sends one each second and closes the connection when the bench stops.
-func (b *benchCluster) sendHeartbeats(c net.Conn, send func(...protocol.Frame)) {
+func (b *Cluster) sendHeartbeats(c net.Conn, send func(...protocol.Frame)) {
 	for {
 		select {
 		case <-b.stop:
-			closeQuietly(c)
+			process.CloseQuietly(c)
 			return
 		case <-time.After(time.Second):
 			send(&protocol.Heartbeat{})
@@ -217,7 +230,7 @@
 			return
 		}
 		send(&protocol.Accept{AttemptID: frame.AttemptID, Running: true})
-		time.AfterFunc(time.Duration(frame.Spec.ExpectedRuntime)*tick, func() {
+		time.AfterFunc(time.Duration(frame.Spec.ExpectedRuntime)*process.Tick, func() {
 			send(&protocol.Result{AttemptID: frame.AttemptID})
 		})
 	}
@@ -234,7 +247,7 @@
 		Address:     m.address,
 		Zone:        index % 3,
 		MachineType: index % 2,
-		RackGroup:   index / machinesPerRackGroup,
+		RackGroup:   index / rackGroupSize,
 		FreeCores:   freeCores,
 		FreeMemory:  100,
 		PowerHint:   1,
--- a/internal/testbed/scenario/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -1,7 +1,6 @@
-// Package scenario starts clusters of emulated machines on loopback with real scheduler processes, injects the faults
-// of a scenario file and has the recording audited. It also holds the trials, which prove one subsystem each, the load
-// measurements and a simulation of schedulers on a virtual clock.
-package scenario
+// Package cluster starts clusters on loopback: emulated machines, list and clients, real scheduler processes, and the
+// proxies between them that record what passes and inject faults.
+package cluster
 
 import (
 	"fmt"
@@ -15,6 +14,7 @@
 	"glenport/internal/testbed/audit"
 	"glenport/internal/testbed/emulator"
 	"glenport/internal/testbed/faultproxy"
+	"glenport/internal/testbed/process"
 )
 
 // readyTimeout bounds the time until all schedulers know all machines.
@@ -28,21 +28,21 @@
 	List       *emulator.MachineList
 	Net        *faultproxy.Proxy
 	Clients    *emulator.Clients
-	Schedulers []*SchedulerProcess
+	Schedulers []*process.Scheduler
 	Config     *config.Scheduler // the template that the schedulers' settings derive from
 	ListAddr   string            // the list's own, without a proxy
 	recording  *faultproxy.Writer
 }
 
-// StartCluster starts a scenario's cluster with its files in dir, and returns when all schedulers know all machines.
-func StartCluster(s *Scenario, dir string, program []string) (_ *Cluster, err error) {
+// Start starts a cluster with its files in dir, and returns when all schedulers know all machines.
+func Start(s Spec, dir string, program []string) (_ *Cluster, err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
 	c := &Cluster{Dir: dir}
 	defer func() {
 		if err != nil {
-			c.shutdown()
+			c.Shutdown()
 		}
 	}()
 	template, err := os.ReadFile(s.Template)
@@ -72,7 +72,7 @@
 	return c, c.waitReady()
 }
 
-func (c *Cluster) startRecording(s *Scenario) (err error) {
+func (c *Cluster) startRecording(s Spec) (err error) {
 	terms := c.Config.Policy
 	terms.SchedulerCount = s.Schedulers
 	header := faultproxy.Header{Config: terms, DrainGrace: s.DrainGrace, Slack: s.Slack}
@@ -86,7 +86,7 @@
 func (c *Cluster) recordingPath() string { return filepath.Join(c.Dir, "record") }
 
 // startMachines starts the machines and returns the address of the proxy before each.
-func (c *Cluster) startMachines(s *Scenario) (map[*emulator.Machine]string, error) {
+func (c *Cluster) startMachines(s Spec) (map[*emulator.Machine]string, error) {
 	groups := make([]*emulator.DedupGroup, len(s.Zones))
 	for i := range groups {
 		groups[i] = &emulator.DedupGroup{}
@@ -108,7 +108,7 @@
 }
 
 // startList starts the machine list, which knows machines by their proxies, and returns the address of its own proxy.
-func (c *Cluster) startList(timing listTiming, proxies map[*emulator.Machine]string) (proxy string, err error) {
+func (c *Cluster) startList(timing ListTiming, proxies map[*emulator.Machine]string) (proxy string, err error) {
 	c.List = &emulator.MachineList{
 		Lag:              timing.Lag,
 		FailureDetection: timing.FailureDetection,
@@ -124,16 +124,16 @@
 }
 
 // addScheduler writes a scheduler's settings, starts it and opens the proxy by which clients reach it.
-func (c *Cluster) addScheduler(s *Scenario, index int, template []byte, listProxy string, program []string) error {
+func (c *Cluster) addScheduler(s Spec, index int, template []byte, listProxy string, program []string) error {
 	name := fmt.Sprint("placer-", index)
 	path := filepath.Join(c.Dir, name)
-	p, err := newSchedulerProcess(name, path+".yaml", path+".log", program)
+	p, err := process.NewScheduler(name, path+".yaml", path+".log", program)
 	if err != nil {
 		return err
 	}
 	p.Zone = index % len(s.Zones)
 	c.Schedulers = append(c.Schedulers, p)
-	if err := writeSchedulerConfig(template, p.file, s.ExtraConfig, map[string]any{
+	if err := process.WriteSchedulerConfig(template, p.File, s.ExtraConfig, map[string]any{
 		"name":    name,
 		"number":  index,
 		"placers": s.Schedulers,
@@ -156,7 +156,7 @@
 func (c *Cluster) waitReady() error {
 	for end := time.Now().Add(readyTimeout); ; time.Sleep(20 * time.Millisecond) {
 		ready := 0
-		for _, stats := range c.statusByScheduler() {
+		for _, stats := range c.StatusByScheduler() {
 			if int(stats["machines known"]) == len(c.Machines) && stats["list version"] > 0 {
 				ready++
 			}
@@ -176,21 +176,21 @@
 }
 
 // StartScheduler starts a scheduler and notes it in the recording.
-func (c *Cluster) StartScheduler(p *SchedulerProcess) error {
+func (c *Cluster) StartScheduler(p *process.Scheduler) error {
 	c.recording.RecordLifecycle(faultproxy.Started, p.Name)
 	return p.Start()
 }
 
 // KillScheduler ends a scheduler by SIGKILL and notes it in the recording, once what it sent last has passed the
 // proxies: it would otherwise be recorded as sent by the next incarnation.
-func (c *Cluster) KillScheduler(p *SchedulerProcess) {
+func (c *Cluster) KillScheduler(p *process.Scheduler) {
 	p.Stop(syscall.SIGKILL)
 	c.Net.WaitRecorded(p.Name)
 	c.recording.RecordLifecycle(faultproxy.Killed, p.Name)
 }
 
-// statusByScheduler returns the stats of each scheduler that answers, by its name.
-func (c *Cluster) statusByScheduler() map[string]map[string]float64 {
+// StatusByScheduler returns the stats of each scheduler that answers, by its name.
+func (c *Cluster) StatusByScheduler() map[string]map[string]float64 {
 	status := map[string]map[string]float64{}
 	for _, p := range c.Schedulers {
 		if stats, err := p.Status(); err == nil {
@@ -200,15 +200,15 @@
 	return status
 }
 
-// waitForReplies waits until no client waits for a reply, for a time at most.
-func (c *Cluster) waitForReplies(atMost time.Duration) {
+// WaitForReplies waits until no client waits for a reply, for a time at most.
+func (c *Cluster) WaitForReplies(atMost time.Duration) {
 	for end := time.Now().Add(atMost); c.Clients.Pending() > 0 && time.Now().Before(end); {
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// countOverloaded counts the machines that failed under load while in slow start.
-func (c *Cluster) countOverloaded() int {
+// CountOverloaded counts the machines that failed under load while in slow start.
+func (c *Cluster) CountOverloaded() int {
 	n := 0
 	for _, m := range c.Machines {
 		if s, ok := m.Status(); ok && s.Overwhelmed {
@@ -218,8 +218,8 @@
 	return n
 }
 
-// machine returns the machine of a name.
-func (c *Cluster) machine(name string) (*emulator.Machine, error) {
+// Machine returns the machine of a name.
+func (c *Cluster) Machine(name string) (*emulator.Machine, error) {
 	for _, m := range c.Machines {
 		if m.Name == name {
 			return m, nil
@@ -228,8 +228,8 @@
 	return nil, fmt.Errorf("the cluster has no machine %q", name)
 }
 
-// countRunning counts the containers that run, by the machines' own state.
-func (c *Cluster) countRunning() int {
+// CountRunning counts the containers that run, by the machines' own state.
+func (c *Cluster) CountRunning() int {
 	n := 0
 	for _, m := range c.Machines {
 		if s, ok := m.Status(); ok {
@@ -239,8 +239,8 @@
 	return n
 }
 
-// freezeAll stops all machines from answering, or lets them answer again.
-func (c *Cluster) freezeAll(frozen bool) {
+// FreezeAll stops all machines from answering, or lets them answer again.
+func (c *Cluster) FreezeAll(frozen bool) {
 	for _, m := range c.Machines {
 		m.SetFrozen(frozen)
 	}
@@ -258,7 +258,7 @@
 // Close ends all that was started and finishes the recording. It may be called again.
 func (c *Cluster) Close() error {
 	for _, p := range c.Schedulers {
-		p.close(syscall.SIGTERM)
+		p.Close(syscall.SIGTERM)
 	}
 	if c.List != nil {
 		c.List.Close()
@@ -278,5 +278,37 @@
 	return recording.Close()
 }
 
-// shutdown closes the cluster after a failure, or once Close has been called and its error reported.
-func (c *Cluster) shutdown() { _ = c.Close() }
+// Shutdown closes the cluster after a failure, or once Close has been called and its error reported.
+func (c *Cluster) Shutdown() { _ = c.Close() }
+
+// StartController starts a controller before the cluster's schedulers and waits until it knows all machines.
+func (c *Cluster) StartController(program string, addresses []string, state string) (*process.Controller, error) {
+	k, err := process.NewController(c.Dir, program, c.ListAddr, c.Schedulers, addresses, state)
+	if err != nil {
+		return nil, err
+	}
+	if err := k.Start(len(c.Machines)); err != nil {
+		k.Terminate()
+		return nil, err
+	}
+	return k, nil
+}
+
+// ZoneMachines returns the machines of a zone.
+func (c *Cluster) ZoneMachines(zone int) (machines []*emulator.Machine) {
+	for _, m := range c.Machines {
+		if m.ZoneIndex == zone {
+			machines = append(machines, m)
+		}
+	}
+	return machines
+}
+
+// MachineNames returns the set of the names of some machines.
+func MachineNames(machines []*emulator.Machine) map[string]bool {
+	names := map[string]bool{}
+	for _, m := range machines {
+		names[m.Name] = true
+	}
+	return names
+}
--- a/internal/testbed/scenario/faults.go
+++ b/internal/testbed/faults/faults.go
@@ -1,4 +1,4 @@
-package scenario
+package faults
 
 import (
 	"fmt"
@@ -6,6 +6,7 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/cluster"
 	"glenport/internal/testbed/emulator"
 	"glenport/internal/testbed/faultproxy"
 )
@@ -22,61 +23,64 @@
 
 // The kinds of fault, as scenario files name them.
 const (
-	kindCrash            = "crash"
-	kindZoneRestart      = "hall restarts cold"
-	kindSilence          = "silence"
-	kindSilenceThenCold  = "silence, then cold"
-	kindHalfOpen         = "half-open links"
-	kindZonePartition    = "hall cut off"
-	kindResets           = "resets"
-	kindSlow             = "slow"
-	kindDrain            = "drain"
-	kindRollingDeploy    = "rolling deploy"
-	kindListUnavailable  = "list away"
-	kindListStale        = "list stale"
-	kindSchedulersKilled = "placers killed"
-	kindBurst            = "burst"
-	kindClientRetries    = "asked again"
-	kindAnswersLost      = "answers lost"
-	kindNetworkDelay     = "late network"
-	kindWorkloadIgnored  = "workload unanswered"
-	kindTenantThrottled  = "customer turned away"
-	kindMemoryGrowth     = "memory swells"
-	kindFleetGrows       = "fleet grows"
+	KindCrash            = "crash"
+	KindZoneRestart      = "hall restarts cold"
+	KindSilence          = "silence"
+	KindSilenceThenCold  = "silence, then cold"
+	KindHalfOpen         = "half-open links"
+	KindZonePartition    = "hall cut off"
+	KindResets           = "resets"
+	KindSlow             = "slow"
+	KindDrain            = "drain"
+	KindRollingDeploy    = "rolling deploy"
+	KindListUnavailable  = "list away"
+	KindListStale        = "list stale"
+	KindSchedulersKilled = "placers killed"
+	KindBurst            = "burst"
+	KindClientRetries    = "asked again"
+	KindAnswersLost      = "answers lost"
+	KindNetworkDelay     = "late network"
+	KindWorkloadIgnored  = "workload unanswered"
+	KindTenantThrottled  = "customer turned away"
+	KindMemoryGrowth     = "memory swells"
+	KindFleetGrows       = "fleet grows"
 )
 
 // An injector plays one kind of fault; inject returns when the fault has ended.
 type injector interface {
-	inject(i *faultInjector, f Fault)
+	inject(i *Injector, f Fault)
 }
 
 // injectors has the injector of each kind of fault.
 var injectors = map[string]injector{
-	kindCrash:            machineRestart{},
-	kindFleetGrows:       machineRestart{},
-	kindZoneRestart:      zoneRestart{},
-	kindSilence:          machineFault{start: freeze, end: unfreeze},
-	kindSilenceThenCold:  silenceThenRestart{},
-	kindHalfOpen:         halfOpenConnections{},
-	kindZonePartition:    zonePartition{},
-	kindResets:           connectionResets{},
-	kindSlow:             machineFault{start: slowDown, end: resumeSpeed},
-	kindDrain:            drain{},
-	kindRollingDeploy:    rollingDeploy{},
-	kindListUnavailable:  listUnavailable{},
-	kindListStale:        listStale{},
-	kindSchedulersKilled: schedulerKill{},
-	kindBurst:            burst{},
-	kindClientRetries:    clientRetries{},
-	kindAnswersLost:      lostAnswers{},
-	kindNetworkDelay:     networkDelay{},
-	kindWorkloadIgnored:  machineFault{start: ignoreWorkload, end: heedWorkload},
-	kindTenantThrottled:  machineFault{start: throttleTenant, end: admitTenant},
-	kindMemoryGrowth:     machineFault{start: growMemory, end: resetMemory},
+	KindCrash:            machineRestart{},
+	KindFleetGrows:       machineRestart{},
+	KindZoneRestart:      zoneRestart{},
+	KindSilence:          machineFault{start: freeze, end: unfreeze},
+	KindSilenceThenCold:  silenceThenRestart{},
+	KindHalfOpen:         halfOpenConnections{},
+	KindZonePartition:    zonePartition{},
+	KindResets:           connectionResets{},
+	KindSlow:             machineFault{start: slowDown, end: resumeSpeed},
+	KindDrain:            drain{},
+	KindRollingDeploy:    rollingDeploy{},
+	KindListUnavailable:  listUnavailable{},
+	KindListStale:        listStale{},
+	KindSchedulersKilled: schedulerKill{},
+	KindBurst:            burst{},
+	KindClientRetries:    clientRetries{},
+	KindAnswersLost:      lostAnswers{},
+	KindNetworkDelay:     networkDelay{},
+	KindWorkloadIgnored:  machineFault{start: ignoreWorkload, end: heedWorkload},
+	KindTenantThrottled:  machineFault{start: throttleTenant, end: admitTenant},
+	KindMemoryGrowth:     machineFault{start: growMemory, end: resetMemory},
 }
 
-// faultKinds returns the kinds of fault in order.
-func faultKinds() []string {
+// Known reports whether there is a kind of fault.
+func Known(kind string) bool { return injectors[kind] != nil }
+
+// Kinds returns the kinds of fault in order.
+func Kinds() []string {
 	var kinds []string
 	for kind := range injectors {
 		kinds = append(kinds, kind)
@@ -85,8 +89,8 @@
 	return kinds
 }
 
-// describe returns the fault's parameters as the log prints them behind its kind.
-func (f Fault) describe(s *Scenario) string {
+// Describe returns the fault's parameters as the log prints them behind its kind.
+func (f Fault) Describe(zones []string) string {
 	text := fmt.Sprintf(", for %.1f s", f.Duration.Seconds())
 	if f.Fraction > 0 {
 		text += fmt.Sprintf(", part %.2f", f.Fraction)
@@ -94,8 +98,8 @@
 	if f.Size > 0 {
 		text += fmt.Sprintf(", size %.1f", f.Size)
 	}
-	if f.Kind == kindZonePartition || f.Kind == kindZoneRestart {
-		text += ", " + s.Zones[f.Zone]
+	if f.Kind == KindZonePartition || f.Kind == KindZoneRestart {
+		text += ", " + zones[f.Zone]
 	}
 	return text
 }
@@ -105,7 +109,7 @@
 	start, end func(*emulator.Machine, Fault)
 }
 
-func (m machineFault) inject(i *faultInjector, f Fault) {
+func (m machineFault) inject(i *Injector, f Fault) {
 	machines := i.pickMachines(f.Fraction)
 	for _, machine := range machines {
 		m.start(machine, f)
@@ -130,21 +134,21 @@
 // machineRestart takes a fraction of the machines down and brings them back in slow start.
 type machineRestart struct{}
 
-func (machineRestart) inject(i *faultInjector, f Fault) {
+func (machineRestart) inject(i *Injector, f Fault) {
 	i.restartMachines(i.pickMachines(f.Fraction), f.Duration)
 }
 
 // zoneRestart takes a zone down and brings it back in slow start.
 type zoneRestart struct{}
 
-func (zoneRestart) inject(i *faultInjector, f Fault) {
-	i.restartMachines(i.zoneMachines(f.Zone), f.Duration)
+func (zoneRestart) inject(i *Injector, f Fault) {
+	i.restartMachines(i.ZoneMachines(f.Zone), f.Duration)
 }
 
 // silenceThenRestart freezes a fraction of the machines and restarts them at its end.
 type silenceThenRestart struct{}
 
-func (silenceThenRestart) inject(i *faultInjector, f Fault) {
+func (silenceThenRestart) inject(i *Injector, f Fault) {
 	machines := i.pickMachines(f.Fraction)
 	for _, m := range machines {
 		m.SetFrozen(true)
@@ -156,8 +160,8 @@
 // halfOpenConnections drops all bytes of the connections to a fraction of the machines without closing them.
 type halfOpenConnections struct{}
 
-func (halfOpenConnections) inject(i *faultInjector, f Fault) {
-	names := machineNames(i.pickMachines(f.Fraction))
+func (halfOpenConnections) inject(i *Injector, f Fault) {
+	names := cluster.MachineNames(i.pickMachines(f.Fraction))
 	remove := i.addNetworkRule(func(_ string, peerRole protocol.Role, peer string) faultproxy.Fault {
 		return faultproxy.Fault{Partitioned: peerRole == protocol.RoleMachine && names[peer]}
 	})
@@ -168,8 +172,8 @@
 // zonePartition cuts the connections between a zone and the rest: both ways, schedulers reach only their own side.
 type zonePartition struct{}
 
-func (zonePartition) inject(i *faultInjector, f Fault) {
-	names := machineNames(i.zoneMachines(f.Zone))
+func (zonePartition) inject(i *Injector, f Fault) {
+	names := cluster.MachineNames(i.ZoneMachines(f.Zone))
 	inside := map[string]bool{}
 	for _, s := range i.Schedulers {
 		inside[s.Name] = s.Zone == f.Zone
@@ -184,9 +188,9 @@
 // connectionResets resets, each second, the connections to another fraction of the machines.
 type connectionResets struct{}
 
-func (connectionResets) inject(i *faultInjector, f Fault) {
+func (connectionResets) inject(i *Injector, f Fault) {
 	for left := f.Duration; left > 0; left -= time.Second {
-		names := machineNames(i.pickMachines(f.Fraction))
+		names := cluster.MachineNames(i.pickMachines(f.Fraction))
 		i.Net.Reset(func(_ string, peerRole protocol.Role, peer string) bool {
 			return peerRole == protocol.RoleMachine && names[peer]
 		})
@@ -197,7 +201,7 @@
 // drain drains a fraction of the machines and puts them back in service. With a size they evict what runs.
 type drain struct{}
 
-func (drain) inject(i *faultInjector, f Fault) {
+func (drain) inject(i *Injector, f Fault) {
 	machines := i.pickMachines(f.Fraction)
 	for _, m := range machines {
 		i.List.SetState(m, protocol.MachineDraining)
@@ -213,7 +217,7 @@
 // rollingDeploy drains and restarts a fraction of the machines, so many at a time as its size says.
 type rollingDeploy struct{}
 
-func (rollingDeploy) inject(i *faultInjector, f Fault) {
+func (rollingDeploy) inject(i *Injector, f Fault) {
 	machines := i.pickMachines(f.Fraction)
 	batchSize := fractionOf(f.Size, len(i.Machines))
 	batches := (len(machines) + batchSize - 1) / batchSize
@@ -234,7 +238,7 @@
 // listUnavailable takes the machine list down.
 type listUnavailable struct{}
 
-func (listUnavailable) inject(i *faultInjector, f Fault) {
+func (listUnavailable) inject(i *Injector, f Fault) {
 	i.List.SetUnreachable(true)
 	i.wait(f.Duration)
 	i.List.SetUnreachable(false)
@@ -243,7 +247,7 @@
 // listStale lets the machine list lag by as many seconds as its size says.
 type listStale struct{}
 
-func (listStale) inject(i *faultInjector, f Fault) {
+func (listStale) inject(i *Injector, f Fault) {
 	i.List.SetStaleness(time.Duration(f.Size * float64(time.Second)))
 	i.wait(f.Duration)
 	i.List.SetStaleness(0)
@@ -252,7 +256,7 @@
 // schedulerKill kills a fraction of the schedulers and starts them again.
 type schedulerKill struct{}
 
-func (schedulerKill) inject(i *faultInjector, f Fault) {
+func (schedulerKill) inject(i *Injector, f Fault) {
 	killed := i.pick(f.Fraction, len(i.Schedulers))
 	for _, index := range killed {
 		i.KillScheduler(i.Schedulers[index])
@@ -260,7 +264,7 @@
 	i.wait(f.Duration)
 	for _, index := range killed {
 		if err := i.StartScheduler(i.Schedulers[index]); err != nil {
-			i.log.printf("placer %s did not come back: %v", i.Schedulers[index].Name, err)
+			i.log.Printf("placer %s did not come back: %v", i.Schedulers[index].Name, err)
 		}
 	}
 }
@@ -268,16 +272,16 @@
 // burst multiplies the rate of submissions by its size.
 type burst struct{}
 
-func (burst) inject(i *faultInjector, f Fault) {
-	i.Clients.SetRate(i.scenario.Rate * f.Size)
+func (burst) inject(i *Injector, f Fault) {
+	i.Clients.SetRate(i.rate * f.Size)
 	i.wait(f.Duration)
-	i.Clients.SetRate(i.scenario.Rate)
+	i.Clients.SetRate(i.rate)
 }
 
 // clientRetries has clients submit a fraction of what waits once more.
 type clientRetries struct{}
 
-func (clientRetries) inject(i *faultInjector, f Fault) {
+func (clientRetries) inject(i *Injector, f Fault) {
 	i.Clients.Redeploy(f.Fraction)
 	i.wait(f.Duration)
 }
@@ -285,7 +289,7 @@
 // lostAnswers drops a fraction, its size, of what machines answer.
 type lostAnswers struct{}
 
-func (lostAnswers) inject(i *faultInjector, f Fault) {
+func (lostAnswers) inject(i *Injector, f Fault) {
 	remove := i.addNetworkRule(func(_ string, peerRole protocol.Role, _ string) faultproxy.Fault {
 		if peerRole == protocol.RoleMachine {
 			return faultproxy.Fault{LoseAccepts: f.Size}
@@ -299,7 +303,7 @@
 // networkDelay delays every connection by as many milliseconds as its size says.
 type networkDelay struct{}
 
-func (networkDelay) inject(i *faultInjector, f Fault) {
+func (networkDelay) inject(i *Injector, f Fault) {
 	remove := i.addNetworkRule(func(string, protocol.Role, string) faultproxy.Fault {
 		return faultproxy.Fault{Delay: time.Duration(f.Size * float64(time.Millisecond))}
 	})
--- a/internal/testbed/scenario/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -1,4 +1,4 @@
-package scenario
+package faults
 
 import (
 	"slices"
@@ -30,7 +30,7 @@
 		"slow",
 		"workload unanswered",
 	}
-	if got := faultKinds(); !slices.Equal(got, want) {
+	if got := Kinds(); !slices.Equal(got, want) {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
--- a/internal/testbed/scenario/injector.go
+++ b/internal/testbed/faults/injector.go
@@ -1,28 +1,27 @@
-package scenario
+package faults
 
 import (
-	"fmt"
-	"io"
 	"math/rand/v2"
 	"sync"
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/cluster"
 	"glenport/internal/testbed/emulator"
 	"glenport/internal/testbed/faultproxy"
-	"glenport/internal/testbed/report"
 )
 
 // networkRule returns the fault of the connection between a scheduler and its peer.
 type networkRule func(scheduler string, peerRole protocol.Role, peer string) faultproxy.Fault
 
-// faultInjector injects the faults of a scenario into a cluster.
-type faultInjector struct {
-	*Cluster
-	scenario *Scenario
-	rng      *rand.Rand
-	log      *timedLog
-	over     chan struct{} // closed when the scenario ends
+// Injector injects the faults of a scenario into a cluster.
+type Injector struct {
+	*cluster.Cluster
+	spec cluster.Spec
+	rate float64 // of submissions, while no burst is played
+	rng  *rand.Rand
+	log  *Log
+	over chan struct{} // closed when the scenario ends
 
 	mu           sync.Mutex // guards rng and what follows
 	networkRules map[int]networkRule
@@ -30,11 +29,13 @@
 	injected     map[string]int // by kind of fault
 }
 
-func newFaultInjector(c *Cluster, s *Scenario, log *timedLog) *faultInjector {
-	return &faultInjector{
+// NewInjector returns an injector for a cluster, whose clients submit at a rate.
+func NewInjector(c *cluster.Cluster, spec cluster.Spec, rate float64, log *Log) *Injector {
+	return &Injector{
 		Cluster:      c,
-		scenario:     s,
-		rng:          rand.New(rand.NewPCG(s.Seed, 11)),
+		spec:         spec,
+		rate:         rate,
+		rng:          rand.New(rand.NewPCG(spec.Seed, 11)),
 		log:          log,
 		over:         make(chan struct{}),
 		networkRules: map[int]networkRule{},
@@ -43,16 +44,16 @@
 }
 
 // wait sleeps for d, or until the scenario ends.
-func (i *faultInjector) wait(d time.Duration) {
+func (i *Injector) wait(d time.Duration) {
 	select {
 	case <-i.over:
 	case <-time.After(d):
 	}
 }
 
-// play injects a fault at its time, counted from the log's start, and returns when it has ended.
-func (i *faultInjector) play(f Fault) {
-	i.wait(f.At - time.Since(i.log.began))
+// Play injects a fault at its time, counted from the log's start, and returns when it has ended.
+func (i *Injector) Play(f Fault) {
+	i.wait(f.At - i.log.Elapsed())
 	select {
 	case <-i.over:
 		return
@@ -61,13 +62,19 @@
 	i.mu.Lock()
 	i.injected[f.Kind]++
 	i.mu.Unlock()
-	i.log.printf("%s%s", f.Kind, f.describe(i.scenario))
+	i.log.Printf("%s%s", f.Kind, f.Describe(i.spec.Zones))
 	injectors[f.Kind].inject(i, f)
-	i.log.printf("%s: over", f.Kind)
+	i.log.Printf("%s: over", f.Kind)
 }
 
+// End ends the faults that are being played.
+func (i *Injector) End() { close(i.over) }
+
+// Injected returns how often each kind of fault was injected, once all have ended.
+func (i *Injector) Injected() map[string]int { return i.injected }
+
 // addNetworkRule puts a rule in force and returns the function that removes it.
-func (i *faultInjector) addNetworkRule(rule networkRule) (remove func()) {
+func (i *Injector) addNetworkRule(rule networkRule) (remove func()) {
 	i.mu.Lock()
 	i.lastRule++
 	number := i.lastRule
@@ -83,7 +90,7 @@
 }
 
 // applyNetworkRules gives the proxies the combination of all rules in force: for each connection the worst of each.
-func (i *faultInjector) applyNetworkRules() {
+func (i *Injector) applyNetworkRules() {
 	i.mu.Lock()
 	var rules []networkRule
 	for _, rule := range i.networkRules {
@@ -105,14 +112,14 @@
 func fractionOf(fraction float64, n int) int { return max(1, int(fraction*float64(n)+0.5)) }
 
 // pick draws a fraction of n indexes, one at least.
-func (i *faultInjector) pick(fraction float64, n int) []int {
+func (i *Injector) pick(fraction float64, n int) []int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.rng.Perm(n)[:min(fractionOf(fraction, n), n)]
 }
 
 // pickMachines draws a fraction of the machines, one at least.
-func (i *faultInjector) pickMachines(fraction float64) []*emulator.Machine {
+func (i *Injector) pickMachines(fraction float64) []*emulator.Machine {
 	var machines []*emulator.Machine
 	for _, index := range i.pick(fraction, len(i.Machines)) {
 		machines = append(machines, i.Machines[index])
@@ -120,45 +127,15 @@
 	return machines
 }
 
-func (c *Cluster) zoneMachines(zone int) (machines []*emulator.Machine) {
-	for _, m := range c.Machines {
-		if m.ZoneIndex == zone {
-			machines = append(machines, m)
-		}
-	}
-	return machines
-}
-
 // restartMachines takes machines down and starts them again, in slow start, after a while.
-func (i *faultInjector) restartMachines(machines []*emulator.Machine, down time.Duration) {
+func (i *Injector) restartMachines(machines []*emulator.Machine, down time.Duration) {
 	for _, m := range machines {
 		m.Crash()
 	}
 	i.wait(down)
 	for _, m := range machines {
 		if err := m.Start(false); err != nil {
-			i.log.printf("machine %s did not come back: %v", m.Name, err)
+			i.log.Printf("machine %s did not come back: %v", m.Name, err)
 		}
 	}
 }
-
-func machineNames(machines []*emulator.Machine) map[string]bool {
-	names := map[string]bool{}
-	for _, m := range machines {
-		names[m.Name] = true
-	}
-	return names
-}
-
-// timedLog prints lines that begin with the seconds since the scenario began.
-type timedLog struct {
-	began time.Time
-	mu    sync.Mutex
-	out   io.Writer
-}
-
-func (l *timedLog) printf(format string, args ...any) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	report.Printf(l.out, "%6.1f s  %s\n", time.Since(l.began).Seconds(), fmt.Sprintf(format, args...))
-}
--- a/internal/testbed/scenario/load_api.go
+++ b/internal/testbed/load/api.go
@@ -1,4 +1,4 @@
-package scenario
+package load
 
 import (
 	"bufio"
@@ -11,6 +11,8 @@
 	"sync/atomic"
 	"time"
 
+	"glenport/internal/testbed/bench"
+	"glenport/internal/testbed/process"
 	"glenport/internal/testbed/report"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -51,22 +53,22 @@
 // MeasureAPI measures a controller with many containers pending: what a why costs, how many requests it answers a
 // second, and how long a change takes to many watchers.
 func MeasureAPI(template, dir string, program []string, machines, waiting, watchers int, out io.Writer) error {
-	b, err := startBench(template, dir, program, machines, true)
+	b, err := bench.Start(template, dir, program, machines, true)
 	if err != nil {
 		return err
 	}
-	defer b.close()
-	k, err := b.startController(program[0], machines)
+	defer b.Close()
+	k, err := b.StartController(program[0], machines)
 	if err != nil {
 		return err
 	}
-	defer k.terminate()
-	if err := k.createPending(waiting); err != nil {
+	defer k.Terminate()
+	if err := createPending(k, waiting); err != nil {
 		return err
 	}
 	api := &apiReader{
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}},
-		base:   "http://" + k.api,
+		base:   "http://" + k.APIAddr,
 	}
 	whys, err := api.measureWhy(waiting)
 	if err != nil {
@@ -79,21 +81,21 @@
 		return err
 	}
 	report.Printf(out, "requests answered: %.0f a second, %d clients\n", rate, requestClients)
-	return k.measureFanOut(watchers, out)
+	return measureFanOut(k, watchers, out)
 }
 
 // createPending creates a job whose containers pend, and waits until the last of them does.
-func (k *controllerProcess) createPending(n int) error {
-	if err := k.createJob(waitingJob, workloadMatcher, n, 1, 1); err != nil {
+func createPending(k *process.Controller, n int) error {
+	if err := k.CreateJob(waitingJob, process.WorkloadMatcher, n, 1, 1); err != nil {
 		return err
 	}
-	err := waitUntil("all wait", time.Minute, func() bool {
+	err := process.WaitUntil("all wait", time.Minute, func() bool {
 		var all struct{ Items []any }
-		return k.get(
+		return k.Get(
 			fmt.Sprintf("/v1/containers?limit=1000&after=%s.%d&field=state=waiting", waitingJob, n-2),
 			&all,
 		) == nil &&
-			k.get("/v1/containers/"+waitingJob+".0/why", nil) == nil &&
+			k.Get("/v1/containers/"+waitingJob+".0/why", nil) == nil &&
 			len(all.Items) > 0
 	})
 	time.Sleep(3 * time.Second) // the schedulers' first retries are over
@@ -111,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	defer closeQuietly(response.Body)
+	defer process.CloseQuietly(response.Body)
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		return err
 	}
@@ -160,8 +162,8 @@
 }
 
 // measureFanOut changes a job and measures when each watcher reads of it.
-func (k *controllerProcess) measureFanOut(watchers int, out io.Writer) error {
-	if err := k.createJob(watchedJob, workloadMatcher, 0, 1, 1); err != nil {
+func measureFanOut(k *process.Controller, watchers int, out io.Writer) error {
+	if err := k.CreateJob(watchedJob, process.WorkloadMatcher, 0, 1, 1); err != nil {
 		return err
 	}
 	f := &fanOut{delays: newDelays()}
@@ -169,22 +171,22 @@
 	ready.Add(watchers)
 	for range watchers {
 		watching.Go(func() {
-			events, err := k.watch("jobs")
+			events, err := k.Watch("jobs")
 			ready.Done()
 			if err != nil {
 				f.missed.Add(watchedChanges)
 				return
 			}
-			defer closeQuietly(events)
+			defer process.CloseQuietly(events)
 			f.readChanges(events)
 		})
 	}
 	ready.Wait()
 	for i := range watchedChanges {
-		job := newJobSpec(watchedJob, workloadMatcher, 0, 1, 1)
+		job := process.NewJobSpec(watchedJob, process.WorkloadMatcher, 0, 1, 1)
 		job.RunForMS = i + 1 // by which watchers know the change
 		f.sent[i].Store(time.Now().UnixNano())
-		if err := k.do(http.MethodPut, "/v1/jobs/"+watchedJob, job, nil); err != nil {
+		if err := k.Do(http.MethodPut, "/v1/jobs/"+watchedJob, job, nil); err != nil {
 			return err
 		}
 		time.Sleep(50 * time.Millisecond)
--- a/internal/testbed/scenario/load_bgp.go
+++ b/internal/testbed/load/bgp.go
@@ -1,4 +1,4 @@
-package scenario
+package load
 
 import (
 	"fmt"
--- a/internal/testbed/scenario/load_jobs.go
+++ b/internal/testbed/load/jobs.go
@@ -1,4 +1,4 @@
-package scenario
+package load
 
 import (
 	"bufio"
@@ -10,6 +10,8 @@
 	"sync/atomic"
 	"time"
 
+	"glenport/internal/testbed/bench"
+	"glenport/internal/testbed/process"
 	"glenport/internal/testbed/report"
 )
 
@@ -17,7 +19,7 @@
 
 // jobLoad creates jobs of one container each at a steady rate and measures when a watch says that each runs.
 type jobLoad struct {
-	controller *controllerProcess
+	controller *process.Controller
 	rate       int
 	sent       []atomic.Int64 // when, in nanoseconds, by job
 	delays     *delays
@@ -32,23 +34,23 @@
 	length time.Duration,
 	out io.Writer,
 ) error {
-	b, err := startBench(template, dir, program, machines, false)
+	b, err := bench.Start(template, dir, program, machines, false)
 	if err != nil {
 		return err
 	}
-	defer b.close()
-	k, err := b.startController(program[0], machines)
+	defer b.Close()
+	k, err := b.StartController(program[0], machines)
 	if err != nil {
 		return err
 	}
-	defer k.terminate()
+	defer k.Terminate()
 	total := int(float64(rate) * length.Seconds())
 	load := &jobLoad{controller: k, rate: rate, sent: make([]atomic.Int64, total), delays: newDelays()}
-	events, err := k.watch("containers")
+	events, err := k.Watch("containers")
 	if err != nil {
 		return err
 	}
-	defer closeQuietly(events)
+	defer process.CloseQuietly(events)
 	done := make(chan int, 1)
 	go func() { done <- load.readRunning(events) }()
 	if err := load.createJobs(); err != nil {
@@ -60,7 +62,7 @@
 	case <-time.After(10 * time.Second):
 		return fmt.Errorf("not all of %d jobs run", total)
 	}
-	stats, err := b.scheduler.Status()
+	stats, err := b.Scheduler.Status()
 	if err != nil {
 		return err
 	}
@@ -91,7 +93,7 @@
 			continue // a job that is never seen to run fails the measurement
 		}
 		var job int
-		if _, err := fmt.Sscanf(event.ID, "j%d.0", &job); err == nil && event.Object.State == stateRunning {
+		if _, err := fmt.Sscanf(event.ID, "j%d.0", &job); err == nil && event.Object.State == process.StateRunning {
 			l.delays.record(time.Unix(0, l.sent[job].Load()))
 			running++
 		}
@@ -114,7 +116,7 @@
 				}
 				time.Sleep(time.Until(began.Add(time.Duration(float64(job) / float64(l.rate) * float64(time.Second)))))
 				l.sent[job].Store(time.Now().UnixNano())
-				errs[client] = l.controller.createJob(fmt.Sprint("j", job), workloadMatcher, 1, 0.1, 0.1)
+				errs[client] = l.controller.CreateJob(fmt.Sprint("j", job), process.WorkloadMatcher, 1, 0.1, 0.1)
 			}
 		})
 	}
--- a/internal/testbed/scenario/load_scheduler.go
+++ b/internal/testbed/load/scheduler.go
@@ -1,4 +1,4 @@
-package scenario
+package load
 
 import (
 	"fmt"
@@ -7,6 +7,8 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/bench"
+	"glenport/internal/testbed/process"
 )
 
 // PlacementLoad is what a scheduler did under a load.
@@ -29,27 +31,27 @@
 	loadServices  = 500
 )
 
-// MeasureLoad runs one scheduler for a while against machines that answer at once.
-func MeasureLoad(
+// MeasureScheduler runs one scheduler for a while against machines that answer at once.
+func MeasureScheduler(
 	template, dir string,
 	program []string,
 	machines, rate int,
 	length, life time.Duration,
 ) (*PlacementLoad, error) {
-	b, err := startBench(template, dir, program, machines, false)
+	b, err := bench.Start(template, dir, program, machines, false)
 	if err != nil {
 		return nil, err
 	}
-	defer b.close()
-	before, err := b.scheduler.Status()
+	defer b.Close()
+	before, err := b.Scheduler.Status()
 	if err != nil {
 		return nil, err
 	}
-	placed, err := submitSteadily(b.scheduler.Address, rate, length, life)
+	placed, err := submitSteadily(b.Scheduler.Address, rate, length, life)
 	if err != nil {
 		return nil, err
 	}
-	stats, err := b.scheduler.Status()
+	stats, err := b.Scheduler.Status()
 	if err != nil {
 		return nil, err
 	}
@@ -77,8 +79,8 @@
 	if err != nil {
 		return 0, err
 	}
-	defer closeQuietly(c)
-	if err := writeFrames(c, protocol.NewHello(protocol.RoleClient, "load", 1)); err != nil {
+	defer process.CloseQuietly(c)
+	if err := process.WriteFrames(c, protocol.NewHello(protocol.RoleClient, "load", 1)); err != nil {
 		return 0, err
 	}
 	var placed atomic.Int64
@@ -95,21 +97,21 @@
 		for ; sent < due; sent++ {
 			batch = append(batch, loadSubmission(sent, life))
 		}
-		if err := writeFrames(c, batch...); err != nil {
+		if err := process.WriteFrames(c, batch...); err != nil {
 			return 0, err
 		}
 		time.Sleep(500 * time.Microsecond)
 	}
 	time.Sleep(drainTime)
 	result := int(placed.Load())
-	closeQuietly(c)
+	process.CloseQuietly(c)
 	<-done
 	return result, nil
 }
 
 func countPlaced(c net.Conn, placed *atomic.Int64) {
 	for {
-		reply, err := readUntil[*protocol.PlacementReply](c)
+		reply, err := process.ReadUntil[*protocol.PlacementReply](c)
 		if err != nil {
 			return
 		}
@@ -130,6 +132,6 @@
 		),
 		Cores:           0.5,
 		Memory:          1,
-		ExpectedRuntime: protocol.Duration(life / tick),
+		ExpectedRuntime: protocol.Duration(life / process.Tick),
 	}}
 }
--- a/internal/testbed/scenario/process.go
+++ b/internal/testbed/process/scheduler.go
@@ -1,4 +1,6 @@
-package scenario
+// Package process starts schedulers and controllers as processes, writes their settings, and talks to them by their
+// protocol and API.
+package process
 
 import (
 	"fmt"
@@ -13,6 +15,9 @@
 	"glenport/internal/protocol"
 )
 
+// Tick is the resolution of times in settings files, in frames and in the decisions of schedulers.
+const Tick = 100 * time.Microsecond
+
 const (
 	startTimeout  = 10 * time.Second // until a scheduler's listener accepts
 	stopTimeout   = 5 * time.Second  // from a signal to SIGKILL
@@ -20,12 +25,12 @@
 	dialTimeout   = time.Second
 )
 
-// SchedulerProcess is a scheduler's process and its files.
-type SchedulerProcess struct {
+// Scheduler is a scheduler's process and its files.
+type Scheduler struct {
 	Name    string
 	Zone    int
 	Address string // of its own listener; clients of a cluster go through a proxy
-	file    string
+	File    string // its settings
 	command []string
 	log     *os.File
 	mu      sync.Mutex
@@ -33,8 +38,8 @@
 	exited  chan struct{}
 }
 
-// newSchedulerProcess chooses a port for a scheduler and opens its log; the settings file is the caller's to write.
-func newSchedulerProcess(name, file, logFile string, command []string) (*SchedulerProcess, error) {
+// NewScheduler chooses a port for a scheduler and opens its log; the settings file is the caller's to write.
+func NewScheduler(name, file, logFile string, command []string) (*Scheduler, error) {
 	address, err := freePort()
 	if err != nil {
 		return nil, err
@@ -43,11 +48,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &SchedulerProcess{Name: name, Address: address, file: file, command: command, log: log}, nil
+	return &Scheduler{Name: name, Address: address, File: file, command: command, log: log}, nil
 }
 
 // Start starts the process and waits until its listener accepts.
-func (p *SchedulerProcess) Start() error {
+func (p *Scheduler) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.process != nil {
@@ -61,14 +66,14 @@
 
 // launch starts the process from a thread that outlives it: the process is to die with the test bed, and the kernel
 // takes the end of the thread that started it for the end of its parent.
-func (p *SchedulerProcess) launch() error {
+func (p *Scheduler) launch() error {
 	started := make(chan error, 1)
 	exited := make(chan struct{})
 	p.exited = exited
 	go func() {
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
-		command := exec.Command(p.command[0], append(p.command[1:], "-c", p.file)...)
+		command := exec.Command(p.command[0], append(p.command[1:], "-c", p.File)...)
 		command.Stderr = p.log
 		command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 		if err := command.Start(); err != nil {
@@ -83,7 +88,7 @@
 	return <-started
 }
 
-func (p *SchedulerProcess) waitListening() error {
+func (p *Scheduler) waitListening() error {
 	for end := time.Now().Add(startTimeout); ; time.Sleep(5 * time.Millisecond) {
 		if c, err := net.Dial("tcp", p.Address); err == nil {
 			return c.Close()
@@ -100,7 +105,7 @@
 }
 
 // Stop ends the process by a signal and waits for its exit; it is killed if that takes longer than stopTimeout.
-func (p *SchedulerProcess) Stop(signal syscall.Signal) {
+func (p *Scheduler) Stop(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.process == nil {
@@ -116,8 +121,8 @@
 	p.process = nil
 }
 
-// close stops the process and closes its log.
-func (p *SchedulerProcess) close(signal syscall.Signal) {
+// Close stops the process and closes its log.
+func (p *Scheduler) Close(signal syscall.Signal) {
 	p.Stop(signal)
 	if p.log != nil {
 		_ = p.log.Close() // written by the process, not through this descriptor
@@ -125,15 +130,15 @@
 }
 
 // Running reports whether the process was started and not stopped since.
-func (p *SchedulerProcess) Running() bool {
+func (p *Scheduler) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.process != nil
 }
 
 // Status returns the scheduler's stats by name. Times in it are in the unit that the name says.
-func (p *SchedulerProcess) Status() (map[string]float64, error) {
-	c, err := dialProtocol(
+func (p *Scheduler) Status() (map[string]float64, error) {
+	c, err := DialProtocol(
 		p.Address,
 		statusTimeout,
 		protocol.NewHello(protocol.RoleScheduler, "laboratory", 1),
@@ -142,8 +147,8 @@
 	if err != nil {
 		return nil, err
 	}
-	defer closeQuietly(c)
-	reply, err := readUntil[*protocol.StatusReply](c)
+	defer CloseQuietly(c)
+	reply, err := ReadUntil[*protocol.StatusReply](c)
 	if err != nil {
 		return nil, err
 	}
@@ -154,23 +159,24 @@
 	return stats, nil
 }
 
-// dialProtocol connects to a listener, sends frames and bounds whatever else is done on the connection.
-func dialProtocol(address string, timeout time.Duration, frames ...protocol.Frame) (net.Conn, error) {
+// DialProtocol connects to a listener, sends frames and bounds whatever else is done on the connection.
+func DialProtocol(address string, timeout time.Duration, frames ...protocol.Frame) (net.Conn, error) {
 	c, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
 	if err = c.SetDeadline(time.Now().Add(timeout)); err == nil {
-		err = writeFrames(c, frames...)
+		err = WriteFrames(c, frames...)
 	}
 	if err != nil {
-		closeQuietly(c)
+		CloseQuietly(c)
 		return nil, err
 	}
 	return c, nil
 }
 
-func writeFrames(c net.Conn, frames ...protocol.Frame) (err error) {
+// WriteFrames writes frames at once.
+func WriteFrames(c net.Conn, frames ...protocol.Frame) (err error) {
 	var data []byte
 	for _, frame := range frames {
 		if data, err = protocol.Append(data, frame); err != nil {
@@ -181,8 +187,8 @@
 	return err
 }
 
-// readUntil skips frames until one of type T.
-func readUntil[T protocol.Frame](c net.Conn) (T, error) {
+// ReadUntil skips frames until one of type T.
+func ReadUntil[T protocol.Frame](c net.Conn) (T, error) {
 	for {
 		frame, err := protocol.ReadFrame(c, protocol.MaxFrame)
 		if err != nil {
@@ -205,5 +211,5 @@
 	return l.Addr().String(), l.Close()
 }
 
-// closeQuietly closes what was only read from, or whose writes have been checked.
-func closeQuietly(c interface{ Close() error }) { _ = c.Close() }
+// CloseQuietly closes what was only read from, or whose writes have been checked.
+func CloseQuietly(c interface{ Close() error }) { _ = c.Close() }
--- a/internal/testbed/scenario/settings.go
+++ b/internal/testbed/process/settings.go
@@ -1,4 +1,4 @@
-package scenario
+package process
 
 import (
 	"maps"
@@ -9,9 +9,9 @@
 	"github.com/goccy/go-yaml"
 )
 
-// writeSchedulerConfig writes a scheduler's settings file: the template with the sections of extra, and then with the
+// WriteSchedulerConfig writes a scheduler's settings file: the template with the sections of extra, and then with the
 // keys of set; where a value of set is a map, only the keys that it has are changed.
-func writeSchedulerConfig(template []byte, path string, extra, set map[string]any) error {
+func WriteSchedulerConfig(template []byte, path string, extra, set map[string]any) error {
 	var settings map[string]any
 	if err := yaml.Unmarshal(template, &settings); err != nil {
 		return err
--- a/internal/testbed/scenario/file.go
+++ b/internal/testbed/scenario/file.go
@@ -8,13 +8,13 @@
 
 	"glenport/internal/config"
 	"glenport/internal/config/strictyaml"
+	"glenport/internal/testbed/cluster"
 	"glenport/internal/testbed/emulator"
+	"glenport/internal/testbed/faults"
+	"glenport/internal/testbed/process"
 	"glenport/scheduler"
 )
 
-// tick is the resolution of times in settings files and in the scheduler's decisions.
-const tick = 100 * time.Microsecond
-
 type scenarioFile struct {
 	Name       strictyaml.String     `yaml:"name"`
 	Seed       strictyaml.Count      `yaml:"seed"`
@@ -77,7 +77,7 @@
 	Zone     strictyaml.String   `yaml:"hall" settings:"optional"`
 }
 
-func duration(s strictyaml.Duration) time.Duration { return time.Duration(s.Ticks) * tick }
+func duration(s strictyaml.Duration) time.Duration { return time.Duration(s.Ticks) * process.Tick }
 
 // Load reads a scenario file. An error names the file, the line and the key.
 func Load(path string) (*Scenario, error) {
@@ -137,28 +137,30 @@
 // scenario converts all but the workloads and faults, which refer to names from elsewhere.
 func (f *scenarioFile) scenario(path string) *Scenario {
 	s := &Scenario{
-		Name:       f.Name.Value,
-		Seed:       uint64(f.Seed.Value),
-		Length:     duration(f.Length),
-		Settle:     duration(f.Settle),
-		Schedulers: f.Schedulers.Value,
-		Template:   filepath.Join(filepath.Dir(path), f.Template.Value),
-		Rate:       f.Rate.Value,
-		DrainGrace: scheduler.Time(f.DrainGrace.Ticks),
-		Slack:      scheduler.Time(f.Slack.Ticks),
-		Machine:    f.Machine.shape(),
-		List: listTiming{
-			duration(f.List.Lag),
-			duration(f.List.FailureDetection),
-			duration(f.List.PollInterval),
-			f.List.CallsPerSecond.Value,
+		Spec: cluster.Spec{
+			Seed:       uint64(f.Seed.Value),
+			Schedulers: f.Schedulers.Value,
+			Template:   filepath.Join(filepath.Dir(path), f.Template.Value),
+			DrainGrace: scheduler.Time(f.DrainGrace.Ticks),
+			Slack:      scheduler.Time(f.Slack.Ticks),
+			Machine:    f.Machine.shape(),
+			List: cluster.ListTiming{
+				Lag:              duration(f.List.Lag),
+				FailureDetection: duration(f.List.FailureDetection),
+				PollInterval:     duration(f.List.PollInterval),
+				CallsPerSecond:   f.List.CallsPerSecond.Value,
+			},
 		},
+		Name:   f.Name.Value,
+		Length: duration(f.Length),
+		Settle: duration(f.Settle),
+		Rate:   f.Rate.Value,
 	}
 	for _, zone := range f.Zones {
 		s.Zones = append(s.Zones, zone.Value)
 	}
 	for _, m := range f.Machines {
-		s.MachineCounts = append(s.MachineCounts, machineCount{m.MachineType.Value, m.PerZone.Value})
+		s.MachineCounts = append(s.MachineCounts, cluster.MachineCount{MachineType: m.MachineType.Value, PerZone: m.PerZone.Value})
 	}
 	return s
 }
@@ -203,7 +205,7 @@
 		MeanRuntime:      duration(s.MeanRuntime),
 		RetryRejected:    s.RetryRejected.Value,
 		RetryUnanswered:  s.RetryUnanswered.Value,
-		PlacementTimeout: time.Duration(class.PlacementTimeout) * tick,
+		PlacementTimeout: time.Duration(class.PlacementTimeout) * process.Tick,
 	}
 	for i := range s.Cores {
 		work.Cores = append(work.Cores, s.Cores[i].Value)
@@ -212,18 +214,18 @@
 	return work
 }
 
-func (f *scenarioFile) faults(source *strictyaml.File, zones []string) ([]Fault, error) {
-	var faults []Fault
+func (f *scenarioFile) faults(source *strictyaml.File, zones []string) ([]faults.Fault, error) {
+	var all []faults.Fault
 	for _, section := range f.Faults {
-		if injectors[section.Kind.Value] == nil {
+		if !faults.Known(section.Kind.Value) {
 			return nil, source.ErrorAt(
 				section.Kind.Position,
 				"%q is no trouble; there are %v",
 				section.Kind.Value,
-				faultKinds(),
+				faults.Kinds(),
 			)
 		}
-		fault := Fault{
+		fault := faults.Fault{
 			Kind: section.Kind.Value, At: duration(section.At), Duration: duration(section.Duration),
 			Fraction: section.Fraction.Value, Size: section.Size.Value,
 		}
@@ -233,7 +235,7 @@
 				return nil, err
 			}
 		}
-		faults = append(faults, fault)
+		all = append(all, fault)
 	}
-	return faults, nil
+	return all, nil
 }
--- a/internal/testbed/scenario/replay.go
+++ b/internal/testbed/scenario/replay.go
@@ -7,6 +7,7 @@
 	"os"
 	"time"
 
+	"glenport/internal/testbed/faults"
 	"glenport/internal/testbed/report"
 )
 
@@ -52,7 +53,7 @@
 	s.Name, s.Rate, s.Length, s.Faults = day.Site, rate, microseconds(day.Length), nil
 	machines := 0
 	for _, c := range s.MachineCounts {
-		machines += c.perZone * len(s.Zones)
+		machines += c.PerZone * len(s.Zones)
 	}
 	report.Printf(
 		out,
@@ -77,7 +78,7 @@
 			simulated.Kind,
 			fault.At.Seconds(),
 			fault.Kind,
-			fault.describe(s),
+			fault.Describe(s.Zones),
 		)
 		s.Faults = append(s.Faults, fault)
 	}
@@ -102,8 +103,8 @@
 func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
 // counterpart returns the fault of a scenario that comes closest; ok reports whether there is one.
-func (d *simulatedDay) counterpart(t *simulatedFault) (f Fault, ok bool) {
-	f = Fault{
+func (d *simulatedDay) counterpart(t *simulatedFault) (f faults.Fault, ok bool) {
+	f = faults.Fault{
 		At:       microseconds(t.At),
 		Duration: microseconds(t.Duration),
 		Size:     t.Size,
@@ -111,31 +112,31 @@
 	}
 	switch t.Kind {
 	case "mass_restart":
-		f.Kind = kindCrash
+		f.Kind = faults.KindCrash
 	case "vanish":
-		f.Kind = kindSilenceThenCold
+		f.Kind = faults.KindSilenceThenCold
 	case "slow":
-		f.Kind = kindSlow
+		f.Kind = faults.KindSlow
 	case "grow", "deploy":
 		d.stepwise(t, &f)
 	case "class_fail":
-		f.Kind, f.Size = kindWorkloadIgnored, float64(t.Which)
+		f.Kind, f.Size = faults.KindWorkloadIgnored, float64(t.Which)
 	case "throttle":
-		f.Kind, f.Size = kindTenantThrottled, float64(t.Which)
+		f.Kind, f.Size = faults.KindTenantThrottled, float64(t.Which)
 	case "burst":
-		f.Kind = kindBurst
+		f.Kind = faults.KindBurst
 	case "heavy_tail":
-		f.Kind, f.Fraction, f.Size = kindMemoryGrowth, 0.5, 1.6
+		f.Kind, f.Fraction, f.Size = faults.KindMemoryGrowth, 0.5, 1.6
 	case "reconnect":
-		f.Kind, f.Fraction = kindClientRetries, t.Size
+		f.Kind, f.Fraction = faults.KindClientRetries, t.Size
 	case "balancer_crash":
-		f.Kind, f.Fraction = kindSchedulersKilled, float64(len(t.On))/float64(len(d.Schedulers))
+		f.Kind, f.Fraction = faults.KindSchedulersKilled, float64(len(t.On))/float64(len(d.Schedulers))
 	case "discovery_down":
-		f.Kind = kindListUnavailable
+		f.Kind = faults.KindListUnavailable
 	case "discovery_stale":
-		f.Kind, f.Size = kindListStale, min(10, max(2, t.Size))
+		f.Kind, f.Size = faults.KindListStale, min(10, max(2, t.Size))
 	case "answer_lost":
-		f.Kind, f.Size = kindAnswersLost, min(0.9, t.Size)
+		f.Kind, f.Size = faults.KindAnswersLost, min(0.9, t.Size)
 	default:
 		return f, false
 	}
@@ -143,15 +144,15 @@
 }
 
 // stepwise fills in a fault that starts machines in steps.
-func (d *simulatedDay) stepwise(t *simulatedFault, f *Fault) {
+func (d *simulatedDay) stepwise(t *simulatedFault, f *faults.Fault) {
 	const largestFraction = 0.9
 	started := 0
 	for _, step := range t.Steps {
 		started += len(step.Start)
 	}
 	f.Fraction = min(largestFraction, float64(started)/float64(len(d.Servers)))
-	f.Kind, f.Size = kindRollingDeploy, 1/float64(max(1, len(t.Steps)))*f.Fraction
+	f.Kind, f.Size = faults.KindRollingDeploy, 1/float64(max(1, len(t.Steps)))*f.Fraction
 	if t.Kind == "grow" {
-		f.Kind = kindFleetGrows
+		f.Kind = faults.KindFleetGrows
 	}
 }
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -6,7 +6,9 @@
 	"time"
 
 	"glenport/internal/testbed/audit"
+	"glenport/internal/testbed/cluster"
 	"glenport/internal/testbed/emulator"
+	"glenport/internal/testbed/faults"
 )
 
 // Outcome is the result of a scenario.
@@ -25,34 +27,34 @@
 
 // Run plays the scenario with schedulers started by program. The recording and the logs stay in dir.
 func (s *Scenario) Run(dir string, program []string, out io.Writer) (*Outcome, error) {
-	c, err := StartCluster(s, dir, program)
+	c, err := cluster.Start(s.Spec, dir, program)
 	if err != nil {
 		return nil, err
 	}
-	defer c.shutdown()
-	log := &timedLog{began: time.Now(), out: out}
-	log.printf(
+	defer c.Shutdown()
+	log := faults.NewLog(out)
+	log.Printf(
 		"%d placers, %d machines in %d halls, %.0f submissions a second",
 		len(c.Schedulers),
 		len(c.Machines),
 		len(s.Zones),
 		s.Rate,
 	)
-	injector := newFaultInjector(c, s, log)
+	injector := faults.NewInjector(c, s.Spec, s.Rate, log)
 	c.Clients.Start(s.Rate, s.Seed)
 	var playing sync.WaitGroup
 	for _, f := range s.Faults {
-		playing.Go(func() { injector.play(f) })
+		playing.Go(func() { injector.Play(f) })
 	}
-	time.Sleep(s.Length - time.Since(log.began))
-	close(injector.over)
+	time.Sleep(s.Length - log.Elapsed())
+	injector.End()
 	c.Clients.SetRate(0)
 	playing.Wait()
-	c.waitForReplies(s.Settle)
+	c.WaitForReplies(s.Settle)
 	outcome := &Outcome{
-		Injected:           injector.injected,
-		Status:             c.statusByScheduler(),
-		OverloadedMachines: c.countOverloaded(),
+		Injected:           injector.Injected(),
+		Status:             c.StatusByScheduler(),
+		OverloadedMachines: c.CountOverloaded(),
 	}
 	outcome.Tally = c.Clients.Close()
 	outcome.Audit, err = c.CloseAndAudit()
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -13,7 +13,9 @@
 	"glenport/internal/config"
 	"glenport/internal/schedulerd"
 	"glenport/internal/testbed/audit"
+	"glenport/internal/testbed/cluster"
 	"glenport/internal/testbed/emulator"
+	"glenport/internal/testbed/faults"
 	"glenport/scheduler"
 )
 
@@ -74,11 +76,11 @@
 		Share: 1, Services: 400, Cores: []float64{0.1}, Memory: []float64{0.1}, MeanRuntime: 30 * time.Second,
 		PlacementTimeout: 4 * time.Second, RetryRejected: true, RetryUnanswered: true,
 	}}
-	c, err := StartCluster(d, dir, []string{os.Args[0], schedulerArgument})
+	c, err := cluster.Start(d.Spec, dir, []string{os.Args[0], schedulerArgument})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.shutdown()
+	defer c.Shutdown()
 	p := c.Schedulers[0]
 	c.Clients.Start(4000, 1)
 	requireWithin30s(t, "500 bids out", func() bool {
@@ -122,7 +124,7 @@
 func TestZoneComesBackInSlowStart(t *testing.T) {
 	d, dir := shortScenario(t), t.TempDir()
 	d.Length, d.Schedulers = 3*time.Second, 2
-	d.Faults = []Fault{
+	d.Faults = []faults.Fault{
 		{Kind: "hall restarts cold", At: 500 * time.Millisecond, Duration: 300 * time.Millisecond, Zone: 1},
 	}
 	var out bytes.Buffer
@@ -175,7 +177,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []Fault{
+	want := []faults.Fault{
 		{Kind: "crash", At: time.Second, Duration: 500 * time.Millisecond, Fraction: 0.5},
 		{Kind: "placers killed", At: 2 * time.Second, Duration: time.Microsecond, Fraction: 0.5},
 	}
--- a/internal/testbed/scenario/trial_bgp.go
+++ b/internal/testbed/trials/bgp/bgp.go
@@ -1,4 +1,4 @@
-package scenario
+package bgp
 
 import (
 	"errors"
@@ -10,20 +10,24 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/cluster"
 	"glenport/internal/testbed/emulator"
 	"glenport/internal/testbed/faultproxy"
+	"glenport/internal/testbed/process"
+	"glenport/internal/testbed/scenario"
+	"glenport/internal/testbed/trials"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// BGPTrial starts a cluster whose scheduler announces addresses to two emulated peers, and checks what they
+// Trial starts a cluster whose scheduler announces addresses to two emulated peers, and checks what they
 // receive.
-type BGPTrial struct {
+type Trial struct {
 	Rounds int
 	Out    io.Writer
 
-	missList
-	cluster       *Cluster
+	trials.Runner
+	cluster       *cluster.Cluster
 	peers         []*emulator.BGPPeer
 	connection    net.Conn
 	mu            sync.Mutex // guards what follows
@@ -39,7 +43,8 @@
 	firstReservedService = 200
 	withdrawalLimit      = 2 * time.Second
 	minUpdateInterval    = time.Second
-	clockTolerance       = 30 * time.Millisecond // between a peer's reading and the scheduler's writing
+	clockTolerance       = 30 * time.Millisecond    // between a peer's reading and the scheduler's writing
+	submitTimeout        = protocol.Duration(40000) // 4 s
 	bgpTimeout           = 20 * time.Second
 	placementLimit       = 6 * time.Second // until a submission has its reply
 )
@@ -69,7 +74,7 @@
 }
 
 // Run plays the trial and reports whether all held.
-func (t *BGPTrial) Run(s *Scenario, dir string, program []string) (ok bool, err error) {
+func (t *Trial) Run(s *scenario.Scenario, dir string, program []string) (ok bool, err error) {
 	t.replies, t.endTimes = map[string]chan *protocol.PlacementReply{}, map[string]time.Time{}
 	defer func() {
 		for _, p := range t.peers {
@@ -82,10 +87,10 @@
 	}
 	s.Schedulers = 1
 	s.ExtraConfig = map[string]any{"bgp": bgpConfig(peerConfigs)}
-	if t.cluster, err = StartCluster(s, dir, program); err != nil {
+	if t.cluster, err = cluster.Start(s.Spec, dir, program); err != nil {
 		return false, err
 	}
-	defer t.cluster.shutdown()
+	defer t.cluster.Shutdown()
 	for _, m := range t.cluster.Machines {
 		m.OnEnd = t.recordEnd
 	}
@@ -98,21 +103,21 @@
 	if err := t.connect(); err != nil {
 		return false, err
 	}
-	defer func() { closeQuietly(t.connection) }()
-	err = t.playSteps(t.Out, 46, []trialStep{
-		{"ends", t.playEnds},
-		{"a container that flaps 50 times a second", t.playFlaps},
-		{"drain first as the last choice", t.playDrain},
-		{"reset while the last container fails", t.playResetAndFailure},
-		{"garbage, half a message, silence, another AS", t.playProtocolErrors},
-		{"hall cut off and back", t.playPartition},
-		{"placer killed -9 and back", t.playSchedulerKill},
+	defer func() { process.CloseQuietly(t.connection) }()
+	err = t.Play(t.Out, 46, []trials.Step{
+		{Name: "ends", Play: t.playEnds},
+		{Name: "a container that flaps 50 times a second", Play: t.playFlaps},
+		{Name: "drain first as the last choice", Play: t.playDrain},
+		{Name: "reset while the last container fails", Play: t.playResetAndFailure},
+		{Name: "garbage, half a message, silence, another AS", Play: t.playProtocolErrors},
+		{Name: "hall cut off and back", Play: t.playPartition},
+		{Name: "placer killed -9 and back", Play: t.playSchedulerKill},
 	})
-	return err == nil && t.passed(), err
+	return err == nil && t.Passed(), err
 }
 
 // startPeers starts the peers and returns their sections in the scheduler's settings.
-func (t *BGPTrial) startPeers() ([]any, error) {
+func (t *Trial) startPeers() ([]any, error) {
 	var configs []any
 	for i := range 2 {
 		p := &emulator.BGPPeer{
@@ -149,19 +154,19 @@
 
 func bgpServiceName(service int) string { return fmt.Sprint("web-", service) }
 
-func (t *BGPTrial) recordEnd(container string, at time.Time) {
+func (t *Trial) recordEnd(container string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.endTimes[container] = at
 }
 
-func (t *BGPTrial) endTime(container string) time.Time {
+func (t *Trial) endTime(container string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.endTimes[container]
 }
 
-func (t *BGPTrial) waitUntil(what string, holds func() bool) error {
+func (t *Trial) waitUntil(what string, holds func() bool) error {
 	for end := time.Now().Add(bgpTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			return fmt.Errorf("not in 20 s: %s", what)
@@ -171,17 +176,17 @@
 }
 
 // waitAnnounced waits until a peer has the route of a service.
-func (t *BGPTrial) waitAnnounced(p *emulator.BGPPeer, service int) error {
+func (t *Trial) waitAnnounced(p *emulator.BGPPeer, service int) error {
 	return t.waitUntil("it is announced", func() bool { return announced(p, service) })
 }
 
 // waitWithdrawn waits until a peer has no route of a service.
-func (t *BGPTrial) waitWithdrawn(what string, p *emulator.BGPPeer, service int) error {
+func (t *Trial) waitWithdrawn(what string, p *emulator.BGPPeer, service int) error {
 	return t.waitUntil(what, func() bool { return !announced(p, service) })
 }
 
 // waitAnnouncedToAll waits until all peers have the route of a service.
-func (t *BGPTrial) waitAnnouncedToAll(service int) error {
+func (t *Trial) waitAnnouncedToAll(service int) error {
 	for _, p := range t.peers {
 		if err := t.waitAnnounced(p, service); err != nil {
 			return err
@@ -191,7 +196,7 @@
 }
 
 // connect connects to the scheduler as a client and reads replies.
-func (t *BGPTrial) connect() (err error) {
+func (t *Trial) connect() (err error) {
 	if t.connection, err = net.Dial("tcp", t.cluster.Schedulers[0].Address); err != nil {
 		return err
 	}
@@ -200,9 +205,9 @@
 }
 
 // readReplies hands each reply to the submission that waits for it, until the connection ends.
-func (t *BGPTrial) readReplies(c net.Conn) {
+func (t *Trial) readReplies(c net.Conn) {
 	for {
-		reply, err := readUntil[*protocol.PlacementReply](c)
+		reply, err := process.ReadUntil[*protocol.PlacementReply](c)
 		if err != nil {
 			return
 		}
@@ -216,15 +221,15 @@
 	}
 }
 
-func (t *BGPTrial) send(frame protocol.Frame) error { return writeFrames(t.connection, frame) }
+func (t *Trial) send(frame protocol.Frame) error { return process.WriteFrames(t.connection, frame) }
 
 // place starts a container of a service and waits until it is placed.
-func (t *BGPTrial) place(service int, life time.Duration) (id, machine string, err error) {
+func (t *Trial) place(service int, life time.Duration) (id, machine string, err error) {
 	return t.placeWorkload(service, 0, life)
 }
 
 // placeWorkload does so with a container of a workload class.
-func (t *BGPTrial) placeWorkload(service, workload int, life time.Duration) (id, machine string, err error) {
+func (t *Trial) placeWorkload(service, workload int, life time.Duration) (id, machine string, err error) {
 	waiting := make(chan *protocol.PlacementReply, 1)
 	t.mu.Lock()
 	t.lastContainer++
@@ -240,7 +245,7 @@
 		WorkloadClass:   workload,
 		Cores:           0.1,
 		Memory:          0.1,
-		ExpectedRuntime: protocol.Duration(life / tick),
+		ExpectedRuntime: protocol.Duration(life / process.Tick),
 	}}); err != nil {
 		return id, "", err
 	}
@@ -262,7 +267,7 @@
 }
 
 // playEnds lets the last container behind each address end again and again, and measures until both peers know it.
-func (t *BGPTrial) playEnds() (string, error) {
+func (t *Trial) playEnds() (string, error) {
 	measured := &withdrawals{delays: hdrhistogram.New(1, 60_000, 3)}
 	for round := range t.Rounds {
 		first := round * endsPerRound % firstReservedService
@@ -277,7 +282,7 @@
 	}
 	expected := t.Rounds * endsPerRound * len(t.peers)
 	if measured.count < expected {
-		t.miss("%d withdrawals for %d ends at %d peers", measured.count, t.Rounds*endsPerRound, len(t.peers))
+		t.Miss("%d withdrawals for %d ends at %d peers", measured.count, t.Rounds*endsPerRound, len(t.peers))
 	}
 	return fmt.Sprintf(
 		"%d ends at %d peers, withdrawn after p50 %d ms, p99 %d ms, worst %d ms; %.1f updates an end and peer",
@@ -291,7 +296,7 @@
 }
 
 // placeRound places one container of each of a round's services and returns their names.
-func (t *BGPTrial) placeRound(first int) ([]string, error) {
+func (t *Trial) placeRound(first int) ([]string, error) {
 	ids := make([]string, endsPerRound)
 	errs := make([]error, endsPerRound)
 	var placing sync.WaitGroup
@@ -304,7 +309,7 @@
 	return ids, errors.Join(errs...)
 }
 
-func (t *BGPTrial) waitRoundWithdrawn(first int, ids []string) error {
+func (t *Trial) waitRoundWithdrawn(first int, ids []string) error {
 	for i, id := range ids {
 		if err := t.waitUntil("the container ends", func() bool { return !t.endTime(id).IsZero() }); err != nil {
 			return err
@@ -322,7 +327,7 @@
 	return nil
 }
 
-func (t *BGPTrial) measureRound(measured *withdrawals, first int, ids []string) {
+func (t *Trial) measureRound(measured *withdrawals, first int, ids []string) {
 	for k, p := range t.peers {
 		for _, update := range p.Changes() {
 			measured.updates++
@@ -334,14 +339,14 @@
 			measured.count++
 			_ = measured.delays.RecordValue(max(1, late.Milliseconds())) // longer than its range is a miss below
 			if late > withdrawalLimit {
-				t.miss("peer %d was told that %s is gone %v after its last container's end", k, update.Prefix, late)
+				t.Miss("peer %d was told that %s is gone %v after its last container's end", k, update.Prefix, late)
 			}
 		}
 	}
 }
 
 // playFlaps starts and ends containers of one service fifty times a second for eight seconds.
-func (t *BGPTrial) playFlaps() (string, error) {
+func (t *Trial) playFlaps() (string, error) {
 	const flaps = 400
 	for _, p := range t.peers {
 		p.Changes()
@@ -361,7 +366,7 @@
 		shortest = min(shortest, gap)
 		updates += n
 		if announced(p, flapService) {
-			t.miss("peer %d still has the route of a service without a container", k)
+			t.Miss("peer %d still has the route of a service without a container", k)
 		}
 	}
 	return fmt.Sprintf(
@@ -373,7 +378,7 @@
 }
 
 // checkUpdateInterval returns the shortest time between two updates of the flapping service, and their number.
-func (t *BGPTrial) checkUpdateInterval(peer int, p *emulator.BGPPeer) (shortest time.Duration, updates int) {
+func (t *Trial) checkUpdateInterval(peer int, p *emulator.BGPPeer) (shortest time.Duration, updates int) {
 	shortest = time.Hour
 	var last time.Time
 	for _, update := range p.Changes() {
@@ -384,7 +389,7 @@
 		if gap := update.At.Sub(last); !last.IsZero() {
 			shortest = min(shortest, gap)
 			if gap < minUpdateInterval-clockTolerance {
-				t.miss("peer %d was told of %s twice within %v", peer, update.Prefix, gap)
+				t.Miss("peer %d was told of %s twice within %v", peer, update.Prefix, gap)
 			}
 		}
 		last = update.At
@@ -394,7 +399,7 @@
 
 // playDrain marks the machine of a lone container as draining: its route must become the last choice before it is
 // withdrawn.
-func (t *BGPTrial) playDrain() (string, error) {
+func (t *Trial) playDrain() (string, error) {
 	id, machine, err := t.place(drainService, time.Hour)
 	if err != nil {
 		return "", err
@@ -405,7 +410,7 @@
 		}
 		p.Changes()
 	}
-	m, err := t.cluster.machine(machine)
+	m, err := t.cluster.Machine(machine)
 	if err != nil {
 		return "", err
 	}
@@ -414,7 +419,7 @@
 	defer t.cluster.List.SetState(m, protocol.MachineServing)
 	for k, p := range t.peers {
 		if err := t.waitShutdownAnnounced(p); err != nil {
-			t.miss("peer %d: %v", k, err)
+			t.Miss("peer %d: %v", k, err)
 		}
 	}
 	took := time.Since(began)
@@ -430,7 +435,7 @@
 }
 
 // waitShutdownAnnounced waits until a peer has the draining service's route as the last choice.
-func (t *BGPTrial) waitShutdownAnnounced(p *emulator.BGPPeer) error {
+func (t *Trial) waitShutdownAnnounced(p *emulator.BGPPeer) error {
 	lastChoice := false
 	return t.waitUntil("the peer hears of the drain", func() bool {
 		for _, update := range p.Changes() {
@@ -443,7 +448,7 @@
 
 // playResetAndFailure resets a session in the moment in which the machine of the last container fails. When the
 // session is back the route must not be there.
-func (t *BGPTrial) playResetAndFailure() (string, error) {
+func (t *Trial) playResetAndFailure() (string, error) {
 	const tries = 5
 	var crashed []*emulator.Machine // they stay down to the end, so that each try has another machine
 	worst := time.Duration(0)
@@ -477,7 +482,7 @@
 
 // resetAndFail does it once. It returns the machine that it crashed and the longer of the times until the peers had
 // withdrawn the route.
-func (t *BGPTrial) resetAndFail() (crashed *emulator.Machine, worst time.Duration, err error) {
+func (t *Trial) resetAndFail() (crashed *emulator.Machine, worst time.Duration, err error) {
 	id, machine, err := t.place(resetService, time.Hour)
 	if err != nil {
 		return nil, 0, err
@@ -485,7 +490,7 @@
 	if err := t.waitAnnouncedToAll(resetService); err != nil {
 		return nil, 0, err
 	}
-	m, err := t.cluster.machine(machine)
+	m, err := t.cluster.Machine(machine)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -501,13 +506,13 @@
 	}
 	for k, p := range t.peers {
 		if err := t.waitWithdrawn("the route is gone", p, resetService); err != nil {
-			t.miss("peer %d: %v", k, err)
+			t.Miss("peer %d: %v", k, err)
 			continue
 		}
 		late := time.Since(t.endTime(id))
 		worst = max(worst, late)
 		if p == other && late > withdrawalLimit { // its session was up all the while
-			t.miss("peer %d was told %v after the machine died", k, late)
+			t.Miss("peer %d was told %v after the machine died", k, late)
 		}
 	}
 	return m, worst, nil
@@ -535,7 +540,7 @@
 
 // playProtocolErrors has a peer break the protocol: its session ends and is established again, the other peer's is not
 // touched.
-func (t *BGPTrial) playProtocolErrors() (string, error) {
+func (t *Trial) playProtocolErrors() (string, error) {
 	const service = protocolErrorService
 	id, _, err := t.place(service, time.Hour)
 	if err != nil {
@@ -564,7 +569,7 @@
 		}
 	}
 	if establishedCount(good) != goodSessions {
-		t.miss("the other peer's session was touched")
+		t.Miss("the other peer's session was touched")
 	}
 	if err := t.send(&protocol.CancelContainer{ContainerID: id}); err != nil {
 		return "", err
@@ -576,7 +581,7 @@
 
 // playPartition cuts the zone of an at-most-once container off. Its route must be withdrawn when the scheduler takes it
 // as lost, and be announced again with it, as it ran on.
-func (t *BGPTrial) playPartition() (string, error) {
+func (t *Trial) playPartition() (string, error) {
 	const service, atMostOnce = partitionService, 2
 	id, machine, err := t.placeWorkload(service, atMostOnce, time.Hour)
 	if err != nil {
@@ -586,11 +591,11 @@
 		return "", err
 	}
 	peer := t.peers[0]
-	m, err := t.cluster.machine(machine)
+	m, err := t.cluster.Machine(machine)
 	if err != nil {
 		return "", err
 	}
-	zone := machineNames(t.cluster.zoneMachines(m.ZoneIndex))
+	zone := cluster.MachineNames(t.cluster.ZoneMachines(m.ZoneIndex))
 	began := time.Now()
 	t.cluster.Net.SetFaults(func(_ string, peerRole protocol.Role, name string) faultproxy.Fault {
 		return faultproxy.Fault{Partitioned: peerRole == protocol.RoleMachine && zone[name]}
@@ -605,7 +610,7 @@
 		return "", err
 	}
 	if !t.endTime(id).IsZero() {
-		t.miss("the container was ended by the cut")
+		t.Miss("the container was ended by the cut")
 	}
 	back := time.Since(began)
 	if err := t.send(&protocol.CancelContainer{ContainerID: id, IdempotencyKey: id}); err != nil {
@@ -617,7 +622,7 @@
 
 // playSchedulerKill kills the scheduler while containers of two services run; one ends meanwhile. When the scheduler is
 // back the live one's route must never have been withdrawn, and the other's must be.
-func (t *BGPTrial) playSchedulerKill() (string, error) {
+func (t *Trial) playSchedulerKill() (string, error) {
 	if _, _, err := t.place(surviveService, time.Hour); err != nil {
 		return "", err
 	}
@@ -651,16 +656,16 @@
 	), nil
 }
 
-func (t *BGPTrial) checkRoutesAfterRestart(peer int, p *emulator.BGPPeer) {
+func (t *Trial) checkRoutesAfterRestart(peer int, p *emulator.BGPPeer) {
 	if err := t.waitUntil("the dead one's route is gone and the live one's fresh", func() bool {
 		has, stale := p.Route(bgpPrefix(surviveService))
 		return has && !stale && !announced(p, endWhileDownService)
 	}); err != nil {
-		t.miss("peer %d: %v", peer, err)
+		t.Miss("peer %d: %v", peer, err)
 	}
 	for _, update := range p.Changes() {
 		if update.Prefix == bgpPrefix(surviveService) && update.Withdrawn {
-			t.miss("peer %d lost the route of a service that ran all the while", peer)
+			t.Miss("peer %d lost the route of a service that ran all the while", peer)
 		}
 	}
 }
--- a/internal/testbed/scenario/trial_overload.go
+++ b/internal/testbed/trials/overload/overload.go
@@ -1,4 +1,4 @@
-package scenario
+package overload
 
 import (
 	"fmt"
@@ -9,15 +9,18 @@
 	"sync"
 	"time"
 
+	"glenport/internal/testbed/cluster"
 	"glenport/internal/testbed/emulator"
+	"glenport/internal/testbed/process"
 	"glenport/internal/testbed/report"
+	"glenport/internal/testbed/scenario"
 	"glenport/internal/testbed/simulation"
 	"glenport/scheduler"
 )
 
-// OverloadTrial restarts most of a fleet at once under load, without damping, with clients that back off, and with
+// Trial restarts most of a fleet at once under load, without damping, with clients that back off, and with
 // glenport's concurrency limit, on a virtual clock and over sockets.
-type OverloadTrial struct {
+type Trial struct {
 	Seeds           int // of the simulated form
 	Sockets         int // runs of each form over sockets; 0: none
 	IgnoringClients float64
@@ -28,7 +31,7 @@
 var dampings = []simulation.Damping{simulation.NoDamping, simulation.Exponential, simulation.Limited}
 
 // Run reports whether glenport recovered in every run, with fewer starts lost than the others.
-func (t *OverloadTrial) Run(s *Scenario, dir string) (bool, error) {
+func (t *Trial) Run(s *scenario.Scenario, dir string) (bool, error) {
 	ok := t.runSimulations()
 	ok = t.runCalm() && ok
 	t.runSchedulerRestarts()
@@ -43,7 +46,7 @@
 }
 
 // compareOnSockets plays one run of each damping and reports whether the limit came off best.
-func (t *OverloadTrial) compareOnSockets(s *Scenario, dir string, run int) (bool, error) {
+func (t *Trial) compareOnSockets(s *scenario.Scenario, dir string, run int) (bool, error) {
 	ok := true
 	var all []simulation.Recovery
 	for _, d := range dampings {
@@ -105,7 +108,7 @@
 func (r *simulatedRuns) meanLost(d simulation.Damping) float64 { return meanLost(r.recoveries[d]) }
 
 // runSimulations plays the simulation for each seed and damping; the dampings of a seed have the same clients.
-func (t *OverloadTrial) runSimulations() bool {
+func (t *Trial) runSimulations() bool {
 	ok := true
 	for _, ignoring := range []float64{0, t.IgnoringClients} {
 		began := time.Now()
@@ -127,7 +130,7 @@
 	return ok
 }
 
-func (t *OverloadTrial) simulateDampings(ignoring float64) *simulatedRuns {
+func (t *Trial) simulateDampings(ignoring float64) *simulatedRuns {
 	runs := &simulatedRuns{recoveries: map[simulation.Damping][]simulation.Recovery{}}
 	for seed := range t.Seeds {
 		var simulating sync.WaitGroup
@@ -145,7 +148,7 @@
 }
 
 // printRecoveries prints the runs of one damping and returns in how many goodput never recovered.
-func (t *OverloadTrial) printRecoveries(ignoring float64, d simulation.Damping, recoveries []simulation.Recovery) (never int) {
+func (t *Trial) printRecoveries(ignoring float64, d simulation.Damping, recoveries []simulation.Recovery) (never int) {
 	var seconds []int
 	for _, r := range recoveries {
 		if r.SecondsToRecover < 0 {
@@ -176,7 +179,7 @@
 
 // runSchedulerRestarts restarts all schedulers two seconds after the machines are back, with and without the state of
 // their limiters.
-func (t *OverloadTrial) runSchedulerRestarts() {
+func (t *Trial) runSchedulerRestarts() {
 	for _, drop := range []bool{false, true} {
 		s := restartSimulation(1, simulation.Limited)
 		s.SchedulersRestartAt, s.DropLimiterState = 14*scheduler.Second, drop
@@ -211,7 +214,7 @@
 
 // runCalm plays an ordinary time without and with the limit: it must shed next to nothing and cost no start within the
 // latency objective.
-func (t *OverloadTrial) runCalm() bool {
+func (t *Trial) runCalm() bool {
 	without, with := runCalm(simulation.NoDamping), runCalm(simulation.Limited)
 	report.Printf(
 		t.Out,
@@ -239,17 +242,17 @@
 )
 
 // runSockets plays it with real schedulers; kept reports whether the rules were kept and no machine was overloaded.
-func (t *OverloadTrial) runSockets(
-	s *Scenario,
+func (t *Trial) runSockets(
+	s *scenario.Scenario,
 	dir string,
 	d simulation.Damping,
 	seed uint64,
 ) (r simulation.Recovery, kept bool, err error) {
-	c, err := StartCluster(s, dir, t.Program(d == simulation.Limited))
+	c, err := cluster.Start(s.Spec, dir, t.Program(d == simulation.Limited))
 	if err != nil {
 		return r, false, err
 	}
-	defer c.shutdown()
+	defer c.Shutdown()
 	began := time.Now()
 	measured := newGoodputMeter(c, began, int(s.Length.Seconds()))
 	c.Clients.OnPlaced = measured.placed
@@ -261,8 +264,8 @@
 	}
 	time.Sleep(time.Until(began.Add(s.Length)))
 	c.Clients.SetRate(0)
-	c.waitForReplies(s.Settle)
-	overloaded := c.countOverloaded()
+	c.WaitForReplies(s.Settle)
+	overloaded := c.CountOverloaded()
 	tally := c.Clients.Close()
 	findings, err := c.CloseAndAudit()
 	if err != nil {
@@ -307,12 +310,12 @@
 	perSecond []float64
 }
 
-func newGoodputMeter(c *Cluster, began time.Time, seconds int) *goodputMeter {
+func newGoodputMeter(c *cluster.Cluster, began time.Time, seconds int) *goodputMeter {
 	return &goodputMeter{classes: c.Config.Policy.WorkloadClasses, began: began, perSecond: make([]float64, seconds)}
 }
 
 func (g *goodputMeter) placed(class int, took time.Duration) {
-	objective := time.Duration(g.classes[class].LatencyObjective) * tick
+	objective := time.Duration(g.classes[class].LatencyObjective) * process.Tick
 	if second := int(time.Since(g.began).Seconds()); took <= objective && second < len(g.perSecond) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
--- a/internal/testbed/scenario/restart_commits.go
+++ b/internal/testbed/trials/restart/commits.go
@@ -1,4 +1,4 @@
-package scenario
+package restart
 
 import (
 	"errors"
@@ -24,7 +24,7 @@
 }
 
 // measureCommits measures the log with and without group commit, on the disk that there is.
-func (t *RestartTrial) measureCommits(dir string) error {
+func (t *Trial) measureCommits(dir string) error {
 	for _, syncEach := range []bool{true, false} {
 		if err := t.measureCommitsOf(fmt.Sprint(dir, syncEach), syncEach); err != nil {
 			return err
@@ -33,7 +33,7 @@
 	return nil
 }
 
-func (t *RestartTrial) measureCommitsOf(dir string, syncEach bool) (err error) {
+func (t *Trial) measureCommitsOf(dir string, syncEach bool) (err error) {
 	const writers = 64
 	fs, err := vfs.OpenLocked(dir)
 	if err != nil {
--- a/internal/testbed/scenario/restart_client.go
+++ b/internal/testbed/trials/restart/jobclient.go
@@ -1,4 +1,4 @@
-package scenario
+package restart
 
 import (
 	"fmt"
@@ -7,17 +7,19 @@
 	"net/http"
 	"slices"
 	"time"
+
+	"glenport/internal/testbed/process"
 )
 
 // acknowledgedJob is what the API acknowledged last of a job.
 type acknowledgedJob struct {
-	spec    jobSpec
+	spec    process.JobSpec
 	version int64
 }
 
 // jobClient creates, changes and deletes jobs all the time, retrying each change until it is acknowledged.
 type jobClient struct {
-	*controllerProcess
+	*process.Controller
 	jobs         map[string]acknowledgedJob
 	acknowledged int
 	retries      int
@@ -27,7 +29,7 @@
 // jobChange is one request to the API.
 type jobChange struct {
 	method, path, key string
-	spec              jobSpec
+	spec              process.JobSpec
 }
 
 // changeJobs changes random jobs until stop is closed.
@@ -50,8 +52,8 @@
 func (c *jobClient) nextChange(r *rand.Rand) jobChange {
 	id := fmt.Sprint("job-", r.IntN(24))
 	job, exists := c.jobs[id]
-	workloads := []string{workloadMatcher, workloadAtMostOnce, workloadReport}
-	spec := newJobSpec(id, workloads[r.IntN(len(workloads))], 1+r.IntN(4), 0.1, 0.1)
+	workloads := []string{process.WorkloadMatcher, process.WorkloadAtMostOnce, process.WorkloadReport}
+	spec := process.NewJobSpec(id, workloads[r.IntN(len(workloads))], 1+r.IntN(4), 0.1, 0.1)
 	if !exists {
 		return jobChange{method: http.MethodPost, path: "/v1/jobs", spec: spec}
 	}
@@ -69,7 +71,7 @@
 		body = change.spec
 	}
 	for try := 1; ; try++ {
-		status, version, err := c.changeJob(change.method, change.path, change.key, body)
+		status, version, err := c.ChangeJob(change.method, change.path, change.key, body)
 		deletedBefore := change.method == http.MethodDelete && status == http.StatusNotFound && try > 1
 		if err == nil && status < http.StatusMultipleChoices || deletedBefore {
 			c.acknowledge(change, version)
--- a/internal/testbed/scenario/restart_kills.go
+++ b/internal/testbed/trials/restart/kills.go
@@ -1,4 +1,4 @@
-package scenario
+package restart
 
 import (
 	"fmt"
@@ -14,8 +14,11 @@
 	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
 	"glenport/internal/testbed/audit"
+	"glenport/internal/testbed/cluster"
 	"glenport/internal/testbed/emulator"
+	"glenport/internal/testbed/process"
 	"glenport/internal/testbed/report"
+	"glenport/internal/testbed/scenario"
 	"glenport/scheduler"
 )
 
@@ -27,8 +30,8 @@
 	kills      int64 // of schedulers, in all
 	seed       uint64
 	dir        string
-	cluster    *Cluster
-	controller *controllerProcess
+	cluster    *cluster.Cluster
+	controller *process.Controller
 	client     *jobClient
 
 	schedulerKills  atomic.Int64
@@ -41,18 +44,18 @@
 }
 
 // killProcesses kills schedulers and the controller under load and reports whether all held.
-func (t *RestartTrial) killProcesses(s *Scenario, dir string, program []string) (bool, error) {
-	c, err := StartCluster(s, dir, program)
+func (t *Trial) killProcesses(s *scenario.Scenario, dir string, program []string) (bool, error) {
+	c, err := cluster.Start(s.Spec, dir, program)
 	if err != nil {
 		return false, err
 	}
-	defer c.shutdown()
+	defer c.Shutdown()
 	r := &killRun{kills: int64(t.Kills), seed: s.Seed, dir: dir, cluster: c}
-	if r.controller, err = c.startController(program[0], c.Clients.SchedulerAddrs, r.controllerState()); err != nil {
+	if r.controller, err = c.StartController(program[0], c.Clients.SchedulerAddrs, r.controllerState()); err != nil {
 		return false, err
 	}
-	defer r.controller.terminate()
-	r.client = &jobClient{controllerProcess: r.controller, jobs: map[string]acknowledgedJob{}}
+	defer r.controller.Terminate()
+	r.client = &jobClient{Controller: r.controller, jobs: map[string]acknowledgedJob{}}
 	began := time.Now()
 	c.Clients.Start(s.Rate/2, s.Seed)
 	over := make(chan struct{})
@@ -62,11 +65,11 @@
 	length := time.Since(began)
 	c.Clients.SetRate(0)
 	wanted, running := r.waitSettled()
-	c.waitForReplies(s.Settle)
+	c.WaitForReplies(s.Settle)
 	close(over)
 	watching.Wait()
 	tally := c.Clients.Close()
-	r.controller.terminate()
+	r.controller.Terminate()
 	findings, err := c.CloseAndAudit()
 	if err != nil {
 		return false, err
@@ -94,7 +97,7 @@
 	return len(r.violations) == 0 && findings.Passed() && tally.DuplicateReplies == 0 && tally.Pending == 0, nil
 }
 
-func (t *RestartTrial) printKillAudit(tally *emulator.Tally, findings *audit.Report, violations []string) {
+func (t *Trial) printKillAudit(tally *emulator.Tally, findings *audit.Report, violations []string) {
 	report.Printf(
 		t.Out,
 		"owners: %d submitted, %d placed, %d answers too many, %d without one; record: %d frames, %d offers, %d yeses; cold machines "+
@@ -148,7 +151,7 @@
 // over reports whether the schedulers have had all their kills.
 func (r *killRun) over() bool { return r.schedulerKills.Load() >= r.kills }
 
-func (r *killRun) killScheduler(p *SchedulerProcess, random *rand.Rand) {
+func (r *killRun) killScheduler(p *process.Scheduler, random *rand.Rand) {
 	for r.schedulerKills.Add(1) <= r.kills {
 		time.Sleep(time.Duration(30+random.IntN(150)) * time.Millisecond)
 		r.cluster.KillScheduler(p)
@@ -164,10 +167,10 @@
 func (r *killRun) killController(random *rand.Rand) {
 	for !r.over() {
 		time.Sleep(time.Duration(300+random.IntN(500)) * time.Millisecond)
-		r.controller.signal(syscall.SIGKILL)
+		r.controller.Signal(syscall.SIGKILL)
 		r.controllerKills.Add(1)
 		r.checkFolder("keeper", r.controllerState())
-		if err := r.controller.launch(); err != nil {
+		if err := r.controller.Launch(); err != nil {
 			r.report("%v", err)
 			return
 		}
@@ -227,26 +230,26 @@
 func (r *killRun) waitSettled() (wanted, running int) {
 	wanted = r.client.wantedContainers()
 	var all struct{ Items []listedJob }
-	if err := waitUntil("the keeper answers", controllerTimeout, func() bool {
-		return r.controller.get("/v1/jobs?limit=1000", &all) == nil
+	if err := process.WaitUntil("the keeper answers", process.ControllerTimeout, func() bool {
+		return r.controller.Get("/v1/jobs?limit=1000", &all) == nil
 	}); err != nil {
 		r.report("%v", err)
 		return wanted, 0
 	}
 	r.client.compareJobs(all.Items, r.report)
-	err := waitUntil("every wanted container runs, by the machines' own word", time.Minute, func() bool {
+	err := process.WaitUntil("every wanted container runs, by the machines' own word", time.Minute, func() bool {
 		running = 0
 		for _, copies := range runningJobCopies(r.cluster) {
 			running += copies.count
 		}
-		return running == wanted && r.controller.countByState(stateRunning) == wanted
+		return running == wanted && r.controller.CountByState(process.StateRunning) == wanted
 	})
 	if err != nil {
 		r.report(
 			"%v: %d run, the API has %d, %d are wanted",
 			err,
 			running,
-			r.controller.countByState(stateRunning),
+			r.controller.CountByState(process.StateRunning),
 			wanted,
 		)
 		r.reportUnwanted()
@@ -273,7 +276,7 @@
 
 // runningJobCopies counts what runs of the jobs, by job, index and workload class, in the machines' own state: a job
 // that was deleted and created again with another class is another.
-func runningJobCopies(c *Cluster) map[string]runningCopies {
+func runningJobCopies(c *cluster.Cluster) map[string]runningCopies {
 	all := map[string]runningCopies{}
 	for _, m := range c.Machines {
 		for _, spec := range m.RunningContainers() {
--- a/internal/testbed/scenario/restart_lost.go
+++ b/internal/testbed/trials/restart/lost.go
@@ -1,4 +1,4 @@
-package scenario
+package restart
 
 import (
 	"fmt"
@@ -6,13 +6,15 @@
 	"path/filepath"
 	"time"
 
+	"glenport/internal/testbed/cluster"
 	"glenport/internal/testbed/report"
+	"glenport/internal/testbed/scenario"
 )
 
 // measureLost plays the same restart with and without the schedulers' persisted state: a zone restarts, a part of the
 // machines hangs, and then every scheduler is killed. What is counted is what clients submit in the ten seconds after
 // and do not get placed.
-func (t *RestartTrial) measureLost(s *Scenario, dir string, program []string) error {
+func (t *Trial) measureLost(s *scenario.Scenario, dir string, program []string) error {
 	for i, withState := range []bool{true, false, true, false} {
 		if err := t.measureLostOnce(s, filepath.Join(dir, fmt.Sprintf("lost-%d", i)), program, withState); err != nil {
 			return err
@@ -21,16 +23,16 @@
 	return nil
 }
 
-func (t *RestartTrial) measureLostOnce(s *Scenario, dir string, program []string, withState bool) error {
+func (t *Trial) measureLostOnce(s *scenario.Scenario, dir string, program []string, withState bool) error {
 	const measured = 10 * time.Second
-	c, err := StartCluster(s, dir, program)
+	c, err := cluster.Start(s.Spec, dir, program)
 	if err != nil {
 		return err
 	}
-	defer c.shutdown()
+	defer c.Shutdown()
 	c.Clients.Start(s.Rate*2, s.Seed)
 	time.Sleep(4 * time.Second)
-	if err := c.restartZoneAndHang(); err != nil {
+	if err := restartZoneAndHang(c); err != nil {
 		return err
 	}
 	time.Sleep(1500 * time.Millisecond)
@@ -59,13 +61,13 @@
 		submitted-placed,
 		late,
 	)
-	c.freezeAll(false)
+	c.FreezeAll(false)
 	c.Clients.Close()
 	return c.Close()
 }
 
 // restartZoneAndHang restarts the machines of the second zone and freezes a fifth of the others.
-func (c *Cluster) restartZoneAndHang() error {
+func restartZoneAndHang(c *cluster.Cluster) error {
 	const restartedZone, hangsEach = 1, 5
 	for i, m := range c.Machines {
 		switch {
--- a/internal/testbed/scenario/trial_restart.go
+++ b/internal/testbed/trials/restart/restart.go
@@ -1,4 +1,4 @@
-package scenario
+package restart
 
 import (
 	"fmt"
@@ -7,11 +7,12 @@
 
 	"glenport/internal/testbed/crashcheck"
 	"glenport/internal/testbed/report"
+	"glenport/internal/testbed/scenario"
 )
 
-// RestartTrial kills schedulers and the controller while they write, and looks for anything that was acknowledged and
+// Trial kills schedulers and the controller while they write, and looks for anything that was acknowledged and
 // is not there: in every folder after every kill, in the API and on the machines at the end, in the recording.
-type RestartTrial struct {
+type Trial struct {
 	Kills       int    // of schedulers; the controller is killed a tenth as often
 	LogSizes    []int  // containers in the log at a start that is timed
 	MeasureLost bool   // measure the starts lost after a restart
@@ -20,7 +21,7 @@
 }
 
 // Run reports whether all held.
-func (t *RestartTrial) Run(s *Scenario, dir string, program []string) (bool, error) {
+func (t *Trial) Run(s *scenario.Scenario, dir string, program []string) (bool, error) {
 	ok := t.checkCrashStates()
 	if t.Sabotage != "" {
 		return ok, nil
@@ -48,7 +49,7 @@
 
 // checkCrashStates walks through the states that a crash may leave. A violation is printed; it is a result of the
 // trial, not an error.
-func (t *RestartTrial) checkCrashStates() bool {
+func (t *Trial) checkCrashStates() bool {
 	const histories = 5
 	var sum crashcheck.Check
 	for seed := uint64(1); seed <= histories; seed++ {
--- a/internal/testbed/scenario/restart_start.go
+++ b/internal/testbed/trials/restart/start.go
@@ -1,4 +1,4 @@
-package scenario
+package restart
 
 import (
 	"errors"
@@ -14,16 +14,21 @@
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
+	"glenport/internal/testbed/bench"
+	"glenport/internal/testbed/process"
 	"glenport/internal/testbed/report"
+	"glenport/internal/testbed/scenario"
 	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
 )
 
 const (
-	startMachines    = 20   // of the bench on which starts are timed
-	recordsPerCommit = 500  // of a log that is written in advance
-	containersPerJob = 1000 // of such a log
+	startMachines    = 20                       // of the bench on which starts are timed
+	loadServices     = 500                      // that the containers of a log belong to
+	submitTimeout    = protocol.Duration(40000) // 4 s
+	recordsPerCommit = 500                      // of a log that is written in advance
+	containersPerJob = 1000                     // of such a log
 	placeTimeout     = 20 * time.Second
 	longRuntime      = protocol.Duration(36_000_000) // an hour
 	atMostOnceClass  = 2
@@ -66,13 +71,13 @@
 
 // placeContainer submits one container and waits until it is placed.
 func placeContainer(address string, spec protocol.ContainerSpec) error {
-	c, err := dialProtocol(address, placeTimeout, protocol.NewHello(protocol.RoleClient, "restart", 1),
+	c, err := process.DialProtocol(address, placeTimeout, protocol.NewHello(protocol.RoleClient, "restart", 1),
 		&protocol.Submit{TimeToDeadline: submitTimeout, Spec: spec})
 	if err != nil {
 		return err
 	}
-	defer closeQuietly(c)
-	reply, err := readUntil[*protocol.PlacementReply](c)
+	defer process.CloseQuietly(c)
+	reply, err := process.ReadUntil[*protocol.PlacementReply](c)
 	if err != nil {
 		return err
 	}
@@ -84,13 +89,13 @@
 
 // measureStart times a start with n containers in the log: of a scheduler to its first container placed, of a
 // controller to the first that runs.
-func (t *RestartTrial) measureStart(s *Scenario, dir string, program []string, n int) error {
-	b, err := startBench(s.Template, dir, program, startMachines, false)
+func (t *Trial) measureStart(s *scenario.Scenario, dir string, program []string, n int) error {
+	b, err := bench.Start(s.Template, dir, program, startMachines, false)
 	if err != nil {
 		return err
 	}
-	defer b.close()
-	b.scheduler.Stop(syscall.SIGTERM) // it persists its machine list
+	defer b.Close()
+	b.Scheduler.Stop(syscall.SIGTERM) // it persists its machine list
 	if err := writeSchedulerLog(dir, n); err != nil {
 		return err
 	}
@@ -98,7 +103,7 @@
 		return err
 	}
 	state := filepath.Join(dir, "keeper.state")
-	if err := writeControllerLog(state, b.scheduler.Address, n); err != nil {
+	if err := writeControllerLog(state, b.Scheduler.Address, n); err != nil {
 		return err
 	}
 	return t.measureControllerStart(b, program[0], state, n)
@@ -120,9 +125,9 @@
 	})
 }
 
-func (t *RestartTrial) measureSchedulerStart(b *benchCluster, n int) error {
+func (t *Trial) measureSchedulerStart(b *bench.Cluster, n int) error {
 	began := time.Now()
-	if err := b.scheduler.Start(); err != nil {
+	if err := b.Scheduler.Start(); err != nil {
 		return err
 	}
 	listening := time.Since(began)
@@ -134,12 +139,12 @@
 		Memory:          1,
 		ExpectedRuntime: longRuntime,
 	}
-	if err := placeContainer(b.scheduler.Address, spec); err != nil {
+	if err := placeContainer(b.Scheduler.Address, spec); err != nil {
 		return err
 	}
 	first := time.Since(began)
 	spec.ContainerID, spec.IdempotencyKey, spec.WorkloadClass, spec.ClientRetry = "once", "once", atMostOnceClass, true
-	if err := placeContainer(b.scheduler.Address, spec); err != nil {
+	if err := placeContainer(b.Scheduler.Address, spec); err != nil {
 		return err
 	}
 	report.Printf(
@@ -160,8 +165,8 @@
 	if err := writeLog(folder, server.RecordJob, jobs, func(i int) (string, any) {
 		id := fmt.Sprint("j", i)
 		return id, server.JobRecord{Job: server.Job{
-			ID: id, Service: "s", WorkloadClass: workloadMatcher, Cores: 0.01, MemoryGiB: 0.01,
-			RunForMS: hourMS, Count: min(containersPerJob, n-i*containersPerJob), Version: int64(i + 1),
+			ID: id, Service: "s", WorkloadClass: process.WorkloadMatcher, Cores: 0.01, MemoryGiB: 0.01,
+			RunForMS: process.HourMS, Count: min(containersPerJob, n-i*containersPerJob), Version: int64(i + 1),
 		}}
 	}); err != nil {
 		return err
@@ -169,48 +174,43 @@
 	spec := controller.Spec{Service: "s", Tenant: 2, Cores: 0.01, Memory: 0.01, RunFor: scheduler.Time(longRuntime)}
 	return writeLog(folder, server.RecordContainer, n, func(i int) (string, any) {
 		job, index := fmt.Sprint("j", i/containersPerJob), i%containersPerJob
-		return fmt.Sprintf(
-			"%s.%d",
-			job,
-			index,
-		), server.ContainerRecord{
-			SchedulerAddress: schedulerAddress,
-			Container: controller.Container{
-				Job:            job,
-				Index:          index,
-				State:          controller.StateRunning,
-				Machine:        "machine-0000",
-				IdempotencyKey: fmt.Sprintf("%s/%d/%d", job, index, i),
-				RequestID:      fmt.Sprintf("%s/%d#%d", job, index, i),
-				Submitted:      true,
-				Starts:         1,
-				SubmittedSpec:  spec,
-			},
+		container := controller.Container{
+			Job:            job,
+			Index:          index,
+			State:          controller.StateRunning,
+			Machine:        "machine-0000",
+			IdempotencyKey: fmt.Sprintf("%s/%d/%d", job, index, i),
+			RequestID:      fmt.Sprintf("%s/%d#%d", job, index, i),
+			Submitted:      true,
+			Starts:         1,
+			SubmittedSpec:  spec,
 		}
+		return fmt.Sprintf("%s.%d", job, index),
+			server.ContainerRecord{SchedulerAddress: schedulerAddress, Container: container}
 	})
 }
 
-func (t *RestartTrial) measureControllerStart(b *benchCluster, program, state string, n int) error {
-	k, err := newController(b.dir, program, b.list.Addr().String(), []*SchedulerProcess{b.scheduler}, nil, state)
+func (t *Trial) measureControllerStart(b *bench.Cluster, program, state string, n int) error {
+	k, err := process.NewController(b.Dir, program, b.ListAddr(), []*process.Scheduler{b.Scheduler}, nil, state)
 	if err != nil {
 		return err
 	}
-	defer k.terminate()
+	defer k.Terminate()
 	began := time.Now()
-	if err := k.launch(); err != nil {
+	if err := k.Launch(); err != nil {
 		return err
 	}
-	if err := waitUntil(
+	if err := process.WaitUntil(
 		"the keeper answers",
 		30*time.Second,
-		func() bool { return k.get("/v1/jobs?limit=1", nil) == nil },
+		func() bool { return k.Get("/v1/jobs?limit=1", nil) == nil },
 	); err != nil {
 		return err
 	}
 	listening := time.Since(began)
-	if err := waitUntil("the first runs", 30*time.Second, func() bool {
+	if err := process.WaitUntil("the first runs", 30*time.Second, func() bool {
 		var all struct{ Items []any }
-		return k.get("/v1/containers?limit=1&field=state=running", &all) == nil && len(all.Items) > 0
+		return k.Get("/v1/containers?limit=1&field=state=running", &all) == nil && len(all.Items) > 0
 	}); err != nil {
 		return err
 	}
--- a/internal/testbed/scenario/trial_why.go
+++ b/internal/testbed/trials/why/why.go
@@ -1,4 +1,4 @@
-package scenario
+package why
 
 import (
 	"errors"
@@ -10,23 +10,27 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/cluster"
 	"glenport/internal/testbed/emulator"
+	"glenport/internal/testbed/process"
 	"glenport/internal/testbed/report"
+	"glenport/internal/testbed/scenario"
+	"glenport/internal/testbed/trials"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// WhyTrial starts a cluster with a controller, makes containers pend for known reasons, and compares what a client
+// Trial starts a cluster with a controller, makes containers pend for known reasons, and compares what a client
 // reads through the API with the state of the emulated machines themselves.
-type WhyTrial struct {
-	Cluster  *Cluster
+type Trial struct {
+	Cluster  *cluster.Cluster
 	Cycles   int  // of draining and filling; each holds four changes
 	Steps    int  // how many of the trial's steps are played; 0: all
 	Sabotage bool // read another code than the API returns, to show that the trial sees it
 	Out      io.Writer
 
-	*controllerProcess
-	missList
+	*process.Controller
+	trials.Runner
 	delays *hdrhistogram.Histogram // milliseconds
 	checks int
 }
@@ -34,54 +38,50 @@
 // reasonLimit is the time in which a client must read the true reason.
 const reasonLimit = time.Second
 
-// The workload classes and reason codes that the trials use.
+// The codes of reasons that the trial expects, and the limits of the settings that it knows.
 const (
-	workloadMatcher    = "matcher"
-	workloadAtMostOnce = "corpus-merge"
-	workloadReport     = "report-run"
-	workloadLargeOnly  = "on-large"
-	reasonNoMachine    = "no_machine"
-	reasonNoRoom       = "no_room"
-	reasonNoScheduler  = "no_placer"
-	reasonFencing      = "guard"
-	reasonBackingOff   = "backing_off"
-	reasonZoneDrains   = "hall_drains"
-	reasonListAway     = "list_away"
-	reasonSpreadFull   = "spread_full"
-	placementTimeout   = 4 * time.Second // of the trial's at-most-once work
-	listSilenceLimit   = 4 * time.Second // after which the list counts as unavailable
-	spreadTimeout      = time.Minute
+	reasonNoMachine   = "no_machine"
+	reasonNoRoom      = "no_room"
+	reasonNoScheduler = "no_placer"
+	reasonFencing     = "guard"
+	reasonBackingOff  = "backing_off"
+	reasonZoneDrains  = "hall_drains"
+	reasonListAway    = "list_away"
+	reasonSpreadFull  = "spread_full"
+	placementTimeout  = 4 * time.Second // of the trial's at-most-once work
+	listSilenceLimit  = 4 * time.Second // after which the list counts as unavailable
+	spreadTimeout     = time.Minute
 )
 
 // Run plays the trial and reports whether all held.
-func (t *WhyTrial) Run(s *Scenario, dir string, program []string) (ok bool, err error) {
+func (t *Trial) Run(s *scenario.Scenario, dir string, program []string) (ok bool, err error) {
 	t.delays = hdrhistogram.New(1, 60_000, 3)
-	if t.Cluster, err = StartCluster(s, dir, program); err != nil {
+	if t.Cluster, err = cluster.Start(s.Spec, dir, program); err != nil {
 		return false, err
 	}
-	defer t.Cluster.shutdown()
-	if t.controllerProcess, err = t.Cluster.startController(program[0], nil, ""); err != nil {
+	defer t.Cluster.Shutdown()
+	if t.Controller, err = t.Cluster.StartController(program[0], nil, ""); err != nil {
 		return false, err
 	}
-	defer t.terminate()
-	steps := []trialStep{
-		{"drains and room", timed(t.playDrainsAndRoom)},
-		{"four reasons at once", timed(t.playCombinedReasons)},
-		{"spread", timed(t.playSpread)},
-		{"guard", timed(t.playFencing)},
-		{"scaled down in the guard", timed(t.playScaleDownWhileFenced)},
-		{"list away", timed(t.playListUnavailable)},
-		{"placers killed while the owner asks", timed(t.playSchedulersKilled)},
+	defer t.Terminate()
+	steps := []trials.Step{
+		{Name: "drains and room", Play: timed(t.playDrainsAndRoom)},
+		{Name: "four reasons at once", Play: timed(t.playCombinedReasons)},
+		{Name: "spread", Play: timed(t.playSpread)},
+		{Name: "guard", Play: timed(t.playFencing)},
+		{Name: "scaled down in the guard", Play: timed(t.playScaleDownWhileFenced)},
+		{Name: "list away", Play: timed(t.playListUnavailable)},
+		{Name: "placers killed while the owner asks", Play: timed(t.playSchedulersKilled)},
 	}
 	if t.Steps > 0 {
 		steps = steps[:min(t.Steps, len(steps))]
 	}
-	if err := t.playSteps(t.Out, 38, steps); err != nil {
+	if err := t.Play(t.Out, 38, steps); err != nil {
 		return false, err
 	}
 	report.Printf(t.Out, "%d changes: the true reason was read after p50 %d ms, p99 %d ms, worst %d ms\n", t.checks,
 		t.delays.ValueAtQuantile(50), t.delays.ValueAtQuantile(99), t.delays.Max())
-	return t.passed(), nil
+	return t.Passed(), nil
 }
 
 // timed makes a step of a function: its figures are the time that it took.
@@ -124,9 +124,9 @@
 }
 
 // codes reads a container's reasons.
-func (t *WhyTrial) codes(container string) (map[string]bool, pendingReasons, error) {
+func (t *Trial) codes(container string) (map[string]bool, pendingReasons, error) {
 	var answer pendingReasons
-	if err := t.get("/v1/containers/"+container+"/why", &answer); err != nil {
+	if err := t.Get("/v1/containers/"+container+"/why", &answer); err != nil {
 		return nil, answer, err
 	}
 	codes := map[string]bool{}
@@ -168,13 +168,13 @@
 }
 
 // expect waits until the client reads the codes wanted and none of those excluded.
-func (t *WhyTrial) expect(what, container string, since time.Time, want, not []string) error {
+func (t *Trial) expect(what, container string, since time.Time, want, not []string) error {
 	return t.expectMatching(expectation{what: what, container: container, since: since, want: want, not: not})
 }
 
 // expectMatching waits until what is read meets an expectation. It records the delay, and a miss if that is longer
 // than reasonLimit.
-func (t *WhyTrial) expectMatching(e expectation) error {
+func (t *Trial) expectMatching(e expectation) error {
 	t.checks++
 	for wrong := (pendingReasons{}); ; time.Sleep(10 * time.Millisecond) {
 		codes, answer, err := t.codes(e.container)
@@ -186,7 +186,7 @@
 		case e.met(codes, answer):
 			t.recordDelay(max(1, took.Milliseconds()))
 			if took > reasonLimit {
-				t.miss(
+				t.Miss(
 					"%s: the truth was read after %d ms, before that %s %+v",
 					e.what,
 					took.Milliseconds(),
@@ -197,7 +197,7 @@
 			return nil
 		case took > 5*reasonLimit:
 			read := slices.Sorted(maps.Keys(codes))
-			t.miss(
+			t.Miss(
 				"%s: read [%s], true is [%s] and not [%s]",
 				e.what,
 				strings.Join(read, " "),
@@ -211,12 +211,12 @@
 	}
 }
 
-func (t *WhyTrial) recordDelay(milliseconds int64) {
+func (t *Trial) recordDelay(milliseconds int64) {
 	_ = t.delays.RecordValue(milliseconds) // longer than its range is a miss already
 }
 
 // countFittingMachines counts, by the machines' own state, those that would accept a container.
-func (t *WhyTrial) countFittingMachines(cores, memory float64) int {
+func (t *Trial) countFittingMachines(cores, memory float64) int {
 	n := 0
 	for _, m := range t.Cluster.Machines {
 		s, ok := m.Status()
@@ -228,7 +228,7 @@
 	return n
 }
 
-func (t *WhyTrial) drain(on bool, which func(*emulator.Machine) bool) {
+func (t *Trial) drain(on bool, which func(*emulator.Machine) bool) {
 	state := protocol.MachineServing
 	if on {
 		state = protocol.MachineDraining
@@ -256,17 +256,17 @@
 
 // playDrainsAndRoom changes the reason of one pending container again and again: no room, then all that could run it
 // drain, then no room, then room.
-func (t *WhyTrial) playDrainsAndRoom() error {
+func (t *Trial) playDrainsAndRoom() error {
 	large := 0
 	for _, m := range t.Cluster.Machines {
 		if isLarge(m) {
 			large++
 		}
 	}
-	if err := t.createJob(fillerJob, workloadLargeOnly, large, fillerCores, fillerMemory); err != nil {
+	if err := t.CreateJob(fillerJob, process.WorkloadLargeOnly, large, fillerCores, fillerMemory); err != nil {
 		return err
 	}
-	if err := t.waitRunning(fillerJob, large); err != nil {
+	if err := t.WaitRunning(fillerJob, large); err != nil {
 		return err
 	}
 	for range t.Cycles {
@@ -281,12 +281,12 @@
 }
 
 // fullThenDraining submits one container more than fits, drains all machines that may run it and ends the drain.
-func (t *WhyTrial) fullThenDraining() error {
+func (t *Trial) fullThenDraining() error {
 	if n := t.countFittingMachines(fillerCores, fillerMemory); n != 0 {
 		return fmt.Errorf("the fleet was to be full, and has room on %d", n)
 	}
 	since := time.Now()
-	if err := t.createJob(pendingJob, workloadLargeOnly, 1, fillerCores, fillerMemory); err != nil {
+	if err := t.CreateJob(pendingJob, process.WorkloadLargeOnly, 1, fillerCores, fillerMemory); err != nil {
 		return err
 	}
 	if err := t.expect("full", pendingOne, since, []string{reasonNoRoom}, []string{reasonNoMachine}); err != nil {
@@ -309,17 +309,17 @@
 }
 
 // roomAgain scales the filler down by one, so that the pending container fits, and restores the fleet after that.
-func (t *WhyTrial) roomAgain(large int) error {
-	if err := t.replaceJob(fillerJob, workloadLargeOnly, large-1, fillerCores, fillerMemory); err != nil {
+func (t *Trial) roomAgain(large int) error {
+	if err := t.ReplaceJob(fillerJob, process.WorkloadLargeOnly, large-1, fillerCores, fillerMemory); err != nil {
 		return err
 	}
-	placed := func() bool { return t.countContainers(pendingJob, stateRunning) > 0 }
-	if err := waitUntil("the stand-in has room", 5*time.Second, func() bool {
+	placed := func() bool { return t.CountContainers(pendingJob, process.StateRunning) > 0 }
+	if err := process.WaitUntil("the stand-in has room", 5*time.Second, func() bool {
 		return t.countFittingMachines(fillerCores, fillerMemory) > 0 || placed()
 	}); err != nil {
 		return err
 	}
-	if since := time.Now(); t.countContainers(pendingJob, stateRunning) == 0 {
+	if since := time.Now(); t.CountContainers(pendingJob, process.StateRunning) == 0 {
 		// The machine with room may be excluded for another reason: it drained a moment ago, and rejected work then.
 		// But no more machines may be reported as full than are.
 		if err := t.expectMatching(expectation{
@@ -332,21 +332,21 @@
 			return err
 		}
 	}
-	if err := t.deleteJob(pendingJob); err != nil {
+	if err := t.DeleteJob(pendingJob); err != nil {
 		return err
 	}
-	if err := t.replaceJob(fillerJob, workloadLargeOnly, large, fillerCores, fillerMemory); err != nil {
+	if err := t.ReplaceJob(fillerJob, process.WorkloadLargeOnly, large, fillerCores, fillerMemory); err != nil {
 		return err
 	}
-	return t.waitRunning(fillerJob, large)
+	return t.WaitRunning(fillerJob, large)
 }
 
 // playCombinedReasons drains a whole zone while the rest is full of the pending container's own service and other work,
 // so that several reasons hold at once, each by the machines' own state.
-func (t *WhyTrial) playCombinedReasons() error {
+func (t *Trial) playCombinedReasons() error {
 	since := time.Now()
 	t.drain(true, inFirstZone)
-	if err := t.createJob(pendingJob, workloadLargeOnly, 1, fillerCores, fillerMemory); err != nil {
+	if err := t.CreateJob(pendingJob, process.WorkloadLargeOnly, 1, fillerCores, fillerMemory); err != nil {
 		return err
 	}
 	if err := t.expect("a hall drains, the rest is full", pendingOne, since,
@@ -371,41 +371,41 @@
 	}
 	t.Cluster.List.SetUnreachable(false)
 	t.drain(false, inFirstZone)
-	if err := t.deleteJob(pendingJob); err != nil {
+	if err := t.DeleteJob(pendingJob); err != nil {
 		return err
 	}
-	return t.deleteJob(fillerJob)
+	return t.DeleteJob(fillerJob)
 }
 
 // spreadCapacity is how many containers of an at-most-once service fit by its spread: two a machine at each scheduler.
-func (t *WhyTrial) spreadCapacity() int {
+func (t *Trial) spreadCapacity() int {
 	return 2 * len(t.Cluster.Machines) * len(t.Cluster.Schedulers)
 }
 
 // playSpread submits more of a service than its spread leaves room for.
-func (t *WhyTrial) playSpread() error {
+func (t *Trial) playSpread() error {
 	const job = "spread"
 	capacity := t.spreadCapacity()
-	if err := t.createJob(job, workloadAtMostOnce, capacity+4, 0.1, 0.1); err != nil {
+	if err := t.CreateJob(job, process.WorkloadAtMostOnce, capacity+4, 0.1, 0.1); err != nil {
 		return err
 	}
-	if err := waitUntil(
+	if err := process.WaitUntil(
 		"the spread is full",
 		spreadTimeout,
-		func() bool { return t.countContainers(job, stateRunning) >= capacity-2 },
+		func() bool { return t.CountContainers(job, process.StateRunning) >= capacity-2 },
 	); err != nil {
 		return err
 	}
 	// One scheduler's places may be full while the other has one; the true reason is that of the scheduler asked.
-	if err := waitUntil(
+	if err := process.WaitUntil(
 		"both placers are full",
 		spreadTimeout,
-		func() bool { return t.countContainers(job, stateRunning) == capacity },
+		func() bool { return t.CountContainers(job, process.StateRunning) == capacity },
 	); err != nil {
 		return err
 	}
 	var pending struct{ Items []struct{ ID string } }
-	if err := t.get("/v1/containers?limit=1000&field=job=spread,state!=running", &pending); err != nil {
+	if err := t.Get("/v1/containers?limit=1000&field=job=spread,state!=running", &pending); err != nil {
 		return fmt.Errorf("list the pending containers of the spread job: %w", err)
 	}
 	if len(pending.Items) == 0 {
@@ -421,88 +421,88 @@
 	); err != nil {
 		return err
 	}
-	return t.deleteJob(job)
+	return t.DeleteJob(job)
 }
 
 // playFencing loses the reply to an at-most-once attempt: nothing may be done for the fencing delay, and then it is.
-func (t *WhyTrial) playFencing() error {
+func (t *Trial) playFencing() error {
 	const job, first = "guarded", "guarded.0"
-	t.Cluster.freezeAll(true)
+	t.Cluster.FreezeAll(true)
 	since := time.Now()
-	if err := t.createJob(job, workloadAtMostOnce, 2, 0.1, 0.1); err != nil {
+	if err := t.CreateJob(job, process.WorkloadAtMostOnce, 2, 0.1, 0.1); err != nil {
 		return err
 	}
 	err := t.expect("given up, and it may run", first, since.Add(placementTimeout), []string{reasonFencing}, nil)
 	_, answer, readErr := t.codes(first)
-	t.Cluster.freezeAll(false)
+	t.Cluster.FreezeAll(false)
 	if err := errors.Join(err, readErr); err != nil {
 		return err
 	}
 	fencing, _ := answer.find(reasonFencing) // its time, if it is missing, is a miss below
 	ends := time.UnixMilli(fencing.UntilMS)
 	if left := time.Until(ends); left <= 0 || left > 9*time.Second {
-		t.miss("the guard is said to end in %v", left)
+		t.Miss("the guard is said to end in %v", left)
 		return nil
 	}
 	time.Sleep(time.Until(ends))
 	if err := t.expect("the guard is over", first, ends, nil, []string{reasonFencing}); err != nil {
 		return err
 	}
-	if err := t.waitRunning(job, 2); err != nil {
+	if err := t.WaitRunning(job, 2); err != nil {
 		return err
 	}
-	return t.deleteJob(job)
+	return t.DeleteJob(job)
 }
 
 // connectAllMachines uses every machine once. A freeze before has cost connections; an attempt over a connection that
 // is not up provably never runs, and needs no fencing.
-func (t *WhyTrial) connectAllMachines() error {
+func (t *Trial) connectAllMachines() error {
 	const job = "warm"
 	capacity := t.spreadCapacity()
-	if err := t.createJob(job, workloadAtMostOnce, capacity, 0.1, 0.1); err != nil {
+	if err := t.CreateJob(job, process.WorkloadAtMostOnce, capacity, 0.1, 0.1); err != nil {
 		return err
 	}
-	if err := waitUntil(
+	if err := process.WaitUntil(
 		"every machine is in use again",
 		spreadTimeout,
-		func() bool { return t.countContainers(job, stateRunning) == capacity },
+		func() bool { return t.CountContainers(job, process.StateRunning) == capacity },
 	); err != nil {
 		return err
 	}
-	return t.deleteJob(job)
+	return t.DeleteJob(job)
 }
 
 // playScaleDownWhileFenced scales a job down while its containers are fenced: none of them may be left running.
-func (t *WhyTrial) playScaleDownWhileFenced() error {
+func (t *Trial) playScaleDownWhileFenced() error {
 	const job = "shrinks"
 	if err := t.connectAllMachines(); err != nil {
 		return err
 	}
-	t.Cluster.freezeAll(true)
+	t.Cluster.FreezeAll(true)
 	since := time.Now()
-	if err := t.createJob(job, workloadAtMostOnce, 2, 0.1, 0.1); err != nil {
+	if err := t.CreateJob(job, process.WorkloadAtMostOnce, 2, 0.1, 0.1); err != nil {
 		return err
 	}
 	err := t.expect("in the guard", "shrinks.1", since.Add(placementTimeout), []string{reasonFencing}, nil)
 	if err == nil {
-		err = t.replaceJob(job, workloadAtMostOnce, 0, 0.1, 0.1)
+		err = t.ReplaceJob(job, process.WorkloadAtMostOnce, 0, 0.1, 0.1)
 	}
-	t.Cluster.freezeAll(false)
+	t.Cluster.FreezeAll(false)
 	if err != nil {
 		return err
 	}
-	if err := t.deleteJob(job); err != nil {
+	if err := t.DeleteJob(job); err != nil {
 		return err
 	}
-	return waitUntil("nothing of it runs", 10*time.Second, func() bool { return t.Cluster.countRunning() == 0 })
+	return process.WaitUntil("nothing of it runs", 10*time.Second, func() bool { return t.Cluster.CountRunning() == 0 })
 }
 
 // unplaceableJob has a container that never runs: no machine is large enough.
 const unplaceableJob, unplaceableOne = "huge", "huge.0"
 
-func (t *WhyTrial) playListUnavailable() error {
+func (t *Trial) playListUnavailable() error {
 	since := time.Now()
-	if err := t.createJob(unplaceableJob, workloadMatcher, 1, 500, 1); err != nil {
+	if err := t.CreateJob(unplaceableJob, process.WorkloadMatcher, 1, 500, 1); err != nil {
 		return err
 	}
 	if err := t.expect(
@@ -527,14 +527,14 @@
 	}
 	t.Cluster.List.SetUnreachable(false)
 	// The schedulers connect again after a backoff of their own; the reason must go within a second after that.
-	return waitUntil("the list is heard again", 10*time.Second, func() bool {
+	return process.WaitUntil("the list is heard again", 10*time.Second, func() bool {
 		codes, _, err := t.codes(unplaceableOne)
 		return err == nil && !codes[reasonListAway]
 	})
 }
 
 // playSchedulersKilled kills all schedulers while the unplaceable container is pending.
-func (t *WhyTrial) playSchedulersKilled() error {
+func (t *Trial) playSchedulersKilled() error {
 	since := time.Now()
 	for _, p := range t.Cluster.Schedulers {
 		t.Cluster.KillScheduler(p)
@@ -556,5 +556,5 @@
 	if err := t.expect("and up again", unplaceableOne, time.Now(), nil, []string{reasonNoScheduler}); err != nil {
 		return err
 	}
-	return t.deleteJob(unplaceableJob)
+	return t.DeleteJob(unplaceableJob)
 }
