--- a/cmd/glenport-testbed/trial.go
+++ b/cmd/glenport-testbed/trial.go
@@ -4,7 +4,12 @@
 	"fmt"
 	"os"
 
+	"glenport/internal/testbed/crashcheck"
 	"glenport/internal/testbed/scenario"
+	"glenport/internal/testbed/trials/bgp"
+	"glenport/internal/testbed/trials/overload"
+	"glenport/internal/testbed/trials/restart"
+	"glenport/internal/testbed/trials/why"
 
 	"github.com/spf13/cobra"
 )
@@ -52,7 +57,7 @@
 
 func whyTrialCommand() *cobra.Command {
 	var dir string
-	t := &scenario.WhyTrial{Out: os.Stdout}
+	t := &why.Trial{Out: os.Stdout}
 	c := &cobra.Command{
 		Use:     "why",
 		Short:   "Clients read the true reason why their containers are pending, within a second",
@@ -83,7 +88,7 @@
 
 func bgpTrialCommand() *cobra.Command {
 	var dir, sabotage string
-	t := &scenario.BGPTrial{Out: os.Stdout}
+	t := &bgp.Trial{Out: os.Stdout}
 	c := &cobra.Command{
 		Use:     "bgp",
 		Short:   "Addresses are announced while containers run, in time and without storms",
@@ -118,14 +123,14 @@
 func restartTrialCommand() *cobra.Command {
 	var dir string
 	var short bool
-	t := &scenario.RestartTrial{Out: os.Stdout}
+	t := &restart.Trial{Out: os.Stdout}
 	c := &cobra.Command{
 		Use:     "restart",
 		Short:   "Nothing that was acknowledged is lost when programs are killed while they write",
 		Args:    cobra.NoArgs,
 		Example: "  glenport-testbed trial restart --short --kills 60",
 		RunE: func(*cobra.Command, []string) error {
-			if t.Sabotage != "" && t.Sabotage != scenario.SabotageSync && t.Sabotage != scenario.SabotageChecksum {
+			if t.Sabotage != "" && t.Sabotage != crashcheck.SabotageSync && t.Sabotage != crashcheck.SabotageChecksum {
 				return fmt.Errorf("--sabotage %q is neither sync nor checksum", t.Sabotage)
 			}
 			t.LogSizes, t.MeasureLost = []int{100, 10_000, 100_000}, true
@@ -157,7 +162,7 @@
 func overloadTrialCommand() *cobra.Command {
 	var dir string
 	var schedulers int
-	t := &scenario.OverloadTrial{IgnoringClients: 0.5, Out: os.Stdout}
+	t := &overload.Trial{IgnoringClients: 0.5, Out: os.Stdout}
 	c := &cobra.Command{
 		Use:     "storm",
 		Short:   "When most of a fleet restarts at once, what follows is not worse than that",
--- a/internal/testbed/scenario/load_api.go
+++ b/internal/testbed/load/api.go
@@ -1,4 +1,4 @@
-package scenario
+package load
 
 import (
 	"bufio"
@@ -11,6 +11,10 @@
 	"sync/atomic"
 	"time"
 
+	"glenport/internal/testbed/bench"
+	"glenport/internal/testbed/process"
+	"glenport/internal/testbed/report"
+
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
@@ -43,60 +47,55 @@
 func (d *delays) quantile(q float64) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return quantileMS(d.histogram, q)
-}
-
-// quantileMS is a quantile, in milliseconds, of a histogram in microseconds.
-func quantileMS(h *hdrhistogram.Histogram, q float64) float64 {
-	return float64(h.ValueAtQuantile(q)) / 1000
+	return report.QuantileMS(d.histogram, q)
 }
 
 // MeasureAPI measures a controller with many containers pending: what a why costs, how many requests it answers a
 // second, and how long a change takes to many watchers.
 func MeasureAPI(template, dir string, program []string, machines, waiting, watchers int, out io.Writer) error {
-	b, err := startBench(template, dir, program, machines, true)
+	b, err := bench.Start(template, dir, program, machines, true)
 	if err != nil {
 		return err
 	}
-	defer b.close()
-	k, err := b.startController(program[0], machines)
+	defer b.Close()
+	k, err := b.StartController(program[0], machines)
 	if err != nil {
 		return err
 	}
-	defer k.terminate()
-	if err := k.createPending(waiting); err != nil {
+	defer k.Terminate()
+	if err := createPending(k, waiting); err != nil {
 		return err
 	}
 	api := &apiReader{
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}},
-		base:   "http://" + k.api,
+		base:   "http://" + k.APIAddr,
 	}
 	whys, err := api.measureWhy(waiting)
 	if err != nil {
 		return err
 	}
-	printf(out, "why, %d containers waiting, %d machines: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms\n", waiting, machines,
+	report.Printf(out, "why, %d containers waiting, %d machines: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms\n", waiting, machines,
 		whys.quantile(50), whys.quantile(99), whys.quantile(99.9))
 	rate, err := api.measureRequests()
 	if err != nil {
 		return err
 	}
-	printf(out, "requests answered: %.0f a second, %d clients\n", rate, requestClients)
-	return k.measureFanOut(watchers, out)
+	report.Printf(out, "requests answered: %.0f a second, %d clients\n", rate, requestClients)
+	return measureFanOut(k, watchers, out)
 }
 
 // createPending creates a job whose containers pend, and waits until the last of them does.
-func (k *controllerProcess) createPending(n int) error {
-	if err := k.createJob(waitingJob, workloadMatcher, n, 1, 1); err != nil {
+func createPending(k *process.Controller, n int) error {
+	if err := k.CreateJob(waitingJob, process.WorkloadMatcher, n, 1, 1); err != nil {
 		return err
 	}
-	err := waitUntil("all wait", time.Minute, func() bool {
+	err := process.WaitUntil("all wait", time.Minute, func() bool {
 		var all struct{ Items []any }
-		return k.get(
+		return k.Get(
 			fmt.Sprintf("/v1/containers?limit=1000&after=%s.%d&field=state=waiting", waitingJob, n-2),
 			&all,
 		) == nil &&
-			k.get("/v1/containers/"+waitingJob+".0/why", nil) == nil &&
+			k.Get("/v1/containers/"+waitingJob+".0/why", nil) == nil &&
 			len(all.Items) > 0
 	})
 	time.Sleep(3 * time.Second) // the schedulers' first retries are over
@@ -114,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	defer closeQuietly(response.Body)
+	defer process.CloseQuietly(response.Body)
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		return err
 	}
@@ -163,8 +162,8 @@
 }
 
 // measureFanOut changes a job and measures when each watcher reads of it.
-func (k *controllerProcess) measureFanOut(watchers int, out io.Writer) error {
-	if err := k.createJob(watchedJob, workloadMatcher, 0, 1, 1); err != nil {
+func measureFanOut(k *process.Controller, watchers int, out io.Writer) error {
+	if err := k.CreateJob(watchedJob, process.WorkloadMatcher, 0, 1, 1); err != nil {
 		return err
 	}
 	f := &fanOut{delays: newDelays()}
@@ -172,28 +171,28 @@
 	ready.Add(watchers)
 	for range watchers {
 		watching.Go(func() {
-			events, err := k.watch("jobs")
+			events, err := k.Watch("jobs")
 			ready.Done()
 			if err != nil {
 				f.missed.Add(watchedChanges)
 				return
 			}
-			defer closeQuietly(events)
+			defer process.CloseQuietly(events)
 			f.readChanges(events)
 		})
 	}
 	ready.Wait()
 	for i := range watchedChanges {
-		job := newJobSpec(watchedJob, workloadMatcher, 0, 1, 1)
+		job := process.NewJobSpec(watchedJob, process.WorkloadMatcher, 0, 1, 1)
 		job.RunForMS = i + 1 // by which watchers know the change
 		f.sent[i].Store(time.Now().UnixNano())
-		if err := k.do(http.MethodPut, "/v1/jobs/"+watchedJob, job, nil); err != nil {
+		if err := k.Do(http.MethodPut, "/v1/jobs/"+watchedJob, job, nil); err != nil {
 			return err
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	watching.Wait()
-	printf(
+	report.Printf(
 		out,
 		"%d watchers, %d changes: from the request to the line p50 %.1f ms, p99 %.1f ms, worst %.1f ms; %d lines missed\n",
 		watchers,
--- a/internal/testbed/scenario/restart_commits.go
+++ b/internal/testbed/trials/restart/commits.go
@@ -1,4 +1,4 @@
-package scenario
+package restart
 
 import (
 	"errors"
@@ -9,6 +9,7 @@
 
 	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
+	"glenport/internal/testbed/report"
 )
 
 // commitStats counts the commits of concurrent writers; times are in microseconds.
@@ -23,7 +24,7 @@
 }
 
 // measureCommits measures the log with and without group commit, on the disk that there is.
-func (t *RestartTrial) measureCommits(dir string) error {
+func (t *Trial) measureCommits(dir string) error {
 	for _, syncEach := range []bool{true, false} {
 		if err := t.measureCommitsOf(fmt.Sprint(dir, syncEach), syncEach); err != nil {
 			return err
@@ -32,7 +33,7 @@
 	return nil
 }
 
-func (t *RestartTrial) measureCommitsOf(dir string, syncEach bool) (err error) {
+func (t *Trial) measureCommitsOf(dir string, syncEach bool) (err error) {
 	const writers = 64
 	fs, err := vfs.OpenLocked(dir)
 	if err != nil {
@@ -55,7 +56,7 @@
 		return err
 	}
 	counters := log.Counters()
-	printf(
+	report.Printf(
 		t.Out,
 		"commits, %d clients, group commit %v: %.0f a second, mean %.2f ms, worst %.1f ms; %d syncs of mean %.3f ms\n",
 		writers,
