--- a/internal/schedulerd/admission/admission.go
+++ b/internal/schedulerd/admission/admission.go
@@ -60,7 +60,7 @@
 	return connected
 }
 
-// CheckLimits returns a *Rejection where one of the limits is reached for a further request of a client.
+// CheckLimits returns a *RejectionError where one of the limits is reached for a further request of a client.
 func (c *Controller) CheckLimits(client ClientID) error {
 	if c.openRequests >= c.limits.OpenRequests {
 		return whenFull(LimitOpenRequests, c.openRequests)
@@ -72,11 +72,11 @@
 }
 
 func whenFull(limit Limit, current int) error {
-	return &Rejection{Cause: &LimitError{Limit: limit, Current: current}, RetryAfter: retryAfterWhenFull}
+	return &RejectionError{Cause: &LimitError{Limit: limit, Current: current}, RetryAfter: retryAfterWhenFull}
 }
 
-// Open admits a request within the limits and counts it as open, or returns a *Rejection where load is shed. Changes
-// are overload.SheddingStarted and overload.SheddingEnded, in order.
+// Open admits a request within the limits and counts it as open, or returns a *RejectionError where load is shed.
+// Changes are overload.SheddingStarted and overload.SheddingEnded, in order.
 func (c *Controller) Open(
 	now scheduler.Time,
 	client ClientID,
@@ -106,7 +106,7 @@
 	for _, a := range c.limiter.Handle(now, received) {
 		switch a := a.(type) {
 		case overload.Shed:
-			err = &Rejection{Cause: &ShedError{Reason: a.Reason}, RetryAfter: a.RetryAfter}
+			err = &RejectionError{Cause: &ShedError{Reason: a.Reason}, RetryAfter: a.RetryAfter}
 		case overload.SheddingStarted, overload.SheddingEnded:
 			changes = append(changes, a)
 		}
--- a/internal/schedulerd/admission/admission_test.go
+++ b/internal/schedulerd/admission/admission_test.go
@@ -73,7 +73,7 @@
 				}
 				return
 			}
-			var rejection *Rejection
+			var rejection *RejectionError
 			var limit *LimitError
 			if !errors.As(err, &rejection) || !errors.As(err, &limit) {
 				t.Fatalf("%v is no rejection by a limit", err)
@@ -100,7 +100,7 @@
 			continue
 		}
 		shed++
-		var rejection *Rejection
+		var rejection *RejectionError
 		var cause *ShedError
 		if !errors.As(err, &rejection) || !errors.As(err, &cause) {
 			t.Fatalf("%v is no rejection by shedding", err)
--- a/internal/schedulerd/admission/errors.go
+++ b/internal/schedulerd/admission/errors.go
@@ -7,18 +7,18 @@
 	"glenport/scheduler"
 )
 
-// Rejection turns a request away. Nothing was sent to a machine for it, so a retry does no harm. Its text is given to
-// the client.
-type Rejection struct {
+// RejectionError turns a request away. Nothing was sent to a machine for it, so a retry does no harm. Its text is given
+// to the client.
+type RejectionError struct {
 	Cause      error
 	RetryAfter scheduler.Time // 0: a retry is of no use
 }
 
 // Error is the text of the cause.
-func (r *Rejection) Error() string { return r.Cause.Error() }
+func (r *RejectionError) Error() string { return r.Cause.Error() }
 
 // Unwrap returns the cause.
-func (r *Rejection) Unwrap() error { return r.Cause }
+func (r *RejectionError) Unwrap() error { return r.Cause }
 
 // Limit names one of Limits.
 type Limit uint8
@@ -43,8 +43,9 @@
 		return fmt.Sprintf("%d owners are connected, no more are taken", e.Current)
 	case LimitOpenRequestsPerClient:
 		return fmt.Sprintf("%d containers of this owner are open, no more are taken", e.Current)
+	default:
+		return fmt.Sprintf("%d containers are open, no more are taken", e.Current)
 	}
-	return fmt.Sprintf("%d containers are open, no more are taken", e.Current)
 }
 
 // ShedError says that a request was shed, as more arrive than can be served.
--- a/internal/schedulerd/reconcile/errors.go
+++ b/internal/schedulerd/reconcile/errors.go
@@ -44,6 +44,7 @@
 		return fmt.Sprintf("an earlier bid of key %s is being called off", e.Key)
 	case KeyPlacing:
 		return fmt.Sprintf("key %s is being placed as %s", e.Key, e.ID)
+	default:
+		return fmt.Sprintf("key %s is being placed, or ended, as %s", e.Key, e.ID)
 	}
-	return fmt.Sprintf("key %s is being placed, or ended, as %s", e.Key, e.ID)
 }
--- a/internal/schedulerd/reconcile/requests.go
+++ b/internal/schedulerd/reconcile/requests.go
@@ -77,8 +77,7 @@
 
 func (r *Reconciler) rejectAdmission(e PlacementRequested, err error) {
 	var after scheduler.Time
-	var rejection *admission.Rejection
-	if errors.As(err, &rejection) {
+	if rejection, ok := errors.AsType[*admission.RejectionError](err); ok {
 		after = rejection.RetryAfter
 	}
 	r.reject(e.Client, e.Request.ID, err, after)
--- a/internal/schedulerd/recovery/attempt.go
+++ b/internal/schedulerd/recovery/attempt.go
@@ -30,8 +30,9 @@
 		return "synced"
 	case LogComplete:
 		return "whole"
+	default:
+		return "none"
 	}
-	return "none"
 }
 
 // MustPersist reports what must have happened before an attempt of work is sent: whether it must be in the log, and
--- a/internal/schedulerd/recovery/resume.go
+++ b/internal/schedulerd/recovery/resume.go
@@ -40,6 +40,7 @@
 		return StepFence, 0
 	case PhaseFinished:
 		return StepNone, 0
+	default:
+		return StepRequest, delay
 	}
-	return StepRequest, delay
 }
--- a/internal/schedulerd/warmstart/clock.go
+++ b/internal/schedulerd/warmstart/clock.go
@@ -13,7 +13,7 @@
 type Timestamp struct {
 	Clock  scheduler.Time `cbor:"Clock" json:"Clock"`
 	Uptime scheduler.Time `cbor:"Up"    json:"Up"`
-	BootID string         `cbor:"Boot"  json:"Boot"` // tells one boot of the system from another; empty where it is not known
+	BootID string         `cbor:"Boot"  json:"Boot"` // of this boot of the system; empty where it is not known
 }
 
 // Elapsed is what is known of the span between two timestamps, the earlier one of another incarnation.
--- a/internal/schedulerd/warmstart/restore.go
+++ b/internal/schedulerd/warmstart/restore.go
@@ -40,8 +40,11 @@
 ) Restored {
 	r := Restored{Snapshot: scheduler.Snapshot{SendsKnownSince: now.Clock}}
 	sameClasses := slices.Equal(classNames, p.ClassNames)
+	if !sameClasses {
+		p.Snapshot = withoutClasses(p.Snapshot)
+	}
 	if p.TakenAt != (Timestamp{}) {
-		r.restoreSnapshot(now, p, machines, sameClasses)
+		r.restoreSnapshot(now, p, machines)
 		if !sameClasses {
 			r.message("workload classes or tenants have changed, their loss ratios are not restored")
 		}
@@ -62,13 +65,18 @@
 	return slog.Float64(key, math.Round(weight*100)/100)
 }
 
+// withoutClasses leaves out what was learned of workload classes or tenants that are no longer the configured ones.
+func withoutClasses(s scheduler.Snapshot) scheduler.Snapshot {
+	s.TrafficClasses, s.FullRatio, s.RejectedWeight = nil, 0, 0
+	s.Machines = slices.Clone(s.Machines)
+	for i := range s.Machines {
+		s.Machines[i].FailureEvidence = nil
+	}
+	return s
+}
+
 // restoreSnapshot scales what was learned by its age.
-func (r *Restored) restoreSnapshot(
-	now Timestamp,
-	p Persisted,
-	machines map[scheduler.MachineID]MachineStart,
-	sameClasses bool,
-) {
+func (r *Restored) restoreSnapshot(now Timestamp, p Persisted, machines map[scheduler.MachineID]MachineStart) {
 	elapsed := now.Since(p.TakenAt)
 	if elapsed.Age < 0 {
 		r.message("the clock went back over a restart of the system, the snapshot is not restored",
@@ -78,19 +86,11 @@
 	if elapsed.ClockJump != 0 {
 		r.message("the clock was set since the snapshot, its times are adjusted", millis("jump_ms", elapsed.ClockJump))
 	}
-	if sameClasses {
-		r.restoreRatios(elapsed, p.Snapshot)
-	}
-	r.restoreMachines(elapsed, p, machines, sameClasses)
-	r.message(
-		"snapshot restored",
-		millis("age_ms", elapsed.Age),
-		weightAttr(
-			"outlier_weight",
-			Weight(Outliers, elapsed.Age),
-		),
-		weightAttr("full_weight", Weight(FullRatio, elapsed.Age)),
-	)
+	r.restoreRatios(elapsed, p.Snapshot)
+	r.restoreMachines(elapsed, p, machines)
+	r.message("snapshot restored", millis("age_ms", elapsed.Age),
+		weightAttr("outlier_weight", Weight(Outliers, elapsed.Age)),
+		weightAttr("full_weight", Weight(FullRatio, elapsed.Age)))
 }
 
 func (r *Restored) restoreRatios(elapsed Elapsed, s scheduler.Snapshot) {
@@ -104,17 +104,12 @@
 }
 
 // restoreMachines takes over evidence against machines that have not restarted since.
-func (r *Restored) restoreMachines(
-	elapsed Elapsed,
-	p Persisted,
-	machines map[scheduler.MachineID]MachineStart,
-	sameClasses bool,
-) {
+func (r *Restored) restoreMachines(elapsed Elapsed, p Persisted, machines map[scheduler.MachineID]MachineStart) {
 	weight := Weight(Outliers, elapsed.Age)
 	if weight == 0 {
 		return
 	}
-	withEvidence := sameClasses && Weight(FailureEvidence, elapsed.Age) > 0
+	evidenceCounts := Weight(FailureEvidence, elapsed.Age) > 0
 	for _, machine := range p.Snapshot.Machines {
 		start, listed := machines[machine.Machine]
 		if !listed || start.Incarnation != p.Incarnations[machine.Machine] {
@@ -124,7 +119,11 @@
 		machine.OutlierLogOdds *= weight
 		machine.EjectedUntil = elapsed.adjust(machine.EjectedUntil)
 		machine.SelfDrainingUntil = elapsed.adjust(machine.SelfDrainingUntil)
-		machine.FailureEvidence = elapsed.adjustEvidence(machine.FailureEvidence, withEvidence)
+		if evidenceCounts {
+			machine.FailureEvidence = elapsed.adjustEvidence(machine.FailureEvidence)
+		} else {
+			machine.FailureEvidence = nil
+		}
 		r.Snapshot.Machines = append(r.Snapshot.Machines, machine)
 	}
 }
@@ -138,10 +137,7 @@
 }
 
 // adjustEvidence keeps the log odds as they were: the scheduler lets them decay from their time on.
-func (e Elapsed) adjustEvidence(evidence []scheduler.FailureEvidence, keep bool) []scheduler.FailureEvidence {
-	if !keep {
-		return nil
-	}
+func (e Elapsed) adjustEvidence(evidence []scheduler.FailureEvidence) []scheduler.FailureEvidence {
 	var adjusted []scheduler.FailureEvidence
 	for _, one := range evidence {
 		one.AsOf = e.adjust(one.AsOf)
@@ -161,10 +157,8 @@
 ) {
 	elapsed := now.Since(p.History.SendsRecordedSince)
 	if p.History.SendsRecordedSince == (Timestamp{}) || !elapsed.SameBoot {
-		r.message(
-			"sends to machines in slow start are not known, none are made for a window",
-			millis("window_ms", window),
-		)
+		r.message("sends to machines in slow start are not known, none are made for a window",
+			millis("window_ms", window))
 		return
 	}
 	r.Snapshot.SendsKnownSince = now.Clock - elapsed.Age
