--- a/internal/platform/actions.go
+++ b/internal/platform/actions.go
@@ -55,6 +55,8 @@
 		s.notifyTermination(action)
 	case connmanager.PauseReading:
 		s.pauseReading(action)
+	case connmanager.ReportError:
+		s.log.Error("illegal state transition", "client", action.Client, "error", action.Err)
 	}
 }
 
--- a/internal/platform/connmanager/admission.go
+++ b/internal/platform/connmanager/admission.go
@@ -20,28 +20,13 @@
 	maxReadPause          = Second           // up to this
 )
 
-// client is the state of one client connection.
-type client struct {
-	id              ClientID
-	connectedAt     Time
-	lastActiveAt    Time // when bytes were last read from it or sent to it
-	partialSince    Time // since when its message is incomplete; 0 if none is
-	openRequests    int  // placement requests that await their answer
-	messageSent     bool
-	ownershipProven bool // it had a placement request accepted, or acknowledged a termination
-	acknowledged    bool // it acknowledged a termination
-	reclaimed       bool // it claimed to own a running container
-	readPause       Time // the last pause after an invalid message
-	closing         bool // CloseClient was returned for it
-}
-
 // maxClientConns is the number of client connections that may be open at once.
 func maxClientConns(descriptors int) int {
 	return max(minClientConns, (descriptors-reservedDescriptors)/clientDescriptorsDivisor)
 }
 
 func (m *Manager) clientConnected(now Time, e ClientConnected) {
-	m.clients[e.Client] = &client{id: e.Client, connectedAt: now, lastActiveAt: now}
+	m.clients[e.Client] = &client{id: e.Client, state: unserved, connectedAt: now, lastActiveAt: now}
 	m.activeClients++
 	if m.activeClients > m.maxClients {
 		m.evictClient(now)
@@ -74,8 +59,8 @@
 		return
 	}
 	c.lastActiveAt = now
-	c.messageSent = true
 	c.openRequests -= e.ClosedRequests
+	m.transition(c, messageSent)
 }
 
 func (m *Manager) requestCancelled(e RequestCancelled) {
@@ -87,7 +72,7 @@
 // invalidMessageReceived slows a client down that sends messages which cannot be served.
 func (m *Manager) invalidMessageReceived(e InvalidMessageReceived) {
 	c := m.clients[e.Client]
-	if c == nil || c.closing {
+	if c == nil || c.isClosing() {
 		return
 	}
 	c.readPause = min(max(minReadPause, 2*c.readPause), maxReadPause)
@@ -96,13 +81,13 @@
 
 func (m *Manager) ownershipProven(e OwnershipProven) {
 	if c := m.clients[e.Client]; c != nil {
-		c.ownershipProven = true
+		c.addEvidence(evidenceProven)
 	}
 }
 
 func (m *Manager) containerReclaimed(e ContainerReclaimed) {
 	if c := m.clients[e.Client]; c != nil {
-		c.reclaimed = true
+		c.addEvidence(evidenceReclaimed)
 	}
 }
 
@@ -110,9 +95,10 @@
 func (m *Manager) clientDisconnected(now Time, e ClientDisconnected) {
 	if c := m.clients[e.Client]; c != nil {
 		delete(m.clients, e.Client)
-		if !c.closing {
+		if !c.isClosing() {
 			m.activeClients--
 		}
+		m.transition(c, connectionEnded)
 	}
 	m.renotify(now, e.Client)
 }
@@ -120,11 +106,11 @@
 // closeTimedOutClients closes clients that hold a descriptor for nothing. A client that awaits an answer stays.
 func (m *Manager) closeTimedOutClients(now Time) {
 	clients := m.sortedClients()
-	ownerKnown := slices.ContainsFunc(clients, func(c *client) bool { return c.ownershipProven && !c.closing })
+	sufficient := sufficientEvidence(clients)
 	for _, c := range clients {
 		switch {
-		case c.closing || c.openRequests > 0:
-		case c.firstRequestTimedOut(now, ownerKnown):
+		case c.isClosing() || c.openRequests > 0:
+		case c.isUnused(now, sufficient):
 			m.closeClient(c, CloseNoRequest)
 		case c.partialSince > 0 && now-c.partialSince > partialMessageTimeout:
 			m.closeClient(c, CloseMessageTimeout)
@@ -132,17 +118,27 @@
 	}
 }
 
-// firstRequestTimedOut reports whether a client without an open request has used its connection for nothing so far. One
-// that reclaimed a container stays as long as no proven owner is connected that could be notified of its end instead.
-func (c *client) firstRequestTimedOut(now Time, ownerKnown bool) bool {
-	if c.messageSent || c.ownershipProven || c.reclaimed && !ownerKnown {
-		return false
+// sufficientEvidence is the evidence of ownership that keeps an unserved client connected. A reclaim is enough only as
+// long as no proven owner is connected that could be notified of the container's end instead.
+func sufficientEvidence(clients []*client) ownershipEvidence {
+	for _, c := range clients {
+		if c.evidence >= evidenceProven && !c.isClosing() {
+			return evidenceProven
+		}
 	}
-	return now-c.connectedAt > firstRequestTimeout
+	return evidenceReclaimed
+}
+
+// isUnused reports whether a client without an open request has used its connection for nothing so far, although it has
+// had time to.
+func (c *client) isUnused(now Time, sufficient ownershipEvidence) bool {
+	return c.state == unserved && c.evidence < sufficient && now-c.connectedAt > firstRequestTimeout
 }
 
 func (m *Manager) closeClient(c *client, reason CloseReason) {
-	c.closing = true
+	if !m.transition(c, closeDecided) {
+		return
+	}
 	m.activeClients--
 	m.emit(CloseClient{Client: c.id, Reason: reason})
 }
@@ -169,7 +165,7 @@
 		return evictActiveOwner
 	case now-c.connectedAt < newClientGrace:
 		return evictNew
-	case c.messageSent:
+	case c.state == served:
 		return evictServed
 	}
 	return evictSilent
@@ -180,7 +176,7 @@
 func (m *Manager) evictClient(now Time) {
 	var victim *client
 	for _, c := range m.sortedClients() {
-		if !c.closing && (victim == nil || c.evictedBefore(victim, now)) {
+		if !c.isClosing() && (victim == nil || c.evictedBefore(victim, now)) {
 			victim = c
 		}
 	}
--- a/internal/platform/connmanager/events.go
+++ b/internal/platform/connmanager/events.go
@@ -95,11 +95,18 @@
 		Client   ClientID
 		Duration Time
 	}
+
+	// ReportError has an error logged that shows a fault of this package. Nothing else follows from it.
+	ReportError struct {
+		Client ClientID
+		Err    error
+	}
 )
 
 func (CloseClient) action()       {}
 func (NotifyTermination) action() {}
 func (PauseReading) action()      {}
+func (ReportError) action()       {}
 
 // CloseReason says why a client is closed; it is fit for a log.
 type CloseReason string
--- a/internal/platform/connmanager/notifications.go
+++ b/internal/platform/connmanager/notifications.go
@@ -20,36 +20,11 @@
 	attemptedClients []ClientID // that were notified
 }
 
-// ownershipEvidence orders clients by how sure it is that they own containers.
-type ownershipEvidence int
-
-const (
-	evidenceNone ownershipEvidence = iota
-	evidenceReclaimed
-	evidenceProven
-	evidenceAcknowledged
-)
-
-func (c *client) ownershipEvidence() ownershipEvidence {
-	switch {
-	case c.acknowledged:
-		return evidenceAcknowledged
-	case c.ownershipProven:
-		return evidenceProven
-	case c.reclaimed:
-		return evidenceReclaimed
-	}
-	return evidenceNone
-}
-
-// isOwner reports whether there is evidence that a client owns containers.
-func (c *client) isOwner() bool { return c.ownershipEvidence() > evidenceNone }
-
 // containerTerminated notifies the client that requested the container, or the likeliest owner where that has gone.
 func (m *Manager) containerTerminated(now Time, e ContainerTerminated) {
 	t := &termination{requestID: e.RequestID, cause: e.Cause, endedAt: now}
 	m.terminations = append(m.terminations, t)
-	if c := m.clients[e.Client]; c != nil && !c.closing {
+	if c := m.clients[e.Client]; c != nil && !c.isClosing() {
 		m.notifyClient(now, t, c)
 		return
 	}
@@ -63,8 +38,7 @@
 		return t.requestID == e.RequestID && slices.Contains(t.attemptedClients, e.Client)
 	}
 	if c := m.clients[e.Client]; c != nil && slices.ContainsFunc(m.terminations, notified) {
-		c.ownershipProven = true
-		c.acknowledged = true
+		c.addEvidence(evidenceAcknowledged)
 	}
 	m.terminations = slices.DeleteFunc(m.terminations, func(t *termination) bool { return t.requestID == e.RequestID })
 }
@@ -111,16 +85,16 @@
 func (m *Manager) nextRecipient(now Time, t *termination) *client {
 	clients := m.sortedClients()
 	delay := fallbackDelay
-	if slices.ContainsFunc(clients, func(c *client) bool { return c.isOwner() && !c.closing }) {
+	if slices.ContainsFunc(clients, func(c *client) bool { return c.isOwner() && !c.isClosing() }) {
 		delay = fallbackDelayWithOwner
 	}
 	fallback := now-t.endedAt >= delay
 	var best *client
 	for _, c := range clients {
-		if c.closing || slices.Contains(t.attemptedClients, c.id) {
+		if c.isClosing() || slices.Contains(t.attemptedClients, c.id) {
 			continue
 		}
-		eligible := c.isOwner() || fallback && (c.messageSent || c.openRequests > 0)
+		eligible := c.isOwner() || fallback && (c.state == served || c.openRequests > 0)
 		if eligible && (best == nil || c.likelierOwner(best)) {
 			best = c
 		}
@@ -131,9 +105,8 @@
 // likelierOwner reports whether a client is likelier to own a container than one that connected earlier: by evidence,
 // then by the latest activity.
 func (c *client) likelierOwner(earlier *client) bool {
-	evidence, earlierEvidence := c.ownershipEvidence(), earlier.ownershipEvidence()
-	if evidence != earlierEvidence {
-		return evidence > earlierEvidence
+	if c.evidence != earlier.evidence {
+		return c.evidence > earlier.evidence
 	}
 	return c.lastActiveAt >= earlier.lastActiveAt
 }
