--- a/cmd/glenport/controller.go
+++ b/cmd/glenport/controller.go
@@ -41,6 +41,7 @@
 	if err != nil {
 		return err
 	}
+	config.LogDeprecations(log, settings.Deprecations)
 	process, err := server.New(server.Config{
 		Name:            settings.Name,
 		Schedulers:      settings.SchedulerAddrs,
--- a/cmd/glenport/scheduler.go
+++ b/cmd/glenport/scheduler.go
@@ -37,6 +37,7 @@
 	if err != nil {
 		return err
 	}
+	config.LogDeprecations(log, settings.Deprecations)
 	process, err := schedulerd.New(settings, scheduler.New(settings.Policy), log)
 	if err != nil {
 		return err
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,7 @@
 )
 
 func sample(t *testing.T) string {
-	data, err := os.ReadFile("../../deploy/placer.yaml")
+	data, err := os.ReadFile("testdata/legacy/placer.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/controller.go
+++ b/internal/config/controller.go
@@ -5,6 +5,7 @@
 	"io/fs"
 	"os"
 	"path/filepath"
+	"slices"
 
 	"glenport/internal/config/strictyaml"
 )
@@ -18,6 +19,8 @@
 	Seed            uint64
 	StateDir        string     // folder of the state kept over restarts; empty: none is kept
 	Scheduler       *Scheduler // a scheduler's settings, for workload classes, tenants and machine types
+
+	Deprecations []strictyaml.Deprecation // old spellings in this file and then in the scheduler's
 }
 
 // LoadController reads and checks a controller's settings file and the scheduler's file that it names, beside it.
@@ -27,7 +30,7 @@
 		return nil, err
 	}
 	var content controllerFile
-	file, err := strictyaml.Read(path, data, &content)
+	file, err := strictyaml.ReadWithAliases(path, data, &content, ControllerAliases())
 	if err != nil {
 		return nil, err
 	}
@@ -47,6 +50,7 @@
 	if err != nil {
 		return nil, err
 	}
+	settings.Deprecations = slices.Concat(file.Deprecations(), settings.Scheduler.Deprecations)
 	return settings, nil
 }
 
@@ -67,7 +71,7 @@
 		s.SchedulerAddrs = append(s.SchedulerAddrs, v.address(address))
 	}
 	if len(s.SchedulerAddrs) == 0 {
-		v.record(v.file.MissingKey("", "doors"))
+		v.record(v.file.MissingKey("", "schedulers"))
 	}
 	return s
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -134,14 +134,14 @@
 
 func TestValuesReadAreAsRecorded(t *testing.T) {
 	var lines []string
-	for _, path := range []string{"../../deploy/placer.yaml", "testdata/every-key.yaml"} {
+	for _, path := range []string{"testdata/legacy/placer.yaml", "testdata/every-key.yaml"} {
 		settings, err := LoadScheduler(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		lines = append(lines, schedulerValues(settings)...)
 	}
-	for _, path := range []string{"../../deploy/keeper.yaml", "testdata/controller.yaml"} {
+	for _, path := range []string{"testdata/legacy/keeper.yaml", "testdata/controller.yaml"} {
 		settings, err := LoadController(path)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/config/scheduler.go
+++ b/internal/config/scheduler.go
@@ -44,6 +44,8 @@
 	Tenants         []string // names, in the order of Policy.Tenants
 	AdaptiveLimit   bool     // admission adapts its concurrency limit to the latency of placements
 	BGP             *BGP     // nil: no address is announced
+
+	Deprecations []strictyaml.Deprecation // old spellings in the file
 }
 
 // LoadScheduler reads and checks a scheduler's settings file.
@@ -58,7 +60,7 @@
 // ParseScheduler checks the text of a scheduler's settings file. The name of the file goes into errors.
 func ParseScheduler(name string, data []byte) (*Scheduler, error) {
 	var content schedulerFile
-	file, err := strictyaml.Read(name, data, &content)
+	file, err := strictyaml.ReadWithAliases(name, data, &content, SchedulerAliases())
 	if err != nil {
 		return nil, err
 	}
@@ -67,6 +69,7 @@
 	if v.err != nil {
 		return nil, v.err
 	}
+	settings.Deprecations = file.Deprecations()
 	return settings, nil
 }
 
@@ -122,13 +125,14 @@
 		content any
 	}{
 		{"", *f},
-		{"list", f.MachineList},
-		{"links", f.Connections},
-		{"bounds", f.Limits},
+		{"machine_list", f.MachineList},
+		{"connections", f.Connections},
+		{"limits", f.Limits},
 		{"machines", f.Machines},
-		{"machines.accept", f.Machines.Overcommit},
+		{"machines.slow_start", f.Machines.SlowStart},
+		{"machines.overcommit", f.Machines.Overcommit},
 		{"machines.mean_container", f.Machines.MeanContainer},
-		{"bids", f.Attempts},
+		{"attempts", f.Attempts},
 	} {
 		v.required(section.path, section.content)
 	}
@@ -161,9 +165,9 @@
 		AnswerGrace:        duration(f.Attempts.AnswerGrace),
 		ListOnRequest:      true,
 		ResyncInterval:     v.positiveDuration(f.MachineList.ResyncInterval),
-		SlowStartPeriod:    duration(machines.SlowStartPeriod),
-		SlowStartWindow:    duration(machines.SlowStartWindow),
-		SlowStartBudget:    machines.SlowStartBudget.Value,
+		SlowStartPeriod:    duration(machines.SlowStart.Period),
+		SlowStartWindow:    duration(machines.SlowStart.Window),
+		SlowStartBudget:    machines.SlowStart.Budget.Value,
 	}
 }
 
@@ -186,7 +190,7 @@
 func (v *validator) machineTypes(entries []machineTypeEntry, s *Scheduler) map[string]int {
 	indices := map[string]int{}
 	for i, entry := range entries {
-		v.required(fmt.Sprintf("machines.kinds[%d]", i), entry)
+		v.required(fmt.Sprintf("machines.machine_types[%d]", i), entry)
 		if _, duplicate := indices[entry.Name.Value]; duplicate {
 			v.fail(entry.Name.Position, "kind %q stands twice", entry.Name.Value)
 		}
@@ -201,7 +205,7 @@
 		)
 	}
 	if len(entries) == 0 {
-		v.record(v.file.MissingKey("machines", "kinds"))
+		v.record(v.file.MissingKey("machines", "machine_types"))
 	}
 	return indices
 }
@@ -209,7 +213,7 @@
 // tenants adds the tenants to the settings.
 func (v *validator) tenants(entries []tenantEntry, s *Scheduler) {
 	for i, entry := range entries {
-		v.required(fmt.Sprintf("customers[%d]", i), entry)
+		v.required(fmt.Sprintf("tenants[%d]", i), entry)
 		s.Tenants = append(s.Tenants, entry.Name.Value)
 		s.Policy.Tenants = append(s.Policy.Tenants, scheduler.Tenant{QuotaCores: v.positive(entry.Cores)})
 	}
--- a/internal/config/strictyaml/strictyaml.go
+++ b/internal/config/strictyaml/strictyaml.go
@@ -27,33 +27,75 @@
 
 // File is a settings file that was read, with its syntax tree.
 type File struct {
-	Name string
-	root ast.Node
+	Name     string
+	root     ast.Node // as written
+	spelling *spelling
 }
 
 // Read decodes the single document in data into the struct that into points to. The name of the file goes into errors,
 // which are of type *Error.
 func Read(name string, data []byte, into any) (*File, error) {
-	f := &File{Name: name}
-	decoder := yaml.NewDecoder(bytes.NewReader(data), yaml.Strict())
-	if err := decoder.Decode(into); errors.Is(err, io.EOF) {
+	return ReadWithAliases(name, data, into, Aliases{})
+}
+
+// ReadWithAliases is [Read] for a file that may have old spellings of keys and values. [File.Deprecations] returns
+// those that it has. An old spelling and that of today for the same key are an error.
+func ReadWithAliases(name string, data []byte, into any, aliases Aliases) (*File, error) {
+	f := &File{Name: name, spelling: &spelling{}}
+	documents := yaml.NewDecoder(bytes.NewReader(data), yaml.Strict())
+	if err := documents.Decode(new(any)); errors.Is(err, io.EOF) {
 		return nil, &Error{File: name, Message: "is empty"}
 	} else if err != nil {
 		return nil, f.locate(err, data)
 	}
-	if err := decoder.Decode(new(any)); !errors.Is(err, io.EOF) {
+	if err := f.decode(data, into, aliases); err != nil {
+		return nil, err
+	}
+	if err := documents.Decode(new(any)); !errors.Is(err, io.EOF) {
 		return nil, &Error{File: name, Message: "holds more than one document"}
 	}
-	path, err := yaml.PathString("$")
+	return f, nil
+}
+
+// decode renames the old spellings of the first document and decodes it.
+func (f *File) decode(data []byte, into any, aliases Aliases) (err error) {
+	if f.root, err = parse(data); err != nil {
+		return f.locate(err, data)
+	}
+	renamed, err := parse(data)
+	if err != nil {
+		return f.locate(err, data)
+	}
+	if f.spelling, err = rename(f, renamed, aliases); err != nil {
+		return err
+	}
+	if err := yaml.NewDecoder(bytes.NewReader(nil), yaml.Strict()).DecodeFromNode(renamed, into); err != nil {
+		return f.locate(err, data)
+	}
+	return nil
+}
+
+// parse returns the syntax tree of the first document.
+func parse(data []byte) (ast.Node, error) {
+	tree, err := parser.ParseBytes(data, 0)
 	if err != nil {
 		return nil, err
 	}
-	if f.root, err = path.ReadNode(bytes.NewReader(data)); err != nil {
-		return nil, f.locate(err, data)
+	for _, document := range tree.Docs {
+		if document.Body != nil && document.Body.Type() != ast.CommentType {
+			return document.Body, nil
+		}
 	}
-	return f, nil
+	return nil, io.EOF
 }
 
+// Deprecations returns the old spellings in the file, in the order of their lines.
+func (f *File) Deprecations() []Deprecation { return f.spelling.deprecations }
+
+// KeyName returns the path of a key as the file spells it, or would spell it if it had the key. The path given is in
+// today's spelling.
+func (f *File) KeyName(path string) string { return f.spelling.key(path) }
+
 // locate turns an error of the YAML package into an *Error. The key is known only where the file is syntactically
 // correct.
 func (f *File) locate(err error, data []byte) error {
@@ -61,8 +103,10 @@
 	if !errors.As(err, &located) || located.GetToken() == nil || located.GetToken().Position == nil {
 		return &Error{File: f.Name, Message: err.Error(), cause: err}
 	}
-	if tree, err := parser.ParseBytes(data, 0); err == nil && len(tree.Docs) > 0 {
-		f.root = tree.Docs[0].Body
+	if f.root == nil {
+		if root, err := parse(data); err == nil {
+			f.root = root
+		}
 	}
 	at := positionOf(located.GetToken())
 	return &Error{File: f.Name, Position: at, Key: f.keyAt(at), Message: located.GetMessage(), cause: err}
@@ -74,12 +118,14 @@
 	return &Error{File: f.Name, Position: at, Key: f.keyAt(at), Message: err.Error(), cause: errors.Unwrap(err)}
 }
 
-// MissingKey returns an *Error about a key left out of the mapping at a path such as "list" or "machines.kinds[0]"; the
-// path of the top is empty. The error is located at the first key of the mapping.
+// MissingKey returns an *Error about a key left out of the mapping at a path such as "machine_list" or
+// "machines.machine_types[0]"; the path of the top is empty. The error is located at the first key of the mapping, and
+// names the key as the file would spell it.
 func (f *File) MissingKey(mapping, key string) error {
-	expression, full := "$", key
-	if mapping != "" {
-		expression, full = "$."+mapping, mapping+"."+key
+	full := f.KeyName(joinPath(mapping, key))
+	expression := "$"
+	if parent, _ := splitPath(full); parent != "" {
+		expression = "$." + parent
 	}
 	return &Error{File: f.Name, Position: f.mappingPosition(expression), Key: full, Message: full + " is missing"}
 }
@@ -101,7 +147,7 @@
 	return positionOf(node.GetToken())
 }
 
-// keyAt returns the path of the key or value at a position, such as "machines.kinds[0].cores".
+// keyAt returns the path of the key or value at a position, such as "machines.machine_types[0].cores".
 func (f *File) keyAt(at Position) string {
 	if f.root == nil || !at.IsSet() {
 		return ""
@@ -134,7 +180,7 @@
 			return i, nil
 		}
 	}
-	return 0, f.ErrorAt(value.Position, "%q is none of %s", value.Value, strings.Join(allowed, ", "))
+	return 0, f.ErrorAt(value.Position, "%q is none of %s", value.Value, strings.Join(f.spelling.allowed(value.Position, allowed), ", "))
 }
 
 // CheckRequired returns an error about the first field of a mapping, a struct of this package's types, that was left
--- a/internal/config/workloadclass.go
+++ b/internal/config/workloadclass.go
@@ -11,7 +11,7 @@
 // workloadClasses adds the workload classes to the settings; typeIndex holds the machine types by name.
 func (v *validator) workloadClasses(entries []workloadClassEntry, typeIndex map[string]int, s *Scheduler) {
 	for i := range entries {
-		entry, path := &entries[i], fmt.Sprintf("workloads[%d]", i)
+		entry, path := &entries[i], fmt.Sprintf("workload_classes[%d]", i)
 		v.required(path, *entry)
 		if v.err != nil {
 			return
@@ -24,7 +24,7 @@
 		s.Policy.WorkloadClasses = append(s.Policy.WorkloadClasses, class)
 	}
 	if len(entries) == 0 {
-		v.record(v.file.MissingKey("", "workloads"))
+		v.record(v.file.MissingKey("", "workload_classes"))
 	}
 }
 
@@ -58,7 +58,7 @@
 // alone.
 func (v *validator) idempotency(path string, entry *workloadClassEntry, class *scheduler.WorkloadClass) {
 	levels := []scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.AtMostOnce}
-	class.Idempotency = levels[v.oneOf(entry.Idempotency, "reissuable", "numbered", "at-most-once")]
+	class.Idempotency = levels[v.oneOf(entry.Idempotency, "idempotent", "idempotent-with-key", "at-most-once")]
 	if class.Idempotency != scheduler.IdempotentWithKey {
 		if entry.DedupScope.IsSet() || entry.DedupWindow.IsSet() {
 			v.fail(
@@ -69,13 +69,13 @@
 		return
 	}
 	if !entry.DedupScope.IsSet() {
-		v.record(v.file.MissingKey(path, "repeats_dropped_in"))
+		v.record(v.file.MissingKey(path, "dedup_scope"))
 	}
 	if !entry.DedupWindow.IsSet() {
-		v.record(v.file.MissingKey(path, "repeats_dropped_for"))
+		v.record(v.file.MissingKey(path, "dedup_window"))
 	}
 	scopes := []scheduler.Scope{scheduler.ScopeRackGroup, scheduler.ScopeZone, scheduler.ScopeFleet}
-	class.DedupScope = scopes[v.oneOf(entry.DedupScope, "cell", "zone", "everywhere")]
+	class.DedupScope = scopes[v.oneOf(entry.DedupScope, "rack-group", "zone", "fleet")]
 	class.DedupWindow = duration(entry.DedupWindow)
 }
 
@@ -88,9 +88,9 @@
 		return
 	}
 	scopes := []scheduler.Scope{scheduler.ScopeMachine, scheduler.ScopeRackGroup, scheduler.ScopeZone}
-	class.SpreadScope = scopes[v.oneOf(entry.SpreadScope, "machine", "cell", "zone")]
+	class.SpreadScope = scopes[v.oneOf(entry.SpreadScope, "machine", "rack-group", "zone")]
 	if !entry.MaxPerScope.IsSet() {
-		v.record(v.file.MissingKey(path, "most_in_one"))
+		v.record(v.file.MissingKey(path, "max_per_scope"))
 	}
 	class.MaxPerScope = v.positiveCount(entry.MaxPerScope)
 }
