--- /dev/null
+++ b/scheduler/actionbuffer.go
@@ -0,0 +1,28 @@
+package scheduler
+
+import (
+	"log/slog"
+	"math"
+)
+
+// actionBuffer collects the actions of a batch in the order in which they are decided. The components that log share
+// the coordinator's buffer, so that a message keeps its place among the actions.
+type actionBuffer struct{ actions []Action }
+
+// reset begins a batch. The slice of the last one belongs to the process.
+func (b *actionBuffer) reset() { b.actions = nil }
+
+func (b *actionBuffer) collected() []Action { return b.actions }
+
+func (b *actionBuffer) emit(a Action) { b.actions = append(b.actions, a) }
+
+func (b *actionBuffer) log(message string, attributes ...slog.Attr) {
+	b.emit(Log{Message: message, Attributes: attributes})
+}
+
+func (b *actionBuffer) logMachine(message string, m *machine, attributes ...slog.Attr) {
+	b.log(message, append([]slog.Attr{slog.String("machine", string(m.id))}, attributes...)...)
+}
+
+// rounded keeps two decimals of a log attribute.
+func rounded(key string, x float64) slog.Attr { return slog.Float64(key, math.Round(x*100)/100) }
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -1,47 +1,72 @@
 package scheduler
 
+import "log/slog"
+
+// This file follows containers from the request to the outcome. A container has an attempt out or is answered in the
+// batch in which it becomes unplaced: none waits.
+
 func (s *Scheduler) requestReceived(e RequestReceived) {
-	if c := s.addContainer(e.PlacementRequest); c != nil {
+	if c := s.register(e.PlacementRequest); c != nil {
 		s.unplaced = append(s.unplaced, c)
 	} else {
-		s.emit(Fail{e.ID})
+		s.actions.emit(Fail{ID: e.ID})
 	}
 }
 
 func (s *Scheduler) containerAdopted(e ContainerAdopted) {
-	if c := s.addContainer(e.PlacementRequest); c != nil {
-		c.attempts = 1
-		c.accepted = true
-		s.reserve(c, s.findOrAddMachine(e.Machine))
+	c := s.register(e.PlacementRequest)
+	if c == nil {
+		return
 	}
+	s.containers.adopt(c, s.machines.findOrAdd(e.Machine), s.now)
+}
+
+// register returns nil for a workload class that the configuration does not have.
+func (s *Scheduler) register(request PlacementRequest) *container {
+	c := s.containers.add(request)
+	if c == nil {
+		s.actions.log("container of unknown workload class",
+			slog.String("container", string(request.ID)),
+			slog.Int("workload_class", request.WorkloadClass))
+	}
+	return c
 }
 
 func (s *Scheduler) containerRemoved(e ContainerRemoved) {
-	if c := s.containers[e.ID]; c != nil {
-		c.closed = true
-		s.removeIfClosed(c)
+	if c := s.containers.find(e.ID); c != nil {
+		s.containers.close(c)
+	}
+}
+
+// placeAll places what became unplaced in this batch and was not removed since.
+func (s *Scheduler) placeAll() {
+	for _, c := range s.unplaced {
+		if !c.closed {
+			s.place(c)
+		}
 	}
 }
 
-// place starts an attempt on a machine, or answers the client at once: no container waits.
+// place starts an attempt on a machine, or answers the client at once.
 func (s *Scheduler) place(c *container) {
 	m := s.choose(c)
 	if m == nil {
 		s.respond(c)
 		return
 	}
-	m.recentSends = append(s.trimmedSends(m), s.now)
-	c.attempts++
-	s.reserve(c, m)
-	s.emit(StartAttempt{c.request.ID, m.id, s.attemptTimeout(c)})
+	s.slowStart.recordSend(m, s.now)
+	s.containers.startAttempt(c, m, s.now)
+	s.actions.emit(StartAttempt{ID: c.request.ID, Machine: m.id, Timeout: s.attemptTimeout(c)})
 }
 
 // choose returns nil where no attempt is left, no machine is eligible or the container is shed.
 func (s *Scheduler) choose(c *container) *machine {
-	if c.attempts >= s.config.MaxAttempts || s.now+deadlineMargin >= c.request.Deadline || s.shed(c) {
+	attemptsLeft := c.attempts < s.config.MaxAttempts
+	timeLeft := s.now+deadlineMargin < c.request.Deadline
+	if !attemptsLeft || !timeLeft || s.shedder.shed(c) {
 		return nil
 	}
-	return s.draw(c)
+	return s.draw.draw(c, s.machines.all(), s.now)
 }
 
 // attemptTimeout leaves time for a retry, unless none can follow.
@@ -53,103 +78,54 @@
 	return min(left, c.class.PlacementTimeout/2)
 }
 
-// respond answers the client: a rejection where a retry by it does no harm, else a failure.
+// respond answers the client: a rejection where a retry by it does no harm, else a failure. An attempt that has no
+// outcome may run.
 func (s *Scheduler) respond(c *container) {
-	if c.firstRunOn == nil {
-		c.firstRunOn = c.machine // an attempt without an outcome may run
-	}
-	if c.retryIsSafe() {
-		s.emit(Reject{ID: c.request.ID})
+	c.recordUnfinishedRun()
+	if c.clientRetryIsSafe() {
+		s.actions.emit(Reject{ID: c.request.ID})
 	} else {
-		s.emit(Fail{c.request.ID})
-	}
-	c.closed = true
-	if len(c.failures) == 1 {
-		s.attributeFailures(c)
-	}
-	s.removeIfClosed(c)
-}
-
-func (c *container) retryIsSafe() bool {
-	switch c.class.Idempotency {
-	case Idempotent:
-		return true
-	case IdempotentWithKey:
-		return c.firstRunOn == nil || c.class.DedupScope == ScopeFleet
-	}
-	return c.firstRunOn == nil
-}
-
-// mayRunOn keeps a container that may have run already to the machines where a second run does no harm.
-func (s *Scheduler) mayRunOn(c *container, m *machine) bool {
-	if c.firstRunOn == nil {
-		return true
-	}
-	switch c.class.Idempotency {
-	case AtMostOnce:
-		return false
-	case IdempotentWithKey:
-		windowEnd := c.firstRunAt + c.class.DedupWindow
-		return c.firstRunOn.sharesScope(m, c.class.DedupScope) && s.now+deadlineMargin < windowEnd
+		s.actions.emit(Fail{ID: c.request.ID})
 	}
-	return true
+	s.outcomes.recordAnswered(c, s.now)
+	s.containers.close(c)
 }
 
 func (s *Scheduler) attemptAccepted(e AttemptAccepted) {
-	c := s.containers[e.ID]
-	if c == nil || c.machine == nil {
-		return
+	if c := s.containers.findPlaced(e.ID); c != nil {
+		c.accept()
+		s.outcomes.recordAccepted(c, s.now)
 	}
-	c.accepted = true
-	c.machine.lastHeardAt = s.now
-	s.attributeFailures(c)
-	s.recordRoom()
-	s.recordSuccess(c.machine)
-	s.recordClassOutcome(c, c.machine, answered)
 }
 
 func (s *Scheduler) usageReported(e UsageReported) {
-	c := s.containers[e.ID]
-	if c == nil || c.machine == nil {
-		return
-	}
-	m := c.machine
-	m.lastHeardAt = s.now
-	m.used.subtract(c.used)
-	switch e.Metric {
-	case MetricCoresUsed:
-		c.used.cores = e.Value
-	case MetricMemoryUsed:
-		c.used.memory = e.Value
+	if c := s.containers.findPlaced(e.ID); c != nil {
+		c.machine.contact.heard(s.now)
+		s.containers.reportUse(c, e.Metric, e.Value)
 	}
-	m.used.add(c.used)
 }
 
-// attemptEnded takes in the one outcome of an attempt. Where it is not final the container is placed again.
+// attemptEnded takes in the one outcome of an attempt. Where it is not final the container is placed again: an outcome
+// that an acceptance crossed is not, as the client still waits.
 func (s *Scheduler) attemptEnded(e AttemptEnded) {
-	c := s.containers[e.ID]
-	if c == nil || c.machine == nil {
+	c := s.containers.findPlaced(e.ID)
+	if c == nil {
 		return
 	}
-	m, accepted, silent := c.machine, c.accepted, c.machine.lastHeardAt < c.sentAt
-	c.accepted = false
-	s.release(c)
-	if c.sentAt >= m.startedAt { // else it tells nothing of this incarnation
-		s.recordAttempt(c, m, e, accepted, silent)
+	attempt := s.containers.endAttempt(c)
+	if attempt.isOfThisIncarnation() {
+		s.outcomes.recordEnded(attempt, e, s.now)
 	}
-	if c.firstRunOn == nil && mayHaveRun(e.Outcome) {
-		c.firstRunOn = m
-		c.firstRunAt = c.sentAt
+	if mayHaveRun(e.Outcome) {
+		c.recordPossibleRun(attempt.machine, attempt.sentAt)
 	}
 	if c.refusedByDraining(e.Reason) {
-		s.markSelfDraining(m)
+		s.outcomes.recordSelfDraining(attempt.machine, s.now)
 	}
-	c.excluded = append(c.excluded, m)
-	m.excludedBy++
+	c.exclude(attempt.machine)
 	switch {
-	case e.Final || c.closed: // one that an acceptance crossed is not final: the client still waits
-		c.closed = true
-		s.removeIfClosed(c)
+	case e.Final || c.closed:
+		s.containers.close(c)
 	case e.Outcome == OutcomeFinished: // its run time passed unaccepted: a retry would be for nothing
 		s.respond(c)
 	default:
@@ -157,13 +133,13 @@
 	}
 }
 
-func mayHaveRun(o Outcome) bool {
-	return o != OutcomeFull && o != OutcomeConnectFailed && o != OutcomeNotSent
-}
-
-// refusedByDraining holds for a machine that sends containers away, or does not know one that can run nowhere
-// else. Either comes before the machine list has the drain.
-func (c *container) refusedByDraining(r Reason) bool {
-	neverRan := c.firstRunOn == nil && !c.request.ClientRetry
-	return r == ReasonDrained || r == ReasonWrongMachine && neverRan
+func mayHaveRun(outcome Outcome) bool {
+	switch outcome {
+	case OutcomeFull, OutcomeConnectFailed, OutcomeNotSent:
+		return false
+	case OutcomeFinished, OutcomeErrored, OutcomeTimedOut, OutcomeLost, OutcomeStopped:
+		return true
+	default:
+		return true
+	}
 }
--- a/scheduler/attempts_test.go
+++ b/scheduler/attempts_test.go
@@ -39,7 +39,7 @@
 				t.Errorf("%T, want %T", lastAction(got), tc.want)
 			}
 			if next, ok := lastAction(got).(StartAttempt); ok && (next.Machine == first ||
-				!s.machines[next.Machine].sharesScope(s.machines[first], tc.scope) && tc.scope != ScopeNone) {
+				!s.machines.find(next.Machine).sharesScope(s.machines.find(first), tc.scope) && tc.scope != ScopeNone) {
 				t.Errorf("attempt on %s after %s", next.Machine, first)
 			}
 		})
@@ -62,7 +62,7 @@
 			AttemptEnded{ID: "x", Outcome: OutcomeFull}, AttemptEnded{ID: "x", Outcome: OutcomeFull}}, 4, 0},
 		{"acceptance crossed by a cancellation", []Event{AttemptAccepted{ID: "x"},
 			AttemptEnded{ID: "x", Outcome: OutcomeStopped}}, 1, 2},
-		{"no outcome at the deadline", []Event{TimerFired{maintenanceTimer}, TimerFired{deadlineTimer}}, 1, 2},
+		{"no outcome at the deadline", []Event{TimerFired{maintenanceTimerName}, TimerFired{deadlineTimerName}}, 1, 2},
 		{"unknown container", []Event{UsageReported{ID: "y"}, AttemptEnded{ID: "y"}, AttemptAccepted{ID: "y"},
 			ContainerRemoved{"y"}}, 0, 2},
 	} {
@@ -72,7 +72,7 @@
 			n := 0
 			for i, e := range tc.events {
 				now := Time(i + 1)
-				if (e == Event(TimerFired{deadlineTimer})) {
+				if (e == Event(TimerFired{deadlineTimerName})) {
 					now += 6 * Second
 				}
 				for _, a := range s.Handle(now, []Event{e}) {
@@ -85,7 +85,7 @@
 			if n != tc.want {
 				t.Errorf("%d actions, want %d", n, tc.want)
 			}
-			if left := len(s.containers) + len(s.services); left != tc.left {
+			if left := len(s.containers.containers) + len(s.containers.services); left != tc.left {
 				t.Errorf("%d left in tables, want %d", left, tc.left)
 			}
 		})
@@ -113,10 +113,10 @@
 			if len(actions) != 1 || actions[0] != tc.want {
 				t.Errorf("%v, want %v", actions, tc.want)
 			}
-			if m := s.machines[at]; m.outlierLogOdds > 0 || m.lastHeardAt != 2*Second {
-				t.Errorf("log odds %.1f, heard at %d", m.outlierLogOdds, m.lastHeardAt)
+			if m := s.machines.find(at); m.outlier.logOdds > 0 || m.contact.lastHeardAt != 2*Second {
+				t.Errorf("log odds %.1f, heard at %d", m.outlier.logOdds, m.contact.lastHeardAt)
 			}
-			if len(s.containers) > 0 {
+			if len(s.containers.containers) > 0 {
 				t.Error("the container is kept")
 			}
 		})
--- a/scheduler/draw_test.go
+++ b/scheduler/draw_test.go
@@ -12,25 +12,25 @@
 		setup func(*Scheduler)
 		want  func(m *machine) float64
 	}{
-		{"by capacity", func(*Scheduler) {}, func(m *machine) float64 { return m.capacity }},
+		{"by capacity", func(*Scheduler) {}, func(m *machine) float64 { return m.listing.capacity }},
 		{"not by placement", func(s *Scheduler) {
 			for i := 0; i < 30; i++ {
 				adopt(s, fmt.Sprint("own", i), "busy", "b")
 			}
-		}, func(m *machine) float64 { return m.capacity }},
+		}, func(m *machine) float64 { return m.listing.capacity }},
 		{"not by reported room", func(s *Scheduler) {
 			s.Handle(1, []Event{MachineListUpdate{Mode: DeltaUpdate, Entries: []MachineEntry{
 				{Machine: "b", Zone: 0, RackGroup: 0, MachineType: 1, FreeCores: -99, FreeMemory: -99}}}})
-		}, func(m *machine) float64 { return m.capacity }},
+		}, func(m *machine) float64 { return m.listing.capacity }},
 		{"by honored capacity", func(s *Scheduler) {
-			s.config.UsageReports = true
+			s.draw.capacities.loadIsKnown = true
 			adopt(s, "heavy", "other", "b")
 			s.Handle(1, []Event{UsageReported{ID: "heavy", Machine: "b", Metric: MetricCoresUsed, Value: 35}})
 		}, func(m *machine) float64 {
 			if m.id == "b" {
 				return 40 - (35 - 1) // one core was requested
 			}
-			return m.capacity
+			return m.listing.capacity
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -39,15 +39,14 @@
 			const n = 20000
 			seen, sum := map[*machine]float64{}, 0.0
 			for i := 0; i < n; i++ {
-				c := s.addContainer(smallRequest("x", fmt.Sprint("s", i), 0))
-				seen[s.draw(c)]++
-				c.closed = true
-				s.removeIfClosed(c)
+				c := s.containers.add(smallRequest("x", fmt.Sprint("s", i), 0))
+				seen[s.draw.draw(c, s.machines.all(), s.now)]++
+				s.containers.close(c)
 			}
-			for _, m := range s.machineOrder {
+			for _, m := range s.machines.all() {
 				sum += tc.want(m)
 			}
-			for _, m := range s.machineOrder {
+			for _, m := range s.machines.all() {
 				if got, want := seen[m]/n, tc.want(m)/sum; math.Abs(got-want) > 0.015 {
 					t.Errorf("%s: drawn %.3f of the time, want %.3f", m.id, got, want)
 				}
@@ -70,10 +69,10 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := testScheduler(testConfig(Idempotent))
-			s.config.UsageReports = tc.usageReports
-			m := s.machines["b"]
-			m.used.cores, m.requested.cores, m.listRequested.cores = tc.used, tc.requested, tc.listRequested
-			if got := s.honoredCapacity(m); math.Abs(got-tc.want) > 1e-9 {
+			s.draw.capacities.loadIsKnown = tc.usageReports
+			m := s.machines.find("b")
+			m.load.used.cores, m.load.requested.cores, m.listing.requested.cores = tc.used, tc.requested, tc.listRequested
+			if got := s.draw.capacities.honored(m); math.Abs(got-tc.want) > 1e-9 {
 				t.Errorf("honored %.2f, want %.2f", got, tc.want)
 			}
 		})
@@ -95,7 +94,7 @@
 			s.Handle(0, []Event{MachineListUpdate{Mode: FullSnapshot, Entries: []MachineEntry{{Machine: "c"}}}})
 		}, "c"},
 		{"machine type", func(s *Scheduler) { s.config.WorkloadClasses[0].MachineType = 1 }, "b"},
-		{"machines too small", func(s *Scheduler) { s.config.MachineTypes[0].Cores = 0.4 }, "b"},
+		{"machines too small", func(s *Scheduler) { s.draw.eligibility.acceptLimits[0].cores = 0.4 * s.config.CoresOvercommit }, "b"},
 		{"spread over machines", func(s *Scheduler) {
 			s.config.WorkloadClasses[0].SpreadScope, s.config.WorkloadClasses[0].MaxPerScope = ScopeMachine, 2
 			adopt(s, "o1", "s", "a")
@@ -111,14 +110,14 @@
 			adopt(s, "o1", "s", "nowhere")
 		}, ""},
 		{"slow start, its quota spent", func(s *Scheduler) {
-			m := s.machines["a"]
-			m.startedAt = s.now + 1
+			m := s.machines.find("a")
+			m.listing.startedAt = s.now + 1
 			for i := 0; i < s.config.SlowStartBudget/s.config.SchedulerCount; i++ {
-				m.recentSends = append(m.recentSends, s.now)
+				m.sends.record(s.now)
 			}
 		}, "bcd"},
 		{"slow start, just after own start", func(s *Scheduler) {
-			s.machines["a"].startedAt, s.sendsKnownSince = s.now+1, s.now
+			s.machines.find("a").listing.startedAt, s.slowStart.sendsKnownSince = s.now+1, s.now
 		}, "bcd"},
 		{"drained a container", func(s *Scheduler) {
 			adopt(s, "o1", "o", "a")
@@ -132,11 +131,11 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := testScheduler(testConfig(Idempotent))
-			s.now, s.sendsKnownSince = 100*Second, 0
+			s.now, s.slowStart.sendsKnownSince = 100*Second, 0
 			tc.setup(s)
-			c, got := s.addContainer(smallRequest("x", "s", 0)), ""
-			for _, m := range s.machineOrder {
-				if s.eligible(c, m) {
+			c, got := s.containers.add(smallRequest("x", "s", 0)), ""
+			for _, m := range s.machines.all() {
+				if s.draw.eligibility.allows(c, m, s.now) {
 					got += string(m.id)
 				}
 			}
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -3,28 +3,50 @@
 // Explain counts the machines by the first obstacle that keeps a request from them, as of the last batch. The
 // room by the machine list is one of them. It changes no decision.
 func (s *Scheduler) Explain(r PlacementRequest) Explanation {
-	x := Explanation{SheddingLoad: s.fullRatio > sheddingThreshold, FullRatio: s.fullRatio}
-	if r.WorkloadClass >= len(s.config.WorkloadClasses) {
-		return x
+	explanation := Explanation{SheddingLoad: s.shedder.isShedding(), FullRatio: s.shedder.fullShare()}
+	c := s.containers.hypothetical(r)
+	if c == nil {
+		return explanation
 	}
-	c := &container{request: r, class: &s.config.WorkloadClasses[r.WorkloadClass], service: &service{}}
-	if known := s.services[r.Service]; known != nil {
-		c.service = known
-	}
-	for _, m := range s.machineOrder {
-		if m.state == MachineGone {
-			x.Gone++
+	for _, m := range s.machines.all() {
+		if m.listing.state == MachineGone {
+			explanation.Gone++
 			continue
 		}
-		x.Machines++
-		*s.explainMachine(&x, c, m)++
+		explanation.Machines++
+		*s.draw.countFor(&explanation, c, m, s.now)++
+	}
+	return explanation
+}
+
+// countFor returns the count that a machine falls under. A lack of room comes before passing obstacles.
+func (d *maxCapDraw) countFor(x *Explanation, c *container, m *machine, now Time) *int {
+	first := d.eligibility.firstObstacle(c, m, now)
+	if count := lastingObstacleCount(x, first); count != nil {
+		return count
+	}
+	switch d.eligibility.shortageFor(c, m) {
+	case shortOfCores:
+		return &x.InsufficientCores
+	case shortOfMemory:
+		return &x.InsufficientMemory
+	case noShortage:
+	}
+	if count := passingObstacleCount(x, first); count != nil {
+		return count
+	}
+	switch d.suspicionLevel(m, d.classes.classesOf(c), now) {
+	case ejected:
+		return &x.Ejected
+	case suspectedOfClass:
+		return &x.Suspected
+	case notSuspected, noCandidate:
 	}
-	return x
+	return &x.Eligible
 }
 
-// explainMachine returns the count that a machine falls under. A lack of room comes before passing obstacles.
-func (s *Scheduler) explainMachine(x *Explanation, c *container, m *machine) *int {
-	o := s.obstacle(c, m)
+// lastingObstacleCount returns nil for obstacles that pass.
+func lastingObstacleCount(x *Explanation, o obstacle) *int {
 	switch o {
 	case wrongMachineType:
 		return &x.WrongMachineType
@@ -32,24 +54,21 @@
 		return &x.Draining
 	case tooSmall:
 		return &x.TooSmall
+	default:
+		return nil
 	}
-	requested, limit := m.knownRequested(), s.acceptLimit(m)
-	requested.add(c.requested())
-	switch {
-	case s.config.ListTracksRequests && requested.cores > limit.cores:
-		return &x.InsufficientCores
-	case s.config.ListTracksRequests && requested.memory > limit.memory:
-		return &x.InsufficientMemory
-	case o == selfDraining:
+}
+
+// passingObstacleCount returns nil for obstacles that last.
+func passingObstacleCount(x *Explanation, o obstacle) *int {
+	switch o {
+	case selfDraining:
 		return &x.SelfDraining
-	case o == spreadExhausted:
+	case spreadExhausted:
 		return &x.SpreadExhausted
-	case o == slowStartExhausted:
+	case slowStartExhausted:
 		return &x.SlowStartExhausted
-	case m.isEjected():
-		return &x.Ejected
-	case s.suspectedForClass(c, m):
-		return &x.Suspected
+	default:
+		return nil
 	}
-	return &x.Eligible
 }
--- a/scheduler/explain_test.go
+++ b/scheduler/explain_test.go
@@ -14,21 +14,23 @@
 		n     int
 	}{
 		{"eligible", func(*Scheduler) {}, func(x Explanation) int { return x.Eligible }, 4},
-		{"draining", func(s *Scheduler) { s.machines["a"].state = MachineDraining },
+		{"draining", func(s *Scheduler) { s.machines.find("a").listing.state = MachineDraining },
 			func(x Explanation) int { return x.Draining }, 1},
-		{"gone", func(s *Scheduler) { s.machines["a"].state = MachineGone },
+		{"gone", func(s *Scheduler) { s.machines.find("a").listing.state = MachineGone },
 			func(x Explanation) int { return x.Gone }, 1},
 		{"machine type", func(s *Scheduler) { s.config.WorkloadClasses[0].MachineType = 1 },
 			func(x Explanation) int { return x.WrongMachineType }, 3},
-		{"ejected", func(s *Scheduler) { s.machines["a"].ejectedUntil = 1 },
+		{"ejected", func(s *Scheduler) { s.machines.find("a").outlier.ejectedUntil = 1 },
 			func(x Explanation) int { return x.Ejected }, 1},
-		{"self-draining", func(s *Scheduler) { s.machines["a"].selfDrainingUntil = s.now + 1 },
+		{"self-draining", func(s *Scheduler) { s.machines.find("a").selfDrain.until = s.now + 1 },
 			func(x Explanation) int { return x.SelfDraining }, 1},
-		{"slow start", func(s *Scheduler) { s.machines["a"].startedAt, s.sendsKnownSince = s.now+1, s.now },
+		{"slow start", func(s *Scheduler) {
+			s.machines.find("a").listing.startedAt, s.slowStart.sendsKnownSince = s.now+1, s.now
+		},
 			func(x Explanation) int { return x.SlowStartExhausted }, 1},
-		{"no cores", func(s *Scheduler) { s.machines["a"].listRequested.cores = 1e6 },
+		{"no cores", func(s *Scheduler) { s.machines.find("a").listing.requested.cores = 1e6 },
 			func(x Explanation) int { return x.InsufficientCores }, 1},
-		{"no memory", func(s *Scheduler) { s.machines["a"].listRequested.memory = 1e6 },
+		{"no memory", func(s *Scheduler) { s.machines.find("a").listing.requested.memory = 1e6 },
 			func(x Explanation) int { return x.InsufficientMemory }, 1},
 		{"spread", func(s *Scheduler) {
 			s.config.WorkloadClasses[0].SpreadScope, s.config.WorkloadClasses[0].MaxPerScope = ScopeMachine, 1
@@ -38,9 +40,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			asked, unasked := testScheduler(testConfig(Idempotent)), testScheduler(testConfig(Idempotent))
 			for _, s := range []*Scheduler{asked, unasked} {
-				s.now, s.sendsKnownSince = 100*Second, 0
-				for _, m := range s.machineOrder {
-					m.listRequested = resources{}
+				s.now, s.slowStart.sendsKnownSince = 100*Second, 0
+				for _, m := range s.machines.all() {
+					m.listing.requested = resources{}
 				}
 				tc.setup(s)
 			}
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -34,33 +34,33 @@
 					"heard-timeout": AttemptEnded{ID: id, Final: true, Outcome: OutcomeTimedOut},
 					"accepted":      AttemptAccepted{ID: id}}[outcome]})
 			}
-			if ejected := s.machines["a"].ejectedUntil > 0; ejected != tc.ejected {
-				t.Errorf("ejected %t, want %t (log odds %.1f)", ejected, tc.ejected, s.machines["a"].outlierLogOdds)
+			if ejected := s.machines.find("a").outlier.ejectedUntil > 0; ejected != tc.ejected {
+				t.Errorf("ejected %t, want %t (log odds %.1f)", ejected, tc.ejected, s.machines.find("a").outlier.logOdds)
 			}
 		})
 	}
 	t.Run("ejected machines are the fallback", func(t *testing.T) {
 		s := testScheduler(testConfig(Idempotent))
-		for i, m := range s.machineOrder {
-			s.recordFailure(m)
-			s.recordFailure(m)
+		for i, m := range s.machines.all() {
+			s.outliers.recordFailure(m, s.now)
+			s.outliers.recordFailure(m, s.now)
 			got := submit(s, 0, ContainerID(m.id), fmt.Sprint("s", i))
-			if ejected := s.machines[got] == nil || s.machines[got].ejectedUntil > 0; ejected != (i == 3) {
+			if ejected := s.machines.find(got) == nil || s.machines.find(got).outlier.ejectedUntil > 0; ejected != (i == 3) {
 				t.Errorf("with %d of 4 ejected a container goes to %q", i+1, got)
 			}
 		}
 	})
 	t.Run("readmitted by a probe, on trial", func(t *testing.T) {
 		s := testScheduler(testConfig(Idempotent))
-		m := s.machines["a"]
-		s.recordFailure(m)
-		s.recordFailure(m)
-		actions := s.Handle(m.ejectedUntil, []Event{TimerFired{maintenanceTimer}})
-		s.Handle(m.ejectedUntil+100, []Event{ProbeCompleted{Machine: "a", Outcome: OutcomeFinished}})
-		if lastAction(actions) != (Probe{"a"}) || m.ejectedUntil > 0 {
-			t.Fatalf("probed by %v, ejected until %d", actions, m.ejectedUntil)
+		m := s.machines.find("a")
+		s.outliers.recordFailure(m, s.now)
+		s.outliers.recordFailure(m, s.now)
+		actions := s.Handle(m.outlier.ejectedUntil, []Event{TimerFired{maintenanceTimerName}})
+		s.Handle(m.outlier.ejectedUntil+100, []Event{ProbeCompleted{Machine: "a", Outcome: OutcomeFinished}})
+		if lastAction(actions) != (Probe{"a"}) || m.outlier.ejectedUntil > 0 {
+			t.Fatalf("probed by %v, ejected until %d", actions, m.outlier.ejectedUntil)
 		}
-		if s.recordFailure(m); m.ejectedUntil == 0 {
+		if s.outliers.recordFailure(m, s.now); m.outlier.ejectedUntil == 0 {
 			t.Error("a failure on trial does not eject it again")
 		}
 	})
@@ -99,8 +99,8 @@
 				}
 			}
 			suspects := 0
-			for _, m := range s.machineOrder {
-				if m.outlierLogOdds > 0 {
+			for _, m := range s.machines.all() {
+				if m.outlier.logOdds > 0 {
 					suspects++
 				}
 			}
@@ -132,25 +132,25 @@
 				submit(s, Second, id, "s")
 				s.moveAttempt(id, "a")
 			}
-			s.machines["a"].probeSentAt = Second
+			s.machines.find("a").contact.probeSentAt = Second
 			restarted := MachineEntry{Machine: "a", StartedAt: 2 * Second}
 			s.Handle(3*Second, []Event{MachineListUpdate{Mode: DeltaUpdate, Entries: []MachineEntry{restarted}}})
 			for _, e := range tc.events {
 				s.Handle(3*Second, []Event{e})
 			}
-			if m := s.machines["a"]; m.outlierLogOdds > 0 || m.ejectedUntil > 0 {
-				t.Errorf("log odds %.1f, ejected until %d", m.outlierLogOdds, m.ejectedUntil)
+			if m := s.machines.find("a"); m.outlier.logOdds > 0 || m.outlier.ejectedUntil > 0 {
+				t.Errorf("log odds %.1f, ejected until %d", m.outlier.logOdds, m.outlier.ejectedUntil)
 			}
 		})
 	}
 	t.Run("a probe that could not be sent", func(t *testing.T) {
 		s := testScheduler(testConfig(Idempotent))
 		for range 3 {
-			s.machines["a"].probeSentAt = Second
+			s.machines.find("a").contact.probeSentAt = Second
 			s.Handle(3*Second, []Event{ProbeCompleted{Machine: "a", Outcome: OutcomeNotSent}})
 		}
-		if m := s.machines["a"]; m.outlierLogOdds > 0 || m.probeSentAt > 0 {
-			t.Errorf("log odds %.1f, probing %v", m.outlierLogOdds, m.probeSentAt)
+		if m := s.machines.find("a"); m.outlier.logOdds > 0 || m.contact.probeSentAt > 0 {
+			t.Errorf("log odds %.1f, probing %v", m.outlier.logOdds, m.contact.probeSentAt)
 		}
 	})
 }
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -64,10 +64,10 @@
 
 // moveAttempt pretends that a container's attempt went elsewhere.
 func (s *Scheduler) moveAttempt(id ContainerID, to MachineID) {
-	c := s.containers[id]
+	c := s.containers.find(id)
 	sent := c.sentAt
-	s.release(c)
-	s.reserve(c, s.findOrAddMachine(to))
+	s.containers.release(c)
+	s.containers.reserve(c, s.machines.findOrAdd(to), s.now)
 	c.sentAt = sent
 }
 
--- a/scheduler/log_test.go
+++ b/scheduler/log_test.go
@@ -23,11 +23,11 @@
 
 func TestEjectionIsLoggedWithItsMachine(t *testing.T) {
 	s := testScheduler(testConfig(Idempotent))
-	s.actions = nil
+	s.actions.reset()
 	for range 2 {
-		s.recordFailure(s.machines["a"])
+		s.outliers.recordFailure(s.machines.find("a"), s.now)
 	}
-	if got, ok := lastAction(s.actions).(Log); !ok || got.String() != "machine ejected machine=a log_odds=4.97" {
-		t.Errorf("%v", s.actions)
+	if got, ok := lastAction(s.actions.collected()).(Log); !ok || got.String() != "machine ejected machine=a log_odds=4.97" {
+		t.Errorf("%v", s.actions.collected())
 	}
 }
--- a/scheduler/machinelist_test.go
+++ b/scheduler/machinelist_test.go
@@ -32,7 +32,7 @@
 			}
 			for now := Time(0); now <= tc.by; now += Second / 4 {
 				for _, s := range all {
-					if slices.Contains(s.Handle(now, []Event{TimerFired{maintenanceTimer}}), Action(WatchMachineList{true})) {
+					if slices.Contains(s.Handle(now, []Event{TimerFired{maintenanceTimerName}}), Action(WatchMachineList{true})) {
 						polls[now/(Second/2)]++
 						if now < tc.downUntil {
 							s.Handle(now, []Event{MachineListUpdate{Mode: UpdateFailed}})
@@ -73,15 +73,15 @@
 			now := Millisecond
 			s.Handle(now, tc.before)
 			s.Handle(now, []Event{MachineListUpdate{Mode: tc.mode, Entries: []MachineEntry{{Machine: "a", StartedAt: now}}}})
-			if m := s.findOrAddMachine("a"); m.startedAt != now || !s.inSlowStart(m) {
-				t.Errorf("machine a started at %d, slow start: %v", m.startedAt, s.inSlowStart(m))
+			if m := s.machines.findOrAdd("a"); m.listing.startedAt != now || !s.slowStart.inSlowStart(m, now) {
+				t.Errorf("machine a started at %d, slow start: %v", m.listing.startedAt, s.slowStart.inSlowStart(m, now))
 			}
-			if m := s.findOrAddMachine("d"); m.state != MachineServing {
-				t.Errorf("machine d is in state %d", m.state)
+			if m := s.machines.findOrAdd("d"); m.listing.state != MachineServing {
+				t.Errorf("machine d is in state %d", m.listing.state)
 			}
 			polls := 0
 			for ; now <= 10*Second; now += Second / 4 {
-				if slices.Contains(s.Handle(now, []Event{TimerFired{maintenanceTimer}}), Action(WatchMachineList{true})) {
+				if slices.Contains(s.Handle(now, []Event{TimerFired{maintenanceTimerName}}), Action(WatchMachineList{true})) {
 					polls++
 				}
 			}
--- a/scheduler/policy_test.go
+++ b/scheduler/policy_test.go
@@ -12,7 +12,7 @@
 
 // withoutDecisions are the files of this package that hold types, state and helpers only.
 var withoutDecisions = []string{
-	"actions.go", "answers.go", "config.go", "doc.go", "events.go", "log.go", "random.go", "state.go",
+	"actionbuffer.go", "actions.go", "answers.go", "config.go", "doc.go", "events.go", "random.go", "resources.go",
 }
 
 // policyFiles reads the names of this package's files from the array "policy" of the deploy file.
--- a/scheduler/random.go
+++ b/scheduler/random.go
@@ -13,6 +13,11 @@
 // uniform returns a number from 0 up to and without 1.
 func (g *pcg) uniform() float64 { return float64(g.next()>>11) / (1 << 53) }
 
+// jitter is a random moment in a span: instances that start or fail together must not act together.
+func (g *pcg) jitter(span Time) Time {
+	return Millisecond + Time(float64(span)*g.uniform())
+}
+
 // mix is the generator's output permutation.
 func mix(state uint64) uint64 {
 	word := ((state >> ((state >> 59) + 5)) ^ state) * 12605985483714917081
--- /dev/null
+++ b/scheduler/resources.go
@@ -0,0 +1,24 @@
+package scheduler
+
+// resources are amounts of cores and memory.
+type resources struct{ cores, memory float64 }
+
+func (r *resources) add(o resources) {
+	r.cores += o.cores
+	r.memory += o.memory
+}
+
+func (r *resources) subtract(o resources) {
+	r.cores -= o.cores
+	r.memory -= o.memory
+}
+
+// atLeast returns the larger of each amount.
+func (r resources) atLeast(o resources) resources {
+	return resources{cores: max(r.cores, o.cores), memory: max(r.memory, o.memory)}
+}
+
+// within tells whether both amounts are up to a limit.
+func (r resources) within(limit resources) bool {
+	return r.cores <= limit.cores && r.memory <= limit.memory
+}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,37 +1,115 @@
 package scheduler
 
-// Tuned values that several files use; each holds for the trade, not for one deployment.
 const (
 	averagingSpan  = 32              // observations that a moving ratio remembers
 	deadlineMargin = 2 * Millisecond // kept from deadlines and deduplication windows, for the way to the machine
+
+	maintenanceInterval = Second / 4 // also how far ahead deadlines get a timer
+
+	maintenanceTimerName = "sweep" // these names pass through the simulator's wire
+	deadlineTimerName    = "due"
 )
 
-// Handle applies the events that happened by now and returns the actions to carry out. Containers are placed
-// after all events are applied: what is found running in the batch counts before any new attempt.
+// Scheduler is one instance. The process calls New once and Handle for each batch of events, and carries out the
+// actions in the order in which they are returned. It coordinates components that each own their part of the state.
+type Scheduler struct {
+	config  Config
+	actions *actionBuffer
+	random  *pcg // shared by all components that draw: the order of their draws is part of each decision
+
+	machines   *machineRegistry
+	containers *containerRegistry
+	quotas     *tenantQuotas
+	slowStart  *slowStartLimiter
+	outliers   *outlierDetector
+	classes    *classFailureDetector
+	shedder    *loadShedder
+	poller     *listPoller
+	prober     *prober
+	outcomes   *outcomeRecorder
+	draw       *maxCapDraw
+	deadlines  *deadlineTimer
+
+	now           Time         // of this batch, or the last one
+	unplaced      []*container // to be placed at the end of this batch
+	deadlineCheck bool         // a timer fired in this batch
+}
+
+// New returns a scheduler that knows no machines yet.
+func New(config Config) *Scheduler {
+	actions := &actionBuffer{}
+	random := &pcg{config.Seed}
+	quotas := newTenantQuotas(config.Tenants)
+	slowStart := newSlowStartLimiter(&config)
+	outliers := &outlierDetector{actions: actions}
+	classes := newClassFailureDetector(&config, actions)
+	filters := newEligibility(&config, slowStart)
+	shedder := &loadShedder{overQuotaWeight: config.OverQuotaWeight, quotas: quotas, random: random}
+	return &Scheduler{
+		config:     config,
+		actions:    actions,
+		random:     random,
+		machines:   newMachineRegistry(&config, slowStart, actions),
+		containers: newContainerRegistry(config.WorkloadClasses, quotas),
+		quotas:     quotas,
+		slowStart:  slowStart,
+		outliers:   outliers,
+		classes:    classes,
+		shedder:    shedder,
+		poller:     newListPoller(&config, random),
+		prober: &prober{
+			allowed:   config.ProbesAllowed,
+			slowStart: slowStart,
+			outliers:  outliers,
+			actions:   actions,
+		},
+		outcomes: &outcomeRecorder{
+			outliers:    outliers,
+			classes:     classes,
+			shedder:     shedder,
+			eligibility: filters,
+			actions:     actions,
+		},
+		draw: &maxCapDraw{
+			random:      random,
+			capacities:  newCapacityModel(&config),
+			eligibility: filters,
+			classes:     classes,
+			slowStart:   slowStart,
+		},
+		deadlines: &deadlineTimer{grace: config.AnswerGrace},
+	}
+}
+
+// Handle applies the events that happened by now and returns the actions to carry out. Containers are placed after all
+// events are applied: what is found running in the batch counts before any new attempt.
 func (s *Scheduler) Handle(now Time, events []Event) []Action {
-	s.now = now
-	s.actions, s.unplaced, s.deadlinesDue = nil, nil, false
-	if s.sendsKnownSince < 0 {
+	s.beginBatch(now)
+	if !s.slowStart.hasStarted() {
 		s.begin()
 	}
 	for _, e := range events {
 		s.apply(e)
 	}
-	for _, c := range s.unplaced {
-		if !c.closed {
-			s.place(c)
-		}
-	}
-	if s.deadlinesDue {
+	s.placeAll()
+	if s.deadlineCheck {
 		s.checkDeadlines()
 	}
-	return s.actions
+	return s.actions.collected()
+}
+
+func (s *Scheduler) beginBatch(now Time) {
+	s.now = now
+	s.actions.reset()
+	clear(s.unplaced)
+	s.unplaced = s.unplaced[:0]
+	s.deadlineCheck = false
 }
 
 func (s *Scheduler) apply(e Event) {
 	switch e := e.(type) {
 	case MachineListUpdate:
-		s.applyMachineList(e)
+		s.machineListUpdated(e)
 	case RequestReceived:
 		s.requestReceived(e)
 	case ContainerAdopted:
@@ -51,9 +129,58 @@
 	}
 }
 
-func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
+// begin runs in the first batch.
+func (s *Scheduler) begin() {
+	s.slowStart.start(s.now)
+	s.actions.emit(SetTimer{After: s.random.jitter(maintenanceInterval), Name: maintenanceTimerName})
+	s.poller.resetDelay()
+	if s.config.ListOnRequest {
+		s.poller.schedule(s.now)
+	}
+}
+
+// machineListUpdated takes in an update. A poll that failed leaves the machines as they are, and a start that a machine
+// reports itself is no answer to a poll.
+func (s *Scheduler) machineListUpdated(e MachineListUpdate) {
+	switch e.Mode {
+	case UpdateFailed:
+		s.poller.pollFailed(s.now)
+		return
+	case DeltaUpdate, FullSnapshot:
+		s.poller.pollAnswered()
+	case RestoredSnapshot, SelfReported:
+	default:
+	}
+	s.machines.apply(e, s.now)
+}
+
+func (s *Scheduler) probeCompleted(e ProbeCompleted) {
+	if m := s.machines.find(e.Machine); m != nil {
+		s.prober.completed(m, e.Outcome, s.now)
+	}
+}
 
-// jitter is a random moment in a span: instances that start or fail together must not act together.
-func (s *Scheduler) jitter(span Time) Time {
-	return Millisecond + Time(float64(span)*s.random.uniform())
+// timerFired has deadlines checked at the end of the batch, whichever timer it was.
+func (s *Scheduler) timerFired(e TimerFired) {
+	if e.Name == maintenanceTimerName {
+		s.maintain()
+	}
+	s.deadlineCheck = true
+}
+
+// maintain does the periodic work.
+func (s *Scheduler) maintain() {
+	s.actions.emit(SetTimer{After: maintenanceInterval, Name: maintenanceTimerName})
+	s.machines.evictGone(s.now)
+	if s.poller.takeDue(s.now) {
+		s.actions.emit(WatchMachineList{Enabled: true})
+	}
+	silent := s.containers.silentMachines(silenceBeforeProbe, s.now)
+	s.prober.probeMachines(s.machines.all(), silent, s.now)
+}
+
+func (s *Scheduler) checkDeadlines() {
+	for _, c := range s.deadlines.check(s.containers, s.actions, s.now) {
+		s.respond(c)
+	}
 }
--- a/scheduler/shedding.go
+++ b/scheduler/shedding.go
@@ -6,10 +6,22 @@
 	clientRetryWeight = 0.5 // left to a request that the client retried: it cannot start in time
 )
 
-// shed decides at random whether a container makes way for others. The odds grow with the share of attempts
-// without room and with what its priority lacks to the mean of those that found none.
-func (s *Scheduler) shed(c *container) bool {
-	if s.fullRatio <= sheddingThreshold {
+// loadShedder rejects requests of low priority while attempts find no room.
+type loadShedder struct {
+	overQuotaWeight float64
+	quotas          *tenantQuotas
+	random          *pcg
+	fullRatio       float64 // moving share of attempts that found no room
+	rejectedWeight  float64 // the same, of attempts by priority weight
+}
+
+// isShedding tells whether attempts find so little room that requests may be shed.
+func (s *loadShedder) isShedding() bool { return s.fullRatio > sheddingThreshold }
+
+// shed decides at random whether a container makes way for others. The odds grow with the share of attempts without
+// room and with what its priority lacks to the mean of those that found none.
+func (s *loadShedder) shed(c *container) bool {
+	if !s.isShedding() {
 		return false
 	}
 	chance := s.random.uniform()
@@ -17,39 +29,38 @@
 }
 
 // priorityWeight lowers the weight of client retries, and of what a tenant holds beyond its quota.
-func (s *Scheduler) priorityWeight(c *container) float64 {
+func (s *loadShedder) priorityWeight(c *container) float64 {
 	weight := c.class.PriorityWeight
 	if c.request.ClientRetry {
 		weight *= clientRetryWeight
 	}
-	if share := s.quotaShare(c.request.Tenant); share < 1 {
-		weight *= share + (1-share)*s.config.OverQuotaWeight
+	if share := s.quotas.share(c.request.Tenant); share < 1 {
+		weight *= share + (1-share)*s.overQuotaWeight
 	}
 	return weight
 }
 
-// quotaShare is a tenant's part of all quotas over its part of own containers' cores: below 1 over its quota.
-func (s *Scheduler) quotaShare(tenant int) float64 {
-	if tenant >= len(s.tenantCores) || s.tenantCores[tenant] <= 0 {
-		return 1
-	}
-	var quotas, requested float64
-	for i, t := range s.config.Tenants {
-		quotas += t.QuotaCores
-		requested += s.tenantCores[i]
-	}
-	if quotas <= 0 {
-		return 1
-	}
-	return s.config.Tenants[tenant].QuotaCores / quotas / (s.tenantCores[tenant] / requested)
-}
-
-func (s *Scheduler) recordRoom() {
+// recordRoom counts an attempt that was accepted.
+func (s *loadShedder) recordRoom() {
 	s.fullRatio -= s.fullRatio / averagingSpan
 	s.rejectedWeight -= s.rejectedWeight / averagingSpan
 }
 
-func (s *Scheduler) recordNoRoom(c *container) {
+// recordNoRoom counts an attempt that found its machine full.
+func (s *loadShedder) recordNoRoom(c *container) {
 	s.fullRatio += (1 - s.fullRatio) / averagingSpan
 	s.rejectedWeight += (s.priorityWeight(c) - s.rejectedWeight) / averagingSpan
 }
+
+// fullShare is the moving share of attempts that found no room.
+func (s *loadShedder) fullShare() float64 { return s.fullRatio }
+
+func (s *loadShedder) saveTo(snapshot *Snapshot) {
+	snapshot.FullRatio = s.fullRatio
+	snapshot.RejectedWeight = s.rejectedWeight
+}
+
+func (s *loadShedder) restore(snapshot Snapshot) {
+	s.fullRatio = snapshot.FullRatio
+	s.rejectedWeight = snapshot.RejectedWeight
+}
--- a/scheduler/shedding_test.go
+++ b/scheduler/shedding_test.go
@@ -30,8 +30,8 @@
 			config.Tenants = []Tenant{{QuotaCores: 50}, {QuotaCores: 50}}
 			s, n := testScheduler(config), 0
 			for i := 0; i < 1000; i++ {
-				s.tenantCores[0], s.tenantCores[1] = 20, 80
-				s.fullRatio, s.rejectedWeight = tc.fullRatio, tc.fullRatio*config.WorkloadClasses[1].PriorityWeight
+				s.quotas.cores[0], s.quotas.cores[1] = 20, 80
+				s.shedder.fullRatio, s.shedder.rejectedWeight = tc.fullRatio, tc.fullRatio*config.WorkloadClasses[1].PriorityWeight
 				id := ContainerID(fmt.Sprint(i))
 				actions := s.Handle(0, []Event{RequestReceived{PlacementRequest{ID: id, Service: "s", WorkloadClass: tc.class,
 					Tenant: tc.tenant, ClientRetry: tc.clientRetry, Cores: 1, Memory: 1, Deadline: 5 * Second}}})
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -46,9 +46,9 @@
 		config := testConfig(Idempotent)
 		config.SchedulerIndex, config.SchedulerCount, config.MaxAttempts = i, count, 1
 		s := testScheduler(config)
-		for _, m := range s.machineOrder {
+		for _, m := range s.machines.all() {
 			if strings.Contains(starting, string(m.id)) {
-				m.startedAt = 1
+				m.listing.startedAt = 1
 			}
 		}
 		all = append(all, s)
--- a/scheduler/trafficclass_test.go
+++ b/scheduler/trafficclass_test.go
@@ -39,10 +39,10 @@
 			config.Tenants = []Tenant{{50}, {50}}
 			s := testScheduler(config)
 			for turn := range 6 {
-				for _, m := range s.machineOrder {
-					m.listRequested = resources{}
+				for _, m := range s.machines.all() {
+					m.listing.requested = resources{}
 					if tc.full {
-						m.listRequested.cores = 99
+						m.listing.requested.cores = 99
 					}
 					first := tc.first
 					if tc.at != "" && tc.at != m.id {
@@ -52,7 +52,7 @@
 					attemptOn(s, m, 1, tc.rest(turn))
 				}
 			}
-			s.now, s.random = 2+tc.after, pcg{1}
+			s.now, *s.random = 2+tc.after, pcg{1}
 			for class, want := range []string{tc.want, "abcd"} {
 				if names := machinesDrawn(s, class); names != want {
 					t.Errorf("workload class %d goes to %s, want %s", class, names, want)
@@ -72,7 +72,7 @@
 func attemptOn(s *Scheduler, m *machine, class int, outcome Event) {
 	s.Handle(1, []Event{RequestReceived{requestOfClass("x", "s", class)}})
 	s.moveAttempt("x", m.id)
-	m.lastHeardAt = 1
+	m.contact.lastHeardAt = 1
 	s.Handle(2, []Event{outcome, AttemptEnded{ID: "x", Final: true}})
 }
 
@@ -80,8 +80,8 @@
 func machinesDrawn(s *Scheduler, class int) string {
 	drawn := map[string]bool{}
 	for i := range 400 {
-		c := s.addContainer(requestOfClass("y", fmt.Sprint(i), class))
-		drawn[string(s.draw(c).id)] = true
+		c := s.containers.add(requestOfClass("y", fmt.Sprint(i), class))
+		drawn[string(s.draw.draw(c, s.machines.all(), s.now).id)] = true
 	}
 	return strings.Join(slices.Sorted(maps.Keys(drawn)), "")
 }
