--- /dev/null
+++ b/scheduler/actionbuffer_test.go
@@ -0,0 +1,33 @@
+package scheduler
+
+import (
+	"log/slog"
+	"testing"
+)
+
+func TestLogTextHasItsAttributes(t *testing.T) {
+	attributes := []slog.Attr{slog.String("machine", "a"), rounded("log_odds", 4.969)}
+	for _, tc := range []struct {
+		log  Log
+		want string
+	}{
+		{Log{}, ""},
+		{Log{Message: "constant text"}, "constant text"},
+		{Log{Message: "machine ejected", Attributes: attributes}, "machine ejected machine=a log_odds=4.97"},
+	} {
+		if got := tc.log.String(); got != tc.want {
+			t.Errorf("%q, want %q", got, tc.want)
+		}
+	}
+}
+
+func TestEjectionIsLoggedWithItsMachine(t *testing.T) {
+	actions := &actionBuffer{}
+	d, m := &outlierDetector{actions: actions}, &machine{id: "a"}
+	d.recordFailure(m, 0)
+	d.recordFailure(m, 0)
+	got, ok := lastAction(actions.collected()).(Log)
+	if !ok || got.String() != "machine ejected machine=a log_odds=4.97" {
+		t.Errorf("%v", actions.collected())
+	}
+}
--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -1,6 +1,9 @@
 package scheduler
 
-import "log/slog"
+import (
+	"log/slog"
+	"strings"
+)
 
 // Action is something to be done.
 type Action interface{ action() }
@@ -53,11 +56,12 @@
 
 // String is for places that have no structured log.
 func (l Log) String() string {
-	text := l.Message
+	var text strings.Builder
+	text.WriteString(l.Message)
 	for _, a := range l.Attributes {
-		text += " " + a.String()
+		text.WriteString(" " + a.String())
 	}
-	return text
+	return text.String()
 }
 
 func (StartAttempt) action()     {}
--- a/scheduler/attempts_test.go
+++ b/scheduler/attempts_test.go
@@ -1,8 +1,6 @@
 package scheduler
 
-import (
-	"testing"
-)
+import "testing"
 
 // What may follow by the idempotency of the class and the outcome of the first attempt.
 func TestOutcomeDecidesWhatMayFollow(t *testing.T) {
@@ -38,52 +36,53 @@
 			if !sameType(lastAction(got), tc.want) {
 				t.Errorf("%T, want %T", lastAction(got), tc.want)
 			}
-			if next, ok := lastAction(got).(StartAttempt); ok && (next.Machine == first ||
-				!s.machines.find(next.Machine).sharesScope(s.machines.find(first), tc.scope) && tc.scope != ScopeNone) {
-				t.Errorf("attempt on %s after %s", next.Machine, first)
+			next := startedOn(got)
+			if next == "" {
+				return
+			}
+			inScope := s.machines.find(next).sharesScope(s.machines.find(first), tc.scope) || tc.scope == ScopeNone
+			if next == first || !inScope {
+				t.Errorf("attempt on %s after %s", next, first)
 			}
 		})
 	}
 }
 
 func TestEachContainerIsAnsweredOnce(t *testing.T) {
+	ended := func(o Outcome) Event { return AttemptEnded{ID: "x", Outcome: o} }
+	endedFinally := func(o Outcome) Event { return AttemptEnded{ID: "x", Final: true, Outcome: o} }
+	full := ended(OutcomeFull)
+	accepted, removed := AttemptAccepted{ID: "x"}, ContainerRemoved{"x"}
+	deadlinePassed := TimerFired{deadlineTimerName}
 	for _, tc := range []struct {
 		name   string
 		events []Event
 		want   int // actions for the container after its first attempt
 		left   int
 	}{
-		{"removed, then its outcome", []Event{ContainerRemoved{"x"}, AttemptEnded{ID: "x", Outcome: OutcomeTimedOut}}, 0, 0},
-		{"final outcome, then removed", []Event{AttemptEnded{ID: "x", Final: true, Outcome: OutcomeFinished},
-			ContainerRemoved{"x"}}, 0, 0},
-		{"accepted, then lost", []Event{AttemptAccepted{ID: "x"},
-			AttemptEnded{ID: "x", Final: true, Outcome: OutcomeLost}}, 0, 0},
-		{"every machine full", []Event{AttemptEnded{ID: "x", Outcome: OutcomeFull}, AttemptEnded{ID: "x", Outcome: OutcomeFull},
-			AttemptEnded{ID: "x", Outcome: OutcomeFull}, AttemptEnded{ID: "x", Outcome: OutcomeFull}}, 4, 0},
-		{"acceptance crossed by a cancellation", []Event{AttemptAccepted{ID: "x"},
-			AttemptEnded{ID: "x", Outcome: OutcomeStopped}}, 1, 2},
-		{"no outcome at the deadline", []Event{TimerFired{maintenanceTimerName}, TimerFired{deadlineTimerName}}, 1, 2},
-		{"unknown container", []Event{UsageReported{ID: "y"}, AttemptEnded{ID: "y"}, AttemptAccepted{ID: "y"},
-			ContainerRemoved{"y"}}, 0, 2},
+		{"removed, then its outcome", []Event{removed, ended(OutcomeTimedOut)}, 0, 0},
+		{"final outcome, then removed", []Event{endedFinally(OutcomeFinished), removed}, 0, 0},
+		{"accepted, then lost", []Event{accepted, endedFinally(OutcomeLost)}, 0, 0},
+		{"every machine full", []Event{full, full, full, full}, 4, 0},
+		{"acceptance crossed by a cancellation", []Event{accepted, ended(OutcomeStopped)}, 1, 2},
+		{"no outcome at the deadline", []Event{TimerFired{maintenanceTimerName}, deadlinePassed}, 1, 2},
+		{"unknown container", []Event{
+			UsageReported{ID: "y"}, AttemptEnded{ID: "y"}, AttemptAccepted{ID: "y"}, ContainerRemoved{"y"},
+		}, 0, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := testScheduler(testConfig(Idempotent))
 			submit(s, 0, "x", "s")
-			n := 0
+			answers := 0
 			for i, e := range tc.events {
 				now := Time(i + 1)
-				if (e == Event(TimerFired{deadlineTimerName})) {
+				if e == Event(deadlinePassed) {
 					now += 6 * Second
 				}
-				for _, a := range s.Handle(now, []Event{e}) {
-					switch a.(type) {
-					case StartAttempt, Reject, Fail, CancelAttempt:
-						n++
-					}
-				}
+				answers += countAnswers(s.Handle(now, []Event{e}))
 			}
-			if n != tc.want {
-				t.Errorf("%d actions, want %d", n, tc.want)
+			if answers != tc.want {
+				t.Errorf("%d actions, want %d", answers, tc.want)
 			}
 			if left := len(s.containers.containers) + len(s.containers.services); left != tc.left {
 				t.Errorf("%d left in tables, want %d", left, tc.left)
@@ -92,8 +91,20 @@
 	}
 }
 
-// A container whose run time passed before it was accepted is answered at once, by what may have run, and is no evidence
-// against a machine.
+// countAnswers counts the actions that are for a container.
+func countAnswers(actions []Action) int {
+	count := 0
+	for _, a := range actions {
+		switch a.(type) {
+		case StartAttempt, Reject, Fail, CancelAttempt:
+			count++
+		}
+	}
+	return count
+}
+
+// A container whose run time passed before it was accepted is answered at once, by what may have run, and is no
+// evidence against a machine.
 func TestRunTimePassedUnacceptedIsAnsweredAtOnce(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -123,15 +134,18 @@
 	}
 }
 
-// Nothing goes to a machine of unknown type or of no capacity, and a container of an unknown workload class fails at once.
+// Nothing goes to a machine of unknown type or of no capacity, and a container of an unknown workload class fails at
+// once.
 func TestInvalidInputIsAnsweredSafely(t *testing.T) {
 	config := testConfig(Idempotent)
-	config.SchedulerCount, config.SlowStartBudget, config.MachineTypes = 0, 0, append(config.MachineTypes, MachineType{})
+	config.SchedulerCount, config.SlowStartBudget = 0, 0
+	config.MachineTypes = append(config.MachineTypes, MachineType{})
 	s := testScheduler(config)
-	s.Handle(1, []Event{
-		MachineListUpdate{Mode: FullSnapshot, Entries: []MachineEntry{
-			{Machine: "a", MachineType: 9}, {Machine: "b", MachineType: 2}, {Machine: "c", StartedAt: 1}}},
-		ContainerAdopted{PlacementRequest{ID: "r", Service: "s", WorkloadClass: 7}, "c"}})
+	listMachines(s, 1, FullSnapshot,
+		MachineEntry{Machine: "a", MachineType: 9},
+		MachineEntry{Machine: "b", MachineType: 2},
+		MachineEntry{Machine: "c", StartedAt: 1})
+	s.Handle(1, []Event{ContainerAdopted{PlacementRequest{ID: "r", Service: "s", WorkloadClass: 7}, "c"}})
 	for _, tc := range []struct {
 		request PlacementRequest
 		want    Action // of this type
@@ -140,7 +154,8 @@
 		{PlacementRequest{ID: "y", Service: "s", WorkloadClass: 7, Deadline: 2 * Second}, Fail{}},
 		{PlacementRequest{ID: "z", Service: "s", Tenant: 7, Deadline: 30 * Second}, StartAttempt{}},
 	} {
-		if got := lastAction(s.Handle(tc.request.Deadline-1000, []Event{RequestReceived{tc.request}})); !sameType(got, tc.want) {
+		actions := s.Handle(tc.request.Deadline-1000, []Event{RequestReceived{tc.request}})
+		if got := lastAction(actions); !sameType(got, tc.want) {
 			t.Errorf("%s: %T, want %T", tc.request.ID, got, tc.want)
 		}
 	}
--- a/scheduler/container.go
+++ b/scheduler/container.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// container is one that is to be placed or runs. It is dropped once it is closed and has no attempt out.
+// container is one that is to be placed or runs. It is dropped once it is closed and has no attempt out. The container
+// registry alone changes it, and its own methods; the other components read it.
 type container struct {
 	request  PlacementRequest
 	class    *WorkloadClass
@@ -32,6 +33,18 @@
 	reservations map[*machine]int
 }
 
+// reservationsSharing counts the service's containers in the machine's place. Those in no known place count in each.
+func (s *service) reservationsSharing(m *machine, scope Scope) int {
+	count := 0
+	for o, reservations := range s.reservations {
+		unknownPlace := !o.listing.known && scope != ScopeMachine
+		if unknownPlace || m.sharesScope(o, scope) {
+			count += reservations
+		}
+	}
+	return count
+}
+
 // unattributedFailure is an error of an attempt: the fault of the machine or of the container.
 type unattributedFailure struct {
 	machine *machine
--- a/scheduler/draw.go
+++ b/scheduler/draw.go
@@ -47,7 +47,7 @@
 		if best.level == notSuspected && v.exceeds(best.variate) {
 			continue // whether the machine is suspected or eligible makes no difference
 		}
-		level := d.suspicionLevel(m, classes, now)
+		level := suspicionLevelOf(m, classes, d.classes, now)
 		if level > best.level || !d.eligibility.allows(c, m, now) {
 			continue
 		}
@@ -68,8 +68,8 @@
 
 func (v variate) value() float64 { return -math.Log(1-v.uniform) / v.rate }
 
-// exceeds tells whether the value is surely above a bound, without the logarithm: -log(1-u) is at least u. It may be
-// false for values above the bound.
+// exceeds tells whether the value is surely above a bound, without the logarithm: -log(1-u) is at least u, and 1-u is
+// exact for the numbers that the generator gives. It may be false for values above the bound.
 func (v variate) exceeds(bound float64) bool {
 	return v.uniform*(1-roundingMargin) > bound*v.rate
 }
@@ -84,11 +84,11 @@
 	return variate{uniform: generator.uniform(), rate: rate}
 }
 
-func (d *maxCapDraw) suspicionLevel(m *machine, classes trafficClassPair, now Time) suspicionLevel {
+func suspicionLevelOf(m *machine, of trafficClassPair, detector *classFailureDetector, now Time) suspicionLevel {
 	switch {
 	case m.outlier.isEjected():
 		return ejected
-	case d.classes.suspects(m, classes, now):
+	case detector.suspects(m, of, now):
 		return suspectedOfClass
 	}
 	return notSuspected
--- a/scheduler/eligibility.go
+++ b/scheduler/eligibility.go
@@ -74,20 +74,10 @@
 
 func (e *eligibility) acceptLimit(m *machine) resources { return e.acceptLimits[m.listing.machineType] }
 
-// spreadAllows counts the service's containers in the machine's place. Those in no known place count in each.
+// spreadAllows keeps the containers of a service in one place, with this one, to the class's maximum.
 func spreadAllows(c *container, m *machine) bool {
 	scope := c.class.SpreadScope
-	if scope == ScopeNone {
-		return true
-	}
-	count := 1
-	for o, reservations := range c.service.reservations {
-		unknownPlace := !o.listing.known && scope != ScopeMachine
-		if unknownPlace || m.sharesScope(o, scope) {
-			count += reservations
-		}
-	}
-	return count <= c.class.MaxPerScope
+	return scope == ScopeNone || c.service.reservationsSharing(m, scope)+1 <= c.class.MaxPerScope
 }
 
 // listHasRoom tells whether the machine list shows room for the container.
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -1,5 +1,11 @@
 package scheduler
 
+// explainer says why a request finds no machine.
+type explainer struct {
+	eligibility *eligibility
+	classes     *classFailureDetector
+}
+
 // Explain counts the machines by the first obstacle that keeps a request from them, as of the last batch. The
 // room by the machine list is one of them. It changes no decision.
 func (s *Scheduler) Explain(r PlacementRequest) Explanation {
@@ -14,18 +20,18 @@
 			continue
 		}
 		explanation.Machines++
-		*s.draw.countFor(&explanation, c, m, s.now)++
+		*s.explainer.countFor(&explanation, c, m, s.now)++
 	}
 	return explanation
 }
 
 // countFor returns the count that a machine falls under. A lack of room comes before passing obstacles.
-func (d *maxCapDraw) countFor(x *Explanation, c *container, m *machine, now Time) *int {
-	first := d.eligibility.firstObstacle(c, m, now)
+func (e *explainer) countFor(x *Explanation, c *container, m *machine, now Time) *int {
+	first := e.eligibility.firstObstacle(c, m, now)
 	if count := lastingObstacleCount(x, first); count != nil {
 		return count
 	}
-	switch d.eligibility.shortageFor(c, m) {
+	switch e.eligibility.shortageFor(c, m) {
 	case shortOfCores:
 		return &x.InsufficientCores
 	case shortOfMemory:
@@ -35,7 +41,7 @@
 	if count := passingObstacleCount(x, first); count != nil {
 		return count
 	}
-	switch d.suspicionLevel(m, d.classes.classesOf(c), now) {
+	switch suspicionLevelOf(m, e.classes.classesOf(c), e.classes, now) {
 	case ejected:
 		return &x.Ejected
 	case suspectedOfClass:
--- a/scheduler/explain_test.go
+++ b/scheduler/explain_test.go
@@ -1,62 +1,82 @@
 package scheduler
 
 import (
-	"fmt"
+	"strconv"
 	"testing"
 )
 
 // Each machine counts under what keeps a container from it, and the question changes no decision.
 func TestExplainCountsMachinesAndChangesNoDecision(t *testing.T) {
+	onA := func(change func(s *Scheduler, a *machine)) func(*Scheduler) {
+		return func(s *Scheduler) { change(s, s.machines.find("a")) }
+	}
 	for _, tc := range []struct {
-		name  string
-		setup func(s *Scheduler)
-		want  func(x Explanation) int
-		n     int
+		name   string
+		adjust func(*Config)
+		setup  func(*Scheduler)
+		want   Explanation
 	}{
-		{"eligible", func(*Scheduler) {}, func(x Explanation) int { return x.Eligible }, 4},
-		{"draining", func(s *Scheduler) { s.machines.find("a").listing.state = MachineDraining },
-			func(x Explanation) int { return x.Draining }, 1},
-		{"gone", func(s *Scheduler) { s.machines.find("a").listing.state = MachineGone },
-			func(x Explanation) int { return x.Gone }, 1},
-		{"machine type", func(s *Scheduler) { s.config.WorkloadClasses[0].MachineType = 1 },
-			func(x Explanation) int { return x.WrongMachineType }, 3},
-		{"ejected", func(s *Scheduler) { s.machines.find("a").outlier.ejectedUntil = 1 },
-			func(x Explanation) int { return x.Ejected }, 1},
-		{"self-draining", func(s *Scheduler) { s.machines.find("a").selfDrain.until = s.now + 1 },
-			func(x Explanation) int { return x.SelfDraining }, 1},
-		{"slow start", func(s *Scheduler) {
-			s.machines.find("a").listing.startedAt, s.slowStart.sendsKnownSince = s.now+1, s.now
-		},
-			func(x Explanation) int { return x.SlowStartExhausted }, 1},
-		{"no cores", func(s *Scheduler) { s.machines.find("a").listing.requested.cores = 1e6 },
-			func(x Explanation) int { return x.InsufficientCores }, 1},
-		{"no memory", func(s *Scheduler) { s.machines.find("a").listing.requested.memory = 1e6 },
-			func(x Explanation) int { return x.InsufficientMemory }, 1},
-		{"spread", func(s *Scheduler) {
-			s.config.WorkloadClasses[0].SpreadScope, s.config.WorkloadClasses[0].MaxPerScope = ScopeMachine, 1
-			adopt(s, "o", "s", "a")
-		}, func(x Explanation) int { return x.SpreadExhausted }, 1},
+		{"eligible", nil, nil, Explanation{Machines: 4, Eligible: 4}},
+		{
+			"draining", nil, onA(func(_ *Scheduler, a *machine) { a.listing.state = MachineDraining }),
+			Explanation{Machines: 4, Draining: 1, Eligible: 3},
+		},
+		{
+			"gone", nil, onA(func(_ *Scheduler, a *machine) { a.listing.state = MachineGone }),
+			Explanation{Machines: 3, Gone: 1, Eligible: 3},
+		},
+		{
+			"machine type", func(c *Config) { c.WorkloadClasses[0].MachineType = 1 }, nil,
+			Explanation{Machines: 4, WrongMachineType: 3, Eligible: 1},
+		},
+		{
+			"ejected", nil, onA(func(s *Scheduler, a *machine) { s.fail(a, 2) }),
+			Explanation{Machines: 4, Ejected: 1, Eligible: 3},
+		},
+		{
+			"self-draining", nil, onA(func(s *Scheduler, a *machine) { a.selfDrain.extend(s.now) }),
+			Explanation{Machines: 4, SelfDraining: 1, Eligible: 3},
+		},
+		{"slow start", nil, onA(startLately), Explanation{Machines: 4, SlowStartExhausted: 1, Eligible: 3}},
+		{
+			"no cores", nil, onA(func(_ *Scheduler, a *machine) { a.listing.requested.cores = 1e6 }),
+			Explanation{Machines: 4, InsufficientCores: 1, Eligible: 3},
+		},
+		{
+			"no memory", nil, onA(func(_ *Scheduler, a *machine) { a.listing.requested.memory = 1e6 }),
+			Explanation{Machines: 4, InsufficientMemory: 1, Eligible: 3},
+		},
+		{
+			"spread", spreadOver(ScopeMachine, 1), func(s *Scheduler) { adopt(s, "o", "s", "a") },
+			Explanation{Machines: 4, SpreadExhausted: 1, Eligible: 3},
+		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			asked, unasked := testScheduler(testConfig(Idempotent)), testScheduler(testConfig(Idempotent))
-			for _, s := range []*Scheduler{asked, unasked} {
-				s.now, s.slowStart.sendsKnownSince = 100*Second, 0
+			idle := func(s *Scheduler) {
 				for _, m := range s.machines.all() {
 					m.listing.requested = resources{}
 				}
-				tc.setup(s)
-			}
-			explanation := asked.Explain(smallRequest("", "s", 0))
-			if got := tc.want(explanation); got != tc.n {
-				t.Errorf("%d, want %d: %+v", got, tc.n, explanation)
-			}
-			for i := range 20 {
-				id := ContainerID(fmt.Sprint(i))
-				asked.Explain(smallRequest("", "s", 0))
-				if a, b := submit(asked, 100*Second, id, "s"), submit(unasked, 100*Second, id, "s"); a != b {
-					t.Fatalf("decided differently after the question: %s, %s", a, b)
+				if tc.setup != nil {
+					tc.setup(s)
 				}
 			}
+			asked, unasked := settledScheduler(tc.adjust, idle), settledScheduler(tc.adjust, idle)
+			if got := asked.Explain(smallRequest("", "s", 0)); got != tc.want {
+				t.Errorf("%+v, want %+v", got, tc.want)
+			}
+			compareDecisions(t, asked, unasked)
 		})
 	}
 }
+
+// compareDecisions submits the same requests to two schedulers, of which one is asked before each.
+func compareDecisions(t *testing.T, asked, unasked *Scheduler) {
+	t.Helper()
+	for i := range 20 {
+		id := ContainerID(strconv.Itoa(i))
+		asked.Explain(smallRequest("", "s", 0))
+		if a, b := submit(asked, 100*Second, id, "s"), submit(unasked, 100*Second, id, "s"); a != b {
+			t.Fatalf("decided differently after the question: %s, %s", a, b)
+		}
+	}
+}
--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -135,8 +135,8 @@
 			d.value(v.Index(i))
 		}
 	case reflect.Struct:
-		for i := range v.NumField() {
-			d.value(v.Field(i))
+		for _, field := range v.Fields() {
+			d.value(field)
 		}
 	default:
 		panic("no digest of a " + v.Kind().String())
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -12,12 +12,16 @@
 
 // testConfig has one workload class, two machine types and three schedulers.
 func testConfig(e Idempotency) Config {
-	class := WorkloadClass{Idempotency: e, MachineType: -1, LatencyObjective: Second, PlacementTimeout: 6 * Second,
-		PriorityWeight: 1}
 	return Config{
-		Seed:               7,
-		SchedulerCount:     3,
-		WorkloadClasses:    []WorkloadClass{class},
+		Seed:           7,
+		SchedulerCount: 3,
+		WorkloadClasses: []WorkloadClass{{
+			Idempotency:      e,
+			MachineType:      -1,
+			LatencyObjective: Second,
+			PlacementTimeout: 6 * Second,
+			PriorityWeight:   1,
+		}},
 		MachineTypes:       []MachineType{{Cores: 10, Memory: 20}, {Cores: 40, Memory: 60}},
 		CoresOvercommit:    2,
 		MemoryOvercommit:   2,
@@ -32,18 +36,27 @@
 	}
 }
 
-// testScheduler has four machines: a and b in zone 0, c and d in zone 1, each in a rack group of its own; b is of the large
-// type.
+// testScheduler has four machines: a and b in zone 0, c and d in zone 1, each in a rack group of its own; b is of the
+// large type.
 func testScheduler(config Config) *Scheduler {
 	s := New(config)
-	s.Handle(0, []Event{MachineListUpdate{Mode: RestoredSnapshot, Entries: []MachineEntry{
-		{Machine: "a", Zone: 0, RackGroup: 0},
-		{Machine: "b", Zone: 0, RackGroup: 1, MachineType: 1, FreeCores: 40, FreeMemory: 60},
-		{Machine: "c", Zone: 1, RackGroup: 2},
-		{Machine: "d", Zone: 1, RackGroup: 3}}}})
+	listMachines(s, 0, RestoredSnapshot,
+		MachineEntry{Machine: "a", Zone: 0, RackGroup: 0},
+		MachineEntry{Machine: "b", Zone: 0, RackGroup: 1, MachineType: 1, FreeCores: 40, FreeMemory: 60},
+		MachineEntry{Machine: "c", Zone: 1, RackGroup: 2},
+		MachineEntry{Machine: "d", Zone: 1, RackGroup: 3})
 	return s
 }
 
+func listMachines(s *Scheduler, now Time, mode UpdateMode, entries ...MachineEntry) {
+	s.Handle(now, []Event{MachineListUpdate{Mode: mode, Entries: entries}})
+}
+
+// runMaintenance fires the maintenance timer.
+func runMaintenance(s *Scheduler, now Time) []Action {
+	return s.Handle(now, []Event{TimerFired{maintenanceTimerName}})
+}
+
 // smallRequest is for a container of one core and one unit of memory.
 func smallRequest(id ContainerID, service string, deadline Time) PlacementRequest {
 	return PlacementRequest{ID: id, Service: service, Cores: 1, Memory: 1, Deadline: deadline}
@@ -51,11 +64,13 @@
 
 // submit requests a container and returns the machine of its first attempt.
 func submit(s *Scheduler, now Time, id ContainerID, service string) MachineID {
-	actions := s.Handle(now, []Event{RequestReceived{smallRequest(id, service, now+6*Second)}})
-	if attempt, ok := lastAction(actions).(StartAttempt); ok {
-		return attempt.Machine
-	}
-	return ""
+	return startedOn(s.Handle(now, []Event{RequestReceived{smallRequest(id, service, now+6*Second)}}))
+}
+
+// startedOn returns the machine of the attempt that the actions end with, if they do.
+func startedOn(actions []Action) MachineID {
+	attempt, _ := lastAction(actions).(StartAttempt)
+	return attempt.Machine
 }
 
 func adopt(s *Scheduler, id, service string, at MachineID) {
@@ -65,10 +80,25 @@
 // moveAttempt pretends that a container's attempt went elsewhere.
 func (s *Scheduler) moveAttempt(id ContainerID, to MachineID) {
 	c := s.containers.find(id)
-	sent := c.sentAt
+	sentAt := c.sentAt
 	s.containers.release(c)
-	s.containers.reserve(c, s.machines.findOrAdd(to), s.now)
-	c.sentAt = sent
+	s.containers.reserve(c, s.machines.findOrAdd(to), sentAt)
+}
+
+// fail records failures of a machine, one after the other.
+func (s *Scheduler) fail(m *machine, failures int) {
+	for range failures {
+		s.outliers.recordFailure(m, s.now)
+	}
+}
+
+// startAt puts a machine into slow start.
+func (m *machine) startAt(at Time) { m.listing.startedAt = at }
+
+// startLately puts a machine into slow start just after the scheduler's own start.
+func startLately(s *Scheduler, m *machine) {
+	m.startAt(s.now + 1)
+	s.slowStart.start(s.now)
 }
 
 func lastAction(a []Action) Action {
--- /dev/null
+++ b/scheduler/listpoller_test.go
@@ -0,0 +1,134 @@
+package scheduler
+
+import (
+	"slices"
+	"testing"
+)
+
+// polls tells whether the list is polled in a maintenance tick.
+func polls(s *Scheduler, now Time) bool {
+	return slices.Contains(runMaintenance(s, now), Action(WatchMachineList{true}))
+}
+
+// countPolls runs the maintenance for a while without answers.
+func countPolls(s *Scheduler, from, to Time) int {
+	count := 0
+	for now := from; now <= to; now += Second / 4 {
+		if polls(s, now) {
+			count++
+		}
+	}
+	return count
+}
+
+// Schedulers that start together, or fail together, do not poll together: the list service answers few at a time.
+func TestPollsOfManySchedulersAreSpread(t *testing.T) {
+	for _, tc := range []struct {
+		name       string
+		schedulers int
+		downUntil  Time // polls fail so long
+		most       int  // polls by all schedulers in any half second
+		by         Time // every scheduler has its list
+	}{
+		{"few", 3, 0, 3, Second},
+		{"hundreds", 300, 0, 60, 6 * Second},
+		{"hundreds, the service away", 300, 20 * Second, 60, 31 * Second},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			all := pollingSchedulers(tc.schedulers)
+			pollsInHalfSecond, informed := make([]int, 200), 0
+			for now := Time(0); now <= tc.by; now += Second / 4 {
+				if now < tc.downUntil {
+					pollsInHalfSecond[now/(Second/2)] += pollAll(all, now, UpdateFailed)
+					continue
+				}
+				answered := pollAll(all, now, FullSnapshot)
+				pollsInHalfSecond[now/(Second/2)] += answered
+				informed += answered
+			}
+			if most := slices.Max(pollsInHalfSecond); informed != tc.schedulers || most > tc.most {
+				t.Errorf("%d informed, up to %d polls in half a second", informed, most)
+			}
+		})
+	}
+}
+
+func pollingSchedulers(count int) []*Scheduler {
+	all := make([]*Scheduler, count)
+	for i := range all {
+		config := testConfig(Idempotent)
+		config.Seed = uint64(i)
+		config.SchedulerCount = count
+		config.SchedulerIndex = i
+		config.ListOnRequest = true
+		config.ResyncInterval = 10 * Second
+		all[i] = New(config)
+	}
+	return all
+}
+
+// pollAll runs the maintenance of all schedulers, answers their polls and counts them.
+func pollAll(all []*Scheduler, now Time, answer UpdateMode) int {
+	count := 0
+	for _, s := range all {
+		if polls(s, now) {
+			listMachines(s, now, answer)
+			count++
+		}
+	}
+	return count
+}
+
+// A start that a machine reports itself is taken up, and the poll that is due still comes, while any answer of the list
+// service ends it. The other machines stay as they were.
+func TestSelfReportedStartLeavesPollDue(t *testing.T) {
+	failed, delta := MachineListUpdate{Mode: UpdateFailed}, MachineListUpdate{Mode: DeltaUpdate}
+	for _, tc := range []struct {
+		name     string
+		before   []Event // from the list service, before the machine's report
+		mode     UpdateMode
+		stillDue bool
+	}{
+		{"first poll of a new incarnation", nil, SelfReported, true},
+		{"list service unreachable", []Event{failed}, SelfReported, true},
+		{"list service unreachable for long", []Event{failed, failed, failed}, SelfReported, true},
+		{"list service answered before", []Event{delta}, SelfReported, false},
+		{"reported by the list service", []Event{failed}, DeltaUpdate, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			config := testConfig(Idempotent)
+			config.ListOnRequest, config.ResyncInterval = true, 4*Second
+			s := testScheduler(config)
+			now := Millisecond
+			s.Handle(now, tc.before)
+			listMachines(s, now, tc.mode, MachineEntry{Machine: "a", StartedAt: now})
+			m := s.machines.findOrAdd("a")
+			if slow := s.slowStart.inSlowStart(m, now); m.listing.startedAt != now || !slow {
+				t.Errorf("machine a started at %d, slow start: %v", m.listing.startedAt, slow)
+			}
+			if d := s.machines.findOrAdd("d"); d.listing.state != MachineServing {
+				t.Errorf("machine d is in state %d", d.listing.state)
+			}
+			if count := countPolls(s, now, 10*Second); (count == 1) != tc.stillDue {
+				t.Errorf("the list was polled %d times", count)
+			}
+		})
+	}
+}
+
+func TestPollDelayDoublesUntilAnAnswer(t *testing.T) {
+	p := newListPoller(&Config{SchedulerCount: 3, ResyncInterval: Second}, &pcg{1})
+	p.resetDelay()
+	for i, want := range []Time{300 * Millisecond, 600 * Millisecond, Second, Second} {
+		if p.delay != want {
+			t.Errorf("after %d failures the delay is %d, want %d", i, p.delay, want)
+		}
+		p.pollFailed(0)
+		if p.takeDue(0) || !p.takeDue(want+Millisecond) || p.takeDue(want+Millisecond) {
+			t.Errorf("after %d failures the poll does not come once within its delay", i+1)
+		}
+	}
+	if p.pollAnswered(); p.delay != 300*Millisecond || p.takeDue(Second) {
+		t.Errorf("after an answer the delay is %d", p.delay)
+	}
+}
--- /dev/null
+++ b/scheduler/registries_test.go
@@ -0,0 +1,90 @@
+package scheduler
+
+import (
+	"strings"
+	"testing"
+)
+
+func newTestRegistry(actions *actionBuffer) *machineRegistry {
+	config := testConfig(Idempotent)
+	return newMachineRegistry(&config, newSlowStartLimiter(&config), actions)
+}
+
+func registeredMachines(r *machineRegistry) string {
+	var names []string
+	for _, m := range r.all() {
+		names = append(names, string(m.id))
+	}
+	return strings.Join(names, " ")
+}
+
+func TestMachineRegistryKeepsWhatIsReferredTo(t *testing.T) {
+	for _, tc := range []struct {
+		name  string
+		setup func(r *machineRegistry)
+		want  string // after a full snapshot that has b alone
+	}{
+		{"gone", func(*machineRegistry) {}, "b"},
+		{"a container on it", func(r *machineRegistry) { r.findOrAdd("a").load.reserve(resources{1, 1}) }, "a b"},
+		{"a container that excludes it", func(r *machineRegistry) { (&container{}).exclude(r.findOrAdd("c")) }, "b c"},
+		{"sent to lately", func(r *machineRegistry) { r.slowStart.recordSend(r.findOrAdd("c"), 1) }, "b c"},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			r := newTestRegistry(&actionBuffer{})
+			for _, id := range []MachineID{"c", "a", "b"} {
+				r.findOrAdd(id)
+			}
+			tc.setup(r)
+			r.apply(MachineListUpdate{Mode: FullSnapshot, Entries: []MachineEntry{{Machine: "b"}}}, 2)
+			if got := registeredMachines(r); got != tc.want {
+				t.Errorf("machines %q, want %q", got, tc.want)
+			}
+		})
+	}
+}
+
+func TestMachineOfUnknownTypeIsNotUsed(t *testing.T) {
+	actions := &actionBuffer{}
+	r := newTestRegistry(actions)
+	r.apply(MachineListUpdate{Entries: []MachineEntry{{Machine: "a", MachineType: 9}}}, 0)
+	const want = "machine of unknown type is not used machine=a machine_type=9"
+	if got, _ := lastAction(actions.collected()).(Log); got.String() != want || r.find("a") != nil {
+		t.Errorf("%v, machines %q", actions.collected(), registeredMachines(r))
+	}
+}
+
+func TestContainerRegistryReleasesWhatItReserved(t *testing.T) {
+	config := testConfig(Idempotent)
+	quotas := newTenantQuotas([]Tenant{{QuotaCores: 1}})
+	r := newContainerRegistry(config.WorkloadClasses, quotas)
+	m := &machine{id: "a"}
+	c := r.add(smallRequest("x", "s", Second))
+	r.startAttempt(c, m, 1)
+	r.reportUse(c, MetricCoresUsed, 0.1)
+	if m.load.reservations != 1 || m.load.used != (resources{0.1, 1}) || quotas.cores[0] != 1 {
+		t.Errorf("reserved %+v, tenants %v", m.load, quotas.cores)
+	}
+	r.close(c)
+	if r.find("x") != c {
+		t.Error("a container with an attempt out is dropped")
+	}
+	r.endAttempt(c)
+	r.close(c)
+	if m.load != (machineLoad{}) || quotas.cores[0] != 0 || len(r.containers)+len(r.services) > 0 {
+		t.Errorf("left: %+v, tenants %v, %d containers, %d services", m.load, quotas.cores, len(r.containers),
+			len(r.services))
+	}
+}
+
+func TestDeadlinesAreFoundByIDAndTheNextAhead(t *testing.T) {
+	config := testConfig(Idempotent)
+	r := newContainerRegistry(config.WorkloadClasses, newTenantQuotas(nil))
+	for id, deadline := range map[ContainerID]Time{"c": 10, "a": 20, "b": 40, "d": 50, "e": 900} {
+		r.add(smallRequest(id, "s", deadline))
+	}
+	r.find("d").accept()
+	overdue, next := r.deadlinesWithin(100, 5, 25)
+	if len(overdue) != 2 || overdue[0].request.ID != "a" || overdue[1].request.ID != "c" || next != 45 {
+		t.Errorf("%d overdue, next at %d", len(overdue), next)
+	}
+}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -29,6 +29,7 @@
 	outcomes   *outcomeRecorder
 	draw       *maxCapDraw
 	deadlines  *deadlineTimer
+	explainer  *explainer
 
 	now           Time         // of this batch, or the last one
 	unplaced      []*container // to be placed at the end of this batch
@@ -78,6 +79,7 @@
 			slowStart:   slowStart,
 		},
 		deadlines: &deadlineTimer{grace: config.AnswerGrace},
+		explainer: &explainer{eligibility: filters, classes: classes},
 	}
 }
 
--- a/scheduler/sendledger.go
+++ b/scheduler/sendledger.go
@@ -24,6 +24,6 @@
 }
 
 // restore puts what an earlier incarnation of the scheduler sent before what this one did.
-func (l *sendLedger) restore(earlier []Time) {
-	l.sent = append(slices.Clip(earlier), l.sent...)
+func (l *sendLedger) restore(learned MachineSnapshot) {
+	l.sent = append(slices.Clip(learned.RecentSends), l.sent...)
 }
--- a/scheduler/sequences_test.go
+++ b/scheduler/sequences_test.go
@@ -35,7 +35,7 @@
 			o.config.WorkloadClasses[i].PriorityWeight = 1 + float64(i)
 		}
 	}},
-	{"usage reports", func(r *random, o *sequenceOptions) {
+	{"usage reports", func(_ *random, o *sequenceOptions) {
 		o.config.UsageReports, o.config.ListTracksRequests = true, true
 		o.runtime = 15 * Second
 	}},
@@ -60,7 +60,7 @@
 		o.config.ListOnRequest, o.config.ResyncInterval = true, pick(r, 2*Second, 10*Second)
 		o.listFails = pick(r, 0, 0.2, 0.7)
 	}},
-	{"drains", func(r *random, o *sequenceOptions) {
+	{"drains", func(_ *random, o *sequenceOptions) {
 		o.churn, o.faults, o.faulty = Second/3, []simulatedFault{drainingItself, resetting}, 0.3
 	}},
 	{"scheduler restarts", func(r *random, o *sequenceOptions) {
@@ -68,14 +68,14 @@
 		o.config.SlowStartPeriod, o.config.SlowStartWindow, o.config.SlowStartBudget = 6*Second, Second, 4+r.below(30)
 		o.config.SchedulerCount, o.config.SchedulerIndex = 2, r.below(2)
 	}},
-	{"lost answers", func(r *random, o *sequenceOptions) { o.lost = 0.4 }},
+	{"lost answers", func(_ *random, o *sequenceOptions) { o.lost = 0.4 }},
 	{"odd input", func(r *random, o *sequenceOptions) {
 		o.invalid = true
 		o.config.SchedulerCount, o.config.SchedulerIndex = 0, 0
 		o.config.UsageReports, o.config.ListTracksRequests = r.chance(0.7), r.chance(0.7)
 		o.config.MachineTypes = append(o.config.MachineTypes, MachineType{})
 	}},
-	{"many machines", func(r *random, o *sequenceOptions) { o.machines, o.services = 60, 20 }},
+	{"many machines", func(_ *random, o *sequenceOptions) { o.machines, o.services = 60, 20 }},
 	{"self-reported starts", func(r *random, o *sequenceOptions) {
 		o.selfReports, o.churn = true, Second/3
 		o.config.ListOnRequest, o.config.ResyncInterval = true, pick(r, 2*Second, 10*Second)
@@ -84,7 +84,7 @@
 }
 
 func effects(e Idempotency) func(r *random, o *sequenceOptions) {
-	return func(r *random, o *sequenceOptions) {
+	return func(_ *random, o *sequenceOptions) {
 		for i := range o.config.WorkloadClasses {
 			o.config.WorkloadClasses[i].Idempotency = e
 		}
@@ -105,8 +105,10 @@
 		churn:     r.span(Second, 6*Second),
 		retries:   r.float(),
 		listFails: pick(r, 0, 0.3),
-		faults: []simulatedFault{unreachable, silent, erroring, failsOneClass, failsOneTenant, resetting, drainingItself,
-			refusing},
+		faults: []simulatedFault{
+			unreachable, silent, erroring, failsOneClass, failsOneTenant, resetting, drainingItself,
+			refusing,
+		},
 	}
 	o.config = Config{
 		Seed:               r.next(),
--- a/scheduler/shedding_test.go
+++ b/scheduler/shedding_test.go
@@ -1,7 +1,7 @@
 package scheduler
 
 import (
-	"fmt"
+	"strconv"
 	"testing"
 )
 
@@ -28,19 +28,46 @@
 			config.WorkloadClasses = append(config.WorkloadClasses, config.WorkloadClasses[0])
 			config.WorkloadClasses[1].PriorityWeight = 2 * config.WorkloadClasses[0].PriorityWeight
 			config.Tenants = []Tenant{{QuotaCores: 50}, {QuotaCores: 50}}
-			s, n := testScheduler(config), 0
-			for i := 0; i < 1000; i++ {
+			s, rejected := testScheduler(config), 0
+			for i := range 1000 {
 				s.quotas.cores[0], s.quotas.cores[1] = 20, 80
-				s.shedder.fullRatio, s.shedder.rejectedWeight = tc.fullRatio, tc.fullRatio*config.WorkloadClasses[1].PriorityWeight
-				id := ContainerID(fmt.Sprint(i))
-				actions := s.Handle(0, []Event{RequestReceived{PlacementRequest{ID: id, Service: "s", WorkloadClass: tc.class,
-					Tenant: tc.tenant, ClientRetry: tc.clientRetry, Cores: 1, Memory: 1, Deadline: 5 * Second}}})
-				if _, ok := lastAction(actions).(Reject); ok {
-					n++
+				s.shedder.fullRatio = tc.fullRatio
+				s.shedder.rejectedWeight = tc.fullRatio * config.WorkloadClasses[1].PriorityWeight
+				request := smallRequest(ContainerID(strconv.Itoa(i)), "s", 5*Second)
+				request.WorkloadClass, request.Tenant, request.ClientRetry = tc.class, tc.tenant, tc.clientRetry
+				if _, ok := lastAction(s.Handle(0, []Event{RequestReceived{request}})).(Reject); ok {
+					rejected++
 				}
 			}
-			if n < tc.least || n > tc.most {
-				t.Errorf("%d of 1000 rejected, want %d to %d", n, tc.least, tc.most)
+			if rejected < tc.least || rejected > tc.most {
+				t.Errorf("%d of 1000 rejected, want %d to %d", rejected, tc.least, tc.most)
+			}
+		})
+	}
+}
+
+func TestQuotaShareComparesUseWithQuota(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		quotas []Tenant
+		cores  []float64
+		tenant int
+		want   float64
+	}{
+		{"its part", []Tenant{{50}, {50}}, []float64{10, 10}, 0, 1},
+		{"twice its part of the use", []Tenant{{25}, {75}}, []float64{20, 20}, 0, 0.5},
+		{"nothing reserved", []Tenant{{50}, {50}}, []float64{0, 10}, 0, 1},
+		{"no quotas", []Tenant{{0}, {0}}, []float64{10, 10}, 0, 1},
+		{"no tenant", []Tenant{{50}}, []float64{10}, 1, 1},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			q := newTenantQuotas(tc.quotas)
+			for tenant, cores := range tc.cores {
+				q.reserve(tenant, cores+1)
+				q.release(tenant, 1)
+			}
+			if got := q.share(tc.tenant); got != tc.want {
+				t.Errorf("share %g, want %g", got, tc.want)
 			}
 		})
 	}
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -189,8 +189,14 @@
 func (w *simulatedWorld) addMachine(startedAt Time) *simulatedMachine {
 	r := w.random
 	n := len(w.machines)
-	m := &simulatedMachine{entry: MachineEntry{Machine: MachineID(fmt.Sprint("m", n)), Zone: n % 3, RackGroup: n / 2,
-		MachineType: r.below(len(w.config.MachineTypes)), StartedAt: startedAt, PowerHint: r.float()}}
+	m := &simulatedMachine{entry: MachineEntry{
+		Machine:     MachineID(fmt.Sprint("m", n)),
+		Zone:        n % 3,
+		RackGroup:   n / 2,
+		MachineType: r.below(len(w.config.MachineTypes)),
+		StartedAt:   startedAt,
+		PowerHint:   r.float(),
+	}}
 	w.setFault(m)
 	w.machines = append(w.machines, m)
 	w.byID[m.entry.Machine] = m
@@ -388,8 +394,10 @@
 	case 2:
 		snapshot.SendsKnownSince = w.now
 	case 3:
-		snapshot.Machines = append(snapshot.Machines, MachineSnapshot{Machine: "m0", StartedAt: 77, OutlierLogOdds: 9,
-			EjectedUntil: w.now + Second})
+		snapshot.Machines = append(snapshot.Machines, MachineSnapshot{
+			Machine: "m0", StartedAt: 77, OutlierLogOdds: 9,
+			EjectedUntil: w.now + Second,
+		})
 	}
 	if r.chance(0.9) {
 		w.scheduler.Restore(snapshot)
@@ -449,8 +457,11 @@
 		request.Tenant = 50
 		return []Event{w.submit(request)}
 	case 10:
-		return []Event{MachineListUpdate{Mode: pick(r, FullSnapshot, RestoredSnapshot)},
-			MachineListUpdate{Mode: UpdateFailed}, w.fullUpdate(FullSnapshot)}
+		return []Event{
+			MachineListUpdate{Mode: pick(r, FullSnapshot, RestoredSnapshot)},
+			MachineListUpdate{Mode: UpdateFailed},
+			w.fullUpdate(FullSnapshot),
+		}
 	default:
 		request := w.request()
 		request.Deadline = w.now - r.span(0, Second)
@@ -492,7 +503,8 @@
 		again := c.request
 		again.ID += "+"
 		w.after(w.random.span(100*Millisecond, 2*Second), func() []Event {
-			again.ClientRetry, again.Deadline = true, w.now+w.config.WorkloadClasses[again.WorkloadClass].PlacementTimeout
+			again.ClientRetry = true
+			again.Deadline = w.now + w.config.WorkloadClasses[again.WorkloadClass].PlacementTimeout
 			return []Event{w.submit(again)}
 		})
 	}
@@ -500,7 +512,8 @@
 
 func (w *simulatedWorld) probe(m *simulatedMachine) {
 	r := w.random
-	e := ProbeCompleted{Machine: m.entry.Machine, Outcome: OutcomeFinished, Elapsed: r.span(Millisecond, 50*Millisecond)}
+	elapsed := r.span(Millisecond, 50*Millisecond)
+	e := ProbeCompleted{Machine: m.entry.Machine, Outcome: OutcomeFinished, Elapsed: elapsed}
 	switch {
 	case r.chance(0.05):
 		e.Outcome = OutcomeNotSent
@@ -562,7 +575,8 @@
 	case m.fault == drainingItself && r.chance(0.5):
 		return AttemptEnded{Outcome: OutcomeFull, Reason: ReasonWrongMachine}, quick
 	case m.fault == refusing:
-		return AttemptEnded{Outcome: OutcomeFull, Reason: pick(r, ReasonNone, ReasonNoMemory, ReasonQueueTooLong)}, quick
+		reason := pick(r, ReasonNone, ReasonNoMemory, ReasonQueueTooLong)
+		return AttemptEnded{Outcome: OutcomeFull, Reason: reason}, quick
 	case m.used > k.Cores*w.config.CoresOvercommit:
 		return AttemptEnded{Outcome: OutcomeFull, Reason: ReasonNoCores}, quick
 	case m.memory > k.Memory*w.config.MemoryOvercommit:
@@ -594,8 +608,10 @@
 		c.running = true
 		w.run(c)
 	}
-	return []Event{AttemptAccepted{ID: c.request.ID, Attempt: attempt, Machine: c.at.entry.Machine,
-		Elapsed: r.span(0, Second)}}
+	return []Event{AttemptAccepted{
+		ID: c.request.ID, Attempt: attempt, Machine: c.at.entry.Machine,
+		Elapsed: r.span(0, Second),
+	}}
 }
 
 // run plans the reports and the end of a running container.
@@ -608,14 +624,18 @@
 				if c.at == nil || c.attempt != attempt {
 					return nil
 				}
-				return []Event{UsageReported{ID: c.request.ID, Machine: c.at.entry.Machine, Attempt: attempt,
+				return []Event{UsageReported{
+					ID: c.request.ID, Machine: c.at.entry.Machine, Attempt: attempt,
 					Metric: pick(r, MetricCoresUsed, MetricMemoryUsed, MetricRunning+UsageMetric(n)),
-					Value:  2 * w.size * r.float()}}
+					Value:  2 * w.size * r.float(),
+				}}
 			})
 		}
 	}
-	e := AttemptEnded{Final: true, Outcome: OutcomeFinished, Elapsed: r.span(0, 2*w.runtime),
-		Report: LoadReport{"cores": r.float()}}
+	e := AttemptEnded{
+		Final: true, Outcome: OutcomeFinished, Elapsed: r.span(0, 2*w.runtime),
+		Report: LoadReport{"cores": r.float()},
+	}
 	switch {
 	case c.at.fault == resetting:
 		e.Outcome = OutcomeLost
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -15,24 +15,27 @@
 		schedulers int
 		starting   string
 		least      int // attempts on a
-	}{{10, 3, "abcd", 1}, {100, 3, "abcd", 1}, {1000, 3, "abcd", 1}, {100, 7, "abcd", 1}, {100, 40, "abcd", 1},
-		{1000, 300, "a", 1}, {20 * Second, 300, "a", 8}} {
+	}{
+		{10, 3, "abcd", 1},
+		{100, 3, "abcd", 1},
+		{1000, 3, "abcd", 1},
+		{100, 7, "abcd", 1},
+		{100, 40, "abcd", 1},
+		{1000, 300, "a", 1},
+		{20 * Second, 300, "a", 8},
+	} {
 		name := fmt.Sprintf("a container every %d at each of %d, slow start of %s", tc.gap, tc.schedulers, tc.starting)
 		t.Run(name, func(t *testing.T) {
+			config := testConfig(Idempotent)
 			all := startingSchedulers(tc.schedulers, tc.starting)
-			budget, window := all[0].config.SlowStartBudget, all[0].config.SlowStartWindow
 			var sent []Time
-			for now := Time(10); now < all[0].config.SlowStartPeriod; now += min(tc.gap, 1000) {
-				for i, s := range all {
-					if tc.gap > 1000 && (now+Time(i)*7310)%tc.gap >= 1000 {
-						continue
-					}
-					if submit(s, now, ContainerID(fmt.Sprint(now)), fmt.Sprint("s", now, i)) == "a" {
-						sent = append(sent, now)
-					}
+			for now := Time(10); now < config.SlowStartPeriod; now += min(tc.gap, 1000) {
+				for range submitToAll(all, now, tc.gap) {
+					sent = append(sent, now)
 				}
 			}
-			if most := mostInWindow(sent, window); len(sent) < tc.least || most > budget {
+			most := mostInWindow(sent, config.SlowStartWindow)
+			if len(sent) < tc.least || most > config.SlowStartBudget {
 				t.Errorf("%d attempts, up to %d in a window", len(sent), most)
 			}
 		})
@@ -41,21 +44,35 @@
 
 // startingSchedulers have one attempt for each container and machines in slow start.
 func startingSchedulers(count int, starting string) []*Scheduler {
-	var all []*Scheduler
-	for i := range count {
+	all := make([]*Scheduler, count)
+	for i := range all {
 		config := testConfig(Idempotent)
 		config.SchedulerIndex, config.SchedulerCount, config.MaxAttempts = i, count, 1
-		s := testScheduler(config)
-		for _, m := range s.machines.all() {
+		all[i] = testScheduler(config)
+		for _, m := range all[i].machines.all() {
 			if strings.Contains(starting, string(m.id)) {
-				m.listing.startedAt = 1
+				m.startAt(1)
 			}
 		}
-		all = append(all, s)
 	}
 	return all
 }
 
+// submitToAll gives each scheduler a container, where one is due, and returns how many go to machine a. Gaps of more
+// than 1000 are spread over the schedulers.
+func submitToAll(all []*Scheduler, now, gap Time) int {
+	count := 0
+	for i, s := range all {
+		if gap > 1000 && (now+Time(i)*7310)%gap >= 1000 {
+			continue
+		}
+		if submit(s, now, ContainerID(fmt.Sprint(now)), fmt.Sprint("s", now, i)) == "a" {
+			count++
+		}
+	}
+	return count
+}
+
 // mostInWindow counts times in order that lie in one window.
 func mostInWindow(times []Time, window Time) int {
 	most := 0
@@ -65,3 +82,31 @@
 	}
 	return most
 }
+
+func TestSlowStartQuotasAddUpToTheBudget(t *testing.T) {
+	for _, tc := range []struct{ schedulers, budget int }{{1, 30}, {3, 30}, {7, 30}, {40, 30}, {3, 0}} {
+		for _, id := range []string{"a", "b", "machine-17"} {
+			sum := 0
+			for i := range tc.schedulers {
+				l := slowStartLimiter{budget: tc.budget, schedulerIndex: i, schedulerCount: tc.schedulers}
+				sum += l.quota(&machine{hash: hash(id)})
+			}
+			if sum != tc.budget {
+				t.Errorf("quotas of %d schedulers for %s add up to %d of %d", tc.schedulers, id, sum, tc.budget)
+			}
+		}
+	}
+}
+
+func TestSendLedgerKeepsTheLastWindow(t *testing.T) {
+	var l sendLedger
+	l.restore(MachineSnapshot{RecentSends: []Time{10, 20}})
+	l.record(30)
+	if got := fmt.Sprint(l.after(10)); got != "[20 30]" {
+		t.Errorf("after 10: %s", got)
+	}
+	l.dropBefore(30)
+	if got := fmt.Sprint(l.after(0), l.after(30)); got != "[30] []" {
+		t.Errorf("from 30 on, and after it: %s", got)
+	}
+}
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -45,6 +45,6 @@
 func (m *machine) restore(learned MachineSnapshot) {
 	m.outlier.restore(learned)
 	m.selfDrain.restore(learned)
-	m.sends.restore(learned.RecentSends)
-	m.evidence = m.evidence.restored(learned.FailureEvidence)
+	m.sends.restore(learned)
+	m.evidence.restore(learned)
 }
--- a/scheduler/stored_test.go
+++ b/scheduler/stored_test.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"bytes"
 	"encoding/hex"
 	"reflect"
 	"strings"
@@ -22,36 +23,47 @@
 	return []storedValue{
 		{"knowledge", Snapshot{
 			Machines: []MachineSnapshot{
-				{Machine: "m-1", StartedAt: 11, OutlierLogOdds: 1.25, EjectedUntil: 12, EjectionTime: 13, SelfDrainingUntil: 14,
+				{
+					Machine: "m-1", StartedAt: 11, OutlierLogOdds: 1.25, EjectedUntil: 12, EjectionTime: 13,
+					SelfDrainingUntil: 14, RecentSends: []Time{17, 18},
 					FailureEvidence: []FailureEvidence{{LogOdds: 2.5, AsOf: 15}, {LogOdds: 3.75, AsOf: 16}},
-					RecentSends:     []Time{17, 18}},
+				},
 				{Machine: "m-2", StartedAt: 21},
 			},
-			TrafficClasses: []TrafficClass{{LossRatio: 0.5, SuspicionThreshold: 4.5},
-				{LossRatio: 0.25, SuspicionThreshold: -1.5}},
-			FullRatio: 0.375, RejectedWeight: 1.75, SendsKnownSince: 19}},
+			TrafficClasses: []TrafficClass{
+				{LossRatio: 0.5, SuspicionThreshold: 4.5}, {LossRatio: 0.25, SuspicionThreshold: -1.5},
+			},
+			FullRatio: 0.375, RejectedWeight: 1.75, SendsKnownSince: 19,
+		}},
 		{"knowledge, empty", Snapshot{}},
-		{"request", PlacementRequest{ID: "c-1", IdempotencyKey: "k-1", Service: "s-1", WorkloadClass: 1, Tenant: 2,
-			Cores: 3.5, Memory: 4.25, Deadline: 5, ExpectedRuntime: 6, ClientRetry: true}},
+		{"request", PlacementRequest{
+			ID: "c-1", IdempotencyKey: "k-1", Service: "s-1", WorkloadClass: 1, Tenant: 2,
+			Cores: 3.5, Memory: 4.25, Deadline: 5, ExpectedRuntime: 6, ClientRetry: true,
+		}},
 		{"request, empty", PlacementRequest{}},
 		{"settings", Config{
 			Seed: 1, SchedulerIndex: 2, SchedulerCount: 3,
 			WorkloadClasses: []WorkloadClass{
-				{Idempotency: IdempotentWithKey, DedupScope: ScopeZone, DedupWindow: 4, LatencyObjective: 5, PlacementTimeout: 6,
-					MachineType: -1, SpreadScope: ScopeRackGroup, MaxPerScope: 7, PriorityWeight: 1.5},
-				{Idempotency: AtMostOnce, DedupScope: ScopeFleet, SpreadScope: ScopeMachine}},
+				{
+					Idempotency: IdempotentWithKey, DedupScope: ScopeZone, DedupWindow: 4, LatencyObjective: 5,
+					PlacementTimeout: 6, MachineType: -1, SpreadScope: ScopeRackGroup, MaxPerScope: 7,
+					PriorityWeight: 1.5,
+				},
+				{Idempotency: AtMostOnce, DedupScope: ScopeFleet, SpreadScope: ScopeMachine},
+			},
 			MachineTypes:    []MachineType{{Cores: 8.5, Memory: 9.5}, {}},
 			Tenants:         []Tenant{{QuotaCores: 10.5}},
 			OverQuotaWeight: 0.25, CoresOvercommit: 2.5, MemoryOvercommit: 1.25, MeanCores: 0.75, MeanMemory: 1.75,
-			AcceptMeansRunning: true, UsageReports: true, ListTracksRequests: true, ProbesAllowed: true, MaxAttempts: 11,
-			AnswerGrace: 12, ListOnRequest: true, ResyncInterval: 13, SlowStartPeriod: 14, SlowStartWindow: 15,
-			SlowStartBudget: 16}},
+			AcceptMeansRunning: true, UsageReports: true, ListTracksRequests: true, ProbesAllowed: true,
+			MaxAttempts: 11, AnswerGrace: 12, ListOnRequest: true, ResyncInterval: 13,
+			SlowStartPeriod: 14, SlowStartWindow: 15, SlowStartBudget: 16,
+		}},
 		{"settings, empty", Config{}},
 	}
 }
 
-// TestStoredStructsKeepTheirEncoding reads bytes that were written before the fields had tags, and which are never written
-// anew: names in the code may change, names on disk may not.
+// TestStoredStructsKeepTheirEncoding reads bytes that were written before the fields had tags, and which are never
+// written anew: names in the code may change, names on disk may not.
 func TestStoredStructsKeepTheirEncoding(t *testing.T) {
 	values := storedValues()
 	lines := readLines(t, storedFile)
@@ -61,24 +73,33 @@
 	for i, v := range values {
 		t.Run(v.name, func(t *testing.T) {
 			name, digits, _ := strings.Cut(lines[i], ": ")
-			recorded, err := hex.DecodeString(digits)
-			if err != nil || name != v.name {
-				t.Fatalf("line %d holds %q, want %q (%v)", i+1, name, v.name, err)
-			}
-			read := reflect.New(reflect.TypeOf(v.value))
-			if err := cbor.Unmarshal(recorded, read.Interface()); err != nil {
-				t.Fatal(err)
-			}
-			if !reflect.DeepEqual(read.Elem().Interface(), v.value) {
-				t.Errorf("read %+v, want %+v", read.Elem(), v.value)
-			}
-			written, err := cbor.Marshal(v.value)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if digits := hex.EncodeToString(written); digits != hex.EncodeToString(recorded) {
-				t.Errorf("written %s, recorded %x", digits, recorded)
+			if name != v.name {
+				t.Fatalf("line %d holds %q, want %q", i+1, name, v.name)
 			}
+			checkEncoding(t, v.value, digits)
 		})
 	}
 }
+
+// checkEncoding decodes a recorded value and encodes it again.
+func checkEncoding(t *testing.T, value any, digits string) {
+	t.Helper()
+	recorded, err := hex.DecodeString(digits)
+	if err != nil {
+		t.Fatal(err)
+	}
+	read := reflect.New(reflect.TypeOf(value))
+	if err := cbor.Unmarshal(recorded, read.Interface()); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(read.Elem().Interface(), value) {
+		t.Errorf("read %+v, want %+v", read.Elem(), value)
+	}
+	written, err := cbor.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(written, recorded) {
+		t.Errorf("written %x, recorded %x", written, recorded)
+	}
+}
--- a/scheduler/trafficclass.go
+++ b/scheduler/trafficclass.go
@@ -36,12 +36,11 @@
 
 func (e classEvidence) reset() { clear(e) }
 
-// restored returns the evidence of an earlier incarnation of the scheduler where it fits.
-func (e classEvidence) restored(learned []FailureEvidence) classEvidence {
-	if len(learned) != len(e) {
-		return e
+// restore takes over the evidence of an earlier incarnation of the scheduler where it fits.
+func (e *classEvidence) restore(learned MachineSnapshot) {
+	if len(learned.FailureEvidence) == len(*e) {
+		*e = learned.FailureEvidence
 	}
-	return learned
 }
 
 func (e classEvidence) snapshot() []FailureEvidence { return slices.Clone([]FailureEvidence(e)) }
--- a/scheduler/trafficclass_test.go
+++ b/scheduler/trafficclass_test.go
@@ -1,15 +1,15 @@
 package scheduler
 
 import (
-	"fmt"
 	"maps"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 )
 
-// A machine may fail one workload class or tenant and serve the rest: only that one avoids it, for a while. Losses that all
-// share, refusals with a reason and a fleet where every machine fails the class change nothing.
+// A machine may fail one workload class or tenant and serve the rest: only that one avoids it, for a while. Losses that
+// all share, refusals with a reason and a fleet where every machine fails the class change nothing.
 func TestMachineFailingOneClassIsAvoidedByThatClass(t *testing.T) {
 	accepted := func(int) Event { return AttemptAccepted{ID: "x"} }
 	timedOut := func(int) Event { return AttemptEnded{ID: "x", Final: true, Outcome: OutcomeTimedOut} }
@@ -20,38 +20,27 @@
 	for _, tc := range []struct {
 		name        string
 		first, rest func(turn int) Event // to the first class and tenant, to the others
-		full        bool                 // the list has no room on a
-		at          MachineID            // only there, or everywhere
+		requested   float64              // cores on each machine, by the list
+		at          string               // the machines where the first ones' attempts differ
 		after       Time
 		want        string // machines that the first ones go to
 	}{
-		{"unanswered", timedOut, accepted, false, "a", 0, "bcd"},
-		{"evidence decays", timedOut, accepted, false, "a", 3 * evidenceDecay, "abcd"},
-		{"a third unanswered, of all alike", third, third, false, "", 0, "abcd"},
-		{"full for no reason", full(ReasonNone), accepted, false, "a", 0, "bcd"},
-		{"full with a reason", full(ReasonNoMemory), accepted, false, "a", 0, "abcd"},
-		{"full for no reason, no room", full(ReasonNone), accepted, true, "a", 0, "abcd"},
-		{"everywhere", timedOut, accepted, false, "", 0, "abcd"},
+		{"unanswered", timedOut, accepted, 0, "a", 0, "bcd"},
+		{"evidence decays", timedOut, accepted, 0, "a", 3 * evidenceDecay, "abcd"},
+		{"a third unanswered, of all alike", third, third, 0, "abcd", 0, "abcd"},
+		{"full for no reason", full(ReasonNone), accepted, 0, "a", 0, "bcd"},
+		{"full with a reason", full(ReasonNoMemory), accepted, 0, "a", 0, "abcd"},
+		{"full for no reason, no room", full(ReasonNone), accepted, 99, "a", 0, "abcd"},
+		{"everywhere", timedOut, accepted, 0, "abcd", 0, "abcd"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			config := testConfig(Idempotent)
-			config.WorkloadClasses = append(config.WorkloadClasses, config.WorkloadClasses[0])
-			config.Tenants = []Tenant{{50}, {50}}
-			s := testScheduler(config)
-			for turn := range 6 {
-				for _, m := range s.machines.all() {
-					m.listing.requested = resources{}
-					if tc.full {
-						m.listing.requested.cores = 99
-					}
-					first := tc.first
-					if tc.at != "" && tc.at != m.id {
-						first = accepted
-					}
-					attemptOn(s, m, 0, first(turn))
-					attemptOn(s, m, 1, tc.rest(turn))
+			s := schedulerOfTwoClasses()
+			attemptEverywhere(s, tc.requested, func(m *machine, turn int) (first, rest Event) {
+				if strings.Contains(tc.at, string(m.id)) {
+					return tc.first(turn), tc.rest(turn)
 				}
-			}
+				return accepted(turn), tc.rest(turn)
+			})
 			s.now, *s.random = 2+tc.after, pcg{1}
 			for class, want := range []string{tc.want, "abcd"} {
 				if names := machinesDrawn(s, class); names != want {
@@ -62,17 +51,36 @@
 	}
 }
 
+func schedulerOfTwoClasses() *Scheduler {
+	config := testConfig(Idempotent)
+	config.WorkloadClasses = append(config.WorkloadClasses, config.WorkloadClasses[0])
+	config.Tenants = []Tenant{{50}, {50}}
+	return testScheduler(config)
+}
+
 func requestOfClass(id ContainerID, service string, class int) PlacementRequest {
 	request := smallRequest(id, service, 6*Second)
 	request.WorkloadClass, request.Tenant = class, class
 	return request
 }
 
+// attemptEverywhere places a container of each class on each machine in turn, with so many cores requested by the list.
+func attemptEverywhere(s *Scheduler, requested float64, outcomes func(m *machine, turn int) (first, rest Event)) {
+	for turn := range 6 {
+		for _, m := range s.machines.all() {
+			m.listing.requested = resources{cores: requested}
+			first, rest := outcomes(m, turn)
+			attemptOn(s, m, 0, first)
+			attemptOn(s, m, 1, rest)
+		}
+	}
+}
+
 // attemptOn places a container of a class and tenant on a machine that is heard of, and applies what becomes of it.
 func attemptOn(s *Scheduler, m *machine, class int, outcome Event) {
 	s.Handle(1, []Event{RequestReceived{requestOfClass("x", "s", class)}})
 	s.moveAttempt("x", m.id)
-	m.contact.lastHeardAt = 1
+	m.contact.heard(1)
 	s.Handle(2, []Event{outcome, AttemptEnded{ID: "x", Final: true}})
 }
 
@@ -80,8 +88,20 @@
 func machinesDrawn(s *Scheduler, class int) string {
 	drawn := map[string]bool{}
 	for i := range 400 {
-		c := s.containers.add(requestOfClass("y", fmt.Sprint(i), class))
+		c := s.containers.add(requestOfClass("y", strconv.Itoa(i), class))
 		drawn[string(s.draw.draw(c, s.machines.all(), s.now).id)] = true
 	}
 	return strings.Join(slices.Sorted(maps.Keys(drawn)), "")
 }
+
+// The more a class loses beyond its peers, the less evidence suffices; without peers none does.
+func TestSuspicionThresholdFallsWithExcessLoss(t *testing.T) {
+	last := suspicionThreshold(0, 1)
+	for _, excess := range []float64{0, 0.1, 0.3, 0.5, 0.8} {
+		threshold := suspicionThreshold(excess, 2)
+		if threshold >= last {
+			t.Errorf("threshold %.2f at an excess loss of %.1f, %.2f before", threshold, excess, last)
+		}
+		last = threshold
+	}
+}
