--- a/internal/schedulerd/attempt_test.go
+++ b/internal/schedulerd/attempt_test.go
@@ -174,7 +174,7 @@
 		_, notSent = h.client.receive().(*protocol.PlacementReply)
 	}
 	ended := awaitEvent[scheduler.AttemptEnded](t, h.script, nil)
-	pending := onLoop(h.server, func() int { return h.server.machines["a"].conn.PendingOutput() })
+	pending := onLoop(h.server, func() int { return h.server.machines.find("a").conn.conn.PendingOutput() })
 	const oneIteration = 128 << 10
 	if ended.Outcome != scheduler.OutcomeNotSent || pending > oneIteration {
 		t.Errorf("after %d attempts %+v, %d bytes pending", sent, ended, pending)
@@ -248,7 +248,7 @@
 				map[string]string{"a": acceptAtProbe(t, seen)},
 			)
 			if tc.cancel { // without a ready connection the attempt is never sent
-				h.server.loop.Post(func() { h.server.connect(h.server.machines["a"]) })
+				h.server.loop.Post(func() { h.server.machines.connect("a") })
 				h.awaitReady("a")
 			}
 			spec := protocol.ContainerSpec{
@@ -383,8 +383,8 @@
 	})
 	h := startHarness(t, testConfig(t), attemptOn(0), map[string]string{"a": address})
 	h.awaitReady("a") // the reconciler asks for the inventory
-	h.server.loop.Post(func() { h.server.machines["a"].conn.Reset() })
-	eventuallyOnLoop(t, h.server, func() bool { return h.server.machines["a"].conn == nil })
+	h.server.loop.Post(func() { h.server.machines.find("a").conn.reset() })
+	eventuallyOnLoop(t, h.server, func() bool { return h.server.machines.find("a").conn.state == machineDisconnected })
 	<-closed
 	lowest, err := syscall.Dup(0)
 	if err != nil {
--- a/internal/schedulerd/clientconn.go
+++ b/internal/schedulerd/clientconn.go
@@ -24,122 +24,111 @@
 
 // clientConn is an accepted connection: of a client, or of another scheduler that asks something.
 type clientConn struct {
-	server       *Server
-	id           reconcile.ClientID
-	conn         *eventloop.Conn
-	reader       protocol.Reader
-	name         string
-	role         protocol.Role // 0: no hello yet
-	acceptedAt   eventloop.Tick
-	partial      partialFrame
-	disconnected bool // nothing more is read or sent
-}
-
-func (s *Server) acceptClient() (eventloop.Handler, int) {
-	s.lastClient++
-	return &clientConn{
-		server: s, id: s.lastClient, reader: protocol.Reader{MaxSize: protocol.MaxClientFrame}, name: unknownPeer,
-		acceptedAt: s.loop.Now(),
-	}, s.config.MaxOutput
+	registry   *clientRegistry
+	id         reconcile.ClientID
+	state      clientState
+	conn       *eventloop.Conn
+	reader     protocol.Reader
+	name       string
+	role       protocol.Role // 0: no hello yet
+	acceptedAt eventloop.Tick
+	partial    partialFrame
 }
 
 // Opened implements eventloop.Handler.
 func (c *clientConn) Opened(conn *eventloop.Conn) {
 	c.conn = conn
-	c.server.clients[c.id] = c
-	c.send(c.server.hello())
+	c.registry.add(c)
+	c.send(c.registry.hello())
 }
 
 // Read implements eventloop.Handler.
 func (c *clientConn) Read(_ *eventloop.Conn, p []byte) {
-	if c.disconnected {
+	if c.disconnected() {
 		return
 	}
 	if err := c.reader.Feed(p, c.handleFrame); err != nil {
-		c.server.logConnectionClosed(c.name, err)
+		c.registry.logConnectionClosed(c.name, err)
 		c.disconnect(err.Error())
 	}
-	c.partial.update(c.reader.Buffered(), c.server.loop.Now())
+	c.partial.update(c.reader.Buffered(), c.registry.loop.Now())
 }
 
 // Closed implements eventloop.Handler.
 func (c *clientConn) Closed(*eventloop.Conn, error) {
-	c.disconnected = true
-	delete(c.server.clients, c.id)
+	c.transition(clientConnClosed)
+	c.registry.remove(c)
 	if c.role == protocol.RoleClient {
-		c.server.enqueueReconcilerEvent(reconcile.ClientDisconnected{Client: c.id})
+		c.registry.decisions.notifyReconciler(reconcile.ClientDisconnected{Client: c.id})
 	}
 }
 
 // disconnect closes the connection after a Goodbye with a reason.
 func (c *clientConn) disconnect(reason string) {
-	if c.disconnected {
+	if c.disconnected() {
 		return
 	}
 	c.send(&protocol.Goodbye{Message: reason})
-	c.disconnected = true
+	if !c.disconnected() { // by a failed write
+		c.transition(clientGoodbyeSent)
+	}
 	c.conn.Close()
 }
 
 // send drops a client that does not read: the answers to it must not pile up.
 func (c *clientConn) send(f protocol.Frame) {
-	if c.disconnected {
-		c.server.stats.undelivered++
+	if c.disconnected() {
+		c.registry.stats.countUndelivered()
 		return
 	}
-	encoded, err := c.server.encode(f)
+	encoded, err := c.registry.encode(f)
 	if err != nil {
-		c.server.log.Error("frame not sent", "client", c.name, "error", err)
+		c.registry.log.Error("frame not sent", "client", c.name, "error", err)
 		return
 	}
 	if err := c.conn.Write(encoded); err != nil {
-		c.server.stats.undelivered++
-		c.disconnected = true
-		c.server.logConnectionClosed(c.name, fmt.Errorf("%w: %d bytes pending", err, c.conn.PendingOutput()))
-		c.conn.Reset()
+		c.writeFailed(err)
 	}
 }
 
+func (c *clientConn) writeFailed(err error) {
+	c.registry.stats.countUndelivered()
+	c.transition(clientWriteFailed)
+	c.registry.logConnectionClosed(c.name, fmt.Errorf("%w: %d bytes pending", err, c.conn.PendingOutput()))
+	c.conn.Reset()
+}
+
 func (c *clientConn) checkTimeouts(now eventloop.Tick) {
 	switch {
 	case c.role == 0 && now-c.acceptedAt > helloTimeout:
-		c.server.logConnectionClosed(c.name, after(errNoHello, now-c.acceptedAt))
+		c.registry.logConnectionClosed(c.name, after(errNoHello, now-c.acceptedAt))
 		c.disconnect(reasonNoHello)
-	case c.partial.overdue(now, c.server.config.SilenceTimeout):
-		c.server.logConnectionClosed(c.name, after(errPartialFrame, now-c.partial.since))
+	case c.partial.overdue(now, c.registry.config.SilenceTimeout):
+		c.registry.logConnectionClosed(c.name, after(errPartialFrame, now-c.partial.since))
 		c.disconnect(reasonPartialFrame)
 	}
 }
 
 func (c *clientConn) handleFrame(f protocol.Frame) error {
-	s := c.server
 	switch f := f.(type) {
 	case *protocol.Hello:
 		return c.handleHello(f)
 	case *protocol.Submit:
 		c.handleSubmit(f)
 	case *protocol.CancelContainer:
-		s.enqueueReconcilerEvent(
-			reconcile.CancelRequested{
-				Client:         c.id,
-				ID:             scheduler.ContainerID(f.ContainerID),
-				IdempotencyKey: f.IdempotencyKey,
-			},
-		)
+		c.registry.decisions.notifyReconciler(reconcile.CancelRequested{
+			Client: c.id, ID: scheduler.ContainerID(f.ContainerID), IdempotencyKey: f.IdempotencyKey,
+		})
 	case *protocol.Lookup:
-		s.enqueueReconcilerEvent(
-			reconcile.LookupRequested{
-				Client:         c.id,
-				ID:             scheduler.ContainerID(f.ContainerID),
-				IdempotencyKey: f.IdempotencyKey,
-			},
-		)
+		c.registry.decisions.notifyReconciler(reconcile.LookupRequested{
+			Client: c.id, ID: scheduler.ContainerID(f.ContainerID), IdempotencyKey: f.IdempotencyKey,
+		})
 	case *protocol.ExplainRequest:
-		c.send(s.explainReply(f))
+		c.send(c.registry.inspector.explainReply(f))
 	case *protocol.RoutesRequest:
-		c.send(s.routesReply(f.Service))
+		c.send(c.registry.routes.routesReply(f.Service))
 	case *protocol.StatusRequest:
-		c.send(s.statusReply())
+		c.send(c.registry.inspector.statusReply())
 	case *protocol.Heartbeat:
 	case *protocol.Goodbye:
 		c.disconnect(reasonGoodbye)
@@ -153,32 +142,20 @@
 	c.name, c.role = f.Name, f.Role
 	switch f.Role {
 	case protocol.RoleClient:
-		c.server.enqueueReconcilerEvent(reconcile.ClientConnected{Client: c.id})
+		c.transition(clientHelloReceived)
+		c.registry.decisions.notifyReconciler(reconcile.ClientConnected{Client: c.id})
 		return nil
 	case protocol.RoleScheduler:
+		c.transition(clientHelloReceived)
 		return nil
+	default:
+		return wrongClient(f.Role)
 	}
-	return wrongClient(f.Role)
 }
 
 func (c *clientConn) handleSubmit(f *protocol.Submit) {
-	s := c.server
 	request := requestOf(&f.Spec)
-	request.Deadline = scheduler.Time(s.loop.Now()) + scheduler.Time(f.TimeToDeadline)
-	s.stats.submitted++
-	s.submittedAt[request.ID] = s.loop.Elapsed()
-	s.enqueueReconcilerEvent(reconcile.PlacementRequested{Client: c.id, Request: request})
-}
-
-// sendToClient sends a frame to a client that may have gone.
-func (s *Server) sendToClient(id reconcile.ClientID, f protocol.Frame) {
-	if client := s.clients[id]; client != nil {
-		client.send(f)
-	}
-}
-
-func (s *Server) closeClient(action reconcile.CloseClient) {
-	if client := s.clients[action.Client]; client != nil {
-		client.disconnect(action.Reason.Error())
-	}
+	request.Deadline = c.registry.now() + scheduler.Time(f.TimeToDeadline)
+	c.registry.submitted(request.ID)
+	c.registry.decisions.notifyReconciler(reconcile.PlacementRequested{Client: c.id, Request: request})
 }
--- /dev/null
+++ b/internal/schedulerd/clients.go
@@ -0,0 +1,71 @@
+package schedulerd
+
+import (
+	"time"
+
+	"glenport/internal/eventloop"
+	"glenport/internal/protocol"
+	"glenport/internal/schedulerd/reconcile"
+	"glenport/scheduler"
+)
+
+// clientRegistry owns the accepted connections until they are closed.
+type clientRegistry struct {
+	*process
+	decisions   *decisions
+	inspector   *inspector
+	routes      *routeAnnouncer
+	connected   map[reconcile.ClientID]*clientConn
+	lastID      reconcile.ClientID
+	submittedAt map[scheduler.ContainerID]time.Duration // of the requests of this iteration
+}
+
+// accept makes the handler of a new connection, and returns the limit of its pending output.
+func (r *clientRegistry) accept() (handler eventloop.Handler, maxOutput int) {
+	r.lastID++
+	return &clientConn{
+		registry: r, id: r.lastID, state: clientAwaitingHello,
+		reader: protocol.Reader{MaxSize: protocol.MaxClientFrame}, name: unknownPeer, acceptedAt: r.loop.Now(),
+	}, r.config.MaxOutput
+}
+
+func (r *clientRegistry) add(c *clientConn) { r.connected[c.id] = c }
+
+func (r *clientRegistry) remove(c *clientConn) { delete(r.connected, c.id) }
+
+func (r *clientRegistry) count() int { return len(r.connected) }
+
+// find returns nil if the client has gone.
+func (r *clientRegistry) find(id reconcile.ClientID) *clientConn { return r.connected[id] }
+
+// send sends a frame to a client that may have gone.
+func (r *clientRegistry) send(id reconcile.ClientID, f protocol.Frame) {
+	if client := r.connected[id]; client != nil {
+		client.send(f)
+	}
+}
+
+func (r *clientRegistry) disconnect(action reconcile.CloseClient) {
+	if client := r.connected[action.Client]; client != nil {
+		client.disconnect(action.Reason.Error())
+	}
+}
+
+func (r *clientRegistry) checkTimeouts(now eventloop.Tick) {
+	for _, client := range r.connected {
+		client.checkTimeouts(now)
+	}
+}
+
+// submitted counts a request and notes when it was submitted.
+func (r *clientRegistry) submitted(id scheduler.ContainerID) {
+	r.stats.countSubmission()
+	r.submittedAt[id] = r.loop.Elapsed()
+}
+
+func (r *clientRegistry) submissionTime(id scheduler.ContainerID) time.Duration {
+	return r.submittedAt[id]
+}
+
+// forgetSubmissions ends an iteration: its requests are admitted or rejected.
+func (r *clientRegistry) forgetSubmissions() { clear(r.submittedAt) }
--- a/internal/schedulerd/container.go
+++ b/internal/schedulerd/container.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"glenport/internal/protocol"
-	"glenport/internal/schedulerd/reconcile"
 	"glenport/scheduler"
 )
 
@@ -28,156 +27,35 @@
 	submittedAt       time.Duration
 }
 
-// admit hands an admitted request to the scheduler.
-func (s *Server) admit(action reconcile.Admit) {
-	id := action.Request.ID
-	class := s.config.Policy.WorkloadClasses[action.Request.WorkloadClass]
-	s.containers[id] = &container{
-		request:           action.Request,
-		dedupWindow:       protocol.Duration(class.DedupWindow),
-		client:            s.clients[action.Client],
-		clientContainerID: string(id),
-		submittedAt:       s.submittedAt[id],
-	}
-	s.enqueueSchedulerEvent(scheduler.RequestReceived{PlacementRequest: action.Request})
-}
-
-// refuse answers a request that is not admitted.
-func (s *Server) refuse(action reconcile.Reject) {
-	s.stats.countAnswer(protocol.VerdictNotAdmitted)
-	s.sendToClient(action.Client, &protocol.PlacementReply{
-		ContainerID: string(action.ID), Verdict: protocol.VerdictNotAdmitted,
-		RetryAfter: protocol.Duration(action.RetryAfter), Message: action.Reason.Error(),
-	})
-}
-
-// replyAlreadyRunning answers a request for what runs. The client that requested it last receives its termination.
-func (s *Server) replyAlreadyRunning(action reconcile.AlreadyRunning) {
-	s.sendToClient(action.Client, &protocol.PlacementReply{
-		ContainerID: string(action.ID), Verdict: protocol.VerdictPlaced,
-		Machine: string(action.Machine), Message: messageAlreadyRunning,
-	})
-	if c := s.containers[action.RunningID]; c != nil {
-		c.client, c.clientContainerID = s.clients[action.Client], string(action.ID)
-	}
-}
-
-// answer sends the final answer of a request that is not placed.
-func (s *Server) answer(id scheduler.ContainerID, reply *protocol.PlacementReply) {
-	c := s.containers[id]
-	if c == nil || c.answered {
-		return
-	}
-	c.answered = true
-	reply.ContainerID = string(id)
-	s.stats.countAnswer(reply.Verdict)
-	if c.client != nil {
-		c.client.send(reply)
-	}
-	s.enqueueReconcilerEvent(reconcile.RequestFailed{ID: id})
-	if c.attempt == nil {
-		s.removeContainer(c)
-	}
+// beginAttempt makes an attempt the pending one, and returns its ordinal.
+func (c *container) beginAttempt(a *attempt) (ordinal int) {
+	c.attempt = a
+	c.attempts++
+	return c.attempts - 1
 }
 
-// terminate ends a container that a client has cancelled. The client that cancels receives the termination, whoever
-// requested the container.
-func (s *Server) terminate(action reconcile.TerminateContainer) {
-	c, client := s.containers[action.ID], s.clients[action.Client]
-	if c == nil || client == nil {
-		return
-	}
-	requestedID := string(action.RequestedID)
-	if c.client != nil && c.client != client && !c.client.disconnected {
-		client.send(
-			&protocol.PlacementReply{
-				ContainerID: requestedID,
-				Verdict:     protocol.VerdictNotAdmitted,
-				Message:     messageOtherClient,
-			},
-		)
-		return
-	}
-	if c.attempt != nil && c.attempt.accepted {
-		c.client, c.clientContainerID = client, requestedID
-		s.cancelAttempt(c.attempt) // the machine's result ends it
-		return
-	}
-	s.enqueueSchedulerEvent(scheduler.ContainerRemoved{ID: action.ID})
-	if !c.answered {
-		s.answerCancelled(c, client, requestedID)
-	}
-	if c.attempt != nil {
-		a := c.attempt
-		s.cancelAttempt(a)
-		s.endAttempt(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: true})
-		return
-	}
-	s.removeContainer(c)
-}
+func (c *container) endAttempt() { c.attempt = nil }
 
-// answerCancelled answers the client that cancels, and the request itself if that went by another ID.
-func (s *Server) answerCancelled(c *container, client *clientConn, requestedID string) {
-	c.answered = true
-	s.stats.countAnswer(protocol.VerdictFailed)
-	if c.client != nil && c.clientContainerID != requestedID {
-		c.client.send(
-			&protocol.PlacementReply{
-				ContainerID: c.clientContainerID,
-				Verdict:     protocol.VerdictFailed,
-				Message:     messageCancelled,
-			},
-		)
-	}
-	client.send(
-		&protocol.PlacementReply{ContainerID: requestedID, Verdict: protocol.VerdictFailed, Message: messageCancelled},
-	)
-	s.enqueueReconcilerEvent(reconcile.RequestFailed{ID: c.request.ID})
+func (c *container) setClient(client *clientConn, clientContainerID string) {
+	c.client, c.clientContainerID = client, clientContainerID
 }
 
-// containerLost ends a container whose machine is lost, or silent for too long. In the second case it may still run.
-func (s *Server) containerLost(action reconcile.ContainerLost) {
-	c := s.containers[action.ID]
-	if c == nil || c.attempt == nil || !c.attempt.accepted {
-		return
-	}
-	if !action.Confirmed {
-		s.outcomeUnknown(c.attempt)
-	}
-	s.endAttempt(c.attempt, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost, Final: true})
+// belongsToAnother reports whether a client other than the given one is connected and has requested the container.
+func (c *container) belongsToAnother(client *clientConn) bool {
+	return c.client != nil && c.client != client && !c.client.disconnected()
 }
 
-// adopt takes over a container that runs, as an accepted attempt of another incarnation or one that was over.
-func (s *Server) adopt(found reconcile.Attempt) {
-	m := s.machines[found.Machine]
-	if m == nil || s.containers[found.Request.ID] != nil {
-		return
-	}
-	c := &container{request: found.Request, answered: true, attempts: 1}
-	a := &attempt{
-		number:      found.Number,
-		incarnation: found.Incarnation,
-		container:   c,
-		machine:     m,
-		decidedAt:   s.loop.Now(),
-		sent:        true,
-		accepted:    true,
-	}
-	c.attempt, m.attempts[found.Number] = a, a
-	if s.state != nil {
-		s.state.logAdopted(a, found)
-	}
-	s.containers[found.Request.ID] = c
-	s.stats.running++
-	s.stats.adopted++
-	if found.Running {
-		s.announceRunning(a)
+// send sends a frame to the client that requested the container, if there is one.
+func (c *container) send(f protocol.Frame) {
+	if c.client != nil {
+		c.client.send(f)
 	}
-	s.adoptions.adopted(found.Request.Service)
-	s.enqueueSchedulerEvent(scheduler.ContainerAdopted{PlacementRequest: found.Request, Machine: m.id})
 }
 
-func (s *Server) removeContainer(c *container) {
-	delete(s.containers, c.request.ID)
-	s.enqueueReconcilerEvent(reconcile.ContainerRemoved{ID: c.request.ID})
+// notifyTerminated notifies the client of the end of a container that ran.
+func (c *container) notifyTerminated(machine scheduler.MachineID, ended scheduler.AttemptEnded) {
+	c.send(&protocol.Termination{
+		ContainerID: c.clientContainerID, Machine: string(machine),
+		Outcome: protocol.OutcomeFromScheduler(ended.Outcome), Reason: protocol.Reason(ended.Reason),
+	})
 }
--- a/internal/schedulerd/discovery.go
+++ b/internal/schedulerd/discovery.go
@@ -13,12 +13,13 @@
 
 // discoveryClient is the connection to the machine list service. The scheduler decides when and how often it is asked.
 type discoveryClient struct {
-	server             *Server
+	*process
+	decisions          *decisions
+	machines           *machineRegistry
 	conn               *eventloop.Conn // nil if there is none
 	reader             protocol.Reader
 	serviceIncarnation uint64 // of the service that sent the version
 	version            int64
-	cache              machineListCache
 	lastReadAt         eventloop.Tick
 	lastFrameAt        eventloop.Tick // 0: no frame has been received
 	awaitingReply      bool           // a reply or updates are due, so that a closed connection is a failed update
@@ -26,23 +27,35 @@
 
 // request sends a frame to the service, on a new connection if there is none.
 func (d *discoveryClient) request(f protocol.Frame) {
-	s := d.server
 	if d.conn == nil {
-		d.reader, d.lastReadAt = protocol.Reader{}, s.loop.Now()
-		d.conn = s.loop.Dial(s.config.MachineListAddr, d, s.config.MaxOutput, s.config.ConnectTimeout)
-		d.send(s.hello())
+		d.reader, d.lastReadAt = protocol.Reader{}, d.loop.Now()
+		d.conn = d.loop.Dial(d.config.MachineListAddr, d, d.config.MaxOutput, d.config.ConnectTimeout)
+		d.send(d.hello())
 	}
 	d.awaitingReply = true
 	d.send(f)
 }
 
+// lastVersion is that of the last update; 0: the next update must be the full list.
+func (d *discoveryClient) lastVersion() int64 { return d.version }
+
+// sinceLastFrame is how long ago the last frame of the service was received; false if none was.
+func (d *discoveryClient) sinceLastFrame() (age eventloop.Tick, received bool) {
+	return d.loop.Now() - d.lastFrameAt, d.lastFrameAt > 0
+}
+
+// watch subscribes to updates since the last version, or ends the subscription.
+func (d *discoveryClient) watch(enabled bool) {
+	d.request(&protocol.WatchMachineList{Enabled: enabled, SinceVersion: d.version})
+}
+
 func (d *discoveryClient) send(f protocol.Frame) {
-	encoded, err := d.server.encode(f)
+	encoded, err := d.encode(f)
 	if err == nil {
 		err = d.conn.Write(encoded)
 	}
 	if err != nil {
-		d.server.logConnectionClosed(discoveryPeer, err)
+		d.logConnectionClosed(discoveryPeer, err)
 		d.conn.Reset()
 	}
 }
@@ -52,10 +65,10 @@
 
 // Read implements eventloop.Handler.
 func (d *discoveryClient) Read(conn *eventloop.Conn, p []byte) {
-	d.lastReadAt = d.server.loop.Now()
+	d.lastReadAt = d.loop.Now()
 	d.lastFrameAt = d.lastReadAt
 	if err := d.reader.Feed(p, d.handleFrame); err != nil && conn == d.conn {
-		d.server.logConnectionClosed(discoveryPeer, err)
+		d.logConnectionClosed(discoveryPeer, err)
 		conn.Reset()
 	}
 }
@@ -73,12 +86,12 @@
 }
 
 func (d *discoveryClient) updateFailed() {
-	d.server.enqueueSchedulerEvent(scheduler.MachineListUpdate{Mode: scheduler.UpdateFailed})
+	d.decisions.notifyScheduler(scheduler.MachineListUpdate{Mode: scheduler.UpdateFailed})
 }
 
 func (d *discoveryClient) checkTimeouts(now eventloop.Tick) {
-	if d.conn != nil && now-d.lastReadAt > d.server.config.SilenceTimeout {
-		d.server.logConnectionClosed(discoveryPeer, after(errSilent, now-d.lastReadAt))
+	if d.conn != nil && now-d.lastReadAt > d.config.SilenceTimeout {
+		d.logConnectionClosed(discoveryPeer, after(errSilent, now-d.lastReadAt))
 		d.conn.Reset()
 	}
 }
@@ -90,7 +103,7 @@
 	case *protocol.MachineListUpdate:
 		return d.handleUpdate(f)
 	case *protocol.MachineListError:
-		d.server.log.Warn("machine list request failed", "error", f.Message)
+		d.log.Warn("machine list request failed", "error", f.Message)
 		d.updateFailed()
 	case *protocol.Heartbeat:
 	case *protocol.Goodbye:
@@ -127,6 +140,6 @@
 		mode = scheduler.FullSnapshot
 	}
 	d.version = f.Version
-	d.server.applyList(mode, f.Version, f.Entries)
+	d.machines.applyList(mode, f.Version, f.Entries)
 	return nil
 }
--- a/internal/schedulerd/discovery_test.go
+++ b/internal/schedulerd/discovery_test.go
@@ -87,12 +87,12 @@
 			server := runServer(t, settings, script)
 			for i, want := range []scheduler.UpdateMode{scheduler.FullSnapshot, scheduler.UpdateFailed, scheduler.FullSnapshot} {
 				server.loop.Post(func() {
-					d := &server.discovery
+					d := server.discovery
 					if d.conn != nil {
 						d.awaitingReply = false
 						d.conn.Reset()
 					}
-					d.request(&protocol.WatchMachineList{Enabled: true, SinceVersion: d.version})
+					d.watch(true)
 				})
 				if update := awaitList(t, script); update.Mode != want {
 					t.Fatalf("request %d: mode %d, version %d", i+1, update.Mode, update.Version)
@@ -155,7 +155,7 @@
 	runOnLoop(server, func() { server.discovery.conn.Reset() })
 	eventuallyOnLoop(t, server, func() bool { return server.discovery.conn == nil && !server.discovery.awaitingReply })
 	hello <- 2
-	eventuallyOnLoop(t, server, func() bool { return server.machines["a"].selfReported })
+	eventuallyOnLoop(t, server, func() bool { return server.machines.find("a").selfReported })
 	away.Store(false)
 	awaitRequest(5)
 }
--- /dev/null
+++ b/internal/schedulerd/dispatcher.go
@@ -0,0 +1,274 @@
+package schedulerd
+
+import (
+	"glenport/internal/eventloop"
+	"glenport/internal/schedulerd/reconcile"
+	"glenport/internal/schedulerd/recovery"
+	"glenport/scheduler"
+)
+
+// attemptDispatcher sends attempts to machines. Each attempt ends in exactly one AttemptEnded, also one that cannot be
+// sent.
+type attemptDispatcher struct {
+	*process
+	decisions  *decisions
+	machines   *machineRegistry
+	containers *containerRegistry
+	routes     *routeAnnouncer
+	state      *stateStore // nil if nothing is persisted
+	adoptions  adoptionTracker
+	lastNumber uint64 // attempt numbers are unique over all incarnations
+}
+
+// start offers a container to a machine, at once or as soon as the connection is ready and the log holds what it must.
+func (d *attemptDispatcher) start(action scheduler.StartAttempt) {
+	c, m := d.containers.find(action.ID), d.machines.find(action.Machine)
+	if c == nil {
+		d.log.Error("attempt for an unknown container", "container", action.ID)
+		return
+	}
+	if c.attempt != nil || m == nil || c.answered {
+		d.decisions.notifyScheduler(scheduler.AttemptEnded{
+			ID: action.ID, Outcome: scheduler.OutcomeNotSent, Machine: action.Machine,
+			Attempt: c.attempts, Final: c.answered,
+		})
+		return
+	}
+	a := d.newAttempt(c, m, eventloop.Tick(action.Timeout))
+	if d.state != nil {
+		d.persist(a)
+	}
+	if m.ready() && !a.awaitsLog() {
+		d.send(a)
+		return
+	}
+	d.enqueue(a)
+}
+
+// newAttempt starts the clock of an attempt. Without a timeout it may wait until the deadline of the request.
+func (d *attemptDispatcher) newAttempt(c *container, m *machine, timeout eventloop.Tick) *attempt {
+	now := d.loop.Now()
+	deadline := eventloop.Tick(c.request.Deadline)
+	if timeout > 0 {
+		deadline = min(deadline, now+timeout)
+	}
+	d.lastNumber++
+	a := &attempt{
+		number:             d.lastNumber,
+		incarnation:        d.incarnation,
+		container:          c,
+		machine:            m,
+		state:              attemptQueued,
+		decidedAt:          now,
+		deadline:           deadline,
+		machineIncarnation: m.incarnation,
+		adoptionsBefore:    d.adoptions.count(),
+	}
+	a.ordinal = c.beginAttempt(a)
+	a.timer = d.loop.After(deadline-now, func() { d.timedOut(a) })
+	return a
+}
+
+// persist holds an attempt back until the log holds what must be known of it after a crash.
+func (d *attemptDispatcher) persist(a *attempt) {
+	write, sync := recovery.MustPersist(d.idempotency(a.request().WorkloadClass))
+	if write {
+		a.inLog = true
+		d.state.putAttempt(a.record())
+	}
+	sendCounted := d.state.logSend(a.machine.id, a.machine.start())
+	if !write && !sendCounted {
+		return
+	}
+	a.transition(attemptLogRequired)
+	logged := func(err error) { d.logged(a, err) }
+	if sync {
+		d.state.afterSync(logged)
+	} else {
+		d.state.afterCommit(logged)
+	}
+}
+
+// logged sends an attempt that waited for the log. One that could not be logged is never sent.
+func (d *attemptDispatcher) logged(a *attempt, err error) {
+	if err != nil {
+		if a.machine.queue.remove(a) {
+			d.notSent(a)
+		}
+		return
+	}
+	a.transition(attemptLogged)
+	a.machine.sendQueued()
+}
+
+// enqueue holds an attempt back until its connection is ready and the log holds it, but no longer than a connection may
+// take. The scheduler charges a machine in slow start for an attempt when it decides, and keeps an eighth of the
+// slow-start window for the way: attempts that pile up behind a slow connection would arrive together and overload the
+// machine.
+func (d *attemptDispatcher) enqueue(a *attempt) {
+	m := a.machine
+	m.queue.add(a)
+	d.loop.After(d.config.ConnectTimeout, func() {
+		if m.queue.remove(a) {
+			d.unreached(a)
+		}
+	})
+	m.conn.connect()
+}
+
+// send offers an attempt to its machine, which is ready.
+func (d *attemptDispatcher) send(a *attempt) {
+	if !a.machine.offer(a) {
+		d.notSent(a)
+		return
+	}
+	a.transition(attemptOfferSent)
+	d.stats.countAttempt(a.container)
+}
+
+// unreached ends an attempt whose machine was not reached in time. If the connection is ready the attempt waited for
+// the log, which is no failure of the machine.
+func (d *attemptDispatcher) unreached(a *attempt) {
+	if a.awaitsLog() || a.machine.ready() {
+		d.notSent(a)
+		return
+	}
+	d.stats.countOutcome(statConnectFailed)
+	d.end(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeConnectFailed})
+}
+
+func (d *attemptDispatcher) notSent(a *attempt) {
+	d.stats.countOutcome(statNotSent)
+	d.end(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
+}
+
+func (d *attemptDispatcher) timedOut(a *attempt) {
+	a.timer = nil
+	if a.unsent() {
+		a.machine.queue.remove(a)
+		d.unreached(a)
+		return
+	}
+	d.stats.countOutcome(statTimedOut)
+	a.machine.expired.remember(a)
+	d.outcomeUnknown(a)
+	d.end(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeTimedOut})
+}
+
+// connectionLost ends an attempt that was sent and has no answer.
+func (d *attemptDispatcher) connectionLost(a *attempt) {
+	d.stats.countOutcome(statConnectionLost)
+	d.outcomeUnknown(a)
+	d.end(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost})
+}
+
+// accept handles the accept of a machine: the container runs, or will run where an accept does not mean that it runs
+// already.
+func (d *attemptDispatcher) accept(a *attempt) {
+	if !a.transition(attemptAcceptReceived) {
+		return
+	}
+	c, id := a.container, a.request().ID
+	d.loop.Cancel(a.timer)
+	a.timer = nil
+	d.stats.containerStarted()
+	d.routes.containerRunning(a)
+	d.decisions.notifyReconciler(reconcile.AttemptAccepted{ID: id, Machine: a.machine.id, Attempt: a.number})
+	if c.answered { // too late for the client: the container is known until it ends
+		d.decisions.notifyReconciler(reconcile.LateAccept{Attempt: a.record()})
+		return
+	}
+	d.decisions.notifyScheduler(scheduler.AttemptAccepted{
+		ID: id, Attempt: a.ordinal, Machine: a.machine.id, Elapsed: d.elapsed(a),
+	})
+	d.containers.answerPlaced(c, a.machine.id)
+}
+
+// cancelUnanswered cancels an attempt that the scheduler does not want to wait for any longer.
+func (d *attemptDispatcher) cancelUnanswered(action scheduler.CancelAttempt) {
+	c := d.containers.find(action.ID)
+	if c == nil || c.attempt == nil || c.attempt.accepted() || c.attempt.ordinal != action.Attempt {
+		return
+	}
+	d.cancel(c.attempt, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: c.answered})
+}
+
+// cancel ends an attempt that is not accepted, and has the machine drop it.
+func (d *attemptDispatcher) cancel(a *attempt, ended scheduler.AttemptEnded) {
+	if a.unsent() {
+		a.machine.queue.remove(a)
+	} else {
+		a.machine.cancel(a.incarnation, a.number)
+		a.machine.expired.remember(a)
+	}
+	d.end(a, ended)
+}
+
+// terminate asks the machine to end a container that runs. The machine's result ends the attempt.
+func (d *attemptDispatcher) terminate(a *attempt) {
+	a.transition(attemptTerminationRequested)
+	a.machine.cancel(a.incarnation, a.number)
+}
+
+// outcomeUnknown leaves it to the reconciler when the log may forget an attempt: it may run though it has ended here.
+func (d *attemptDispatcher) outcomeUnknown(a *attempt) {
+	d.decisions.notifyReconciler(reconcile.AttemptOutcomeUnknown{Attempt: a.record()})
+	a.inLog = false
+}
+
+// end ends an attempt with its one outcome, and its container if nothing more is owed for that.
+func (d *attemptDispatcher) end(a *attempt, ended scheduler.AttemptEnded) {
+	before := a.state
+	if !a.transition(attemptOutcomeKnown) {
+		return
+	}
+	c, m := a.container, a.machine
+	d.loop.Cancel(a.timer)
+	m.untrack(a)
+	c.endAttempt()
+	if before == attemptOffered && ended.Outcome == scheduler.OutcomeStopped { // the cancel may come too late
+		d.outcomeUnknown(a)
+	}
+	if a.inLog {
+		d.state.removeAttempt(a.number)
+	}
+	ended.ID, ended.Attempt, ended.Machine = c.request.ID, a.ordinal, m.id
+	ended.Elapsed = d.elapsed(a)
+	ended.Final = ended.Final || c.answered
+	if before.accepted() {
+		d.stats.containerEnded()
+		d.routes.containerEnded(a)
+		c.notifyTerminated(m.id, ended)
+	}
+	d.decisions.notifyScheduler(ended)
+	if ended.Final {
+		d.containers.remove(c)
+	}
+	m.removeIfGone()
+}
+
+// adopt takes over a container that runs, as an accepted attempt of another incarnation or one that was over.
+func (d *attemptDispatcher) adopt(c *container, m *machine, found reconcile.Attempt) {
+	a := &attempt{
+		number:      found.Number,
+		incarnation: found.Incarnation,
+		container:   c,
+		machine:     m,
+		state:       attemptRunning,
+		decidedAt:   d.loop.Now(),
+	}
+	a.ordinal = c.beginAttempt(a)
+	m.track(a)
+	d.adoptions.adopted(found.Request.Service)
+	if d.state == nil {
+		return
+	}
+	if write, _ := recovery.MustPersist(d.idempotency(found.Request.WorkloadClass)); write {
+		a.inLog = true
+		d.state.putAttempt(found)
+	}
+}
+
+func (d *attemptDispatcher) elapsed(a *attempt) scheduler.Time {
+	return scheduler.Time(d.loop.Now() - a.decidedAt)
+}
--- /dev/null
+++ b/internal/schedulerd/doc.go
@@ -0,0 +1,93 @@
+// Package schedulerd runs one scheduler on sockets. Server owns an event loop, on which it turns frames, connections
+// and timers into events, hands them to the decision packages once an iteration, and executes the actions that they
+// return, in order. It decides nothing itself. Where nothing else is said, code of this package runs on the goroutine
+// of the event loop.
+//
+// Server wires the parts and maps actions to their methods. Each part owns its state:
+//
+//	process            what all parts share: settings, incarnation, log, event loop, counters
+//	decisions          the scheduler, the reconciler, and the events that wait for them
+//	clientRegistry     accepted connections, each a clientConn
+//	machineRegistry    the machine list and the machines, each with a machineConn, an attemptQueue and its probes
+//	attemptDispatcher  attempts from the decision to their one outcome
+//	containerRegistry  containers that were admitted or adopted, and the answers to their clients
+//	discoveryClient    the connection to the machine list service
+//	routeAnnouncer     the BGP speaker
+//	stateStore         what the next incarnation needs: a journal and a snapshotWriter
+//	inspector          replies to the questions of operators
+//
+// # State machines
+//
+// An event that a table does not list for a state is illegal: it is logged as a *TransitionError, and the state stays.
+//
+// An attempt:
+//
+//	| state        | event                 | next state   |
+//	| queued       | log required          | awaiting log |
+//	| queued       | offer sent            | offered      |
+//	| queued       | ended                 | ended        |
+//	| awaiting log | logged                | queued       |
+//	| awaiting log | ended                 | ended        |
+//	| offered      | accept received       | running      |
+//	| offered      | ended                 | ended        |
+//	| running      | termination requested | terminating  |
+//	| running      | ended                 | ended        |
+//	| terminating  | termination requested | terminating  |
+//	| terminating  | ended                 | ended        |
+//	| ended        | logged                | ended        |
+//
+// The connection of a machine. The machine gets offers and probes while it is ready:
+//
+//	| state        | event              | next state   |
+//	| disconnected | dialed             | connecting   |
+//	| connecting   | opened             | connected    |
+//	| connecting   | closed             | disconnected |
+//	| connected    | inventory received | ready        |
+//	| connected    | closed             | disconnected |
+//	| ready        | closed             | disconnected |
+//
+// The connection of a client. Nothing is sent once it is closing:
+//
+//	| state          | event          | next state  |
+//	| awaiting hello | hello received | established |
+//	| awaiting hello | goodbye sent   | closing     |
+//	| awaiting hello | write failed   | closing     |
+//	| awaiting hello | closed         | closed      |
+//	| established    | hello received | established |
+//	| established    | goodbye sent   | closing     |
+//	| established    | write failed   | closing     |
+//	| established    | closed         | closed      |
+//	| closing        | hello received | closing     |
+//	| closing        | closed         | closed      |
+//	| closed         | hello received | closed      |
+//
+// The server. A stop may be requested before Run has started it:
+//
+//	| state    | event          | next state |
+//	| created  | started        | serving    |
+//	| created  | stop requested | stopping   |
+//	| created  | loop ended     | stopped    |
+//	| serving  | stop requested | stopping   |
+//	| serving  | loop ended     | stopped    |
+//	| stopping | started        | stopping   |
+//	| stopping | stop requested | stopping   |
+//	| stopping | loop ended     | stopped    |
+//
+// The state store. It writes snapshots once the folder's own snapshot has been restored:
+//
+//	| state     | event    | next state |
+//	| loading   | loaded   | loaded     |
+//	| loaded    | restored | recording  |
+//	| loaded    | closed   | closed     |
+//	| recording | closed   | closed     |
+//
+// The snapshot writer:
+//
+//	| state    | event     | next state |
+//	| saved    | started   | saving     |
+//	| saving   | succeeded | saved      |
+//	| saving   | failed    | failed     |
+//	| failed   | started   | retrying   |
+//	| retrying | succeeded | saved      |
+//	| retrying | failed    | failed     |
+package schedulerd
--- a/internal/schedulerd/errors_test.go
+++ b/internal/schedulerd/errors_test.go
@@ -12,7 +12,7 @@
 // The texts are sent in a Goodbye: they are part of the wire.
 func TestFaultsOfPeersAreTypedAndKeepTheirTexts(t *testing.T) {
 	m := &machine{id: "a"}
-	ready := &machine{id: "a", ready: true}
+	ready := &machine{id: "a", conn: machineConn{state: machineReady}}
 	client := &clientConn{}
 	for _, tc := range []struct {
 		name   string
--- a/internal/schedulerd/explain.go
+++ b/internal/schedulerd/explain.go
@@ -5,25 +5,19 @@
 	"glenport/scheduler"
 )
 
-// explainer is a Scheduler that can explain why a request may find no machine.
-type explainer interface {
-	Explain(scheduler.PlacementRequest) scheduler.Explanation
-}
-
 // explainReply explains why a container like that of the request may wait, if the scheduler can explain it.
-func (s *Server) explainReply(f *protocol.ExplainRequest) *protocol.ExplainReply {
+func (i *inspector) explainReply(f *protocol.ExplainRequest) *protocol.ExplainReply {
 	reply := &protocol.ExplainReply{Seq: f.Seq, ListAge: -1}
-	if s.discovery.lastFrameAt > 0 {
-		reply.ListAge = protocol.Duration(s.loop.Now() - s.discovery.lastFrameAt)
-	}
-	e, ok := s.scheduler.(explainer)
-	if !ok {
-		return reply
+	if age, received := i.discovery.sinceLastFrame(); received {
+		reply.ListAge = protocol.Duration(age)
 	}
-	found := e.Explain(scheduler.PlacementRequest{
+	found, ok := i.decisions.explain(scheduler.PlacementRequest{
 		IdempotencyKey: f.Spec.IdempotencyKey, Service: f.Spec.Service,
 		WorkloadClass: f.Spec.WorkloadClass, Tenant: f.Spec.Tenant, Cores: f.Spec.Cores, Memory: f.Spec.Memory,
 	})
+	if !ok {
+		return reply
+	}
 	reply.Known = true
 	reply.Machines = found.Machines
 	reply.Gone = found.Gone
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -168,13 +168,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		st := &stateStore{dir: d}
-		if st.log, _, err = wal.Open(d, wal.Options{}); err != nil {
+		st := &stateStore{journal: &journal{}, dir: d}
+		if _, err := st.openLog(d); err != nil {
 			t.Fatal(err)
 		}
 		change(st)
 		st.commit()
-		if err := st.log.Close(); err != nil {
+		if err := st.closeLog(); err != nil {
 			t.Fatal(err)
 		}
 		if err := d.Close(); err != nil {
--- a/internal/schedulerd/helpers_test.go
+++ b/internal/schedulerd/helpers_test.go
@@ -1,6 +1,8 @@
 package schedulerd
 
 import (
+	"context"
+	"errors"
 	"io"
 	"log/slog"
 	"net"
@@ -25,7 +27,33 @@
 	classAtMostOnce = 2
 )
 
-var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
+// discardLog panics where a server logs an illegal transition: there is none in practice.
+var discardLog = slog.New(&transitionLog{illegal: func(err error) { panic(err) }})
+
+// transitionLog drops what is logged, but for illegal transitions.
+type transitionLog struct {
+	slog.Handler
+	illegal func(error)
+}
+
+// Enabled implements slog.Handler.
+func (*transitionLog) Enabled(context.Context, slog.Level) bool { return true }
+
+// Handle implements slog.Handler.
+func (l *transitionLog) Handle(_ context.Context, record slog.Record) error {
+	record.Attrs(func(attribute slog.Attr) bool {
+		if err, ok := errors.AsType[*TransitionError](errorOf(attribute)); ok {
+			l.illegal(err)
+		}
+		return true
+	})
+	return nil
+}
+
+func errorOf(attribute slog.Attr) error {
+	err, _ := attribute.Value.Any().(error)
+	return err
+}
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -196,12 +224,12 @@
 // awaitReady waits until a machine has sent its inventory.
 func (h *harness) awaitReady(id scheduler.MachineID) {
 	h.t.Helper()
-	eventuallyOnLoop(h.t, h.server, func() bool { return h.server.machines[id].ready })
+	eventuallyOnLoop(h.t, h.server, func() bool { return h.server.machines.find(id).ready() })
 }
 
 // applyList applies an update of one entry.
 func (h *harness) applyList(entry protocol.MachineEntry) {
-	runOnLoop(h.server, func() { h.server.applyList(scheduler.DeltaUpdate, 2, []protocol.MachineEntry{entry}) })
+	runOnLoop(h.server, func() { h.server.machines.applyList(scheduler.DeltaUpdate, 2, []protocol.MachineEntry{entry}) })
 }
 
 // listenTCP listens and serves each connection on a goroutine until serve returns.
--- a/internal/schedulerd/interleaving_model_test.go
+++ b/internal/schedulerd/interleaving_model_test.go
@@ -251,17 +251,17 @@
 // quiet runs on the loop of the server.
 func (w *model) quiet() bool {
 	s := w.server
-	if len(s.clients) != 1 || len(s.schedulerEvents)+len(s.reconcilerEvents) > 0 ||
+	if s.clients.count() != 1 || s.decisions.pending() ||
 		!drained(s.discovery.conn, w.list.conn) {
 		return false
 	}
-	for _, client := range s.clients {
+	for _, client := range s.clients.connected {
 		if !drained(client.conn, w.client) {
 			return false
 		}
 	}
 	for name, m := range w.machines {
-		if known := s.machines[scheduler.MachineID(name)]; known != nil && !drained(known.conn, m.conn) {
+		if known := s.machines.find(scheduler.MachineID(name)); known != nil && !drained(known.conn.conn, m.conn) {
 			return false
 		}
 	}
--- /dev/null
+++ b/internal/schedulerd/journal.go
@@ -0,0 +1,149 @@
+package schedulerd
+
+import (
+	"fmt"
+
+	"glenport/internal/schedulerd/reconcile"
+	"glenport/internal/schedulerd/recovery"
+	"glenport/internal/schedulerd/warmstart"
+	"glenport/internal/storage/vfs"
+	"glenport/internal/storage/wal"
+)
+
+// Kinds of records in the log of a scheduler.
+const (
+	AttemptKind     = "bid"  // reconcile.Attempt by number: pending or running, of work that is not idempotent
+	SendKind        = "sent" // warmstart.SlowStartSends by machine
+	IncarnationKind = "life" // warmstart.LogHistory, one
+)
+
+// incarnationKey is the key of the one record of IncarnationKind.
+const incarnationKey = "this"
+
+// journal collects changes of the log. Those of one iteration of the loop are one commit. What has to wait for the
+// commit is run when it is written, or on disk if the work demands that.
+type journal struct {
+	*process
+	wal            *wal.Log // nil until openLog
+	history        warmstart.LogHistory
+	historyPending bool // the log does not hold history yet
+
+	changes      []wal.Change // of this iteration
+	callbacks    []func(error)
+	syncNeeded   bool
+	retryDeletes []wal.Change // that the disk did not take; tried again with the next snapshot
+}
+
+// openLog opens the log of a folder.
+func (j *journal) openLog(dir vfs.FS) (found wal.Stats, err error) {
+	j.wal, found, err = wal.Open(dir, wal.Options{OnModeChange: j.logModeChange})
+	return found, err
+}
+
+// logModeChange is called by the goroutine of the log.
+func (j *journal) logModeChange(text string, attributes ...any) {
+	j.loop.Post(func() { j.log.Warn(text, attributes...) })
+}
+
+// beginIncarnation logs that an incarnation follows the earlier ones. A full disk is no error: what needs the log is
+// not sent before it holds this.
+func (j *journal) beginIncarnation(earlier warmstart.LogHistory) {
+	j.history = earlier.Next(readClocks(j.now()))
+	if err := j.wal.CommitSync(j.historyChange()); err != nil {
+		j.historyPending = true
+		j.log.Warn("incarnation not logged yet, what must be logged waits", "error", err)
+	}
+}
+
+// coverage is what the log holds of the attempts of earlier incarnations.
+func (j *journal) coverage() recovery.LogCoverage { return j.history.Coverage }
+
+func (j *journal) put(kind, key string, value any) {
+	j.changes = append(j.changes, wal.Put(kind, key, value))
+}
+
+func (j *journal) remove(kind, key string) {
+	j.changes = append(j.changes, wal.Change{Kind: kind, Key: key})
+}
+
+func attemptKey(number uint64) string { return fmt.Sprintf("%016x", number) }
+
+func (j *journal) putAttempt(a reconcile.Attempt) { j.put(AttemptKind, attemptKey(a.Number), a) }
+
+func (j *journal) removeAttempt(number uint64) { j.remove(AttemptKind, attemptKey(number)) }
+
+func (j *journal) putSends(sends warmstart.SlowStartSends) {
+	j.put(SendKind, string(sends.Machine), sends)
+}
+
+// afterCommit runs a callback on the loop once the changes of this iteration are written.
+func (j *journal) afterCommit(callback func(error)) {
+	j.callbacks = append(j.callbacks, callback)
+}
+
+// afterSync runs a callback on the loop once the changes of this iteration are on disk.
+func (j *journal) afterSync(callback func(error)) {
+	j.syncNeeded = true
+	j.afterCommit(callback)
+}
+
+// commit writes the changes of the iteration.
+func (j *journal) commit() {
+	if len(j.changes) == 0 && len(j.callbacks) == 0 {
+		return
+	}
+	callbacks, changes := j.callbacks, j.changes
+	withHistory := j.historyPending
+	if withHistory {
+		changes = append([]wal.Change{j.historyChange()}, changes...)
+	}
+	j.wal.Commit(changes, j.syncNeeded || withHistory, func(err error) {
+		if len(callbacks) == 0 && err == nil && !withHistory {
+			return
+		}
+		j.loop.Post(func() { j.committed(changes, callbacks, err) })
+	})
+	j.changes, j.callbacks, j.syncNeeded = nil, nil, false
+}
+
+func (j *journal) committed(changes []wal.Change, callbacks []func(error), err error) {
+	if err == nil {
+		j.historyPending = false
+	} else {
+		j.retryLater(changes)
+	}
+	for _, callback := range callbacks {
+		callback(err)
+	}
+}
+
+// retryLater keeps the changes of a failed commit that record what has happened: the end of attempts, and the history.
+// An attempt that could not be logged was not sent.
+func (j *journal) retryLater(changes []wal.Change) {
+	for _, c := range changes {
+		switch {
+		case c.Kind == AttemptKind && c.Value == nil:
+			j.retryDeletes = append(j.retryDeletes, c)
+		case c.Kind == IncarnationKind:
+			j.historyPending = true
+		}
+	}
+}
+
+// retry adds the changes to this iteration that the disk did not take.
+func (j *journal) retry() {
+	j.changes, j.retryDeletes = append(j.retryDeletes, j.changes...), nil
+}
+
+func (j *journal) historyChange() wal.Change {
+	return wal.Put(IncarnationKind, incarnationKey, j.history)
+}
+
+// allMachinesReported logs that all attempts of earlier incarnations are known.
+func (j *journal) allMachinesReported() {
+	j.history = j.history.WithCompleteLog()
+	j.changes = append(j.changes, j.historyChange())
+}
+
+// closeLog releases the log.
+func (j *journal) closeLog() error { return j.wal.Close() }
--- /dev/null
+++ b/internal/schedulerd/lifecycle.go
@@ -0,0 +1,62 @@
+package schedulerd
+
+// serverState is the state of a server.
+type serverState string
+
+// States of a server.
+const (
+	serverCreated  serverState = "created"
+	serverServing  serverState = "serving"
+	serverStopping serverState = "stopping" // the loop ends after this iteration
+	serverStopped  serverState = "stopped"
+)
+
+// serverEvent is what happens to a server.
+type serverEvent string
+
+// Events of a server.
+const (
+	serverStarted       serverEvent = "started"
+	serverStopRequested serverEvent = "stop requested"
+	serverLoopEnded     serverEvent = "loop ended"
+)
+
+// serverTransitions is the table of the package comment.
+var serverTransitions = transitionTable[serverState, serverEvent]{
+	serverCreated: {
+		serverStarted:       serverServing,
+		serverStopRequested: serverStopping,
+		serverLoopEnded:     serverStopped, // New has failed
+	},
+	serverServing: {
+		serverStopRequested: serverStopping,
+		serverLoopEnded:     serverStopped, // it could not wait for events
+	},
+	serverStopping: {
+		serverStarted:       serverStopping, // Stop was called before Run
+		serverStopRequested: serverStopping,
+		serverLoopEnded:     serverStopped,
+	},
+}
+
+// transition is the one place where the state of a server changes.
+func (s *Server) transition(event serverEvent) bool {
+	next, err := serverTransitions.next("server", s.lifecycle, event)
+	s.lifecycle = next
+	return s.transitionMade(err)
+}
+
+// stopRequested takes leave of the BGP peers, once.
+func (s *Server) stopRequested() {
+	before := s.lifecycle
+	if s.transition(serverStopRequested) && before != serverStopping {
+		s.routes.stop()
+	}
+}
+
+// loopEnded writes what is left of the state.
+func (s *Server) loopEnded() {
+	if s.transition(serverLoopEnded) && s.state != nil {
+		s.state.close(s.takeSnapshot)
+	}
+}
--- a/internal/schedulerd/machine.go
+++ b/internal/schedulerd/machine.go
@@ -1,8 +1,6 @@
 package schedulerd
 
 import (
-	"errors"
-
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/reconcile"
@@ -10,65 +8,46 @@
 	"glenport/scheduler"
 )
 
-const (
-	// lateAcceptWindow is for how long an attempt that is over may still be accepted by its number.
-	lateAcceptWindow = 60 * eventloop.Second
-	// inventoryTimeouts is how many connect timeouts a machine has for its inventory.
-	inventoryTimeouts = 3
-)
-
-// machine is a listed machine with the one connection that all its attempts share.
+// machine is a listed machine with its connection, and the attempts and probes for it.
 type machine struct {
-	server       *Server
-	id           scheduler.MachineID
+	registry *machineRegistry
+	id       scheduler.MachineID
+	conn     machineConn
+	queue    attemptQueue
+	attempts map[uint64]*attempt // sent, or running there; by number
+	expired  expiredAttempts
+	probes   probeTable
+
 	address      string
 	gone         bool // from the list
 	draining     bool
 	incarnation  uint64
 	startedAt    scheduler.Time // of the incarnation; 0: long ago, or not known
 	selfReported bool           // the incarnation is known from the hello of the machine alone
-
-	conn       *eventloop.Conn // nil if there is none
-	reader     protocol.Reader
-	ready      bool // it has sent its inventory
-	lastReadAt eventloop.Tick
-	lastSentAt eventloop.Tick
-	partial    partialFrame
-
-	queued   []*attempt          // not sent yet
-	attempts map[uint64]*attempt // sent, or running there; by number
-	// attempts that are over and may still be accepted, for lateAcceptWindow
-	expired map[uint64]scheduler.PlacementRequest
-	probes  map[uint64]*pendingProbe // by sequence number, until the reply or the timeout
 }
 
-// machineFor returns the machine of an ID, and makes it if there is none.
-func (s *Server) machineFor(id scheduler.MachineID) *machine {
-	m := s.machines[id]
-	if m == nil {
-		m = &machine{
-			server:   s,
-			id:       id,
-			attempts: map[uint64]*attempt{},
-			expired:  map[uint64]scheduler.PlacementRequest{},
-			probes:   map[uint64]*pendingProbe{},
-		}
-		s.machines[id] = m
-	}
+func newMachine(r *machineRegistry, id scheduler.MachineID) *machine {
+	m := &machine{registry: r, id: id, attempts: map[uint64]*attempt{}}
+	m.conn = machineConn{machine: m, state: machineDisconnected}
+	m.queue = attemptQueue{adoptions: &r.dispatcher.adoptions}
+	m.expired = expiredAttempts{loop: r.loop, requests: map[uint64]scheduler.PlacementRequest{}}
+	m.probes = probeTable{machine: m, pending: map[uint64]*pendingProbe{}}
 	return m
 }
 
-func (m *machine) idle() bool { return len(m.queued)+len(m.attempts)+len(m.probes) == 0 }
+func (m *machine) idle() bool { return m.queue.empty() && len(m.attempts) == 0 && m.probes.empty() }
+
+func (m *machine) isDraining() bool { return m.draining }
+
+func (m *machine) ready() bool { return m.conn.ready() }
 
 // removeIfGone forgets a machine that has left the list and has nothing to do.
 func (m *machine) removeIfGone() {
 	if !m.gone || !m.idle() {
 		return
 	}
-	if m.conn != nil {
-		m.conn.Close()
-	}
-	delete(m.server.machines, m.id)
+	m.conn.close()
+	m.registry.remove(m.id)
 }
 
 // start returns the incarnation for which sends in slow start are counted.
@@ -76,151 +55,100 @@
 	return warmstart.MachineStart{Incarnation: m.incarnation, StartedAt: m.startedAt}
 }
 
-// connect opens the connection of a machine if there is none. A machine that accepts it and sends no inventory loses it
-// again.
-func (s *Server) connect(m *machine) {
-	if m.conn != nil {
-		return
-	}
-	m.reader, m.ready = protocol.Reader{}, false
-	m.lastReadAt, m.lastSentAt = s.loop.Now(), s.loop.Now()
-	m.conn = s.loop.Dial(m.address, m, s.config.MaxOutput, s.config.ConnectTimeout)
-	conn := m.conn
-	s.loop.After(inventoryTimeouts*s.config.ConnectTimeout, func() {
-		if m.conn == conn && !m.ready {
-			conn.Reset()
-		}
-	})
+// unfitSince reports whether the machine drains, is gone, or has restarted since an incarnation.
+func (m *machine) unfitSince(incarnation uint64) bool {
+	return m.gone || m.draining || m.incarnation != incarnation
 }
 
-// connectMachine opens a connection for the reconciler, which waits for the inventory.
-func (s *Server) connectMachine(id scheduler.MachineID) {
-	if m := s.machines[id]; m != nil {
-		s.connect(m)
-	} else {
-		s.enqueueReconcilerEvent(reconcile.ConnectFailed{Machine: id})
+// offer sends an attempt and reports whether it was sent: not to a machine that reads too slowly.
+func (m *machine) offer(a *attempt) bool {
+	offer := &protocol.Offer{
+		AttemptID: a.number,
+		Timeout:   protocol.Duration(a.deadline - m.registry.loop.Now()),
+		Spec:      specOf(a.container),
 	}
-}
-
-func (s *Server) disconnectIdle(id scheduler.MachineID) {
-	if m := s.machines[id]; m != nil && m.conn != nil && m.idle() {
-		m.conn.Close()
+	if !m.conn.sendUnblocked(offer) {
+		return false
 	}
+	m.track(a)
+	return true
 }
 
-// Opened implements eventloop.Handler.
-func (m *machine) Opened(*eventloop.Conn) { m.send(m.server.hello()) }
+// track takes in an attempt that was sent, or was found running.
+func (m *machine) track(a *attempt) { m.attempts[a.number] = a }
+
+// untrack ends what the machine has to do for an attempt.
+func (m *machine) untrack(a *attempt) { delete(m.attempts, a.number) }
 
-// Read implements eventloop.Handler.
-func (m *machine) Read(conn *eventloop.Conn, p []byte) {
-	m.lastReadAt = m.server.loop.Now()
-	if err := m.reader.Feed(p, m.handleFrame); err != nil && conn == m.conn {
-		m.server.logConnectionClosed(string(m.id), err)
-		m.send(&protocol.Goodbye{Message: err.Error()})
-		conn.Close()
+// cancel asks the machine to stop an attempt or its container.
+func (m *machine) cancel(schedulerIncarnation, number uint64) {
+	if m.ready() {
+		m.conn.send(&protocol.CancelAttempt{SchedulerIncarnation: schedulerIncarnation, AttemptID: number})
 	}
-	m.partial.update(m.reader.Buffered(), m.lastReadAt)
 }
 
-// Closed implements eventloop.Handler. It ends what was under way: an attempt that was never sent never ran, one that
-// was sent may have. Containers that run are left to the reconciler.
-func (m *machine) Closed(conn *eventloop.Conn, cause error) {
-	if conn != m.conn {
+// sendQueued sends the queued attempts, but for those that still wait for the log. A stale one is not sent: the
+// scheduler, which has processed the change by now, decides again.
+func (m *machine) sendQueued() {
+	if !m.ready() {
 		return
 	}
-	wasReady, localShortage := m.ready, errors.Is(cause, eventloop.ErrLocalResources)
-	m.conn, m.ready = nil, false
-	m.failQueued(localShortage)
-	m.failUnanswered()
-	switch {
-	case wasReady:
-		m.failProbes(scheduler.OutcomeLost)
-	case localShortage:
-		m.failProbes(scheduler.OutcomeNotSent)
-	default:
-		m.failProbes(scheduler.OutcomeConnectFailed)
+	for _, a := range m.queue.list() {
+		stale := a.stale() // before it is removed, which clears the adoptions with the last queued attempt
+		if a.awaitsLog() || !m.queue.remove(a) {
+			continue
+		}
+		if stale {
+			m.registry.dispatcher.notSent(a)
+		} else {
+			m.registry.dispatcher.send(a)
+		}
 	}
-	clear(m.expired) // the next inventory lists those that run
-	if wasReady {
-		m.server.enqueueReconcilerEvent(reconcile.MachineDisconnected{Machine: m.id})
+}
+
+// connectionLoss is how a connection to a machine ended.
+type connectionLoss uint8
+
+// Ends of a connection.
+const (
+	lossAfterInventory connectionLoss = iota // it was ready
+	lossLocalShortage                        // for want of descriptors here, which says nothing of the machine
+	lossUnreached
+)
+
+// connectionLost ends what was under way: an attempt that was never sent never ran, one that was sent may have.
+// Containers that run are left to the reconciler.
+func (m *machine) connectionLost(loss connectionLoss) {
+	m.failQueued(loss)
+	m.failUnanswered()
+	m.probes.fail(loss)
+	m.expired.clear() // the next inventory lists those that run
+	if loss == lossAfterInventory {
+		m.registry.decisions.notifyReconciler(reconcile.MachineDisconnected{Machine: m.id})
 	} else {
-		m.server.enqueueReconcilerEvent(reconcile.ConnectFailed{Machine: m.id, LocalShortage: localShortage})
+		m.registry.decisions.notifyReconciler(reconcile.ConnectFailed{
+			Machine: m.id, LocalShortage: loss == lossLocalShortage,
+		})
 	}
 	m.removeIfGone()
 }
 
-func (m *machine) failQueued(localShortage bool) {
-	queued := m.queued
-	m.queued = nil
-	m.server.adoptions.dequeued(len(queued))
-	for _, a := range queued {
-		if localShortage {
-			m.server.attemptNotSent(a)
+func (m *machine) failQueued(loss connectionLoss) {
+	for _, a := range m.queue.takeAll() {
+		if loss == lossLocalShortage {
+			m.registry.dispatcher.notSent(a)
 		} else {
-			m.server.attemptUnreached(a)
+			m.registry.dispatcher.unreached(a)
 		}
 	}
 }
 
 func (m *machine) failUnanswered() {
 	for _, a := range inOrder(m.attempts) {
-		if !a.accepted {
-			m.server.stats.countOutcome(statConnectionLost)
-			m.server.outcomeUnknown(a)
-			m.server.endAttempt(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost})
+		if !a.accepted() {
+			m.registry.dispatcher.connectionLost(a)
 		}
 	}
 }
 
-// send reports whether the connection took the frame.
-func (m *machine) send(f protocol.Frame) bool {
-	if m.conn == nil {
-		return false
-	}
-	encoded, err := m.server.encode(f)
-	if err != nil {
-		m.server.log.Error("frame not sent", "machine", m.id, "error", err)
-		return false
-	}
-	m.lastSentAt = m.server.loop.Now()
-	return m.conn.Write(encoded) == nil
-}
-
-// sendOffer sends an attempt, unless the machine reads too slowly.
-func (m *machine) sendOffer(a *attempt) {
-	offer := &protocol.Offer{
-		AttemptID: a.number,
-		Timeout:   protocol.Duration(a.deadline - m.server.loop.Now()),
-		Spec:      specOf(a.container),
-	}
-	a.sent = !m.conn.WriteBlocked() && m.send(offer)
-	if !a.sent {
-		m.server.attemptNotSent(a)
-		return
-	}
-	m.attempts[a.number] = a
-	m.server.stats.countAttempt(a.container)
-}
-
-// rememberExpired keeps the request of an attempt that is over and may still be accepted.
-func (m *machine) rememberExpired(a *attempt) {
-	number := a.number
-	m.expired[number] = a.container.request
-	m.server.loop.After(lateAcceptWindow, func() { delete(m.expired, number) })
-}
-
-// checkTimeouts closes a connection that nothing has used for long, that is silent, or on which the rest of a frame is
-// missing.
-func (m *machine) checkTimeouts(now eventloop.Tick) {
-	if m.conn == nil {
-		return
-	}
-	limits := m.server.config
-	switch {
-	case m.idle() && now-m.lastSentAt > limits.IdleTimeout:
-		m.conn.Close()
-	case now-m.lastReadAt > limits.SilenceTimeout, m.partial.overdue(now, limits.SilenceTimeout):
-		m.server.logConnectionClosed(string(m.id), after(errSilent, now-m.lastReadAt))
-		m.conn.Reset()
-	}
-}
+func (m *machine) checkTimeouts(now eventloop.Tick) { m.conn.checkTimeouts(now) }
--- a/internal/schedulerd/machineframes.go
+++ b/internal/schedulerd/machineframes.go
@@ -19,7 +19,7 @@
 	case *protocol.UsageReport:
 		m.handleUsage(f)
 	case *protocol.ProbeReply:
-		m.handleProbeReply(f)
+		m.probes.replyReceived(f)
 	case *protocol.Heartbeat:
 	case *protocol.Goodbye:
 		return machineGoodbye(f)
@@ -33,15 +33,18 @@
 	if f.Role != protocol.RoleMachine || f.Name != string(m.id) {
 		return wrongMachine(f, string(m.id))
 	}
-	m.server.noteSelfReported(m, f.Incarnation)
+	m.registry.noteSelfReported(m, f.Incarnation)
 	return nil
 }
 
 // handleInventory makes the connection ready. The reconciler sees the inventory before anything queued is sent.
 func (m *machine) handleInventory(f *protocol.Inventory) error {
-	if m.ready {
+	if m.ready() {
 		return duplicateInventory()
 	}
+	if !m.conn.inventoryReceived() {
+		return nil
+	}
 	reported := reconcile.MachineReported{Machine: m.id}
 	for i := range f.Containers {
 		item := &f.Containers[i]
@@ -50,50 +53,41 @@
 			Number: item.AttemptID, Running: item.Running, Request: requestOf(&item.Spec),
 		})
 	}
-	m.server.enqueueReconcilerEvent(reported)
-	m.ready = true
+	m.registry.decisions.notifyReconciler(reported)
 	for _, a := range inOrder(m.attempts) {
-		if a.cancelRequested {
-			m.send(&protocol.CancelAttempt{SchedulerIncarnation: a.incarnation, AttemptID: a.number})
-		}
-	}
-	m.server.newlyReady = append(m.server.newlyReady, m)
-	for _, p := range m.probes {
-		if !p.sent && !p.awaitingLog {
-			m.sendProbe(p)
+		if a.terminating() {
+			m.cancel(a.incarnation, a.number)
 		}
 	}
+	m.registry.becameReady(m)
+	m.probes.sendQueued()
 	return nil
 }
 
 func (m *machine) handleAccept(f *protocol.Accept) {
-	if m.server.config.Policy.AcceptMeansRunning && !f.Running {
+	if m.registry.config.Policy.AcceptMeansRunning && !f.Running {
 		return
 	}
 	a := m.attempts[f.AttemptID]
 	switch {
 	case a == nil:
 		m.handleLateAccept(f)
-	case !a.accepted:
-		m.server.attemptAccepted(a)
+	case !a.accepted():
+		m.registry.dispatcher.accept(a)
 	case f.Running: // it was accepted before
-		m.server.enqueueSchedulerEvent(scheduler.UsageReported{
-			ID: a.container.request.ID, Machine: m.id, Attempt: a.ordinal,
-			Metric: scheduler.MetricRunning, Value: 1,
-		})
+		m.notifyUsage(a, scheduler.MetricRunning, 1)
 	}
 }
 
 func (m *machine) handleLateAccept(f *protocol.Accept) {
-	request, ok := m.expired[f.AttemptID]
+	request, ok := m.expired.take(f.AttemptID)
 	if !ok {
 		return
 	}
-	delete(m.expired, f.AttemptID)
-	m.server.stats.countOutcome(statLateAccept)
-	m.server.enqueueReconcilerEvent(reconcile.LateAccept{Attempt: reconcile.Attempt{
+	m.registry.stats.countOutcome(statLateAccept)
+	m.registry.decisions.notifyReconciler(reconcile.LateAccept{Attempt: reconcile.Attempt{
 		Request: request, Machine: m.id,
-		Incarnation: m.server.incarnation, Number: f.AttemptID, Running: true,
+		Incarnation: m.registry.incarnation, Number: f.AttemptID, Running: true,
 	}})
 }
 
@@ -104,46 +98,39 @@
 		return
 	}
 	outcome := f.Outcome.SchedulerOutcome()
-	if !a.accepted && outcome == scheduler.OutcomeFinished { // it has run, whatever became of the accept
-		m.server.attemptAccepted(a)
+	if !a.accepted() && outcome == scheduler.OutcomeFinished { // it has run, whatever became of the accept
+		m.registry.dispatcher.accept(a)
 	}
-	if !a.accepted {
-		m.server.stats.countOutcome(f.Outcome.String())
+	if !a.accepted() {
+		m.registry.stats.countOutcome(f.Outcome.String())
 	}
-	m.server.endAttempt(
-		a,
-		scheduler.AttemptEnded{
-			Outcome: outcome,
-			Reason:  scheduler.Reason(f.Reason),
-			Report:  f.Report,
-			Final:   a.accepted,
-		},
-	)
+	m.registry.dispatcher.end(a, scheduler.AttemptEnded{
+		Outcome: outcome,
+		Reason:  scheduler.Reason(f.Reason),
+		Report:  f.Report,
+		Final:   a.accepted(),
+	})
 }
 
 func (m *machine) handleLateResult(f *protocol.Result) {
-	request, ok := m.expired[f.AttemptID]
+	request, ok := m.expired.take(f.AttemptID)
 	if !ok {
 		return
 	}
-	delete(m.expired, f.AttemptID)
-	m.server.enqueueReconcilerEvent(reconcile.AttemptNotRunning{Attempt: reconcile.Attempt{
+	m.registry.decisions.notifyReconciler(reconcile.AttemptNotRunning{Attempt: reconcile.Attempt{
 		Request: request, Machine: m.id,
-		Incarnation: m.server.incarnation, Number: f.AttemptID,
+		Incarnation: m.registry.incarnation, Number: f.AttemptID,
 	}})
 }
 
 func (m *machine) handleUsage(f *protocol.UsageReport) {
 	if a := m.attempts[f.AttemptID]; a != nil {
-		m.server.enqueueSchedulerEvent(scheduler.UsageReported{
-			ID: a.container.request.ID, Machine: m.id, Attempt: a.ordinal,
-			Metric: scheduler.UsageMetric(f.Metric), Value: f.Value,
-		})
+		m.notifyUsage(a, scheduler.UsageMetric(f.Metric), f.Value)
 	}
 }
 
-func (m *machine) handleProbeReply(f *protocol.ProbeReply) {
-	if p := m.probes[f.Seq]; p != nil {
-		m.endProbe(p, scheduler.OutcomeFinished, f.Report)
-	}
+func (m *machine) notifyUsage(a *attempt, metric scheduler.UsageMetric, value float64) {
+	m.registry.decisions.notifyScheduler(scheduler.UsageReported{
+		ID: a.request().ID, Machine: m.id, Attempt: a.ordinal, Metric: metric, Value: value,
+	})
 }
--- a/internal/schedulerd/machinelist_test.go
+++ b/internal/schedulerd/machinelist_test.go
@@ -13,7 +13,7 @@
 	h := startHarness(t, testConfig(t), nil, map[string]string{"a": "127.0.0.1:1"})
 	startedAt := func(incarnation uint64, age protocol.Duration) scheduler.Time {
 		h.applyList(protocol.MachineEntry{Machine: "a", Address: "127.0.0.1:1", Incarnation: incarnation, Age: age})
-		return onLoop(h.server, func() scheduler.Time { return h.server.machines["a"].startedAt })
+		return onLoop(h.server, func() scheduler.Time { return h.server.machines.find("a").startedAt })
 	}
 	first, same, second := startedAt(2, 100), startedAt(2, 90), startedAt(3, 0)
 	if first == 0 || same != first || second <= first {
--- /dev/null
+++ b/internal/schedulerd/machines.go
@@ -0,0 +1,118 @@
+package schedulerd
+
+import (
+	"glenport/internal/eventloop"
+	"glenport/internal/protocol"
+	"glenport/internal/schedulerd/reconcile"
+	"glenport/internal/schedulerd/warmstart"
+	"glenport/scheduler"
+)
+
+// machineRegistry owns the machines, until they are gone from the list and idle, and the list as last received.
+type machineRegistry struct {
+	*process
+	decisions  *decisions
+	dispatcher *attemptDispatcher
+	discovery  *discoveryClient
+	routes     *routeAnnouncer
+	state      *stateStore // nil if nothing is persisted
+
+	byID       map[scheduler.MachineID]*machine
+	list       machineListCache
+	newlyReady []*machine // that reported their inventory in this iteration
+	lastProbe  uint64
+}
+
+// find returns nil if the machine is not known.
+func (r *machineRegistry) find(id scheduler.MachineID) *machine { return r.byID[id] }
+
+func (r *machineRegistry) findOrAdd(id scheduler.MachineID) *machine {
+	m := r.byID[id]
+	if m == nil {
+		m = newMachine(r, id)
+		r.byID[id] = m
+	}
+	return m
+}
+
+func (r *machineRegistry) remove(id scheduler.MachineID) { delete(r.byID, id) }
+
+func (r *machineRegistry) count() int { return len(r.byID) }
+
+// connect opens a connection for the reconciler, which waits for the inventory.
+func (r *machineRegistry) connect(id scheduler.MachineID) {
+	if m := r.byID[id]; m != nil {
+		m.conn.connect()
+	} else {
+		r.decisions.notifyReconciler(reconcile.ConnectFailed{Machine: id})
+	}
+}
+
+func (r *machineRegistry) disconnectIdle(id scheduler.MachineID) {
+	if m := r.byID[id]; m != nil && m.idle() {
+		m.conn.close()
+	}
+}
+
+// cancelAttempt cancels an attempt that only the reconciler tracks.
+func (r *machineRegistry) cancelAttempt(action reconcile.CancelAttempt) {
+	if m := r.byID[action.Machine]; m != nil {
+		m.cancel(action.Incarnation, action.Attempt)
+	}
+}
+
+// probe asks a machine whether it answers. Each probe ends in one ProbeCompleted.
+func (r *machineRegistry) probe(id scheduler.MachineID) {
+	m := r.byID[id]
+	if m == nil {
+		r.decisions.notifyScheduler(scheduler.ProbeCompleted{Machine: id, Outcome: scheduler.OutcomeConnectFailed})
+		return
+	}
+	r.lastProbe++
+	m.probes.start(r.lastProbe)
+}
+
+// becameReady has the queue of a machine sent once its inventory is adopted.
+func (r *machineRegistry) becameReady(m *machine) { r.newlyReady = append(r.newlyReady, m) }
+
+// sendToNewlyReady sends what waited for machines whose inventory is adopted by now.
+func (r *machineRegistry) sendToNewlyReady() {
+	for _, m := range r.newlyReady {
+		m.sendQueued()
+	}
+	r.newlyReady = nil
+}
+
+func (r *machineRegistry) checkTimeouts(now eventloop.Tick) {
+	for _, m := range r.byID {
+		m.checkTimeouts(now)
+	}
+}
+
+// start is the incarnation of a machine for which sends in slow start are counted; false if the machine is not known.
+func (r *machineRegistry) start(id scheduler.MachineID) (start warmstart.MachineStart, known bool) {
+	m := r.byID[id]
+	if m == nil {
+		return warmstart.MachineStart{}, false
+	}
+	return m.start(), true
+}
+
+func (r *machineRegistry) starts() map[scheduler.MachineID]warmstart.MachineStart {
+	starts := map[scheduler.MachineID]warmstart.MachineStart{}
+	for id, m := range r.byID {
+		starts[id] = m.start()
+	}
+	return starts
+}
+
+// listRecords returns the list as it is stored, in no order, with the ages of now.
+func (r *machineRegistry) listRecords() (version int64, records []entryRecord) {
+	for _, entry := range r.list.entries {
+		if start, known := r.start(scheduler.MachineID(entry.Machine)); known && start.StartedAt > 0 {
+			entry.Age = protocol.Duration(r.now() - start.StartedAt)
+		}
+		records = append(records, recordOfEntry(entry))
+	}
+	return r.list.version, records
+}
--- a/internal/schedulerd/probe.go
+++ b/internal/schedulerd/probe.go
@@ -18,63 +18,91 @@
 	requestedAt eventloop.Tick
 }
 
-// probe asks a machine whether it answers. Each probe ends in one ProbeCompleted.
-func (s *Server) probe(id scheduler.MachineID) {
-	m := s.machines[id]
-	if m == nil {
-		s.enqueueSchedulerEvent(scheduler.ProbeCompleted{Machine: id, Outcome: scheduler.OutcomeConnectFailed})
-		return
-	}
-	s.lastProbe++
-	p := &pendingProbe{seq: s.lastProbe, incarnation: m.incarnation, requestedAt: s.loop.Now()}
-	m.probes[p.seq] = p
-	p.timer = s.loop.After(probeTimeout, func() { m.endProbe(p, scheduler.OutcomeTimedOut, nil) })
-	if s.state != nil && s.state.logSend(m) {
+// probeTable holds the probes of a machine until the reply or the timeout. Each ends in one ProbeCompleted.
+type probeTable struct {
+	machine *machine
+	pending map[uint64]*pendingProbe // by sequence number
+}
+
+func (t *probeTable) empty() bool { return len(t.pending) == 0 }
+
+// start asks the machine whether it answers.
+func (t *probeTable) start(seq uint64) {
+	registry := t.machine.registry
+	p := &pendingProbe{seq: seq, incarnation: t.machine.incarnation, requestedAt: registry.loop.Now()}
+	t.pending[seq] = p
+	p.timer = registry.loop.After(probeTimeout, func() { t.end(p, scheduler.OutcomeTimedOut, nil) })
+	if registry.state != nil && registry.state.logSend(t.machine.id, t.machine.start()) {
 		p.awaitingLog = true
-		s.state.afterCommit(false, func(err error) { m.probeLogged(p, err) })
+		registry.state.afterCommit(func(err error) { t.logged(p, err) })
 		return
 	}
-	m.sendProbe(p)
+	t.send(p)
 }
 
-// probeLogged sends a probe that waited for the log. One that could not be logged is never sent.
-func (m *machine) probeLogged(p *pendingProbe, err error) {
+// logged sends a probe that waited for the log. One that could not be logged is never sent.
+func (t *probeTable) logged(p *pendingProbe, err error) {
 	p.awaitingLog = false
 	switch {
 	case err != nil:
-		m.endProbe(p, scheduler.OutcomeNotSent, nil)
-	case m.probes[p.seq] == p:
-		m.sendProbe(p)
+		t.end(p, scheduler.OutcomeNotSent, nil)
+	case t.pending[p.seq] == p:
+		t.send(p)
 	}
 }
 
-// sendProbe sends a probe, at once or as soon as the connection is ready. One that was decided on another incarnation
-// of the machine is not sent, as it is not counted for this one.
-func (m *machine) sendProbe(p *pendingProbe) {
+// send sends a probe, at once or as soon as the connection is ready. One that was decided on another incarnation of the
+// machine is not sent, as it is not counted for this one.
+func (t *probeTable) send(p *pendingProbe) {
 	switch {
-	case !m.ready:
-		m.server.connect(m)
-	case m.incarnation != p.incarnation:
-		m.endProbe(p, scheduler.OutcomeNotSent, nil)
+	case !t.machine.ready():
+		t.machine.conn.connect()
+	case t.machine.incarnation != p.incarnation:
+		t.end(p, scheduler.OutcomeNotSent, nil)
 	default:
-		p.sent = m.send(&protocol.Probe{Seq: p.seq})
+		p.sent = t.machine.conn.send(&protocol.Probe{Seq: p.seq})
+	}
+}
+
+// sendQueued sends the probes that waited for the connection.
+func (t *probeTable) sendQueued() {
+	for _, p := range t.pending {
+		if !p.sent && !p.awaitingLog {
+			t.send(p)
+		}
+	}
+}
+
+func (t *probeTable) replyReceived(f *protocol.ProbeReply) {
+	if p := t.pending[f.Seq]; p != nil {
+		t.end(p, scheduler.OutcomeFinished, f.Report)
 	}
 }
 
-func (m *machine) failProbes(outcome scheduler.Outcome) {
-	for _, p := range m.probes {
-		m.endProbe(p, outcome, nil)
+// fail ends all probes with the connection.
+func (t *probeTable) fail(loss connectionLoss) {
+	outcome := scheduler.OutcomeConnectFailed
+	switch loss {
+	case lossAfterInventory:
+		outcome = scheduler.OutcomeLost
+	case lossLocalShortage:
+		outcome = scheduler.OutcomeNotSent
+	case lossUnreached:
+	}
+	for _, p := range t.pending {
+		t.end(p, outcome, nil)
 	}
 }
 
-func (m *machine) endProbe(p *pendingProbe, outcome scheduler.Outcome, report map[string]float64) {
-	if m.probes[p.seq] != p {
+func (t *probeTable) end(p *pendingProbe, outcome scheduler.Outcome, report map[string]float64) {
+	if t.pending[p.seq] != p {
 		return
 	}
-	delete(m.probes, p.seq)
-	m.server.loop.Cancel(p.timer)
-	m.server.enqueueSchedulerEvent(scheduler.ProbeCompleted{
-		Machine: m.id, Outcome: outcome,
-		Elapsed: scheduler.Time(m.server.loop.Now() - p.requestedAt), Report: report,
+	delete(t.pending, p.seq)
+	registry := t.machine.registry
+	registry.loop.Cancel(p.timer)
+	registry.decisions.notifyScheduler(scheduler.ProbeCompleted{
+		Machine: t.machine.id, Outcome: outcome,
+		Elapsed: scheduler.Time(registry.loop.Now() - p.requestedAt), Report: report,
 	})
 }
--- a/internal/schedulerd/queue.go
+++ b/internal/schedulerd/queue.go
@@ -1,50 +1,45 @@
 package schedulerd
 
-// queueAttempt holds an attempt back until its connection is ready and the log holds it, but no longer than a
-// connection may take. The scheduler charges a machine in slow start for an attempt when it decides, and keeps an
-// eighth of the slow-start window for the way: attempts that pile up behind a slow connection would arrive together and
-// overload the machine.
-func (s *Server) queueAttempt(a *attempt) {
-	m := a.machine
-	m.queued = append(m.queued, a)
-	s.adoptions.queued++
-	s.loop.After(s.config.ConnectTimeout, func() {
-		if m.dequeue(a) {
-			s.attemptUnreached(a)
-		}
-	})
-	s.connect(m)
+import "slices"
+
+// attemptQueue holds the attempts for one machine that are not sent yet, in the order they were decided.
+type attemptQueue struct {
+	adoptions *adoptionTracker
+	attempts  []*attempt
 }
 
-// dequeue reports whether the attempt was queued.
-func (m *machine) dequeue(a *attempt) bool {
-	for i, queued := range m.queued {
-		if queued == a {
-			m.queued = append(m.queued[:i], m.queued[i+1:]...)
-			m.server.adoptions.dequeued(1)
-			return true
-		}
-	}
-	return false
+func (q *attemptQueue) empty() bool { return len(q.attempts) == 0 }
+
+// list returns a copy, which stays as it is while attempts are removed.
+func (q *attemptQueue) list() []*attempt { return slices.Clone(q.attempts) }
+
+func (q *attemptQueue) add(a *attempt) {
+	q.attempts = append(q.attempts, a)
+	q.adoptions.attemptQueued()
 }
 
-// sendQueued sends the queued attempts, but for those that still wait for the log. A stale one is not sent: the
-// scheduler, which has processed the change by now, decides again.
-func (m *machine) sendQueued() {
-	if !m.ready {
-		return
-	}
-	for _, a := range append([]*attempt(nil), m.queued...) {
-		stale := a.stale() // before dequeue, which clears the adoptions with the last queued attempt
-		if a.awaitingLog || !m.dequeue(a) {
-			continue
-		}
-		if stale {
-			m.server.attemptNotSent(a)
-		} else {
-			m.sendOffer(a)
-		}
+// remove reports whether the attempt was queued.
+func (q *attemptQueue) remove(a *attempt) bool {
+	i := slices.Index(q.attempts, a)
+	if i < 0 {
+		return false
 	}
+	q.attempts = slices.Delete(q.attempts, i, i+1)
+	q.adoptions.attemptsDequeued(1)
+	return true
+}
+
+// takeAll empties the queue.
+func (q *attemptQueue) takeAll() []*attempt {
+	attempts := q.attempts
+	q.attempts = nil
+	q.adoptions.attemptsDequeued(len(attempts))
+	return attempts
+}
+
+// adoptedSince reports whether containers of a service were adopted after a count of adoptions.
+func (q *attemptQueue) adoptedSince(service string, count int) bool {
+	return q.adoptions.since(service, count)
 }
 
 // adoptionTracker records whether containers of a service were adopted since a queued attempt was decided. It is
@@ -57,6 +52,9 @@
 
 func newAdoptionTracker() adoptionTracker { return adoptionTracker{byService: map[string]int{}} }
 
+// count is the number of adoptions so far, for a later since.
+func (t *adoptionTracker) count() int { return t.total }
+
 func (t *adoptionTracker) adopted(service string) {
 	t.total++
 	if t.queued > 0 {
@@ -64,9 +62,11 @@
 	}
 }
 
-func (t *adoptionTracker) since(service string, total int) bool { return t.byService[service] > total }
+func (t *adoptionTracker) since(service string, count int) bool { return t.byService[service] > count }
+
+func (t *adoptionTracker) attemptQueued() { t.queued++ }
 
-func (t *adoptionTracker) dequeued(n int) {
+func (t *adoptionTracker) attemptsDequeued(n int) {
 	t.queued -= n
 	if t.queued == 0 {
 		clear(t.byService)
--- a/internal/schedulerd/queue_test.go
+++ b/internal/schedulerd/queue_test.go
@@ -32,7 +32,7 @@
 			settings.ConnectTimeout = 10 * eventloop.Second
 			h := startHarness(t, settings, attemptOn(0), map[string]string{"a": address})
 			h.client.submit("x", classIdempotent)
-			eventuallyOnLoop(t, h.server, func() bool { return len(h.server.machines["a"].queued) > 0 })
+			eventuallyOnLoop(t, h.server, func() bool { return !h.server.machines.find("a").queue.empty() })
 			if tc.change != nil && tc.change.Machine == "b" {
 				h.adoptOnMachineB()
 			} else if tc.change != nil {
@@ -75,12 +75,12 @@
 func (h *harness) adoptOnMachineB() {
 	h.t.Helper()
 	runOnLoop(h.server, func() {
-		h.server.applyList(
+		h.server.machines.applyList(
 			scheduler.DeltaUpdate,
 			2,
 			[]protocol.MachineEntry{{Machine: "b", Address: "127.0.0.1:1", Incarnation: 1, Age: -1}},
 		)
-		h.server.enqueueReconcilerEvent(reconcile.MachineReported{Machine: "b", Attempts: []reconcile.Attempt{{
+		h.server.decisions.notifyReconciler(reconcile.MachineReported{Machine: "b", Attempts: []reconcile.Attempt{{
 			Machine: "b", Incarnation: 1,
 			Number: 1, Running: true, Request: scheduler.PlacementRequest{ID: "o", IdempotencyKey: "k-o", Service: "s"},
 		}}})
@@ -95,7 +95,7 @@
 		settings := testConfig(t)
 		settings.ConnectTimeout = 10 * eventloop.Second
 		h := startHarness(t, settings, nil, map[string]string{"a": address})
-		runOnLoop(h.server, func() { h.server.probe("a") })
+		runOnLoop(h.server, func() { h.server.machines.probe("a") })
 		hello <- incarnation
 		if completed := awaitEvent[scheduler.ProbeCompleted](t, h.script, nil); completed.Outcome != want {
 			t.Errorf("incarnation %d: %+v", incarnation, completed)
--- a/internal/schedulerd/records.go
+++ b/internal/schedulerd/records.go
@@ -13,7 +13,7 @@
 // WarmStartSnapshot is what the next incarnation should know and the log does not hold.
 type WarmStartSnapshot struct {
 	TakenAt         warmstart.Timestamp            `cbor:"At"`
-	ClassNames      []string                       `cbor:"Names"` // of the workload classes, then the tenants, in the order of the configuration
+	ClassNames      []string                       `cbor:"Names"` // of process.classNames
 	Learned         scheduler.Snapshot             `cbor:"Learned"`
 	Incarnations    map[scheduler.MachineID]uint64 `cbor:"Starts"`    // of the machines in Learned
 	ListVersion     int64                          `cbor:"ListIs"`    // of Entries
--- a/internal/schedulerd/restore.go
+++ b/internal/schedulerd/restore.go
@@ -9,39 +9,31 @@
 	"glenport/scheduler"
 )
 
-// warmStarter is a Scheduler whose learned state can be persisted.
-type warmStarter interface {
-	Snapshot() scheduler.Snapshot
-	Restore(scheduler.Snapshot)
-}
-
 // restore hands what earlier incarnations have left to the decisions: attempts to the reconciler, the machine list and
-// what was learned to the scheduler.
-func (st *stateStore) restore() {
-	s := st.server
-	now := readClocks(scheduler.Time(s.loop.Now()))
-	for _, a := range st.loaded.attempts {
-		s.enqueueReconcilerEvent(reconcile.AttemptRestored{Attempt: a})
+// what was learned to the scheduler. Snapshots are written from then on.
+func (s *Server) restore() {
+	now := readClocks(s.now())
+	for _, a := range s.state.loaded.attempts {
+		s.decisions.notifyReconciler(reconcile.AttemptRestored{Attempt: a})
 	}
-	st.restored = true
-	st.restoreLimiter(now)
-	version, entries := st.restoredList(now)
-	s.applyList(scheduler.RestoredSnapshot, version, entries)
+	s.state.transition(storeRestored)
+	s.restoreLimiter(now)
+	version, entries := s.state.restoredList(now)
+	s.machines.applyList(scheduler.RestoredSnapshot, version, entries)
 	s.runIteration() // the scheduler has to know the machines before it learns of them
-	target, ok := s.scheduler.(warmStarter)
+	target, ok := s.decisions.warmStarter()
 	if !ok {
 		return
 	}
-	st.restoreLearned(now, target)
-	st.loaded = loadedState{}
-	s.loop.After(snapshotInterval, st.save)
+	s.state.restoreLearned(now, target, s.machines.starts())
+	s.loop.After(snapshotInterval, s.saveSnapshot)
 }
 
 // restoreLimiter restores the concurrency limit if the workload classes are those of the snapshot.
-func (st *stateStore) restoreLimiter(now warmstart.Timestamp) {
-	limiter, snapshot := st.server.reconciler.Limiter(), st.loaded.snapshot
+func (s *Server) restoreLimiter(now warmstart.Timestamp) {
+	limiter, snapshot := s.decisions.limiter(), s.state.loaded.snapshot
 	if limiter == nil || snapshot == nil || snapshot.Overload == nil ||
-		!slices.Equal(snapshot.ClassNames, st.server.classNames()) {
+		!slices.Equal(snapshot.ClassNames, s.classNames()) {
 		return
 	}
 	limiter.Restore(*snapshot.Overload, warmstart.Weight(warmstart.ConcurrencyLimit, now.Since(snapshot.TakenAt).Age))
@@ -54,21 +46,22 @@
 	}
 	entries = snapshot.agedEntries(now)
 	if len(entries) < len(snapshot.Entries) {
-		st.server.log.Info("persisted machine list not used, it is too old", "machines", len(snapshot.Entries))
+		st.log.Info("persisted machine list not used, it is too old", "machines", len(snapshot.Entries))
 	}
 	return snapshot.ListVersion, entries
 }
 
 // restoreLearned hands on what counts of the snapshot and the slow-start sends, and logs the sends by the clock of this
-// incarnation.
-func (st *stateStore) restoreLearned(now warmstart.Timestamp, target warmStarter) {
-	s := st.server
-	starts, incarnations := map[scheduler.MachineID]warmstart.MachineStart{}, map[scheduler.MachineID]uint64{}
-	for id, m := range s.machines {
-		starts[id], incarnations[id] = m.start(), m.incarnation
+// incarnation. What was loaded is released.
+func (st *stateStore) restoreLearned(now warmstart.Timestamp, target warmStarter,
+	starts map[scheduler.MachineID]warmstart.MachineStart,
+) {
+	incarnations := map[scheduler.MachineID]uint64{}
+	for id, start := range starts {
+		incarnations[id] = start.Incarnation
 	}
 	persisted := st.persisted()
-	restored := warmstart.Restore(now, persisted, starts, s.classNames(), s.config.Policy.SlowStartWindow)
+	restored := warmstart.Restore(now, persisted, starts, st.classNames(), st.config.Policy.SlowStartWindow)
 	target.Restore(restored.Snapshot)
 	st.pendingSends, st.sendsKnownSince = restored.PendingSends, restored.Snapshot.SendsKnownSince
 	st.ledger.Restore(restored, incarnations)
@@ -76,19 +69,19 @@
 		st.remove(SendKind, string(old.Machine))
 	}
 	for _, pending := range restored.PendingSends {
-		st.put(SendKind, string(pending.Machine), pending)
+		st.putSends(pending)
 	}
 	for _, m := range restored.Snapshot.Machines {
 		if len(m.RecentSends) > 0 {
-			st.put(SendKind, string(m.Machine), warmstart.SlowStartSends{
-				Machine: m.Machine, Incarnation: incarnations[m.Machine],
-				Times: m.RecentSends,
+			st.putSends(warmstart.SlowStartSends{
+				Machine: m.Machine, Incarnation: incarnations[m.Machine], Times: m.RecentSends,
 			})
 		}
 	}
 	for _, message := range restored.Messages {
-		s.logDecision(message.Text, message.Attributes)
+		st.logDecision(message.Text, message.Attributes)
 	}
+	st.loaded = loadedState{}
 }
 
 func (st *stateStore) persisted() warmstart.Persisted {
@@ -100,19 +93,12 @@
 	return p
 }
 
-// restorePending restores slow-start sends of earlier incarnations to machines that were listed only now. The scheduler
-// learns of them before it sees any further request.
-func (st *stateStore) restorePending() {
-	s := st.server
-	target, ok := s.scheduler.(warmStarter)
-	if !ok || len(st.pendingSends) == 0 {
-		return
-	}
-	var found []scheduler.MachineSnapshot
-	found, st.pendingSends = st.ledger.ResolvePending(scheduler.Time(s.loop.Now()), st.pendingSends, st.machineStart)
-	if len(found) == 0 {
-		return
+// resolvePendingSends returns the slow-start sends of earlier incarnations to machines that were listed only now.
+func (st *stateStore) resolvePendingSends(lookup warmstart.MachineLookup) (snapshot scheduler.Snapshot, found bool) {
+	if len(st.pendingSends) == 0 {
+		return scheduler.Snapshot{}, false
 	}
-	s.runScheduler()
-	target.Restore(scheduler.Snapshot{SendsKnownSince: st.sendsKnownSince, Machines: found})
+	var machines []scheduler.MachineSnapshot
+	machines, st.pendingSends = st.ledger.ResolvePending(st.now(), st.pendingSends, lookup)
+	return scheduler.Snapshot{SendsKnownSince: st.sendsKnownSince, Machines: machines}, len(machines) > 0
 }
--- a/internal/schedulerd/restore_test.go
+++ b/internal/schedulerd/restore_test.go
@@ -209,7 +209,7 @@
 				failRequests,
 				map[string]string{"a": serveReportingMachine(t, inventory, report)},
 			)
-			unresolved := func() int { return h.server.reconciler.UnresolvedKeys() }
+			unresolved := func() int { return h.server.decisions.reconciler.UnresolvedKeys() }
 			if n := onLoop(h.server, unresolved); n != tc.logged {
 				t.Errorf("%d attempts are known to be open", n)
 			}
@@ -243,7 +243,7 @@
 	address := serveMachine(t, "a", &protocol.Inventory{}, ignoreFrame)
 	h := startHarness(t, settings, attemptOn(0), map[string]string{"a": address})
 	h.client.submit("x", classIdempotent)
-	eventuallyOnLoop(t, h.server, func() bool { return len(h.server.machines["a"].attempts) > 0 })
+	eventuallyOnLoop(t, h.server, func() bool { return len(h.server.machines.find("a").attempts) > 0 })
 	if n := countRecords(t, copyState(t, settings.StateDir), SendKind); n != 0 {
 		t.Errorf("%d records of sends to a machine that is not in slow start", n)
 	}
--- a/internal/schedulerd/routes.go
+++ b/internal/schedulerd/routes.go
@@ -2,43 +2,82 @@
 
 import (
 	"glenport/internal/bgp/announce"
+	"glenport/internal/bgp/speaker"
 	"glenport/internal/protocol"
-	"glenport/scheduler"
 )
 
-// announceRunning counts a running container for the address of its service, or its machine's draining.
-func (s *Server) announceRunning(a *attempt) {
-	request := &a.container.request
-	if s.announces(request.Service) {
-		s.speaker.Handle(
-			announce.ContainerRunning{
-				Service:   request.Service,
-				Container: string(request.ID),
-				Draining:  a.machine.draining,
-			},
-		)
+// shutdownReason is sent to the BGP peers when the server stops: it is part of the wire.
+const shutdownReason = "this placer is stopped"
+
+// routeAnnouncer tells the BGP speaker which containers run. Without a speaker it does nothing.
+type routeAnnouncer struct {
+	*process
+	speaker *speaker.Speaker // nil if no address is announced
+}
+
+func newRouteAnnouncer(p *process) *routeAnnouncer {
+	r := &routeAnnouncer{process: p}
+	if p.config.BGP != nil {
+		r.speaker = speaker.New(p.loop, *p.config.BGP, p.log)
+	}
+	return r
+}
+
+// start begins to announce. Where that fails, the server goes on without a speaker.
+func (r *routeAnnouncer) start() {
+	if r.speaker == nil {
+		return
+	}
+	if err := r.speaker.Start(); err != nil {
+		r.log.Error("BGP speaker not started, no address is announced", "error", err)
+		r.speaker = nil
+	}
+}
+
+func (r *routeAnnouncer) stop() {
+	if r.speaker != nil {
+		r.speaker.Stop(shutdownReason)
+	}
+}
+
+// recoveryComplete says that all that runs from earlier incarnations has been announced.
+func (r *routeAnnouncer) recoveryComplete() {
+	if r.speaker != nil {
+		r.speaker.MarkRoutesComplete()
+	}
+}
+
+// containerRunning counts a running container for the address of its service, or its machine's draining.
+func (r *routeAnnouncer) containerRunning(a *attempt) {
+	request := a.request()
+	if r.announces(request.Service) {
+		r.speaker.Handle(announce.ContainerRunning{
+			Service:   request.Service,
+			Container: string(request.ID),
+			Draining:  a.machine.isDraining(),
+		})
 	}
 }
 
-func (s *Server) announceEnded(a *attempt) {
-	request := &a.container.request
-	if s.announces(request.Service) {
-		s.speaker.Handle(announce.ContainerEnded{Service: request.Service, Container: string(request.ID)})
+func (r *routeAnnouncer) containerEnded(a *attempt) {
+	request := a.request()
+	if r.announces(request.Service) {
+		r.speaker.Handle(announce.ContainerEnded{Service: request.Service, Container: string(request.ID)})
 	}
 }
 
-func (s *Server) announces(service string) bool {
-	return s.speaker != nil && s.speaker.HasService(service)
+func (r *routeAnnouncer) announces(service string) bool {
+	return r.speaker != nil && r.speaker.HasService(service)
 }
 
 // routesReply returns the state of the BGP peers and the announcements of one service, or of all services if it is
 // empty.
-func (s *Server) routesReply(service string) *protocol.RoutesReply {
+func (r *routeAnnouncer) routesReply(service string) *protocol.RoutesReply {
 	reply := &protocol.RoutesReply{}
-	if s.speaker == nil {
+	if r.speaker == nil {
 		return reply
 	}
-	for _, peer := range s.speaker.Peers() {
+	for _, peer := range r.speaker.Peers() {
 		reply.Peers = append(reply.Peers, protocol.BGPPeerStatus{
 			Address:       peer.Addr,
 			ASN:           peer.AS,
@@ -51,19 +90,19 @@
 			LastError:     peer.LastError,
 		})
 	}
-	for _, name := range s.speaker.Services() {
+	for _, name := range r.speaker.Services() {
 		if service == "" || service == name {
-			reply.Services = append(reply.Services, s.serviceRoute(name))
+			reply.Services = append(reply.Services, r.serviceRoute(name))
 		}
 	}
 	return reply
 }
 
-func (s *Server) serviceRoute(service string) protocol.ServiceRoute {
-	status, _ := s.speaker.Status(service) // it is one of speaker.Services
+func (r *routeAnnouncer) serviceRoute(service string) protocol.ServiceRoute {
+	status, _ := r.speaker.Status(service) // it is one of speaker.Services
 	route := protocol.ServiceRoute{
 		Service:         service,
-		Prefix:          s.config.BGP.Services[service].Prefix.String(),
+		Prefix:          r.config.BGP.Services[service].Prefix.String(),
 		Announced:       status.Announced,
 		LocalPreference: status.Path.Preference,
 		Running:         status.Running,
@@ -73,7 +112,7 @@
 		Suppressed:      status.Suppressed,
 	}
 	if status.NextUpdate > 0 {
-		route.NextChangeIn = max(0, protocol.Duration(status.NextUpdate-scheduler.Time(s.loop.Now())))
+		route.NextChangeIn = max(0, protocol.Duration(status.NextUpdate-r.now()))
 	}
 	return route
 }
--- a/internal/schedulerd/server.go
+++ b/internal/schedulerd/server.go
@@ -1,7 +1,3 @@
-// Package schedulerd runs one scheduler on sockets. Server owns an event loop, on which it turns frames, connections
-// and timers into events, hands them to the decision packages once an iteration, and executes the actions that they
-// return, in order. It decides nothing itself. Where nothing else is said, code of this package runs on the goroutine
-// of the event loop.
 package schedulerd
 
 import (
@@ -13,128 +9,107 @@
 	"glenport/internal/config"
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
-	"glenport/internal/schedulerd/overload"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/schedulerd/recovery"
 	"glenport/scheduler"
 )
 
-// Scheduler decides on which machine each container is started: scheduler.Scheduler, or a wrapper or a script of a test
-// in its place.
-type Scheduler interface {
-	Handle(now scheduler.Time, events []scheduler.Event) []scheduler.Action
-}
-
 // maintenanceInterval is the time between two checks for idle, silent and stalled connections.
 const maintenanceInterval = eventloop.Second
 
-// shutdownReason is sent to the BGP peers when the server stops: it is part of the wire.
-const shutdownReason = "this placer is stopped"
-
-// Server is one incarnation of a scheduler process.
+// Server is one incarnation of a scheduler process. It wires the parts that the package comment lists.
 type Server struct {
-	config      *config.Scheduler
-	incarnation uint64 // microseconds since 1970 when it was made
-	log         *slog.Logger
-	loop        *eventloop.Loop
-	listener    *eventloop.Listener
-
-	scheduler        Scheduler
-	schedulerEvents  []scheduler.Event // for the next call of scheduler
-	reconciler       *reconcile.Reconciler
-	reconcilerEvents []reconcile.Event // for the next call of reconciler
-
-	containers  map[scheduler.ContainerID]*container    // until answered and without an attempt
-	machines    map[scheduler.MachineID]*machine        // until gone from the list and idle
-	clients     map[reconcile.ClientID]*clientConn      // until their connection is closed
-	submittedAt map[scheduler.ContainerID]time.Duration // of the requests of this iteration
-	discovery   discoveryClient
-	speaker     *speaker.Speaker // nil if no address is announced
-	state       *stateStore      // nil if nothing is persisted
-	adoptions   adoptionTracker
-	newlyReady  []*machine // that reported their inventory in this iteration
-	stats       stats
-
-	lastAttempt  uint64
-	lastClient   reconcile.ClientID
-	lastProbe    uint64
-	encodeBuffer []byte
+	*process
+	lifecycle serverState
+	listener  *eventloop.Listener
+
+	decisions  *decisions
+	clients    *clientRegistry
+	machines   *machineRegistry
+	dispatcher *attemptDispatcher
+	containers *containerRegistry
+	discovery  *discoveryClient
+	routes     *routeAnnouncer
+	inspector  *inspector
+	state      *stateStore // nil if nothing is persisted
 }
 
 // New opens the state folder and the listener of a scheduler. Run serves; what New has opened is released when Run
 // returns, so that Run must be called even if the server is stopped at once.
 func New(settings *config.Scheduler, decisions Scheduler, log *slog.Logger) (*Server, error) {
-	s := &Server{
+	s := &Server{lifecycle: serverCreated, process: &process{
 		config:      settings,
 		incarnation: uint64(time.Now().UnixMicro()),
 		log:         log,
-		scheduler:   decisions,
-		containers:  map[scheduler.ContainerID]*container{},
-		machines:    map[scheduler.MachineID]*machine{},
-		clients:     map[reconcile.ClientID]*clientConn{},
-		submittedAt: map[scheduler.ContainerID]time.Duration{},
-		adoptions:   newAdoptionTracker(),
 		stats:       newStats(),
-	}
-	s.lastAttempt = s.incarnation // attempt numbers are unique over all incarnations
-	s.discovery.server = s
+	}}
 	var err error
 	if s.loop, err = eventloop.New(s.runIteration); err != nil {
 		return nil, err
 	}
-	if err := s.open(); err != nil {
+	if err := s.open(decisions); err != nil {
 		s.loop.Stop()
 		err = errors.Join(err, s.loop.Run())
-		s.closeState()
+		s.loopEnded()
 		return nil, err
 	}
 	return s, nil
 }
 
 // open reads the state and begins to listen.
-func (s *Server) open() error {
+func (s *Server) open(decisions Scheduler) error {
 	coverage := recovery.LogNone
 	if s.config.StateDir != "" {
-		state, err := openState(s)
+		state, err := openState(s.process)
 		if err != nil {
 			return err
 		}
 		s.state = state
-		coverage = state.history.Coverage
-	}
-	s.reconciler = s.newReconciler(coverage)
-	if s.config.BGP != nil {
-		s.speaker = speaker.New(s.loop, *s.config.BGP, s.log)
+		coverage = state.coverage()
 	}
+	s.wire(decisions, coverage)
 	s.loop.OnFlushed(func() { s.stats.flushed(s.loop.Elapsed()) })
 	var err error
-	s.listener, err = s.loop.Listen(s.config.ListenAddr, s.acceptClient, s.loop.AcceptStateLogger(s.log, "clients"))
+	s.listener, err = s.loop.Listen(s.config.ListenAddr, s.clients.accept, s.loop.AcceptStateLogger(s.log, "clients"))
 	return err
 }
 
-func (s *Server) newReconciler(coverage recovery.LogCoverage) *reconcile.Reconciler {
-	var idempotency []scheduler.Idempotency
-	var limited []overload.WorkloadClass
-	for _, class := range s.config.Policy.WorkloadClasses {
-		idempotency = append(idempotency, class.Idempotency)
-		if s.config.AdaptiveLimit {
-			limited = append(
-				limited,
-				overload.WorkloadClass{LatencyObjective: class.LatencyObjective, PriorityWeight: class.PriorityWeight},
-			)
-		}
+// wire makes the parts and introduces them to each other.
+func (s *Server) wire(chosen Scheduler, coverage recovery.LogCoverage) {
+	s.decisions = &decisions{
+		process: s.process, scheduler: chosen, reconciler: newReconciler(s.process, coverage),
+		executeSchedulerAction: s.executeSchedulerAction, executeReconcilerAction: s.executeReconcilerAction,
+	}
+	s.routes = newRouteAnnouncer(s.process)
+	s.clients = &clientRegistry{
+		process: s.process, decisions: s.decisions, routes: s.routes,
+		connected:   map[reconcile.ClientID]*clientConn{},
+		submittedAt: map[scheduler.ContainerID]time.Duration{},
+	}
+	s.machines = &machineRegistry{
+		process: s.process, decisions: s.decisions, routes: s.routes, state: s.state,
+		byID: map[scheduler.MachineID]*machine{},
 	}
-	return reconcile.New(reconcile.Config{
-		Incarnation:     s.incarnation,
-		Limits:          s.config.Limits,
-		Idempotency:     idempotency,
-		LogCoverage:     coverage,
-		OverloadClasses: limited,
-	})
+	s.discovery = &discoveryClient{process: s.process, decisions: s.decisions, machines: s.machines}
+	s.dispatcher = &attemptDispatcher{
+		process: s.process, decisions: s.decisions, machines: s.machines, routes: s.routes, state: s.state,
+		adoptions: newAdoptionTracker(), lastNumber: s.incarnation,
+	}
+	s.containers = &containerRegistry{
+		process: s.process, decisions: s.decisions, clients: s.clients, machines: s.machines,
+		dispatcher: s.dispatcher, routes: s.routes, byID: map[scheduler.ContainerID]*container{},
+	}
+	s.inspector = &inspector{
+		process: s.process, decisions: s.decisions, clients: s.clients, machines: s.machines,
+		containers: s.containers, discovery: s.discovery,
+	}
+	s.clients.inspector = s.inspector
+	s.machines.dispatcher, s.machines.discovery = s.dispatcher, s.discovery
+	s.dispatcher.containers = s.containers
 }
 
 // Speaker announces the addresses of services by BGP; nil if none is announced.
-func (s *Server) Speaker() *speaker.Speaker { return s.speaker }
+func (s *Server) Speaker() *speaker.Speaker { return s.routes.speaker }
 
 // Addr is the address at which clients connect.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
@@ -143,17 +118,13 @@
 func (s *Server) Run() error {
 	s.loop.Post(s.start)
 	err := s.loop.Run()
-	s.closeState()
+	s.loopEnded()
 	return err
 }
 
 // Stop makes Run return. Any goroutine may call it.
 func (s *Server) Stop() {
-	s.loop.Post(func() {
-		if s.speaker != nil {
-			s.speaker.Stop(shutdownReason)
-		}
-	})
+	s.loop.Post(s.stopRequested)
 	s.loop.Stop()
 }
 
@@ -165,7 +136,7 @@
 		routes *protocol.RoutesReply
 	}
 	taken := make(chan snapshot, 1) // the loop never waits for a caller that has gone
-	if !s.loop.Post(func() { taken <- snapshot{s.statusReply(), s.routesReply("")} }) {
+	if !s.loop.Post(func() { taken <- snapshot{s.inspector.statusReply(), s.routes.routesReply("")} }) {
 		return nil, nil, false
 	}
 	select {
@@ -176,38 +147,24 @@
 	}
 }
 
-func (s *Server) closeState() {
-	if s.state != nil {
-		s.state.close()
-	}
-}
-
 // start begins with what earlier incarnations have left.
 func (s *Server) start() {
+	s.transition(serverStarted)
 	s.log.Info("scheduler started", "name", s.config.Name, "listener", s.Addr(), "incarnation", s.incarnation)
 	if s.state != nil {
-		s.state.restore()
+		s.restore()
 	} else {
-		s.applyList(scheduler.RestoredSnapshot, 0, nil)
+		s.machines.applyList(scheduler.RestoredSnapshot, 0, nil)
 	}
 	s.loop.After(maintenanceInterval, s.maintain)
-	if s.speaker != nil {
-		if err := s.speaker.Start(); err != nil {
-			s.log.Error("BGP speaker not started, no address is announced", "error", err)
-			s.speaker = nil
-		}
-	}
+	s.routes.start()
 }
 
 // maintain closes connections that are idle, silent or stalled.
 func (s *Server) maintain() {
 	now := s.loop.Now()
-	for _, m := range s.machines {
-		m.checkTimeouts(now)
-	}
-	for _, client := range s.clients {
-		client.checkTimeouts(now)
-	}
+	s.machines.checkTimeouts(now)
+	s.clients.checkTimeouts(now)
 	s.discovery.checkTimeouts(now)
 	s.loop.After(maintenanceInterval, s.maintain)
 }
--- a/internal/schedulerd/snapshot.go
+++ b/internal/schedulerd/snapshot.go
@@ -88,71 +88,31 @@
 }
 
 // takeSnapshot collects what the next incarnation should know.
-func (s *Server) takeSnapshot(orderlyShutdown bool) *WarmStartSnapshot {
-	now := scheduler.Time(s.loop.Now())
+func (s *Server) takeSnapshot() *WarmStartSnapshot {
 	snapshot := &WarmStartSnapshot{
-		TakenAt:         readClocks(now),
-		ClassNames:      s.classNames(),
-		Incarnations:    map[scheduler.MachineID]uint64{},
-		ListVersion:     s.discovery.cache.version,
-		OrderlyShutdown: orderlyShutdown,
-	}
-	for _, entry := range s.discovery.cache.entries {
-		if m := s.machines[scheduler.MachineID(entry.Machine)]; m != nil && m.startedAt > 0 {
-			entry.Age = protocol.Duration(now - m.startedAt)
-		}
-		snapshot.Entries = append(snapshot.Entries, recordOfEntry(entry))
+		TakenAt:      readClocks(s.now()),
+		ClassNames:   s.classNames(),
+		Incarnations: map[scheduler.MachineID]uint64{},
 	}
+	snapshot.ListVersion, snapshot.Entries = s.machines.listRecords()
 	slices.SortFunc(snapshot.Entries, func(a, b entryRecord) int { return cmp.Compare(a.Machine, b.Machine) })
-	if limiter := s.reconciler.Limiter(); limiter != nil {
-		overload := limiter.Snapshot()
-		snapshot.Overload = &overload
+	if limiter := s.decisions.limiter(); limiter != nil {
+		limits := limiter.Snapshot()
+		snapshot.Overload = &limits
 	}
-	if source, ok := s.scheduler.(warmStarter); ok {
+	if source, ok := s.decisions.warmStarter(); ok {
 		snapshot.Learned = source.Snapshot()
 		for _, learned := range snapshot.Learned.Machines {
-			if m := s.machines[learned.Machine]; m != nil {
-				snapshot.Incarnations[learned.Machine] = m.incarnation
+			if start, known := s.machines.start(learned.Machine); known {
+				snapshot.Incarnations[learned.Machine] = start.Incarnation
 			}
 		}
 	}
 	return snapshot
 }
 
-// classNames are the workload classes, then the tenants, in the order of the configuration.
-func (s *Server) classNames() []string {
-	names := append([]string{}, s.config.WorkloadClasses...)
-	return append(names, s.config.Tenants...)
-}
-
-// save writes a snapshot at intervals, forgets machines that have left slow start, and repeats what the log did not
-// take.
-func (st *stateStore) save() {
-	s := st.server
-	s.loop.After(snapshotInterval, st.save)
-	for _, id := range st.ledger.Expire(scheduler.Time(s.loop.Now()), st.machineStart) {
-		st.remove(SendKind, string(id))
-	}
-	st.changes, st.retryDeletes = append(st.retryDeletes, st.changes...), nil
-	if st.saving {
-		return
-	}
-	st.saving = true
-	snapshot := s.takeSnapshot(false)
-	st.writers.Go(func() {
-		err := snapshot.write(st.dir)
-		s.loop.Post(func() { st.saved(err) })
-	})
-}
-
-// saved logs the first failure of a row and its end.
-func (st *stateStore) saved(err error) {
-	st.saving = false
-	switch {
-	case err != nil && !st.saveFailed:
-		st.server.log.Warn("snapshot not saved", "error", err)
-	case err == nil && st.saveFailed:
-		st.server.log.Info("snapshot saved again")
-	}
-	st.saveFailed = err != nil
+// saveSnapshot writes a snapshot at intervals.
+func (s *Server) saveSnapshot() {
+	s.loop.After(snapshotInterval, s.saveSnapshot)
+	s.state.save(s.machines.start, s.takeSnapshot)
 }
--- /dev/null
+++ b/internal/schedulerd/snapshotwriter.go
@@ -0,0 +1,81 @@
+package schedulerd
+
+import "sync"
+
+// writerState is the state of a snapshot writer.
+type writerState string
+
+// States of a snapshot writer.
+const (
+	writerSaved    writerState = "saved"
+	writerSaving   writerState = "saving"
+	writerFailed   writerState = "failed"
+	writerRetrying writerState = "retrying" // saving after a failure
+)
+
+// writerEvent is what happens to a snapshot writer.
+type writerEvent string
+
+// Events of a snapshot writer.
+const (
+	writeStarted   writerEvent = "started"
+	writeSucceeded writerEvent = "succeeded"
+	writeFailed    writerEvent = "failed"
+)
+
+// writerTransitions is the table of the package comment.
+var writerTransitions = transitionTable[writerState, writerEvent]{
+	writerSaved:    {writeStarted: writerSaving},
+	writerSaving:   {writeSucceeded: writerSaved, writeFailed: writerFailed},
+	writerFailed:   {writeStarted: writerRetrying},
+	writerRetrying: {writeSucceeded: writerSaved, writeFailed: writerFailed},
+}
+
+// snapshotWriter writes snapshots on a goroutine, one at a time: file operations must not hold up the loop.
+type snapshotWriter struct {
+	*process
+	dir     stateDir
+	state   writerState
+	writing sync.WaitGroup
+}
+
+// transition is the one place where the state of a snapshot writer changes.
+func (w *snapshotWriter) transition(event writerEvent) bool {
+	next, err := writerTransitions.next("snapshot writer", w.state, event)
+	w.state = next
+	return w.transitionMade(err)
+}
+
+func (w *snapshotWriter) busy() bool { return w.state == writerSaving || w.state == writerRetrying }
+
+// start takes and writes a snapshot, unless one is being written.
+func (w *snapshotWriter) start(takeSnapshot func() *WarmStartSnapshot) {
+	if w.busy() {
+		return
+	}
+	w.transition(writeStarted)
+	snapshot := takeSnapshot()
+	w.writing.Go(func() {
+		err := snapshot.write(w.dir)
+		w.loop.Post(func() { w.finished(err) })
+	})
+}
+
+// finished logs the first failure of a row and its end.
+func (w *snapshotWriter) finished(err error) {
+	before := w.state
+	if err != nil {
+		w.transition(writeFailed)
+		if before == writerSaving {
+			w.log.Warn("snapshot not saved", "error", err)
+		}
+		return
+	}
+	w.transition(writeSucceeded)
+	if before == writerRetrying {
+		w.log.Info("snapshot saved again")
+	}
+}
+
+// wait returns when no snapshot is being written.
+func (w *snapshotWriter) wait() { w.writing.Wait() }
--- a/internal/schedulerd/statestore_test.go
+++ b/internal/schedulerd/statestore_test.go
@@ -79,7 +79,7 @@
 			if reply := h.client.wantReply(protocol.VerdictPlaced); reply.ContainerID != "after" {
 				t.Errorf("with room again: %+v", reply)
 			}
-			if onLoop(h.server, func() bool { h.server.state.save(); return h.server.state.incarnationUnlogged }) {
+			if onLoop(h.server, func() bool { h.server.saveSnapshot(); return h.server.state.historyPending }) {
 				t.Error("the log does not hold this incarnation")
 			}
 			h.server.Stop()
--- a/internal/schedulerd/stats.go
+++ b/internal/schedulerd/stats.go
@@ -50,10 +50,25 @@
 	}
 }
 
+func (s *stats) countSubmission() { s.submitted++ }
+
 func (s *stats) countOutcome(name string) { s.outcomes[name]++ }
 
 func (s *stats) countAnswer(v protocol.Verdict) { s.verdicts[v]++ }
 
+func (s *stats) countUndelivered() { s.undelivered++ }
+
+func (s *stats) containerStarted() { s.running++ }
+
+func (s *stats) containerEnded() { s.running-- }
+
+// containerAdopted counts a container that was found running.
+func (s *stats) containerAdopted() {
+	s.running++
+	s.adopted++
+}
+
+// countAttempt counts an offer that was sent.
 func (s *stats) countAttempt(c *container) {
 	s.attempts++
 	if c.attempts == 1 {
--- a/internal/schedulerd/status.go
+++ b/internal/schedulerd/status.go
@@ -3,6 +3,7 @@
 import (
 	"runtime"
 	"runtime/metrics"
+	"time"
 
 	"glenport/internal/protocol"
 )
@@ -38,55 +39,74 @@
 
 const bytesPerMiB = 1 << 20
 
+// inspector answers the questions of operators.
+type inspector struct {
+	*process
+	decisions  *decisions
+	clients    *clientRegistry
+	machines   *machineRegistry
+	containers *containerRegistry
+	discovery  *discoveryClient
+}
+
 // statusReply returns the counters of `glenport status` and the metrics, under the names that operators know.
-func (s *Server) statusReply() *protocol.StatusReply {
+func (i *inspector) statusReply() *protocol.StatusReply {
 	list := statList{}
-	list.add("up", s.loop.Elapsed().Seconds(), "s")
-	s.addSizes(&list)
-	s.addPlacements(&list)
-	s.addLoad(&list)
-	return &protocol.StatusReply{Name: s.config.Name, Stats: list}
+	list.add("up", i.loop.Elapsed().Seconds(), "s")
+	i.addSizes(&list)
+	i.stats.addPlacements(&list)
+	i.addLoad(&list)
+	return &protocol.StatusReply{Name: i.config.Name, Stats: list}
+}
+
+func (i *inspector) addSizes(list *statList) {
+	list.addCount("machines known", i.machines.count())
+	list.add("list version", float64(i.discovery.lastVersion()), "")
+	list.addCount("owners", i.clients.count())
+	list.addCount("connections", i.loop.ConnCount())
+	list.addCount("timers", i.loop.TimerCount())
+	list.addCount("containers known", i.containers.count())
+	i.stats.addContainers(list)
+}
+
+func (i *inspector) addLoad(list *statList) {
+	iterations, busy := i.loop.Iterations()
+	list.addCount("turns", iterations)
+	i.stats.addDecisions(list, busy)
+	samples := []metrics.Sample{{Name: liveHeapSample}, {Name: totalMemorySample}}
+	metrics.Read(samples)
+	list.add("heap live", float64(samples[0].Value.Uint64())/bytesPerMiB, "MiB")
+	list.add("memory", float64(samples[1].Value.Uint64())/bytesPerMiB, "MiB")
+	list.addCount("goroutines", runtime.NumGoroutine())
 }
 
-func (s *Server) addSizes(list *statList) {
-	list.addCount("machines known", len(s.machines))
-	list.add("list version", float64(s.discovery.version), "")
-	list.addCount("owners", len(s.clients))
-	list.addCount("connections", s.loop.ConnCount())
-	list.addCount("timers", s.loop.TimerCount())
-	list.addCount("containers known", len(s.containers))
-	list.addCount("containers running", s.stats.running)
-	list.addCount("containers taken over", s.stats.adopted)
+func (s *stats) addContainers(list *statList) {
+	list.addCount("containers running", s.running)
+	list.addCount("containers taken over", s.adopted)
 }
 
-func (s *Server) addPlacements(list *statList) {
-	list.addCount("submissions", s.stats.submitted)
+func (s *stats) addPlacements(list *statList) {
+	list.addCount("submissions", s.submitted)
 	for v := protocol.VerdictPlaced; v <= protocol.VerdictNotAdmitted; v++ {
-		list.addCount(v.String(), s.stats.verdicts[v])
+		list.addCount(v.String(), s.verdicts[v])
 	}
-	list.addCount("answers nobody heard", s.stats.undelivered)
-	list.addCount("bids", s.stats.attempts)
+	list.addCount("answers nobody heard", s.undelivered)
+	list.addCount("bids", s.attempts)
 	for _, name := range countedOutcomes {
-		list.addCount("bids "+name, s.stats.outcomes[name])
+		list.addCount("bids "+name, s.outcomes[name])
 	}
 	for _, q := range latencyQuantiles {
-		list.add(q.name, float64(s.stats.placementLatency.ValueAtQuantile(q.quantile))/microsPerMilli, "ms")
+		list.add(q.name, float64(s.placementLatency.ValueAtQuantile(q.quantile))/microsPerMilli, "ms")
 	}
 }
 
-func (s *Server) addLoad(list *statList) {
-	iterations, busy := s.loop.Iterations()
-	list.addCount("turns", iterations)
-	list.addCount("batches", s.stats.batches)
-	list.addCount("events", s.stats.events)
+// addDecisions lists the calls of the scheduler after the time for which the loop was busy.
+func (s *stats) addDecisions(list *statList, busy time.Duration) {
+	list.addCount("batches", s.batches)
+	list.addCount("events", s.events)
 	list.add("busy", busy.Seconds(), "s")
-	list.add("deciding", s.stats.deciding.Seconds(), "s")
-	list.add("slowest decision", s.stats.slowestDecision.Seconds()*1000, "ms")
-	samples := []metrics.Sample{{Name: liveHeapSample}, {Name: totalMemorySample}}
-	metrics.Read(samples)
-	list.add("heap live", float64(samples[0].Value.Uint64())/bytesPerMiB, "MiB")
-	list.add("memory", float64(samples[1].Value.Uint64())/bytesPerMiB, "MiB")
-	list.addCount("goroutines", runtime.NumGoroutine())
+	list.add("deciding", s.deciding.Seconds(), "s")
+	list.add("slowest decision", s.slowestDecision.Seconds()*1000, "ms")
 }
 
 type statList []protocol.Stat
--- a/internal/schedulerd/status_test.go
+++ b/internal/schedulerd/status_test.go
@@ -51,14 +51,14 @@
 	}
 	server := runServer(t, testConfig(t), newScript(nil))
 	var got []string
-	for _, stat := range onLoop(server, server.statusReply).Stats {
+	for _, stat := range onLoop(server, server.inspector.statusReply).Stats {
 		got = append(got, stat.Name)
 	}
 	if !slices.Equal(got, want) {
 		t.Errorf("got %q", got)
 	}
 	units := map[string]string{}
-	for _, stat := range onLoop(server, func() *protocol.StatusReply { return server.statusReply() }).Stats {
+	for _, stat := range onLoop(server, func() *protocol.StatusReply { return server.inspector.statusReply() }).Stats {
 		if stat.Unit != "" {
 			units[stat.Name] = stat.Unit
 		}
