--- a/internal/schedulerd/reconcile/containers.go
+++ b/internal/schedulerd/reconcile/containers.go
@@ -114,7 +114,7 @@
 	r.closeRequest(c, overload.RequestFailed{WorkloadClass: c.workloadClass})
 	r.containers.remove(c)
 	if c.placed() && len(r.containers.onMachine[c.machine]) == 0 {
-		delete(r.reconnects, c.machine)
+		r.reconnects.end(c.machine)
 	}
 	if c.lateAccept != nil {
 		r.adopt(*c.lateAccept)
--- a/internal/schedulerd/reconcile/machines.go
+++ b/internal/schedulerd/reconcile/machines.go
@@ -2,27 +2,11 @@
 
 import (
 	"log/slog"
-	"slices"
 
 	"glenport/internal/schedulerd/recovery"
 	"glenport/scheduler"
 )
 
-// Tuned values: a dead machine is known about a second after its death.
-const (
-	maxReconnectAttempts    = 3
-	initialReconnectBackoff = 200 * scheduler.Millisecond
-	reconnectBackoffFactor  = 4
-)
-
-// reconnect is a broken connection to a machine on which containers run.
-type reconnect struct {
-	attempts int
-	waiting  bool           // no attempt is under way
-	nextAt   scheduler.Time // of the next attempt
-	backoff  scheduler.Time
-}
-
 // attemptID names an attempt over all incarnations of the scheduler.
 type attemptID struct{ incarnation, number uint64 }
 
@@ -30,7 +14,7 @@
 // names and is not known comes from an earlier incarnation, or from an attempt that was over.
 func (r *Reconciler) machineReported(e MachineReported) {
 	completed := r.trackReport(e.Machine)
-	delete(r.reconnects, e.Machine)
+	r.reconnects.end(e.Machine)
 	r.loseUnreported(e)
 	adopted := 0
 	for _, a := range e.Attempts {
@@ -99,8 +83,8 @@
 
 func (r *Reconciler) machineDisconnected(machine scheduler.MachineID) {
 	r.track(recovery.MachineDisconnected{Machine: machine})
-	if len(r.containers.onMachine[machine]) > 0 && r.reconnects[machine] == nil {
-		r.reconnects[machine] = &reconnect{backoff: initialReconnectBackoff, waiting: true, nextAt: r.now}
+	if len(r.containers.onMachine[machine]) > 0 {
+		r.reconnects.begin(machine, r.now)
 	}
 }
 
@@ -109,17 +93,12 @@
 // ends.
 func (r *Reconciler) connectFailed(e ConnectFailed) {
 	r.track(recovery.ConnectFailed{Machine: e.Machine})
-	pending := r.reconnects[e.Machine]
-	switch {
-	case pending == nil:
-	case e.LocalShortage: // it does not count
-		pending.attempts--
-		pending.waiting, pending.nextAt = true, r.now+initialReconnectBackoff
-	case pending.attempts < maxReconnectAttempts:
-		pending.waiting, pending.nextAt = true, r.now+pending.backoff
-		pending.backoff *= reconnectBackoffFactor
-	default:
-		r.machineUnreachable(e.Machine, pending.attempts)
+	if e.LocalShortage {
+		r.reconnects.shortage(e.Machine, r.now)
+		return
+	}
+	if attempts, exhausted := r.reconnects.failed(e.Machine, r.now); exhausted {
+		r.machineUnreachable(e.Machine, attempts)
 	}
 }
 
@@ -132,7 +111,7 @@
 		slog.Int("attempts", attempts),
 		slog.Int("containers", len(lost)),
 	)
-	delete(r.reconnects, machine)
+	r.reconnects.end(machine)
 	for _, c := range lost {
 		r.emit(ContainerLost{ID: c.id, Confirmed: false})
 	}
@@ -142,8 +121,10 @@
 // runTimers does what is due and sets the timer for what is due next, unless it is set to an earlier time already.
 func (r *Reconciler) runTimers() {
 	r.track(recovery.Tick{})
-	next := earliest(r.tracker.NextTimer(), r.nextReconnect())
-	r.reconnectDue()
+	next := earliest(r.tracker.NextTimer(), r.reconnects.next(r.now))
+	for _, machine := range r.reconnects.takeDue(r.now) {
+		r.emit(ConnectMachine{Machine: machine})
+	}
 	if next > 0 && (r.timerAt <= r.now || next < r.timerAt) {
 		r.timerAt = next
 		r.emit(SetTimer{After: next - r.now})
@@ -157,29 +138,3 @@
 	}
 	return a
 }
-
-// nextReconnect is when the next attempt is due that is not due yet, or 0.
-func (r *Reconciler) nextReconnect() scheduler.Time {
-	next := scheduler.Time(0)
-	for _, pending := range r.reconnects {
-		if pending.waiting && pending.nextAt > r.now {
-			next = earliest(next, pending.nextAt)
-		}
-	}
-	return next
-}
-
-func (r *Reconciler) reconnectDue() {
-	var due []scheduler.MachineID
-	for machine, pending := range r.reconnects {
-		if pending.waiting && pending.nextAt <= r.now {
-			due = append(due, machine)
-		}
-	}
-	slices.Sort(due)
-	for _, machine := range due {
-		r.reconnects[machine].waiting = false
-		r.reconnects[machine].attempts++
-		r.emit(ConnectMachine{Machine: machine})
-	}
-}
--- a/internal/schedulerd/reconcile/reconciler.go
+++ b/internal/schedulerd/reconcile/reconciler.go
@@ -26,7 +26,7 @@
 	admission   *admission.Controller
 	tracker     *recovery.Tracker // of attempts that may run unconfirmed
 	containers  containerTable
-	reconnects  map[scheduler.MachineID]*reconnect
+	reconnects  reconnects
 	timerAt     scheduler.Time
 }
 
@@ -38,7 +38,7 @@
 		admission:   admission.New(c.Limits, c.Incarnation, c.OverloadClasses),
 		tracker:     recovery.NewTracker(c.LogCoverage, c.Idempotency),
 		containers:  newContainerTable(),
-		reconnects:  map[scheduler.MachineID]*reconnect{},
+		reconnects:  reconnects{},
 	}
 }
 
