--- a/internal/platform/connmanager/doc.go
+++ b/internal/platform/connmanager/doc.go
@@ -10,11 +10,11 @@
 // A client is admitted as unserved. The table gives the state that follows an event; a pair without one is illegal: it
 // is reported by ReportError with a *statemachine.TransitionError, and changes nothing.
 //
-//	state        | message sent | connection ended | close decided
-//	unserved     | served       | disconnected     | closing
-//	served       | served       | disconnected     | closing
-//	closing      | closing      | disconnected     | -
-//	disconnected | -            | -                | -
+//	| state        | message sent | connection ended | close decided |
+//	| unserved     | served       | disconnected     | closing       |
+//	| served       | served       | disconnected     | closing       |
+//	| closing      | closing      | disconnected     | -             |
+//	| disconnected | -            | -                | -             |
 //
 // Beside its state, a client has the evidence that it owns containers, which only grows: none, reclaimed, proven,
 // acknowledged.
--- a/internal/platform/statemachine/statemachine.go
+++ b/internal/platform/statemachine/statemachine.go
@@ -44,13 +44,13 @@
 	for _, event := range events {
 		header = append(header, event.String())
 	}
-	lines := []string{strings.Join(header, "\t| ")}
+	lines := []string{row(header)}
 	for _, from := range states {
 		cells := []string{from.String()}
 		for _, event := range events {
 			cells = append(cells, t.cell(from, event))
 		}
-		lines = append(lines, strings.Join(cells, "\t| "))
+		lines = append(lines, row(cells))
 	}
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 0, 1, ' ', 0)
@@ -60,6 +60,8 @@
 	return text.String()
 }
 
+func row(cells []string) string { return "| " + strings.Join(cells, "\t| ") + "\t|" }
+
 func (t *Table[State, Event]) cell(from State, event Event) string {
 	if to := t[from][event]; to != 0 {
 		return to.String()
