--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -233,3 +233,27 @@
 		t.Errorf("got %+v", e)
 	}
 }
+
+// The answer to a request cannot be written, as its connection is closing: the client is disconnected, and the
+// scheduler process goes on.
+func TestAnswerThatCannotBeWrittenDisconnectsTheClient(t *testing.T) {
+	r := startWithMachineA(t, serveTCP(t, (*peer).readToEnd), attemptOnA(0))
+	client := r.dialClient()
+	client.send(offerLine(requestID, ""))
+	await[scheduler.RequestReceived](r, nil)
+	r.runOnLoop(func() {
+		for _, cc := range r.server.clients {
+			if err := cc.conn.Write([]byte("\n")); err != nil {
+				t.Error(err)
+			}
+			cc.conn.Close() // once the line is written
+		}
+		r.server.applySchedulerAction(scheduler.Fail{ID: requestID})
+		if len(r.server.clients) > 0 || len(r.server.containers) > 0 {
+			t.Errorf("%d clients, %d containers", len(r.server.clients), len(r.server.containers))
+		}
+	})
+	if e := await[scheduler.AttemptEnded](r, nil); e.Outcome != scheduler.OutcomeStopped || !e.Final {
+		t.Errorf("got %+v", e)
+	}
+}
--- a/internal/platform/containers.go
+++ b/internal/platform/containers.go
@@ -71,11 +71,11 @@
 		return
 	}
 	s.markAnswered(c)
-	if c.client != nil {
-		c.client.send(msg)
-		s.notifyConnManager(connmanager.MessageSent{Client: c.client.id, ClosedRequests: 1})
+	if client := c.client; client != nil {
+		client.send(msg) // may disconnect the client, and c.client is nil then
+		s.notifyConnManager(connmanager.MessageSent{Client: client.id, ClosedRequests: 1})
 		if isAccept(msg) {
-			s.notifyConnManager(connmanager.OwnershipProven{Client: c.client.id})
+			s.notifyConnManager(connmanager.OwnershipProven{Client: client.id})
 		}
 	}
 	s.cancelPendingAttempt(c)
