--- a/internal/platform/attempts.go
+++ b/internal/platform/attempts.go
@@ -7,187 +7,206 @@
 
 // attempt is one try to start a container on a machine. It waits for a connection, then for the answer to its offer;
 // once the machine has accepted it, it stands for the running container. Invariant: every attempt has exactly one
-// outcome, reported by finishAttempt.
+// outcome, reported by finish.
 type attempt struct {
-	container     *container
-	number        int // within its container, from 0
-	machine       *machine
-	conn          *machineConn // nil for a container that was adopted, or before there is a connection
-	sent          bool
-	running       bool
-	endedByClient bool // a client has ended the running container
-	createdAt     eventloop.Tick
-	deadline      eventloop.Tick
-	timer         *eventloop.Timer
+	env       *environment
+	container *container
+	number    int // within its container, from 0
+	machine   *machine
+	conn      *machineConn // nil for a container that was adopted, or before there is a connection
+	state     attemptState
+	createdAt eventloop.Tick
+	deadline  eventloop.Tick
+	timer     *eventloop.Timer // fires at the deadline
 }
 
-// startAttempt offers a container to a machine.
-func (s *Server) startAttempt(action scheduler.StartAttempt) {
-	c := s.containers[action.ID]
-	if c == nil || c.answered || c.attempt != nil {
-		// The client was disconnected in the same batch, because the answer to another of its requests could not be
-		// written. Every attempt needs an outcome all the same, or the scheduler would count it as pending forever.
-		s.log.Info("attempt for a request that is not open", "request_id", action.ID)
-		s.notifyScheduler(
-			scheduler.AttemptEnded{
-				ID:      action.ID,
-				Machine: action.Machine,
-				Outcome: scheduler.OutcomeNotSent,
-				Final:   true,
-			},
-		)
-		return
-	}
-	a := s.newAttempt(c, action)
-	if a.machine.addr == "" {
-		s.finishAttempt(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
+// id is the identifier of the container.
+func (a *attempt) id() scheduler.ContainerID { return a.container.request.ID }
+
+// hasKey reports whether the container was requested with an idempotency key.
+func (a *attempt) hasKey(key string) bool { return a.container.request.IdempotencyKey == key }
+
+// isOn reports whether the attempt waits for a connection or is pending on it.
+func (a *attempt) isOn(mc *machineConn) bool { return a.conn == mc }
+
+// wasMadeBy reports whether the attempt was made up to a point in time.
+func (a *attempt) wasMadeBy(moment eventloop.Tick) bool { return a.createdAt <= moment }
+
+// start makes the attempt pending. It ends at its deadline at the latest.
+func (a *attempt) start() {
+	a.machine.addAttempt(a)
+	if !a.machine.hasAddr() {
+		a.finish(scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
 		return
 	}
-	a.timer = s.loop.After(a.deadline-a.createdAt, func() { s.timeOut(a) })
+	a.timer = a.env.loop.After(a.deadline-a.createdAt, a.deadlinePassed)
 	if a.conn = a.machine.acquireConn(); a.conn == nil {
-		s.finishAttempt(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
+		a.finish(scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
 		return
 	}
-	a.conn.attempts[action.ID] = a
-	a.conn.whenEstablished(func() {
-		if c.attempt == a {
-			s.sendOffer(a)
-		}
-	})
-}
-
-// newAttempt makes the pending attempt of a container. It ends with the request's deadline, or with its own if that is
-// earlier.
-func (s *Server) newAttempt(c *container, action scheduler.StartAttempt) *attempt {
-	now := s.loop.Now()
-	deadline := eventloop.Tick(c.request.Deadline)
-	if action.Timeout != 0 {
-		deadline = min(deadline, now+eventloop.Tick(action.Timeout))
-	}
-	a := &attempt{
-		container: c,
-		number:    c.attemptsMade,
-		machine:   s.machineByID(action.Machine),
-		createdAt: now,
-		deadline:  deadline,
-	}
-	c.attemptsMade++
-	c.attempt = a
-	a.machine.attempts[c.request.ID] = a
-	return a
+	a.conn.addAttempt(a)
+	a.conn.whenEstablished(a.connEstablished)
 }
 
-// sendOffer sends the offer of an attempt, unless the machine has stopped taking new containers since the attempt was
-// made.
-func (s *Server) sendOffer(a *attempt) {
-	if a.machine.state != scheduler.MachineServing {
-		s.finishAttempt(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
+// connEstablished sends the offer, unless the attempt has ended or the machine has stopped taking new containers since
+// the attempt was made.
+func (a *attempt) connEstablished() {
+	if a.state == attemptFinished {
 		return
 	}
-	a.sent = a.conn.send(offerMessage(a.container, a.deadline-s.loop.Now()))
-	if !a.sent {
-		s.finishAttempt(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
-	}
-}
-
-// timeOut ends an attempt whose deadline has passed. One that was never sent has waited for its connection.
-func (s *Server) timeOut(a *attempt) {
-	if !a.sent {
-		s.finishAttempt(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeConnectFailed})
+	if !a.machine.isServing() || !a.conn.send(offerMessage(a.container, a.deadline-a.env.loop.Now())) {
+		a.finish(scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
 		return
 	}
-	s.cancelOffer(a)
-	s.finishAttempt(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeTimedOut})
+	_ = a.transition(offerSent) // logged
 }
 
-// cancelAttempt carries out the scheduler's cancellation of a pending attempt.
-func (s *Server) cancelAttempt(action scheduler.CancelAttempt) {
-	c := s.containers[action.ID]
-	if c == nil || c.attempt == nil || c.attempt.running || c.attempt.number != action.Attempt {
+// deadlinePassed ends a pending attempt. One that was never sent has waited for its connection.
+func (a *attempt) deadlinePassed() {
+	if a.state == attemptConnecting {
+		a.finish(scheduler.AttemptEnded{Outcome: scheduler.OutcomeConnectFailed})
 		return
 	}
-	s.cancelOffer(c.attempt)
-	s.finishAttempt(c.attempt, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: c.answered})
+	a.cancel(scheduler.AttemptEnded{Outcome: scheduler.OutcomeTimedOut})
 }
 
-// cancelOffer cancels a sent offer at its machine.
-func (s *Server) cancelOffer(a *attempt) {
-	if a.sent && a.conn != nil {
-		a.conn.send(cancelMessage(a.container.request.ID))
+// cancel ends a pending attempt with an outcome, and cancels its offer at the machine if that was sent.
+func (a *attempt) cancel(ended scheduler.AttemptEnded) {
+	if a.awaitsAnswer() {
+		a.conn.send(cancelMessage(a.id()))
 	}
+	a.finish(ended)
 }
 
-// acceptAttempt marks a container as running after its machine accepted the offer, and answers the request.
-func (s *Server) acceptAttempt(a *attempt, accepted offerAccepted) error {
+// accept marks the container as running after its machine accepted the offer, and answers the request.
+func (a *attempt) accept(accepted offerAccepted) error {
 	if len(accepted.description) == 0 {
 		return errNoDescription
 	}
-	if a.machine.state == scheduler.MachineGone {
+	if a.machine.isGone() {
 		// Invariant: no container counts as running at a machine that is gone. The accept was sent before it went.
-		s.cancelOffer(a)
-		s.finishAttempt(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost})
+		a.cancel(scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost})
 		return nil
 	}
-	id := a.container.request.ID
-	s.loop.Cancel(a.timer)
-	delete(a.conn.attempts, id)
-	a.running = true
-	a.conn.running++
+	if err := a.transition(offerWasAccepted); err != nil {
+		return err
+	}
+	id := a.id()
+	a.env.loop.Cancel(a.timer)
+	a.conn.attemptAccepted(id)
 	a.machine.addRunning(1)
-	s.notifyScheduler(
-		scheduler.AttemptAccepted{
-			ID:      id,
-			Attempt: a.number,
-			Machine: a.machine.id,
-			Elapsed: s.elapsedSince(a.createdAt),
-		},
-	)
-	s.answer(id, acceptMessage(id, accepted.description))
+	a.env.notifyScheduler(scheduler.AttemptAccepted{
+		ID:      id,
+		Attempt: a.number,
+		Machine: a.machine.id,
+		Elapsed: a.env.elapsedSince(a.createdAt),
+	})
+	a.container.answer(acceptMessage(id, accepted.description))
 	return nil
 }
 
+// ended handles the end that the machine reports: of the running container, or of the pending attempt that it rejects.
+func (a *attempt) ended(event containerEnded) {
+	ended := scheduler.AttemptEnded{Reason: event.reason, Report: event.report}
+	if a.isRunning() {
+		ended.Outcome = event.cause.outcomeAfterAccept()
+		a.finishRunning(event.cause, ended)
+		return
+	}
+	ended.Outcome = event.cause.outcomeBeforeAccept()
+	if ended.Outcome == scheduler.OutcomeLost && ended.Reason >= scheduler.ReasonOutOfMemory {
+		a.finishUnaccepted(ended)
+		return
+	}
+	a.finish(ended)
+}
+
+// connClosed ends a pending attempt whose connection is closed. A container whose offer was never sent never ran; one
+// whose offer was sent may have run.
+func (a *attempt) connClosed(notSent scheduler.Outcome, err error) {
+	outcome := notSent
+	if a.isOffered() {
+		a.env.log.Debug("attempt lost with its connection",
+			"request_id", a.id(), "machine", a.machine.id, "error", err)
+		outcome = scheduler.OutcomeLost
+	}
+	a.finish(scheduler.AttemptEnded{Outcome: outcome, Final: a.container.isAnswered()})
+}
+
+// terminate forwards a client's order to end the running container, once. Its machine reports the end later.
+func (a *attempt) terminate(cause terminationCause) {
+	repeated := a.state == attemptTerminating
+	if a.transition(terminationRequested) != nil || repeated {
+		return
+	}
+	a.sendTermination(cause)
+}
+
+// sendTermination orders the machine to end the running container. Without a connection it is retried every maintenance
+// interval until the container has ended.
+func (a *attempt) sendTermination(cause terminationCause) {
+	if !a.machine.hasAddr() || a.state == attemptFinished {
+		return
+	}
+	mc := a.machine.acquireConn()
+	if mc == nil {
+		a.env.loop.After(maintenanceInterval, func() { a.sendTermination(cause) })
+		return
+	}
+	mc.whenEstablished(func() { mc.send(machineTerminationMessage(a.id(), cause)) })
+}
+
 // finishUnaccepted ends a container whose machine evicted, preempted or drained it before its accept was read. Machines
 // do that to running containers only, so the accept is late or lost. The request fails: a retry would continue with a
 // container that machine and platform count as ended.
-func (s *Server) finishUnaccepted(a *attempt, ended scheduler.AttemptEnded) {
+func (a *attempt) finishUnaccepted(ended scheduler.AttemptEnded) {
 	ended.Final = true
-	s.finishAttempt(a, ended)
-	id := a.container.request.ID
-	s.answer(id, failMessage(id))
+	a.finish(ended)
+	a.container.answer(failMessage(a.id()))
 }
 
-// finishAttempt ends an attempt with its one outcome. Identifiers and the elapsed time are filled in.
-func (s *Server) finishAttempt(a *attempt, ended scheduler.AttemptEnded) {
-	c := a.container
-	if c.attempt != a {
-		return // the attempt has its outcome already
-	}
-	s.loop.Cancel(a.timer)
-	a.release()
-	c.attempt = nil
-	ended.ID, ended.Attempt, ended.Machine = c.request.ID, a.number, a.machine.id
-	ended.Elapsed = s.elapsedSince(a.createdAt)
-	s.notifyScheduler(ended)
-	s.removeIfDone(c)
-	a.machine.evictIfGone()
+// finishRunning ends a running container. A client is notified, unless a client has ended the container.
+func (a *attempt) finishRunning(cause terminationCause, ended scheduler.AttemptEnded) {
+	endedByClient := a.state == attemptTerminating || cause == causeCancelled
+	ended.Final = true
+	a.finish(ended)
+	if !endedByClient {
+		a.container.notifyTerminated(cause)
+	}
 }
 
-// release removes an attempt from its connection and its machine.
-func (a *attempt) release() {
-	id := a.container.request.ID
-	if a.conn != nil && !a.running {
-		delete(a.conn.attempts, id)
-	}
-	delete(a.machine.attempts, id)
-	if !a.running {
+// finish ends the attempt with its one outcome. Identifiers and the elapsed time are filled in.
+func (a *attempt) finish(ended scheduler.AttemptEnded) {
+	wasRunning := a.isRunning()
+	if a.transition(outcomeKnown) != nil {
 		return
 	}
+	a.env.loop.Cancel(a.timer)
+	if wasRunning {
+		a.releaseRunning()
+	} else {
+		a.releasePending()
+	}
+	ended.ID, ended.Attempt, ended.Machine = a.id(), a.number, a.machine.id
+	ended.Elapsed = a.env.elapsedSince(a.createdAt)
+	a.env.notifyScheduler(ended)
+	a.container.attemptFinished()
+	a.machine.evictIfGone()
+}
+
+// releasePending removes a pending attempt from its connection and its machine.
+func (a *attempt) releasePending() {
 	if a.conn != nil {
-		a.conn.running--
+		a.conn.removeAttempt(a.id())
 	}
-	a.machine.addRunning(-1)
+	a.machine.removeAttempt(a.id())
 }
 
-func (s *Server) elapsedSince(start eventloop.Tick) scheduler.Time {
-	return scheduler.Time(s.loop.Now() - start)
+// releaseRunning removes a running container from the connection that carried its offer and from its machine.
+func (a *attempt) releaseRunning() {
+	a.machine.removeAttempt(a.id())
+	if a.conn != nil {
+		a.conn.runningEnded()
+	}
+	a.machine.addRunning(-1)
 }
--- /dev/null
+++ b/internal/platform/attemptstate.go
@@ -0,0 +1,59 @@
+package platform
+
+import "glenport/internal/platform/statemachine"
+
+// attemptState is the state of an attempt.
+type attemptState uint8
+
+const (
+	attemptConnecting  attemptState = iota + 1 // it waits for a connection
+	attemptOffered                             // the offer was sent, and its answer is awaited
+	attemptRunning                             // the machine has accepted it: the container is running
+	attemptTerminating                         // a client has ended the running container
+	attemptFinished                            // it has its outcome
+)
+
+func (s attemptState) String() string {
+	return [...]string{"none", "connecting", "offered", "running", "terminating", "finished"}[s]
+}
+
+// attemptEvent is what changes the state of an attempt.
+type attemptEvent uint8
+
+const (
+	offerSent attemptEvent = iota + 1
+	offerWasAccepted
+	terminationRequested
+	outcomeKnown
+)
+
+func (e attemptEvent) String() string {
+	return [...]string{"none", "offer sent", "offer accepted", "termination requested", "outcome known"}[e]
+}
+
+var attemptTransitions = statemachine.Table[attemptState, attemptEvent]{
+	attemptConnecting:  {offerSent: attemptOffered, outcomeKnown: attemptFinished},
+	attemptOffered:     {offerWasAccepted: attemptRunning, outcomeKnown: attemptFinished},
+	attemptRunning:     {terminationRequested: attemptTerminating, outcomeKnown: attemptFinished},
+	attemptTerminating: {terminationRequested: attemptTerminating, outcomeKnown: attemptFinished},
+}
+
+// transition is the only place where the state of an attempt changes.
+func (a *attempt) transition(event attemptEvent) error {
+	next, err := attemptTransitions.Next(a.state, event)
+	if err != nil {
+		a.env.reportIllegal(err, "request_id", a.id())
+		return err
+	}
+	a.state = next
+	return nil
+}
+
+// isRunning reports whether the container of the attempt is running.
+func (a *attempt) isRunning() bool { return a.state == attemptRunning || a.state == attemptTerminating }
+
+// awaitsAnswer reports whether the machine is to answer the offer.
+func (a *attempt) awaitsAnswer() bool { return a.state == attemptOffered }
+
+// isOffered reports whether the offer was sent.
+func (a *attempt) isOffered() bool { return a.awaitsAnswer() || a.isRunning() }
--- a/internal/platform/clientmessages.go
+++ b/internal/platform/clientmessages.go
@@ -54,8 +54,9 @@
 		return endAcknowledged{id: msg.RequestID}
 	case jsonlines.OpTest:
 		return livenessTest{id: msg.RequestID}
+	default:
+		return nil
 	}
-	return nil
 }
 
 // acceptMessage answers a request whose container is running. The machine's description is forwarded byte for byte.
@@ -90,13 +91,17 @@
 	return endMessage(id, int(cause))
 }
 
+// testResult is the result of a liveness test.
+type testResult int
+
+const (
+	testFailed testResult = jsonlines.CauseTestFailed
+	testPassed testResult = jsonlines.CauseTestPassed
+)
+
 // testResultMessage answers a liveness test.
-func testResultMessage(id string, passed bool) *jsonlines.Message {
-	cause := jsonlines.CauseTestFailed
-	if passed {
-		cause = jsonlines.CauseTestPassed
-	}
-	return &jsonlines.Message{Op: jsonlines.OpTested, RequestID: id, Cause: jsonlines.CausePtr(cause)}
+func testResultMessage(id string, result testResult) *jsonlines.Message {
+	return &jsonlines.Message{Op: jsonlines.OpTested, RequestID: id, Cause: new(int(result))}
 }
 
 // placementOffer is a request as decoded.
@@ -143,7 +148,7 @@
 	if text == "" {
 		return extras, nil
 	}
-	for _, pair := range strings.Split(text, ";") {
+	for pair := range strings.SplitSeq(text, ";") {
 		name, value, ok := strings.Cut(pair, ":")
 		if !ok {
 			return nil, fieldError("extras", "%q has no value", pair)
--- /dev/null
+++ b/internal/platform/clientregistry.go
@@ -0,0 +1,66 @@
+package platform
+
+import (
+	"glenport/internal/eventloop"
+	"glenport/internal/platform/connmanager"
+	"glenport/internal/platform/jsonlines"
+	"glenport/scheduler"
+)
+
+// clientRegistry holds the connections of clients, each until it ends.
+type clientRegistry struct {
+	env        *environment
+	containers *containerRegistry
+	shutdown   *shutdownSequence
+	conns      map[connmanager.ClientID]*clientConn
+	lastID     connmanager.ClientID
+}
+
+func newClientRegistry(env *environment, containers *containerRegistry, shutdown *shutdownSequence) *clientRegistry {
+	return &clientRegistry{
+		env:        env,
+		containers: containers,
+		shutdown:   shutdown,
+		conns:      map[connmanager.ClientID]*clientConn{},
+	}
+}
+
+// accept makes the handler of a new client connection.
+func (r *clientRegistry) accept() (eventloop.Handler, int) {
+	r.lastID++
+	return &clientConn{
+		env:        r.env,
+		registry:   r,
+		containers: r.containers,
+		shutdown:   r.shutdown,
+		id:         r.lastID,
+		state:      clientAccepted,
+		lines:      jsonlines.LineSplitter{MaxBytes: jsonlines.MaxLineBytes},
+	}, clientOutputLimit
+}
+
+func (r *clientRegistry) add(cc *clientConn) { r.conns[cc.id] = cc }
+
+func (r *clientRegistry) remove(cc *clientConn) { delete(r.conns, cc.id) }
+
+// closeConn closes the connection of a client that holds it for nothing, or to make room.
+func (r *clientRegistry) closeConn(action connmanager.CloseClient) {
+	if cc := r.conns[action.Client]; cc != nil {
+		r.env.log.Debug("client connection closed", "client", cc.id, "reason", action.Reason)
+		cc.close()
+	}
+}
+
+// notifyTermination notifies a client of the end of a container.
+func (r *clientRegistry) notifyTermination(action connmanager.NotifyTermination) {
+	if cc := r.conns[action.Client]; cc != nil {
+		cc.send(terminationMessage(scheduler.ContainerID(action.RequestID), terminationCause(action.Cause)))
+	}
+}
+
+// pauseReading leaves the input of a client unread for a while.
+func (r *clientRegistry) pauseReading(action connmanager.PauseReading) {
+	if cc := r.conns[action.Client]; cc != nil {
+		cc.pauseReading(eventloop.Tick(action.Duration))
+	}
+}
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -38,7 +38,7 @@
 				msg != nil && (msg.Op != jsonlines.OpEnd || msg.CauseOrNone() != jsonlines.CauseInvalidContents) {
 				t.Errorf("received %+v", msg)
 			}
-			r.server.loop.Post(func() { r.scheduler.events <- scheduler.TimerFired{Name: "last"} })
+			r.server.env.loop.Post(func() { r.scheduler.events <- scheduler.TimerFired{Name: "last"} })
 			await(r, func(e scheduler.TimerFired) bool { return e.Name == "last" })
 		})
 	}
@@ -66,8 +66,8 @@
 			} else if msg := client.receive(); msg != nil {
 				t.Errorf("received %+v", msg)
 			}
-			r.server.loop.Post(
-				func() { r.scheduler.events <- scheduler.TimerFired{Name: fmt.Sprint(len(r.server.containers))} },
+			r.server.env.loop.Post(
+				func() { r.scheduler.events <- scheduler.TimerFired{Name: fmt.Sprint(r.server.containers.count())} },
 			)
 			want := map[bool]string{true: "1", false: "0"}[tc.stays]
 			if e := await(r, func(e scheduler.TimerFired) bool { return e.Name != "" }); e.Name != want {
@@ -242,15 +242,15 @@
 	client.send(offerLine(requestID, ""))
 	await[scheduler.RequestReceived](r, nil)
 	r.runOnLoop(func() {
-		for _, cc := range r.server.clients {
+		for _, cc := range r.server.clients.conns {
 			if err := cc.conn.Write([]byte("\n")); err != nil {
 				t.Error(err)
 			}
 			cc.conn.Close() // once the line is written
 		}
 		r.server.applySchedulerAction(scheduler.Fail{ID: requestID})
-		if len(r.server.clients) > 0 || len(r.server.containers) > 0 {
-			t.Errorf("%d clients, %d containers", len(r.server.clients), len(r.server.containers))
+		if len(r.server.clients.conns) > 0 || r.server.containers.count() > 0 {
+			t.Errorf("%d clients, %d containers", len(r.server.clients.conns), r.server.containers.count())
 		}
 	})
 	if e := await[scheduler.AttemptEnded](r, nil); e.Outcome != scheduler.OutcomeStopped || !e.Final {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -123,12 +123,8 @@
 	}
 	limits := wire.Limits
 	if limits.Descriptors < minDescriptors || limits.MemoryMB < minMemoryMB {
-		return fieldError(
-			"limits",
-			"%d sockets and %g MB are too little to run on",
-			limits.Descriptors,
-			limits.MemoryMB,
-		)
+		return fieldError("limits",
+			"%d sockets and %g MB are too little to run on", limits.Descriptors, limits.MemoryMB)
 	}
 	return nil
 }
@@ -190,12 +186,10 @@
 
 // withLineNumber adds to an error of a JSON file the line at which it is.
 func withLineNumber(data []byte, err error) error {
-	var syntaxError *json.SyntaxError
-	var typeError *json.UnmarshalTypeError
 	offset := int64(-1)
-	if errors.As(err, &syntaxError) {
+	if syntaxError, ok := errors.AsType[*json.SyntaxError](err); ok {
 		offset = syntaxError.Offset
-	} else if errors.As(err, &typeError) {
+	} else if typeError, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
 		offset = typeError.Offset
 	}
 	if offset < 0 || offset > int64(len(data)) {
--- /dev/null
+++ b/internal/platform/containerregistry.go
@@ -0,0 +1,156 @@
+package platform
+
+import (
+	"cmp"
+	"errors"
+	"maps"
+	"slices"
+
+	"glenport/internal/platform/connmanager"
+	"glenport/internal/platform/failuredetector"
+	"glenport/internal/platform/jsonlines"
+	"glenport/scheduler"
+)
+
+var (
+	// errDuplicateRequest closes the connection: an answer could not be matched to one of its two requests.
+	errDuplicateRequest = errors.New("two open requests with one id on one connection")
+	errRequestOpen      = errors.New("a request with this id is open")
+)
+
+// containerRegistry holds the containers that were requested or are running.
+type containerRegistry struct {
+	env        *environment
+	machines   *machineRegistry
+	containers map[scheduler.ContainerID]*container // until answered and without an attempt
+	unanswered int                                  // containers whose request awaits its answer
+}
+
+func newContainerRegistry(env *environment, machines *machineRegistry) *containerRegistry {
+	return &containerRegistry{env: env, machines: machines, containers: map[scheduler.ContainerID]*container{}}
+}
+
+func (r *containerRegistry) lookup(id scheduler.ContainerID) *container { return r.containers[id] }
+
+func (r *containerRegistry) count() int { return len(r.containers) }
+
+// unansweredCount is the number of containers whose request awaits its answer.
+func (r *containerRegistry) unansweredCount() int { return r.unanswered }
+
+// checkUnused returns an error where a request with an identifier is open.
+func (r *containerRegistry) checkUnused(id scheduler.ContainerID, cc *clientConn) error {
+	c := r.containers[id]
+	switch {
+	case c == nil:
+		return nil
+	case c.isOpenRequestOf(cc):
+		return errDuplicateRequest
+	}
+	return errRequestOpen
+}
+
+// open takes in a request whose container is to be placed.
+func (r *containerRegistry) open(cc *clientConn, offer placementOffer) {
+	c := &container{
+		env:            r.env,
+		registry:       r,
+		request:        offer.request,
+		className:      offer.className,
+		idempotencyKey: offer.idempotencyKey,
+		description:    offer.description,
+		client:         cc,
+	}
+	r.containers[c.request.ID] = c
+	r.unanswered++
+	r.env.notifyConnManager(connmanager.PlacementRequested{Client: cc.id})
+	r.env.notifyScheduler(scheduler.RequestReceived{PlacementRequest: c.request})
+}
+
+// adopt adds a container that a client claims to be running at a machine, unless the container is known already.
+func (r *containerRegistry) adopt(cc *clientConn, request scheduler.PlacementRequest, at scheduler.MachineID) {
+	if r.containers[request.ID] != nil {
+		return
+	}
+	m := r.machines.getOrAdd(at)
+	if m.runs(request.IdempotencyKey) {
+		return
+	}
+	c := &container{env: r.env, registry: r, request: request, client: cc, answered: true, attemptsMade: 1}
+	r.containers[request.ID] = c
+	c.adopted(m)
+	r.env.notifyScheduler(scheduler.ContainerAdopted{PlacementRequest: request, Machine: at})
+	if m.isListed() && m.isGone() {
+		// Invariant: no container counts as running at a machine that is gone. A successor may be at its address, and
+		// its activity would be attributed to the machine that is gone.
+		m.failRunning(r.env.loop.Now())
+		return
+	}
+	r.env.notifyFailureDetector(failuredetector.ContainerReclaimed{
+		Machine: string(at), RequestID: string(request.ID),
+	})
+}
+
+// requestClosed counts a request that was answered or cancelled.
+func (r *containerRegistry) requestClosed() { r.unanswered-- }
+
+func (r *containerRegistry) remove(c *container) { delete(r.containers, c.request.ID) }
+
+// startAttempt carries out the scheduler's decision to offer a container to a machine.
+func (r *containerRegistry) startAttempt(action scheduler.StartAttempt) {
+	c := r.containers[action.ID]
+	if c == nil || !c.awaitsAttempt() {
+		// The client was disconnected in the same batch, because the answer to another of its requests could not be
+		// written. Every attempt needs an outcome all the same, or the scheduler would count it as pending forever.
+		r.env.log.Info("attempt for a request that is not open", "request_id", action.ID)
+		r.env.notifyScheduler(scheduler.AttemptEnded{
+			ID: action.ID, Machine: action.Machine, Outcome: scheduler.OutcomeNotSent, Final: true,
+		})
+		return
+	}
+	c.startAttempt(r.machines.getOrAdd(action.Machine), action.Timeout)
+}
+
+// cancelAttempt carries out the scheduler's cancellation of a pending attempt.
+func (r *containerRegistry) cancelAttempt(action scheduler.CancelAttempt) {
+	if c := r.containers[action.ID]; c != nil {
+		c.cancelAttempt(action.Attempt)
+	}
+}
+
+// answer sends the one final answer to a request, if it is open.
+func (r *containerRegistry) answer(id scheduler.ContainerID, msg *jsonlines.Message) {
+	if c := r.containers[id]; c != nil {
+		c.answer(msg)
+	}
+}
+
+// clientDisconnected closes the open requests of a connection that has ended.
+func (r *containerRegistry) clientDisconnected(cc *clientConn) {
+	for _, c := range r.requestedOn(cc) {
+		c.clientDisconnected()
+	}
+}
+
+// requestedOn returns the containers that were requested on a connection, by identifier.
+func (r *containerRegistry) requestedOn(cc *clientConn) []*container {
+	var requested []*container
+	for _, c := range r.containers {
+		if c.wasRequestedOn(cc) {
+			requested = append(requested, c)
+		}
+	}
+	slices.SortFunc(requested, func(a, b *container) int { return cmp.Compare(a.request.ID, b.request.ID) })
+	return requested
+}
+
+// cutOpenAttempts ends the attempts of unanswered requests. The scheduler then answers each, as after its own deadline.
+func (r *containerRegistry) cutOpenAttempts() {
+	for _, id := range sortedKeys(r.containers) {
+		r.containers[id].cutOpenAttempt()
+	}
+}
+
+// sortedKeys returns the keys of a map in order, so that equal events have equal effects.
+func sortedKeys[K cmp.Ordered, V any](table map[K]V) []K {
+	return slices.Sorted(maps.Keys(table))
+}
--- a/internal/platform/containers.go
+++ b/internal/platform/containers.go
@@ -1,12 +1,8 @@
 package platform
 
 import (
-	"cmp"
-	"maps"
-	"slices"
-
+	"glenport/internal/eventloop"
 	"glenport/internal/platform/connmanager"
-	"glenport/internal/platform/failuredetector"
 	"glenport/internal/platform/jsonlines"
 	"glenport/scheduler"
 )
@@ -15,6 +11,8 @@
 // answer, unless the client cancels it or disconnects first. A container is kept until it is answered and has no
 // attempt.
 type container struct {
+	env            *environment
+	registry       *containerRegistry
 	request        scheduler.PlacementRequest
 	className      string
 	idempotencyKey string
@@ -25,134 +23,134 @@
 	attempt        *attempt // the pending one, or the one by which it is running
 }
 
-// openContainer opens a request whose container is to be placed.
-func (s *Server) openContainer(cc *clientConn, offer placementOffer) {
-	c := &container{
-		request:        offer.request,
-		className:      offer.className,
-		idempotencyKey: offer.idempotencyKey,
-		description:    offer.description,
-		client:         cc,
+func (c *container) wasRequestedOn(cc *clientConn) bool { return c.client == cc }
+
+func (c *container) isOpenRequestOf(cc *clientConn) bool { return !c.answered && c.wasRequestedOn(cc) }
+
+func (c *container) isAnswered() bool { return c.answered }
+
+// awaitsAttempt reports whether the request is open and has no attempt.
+func (c *container) awaitsAttempt() bool { return !c.answered && c.attempt == nil }
+
+// startAttempt offers the container to a machine.
+func (c *container) startAttempt(m *machine, timeout scheduler.Time) {
+	now := c.env.loop.Now()
+	deadline := eventloop.Tick(c.request.Deadline)
+	if timeout != 0 {
+		deadline = min(deadline, now+eventloop.Tick(timeout))
+	}
+	c.attempt = &attempt{
+		env:       c.env,
+		container: c,
+		machine:   m,
+		number:    c.attemptsMade,
+		state:     attemptConnecting,
+		createdAt: now,
+		deadline:  deadline,
 	}
-	s.containers[c.request.ID] = c
-	s.unanswered++
-	s.notifyConnManager(connmanager.PlacementRequested{Client: cc.id})
-	s.notifyScheduler(scheduler.RequestReceived{PlacementRequest: c.request})
+	c.attemptsMade++
+	c.attempt.start()
 }
 
-// adopt adds a container that a client claims to be running at a machine, unless the container is known already.
-func (s *Server) adopt(cc *clientConn, request scheduler.PlacementRequest, at scheduler.MachineID) {
-	if s.containers[request.ID] != nil {
-		return
-	}
-	m := s.machineByID(at)
-	if m.runs(request.IdempotencyKey) {
-		return
+// adopted makes the attempt by which a container is running that a client has reclaimed.
+func (c *container) adopted(m *machine) {
+	c.attempt = &attempt{
+		env:       c.env,
+		container: c,
+		machine:   m,
+		state:     attemptRunning,
+		createdAt: c.env.loop.Now(),
 	}
-	c := &container{request: request, client: cc, answered: true, attemptsMade: 1}
-	c.attempt = &attempt{container: c, machine: m, running: true, sent: true, createdAt: s.loop.Now()}
-	s.containers[request.ID] = c
-	m.attempts[request.ID] = c.attempt
+	m.addAttempt(c.attempt)
 	m.addRunning(1)
-	s.notifyScheduler(scheduler.ContainerAdopted{PlacementRequest: request, Machine: at})
-	if m.listed() && m.state == scheduler.MachineGone {
-		// Invariant: no container counts as running at a machine that is gone. A successor may be at its address, and
-		// its activity would be attributed to the machine that is gone.
-		m.failRunning(s.loop.Now())
-		return
-	}
-	s.notifyFailureDetector(failuredetector.ContainerReclaimed{Machine: string(at), RequestID: string(request.ID)})
 }
 
-// answer sends the one final answer to a request.
-func (s *Server) answer(id scheduler.ContainerID, msg *jsonlines.Message) {
-	c := s.containers[id]
-	if c == nil || c.answered {
+// attemptFinished removes the attempt, which has its outcome.
+func (c *container) attemptFinished() {
+	c.attempt = nil
+	c.removeIfDone()
+}
+
+// answer sends the one final answer to the request.
+func (c *container) answer(msg *jsonlines.Message) {
+	if c.answered {
 		return
 	}
-	s.markAnswered(c)
+	c.markAnswered()
 	if client := c.client; client != nil {
 		client.send(msg) // may disconnect the client, and c.client is nil then
-		s.notifyConnManager(connmanager.MessageSent{Client: client.id, ClosedRequests: 1})
+		c.env.notifyConnManager(connmanager.MessageSent{Client: client.id, ClosedRequests: 1})
 		if isAccept(msg) {
-			s.notifyConnManager(connmanager.OwnershipProven{Client: client.id})
+			c.env.notifyConnManager(connmanager.OwnershipProven{Client: client.id})
 		}
 	}
-	s.cancelPendingAttempt(c)
+	c.cancelPendingAttempt()
 }
 
-// cancelRequest closes an unanswered request whose client has cancelled it or is disconnected.
-func (s *Server) cancelRequest(c *container) {
-	s.markAnswered(c)
+// cancel closes the unanswered request, as its client has cancelled it or is disconnected.
+func (c *container) cancel() {
+	c.markAnswered()
 	if c.client != nil {
-		s.notifyConnManager(connmanager.RequestCancelled{Client: c.client.id})
+		c.env.notifyConnManager(connmanager.RequestCancelled{Client: c.client.id})
+	}
+	c.env.notifyScheduler(scheduler.ContainerRemoved{ID: c.request.ID})
+	c.cancelPendingAttempt()
+}
+
+// clientDisconnected cancels the request if it is open. A running container belongs to no connection.
+func (c *container) clientDisconnected() {
+	if !c.answered {
+		c.cancel()
 	}
-	s.notifyScheduler(scheduler.ContainerRemoved{ID: c.request.ID})
-	s.cancelPendingAttempt(c)
+	c.client = nil
 }
 
-// markAnswered marks a request as closed.
-func (s *Server) markAnswered(c *container) {
+func (c *container) markAnswered() {
 	c.answered = true
-	s.unanswered--
+	c.registry.requestClosed()
 }
 
-// cancelPendingAttempt cancels the pending attempt of a closed request. A running container is not affected.
-func (s *Server) cancelPendingAttempt(c *container) {
-	if c.attempt != nil && !c.attempt.running {
-		s.cancelOffer(c.attempt)
-		s.finishAttempt(c.attempt, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: true})
+// cancelPendingAttempt cancels the pending attempt of the closed request. A running container is not affected.
+func (c *container) cancelPendingAttempt() {
+	if c.attempt != nil && !c.attempt.isRunning() {
+		c.attempt.cancel(scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: true})
 	}
-	s.removeIfDone(c)
+	c.removeIfDone()
 }
 
-func (s *Server) removeIfDone(c *container) {
-	if c.answered && c.attempt == nil {
-		delete(s.containers, c.request.ID)
+// cancelAttempt cancels the attempt with a number if it is pending.
+func (c *container) cancelAttempt(number int) {
+	if a := c.attempt; a != nil && !a.isRunning() && a.number == number {
+		a.cancel(scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: c.answered})
 	}
 }
 
-// finishRunning ends a running container. A client is notified, unless a client has ended the container.
-func (s *Server) finishRunning(a *attempt, cause terminationCause, ended scheduler.AttemptEnded) {
-	c := a.container
-	ended.Final = true
-	s.finishAttempt(a, ended)
-	if a.endedByClient || cause == causeCancelled {
-		return
-	}
-	terminated := connmanager.ContainerTerminated{RequestID: string(c.request.ID), Cause: int(cause)}
-	if c.client != nil {
-		terminated.Client = c.client.id
+// cutOpenAttempt ends the attempt of the request if that is open.
+func (c *container) cutOpenAttempt() {
+	if !c.answered && c.attempt != nil {
+		c.attempt.cancel(scheduler.AttemptEnded{Outcome: scheduler.OutcomeFinished})
 	}
-	s.notifyConnManager(terminated)
 }
 
-// terminateRunning forwards a client's order to end a running container. Its machine reports the end later.
-func (s *Server) terminateRunning(c *container, cause terminationCause) {
-	a := c.attempt
-	if a.endedByClient {
-		return
+// removeIfDone removes a container that is answered and has no attempt.
+func (c *container) removeIfDone() {
+	if c.answered && c.attempt == nil {
+		c.registry.remove(c)
 	}
-	a.endedByClient = true
-	s.sendTermination(a, cause)
 }
 
-// sendTermination orders a machine to end a running container. Without a connection it is retried every maintenance
-// interval until the container has ended.
-func (s *Server) sendTermination(a *attempt, cause terminationCause) {
-	c := a.container
-	if a.machine.addr == "" || c.attempt != a {
-		return
-	}
-	mc := a.machine.acquireConn()
-	if mc == nil {
-		s.loop.After(maintenanceInterval, func() { s.sendTermination(a, cause) })
-		return
+// terminate forwards a client's order to end the container if it is running.
+func (c *container) terminate(cause terminationCause) {
+	if c.attempt != nil && c.attempt.isRunning() {
+		c.attempt.terminate(cause)
 	}
-	mc.whenEstablished(func() { mc.send(machineTerminationMessage(c.request.ID, cause)) })
 }
 
-// sortedKeys returns the keys of a map in order, so that equal events have equal effects.
-func sortedKeys[K cmp.Ordered, V any](table map[K]V) []K {
-	return slices.Sorted(maps.Keys(table))
+// notifyTerminated has a client notified of the end of the container.
+func (c *container) notifyTerminated(cause terminationCause) {
+	terminated := connmanager.ContainerTerminated{RequestID: string(c.request.ID), Cause: int(cause)}
+	if c.client != nil {
+		terminated.Client = c.client.id
+	}
+	c.env.notifyConnManager(terminated)
 }
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -19,7 +19,8 @@
 // discoveryWatch follows the events of the discovery service, over one connection at a time. Each event is applied
 // once: after a break the events are requested from the last one applied.
 type discoveryWatch struct {
-	server        *Server
+	env           *environment
+	machines      *machineRegistry
 	addr          string
 	conn          *eventloop.Conn // nil while there is none
 	lines         jsonlines.LineSplitter
@@ -34,10 +35,20 @@
 
 func (e *missingEventError) Error() string { return fmt.Sprintf("event %d is missing", e.offset) }
 
+func newDiscoveryWatch(env *environment, machines *machineRegistry) *discoveryWatch {
+	return &discoveryWatch{
+		env:        env,
+		machines:   machines,
+		addr:       env.config.DiscoveryAddr,
+		lastOffset: env.config.LastOffset,
+	}
+}
+
+// connect opens a connection to the discovery service.
 func (w *discoveryWatch) connect() {
 	w.lines, w.receivedEvent = jsonlines.LineSplitter{MaxBytes: maxEventBytes}, false
-	w.lastReadAt = w.server.loop.Now()
-	w.conn = w.server.loop.Dial(w.addr, w, watchOutputLimit, watchConnectTimeout)
+	w.lastReadAt = w.env.loop.Now()
+	w.conn = w.env.loop.Dial(w.addr, w, watchOutputLimit, watchConnectTimeout)
 }
 
 // moveTo continues the watch at another address.
@@ -45,7 +56,7 @@
 	if addr == w.addr {
 		return
 	}
-	w.server.log.Info("discovery address changed", "address", addr, "last_offset", w.lastOffset)
+	w.env.log.Info("discovery address changed", "address", addr, "last_offset", w.lastOffset)
 	w.addr = addr
 	if conn := w.conn; conn != nil {
 		w.conn = nil
@@ -66,9 +77,9 @@
 	if conn != w.conn {
 		return
 	}
-	w.lastReadAt = w.server.loop.Now()
+	w.lastReadAt = w.env.loop.Now()
 	if err := w.lines.Feed(data, w.handleLine); err != nil {
-		w.server.log.Warn("discovery watch reset", "error", err, "last_offset", w.lastOffset)
+		w.env.log.Warn("discovery watch reset", "error", err, "last_offset", w.lastOffset)
 		conn.Reset()
 	}
 }
@@ -82,9 +93,9 @@
 	w.conn = nil
 	if !w.interrupted {
 		w.interrupted = true
-		w.server.log.Warn("discovery watch interrupted", "error", err, "last_offset", w.lastOffset)
+		w.env.log.Warn("discovery watch interrupted", "error", err, "last_offset", w.lastOffset)
 	}
-	w.server.loop.After(watchReconnectDelay, func() {
+	w.env.loop.After(watchReconnectDelay, func() {
 		if w.conn == nil {
 			w.connect()
 		}
@@ -101,12 +112,12 @@
 // handleLine handles an event, or the offset of the last one. Events that were applied already may be repeated after a
 // reconnect, and are ignored.
 func (w *discoveryWatch) handleLine(line []byte) error {
-	log := w.server.log
+	log := w.env.log
 	if w.interrupted {
 		w.interrupted = false
 		log.Info("discovery watch resumed", "last_offset", w.lastOffset)
 	}
-	event, err := w.server.config.decodeWatchEvent(line)
+	event, err := w.env.config.decodeWatchEvent(line)
 	if err != nil {
 		return err
 	}
@@ -122,6 +133,6 @@
 	for _, err := range event.invalidEntries {
 		log.Warn("machine left out of an event", "offset", event.offset, "error", err)
 	}
-	w.server.applyUpdate(scheduler.DeltaUpdate, event)
+	w.machines.applyUpdate(scheduler.DeltaUpdate, event)
 	return nil
 }
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -71,7 +71,7 @@
 	applied(4)
 	follow(watches, "from 4") // now silence
 	later, moved := next()
-	config := *r.server.config
+	config := *r.server.env.config
 	config.DiscoveryAddr = later
 	r.server.Reload(&config)
 	p = follow(moved, "from 4")
--- /dev/null
+++ b/internal/platform/environment.go
@@ -0,0 +1,92 @@
+package platform
+
+import (
+	"log/slog"
+
+	"glenport/internal/eventloop"
+	"glenport/internal/platform/connmanager"
+	"glenport/internal/platform/failuredetector"
+	"glenport/internal/platform/jsonlines"
+	"glenport/scheduler"
+)
+
+// environment is what the parts of a server have in common: the settings, the event loop, the log, the encoder, and the
+// queues to the packages that decide.
+type environment struct {
+	config       *Config
+	log          *slog.Logger
+	tracing      bool // every message is logged
+	loop         *eventloop.Loop
+	encodeBuffer []byte // reused by encode
+
+	schedulerQueue       decisionQueue[scheduler.Event, scheduler.Action]
+	connManagerQueue     decisionQueue[connmanager.Event, connmanager.Action]         // handled after the scheduler's
+	failureDetectorQueue decisionQueue[failuredetector.Event, failuredetector.Action] // handled last
+}
+
+// notifyScheduler queues an event for the scheduler.
+func (env *environment) notifyScheduler(e scheduler.Event) { env.schedulerQueue.add(e) }
+
+// notifyConnManager queues an event for the connection manager.
+func (env *environment) notifyConnManager(e connmanager.Event) { env.connManagerQueue.add(e) }
+
+// notifyFailureDetector queues an event for the failure detector.
+func (env *environment) notifyFailureDetector(e failuredetector.Event) {
+	env.failureDetectorQueue.add(e)
+}
+
+// runDecisions passes the events of this iteration on and carries out the actions that follow. It reports whether
+// these have caused further events.
+func (env *environment) runDecisions() (more bool) {
+	now := env.loop.Now()
+	env.schedulerQueue.run(now)
+	env.connManagerQueue.run(now)
+	env.failureDetectorQueue.run(now)
+	return env.schedulerQueue.pending()+env.connManagerQueue.pending()+env.failureDetectorQueue.pending() > 0
+}
+
+// elapsedSince is the time since an earlier iteration.
+func (env *environment) elapsedSince(start eventloop.Tick) scheduler.Time {
+	return scheduler.Time(env.loop.Now() - start)
+}
+
+// encode returns a message as a line, which is valid until the next call.
+func (env *environment) encode(msg *jsonlines.Message) ([]byte, error) {
+	var err error
+	env.encodeBuffer, err = jsonlines.Append(env.encodeBuffer[:0], msg)
+	return env.encodeBuffer, err
+}
+
+// trace logs a message. It is called only where tracing is on.
+func (env *environment) trace(direction, peer string, msg *jsonlines.Message) {
+	env.log.Info("message", "time", env.loop.Now(), "direction", direction, "peer", peer, "op", msg.Op,
+		"request_id", msg.RequestID, "fields", msg.Fields, "cause", msg.CauseOrNone())
+}
+
+// reportIllegal logs an event that a state machine did not take, with what identifies the machine.
+func (env *environment) reportIllegal(err error, key string, id any) {
+	env.log.Error("illegal state transition", key, id, "error", err)
+}
+
+// decisionQueue holds the events for a package that decides, until the end of an iteration.
+type decisionQueue[Event, Action any] struct {
+	events []Event
+	handle func(now eventloop.Tick, events []Event) []Action
+	apply  func(Action)
+}
+
+func (q *decisionQueue[Event, Action]) add(e Event) { q.events = append(q.events, e) }
+
+func (q *decisionQueue[Event, Action]) pending() int { return len(q.events) }
+
+// run passes the events on and carries out the actions in their order. Events that they cause wait for the next run.
+func (q *decisionQueue[Event, Action]) run(now eventloop.Tick) {
+	events := q.events
+	if len(events) == 0 {
+		return
+	}
+	q.events = nil
+	for _, action := range q.handle(now, events) {
+		q.apply(action)
+	}
+}
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -295,7 +295,7 @@
 	watch.close()
 	discovery.reads(0)
 	s.begin("watch at a new address")
-	d := *r.server.config
+	d := *r.server.env.config
 	d.DiscoveryAddr = moved.addr
 	r.server.Reload(&d)
 	moved.reads(0)
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -149,7 +149,7 @@
 	done := make(chan error, 1)
 	go func() { done <- r.server.Run() }()
 	t.Cleanup(func() {
-		r.server.loop.Stop()
+		r.server.env.loop.Stop()
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
@@ -157,6 +157,11 @@
 	return r
 }
 
+// loggingEnvironment is an environment without an event loop.
+func loggingEnvironment(log io.Writer) *environment {
+	return &environment{config: &Config{}, log: slog.New(slog.NewTextHandler(log, nil))}
+}
+
 // startWithMachineA starts a server that knows machine a, with a discovery service that has no further events.
 func startWithMachineA(t *testing.T, addr string, on func(scheduler.Event) []scheduler.Action) *testServer {
 	t.Helper()
@@ -187,7 +192,7 @@
 // runOnLoop runs f on the goroutine of the server's loop and waits for it.
 func (r *testServer) runOnLoop(f func()) {
 	done := make(chan bool)
-	r.server.loop.Post(func() { f(); close(done) })
+	r.server.env.loop.Post(func() { f(); close(done) })
 	select {
 	case <-done:
 	case <-time.After(testTimeout):
@@ -197,7 +202,8 @@
 
 // markShuttingDown makes it appear on the loop that the shutdown started some time ago.
 func (r *testServer) markShuttingDown(ago eventloop.Tick) {
-	r.server.shuttingDown, r.server.shutdownStartedAt = true, r.server.loop.Now()-ago
+	shutdown := r.server.shutdown
+	shutdown.state, shutdown.startedAt = draining, r.server.env.loop.Now()-ago
 }
 
 // peer is the other end of a connection of the server: a client, a machine or the discovery service.
--- a/internal/platform/jsonlines/message.go
+++ b/internal/platform/jsonlines/message.go
@@ -72,9 +72,6 @@
 	return *m.Cause
 }
 
-// CausePtr returns a cause as a message holds it.
-func CausePtr(cause int) *int { return &cause }
-
 // Fields are the named values of a message. Numbers are kept as they were written.
 type Fields map[string]string
 
--- a/internal/platform/machineconns.go
+++ b/internal/platform/machineconns.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"slices"
 
 	"glenport/internal/eventloop"
 	"glenport/internal/platform/connmanager"
@@ -23,26 +22,57 @@
 
 // machineConn is one connection to a machine.
 type machineConn struct {
+	env           *environment
 	machine       *machine
 	conn          *eventloop.Conn
+	state         machineConnState
 	lines         jsonlines.LineSplitter
-	established   bool
 	attempts      map[scheduler.ContainerID]*attempt // that wait for it or are pending on it
 	probes        map[string]*probe                  // by their identifier, until their result
 	onEstablished []func()                           // what waits for the connection to be established
 	running       int                                // running containers whose offers it carried
-	closing       bool                               // half-closed, as nothing is awaited on it
 	lastUsedAt    eventloop.Tick
 }
 
-// idle reports whether no attempt or probe waits for the connection or for an answer on it.
-func (mc *machineConn) idle() bool {
-	return len(mc.attempts)+len(mc.probes)+len(mc.onEstablished) == 0
+// dialMachine opens a connection to a machine.
+func dialMachine(m *machine) *machineConn {
+	mc := &machineConn{
+		env:        m.env,
+		machine:    m,
+		state:      machineConnecting,
+		lines:      jsonlines.LineSplitter{MaxBytes: jsonlines.MaxLineBytes},
+		attempts:   map[scheduler.ContainerID]*attempt{},
+		probes:     map[string]*probe{},
+		lastUsedAt: m.env.loop.Now(),
+	}
+	mc.conn = m.env.loop.Dial(m.addr, mc, machineOutputLimit, m.env.config.ConnectTimeout)
+	return mc
+}
+
+// isBusy reports whether an attempt or a probe waits for the connection or for an answer on it.
+func (mc *machineConn) isBusy() bool {
+	return len(mc.attempts)+len(mc.probes)+len(mc.onEstablished) > 0
+}
+
+// offerCount is the number of attempts that wait for the connection or are pending on it.
+func (mc *machineConn) offerCount() int { return len(mc.attempts) }
+
+func (mc *machineConn) addAttempt(a *attempt) { mc.attempts[a.id()] = a }
+
+func (mc *machineConn) removeAttempt(id scheduler.ContainerID) { delete(mc.attempts, id) }
+
+// attemptAccepted counts a container that is running by an offer which the connection has carried.
+func (mc *machineConn) attemptAccepted(id scheduler.ContainerID) {
+	delete(mc.attempts, id)
+	mc.running++
 }
 
+// runningEnded counts the end of such a container.
+func (mc *machineConn) runningEnded() { mc.running-- }
+
 // whenEstablished calls do once the connection is established, and never where it fails.
 func (mc *machineConn) whenEstablished(do func()) {
-	if mc.established {
+	if mc.isEstablished() {
 		do()
 	} else {
 		mc.onEstablished = append(mc.onEstablished, do)
@@ -52,30 +82,39 @@
 // closeGracefully half-closes an idle connection. The machine may be reporting the end of a container on it at this
 // moment, so reading continues until the machine has closed it too, or halfCloseTimeout has passed.
 func (mc *machineConn) closeGracefully() {
-	if mc.closing {
+	if !mc.isActive() || mc.transition(machineCloseRequested) != nil {
 		return
 	}
-	mc.closing = true
 	mc.conn.CloseWrite()
-	mc.machine.server.loop.After(halfCloseTimeout, mc.conn.Close)
+	mc.env.loop.After(halfCloseTimeout, mc.conn.Close)
+}
+
+// evict closes an idle connection at once, for the descriptor that it holds.
+func (mc *machineConn) evict() {
+	if mc.transition(machineCloseRequested) == nil {
+		mc.conn.Close()
+	}
 }
 
 // send writes a message to the machine, and reports whether it will go out.
 func (mc *machineConn) send(msg *jsonlines.Message) bool {
-	m, s := mc.machine, mc.machine.server
-	line, err := s.encode(msg)
+	line, err := mc.env.encode(msg)
 	if err != nil {
-		s.log.Error("message not sent", "machine", m.id, "error", err)
+		mc.env.log.Error("message not sent", "machine", mc.machine.id, "error", err)
 		return false
 	}
-	s.traceMessage("to machine", string(m.id), msg)
-	mc.lastUsedAt = s.loop.Now()
+	if mc.env.tracing {
+		mc.env.trace("to machine", string(mc.machine.id), msg)
+	}
+	mc.lastUsedAt = mc.env.loop.Now()
 	return mc.conn.Write(line) == nil
 }
 
 // Opened implements eventloop.Handler.
 func (mc *machineConn) Opened(*eventloop.Conn) {
-	mc.established = true
+	if mc.transition(machineConnOpened) != nil {
+		return
+	}
 	mc.machine.recordActivity()
 	waiting := mc.onEstablished
 	mc.onEstablished = nil
@@ -88,150 +127,78 @@
 func (mc *machineConn) Read(conn *eventloop.Conn, data []byte) {
 	mc.machine.recordActivity()
 	if err := mc.lines.Feed(data, mc.handleLine); err != nil {
-		mc.machine.server.log.Debug("machine connection reset", "machine", mc.machine.id, "error", err)
+		mc.env.log.Debug("machine connection reset", "machine", mc.machine.id, "error", err)
 		conn.Reset()
 	}
 }
 
 // Closed implements eventloop.Handler: it ends the attempts and probes on the connection.
 func (mc *machineConn) Closed(_ *eventloop.Conn, err error) {
-	m, s := mc.machine, mc.machine.server
-	m.conns = slices.DeleteFunc(m.conns, func(other *machineConn) bool { return other == mc })
-	s.machineConnCount--
+	last := mc.state
+	if mc.transition(machineConnEnded) != nil {
+		return
+	}
 	mc.onEstablished = nil
-	m.connLost = m.connLost || mc.established && !mc.closing
+	mc.machine.connEnded(mc)
 	notSent := scheduler.OutcomeConnectFailed
 	if errors.Is(err, eventloop.ErrLocalResources) { // not the fault of the machine
 		notSent = scheduler.OutcomeNotSent
 	}
-	if !mc.established && errors.Is(err, unix.ECONNREFUSED) {
-		s.notifyFailureDetector(failuredetector.ConnectionRefused{Machine: string(m.id)})
+	switch last {
+	case machineEstablished:
+		mc.machine.connBroke()
+	case machineConnecting, machineAbandoned:
+		mc.reportRefusal(err)
+	default: // it was closed here
 	}
 	mc.finishAttempts(notSent, err)
-	mc.finishProbes(notSent)
-	m.evictIfGone()
-}
-
-// finishAttempts ends the attempts on a closed connection. A container whose offer was never sent never ran; one whose
-// offer was sent may have run.
-func (mc *machineConn) finishAttempts(notSent scheduler.Outcome, err error) {
-	s := mc.machine.server
-	for _, id := range sortedKeys(mc.attempts) {
-		a, outcome := mc.attempts[id], notSent
-		if a.sent {
-			s.log.Debug("attempt lost with its connection", "request_id", id, "machine", mc.machine.id, "error", err)
-			outcome = scheduler.OutcomeLost
-		}
-		s.finishAttempt(a, scheduler.AttemptEnded{Outcome: outcome, Final: a.container.answered})
-	}
-}
-
-// finishProbes ends the probes on a closed connection.
-func (mc *machineConn) finishProbes(notSent scheduler.Outcome) {
-	outcome := notSent
-	if mc.established {
-		outcome = scheduler.OutcomeLost
-	}
-	for _, id := range sortedKeys(mc.probes) {
-		mc.machine.server.finishProbe(mc.probes[id], outcome, nil)
+	if last == machineEstablished || last == machineClosing {
+		notSent = scheduler.OutcomeLost
 	}
+	mc.finishProbes(notSent)
+	mc.machine.evictIfGone()
 }
 
-// handleLine handles one message. An error resets the connection.
-func (mc *machineConn) handleLine(line []byte) error {
-	msg, err := jsonlines.Decode(line)
-	if err != nil {
-		return err
-	}
-	mc.machine.server.traceMessage("from machine", string(mc.machine.id), msg)
-	switch event := decodeMachineMessage(msg).(type) {
-	case offerAccepted:
-		return mc.handleAccept(event)
-	case containerEnded:
-		mc.handleEnd(event)
-	case usageReported:
-		mc.handleUsage(event)
-	case probeAnswered:
-		mc.handleProbeAnswer(event)
-	}
-	return nil
-}
-
-// handleAccept handles the accept of the attempt that is pending on this connection. Any other accept is ignored.
-func (mc *machineConn) handleAccept(accepted offerAccepted) error {
-	a := mc.machine.attempts[accepted.id]
-	if a == nil || a.running || a.conn != mc {
-		return nil
-	}
-	return mc.machine.server.acceptAttempt(a, accepted)
-}
-
-// handleEnd handles the end of a running container, which is valid on any connection, or the rejection of the attempt
-// that is pending on this one.
-func (mc *machineConn) handleEnd(event containerEnded) {
-	m, s := mc.machine, mc.machine.server
-	a := m.attempts[event.id]
-	if a == nil {
-		// After a start of this process a client may still reclaim the container.
-		s.notifyFailureDetector(failuredetector.UnclaimedTermination{
-			Machine:   string(m.id),
-			RequestID: string(event.id),
-			Cause:     int(event.cause),
-		})
-		return
-	}
-	ended := scheduler.AttemptEnded{Reason: event.reason, Report: event.report}
-	if a.running {
-		ended.Outcome = event.cause.outcomeAfterAccept()
-		s.finishRunning(a, event.cause, ended)
-		return
+// reportRefusal reports that no process listens at the machine's address any more.
+func (mc *machineConn) reportRefusal(err error) {
+	if errors.Is(err, unix.ECONNREFUSED) {
+		mc.env.notifyFailureDetector(failuredetector.ConnectionRefused{Machine: string(mc.machine.id)})
 	}
-	if a.conn != mc {
-		return
-	}
-	ended.Outcome = event.cause.outcomeBeforeAccept()
-	if ended.Outcome == scheduler.OutcomeLost && ended.Reason >= scheduler.ReasonOutOfMemory {
-		s.finishUnaccepted(a, ended)
-		return
-	}
-	s.finishAttempt(a, ended)
 }
 
-// handleUsage forwards a measurement of a container whose offer was sent.
-func (mc *machineConn) handleUsage(report usageReported) {
-	a := mc.machine.attempts[report.id]
-	if a == nil || !a.sent {
-		return
+// finishAttempts ends the attempts on the closed connection.
+func (mc *machineConn) finishAttempts(notSent scheduler.Outcome, err error) {
+	for _, id := range sortedKeys(mc.attempts) {
+		mc.attempts[id].connClosed(notSent, err)
 	}
-	mc.machine.server.notifyScheduler(scheduler.UsageReported{
-		ID:      report.id,
-		Machine: mc.machine.id,
-		Attempt: a.number,
-		Metric:  report.metric,
-		Value:   report.value,
-	})
 }
 
-// handleProbeAnswer ends the probe that is pending on this connection.
-func (mc *machineConn) handleProbeAnswer(answer probeAnswered) {
-	p := mc.probes[answer.id]
-	if p == nil {
-		return
-	}
-	outcome := scheduler.OutcomeErrored
-	if answer.passed {
-		outcome = scheduler.OutcomeFinished
+// finishProbes ends the probes on the closed connection.
+func (mc *machineConn) finishProbes(outcome scheduler.Outcome) {
+	for _, id := range sortedKeys(mc.probes) {
+		mc.probes[id].finish(outcome, nil)
 	}
-	mc.machine.server.finishProbe(p, outcome, answer.report)
 }
 
 // poolState is the state of the connection by which the connection manager decides.
 func (mc *machineConn) poolState(now eventloop.Tick, primary bool) connmanager.MachineConn {
 	return connmanager.MachineConn{
 		Primary:            primary,
-		MachineHasRunning:  mc.machine.running > 0,
+		MachineHasRunning:  mc.machine.hasRunning(),
 		CarriesRunning:     mc.running > 0,
 		IdleFor:            connmanager.Time(now - mc.lastUsedAt),
-		MachineIdleTimeout: connmanager.Time(mc.machine.server.config.MachineIdleTimeout),
+		MachineIdleTimeout: connmanager.Time(mc.env.config.MachineIdleTimeout),
+	}
+}
+
+// evictionCandidate is the connection if it may be evicted.
+func (mc *machineConn) evictionCandidate(now eventloop.Tick, primary bool) evictionCandidate {
+	if mc.isBusy() {
+		return evictionCandidate{}
+	}
+	rank := mc.poolState(now, primary).EvictionRank()
+	if rank < 0 {
+		return evictionCandidate{}
 	}
+	return evictionCandidate{conn: mc, rank: rank, lastUsedAt: mc.lastUsedAt}
 }
--- a/internal/platform/machineconns_test.go
+++ b/internal/platform/machineconns_test.go
@@ -103,8 +103,8 @@
 	for i, id := range []string{requestID, otherRequestID, thirdRequestID} {
 		if i == 2 {
 			r.runOnLoop(func() {
-				for _, mc := range r.server.machines["a"].conns {
-					mc.lastUsedAt -= r.server.config.MachineIdleTimeout / 2
+				for _, mc := range r.server.machines.lookup("a").conns {
+					mc.lastUsedAt -= r.server.env.config.MachineIdleTimeout / 2
 				}
 			})
 		}
@@ -142,7 +142,7 @@
 			t.Fatalf("attempt %d: the client received %+v", i, msg)
 		}
 		r.runOnLoop(func() {
-			most = max(most, r.server.machineConnCount)
+			most = max(most, r.server.machines.pool.open)
 			r.ageMachineConns()
 		})
 	}
@@ -207,7 +207,7 @@
 // ageMachineConns makes it appear on the loop that no connection was used for a second, so that idle ones may be
 // evicted.
 func (r *testServer) ageMachineConns() {
-	for _, m := range r.server.machines {
+	for _, m := range r.server.machines.machines {
 		for _, mc := range m.conns {
 			mc.lastUsedAt -= eventloop.Second
 		}
@@ -239,7 +239,7 @@
 		}
 	})
 	for full := false; !full; {
-		r.runOnLoop(func() { full = len(r.server.clients) >= conns })
+		r.runOnLoop(func() { full = len(r.server.clients.conns) >= conns })
 	}
 	r.runOnLoop(func() { // and now the attempts
 		r.ageMachineConns()
@@ -250,7 +250,7 @@
 	last := scheduler.ContainerID(numberedRequest(machines - 1))
 	await(r, func(e scheduler.RequestReceived) bool { return e.ID == last })
 	r.runOnLoop(func() {
-		if n := r.server.loop.PeakConnCount(); n+14 > descriptors { // that many the program itself may hold
+		if n := r.server.env.loop.PeakConnCount(); n+14 > descriptors { // that many the program itself may hold
 			t.Errorf("%d connections at once, of %d descriptors", n, descriptors)
 		}
 	})
@@ -275,18 +275,18 @@
 	await[scheduler.ProbeCompleted](r, nil)
 	r.runOnLoop(func() {
 		s := r.server
-		z := s.machines["z"]
+		z := s.machines.lookup("z")
 		if z == nil || len(z.conns) != 1 {
 			t.Errorf("machine z is %+v", z)
 			return
 		}
 		z.conns[0].lastUsedAt -= eventloop.Second
-		s.machines["a"].connLost = true
-		others := connmanager.MaxMachineConns(s.config.MaxDescriptors) - s.machineConnCount
-		s.machineConnCount += others
+		s.machines.lookup("a").connLost = true
+		others := connmanager.MaxMachineConns(s.env.config.MaxDescriptors) - s.machines.pool.open
+		s.machines.pool.open += others
 		s.maintain()
-		s.machineConnCount -= others
-		if s.machines["z"] != nil {
+		s.machines.pool.open -= others
+		if s.machines.lookup("z") != nil {
 			t.Error("machine z was not evicted")
 		}
 	})
--- /dev/null
+++ b/internal/platform/machineconnstate.go
@@ -0,0 +1,65 @@
+package platform
+
+import "glenport/internal/platform/statemachine"
+
+// machineConnState is the state of a connection to a machine.
+type machineConnState uint8
+
+const (
+	machineConnecting  machineConnState = iota + 1
+	machineEstablished                  // it carries offers and probes
+	machineAbandoned                    // it is closed here although it was not established yet
+	machineClosing                      // it is closed here, and read until the machine has closed it too
+	machineClosed                       // it has ended
+)
+
+func (s machineConnState) String() string {
+	return [...]string{"none", "connecting", "established", "abandoned", "closing", "closed"}[s]
+}
+
+// machineConnEvent is what changes the state of a connection to a machine.
+type machineConnEvent uint8
+
+const (
+	machineConnOpened machineConnEvent = iota + 1
+	machineCloseRequested
+	machineConnEnded
+)
+
+func (e machineConnEvent) String() string {
+	return [...]string{"none", "opened", "close requested", "ended"}[e]
+}
+
+// A connection that is closing may be evicted, which requests its close once more.
+var machineConnTransitions = statemachine.Table[machineConnState, machineConnEvent]{
+	machineConnecting: {
+		machineConnOpened:     machineEstablished,
+		machineCloseRequested: machineAbandoned,
+		machineConnEnded:      machineClosed,
+	},
+	machineEstablished: {machineCloseRequested: machineClosing, machineConnEnded: machineClosed},
+	machineAbandoned: {
+		machineConnOpened:     machineClosing,
+		machineCloseRequested: machineAbandoned,
+		machineConnEnded:      machineClosed,
+	},
+	machineClosing: {machineCloseRequested: machineClosing, machineConnEnded: machineClosed},
+}
+
+// transition is the only place where the state of a connection to a machine changes.
+func (mc *machineConn) transition(event machineConnEvent) error {
+	next, err := machineConnTransitions.Next(mc.state, event)
+	if err != nil {
+		mc.env.reportIllegal(err, "machine", mc.machine.id)
+		return err
+	}
+	mc.state = next
+	return nil
+}
+
+// isActive reports whether the connection is established or being established, and not closing.
+func (mc *machineConn) isActive() bool {
+	return mc.state == machineConnecting || mc.state == machineEstablished
+}
+
+func (mc *machineConn) isEstablished() bool { return mc.state == machineEstablished }
--- a/internal/platform/machinemessages.go
+++ b/internal/platform/machinemessages.go
@@ -91,8 +91,9 @@
 			passed: msg.CauseOrNone() == jsonlines.CauseTestPassed,
 			report: decodeLoadReport(msg.Fields["load"]),
 		}
+	default:
+		return nil
 	}
-	return nil
 }
 
 // decodeLoadReport reads a list of name:value pairs. Values that are no numbers are left out.
@@ -101,7 +102,7 @@
 		return nil
 	}
 	report := scheduler.LoadReport{}
-	for _, pair := range strings.Split(text, ";") {
+	for pair := range strings.SplitSeq(text, ";") {
 		name, number, _ := strings.Cut(pair, ":")
 		if value, err := strconv.ParseFloat(number, 64); err == nil {
 			report[name] = value
@@ -140,7 +141,7 @@
 
 // probeMessage asks a machine for its load report.
 func probeMessage(id string) *jsonlines.Message {
-	return &jsonlines.Message{Op: jsonlines.OpTest, RequestID: id, Cause: jsonlines.CausePtr(jsonlines.CauseTestPassed)}
+	return &jsonlines.Message{Op: jsonlines.OpTest, RequestID: id, Cause: new(jsonlines.CauseTestPassed)}
 }
 
 // probeID makes the identifier of the probe with a number.
--- /dev/null
+++ b/internal/platform/machineregistry.go
@@ -0,0 +1,161 @@
+package platform
+
+import (
+	"iter"
+	"slices"
+
+	"glenport/internal/eventloop"
+	"glenport/internal/platform/failuredetector"
+	"glenport/scheduler"
+)
+
+// machineRegistry holds the machines, and which of them is at an address.
+type machineRegistry struct {
+	env      *environment
+	pool     *machineConnPool
+	machines map[scheduler.MachineID]*machine // until gone from the list and without work
+	atAddr   map[string]scheduler.MachineID   // the machine that is at an address, until it is gone
+}
+
+func newMachineRegistry(env *environment) *machineRegistry {
+	r := &machineRegistry{
+		env:      env,
+		machines: map[scheduler.MachineID]*machine{},
+		atAddr:   map[string]scheduler.MachineID{},
+	}
+	r.pool = &machineConnPool{env: env, machines: r}
+	return r
+}
+
+func (r *machineRegistry) lookup(id scheduler.MachineID) *machine { return r.machines[id] }
+
+// getOrAdd returns the machine with an identifier. One that no list has named yet counts as gone.
+func (r *machineRegistry) getOrAdd(id scheduler.MachineID) *machine {
+	m := r.machines[id]
+	if m == nil {
+		m = &machine{
+			env:      r.env,
+			registry: r,
+			pool:     r.pool,
+			id:       id,
+			state:    scheduler.MachineGone,
+			attempts: map[scheduler.ContainerID]*attempt{},
+		}
+		r.machines[id] = m
+	}
+	return m
+}
+
+func (r *machineRegistry) count() int { return len(r.machines) }
+
+// sorted yields the machines by identifier, without those that are removed meanwhile.
+func (r *machineRegistry) sorted() iter.Seq[*machine] {
+	return func(yield func(*machine) bool) {
+		for _, id := range sortedKeys(r.machines) {
+			if m := r.machines[id]; m != nil && !yield(m) {
+				return
+			}
+		}
+	}
+}
+
+// remove removes a machine, unless another one has its identifier meanwhile.
+func (r *machineRegistry) remove(m *machine) {
+	if r.machines[m.id] == m {
+		delete(r.machines, m.id)
+	}
+}
+
+func (r *machineRegistry) claimAddr(m *machine) { r.atAddr[m.addr] = m.id }
+
+// releaseAddr removes a machine from its address, unless another machine is there already.
+func (r *machineRegistry) releaseAddr(m *machine) {
+	if r.atAddr[m.addr] == m.id {
+		delete(r.atAddr, m.addr)
+	}
+}
+
+// applyUpdate applies an event of the discovery service to the machines and forwards it to the scheduler.
+func (r *machineRegistry) applyUpdate(mode scheduler.UpdateMode, event watchEvent) {
+	list := scheduler.MachineListUpdate{Mode: mode, Version: event.version}
+	if mode == scheduler.DeltaUpdate && event.fullSnapshot {
+		list.Mode = scheduler.FullSnapshot
+	}
+	var touched []*machine
+	if event.fullSnapshot {
+		touched = r.markAllGone()
+	}
+	for _, update := range event.machines {
+		m := r.getOrAdd(update.entry.Machine)
+		touched = append(touched, m)
+		if predecessor := r.predecessor(update); predecessor != nil {
+			list.Entries = append(list.Entries, predecessor.replaced())
+			touched = append(touched, predecessor)
+		}
+		m.apply(update)
+		list.Entries = append(list.Entries, update.entry)
+	}
+	r.env.notifyScheduler(list)
+	for _, m := range touched {
+		m.finishUpdate()
+	}
+}
+
+// markAllGone marks all machines as gone; a full snapshot then names those that are not.
+func (r *machineRegistry) markAllGone() []*machine {
+	all := slices.Collect(r.sorted())
+	for _, m := range all {
+		m.leftOut()
+	}
+	return all
+}
+
+// predecessor returns the machine at whose address an update names another one; nil if there is none. The list may
+// report it as gone only later, but offers to it would reach its successor and exceed the slow-start budget of that.
+func (r *machineRegistry) predecessor(update machineUpdate) *machine {
+	old := r.machines[r.atAddr[update.addr]]
+	if old == nil || old.id == update.entry.Machine || update.entry.State == scheduler.MachineGone {
+		return nil
+	}
+	return old
+}
+
+// maintainConns closes idle connections and replaces broken ones, machine by machine.
+func (r *machineRegistry) maintainConns(now eventloop.Tick) {
+	for m := range r.sorted() { // one may be evicted when another machine needs a connection
+		m.maintainConns(now)
+	}
+}
+
+// disconnect closes the connections to a machine on which nothing is awaited.
+func (r *machineRegistry) disconnect(id scheduler.MachineID) {
+	if m := r.machines[id]; m != nil {
+		m.closeIdleConns()
+	}
+}
+
+// connectForLiveness opens a connection and sends nothing on it. A machine that is alive accepts it.
+func (r *machineRegistry) connectForLiveness(action failuredetector.Connect) {
+	if m := r.machines[scheduler.MachineID(action.Machine)]; m != nil && m.hasAddr() {
+		m.connect() // nil where there may be no more connections: the detector asks again
+	}
+}
+
+// finishReclaimed ends a container whose machine had reported its end before a client reclaimed it.
+func (r *machineRegistry) finishReclaimed(action failuredetector.ReportTermination) {
+	m := r.machines[scheduler.MachineID(action.Machine)]
+	if m == nil {
+		return
+	}
+	if a := m.attempt(scheduler.ContainerID(action.RequestID)); a != nil {
+		cause := terminationCause(action.Cause)
+		a.finishRunning(cause, scheduler.AttemptEnded{Outcome: cause.outcomeAfterAccept()})
+	}
+}
+
+// declareLost ends the containers of a machine that is silent or refuses connections.
+func (r *machineRegistry) declareLost(action failuredetector.DeclareLost) {
+	if m := r.machines[scheduler.MachineID(action.Machine)]; m != nil {
+		m.declareLost(eventloop.Tick(action.SilentFor))
+	}
+}
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -1,6 +1,8 @@
 package platform
 
 import (
+	"slices"
+
 	"glenport/internal/eventloop"
 	"glenport/internal/platform/failuredetector"
 	"glenport/scheduler"
@@ -10,7 +12,9 @@
 // connections. An offer has a connection of its own as long as there are enough, so that an answer that cannot be read
 // harms no other.
 type machine struct {
-	server    *Server
+	env       *environment
+	registry  *machineRegistry
+	pool      *machineConnPool
 	id        scheduler.MachineID
 	addr      string
 	entry     scheduler.MachineEntry // of the last update; without an identifier where no list has named the machine
@@ -19,43 +23,47 @@
 	conns     []*machineConn
 	attempts  map[scheduler.ContainerID]*attempt // pending, or running there
 	running   int                                // containers
-	// while containers run: the machine repeats its reports on the next connection
-	connLost bool
+	connLost  bool                               // while containers run: it repeats its reports on the next connection
 }
 
-// machineByID returns the machine with an identifier. One that no list has named yet counts as gone.
-func (s *Server) machineByID(id scheduler.MachineID) *machine {
-	m := s.machines[id]
-	if m == nil {
-		m = &machine{server: s, id: id, state: scheduler.MachineGone, attempts: map[scheduler.ContainerID]*attempt{}}
-		s.machines[id] = m
-	}
-	return m
-}
+// isListed reports whether the machine list has named the machine.
+func (m *machine) isListed() bool { return m.entry.Machine != "" }
+
+func (m *machine) isGone() bool { return m.state == scheduler.MachineGone }
+
+// isServing reports whether the machine takes new containers.
+func (m *machine) isServing() bool { return m.state == scheduler.MachineServing }
+
+func (m *machine) hasAddr() bool { return m.addr != "" }
+
+func (m *machine) attempt(id scheduler.ContainerID) *attempt { return m.attempts[id] }
+
+func (m *machine) addAttempt(a *attempt) { m.attempts[a.id()] = a }
 
-// listed reports whether the machine list has named the machine.
-func (m *machine) listed() bool { return m.entry.Machine != "" }
+func (m *machine) removeAttempt(id scheduler.ContainerID) { delete(m.attempts, id) }
 
 // runs reports whether a container with an idempotency key is running at the machine.
 func (m *machine) runs(idempotencyKey string) bool {
 	for _, a := range m.attempts {
-		if a.running && a.container.request.IdempotencyKey == idempotencyKey {
+		if a.isRunning() && a.hasKey(idempotencyKey) {
 			return true
 		}
 	}
 	return false
 }
 
+func (m *machine) hasRunning() bool { return m.running > 0 }
+
 // addRunning changes the count of containers that are running at the machine.
 func (m *machine) addRunning(n int) {
 	m.running += n
-	m.server.notifyFailureDetector(failuredetector.RunningCountChanged{Machine: string(m.id), Count: m.running})
+	m.env.notifyFailureDetector(failuredetector.RunningCountChanged{Machine: string(m.id), Count: m.running})
 }
 
 // recordActivity reports activity of the machine to the failure detector.
 func (m *machine) recordActivity() {
 	if m.running > 0 {
-		m.server.notifyFailureDetector(failuredetector.ActivityObserved{Machine: string(m.id)})
+		m.env.notifyFailureDetector(failuredetector.ActivityObserved{Machine: string(m.id)})
 	}
 }
 
@@ -63,24 +71,69 @@
 // earlier incarnation of it.
 func (m *machine) failRunning(before eventloop.Tick) {
 	for _, id := range sortedKeys(m.attempts) {
-		if a := m.attempts[id]; a.running && a.createdAt <= before {
-			m.server.finishRunning(a, causeLost, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost})
+		if a := m.attempts[id]; a.isRunning() && a.wasMadeBy(before) {
+			a.finishRunning(causeLost, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost})
 		}
 	}
 }
 
+// declareLost ends the containers of the machine, which was silent for a time or, after none, refuses connections.
+func (m *machine) declareLost(silentFor eventloop.Tick) {
+	m.env.log.Info("machine lost",
+		"machine", m.id, "running", m.running, "silent_ms", int64(silentFor/eventloop.Millisecond))
+	m.failRunning(m.env.loop.Now())
+}
+
+// apply applies an update to the machine. Containers of an earlier incarnation are lost.
+func (m *machine) apply(update machineUpdate) {
+	entry := update.entry
+	if m.addr != update.addr && update.addr != "" {
+		m.releaseAddr()
+	}
+	if m.addr != update.addr && m.addr != "" || m.startedAt != entry.StartedAt {
+		m.closeIdleConns()
+	}
+	if update.addr != "" {
+		m.addr = update.addr
+	}
+	m.entry = entry
+	if entry.State == scheduler.MachineGone {
+		m.releaseAddr()
+	} else {
+		m.registry.claimAddr(m)
+	}
+	m.state, m.startedAt = entry.State, entry.StartedAt
+	if m.startedAt > 0 {
+		m.failRunning(eventloop.Tick(m.startedAt))
+	}
+}
+
+// replaced marks the machine as gone, as another one is at its address. It returns its entry for the scheduler.
+func (m *machine) replaced() scheduler.MachineEntry {
+	m.state, m.entry.State = scheduler.MachineGone, scheduler.MachineGone
+	m.closeIdleConns()
+	return m.entry
+}
+
+// leftOut marks the machine as gone until the full snapshot that is being applied names it.
+func (m *machine) leftOut() { m.state = scheduler.MachineGone }
+
+// finishUpdate ends the containers of a machine that is gone by an event, or because a full snapshot left it out.
+func (m *machine) finishUpdate() {
+	if m.isGone() {
+		m.failRunning(m.env.loop.Now())
+		m.releaseAddr()
+	}
+	m.evictIfGone()
+}
+
+func (m *machine) releaseAddr() { m.registry.releaseAddr(m) }
+
 // evictIfGone removes a machine that is gone and has no work.
 func (m *machine) evictIfGone() {
-	if m.state != scheduler.MachineGone || len(m.attempts) > 0 {
+	if !m.isGone() || len(m.attempts) > 0 || slices.ContainsFunc(m.conns, (*machineConn).isBusy) {
 		return
 	}
-	for _, mc := range m.conns {
-		if !mc.idle() {
-			return
-		}
-	}
 	m.closeIdleConns()
-	if m.server.machines[m.id] == m {
-		delete(m.server.machines, m.id)
-	}
+	m.registry.remove(m)
 }
--- a/internal/platform/messages.go
+++ b/internal/platform/messages.go
@@ -22,8 +22,9 @@
 		return scheduler.OutcomeFinished
 	case causeCancelled:
 		return scheduler.OutcomeStopped
+	default:
+		return scheduler.OutcomeLost
 	}
-	return scheduler.OutcomeLost
 }
 
 // outcomeBeforeAccept is what became of an attempt that a machine did not accept.
@@ -38,42 +39,12 @@
 	case causeFinished:
 		// The request's time has passed. The container may have run, as after a loss, but the machine is healthy.
 		return scheduler.OutcomeFinished
+	default:
+		return scheduler.OutcomeLost
 	}
-	return scheduler.OutcomeLost
 }
 
 // endMessage makes a message that a container or offer has ended, or is to end.
 func endMessage(id scheduler.ContainerID, cause int) *jsonlines.Message {
-	return &jsonlines.Message{Op: jsonlines.OpEnd, RequestID: string(id), Cause: jsonlines.CausePtr(cause)}
-}
-
-// encode returns a message as a line, which is valid until the next call.
-func (s *Server) encode(msg *jsonlines.Message) ([]byte, error) {
-	var err error
-	s.encodeBuffer, err = jsonlines.Append(s.encodeBuffer[:0], msg)
-	return s.encodeBuffer, err
-}
-
-// traceMessage logs a message if tracing is on.
-func (s *Server) traceMessage(direction, peer string, msg *jsonlines.Message) {
-	if !s.traceMessages {
-		return
-	}
-	s.log.Info(
-		"message",
-		"time",
-		s.loop.Now(),
-		"direction",
-		direction,
-		"peer",
-		peer,
-		"op",
-		msg.Op,
-		"request_id",
-		msg.RequestID,
-		"fields",
-		msg.Fields,
-		"cause",
-		msg.CauseOrNone(),
-	)
+	return &jsonlines.Message{Op: jsonlines.OpEnd, RequestID: string(id), Cause: new(cause)}
 }
--- a/internal/platform/probes.go
+++ b/internal/platform/probes.go
@@ -7,6 +7,29 @@
 
 const probeTimeout = eventloop.Second
 
+// prober starts liveness tests of machines.
+type prober struct {
+	env        *environment
+	machines   *machineRegistry
+	lastNumber uint64
+}
+
+// start tests a machine. Invariant: every probe has exactly one result, reported by probe.finish once it has a
+// connection.
+func (p *prober) start(id scheduler.MachineID) {
+	m := p.machines.getOrAdd(id)
+	var mc *machineConn
+	if m.hasAddr() {
+		mc = m.acquireConn()
+	}
+	if mc == nil {
+		p.env.notifyScheduler(scheduler.ProbeCompleted{Machine: id, Outcome: scheduler.OutcomeNotSent})
+		return
+	}
+	p.lastNumber++
+	mc.startProbe(probeID(p.lastNumber))
+}
+
 // probe is a pending liveness test of a machine.
 type probe struct {
 	id     string
@@ -15,36 +38,26 @@
 	sentAt eventloop.Tick
 }
 
-// startProbe tests a machine. Invariant: every probe has exactly one result, reported by finishProbe once it has a
-// connection.
-func (s *Server) startProbe(id scheduler.MachineID) {
-	m := s.machineByID(id)
-	if m.addr == "" {
-		s.notifyScheduler(scheduler.ProbeCompleted{Machine: id, Outcome: scheduler.OutcomeNotSent})
-		return
-	}
-	mc := m.acquireConn()
-	if mc == nil {
-		s.notifyScheduler(scheduler.ProbeCompleted{Machine: id, Outcome: scheduler.OutcomeNotSent})
-		return
-	}
-	s.lastProbeNumber++
-	p := &probe{id: probeID(s.lastProbeNumber), conn: mc, sentAt: s.loop.Now()}
-	mc.probes[p.id] = p
-	p.timer = s.loop.After(probeTimeout, func() { s.finishProbe(p, scheduler.OutcomeTimedOut, nil) })
-	mc.whenEstablished(func() { mc.send(probeMessage(p.id)) })
+// startProbe sends a probe once the connection is established.
+func (mc *machineConn) startProbe(id string) {
+	p := &probe{id: id, conn: mc, sentAt: mc.env.loop.Now()}
+	mc.probes[id] = p
+	p.timer = mc.env.loop.After(probeTimeout, func() { p.finish(scheduler.OutcomeTimedOut, nil) })
+	mc.whenEstablished(func() { mc.send(probeMessage(id)) })
 }
 
-func (s *Server) finishProbe(p *probe, outcome scheduler.Outcome, report scheduler.LoadReport) {
-	if p.conn.probes[p.id] != p {
+// finish ends the probe with its one result.
+func (p *probe) finish(outcome scheduler.Outcome, report scheduler.LoadReport) {
+	env, mc := p.conn.env, p.conn
+	if mc.probes[p.id] != p {
 		return
 	}
-	delete(p.conn.probes, p.id)
-	s.loop.Cancel(p.timer)
-	s.notifyScheduler(scheduler.ProbeCompleted{
-		Machine: p.conn.machine.id,
+	delete(mc.probes, p.id)
+	env.loop.Cancel(p.timer)
+	env.notifyScheduler(scheduler.ProbeCompleted{
+		Machine: mc.machine.id,
 		Outcome: outcome,
-		Elapsed: s.elapsedSince(p.sentAt),
+		Elapsed: env.elapsedSince(p.sentAt),
 		Report:  report,
 	})
 }
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -1,14 +1,7 @@
-// Package platform runs one scheduler behind the platform's protocol.
-//
-// Messages of clients and machines, and events of the discovery service, become events of the scheduler, and the
-// actions that it returns are carried out in their order. The process itself decides nothing: package scheduler decides
-// on placement, connmanager on connections and notifications, failuredetector on machines that have fallen silent. The
-// words of the wire end in clientmessages.go, machinemessages.go, watchevents.go and config.go.
-//
-// The goroutine of the event loop owns all state. Shutdown, Reload and HandleSignals may be called on any goroutine.
 package platform
 
 import (
+	"fmt"
 	"log/slog"
 
 	"glenport/internal/eventloop"
@@ -25,162 +18,125 @@
 
 const maintenanceInterval = eventloop.Second / 4
 
-// Server is one incarnation of a scheduler on the platform.
+// Server is one incarnation of a scheduler on the platform. It wires the parts below to the event loop, and carries out
+// the actions of the packages that decide (actions.go).
 type Server struct {
-	config        *Config
-	log           *slog.Logger
-	traceMessages bool
-	loop          *eventloop.Loop
-	listener      *eventloop.Listener
-	encodeBuffer  []byte // reused by encode
-
-	scheduler             Scheduler
-	connManager           *connmanager.Manager
-	failureDetector       *failuredetector.Detector
-	schedulerEvents       []scheduler.Event
-	connManagerEvents     []connmanager.Event     // handled after those of the scheduler
-	failureDetectorEvents []failuredetector.Event // handled last
-
-	containers    map[scheduler.ContainerID]*container // until answered and without an attempt
-	machines      map[scheduler.MachineID]*machine     // until gone from the list and without work
-	machineAtAddr map[string]scheduler.MachineID       // the machine that is at an address, until it is gone
-	clients       map[connmanager.ClientID]*clientConn // until their connection ends
-	discovery     discoveryWatch
-
-	lastProbeNumber  uint64
-	lastClientID     connmanager.ClientID
-	unanswered       int // containers whose request awaits its answer
-	machineConnCount int // connections to machines, those that are closing included
-
-	shuttingDown      bool
-	shutdownStartedAt eventloop.Tick
+	env        *environment
+	listener   *eventloop.Listener
+	clients    *clientRegistry
+	containers *containerRegistry
+	machines   *machineRegistry
+	prober     *prober
+	discovery  *discoveryWatch
+	shutdown   *shutdownSequence
 }
 
 // New makes a server and opens its listener. Its resources are freed by Run.
 func New(config *Config, decisions Scheduler, log *slog.Logger, traceMessages bool) (*Server, error) {
-	s := &Server{
-		config:          config,
-		log:             log,
-		traceMessages:   traceMessages,
-		scheduler:       decisions,
-		connManager:     connmanager.New(config.MaxDescriptors),
-		failureDetector: failuredetector.New(),
-		containers:      map[scheduler.ContainerID]*container{},
-		machines:        map[scheduler.MachineID]*machine{},
-		machineAtAddr:   map[string]scheduler.MachineID{},
-		clients:         map[connmanager.ClientID]*clientConn{},
-	}
-	s.discovery = discoveryWatch{server: s, addr: config.DiscoveryAddr, lastOffset: config.LastOffset}
+	s := newServer(&environment{config: config, log: log, tracing: traceMessages})
+	s.connectDecisions(decisions)
 	var err error
-	if s.loop, err = eventloop.New(s.iterate); err != nil {
-		return nil, err
+	if s.env.loop, err = eventloop.New(s.iterate); err != nil {
+		return nil, fmt.Errorf("event loop: %w", err)
 	}
-	if s.listener, err = s.loop.Listen(
-		config.ListenAddr,
-		s.accept,
-		s.loop.AcceptStateLogger(log, "clients"),
-	); err != nil {
-		s.loop.Stop()
-		_ = s.loop.Run() // only frees what the loop holds; the error of Listen is the one to report
+	onAcceptState := s.env.loop.AcceptStateLogger(log, "clients")
+	if s.listener, err = s.env.loop.Listen(config.ListenAddr, s.clients.accept, onAcceptState); err != nil {
+		s.env.loop.Stop()
+		_ = s.env.loop.Run() // only frees what the loop holds; the error of Listen is the one to report
 		return nil, err
 	}
 	return s, nil
 }
 
+// newServer makes the parts of a server and acquaints them with each other.
+func newServer(env *environment) *Server {
+	machines := newMachineRegistry(env)
+	containers := newContainerRegistry(env, machines)
+	shutdown := newShutdownSequence(env, containers)
+	return &Server{
+		env:        env,
+		clients:    newClientRegistry(env, containers, shutdown),
+		containers: containers,
+		machines:   machines,
+		prober:     &prober{env: env, machines: machines},
+		discovery:  newDiscoveryWatch(env, machines),
+		shutdown:   shutdown,
+	}
+}
+
+// connectDecisions connects the queues of events to the packages that decide, and these to what carries out their
+// actions.
+func (s *Server) connectDecisions(decisions Scheduler) {
+	s.env.schedulerQueue.handle = func(now eventloop.Tick, events []scheduler.Event) []scheduler.Action {
+		return decisions.Handle(scheduler.Time(now), events)
+	}
+	s.env.schedulerQueue.apply = s.applySchedulerAction
+	connManager := connmanager.New(s.env.config.MaxDescriptors)
+	s.env.connManagerQueue.handle = func(now eventloop.Tick, events []connmanager.Event) []connmanager.Action {
+		return connManager.Handle(connmanager.Time(now), events)
+	}
+	s.env.connManagerQueue.apply = s.applyConnAction
+	detector := failuredetector.New()
+	s.env.failureDetectorQueue.handle = func(
+		now eventloop.Tick, events []failuredetector.Event,
+	) []failuredetector.Action {
+		return detector.Handle(failuredetector.Time(now), events)
+	}
+	s.env.failureDetectorQueue.apply = s.applyDetectorAction
+}
+
 // Addr is the address on which clients are accepted.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Run serves until a shutdown is complete.
 func (s *Server) Run() error {
-	s.loop.Post(s.start)
-	return s.loop.Run()
+	s.env.loop.Post(s.start)
+	return s.env.loop.Run()
 }
 
 // start passes the machines that the configuration knows to the scheduler, and begins to watch for changes.
 func (s *Server) start() {
-	s.log.Info("scheduler started", "name", s.config.Name, "address", s.Addr(), "last_offset", s.config.LastOffset)
-	for i, event := range s.config.KnownEvents {
+	config := s.env.config
+	s.env.log.Info("scheduler started", "name", config.Name, "address", s.Addr(), "last_offset", config.LastOffset)
+	for i, event := range config.KnownEvents {
 		mode := scheduler.DeltaUpdate
 		if i == 0 {
 			mode = scheduler.RestoredSnapshot
 		}
-		s.applyUpdate(mode, event)
+		s.machines.applyUpdate(mode, event)
 	}
-	if len(s.config.KnownEvents) == 0 {
-		s.notifyScheduler(scheduler.MachineListUpdate{Mode: scheduler.RestoredSnapshot})
+	if len(config.KnownEvents) == 0 {
+		s.env.notifyScheduler(scheduler.MachineListUpdate{Mode: scheduler.RestoredSnapshot})
 	}
 	s.discovery.connect()
-	s.loop.After(maintenanceInterval, s.maintain)
+	s.env.loop.After(maintenanceInterval, s.maintain)
 }
 
 // iterate runs once in each iteration of the event loop, after all input has been turned into events.
 func (s *Server) iterate() {
-	s.runScheduler()
-	s.runConnManager()
-	s.runFailureDetector()
-	if len(s.schedulerEvents)+len(s.connManagerEvents)+len(s.failureDetectorEvents) > 0 {
-		s.loop.SkipWait()
-		return
-	}
-	s.stopIfDrained()
-}
-
-func (s *Server) runScheduler() {
-	events := s.schedulerEvents
-	if len(events) == 0 {
-		return
-	}
-	s.schedulerEvents = nil
-	for _, action := range s.scheduler.Handle(scheduler.Time(s.loop.Now()), events) {
-		s.applySchedulerAction(action)
-	}
-}
-
-func (s *Server) runConnManager() {
-	events := s.connManagerEvents
-	if len(events) == 0 {
-		return
-	}
-	s.connManagerEvents = nil
-	for _, action := range s.connManager.Handle(connmanager.Time(s.loop.Now()), events) {
-		s.applyConnAction(action)
-	}
-}
-
-func (s *Server) runFailureDetector() {
-	events := s.failureDetectorEvents
-	if len(events) == 0 {
+	if s.env.runDecisions() {
+		s.env.loop.SkipWait()
 		return
 	}
-	s.failureDetectorEvents = nil
-	for _, action := range s.failureDetector.Handle(failuredetector.Time(s.loop.Now()), events) {
-		s.applyDetectorAction(action)
-	}
-}
-
-func (s *Server) notifyScheduler(e scheduler.Event) {
-	s.schedulerEvents = append(s.schedulerEvents, e)
-}
-
-func (s *Server) notifyConnManager(e connmanager.Event) {
-	s.connManagerEvents = append(s.connManagerEvents, e)
-}
-
-func (s *Server) notifyFailureDetector(e failuredetector.Event) {
-	s.failureDetectorEvents = append(s.failureDetectorEvents, e)
+	s.shutdown.stopIfDrained()
 }
 
 // maintain runs every maintenanceInterval.
 func (s *Server) maintain() {
-	s.loop.After(maintenanceInterval, s.maintain)
-	now := s.loop.Now()
-	s.notifyConnManager(connmanager.Tick{})
-	s.notifyFailureDetector(failuredetector.Tick{})
-	for _, id := range sortedKeys(s.machines) {
-		if m := s.machines[id]; m != nil { // it may have been evicted when another machine needed a connection
-			m.maintainConns(now)
-		}
-	}
+	s.env.loop.After(maintenanceInterval, s.maintain)
+	now := s.env.loop.Now()
+	s.env.notifyConnManager(connmanager.Tick{})
+	s.env.notifyFailureDetector(failuredetector.Tick{})
+	s.machines.maintainConns(now)
 	s.discovery.resetIfSilent(now)
-	s.cutOpenAttemptsIfDue(now)
+	s.shutdown.forceAnswersIfDue(now)
+}
+
+// Shutdown makes Run return once every request is answered. Until then requests are handled as before, but liveness
+// tests fail. Any goroutine may call it; only the first call has an effect.
+func (s *Server) Shutdown() { s.env.loop.Post(s.shutdown.start) }
+
+// Reload takes the address of the discovery service from a new configuration. Any goroutine may call it.
+func (s *Server) Reload(config *Config) {
+	s.env.loop.Post(func() { s.discovery.moveTo(config.DiscoveryAddr) })
 }
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -3,57 +3,124 @@
 import (
 	"glenport/internal/eventloop"
 	"glenport/internal/platform/connmanager"
-	"glenport/scheduler"
+	"glenport/internal/platform/statemachine"
 )
 
-// Shutdown makes Run return once every request is answered. Until then requests are handled as before, but liveness
-// tests fail. Any goroutine may call it; only the first call has an effect.
-func (s *Server) Shutdown() {
-	s.loop.Post(func() {
-		if s.shuttingDown {
-			return
-		}
-		s.shuttingDown, s.shutdownStartedAt = true, s.loop.Now()
-		s.log.Info("shutdown started", "containers", len(s.containers))
-	})
+// shutdownSequence ends the process once every request is answered.
+type shutdownSequence struct {
+	env        *environment
+	containers *containerRegistry
+	state      shutdownState
+	startedAt  eventloop.Tick // of the shutdown
+}
+
+// shutdownState is the state of the process.
+type shutdownState uint8
+
+const (
+	serving  shutdownState = iota + 1
+	draining               // a shutdown has started, and open requests are waited for
+	forcing                // the kill by the platform is near: open requests are answered
+	drained                // nothing is open, and the process ends unless something has arrived meanwhile
+)
+
+func (s shutdownState) String() string {
+	return [...]string{"none", "serving", "draining", "forcing", "drained"}[s]
+}
+
+// shutdownEvent is what changes the state of the process.
+type shutdownEvent uint8
+
+const (
+	shutdownRequested shutdownEvent = iota + 1
+	killApproached
+	drainCompleted
+	drainResumed // a request has arrived in the last iteration
+)
+
+func (e shutdownEvent) String() string {
+	return [...]string{"none", "shutdown requested", "kill approached", "drain completed", "drain resumed"}[e]
+}
+
+var shutdownTransitions = statemachine.Table[shutdownState, shutdownEvent]{
+	serving:  {shutdownRequested: draining},
+	draining: {killApproached: forcing, drainCompleted: drained},
+	forcing:  {killApproached: forcing, drainCompleted: drained},
+	drained:  {killApproached: forcing, drainCompleted: drained, drainResumed: draining},
+}
+
+func newShutdownSequence(env *environment, containers *containerRegistry) *shutdownSequence {
+	return &shutdownSequence{env: env, containers: containers, state: serving}
+}
+
+// transition is the only place where the state of the process changes.
+func (s *shutdownSequence) transition(event shutdownEvent) error {
+	next, err := shutdownTransitions.Next(s.state, event)
+	if err != nil {
+		s.env.reportIllegal(err, "name", s.env.config.Name)
+		return err
+	}
+	s.state = next
+	return nil
+}
+
+// inProgress reports whether a shutdown has started.
+func (s *shutdownSequence) inProgress() bool { return s.state != serving }
+
+// start begins a shutdown. Repeated requests have no effect.
+func (s *shutdownSequence) start() {
+	if s.inProgress() || s.transition(shutdownRequested) != nil {
+		return
+	}
+	s.startedAt = s.env.loop.Now()
+	s.env.log.Info("shutdown started", "containers", s.containers.count())
 }
 
 // stopIfDrained ends Run when a shutdown is complete. Invariant: no request is lost. It is therefore called only in an
 // iteration that has handled all its input, and nothing is read between it and the exit.
-func (s *Server) stopIfDrained() {
-	if !s.shuttingDown ||
-		connmanager.ShouldKeepDraining(s.sinceShutdown(s.loop.Now()), s.unanswered, s.longestDeadline()) {
+func (s *shutdownSequence) stopIfDrained() {
+	if !s.inProgress() {
+		return
+	}
+	elapsed := s.elapsed(s.env.loop.Now())
+	if connmanager.ShouldKeepDraining(elapsed, s.containers.unansweredCount(), s.longestDeadline()) {
+		s.resume()
 		return
 	}
-	s.log.Info("shutdown complete", "running", len(s.containers), "max_connections", s.loop.PeakConnCount())
-	s.loop.StopWhenIdle()
+	if s.transition(drainCompleted) != nil {
+		return
+	}
+	s.env.log.Info("shutdown complete",
+		"running", s.containers.count(), "max_connections", s.env.loop.PeakConnCount())
+	s.env.loop.StopWhenIdle()
 }
 
-// cutOpenAttemptsIfDue ends the attempts of unanswered requests shortly before the platform kills the process.
-func (s *Server) cutOpenAttemptsIfDue(now eventloop.Tick) {
-	if s.shuttingDown && connmanager.ShouldForceAnswers(s.sinceShutdown(now), s.longestDeadline()) {
-		s.cutOpenAttempts()
+// resume continues the drain where a request has arrived since it was complete.
+func (s *shutdownSequence) resume() {
+	if s.state == drained {
+		_ = s.transition(drainResumed) // logged
 	}
 }
 
-// cutOpenAttempts ends the attempts of unanswered requests. The scheduler then answers each, as after its own deadline.
-func (s *Server) cutOpenAttempts() {
-	for _, id := range sortedKeys(s.containers) {
-		if c := s.containers[id]; !c.answered && c.attempt != nil {
-			s.cancelOffer(c.attempt)
-			s.finishAttempt(c.attempt, scheduler.AttemptEnded{Outcome: scheduler.OutcomeFinished})
-		}
+// forceAnswersIfDue ends the attempts of unanswered requests shortly before the platform kills the process.
+func (s *shutdownSequence) forceAnswersIfDue(now eventloop.Tick) {
+	if !s.inProgress() || !connmanager.ShouldForceAnswers(s.elapsed(now), s.longestDeadline()) {
+		return
+	}
+	if s.transition(killApproached) == nil {
+		s.containers.cutOpenAttempts()
 	}
 }
 
-func (s *Server) sinceShutdown(now eventloop.Tick) connmanager.Time {
-	return connmanager.Time(now - s.shutdownStartedAt)
+// elapsed is the time since the shutdown started.
+func (s *shutdownSequence) elapsed(now eventloop.Tick) connmanager.Time {
+	return connmanager.Time(now - s.startedAt)
 }
 
 // longestDeadline is the longest time that a workload class allows a request to wait.
-func (s *Server) longestDeadline() connmanager.Time {
+func (s *shutdownSequence) longestDeadline() connmanager.Time {
 	var longest connmanager.Time
-	for _, class := range s.config.Scheduler.WorkloadClasses {
+	for _, class := range s.env.config.Scheduler.WorkloadClasses {
 		longest = max(longest, connmanager.Time(class.PlacementTimeout))
 	}
 	return longest
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -70,7 +70,7 @@
 	client.write(line[:40])
 	for half := 0; half == 0; {
 		r.runOnLoop(func() {
-			for _, cc := range r.server.clients {
+			for _, cc := range r.server.clients.conns {
 				half = cc.lines.Buffered()
 			}
 		})
@@ -141,9 +141,9 @@
 		}
 		passed = msg.CauseOrNone() == jsonlines.CauseTestPassed
 	}
-	config := *r.server.config
+	config := *r.server.env.config
 	config.DiscoveryAddr = later
-	files <- r.server.config
+	files <- r.server.env.config
 	files <- &config
 	publishLater(eventJSON(3, false))
 	if e := await[scheduler.MachineListUpdate](r, nil); e.Version != 3 {
--- a/internal/platform/signals.go
+++ b/internal/platform/signals.go
@@ -2,11 +2,6 @@
 
 import "os"
 
-// Reload takes the address of the discovery service from a new configuration. Any goroutine may call it.
-func (s *Server) Reload(config *Config) {
-	s.loop.Post(func() { s.discovery.moveTo(config.DiscoveryAddr) })
-}
-
 // HandleSignals handles signals to shut down and to reload in goroutines of their own, until the channels are closed. A
 // slow load delays neither a shutdown nor a later reload: the configuration that counts is loaded after the last
 // signal.
@@ -20,7 +15,7 @@
 		for range reload {
 			config, err := load()
 			if err != nil {
-				s.log.Error("configuration not reloaded", "error", err)
+				s.env.log.Error("configuration not reloaded", "error", err)
 				continue
 			}
 			s.Reload(config)
