--- a/internal/controller/actions.go
+++ b/internal/controller/actions.go
@@ -47,11 +47,16 @@
 // SetTimer requests a TimerFired after a delay. A later one does not replace it.
 type SetTimer struct{ After scheduler.Time }
 
-func (SubmitRequest) action()    {}
-func (LookupRequest) action()    {}
-func (CancelRequest) action()    {}
-func (ContainerChanged) action() {}
-func (ContainerRemoved) action() {}
-func (OrphanRecorded) action()   {}
-func (OrphanResolved) action()   {}
-func (SetTimer) action()         {}
+// TransitionRejected reports a change of a container's state that must not happen: a fault of the controller. The
+// container keeps its state.
+type TransitionRejected struct{ Err error }
+
+func (SubmitRequest) action()      {}
+func (LookupRequest) action()      {}
+func (CancelRequest) action()      {}
+func (ContainerChanged) action()   {}
+func (ContainerRemoved) action()   {}
+func (OrphanRecorded) action()     {}
+func (OrphanResolved) action()     {}
+func (SetTimer) action()           {}
+func (TransitionRejected) action() {}
--- a/internal/controller/connections.go
+++ b/internal/controller/connections.go
@@ -7,70 +7,65 @@
 	lookupDelay       = 500 * scheduler.Millisecond // after a reconnect; up to three times that, at random
 )
 
-// schedulerConnection follows the connection to a scheduler. What was requested there and may run twice is requested
-// elsewhere; the rest waits. What runs there runs on, and is looked up by its key once the scheduler is connected
-// again.
-func (c *Controller) schedulerConnection(e SchedulerConnection) {
-	if e.Scheduler < 0 || e.Scheduler >= len(c.connected) || c.connected[e.Scheduler] == e.Connected {
-		return
-	}
-	c.connected[e.Scheduler] = e.Connected
-	c.rescheduleOrphans(e.Scheduler)
-	for _, r := range c.sortedReplicas() {
-		if e.Connected {
-			c.schedulerConnected(r, e.Scheduler)
-		} else if r.Scheduler == e.Scheduler {
-			c.schedulerLost(r)
-		}
-	}
-}
-
 // schedulerConnected goes on with a replica that waited for this scheduler, or for any.
-func (c *Controller) schedulerConnected(r *replica, number int) {
+func (l *lifecycle) schedulerConnected(r *replica, number int) {
 	switch {
-	case r.State == StateUnobserved && r.Scheduler == number && r.Terminating:
-		c.cancelAttempt(r)
-	case r.State == StateUnobserved && r.Scheduler == number:
-		c.closeRequest(r)
-		r.Sticky, r.Submitted = true, true
-		c.setPending(r, lookupDelay+c.jitter(2*lookupDelay)+r.lookupDelay, statusSchedulerBack)
+	case r.state == replicaUnobserved && r.scheduler == number && r.terminating:
+		l.cancelKey(r, eventSchedulerConnected)
+	case r.state == replicaUnobserved && r.scheduler == number:
+		l.requests.close(r)
+		r.keyUse = keySticky
+		delay := lookupDelay + l.random.jitter(2*lookupDelay) + r.lookupDelay
+		l.enterPending(r, eventSchedulerConnected, delay, statusSchedulerBack)
 		r.lookupDelay = 0
-	case r.State == StatePending && r.Until == 0:
-		c.setPending(r, c.jitter(4*restartDelay), r.LastStatus)
+	case r.state == replicaPending && r.until == 0:
+		l.enterPending(r, eventSchedulerConnected, l.random.jitter(4*restartDelay), r.lastStatus)
 	}
 }
 
-// schedulerLost is the loss of the connection to a replica's scheduler.
-func (c *Controller) schedulerLost(r *replica) {
-	switch r.State {
-	case StatePlacing:
-		c.schedulerLostWhilePlacing(r)
-	case StateRunning:
-		c.setState(r, StateUnobserved, unobservedTimeout, statusSchedulerLost)
+// schedulerLost is the loss of the connection to a replica's scheduler. What was requested there and may run twice is
+// requested elsewhere; the rest waits. What runs there runs on, and is looked up by its key once the scheduler is
+// connected again.
+func (l *lifecycle) schedulerLost(r *replica) {
+	switch {
+	case r.state == replicaRunning:
+		l.enter(r, eventSchedulerLost, replicaUnobserved, unobservedTimeout, statusSchedulerLost)
+	case !r.requestOpen():
+	case !l.classes.idempotent(r.job):
+		l.fence(r, eventSchedulerLost, statusSchedulerLostMayRun)
+	default:
+		l.requestLost(r)
 	}
 }
 
-func (c *Controller) schedulerLostWhilePlacing(r *replica) {
-	if !c.idempotent(r) {
-		c.fence(r, statusSchedulerLostMayRun)
+// requestLost goes on with idempotent work whose open request was lost with its scheduler.
+func (l *lifecycle) requestLost(r *replica) {
+	l.recordOrphan(r)
+	if r.terminating {
+		l.remove(r, eventSchedulerLost)
 		return
 	}
-	c.recordOrphan(r)
-	if r.Terminating {
-		c.remove(r)
+	l.requests.close(r)
+	delay := restartDelay + l.random.jitter(4*restartDelay)
+	l.enterPending(r, eventSchedulerLost, delay, statusSchedulerLost)
+}
+
+// unobservedTooLong starts idempotent work elsewhere whose scheduler has not come back. Other work waits for it.
+func (l *lifecycle) unobservedTooLong(r *replica) {
+	if !l.classes.idempotent(r.job) {
 		return
 	}
-	c.closeRequest(r)
-	c.setPending(r, restartDelay+c.jitter(4*restartDelay), statusSchedulerLost)
+	l.recordOrphan(r)
+	l.requests.close(r)
+	l.renewIdempotencyKey(r)
+	l.enterPending(r, eventTimerFired, restartDelay, statusSchedulerStaysAway)
 }
 
-// unobservedTooLong starts idempotent work elsewhere whose scheduler has not come back. Other work waits for it.
-func (c *Controller) unobservedTooLong(r *replica) {
-	if !c.idempotent(r) {
+// recordOrphan records that an idempotent replica's request may have led to a copy that runs at its scheduler.
+func (l *lifecycle) recordOrphan(r *replica) {
+	if r.scheduler == noScheduler {
 		return
 	}
-	c.recordOrphan(r)
-	c.closeRequest(r)
-	c.newIdempotencyKey(r)
-	c.setPending(r, restartDelay, statusSchedulerStaysAway)
+	l.orphans.record(r.orphan())
+	l.outbox.emit(OrphanRecorded{r.orphan()})
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,8 +1,6 @@
 package controller
 
-import (
-	"glenport/scheduler"
-)
+import "glenport/scheduler"
 
 // WorkloadClass is what the controller needs of a workload class.
 type WorkloadClass struct {
@@ -14,6 +12,19 @@
 // unknownClass stands for a workload class that is not configured: what is safe for any work.
 var unknownClass = WorkloadClass{Idempotency: scheduler.AtMostOnce, PlacementTimeout: scheduler.Second}
 
+// workloadClasses are the classes by the positions that specs name.
+type workloadClasses []WorkloadClass
+
+// of is the workload class of a job.
+func (w workloadClasses) of(j *job) WorkloadClass {
+	if class := j.spec.WorkloadClass; class < len(w) {
+		return w[class]
+	}
+	return unknownClass
+}
+
+func (w workloadClasses) idempotent(j *job) bool { return w.of(j).Idempotency == scheduler.Idempotent }
+
 // Config is what one incarnation of the controller starts with.
 type Config struct {
 	Seed uint64 // of its random numbers
@@ -24,47 +35,52 @@
 }
 
 // Controller is the state of all jobs. It holds a job while containers of it are wanted or not yet ended, a request
-// while its container is being placed or runs, an orphan until it is resolved.
+// while its container is being placed or runs, an orphan until it is resolved. It passes each event to the component
+// that owns what the event is about.
 type Controller struct {
-	workloadClasses []WorkloadClass
-	now             scheduler.Time
-	randomState     uint64
-	lastSequence    uint64
-	actions         []Action
-	jobs            map[string]*job
-	requests        map[string]*replica       // by request id
-	connected       []bool                    // by scheduler
-	orphans         map[Orphan]scheduler.Time // when each is cancelled; 0: not scheduled
-	timers          timerHeap
-	timerAt         scheduler.Time // of the last SetTimer
-	changed         []*replica     // in this call, in order
+	clock      *clock
+	sequence   *sequence
+	jobs       *jobRegistry
+	schedulers *schedulerSet
+	requests   *requestTable
+	timers     *timerQueue
+	orphans    *orphanTable
+	outbox     *outbox
+	lifecycle  *lifecycle
 }
 
 // New begins an incarnation. No scheduler is connected yet.
 func New(config Config) *Controller {
-	return &Controller{
-		workloadClasses: config.WorkloadClasses,
-		// a linear congruential step, so that near seeds part
-		randomState:  config.Seed*2862933555777941757 + 3037000493,
-		lastSequence: config.FirstSequence,
-		jobs:         map[string]*job{},
-		requests:     map[string]*replica{},
-		connected:    make([]bool, config.SchedulerCount),
-		orphans:      map[Orphan]scheduler.Time{},
+	c := &Controller{
+		clock: &clock{}, sequence: &sequence{last: config.FirstSequence}, jobs: newJobRegistry(),
+		schedulers: newSchedulerSet(config.SchedulerCount), outbox: newOutbox(),
+	}
+	c.requests = newRequestTable(c.sequence)
+	c.timers = newTimerQueue(c.clock, c.sequence)
+	c.orphans = newOrphanTable(c.clock, c.schedulers)
+	c.lifecycle = &lifecycle{
+		clock: c.clock, sequence: c.sequence, random: newRandomSource(config.Seed), classes: config.WorkloadClasses,
+		jobs: c.jobs, schedulers: c.schedulers, requests: c.requests, timers: c.timers, orphans: c.orphans,
+		outbox: c.outbox,
 	}
+	return c
 }
 
 // Handle applies events at a time, which never goes back, and returns the actions that follow, in order.
 func (c *Controller) Handle(now scheduler.Time, events []Event) []Action {
-	c.now, c.actions = now, nil
+	c.clock.set(now)
 	for _, e := range events {
 		c.apply(e)
 	}
-	c.fireTimers()
+	for r := c.timers.nextDue(); r != nil; r = c.timers.nextDue() {
+		c.lifecycle.timerFired(r)
+	}
 	nextOrphan := c.cancelOrphans()
-	c.emitChanges()
-	c.requestTimer(nextOrphan)
-	return c.actions
+	c.outbox.emitChanges()
+	if after, ok := c.timers.wakeup(nextOrphan); ok {
+		c.outbox.emit(SetTimer{after})
+	}
+	return c.outbox.take()
 }
 
 func (c *Controller) apply(e Event) {
@@ -85,54 +101,98 @@
 	}
 }
 
-func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
+func (c *Controller) jobSet(e JobSet) {
+	j := c.jobs.find(e.Job)
+	if j == nil {
+		j = &job{id: e.Job, spec: e.Spec}
+		c.jobs.add(j)
+	}
+	j.update(e)
+	c.lifecycle.scale(j)
+	c.lifecycle.rollOut(j)
+}
 
-// markChanged has the state of a replica emitted at the end of the call.
-func (c *Controller) markChanged(r *replica) {
-	if !r.changed {
-		r.changed = true
-		c.changed = append(c.changed, r)
+func (c *Controller) jobDeleted(e JobDeleted) {
+	if j := c.jobs.find(e.Job); j != nil {
+		j.count = 0
+		c.lifecycle.scale(j)
 	}
 }
 
-func (c *Controller) emitChanges() {
-	for _, r := range c.changed {
-		r.changed = false
-		if !r.removed {
-			c.emit(ContainerChanged{r.Container})
+// stateRestored adopts what an earlier incarnation has stored. What may run is looked up at the scheduler that was sent
+// the request; placements are requested at a limited rate.
+func (c *Controller) stateRestored(e StateRestored) {
+	for _, set := range e.Jobs {
+		c.jobs.add(&job{id: set.Job, spec: set.Spec, revision: restoredRevision, count: set.Count})
+	}
+	for position, stored := range sortedContainers(e.Containers) {
+		r := c.restoreReplica(&stored)
+		c.sequence.skipTo(max(sequenceAfter("/", r.idempotencyKey), sequenceAfter("#", r.requestID)))
+		c.lifecycle.restored(r, recoveryPhase(&stored), position)
+	}
+	for _, orphan := range e.Orphans {
+		c.orphans.restore(orphan)
+	}
+	for _, j := range c.jobs.sorted() {
+		c.lifecycle.scale(j)
+	}
+}
+
+func (c *Controller) schedulerConnection(e SchedulerConnection) {
+	if !c.schedulers.apply(e) {
+		return
+	}
+	c.orphans.connectionChanged(e.Scheduler)
+	for _, r := range c.jobs.sortedReplicas() {
+		if e.Connected {
+			c.lifecycle.schedulerConnected(r, e.Scheduler)
+		} else if r.scheduler == e.Scheduler {
+			c.lifecycle.schedulerLost(r)
 		}
 	}
-	c.changed = c.changed[:0]
 }
 
-// nextSequence numbers keys, requests and timers.
-func (c *Controller) nextSequence() uint64 {
-	c.lastSequence++
-	return c.lastSequence
+func (c *Controller) placementAnswered(e PlacementAnswered) {
+	if orphan, ok := parseOrphanRequestID(e.RequestID); ok {
+		c.orphanAnswered(orphan, e)
+		return
+	}
+	if r := c.requests.find(e.RequestID); r != nil {
+		c.lifecycle.answered(r, e)
+	}
 }
 
-// random is the next number of a xorshift generator, from 0 to below 1.
-func (c *Controller) random() float64 {
-	c.randomState ^= c.randomState << 13
-	c.randomState ^= c.randomState >> 7
-	c.randomState ^= c.randomState << 17
-	return float64(c.randomState>>11) / (1 << 53)
+// orphanAnswered resolves an orphan once its scheduler is sure that nothing of it runs. What runs is resolved by its
+// end.
+func (c *Controller) orphanAnswered(orphan Orphan, e PlacementAnswered) {
+	if e.Verdict == VerdictRefused {
+		c.orphans.refused(orphan, e.RetryAfter)
+		return
+	}
+	c.resolveOrphan(orphan)
 }
 
-// jitter is a random delay below span: what happens to many containers at once is not followed by requests for all at
-// once.
-func (c *Controller) jitter(span scheduler.Time) scheduler.Time {
-	return scheduler.Time(c.random() * float64(span))
+func (c *Controller) containerEnded(e ContainerEnded) {
+	if orphan, ok := parseOrphanRequestID(e.RequestID); ok {
+		c.resolveOrphan(orphan)
+		return
+	}
+	if r := c.requests.find(e.RequestID); r != nil {
+		c.lifecycle.ended(r, e)
+	}
 }
 
-// classOf is the workload class of a replica's job.
-func (c *Controller) classOf(r *replica) WorkloadClass {
-	if class := r.job.spec.WorkloadClass; class < len(c.workloadClasses) {
-		return c.workloadClasses[class]
+func (c *Controller) resolveOrphan(orphan Orphan) {
+	if c.orphans.resolve(orphan) {
+		c.outbox.emit(OrphanResolved{orphan})
 	}
-	return unknownClass
 }
 
-func (c *Controller) idempotent(r *replica) bool {
-	return c.classOf(r).Idempotency == scheduler.Idempotent
+// cancelOrphans cancels the orphans that are due and returns when the next are; 0 where none is.
+func (c *Controller) cancelOrphans() (next scheduler.Time) {
+	due, next := c.orphans.takeDue()
+	for _, orphan := range due {
+		c.outbox.emit(CancelRequest{orphan.Scheduler, orphan.requestID(), orphan.IdempotencyKey})
+	}
+	return next
 }
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -9,4 +9,52 @@
 //
 // The package is pure: no I/O, clock or goroutine. Handle takes events and returns actions; the caller stores the
 // records before it sends the requests.
+//
+// # Components
+//
+// Controller dispatches events and wires the components. Each owns its state: jobRegistry the jobs and their replicas,
+// schedulerSet the connections, requestTable the open requests, timerQueue the timers, orphanTable the orphans, outbox
+// the actions of a call. lifecycle has a method for each event about a replica, and is the only one that changes
+// replicas.
+//
+// # States of a replica
+//
+// A replica is a container that a job wants, or one that is terminating. Its state changes in replica.transition alone,
+// by the table below. Where an event may lead to several states the facts of the replica decide: whether its work is
+// idempotent, whether it may run, and whether its job wants it. An event that is not listed changes no state: an answer
+// to an earlier request, or a job that does not want what ends anyway. A change that the table does not have is a
+// *TransitionError; it is returned as the action TransitionRejected, and the replica keeps its state.
+//
+//	| created    | Created            | pending |
+//	| created    | Restored           | pending, fencing, unobserved, completed |
+//	| pending    | TimerFired         | pending, placing, lookingUp |
+//	| pending    | SchedulerConnected | pending |
+//	| pending    | ScaledDown         | cancelling, unobserved, removed |
+//	| placing    | Accepted           | running |
+//	| placing    | Rejected           | pending, removed |
+//	| placing    | Failed             | pending, fencing, removed |
+//	| placing    | Refused            | pending, removed |
+//	| placing    | Ended              | fencing, removed |
+//	| placing    | SchedulerLost      | pending, fencing, removed |
+//	| lookingUp  | Accepted           | running |
+//	| lookingUp  | Rejected           | pending, completed, removed |
+//	| lookingUp  | Failed             | pending, fencing, completed, removed |
+//	| lookingUp  | Refused            | pending, fencing |
+//	| lookingUp  | Ended              | fencing, removed |
+//	| lookingUp  | SchedulerLost      | pending, fencing, removed |
+//	| cancelling | Accepted           | running |
+//	| cancelling | Rejected           | pending, completed, removed |
+//	| cancelling | Failed             | pending, fencing, completed, removed |
+//	| cancelling | Refused            | pending, fencing |
+//	| cancelling | Ended              | fencing, removed |
+//	| cancelling | SchedulerLost      | pending, fencing, removed |
+//	| running    | Ended              | pending, fencing, completed, removed |
+//	| running    | SchedulerLost      | unobserved |
+//	| fencing    | TimerFired         | pending, cancelling, unobserved |
+//	| unobserved | TimerFired         | pending |
+//	| unobserved | Ended              | pending, fencing, completed, removed |
+//	| unobserved | SchedulerConnected | pending, cancelling |
+//	| completed  | ScaledDown         | removed |
+//
+// What is stored of a replica is a Container, with the states of the API.
 package controller
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -6,18 +6,19 @@
 const minFencingDelay = 3 * scheduler.Second
 
 // fence does nothing about a replica that may run until its scheduler surely knows of it, or it surely did not start.
-func (c *Controller) fence(r *replica, status string) {
-	r.Machine = ""
-	c.setState(r, StateFencing, max(minFencingDelay, c.classOf(r).DedupWindow), status)
+func (l *lifecycle) fence(r *replica, event replicaEvent, status string) {
+	r.machine = ""
+	delay := max(minFencingDelay, l.classes.of(r.job).DedupWindow)
+	l.enter(r, event, replicaFencing, delay, status)
 }
 
 // fencingOver has a replica looked up at the scheduler that was sent its request, or cancelled there if it is not
 // wanted.
-func (c *Controller) fencingOver(r *replica) {
-	if r.Terminating {
-		c.cancelAttempt(r)
+func (l *lifecycle) fencingOver(r *replica) {
+	if r.terminating {
+		l.cancelKey(r, eventTimerFired)
 		return
 	}
-	r.Sticky, r.Submitted = true, true
-	c.setPending(r, 0, statusFenced)
+	r.keyUse = keySticky
+	l.enterPending(r, eventTimerFired, 0, statusFenced)
 }
--- a/internal/controller/lifecycle.go
+++ b/internal/controller/lifecycle.go
@@ -6,159 +6,113 @@
 	"glenport/scheduler"
 )
 
-// replica is one container that a job wants, or wanted and that has not ended.
-type replica struct {
-	Container
-	job      *job
-	revision int // of the spec in its last placement request
-	// added to its next lookup, so that a restarted controller does not look up all at once
-	lookupDelay     scheduler.Time
-	timerGeneration int  // timers of earlier generations are void
-	cancelling      bool // its open request is the one of cancelAttempt
-	changed         bool // it is in Controller.changed
-	removed         bool
+// lifecycle takes the steps of replicas: each event about a replica has a method, which ends in the states that
+// transitions allows.
+type lifecycle struct {
+	clock      *clock
+	sequence   *sequence
+	random     *randomSource
+	classes    workloadClasses
+	jobs       *jobRegistry
+	schedulers *schedulerSet
+	requests   *requestTable
+	timers     *timerQueue
+	orphans    *orphanTable
+	outbox     *outbox
 }
 
-// setState enters a state for a delay, or without end for noTimer.
-func (c *Controller) setState(r *replica, state ContainerState, delay scheduler.Time, status string) {
-	r.State, r.Since, r.LastStatus, r.cancelling = state, c.now, status, false
-	c.setTimer(r, delay)
-	c.markChanged(r)
-}
-
-// setPending has the placement of a replica requested, or the replica looked up if it is sticky, after a delay.
-func (c *Controller) setPending(r *replica, delay scheduler.Time, status string) {
-	r.Machine, r.Refused = "", false
-	c.setState(r, StatePending, delay, status)
-}
-
-// complete ends a replica that is not started again.
-func (c *Controller) complete(r *replica, status string) {
-	r.Machine = ""
-	c.setState(r, StateCompleted, noTimer, status)
-}
-
-// timerFired takes the step that was due after the delay of a replica's state.
-func (c *Controller) timerFired(r *replica) {
-	switch r.State {
-	case StatePending:
-		c.place(r)
-	case StateFencing:
-		c.fencingOver(r)
-	case StateUnobserved:
-		c.unobservedTooLong(r)
+// enter takes a replica to a state for a delay, or without end for noTimer.
+func (l *lifecycle) enter(r *replica, event replicaEvent, to replicaState, delay scheduler.Time, status string) {
+	if err := r.transition(event, to); err != nil {
+		l.outbox.emit(TransitionRejected{err})
+		return
 	}
+	r.since, r.lastStatus = l.clock.now(), status
+	r.until = l.timers.set(r, delay)
+	l.outbox.markChanged(r)
 }
 
-// terminate ends a replica that is not wanted. One that may run is cancelled, or waited for, first.
-func (c *Controller) terminate(r *replica) {
-	r.Terminating = true
-	c.markChanged(r)
-	switch r.State {
-	case StatePlacing, StateRunning:
-		c.cancel(r)
-	case StatePending:
-		if r.Sticky {
-			c.cancelAttempt(r)
-			return
-		}
-		c.remove(r)
-	case StateCompleted:
-		c.remove(r)
-	case StateFencing, StateUnobserved: // the end of the fencing delay, or the scheduler's connection, goes on with it
-	}
+// enterPending has the placement of a replica requested, or the replica looked up if it is sticky, after a delay.
+func (l *lifecycle) enterPending(r *replica, event replicaEvent, delay scheduler.Time, status string) {
+	r.machine, r.refused = "", false
+	l.enter(r, event, replicaPending, delay, status)
 }
 
-// cancel ends the open request of a replica.
-func (c *Controller) cancel(r *replica) {
-	c.emit(CancelRequest{r.Scheduler, r.RequestID, r.IdempotencyKey})
+// complete ends a replica that is not started again.
+func (l *lifecycle) complete(r *replica, event replicaEvent, status string) {
+	r.machine = ""
+	l.enter(r, event, replicaCompleted, noTimer, status)
 }
 
-// cancelAttempt ends a replica that may run, by a request of its own to the scheduler that can know. While that is not
-// connected the replica stays, as one that takes its place could be a second copy.
-func (c *Controller) cancelAttempt(r *replica) {
-	if r.Scheduler == noScheduler || !c.connected[r.Scheduler] {
-		c.setState(r, StateUnobserved, noTimer, r.LastStatus)
+// remove ends a replica that its job does not want. One that is wanted again meanwhile is begun anew.
+func (l *lifecycle) remove(r *replica, event replicaEvent) {
+	if err := r.transition(event, replicaRemoved); err != nil {
+		l.outbox.emit(TransitionRejected{err})
 		return
 	}
-	c.openRequest(r)
-	c.setState(r, StatePlacing, noTimer, statusCancelled)
-	r.cancelling = true
-	c.cancel(r)
-}
-
-func (c *Controller) remove(r *replica) {
-	r.removed = true
-	c.closeRequest(r)
-	c.emit(ContainerRemoved{r.Job, r.Index})
-	if r.Index < r.job.count { // it was wanted again meanwhile
-		c.createReplica(r.job, r.Index)
+	l.timers.cancel(r)
+	l.requests.close(r)
+	l.outbox.emit(ContainerRemoved{r.job.id, r.index})
+	if r.index < r.job.count {
+		l.created(r.job, r.index)
 	}
-	c.trim(r.job)
+	l.jobs.trim(r.job)
 }
 
-// newIdempotencyKey separates the next container of a replica from those before: what ran under the old key has surely
-// ended, or may run twice.
-func (c *Controller) newIdempotencyKey(r *replica) {
-	r.IdempotencyKey = fmt.Sprintf("%s/%d/%d", r.Job, r.Index, c.nextSequence())
-	r.Sticky, r.Submitted = false, false
+// created begins a replica of a job, in place of one that was removed.
+func (l *lifecycle) created(j *job, index int) {
+	r := newReplica(j, index)
+	j.replicas[index] = r
+	l.renewIdempotencyKey(r)
+	l.enterPending(r, eventCreated, l.random.jitter(restartDelay), statusNotRequested)
 }
 
-// openRequest gives a replica a new request id in place of its last.
-func (c *Controller) openRequest(r *replica) {
-	c.closeRequest(r)
-	r.RequestID = fmt.Sprintf("%s/%d#%d", r.Job, r.Index, c.nextSequence())
-	c.requests[r.RequestID] = r
+// renewIdempotencyKey separates the next container of a replica from those before: what ran under the old key has
+// surely ended, or may run twice.
+func (l *lifecycle) renewIdempotencyKey(r *replica) {
+	r.idempotencyKey = fmt.Sprintf("%s/%d/%d", r.job.id, r.index, l.sequence.next())
+	r.keyUse = keyUnused
 }
 
-// closeRequest has later answers to a replica's request ignored.
-func (c *Controller) closeRequest(r *replica) {
-	if c.requests[r.RequestID] == r {
-		delete(c.requests, r.RequestID)
+// timerFired takes the step that was due after the delay of a replica's state.
+func (l *lifecycle) timerFired(r *replica) {
+	switch r.state {
+	case replicaPending:
+		l.request(r)
+	case replicaFencing:
+		l.fencingOver(r)
+	case replicaUnobserved:
+		l.unobservedTooLong(r)
+	case replicaCreated, replicaPlacing, replicaLookingUp, replicaCancelling, replicaRunning, replicaCompleted,
+		replicaRemoved: // these last until another event
 	}
 }
 
-func (c *Controller) containerEnded(e ContainerEnded) {
-	if orphan, ok := parseOrphanRequestID(e.RequestID); ok {
-		c.resolveOrphan(orphan)
-		return
-	}
-	r := c.requests[e.RequestID]
-	if r == nil || !r.mayEnd() {
+// ended is the end of a container that a scheduler has accepted, or was to cancel.
+func (l *lifecycle) ended(r *replica, e ContainerEnded) {
+	if !r.mayEnd() {
 		return
 	}
 	machineLost := e.Outcome == scheduler.OutcomeLost && e.Reason == scheduler.ReasonNone
-	if machineLost && !c.idempotent(r) {
-		c.fence(r, statusMachineLostMayRun)
+	if machineLost && !l.classes.idempotent(r.job) {
+		l.fence(r, eventEnded, statusMachineLostMayRun)
 		return
 	}
-	c.closeRequest(r)
-	if r.Terminating {
-		c.remove(r)
+	l.requests.close(r)
+	if r.terminating {
+		l.remove(r, eventEnded)
 		return
 	}
-	c.newIdempotencyKey(r)
-	r.Replacing = false
+	l.renewIdempotencyKey(r)
+	r.replacing = false
 	switch {
 	case e.Outcome == scheduler.OutcomeFinished && r.job.spec.RunOnce:
-		c.complete(r, statusFinished)
+		l.complete(r, eventEnded, statusFinished)
 	case e.Reason == scheduler.ReasonOutOfMemory:
-		c.setPending(r, c.backoff(r, 0), statusOutOfMemory)
+		l.enterPending(r, eventEnded, l.random.backoff(r.attempts, 0), statusOutOfMemory)
 	case machineLost:
-		c.setPending(r, c.jitter(2*restartDelay), statusMachineLost)
+		l.enterPending(r, eventEnded, l.random.jitter(2*restartDelay), statusMachineLost)
 	default:
-		c.setPending(r, c.jitter(2*restartDelay), outcomeStatus(e))
-	}
-}
-
-// mayEnd says that the end of its container is expected. While it is being placed that is so only once it was
-// cancelled.
-func (r *replica) mayEnd() bool {
-	switch r.State {
-	case StateRunning, StateUnobserved:
-		return true
-	case StatePlacing:
-		return r.Terminating
+		l.enterPending(r, eventEnded, l.random.jitter(2*restartDelay), outcomeStatus(e))
 	}
-	return false
 }
--- a/internal/controller/orphans.go
+++ b/internal/controller/orphans.go
@@ -1,8 +1,9 @@
 package controller
 
 import (
+	"cmp"
 	"fmt"
-	"sort"
+	"slices"
 	"strconv"
 	"strings"
 
@@ -41,73 +42,67 @@
 	return Orphan{n, key}, err == nil
 }
 
-// recordOrphan records that an idempotent replica's request may have led to a copy that runs at its scheduler.
-func (c *Controller) recordOrphan(r *replica) {
-	if r.Scheduler == noScheduler {
-		return
-	}
-	orphan := Orphan{r.Scheduler, r.IdempotencyKey}
-	c.scheduleOrphan(orphan)
-	c.emit(OrphanRecorded{orphan})
+// orphanTable holds the orphans that are not resolved, and when each is cancelled.
+type orphanTable struct {
+	clock      *clock
+	schedulers *schedulerSet
+	cancelAt   map[Orphan]scheduler.Time // 0: not scheduled
+}
+
+func newOrphanTable(c *clock, schedulers *schedulerSet) *orphanTable {
+	return &orphanTable{clock: c, schedulers: schedulers, cancelAt: map[Orphan]scheduler.Time{}}
 }
 
-// scheduleOrphan has an orphan cancelled after a delay if its scheduler is connected, and else once it is.
-func (c *Controller) scheduleOrphan(orphan Orphan) {
-	c.orphans[orphan] = 0
-	if c.connected[orphan.Scheduler] {
-		c.orphans[orphan] = c.now + orphanCancelDelay
+// restore adds an orphan of an earlier incarnation, whose scheduler is not connected yet.
+func (t *orphanTable) restore(orphan Orphan) { t.cancelAt[orphan] = 0 }
+
+// record has an orphan cancelled after a delay if its scheduler is connected, and else once it is.
+func (t *orphanTable) record(orphan Orphan) {
+	t.cancelAt[orphan] = 0
+	if t.schedulers.isConnected(orphan.Scheduler) {
+		t.cancelAt[orphan] = t.clock.now() + orphanCancelDelay
 	}
 }
 
-// rescheduleOrphans follows the connection of a scheduler.
-func (c *Controller) rescheduleOrphans(number int) {
-	for orphan := range c.orphans {
+// connectionChanged schedules the orphans of a scheduler anew.
+func (t *orphanTable) connectionChanged(number int) {
+	for orphan := range t.cancelAt {
 		if orphan.Scheduler == number {
-			c.scheduleOrphan(orphan)
+			t.record(orphan)
 		}
 	}
 }
 
-// orphanAnswered resolves an orphan once its scheduler is sure that nothing of it runs. What runs is resolved by its
-// end.
-func (c *Controller) orphanAnswered(orphan Orphan, e PlacementAnswered) {
-	if _, known := c.orphans[orphan]; !known {
-		return
+// refused has an orphan cancelled again: its scheduler was not sure whether it runs.
+func (t *orphanTable) refused(orphan Orphan, retryAfter scheduler.Time) {
+	if _, known := t.cancelAt[orphan]; known {
+		t.cancelAt[orphan] = t.clock.now() + max(restartDelay, retryAfter)
 	}
-	if e.Verdict == VerdictRefused {
-		c.orphans[orphan] = c.now + max(restartDelay, e.RetryAfter)
-		return
-	}
-	c.resolveOrphan(orphan)
 }
 
-func (c *Controller) resolveOrphan(orphan Orphan) {
-	if _, known := c.orphans[orphan]; known {
-		delete(c.orphans, orphan)
-		c.emit(OrphanResolved{orphan})
-	}
+// resolve drops an orphan of which nothing runs any more. It reports false where that is not known.
+func (t *orphanTable) resolve(orphan Orphan) bool {
+	_, known := t.cancelAt[orphan]
+	delete(t.cancelAt, orphan)
+	return known
 }
 
-// cancelOrphans cancels those that are due, in order of scheduler and key, and returns when the next are; 0 where none
-// is.
-func (c *Controller) cancelOrphans() (next scheduler.Time) {
-	var due []Orphan
-	for orphan, at := range c.orphans {
-		if at > 0 && at <= c.now {
+// takeDue returns the orphans to be cancelled now, in order of scheduler and key, and when the next are; 0 where none
+// is. They are not due again until an answer comes, or their scheduler connects again.
+func (t *orphanTable) takeDue() (due []Orphan, next scheduler.Time) {
+	now := t.clock.now()
+	for orphan, at := range t.cancelAt {
+		if at > 0 && at <= now {
 			due = append(due, orphan)
 		} else if at > 0 && (next == 0 || at < next) {
 			next = at
 		}
 	}
-	sort.Slice(due, func(i, j int) bool {
-		if due[i].Scheduler != due[j].Scheduler {
-			return due[i].Scheduler < due[j].Scheduler
-		}
-		return due[i].IdempotencyKey < due[j].IdempotencyKey
+	slices.SortFunc(due, func(a, b Orphan) int {
+		return cmp.Or(cmp.Compare(a.Scheduler, b.Scheduler), cmp.Compare(a.IdempotencyKey, b.IdempotencyKey))
 	})
 	for _, orphan := range due {
-		c.orphans[orphan] = 0 // until an answer comes, or the scheduler connects again
-		c.emit(CancelRequest{orphan.Scheduler, orphan.requestID(), orphan.IdempotencyKey})
+		t.cancelAt[orphan] = 0
 	}
-	return next
+	return due, next
 }
--- /dev/null
+++ b/internal/controller/outbox.go
@@ -0,0 +1,38 @@
+package controller
+
+// outbox collects what one call of Handle returns.
+type outbox struct {
+	actions []Action
+	changed []*replica // in order, each once
+	marked  map[*replica]bool
+}
+
+func newOutbox() *outbox { return &outbox{marked: map[*replica]bool{}} }
+
+func (o *outbox) emit(a Action) { o.actions = append(o.actions, a) }
+
+// markChanged has the state of a replica emitted at the end of the call.
+func (o *outbox) markChanged(r *replica) {
+	if !o.marked[r] {
+		o.marked[r] = true
+		o.changed = append(o.changed, r)
+	}
+}
+
+// emitChanges emits the replicas that were marked and are not removed since.
+func (o *outbox) emitChanges() {
+	for _, r := range o.changed {
+		if r.state != replicaRemoved {
+			o.emit(ContainerChanged{r.record()})
+		}
+	}
+	o.changed = o.changed[:0]
+	clear(o.marked)
+}
+
+// take returns the actions, in order, and empties the outbox.
+func (o *outbox) take() []Action {
+	actions := o.actions
+	o.actions = nil
+	return actions
+}
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -1,90 +1,127 @@
 package controller
 
-// place requests the placement of a replica from a connected scheduler drawn at random. A sticky one is looked up at
-// its scheduler instead, which starts nothing: only that scheduler can know whether it runs, and a key that ran is not
-// run again.
-func (c *Controller) place(r *replica) {
-	target := r.Scheduler
-	if !r.Sticky {
-		target = c.drawScheduler()
-	}
-	if target == noScheduler || !c.connected[target] {
-		c.setState(r, StatePending, noTimer, statusNoSchedulerConnected)
-		return
+import "glenport/scheduler"
+
+// request requests the placement of a pending replica from a connected scheduler drawn at random. A sticky one is
+// looked up at its scheduler instead, which starts nothing: only that scheduler can know whether it runs, and a key
+// that ran is not run again.
+func (l *lifecycle) request(r *replica) {
+	target := r.scheduler
+	if !r.sticky() {
+		target = l.schedulers.draw(l.random)
 	}
-	c.openRequest(r)
-	if r.Sticky {
-		c.setState(r, StatePlacing, noTimer, statusLookedUp)
-		c.emit(LookupRequest{target, r.RequestID, r.IdempotencyKey})
-		return
+	switch {
+	case !l.schedulers.isConnected(target):
+		l.enter(r, eventTimerFired, replicaPending, noTimer, statusNoSchedulerConnected)
+	case r.sticky():
+		l.requests.open(r)
+		l.enter(r, eventTimerFired, replicaLookingUp, noTimer, statusLookedUp)
+		l.outbox.emit(LookupRequest{target, r.requestID, r.idempotencyKey})
+	default:
+		l.submit(r, target)
 	}
-	r.Scheduler, r.revision, r.SubmittedSpec = target, r.job.revision, r.job.spec
-	r.Attempts++
-	c.setState(r, StatePlacing, noTimer, statusRequested)
-	c.emit(SubmitRequest{target, r.RequestID, r.IdempotencyKey, r.job.spec, c.classOf(r).PlacementTimeout, r.Submitted})
-	r.Submitted = true
 }
 
-// drawScheduler returns a connected scheduler, or noScheduler.
-func (c *Controller) drawScheduler() int {
-	var connected []int
-	for n, ok := range c.connected {
-		if ok {
-			connected = append(connected, n)
-		}
+func (l *lifecycle) submit(r *replica, target int) {
+	l.requests.open(r)
+	r.scheduler, r.revision, r.submittedSpec = target, r.job.revision, r.job.spec
+	r.attempts++
+	l.enter(r, eventTimerFired, replicaPlacing, noTimer, statusRequested)
+	l.outbox.emit(SubmitRequest{
+		Scheduler: target, RequestID: r.requestID, IdempotencyKey: r.idempotencyKey, Spec: r.job.spec,
+		Timeout: l.classes.of(r.job).PlacementTimeout, Retry: r.keyUse != keyUnused,
+	})
+	r.keyUse = keySubmitted
+}
+
+// answered applies the answer to the open request of a replica.
+func (l *lifecycle) answered(r *replica, e PlacementAnswered) {
+	if !r.requestOpen() {
+		return
 	}
-	if len(connected) == 0 {
-		return noScheduler
+	switch e.Verdict {
+	case VerdictAccepted:
+		l.accepted(r, e)
+	case VerdictRejected:
+		l.rejected(r, e)
+	case VerdictFailed:
+		l.failed(r, e)
+	case VerdictRefused:
+		l.refused(r, e)
 	}
-	return connected[int(c.random()*float64(len(connected)))]
 }
 
-func (c *Controller) placementAnswered(e PlacementAnswered) {
-	if orphan, ok := parseOrphanRequestID(e.RequestID); ok {
-		c.orphanAnswered(orphan, e)
-		return
+// accepted: a machine runs the container, also where its scheduler was to cancel it.
+func (l *lifecycle) accepted(r *replica, e PlacementAnswered) {
+	// The scheduler knows the key now and keeps one copy of it.
+	if l.orphans.resolve(r.orphan()) {
+		l.outbox.emit(OrphanResolved{r.orphan()})
 	}
-	r := c.requests[e.RequestID]
-	if r == nil || r.State != StatePlacing {
-		return
+	r.machine, r.attempts = e.Machine, 0
+	r.starts++
+	l.enter(r, eventAccepted, replicaRunning, noTimer, statusRunning)
+	if r.terminating {
+		l.cancelRequest(r)
 	}
-	if e.Verdict == VerdictAccepted {
-		c.accepted(r, e.Machine)
+	l.rollOut(r.job)
+}
+
+// rejected: nothing of the container runs.
+func (l *lifecycle) rejected(r *replica, e PlacementAnswered) {
+	l.requests.close(r)
+	l.notRunning(r, eventRejected, e)
+}
+
+// failed: no machine accepted in time. Work that is not idempotent may run all the same, unless it was cancelled.
+func (l *lifecycle) failed(r *replica, e PlacementAnswered) {
+	l.requests.close(r)
+	if e.Message != messageCancelled && !l.classes.idempotent(r.job) {
+		l.fence(r, eventFailed, statusFailedMayRun)
 		return
 	}
-	c.closeRequest(r)
+	l.notRunning(r, eventFailed, e)
+}
+
+// refused: the scheduler did not admit the request, or is not sure whether the container runs. One that may run and is
+// not wanted is cancelled again later.
+func (l *lifecycle) refused(r *replica, e PlacementAnswered) {
+	l.requests.close(r)
+	mayRun := r.sticky() || r.state == replicaCancelling
 	switch {
-	case e.Verdict == VerdictFailed && e.Message != messageCancelled && !c.idempotent(r):
-		c.fence(r, statusFailedMayRun)
-	case r.Terminating:
-		c.terminatingAnswered(r, e)
-	case r.Sticky && e.Verdict != VerdictRefused:
-		c.replaceEnded(r)
+	case r.terminating && mayRun:
+		l.enter(r, eventRefused, replicaFencing, max(restartDelay, e.RetryAfter), r.lastStatus)
+	case r.terminating:
+		l.remove(r, eventRefused)
 	default:
-		c.setPending(r, c.backoff(r, e.RetryAfter), answerStatus(e))
-		r.Refused = e.Verdict == VerdictRefused
+		l.retryLater(r, eventRefused, e)
+		r.refused = true
 	}
 }
 
-func (c *Controller) accepted(r *replica, machine string) {
-	// The scheduler knows the key now and keeps one copy of it.
-	c.resolveOrphan(Orphan{r.Scheduler, r.IdempotencyKey})
-	r.Machine, r.Attempts = machine, 0
-	r.Starts++
-	c.setState(r, StateRunning, noTimer, statusRunning)
-	if r.Terminating {
-		c.cancel(r)
+// notRunning goes on with a replica of which nothing runs.
+func (l *lifecycle) notRunning(r *replica, event replicaEvent, e PlacementAnswered) {
+	switch {
+	case r.terminating:
+		l.remove(r, event)
+	case r.sticky():
+		l.replaceEnded(r, event)
+	default:
+		l.retryLater(r, event, e)
 	}
-	c.rollOut(r.job)
 }
 
-// terminatingAnswered removes a replica that was not accepted, unless it may run and its scheduler is not sure: then it
-// is cancelled again later.
-func (c *Controller) terminatingAnswered(r *replica, e PlacementAnswered) {
-	mayRun := r.Sticky || r.cancelling
-	if e.Verdict == VerdictRefused && mayRun {
-		c.setState(r, StateFencing, max(restartDelay, e.RetryAfter), r.LastStatus)
+func (l *lifecycle) retryLater(r *replica, event replicaEvent, e PlacementAnswered) {
+	l.enterPending(r, event, l.random.backoff(r.attempts, e.RetryAfter), answerStatus(e))
+}
+
+// replaceEnded begins a new container in place of one of which nothing runs any more. Work that is to run once, and
+// must not run twice, is complete instead: it may have run to its end.
+func (l *lifecycle) replaceEnded(r *replica, event replicaEvent) {
+	if r.job.spec.RunOnce && l.classes.of(r.job).Idempotency == scheduler.AtMostOnce {
+		r.keyUse = keySubmitted
+		l.complete(r, event, statusMayHaveFinished)
 		return
 	}
-	c.remove(r)
+	l.renewIdempotencyKey(r)
+	l.enterPending(r, event, l.random.jitter(restartDelay), statusNotRunning)
 }
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -34,7 +34,9 @@
 	return [...]string{"waiting", "asking", "running", "guarded", "unwatched", "done"}[s]
 }
 
-// Container is the stored state of a container that a job wants. Its times are those given to Handle.
+// Container is the stored record of a replica, and what the API shows of it. Its times are those given to Handle. The
+// booleans are the form in which the record was always stored: decisions use the typed state and the facts of replica,
+// which record and newRestoredReplica convert.
 type Container struct {
 	Job         string         `cbor:"Job"`
 	Index       int            `cbor:"Index"`
@@ -57,6 +59,3 @@
 	Replacing      bool   `cbor:"Replaced"` // it was cancelled in favor of a newer spec
 	SubmittedSpec  Spec   `cbor:"With"`     // the spec of the last placement request
 }
-
-// noScheduler stands in Container.Scheduler where no request was sent, or where its scheduler is no longer configured.
-const noScheduler = -1
--- a/internal/controller/restore_test.go
+++ b/internal/controller/restore_test.go
@@ -131,3 +131,14 @@
 		}
 	}
 }
+
+// A container is missing before one that ends at once: both leave the job's list in one step.
+func TestRestoredGapBeforeTheLastContainerIsDropped(t *testing.T) {
+	d := newDriver(t, scheduler.Idempotent)
+	d.handle(StateRestored{Containers: []Container{{Job: "j", Index: 2, Scheduler: -1, IdempotencyKey: "j/2/41"}}})
+	d.handle(JobSet{"j", 1, Spec{}}, SchedulerConnection{0, true})
+	d.pass(second)
+	if len(d.requests) != 1 || len(d.containers) != 1 {
+		t.Errorf("%d requests for %d containers, want one of each", len(d.requests), len(d.containers))
+	}
+}
--- a/internal/controller/server/iteration.go
+++ b/internal/controller/server/iteration.go
@@ -65,6 +65,8 @@
 		)
 	case controller.SetTimer:
 		s.loop.After(eventloop.Tick(action.After), func() { s.events = append(s.events, controller.TimerFired{}) })
+	case controller.TransitionRejected:
+		s.log.Error("state transition rejected", "error", action.Err)
 	case controller.SubmitRequest:
 		_, sync := recovery.MustPersist(s.idempotency(action.Spec.WorkloadClass))
 		batch.durable = batch.durable || sync
--- a/internal/controller/singlecopy_test.go
+++ b/internal/controller/singlecopy_test.go
@@ -31,11 +31,11 @@
 			}
 		}
 		if c := m.copies; c["j/0"] != 1 || c["j/1"] != 1 || c["j/2"]+c["j/3"] != 0 {
-			t.Fatalf("in the end these run: %v; %+v", c, m.controller.sortedReplicas())
+			t.Fatalf("in the end these run: %v; %+v", c, m.controller.jobs.sortedReplicas())
 		}
 		m.handle(JobDeleted{"j"})
 		m.pass(20 * second)
-		if n := len(m.controller.jobs) + len(m.controller.requests); n != 0 || m.copies["j/0"]+m.copies["j/1"] != 0 {
+		if n := len(m.controller.jobs.byID) + len(m.controller.requests.byID); n != 0 || m.copies["j/0"]+m.copies["j/1"] != 0 {
 			t.Fatalf("%d left in tables, %v running", n, m.copies)
 		}
 	})
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -43,6 +43,7 @@
 		status = statusFailed
 	case VerdictRefused:
 		status = statusRefused
+	case VerdictAccepted: // has a status of its own
 	}
 	if e.Message != "" {
 		status += ": " + e.Message
@@ -59,12 +60,14 @@
 		outcome = statusFinished
 	case scheduler.OutcomeStopped:
 		outcome = statusStopped
+	default: // without a text
 	}
 	switch e.Reason {
 	case scheduler.ReasonDrained:
 		reason = statusDrained
 	case scheduler.ReasonPreempted:
 		reason = statusPreempted
+	default: // without a text
 	}
 	return outcome + reason
 }
--- a/internal/controller/timers.go
+++ b/internal/controller/timers.go
@@ -9,15 +9,68 @@
 // noTimer as a delay says that a state lasts until an event ends it.
 const noTimer scheduler.Time = -1
 
-// timer is when the next step of a replica is due. It is void once the replica has entered another state.
-type timer struct {
-	at         scheduler.Time
-	sequence   uint64 // timers of the same time fire in the order in which they were set
-	replica    *replica
-	generation int
+// timerQueue holds when the next step of each replica is due, and when the caller was asked to call.
+type timerQueue struct {
+	clock    *clock
+	sequence *sequence
+	heap     timerHeap           // void timers stay in it until they are due
+	current  map[*replica]uint64 // the sequence number of a replica's timer; all others of it are void
+	wakeupAt scheduler.Time      // of the last SetTimer
+}
+
+func newTimerQueue(c *clock, s *sequence) *timerQueue {
+	return &timerQueue{clock: c, sequence: s, current: map[*replica]uint64{}}
+}
+
+// set makes the next step of a replica due after a delay, at least one unit of time from now, and returns that time; 0
+// for noTimer. Earlier timers of it are void.
+func (q *timerQueue) set(r *replica, delay scheduler.Time) scheduler.Time {
+	q.cancel(r)
+	if delay == noTimer {
+		return 0
+	}
+	t := timer{at: q.clock.now() + max(1, delay), sequence: q.sequence.next(), replica: r}
+	q.current[r] = t.sequence
+	heap.Push(&q.heap, t)
+	return t.at
+}
+
+func (q *timerQueue) cancel(r *replica) { delete(q.current, r) }
+
+// nextDue returns the next replica whose step is due, nil where there is none.
+func (q *timerQueue) nextDue() *replica {
+	for len(q.heap) > 0 && q.heap[0].at <= q.clock.now() {
+		t := q.heap[0]
+		heap.Pop(&q.heap)
+		if q.current[t.replica] == t.sequence {
+			q.cancel(t.replica)
+			return t.replica
+		}
+	}
+	return nil
+}
+
+// wakeup returns after which delay the caller has to call for the next step, or for what else is due at a time (0:
+// nothing); ok is false where an earlier wakeup covers it.
+func (q *timerQueue) wakeup(other scheduler.Time) (after scheduler.Time, ok bool) {
+	next := other
+	if len(q.heap) > 0 && (next == 0 || q.heap[0].at < next) {
+		next = q.heap[0].at
+	}
+	now := q.clock.now()
+	if next <= 0 || (q.wakeupAt > now && next >= q.wakeupAt) {
+		return 0, false
+	}
+	q.wakeupAt = next
+	return next - now, true
 }
 
-func (t *timer) valid() bool { return t.generation == t.replica.timerGeneration && !t.replica.removed }
+// timer is when the next step of a replica is due.
+type timer struct {
+	at       scheduler.Time
+	sequence uint64 // timers of the same time fire in the order in which they were set
+	replica  *replica
+}
 
 // timerHeap holds the earliest timer first, for container/heap.
 type timerHeap []timer
@@ -34,7 +87,11 @@
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push is called by container/heap alone.
-func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
+func (h *timerHeap) Push(x any) {
+	if t, ok := x.(timer); ok {
+		*h = append(*h, t)
+	}
+}
 
 // Pop is called by container/heap alone.
 func (h *timerHeap) Pop() any {
@@ -43,36 +100,3 @@
 	*h = old[:len(old)-1]
 	return last
 }
-
-// setTimer makes the next step of a replica due after a delay, at least one unit of time from now. Earlier timers of it
-// are void.
-func (c *Controller) setTimer(r *replica, delay scheduler.Time) {
-	r.Until = 0
-	r.timerGeneration++
-	if delay == noTimer {
-		return
-	}
-	r.Until = c.now + max(1, delay)
-	heap.Push(&c.timers, timer{at: r.Until, sequence: c.nextSequence(), replica: r, generation: r.timerGeneration})
-}
-
-func (c *Controller) fireTimers() {
-	for len(c.timers) > 0 && c.timers[0].at <= c.now {
-		t := heap.Pop(&c.timers).(timer)
-		if t.valid() {
-			c.timerFired(t.replica)
-		}
-	}
-}
-
-// requestTimer asks to be called when the next step is due, unless an earlier request covers it.
-func (c *Controller) requestTimer(nextOrphan scheduler.Time) {
-	next := nextOrphan
-	if len(c.timers) > 0 && (next == 0 || c.timers[0].at < next) {
-		next = c.timers[0].at
-	}
-	if next > 0 && (c.timerAt <= c.now || next < c.timerAt) {
-		c.timerAt = next
-		c.emit(SetTimer{c.timerAt - c.now})
-	}
-}
