--- a/internal/controller/driver_test.go
+++ b/internal/controller/driver_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strings"
 	"testing"
 	"time"
 
@@ -52,11 +53,13 @@
 }
 
 func newDriver(t *testing.T, idempotency scheduler.Idempotency) *driver {
+	t.Helper()
 	return &driver{T: t, controller: New(testConfig(idempotency)), containers: map[int]Container{}}
 }
 
 // newRunningDriver has scheduler 0 connected and the placement of count containers requested.
 func newRunningDriver(t *testing.T, idempotency scheduler.Idempotency, count int) *driver {
+	t.Helper()
 	d := newDriver(t, idempotency)
 	d.handle(SchedulerConnection{0, true})
 	d.handle(JobSet{"j", count, Spec{Service: "s", Cores: 1}})
@@ -91,6 +94,14 @@
 
 func (d *driver) lastRequest() SubmitRequest { return d.requests[len(d.requests)-1] }
 
+// steps plays the words of a sequence.
+func (d *driver) steps(words string) {
+	d.Helper()
+	for word := range strings.FieldsSeq(words) {
+		d.step(word)
+	}
+}
+
 // step plays one word of a sequence: a scheduler's answer to the last request or cancel, another event, or a duration
 // that passes.
 func (d *driver) step(word string) {
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -1,9 +1,11 @@
 package controller
 
 import (
+	"cmp"
 	"fmt"
+	"maps"
 	"math/rand/v2"
-	"sort"
+	"slices"
 	"strings"
 	"testing"
 
@@ -16,7 +18,8 @@
 func TestDecisionsMatchGoldenDigests(t *testing.T) {
 	const sequences, steps = 120, 160
 	var got strings.Builder
-	for group, idempotency := range []scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.AtMostOnce} {
+	kinds := []scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.AtMostOnce}
+	for group, idempotency := range kinds {
 		for _, schedulers := range []int{1, 2, 5} {
 			digest := newActionDigest()
 			for seed := range sequences {
@@ -282,21 +285,20 @@
 // restart begins a controller from what the one before has asked to be stored, with or without the same schedulers.
 func (h *history) restart() {
 	var left StateRestored
-	for _, id := range sortedKeys(h.jobs) {
+	for _, id := range slices.Sorted(maps.Keys(h.jobs)) {
 		left.Jobs = append(left.Jobs, h.jobs[id])
 	}
 	moved := h.chance(0.3)
-	for _, id := range sortedKeys(h.containers) {
+	for _, id := range slices.Sorted(maps.Keys(h.containers)) {
 		c := h.containers[id]
 		if moved && c.Scheduler == 0 {
 			c.Scheduler = -1
 		}
 		left.Containers = append(left.Containers, c)
 	}
-	for x := range h.orphans {
-		left.Orphans = append(left.Orphans, x)
-	}
-	sort.Slice(left.Orphans, func(i, j int) bool { return fmt.Sprint(left.Orphans[i]) < fmt.Sprint(left.Orphans[j]) })
+	left.Orphans = slices.SortedFunc(maps.Keys(h.orphans), func(a, b Orphan) int {
+		return cmp.Compare(fmt.Sprint(a), fmt.Sprint(b))
+	})
 	h.config.Seed++
 	h.controller, h.timerAt, h.requests = New(h.config), 0, nil
 	clear(h.connected)
@@ -308,12 +310,3 @@
 		}
 	}
 }
-
-func sortedKeys[V any](m map[string]V) []string {
-	keys := make([]string, 0, len(m))
-	for k := range m {
-		keys = append(keys, k)
-	}
-	sort.Strings(keys)
-	return keys
-}
--- a/internal/controller/lifecycle_test.go
+++ b/internal/controller/lifecycle_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"strings"
 	"testing"
 
 	"glenport/scheduler"
@@ -10,7 +9,6 @@
 // Each case is a sequence of steps of driver.step, then the state of the container, how many requests were sent for it
 // (placements and lookups) and how many cancels.
 func TestContainerFollowsItsSchedulersAnswers(t *testing.T) {
-	const idempotent, atMostOnce = scheduler.Idempotent, scheduler.AtMostOnce
 	for _, tc := range []struct {
 		name        string
 		idempotency scheduler.Idempotency
@@ -36,10 +34,8 @@
 		{"lost, at-most-once", atMostOnce, "accept lose 7s", "fencing 1"},
 		{"no scheduler connected", idempotent, "reject disconnect 9s", "pending 1"},
 		{"scheduler reconnects", idempotent, "reject disconnect 9s connect 2s", "placing 2"},
-		{
-			"scheduler lost while placing, idempotent: what it may have started is cancelled", idempotent, "disconnect connect 2s",
-			"placing 2, 1 cancelled",
-		},
+		// What it may have started is cancelled.
+		{"scheduler lost while placing, idempotent", idempotent, "disconnect connect 2s", "placing 2, 1 cancelled"},
 		{"scheduler lost while placing, at-most-once", atMostOnce, "disconnect connect 7s", "fencing 1"},
 		{"scheduler lost while running", atMostOnce, "accept disconnect 60s", "unobserved 1"},
 		{"scheduler lost while running, and reconnects", atMostOnce, "accept disconnect 60s connect 2s", "placing 2"},
@@ -47,20 +43,18 @@
 		{"scaled down while placing", idempotent, "scale-0", "placing 1, 1 cancelled"},
 		{"scaled down while placing, answered", idempotent, "scale-0 fail", "removed 1, 1 cancelled"},
 		{"scaled down while fencing", atMostOnce, "fail scale-0 5s", "fencing 1"},
-		{"scaled down while fencing, delay over", atMostOnce, "fail scale-0 9s", "placing 1, 1 cancelled"},
-		{"scaled down while fencing, nothing of it runs", atMostOnce, "fail scale-0 9s cancelled", "removed 1, 1 cancelled"},
-		// Without another cancel a copy that its scheduler had not heard of yet ran on, and nothing would end it.
-		{"scaled down while fencing, scheduler not sure", atMostOnce, "fail scale-0 9s cancel-refused 1s", "placing 1, 2 cancelled"},
-		{"scaled down while fencing, it ran and was stopped", atMostOnce, "fail scale-0 9s cancel-stopped", "removed 1, 1 cancelled"},
 		{"scaled down and up while fencing", atMostOnce, "fail scale-0 scale-1 9s", "placing 2"},
+		{"fenced, scaled down", atMostOnce, "fail scale-0 9s", "placing 1, 1 cancelled"},
+		{"fenced, scaled down, nothing of it runs", atMostOnce, "fail scale-0 9s cancelled", "removed 1, 1 cancelled"},
+		// Without another cancel a copy that its scheduler had not heard of yet ran on, and nothing would end it.
+		{"fenced, scaled down, not sure", atMostOnce, "fail scale-0 9s cancel-refused 1s", "placing 1, 2 cancelled"},
+		{"fenced, scaled down, it ran", atMostOnce, "fail scale-0 9s cancel-stopped", "removed 1, 1 cancelled"},
 		{"scaled down while running", idempotent, "accept scale-0 stop", "removed 1, 1 cancelled"},
 		{"new spec replaces it", idempotent, "accept new-spec stop 1s", "placing 2, 1 cancelled"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			d := newRunningDriver(t, tc.idempotency, 1)
-			for _, word := range strings.Fields(tc.steps) {
-				d.step(word)
-			}
+			d.steps(tc.steps)
 			if got := d.state() + d.cancelCount(); got != tc.want {
 				t.Errorf("got %q, want %q", got, tc.want)
 			}
--- a/internal/controller/replicastate_test.go
+++ b/internal/controller/replicastate_test.go
@@ -62,9 +62,12 @@
 	var table strings.Builder
 	for from := replicaCreated; from <= replicaRemoved; from++ {
 		for event := eventCreated; event <= eventScaledDown; event++ {
-			if states := transitions[from][event]; states != nil {
-				names := strings.Trim(fmt.Sprint(states), "[]")
-				fmt.Fprintf(&table, "//\t| %-10s | %-18s | %s |\n", from, event, strings.ReplaceAll(names, " ", ", "))
+			var names []string
+			for _, to := range transitions[from][event] {
+				names = append(names, to.String())
+			}
+			if names != nil {
+				fmt.Fprintf(&table, "//\t| %-10s | %-18s | %s |\n", from, event, strings.Join(names, ", "))
 			}
 		}
 	}
@@ -72,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !strings.Contains(string(text), "\n//\n"+table.String()+"//\n") {
+	if want := "\n//\n" + table.String() + "//\n"; !strings.Contains(string(text), want) {
 		t.Errorf("doc.go does not have the table\n%s", &table)
 	}
 }
--- a/internal/controller/restore_test.go
+++ b/internal/controller/restore_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"strings"
 	"testing"
 
 	"glenport/scheduler"
@@ -11,68 +10,76 @@
 // jobDeleted stands for the count of a job that is not stored any more.
 const jobDeleted = -1
 
-// Each case is a container as it was stored, the count its job has, and steps of driver.step; then the state of the
+// restoreCase is a container as it was stored, the count its job has, and steps of driver.step; then the state of the
 // container, how many requests were sent for it, the scheduler and key of the last one, and how many cancels.
+type restoreCase struct {
+	name        string
+	idempotency scheduler.Idempotency
+	state       ContainerState
+	change      func(c *Container) // of the stored container
+	count       int
+	steps       string
+	want        string
+}
+
+// Changes of the stored container.
+func unchanged(*Container)          {}
+func neverRequested(c *Container)   { c.Scheduler, c.RequestID, c.Submitted = -1, "", false }
+func neverSubmitted(c *Container)   { c.Scheduler, c.Submitted = -1, false }
+func sticky(c *Container)           { c.Sticky = true }
+func schedulerRemoved(c *Container) { c.Scheduler = -1 }
+func missing(c *Container)          { c.Job = "" }
+
+const (
+	idempotent = scheduler.Idempotent
+	atMostOnce = scheduler.AtMostOnce
+)
+
+var restoreCases = []restoreCase{
+	{"never requested", atMostOnce, StatePending, neverRequested, 1, "connect-other 1s", "placing 1 at 1 with j/0/41"},
+	{"placing, another connected", atMostOnce, StatePlacing, unchanged, 1, "connect-other 9s", "unobserved 0"},
+	{"placing, idempotent: not twice", idempotent, StatePlacing, unchanged, 1, "connect-other 5s", "unobserved 0"},
+	{"placing, connected", atMostOnce, StatePlacing, unchanged, 1, "connect 2s", "placing 1 at 0 with j/0/41"},
+	{"placing, it runs", atMostOnce, StatePlacing, unchanged, 1, "connect 2s accept", "running 1 at 0 with j/0/41"},
+	{"running", atMostOnce, StateRunning, unchanged, 1, "connect 2s accept", "running 1 at 0 with j/0/41"},
+	{
+		"running, idempotent, scheduler stays away", idempotent, StateRunning, unchanged, 1, "connect-other 11s",
+		"placing 1 at 1 with another key",
+	},
+	{"running, scheduler stays away", atMostOnce, StateRunning, unchanged, 1, "connect-other 60s", "unobserved 0"},
+	{"sticky while pending", atMostOnce, StatePending, sticky, 1, "connect-other 9s", "unobserved 0"},
+	{"fencing", atMostOnce, StateFencing, unchanged, 1, "connect 7s", "fencing 0"},
+	{"fencing, delay over", atMostOnce, StateFencing, unchanged, 1, "connect 9s", "placing 1 at 0 with j/0/41"},
+	{"completed", idempotent, StateCompleted, unchanged, 1, "connect 9s", "completed 0"},
+	{"job deleted", atMostOnce, StateRunning, unchanged, jobDeleted, "connect 2s cancelled", "removed 0, 1 cancelled"},
+	{"scaled down", atMostOnce, StateRunning, unchanged, 0, "connect 2s cancelled", "removed 0, 1 cancelled"},
+	{"scaled down, never requested", atMostOnce, StatePending, neverSubmitted, 0, "", "removed 0"},
+	{"scheduler removed", atMostOnce, StateRunning, schedulerRemoved, 1, "connect-other 60s", "pending 0"},
+	{
+		"scheduler removed, idempotent", idempotent, StateRunning, schedulerRemoved, 1, "connect-other 1s",
+		"placing 1 at 1 with another key",
+	},
+	// Without its check this indexed a scheduler -1.
+	{"scheduler removed, scaled down", atMostOnce, StateRunning, schedulerRemoved, 0, "connect 9s", "unobserved 0"},
+	{
+		"job without its container", atMostOnce, StatePending, missing, 1, "connect 1s",
+		"placing 1 at 0 with another key",
+	},
+}
+
 func TestRestoredContainerIsResumed(t *testing.T) {
-	const idempotent, atMostOnce = scheduler.Idempotent, scheduler.AtMostOnce
-	neverRequested := func(c *Container) { c.Scheduler, c.RequestID, c.Submitted = -1, "", false }
-	neverSubmitted := func(c *Container) { c.Scheduler, c.Submitted = -1, false }
-	sticky := func(c *Container) { c.Sticky = true }
-	schedulerRemoved := func(c *Container) { c.Scheduler = -1 }
-	for _, tc := range []struct {
-		name        string
-		idempotency scheduler.Idempotency
-		state       ContainerState
-		change      func(c *Container) // of the stored container; nil: none
-		count       int
-		steps       string
-		want        string
-	}{
-		{"never requested", atMostOnce, StatePending, neverRequested, 1, "connect-other 1s", "placing 1 at 1 with j/0/41"},
-		{"placing: only its scheduler can know", atMostOnce, StatePlacing, nil, 1, "connect-other 9s", "unobserved 0"},
-		{"placing, idempotent: not started twice either", idempotent, StatePlacing, nil, 1, "connect-other 5s", "unobserved 0"},
-		{"placing, scheduler connected", atMostOnce, StatePlacing, nil, 1, "connect 2s", "placing 1 at 0 with j/0/41"},
-		{"placing, and it runs", atMostOnce, StatePlacing, nil, 1, "connect 2s accept", "running 1 at 0 with j/0/41"},
-		{"running", atMostOnce, StateRunning, nil, 1, "connect 2s accept", "running 1 at 0 with j/0/41"},
-		{
-			"running, idempotent, scheduler stays away", idempotent, StateRunning, nil, 1, "connect-other 11s",
-			"placing 1 at 1 with another key",
-		},
-		{"running, scheduler stays away", atMostOnce, StateRunning, nil, 1, "connect-other 60s", "unobserved 0"},
-		{"sticky while pending", atMostOnce, StatePending, sticky, 1, "connect-other 9s", "unobserved 0"},
-		{"fencing", atMostOnce, StateFencing, nil, 1, "connect 7s", "fencing 0"},
-		{"fencing, delay over", atMostOnce, StateFencing, nil, 1, "connect 9s", "placing 1 at 0 with j/0/41"},
-		{"completed", idempotent, StateCompleted, nil, 1, "connect 9s", "completed 0"},
-		{"job deleted", atMostOnce, StateRunning, nil, jobDeleted, "connect 2s cancelled", "removed 0, 1 cancelled"},
-		{"scaled down", atMostOnce, StateRunning, nil, 0, "connect 2s cancelled", "removed 0, 1 cancelled"},
-		{"scaled down, never requested", atMostOnce, StatePending, neverSubmitted, 0, "", "removed 0"},
-		{"scheduler no longer configured", atMostOnce, StateRunning, schedulerRemoved, 1, "connect-other 60s", "pending 0"},
-		{
-			"scheduler no longer configured, idempotent", idempotent, StateRunning, schedulerRemoved, 1, "connect-other 1s",
-			"placing 1 at 1 with another key",
-		},
-		// Without its check this indexed a scheduler -1.
-		{"scheduler no longer configured, scaled down", atMostOnce, StateRunning, schedulerRemoved, 0, "connect 9s", "unobserved 0"},
-		{
-			"job without its container", atMostOnce, StatePending, func(c *Container) { c.Job = "" }, 1, "connect 1s",
-			"placing 1 at 0 with another key",
-		},
-	} {
+	for _, tc := range restoreCases {
 		t.Run(tc.name, func(t *testing.T) {
 			spec := Spec{Service: "s", Cores: 1}
 			stored := Container{
 				Job: "j", State: tc.state, IdempotencyKey: "j/0/41", RequestID: "j/0#42", Submitted: true,
 				SubmittedSpec: spec,
 			}
-			if tc.change != nil {
-				tc.change(&stored)
-			}
+			tc.change(&stored)
 			d := newDriver(t, tc.idempotency)
 			d.containers[0] = stored
 			d.handle(restoredState(stored, tc.count, spec))
-			for _, word := range strings.Fields(tc.steps) {
-				d.step(word)
-			}
+			d.steps(tc.steps)
 			if got := d.state() + d.lastTarget(stored) + d.cancelCount(); got != tc.want {
 				t.Errorf("got %q, want %q", got, tc.want)
 			}
--- a/internal/controller/singlecopy_test.go
+++ b/internal/controller/singlecopy_test.go
@@ -35,8 +35,9 @@
 		}
 		m.handle(JobDeleted{"j"})
 		m.pass(20 * second)
-		if n := len(m.controller.jobs.byID) + len(m.controller.requests.byID); n != 0 || m.copies["j/0"]+m.copies["j/1"] != 0 {
-			t.Fatalf("%d left in tables, %v running", n, m.copies)
+		left := len(m.controller.jobs.byID) + len(m.controller.requests.byID) + len(m.controller.timers.current)
+		if left != 0 || m.copies["j/0"]+m.copies["j/1"] != 0 {
+			t.Fatalf("%d left in tables, %v running", left, m.copies)
 		}
 	})
 }
