--- a/internal/controller/server/explainer.go
+++ b/internal/controller/server/explainer.go
@@ -15,10 +15,12 @@
 // explainer asks schedulers why a job's containers find no machine. Requests that come while one for the same job is
 // open, or shortly after its reply, share that reply.
 type explainer struct {
-	server  *Server
-	lastSeq uint64
-	open    map[uint64]*explainRequest    // by sequence number; each ends with the reply or at explainTimeout
-	recent  map[string]*recentExplanation // by job, for explanationLife
+	loop       *eventloop.Loop
+	jobs       *jobRegistry
+	schedulers schedulerPool
+	lastSeq    uint64
+	open       map[uint64]*explainRequest    // by sequence number; each ends with the reply or at explainTimeout
+	recent     map[string]*recentExplanation // by job, for explanationLife
 }
 
 // explainRequest is a request that a scheduler has not replied to.
@@ -32,8 +34,11 @@
 	reply *protocol.ExplainReply
 }
 
-func newExplainer(s *Server) explainer {
-	return explainer{server: s, open: map[uint64]*explainRequest{}, recent: map[string]*recentExplanation{}}
+func newExplainer(loop *eventloop.Loop, jobs *jobRegistry, schedulers schedulerPool) *explainer {
+	return &explainer{
+		loop: loop, jobs: jobs, schedulers: schedulers,
+		open: map[uint64]*explainRequest{}, recent: map[string]*recentExplanation{},
+	}
 }
 
 // explain calls done with a scheduler's explanation of why a container is pending: that of the scheduler that was asked
@@ -44,7 +49,7 @@
 		done(nil)
 		return
 	}
-	if r := e.recent[c.Job]; r != nil && e.server.loop.Now()-r.at < explanationLife {
+	if r := e.recent[c.Job]; r != nil && e.loop.Now()-r.at < explanationLife {
 		done(r.reply)
 		return
 	}
@@ -61,20 +66,19 @@
 
 // request sends an explain request. It reports false where none can be sent.
 func (e *explainer) request(c controller.Container, done func(*protocol.ExplainReply)) bool {
-	s := e.server
-	job := s.currentJob(c.Job)
-	conn := s.connectedScheduler(c.Scheduler)
+	job := e.jobs.current(c.Job)
+	conn := e.schedulers.connected(c.Scheduler)
 	if job == nil || conn == nil {
 		return false
 	}
-	spec, err := s.specOf(job)
+	spec, err := e.jobs.specs.read(job)
 	if err != nil {
 		return false
 	}
 	e.lastSeq++
 	seq := e.lastSeq
 	e.open[seq] = &explainRequest{job: c.Job, waiting: []func(*protocol.ExplainReply){done}}
-	s.loop.After(explainTimeout, func() { e.finish(seq, nil) })
+	e.loop.After(explainTimeout, func() { e.finish(seq, nil) })
 	conn.write(&protocol.ExplainRequest{Seq: seq, Spec: containerSpec(spec, explainSpecID, explainSpecID)})
 	return true
 }
@@ -95,10 +99,9 @@
 }
 
 func (e *explainer) remember(job string, reply *protocol.ExplainReply) {
-	loop := e.server.loop
-	e.recent[job] = &recentExplanation{loop.Now(), reply}
-	loop.After(explanationLife, func() {
-		if r := e.recent[job]; r != nil && loop.Now()-r.at >= explanationLife {
+	e.recent[job] = &recentExplanation{e.loop.Now(), reply}
+	e.loop.After(explanationLife, func() {
+		if r := e.recent[job]; r != nil && e.loop.Now()-r.at >= explanationLife {
 			delete(e.recent, job)
 		}
 	})
--- a/internal/controller/server/explainer_test.go
+++ b/internal/controller/server/explainer_test.go
@@ -37,12 +37,9 @@
 			t.Errorf("got %+v, want the shared reply", got)
 		}
 	}
-	if facts := s.pendingFacts(
-		c,
-		reply,
-	); !facts.Explained || facts.Explanation.Machines != 7 || facts.Schedulers != 2 ||
-		facts.SchedulersConnected != 1 ||
-		facts.SchedulerConnected {
+	facts := s.pendingFacts(c, reply)
+	if !facts.Explained || facts.Explanation.Machines != 7 || facts.Schedulers != 2 ||
+		facts.SchedulersConnected != 1 || facts.SchedulerConnected {
 		t.Errorf("facts %+v", facts)
 	}
 }
--- a/internal/controller/server/golden_test.go
+++ b/internal/controller/server/golden_test.go
@@ -4,8 +4,6 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"io"
-	"log/slog"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -14,7 +12,6 @@
 
 	"glenport/internal/config"
 	"glenport/internal/controller"
-	"glenport/internal/controller/watchcache"
 	"glenport/internal/golden"
 	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
@@ -45,34 +42,14 @@
 	}
 
 	goldenSpec = controller.Spec{
-		Service:       "report",
-		WorkloadClass: 1,
-		Tenant:        2,
-		Cores:         1.5,
-		Memory:        2.25,
-		RunFor:        600_000,
-		RunOnce:       true,
+		Service: "report", WorkloadClass: 1, Tenant: 2, Cores: 1.5, Memory: 2.25, RunFor: 600_000, RunOnce: true,
 	}
 
 	goldenContainer = ContainerRecord{SchedulerAddress: goldenScheduler, Container: controller.Container{
-		Job:            "reports",
-		Index:          2,
-		State:          controller.StateRunning,
-		Terminating:    true,
-		Machine:        "m17",
-		Scheduler:      1,
-		Sticky:         true,
-		Since:          17_000_000_000_001,
-		Until:          17_000_000_000_002,
-		Attempts:       3,
-		Starts:         4,
-		LastStatus:     "runs",
-		Refused:        true,
-		IdempotencyKey: "reports/2/31",
-		RequestID:      "reports/2#32",
-		Submitted:      true,
-		Replacing:      true,
-		SubmittedSpec:  goldenSpec,
+		Job: "reports", Index: 2, State: controller.StateRunning, Terminating: true, Machine: "m17", Scheduler: 1,
+		Sticky: true, Since: 17_000_000_000_001, Until: 17_000_000_000_002, Attempts: 3, Starts: 4,
+		LastStatus: "runs", Refused: true, IdempotencyKey: "reports/2/31", RequestID: "reports/2#32",
+		Submitted: true, Replacing: true, SubmittedSpec: goldenSpec,
 	}}
 	goldenPlainContainer = ContainerRecord{Container: controller.Container{
 		Job: "plain", Scheduler: -1, LastStatus: "not asked for yet",
@@ -117,8 +94,7 @@
 // openGolden opens a server on a folder, without serving; closed stops it.
 func openGolden(t *testing.T, folder string) (s *Server, closed func()) {
 	t.Helper()
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	s, err := New(goldenConfig(folder), watchcache.New(func(*watchcache.Object) []byte { return nil }), log)
+	s, err := New(goldenConfig(folder), newCache(), quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,6 +107,16 @@
 	}
 }
 
+// storeOf returns the state on disk of a server that has a state folder.
+func storeOf(t *testing.T, s *Server) *stateStore {
+	t.Helper()
+	store, ok := s.storage.(*stateStore)
+	if !ok {
+		t.Fatalf("%T, want a state folder", s.storage)
+	}
+	return store
+}
+
 // writeGolden writes the golden folder by the path on which a running controller stores.
 func writeGolden(t *testing.T) {
 	t.Helper()
@@ -138,11 +124,12 @@
 		t.Fatal(err)
 	}
 	s, closed := openGolden(t, goldenFolder)
+	log := storeOf(t, s).log
 	changes := []wal.Change{wal.Put(RecordVersionCeiling, versionCeilingKey, goldenCeiling)}
 	for _, r := range goldenRecords() {
 		changes = append(changes, wal.Put(r.kind, r.key, r.value))
 	}
-	if err := s.store.log.CommitSync(changes...); err != nil {
+	if err := log.CommitSync(changes...); err != nil {
 		t.Fatal(err)
 	}
 	closed()
@@ -153,8 +140,8 @@
 	words.WriteString(
 		"# The records of the state folder beside: kind and key, what they hold in CBOR diagnostic notation.\n",
 	)
-	for _, kind := range s.store.log.State().Kinds() {
-		if err := s.store.log.State().ForEach(kind, func(key string, value []byte) error {
+	for _, kind := range log.State().Kinds() {
+		if err := log.State().ForEach(kind, func(key string, value []byte) error {
 			text, err := cbor.Diagnose(value)
 			fmt.Fprintf(&words, "%s %q %s\n", kind, key, text)
 			return err
@@ -167,11 +154,9 @@
 	}
 }
 
-// TestStoredRecordsKeepTheirBytes reads each record of the golden folder, compares every field, and encodes it again.
-func TestStoredRecordsKeepTheirBytes(t *testing.T) {
-	if golden.Updating() {
-		writeGolden(t)
-	}
+// goldenState are the encoded records of the golden folder by kind and key.
+func goldenState(t *testing.T) map[string][]byte {
+	t.Helper()
 	folder, err := vfs.OpenReadOnly(goldenFolder)
 	if err != nil {
 		t.Fatal(err)
@@ -189,6 +174,15 @@
 			t.Fatal(err)
 		}
 	}
+	return raw
+}
+
+// TestStoredRecordsKeepTheirBytes reads each record of the golden folder, compares every field, and encodes it again.
+func TestStoredRecordsKeepTheirBytes(t *testing.T) {
+	if golden.Updating() {
+		writeGolden(t)
+	}
+	raw := goldenState(t)
 	records := append(goldenRecords(), goldenRecord{RecordVersionCeiling, versionCeilingKey, int64(goldenCeiling)})
 	if len(raw) != len(records) {
 		t.Errorf("%d records in %s, want %d", len(raw), goldenFolder, len(records))
@@ -201,9 +195,7 @@
 			if err := cbor.Unmarshal(stored, got.Interface()); err != nil {
 				t.Fatal(err)
 			}
-			if !reflect.DeepEqual(got.Elem().Interface(), want.Interface()) {
-				t.Errorf("read %+v, want %+v", got.Elem(), want)
-			}
+			wantEqual(t, "read", got.Elem().Interface(), want.Interface())
 			if again := wal.Put(r.kind, r.key, r.value).Value; !bytes.Equal(again, stored) {
 				t.Errorf("encoded %x, stored %x", again, stored)
 			}
@@ -211,6 +203,13 @@
 	}
 }
 
+func wantEqual(t *testing.T, what string, got, want any) {
+	t.Helper()
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("%s: got %+v, want %+v", what, got, want)
+	}
+}
+
 // TestControllerRestoresGoldenFolder opens a server on a copy of the golden folder, as at a restart.
 func TestControllerRestoresGoldenFolder(t *testing.T) {
 	folder := t.TempDir()
@@ -219,21 +218,10 @@
 	}
 	s, closed := openGolden(t, folder)
 	defer closed()
-	if got := s.store.versionCeiling; got != goldenCeiling+versionCeilingStep {
-		t.Errorf("ceiling %d, want %d", got, goldenCeiling+versionCeilingStep)
-	}
-	if got := s.Cache.LastReserved(); got != goldenCeiling {
-		t.Errorf("versions begin after %d, want %d", got, goldenCeiling)
-	}
-	if want := map[string]JobRecord{
-		"reports": goldenJob,
-		"plain":   goldenPlainJob,
-	}; !reflect.DeepEqual(
-		s.store.jobs,
-		want,
-	) {
-		t.Errorf("jobs %+v, want %+v", s.store.jobs, want)
-	}
+	store := storeOf(t, s)
+	wantEqual(t, "ceiling", store.versionCeiling, int64(goldenCeiling+versionCeilingStep))
+	wantEqual(t, "last version", s.Cache.LastReserved(), int64(goldenCeiling))
+	wantEqual(t, "jobs on disk", store.jobs, map[string]JobRecord{"reports": goldenJob, "plain": goldenPlainJob})
 	for id, want := range map[string]Job{"reports": goldenJob.Job, "plain": goldenPlainJob.Job} {
 		o := s.Cache.Get(KindJobs, id)
 		if o == nil || o.Version != want.Version || !reflect.DeepEqual(o.Value, want) {
@@ -248,36 +236,22 @@
 		t.Fatalf("%T, want what was restored", s.events[0])
 	}
 	plainSpec := controller.Spec{Service: "web", Tenant: 3, Cores: 0.5, Memory: 1}
-	wantJobs := []controller.JobSet{{Job: "plain", Spec: plainSpec}, {Job: "reports", Count: 3, Spec: goldenSpec}}
-	if !reflect.DeepEqual(restored.Jobs, wantJobs) {
-		t.Errorf("jobs %+v, want %+v", restored.Jobs, wantJobs)
-	}
-	var wantContainers []controller.Container
+	wantEqual(t, "jobs", restored.Jobs, []controller.JobSet{
+		{Job: "plain", Spec: plainSpec}, {Job: "reports", Count: 3, Spec: goldenSpec},
+	})
+	wantEqual(t, "orphans", restored.Orphans, []controller.Orphan{{Scheduler: 1, IdempotencyKey: "reports/1/29"}})
+	wantContainers := map[string]controller.Container{}
 	for _, r := range goldenRecords() {
 		if c, ok := r.value.(ContainerRecord); ok {
-			wantContainers = append(wantContainers, c.Container)
+			wantContainers[r.key] = c.Container
 		}
 	}
 	byID := map[string]controller.Container{}
 	for _, c := range restored.Containers {
 		byID[containerID(c.Job, c.Index)] = c
 	}
-	if len(restored.Containers) != len(wantContainers) {
-		t.Errorf("%d containers, want %d", len(restored.Containers), len(wantContainers))
-	}
-	for _, want := range wantContainers {
-		if got := byID[containerID(want.Job, want.Index)]; !reflect.DeepEqual(got, want) {
-			t.Errorf("container %+v, want %+v", got, want)
-		}
-	}
-	if want := []controller.Orphan{
-		{Scheduler: 1, IdempotencyKey: "reports/1/29"},
-	}; !reflect.DeepEqual(
-		restored.Orphans,
-		want,
-	) {
-		t.Errorf("orphans %+v, want %+v", restored.Orphans, want)
-	}
+	wantEqual(t, "number of containers", len(restored.Containers), len(wantContainers))
+	wantEqual(t, "containers", byID, wantContainers)
 }
 
 // TestObjectsMatchGoldenJSON compares the JSON of each kind of object, full and empty, with testdata/objects.txt, and
@@ -287,30 +261,13 @@
 		goldenJob.Job,
 		Job{},
 		Container{
-			ID:          "reports.2",
-			Job:         "reports",
-			Index:       2,
-			State:       "running",
-			Terminating: true,
-			Machine:     "m17",
-			Scheduler:   "p1",
-			SinceMS:     5,
-			UntilMS:     6,
-			Attempts:    7,
-			Starts:      8,
-			LastStatus:  "runs",
-			Version:     9,
+			ID: "reports.2", Job: "reports", Index: 2, State: "running", Terminating: true, Machine: "m17",
+			Scheduler: "p1", SinceMS: 5, UntilMS: 6, Attempts: 7, Starts: 8, LastStatus: "runs", Version: 9,
 		},
 		Container{},
 		Machine{
-			ID:            "m17",
-			Zone:          2,
-			MachineType:   "large",
-			State:         "serving",
-			FreeCores:     1.5,
-			FreeMemoryGiB: 2.5,
-			Incarnation:   1 << 60,
-			Version:       3,
+			ID: "m17", Zone: 2, MachineType: "large", State: "serving", FreeCores: 1.5, FreeMemoryGiB: 2.5,
+			Incarnation: 1 << 60, Version: 3,
 		},
 		Machine{},
 	}
--- a/internal/controller/server/helpers_test.go
+++ b/internal/controller/server/helpers_test.go
@@ -1,7 +1,6 @@
 package server
 
 import (
-	"io"
 	"log/slog"
 	"testing"
 
@@ -10,21 +9,24 @@
 	"glenport/scheduler"
 )
 
+var quiet = slog.New(slog.DiscardHandler)
+
+// newCache returns a cache whose changes nobody watches.
+func newCache() *watchcache.Cache {
+	return watchcache.New(func(*watchcache.Object) []byte { return nil })
+}
+
 // openServer opens a server without state and without connections. It does not serve: the test stands in for its loop.
 func openServer(t *testing.T) *Server {
 	t.Helper()
 	s, err := New(Config{
 		Name: "controller", Schedulers: []string{"127.0.0.1:1", "127.0.0.1:2"}, Seed: 1,
 		SchedulerConfig: &config.Scheduler{
-			WorkloadClasses: []string{
-				"matcher",
-			},
-			Tenants:      []string{"offices"},
+			WorkloadClasses: []string{"matcher"}, Tenants: []string{"offices"},
 			MachineTypes: []string{"small", "large"},
 			Policy:       scheduler.Config{WorkloadClasses: []scheduler.WorkloadClass{{}}},
 		},
-	},
-		watchcache.New(func(*watchcache.Object) []byte { return nil }), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	}, newCache(), quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/server/iteration.go
+++ b/internal/controller/server/iteration.go
@@ -11,11 +11,16 @@
 
 // actionBatch is what the controller's actions of one iteration leave to be done.
 type actionBatch struct {
-	changes  []wal.Change
-	durable  bool                // the requests wait until the changes are synced to disk
-	requests []controller.Action // to schedulers; sent once the changes are stored
+	changes    []wal.Change
+	durability durability          // of the changes, before the requests are sent
+	requests   []controller.Action // to schedulers; sent once the changes are stored
 }
 
+func (b *actionBatch) add(change wal.Change) { b.changes = append(b.changes, change) }
+
+// addEvent has an event handled at the end of this iteration.
+func (s *Server) addEvent(e controller.Event) { s.events = append(s.events, e) }
+
 // handleEvents passes the events of an iteration to the controller, stores what its actions change, and then carries
 // out its requests to schedulers: no request is sent before its record is stored.
 func (s *Server) handleEvents() {
@@ -30,11 +35,12 @@
 	}
 	if len(batch.requests) == 0 {
 		if len(batch.changes) > 0 {
-			s.persist(batch.changes, false, func(error) {}) // the store repeats changes that it could not write
+			// The storage repeats changes that it could not write.
+			s.storage.persist(batch.changes, written, func(error) {})
 		}
 		return
 	}
-	s.persist(batch.changes, batch.durable, func(err error) {
+	s.storage.persist(batch.changes, batch.durability, func(err error) {
 		for _, request := range batch.requests {
 			s.sendRequest(request, err)
 		}
@@ -45,31 +51,24 @@
 func (s *Server) collect(batch *actionBatch, action controller.Action) {
 	switch action := action.(type) {
 	case controller.ContainerChanged:
-		if s.store != nil {
-			batch.changes = append(batch.changes, s.containerChange(action.Container))
-		}
-		s.publishContainer(action.Container)
+		batch.add(s.containerChange(action.Container))
+		s.containers.put(action.Container)
 	case controller.ContainerRemoved:
-		batch.changes = append(
-			batch.changes,
-			wal.Change{Kind: RecordContainer, Key: containerID(action.Job, action.Index)},
-		)
-		s.unpublishContainer(action.Job, action.Index)
+		batch.add(wal.Change{Kind: RecordContainer, Key: containerID(action.Job, action.Index)})
+		s.containers.delete(action.Job, action.Index)
 	case controller.OrphanRecorded:
 		record := s.orphanRecord(action.Orphan)
-		batch.changes = append(batch.changes, wal.Put(RecordOrphan, record.storeKey(), record))
+		batch.add(wal.Put(RecordOrphan, record.storeKey(), record))
 	case controller.OrphanResolved:
-		batch.changes = append(
-			batch.changes,
-			wal.Change{Kind: RecordOrphan, Key: s.orphanRecord(action.Orphan).storeKey()},
-		)
+		batch.add(wal.Change{Kind: RecordOrphan, Key: s.orphanRecord(action.Orphan).storeKey()})
 	case controller.SetTimer:
-		s.loop.After(eventloop.Tick(action.After), func() { s.events = append(s.events, controller.TimerFired{}) })
+		s.loop.After(eventloop.Tick(action.After), func() { s.addEvent(controller.TimerFired{}) })
 	case controller.TransitionRejected:
 		s.log.Error("state transition rejected", "error", action.Err)
 	case controller.SubmitRequest:
-		_, sync := recovery.MustPersist(s.idempotency(action.Spec.WorkloadClass))
-		batch.durable = batch.durable || sync
+		if _, sync := recovery.MustPersist(s.idempotency(action.Spec.WorkloadClass)); sync {
+			batch.durability = synced
+		}
 		batch.requests = append(batch.requests, action)
 	default:
 		batch.requests = append(batch.requests, action)
@@ -101,32 +100,32 @@
 func (s *Server) sendRequest(request controller.Action, storeErr error) {
 	switch request := request.(type) {
 	case controller.SubmitRequest:
-		if storeErr != nil {
-			s.events = append(s.events, controller.PlacementAnswered{
-				RequestID: request.RequestID, Verdict: controller.VerdictRefused,
-				RetryAfter: scheduler.Second, Message: "the ask could not be written down: " + storeErr.Error(),
-			})
-			return
-		}
-		spec := containerSpec(request.Spec, request.RequestID, request.IdempotencyKey)
-		spec.ClientRetry = request.Retry
-		s.schedulers[request.Scheduler].write(
-			&protocol.Submit{TimeToDeadline: protocol.Duration(request.Timeout), Spec: spec},
-		)
+		s.submit(request, storeErr)
 	case controller.LookupRequest:
-		s.schedulers[request.Scheduler].write(
-			&protocol.Lookup{ContainerID: request.RequestID, IdempotencyKey: request.IdempotencyKey},
-		)
+		frame := &protocol.Lookup{ContainerID: request.RequestID, IdempotencyKey: request.IdempotencyKey}
+		s.schedulers[request.Scheduler].write(frame)
 	case controller.CancelRequest:
 		if request.Scheduler >= 0 {
-			s.schedulers[request.Scheduler].write(&protocol.CancelContainer{
-				ContainerID:    request.RequestID,
-				IdempotencyKey: request.IdempotencyKey,
-			})
+			frame := &protocol.CancelContainer{ContainerID: request.RequestID, IdempotencyKey: request.IdempotencyKey}
+			s.schedulers[request.Scheduler].write(frame)
 		}
 	}
 }
 
+func (s *Server) submit(request controller.SubmitRequest, storeErr error) {
+	if storeErr != nil {
+		s.addEvent(controller.PlacementAnswered{
+			RequestID: request.RequestID, Verdict: controller.VerdictRefused,
+			RetryAfter: scheduler.Second, Message: "the request could not be stored: " + storeErr.Error(),
+		})
+		return
+	}
+	spec := containerSpec(request.Spec, request.RequestID, request.IdempotencyKey)
+	spec.ClientRetry = request.Retry
+	frame := &protocol.Submit{TimeToDeadline: protocol.Duration(request.Timeout), Spec: spec}
+	s.schedulers[request.Scheduler].write(frame)
+}
+
 func containerSpec(spec controller.Spec, requestID, idempotencyKey string) protocol.ContainerSpec {
 	return protocol.ContainerSpec{
 		ContainerID: requestID, IdempotencyKey: idempotencyKey, Service: spec.Service,
--- a/internal/controller/server/machinelist.go
+++ b/internal/controller/server/machinelist.go
@@ -1,9 +1,6 @@
 package server
 
 import (
-	"maps"
-	"slices"
-
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
 )
@@ -63,7 +60,7 @@
 	switch f := f.(type) {
 	case *protocol.MachineListUpdate:
 		c.version = f.Version
-		c.server.applyMachineList(f)
+		c.server.machines.apply(f)
 	case *protocol.MachineListError:
 		c.server.loop.After(machineListRetryDelay, func() {
 			if c.conn != nil {
@@ -73,33 +70,3 @@
 	}
 	return nil
 }
-
-// applyMachineList publishes the machines of an update. In a full snapshot, machines that are not named are gone.
-func (s *Server) applyMachineList(update *protocol.MachineListUpdate) {
-	listed := map[string]bool{} // by machine that the update names: whether it still exists
-	for _, entry := range update.Entries {
-		listed[entry.Machine] = entry.State != protocol.MachineGone
-		if entry.State != protocol.MachineGone {
-			s.machines[entry.Machine] = entry
-			s.publisher.put(KindMachines, entry.Machine, s.machineObject(entry))
-		}
-	}
-	for _, id := range slices.Sorted(maps.Keys(s.machines)) {
-		exists, named := listed[id]
-		if !exists && (named || update.FullSnapshot) {
-			delete(s.machines, id)
-			s.publisher.delete(KindMachines, id, Machine{ID: id})
-		}
-	}
-}
-
-func (s *Server) machineObject(entry protocol.MachineEntry) Machine {
-	m := Machine{
-		ID: entry.Machine, Zone: entry.Zone, State: entry.State.String(), FreeCores: entry.FreeCores,
-		FreeMemoryGiB: entry.FreeMemory, Incarnation: entry.Incarnation,
-	}
-	if types := s.config.SchedulerConfig.MachineTypes; entry.MachineType < len(types) {
-		m.MachineType = types[entry.MachineType]
-	}
-	return m
-}
--- a/internal/controller/server/objects.go
+++ b/internal/controller/server/objects.go
@@ -1,12 +1,5 @@
 package server
 
-import (
-	"fmt"
-
-	"glenport/internal/controller"
-	"glenport/scheduler"
-)
-
 // Kinds of objects in the cache.
 const (
 	KindJobs       = "jobs"
@@ -24,7 +17,7 @@
 	Cores         float64           `json:"cores"                cbor:"cores"`
 	MemoryGiB     float64           `json:"memory_gib"           cbor:"memory_gib"`
 	RunForMS      int64             `json:"run_for_ms,omitempty" cbor:"run_for_ms,omitempty"` // 0: until it is stopped
-	RunOnce       bool              `json:"once,omitempty"       cbor:"once,omitempty"`       // a container that finished is not started again
+	RunOnce       bool              `json:"once,omitempty"       cbor:"once,omitempty"`       // not again once finished
 	Count         int               `json:"count"                cbor:"count"`                // of containers
 	Version       int64             `json:"version"              cbor:"version"`
 }
@@ -57,38 +50,3 @@
 	Incarnation   uint64  `json:"incarnation"`
 	Version       int64   `json:"version"`
 }
-
-func containerID(job string, index int) string { return fmt.Sprintf("%s.%d", job, index) }
-
-// publishContainer shows a container as the controller reports it.
-func (s *Server) publishContainer(c controller.Container) {
-	object := Container{
-		ID: containerID(
-			c.Job,
-			c.Index,
-		),
-		Job:         c.Job,
-		Index:       c.Index,
-		State:       c.State.String(),
-		Terminating: c.Terminating,
-		Machine:     c.Machine,
-		SinceMS:     int64(c.Since / scheduler.Millisecond),
-		UntilMS:     int64(c.Until / scheduler.Millisecond),
-		Attempts:    c.Attempts,
-		Starts:      c.Starts,
-		LastStatus:  c.LastStatus,
-	}
-	if c.Scheduler >= 0 {
-		object.Scheduler = s.schedulers[c.Scheduler].name
-	}
-	s.containers[object.ID] = c
-	s.publisher.put(KindContainers, object.ID, object)
-}
-
-func (s *Server) unpublishContainer(job string, index int) {
-	id := containerID(job, index)
-	if _, published := s.containers[id]; published {
-		delete(s.containers, id)
-		s.publisher.delete(KindContainers, id, Container{ID: id, Job: job, Index: index})
-	}
-}
--- a/internal/controller/server/pendingreasons.go
+++ b/internal/controller/server/pendingreasons.go
@@ -1,7 +1,6 @@
 package server
 
 import (
-	"strconv"
 	"time"
 
 	"glenport/internal/controller"
@@ -23,12 +22,12 @@
 	results := make(chan result, 1)
 	found := make(chan bool, 1)
 	if !s.loop.Post(func() {
-		c, ok := s.containers[id]
+		c, ok := s.containers.find(id)
 		if found <- ok; !ok {
 			return
 		}
 		s.explainer.explain(c, func(reply *protocol.ExplainReply) {
-			if latest, ok := s.containers[id]; ok {
+			if latest, ok := s.containers.find(id); ok {
 				c = latest
 			}
 			results <- result{pending.Explain(scheduler.Time(s.loop.Now()), s.pendingFacts(c, reply)), c.State.String()}
@@ -50,7 +49,7 @@
 // pendingFacts returns what is known on why a container is pending; reply is nil where no scheduler replied.
 func (s *Server) pendingFacts(c controller.Container, reply *protocol.ExplainReply) pending.Facts {
 	facts := pending.Facts{
-		Container: c, Schedulers: len(s.schedulers), Zones: s.zones(),
+		Container: c, Schedulers: len(s.schedulers), Zones: s.machines.zones(),
 		SlowStartWindow: s.config.SchedulerConfig.Policy.SlowStartWindow,
 	}
 	for _, conn := range s.schedulers {
@@ -68,44 +67,10 @@
 
 func explanationOf(r *protocol.ExplainReply) scheduler.Explanation {
 	return scheduler.Explanation{
-		Machines:           r.Machines,
-		Gone:               r.Gone,
-		WrongMachineType:   r.WrongMachineType,
-		Draining:           r.Draining,
-		TooSmall:           r.TooSmall,
-		SelfDraining:       r.SelfDraining,
-		SpreadExhausted:    r.SpreadExhausted,
-		SlowStartExhausted: r.SlowStartExhausted,
-		Ejected:            r.Ejected,
-		Suspected:          r.Suspected,
-		InsufficientCores:  r.InsufficientCores,
-		InsufficientMemory: r.InsufficientMemory,
-		Eligible:           r.Eligible,
-		SheddingLoad:       r.SheddingLoad,
-		FullRatio:          r.FullRatio,
+		Machines: r.Machines, Gone: r.Gone, WrongMachineType: r.WrongMachineType, Draining: r.Draining,
+		TooSmall: r.TooSmall, SelfDraining: r.SelfDraining, SpreadExhausted: r.SpreadExhausted,
+		SlowStartExhausted: r.SlowStartExhausted, Ejected: r.Ejected, Suspected: r.Suspected,
+		InsufficientCores: r.InsufficientCores, InsufficientMemory: r.InsufficientMemory, Eligible: r.Eligible,
+		SheddingLoad: r.SheddingLoad, FullRatio: r.FullRatio,
 	}
 }
-
-// zones returns the zones of the listed machines in the order of their numbers.
-func (s *Server) zones() (zones []pending.Zone) {
-	byNumber := map[int]*pending.Zone{}
-	last := -1
-	for _, m := range s.machines {
-		zone := byNumber[m.Zone]
-		if zone == nil {
-			zone = &pending.Zone{Name: strconv.Itoa(m.Zone)}
-			byNumber[m.Zone] = zone
-			last = max(last, m.Zone)
-		}
-		zone.Machines++
-		if m.State == protocol.MachineDraining {
-			zone.Draining++
-		}
-	}
-	for number := 0; number <= last; number++ {
-		if zone := byNumber[number]; zone != nil {
-			zones = append(zones, *zone)
-		}
-	}
-	return zones
-}
--- a/internal/controller/server/publisher.go
+++ b/internal/controller/server/publisher.go
@@ -43,12 +43,15 @@
 	p.flush()
 }
 
-// complete ends the wait of a change: it is applied in its turn, or discarded.
-func (p *publisher) complete(change *publication, persisted bool) {
+// release ends the wait of a change that is on disk: it is applied in its turn.
+func (p *publisher) release(change *publication) {
+	change.state = publicationReady
+	p.flush()
+}
+
+// discard drops a change that could not be stored. Its version stays a gap.
+func (p *publisher) discard(change *publication) {
 	change.state = publicationDiscarded
-	if persisted {
-		change.state = publicationReady
-	}
 	p.flush()
 }
 
--- a/internal/controller/server/publisher_test.go
+++ b/internal/controller/server/publisher_test.go
@@ -1,8 +1,10 @@
 package server
 
 import (
+	"slices"
 	"testing"
 
+	"glenport/internal/controller/pending"
 	"glenport/internal/protocol"
 )
 
@@ -13,11 +15,11 @@
 	s.publisher.add(first)
 	s.publisher.add(second)
 	s.publisher.put(KindMachines, "m", Machine{})
-	s.publisher.complete(second, true)
+	s.publisher.release(second)
 	if v := s.Cache.Version(); v != 0 || s.Cache.Get(KindMachines, "m") != nil {
 		t.Errorf("version %d is shown before the first change is stored", v)
 	}
-	s.publisher.complete(first, false)
+	s.publisher.discard(first)
 	if s.Cache.Get(KindJobs, "first") != nil || s.Cache.Get(KindJobs, "second") == nil ||
 		s.Cache.Get(KindMachines, "m") == nil {
 		t.Error("a discarded change is shown, or one behind it is not")
@@ -27,44 +29,34 @@
 	}
 }
 
+func listSnapshot(entries ...protocol.MachineEntry) *protocol.MachineListUpdate {
+	return &protocol.MachineListUpdate{FullSnapshot: true, Entries: entries}
+}
+
 func TestMachinesFollowTheMachineList(t *testing.T) {
 	s := openServer(t)
 	entry := func(id string, state protocol.MachineState) protocol.MachineEntry {
 		return protocol.MachineEntry{Machine: id, Zone: 1, MachineType: 1, State: state}
 	}
 	shown := func(id string) bool { return s.Cache.Get(KindMachines, id) != nil }
-	s.applyMachineList(&protocol.MachineListUpdate{
-		FullSnapshot: true,
-		Entries: []protocol.MachineEntry{
-			entry("a", protocol.MachineServing),
-			entry("b", protocol.MachineServing),
-			entry("c", protocol.MachineServing),
-		},
-	})
+	serving := protocol.MachineServing
+	s.machines.apply(listSnapshot(entry("a", serving), entry("b", serving), entry("c", serving)))
 	if m := s.Cache.Get(KindMachines, "a").Value.(Machine); m.MachineType != "large" || m.Zone != 1 ||
 		m.State != "serving" {
 		t.Errorf("shown as %+v", m)
 	}
-	s.applyMachineList(&protocol.MachineListUpdate{
-		Entries: []protocol.MachineEntry{
-			entry("a", protocol.MachineDraining),
-			entry("b", protocol.MachineGone),
-			entry("x", protocol.MachineGone),
-		},
-	})
-	if !shown("a") || shown("b") || !shown("c") || len(s.machines) != 2 {
-		t.Errorf("after an update: %v", s.machines)
+	s.machines.apply(&protocol.MachineListUpdate{Entries: []protocol.MachineEntry{
+		entry("a", protocol.MachineDraining), entry("b", protocol.MachineGone), entry("x", protocol.MachineGone),
+	}})
+	if !shown("a") || shown("b") || !shown("c") || len(s.machines.byID) != 2 {
+		t.Errorf("after an update: %v", s.machines.byID)
 	}
-	if zones := s.zones(); len(zones) != 1 || zones[0].Name != "1" || zones[0].Machines != 2 || zones[0].Draining != 1 {
-		t.Errorf("zones %+v", zones)
+	zones := s.machines.zones()
+	if want := []pending.Zone{{Name: "1", Machines: 2, Draining: 1}}; !slices.Equal(zones, want) {
+		t.Errorf("zones %+v, want %+v", zones, want)
 	}
-	s.applyMachineList(
-		&protocol.MachineListUpdate{
-			FullSnapshot: true,
-			Entries:      []protocol.MachineEntry{entry("a", protocol.MachineServing)},
-		},
-	)
-	if !shown("a") || shown("c") || len(s.machines) != 1 {
-		t.Errorf("after a full snapshot: %v", s.machines)
+	s.machines.apply(listSnapshot(entry("a", serving)))
+	if !shown("a") || shown("c") || len(s.machines.byID) != 1 {
+		t.Errorf("after a full snapshot: %v", s.machines.byID)
 	}
 }
--- a/internal/controller/server/records.go
+++ b/internal/controller/server/records.go
@@ -21,8 +21,8 @@
 
 // ContainerRecord is a container as the log has it.
 type ContainerRecord struct {
-	Container        controller.Container `cbor:"Container"` // its Scheduler counts at the time; the address below identifies it
-	SchedulerAddress string               `cbor:"Door"`      // of the scheduler that was asked last; empty: none
+	Container        controller.Container `cbor:"Container"` // its Scheduler is a number of that time
+	SchedulerAddress string               `cbor:"Door"`      // identifies that scheduler; empty: none was asked
 }
 
 // OrphanRecord is an orphan as the log has it: idempotent work that may run behind a scheduler whose connection was
--- a/internal/controller/server/restore.go
+++ b/internal/controller/server/restore.go
@@ -11,21 +11,18 @@
 
 // restore reads the records of earlier processes. Jobs go into the cache with their versions; all else is for the
 // controller.
-func (st *stateStore) restore() (restored controller.StateRestored, err error) {
+func (st *stateStore) restore(specs specReader, numbers map[string]int) (restored controller.StateRestored, err error) {
 	state := st.log.State()
-	if err := state.ForEach(RecordVersionCeiling, func(_ string, value []byte) error {
+	err = state.ForEach(RecordVersionCeiling, func(_ string, value []byte) error {
 		return cbor.Unmarshal(value, &st.versionCeiling)
-	}); err != nil {
-		return restored, err
+	})
+	if err != nil {
+		return restored, fmt.Errorf("version ceiling: %w", err)
 	}
-	st.server.Cache.StartAfter(st.versionCeiling)
-	if restored.Jobs, err = st.restoreJobs(state); err != nil {
+	st.cache.StartAfter(st.versionCeiling)
+	if restored.Jobs, err = st.restoreJobs(state, specs); err != nil {
 		return restored, err
 	}
-	numbers := map[string]int{}
-	for i, conn := range st.server.schedulers {
-		numbers[conn.address] = i
-	}
 	if restored.Containers, err = restoreContainers(state, numbers); err != nil {
 		return restored, err
 	}
@@ -33,18 +30,18 @@
 	return restored, err
 }
 
-func (st *stateStore) restoreJobs(state *wal.State) (jobs []controller.JobSet, err error) {
+func (st *stateStore) restoreJobs(state *wal.State, specs specReader) (jobs []controller.JobSet, err error) {
 	err = state.ForEach(RecordJob, func(id string, value []byte) error {
 		var record JobRecord
 		if err := cbor.Unmarshal(value, &record); err != nil {
 			return fmt.Errorf("job %s: %w", id, err)
 		}
-		spec, err := st.server.specOf(&record.Job)
+		spec, err := specs.read(&record.Job)
 		if err != nil {
 			return fmt.Errorf("job %s does not fit the scheduler configuration: %w", id, err)
 		}
 		st.jobs[id] = record
-		st.server.Cache.Apply(record.Job.Version, KindJobs, id, record.Job, false)
+		st.cache.Apply(record.Job.Version, KindJobs, id, record.Job, false)
 		jobs = append(jobs, controller.JobSet{Job: id, Count: record.Job.Count, Spec: spec})
 		return nil
 	})
@@ -53,16 +50,13 @@
 
 // restoreContainers binds each container to the scheduler with the stored address, by its present number; to none where
 // that scheduler is no longer configured.
-func restoreContainers(
-	state *wal.State,
-	schedulerNumbers map[string]int,
-) (containers []controller.Container, err error) {
+func restoreContainers(state *wal.State, numbers map[string]int) (containers []controller.Container, err error) {
 	err = state.ForEach(RecordContainer, func(id string, value []byte) error {
 		var record ContainerRecord
 		if err := cbor.Unmarshal(value, &record); err != nil {
 			return fmt.Errorf("container %s: %w", id, err)
 		}
-		number, configured := schedulerNumbers[record.SchedulerAddress]
+		number, configured := numbers[record.SchedulerAddress]
 		if !configured || record.Container.Scheduler < 0 {
 			number = -1
 		}
@@ -74,13 +68,13 @@
 }
 
 // restoreOrphans leaves out those of schedulers that are no longer configured: nobody can be asked to end them.
-func restoreOrphans(state *wal.State, schedulerNumbers map[string]int) (orphans []controller.Orphan, err error) {
+func restoreOrphans(state *wal.State, numbers map[string]int) (orphans []controller.Orphan, err error) {
 	err = state.ForEach(RecordOrphan, func(id string, value []byte) error {
 		var record OrphanRecord
 		if err := cbor.Unmarshal(value, &record); err != nil {
 			return fmt.Errorf("orphan %s: %w", id, err)
 		}
-		if number, configured := schedulerNumbers[record.SchedulerAddress]; configured {
+		if number, configured := numbers[record.SchedulerAddress]; configured {
 			orphans = append(orphans, controller.Orphan{Scheduler: number, IdempotencyKey: record.IdempotencyKey})
 		}
 		return nil
--- a/internal/controller/server/schedulerconn.go
+++ b/internal/controller/server/schedulerconn.go
@@ -22,13 +22,15 @@
 	connected bool // the scheduler has sent its hello
 }
 
-// connectedScheduler returns the connection to a scheduler, or to another one where that is not connected; nil where
-// none is.
-func (s *Server) connectedScheduler(preferred int) *schedulerConn {
-	if preferred >= 0 && preferred < len(s.schedulers) && s.schedulers[preferred].connected {
-		return s.schedulers[preferred]
+// schedulerPool holds the connections to all schedulers, by their number in the controller's events and actions.
+type schedulerPool []*schedulerConn
+
+// connected returns the connection to a scheduler, or to another one where that is not connected; nil where none is.
+func (p schedulerPool) connected(preferred int) *schedulerConn {
+	if preferred >= 0 && preferred < len(p) && p[preferred].connected {
+		return p[preferred]
 	}
-	for _, c := range s.schedulers {
+	for _, c := range p {
 		if c.connected {
 			return c
 		}
@@ -36,6 +38,15 @@
 	return nil
 }
 
+// numbers are the numbers of the schedulers by their addresses.
+func (p schedulerPool) numbers() map[string]int {
+	numbers := map[string]int{}
+	for _, c := range p {
+		numbers[c.address] = c.number
+	}
+	return numbers
+}
+
 func (c *schedulerConn) dial() {
 	c.reader = protocol.Reader{}
 	c.conn = c.server.loop.Dial(c.address, c, maxOutput, dialTimeout)
@@ -74,24 +85,22 @@
 	if c.connected {
 		c.connected = false
 		c.server.log.Warn("scheduler disconnected", "scheduler", c.name, "address", c.address, "error", cause)
-		c.addEvent(controller.SchedulerConnection{Scheduler: c.number, Connected: false})
+		c.server.addEvent(controller.SchedulerConnection{Scheduler: c.number, Connected: false})
 	}
 	c.server.loop.After(schedulerRedialDelay, c.dial)
 }
 
-func (c *schedulerConn) addEvent(e controller.Event) { c.server.events = append(c.server.events, e) }
-
 func (c *schedulerConn) handleFrame(f protocol.Frame) error {
 	switch f := f.(type) {
 	case *protocol.Hello:
 		return c.handleHello(f)
 	case *protocol.PlacementReply:
-		c.addEvent(controller.PlacementAnswered{
+		c.server.addEvent(controller.PlacementAnswered{
 			RequestID: f.ContainerID, Verdict: verdictOf(f.Verdict), Machine: f.Machine,
 			RetryAfter: scheduler.Time(f.RetryAfter), Message: f.Message,
 		})
 	case *protocol.Termination:
-		c.addEvent(controller.ContainerEnded{
+		c.server.addEvent(controller.ContainerEnded{
 			RequestID: f.ContainerID, Outcome: f.Outcome.SchedulerOutcome(),
 			Reason: scheduler.Reason(f.Reason),
 		})
@@ -112,7 +121,7 @@
 	}
 	c.name, c.connected = hello.Name, true
 	c.server.log.Info("scheduler connected", "scheduler", c.name, "address", c.address)
-	c.addEvent(controller.SchedulerConnection{Scheduler: c.number, Connected: true})
+	c.server.addEvent(controller.SchedulerConnection{Scheduler: c.number, Connected: true})
 	return nil
 }
 
@@ -124,6 +133,7 @@
 		return controller.VerdictRejected
 	case protocol.VerdictNotAdmitted:
 		return controller.VerdictRefused
+	default: // also of a later protocol: the careful reading
+		return controller.VerdictFailed
 	}
-	return controller.VerdictFailed
 }
--- a/internal/controller/server/server.go
+++ b/internal/controller/server/server.go
@@ -2,11 +2,16 @@
 // controller, the schedulers and the disk, publishes jobs, containers and machines in a watch cache, and collects the
 // facts on why a container is pending.
 //
+// Server holds the loop and wires its parts, each with its own state: schedulerPool and machineListConn the
+// connections, jobRegistry the changes of jobs, containerTable and machineTable what is shown, publisher the order in
+// which changes are shown, explainer the explain requests, storage the state folder.
+//
 // The server runs on one event loop. New, Run, Stop and the methods for clients (SetJob, DeleteJob, PendingReasons) may
 // be called from any goroutine; everything else runs on the loop.
 package server
 
 import (
+	"fmt"
 	"log/slog"
 	"time"
 
@@ -14,7 +19,6 @@
 	"glenport/internal/controller"
 	"glenport/internal/controller/watchcache"
 	"glenport/internal/eventloop"
-	"glenport/internal/protocol"
 )
 
 const (
@@ -41,14 +45,15 @@
 	loop        *eventloop.Loop
 	controller  *controller.Controller
 	events      []controller.Event // handled at the end of this iteration
-	schedulers  []*schedulerConn   // by their number in the controller's events and actions
+	schedulers  schedulerPool
 	machineList *machineListConn
-	containers  map[string]controller.Container  // by ID, as the controller reported them last
-	machines    map[string]protocol.MachineEntry // by ID, as the machine list has them
-	publisher   publisher
-	explainer   explainer
-	store       *stateStore             // nil where nothing is stored
-	jobChanges  map[string][]*jobChange // by job with a change under way: the changes that wait for it
+	specs       specReader
+	publisher   *publisher
+	jobs        *jobRegistry
+	containers  *containerTable
+	machines    *machineTable
+	explainer   *explainer
+	storage     storage
 }
 
 // New returns a server that publishes in cache, with the state of its folder restored. It serves once Run is called; a
@@ -56,27 +61,38 @@
 func New(c Config, cache *watchcache.Cache, log *slog.Logger) (*Server, error) {
 	s := &Server{
 		Cache: cache, config: c, log: log, controller: controller.New(controllerConfig(c)),
-		containers: map[string]controller.Container{}, machines: map[string]protocol.MachineEntry{},
-		publisher: publisher{cache: cache}, jobChanges: map[string][]*jobChange{},
+		specs:     specReader{c.SchedulerConfig.WorkloadClasses, c.SchedulerConfig.Tenants},
+		publisher: &publisher{cache: cache}, storage: noStorage{},
 	}
-	s.explainer = newExplainer(s)
 	var err error
 	if s.loop, err = eventloop.New(s.handleEvents); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("event loop: %w", err)
 	}
 	for i, address := range c.Schedulers {
 		s.schedulers = append(s.schedulers, &schedulerConn{server: s, number: i, address: address})
 	}
-	s.machineList = &machineListConn{server: s}
 	if c.StateDir != "" {
 		if err = s.openStore(); err != nil {
 			s.closeLoop()
 			return nil, err
 		}
 	}
+	s.wire()
 	return s, nil
 }
 
+// wire makes the parts that need the connections and the storage.
+func (s *Server) wire() {
+	s.machineList = &machineListConn{server: s}
+	s.jobs = &jobRegistry{
+		specs: s.specs, cache: s.Cache, publisher: s.publisher, storage: s.storage, addEvent: s.addEvent,
+		underWay: map[string][]*jobChange{},
+	}
+	s.containers = newContainerTable(s.publisher, s.schedulers)
+	s.machines = newMachineTable(s.publisher, s.config.SchedulerConfig.MachineTypes)
+	s.explainer = newExplainer(s.loop, s.jobs, s.schedulers)
+}
+
 func controllerConfig(c Config) controller.Config {
 	out := controller.Config{
 		Seed:           c.Seed,
@@ -104,10 +120,8 @@
 func (s *Server) Run() error {
 	s.loop.Post(s.connect)
 	err := s.loop.Run()
-	if s.store != nil {
-		if closeErr := s.store.close(); err == nil {
-			err = closeErr
-		}
+	if closeErr := s.storage.close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
--- a/internal/controller/server/spec.go
+++ b/internal/controller/server/spec.go
@@ -25,8 +25,14 @@
 	return &InvalidFieldError{field, fmt.Sprintf(format, args...)}
 }
 
-// specOf returns the spec of a job's containers, or an *InvalidFieldError for the first field that is not valid.
-func (s *Server) specOf(job *Job) (controller.Spec, error) {
+// specReader knows the names that the specs of containers have as numbers.
+type specReader struct {
+	workloadClasses []string
+	tenants         []string
+}
+
+// read returns the spec of a job's containers, or an *InvalidFieldError for the first field that is not valid.
+func (r specReader) read(job *Job) (controller.Spec, error) {
 	spec := controller.Spec{
 		Service: job.Service, Cores: job.Cores, Memory: job.MemoryGiB,
 		RunFor: scheduler.Time(job.RunForMS) * scheduler.Millisecond, RunOnce: job.RunOnce,
@@ -37,19 +43,13 @@
 	if job.Service == "" || len(job.Service) > maxServiceLength {
 		return spec, invalidField("service", "1 to 100 bytes are wanted")
 	}
-	workloadClasses, tenants := s.config.SchedulerConfig.WorkloadClasses, s.config.SchedulerConfig.Tenants
-	if spec.WorkloadClass = slices.Index(workloadClasses, job.WorkloadClass); spec.WorkloadClass < 0 {
-		return spec, invalidField(
-			"workload",
-			"%q is none of %s",
-			job.WorkloadClass,
-			strings.Join(workloadClasses, ", "),
-		)
+	if spec.WorkloadClass = slices.Index(r.workloadClasses, job.WorkloadClass); spec.WorkloadClass < 0 {
+		return spec, notOneOf("workload", job.WorkloadClass, r.workloadClasses)
 	}
-	spec.Tenant = len(tenants) // of no tenant
+	spec.Tenant = len(r.tenants) // of no tenant
 	if job.Tenant != "" {
-		if spec.Tenant = slices.Index(tenants, job.Tenant); spec.Tenant < 0 {
-			return spec, invalidField("customer", "%q is none of %s", job.Tenant, strings.Join(tenants, ", "))
+		if spec.Tenant = slices.Index(r.tenants, job.Tenant); spec.Tenant < 0 {
+			return spec, notOneOf("customer", job.Tenant, r.tenants)
 		}
 	}
 	if err := validateQuantities(job); err != nil {
@@ -58,6 +58,10 @@
 	return spec, validateLabels(job.Labels)
 }
 
+func notOneOf(field, value string, names []string) error {
+	return invalidField(field, "%q is none of %s", value, strings.Join(names, ", "))
+}
+
 func isValidID(id string) bool {
 	if id == "" || len(id) > maxIDLength {
 		return false
--- a/internal/controller/server/spec_test.go
+++ b/internal/controller/server/spec_test.go
@@ -11,6 +11,7 @@
 func TestInvalidFieldIsNamed(t *testing.T) {
 	s := openServer(t)
 	manyLabels := map[string]string{}
+	longLabel := strings.Repeat("v", maxLabelLength+1)
 	for i := range maxLabels + 1 {
 		manyLabels[fmt.Sprint("key", i)] = "v"
 	}
@@ -38,13 +39,13 @@
 		{"too many labels", func(j *Job) { j.Labels = manyLabels }, "labels"},
 		{"empty label key", func(j *Job) { j.Labels = map[string]string{"": "v"} }, "labels"},
 		{"label value with a comma", func(j *Job) { j.Labels = map[string]string{"k": "a,b"} }, "labels"},
-		{"long label value", func(j *Job) { j.Labels = map[string]string{"k": strings.Repeat("v", maxLabelLength+1)} }, "labels"},
+		{"long label value", func(j *Job) { j.Labels = map[string]string{"k": longLabel} }, "labels"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			job := validJob()
 			tc.change(&job)
 			var invalid *InvalidFieldError
-			if _, err := s.specOf(&job); !errors.As(err, &invalid) || invalid.Field != tc.field {
+			if _, err := s.specs.read(&job); !errors.As(err, &invalid) || invalid.Field != tc.field {
 				t.Errorf("got %v, want the field %s to be invalid", err, tc.field)
 			}
 		})
@@ -59,7 +60,7 @@
 	}{{"offices", 0}, {"", 1}} {
 		job := validJob()
 		job.Tenant, job.RunForMS, job.Labels = tc.tenant, 250, map[string]string{"team": "north"}
-		spec, err := s.specOf(&job)
+		spec, err := s.specs.read(&job)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controller/server/statestore.go
+++ b/internal/controller/server/statestore.go
@@ -3,8 +3,11 @@
 import (
 	"cmp"
 	"fmt"
+	"log/slog"
 	"slices"
 
+	"glenport/internal/controller"
+	"glenport/internal/controller/watchcache"
 	"glenport/internal/eventloop"
 	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
@@ -19,7 +22,9 @@
 // stateStore is the controller's state on disk. What is sent to schedulers and answered to clients waits until it is
 // stored.
 type stateStore struct {
-	server         *Server
+	cache          *watchcache.Cache
+	loop           *eventloop.Loop
+	logger         *slog.Logger
 	dir            *vfs.Dir
 	log            *wal.Log
 	versionCeiling int64                // on disk: no version above it is given out
@@ -36,7 +41,10 @@
 	if err != nil {
 		return err
 	}
-	st := &stateStore{server: s, dir: dir, jobs: map[string]JobRecord{}, unwritten: map[string]wal.Change{}}
+	st := &stateStore{
+		cache: s.Cache, loop: s.loop, logger: s.log, dir: dir,
+		jobs: map[string]JobRecord{}, unwritten: map[string]wal.Change{},
+	}
 	log, stats, err := wal.Open(dir, wal.Options{OnModeChange: func(message string, attributes ...any) {
 		s.loop.Post(func() { s.log.Warn(message, attributes...) })
 	}})
@@ -45,24 +53,30 @@
 		return fmt.Errorf("state folder %s: %w", folder, err)
 	}
 	st.log = log
-	restored, err := st.restore()
-	if err == nil {
-		st.versionCeiling += versionCeilingStep
-		err = st.log.CommitSync(st.ceilingChange())
-	}
+	restored, err := st.load(s.specs, s.schedulers.numbers())
 	if err != nil {
 		if closeErr := st.close(); closeErr != nil {
 			s.log.Warn("state not saved", "error", closeErr)
 		}
 		return fmt.Errorf("state folder %s: %w", folder, err)
 	}
-	s.store = st
-	s.events = append(s.events, restored)
+	s.storage = st
+	s.addEvent(restored)
 	s.log.Info("state loaded", "folder", folder, "jobs", len(restored.Jobs), "containers", len(restored.Containers),
 		"groups", stats.Groups, "bytes", stats.Bytes, "truncated_bytes", stats.TruncatedBytes)
 	return nil
 }
 
+// load restores the records and stores a higher version ceiling.
+func (st *stateStore) load(specs specReader, numbers map[string]int) (controller.StateRestored, error) {
+	restored, err := st.restore(specs, numbers)
+	if err != nil {
+		return restored, err
+	}
+	st.versionCeiling += versionCeilingStep
+	return restored, st.log.CommitSync(st.ceilingChange())
+}
+
 func (st *stateStore) ceilingChange() wal.Change {
 	return wal.Put(RecordVersionCeiling, versionCeilingKey, st.versionCeiling)
 }
@@ -75,36 +89,26 @@
 
 func (st *stateStore) releaseDir() {
 	if err := st.dir.Close(); err != nil {
-		st.server.log.Warn("state folder not released", "error", err)
-	}
-}
-
-// persist stores changes and then calls done on the loop, at once where nothing is stored. A durable change is synced
-// to disk.
-func (s *Server) persist(changes []wal.Change, durable bool, done func(error)) {
-	if s.store == nil {
-		done(nil)
-		return
+		st.logger.Warn("state folder not released", "error", err)
 	}
-	s.store.persist(changes, durable, done)
 }
 
-func (st *stateStore) persist(changes []wal.Change, durable bool, done func(error)) {
-	if reserved := st.server.Cache.LastReserved(); reserved+versionCeilingStep/2 > st.versionCeiling {
+func (st *stateStore) persist(changes []wal.Change, d durability, done func(error)) {
+	if reserved := st.cache.LastReserved(); reserved+versionCeilingStep/2 > st.versionCeiling {
 		st.versionCeiling = reserved + versionCeilingStep
 		changes = append(changes, st.ceilingChange())
-		durable = true
+		d = synced
 	}
 	for _, c := range changes {
 		delete(st.unwritten, recordID(c))
 	}
 	changes = append(st.takeUnwritten(), changes...)
-	if len(changes) == 0 && !durable {
+	if len(changes) == 0 && d == written {
 		done(nil)
 		return
 	}
-	st.log.Commit(changes, durable, func(err error) {
-		st.server.loop.Post(func() {
+	st.log.Commit(changes, d == synced, func(err error) {
+		st.loop.Post(func() {
 			if err != nil {
 				st.retryLater(changes)
 			}
@@ -141,10 +145,10 @@
 		return
 	}
 	st.retryScheduled = true
-	st.server.loop.After(storeRetryDelay, func() {
+	st.loop.After(storeRetryDelay, func() {
 		st.retryScheduled = false
 		if len(st.unwritten) > 0 {
-			st.persist(nil, false, func(error) {}) // a failure schedules the next retry
+			st.persist(nil, written, func(error) {}) // a failure schedules the next retry
 		}
 	})
 }
--- a/internal/controller/server/statestore_test.go
+++ b/internal/controller/server/statestore_test.go
@@ -11,7 +11,7 @@
 
 func TestRejectedChangesAreRepeatedUnlessNewerOrOfAJob(t *testing.T) {
 	s := openServer(t)
-	st := &stateStore{server: s, unwritten: map[string]wal.Change{}}
+	st := &stateStore{loop: s.loop, unwritten: map[string]wal.Change{}}
 	change := func(kind, key, value string) wal.Change {
 		return wal.Change{Kind: kind, Key: key, Value: []byte(value)}
 	}
@@ -48,7 +48,7 @@
 // A change that is decided while another of the same job is under way would be decided on what the other replaces.
 func TestChangesOfAJobAreMadeOneAfterAnother(t *testing.T) {
 	s := openServer(t)
-	s.jobChanges["reports"] = nil // one is under way
+	s.jobs.underWay["reports"] = nil // one is under way
 	var decidedOn []*Job
 	change := &jobChange{job: "reports", decide: func(current *Job) (*JobRecord, controller.Event, error) {
 		decidedOn = append(decidedOn, current)
@@ -58,17 +58,17 @@
 			t.Error(err)
 		}
 	}}
-	s.startJobChange(change)
-	s.startJobChange(change)
+	s.jobs.start(change)
+	s.jobs.start(change)
 	if len(decidedOn) != 0 {
 		t.Fatal("decided while another change is under way")
 	}
-	s.startWaitingChanges("reports")
+	s.jobs.startWaiting("reports")
 	if len(decidedOn) != 2 || decidedOn[0] != nil || decidedOn[1] == nil || decidedOn[1].Version != 1 ||
 		len(s.events) != 2 {
 		t.Errorf("decided on %v with %d events, want the second change to see the first", decidedOn, len(s.events))
 	}
-	if _, busy := s.jobChanges["reports"]; busy {
+	if _, busy := s.jobs.underWay["reports"]; busy {
 		t.Error("the job counts as busy after its last change")
 	}
 }
