--- a/internal/controller/singlecopy_test.go
+++ b/internal/controller/singlecopy_test.go
@@ -31,12 +31,13 @@
 			}
 		}
 		if c := m.copies; c["j/0"] != 1 || c["j/1"] != 1 || c["j/2"]+c["j/3"] != 0 {
-			t.Fatalf("in the end these run: %v; %+v", c, m.controller.sortedReplicas())
+			t.Fatalf("in the end these run: %v; %+v", c, m.controller.jobs.sortedReplicas())
 		}
 		m.handle(JobDeleted{"j"})
 		m.pass(20 * second)
-		if n := len(m.controller.jobs) + len(m.controller.requests); n != 0 || m.copies["j/0"]+m.copies["j/1"] != 0 {
-			t.Fatalf("%d left in tables, %v running", n, m.copies)
+		left := len(m.controller.jobs.byID) + len(m.controller.requests.byID) + len(m.controller.timers.current)
+		if left != 0 || m.copies["j/0"]+m.copies["j/1"] != 0 {
+			t.Fatalf("%d left in tables, %v running", left, m.copies)
 		}
 	})
 }
