--- a/cmd/glenport/golden_test.go
+++ b/cmd/glenport/golden_test.go
@@ -200,8 +200,8 @@
 	toScheduler := func(args ...string) []string { return append(args, "--placer", scheduler) }
 	toAPI := func(args ...string) []string { return append(args, "--api", api) }
 	return [][]string{
-		{"check", "../../deploy/placer.yaml"},
-		{"check", bad, "../../deploy/placer.yaml", filepath.Join(dir, "absent.yaml")},
+		{"check", "../../deploy/scheduler.yaml"},
+		{"check", bad, "../../deploy/scheduler.yaml", filepath.Join(dir, "absent.yaml")},
 		{"check"},
 		toScheduler("status"),
 		{"status", "--placer", machine},
