--- a/cmd/glenport/bgp.go
+++ b/cmd/glenport/bgp.go
@@ -15,14 +15,14 @@
 	c := &cobra.Command{
 		Use:     "bgp",
 		Short:   "Show the addresses that a scheduler announces by BGP",
-		Example: "  glenport bgp routes --placer 127.0.0.1:7400",
+		Example: "  glenport bgp routes --scheduler 127.0.0.1:7400",
 	}
 	addSchedulerFlag(c, &address)
 	c.AddCommand(
 		&cobra.Command{
 			Use:     "peers",
 			Short:   "Show the sessions",
-			Example: "  glenport bgp peers --placer 127.0.0.1:7400",
+			Example: "  glenport bgp peers --scheduler 127.0.0.1:7400",
 			Args:    cobra.NoArgs,
 			RunE: func(c *cobra.Command, _ []string) error {
 				return withRoutes(
@@ -34,7 +34,7 @@
 		&cobra.Command{
 			Use:     "routes",
 			Short:   "Show the addresses of services",
-			Example: "  glenport bgp routes --placer 127.0.0.1:7400",
+			Example: "  glenport bgp routes --scheduler 127.0.0.1:7400",
 			Args:    cobra.NoArgs,
 			RunE: func(c *cobra.Command, _ []string) error {
 				return withRoutes(
--- a/cmd/glenport/schedulerclient.go
+++ b/cmd/glenport/schedulerclient.go
@@ -16,7 +16,8 @@
 
 // addSchedulerFlag adds the flag with a scheduler's address to a command and its subcommands.
 func addSchedulerFlag(c *cobra.Command, address *string) {
-	c.PersistentFlags().StringVar(address, "placer", "127.0.0.1:7400", "the address at which the scheduler listens")
+	c.PersistentFlags().StringVar(address, "scheduler", "127.0.0.1:7400", "the address at which the scheduler listens")
+	addFormerFlag(c, "placer", "scheduler")
 }
 
 // schedulerConn is a client's connection to a scheduler.
--- a/cmd/glenport/status.go
+++ b/cmd/glenport/status.go
@@ -13,7 +13,7 @@
 	c := &cobra.Command{
 		Use:     "status",
 		Short:   "Show the statistics of a scheduler",
-		Example: "  glenport status --placer 127.0.0.1:7400",
+		Example: "  glenport status --scheduler 127.0.0.1:7400",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			status, err := request[*protocol.StatusReply](address, &protocol.StatusRequest{})
--- a/cmd/glenport/submit.go
+++ b/cmd/glenport/submit.go
@@ -34,7 +34,7 @@
 		Use:     "submit SERVICE",
 		Short:   "Ask a scheduler to place containers of a service",
 		Long:    "Ask a scheduler to place containers of a service. The exit code is 1 where one of them is not placed.",
-		Example: "  glenport submit reports -n 3 --workload 1 --cores 2 --memory 4 --hard-stop 6s --stay",
+		Example: "  glenport submit reports -n 3 --workload 1 --cores 2 --memory 4 --timeout 6s --wait",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s.spec.Service = args[0]
@@ -50,12 +50,15 @@
 		0,
 		"index of the workload class in the scheduler's settings file, from 0",
 	)
-	f.IntVar(&s.spec.Tenant, "customer", 0, "index of the tenant, from 0")
+	f.IntVar(&s.spec.Tenant, "tenant", 0, "index of the tenant, from 0")
 	f.Float64Var(&s.spec.Cores, "cores", 1, "cores of each container")
 	f.Float64Var(&s.spec.Memory, "memory", 1, "memory of each container, in GiB")
-	f.DurationVar(&s.timeout, "hard-stop", 6*time.Second, "time to the deadline of the requests")
+	f.DurationVar(&s.timeout, "timeout", 6*time.Second, "time to the deadline of the requests")
 	f.StringVar(&s.key, "key", "", "idempotency key; made up for each container where empty")
-	f.BoolVar(&s.wait, "stay", false, "wait until the containers end")
+	f.BoolVar(&s.wait, "wait", false, "wait until the containers end")
+	addFormerFlag(c, "customer", "tenant")
+	addFormerFlag(c, "hard-stop", "timeout")
+	addFormerFlag(c, "stay", "wait")
 	return c
 }
 
