--- a/cmd/glenport/golden_test.go
+++ b/cmd/glenport/golden_test.go
@@ -197,15 +197,15 @@
 func recordedCalls(scheduler, machine, api, dir string) [][]string {
 	const state = "../../internal/schedulerd/testdata/state"
 	bad := filepath.Join(dir, "bad.yaml")
-	toScheduler := func(args ...string) []string { return append(args, "--placer", scheduler) }
+	toScheduler := func(args ...string) []string { return append(args, "--scheduler", scheduler) }
 	toAPI := func(args ...string) []string { return append(args, "--api", api) }
 	return [][]string{
 		{"check", "../../deploy/scheduler.yaml"},
 		{"check", bad, "../../deploy/scheduler.yaml", filepath.Join(dir, "absent.yaml")},
 		{"check"},
 		toScheduler("status"),
-		{"status", "--placer", machine},
-		{"status", "--placer", "127.0.0.1:1"},
+		{"status", "--scheduler", machine},
+		{"status", "--scheduler", "127.0.0.1:1"},
 		{"status", "extra"},
 		toScheduler(
 			"bgp",
@@ -226,7 +226,7 @@
 			"placed",
 		),
 		toScheduler("submit", "placed", "-n", "3"),
-		toScheduler("submit", "ends", "--stay", "-n", "2"),
+		toScheduler("submit", "ends", "--wait", "-n", "2"),
 		toScheduler(
 			"submit",
 			"rejected",
@@ -245,13 +245,13 @@
 			"k",
 			"--workload",
 			"2",
-			"--customer",
+			"--tenant",
 			"1",
 			"--cores",
 			"1.5",
 			"--memory",
 			"3",
-			"--hard-stop",
+			"--timeout",
 			"250ms",
 		),
 		toAPI(
@@ -281,7 +281,7 @@
 			"matcher",
 			"--service",
 			"s",
-			"--customer",
+			"--tenant",
 			"c",
 			"--cores",
 			"2.5",
