--- a/cmd/glenport/commands_test.go
+++ b/cmd/glenport/commands_test.go
@@ -1,9 +1,12 @@
 package main
 
 import (
+	"errors"
 	"strings"
 	"testing"
 
+	"glenport/internal/protocol"
+
 	"github.com/spf13/cobra"
 )
 
@@ -72,3 +75,35 @@
 		}
 	}
 }
+
+func TestFormerFlagsHaveTheSameEffect(t *testing.T) {
+	scheduler, api := fakeScheduler(t, protocol.RoleScheduler), fakeAPI(t)
+	for _, tc := range []struct{ name, command, former, current, value string }{
+		{"status", "status", "--placer", "--scheduler", scheduler},
+		{"bgp", "bgp routes", "--placer", "--scheduler", scheduler},
+		{"submit to", "submit spec --key k", "--placer", "--scheduler", scheduler},
+		{"submit tenant", "submit spec --key k --scheduler " + scheduler, "--customer", "--tenant", "7"},
+		{"submit timeout", "submit spec --key k --scheduler " + scheduler, "--hard-stop", "--timeout", "250ms"},
+		{"submit and wait", "submit ends --scheduler " + scheduler, "--stay", "--wait", ""},
+		{"job tenant", "job run web --workload matcher -o json --api " + api, "--customer", "--tenant", "c"},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			run := func(flag string) string {
+				output, _, err := runCommand(strings.Fields(tc.command + " " + flag + " " + tc.value)...)
+				if err != nil && !errors.Is(err, exitNegative) {
+					t.Fatal(err)
+				}
+				return randomID.ReplaceAllString(output, "-RANDOM-$1")
+			}
+			// cobra prints the warning to standard error, unless an output is set, as here
+			warning := "Flag " + tc.former + " has been deprecated, use " + tc.current + "\n"
+			if got, want := run(tc.former), warning+run(tc.current); got != want {
+				t.Errorf("got %s\nwant %s", got, want)
+			}
+			help, _, _ := runCommand(append(strings.Fields(tc.command), "--help")...)
+			if strings.Contains(help, tc.former) || !strings.Contains(help, tc.current) {
+				t.Errorf("help:\n%s", help)
+			}
+		})
+	}
+}
