--- a/cmd/glenport/apiclient.go
+++ b/cmd/glenport/apiclient.go
@@ -44,7 +44,7 @@
 func withAPI(c *cobra.Command, run func(client *apiClient, args []string) error) *cobra.Command {
 	client := &apiClient{}
 	c.Flags().StringVar(&client.address, "api", "127.0.0.1:7500", "the address of the controller's API")
-	c.Flags().StringVarP(&client.format, "output", "o", formatTable, "table, json or yaml")
+	c.Flags().StringVarP(&client.format, "output", "o", formatTable, "format of the output: table, json or yaml")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		switch client.format {
 		case formatTable, formatJSON, formatYAML:
--- a/cmd/glenport/check.go
+++ b/cmd/glenport/check.go
@@ -31,8 +31,11 @@
 			valid = false
 			continue
 		}
+		for _, d := range s.Deprecations {
+			faults.printf("%s:%d: %q is deprecated, use %q\n", d.File, d.Line, d.Old, d.New)
+		}
 		results.printf(
-			"%s: placer %s, %d of %d, %d workloads, %d kinds of machine: good\n",
+			"%s: valid: scheduler %s (%d of %d), %d workload classes, %d machine types\n",
 			file,
 			s.Name,
 			s.Policy.SchedulerIndex+1,
--- a/cmd/glenport/job.go
+++ b/cmd/glenport/job.go
@@ -16,7 +16,7 @@
 
 const (
 	jobHeader       = "JOB\tSERVICE\tWORKLOAD\tCOUNT\tCORES\tGIB\tVERSION"
-	containerHeader = "CONTAINER\tSTATE\tMACHINE\tTRIES\tSTARTS\tLAST"
+	containerHeader = "CONTAINER\tSTATE\tMACHINE\tATTEMPTS\tSTARTS\tLAST"
 )
 
 func newJobCommand() *cobra.Command {
@@ -49,7 +49,7 @@
 		return printJob(client, &created)
 	})
 	f := c.Flags()
-	f.StringVar(&job.Service, "service", "", "its service; the job's ID where empty")
+	f.StringVar(&job.Service, "service", "", "name of its service; empty: the job's ID")
 	f.StringVar(&job.WorkloadClass, "workload", "", "name of its workload class")
 	f.StringVar(&job.Tenant, "tenant", "", "name of its tenant")
 	addFormerFlag(c, "customer", "tenant")
@@ -57,8 +57,8 @@
 	f.Float64Var(&job.MemoryGiB, "memory", 1, "memory of a container, in GiB")
 	f.IntVarP(&job.Count, "count", "n", 1, "how many containers")
 	f.DurationVar(&runFor, "run-for", 0, "how long a container runs; 0: until it is stopped")
-	f.BoolVar(&job.RunOnce, "once", false, "do not start again what has finished")
-	f.StringToStringVar(&job.Labels, "label", nil, "key=value; may be given more than once")
+	f.BoolVar(&job.RunOnce, "once", false, "do not start a container again that has finished")
+	f.StringToStringVar(&job.Labels, "label", nil, "label as key=value; may be given more than once")
 	requireFlag(c, "workload")
 	return c
 }
--- a/cmd/glenport/machines.go
+++ b/cmd/glenport/machines.go
@@ -17,7 +17,7 @@
 		if err := client.get("/v1/machines"+listLimit, &machines); err != nil {
 			return err
 		}
-		return client.print(machines.Items, "MACHINE\tHALL\tKIND\tSTATE\tFREE CORES\tFREE GIB", func(p *printer) {
+		return client.print(machines.Items, "MACHINE\tZONE\tTYPE\tSTATE\tFREE CORES\tFREE GIB", func(p *printer) {
 			for _, m := range machines.Items {
 				p.printf("%s\t%d\t%s\t%s\t%g\t%g\n", m.ID, m.Zone, m.MachineType, m.State, m.FreeCores, m.FreeMemoryGiB)
 			}
--- a/cmd/glenport/state.go
+++ b/cmd/glenport/state.go
@@ -24,7 +24,7 @@
 func newStateCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:     "state",
-		Short:   "Look at the state folder of a scheduler or a controller",
+		Short:   "Inspect the state folder of a scheduler or a controller",
 		Example: "  glenport state inspect /var/tmp/glenport-north-1",
 	}
 	c.AddCommand(
@@ -38,7 +38,7 @@
 		&cobra.Command{
 			Use:     "verify FOLDER",
 			Short:   "Read all of a folder and check it",
-			Long:    "Read all of a folder and check it. The exit code is 1 where anything is damaged.",
+			Long:    "Read all of a folder and check it. The exit code is 1 if anything is damaged.",
 			Example: "  glenport state verify /var/tmp/glenport-north-1",
 			Args:    cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
@@ -116,7 +116,7 @@
 	)
 	if log.TruncatedBytes > 0 {
 		p.printf(
-			"log: %d bytes of an unfinished group at the end, never acknowledged: cut off at the next start\n",
+			"log: %d bytes of an unfinished group at the end, never acknowledged: truncated at the next start\n",
 			log.TruncatedBytes,
 		)
 	}
@@ -136,12 +136,12 @@
 		}
 	}
 	takenAt := time.UnixMicro(int64(snapshot.TakenAt.Clock) * tick.Microseconds())
-	occasion := "while it ran"
+	occasion := "while running"
 	if snapshot.OrderlyShutdown {
-		occasion = "at an orderly end"
+		occasion = "at an orderly shutdown"
 	}
 	p.printf(
-		"knowledge: version %d, written %s ago, %s; list version %d with %d machines, evidence against %d, %d resting\n",
+		"warm-start snapshot: version %d, written %s ago, %s; machine list version %d with %d machines, %d suspected, %d ejected\n",
 		schedulerd.WarmStartVersion,
 		time.Since(takenAt).Round(time.Millisecond),
 		occasion,
@@ -164,7 +164,7 @@
 		}
 		return exitNegative
 	}
-	_, err = fmt.Fprintf(out, "%s: good, %d records, %d groups\n", path, f.log.Records, f.log.Groups)
+	_, err = fmt.Fprintf(out, "%s: valid, %d records, %d groups\n", path, f.log.Records, f.log.Groups)
 	return err
 }
 
--- a/cmd/glenport/status.go
+++ b/cmd/glenport/status.go
@@ -29,7 +29,7 @@
 
 func printStatus(out io.Writer, status *protocol.StatusReply) error {
 	p := &printer{w: out}
-	p.printf("placer %s\n", status.Name)
+	p.printf("scheduler %s\n", status.Name)
 	for _, stat := range status.Stats {
 		p.printf("  %-24s %12.6g %s\n", stat.Name, stat.Value, stat.Unit)
 	}
--- a/cmd/glenport/why.go
+++ b/cmd/glenport/why.go
@@ -89,7 +89,7 @@
 			}
 		}
 		if len(explanations) == 0 {
-			p.printf("%s\t-\tNothing of it waits.\n", id)
+			p.printf("%s\t-\tNothing is pending.\n", id)
 		}
 	})
 }
