--- a/cmd/glenport/check.go
+++ b/cmd/glenport/check.go
@@ -13,7 +13,7 @@
 		Use:     "check FILE...",
 		Short:   "Check settings files of schedulers",
 		Long:    "Check settings files of schedulers. The first error of each file is printed with file, line and column; the exit code is then 1.",
-		Example: "  glenport check deploy/placer.yaml",
+		Example: "  glenport check deploy/scheduler.yaml",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			return checkFiles(files, c.OutOrStdout(), c.ErrOrStderr())
--- a/cmd/glenport/controller.go
+++ b/cmd/glenport/controller.go
@@ -24,7 +24,7 @@
 		Use:     "controller",
 		Aliases: []string{"keeper"},
 		Short:   "Keep jobs running and serve the API",
-		Example: "  glenport controller -c deploy/keeper.yaml --log json",
+		Example: "  glenport controller -c deploy/controller.yaml --log json",
 		Args:    cobra.NoArgs,
 		RunE:    func(*cobra.Command, []string) error { return runController(&flags) },
 	}
--- a/cmd/glenport/main.go
+++ b/cmd/glenport/main.go
@@ -39,7 +39,7 @@
 	root := &cobra.Command{
 		Use:           "glenport",
 		Short:         "Place long-running work on the machines of a cluster",
-		Example:       "  glenport scheduler -c deploy/placer.yaml",
+		Example:       "  glenport scheduler -c deploy/scheduler.yaml",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/cmd/glenport/scheduler.go
+++ b/cmd/glenport/scheduler.go
@@ -20,7 +20,7 @@
 		Use:     "scheduler",
 		Aliases: []string{"placer"},
 		Short:   "Run one scheduler until SIGINT or SIGTERM",
-		Example: "  glenport scheduler -c deploy/placer.yaml --log json",
+		Example: "  glenport scheduler -c deploy/scheduler.yaml --log json",
 		Args:    cobra.NoArgs,
 		RunE:    func(*cobra.Command, []string) error { return runScheduler(&flags) },
 	}
--- a/internal/schedulerd/helpers_test.go
+++ b/internal/schedulerd/helpers_test.go
@@ -104,7 +104,7 @@
 
 func testConfig(t *testing.T) *config.Scheduler {
 	t.Helper()
-	settings, err := config.LoadScheduler("../../deploy/placer.yaml")
+	settings, err := config.LoadScheduler("../../deploy/scheduler.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
