--- a/internal/config/bgp.go
+++ b/internal/config/bgp.go
@@ -77,7 +77,7 @@
 		v.fail(entry.HoldTime.Position, "a hold time is 0 or whole seconds from 3 to 65535")
 	}
 	if peer.Passive && !listening {
-		v.fail(entry.Passive.Position, "a peer that calls needs bgp.listen")
+		v.fail(entry.Passive.Position, "a passive peer needs bgp.listen")
 	}
 	for _, name := range entry.Families {
 		families := []wire.Family{wire.IPv4, wire.IPv6}
--- a/internal/config/scheduler.go
+++ b/internal/config/scheduler.go
@@ -80,7 +80,8 @@
 		return nil
 	}
 	if f.Index.Value >= f.Schedulers.Value {
-		v.fail(f.Index.Position, "number %d is not below placers, %d", f.Index.Value, f.Schedulers.Value)
+		v.fail(f.Index.Position, "%s %d is not below %s, %d",
+			v.keyName("scheduler_index"), f.Index.Value, v.keyName("scheduler_count"), f.Schedulers.Value)
 	}
 	s := &Scheduler{
 		Name:            f.Name.Value,
@@ -105,7 +106,8 @@
 	v.workloadClasses(f.WorkloadClasses, typeIndex, s)
 	v.tenants(f.Tenants, s)
 	if f.LegacyList.IsSet() && !f.StateDir.IsSet() {
-		v.fail(f.LegacyList.Position, "keep is only read once, when state names a folder: name one")
+		v.fail(f.LegacyList.Position, "%s is only read once, when %s names a folder: name one",
+			v.keyName("legacy_list_file"), v.keyName("state_dir"))
 	}
 	s.MetricsAddr = v.address(f.Metrics)
 	if f.BGP != nil {
@@ -175,11 +177,9 @@
 func (v *validator) connections(f *connectionsSection, s *Scheduler) {
 	window := s.Policy.SlowStartWindow
 	if s.Policy.SlowStartBudget > 0 && connectsPerSlowStartWindow*s.ConnectTimeout > eventloop.Tick(window) {
-		v.fail(
-			f.ConnectTimeout.Position,
-			"a bid may wait for its link no longer than a sixteenth of cold_window, %g ms",
-			float64(window)/connectsPerSlowStartWindow/float64(scheduler.Millisecond),
-		)
+		longest := float64(window) / connectsPerSlowStartWindow / float64(scheduler.Millisecond)
+		v.fail(f.ConnectTimeout.Position, "an attempt may wait for its connection up to a sixteenth of %s, %g ms",
+			v.keyName("machines.slow_start.window"), longest)
 	}
 	if s.MaxOutput < minOutput {
 		v.fail(f.MaxOutput.Position, "%d bytes are too few for a frame: 64KiB at least", s.MaxOutput)
@@ -192,7 +192,7 @@
 	for i, entry := range entries {
 		v.required(fmt.Sprintf("machines.machine_types[%d]", i), entry)
 		if _, duplicate := indices[entry.Name.Value]; duplicate {
-			v.fail(entry.Name.Position, "kind %q stands twice", entry.Name.Value)
+			v.fail(entry.Name.Position, "machine type %q is defined twice", entry.Name.Value)
 		}
 		indices[entry.Name.Value] = i
 		if entry.Memory.GiB <= 0 {
--- a/internal/config/strictyaml/strictyaml.go
+++ b/internal/config/strictyaml/strictyaml.go
@@ -96,6 +96,14 @@
 // today's spelling.
 func (f *File) KeyName(path string) string { return f.spelling.key(path) }
 
+// ValueName returns a value of a key as the file would spell it. Path and value are given in today's spelling.
+func (f *File) ValueName(path, value string) string {
+	if !f.spelling.old() {
+		return value
+	}
+	return f.spelling.aliases.oldValue(withoutIndices(path), value)
+}
+
 // locate turns an error of the YAML package into an *Error. The key is known only where the file is syntactically
 // correct.
 func (f *File) locate(err error, data []byte) error {
--- a/internal/config/validator.go
+++ b/internal/config/validator.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/netip"
+	"strings"
 
 	"glenport/internal/config/strictyaml"
 	"glenport/scheduler"
@@ -27,6 +28,12 @@
 	v.record(v.file.ErrorAt(at, format, args...))
 }
 
+// keyName returns the last part of the path of a key, as the file spells it.
+func (v *validator) keyName(path string) string {
+	name := v.file.KeyName(path)
+	return name[strings.LastIndexByte(name, '.')+1:]
+}
+
 // required checks that the mapping at a path has all its required keys.
 func (v *validator) required(path string, mapping any) {
 	v.record(strictyaml.CheckRequired(v.file, path, mapping))
--- a/internal/config/workloadclass.go
+++ b/internal/config/workloadclass.go
@@ -18,7 +18,7 @@
 		}
 		class := v.workloadClass(path, entry, typeIndex)
 		if slices.Contains(s.WorkloadClasses, entry.Name.Value) {
-			v.fail(entry.Name.Position, "workload %q stands twice", entry.Name.Value)
+			v.fail(entry.Name.Position, "workload class %q is defined twice", entry.Name.Value)
 		}
 		s.WorkloadClasses = append(s.WorkloadClasses, entry.Name.Value)
 		s.Policy.WorkloadClasses = append(s.Policy.WorkloadClasses, class)
@@ -40,13 +40,14 @@
 		PriorityWeight:   v.positive(entry.PriorityWeight),
 	}
 	if class.LatencyObjective > class.PlacementTimeout {
-		v.fail(entry.LatencyObjective.Position, "the agreed time is after the hard stop")
+		v.fail(entry.LatencyObjective.Position, "%s is longer than %s",
+			v.keyName(path+".latency_objective"), v.keyName(path+".placement_timeout"))
 	}
 	v.idempotency(path, entry, &class)
 	if entry.MachineType.IsSet() {
 		index, ok := typeIndex[entry.MachineType.Value]
 		if !ok {
-			v.fail(entry.MachineType.Position, "there is no kind %q", entry.MachineType.Value)
+			v.fail(entry.MachineType.Position, "there is no machine type %q", entry.MachineType.Value)
 		}
 		class.MachineType = index
 	}
@@ -61,10 +62,9 @@
 	class.Idempotency = levels[v.oneOf(entry.Idempotency, "idempotent", "idempotent-with-key", "at-most-once")]
 	if class.Idempotency != scheduler.IdempotentWithKey {
 		if entry.DedupScope.IsSet() || entry.DedupWindow.IsSet() {
-			v.fail(
-				firstSet(entry.DedupScope.Position, entry.DedupWindow.Position),
-				"only numbered work has its repeats dropped",
-			)
+			v.fail(firstSet(entry.DedupScope.Position, entry.DedupWindow.Position), "%s and %s need %s: %s",
+				v.keyName(path+".dedup_scope"), v.keyName(path+".dedup_window"), v.keyName(path+".idempotency"),
+				v.file.ValueName(path+".idempotency", "idempotent-with-key"))
 		}
 		return
 	}
@@ -83,7 +83,7 @@
 func (v *validator) spread(path string, entry *workloadClassEntry, class *scheduler.WorkloadClass) {
 	if !entry.SpreadScope.IsSet() {
 		if entry.MaxPerScope.IsSet() {
-			v.fail(entry.MaxPerScope.Position, "most_in_one needs spread_over")
+			v.fail(entry.MaxPerScope.Position, "%s needs %s", v.keyName(path+".max_per_scope"), v.keyName(path+".spread_scope"))
 		}
 		return
 	}
