--- a/cmd/glenport/apiclient.go
+++ b/cmd/glenport/apiclient.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -41,7 +42,7 @@
 func (e *problemError) Error() string { return e.Title + ": " + e.Detail }
 
 // withAPI adds the flags of a client of the API to a command and makes it run a function with that client.
-func withAPI(c *cobra.Command, run func(client *apiClient, args []string) error) *cobra.Command {
+func withAPI(c *cobra.Command, run func(ctx context.Context, client *apiClient, args []string) error) *cobra.Command {
 	client := &apiClient{}
 	c.Flags().StringVar(&client.address, "api", "127.0.0.1:7500", "the address of the controller's API")
 	c.Flags().StringVarP(&client.format, "output", "o", formatTable, "format of the output: table, json or yaml")
@@ -52,14 +53,14 @@
 			return fmt.Errorf("--output %q is none of table, json, yaml", client.format)
 		}
 		client.out = c.OutOrStdout()
-		return run(client, args)
+		return run(c.Context(), client, args)
 	}
 	return c
 }
 
 // do sends a request with a body, none where it is nil, and decodes the answer into a value, which may be nil too. An
 // answer with an error status is returned as a *problemError.
-func (c *apiClient) do(method, path string, body, into any) error {
+func (c *apiClient) do(ctx context.Context, method, path string, body, into any) error {
 	var reader io.Reader
 	if body != nil {
 		encoded, err := json.Marshal(body)
@@ -68,7 +69,7 @@
 		}
 		reader = bytes.NewReader(encoded)
 	}
-	request, err := http.NewRequest(method, "http://"+c.address+path, reader)
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+c.address+path, reader)
 	if err != nil {
 		return err
 	}
@@ -92,7 +93,9 @@
 	return json.Unmarshal(data, into)
 }
 
-func (c *apiClient) get(path string, into any) error { return c.do(http.MethodGet, path, nil, into) }
+func (c *apiClient) get(ctx context.Context, path string, into any) error {
+	return c.do(ctx, http.MethodGet, path, nil, into)
+}
 
 // print prints a value as JSON or YAML, or as the table that a header and rows make.
 func (c *apiClient) print(value any, header string, rows func(p *printer)) error {
--- a/cmd/glenport/bgp.go
+++ b/cmd/glenport/bgp.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"io"
-	"strings"
 
 	"glenport/internal/protocol"
 
@@ -25,10 +24,7 @@
 			Example: "  glenport bgp peers --scheduler 127.0.0.1:7400",
 			Args:    cobra.NoArgs,
 			RunE: func(c *cobra.Command, _ []string) error {
-				return withRoutes(
-					address,
-					func(r *protocol.RoutesReply) error { return printPeers(c.OutOrStdout(), r.Peers) },
-				)
+				return withRoutes(c, address, printPeers)
 			},
 		},
 		&cobra.Command{
@@ -37,10 +33,7 @@
 			Example: "  glenport bgp routes --scheduler 127.0.0.1:7400",
 			Args:    cobra.NoArgs,
 			RunE: func(c *cobra.Command, _ []string) error {
-				return withRoutes(
-					address,
-					func(r *protocol.RoutesReply) error { return printRoutes(c.OutOrStdout(), r.Services) },
-				)
+				return withRoutes(c, address, printRoutes)
 			},
 		},
 		&cobra.Command{
@@ -49,46 +42,35 @@
 			Example: "  glenport bgp why reports\n  glenport bgp why 198.51.100.7/32",
 			Args:    cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
-				return withRoutes(
-					address,
-					func(r *protocol.RoutesReply) error { return printExplanation(c.OutOrStdout(), r.Services, args[0]) },
-				)
+				return withRoutes(c, address, func(out io.Writer, reply *protocol.RoutesReply) error {
+					return printExplanation(out, reply.Services, args[0])
+				})
 			},
 		})
 	return c
 }
 
-// withRoutes asks a scheduler for its sessions and announcements and hands them to print.
-func withRoutes(address string, print func(*protocol.RoutesReply) error) error {
-	reply, err := request[*protocol.RoutesReply](address, &protocol.RoutesRequest{})
+// withRoutes asks a scheduler for its sessions and announcements and hands them to show.
+func withRoutes(c *cobra.Command, address string, show func(out io.Writer, reply *protocol.RoutesReply) error) error {
+	reply, err := request[*protocol.RoutesReply](c.Context(), address, &protocol.RoutesRequest{})
 	if err != nil {
 		return err
 	}
-	return print(reply)
+	return show(c.OutOrStdout(), reply)
 }
 
-func printPeers(out io.Writer, peers []protocol.BGPPeerStatus) error {
+func printPeers(out io.Writer, reply *protocol.RoutesReply) error {
 	return printTable(out, "PEER\tASN\tSTATE\tROUTES\tPENDING\tUPDATES\tBYTES\tENDED\tLAST ERROR", func(p *printer) {
-		for _, peer := range peers {
-			p.printf(
-				"%s\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t%s\n",
-				peer.Address,
-				peer.ASN,
-				peer.State,
-				peer.Routes,
-				peer.PendingRoutes,
-				peer.UpdatesSent,
-				peer.BytesSent,
-				peer.SessionsEnded,
-				peer.LastError,
-			)
+		for _, peer := range reply.Peers {
+			p.printf("%s\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t%s\n", peer.Address, peer.ASN, peer.State, peer.Routes,
+				peer.PendingRoutes, peer.UpdatesSent, peer.BytesSent, peer.SessionsEnded, peer.LastError)
 		}
 	})
 }
 
-func printRoutes(out io.Writer, services []protocol.ServiceRoute) error {
+func printRoutes(out io.Writer, reply *protocol.RoutesReply) error {
 	return printTable(out, "SERVICE\tPREFIX\tANNOUNCED\tRUNNING\tDRAINING", func(p *printer) {
-		for _, s := range services {
+		for _, s := range reply.Services {
 			p.printf("%s\t%s\t%t\t%d\t%d\n", s.Service, s.Prefix, s.Announced, s.Running, s.Draining)
 		}
 	})
@@ -106,28 +88,24 @@
 }
 
 func explainRoute(s *protocol.ServiceRoute) string {
-	var text strings.Builder
-	fmt.Fprintf(&text, "%s of service %s is ", s.Prefix, s.Service)
+	text := fmt.Sprintf("%s of service %s is %s", s.Prefix, s.Service, announcementReason(s))
+	if s.NextChangeIn > 0 {
+		text += fmt.Sprintf(" The next change is due in %d ms, by the limit on the update rate.", milliseconds(s.NextChangeIn))
+	}
+	return text
+}
+
+func announcementReason(s *protocol.ServiceRoute) string {
 	switch {
 	case s.Announced && s.Running > 0 && s.Draining == s.Running:
-		fmt.Fprintf(
-			&text,
-			"announced with the lowest preference: all %d containers here run on draining machines.",
-			s.Running,
-		)
+		const format = "announced with the lowest preference: all %d containers here run on draining machines."
+		return fmt.Sprintf(format, s.Running)
 	case s.Announced:
-		fmt.Fprintf(&text, "announced: %d containers run here, the minimum is %d.", s.Running, s.MinRunning)
+		return fmt.Sprintf("announced: %d containers run here, the minimum is %d.", s.Running, s.MinRunning)
 	case s.Suppressed:
-		fmt.Fprintf(
-			&text,
-			"not announced: it is suppressed after flapping (penalty %.0f) until it is stable.",
-			s.Penalty,
-		)
+		const format = "not announced: it is suppressed after flapping (penalty %.0f) until it is stable."
+		return fmt.Sprintf(format, s.Penalty)
 	default:
-		fmt.Fprintf(&text, "not announced: %d containers run here, the minimum is %d.", s.Running, s.MinRunning)
-	}
-	if s.NextChangeIn > 0 {
-		fmt.Fprintf(&text, " The next change is due in %d ms, by the limit on the update rate.", milliseconds(s.NextChangeIn))
+		return fmt.Sprintf("not announced: %d containers run here, the minimum is %d.", s.Running, s.MinRunning)
 	}
-	return text.String()
 }
--- a/cmd/glenport/check.go
+++ b/cmd/glenport/check.go
@@ -10,9 +10,10 @@
 
 func newCheckCommand() *cobra.Command {
 	return &cobra.Command{
-		Use:     "check FILE...",
-		Short:   "Check settings files of schedulers",
-		Long:    "Check settings files of schedulers. The first error of each file is printed with file, line and column; the exit code is then 1.",
+		Use:   "check FILE...",
+		Short: "Check settings files of schedulers",
+		Long: "Check settings files of schedulers. The first error of each file is printed with file, line and column; " +
+			"the exit code is then 1.",
 		Example: "  glenport check deploy/scheduler.yaml",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
@@ -34,15 +35,8 @@
 		for _, d := range s.Deprecations {
 			faults.printf("%s:%d: %q is deprecated, use %q\n", d.File, d.Line, d.Old, d.New)
 		}
-		results.printf(
-			"%s: valid: scheduler %s (%d of %d), %d workload classes, %d machine types\n",
-			file,
-			s.Name,
-			s.Policy.SchedulerIndex+1,
-			s.Policy.SchedulerCount,
-			len(s.Policy.WorkloadClasses),
-			len(s.Policy.MachineTypes),
-		)
+		results.printf("%s: valid: scheduler %s (%d of %d), %d workload classes, %d machine types\n", file, s.Name,
+			s.Policy.SchedulerIndex+1, s.Policy.SchedulerCount, len(s.WorkloadClasses), len(s.MachineTypes))
 	}
 	if results.err != nil {
 		return results.err
@@ -51,7 +45,7 @@
 		return faults.err
 	}
 	if !valid {
-		return exitNegative
+		return errNegative
 	}
 	return nil
 }
--- a/cmd/glenport/controller.go
+++ b/cmd/glenport/controller.go
@@ -65,15 +65,8 @@
 		shutdownAPI(httpServer)
 		process.Stop()
 	})
-	log.Info(
-		"controller started",
-		"name",
-		settings.Name,
-		"api",
-		settings.APIAddr,
-		"schedulers",
-		len(settings.SchedulerAddrs),
-	)
+	log.Info("controller started",
+		"name", settings.Name, "api", settings.APIAddr, "schedulers", len(settings.SchedulerAddrs))
 	runtime.LockOSThread()
 	if err := process.Run(); err != nil {
 		return err
--- a/cmd/glenport/golden_test.go
+++ b/cmd/glenport/golden_test.go
@@ -355,7 +355,7 @@
 	if stderr != "" {
 		text += "stderr: " + stderr
 	}
-	var code exitCode
+	var code exitError
 	if errors.As(err, &code) {
 		text += fmt.Sprintf("exit %d\n", int(code))
 	} else if err != nil {
--- a/cmd/glenport/job.go
+++ b/cmd/glenport/job.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"net/http"
 	"time"
 
@@ -37,13 +38,13 @@
 		Short:   "Keep a job's containers running",
 		Example: "  glenport job run reports --workload report-run -n 3 --cores 2 --memory 4 --label team=books",
 		Args:    cobra.ExactArgs(1),
-	}, func(client *apiClient, args []string) error {
+	}, func(ctx context.Context, client *apiClient, args []string) error {
 		job.ID, job.RunForMS = args[0], runFor.Milliseconds()
 		if job.Service == "" {
 			job.Service = job.ID
 		}
 		var created server.Job
-		if err := client.do(http.MethodPost, jobsPath, job, &created); err != nil {
+		if err := client.do(ctx, http.MethodPost, jobsPath, job, &created); err != nil {
 			return err
 		}
 		return printJob(client, &created)
@@ -69,11 +70,11 @@
 		Short:   "Show one job with its containers, or all jobs",
 		Example: "  glenport job get\n  glenport job get reports -o yaml",
 		Args:    cobra.MaximumNArgs(1),
-	}, func(client *apiClient, args []string) error {
+	}, func(ctx context.Context, client *apiClient, args []string) error {
 		if len(args) == 0 {
-			return printJobs(client)
+			return printJobs(ctx, client)
 		}
-		return printJobWithContainers(client, args[0])
+		return printJobWithContainers(ctx, client, args[0])
 	})
 }
 
@@ -84,14 +85,14 @@
 		Short:   "Change how many containers a job has",
 		Example: "  glenport job scale reports -n 5",
 		Args:    cobra.ExactArgs(1),
-	}, func(client *apiClient, args []string) error {
+	}, func(ctx context.Context, client *apiClient, args []string) error {
 		path := jobsPath + "/" + args[0]
 		var job server.Job
-		if err := client.get(path, &job); err != nil {
+		if err := client.get(ctx, path, &job); err != nil {
 			return err
 		}
 		job.Count, job.Version = count, 0 // version 0 replaces any version
-		if err := client.do(http.MethodPut, path, job, &job); err != nil {
+		if err := client.do(ctx, http.MethodPut, path, job, &job); err != nil {
 			return err
 		}
 		return printJob(client, &job)
@@ -107,8 +108,8 @@
 		Short:   "End a job and its containers",
 		Example: "  glenport job stop reports",
 		Args:    cobra.ExactArgs(1),
-	}, func(client *apiClient, args []string) error {
-		return client.do(http.MethodDelete, jobsPath+"/"+args[0], nil, nil)
+	}, func(ctx context.Context, client *apiClient, args []string) error {
+		return client.do(ctx, http.MethodDelete, jobsPath+"/"+args[0], nil, nil)
 	})
 }
 
@@ -117,21 +118,13 @@
 }
 
 func printJobRow(p *printer, job *server.Job) {
-	p.printf(
-		"%s\t%s\t%s\t%d\t%g\t%g\t%d\n",
-		job.ID,
-		job.Service,
-		job.WorkloadClass,
-		job.Count,
-		job.Cores,
-		job.MemoryGiB,
-		job.Version,
-	)
+	p.printf("%s\t%s\t%s\t%d\t%g\t%g\t%d\n",
+		job.ID, job.Service, job.WorkloadClass, job.Count, job.Cores, job.MemoryGiB, job.Version)
 }
 
-func printJobs(client *apiClient) error {
+func printJobs(ctx context.Context, client *apiClient) error {
 	var jobs items[server.Job]
-	if err := client.get(jobsPath+listLimit, &jobs); err != nil {
+	if err := client.get(ctx, jobsPath+listLimit, &jobs); err != nil {
 		return err
 	}
 	return client.print(jobs.Items, jobHeader, func(p *printer) {
@@ -141,13 +134,13 @@
 	})
 }
 
-func printJobWithContainers(client *apiClient, id string) error {
+func printJobWithContainers(ctx context.Context, client *apiClient, id string) error {
 	var job server.Job
-	if err := client.get(jobsPath+"/"+id, &job); err != nil {
+	if err := client.get(ctx, jobsPath+"/"+id, &job); err != nil {
 		return err
 	}
 	var containers items[server.Container]
-	if err := client.get(containersPath+listLimit+"&field=job="+id, &containers); err != nil {
+	if err := client.get(ctx, containersPath+listLimit+"&field=job="+id, &containers); err != nil {
 		return err
 	}
 	document := struct {
--- a/cmd/glenport/machines.go
+++ b/cmd/glenport/machines.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"glenport/internal/controller/server"
 
 	"github.com/spf13/cobra"
@@ -12,9 +13,9 @@
 		Short:   "Show the machines",
 		Example: "  glenport machines -o json",
 		Args:    cobra.NoArgs,
-	}, func(client *apiClient, _ []string) error {
+	}, func(ctx context.Context, client *apiClient, _ []string) error {
 		var machines items[server.Machine]
-		if err := client.get("/v1/machines"+listLimit, &machines); err != nil {
+		if err := client.get(ctx, "/v1/machines"+listLimit, &machines); err != nil {
 			return err
 		}
 		return client.print(machines.Items, "MACHINE\tZONE\tTYPE\tSTATE\tFREE CORES\tFREE GIB", func(p *printer) {
--- a/cmd/glenport/main.go
+++ b/cmd/glenport/main.go
@@ -18,22 +18,21 @@
 	if err == nil {
 		return
 	}
-	var code exitCode
-	if errors.As(err, &code) {
+	if code, ok := errors.AsType[exitError](err); ok {
 		os.Exit(int(code))
 	}
 	fmt.Fprintln(os.Stderr, "glenport:", err)
 	os.Exit(exitFailure)
 }
 
-// exitCode is an error that ends the program with this code; all that is to be said has been printed.
-type exitCode int
+// exitError ends the program with its value as the exit code. The command has printed all there is to print.
+type exitError int
 
-// exitNegative is the exit code of a command that ran, and found something wrong or was refused.
-const exitNegative exitCode = 1
+// errNegative ends a command that ran and has a negative result: it found an error, or a request was refused.
+const errNegative exitError = 1
 
 // Error implements error.
-func (c exitCode) Error() string { return fmt.Sprintf("exit %d", int(c)) }
+func (c exitError) Error() string { return fmt.Sprintf("exit %d", int(c)) }
 
 func newRootCommand() *cobra.Command {
 	root := &cobra.Command{
--- a/cmd/glenport/platform.go
+++ b/cmd/glenport/platform.go
@@ -20,34 +20,40 @@
 	heapShare            = 0.6             // of the memory that the process may have, for the heap
 )
 
+// platformFlags are the flags of the platform command.
+type platformFlags struct {
+	file  string
+	trace bool // log every message
+}
+
 func newPlatformCommand() *cobra.Command {
-	var file string
-	var trace bool
+	var flags platformFlags
 	c := &cobra.Command{
-		Use:     "platform",
-		Short:   "Run one scheduler behind the platform's protocol",
-		Long:    "Run one scheduler behind the platform's protocol. Without --config, " + platformFileVariable + " names the platform's file.",
+		Use:   "platform",
+		Short: "Run one scheduler behind the platform's protocol",
+		Long: "Run one scheduler behind the platform's protocol. Without --config, " + platformFileVariable +
+			" names the platform's file.",
 		Example: "  glenport platform -c router.toml --trace",
 		Args:    cobra.NoArgs,
-		RunE:    func(*cobra.Command, []string) error { return runPlatform(file, trace) },
+		RunE:    func(*cobra.Command, []string) error { return flags.run() },
 	}
-	c.Flags().StringVarP(&file, "config", "c", os.Getenv(platformFileVariable), "the platform's file")
-	c.Flags().BoolVar(&trace, "trace", false, "log every message")
+	c.Flags().StringVarP(&flags.file, "config", "c", os.Getenv(platformFileVariable), "the platform's file")
+	c.Flags().BoolVar(&flags.trace, "trace", false, "log every message")
 	return c
 }
 
-func runPlatform(file string, trace bool) error {
-	if file == "" {
+func (f *platformFlags) run() error {
+	if f.file == "" {
 		return errors.New("neither --config nor " + platformFileVariable + " names a file")
 	}
-	settings, err := platform.LoadConfig(file)
+	settings, err := platform.LoadConfig(f.file)
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(heapShare * float64(settings.MemoryMB<<20)))
 	level := slog.LevelInfo
-	if trace {
+	if f.trace {
 		level = slog.LevelDebug
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
@@ -55,11 +61,11 @@
 	shutdown, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(shutdown, syscall.SIGINT, syscall.SIGTERM)
 	signal.Notify(reload, syscall.SIGHUP)
-	process, err := platform.New(settings, scheduler.New(settings.Scheduler), log, trace)
+	process, err := platform.New(settings, scheduler.New(settings.Scheduler), log, f.trace)
 	if err != nil {
 		return err
 	}
-	process.HandleSignals(shutdown, reload, func() (*platform.Config, error) { return platform.LoadConfig(file) })
+	process.HandleSignals(shutdown, reload, func() (*platform.Config, error) { return platform.LoadConfig(f.file) })
 	runtime.LockOSThread()
 	return process.Run()
 }
--- a/cmd/glenport/schedulerclient.go
+++ b/cmd/glenport/schedulerclient.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"os"
@@ -11,7 +12,7 @@
 	"github.com/spf13/cobra"
 )
 
-// of a connection and all requests on it, unless a command sets a deadline of its own
+// requestTimeout is for a connection and all requests on it, unless a command sets a deadline of its own.
 const requestTimeout = 5 * time.Second
 
 // addSchedulerFlag adds the flag with a scheduler's address to a command and its subcommands.
@@ -48,8 +49,9 @@
 func (e *notSchedulerError) Unwrap() error { return e.err }
 
 // dialScheduler connects to a scheduler and exchanges hellos.
-func dialScheduler(address string) (*schedulerConn, error) {
-	conn, err := net.DialTimeout("tcp", address, requestTimeout)
+func dialScheduler(ctx context.Context, address string) (*schedulerConn, error) {
+	dialer := net.Dialer{Timeout: requestTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
@@ -93,9 +95,9 @@
 }
 
 // request connects to a scheduler, sends a request and returns its reply, which must be of type R.
-func request[R protocol.Frame](address string, f protocol.Frame) (R, error) {
+func request[R protocol.Frame](ctx context.Context, address string, f protocol.Frame) (R, error) {
 	var none R
-	c, err := dialScheduler(address)
+	c, err := dialScheduler(ctx, address)
 	if err != nil {
 		return none, err
 	}
--- a/cmd/glenport/state.go
+++ b/cmd/glenport/state.go
@@ -105,20 +105,12 @@
 }
 
 func printLogSummary(p *printer, log *wal.State) {
-	p.printf(
-		"log: version %d, %d records in %d bytes; the snapshot ends before group %d, the log with group %d (%d read)\n",
-		wal.FormatVersion,
-		log.Records,
-		log.Bytes,
-		log.FirstGroup,
-		log.LastGroup,
-		log.Groups,
-	)
+	p.printf("log: version %d, %d records in %d bytes; ", wal.FormatVersion, log.Records, log.Bytes)
+	p.printf("the snapshot ends before group %d, the log with group %d (%d read)\n",
+		log.FirstGroup, log.LastGroup, log.Groups)
 	if log.TruncatedBytes > 0 {
-		p.printf(
-			"log: %d bytes of an unfinished group at the end, never acknowledged: truncated at the next start\n",
-			log.TruncatedBytes,
-		)
+		p.printf("log: %d bytes of an unfinished group at the end, never acknowledged: truncated at the next start\n",
+			log.TruncatedBytes)
 	}
 	for _, kind := range log.Kinds() {
 		p.printf("  %-10s %d\n", kind, log.Count(kind))
@@ -140,19 +132,13 @@
 	if snapshot.OrderlyShutdown {
 		occasion = "at an orderly shutdown"
 	}
-	p.printf(
-		"warm-start snapshot: version %d, written %s ago, %s; machine list version %d with %d machines, %d suspected, %d ejected\n",
-		schedulerd.WarmStartVersion,
-		time.Since(takenAt).Round(time.Millisecond),
-		occasion,
-		snapshot.ListVersion,
-		len(snapshot.Entries),
-		suspected,
-		ejected,
-	)
+	age := time.Since(takenAt).Round(time.Millisecond)
+	p.printf("warm-start snapshot: version %d, written %s ago, %s; ", schedulerd.WarmStartVersion, age, occasion)
+	p.printf("machine list version %d with %d machines, %d suspected, %d ejected\n",
+		snapshot.ListVersion, len(snapshot.Entries), suspected, ejected)
 }
 
-// verifyState returns exitNegative where anything is not as it was written.
+// verifyState returns errNegative where anything is not as it was written.
 func verifyState(path string, out, errOut io.Writer) error {
 	f, err := readStateFolder(path)
 	if err != nil {
@@ -162,7 +148,7 @@
 		if _, err := fmt.Fprintln(errOut, damage); err != nil {
 			return err
 		}
-		return exitNegative
+		return errNegative
 	}
 	_, err = fmt.Fprintf(out, "%s: valid, %d records, %d groups\n", path, f.log.Records, f.log.Groups)
 	return err
@@ -244,13 +230,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(
-		out,
-		"%s: %d records, %d bytes before, %d after\n",
-		path,
-		after.Records,
-		before.Bytes,
-		after.Bytes,
-	)
+	_, err = fmt.Fprintf(out, "%s: %d records, %d bytes before, %d after\n",
+		path, after.Records, before.Bytes, after.Bytes)
 	return err
 }
--- a/cmd/glenport/status.go
+++ b/cmd/glenport/status.go
@@ -16,7 +16,7 @@
 		Example: "  glenport status --scheduler 127.0.0.1:7400",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			status, err := request[*protocol.StatusReply](address, &protocol.StatusRequest{})
+			status, err := request[*protocol.StatusReply](c.Context(), address, &protocol.StatusRequest{})
 			if err != nil {
 				return err
 			}
--- a/cmd/glenport/submit.go
+++ b/cmd/glenport/submit.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -38,18 +39,13 @@
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s.spec.Service = args[0]
-			return s.run(c.OutOrStdout())
+			return s.run(c.Context(), c.OutOrStdout())
 		},
 	}
 	addSchedulerFlag(c, &s.address)
 	f := c.Flags()
 	f.IntVarP(&s.count, "count", "n", 1, "how many containers")
-	f.IntVar(
-		&s.spec.WorkloadClass,
-		"workload",
-		0,
-		"index of the workload class in the scheduler's settings file, from 0",
-	)
+	f.IntVar(&s.spec.WorkloadClass, "workload", 0, "index of the workload class in the scheduler's settings, from 0")
 	f.IntVar(&s.spec.Tenant, "tenant", 0, "index of the tenant, from 0")
 	f.Float64Var(&s.spec.Cores, "cores", 1, "cores of each container")
 	f.Float64Var(&s.spec.Memory, "memory", 1, "memory of each container, in GiB")
@@ -62,9 +58,9 @@
 	return c
 }
 
-// run sends the requests, prints the answers, and returns exitNegative where a container is not placed.
-func (s *submission) run(out io.Writer) error {
-	c, err := dialScheduler(s.address)
+// run sends the requests, prints the answers, and returns errNegative where a container is not placed.
+func (s *submission) run(ctx context.Context, out io.Writer) error {
+	c, err := dialScheduler(ctx, s.address)
 	if err != nil {
 		return err
 	}
@@ -91,9 +87,8 @@
 		if s.key != "" {
 			spec.IdempotencyKey = s.key
 		}
-		if err := c.send(
-			&protocol.Submit{TimeToDeadline: protocol.Duration(s.timeout / tick), Spec: spec},
-		); err != nil {
+		request := &protocol.Submit{TimeToDeadline: protocol.Duration(s.timeout / tick), Spec: spec}
+		if err := c.send(request); err != nil {
 			return err
 		}
 	}
@@ -128,7 +123,7 @@
 		}
 	}
 	if refused {
-		return exitNegative
+		return errNegative
 	}
 	return nil
 }
--- a/cmd/glenport/why.go
+++ b/cmd/glenport/why.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"strings"
 	"time"
@@ -20,11 +21,11 @@
 		Short:   "Explain why a job's containers, or one container, do not run",
 		Example: "  glenport why reports\n  glenport why reports.0 --follow",
 		Args:    cobra.ExactArgs(1),
-	}, func(client *apiClient, args []string) error {
+	}, func(ctx context.Context, client *apiClient, args []string) error {
 		if follow {
-			return followReasons(client, args[0])
+			return followReasons(ctx, client, args[0])
 		}
-		explanations, err := explain(client, args[0])
+		explanations, err := explain(ctx, client, args[0])
 		if err != nil {
 			return err
 		}
@@ -35,9 +36,9 @@
 }
 
 // followReasons prints the reasons each time they change, until a request fails.
-func followReasons(client *apiClient, id string) error {
+func followReasons(ctx context.Context, client *apiClient, id string) error {
 	for before := ""; ; time.Sleep(followInterval) {
-		explanations, err := explain(client, id)
+		explanations, err := explain(ctx, client, id)
 		if err != nil {
 			return err
 		}
@@ -57,14 +58,14 @@
 
 // explain returns the explanations of a job, or of a container where the ID has a dot. One without reasons is left out
 // there.
-func explain(client *apiClient, id string) ([]api.Explanation, error) {
+func explain(ctx context.Context, client *apiClient, id string) ([]api.Explanation, error) {
 	if !strings.Contains(id, ".") {
 		var explanations items[api.Explanation]
-		err := client.get(jobsPath+"/"+id+"/why", &explanations)
+		err := client.get(ctx, jobsPath+"/"+id+"/why", &explanations)
 		return explanations.Items, err
 	}
 	var explanation api.Explanation
-	if err := client.get(containersPath+"/"+id+"/why", &explanation); err != nil || len(explanation.Reasons) == 0 {
+	if err := client.get(ctx, containersPath+"/"+id+"/why", &explanation); err != nil || len(explanation.Reasons) == 0 {
 		return nil, err
 	}
 	return []api.Explanation{explanation}, nil
--- a/internal/config/bgp.go
+++ b/internal/config/bgp.go
@@ -45,7 +45,7 @@
 	}
 	s := &BGP{ASN: v.asn(f.ASN), RouterID: v.routerID(f.RouterID), ListenAddr: v.address(f.ListenAddr)}
 	for i := range f.Peers {
-		s.Peers = append(s.Peers, v.bgpPeer(fmt.Sprintf("bgp.peers[%d]", i), &f.Peers[i], s.ListenAddr != ""))
+		s.Peers = append(s.Peers, v.bgpPeer(fmt.Sprintf("bgp.peers[%d]", i), &f.Peers[i], s.ListenAddr))
 	}
 	s.Services = v.bgpServices(f.Services)
 	return s
@@ -60,7 +60,7 @@
 	return address.As4()
 }
 
-func (v *validator) bgpPeer(path string, entry *bgpPeerEntry, listening bool) BGPPeer {
+func (v *validator) bgpPeer(path string, entry *bgpPeerEntry, listenAddr string) BGPPeer {
 	v.required(path, *entry)
 	peer := BGPPeer{
 		Addr:        v.address(entry.Addr),
@@ -76,7 +76,7 @@
 	if !validHoldTime(peer.HoldTime) {
 		v.fail(entry.HoldTime.Position, "a hold time is 0 or whole seconds from 3 to 65535")
 	}
-	if peer.Passive && !listening {
+	if peer.Passive && listenAddr == "" {
 		v.fail(entry.Passive.Position, "a passive peer needs bgp.listen")
 	}
 	for _, name := range entry.Families {
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -8,13 +8,18 @@
 // schedulerFile is a scheduler's settings file, such as deploy/scheduler.yaml.
 type schedulerFile struct {
 	Name       strictyaml.String `yaml:"name"`
-	Index      strictyaml.Count  `yaml:"scheduler_index"`                      // of this scheduler among all, from 0
-	Schedulers strictyaml.Count  `yaml:"scheduler_count"`                      // how many there are
-	Seed       strictyaml.Count  `yaml:"seed" settings:"optional"`             // of the random numbers; default 0
-	ListenAddr strictyaml.String `yaml:"listen"`                               // address and port that clients connect to
-	StateDir   strictyaml.String `yaml:"state_dir" settings:"optional"`        // default: no state is kept over restarts
-	LegacyList strictyaml.String `yaml:"legacy_list_file" settings:"optional"` // needs state_dir; default: none is read
-	Metrics    strictyaml.String `yaml:"metrics" settings:"optional"`          // address and port; default: metrics are not served
+	Index      strictyaml.Count  `yaml:"scheduler_index"` // of this scheduler among all, from 0
+	Schedulers strictyaml.Count  `yaml:"scheduler_count"` // how many there are
+	// of the random numbers; default 0
+	Seed strictyaml.Count `yaml:"seed" settings:"optional"`
+	// address and port that clients connect to
+	ListenAddr strictyaml.String `yaml:"listen"`
+	// default: no state is kept over restarts
+	StateDir strictyaml.String `yaml:"state_dir" settings:"optional"`
+	// needs state_dir; default: none is read
+	LegacyList strictyaml.String `yaml:"legacy_list_file" settings:"optional"`
+	// address and port; default: metrics are not served
+	Metrics strictyaml.String `yaml:"metrics" settings:"optional"`
 
 	MachineList     machineListSection   `yaml:"machine_list"`
 	Connections     connectionsSection   `yaml:"connections"`
@@ -36,7 +41,8 @@
 
 // connectionsSection holds the limits of each connection.
 type connectionsSection struct {
-	ConnectTimeout strictyaml.Duration `yaml:"connect_timeout"` // up to a sixteenth of slow_start.window, unless slow_start.budget is 0
+	// up to a sixteenth of slow_start.window, unless slow_start.budget is 0
+	ConnectTimeout strictyaml.Duration `yaml:"connect_timeout"`
 	IdleTimeout    strictyaml.Duration `yaml:"idle_timeout"`
 	SilenceTimeout strictyaml.Duration `yaml:"silence_timeout"`
 	MaxOutput      strictyaml.Memory   `yaml:"max_output_buffer"` // at least 64KiB
@@ -96,16 +102,21 @@
 
 // workloadClassEntry is one class of workloads.
 type workloadClassEntry struct {
-	Name             strictyaml.String   `yaml:"name"`                             // unique
-	Idempotency      strictyaml.String   `yaml:"idempotency"`                      // idempotent, idempotent-with-key or at-most-once
-	DedupScope       strictyaml.String   `yaml:"dedup_scope" settings:"optional"`  // rack-group, zone or fleet; required with idempotent-with-key, else not allowed
+	Name strictyaml.String `yaml:"name"` // unique
+	// idempotent, idempotent-with-key or at-most-once
+	Idempotency strictyaml.String `yaml:"idempotency"`
+	// rack-group, zone or fleet; required with idempotent-with-key, else not allowed
+	DedupScope       strictyaml.String   `yaml:"dedup_scope" settings:"optional"`
 	DedupWindow      strictyaml.Duration `yaml:"dedup_window" settings:"optional"` // as dedup_scope
 	LatencyObjective strictyaml.Duration `yaml:"latency_objective"`                // up to placement_timeout
 	PlacementTimeout strictyaml.Duration `yaml:"placement_timeout"`
-	MachineType      strictyaml.String   `yaml:"machine_type" settings:"optional"`  // a name of machines.machine_types; default: any
-	SpreadScope      strictyaml.String   `yaml:"spread_scope" settings:"optional"`  // machine, rack-group or zone; default: no spread
-	MaxPerScope      strictyaml.Count    `yaml:"max_per_scope" settings:"optional"` // required with spread_scope, else not allowed
-	PriorityWeight   strictyaml.Float    `yaml:"priority_weight"`
+	// a name of machines.machine_types; default: any
+	MachineType strictyaml.String `yaml:"machine_type" settings:"optional"`
+	// machine, rack-group or zone; default: no spread
+	SpreadScope strictyaml.String `yaml:"spread_scope" settings:"optional"`
+	// required with spread_scope, else not allowed
+	MaxPerScope    strictyaml.Count `yaml:"max_per_scope" settings:"optional"`
+	PriorityWeight strictyaml.Float `yaml:"priority_weight"`
 }
 
 // tenantEntry is one tenant and its quota.
@@ -132,7 +143,8 @@
 	Passive     strictyaml.Bool     `yaml:"passive" settings:"optional"`      // needs bgp.listen; default false
 	Families    []strictyaml.String `yaml:"families"`                         // ipv4, ipv6; default ipv4 alone
 	Allow       []strictyaml.String `yaml:"allow"`                            // at least one prefix
-	MD5Key      strictyaml.String   `yaml:"tcp_md5_key" settings:"optional"`  // up to 80 bytes; default: segments are not signed
+	// up to 80 bytes; default: segments are not signed
+	MD5Key strictyaml.String `yaml:"tcp_md5_key" settings:"optional"`
 }
 
 // bgpServiceEntry is one service address.
@@ -147,11 +159,15 @@
 
 // controllerFile is a controller's settings file, such as deploy/controller.yaml.
 type controllerFile struct {
-	Name            strictyaml.String   `yaml:"name"`
-	APIAddr         strictyaml.String   `yaml:"api"`
-	SchedulerFile   strictyaml.String   `yaml:"scheduler_config"`                 // relative to the folder of this file
-	SchedulerAddrs  []strictyaml.String `yaml:"schedulers"`                       // at least one
-	MachineListAddr strictyaml.String   `yaml:"machine_list" settings:"optional"` // default: the list is not watched
-	Seed            strictyaml.Count    `yaml:"seed" settings:"optional"`         // of the random numbers; default 0
-	StateDir        strictyaml.String   `yaml:"state_dir" settings:"optional"`    // default: no state is kept over restarts
+	Name    strictyaml.String `yaml:"name"`
+	APIAddr strictyaml.String `yaml:"api"`
+	// relative to the folder of this file
+	SchedulerFile  strictyaml.String   `yaml:"scheduler_config"`
+	SchedulerAddrs []strictyaml.String `yaml:"schedulers"` // at least one
+	// default: the list is not watched
+	MachineListAddr strictyaml.String `yaml:"machine_list" settings:"optional"`
+	// of the random numbers; default 0
+	Seed strictyaml.Count `yaml:"seed" settings:"optional"`
+	// default: no state is kept over restarts
+	StateDir strictyaml.String `yaml:"state_dir" settings:"optional"`
 }
--- a/internal/config/strictyaml/alias.go
+++ b/internal/config/strictyaml/alias.go
@@ -19,6 +19,12 @@
 // path returns the path of today's key from the top of the file.
 func (a KeyAlias) path() string { return joinPath(a.Section, a.New) }
 
+// section returns the path, relative to Section, of the section into which the key has moved; empty where it has not.
+func (a KeyAlias) section() string {
+	section, _ := splitPath(a.New)
+	return section
+}
+
 // ValueAlias is an old spelling of a value that is still read.
 type ValueAlias struct {
 	Key      string // path of the key, in today's spelling and without indices of lists
--- a/internal/config/strictyaml/rename.go
+++ b/internal/config/strictyaml/rename.go
@@ -75,55 +75,63 @@
 	text.Token, text.Value = renamedToken(text.Token, value), value
 }
 
-// mapping renames the keys of a mapping and all below it.
+// mapping renames the keys of a mapping and all below it. Keys that move into a section of their own follow last, when
+// the section has been visited.
 func (r *renamer) mapping(at location, m *ast.MappingNode) error {
-	type move struct {
-		entry *ast.MappingValueNode
-		alias KeyAlias
-	}
-	var moves []move
-	kept := make([]*ast.MappingValueNode, 0, len(m.Values))
+	var moving []*ast.MappingValueNode
+	staying := make([]*ast.MappingValueNode, 0, len(m.Values))
 	for _, entry := range m.Values {
-		if entry.Key.IsMergeKey() {
-			kept = append(kept, entry)
-			if err := r.node(at, entry.Value); err != nil {
-				return err
-			}
-			continue
-		}
-		spelled := entry.Key.GetToken().Value
-		alias, isOld := r.spelling.aliases.oldKey(withoutIndices(at.current), spelled)
-		if !isOld {
-			kept = append(kept, entry)
-			if err := r.currentKey(at.key(spelled, spelled), entry); err != nil {
-				return err
-			}
-			continue
+		if alias, isOld := r.alias(at, entry); isOld && alias.section() != "" {
+			moving = append(moving, entry)
+		} else {
+			staying = append(staying, entry)
 		}
-		if section, _ := splitPath(alias.New); section != "" {
-			moves = append(moves, move{entry, alias})
-			continue
-		}
-		if err := r.oldKey(at, entry, alias, m); err != nil {
-			return err
-		}
-		kept = append(kept, entry)
 	}
-	m.Values = kept
-	for _, moved := range moves {
-		section, _ := splitPath(moved.alias.New)
-		target, err := r.section(m, section, moved.entry)
-		if err != nil {
+	m.Values = staying
+	for _, entry := range staying {
+		if err := r.entry(at, m, entry); err != nil {
 			return err
 		}
-		if err := r.oldKey(at, moved.entry, moved.alias, target); err != nil {
+	}
+	for _, entry := range moving {
+		if err := r.move(at, m, entry); err != nil {
 			return err
 		}
-		target.Values = append(target.Values, moved.entry)
 	}
 	return nil
 }
 
+// alias returns the alias of the key of an entry, if the key is an old spelling.
+func (r *renamer) alias(at location, entry *ast.MappingValueNode) (KeyAlias, bool) {
+	return r.spelling.aliases.oldKey(withoutIndices(at.current), entry.Key.GetToken().Value)
+}
+
+// entry visits an entry that stays in its mapping.
+func (r *renamer) entry(at location, m *ast.MappingNode, entry *ast.MappingValueNode) error {
+	if entry.Key.IsMergeKey() {
+		return r.node(at, entry.Value)
+	}
+	if alias, isOld := r.alias(at, entry); isOld {
+		return r.oldKey(at, entry, alias, m)
+	}
+	key := entry.Key.GetToken().Value
+	return r.currentKey(at.key(key, key), entry)
+}
+
+// move renames an entry of a mapping and moves it into the section where it stands today.
+func (r *renamer) move(at location, m *ast.MappingNode, entry *ast.MappingValueNode) error {
+	alias, _ := r.alias(at, entry)
+	target, err := r.section(m, alias.section(), entry)
+	if err != nil {
+		return err
+	}
+	if err := r.oldKey(at, entry, alias, target); err != nil {
+		return err
+	}
+	target.Values = append(target.Values, entry)
+	return nil
+}
+
 // currentKey visits a key that has no old spelling, or stands in that of today.
 func (r *renamer) currentKey(at location, entry *ast.MappingValueNode) error {
 	if _, hasAlias := r.spelling.aliases.newKey(withoutIndices(at.current)); hasAlias {
@@ -138,8 +146,9 @@
 	_, name := splitPath(alias.New)
 	key := entry.Key.GetToken()
 	if other := findKey(target, name); other != nil {
+		line := other.Key.GetToken().Position.Line
 		return r.file.ErrorAt(positionOf(key), "%q is the old spelling of %q, which stands on line %d: give one of the two",
-			alias.Old, alias.New, other.Key.GetToken().Position.Line)
+			alias.Old, alias.New, line)
 	}
 	here := at.key(alias.New, alias.Old)
 	r.note(positionOf(key), withoutIndices(here.spelled), withoutIndices(here.current))
--- a/internal/config/strictyaml/strictyaml.go
+++ b/internal/config/strictyaml/strictyaml.go
@@ -197,7 +197,7 @@
 	value := reflect.ValueOf(mapping)
 	for i := range value.NumField() {
 		field := value.Type().Field(i)
-		setting, ok := value.Field(i).Interface().(interface{ IsSet() bool })
+		setting, ok := reflect.TypeAssert[interface{ IsSet() bool }](value.Field(i))
 		if !ok || setting.IsSet() || field.Tag.Get(settingsTag) == optional {
 			continue
 		}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -44,38 +44,28 @@
 // Collect implements prometheus.Collector.
 func (c collector) Collect(metrics chan<- prometheus.Metric) {
 	status, routes, ok := c.source.Stats(statsTimeout)
-	send(metrics, "glenport_answers", "Whether the placer's loop answers.", boolValue(ok))
+	send(metrics, "glenport_answers", "Whether the scheduler's event loop answers.", boolValue[ok])
 	if !ok {
 		return
 	}
 	for _, stat := range status.Stats {
-		send(metrics, statName(stat), "As glenport status shows it.", stat.Value)
+		send(metrics, statName(stat), "The counter of this name in the output of glenport status.", stat.Value)
 	}
 	for _, peer := range routes.Peers {
 		collectPeer(metrics, peer)
 	}
 	for _, service := range routes.Services {
-		send(
-			metrics,
-			"glenport_bgp_penalty",
-			"Damping penalty of a service's address.",
-			service.Penalty,
-			label{"service", service.Service},
-		)
+		labels := label{"service", service.Service}
+		send(metrics, "glenport_bgp_penalty", "Flap damping penalty of a service's address.", service.Penalty, labels)
 	}
 }
 
 func collectPeer(metrics chan<- prometheus.Metric, peer protocol.BGPPeerStatus) {
 	address := label{"peer", peer.Address}
-	send(
-		metrics,
-		"glenport_bgp_established",
-		"Whether the session stands.",
-		boolValue(peer.State == sessionEstablished),
-		address,
-	)
-	send(metrics, "glenport_bgp_routes", "Prefixes that the peer was told.", float64(peer.Routes), address)
-	send(metrics, "glenport_bgp_due", "Changes that wait for the peer.", float64(peer.PendingRoutes), address)
+	established := boolValue[peer.State == sessionEstablished]
+	send(metrics, "glenport_bgp_established", "Whether the session is established.", established, address)
+	send(metrics, "glenport_bgp_routes", "Prefixes announced to the peer.", float64(peer.Routes), address)
+	send(metrics, "glenport_bgp_due", "Changes not yet sent to the peer.", float64(peer.PendingRoutes), address)
 	send(metrics, "glenport_bgp_updates", "Update messages sent.", float64(peer.UpdatesSent), address)
 	send(metrics, "glenport_bgp_session_ends", "Sessions that ended.", float64(peer.SessionsEnded), address)
 }
@@ -98,19 +88,12 @@
 	for _, l := range labels {
 		names, values = append(names, l.name), append(values, l.value)
 	}
-	metric, err := prometheus.NewConstMetric(
-		prometheus.NewDesc(name, help, names, nil),
-		prometheus.UntypedValue,
-		value,
-		values...)
+	description := prometheus.NewDesc(name, help, names, nil)
+	metric, err := prometheus.NewConstMetric(description, prometheus.UntypedValue, value, values...)
 	if err == nil {
 		metrics <- metric
 	}
 }
 
-func boolValue(b bool) float64 {
-	if b {
-		return 1
-	}
-	return 0
-}
+// boolValue holds the values of metrics that are true or false.
+var boolValue = map[bool]float64{false: 0, true: 1}
