--- a/cmd/glenport/controller.go
+++ b/cmd/glenport/controller.go
@@ -24,7 +24,7 @@
 		Use:     "controller",
 		Aliases: []string{"keeper"},
 		Short:   "Keep jobs running and serve the API",
-		Example: "  glenport controller -c deploy/keeper.yaml --log json",
+		Example: "  glenport controller -c deploy/controller.yaml --log json",
 		Args:    cobra.NoArgs,
 		RunE:    func(*cobra.Command, []string) error { return runController(&flags) },
 	}
@@ -65,15 +65,8 @@
 		shutdownAPI(httpServer)
 		process.Stop()
 	})
-	log.Info(
-		"controller started",
-		"name",
-		settings.Name,
-		"api",
-		settings.APIAddr,
-		"schedulers",
-		len(settings.SchedulerAddrs),
-	)
+	log.Info("controller started",
+		"name", settings.Name, "api", settings.APIAddr, "schedulers", len(settings.SchedulerAddrs))
 	runtime.LockOSThread()
 	if err := process.Run(); err != nil {
 		return err
--- a/cmd/glenport/state.go
+++ b/cmd/glenport/state.go
@@ -24,7 +24,7 @@
 func newStateCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:     "state",
-		Short:   "Look at the state folder of a scheduler or a controller",
+		Short:   "Inspect the state folder of a scheduler or a controller",
 		Example: "  glenport state inspect /var/tmp/glenport-north-1",
 	}
 	c.AddCommand(
@@ -38,7 +38,7 @@
 		&cobra.Command{
 			Use:     "verify FOLDER",
 			Short:   "Read all of a folder and check it",
-			Long:    "Read all of a folder and check it. The exit code is 1 where anything is damaged.",
+			Long:    "Read all of a folder and check it. The exit code is 1 if anything is damaged.",
 			Example: "  glenport state verify /var/tmp/glenport-north-1",
 			Args:    cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
@@ -105,20 +105,12 @@
 }
 
 func printLogSummary(p *printer, log *wal.State) {
-	p.printf(
-		"log: version %d, %d records in %d bytes; the snapshot ends before group %d, the log with group %d (%d read)\n",
-		wal.FormatVersion,
-		log.Records,
-		log.Bytes,
-		log.FirstGroup,
-		log.LastGroup,
-		log.Groups,
-	)
+	p.printf("log: version %d, %d records in %d bytes; ", wal.FormatVersion, log.Records, log.Bytes)
+	p.printf("the snapshot ends before group %d, the log with group %d (%d read)\n",
+		log.FirstGroup, log.LastGroup, log.Groups)
 	if log.TruncatedBytes > 0 {
-		p.printf(
-			"log: %d bytes of an unfinished group at the end, never acknowledged: cut off at the next start\n",
-			log.TruncatedBytes,
-		)
+		p.printf("log: %d bytes of an unfinished group at the end, never acknowledged: truncated at the next start\n",
+			log.TruncatedBytes)
 	}
 	for _, kind := range log.Kinds() {
 		p.printf("  %-10s %d\n", kind, log.Count(kind))
@@ -136,23 +128,17 @@
 		}
 	}
 	takenAt := time.UnixMicro(int64(snapshot.TakenAt.Clock) * tick.Microseconds())
-	occasion := "while it ran"
+	occasion := "while running"
 	if snapshot.OrderlyShutdown {
-		occasion = "at an orderly end"
+		occasion = "at an orderly shutdown"
 	}
-	p.printf(
-		"knowledge: version %d, written %s ago, %s; list version %d with %d machines, evidence against %d, %d resting\n",
-		schedulerd.WarmStartVersion,
-		time.Since(takenAt).Round(time.Millisecond),
-		occasion,
-		snapshot.ListVersion,
-		len(snapshot.Entries),
-		suspected,
-		ejected,
-	)
+	age := time.Since(takenAt).Round(time.Millisecond)
+	p.printf("warm-start snapshot: version %d, written %s ago, %s; ", schedulerd.WarmStartVersion, age, occasion)
+	p.printf("machine list version %d with %d machines, %d suspected, %d ejected\n",
+		snapshot.ListVersion, len(snapshot.Entries), suspected, ejected)
 }
 
-// verifyState returns exitNegative where anything is not as it was written.
+// verifyState returns errNegative where anything is not as it was written.
 func verifyState(path string, out, errOut io.Writer) error {
 	f, err := readStateFolder(path)
 	if err != nil {
@@ -162,9 +148,9 @@
 		if _, err := fmt.Fprintln(errOut, damage); err != nil {
 			return err
 		}
-		return exitNegative
+		return errNegative
 	}
-	_, err = fmt.Fprintf(out, "%s: good, %d records, %d groups\n", path, f.log.Records, f.log.Groups)
+	_, err = fmt.Fprintf(out, "%s: valid, %d records, %d groups\n", path, f.log.Records, f.log.Groups)
 	return err
 }
 
@@ -244,13 +230,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(
-		out,
-		"%s: %d records, %d bytes before, %d after\n",
-		path,
-		after.Records,
-		before.Bytes,
-		after.Bytes,
-	)
+	_, err = fmt.Fprintf(out, "%s: %d records, %d bytes before, %d after\n",
+		path, after.Records, before.Bytes, after.Bytes)
 	return err
 }
--- a/cmd/glenport/submit.go
+++ b/cmd/glenport/submit.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -32,36 +33,34 @@
 	var s submission
 	c := &cobra.Command{
 		Use:     "submit SERVICE",
-		Short:   "Ask a scheduler to place containers of a service",
-		Long:    "Ask a scheduler to place containers of a service. The exit code is 1 where one of them is not placed.",
-		Example: "  glenport submit reports -n 3 --workload 1 --cores 2 --memory 4 --hard-stop 6s --stay",
+		Short:   "Request containers of a service from a scheduler",
+		Long:    "Request containers of a service from a scheduler. The exit code is 1 if one of them is not placed.",
+		Example: "  glenport submit reports -n 3 --workload 1 --cores 2 --memory 4 --timeout 6s --wait",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s.spec.Service = args[0]
-			return s.run(c.OutOrStdout())
+			return s.run(c.Context(), c.OutOrStdout())
 		},
 	}
 	addSchedulerFlag(c, &s.address)
 	f := c.Flags()
 	f.IntVarP(&s.count, "count", "n", 1, "how many containers")
-	f.IntVar(
-		&s.spec.WorkloadClass,
-		"workload",
-		0,
-		"index of the workload class in the scheduler's settings file, from 0",
-	)
-	f.IntVar(&s.spec.Tenant, "customer", 0, "index of the tenant, from 0")
+	f.IntVar(&s.spec.WorkloadClass, "workload", 0, "index of the workload class in the scheduler's settings, from 0")
+	f.IntVar(&s.spec.Tenant, "tenant", 0, "index of the tenant, from 0")
 	f.Float64Var(&s.spec.Cores, "cores", 1, "cores of each container")
 	f.Float64Var(&s.spec.Memory, "memory", 1, "memory of each container, in GiB")
-	f.DurationVar(&s.timeout, "hard-stop", 6*time.Second, "time to the deadline of the requests")
-	f.StringVar(&s.key, "key", "", "idempotency key; made up for each container where empty")
-	f.BoolVar(&s.wait, "stay", false, "wait until the containers end")
+	f.DurationVar(&s.timeout, "timeout", 6*time.Second, "time to the deadline of the requests")
+	f.StringVar(&s.key, "key", "", "idempotency key; empty: a new one for each container")
+	f.BoolVar(&s.wait, "wait", false, "wait until the containers end")
+	addFormerFlag(c, "customer", "tenant")
+	addFormerFlag(c, "hard-stop", "timeout")
+	addFormerFlag(c, "stay", "wait")
 	return c
 }
 
-// run sends the requests, prints the answers, and returns exitNegative where a container is not placed.
-func (s *submission) run(out io.Writer) error {
-	c, err := dialScheduler(s.address)
+// run sends the requests, prints the answers, and returns errNegative where a container is not placed.
+func (s *submission) run(ctx context.Context, out io.Writer) error {
+	c, err := dialScheduler(ctx, s.address)
 	if err != nil {
 		return err
 	}
@@ -88,9 +87,8 @@
 		if s.key != "" {
 			spec.IdempotencyKey = s.key
 		}
-		if err := c.send(
-			&protocol.Submit{TimeToDeadline: protocol.Duration(s.timeout / tick), Spec: spec},
-		); err != nil {
+		request := &protocol.Submit{TimeToDeadline: protocol.Duration(s.timeout / tick), Spec: spec}
+		if err := c.send(request); err != nil {
 			return err
 		}
 	}
@@ -103,7 +101,7 @@
 	for unanswered > 0 || s.wait && running > 0 {
 		frame, err := protocol.ReadFrame(c, protocol.MaxFrame)
 		if err != nil {
-			return fmt.Errorf("placer %s is gone: %w", c.name, err)
+			return fmt.Errorf("connection to scheduler %s lost: %w", c.name, err)
 		}
 		switch f := frame.(type) {
 		case *protocol.PlacementReply:
@@ -118,25 +116,25 @@
 			running--
 			p.printf("%s ended on %s: %s, %s\n", f.ContainerID, f.Machine, f.Outcome, f.Reason)
 		case *protocol.Goodbye:
-			return fmt.Errorf("placer %s says: %s", c.name, f.Message)
+			return fmt.Errorf("scheduler %s closed the connection: %s", c.name, f.Message)
 		}
 		if p.err != nil {
 			return p.err
 		}
 	}
 	if refused {
-		return exitNegative
+		return errNegative
 	}
 	return nil
 }
 
 func printReply(p *printer, f *protocol.PlacementReply) {
-	p.printf("%s %s", f.ContainerID, f.Verdict)
+	p.printf("%s %s", f.ContainerID, verdictText(f.Verdict))
 	if f.Verdict == protocol.VerdictPlaced {
 		p.printf(" on %s", f.Machine)
 	}
 	if f.RetryAfter > 0 {
-		p.printf(", come back in %d ms", milliseconds(f.RetryAfter))
+		p.printf(", retry after %d ms", milliseconds(f.RetryAfter))
 	}
 	if f.Message != "" {
 		p.printf(": %s", f.Message)
@@ -144,5 +142,19 @@
 	p.printf("\n")
 }
 
+// verdictText returns a verdict in the terms of this program; [protocol.Verdict.String] has the older ones.
+func verdictText(v protocol.Verdict) string {
+	switch v {
+	case protocol.VerdictRejected:
+		return "rejected"
+	case protocol.VerdictFailed:
+		return "failed"
+	case protocol.VerdictNotAdmitted:
+		return "not admitted"
+	default:
+		return v.String()
+	}
+}
+
 // milliseconds returns a duration of the protocol in whole milliseconds.
 func milliseconds(d protocol.Duration) int64 { return int64(d) / int64(time.Millisecond/tick) }
