--- a/internal/bgp/session/actions.go
+++ b/internal/bgp/session/actions.go
@@ -54,6 +54,18 @@
 	Attributes []slog.Attr
 }
 
+// actionQueue collects the actions that answer one event.
+type actionQueue struct{ actions []Action }
+
+func (q *actionQueue) emit(a Action) { q.actions = append(q.actions, a) }
+
+// take returns what was emitted since the last call.
+func (q *actionQueue) take() []Action {
+	taken := q.actions
+	q.actions = nil
+	return taken
+}
+
 func (Dial) action()          {}
 func (SendMessage) action()   {}
 func (CloseConn) action()     {}
--- /dev/null
+++ b/internal/bgp/session/components_test.go
@@ -0,0 +1,65 @@
+package session
+
+import (
+	"testing"
+
+	"glenport/internal/bgp/wire"
+	"glenport/scheduler"
+)
+
+func TestIdleHoldTimeDoublesUntilItIsReset(t *testing.T) {
+	actions := &actionQueue{}
+	timers := newTimers(actions)
+	for _, seconds := range []scheduler.Time{1, 2, 4, 8, 16, 32, 60, 60, 0, 1} {
+		if seconds == 0 {
+			timers.resetIdleHoldTime()
+			continue
+		}
+		timers.startIdling()
+		if got, want := actions.take()[1], (SetTimer{IdleHoldTimer, seconds * scheduler.Second}); got != want {
+			t.Errorf("%+v, want %+v", got, want)
+		}
+	}
+}
+
+func TestKeepalivesAreSentOnlyInAHoldTime(t *testing.T) {
+	actions := &actionQueue{}
+	timers := newTimers(actions)
+	timers.startHolding(9 * scheduler.Second)
+	if got := actions.take(); got[1] != (SetTimer{KeepaliveTimer, 3 * scheduler.Second}) {
+		t.Errorf("%+v", got)
+	}
+	timers.startHolding(0)
+	timers.restartHold()
+	if got := actions.take(); len(got) != 2 || got[1] != (ClearTimer{KeepaliveTimer}) {
+		t.Errorf("without a hold time: %+v", got)
+	}
+}
+
+func TestNegotiationTakesTheLowerHoldTimeAndSharedFamilies(t *testing.T) {
+	n := negotiation{peer()}
+	o := open(func(o *wire.Open) { o.Families = both[1:] })
+	if got := n.holdTime(o); got != 30*scheduler.Second {
+		t.Errorf("hold time %d", got)
+	}
+	if up := n.result(o); len(up.Families) != 1 || up.Families[0] != wire.IPv6 || up.SendEndOfRIB {
+		t.Errorf("%+v", up)
+	}
+	if !n.keepsInbound(o) {
+		t.Error("the connection of the lower identifier stays")
+	}
+}
+
+func TestAbandonedDialIsNotUsed(t *testing.T) {
+	actions := &actionQueue{}
+	connections := newConnections(actions)
+	connections.dial()
+	connections.abandonDial()
+	connections.abandonDial()
+	if got := actions.take(); len(got) != 2 || got[1] != (CloseConn{1}) {
+		t.Errorf("%+v", got)
+	}
+	if !connections.isAbandoned(ConnOpened{Conn: 1}) || connections.isAbandoned(ConnOpened{Conn: 1, Inbound: true}) {
+		t.Error("a dial is abandoned as an inbound connection is not")
+	}
+}
--- a/internal/bgp/session/connecting.go
+++ b/internal/bgp/session/connecting.go
@@ -1,96 +1,84 @@
 package session
 
-import (
-	"glenport/internal/bgp/wire"
-)
-
-func (s *Session) start(input) {
-	if s.running {
+func (s *Session) start() {
+	if s.started {
 		return
 	}
-	s.running = true
+	s.started = true
 	s.connect()
 }
 
-// retry ends the idle hold time.
-func (s *Session) retry(input) {
-	if s.running {
+func (s *Session) idleHoldTimerExpired() {
+	if s.state == Idle && s.started {
 		s.connect()
 	}
 }
 
-func (s *Session) abandonDialAndRetry(input) {
-	s.abandonDial()
-	s.connect()
+func (s *Session) connectRetryTimerExpired() {
+	if s.state == Connect || s.state == Active {
+		s.connections.abandonDial()
+		s.connect()
+	}
 }
 
 // connect dials the peer, or waits for it to connect.
 func (s *Session) connect() {
-	s.emit(ClearTimer{IdleHoldTimer})
-	s.emit(SetTimer{ConnectRetryTimer, connectRetryTime})
-	if s.peer.Passive {
-		s.state = Active
+	s.timers.startConnecting()
+	if s.passive {
+		s.transition(Active)
 		return
 	}
-	s.lastDialed++
-	s.dialing = s.lastDialed
-	s.state = Connect
-	s.emit(Dial{s.dialing})
+	s.transition(Connect)
+	s.connections.dial()
 }
 
-// abandonDial gives up the connection attempt that is under way, if any.
-func (s *Session) abandonDial() {
-	if s.dialing != 0 {
-		s.emit(CloseConn{s.dialing})
-		s.dialing = 0
+func (s *Session) connectionOpened(opened ConnOpened) {
+	if s.connections.isAbandoned(opened) {
+		s.actions.emit(CloseConn{opened.Conn})
+		return
+	}
+	switch s.state {
+	case Connect, Active:
+		s.sendOpen(opened)
+		s.transition(OpenSent)
+	case OpenSent, OpenConfirm:
+		s.acceptColliding(opened)
+	case Idle, Established:
+		s.connections.reject(opened)
 	}
 }
 
-func (s *Session) closeAbandonedDial(in input) { s.emit(CloseConn{in.opened.Conn}) }
-
-func (s *Session) forgetDial(input) { s.dialing = 0 }
-
-func (s *Session) backOffAfterDial(input) {
-	s.dialing = 0
-	s.backOff()
-}
-
-// acceptConnection sends an Open on the first connection.
-func (s *Session) acceptConnection(in input) {
-	s.openConnection(in.opened)
-	s.state = OpenSent
-}
-
-// acceptCollidingConnection accepts a connection beside the first one. Which of them stays is decided when the peer's
-// Open has come on both.
-func (s *Session) acceptCollidingConnection(in input) {
-	if len(s.connections) >= maxConnections {
-		s.rejectConnection(in)
+// acceptColliding accepts a connection beside the first one. Which of them stays is decided when the peer's Open has
+// come on both.
+func (s *Session) acceptColliding(opened ConnOpened) {
+	if len(s.connections.open) >= maxConnections {
+		s.connections.reject(opened)
 		return
 	}
-	s.openConnection(in.opened)
+	s.sendOpen(opened)
 }
 
-func (s *Session) openConnection(opened ConnOpened) {
-	s.endDial(opened)
-	s.connections[opened.Conn] = &connection{id: opened.Conn, inbound: opened.Inbound}
-	s.emit(ClearTimer{ConnectRetryTimer})
-	s.emit(SetTimer{HoldTimer, openHoldTime})
-	s.emit(SendMessage{opened.Conn, s.open()})
+// sendOpen begins the negotiation on a connection.
+func (s *Session) sendOpen(opened ConnOpened) {
+	s.connections.add(opened)
+	s.timers.startOpening()
+	restarted := !s.wasEstablished
+	s.connections.send(opened.Conn, s.negotiation.open(restarted))
 }
 
-// rejectConnection turns a connection away that no state is waiting for.
-func (s *Session) rejectConnection(in input) {
-	s.endDial(in.opened)
-	s.emit(
-		SendMessage{in.opened.Conn, &wire.Notification{Code: wire.CodeCease, Subcode: wire.SubcodeConnectionRejected}},
-	)
-	s.emit(CloseConn{in.opened.Conn})
+// connectionClosed handles the end of a connection or a failed dial.
+func (s *Session) connectionClosed(id ConnID) {
+	if id == s.connections.dialing {
+		s.dialFailed()
+	} else if c := s.connections.open[id]; c != nil {
+		s.connections.remove(c)
+		s.endWithoutConnections("the connection ended")
+	}
 }
 
-// endDial notes that the connection attempt under way has succeeded.
-func (s *Session) endDial(opened ConnOpened) {
-	if !opened.Inbound {
-		s.dialing = 0
+func (s *Session) dialFailed() {
+	s.connections.dialing = 0
+	if s.state == Connect {
+		s.backOff()
 	}
 }
--- a/internal/bgp/session/established.go
+++ b/internal/bgp/session/established.go
@@ -1,42 +1,39 @@
 package session
 
-import (
-	"glenport/internal/bgp/wire"
-)
+import "glenport/internal/bgp/wire"
 
-func (s *Session) receiveKeepalive(input) { s.restartHoldTimer() }
-
-func (s *Session) ignoreUpdate(in input) {
-	s.emit(UpdateIgnored{in.message.(*wire.Update)})
-	s.restartHoldTimer()
+func (s *Session) updateReceived(c *connection, update *wire.Update) {
+	if s.stateOf(c) != Established {
+		s.rejectUnexpected(c, update)
+		return
+	}
+	s.actions.emit(UpdateIgnored{update})
+	s.timers.restartHold()
 }
 
-// resendRoutes answers a route refresh; one of a family that is not shared is ignored.
-func (s *Session) resendRoutes(in input) {
-	requested := in.message.(*wire.RouteRefresh).Family
-	for _, f := range s.sharedFamilies(in.connection.peerOpen) {
-		if f == requested {
-			s.emit(ResendRoutes{f})
+// routeRefreshReceived has routes sent again; a request for a family that is not shared is ignored.
+func (s *Session) routeRefreshReceived(c *connection, refresh *wire.RouteRefresh) {
+	if s.stateOf(c) != Established {
+		s.rejectUnexpected(c, refresh)
+		return
+	}
+	for _, f := range s.negotiation.sharedFamilies(c.peerOpen) {
+		if f == refresh.Family {
+			s.actions.emit(ResendRoutes{f})
 		}
 	}
-	s.restartHoldTimer()
+	s.timers.restartHold()
 }
 
-// sendKeepalives sends one on each connection whose Open was accepted.
-func (s *Session) sendKeepalives(input) {
-	if s.holdTime == 0 {
+// keepaliveTimerExpired sends a keepalive on each connection whose Open was accepted.
+func (s *Session) keepaliveTimerExpired() {
+	if s.state != OpenConfirm && s.state != Established || s.timers.holdTime == 0 {
 		return
 	}
-	for _, c := range s.orderedConnections() {
+	for _, c := range s.connections.ordered() {
 		if c.peerOpen != nil {
-			s.emit(SendMessage{c.id, &wire.Keepalive{}})
+			s.connections.send(c.id, &wire.Keepalive{})
 		}
 	}
-	s.emit(SetTimer{KeepaliveTimer, s.holdTime / keepalivesPerHoldTime})
-}
-
-func (s *Session) restartHoldTimer() {
-	if s.holdTime > 0 {
-		s.emit(SetTimer{HoldTimer, s.holdTime})
-	}
+	s.timers.restartKeepalive()
 }
--- a/internal/bgp/session/golden_test.go
+++ b/internal/bgp/session/golden_test.go
@@ -16,14 +16,18 @@
 // state after each event, with that in testdata. A changed decision changes the digest; a rename does not.
 func TestDecisionsMatchGoldenDigests(t *testing.T) {
 	const sequences, steps = 1000, 100
-	both := []wire.Family{wire.IPv4, wire.IPv6}
+	first := PeerConfig{OwnAS: 65001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Families: both}
+	first.HoldTime, first.RestartTime = 90*scheduler.Second, 120*scheduler.Second
+	passive := first
+	passive.ID, passive.HoldTime, passive.RestartTime = [4]byte{10, 0, 0, 200}, 9*scheduler.Second, 0
+	passive.Families, passive.Passive = both[:1], true
+	fourOctets := first
+	fourOctets.OwnAS, fourOctets.HoldTime, fourOctets.RestartTime = 4_200_000_001, 0, 9000*scheduler.Second
+	internal := first
+	internal.OwnAS, internal.HoldTime, internal.RestartTime = 65002, 3*scheduler.Second, 0
+	internal.Families = both[1:]
 	var got strings.Builder
-	for group, p := range []PeerConfig{
-		{OwnAS: 65001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, HoldTime: 90 * scheduler.Second, Families: both, RestartTime: 120 * scheduler.Second},
-		{OwnAS: 65001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 200}, HoldTime: 9 * scheduler.Second, Families: both[:1], Passive: true},
-		{OwnAS: 4_200_000_001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Families: both, RestartTime: 9000 * scheduler.Second},
-		{OwnAS: 65002, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, HoldTime: 3 * scheduler.Second, Families: both[1:]},
-	} {
+	for group, p := range []PeerConfig{first, passive, fourOctets, internal} {
 		digest := actionDigest{golden.NewDigest()}
 		for seed := range sequences {
 			h := &history{
--- a/internal/bgp/session/session.go
+++ b/internal/bgp/session/session.go
@@ -1,50 +1,12 @@
-// Package session is the state machine of a BGP peer (RFC 4271, section 8), with collision resolution (6.8),
-// capabilities (RFC 5492), hold and keepalive timers, graceful restart of the side that restarts (RFC 4724) and an
-// idle hold time that doubles. It is pure: Handle takes an event of a connection or timer and returns what to send,
-// open, close and report.
-//
-// The transitions stand as a table of state and event in transitions.go.
 package session
 
 import (
-	"maps"
-	"slices"
+	"log/slog"
 
 	"glenport/internal/bgp/wire"
 	"glenport/scheduler"
 )
 
-// State is the state of a session, named as in RFC 4271.
-type State uint8
-
-// The states, in the order in which a session passes through them.
-const (
-	Idle State = iota
-	Connect
-	Active
-	OpenSent
-	OpenConfirm
-	Established
-)
-
-func (s State) String() string {
-	return [...]string{"Idle", "Connect", "Active", "OpenSent", "OpenConfirm", "Established"}[s]
-}
-
-// Times of the timers; the first two are those that RFC 4271, section 10, suggests.
-const (
-	connectRetryTime = 120 * scheduler.Second
-	openHoldTime     = 4 * 60 * scheduler.Second // in which the peer has to send its Open
-	minIdleHoldTime  = scheduler.Second          // after a fault, doubled with each until a session is established
-	maxIdleHoldTime  = 60 * scheduler.Second
-)
-
-// keepalivesPerHoldTime is how many keepalives are sent in one hold time (RFC 4271, section 4.4).
-const keepalivesPerHoldTime = 3
-
-// maxConnections is how many connections a session has while a collision is unresolved.
-const maxConnections = 2
-
 // PeerConfig is what is configured for a peer.
 type PeerConfig struct {
 	OwnAS       uint32
@@ -58,30 +20,27 @@
 
 // Session is the state machine of one peer.
 type Session struct {
-	peer    PeerConfig
-	actions []Action
-	running bool // between Start and Stop
-	state   State
-	// connections has entries exactly in OpenSent and the states after it; two while a collision is unresolved.
-	connections     map[ConnID]*connection
-	lastDialed      ConnID
-	dialing         ConnID         // the connection attempt that is under way, or 0
-	holdTime        scheduler.Time // negotiated
-	idleHoldTime    scheduler.Time // before the next attempt
-	everEstablished bool
-}
-
-// connection is a connection that is open. Until the peer's Open has come it is in OpenSent, whatever the state of
-// the session is.
-type connection struct {
-	id       ConnID
-	inbound  bool
-	peerOpen *wire.Open // nil: not received
+	actions     *actionQueue
+	negotiation negotiation
+	timers      timers
+	connections *connections
+	passive     bool
+	started     bool // between Start and Stop
+	// wasEstablished says that a session has been established since New: the peer is told of a restart until then.
+	wasEstablished bool
+	state          State
 }
 
 // New returns a session in Idle, which waits for Start.
 func New(p PeerConfig) *Session {
-	return &Session{peer: p, connections: map[ConnID]*connection{}, idleHoldTime: minIdleHoldTime}
+	actions := &actionQueue{}
+	return &Session{
+		actions:     actions,
+		negotiation: negotiation{peer: p},
+		timers:      newTimers(actions),
+		connections: newConnections(actions),
+		passive:     p.Passive,
+	}
 }
 
 // State returns the state of the session.
@@ -89,21 +48,76 @@
 
 // Handle takes one event and returns what is to be done, in order.
 func (s *Session) Handle(e Event) []Action {
-	s.actions = nil
-	in := s.classify(e)
-	if handle := transitionOf(in.state, in.kind); handle != nil {
-		handle(s, in)
+	switch e := e.(type) {
+	case Start:
+		s.start()
+	case Stop:
+		s.stop(e.Reason)
+	case ConnOpened:
+		s.connectionOpened(e)
+	case ConnClosed:
+		s.connectionClosed(e.Conn)
+	case MessageReceived:
+		if c := s.connections.open[e.Conn]; c != nil {
+			s.messageReceived(c, e.Message)
+		}
+	case MessageInvalid:
+		if c := s.connections.open[e.Conn]; c != nil {
+			s.resetConnection(c, e.Err)
+		}
+	case TimerExpired:
+		s.timerExpired(e.Timer)
+	}
+	return s.actions.take()
+}
+
+func (s *Session) messageReceived(c *connection, m wire.Message) {
+	switch m := m.(type) {
+	case *wire.Open:
+		s.openReceived(c, m)
+	case *wire.Update:
+		s.updateReceived(c, m)
+	case *wire.Notification:
+		s.notificationReceived(c, m)
+	case *wire.Keepalive:
+		s.keepaliveReceived(c, m)
+	case *wire.RouteRefresh:
+		s.routeRefreshReceived(c, m)
 	}
-	return s.actions
 }
 
-func (s *Session) emit(a Action) { s.actions = append(s.actions, a) }
+func (s *Session) timerExpired(t Timer) {
+	switch t {
+	case ConnectRetryTimer:
+		s.connectRetryTimerExpired()
+	case HoldTimer:
+		s.holdTimerExpired()
+	case KeepaliveTimer:
+		s.keepaliveTimerExpired()
+	case IdleHoldTimer:
+		s.idleHoldTimerExpired()
+	default: // no timer of a session
+	}
+}
 
-// orderedConnections returns the connections in order of their identifiers.
-func (s *Session) orderedConnections() []*connection {
-	ordered := make([]*connection, 0, len(s.connections))
-	for _, id := range slices.Sorted(maps.Keys(s.connections)) {
-		ordered = append(ordered, s.connections[id])
+// transition takes the session to another state; only here its state changes. A transition that the state machine does
+// not have is logged and not made.
+func (s *Session) transition(to State) {
+	next, err := s.state.next(to)
+	if err != nil {
+		s.log("illegal transition of a BGP session", slog.Any("error", err))
 	}
-	return ordered
+	s.state = next
+}
+
+// stateOf returns the state of one connection.
+func (s *Session) stateOf(c *connection) State {
+	if c.peerOpen == nil {
+		return OpenSent
+	}
+	return s.state
+}
+
+func (s *Session) log(message string, attributes ...slog.Attr) {
+	s.actions.emit(Log{Message: message, Attributes: attributes})
 }
