--- a/internal/bgp/announce/actions.go
+++ b/internal/bgp/announce/actions.go
@@ -21,11 +21,12 @@
 // SetTimer starts a timer. Earlier ones stay; each is answered by TimerFired.
 type SetTimer struct{ After scheduler.Time }
 
-// Log is a constant message about a prefix for the log, with its penalty for flapping.
+// Log is a constant message about a prefix for the log, with its penalty for flapping or with an error.
 type Log struct {
 	Message string
 	Prefix  netip.Prefix
 	Penalty float64
+	Err     error // nil: none
 }
 
 func (Announce) action() {}
--- a/internal/bgp/announce/announce.go
+++ b/internal/bgp/announce/announce.go
@@ -1,7 +1,3 @@
-// Package announce decides which service addresses are announced by BGP, with which path, and when. From containers
-// that run, drain and end it derives the routes that all peers should have, never more than one update a second for
-// an address, and withdraws in time when the last container behind an address has ended. It is pure: Handle takes
-// events and returns actions.
 package announce
 
 import (
@@ -81,7 +77,7 @@
 // checkWaiting has all services updated that wait for something to pass.
 func (a *Announcer) checkWaiting() {
 	for name, s := range a.services {
-		if s.pending || s.damping.suppressed || s.damping.penalty > 0 {
+		if s.route.pending() || s.damping.suppressed || s.damping.penalty > 0 {
 			a.changed[name] = true
 		}
 	}
@@ -106,43 +102,57 @@
 		a.emit(Log{Message: "route is stable, announced again", Prefix: s.config.Prefix, Penalty: s.damping.penalty})
 	}
 	path, wanted := s.desiredPath()
-	moved := s.announced && wanted && s.prefix != s.config.Prefix
-	if !moved && s.matches(path, wanted) {
-		s.pending = false
+	movedAway := s.route.announced() && wanted && s.route.prefix != s.config.Prefix
+	switch {
+	case !movedAway && s.route.matches(path, wanted):
+		a.transition(s, changeSettled)
 		a.evictIfUnused(s)
-		return
-	}
-	if s.everUpdated && a.now < s.updatedAt+minUpdateInterval {
-		s.pending = true
-		return
-	}
-	if s.announced && (!wanted || moved) {
-		a.withdraw(s)
-		s.pending = moved // the new address follows
+	case s.route.mustWait(a.now):
+		a.transition(s, changeDeferred)
+	case movedAway:
+		a.withdraw(s, addressMoved)
+	case s.route.announced() && !wanted:
+		a.withdraw(s, withdrawalSent)
 		a.evictIfUnused(s)
-		return
+	default:
+		a.announce(s, path)
+	}
+}
+
+// transition reports whether a service's route has an event in its state; one that it does not have is logged.
+func (a *Announcer) transition(s *service, e routeEvent) bool {
+	err := s.route.transition(e)
+	if err != nil {
+		a.emit(Log{Message: "illegal transition of an announced route", Prefix: s.route.prefix, Err: err})
 	}
-	a.announce(s, path)
-	s.pending = false
+	return err == nil
 }
 
 func (a *Announcer) announce(s *service, path Path) {
+	if !a.transition(s, pathSent) {
+		return
+	}
 	a.emit(Announce{Prefix: s.config.Prefix, Path: path})
-	s.announced, s.path, s.prefix = true, path, s.config.Prefix
-	s.updatedAt, s.everUpdated = a.now, true
+	s.route.path, s.route.prefix = path, s.config.Prefix
+	s.route.updated(a.now)
 }
 
-func (a *Announcer) withdraw(s *service) {
-	a.emit(Withdraw{Prefix: s.prefix})
-	s.announced = false
+// withdraw sends a withdrawal. The event is addressMoved if the route of another address follows, else withdrawalSent.
+func (a *Announcer) withdraw(s *service, e routeEvent) {
+	if !a.transition(s, e) {
+		return
+	}
+	a.emit(Withdraw{Prefix: s.route.prefix})
 	if s.damping.addWithdrawal() {
-		a.emit(Log{Message: "route flaps, suppressed until it is stable", Prefix: s.prefix, Penalty: s.damping.penalty})
+		a.emit(Log{
+			Message: "route flaps, suppressed until it is stable", Prefix: s.route.prefix, Penalty: s.damping.penalty,
+		})
 	}
-	s.updatedAt, s.everUpdated = a.now, true
+	s.route.updated(a.now)
 }
 
 func (a *Announcer) evictIfUnused(s *service) {
-	if s.unused() && s.damping.penalty == 0 && a.now >= s.updatedAt+minUpdateInterval {
+	if s.unused() && s.damping.penalty == 0 && a.now >= s.route.nextUpdateAt() {
 		delete(a.services, s.name)
 	}
 }
@@ -165,8 +175,8 @@
 func (a *Announcer) Announced() []Announce {
 	var all []Announce
 	for _, s := range a.services {
-		if s.announced {
-			all = append(all, Announce{Prefix: s.prefix, Path: s.path})
+		if s.route.announced() {
+			all = append(all, Announce{Prefix: s.route.prefix, Path: s.route.path})
 		}
 	}
 	slices.SortFunc(all, func(x, y Announce) int {
--- a/internal/bgp/announce/announce_test.go
+++ b/internal/bgp/announce/announce_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net/netip"
+	"strconv"
 	"strings"
 	"testing"
 
@@ -70,13 +71,21 @@
 			[]timed{configured, runs(1, "a"), {3, ContainerRunning{"web", "a", true}}, ends(9, "a")},
 			"1.0 announce 192.0.2.1/32 100; 3.0 announce 192.0.2.1/32 0; 9.0 withdraw 192.0.2.1/32",
 		},
-		{"one of two drains", []timed{configured, runs(1, "a"), runs(1, "b"), {3, ContainerRunning{"web", "a", true}}}, "1.0 announce 192.0.2.1/32 100"},
+		{
+			"one of two drains",
+			[]timed{configured, runs(1, "a"), runs(1, "b"), {3, ContainerRunning{"web", "a", true}}},
+			"1.0 announce 192.0.2.1/32 100",
+		},
 		{
 			"another address",
 			[]timed{configured, runs(1, "a"), {5, ServiceSet{"web", other}}},
 			"1.0 announce 192.0.2.1/32 100; 5.0 withdraw 192.0.2.1/32; 6.0 announce 192.0.2.2/32 100",
 		},
-		{"no longer configured", []timed{configured, runs(1, "a"), {5, ServiceRemoved{"web"}}}, "1.0 announce 192.0.2.1/32 100; 5.0 withdraw 192.0.2.1/32"},
+		{
+			"no longer configured",
+			[]timed{configured, runs(1, "a"), {5, ServiceRemoved{"web"}}},
+			"1.0 announce 192.0.2.1/32 100; 5.0 withdraw 192.0.2.1/32",
+		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := strings.Join(play(tc.events), "; "); got != tc.want {
@@ -118,7 +127,7 @@
 		s.MED, s.MEDByHealth = 7, true
 		events := []Event{ServiceSet{"web", s}}
 		for i := range tc.running {
-			events = append(events, ContainerRunning{"web", fmt.Sprint(i), i < tc.draining})
+			events = append(events, ContainerRunning{"web", strconv.Itoa(i), i < tc.draining})
 		}
 		actions := New().Handle(sec, events)
 		if a, ok := actions[0].(Announce); !ok || a.Path.MED != tc.med {
@@ -127,43 +136,59 @@
 	}
 }
 
-// A container that starts or ends fifty times a second costs one update a second at most, and its address is suppressed
-// after a while; once it is stable, it is announced again.
-func TestFlappingAddressIsSuppressedUntilItIsStable(t *testing.T) {
-	updates, last := 0, -sec
-	var d *driver
-	d = newDriver(func(a Action) {
+// updateCounter counts updates and fails if two come within their interval.
+type updateCounter struct {
+	*driver
+	updates int
+	last    scheduler.Time
+}
+
+func newUpdateCounter(t *testing.T) *updateCounter {
+	t.Helper()
+	c := &updateCounter{last: -sec}
+	c.driver = newDriver(func(a Action) {
 		if show([]Action{a}) == "" {
 			return
 		}
-		if d.now-last < minUpdateInterval {
-			t.Fatalf("two updates in %d", d.now-last)
+		if c.now-c.last < minUpdateInterval {
+			t.Fatalf("two updates in %d", c.now-c.last)
 		}
-		last = d.now
-		updates++
+		c.last = c.now
+		c.updates++
 	})
-	d.handle(ServiceSet{"web", web})
-	for i := range 3000 { // a minute
-		d.now = scheduler.Time(i) * sec / 50
-		if d.wakeAt > 0 && d.wakeAt <= d.now {
-			d.fireTimer()
+	return c
+}
+
+// flap starts or ends a container fifty times a second, for a minute.
+func (c *updateCounter) flap() {
+	for i := range 3000 {
+		c.now = scheduler.Time(i) * sec / 50
+		if c.wakeAt > 0 && c.wakeAt <= c.now {
+			c.fireTimer()
 		}
 		if i%2 == 0 {
-			d.handle(ContainerRunning{"web", "a", false})
+			c.handle(ContainerRunning{"web", "a", false})
 		} else {
-			d.handle(ContainerEnded{"web", "a"})
+			c.handle(ContainerEnded{"web", "a"})
 		}
 	}
-	status, _ := d.announcer.Status("web")
-	if !status.Suppressed || updates > 14 {
-		t.Errorf("%d updates in a minute, %+v", updates, status)
+}
+
+// A container that starts or ends fifty times a second costs one update a second at most, and its address is suppressed
+// after a while; once it is stable, it is announced again.
+func TestFlappingAddressIsSuppressedUntilItIsStable(t *testing.T) {
+	c := newUpdateCounter(t)
+	c.handle(ServiceSet{"web", web})
+	c.flap()
+	if status, _ := c.announcer.Status("web"); !status.Suppressed || c.updates > 14 {
+		t.Errorf("%d updates in a minute, %+v", c.updates, status)
 	}
-	d.now++
-	d.handle(ContainerRunning{"web", "a", false})
-	for n := 0; d.wakeAt > 0 && n < 1000; n++ {
-		d.fireTimer()
+	c.now++
+	c.handle(ContainerRunning{"web", "a", false})
+	for n := 0; c.wakeAt > 0 && n < 1000; n++ {
+		c.fireTimer()
 	}
-	if status, _ = d.announcer.Status("web"); !status.Announced || d.now > 90*60*sec {
-		t.Errorf("not announced again after %d min: %+v", d.now/(60*sec), status)
+	if status, _ := c.announcer.Status("web"); !status.Announced || c.now > 90*60*sec {
+		t.Errorf("not announced again after %d min: %+v", c.now/(60*sec), status)
 	}
 }
--- a/internal/bgp/announce/golden_test.go
+++ b/internal/bgp/announce/golden_test.go
@@ -17,7 +17,7 @@
 func TestDecisionsMatchGoldenDigests(t *testing.T) {
 	const sequences, steps = 250, 150
 	var got strings.Builder
-	for group, maxStep := range []scheduler.Time{100 * scheduler.Millisecond, 2 * scheduler.Second, 60 * scheduler.Second, 1200 * scheduler.Second} {
+	for group, maxStep := range []scheduler.Time{100 * scheduler.Millisecond, 2 * sec, 60 * sec, 1200 * sec} {
 		digest := actionDigest{golden.NewDigest()}
 		for seed := range sequences {
 			h := &history{
--- a/internal/bgp/announce/invariants_test.go
+++ b/internal/bgp/announce/invariants_test.go
@@ -1,8 +1,8 @@
 package announce
 
 import (
-	"fmt"
 	"net/netip"
+	"strconv"
 	"testing"
 
 	"glenport/scheduler"
@@ -77,11 +77,11 @@
 func (m *invariantModel) advanceBy(span scheduler.Time) { m.advance(m.now + span) }
 
 func (m *invariantModel) step() {
-	service := fmt.Sprint(rapid.IntRange(1, 3).Draw(m.t, "service"))
+	service := strconv.Itoa(rapid.IntRange(1, 3).Draw(m.t, "service"))
 	if m.running[service] == nil {
 		m.running[service] = map[string]bool{}
 	}
-	container := fmt.Sprint(rapid.IntRange(1, 2).Draw(m.t, "container"))
+	container := strconv.Itoa(rapid.IntRange(1, 2).Draw(m.t, "container"))
 	switch rapid.IntRange(0, 4).Draw(m.t, "step") {
 	case 0:
 		config := web
--- a/internal/bgp/announce/service.go
+++ b/internal/bgp/announce/service.go
@@ -30,13 +30,8 @@
 	config     Service
 	draining   map[string]bool // by running container
 
-	announced   bool
-	path        Path         // the latest announced
-	prefix      netip.Prefix // under which it was announced
-	updatedAt   scheduler.Time
-	everUpdated bool // updatedAt is set
-	pending     bool // a change waits for minUpdateInterval
-	damping     damping
+	route   route
+	damping damping
 }
 
 // desiredPath returns the path that the service should have now, and whether it should be announced at all. One whose
@@ -68,40 +63,35 @@
 	return n
 }
 
-// matches reports whether peers have the desired path, or none if none is wanted.
-func (s *service) matches(path Path, wanted bool) bool {
-	return s.announced == wanted && (!wanted || s.path == path)
-}
-
-func (s *service) unused() bool { return !s.configured && !s.announced && len(s.draining) == 0 }
+func (s *service) unused() bool { return !s.configured && !s.route.announced() && len(s.draining) == 0 }
 
 // nextUpdate returns when the service needs an update without an event, or 0.
 func (s *service) nextUpdate(now scheduler.Time) scheduler.Time {
 	switch {
-	case s.pending:
-		return s.updatedAt + minUpdateInterval
+	case s.route.pending():
+		return s.route.nextUpdateAt()
 	case s.damping.suppressed:
 		return now + max(minUpdateInterval, s.damping.untilReuse())
 	case s.unused() && s.damping.penalty > 0:
 		return now + s.damping.untilForgotten()
 	case s.unused():
-		return max(s.updatedAt, now) + minUpdateInterval
+		return max(s.route.updatedAt, now) + minUpdateInterval
 	}
 	return 0
 }
 
 func (s *service) status() Status {
 	status := Status{
-		Announced:  s.announced,
-		Path:       s.path,
+		Announced:  s.route.announced(),
+		Path:       s.route.path,
 		Running:    len(s.draining),
 		Draining:   s.drainingCount(),
 		MinRunning: max(1, s.config.MinRunning),
 		Penalty:    s.damping.penalty,
 		Suppressed: s.damping.suppressed,
 	}
-	if s.pending {
-		status.NextUpdate = s.updatedAt + minUpdateInterval
+	if s.route.pending() {
+		status.NextUpdate = s.route.nextUpdateAt()
 	}
 	return status
 }
--- a/internal/bgp/speaker/speaker.go
+++ b/internal/bgp/speaker/speaker.go
@@ -122,7 +122,7 @@
 		case announce.SetTimer:
 			s.loop.After(eventloop.Tick(a.After), func() { s.Handle(announce.TimerFired{}) })
 		case announce.Log:
-			s.log.Info(a.Message, "prefix", a.Prefix, "penalty", int(a.Penalty))
+			s.logRoute(a)
 		}
 	}
 	if changed {
@@ -130,6 +130,14 @@
 	}
 }
 
+func (s *Speaker) logRoute(l announce.Log) {
+	if l.Err != nil {
+		s.log.Error(l.Message, "prefix", l.Prefix, "error", l.Err)
+		return
+	}
+	s.log.Info(l.Message, "prefix", l.Prefix, "penalty", int(l.Penalty))
+}
+
 // MarkRoutesComplete says that all running containers are known: peers that kept routes over a restart receive the end
 // of routes and may drop those that were not announced again.
 func (s *Speaker) MarkRoutesComplete() {
