--- /dev/null
+++ b/internal/config/encode_test.go
@@ -0,0 +1,57 @@
+package config
+
+import (
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+)
+
+// What is encoded reads back as the same settings.
+func TestEncodedSettingsReadBackTheSame(t *testing.T) {
+	for _, path := range []string{"../../deploy/placer.yaml", "testdata/every-key.yaml"} {
+		t.Run(path, func(t *testing.T) {
+			want, err := LoadScheduler(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			text, err := want.Encode()
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got, err := ParseScheduler(path, text); err != nil || !reflect.DeepEqual(got, want) {
+				t.Errorf("%v: got %+v, want %+v from\n%s", err, got, want, text)
+			}
+		})
+	}
+	for _, path := range []string{"../../deploy/keeper.yaml", "testdata/controller.yaml"} {
+		t.Run(path, func(t *testing.T) {
+			want, err := LoadController(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			dir := t.TempDir()
+			schedulerText, err := want.Scheduler.Encode()
+			if err != nil {
+				t.Fatal(err)
+			}
+			text, err := want.Encode("scheduler.yaml")
+			if err != nil {
+				t.Fatal(err)
+			}
+			writeFile(t, filepath.Join(dir, "scheduler.yaml"), schedulerText)
+			writeFile(t, filepath.Join(dir, "controller.yaml"), text)
+			got, err := LoadController(filepath.Join(dir, "controller.yaml"))
+			if err != nil || !reflect.DeepEqual(got, want) {
+				t.Errorf("%v: got %+v, want %+v from\n%s", err, got, want, text)
+			}
+		})
+	}
+}
+
+func writeFile(t *testing.T, path string, data []byte) {
+	t.Helper()
+	if err := os.WriteFile(path, data, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
