--- a/cmd/glenport-testbed/load.go
+++ b/cmd/glenport-testbed/load.go
@@ -7,6 +7,7 @@
 	"text/tabwriter"
 	"time"
 
+	"glenport/internal/testbed/bench"
 	"glenport/internal/testbed/load"
 
 	"github.com/spf13/cobra"
@@ -68,7 +69,10 @@
 		return err
 	}
 	defer done()
-	r, err := load.MeasureScheduler(l.template, dir, program, machines, rate, l.length, l.life)
+	r, err := load.MeasureScheduler(
+		bench.Spec{Template: l.template, Dir: dir, Program: program, Machines: machines},
+		load.Submissions{Rate: rate, Length: l.length, Runtime: l.life},
+	)
 	if err != nil {
 		return err
 	}
@@ -92,6 +96,11 @@
 	return err
 }
 
+// controllerBench is the bench on which a controller is measured.
+func controllerBench(program []string, dir string, machines int) bench.Spec {
+	return bench.Spec{Template: controllerTemplate, Dir: dir, Program: program, Machines: machines}
+}
+
 func apiLoadCommand() *cobra.Command {
 	var machines, waiting, watchers int
 	c := &cobra.Command{
@@ -99,7 +108,7 @@
 		Example: "  glenport-testbed load api --machines 100 --waiting 1000 --watchers 100",
 		RunE: func(*cobra.Command, []string) error {
 			return withSchedulers("", 0, func(program []string, dir string) error {
-				return load.MeasureAPI(controllerTemplate, dir, program, machines, waiting, watchers, os.Stdout)
+				return load.MeasureAPI(controllerBench(program, dir, machines), waiting, watchers, os.Stdout)
 			})
 		},
 	}
@@ -116,7 +125,7 @@
 		Example: "  glenport-testbed load kept --machines 100 --rate 300",
 		RunE: func(*cobra.Command, []string) error {
 			return withSchedulers("", 0, func(program []string, dir string) error {
-				return load.MeasureJobs(controllerTemplate, dir, program, machines, rate, 5*time.Second, os.Stdout)
+				return load.MeasureJobs(controllerBench(program, dir, machines), rate, 5*time.Second, os.Stdout)
 			})
 		},
 	}
--- a/cmd/glenport-testbed/trial.go
+++ b/cmd/glenport-testbed/trial.go
@@ -1,11 +1,13 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 
 	"glenport/internal/testbed/crashcheck"
 	"glenport/internal/testbed/scenario"
+	"glenport/internal/testbed/trials"
 	"glenport/internal/testbed/trials/bgp"
 	"glenport/internal/testbed/trials/overload"
 	"glenport/internal/testbed/trials/restart"
@@ -23,17 +25,9 @@
 	return c
 }
 
-// trial is what all trials have in common.
-type trial struct {
-	name     string
-	scenario string // path of the scenario file that gives the cluster
-	failure  string // printed if something did not hold
-	play     func(s *scenario.Scenario, dir string, program []string) (ok bool, err error)
-}
-
-// run plays the trial with a scheduler program and prints its verdict.
-func (t trial) run(namedDir string, program []string) error {
-	s, err := scenario.Load(t.scenario)
+// playTrial plays a trial with a scheduler program on the cluster of a scenario file and prints its verdict.
+func playTrial(trial trials.Trial, scenarioFile, namedDir string, program []string) error {
+	s, err := scenario.Load(scenarioFile)
 	if err != nil {
 		return err
 	}
@@ -42,53 +36,43 @@
 		return err
 	}
 	defer done()
-	ok, err := t.play(s, dir, program)
-	switch {
-	case err != nil:
-		fmt.Printf("trial %s: FAILED %v\n", t.name, err)
-	case !ok:
-		fmt.Printf("trial %s: FAILED %s\n", t.name, t.failure)
-	default:
-		fmt.Printf("trial %s: ok\n", t.name)
-		return nil
+	err = trials.Run(trial, trials.Setup{Scenario: s, Dir: dir, Program: program}, os.Stdout)
+	if errors.Is(err, trials.ErrFailed) {
+		return errFailed
 	}
-	return errFailed
+	return err
 }
 
 func whyTrialCommand() *cobra.Command {
 	var dir string
-	t := &why.Trial{Out: os.Stdout}
+	var sabotaged bool
+	t := &why.Trial{}
 	c := &cobra.Command{
 		Use:     "why",
 		Short:   "Clients read the true reason why their containers are pending, within a second",
 		Args:    cobra.NoArgs,
 		Example: "  glenport-testbed trial why --cycles 2",
 		RunE: func(*cobra.Command, []string) error {
+			if sabotaged {
+				t.Codes = why.SabotagedCodes
+			}
 			program, err := schedulerProgram(0)
 			if err != nil {
 				return err
 			}
-			return trial{
-				"why",
-				"scenarios/why.yaml",
-				"an owner read what was not so, or too late",
-				t.Run,
-			}.run(
-				dir,
-				program,
-			)
+			return playTrial(t, "scenarios/why.yaml", dir, program)
 		},
 	}
 	c.Flags().StringVar(&dir, "dir", "", "folder to keep the logs in")
 	c.Flags().IntVar(&t.Cycles, "cycles", 50, "of draining and filling, four changes each")
 	c.Flags().IntVar(&t.Steps, "steps", 0, "play the first so many steps only; 0: all")
-	c.Flags().BoolVar(&t.Sabotage, "sabotage", false, "read another reason than the API returns")
+	c.Flags().BoolVar(&sabotaged, "sabotage", false, "read another reason than the API returns")
 	return c
 }
 
 func bgpTrialCommand() *cobra.Command {
 	var dir, sabotage string
-	t := &bgp.Trial{Out: os.Stdout}
+	t := &bgp.Trial{}
 	c := &cobra.Command{
 		Use:     "bgp",
 		Short:   "Addresses are announced while containers run, in time and without storms",
@@ -102,15 +86,7 @@
 			if err != nil {
 				return err
 			}
-			return trial{
-				"bgp",
-				"scenarios/why.yaml",
-				"a peer was told too late, too often or what was not so",
-				t.Run,
-			}.run(
-				dir,
-				program,
-			)
+			return playTrial(t, "scenarios/why.yaml", dir, program)
 		},
 	}
 	c.Flags().StringVar(&dir, "dir", "", "folder to keep the logs in")
@@ -123,7 +99,7 @@
 func restartTrialCommand() *cobra.Command {
 	var dir string
 	var short bool
-	t := &restart.Trial{Out: os.Stdout}
+	t := &restart.Trial{}
 	c := &cobra.Command{
 		Use:     "restart",
 		Short:   "Nothing that was acknowledged is lost when programs are killed while they write",
@@ -133,23 +109,15 @@
 			if t.Sabotage != "" && t.Sabotage != crashcheck.SabotageSync && t.Sabotage != crashcheck.SabotageChecksum {
 				return fmt.Errorf("--sabotage %q is neither sync nor checksum", t.Sabotage)
 			}
-			t.LogSizes, t.MeasureLost = []int{100, 10_000, 100_000}, true
+			t.LogSizes = []int{100, 10_000, 100_000}
 			if short {
-				t.LogSizes, t.MeasureLost = []int{100}, false
+				t.LogSizes, t.Losses = t.LogSizes[:1], restart.LossesLeftOut
 			}
 			program, err := schedulerProgram(0)
 			if err != nil {
 				return err
 			}
-			return trial{
-				"restart",
-				"scenarios/short.yaml",
-				"what was promised was lost, or a rule broken",
-				t.Run,
-			}.run(
-				dir,
-				program,
-			)
+			return playTrial(t, "scenarios/short.yaml", dir, program)
 		},
 	}
 	c.Flags().StringVar(&dir, "dir", "", "folder to keep the recordings and the logs in")
@@ -161,8 +129,7 @@
 
 func overloadTrialCommand() *cobra.Command {
 	var dir string
-	var schedulers int
-	t := &overload.Trial{IgnoringClients: 0.5, Out: os.Stdout}
+	t := &overload.Trial{IgnoringClients: 0.5}
 	c := &cobra.Command{
 		Use:     "storm",
 		Short:   "When most of a fleet restarts at once, what follows is not worse than that",
@@ -173,34 +140,15 @@
 			if err != nil {
 				return err
 			}
-			damped, err := ownScheduler("--damped")
-			if err != nil {
+			if t.LimitedProgram, err = ownScheduler("--damped"); err != nil {
 				return err
 			}
-			t.Program = func(withLimit bool) []string {
-				if withLimit {
-					return damped
-				}
-				return program
-			}
-			play := func(s *scenario.Scenario, dir string, _ []string) (bool, error) {
-				s.Schedulers = schedulers
-				return t.Run(s, dir)
-			}
-			return trial{
-				"storm",
-				"scenarios/storm.yaml",
-				"a storm outlived its cause, or a rule was broken",
-				play,
-			}.run(
-				dir,
-				program,
-			)
+			return playTrial(t, "scenarios/storm.yaml", dir, program)
 		},
 	}
 	c.Flags().StringVar(&dir, "dir", "", "folder to keep the recordings and the logs in")
 	c.Flags().IntVar(&t.Seeds, "seeds", 10, "of the simulated form")
 	c.Flags().IntVar(&t.Sockets, "sockets", 1, "runs of each damping over sockets")
-	c.Flags().IntVar(&schedulers, "placers", 3, "over sockets")
+	c.Flags().IntVar(&t.Schedulers, "placers", 3, "over sockets")
 	return c
 }
--- a/internal/testbed/bench/bench.go
+++ b/internal/testbed/bench/bench.go
@@ -11,7 +11,8 @@
 	"syscall"
 	"time"
 
-	"glenport/internal/protocol"
+	"glenport/internal/config"
+	"glenport/internal/eventloop"
 	"glenport/internal/testbed/process"
 )
 
@@ -29,6 +30,7 @@
 type Cluster struct {
 	Dir        string
 	Scheduler  *process.Scheduler
+	controller *process.Controller // nil without one
 	list       net.Listener
 	listeners  []net.Listener
 	stop       chan struct{}
@@ -37,6 +39,9 @@
 
 // Close ends all that was started.
 func (b *Cluster) Close() {
+	if b.controller != nil {
+		b.controller.Terminate()
+	}
 	if b.Scheduler != nil {
 		b.Scheduler.Close(syscall.SIGKILL)
 	}
@@ -47,42 +52,60 @@
 	b.goroutines.Wait()
 }
 
-// Start returns when the scheduler is connected to all machines; full ones have no room for anything.
-func Start(template, dir string, program []string, machines int, full bool) (_ *Cluster, err error) {
-	if err := os.MkdirAll(dir, 0o755); err != nil {
+// Capacity is what the machines of a bench have room for.
+type Capacity int
+
+// The machines of a bench accept every offer, or have no room for anything.
+const (
+	RoomForAll Capacity = iota
+	Full
+)
+
+// Spec says what a bench consists of.
+type Spec struct {
+	Template string // path of the settings file that the scheduler's own is derived from
+	Dir      string
+	Program  []string
+	Machines int
+	Capacity Capacity
+}
+
+// Start returns when the scheduler is connected to all machines.
+func Start(spec Spec) (_ *Cluster, err error) {
+	if err := os.MkdirAll(spec.Dir, 0o755); err != nil {
 		return nil, err
 	}
-	text, err := os.ReadFile(template)
+	settings, err := config.LoadScheduler(spec.Template)
 	if err != nil {
 		return nil, err
 	}
-	b := &Cluster{Dir: dir, stop: make(chan struct{})}
+	b := &Cluster{Dir: spec.Dir, stop: make(chan struct{})}
 	defer func() {
 		if err != nil {
 			b.Close()
 		}
 	}()
-	if err := b.startPeers(machines, full); err != nil {
+	if err := b.startPeers(spec.Machines, spec.Capacity); err != nil {
 		return nil, err
 	}
-	if err := b.startScheduler(text, program); err != nil {
+	if err := b.startScheduler(settings, spec.Program); err != nil {
 		return nil, err
 	}
-	return b, b.waitConnected(machines)
+	return b, b.waitConnected(spec.Machines)
 }
 
 // ListAddr returns the address of the machine list.
 func (b *Cluster) ListAddr() string { return b.list.Addr().String() }
 
 // startPeers starts the machines and the list.
-func (b *Cluster) startPeers(machines int, full bool) error {
+func (b *Cluster) startPeers(machines int, capacity Capacity) error {
 	var fleet []*instantMachine
 	for i := range machines {
 		l, err := b.listen()
 		if err != nil {
 			return err
 		}
-		m := &instantMachine{name: fmt.Sprintf("machine-%04d", i), address: l.Addr().String(), full: full}
+		m := &instantMachine{name: fmt.Sprintf("machine-%04d", i), address: l.Addr().String(), capacity: capacity}
 		fleet = append(fleet, m)
 		b.goroutines.Go(func() { b.serve(l, m) })
 	}
@@ -103,171 +126,61 @@
 	return l, err
 }
 
-func (b *Cluster) startScheduler(template []byte, program []string) error {
-	p, err := process.NewScheduler(
-		benchName,
-		filepath.Join(b.Dir, "placer.yaml"),
-		filepath.Join(b.Dir, "placer.log"),
-		program,
-	)
+// startScheduler starts the scheduler with settings that bound neither what is open nor idle connections.
+func (b *Cluster) startScheduler(settings *config.Scheduler, program []string) error {
+	const openRequests, idleTimeout = 1_000_000, 10 * time.Minute
+	path := filepath.Join(b.Dir, "placer")
+	p, err := process.NewScheduler(benchName, path+".yaml", path+".log", program)
 	if err != nil {
 		return err
 	}
 	b.Scheduler = p
-	if err := process.WriteSchedulerConfig(template, p.File, nil, map[string]any{
-		"name":    benchName,
-		"number":  0,
-		"placers": 1,
-		"door":    p.Address,
-		"state":   filepath.Join(b.Dir, "state"),
-		"list":    map[string]any{"address": b.ListAddr()},
-		"links":   map[string]any{"close_idle_after": "10min"},
-		"bounds":  map[string]any{"open_containers": 1000000, "open_containers_of_one_owner": 1000000},
-	}); err != nil {
+	settings.Name, settings.ListenAddr = benchName, p.Address
+	settings.StateDir, settings.MachineListAddr = filepath.Join(b.Dir, "state"), b.ListAddr()
+	settings.Policy.SchedulerIndex, settings.Policy.SchedulerCount = 0, 1
+	settings.IdleTimeout = eventloop.Tick(idleTimeout / process.Tick)
+	settings.Limits.OpenRequests, settings.Limits.OpenRequestsPerClient = openRequests, openRequests
+	if err := process.WriteSchedulerSettings(p.File, settings); err != nil {
 		return err
 	}
 	return p.Start()
 }
 
 func (b *Cluster) waitConnected(machines int) error {
-	for end := time.Now().Add(readyTimeout); ; time.Sleep(20 * time.Millisecond) {
-		if stats, err := b.Scheduler.Status(); err == nil && int(stats["connections"]) >= machines {
-			return nil
-		}
-		if time.Now().After(end) {
-			return fmt.Errorf("the placer has no links to all %d machines after 20 s", machines)
-		}
-	}
+	connected := fmt.Sprintf("the placer has links to all %d machines", machines)
+	return process.WaitUntil(connected, readyTimeout, func() bool {
+		stats, err := b.Scheduler.Status()
+		return err == nil && int(stats["connections"]) >= machines
+	})
 }
 
-// StartController starts a controller before the bench's scheduler and waits until it knows all machines.
-func (b *Cluster) StartController(program string, machines int) (*process.Controller, error) {
-	controller, err := process.NewController(
-		b.Dir,
-		program,
-		b.ListAddr(),
-		[]*process.Scheduler{b.Scheduler},
-		nil,
-		filepath.Join(b.Dir, "kept"),
-	)
+// StartWithController starts a bench and a controller before its scheduler, which is ended with the bench, and returns
+// when the controller knows all machines.
+func StartWithController(spec Spec) (*Cluster, *process.Controller, error) {
+	b, err := Start(spec)
 	if err != nil {
-		return nil, err
-	}
-	if err := controller.Start(machines); err != nil {
-		controller.Terminate()
-		return nil, err
+		return nil, nil, err
 	}
-	return controller, nil
-}
-
-// instantPeer answers the frames of one kind of peer; send may be called from any goroutine.
-type instantPeer interface {
-	handle(frame protocol.Frame, send func(...protocol.Frame))
-}
-
-// serve answers on all connections that l accepts until it is closed.
-func (b *Cluster) serve(l net.Listener, peer instantPeer) {
-	for {
-		c, err := l.Accept()
-		if err != nil {
-			return
-		}
-		b.goroutines.Go(func() { b.serveConnection(c, peer) })
-	}
-}
-
-func (b *Cluster) serveConnection(c net.Conn, peer instantPeer) {
-	defer process.CloseQuietly(c)
-	var mu sync.Mutex // keeps frames whole
-	send := func(frames ...protocol.Frame) {
-		mu.Lock()
-		defer mu.Unlock()
-		_ = process.WriteFrames(c, frames...) // a broken connection ends the reader below
-	}
-	b.goroutines.Go(func() { b.sendHeartbeats(c, send) })
-	for {
-		frame, err := protocol.ReadFrame(c, protocol.MaxFrame)
-		if err != nil {
-			return
-		}
-		peer.handle(frame, send)
-	}
-}
-
-// sendHeartbeats sends one each second and closes the connection when the bench stops.
-func (b *Cluster) sendHeartbeats(c net.Conn, send func(...protocol.Frame)) {
-	for {
-		select {
-		case <-b.stop:
-			process.CloseQuietly(c)
-			return
-		case <-time.After(time.Second):
-			send(&protocol.Heartbeat{})
-		}
-	}
-}
-
-// instantMachine accepts every offer as it comes, and ends each container when its time is up.
-type instantMachine struct {
-	name    string
-	address string
-	full    bool // it has no cores for anything
-}
-
-func (m *instantMachine) handle(frame protocol.Frame, send func(...protocol.Frame)) {
-	switch frame := frame.(type) {
-	case *protocol.Hello:
-		send(protocol.NewHello(protocol.RoleMachine, m.name, 1), &protocol.Inventory{MachineIncarnation: 1})
-	case *protocol.Offer:
-		if m.full {
-			send(
-				&protocol.Result{
-					AttemptID: frame.AttemptID,
-					Outcome:   protocol.OutcomeFull,
-					Reason:    protocol.ReasonNoCores,
-				},
-			)
-			return
-		}
-		send(&protocol.Accept{AttemptID: frame.AttemptID, Running: true})
-		time.AfterFunc(time.Duration(frame.Spec.ExpectedRuntime)*process.Tick, func() {
-			send(&protocol.Result{AttemptID: frame.AttemptID})
-		})
-	}
-}
-
-// entry is what the list says of the machine.
-func (m *instantMachine) entry(index int) protocol.MachineEntry {
-	freeCores := 100.0
-	if m.full {
-		freeCores = -100
-	}
-	return protocol.MachineEntry{
-		Machine:     m.name,
-		Address:     m.address,
-		Zone:        index % 3,
-		MachineType: index % 2,
-		RackGroup:   index / rackGroupSize,
-		FreeCores:   freeCores,
-		FreeMemory:  100,
-		PowerHint:   1,
-		Incarnation: 1,
-		Age:         -1,
-	}
-}
-
-// instantList answers every watch with a full snapshot.
-type instantList struct{ machines []*instantMachine }
-
-func (l *instantList) handle(frame protocol.Frame, send func(...protocol.Frame)) {
-	switch frame.(type) {
-	case *protocol.Hello:
-		send(protocol.NewHello(protocol.RoleMachineList, "list", 1))
-	case *protocol.WatchMachineList:
-		update := &protocol.MachineListUpdate{FullSnapshot: true, Version: 1}
-		for i, m := range l.machines {
-			update.Entries = append(update.Entries, m.entry(i))
-		}
-		send(update)
+	controller, err := b.NewController(spec.Program[0], filepath.Join(b.Dir, "kept"))
+	if err == nil {
+		b.controller = controller
+		err = controller.Start(spec.Machines)
 	}
+	if err != nil {
+		b.Close()
+		return nil, nil, err
+	}
+	return b, controller, nil
+}
+
+// NewController returns a controller before the bench's scheduler, not started yet, with its state in a folder.
+func (b *Cluster) NewController(program, stateDir string) (*process.Controller, error) {
+	return process.NewController(process.ControllerSpec{
+		Dir:             b.Dir,
+		Program:         program,
+		SchedulerFile:   b.Scheduler.File,
+		SchedulerAddrs:  []string{b.Scheduler.Address},
+		MachineListAddr: b.ListAddr(),
+		StateDir:        stateDir,
+	})
 }
--- /dev/null
+++ b/internal/testbed/cluster/scheduler.go
@@ -0,0 +1,80 @@
+package cluster
+
+import (
+	"fmt"
+	"path/filepath"
+	"syscall"
+
+	"glenport/internal/protocol"
+	"glenport/internal/testbed/faultproxy"
+	"glenport/internal/testbed/process"
+)
+
+// addScheduler writes a scheduler's settings, starts it and opens the proxy by which clients reach it.
+func (c *Cluster) addScheduler(s Spec, index int, listProxy string, program []string) error {
+	name := fmt.Sprint("placer-", index)
+	path := filepath.Join(c.Dir, name)
+	p, err := process.NewScheduler(name, path+".yaml", path+".log", program)
+	if err != nil {
+		return err
+	}
+	p.Zone = index % len(s.Zones)
+	c.Schedulers = append(c.Schedulers, p)
+	settings := *c.Config
+	settings.Name, settings.ListenAddr = name, p.Address
+	settings.StateDir, settings.MachineListAddr = path+".state", listProxy
+	settings.Policy.SchedulerIndex, settings.Policy.SchedulerCount = index, s.Schedulers
+	settings.Policy.Seed = s.Seed + uint64(index)
+	if s.BGP != nil {
+		settings.BGP = s.BGP
+	}
+	if err := process.WriteSchedulerSettings(p.File, &settings); err != nil {
+		return err
+	}
+	proxy, err := c.Net.Listen(protocol.RoleClient, name, func() string { return p.Address })
+	if err != nil {
+		return err
+	}
+	c.Clients.SchedulerAddrs = append(c.Clients.SchedulerAddrs, proxy)
+	return c.StartScheduler(p)
+}
+
+// StartScheduler starts a scheduler and notes it in the recording.
+func (c *Cluster) StartScheduler(p *process.Scheduler) error {
+	c.recording.RecordLifecycle(faultproxy.Started, p.Name)
+	return p.Start()
+}
+
+// KillScheduler ends a scheduler by SIGKILL and notes it in the recording, once what it sent last has passed the
+// proxies: it would otherwise be recorded as sent by the next incarnation.
+func (c *Cluster) KillScheduler(p *process.Scheduler) {
+	p.Stop(syscall.SIGKILL)
+	c.Net.WaitRecorded(p.Name)
+	c.recording.RecordLifecycle(faultproxy.Killed, p.Name)
+}
+
+// StartController starts a controller before the cluster's schedulers and waits until it knows all machines. It submits
+// to addresses, or to the schedulers' own where none are given; with a state folder it persists its jobs.
+func (c *Cluster) StartController(program string, addresses []string, stateDir string) (*process.Controller, error) {
+	if addresses == nil {
+		for _, p := range c.Schedulers {
+			addresses = append(addresses, p.Address)
+		}
+	}
+	controller, err := process.NewController(process.ControllerSpec{
+		Dir:             c.Dir,
+		Program:         program,
+		SchedulerFile:   c.Schedulers[0].File,
+		SchedulerAddrs:  addresses,
+		MachineListAddr: c.ListAddr,
+		StateDir:        stateDir,
+	})
+	if err != nil {
+		return nil, err
+	}
+	if err := controller.Start(len(c.Machines)); err != nil {
+		controller.Terminate()
+		return nil, err
+	}
+	return controller, nil
+}
--- a/internal/testbed/cluster/spec.go
+++ b/internal/testbed/cluster/spec.go
@@ -22,7 +22,7 @@
 	Workloads     []emulator.WorkloadProfile // by workload class
 	DrainGrace    scheduler.Time
 	Slack         scheduler.Time
-	ExtraConfig   map[string]any // sections that every scheduler's settings file gets
+	BGP           *config.BGP // what every scheduler announces; nil: as the template says
 }
 
 // MachineCount is how many machines of a type each zone has.
--- /dev/null
+++ b/internal/testbed/faults/machinefaults.go
@@ -0,0 +1,108 @@
+package faults
+
+import (
+	"slices"
+	"time"
+
+	"glenport/internal/protocol"
+	"glenport/internal/testbed/emulator"
+)
+
+// machineFault changes a fraction of the machines and restores them at its end.
+type machineFault struct {
+	start, end func(*emulator.Machine, Fault)
+}
+
+func (m machineFault) inject(i *Injector, f Fault) {
+	machines := i.pickMachines(f.Fraction)
+	for _, machine := range machines {
+		m.start(machine, f)
+	}
+	i.wait(f.Duration)
+	for _, machine := range machines {
+		m.end(machine, f)
+	}
+}
+
+func freeze(m *emulator.Machine, _ Fault) { m.SetFrozen(true) }
+
+func unfreeze(m *emulator.Machine, _ Fault) { m.SetFrozen(false) }
+
+func slowDown(m *emulator.Machine, f Fault) { m.SetSlowdown(f.Size) }
+
+func resumeSpeed(m *emulator.Machine, _ Fault) { m.SetSlowdown(1) }
+
+func ignoreWorkload(m *emulator.Machine, f Fault) { m.SetIgnoredWorkload(int(f.Size), true) }
+
+func heedWorkload(m *emulator.Machine, f Fault) { m.SetIgnoredWorkload(int(f.Size), false) }
+
+func throttleTenant(m *emulator.Machine, f Fault) { m.SetThrottledTenant(int(f.Size), true) }
+
+func admitTenant(m *emulator.Machine, f Fault) { m.SetThrottledTenant(int(f.Size), false) }
+
+func growMemory(m *emulator.Machine, f Fault) { m.SetMemoryFactor(f.Size) }
+
+func resetMemory(m *emulator.Machine, _ Fault) { m.SetMemoryFactor(1) }
+
+// machineRestart takes a fraction of the machines down and brings them back in slow start.
+type machineRestart struct{}
+
+func (machineRestart) inject(i *Injector, f Fault) {
+	i.restartMachines(i.pickMachines(f.Fraction), f.Duration)
+}
+
+// zoneRestart takes a zone down and brings it back in slow start.
+type zoneRestart struct{}
+
+func (zoneRestart) inject(i *Injector, f Fault) {
+	i.restartMachines(i.ZoneMachines(f.Zone), f.Duration)
+}
+
+// silenceThenRestart freezes a fraction of the machines and restarts them at its end.
+type silenceThenRestart struct{}
+
+func (silenceThenRestart) inject(i *Injector, f Fault) {
+	machines := i.pickMachines(f.Fraction)
+	for _, m := range machines {
+		m.SetFrozen(true)
+	}
+	i.wait(f.Duration)
+	i.restartMachines(machines, 0)
+}
+
+// drain drains a fraction of the machines and puts them back in service. With a size they evict what runs.
+type drain struct{}
+
+func (drain) inject(i *Injector, f Fault) {
+	machines := i.pickMachines(f.Fraction)
+	for _, m := range machines {
+		i.List.SetState(m, protocol.MachineDraining)
+		m.SetDraining(true, f.Size > 0)
+	}
+	i.wait(f.Duration)
+	for _, m := range machines {
+		i.List.SetState(m, protocol.MachineServing)
+		m.SetDraining(false, false)
+	}
+}
+
+// rollingDeploy drains and restarts a fraction of the machines, so many at a time as its size says.
+type rollingDeploy struct{}
+
+func (rollingDeploy) inject(i *Injector, f Fault) {
+	machines := i.pickMachines(f.Fraction)
+	batchSize := fractionOf(f.Size, len(i.Machines))
+	batches := (len(machines) + batchSize - 1) / batchSize
+	half := f.Duration / time.Duration(2*batches)
+	for batch := range slices.Chunk(machines, batchSize) {
+		for _, m := range batch {
+			i.List.SetState(m, protocol.MachineDraining)
+			m.SetDraining(true, true)
+		}
+		i.wait(half)
+		for _, m := range batch {
+			i.List.SetState(m, protocol.MachineServing)
+		}
+		i.restartMachines(batch, half)
+	}
+}
--- /dev/null
+++ b/internal/testbed/faults/networkfaults.go
@@ -0,0 +1,75 @@
+package faults
+
+import (
+	"time"
+
+	"glenport/internal/protocol"
+	"glenport/internal/testbed/cluster"
+	"glenport/internal/testbed/faultproxy"
+)
+
+// halfOpenConnections drops all bytes of the connections to a fraction of the machines without closing them.
+type halfOpenConnections struct{}
+
+func (halfOpenConnections) inject(i *Injector, f Fault) {
+	names := cluster.MachineNames(i.pickMachines(f.Fraction))
+	remove := i.addNetworkRule(func(_ string, peerRole protocol.Role, peer string) faultproxy.Fault {
+		return faultproxy.Fault{Partitioned: peerRole == protocol.RoleMachine && names[peer]}
+	})
+	i.wait(f.Duration)
+	remove()
+}
+
+// zonePartition cuts the connections between a zone and the rest: both ways, schedulers reach only their own side.
+type zonePartition struct{}
+
+func (zonePartition) inject(i *Injector, f Fault) {
+	names := cluster.MachineNames(i.ZoneMachines(f.Zone))
+	inside := map[string]bool{}
+	for _, s := range i.Schedulers {
+		inside[s.Name] = s.Zone == f.Zone
+	}
+	remove := i.addNetworkRule(func(scheduler string, peerRole protocol.Role, peer string) faultproxy.Fault {
+		return faultproxy.Fault{Partitioned: peerRole == protocol.RoleMachine && names[peer] != inside[scheduler]}
+	})
+	i.wait(f.Duration)
+	remove()
+}
+
+// connectionResets resets, each second, the connections to another fraction of the machines.
+type connectionResets struct{}
+
+func (connectionResets) inject(i *Injector, f Fault) {
+	for left := f.Duration; left > 0; left -= time.Second {
+		names := cluster.MachineNames(i.pickMachines(f.Fraction))
+		i.Net.Reset(func(_ string, peerRole protocol.Role, peer string) bool {
+			return peerRole == protocol.RoleMachine && names[peer]
+		})
+		i.wait(min(left, time.Second))
+	}
+}
+
+// lostAnswers drops a fraction, its size, of what machines answer.
+type lostAnswers struct{}
+
+func (lostAnswers) inject(i *Injector, f Fault) {
+	remove := i.addNetworkRule(func(_ string, peerRole protocol.Role, _ string) faultproxy.Fault {
+		if peerRole == protocol.RoleMachine {
+			return faultproxy.Fault{LoseAccepts: f.Size}
+		}
+		return faultproxy.Fault{}
+	})
+	i.wait(f.Duration)
+	remove()
+}
+
+// networkDelay delays every connection by as many milliseconds as its size says.
+type networkDelay struct{}
+
+func (networkDelay) inject(i *Injector, f Fault) {
+	remove := i.addNetworkRule(func(string, protocol.Role, string) faultproxy.Fault {
+		return faultproxy.Fault{Delay: time.Duration(f.Size * float64(time.Millisecond))}
+	})
+	i.wait(f.Duration)
+	remove()
+}
--- a/internal/testbed/load/api.go
+++ b/internal/testbed/load/api.go
@@ -50,38 +50,34 @@
 	return report.QuantileMS(d.histogram, q)
 }
 
-// MeasureAPI measures a controller with many containers pending: what a why costs, how many requests it answers a
-// second, and how long a change takes to many watchers.
-func MeasureAPI(template, dir string, program []string, machines, waiting, watchers int, out io.Writer) error {
-	b, err := bench.Start(template, dir, program, machines, true)
+// MeasureAPI measures a controller with many containers pending on full machines: what a why costs, how many requests
+// it answers a second, and how long a change takes to many watchers.
+func MeasureAPI(spec bench.Spec, waiting, watchers int, out io.Writer) error {
+	spec.Capacity = bench.Full
+	b, controller, err := bench.StartWithController(spec)
 	if err != nil {
 		return err
 	}
 	defer b.Close()
-	k, err := b.StartController(program[0], machines)
-	if err != nil {
-		return err
-	}
-	defer k.Terminate()
-	if err := createPending(k, waiting); err != nil {
+	if err := createPending(controller, waiting); err != nil {
 		return err
 	}
 	api := &apiReader{
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}},
-		base:   "http://" + k.APIAddr,
+		base:   "http://" + controller.APIAddr,
 	}
 	whys, err := api.measureWhy(waiting)
 	if err != nil {
 		return err
 	}
-	report.Printf(out, "why, %d containers waiting, %d machines: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms\n", waiting, machines,
+	report.Printf(out, "why, %d containers waiting, %d machines: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms\n", waiting, spec.Machines,
 		whys.quantile(50), whys.quantile(99), whys.quantile(99.9))
 	rate, err := api.measureRequests()
 	if err != nil {
 		return err
 	}
 	report.Printf(out, "requests answered: %.0f a second, %d clients\n", rate, requestClients)
-	return measureFanOut(k, watchers, out)
+	return measureFanOut(controller, watchers, out)
 }
 
 // createPending creates a job whose containers pend, and waits until the last of them does.
--- a/internal/testbed/load/jobs.go
+++ b/internal/testbed/load/jobs.go
@@ -27,26 +27,15 @@
 
 // MeasureJobs measures the way through a controller: from the request to the line of a watch that says running, against
 // machines that answer at once.
-func MeasureJobs(
-	template, dir string,
-	program []string,
-	machines, rate int,
-	length time.Duration,
-	out io.Writer,
-) error {
-	b, err := bench.Start(template, dir, program, machines, false)
+func MeasureJobs(spec bench.Spec, rate int, length time.Duration, out io.Writer) error {
+	b, controller, err := bench.StartWithController(spec)
 	if err != nil {
 		return err
 	}
 	defer b.Close()
-	k, err := b.StartController(program[0], machines)
-	if err != nil {
-		return err
-	}
-	defer k.Terminate()
 	total := int(float64(rate) * length.Seconds())
-	load := &jobLoad{controller: k, rate: rate, sent: make([]atomic.Int64, total), delays: newDelays()}
-	events, err := k.Watch("containers")
+	load := &jobLoad{controller: controller, rate: rate, sent: make([]atomic.Int64, total), delays: newDelays()}
+	events, err := controller.Watch("containers")
 	if err != nil {
 		return err
 	}
@@ -72,7 +61,7 @@
 			"100 ms at most are the keeper's spreading by chance); at the placer submission to bid p50 %.2f ms, p99 %.2f ms\n",
 		running,
 		rate,
-		machines,
+		spec.Machines,
 		load.delays.quantile(50),
 		load.delays.quantile(99),
 		stats["placing p50"],
--- a/internal/testbed/load/scheduler.go
+++ b/internal/testbed/load/scheduler.go
@@ -31,14 +31,16 @@
 	loadServices  = 500
 )
 
+// Submissions is the load of a measurement.
+type Submissions struct {
+	Rate    int // a second
+	Length  time.Duration
+	Runtime time.Duration // of each container
+}
+
 // MeasureScheduler runs one scheduler for a while against machines that answer at once.
-func MeasureScheduler(
-	template, dir string,
-	program []string,
-	machines, rate int,
-	length, life time.Duration,
-) (*PlacementLoad, error) {
-	b, err := bench.Start(template, dir, program, machines, false)
+func MeasureScheduler(spec bench.Spec, load Submissions) (*PlacementLoad, error) {
+	b, err := bench.Start(spec)
 	if err != nil {
 		return nil, err
 	}
@@ -47,7 +49,7 @@
 	if err != nil {
 		return nil, err
 	}
-	placed, err := submitSteadily(b.Scheduler.Address, rate, length, life)
+	placed, err := submitSteadily(b.Scheduler.Address, load)
 	if err != nil {
 		return nil, err
 	}
@@ -58,7 +60,7 @@
 	busy := stats["busy"] - before["busy"]
 	deciding := stats["deciding"] - before["deciding"]
 	return &PlacementLoad{
-		PlacedPerSecond:      float64(placed) / length.Seconds(),
+		PlacedPerSecond:      float64(placed) / load.Length.Seconds(),
 		P50:                  stats["placing p50"],
 		P99:                  stats["placing p99"],
 		P999:                 stats["placing p99.9"],
@@ -74,7 +76,7 @@
 }
 
 // submitSteadily submits at even intervals, whatever the replies, and counts those that say placed.
-func submitSteadily(address string, rate int, length, life time.Duration) (int, error) {
+func submitSteadily(address string, load Submissions) (int, error) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return 0, err
@@ -89,13 +91,13 @@
 		defer close(done)
 		countPlaced(c, &placed)
 	}()
-	total := int(float64(rate) * length.Seconds())
+	total := int(float64(load.Rate) * load.Length.Seconds())
 	began := time.Now()
 	for sent := 0; sent < total; {
-		due := min(int(time.Since(began).Seconds()*float64(rate)), total)
+		due := min(int(time.Since(began).Seconds()*float64(load.Rate)), total)
 		var batch []protocol.Frame
 		for ; sent < due; sent++ {
-			batch = append(batch, loadSubmission(sent, life))
+			batch = append(batch, submission(sent, load.Runtime))
 		}
 		if err := process.WriteFrames(c, batch...); err != nil {
 			return 0, err
@@ -121,17 +123,14 @@
 	}
 }
 
-func loadSubmission(number int, life time.Duration) *protocol.Submit {
+func submission(number int, runtime time.Duration) *protocol.Submit {
 	id := fmt.Sprint("c", number)
 	return &protocol.Submit{TimeToDeadline: submitTimeout, Spec: protocol.ContainerSpec{
-		ContainerID:    id,
-		IdempotencyKey: id,
-		Service: fmt.Sprint(
-			"s",
-			number%loadServices,
-		),
+		ContainerID:     id,
+		IdempotencyKey:  id,
+		Service:         fmt.Sprint("s", number%loadServices),
 		Cores:           0.5,
 		Memory:          1,
-		ExpectedRuntime: protocol.Duration(life / process.Tick),
+		ExpectedRuntime: protocol.Duration(runtime / process.Tick),
 	}}
 }
--- /dev/null
+++ b/internal/testbed/process/api.go
@@ -0,0 +1,72 @@
+package process
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+)
+
+func (k *Controller) Get(path string, into any) error {
+	return k.Do(http.MethodGet, path, nil, into)
+}
+
+// Do sends a request and decodes its response, unless into is nil.
+func (k *Controller) Do(method, path string, in, into any) error {
+	status, data, err := k.request(method, path, "", in)
+	if err != nil {
+		return err
+	}
+	if status >= http.StatusBadRequest {
+		return fmt.Errorf("%s %s: %s", method, path, data)
+	}
+	if into != nil {
+		return json.Unmarshal(data, into)
+	}
+	return nil
+}
+
+// ChangeJob changes a job, by an idempotency key that a retry has too, and returns the job's version.
+func (k *Controller) ChangeJob(method, path, key string, in any) (status int, version int64, err error) {
+	status, data, err := k.request(method, path, key, in)
+	var job struct{ Version int64 }
+	if err == nil && status < http.StatusMultipleChoices && len(data) > 0 {
+		err = json.Unmarshal(data, &job)
+	}
+	return status, job.Version, err
+}
+
+func (k *Controller) request(method, path, key string, in any) (status int, data []byte, err error) {
+	var body io.Reader
+	if in != nil {
+		encoded, err := json.Marshal(in)
+		if err != nil {
+			return 0, nil, err
+		}
+		body = bytes.NewReader(encoded)
+	}
+	request, err := http.NewRequest(method, "http://"+k.APIAddr+path, body)
+	if err != nil {
+		return 0, nil, err
+	}
+	if key != "" {
+		request.Header.Set("Idempotency-Key", key)
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		return 0, nil, err
+	}
+	defer CloseQuietly(response.Body)
+	data, err = io.ReadAll(response.Body)
+	return response.StatusCode, data, err
+}
+
+// Watch opens a watch of a kind of object, one JSON line for each event.
+func (k *Controller) Watch(kind string) (io.ReadCloser, error) {
+	response, err := http.Get("http://" + k.APIAddr + "/v1/watch?kinds=" + kind)
+	if err != nil {
+		return nil, err
+	}
+	return response.Body, nil
+}
--- /dev/null
+++ b/internal/testbed/process/jobs.go
@@ -0,0 +1,94 @@
+package process
+
+import (
+	"fmt"
+	"net/http"
+)
+
+// The states of a container in the API.
+const (
+	anyState     = ""
+	StateRunning = "running"
+)
+
+// The workload classes of the settings in scenarios/.
+const (
+	WorkloadMatcher    = "matcher"
+	WorkloadAtMostOnce = "corpus-merge"
+	WorkloadReport     = "report-run"
+	WorkloadLargeOnly  = "on-large"
+)
+
+// JobSpec is a job as the API takes it.
+type JobSpec struct {
+	ID        string  `json:"id,omitempty"`
+	Service   string  `json:"service"`
+	Workload  string  `json:"workload"`
+	Cores     float64 `json:"cores"`
+	MemoryGiB float64 `json:"memory_gib"`
+	Count     int     `json:"count"`
+	RunForMS  int     `json:"run_for_ms"`
+}
+
+// CreateJob creates a job whose service has the job's name.
+func (k *Controller) CreateJob(id, workload string, count int, cores, memory float64) error {
+	return k.Do(http.MethodPost, "/v1/jobs", NewJobSpec(id, workload, count, cores, memory), nil)
+}
+
+// ReplaceJob replaces a job by one whose service has the job's name.
+func (k *Controller) ReplaceJob(id, workload string, count int, cores, memory float64) error {
+	return k.Do(http.MethodPut, "/v1/jobs/"+id, NewJobSpec(id, workload, count, cores, memory), nil)
+}
+
+func NewJobSpec(id, workload string, count int, cores, memory float64) JobSpec {
+	return JobSpec{
+		ID:        id,
+		Service:   id,
+		Workload:  workload,
+		Cores:     cores,
+		MemoryGiB: memory,
+		Count:     count,
+		RunForMS:  HourMS,
+	}
+}
+
+// DeleteJob deletes a job and waits until its containers have ended.
+func (k *Controller) DeleteJob(id string) error {
+	if err := k.Do(http.MethodDelete, "/v1/jobs/"+id, nil, nil); err != nil {
+		return err
+	}
+	return WaitUntil(id+" has ended", jobTimeout, func() bool { return k.CountContainers(id, anyState) == 0 })
+}
+
+// CountContainers counts a job's containers in a state; it returns -1 if the API does not answer.
+func (k *Controller) CountContainers(job, state string) int {
+	var all struct{ Items []struct{ State string } }
+	if k.Get(fmt.Sprintf("/v1/containers?limit=%d&field=job=%s", pageLimit, job), &all) != nil {
+		return -1
+	}
+	n := 0
+	for _, container := range all.Items {
+		if state == anyState || container.State == state {
+			n++
+		}
+	}
+	return n
+}
+
+// CountByState counts the containers of all jobs in a state; it returns -1 if the API does not answer.
+func (k *Controller) CountByState(state string) int {
+	var all struct{ Items []any }
+	if k.Get(fmt.Sprintf("/v1/containers?limit=%d&field=state=%s", pageLimit, state), &all) != nil {
+		return -1
+	}
+	return len(all.Items)
+}
+
+// WaitRunning waits until exactly n containers of a job run.
+func (k *Controller) WaitRunning(job string, n int) error {
+	return WaitUntil(
+		fmt.Sprintf("%d of %s run", n, job),
+		jobTimeout,
+		func() bool { return k.CountContainers(job, StateRunning) == n },
+	)
+}
--- a/internal/testbed/process/scheduler.go
+++ b/internal/testbed/process/scheduler.go
@@ -15,9 +15,6 @@
 	"glenport/internal/protocol"
 )
 
-// Tick is the resolution of times in settings files, in frames and in the decisions of schedulers.
-const Tick = 100 * time.Microsecond
-
 const (
 	startTimeout  = 10 * time.Second // until a scheduler's listener accepts
 	stopTimeout   = 5 * time.Second  // from a signal to SIGKILL
@@ -159,48 +156,6 @@
 	return stats, nil
 }
 
-// DialProtocol connects to a listener, sends frames and bounds whatever else is done on the connection.
-func DialProtocol(address string, timeout time.Duration, frames ...protocol.Frame) (net.Conn, error) {
-	c, err := net.DialTimeout("tcp", address, dialTimeout)
-	if err != nil {
-		return nil, err
-	}
-	if err = c.SetDeadline(time.Now().Add(timeout)); err == nil {
-		err = WriteFrames(c, frames...)
-	}
-	if err != nil {
-		CloseQuietly(c)
-		return nil, err
-	}
-	return c, nil
-}
-
-// WriteFrames writes frames at once.
-func WriteFrames(c net.Conn, frames ...protocol.Frame) (err error) {
-	var data []byte
-	for _, frame := range frames {
-		if data, err = protocol.Append(data, frame); err != nil {
-			return err
-		}
-	}
-	_, err = c.Write(data)
-	return err
-}
-
-// ReadUntil skips frames until one of type T.
-func ReadUntil[T protocol.Frame](c net.Conn) (T, error) {
-	for {
-		frame, err := protocol.ReadFrame(c, protocol.MaxFrame)
-		if err != nil {
-			var none T
-			return none, err
-		}
-		if wanted, ok := frame.(T); ok {
-			return wanted, nil
-		}
-	}
-}
-
 // freePort returns a port of the system's choice. It is closed again before the process opens it, which leaves a
 // moment for another program to take it: the start then fails with an error.
 func freePort() (string, error) {
@@ -210,6 +165,3 @@
 	}
 	return l.Addr().String(), l.Close()
 }
-
-// CloseQuietly closes what was only read from, or whose writes have been checked.
-func CloseQuietly(c interface{ Close() error }) { _ = c.Close() }
--- a/internal/testbed/process/settings.go
+++ b/internal/testbed/process/settings.go
@@ -1,39 +1,34 @@
 package process
 
 import (
-	"maps"
+	"fmt"
 	"os"
 
 	"glenport/internal/config"
-
-	"github.com/goccy/go-yaml"
 )
 
-// WriteSchedulerConfig writes a scheduler's settings file: the template with the sections of extra, and then with the
-// keys of set; where a value of set is a map, only the keys that it has are changed.
-func WriteSchedulerConfig(template []byte, path string, extra, set map[string]any) error {
-	var settings map[string]any
-	if err := yaml.Unmarshal(template, &settings); err != nil {
+// WriteSchedulerSettings writes a scheduler's settings file and reports what the scheduler itself would refuse of it.
+func WriteSchedulerSettings(path string, settings *config.Scheduler) error {
+	text, err := settings.Encode()
+	if err != nil {
 		return err
 	}
-	maps.Copy(settings, extra)
-	for key, value := range set {
-		changed, isSection := value.(map[string]any)
-		if !isSection {
-			settings[key] = value
-			continue
-		}
-		if section, ok := settings[key].(map[string]any); ok {
-			maps.Copy(section, changed)
-		}
+	if err := os.WriteFile(path, text, 0o644); err != nil {
+		return fmt.Errorf("write the settings of scheduler %s: %w", settings.Name, err)
 	}
-	data, err := yaml.Marshal(settings)
+	_, err = config.LoadScheduler(path)
+	return err
+}
+
+// writeControllerSettings does so for a controller; schedulerFile is the scheduler's settings file that it names.
+func writeControllerSettings(path string, settings *config.Controller, schedulerFile string) error {
+	text, err := settings.Encode(schedulerFile)
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(path, data, 0o644); err != nil {
-		return err
+	if err := os.WriteFile(path, text, 0o644); err != nil {
+		return fmt.Errorf("write the settings of controller %s: %w", settings.Name, err)
 	}
-	_, err = config.LoadScheduler(path) // reports what the scheduler itself would refuse
+	_, err = config.LoadController(path)
 	return err
 }
--- /dev/null
+++ b/internal/testbed/trials/bgp/drain.go
@@ -0,0 +1,58 @@
+package bgp
+
+import (
+	"fmt"
+	"time"
+
+	"glenport/internal/protocol"
+	"glenport/internal/testbed/emulator"
+)
+
+// playDrain marks the machine of a lone container as draining: its route must become the last choice before it is
+// withdrawn.
+func (t *Trial) playDrain() (string, error) {
+	id, machine, err := t.client.place(drainService, time.Hour)
+	if err != nil {
+		return "", err
+	}
+	for _, p := range t.peers {
+		if err := t.waitAnnounced(p, drainService); err != nil {
+			return "", err
+		}
+		p.Changes()
+	}
+	m, err := t.cluster.Machine(machine)
+	if err != nil {
+		return "", err
+	}
+	began := time.Now()
+	t.cluster.List.SetState(m, protocol.MachineDraining)
+	defer t.cluster.List.SetState(m, protocol.MachineServing)
+	for k, p := range t.peers {
+		if err := t.waitShutdownAnnounced(p); err != nil {
+			t.Missf("peer %d: %v", k, err)
+		}
+	}
+	took := time.Since(began)
+	if err := t.client.send(&protocol.CancelContainer{ContainerID: id}); err != nil {
+		return "", err
+	}
+	for _, p := range t.peers {
+		if err := t.waitWithdrawn("it is gone", p, drainService); err != nil {
+			return "", err
+		}
+	}
+	return fmt.Sprintf("told %d ms after the operator's word", took.Milliseconds()), nil
+}
+
+// waitShutdownAnnounced waits until a peer has the draining service's route as the last choice.
+func (t *Trial) waitShutdownAnnounced(p *emulator.BGPPeer) error {
+	lastChoice := false
+	return t.waitUntil("the peer hears of the drain", func() bool {
+		for _, update := range p.Changes() {
+			lastChoice = lastChoice ||
+				update.Prefix == prefix(drainService) && update.GracefulShutdown && !update.Withdrawn
+		}
+		return lastChoice
+	})
+}
--- /dev/null
+++ b/internal/testbed/trials/bgp/machinefailure.go
@@ -0,0 +1,81 @@
+package bgp
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"glenport/internal/testbed/emulator"
+)
+
+// playResetAndFailure resets a session in the moment in which the machine of the last container fails. When the
+// session is back the route must not be there.
+func (t *Trial) playResetAndFailure() (string, error) {
+	const tries = 5
+	var crashed []*emulator.Machine // they stay down to the end, so that each try has another machine
+	worst := time.Duration(0)
+	for range tries {
+		m, late, err := t.resetAndFail()
+		if m != nil {
+			crashed = append(crashed, m)
+		}
+		if err != nil {
+			return "", errors.Join(err, restartAll(crashed))
+		}
+		worst = max(worst, late)
+	}
+	if err := restartAll(crashed); err != nil {
+		return "", err
+	}
+	return fmt.Sprintf(
+		"%d times, the route gone at most %d ms after the machine's death",
+		tries,
+		worst.Milliseconds(),
+	), nil
+}
+
+func restartAll(machines []*emulator.Machine) error {
+	var errs []error
+	for _, m := range machines {
+		errs = append(errs, m.Start(true))
+	}
+	return errors.Join(errs...)
+}
+
+// resetAndFail does it once. It returns the machine that it crashed and the longer of the times until the peers had
+// withdrawn the route.
+func (t *Trial) resetAndFail() (crashed *emulator.Machine, worst time.Duration, err error) {
+	id, machine, err := t.client.place(resetService, time.Hour)
+	if err != nil {
+		return nil, 0, err
+	}
+	if err := t.waitAnnouncedToAll(resetService); err != nil {
+		return nil, 0, err
+	}
+	m, err := t.cluster.Machine(machine)
+	if err != nil {
+		return nil, 0, err
+	}
+	reset, other := t.peers[0], t.peers[1]
+	before := sessionCount(reset)
+	go reset.Reset()
+	m.Crash()
+	if err := t.waitUntil(
+		"the session is back",
+		func() bool { return sessionCount(reset) > before && reset.Established() },
+	); err != nil {
+		return m, 0, err
+	}
+	for k, p := range t.peers {
+		if err := t.waitWithdrawn("the route is gone", p, resetService); err != nil {
+			t.Missf("peer %d: %v", k, err)
+			continue
+		}
+		late := time.Since(t.ends.of(id))
+		worst = max(worst, late)
+		if p == other && late > withdrawalLimit { // its session was up all the while
+			t.Missf("peer %d was told %v after the machine died", k, late)
+		}
+	}
+	return m, worst, nil
+}
--- /dev/null
+++ b/internal/testbed/trials/bgp/partition.go
@@ -0,0 +1,51 @@
+package bgp
+
+import (
+	"fmt"
+	"time"
+
+	"glenport/internal/protocol"
+	"glenport/internal/testbed/cluster"
+	"glenport/internal/testbed/faultproxy"
+)
+
+// playPartition cuts the zone of an at-most-once container off. Its route must be withdrawn when the scheduler takes it
+// as lost, and be announced again with it, as it ran on.
+func (t *Trial) playPartition() (string, error) {
+	const service = partitionService
+	id, machine, err := t.client.placeWorkload(service, atMostOnceClass, time.Hour)
+	if err != nil {
+		return "", err
+	}
+	if err := t.waitAnnouncedToAll(service); err != nil {
+		return "", err
+	}
+	peer := t.peers[0]
+	m, err := t.cluster.Machine(machine)
+	if err != nil {
+		return "", err
+	}
+	zone := cluster.MachineNames(t.cluster.ZoneMachines(m.ZoneIndex))
+	began := time.Now()
+	t.cluster.Net.SetFaults(func(_ string, peerRole protocol.Role, name string) faultproxy.Fault {
+		return faultproxy.Fault{Partitioned: peerRole == protocol.RoleMachine && zone[name]}
+	})
+	if err := t.waitWithdrawn("the route is gone", peer, service); err != nil {
+		return "", err
+	}
+	withdrawn := time.Since(began)
+	t.cluster.Net.SetFaults(func(string, protocol.Role, string) faultproxy.Fault { return faultproxy.Fault{} })
+	began = time.Now()
+	if err := t.waitUntil("the route is back", func() bool { return announced(peer, service) }); err != nil {
+		return "", err
+	}
+	if !t.ends.of(id).IsZero() {
+		t.Missf("the container was ended by the cut")
+	}
+	back := time.Since(began)
+	if err := t.client.send(&protocol.CancelContainer{ContainerID: id, IdempotencyKey: id}); err != nil {
+		return "", err
+	}
+	return fmt.Sprintf("gone %.1f s after the cut, back %.1f s after its end", withdrawn.Seconds(), back.Seconds()),
+		t.waitWithdrawn("it is gone", peer, service)
+}
--- /dev/null
+++ b/internal/testbed/trials/overload/simulated.go
@@ -0,0 +1,134 @@
+package overload
+
+import (
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+
+	"glenport/internal/testbed/simulation"
+	"glenport/scheduler"
+)
+
+// The simulated fleet and its restart.
+const (
+	simulatedMachines  = 24
+	simulatedRestart   = 20
+	simulatedRestartAt = 10 // seconds
+)
+
+func restartSimulation(seed uint64, damping simulation.Damping) *simulation.Simulation {
+	return &simulation.Simulation{
+		Seed:       seed,
+		Schedulers: 3,
+		Machines:   simulatedMachines,
+		Rate:       1200,
+		Length:     60 * scheduler.Second,
+		Damping:    damping,
+		Restart:    simulatedRestart,
+		RestartAt:  simulatedRestartAt * scheduler.Second,
+		DownFor:    2 * scheduler.Second,
+	}
+}
+
+// simulatedRuns collects the runs of one share of ignoring clients.
+type simulatedRuns struct {
+	mu         sync.Mutex
+	recoveries map[simulation.Damping][]simulation.Recovery
+	actions    int
+	scheduled  int // retries at the time that the limiter gave
+	admitted   int // of these, those for which there was room
+}
+
+func (r *simulatedRuns) add(s *simulation.Simulation) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.recoveries[s.Damping] = append(r.recoveries[s.Damping], simulation.EvaluateRecovery(s.Goodput(), simulatedRestartAt))
+	r.actions += s.Actions
+	r.scheduled += s.ScheduledRetries
+	r.admitted += s.AdmittedRetries
+}
+
+func (r *simulatedRuns) meanLost(d simulation.Damping) float64 { return meanLost(r.recoveries[d]) }
+
+func meanLost(recoveries []simulation.Recovery) (lost float64) {
+	for _, r := range recoveries {
+		lost += r.Lost / float64(len(recoveries))
+	}
+	return lost
+}
+
+// runSimulations plays the simulation for each seed and damping; the dampings of a seed have the same clients.
+func (t *Trial) runSimulations() error {
+	for _, ignoring := range []float64{0, t.IgnoringClients} {
+		began := time.Now()
+		runs := t.simulateDampings(ignoring)
+		for _, d := range dampings {
+			never := t.printRecoveries(ignoring, d, runs.recoveries[d])
+			if d == simulation.Limited && never > 0 {
+				t.Missf("with the limit goodput did not recover in %d runs", never)
+			}
+		}
+		t.Printf(
+			"simulated: %d actions of the modules in %.1f s; %d appointments kept, at %.0f%% of them there was room\n",
+			runs.actions, time.Since(began).Seconds(),
+			runs.scheduled, 100*float64(runs.admitted)/float64(max(1, runs.scheduled)),
+		)
+		limited := runs.meanLost(simulation.Limited)
+		if least := min(runs.meanLost(simulation.NoDamping), runs.meanLost(simulation.Exponential)); limited >= least {
+			t.Missf("%.0f starts lost on average with the limit, %.0f without it", limited, least)
+		}
+	}
+	return nil
+}
+
+func (t *Trial) simulateDampings(ignoring float64) *simulatedRuns {
+	runs := &simulatedRuns{recoveries: map[simulation.Damping][]simulation.Recovery{}}
+	for seed := range t.Seeds {
+		var simulating sync.WaitGroup
+		for _, d := range dampings {
+			simulating.Go(func() {
+				s := restartSimulation(uint64(seed+1), d)
+				s.IgnoringClients = ignoring
+				s.Run()
+				runs.add(s)
+			})
+		}
+		simulating.Wait()
+	}
+	return runs
+}
+
+// printRecoveries prints the runs of one damping and returns in how many goodput never recovered.
+func (t *Trial) printRecoveries(ignoring float64, d simulation.Damping, recoveries []simulation.Recovery) (never int) {
+	var seconds []int
+	for _, r := range recoveries {
+		if r.SecondsToRecover < 0 {
+			never++
+		} else {
+			seconds = append(seconds, r.SecondsToRecover)
+		}
+	}
+	when := "none came back"
+	if len(seconds) > 0 {
+		when = fmt.Sprintf("back after %d to %d s", slices.Min(seconds), slices.Max(seconds))
+	}
+	t.Printf("simulated, %d of %d machines restart, %3.0f%% of the clients ignore advice, damping %-11s: "+
+		"%s, metastable in %d of %d; %.0f starts in time lost on average\n",
+		simulatedRestart, simulatedMachines, 100*ignoring, d,
+		when, never, len(recoveries), meanLost(recoveries))
+	return never
+}
+
+// runSchedulerRestarts restarts all schedulers two seconds after the machines are back, with and without the state of
+// their limiters.
+func (t *Trial) runSchedulerRestarts() error {
+	for _, drop := range []bool{false, true} {
+		s := restartSimulation(1, simulation.Limited)
+		s.SchedulersRestartAt, s.DropLimiterState = 14*scheduler.Second, drop
+		s.Run()
+		t.Printf("simulated, all placers die in the storm, what the doors knew is kept %-5v: %s\n", !drop,
+			simulation.EvaluateRecovery(s.Goodput(), simulatedRestartAt))
+	}
+	return nil
+}
--- a/internal/testbed/trials/restart/commits.go
+++ b/internal/testbed/trials/restart/commits.go
@@ -9,7 +9,6 @@
 
 	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
-	"glenport/internal/testbed/report"
 )
 
 // commitStats counts the commits of concurrent writers; times are in microseconds.
@@ -24,23 +23,21 @@
 }
 
 // measureCommits measures the log with and without group commit, on the disk that there is.
-func (t *Trial) measureCommits(dir string) error {
-	for _, syncEach := range []bool{true, false} {
-		if err := t.measureCommitsOf(fmt.Sprint(dir, syncEach), syncEach); err != nil {
-			return err
-		}
+func (t *Trial) measureCommits() error {
+	if err := t.measureCommitsWith("without group commit", wal.Options{SyncEachCommit: true}); err != nil {
+		return err
 	}
-	return nil
+	return t.measureCommitsWith("with group commit", wal.Options{})
 }
 
-func (t *Trial) measureCommitsOf(dir string, syncEach bool) (err error) {
+func (t *Trial) measureCommitsWith(what string, options wal.Options) (err error) {
 	const writers = 64
-	fs, err := vfs.OpenLocked(dir)
+	fs, err := vfs.OpenLocked(t.path("commits " + what))
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, fs.Close()) }()
-	log, _, err := wal.Open(fs, wal.Options{SyncEachCommit: syncEach})
+	log, _, err := wal.Open(fs, options)
 	if err != nil {
 		return err
 	}
@@ -56,19 +53,11 @@
 		return err
 	}
 	counters := log.Counters()
-	report.Printf(
-		t.Out,
-		"commits, %d clients, group commit %v: %.0f a second, mean %.2f ms, worst %.1f ms; %d syncs of mean %.3f ms\n",
-		writers,
-		!syncEach,
-		float64(stats.count.Load())/length.Seconds(),
-		float64(stats.total.Load())/1000/float64(max(1, stats.count.Load())),
-		float64(
-			stats.worst.Load(),
-		)/1000,
-		counters.Syncs,
-		counters.SyncTime.Seconds()*1000/float64(max(1, counters.Syncs)),
-	)
+	count, syncs := float64(max(1, stats.count.Load())), float64(max(1, counters.Syncs))
+	t.Printf("commits, %d clients, %s: %.0f a second, mean %.2f ms, worst %.1f ms; %d syncs of mean %.3f ms\n",
+		writers, what, count/length.Seconds(),
+		float64(stats.total.Load())/1000/count, float64(stats.worst.Load())/1000,
+		counters.Syncs, counters.SyncTime.Seconds()*1000/syncs)
 	return nil
 }
 
--- a/internal/testbed/trials/restart/kills.go
+++ b/internal/testbed/trials/restart/kills.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"math/rand/v2"
 	"path/filepath"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -18,13 +17,8 @@
 	"glenport/internal/testbed/emulator"
 	"glenport/internal/testbed/process"
 	"glenport/internal/testbed/report"
-	"glenport/internal/testbed/scenario"
-	"glenport/scheduler"
 )
 
-// printedViolations is how many of the violations that a killRun found itself are printed.
-const printedViolations = 8
-
 // killRun is one run in which processes are killed while clients work.
 type killRun struct {
 	kills      int64 // of schedulers, in all
@@ -44,15 +38,16 @@
 }
 
 // killProcesses kills schedulers and the controller under load and reports whether all held.
-func (t *Trial) killProcesses(s *scenario.Scenario, dir string, program []string) (bool, error) {
-	c, err := cluster.Start(s.Spec, dir, program)
+func (t *Trial) killProcesses() error {
+	s, dir := t.scenario, t.path("kills")
+	c, err := cluster.Start(s.Spec, dir, t.program)
 	if err != nil {
-		return false, err
+		return err
 	}
 	defer c.Shutdown()
 	r := &killRun{kills: int64(t.Kills), seed: s.Seed, dir: dir, cluster: c}
-	if r.controller, err = c.StartController(program[0], c.Clients.SchedulerAddrs, r.controllerState()); err != nil {
-		return false, err
+	if r.controller, err = c.StartController(t.program[0], c.Clients.SchedulerAddrs, r.controllerState()); err != nil {
+		return err
 	}
 	defer r.controller.Terminate()
 	r.client = &jobClient{Controller: r.controller, jobs: map[string]acknowledgedJob{}}
@@ -72,52 +67,35 @@
 	r.controller.Terminate()
 	findings, err := c.CloseAndAudit()
 	if err != nil {
-		return false, err
-	}
-	report.Printf(
-		t.Out,
-		"kills: %d of placers and %d of the keeper by SIGKILL in %.0f s; every folder read after each, %d with an unfinished group "+
-			"at its end\n",
-		r.schedulerKills.Load(),
-		r.controllerKills.Load(),
-		length.Seconds(),
-		r.truncatedLogs.Load(),
-	)
-	report.Printf(
-		t.Out,
-		"jobs: %d changes acknowledged, %d asked again; %d jobs with %d containers at the end, %d run; at-most-once seen twice: %d\n",
-		r.client.acknowledged,
-		r.client.retries,
-		len(r.client.jobs),
-		wanted,
-		running,
-		r.duplicates.Load(),
-	)
-	t.printKillAudit(&tally, findings, r.violations)
-	return len(r.violations) == 0 && findings.Passed() && tally.DuplicateReplies == 0 && tally.Pending == 0, nil
+		return err
+	}
+	t.Printf("kills: %d of placers and %d of the keeper by SIGKILL in %.0f s; every folder read after each, "+
+		"%d with an unfinished group at its end\n",
+		r.schedulerKills.Load(), r.controllerKills.Load(), length.Seconds(), r.truncatedLogs.Load())
+	t.Printf("jobs: %d changes acknowledged, %d asked again; %d jobs with %d containers at the end, %d run; "+
+		"at-most-once seen twice: %d\n",
+		r.client.acknowledged, r.client.retries, len(r.client.jobs), wanted, running, r.duplicates.Load())
+	t.auditKills(&tally, findings)
+	for _, violation := range r.violations {
+		t.Missf("%s", violation)
+	}
+	return nil
 }
 
-func (t *Trial) printKillAudit(tally *emulator.Tally, findings *audit.Report, violations []string) {
-	report.Printf(
-		t.Out,
-		"owners: %d submitted, %d placed, %d answers too many, %d without one; record: %d frames, %d offers, %d yeses; cold machines "+
-			"at most at %d of %d\n",
-		tally.Submitted,
-		tally.Placed,
-		tally.DuplicateReplies,
-		tally.Pending,
-		findings.Frames,
-		findings.Offers,
-		findings.Accepted,
-		findings.SlowStartPeak,
-		findings.SlowStartBudget,
-	)
+// auditKills prints what clients saw and what the recording says, and notes what did not hold of it.
+func (t *Trial) auditKills(tally *emulator.Tally, findings *audit.Report) {
+	t.Printf("owners: %d submitted, %d placed, %d answers too many, %d without one; record: %d frames, %d offers, "+
+		"%d yeses; cold machines at most at %d of %d\n",
+		tally.Submitted, tally.Placed, tally.DuplicateReplies, tally.Pending,
+		findings.Frames, findings.Offers, findings.Accepted, findings.SlowStartPeak, findings.SlowStartBudget)
 	report.Violations(t.Out, findings)
-	for _, violation := range violations[:min(len(violations), printedViolations)] {
-		report.Printf(t.Out, "fault: %s\n", violation)
-	}
 	if findings.Passed() {
-		report.Printf(t.Out, "rules: kept over all lives\n")
+		t.Printf("rules: kept over all lives\n")
+	} else {
+		t.Missf("%d violations of rules in the recording", len(findings.Violations))
+	}
+	if tally.DuplicateReplies > 0 || tally.Pending > 0 {
+		t.Missf("%d answers too many, %d containers without one", tally.DuplicateReplies, tally.Pending)
 	}
 }
 
@@ -207,90 +185,3 @@
 		r.report("%s after a kill: %v", name, err)
 	}
 }
-
-// watchDuplicates looks, in the machines' own state, for at-most-once containers that run twice at once.
-func (r *killRun) watchDuplicates(over chan struct{}) {
-	for {
-		for id, copies := range runningJobCopies(r.cluster) {
-			class := r.cluster.Config.Policy.WorkloadClasses[copies.workload]
-			if copies.count > 1 && class.Idempotency == scheduler.AtMostOnce {
-				r.duplicates.Add(1)
-				r.report("%s runs %d times at once:%s", id, copies.count, copies.where)
-			}
-		}
-		select {
-		case <-over:
-			return
-		case <-time.After(100 * time.Millisecond):
-		}
-	}
-}
-
-// waitSettled compares the API with what was acknowledged and waits until exactly the wanted containers run.
-func (r *killRun) waitSettled() (wanted, running int) {
-	wanted = r.client.wantedContainers()
-	var all struct{ Items []listedJob }
-	if err := process.WaitUntil("the keeper answers", process.ControllerTimeout, func() bool {
-		return r.controller.Get("/v1/jobs?limit=1000", &all) == nil
-	}); err != nil {
-		r.report("%v", err)
-		return wanted, 0
-	}
-	r.client.compareJobs(all.Items, r.report)
-	err := process.WaitUntil("every wanted container runs, by the machines' own word", time.Minute, func() bool {
-		running = 0
-		for _, copies := range runningJobCopies(r.cluster) {
-			running += copies.count
-		}
-		return running == wanted && r.controller.CountByState(process.StateRunning) == wanted
-	})
-	if err != nil {
-		r.report(
-			"%v: %d run, the API has %d, %d are wanted",
-			err,
-			running,
-			r.controller.CountByState(process.StateRunning),
-			wanted,
-		)
-		r.reportUnwanted()
-	}
-	return wanted, running
-}
-
-// reportUnwanted reports what runs of no job, and what runs more than once.
-func (r *killRun) reportUnwanted() {
-	for id, copies := range runningJobCopies(r.cluster) {
-		job, _, _ := strings.Cut(id, "/")
-		if _, ok := r.client.jobs[job]; !ok || copies.count > 1 {
-			r.report("%s runs %d times:%s", id, copies.count, copies.where)
-		}
-	}
-}
-
-// runningCopies is what runs of one container.
-type runningCopies struct {
-	count    int
-	workload int
-	where    string // machines and keys
-}
-
-// runningJobCopies counts what runs of the jobs, by job, index and workload class, in the machines' own state: a job
-// that was deleted and created again with another class is another.
-func runningJobCopies(c *cluster.Cluster) map[string]runningCopies {
-	all := map[string]runningCopies{}
-	for _, m := range c.Machines {
-		for _, spec := range m.RunningContainers() {
-			if !strings.HasPrefix(spec.IdempotencyKey, "job-") {
-				continue
-			}
-			container := spec.IdempotencyKey[:strings.LastIndex(spec.IdempotencyKey, "/")]
-			id := fmt.Sprintf("%s of %s", container, c.Config.WorkloadClasses[spec.WorkloadClass])
-			copies := all[id]
-			copies.count++
-			copies.workload = spec.WorkloadClass
-			copies.where += " " + m.Name + " " + spec.IdempotencyKey + " as " + spec.ContainerID
-			all[id] = copies
-		}
-	}
-	return all
-}
--- a/internal/testbed/trials/restart/lost.go
+++ b/internal/testbed/trials/restart/lost.go
@@ -7,30 +7,36 @@
 	"time"
 
 	"glenport/internal/testbed/cluster"
-	"glenport/internal/testbed/report"
-	"glenport/internal/testbed/scenario"
+)
+
+// stateAtRestart is what schedulers find of their state when they are started again.
+type stateAtRestart string
+
+const (
+	statePersisted stateAtRestart = "persisted"
+	stateRemoved   stateAtRestart = "removed"
 )
 
 // measureLost plays the same restart with and without the schedulers' persisted state: a zone restarts, a part of the
 // machines hangs, and then every scheduler is killed. What is counted is what clients submit in the ten seconds after
 // and do not get placed.
-func (t *Trial) measureLost(s *scenario.Scenario, dir string, program []string) error {
-	for i, withState := range []bool{true, false, true, false} {
-		if err := t.measureLostOnce(s, filepath.Join(dir, fmt.Sprintf("lost-%d", i)), program, withState); err != nil {
+func (t *Trial) measureLost() error {
+	for i, state := range []stateAtRestart{statePersisted, stateRemoved, statePersisted, stateRemoved} {
+		if err := t.measureLostOnce(t.path(fmt.Sprintf("lost-%d", i)), state); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (t *Trial) measureLostOnce(s *scenario.Scenario, dir string, program []string, withState bool) error {
+func (t *Trial) measureLostOnce(dir string, state stateAtRestart) error {
 	const measured = 10 * time.Second
-	c, err := cluster.Start(s.Spec, dir, program)
+	c, err := cluster.Start(t.scenario.Spec, dir, t.program)
 	if err != nil {
 		return err
 	}
 	defer c.Shutdown()
-	c.Clients.Start(s.Rate*2, s.Seed)
+	c.Clients.Start(t.scenario.Rate*2, t.scenario.Seed)
 	time.Sleep(4 * time.Second)
 	if err := restartZoneAndHang(c); err != nil {
 		return err
@@ -38,7 +44,7 @@
 	time.Sleep(1500 * time.Millisecond)
 	for _, p := range c.Schedulers {
 		c.KillScheduler(p)
-		if !withState {
+		if state == stateRemoved {
 			if err := os.RemoveAll(filepath.Join(c.Dir, p.Name+".state")); err != nil {
 				return err
 			}
@@ -52,16 +58,12 @@
 	}
 	time.Sleep(measured)
 	after := c.Clients.Snapshot()
-	submitted, placed, late := after.Submitted-before.Submitted, after.Placed-before.Placed, after.PlacedLate-before.PlacedLate
-	report.Printf(
-		t.Out,
-		"ten seconds after a restart, kept state %-5v: %d submitted, %d not placed, %d of the placed after more than 1 s\n",
-		withState,
-		submitted,
-		submitted-placed,
-		late,
+	submitted, placed := after.Submitted-before.Submitted, after.Placed-before.Placed
+	t.Printf(
+		"ten seconds after a restart, state %-9s: %d submitted, %d not placed, %d of the placed after more than 1 s\n",
+		state, submitted, submitted-placed, after.PlacedLate-before.PlacedLate,
 	)
-	c.FreezeAll(false)
+	c.UnfreezeAll()
 	c.Clients.Close()
 	return c.Close()
 }
--- a/internal/testbed/trials/restart/restart.go
+++ b/internal/testbed/trials/restart/restart.go
@@ -1,55 +1,72 @@
+// Package restart is the trial of what processes keep over restarts: schedulers and the controller are killed while
+// they write.
 package restart
 
 import (
 	"fmt"
-	"io"
 	"path/filepath"
 
 	"glenport/internal/testbed/crashcheck"
-	"glenport/internal/testbed/report"
 	"glenport/internal/testbed/scenario"
+	"glenport/internal/testbed/trials"
 )
 
-// Trial kills schedulers and the controller while they write, and looks for anything that was acknowledged and
-// is not there: in every folder after every kill, in the API and on the machines at the end, in the recording.
+// Trial kills schedulers and the controller while they write, and looks for anything that was acknowledged and is not
+// there: in every folder after every kill, in the API and on the machines at the end, in the recording.
 type Trial struct {
-	Kills       int    // of schedulers; the controller is killed a tenth as often
-	LogSizes    []int  // containers in the log at a start that is timed
-	MeasureLost bool   // measure the starts lost after a restart
-	Sabotage    string // crashcheck.SabotageSync, crashcheck.SabotageChecksum or none
-	Out         io.Writer
+	Kills    int   // of schedulers; the controller is killed a tenth as often
+	LogSizes []int // containers in the log at a start that is timed
+	Losses   Losses
+	Sabotage string // crashcheck.SabotageSync, crashcheck.SabotageChecksum or none
+
+	*trials.Runner
+	scenario *scenario.Scenario
+	dir      string
+	program  []string
 }
 
-// Run reports whether all held.
-func (t *Trial) Run(s *scenario.Scenario, dir string, program []string) (bool, error) {
-	ok := t.checkCrashStates()
+// Losses says whether the trial measures the starts that are lost after a restart.
+type Losses int
+
+// The measurement takes more than a minute.
+const (
+	LossesMeasured Losses = iota
+	LossesLeftOut
+)
+
+// Verdict implements [trials.Trial].
+func (t *Trial) Verdict() (name, failure string) {
+	return "restart", "what was promised was lost, or a rule broken"
+}
+
+// Run implements [trials.Trial].
+func (t *Trial) Run(runner *trials.Runner, setup trials.Setup) error {
+	t.Runner, t.scenario, t.dir, t.program = runner, setup.Scenario, setup.Dir, setup.Program
+	steps := []trials.Step{{Name: "crash states", Play: t.checkCrashStates}}
 	if t.Sabotage != "" {
-		return ok, nil
-	}
-	if err := t.measureCommits(filepath.Join(dir, "commits")); err != nil {
-		return false, err
+		return t.Play(steps...)
 	}
-	kept, err := t.killProcesses(s, filepath.Join(dir, "kills"), program)
-	if err != nil {
-		return false, err
-	}
-	ok = ok && kept
+	steps = append(steps,
+		trials.Step{Name: "commits", Play: trials.WithoutFigures(t.measureCommits)},
+		trials.Step{Name: "kills", Play: trials.WithoutFigures(t.killProcesses)},
+	)
 	for _, n := range t.LogSizes {
-		if err := t.measureStart(s, filepath.Join(dir, fmt.Sprint("start-", n)), program, n); err != nil {
-			return false, err
-		}
+		steps = append(steps, trials.Step{
+			Name: fmt.Sprintf("start with %d containers in the log", n),
+			Play: trials.WithoutFigures(func() error { return t.measureStart(n) }),
+		})
 	}
-	if t.MeasureLost {
-		if err := t.measureLost(s, dir, program); err != nil {
-			return false, err
-		}
+	if t.Losses == LossesMeasured {
+		steps = append(steps, trials.Step{Name: "starts lost", Play: trials.WithoutFigures(t.measureLost)})
 	}
-	return ok, nil
+	return t.Play(steps...)
 }
 
-// checkCrashStates walks through the states that a crash may leave. A violation is printed; it is a result of the
-// trial, not an error.
-func (t *Trial) checkCrashStates() bool {
+// path is that of a folder of the trial.
+func (t *Trial) path(name string) string { return filepath.Join(t.dir, name) }
+
+// checkCrashStates walks through the states that a crash may leave. A violation is a result of the trial, not an error.
+func (t *Trial) checkCrashStates() (string, error) {
 	const histories = 5
 	var sum crashcheck.Check
 	for seed := uint64(1); seed <= histories; seed++ {
@@ -57,19 +74,13 @@
 		err := check.Run()
 		sum.Add(check)
 		if err != nil {
-			report.Printf(t.Out, "crash states, history %d: %v\n", seed, err)
-			return false
+			t.Missf("crash states, history %d: %v", seed, err)
+			break
 		}
 	}
-	report.Printf(
-		t.Out,
-		"crash states: %d operations, %d states after one crash and %d after a second in recovery, all legal; "+
-			"%d of %d single bits turned over were refused, the others were in the last group\n",
-		sum.Operations,
-		sum.States,
-		sum.SecondCrashes,
-		sum.Refused,
-		sum.BitFlips,
-	)
-	return true
+	return fmt.Sprintf(
+		"%d operations, %d states after one crash and %d after a second in recovery; "+
+			"%d of %d single bits turned over were refused, the others were in the last group",
+		sum.Operations, sum.States, sum.SecondCrashes, sum.Refused, sum.BitFlips,
+	), nil
 }
--- /dev/null
+++ b/internal/testbed/trials/restart/settle.go
@@ -0,0 +1,98 @@
+package restart
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"glenport/internal/testbed/cluster"
+	"glenport/internal/testbed/process"
+	"glenport/scheduler"
+)
+
+// waitSettled compares the API with what was acknowledged and waits until exactly the wanted containers run.
+func (r *killRun) waitSettled() (wanted, running int) {
+	wanted = r.client.wantedContainers()
+	var all struct{ Items []listedJob }
+	if err := process.WaitUntil("the keeper answers", process.ControllerTimeout, func() bool {
+		return r.controller.Get("/v1/jobs?limit=1000", &all) == nil
+	}); err != nil {
+		r.report("%v", err)
+		return wanted, 0
+	}
+	r.client.compareJobs(all.Items, r.report)
+	err := process.WaitUntil("every wanted container runs, by the machines' own word", time.Minute, func() bool {
+		running = 0
+		for _, copies := range runningJobCopies(r.cluster) {
+			running += copies.count
+		}
+		return running == wanted && r.controller.CountByState(process.StateRunning) == wanted
+	})
+	if err != nil {
+		r.report(
+			"%v: %d run, the API has %d, %d are wanted",
+			err,
+			running,
+			r.controller.CountByState(process.StateRunning),
+			wanted,
+		)
+		r.reportUnwanted()
+	}
+	return wanted, running
+}
+
+// reportUnwanted reports what runs of no job, and what runs more than once.
+func (r *killRun) reportUnwanted() {
+	for id, copies := range runningJobCopies(r.cluster) {
+		job, _, _ := strings.Cut(id, "/")
+		if _, ok := r.client.jobs[job]; !ok || copies.count > 1 {
+			r.report("%s runs %d times:%s", id, copies.count, copies.where)
+		}
+	}
+}
+
+// runningCopies is what runs of one container.
+type runningCopies struct {
+	count    int
+	workload int
+	where    string // machines and keys
+}
+
+// runningJobCopies counts what runs of the jobs, by job, index and workload class, in the machines' own state: a job
+// that was deleted and created again with another class is another.
+func runningJobCopies(c *cluster.Cluster) map[string]runningCopies {
+	all := map[string]runningCopies{}
+	for _, m := range c.Machines {
+		for _, spec := range m.RunningContainers() {
+			if !strings.HasPrefix(spec.IdempotencyKey, "job-") {
+				continue
+			}
+			container := spec.IdempotencyKey[:strings.LastIndex(spec.IdempotencyKey, "/")]
+			id := fmt.Sprintf("%s of %s", container, c.Config.WorkloadClasses[spec.WorkloadClass])
+			copies := all[id]
+			copies.count++
+			copies.workload = spec.WorkloadClass
+			copies.where += " " + m.Name + " " + spec.IdempotencyKey + " as " + spec.ContainerID
+			all[id] = copies
+		}
+	}
+	return all
+}
+
+// watchDuplicates looks, in the machines' own state, for at-most-once containers that run twice at once.
+func (r *killRun) watchDuplicates(over chan struct{}) {
+	for {
+		for id, copies := range runningJobCopies(r.cluster) {
+			class := r.cluster.Config.Policy.WorkloadClasses[copies.workload]
+			if copies.count > 1 && class.Idempotency == scheduler.AtMostOnce {
+				r.duplicates.Add(1)
+				r.report("%s runs %d times at once:%s", id, copies.count, copies.where)
+			}
+		}
+		select {
+		case <-over:
+			return
+		case <-time.After(100 * time.Millisecond):
+		}
+	}
+}
--- a/internal/testbed/trials/runner.go
+++ b/internal/testbed/trials/runner.go
@@ -1,9 +1,9 @@
-// Package trials plays trials, each of which proves one subsystem end to end, step by step.
 package trials
 
 import (
 	"fmt"
 	"io"
+	"time"
 
 	"glenport/internal/testbed/report"
 )
@@ -11,36 +11,61 @@
 // printedMisses is how many of a trial's misses are printed.
 const printedMisses = 5
 
-// Step is one step of a trial. It returns the figures to print; what did not hold goes to the trial's misses, an
-// error ends the trial.
+// Step is one step of a trial. It returns the figures to print, if any; what did not hold goes to the runner's misses,
+// an error ends the trial.
 type Step struct {
 	Name string
 	Play func() (figures string, err error)
 }
 
-// Runner collects what did not hold in a trial.
-type Runner struct{ misses []string }
+// WithoutFigures makes the function of a step of one that has no figures to print.
+func WithoutFigures(play func() error) func() (string, error) {
+	return func() (string, error) { return "", play() }
+}
+
+// Runner plays the steps of a trial and collects what did not hold.
+type Runner struct {
+	Out    io.Writer
+	misses []string
+}
 
-// Miss notes what did not hold.
-func (m *Runner) Miss(format string, args ...any) {
-	m.misses = append(m.misses, fmt.Sprintf(format, args...))
+// Missf notes what did not hold.
+func (r *Runner) Missf(format string, args ...any) {
+	r.misses = append(r.misses, fmt.Sprintf(format, args...))
 }
 
-// Passed reports whether nothing was missed.
-func (m *Runner) Passed() bool { return len(m.misses) == 0 }
+// Printf prints a line of a step beside its figures.
+func (r *Runner) Printf(format string, args ...any) { report.Printf(r.Out, format, args...) }
 
-// Play plays steps in order and prints a line for each, with names padded to nameWidth, and the first misses.
-func (m *Runner) Play(out io.Writer, nameWidth int, steps []Step) error {
+func (r *Runner) passed() bool { return len(r.misses) == 0 }
+
+// Play plays steps in order and prints a line for each, and the first misses.
+func (r *Runner) Play(steps ...Step) error {
+	width := 0
+	for _, step := range steps {
+		width = max(width, len(step.Name))
+	}
 	for _, step := range steps {
-		before := len(m.misses)
-		figures, err := step.Play()
-		if err != nil {
+		if err := r.playStep(step, width); err != nil {
 			return fmt.Errorf("%s: %w", step.Name, err)
 		}
-		report.Printf(out, "%-*s %s, %d missed\n", nameWidth, step.Name, figures, len(m.misses)-before)
 	}
-	for _, miss := range m.misses[:min(len(m.misses), printedMisses)] {
-		report.Printf(out, "missed: %s\n", miss)
+	for _, miss := range r.misses[:min(len(r.misses), printedMisses)] {
+		r.Printf("missed: %s\n", miss)
+	}
+	return nil
+}
+
+func (r *Runner) playStep(step Step, width int) error {
+	missedBefore, began := len(r.misses), time.Now()
+	figures, err := step.Play()
+	if err != nil {
+		return err
+	}
+	if figures != "" {
+		figures += ", "
 	}
+	missed := len(r.misses) - missedBefore
+	r.Printf("%-*s %5.1f s, %s%d missed\n", width, step.Name, time.Since(began).Seconds(), figures, missed)
 	return nil
 }
