--- a/internal/config/encode.go
+++ b/internal/config/encode.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/netip"
 	"slices"
 
 	"glenport/internal/bgp/announce"
@@ -15,15 +16,15 @@
 // The words of the settings file for the values of enumerations.
 var (
 	idempotencyWords = map[scheduler.Idempotency]string{
-		scheduler.Idempotent:        "reissuable",
-		scheduler.IdempotentWithKey: "numbered",
+		scheduler.Idempotent:        "idempotent",
+		scheduler.IdempotentWithKey: "idempotent-with-key",
 		scheduler.AtMostOnce:        "at-most-once",
 	}
 	scopeWords = map[scheduler.Scope]string{
 		scheduler.ScopeMachine:   "machine",
-		scheduler.ScopeRackGroup: "cell",
+		scheduler.ScopeRackGroup: "rack-group",
 		scheduler.ScopeZone:      "zone",
-		scheduler.ScopeFleet:     "everywhere",
+		scheduler.ScopeFleet:     "fleet",
 	}
 	familyWords = map[wire.Family]string{wire.IPv4: "ipv4", wire.IPv6: "ipv6"}
 )
@@ -135,9 +136,11 @@
 		UsageReports:       strictyaml.NewBool(policy.UsageReports),
 		ListTracksRequests: strictyaml.NewBool(policy.ListTracksRequests),
 		ProbesAllowed:      strictyaml.NewBool(policy.ProbesAllowed),
-		SlowStartPeriod:    durationValue(policy.SlowStartPeriod),
-		SlowStartWindow:    durationValue(policy.SlowStartWindow),
-		SlowStartBudget:    strictyaml.NewCount(policy.SlowStartBudget),
+		SlowStart: slowStartSection{
+			Period: durationValue(policy.SlowStartPeriod),
+			Window: durationValue(policy.SlowStartWindow),
+			Budget: strictyaml.NewCount(policy.SlowStartBudget),
+		},
 	}
 	for i, name := range s.MachineTypes {
 		section.MachineTypes = append(section.MachineTypes, machineTypeEntry{
@@ -175,7 +178,7 @@
 func (b *BGP) section() *bgpSection {
 	section := &bgpSection{
 		ASN:        strictyaml.NewCount(int(b.ASN)),
-		RouterID:   strictyaml.NewString(fmt.Sprintf("%d.%d.%d.%d", b.RouterID[0], b.RouterID[1], b.RouterID[2], b.RouterID[3])),
+		RouterID:   strictyaml.NewString(netip.AddrFrom4(b.RouterID).String()),
 		ListenAddr: optionalString(b.ListenAddr),
 	}
 	for i := range b.Peers {
--- a/internal/config/encode_test.go
+++ b/internal/config/encode_test.go
@@ -9,12 +9,13 @@
 
 // What is encoded reads back as the same settings.
 func TestEncodedSettingsReadBackTheSame(t *testing.T) {
-	for _, path := range []string{"../../deploy/placer.yaml", "testdata/every-key.yaml"} {
+	for _, path := range []string{"../../deploy/scheduler.yaml", "testdata/every-key.yaml"} {
 		t.Run(path, func(t *testing.T) {
 			want, err := LoadScheduler(path)
 			if err != nil {
 				t.Fatal(err)
 			}
+			want.Deprecations = nil // what is encoded has none
 			text, err := want.Encode()
 			if err != nil {
 				t.Fatal(err)
@@ -24,13 +25,14 @@
 			}
 		})
 	}
-	for _, path := range []string{"../../deploy/keeper.yaml", "testdata/controller.yaml"} {
+	for _, path := range []string{"../../deploy/controller.yaml", "testdata/controller.yaml"} {
 		t.Run(path, func(t *testing.T) {
 			want, err := LoadController(path)
 			if err != nil {
 				t.Fatal(err)
 			}
 			dir := t.TempDir()
+			want.Deprecations, want.Scheduler.Deprecations = nil, nil // what is encoded has none
 			schedulerText, err := want.Scheduler.Encode()
 			if err != nil {
 				t.Fatal(err)
