--- a/internal/testbed/emulator/conn.go
+++ b/internal/testbed/emulator/conn.go
@@ -8,9 +8,8 @@
 )
 
 const (
-	heartbeatInterval = time.Second
-	maxHelloSize      = 1024 // bytes of the first frame of a scheduler
-	protocolTick      = 100 * time.Microsecond
+	maxHelloSize = 1024 // bytes of the first frame of a scheduler
+	protocolTick = 100 * time.Microsecond
 )
 
 // writeWithin writes data and fails when the other side does not take it in time.
--- a/internal/testbed/emulator/dedup.go
+++ b/internal/testbed/emulator/dedup.go
@@ -43,16 +43,31 @@
 	}
 }
 
-// release ends a claim: at once where the container never ran, at the end of the window where it did.
-func (g *DedupGroup) release(c *container, ran bool) {
+// cancel ends the claim of a container that never ran.
+func (g *DedupGroup) cancel(c *container) {
+	if c.spec.DedupWindow <= 0 {
+		return // it claimed nothing
+	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	claim := g.claims[c.spec.IdempotencyKey]
-	if claim == nil || claim.holder != c {
+	if g.holds(c) {
+		delete(g.claims, c.spec.IdempotencyKey)
+	}
+}
+
+// expire has the claim of a container that ran end with its window.
+func (g *DedupGroup) expire(c *container) {
+	if c.spec.DedupWindow <= 0 {
 		return
 	}
-	claim.holder = nil
-	if !ran {
-		delete(g.claims, c.spec.IdempotencyKey)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.holds(c) {
+		g.claims[c.spec.IdempotencyKey].holder = nil
 	}
 }
+
+func (g *DedupGroup) holds(c *container) bool {
+	claim := g.claims[c.spec.IdempotencyKey]
+	return claim != nil && claim.holder == c
+}
--- /dev/null
+++ b/internal/testbed/emulator/frame_conn.go
@@ -0,0 +1,67 @@
+package emulator
+
+import (
+	"net"
+	"time"
+
+	"glenport/internal/protocol"
+	"glenport/internal/testbed/loopback"
+)
+
+const heartbeatInterval = time.Second
+
+// frameConn is a connection to a scheduler. Its frames are queued and written by a goroutine of their own, with
+// heartbeats in between.
+type frameConn struct {
+	net.Conn
+	frames       chan protocol.Frame
+	writeTimeout time.Duration
+}
+
+func newFrameConn(conn net.Conn, maxQueued int, writeTimeout time.Duration) *frameConn {
+	return &frameConn{Conn: conn, frames: make(chan protocol.Frame, maxQueued), writeTimeout: writeTimeout}
+}
+
+// send queues a frame; a scheduler that lets too many wait is disconnected.
+func (c *frameConn) send(frame protocol.Frame) {
+	select {
+	case c.frames <- frame:
+	default:
+		loopback.CloseQuietly(c)
+	}
+}
+
+// writeAll writes queued frames and heartbeats; a scheduler that does not read in time is disconnected.
+func (c *frameConn) writeAll(stop chan struct{}) {
+	ticker := time.NewTicker(heartbeatInterval)
+	defer ticker.Stop()
+	greeted := false // nothing may precede the hello
+	for {
+		var frame protocol.Frame
+		select {
+		case frame = <-c.frames:
+			greeted = true
+		case <-ticker.C:
+			if !greeted {
+				continue
+			}
+			frame = &protocol.Heartbeat{}
+		case <-stop:
+			return
+		}
+		if err := writeWithin(c, mustEncode(nil, frame), c.writeTimeout); err != nil {
+			loopback.CloseQuietly(c)
+			return
+		}
+	}
+}
+
+// readSchedulerHello reads the first frame of a connection; false where it is not the hello of a scheduler.
+func readSchedulerHello(conn net.Conn) (*protocol.Hello, bool) {
+	first, err := protocol.ReadFrame(conn, maxHelloSize)
+	if err != nil {
+		return nil, false
+	}
+	hello, ok := first.(*protocol.Hello)
+	return hello, ok && hello.Role == protocol.RoleScheduler
+}
--- a/internal/testbed/emulator/list.go
+++ b/internal/testbed/emulator/list.go
@@ -32,7 +32,7 @@
 	startedAt     map[string]time.Time
 	downSince     map[string]time.Time
 	operatorState map[string]protocol.MachineState
-	conns         map[*listConn]bool // whether they watch
+	conns         map[*frameConn]bool // whether they watch
 	unreachable   bool
 	staleness     time.Duration
 	recentCalls   []time.Time
@@ -41,40 +41,6 @@
 	background    sync.WaitGroup
 }
 
-// listConn is a scheduler's connection to the list.
-type listConn struct {
-	net.Conn
-	frames chan protocol.Frame
-}
-
-func (c *listConn) send(frame protocol.Frame) {
-	select {
-	case c.frames <- frame:
-	default:
-		loopback.CloseQuietly(c)
-	}
-}
-
-// writeAll writes queued frames and heartbeats; a scheduler that does not read in time is disconnected.
-func (c *listConn) writeAll(stop chan struct{}) {
-	ticker := time.NewTicker(heartbeatInterval)
-	defer ticker.Stop()
-	for {
-		var frame protocol.Frame
-		select {
-		case frame = <-c.frames:
-		case <-ticker.C:
-			frame = &protocol.Heartbeat{}
-		case <-stop:
-			return
-		}
-		if err := writeWithin(c, mustEncode(nil, frame), listWriteTimeout); err != nil {
-			loopback.CloseQuietly(c)
-			return
-		}
-	}
-}
-
 // Open starts the service for machines that are up by now, and returns its address.
 func (l *MachineList) Open(machines []*Machine) (addr string, err error) {
 	if l.listener, err = loopback.Listen(loopback.AnyPort); err != nil {
@@ -83,12 +49,12 @@
 	l.machines, l.stop = machines, make(chan struct{})
 	l.current = map[string]protocol.MachineEntry{}
 	l.startedAt, l.downSince = map[string]time.Time{}, map[string]time.Time{}
-	l.operatorState, l.conns = map[string]protocol.MachineState{}, map[*listConn]bool{}
+	l.operatorState, l.conns = map[string]protocol.MachineState{}, map[*frameConn]bool{}
 	l.apply(l.observe())
 	l.background.Go(l.watch)
 	l.background.Go(func() {
 		loopback.AcceptAll(l.listener, func(conn net.Conn) {
-			l.background.Go(func() { l.serve(&listConn{conn, make(chan protocol.Frame, maxQueuedListFrames)}) })
+			l.background.Go(func() { l.serve(newFrameConn(conn, maxQueuedListFrames, listWriteTimeout)) })
 		})
 	})
 	return l.listener.Addr().String(), nil
@@ -114,7 +80,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.unreachable = unreachable
-	if !unreachable {
+	l.closeUnreachable()
+}
+
+// closeUnreachable ends all connections while the list is unreachable.
+func (l *MachineList) closeUnreachable() {
+	if !l.unreachable {
 		return
 	}
 	for conn := range l.conns {
@@ -233,10 +204,9 @@
 	return aged
 }
 
-func (l *MachineList) serve(conn *listConn) {
+func (l *MachineList) serve(conn *frameConn) {
 	defer loopback.CloseQuietly(conn)
-	first, err := protocol.ReadFrame(conn, maxHelloSize)
-	if hello, ok := first.(*protocol.Hello); err != nil || !ok || hello.Role != protocol.RoleScheduler {
+	if _, ok := readSchedulerHello(conn); !ok {
 		return
 	}
 	if !l.register(conn) {
@@ -258,7 +228,7 @@
 	}
 }
 
-func (l *MachineList) register(conn *listConn) bool {
+func (l *MachineList) register(conn *frameConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.unreachable {
@@ -268,14 +238,14 @@
 	return true
 }
 
-func (l *MachineList) unregister(conn *listConn) {
+func (l *MachineList) unregister(conn *frameConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, conn)
 }
 
 // reply answers a call of a scheduler; nil where it gets no answer.
-func (l *MachineList) reply(conn *listConn, frame protocol.Frame) protocol.Frame {
+func (l *MachineList) reply(conn *frameConn, frame protocol.Frame) protocol.Frame {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.exceedsCallLimit() {
--- /dev/null
+++ b/internal/testbed/emulator/slow_start.go
@@ -0,0 +1,34 @@
+package emulator
+
+import "time"
+
+// slowStart is the time after a machine's start in which it bears few offers and starts containers slowly.
+type slowStart struct {
+	spec         *MachineSpec
+	recentOffers []time.Time // and probes
+}
+
+func (s *slowStart) reset() { s.recentOffers = nil }
+
+// countOffer counts an offer or probe, and reports whether they are more in a window than the machine bears.
+func (s *slowStart) countOffer(startedAt, now time.Time) (exceeded bool) {
+	if s.spec.SlowStartCapacity == 0 || now.Sub(startedAt) >= s.spec.SlowStartPeriod {
+		s.recentOffers = nil
+		return false
+	}
+	s.recentOffers = append(s.recentOffers, now)
+	for len(s.recentOffers) > 0 && now.Sub(s.recentOffers[0]) > s.spec.SlowStartWindow {
+		s.recentOffers = s.recentOffers[1:]
+	}
+	return len(s.recentOffers) > s.spec.SlowStartCapacity
+}
+
+// pace is the part of its full pace at which the machine starts containers; it grows over the slow start.
+func (s *slowStart) pace(startedAt time.Time) float64 {
+	age := time.Since(startedAt)
+	if age >= s.spec.SlowStartPeriod {
+		return 1
+	}
+	initial := s.spec.SlowStartInitialPace
+	return initial + (1-initial)*float64(age)/float64(s.spec.SlowStartPeriod)
+}
