--- a/internal/testbed/emulator/doc.go
+++ b/internal/testbed/emulator/doc.go
@@ -54,4 +54,14 @@
 //	offered      ended                 ended
 //	offered      offer accepted        accepted
 //	running      ended                 ended
+//
+// BGP peer:
+//
+//	closed       closed                closed
+//	closed       session ended         closed
+//	established  closed                closed
+//	established  session ended         listening
+//	established  session established   established
+//	listening    closed                closed
+//	listening    session established   established
 package emulator
--- a/internal/testbed/emulator/transitions_test.go
+++ b/internal/testbed/emulator/transitions_test.go
@@ -52,6 +52,9 @@
 	t.Run("container", func(t *testing.T) {
 		checkTransitions(t, "Container", containerTransitions, offerAccepted, startCompleted, containerGone)
 	})
+	t.Run("BGP peer", func(t *testing.T) {
+		checkTransitions(t, "BGP peer", peerTransitions, sessionEstablished, sessionEnded, peerWasClosed)
+	})
 }
 
 func TestMachineIsStartedCrashedAndClosed(t *testing.T) {
