--- a/internal/testbed/emulator/transitions_test.go
+++ b/internal/testbed/emulator/transitions_test.go
@@ -22,7 +22,7 @@
 			var illegal *TransitionError
 			switch next, legal := table[state][event]; {
 			case legal:
-				rows = append(rows, fmt.Sprintf("//\t%-13s%-22s%s\n", state, event, next))
+				rows = append(rows, fmt.Sprintf("//\t| %-11s | %-20s | %-11s |\n", state, event, next))
 				if _, known := table[next]; err != nil || m.state != next || !known {
 					t.Errorf("%s while %s leads to %s, %v", event, state, m.state, err)
 				}
