--- /dev/null
+++ b/internal/testbed/faultproxy/frame.go
@@ -0,0 +1,39 @@
+package faultproxy
+
+import (
+	"encoding/binary"
+	"io"
+	"net"
+
+	"glenport/internal/protocol"
+)
+
+const (
+	lengthPrefixSize = 4 // bytes before each frame
+	acceptFrameType  = 3 // first byte of an accept frame
+)
+
+// rawFrame is an encoded frame with its length prefix and at least one byte of payload.
+type rawFrame []byte
+
+func (f rawFrame) payload() []byte { return f[lengthPrefixSize:] }
+
+func (f rawFrame) isAccept() bool { return f[lengthPrefixSize] == acceptFrameType }
+
+// readFrame reads a frame without decoding it.
+func readFrame(conn net.Conn) (rawFrame, error) {
+	var prefix [lengthPrefixSize]byte
+	if _, err := io.ReadFull(conn, prefix[:]); err != nil {
+		return nil, err
+	}
+	size := binary.BigEndian.Uint32(prefix[:])
+	if size == 0 || size > protocol.MaxFrame {
+		return nil, io.ErrUnexpectedEOF
+	}
+	frame := make(rawFrame, lengthPrefixSize+size)
+	copy(frame, prefix[:])
+	if _, err := io.ReadFull(conn, frame.payload()); err != nil {
+		return nil, err
+	}
+	return frame, nil
+}
--- a/internal/testbed/faultproxy/proxy.go
+++ b/internal/testbed/faultproxy/proxy.go
@@ -119,7 +119,7 @@
 
 func (p *Proxy) hasOpenConnection(scheduler string) bool {
 	for c := range p.connections {
-		if c.scheduler == scheduler && !c.closeRecorded {
+		if c.scheduler == scheduler && c.state != connRecorded {
 			return true
 		}
 	}
--- a/internal/testbed/faultproxy/record.go
+++ b/internal/testbed/faultproxy/record.go
@@ -8,8 +8,6 @@
 	"fmt"
 	"io"
 	"os"
-	"sync"
-	"time"
 
 	"glenport/internal/protocol"
 	"glenport/scheduler"
@@ -18,9 +16,8 @@
 )
 
 const (
-	format        = "glenport record 1"
-	bufferSize    = 1 << 20 // bytes
-	recordingTick = 100 * time.Microsecond
+	format     = "glenport record 1"
+	bufferSize = 1 << 20 // bytes
 )
 
 // EntryKind says what an entry of a recording is about.
@@ -72,89 +69,12 @@
 // Unwrap returns the cause.
 func (e *FormatError) Unwrap() error { return e.Cause }
 
-// Writer writes a recording; any goroutine may use it. Entries are stamped and ordered at once, and encoded and written
-// by a goroutine of the writer: a slow disk must not delay the frames.
-type Writer struct {
-	startedAt time.Time
-	mu        sync.Mutex
-	pending   []Entry
-	wake      *sync.Cond
-	ended     bool
-	result    chan error
-}
-
-// Create begins a recording in a file. It sets the header's format.
-func Create(path string, header Header) (*Writer, error) {
-	file, err := os.Create(path)
-	if err != nil {
-		return nil, err
-	}
-	w := &Writer{startedAt: time.Now(), result: make(chan error, 1)}
-	w.wake = sync.NewCond(&w.mu)
-	header.Format = format
-	go func() { w.result <- w.writeAll(file, header) }()
-	return w, nil
-}
-
-// writeAll encodes pending entries until the end. It goes on after an error, so that nobody waits, and returns the
-// first.
-func (w *Writer) writeAll(file *os.File, header Header) error {
-	out := bufio.NewWriterSize(file, bufferSize)
-	encoder := cbor.NewEncoder(out)
-	firstErr := encoder.Encode(header)
-	for {
-		entries := w.takePending()
-		if len(entries) == 0 {
-			return errors.Join(firstErr, out.Flush(), file.Close())
-		}
-		for i := range entries {
-			if err := encoder.Encode(entries[i]); err != nil && firstErr == nil {
-				firstErr = err
-			}
-		}
-	}
-}
-
-// takePending waits for entries; none once the recording has ended.
-func (w *Writer) takePending() []Entry {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for len(w.pending) == 0 && !w.ended {
-		w.wake.Wait()
-	}
-	entries := w.pending
-	w.pending = nil
-	return entries
-}
-
-func (w *Writer) add(entry Entry) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	entry.At = int64(time.Since(w.startedAt) / recordingTick)
-	w.pending = append(w.pending, entry)
-	w.wake.Signal()
-}
-
-// RecordLifecycle records that a scheduler's process was killed or started.
-func (w *Writer) RecordLifecycle(kind EntryKind, schedulerName string) {
-	w.add(Entry{Kind: kind, Scheduler: schedulerName})
-}
-
-// Close ends the recording and returns the first error met in writing it.
-func (w *Writer) Close() error {
-	w.mu.Lock()
-	w.ended = true
-	w.wake.Signal()
-	w.mu.Unlock()
-	return <-w.result
-}
-
 // Read reads a recording's header, then calls each for every entry. It stops at the first error of each. A file of
 // another format is a *FormatError.
 func Read(path string, header *Header, each func(*Entry) error) error {
 	file, err := os.Open(path)
 	if err != nil {
-		return err
+		return fmt.Errorf("read a recording: %w", err)
 	}
 	defer func() { _ = file.Close() }() // it was only read
 	decoder := cbor.NewDecoder(bufio.NewReaderSize(file, bufferSize))
--- a/internal/testbed/faultproxy/record_test.go
+++ b/internal/testbed/faultproxy/record_test.go
@@ -26,123 +26,66 @@
 
 func goldenHeader() Header {
 	return Header{Format: "glenport record 1", DrainGrace: 1001, Slack: 1002, Config: scheduler.Config{
-		Seed:           1<<64 - 1,
-		SchedulerIndex: 2001,
-		SchedulerCount: 2002,
+		Seed: 1<<64 - 1, SchedulerIndex: 2001, SchedulerCount: 2002,
 		WorkloadClasses: []scheduler.WorkloadClass{
 			{
-				Idempotency:      scheduler.Idempotent,
-				DedupScope:       scheduler.ScopeNone,
-				DedupWindow:      3001,
-				LatencyObjective: 3002,
-				PlacementTimeout: 3003,
-				MachineType:      -1,
-				SpreadScope:      scheduler.ScopeMachine,
-				MaxPerScope:      3004,
-				PriorityWeight:   3005.5,
+				Idempotency: scheduler.Idempotent, DedupScope: scheduler.ScopeNone,
+				SpreadScope: scheduler.ScopeMachine, DedupWindow: 3001, LatencyObjective: 3002, PlacementTimeout: 3003,
+				MachineType: -1, MaxPerScope: 3004, PriorityWeight: 3005.5,
 			},
 			{
-				Idempotency:      scheduler.IdempotentWithKey,
-				DedupScope:       scheduler.ScopeRackGroup,
-				DedupWindow:      3011,
-				LatencyObjective: 3012,
-				PlacementTimeout: 3013,
-				MachineType:      3014,
-				SpreadScope:      scheduler.ScopeZone,
-				MaxPerScope:      3015,
-				PriorityWeight:   0.25,
+				Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeRackGroup,
+				SpreadScope: scheduler.ScopeZone, DedupWindow: 3011, LatencyObjective: 3012, PlacementTimeout: 3013,
+				MachineType: 3014, MaxPerScope: 3015, PriorityWeight: 0.25,
 			},
 			{
-				Idempotency:      scheduler.AtMostOnce,
-				DedupScope:       scheduler.ScopeFleet,
-				DedupWindow:      3021,
-				LatencyObjective: 3022,
-				PlacementTimeout: 3023,
-				MachineType:      3024,
-				SpreadScope:      scheduler.ScopeNone,
-				MaxPerScope:      3025,
-				PriorityWeight:   1,
+				Idempotency: scheduler.AtMostOnce, DedupScope: scheduler.ScopeFleet,
+				SpreadScope: scheduler.ScopeNone, DedupWindow: 3021, LatencyObjective: 3022, PlacementTimeout: 3023,
+				MachineType: 3024, MaxPerScope: 3025, PriorityWeight: 1,
 			},
 		},
-		MachineTypes:       []scheduler.MachineType{{Cores: 4001.5, Memory: 4002.5}, {Cores: 4003, Memory: 4004}},
-		Tenants:            []scheduler.Tenant{{QuotaCores: 5001.5}, {QuotaCores: 5002}},
-		OverQuotaWeight:    6001.5,
-		CoresOvercommit:    6002.5,
-		MemoryOvercommit:   6003.5,
-		MeanCores:          6004.5,
-		MeanMemory:         6005.5,
-		AcceptMeansRunning: true,
-		UsageReports:       false,
-		ListTracksRequests: true,
-		ProbesAllowed:      false,
-		MaxAttempts:        6006,
-		AnswerGrace:        6007,
-		ListOnRequest:      true,
-		ResyncInterval:     6008,
-		SlowStartPeriod:    6009,
-		SlowStartWindow:    6010,
-		SlowStartBudget:    6011,
+		MachineTypes:    []scheduler.MachineType{{Cores: 4001.5, Memory: 4002.5}, {Cores: 4003, Memory: 4004}},
+		Tenants:         []scheduler.Tenant{{QuotaCores: 5001.5}, {QuotaCores: 5002}},
+		OverQuotaWeight: 6001.5,
+		CoresOvercommit: 6002.5, MemoryOvercommit: 6003.5, MeanCores: 6004.5, MeanMemory: 6005.5,
+		AcceptMeansRunning: true, UsageReports: false, ListTracksRequests: true,
+		ProbesAllowed: false, ListOnRequest: true,
+		MaxAttempts: 6006, AnswerGrace: 6007, ResyncInterval: 6008,
+		SlowStartPeriod: 6009, SlowStartWindow: 6010, SlowStartBudget: 6011,
 	}}
 }
 
+func encodedFrame(t *testing.T, f protocol.Frame) []byte {
+	t.Helper()
+	data, err := protocol.Append(nil, f)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data[lengthPrefixSize:]
+}
+
+// connEntry is an entry on a connection, with a number of its own in each field, counted from at.
+func connEntry(at int64, kind EntryKind, peer protocol.Role, peerName string, frame []byte) Entry {
+	return Entry{
+		At: at, Kind: kind, ConnID: uint32(at + 1), Scheduler: fmt.Sprint("scheduler-", at+2),
+		Peer: peer, PeerName: fmt.Sprint(peerName, "-", at+3), Frame: frame,
+	}
+}
+
 func goldenEntries(t *testing.T) []Entry {
-	frame := func(f protocol.Frame) []byte {
-		p, err := protocol.Append(nil, f)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return p[4:]
+	t.Helper()
+	offer := &protocol.Offer{
+		AttemptID: 7015, Timeout: 7016,
+		Spec: protocol.ContainerSpec{ContainerID: "c", IdempotencyKey: "k", Service: "s"},
 	}
+	accept := &protocol.Accept{AttemptID: 7025, Running: true}
+	listError := &protocol.MachineListError{Message: "text 7035"}
 	return []Entry{
-		{
-			At:        7001,
-			Kind:      Opened,
-			ConnID:    7002,
-			Scheduler: "scheduler-7003",
-			Peer:      protocol.RoleMachine,
-			PeerName:  "machine-7004",
-		},
-		{
-			At:        7011,
-			Kind:      FromScheduler,
-			ConnID:    7012,
-			Scheduler: "scheduler-7013",
-			Peer:      protocol.RoleMachine,
-			PeerName:  "machine-7014",
-			Frame: frame(
-				&protocol.Offer{
-					AttemptID: 7015,
-					Timeout:   7016,
-					Spec:      protocol.ContainerSpec{ContainerID: "c", IdempotencyKey: "k", Service: "s"},
-				},
-			),
-		},
-		{
-			At:        7021,
-			Kind:      ToScheduler,
-			ConnID:    7022,
-			Scheduler: "scheduler-7023",
-			Peer:      protocol.RoleMachine,
-			PeerName:  "machine-7024",
-			Frame:     frame(&protocol.Accept{AttemptID: 7025, Running: true}),
-		},
-		{
-			At:        7031,
-			Kind:      Lost,
-			ConnID:    7032,
-			Scheduler: "scheduler-7033",
-			Peer:      protocol.RoleMachineList,
-			PeerName:  "list-7034",
-			Frame:     frame(&protocol.MachineListError{Message: "text 7035"}),
-		},
-		{
-			At:        7041,
-			Kind:      Closed,
-			ConnID:    7042,
-			Scheduler: "scheduler-7043",
-			Peer:      protocol.RoleClient,
-			PeerName:  "client-7044",
-		},
+		connEntry(7001, Opened, protocol.RoleMachine, "machine", nil),
+		connEntry(7011, FromScheduler, protocol.RoleMachine, "machine", encodedFrame(t, offer)),
+		connEntry(7021, ToScheduler, protocol.RoleMachine, "machine", encodedFrame(t, accept)),
+		connEntry(7031, Lost, protocol.RoleMachineList, "list", encodedFrame(t, listError)),
+		connEntry(7041, Closed, protocol.RoleClient, "client", nil),
 		{At: 7051, Kind: Killed, Scheduler: "scheduler-7053"},
 		{At: 7061, Kind: Started, Scheduler: "scheduler-7063", Peer: protocol.RoleScheduler},
 		{At: -1, Kind: 255, ConnID: 1<<32 - 1},
@@ -152,74 +95,39 @@
 // words lists what a record holds, by the names that the fields had when the format was made.
 func words(h Header, entries []Entry) string {
 	var out strings.Builder
-	terms := h.Config
-	fmt.Fprintf(&out, "Format %q, DrainGrace %d, Slack %d\n", h.Format, h.DrainGrace, h.Slack)
-	fmt.Fprintf(&out, "Seed %d, Me %d, Placers %d\n", terms.Seed, terms.SchedulerIndex, terms.SchedulerCount)
-	for _, w := range terms.WorkloadClasses {
-		fmt.Fprintf(
-			&out,
-			"Workload: Effect %d, Repeats %d, Window %d, Agreed %d, HardStop %d, Kind %d, Spread %d, Most %d, Gain %v\n",
-			w.Idempotency,
-			w.DedupScope,
-			w.DedupWindow,
-			w.LatencyObjective,
-			w.PlacementTimeout,
-			w.MachineType,
-			w.SpreadScope,
-			w.MaxPerScope,
-			w.PriorityWeight,
-		)
+	c := h.Config
+	row(&out, "Format %q, DrainGrace %d, Slack %d", h.Format, h.DrainGrace, h.Slack)
+	row(&out, "Seed %d, Me %d, Placers %d", c.Seed, c.SchedulerIndex, c.SchedulerCount)
+	for _, w := range c.WorkloadClasses {
+		row(&out, "Workload: Effect %d, Repeats %d, Window %d, Agreed %d, HardStop %d, Kind %d, "+
+			"Spread %d, Most %d, Gain %v",
+			w.Idempotency, w.DedupScope, w.DedupWindow, w.LatencyObjective, w.PlacementTimeout, w.MachineType,
+			w.SpreadScope, w.MaxPerScope, w.PriorityWeight)
 	}
-	for _, k := range terms.MachineTypes {
-		fmt.Fprintf(&out, "Kind: Cores %v, Memory %v\n", k.Cores, k.Memory)
+	for _, k := range c.MachineTypes {
+		row(&out, "Kind: Cores %v, Memory %v", k.Cores, k.Memory)
 	}
-	for _, c := range terms.Tenants {
-		fmt.Fprintf(&out, "Customer: Cores %v\n", c.QuotaCores)
+	for _, tenant := range c.Tenants {
+		row(&out, "Customer: Cores %v", tenant.QuotaCores)
 	}
-	fmt.Fprintf(
-		&out,
-		"OverShare %v, AcceptCores %v, AcceptMemory %v, MeanCores %v, MeanMemory %v\n",
-		terms.OverQuotaWeight,
-		terms.CoresOvercommit,
-		terms.MemoryOvercommit,
-		terms.MeanCores,
-		terms.MeanMemory,
-	)
-	fmt.Fprintf(
-		&out,
-		"YesRuns %t, UseNotes %t, ListedAsks %t, MayProbe %t, MostBids %d, AnswerGrace %d, ListOnAsk %t\n",
-		terms.AcceptMeansRunning,
-		terms.UsageReports,
-		terms.ListTracksRequests,
-		terms.ProbesAllowed,
-		terms.MaxAttempts,
-		terms.AnswerGrace,
-		terms.ListOnRequest,
-	)
-	fmt.Fprintf(
-		&out,
-		"AskWithin %d, ColdFor %d, ColdWindow %d, ColdBids %d\n",
-		terms.ResyncInterval,
-		terms.SlowStartPeriod,
-		terms.SlowStartWindow,
-		terms.SlowStartBudget,
-	)
+	row(&out, "OverShare %v, AcceptCores %v, AcceptMemory %v, MeanCores %v, MeanMemory %v",
+		c.OverQuotaWeight, c.CoresOvercommit, c.MemoryOvercommit, c.MeanCores, c.MeanMemory)
+	row(&out, "YesRuns %t, UseNotes %t, ListedAsks %t, MayProbe %t, MostBids %d, AnswerGrace %d, ListOnAsk %t",
+		c.AcceptMeansRunning, c.UsageReports, c.ListTracksRequests, c.ProbesAllowed, c.MaxAttempts, c.AnswerGrace,
+		c.ListOnRequest)
+	row(&out, "AskWithin %d, ColdFor %d, ColdWindow %d, ColdBids %d",
+		c.ResyncInterval, c.SlowStartPeriod, c.SlowStartWindow, c.SlowStartBudget)
 	for _, e := range entries {
-		fmt.Fprintf(
-			&out,
-			"Entry: At %d, Sort %d, Link %d, Placer %q, Far %d, Name %q, Frame %x\n",
-			e.At,
-			e.Kind,
-			e.ConnID,
-			e.Scheduler,
-			e.Peer,
-			e.PeerName,
-			e.Frame,
-		)
+		row(&out, "Entry: At %d, Sort %d, Link %d, Placer %q, Far %d, Name %q, Frame %x",
+			e.At, e.Kind, e.ConnID, e.Scheduler, e.Peer, e.PeerName, e.Frame)
 	}
 	return out.String()
 }
 
+func row(out *strings.Builder, format string, values ...any) {
+	fmt.Fprintf(out, format+"\n", values...)
+}
+
 func encoded(t *testing.T, h Header, entries []Entry) []byte {
 	t.Helper()
 	var out bytes.Buffer
