--- a/internal/simprotocol/actions.go
+++ b/internal/simprotocol/actions.go
@@ -26,7 +26,7 @@
 	case scheduler.SetTimer:
 		fmt.Fprintf(b, "AFTER %d %s %s\n", instance, formatMillis(a.After), a.Name)
 	case scheduler.WatchMachineList:
-		fmt.Fprintf(b, "WATCH %d %s\n", instance, formatBoolean(a.Enabled))
+		fmt.Fprintf(b, "WATCH %d %s\n", instance, booleanFields[a.Enabled])
 	case scheduler.FetchMachineList:
 		fmt.Fprintf(b, "FETCH %d\n", instance)
 	case scheduler.Log:
@@ -39,11 +39,4 @@
 	fmt.Fprintf(b, "FAULT %d %s\n", instance, singleLine(description))
 }
 
-func formatBoolean(value bool) string {
-	if value {
-		return "1"
-	}
-	return "0"
-}
-
 func singleLine(text string) string { return strings.Join(strings.Fields(text), " ") }
--- a/internal/simprotocol/decoder.go
+++ b/internal/simprotocol/decoder.go
@@ -17,6 +17,18 @@
 	maxMachineLists = 16
 )
 
+// Lines that are no events.
+const (
+	frameLine        = "FRAME"     // begins a frame
+	commitLine       = "COMMIT"    // ends a frame
+	machineListLine  = "SHEET"     // begins a machine list
+	machineEntryLine = "ITEM"      // of a machine list
+	configureLine    = "CONFIGURE" // starts an instance
+	killedLine       = "KILLED"    // stops an instance
+	updateLine       = "UPDATE"    // an update of the machine list
+	noteLine         = "NOTE_FROM" // from another scheduler: none is ever sent, and none is heeded
+)
+
 // Delivery is one message for one scheduler instance: an event, or the start or end of the instance.
 type Delivery struct {
 	Line     int // where it stands in the input, from 1
@@ -69,7 +81,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if line == "COMMIT" {
+		if line == commitLine {
 			return frame, nil
 		}
 		if err := d.decodeLine(frame, line); err != nil {
@@ -80,7 +92,7 @@
 
 func decodeFrameHeader(line string) (*Frame, error) {
 	f := newFieldReader(line)
-	if f.text() != "FRAME" {
+	if f.text() != frameLine {
 		return nil, ErrFrameExpected
 	}
 	frame := &Frame{Now: f.time(), Seq: f.text()}
@@ -108,22 +120,22 @@
 func (d *Decoder) decodeLine(frame *Frame, line string) error {
 	f := newFieldReader(line)
 	name := f.text()
-	if name == "SHEET" {
+	if name == machineListLine {
 		return d.decodeMachineList(f)
 	}
 	delivery := Delivery{Line: d.lineNumber, Instance: f.wholeNumber()}
 	switch name {
-	case "NOTE_FROM": // from another scheduler: none is ever sent, and none is heeded
+	case noteLine:
 		return nil
-	case "CONFIGURE":
+	case configureLine:
 		config, err := decodeConfigure(f)
 		if err != nil {
 			return err
 		}
 		delivery.Start = config
-	case "KILLED":
+	case killedLine:
 		delivery.Stop = true
-	case "UPDATE":
+	case updateLine:
 		update, err := d.decodeUpdate(f)
 		if err != nil {
 			return err
--- a/internal/simprotocol/decoder_test.go
+++ b/internal/simprotocol/decoder_test.go
@@ -10,7 +10,7 @@
 	"glenport/scheduler"
 )
 
-const configureLine = "CONFIGURE 3 51 me=1 balancers=3 family_info.admit_cores=2.0 family_info.mem_booking=1.5" +
+const sampleConfigure = "CONFIGURE 3 51 me=1 balancers=3 family_info.admit_cores=2.0 family_info.mem_booking=1.5" +
 	" family_info.unit_cores=0.96 family_info.unit_memory=1.73 family_info.yes_at=running" +
 	" family_info.use_notes=false family_info.view=true permissions.probes=true permissions.cancel=true" +
 	" permissions.max_attempts=4 registry_mode=on_request rules.ask_every_ms=10000.0 rules.cold_ms=17000.0" +
@@ -59,11 +59,13 @@
 		line string
 		want scheduler.Event
 	}{
+		{machineListLines + "UPDATE 3 Persisted 41 0", scheduler.MachineListUpdate{
+			Mode: scheduler.RestoredSnapshot, Version: 41, Entries: []scheduler.MachineEntry{entry},
+		}},
 		{
-			machineListLines + "UPDATE 3 Persisted 41 0",
-			scheduler.MachineListUpdate{Mode: scheduler.RestoredSnapshot, Version: 41, Entries: []scheduler.MachineEntry{entry}},
+			machineListLines + "SHEET 0 0\nUPDATE 3 Complete 42 0",
+			scheduler.MachineListUpdate{Mode: scheduler.FullSnapshot, Version: 42},
 		},
-		{machineListLines + "SHEET 0 0\nUPDATE 3 Complete 42 0", scheduler.MachineListUpdate{Mode: scheduler.FullSnapshot, Version: 42}},
 		{"UPDATE 3 Error 0 -", scheduler.MachineListUpdate{Mode: scheduler.UpdateFailed}},
 		{"PENDING 3 r-1 2 17 t:k 1 1.5 2 8652.25 c:s 12.0", scheduler.RequestReceived{PlacementRequest: request}},
 		{
@@ -103,7 +105,7 @@
 }
 
 func TestConfigureIsDecoded(t *testing.T) {
-	got, err := readDeliveries("FRAME 1 1\n" + configureLine + "\nCOMMIT\n")
+	got, err := readDeliveries("FRAME 1 1\n" + sampleConfigure + "\nCOMMIT\n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,6 +128,9 @@
 
 func TestInvalidInputIsRejectedWithItsLine(t *testing.T) {
 	frame := func(s string) string { return "FRAME 1 1\n" + s + "\nCOMMIT\n" }
+	configure := func(setting, value string) string {
+		return frame(strings.Replace(sampleConfigure, setting, value, 1))
+	}
 	for _, tc := range []struct {
 		name, lines, want string
 		matches           func(error) bool
@@ -137,17 +142,20 @@
 		{"no number", frame("CONFIRMED 3 r-1 0 m:1 soon"), `"soon" is no number`, isA[*ValueError]},
 		{"unknown outcome", frame("DONE 3 r-1 1 0 FINE m:1 - 1 -"), `"FINE" is not known`, isA[*ValueError]},
 		{"unknown list", frame("UPDATE 3 Complete 1 5"), `no list has the number "5"`, isA[*UnknownListError]},
-		{"too few entries", frame("SHEET 0 2\nITEM m:1 0 0 0 SERVING 1 1 1 -"), "breaks off after 1", isA[*ShortListError]},
+		{
+			"too few entries", frame("SHEET 0 2\nITEM m:1 0 0 0 SERVING 1 1 1 -"),
+			"breaks off after 1", isA[*ShortListError],
+		},
 		{"list without an end", "FRAME 1 1\nSHEET 0 2\n", "input ends inside a list", isA[*TruncatedError]},
 		{"list number", frame("SHEET 16 0"), "out of range", is(ErrListOutOfRange)},
 		{"cut line", "FRAME 1 1\nVANI", "line 2: input ends inside a line", isA[*TruncatedError]},
 		{"cut frame", "FRAME 1 1\nVANISHED 3 r-1\n", "input ends inside a frame", isA[*TruncatedError]},
 		{"setting missing", frame("CONFIGURE 3 51 me=0 balancers=3"), "is missing", isA[*SettingError]},
-		{"unknown word in a setting", frame(strings.Replace(configureLine, "safe", "sure", 1)), "is none of safe", isA[*SettingError]},
-		{"size of 0", frame(strings.Replace(configureLine, "unit_cores=0.96", "unit_cores=0", 1)), "is not above 0", isA[*SettingError]},
-		{"negative count of schedulers", frame(strings.Replace(configureLine, "balancers=3", "balancers=-3", 1)), "is no count", isA[*SettingError]},
+		{"unknown word in a setting", configure("safe", "sure"), "is none of safe", isA[*SettingError]},
+		{"size of 0", configure("unit_cores=0.96", "unit_cores=0"), "is not above 0", isA[*SettingError]},
+		{"negative count of schedulers", configure("balancers=3", "balancers=-3"), "is no count", isA[*SettingError]},
 		{"negative tenant", frame("PENDING 3 r-1 -1 0 t:k 0 1 1 10 c:s -"), "no whole number from 0", isA[*ValueError]},
-		{"short list in a setting", frame(strings.Replace(configureLine, "59.0,71.0", "59.0", 1)), "has 1 values, not 2", isA[*SettingError]},
+		{"short list in a setting", configure("59.0,71.0", "59.0"), "has 1 values, not 2", isA[*SettingError]},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			_, err := readDeliveries(tc.lines)
@@ -176,7 +184,7 @@
 
 // Whatever the input, the decoder returns frames, then the end of the input or an error that names a line.
 func FuzzDecoder(f *testing.F) {
-	f.Add("FRAME 1 1\n" + configureLine + "\n" + machineListLines + "UPDATE 3 Persisted 41 0\nCOMMIT\n")
+	f.Add("FRAME 1 1\n" + sampleConfigure + "\n" + machineListLines + "UPDATE 3 Persisted 41 0\nCOMMIT\n")
 	f.Add("FRAME 1 1\nDONE 3 r-1 1 0 GOOD m:1 - 18.5 x0:1.5\nVANISHED 3 r-1\nCOMMIT\n")
 	f.Fuzz(func(t *testing.T, s string) {
 		d := NewDecoder(strings.NewReader(s))
--- a/internal/simprotocol/fieldreader.go
+++ b/internal/simprotocol/fieldreader.go
@@ -10,6 +10,14 @@
 // absent stands on the wire for an optional field that is not set.
 const absent = "-"
 
+// The words for a boolean.
+const (
+	fieldFalse = "0"
+	fieldTrue  = "1"
+)
+
+var booleanFields = map[bool]string{false: fieldFalse, true: fieldTrue}
+
 // fieldReader decodes the fields of a line in order. It keeps the first error, so that it is checked once, by finish.
 type fieldReader struct {
 	remaining []string
@@ -101,10 +109,10 @@
 
 func (f *fieldReader) boolean() bool {
 	field := f.text()
-	if field != "1" && field != "0" {
+	if field != fieldTrue && field != fieldFalse {
 		f.fail(&ValueError{Value: field, Problem: "is neither 1 nor 0"})
 	}
-	return field == "1"
+	return field == fieldTrue
 }
 
 // loadReport decodes name:value pairs. A value that is absent is left out.
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"errors"
 	"flag"
-	"fmt"
 	"io"
 	"os"
 	"reflect"
@@ -35,147 +34,6 @@
 	}
 }
 
-// object is a value with its fields in words that stay when names in the code change; enumerations stand as numbers.
-type object = map[string]any
-
-// whole fails where a struct has more fields than are described: each is to be compared.
-func whole(t *testing.T, v any, o object) object {
-	t.Helper()
-	if n := reflect.TypeOf(v).NumField(); n != len(o) {
-		t.Errorf("%T has %d fields, %d are described", v, n, len(o))
-	}
-	return o
-}
-
-func describeRequest(t *testing.T, a scheduler.PlacementRequest) object {
-	return whole(t, a, object{
-		"id":       a.ID,
-		"key":      a.IdempotencyKey,
-		"service":  a.Service,
-		"class":    a.WorkloadClass,
-		"tenant":   a.Tenant,
-		"cores":    a.Cores,
-		"memory":   a.Memory,
-		"deadline": a.Deadline,
-		"runs for": a.ExpectedRuntime,
-		"retried":  a.ClientRetry,
-	})
-}
-
-func describeEntries(t *testing.T, entries []scheduler.MachineEntry) []object {
-	var out []object
-	for _, e := range entries {
-		out = append(out, whole(t, e, object{
-			"machine": e.Machine, "zone": e.Zone, "type": e.MachineType, "cell": e.RackGroup, "state": int(e.State),
-			"free cores": e.FreeCores, "free memory": e.FreeMemory, "power": e.PowerHint, "started at": e.StartedAt,
-		}))
-	}
-	return out
-}
-
-func describeEvent(t *testing.T, event scheduler.Event) object {
-	t.Helper()
-	var name string
-	var o object
-	switch e := event.(type) {
-	case scheduler.MachineListUpdate:
-		name, o = "UPDATE", whole(
-			t,
-			e,
-			object{"mode": int(e.Mode), "version": e.Version, "entries": describeEntries(t, e.Entries)},
-		)
-	case scheduler.RequestReceived:
-		name, o = "PENDING", whole(t, e, object{"request": describeRequest(t, e.PlacementRequest)})
-	case scheduler.ContainerAdopted:
-		name, o = "ALREADY_PLACED", whole(
-			t,
-			e,
-			object{"request": describeRequest(t, e.PlacementRequest), "machine": e.Machine},
-		)
-	case scheduler.AttemptAccepted:
-		name, o = "CONFIRMED", whole(
-			t,
-			e,
-			object{"id": e.ID, "attempt": e.Attempt, "machine": e.Machine, "took": e.Elapsed},
-		)
-	case scheduler.UsageReported:
-		name, o = "INTERIM", whole(
-			t,
-			e,
-			object{"id": e.ID, "machine": e.Machine, "attempt": e.Attempt, "sort": int(e.Metric), "amount": e.Value},
-		)
-	case scheduler.AttemptEnded:
-		name, o = "DONE", whole(t, e, object{
-			"id": e.ID, "final": e.Final, "attempt": e.Attempt, "outcome": int(e.Outcome), "machine": e.Machine,
-			"reason": int(e.Reason), "took": e.Elapsed, "report": e.Report,
-		})
-	case scheduler.ProbeCompleted:
-		name, o = "HEALTH_RESULT", whole(
-			t,
-			e,
-			object{"machine": e.Machine, "outcome": int(e.Outcome), "took": e.Elapsed, "report": e.Report},
-		)
-	case scheduler.TimerFired:
-		name, o = "TICK_DUE", whole(t, e, object{"timer": e.Name})
-	case scheduler.ContainerRemoved:
-		name, o = "VANISHED", whole(t, e, object{"id": e.ID})
-	default:
-		t.Fatalf("event %T is not described", event)
-	}
-	o["event"] = name
-	return o
-}
-
-func describeSettings(t *testing.T, s scheduler.Config) object {
-	t.Helper()
-	var classes, types, tenants []object
-	for _, w := range s.WorkloadClasses {
-		classes = append(classes, whole(t, w, object{
-			"effect": int(
-				w.Idempotency,
-			),
-			"group":    int(w.DedupScope),
-			"window":   w.DedupWindow,
-			"aim":      w.LatencyObjective,
-			"deadline": w.PlacementTimeout,
-			"type":     w.MachineType,
-			"spread":   int(w.SpreadScope),
-			"most":     w.MaxPerScope,
-			"credit":   w.PriorityWeight,
-		}))
-	}
-	for _, k := range s.MachineTypes {
-		types = append(types, whole(t, k, object{"cores": k.Cores, "memory": k.Memory}))
-	}
-	for _, c := range s.Tenants {
-		tenants = append(tenants, whole(t, c, object{"cores": c.QuotaCores}))
-	}
-	return whole(t, s, object{
-		"seed":                   s.Seed,
-		"me":                     s.SchedulerIndex,
-		"balancers":              s.SchedulerCount,
-		"classes":                classes,
-		"types":                  types,
-		"tenants":                tenants,
-		"over share":             s.OverQuotaWeight,
-		"admit cores":            s.CoresOvercommit,
-		"admit memory":           s.MemoryOvercommit,
-		"mean cores":             s.MeanCores,
-		"mean memory":            s.MeanMemory,
-		"yes when running":       s.AcceptMeansRunning,
-		"use notes":              s.UsageReports,
-		"entries tell free room": s.ListTracksRequests,
-		"probes":                 s.ProbesAllowed,
-		"attempts":               s.MaxAttempts,
-		"grace":                  s.AnswerGrace,
-		"list on request":        s.ListOnRequest,
-		"list every":             s.ResyncInterval,
-		"cold for":               s.SlowStartPeriod,
-		"cold window":            s.SlowStartWindow,
-		"cold offers":            s.SlowStartBudget,
-	})
-}
-
 func indented(t *testing.T, v any) []byte {
 	t.Helper()
 	b, err := json.MarshalIndent(v, "", " ")
@@ -264,13 +122,13 @@
 	" family_info.cpu_of_kind=26,41 family_info.kind_memory=59.5,71.25 family_info.class_kind=-1,1,0,1,0" +
 	" family_info.class_most=2,3,4,5,6 family_info.spread_over=silent,cell,machine,zone,cell" +
 	" classes.count=5 classes.0.effect=safe classes.0.aim_ms=700.0 classes.0.deadline_ms=6000.0 classes.0.credit=1.0" +
-	" classes.1.effect=keyed classes.1.aim_ms=710.0 classes.1.deadline_ms=6100.0 classes.1.credit=2.5 classes.1.group=zone" +
-	" classes.1.window_ms=8000.0" +
+	" classes.1.effect=keyed classes.1.aim_ms=710.0 classes.1.deadline_ms=6100.0 classes.1.credit=2.5" +
+	" classes.1.group=zone classes.1.window_ms=8000.0" +
 	" classes.2.effect=unsafe classes.2.aim_ms=720.0 classes.2.deadline_ms=6200.0 classes.2.credit=-3.0" +
-	" classes.3.effect=keyed classes.3.aim_ms=730.0 classes.3.deadline_ms=6300.0 classes.3.credit=4.0 classes.3.group=cell" +
-	" classes.3.window_ms=8100.0" +
-	" classes.4.effect=keyed classes.4.aim_ms=740.0 classes.4.deadline_ms=6400.0 classes.4.credit=5.0 classes.4.group=all" +
-	" classes.4.window_ms=8200.0" +
+	" classes.3.effect=keyed classes.3.aim_ms=730.0 classes.3.deadline_ms=6300.0 classes.3.credit=4.0" +
+	" classes.3.group=cell classes.3.window_ms=8100.0" +
+	" classes.4.effect=keyed classes.4.aim_ms=740.0 classes.4.deadline_ms=6400.0 classes.4.credit=5.0" +
+	" classes.4.group=all classes.4.window_ms=8200.0" +
 	" tenants.count=2 family_info.quota_cores=100.5,200.25 a.new.key=what_is_this"
 
 // TestSettingsAreUnchanged compares every value of the settings: all set, and those that may be absent absent.
@@ -282,40 +140,14 @@
 			return slices.Contains(keys, key)
 		})
 	}
-	pushed := append(
-		without(
-			"registry_mode",
-			"rules.ask_every_ms",
-			"over_share_worth",
-			"family_info.yes_at",
-			"family_info.use_notes",
-			"family_info.view",
-			"permissions.probes",
-			"tenants.count",
-		),
-		"registry_mode=pushed",
-		"family_info.yes_at=accepted",
-		"family_info.use_notes=false",
-		"family_info.view=false",
-		"permissions.probes=false",
-	)
-	noClasses := append(
-		without(
-			"classes.count",
-			"family_info.class_kind",
-			"family_info.class_most",
-			"family_info.spread_over",
-			"family_info.cpu_of_kind",
-			"family_info.kind_memory",
-			"family_info.quota_cores",
-		),
-		"classes.count=0",
-		"family_info.class_kind=-",
-		"family_info.class_most=",
-		"family_info.spread_over=-",
-		"family_info.cpu_of_kind=",
-		"family_info.kind_memory=-",
-	)
+	pushed := without("registry_mode", "rules.ask_every_ms", "over_share_worth", "family_info.yes_at",
+		"family_info.use_notes", "family_info.view", "permissions.probes", "tenants.count")
+	pushed = append(pushed, "registry_mode=pushed", "family_info.yes_at=accepted", "family_info.use_notes=false",
+		"family_info.view=false", "permissions.probes=false")
+	noClasses := without("classes.count", "family_info.class_kind", "family_info.class_most", "family_info.spread_over",
+		"family_info.cpu_of_kind", "family_info.kind_memory", "family_info.quota_cores")
+	noClasses = append(noClasses, "classes.count=0", "family_info.class_kind=-", "family_info.class_most=",
+		"family_info.spread_over=-", "family_info.cpu_of_kind=", "family_info.kind_memory=-")
 	var got []object
 	for i, pairs := range [][]string{all, pushed, noClasses} {
 		s, err := ParseSettings(uint64(1)<<63+uint64(i), pairs)
@@ -333,89 +165,13 @@
 // setFields fails where a field of the settings has its zero value: one that is never set is never compared.
 func setFields(t *testing.T, settings reflect.Value) {
 	t.Helper()
-	for i := range settings.NumField() {
-		if settings.Field(i).IsZero() {
-			t.Errorf("%s is not set", settings.Type().Field(i).Name)
+	for field, value := range settings.Fields() {
+		if value.IsZero() {
+			t.Errorf("%s is not set", field.Name)
 		}
 	}
 }
 
-// TestFaultySettingsAreRefusedAsBefore leaves each setting out and gives it values of a wrong sort, and compares the
-// errors.
-func TestFaultySettingsAreRefusedAsBefore(t *testing.T) {
-	all := strings.Fields(fullSettings)
-	var got bytes.Buffer
-	try := func(change string, pairs []string) {
-		if _, err := ParseSettings(1, pairs); err != nil {
-			fmt.Fprintf(&got, "%s: error: %v\n", change, err)
-		} else {
-			fmt.Fprintf(&got, "%s: accepted\n", change)
-		}
-	}
-	for i, pair := range all {
-		key, _, _ := strings.Cut(pair, "=")
-		try("without "+key, slices.Delete(slices.Clone(all), i, i+1))
-		for _, value := range []string{"", "-", "x", "0", "-1", "1.5", "99", "NaN", "Inf", "1e15", "10000001", "0,0,0,0,0,0", "0,1,2,0,1", "x,x"} {
-			pairs := slices.Clone(all)
-			pairs[i] = key + "=" + value
-			try(pairs[i], pairs)
-		}
-		pairs := slices.Clone(all)
-		pairs[i] = key
-		try(fmt.Sprintf("%q", key), pairs)
-	}
-	try("none", nil)
-	golden(t, "faulty-settings.txt", got.Bytes())
-}
-
-// TestFaultyMessagesAreRefusedAsBefore cuts each message short, adds a field, spoils each field, and compares the
-// errors.
-func TestFaultyMessagesAreRefusedAsBefore(t *testing.T) {
-	var got bytes.Buffer
-	try := func(shown, in string) {
-		d := NewDecoder(strings.NewReader(in))
-		for {
-			if _, err := d.Next(); errors.Is(err, io.EOF) {
-				fmt.Fprintf(&got, "%q: accepted\n", shown)
-				return
-			} else if err != nil {
-				fmt.Fprintf(&got, "%q: error: %v\n", shown, err)
-				return
-			}
-		}
-	}
-	const sheet = "SHEET 0 1\nITEM m:1 0 1 2 SERVING 3.5 1 12 6100.05\n"
-	for _, line := range []string{
-		"UPDATE 3 Partial 41 0", "UPDATE 3 Error 41 -", "PENDING 0 r-1 2 17 t:k 1 1.5 2.25 8652.25 c:s 12.05",
-		"ALREADY_PLACED 3 r-1 c:s 8652.25 1 2.25 t:k 2 1.5 16 12.05 m:1", "CONFIRMED 3 r-1 2 m:1 18.55", "INTERIM 3 r-1 m:1 2 1 0.5",
-		"DONE 3 r-1 1 2 GOOD m:1 3 18.55 x0:1.5", "HEALTH_RESULT 3 m:1 GOOD 250.05 cpu:0.5", "TICK_DUE 3 sweep", "NOTE_FROM 3 x",
-		"VANISHED 3 r-1", "KILLED 3", "WHAT 3", "CONFIGURE 3 51 me=0", "SHEET 1 0", "ITEM m:1 0 1 2 SERVING 3.5 1 12 6100.05",
-	} {
-		words := strings.Split(line, " ")
-		frame := func(line string) { try(line, "FRAME 1 1\n"+sheet+line+"\nCOMMIT\n") }
-		for n := range words {
-			frame(strings.Join(words[:n], " "))
-			for _, bad := range []string{"", "-", "?", "-1", "1.5", "16", "a:b"} {
-				spoilt := slices.Clone(words)
-				spoilt[n] = bad
-				frame(strings.Join(spoilt, " "))
-			}
-		}
-		frame(line + " more")
-		try(line+", then the end inside the line", "FRAME 1 1\n"+sheet+line)
-		try(line+", then the end inside the frame", "FRAME 1 1\n"+sheet+line+"\n")
-	}
-	for _, in := range []string{
-		"", "\n", "FRAME 1 1", "FRAME 1 1\n", "FRAME\nCOMMIT\n", "FRAME x 1\nCOMMIT\n", "FRAME 1\nCOMMIT\n", "FRAME 1 1 1\nCOMMIT\n",
-		"FRAME 1e15 1\nCOMMIT\n", "FRAME -1 1\nCOMMIT\n", "COMMIT\n", "FRAME 1 1\nCOMMIT", "FRAME 1 1\nCOMMIT\nFRAME 2 2\n",
-		"FRAME 1 1\nSHEET 0 2\nITEM m:1 0 0 0 SERVING 1 1 1 -\nCOMMIT\n", "FRAME 1 1\nSHEET 0 2\n", "FRAME 1 1\nSHEET 0 1\nITEM m:1\n",
-		"FRAME 1 1\nSHEET 0 1\nITEM m:1 0 0 0 GONE 1 1 1 -\n", "FRAME 1 1\n" + strings.Repeat("x", 200) + "\n", "FRAME 1 1\n\nCOMMIT\n",
-	} {
-		try(in, in)
-	}
-	golden(t, "faulty-messages.txt", got.Bytes())
-}
-
 // TestOutgoingMessagesAreUnchanged compares the bytes of every message that goes out, with every field set and absent.
 func TestOutgoingMessagesAreUnchanged(t *testing.T) {
 	var got bytes.Buffer
--- a/internal/simprotocol/machinelist.go
+++ b/internal/simprotocol/machinelist.go
@@ -40,7 +40,7 @@
 			return err
 		}
 		f := newFieldReader(line)
-		if f.text() != "ITEM" {
+		if f.text() != machineEntryLine {
 			return &ShortListError{Want: count, Got: len(entries)}
 		}
 		entry := decodeMachineEntry(f)
--- a/scheduler/containerregistry.go
+++ b/scheduler/containerregistry.go
@@ -36,16 +36,12 @@
 
 // add returns nil for a workload class that the configuration does not have.
 func (r *containerRegistry) add(request PlacementRequest) *container {
-	if request.WorkloadClass >= len(r.classes) {
+	c := r.hypothetical(request)
+	if c == nil {
 		return nil
 	}
-	owner := r.services[request.Service]
-	if owner == nil {
-		owner = &service{name: request.Service, hash: hash(request.Service), reservations: map[*machine]int{}}
-		r.services[request.Service] = owner
-	}
-	owner.containers++
-	c := &container{request: request, class: &r.classes[request.WorkloadClass], service: owner}
+	c.service.containers++
+	r.services[request.Service] = c.service
 	r.containers[request.ID] = c
 	return c
 }
@@ -58,7 +54,7 @@
 	}
 	owner := r.services[request.Service]
 	if owner == nil {
-		owner = &service{}
+		owner = &service{name: request.Service, hash: hash(request.Service), reservations: map[*machine]int{}}
 	}
 	return &container{request: request, class: &r.classes[request.WorkloadClass], service: owner}
 }
--- a/scheduler/eligibility.go
+++ b/scheduler/eligibility.go
@@ -13,6 +13,11 @@
 	slowStartExhausted
 )
 
+// lasts tells whether the obstacle is in the machine itself, and does not pass with time or other containers.
+func (o obstacle) lasts() bool {
+	return o == wrongMachineType || o == notServing || o == tooSmall
+}
+
 // eligibility holds the filters that come before the draw. They are yes or no: nothing that passes them has better
 // odds for it.
 type eligibility struct {
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -28,8 +28,8 @@
 // countFor returns the count that a machine falls under. A lack of room comes before passing obstacles.
 func (e *explainer) countFor(x *Explanation, c *container, m *machine, now Time) *int {
 	first := e.eligibility.firstObstacle(c, m, now)
-	if count := lastingObstacleCount(x, first); count != nil {
-		return count
+	if first.lasts() {
+		return obstacleCount(x, first)
 	}
 	switch e.eligibility.shortageFor(c, m) {
 	case shortOfCores:
@@ -38,8 +38,8 @@
 		return &x.InsufficientMemory
 	case noShortage:
 	}
-	if count := passingObstacleCount(x, first); count != nil {
-		return count
+	if first != noObstacle {
+		return obstacleCount(x, first)
 	}
 	switch suspicionLevelOf(m, e.classes.classesOf(c), e.classes, now) {
 	case ejected:
@@ -51,8 +51,7 @@
 	return &x.Eligible
 }
 
-// lastingObstacleCount returns nil for obstacles that pass.
-func lastingObstacleCount(x *Explanation, o obstacle) *int {
+func obstacleCount(x *Explanation, o obstacle) *int {
 	switch o {
 	case wrongMachineType:
 		return &x.WrongMachineType
@@ -60,21 +59,13 @@
 		return &x.Draining
 	case tooSmall:
 		return &x.TooSmall
-	default:
-		return nil
-	}
-}
-
-// passingObstacleCount returns nil for obstacles that last.
-func passingObstacleCount(x *Explanation, o obstacle) *int {
-	switch o {
 	case selfDraining:
 		return &x.SelfDraining
 	case spreadExhausted:
 		return &x.SpreadExhausted
 	case slowStartExhausted:
 		return &x.SlowStartExhausted
-	default:
-		return nil
+	case noObstacle:
 	}
+	return &x.Eligible
 }
