--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -22,9 +22,10 @@
 //	loadShedder           rejects requests of low priority                        shedding.go
 //	listPoller            when the machine list is polled                         listpoller.go
 //	deadlineTimer         answers what has no outcome at its deadline             deadlines.go
+//	explainer             says why a request finds no machine                     explain.go
 //
 // The coordinator's own steps are in scheduler.go (events and maintenance) and attempts.go (containers from the request
-// to the outcome); explain.go and snapshot.go answer questions.
+// to the outcome); snapshot.go gives a later incarnation what this one has learned.
 //
 // A machine passes from event to decision as follows: the filters leave out where a container may not go; among the
 // rest, those with the lowest suspicion level are drawn from, with odds proportional to honored maximum capacity.
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -88,7 +88,7 @@
 // fail records failures of a machine, one after the other.
 func (s *Scheduler) fail(m *machine, failures int) {
 	for range failures {
-		s.outliers.recordFailure(m, s.now)
+		s.prober.outliers.recordFailure(m, s.now)
 	}
 }
 
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -19,9 +19,7 @@
 
 	machines   *machineRegistry
 	containers *containerRegistry
-	quotas     *tenantQuotas
 	slowStart  *slowStartLimiter
-	outliers   *outlierDetector
 	classes    *classFailureDetector
 	shedder    *loadShedder
 	poller     *listPoller
@@ -52,9 +50,7 @@
 		random:     random,
 		machines:   newMachineRegistry(&config, slowStart, actions),
 		containers: newContainerRegistry(config.WorkloadClasses, quotas),
-		quotas:     quotas,
 		slowStart:  slowStart,
-		outliers:   outliers,
 		classes:    classes,
 		shedder:    shedder,
 		poller:     newListPoller(&config, random),
--- a/scheduler/shedding_test.go
+++ b/scheduler/shedding_test.go
@@ -30,7 +30,7 @@
 			config.Tenants = []Tenant{{QuotaCores: 50}, {QuotaCores: 50}}
 			s, rejected := testScheduler(config), 0
 			for i := range 1000 {
-				s.quotas.cores[0], s.quotas.cores[1] = 20, 80
+				s.shedder.quotas.cores = []float64{20, 80}
 				s.shedder.fullRatio = tc.fullRatio
 				s.shedder.rejectedWeight = tc.fullRatio * config.WorkloadClasses[1].PriorityWeight
 				request := smallRequest(ContainerID(strconv.Itoa(i)), "s", 5*Second)
