--- a/internal/schedulerd/clientconn_test.go
+++ b/internal/schedulerd/clientconn_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"fmt"
-	"net"
 	"strings"
 	"testing"
 	"time"
@@ -14,14 +13,8 @@
 // goodbyeTo sends bytes to the server, one by one, and returns the reason of its Goodbye.
 func goodbyeTo(t *testing.T, address string, sent []byte, pause time.Duration) string {
 	t.Helper()
-	c, err := net.Dial("tcp", address)
-	if err != nil {
-		t.Fatal(err)
-	}
+	c := dial(t, address)
 	defer closeAgain(c)
-	if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
-		t.Fatal(err)
-	}
 	skipFrame(c) // the hello
 	go func() {
 		for i := range sent {
@@ -41,9 +34,7 @@
 func encodedHello(t *testing.T, role protocol.Role) []byte {
 	t.Helper()
 	encoded, err := protocol.Append(nil, protocol.NewHello(role, "peer", 1))
-	if err != nil {
-		t.Fatal(err)
-	}
+	noError(t, err)
 	return encoded
 }
 
@@ -59,6 +50,7 @@
 	if reply.ContainerID != "z" || !strings.Contains(reply.Message, "2 containers are open") || reply.RetryAfter == 0 {
 		t.Errorf("got %+v", reply)
 	}
+	endless := bytes.Repeat([]byte{0, 0, 0xf0, 0}, 100)
 	fromScheduler := func(more ...byte) []byte { return append(encodedHello(t, protocol.RoleScheduler), more...) }
 	for _, tc := range []struct {
 		name  string
@@ -70,7 +62,7 @@
 		{"a machine", encodedHello(t, protocol.RoleMachine), 0, "no business at this door"},
 		{"oversize", fromScheduler(0, 0xff, 0, 0), 0, "over the limit of 65536"},
 		{"a frame for machines", fromScheduler(0, 0, 0, 3, 7, 0x81, 1), 0, "not for the door"},
-		{"one byte at a time, without end", fromScheduler(bytes.Repeat([]byte{0, 0, 0xf0, 0}, 100)...), 50 * time.Millisecond, "half a frame"},
+		{"one byte at a time, without end", fromScheduler(endless...), 50 * time.Millisecond, "half a frame"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := goodbyeTo(t, h.server.Addr(), tc.sent, tc.pause); !strings.Contains(got, tc.want) {
@@ -79,16 +71,9 @@
 		})
 	}
 	dialClient(t, h.server.Addr()) // the second
-	if got := goodbyeTo(
-		t,
-		h.server.Addr(),
-		encodedHello(t, protocol.RoleClient),
-		0,
-	); !strings.Contains(
-		got,
-		"2 owners are connected",
-	) {
-		t.Errorf("a third client gets %q", got)
+	third := goodbyeTo(t, h.server.Addr(), encodedHello(t, protocol.RoleClient), 0)
+	if !strings.Contains(third, "2 owners are connected") {
+		t.Errorf("a third client gets %q", third)
 	}
 	sendFrames(h.client, &protocol.CancelContainer{ContainerID: "x"})
 	if reply := h.client.wantReply(protocol.VerdictFailed); reply.ContainerID != "x" {
--- a/internal/schedulerd/discovery_test.go
+++ b/internal/schedulerd/discovery_test.go
@@ -22,17 +22,21 @@
 	third chan<- int64,
 ) string {
 	t.Helper()
-	entry := func(machine string, state protocol.MachineState) []protocol.MachineEntry {
-		return []protocol.MachineEntry{{Machine: machine, Address: "127.0.0.1:1", State: state, Age: -1}}
-	}
+	first := fullList(5, protocol.MachineEntry{
+		Machine: "a", Address: "127.0.0.1:1", State: protocol.MachineDraining, Age: -1,
+	})
+	last := fullList(7, protocol.MachineEntry{Machine: "b", Address: "127.0.0.1:1", Age: -1})
 	var connections atomic.Int32
 	return listenTCP(t, func(c net.Conn) {
 		n := connections.Add(1)
-		if n == 1 {
-			sendFrames(c, protocol.NewHello(protocol.RoleMachineList, "list", 1))
-		} else {
-			sendFrames(c, protocol.NewHello(protocol.RoleMachineList, "list", incarnation))
+		hello, update := protocol.NewHello(protocol.RoleMachineList, "list", incarnation), last
+		switch n {
+		case 1:
+			hello, update = listHello(), first
+		case 2:
+			update = second
 		}
+		sendFrames(c, hello)
 		skipFrame(c)
 		f, err := receiveFrame(c)
 		if err != nil {
@@ -41,35 +45,27 @@
 		if n == 3 {
 			third <- f.(*protocol.WatchMachineList).SinceVersion
 		}
-		switch n {
-		case 1:
-			sendFrames(
-				c,
-				&protocol.MachineListUpdate{
-					FullSnapshot: true,
-					Version:      5,
-					Entries:      entry("a", protocol.MachineDraining),
-				},
-			)
-		case 2:
-			sendFrames(c, second)
-		default:
-			sendFrames(
-				c,
-				&protocol.MachineListUpdate{
-					FullSnapshot: true,
-					Version:      7,
-					Entries:      entry("b", protocol.MachineServing),
-				},
-			)
-		}
+		sendFrames(c, update)
 		skipFrame(c)
 	})
 }
 
+// requestAnew resets the connection to the list service, and asks on a new one.
+func requestAnew(server *Server) {
+	runOnLoop(server, func() {
+		d := server.discovery
+		if d.conn != nil {
+			d.awaitingReply = false
+			d.conn.Reset()
+		}
+		d.watch(true)
+	})
+}
+
 // A list that is older than the last one, or of another incarnation of its service, is not applied. The service is
 // asked again, for the full list if it has restarted.
 func TestOlderMachineListIsNotApplied(t *testing.T) {
+	modes := []scheduler.UpdateMode{scheduler.FullSnapshot, scheduler.UpdateFailed, scheduler.FullSnapshot}
 	for _, tc := range []struct {
 		name        string
 		incarnation uint64 // of the service from the second connection on
@@ -85,15 +81,8 @@
 			settings.MachineListAddr = serveThreeUpdates(t, tc.incarnation, &tc.update, third)
 			script := newScript(nil)
 			server := runServer(t, settings, script)
-			for i, want := range []scheduler.UpdateMode{scheduler.FullSnapshot, scheduler.UpdateFailed, scheduler.FullSnapshot} {
-				server.loop.Post(func() {
-					d := server.discovery
-					if d.conn != nil {
-						d.awaitingReply = false
-						d.conn.Reset()
-					}
-					d.watch(true)
-				})
+			for i, want := range modes {
+				requestAnew(server)
 				if update := awaitList(t, script); update.Mode != want {
 					t.Fatalf("request %d: mode %d, version %d", i+1, update.Mode, update.Version)
 				}
@@ -105,63 +94,69 @@
 	}
 }
 
+// flakyList is a list service that may be away. It reports the version since which updates are requested.
+type flakyList struct {
+	away      atomic.Bool
+	requested chan int64
+	list      *protocol.MachineListUpdate
+}
+
+func (l *flakyList) serve(c net.Conn) {
+	if l.away.Load() {
+		return
+	}
+	sendFrames(c, listHello())
+	handleFrames(c, func(c net.Conn, f protocol.Frame) bool {
+		if l.away.Load() {
+			return false
+		}
+		if w, ok := f.(*protocol.WatchMachineList); ok {
+			l.requested <- w.SinceVersion
+			sendFrames(c, l.list)
+		}
+		return true
+	})
+}
+
+func (l *flakyList) awaitRequest(t *testing.T, since int64) {
+	t.Helper()
+	select {
+	case got := <-l.requested:
+		if got != since {
+			t.Fatalf("updates since %d were requested, want since %d", got, since)
+		}
+	case <-time.After(testTimeout):
+		t.Fatalf("the list is not requested in %v", testTimeout)
+	}
+}
+
 // A machine hello with a new incarnation while the list service is unreachable does not end the requests for the list:
 // they go on until the service answers.
 func TestListIsRequestedAgainAfterMachineHello(t *testing.T) {
 	machineAddress, hello, _ := serveSlowMachine(t, "a")
 	entry := protocol.MachineEntry{Machine: "a", Address: machineAddress, Incarnation: 1, Age: -1}
-	var away atomic.Bool
-	requested := make(chan int64, 100) // the version since which updates are requested
+	service := &flakyList{requested: make(chan int64, 100), list: fullList(5, entry)}
 	settings := testConfig(t)
-	settings.ConnectTimeout, settings.Policy.ResyncInterval, settings.Policy.SchedulerCount = 10*eventloop.Second, scheduler.Second, 1
-	settings.MachineListAddr = listenTCP(t, func(c net.Conn) {
-		if away.Load() {
-			return
-		}
-		sendFrames(c, protocol.NewHello(protocol.RoleMachineList, "list", 1))
-		for {
-			f, err := receiveFrame(c)
-			if err != nil || away.Load() {
-				return
-			}
-			if w, ok := f.(*protocol.WatchMachineList); ok {
-				requested <- w.SinceVersion
-				sendFrames(
-					c,
-					&protocol.MachineListUpdate{
-						FullSnapshot: true,
-						Version:      5,
-						Entries:      []protocol.MachineEntry{entry},
-					},
-				)
-			}
-		}
-	})
+	settings.ConnectTimeout = 10 * eventloop.Second
+	settings.Policy.ResyncInterval, settings.Policy.SchedulerCount = scheduler.Second, 1
+	settings.MachineListAddr = listenTCP(t, service.serve)
 	server := runServer(t, settings, scheduler.New(settings.Policy))
-	awaitRequest := func(since int64) {
-		t.Helper()
-		select {
-		case got := <-requested:
-			if got != since {
-				t.Fatalf("updates since %d were requested, want since %d", got, since)
-			}
-		case <-time.After(testTimeout):
-			t.Fatalf("the list is not requested in %v", testTimeout)
-		}
-	}
-	awaitRequest(0)
+	service.awaitRequest(t, 0)
 	eventuallyOnLoop(t, server, func() bool { return server.discovery.version == 5 })
-	away.Store(true)
+	service.away.Store(true)
 	runOnLoop(server, func() { server.discovery.conn.Reset() })
 	eventuallyOnLoop(t, server, func() bool { return server.discovery.conn == nil && !server.discovery.awaitingReply })
 	hello <- 2
 	eventuallyOnLoop(t, server, func() bool { return server.machines.find("a").selfReported })
-	away.Store(false)
-	awaitRequest(5)
+	service.away.Store(false)
+	service.awaitRequest(t, 5)
 }
 
 func TestFaultsOfTheListServiceAreTyped(t *testing.T) {
 	d := &discoveryClient{serviceIncarnation: 1, version: 5}
+	hello := func(incarnation uint64) protocol.Frame {
+		return protocol.NewHello(protocol.RoleMachineList, "list", incarnation)
+	}
 	for _, tc := range []struct {
 		name  string
 		frame protocol.Frame
@@ -171,8 +166,8 @@
 		{"another role", protocol.NewHello(protocol.RoleMachine, "a", 1), errUnexpectedPeer},
 		{"a goodbye", &protocol.Goodbye{Message: "maintenance"}, errPeerGoodbye},
 		{"a frame for machines", &protocol.Probe{Seq: 1}, errUnexpectedFrame},
-		{"a restart", protocol.NewHello(protocol.RoleMachineList, "list", 2), errListRestarted}, // forgets the version
-		{"the first hello of an incarnation without a version", protocol.NewHello(protocol.RoleMachineList, "list", 3), nil},
+		{"a restart", hello(2), errListRestarted}, // forgets the version
+		{"the first hello of an incarnation without a version", hello(3), nil},
 	} {
 		if err := d.handleFrame(tc.frame); !errors.Is(err, tc.want) {
 			t.Errorf("%s: %v, want %v", tc.name, err, tc.want)
--- a/internal/schedulerd/errors_test.go
+++ b/internal/schedulerd/errors_test.go
@@ -43,7 +43,8 @@
 			"AskStatus is not for a placer", "unexpected frame: AskStatus",
 		},
 		{
-			"a machine instead of a client", client.handleFrame, protocol.NewHello(protocol.RoleMachine, "a", 1), errUnexpectedPeer,
+			"a machine instead of a client", client.handleFrame,
+			protocol.NewHello(protocol.RoleMachine, "a", 1), errUnexpectedPeer,
 			"a machine has no business at this door", "unexpected peer: machine",
 		},
 		{
--- a/internal/schedulerd/faultydir_test.go
+++ b/internal/schedulerd/faultydir_test.go
@@ -69,17 +69,11 @@
 func countRecords(t *testing.T, path, kind string) (n int) {
 	t.Helper()
 	d, err := vfs.OpenLocked(path)
-	if err != nil {
-		t.Fatal(err)
-	}
+	noError(t, err)
 	defer closeAgain(d)
 	records, err := wal.Load(d, false)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := records.ForEach(kind, func(string, []byte) error { n++; return nil }); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, err)
+	noError(t, records.ForEach(kind, func(string, []byte) error { n++; return nil }))
 	return n
 }
 
@@ -87,8 +81,6 @@
 func copyState(t *testing.T, path string) string {
 	t.Helper()
 	to := t.TempDir()
-	if err := os.CopyFS(to, os.DirFS(path)); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, os.CopyFS(to, os.DirFS(path)))
 	return to
 }
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -6,19 +6,18 @@
 	"encoding/json"
 	"flag"
 	"fmt"
+	"maps"
 	"math"
 	"os"
 	"path/filepath"
 	"reflect"
-	"sort"
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
 
 	"glenport/internal/protocol"
-	"glenport/internal/schedulerd/overload"
 	"glenport/internal/schedulerd/reconcile"
-	"glenport/internal/schedulerd/recovery"
 	"glenport/internal/schedulerd/warmstart"
 	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
@@ -44,144 +43,25 @@
 
 var update = flag.Bool("update", false, "write the golden stored data anew with the program as it is")
 
-func goldenRequest(n float64, id string) scheduler.PlacementRequest {
-	return scheduler.PlacementRequest{
-		ID:              scheduler.ContainerID("container-" + id),
-		IdempotencyKey:  "key-" + id,
-		Service:         "service-" + id,
-		WorkloadClass:   10 + int(n),
-		Tenant:          20 + int(n),
-		Cores:           n + 0.25,
-		Memory:          n + 0.5,
-		Deadline:        scheduler.Time(1000 + n),
-		ExpectedRuntime: scheduler.Time(2000 + n),
-		ClientRetry:     true,
-	}
-}
-
-// Attempts by number. Number 3 is deleted again by the log.
-var goldenAttempts = []reconcile.Attempt{
-	{Request: goldenRequest(1, "one"), Machine: "machine-one", Incarnation: 101, Number: 0x11, Running: true},
-	{Request: goldenRequest(2, "two"), Machine: "machine-two", Incarnation: 102, Number: 0x22, Running: true},
-	{Request: goldenRequest(3, "three"), Machine: "machine-three", Incarnation: 103, Number: 0x33, Running: true},
-	{
-		Request:     goldenRequest(4, "four"),
-		Machine:     "machine-four",
-		Incarnation: 104,
-		Number:      0x1122334455667788,
-		Running:     true,
-	},
-}
-
-var goldenSends = []warmstart.SlowStartSends{
-	{Machine: "machine-five", Incarnation: 205, Times: []scheduler.Time{3001, 3002, 3003}},
-	{Machine: "machine-six", Incarnation: 206, Times: []scheduler.Time{3004}},
-}
-
-var goldenHistory = warmstart.LogHistory{
-	SendsRecordedSince: warmstart.Timestamp{
-		Clock:  17_000_000_000_001,
-		Uptime: 17_000_002,
-		BootID: "boot-of-the-record",
-	},
-	Coverage: recovery.LogSynced,
-}
-
-var goldenEntries = []protocol.MachineEntry{
-	{
-		Machine:     "machine-seven",
-		Address:     "127.0.0.7:7007",
-		Zone:        31,
-		MachineType: 32,
-		RackGroup:   33,
-		State:       protocol.MachineDraining,
-		FreeCores:   34.5,
-		FreeMemory:  35.5,
-		PowerHint:   36.5,
-		Incarnation: 207,
-		Age:         5001,
-	},
-	{
-		Machine:     "machine-eight",
-		Address:     "127.0.0.8:8008",
-		Zone:        41,
-		MachineType: 42,
-		RackGroup:   43,
-		State:       protocol.MachineGone,
-		FreeCores:   44.5,
-		FreeMemory:  45.5,
-		PowerHint:   46.5,
-		Incarnation: 208,
-		Age:         -1,
-	},
-}
-
-// There is one entry in the map: the order in which several are encoded is random.
-func goldenSnapshot() *WarmStartSnapshot {
-	return &WarmStartSnapshot{
-		TakenAt:    warmstart.Timestamp{Clock: 17_000_000_000_101, Uptime: 17_000_102, BootID: "boot-of-the-file"},
-		ClassNames: []string{"class-a", "class-b", "tenant-a"},
-		Learned: scheduler.Snapshot{
-			Machines: []scheduler.MachineSnapshot{
-				{
-					Machine:           "machine-seven",
-					StartedAt:         4001,
-					OutlierLogOdds:    5.25,
-					EjectedUntil:      4002,
-					EjectionTime:      4003,
-					SelfDrainingUntil: 4004,
-					FailureEvidence: []scheduler.FailureEvidence{
-						{LogOdds: 0.125, AsOf: 4005},
-						{LogOdds: 1.125, AsOf: 4006},
-					},
-					RecentSends: []scheduler.Time{4007, 4008},
-				},
-			},
-			TrafficClasses: []scheduler.TrafficClass{
-				{LossRatio: 0.0625, SuspicionThreshold: 6.5},
-				{LossRatio: 0.1875, SuspicionThreshold: 7.5},
-				{LossRatio: 0.3125, SuspicionThreshold: 8.5},
-			},
-			FullRatio:       0.4375,
-			RejectedWeight:  0.5625,
-			SendsKnownSince: 4009,
-		},
-		Incarnations:    map[scheduler.MachineID]uint64{"machine-seven": 207},
-		ListVersion:     301,
-		Entries:         []entryRecord{recordOfEntry(goldenEntries[0]), recordOfEntry(goldenEntries[1])},
-		OrderlyShutdown: true,
-		Overload: &overload.Snapshot{
-			Limit:           91.5,
-			Throughput:      92.5,
-			Latency:         []float64{0.71, 0.72},
-			BaselineLatency: []float64{0.81, 0.82},
-		},
-	}
+// commitGolden commits changes to the log of a folder.
+func commitGolden(t *testing.T, path string, change func(*stateStore)) {
+	t.Helper()
+	d, err := openStateDir(path)
+	noError(t, err)
+	st := &stateStore{journal: &journal{}, dir: d}
+	_, err = st.openLog(d)
+	noError(t, err)
+	change(st)
+	st.commit()
+	noError(t, st.closeLog())
+	noError(t, d.Close())
 }
 
 // writeGoldenState writes the folder by the package's own writing path: three attempts, the sends and the incarnation
 // go into the snapshot; the log deletes one attempt, puts another and replaces a send.
 func writeGoldenState(t *testing.T, path string) {
 	t.Helper()
-	commit := func(change func(*stateStore)) {
-		d, err := openStateDir(path)
-		if err != nil {
-			t.Fatal(err)
-		}
-		st := &stateStore{journal: &journal{}, dir: d}
-		if _, err := st.openLog(d); err != nil {
-			t.Fatal(err)
-		}
-		change(st)
-		st.commit()
-		if err := st.closeLog(); err != nil {
-			t.Fatal(err)
-		}
-		if err := d.Close(); err != nil {
-			t.Fatal(err)
-		}
-	}
-	commit(func(st *stateStore) {
+	commitGolden(t, path, func(st *stateStore) {
 		st.history = goldenHistory
 		st.changes = append(st.changes, st.historyChange())
 		for _, logged := range goldenAttempts[:3] {
@@ -189,93 +69,51 @@
 				number: logged.Number, incarnation: logged.Incarnation, container: &container{request: logged.Request},
 				machine: &machine{id: logged.Machine},
 			}
-			st.put(AttemptKind, attemptKey(a.number), a.record())
+			st.putAttempt(a.record())
 		}
 		for _, sent := range goldenSends {
-			st.put(
-				SendKind,
-				string(sent.Machine),
-				warmstart.SlowStartSends{Machine: sent.Machine, Incarnation: 1, Times: []scheduler.Time{1}},
-			)
+			st.putSends(warmstart.SlowStartSends{Machine: sent.Machine, Incarnation: 1, Times: []scheduler.Time{1}})
 		}
 	})
 	d, err := vfs.OpenLocked(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, _, err := wal.Compact(d); err != nil {
-		t.Fatal(err)
-	}
-	if err := d.Close(); err != nil {
-		t.Fatal(err)
-	}
-	commit(func(st *stateStore) {
-		st.remove(AttemptKind, attemptKey(goldenAttempts[2].Number))
-		st.put(AttemptKind, attemptKey(goldenAttempts[3].Number), goldenAttempts[3])
+	noError(t, err)
+	_, _, err = wal.Compact(d)
+	noError(t, err)
+	noError(t, d.Close())
+	commitGolden(t, path, func(st *stateStore) {
+		st.removeAttempt(goldenAttempts[2].Number)
+		st.putAttempt(goldenAttempts[3])
 		for _, sent := range goldenSends {
-			st.put(SendKind, string(sent.Machine), sent)
-		}
-		if err := goldenSnapshot().write(st.dir); err != nil {
-			t.Fatal(err)
+			st.putSends(sent)
 		}
+		noError(t, goldenSnapshot().write(st.dir))
 	})
-	if err := os.Remove(filepath.Join(path, "lock")); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, os.Remove(filepath.Join(path, "lock")))
 }
 
 // goldenListFile is the file of version 1: the clock, the length, and a list frame without its length.
 func goldenListFile(t *testing.T) []byte {
 	t.Helper()
-	frame, err := protocol.Append(
-		nil,
-		&protocol.MachineListUpdate{FullSnapshot: true, Version: 302, Entries: goldenEntries},
-	)
-	if err != nil {
-		t.Fatal(err)
-	}
+	frame, err := protocol.Append(nil, fullList(302, goldenEntries...))
+	noError(t, err)
 	return append(binary.BigEndian.AppendUint64(nil, 17_000_000_000_201), frame...)
 }
 
-func readFile(t *testing.T, path string) []byte {
-	t.Helper()
-	p, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return p
-}
-
-func writeFile(t *testing.T, path string, p []byte) {
-	t.Helper()
-	if err := os.WriteFile(path, p, 0o644); err != nil {
-		t.Fatal(err)
-	}
-}
-
 // Run on the program that first wrote the data, with -update, this makes the golden files.
 func TestWritingPathGivesGoldenBytes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	writeGoldenState(t, path)
 	if *update {
-		if err := os.RemoveAll(goldenState); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.CopyFS(goldenState, os.DirFS(path)); err != nil {
-			t.Fatal(err)
-		}
+		noError(t, os.RemoveAll(goldenState))
+		noError(t, os.CopyFS(goldenState, os.DirFS(path)))
 		writeFile(t, goldenList, goldenListFile(t))
 		writeFile(t, goldenText, []byte(describeState(t, goldenState)))
 		writeFile(t, goldenExport, exported(t, goldenSnapshot()))
 	}
 	want, err := os.ReadDir(goldenState)
-	if err != nil {
-		t.Fatal(err)
-	}
+	noError(t, err)
 	got, err := os.ReadDir(path)
-	if err != nil {
-		t.Fatal(err)
-	}
+	noError(t, err)
 	if len(got) != len(want) || len(want) != 3 {
 		t.Errorf("files %v, want %v", got, want)
 	}
@@ -298,13 +136,9 @@
 func TestGoldenStateIsRead(t *testing.T) {
 	settings := testConfig(t)
 	settings.StateDir = t.TempDir()
-	if err := os.CopyFS(settings.StateDir, os.DirFS(goldenState)); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, os.CopyFS(settings.StateDir, os.DirFS(goldenState)))
 	server, err := New(settings, newWarmStartScript(scheduler.Snapshot{}), discardLog)
-	if err != nil {
-		t.Fatal(err)
-	}
+	noError(t, err)
 	defer func() { // the loop is released when Run returns
 		server.Stop()
 		if err := server.Run(); err != nil {
@@ -325,24 +159,20 @@
 		if !reflect.DeepEqual(record.got, record.want) {
 			t.Errorf("%s: read %+v, want %+v", record.name, record.got, record.want)
 		}
-		if record.name == "snapshot" {
-			for i, r := range loaded.snapshot.Entries {
-				if r.entry() != goldenEntries[i] {
-					t.Errorf("entry %d: read %+v", i, r.entry())
-				}
-			}
-		}
 		if path := zeroField(record.name, reflect.ValueOf(record.want)); path != "" {
 			t.Errorf("%s has no value to be compared", path)
 		}
 	}
+	for i, r := range loaded.snapshot.Entries {
+		if r.entry() != goldenEntries[i] {
+			t.Errorf("entry %d: read %+v", i, r.entry())
+		}
+	}
 }
 
 func TestGoldenListOfVersion1IsRead(t *testing.T) {
 	got, err := readLegacyList(goldenList)
-	if err != nil {
-		t.Fatal(err)
-	}
+	noError(t, err)
 	want := &WarmStartSnapshot{
 		TakenAt:     warmstart.Timestamp{Clock: 17_000_000_000_201},
 		ListVersion: 302,
@@ -357,12 +187,11 @@
 func TestEmptySnapshotIsExported(t *testing.T) {
 	empty := WarmStartSnapshot{Learned: scheduler.Snapshot{Machines: []scheduler.MachineSnapshot{{}}}}
 	got, err := json.Marshal(map[string]any{"kind": "knowledge", "value": empty})
-	if err != nil {
-		t.Fatal(err)
-	}
-	want := `{"kind":"knowledge","value":{"At":{"Clock":0,"Up":0,"Boot":""},"Names":null,"Learned":{"Machines":[{"Machine":"",` +
-		`"Started":0,"Sick":0,"RestUntil":0,"Rest":0,"ShutUntil":0,"Doubts":null,"Cold":null}],"Traits":null,"Full":0,"Missed":0,` +
-		`"SentSince":0},"Starts":null,"ListIs":0,"Entries":null,"AtAnOrder":false,"Door":null}}`
+	noError(t, err)
+	want := `{"kind":"knowledge","value":{"At":{"Clock":0,"Up":0,"Boot":""},"Names":null,` +
+		`"Learned":{"Machines":[{"Machine":"","Started":0,"Sick":0,"RestUntil":0,"Rest":0,"ShutUntil":0,` +
+		`"Doubts":null,"Cold":null}],"Traits":null,"Full":0,"Missed":0,"SentSince":0},` +
+		`"Starts":null,"ListIs":0,"Entries":null,"AtAnOrder":false,"Door":null}}`
 	if string(got) != want {
 		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
@@ -371,49 +200,56 @@
 // A threshold that nothing reaches is infinite, which CBOR can encode.
 func TestInfiniteThresholdIsStored(t *testing.T) {
 	d, err := vfs.OpenLocked(t.TempDir())
-	if err != nil {
-		t.Fatal(err)
-	}
+	noError(t, err)
 	defer closeAgain(d)
 	want := &WarmStartSnapshot{Learned: scheduler.Snapshot{TrafficClasses: []scheduler.TrafficClass{
 		{LossRatio: 0.5, SuspicionThreshold: math.Inf(1)},
 	}}}
-	if err := want.write(d); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, want.write(d))
 	got, err := ReadWarmStart(d)
-	if err != nil {
-		t.Fatal(err)
-	}
+	noError(t, err)
 	if !reflect.DeepEqual(got.Learned, want.Learned) {
 		t.Errorf("read %+v", got.Learned)
 	}
 }
 
-// zeroField gives the path of a field that the golden data leave at its zero value; "" where there is none.
-func zeroField(path string, v reflect.Value) string {
+// field is a part of a value with its path.
+type field struct {
+	path  string
+	value reflect.Value
+}
+
+// fieldsOf are the parts of a value that holds others.
+func fieldsOf(path string, v reflect.Value) (fields []field) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if !v.IsNil() {
-			return zeroField(path, v.Elem())
+			fields = append(fields, field{path, v.Elem()})
 		}
 	case reflect.Slice:
 		for i := range v.Len() {
-			if p := zeroField(fmt.Sprintf("%s[%d]", path, i), v.Index(i)); p != "" {
-				return p
-			}
+			fields = append(fields, field{fmt.Sprintf("%s[%d]", path, i), v.Index(i)})
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if f := v.Type().Field(i); f.Name != "_" {
-				if p := zeroField(path+"."+f.Name, v.Field(i)); p != "" {
-					return p
-				}
+				fields = append(fields, field{path + "." + f.Name, v.Field(i)})
 			}
 		}
-		return ""
+	default: // it holds no others
+	}
+	return fields
+}
+
+// zeroField gives the path of a field that the golden data leave at its zero value; "" where there is none.
+func zeroField(path string, v reflect.Value) string {
+	for _, f := range fieldsOf(path, v) {
+		if zero := zeroField(f.path, f.value); zero != "" {
+			return zero
+		}
 	}
-	if v.IsZero() || v.Kind() == reflect.Slice && v.Len() == 0 {
+	isStruct, isEmpty := v.Kind() == reflect.Struct, v.Kind() == reflect.Slice && v.Len() == 0
+	if !isStruct && (v.IsZero() || isEmpty) {
 		return path
 	}
 	return ""
@@ -423,17 +259,11 @@
 func describeState(t *testing.T, path string) string {
 	t.Helper()
 	d, err := vfs.OpenReadOnly(path)
-	if err != nil {
-		t.Fatal(err)
-	}
+	noError(t, err)
 	records, err := wal.Load(d, false)
-	if err != nil {
-		t.Fatal(err)
-	}
+	noError(t, err)
 	decode, err := cbor.DecOptions{DefaultMapType: reflect.TypeFor[map[string]any]()}.DecMode()
-	if err != nil {
-		t.Fatal(err)
-	}
+	noError(t, err)
 	var lines []string
 	value := func(name string, p []byte) error {
 		var v any
@@ -442,32 +272,18 @@
 		return err
 	}
 	for _, kind := range records.Kinds() {
-		if err := records.ForEach(
-			kind,
-			func(key string, p []byte) error { return value(kind+" "+key+":", p) },
-		); err != nil {
-			t.Fatal(err)
-		}
+		noError(t, records.ForEach(kind, func(key string, p []byte) error { return value(kind+" "+key+":", p) }))
 	}
 	version, body, err := wal.ReadChecksummed(d, "knowledge", "GLENKNW", 255)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := value(fmt.Sprintf("knowledge version %d:", version), body); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, err)
+	noError(t, value(fmt.Sprintf("knowledge version %d:", version), body))
 	return strings.Join(lines, "\n") + "\n"
 }
 
 func describe(lines []string, path string, v any) []string {
 	switch v := v.(type) {
 	case map[string]any:
-		var names []string
-		for name := range v {
-			names = append(names, name)
-		}
-		sort.Strings(names)
-		for _, name := range names {
+		for _, name := range slices.Sorted(maps.Keys(v)) {
 			lines = describe(lines, path+" "+name, v[name])
 		}
 		return lines
@@ -486,8 +302,6 @@
 func exported(t *testing.T, k *WarmStartSnapshot) []byte {
 	t.Helper()
 	p, err := json.MarshalIndent(k, "", "  ")
-	if err != nil {
-		t.Fatal(err)
-	}
+	noError(t, err)
 	return append(p, '\n')
 }
--- a/internal/schedulerd/interleaving_model_test.go
+++ b/internal/schedulerd/interleaving_model_test.go
@@ -1,10 +1,8 @@
 package schedulerd
 
 import (
-	"errors"
 	"fmt"
 	"maps"
-	"net/netip"
 	"slices"
 	"sync"
 	"testing"
@@ -15,126 +13,8 @@
 	"glenport/internal/protocol"
 	"glenport/internal/testbed/modelcheck"
 	"glenport/scheduler"
-
-	"golang.org/x/sys/unix"
 )
 
-// rawConn is one end of a connection that the test holds. Nothing in it blocks: what is there is read.
-type rawConn struct {
-	t       *testing.T
-	fd      int
-	reader  protocol.Reader
-	written int // bytes
-	read    int
-	closed  bool
-}
-
-// drain reports whether anything was there, be it the end of the connection.
-func (c *rawConn) drain(handle func(protocol.Frame)) (any bool) {
-	buffer := make([]byte, 1<<16)
-	for c != nil && !c.closed {
-		n, _, err := unix.Recvfrom(c.fd, buffer, unix.MSG_DONTWAIT)
-		if errors.Is(err, unix.EAGAIN) {
-			return any
-		}
-		any = true
-		if err != nil || n == 0 {
-			c.close()
-			return any
-		}
-		c.read += n
-		if err := c.reader.Feed(buffer[:n], func(f protocol.Frame) error { handle(f); return nil }); err != nil {
-			c.t.Error(err)
-			c.close()
-		}
-	}
-	return any
-}
-
-func (c *rawConn) send(f protocol.Frame) {
-	encoded, err := protocol.Append(nil, f)
-	if err != nil {
-		c.t.Error(err)
-		return
-	}
-	if c.closed {
-		return
-	}
-	n, err := unix.Write(c.fd, encoded)
-	if err == nil { // else the peer has closed
-		c.written += n
-	}
-}
-
-func (c *rawConn) close() {
-	if c == nil || c.closed {
-		return
-	}
-	c.closed = true
-	closeFD(c.t, c.fd)
-}
-
-func closeFD(t *testing.T, fd int) {
-	if err := unix.Close(fd); err != nil {
-		t.Error(err)
-	}
-}
-
-// rawListener is a listening socket with the last connection to it.
-type rawListener struct {
-	t    *testing.T
-	fd   int
-	addr string
-	conn *rawConn // nil until the first
-}
-
-func listenRaw(t *testing.T) *rawListener {
-	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		t.Fatal(err)
-	}
-	if err := unix.Listen(fd, 8); err != nil {
-		t.Fatal(err)
-	}
-	own, err := unix.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return &rawListener{t: t, fd: fd, addr: fmt.Sprint("127.0.0.1:", own.(*unix.SockaddrInet4).Port)}
-}
-
-func dialRaw(t *testing.T, addr string) *rawConn {
-	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	peer := netip.MustParseAddrPort(addr)
-	if err := unix.Connect(fd, &unix.SockaddrInet4{Port: int(peer.Port()), Addr: peer.Addr().As4()}); err != nil {
-		t.Fatal(err)
-	}
-	return &rawConn{t: t, fd: fd}
-}
-
-func (l *rawListener) accept() bool {
-	fd, _, err := unix.Accept4(l.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
-	if err != nil {
-		return false
-	}
-	l.conn.close()
-	l.conn = &rawConn{t: l.t, fd: fd}
-	return true
-}
-
-func (l *rawListener) connected() bool { return l.conn != nil && !l.conn.closed }
-
-func (l *rawListener) close() {
-	l.conn.close()
-	closeFD(l.t, l.fd)
-}
-
 // modelMachine is a machine that acts as the steps of an interleaving demand.
 type modelMachine struct {
 	*rawListener
@@ -169,7 +49,11 @@
 
 var modelMachineNames = []string{"a", "b"}
 
-func newModel(t *testing.T, settings *config.Scheduler, wrap func(modelcheck.Decider) modelcheck.Decider) *model {
+// wrapper puts something between the server and its decisions.
+type wrapper func(modelcheck.Decider) modelcheck.Decider
+
+func newModel(t *testing.T, settings *config.Scheduler, wrap wrapper) *model {
+	t.Helper()
 	w := &model{
 		t:         t,
 		list:      listenRaw(t),
@@ -180,13 +64,7 @@
 	for i, name := range modelMachineNames {
 		m := &modelMachine{rawListener: listenRaw(t), incarnation: 1, attempts: map[uint64]*modelAttempt{}}
 		m.MachineEntry = protocol.MachineEntry{
-			Machine:     name,
-			Address:     m.addr,
-			RackGroup:   i,
-			Incarnation: 1,
-			Age:         -1,
-			FreeCores:   20,
-			FreeMemory:  20,
+			Machine: name, Address: m.addr, RackGroup: i, Incarnation: 1, Age: -1, FreeCores: 20, FreeMemory: 20,
 		}
 		w.machines[name] = m
 	}
@@ -196,9 +74,8 @@
 	decisions.Restore(scheduler.Snapshot{SendsKnownSince: 1})
 	w.judge = modelcheck.NewChecker(own.Policy, 1, 0)
 	var err error
-	if w.server, err = New(&own, wrap(decisions), discardLog); err != nil {
-		t.Fatal(err)
-	}
+	w.server, err = New(&own, wrap(decisions), discardLog)
+	noError(t, err)
 	var running sync.WaitGroup
 	running.Go(func() {
 		if err := w.server.Run(); err != nil {
@@ -206,7 +83,7 @@
 		}
 	})
 	t.Cleanup(running.Wait)
-	w.server.loop.Post(func() { w.server.discovery.request(&protocol.WatchMachineList{Enabled: true}) })
+	watchList(w.server)
 	w.client = dialRaw(t, w.server.Addr())
 	w.client.send(protocol.NewHello(protocol.RoleClient, "client", 1))
 	w.settle()
@@ -222,32 +99,39 @@
 	w.client.close()
 }
 
-func (w *model) now() scheduler.Time {
-	return onLoop(w.server, func() scheduler.Time { return scheduler.Time(w.server.loop.Now()) })
+// observe tells the judge what the scheduler is about to receive.
+func (w *model) observe(now scheduler.Time, e scheduler.Event) { w.judge.ObserveEvent(0, now, e) }
+
+func (w *model) observeEnded(now scheduler.Time, a *modelAttempt, ended scheduler.AttemptEnded) {
+	ended.ID = scheduler.ContainerID(a.judgedAs)
+	w.observe(now, ended)
 }
 
-// settle exchanges frames until nothing is in flight: every byte that one side wrote was
-// read by the other, no connection is being opened or closed, and no event is left.
+func (w *model) now() scheduler.Time { return now(w.server) }
+
+// settle exchanges frames until nothing is in flight: every byte that one side wrote was read by the other, no
+// connection is being opened or closed, and no event is left.
 func (w *model) settle() {
-	for limit := time.Now().Add(20 * time.Second); ; {
-		now, any := w.now(), w.list.accept()
-		if any {
-			w.list.conn.send(protocol.NewHello(protocol.RoleMachineList, "list", 1))
-		}
-		any = w.list.conn.drain(func(f protocol.Frame) { w.handleListFrame(now, f) }) || any
-		for _, name := range modelMachineNames {
-			any = w.serveMachine(now, w.machines[name]) || any
-		}
-		any = w.client.drain(func(f protocol.Frame) { w.judgeReply(now, f) }) || any
-		if !any && onLoop(w.server, w.quiet) {
-			return
-		}
+	for limit := time.Now().Add(testTimeout); w.exchange() || !onLoop(w.server, w.quiet); {
 		if time.Now().After(limit) {
-			w.t.Fatal("not quiet in 20 s")
+			w.t.Fatalf("not quiet in %v", testTimeout)
 		}
 	}
 }
 
+// exchange accepts and reads what there is, and reports whether there was anything.
+func (w *model) exchange() (found bool) {
+	now := w.now()
+	if found = w.list.accept(); found {
+		w.list.conn.send(listHello())
+	}
+	found = w.list.conn.drain(func(f protocol.Frame) { w.handleListFrame(now, f) }) || found
+	for _, name := range modelMachineNames {
+		found = w.serveMachine(now, w.machines[name]) || found
+	}
+	return w.client.drain(func(f protocol.Frame) { w.judgeReply(now, f) }) || found
+}
+
 // quiet runs on the loop of the server.
 func (w *model) quiet() bool {
 	s := w.server
@@ -288,26 +172,24 @@
 	for _, name := range modelMachineNames {
 		entries = append(entries, w.machines[name].MachineEntry)
 	}
-	w.sendList(now, true, entries...)
+	w.sendList(now, scheduler.FullSnapshot, entries...)
 }
 
 // sendList sends an update; the age of a machine that was restarted is the time since.
-func (w *model) sendList(now scheduler.Time, full bool, entries ...protocol.MachineEntry) {
+func (w *model) sendList(now scheduler.Time, mode scheduler.UpdateMode, entries ...protocol.MachineEntry) {
 	w.version++
 	for i := range entries {
 		if m := w.machines[entries[i].Machine]; m.startedAt > 0 {
 			entries[i].Age = protocol.Duration(now - m.startedAt)
 		}
 	}
+	full := mode == scheduler.FullSnapshot
 	w.list.conn.send(&protocol.MachineListUpdate{FullSnapshot: full, Version: w.version, Entries: entries})
-	update := scheduler.MachineListUpdate{Mode: scheduler.DeltaUpdate}
-	if full {
-		update.Mode = scheduler.FullSnapshot
-	}
+	update := scheduler.MachineListUpdate{Mode: mode}
 	for _, entry := range entries {
 		update.Entries = append(update.Entries, w.judgedEntry(entry, entry.Incarnation))
 	}
-	w.judge.ObserveEvent(0, now, update)
+	w.observe(now, update)
 }
 
 func (w *model) judgedEntry(entry protocol.MachineEntry, incarnation uint64) scheduler.MachineEntry {
@@ -322,12 +204,12 @@
 }
 
 // serveMachine does what a machine owes: its hello and inventory, and the end of what is cancelled.
-func (w *model) serveMachine(now scheduler.Time, m *modelMachine) (any bool) {
-	any = m.accept()
-	if any {
+func (w *model) serveMachine(now scheduler.Time, m *modelMachine) (found bool) {
+	found = m.accept()
+	if found {
 		w.sendInventory(now, m)
 	}
-	return m.conn.drain(func(f protocol.Frame) { w.handleMachineFrame(now, m, f) }) || any
+	return m.conn.drain(func(f protocol.Frame) { w.handleMachineFrame(now, m, f) }) || found
 }
 
 func (w *model) sendInventory(now scheduler.Time, m *modelMachine) {
@@ -339,20 +221,16 @@
 		if a.judgedAs == "" {
 			w.adopted++
 			a.judgedAs = fmt.Sprint("found ", w.adopted)
-			w.judge.ObserveEvent(0, now, scheduler.ContainerAdopted{PlacementRequest: scheduler.PlacementRequest{
+			w.observe(now, scheduler.ContainerAdopted{PlacementRequest: scheduler.PlacementRequest{
 				ID:      scheduler.ContainerID(a.judgedAs),
 				Service: a.Spec.Service, WorkloadClass: a.Spec.WorkloadClass,
 			}, Machine: scheduler.MachineID(m.Machine)})
 		}
 	}
 	if m.incarnation > 1 {
-		w.judge.ObserveEvent(
-			0,
-			now,
-			scheduler.MachineListUpdate{
-				Entries: []scheduler.MachineEntry{w.judgedEntry(m.MachineEntry, m.incarnation)},
-			},
-		)
+		w.observe(now, scheduler.MachineListUpdate{
+			Entries: []scheduler.MachineEntry{w.judgedEntry(m.MachineEntry, m.incarnation)},
+		})
 	}
 	m.conn.send(inventory)
 }
@@ -367,26 +245,13 @@
 			Spec:                 f.Spec,
 		}
 		m.attempts[f.AttemptID] = &modelAttempt{item, true, f.Spec.ContainerID}
-		w.judge.ObserveAction(
-			0,
-			now,
-			scheduler.StartAttempt{
-				ID:      scheduler.ContainerID(f.Spec.ContainerID),
-				Machine: scheduler.MachineID(m.Machine),
-			},
-		)
+		w.judge.ObserveAction(0, now, scheduler.StartAttempt{
+			ID: scheduler.ContainerID(f.Spec.ContainerID), Machine: scheduler.MachineID(m.Machine),
+		})
 	case *protocol.CancelAttempt:
 		if a := m.attempts[f.AttemptID]; a != nil {
 			delete(m.attempts, f.AttemptID)
-			w.judge.ObserveEvent(
-				0,
-				now,
-				scheduler.AttemptEnded{
-					ID:      scheduler.ContainerID(a.judgedAs),
-					Outcome: scheduler.OutcomeStopped,
-					Final:   true,
-				},
-			)
+			w.observeEnded(now, a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: true})
 			m.conn.send(&protocol.Result{AttemptID: f.AttemptID, Outcome: protocol.OutcomeStopped})
 		}
 	case *protocol.Probe:
@@ -412,15 +277,25 @@
 		if reply.Message != "cancelled" {
 			w.judge.ObserveAction(0, now, scheduler.Fail{ID: id})
 		}
+	case protocol.VerdictPlaced: // judged when it was sent
 	}
 }
 
-// findAttempt finds the attempt of a container on a machine that is connected.
-func (w *model) findAttempt(id string, pending bool) (*modelMachine, *modelAttempt) {
+// findPending finds the attempt of a container that waits for the answer of a machine that is connected.
+func (w *model) findPending(id string) (*modelMachine, *modelAttempt) {
+	return w.findAttempt(func(a *modelAttempt) bool { return a.pending && a.Spec.ContainerID == id })
+}
+
+// findRunning finds a container that runs on a machine that is connected.
+func (w *model) findRunning(id string) (*modelMachine, *modelAttempt) {
+	return w.findAttempt(func(a *modelAttempt) bool { return !a.pending && a.Spec.ContainerID == id })
+}
+
+func (w *model) findAttempt(matches func(*modelAttempt) bool) (*modelMachine, *modelAttempt) {
 	for _, name := range modelMachineNames {
 		m := w.machines[name]
 		for _, number := range m.numbers() {
-			if a := m.attempts[number]; a.Spec.ContainerID == id && a.pending == pending && m.connected() {
+			if a := m.attempts[number]; matches(a) && m.connected() {
 				return m, a
 			}
 		}
--- a/internal/schedulerd/interleaving_test.go
+++ b/internal/schedulerd/interleaving_test.go
@@ -60,9 +60,13 @@
 		return m.State != protocol.MachineServing
 	case stepRestart, stepList:
 		return true
+	case stepFinish:
+		_, a := w.findRunning(subject)
+		return a != nil
+	default:
+		_, a := w.findPending(subject)
+		return a != nil
 	}
-	_, a := w.findAttempt(subject, verb != stepFinish)
-	return a != nil
 }
 
 // apply does a step and waits until its consequences are over.
@@ -77,15 +81,18 @@
 	case stepAccept:
 		w.accept(now, subject)
 	case stepFull:
-		w.result(now, subject, true, protocol.OutcomeFull, scheduler.OutcomeFull)
+		w.refuse(now, subject, protocol.OutcomeFull)
 	case stepErrored:
-		w.result(now, subject, true, protocol.OutcomeErrored, scheduler.OutcomeErrored)
+		w.refuse(now, subject, protocol.OutcomeErrored)
 	case stepFinish:
-		w.result(now, subject, false, protocol.OutcomeFinished, scheduler.OutcomeFinished)
+		w.finish(now, subject)
 	case stepBreak:
 		w.breakConnection(now, w.machines[subject])
 	case stepRestart:
-		w.restart(now, w.machines[subject], len(words) == 2)
+		w.restart(now, w.machines[subject])
+		if len(words) == 2 { // the list follows at once
+			w.listRestart(now, w.machines[subject])
+		}
 	case stepDrain:
 		w.setState(now, w.machines[subject], protocol.MachineDraining)
 	case stepLeave:
@@ -105,47 +112,45 @@
 
 func (w *model) submit(now scheduler.Time) {
 	const timeout = 600 * scheduler.Second
-	id := containerName(w.submitted)
-	request := scheduler.PlacementRequest{
-		ID: scheduler.ContainerID(id), IdempotencyKey: "k-" + id, Service: "s", WorkloadClass: w.submitted,
-		Cores: 1, Memory: 1, Deadline: now + timeout,
-	}
+	spec := specFor(containerName(w.submitted), w.submitted)
+	request := requestOf(&spec)
+	request.Deadline = now + timeout
 	w.submitted++
-	w.judge.ObserveEvent(0, now, scheduler.RequestReceived{PlacementRequest: request})
-	w.client.send(&protocol.Submit{TimeToDeadline: protocol.Duration(timeout), Spec: protocol.ContainerSpec{
-		ContainerID:    id,
-		IdempotencyKey: request.IdempotencyKey,
-		Service:        request.Service,
-		WorkloadClass:  request.WorkloadClass,
-		Cores:          1,
-		Memory:         1,
-	}})
+	w.observe(now, scheduler.RequestReceived{PlacementRequest: request})
+	w.client.send(&protocol.Submit{TimeToDeadline: protocol.Duration(timeout), Spec: spec})
 }
 
 func (w *model) cancel(now scheduler.Time, id string) {
 	if w.answers[id] == 0 {
-		w.judge.ObserveEvent(0, now, scheduler.ContainerRemoved{ID: scheduler.ContainerID(id)})
+		w.observe(now, scheduler.ContainerRemoved{ID: scheduler.ContainerID(id)})
 	}
 	w.cancelled[id] = w.answers[id] > 0
 	w.client.send(&protocol.CancelContainer{ContainerID: id, IdempotencyKey: "k-" + id})
 }
 
 func (w *model) accept(now scheduler.Time, id string) {
-	m, a := w.findAttempt(id, true)
+	m, a := w.findPending(id)
 	a.pending = false
-	w.judge.ObserveEvent(0, now, scheduler.AttemptAccepted{ID: scheduler.ContainerID(a.judgedAs)})
+	w.observe(now, scheduler.AttemptAccepted{ID: scheduler.ContainerID(a.judgedAs)})
 	m.conn.send(&protocol.Accept{AttemptID: a.AttemptID, Running: true})
 }
 
-func (w *model) result(now scheduler.Time, id string, pending bool, sent protocol.Outcome, judged scheduler.Outcome) {
-	m, a := w.findAttempt(id, pending)
+// refuse answers an attempt otherwise than by an accept.
+func (w *model) refuse(now scheduler.Time, id string, outcome protocol.Outcome) {
+	m, a := w.findPending(id)
+	w.observeEnded(now, a, scheduler.AttemptEnded{Outcome: outcome.SchedulerOutcome()})
+	m.sendResult(a, outcome)
+}
+
+func (w *model) finish(now scheduler.Time, id string) {
+	m, a := w.findRunning(id)
+	w.observeEnded(now, a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeFinished, Final: true})
+	m.sendResult(a, protocol.OutcomeFinished)
+}
+
+func (m *modelMachine) sendResult(a *modelAttempt, outcome protocol.Outcome) {
 	delete(m.attempts, a.AttemptID)
-	w.judge.ObserveEvent(
-		0,
-		now,
-		scheduler.AttemptEnded{ID: scheduler.ContainerID(a.judgedAs), Outcome: judged, Final: !pending},
-	)
-	m.conn.send(&protocol.Result{AttemptID: a.AttemptID, Outcome: sent})
+	m.conn.send(&protocol.Result{AttemptID: a.AttemptID, Outcome: outcome})
 }
 
 // breakConnection closes the connection of a machine. What waits for its answer has been accepted, unheard.
@@ -153,38 +158,32 @@
 	for _, number := range m.numbers() {
 		if a := m.attempts[number]; a.pending {
 			a.pending = false
-			w.judge.ObserveEvent(
-				0,
-				now,
-				scheduler.AttemptEnded{ID: scheduler.ContainerID(a.judgedAs), Outcome: scheduler.OutcomeLost},
-			)
+			w.observeEnded(now, a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost})
 			a.judgedAs = ""
 		}
 	}
 	m.conn.close()
 }
 
-func (w *model) restart(now scheduler.Time, m *modelMachine, listed bool) {
+func (w *model) restart(now scheduler.Time, m *modelMachine) {
 	w.breakConnection(now, m)
 	for _, a := range m.attempts {
-		w.judge.ObserveEvent(
-			0,
-			now,
-			scheduler.AttemptEnded{ID: scheduler.ContainerID(a.judgedAs), Outcome: scheduler.OutcomeLost, Final: true},
-		)
+		w.observeEnded(now, a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost, Final: true})
 	}
 	m.incarnation++
 	m.startedAt = now
 	clear(m.attempts)
-	if listed {
-		m.Incarnation, m.State = m.incarnation, protocol.MachineServing
-		w.sendList(now, false, m.MachineEntry)
-	}
+}
+
+// listRestart has the list name the present incarnation of a machine.
+func (w *model) listRestart(now scheduler.Time, m *modelMachine) {
+	m.Incarnation, m.State = m.incarnation, protocol.MachineServing
+	w.sendList(now, scheduler.DeltaUpdate, m.MachineEntry)
 }
 
 func (w *model) setState(now scheduler.Time, m *modelMachine, state protocol.MachineState) {
 	m.State = state
-	w.sendList(now, false, m.MachineEntry)
+	w.sendList(now, scheduler.DeltaUpdate, m.MachineEntry)
 }
 
 // answerAll refuses all that is pending, until every container has its answer.
@@ -192,7 +191,7 @@
 	const maxAttempts = 12
 	for range maxAttempts {
 		for i := range modelContainers {
-			if _, a := w.findAttempt(containerName(i), true); a != nil {
+			if _, a := w.findPending(containerName(i)); a != nil {
 				w.apply(stepFull + " " + containerName(i))
 			}
 		}
@@ -206,16 +205,19 @@
 
 // modelConfig has one workload class for each of the three containers.
 func modelConfig(t *testing.T, classes ...scheduler.WorkloadClass) *config.Scheduler {
+	t.Helper()
 	s := testConfig(t)
 	s.ConnectTimeout, s.SilenceTimeout, s.IdleTimeout = 30*eventloop.Second, 600*eventloop.Second, 600*eventloop.Second
-	s.Policy.SchedulerCount, s.Policy.SchedulerIndex, s.Policy.MachineTypes = 1, 0, []scheduler.MachineType{
-		{Cores: 20, Memory: 20},
-	}
-	s.Policy.SlowStartPeriod, s.Policy.SlowStartWindow, s.Policy.SlowStartBudget = 1200*scheduler.Second, 600*scheduler.Second, 1
-	s.Policy.WorkloadClasses, s.Policy.ListOnRequest = nil, false
+	policy := &s.Policy
+	policy.SchedulerCount, policy.SchedulerIndex = 1, 0
+	policy.MachineTypes = []scheduler.MachineType{{Cores: 20, Memory: 20}}
+	policy.SlowStartPeriod, policy.SlowStartWindow = 1200*scheduler.Second, 600*scheduler.Second
+	policy.SlowStartBudget = 1
+	policy.WorkloadClasses, policy.ListOnRequest = nil, false
 	for _, class := range classes {
-		class.MachineType, class.LatencyObjective, class.PlacementTimeout, class.PriorityWeight = -1, scheduler.Second, 600*scheduler.Second, 1
-		s.Policy.WorkloadClasses = append(s.Policy.WorkloadClasses, class)
+		class.MachineType, class.PriorityWeight = -1, 1
+		class.LatencyObjective, class.PlacementTimeout = scheduler.Second, 600*scheduler.Second
+		policy.WorkloadClasses = append(policy.WorkloadClasses, class)
 	}
 	return s
 }
@@ -265,6 +267,7 @@
 
 // Scheduler, reconciler, recovery and server together keep all invariants, over sockets.
 func TestEveryInterleavingKeepsTheInvariants(t *testing.T) {
+	t.Parallel()
 	for _, tc := range interleavings {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
@@ -280,14 +283,9 @@
 
 // explore tries every sequence of steps up to a depth, until one violates an invariant.
 func explore(
-	t *testing.T,
-	settings *config.Scheduler,
-	steps []string,
-	depth int,
-	wrap func(modelcheck.Decider) modelcheck.Decider,
-) (
-	n int, done, violations []string,
-) {
+	t *testing.T, settings *config.Scheduler, steps []string, depth int, wrap wrapper,
+) (n int, done, violations []string) {
+	t.Helper()
 	modelcheck.EnumeratePaths(depth, func(path []int) (widths []int, on bool) {
 		w := newModel(t, settings, wrap)
 		defer w.close()
--- /dev/null
+++ b/internal/schedulerd/peers_test.go
@@ -0,0 +1,239 @@
+package schedulerd
+
+import (
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"glenport/internal/protocol"
+)
+
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	noError(t, err)
+	return listener
+}
+
+// dial connects until the end of the test, and bounds all that is read and written.
+func dial(t *testing.T, address string) net.Conn {
+	t.Helper()
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", address)
+	noError(t, err)
+	t.Cleanup(func() { closeAgain(c) })
+	noError(t, c.SetDeadline(time.Now().Add(testTimeout)))
+	return c
+}
+
+// listenTCP listens and serves each connection on a goroutine until serve returns.
+func listenTCP(t *testing.T, serve func(net.Conn)) string {
+	t.Helper()
+	listener := listen(t)
+	var serving sync.WaitGroup
+	var mu sync.Mutex
+	var conns []net.Conn
+	serving.Go(func() {
+		for {
+			c, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			mu.Lock()
+			conns = append(conns, c)
+			mu.Unlock()
+			serving.Go(func() {
+				defer closeAgain(c)
+				serve(c)
+			})
+		}
+	})
+	t.Cleanup(func() {
+		closeAgain(listener)
+		mu.Lock()
+		for _, c := range conns {
+			closeAgain(c)
+		}
+		mu.Unlock()
+		serving.Wait()
+	})
+	return listener.Addr().String()
+}
+
+func receiveFrame(c net.Conn) (protocol.Frame, error) {
+	return protocol.ReadFrame(c, protocol.MaxFrame)
+}
+
+// skipFrame waits for a frame, or for the end of the connection.
+func skipFrame(c net.Conn) { _, _ = receiveFrame(c) }
+
+// frameHandler reports whether the connection goes on.
+type frameHandler func(net.Conn, protocol.Frame) bool
+
+// handleFrames hands on each frame until the handler ends the connection, or the peer.
+func handleFrames(c net.Conn, handle frameHandler) {
+	for {
+		f, err := receiveFrame(c)
+		if err != nil || !handle(c, f) {
+			return
+		}
+	}
+}
+
+// onOffer handles offers alone.
+func onOffer(handle func(net.Conn, *protocol.Offer) bool) frameHandler {
+	return func(c net.Conn, f protocol.Frame) bool {
+		o, ok := f.(*protocol.Offer)
+		return !ok || handle(c, o)
+	}
+}
+
+// acceptOffer accepts an offer as running.
+func acceptOffer(c net.Conn, o *protocol.Offer) bool {
+	sendFrames(c, &protocol.Accept{AttemptID: o.AttemptID, Running: true})
+	return true
+}
+
+func ignoreFrame(net.Conn, protocol.Frame) bool { return true }
+
+// sendFrames sends frames to a peer that may have closed the connection.
+func sendFrames(c net.Conn, frames ...protocol.Frame) {
+	for _, f := range frames {
+		encoded, err := protocol.Append(nil, f)
+		if err != nil {
+			panic(err) // a test sends what can be encoded
+		}
+		_, _ = c.Write(encoded)
+	}
+}
+
+// listHello is the hello of the first incarnation of a list service.
+func listHello() *protocol.Hello { return protocol.NewHello(protocol.RoleMachineList, "list", 1) }
+
+func fullList(version int64, entries ...protocol.MachineEntry) *protocol.MachineListUpdate {
+	return &protocol.MachineListUpdate{FullSnapshot: true, Version: version, Entries: entries}
+}
+
+// serveMachineList names machines by their addresses in a full list.
+func serveMachineList(t *testing.T, machines map[string]string) string {
+	t.Helper()
+	var entries []protocol.MachineEntry
+	for id, address := range machines {
+		entries = append(entries, protocol.MachineEntry{Machine: id, Address: address, Incarnation: 1, Age: -1})
+	}
+	return listenTCP(t, func(c net.Conn) {
+		sendFrames(c, listHello())
+		handleFrames(c, func(c net.Conn, f protocol.Frame) bool {
+			if _, ok := f.(*protocol.WatchMachineList); ok {
+				sendFrames(c, fullList(1, entries...))
+			}
+			return true
+		})
+	})
+}
+
+// greet sends what a machine sends first.
+func greet(c net.Conn, name string, incarnation uint64, inventory *protocol.Inventory) {
+	sendFrames(c, protocol.NewHello(protocol.RoleMachine, name, incarnation), inventory)
+}
+
+// serveMachine sends hello and an empty inventory, and hands on each frame.
+func serveMachine(t *testing.T, name string, handle frameHandler) string {
+	t.Helper()
+	return listenTCP(t, func(c net.Conn) {
+		if f, err := receiveFrame(c); err != nil || f.(*protocol.Hello).Role != protocol.RoleScheduler {
+			return
+		}
+		greet(c, name, 1, &protocol.Inventory{})
+		handleFrames(c, handle)
+	})
+}
+
+// serveSlowMachine sends hello and inventory when it gets an incarnation, and accepts every offer.
+func serveSlowMachine(t *testing.T, name string) (address string, hello chan uint64, offered chan string) {
+	t.Helper()
+	hello, offered = make(chan uint64), make(chan string, 100)
+	done := make(chan struct{})
+	address = listenTCP(t, func(c net.Conn) {
+		var incarnation uint64
+		select {
+		case incarnation = <-hello:
+		case <-done:
+			return
+		}
+		skipFrame(c)
+		greet(c, name, incarnation, &protocol.Inventory{MachineIncarnation: incarnation})
+		handleFrames(c, onOffer(func(c net.Conn, o *protocol.Offer) bool {
+			offered <- o.Spec.ContainerID
+			return acceptOffer(c, o)
+		}))
+	})
+	t.Cleanup(func() { close(done) })
+	return address, hello, offered
+}
+
+type testClient struct {
+	t *testing.T
+	net.Conn
+}
+
+func dialClient(t *testing.T, address string) *testClient {
+	t.Helper()
+	client := &testClient{t, dial(t, address)}
+	sendFrames(client, protocol.NewHello(protocol.RoleClient, "client", 1))
+	if hello, ok := client.receive().(*protocol.Hello); !ok || hello.Role != protocol.RoleScheduler {
+		t.Fatal("the scheduler sends no hello")
+	}
+	return client
+}
+
+func (c *testClient) receive() protocol.Frame {
+	c.t.Helper()
+	f, err := receiveFrame(c)
+	if err != nil {
+		c.t.Fatalf("connection closed: %v", err)
+	}
+	return f
+}
+
+func (c *testClient) receiveReply() *protocol.PlacementReply {
+	c.t.Helper()
+	f := c.receive()
+	reply, ok := f.(*protocol.PlacementReply)
+	if !ok {
+		c.t.Fatalf("got a %T, want a reply", f)
+	}
+	return reply
+}
+
+// wantReply receives a reply and checks its verdict.
+func (c *testClient) wantReply(want protocol.Verdict) *protocol.PlacementReply {
+	c.t.Helper()
+	reply := c.receiveReply()
+	if reply.Verdict != want {
+		c.t.Fatalf("got %+v, want %v", reply, want)
+	}
+	return reply
+}
+
+// wantTermination receives the end of a container that ran.
+func (c *testClient) wantTermination(want protocol.Outcome) {
+	c.t.Helper()
+	if got, ok := c.receive().(*protocol.Termination); !ok || got.Outcome != want {
+		c.t.Errorf("termination %v, want %v", got, want)
+	}
+}
+
+// specFor is a container under a key of its own.
+func specFor(id string, class int) protocol.ContainerSpec {
+	return protocol.ContainerSpec{
+		ContainerID: id, IdempotencyKey: "k-" + id, Service: "s", WorkloadClass: class, Cores: 1, Memory: 1,
+	}
+}
+
+// submit asks for a container under a key of its own.
+func (c *testClient) submit(id string, class int) { c.submitSpec(specFor(id, class)) }
+
+func (c *testClient) submitSpec(spec protocol.ContainerSpec) {
+	sendFrames(c, &protocol.Submit{TimeToDeadline: 60_000, Spec: spec})
+}
--- a/internal/schedulerd/restore_test.go
+++ b/internal/schedulerd/restore_test.go
@@ -15,20 +15,6 @@
 	"glenport/scheduler"
 )
 
-// warmStartScript is a script that has learned something.
-type warmStartScript struct {
-	*scriptedScheduler
-	snapshot scheduler.Snapshot
-	restored chan scheduler.Snapshot
-}
-
-func (s *warmStartScript) Snapshot() scheduler.Snapshot { return s.snapshot }
-func (s *warmStartScript) Restore(k scheduler.Snapshot) { s.restored <- k }
-
-func newWarmStartScript(snapshot scheduler.Snapshot) *warmStartScript {
-	return &warmStartScript{newScript(nil), snapshot, make(chan scheduler.Snapshot, 1)}
-}
-
 // A restarted scheduler has its last list and what it learned, without what no longer counts. A snapshot that is
 // damaged is not used; one of a later version stops the start.
 func TestRestartRestoresListAndSnapshot(t *testing.T) {
@@ -63,13 +49,8 @@
 		writeFile(t, name, damaged)
 		third := newWarmStartScript(scheduler.Snapshot{})
 		runIncarnation(t, settings, third, func(*Server) {
-			if update := awaitEvent[scheduler.MachineListUpdate](
-				t,
-				third.scriptedScheduler,
-				nil,
-			); len(
-				update.Entries,
-			) != 0 {
+			update := awaitEvent[scheduler.MachineListUpdate](t, third.scriptedScheduler, nil)
+			if len(update.Entries) != 0 {
 				t.Errorf("%d bytes that are no snapshot are restored", len(damaged))
 			}
 		})
@@ -84,48 +65,32 @@
 func writeLaterSnapshot(t *testing.T, path string) {
 	t.Helper()
 	d, err := vfs.OpenLocked(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := wal.WriteChecksummed(d, WarmStartFile, WarmStartMagic, WarmStartVersion+1, nil); err != nil {
-		t.Fatal(err)
-	}
-	if err := d.Close(); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, err)
+	noError(t, wal.WriteChecksummed(d, WarmStartFile, WarmStartMagic, WarmStartVersion+1, nil))
+	noError(t, d.Close())
 }
 
 // The list of version 1 is read if the folder holds no snapshot yet, and used if it is of today.
 func TestLegacyListIsReadOnce(t *testing.T) {
 	const longAgo = 1000
-	var now uint64
-	runIncarnation(t, testConfig(t), newScript(nil), func(server *Server) { now = uint64(server.loop.Now()) })
+	today := uint64(now(runServer(t, testConfig(t), newScript(nil))))
 	settings := testConfig(t)
 	settings.LegacyListFile = filepath.Join(t.TempDir(), "list")
-	data, err := protocol.Append(binary.BigEndian.AppendUint64(nil, 0), &protocol.MachineListUpdate{
-		FullSnapshot: true, Version: 7,
-		Entries: []protocol.MachineEntry{{Machine: "a", Address: "127.0.0.1:1", Age: 50}},
-	})
-	if err != nil {
-		t.Fatal(err)
-	}
+	list := fullList(7, protocol.MachineEntry{Machine: "a", Address: "127.0.0.1:1", Age: 50})
+	data, err := protocol.Append(binary.BigEndian.AppendUint64(nil, 0), list)
+	noError(t, err)
 	for _, tc := range []struct {
 		name     string
 		at       uint64
 		machines int
-	}{{"older than a day", longAgo, 0}, {"of today", now, 1}} {
+	}{{"older than a day", longAgo, 0}, {"of today", today, 1}} {
 		binary.BigEndian.PutUint64(data, tc.at)
 		writeFile(t, settings.LegacyListFile, data)
 		settings.StateDir = t.TempDir()
 		script := newWarmStartScript(scheduler.Snapshot{})
 		runIncarnation(t, settings, script, func(*Server) {
-			if update := awaitEvent[scheduler.MachineListUpdate](
-				t,
-				script.scriptedScheduler,
-				nil,
-			); len(
-				update.Entries,
-			) != tc.machines {
+			update := awaitEvent[scheduler.MachineListUpdate](t, script.scriptedScheduler, nil)
+			if len(update.Entries) != tc.machines {
 				t.Errorf("%s: %+v", tc.name, update)
 			}
 		})
@@ -137,20 +102,18 @@
 func crashDuringAttempt(t *testing.T, class int) (state string, running protocol.InventoryItem) {
 	t.Helper()
 	offered := make(chan *protocol.Offer, 1)
-	silent := serveMachine(t, "a", &protocol.Inventory{}, func(_ net.Conn, f protocol.Frame) bool {
-		if o, ok := f.(*protocol.Offer); ok {
-			offered <- o
-		}
+	silent := serveMachine(t, "a", onOffer(func(_ net.Conn, o *protocol.Offer) bool {
+		offered <- o
 		return true
-	})
+	}))
 	settings := testConfig(t)
 	settings.StateDir = t.TempDir()
-	h := startHarness(t, settings, func(e scheduler.Event) []scheduler.Action {
+	h := startWithMachineA(t, settings, func(e scheduler.Event) []scheduler.Action {
 		if e, ok := e.(scheduler.RequestReceived); ok {
 			return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: "a"}}
 		}
 		return nil
-	}, map[string]string{"a": silent})
+	}, silent)
 	h.client.submit("x", class)
 	o := <-offered
 	return copyState(t, settings.StateDir), protocol.InventoryItem{
@@ -167,7 +130,7 @@
 			return
 		}
 		<-report
-		sendFrames(c, protocol.NewHello(protocol.RoleMachine, "a", 1), inventory)
+		greet(c, "a", 1, inventory)
 		skipFrame(c)
 	})
 }
@@ -179,59 +142,58 @@
 	return nil
 }
 
+// crashCase is a crash between an attempt and its end.
+type crashCase struct {
+	name   string
+	class  int
+	runs   bool
+	logged int
+	want   protocol.Verdict
+}
+
 // After a crash between an attempt and its end the next incarnation finds it in the log. It waits for the machine's
 // inventory, and adopts the container or releases its key accordingly. Idempotent work is not logged.
 func TestAttemptOpenAtACrashIsResolvedByItsMachine(t *testing.T) {
-	for _, tc := range []struct {
-		name   string
-		class  int
-		runs   bool
-		logged int
-		want   protocol.Verdict
-	}{
+	for _, tc := range []crashCase{
 		{"at-most-once, and it runs", classAtMostOnce, true, 1, protocol.VerdictPlaced},
 		{"at-most-once, and it does not", classAtMostOnce, false, 1, protocol.VerdictFailed}, // every request fails
 		{"idempotent with a key, and it runs", classWithKey, true, 1, protocol.VerdictPlaced},
 		{"idempotent", classIdempotent, false, 0, protocol.VerdictFailed},
 	} {
-		t.Run(tc.name, func(t *testing.T) {
-			settings := testConfig(t)
-			state, running := crashDuringAttempt(t, tc.class)
-			settings.StateDir, settings.ConnectTimeout = state, 10*eventloop.Second
-			inventory := &protocol.Inventory{}
-			if tc.runs {
-				inventory.Containers = []protocol.InventoryItem{running}
-			}
-			report := make(chan struct{})
-			h := startHarness(
-				t,
-				settings,
-				failRequests,
-				map[string]string{"a": serveReportingMachine(t, inventory, report)},
-			)
-			unresolved := func() int { return h.server.decisions.reconciler.UnresolvedKeys() }
-			if n := onLoop(h.server, unresolved); n != tc.logged {
-				t.Errorf("%d attempts are known to be open", n)
-			}
-			retry := func() *protocol.PlacementReply {
-				sendFrames(h.client, &protocol.Submit{TimeToDeadline: 60_000, Spec: protocol.ContainerSpec{
-					ContainerID: "y", IdempotencyKey: "k-x",
-					Service: "s", WorkloadClass: tc.class, Cores: 1, Memory: 1, ClientRetry: true,
-				}})
-				return h.client.receiveReply()
-			}
-			if tc.logged > 0 {
-				if reply := retry(); reply.Verdict != protocol.VerdictNotAdmitted ||
-					!strings.Contains(reply.Message, "may run on machine a") {
-					t.Errorf("retried before the machine reported: %+v", reply)
-				}
-			}
-			close(report)
-			eventuallyOnLoop(t, h.server, func() bool { return unresolved() == 0 })
-			if reply := retry(); reply.Verdict != tc.want {
-				t.Errorf("retried after the machine reported: %+v", reply)
-			}
-		})
+		t.Run(tc.name, tc.run)
+	}
+}
+
+func (tc crashCase) run(t *testing.T) {
+	settings := testConfig(t)
+	state, running := crashDuringAttempt(t, tc.class)
+	settings.StateDir, settings.ConnectTimeout = state, 10*eventloop.Second
+	inventory := &protocol.Inventory{}
+	if tc.runs {
+		inventory.Containers = []protocol.InventoryItem{running}
+	}
+	report := make(chan struct{})
+	h := startWithMachineA(t, settings, failRequests, serveReportingMachine(t, inventory, report))
+	unresolved := func() int { return h.server.decisions.reconciler.UnresolvedKeys() }
+	if n := onLoop(h.server, unresolved); n != tc.logged {
+		t.Errorf("%d attempts are known to be open", n)
+	}
+	retry := func() *protocol.PlacementReply {
+		spec := specFor("x", tc.class)
+		spec.ContainerID, spec.ClientRetry = "y", true
+		h.client.submitSpec(spec)
+		return h.client.receiveReply()
+	}
+	if tc.logged > 0 {
+		if reply := retry(); reply.Verdict != protocol.VerdictNotAdmitted ||
+			!strings.Contains(reply.Message, "may run on machine a") {
+			t.Errorf("retried before the machine reported: %+v", reply)
+		}
+	}
+	close(report)
+	eventuallyOnLoop(t, h.server, func() bool { return unresolved() == 0 })
+	if reply := retry(); reply.Verdict != tc.want {
+		t.Errorf("retried after the machine reported: %+v", reply)
 	}
 }
 
@@ -240,26 +202,21 @@
 func TestSendsBeforeAnIncarnationIsHeardOfAreLogged(t *testing.T) {
 	settings := testConfig(t)
 	settings.StateDir = t.TempDir()
-	address := serveMachine(t, "a", &protocol.Inventory{}, ignoreFrame)
-	h := startHarness(t, settings, attemptOn(0), map[string]string{"a": address})
+	address := serveMachine(t, "a", ignoreFrame)
+	h := startWithMachineA(t, settings, attemptOn(0), address)
 	h.client.submit("x", classIdempotent)
-	eventuallyOnLoop(t, h.server, func() bool { return len(h.server.machines.find("a").attempts) > 0 })
+	h.eventually(func(a *machine) bool { return len(a.attempts) > 0 })
 	if n := countRecords(t, copyState(t, settings.StateDir), SendKind); n != 0 {
 		t.Errorf("%d records of sends to a machine that is not in slow start", n)
 	}
-	entry := protocol.MachineEntry{
-		Machine:     "a",
-		Address:     address,
-		Incarnation: 2,
-		Age:         protocol.Duration(2 * eventloop.Second),
-	}
+	age := protocol.Duration(2 * eventloop.Second)
+	entry := protocol.MachineEntry{Machine: "a", Address: address, Incarnation: 2, Age: age}
 	h.applyList(entry)
 	eventually(t, func() bool { return countRecords(t, copyState(t, settings.StateDir), SendKind) == 1 })
 	next := testConfig(t)
 	next.StateDir = copyState(t, settings.StateDir)
 	next.MachineListAddr = listenTCP(t, func(c net.Conn) {
-		sendFrames(c, protocol.NewHello(protocol.RoleMachineList, "list", 1),
-			&protocol.MachineListUpdate{FullSnapshot: true, Version: 2, Entries: []protocol.MachineEntry{entry}})
+		sendFrames(c, listHello(), fullList(2, entry))
 		for range 3 { // hello, request, end of the connection
 			skipFrame(c)
 		}
--- /dev/null
+++ b/internal/schedulerd/script_test.go
@@ -0,0 +1,89 @@
+package schedulerd
+
+import (
+	"sync"
+	"testing"
+	"time"
+
+	"glenport/scheduler"
+)
+
+// reaction returns the actions that follow an event.
+type reaction func(scheduler.Event) []scheduler.Action
+
+// scriptedScheduler stands in for the scheduler: it passes events on to the test and reacts as the test says.
+type scriptedScheduler struct {
+	mu     sync.Mutex
+	react  reaction // may be nil
+	events chan scheduler.Event
+}
+
+func newScript(react reaction) *scriptedScheduler {
+	return &scriptedScheduler{react: react, events: make(chan scheduler.Event, 100_000)}
+}
+
+func (s *scriptedScheduler) Handle(_ scheduler.Time, events []scheduler.Event) []scheduler.Action {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var actions []scheduler.Action
+	for _, e := range events {
+		if s.react != nil {
+			actions = append(actions, s.react(e)...)
+		}
+		s.events <- e
+	}
+	return actions
+}
+
+// warmStartScript is a script that has learned something.
+type warmStartScript struct {
+	*scriptedScheduler
+	snapshot scheduler.Snapshot
+	restored chan scheduler.Snapshot
+}
+
+func (s *warmStartScript) Snapshot() scheduler.Snapshot { return s.snapshot }
+func (s *warmStartScript) Restore(k scheduler.Snapshot) { s.restored <- k }
+
+func newWarmStartScript(snapshot scheduler.Snapshot) *warmStartScript {
+	return &warmStartScript{newScript(nil), snapshot, make(chan scheduler.Snapshot, 1)}
+}
+
+// awaitEvent waits for an event of a type that satisfies the condition, if there is one; others are skipped.
+func awaitEvent[E scheduler.Event](t *testing.T, script *scriptedScheduler, condition func(E) bool) E {
+	t.Helper()
+	timeout := time.After(testTimeout)
+	for {
+		select {
+		case e := <-script.events:
+			if e, ok := e.(E); ok && (condition == nil || condition(e)) {
+				return e
+			}
+		case <-timeout:
+			t.Fatalf("no %T in %v", *new(E), testTimeout)
+		}
+	}
+}
+
+// awaitList waits for an update of the machine list that is not the restored one.
+func awaitList(t *testing.T, script *scriptedScheduler) scheduler.MachineListUpdate {
+	t.Helper()
+	return awaitEvent(t, script, func(e scheduler.MachineListUpdate) bool {
+		return e.Mode != scheduler.RestoredSnapshot
+	})
+}
+
+// attemptOn reacts to each request with an attempt on machine a, and fails it after its first outcome.
+func attemptOn(timeout scheduler.Time) reaction {
+	return func(e scheduler.Event) []scheduler.Action {
+		switch e := e.(type) {
+		case scheduler.RequestReceived:
+			return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: "a", Timeout: timeout}}
+		case scheduler.AttemptEnded:
+			if !e.Final {
+				return []scheduler.Action{scheduler.Fail{ID: e.ID}}
+			}
+		}
+		return nil
+	}
+}
--- a/internal/schedulerd/statestore_test.go
+++ b/internal/schedulerd/statestore_test.go
@@ -15,12 +15,8 @@
 // acceptAll is a machine that accepts every offer, and finishes the container "before" on a signal.
 func acceptAll(t *testing.T, offered chan<- string, finish <-chan struct{}) string {
 	t.Helper()
-	return serveMachine(t, "a", &protocol.Inventory{}, func(c net.Conn, f protocol.Frame) bool {
-		o, ok := f.(*protocol.Offer)
-		if !ok {
-			return true
-		}
-		sendFrames(c, &protocol.Accept{AttemptID: o.AttemptID, Running: true})
+	return serveMachine(t, "a", onOffer(func(c net.Conn, o *protocol.Offer) bool {
+		acceptOffer(c, o)
 		offered <- o.Spec.ContainerID
 		if o.Spec.ContainerID == "before" {
 			go func() {
@@ -29,108 +25,98 @@
 			}()
 		}
 		return true
-	})
+	}))
 }
 
 // What must be logged and cannot be is not sent; other work goes on. With room again it is sent by the same
 // incarnation, and the log holds nothing that has ended meanwhile. An incarnation that starts without room is no
 // exception.
 func TestFullDiskHoldsBackOnlyWhatMustBeLogged(t *testing.T) {
-	for _, tc := range []struct {
-		name        string
-		fullAtStart bool
-	}{{"full while it runs", false}, {"full at the start", true}} {
-		t.Run(tc.name, func(t *testing.T) {
-			offered, finish := make(chan string, 10), make(chan struct{}, 10)
-			defer close(finish)
-			settings := testConfig(t)
-			dir := useFaultyDir(t, settings)
-			if tc.fullAtStart { // in a folder that there is
-				runIncarnation(t, settings, newWarmStartScript(scheduler.Snapshot{}), func(*Server) {})
-				dir.full.Store(true)
-			}
-			h := startHarness(t, settings, attemptOn(0), map[string]string{"a": acceptAll(t, offered, finish)})
-			if !tc.fullAtStart {
-				h.client.submit("before", classAtMostOnce)
-				<-offered
-				h.client.wantReply(protocol.VerdictPlaced)
-				dir.full.Store(true)
-				finish <- struct{}{}
-				awaitEvent(t, h.script, func(e scheduler.AttemptEnded) bool { return e.ID == "before" })
-				h.client.receive() // its termination
-			}
-			h.client.submit("once", classAtMostOnce)
-			if ended := awaitEvent[scheduler.AttemptEnded](
-				t,
-				h.script,
-				nil,
-			); ended.Outcome != scheduler.OutcomeNotSent ||
-				ended.ID != "once" {
-				t.Errorf("%+v", ended)
-			}
-			h.client.receiveReply()
-			h.client.submit("again", classIdempotent)
-			if got := <-offered; got != "again" {
-				t.Errorf("%s was sent", got)
-			}
-			h.client.receiveReply()
-			dir.full.Store(false)
-			h.client.submit("after", classAtMostOnce)
-			if reply := h.client.wantReply(protocol.VerdictPlaced); reply.ContainerID != "after" {
-				t.Errorf("with room again: %+v", reply)
-			}
-			if onLoop(h.server, func() bool { h.server.saveSnapshot(); return h.server.state.historyPending }) {
-				t.Error("the log does not hold this incarnation")
-			}
-			h.server.Stop()
-			eventually(t, func() bool { return !h.server.loop.Post(func() {}) })
-			eventually(
-				t,
-				func() bool { d, err := vfs.OpenLocked(settings.StateDir); return err == nil && d.Close() == nil },
-			)
-			attempts, incarnations := countRecords(
-				t,
-				settings.StateDir,
-				AttemptKind,
-			), countRecords(
-				t,
-				settings.StateDir,
-				IncarnationKind,
-			)
-			if attempts != 1 || incarnations != 1 {
-				t.Errorf(
-					"%d attempts and %d incarnations in the log, want the running one and one",
-					attempts,
-					incarnations,
-				)
-			}
-		})
+	for _, tc := range []fullDiskCase{{"full while it runs", false}, {"full at the start", true}} {
+		t.Run(tc.name, tc.run)
+	}
+}
+
+type fullDiskCase struct {
+	name        string
+	fullAtStart bool
+}
+
+func (tc fullDiskCase) run(t *testing.T) {
+	offered, finish := make(chan string, 10), make(chan struct{}, 10)
+	defer close(finish)
+	settings := testConfig(t)
+	dir := useFaultyDir(t, settings)
+	if tc.fullAtStart { // in a folder that there is
+		runIncarnation(t, settings, newWarmStartScript(scheduler.Snapshot{}), func(*Server) {})
+		dir.full.Store(true)
+	}
+	h := startWithMachineA(t, settings, attemptOn(0), acceptAll(t, offered, finish))
+	if !tc.fullAtStart {
+		h.client.submit("before", classAtMostOnce)
+		<-offered
+		h.client.wantReply(protocol.VerdictPlaced)
+		dir.full.Store(true)
+		finish <- struct{}{}
+		awaitEvent(t, h.script, func(e scheduler.AttemptEnded) bool { return e.ID == "before" })
+		h.client.receive() // its termination
+	}
+	h.client.submit("once", classAtMostOnce)
+	if ended := h.awaitEnded(); ended.Outcome != scheduler.OutcomeNotSent || ended.ID != "once" {
+		t.Errorf("%+v", ended)
+	}
+	h.client.receiveReply()
+	h.client.submit("again", classIdempotent)
+	if got := <-offered; got != "again" {
+		t.Errorf("%s was sent", got)
+	}
+	h.client.receiveReply()
+	dir.full.Store(false)
+	h.client.submit("after", classAtMostOnce)
+	if reply := h.client.wantReply(protocol.VerdictPlaced); reply.ContainerID != "after" {
+		t.Errorf("with room again: %+v", reply)
+	}
+	if onLoop(h.server, func() bool { h.server.saveSnapshot(); return h.server.state.historyPending }) {
+		t.Error("the log does not hold this incarnation")
+	}
+	h.stopAndRelease(settings.StateDir)
+	attempts := countRecords(t, settings.StateDir, AttemptKind)
+	incarnations := countRecords(t, settings.StateDir, IncarnationKind)
+	if attempts != 1 || incarnations != 1 {
+		t.Errorf("%d attempts and %d incarnations in the log, want the running one and one", attempts, incarnations)
 	}
 }
 
+// stopAndRelease stops the server and waits until nobody holds its folder.
+func (h *harness) stopAndRelease(folder string) {
+	h.t.Helper()
+	h.server.Stop()
+	eventually(h.t, func() bool { return !h.server.loop.Post(func() {}) })
+	eventually(h.t, func() bool {
+		d, err := vfs.OpenLocked(folder)
+		return err == nil && d.Close() == nil
+	})
+}
+
 // An attempt that waits for a slow disk longer than a connection may take is not sent, whatever update arrives
 // meanwhile, and is no failure of its machine.
 func TestAttemptHeldBackByASlowDiskIsNotSentLate(t *testing.T) {
 	offered := make(chan string, 10)
-	address := serveMachine(t, "a", &protocol.Inventory{}, func(_ net.Conn, f protocol.Frame) bool {
-		if o, ok := f.(*protocol.Offer); ok {
-			offered <- o.Spec.ContainerID
-		}
+	address := serveMachine(t, "a", onOffer(func(_ net.Conn, o *protocol.Offer) bool {
+		offered <- o.Spec.ContainerID
 		return true
-	})
+	}))
 	settings := testConfig(t)
 	settings.ConnectTimeout = 50 * eventloop.Millisecond
 	dir := useFaultyDir(t, settings)
-	h := startHarness(t, settings, attemptOn(0), map[string]string{"a": address})
-	h.awaitReady("a")
+	h := startWithMachineA(t, settings, attemptOn(0), address)
+	h.eventually((*machine).ready)
 	dir.gate.Lock()
 	h.client.submit("once", classAtMostOnce)
-	if ended := awaitEvent[scheduler.AttemptEnded](t, h.script, nil); ended.Outcome != scheduler.OutcomeNotSent {
+	if ended := h.awaitEnded(); ended.Outcome != scheduler.OutcomeNotSent {
 		t.Errorf("%+v", ended)
 	}
-	h.applyList(
-		protocol.MachineEntry{Machine: "a", Address: address, State: protocol.MachineDraining, Incarnation: 1, Age: -1},
-	)
+	listed(protocol.MachineDraining, 1, -1)(h, address)
 	dir.gate.Unlock()
 	h.client.submit("again", classIdempotent)
 	if got := <-offered; got != "again" {
--- a/internal/schedulerd/status_test.go
+++ b/internal/schedulerd/status_test.go
@@ -3,62 +3,30 @@
 import (
 	"slices"
 	"testing"
-
-	"glenport/internal/protocol"
 )
 
+// statusNames are the counters of `glenport status`, in their order.
+var statusNames = []string{
+	"up", "machines known", "list version", "owners", "connections", "timers", "containers known",
+	"containers running", "containers taken over", "submissions", "placed", "pushed back", "given up",
+	"turned away", "answers nobody heard", "bids", "bids full", "bids erred", "bids stopped", "bids lost",
+	"bids timed out", "bids late yes", "bids no connection", "bids reset", "bids not sent", "placing p50",
+	"placing p99", "placing p99.9", "placing worst", "turns", "batches", "events", "busy", "deciding",
+	"slowest decision", "heap live", "memory", "goroutines",
+}
+
 // `glenport status`, the metrics and dashboards know the counters by these names, in this order.
 func TestStatusKeepsItsNames(t *testing.T) {
-	want := []string{
-		"up",
-		"machines known",
-		"list version",
-		"owners",
-		"connections",
-		"timers",
-		"containers known",
-		"containers running",
-		"containers taken over",
-		"submissions",
-		"placed",
-		"pushed back",
-		"given up",
-		"turned away",
-		"answers nobody heard",
-		"bids",
-		"bids full",
-		"bids erred",
-		"bids stopped",
-		"bids lost",
-		"bids timed out",
-		"bids late yes",
-		"bids no connection",
-		"bids reset",
-		"bids not sent",
-		"placing p50",
-		"placing p99",
-		"placing p99.9",
-		"placing worst",
-		"turns",
-		"batches",
-		"events",
-		"busy",
-		"deciding",
-		"slowest decision",
-		"heap live",
-		"memory",
-		"goroutines",
-	}
 	server := runServer(t, testConfig(t), newScript(nil))
 	var got []string
 	for _, stat := range onLoop(server, server.inspector.statusReply).Stats {
 		got = append(got, stat.Name)
 	}
-	if !slices.Equal(got, want) {
+	if !slices.Equal(got, statusNames) {
 		t.Errorf("got %q", got)
 	}
 	units := map[string]string{}
-	for _, stat := range onLoop(server, func() *protocol.StatusReply { return server.inspector.statusReply() }).Stats {
+	for _, stat := range onLoop(server, server.inspector.statusReply).Stats {
 		if stat.Unit != "" {
 			units[stat.Name] = stat.Unit
 		}
