--- a/cmd/glenport/bgp.go
+++ b/cmd/glenport/bgp.go
@@ -89,10 +89,11 @@
 
 func explainRoute(s *protocol.ServiceRoute) string {
 	text := fmt.Sprintf("%s of service %s is %s", s.Prefix, s.Service, announcementReason(s))
-	if s.NextChangeIn > 0 {
-		text += fmt.Sprintf(" The next change is due in %d ms, by the limit on the update rate.", milliseconds(s.NextChangeIn))
+	if s.NextChangeIn <= 0 {
+		return text
 	}
-	return text
+	const format = "%s The next change is due in %d ms, by the limit on the update rate."
+	return fmt.Sprintf(format, text, milliseconds(s.NextChangeIn))
 }
 
 func announcementReason(s *protocol.ServiceRoute) string {
--- a/cmd/glenport/check.go
+++ b/cmd/glenport/check.go
@@ -12,8 +12,8 @@
 	return &cobra.Command{
 		Use:   "check FILE...",
 		Short: "Check settings files of schedulers",
-		Long: "Check settings files of schedulers. The first error of each file is printed with file, line and column; " +
-			"the exit code is then 1.",
+		Long: "Check settings files of schedulers. The first error of each file is printed with file, line and " +
+			"column; the exit code is then 1.",
 		Example: "  glenport check deploy/scheduler.yaml",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
--- a/cmd/glenport/machines.go
+++ b/cmd/glenport/machines.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+
 	"glenport/internal/controller/server"
 
 	"github.com/spf13/cobra"
--- a/cmd/glenport/state_test.go
+++ b/cmd/glenport/state_test.go
@@ -1,7 +1,7 @@
 package main
 
 import (
-	"bytes"
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -11,40 +11,39 @@
 	"glenport/internal/storage/wal"
 )
 
-// A folder is inspected, checked, exported and compacted; of a damaged one the file and the place are named, and what
-// comes before is exported.
-func TestStateCommandsReadAndCompactAFolder(t *testing.T) {
-	dir := t.TempDir()
-	d, err := vfs.OpenLocked(dir)
+// writeStateFolder makes a folder whose log has a record for each key.
+func writeStateFolder(t *testing.T, keys ...string) (path string) {
+	t.Helper()
+	path = t.TempDir()
+	folder, err := vfs.OpenLocked(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, _, err := wal.Open(d, wal.Options{})
+	log, _, err := wal.Open(folder, wal.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, key := range []string{"a", "b", "c"} {
+	for _, key := range keys {
 		done := make(chan error, 1)
-		s.Commit([]wal.Change{{Kind: "job", Key: key, Value: []byte{0x61, 'x'}}}, true, func(err error) { done <- err })
+		change := wal.Change{Kind: "job", Key: key, Value: []byte{0x61, 'x'}}
+		log.Commit([]wal.Change{change}, true, func(err error) { done <- err })
 		if err := <-done; err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := s.Close(); err != nil {
-		t.Fatal(err)
-	}
-	if err := d.Close(); err != nil {
+	if err := errors.Join(log.Close(), folder.Close()); err != nil {
 		t.Fatal(err)
 	}
+	return path
+}
+
+// A folder is inspected, checked, exported and compacted; of a damaged one the file and the place are named, and what
+// comes before is exported.
+func TestStateCommandsReadAndCompactAFolder(t *testing.T) {
+	dir := writeStateFolder(t, "a", "b", "c")
 	run := func(what string) (string, error) {
-		c := newStateCommand()
-		var out bytes.Buffer
-		c.SetOut(&out)
-		c.SetErr(&out)
-		c.SetArgs([]string{what, dir})
-		c.SilenceUsage, c.SilenceErrors = true, true
-		err := c.Execute()
-		return out.String(), err
+		stdout, stderr, err := runCommand("state", what, dir)
+		return stdout + stderr, err
 	}
 	for _, tc := range []struct{ what, want string }{
 		{"inspect", "3 records"},
@@ -58,22 +57,29 @@
 			t.Errorf("%s: %q, %v", tc.what, out, err)
 		}
 	}
-	all, err := filepath.Glob(filepath.Join(dir, "snapshot-*"))
-	if err != nil || len(all) == 0 {
-		t.Fatalf("snapshots %v, %v", all, err)
+	damaged := damageSnapshot(t, dir)
+	if out, err := run("verify"); err == nil || !strings.Contains(out, damaged+", at byte") {
+		t.Errorf("damaged: %q, %v", out, err)
+	}
+	if _, err := run("export"); err == nil {
+		t.Error("a damaged folder is exported as whole")
+	}
+}
+
+// damageSnapshot changes a bit in the middle of a folder's snapshot and returns the name of the file.
+func damageSnapshot(t *testing.T, dir string) string {
+	t.Helper()
+	snapshots, err := filepath.Glob(filepath.Join(dir, "snapshot-*"))
+	if err != nil || len(snapshots) == 0 {
+		t.Fatalf("snapshots %v, %v", snapshots, err)
 	}
-	p, err := os.ReadFile(all[0])
+	content, err := os.ReadFile(snapshots[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	p[len(p)/2] ^= 1
-	if err := os.WriteFile(all[0], p, 0o644); err != nil {
+	content[len(content)/2] ^= 1
+	if err := os.WriteFile(snapshots[0], content, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if out, err := run("verify"); err == nil || !strings.Contains(out, filepath.Base(all[0])+", at byte") {
-		t.Errorf("damaged: %q, %v", out, err)
-	}
-	if _, err := run("export"); err == nil {
-		t.Error("a damaged folder is exported as whole")
-	}
+	return filepath.Base(snapshots[0])
 }
--- a/internal/config/strictyaml/rename.go
+++ b/internal/config/strictyaml/rename.go
@@ -147,8 +147,8 @@
 	key := entry.Key.GetToken()
 	if other := findKey(target, name); other != nil {
 		line := other.Key.GetToken().Position.Line
-		return r.file.ErrorAt(positionOf(key), "%q is the old spelling of %q, which stands on line %d: give one of the two",
-			alias.Old, alias.New, line)
+		const format = "%q is the old spelling of %q, which stands on line %d: give one of the two"
+		return r.file.ErrorAt(positionOf(key), format, alias.Old, alias.New, line)
 	}
 	here := at.key(alias.New, alias.Old)
 	r.note(positionOf(key), withoutIndices(here.spelled), withoutIndices(here.current))
--- a/internal/config/strictyaml/strictyaml.go
+++ b/internal/config/strictyaml/strictyaml.go
@@ -188,7 +188,8 @@
 			return i, nil
 		}
 	}
-	return 0, f.ErrorAt(value.Position, "%q is none of %s", value.Value, strings.Join(f.spelling.allowed(value.Position, allowed), ", "))
+	spelled := strings.Join(f.spelling.allowed(value.Position, allowed), ", ")
+	return 0, f.ErrorAt(value.Position, "%q is none of %s", value.Value, spelled)
 }
 
 // CheckRequired returns an error about the first field of a mapping, a struct of this package's types, that was left
--- a/internal/config/workloadclass.go
+++ b/internal/config/workloadclass.go
@@ -28,11 +28,7 @@
 	}
 }
 
-func (v *validator) workloadClass(
-	path string,
-	entry *workloadClassEntry,
-	typeIndex map[string]int,
-) scheduler.WorkloadClass {
+func (v *validator) workloadClass(path string, entry *workloadClassEntry, types map[string]int) scheduler.WorkloadClass {
 	class := scheduler.WorkloadClass{
 		LatencyObjective: v.positiveDuration(entry.LatencyObjective),
 		PlacementTimeout: v.positiveDuration(entry.PlacementTimeout),
@@ -45,7 +41,7 @@
 	}
 	v.idempotency(path, entry, &class)
 	if entry.MachineType.IsSet() {
-		index, ok := typeIndex[entry.MachineType.Value]
+		index, ok := types[entry.MachineType.Value]
 		if !ok {
 			v.fail(entry.MachineType.Position, "there is no machine type %q", entry.MachineType.Value)
 		}
@@ -83,7 +79,8 @@
 func (v *validator) spread(path string, entry *workloadClassEntry, class *scheduler.WorkloadClass) {
 	if !entry.SpreadScope.IsSet() {
 		if entry.MaxPerScope.IsSet() {
-			v.fail(entry.MaxPerScope.Position, "%s needs %s", v.keyName(path+".max_per_scope"), v.keyName(path+".spread_scope"))
+			v.fail(entry.MaxPerScope.Position, "%s needs %s",
+				v.keyName(path+".max_per_scope"), v.keyName(path+".spread_scope"))
 		}
 		return
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -1,6 +1,7 @@
 package metrics
 
 import (
+	"net/http"
 	"net/http/httptest"
 	"strings"
 	"testing"
@@ -36,7 +37,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			response := httptest.NewRecorder()
-			Serve("", fakeSource{tc.ok}).Handler.ServeHTTP(response, httptest.NewRequest("GET", "/metrics", nil))
+			Serve("", fakeSource{tc.ok}).Handler.ServeHTTP(response, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/metrics", nil))
 			body := response.Body.String()
 			for _, line := range tc.want {
 				if !strings.Contains(body, line+"\n") {
