--- a/cmd/glenport/golden_test.go
+++ b/cmd/glenport/golden_test.go
@@ -173,79 +173,80 @@
 
 // recordedCalls are the calls of the program whose output is recorded. Words in capitals stand for the addresses of a
 // fake scheduler, of a fake machine and of a fake API, and for a folder with the settings file bad.yaml.
-const recordedCalls = `
-check ../../deploy/scheduler.yaml
-check DIR/bad.yaml ../../deploy/scheduler.yaml DIR/absent.yaml
-check
-status --scheduler SCHEDULER
-status --scheduler MACHINE
-status --scheduler 127.0.0.1:1
-status extra
-bgp peers --scheduler SCHEDULER
-bgp routes --scheduler SCHEDULER
-bgp why reports --scheduler SCHEDULER
-bgp why 198.51.100.8 --scheduler SCHEDULER
-bgp why 2001:db8:1::7 --scheduler SCHEDULER
-bgp why 198.51.100.9/32 --scheduler SCHEDULER
-bgp why absent --scheduler SCHEDULER
-submit placed --scheduler SCHEDULER
-submit placed -n 3 --scheduler SCHEDULER
-submit ends --wait -n 2 --scheduler SCHEDULER
-submit rejected --scheduler SCHEDULER
-submit failed --scheduler SCHEDULER
-submit goodbye --scheduler SCHEDULER
-submit hangs-up --scheduler SCHEDULER
-submit spec --scheduler SCHEDULER
-submit spec --key k --workload 2 --tenant 1 --cores 1.5 --memory 3 --timeout 250ms --scheduler SCHEDULER
-job get --api API
-job get -o json --api API
-job get -o yaml --api API
-job get web --api API
-job get web -o json --api API
-job get web -o yaml --api API
-job get absent --api API
-job get garbled --api API
-job get -o xml --api API
-job run web --workload matcher -o json --api API
-job run web --workload matcher --service s --tenant c --cores 2.5 --memory 0.5 -n 4 --run-for 90s --once --label a=b --label c=d -o json --api API
-job run web --workload matcher --api API
-job run web --api API
-job scale web -n 7 --api API
-job scale web -n 7 -o json --api API
-job scale absent -n 7 --api API
-job scale web --api API
-job stop web --api API
-job stop absent --api API
-why web --api API
-why web -o json --api API
-why idle --api API
-why web.1 --api API
-why web.0 --api API
-why absent --api API
-why absent.0 --api API
-machines --api API
-machines -o yaml --api API
-machines --api 127.0.0.1:1
-scheduler
-placer -c DIR/bad.yaml
-scheduler -c DIR/bad.yaml --log xml
-controller
-keeper -c DIR/bad.yaml
-controller -c DIR/bad.yaml --log xml
-platform
-platform -c DIR/absent.toml
-state inspect DIR/absent
-state verify DIR/absent
-state export DIR/absent
-state compact DIR/absent
-state inspect DIR
-state verify DIR
-state export DIR
-state inspect STATE
-state verify STATE
-state export STATE
-unheard-of
-`
+var recordedCalls = []string{
+	"check ../../deploy/scheduler.yaml",
+	"check DIR/bad.yaml ../../deploy/scheduler.yaml DIR/absent.yaml",
+	"check",
+	"status --scheduler SCHEDULER",
+	"status --scheduler MACHINE",
+	"status --scheduler 127.0.0.1:1",
+	"status extra",
+	"bgp peers --scheduler SCHEDULER",
+	"bgp routes --scheduler SCHEDULER",
+	"bgp why reports --scheduler SCHEDULER",
+	"bgp why 198.51.100.8 --scheduler SCHEDULER",
+	"bgp why 2001:db8:1::7 --scheduler SCHEDULER",
+	"bgp why 198.51.100.9/32 --scheduler SCHEDULER",
+	"bgp why absent --scheduler SCHEDULER",
+	"submit placed --scheduler SCHEDULER",
+	"submit placed -n 3 --scheduler SCHEDULER",
+	"submit ends --wait -n 2 --scheduler SCHEDULER",
+	"submit rejected --scheduler SCHEDULER",
+	"submit failed --scheduler SCHEDULER",
+	"submit goodbye --scheduler SCHEDULER",
+	"submit hangs-up --scheduler SCHEDULER",
+	"submit spec --scheduler SCHEDULER",
+	"submit spec --key k --workload 2 --tenant 1 --cores 1.5 --memory 3 --timeout 250ms --scheduler SCHEDULER",
+	"job get --api API",
+	"job get -o json --api API",
+	"job get -o yaml --api API",
+	"job get web --api API",
+	"job get web -o json --api API",
+	"job get web -o yaml --api API",
+	"job get absent --api API",
+	"job get garbled --api API",
+	"job get -o xml --api API",
+	"job run web --workload matcher -o json --api API",
+	"job run web --workload matcher --service s --tenant c --cores 2.5 --memory 0.5 -n 4 " +
+		"--run-for 90s --once --label a=b --label c=d -o json --api API",
+	"job run web --workload matcher --api API",
+	"job run web --api API",
+	"job scale web -n 7 --api API",
+	"job scale web -n 7 -o json --api API",
+	"job scale absent -n 7 --api API",
+	"job scale web --api API",
+	"job stop web --api API",
+	"job stop absent --api API",
+	"why web --api API",
+	"why web -o json --api API",
+	"why idle --api API",
+	"why web.1 --api API",
+	"why web.0 --api API",
+	"why absent --api API",
+	"why absent.0 --api API",
+	"machines --api API",
+	"machines -o yaml --api API",
+	"machines --api 127.0.0.1:1",
+	"scheduler",
+	"placer -c DIR/bad.yaml",
+	"scheduler -c DIR/bad.yaml --log xml",
+	"controller",
+	"keeper -c DIR/bad.yaml",
+	"controller -c DIR/bad.yaml --log xml",
+	"platform",
+	"platform -c DIR/absent.toml",
+	"state inspect DIR/absent",
+	"state verify DIR/absent",
+	"state export DIR/absent",
+	"state compact DIR/absent",
+	"state inspect DIR",
+	"state verify DIR",
+	"state export DIR",
+	"state inspect STATE",
+	"state verify STATE",
+	"state export STATE",
+	"unheard-of",
+}
 
 // transcript is a call with what it prints and how it ends.
 func transcript(args []string) string {
@@ -279,7 +280,7 @@
 		"STATE", "../../internal/schedulerd/testdata/state")
 	recorded := strings.NewReplacer(scheduler, "SCHEDULER", api, "API", machine, "MACHINE", dir, "DIR")
 	var got strings.Builder
-	for call := range strings.Lines(strings.TrimSpace(recordedCalls)) {
+	for _, call := range recordedCalls {
 		text := recorded.Replace(transcript(strings.Fields(actual.Replace(call))))
 		text = snapshotAge.ReplaceAllString(text, "written AGE ago")
 		got.WriteString(randomID.ReplaceAllString(text, "-RANDOM-$1") + "\n")
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -37,7 +37,8 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			response := httptest.NewRecorder()
-			Serve("", fakeSource{tc.ok}).Handler.ServeHTTP(response, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/metrics", nil))
+			request := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/metrics", nil)
+			Serve("", fakeSource{tc.ok}).Handler.ServeHTTP(response, request)
 			body := response.Body.String()
 			for _, line := range tc.want {
 				if !strings.Contains(body, line+"\n") {
