--- a/cmd/glenport/golden_test.go
+++ b/cmd/glenport/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
 	"net"
@@ -15,11 +14,10 @@
 	"strings"
 	"testing"
 
+	"glenport/internal/golden"
 	"glenport/internal/protocol"
 )
 
-var update = flag.Bool("update", false, "record the golden texts anew")
-
 // runCommand runs the program with arguments, and returns what it prints and how it ends.
 func runCommand(args ...string) (stdout, stderr string, err error) {
 	root := newRootCommand()
@@ -285,29 +283,5 @@
 		text = snapshotAge.ReplaceAllString(text, "written AGE ago")
 		got.WriteString(randomID.ReplaceAllString(text, "-RANDOM-$1") + "\n")
 	}
-	compareWithRecord(t, "testdata/output.txt", got.String())
-}
-
-// compareWithRecord compares a text with a recorded file, or records it with -update.
-func compareWithRecord(t *testing.T, path, got string) {
-	t.Helper()
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	recorded, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(recorded), "\n")
-	for i := range min(len(gotLines), len(wantLines)) {
-		if gotLines[i] != wantLines[i] {
-			t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, gotLines[i], wantLines[i])
-		}
-	}
-	if len(gotLines) != len(wantLines) {
-		t.Fatalf("%d lines, recorded are %d", len(gotLines), len(wantLines))
-	}
+	golden.CheckText(t, "testdata/output.txt", got.String())
 }
--- a/internal/platform/jsonlines/golden_test.go
+++ b/internal/platform/jsonlines/golden_test.go
@@ -4,33 +4,14 @@
 	"bytes"
 	"encoding/json"
 	"errors"
-	"flag"
 	"fmt"
 	"maps"
-	"os"
 	"slices"
 	"strings"
 	"testing"
-)
-
-var update = flag.Bool("update", false, "record the golden files in testdata anew")
 
-// golden compares what the program gives with what is recorded in a file of testdata.
-func golden(t *testing.T, file string, got []byte) {
-	t.Helper()
-	if *update {
-		if err := os.WriteFile("testdata/"+file, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile("testdata/" + file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
-	}
-}
+	"glenport/internal/golden"
+)
 
 // describe writes every value of a message by its name on the wire.
 func describe(m *Message) string {
@@ -157,7 +138,7 @@
 		}
 		fmt.Fprintf(&got, "%q\n\t%s\n", line, describe(m))
 	}
-	golden(t, "decoded.txt", got.Bytes())
+	golden.CheckText(t, "testdata/decoded.txt", got.String())
 }
 
 // TestEncodedMessagesAreUnchanged writes messages of every type with every field set and compares the bytes.
@@ -168,17 +149,17 @@
 		{Op: OpOffer, RequestID: call, Fields: Fields{"class": "batch", "key": "t1:<k>&", "left": "1500", "idem": "5f"}, Description: []byte(`"a\u00e9\/\r\n"`)},
 		{Op: OpRinging, RequestID: call, Fields: Fields{"a": ""}},
 		{Op: OpAccept, RequestID: call, Description: []byte(`"made\u0020here"`)},
-		{Op: OpEnd, RequestID: call, Fields: Fields{"wait": "250"}, Cause: CausePtr(CauseNoCapacity)},
-		{Op: OpEnd, RequestID: call, Cause: CausePtr(CauseTemporaryFailure)},
-		{Op: OpEnd, RequestID: call, Cause: CausePtr(CauseInvalidContents)},
-		{Op: OpEnd, RequestID: call, Cause: CausePtr(CauseNormal)},
-		{Op: OpEnd, RequestID: call, Cause: CausePtr(CauseCancelled)},
-		{Op: OpEnd, RequestID: call, Cause: CausePtr(CauseError)},
-		{Op: OpEnd, RequestID: call, Cause: CausePtr(CauseNotSent)},
-		{Op: OpEnd, RequestID: call, Cause: CausePtr(-1)},
+		{Op: OpEnd, RequestID: call, Fields: Fields{"wait": "250"}, Cause: new(CauseNoCapacity)},
+		{Op: OpEnd, RequestID: call, Cause: new(CauseTemporaryFailure)},
+		{Op: OpEnd, RequestID: call, Cause: new(CauseInvalidContents)},
+		{Op: OpEnd, RequestID: call, Cause: new(CauseNormal)},
+		{Op: OpEnd, RequestID: call, Cause: new(CauseCancelled)},
+		{Op: OpEnd, RequestID: call, Cause: new(CauseError)},
+		{Op: OpEnd, RequestID: call, Cause: new(CauseNotSent)},
+		{Op: OpEnd, RequestID: call, Cause: new(-1)},
 		{Op: OpEnded, RequestID: call},
-		{Op: OpTest, RequestID: "0000000000000001", Cause: CausePtr(CauseTestPassed)},
-		{Op: OpTested, RequestID: call, Cause: CausePtr(CauseTestFailed), Fields: Fields{"load": "cpu:0.5"}},
+		{Op: OpTest, RequestID: "0000000000000001", Cause: new(CauseTestPassed)},
+		{Op: OpTested, RequestID: call, Cause: new(CauseTestFailed), Fields: Fields{"load": "cpu:0.5"}},
 		{Op: OpInfo, RequestID: call, Fields: Fields{"note": "cpu", "value": "0.125"}},
 		{Op: OpRedirect, RequestID: call, Fields: Fields{"to": "é\u2028\t\"\\\x01\x7f"}},
 		{},
@@ -188,7 +169,7 @@
 			t.Fatalf("%+v: %v", m, err)
 		}
 	}
-	golden(t, "encoded.txt", got)
+	golden.CheckText(t, "testdata/encoded.txt", string(got))
 }
 
 // TestDecodedMessagesAreEncodedAgain writes what was read from each valid line and compares the bytes.
@@ -203,7 +184,7 @@
 			t.Fatal(err)
 		}
 	}
-	golden(t, "encoded-again.txt", got)
+	golden.CheckText(t, "testdata/encoded-again.txt", string(got))
 }
 
 // TestLinesAreSplitAsBefore feeds streams in pieces and compares the lines, what is left, and the error, at each limit.
@@ -232,7 +213,7 @@
 			fmt.Fprintf(&got, " left %d\n", lines.Buffered())
 		}
 	}
-	golden(t, "split.txt", got.Bytes())
+	golden.CheckText(t, "testdata/split.txt", got.String())
 }
 
 // TestMessagesOverTheLimitAreNotEncoded finds the longest message by its bytes.
@@ -250,5 +231,5 @@
 		)
 		fmt.Fprintf(&got, "%d: %d bytes, error: %v\n", n, len(out), err)
 	}
-	golden(t, "limit.txt", got.Bytes())
+	golden.CheckText(t, "testdata/limit.txt", got.String())
 }
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"encoding/binary"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"math"
 	"os"
@@ -15,6 +14,7 @@
 	"strings"
 	"testing"
 
+	"glenport/internal/golden"
 	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/overload"
 	"glenport/internal/schedulerd/reconcile"
@@ -42,8 +42,6 @@
 	goldenList   = "testdata/list"
 )
 
-var update = flag.Bool("update", false, "write the golden stored data anew with the program as it is")
-
 func goldenRequest(n float64, id string) scheduler.PlacementRequest {
 	return scheduler.PlacementRequest{
 		ID:              scheduler.ContainerID("container-" + id),
@@ -168,13 +166,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		st := &stateStore{dir: d}
-		if st.log, _, err = wal.Open(d, wal.Options{}); err != nil {
+		st := &stateStore{journal: &journal{}, dir: d}
+		if _, err := st.openLog(d); err != nil {
 			t.Fatal(err)
 		}
 		change(st)
 		st.commit()
-		if err := st.log.Close(); err != nil {
+		if err := st.closeLog(); err != nil {
 			t.Fatal(err)
 		}
 		if err := d.Close(); err != nil {
@@ -257,7 +255,7 @@
 func TestWritingPathGivesGoldenBytes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	writeGoldenState(t, path)
-	if *update {
+	if golden.Updating() {
 		if err := os.RemoveAll(goldenState); err != nil {
 			t.Fatal(err)
 		}
--- /dev/null
+++ b/internal/testbed/bench/bench.go
@@ -0,0 +1,186 @@
+// Package bench measures one scheduler process against a machine list and machines that answer at once and keep no
+// state, so that what is measured is the scheduler.
+package bench
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"sync"
+	"syscall"
+	"time"
+
+	"glenport/internal/config"
+	"glenport/internal/eventloop"
+	"glenport/internal/testbed/process"
+)
+
+// rackGroupSize machines share a rack group.
+const rackGroupSize = 4
+
+// readyTimeout bounds the time until the scheduler is connected to all machines.
+const readyTimeout = 20 * time.Second
+
+// benchName names the one scheduler of a bench.
+const benchName = "measured"
+
+// Cluster is one scheduler process with a list and machines that answer at once and keep no state, so that what
+// is measured is the scheduler.
+type Cluster struct {
+	Dir        string
+	Scheduler  *process.Scheduler
+	controller *process.Controller // nil without one
+	list       net.Listener
+	listeners  []net.Listener
+	stop       chan struct{}
+	goroutines sync.WaitGroup
+}
+
+// Close ends all that was started.
+func (b *Cluster) Close() {
+	if b.controller != nil {
+		b.controller.Terminate()
+	}
+	if b.Scheduler != nil {
+		b.Scheduler.Close(syscall.SIGKILL)
+	}
+	close(b.stop)
+	for _, l := range b.listeners {
+		process.CloseQuietly(l)
+	}
+	b.goroutines.Wait()
+}
+
+// Capacity is what the machines of a bench have room for.
+type Capacity int
+
+// The machines of a bench accept every offer, or have no room for anything.
+const (
+	RoomForAll Capacity = iota
+	Full
+)
+
+// Spec says what a bench consists of.
+type Spec struct {
+	Template string // path of the settings file that the scheduler's own is derived from
+	Dir      string
+	Program  []string
+	Machines int
+	Capacity Capacity
+}
+
+// Start returns when the scheduler is connected to all machines.
+func Start(spec Spec) (_ *Cluster, err error) {
+	if err := os.MkdirAll(spec.Dir, 0o755); err != nil {
+		return nil, err
+	}
+	settings, err := config.LoadScheduler(spec.Template)
+	if err != nil {
+		return nil, err
+	}
+	b := &Cluster{Dir: spec.Dir, stop: make(chan struct{})}
+	defer func() {
+		if err != nil {
+			b.Close()
+		}
+	}()
+	if err := b.startPeers(spec.Machines, spec.Capacity); err != nil {
+		return nil, err
+	}
+	if err := b.startScheduler(settings, spec.Program); err != nil {
+		return nil, err
+	}
+	return b, b.waitConnected(spec.Machines)
+}
+
+// ListAddr returns the address of the machine list.
+func (b *Cluster) ListAddr() string { return b.list.Addr().String() }
+
+// startPeers starts the machines and the list.
+func (b *Cluster) startPeers(machines int, capacity Capacity) error {
+	var fleet []*instantMachine
+	for i := range machines {
+		l, err := b.listen()
+		if err != nil {
+			return err
+		}
+		m := &instantMachine{name: fmt.Sprintf("machine-%04d", i), address: l.Addr().String(), capacity: capacity}
+		fleet = append(fleet, m)
+		b.goroutines.Go(func() { b.serve(l, m) })
+	}
+	l, err := b.listen()
+	if err != nil {
+		return err
+	}
+	b.list = l
+	b.goroutines.Go(func() { b.serve(l, &instantList{fleet}) })
+	return nil
+}
+
+func (b *Cluster) listen() (net.Listener, error) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err == nil {
+		b.listeners = append(b.listeners, l)
+	}
+	return l, err
+}
+
+// startScheduler starts the scheduler with settings that bound neither what is open nor idle connections.
+func (b *Cluster) startScheduler(settings *config.Scheduler, program []string) error {
+	const openRequests, idleTimeout = 1_000_000, 10 * time.Minute
+	path := filepath.Join(b.Dir, "placer")
+	p, err := process.NewScheduler(benchName, path+".yaml", path+".log", program)
+	if err != nil {
+		return err
+	}
+	b.Scheduler = p
+	settings.Name, settings.ListenAddr = benchName, p.Address
+	settings.StateDir, settings.MachineListAddr = filepath.Join(b.Dir, "state"), b.ListAddr()
+	settings.Policy.SchedulerIndex, settings.Policy.SchedulerCount = 0, 1
+	settings.IdleTimeout = eventloop.Tick(idleTimeout / process.Tick)
+	settings.Limits.OpenRequests, settings.Limits.OpenRequestsPerClient = openRequests, openRequests
+	if err := process.WriteSchedulerSettings(p.File, settings); err != nil {
+		return err
+	}
+	return p.Start()
+}
+
+func (b *Cluster) waitConnected(machines int) error {
+	connected := fmt.Sprintf("the placer has links to all %d machines", machines)
+	return process.WaitUntil(connected, readyTimeout, func() bool {
+		stats, err := b.Scheduler.Status()
+		return err == nil && int(stats["connections"]) >= machines
+	})
+}
+
+// StartWithController starts a bench and a controller before its scheduler, which is ended with the bench, and returns
+// when the controller knows all machines.
+func StartWithController(spec Spec) (*Cluster, *process.Controller, error) {
+	b, err := Start(spec)
+	if err != nil {
+		return nil, nil, err
+	}
+	controller, err := b.NewController(spec.Program[0], filepath.Join(b.Dir, "kept"))
+	if err == nil {
+		b.controller = controller
+		err = controller.Start(spec.Machines)
+	}
+	if err != nil {
+		b.Close()
+		return nil, nil, err
+	}
+	return b, controller, nil
+}
+
+// NewController returns a controller before the bench's scheduler, not started yet, with its state in a folder.
+func (b *Cluster) NewController(program, stateDir string) (*process.Controller, error) {
+	return process.NewController(process.ControllerSpec{
+		Dir:             b.Dir,
+		Program:         program,
+		SchedulerFile:   b.Scheduler.File,
+		SchedulerAddrs:  []string{b.Scheduler.Address},
+		MachineListAddr: b.ListAddr(),
+		StateDir:        stateDir,
+	})
+}
--- a/internal/testbed/scenario/load_jobs.go
+++ b/internal/testbed/load/jobs.go
@@ -1,4 +1,4 @@
-package scenario
+package load
 
 import (
 	"bufio"
@@ -9,13 +9,17 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"glenport/internal/testbed/bench"
+	"glenport/internal/testbed/process"
+	"glenport/internal/testbed/report"
 )
 
 const jobClients = 16
 
 // jobLoad creates jobs of one container each at a steady rate and measures when a watch says that each runs.
 type jobLoad struct {
-	controller *controllerProcess
+	controller *process.Controller
 	rate       int
 	sent       []atomic.Int64 // when, in nanoseconds, by job
 	delays     *delays
@@ -23,30 +27,19 @@
 
 // MeasureJobs measures the way through a controller: from the request to the line of a watch that says running, against
 // machines that answer at once.
-func MeasureJobs(
-	template, dir string,
-	program []string,
-	machines, rate int,
-	length time.Duration,
-	out io.Writer,
-) error {
-	b, err := startBench(template, dir, program, machines, false)
-	if err != nil {
-		return err
-	}
-	defer b.close()
-	k, err := b.startController(program[0], machines)
+func MeasureJobs(spec bench.Spec, rate int, length time.Duration, out io.Writer) error {
+	b, controller, err := bench.StartWithController(spec)
 	if err != nil {
 		return err
 	}
-	defer k.terminate()
+	defer b.Close()
 	total := int(float64(rate) * length.Seconds())
-	load := &jobLoad{controller: k, rate: rate, sent: make([]atomic.Int64, total), delays: newDelays()}
-	events, err := k.watch("containers")
+	load := &jobLoad{controller: controller, rate: rate, sent: make([]atomic.Int64, total), delays: newDelays()}
+	events, err := controller.Watch("containers")
 	if err != nil {
 		return err
 	}
-	defer closeQuietly(events)
+	defer process.CloseQuietly(events)
 	done := make(chan int, 1)
 	go func() { done <- load.readRunning(events) }()
 	if err := load.createJobs(); err != nil {
@@ -58,17 +51,17 @@
 	case <-time.After(10 * time.Second):
 		return fmt.Errorf("not all of %d jobs run", total)
 	}
-	stats, err := b.scheduler.Status()
+	stats, err := b.Scheduler.Status()
 	if err != nil {
 		return err
 	}
-	printf(
+	report.Printf(
 		out,
 		"%d jobs at %d a second, %d machines: request to running in a watch p50 %.1f ms, p99 %.1f ms (of it the first "+
 			"100 ms at most are the keeper's spreading by chance); at the placer submission to bid p50 %.2f ms, p99 %.2f ms\n",
 		running,
 		rate,
-		machines,
+		spec.Machines,
 		load.delays.quantile(50),
 		load.delays.quantile(99),
 		stats["placing p50"],
@@ -89,7 +82,7 @@
 			continue // a job that is never seen to run fails the measurement
 		}
 		var job int
-		if _, err := fmt.Sscanf(event.ID, "j%d.0", &job); err == nil && event.Object.State == stateRunning {
+		if _, err := fmt.Sscanf(event.ID, "j%d.0", &job); err == nil && event.Object.State == process.StateRunning {
 			l.delays.record(time.Unix(0, l.sent[job].Load()))
 			running++
 		}
@@ -112,7 +105,7 @@
 				}
 				time.Sleep(time.Until(began.Add(time.Duration(float64(job) / float64(l.rate) * float64(time.Second)))))
 				l.sent[job].Store(time.Now().UnixNano())
-				errs[client] = l.controller.createJob(fmt.Sprint("j", job), workloadMatcher, 1, 0.1, 0.1)
+				errs[client] = l.controller.CreateJob(fmt.Sprint("j", job), process.WorkloadMatcher, 1, 0.1, 0.1)
 			}
 		})
 	}
--- a/internal/testbed/scenario/load_scheduler.go
+++ b/internal/testbed/load/scheduler.go
@@ -1,4 +1,4 @@
-package scenario
+package load
 
 import (
 	"fmt"
@@ -7,6 +7,8 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/bench"
+	"glenport/internal/testbed/process"
 )
 
 // PlacementLoad is what a scheduler did under a load.
@@ -29,34 +31,36 @@
 	loadServices  = 500
 )
 
-// MeasureLoad runs one scheduler for a while against machines that answer at once.
-func MeasureLoad(
-	template, dir string,
-	program []string,
-	machines, rate int,
-	length, life time.Duration,
-) (*PlacementLoad, error) {
-	b, err := startBench(template, dir, program, machines, false)
+// Submissions is the load of a measurement.
+type Submissions struct {
+	Rate    int // a second
+	Length  time.Duration
+	Runtime time.Duration // of each container
+}
+
+// MeasureScheduler runs one scheduler for a while against machines that answer at once.
+func MeasureScheduler(spec bench.Spec, load Submissions) (*PlacementLoad, error) {
+	b, err := bench.Start(spec)
 	if err != nil {
 		return nil, err
 	}
-	defer b.close()
-	before, err := b.scheduler.Status()
+	defer b.Close()
+	before, err := b.Scheduler.Status()
 	if err != nil {
 		return nil, err
 	}
-	placed, err := submitSteadily(b.scheduler.Address, rate, length, life)
+	placed, err := submitSteadily(b.Scheduler.Address, load)
 	if err != nil {
 		return nil, err
 	}
-	stats, err := b.scheduler.Status()
+	stats, err := b.Scheduler.Status()
 	if err != nil {
 		return nil, err
 	}
 	busy := stats["busy"] - before["busy"]
 	deciding := stats["deciding"] - before["deciding"]
 	return &PlacementLoad{
-		PlacedPerSecond:      float64(placed) / length.Seconds(),
+		PlacedPerSecond:      float64(placed) / load.Length.Seconds(),
 		P50:                  stats["placing p50"],
 		P99:                  stats["placing p99"],
 		P999:                 stats["placing p99.9"],
@@ -72,13 +76,13 @@
 }
 
 // submitSteadily submits at even intervals, whatever the replies, and counts those that say placed.
-func submitSteadily(address string, rate int, length, life time.Duration) (int, error) {
+func submitSteadily(address string, load Submissions) (int, error) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return 0, err
 	}
-	defer closeQuietly(c)
-	if err := writeFrames(c, protocol.NewHello(protocol.RoleClient, "load", 1)); err != nil {
+	defer process.CloseQuietly(c)
+	if err := process.WriteFrames(c, protocol.NewHello(protocol.RoleClient, "load", 1)); err != nil {
 		return 0, err
 	}
 	var placed atomic.Int64
@@ -87,29 +91,29 @@
 		defer close(done)
 		countPlaced(c, &placed)
 	}()
-	total := int(float64(rate) * length.Seconds())
+	total := int(float64(load.Rate) * load.Length.Seconds())
 	began := time.Now()
 	for sent := 0; sent < total; {
-		due := min(int(time.Since(began).Seconds()*float64(rate)), total)
+		due := min(int(time.Since(began).Seconds()*float64(load.Rate)), total)
 		var batch []protocol.Frame
 		for ; sent < due; sent++ {
-			batch = append(batch, loadSubmission(sent, life))
+			batch = append(batch, submission(sent, load.Runtime))
 		}
-		if err := writeFrames(c, batch...); err != nil {
+		if err := process.WriteFrames(c, batch...); err != nil {
 			return 0, err
 		}
 		time.Sleep(500 * time.Microsecond)
 	}
 	time.Sleep(drainTime)
 	result := int(placed.Load())
-	closeQuietly(c)
+	process.CloseQuietly(c)
 	<-done
 	return result, nil
 }
 
 func countPlaced(c net.Conn, placed *atomic.Int64) {
 	for {
-		reply, err := readUntil[*protocol.PlacementReply](c)
+		reply, err := process.ReadUntil[*protocol.PlacementReply](c)
 		if err != nil {
 			return
 		}
@@ -119,17 +123,14 @@
 	}
 }
 
-func loadSubmission(number int, life time.Duration) *protocol.Submit {
+func submission(number int, runtime time.Duration) *protocol.Submit {
 	id := fmt.Sprint("c", number)
 	return &protocol.Submit{TimeToDeadline: submitTimeout, Spec: protocol.ContainerSpec{
-		ContainerID:    id,
-		IdempotencyKey: id,
-		Service: fmt.Sprint(
-			"s",
-			number%loadServices,
-		),
+		ContainerID:     id,
+		IdempotencyKey:  id,
+		Service:         fmt.Sprint("s", number%loadServices),
 		Cores:           0.5,
 		Memory:          1,
-		ExpectedRuntime: protocol.Duration(life / tick),
+		ExpectedRuntime: protocol.Duration(runtime / process.Tick),
 	}}
 }
--- /dev/null
+++ b/internal/testbed/process/controller.go
@@ -0,0 +1,97 @@
+package process
+
+import (
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"syscall"
+	"time"
+
+	"glenport/internal/config"
+)
+
+const (
+	ControllerTimeout = 20 * time.Second // until a controller answers and knows all machines
+	jobTimeout        = 30 * time.Second // until a job runs or has ended
+	pageLimit         = 1000             // items that the API lists at most at once
+	HourMS            = 3600_000
+)
+
+// Controller is a controller's process and a client of its API.
+type Controller struct {
+	APIAddr string
+	program string
+	file    string
+	log     string
+	process *exec.Cmd
+}
+
+// ControllerSpec says what a controller is started with.
+type ControllerSpec struct {
+	Dir             string // for its settings and its log
+	Program         string
+	SchedulerFile   string   // settings file of one of the schedulers
+	SchedulerAddrs  []string // that it submits to
+	MachineListAddr string
+	StateDir        string // where its jobs persist; empty: nowhere
+}
+
+// NewController chooses a port for a controller and writes its settings file.
+func NewController(spec ControllerSpec) (*Controller, error) {
+	api, err := freePort()
+	if err != nil {
+		return nil, err
+	}
+	controller := &Controller{
+		APIAddr: api,
+		program: spec.Program,
+		file:    filepath.Join(spec.Dir, "keeper.yaml"),
+		log:     filepath.Join(spec.Dir, "keeper.log"),
+	}
+	schedulerFile, err := filepath.Abs(spec.SchedulerFile)
+	if err != nil {
+		return nil, err
+	}
+	settings := &config.Controller{
+		Name:            "keeper",
+		APIAddr:         api,
+		SchedulerAddrs:  spec.SchedulerAddrs,
+		MachineListAddr: spec.MachineListAddr,
+		StateDir:        spec.StateDir,
+	}
+	return controller, writeControllerSettings(controller.file, settings, schedulerFile)
+}
+
+// Start starts the process and waits until it knows so many machines.
+func (k *Controller) Start(machines int) error {
+	if err := k.Launch(); err != nil {
+		return err
+	}
+	return WaitUntil("the keeper answers and knows all machines", ControllerTimeout, func() bool {
+		var all struct{ Items []any }
+		return k.Get(fmt.Sprintf("/v1/machines?limit=%d", pageLimit), &all) == nil &&
+			len(all.Items) == min(machines, pageLimit)
+	})
+}
+
+func (k *Controller) Launch() error {
+	k.process = exec.Command(k.program, "controller", "-c", k.file)
+	log, err := os.OpenFile(k.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	if err != nil {
+		return err
+	}
+	defer CloseQuietly(log) // the process has a descriptor of its own
+	k.process.Stderr = log
+	return k.process.Start()
+}
+
+// Signal sends a signal that ends the process and waits for its exit.
+func (k *Controller) Signal(s syscall.Signal) {
+	if k.process != nil && k.process.Process != nil {
+		_ = k.process.Process.Signal(s) // fails only if the process has exited already
+		_ = k.process.Wait()            // a process that was killed has no clean exit
+	}
+}
+
+func (k *Controller) Terminate() { k.Signal(syscall.SIGTERM) }
--- /dev/null
+++ b/internal/testbed/trials/restart/start.go
@@ -0,0 +1,134 @@
+package restart
+
+import (
+	"fmt"
+	"path/filepath"
+	"syscall"
+	"time"
+
+	"glenport/internal/protocol"
+	"glenport/internal/testbed/bench"
+	"glenport/internal/testbed/process"
+)
+
+const (
+	startMachines    = 20                       // of the bench on which starts are timed
+	loadServices     = 500                      // that the containers of a log belong to
+	submitTimeout    = protocol.Duration(40000) // 4 s
+	recordsPerCommit = 500                      // of a log that is written in advance
+	containersPerJob = 1000                     // of such a log
+	placeTimeout     = 20 * time.Second
+	longRuntime      = protocol.Duration(36_000_000) // an hour
+	atMostOnceClass  = 2
+)
+
+// placeContainer submits one container and waits until it is placed.
+func placeContainer(address string, spec protocol.ContainerSpec) error {
+	c, err := process.DialProtocol(address, placeTimeout, protocol.NewHello(protocol.RoleClient, "restart", 1),
+		&protocol.Submit{TimeToDeadline: submitTimeout, Spec: spec})
+	if err != nil {
+		return err
+	}
+	defer process.CloseQuietly(c)
+	reply, err := process.ReadUntil[*protocol.PlacementReply](c)
+	if err != nil {
+		return err
+	}
+	if reply.Verdict != protocol.VerdictPlaced {
+		return fmt.Errorf("%s: %s %s", spec.ContainerID, reply.Verdict, reply.Message)
+	}
+	return nil
+}
+
+// measureStart times a start with n containers in the log: of a scheduler to its first container placed, of a
+// controller to the first that runs.
+func (t *Trial) measureStart(n int) error {
+	dir := t.path(fmt.Sprint("start-", n))
+	b, err := bench.Start(bench.Spec{
+		Template: t.scenario.Template, Dir: dir, Program: t.program, Machines: startMachines,
+	})
+	if err != nil {
+		return err
+	}
+	defer b.Close()
+	b.Scheduler.Stop(syscall.SIGTERM) // it persists its machine list
+	if err := writeSchedulerLog(dir, n); err != nil {
+		return err
+	}
+	if err := t.measureSchedulerStart(b, n); err != nil {
+		return err
+	}
+	state := filepath.Join(dir, "keeper.state")
+	if err := writeControllerLog(state, b.Scheduler.Address, n); err != nil {
+		return err
+	}
+	return t.measureControllerStart(b, state, n)
+}
+
+func (t *Trial) measureSchedulerStart(b *bench.Cluster, n int) error {
+	began := time.Now()
+	if err := b.Scheduler.Start(); err != nil {
+		return err
+	}
+	listening := time.Since(began)
+	spec := protocol.ContainerSpec{
+		ContainerID:     "first",
+		IdempotencyKey:  "first",
+		Service:         "s",
+		Cores:           1,
+		Memory:          1,
+		ExpectedRuntime: longRuntime,
+	}
+	if err := placeContainer(b.Scheduler.Address, spec); err != nil {
+		return err
+	}
+	first := time.Since(began)
+	spec.ContainerID, spec.IdempotencyKey, spec.WorkloadClass, spec.ClientRetry = "once", "once", atMostOnceClass, true
+	if err := placeContainer(b.Scheduler.Address, spec); err != nil {
+		return err
+	}
+	t.Printf(
+		"start of a placer, %d containers in its log: door open after %.0f ms, first container placed after %.0f ms, "+
+			"first at-most-once one that came before after %.0f ms\n",
+		n,
+		milliseconds(listening),
+		milliseconds(first),
+		milliseconds(time.Since(began)),
+	)
+	return nil
+}
+
+func (t *Trial) measureControllerStart(b *bench.Cluster, state string, n int) error {
+	k, err := b.NewController(t.program[0], state)
+	if err != nil {
+		return err
+	}
+	defer k.Terminate()
+	began := time.Now()
+	if err := k.Launch(); err != nil {
+		return err
+	}
+	if err := process.WaitUntil(
+		"the keeper answers",
+		30*time.Second,
+		func() bool { return k.Get("/v1/jobs?limit=1", nil) == nil },
+	); err != nil {
+		return err
+	}
+	listening := time.Since(began)
+	if err := process.WaitUntil("the first runs", 30*time.Second, func() bool {
+		var all struct{ Items []any }
+		return k.Get("/v1/containers?limit=1&field=state=running", &all) == nil && len(all.Items) > 0
+	}); err != nil {
+		return err
+	}
+	t.Printf(
+		"start of a keeper, %d containers in its log: API open after %.0f ms, the first found or started after %.0f ms\n",
+		n,
+		milliseconds(listening),
+		milliseconds(time.Since(began)),
+	)
+	return nil
+}
+
+func milliseconds(d time.Duration) float64 { return d.Seconds() * 1000 }
