--- a/internal/config/aliases_test.go
+++ b/internal/config/aliases_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"errors"
 	"log/slog"
-	"os"
 	"path/filepath"
 	"reflect"
 	"strings"
@@ -15,21 +14,10 @@
 	"github.com/goccy/go-yaml"
 )
 
-const sampleFolder = "../../deploy"
-
-func readFile(t *testing.T, path string) []byte {
-	t.Helper()
-	data, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return data
-}
-
-// parseScheduler returns the settings without the deprecations of the file, and these.
-func parseScheduler(t *testing.T, data []byte) (*Scheduler, []strictyaml.Deprecation) {
+// parseWithDeprecations returns the settings in a file without its deprecations, and these.
+func parseWithDeprecations(t *testing.T, path string) (*Scheduler, []strictyaml.Deprecation) {
 	t.Helper()
-	settings, err := ParseScheduler("scheduler.yaml", data)
+	settings, err := LoadScheduler(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,8 +32,8 @@
 		{"every key", "testdata/every-key.yaml", "testdata/current.yaml"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			old, deprecations := parseScheduler(t, readFile(t, tc.old))
-			current, none := parseScheduler(t, readFile(t, tc.current))
+			old, deprecations := parseWithDeprecations(t, tc.old)
+			current, none := parseWithDeprecations(t, tc.current)
 			if !reflect.DeepEqual(old, current) {
 				t.Errorf("got %+v\nwant %+v", old, current)
 			}
@@ -68,8 +56,10 @@
 	if len(current.Deprecations) > 0 {
 		t.Errorf("old spellings: %v", current.Deprecations)
 	}
-	want := strictyaml.Deprecation{File: "testdata/legacy/keeper.yaml", Line: 4, Old: "placer_file", New: "scheduler_config"}
-	if got := old.Deprecations[0]; got != want {
+	got, want := old.Deprecations[0], strictyaml.Deprecation{
+		File: "testdata/legacy/keeper.yaml", Line: 4, Old: "placer_file", New: "scheduler_config",
+	}
+	if got != want {
 		t.Errorf("got %v first, want %v", got, want)
 	}
 	if ofScheduler := old.Scheduler.Deprecations; len(old.Deprecations) != len(controllerKeyAliases)+len(ofScheduler) {
@@ -114,7 +104,7 @@
 		{"testdata/current.yaml", schedulerKeyAliases, asScheduler},
 		{sampleFolder + "/controller.yaml", controllerKeyAliases, asController},
 	} {
-		data := readFile(t, tc.file)
+		data := []byte(readFile(t, tc.file))
 		want, _, err := tc.parse(data)
 		if err != nil {
 			t.Fatal(err)
@@ -154,26 +144,19 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v\nwant %+v", got, want)
 	}
-	prefix := ""
-	if alias.Section != "" {
-		prefix = alias.Section + "."
-	}
-	if len(deprecations) != 1 || deprecations[0].Line == 0 || deprecations[0].File != "file.yaml" ||
-		deprecations[0].Old != prefix+alias.Old || deprecations[0].New != prefix+alias.New {
-		t.Errorf("got old spellings %+v", deprecations)
-	}
+	prefix := strings.TrimPrefix(alias.Section+".", ".")
+	checkDeprecation(t, deprecations, prefix+alias.Old, prefix+alias.New)
 }
 
 func TestEachOldValueIsRead(t *testing.T) {
-	data := readFile(t, "testdata/current.yaml")
+	data := []byte(readFile(t, "testdata/current.yaml"))
+	classOf := map[string]string{"dedup_scope": "report-run", "spread_scope": "corpus-merge"} // others may not have it
 	for _, alias := range schedulerValueAliases {
 		t.Run(alias.Key+" "+alias.Old, func(t *testing.T) {
 			section, key, _ := strings.Cut(alias.Key, ".")
 			with := func(value string) (any, []strictyaml.Deprecation) {
 				settings, deprecations, err := asScheduler(rewrite(t, data, section, func(entry map[string]any) {
-					if entry["name"] == "report-run" && key == "dedup_scope" ||
-						entry["name"] == "corpus-merge" && key == "spread_scope" ||
-						entry[key] == alias.New {
+					if entry["name"] == classOf[key] || entry[key] == alias.New {
 						entry[key] = value
 					}
 				}))
@@ -184,14 +167,22 @@
 			}
 			want, none := with(alias.New)
 			got, deprecations := with(alias.Old)
-			if !reflect.DeepEqual(got, want) || len(none) != 0 || len(deprecations) != 1 ||
-				deprecations[0].Old != alias.Key+": "+alias.Old || deprecations[0].New != alias.Key+": "+alias.New {
-				t.Errorf("got %+v with %v\nwant %+v with %v", got, deprecations, want, none)
+			if !reflect.DeepEqual(got, want) || len(none) > 0 {
+				t.Errorf("got %+v\nwant %+v with %v", got, want, none)
 			}
+			checkDeprecation(t, deprecations, alias.Key+": "+alias.Old, alias.Key+": "+alias.New)
 		})
 	}
 }
 
+// checkDeprecation checks that a file has one old spelling.
+func checkDeprecation(t *testing.T, got []strictyaml.Deprecation, old, current string) {
+	t.Helper()
+	if len(got) != 1 || got[0].Line == 0 || got[0].File != "file.yaml" || got[0].Old != old || got[0].New != current {
+		t.Errorf("got old spellings %+v, want %s for %s", got, old, current)
+	}
+}
+
 // rewrite changes each mapping at the path of a section.
 func rewrite(t *testing.T, data []byte, section string, change func(map[string]any)) []byte {
 	t.Helper()
@@ -243,39 +234,52 @@
 }
 
 func TestErrorsOfCurrentKeysAreLocated(t *testing.T) {
-	for _, tc := range []struct{ name, old, new, want string }{
+	checkErrors(t, "scheduler.yaml", readFile(t, sampleFolder+"/scheduler.yaml"), []errorCase{
 		{"unknown key", "  budget: 60", "  budgets: 60", `scheduler.yaml:36:5: unknown field "budgets"`},
-		{"missing in a nested section", "    window: 3s", "    #", "scheduler.yaml:34:5: machines.slow_start.window is missing"},
-		{"missing in a list", "idempotency: idempotent, ", "", "scheduler.yaml:41:6: workload_classes[0].idempotency is missing"},
-		{"value of a list", "idempotent,", "reissued,", `"reissued" is none of idempotent, idempotent-with-key, at-most-once`},
+		{
+			"missing in a nested section", "    window: 3s", "    #",
+			"scheduler.yaml:34:5: machines.slow_start.window is missing",
+		},
+		{
+			"missing in a list", "idempotency: idempotent, ", "",
+			"scheduler.yaml:41:6: workload_classes[0].idempotency is missing",
+		},
+		{
+			"value of a list", "idempotent,", "reissued,",
+			`"reissued" is none of idempotent, idempotent-with-key, at-most-once`,
+		},
 		{"value of a section", "max_attempts: 4", "max_attempts: 0", "scheduler.yaml:38:17: 0 would let nothing pass"},
-		{"objective beyond the timeout", "latency_objective: 2s", "latency_objective: 20s", "latency_objective is longer than placement_timeout"},
-		{"window of what has none", "idempotency: idempotent,", "idempotency: idempotent, dedup_window: 8s,", "dedup_scope and dedup_window need idempotency: idempotent-with-key"},
-		{"index beyond the count", "scheduler_index: 0", "scheduler_index: 3", "scheduler_index 3 is not below scheduler_count, 3"},
-		{"both spellings", "scheduler_count: 3", "scheduler_count: 3\nplacers: 3", `scheduler.yaml:6:1: "placers" is the old spelling of "scheduler_count", which stands on line 5`},
-		{"both spellings, the old one first", "scheduler_count: 3", "placers: 3\nscheduler_count: 3", `scheduler.yaml:5:1: "placers" is the old spelling of "scheduler_count", which stands on line 6`},
-		{"old key into what is no section", "  slow_start:", "  cold_for: 17s\n  slow_start: 5\n  slow:", `scheduler.yaml:33:3: "cold_for" belongs into section "slow_start", which is no mapping`},
-	} {
-		t.Run(tc.name, func(t *testing.T) {
-			text := string(readFile(t, sampleFolder+"/scheduler.yaml"))
-			changed := strings.Replace(text, tc.old, tc.new, 1)
-			if changed == text {
-				t.Fatal("nothing was changed")
-			}
-			_, err := ParseScheduler("scheduler.yaml", []byte(changed))
-			if err == nil || !strings.Contains(err.Error(), tc.want) {
-				t.Errorf("got %v, want %s", err, tc.want)
-			}
-		})
-	}
+		{
+			"objective beyond the timeout", "latency_objective: 2s", "latency_objective: 20s",
+			"latency_objective is longer than placement_timeout",
+		},
+		{
+			"window of what has none", "idempotency: idempotent,", "idempotency: idempotent, dedup_window: 8s,",
+			"dedup_scope and dedup_window need idempotency: idempotent-with-key",
+		},
+		{
+			"index beyond the count", "scheduler_index: 0", "scheduler_index: 3",
+			"scheduler_index 3 is not below scheduler_count, 3",
+		},
+		{
+			"both spellings", "scheduler_count: 3", "scheduler_count: 3\nplacers: 3",
+			`scheduler.yaml:6:1: "placers" is the old spelling of "scheduler_count", which stands on line 5`,
+		},
+		{
+			"both spellings, the old one first", "scheduler_count: 3", "placers: 3\nscheduler_count: 3",
+			`scheduler.yaml:5:1: "placers" is the old spelling of "scheduler_count", which stands on line 6`,
+		},
+		{
+			"old key into what is no section", "  slow_start:", "  cold_for: 17s\n  slow_start: 5\n  slow:",
+			`scheduler.yaml:33:3: "cold_for" belongs into section "slow_start", which is no mapping`,
+		},
+	})
 }
 
 func TestWarningNamesFileLineOldAndNewKey(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "scheduler.yaml")
-	text := strings.Replace(string(readFile(t, sampleFolder+"/scheduler.yaml")), "latency_objective:", "agreed_time:", 2)
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	text := readFile(t, sampleFolder+"/scheduler.yaml")
+	writeFile(t, path, []byte(strings.ReplaceAll(text, "latency_objective:", "agreed_time:")))
 	settings, err := LoadScheduler(path)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,16 +12,44 @@
 	"glenport/scheduler"
 )
 
-func sample(t *testing.T) string {
-	data, err := os.ReadFile("testdata/legacy/placer.yaml")
+const sampleFolder = "../../deploy"
+
+func readFile(t *testing.T, path string) string {
+	t.Helper()
+	data, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return string(data)
 }
 
+// legacySample is the sample of a scheduler's file with the keys of before.
+func legacySample(t *testing.T) string {
+	t.Helper()
+	return readFile(t, "testdata/legacy/placer.yaml")
+}
+
+// errorCase is a change to a file, and what the error about it has to say.
+type errorCase struct{ name, old, new, want string }
+
+// checkErrors parses a scheduler's file with each change in turn.
+func checkErrors(t *testing.T, file, text string, cases []errorCase) {
+	t.Helper()
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			changed := strings.Replace(text, tc.old, tc.new, 1)
+			if changed == text {
+				t.Fatal("nothing was changed")
+			}
+			if _, err := ParseScheduler(file, []byte(changed)); err == nil || !strings.Contains(err.Error(), tc.want) {
+				t.Errorf("got %v, want %s", err, tc.want)
+			}
+		})
+	}
+}
+
 func TestSampleFileIsReadAsWritten(t *testing.T) {
-	p, err := ParseScheduler("placer.yaml", []byte(sample(t)))
+	p, err := ParseScheduler("placer.yaml", []byte(legacySample(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,12 +72,18 @@
 }
 
 func TestErrorsNamePlaceAndCause(t *testing.T) {
-	for _, tc := range []struct{ name, old, new, want string }{
+	checkErrors(t, "placer.yaml", legacySample(t), []errorCase{
 		{"unknown key", "seed: 17", "sead: 17", `placer.yaml:5:1: unknown field "sead"`},
 		{"key twice", "seed: 17", "seed: 17\nseed: 18", "placer.yaml:6:1: "},
-		{"span without unit", "ask_within: 10s", "ask_within: 10", `placer.yaml:11:15: "10" has no unit; write one of ms`},
+		{
+			"span without unit", "ask_within: 10s", "ask_within: 10",
+			`placer.yaml:11:15: "10" has no unit; write one of ms`,
+		},
 		{"span in another unit", "cold_for: 17s", "cold_for: 17GiB", `"17GiB" has the unit "GiB", which is none of ms`},
-		{"memory without unit", "memory: 120GiB", "memory: 120", `placer.yaml:25:40: "120" has no unit; write one of KiB`},
+		{
+			"memory without unit", "memory: 120GiB", "memory: 120",
+			`placer.yaml:25:40: "120" has no unit; write one of KiB`,
+		},
 		{"no number", "cores: 48", "cores: many", `"many" is no number`},
 		{"no whole number", "most: 4", "most: 4.5", `"4.5" is no whole number`},
 		{"missing", "  address: 127.0.0.1:7300\n", "", "placer.yaml:10:3: list.address is missing"},
@@ -57,10 +91,20 @@
 		{"no address", "127.0.0.1:7400", "localhost", `placer.yaml:6:7: "localhost" is no address`},
 		{"number beyond placers", "number: 0 ", "number: 3 ", "placer.yaml:3:9: number 3 is not below placers, 3"},
 		// Attempts that wait longer for a connection would reach a machine in slow start in one burst.
-		{"connect timeout beyond its part of the slow-start window", "connect_within: 180ms", "connect_within: 200ms", "a sixteenth of cold_window, 187.5 ms"},
-		{"no such effect", "effect: numbered", "effect: keyed", `"keyed" is none of reissuable, numbered, at-most-once`},
+		{
+			"connect timeout beyond its part of the slow-start window",
+			"connect_within: 180ms", "connect_within: 200ms",
+			"a sixteenth of cold_window, 187.5 ms",
+		},
+		{
+			"no such effect", "effect: numbered", "effect: keyed",
+			`"keyed" is none of reissuable, numbered, at-most-once`,
+		},
 		{"numbered without a group", "repeats_dropped_in: zone, ", "", "workloads[1].repeats_dropped_in is missing"},
-		{"window of what has none", "effect: reissuable", "effect: reissuable, repeats_dropped_for: 8s", "repeats_dropped_in and repeats_dropped_for need effect: numbered"},
+		{
+			"window of what has none", "effect: reissuable", "effect: reissuable, repeats_dropped_for: 8s",
+			"repeats_dropped_in and repeats_dropped_for need effect: numbered",
+		},
 		{"unknown kind", "kind: large", "kind: huge", `there is no machine type "huge"`},
 		{"kind twice", "name: large", "name: small", `machine type "small" is defined twice`},
 		{"workload twice", "name: report-run", "name: matcher", `workload class "matcher" is defined twice`},
@@ -68,29 +112,21 @@
 		{"agreed after hard stop", "agreed_time: 2s", "agreed_time: 20s", "agreed_time is longer than hard_stop"},
 		{"neither true nor false", "may_be_probed: true", "may_be_probed: maybe", `"maybe" is neither true nor false`},
 		{"weight out of range", "over_share: 0.2", "over_share: 2", "2 is no part from 0 to 1"},
-		{"prefix with spare bits", "198.51.100.7/32", "198.51.100.7/24", "has bits beyond its length; 198.51.100.0/24 has not"},
+		{
+			"prefix with spare bits", "198.51.100.7/32", "198.51.100.7/24",
+			"has bits beyond its length; 198.51.100.0/24 has not",
+		},
 		{"next hop of another family", "next_hop: 192.0.2.5", "next_hop: 2001:db8::5", "is of another family than"},
-		{"peer without a policy", "allow: [198.51.100.0/24, \"2001:db8:1::/64\"]", "it_calls: false", "bgp.peers[0].allow is missing"},
+		{
+			"peer without a policy", "allow: [198.51.100.0/24, \"2001:db8:1::/64\"]", "it_calls: false",
+			"bgp.peers[0].allow is missing",
+		},
 		{"hold time too short", "hold: 9s", "hold: 2s", "a hold time is 0 or whole seconds from 3"},
 		{"no AS", "as: 65001", "as: 0", "0 is no AS number to use"},
 		{"a list in place of a value", "seed: 17", "seed: [1]", "placer.yaml:5:7: a value is wanted here"},
 		{"no YAML", "placers: 3", "placers: [3", "placer.yaml:"},
 		{"two documents", "over_share: 0.2", "over_share: 0.2\n---\nname: x", "more than one document"},
-	} {
-		t.Run(tc.name, func(t *testing.T) {
-			text := strings.Replace(sample(t), tc.old, tc.new, 1)
-			if text == sample(t) {
-				t.Fatal("nothing was changed")
-			}
-			if _, err := ParseScheduler(
-				"placer.yaml",
-				[]byte(text),
-			); err == nil ||
-				!strings.Contains(err.Error(), tc.want) {
-				t.Errorf("got %v, want %s", err, tc.want)
-			}
-		})
-	}
+	})
 	if _, err := ParseScheduler("placer.yaml", nil); err == nil || err.Error() != "placer.yaml: is empty" {
 		t.Errorf("empty: %v", err)
 	}
@@ -110,21 +146,15 @@
 		{"key left out", "effect: reissuable, ", "", 39, 6, "workloads[0].effect"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			_, err := ParseScheduler("placer.yaml", []byte(strings.Replace(sample(t), tc.old, tc.new, 1)))
+			_, err := ParseScheduler("placer.yaml", []byte(strings.Replace(legacySample(t), tc.old, tc.new, 1)))
 			var located *strictyaml.Error
 			if !errors.As(err, &located) {
 				t.Fatalf("got %T: %v", err, err)
 			}
 			want := strictyaml.Position{Line: tc.line, Column: tc.column}
 			if located.File != "placer.yaml" || located.Position != want || located.Key != tc.key {
-				t.Errorf(
-					"got %v with key %q, want %v with key %q: %v",
-					located.Position,
-					located.Key,
-					want,
-					tc.key,
-					err,
-				)
+				t.Errorf("got %v with key %q, want %v with key %q: %v",
+					located.Position, located.Key, want, tc.key, err)
 			}
 		})
 	}
--- a/internal/config/encode_test.go
+++ b/internal/config/encode_test.go
@@ -9,23 +9,16 @@
 
 // What is encoded reads back as the same settings.
 func TestEncodedSettingsReadBackTheSame(t *testing.T) {
-	for _, path := range []string{"../../deploy/scheduler.yaml", "testdata/every-key.yaml"} {
+	for _, path := range []string{sampleFolder + "/scheduler.yaml", "testdata/every-key.yaml"} {
 		t.Run(path, func(t *testing.T) {
-			want, err := LoadScheduler(path)
-			if err != nil {
-				t.Fatal(err)
-			}
-			want.Deprecations = nil // what is encoded has none
-			text, err := want.Encode()
-			if err != nil {
-				t.Fatal(err)
-			}
+			want, _ := parseWithDeprecations(t, path) // what is encoded has no deprecations
+			text := encoded(t)(want.Encode())
 			if got, err := ParseScheduler(path, text); err != nil || !reflect.DeepEqual(got, want) {
 				t.Errorf("%v: got %+v, want %+v from\n%s", err, got, want, text)
 			}
 		})
 	}
-	for _, path := range []string{"../../deploy/controller.yaml", "testdata/controller.yaml"} {
+	for _, path := range []string{sampleFolder + "/controller.yaml", "testdata/controller.yaml"} {
 		t.Run(path, func(t *testing.T) {
 			want, err := LoadController(path)
 			if err != nil {
@@ -33,15 +26,8 @@
 			}
 			dir := t.TempDir()
 			want.Deprecations, want.Scheduler.Deprecations = nil, nil // what is encoded has none
-			schedulerText, err := want.Scheduler.Encode()
-			if err != nil {
-				t.Fatal(err)
-			}
-			text, err := want.Encode("scheduler.yaml")
-			if err != nil {
-				t.Fatal(err)
-			}
-			writeFile(t, filepath.Join(dir, "scheduler.yaml"), schedulerText)
+			writeFile(t, filepath.Join(dir, "scheduler.yaml"), encoded(t)(want.Scheduler.Encode()))
+			text := encoded(t)(want.Encode("scheduler.yaml"))
 			writeFile(t, filepath.Join(dir, "controller.yaml"), text)
 			got, err := LoadController(filepath.Join(dir, "controller.yaml"))
 			if err != nil || !reflect.DeepEqual(got, want) {
@@ -51,6 +37,18 @@
 	}
 }
 
+// encoded returns a function that passes an encoded text on and fails the test with an error.
+func encoded(t *testing.T) func(text []byte, err error) []byte {
+	t.Helper()
+	return func(text []byte, err error) []byte {
+		t.Helper()
+		if err != nil {
+			t.Fatal(err)
+		}
+		return text
+	}
+}
+
 func writeFile(t *testing.T, path string, data []byte) {
 	t.Helper()
 	if err := os.WriteFile(path, data, 0o600); err != nil {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -86,17 +86,11 @@
 
 func controllerValues(c *Controller) []string {
 	return []string{
-		fmt.Sprint(
-			"name = ",
-			c.Name,
-		),
+		fmt.Sprint("name = ", c.Name),
 		fmt.Sprint("api = ", c.APIAddr),
 		fmt.Sprint("doors = ", c.SchedulerAddrs),
 		fmt.Sprint("list = ", c.MachineListAddr),
-		fmt.Sprint(
-			"seed = ",
-			c.Seed,
-		),
+		fmt.Sprint("seed = ", c.Seed),
 		fmt.Sprint("state = ", c.StateDir),
 		fmt.Sprint("placer_file names ", c.Scheduler.Name),
 	}
@@ -126,64 +120,35 @@
 
 // replacementsByKey stand in turn in place of the values of one key.
 var replacementsByKey = map[string][]string{
-	"name":   {"small", "large", "matcher", "report-run", `""`, "~"},
-	"number": {"2", "3", "-1", "9999999999"},
-	"door": {
-		"192.0.2.1:99999",
-		"localhost:1",
-		"127.0.0.1:1",
-	},
+	"name":                {"small", "large", "matcher", "report-run", `""`, "~"},
+	"number":              {"2", "3", "-1", "9999999999"},
+	"door":                {"192.0.2.1:99999", "localhost:1", "127.0.0.1:1"},
 	"connect_within":      {"187ms", "188ms", "9000h"},
 	"most_waiting_output": {"63KiB", "64KiB"},
-	"cores": {
-		"-2",
-		"1e400",
-		"nan",
-	},
-	"memory":        {"60", "60GB", "-1GiB"},
-	"say_yes_when":  {"accepted", "yes"},
-	"may_be_probed": {"false", "yes"},
-	"cold_window":   {"2s", "12parsecs"},
-	"cold_bids":     {"0"},
-	"effect":        {"reissuable", "numbered", "at-most-once"},
-	"repeats_dropped_in": {
-		"zone",
-		"everywhere",
-		"machine",
-	},
-	"agreed_time": {"20s", "2h", "1min"},
-	"hard_stop":   {"100ms"},
-	"kind":        {"small", "large"},
-	"spread_over": {
-		"machine",
-		"cell",
-		"everywhere",
-	},
-	"over_share": {"-0.1", "1", "1.1"},
-	"as":         {"1", "23456", "-1"},
-	"identifier": {"0.0.0.0", "2001:db8::1"},
-	"hold": {
-		"1s",
-		"2s",
-		"3s",
-		"1500ms",
-		"65535s",
-		"65536s",
-	},
-	"families": {"[ipv6]", "[]", "[ipv5]"},
-	"allow":    {"[192.0.2.1/24]", "[]", "[192.0.2.0/24]"},
-	"tcp_md5_key": {
-		strings.Repeat("k", 80),
-		strings.Repeat("k", 81),
-	},
-	"prefix": {"192.0.2.1/24", "2001:db8::/32", "198.51.100.7/32"},
-	"next_hop": {
-		"2001:db8::1",
-		"localhost",
-	},
-	"api":         {"localhost"},
-	"placer_file": {"absent.yaml", "keeper.yaml", "/absent.yaml"},
-	"doors":       {"[localhost]", "[127.0.0.1:1]", "[]"},
+	"cores":               {"-2", "1e400", "nan"},
+	"memory":              {"60", "60GB", "-1GiB"},
+	"say_yes_when":        {"accepted", "yes"},
+	"may_be_probed":       {"false", "yes"},
+	"cold_window":         {"2s", "12parsecs"},
+	"cold_bids":           {"0"},
+	"effect":              {"reissuable", "numbered", "at-most-once"},
+	"repeats_dropped_in":  {"zone", "everywhere", "machine"},
+	"agreed_time":         {"20s", "2h", "1min"},
+	"hard_stop":           {"100ms"},
+	"kind":                {"small", "large"},
+	"spread_over":         {"machine", "cell", "everywhere"},
+	"over_share":          {"-0.1", "1", "1.1"},
+	"as":                  {"1", "23456", "-1"},
+	"identifier":          {"0.0.0.0", "2001:db8::1"},
+	"hold":                {"1s", "2s", "3s", "1500ms", "65535s", "65536s"},
+	"families":            {"[ipv6]", "[]", "[ipv5]"},
+	"allow":               {"[192.0.2.1/24]", "[]", "[192.0.2.0/24]"},
+	"tcp_md5_key":         {strings.Repeat("k", 80), strings.Repeat("k", 81)},
+	"prefix":              {"192.0.2.1/24", "2001:db8::/32", "198.51.100.7/32"},
+	"next_hop":            {"2001:db8::1", "localhost"},
+	"api":                 {"localhost"},
+	"placer_file":         {"absent.yaml", "keeper.yaml", "/absent.yaml"},
+	"doors":               {"[localhost]", "[127.0.0.1:1]", "[]"},
 }
 
 // mutations are all files that differ from one in a single line: left out, doubled, renamed, or with another value.
@@ -191,10 +156,8 @@
 	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
 	for i, line := range lines {
 		try := func(what string, replaced ...string) {
-			visit(
-				fmt.Sprintf("line %d %s", i+1, what),
-				strings.Join(slices.Concat(lines[:i], replaced, lines[i+1:]), "\n")+"\n",
-			)
+			changed := strings.Join(slices.Concat(lines[:i], replaced, lines[i+1:]), "\n") + "\n"
+			visit(fmt.Sprintf("line %d %s", i+1, what), changed)
 		}
 		key, value, _ := strings.Cut(line, ": ")
 		try("doubled", line, line)
@@ -255,15 +218,8 @@
 	}
 	visit("empty", "")
 	visit("two documents", string(data)+"---\nname: x\n")
-	visit(
-		"twice the prefix",
-		strings.Replace(
-			strings.Replace(string(data), "2001:db8:1::7/128", "198.51.100.7/32", 1),
-			"2001:db8::5",
-			"192.0.2.9",
-			1,
-		),
-	)
+	samePrefix := strings.Replace(string(data), "2001:db8:1::7/128", "198.51.100.7/32", 1)
+	visit("twice the prefix", strings.Replace(samePrefix, "2001:db8::5", "192.0.2.9", 1))
 	visit("passive without listener", strings.Replace(string(data), "  listen: 127.0.0.1:1790\n", "", 1))
 	visit("no machine types", strings.Replace(string(data), "  kinds:\n", "  kinds: []\n  other:\n", 1))
 	golden.Check(t, "testdata/scheduler-faults.txt", lines)
--- a/internal/config/strictyaml/strictyaml_test.go
+++ b/internal/config/strictyaml/strictyaml_test.go
@@ -18,9 +18,15 @@
 		{"value in a list", "word: w\ninner: {choice: one}\nwords: [a, [b]]\n", 3, 12, "words[1]"},
 		{"mapping in place of a value", "word: {a: 1}\n", 1, 7, "word"},
 		{"unknown key", "word: w\nother: 5\n", 2, 1, "other"},
-		{"unknown key of an entry", "word: w\nlist:\n  - choice: a\n  - choice: b\n    other: 5\n", 5, 5, "list[1].other"},
+		{
+			"unknown key of an entry",
+			"word: w\nlist:\n  - choice: a\n  - choice: b\n    other: 5\n", 5, 5, "list[1].other",
+		},
 		{"key left out", "inner: {choice: one}\n", 1, 1, "word"},
-		{"key left out of a mapping", "word: w\ninner: {choice: one}\nlist: [{choice: a}, {}]\n", 3, 21, "list[1].choice"},
+		{
+			"key left out of a mapping",
+			"word: w\ninner: {choice: one}\nlist: [{choice: a}, {}]\n", 3, 21, "list[1].choice",
+		},
 		{"duplicate key", "word: w\nword: v\n", 2, 1, ""},
 		{"no YAML", "word: [\n", 1, 7, ""},
 		{"empty", "", 0, 0, ""},
@@ -33,15 +39,8 @@
 			}
 			if want := (Position{tc.line, tc.column}); located.File != "f.yaml" || located.Position != want ||
 				located.Key != tc.key {
-				t.Errorf(
-					"got %s, %v, key %q; want f.yaml, %v, key %q (%v)",
-					located.File,
-					located.Position,
-					located.Key,
-					want,
-					tc.key,
-					err,
-				)
+				t.Errorf("got %s, %v, key %q; want f.yaml, %v, key %q (%v)",
+					located.File, located.Position, located.Key, want, tc.key, err)
 			}
 		})
 	}
--- a/internal/config/workloadclass.go
+++ b/internal/config/workloadclass.go
@@ -28,7 +28,9 @@
 	}
 }
 
-func (v *validator) workloadClass(path string, entry *workloadClassEntry, types map[string]int) scheduler.WorkloadClass {
+func (v *validator) workloadClass(
+	path string, entry *workloadClassEntry, types map[string]int,
+) scheduler.WorkloadClass {
 	class := scheduler.WorkloadClass{
 		LatencyObjective: v.positiveDuration(entry.LatencyObjective),
 		PlacementTimeout: v.positiveDuration(entry.PlacementTimeout),
