--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -6,6 +6,7 @@
 	"go/parser"
 	"go/token"
 	"io/fs"
+	"maps"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -34,26 +35,32 @@
 	bareName     = regexp.MustCompile(`^[A-Z][A-Za-z]*[a-z][A-Za-z]*$`)
 )
 
+// readAll returns the texts of the files that a pattern below the root matches, by their path from there.
+func readAll(t *testing.T, pattern string) map[string]string {
+	t.Helper()
+	names, err := filepath.Glob(filepath.Join(root, pattern))
+	if err != nil {
+		t.Fatal(err)
+	}
+	texts := map[string]string{}
+	for _, name := range names {
+		text, err := os.ReadFile(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		texts[filepath.ToSlash(strings.TrimPrefix(name, root+string(filepath.Separator)))] = string(text)
+	}
+	return texts
+}
+
 // pages are the texts of all pages by their path from the root.
 func pages(t *testing.T) map[string]string {
 	t.Helper()
 	all := map[string]string{}
 	for _, pattern := range []string{"*.md", "docs/*.md", "docs/*/*.md"} {
-		names, err := filepath.Glob(filepath.Join(root, pattern))
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, name := range names {
-			text, err := os.ReadFile(name)
-			if err != nil {
-				t.Fatal(err)
-			}
-			page := filepath.ToSlash(strings.TrimPrefix(name, root+string(filepath.Separator)))
-			if !historical[page] {
-				all[page] = string(text)
-			}
-		}
+		maps.Copy(all, readAll(t, pattern))
 	}
+	maps.DeleteFunc(all, func(page, _ string) bool { return historical[page] })
 	if len(all) < 20 {
 		t.Fatalf("only %d pages found", len(all))
 	}
@@ -84,16 +91,8 @@
 func TestTestsInPagesExist(t *testing.T) {
 	defined := map[string]bool{}
 	for _, pattern := range []string{"*/*_test.go", "*/*/*_test.go", "*/*/*/*_test.go", "*/*/*/*/*_test.go"} {
-		names, err := filepath.Glob(filepath.Join(root, pattern))
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, name := range names {
-			text, err := os.ReadFile(name)
-			if err != nil {
-				t.Fatal(err)
-			}
-			for _, m := range testFunction.FindAllStringSubmatch(string(text), -1) {
+		for _, text := range readAll(t, pattern) {
+			for _, m := range testFunction.FindAllStringSubmatch(text, -1) {
 				defined[m[1]] = true
 			}
 		}
@@ -107,32 +106,41 @@
 	}
 }
 
+// each visits the nodes of one type in files.
+func each[T ast.Node](files map[string]*ast.File, visit func(node T)) {
+	for _, file := range files {
+		ast.Inspect(file, func(n ast.Node) bool {
+			if node, ok := n.(T); ok {
+				visit(node)
+			}
+			return true
+		})
+	}
+}
+
 // commandWords are the subcommands that the commands define, with whether one of that name takes arguments, and the
 // flags.
 func commandWords(t *testing.T) (subcommands, flags map[string]bool) {
 	t.Helper()
 	subcommands, flags = map[string]bool{}, map[string]bool{}
-	for _, file := range sources(t, "cmd") {
-		ast.Inspect(file, func(n ast.Node) bool {
-			switch n := n.(type) {
-			case *ast.KeyValueExpr:
-				if key, ok := n.Key.(*ast.Ident); ok && (key.Name == "Use" || key.Name == "Aliases") {
-					for _, text := range literals(n.Value) {
-						if fields := strings.Fields(text); len(fields) > 0 {
-							subcommands[fields[0]] = subcommands[fields[0]] || len(fields) > 1
-						}
-					}
-				}
-			case *ast.CallExpr:
-				for _, arg := range n.Args {
-					for _, text := range literals(arg) {
-						flags[text] = true
-					}
-				}
+	commands := sources(t, "cmd")
+	each(commands, func(field *ast.KeyValueExpr) {
+		if key, ok := field.Key.(*ast.Ident); !ok || key.Name != "Use" && key.Name != "Aliases" {
+			return
+		}
+		for _, text := range literals(field.Value) {
+			if words := strings.Fields(text); len(words) > 0 {
+				subcommands[words[0]] = subcommands[words[0]] || len(words) > 1
 			}
-			return true
-		})
-	}
+		}
+	})
+	each(commands, func(call *ast.CallExpr) {
+		for _, arg := range call.Args {
+			for _, text := range literals(arg) {
+				flags[text] = true
+			}
+		}
+	})
 	return subcommands, flags
 }
 
@@ -157,29 +165,35 @@
 	subcommands, flags := commandWords(t)
 	for page, text := range pages(t) {
 		for _, call := range commandCalls(text) {
-			arguments := false
-			for _, w := range strings.Fields(call) {
-				w = strings.Trim(w, "`,.:()")
-				takes, known := subcommands[w]
-				m := flagName.FindStringSubmatch(w)
-				switch {
-				case m != nil:
-					if !flags[m[1]] {
-						t.Errorf("%s: no command has --%s (%s)", page, m[1], call)
-					}
-					arguments = true
-				case arguments || !word.MatchString(w):
-					arguments = true
-				case !known:
-					t.Errorf("%s: there is no command %q (%s)", page, w, call)
-				default:
-					arguments = takes
-				}
+			for _, unknown := range unknownWords(call, subcommands, flags) {
+				t.Errorf("%s: there is no %s (%s)", page, unknown, call)
 			}
 		}
 	}
 }
 
+// unknownWords are the subcommands and flags of a call that no command has. What follows a subcommand that takes
+// arguments, or a flag, is not looked at, but for flags.
+func unknownWords(call string, subcommands, flags map[string]bool) (unknown []string) {
+	arguments := false
+	for w := range strings.FieldsSeq(call) {
+		w = strings.Trim(w, "`,.:()")
+		takesArguments, known := subcommands[w]
+		flag := flagName.FindStringSubmatch(w)
+		switch {
+		case flag != nil && !flags[flag[1]]:
+			unknown, arguments = append(unknown, "--"+flag[1]), true
+		case flag != nil || arguments || !word.MatchString(w):
+			arguments = true
+		case !known:
+			unknown = append(unknown, "command "+w)
+		default:
+			arguments = takesArguments
+		}
+	}
+	return unknown
+}
+
 // commandCalls are the calls of our programs in code spans and indented blocks, without the program's name. Of
 // alternatives such as "peers|routes" the first counts.
 func commandCalls(text string) []string {
@@ -237,57 +251,57 @@
 func declare(names map[string]bool, pkg string, d ast.Decl) {
 	switch d := d.(type) {
 	case *ast.FuncDecl:
-		if d.Recv == nil {
-			names[pkg+"."+d.Name.Name] = true
-			return
+		names[pkg+"."+receiverPrefix(d)+d.Name.Name] = true
+	case *ast.GenDecl:
+		for _, spec := range d.Specs {
+			declareSpec(names, pkg, spec)
 		}
-		receiver := d.Recv.List[0].Type
-		if star, ok := receiver.(*ast.StarExpr); ok {
-			receiver = star.X
+	}
+}
+
+// receiverPrefix is "Type." for a method of Type, and empty for a function.
+func receiverPrefix(d *ast.FuncDecl) string {
+	if d.Recv == nil {
+		return ""
+	}
+	receiver := d.Recv.List[0].Type
+	if star, ok := receiver.(*ast.StarExpr); ok {
+		receiver = star.X
+	}
+	if id, ok := receiver.(*ast.Ident); ok {
+		return id.Name + "."
+	}
+	return "(generic)."
+}
+
+func declareSpec(names map[string]bool, pkg string, spec ast.Spec) {
+	switch s := spec.(type) {
+	case *ast.ValueSpec:
+		for _, id := range s.Names {
+			names[pkg+"."+id.Name] = true
 		}
-		if id, ok := receiver.(*ast.Ident); ok {
-			names[pkg+"."+id.Name+"."+d.Name.Name] = true
+	case *ast.TypeSpec:
+		names[pkg+"."+s.Name.Name] = true
+		structure, ok := s.Type.(*ast.StructType)
+		if !ok {
+			return
 		}
-	case *ast.GenDecl:
-		for _, spec := range d.Specs {
-			switch s := spec.(type) {
-			case *ast.ValueSpec:
-				for _, id := range s.Names {
-					names[pkg+"."+id.Name] = true
-				}
-			case *ast.TypeSpec:
-				names[pkg+"."+s.Name.Name] = true
-				if st, ok := s.Type.(*ast.StructType); ok {
-					for _, f := range st.Fields.List {
-						for _, id := range f.Names {
-							names[pkg+"."+s.Name.Name+"."+id.Name] = true
-						}
-					}
-				}
+		for _, field := range structure.Fields.List {
+			for _, id := range field.Names {
+				names[pkg+"."+s.Name.Name+"."+id.Name] = true
 			}
 		}
 	}
 }
 
-// TestGlossaryNamesExist looks up each name of the glossary's tables. A bare name that follows a type in a cell is a
-// field or method of it.
+// TestGlossaryNamesExist looks up each name of the glossary's tables.
 func TestGlossaryNamesExist(t *testing.T) {
 	names, checked := declared(t), 0
-	for line := range strings.Lines(pages(t)["docs/glossary.md"]) {
-		for _, cell := range strings.Split(line, "|") {
-			typeName := ""
-			for _, m := range codeSpan.FindAllStringSubmatch(cell, -1) {
-				name := m[1]
-				if q := qualified.FindStringSubmatch(name); q != nil {
-					typeName = q[1] + "." + q[2]
-				} else if bareName.MatchString(name) && typeName != "" {
-					name = typeName + "." + name
-				} else {
-					continue
-				}
-				if checked++; !names[name] {
-					t.Errorf("docs/glossary.md names %s, which does not exist", name)
-				}
+	isBorder := func(r rune) bool { return r == '|' || r == '\n' }
+	for cell := range strings.FieldsFuncSeq(pages(t)["docs/glossary.md"], isBorder) {
+		for _, name := range cellNames(cell) {
+			if checked++; !names[name] {
+				t.Errorf("docs/glossary.md names %s, which does not exist", name)
 			}
 		}
 	}
@@ -296,16 +310,26 @@
 	}
 }
 
-// TestOnCallPageHasEachLogLine compares the messages that the programs log with the rows of docs/on-call.md, both ways.
-func TestOnCallPageHasEachLogLine(t *testing.T) {
-	logged, listed := map[string]bool{}, map[string]bool{}
-	for _, folder := range []string{"scheduler", "internal", "cmd/glenport"} {
-		for path, file := range sources(t, folder) {
-			if !strings.Contains(filepath.ToSlash(path), "/testbed/") {
-				addLogMessages(logged, file)
-			}
+// cellNames are the names of the code in a cell of a table. A bare name that follows a type is a field or method of it.
+func cellNames(cell string) (names []string) {
+	typeName := ""
+	for _, m := range codeSpan.FindAllStringSubmatch(cell, -1) {
+		name := m[1]
+		if q := qualified.FindStringSubmatch(name); q != nil {
+			typeName = q[1] + "." + q[2]
+		} else if bareName.MatchString(name) && typeName != "" {
+			name = typeName + "." + name
+		} else {
+			continue
 		}
+		names = append(names, name)
 	}
+	return names
+}
+
+// TestOnCallPageHasEachLogLine compares the messages that the programs log with the rows of docs/on-call.md, both ways.
+func TestOnCallPageHasEachLogLine(t *testing.T) {
+	logged, listed := logMessages(t), map[string]bool{}
 	for line := range strings.Lines(pages(t)["docs/on-call.md"]) {
 		if cells := strings.Split(line, "|"); len(cells) == 6 { // message, attributes, meaning, what to do
 			if m := codeSpan.FindStringSubmatch(cells[1]); m != nil {
@@ -328,32 +352,40 @@
 	}
 }
 
-// addLogMessages finds constant messages: of slog calls, of the decision packages' log methods, and of their log
-// actions.
-func addLogMessages(messages map[string]bool, file *ast.File) {
+// logMessages are the constant messages of slog calls, of the decision packages' log methods, and of their log actions.
+func logMessages(t *testing.T) map[string]bool {
+	t.Helper()
 	methods := map[string]bool{
 		"Info": true, "Warn": true, "Error": true, "Debug": true, "log": true, "logMachine": true,
 		"message": true, "OnModeChange": true,
 	}
-	ast.Inspect(file, func(n ast.Node) bool {
-		switch n := n.(type) {
-		case *ast.CallExpr:
-			if s, ok := n.Fun.(*ast.SelectorExpr); ok && methods[s.Sel.Name] && len(n.Args) > 0 {
-				for _, text := range literals(n.Args[0]) {
-					messages[text] = true
-				}
-			}
-		case *ast.CompositeLit:
-			if id, ok := n.Type.(*ast.Ident); ok && id.Name == "Log" {
-				for _, e := range n.Elts {
-					if kv, ok := e.(*ast.KeyValueExpr); ok {
-						for _, text := range literals(kv.Value) {
-							messages[text] = true
-						}
-					}
-				}
+	messages := map[string]bool{}
+	add := func(e ast.Expr) {
+		for _, text := range literals(e) {
+			messages[text] = true
+		}
+	}
+	programs := map[string]*ast.File{}
+	for _, folder := range []string{"scheduler", "internal", "cmd/glenport"} {
+		maps.Copy(programs, sources(t, folder))
+	}
+	maps.DeleteFunc(programs, func(path string, _ *ast.File) bool {
+		return strings.Contains(filepath.ToSlash(path), "/testbed/")
+	})
+	each(programs, func(call *ast.CallExpr) {
+		if s, ok := call.Fun.(*ast.SelectorExpr); ok && methods[s.Sel.Name] && len(call.Args) > 0 {
+			add(call.Args[0])
+		}
+	})
+	each(programs, func(action *ast.CompositeLit) {
+		if id, ok := action.Type.(*ast.Ident); !ok || id.Name != "Log" {
+			return
+		}
+		for _, e := range action.Elts {
+			if field, ok := e.(*ast.KeyValueExpr); ok {
+				add(field.Value)
 			}
 		}
-		return true
 	})
+	return messages
 }
--- a/docs/operating_test.go
+++ b/docs/operating_test.go
@@ -19,11 +19,22 @@
 	return section
 }
 
+// spellingRows are the beginnings of the rows that a file's aliases need in docs/operating.md.
+func spellingRows(aliases strictyaml.Aliases) (rows []string) {
+	for _, alias := range aliases.Keys {
+		key := strings.TrimPrefix(alias.Section+"."+alias.New, ".")
+		rows = append(rows, "| `"+key+"` | `"+formerPath(aliases.Keys, key)+"` |")
+	}
+	for _, alias := range aliases.Values {
+		rows = append(rows, "| `"+alias.Key+"` | `"+alias.Old+"` | `"+alias.New+"` |")
+	}
+	return rows
+}
+
 // TestOperatingPageHasEachOldSpelling compares the rows of docs/operating.md that have an old key or value with the
 // aliases of the settings files, both ways.
 func TestOperatingPageHasEachOldSpelling(t *testing.T) {
-	page := pages(t)["docs/operating.md"]
-	_, settings, _ := strings.Cut(page, "\n### Scheduler\n")
+	_, settings, _ := strings.Cut(pages(t)["docs/operating.md"], "\n### Scheduler\n")
 	settings, _, _ = strings.Cut(settings, "\n## ")
 	schedulerTable, controllerTable, _ := strings.Cut(settings, "\n### Controller\n")
 	for _, tc := range []struct {
@@ -34,27 +45,15 @@
 		{"controller", controllerTable, config.ControllerAliases()},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			rows := 0
-			for line := range strings.Lines(tc.table) {
-				if strings.Count(line, "`") >= 4 && strings.HasPrefix(strings.Split(line, "|")[2], " `") {
-					rows++
-				}
-			}
-			for _, alias := range tc.aliases.Keys {
-				key := strings.TrimPrefix(alias.Section+"."+alias.New, ".")
-				row := "\n| `" + key + "` | `" + formerPath(tc.aliases.Keys, key) + "` |"
-				if !strings.Contains(tc.table, row) {
-					t.Errorf("no row%s", row)
-				}
-			}
-			for _, alias := range tc.aliases.Values {
-				row := "\n| `" + alias.Key + "` | `" + alias.Old + "` | `" + alias.New + "` |"
-				if !strings.Contains(tc.table, row) {
-					t.Errorf("no row%s", row)
+			want := spellingRows(tc.aliases)
+			for _, row := range want {
+				if !strings.Contains(tc.table, "\n"+row) {
+					t.Errorf("no row %s", row)
 				}
 			}
-			if want := len(tc.aliases.Keys) + len(tc.aliases.Values); rows != want {
-				t.Errorf("%d rows with an old spelling, want %d", rows, want)
+			pairs := len(want) + len(tc.aliases.Values) // a row of a value has its key as well
+			if got := strings.Count(tc.table, "` | `"); got != pairs {
+				t.Errorf("%d old keys and values stand beside new ones, want %d", got, pairs)
 			}
 		})
 	}
@@ -63,31 +62,28 @@
 // TestOperatingPageHasEachFlag looks for every flag of glenport, former ones included.
 func TestOperatingPageHasEachFlag(t *testing.T) {
 	page, flags := pages(t)["docs/operating.md"], 0
-	for _, file := range sources(t, "cmd/glenport") {
-		ast.Inspect(file, func(n ast.Node) bool {
-			call, ok := n.(*ast.CallExpr)
-			if !ok || len(call.Args) < 3 {
-				return true
-			}
-			function := ""
-			switch f := call.Fun.(type) {
-			case *ast.SelectorExpr:
-				function = f.Sel.Name
-			case *ast.Ident:
-				function = f.Name
-			}
-			if !strings.HasSuffix(function, "Var") && !strings.HasSuffix(function, "VarP") && function != "addFormerFlag" {
-				return true
-			}
-			for _, name := range literals(call.Args[1]) {
-				if flags++; !strings.Contains(page, "`--"+name+"`") {
-					t.Errorf("docs/operating.md has no --%s", name)
-				}
+	each(sources(t, "cmd/glenport"), func(call *ast.CallExpr) {
+		if len(call.Args) < 3 || !definesFlag(call.Fun) {
+			return
+		}
+		for _, name := range literals(call.Args[1]) {
+			if flags++; !strings.Contains(page, "`--"+name+"`") {
+				t.Errorf("docs/operating.md has no --%s", name)
 			}
-			return true
-		})
-	}
+		}
+	})
 	if flags < 25 {
 		t.Errorf("only %d flags found", flags)
 	}
 }
+
+// definesFlag reports whether a function's second argument is the name of a flag.
+func definesFlag(function ast.Expr) bool {
+	switch f := function.(type) {
+	case *ast.SelectorExpr:
+		return strings.HasSuffix(f.Sel.Name, "Var") || strings.HasSuffix(f.Sel.Name, "VarP")
+	case *ast.Ident:
+		return f.Name == "addFormerFlag"
+	}
+	return false
+}
