--- a/internal/testbed/audit/checker.go
+++ b/internal/testbed/audit/checker.go
@@ -11,44 +11,36 @@
 	"glenport/scheduler"
 )
 
-// checker goes through a recording and keeps the state that its frames add up to.
+// checker goes through a recording and keeps the state that its frames add up to. The rules that need more than that
+// keep it themselves.
 type checker struct {
-	report     Report
-	header     faultproxy.Header
-	now        scheduler.Time
-	violations map[Rule]int
+	report *reporter
+	header faultproxy.Header
+	now    scheduler.Time
 
 	schedulers  map[string]*schedulerState // by name, the incarnation that is up
-	locations   map[string]map[string]location
+	locations   machineLocations
 	connections map[uint32]*connection // by their number in the recording
 
-	slowStarts map[machineIncarnation]*slowStart
-	ran        map[string]*attempt // at-most-once containers that ran, by idempotency key
-	overlaps   []overlap
+	slowStart    *slowStartRule
+	duplicateRun *duplicateRunRule
 }
 
 func newChecker() *checker {
-	return &checker{
-		violations:  map[Rule]int{},
+	c := &checker{
+		report:      &reporter{violations: map[Rule]int{}},
 		schedulers:  map[string]*schedulerState{},
-		locations:   map[string]map[string]location{},
+		locations:   machineLocations{},
 		connections: map[uint32]*connection{},
-		slowStarts:  map[machineIncarnation]*slowStart{},
-		ran:         map[string]*attempt{},
-	}
-}
-
-// violate reports a break of a rule.
-func (c *checker) violate(rule Rule, at scheduler.Time, evidence []string, format string, args ...any) {
-	c.violations[rule]++
-	if c.violations[rule] <= maxViolations {
-		c.report.Violations = append(c.report.Violations, Violation{rule, at, fmt.Sprintf(format, args...), evidence})
 	}
+	c.slowStart = newSlowStartRule(c.report, &c.header)
+	c.duplicateRun = newDuplicateRunRule(c.report, &c.header, c.locations)
+	return c
 }
 
 // workloadClass is false for a class that the recording's terms do not have.
-func (c *checker) workloadClass(index int) (scheduler.WorkloadClass, bool) {
-	if classes := c.header.Config.WorkloadClasses; index < len(classes) {
+func workloadClass(header *faultproxy.Header, index int) (scheduler.WorkloadClass, bool) {
+	if classes := header.Config.WorkloadClasses; index < len(classes) {
 		return classes[index], true
 	}
 	return scheduler.WorkloadClass{}, false
@@ -57,7 +49,7 @@
 // process takes the next entry of the recording.
 func (c *checker) process(e *faultproxy.Entry) error {
 	c.now = scheduler.Time(e.At)
-	c.checkOverlaps(c.now)
+	c.duplicateRun.checkOverlaps(c.now)
 	switch e.Kind {
 	case faultproxy.Opened:
 		c.connections[e.ConnID] = &connection{peer: e.Peer, name: e.PeerName, attempts: map[uint64]*attempt{}}
@@ -95,7 +87,7 @@
 	case *protocol.Offer:
 		c.offered(s, conn, f)
 	case *protocol.Probe:
-		c.checkSlowStart(s, conn.name)
+		c.slowStart.checkSend(s, conn.name, c.now)
 	case *protocol.Accept:
 		c.accepted(s, conn, f)
 	case *protocol.Result:
@@ -135,7 +127,7 @@
 
 // finish checks what was owed at the end of the recording.
 func (c *checker) finish() {
-	c.checkOverlaps(math.MaxInt64)
+	c.duplicateRun.checkOverlaps(math.MaxInt64)
 	for _, name := range slices.Sorted(maps.Keys(c.schedulers)) {
 		c.abandon(c.schedulers[name], func(*request) bool { return true })
 	}
--- a/internal/testbed/audit/checker_test.go
+++ b/internal/testbed/audit/checker_test.go
@@ -11,6 +11,16 @@
 
 const ms = 10 // times are in tenths of a millisecond
 
+// The connections of a history. That of machine d is not open at first.
+const (
+	clientConn uint32 = 1
+	listConn   uint32 = 2
+	machineA   uint32 = 10
+	machineB   uint32 = 11
+	machineC   uint32 = 12
+	machineD   uint32 = 20
+)
+
 // history builds a recording by hand; the machines a, b and c, of zones 0, 0 and 1, are listed at its start.
 type history struct {
 	*testing.T
@@ -19,6 +29,7 @@
 }
 
 func begin(t *testing.T) *history {
+	t.Helper()
 	h := &history{T: t, checker: newChecker()}
 	h.checker.header = faultproxy.Header{
 		DrainGrace: 250 * ms,
@@ -53,11 +64,11 @@
 
 // connect opens the connections to a client, the machine list and the machines.
 func (h *history) connect() {
-	h.open(1, protocol.RoleClient, "o")
-	h.open(2, protocol.RoleMachineList, "list")
-	for i, m := range []string{"a", "b", "c"} {
-		h.open(uint32(10+i), protocol.RoleMachine, m)
-	}
+	h.open(clientConn, protocol.RoleClient, "o")
+	h.open(listConn, protocol.RoleMachineList, "list")
+	h.open(machineA, protocol.RoleMachine, "a")
+	h.open(machineB, protocol.RoleMachine, "b")
+	h.open(machineC, protocol.RoleMachine, "c")
 }
 
 func (h *history) frame(at int64, s faultproxy.EntryKind, id uint32, f protocol.Frame) {
@@ -80,12 +91,12 @@
 			f.Entries = append(f.Entries, e)
 		}
 	}
-	h.frame(at, faultproxy.ToScheduler, 2, f)
+	h.frame(at, faultproxy.ToScheduler, listConn, f)
 }
 
 // restart kills the scheduler and starts it again; its connections are new, and the machine list is not heard yet.
 func (h *history) restart(at int64) {
-	for _, id := range []uint32{1, 2, 10, 11, 12} {
+	for _, id := range []uint32{clientConn, listConn, machineA, machineB, machineC} {
 		h.put(at, faultproxy.Entry{Kind: faultproxy.Closed, ConnID: id})
 	}
 	h.put(at, faultproxy.Entry{Kind: faultproxy.Killed})
@@ -95,25 +106,19 @@
 
 func (h *history) spec(container string, class int) protocol.ContainerSpec {
 	return protocol.ContainerSpec{
-		ContainerID:    container,
-		IdempotencyKey: "k-" + container,
-		Service:        "s",
-		WorkloadClass:  class,
+		ContainerID: container, IdempotencyKey: "k-" + container, Service: "s", WorkloadClass: class,
 	}
 }
 
 func (h *history) submit(at int64, container string, class int) {
-	h.frame(at, faultproxy.ToScheduler, 1, &protocol.Submit{TimeToDeadline: 2000 * ms, Spec: h.spec(container, class)})
+	h.frame(at, faultproxy.ToScheduler, clientConn,
+		&protocol.Submit{TimeToDeadline: 2000 * ms, Spec: h.spec(container, class)})
 }
 
 func (h *history) offer(at int64, container string, class int, id uint32) uint64 {
 	h.attempts++
-	h.frame(
-		at,
-		faultproxy.FromScheduler,
-		id,
-		&protocol.Offer{AttemptID: h.attempts, Timeout: 500 * ms, Spec: h.spec(container, class)},
-	)
+	h.frame(at, faultproxy.FromScheduler, id,
+		&protocol.Offer{AttemptID: h.attempts, Timeout: 500 * ms, Spec: h.spec(container, class)})
 	return h.attempts
 }
 
@@ -126,206 +131,192 @@
 }
 
 func (h *history) reply(at int64, container string, v protocol.Verdict) {
-	h.frame(at, faultproxy.FromScheduler, 1, &protocol.PlacementReply{ContainerID: container, Verdict: v})
+	h.frame(at, faultproxy.FromScheduler, clientConn, &protocol.PlacementReply{ContainerID: container, Verdict: v})
 }
 
-// Each history either keeps the rules or breaks one, and the audit reports which.
-func TestBrokenRuleIsReported(t *testing.T) {
-	for _, tc := range []struct {
-		name   string
-		play   func(h *history)
-		broken Rule // 0: none
-	}{
-		{"placed", func(h *history) {
-			h.submit(1, "x", 0)
-			h.accept(9, 10, h.offer(2, "x", 0, 10))
-			h.reply(9, "x", protocol.VerdictPlaced)
-		}, 0},
-		{"no reply", func(h *history) {
-			h.submit(1, "x", 0)
-			h.frame(3000, faultproxy.ToScheduler, 1, &protocol.Heartbeat{})
-		}, 1},
-		{"no reply, its scheduler killed in time", func(h *history) {
-			h.submit(1, "x", 0)
-			h.put(500, faultproxy.Entry{Kind: faultproxy.Killed})
-		}, 0},
-		{"no reply, its scheduler killed too late", func(h *history) {
-			h.submit(1, "x", 0)
-			h.put(5000, faultproxy.Entry{Kind: faultproxy.Killed})
-		}, 1},
-		{"no reply, its client left", func(h *history) {
-			h.submit(1, "x", 0)
-			h.put(500, faultproxy.Entry{Kind: faultproxy.Closed, ConnID: 1})
-		}, 0},
-		{"two replies", func(h *history) {
-			h.submit(1, "x", 0)
-			h.reply(2, "x", protocol.VerdictRejected)
-			h.reply(3, "x", protocol.VerdictFailed)
-		}, 1},
-		{"late reply", func(h *history) {
-			h.submit(1, "x", 0)
-			h.reply(2100, "x", protocol.VerdictRejected)
-		}, 1},
-		{"offered after its reply", func(h *history) {
-			h.submit(1, "x", 0)
-			h.reply(2, "x", protocol.VerdictFailed)
-			h.offer(100, "x", 0, 10)
-		}, 1},
-		{"never submitted", func(h *history) { h.offer(100, "x", 0, 10) }, 1},
-
-		{"offered again after a refusal", func(h *history) {
-			h.submit(1, "x", 2)
-			h.result(5, 10, h.offer(2, "x", 2, 10), protocol.OutcomeFull)
-			h.offer(6, "x", 2, 11)
-			h.reply(9, "x", protocol.VerdictFailed)
-		}, 0},
-		{"at-most-once offered again after a timeout", func(h *history) {
-			h.submit(1, "x", 2)
-			h.offer(2, "x", 2, 10)
-			h.offer(600, "x", 2, 11)
-			h.reply(700, "x", protocol.VerdictFailed)
-		}, 2},
-		{"at-most-once rejected after a timeout", func(h *history) {
-			h.submit(1, "x", 2)
-			h.offer(2, "x", 2, 10)
-			h.reply(700, "x", protocol.VerdictRejected)
-		}, 2},
-		{"idempotent offered again after a timeout", func(h *history) {
-			h.submit(1, "x", 0)
-			h.offer(2, "x", 0, 10)
-			h.offer(600, "x", 0, 12)
-			h.reply(700, "x", protocol.VerdictRejected)
-		}, 0},
-		{"two attempts in flight", func(h *history) {
-			h.submit(1, "x", 0)
-			h.offer(2, "x", 0, 10)
-			h.offer(100, "x", 0, 12)
-			h.reply(700, "x", protocol.VerdictRejected)
-		}, 2},
-		{"the first attempt's connection was reset in the same moment", func(h *history) {
-			h.submit(1, "x", 0)
-			h.offer(2, "x", 0, 10)
-			h.offer(100, "x", 0, 12)
-			h.put(110, faultproxy.Entry{Kind: faultproxy.Closed, ConnID: 10})
-			h.reply(700, "x", protocol.VerdictRejected)
-		}, 0},
-		{"idempotent with a key stays in its zone", func(h *history) {
-			h.submit(1, "x", 1)
-			h.offer(2, "x", 1, 10)
-			h.offer(600, "x", 1, 11)
-			h.reply(700, "x", protocol.VerdictFailed)
-		}, 0},
-		{"idempotent with a key leaves its zone", func(h *history) {
-			h.submit(1, "x", 1)
-			h.offer(2, "x", 1, 10)
-			h.offer(600, "x", 1, 12)
-			h.reply(700, "x", protocol.VerdictFailed)
-		}, 2},
-		{"idempotent with a key stays in its zone, machine list not heard since a restart", func(h *history) {
-			h.restart(1)
-			h.submit(2, "x", 1)
-			h.offer(3, "x", 1, 10)
-			h.offer(600, "x", 1, 11)
-			h.reply(700, "x", protocol.VerdictFailed)
-		}, 0},
-		{"idempotent with a key leaves its zone, machine list not heard since a restart", func(h *history) {
-			h.restart(1)
-			h.submit(2, "x", 1)
-			h.offer(3, "x", 1, 10)
-			h.offer(600, "x", 1, 12)
-			h.reply(700, "x", protocol.VerdictFailed)
-		}, 2},
-		{"idempotent with a key leaves its zone, machine moved since a restart", func(h *history) {
-			h.restart(1)
-			h.list(1, map[string]protocol.MachineEntry{"b": {Zone: 1}})
-			h.submit(2, "x", 1)
-			h.offer(3, "x", 1, 10)
-			h.offer(600, "x", 1, 11)
-			h.reply(700, "x", protocol.VerdictFailed)
-		}, 2},
-		{"idempotent with a key goes to a machine that no list named", func(h *history) {
-			h.open(20, protocol.RoleMachine, "d")
-			h.submit(2, "x", 1)
-			h.offer(3, "x", 1, 10)
-			h.offer(600, "x", 1, 20)
-			h.reply(700, "x", protocol.VerdictFailed)
-		}, 2},
-		{"a key ran twice", func(h *history) {
-			h.submit(1, "x", 2)
-			h.accept(3, 10, h.offer(2, "x", 2, 10))
-			h.reply(4, "x", protocol.VerdictPlaced)
-			h.frame(9, faultproxy.ToScheduler, 11, &protocol.Inventory{
-				Containers: []protocol.InventoryItem{{AttemptID: 99, Running: true, Spec: h.spec("x", 2)}},
-			})
-		}, 2},
+// place submits a container to workload class 0, has it offered and accepted at a time, and replies.
+func (h *history) place(at int64, container string) {
+	h.submit(at-1, container, 0)
+	h.accept(at, machineA, h.offer(at, container, 0, machineA))
+	h.reply(at+1, container, protocol.VerdictPlaced)
+}
 
-		{"offered to a draining machine", func(h *history) {
-			h.list(1, map[string]protocol.MachineEntry{"a": {State: protocol.MachineDraining}})
-			h.submit(290, "x", 0)
-			h.accept(300, 10, h.offer(300, "x", 0, 10))
-			h.reply(301, "x", protocol.VerdictPlaced)
-		}, 3},
-		{"offered within the drain grace", func(h *history) {
-			h.list(1, map[string]protocol.MachineEntry{"a": {State: protocol.MachineDraining}})
-			h.submit(1, "x", 0)
-			h.accept(200, 10, h.offer(200, "x", 0, 10))
-			h.reply(201, "x", protocol.VerdictPlaced)
-		}, 0},
-		{"serving again", func(h *history) {
-			h.list(1, map[string]protocol.MachineEntry{"a": {State: protocol.MachineDraining}})
-			h.list(100, map[string]protocol.MachineEntry{"a": {}})
-			h.submit(390, "x", 0)
-			h.accept(400, 10, h.offer(400, "x", 0, 10))
-			h.reply(401, "x", protocol.VerdictPlaced)
-		}, 0},
+// retry submits container x and has it offered to machine a and, some time later, over another connection. Neither
+// answers.
+func (h *history) retry(class int, second uint32, secondAt int64, verdict protocol.Verdict) {
+	h.submit(1, "x", class)
+	h.offer(2, "x", class, machineA)
+	h.offer(secondAt, "x", class, second)
+	h.reply(700, "x", verdict)
+}
 
-		{"slow-start budget kept", func(h *history) { h.slowStart(400) }, 0},
-		{"slow-start budget broken", func(h *history) { h.slowStart(100) }, 4},
+// retryWithKey is retry, after the timeout, of a container that is idempotent with a key.
+func (h *history) retryWithKey(second uint32) { h.retry(1, second, 600, protocol.VerdictFailed) }
 
-		{"spread kept", func(h *history) { h.placeThree(12) }, 0},
-		{"spread broken", func(h *history) { h.placeThree(10) }, 5},
-		{"spread kept, machine list not heard since a restart", func(h *history) {
-			h.restart(0)
-			h.placeThree(12)
-		}, 0},
-		{"spread broken, machine list not heard since a restart", func(h *history) {
-			h.restart(0)
-			h.placeThree(10)
-		}, 5},
-	} {
-		t.Run(tc.name, func(t *testing.T) {
-			h := begin(t)
-			tc.play(h)
-			h.checker.finish()
-			for _, v := range h.checker.report.Violations {
-				if v.Rule != tc.broken {
-					t.Errorf("reported %v", v)
-				}
-			}
-			if tc.broken > 0 && h.checker.violations[tc.broken] == 0 {
-				t.Errorf("rule %d is broken, and it is not reported", tc.broken)
-			}
-		})
-	}
+// drain has the list say that machine a drains.
+func (h *history) drain() {
+	h.list(1, map[string]protocol.MachineEntry{"a": {State: protocol.MachineDraining}})
 }
 
 // slowStart sends five offers to a machine that has just started.
 func (h *history) slowStart(gap int64) {
 	h.list(1, map[string]protocol.MachineEntry{"a": {Incarnation: 2}})
 	for i := range int64(5) {
-		c := fmt.Sprint("x", i)
-		h.submit(10+gap*i, c, 0)
-		h.accept(10+gap*i, 10, h.offer(10+gap*i, c, 0, 10))
-		h.reply(10+gap*i, c, protocol.VerdictPlaced)
+		h.place(10+gap*i, fmt.Sprint("x", i))
 	}
 }
 
 // placeThree places two containers of a service on machines a and b, and a third over another connection.
 func (h *history) placeThree(last uint32) {
-	for i, id := range []uint32{10, 11, last} {
+	for i, id := range []uint32{machineA, machineB, last} {
 		c := fmt.Sprint("x", i)
 		h.submit(1, c, 2)
 		h.accept(3, id, h.offer(2, c, 2, id))
 		h.reply(4, c, protocol.VerdictPlaced)
 	}
 }
+
+// Each history either keeps the rules or breaks one, and the audit reports which.
+var histories = []struct {
+	name   string
+	play   func(h *history)
+	broken Rule // 0: none
+}{
+	{"placed", func(h *history) {
+		h.submit(1, "x", 0)
+		h.accept(9, machineA, h.offer(2, "x", 0, machineA))
+		h.reply(9, "x", protocol.VerdictPlaced)
+	}, 0},
+	{"no reply", func(h *history) {
+		h.submit(1, "x", 0)
+		h.frame(3000, faultproxy.ToScheduler, clientConn, &protocol.Heartbeat{})
+	}, RuleFinalReply},
+	{"no reply, its scheduler killed in time", func(h *history) {
+		h.submit(1, "x", 0)
+		h.put(500, faultproxy.Entry{Kind: faultproxy.Killed})
+	}, 0},
+	{"no reply, its scheduler killed too late", func(h *history) {
+		h.submit(1, "x", 0)
+		h.put(5000, faultproxy.Entry{Kind: faultproxy.Killed})
+	}, RuleFinalReply},
+	{"no reply, its client left", func(h *history) {
+		h.submit(1, "x", 0)
+		h.put(500, faultproxy.Entry{Kind: faultproxy.Closed, ConnID: clientConn})
+	}, 0},
+	{"two replies", func(h *history) {
+		h.submit(1, "x", 0)
+		h.reply(2, "x", protocol.VerdictRejected)
+		h.reply(3, "x", protocol.VerdictFailed)
+	}, RuleFinalReply},
+	{"late reply", func(h *history) {
+		h.submit(1, "x", 0)
+		h.reply(2100, "x", protocol.VerdictRejected)
+	}, RuleFinalReply},
+	{"offered after its reply", func(h *history) {
+		h.submit(1, "x", 0)
+		h.reply(2, "x", protocol.VerdictFailed)
+		h.offer(100, "x", 0, machineA)
+	}, RuleFinalReply},
+	{"never submitted", func(h *history) { h.offer(100, "x", 0, machineA) }, RuleFinalReply},
+
+	{"offered again after a refusal", func(h *history) {
+		h.submit(1, "x", 2)
+		h.result(5, machineA, h.offer(2, "x", 2, machineA), protocol.OutcomeFull)
+		h.offer(6, "x", 2, machineB)
+		h.reply(9, "x", protocol.VerdictFailed)
+	}, 0},
+	{"at-most-once offered again after a timeout", func(h *history) {
+		h.retry(2, machineB, 600, protocol.VerdictFailed)
+	}, RuleDuplicateRun},
+	{"at-most-once rejected after a timeout", func(h *history) {
+		h.submit(1, "x", 2)
+		h.offer(2, "x", 2, machineA)
+		h.reply(700, "x", protocol.VerdictRejected)
+	}, RuleDuplicateRun},
+	{"idempotent offered again after a timeout", func(h *history) {
+		h.retry(0, machineC, 600, protocol.VerdictRejected)
+	}, 0},
+	{"two attempts in flight", func(h *history) {
+		h.retry(0, machineC, 100, protocol.VerdictRejected)
+	}, RuleDuplicateRun},
+	{"the first attempt's connection was reset in the same moment", func(h *history) {
+		h.submit(1, "x", 0)
+		h.offer(2, "x", 0, machineA)
+		h.offer(100, "x", 0, machineC)
+		h.put(110, faultproxy.Entry{Kind: faultproxy.Closed, ConnID: machineA})
+		h.reply(700, "x", protocol.VerdictRejected)
+	}, 0},
+	{"idempotent with a key stays in its zone", func(h *history) { h.retryWithKey(machineB) }, 0},
+	{"idempotent with a key leaves its zone", func(h *history) { h.retryWithKey(machineC) }, RuleDuplicateRun},
+	{"idempotent with a key stays in its zone, machine list not heard since a restart", func(h *history) {
+		h.restart(1)
+		h.retryWithKey(machineB)
+	}, 0},
+	{"idempotent with a key leaves its zone, machine list not heard since a restart", func(h *history) {
+		h.restart(1)
+		h.retryWithKey(machineC)
+	}, RuleDuplicateRun},
+	{"idempotent with a key leaves its zone, machine moved since a restart", func(h *history) {
+		h.restart(1)
+		h.list(1, map[string]protocol.MachineEntry{"b": {Zone: 1}})
+		h.retryWithKey(machineB)
+	}, RuleDuplicateRun},
+	{"idempotent with a key goes to a machine that no list named", func(h *history) {
+		h.open(machineD, protocol.RoleMachine, "d")
+		h.retryWithKey(machineD)
+	}, RuleDuplicateRun},
+	{"a key ran twice", func(h *history) {
+		h.submit(1, "x", 2)
+		h.accept(3, machineA, h.offer(2, "x", 2, machineA))
+		h.reply(4, "x", protocol.VerdictPlaced)
+		h.frame(9, faultproxy.ToScheduler, machineB, &protocol.Inventory{
+			Containers: []protocol.InventoryItem{{AttemptID: 99, Running: true, Spec: h.spec("x", 2)}},
+		})
+	}, RuleDuplicateRun},
+
+	{"offered to a draining machine", func(h *history) {
+		h.drain()
+		h.place(300, "x")
+	}, RuleDraining},
+	{"offered within the drain grace", func(h *history) {
+		h.drain()
+		h.place(200, "x")
+	}, 0},
+	{"serving again", func(h *history) {
+		h.drain()
+		h.list(100, map[string]protocol.MachineEntry{"a": {}})
+		h.place(400, "x")
+	}, 0},
+
+	{"slow-start budget kept", func(h *history) { h.slowStart(400) }, 0},
+	{"slow-start budget broken", func(h *history) { h.slowStart(100) }, RuleSlowStart},
+
+	{"spread kept", func(h *history) { h.placeThree(machineC) }, 0},
+	{"spread broken", func(h *history) { h.placeThree(machineA) }, RuleSpread},
+	{"spread kept, machine list not heard since a restart", func(h *history) {
+		h.restart(0)
+		h.placeThree(machineC)
+	}, 0},
+	{"spread broken, machine list not heard since a restart", func(h *history) {
+		h.restart(0)
+		h.placeThree(machineA)
+	}, RuleSpread},
+}
+
+func TestBrokenRuleIsReported(t *testing.T) {
+	for _, tc := range histories {
+		t.Run(tc.name, func(t *testing.T) {
+			h := begin(t)
+			tc.play(h)
+			h.checker.finish()
+			for _, v := range h.checker.report.Violations {
+				if v.Rule != tc.broken {
+					t.Errorf("reported %v", v)
+				}
+			}
+			if tc.broken > 0 && h.checker.report.violations[tc.broken] == 0 {
+				t.Errorf("rule %d is broken, and it is not reported", tc.broken)
+			}
+		})
+	}
+}
--- a/internal/testbed/audit/machinelist.go
+++ b/internal/testbed/audit/machinelist.go
@@ -5,17 +5,13 @@
 	"glenport/scheduler"
 )
 
-// listedMachine is a machine as the machine list told a scheduler of it.
+// listedMachine is a machine as the machine list describes it to a scheduler.
 type listedMachine struct {
 	protocol.MachineEntry
-	unavailableSince scheduler.Time // when the scheduler was told that it drains or is gone
+	unavailableSince scheduler.Time // when the scheduler learned that it drains or is gone
 	unavailable      bool
 }
 
-// location is where a machine is, as the list last told a scheduler. It outlasts the scheduler's incarnations: a
-// scheduler persists its machine list and goes by it after a restart until the list is heard again.
-type location struct{ zone, rackGroup int }
-
 // machineIncarnation is one start of a machine.
 type machineIncarnation struct {
 	machine     string
@@ -24,11 +20,13 @@
 
 func (m *listedMachine) key() machineIncarnation { return machineIncarnation{m.Machine, m.Incarnation} }
 
-func (m *listedMachine) setAvailable(available bool, now scheduler.Time) {
-	if !available && !m.unavailable {
+// update takes what the list now says of the machine.
+func (m *listedMachine) update(entry protocol.MachineEntry, now scheduler.Time) {
+	wasUnavailable := m.unavailable
+	m.MachineEntry, m.unavailable = entry, entry.State != protocol.MachineServing
+	if m.unavailable && !wasUnavailable {
 		m.unavailableSince = now
 	}
-	m.unavailable = !available
 }
 
 // listUpdated applies an update of the machine list to what a scheduler knows.
@@ -36,21 +34,15 @@
 	if f.FullSnapshot {
 		c.removeUnlisted(s, f.Entries)
 	}
-	locations := c.locations[s.name]
-	if locations == nil {
-		locations = map[string]location{}
-		c.locations[s.name] = locations
-	}
 	for _, entry := range f.Entries {
-		locations[entry.Machine] = location{entry.Zone, entry.RackGroup}
+		c.locations.update(s.name, entry)
 		m := s.machines[entry.Machine]
 		if m == nil {
 			m = &listedMachine{}
 			s.machines[entry.Machine] = m
 		}
-		m.MachineEntry = entry
-		m.setAvailable(entry.State == protocol.MachineServing, c.now)
-		c.noteSlowStart(s, m)
+		m.update(entry, c.now)
+		c.slowStart.machineListed(s, m, c.now)
 	}
 }
 
@@ -62,28 +54,9 @@
 	}
 	for name, m := range s.machines {
 		if !listed[name] {
-			m.State = protocol.MachineGone
-			m.setAvailable(false, c.now)
+			gone := m.MachineEntry
+			gone.State = protocol.MachineGone
+			m.update(gone, c.now)
 		}
 	}
 }
-
-// sameScope reports whether two machines share a scope. A machine of which no list told this scheduler shares none.
-func (c *checker) sameScope(s *schedulerState, a, b string, scope scheduler.Scope) bool {
-	if scope == scheduler.ScopeFleet || a == b {
-		return true
-	}
-	locationA, knownA := c.locations[s.name][a]
-	locationB, knownB := c.locations[s.name][b]
-	if !knownA || !knownB {
-		return false
-	}
-	switch scope {
-	case scheduler.ScopeZone:
-		return locationA.zone == locationB.zone
-	case scheduler.ScopeRackGroup:
-		return locationA.rackGroup == locationB.rackGroup
-	default:
-		return false
-	}
-}
--- a/internal/testbed/audit/print_test.go
+++ b/internal/testbed/audit/print_test.go
@@ -23,9 +23,11 @@
 	if err := encoder.Encode(faultproxy.Header{Format: "glenport record 1"}); err != nil {
 		t.Fatal(err)
 	}
+	spec := protocol.ContainerSpec{ContainerID: "c", IdempotencyKey: "k", Service: "s"}
+	otherSpec := spec
+	otherSpec.ContainerID = "other"
 	for _, f := range []protocol.Frame{
-		&protocol.Offer{AttemptID: 1, Spec: protocol.ContainerSpec{ContainerID: "c", IdempotencyKey: "k", Service: "s"}},
-		&protocol.Offer{AttemptID: 2, Spec: protocol.ContainerSpec{ContainerID: "other", IdempotencyKey: "k", Service: "s"}},
+		&protocol.Offer{AttemptID: 1, Spec: spec}, &protocol.Offer{AttemptID: 2, Spec: otherSpec},
 		&protocol.Accept{AttemptID: 1}, &protocol.Accept{AttemptID: 2},
 		&protocol.CancelContainer{ContainerID: "c"}, &protocol.Termination{ContainerID: "c"},
 	} {
@@ -33,9 +35,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := encoder.Encode(
-			faultproxy.Entry{Kind: faultproxy.FromScheduler, ConnID: 1, Frame: data[4:]},
-		); err != nil {
+		entry := faultproxy.Entry{Kind: faultproxy.FromScheduler, ConnID: 1, Frame: data[4:]}
+		if err := encoder.Encode(entry); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -47,7 +48,7 @@
 		t.Fatal(err)
 	}
 	var names []string
-	for _, line := range strings.Split(strings.TrimSpace(out.String()), "\n") {
+	for line := range strings.Lines(out.String()) {
 		_, text, _ := strings.Cut(line, "  : ")
 		name, _, _ := strings.Cut(text, " ")
 		names = append(names, name)
--- a/internal/testbed/audit/report.go
+++ b/internal/testbed/audit/report.go
@@ -4,8 +4,10 @@
 package audit
 
 import (
+	"cmp"
 	"fmt"
-	"sort"
+	"slices"
+	"strings"
 
 	"glenport/internal/testbed/faultproxy"
 	"glenport/scheduler"
@@ -25,9 +27,6 @@
 	LastRule = RuleSpread
 )
 
-// maxViolations of one rule are reported.
-const maxViolations = 20
-
 // Violation is one break of a rule.
 type Violation struct {
 	Rule     Rule
@@ -38,11 +37,8 @@
 
 // String is the violation on one line and its evidence, one frame a line, below it.
 func (v Violation) String() string {
-	s := fmt.Sprintf("rule %d at %.1f ms: %s", v.Rule, milliseconds(v.At), v.Message)
-	for _, frame := range v.Evidence {
-		s += "\n    " + frame
-	}
-	return s
+	lines := []string{fmt.Sprintf("rule %d at %.1f ms: %s", v.Rule, milliseconds(v.At), v.Message)}
+	return strings.Join(append(lines, v.Evidence...), "\n    ")
 }
 
 // Report is the outcome of an audit.
@@ -67,14 +63,14 @@
 func CheckRecording(path string) (*Report, error) {
 	c := newChecker()
 	if err := faultproxy.Read(path, &c.header, c.process); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("audit: %w", err)
 	}
 	c.finish()
-	return &c.report, nil
+	return &c.report.Report, nil
 }
 
 func (r *Report) sortViolations() {
-	sort.SliceStable(r.Violations, func(a, b int) bool { return r.Violations[a].At < r.Violations[b].At })
+	slices.SortStableFunc(r.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 }
 
 func milliseconds(t scheduler.Time) float64 { return float64(t) / float64(scheduler.Millisecond) }
--- a/internal/testbed/audit/rule_draining.go
+++ b/internal/testbed/audit/rule_draining.go
@@ -1,7 +1,7 @@
 package audit
 
-// checkDraining checks that a machine gets no offers once the sender was told that it drains or is gone, but for a
-// grace period.
+// checkDraining checks that a machine gets no offers once the sender knows that it drains or is gone, but for a grace
+// period.
 func (c *checker) checkDraining(s *schedulerState, a *attempt) {
 	m := s.machines[a.machine]
 	if m == nil || !m.unavailable {
@@ -9,7 +9,7 @@
 	}
 	c.report.DrainLatency = max(c.report.DrainLatency, milliseconds(c.now-m.unavailableSince))
 	if c.now > m.unavailableSince+c.header.DrainGrace+c.header.Slack {
-		c.violate(RuleDraining, c.now, []string{a.text}, "%s was told at %.1f ms that %s is %s", s.name,
-			milliseconds(m.unavailableSince), a.machine, m.State)
+		c.report.violate(RuleDraining, c.now, []string{a.text}, "%s knows since %.1f ms that %s is %s",
+			s.name, milliseconds(m.unavailableSince), a.machine, m.State)
 	}
 }
--- a/internal/testbed/audit/rule_final_reply.go
+++ b/internal/testbed/audit/rule_final_reply.go
@@ -37,14 +37,8 @@
 	r := s.requests[f.ContainerID]
 	if r == nil {
 		if !s.lookups[f.ContainerID] {
-			c.violate(
-				RuleFinalReply,
-				c.now,
-				nil,
-				"a reply for %s, which was not submitted to %s",
-				f.ContainerID,
-				s.name,
-			)
+			c.report.violate(RuleFinalReply, c.now, nil,
+				"a reply for %s, which was not submitted to %s", f.ContainerID, s.name)
 		}
 		delete(s.lookups, f.ContainerID)
 		return
@@ -53,18 +47,12 @@
 	text := fmt.Sprintf("%.1f ms reply for %s: %s", milliseconds(c.now), r.container, f.Verdict)
 	c.checkReplyCount(r, f.Verdict, text)
 	if c.now > r.deadline+c.replyGrace() {
-		c.violate(
-			RuleFinalReply,
-			c.now,
-			[]string{text},
-			"container %s gets its reply %.1f ms after its deadline",
-			r.container,
-			milliseconds(c.now-r.deadline),
-		)
+		c.report.violate(RuleFinalReply, c.now, []string{text},
+			"container %s gets its reply %.1f ms after its deadline", r.container, milliseconds(c.now-r.deadline))
 	}
 	r.verdict, r.repliedAt = f.Verdict, c.now
 	if f.Verdict == protocol.VerdictRejected {
-		c.checkRejectIsSafe(r, text)
+		c.duplicateRun.checkRejectIsSafe(r, c.now, text)
 	}
 }
 
@@ -75,7 +63,7 @@
 	}
 	r.replies++
 	if r.replies > 1 {
-		c.violate(RuleFinalReply, c.now, []string{text}, "container %s gets %d replies", r.container, r.replies)
+		c.report.violate(RuleFinalReply, c.now, []string{text}, "container %s gets %d replies", r.container, r.replies)
 	}
 }
 
@@ -83,27 +71,14 @@
 func (c *checker) checkOfferIsOwed(s *schedulerState, a *attempt) *request {
 	r := s.requests[a.spec.ContainerID]
 	if r == nil {
-		c.violate(
-			RuleFinalReply,
-			c.now,
-			[]string{a.text},
-			"container %s was not submitted to %s",
-			a.spec.ContainerID,
-			s.name,
-		)
+		c.report.violate(RuleFinalReply, c.now, []string{a.text},
+			"container %s was not submitted to %s", a.spec.ContainerID, s.name)
 		r = &request{container: a.spec.ContainerID, spec: a.spec, abandoned: true}
 		s.requests[r.container] = r
 	}
 	if r.replies > 0 && c.now > r.repliedAt+c.header.Slack {
-		c.violate(
-			RuleFinalReply,
-			c.now,
-			[]string{a.text},
-			"container %s is offered after its reply, %s at %.1f ms",
-			r.container,
-			r.verdict,
-			milliseconds(r.repliedAt),
-		)
+		c.report.violate(RuleFinalReply, c.now, []string{a.text},
+			"container %s is offered after its reply, %s at %.1f ms", r.container, r.verdict, milliseconds(r.repliedAt))
 	}
 	return r
 }
@@ -132,7 +107,7 @@
 	for _, a := range r.attempts {
 		evidence = append(evidence, a.text)
 	}
-	c.violate(RuleFinalReply, r.deadline, evidence, "container %s gets no final reply", r.container)
+	c.report.violate(RuleFinalReply, r.deadline, evidence, "container %s gets no final reply", r.container)
 }
 
 // replyGrace is how long after the deadline a reply may be recorded.
--- a/internal/testbed/audit/rule_slow_start.go
+++ b/internal/testbed/audit/rule_slow_start.go
@@ -3,48 +3,59 @@
 import (
 	"fmt"
 
+	"glenport/internal/testbed/faultproxy"
 	"glenport/scheduler"
 )
 
+// slowStartRule checks that a machine in slow start gets no more offers and probes in a window than its budget.
+type slowStartRule struct {
+	report *reporter
+	header *faultproxy.Header
+	starts map[machineIncarnation]*slowStart
+}
+
 // slowStart is one start of a machine and what it was offered in the current window.
 type slowStart struct {
 	began      scheduler.Time
-	schedulers map[string]bool // which were told of the start
+	schedulers map[string]bool // which know of the start
 	offers     []scheduler.Time
 }
 
-// noteSlowStart notes that a scheduler was told of a machine's start. A negative age is a start long ago.
-func (c *checker) noteSlowStart(s *schedulerState, m *listedMachine) {
+func newSlowStartRule(report *reporter, header *faultproxy.Header) *slowStartRule {
+	return &slowStartRule{report: report, header: header, starts: map[machineIncarnation]*slowStart{}}
+}
+
+// machineListed notes that a scheduler knows of a machine's start. A negative age is a start long ago.
+func (r *slowStartRule) machineListed(s *schedulerState, m *listedMachine, now scheduler.Time) {
 	if m.Age < 0 {
 		return
 	}
-	start := c.slowStarts[m.key()]
+	start := r.starts[m.key()]
 	if start == nil {
-		start = &slowStart{began: c.now - scheduler.Time(m.Age), schedulers: map[string]bool{}}
-		c.slowStarts[m.key()] = start
+		start = &slowStart{began: now - scheduler.Time(m.Age), schedulers: map[string]bool{}}
+		r.starts[m.key()] = start
 	}
 	start.schedulers[s.name] = true
 }
 
-// checkSlowStart counts an offer or a probe to a machine, from schedulers that were told of its start, against its
-// budget.
-func (c *checker) checkSlowStart(s *schedulerState, machine string) {
+// checkSend counts an offer or a probe to a machine, from schedulers that know of its start, against its budget.
+func (r *slowStartRule) checkSend(s *schedulerState, machine string, now scheduler.Time) {
 	m := s.machines[machine]
 	if m == nil {
 		return
 	}
-	terms := &c.header.Config
-	start := c.slowStarts[m.key()]
-	if start == nil || !start.schedulers[s.name] || c.now >= start.began+terms.SlowStartPeriod {
+	terms := &r.header.Config
+	start := r.starts[m.key()]
+	if start == nil || !start.schedulers[s.name] || now >= start.began+terms.SlowStartPeriod {
 		return
 	}
-	start.offers = append(start.offers, c.now)
-	for start.offers[0] <= c.now-terms.SlowStartWindow {
+	start.offers = append(start.offers, now)
+	for start.offers[0] <= now-terms.SlowStartWindow {
 		start.offers = start.offers[1:]
 	}
 	offers := len(start.offers)
-	c.report.SlowStartPeak = max(c.report.SlowStartPeak, offers)
-	c.report.SlowStartBudget = terms.SlowStartBudget
+	r.report.SlowStartPeak = max(r.report.SlowStartPeak, offers)
+	r.report.SlowStartBudget = terms.SlowStartBudget
 	if offers <= terms.SlowStartBudget {
 		return
 	}
@@ -52,7 +63,7 @@
 	for _, at := range start.offers {
 		evidence = append(evidence, fmt.Sprintf("%.1f ms an offer or a probe to %s", milliseconds(at), machine))
 	}
-	c.violate(RuleSlowStart, c.now, evidence,
+	r.report.violate(RuleSlowStart, now, evidence,
 		"machine %s, in slow start since %.1f ms, gets %d offers in %.1f ms, its budget is %d; the last by %s", machine,
 		milliseconds(start.began), offers, milliseconds(terms.SlowStartWindow), terms.SlowStartBudget, s.name)
 }
--- a/internal/testbed/audit/rule_spread.go
+++ b/internal/testbed/audit/rule_spread.go
@@ -14,7 +14,8 @@
 	}
 	var evidence []string
 	for other := range s.inFlight {
-		if other.spec.Service != a.spec.Service || !c.sameScope(s, other.machine, a.machine, class.SpreadScope) {
+		sameScope := c.locations.sameScope(s, other.machine, a.machine, class.SpreadScope)
+		if !sameScope || other.spec.Service != a.spec.Service {
 			continue
 		}
 		if timedOut := c.now >= other.deadline-c.header.Slack; timedOut && !other.ran && other != a {
@@ -24,15 +25,8 @@
 	}
 	if count := len(evidence); count > class.MaxPerScope {
 		slices.Sort(evidence)
-		c.violate(
-			RuleSpread,
-			a.sent,
-			evidence,
+		c.report.violate(RuleSpread, a.sent, evidence,
 			"%s has %d containers of service %s in one scope, %d are allowed",
-			s.name,
-			count,
-			a.spec.Service,
-			class.MaxPerScope,
-		)
+			s.name, count, a.spec.Service, class.MaxPerScope)
 	}
 }
--- a/internal/testbed/audit/state.go
+++ b/internal/testbed/audit/state.go
@@ -75,25 +75,18 @@
 		spec:     f.Spec,
 		sent:     c.now,
 		deadline: c.now + scheduler.Time(f.Timeout),
-		text: fmt.Sprintf(
-			"%.1f ms %s offers %s to %s, attempt %d, timeout %.1f ms",
-			milliseconds(c.now),
-			s.name,
-			f.Spec.ContainerID,
-			conn.name,
-			f.AttemptID,
-			milliseconds(scheduler.Time(f.Timeout)),
-		),
+		text: fmt.Sprintf("%.1f ms %s offers %s to %s, attempt %d, timeout %.1f ms", milliseconds(c.now), s.name,
+			f.Spec.ContainerID, conn.name, f.AttemptID, milliseconds(scheduler.Time(f.Timeout))),
 	}
 	r := c.checkOfferIsOwed(s, a)
-	class, known := c.workloadClass(f.Spec.WorkloadClass)
+	class, known := workloadClass(&c.header, f.Spec.WorkloadClass)
 	if !known {
-		c.violate(RuleFinalReply, c.now, []string{a.text}, "workload class %d is unknown", f.Spec.WorkloadClass)
+		c.report.violate(RuleFinalReply, c.now, []string{a.text}, "workload class %d is unknown", f.Spec.WorkloadClass)
 		return
 	}
-	c.checkRetry(s, r, a, class)
+	c.duplicateRun.checkRetry(s, r, a, class)
 	c.checkDraining(s, a)
-	c.checkSlowStart(s, a.machine)
+	c.slowStart.checkSend(s, a.machine, c.now)
 	r.attempts = append(r.attempts, a)
 	conn.attempts[a.id] = a
 	s.inFlight[a] = true
@@ -115,7 +108,7 @@
 	}
 	a.ran = true
 	s.inFlight[a] = true
-	c.checkRanOnce(a, func(earlier *attempt) bool { return earlier == a })
+	c.duplicateRun.checkRanOnce(a, c.now, func(earlier *attempt) bool { return earlier == a })
 }
 
 // ended takes the outcome of an attempt.
@@ -146,16 +139,11 @@
 			spec:    item.Spec,
 			sent:    c.now,
 			ran:     true,
-			text: fmt.Sprintf(
-				"%.1f ms %s has %s of %s in its inventory",
-				milliseconds(c.now),
-				conn.name,
-				item.Spec.ContainerID,
-				s.name,
-			),
+			text: fmt.Sprintf("%.1f ms %s has %s of %s in its inventory",
+				milliseconds(c.now), conn.name, item.Spec.ContainerID, s.name),
 		}
 		conn.attempts[a.id] = a
 		s.inFlight[a] = true
-		c.checkRanOnce(a, func(earlier *attempt) bool { return earlier.id == a.id })
+		c.duplicateRun.checkRanOnce(a, c.now, func(earlier *attempt) bool { return earlier.id == a.id })
 	}
 }
--- a/internal/testbed/emulator/client_tally.go
+++ b/internal/testbed/emulator/client_tally.go
@@ -25,7 +25,7 @@
 	Unanswered       int                     // the connection to the scheduler ended first
 	DuplicateReplies int                     // replies beyond the first
 	Retried          int                     // submissions that repeat an earlier one
-	Ended            int                     // placed containers whose end a client was told of
+	Ended            int                     // placed containers whose termination a client received
 	Evicted          int                     // of the ended, for memory
 	Lost             int                     // of the ended, with their machine
 	Unsent           int                     // no scheduler could be reached
