--- a/internal/testbed/modelcheck/checker.go
+++ b/internal/testbed/modelcheck/checker.go
@@ -6,18 +6,10 @@
 import (
 	"fmt"
 
+	"glenport/internal/testbed/audit"
 	"glenport/scheduler"
 )
 
-// The rules, as the violations number them.
-const (
-	ruleOneAnswer  = 1 + iota // every request gets one final answer, in time
-	ruleAtMostOnce            // nothing runs more often than its idempotency allows
-	ruleDraining              // no attempt goes to a machine that drains or is gone
-	ruleSlowStart             // machines in slow start get no more than their budget
-	ruleSpread                // no group holds more of a service than it may
-)
-
 // Checker follows all schedulers of a fleet through one sequence of events.
 type Checker struct {
 	// Violations lists what was broken, in order; each begins with "rule N: ", or with "placement: " for an attempt at
@@ -89,7 +81,7 @@
 	c.incarnations[index].sent = sent
 }
 
-func (c *Checker) violate(rule int, format string, arguments ...any) {
+func (c *Checker) violate(rule audit.Rule, format string, arguments ...any) {
 	c.Violations = append(c.Violations, fmt.Sprintf("rule %d: ", rule)+fmt.Sprintf(format, arguments...))
 }
 
@@ -203,6 +195,7 @@
 		return unknown || a.zone == other.zone
 	case scheduler.ScopeRackGroup:
 		return unknown || a.rackGroup == other.rackGroup
+	case scheduler.ScopeNone, scheduler.ScopeMachine:
 	}
 	return a.machine == other.machine
 }
--- a/internal/testbed/modelcheck/modelcheck_test.go
+++ b/internal/testbed/modelcheck/modelcheck_test.go
@@ -38,14 +38,13 @@
 		{Idempotency: scheduler.Idempotent, SpreadScope: scheduler.ScopeZone, MaxPerScope: 1},
 		{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeFleet, DedupWindow: scheduler.Second},
 	} {
-		l.MachineType, l.LatencyObjective, l.PlacementTimeout, l.PriorityWeight = -1, scheduler.Second, 3*scheduler.Second, 1
+		l.MachineType, l.PriorityWeight = -1, 1
+		l.LatencyObjective, l.PlacementTimeout = scheduler.Second, 3*scheduler.Second
 		w.Config.WorkloadClasses = append(w.Config.WorkloadClasses, l)
 	}
 	for i, id := range []scheduler.MachineID{"a", "b", "c"} {
-		w.Machines = append(
-			w.Machines,
-			scheduler.MachineEntry{Machine: id, Zone: i / 2, RackGroup: i, FreeCores: 10, FreeMemory: 10},
-		)
+		machine := scheduler.MachineEntry{Machine: id, Zone: i / 2, RackGroup: i, FreeCores: 10, FreeMemory: 10}
+		w.Machines = append(w.Machines, machine)
 	}
 	return w
 }
@@ -65,6 +64,11 @@
 	return w
 }
 
+func (w World) withBatches() World {
+	w.Batches = true
+	return w
+}
+
 // pair has two schedulers and one machine.
 func pair() World {
 	w := tiny()
@@ -74,55 +78,31 @@
 
 var worlds = []struct {
 	name  string
-	world World
 	depth int
+	world World
 }{
-	{
-		"outcomes of each idempotency, and machine lists",
-		tiny().withRequests(2, 1, 0).
-			withEvents("request, accept x, timeout x, full x, timeout y, errored y, timeout z, drain a, leave b, back b, list, usage x"),
-		5,
-	},
-	{
-		"idempotent with a key, its machine leaves and comes back",
-		tiny().withRequests(1).
-			withEvents("request, timeout x, full x, unsent x, stopped x, accept x, leave a, back a, leave b, restart b, wait, list"),
-		5,
-	},
-	{
-		"machine list changes during attempts",
-		tiny().withRequests(0, 2).
-			withEvents("request, full x, timeout y, drain a, drain b, back a, leave c, back c, list, failed, wait"),
-		5,
-	},
-	{
-		"cancelled, stopped and lost",
-		tiny().withRequests(4, 2).
-			withEvents("request, accept x, stopped x, cancel x, lost x, reset y, cancel y, unsent y, usage x, wait"),
-		6,
-	},
-	{
-		"slow-start budget of two schedulers",
-		pair().withRequests(0, 0, 0, 0, 0, 0, 0, 0).withEvents("request, full x, restart a, leave a, back a"),
-		7,
-	},
-	{
-		"slow start, listed late",
-		pair().withRequests(0, 0, 0, 0, 0, 0, 0, 0).
-			withEvents("request, restart late a, list, timeout x, full z, probed a, wait"),
-		7,
-	},
-	{
-		"slow start, and the scheduler restarts",
-		pair().withRequests(0, 0, 0, 0, 0, 0, 0, 0).withEvents("request, restart a, crash, forget, full x, wait"),
-		6,
-	},
-	{"spread, and adopted containers", func() World { w := tiny().withRequests(3, 3, 3); w.Batches = true; return w }().
-		withEvents("request, adopt a, adopt c, accept x, full x, full y, cancel x, lost x, leave a, back a"), 4},
+	{"outcomes of each idempotency, and machine lists", 5, tiny().withRequests(2, 1, 0).withEvents(
+		"request, accept x, timeout x, full x, timeout y, errored y, timeout z, " +
+			"drain a, leave b, back b, list, usage x")},
+	{"idempotent with a key, its machine leaves and comes back", 5, tiny().withRequests(1).withEvents(
+		"request, timeout x, full x, unsent x, stopped x, accept x, leave a, back a, leave b, restart b, wait, list")},
+	{"machine list changes during attempts", 5, tiny().withRequests(0, 2).withEvents(
+		"request, full x, timeout y, drain a, drain b, back a, leave c, back c, list, failed, wait")},
+	{"cancelled, stopped and lost", 6, tiny().withRequests(4, 2).withEvents(
+		"request, accept x, stopped x, cancel x, lost x, reset y, cancel y, unsent y, usage x, wait")},
+	{"slow-start budget of two schedulers", 7, pair().withRequests(0, 0, 0, 0, 0, 0, 0, 0).withEvents(
+		"request, full x, restart a, leave a, back a")},
+	{"slow start, listed late", 7, pair().withRequests(0, 0, 0, 0, 0, 0, 0, 0).withEvents(
+		"request, restart late a, list, timeout x, full z, probed a, wait")},
+	{"slow start, and the scheduler restarts", 6, pair().withRequests(0, 0, 0, 0, 0, 0, 0, 0).withEvents(
+		"request, restart a, crash, forget, full x, wait")},
+	{"spread, and adopted containers", 4, tiny().withRequests(3, 3, 3).withBatches().withEvents(
+		"request, adopt a, adopt c, accept x, full x, full y, cancel x, lost x, leave a, back a")},
 }
 
 // All rules hold after each event of every order.
 func TestEveryOrderKeepsAllRules(t *testing.T) {
+	t.Parallel()
 	for _, tc := range worlds {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/testbed/modelcheck/mutant.go
+++ b/internal/testbed/modelcheck/mutant.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"glenport/internal/testbed/audit"
 	"glenport/scheduler"
 )
 
@@ -10,9 +11,11 @@
 // nothing.
 type Mutant struct {
 	Decider
-	Rule int // 1 to 5
+	Rule int // an audit.Rule
 }
 
+func (m Mutant) breaks(rule audit.Rule) bool { return audit.Rule(m.Rule) == rule }
+
 // Handle changes the events of the scheduler, and drops its rejections for the first rule.
 func (m Mutant) Handle(now scheduler.Time, events []scheduler.Event) []scheduler.Action {
 	var kept []scheduler.Event
@@ -23,7 +26,7 @@
 		case scheduler.AttemptEnded:
 			kept = append(kept, m.mutateOutcome(event))
 		case scheduler.ContainerAdopted:
-			if m.Rule != ruleSpread { // else what runs is forgotten
+			if !m.breaks(audit.RuleSpread) { // else what runs is forgotten
 				kept = append(kept, event)
 			}
 		default:
@@ -31,7 +34,7 @@
 		}
 	}
 	actions := m.Decider.Handle(now, kept)
-	if m.Rule == ruleOneAnswer {
+	if m.breaks(audit.RuleFinalReply) {
 		actions = slices.DeleteFunc(actions, func(action scheduler.Action) bool {
 			_, isReject := action.(scheduler.Reject)
 			return isReject
@@ -44,10 +47,10 @@
 func (m Mutant) mutateList(update scheduler.MachineListUpdate) scheduler.MachineListUpdate {
 	update.Entries = slices.Clone(update.Entries)
 	for i := range update.Entries {
-		switch m.Rule {
-		case ruleDraining:
+		if m.breaks(audit.RuleDraining) {
 			update.Entries[i].State = scheduler.MachineServing
-		case ruleSlowStart:
+		}
+		if m.breaks(audit.RuleSlowStart) {
 			update.Entries[i].StartedAt = 0
 		}
 	}
@@ -57,7 +60,7 @@
 // mutateOutcome takes an attempt that may run for one that was refused.
 func (m Mutant) mutateOutcome(ended scheduler.AttemptEnded) scheduler.AttemptEnded {
 	mayRun := ended.Outcome == scheduler.OutcomeTimedOut || ended.Outcome == scheduler.OutcomeErrored
-	if m.Rule == ruleAtMostOnce && mayRun {
+	if m.breaks(audit.RuleDuplicateRun) && mayRun {
 		ended.Outcome = scheduler.OutcomeFull
 	}
 	return ended
--- a/internal/testbed/modelcheck/rules.go
+++ b/internal/testbed/modelcheck/rules.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 
+	"glenport/internal/testbed/audit"
 	"glenport/scheduler"
 )
 
@@ -15,9 +16,9 @@
 	case scheduler.Probe:
 		c.checkSlowStart(in, action.Machine, now)
 	case scheduler.Reject:
-		c.checkReply(in, action.ID, true)
+		c.checkReject(in, action.ID)
 	case scheduler.Fail:
-		c.checkReply(in, action.ID, false)
+		c.takeAnswer(in, action.ID)
 	}
 }
 
@@ -27,48 +28,57 @@
 		for id, container := range in.containers {
 			if !container.answered && now > container.request.Deadline+c.config.AnswerGrace {
 				late := (now - container.request.Deadline) / scheduler.Millisecond
-				c.violate(ruleOneAnswer, "%s has no answer %d ms after its deadline", id, late)
+				c.violate(audit.RuleFinalReply, "%s has no answer %d ms after its deadline", id, late)
 				container.answered = true
 			}
 		}
 	}
 }
 
-// checkReply checks a final answer; a rejection is retryable, so it promises that the container does not run.
-func (c *Checker) checkReply(in *incarnation, id scheduler.ContainerID, retryable bool) {
-	container := in.containers[id]
-	if container == nil || container.answered {
-		c.violate(ruleOneAnswer, "%s gets an answer and is owed none", id)
+// checkReject checks a final answer that promises that the container does not run.
+func (c *Checker) checkReject(in *incarnation, id scheduler.ContainerID) {
+	container, owed := c.takeAnswer(in, id)
+	if !owed {
 		return
 	}
-	container.answered, container.settled = true, true
 	class := c.config.WorkloadClasses[container.request.WorkloadClass]
 	safe := class.Idempotency == scheduler.Idempotent ||
 		class.Idempotency == scheduler.IdempotentWithKey && class.DedupScope == scheduler.ScopeFleet
-	if !retryable || safe {
+	if safe {
 		return
 	}
 	for _, attempt := range container.attempts {
 		if attempt.outstanding || attempt.mayRun {
-			c.violate(ruleAtMostOnce, "%s is rejected, and may run on %s", id, attempt.machine)
+			c.violate(audit.RuleDuplicateRun, "%s is rejected, and may run on %s", id, attempt.machine)
 		}
 	}
 }
 
+// takeAnswer checks that a final answer is owed, which it then is no longer.
+func (c *Checker) takeAnswer(in *incarnation, id scheduler.ContainerID) (answered *container, owed bool) {
+	answered = in.containers[id]
+	if answered == nil || answered.answered {
+		c.violate(audit.RuleFinalReply, "%s gets an answer and is owed none", id)
+		return nil, false
+	}
+	answered.answered, answered.settled = true, true
+	return answered, true
+}
+
 func (c *Checker) checkAttempt(in *incarnation, now scheduler.Time, start scheduler.StartAttempt) {
 	container, m := in.containers[start.ID], in.machines[start.Machine]
 	if container == nil || container.answered || container.settled {
-		c.violate(ruleOneAnswer, "%s is offered to %s, and is settled", start.ID, start.Machine)
+		c.violate(audit.RuleFinalReply, "%s is offered to %s, and is settled", start.ID, start.Machine)
 		return
 	}
 	if m == nil {
-		c.violate(ruleDraining, "%s is offered to %s, which is in no list", start.ID, start.Machine)
+		c.violate(audit.RuleDraining, "%s is offered to %s, which is in no list", start.ID, start.Machine)
 		return
 	}
 	c.attemptsChecked++
 	if m.unavailableSince > 0 && now > m.unavailableSince+c.drainGrace {
-		c.violate(ruleDraining, "%s is offered to %s, seen %d ms ago to drain or to be gone", start.ID, start.Machine,
-			(now-m.unavailableSince)/scheduler.Millisecond)
+		c.violate(audit.RuleDraining, "%s is offered to %s, seen %d ms ago to drain or to be gone",
+			start.ID, start.Machine, (now-m.unavailableSince)/scheduler.Millisecond)
 	}
 	next := &attempt{machine: start.Machine, sentAt: now, outstanding: true}
 	next.setLocation(m)
@@ -86,13 +96,8 @@
 			c.Violations = append(c.Violations, fmt.Sprintf("placement: %s is offered to %s again", id, next.machine))
 		}
 		if earlier.outstanding {
-			c.violate(
-				ruleAtMostOnce,
-				"%s is offered to %s while its attempt at %s is outstanding",
-				id,
-				next.machine,
-				earlier.machine,
-			)
+			c.violate(audit.RuleDuplicateRun, "%s is offered to %s while its attempt at %s is outstanding",
+				id, next.machine, earlier.machine)
 		}
 		if earlier.mayRun && first == nil {
 			first = earlier
@@ -102,15 +107,11 @@
 	switch {
 	case first == nil || class.Idempotency == scheduler.Idempotent:
 	case class.Idempotency == scheduler.AtMostOnce:
-		c.violate(ruleAtMostOnce, "%s is offered to %s, and may have run on %s", id, next.machine, first.machine)
+		c.violate(audit.RuleDuplicateRun, "%s is offered to %s, and may have run on %s",
+			id, next.machine, first.machine)
 	case !next.sharesScope(first, class.DedupScope) || next.sentAt >= first.sentAt+class.DedupWindow:
-		c.violate(
-			ruleAtMostOnce,
-			"%s is offered to %s, outside the group or window of %s",
-			id,
-			next.machine,
-			first.machine,
-		)
+		c.violate(audit.RuleDuplicateRun, "%s is offered to %s, outside the group or window of %s",
+			id, next.machine, first.machine)
 	}
 }
 
@@ -132,15 +133,8 @@
 		}
 	}
 	if count > class.MaxPerScope {
-		c.violate(
-			ruleSpread,
-			"%s is offered to %s: %d of %s there, %d may be",
-			id,
-			next.machine,
-			count,
-			service,
-			class.MaxPerScope,
-		)
+		c.violate(audit.RuleSpread, "%s is offered to %s: %d of %s there, %d may be",
+			id, next.machine, count, service, class.MaxPerScope)
 	}
 }
 
@@ -163,12 +157,7 @@
 		}
 	}
 	if count > c.config.SlowStartBudget {
-		c.violate(
-			ruleSlowStart,
-			"%s in slow start gets %d in a window, and bears %d",
-			id,
-			count,
-			c.config.SlowStartBudget,
-		)
+		c.violate(audit.RuleSlowStart, "%s in slow start gets %d in a window, and bears %d",
+			id, count, c.config.SlowStartBudget)
 	}
 }
--- /dev/null
+++ b/internal/testbed/modelcheck/simulation_events.go
@@ -0,0 +1,200 @@
+package modelcheck
+
+import (
+	"slices"
+
+	"glenport/scheduler"
+)
+
+// possibleEvents are those of World.Events that can happen now.
+func (s *simulation) possibleEvents() []string {
+	var possible []string
+	for _, word := range s.Events {
+		if s.isPossible(parseEvent(word)) {
+			possible = append(possible, word)
+		}
+	}
+	if !s.Batches || len(s.batched) > 0 {
+		return possible
+	}
+	for _, word := range slices.Clone(possible) {
+		if parseEvent(word).mayBeBatched() {
+			possible = append(possible, batchPrefix+word)
+		}
+	}
+	return possible
+}
+
+func (s *simulation) isPossible(e event) bool {
+	placed := s.placements[e.container]
+	switch e.kind {
+	case eventRequest:
+		return s.nextRequest < len(s.Requests)
+	case eventAccept, eventFull, eventTimeout, eventReset, eventUnsent, eventErrored:
+		return placed != nil && !placed.running
+	case eventFinished, eventLost, eventStopped:
+		return placed != nil && placed.running
+	case eventCancel:
+		return placed != nil
+	case eventUsage:
+		return s.checker.incarnations[0].containers[e.container] != nil
+	case eventProbed:
+		return s.probes[0][e.machine] > 0
+	case eventDrain:
+		return s.machines[e.machine].State == scheduler.MachineServing
+	case eventLeave:
+		return s.machines[e.machine].State != scheduler.MachineGone
+	case eventBack:
+		return s.machines[e.machine].State != scheduler.MachineServing
+	default:
+		return true // the others can happen at any time
+	}
+}
+
+// apply has an event happen, a step later than the one before.
+func (s *simulation) apply(e event) {
+	s.advance(Step)
+	switch e.kind {
+	case eventRequest:
+		s.request(e)
+	case eventAdopt:
+		s.adopt(e)
+	case eventAccept:
+		s.accept(e)
+	case eventFull, eventTimeout, eventReset, eventErrored, eventUnsent, eventFinished, eventLost, eventStopped:
+		s.endAttempt(e)
+	case eventCancel:
+		if placed := s.placements[e.container]; placed != nil {
+			s.deliver(e, placed.scheduler, scheduler.ContainerRemoved{ID: e.container})
+		}
+	case eventUsage:
+		s.deliver(e, 0, scheduler.UsageReported{ID: e.container, Metric: scheduler.MetricMemoryUsed, Value: 2})
+	case eventProbed:
+		delete(s.probes[0], e.machine)
+		s.deliver(e, 0, scheduler.ProbeCompleted{Machine: e.machine})
+	case eventDrain, eventLeave, eventBack, eventRestart:
+		s.changeMachine(e)
+	case eventList:
+		s.sendList(e, scheduler.FullSnapshot, s.entries()...)
+	case eventFailed:
+		s.sendList(e, scheduler.UpdateFailed)
+	case eventWait:
+		s.advance(waitDuration)
+	case eventCrash, eventForget:
+		s.restartScheduler(e)
+	default:
+		panic("no event " + string(e.kind))
+	}
+}
+
+func (s *simulation) request(e event) {
+	request := s.Requests[s.nextRequest]
+	request.Deadline += s.now
+	s.deliver(e, s.nextRequest%s.Schedulers, scheduler.RequestReceived{PlacementRequest: request})
+	s.nextRequest++
+}
+
+// adopt gives the first scheduler a container that was found running on a machine.
+func (s *simulation) adopt(e event) {
+	like := s.Requests[0]
+	found := scheduler.PlacementRequest{
+		ID: s.newContainerID(), Service: like.Service, WorkloadClass: like.WorkloadClass,
+		Cores: 1, Memory: 1,
+	}
+	s.deliver(e, 0, scheduler.ContainerAdopted{PlacementRequest: found, Machine: e.machine})
+}
+
+func (s *simulation) accept(e event) {
+	placed := s.placements[e.container]
+	if placed == nil {
+		return
+	}
+	placed.running = true
+	s.deliver(e, placed.scheduler, scheduler.AttemptAccepted{ID: e.container, Machine: placed.machine})
+}
+
+func (s *simulation) endAttempt(e event) {
+	placed := s.placements[e.container]
+	if placed == nil {
+		return
+	}
+	delete(s.placements, e.container)
+	s.deliver(e, placed.scheduler, scheduler.AttemptEnded{
+		ID: e.container, Outcome: outcomes[e.kind], Machine: placed.machine,
+		Final: e.kind == eventFinished || e.kind == eventLost,
+	})
+}
+
+func (s *simulation) changeMachine(e event) {
+	entry := s.machines[e.machine]
+	switch e.kind {
+	case eventDrain:
+		entry.State = scheduler.MachineDraining
+	case eventLeave:
+		entry.State = scheduler.MachineGone
+	case eventBack:
+		entry.State = scheduler.MachineServing
+	case eventRestart:
+		entry.State, entry.StartedAt = scheduler.MachineServing, s.now
+	default:
+		panic("no change of a machine: " + string(e.kind))
+	}
+	if !e.late {
+		s.sendList(e, scheduler.DeltaUpdate, *entry)
+	}
+}
+
+// sendList gives an update of the machine list to every scheduler.
+func (s *simulation) sendList(e event, mode scheduler.UpdateMode, entries ...scheduler.MachineEntry) {
+	s.version++
+	for i := range s.schedulers {
+		s.deliver(e, i, scheduler.MachineListUpdate{Mode: mode, Version: s.version, Entries: entries})
+	}
+}
+
+// restartScheduler ends the first scheduler and starts its next incarnation; after a crash that has the snapshot of the
+// one before. It adopts what runs; what was only offered is cancelled.
+func (s *simulation) restartScheduler(e event) {
+	config := s.Config
+	config.SchedulerCount = s.Schedulers
+	before, after := s.schedulers[0], s.NewScheduler(config)
+	s.checker.Restarted(0)
+	s.schedulers[0], s.timers[0], s.probes[0] = after, nil, map[scheduler.MachineID]scheduler.Time{}
+	s.handle(0, scheduler.MachineListUpdate{Mode: scheduler.RestoredSnapshot, Entries: s.entries()})
+	if e.kind == eventCrash {
+		restoreSnapshot(before, after)
+	}
+	for _, id := range s.placementsOf(0) {
+		placed := s.placements[id]
+		if !placed.running {
+			delete(s.placements, id)
+			continue
+		}
+		s.handle(0, scheduler.ContainerAdopted{PlacementRequest: placed.request, Machine: placed.machine})
+	}
+}
+
+// placementsOf lists the containers of a scheduler in order.
+func (s *simulation) placementsOf(index int) []scheduler.ContainerID {
+	var ids []scheduler.ContainerID
+	for id, placed := range s.placements {
+		if placed.scheduler == index {
+			ids = append(ids, id)
+		}
+	}
+	slices.Sort(ids)
+	return ids
+}
+
+// persistent is a Decider that has a snapshot; a mutant has none.
+type persistent interface {
+	Snapshot() scheduler.Snapshot
+	Restore(snapshot scheduler.Snapshot)
+}
+
+func restoreSnapshot(before, after Decider) {
+	source, hasSnapshot := before.(persistent)
+	if target, restores := after.(persistent); hasSnapshot && restores {
+		target.Restore(source.Snapshot())
+	}
+}
--- a/internal/testbed/mutants/mutants.go
+++ b/internal/testbed/mutants/mutants.go
@@ -7,19 +7,10 @@
 	"slices"
 
 	"glenport/internal/schedulerd"
+	"glenport/internal/testbed/audit"
 	"glenport/scheduler"
 )
 
-// The rules that a mutant may break.
-const (
-	ruleOneAnswer  = 1 + iota // every request gets one final answer
-	ruleAtMostOnce            // nothing runs more often than its idempotency allows
-	ruleDraining              // no attempt goes to a draining machine
-	ruleSlowStart             // machines in slow start get no more than their budget
-	ruleSpread                // no group holds more of a service than it may
-	lastRule       = ruleSpread
-)
-
 const (
 	lostRequestInterval = 25 // of this many requests one is never answered
 	hastyTimeout        = 5 * scheduler.Millisecond
@@ -29,13 +20,13 @@
 type UnknownRuleError struct{ Rule int }
 
 func (e *UnknownRuleError) Error() string {
-	return fmt.Sprintf("there are rules 1 to %d, no rule %d", lastRule, e.Rule)
+	return fmt.Sprintf("there are rules 1 to %d, no rule %d", audit.LastRule, e.Rule)
 }
 
 // Mutant stands between a scheduler's process and its decisions and breaks one rule.
 type Mutant struct {
 	schedulerd.Scheduler
-	rule       int
+	rule       audit.Rule
 	config     scheduler.Config
 	requests   int
 	machines   map[scheduler.MachineID]scheduler.MachineEntry
@@ -45,12 +36,13 @@
 
 // New returns a mutant that breaks the rule of that number. The error is an *UnknownRuleError.
 func New(rule int, config scheduler.Config, decisions schedulerd.Scheduler) (*Mutant, error) {
-	if rule < ruleOneAnswer || rule > lastRule {
+	broken := audit.Rule(rule)
+	if broken < audit.RuleFinalReply || broken > audit.LastRule {
 		return nil, &UnknownRuleError{Rule: rule}
 	}
 	return &Mutant{
 		Scheduler:  decisions,
-		rule:       rule,
+		rule:       broken,
 		config:     config,
 		machines:   map[scheduler.MachineID]scheduler.MachineEntry{},
 		atMostOnce: map[scheduler.ContainerID]bool{},
@@ -92,7 +84,7 @@
 // losesRequest takes note of a request and reports whether the decisions never hear of it.
 func (m *Mutant) losesRequest(request scheduler.RequestReceived) bool {
 	m.requests++
-	if m.rule == ruleOneAnswer && m.requests%lostRequestInterval == 0 {
+	if m.rule == audit.RuleFinalReply && m.requests%lostRequestInterval == 0 {
 		return true
 	}
 	if m.idempotency(request.WorkloadClass) == scheduler.AtMostOnce {
@@ -104,9 +96,9 @@
 // duplicate starts a second copy of a container that may have run and must not run again.
 func (m *Mutant) duplicate(ended scheduler.AttemptEnded) (scheduler.StartAttempt, bool) {
 	id := ended.ID
-	if m.rule == ruleAtMostOnce && m.atMostOnce[id] && !ended.Final && mayHaveRun(ended.Outcome) && !m.duplicated[id] {
-		anyMachine := func(scheduler.MachineEntry) bool { return true }
-		if machine, ok := m.firstMatching(ended.Machine, anyMachine); ok {
+	mustNotRunAgain := m.atMostOnce[id] && !ended.Final && mayHaveRun(ended.Outcome)
+	if m.rule == audit.RuleDuplicateRun && mustNotRunAgain && !m.duplicated[id] {
+		if machine, ok := m.firstMatching(ended.Machine, isAny); ok {
 			m.duplicated[id] = true
 			return scheduler.StartAttempt{ID: id, Machine: machine}, true
 		}
@@ -125,34 +117,38 @@
 
 // mutate changes an attempt so that it breaks the rule, where a machine for that exists.
 func (m *Mutant) mutate(now scheduler.Time, attempt scheduler.StartAttempt) scheduler.StartAttempt {
-	machine, found := scheduler.MachineID(""), false
 	switch m.rule {
-	case ruleAtMostOnce:
+	case audit.RuleDuplicateRun:
 		if m.atMostOnce[attempt.ID] && !m.duplicated[attempt.ID] {
 			attempt.Timeout = hastyTimeout // no machine accepts so soon
 		}
-	case ruleDraining:
+	case audit.RuleDraining:
 		// Each in turn: the process does not send what waits for a connection to an unreachable machine.
-		draining := m.matching("", func(e scheduler.MachineEntry) bool { return e.State == scheduler.MachineDraining })
-		if len(draining) > 0 {
-			machine, found = draining[m.requests%len(draining)], true
+		if draining := m.matching("", isDraining); len(draining) > 0 {
+			attempt.Machine = draining[m.requests%len(draining)]
 		}
-	case ruleSlowStart:
-		machine, found = m.firstMatching("", func(e scheduler.MachineEntry) bool {
-			return e.State == scheduler.MachineServing && e.StartedAt > 0 && now < e.StartedAt+m.config.SlowStartPeriod
-		})
-	case ruleSpread:
-		machine, found = m.firstMatching(
-			"",
-			func(e scheduler.MachineEntry) bool { return e.State == scheduler.MachineServing },
-		)
-	}
-	if found {
-		attempt.Machine = machine
+	case audit.RuleSlowStart:
+		inSlowStart := func(e scheduler.MachineEntry) bool {
+			return isServing(e) && e.StartedAt > 0 && now < e.StartedAt+m.config.SlowStartPeriod
+		}
+		if machine, ok := m.firstMatching("", inSlowStart); ok {
+			attempt.Machine = machine
+		}
+	case audit.RuleSpread:
+		if machine, ok := m.firstMatching("", isServing); ok {
+			attempt.Machine = machine
+		}
+	case audit.RuleFinalReply: // is broken by losesRequest
 	}
 	return attempt
 }
 
+func isServing(entry scheduler.MachineEntry) bool { return entry.State == scheduler.MachineServing }
+
+func isDraining(entry scheduler.MachineEntry) bool { return entry.State == scheduler.MachineDraining }
+
+func isAny(scheduler.MachineEntry) bool { return true }
+
 func (m *Mutant) idempotency(workload int) scheduler.Idempotency {
 	if workload < len(m.config.WorkloadClasses) {
 		return m.config.WorkloadClasses[workload].Idempotency
