--- a/internal/testbed/audit/state.go
+++ b/internal/testbed/audit/state.go
@@ -16,7 +16,7 @@
 	lookups  map[string]bool   // lookups and cancels by key, by container: a reply to each is due
 }
 
-// request is a container that a client asked a scheduler to place.
+// request is a container that a client submitted to a scheduler.
 type request struct {
 	container  string
 	spec       protocol.ContainerSpec
--- a/internal/testbed/emulator/client_conn.go
+++ b/internal/testbed/emulator/client_conn.go
@@ -72,7 +72,7 @@
 
 // greet exchanges the hello frames.
 func greet(conn net.Conn, scheduler int) error {
-	name := fmt.Sprint("owners-", scheduler)
+	name := fmt.Sprint("clients-", scheduler)
 	hello := protocol.NewHello(protocol.RoleClient, name, uint64(time.Now().UnixMicro()))
 	if _, err := conn.Write(mustEncode(nil, hello)); err != nil {
 		return err
--- a/internal/testbed/emulator/endpoint.go
+++ b/internal/testbed/emulator/endpoint.go
@@ -14,7 +14,7 @@
 	maxListenRetries = 50
 )
 
-// endpoint is where a machine listens; its address stays the same over restarts. Any goroutine may ask for it.
+// endpoint is where a machine listens; its address stays the same over restarts. Any goroutine may read it.
 type endpoint struct {
 	listener net.Listener // nil before the first start
 
--- a/internal/testbed/emulator/machine_status.go
+++ b/internal/testbed/emulator/machine_status.go
@@ -18,7 +18,7 @@
 	Running, TotalRan         int
 }
 
-// Status asks the machine's goroutine; ok is false while it is frozen or does not answer in time.
+// Status reads the state on the machine's goroutine; ok is false while it is frozen or does not answer in time.
 func (m *Machine) Status() (status MachineStatus, ok bool) {
 	return query(m.loop, statusTimeout, func() MachineStatus {
 		free := m.runtime.free()
--- a/internal/testbed/loopback/loopback.go
+++ b/internal/testbed/loopback/loopback.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// CloseQuietly closes a connection or listener that is given up. The error is ignored: whoever reads from it sees the
-// end either way, and nothing buffered is owed to the other side.
+// CloseQuietly closes a connection or listener that is no longer wanted. The error is ignored: whoever reads from it
+// sees the end either way, and nothing buffered is owed to the other side.
 func CloseQuietly(c io.Closer) { _ = c.Close() }
 
 // Reset closes a connection with a TCP reset in place of an orderly end.
--- a/internal/testbed/modelcheck/checker.go
+++ b/internal/testbed/modelcheck/checker.go
@@ -32,7 +32,7 @@
 type container struct {
 	request  scheduler.PlacementRequest
 	attempts []*attempt
-	answered bool
+	replied  bool
 	settled  bool // nothing is owed any more
 	running  bool
 }
@@ -97,7 +97,7 @@
 		in.adopt(event)
 	case scheduler.AttemptAccepted:
 		if container := in.containers[event.ID]; container != nil {
-			container.answered, container.running = true, true
+			container.replied, container.running = true, true
 		}
 	case scheduler.AttemptEnded:
 		if container := in.containers[event.ID]; container != nil {
@@ -105,7 +105,7 @@
 		}
 	case scheduler.ContainerRemoved:
 		if container := in.containers[event.ID]; container != nil {
-			container.answered, container.settled = true, true
+			container.replied, container.settled = true, true
 		}
 	}
 }
@@ -115,7 +115,7 @@
 	running.setLocation(in.machines[event.Machine])
 	in.containers[event.ID] = &container{
 		request: event.PlacementRequest, attempts: []*attempt{running},
-		answered: true, settled: true, running: true,
+		replied: true, settled: true, running: true,
 	}
 }
 
@@ -128,9 +128,9 @@
 		}
 	}
 	if event.Final {
-		c.answered, c.settled = true, true
+		c.replied, c.settled = true, true
 	} else if !c.settled {
-		c.answered = false // an accept that crossed the cancel of its attempt answers nothing
+		c.replied = false // an accept that crossed the cancel of its attempt is no reply
 	}
 }
 
--- a/internal/testbed/modelcheck/rules.go
+++ b/internal/testbed/modelcheck/rules.go
@@ -18,26 +18,26 @@
 	case scheduler.Reject:
 		c.checkReject(in, action.ID)
 	case scheduler.Fail:
-		c.takeAnswer(in, action.ID)
+		c.takeReply(in, action.ID)
 	}
 }
 
-// CheckDeadlines checks what time alone breaks: answers that are owed.
+// CheckDeadlines checks what time alone breaks: replies that are owed.
 func (c *Checker) CheckDeadlines(now scheduler.Time) {
 	for _, in := range c.incarnations {
 		for id, container := range in.containers {
-			if !container.answered && now > container.request.Deadline+c.config.AnswerGrace {
+			if !container.replied && now > container.request.Deadline+c.config.AnswerGrace {
 				late := (now - container.request.Deadline) / scheduler.Millisecond
-				c.violate(audit.RuleFinalReply, "%s has no answer %d ms after its deadline", id, late)
-				container.answered = true
+				c.violate(audit.RuleFinalReply, "%s has no reply %d ms after its deadline", id, late)
+				container.replied = true
 			}
 		}
 	}
 }
 
-// checkReject checks a final answer that promises that the container does not run.
+// checkReject checks a final reply that promises that the container does not run.
 func (c *Checker) checkReject(in *incarnation, id scheduler.ContainerID) {
-	container, owed := c.takeAnswer(in, id)
+	container, owed := c.takeReply(in, id)
 	if !owed {
 		return
 	}
@@ -54,20 +54,20 @@
 	}
 }
 
-// takeAnswer checks that a final answer is owed, which it then is no longer.
-func (c *Checker) takeAnswer(in *incarnation, id scheduler.ContainerID) (answered *container, owed bool) {
-	answered = in.containers[id]
-	if answered == nil || answered.answered {
-		c.violate(audit.RuleFinalReply, "%s gets an answer and is owed none", id)
+// takeReply checks that a final reply is owed, which it then is no longer.
+func (c *Checker) takeReply(in *incarnation, id scheduler.ContainerID) (found *container, owed bool) {
+	found = in.containers[id]
+	if found == nil || found.replied {
+		c.violate(audit.RuleFinalReply, "%s gets a reply and is owed none", id)
 		return nil, false
 	}
-	answered.answered, answered.settled = true, true
-	return answered, true
+	found.replied, found.settled = true, true
+	return found, true
 }
 
 func (c *Checker) checkAttempt(in *incarnation, now scheduler.Time, start scheduler.StartAttempt) {
 	container, m := in.containers[start.ID], in.machines[start.Machine]
-	if container == nil || container.answered || container.settled {
+	if container == nil || container.replied || container.settled {
 		c.violate(audit.RuleFinalReply, "%s is offered to %s, and is settled", start.ID, start.Machine)
 		return
 	}
@@ -138,7 +138,7 @@
 	}
 }
 
-// checkSlowStart counts a send, and checks it against what its sender knows: a sender answers for all that it sent
+// checkSlowStart counts a send, and checks it against what its sender knows: a sender is charged with all that it sent
 // since the start that it has seen, and for what others sent since they saw it.
 func (c *Checker) checkSlowStart(in *incarnation, id scheduler.MachineID, now scheduler.Time) {
 	m := in.machines[id]
--- a/internal/testbed/modelcheck/simulation.go
+++ b/internal/testbed/modelcheck/simulation.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// advance lets time go by: timers fire, and the answers that are owed by then are checked. Outcomes come only as
+// advance lets time go by: timers fire, and the replies that are owed by then are checked. Outcomes come only as
 // events.
 func (s *simulation) advance(span scheduler.Time) {
 	if len(s.batched) > 0 && span > Step { // a batch is not held up for so long
--- a/internal/testbed/mutants/mutants.go
+++ b/internal/testbed/mutants/mutants.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	lostRequestInterval = 25 // of this many requests one is never answered
+	lostRequestInterval = 25 // of this many requests one gets no reply
 	hastyTimeout        = 5 * scheduler.Millisecond
 )
 
--- a/internal/testbed/mutants/routes.go
+++ b/internal/testbed/mutants/routes.go
@@ -71,7 +71,7 @@
 	return due
 }
 
-// storm answers each event of a container at once.
+// storm announces or withdraws a route at each event of a container.
 func (r *routeMutant) storm(events []announce.Event) []announce.Action {
 	var actions []announce.Action
 	for _, event := range events {
