--- a/internal/platform/attempts_test.go
+++ b/internal/platform/attempts_test.go
@@ -21,36 +21,23 @@
 	end := func(cause int, fields string) string {
 		return fmt.Sprintf(`{"op":"end","call":"%%s","with":{%s},"why":%d}`, fields, cause)
 	}
-	lost := outcomeTest{outcome: scheduler.OutcomeLost, causes: []int{41}}
-	noMemory := outcomeTest{
-		outcome: scheduler.OutcomeLost,
-		reason:  scheduler.ReasonOutOfMemory,
-		final:   true,
-		causes:  []int{41},
-	}
-	drained := outcomeTest{
-		outcome: scheduler.OutcomeLost,
-		reason:  scheduler.ReasonDrained,
-		final:   true,
-		causes:  []int{41},
-	}
+	full := failsAfter(scheduler.OutcomeFull)
+	full.reason, full.report = scheduler.ReasonNoMemory, 1.5
+	lost, noMemory := failsAfter(scheduler.OutcomeLost), lostFor(scheduler.ReasonOutOfMemory)
+	drained := lostFor(scheduler.ReasonDrained)
 	finished := outcomeTest{outcome: scheduler.OutcomeFinished, final: true, causes: []int{causeOfAccept, 16}}
 	for _, tc := range []struct {
 		name    string
 		answers []string
 		want    outcomeTest
 	}{
-		{
-			"full",
-			[]string{end(34, `"note":"mem_full","load":"x0:1.5;x1:2"`)},
-			outcomeTest{outcome: scheduler.OutcomeFull, reason: scheduler.ReasonNoMemory, report: 1.5, causes: []int{41}},
-		},
-		{"erred", []string{end(47, "")}, outcomeTest{outcome: scheduler.OutcomeErrored, causes: []int{41}}},
-		{"not sent", []string{end(102, "")}, outcomeTest{outcome: scheduler.OutcomeNotSent, causes: []int{41}}},
+		{"full", []string{end(34, `"note":"mem_full","load":"x0:1.5;x1:2"`)}, full},
+		{"erred", []string{end(47, "")}, failsAfter(scheduler.OutcomeErrored)},
+		{"not sent", []string{end(102, "")}, failsAfter(scheduler.OutcomeNotSent)},
 		{"lost on its way", []string{end(41, "")}, lost},
 		{"out of memory, its accept is late", []string{end(41, `"note":"oom"`), accept}, noMemory},
 		{"drained, its accept is lost", []string{end(41, `"note":"drained"`)}, drained},
-		{"its time has passed", []string{end(16, "")}, outcomeTest{outcome: scheduler.OutcomeFinished, causes: []int{41}}},
+		{"its time has passed", []string{end(16, "")}, failsAfter(scheduler.OutcomeFinished)},
 		{"another cause", []string{end(99, "")}, lost},
 		{"finished", []string{accept, end(16, "")}, finished},
 		{"out of memory", []string{accept, end(41, `"note":"oom"`)}, noMemory.accepted()},
@@ -61,7 +48,7 @@
 		{"noise", []string{"\x01\x02\xff"}, lost},
 		{"a line that never ends", []string{strings.Repeat("x", 20<<10)}, lost},
 		{"closes the connection", []string{"close"}, lost},
-		{"answers nothing", nil, outcomeTest{outcome: scheduler.OutcomeTimedOut, causes: []int{41}}},
+		{"answers nothing", nil, failsAfter(scheduler.OutcomeTimedOut)},
 	} {
 		t.Run(tc.name, func(t *testing.T) { tc.want.check(t, tc.answers) })
 	}
@@ -78,6 +65,16 @@
 	causes  []int // of the messages that the client receives, in order
 }
 
+// failsAfter is an outcome after which the scheduler fails the request.
+func failsAfter(outcome scheduler.Outcome) outcomeTest {
+	return outcomeTest{outcome: outcome, causes: []int{41}}
+}
+
+// lostFor is the loss of a container that may have run.
+func lostFor(reason scheduler.Reason) outcomeTest {
+	return outcomeTest{outcome: scheduler.OutcomeLost, reason: reason, final: true, causes: []int{41}}
+}
+
 // accepted is the same after an accept.
 func (want outcomeTest) accepted() outcomeTest {
 	want.causes = append([]int{causeOfAccept}, want.causes...)
@@ -85,9 +82,9 @@
 }
 
 func (want outcomeTest) check(t *testing.T, answers []string) {
+	t.Helper()
 	r := startWithMachineA(t, fakeMachine(t, answers...), attemptOnA(300*scheduler.Millisecond))
-	client := r.dialClient()
-	client.send(offerLine(requestID, ""))
+	client := r.request(requestID)
 	e := await[scheduler.AttemptEnded](r, nil)
 	if e.Outcome != want.outcome || e.Reason != want.reason || e.Final != want.final || e.Machine != "a" ||
 		e.ID != requestID {
@@ -105,11 +102,7 @@
 			t.Errorf("received %+v", msg)
 		}
 	}
-	client.send(testLine(1))
-	if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpTested ||
-		msg.CauseOrNone() != jsonlines.CauseTestPassed {
-		t.Errorf("after the last answer received %+v", msg)
-	}
+	client.expectLive(1) // nothing else comes before it
 }
 
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
@@ -118,24 +111,21 @@
 		t.Fatal(err)
 	}
 	r := startWithMachineA(t, l.Addr().String(), attemptOnA(0))
-	r.dialClient().send(offerLine(requestID, ""))
-	if e := await[scheduler.AttemptEnded](r, nil); e.Outcome != scheduler.OutcomeConnectFailed {
-		t.Errorf("got %+v", e)
-	}
+	r.request(requestID)
+	r.awaitOutcome(scheduler.AttemptEnded{ID: requestID, Outcome: scheduler.OutcomeConnectFailed})
 }
 
 // An offer is forwarded as it came, with the fields that are the machine's and no others.
 func TestOfferIsForwarded(t *testing.T) {
-	got := make(chan *jsonlines.Message, 1)
-	addr := serveTCP(t, func(m *peer) { got <- m.receive(); m.receive() })
+	addr, received := recordingMachine(t)
 	r := startWithMachineA(t, addr, attemptOnA(scheduler.Second))
-	r.dialClient().send(offerLine(requestID, ""))
+	r.request(requestID)
 	a := await[scheduler.RequestReceived](r, nil)
 	if a.WorkloadClass != 1 || a.Tenant != 1 || a.Cores != 1 || a.Memory != 2 || a.Service != "s1" ||
 		a.IdempotencyKey != "k"+requestID || a.ClientRetry {
 		t.Errorf("requested %+v", a.PlacementRequest)
 	}
-	msg := <-got
+	msg := <-received
 	if msg.RequestID != requestID || msg.Fields["class"] != "report-run" || msg.Fields["key"] != "k"+requestID ||
 		msg.Fields["idem"] != "i1" || len(msg.Fields) != 4 || string(msg.Description) != `"v=0\r\n"` {
 		t.Errorf("offered %+v", msg)
@@ -144,33 +134,31 @@
 
 // The attempt of a request whose client cancels it, or goes, is cancelled.
 func TestCancelledRequestCancelsItsAttempt(t *testing.T) {
-	for _, way := range []string{"end", "close"} {
-		t.Run(way, func(t *testing.T) {
-			got := make(chan *jsonlines.Message, 2)
-			addr := serveTCP(t, func(m *peer) { got <- m.receive(); got <- m.receive() })
+	for _, tc := range []struct {
+		way    string
+		cancel func(*peer)
+	}{
+		{"end", func(client *peer) { client.send(endLine(requestID, 16)) }},
+		{"close", (*peer).close},
+	} {
+		t.Run(tc.way, func(t *testing.T) {
+			addr, received := recordingMachine(t)
 			r := startWithMachineA(t, addr, attemptOnA(0))
-			client := r.dialClient()
-			client.send(offerLine(requestID, ""))
-			<-got
-			if way == "end" {
-				client.send(endLine(requestID, 16))
-			} else {
-				client.close()
-			}
-			if msg := <-got; msg == nil || msg.Op != jsonlines.OpEnd || msg.CauseOrNone() != jsonlines.CauseNormal {
+			client := r.request(requestID)
+			<-received
+			tc.cancel(client)
+			if msg := <-received; !isMessage(msg, jsonlines.OpEnd, requestID, jsonlines.CauseNormal) {
 				t.Errorf("the machine received %+v", msg)
 			}
 			await[scheduler.ContainerRemoved](r, nil)
-			if e := await[scheduler.AttemptEnded](r, nil); !e.Final || e.Outcome != scheduler.OutcomeStopped {
-				t.Errorf("got %+v", e)
-			}
+			r.awaitOutcome(scheduler.AttemptEnded{ID: requestID, Outcome: scheduler.OutcomeStopped, Final: true})
 		})
 	}
 }
 
 // The client goes in the batch in which the scheduler starts an attempt: that has its outcome all the same.
 func TestAttemptForUnknownContainerHasOutcome(t *testing.T) {
-	r := startWithMachineA(t, "127.0.0.1:1", attemptOnA(0))
+	r := startWithMachineA(t, nowhere, attemptOnA(0))
 	r.runOnLoop(func() { r.server.applySchedulerAction(scheduler.StartAttempt{ID: requestID, Machine: "a"}) })
 	e := await[scheduler.AttemptEnded](r, nil)
 	if e.ID != requestID || e.Machine != "a" || e.Outcome != scheduler.OutcomeNotSent || !e.Final {
@@ -180,12 +168,7 @@
 
 // A client goes while its attempt waits for a connection: the machine receives no offer, or its cancellation too.
 func TestClientLeavesWhileConnOpens(t *testing.T) {
-	received := make(chan *jsonlines.Message, 10)
-	addr := serveTCP(t, func(m *peer) {
-		for msg := m.receive(); msg != nil; msg = m.receive() {
-			received <- msg
-		}
-	})
+	addr, received := recordingMachine(t)
 	r := startWithMachineA(t, addr, attemptOnA(0))
 	client := r.dialClient()
 	r.runOnLoop(func() {
@@ -199,16 +182,13 @@
 	client.send(offerLine(requestID, ""))
 	await[scheduler.ContainerRemoved](r, nil)
 	await[scheduler.AttemptEnded](r, nil)
-	r.dialClient().send(offerLine(otherRequestID, ""))
-	var offers, ends int
-	for {
-		msg := <-received
-		if msg.RequestID == otherRequestID {
-			break
-		}
-		if msg.Op == jsonlines.OpOffer {
+	r.request(otherRequestID)
+	offers, ends := 0, 0
+	for msg := <-received; msg.RequestID != otherRequestID; msg = <-received {
+		switch {
+		case msg.Op == jsonlines.OpOffer:
 			offers++
-		} else if msg.Op == jsonlines.OpEnd && msg.CauseOrNone() == jsonlines.CauseNormal {
+		case isMessage(msg, jsonlines.OpEnd, requestID, jsonlines.CauseNormal):
 			ends++
 		}
 	}
@@ -220,6 +200,35 @@
 // A connection is established after the attempt that waited for it timed out: that is not sent on it, and the next one
 // is.
 func TestLateConnCarriesNextAttempt(t *testing.T) {
+	addr, listen := fullListener(t)
+	config := configJSON(silentDiscovery(t), 256, snapshotJSON(1, machineJSON("a", addr, "ready", 0)))
+	r := startServer(t, func(e scheduler.Event) []scheduler.Action {
+		if e, ok := e.(scheduler.RequestReceived); ok && e.ID == otherRequestID {
+			return attemptOnA(9 * scheduler.Second)(e)
+		}
+		return attemptOnA(50 * scheduler.Millisecond)(e)
+	}, strings.Replace(config, `"connect_timeout_ms":250.0`, `"connect_timeout_ms":9000.0`, 1))
+	client := r.request(requestID)
+	r.awaitOutcome(scheduler.AttemptEnded{ID: requestID, Outcome: scheduler.OutcomeConnectFailed})
+	client.expectFailed(requestID)
+	received := make(chan string, 10)
+	t.Cleanup(serveListener(t, listen(), func(m *peer) {
+		for msg := m.receive(); msg != nil; msg = m.receive() {
+			received <- msg.RequestID
+			m.send(acceptLine(msg.RequestID))
+		}
+	}))
+	client.send(offerWithin(otherRequestID, "9000"))
+	client.expect(jsonlines.OpAccept, otherRequestID)
+	if id := <-received; id != otherRequestID || len(received) > 0 {
+		t.Errorf("the machine received %s first, and %d more", id, len(received))
+	}
+}
+
+// fullListener opens a port whose queue of connections is full: the kernel drops further ones, until they are tried
+// again after listen.
+func fullListener(t *testing.T) (addr string, listen func() net.Listener) {
+	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -234,43 +243,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := fmt.Sprintf("127.0.0.1:%d", own.(*syscall.SockaddrInet4).Port)
-	for range 4 { // fills the queue: the kernel then drops further connections, until they are tried again
-		if c, err := net.DialTimeout("tcp", addr, 50*time.Millisecond); err == nil {
+	addr = fmt.Sprintf("127.0.0.1:%d", own.(*syscall.SockaddrInet4).Port)
+	dialer := net.Dialer{Timeout: 50 * time.Millisecond}
+	for range 4 {
+		if c, err := dialer.DialContext(t.Context(), "tcp", addr); err == nil {
 			newPeer(t, c).close()
 		}
 	}
-	config := configJSON(silentDiscovery(t), 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0)))
-	r := startServer(t, func(e scheduler.Event) []scheduler.Action {
-		if e, ok := e.(scheduler.RequestReceived); ok && e.ID == otherRequestID {
-			return attemptOnA(9 * scheduler.Second)(e)
-		}
-		return attemptOnA(50 * scheduler.Millisecond)(e)
-	}, strings.Replace(config, `"connect_timeout_ms":250.0`, `"connect_timeout_ms":9000.0`, 1))
-	client := r.dialClient()
-	client.send(offerLine(requestID, ""))
-	if e := await[scheduler.AttemptEnded](r, nil); e.ID != requestID || e.Outcome != scheduler.OutcomeConnectFailed {
-		t.Errorf("got %+v", e)
-	}
-	client.receive()
-	f := os.NewFile(uintptr(fd), "full")
-	l, err := net.FileListener(f)
-	if err := errors.Join(err, f.Close()); err != nil {
-		t.Fatal(err)
-	}
-	received := make(chan string, 10)
-	t.Cleanup(serveListener(t, l, func(m *peer) {
-		for msg := m.receive(); msg != nil; msg = m.receive() {
-			received <- msg.RequestID
-			m.send(acceptLine(msg.RequestID))
+	return addr, func() net.Listener {
+		f := os.NewFile(uintptr(fd), "full")
+		l, err := net.FileListener(f)
+		if err := errors.Join(err, f.Close()); err != nil {
+			t.Fatal(err)
 		}
-	}))
-	client.send(strings.Replace(offerLine(otherRequestID, ""), `"2000"`, `"9000"`, 1))
-	if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpAccept || msg.RequestID != otherRequestID {
-		t.Errorf("received %+v", msg)
-	}
-	if id := <-received; id != otherRequestID || len(received) > 0 {
-		t.Errorf("the machine received %s first, and %d more", id, len(received))
+		return l
 	}
 }
 
@@ -279,44 +265,27 @@
 func TestAcceptOfGoneMachineIsCancelled(t *testing.T) {
 	discovery, publish := scriptedDiscovery(t)
 	accept, received := make(chan bool), make(chan *jsonlines.Message, 10)
-	addr := serveTCP(t, func(m *peer) {
-		for msg := m.receive(); msg != nil; msg = m.receive() {
-			if msg.Op != jsonlines.OpOffer {
-				received <- msg
-				continue
-			}
-			if msg.RequestID == otherRequestID {
-				<-accept
-			}
-			m.send(acceptLine(msg.RequestID))
+	addr := serveMessages(t, func(m *peer, msg *jsonlines.Message) {
+		if msg.Op != jsonlines.OpOffer {
+			received <- msg
+			return
+		}
+		if msg.RequestID == otherRequestID {
+			<-accept
 		}
+		m.send(acceptLine(msg.RequestID))
 	})
-	r := startServer(
-		t,
-		attemptOnA(0),
-		configJSON(discovery, 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))),
-	)
-	client := r.dialClient()
-	client.send(offerLine(requestID, ""))
-	client.receive()
+	r := startWithDiscovery(t, discovery, machineJSON("a", addr, "ready", 0))
+	client := r.place()
 	client.send(offerLine(otherRequestID, ""))
 	await(r, func(e scheduler.RequestReceived) bool { return e.ID == otherRequestID })
-	publish(eventJSON(2, true))
-	if msg := client.receive(); !isEnd(msg, requestID) {
-		t.Fatalf("received %+v", msg)
-	}
+	publish(snapshotJSON(2))
+	client.expectFailed(requestID)
 	close(accept)
-	if msg := client.receive(); !isEnd(msg, otherRequestID) {
-		t.Errorf("received %+v", msg)
-	}
-	if e := await(
-		r,
-		func(e scheduler.AttemptEnded) bool { return e.ID == otherRequestID },
-	); e.Outcome != scheduler.OutcomeLost ||
-		e.Final {
-		t.Errorf("got %+v", e)
-	}
-	if msg := <-received; !isEndWithCause(msg, otherRequestID, jsonlines.CauseNormal) {
+	client.expectFailed(otherRequestID)
+	r.awaitOutcome(scheduler.AttemptEnded{ID: requestID, Outcome: scheduler.OutcomeLost, Final: true})
+	r.awaitOutcome(scheduler.AttemptEnded{ID: otherRequestID, Outcome: scheduler.OutcomeLost})
+	if msg := <-received; !isMessage(msg, jsonlines.OpEnd, otherRequestID, jsonlines.CauseNormal) {
 		t.Errorf("the machine received %+v", msg)
 	}
 }
--- a/internal/platform/clientmessages_test.go
+++ b/internal/platform/clientmessages_test.go
@@ -13,7 +13,7 @@
 
 func testConfig(t *testing.T) *Config {
 	t.Helper()
-	config, err := parseConfig([]byte(configJSON("127.0.0.1:1", 256)))
+	config, err := parseConfig([]byte(configJSON(nowhere, 256)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,6 +58,7 @@
 	retried.ClientRetry = true
 	withoutTenant := request
 	withoutTenant.Tenant = 0
+	key := `"tenant":"offices","key":"k` + requestID + `","idem":"i1","extras":"`
 	for _, tc := range []struct {
 		name, old, with string
 		want            scheduler.PlacementRequest
@@ -67,10 +68,7 @@
 		{"retried", `"idem":"i1"`, `"idem":"i1","retry":"1"`, retried, ""},
 		{"again after a loss", ";service:s1", ";service:s1;again:1", retried, ""},
 		{"without a tenant", `"tenant":"offices",`, "", withoutTenant, ""},
-		{
-			"running, without amounts", `"left":"2000","tenant":"offices","key":"k` + requestID + `","idem":"i1","extras":"cores:1;memory:2;`,
-			`"tenant":"offices","key":"k` + requestID + `","idem":"i1","extras":"at:a;`, running, "a",
-		},
+		{"running, without amounts", `"left":"2000",` + key + `cores:1;memory:2;`, key + `at:a;`, running, "a"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			msg := decodeLine(t, strings.Replace(offerLine(requestID, ""), tc.old, tc.with, 1))
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -1,7 +1,6 @@
 package platform
 
 import (
-	"fmt"
 	"strings"
 	"testing"
 
@@ -30,13 +29,13 @@
 		{"never ends", strings.Repeat("x", 1<<20), true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := startServer(t, attemptOnA(0), configJSON(silentDiscovery(t), 256, eventJSON(1, true)))
+			r := startWithDiscovery(t, silentDiscovery(t))
 			client := r.dialClient()
 			go client.send(tc.line) // it may never be read to its end
-			msg := client.receive()
-			if tc.closed != (msg == nil) ||
-				msg != nil && (msg.Op != jsonlines.OpEnd || msg.CauseOrNone() != jsonlines.CauseInvalidContents) {
-				t.Errorf("received %+v", msg)
+			if tc.closed {
+				client.expectClosed()
+			} else {
+				client.expectEnd(requestID, jsonlines.CauseInvalidContents)
 			}
 			r.server.env.loop.Post(func() { r.scheduler.events <- scheduler.TimerFired{Name: "last"} })
 			await(r, func(e scheduler.TimerFired) bool { return e.Name == "last" })
@@ -47,6 +46,7 @@
 // A client that names a running container with impossible values has proven nothing: it is closed like one that
 // requests nothing, and no container is counted. With possible values it stays.
 func TestImpossibleReclaimIsIgnored(t *testing.T) {
+	t.Parallel()
 	for _, tc := range []struct {
 		left  string
 		stays bool
@@ -54,25 +54,20 @@
 		t.Run(tc.left, func(t *testing.T) {
 			t.Parallel()
 			addr := serveTCP(t, func(m *peer) { m.receive() })
-			r := startServer(
-				t,
-				attemptOnA(0),
-				configJSON(silentDiscovery(t), 256, eventJSON(1, true, machineJSON("a", addr, "draining", 0))),
-			)
+			r := startWithDiscovery(t, silentDiscovery(t), machineJSON("a", addr, "draining", 0))
 			client := r.dialClient()
 			client.send(strings.Replace(offerLine(requestID, ";at:a"), `"2000"`, tc.left, 1))
 			if tc.stays {
 				await[scheduler.ContainerAdopted](r, nil)
-			} else if msg := client.receive(); msg != nil {
-				t.Errorf("received %+v", msg)
-			}
-			r.server.env.loop.Post(
-				func() { r.scheduler.events <- scheduler.TimerFired{Name: fmt.Sprint(r.server.containers.count())} },
-			)
-			want := map[bool]string{true: "1", false: "0"}[tc.stays]
-			if e := await(r, func(e scheduler.TimerFired) bool { return e.Name != "" }); e.Name != want {
-				t.Errorf("%s containers are counted, want %s", e.Name, want)
+			} else {
+				client.expectClosed()
 			}
+			want := map[bool]int{true: 1}[tc.stays]
+			r.runOnLoop(func() {
+				if got := r.server.containers.count(); got != want {
+					t.Errorf("%d containers are counted, want %d", got, want)
+				}
+			})
 		})
 	}
 }
@@ -82,62 +77,41 @@
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	addr := serveTCP(t, func(m *peer) { m.receive(); m.receive() })
 	r := startWithMachineA(t, addr, attemptOnA(0))
-	first, second := r.dialClient(), r.dialClient()
-	first.send(offerLine(requestID, ""))
+	first := r.request(requestID)
 	await[scheduler.RequestReceived](r, nil)
-	second.send(offerLine(requestID, ""))
-	if msg := second.receive(); msg == nil || msg.CauseOrNone() != jsonlines.CauseInvalidContents {
-		t.Errorf("the second received %+v", msg)
-	}
+	r.request(requestID).expectEnd(requestID, jsonlines.CauseInvalidContents)
 	first.send(offerLine(requestID, ""))
-	if msg := first.receive(); msg != nil {
-		t.Errorf("the first received %+v", msg)
-	}
+	first.expectClosed()
 	await(r, func(e scheduler.ContainerRemoved) bool { return e.ID == requestID })
 }
 
 // The identifier of a cancelled request may be used again at once: that is another request, offered once and answered
 // once.
 func TestRequestIDIsReusedAfterCancel(t *testing.T) {
-	addr := fakeMachine(t, acceptLine("%s"))
-	r := startWithMachineA(t, addr, nil)
+	r := startWithMachineA(t, fakeMachine(t, acceptLine("%s")), nil)
 	client := r.dialClient()
-	end := endLine(requestID, 16)
-	client.write(offerLine(requestID, "") + "\n" + end + "\n" + offerLine(requestID, "") + "\n" + testLine(1) + "\n")
-	for _, op := range []jsonlines.Op{jsonlines.OpTested, jsonlines.OpAccept} {
-		if msg := client.receive(); msg == nil || msg.Op != op {
-			t.Fatalf("received %+v, want %s", msg, op)
-		}
-	}
-	client.send(testLine(2))
-	if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpTested {
-		t.Errorf("then received %+v", msg)
-	}
+	offer := offerLine(requestID, "") + "\n"
+	client.write(offer + endLine(requestID, 16) + "\n" + offer + testLine(1) + "\n")
+	client.expectCause(jsonlines.OpTested, "0000000000000001", jsonlines.CauseTestPassed)
+	client.expect(jsonlines.OpAccept, requestID)
+	client.expectLive(2)
 }
 
-// A client that ends a running container gets no notification of its end; the machine is told.
+// A client that ends a running container gets no notification of its end; the machine is ordered to end it.
 func TestClientEndsRunningContainer(t *testing.T) {
 	addr := serveTCP(t, func(m *peer) {
 		m.receive()
 		m.send(acceptLine(requestID))
-		if msg := m.receive(); msg == nil || msg.Op != jsonlines.OpEnd {
-			t.Errorf("the machine received %+v", msg)
-		}
+		m.expect(jsonlines.OpEnd, requestID)
 		m.send(endLine(requestID, 31))
 		m.receive()
 	})
 	r := startWithMachineA(t, addr, attemptOnA(0))
-	client, other := r.dialClient(), r.dialClient()
-	client.send(offerLine(requestID, ""))
-	client.receive()
+	other := r.dialClient()
+	client := r.place()
 	other.send(endLine(requestID, 16))
-	if e := await[scheduler.AttemptEnded](r, nil); e.Outcome != scheduler.OutcomeStopped || !e.Final {
-		t.Errorf("got %+v", e)
-	}
-	client.send(testLine(1))
-	if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpTested {
-		t.Errorf("the client received %+v", msg)
-	}
+	r.awaitOutcome(scheduler.AttemptEnded{ID: requestID, Outcome: scheduler.OutcomeStopped, Final: true})
+	client.expectLive(1)
 }
 
 // The end of a running container is sent to any client, also where it was adopted, and once.
@@ -158,50 +132,36 @@
 	}
 	first.close()
 	second := r.dialClient()
-	second.send(testLine(1))
-	second.receive()
+	second.expectLive(1)
 	end <- true
-	if msg := second.receive(); !isEndWithCause(msg, requestID, 16) {
-		t.Errorf("received %+v", msg)
-	}
-	second.send(testLine(2))
-	if msg := second.receive(); msg == nil || msg.Op != jsonlines.OpTested {
-		t.Errorf("then received %+v", msg)
-	}
+	second.expectEnd(requestID, 16)
+	second.expectLive(2)
 }
 
 // A notification that its client has not acknowledged when its connection ends is sent again on another one.
 func TestUnacknowledgedEndIsResent(t *testing.T) {
 	addr := fakeMachine(t, acceptLine("%s"), endLine("%s", 16))
-	for _, acknowledged := range []bool{false, true} {
-		t.Run(fmt.Sprint("acknowledged ", acknowledged), func(t *testing.T) {
-			r := startWithMachineA(t, addr, attemptOnA(0))
-			client := r.dialClient()
-			client.send(offerLine(requestID, ""))
-			client.receive()
-			client.receive()
-			if acknowledged {
-				client.send(endedLine(requestID), testLine(1))
-				client.receive()
-			}
-			client.close()
-			other := r.dialClient()
-			other.send(testLine(2))
-			want := []jsonlines.Op{jsonlines.OpTested, jsonlines.OpEnd, jsonlines.OpTested}
-			if acknowledged {
-				want = []jsonlines.Op{jsonlines.OpTested, jsonlines.OpTested}
-			}
-			for i, op := range want {
-				if i == len(want)-1 {
-					other.send(testLine(3))
-				}
-				if msg := other.receive(); msg == nil || msg.Op != op ||
-					op == jsonlines.OpEnd && msg.RequestID != requestID {
-					t.Fatalf("received %+v, want %s", msg, op)
-				}
-			}
-		})
-	}
+	t.Run("acknowledged false", func(t *testing.T) {
+		r := startWithMachineA(t, addr, attemptOnA(0))
+		client := r.place()
+		client.expectEnd(requestID, 16)
+		client.close()
+		other := r.dialClient()
+		other.expectLive(2)
+		other.expectEnd(requestID, 16)
+		other.expectLive(3)
+	})
+	t.Run("acknowledged true", func(t *testing.T) {
+		r := startWithMachineA(t, addr, attemptOnA(0))
+		client := r.place()
+		client.expectEnd(requestID, 16)
+		client.send(endedLine(requestID))
+		client.expectLive(1)
+		client.close()
+		other := r.dialClient()
+		other.expectLive(2)
+		other.expectLive(3)
+	})
 }
 
 // After a start a machine may report an end before a client names the container as running: the client is notified
@@ -218,28 +178,19 @@
 		m.receive()
 	})
 	r := startWithMachineA(t, addr, attemptOnA(0))
-	client := r.dialClient()
-	client.send(offerLine(requestID, ""))
+	client := r.request(requestID)
 	<-reported
-	if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpAccept {
-		t.Errorf("received %+v", msg)
-	}
+	client.expect(jsonlines.OpAccept, requestID)
 	client.send(offerLine(otherRequestID, ";at:a"))
-	if msg := client.receive(); !isEndWithCause(msg, otherRequestID, jsonlines.CauseNormal) {
-		t.Errorf("received %+v", msg)
-	}
-	e := await(r, func(e scheduler.AttemptEnded) bool { return e.ID == otherRequestID })
-	if !e.Final || e.Outcome != scheduler.OutcomeFinished {
-		t.Errorf("got %+v", e)
-	}
+	client.expectEnd(otherRequestID, jsonlines.CauseNormal)
+	r.awaitOutcome(scheduler.AttemptEnded{ID: otherRequestID, Outcome: scheduler.OutcomeFinished, Final: true})
 }
 
 // The answer to a request cannot be written, as its connection is closing: the client is disconnected, and the
 // scheduler process goes on.
 func TestAnswerThatCannotBeWrittenDisconnectsTheClient(t *testing.T) {
 	r := startWithMachineA(t, serveTCP(t, (*peer).readToEnd), attemptOnA(0))
-	client := r.dialClient()
-	client.send(offerLine(requestID, ""))
+	r.request(requestID)
 	await[scheduler.RequestReceived](r, nil)
 	r.runOnLoop(func() {
 		for _, cc := range r.server.clients.conns {
@@ -253,7 +204,5 @@
 			t.Errorf("%d clients, %d containers", len(r.server.clients.conns), r.server.containers.count())
 		}
 	})
-	if e := await[scheduler.AttemptEnded](r, nil); e.Outcome != scheduler.OutcomeStopped || !e.Final {
-		t.Errorf("got %+v", e)
-	}
+	r.awaitOutcome(scheduler.AttemptEnded{ID: requestID, Outcome: scheduler.OutcomeStopped, Final: true})
 }
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -12,8 +12,8 @@
 )
 
 func TestConfigIsValidated(t *testing.T) {
-	good := configJSON("127.0.0.1:1", 256,
-		eventJSON(1, true, machineJSON("a", "127.0.0.1:2", "ready", 5), machineJSON("b", "127.0.0.1:3", "draining", 0)))
+	good := configJSON(nowhere, 256,
+		snapshotJSON(1, machineJSON("a", "127.0.0.1:2", "ready", 5), machineJSON("b", "127.0.0.1:3", "draining", 0)))
 	for _, tc := range []struct{ name, old, with, wantError string }{
 		{"good", "", "", ""},
 		{"no JSON", `"bus":`, `"bus"`, "line 2: invalid character"},
@@ -23,7 +23,10 @@
 		{"missing setting", `"me":0,`, ``, "setting me is missing"},
 		{"setting of the wrong type", `"balancers":1`, `"balancers":"x"`, "setting balancers"},
 		{"nested list", `"azs":["hall a"`, `"azs":[["x"]`, "azs[0]"},
-		{"type of a machine", `"class":"large"`, `"class":"huge"`, `known.batch[0]: hosts[0]: site "hall-b" or class "huge"`},
+		{
+			"type of a machine", `"class":"large"`, `"class":"huge"`,
+			`known.batch[0]: hosts[0]: site "hall-b" or class "huge"`,
+		},
 		{"address of a machine", `127.0.0.1:2"`, `nowhere"`, "known.batch[0]: hosts[0]: dial"},
 		{"state of a machine", `"draining"`, `"resting"`, "known.batch[0]: hosts[1]: health"},
 	} {
@@ -38,26 +41,32 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := scheduler.MachineEntry{
-				Machine: "a", Zone: 1, MachineType: 1, RackGroup: 2, PowerHint: 1,
-				FreeCores: 40.5, FreeMemory: 100, StartedAt: 50,
-			}
-			if got := config.KnownEvents[0].machines[0].entry; got != want {
-				t.Errorf("machine %+v, want %+v", got, want)
-			}
-			settings := config.Scheduler
-			if len(settings.WorkloadClasses) != 2 || settings.Tenants[1].QuotaCores != 50 ||
-				settings.Seed != 0x8c1f30d27a5be964 || settings.ListOnRequest {
-				t.Errorf("settings %+v", settings)
-			}
+			checkConfig(t, config)
 		})
 	}
 }
 
+// checkConfig checks what a valid file holds.
+func checkConfig(t *testing.T, config *Config) {
+	t.Helper()
+	want := scheduler.MachineEntry{
+		Machine: "a", Zone: 1, MachineType: 1, RackGroup: 2, PowerHint: 1,
+		FreeCores: 40.5, FreeMemory: 100, StartedAt: 50,
+	}
+	if got := config.KnownEvents[0].machines[0].entry; got != want {
+		t.Errorf("machine %+v, want %+v", got, want)
+	}
+	settings := config.Scheduler
+	if len(settings.WorkloadClasses) != 2 || settings.Tenants[1].QuotaCores != 50 ||
+		settings.Seed != 0x8c1f30d27a5be964 || settings.ListOnRequest {
+		t.Errorf("settings %+v", settings)
+	}
+}
+
 // Without zones and machine types in the settings there is one of each.
 func TestConfigWithoutZones(t *testing.T) {
 	text := strings.NewReplacer(`"azs":["hall a","hall-b"]`, `"azs":[]`, `"site":"hall-b"`, `"site":""`).
-		Replace(configJSON("127.0.0.1:1", 256, eventJSON(1, true, machineJSON("a", "127.0.0.1:2", "ready", 0))))
+		Replace(configJSON(nowhere, 256, snapshotJSON(1, machineJSON("a", "127.0.0.1:2", "ready", 0))))
 	if config, err := parseConfig([]byte(text)); err != nil || config.KnownEvents[0].machines[0].entry.Zone != 0 {
 		t.Errorf("%+v, %v", config, err)
 	}
@@ -74,7 +83,7 @@
 		{`"memory_mb":64`, `"memory_mb":"64"`, "line 2: "},
 		{`"connect_timeout_ms":250.0`, `"connect_timeout_ms":0`, "settings: permissions.connect_timeout_ms"},
 	} {
-		text := strings.Replace(configJSON("127.0.0.1:1", 256), tc.old, tc.with, 1)
+		text := strings.Replace(configJSON(nowhere, 256), tc.old, tc.with, 1)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -1,217 +1,15 @@
 package platform
 
 import (
-	"errors"
-	"flag"
 	"fmt"
-	"io"
-	"os"
-	"regexp"
-	"strconv"
 	"strings"
-	"sync/atomic"
 	"testing"
-	"time"
 
 	"glenport/internal/eventloop"
 	"glenport/internal/platform/jsonlines"
 	"glenport/scheduler"
 )
 
-var update = flag.Bool("update", false, "write testdata/conversation.golden anew")
-
-const goldenFile = "testdata/conversation.golden"
-
-// leftField is the only part of a line that the clock decides: the milliseconds until the attempt's deadline.
-var leftField = regexp.MustCompile(`"left":"([0-9]+)"`)
-
-// transcript gathers each line that the process under test writes, in the order in which the scripted conversation
-// reads them, with the peer that received it in front.
-type transcript struct {
-	*testing.T
-	step  string
-	lines []string
-}
-
-// begin names the step to which the following lines belong.
-func (s *transcript) begin(step string) { s.step = step }
-
-// record takes in one line as it was read, its end included. The remaining time of an offer is checked against the most
-// it may be, and then replaced.
-func (s *transcript) record(receiver string, line []byte, mostLeft int) {
-	s.Helper()
-	if !strings.HasSuffix(string(line), "\n") {
-		s.Fatalf("%s: %s received %q, which is no whole line", s.step, receiver, line)
-	}
-	if m := leftField.FindSubmatch(line); m != nil {
-		left, err := strconv.Atoi(string(m[1]))
-		if err != nil || left > mostLeft || left < mostLeft-int(testTimeout/time.Millisecond) {
-			s.Errorf("%s: %q milliseconds are left, at most %d can be", s.step, m[1], mostLeft)
-		}
-		line = leftField.ReplaceAll(line, []byte(`"left":"LEFT"`))
-	}
-	s.lines = append(s.lines, fmt.Sprintf("%s | %s | %s", s.step, receiver, line))
-}
-
-// compare checks the whole transcript against the golden file.
-func (s *transcript) compare() {
-	s.Helper()
-	got := strings.Join(s.lines, "")
-	if *update {
-		if err := os.WriteFile(goldenFile, []byte(got), 0o644); err != nil {
-			s.Fatal(err)
-		}
-	}
-	golden, err := os.ReadFile(goldenFile)
-	if err != nil {
-		s.Fatal(err)
-	}
-	want := strings.SplitAfter(strings.TrimSuffix(string(golden), "\n"), "\n")
-	lines := strings.SplitAfter(strings.TrimSuffix(got, "\n"), "\n")
-	for i := range max(len(want), len(lines)) {
-		switch {
-		case i >= len(want):
-			s.Errorf("line %d is written, but was not recorded: %q", i+1, lines[i])
-		case i >= len(lines):
-			s.Errorf("line %d is not written: %q", i+1, want[i])
-		case want[i] != lines[i]:
-			s.Errorf("line %d is\n%q, want\n%q", i+1, lines[i], want[i])
-		}
-	}
-}
-
-// goldenClient is a client's connection whose received lines are recorded.
-type goldenClient struct {
-	*peer
-	name string
-	s    *transcript
-}
-
-func (s *transcript) client(r *testServer, name string) *goldenClient {
-	return &goldenClient{r.dialClient(), name, s}
-}
-
-// reads records the next line.
-func (c *goldenClient) reads() {
-	c.s.Helper()
-	line, err := c.r.ReadBytes('\n')
-	if err != nil {
-		c.s.Fatalf("%s: %s received %q, %v", c.s.step, c.name, line, err)
-	}
-	c.s.record(c.name, line, 0)
-}
-
-// readsEnd checks that the connection is closed and nothing more was written.
-func (c *goldenClient) readsEnd() {
-	c.s.Helper()
-	if line, err := c.r.ReadBytes('\n'); !errors.Is(err, io.EOF) || len(line) > 0 {
-		c.s.Errorf("%s: %s received %q, %v, want the end", c.s.step, c.name, line, err)
-	}
-}
-
-// test sends a liveness test and records its answer: whatever was written before it is recorded in its place.
-func (c *goldenClient) test() {
-	c.s.Helper()
-	c.send(`{"op":"test","call":"00000000000000ff","with":{},"why":1}`)
-	c.reads()
-}
-
-func (c *goldenClient) end(call string, why string) {
-	c.send(`{"op":"end","call":"` + call + `","with":{}` + why + `}`)
-}
-
-// acknowledge confirms that the end of a container was received.
-func (c *goldenClient) acknowledge(call string) {
-	c.send(`{"op":"ended","call":"` + call + `","with":{}}`)
-}
-
-// goldenServer is a machine or the discovery service: it records each line it is sent, over all its connections.
-type goldenServer struct {
-	name, addr string
-	s          *transcript
-	conns      chan *peer
-	received   chan receivedLine
-	open       atomic.Int32
-}
-
-type receivedLine struct {
-	on   *peer
-	line []byte
-}
-
-func (s *transcript) server(name string) *goldenServer {
-	g := &goldenServer{name: name, s: s, conns: make(chan *peer, 100), received: make(chan receivedLine, 100)}
-	g.addr = serveTCP(s.T, func(p *peer) {
-		g.open.Add(1)
-		defer g.open.Add(-1)
-		g.conns <- p
-		for {
-			line, err := p.r.ReadBytes('\n')
-			if len(line) > 0 {
-				g.received <- receivedLine{p, line}
-			}
-			if err != nil {
-				return
-			}
-		}
-	})
-	return g
-}
-
-// reads records the next line and returns the connection on which it came. An offer has mostLeft milliseconds at most.
-func (g *goldenServer) reads(mostLeft int) *peer {
-	g.s.Helper()
-	select {
-	case r := <-g.received:
-		g.s.record(g.name, r.line, mostLeft)
-		return r.on
-	case <-time.After(testTimeout):
-		g.s.Fatalf("%s: %s received nothing", g.s.step, g.name)
-		return nil
-	}
-}
-
-// connected returns the next connection that was not returned yet.
-func (g *goldenServer) connected() *peer {
-	g.s.Helper()
-	select {
-	case p := <-g.conns:
-		return p
-	case <-time.After(testTimeout):
-		g.s.Fatalf("%s: nobody connects to %s", g.s.step, g.name)
-		return nil
-	}
-}
-
-// forgetConns makes connected return only connections from now on.
-func (g *goldenServer) forgetConns() {
-	for len(g.conns) > 0 {
-		<-g.conns
-	}
-}
-
-// readsNoMore checks, once all connections have ended, that nothing was written beyond what was recorded.
-func (g *goldenServer) readsNoMore() {
-	g.s.Helper()
-	for deadline := time.Now().Add(testTimeout); g.open.Load() > 0; time.Sleep(time.Millisecond) {
-		if time.Now().After(deadline) {
-			g.s.Fatalf("%s: %d connections to %s are still open", g.s.step, g.open.Load(), g.name)
-		}
-	}
-	for len(g.received) > 0 {
-		g.s.Errorf("%s received more: %q", g.name, (<-g.received).line)
-	}
-}
-
-// answer lines of a machine.
-func (p *peer) accepts(call string) {
-	p.send(`{"op":"accept","call":"` + call + `","with":{},"desc":"v=0\r\nmade\u0020at <a> \u00e9\/"}`)
-}
-
-func (p *peer) ends(call string, why int, with string) {
-	p.send(fmt.Sprintf(`{"op":"end","call":"%s","with":{%s},"why":%d}`, call, with, why))
-}
-
 // Identifiers of the containers, one for each case.
 const (
 	runsToItsEnd         = "0000000000000a01"
@@ -277,7 +75,7 @@
 	discovery, moved := s.server("discovery"), s.server("discovery, moved")
 	a, b := s.server("machine a"), s.server("machine b")
 	r := startServer(t, goldenDecisions, configJSON(discovery.addr, 256,
-		eventJSON(1, true, machineJSON("a", a.addr, "ready", 0), machineJSON("b", b.addr, "ready", 0))))
+		snapshotJSON(1, machineJSON("a", a.addr, "ready", 0), machineJSON("b", b.addr, "ready", 0))))
 
 	s.begin("watch")
 	watch := discovery.reads(0)
@@ -310,31 +108,42 @@
 
 func offer(call string) string { return offerLine(call, "") }
 
+// places plays a request that the machine accepts, and returns the connection that carried its offer.
+func (s *transcript) places(c *goldenClient, a *goldenServer, call string) *peer {
+	s.Helper()
+	c.send(offer(call))
+	on := a.reads(2000)
+	on.accepts(call)
+	c.reads()
+	return on
+}
+
 // outcomesBeforeAccept plays the answers of a machine to an offer other than an accept.
 func (s *transcript) outcomesBeforeAccept(c *goldenClient, a *goldenServer) {
 	s.begin("rejected, no room")
-	c.send(
-		strings.NewReplacer(`"report-run"`, `"matcher"`, `,"idem":"i1"`, "", `"k`+hasNoRoom+`"`, `"<k> & \"q\" \u00e9 \u2028"`,
-			`"v=0\r\n"`, `"\u0076=0\r\n<&>\/"`).
-			Replace(offer(hasNoRoom)),
-	)
+	c.send(strings.NewReplacer(
+		`"report-run"`, `"matcher"`,
+		`,"idem":"i1"`, "",
+		`"k`+hasNoRoom+`"`, `"<k> & \"q\" \u00e9 \u2028"`,
+		`"v=0\r\n"`, `"\u0076=0\r\n<&>\/"`,
+	).Replace(offer(hasNoRoom)))
 	a.reads(2000).ends(hasNoRoom, 34, `"note":"cpu_full","load":"x0:1.5"`)
 	c.reads()
 
-	s.begin("rejected, no room for a while")
-	c.send(offer(hasNoRoomForAWhile))
-	a.reads(2000).ends(hasNoRoomForAWhile, 47, "")
-	c.reads()
-
-	s.begin("failed, never sent")
-	c.send(offer(neverSent))
-	a.reads(2000).ends(neverSent, 102, "")
-	c.reads()
-
-	s.begin("evicted before its accept")
-	c.send(offer(evictedBeforeAccept))
-	a.reads(2000).ends(evictedBeforeAccept, 41, `"note":"oom"`)
-	c.reads()
+	for _, rejected := range []struct {
+		step, call string
+		cause      int
+		fields     string
+	}{
+		{"rejected, no room for a while", hasNoRoomForAWhile, 47, ""},
+		{"failed, never sent", neverSent, 102, ""},
+		{"evicted before its accept", evictedBeforeAccept, 41, `"note":"oom"`},
+	} {
+		s.begin(rejected.step)
+		c.send(offer(rejected.call))
+		a.reads(2000).ends(rejected.call, rejected.cause, rejected.fields)
+		c.reads()
+	}
 
 	s.begin("invalid request")
 	c.send(strings.Replace(offer(isInvalid), "report-run", "unknown", 1))
@@ -343,50 +152,31 @@
 
 // containersThatRun plays the ends of containers that a machine has accepted.
 func (s *transcript) containersThatRun(c *goldenClient, a *goldenServer) {
-	s.begin("accepted, finished")
-	c.send(offer(runsToItsEnd))
-	on := a.reads(2000)
-	on.accepts(runsToItsEnd)
-	c.reads()
-	on.ends(runsToItsEnd, jsonlines.CauseNormal, "")
-	c.reads()
-	c.acknowledge(runsToItsEnd)
-
-	s.begin("accepted, failed")
-	c.send(offer(fails))
-	on = a.reads(2000)
-	on.accepts(fails)
-	c.reads()
-	on.ends(fails, jsonlines.CauseError, `"note":"other"`)
-	c.reads()
-	c.acknowledge(fails)
-
-	s.begin("accepted, ended without a cause")
-	c.send(offer(endsNoCause))
-	on = a.reads(2000)
-	on.accepts(endsNoCause)
-	c.reads()
-	on.send(`{"op":"end","call":"` + endsNoCause + `","with":{}}`)
-	c.reads()
-	c.acknowledge(endsNoCause)
-
-	s.begin("accepted, ended by its client")
-	c.send(offer(terminatedWithCause))
-	on = a.reads(2000)
-	on.accepts(terminatedWithCause)
-	c.reads()
-	c.end(terminatedWithCause, `,"why":31`)
-	a.reads(0).ends(terminatedWithCause, jsonlines.CauseCancelled, "")
-	c.test()
+	for _, ended := range []struct{ step, call, end string }{
+		{"accepted, finished", runsToItsEnd, `"with":{},"why":16`},
+		{"accepted, failed", fails, `"with":{"note":"other"},"why":47`},
+		{"accepted, ended without a cause", endsNoCause, `"with":{}`},
+	} {
+		s.begin(ended.step)
+		on := s.places(c, a, ended.call)
+		on.send(`{"op":"end","call":"` + ended.call + `",` + ended.end + `}`)
+		c.reads()
+		c.send(endedLine(ended.call))
+	}
 
-	s.begin("accepted, ended by its client without a cause")
-	c.send(offer(terminatedNoCause))
-	on = a.reads(2000)
-	on.accepts(terminatedNoCause)
-	c.reads()
-	c.end(terminatedNoCause, "")
-	a.reads(0).ends(terminatedNoCause, jsonlines.CauseNormal, "")
-	c.test()
+	for _, ended := range []struct {
+		step, call, cause string
+		reported          int
+	}{
+		{"accepted, ended by its client", terminatedWithCause, `,"why":31`, jsonlines.CauseCancelled},
+		{"accepted, ended by its client without a cause", terminatedNoCause, "", jsonlines.CauseNormal},
+	} {
+		s.begin(ended.step)
+		s.places(c, a, ended.call)
+		c.end(ended.call, ended.cause)
+		a.reads(0).ends(ended.call, ended.reported, "")
+		c.test()
+	}
 }
 
 // cancelledAttempts plays attempts that are cancelled at the machine.
@@ -435,20 +225,20 @@
 	c.reads()
 
 	s.begin("lost with its machine")
-	watch.send(eventJSON(2, false, machineJSON("b", b.addr, "gone", 0)))
+	watch.send(deltaJSON(2, machineJSON("b", b.addr, "gone", 0)))
 	c.reads()
-	c.acknowledge(isRetriedElsewhere)
+	c.send(endedLine(isRetriedElsewhere))
 
 	s.begin("accepted by a machine that is gone")
 	c.send(offer(acceptedByGone))
 	on := a.reads(2000)
-	watch.send(eventJSON(3, true))
+	watch.send(snapshotJSON(3))
 	await(r, func(e scheduler.MachineListUpdate) bool { return e.Version == 3 })
 	on.accepts(acceptedByGone)
 	a.reads(0)
 	c.reads()
 	a.forgetConns()
-	watch.send(eventJSON(4, false, machineJSON("a", a.addr, "ready", 0)))
+	watch.send(deltaJSON(4, machineJSON("a", a.addr, "ready", 0)))
 	await(r, func(e scheduler.MachineListUpdate) bool { return e.Version == 4 })
 }
 
@@ -463,20 +253,17 @@
 	c.test()
 	on.ends(isReclaimed, jsonlines.CauseNormal, "")
 	c.reads()
-	c.acknowledge(isReclaimed)
+	c.send(endedLine(isReclaimed))
 
 	s.begin("end sent again")
-	c.send(offer(endIsNotAcknowledged))
-	on = a.reads(2000)
-	on.accepts(endIsNotAcknowledged)
-	c.reads()
+	on = s.places(c, a, endIsNotAcknowledged)
 	on.ends(endIsNotAcknowledged, jsonlines.CauseTemporaryFailure, `"note":"preempted"`)
 	c.reads()
 	c.close()
 	c = s.client(r, "client 3")
 	c.test()
 	c.reads()
-	c.acknowledge(endIsNotAcknowledged)
+	c.send(endedLine(endIsNotAcknowledged))
 	return c
 }
 
@@ -485,7 +272,7 @@
 	s.begin("shutdown")
 	r.runOnLoop(func() { r.markShuttingDown(0) })
 	c.test()
-	c.send(strings.Replace(offer(openAtShutdown), `"2000"`, `"60000"`, 1))
+	c.send(offerWithin(openAtShutdown, "60000"))
 	a.reads(60000)
 	other := s.client(r, "client 4")
 	s.begin("shutdown, call in use")
--- a/internal/platform/machineconns_test.go
+++ b/internal/platform/machineconns_test.go
@@ -40,8 +40,8 @@
 		m.receive()
 	})
 	r := startWithMachineA(t, addr, attemptOnA(0))
-	client := r.dialClient()
-	client.send(offerLine(requestID, ""), offerLine(otherRequestID, ""))
+	client := r.request(requestID)
+	client.send(offerLine(otherRequestID, ""))
 	began := time.Now()
 	for _, op := range []jsonlines.Op{jsonlines.OpAccept, jsonlines.OpAccept, jsonlines.OpEnd} {
 		if msg := client.receive(); msg == nil || msg.Op != op || op == jsonlines.OpEnd && msg.RequestID != requestID {
@@ -60,12 +60,10 @@
 		if msg := m.receive(); msg != nil {
 			m.send(`{"op":"tested","call":"` + msg.RequestID + `","with":{},"why":1}`)
 		}
-		if msg := m.receive(); msg != nil {
-			t.Errorf("received %+v", msg)
-		}
+		m.expectClosed()
 		m.send(endLine(requestID, 16))
 	})
-	r := startServer(t, func(e scheduler.Event) []scheduler.Action {
+	r := startWithMachineA(t, addr, func(e scheduler.Event) []scheduler.Action {
 		switch e.(type) {
 		case scheduler.ContainerAdopted:
 			return []scheduler.Action{scheduler.Probe{Machine: "a"}}
@@ -73,12 +71,10 @@
 			return []scheduler.Action{scheduler.Disconnect{Machine: "a"}}
 		}
 		return nil
-	}, configJSON(silentDiscovery(t), 256, eventJSON(1, true, machineJSON("a", addr, "ready", 0))))
+	})
 	client := r.dialClient()
 	client.send(offerLine(requestID, ";at:a"))
-	if msg := client.receive(); !isEnd(msg, requestID) {
-		t.Errorf("received %+v", msg)
-	}
+	client.expectEnd(requestID, 16)
 }
 
 // No offer is sent on a connection that its machine may be closing as idle.
@@ -109,9 +105,7 @@
 			})
 		}
 		client.send(offerLine(id, ""))
-		if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpAccept {
-			t.Fatalf("received %+v", msg)
-		}
+		client.expect(jsonlines.OpAccept, id)
 	}
 	mu.Lock()
 	defer mu.Unlock()
@@ -125,15 +119,7 @@
 func TestMachineConnLimitHolds(t *testing.T) {
 	// as many for clients, 32 for the watch, bursts and the program itself
 	const machines, descriptors, limit = 40, 64, 16
-	listed := make([]string, machines)
-	for i := range listed {
-		listed[i] = machineJSON(numberedMachine(i), lateReportingMachine(t), "ready", 0)
-	}
-	r := startServer(
-		t,
-		attemptOnNumberedMachine,
-		configJSON(silentDiscovery(t), descriptors, eventJSON(1, true, listed...)),
-	)
+	r := startWithNumberedMachines(t, descriptors, machines, lateReportingMachine)
 	client := r.dialClient()
 	most := 0
 	for i := range machines {
@@ -164,7 +150,18 @@
 	})
 }
 
-func numberedMachine(i int) string { return fmt.Sprintf("m%04x", i) }
+// startWithNumberedMachines starts a server with few descriptors that attempts each container on the machine with its
+// number.
+func startWithNumberedMachines(t *testing.T, descriptors, machines int, serve func(*testing.T) string) *testServer {
+	t.Helper()
+	listed := make([]string, machines)
+	for i := range listed {
+		listed[i] = machineJSON(fmt.Sprintf("m%04x", i), serve(t), "ready", 0)
+	}
+	config := configJSON(silentDiscovery(t), descriptors, snapshotJSON(1, listed...))
+	return startServer(t, attemptOnNumberedMachine, config)
+}
+
 func numberedRequest(i int) string { return fmt.Sprintf("%016x", i) }
 
 // attemptOnNumberedMachine attempts each container on the machine with its number, and rejects it after an outcome.
@@ -185,6 +182,7 @@
 // lateReportingMachine accepts each offer. Its containers end at once, but it reports that on its next connections
 // only.
 func lateReportingMachine(t *testing.T) string {
+	t.Helper()
 	var mu sync.Mutex
 	var ended []string
 	return serveTCP(t, func(m *peer) {
@@ -219,15 +217,10 @@
 func TestClientBurstLeavesDescriptorReserve(t *testing.T) {
 	const descriptors, machines, clients = 64, 60, 200
 	const conns = (descriptors - 32) / 2
-	listed := make([]string, machines)
-	for i := range listed {
-		listed[i] = machineJSON(numberedMachine(i), fakeMachine(t, acceptLine("%s")), "ready", 0)
-	}
-	r := startServer(
-		t,
-		attemptOnNumberedMachine,
-		configJSON(silentDiscovery(t), descriptors, eventJSON(1, true, listed...)),
-	)
+	r := startWithNumberedMachines(t, descriptors, machines, func(t *testing.T) string {
+		t.Helper()
+		return fakeMachine(t, acceptLine("%s"))
+	})
 	client := r.dialClient()
 	for i := range conns {
 		client.send(offerLine(numberedRequest(i), ""))
@@ -267,10 +260,10 @@
 			return []scheduler.Action{scheduler.Probe{Machine: "z"}} // it gets no answer
 		}
 		return nil
-	}, configJSON(discovery, 256, eventJSON(1, true, a, z)))
+	}, configJSON(discovery, 256, snapshotJSON(1, a, z)))
 	r.dialClient().send(offerLine(requestID, ";at:a"))
 	await[scheduler.ContainerAdopted](r, nil)
-	publish(eventJSON(2, false, machineJSON("z", "", "gone", 0)))
+	publish(deltaJSON(2, machineJSON("z", "", "gone", 0)))
 	await(r, func(e scheduler.MachineListUpdate) bool { return e.Version == 2 })
 	await[scheduler.ProbeCompleted](r, nil)
 	r.runOnLoop(func() {
--- a/internal/platform/machinemessages_test.go
+++ b/internal/platform/machinemessages_test.go
@@ -22,7 +22,10 @@
 			containerEnded{requestID, 34, scheduler.ReasonQueueTooLong, load},
 		},
 		{withFields("end", `"note":"of a later version"`, ""), containerEnded{id: requestID, cause: -1}},
-		{withFields("info", `"note":"share","value":0.5`, ""), usageReported{requestID, scheduler.MetricServedShare, 0.5}},
+		{
+			withFields("info", `"note":"share","value":0.5`, ""),
+			usageReported{requestID, scheduler.MetricServedShare, 0.5},
+		},
 		{withFields("info", `"note":"share","value":"much"`, ""), nil},
 		{withFields("info", `"note":"of a later version","value":"1"`, ""), nil},
 		{withFields("tested", `"load":"x0:1.5;x1:2"`, `,"why":1`), probeAnswered{requestID, true, load}},
--- /dev/null
+++ b/internal/platform/peers_test.go
@@ -0,0 +1,244 @@
+package platform
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"glenport/internal/platform/jsonlines"
+)
+
+// peer is the other end of a connection of the server: a client, a machine or the discovery service.
+type peer struct {
+	t *testing.T
+	c net.Conn
+	r *bufio.Reader
+}
+
+func (r *testServer) dialClient() *peer {
+	r.Helper()
+	c, err := new(net.Dialer).DialContext(r.Context(), "tcp", r.server.Addr())
+	if err != nil {
+		r.Fatal(err)
+	}
+	p := newPeer(r.T, c)
+	r.Cleanup(p.close)
+	return p
+}
+
+func newPeer(t *testing.T, c net.Conn) *peer {
+	t.Helper()
+	if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Error(err)
+	}
+	return &peer{t, c, bufio.NewReader(c)}
+}
+
+func (p *peer) send(lines ...string) {
+	for _, line := range lines {
+		p.write(line + "\n")
+	}
+}
+
+// write does not fail where the server has closed the connection: what the peer reads then shows it.
+func (p *peer) write(text string) { _, _ = io.WriteString(p.c, text) }
+
+// close may come after the connection's end.
+func (p *peer) close() { _ = p.c.Close() }
+
+func (p *peer) readLine() (string, error) { return p.r.ReadString('\n') }
+
+// readToEnd drops what comes until the connection's end.
+func (p *peer) readToEnd() {
+	for {
+		if _, err := p.readLine(); err != nil {
+			return
+		}
+	}
+}
+
+// receive reads the next message; nil at the connection's end.
+func (p *peer) receive() *jsonlines.Message {
+	p.t.Helper()
+	line, err := p.r.ReadBytes('\n')
+	if err != nil {
+		return nil
+	}
+	msg, err := jsonlines.Decode(line)
+	if err != nil {
+		p.t.Errorf("%v: %s", err, line)
+	}
+	return msg
+}
+
+// expect reads the next message and checks its type and request.
+func (p *peer) expect(op jsonlines.Op, id string) {
+	p.t.Helper()
+	if msg := p.receive(); msg == nil || msg.Op != op || msg.RequestID != id {
+		p.t.Errorf("received %+v, want %s of %s", msg, op, id)
+	}
+}
+
+// expectCause reads the next message and checks that it is an end, or the result of a test, with a cause.
+func (p *peer) expectCause(op jsonlines.Op, id string, cause int) {
+	p.t.Helper()
+	if msg := p.receive(); !isMessage(msg, op, id, cause) {
+		p.t.Errorf("received %+v, want %s of %s with cause %d", msg, op, id, cause)
+	}
+}
+
+func isMessage(msg *jsonlines.Message, op jsonlines.Op, id string, cause int) bool {
+	return msg != nil && msg.Op == op && msg.RequestID == id && msg.CauseOrNone() == cause
+}
+
+func (p *peer) expectEnd(id string, cause int) {
+	p.t.Helper()
+	p.expectCause(jsonlines.OpEnd, id, cause)
+}
+
+// expectFailed reads the end of a request that has failed, or of a container that is lost.
+func (p *peer) expectFailed(id string) {
+	p.t.Helper()
+	p.expectEnd(id, jsonlines.CauseTemporaryFailure)
+}
+
+// expectClosed checks that the connection ends and nothing more was written.
+func (p *peer) expectClosed() {
+	p.t.Helper()
+	if msg := p.receive(); msg != nil {
+		p.t.Errorf("received %+v, want the end of the connection", msg)
+	}
+}
+
+// expectLive sends a liveness test and checks that its answer comes next, and passes.
+func (p *peer) expectLive(number int) {
+	p.t.Helper()
+	p.send(testLine(number))
+	p.expectCause(jsonlines.OpTested, fmt.Sprintf("%016x", number), jsonlines.CauseTestPassed)
+}
+
+// listenTCP opens a listener on a port of its own.
+func listenTCP(t *testing.T) net.Listener {
+	t.Helper()
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l
+}
+
+// serveTCP calls serve for each connection, in a goroutine of its own, until the test ends.
+func serveTCP(t *testing.T, serve func(*peer)) string {
+	t.Helper()
+	l := listenTCP(t)
+	t.Cleanup(serveListener(t, l, serve))
+	return l.Addr().String()
+}
+
+// serveListener calls serve for each connection of a listener until what it returns is called.
+func serveListener(t *testing.T, l net.Listener, serve func(*peer)) (stop func()) {
+	t.Helper()
+	var wg sync.WaitGroup
+	var mu sync.Mutex
+	var open []*peer
+	wg.Go(func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			p := newPeer(t, c)
+			mu.Lock()
+			open = append(open, p)
+			mu.Unlock()
+			wg.Go(func() {
+				defer p.close()
+				serve(p)
+			})
+		}
+	})
+	return func() {
+		_ = l.Close() // a test may have closed it
+		mu.Lock()
+		for _, p := range open {
+			p.close()
+		}
+		mu.Unlock()
+		wg.Wait()
+	}
+}
+
+// serveMessages calls handle for each message on each connection.
+func serveMessages(t *testing.T, handle func(m *peer, msg *jsonlines.Message)) string {
+	t.Helper()
+	return serveTCP(t, func(m *peer) {
+		for msg := m.receive(); msg != nil; msg = m.receive() {
+			handle(m, msg)
+		}
+	})
+}
+
+// fakeMachine answers each offer with lines, in which %s is the request's identifier; "close" closes the connection.
+func fakeMachine(t *testing.T, lines ...string) string {
+	t.Helper()
+	return serveMessages(t, func(m *peer, msg *jsonlines.Message) {
+		if msg.Op != jsonlines.OpOffer {
+			return
+		}
+		for _, line := range lines {
+			if line == "close" {
+				m.close()
+				return
+			}
+			m.send(strings.ReplaceAll(line, "%s", msg.RequestID))
+		}
+	})
+}
+
+// recordingMachine answers nothing and passes on what it receives.
+func recordingMachine(t *testing.T) (addr string, received chan *jsonlines.Message) {
+	t.Helper()
+	received = make(chan *jsonlines.Message, 10)
+	return serveMessages(t, func(_ *peer, msg *jsonlines.Message) { received <- msg }), received
+}
+
+// silentDiscovery answers each watch with the offset of the last event, and has no further ones.
+func silentDiscovery(t *testing.T) string {
+	t.Helper()
+	return serveTCP(t, func(p *peer) {
+		for {
+			if _, err := p.readLine(); err != nil {
+				return
+			}
+			p.send(`{"offset":1}`)
+		}
+	})
+}
+
+// scriptedDiscovery sends each watch all events that were published so far and are published later.
+func scriptedDiscovery(t *testing.T) (addr string, publish func(events ...string)) {
+	t.Helper()
+	var mu sync.Mutex
+	var published []string
+	var watches []*peer
+	addr = serveTCP(t, func(p *peer) {
+		mu.Lock()
+		p.send(published...)
+		watches = append(watches, p)
+		mu.Unlock()
+		p.readToEnd()
+	})
+	return addr, func(events ...string) {
+		mu.Lock()
+		defer mu.Unlock()
+		published = append(published, events...)
+		for _, p := range watches {
+			p.send(events...)
+		}
+	}
+}
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"os"
-	"strings"
 	"syscall"
 	"testing"
 
@@ -25,21 +24,14 @@
 		m.receive()
 	})
 	r := startWithMachineA(t, addr, attemptOnA(0))
-	client := r.dialClient()
-	client.send(offerLine(requestID, ""))
+	client := r.request(requestID)
 	await[scheduler.RequestReceived](r, nil)
 	r.server.Shutdown()
 	client.send(testLine(1))
-	if msg := client.receive(); msg == nil || msg.CauseOrNone() != jsonlines.CauseTestFailed {
-		t.Errorf("a liveness test was answered %+v", msg)
-	}
+	client.expectCause(jsonlines.OpTested, "0000000000000001", jsonlines.CauseTestFailed)
 	close(hold)
-	if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpAccept {
-		t.Errorf("answered %+v", msg)
-	}
-	if msg := client.receive(); msg != nil {
-		t.Errorf("then received %+v", msg)
-	}
+	client.expect(jsonlines.OpAccept, requestID)
+	client.expectClosed()
 }
 
 // A request that comes in the iteration in which Run would end is answered first, and what was written is not reset.
@@ -47,24 +39,18 @@
 	addr := fakeMachine(t, `{"op":"end","call":"%s","with":{"note":"cpu_full"},"why":34}`)
 	r := startWithMachineA(t, addr, attemptOnA(0))
 	client := r.dialClient()
-	client.send(testLine(1))
-	client.receive()
+	client.expectLive(1)
 	r.runOnLoop(func() { // with nothing unanswered, this iteration is the last
 		r.markShuttingDown(4 * eventloop.Second)
 		client.send(offerLine(requestID, ""))
 	})
-	if msg := client.receive(); !isEnd(msg, requestID) {
-		t.Errorf("received %+v", msg)
-	}
-	if msg := client.receive(); msg != nil {
-		t.Errorf("then received %+v", msg)
-	}
+	client.expectFailed(requestID)
+	client.expectClosed()
 }
 
 // A shutdown starts while a request is half read: its other half is read, and it is answered.
 func TestRequestHalfReadAtShutdownIsAnswered(t *testing.T) {
-	addr := fakeMachine(t, acceptLine("%s"))
-	r := startWithMachineA(t, addr, attemptOnA(0))
+	r := startWithMachineA(t, fakeMachine(t, acceptLine("%s")), attemptOnA(0))
 	client := r.dialClient()
 	line := offerLine(requestID, "") + "\n"
 	client.write(line[:40])
@@ -78,32 +64,23 @@
 	r.server.Shutdown()
 	r.runOnLoop(func() {})
 	client.write(line[40:])
-	if msg := client.receive(); msg == nil || msg.Op != jsonlines.OpAccept {
-		t.Errorf("received %+v", msg)
-	}
+	client.expect(jsonlines.OpAccept, requestID)
 }
 
 // A request that is open shortly before the process is killed is answered, and its attempt cancelled.
 func TestOpenRequestIsAnsweredBeforeKill(t *testing.T) {
-	received := make(chan *jsonlines.Message, 2)
-	addr := serveTCP(t, func(m *peer) { received <- m.receive(); received <- m.receive() })
+	addr, received := recordingMachine(t)
 	r := startWithMachineA(t, addr, attemptOnA(0))
 	client := r.dialClient()
-	client.send(strings.Replace(offerLine(requestID, ""), `"2000"`, `"60000"`, 1))
+	client.send(offerWithin(requestID, "60000"))
 	<-received
 	r.runOnLoop(func() { r.markShuttingDown(3*eventloop.Second + eventloop.Second/4) })
-	if msg := client.receive(); !isEnd(msg, requestID) {
-		t.Errorf("received %+v", msg)
-	}
-	if msg := <-received; msg == nil || msg.Op != jsonlines.OpEnd || msg.CauseOrNone() != jsonlines.CauseNormal {
+	client.expectFailed(requestID)
+	if msg := <-received; !isMessage(msg, jsonlines.OpEnd, requestID, jsonlines.CauseNormal) {
 		t.Errorf("the machine received %+v", msg)
 	}
-	if msg := client.receive(); msg != nil {
-		t.Errorf("then received %+v", msg)
-	}
-	if e := await[scheduler.AttemptEnded](r, nil); e.Outcome != scheduler.OutcomeFinished || e.Final {
-		t.Errorf("got %+v", e)
-	}
+	client.expectClosed()
+	r.awaitOutcome(scheduler.AttemptEnded{ID: requestID, Outcome: scheduler.OutcomeFinished})
 }
 
 // A configuration that is slow to load does not hold up a shutdown; one that is broken is not used, and the next one
@@ -111,8 +88,8 @@
 func TestReloadAndShutdownDoNotBlockEachOther(t *testing.T) {
 	old, publish := scriptedDiscovery(t)
 	later, publishLater := scriptedDiscovery(t)
-	r := startServer(t, attemptOnA(0), configJSON(old, 256, eventJSON(1, true)))
-	await[scheduler.MachineListUpdate](r, nil)
+	r := startWithDiscovery(t, old)
+	r.awaitList(1)
 	shutdown, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	files := make(chan *Config)
 	r.server.HandleSignals(shutdown, reload, func() (*Config, error) {
@@ -124,10 +101,8 @@
 	t.Cleanup(func() { close(shutdown); close(reload); close(files) })
 	reload <- syscall.SIGHUP
 	files <- nil // half written
-	publish(eventJSON(2, false))
-	if e := await[scheduler.MachineListUpdate](r, nil); e.Version != 2 {
-		t.Errorf("version %d was applied from the old address", e.Version)
-	}
+	publish(deltaJSON(2))
+	r.awaitList(2) // from the old address
 	reload <- syscall.SIGHUP
 	reload <- syscall.SIGHUP // taken as the first file is being loaded
 	shutdown <- syscall.SIGTERM
@@ -145,8 +120,6 @@
 	config.DiscoveryAddr = later
 	files <- r.server.env.config
 	files <- &config
-	publishLater(eventJSON(3, false))
-	if e := await[scheduler.MachineListUpdate](r, nil); e.Version != 3 {
-		t.Errorf("version %d was applied from the new address", e.Version)
-	}
+	publishLater(deltaJSON(3))
+	r.awaitList(3) // from the new address
 }
--- /dev/null
+++ b/internal/platform/transcript_test.go
@@ -0,0 +1,204 @@
+package platform
+
+import (
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"os"
+	"regexp"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+var update = flag.Bool("update", false, "write testdata/conversation.golden anew")
+
+const goldenFile = "testdata/conversation.golden"
+
+// leftField is the only part of a line that the clock decides: the milliseconds until the attempt's deadline.
+var leftField = regexp.MustCompile(`"left":"([0-9]+)"`)
+
+// transcript gathers each line that the process under test writes, in the order in which the scripted conversation
+// reads them, with the peer that received it in front.
+type transcript struct {
+	*testing.T
+	step  string
+	lines []string
+}
+
+// begin names the step to which the following lines belong.
+func (s *transcript) begin(step string) { s.step = step }
+
+// record takes in one line as it was read, its end included. The remaining time of an offer is checked against the most
+// it may be, and then replaced.
+func (s *transcript) record(receiver string, line []byte, mostLeft int) {
+	s.Helper()
+	if !strings.HasSuffix(string(line), "\n") {
+		s.Fatalf("%s: %s received %q, which is no whole line", s.step, receiver, line)
+	}
+	if m := leftField.FindSubmatch(line); m != nil {
+		left, err := strconv.Atoi(string(m[1]))
+		if err != nil || left > mostLeft || left < mostLeft-int(testTimeout/time.Millisecond) {
+			s.Errorf("%s: %q milliseconds are left, at most %d can be", s.step, m[1], mostLeft)
+		}
+		line = leftField.ReplaceAll(line, []byte(`"left":"LEFT"`))
+	}
+	s.lines = append(s.lines, fmt.Sprintf("%s | %s | %s", s.step, receiver, line))
+}
+
+// compare checks the whole transcript against the golden file.
+func (s *transcript) compare() {
+	s.Helper()
+	got := strings.Join(s.lines, "")
+	if *update {
+		if err := os.WriteFile(goldenFile, []byte(got), 0o644); err != nil {
+			s.Fatal(err)
+		}
+	}
+	golden, err := os.ReadFile(goldenFile)
+	if err != nil {
+		s.Fatal(err)
+	}
+	want := strings.SplitAfter(strings.TrimSuffix(string(golden), "\n"), "\n")
+	lines := strings.SplitAfter(strings.TrimSuffix(got, "\n"), "\n")
+	for i := range max(len(want), len(lines)) {
+		switch {
+		case i >= len(want):
+			s.Errorf("line %d is written, but was not recorded: %q", i+1, lines[i])
+		case i >= len(lines):
+			s.Errorf("line %d is not written: %q", i+1, want[i])
+		case want[i] != lines[i]:
+			s.Errorf("line %d is\n%q, want\n%q", i+1, lines[i], want[i])
+		}
+	}
+}
+
+// goldenClient is a client's connection whose received lines are recorded.
+type goldenClient struct {
+	*peer
+	name string
+	s    *transcript
+}
+
+func (s *transcript) client(r *testServer, name string) *goldenClient {
+	return &goldenClient{r.dialClient(), name, s}
+}
+
+// reads records the next line.
+func (c *goldenClient) reads() {
+	c.s.Helper()
+	line, err := c.r.ReadBytes('\n')
+	if err != nil {
+		c.s.Fatalf("%s: %s received %q, %v", c.s.step, c.name, line, err)
+	}
+	c.s.record(c.name, line, 0)
+}
+
+// readsEnd checks that the connection is closed and nothing more was written.
+func (c *goldenClient) readsEnd() {
+	c.s.Helper()
+	if line, err := c.r.ReadBytes('\n'); !errors.Is(err, io.EOF) || len(line) > 0 {
+		c.s.Errorf("%s: %s received %q, %v, want the end", c.s.step, c.name, line, err)
+	}
+}
+
+// test sends a liveness test and records its answer: whatever was written before it is recorded in its place.
+func (c *goldenClient) test() {
+	c.s.Helper()
+	c.send(`{"op":"test","call":"00000000000000ff","with":{},"why":1}`)
+	c.reads()
+}
+
+func (c *goldenClient) end(call, why string) {
+	c.send(`{"op":"end","call":"` + call + `","with":{}` + why + `}`)
+}
+
+// goldenServer is a machine or the discovery service: it records each line it is sent, over all its connections.
+type goldenServer struct {
+	name, addr string
+	s          *transcript
+	conns      chan *peer
+	received   chan receivedLine
+	open       atomic.Int32
+}
+
+type receivedLine struct {
+	on   *peer
+	line []byte
+}
+
+func (s *transcript) server(name string) *goldenServer {
+	g := &goldenServer{name: name, s: s, conns: make(chan *peer, 100), received: make(chan receivedLine, 100)}
+	g.addr = serveTCP(s.T, func(p *peer) {
+		g.open.Add(1)
+		defer g.open.Add(-1)
+		g.conns <- p
+		for {
+			line, err := p.r.ReadBytes('\n')
+			if len(line) > 0 {
+				g.received <- receivedLine{p, line}
+			}
+			if err != nil {
+				return
+			}
+		}
+	})
+	return g
+}
+
+// reads records the next line and returns the connection on which it came. An offer has mostLeft milliseconds at most.
+func (g *goldenServer) reads(mostLeft int) *peer {
+	g.s.Helper()
+	select {
+	case r := <-g.received:
+		g.s.record(g.name, r.line, mostLeft)
+		return r.on
+	case <-time.After(testTimeout):
+		g.s.Fatalf("%s: %s received nothing", g.s.step, g.name)
+		return nil
+	}
+}
+
+// connected returns the next connection that was not returned yet.
+func (g *goldenServer) connected() *peer {
+	g.s.Helper()
+	select {
+	case p := <-g.conns:
+		return p
+	case <-time.After(testTimeout):
+		g.s.Fatalf("%s: nobody connects to %s", g.s.step, g.name)
+		return nil
+	}
+}
+
+// forgetConns makes connected return only connections from now on.
+func (g *goldenServer) forgetConns() {
+	for len(g.conns) > 0 {
+		<-g.conns
+	}
+}
+
+// readsNoMore checks, once all connections have ended, that nothing was written beyond what was recorded.
+func (g *goldenServer) readsNoMore() {
+	g.s.Helper()
+	for deadline := time.Now().Add(testTimeout); g.open.Load() > 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			g.s.Fatalf("%s: %d connections to %s are still open", g.s.step, g.open.Load(), g.name)
+		}
+	}
+	for len(g.received) > 0 {
+		g.s.Errorf("%s received more: %q", g.name, (<-g.received).line)
+	}
+}
+
+// answer lines of a machine.
+func (p *peer) accepts(call string) {
+	p.send(`{"op":"accept","call":"` + call + `","with":{},"desc":"v=0\r\nmade\u0020at <a> \u00e9\/"}`)
+}
+
+func (p *peer) ends(call string, why int, with string) {
+	p.send(fmt.Sprintf(`{"op":"end","call":"%s","with":{%s},"why":%d}`, call, with, why))
+}
--- a/internal/platform/transitions_test.go
+++ b/internal/platform/transitions_test.go
@@ -40,13 +40,26 @@
 		transition func() error
 		state      func() fmt.Stringer
 	}{
-		{"attempt", func() error { return finished.transition(outcomeKnown) }, func() fmt.Stringer { return finished.state }},
 		{
-			"machine connection", func() error { return connected.transition(machineConnOpened) },
+			"attempt",
+			func() error { return finished.transition(outcomeKnown) },
+			func() fmt.Stringer { return finished.state },
+		},
+		{
+			"machine connection",
+			func() error { return connected.transition(machineConnOpened) },
 			func() fmt.Stringer { return connected.state },
 		},
-		{"client connection", func() error { return ended.transition(clientConnEnded) }, func() fmt.Stringer { return ended.state }},
-		{"shutdown", func() error { return idle.transition(drainCompleted) }, func() fmt.Stringer { return idle.state }},
+		{
+			"client connection",
+			func() error { return ended.transition(clientConnEnded) },
+			func() fmt.Stringer { return ended.state },
+		},
+		{
+			"shutdown",
+			func() error { return idle.transition(drainCompleted) },
+			func() fmt.Stringer { return idle.state },
+		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			logged.Reset()
