--- a/internal/controller/api/explanations.go
+++ b/internal/controller/api/explanations.go
@@ -37,7 +37,7 @@
 		writeError(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, explanation)
+	writeJSON(w, explanation)
 }
 
 func (h *handler) explainJob(w http.ResponseWriter, r *http.Request) {
@@ -46,34 +46,33 @@
 		writeError(w, server.ErrNotFound)
 		return
 	}
-	containers, _, _ := h.server.Cache.List(
-		server.KindContainers,
-		job+".",
-		maxExplained,
-		func(o *watchcache.Object) bool {
-			c := o.Value.(server.Container)
-			return c.Job == job && c.State != controller.StateRunning.String() &&
-				c.State != controller.StateCompleted.String()
-		},
-	)
+	pendingOnes := h.server.Cache.List(watchcache.Query{
+		Kind: server.KindContainers, After: job + ".", Limit: maxExplained,
+		Match: func(o *watchcache.Object) bool { return isPendingOf(job, o) },
+	})
 	answer := jobExplanation{Items: []Explanation{}}
-	for _, o := range containers {
+	for _, o := range pendingOnes.Objects {
 		explanation, err := h.explain(o.ID)
 		if err == nil && len(explanation.Reasons) > 0 { // a container that has ended meanwhile is left out
 			answer.Items = append(answer.Items, explanation)
 		}
 	}
-	writeJSON(w, http.StatusOK, answer)
+	writeJSON(w, answer)
+}
+
+// isPendingOf says that an object is a container of a job, and neither runs nor is complete.
+func isPendingOf(job string, o *watchcache.Object) bool {
+	c, ok := o.Value.(server.Container)
+	return ok && c.Job == job && c.State != controller.StateRunning.String() &&
+		c.State != controller.StateCompleted.String()
 }
 
 func (h *handler) explain(container string) (Explanation, error) {
 	reasons, state, err := h.server.PendingReasons(container)
 	explanation := Explanation{Container: container, State: state, Reasons: []Reason{}}
 	for _, r := range reasons {
-		explanation.Reasons = append(
-			explanation.Reasons,
-			Reason{Reason: r, UntilMS: int64(r.Until / scheduler.Millisecond)},
-		)
+		until := int64(r.Until / scheduler.Millisecond)
+		explanation.Reasons = append(explanation.Reasons, Reason{Reason: r, UntilMS: until})
 	}
 	return explanation, err
 }
--- a/internal/controller/api/golden_test.go
+++ b/internal/controller/api/golden_test.go
@@ -22,15 +22,9 @@
 // TestAnswersMatchGoldenBytes compares what clients are sent, byte for byte, with testdata: lists, objects, watch
 // events and problems, from a controller that holds fixed objects and has no scheduler.
 func TestAnswersMatchGoldenBytes(t *testing.T) {
-	s, err := server.New(
-		server.Config{
-			Name:            "controller",
-			Seed:            1,
-			SchedulerConfig: &config.Scheduler{WorkloadClasses: []string{"matcher"}},
-		},
-		watchcache.New(EncodeWatchEvent),
-		quiet,
-	)
+	s, err := server.New(server.Config{
+		Name: "controller", Seed: 1, SchedulerConfig: &config.Scheduler{WorkloadClasses: []string{"matcher"}},
+	}, watchcache.New(EncodeWatchEvent), quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,15 +32,19 @@
 	fill(s.Cache)
 	handler := New(s)
 	var got strings.Builder
+	answer := func(method, path, body, name string) {
+		w := httptest.NewRecorder()
+		handler.ServeHTTP(w, newRequest(t, method, path, body))
+		record(&got, name, w)
+	}
 	for _, path := range []string{
 		"/v1/jobs", "/v1/jobs?limit=1", "/v1/jobs?label=team%3Dnorth", "/v1/jobs?field=workload!%3Dmatcher",
-		"/v1/jobs/reports", "/v1/jobs/none", "/v1/jobs/reports/why", "/v1/jobs/none/why", "/v1/containers", "/v1/containers/reports.2",
-		"/v1/containers?field=state%3Drunning", "/v1/containers/none/why", "/v1/machines", "/v1/machines/m17", "/v1/jobs?limit=x",
-		"/v1/jobs?field=color%3Dred", "/v1/jobs?label=x", "/v1/watch?kinds=x", "/v1/watch?from=x", "/v1/watch?from=99", "/v1/none",
+		"/v1/jobs/reports", "/v1/jobs/none", "/v1/jobs/reports/why", "/v1/jobs/none/why", "/v1/containers",
+		"/v1/containers/reports.2", "/v1/containers?field=state%3Drunning", "/v1/containers/none/why",
+		"/v1/machines", "/v1/machines/m17", "/v1/jobs?limit=x", "/v1/jobs?field=color%3Dred", "/v1/jobs?label=x",
+		"/v1/watch?kinds=x", "/v1/watch?from=x", "/v1/watch?from=99", "/v1/none",
 	} {
-		w := httptest.NewRecorder()
-		handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, nil))
-		record(&got, "GET "+path, w)
+		answer(http.MethodGet, path, "", "GET "+path)
 	}
 	for _, q := range []struct{ method, path, body string }{
 		{"POST", "/v1/jobs", `{"id":"X"}`},
@@ -59,62 +57,60 @@
 		{"DELETE", "/v1/jobs/none", ""},
 		{"POST", "/v1/jobs", strings.Repeat(" ", 70_000)},
 	} {
-		w := httptest.NewRecorder()
-		handler.ServeHTTP(w, httptest.NewRequest(q.method, q.path, strings.NewReader(q.body)))
-		record(&got, fmt.Sprintf("%s %s %.30s", q.method, q.path, strings.TrimSpace(q.body)), w)
+		answer(q.method, q.path, q.body, fmt.Sprintf("%s %s %.30s", q.method, q.path, strings.TrimSpace(q.body)))
 	}
+	recordErrors(&got)
+	recordExplanation(t, &got)
+	got.WriteString(watched(t, handler))
+	golden.CheckText(t, "testdata/answers.txt", got.String())
+}
+
+// recordErrors records the problems of all errors of the server and the cache.
+func recordErrors(got *strings.Builder) {
 	for _, err := range []error{
 		&server.NotPersistedError{Err: errors.New("no space")}, server.ErrStopped,
 		server.ErrNotFound, watchcache.ErrCompacted,
-		&server.ConflictError{ID: "reports", Version: 41, Message: "it exists already"}, &server.InvalidFieldError{Field: "cores", Message: "-1 is not above 0"},
+		&server.ConflictError{ID: "reports", Version: 41, Message: "it exists already"},
+		&server.InvalidFieldError{Field: "cores", Message: "-1 is not above 0"},
 	} {
 		w := httptest.NewRecorder()
 		writeError(w, err)
-		record(&got, "error", w)
+		record(got, "error", w)
 	}
-	for _, o := range []any{
-		Explanation{Container: "reports.0", State: "waiting", Reasons: []Reason{{}, {Reason: pending.Reason{
-			Code: pending.CodeNoCapacity, Text: "No room.",
-			Details: map[string]float64{"machines": 3, "full": 2.5}, Until: 70,
-		}, UntilMS: 7}}},
-	} {
-		line, err := json.Marshal(o)
-		if err != nil {
-			t.Fatal(err)
-		}
-		fmt.Fprintf(&got, "why\n%s\n", line)
+}
+
+// recordExplanation records the JSON of an explanation, with an empty reason and a full one.
+func recordExplanation(t *testing.T, got *strings.Builder) {
+	t.Helper()
+	full := pending.Reason{
+		Code: pending.CodeNoCapacity, Text: "No room.", Until: 70,
+		Details: map[string]float64{"machines": 3, "full": 2.5},
 	}
-	got.WriteString(watched(t, handler))
-	golden.CheckText(t, "testdata/answers.txt", got.String())
+	line, err := json.Marshal(Explanation{
+		Container: "reports.0", State: "waiting", Reasons: []Reason{{}, {Reason: full, UntilMS: 7}},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintf(got, "why\n%s\n", line)
 }
 
 func fill(c *watchcache.Cache) {
-	c.Put(
-		server.KindJobs,
-		"plain",
-		server.Job{ID: "plain", Service: "web", WorkloadClass: "matcher", Cores: 0.5, MemoryGiB: 1, Count: 1},
-	)
+	c.Put(server.KindJobs, "plain", server.Job{
+		ID: "plain", Service: "web", WorkloadClass: "matcher", Cores: 0.5, MemoryGiB: 1, Count: 1,
+	})
 	c.Put(server.KindJobs, "reports", server.Job{
-		ID:            "reports",
-		Labels:        map[string]string{"team": "north", "tier": "2"},
-		Service:       "report",
-		WorkloadClass: "report-run",
-		Tenant:        "schools",
-		Cores:         1.5,
-		MemoryGiB:     2.25,
-		RunForMS:      60_000,
-		RunOnce:       true,
-		Count:         3,
+		ID: "reports", Labels: map[string]string{"team": "north", "tier": "2"}, Service: "report",
+		WorkloadClass: "report-run", Tenant: "schools", Cores: 1.5, MemoryGiB: 2.25, RunForMS: 60_000, RunOnce: true,
+		Count: 3,
 	})
 	c.Put(server.KindContainers, "reports.2", server.Container{
 		ID: "reports.2", Job: "reports", Index: 2, State: "running", Terminating: true,
 		Machine: "m17", Scheduler: "p1", SinceMS: 5, UntilMS: 6, Attempts: 7, Starts: 8, LastStatus: "runs",
 	})
-	c.Put(
-		server.KindContainers,
-		"plain.0",
-		server.Container{ID: "plain.0", Job: "plain", State: "done", LastStatus: "finished"},
-	)
+	c.Put(server.KindContainers, "plain.0", server.Container{
+		ID: "plain.0", Job: "plain", State: "done", LastStatus: "finished",
+	})
 	c.Put(server.KindMachines, "m17", server.Machine{
 		ID: "m17", Zone: 2, MachineType: "large", State: "serving", FreeCores: 1.5, FreeMemoryGiB: 2.5,
 		Incarnation: 1 << 60,
@@ -136,26 +132,13 @@
 // watched returns the lines of a watch from the beginning, up to the first bookmark.
 func watched(t *testing.T, handler http.Handler) string {
 	t.Helper()
-	server := httptest.NewServer(handler)
-	defer server.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	site := httptest.NewServer(handler)
+	defer site.Close()
+	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, server.URL+"/v1/watch?from=0", nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	r, err := http.DefaultClient.Do(q)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() {
-		cancel()
-		if err := r.Body.Close(); err != nil {
-			t.Error(err)
-		}
-	}()
-	got := "watch " + r.Header.Get("Content-Type") + "\n"
-	lines := bufio.NewScanner(r.Body)
+	r := send(t, newRequest(t, http.MethodGet, site.URL+"/v1/watch?from=0", "").WithContext(ctx))
+	got := "watch " + r.header.Get("Content-Type") + "\n"
+	lines := bufio.NewScanner(r.body)
 	for lines.Scan() {
 		got += lines.Text() + "\n"
 		if strings.Contains(lines.Text(), `"bookmark"`) {
--- a/internal/controller/api/helpers_test.go
+++ b/internal/controller/api/helpers_test.go
@@ -1,7 +1,6 @@
 package api
 
 import (
-	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -25,7 +24,7 @@
 	"github.com/getkin/kin-openapi/routers/gorillamux"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var quiet = slog.New(slog.DiscardHandler)
 
 // fixture is a controller with its API, one scheduler and some emulated machines, all in this process.
 type fixture struct {
@@ -46,10 +45,7 @@
 	}
 	f.startMachines(machines)
 	list := &emulator.MachineList{
-		Lag:              0,
-		FailureDetection: time.Second,
-		PollInterval:     50 * time.Millisecond,
-		Address:          (*emulator.Machine).Addr,
+		FailureDetection: time.Second, PollInterval: 50 * time.Millisecond, Address: (*emulator.Machine).Addr,
 	}
 	if schedulerConfig.MachineListAddr, err = list.Open(f.machines); err != nil {
 		t.Fatal(err)
@@ -62,12 +58,8 @@
 	}
 	serve(t, schedulerProcess.Run, schedulerProcess.Stop)
 	f.config = server.Config{
-		Name:            "keeper",
-		Schedulers:      []string{schedulerProcess.Addr()},
-		MachineList:     schedulerConfig.MachineListAddr,
-		Seed:            1,
-		SchedulerConfig: schedulerConfig,
-		StateDir:        t.TempDir(),
+		Name: "controller", Schedulers: []string{schedulerProcess.Addr()}, MachineList: schedulerConfig.MachineListAddr,
+		Seed: 1, SchedulerConfig: schedulerConfig, StateDir: t.TempDir(),
 	}
 	f.startController()
 	f.loadDescription()
@@ -79,21 +71,11 @@
 	group := &emulator.DedupGroup{}
 	for i := range machines {
 		m := emulator.NewMachine(emulator.MachineSpec{
-			Name:                 fmt.Sprint("m", i),
-			Cores:                24,
-			Memory:               60,
-			AcceptCores:          2,
-			AcceptMemory:         1.5,
-			AdmissionTime:        time.Millisecond,
-			MaxQueuedOffers:      100,
-			ConcurrentStarts:     20,
-			StartTime:            5 * time.Millisecond,
-			ImageMissFactor:      1,
-			CachedImages:         5,
-			SlowStartPeriod:      time.Second,
-			SlowStartInitialPace: 1,
-			AcceptMeansRunning:   true,
-			RequiredMachineType:  []int{-1, -1, -1, -1},
+			Name: fmt.Sprint("m", i), Cores: 24, Memory: 60, AcceptCores: 2, AcceptMemory: 1.5,
+			AdmissionTime: time.Millisecond, MaxQueuedOffers: 100, ConcurrentStarts: 20,
+			StartTime: 5 * time.Millisecond, ImageMissFactor: 1, CachedImages: 5,
+			SlowStartPeriod: time.Second, SlowStartInitialPace: 1, AcceptMeansRunning: true,
+			RequiredMachineType: []int{-1, -1, -1, -1},
 		}, group, uint64(i))
 		if err := m.Start(true); err != nil {
 			f.Fatal(err)
@@ -109,7 +91,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	if err := description.Validate(context.Background()); err != nil {
+	if err := description.Validate(f.Context()); err != nil {
 		f.Fatal(err)
 	}
 	if f.router, err = gorillamux.NewRouter(description); err != nil {
@@ -129,16 +111,57 @@
 	f.Cleanup(f.api.Close)
 }
 
-// closeBody closes the body of a response that was read as far as the test needs it.
-func closeBody(t testing.TB, response *http.Response) {
-	t.Helper()
-	if err := response.Body.Close(); err != nil {
-		t.Error(err)
+// newRequest returns a request that ends with the test, with headers by name and value.
+func newRequest(tb testing.TB, method, url, body string, headers ...string) *http.Request {
+	tb.Helper()
+	request, err := http.NewRequestWithContext(tb.Context(), method, url, strings.NewReader(body))
+	if err != nil {
+		tb.Fatal(err)
+	}
+	if body != "" {
+		request.Header.Set("Content-Type", contentTypeJSON)
+	}
+	for i := 0; i+1 < len(headers); i += 2 {
+		request.Header.Set(headers[i], headers[i+1])
+	}
+	return request
+}
+
+// answer is the answer to a request.
+type answer struct {
+	status int
+	header http.Header
+	body   io.Reader
+}
+
+// send sends a request. The body of the answer is closed at the end of the test.
+func send(tb testing.TB, request *http.Request) answer {
+	tb.Helper()
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() {
+		if err := response.Body.Close(); err != nil {
+			tb.Error(err)
+		}
+	})
+	return answer{response.StatusCode, response.Header, response.Body}
+}
+
+// read returns the whole body.
+func (a answer) read(tb testing.TB) []byte {
+	tb.Helper()
+	body, err := io.ReadAll(a.body)
+	if err != nil {
+		tb.Fatal(err)
 	}
+	return body
 }
 
 // serve runs a process until the end of the test.
 func serve(t *testing.T, run func() error, stop func()) {
+	t.Helper()
 	done := make(chan error, 1)
 	go func() { done <- run() }()
 	t.Cleanup(func() {
@@ -152,25 +175,9 @@
 // do sends a request and checks the answer against the API's description. It returns the status and the decoded body.
 func (f *fixture) do(method, path, body string, headers ...string) (int, map[string]any) {
 	f.Helper()
-	request, err := http.NewRequest(method, f.api.URL+path, strings.NewReader(body))
-	if err != nil {
-		f.Fatal(err)
-	}
-	if body != "" {
-		request.Header.Set("Content-Type", "application/json")
-	}
-	for i := 0; i+1 < len(headers); i += 2 {
-		request.Header.Set(headers[i], headers[i+1])
-	}
-	response, err := http.DefaultClient.Do(request)
-	if err != nil {
-		f.Fatal(err)
-	}
-	defer closeBody(f, response)
-	data, err := io.ReadAll(response.Body)
-	if err != nil {
-		f.Fatal(err)
-	}
+	request := newRequest(f, method, f.api.URL+path, body, headers...)
+	response := send(f, request)
+	data := response.read(f)
 	f.checkDescribed(request, response, data)
 	var decoded map[string]any
 	if len(data) > 0 {
@@ -178,36 +185,48 @@
 			f.Errorf("%s %s: %q is not JSON: %v", method, path, data, err)
 		}
 	}
-	return response.StatusCode, decoded
+	return response.status, decoded
 }
 
-func (f *fixture) checkDescribed(request *http.Request, response *http.Response, body []byte) {
+func (f *fixture) checkDescribed(request *http.Request, response answer, body []byte) {
 	f.Helper()
 	route, params, err := f.router.FindRoute(request)
 	if err != nil {
-		if response.StatusCode < 400 {
+		if response.status < 400 {
 			f.Errorf("%s %s is not described", request.Method, request.URL)
 		}
 		return
 	}
 	input := &openapi3filter.ResponseValidationInput{
 		RequestValidationInput: &openapi3filter.RequestValidationInput{
-			Request:    request,
-			PathParams: params, Route: route,
-		}, Status: response.StatusCode, Header: response.Header,
+			Request: request, PathParams: params, Route: route,
+		},
+		Status: response.status, Header: response.header,
 		Options: &openapi3filter.Options{IncludeResponseStatus: true},
 	}
 	input.SetBodyBytes(body)
-	if err := openapi3filter.ValidateResponse(context.Background(), input); err != nil {
-		f.Errorf("%s %s: %d %s is not as described: %v", request.Method, request.URL, response.StatusCode, body, err)
+	if err := openapi3filter.ValidateResponse(f.Context(), input); err != nil {
+		f.Errorf("%s %s: %d %s is not as described: %v", request.Method, request.URL, response.status, body, err)
 	}
 }
 
-// until waits until a condition holds.
+// until waits until a condition holds. It is looked at after each change that the controller shows.
 func (f *fixture) until(what string, holds func() bool) {
 	f.Helper()
-	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
+	cache := f.controller.Cache
+	watcher, err := cache.Watch(cache.Version(), watchedKinds...)
+	if err != nil {
+		f.Fatal(err)
+	}
+	defer watcher.Close()
+	deadline := time.After(20 * time.Second)
+	for !holds() {
+		select {
+		case _, open := <-watcher.Changes:
+			if !open {
+				f.Fatal("too many changes wait: " + what)
+			}
+		case <-deadline:
 			f.Fatal("not in 20 s: " + what)
 		}
 	}
@@ -222,25 +241,7 @@
 
 // job returns the JSON of a job whose containers run for an hour.
 func job(id string, count int, cores float64) string {
-	return fmt.Sprintf(
-		`{"id":%q,"service":"s","workload":"matcher","cores":%g,"memory_gib":0.1,"count":%d,"run_for_ms":3600000}`,
-		id,
-		cores,
-		count,
-	)
-}
-
-// get returns the answer for a path, with its body, as it is.
-func (f *fixture) get(path string) (*http.Response, string) {
-	f.Helper()
-	response, err := http.Get(f.api.URL + path)
-	if err != nil {
-		f.Fatal(err)
-	}
-	defer closeBody(f, response)
-	body, err := io.ReadAll(response.Body)
-	if err != nil {
-		f.Fatal(err)
-	}
-	return response, string(body)
+	const format = `{"id":%q,"service":"s","workload":"matcher","cores":%g,"memory_gib":0.1,"count":%d,` +
+		`"run_for_ms":3600000}`
+	return fmt.Sprintf(format, id, cores, count)
 }
--- a/internal/controller/api/jobs.go
+++ b/internal/controller/api/jobs.go
@@ -63,15 +63,8 @@
 	}
 	switch {
 	case !bytes.Equal(c.body, body):
-		field := idempotencyKeyHeader
-		writeProblem(
-			w,
-			problem{
-				Status: http.StatusUnprocessableEntity,
-				Detail: "the key was used with another body",
-				Field:  &field,
-			},
-		)
+		field, detail := idempotencyKeyHeader, "the key was used with another body"
+		writeProblem(w, problem{Status: http.StatusUnprocessableEntity, Detail: detail, Field: &field})
 	case c.response == nil:
 		writeProblem(w, problem{Status: http.StatusConflict, Detail: "the first request of that key failed: try again"})
 	default:
@@ -83,11 +76,8 @@
 func (h *handler) create(job server.Job, body []byte, key string) ([]byte, error) {
 	digest := sha256.Sum256(body)
 	var err error
-	job.Version, err = h.server.SetJob(
-		job,
-		server.MustNotExist,
-		server.CreationToken{Key: key, RequestDigest: digest[:]},
-	)
+	token := server.CreationToken{Key: key, RequestDigest: digest[:]}
+	job.Version, err = h.server.SetJob(job, server.MustNotExist, token)
 	if err != nil {
 		return nil, err
 	}
@@ -100,7 +90,7 @@
 		writeError(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, job)
+	writeJSON(w, job)
 }
 
 func (h *handler) update(w http.ResponseWriter, r *http.Request) (job server.Job, err error) {
--- a/internal/controller/api/jobs_test.go
+++ b/internal/controller/api/jobs_test.go
@@ -1,7 +1,7 @@
 package api
 
 import (
-	"fmt"
+	"strconv"
 	"testing"
 )
 
@@ -16,7 +16,7 @@
 	if code != 200 || j["count"] != 3.0 {
 		t.Errorf("got %d %v", code, j)
 	}
-	version := fmt.Sprint(int(j["version"].(float64)))
+	version := strconv.Itoa(int(j["version"].(float64)))
 	if code, _ := f.do("PUT", "/v1/jobs/a", job("", 5, 0.5), "If-Match", version); code != 200 {
 		t.Errorf("changed: %d", code)
 	}
@@ -44,24 +44,12 @@
 func TestRetryWithIdempotencyKeyGetsTheFirstAnswer(t *testing.T) {
 	f := startFixture(t, 1)
 	_, first := f.do("POST", "/v1/jobs", job("a", 1, 1), "Idempotency-Key", "k")
-	if code, second := f.do(
-		"POST",
-		"/v1/jobs",
-		job("a", 1, 1),
-		"Idempotency-Key",
-		"k",
-	); code != 201 ||
-		second["version"] != first["version"] {
+	code, second := f.do("POST", "/v1/jobs", job("a", 1, 1), "Idempotency-Key", "k")
+	if code != 201 || second["version"] != first["version"] {
 		t.Errorf("the repeat got %d %v, the first %v", code, second, first)
 	}
-	if code, p := f.do(
-		"POST",
-		"/v1/jobs",
-		job("b", 1, 1),
-		"Idempotency-Key",
-		"k",
-	); code != 422 ||
-		p["field"] != "Idempotency-Key" {
+	code, p := f.do("POST", "/v1/jobs", job("b", 1, 1), "Idempotency-Key", "k")
+	if code != 422 || p["field"] != "Idempotency-Key" {
 		t.Errorf("another body got %d %v", code, p)
 	}
 	if code, _ := f.do("POST", "/v1/jobs", job("", 1, 1), "Idempotency-Key", "l"); code != 422 {
--- a/internal/controller/api/objects.go
+++ b/internal/controller/api/objects.go
@@ -30,7 +30,7 @@
 			return
 		}
 		w.Header().Set("ETag", fmt.Sprintf("%q", strconv.FormatInt(o.Version, 10)))
-		writeJSON(w, http.StatusOK, withVersion(o))
+		writeJSON(w, withVersion(o))
 	}
 }
 
@@ -42,7 +42,7 @@
 			writeError(w, err)
 			return
 		}
-		writeJSON(w, http.StatusOK, page)
+		writeJSON(w, page)
 	}
 }
 
@@ -56,13 +56,15 @@
 	if err != nil {
 		return page, err
 	}
-	objects, version, more := h.server.Cache.List(kind, query.Get("after"), limit, s.matches)
-	page = objectPage{Items: []any{}, Version: version}
-	for _, o := range objects {
+	found := h.server.Cache.List(watchcache.Query{
+		Kind: kind, After: query.Get("after"), Limit: limit, Match: s.matches,
+	})
+	page = objectPage{Items: []any{}, Version: found.Version}
+	for _, o := range found.Objects {
 		page.Items = append(page.Items, withVersion(o))
 	}
-	if more {
-		page.After = objects[len(objects)-1].ID
+	if found.More {
+		page.After = found.Objects[len(found.Objects)-1].ID
 	}
 	return page, nil
 }
--- a/internal/controller/api/problem_test.go
+++ b/internal/controller/api/problem_test.go
@@ -9,6 +9,10 @@
 func TestProblemNamesFieldAndCause(t *testing.T) {
 	f := startFixture(t, 1)
 	f.do("POST", "/v1/jobs", job("a", 0, 1))
+	const wrongType = "a string stands where a int is wanted"
+	unknownClass := strings.Replace(job("b", 1, 1), "matcher", "mather", 1)
+	tooLarge := `{"service":"` + strings.Repeat("x", 70000) + `"}`
+	noVersion := []string{"If-Match", "soon"}
 	for _, tc := range []struct {
 		name, method, path, body string
 		headers                  []string
@@ -16,15 +20,15 @@
 		field, detail            string
 	}{
 		{"no JSON", "POST", "/v1/jobs", `{`, nil, 400, "", "unexpected EOF"},
-		{"wrong type", "POST", "/v1/jobs", `{"count":"three"}`, nil, 400, "count", "a string stands where a int is wanted"},
+		{"wrong type", "POST", "/v1/jobs", `{"count":"three"}`, nil, 400, "count", wrongType},
 		{"unknown field", "POST", "/v1/jobs", `{"cuont":3}`, nil, 422, "cuont", "is unknown"},
 		{"no id", "POST", "/v1/jobs", job("", 1, 1), nil, 422, "id", "is not 1 to 63"},
-		{"no such workload", "POST", "/v1/jobs", strings.Replace(job("b", 1, 1), "matcher", "mather", 1), nil, 422, "workload", "is none of matcher"},
+		{"no such workload", "POST", "/v1/jobs", unknownClass, nil, 422, "workload", "is none of matcher"},
 		{"no cores", "POST", "/v1/jobs", job("b", 1, 0), nil, 422, "cores", "is not above 0"},
 		{"too many", "POST", "/v1/jobs", job("b", 1e6, 1), nil, 422, "count", "is not from 0 to 100000"},
-		{"too large", "POST", "/v1/jobs", `{"service":"` + strings.Repeat("x", 70000) + `"}`, nil, 413, "", "more than 65536 bytes"},
+		{"too large", "POST", "/v1/jobs", tooLarge, nil, 413, "", "more than 65536 bytes"},
 		{"job exists", "POST", "/v1/jobs", job("a", 1, 1), nil, 409, "", "exists already"},
-		{"no version", "PUT", "/v1/jobs/a", job("", 1, 1), []string{"If-Match", "soon"}, 422, "If-Match", "is no version"},
+		{"no version", "PUT", "/v1/jobs/a", job("", 1, 1), noVersion, 422, "If-Match", "is no version"},
 		{"another id", "PUT", "/v1/jobs/a", job("b", 1, 1), nil, 422, "id", "is not that of the path"},
 		{"unknown job", "GET", "/v1/jobs/none", "", nil, 404, "", "none of that id"},
 		{"unknown job, changed", "PUT", "/v1/jobs/none", job("", 1, 1), nil, 404, "", "none of that id"},
--- a/internal/controller/api/response.go
+++ b/internal/controller/api/response.go
@@ -5,14 +5,14 @@
 	"net/http"
 )
 
-// writeJSON answers with a value, which ends in a newline.
-func writeJSON(w http.ResponseWriter, status int, value any) {
+// writeJSON answers a request that was done with a value, which ends in a newline.
+func writeJSON(w http.ResponseWriter, value any) {
 	body, err := encodeLine(value)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	writeBody(w, status, contentTypeJSON, body)
+	writeBody(w, http.StatusOK, contentTypeJSON, body)
 }
 
 func writeBody(w http.ResponseWriter, status int, contentType string, body []byte) {
--- a/internal/controller/api/restart_test.go
+++ b/internal/controller/api/restart_test.go
@@ -7,6 +7,28 @@
 	"testing"
 )
 
+// killController starts another controller on the state folder as a SIGKILL leaves it.
+func (f *fixture) killController() {
+	f.Helper()
+	crashed := f.TempDir()
+	if err := os.CopyFS(crashed, os.DirFS(f.config.StateDir)); err != nil {
+		f.Fatal(err)
+	}
+	f.controller.Stop()
+	f.config.StateDir = crashed
+	f.startController()
+}
+
+// machinesRun is the number of containers that the machines run.
+func (f *fixture) machinesRun() (n int) {
+	for _, m := range f.machines {
+		if s, ok := m.Status(); ok {
+			n += s.Running
+		}
+	}
+	return n
+}
+
 // A restarted controller has every job that it acknowledged, with its version, and finds the containers that run; a
 // retry of the request that created a job gets the same answer, and no version is given out twice.
 func TestKilledControllerRestoresJobsAndVersions(t *testing.T) {
@@ -24,38 +46,18 @@
 	}
 	running := func() bool { return f.count("state=running") == 5 }
 	f.until("five run", running)
-	ran := func() (n int) {
-		for _, m := range f.machines {
-			if s, ok := m.Status(); ok {
-				n += s.Running
-			}
-		}
-		return n
-	}
 	_, before := f.do("GET", "/v1/jobs", "")
-	crashed := t.TempDir() // the folder as a SIGKILL leaves it
-	if err := os.CopyFS(crashed, os.DirFS(f.config.StateDir)); err != nil {
-		t.Fatal(err)
-	}
-	f.controller.Stop()
-	f.config.StateDir = crashed
-	f.startController()
+	f.killController()
 	_, after := f.do("GET", "/v1/jobs", "")
 	if fmt.Sprint(before["items"]) != fmt.Sprint(after["items"]) {
 		t.Errorf("jobs were %v, are %v", before["items"], after["items"])
 	}
 	f.until("five run again", running)
-	if n := ran(); n != 5 {
+	if n := f.machinesRun(); n != 5 {
 		t.Errorf("%d run, 5 are wanted", n)
 	}
-	if status, again := f.do(
-		"POST",
-		"/v1/jobs",
-		text,
-		"Idempotency-Key",
-		"k1",
-	); status != 201 ||
-		again["version"] != made["version"] {
+	status, again := f.do("POST", "/v1/jobs", text, "Idempotency-Key", "k1")
+	if status != 201 || again["version"] != made["version"] {
 		t.Errorf("the retry got %d %v", status, again)
 	}
 	if status, _ := f.do("POST", "/v1/jobs", text, "Idempotency-Key", "k2"); status != 409 {
@@ -68,5 +70,5 @@
 	if v, _ := changed["version"].(float64); v <= before["version"].(float64) {
 		t.Errorf("version %v was given out again", v)
 	}
-	f.until("two run", func() bool { return ran() == 2 })
+	f.until("two run", func() bool { return f.machinesRun() == 2 })
 }
--- a/internal/controller/api/routes_test.go
+++ b/internal/controller/api/routes_test.go
@@ -1,28 +1,26 @@
 package api
 
 import (
+	"bytes"
 	"fmt"
+	"net/http"
 	"strings"
 	"testing"
 )
 
 func TestDescriptionIsServedAsItIs(t *testing.T) {
 	f := startFixture(t, 1)
-	response, body := f.get("/v1/openapi.yaml")
-	if response.StatusCode != 200 || response.Header.Get("Content-Type") != "application/yaml" ||
-		body != string(OpenAPI) {
-		t.Errorf("got %s, %q, %d bytes", response.Status, response.Header.Get("Content-Type"), len(body))
+	response := send(t, newRequest(t, http.MethodGet, f.api.URL+"/v1/openapi.yaml", ""))
+	body, contentType := response.read(t), response.header.Get("Content-Type")
+	if response.status != http.StatusOK || contentType != "application/yaml" || !bytes.Equal(body, OpenAPI) {
+		t.Errorf("got %d, %q, %d bytes", response.status, contentType, len(body))
 	}
 }
 
 func TestProblemOfAnUnknownPathNamesIt(t *testing.T) {
 	f := startFixture(t, 1)
-	if status, problem := f.do(
-		"PATCH",
-		"/v1/jobs",
-		"",
-	); status < 400 ||
-		!strings.Contains(fmt.Sprint(problem["detail"]), "PATCH /v1/jobs") {
+	status, problem := f.do("PATCH", "/v1/jobs", "")
+	if status < 400 || !strings.Contains(fmt.Sprint(problem["detail"]), "PATCH /v1/jobs") {
 		t.Errorf("got %d %v", status, problem)
 	}
 }
--- a/internal/controller/api/watch_test.go
+++ b/internal/controller/api/watch_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"bufio"
+	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -21,22 +23,25 @@
 	from := int64(list["version"].(float64))
 	f.do("POST", "/v1/jobs", job("a", 40, 0.2))
 	running, seen := map[string]int{}, map[int64]bool{}
+	apply := func(line containerLine) {
+		if line.Type == watchBookmark {
+			from = max(from, line.Version)
+			return
+		}
+		if seen[line.Version] || line.Version <= from {
+			t.Fatalf("version %d came twice, after %d", line.Version, from)
+		}
+		seen[line.Version], from = true, line.Version
+		if line.Object.State == "running" {
+			running[line.ID]++
+		}
+	}
 	for round := 0; len(running) < 40; round++ {
 		if round > 50 {
 			t.Fatalf("%d run after %d watches", len(running), round)
 		}
 		for _, line := range f.watchLines(from, 9) {
-			if line.Type == watchBookmark {
-				from = max(from, line.Version)
-				continue
-			}
-			if seen[line.Version] || line.Version <= from {
-				t.Fatalf("version %d came twice, after %d", line.Version, from)
-			}
-			seen[line.Version], from = true, line.Version
-			if line.Object.State == "running" {
-				running[line.ID]++
-			}
+			apply(line)
 		}
 	}
 	for id, n := range running {
@@ -57,15 +62,14 @@
 // watchLines watches containers from a version and cuts the watch after some lines, or after its first bookmark.
 func (f *fixture) watchLines(from int64, limit int) (lines []containerLine) {
 	f.Helper()
-	response, err := http.Get(fmt.Sprintf("%s/v1/watch?kinds=containers&from=%d", f.api.URL, from))
-	if err != nil {
-		f.Fatal(err)
-	}
-	defer closeBody(f, response)
-	if response.StatusCode != http.StatusOK {
-		f.Fatalf("watch from %d: %s", from, response.Status)
-	}
-	for scanner := bufio.NewScanner(response.Body); len(lines) < limit && scanner.Scan(); {
+	url := fmt.Sprintf("%s/v1/watch?kinds=containers&from=%d", f.api.URL, from)
+	ctx, cut := context.WithCancel(f.Context())
+	defer cut()
+	response := send(f, newRequest(f, http.MethodGet, url, "").WithContext(ctx))
+	if response.status != http.StatusOK {
+		f.Fatalf("watch from %d: %d", from, response.status)
+	}
+	for scanner := bufio.NewScanner(response.body); len(lines) < limit && scanner.Scan(); {
 		var line containerLine
 		if err := json.Unmarshal(scanner.Bytes(), &line); err != nil {
 			f.Fatal(err)
@@ -91,16 +95,9 @@
 
 func TestStalledReaderHoldsUpNoOther(t *testing.T) {
 	f := startFixture(t, 1)
-	stalled, err := http.Get(f.api.URL + "/v1/watch?kinds=jobs")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer closeBody(t, stalled)
-	live, err := http.Get(f.api.URL + "/v1/watch?kinds=jobs")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer closeBody(t, live)
+	url := f.api.URL + "/v1/watch?kinds=jobs"
+	send(t, newRequest(t, http.MethodGet, url, "")) // stalled: nobody reads it
+	live := send(t, newRequest(t, http.MethodGet, url, ""))
 	labels := fmt.Sprintf(`"labels":{"x":%q},`, strings.Repeat("y", 60))
 	const n = 3000
 	sent := make(chan struct{})
@@ -115,7 +112,7 @@
 			sendJob(t, method, f.api.URL+path, body)
 		}
 	}()
-	lines, got := bufio.NewScanner(live.Body), 0
+	lines, got := bufio.NewScanner(live.body), 0
 	for got < n && lines.Scan() {
 		if strings.Contains(lines.Text(), `"changed"`) {
 			got++
@@ -127,9 +124,10 @@
 	}
 }
 
-// sendJob sends a job and drops the answer.
+// sendJob sends a job and drops the answer. It may be called beside the test.
 func sendJob(t *testing.T, method, url, body string) {
-	request, err := http.NewRequest(method, url, strings.NewReader(body))
+	t.Helper()
+	request, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
 	if err != nil {
 		t.Error(err)
 		return
@@ -139,8 +137,8 @@
 		t.Error(err)
 		return
 	}
-	defer closeBody(t, response)
-	if _, err := io.Copy(io.Discard, response.Body); err != nil {
+	_, err = io.Copy(io.Discard, response.Body)
+	if err = errors.Join(err, response.Body.Close()); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/controller/pending/fleet.go
+++ b/internal/controller/pending/fleet.go
@@ -37,13 +37,8 @@
 func (e *explainer) explainZones() {
 	for _, z := range e.facts.Zones {
 		if z.Machines > 0 && z.Draining == z.Machines {
-			e.add(
-				CodeZoneDraining,
-				map[string]float64{"machines": float64(z.Machines)},
-				textZoneDraining,
-				z.Name,
-				z.Machines,
-			)
+			details := map[string]float64{"machines": float64(z.Machines)}
+			e.add(CodeZoneDraining, details, textZoneDraining, z.Name, z.Machines)
 		}
 	}
 }
@@ -70,10 +65,8 @@
 		scarce = "memory"
 	}
 	details := map[string]float64{
-		"machines":        float64(inService),
-		"full":            float64(full),
-		"short_of_cores":  float64(x.InsufficientCores),
-		"short_of_memory": float64(x.InsufficientMemory),
+		"machines": float64(inService), "full": float64(full),
+		"short_of_cores": float64(x.InsufficientCores), "short_of_memory": float64(x.InsufficientMemory),
 	}
 	e.add(CodeNoCapacity, details, textNoCapacity, full, inService, scarce, x.InsufficientCores, x.InsufficientMemory)
 }
@@ -103,9 +96,7 @@
 		return
 	}
 	details := map[string]float64{
-		"resting": float64(x.Ejected),
-		"shun_it": float64(x.Suspected),
-		"closing": float64(x.SelfDraining),
+		"resting": float64(x.Ejected), "shun_it": float64(x.Suspected), "closing": float64(x.SelfDraining),
 	}
 	e.add(CodeMachinesEjected, details, textMachinesEjected, n, x.Ejected, x.Suspected, x.SelfDraining)
 }
@@ -113,11 +104,7 @@
 func (e *explainer) explainLoadShedding() {
 	x := &e.facts.Explanation
 	if x.SheddingLoad {
-		e.add(
-			CodeLoadShedding,
-			map[string]float64{"share_without_room": x.FullRatio},
-			textLoadShedding,
-			100*x.FullRatio,
-		)
+		details := map[string]float64{"share_without_room": x.FullRatio}
+		e.add(CodeLoadShedding, details, textLoadShedding, 100*x.FullRatio)
 	}
 }
--- a/internal/controller/pending/golden_test.go
+++ b/internal/controller/pending/golden_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"math/rand/v2"
+	"strconv"
 	"strings"
 	"testing"
 
@@ -24,14 +25,17 @@
 			now, facts := randomFacts(random, group)
 			all := Explain(now, facts)
 			reasons += len(all)
+			var text []byte
 			for _, r := range all {
 				line, err := json.Marshal(r) // figures in order of their names
 				if err != nil {
 					t.Fatal(err)
 				}
-				fmt.Fprintf(sum, "%s %d\n", line, r.Until)
+				text = fmt.Appendf(text, "%s %d\n", line, r.Until)
+			}
+			if _, err := sum.Write(append(text, '\n')); err != nil {
+				t.Fatal(err)
 			}
-			sum.Write([]byte{'\n'})
 		}
 		fmt.Fprintf(&got, "group %d: %d reasons, sha256 %s\n", group, reasons, sum.Sum())
 	}
@@ -80,7 +84,7 @@
 		x.WrongMachineType, x.TooSmall, x.Draining = 0, 0, x.Machines
 	}
 	for zone := range upTo(3) {
-		z := Zone{Name: fmt.Sprint(zone), Machines: upTo(most)}
+		z := Zone{Name: strconv.Itoa(zone), Machines: upTo(most)}
 		z.Draining = upTo(z.Machines)
 		if chance(0.3) {
 			z.Draining = z.Machines
--- a/internal/controller/pending/pending.go
+++ b/internal/controller/pending/pending.go
@@ -93,14 +93,8 @@
 	c := &e.facts.Container
 	switch c.State {
 	case controller.StateFencing:
-		e.addUntil(
-			CodeFencing,
-			c.Until,
-			map[string]float64{"seconds": seconds(e.remaining())},
-			textFencing,
-			c.LastStatus,
-			seconds(e.remaining()),
-		)
+		left := seconds(e.remaining())
+		e.addUntil(CodeFencing, c.Until, map[string]float64{"seconds": left}, textFencing, c.LastStatus, left)
 	case controller.StateUnobserved:
 		e.addUntil(CodeUnobserved, c.Until, nil, textUnobserved)
 	case controller.StatePlacing:
@@ -108,6 +102,7 @@
 		e.add(CodePlacing, map[string]float64{"seconds": age}, textPlacing, age)
 	case controller.StatePending:
 		e.explainPending()
+	case controller.StateRunning, controller.StateCompleted: // have no reasons
 	}
 }
 
--- a/internal/controller/pending/pending_test.go
+++ b/internal/controller/pending/pending_test.go
@@ -12,25 +12,21 @@
 
 const second = scheduler.Second
 
-// explained are the facts about a container that was rejected twice, at 5 s, in a fleet of ten machines.
-func explained(change func(x *scheduler.Explanation)) Facts {
-	x := scheduler.Explanation{Machines: 10}
-	change(&x)
-	container := controller.Container{
-		State:      controller.StatePending,
-		Until:      7 * second,
-		Attempts:   2,
-		LastStatus: "pushed back",
-	}
+// fleet are the facts about a container that was rejected twice, at 5 s, with an explanation that is of ten machines.
+func fleet(x scheduler.Explanation) Facts {
+	x.Machines = 10
 	return Facts{
-		Container: container, Schedulers: 2, SchedulersConnected: 2, SchedulerConnected: true, Explained: true,
+		Container: controller.Container{
+			State: controller.StatePending, Until: 7 * second, Attempts: 2, LastStatus: "pushed back",
+		},
+		Schedulers: 2, SchedulersConnected: 2, SchedulerConnected: true, Explained: true,
 		Explanation: x, SlowStartWindow: 3 * second,
 	}
 }
 
 // fullFleet are the facts where no machine has room, with a change.
 func fullFleet(change func(f *Facts)) Facts {
-	f := explained(func(x *scheduler.Explanation) { x.InsufficientCores, x.InsufficientMemory = 2, 8 })
+	f := fleet(explanation{InsufficientCores: 2, InsufficientMemory: 8})
 	change(&f)
 	return f
 }
@@ -40,6 +36,13 @@
 	return fullFleet(func(f *Facts) { f.Container.Refused, f.Container.LastStatus = true, "turned away: "+message })
 }
 
+// inState are the facts about a container in a state of the controller, with a scheduler that was not asked.
+func inState(state controller.ContainerState) Facts {
+	return Facts{Container: controller.Container{State: state}, SchedulersConnected: 1}
+}
+
+type explanation = scheduler.Explanation
+
 // explainCase is what is known, the codes of all reasons in order, and a part of their texts.
 type explainCase struct {
 	name     string
@@ -49,6 +52,7 @@
 }
 
 func (tc explainCase) run(t *testing.T) {
+	t.Helper()
 	var codes, texts []string
 	for _, r := range Explain(5*second, tc.facts) {
 		codes = append(codes, string(r.Code))
@@ -66,8 +70,8 @@
 	mayRun := &recovery.MayRunError{Key: "k", Machine: "m", SilentFor: 900 * scheduler.Millisecond}
 	recovering := &recovery.RecoveringError{Uptime: second}
 	for _, tc := range []explainCase{
-		{"running", Facts{Container: controller.Container{State: controller.StateRunning}}, "", ""},
-		{"just requested", Facts{Container: controller.Container{State: controller.StatePending}, SchedulersConnected: 1}, "unknown", ""},
+		{"running", inState(controller.StateRunning), "", ""},
+		{"just requested", inState(controller.StatePending), "unknown", ""},
 		{"fencing", fullFleet(func(f *Facts) {
 			f.Container.State, f.Container.Until = controller.StateFencing, 11*second
 		}), "guard no_room", "for another 6.0 s"},
@@ -80,57 +84,37 @@
 		{"being placed", fullFleet(func(f *Facts) {
 			f.Container.State, f.Explained, f.Container.Since = controller.StatePlacing, false, 4*second
 		}), "being_placed", "for 1.0 s"},
-		{"refused, as a machine has not reported", refused(mayRun.Error()), "unsure no_room backing_off", "may run on machine m"},
-		{"refused, as the scheduler has just started", refused(recovering.Error()), "unsure no_room backing_off", "does not know yet"},
-		{"refused, as the client has too many requests", refused("9 containers are open"), "no_room turned_away backing_off", ""},
+		{"refused, machine silent", refused(mayRun.Error()), "unsure no_room backing_off", "may run on machine m"},
+		{"refused, recovering", refused(recovering.Error()), "unsure no_room backing_off", "does not know yet"},
+		{"refused, too many requests", refused("9 containers are open"), "no_room turned_away backing_off", ""},
 	} {
 		t.Run(tc.name, tc.run)
 	}
 }
 
 func TestReasonsFollowTheFleet(t *testing.T) {
-	unchanged := func(*Facts) {}
-	manyReasons := explained(func(x *scheduler.Explanation) {
-		x.Draining, x.InsufficientMemory, x.SpreadExhausted, x.SlowStartExhausted = 4, 2, 3, 1
-	})
+	manyReasons := fleet(explanation{Draining: 4, InsufficientMemory: 2, SpreadExhausted: 3, SlowStartExhausted: 1})
 	manyReasons.Zones = []Zone{{"north", 4, 4}, {"south", 6, 0}}
+	noCapacity := fullFleet(func(*Facts) {})
+	stale := fullFleet(func(f *Facts) { f.ListAge = 9 * second })
+	backingOff := fleet(explanation{Eligible: 1, InsufficientCores: 9})
+	wrongType := fleet(explanation{WrongMachineType: 10})
+	draining := fleet(explanation{WrongMachineType: 6, Draining: 4})
+	spread := fleet(explanation{SpreadExhausted: 10})
+	slowStart := fleet(explanation{SlowStartExhausted: 10})
+	ejected := fleet(explanation{Ejected: 4, Suspected: 6})
+	shedding := fleet(explanation{Eligible: 2, SheddingLoad: true, FullRatio: 0.4})
+	const noRoom = "10 of 10 machines have no room: memory is short (2 lack cores, 8 memory)"
 	for _, tc := range []explainCase{
-		{
-			"no capacity", fullFleet(unchanged), "no_room backing_off",
-			"10 of 10 machines have no room: memory is short (2 lack cores, 8 memory)",
-		},
-		{
-			"capacity, and the backoff is not over", explained(func(x *scheduler.Explanation) { x.Eligible, x.InsufficientCores = 1, 9 }),
-			"backing_off", "after 2 tries the next is in 2.0 s",
-		},
-		{
-			"no machine of its type", explained(func(x *scheduler.Explanation) { x.WrongMachineType = 10 }), "no_machine backing_off",
-			"None of the 10 machines",
-		},
-		{
-			"machines of its type drain", explained(func(x *scheduler.Explanation) { x.WrongMachineType, x.Draining = 6, 4 }),
-			"no_machine backing_off", "All 4 machines that could run it drain",
-		},
-		{
-			"spread exhausted", explained(func(x *scheduler.Explanation) { x.SpreadExhausted = 10 }), "spread_full backing_off",
-			"On 10 of 10 machines",
-		},
-		{
-			"slow start exhausted", explained(func(x *scheduler.Explanation) { x.SlowStartExhausted = 10 }), "cold_budget backing_off",
-			"every 3.0 s",
-		},
-		{
-			"machines ejected", explained(func(x *scheduler.Explanation) { x.Ejected, x.Suspected = 4, 6 }), "machines_sick backing_off",
-			"4 look sick, 6 leave",
-		},
-		{
-			"load is shed", explained(func(x *scheduler.Explanation) { x.Eligible, x.SheddingLoad, x.FullRatio = 2, true, 0.4 }),
-			"low_gain backing_off", "40%",
-		},
-		{
-			"stale machine list", fullFleet(func(f *Facts) { f.ListAge = 9 * second }), "no_room list_away backing_off",
-			"not been heard for 9 s",
-		},
+		{"no capacity", noCapacity, "no_room backing_off", noRoom},
+		{"capacity, and the backoff is not over", backingOff, "backing_off", "after 2 tries the next is in 2.0 s"},
+		{"no machine of its type", wrongType, "no_machine backing_off", "None of the 10 machines"},
+		{"machines of its type drain", draining, "no_machine backing_off", "All 4 machines that could run it drain"},
+		{"spread exhausted", spread, "spread_full backing_off", "On 10 of 10 machines"},
+		{"slow start exhausted", slowStart, "cold_budget backing_off", "every 3.0 s"},
+		{"machines ejected", ejected, "machines_sick backing_off", "4 look sick, 6 leave"},
+		{"load is shed", shedding, "low_gain backing_off", "40%"},
+		{"stale machine list", stale, "no_room list_away backing_off", "not been heard for 9 s"},
 		{
 			"four at once", manyReasons, "hall_drains no_room spread_full cold_budget backing_off",
 			"Hall north is under maintenance: all of its 4 machines drain",
--- a/internal/controller/server/jobregistry.go
+++ b/internal/controller/server/jobregistry.go
@@ -57,22 +57,23 @@
 			g.storage.rememberJob(change.job, record)
 			g.publisher.release(published)
 		}
-		change.done(published.version, err)
+		change.done(published.object.Version, err)
 		g.startWaiting(change.job)
 	})
 }
 
 // publish queues the new state of a job, or its deletion, until it is stored. The record gets its version.
 func (g *jobRegistry) publish(id string, current *Job, record *JobRecord) *publication {
-	published := &publication{kind: KindJobs, id: id}
+	published := &publication{object: watchcache.Object{Kind: KindJobs, ID: id}}
+	object := &published.object
 	if record == nil {
-		published.value, published.deleted = *current, true
+		object.Value, object.Deleted = *current, true
 		g.publisher.add(published)
 		return published
 	}
 	g.publisher.add(published)
-	record.Job.Version = published.version
-	published.value = record.Job
+	record.Job.Version = object.Version
+	object.Value = record.Job
 	return published
 }
 
--- a/internal/controller/server/publisher.go
+++ b/internal/controller/server/publisher.go
@@ -11,11 +11,8 @@
 
 // publication is a change of the cache that has its version.
 type publication struct {
-	version  int64
-	kind, id string
-	value    any
-	deleted  bool
-	state    publicationState
+	object watchcache.Object
+	state  publicationState
 }
 
 type publicationState uint8
@@ -28,17 +25,18 @@
 
 // put publishes an object that need not be on disk first.
 func (p *publisher) put(kind, id string, value any) {
-	p.add(&publication{kind: kind, id: id, value: value, state: publicationReady})
+	p.add(&publication{object: watchcache.Object{Kind: kind, ID: id, Value: value}, state: publicationReady})
 }
 
 // delete publishes the end of an object that need not be on disk first.
 func (p *publisher) delete(kind, id string, value any) {
-	p.add(&publication{kind: kind, id: id, value: value, deleted: true, state: publicationReady})
+	object := watchcache.Object{Kind: kind, ID: id, Value: value, Deleted: true}
+	p.add(&publication{object: object, state: publicationReady})
 }
 
 // add gives a change its version and queues it.
 func (p *publisher) add(change *publication) {
-	change.version = p.cache.ReserveVersion()
+	change.object.Version = p.cache.ReserveVersion()
 	p.queue = append(p.queue, change)
 	p.flush()
 }
@@ -60,7 +58,7 @@
 		change := p.queue[0]
 		p.queue = p.queue[1:]
 		if change.state == publicationReady {
-			p.cache.Apply(change.version, change.kind, change.id, change.value, change.deleted)
+			p.cache.Apply(change.object)
 		}
 	}
 }
--- a/internal/controller/server/publisher_test.go
+++ b/internal/controller/server/publisher_test.go
@@ -5,13 +5,14 @@
 	"testing"
 
 	"glenport/internal/controller/pending"
+	"glenport/internal/controller/watchcache"
 	"glenport/internal/protocol"
 )
 
 func TestPublicationWaitsForThoseBeforeIt(t *testing.T) {
 	s := openServer(t)
-	first := &publication{kind: KindJobs, id: "first", value: Job{}}
-	second := &publication{kind: KindJobs, id: "second", value: Job{}}
+	first := &publication{object: watchcache.Object{Kind: KindJobs, ID: "first", Value: Job{}}}
+	second := &publication{object: watchcache.Object{Kind: KindJobs, ID: "second", Value: Job{}}}
 	s.publisher.add(first)
 	s.publisher.add(second)
 	s.publisher.put(KindMachines, "m", Machine{})
--- a/internal/controller/server/restore.go
+++ b/internal/controller/server/restore.go
@@ -4,6 +4,7 @@
 	"fmt"
 
 	"glenport/internal/controller"
+	"glenport/internal/controller/watchcache"
 	"glenport/internal/storage/wal"
 
 	"github.com/fxamacker/cbor/v2"
@@ -41,7 +42,7 @@
 			return fmt.Errorf("job %s does not fit the scheduler configuration: %w", id, err)
 		}
 		st.jobs[id] = record
-		st.cache.Apply(record.Job.Version, KindJobs, id, record.Job, false)
+		st.cache.Apply(watchcache.Object{Kind: KindJobs, ID: id, Version: record.Job.Version, Value: record.Job})
 		jobs = append(jobs, controller.JobSet{Job: id, Count: record.Job.Count, Spec: spec})
 		return nil
 	})
--- a/internal/controller/watchcache/watchcache.go
+++ b/internal/controller/watchcache/watchcache.go
@@ -84,12 +84,12 @@
 	return c.version
 }
 
-// Apply makes a change whose version was reserved. Before any other change, an object of an earlier process may be
-// restored with the version that it had there.
-func (c *Cache) Apply(version int64, kind, id string, value any, deleted bool) {
+// Apply makes the change to an object version whose number was reserved. Before any other change, an object of an
+// earlier process may be restored with the version that it had there.
+func (c *Cache) Apply(o Object) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.applyLocked(version, kind, id, value, deleted)
+	c.applyLocked(&o)
 }
 
 // Put creates or updates an object and returns its new version.
@@ -97,7 +97,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastReserved++
-	c.applyLocked(c.lastReserved, kind, id, value, false)
+	c.applyLocked(&Object{Kind: kind, ID: id, Version: c.lastReserved, Value: value})
 	return c.lastReserved
 }
 
@@ -107,14 +107,13 @@
 	if o == nil {
 		return false
 	}
-	c.Apply(c.ReserveVersion(), kind, id, o.Value, true)
+	c.Apply(Object{Kind: kind, ID: id, Version: c.ReserveVersion(), Value: o.Value, Deleted: true})
 	return true
 }
 
-func (c *Cache) applyLocked(version int64, kind, id string, value any, deleted bool) {
-	restored := version <= c.history.compacted // of an earlier process: no watcher can have asked for it
-	c.version = max(c.version, version)
-	o := &Object{Kind: kind, ID: id, Version: version, Value: value, Deleted: deleted}
+func (c *Cache) applyLocked(o *Object) {
+	restored := o.Version <= c.history.compacted // of an earlier process: no watcher can have asked for it
+	c.version = max(c.version, o.Version)
 	o.watchEvent = c.encode(o)
 	c.storeLocked(o)
 	if restored {
@@ -150,29 +149,40 @@
 	return nil
 }
 
-// List returns up to limit objects of a kind that match, in the order of their IDs, beginning behind the ID after. It
-// also returns the version as of which the list holds, and whether more objects match.
-func (c *Cache) List(
-	kind, after string,
-	limit int,
-	match func(*Object) bool,
-) (list []*Object, version int64, more bool) {
-	objects, version := c.snapshot(kind)
+// Query selects objects for a list.
+type Query struct {
+	Kind  string
+	After string // the ID behind which the list begins; empty: at the first
+	Limit int    // on the number of objects
+	Match func(*Object) bool
+}
+
+// Page is the result of a query, in the order of IDs.
+type Page struct {
+	Objects []*Object
+	Version int64 // as of which the list holds
+	More    bool  // objects match that are beyond the limit
+}
+
+// List returns the objects that a query selects.
+func (c *Cache) List(q Query) Page {
+	objects, version := c.snapshot(q.Kind)
+	page := Page{Version: version}
 	if objects == nil {
-		return nil, version, false
+		return page
 	}
-	objects.Ascend(after, func(id string, o *Object) bool {
-		if id == after && after != "" || !match(o) {
+	objects.Ascend(q.After, func(id string, o *Object) bool {
+		if id == q.After && q.After != "" || !q.Match(o) {
 			return true
 		}
-		if len(list) == limit {
-			more = true
+		if len(page.Objects) == q.Limit {
+			page.More = true
 			return false
 		}
-		list = append(list, o)
+		page.Objects = append(page.Objects, o)
 		return true
 	})
-	return list, version, more
+	return page
 }
 
 // snapshot returns a copy of the objects of a kind (nil where there never was one) that shares its nodes with them.
--- a/internal/controller/watchcache/watchcache_test.go
+++ b/internal/controller/watchcache/watchcache_test.go
@@ -15,9 +15,10 @@
 func TestListIsPagedAndWatchResumesAfterVersion(t *testing.T) {
 	c := New(func(o *Object) []byte { return []byte(o.ID) })
 	fill(c, 10)
-	all, version, more := c.List("jobs", "j000002", 3, func(o *Object) bool { return o.Value.(int)%2 == 1 })
-	if len(all) != 3 || all[0].ID != "j000003" || !more || version != 10 {
-		t.Errorf("%d, %d, %t", len(all), version, more)
+	odd := func(o *Object) bool { return o.Value.(int)%2 == 1 }
+	page := c.List(Query{Kind: "jobs", After: "j000002", Limit: 3, Match: odd})
+	if len(page.Objects) != 3 || page.Objects[0].ID != "j000003" || !page.More || page.Version != 10 {
+		t.Errorf("got %+v", page)
 	}
 	w, err := c.Watch(8, "jobs")
 	if err != nil {
