--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -1,6 +1,7 @@
 package eventloop
 
 import (
+	"io"
 	"net/netip"
 
 	"golang.org/x/sys/unix"
@@ -23,56 +24,49 @@
 
 // Conn is one TCP connection, accepted or dialed.
 //
-// It ends by one path: fail marks it closed, notifies the handler and queues it, and the flush of the same iteration
-// releases its descriptor.
+// Its state and the transitions stand in the package's doc. It ends by one path: fail closes it, notifies the handler
+// and queues it, and the flush of the same iteration releases its descriptor.
 type Conn struct {
-	loop          *Loop
-	fd            int // -1: not connected, or released
-	handler       Handler
-	output        []byte // pending, maxOutput bytes at most
-	maxOutput     int
-	connectTimer  *Timer // not nil while the handshake lasts
-	open          bool   // the handshake has succeeded
-	writeBlocked  bool   // the peer must take output before more is written
-	flushQueued   bool   // it is in the loop's flushQueue
-	closed        bool
-	closeReported bool  // the handler's Closed was called
-	closeReason   error // not nil: the connection closes for it once its output is written
-	readPaused    bool
-	writeClosed   bool // the write side is shut down once its output is written
-	closeTimer    *Timer
-	bytesRead     int
-	bytesWritten  int
+	loop         *Loop
+	fd           int // -1: not connected, or released
+	handler      Handler
+	state        connState
+	output       output
+	readPaused   bool
+	flushQueued  bool   // it is in the loop's flushQueue
+	connectTimer *Timer // runs while dialing
+	closeTimer   *Timer // runs while half-closed and closing
+	bytesRead    int
 }
 
 // Write queues all of p to be written at the end of the iteration, or nothing: it returns ErrOutputFull where the limit
 // of pending output would be exceeded, ErrClosed after Close, Reset or CloseWrite and once the connection has ended. p
 // is copied.
 func (c *Conn) Write(p []byte) error {
-	if c.closed || c.closeReason != nil || c.writeClosed {
+	if c.state == connClosed || c.isFinishing() || c.output.ended {
 		return ErrClosed
 	}
-	if len(c.output)+len(p) > c.maxOutput {
+	if !c.output.add(p) {
 		return ErrOutputFull
 	}
-	c.output = append(c.output, p...)
 	c.queueFlush()
 	return nil
 }
 
 // CloseWrite shuts the write side down after the pending output; the peer may go on sending.
 func (c *Conn) CloseWrite() {
-	c.writeClosed = true
+	c.output.ended = true
 	c.queueFlush()
 }
 
 // SetReadPaused stops reading, or resumes it. While it is paused, a peer that hangs up is still read to its end.
 func (c *Conn) SetReadPaused(paused bool) {
-	if c.closed || c.readPaused == paused {
+	unchanged := c.readPaused == paused
+	if c.state == connClosed || unchanged {
 		return
 	}
 	c.readPaused = paused
-	if c.fd >= 0 && c.connectTimer == nil {
+	if c.state != connDialing {
 		c.updateEvents()
 	}
 }
@@ -80,12 +74,22 @@
 // Close ends the connection with ErrClosed once its pending output is written, at the latest after two seconds. Without
 // pending output, and before the connection is established, it ends at once and the handler is notified before Close
 // returns.
-func (c *Conn) Close() { c.closeAfterFlush(ErrClosed) }
+func (c *Conn) Close() {
+	switch c.state {
+	case connDialing:
+		c.fail(ErrClosed)
+	case connOpen:
+		c.closeAfterFlush(connClosing)
+	case connEnding:
+		c.closeAfterFlush(connHalfClosed)
+	case connHalfClosed, connClosing, connClosed: // it closes already
+	}
+}
 
 // Reset ends the connection with ErrClosed and drops its pending output; the peer receives a reset. The handler is
 // notified before Reset returns.
 func (c *Conn) Reset() {
-	if c.fd >= 0 && !c.closed {
+	if c.fd >= 0 && c.state != connClosed {
 		// Where the option is refused, the peer receives an orderly end in place of a reset.
 		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
@@ -102,16 +106,16 @@
 }
 
 // PendingOutput is the number of bytes accepted by Write and not yet written.
-func (c *Conn) PendingOutput() int { return len(c.output) }
+func (c *Conn) PendingOutput() int { return len(c.output.pending) }
 
 // BytesTransferred is the number of bytes read and written so far.
-func (c *Conn) BytesTransferred() (read, written int) { return c.bytesRead, c.bytesWritten }
+func (c *Conn) BytesTransferred() (read, written int) { return c.bytesRead, c.output.written }
 
 // WriteBlocked reports whether the peer has not taken all that was to be written by the last flush.
-func (c *Conn) WriteBlocked() bool { return c.writeBlocked }
+func (c *Conn) WriteBlocked() bool { return c.output.blocked }
 
 // IsOpen reports whether the connection is established and has not ended.
-func (c *Conn) IsOpen() bool { return c.open && !c.closed }
+func (c *Conn) IsOpen() bool { return c.isEstablished() }
 
 // queueFlush has the flush of this iteration write the output, or release a closed connection.
 func (c *Conn) queueFlush() {
@@ -121,35 +125,37 @@
 	}
 }
 
-// closeAfterFlush ends the connection once its output is written or closeFlushTimeout has passed.
-func (c *Conn) closeAfterFlush(reason error) {
-	if c.closed || c.closeReason != nil {
+// closeAfterFlush ends an established connection once its output is written or closeFlushTimeout has passed. It is
+// finishing meanwhile, in the state given.
+func (c *Conn) closeAfterFlush(finishing connState) {
+	if len(c.output.pending) == 0 {
+		c.fail(ErrClosed)
 		return
 	}
-	if len(c.output) == 0 || !c.open {
-		c.fail(reason)
-		return
-	}
-	c.closeReason = reason
-	c.closeTimer = c.loop.After(closeFlushTimeout, func() { c.fail(reason) })
+	c.transition(finishing)
+	c.closeTimer = c.loop.After(closeFlushTimeout, func() { c.fail(ErrClosed) })
 	c.updateEvents()
 	c.queueFlush()
 }
 
-// fail ends the connection at once, whatever is pending.
+// endByPeer notifies the handler at once, as the peer sends no more; the peer may still take the pending output.
+func (c *Conn) endByPeer() {
+	c.transition(connEnding)
+	c.handler.Closed(c, io.EOF)
+	if c.state == connEnding { // the handler has not closed it
+		c.closeAfterFlush(connHalfClosed)
+	}
+}
+
+// fail ends the connection at once, whatever is pending, and notifies the handler unless the peer's end has.
 func (c *Conn) fail(reason error) {
-	if c.closed {
+	if c.state == connClosed {
 		return
 	}
-	c.closed = true
+	notified := c.state == connEnding || c.state == connHalfClosed
+	c.transition(connClosed)
 	c.queueFlush()
-	c.reportClosed(reason)
-}
-
-// reportClosed notifies the handler, once.
-func (c *Conn) reportClosed(reason error) {
-	if !c.closeReported {
-		c.closeReported = true
+	if !notified {
 		c.handler.Closed(c, reason)
 	}
 }
@@ -162,7 +168,7 @@
 	c.loop.Cancel(c.connectTimer)
 	c.loop.Cancel(c.closeTimer)
 	c.loop.unregister(c.fd)
-	c.fd, c.output = -1, nil
+	c.fd, c.output.pending = -1, nil
 	c.loop.connCount--
 }
 
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -29,40 +29,54 @@
 	closedByEOF(t, handler)
 }
 
+// connectionEnds are ways in which a connection ends, with the reason that its handler is to receive.
+var connectionEnds = []struct {
+	name string
+	end  func(t *testing.T, l *Loop, c *Conn, peer *net.TCPConn)
+	want error
+}{
+	{"peer closes", func(t *testing.T, _ *Loop, _ *Conn, peer *net.TCPConn) {
+		t.Helper()
+		check(t, peer.Close())
+	}, io.EOF},
+	{"peer resets", func(t *testing.T, _ *Loop, _ *Conn, peer *net.TCPConn) {
+		t.Helper()
+		check(t, peer.SetLinger(0))
+		check(t, peer.Close())
+	}, ErrReset},
+	{"closed locally after the last byte", func(t *testing.T, l *Loop, c *Conn, peer *net.TCPConn) {
+		t.Helper()
+		l.Post(func() {
+			check(t, c.Write([]byte("last")))
+			c.Close()
+		})
+		expectEnd(t, peer, "last")
+	}, ErrClosed},
+	{"reset locally", func(t *testing.T, l *Loop, c *Conn, peer *net.TCPConn) {
+		t.Helper()
+		l.Post(c.Reset)
+		if _, err := io.ReadAll(peer); !errors.Is(err, syscall.ECONNRESET) {
+			t.Errorf("peer got %v", err)
+		}
+	}, ErrClosed},
+	{"write side closed locally, then by the peer", func(t *testing.T, l *Loop, c *Conn, peer *net.TCPConn) {
+		t.Helper()
+		l.Post(c.CloseWrite)
+		expectEnd(t, peer, "")
+		check(t, peer.Close())
+	}, io.EOF},
+}
+
+// expectEnd expects a peer to receive a text and an orderly end after it.
+func expectEnd(t *testing.T, peer *net.TCPConn, want string) {
+	t.Helper()
+	if got, err := io.ReadAll(peer); string(got) != want || err != nil {
+		t.Errorf("peer got %q, %v", got, err)
+	}
+}
+
 func TestEachEndIsReportedOnceWithItsReason(t *testing.T) {
-	for _, tc := range []struct {
-		name string
-		end  func(t *testing.T, l *Loop, c *Conn, peer *net.TCPConn)
-		want error
-	}{
-		{"peer closes", func(t *testing.T, _ *Loop, _ *Conn, peer *net.TCPConn) { check(t, peer.Close()) }, io.EOF},
-		{"peer resets", func(t *testing.T, _ *Loop, _ *Conn, peer *net.TCPConn) {
-			check(t, peer.SetLinger(0))
-			check(t, peer.Close())
-		}, ErrReset},
-		{"closed locally after the last byte", func(t *testing.T, l *Loop, c *Conn, peer *net.TCPConn) {
-			l.Post(func() {
-				check(t, c.Write([]byte("last")))
-				c.Close()
-			})
-			if got, err := io.ReadAll(peer); string(got) != "last" || err != nil {
-				t.Errorf("peer got %q, %v", got, err)
-			}
-		}, ErrClosed},
-		{"reset locally", func(t *testing.T, l *Loop, c *Conn, peer *net.TCPConn) {
-			l.Post(c.Reset)
-			if _, err := io.ReadAll(peer); !errors.Is(err, syscall.ECONNRESET) {
-				t.Errorf("peer got %v", err)
-			}
-		}, ErrClosed},
-		{"write side closed locally, then by the peer", func(t *testing.T, l *Loop, c *Conn, peer *net.TCPConn) {
-			l.Post(c.CloseWrite)
-			if got, err := io.ReadAll(peer); len(got) > 0 || err != nil {
-				t.Errorf("peer got %q, %v", got, err)
-			}
-			check(t, peer.Close())
-		}, io.EOF},
-	} {
+	for _, tc := range connectionEnds {
 		t.Run(tc.name, func(t *testing.T) {
 			l, handler := runLoop(t, func() {}), newProbe()
 			peer := dial(t, listen(t, l, handler, 1<<20, nil))
@@ -112,12 +126,7 @@
 	do(l, func() { check(t, c.Write(make([]byte, size))) })
 	do(l, func() { // in the iteration after the flush
 		if _, written := c.BytesTransferred(); !c.WriteBlocked() || written+c.PendingOutput() != size {
-			t.Errorf(
-				"write blocked %t with %d bytes written and %d pending",
-				c.WriteBlocked(),
-				written,
-				c.PendingOutput(),
-			)
+			t.Errorf("blocked %t, %d bytes written, %d pending", c.WriteBlocked(), written, c.PendingOutput())
 		}
 	})
 	if n, err := io.ReadFull(peer, make([]byte, size)); err != nil {
@@ -175,13 +184,7 @@
 			closedByEOF(t, handler.probe)
 			do(l, func() {
 				if read != tc.sent || first != last {
-					t.Errorf(
-						"%d of %d bytes were read, first in iteration %d, closed in iteration %d",
-						read,
-						tc.sent,
-						first,
-						last,
-					)
+					t.Errorf("%d of %d bytes read, from iteration %d, closed in %d", read, tc.sent, first, last)
 				}
 			})
 		})
--- a/internal/eventloop/connio.go
+++ b/internal/eventloop/connio.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 
 	"golang.org/x/sys/unix"
 )
@@ -17,43 +16,40 @@
 )
 
 // updateEvents has epoll watch for what the state of the connection allows: input unless paused, the peer's hang-up
-// unless the connection is closing, room for output while writing is blocked.
+// unless the connection is finishing, room for output while writing is blocked.
 func (c *Conn) updateEvents() {
 	events := uint32(unix.EPOLLIN | unix.EPOLLRDHUP)
-	if c.closeReason != nil {
+	if c.isFinishing() {
 		events = 0
 	} else if c.readPaused {
 		events = unix.EPOLLRDHUP
 	}
-	if c.writeBlocked {
+	if c.output.blocked {
 		events |= unix.EPOLLOUT
 	}
 	c.loop.setEvents(c.fd, events)
 }
 
 func (c *Conn) handleEvents(events uint32) {
-	if c.closed {
-		return
-	}
-	if !c.open && c.connectTimer != nil {
+	switch c.state {
+	case connDialing:
 		c.finishConnect()
-		return
-	}
-	if events&unix.EPOLLOUT != 0 {
-		c.resumeWriting()
-	}
-	hungUp := events&hangUpEvents != 0
-	readable := events&unix.EPOLLIN != 0 && !c.readPaused
-	switch {
-	case !hungUp && !readable:
-		return
-	case c.closeReason != nil: // input is ignored; a peer that has ended both sides takes no more output
-		if events&failEvents != 0 {
-			c.fail(c.closeReason)
+	case connOpen:
+		c.resumeWritingOn(events)
+		c.handleInput(events)
+	case connHalfClosed, connClosing:
+		c.resumeWritingOn(events)
+		if events&failEvents != 0 { // a peer that has ended both sides takes no more output
+			c.fail(ErrClosed)
 		}
-	case hungUp:
+	case connEnding, connClosed: // nothing follows
+	}
+}
+
+func (c *Conn) handleInput(events uint32) {
+	if events&hangUpEvents != 0 {
 		c.readToEnd()
-	default:
+	} else if events&unix.EPOLLIN != 0 && !c.readPaused {
 		c.readOnce()
 	}
 }
@@ -76,60 +72,49 @@
 	case err != nil:
 		c.fail(fmt.Errorf("%w: %w", ErrReset, err))
 	case n == 0:
-		// The handler is notified at once, as the peer sends no more; the peer may still take the pending output.
-		c.reportClosed(io.EOF)
-		c.closeAfterFlush(io.EOF)
+		c.endByPeer()
 	default:
 		c.bytesRead += n
 		c.handler.Read(c, c.loop.buffer[:n])
 	}
-	return !c.closed && c.closeReason == nil
+	return c.state == connOpen
 }
 
-// resumeWriting follows an event that the peer takes output again.
-func (c *Conn) resumeWriting() {
-	c.writeBlocked = false
-	c.updateEvents()
-	c.queueFlush()
+// resumeWritingOn resumes writing if the events say that the peer takes output again.
+func (c *Conn) resumeWritingOn(events uint32) {
+	if events&unix.EPOLLOUT != 0 {
+		c.output.blocked = false
+		c.updateEvents()
+		c.queueFlush()
+	}
 }
 
 // flush writes the pending output with one write, and then closes what was to be closed after it.
 func (c *Conn) flush() {
-	if c.closed || c.writeBlocked || c.connectTimer != nil {
+	if !c.isEstablished() || c.output.blocked {
 		return
 	}
-	if len(c.output) > 0 && !c.writeOutput() {
+	if !c.writeOutput() {
 		return
 	}
-	if c.closeReason != nil {
-		c.fail(c.closeReason)
-	} else if c.writeClosed {
+	if c.isFinishing() {
+		c.fail(ErrClosed)
+	} else if c.output.ended {
 		c.shutdownWrite()
 	}
 }
 
-// writeOutput writes once and reports whether nothing is left; what is left waits for resumeWriting.
+// writeOutput writes the pending output once and reports whether nothing is left; what is left waits until the peer
+// takes output again.
 func (c *Conn) writeOutput() bool {
-	n, err := unix.Write(c.fd, c.output)
-	if err != nil {
-		if !isTransient(err) {
-			c.fail(fmt.Errorf("%w: %w", ErrReset, err))
-			return false
-		}
-		n = 0
-	}
-	c.bytesWritten += n
-	if n < len(c.output) {
-		c.output = append(c.output[:0], c.output[n:]...)
-		c.writeBlocked = true
-		c.updateEvents()
+	if err := c.output.write(c.fd); err != nil {
+		c.fail(fmt.Errorf("%w: %w", ErrReset, err))
 		return false
 	}
-	c.output = c.output[:0]
-	if cap(c.output) > readBufferSize {
-		c.output = nil // the memory of a burst is not kept
+	if c.output.blocked {
+		c.updateEvents()
 	}
-	return true
+	return !c.output.blocked
 }
 
 // shutdownWrite ends the write side. It fails only where the peer has reset the connection, which the next event
@@ -139,7 +124,7 @@
 // drainInput ends the write side and drops unread input: closing a socket with unread input sends a reset, by which the
 // peer may lose what it has not read yet.
 func (c *Conn) drainInput() {
-	if c.closed || !c.open {
+	if !c.isEstablished() {
 		return
 	}
 	c.shutdownWrite()
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -24,16 +24,16 @@
 	timeout Tick,
 	control func(fd int) error,
 ) *Conn {
-	conn := &Conn{loop: l, fd: -1, handler: handler, maxOutput: maxOutput}
+	conn := &Conn{loop: l, fd: -1, handler: handler, output: output{limit: maxOutput}}
 	l.countConn()
 	if err := conn.connect(addr, timeout, control); err != nil {
 		l.connCount--
-		conn.closed = true
+		conn.transition(connClosed)
 		kind := ErrConnectFailed
 		if isLocalResourceError(err) {
 			kind = ErrLocalResources
 		}
-		l.wheel.Schedule(l.now, func() { conn.reportClosed(fmt.Errorf("%w: %s: %w", kind, addr, err)) })
+		l.wheel.Schedule(l.now, func() { handler.Closed(conn, fmt.Errorf("%w: %s: %w", kind, addr, err)) })
 	}
 	return conn
 }
@@ -82,10 +82,10 @@
 		c.fail(fmt.Errorf("%w: %w", ErrConnectFailed, err))
 		return
 	}
-	c.open = true
+	c.transition(connOpen)
 	c.updateEvents()
 	c.handler.Opened(c)
-	if len(c.output) > 0 {
+	if len(c.output.pending) > 0 {
 		c.queueFlush()
 	}
 }
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -28,7 +28,7 @@
 // unusedAddr is an address at which nothing listens.
 func unusedAddr(t *testing.T) string {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -14,6 +14,27 @@
 // Loop.Post and Loop.Stop may be called from any goroutine. All else, including every method of Conn and Listener, may
 // be called only on the loop's goroutine: from a callback, or before Run begins.
 //
+// # States
+//
+// A connection, with the state that follows each event:
+//
+//	state        event                        next         what is done
+//	dialing      handshake succeeds           open         Handler.Opened
+//	dialing      handshake fails, Close       closed       Handler.Closed
+//	open         the peer closes its side     ending       Handler.Closed with io.EOF
+//	open         Close, output is pending     closing      the output is written first, for two seconds at most
+//	open         Close, Reset, a failure      closed       Handler.Closed
+//	ending       output is pending            half-closed  the output is written first, for two seconds at most
+//	ending       no output is pending         closed
+//	half-closed  output written, a failure    closed
+//	closing      output written, a failure    closed       Handler.Closed
+//
+// A connection that was accepted begins as open. The descriptor of a closed one is released by the flush of the same
+// iteration. A transition that is not listed is a *TransitionError, with which the connection ends.
+//
+// The loop is waiting, skipping the wait, draining or stopping: SkipWait, StopWhenIdle and Stop ask for the later ones,
+// the last of which counts, and each iteration begins as waiting.
+//
 // # Units
 //
 // Moments and spans are in Tick, tenths of a millisecond; sizes are in bytes. The loop's clock is monotonic and stands
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -36,6 +36,7 @@
 
 // newEcho is a probe that writes back what it reads.
 func newEcho(t *testing.T) *probe {
+	t.Helper()
 	p := newProbe()
 	p.onRead = func(c *Conn, received []byte) { check(t, c.Write(received)) }
 	return p
@@ -136,7 +137,7 @@
 
 func dial(t *testing.T, addr string) *net.TCPConn {
 	t.Helper()
-	c, err := net.Dial("tcp", addr)
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -109,7 +109,7 @@
 		closeFD(fd)
 		return
 	}
-	conn := &Conn{loop: ln.loop, fd: fd, handler: handler, maxOutput: maxOutput, open: true}
+	conn := &Conn{loop: ln.loop, fd: fd, handler: handler, state: connOpen, output: output{limit: maxOutput}}
 	setNoDelay(fd)
 	if err := ln.loop.register(fd, unix.EPOLLIN|unix.EPOLLRDHUP, conn); err != nil {
 		closeFD(fd)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"sync"
 	"time"
 
 	"golang.org/x/sys/unix"
@@ -19,30 +18,24 @@
 // Loop is one event loop. Create it with New and run it with Run.
 type Loop struct {
 	epollFD       int
-	wakeupFD      int // eventfd written by Post
 	spareFD       int // held back to refuse connections when descriptors run out; -1: there is none
 	accept4       func(fd, flags int) (int, unix.Sockaddr, error)
 	started       time.Time
 	base          Tick // the loop's clock at started
 	now           Tick
 	wheel         *TimerWheel
-	onIteration   func() // nil: Stop was called
+	state         loopState
+	onIteration   func()
 	onFlushed     func()
 	busy          time.Duration
 	iterations    int
-	skipWait      bool
-	stopWhenIdle  bool
+	posts         postQueue
 	sources       map[int]eventSource // by descriptor
 	flushQueue    []*Conn             // each at most once, see Conn.flushQueued
 	buffer        []byte              // for reading, shared by all connections
 	events        []unix.EpollEvent
 	connCount     int
 	peakConnCount int
-
-	mu            sync.Mutex // guards what follows
-	posted        []func()
-	wakeupPending bool
-	stopped       bool
 }
 
 // New creates a loop whose Run calls onIteration once in every iteration, after sockets and timers and before the
@@ -60,11 +53,11 @@
 	now := time.Now()
 	l := &Loop{
 		epollFD:     epollFD,
-		wakeupFD:    wakeupFD,
 		accept4:     unix.Accept4,
 		started:     now,
 		base:        Tick(now.UnixMicro() / microsecondsPerTick),
 		onIteration: onIteration,
+		posts:       postQueue{wakeupFD: wakeupFD},
 		sources:     map[int]eventSource{},
 		buffer:      make([]byte, readBufferSize),
 		events:      make([]unix.EpollEvent, maxEventsPerIteration),
@@ -83,15 +76,15 @@
 // for events failed. It closes every connection and listener before it returns. It is called once.
 func (l *Loop) Run() error {
 	defer l.shutdown()
-	for l.onIteration != nil {
+	for l.state != loopStopping {
 		ready, err := unix.EpollWait(l.epollFD, l.events, l.waitTimeout())
 		if err != nil && !errors.Is(err, unix.EINTR) {
 			return fmt.Errorf("epoll: %w", err)
 		}
-		if l.stopWhenIdle && ready == 0 {
+		if l.state == loopDraining && ready == 0 {
 			return nil
 		}
-		l.stopWhenIdle = false
+		l.state = loopWaiting
 		l.iterate(max(ready, 0))
 	}
 	return nil
@@ -100,12 +93,11 @@
 // iterate runs one iteration on the first ready entries of events, in the order that the package promises.
 func (l *Loop) iterate(ready int) {
 	began := time.Since(l.started)
-	l.skipWait = false
 	l.now = max(l.now, l.readClock())
-	l.runPosted()
+	l.posts.run()
 	l.dispatch(ready)
 	l.wheel.Advance(l.now)
-	if l.onIteration != nil {
+	if l.state != loopStopping {
 		l.onIteration()
 	}
 	l.flushConns()
@@ -119,10 +111,12 @@
 // flushConns writes the output of queued connections. A connection that closes while the queue is worked off is
 // appended to it, and released by the same call.
 func (l *Loop) flushConns() {
-	for i := 0; i < len(l.flushQueue); i++ {
-		c := l.flushQueue[i]
+	flushed := 0
+	for flushed < len(l.flushQueue) {
+		c := l.flushQueue[flushed]
+		flushed++
 		c.flushQueued = false
-		if c.closed {
+		if c.state == connClosed {
 			c.release()
 		} else {
 			c.flush()
@@ -135,16 +129,22 @@
 func (l *Loop) OnFlushed(callback func()) { l.onFlushed = callback }
 
 // SkipWait makes the next iteration begin without waiting for an event.
-func (l *Loop) SkipWait() { l.skipWait = true }
+func (l *Loop) SkipWait() { l.request(loopSkippingWait) }
 
 // StopWhenIdle ends Run after this iteration if no event has arrived by then. Else one more iteration handles what
 // arrived, and may call StopWhenIdle again. So nothing that a peer had written is left unhandled.
-func (l *Loop) StopWhenIdle() { l.stopWhenIdle = true }
+func (l *Loop) StopWhenIdle() { l.request(loopDraining) }
+
+// Stop ends Run after the iteration that handles the call; what was written until then is flushed once more. Any
+// goroutine may call it.
+func (l *Loop) Stop() {
+	l.Post(func() { l.request(loopStopping) })
+}
 
 // shutdown ends Run: what can be written at once is written, handlers are notified with ErrClosed, and every descriptor
 // is closed.
 func (l *Loop) shutdown() {
-	l.refusePosts()
+	l.posts.close()
 	for _, source := range l.sources {
 		source.shutdown()
 	}
--- a/internal/eventloop/md5_test.go
+++ b/internal/eventloop/md5_test.go
@@ -7,18 +7,18 @@
 	"testing"
 )
 
-// Where the kernel has no signatures SetTCPMD5Key must fail, so that no socket is used unsigned by mistake.
-func TestMD5KeyConnectsOnlyPeersWithTheSameKey(t *testing.T) {
-	local := netip.MustParseAddr("127.0.0.1")
-	l, handler := runLoop(t, func() {}), newProbe()
-	var refused error
+var loopback = netip.MustParseAddr("127.0.0.1")
+
+// listenWithMD5Key opens a listener with a key for its peers, and returns the error where the kernel refuses the key.
+func listenWithMD5Key(t *testing.T, l *Loop, handler Handler, key string) (addr string, refused error) {
+	t.Helper()
 	ln := call(l, func() *Listener {
 		ln, err := l.Listen("127.0.0.1:0", func() (Handler, int) { return handler, 1000 }, nil)
 		if err != nil {
 			t.Error(err)
 			return nil
 		}
-		refused = SetTCPMD5Key(ln.FD(), local, "secret")
+		refused = SetTCPMD5Key(ln.FD(), loopback, key)
 		return ln
 	})
 	if ln == nil {
@@ -27,42 +27,59 @@
 	if refused != nil && !errors.Is(refused, ErrMD5Unavailable) {
 		t.Errorf("refused by %v", refused)
 	}
+	return ln.Addr().String(), refused
+}
+
+// dialWithMD5Key dials with a key, or without one if it is empty.
+func dialWithMD5Key(l *Loop, addr, key string) *probe {
+	dialer := newProbe()
+	l.Post(func() {
+		l.DialWithControl(addr, dialer, 1000, 300*Millisecond, func(fd int) error {
+			if key == "" {
+				return nil
+			}
+			return SetTCPMD5Key(fd, loopback, key)
+		})
+	})
+	return dialer
+}
+
+func expectConnectFailure(t *testing.T, dialer *probe) {
+	t.Helper()
+	if reason := wait(t, dialer.closed); !errors.Is(reason, ErrConnectFailed) {
+		t.Errorf("closed by %v", reason)
+	}
+}
+
+// Where the kernel has no signatures SetTCPMD5Key must fail, so that no socket is used unsigned by mistake.
+func TestMD5KeyConnectsOnlyPeersWithTheSameKey(t *testing.T) {
+	l, handler := runLoop(t, func() {}), newProbe()
+	addr, refused := listenWithMD5Key(t, l, handler, "secret")
 	for _, tc := range []struct {
 		name, key string
 		connects  bool
 	}{{"the same key", "secret", true}, {"another key", "other", false}, {"no key", "", false}} {
 		t.Run(tc.name, func(t *testing.T) {
-			dialer := newProbe()
-			l.Post(func() {
-				l.DialWithControl(ln.Addr().String(), dialer, 1000, 300*Millisecond, func(fd int) error {
-					if tc.key == "" {
-						return nil
-					}
-					return SetTCPMD5Key(fd, local, tc.key)
-				})
-			})
+			dialer := dialWithMD5Key(l, addr, tc.key)
 			if refused != nil && tc.key != "" {
-				if reason := wait(t, dialer.closed); !errors.Is(reason, ErrConnectFailed) {
-					t.Errorf("closed by %v", reason)
-				}
-				t.Skipf("not offered here: %v", refused)
+				expectConnectFailure(t, dialer)
 			}
 			if refused != nil {
-				t.Skip("not offered here")
+				t.Skipf("not offered here: %v", refused)
 			}
 			if tc.connects {
 				wait(t, dialer.opened)
-			} else if reason := wait(t, dialer.closed); !errors.Is(reason, ErrConnectFailed) {
-				t.Errorf("closed by %v", reason)
+			} else {
+				expectConnectFailure(t, dialer)
 			}
 		})
 	}
 }
 
 func TestMD5KeyOfInvalidLengthIsRefused(t *testing.T) {
-	local := netip.MustParseAddr("127.0.0.1")
 	for _, key := range []string{"", strings.Repeat("k", maxMD5KeyLength+1)} {
-		if err := SetTCPMD5Key(0, local, key); !errors.Is(err, ErrMD5KeyLength) || errors.Is(err, ErrMD5Unavailable) {
+		err := SetTCPMD5Key(0, loopback, key)
+		if !errors.Is(err, ErrMD5KeyLength) || errors.Is(err, ErrMD5Unavailable) {
 			t.Errorf("a key of %d bytes gives %v", len(key), err)
 		}
 	}
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -190,7 +191,7 @@
 
 // accept names connections by the order in which they are accepted.
 func (e *exchange) accept() (Handler, int) {
-	r := &recorder{e, fmt.Sprint(len(e.accepted))}
+	r := &recorder{e, strconv.Itoa(len(e.accepted))}
 	e.accepted = append(e.accepted, nil)
 	if r.name == "3" {
 		return kept{farewell{r}, e, 3}, 100
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -51,7 +51,7 @@
 }
 
 // dispatch hands the first ready entries of events to the owners of their descriptors. The wakeup descriptor has no
-// owner: runPosted empties it.
+// owner: postQueue.run empties it.
 func (l *Loop) dispatch(ready int) {
 	for i := range ready {
 		if source := l.sources[int(l.events[i].Fd)]; source != nil {
@@ -62,7 +62,7 @@
 
 func (l *Loop) closeDescriptors() {
 	closeFD(l.epollFD)
-	closeFD(l.wakeupFD)
+	closeFD(l.posts.wakeupFD)
 	if l.spareFD >= 0 {
 		closeFD(l.spareFD)
 	}
--- a/internal/eventloop/shortage_test.go
+++ b/internal/eventloop/shortage_test.go
@@ -44,45 +44,66 @@
 	}
 }
 
+// acceptFailure has a loop's accepts fail with an error or, where that is nil, for want of descriptors.
+type acceptFailure struct {
+	tries   chan Tick // the time of each accept
+	failing atomic.Bool
+	restore func() // of the descriptors
+}
+
+func failAccepts(t *testing.T, l *Loop, err error) *acceptFailure {
+	t.Helper()
+	f := &acceptFailure{tries: make(chan Tick, 1_000_000), restore: func() {}}
+	f.failing.Store(true)
+	do(l, func() {
+		l.accept4 = func(fd, flags int) (int, unix.Sockaddr, error) {
+			f.tries <- l.now
+			if f.failing.Load() && err != nil {
+				return -1, nil, err
+			}
+			return unix.Accept4(fd, flags)
+		}
+		if err == nil {
+			dropSpare(t, l)
+		}
+	})
+	if err == nil {
+		f.restore = exhaustDescriptors(t)
+	}
+	return f
+}
+
+func (f *acceptFailure) end() {
+	f.failing.Store(false)
+	f.restore()
+}
+
 func TestListenerThatCannotAcceptRetriesWithoutSpinning(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		err  error // nil: there are no descriptors, and the spare one could not be opened again
-	}{{"no buffers", syscall.ENOBUFS}, {"no memory", syscall.ENOMEM}, {"network down", syscall.ENETDOWN}, {"no spare descriptor", nil}} {
+	}{
+		{"no buffers", syscall.ENOBUFS},
+		{"no memory", syscall.ENOMEM},
+		{"network down", syscall.ENETDOWN},
+		{"no spare descriptor", nil},
+	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l, handler := runLoop(t, func() {}), newProbe()
-			states, tries := make(chan error, 100), make(chan Tick, 1_000_000)
+			states := make(chan error, 100)
 			addr := listen(t, l, handler, 100, func(err error) { states <- err })
 			waiting := newSocket(t)
-			var failing atomic.Bool
-			failing.Store(true)
-			do(l, func() {
-				l.accept4 = func(fd, flags int) (int, unix.Sockaddr, error) {
-					tries <- l.now
-					if failing.Load() && tc.err != nil {
-						return -1, nil, tc.err
-					}
-					return unix.Accept4(fd, flags)
-				}
-				if tc.err == nil {
-					dropSpare(t, l)
-				}
-			})
-			restore := func() {}
-			if tc.err == nil {
-				restore = exhaustDescriptors(t)
-			}
+			failure := failAccepts(t, l, tc.err)
 			connectSocket(t, waiting, addr)
 			if err := wait(t, states); err == nil || tc.err != nil && !isExactly(err, tc.err) {
 				t.Errorf("refused by %v", err)
 			}
-			first := wait(t, tries)
-			wait(t, tries)
-			if third := wait(t, tries); third-first < acceptRetryDelay {
+			first := wait(t, failure.tries)
+			wait(t, failure.tries)
+			if third := wait(t, failure.tries); third-first < acceptRetryDelay {
 				t.Errorf("three tries in %d ms: the loop spins", (third-first)/Millisecond)
 			}
-			failing.Store(false)
-			restore()
+			failure.end()
 			wait(t, handler.opened)
 			if err := wait(t, states); err != nil || len(states) > 0 {
 				t.Errorf("state %v and %d more, want nil once", err, len(states))
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -23,7 +23,7 @@
 // waitTimeout is how long to wait for events, in milliseconds; -1 means without limit. It is rounded up: a timer may
 // run up to a millisecond late, never early.
 func (l *Loop) waitTimeout() int {
-	if l.skipWait || l.stopWhenIdle {
+	if l.state != loopWaiting {
 		return 0
 	}
 	expiry, scheduled := l.wheel.NextExpiry()
--- a/internal/eventloop/wakeup.go
+++ b/internal/eventloop/wakeup.go
@@ -1,57 +1,77 @@
 package eventloop
 
-import "golang.org/x/sys/unix"
+import (
+	"sync"
+
+	"golang.org/x/sys/unix"
+)
 
 // Post queues a callback to run on the loop's goroutine at the start of the next iteration, in the order of the calls.
 // It reports whether the callback was queued: false once Run has ended; what is queued then is dropped. Any goroutine
 // may call it.
-func (l *Loop) Post(callback func()) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.stopped {
+func (l *Loop) Post(callback func()) bool { return l.posts.add(callback) }
+
+// postState is the state of a postQueue.
+type postState uint8
+
+const (
+	postsTaken     postState = iota // the queue was empty when it was taken last, or nothing was posted since
+	postsSignalled                  // the eventfd is written: the loop wakes up and takes the queue
+	postsClosed                     // Run has ended
+)
+
+// postQueue holds callbacks that other goroutines post, and wakes the loop up for them.
+type postQueue struct {
+	wakeupFD int // an eventfd
+
+	mu        sync.Mutex // guards what follows
+	state     postState
+	callbacks []func()
+}
+
+// add queues a callback, unless the queue is closed.
+func (q *postQueue) add(callback func()) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.state == postsClosed {
 		return false
 	}
-	l.posted = append(l.posted, callback)
-	if !l.wakeupPending {
-		l.wakeupPending = true
+	q.callbacks = append(q.callbacks, callback)
+	if q.state == postsTaken {
+		q.state = postsSignalled
 		one := [8]byte{1}
 		// The counter is zero here, and a write to an eventfd fails only where the counter would overflow.
-		_, _ = unix.Write(l.wakeupFD, one[:])
+		_, _ = unix.Write(q.wakeupFD, one[:])
 	}
 	return true
 }
 
-// Stop ends Run after the iteration that handles the call; what was written until then is flushed once more. Any
-// goroutine may call it.
-func (l *Loop) Stop() {
-	l.Post(func() { l.onIteration = nil })
-}
-
-// runPosted runs the callbacks posted so far; those that they post run in the next iteration.
-func (l *Loop) runPosted() {
-	for _, callback := range l.takePosted() {
+// run runs the callbacks posted so far; those that they post run in the next iteration.
+func (q *postQueue) run() {
+	for _, callback := range q.take() {
 		callback()
 	}
 }
 
-// takePosted empties the queue and the wakeup counter under one lock, so that no wakeup is lost between the two.
-func (l *Loop) takePosted() []func() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.wakeupPending {
+// take empties the queue and the wakeup counter under one lock, so that no wakeup is lost between the two.
+func (q *postQueue) take() []func() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.state == postsSignalled {
 		var counter [8]byte
 		// The counter is not zero here, so the read succeeds; were it to fail, epoll would report the descriptor again.
-		_, _ = unix.Read(l.wakeupFD, counter[:])
+		_, _ = unix.Read(q.wakeupFD, counter[:])
+		q.state = postsTaken
 	}
-	posted := l.posted
-	l.posted, l.wakeupPending = nil, false
-	return posted
+	taken := q.callbacks
+	q.callbacks = nil
+	return taken
 }
 
-// refusePosts drops what is queued and has Post refuse more. After it the wakeup descriptor is no longer written and
-// may be closed.
-func (l *Loop) refusePosts() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.stopped, l.posted = true, nil
+// close drops what is queued and has add refuse more. After it the wakeup descriptor is no longer written and may be
+// closed.
+func (q *postQueue) close() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.state, q.callbacks = postsClosed, nil
 }
--- a/internal/eventloop/wheel.go
+++ b/internal/eventloop/wheel.go
@@ -1,6 +1,9 @@
 package eventloop
 
-import "math/bits"
+import (
+	"math/bits"
+	"slices"
+)
 
 // Tick is a moment or a span on a loop's clock, in tenths of a millisecond.
 type Tick int64
@@ -167,8 +170,7 @@
 // runExpired runs the callbacks of timers taken from a slot, the last one first, as a slot's list begins with the timer
 // that was inserted last. A timer that an earlier callback cancels does not run.
 func (w *TimerWheel) runExpired(expired []*Timer) {
-	for i := len(expired) - 1; i >= 0; i-- {
-		t := expired[i]
+	for _, t := range slices.Backward(expired) {
 		if t.slot != &expiringSlot {
 			continue
 		}
--- a/internal/eventloop/wheel_test.go
+++ b/internal/eventloop/wheel_test.go
@@ -151,43 +151,49 @@
 // answered before their timeout. The delay is up to 6 s.
 func BenchmarkTimers(b *testing.B) {
 	for _, n := range []int{1e3, 1e4, 1e5, 1e6} {
-		b.Run(fmt.Sprintf("wheel/%d", n), func(b *testing.B) {
-			rng, w, now := rand.New(rand.NewPCG(1, 2)), NewTimerWheel(0), Tick(0)
-			timers := make([]*Timer, n)
-			for i := range timers {
-				timers[i] = w.Schedule(Tick(rng.IntN(60000)), func() {})
-			}
-			b.ReportAllocs()
-			for i := 0; b.Loop(); i++ {
-				w.Cancel(timers[i%n])
-				timers[i%n] = w.Schedule(now+Tick(rng.IntN(60000)), func() {})
-				if i%64 == 0 {
-					now++
-					w.Advance(now)
-				}
-			}
-		})
-		b.Run(fmt.Sprintf("heap/%d", n), func(b *testing.B) {
-			rng, now := rand.New(rand.NewPCG(1, 2)), Tick(0)
-			var h timerHeap
-			timers := make([]*heapTimer, n)
-			for i := range timers {
-				timers[i] = &heapTimer{at: Tick(rng.IntN(60000))}
-				heap.Push(&h, timers[i])
-			}
-			b.ReportAllocs()
-			for i := 0; b.Loop(); i++ {
-				if t := timers[i%n]; t.index >= 0 {
-					heap.Remove(&h, t.index)
-				}
-				timers[i%n] = &heapTimer{at: now + Tick(rng.IntN(60000))}
-				heap.Push(&h, timers[i%n])
-				if i%64 == 0 {
-					for now++; len(h) > 0 && h[0].at <= now; {
-						heap.Pop(&h).(*heapTimer).index = -1
-					}
-				}
+		b.Run(fmt.Sprintf("wheel/%d", n), func(b *testing.B) { benchmarkWheel(b, n) })
+		b.Run(fmt.Sprintf("heap/%d", n), func(b *testing.B) { benchmarkHeap(b, n) })
+	}
+}
+
+func benchmarkWheel(b *testing.B, n int) {
+	b.Helper()
+	rng, w, now := rand.New(rand.NewPCG(1, 2)), NewTimerWheel(0), Tick(0)
+	timers := make([]*Timer, n)
+	for i := range timers {
+		timers[i] = w.Schedule(Tick(rng.IntN(60000)), func() {})
+	}
+	b.ReportAllocs()
+	for i := 0; b.Loop(); i++ {
+		w.Cancel(timers[i%n])
+		timers[i%n] = w.Schedule(now+Tick(rng.IntN(60000)), func() {})
+		if i%64 == 0 {
+			now++
+			w.Advance(now)
+		}
+	}
+}
+
+func benchmarkHeap(b *testing.B, n int) {
+	b.Helper()
+	rng, now := rand.New(rand.NewPCG(1, 2)), Tick(0)
+	var h timerHeap
+	timers := make([]*heapTimer, n)
+	for i := range timers {
+		timers[i] = &heapTimer{at: Tick(rng.IntN(60000))}
+		heap.Push(&h, timers[i])
+	}
+	b.ReportAllocs()
+	for i := 0; b.Loop(); i++ {
+		if t := timers[i%n]; t.index >= 0 {
+			heap.Remove(&h, t.index)
+		}
+		timers[i%n] = &heapTimer{at: now + Tick(rng.IntN(60000))}
+		heap.Push(&h, timers[i%n])
+		if i%64 == 0 {
+			for now++; len(h) > 0 && h[0].at <= now; {
+				heap.Pop(&h).(*heapTimer).index = -1
 			}
-		})
+		}
 	}
 }
