--- a/cmd/glenport-testbed/load.go
+++ b/cmd/glenport-testbed/load.go
@@ -14,7 +14,7 @@
 )
 
 // controllerTemplate gives the settings of the schedulers behind a measured controller.
-const controllerTemplate = "scenarios/why-placer.yaml"
+const controllerTemplate = "scenarios/why-scheduler.yaml"
 
 // schedulerLoad is what the load of a scheduler is measured with.
 type schedulerLoad struct {
@@ -36,7 +36,7 @@
 	c.Flags().IntSliceVar(&l.rates, "rates", []int{300, 3000}, "submissions a second")
 	c.Flags().DurationVar(&l.length, "length", 10*time.Second, "of each measurement")
 	c.Flags().DurationVar(&l.life, "life", 2*time.Second, "of each container")
-	c.Flags().StringVar(&l.template, "placer-file", "scenarios/placer.yaml", "the scheduler's settings")
+	c.Flags().StringVar(&l.template, "placer-file", "scenarios/scheduler.yaml", "the scheduler's settings")
 	return c
 }
 
--- a/cmd/glenport-testbed/main.go
+++ b/cmd/glenport-testbed/main.go
@@ -5,9 +5,11 @@
 import (
 	"errors"
 	"fmt"
+	"log/slog"
 	"os"
 	"path/filepath"
 
+	"glenport/internal/config"
 	"glenport/internal/testbed/scenario"
 
 	"github.com/spf13/cobra"
@@ -72,6 +74,16 @@
 	return []string{path, "scheduler"}, nil
 }
 
+// loadScenario reads a scenario file and warns of old spellings in it.
+func loadScenario(path string) (*scenario.Scenario, error) {
+	s, err := scenario.Load(path)
+	if err != nil {
+		return nil, err
+	}
+	config.LogDeprecations(slog.New(slog.NewTextHandler(os.Stderr, nil)), s.Deprecations)
+	return s, nil
+}
+
 // withSchedulers calls f with the program that schedulers run, and a folder for their files.
 func withSchedulers(named string, rule int, f func(program []string, dir string) error) error {
 	program, err := schedulerProgram(rule)
--- a/cmd/glenport-testbed/scenario.go
+++ b/cmd/glenport-testbed/scenario.go
@@ -21,7 +21,7 @@
 		Example: "  glenport-testbed scenario scenarios/short.yaml\n  glenport-testbed scenario scenarios/short.yaml --sabotage 2",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			s, err := scenario.Load(args[0])
+			s, err := loadScenario(args[0])
 			if err != nil {
 				return err
 			}
--- a/cmd/glenport-testbed/trial.go
+++ b/cmd/glenport-testbed/trial.go
@@ -6,7 +6,6 @@
 	"os"
 
 	"glenport/internal/testbed/crashcheck"
-	"glenport/internal/testbed/scenario"
 	"glenport/internal/testbed/trials"
 	"glenport/internal/testbed/trials/bgp"
 	"glenport/internal/testbed/trials/overload"
@@ -27,7 +26,7 @@
 
 // playTrial plays a trial with a scheduler program on the cluster of a scenario file and prints its verdict.
 func playTrial(trial trials.Trial, scenarioFile, namedDir string, program []string) error {
-	s, err := scenario.Load(scenarioFile)
+	s, err := loadScenario(scenarioFile)
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/faults/fault.go
+++ b/internal/testbed/faults/fault.go
@@ -8,7 +8,7 @@
 
 // Fault is one fault of a scenario.
 type Fault struct {
-	Kind     string        // a key of injectors
+	Kind     Kind
 	At       time.Duration // since the scenario began
 	Duration time.Duration
 	Fraction float64 // of the machines, or of what the kind affects
@@ -16,29 +16,32 @@
 	Zone     int
 }
 
-// The kinds of fault, as scenario files name them.
+// Kind is a kind of fault, as scenario files name it.
+type Kind string
+
+// The kinds of fault.
 const (
-	KindCrash            = "crash"
-	KindZoneRestart      = "hall restarts cold"
-	KindSilence          = "silence"
-	KindSilenceThenCold  = "silence, then cold"
-	KindHalfOpen         = "half-open links"
-	KindZonePartition    = "hall cut off"
-	KindResets           = "resets"
-	KindSlow             = "slow"
-	KindDrain            = "drain"
-	KindRollingDeploy    = "rolling deploy"
-	KindListUnavailable  = "list away"
-	KindListStale        = "list stale"
-	KindSchedulersKilled = "placers killed"
-	KindBurst            = "burst"
-	KindClientRetries    = "asked again"
-	KindAnswersLost      = "answers lost"
-	KindNetworkDelay     = "late network"
-	KindWorkloadIgnored  = "workload unanswered"
-	KindTenantThrottled  = "customer turned away"
-	KindMemoryGrowth     = "memory swells"
-	KindFleetGrows       = "fleet grows"
+	KindCrash            Kind = "crash"
+	KindZoneRestart      Kind = "zone restart"
+	KindFreeze           Kind = "freeze"
+	KindFreezeAndRestart Kind = "freeze and restart"
+	KindHalfOpen         Kind = "half-open connections"
+	KindZonePartition    Kind = "zone partition"
+	KindResets           Kind = "connection resets"
+	KindSlow             Kind = "slow"
+	KindDrain            Kind = "drain"
+	KindRollingDeploy    Kind = "rolling deploy"
+	KindListUnavailable  Kind = "machine list unavailable"
+	KindListStale        Kind = "machine list stale"
+	KindSchedulersKilled Kind = "schedulers killed"
+	KindBurst            Kind = "burst"
+	KindClientRetries    Kind = "client retries"
+	KindLostAccepts      Kind = "lost accepts"
+	KindNetworkDelay     Kind = "network delay"
+	KindWorkloadIgnored  Kind = "workload ignored"
+	KindTenantThrottled  Kind = "tenant throttled"
+	KindMemoryGrowth     Kind = "memory growth"
+	KindFleetGrowth      Kind = "fleet growth"
 )
 
 // An injector plays one kind of fault; inject returns when the fault has ended.
@@ -47,12 +50,12 @@
 }
 
 // injectors has the injector of each kind of fault.
-var injectors = map[string]injector{
+var injectors = map[Kind]injector{
 	KindCrash:            machineRestart{},
-	KindFleetGrows:       machineRestart{},
+	KindFleetGrowth:      machineRestart{},
 	KindZoneRestart:      zoneRestart{},
-	KindSilence:          machineFault{start: freeze, end: unfreeze},
-	KindSilenceThenCold:  silenceThenRestart{},
+	KindFreeze:           machineFault{start: freeze, end: unfreeze},
+	KindFreezeAndRestart: freezeThenRestart{},
 	KindHalfOpen:         halfOpenConnections{},
 	KindZonePartition:    zonePartition{},
 	KindResets:           connectionResets{},
@@ -64,7 +67,7 @@
 	KindSchedulersKilled: schedulerKill{},
 	KindBurst:            burst{},
 	KindClientRetries:    clientRetries{},
-	KindAnswersLost:      lostAnswers{},
+	KindLostAccepts:      lostAnswers{},
 	KindNetworkDelay:     networkDelay{},
 	KindWorkloadIgnored:  machineFault{start: ignoreWorkload, end: heedWorkload},
 	KindTenantThrottled:  machineFault{start: throttleTenant, end: admitTenant},
@@ -72,11 +75,11 @@
 }
 
 // Known reports whether there is a kind of fault.
-func Known(kind string) bool { return injectors[kind] != nil }
+func Known(kind Kind) bool { return injectors[kind] != nil }
 
 // Kinds returns the kinds of fault in order.
-func Kinds() []string {
-	var kinds []string
+func Kinds() []Kind {
+	var kinds []Kind
 	for kind := range injectors {
 		kinds = append(kinds, kind)
 	}
--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -5,30 +5,30 @@
 	"testing"
 )
 
-// Scenario files and recorded days name the kinds.
+// Scenario files name the kinds.
 func TestFaultKindsKeepTheirNames(t *testing.T) {
-	want := []string{
-		"answers lost",
-		"asked again",
+	want := []Kind{
 		"burst",
+		"client retries",
+		"connection resets",
 		"crash",
-		"customer turned away",
 		"drain",
-		"fleet grows",
-		"half-open links",
-		"hall cut off",
-		"hall restarts cold",
-		"late network",
-		"list away",
-		"list stale",
-		"memory swells",
-		"placers killed",
-		"resets",
+		"fleet growth",
+		"freeze",
+		"freeze and restart",
+		"half-open connections",
+		"lost accepts",
+		"machine list stale",
+		"machine list unavailable",
+		"memory growth",
+		"network delay",
 		"rolling deploy",
-		"silence",
-		"silence, then cold",
+		"schedulers killed",
 		"slow",
-		"workload unanswered",
+		"tenant throttled",
+		"workload ignored",
+		"zone partition",
+		"zone restart",
 	}
 	if got := Kinds(); !slices.Equal(got, want) {
 		t.Errorf("got %q, want %q", got, want)
--- a/internal/testbed/faults/injector.go
+++ b/internal/testbed/faults/injector.go
@@ -26,7 +26,7 @@
 	mu           sync.Mutex // guards rng and what follows
 	networkRules map[int]networkRule
 	lastRule     int
-	injected     map[string]int // by kind of fault
+	injected     map[Kind]int // by kind of fault
 }
 
 // NewInjector returns an injector for a cluster, whose clients submit at a rate.
@@ -39,7 +39,7 @@
 		log:          log,
 		over:         make(chan struct{}),
 		networkRules: map[int]networkRule{},
-		injected:     map[string]int{},
+		injected:     map[Kind]int{},
 	}
 }
 
@@ -71,7 +71,7 @@
 func (i *Injector) End() { close(i.over) }
 
 // Injected returns how often each kind of fault was injected, once all have ended.
-func (i *Injector) Injected() map[string]int { return i.injected }
+func (i *Injector) Injected() map[Kind]int { return i.injected }
 
 // addNetworkRule puts a rule in force and returns the function that removes it.
 func (i *Injector) addNetworkRule(rule networkRule) (remove func()) {
--- a/internal/testbed/faults/machinefaults.go
+++ b/internal/testbed/faults/machinefaults.go
@@ -58,10 +58,10 @@
 	i.restartMachines(i.ZoneMachines(f.Zone), f.Duration)
 }
 
-// silenceThenRestart freezes a fraction of the machines and restarts them at its end.
-type silenceThenRestart struct{}
+// freezeThenRestart freezes a fraction of the machines and restarts them at its end.
+type freezeThenRestart struct{}
 
-func (silenceThenRestart) inject(i *Injector, f Fault) {
+func (freezeThenRestart) inject(i *Injector, f Fault) {
 	machines := i.pickMachines(f.Fraction)
 	for _, m := range machines {
 		m.SetFrozen(true)
--- a/internal/testbed/scenario/replay.go
+++ b/internal/testbed/scenario/replay.go
@@ -114,7 +114,7 @@
 	case "mass_restart":
 		f.Kind = faults.KindCrash
 	case "vanish":
-		f.Kind = faults.KindSilenceThenCold
+		f.Kind = faults.KindFreezeAndRestart
 	case "slow":
 		f.Kind = faults.KindSlow
 	case "grow", "deploy":
@@ -136,7 +136,7 @@
 	case "discovery_stale":
 		f.Kind, f.Size = faults.KindListStale, min(10, max(2, t.Size))
 	case "answer_lost":
-		f.Kind, f.Size = faults.KindAnswersLost, min(0.9, t.Size)
+		f.Kind, f.Size = faults.KindLostAccepts, min(0.9, t.Size)
 	default:
 		return f, false
 	}
@@ -153,6 +153,6 @@
 	f.Fraction = min(largestFraction, float64(started)/float64(len(d.Servers)))
 	f.Kind, f.Size = faults.KindRollingDeploy, 1/float64(max(1, len(t.Steps)))*f.Fraction
 	if t.Kind == "grow" {
-		f.Kind = faults.KindFleetGrows
+		f.Kind = faults.KindFleetGrowth
 	}
 }
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -16,7 +16,7 @@
 	Tally              emulator.Tally
 	Audit              *audit.Report
 	OverloadedMachines int                           // machines that failed under load while in slow start
-	Injected           map[string]int                // by kind of fault
+	Injected           map[faults.Kind]int           // by kind of fault
 	Status             map[string]map[string]float64 // each scheduler's stats, by its name
 }
 
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"glenport/internal/config/strictyaml"
 	"glenport/internal/testbed/cluster"
 	"glenport/internal/testbed/faults"
 )
@@ -15,4 +16,6 @@
 	Settle time.Duration // after the last submission
 	Rate   float64       // submissions a second
 	Faults []faults.Fault
+
+	Deprecations []strictyaml.Deprecation // old spellings in the file
 }
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -125,7 +125,7 @@
 	d, dir := shortScenario(t), t.TempDir()
 	d.Length, d.Schedulers = 3*time.Second, 2
 	d.Faults = []faults.Fault{
-		{Kind: "hall restarts cold", At: 500 * time.Millisecond, Duration: 300 * time.Millisecond, Zone: 1},
+		{Kind: faults.KindZoneRestart, At: 500 * time.Millisecond, Duration: 300 * time.Millisecond, Zone: 1},
 	}
 	var out bytes.Buffer
 	o, err := d.Run(dir, []string{os.Args[0], schedulerArgument}, &out)
@@ -143,21 +143,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	terms, err := os.ReadFile("../../../scenarios/placer.yaml")
+	template, err := os.ReadFile("../../../scenarios/scheduler.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, tc := range []struct{ name, old, new, want string }{
-		{"no such trouble", "kind: slow", "kind: sloth", `"sloth" is no trouble`},
-		{"no such hall", "hall: middle", "hall: centre", `"centre" is none of north, middle, south`},
-		{"no such workload", "workload: matcher", "workload: mather", `"mather" is none of`},
+		{"no such kind of fault", "kind: slow", "kind: sloth", `"sloth" is no kind of fault`},
+		{"no such zone", "zone: middle", "zone: centre", `"centre" is none of north, middle, south`},
+		{"no such workload", "workload_class: matcher", "workload_class: mather", `"mather" is none of`},
 		{"missing", "seed: 11\n", "", "seed is missing"},
 		{"no unit", "length: 12s", "length: 12", "has no unit"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			dir := t.TempDir()
-			writeFile(t, filepath.Join(dir, "placer.yaml"), terms)
-			path := filepath.Join(dir, "day.yaml")
+			writeFile(t, filepath.Join(dir, "scheduler.yaml"), template)
+			path := filepath.Join(dir, "scenario.yaml")
 			writeFile(t, path, []byte(strings.Replace(string(good), tc.old, tc.new, 1)))
 			if _, err := Load(path); err == nil || !strings.Contains(err.Error(), tc.want) {
 				t.Errorf("got %v, want %s", err, tc.want)
@@ -178,8 +178,8 @@
 		t.Fatal(err)
 	}
 	want := []faults.Fault{
-		{Kind: "crash", At: time.Second, Duration: 500 * time.Millisecond, Fraction: 0.5},
-		{Kind: "placers killed", At: 2 * time.Second, Duration: time.Microsecond, Fraction: 0.5},
+		{Kind: faults.KindCrash, At: time.Second, Duration: 500 * time.Millisecond, Fraction: 0.5},
+		{Kind: faults.KindSchedulersKilled, At: 2 * time.Second, Duration: time.Microsecond, Fraction: 0.5},
 	}
 	if len(d.Faults) != 2 || d.Faults[0] != want[0] || d.Faults[1] != want[1] ||
 		!strings.Contains(out.String(), "left out: report_late") {
