--- a/cmd/glenport-testbed/load.go
+++ b/cmd/glenport-testbed/load.go
@@ -19,7 +19,7 @@
 // schedulerLoad is what the load of a scheduler is measured with.
 type schedulerLoad struct {
 	machines, rates []int
-	length, life    time.Duration
+	length, runtime time.Duration
 	template        string
 }
 
@@ -35,8 +35,10 @@
 	c.Flags().IntSliceVar(&l.machines, "machines", []int{10, 100, 1000}, "how many machines")
 	c.Flags().IntSliceVar(&l.rates, "rates", []int{300, 3000}, "submissions a second")
 	c.Flags().DurationVar(&l.length, "length", 10*time.Second, "of each measurement")
-	c.Flags().DurationVar(&l.life, "life", 2*time.Second, "of each container")
-	c.Flags().StringVar(&l.template, "placer-file", "scenarios/scheduler.yaml", "the scheduler's settings")
+	c.Flags().DurationVar(&l.runtime, "runtime", 2*time.Second, "of each container")
+	formerFlag(c, "life", "runtime")
+	c.Flags().StringVar(&l.template, "scheduler-config", "scenarios/scheduler.yaml", "template of the scheduler's settings")
+	formerFlag(c, "placer-file", "scheduler-config")
 	return c
 }
 
@@ -47,10 +49,9 @@
 		return err
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
-	if _, err := fmt.Fprintln(
-		table,
-		"machines\tasked/s\tplaced/s\tp50 ms\tp99 ms\tp99.9 ms\tworst ms\tbusy\tdeciding\tof busy\tlive MiB\tbefore\topen\t",
-	); err != nil {
+	const header = "machines\tsubmitted/s\tplaced/s\tp50 ms\tp99 ms\tp99.9 ms\tworst ms\t" +
+		"busy\tdeciding\tof busy\tlive MiB\tbefore\topen\t"
+	if _, err := fmt.Fprintln(table, header); err != nil {
 		return err
 	}
 	for _, machines := range l.machines {
@@ -71,28 +72,15 @@
 	defer done()
 	r, err := load.MeasureScheduler(
 		bench.Spec{Template: l.template, Dir: dir, Program: program, Machines: machines},
-		load.Submissions{Rate: rate, Length: l.length, Runtime: l.life},
+		load.Submissions{Rate: rate, Length: l.length, Runtime: l.runtime},
 	)
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(
-		table,
+	_, err = fmt.Fprintf(table,
 		"%d\t%d\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f%%\t%.1f us\t%.0f%%\t%.1f\t%.1f\t%.0f\t\n",
-		machines,
-		rate,
-		r.PlacedPerSecond,
-		r.P50,
-		r.P99,
-		r.P999,
-		r.Worst,
-		100*r.Busy,
-		r.DecidingMicroseconds,
-		100*r.DecidingShare,
-		r.MiB,
-		r.MiBBefore,
-		r.KnownContainers,
-	)
+		machines, rate, r.PlacedPerSecond, r.P50, r.P99, r.P999, r.Worst,
+		100*r.Busy, r.DecidingMicroseconds, 100*r.DecidingShare, r.MiB, r.MiBBefore, r.KnownContainers)
 	return err
 }
 
@@ -102,18 +90,19 @@
 }
 
 func apiLoadCommand() *cobra.Command {
-	var machines, waiting, watchers int
+	var machines, pending, watchers int
 	c := &cobra.Command{
 		Use: "api", Short: "Measure a controller with pending containers", Args: cobra.NoArgs,
-		Example: "  glenport-testbed load api --machines 100 --waiting 1000 --watchers 100",
+		Example: "  glenport-testbed load api --machines 100 --pending 1000 --watchers 100",
 		RunE: func(*cobra.Command, []string) error {
 			return withSchedulers("", 0, func(program []string, dir string) error {
-				return load.MeasureAPI(controllerBench(program, dir, machines), waiting, watchers, os.Stdout)
+				return load.MeasureAPI(controllerBench(program, dir, machines), pending, watchers, os.Stdout)
 			})
 		},
 	}
 	c.Flags().IntVar(&machines, "machines", 1000, "how many machines")
-	c.Flags().IntVar(&waiting, "waiting", 10000, "how many containers are pending")
+	c.Flags().IntVar(&pending, "pending", 10000, "how many containers are pending")
+	formerFlag(c, "waiting", "pending")
 	c.Flags().IntVar(&watchers, "watchers", 1000, "how many watch")
 	return c
 }
@@ -121,8 +110,9 @@
 func jobLoadCommand() *cobra.Command {
 	var machines, rate int
 	c := &cobra.Command{
-		Use: "kept", Short: "Measure the way of jobs through a controller", Args: cobra.NoArgs,
-		Example: "  glenport-testbed load kept --machines 100 --rate 300",
+		Use: "jobs", Aliases: []string{"kept"}, Args: cobra.NoArgs,
+		Short:   "Measure jobs from the request to a controller until they run",
+		Example: "  glenport-testbed load jobs --machines 100 --rate 300",
 		RunE: func(*cobra.Command, []string) error {
 			return withSchedulers("", 0, func(program []string, dir string) error {
 				return load.MeasureJobs(controllerBench(program, dir, machines), rate, 5*time.Second, os.Stdout)
--- a/cmd/glenport-testbed/scenario.go
+++ b/cmd/glenport-testbed/scenario.go
@@ -18,8 +18,9 @@
 		Use:     "scenario FILE",
 		Aliases: []string{"day"},
 		Short:   "Play a scenario's faults on a cluster and audit its recording",
-		Example: "  glenport-testbed scenario scenarios/short.yaml\n  glenport-testbed scenario scenarios/short.yaml --sabotage 2",
-		Args:    cobra.ExactArgs(1),
+		Example: "  glenport-testbed scenario scenarios/short.yaml\n" +
+			"  glenport-testbed scenario scenarios/short.yaml --sabotage 2",
+		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			s, err := loadScenario(args[0])
 			if err != nil {
@@ -64,7 +65,7 @@
 	var dir, template string
 	var rate float64
 	c := &cobra.Command{
-		Use: "replay DAY.json", Short: "Play the kinds of fault of a simulated day, scaled down, on real schedulers",
+		Use: "replay DAY.json", Short: "Play the faults of a simulated day, scaled down, on real schedulers",
 		Example: "  glenport-testbed replay day.json --rate 150",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -76,7 +77,8 @@
 		},
 	}
 	c.Flags().StringVar(&dir, "dir", "", "folder to keep the recording and the logs in")
-	c.Flags().StringVar(&template, "day", "scenarios/bad-day.yaml", "scenario file that gives the cluster")
-	c.Flags().Float64Var(&rate, "rate", 150, "submissions a second at the day's mean load")
+	c.Flags().StringVar(&template, "scenario", "scenarios/bad-day.yaml", "scenario file that gives the cluster")
+	formerFlag(c, "day", "scenario")
+	c.Flags().Float64Var(&rate, "rate", 150, "submissions per second at the mean load of the day")
 	return c
 }
--- a/cmd/glenport-testbed/scheduler.go
+++ b/cmd/glenport-testbed/scheduler.go
@@ -29,13 +29,14 @@
 	var f schedulerFlags
 	c := &cobra.Command{
 		Use: "scheduler", Aliases: []string{"placer"}, Hidden: true, Args: cobra.NoArgs,
-		Example: "  glenport-testbed scheduler -c placer.yaml --sabotage 2",
+		Example: "  glenport-testbed scheduler -c scheduler.yaml --sabotage 2",
 		RunE:    func(*cobra.Command, []string) error { return f.run() },
 	}
 	c.Flags().StringVarP(&f.file, "config", "c", "", "the scheduler's settings file")
 	c.Flags().IntVar(&f.sabotagedRule, "sabotage", 0, "rule to break")
-	c.Flags().BoolVar(&f.damped, "damped", false, "limit concurrency when starts become slow")
-	c.Flags().StringVar(&f.sabotagedRoutes, "spoil-routes", "", "late or storm")
+	c.Flags().BoolVar(&f.damped, "damped", false, "limit concurrency when placements become slow")
+	c.Flags().StringVar(&f.sabotagedRoutes, "sabotage-routes", "", "late or storm")
+	formerFlag(c, "spoil-routes", "sabotage-routes")
 	return c
 }
 
--- a/cmd/glenport-testbed/trial.go
+++ b/cmd/glenport-testbed/trial.go
@@ -80,7 +80,7 @@
 		RunE: func(*cobra.Command, []string) error {
 			program, err := schedulerProgram(0)
 			if err == nil && sabotage != "" {
-				program, err = ownScheduler("--spoil-routes", sabotage)
+				program, err = ownScheduler("--sabotage-routes", sabotage)
 			}
 			if err != nil {
 				return err
@@ -90,8 +90,8 @@
 	}
 	c.Flags().StringVar(&dir, "dir", "", "folder to keep the logs in")
 	c.Flags().IntVar(&t.Rounds, "rounds", 10, "of fifty ends each")
-	c.Flags().
-		StringVar(&sabotage, "sabotage", "", "late or storm: withdrawals come late, or every change is announced at once")
+	const sabotageHelp = "late or storm: withdrawals come late, or every change is announced at once"
+	c.Flags().StringVar(&sabotage, "sabotage", "", sabotageHelp)
 	return c
 }
 
@@ -148,6 +148,7 @@
 	c.Flags().StringVar(&dir, "dir", "", "folder to keep the recordings and the logs in")
 	c.Flags().IntVar(&t.Seeds, "seeds", 10, "of the simulated form")
 	c.Flags().IntVar(&t.Sockets, "sockets", 1, "runs of each damping over sockets")
-	c.Flags().IntVar(&t.Schedulers, "placers", 3, "over sockets")
+	c.Flags().IntVar(&t.Schedulers, "schedulers", 3, "over sockets")
+	formerFlag(c, "placers", "schedulers")
 	return c
 }
--- a/internal/testbed/bench/bench.go
+++ b/internal/testbed/bench/bench.go
@@ -129,7 +129,7 @@
 // startScheduler starts the scheduler with settings that bound neither what is open nor idle connections.
 func (b *Cluster) startScheduler(settings *config.Scheduler, program []string) error {
 	const openRequests, idleTimeout = 1_000_000, 10 * time.Minute
-	path := filepath.Join(b.Dir, "placer")
+	path := filepath.Join(b.Dir, "scheduler")
 	p, err := process.NewScheduler(benchName, path+".yaml", path+".log", program)
 	if err != nil {
 		return err
@@ -147,7 +147,7 @@
 }
 
 func (b *Cluster) waitConnected(machines int) error {
-	connected := fmt.Sprintf("the placer has links to all %d machines", machines)
+	connected := fmt.Sprintf("the scheduler is connected to all %d machines", machines)
 	return process.WaitUntil(connected, readyTimeout, func() bool {
 		stats, err := b.Scheduler.Status()
 		return err == nil && int(stats["connections"]) >= machines
@@ -161,7 +161,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	controller, err := b.NewController(spec.Program[0], filepath.Join(b.Dir, "kept"))
+	controller, err := b.NewController(spec.Program[0], filepath.Join(b.Dir, "controller.state"))
 	if err == nil {
 		b.controller = controller
 		err = controller.Start(spec.Machines)
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -48,7 +48,7 @@
 		}
 		if time.Now().After(end) {
 			return fmt.Errorf(
-				"%d of %d placers know their %d machines after 20 s",
+				"%d of %d schedulers know their %d machines after 20 s",
 				ready,
 				len(c.Schedulers),
 				len(c.Machines),
--- a/internal/testbed/cluster/scheduler.go
+++ b/internal/testbed/cluster/scheduler.go
@@ -12,7 +12,7 @@
 
 // addScheduler writes a scheduler's settings, starts it and opens the proxy by which clients reach it.
 func (c *Cluster) addScheduler(s Spec, index int, listProxy string, program []string) error {
-	name := fmt.Sprint("placer-", index)
+	name := fmt.Sprint("scheduler-", index)
 	path := filepath.Join(c.Dir, name)
 	p, err := process.NewScheduler(name, path+".yaml", path+".log", program)
 	if err != nil {
--- a/internal/testbed/faults/fault.go
+++ b/internal/testbed/faults/fault.go
@@ -91,7 +91,7 @@
 func (f Fault) Describe(zones []string) string {
 	text := fmt.Sprintf(", for %.1f s", f.Duration.Seconds())
 	if f.Fraction > 0 {
-		text += fmt.Sprintf(", part %.2f", f.Fraction)
+		text += fmt.Sprintf(", fraction %.2f", f.Fraction)
 	}
 	if f.Size > 0 {
 		text += fmt.Sprintf(", size %.1f", f.Size)
--- a/internal/testbed/faults/injector.go
+++ b/internal/testbed/faults/injector.go
@@ -135,7 +135,7 @@
 	i.wait(down)
 	for _, m := range machines {
 		if err := m.Start(false); err != nil {
-			i.log.Printf("machine %s did not come back: %v", m.Name, err)
+			i.log.Printf("machine %s did not start again: %v", m.Name, err)
 		}
 	}
 }
--- a/internal/testbed/faults/otherfaults.go
+++ b/internal/testbed/faults/otherfaults.go
@@ -31,7 +31,7 @@
 	i.wait(f.Duration)
 	for _, index := range killed {
 		if err := i.StartScheduler(i.Schedulers[index]); err != nil {
-			i.log.Printf("placer %s did not come back: %v", i.Schedulers[index].Name, err)
+			i.log.Printf("scheduler %s did not start again: %v", i.Schedulers[index].Name, err)
 		}
 	}
 }
--- a/internal/testbed/load/api.go
+++ b/internal/testbed/load/api.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	report.Printf(out, "why, %d containers waiting, %d machines: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms\n", waiting, spec.Machines,
+	report.Printf(out, "why, %d containers pending, %d machines: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms\n", waiting, spec.Machines,
 		whys.quantile(50), whys.quantile(99), whys.quantile(99.9))
 	rate, err := api.measureRequests()
 	if err != nil {
@@ -85,7 +85,7 @@
 	if err := k.CreateJob(waitingJob, process.WorkloadMatcher, n, 1, 1); err != nil {
 		return err
 	}
-	err := process.WaitUntil("all wait", time.Minute, func() bool {
+	err := process.WaitUntil("all are pending", time.Minute, func() bool {
 		var all struct{ Items []any }
 		return k.Get(
 			fmt.Sprintf("/v1/containers?limit=1000&after=%s.%d&field=state=waiting", waitingJob, n-2),
--- a/internal/testbed/load/jobs.go
+++ b/internal/testbed/load/jobs.go
@@ -58,7 +58,7 @@
 	report.Printf(
 		out,
 		"%d jobs at %d a second, %d machines: request to running in a watch p50 %.1f ms, p99 %.1f ms (of it the first "+
-			"100 ms at most are the keeper's spreading by chance); at the placer submission to bid p50 %.2f ms, p99 %.2f ms\n",
+			"100 ms at most are the controller's jitter); at the scheduler submission to first attempt p50 %.2f ms, p99 %.2f ms\n",
 		running,
 		rate,
 		spec.Machines,
--- a/internal/testbed/process/controller.go
+++ b/internal/testbed/process/controller.go
@@ -46,15 +46,15 @@
 	controller := &Controller{
 		APIAddr: api,
 		program: spec.Program,
-		file:    filepath.Join(spec.Dir, "keeper.yaml"),
-		log:     filepath.Join(spec.Dir, "keeper.log"),
+		file:    filepath.Join(spec.Dir, "controller.yaml"),
+		log:     filepath.Join(spec.Dir, "controller.log"),
 	}
 	schedulerFile, err := filepath.Abs(spec.SchedulerFile)
 	if err != nil {
 		return nil, err
 	}
 	settings := &config.Controller{
-		Name:            "keeper",
+		Name:            "controller",
 		APIAddr:         api,
 		SchedulerAddrs:  spec.SchedulerAddrs,
 		MachineListAddr: spec.MachineListAddr,
@@ -68,7 +68,7 @@
 	if err := k.Launch(); err != nil {
 		return err
 	}
-	return WaitUntil("the keeper answers and knows all machines", ControllerTimeout, func() bool {
+	return WaitUntil("the controller answers and knows all machines", ControllerTimeout, func() bool {
 		var all struct{ Items []any }
 		return k.Get(fmt.Sprintf("/v1/machines?limit=%d", pageLimit), &all) == nil &&
 			len(all.Items) == min(machines, pageLimit)
--- a/internal/testbed/scenario/report.go
+++ b/internal/testbed/scenario/report.go
@@ -15,8 +15,8 @@
 		stats := o.Status[name]
 		report.Printf(
 			out,
-			"%s: submission to bid p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms; busy %.1f%%, deciding %.1f%% of that; "+
-				"%.0f taken over, %.0f MiB, %.0f goroutines\n",
+			"%s: submission to first attempt p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms; busy %.1f%%, deciding %.1f%% of that; "+
+				"%.0f adopted, %.0f MiB, %.0f goroutines\n",
 			name,
 			stats["placing p50"],
 			stats["placing p99"],
@@ -31,8 +31,8 @@
 	findings := o.Audit
 	report.Printf(
 		out,
-		"record: %d frames, %d submissions, %d offers, %d yeses; cold machines at most at %d of %d offers in a window, "+
-			"%d pushed over; last offer after a drain was told %.1f ms\n",
+		"recording: %d frames, %d submissions, %d offers, %d accepts; machines in slow start at most at %d of %d offers in a window, "+
+			"%d overloaded; last offer %.1f ms after a drain was reported\n",
 		findings.Frames,
 		findings.Submitted,
 		findings.Offers,
@@ -65,8 +65,8 @@
 	tally := &o.Tally
 	report.Printf(
 		out,
-		"owners: %d submitted (%d of them again), %d placed, %d pushed back, %d given up, %d turned away, "+
-			"%d whose placer went first, %d unsent, %d without an answer, %d answers too many\n",
+		"clients: %d submitted (%d of them retries), %d placed, %d rejected, %d failed, %d not admitted, "+
+			"%d whose scheduler was killed, %d unsent, %d without an answer, %d answers too many\n",
 		tally.Submitted,
 		tally.Retried,
 		tally.Placed,
@@ -80,14 +80,14 @@
 	)
 	report.Printf(
 		out,
-		"placed: %d ended in their owner's hearing, %d evicted, %d lost with a machine\n",
+		"placed: %d ended while their client was connected, %d evicted, %d lost with a machine\n",
 		tally.Ended,
 		tally.Evicted,
 		tally.Lost,
 	)
 	report.Printf(
 		out,
-		"submission to yes: p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms\n",
+		"submission to accept: p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms\n",
 		report.QuantileMS(tally.PlacementLatency, 50),
 		report.QuantileMS(tally.PlacementLatency, 99),
 		report.QuantileMS(tally.PlacementLatency, 99.9),
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -34,7 +34,7 @@
 	defer c.Shutdown()
 	log := faults.NewLog(out)
 	log.Printf(
-		"%d placers, %d machines in %d halls, %.0f submissions a second",
+		"%d schedulers, %d machines in %d zones, %.0f submissions per second",
 		len(c.Schedulers),
 		len(c.Machines),
 		len(s.Zones),
--- a/internal/testbed/trials/bgp/ends.go
+++ b/internal/testbed/trials/bgp/ends.go
@@ -89,7 +89,7 @@
 		}
 		for k, p := range t.peers {
 			if err := t.waitWithdrawn(
-				fmt.Sprintf("peer %d is told that %s is gone", k, prefix(first+i)),
+				fmt.Sprintf("peer %d receives the withdrawal of %s", k, prefix(first+i)),
 				p,
 				first+i,
 			); err != nil {
@@ -112,7 +112,7 @@
 			measured.count++
 			_ = measured.delays.RecordValue(max(1, late.Milliseconds())) // longer than its range is a miss below
 			if late > withdrawalLimit {
-				t.Missf("peer %d was told that %s is gone %v after its last container's end", k, update.Prefix, late)
+				t.Missf("peer %d received the withdrawal of %s %v after its last container's end", k, update.Prefix, late)
 			}
 		}
 	}
--- a/internal/testbed/trials/bgp/flaps.go
+++ b/internal/testbed/trials/bgp/flaps.go
@@ -56,7 +56,7 @@
 		if gap := update.At.Sub(last); !last.IsZero() {
 			shortest = min(shortest, gap)
 			if gap < minUpdateInterval-clockTolerance {
-				t.Missf("peer %d was told of %s twice within %v", peer, update.Prefix, gap)
+				t.Missf("peer %d received two updates of %s within %v", peer, update.Prefix, gap)
 			}
 		}
 		last = update.At
--- a/internal/testbed/trials/overload/calm.go
+++ b/internal/testbed/trials/overload/calm.go
@@ -38,6 +38,6 @@
 	if cost := 1 - with.share()/without.share(); cost >= tolerated {
 		t.Missf("the limit costs %.1f%% of the starts in time", 100*cost)
 	}
-	return fmt.Sprintf("%d asked, %d turned away; starts in time %.2f%% without the door, %.2f%% with it",
+	return fmt.Sprintf("%d submitted, %d shed; starts in time %.2f%% without the limit, %.2f%% with it",
 		with.submitted, with.shed, 100*without.share(), 100*with.share()), nil
 }
--- a/internal/testbed/trials/overload/sockets.go
+++ b/internal/testbed/trials/overload/sockets.go
@@ -59,8 +59,8 @@
 		return err
 	}
 	report.Violations(t.Out, findings)
-	t.Printf("  %d submitted (%d again), %d placed, %d pushed back, %d turned away, %d given up; "+
-		"%d machines pushed over, cold ones at most at %d of %d\n",
+	t.Printf("  %d submitted (%d retries), %d placed, %d rejected, %d not admitted, %d failed; "+
+		"%d machines overloaded, those in slow start at most at %d of %d offers\n",
 		tally.Submitted, tally.Retried, tally.Placed, tally.Rejected, tally.NotAdmitted, tally.Failed,
 		overloaded, findings.SlowStartPeak, findings.SlowStartBudget)
 	if !findings.Passed() {
@@ -93,7 +93,7 @@
 		if err != nil {
 			return err
 		}
-		t.Printf("sockets, %d placers, damping %-11s: %s\n", t.Schedulers, d, recovery)
+		t.Printf("sockets, %d schedulers, damping %-11s: %s\n", t.Schedulers, d, recovery)
 		recoveries[d] = recovery
 	}
 	limited := recoveries[simulation.Limited]
--- a/internal/testbed/trials/restart/jobclient.go
+++ b/internal/testbed/trials/restart/jobclient.go
@@ -118,7 +118,7 @@
 		seen[job.ID] = true
 		switch {
 		case !ok:
-			report("job %s is there, its end was acknowledged", job.ID)
+			report("job %s exists, its deletion was acknowledged", job.ID)
 		case job.Version != acknowledged.version || job.Count != acknowledged.spec.Count || job.Workload != acknowledged.spec.Workload:
 			report(
 				"job %s is %+v, acknowledged was version %d of %+v",
@@ -131,7 +131,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
 		if !seen[id] {
-			report("job %s was acknowledged and is not there", id)
+			report("job %s was acknowledged and does not exist", id)
 		}
 	}
 }
--- a/internal/testbed/trials/restart/start.go
+++ b/internal/testbed/trials/restart/start.go
@@ -58,7 +58,7 @@
 	if err := t.measureSchedulerStart(b, n); err != nil {
 		return err
 	}
-	state := filepath.Join(dir, "keeper.state")
+	state := filepath.Join(dir, "controller.state")
 	if err := writeControllerLog(state, b.Scheduler.Address, n); err != nil {
 		return err
 	}
@@ -88,8 +88,8 @@
 		return err
 	}
 	t.Printf(
-		"start of a placer, %d containers in its log: door open after %.0f ms, first container placed after %.0f ms, "+
-			"first at-most-once one that came before after %.0f ms\n",
+		"start of a scheduler, %d containers in its log: listening after %.0f ms, first container placed after %.0f ms, "+
+			"first retried at-most-once one after %.0f ms\n",
 		n,
 		milliseconds(listening),
 		milliseconds(first),
@@ -109,7 +109,7 @@
 		return err
 	}
 	if err := process.WaitUntil(
-		"the keeper answers",
+		"the controller answers",
 		30*time.Second,
 		func() bool { return k.Get("/v1/jobs?limit=1", nil) == nil },
 	); err != nil {
@@ -123,7 +123,7 @@
 		return err
 	}
 	t.Printf(
-		"start of a keeper, %d containers in its log: API open after %.0f ms, the first found or started after %.0f ms\n",
+		"start of a controller, %d containers in its log: API open after %.0f ms, first container running after %.0f ms\n",
 		n,
 		milliseconds(listening),
 		milliseconds(time.Since(began)),
--- a/internal/testbed/trials/why/expect.go
+++ b/internal/testbed/trials/why/expect.go
@@ -59,7 +59,7 @@
 		case e.met(read, answer):
 			t.recordDelay(max(1, took.Milliseconds()))
 			if took > reasonLimit {
-				t.Missf("%s: the truth was read after %d ms, before that %s %+v",
+				t.Missf("%s: the true reason was read after %d ms, before that %s %+v",
 					e.what, took.Milliseconds(), wrong.State, wrong.Reasons)
 			}
 			return nil
--- a/internal/testbed/trials/why/spread.go
+++ b/internal/testbed/trials/why/spread.go
@@ -29,7 +29,7 @@
 	}
 	// One scheduler's places may be full while the other has one; the true reason is that of the scheduler asked.
 	if err := process.WaitUntil(
-		"both placers are full",
+		"the spread is full at both schedulers",
 		spreadTimeout,
 		func() bool { return t.CountContainers(job, process.StateRunning) == capacity },
 	); err != nil {
@@ -40,7 +40,7 @@
 		return fmt.Errorf("list the pending containers of the spread job: %w", err)
 	}
 	if len(pending.Items) == 0 {
-		return errors.New("none of the spread job waits")
+		return errors.New("no container of the spread job is pending")
 	}
 	last := pending.Items[len(pending.Items)-1].ID
 	if err := t.expect(
