--- a/internal/testbed/scenario/replay.go
+++ b/internal/testbed/scenario/replay.go
@@ -57,7 +57,7 @@
 	}
 	report.Printf(
 		out,
-		"replay of a day of %s, SCALED DOWN: %d machines for %d, %d placers for %d, %.0f submissions a second\n",
+		"replay of a day of %s, SCALED DOWN: %d machines for %d, %d schedulers for %d, %.0f submissions per second\n",
 		day.Site,
 		machines,
 		len(day.Servers),
@@ -69,12 +69,12 @@
 		simulated := &day.Faults[i]
 		fault, ok := day.counterpart(simulated)
 		if !ok {
-			report.Printf(out, "left out: %s at %.1f s has no like on the sockets\n", simulated.Kind, fault.At.Seconds())
+			report.Printf(out, "left out: %s at %.1f s has no counterpart on sockets\n", simulated.Kind, fault.At.Seconds())
 			continue
 		}
 		report.Printf(
 			out,
-			"%s at %.1f s is played as: %s%s\n",
+			"%s at %.1f s is played as %s%s\n",
 			simulated.Kind,
 			fault.At.Seconds(),
 			fault.Kind,
@@ -114,7 +114,7 @@
 	case "mass_restart":
 		f.Kind = faults.KindCrash
 	case "vanish":
-		f.Kind = faults.KindSilenceThenCold
+		f.Kind = faults.KindFreezeAndRestart
 	case "slow":
 		f.Kind = faults.KindSlow
 	case "grow", "deploy":
@@ -136,7 +136,7 @@
 	case "discovery_stale":
 		f.Kind, f.Size = faults.KindListStale, min(10, max(2, t.Size))
 	case "answer_lost":
-		f.Kind, f.Size = faults.KindAnswersLost, min(0.9, t.Size)
+		f.Kind, f.Size = faults.KindLostAccepts, min(0.9, t.Size)
 	default:
 		return f, false
 	}
@@ -153,6 +153,6 @@
 	f.Fraction = min(largestFraction, float64(started)/float64(len(d.Servers)))
 	f.Kind, f.Size = faults.KindRollingDeploy, 1/float64(max(1, len(t.Steps)))*f.Fraction
 	if t.Kind == "grow" {
-		f.Kind = faults.KindFleetGrows
+		f.Kind = faults.KindFleetGrowth
 	}
 }
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -16,7 +16,7 @@
 	Tally              emulator.Tally
 	Audit              *audit.Report
 	OverloadedMachines int                           // machines that failed under load while in slow start
-	Injected           map[string]int                // by kind of fault
+	Injected           map[faults.Kind]int           // by kind of fault
 	Status             map[string]map[string]float64 // each scheduler's stats, by its name
 }
 
@@ -34,7 +34,7 @@
 	defer c.Shutdown()
 	log := faults.NewLog(out)
 	log.Printf(
-		"%d placers, %d machines in %d halls, %.0f submissions a second",
+		"%d schedulers, %d machines in %d zones, %.0f submissions per second",
 		len(c.Schedulers),
 		len(c.Machines),
 		len(s.Zones),
