--- a/internal/testbed/loopback/loopback.go
+++ b/internal/testbed/loopback/loopback.go
@@ -17,6 +17,12 @@
 	return config.Listen(context.Background(), "tcp", address)
 }
 
+// ListenPacket opens a UDP socket.
+func ListenPacket(address string) (net.PacketConn, error) {
+	var config net.ListenConfig
+	return config.ListenPacket(context.Background(), "udp", address)
+}
+
 // Dial connects to an address within a time limit.
 func Dial(address string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout}
--- a/internal/testbed/process/controller.go
+++ b/internal/testbed/process/controller.go
@@ -21,6 +21,7 @@
 // Controller is a controller's process and a client of its API.
 type Controller struct {
 	APIAddr string
+	port    *reservedPort
 	program string
 	file    string
 	log     string
@@ -39,12 +40,13 @@
 
 // NewController chooses a port for a controller and writes its settings file.
 func NewController(spec ControllerSpec) (*Controller, error) {
-	api, err := freePort()
+	port, err := reservePort() // held until the test bed ends: a controller may be started again
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("controller: %w", err)
 	}
 	controller := &Controller{
-		APIAddr: api,
+		APIAddr: port.address,
+		port:    port,
 		program: spec.Program,
 		file:    filepath.Join(spec.Dir, "controller.yaml"),
 		log:     filepath.Join(spec.Dir, "controller.log"),
@@ -55,7 +57,7 @@
 	}
 	settings := &config.Controller{
 		Name:            "controller",
-		APIAddr:         api,
+		APIAddr:         port.address,
 		SchedulerAddrs:  spec.SchedulerAddrs,
 		MachineListAddr: spec.MachineListAddr,
 		StateDir:        spec.StateDir,
--- /dev/null
+++ b/internal/testbed/process/port_test.go
@@ -0,0 +1,50 @@
+package process
+
+import (
+	"net"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"glenport/internal/testbed/loopback"
+)
+
+func TestReservedPortIsNobodyElses(t *testing.T) {
+	port, err := reservePort()
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, number, _ := strings.Cut(port.address, ":")
+	if number < "20000" || number > "32767" {
+		t.Errorf("port %s may be taken by a connection", number)
+	}
+	if again, err := tryToReserve(port.address); err == nil {
+		again.release()
+		t.Error("a port was reserved twice")
+	}
+	port.release()
+	again, err := tryToReserve(port.address)
+	if err != nil {
+		t.Fatalf("a port that was given up cannot be reserved: %v", err)
+	}
+	again.release()
+}
+
+// Another program listens at the scheduler's address: its connection must not count as the scheduler's.
+func TestStartFailsWhereAnotherProgramListens(t *testing.T) {
+	log := filepath.Join(t.TempDir(), "log")
+	scheduler, err := NewScheduler("scheduler-0", "none.yaml", log, []string{"/bin/false"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer scheduler.port.release()
+	other, err := loopback.Listen(scheduler.Address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer loopback.CloseQuietly(other)
+	go loopback.AcceptAll(other, func(conn net.Conn) { loopback.CloseQuietly(conn) })
+	if err := scheduler.Start(); err == nil || !strings.Contains(err.Error(), "ended at once") {
+		t.Errorf("got %v", err)
+	}
+}
--- a/internal/testbed/process/scheduler.go
+++ b/internal/testbed/process/scheduler.go
@@ -4,7 +4,6 @@
 
 import (
 	"fmt"
-	"net"
 	"os"
 	"os/exec"
 	"runtime"
@@ -16,12 +15,17 @@
 )
 
 const (
-	startTimeout  = 10 * time.Second // until a scheduler's listener accepts
-	stopTimeout   = 5 * time.Second  // from a signal to SIGKILL
+	startTimeout  = 10 * time.Second // until a scheduler answers
+	pollInterval  = 5 * time.Millisecond
+	helloTimeout  = time.Second     // for the hello of a scheduler that was just started
+	stopTimeout   = 5 * time.Second // from a signal to SIGKILL
 	statusTimeout = 5 * time.Second
 	dialTimeout   = time.Second
 )
 
+// clientName is the name by which the test bed introduces itself to schedulers.
+const clientName = "testbed"
+
 // Scheduler is a scheduler's process and its files.
 type Scheduler struct {
 	Name    string
@@ -30,6 +34,7 @@
 	File    string // its settings
 	command []string
 	log     *os.File
+	port    *reservedPort
 	mu      sync.Mutex
 	process *os.Process
 	exited  chan struct{}
@@ -37,28 +42,30 @@
 
 // NewScheduler chooses a port for a scheduler and opens its log; the settings file is the caller's to write.
 func NewScheduler(name, file, logFile string, command []string) (*Scheduler, error) {
-	address, err := freePort()
+	port, err := reservePort()
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("scheduler %s: %w", name, err)
 	}
 	log, err := os.Create(logFile)
 	if err != nil {
+		port.release()
 		return nil, err
 	}
-	return &Scheduler{Name: name, Address: address, File: file, command: command, log: log}, nil
+	return &Scheduler{Name: name, Address: port.address, File: file, command: command, log: log, port: port}, nil
 }
 
-// Start starts the process and waits until its listener accepts.
+// Start starts the process and waits until it answers at its address.
 func (p *Scheduler) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.process != nil {
 		return nil
 	}
+	launched := time.Now()
 	if err := p.launch(); err != nil {
 		return err
 	}
-	return p.waitListening()
+	return p.waitListening(launched)
 }
 
 // launch starts the process from a thread that outlives it: the process is to die with the test bed, and the kernel
@@ -85,22 +92,35 @@
 	return <-started
 }
 
-func (p *Scheduler) waitListening() error {
-	for end := time.Now().Add(startTimeout); ; time.Sleep(5 * time.Millisecond) {
-		if c, err := net.Dial("tcp", p.Address); err == nil {
-			return c.Close()
+// waitListening waits until the process itself answers: a connection alone does not show that, as another program may
+// listen at the address.
+func (p *Scheduler) waitListening(launched time.Time) error {
+	for end := time.Now().Add(startTimeout); ; time.Sleep(pollInterval) {
+		if p.answersSince(launched) {
+			return nil
 		}
 		select {
 		case <-p.exited:
-			return fmt.Errorf("scheduler %s exited at once; its log is %s", p.Name, p.log.Name())
+			return fmt.Errorf("scheduler %s ended at once; its log is %s", p.Name, p.log.Name())
 		default:
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("scheduler %s does not listen", p.Name)
+			return fmt.Errorf("scheduler %s does not answer at %s; its log is %s", p.Name, p.Address, p.log.Name())
 		}
 	}
 }
 
+// answersSince reports whether the scheduler of this name answers whose incarnation began after a moment.
+func (p *Scheduler) answersSince(launched time.Time) bool {
+	c, err := DialProtocol(p.Address, helloTimeout, protocol.NewHello(protocol.RoleScheduler, clientName, 1))
+	if err != nil {
+		return false
+	}
+	defer CloseQuietly(c)
+	hello, err := ReadUntil[*protocol.Hello](c)
+	return err == nil && hello.Name == p.Name && hello.Incarnation >= uint64(launched.UnixMicro())
+}
+
 // Stop ends the process by a signal and waits for its exit; it is killed if that takes longer than stopTimeout.
 func (p *Scheduler) Stop(signal syscall.Signal) {
 	p.mu.Lock()
@@ -124,6 +144,7 @@
 	if p.log != nil {
 		_ = p.log.Close() // written by the process, not through this descriptor
 	}
+	p.port.release()
 }
 
 // Running reports whether the process was started and not stopped since.
@@ -155,13 +176,3 @@
 	}
 	return stats, nil
 }
-
-// freePort returns a port of the system's choice. It is closed again before the process opens it, which leaves a
-// moment for another program to take it: the start then fails with an error.
-func freePort() (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return "", err
-	}
-	return l.Addr().String(), l.Close()
-}
