--- a/scheduler/draw.go
+++ b/scheduler/draw.go
@@ -38,13 +38,15 @@
 // buckets, and each bucket, hashed with service and machine, is given to one with odds proportional to its weight. So
 // the containers of a service meet again on few machines, the same for all schedulers, and no weight follows
 // placement.
+//
+// Machines in slow start are always checked, as the check drops from their ledgers what was sent before the window.
 func (d *maxCapDraw) draw(c *container, machines []*machine, now Time) *machine {
 	bucket := c.service.hash + d.random.next()%virtualBuckets
 	classes := d.classes.classesOf(c)
 	best := candidate{level: noCandidate, variate: math.Inf(1)}
 	for _, m := range machines {
 		v := d.variate(c, m, bucket, now)
-		if best.level == notSuspected && v.exceeds(best.variate) {
+		if best.level == notSuspected && v.exceeds(best.variate) && !d.slowStart.inSlowStart(m, now) {
 			continue // whether the machine is suspected or eligible makes no difference
 		}
 		level := suspicionLevelOf(m, classes, d.classes, now)
--- a/scheduler/draw_test.go
+++ b/scheduler/draw_test.go
@@ -73,6 +73,21 @@
 	}
 }
 
+// A ledger that kept what was sent before the window would count it again behind what a late Restore puts before it.
+func TestDrawTrimsLedgersOfMachinesInSlowStart(t *testing.T) {
+	s := settledScheduler(nil, nil)
+	for _, m := range s.machines.all() {
+		m.startAt(s.now - Second)
+		m.sends.record(s.now - 10*Second)
+	}
+	submit(s, s.now, "x", "s")
+	for _, m := range s.machines.all() {
+		if len(m.sends.sent) > 0 && m.sends.sent[0] < s.now {
+			t.Errorf("the ledger of %s still has a send before its window", m.id)
+		}
+	}
+}
+
 func TestHonoredCapacityLosesExtraneousLoad(t *testing.T) {
 	for _, tc := range []struct {
 		name                                 string
