--- a/internal/schedulerd/admission/admission_test.go
+++ b/internal/schedulerd/admission/admission_test.go
@@ -10,16 +10,10 @@
 
 func TestClientsBeyondTheLimitAreRejected(t *testing.T) {
 	c := New(Limits{Clients: 2, OpenRequests: 9, OpenRequestsPerClient: 9}, 1, nil)
-	for client := range ClientID(2) {
-		if err := c.Connect(client); err != nil {
-			t.Fatal(err)
-		}
-	}
+	connect(t, c, 0, 1)
 	var limit *LimitError
-	if err := c.Connect(
-		2,
-	); !errors.As(err, &limit) || limit.Limit != LimitClients || limit.Current != 2 ||
-		c.Connected(2) {
+	err := c.Connect(2)
+	if !errors.As(err, &limit) || limit.Limit != LimitClients || limit.Current != 2 || c.Connected(2) {
 		t.Errorf("a third client: %v", err)
 	}
 	c.Disconnect(0)
@@ -28,70 +22,83 @@
 	}
 }
 
+func connect(t *testing.T, c *Controller, clients ...ClientID) {
+	t.Helper()
+	for _, client := range clients {
+		if err := c.Connect(client); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// openAll opens a request of each client in turn.
+func openAll(t *testing.T, c *Controller, clients ...ClientID) {
+	t.Helper()
+	for _, client := range clients {
+		if _, err := c.Open(0, client, scheduler.PlacementRequest{}); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
 func TestRequestsBeyondALimitAreRejected(t *testing.T) {
-	failed := overload.RequestFailed{}
+	type clients = []ClientID
+	closeFirst := func(c *Controller) { c.Close(0, 1, overload.RequestFailed{}) }
+	disconnectSecond := func(c *Controller) { c.Disconnect(2) }
+	closeAfterwards := func(c *Controller) {
+		c.Disconnect(2)
+		c.Close(0, 2, overload.RequestFailed{})
+	}
 	for _, tc := range []struct {
 		name  string
-		act   func(open func(ClientID), c *Controller)
+		open  clients // of the requests, in their order
+		then  func(*Controller)
 		limit Limit // that a request of client 1 meets; 0: none
 	}{
-		{"below all", func(open func(ClientID), _ *Controller) { open(1) }, 0},
-		{"too many of the client", func(open func(ClientID), _ *Controller) { open(1); open(1) }, LimitOpenRequestsPerClient},
-		{"too many of another client", func(open func(ClientID), _ *Controller) { open(2); open(2) }, 0},
-		{"too many in all", func(open func(ClientID), _ *Controller) { open(1); open(2); open(2) }, LimitOpenRequests},
-		{"one was closed", func(open func(ClientID), c *Controller) { open(1); open(1); c.Close(0, 1, failed) }, 0},
-		{"requests of a client that left stay open", func(open func(ClientID), c *Controller) {
-			open(2)
-			open(2)
-			open(1)
-			c.Disconnect(2)
-		}, LimitOpenRequests},
-		{"until they are closed", func(open func(ClientID), c *Controller) {
-			open(2)
-			open(2)
-			open(1)
-			c.Disconnect(2)
-			c.Close(0, 2, failed)
-		}, 0},
+		{"below all", clients{1}, nil, 0},
+		{"too many of the client", clients{1, 1}, nil, LimitOpenRequestsPerClient},
+		{"too many of another client", clients{2, 2}, nil, 0},
+		{"too many in all", clients{1, 2, 2}, nil, LimitOpenRequests},
+		{"one was closed", clients{1, 1}, closeFirst, 0},
+		{"requests of a client that left stay open", clients{2, 2, 1}, disconnectSecond, LimitOpenRequests},
+		{"until they are closed", clients{2, 2, 1}, closeAfterwards, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := New(Limits{Clients: 2, OpenRequests: 3, OpenRequestsPerClient: 2}, 1, nil)
-			for _, client := range []ClientID{1, 2} {
-				if err := c.Connect(client); err != nil {
-					t.Fatal(err)
-				}
-			}
-			tc.act(func(client ClientID) {
-				if _, err := c.Open(0, client, scheduler.PlacementRequest{}); err != nil {
-					t.Fatal(err)
-				}
-			}, c)
-			err := c.CheckLimits(1)
-			if tc.limit == 0 {
-				if err != nil {
-					t.Errorf("rejected: %v", err)
-				}
-				return
-			}
-			var rejection *RejectionError
-			var limit *LimitError
-			if !errors.As(err, &rejection) || !errors.As(err, &limit) {
-				t.Fatalf("%v is no rejection by a limit", err)
-			}
-			if limit.Limit != tc.limit || rejection.RetryAfter != retryAfterWhenFull {
-				t.Errorf("%v, want limit %d", err, tc.limit)
+			connect(t, c, 1, 2)
+			openAll(t, c, tc.open...)
+			if tc.then != nil {
+				tc.then(c)
 			}
+			checkLimit(t, c.CheckLimits(1), tc.limit)
 		})
 	}
 }
 
+// checkLimit checks that a request was rejected by a limit, or was not if that is 0.
+func checkLimit(t *testing.T, err error, want Limit) {
+	t.Helper()
+	if want == 0 {
+		if err != nil {
+			t.Errorf("rejected: %v", err)
+		}
+		return
+	}
+	var rejection *RejectionError
+	var limit *LimitError
+	if !errors.As(err, &rejection) || !errors.As(err, &limit) {
+		t.Fatalf("%v is no rejection by a limit", err)
+	}
+	if limit.Limit != want || rejection.RetryAfter != retryAfterWhenFull {
+		t.Errorf("%v, want limit %d", err, want)
+	}
+}
+
 // A request that is shed is not open, and says when to retry. Shedding is announced once.
 func TestShedRequestIsNotOpen(t *testing.T) {
 	classes := []overload.WorkloadClass{{LatencyObjective: scheduler.Second, PriorityWeight: 1}}
 	c := New(Limits{Clients: 1, OpenRequests: 2, OpenRequestsPerClient: 9}, 1, classes)
-	if err := c.Connect(1); err != nil {
-		t.Fatal(err)
-	}
+	connect(t, c, 1)
 	announced, shed := 0, 0
 	for range 5 {
 		changes, err := c.Open(0, 1, scheduler.PlacementRequest{})
--- a/internal/schedulerd/overload/golden_test.go
+++ b/internal/schedulerd/overload/golden_test.go
@@ -29,9 +29,10 @@
 
 // recordedLoad is a seeded load on one limiter: light, a flood of first tries and client retries, light again.
 type recordedLoad struct {
-	rng  *rand.Rand
-	now  scheduler.Time
-	open []int // workload classes of admitted requests
+	rng   *rand.Rand
+	now   scheduler.Time
+	open  []int // workload classes of admitted requests
+	flood bool
 }
 
 func (s *recordedLoad) run(d *golden.Digest, maxOpen int) {
@@ -43,12 +44,12 @@
 	limiter := New(config)
 	s.now = scheduler.Time(s.rng.IntN(100_000))
 	for phase := range 5 {
-		flood := phase%2 == 1
+		s.flood = phase%2 == 1
 		for range 400 {
-			s.advance(flood)
+			s.advance()
 			var events []Event
 			for range 1 + s.rng.IntN(3) {
-				events = s.addEvent(events, flood)
+				events = s.addEvent(events)
 			}
 			actions := limiter.Handle(s.now, events...)
 			foldActions(d, s.now, limiter, actions)
@@ -66,9 +67,9 @@
 	}
 }
 
-func (s *recordedLoad) advance(flood bool) {
+func (s *recordedLoad) advance() {
 	s.now += scheduler.Time(s.rng.IntN(100))
-	if flood {
+	if s.flood {
 		s.now += scheduler.Time(s.rng.IntN(30))
 	}
 	if s.rng.IntN(150) == 0 {
@@ -76,20 +77,18 @@
 	}
 }
 
-func (s *recordedLoad) addEvent(events []Event, flood bool) []Event {
+func (s *recordedLoad) addEvent(events []Event) []Event {
 	switch n := s.rng.IntN(10); {
-	case n < 6 && (flood || len(s.open) < 12):
+	case n < 6 && (s.flood || len(s.open) < 12):
 		client := fmt.Sprint("c", s.rng.IntN(30))
 		if s.rng.IntN(3) == 0 {
 			client = "busy"
 		}
-		return append(
-			events,
-			RequestReceived{Client: client, WorkloadClass: s.rng.IntN(4), ClientRetry: s.rng.IntN(3) == 0},
-		)
+		class := s.rng.IntN(4)
+		return append(events, RequestReceived{Client: client, WorkloadClass: class, ClientRetry: s.rng.IntN(3) == 0})
 	case n < 9 && len(s.open) > 0:
 		elapsed := scheduler.Time(s.rng.IntN(1000))
-		if flood {
+		if s.flood {
 			elapsed = scheduler.Time(s.rng.IntN(30_000))
 		}
 		events = append(events, RequestStarted{WorkloadClass: s.open[0], Elapsed: elapsed})
--- a/internal/schedulerd/overload/limiter_test.go
+++ b/internal/schedulerd/overload/limiter_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"strconv"
 	"testing"
 
 	"glenport/scheduler"
@@ -23,7 +24,8 @@
 	}
 }
 
-func request(t testing.TB, limiter *Limiter, now scheduler.Time, e RequestReceived) (bool, Shed) {
+func request(t *testing.T, limiter *Limiter, now scheduler.Time, e RequestReceived) (bool, Shed) {
+	t.Helper()
 	for _, a := range limiter.Handle(now, e) {
 		switch a := a.(type) {
 		case Admit:
@@ -37,7 +39,8 @@
 }
 
 // overloadedLimiter returns a limiter that has seen starts become slow: each request is open for two seconds.
-func overloadedLimiter(t testing.TB) (*Limiter, scheduler.Time) {
+func overloadedLimiter(t *testing.T) (*Limiter, scheduler.Time) {
+	t.Helper()
 	limiter, now := New(testConfig()), scheduler.Time(0)
 	for range 200 { // without overload
 		now += 10 * ms
@@ -46,7 +49,7 @@
 	}
 	for i := range 3000 {
 		now += 2 * ms
-		request(t, limiter, now, RequestReceived{Client: fmt.Sprint(i % 50)})
+		request(t, limiter, now, RequestReceived{Client: strconv.Itoa(i % 50)})
 		if i%4 == 0 {
 			limiter.Handle(now, RequestStarted{0, 2 * sec})
 		}
@@ -66,12 +69,8 @@
 	limiter, now := New(testConfig()), scheduler.Time(0)
 	for i := range 20_000 {
 		now += ms
-		if ok, s := request(
-			t,
-			limiter,
-			now,
-			RequestReceived{Client: fmt.Sprint(i % 7), WorkloadClass: i % 3, ClientRetry: i%2 == 0},
-		); !ok {
+		e := RequestReceived{Client: strconv.Itoa(i % 7), WorkloadClass: i % 3, ClientRetry: i%2 == 0}
+		if ok, s := request(t, limiter, now, e); !ok {
 			t.Fatalf("shed: %+v", s)
 		}
 		limiter.Handle(now, RequestStarted{i % 3, 60 * ms})
@@ -152,62 +151,68 @@
 	retries := 0
 	for i := range 1000 {
 		limiter.Handle(now, RequestFailed{0}) // room for one
-		if ok, _ := request(t, limiter, now, RequestReceived{Client: fmt.Sprint(retries), ClientRetry: true}); ok {
+		if ok, _ := request(t, limiter, now, RequestReceived{Client: strconv.Itoa(retries), ClientRetry: true}); ok {
 			retries++
 		} else if ok, s := request(t, limiter, now, RequestReceived{Client: fmt.Sprint("f", i%50)}); !ok {
 			t.Fatalf("a first try is shed where a retry would have been admitted: %+v", s)
 		}
 	}
 	if most := maxRetryTokens + 1000*retryBudgetRatio; float64(retries) > most {
-		t.Errorf(
-			"%d client retries were admitted beside 1000 first tries; open %d, limit %.0f, tokens %.1f",
-			retries,
-			limiter.Open(),
-			limiter.Limit(),
-			limiter.retryTokens,
-		)
+		t.Errorf("%d client retries were admitted beside 1000 first tries; open %d, limit %.0f, tokens %.1f",
+			retries, limiter.Open(), limiter.Limit(), limiter.retryTokens)
 	}
 }
 
+// drawEvent draws a request, or the start of one where some are open.
+func drawEvent(t *rapid.T, open int) Event {
+	request := RequestReceived{
+		Client:        strconv.Itoa(rapid.IntRange(0, 5).Draw(t, "client")),
+		WorkloadClass: rapid.IntRange(0, 2).Draw(t, "class"),
+		ClientRetry:   rapid.Bool().Draw(t, "retry"),
+	}
+	if open == 0 || !rapid.Bool().Draw(t, "end") {
+		return request
+	}
+	class := rapid.IntRange(0, 2).Draw(t, "class")
+	return RequestStarted{class, scheduler.Time(rapid.IntRange(1, 60_000).Draw(t, "elapsed"))}
+}
+
 // Each request has one answer, equal sequences have equal answers, and what is open never exceeds the limit there was.
 func TestEachRequestIsAnsweredWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, now, open := New(testConfig()), New(testConfig()), scheduler.Time(0), 0
 		for range 200 {
 			now += scheduler.Time(rapid.IntRange(0, 2000).Draw(t, "advance"))
-			var e Event = RequestReceived{
-				Client: fmt.Sprint(
-					rapid.IntRange(0, 5).Draw(t, "client"),
-				),
-				WorkloadClass: rapid.IntRange(0, 2).Draw(t, "class"),
-				ClientRetry:   rapid.Bool().Draw(t, "retry"),
-			}
-			if open > 0 && rapid.Bool().Draw(t, "end") {
-				e = RequestStarted{
-					rapid.IntRange(0, 2).Draw(t, "class"),
-					scheduler.Time(rapid.IntRange(1, 60_000).Draw(t, "elapsed")),
-				}
-				open--
-			}
-			limit := a.Limit()
+			e, limit := drawEvent(t, open), a.Limit()
 			got, other := fmt.Sprint(a.Handle(now, e)), fmt.Sprint(b.Handle(now, e))
 			if got != other {
 				t.Fatalf("%s and %s", got, other)
 			}
-			if _, is := e.(RequestReceived); is {
-				if a.Open() > open {
-					open++
-					if float64(open) > limit+1 {
-						t.Fatalf("%d open, the limit was %.0f", open, limit)
-					}
-				} else if len(got) < 3 {
-					t.Fatalf("no answer: %s", got)
+			_, isRequest := e.(RequestReceived)
+			switch {
+			case !isRequest:
+				open--
+			case a.Open() > open:
+				if open++; float64(open) > limit+1 {
+					t.Fatalf("%d open, the limit was %.0f", open, limit)
 				}
+			case len(got) < 3:
+				t.Fatalf("no answer: %s", got)
 			}
 		}
 	})
 }
 
+// shedsSome reports whether a limiter sheds any of many requests.
+func shedsSome(t *testing.T, limiter *Limiter, now scheduler.Time) (shed bool) {
+	t.Helper()
+	for i := range 500 {
+		ok, _ := request(t, limiter, now, RequestReceived{Client: strconv.Itoa(i % 50)})
+		shed = shed || !ok
+	}
+	return shed
+}
+
 // A restart during an overload: the limit of the next incarnation is as low as the last one's, the less so the older
 // the snapshot is, and the baselines are kept.
 func TestRestoredLimitCountsByWeight(t *testing.T) {
@@ -225,16 +230,7 @@
 		if got, want := after.Snapshot().BaselineLatency[0], before.Snapshot().BaselineLatency[0]; got != want {
 			t.Errorf("weight %.1f: the baseline is %.2f, was %.2f", tc.weight, got, want)
 		}
-		if tc.weight < 1 {
-			continue
-		}
-		shed := 0
-		for i := range 500 {
-			if ok, _ := request(t, after, now, RequestReceived{Client: fmt.Sprint(i % 50)}); !ok {
-				shed++
-			}
-		}
-		if shed == 0 {
+		if tc.weight == 1 && !shedsSome(t, after, now) {
 			t.Error("a new incarnation admits all that the last one shed")
 		}
 	}
--- a/internal/schedulerd/reconcile/golden_test.go
+++ b/internal/schedulerd/reconcile/golden_test.go
@@ -241,6 +241,8 @@
 		{LatencyObjective: scheduler.Second, PriorityWeight: 2},
 		{LatencyObjective: scheduler.Second, PriorityWeight: 4},
 	}
+	tight := admission.Limits{Clients: 2, OpenRequests: 8, OpenRequestsPerClient: 3}
+	many := admission.Limits{Clients: 5, OpenRequests: 60, OpenRequestsPerClient: 60}
 	var lines []string
 	for i, group := range []struct {
 		name     string
@@ -252,8 +254,8 @@
 		{"no log", wide, recovery.LogNone, nil, 30},
 		{"synced log", wide, recovery.LogSynced, nil, 30},
 		{"complete log", wide, recovery.LogComplete, nil, 30},
-		{"tight limits", admission.Limits{Clients: 2, OpenRequests: 8, OpenRequestsPerClient: 3}, recovery.LogComplete, nil, 60},
-		{"overload", admission.Limits{Clients: 5, OpenRequests: 60, OpenRequestsPerClient: 60}, recovery.LogComplete, classes, 400},
+		{"tight limits", tight, recovery.LogComplete, nil, 60},
+		{"overload", many, recovery.LogComplete, classes, 400},
 	} {
 		d := golden.NewDigest()
 		for seed := range uint64(120) {
--- a/internal/schedulerd/reconcile/reconciler_test.go
+++ b/internal/schedulerd/reconcile/reconciler_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 
@@ -32,16 +33,16 @@
 	return r
 }
 
-func attempt(id string, class int, incarnation, number uint64, running bool) Attempt {
+// attempt is one of container a on machine m.
+func attempt(class int, incarnation, number uint64, running bool) Attempt {
 	return Attempt{
-		Request:     request(id, class),
-		Machine:     "m",
-		Incarnation: incarnation,
-		Number:      number,
-		Running:     running,
+		Request: request("a", class), Machine: "m", Incarnation: incarnation, Number: number, Running: running,
 	}
 }
 
+// report is the report of machine m.
+func report(attempts ...Attempt) MachineReported { return MachineReported{"m", attempts} }
+
 func describe(actions []Action) string {
 	var all []string
 	for _, a := range actions {
@@ -80,7 +81,8 @@
 	disconnected   = MachineDisconnected{"m"}
 	connectFailed  = ConnectFailed{Machine: "m"}
 	accepted       = AttemptAccepted{"a", "m", 9}
-	outcomeUnknown = AttemptOutcomeUnknown{attempt("a", 2, 5, 9, false)}
+	timerFired     = TimerFired{}
+	outcomeUnknown = AttemptOutcomeUnknown{attempt(2, 5, 9, false)}
 )
 
 // place and placeAgain are requests of client 1.
@@ -154,13 +156,13 @@
 			listed, connectFailed, 3100 * ms, placeAgain("b", "k-a", 2),
 		}, "connect m, admit b"},
 		{"a retry, and it runs", []any{
-			listed, MachineReported{"m", []Attempt{attempt("a", 2, 4, 7, true)}}, placeAgain("b", "k-a", 2),
+			listed, report(attempt(2, 4, 7, true)), placeAgain("b", "k-a", 2),
 		}, "running b on m"},
 
 		{"cancelled", []any{place("a", 0), CancelRequested{1, "a", "k-a"}}, "terminate a as a"},
 		{"cancelled by its key", []any{place("a", 0), CancelRequested{1, "x", "k-a"}}, "terminate a as x"},
 		{"cancelled, and an earlier attempt runs", []any{
-			place("a", 1), LateAccept{attempt("a", 1, 5, 9, true)}, CancelRequested{1, "a", "k-a"},
+			place("a", 1), LateAccept{attempt(1, 5, 9, true)}, CancelRequested{1, "a", "k-a"},
 		}, "cancel 5.9, terminate a as a"},
 		// A scheduler that has just started does not know what runs: "nothing" would leave it running for ever.
 		{"cancelled, and no machine has reported", []any{CancelRequested{1, "x", "k-a"}}, "reject x"},
@@ -201,7 +203,7 @@
 		{"key in use", []Event{open, placeAgain("b", "k-a", 2)}, isError[*KeyInUseError], retryAfter},
 		{"limit", []Event{open, place("b", 0), place("c", 0)}, isError[*admission.LimitError], scheduler.Second},
 		{"key may run", []Event{
-			AttemptRestored{attempt("a", 2, 4, 7, true)}, place("a", 2),
+			AttemptRestored{attempt(2, 4, 7, true)}, place("a", 2),
 		}, isError[*recovery.MayRunError], retryAfter},
 		{"recovering", []Event{placeAgain("b", "k-a", 2)}, isError[*recovery.RecoveringError], retryAfter},
 	} {
@@ -223,16 +225,16 @@
 
 func TestAttemptThatMayRunIsResolved(t *testing.T) {
 	runSequences(t, []sequence{
-		{"late accept, idempotent", []any{place("a", 0), LateAccept{attempt("a", 0, 5, 9, true)}}, "cancel 5.9"},
+		{"late accept, idempotent", []any{place("a", 0), LateAccept{attempt(0, 5, 9, true)}}, "cancel 5.9"},
 		{"late accept, failed", []any{
-			place("a", 2), RequestFailed{"a"}, ContainerRemoved{"a"}, LateAccept{attempt("a", 2, 5, 9, true)},
+			place("a", 2), RequestFailed{"a"}, ContainerRemoved{"a"}, LateAccept{attempt(2, 5, 9, true)},
 		}, "adopt a"},
-		{"late accept while the request is open", []any{place("a", 1), LateAccept{attempt("a", 1, 5, 9, true)}}, ""},
+		{"late accept while the request is open", []any{place("a", 1), LateAccept{attempt(1, 5, 9, true)}}, ""},
 		{"then the container is removed", []any{
-			place("a", 1), LateAccept{attempt("a", 1, 5, 9, true)}, ContainerRemoved{"a"},
+			place("a", 1), LateAccept{attempt(1, 5, 9, true)}, ContainerRemoved{"a"},
 		}, "adopt a"},
 		{"then it is placed elsewhere", []any{
-			place("a", 1), LateAccept{attempt("a", 1, 5, 9, true)}, AttemptAccepted{"a", "n", 10},
+			place("a", 1), LateAccept{attempt(1, 5, 9, true)}, AttemptAccepted{"a", "n", 10},
 		}, "cancel 5.9"},
 		// A machine that fell silent with an at-most-once attempt may run it: a client that retries waits until it has
 		// reported.
@@ -252,7 +254,7 @@
 		{"outcome unknown, the attempt was reported", []any{
 			4000 * ms, place("a", 2), outcomeUnknown,
 			ContainerRemoved{"a"},
-			AttemptNotRunning{attempt("a", 2, 5, 9, false)},
+			AttemptNotRunning{attempt(2, 5, 9, false)},
 			placeAgain("b", "k-a", 2),
 		}, "admit b"},
 		{"outcome unknown, the machine is gone", []any{
@@ -263,93 +265,76 @@
 		}, "admit b"},
 		{"outcome unknown, idempotent", []any{
 			4000 * ms, place("a", 0),
-			AttemptOutcomeUnknown{attempt("a", 0, 5, 9, false)},
+			AttemptOutcomeUnknown{attempt(0, 5, 9, false)},
 			ContainerRemoved{"a"},
 			placeAgain("b", "k-a", 0),
 		}, "admit b"},
 		{"removed, then reported by its machine", []any{
-			place("a", 2), ContainerRemoved{"a"}, MachineReported{"m", []Attempt{attempt("a", 2, 5, 9, true)}},
+			place("a", 2), ContainerRemoved{"a"}, report(attempt(2, 5, 9, true)),
 		}, "adopt a"},
 	})
 }
 
 func TestMachineReportDecidesWhatRuns(t *testing.T) {
+	copyOfKey := Attempt{Request: retry("b", "k-a", 1), Machine: "m", Incarnation: 4, Number: 7, Running: true}
 	runSequences(t, []sequence{
 		{"listed machines are connected", []any{listed}, "connect m"},
-		{
-			"a machine that could not be connected is tried again",
-			[]any{listed, connectFailed, 2100 * ms, TimerFired{}},
-			"connect m",
-		},
-		{"one that is gone is not", []any{listed, connectFailed, MachineRemoved{"m"}, 5100 * ms, TimerFired{}}, ""},
+		{"a machine that could not be connected is tried again", []any{
+			listed, connectFailed, 2100 * ms, timerFired,
+		}, "connect m"},
+		{"one that is gone is not", []any{listed, connectFailed, MachineRemoved{"m"}, 5100 * ms, timerFired}, ""},
 
 		{"earlier incarnation, running", []any{
-			MachineReported{"m", []Attempt{attempt("a", 0, 4, 7, true)}},
+			report(attempt(0, 4, 7, true)),
 		}, "adopt a"},
 		{"earlier incarnation, waiting: it counts until it has ended", []any{
-			MachineReported{"m", []Attempt{attempt("a", 2, 4, 7, false)}},
+			report(attempt(2, 4, 7, false)),
 		}, "cancel 4.7, adopt a"},
 		{"earlier incarnation, waiting, and requested again", []any{
-			MachineReported{"m", []Attempt{attempt("a", 2, 4, 7, false)}}, placeAgain("b", "k-a", 2),
+			report(attempt(2, 4, 7, false)), placeAgain("b", "k-a", 2),
 		}, "reject b"},
 		{"reported twice", []any{
-			MachineReported{"m", []Attempt{attempt("a", 0, 4, 7, true)}},
-			MachineReported{"m", []Attempt{attempt("a", 0, 4, 7, true)}},
+			report(attempt(0, 4, 7, true)),
+			report(attempt(0, 4, 7, true)),
 		}, ""},
 		{"earlier incarnation, then gone", []any{
-			MachineReported{"m", []Attempt{attempt("a", 0, 4, 7, true)}}, MachineReported{"m", nil},
+			report(attempt(0, 4, 7, true)), report(),
 		}, "lost a"},
-		{
-			"two copies of one key",
-			[]any{
-				place("a", 1),
-				AttemptAccepted{"a", "n", 9},
-				MachineReported{
-					"m",
-					[]Attempt{{Request: retry("b", "k-a", 1), Machine: "m", Incarnation: 4, Number: 7, Running: true}},
-				},
-			},
-			"cancel 4.7",
-		},
+		{"two copies of one key", []any{
+			place("a", 1), AttemptAccepted{"a", "n", 9}, report(copyOfKey),
+		}, "cancel 4.7"},
+	})
+}
+
+// failedTwice is a connection that has broken and two attempts to make it again that have failed.
+var failedTwice = []any{
+	place("a", 0), accepted, disconnected, connectFailed,
+	200 * ms, timerFired, connectFailed, 1000 * ms, timerFired,
+}
+
+func after(steps []any, more ...any) []any { return append(slices.Clone(steps), more...) }
 
+func TestBrokenConnectionIsTriedAgain(t *testing.T) {
+	runSequences(t, []sequence{
 		{"disconnected, tried at once", []any{place("a", 0), accepted, disconnected}, "connect m"},
 		{"disconnected, and nothing runs there", []any{disconnected}, ""},
 		{"reconnected, and still reported", []any{
-			place("a", 0), accepted, disconnected, MachineReported{"m", []Attempt{attempt("a", 0, 5, 9, true)}},
+			place("a", 0), accepted, disconnected, report(attempt(0, 5, 9, true)),
 		}, ""},
 		{"reconnected, and no longer reported", []any{
-			place("a", 0), accepted, disconnected, MachineReported{"m", nil},
+			place("a", 0), accepted, disconnected, report(),
 		}, "lost a"},
 		{"tried again after the backoff", []any{
-			place("a", 0), accepted, disconnected, connectFailed, 200 * ms, TimerFired{},
-		}, "connect m"},
-		{"lost after some attempts", []any{
-			place("a", 0), accepted, disconnected, connectFailed, 200 * ms,
-			TimerFired{},
-			connectFailed, 1000 * ms,
-			TimerFired{},
-			connectFailed,
-		}, "lost a"},
-		{"not lost by a local shortage", []any{
-			place("a", 0), accepted, disconnected, connectFailed, 200 * ms,
-			TimerFired{},
-			connectFailed, 1000 * ms,
-			TimerFired{},
-			ConnectFailed{"m", true},
-			1200 * ms,
-			TimerFired{},
+			place("a", 0), accepted, disconnected, connectFailed, 200 * ms, timerFired,
 		}, "connect m"},
+		{"lost after some attempts", after(failedTwice, connectFailed), "lost a"},
+		{"not lost by a local shortage", after(
+			failedTwice, ConnectFailed{"m", true}, 1200*ms, timerFired,
+		), "connect m"},
 		// Else a container that ran on behind a partition would never be known again.
-		{"lost, and its machine is queried later", []any{
-			place("a", 0), accepted, disconnected, connectFailed, 200 * ms,
-			TimerFired{},
-			connectFailed, 1000 * ms,
-			TimerFired{},
-			connectFailed,
-			ContainerRemoved{"a"},
-			3100 * ms,
-			TimerFired{},
-		}, "connect m"},
+		{"lost, and its machine is queried later", after(
+			failedTwice, connectFailed, ContainerRemoved{"a"}, 3100*ms, timerFired,
+		), "connect m"},
 	})
 }
 
@@ -409,40 +394,51 @@
 	m.open[r.ID] = r.IdempotencyKey
 }
 
+// twins are two reconcilers that handle equal events.
+type twins struct {
+	first, second *Reconciler
+	now           scheduler.Time
+}
+
+// handle checks that equal sequences have equal actions.
+func (w *twins) handle(t *rapid.T, e Event) []Action {
+	got, other := w.first.Handle(w.now, []Event{e}), w.second.Handle(w.now, []Event{e})
+	if describe(got) != describe(other) {
+		t.Fatalf("%v gives %q and %q", e, describe(got), describe(other))
+	}
+	return got
+}
+
+// apply takes in the actions that follow an event.
+func (m *keyModel) apply(t *rapid.T, w *twins, actions []Action) {
+	for _, action := range actions {
+		switch action := action.(type) {
+		case Admit:
+			m.admit(t, action.Request)
+		case ContainerLost:
+			delete(m.running, action.ID)
+			w.handle(t, ContainerRemoved{action.ID})
+		}
+	}
+}
+
 // Drawn sequences: a key that must not run twice is admitted only while it neither runs nor is open, nothing is left
 // when all containers are removed, and equal sequences have equal actions.
 func TestKeyIsAdmittedOnlyWhileFree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := admission.Limits{Clients: 9, OpenRequests: 9, OpenRequestsPerClient: 9}
-		a, b := newReconciler(limits), newReconciler(limits)
+		a := newReconciler(limits)
+		pair := &twins{first: a, second: newReconciler(limits)}
 		model := &keyModel{open: map[scheduler.ContainerID]string{}, running: map[scheduler.ContainerID]string{}}
-		now := scheduler.Time(0)
-		handle := func(e Event) []Action {
-			got := a.Handle(now, []Event{e})
-			if other := b.Handle(now, []Event{e}); describe(got) != describe(other) {
-				t.Fatalf("%v gives %q and %q", e, describe(got), describe(other))
-			}
-			return got
-		}
-		handle(ClientConnected{1})
+		pair.handle(t, ClientConnected{1})
 		for range 40 {
-			now += scheduler.Time(rapid.IntRange(0, 20000).Draw(t, "advance"))
-			e := model.draw(t)
-			if e == nil {
-				continue
-			}
-			for _, action := range handle(e) {
-				switch action := action.(type) {
-				case Admit:
-					model.admit(t, action.Request)
-				case ContainerLost:
-					delete(model.running, action.ID)
-					handle(ContainerRemoved{action.ID})
-				}
+			pair.now += scheduler.Time(rapid.IntRange(0, 20000).Draw(t, "advance"))
+			if e := model.draw(t); e != nil {
+				model.apply(t, pair, pair.handle(t, e))
 			}
 		}
 		for _, id := range []scheduler.ContainerID{"a", "b", "c", "d"} {
-			a.Handle(now, []Event{ContainerRemoved{id}})
+			a.Handle(pair.now, []Event{ContainerRemoved{id}})
 		}
 		if n := len(a.containers.byID) + len(a.containers.byKey) + len(a.containers.onMachine) + len(a.reconnects) +
 			a.admission.OpenRequests() + a.admission.OpenRequestsOf(1); n != 0 {
@@ -457,7 +453,7 @@
 	reconciler := newReconciler(admission.Limits{Clients: 1, OpenRequests: 2, OpenRequestsPerClient: 9})
 	reconciler.Handle(0, []Event{MachinesListed{Machines: []scheduler.MachineID{"m", "n"}, FullSnapshot: true}})
 	reconciler.Handle(1, []Event{MachineReported{Machine: "n"}})
-	actions := reconciler.Handle(2, []Event{MachineReported{"m", []Attempt{attempt("a", 0, 4, 7, true)}}})
+	actions := reconciler.Handle(2, []Event{report(attempt(0, 4, 7, true))})
 	adopted, completed := -1, -1
 	for i, a := range actions {
 		switch a.(type) {
--- a/internal/schedulerd/warmstart/history_test.go
+++ b/internal/schedulerd/warmstart/history_test.go
@@ -12,6 +12,8 @@
 	b1 := func(s scheduler.Time) Timestamp { return Timestamp{1000*sec + s*sec, s * sec, "b1"} }
 	b2 := func(s scheduler.Time) Timestamp { return Timestamp{2000*sec + s*sec, s * sec, "b2"} }
 	first := LogHistory{}.Next(b1(5))
+	restarted := first.WithCompleteLog().Next(b2(3))
+	setBack, movedBack := Timestamp{945 * sec, 9 * sec, "b1"}, Timestamp{941 * sec, 5 * sec, "b1"}
 	for _, tc := range []struct {
 		name     string
 		got      LogHistory
@@ -21,10 +23,13 @@
 		{"the first start", first, b1(5), recovery.LogNone},
 		{"another before any machine has reported", first.Next(b1(9)), b1(5), recovery.LogNone},
 		{"another after", first.WithCompleteLog().Next(b1(9)), b1(5), recovery.LogComplete},
-		{"the system restarted", first.WithCompleteLog().Next(b2(3)), b2(3), recovery.LogSynced},
-		{"and the scheduler again", first.WithCompleteLog().Next(b2(3)).Next(b2(4)), b2(3), recovery.LogSynced},
-		{"and after all machines have reported", first.WithCompleteLog().Next(b2(3)).WithCompleteLog().Next(b2(4)), b2(3), recovery.LogComplete},
-		{"the clock was set back a minute", first.Next(Timestamp{945 * sec, 9 * sec, "b1"}), Timestamp{941 * sec, 5 * sec, "b1"}, recovery.LogNone},
+		{"the system restarted", restarted, b2(3), recovery.LogSynced},
+		{"and the scheduler again", restarted.Next(b2(4)), b2(3), recovery.LogSynced},
+		{
+			"and after all machines have reported", restarted.WithCompleteLog().Next(b2(4)),
+			b2(3), recovery.LogComplete,
+		},
+		{"the clock was set back a minute", first.Next(setBack), movedBack, recovery.LogNone},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if tc.got.SendsRecordedSince != tc.since || tc.got.Coverage != tc.coverage {
--- a/internal/schedulerd/warmstart/ledger_test.go
+++ b/internal/schedulerd/warmstart/ledger_test.go
@@ -7,6 +7,13 @@
 	"glenport/scheduler"
 )
 
+// always looks every machine up as one with this start.
+func always(start MachineStart) MachineLookup {
+	return func(scheduler.MachineID) (MachineStart, bool) { return start, true }
+}
+
+func never(scheduler.MachineID) (MachineStart, bool) { return MachineStart{}, false }
+
 // A machine is on record while it is in slow start, and no longer.
 func TestSendsAreRecordedDuringSlowStart(t *testing.T) {
 	ledger := NewSendLedger(17*sec, window)
@@ -23,7 +30,7 @@
 	if _, record := ledger.RecordSend(101*sec, "w", MachineStart{1, 0}); record {
 		t.Error("a machine that started long ago is on record")
 	}
-	at := func(scheduler.MachineID) (MachineStart, bool) { return m, true }
+	at := always(m)
 	// A restored list may not name a start yet to which an earlier incarnation sent; its budget must not be spent
 	// twice.
 	pending := []SlowStartSends{
@@ -36,8 +43,7 @@
 		left[0].Machine != "n" {
 		t.Errorf("resolved %v, left %v", resolved, left)
 	}
-	gone := func(scheduler.MachineID) (MachineStart, bool) { return MachineStart{}, false }
-	if got := ledger.Expire(105*sec+2*window-1, gone); len(got) != 0 {
+	if got := ledger.Expire(105*sec+2*window-1, never); len(got) != 0 {
 		t.Error("expired while it may come back without a restart")
 	}
 	if got := ledger.Expire(116*sec, at); len(got) != 0 {
@@ -78,13 +84,15 @@
 			ledger.RecordSend(101*sec, "m", MachineStart{7, 90 * sec})
 		}, []scheduler.Time{101 * sec}},
 		{"the record of the last start had expired", func(ledger *SendLedger) {
-			ledger.RecordSend(101*sec, "m", MachineStart{7, 85 * sec})
-			ledger.Expire(102*sec, func(scheduler.MachineID) (MachineStart, bool) { return MachineStart{7, 85 * sec}, true })
-			ledger.RecordSend(102*sec, "m", MachineStart{7, 85 * sec})
+			last := MachineStart{7, 85 * sec}
+			ledger.RecordSend(101*sec, "m", last)
+			ledger.Expire(102*sec, always(last))
+			ledger.RecordSend(102*sec, "m", last)
 		}, []scheduler.Time{101 * sec, 102 * sec}},
 		{"sent by two incarnations of the scheduler", func(ledger *SendLedger) {
 			ledger.RecordSend(102*sec, "m", before)
-			ledger.ResolvePending(102*sec, []SlowStartSends{{"m", 8, []scheduler.Time{101 * sec}}}, func(scheduler.MachineID) (MachineStart, bool) { return after, true })
+			pending := []SlowStartSends{{"m", 8, []scheduler.Time{101 * sec}}}
+			ledger.ResolvePending(102*sec, pending, always(after))
 		}, []scheduler.Time{101 * sec, 102 * sec}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -97,16 +105,9 @@
 			if _, again := ledger.IncarnationObserved(102*sec, "m", after); again {
 				t.Error("recorded twice")
 			}
-			ledger.Expire(
-				102*sec+2*window,
-				func(scheduler.MachineID) (MachineStart, bool) { return MachineStart{9, 0}, true },
-			)
-			if len(ledger.recorded)+len(ledger.unrecorded) != 0 {
-				t.Errorf(
-					"after two windows %d are on record, %d remembered",
-					len(ledger.recorded),
-					len(ledger.unrecorded),
-				)
+			ledger.Expire(102*sec+2*window, always(MachineStart{9, 0}))
+			if recorded, remembered := len(ledger.recorded), len(ledger.unrecorded); recorded+remembered != 0 {
+				t.Errorf("after two windows %d are on record, %d remembered", recorded, remembered)
 			}
 		})
 	}
--- a/internal/schedulerd/warmstart/restore_test.go
+++ b/internal/schedulerd/warmstart/restore_test.go
@@ -47,154 +47,160 @@
 // boot is a time of the boot in which the snapshot was taken.
 func boot(clock, uptime scheduler.Time) Timestamp { return Timestamp{clock, uptime, "b"} }
 
-var restoreCases = []struct {
-	name    string
-	now     Timestamp
-	change  func(p *Persisted, m map[scheduler.MachineID]MachineStart)
-	outlier float64 // log odds of m; -1: nothing of it is restored
+// restoredMachine is what is restored of machine m.
+type restoredMachine struct {
+	outlier float64 // log odds; -1: nothing of it is restored
 	ejected scheduler.Time
-	sends   int            // to m
+	sends   int
+}
+
+// outcome is what is restored in all.
+type outcome struct {
+	machine restoredMachine
 	known   scheduler.Time // the span before now of which all sends are known
 	ratios  bool           // of the traffic classes are restored
 	message string
-}{
+}
+
+type restoreCase struct {
+	name   string
+	now    Timestamp
+	change func(p *Persisted, m map[scheduler.MachineID]MachineStart) // nil: none
+	want   outcome
+}
+
+const twoDays = 48 * 3600 * sec
+
+var (
+	secondLater = boot(1001*sec, 101*sec)
+	oneSecond   = 4 * math.Exp2(-1.0/60) // what the log odds of m still count for after it
+	afterSecond = restoredMachine{oneSecond, 1004 * sec, 2}
+	nothing     = restoredMachine{outlier: -1}
+)
+
+var restoreCases = []restoreCase{
 	{
-		"a second later", boot(1001*sec, 101*sec), nil, 4 * math.Exp2(-1.0/60), 1004 * sec, 2, 51 * sec, true,
-		"slow start restored sends=2 within_ms=6000",
+		"a second later", secondLater, nil,
+		outcome{afterSecond, 51 * sec, true, "slow start restored sends=2 within_ms=6000"},
 	},
 	{
-		"a minute later", boot(1060*sec, 160*sec), nil, 2, 1004 * sec, 0, 110 * sec, true,
-		"snapshot restored age_ms=60000 outlier_weight=0.5 full_weight=0;",
+		"a minute later", boot(1060*sec, 160*sec), nil,
+		outcome{
+			restoredMachine{2, 1004 * sec, 0},
+			110 * sec, true,
+			"snapshot restored age_ms=60000 outlier_weight=0.5 full_weight=0;",
+		},
 	},
 	{
-		"so old that it is ignored", boot(1700*sec, 800*sec), nil, -1, 0, 0, 750 * sec, true,
-		"snapshot restored age_ms=700000 outlier_weight=0 ",
+		"so old that it is ignored", boot(1700*sec, 800*sec), nil,
+		outcome{nothing, 750 * sec, true, "snapshot restored age_ms=700000 outlier_weight=0 "},
 	},
 	{
-		"two days old", boot((1000+48*3600)*sec, (100+48*3600)*sec), nil, -1, 0, 0, (50 + 48*3600) * sec, true,
-		"snapshot restored age_ms=172800000 outlier_weight=0 ",
+		"two days old", boot(1000*sec+twoDays, 100*sec+twoDays), nil,
+		outcome{nothing, 50*sec + twoDays, true, "snapshot restored age_ms=172800000 outlier_weight=0 "},
 	},
 	{
-		"the clock was set forward", boot(4601*sec, 101*sec), nil, 4 * math.Exp2(-1.0/60), 4604 * sec, 2, 51 * sec,
-		true, "the clock was set since the snapshot, its times are adjusted jump_ms=3600000;",
+		"the clock was set forward", boot(4601*sec, 101*sec), nil,
+		outcome{
+			restoredMachine{oneSecond, 4604 * sec, 2},
+			51 * sec, true,
+			"the clock was set since the snapshot, its times are adjusted jump_ms=3600000;",
+		},
 	},
 	{
-		"the clock was set back", boot(901*sec, 101*sec), nil, 4 * math.Exp2(-1.0/60), 904 * sec, 2, 51 * sec, true,
-		"its times are adjusted jump_ms=-100000;",
+		"the clock was set back", boot(901*sec, 101*sec), nil,
+		outcome{
+			restoredMachine{oneSecond, 904 * sec, 2},
+			51 * sec, true,
+			"its times are adjusted jump_ms=-100000;",
+		},
 	},
 	{
 		"another boot",
 		Timestamp{1060 * sec, 10 * sec, "c"},
-		nil, 2, 1004 * sec, 0, 0, true,
-		"are not known, none are made for a window window_ms=3000",
+		nil,
+		outcome{
+			restoredMachine{2, 1004 * sec, 0},
+			0, true,
+			"are not known, none are made for a window window_ms=3000",
+		},
 	},
 	{
 		"another boot, the clock went back",
 		Timestamp{900 * sec, 10 * sec, "c"},
-		nil, -1, 0, 0, 0, false,
-		"the clock went back over a restart of the system, the snapshot is not restored back_ms=100000;",
+		nil,
+		outcome{
+			nothing, 0, false,
+			"the clock went back over a restart of the system, the snapshot is not restored back_ms=100000;",
+		},
 	},
 	{
-		"a machine that restarted meanwhile",
-		boot(1001*sec, 101*sec),
-		func(_ *Persisted, m map[scheduler.MachineID]MachineStart) {
-			m["m"] = MachineStart{8, 1000 * sec}
-		},
-		-1,
-		0,
-		0,
-		51 * sec,
-		true,
-		"slow start restored sends=0",
+		"a machine that restarted meanwhile", secondLater,
+		func(_ *Persisted, m map[scheduler.MachineID]MachineStart) { m["m"] = MachineStart{8, 1000 * sec} },
+		outcome{nothing, 51 * sec, true, "slow start restored sends=0"},
 	},
 	{
-		"a machine that is gone",
-		boot(1001*sec, 101*sec),
+		"a machine that is gone", secondLater,
 		func(_ *Persisted, m map[scheduler.MachineID]MachineStart) { delete(m, "m") },
-		-1,
-		0,
-		0,
-		51 * sec,
-		true,
-		"slow start restored sends=0",
+		outcome{nothing, 51 * sec, true, "slow start restored sends=0"},
 	},
 	{
-		"other workload classes",
-		boot(1001*sec, 101*sec),
+		"other workload classes", secondLater,
 		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.ClassNames[0] = "x" },
-		4 * math.Exp2(-1.0/60),
-		1004 * sec,
-		2,
-		51 * sec,
-		false,
-		"their loss ratios are not restored",
+		outcome{afterSecond, 51 * sec, false, "their loss ratios are not restored"},
 	},
 	{
-		"no sends were recorded",
-		boot(1001*sec, 101*sec),
+		"no sends were recorded", secondLater,
 		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.History = LogHistory{} },
-		4 * math.Exp2(-1.0/60),
-		1004 * sec,
-		0,
-		0,
-		true,
-		"are not known, none are made for a window",
+		outcome{restoredMachine{oneSecond, 1004 * sec, 0}, 0, true, "are not known, none are made for a window"},
 	},
-	{"no snapshot, and a log", boot(1001*sec, 101*sec), func(p *Persisted, _ map[scheduler.MachineID]MachineStart) {
-		p.TakenAt, p.Snapshot = Timestamp{}, scheduler.Snapshot{}
-	}, 0, 0, 2, 51 * sec, false, "slow start restored sends=2"},
 	{
-		"an incarnation that has just begun",
-		boot(951*sec, 51*sec),
-		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.TakenAt = Timestamp{} },
-		4,
-		1004 * sec,
-		3,
-		sec,
-		true,
-		"slow start restored sends=3",
+		"no snapshot, and a log", secondLater,
+		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) {
+			p.TakenAt, p.Snapshot = Timestamp{}, scheduler.Snapshot{}
+		},
+		outcome{restoredMachine{sends: 2}, 51 * sec, false, "slow start restored sends=2"},
+	},
+	{
+		"an incarnation that has just begun", boot(951*sec, 51*sec),
+		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { // sends of it and of the one before it
+			p.TakenAt = p.History.SendsRecordedSince
+			p.Sends[0].Times = []scheduler.Time{946 * sec, 949 * sec, 951 * sec}
+		},
+		outcome{restoredMachine{4, 1004 * sec, 3}, sec, true, "slow start restored sends=3"},
 	},
 }
 
 func TestRestoreWeighsByAge(t *testing.T) {
 	for _, tc := range restoreCases {
-		t.Run(tc.name, func(t *testing.T) {
-			p, machines := persisted(), map[scheduler.MachineID]MachineStart{"m": {7, 900 * sec}}
-			if tc.change != nil {
-				tc.change(&p, machines)
-			}
-			if tc.name == "an incarnation that has just begun" { // sends of it and of the one before it
-				p.TakenAt = p.History.SendsRecordedSince
-				p.Sends[0].Times = []scheduler.Time{946 * sec, 949 * sec, 951 * sec}
-			}
-			r := Restore(tc.now, p, machines, []string{"w", "c"}, window)
-			outlier, ejected, sends := -1.0, scheduler.Time(0), 0
-			for _, m := range r.Snapshot.Machines {
-				outlier, ejected, sends = m.OutlierLogOdds, m.EjectedUntil, len(m.RecentSends)
-				if m.StartedAt != machines[m.Machine].StartedAt {
-					t.Errorf("restored for a start at %d", m.StartedAt)
-				}
-			}
-			if math.Abs(outlier-tc.outlier) > 0.05 || ejected != tc.ejected || sends != tc.sends {
-				t.Errorf(
-					"log odds %.2f, ejected until %d, %d sends; want %.2f, %d, %d",
-					outlier,
-					ejected,
-					sends,
-					tc.outlier,
-					tc.ejected,
-					tc.sends,
-				)
-			}
-			if got := tc.now.Clock - r.Snapshot.SendsKnownSince; got != tc.known {
-				t.Errorf("sends are known for %d", got)
-			}
-			if (len(r.Snapshot.TrafficClasses) > 0) != tc.ratios {
-				t.Errorf("loss ratios %v", r.Snapshot.TrafficClasses)
-			}
-			if got := text(r.Messages); !strings.Contains(got, tc.message) {
-				t.Errorf("messages %q", got)
-			}
-		})
+		t.Run(tc.name, tc.run)
+	}
+}
+
+func (tc restoreCase) run(t *testing.T) {
+	p, machines := persisted(), map[scheduler.MachineID]MachineStart{"m": {7, 900 * sec}}
+	if tc.change != nil {
+		tc.change(&p, machines)
+	}
+	r := Restore(tc.now, p, machines, []string{"w", "c"}, window)
+	got := nothing
+	for _, m := range r.Snapshot.Machines {
+		got = restoredMachine{m.OutlierLogOdds, m.EjectedUntil, len(m.RecentSends)}
+		if m.StartedAt != machines[m.Machine].StartedAt {
+			t.Errorf("restored for a start at %d", m.StartedAt)
+		}
+	}
+	want := tc.want.machine
+	if math.Abs(got.outlier-want.outlier) > 0.05 || got.ejected != want.ejected || got.sends != want.sends {
+		t.Errorf("restored %+v, want %+v", got, want)
+	}
+	if known := tc.now.Clock - r.Snapshot.SendsKnownSince; known != tc.want.known {
+		t.Errorf("sends are known for %d", known)
+	}
+	if (len(r.Snapshot.TrafficClasses) > 0) != tc.want.ratios {
+		t.Errorf("loss ratios %v", r.Snapshot.TrafficClasses)
+	}
+	if messages := text(r.Messages); !strings.Contains(messages, tc.want.message) {
+		t.Errorf("messages %q", messages)
 	}
 }
