--- a/internal/schedulerd/attempt.go
+++ b/internal/schedulerd/attempt.go
@@ -44,7 +44,7 @@
 // or more containers of the service were found running.
 func (a *attempt) stale() bool {
 	return a.machine.unfitSince(a.machineIncarnation) ||
-		a.machine.queue.adoptedSince(a.request().Service, a.adoptionsBefore)
+		a.machine.adoptedSince(a.request().Service, a.adoptionsBefore)
 }
 
 // inOrder returns attempts in the order in which they were made.
--- a/internal/schedulerd/clientconn.go
+++ b/internal/schedulerd/clientconn.go
@@ -104,7 +104,7 @@
 		c.registry.logConnectionClosed(c.name, after(errNoHello, now-c.acceptedAt))
 		c.disconnect(reasonNoHello)
 	case c.partial.overdue(now, c.registry.config.SilenceTimeout):
-		c.registry.logConnectionClosed(c.name, after(errPartialFrame, now-c.partial.since))
+		c.registry.logConnectionClosed(c.name, after(errPartialFrame, c.partial.age(now)))
 		c.disconnect(reasonPartialFrame)
 	}
 }
--- a/internal/schedulerd/container.go
+++ b/internal/schedulerd/container.go
@@ -36,6 +36,29 @@
 
 func (c *container) endAttempt() { c.attempt = nil }
 
+// currentAttempt is the pending one, or the one that was accepted; nil if there is none.
+func (c *container) currentAttempt() *attempt { return c.attempt }
+
+func (c *container) attemptCount() int { return c.attempts }
+
+// firstAttempt reports whether the current attempt is the first, and when the container was submitted.
+func (c *container) firstAttempt() (submittedAt time.Duration, first bool) {
+	return c.submittedAt, c.attempts == 1
+}
+
+// mayStart reports whether another attempt may be started.
+func (c *container) mayStart() bool { return c.attempt == nil && !c.answered }
+
+func (c *container) isAnswered() bool { return c.answered }
+
+func (c *container) markAnswered() { c.answered = true }
+
+// answer sends the one answer of the request.
+func (c *container) answer(reply *protocol.PlacementReply) {
+	c.markAnswered()
+	c.send(reply)
+}
+
 func (c *container) setClient(client *clientConn, clientContainerID string) {
 	c.client, c.clientContainerID = client, clientContainerID
 }
--- a/internal/schedulerd/containers.go
+++ b/internal/schedulerd/containers.go
@@ -75,9 +75,8 @@
 
 // answerPlaced sends the final answer of a request whose container was accepted.
 func (r *containerRegistry) answerPlaced(c *container, machine scheduler.MachineID) {
-	c.answered = true
 	r.stats.countAnswer(protocol.VerdictPlaced)
-	c.send(&protocol.PlacementReply{
+	c.answer(&protocol.PlacementReply{
 		ContainerID: string(c.request.ID), Verdict: protocol.VerdictPlaced, Machine: string(machine),
 	})
 }
@@ -85,15 +84,14 @@
 // answer sends the final answer of a request that is not placed.
 func (r *containerRegistry) answer(id scheduler.ContainerID, reply *protocol.PlacementReply) {
 	c := r.byID[id]
-	if c == nil || c.answered {
+	if c == nil || c.isAnswered() {
 		return
 	}
-	c.answered = true
 	reply.ContainerID = string(id)
 	r.stats.countAnswer(reply.Verdict)
-	c.send(reply)
+	c.answer(reply)
 	r.decisions.notifyReconciler(reconcile.RequestFailed{ID: id})
-	if c.attempt == nil {
+	if c.currentAttempt() == nil {
 		r.remove(c)
 	}
 }
@@ -112,17 +110,18 @@
 		})
 		return
 	}
-	if c.attempt != nil && c.attempt.accepted() {
+	a := c.currentAttempt()
+	if a != nil && a.accepted() {
 		c.setClient(client, requestedID)
-		r.dispatcher.terminate(c.attempt)
+		r.dispatcher.terminate(a)
 		return
 	}
 	r.decisions.notifyScheduler(scheduler.ContainerRemoved{ID: action.ID})
-	if !c.answered {
+	if !c.isAnswered() {
 		r.answerCancelled(c, client, requestedID)
 	}
-	if c.attempt != nil {
-		r.dispatcher.cancel(c.attempt, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: true})
+	if a != nil {
+		r.dispatcher.cancel(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: true})
 		return
 	}
 	r.remove(c)
@@ -130,11 +129,11 @@
 
 // answerCancelled answers the client that cancels, and the request itself if that went by another ID.
 func (r *containerRegistry) answerCancelled(c *container, client *clientConn, requestedID string) {
-	c.answered = true
 	r.stats.countAnswer(protocol.VerdictFailed)
 	cancelled := func(id string) *protocol.PlacementReply {
 		return &protocol.PlacementReply{ContainerID: id, Verdict: protocol.VerdictFailed, Message: messageCancelled}
 	}
+	c.markAnswered()
 	if c.clientContainerID != requestedID {
 		c.send(cancelled(c.clientContainerID))
 	}
@@ -145,13 +144,17 @@
 // lost ends a container whose machine is lost, or silent for too long. In the second case it may still run.
 func (r *containerRegistry) lost(action reconcile.ContainerLost) {
 	c := r.byID[action.ID]
-	if c == nil || c.attempt == nil || !c.attempt.accepted() {
+	if c == nil {
+		return
+	}
+	a := c.currentAttempt()
+	if a == nil || !a.accepted() {
 		return
 	}
 	if !action.Confirmed {
-		r.dispatcher.outcomeUnknown(c.attempt)
+		r.dispatcher.outcomeUnknown(a)
 	}
-	r.dispatcher.end(c.attempt, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost, Final: true})
+	r.dispatcher.end(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost, Final: true})
 }
 
 // adopt takes over a container that runs.
@@ -165,7 +168,7 @@
 	r.byID[found.Request.ID] = c
 	r.stats.containerAdopted()
 	if found.Running {
-		r.routes.containerRunning(c.attempt)
+		r.routes.containerRunning(c.currentAttempt())
 	}
 	r.decisions.notifyScheduler(scheduler.ContainerAdopted{PlacementRequest: found.Request, Machine: m.id})
 }
--- a/internal/schedulerd/dispatcher.go
+++ b/internal/schedulerd/dispatcher.go
@@ -27,10 +27,10 @@
 		d.log.Error("attempt for an unknown container", "container", action.ID)
 		return
 	}
-	if c.attempt != nil || m == nil || c.answered {
+	if m == nil || !c.mayStart() {
 		d.decisions.notifyScheduler(scheduler.AttemptEnded{
 			ID: action.ID, Outcome: scheduler.OutcomeNotSent, Machine: action.Machine,
-			Attempt: c.attempts, Final: c.answered,
+			Attempt: c.attemptCount(), Final: c.isAnswered(),
 		})
 		return
 	}
@@ -61,7 +61,7 @@
 		state:              attemptQueued,
 		decidedAt:          now,
 		deadline:           deadline,
-		machineIncarnation: m.incarnation,
+		machineIncarnation: m.start().Incarnation,
 		adoptionsBefore:    d.adoptions.count(),
 	}
 	a.ordinal = c.beginAttempt(a)
@@ -92,7 +92,7 @@
 // logged sends an attempt that waited for the log. One that could not be logged is never sent.
 func (d *attemptDispatcher) logged(a *attempt, err error) {
 	if err != nil {
-		if a.machine.queue.remove(a) {
+		if a.machine.dequeue(a) {
 			d.notSent(a)
 		}
 		return
@@ -107,13 +107,13 @@
 // machine.
 func (d *attemptDispatcher) enqueue(a *attempt) {
 	m := a.machine
-	m.queue.add(a)
+	m.enqueue(a)
 	d.loop.After(d.config.ConnectTimeout, func() {
-		if m.queue.remove(a) {
+		if m.dequeue(a) {
 			d.unreached(a)
 		}
 	})
-	m.conn.connect()
+	m.connect()
 }
 
 // send offers an attempt to its machine, which is ready.
@@ -123,7 +123,10 @@
 		return
 	}
 	a.transition(attemptOfferSent)
-	d.stats.countAttempt(a.container)
+	d.stats.countAttempt()
+	if submittedAt, first := a.container.firstAttempt(); first {
+		d.stats.measureLatency(submittedAt)
+	}
 }
 
 // unreached ends an attempt whose machine was not reached in time. If the connection is ready the attempt waited for
@@ -145,12 +148,12 @@
 func (d *attemptDispatcher) timedOut(a *attempt) {
 	a.timer = nil
 	if a.unsent() {
-		a.machine.queue.remove(a)
+		a.machine.dequeue(a)
 		d.unreached(a)
 		return
 	}
 	d.stats.countOutcome(statTimedOut)
-	a.machine.expired.remember(a)
+	a.machine.expire(a)
 	d.outcomeUnknown(a)
 	d.end(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeTimedOut})
 }
@@ -174,7 +177,7 @@
 	d.stats.containerStarted()
 	d.routes.containerRunning(a)
 	d.decisions.notifyReconciler(reconcile.AttemptAccepted{ID: id, Machine: a.machine.id, Attempt: a.number})
-	if c.answered { // too late for the client: the container is known until it ends
+	if c.isAnswered() { // too late for the client: the container is known until it ends
 		d.decisions.notifyReconciler(reconcile.LateAccept{Attempt: a.record()})
 		return
 	}
@@ -187,19 +190,23 @@
 // cancelUnanswered cancels an attempt that the scheduler does not want to wait for any longer.
 func (d *attemptDispatcher) cancelUnanswered(action scheduler.CancelAttempt) {
 	c := d.containers.find(action.ID)
-	if c == nil || c.attempt == nil || c.attempt.accepted() || c.attempt.ordinal != action.Attempt {
+	if c == nil {
+		return
+	}
+	a := c.currentAttempt()
+	if a == nil || a.accepted() || a.ordinal != action.Attempt {
 		return
 	}
-	d.cancel(c.attempt, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: c.answered})
+	d.cancel(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: c.isAnswered()})
 }
 
 // cancel ends an attempt that is not accepted, and has the machine drop it.
 func (d *attemptDispatcher) cancel(a *attempt, ended scheduler.AttemptEnded) {
 	if a.unsent() {
-		a.machine.queue.remove(a)
+		a.machine.dequeue(a)
 	} else {
 		a.machine.cancel(a.incarnation, a.number)
-		a.machine.expired.remember(a)
+		a.machine.expire(a)
 	}
 	d.end(a, ended)
 }
@@ -234,7 +241,7 @@
 	}
 	ended.ID, ended.Attempt, ended.Machine = c.request.ID, a.ordinal, m.id
 	ended.Elapsed = d.elapsed(a)
-	ended.Final = ended.Final || c.answered
+	ended.Final = ended.Final || c.isAnswered()
 	if before.accepted() {
 		d.stats.containerEnded()
 		d.routes.containerEnded(a)
--- a/internal/schedulerd/expired.go
+++ b/internal/schedulerd/expired.go
@@ -2,15 +2,16 @@
 
 import (
 	"glenport/internal/eventloop"
+	"glenport/internal/schedulerd/reconcile"
 	"glenport/scheduler"
 )
 
 // lateAcceptWindow is for how long an attempt that is over may still be accepted by its number.
 const lateAcceptWindow = 60 * eventloop.Second
 
-// expiredAttempts holds the requests of attempts that are over and may still be accepted.
+// expiredAttempts holds the requests of attempts that are over and may still be accepted by their machine.
 type expiredAttempts struct {
-	loop     *eventloop.Loop
+	machine  *machine
 	requests map[uint64]scheduler.PlacementRequest // by number of the attempt
 }
 
@@ -18,14 +19,32 @@
 func (e *expiredAttempts) remember(a *attempt) {
 	number := a.number
 	e.requests[number] = *a.request()
-	e.loop.After(lateAcceptWindow, func() { delete(e.requests, number) })
+	e.machine.registry.loop.After(lateAcceptWindow, func() { delete(e.requests, number) })
 }
 
-// take returns the request of an attempt, once.
-func (e *expiredAttempts) take(number uint64) (request scheduler.PlacementRequest, ok bool) {
-	request, ok = e.requests[number]
-	delete(e.requests, number)
-	return request, ok
+func (e *expiredAttempts) clear() { clear(e.requests) }
+
+// acceptReceived hands on that an attempt runs although it is over.
+func (e *expiredAttempts) acceptReceived(number uint64) {
+	if a, ok := e.take(number); ok {
+		a.Running = true
+		e.machine.registry.stats.countOutcome(statLateAccept)
+		e.machine.registry.decisions.notifyReconciler(reconcile.LateAccept{Attempt: a})
+	}
 }
 
-func (e *expiredAttempts) clear() { clear(e.requests) }
+// resultReceived hands on that an attempt does not run.
+func (e *expiredAttempts) resultReceived(number uint64) {
+	if a, ok := e.take(number); ok {
+		e.machine.registry.decisions.notifyReconciler(reconcile.AttemptNotRunning{Attempt: a})
+	}
+}
+
+// take returns an attempt, once.
+func (e *expiredAttempts) take(number uint64) (a reconcile.Attempt, ok bool) {
+	request, ok := e.requests[number]
+	delete(e.requests, number)
+	return reconcile.Attempt{
+		Request: request, Machine: e.machine.id, Incarnation: e.machine.registry.incarnation, Number: number,
+	}, ok
+}
--- a/internal/schedulerd/machine.go
+++ b/internal/schedulerd/machine.go
@@ -4,12 +4,12 @@
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/reconcile"
-	"glenport/internal/schedulerd/warmstart"
 	"glenport/scheduler"
 )
 
 // machine is a listed machine with its connection, and the attempts and probes for it.
 type machine struct {
+	machineListing
 	registry *machineRegistry
 	id       scheduler.MachineID
 	conn     machineConn
@@ -17,55 +17,77 @@
 	attempts map[uint64]*attempt // sent, or running there; by number
 	expired  expiredAttempts
 	probes   probeTable
-
-	address      string
-	gone         bool // from the list
-	draining     bool
-	incarnation  uint64
-	startedAt    scheduler.Time // of the incarnation; 0: long ago, or not known
-	selfReported bool           // the incarnation is known from the hello of the machine alone
 }
 
 func newMachine(r *machineRegistry, id scheduler.MachineID) *machine {
 	m := &machine{registry: r, id: id, attempts: map[uint64]*attempt{}}
 	m.conn = machineConn{machine: m, state: machineDisconnected}
 	m.queue = attemptQueue{adoptions: &r.dispatcher.adoptions}
-	m.expired = expiredAttempts{loop: r.loop, requests: map[uint64]scheduler.PlacementRequest{}}
+	m.expired = expiredAttempts{machine: m, requests: map[uint64]scheduler.PlacementRequest{}}
 	m.probes = probeTable{machine: m, pending: map[uint64]*pendingProbe{}}
 	return m
 }
 
 func (m *machine) idle() bool { return m.queue.empty() && len(m.attempts) == 0 && m.probes.empty() }
 
-func (m *machine) isDraining() bool { return m.draining }
-
 func (m *machine) ready() bool { return m.conn.ready() }
 
+// applyEntry reports whether the start of the machine's incarnation was unknown before.
+func (m *machine) applyEntry(entry *protocol.MachineEntry) (restarted bool) {
+	if m.applyState(entry.State) {
+		m.announceDraining()
+	}
+	if m.applyAddress(entry.Address) {
+		m.conn.reset()
+	}
+	return m.applyIncarnation(entry, m.registry.now())
+}
+
+// announceDraining announces the containers of the machine anew.
+func (m *machine) announceDraining() {
+	for _, a := range inOrder(m.attempts) {
+		if a.accepted() {
+			m.registry.routes.containerRunning(a)
+		}
+	}
+}
+
 // removeIfGone forgets a machine that has left the list and has nothing to do.
 func (m *machine) removeIfGone() {
-	if !m.gone || !m.idle() {
+	if !m.isGone() || !m.idle() {
 		return
 	}
-	m.conn.close()
+	m.disconnect()
 	m.registry.remove(m.id)
 }
 
-// start returns the incarnation for which sends in slow start are counted.
-func (m *machine) start() warmstart.MachineStart {
-	return warmstart.MachineStart{Incarnation: m.incarnation, StartedAt: m.startedAt}
-}
+func (m *machine) connect() { m.conn.connect(m.address) }
+
+func (m *machine) disconnect() { m.conn.close() }
+
+// probe asks the machine whether it answers. The probe ends in one ProbeCompleted.
+func (m *machine) probe(seq uint64) { m.probes.start(seq) }
 
-// unfitSince reports whether the machine drains, is gone, or has restarted since an incarnation.
-func (m *machine) unfitSince(incarnation uint64) bool {
-	return m.gone || m.draining || m.incarnation != incarnation
+// enqueue holds an attempt back that cannot be sent yet.
+func (m *machine) enqueue(a *attempt) { m.queue.add(a) }
+
+// dequeue reports whether the attempt was queued.
+func (m *machine) dequeue(a *attempt) bool { return m.queue.remove(a) }
+
+// adoptedSince reports whether containers of a service were adopted after a count of adoptions.
+func (m *machine) adoptedSince(service string, count int) bool {
+	return m.queue.adoptedSince(service, count)
 }
 
+// expire remembers an attempt that is over and may still be accepted.
+func (m *machine) expire(a *attempt) { m.expired.remember(a) }
+
 // offer sends an attempt and reports whether it was sent: not to a machine that reads too slowly.
 func (m *machine) offer(a *attempt) bool {
 	offer := &protocol.Offer{
 		AttemptID: a.number,
 		Timeout:   protocol.Duration(a.deadline - m.registry.loop.Now()),
-		Spec:      specOf(a.container),
+		Spec:      a.container.spec(),
 	}
 	if !m.conn.sendUnblocked(offer) {
 		return false
@@ -74,6 +96,9 @@
 	return true
 }
 
+// send reports whether the connection took the frame.
+func (m *machine) send(f protocol.Frame) bool { return m.conn.send(f) }
+
 // track takes in an attempt that was sent, or was found running.
 func (m *machine) track(a *attempt) { m.attempts[a.number] = a }
 
@@ -83,7 +108,7 @@
 // cancel asks the machine to stop an attempt or its container.
 func (m *machine) cancel(schedulerIncarnation, number uint64) {
 	if m.ready() {
-		m.conn.send(&protocol.CancelAttempt{SchedulerIncarnation: schedulerIncarnation, AttemptID: number})
+		m.send(&protocol.CancelAttempt{SchedulerIncarnation: schedulerIncarnation, AttemptID: number})
 	}
 }
 
@@ -95,7 +120,7 @@
 	}
 	for _, a := range m.queue.list() {
 		stale := a.stale() // before it is removed, which clears the adoptions with the last queued attempt
-		if a.awaitsLog() || !m.queue.remove(a) {
+		if a.awaitsLog() || !m.dequeue(a) {
 			continue
 		}
 		if stale {
--- a/internal/schedulerd/machineconn.go
+++ b/internal/schedulerd/machineconn.go
@@ -25,7 +25,7 @@
 func (c *machineConn) ready() bool { return c.state == machineReady }
 
 // connect opens the connection if there is none. A machine that accepts it and sends no inventory loses it again.
-func (c *machineConn) connect() {
+func (c *machineConn) connect(address string) {
 	if c.conn != nil {
 		return
 	}
@@ -33,7 +33,7 @@
 	c.transition(machineDialed)
 	c.reader = protocol.Reader{}
 	c.lastReadAt, c.lastSentAt = loop.Now(), loop.Now()
-	c.conn = loop.Dial(c.machine.address, c, settings.MaxOutput, settings.ConnectTimeout)
+	c.conn = loop.Dial(address, c, settings.MaxOutput, settings.ConnectTimeout)
 	conn := c.conn
 	loop.After(inventoryTimeouts*settings.ConnectTimeout, func() {
 		if c.conn == conn && !c.ready() {
--- a/internal/schedulerd/machineentry.go
+++ b/internal/schedulerd/machineentry.go
@@ -2,59 +2,80 @@
 
 import (
 	"glenport/internal/protocol"
+	"glenport/internal/schedulerd/warmstart"
 	"glenport/scheduler"
 )
 
-// applyEntry reports whether the start of the machine's incarnation was unknown before.
-func (m *machine) applyEntry(entry *protocol.MachineEntry) (restarted bool) {
-	m.gone = entry.State == protocol.MachineGone
-	if draining := entry.State == protocol.MachineDraining; draining != m.draining {
-		m.draining = draining
-		m.announceDraining()
-	}
-	if entry.Address != "" && entry.Address != m.address {
-		m.address = entry.Address
-		m.conn.reset()
-	}
-	return m.applyIncarnation(entry)
+// machineListing is what the machine list, and the hello of a machine, have told of it.
+type machineListing struct {
+	address      string
+	gone         bool // from the list
+	draining     bool
+	incarnation  uint64
+	startedAt    scheduler.Time // of the incarnation; 0: long ago, or not known
+	selfReported bool           // the incarnation is known from the hello of the machine alone
+}
+
+func (l *machineListing) isGone() bool { return l.gone }
+
+func (l *machineListing) markGone() { l.gone = true }
+
+func (l *machineListing) isDraining() bool { return l.draining }
+
+// start returns the incarnation for which sends in slow start are counted.
+func (l *machineListing) start() warmstart.MachineStart {
+	return warmstart.MachineStart{Incarnation: l.incarnation, StartedAt: l.startedAt}
 }
 
-// announceDraining announces the containers of the machine anew.
-func (m *machine) announceDraining() {
-	for _, a := range inOrder(m.attempts) {
-		if a.accepted() {
-			m.registry.routes.containerRunning(a)
-		}
+// unfitSince reports whether the machine drains, is gone, or has restarted since an incarnation.
+func (l *machineListing) unfitSince(incarnation uint64) bool {
+	return l.gone || l.draining || l.incarnation != incarnation
+}
+
+// applyState reports whether the machine has begun or ended to drain.
+func (l *machineListing) applyState(state protocol.MachineState) (drainingChanged bool) {
+	before := l.draining
+	l.gone, l.draining = state == protocol.MachineGone, state == protocol.MachineDraining
+	return l.draining != before
+}
+
+// applyAddress reports whether the machine has another address than before.
+func (l *machineListing) applyAddress(address string) (moved bool) {
+	if address == "" || address == l.address {
+		return false
 	}
+	l.address = address
+	return true
 }
 
 // applyIncarnation computes the start of a machine once for each incarnation: an age that came by another way must not
-// look like another start.
-func (m *machine) applyIncarnation(entry *protocol.MachineEntry) (restarted bool) {
-	newer := entry.Incarnation > m.incarnation
-	startUnknown := entry.Incarnation == m.incarnation && (m.startedAt == 0 || m.selfReported)
+// look like another start. It reports whether the start was unknown before.
+func (l *machineListing) applyIncarnation(entry *protocol.MachineEntry, now scheduler.Time) (restarted bool) {
+	newer := entry.Incarnation > l.incarnation
+	startUnknown := entry.Incarnation == l.incarnation && (l.startedAt == 0 || l.selfReported)
 	if !newer && !startUnknown {
 		return false
 	}
-	m.incarnation, m.startedAt, m.selfReported = entry.Incarnation, 0, false
+	l.incarnation, l.startedAt, l.selfReported = entry.Incarnation, 0, false
 	if entry.Age >= 0 {
-		m.startedAt = max(1, m.registry.now()-scheduler.Time(entry.Age))
+		l.startedAt = max(1, now-scheduler.Time(entry.Age))
 	}
 	return true
 }
 
 // selfReport takes an incarnation from the machine's hello, and reports whether it is newer than the known one.
-func (m *machine) selfReport(incarnation uint64) (newer bool) {
-	if incarnation <= m.incarnation {
+func (l *machineListing) selfReport(incarnation uint64, now scheduler.Time) (newer bool) {
+	if incarnation <= l.incarnation {
 		return false
 	}
-	m.incarnation, m.startedAt, m.selfReported = incarnation, m.registry.now(), true
+	l.incarnation, l.startedAt, l.selfReported = incarnation, now, true
 	return true
 }
 
-func (m *machine) schedulerEntry(entry *protocol.MachineEntry) scheduler.MachineEntry {
+// schedulerEntry is an entry of the list as the scheduler sees it.
+func (l *machineListing) schedulerEntry(id scheduler.MachineID, entry *protocol.MachineEntry) scheduler.MachineEntry {
 	return scheduler.MachineEntry{
-		Machine:     m.id,
+		Machine:     id,
 		Zone:        entry.Zone,
 		MachineType: entry.MachineType,
 		RackGroup:   entry.RackGroup,
@@ -62,6 +83,6 @@
 		FreeCores:   entry.FreeCores,
 		FreeMemory:  entry.FreeMemory,
 		PowerHint:   entry.PowerHint,
-		StartedAt:   m.startedAt,
+		StartedAt:   l.startedAt,
 	}
 }
--- a/internal/schedulerd/machineframes.go
+++ b/internal/schedulerd/machineframes.go
@@ -71,7 +71,7 @@
 	a := m.attempts[f.AttemptID]
 	switch {
 	case a == nil:
-		m.handleLateAccept(f)
+		m.expired.acceptReceived(f.AttemptID)
 	case !a.accepted():
 		m.registry.dispatcher.accept(a)
 	case f.Running: // it was accepted before
@@ -79,22 +79,10 @@
 	}
 }
 
-func (m *machine) handleLateAccept(f *protocol.Accept) {
-	request, ok := m.expired.take(f.AttemptID)
-	if !ok {
-		return
-	}
-	m.registry.stats.countOutcome(statLateAccept)
-	m.registry.decisions.notifyReconciler(reconcile.LateAccept{Attempt: reconcile.Attempt{
-		Request: request, Machine: m.id,
-		Incarnation: m.registry.incarnation, Number: f.AttemptID, Running: true,
-	}})
-}
-
 func (m *machine) handleResult(f *protocol.Result) {
 	a := m.attempts[f.AttemptID]
 	if a == nil {
-		m.handleLateResult(f)
+		m.expired.resultReceived(f.AttemptID)
 		return
 	}
 	outcome := f.Outcome.SchedulerOutcome()
@@ -112,17 +100,6 @@
 	})
 }
 
-func (m *machine) handleLateResult(f *protocol.Result) {
-	request, ok := m.expired.take(f.AttemptID)
-	if !ok {
-		return
-	}
-	m.registry.decisions.notifyReconciler(reconcile.AttemptNotRunning{Attempt: reconcile.Attempt{
-		Request: request, Machine: m.id,
-		Incarnation: m.registry.incarnation, Number: f.AttemptID,
-	}})
-}
-
 func (m *machine) handleUsage(f *protocol.UsageReport) {
 	if a := m.attempts[f.AttemptID]; a != nil {
 		m.notifyUsage(a, scheduler.UsageMetric(f.Metric), f.Value)
--- a/internal/schedulerd/machinelist.go
+++ b/internal/schedulerd/machinelist.go
@@ -26,7 +26,7 @@
 		if m.applyEntry(entry) {
 			restarted = append(restarted, m)
 		}
-		update.Entries = append(update.Entries, m.schedulerEntry(entry))
+		update.Entries = append(update.Entries, m.schedulerEntry(m.id, entry))
 	}
 	r.removeGone(mode, listed)
 	r.decisions.notifyScheduler(update)
@@ -41,9 +41,9 @@
 func (r *machineRegistry) removeGone(mode scheduler.UpdateMode, listed map[scheduler.MachineID]bool) {
 	for id, m := range r.byID {
 		if mode != scheduler.DeltaUpdate && !listed[id] {
-			m.gone = true
+			m.markGone()
 		}
-		if m.gone {
+		if m.isGone() {
 			r.decisions.notifyReconciler(reconcile.MachineRemoved{Machine: id})
 			m.removeIfGone()
 		}
@@ -78,12 +78,12 @@
 // age: until a list has, the incarnation counts as new.
 func (r *machineRegistry) noteSelfReported(m *machine, incarnation uint64) {
 	entry, listed := r.list.entries[string(m.id)]
-	if !listed || !m.selfReport(incarnation) {
+	if !listed || !m.selfReport(incarnation, r.now()) {
 		return
 	}
 	r.decisions.notifyScheduler(scheduler.MachineListUpdate{
 		Mode: scheduler.SelfReported, Version: r.discovery.lastVersion(),
-		Entries: []scheduler.MachineEntry{m.schedulerEntry(&entry)},
+		Entries: []scheduler.MachineEntry{m.schedulerEntry(m.id, &entry)},
 	})
 	r.noteIncarnations(m)
 }
--- a/internal/schedulerd/machines.go
+++ b/internal/schedulerd/machines.go
@@ -42,7 +42,7 @@
 // connect opens a connection for the reconciler, which waits for the inventory.
 func (r *machineRegistry) connect(id scheduler.MachineID) {
 	if m := r.byID[id]; m != nil {
-		m.conn.connect()
+		m.connect()
 	} else {
 		r.decisions.notifyReconciler(reconcile.ConnectFailed{Machine: id})
 	}
@@ -50,7 +50,7 @@
 
 func (r *machineRegistry) disconnectIdle(id scheduler.MachineID) {
 	if m := r.byID[id]; m != nil && m.idle() {
-		m.conn.close()
+		m.disconnect()
 	}
 }
 
@@ -69,7 +69,7 @@
 		return
 	}
 	r.lastProbe++
-	m.probes.start(r.lastProbe)
+	m.probe(r.lastProbe)
 }
 
 // becameReady has the queue of a machine sent once its inventory is adopted.
--- a/internal/schedulerd/partialframe.go
+++ b/internal/schedulerd/partialframe.go
@@ -15,6 +15,9 @@
 	}
 }
 
+// age is for how long the rest has been missing.
+func (p *partialFrame) age(now eventloop.Tick) eventloop.Tick { return now - p.since }
+
 func (p *partialFrame) overdue(now, limit eventloop.Tick) bool {
 	return p.since > 0 && now-p.since > limit
 }
--- a/internal/schedulerd/probe.go
+++ b/internal/schedulerd/probe.go
@@ -29,7 +29,7 @@
 // start asks the machine whether it answers.
 func (t *probeTable) start(seq uint64) {
 	registry := t.machine.registry
-	p := &pendingProbe{seq: seq, incarnation: t.machine.incarnation, requestedAt: registry.loop.Now()}
+	p := &pendingProbe{seq: seq, incarnation: t.machine.start().Incarnation, requestedAt: registry.loop.Now()}
 	t.pending[seq] = p
 	p.timer = registry.loop.After(probeTimeout, func() { t.end(p, scheduler.OutcomeTimedOut, nil) })
 	if registry.state != nil && registry.state.logSend(t.machine.id, t.machine.start()) {
@@ -56,11 +56,11 @@
 func (t *probeTable) send(p *pendingProbe) {
 	switch {
 	case !t.machine.ready():
-		t.machine.conn.connect()
-	case t.machine.incarnation != p.incarnation:
+		t.machine.connect()
+	case t.machine.start().Incarnation != p.incarnation:
 		t.end(p, scheduler.OutcomeNotSent, nil)
 	default:
-		p.sent = t.machine.conn.send(&protocol.Probe{Seq: p.seq})
+		p.sent = t.machine.send(&protocol.Probe{Seq: p.seq})
 	}
 }
 
--- a/internal/schedulerd/restore.go
+++ b/internal/schedulerd/restore.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"glenport/internal/protocol"
+	"glenport/internal/schedulerd/overload"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/schedulerd/warmstart"
 	"glenport/scheduler"
@@ -13,11 +14,11 @@
 // what was learned to the scheduler. Snapshots are written from then on.
 func (s *Server) restore() {
 	now := readClocks(s.now())
-	for _, a := range s.state.loaded.attempts {
+	for _, a := range s.state.openAttempts() {
 		s.decisions.notifyReconciler(reconcile.AttemptRestored{Attempt: a})
 	}
 	s.state.transition(storeRestored)
-	s.restoreLimiter(now)
+	s.state.restoreLimiter(now, s.decisions.limiter())
 	version, entries := s.state.restoredList(now)
 	s.machines.applyList(scheduler.RestoredSnapshot, version, entries)
 	s.runIteration() // the scheduler has to know the machines before it learns of them
@@ -29,11 +30,14 @@
 	s.loop.After(snapshotInterval, s.saveSnapshot)
 }
 
+// openAttempts are those of earlier incarnations whose end is not in the log.
+func (st *stateStore) openAttempts() []reconcile.Attempt { return st.loaded.attempts }
+
 // restoreLimiter restores the concurrency limit if the workload classes are those of the snapshot.
-func (s *Server) restoreLimiter(now warmstart.Timestamp) {
-	limiter, snapshot := s.decisions.limiter(), s.state.loaded.snapshot
+func (st *stateStore) restoreLimiter(now warmstart.Timestamp, limiter *overload.Limiter) {
+	snapshot := st.loaded.snapshot
 	if limiter == nil || snapshot == nil || snapshot.Overload == nil ||
-		!slices.Equal(snapshot.ClassNames, s.classNames()) {
+		!slices.Equal(snapshot.ClassNames, st.classNames()) {
 		return
 	}
 	limiter.Restore(*snapshot.Overload, warmstart.Weight(warmstart.ConcurrencyLimit, now.Since(snapshot.TakenAt).Age))
--- a/internal/schedulerd/specs.go
+++ b/internal/schedulerd/specs.go
@@ -5,8 +5,8 @@
 	"glenport/scheduler"
 )
 
-// specOf is a request as an offer carries it.
-func specOf(c *container) protocol.ContainerSpec {
+// spec is the container as an offer carries it.
+func (c *container) spec() protocol.ContainerSpec {
 	r := &c.request
 	return protocol.ContainerSpec{
 		ContainerID:     string(r.ID),
--- a/internal/schedulerd/stats.go
+++ b/internal/schedulerd/stats.go
@@ -69,11 +69,11 @@
 }
 
 // countAttempt counts an offer that was sent.
-func (s *stats) countAttempt(c *container) {
-	s.attempts++
-	if c.attempts == 1 {
-		s.firstAttempts = append(s.firstAttempts, c.submittedAt)
-	}
+func (s *stats) countAttempt() { s.attempts++ }
+
+// measureLatency measures the time from a submission until the end of this iteration.
+func (s *stats) measureLatency(submittedAt time.Duration) {
+	s.firstAttempts = append(s.firstAttempts, submittedAt)
 }
 
 // flushed records how long first attempts took from the submission until they were written to the socket.
