--- a/internal/schedulerd/discovery_test.go
+++ b/internal/schedulerd/discovery_test.go
@@ -80,7 +80,7 @@
 			settings := testConfig(t)
 			settings.MachineListAddr = serveThreeUpdates(t, tc.incarnation, &tc.update, third)
 			script := newScript(nil)
-			server := runServer(t, settings, script)
+			server, _ := runServer(t, settings, script)
 			for i, want := range modes {
 				requestAnew(server)
 				if update := awaitList(t, script); update.Mode != want {
@@ -140,14 +140,14 @@
 	settings.ConnectTimeout = 10 * eventloop.Second
 	settings.Policy.ResyncInterval, settings.Policy.SchedulerCount = scheduler.Second, 1
 	settings.MachineListAddr = listenTCP(t, service.serve)
-	server := runServer(t, settings, scheduler.New(settings.Policy))
+	server, _ := runServer(t, settings, scheduler.New(settings.Policy))
 	service.awaitRequest(t, 0)
-	eventuallyOnLoop(t, server, func() bool { return server.discovery.version == 5 })
+	eventually(t, server, func() bool { return server.discovery.version == 5 })
 	service.away.Store(true)
 	runOnLoop(server, func() { server.discovery.conn.Reset() })
-	eventuallyOnLoop(t, server, func() bool { return server.discovery.conn == nil && !server.discovery.awaitingReply })
+	eventually(t, server, func() bool { return server.discovery.conn == nil && !server.discovery.awaitingReply })
 	hello <- 2
-	eventuallyOnLoop(t, server, func() bool { return server.machines.find("a").selfReported })
+	eventually(t, server, func() bool { return server.machines.find("a").selfReported })
 	service.away.Store(false)
 	service.awaitRequest(t, 5)
 }
--- a/internal/schedulerd/helpers_test.go
+++ b/internal/schedulerd/helpers_test.go
@@ -6,10 +6,12 @@
 	"io"
 	"log/slog"
 	"os"
+	"sync"
 	"testing"
 	"time"
 
 	"glenport/internal/config"
+	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
 	"glenport/scheduler"
 
@@ -86,34 +88,29 @@
 	return settings
 }
 
-// runServer runs a server until the end of the test.
-func runServer(t *testing.T, settings *config.Scheduler, decisions Scheduler) *Server {
-	t.Helper()
-	server, stop := startServer(t, settings, decisions)
-	t.Cleanup(stop)
-	return server
-}
-
-// runIncarnation runs a server until f returns, and stops it in order.
-func runIncarnation(t *testing.T, settings *config.Scheduler, decisions Scheduler, f func(*Server)) {
-	t.Helper()
-	server, stop := startServer(t, settings, decisions)
-	f(server)
-	stop()
-}
-
-func startServer(t *testing.T, settings *config.Scheduler, decisions Scheduler) (server *Server, stop func()) {
+// runServer runs a server until the end of the test, or until stop is called, which waits for its end.
+func runServer(t *testing.T, settings *config.Scheduler, decisions Scheduler) (server *Server, stop func()) {
 	t.Helper()
 	server, err := New(settings, decisions, discardLog)
 	noError(t, err)
 	done := make(chan error, 1)
 	go func() { done <- server.Run() }()
-	return server, func() {
+	stop = sync.OnceFunc(func() {
 		server.Stop()
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
-	}
+	})
+	t.Cleanup(stop)
+	return server, stop
+}
+
+// runIncarnation runs a server until f returns, and stops it in order.
+func runIncarnation(t *testing.T, settings *config.Scheduler, decisions Scheduler, f func(*Server)) {
+	t.Helper()
+	server, stop := runServer(t, settings, decisions)
+	f(server)
+	stop()
 }
 
 // onLoop returns what f returns on the loop of the server.
@@ -127,20 +124,24 @@
 	onLoop(server, func() struct{} { f(); return struct{}{} })
 }
 
-// eventually waits for what another goroutine brings about.
-func eventually(t *testing.T, condition func() bool) {
+// eventually waits for a condition that the loop of the server evaluates every millisecond.
+func eventually(t *testing.T, server *Server, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("the condition does not hold in %v", testTimeout)
+	fulfilled := make(chan struct{})
+	var check func()
+	check = func() {
+		if condition() {
+			close(fulfilled)
+		} else {
+			server.loop.After(eventloop.Millisecond, check)
 		}
 	}
-}
-
-// eventuallyOnLoop waits for a condition that is evaluated on the loop of the server.
-func eventuallyOnLoop(t *testing.T, server *Server, condition func() bool) {
-	t.Helper()
-	eventually(t, func() bool { return onLoop(server, condition) })
+	server.loop.Post(check)
+	select {
+	case <-fulfilled:
+	case <-time.After(testTimeout):
+		t.Fatalf("the condition does not hold in %v", testTimeout)
+	}
 }
 
 func now(server *Server) scheduler.Time { return onLoop(server, server.now) }
@@ -153,6 +154,7 @@
 	server *Server
 	script *scriptedScheduler
 	client *testClient
+	stop   func() // the server, and wait for its end
 }
 
 // startHarness takes the addresses of machines by their names.
@@ -160,7 +162,7 @@
 	t.Helper()
 	h := &harness{t: t, script: newScript(react)}
 	settings.MachineListAddr = serveMachineList(t, machines)
-	h.server = runServer(t, settings, h.script)
+	h.server, h.stop = runServer(t, settings, h.script)
 	watchList(h.server)
 	awaitList(t, h.script)
 	h.client = dialClient(t, h.server.Addr())
@@ -179,7 +181,7 @@
 // eventually waits for a condition of machine a.
 func (h *harness) eventually(condition func(a *machine) bool) {
 	h.t.Helper()
-	eventuallyOnLoop(h.t, h.server, func() bool { return condition(h.machineA()) })
+	eventually(h.t, h.server, func() bool { return condition(h.machineA()) })
 }
 
 // awaitEnded waits for the outcome of an attempt.
@@ -188,6 +190,14 @@
 	return awaitEvent[scheduler.AttemptEnded](h.t, h.script, nil)
 }
 
+// awaitCommit waits until all changes of the state so far are written.
+func (h *harness) awaitCommit() {
+	h.t.Helper()
+	committed := make(chan error, 1)
+	runOnLoop(h.server, func() { h.server.state.afterCommit(func(err error) { committed <- err }) })
+	noError(h.t, <-committed)
+}
+
 // applyList applies an update of one entry.
 func (h *harness) applyList(entry protocol.MachineEntry) {
 	runOnLoop(h.server, func() {
--- a/internal/schedulerd/interleaving_test.go
+++ b/internal/schedulerd/interleaving_test.go
@@ -222,45 +222,44 @@
 	return s
 }
 
+type workloadClasses = []scheduler.WorkloadClass
+
 var (
 	idempotent = scheduler.WorkloadClass{}
 	withKey    = scheduler.WorkloadClass{
-		Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeZone,
-		DedupWindow: 600 * scheduler.Second,
+		Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.ScopeZone, DedupWindow: 600 * scheduler.Second,
 	}
 	atMostOnce       = scheduler.WorkloadClass{Idempotency: scheduler.AtMostOnce}
 	spread           = scheduler.WorkloadClass{SpreadScope: scheduler.ScopeMachine, MaxPerScope: 1}
 	spreadAtMostOnce = scheduler.WorkloadClass{
-		Idempotency: scheduler.AtMostOnce,
-		SpreadScope: scheduler.ScopeMachine,
-		MaxPerScope: 1,
+		Idempotency: scheduler.AtMostOnce, SpreadScope: scheduler.ScopeMachine, MaxPerScope: 1,
 	}
 )
 
 var interleavings = []struct {
 	name    string
-	classes []scheduler.WorkloadClass
+	classes workloadClasses
 	steps   string
 	depth   int
 }{
 	{
 		"connections that break",
-		[]scheduler.WorkloadClass{atMostOnce, withKey, atMostOnce},
+		workloadClasses{atMostOnce, withKey, atMostOnce},
 		"submit, accept x, full x, errored y, break a, break b, cancel x", 4,
 	},
 	{
 		"machines that leave and come back",
-		[]scheduler.WorkloadClass{withKey, atMostOnce, atMostOnce},
+		workloadClasses{withKey, atMostOnce, atMostOnce},
 		"submit, full x, accept y, drain a, leave b, back b, restart late a, list", 4,
 	},
 	{
 		"spread behind broken connections",
-		[]scheduler.WorkloadClass{spreadAtMostOnce, spread, spreadAtMostOnce},
+		workloadClasses{spreadAtMostOnce, spread, spreadAtMostOnce},
 		"submit, accept x, full y, break a, break b, finish x, restart b", 4,
 	},
 	{
 		"slow start",
-		[]scheduler.WorkloadClass{idempotent, idempotent, idempotent},
+		workloadClasses{idempotent, idempotent, idempotent},
 		"submit, full x, restart a, restart late a, restart late b, list", 4,
 	},
 }
@@ -311,13 +310,13 @@
 func TestInterleavingsDetectEachBrokenInvariant(t *testing.T) {
 	for i, tc := range []struct {
 		steps   string
-		classes []scheduler.WorkloadClass
+		classes workloadClasses
 	}{
-		{"submit, full x", []scheduler.WorkloadClass{atMostOnce, atMostOnce, atMostOnce}},
-		{"submit, errored x", []scheduler.WorkloadClass{atMostOnce, atMostOnce, atMostOnce}},
-		{"submit, drain a, drain b", []scheduler.WorkloadClass{atMostOnce, atMostOnce, atMostOnce}},
-		{"restart a, restart b, submit", []scheduler.WorkloadClass{idempotent, idempotent, idempotent}},
-		{"submit, break a, break b", []scheduler.WorkloadClass{spreadAtMostOnce, spreadAtMostOnce, spreadAtMostOnce}},
+		{"submit, full x", workloadClasses{atMostOnce, atMostOnce, atMostOnce}},
+		{"submit, errored x", workloadClasses{atMostOnce, atMostOnce, atMostOnce}},
+		{"submit, drain a, drain b", workloadClasses{atMostOnce, atMostOnce, atMostOnce}},
+		{"restart a, restart b, submit", workloadClasses{idempotent, idempotent, idempotent}},
+		{"submit, break a, break b", workloadClasses{spreadAtMostOnce, spreadAtMostOnce, spreadAtMostOnce}},
 	} {
 		rule := i + 1
 		t.Run(fmt.Sprint("rule ", rule), func(t *testing.T) {
--- a/internal/schedulerd/legacylist.go
+++ b/internal/schedulerd/legacylist.go
@@ -29,7 +29,7 @@
 		return nil, nil
 	}
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("read machine list: %w", err)
 	}
 	if len(data) <= legacyFrameOffset ||
 		int(binary.BigEndian.Uint32(data[legacyLengthOffset:])) != len(data)-legacyFrameOffset {
--- /dev/null
+++ b/internal/schedulerd/parts_test.go
@@ -0,0 +1,53 @@
+package schedulerd
+
+import (
+	"bytes"
+	"errors"
+	"log/slog"
+	"strings"
+	"testing"
+)
+
+// Adoptions are remembered by service only while an attempt is queued that they may make stale.
+func TestAdoptionsAreTrackedWhileAttemptsAreQueued(t *testing.T) {
+	tracker := newAdoptionTracker()
+	queue := attemptQueue{adoptions: &tracker}
+	tracker.adopted("s")
+	before := tracker.count()
+	first, second := &attempt{number: 1}, &attempt{number: 2}
+	queue.add(first)
+	if queue.adoptedSince("s", before) {
+		t.Error("an adoption before the attempt was decided counts")
+	}
+	tracker.adopted("s")
+	queue.add(second)
+	if !queue.adoptedSince("s", before) || queue.adoptedSince("other", before) {
+		t.Error("an adoption of the service does not count, or one of another does")
+	}
+	if !queue.remove(first) || queue.remove(first) {
+		t.Error("an attempt is removed other than once")
+	}
+	if left := queue.takeAll(); len(left) != 1 || left[0] != second || !queue.empty() {
+		t.Errorf("%d attempts taken", len(left))
+	}
+	if len(tracker.byService) != 0 {
+		t.Error("adoptions are remembered though no attempt is queued")
+	}
+}
+
+// Of a row of failures the first is logged, and the end.
+func TestSnapshotWriterLogsTheFirstFailureAndTheEnd(t *testing.T) {
+	var log bytes.Buffer
+	p := &process{log: slog.New(slog.NewTextHandler(&log, nil))}
+	writer := &snapshotWriter{process: p, state: writerSaved}
+	fault := errors.New("disk full")
+	for _, err := range []error{nil, fault, fault, nil, nil} {
+		writer.transition(writeStarted)
+		writer.finished(err)
+	}
+	got := log.String()
+	if strings.Count(got, "snapshot not saved") != 1 || strings.Count(got, "snapshot saved again") != 1 ||
+		strings.Count(got, "\n") != 2 {
+		t.Errorf("logged %s", got)
+	}
+}
--- a/internal/schedulerd/restore_test.go
+++ b/internal/schedulerd/restore_test.go
@@ -73,7 +73,8 @@
 // The list of version 1 is read if the folder holds no snapshot yet, and used if it is of today.
 func TestLegacyListIsReadOnce(t *testing.T) {
 	const longAgo = 1000
-	today := uint64(now(runServer(t, testConfig(t), newScript(nil))))
+	clock, _ := runServer(t, testConfig(t), newScript(nil))
+	today := uint64(now(clock))
 	settings := testConfig(t)
 	settings.LegacyListFile = filepath.Join(t.TempDir(), "list")
 	list := fullList(7, protocol.MachineEntry{Machine: "a", Address: "127.0.0.1:1", Age: 50})
@@ -191,7 +192,7 @@
 		}
 	}
 	close(report)
-	eventuallyOnLoop(t, h.server, func() bool { return unresolved() == 0 })
+	eventually(t, h.server, func() bool { return unresolved() == 0 })
 	if reply := retry(); reply.Verdict != tc.want {
 		t.Errorf("retried after the machine reported: %+v", reply)
 	}
@@ -212,7 +213,10 @@
 	age := protocol.Duration(2 * eventloop.Second)
 	entry := protocol.MachineEntry{Machine: "a", Address: address, Incarnation: 2, Age: age}
 	h.applyList(entry)
-	eventually(t, func() bool { return countRecords(t, copyState(t, settings.StateDir), SendKind) == 1 })
+	h.awaitCommit()
+	if n := countRecords(t, copyState(t, settings.StateDir), SendKind); n != 1 {
+		t.Errorf("%d records of sends that may have reached the incarnation", n)
+	}
 	next := testConfig(t)
 	next.StateDir = copyState(t, settings.StateDir)
 	next.MachineListAddr = listenTCP(t, func(c net.Conn) {
--- a/internal/schedulerd/server.go
+++ b/internal/schedulerd/server.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"log/slog"
 	"time"
 
@@ -45,7 +46,7 @@
 	}}
 	var err error
 	if s.loop, err = eventloop.New(s.runIteration); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("start event loop: %w", err)
 	}
 	if err := s.open(decisions); err != nil {
 		s.loop.Stop()
--- a/internal/schedulerd/snapshot.go
+++ b/internal/schedulerd/snapshot.go
@@ -60,7 +60,7 @@
 func (w *WarmStartSnapshot) write(dir vfs.FS) error {
 	body, err := cbor.Marshal(w)
 	if err != nil {
-		return err
+		return fmt.Errorf("encode snapshot: %w", err)
 	}
 	return wal.WriteChecksummed(dir, WarmStartFile, WarmStartMagic, WarmStartVersion, body)
 }
--- a/internal/schedulerd/statestore.go
+++ b/internal/schedulerd/statestore.go
@@ -85,12 +85,13 @@
 
 func (st *stateStore) load() error {
 	records := st.wal.State()
-	if err := records.ForEach(IncarnationKind, func(_ string, value []byte) error {
-		return cbor.Unmarshal(value, &st.loaded.history)
-	}); err != nil {
+	histories, err := loadAll[warmstart.LogHistory](records, IncarnationKind)
+	if err != nil {
 		return err
 	}
-	var err error
+	if len(histories) > 0 { // there is one
+		st.loaded.history = histories[0]
+	}
 	if st.loaded.attempts, err = loadAll[reconcile.Attempt](records, AttemptKind); err != nil {
 		return err
 	}
@@ -102,11 +103,13 @@
 
 // loadAll decodes the records of a kind in the order of their keys.
 func loadAll[Record any](records *wal.State, kind string) (all []Record, err error) {
-	err = records.ForEach(kind, func(_ string, value []byte) error {
+	err = records.ForEach(kind, func(key string, value []byte) error {
 		var record Record
-		err := cbor.Unmarshal(value, &record)
+		if err := cbor.Unmarshal(value, &record); err != nil {
+			return fmt.Errorf("decode record %s %s: %w", kind, key, err)
+		}
 		all = append(all, record)
-		return err
+		return nil
 	})
 	return all, err
 }
--- a/internal/schedulerd/statestore_test.go
+++ b/internal/schedulerd/statestore_test.go
@@ -79,7 +79,7 @@
 	if onLoop(h.server, func() bool { h.server.saveSnapshot(); return h.server.state.historyPending }) {
 		t.Error("the log does not hold this incarnation")
 	}
-	h.stopAndRelease(settings.StateDir)
+	h.stop()
 	attempts := countRecords(t, settings.StateDir, AttemptKind)
 	incarnations := countRecords(t, settings.StateDir, IncarnationKind)
 	if attempts != 1 || incarnations != 1 {
@@ -87,17 +87,6 @@
 	}
 }
 
-// stopAndRelease stops the server and waits until nobody holds its folder.
-func (h *harness) stopAndRelease(folder string) {
-	h.t.Helper()
-	h.server.Stop()
-	eventually(h.t, func() bool { return !h.server.loop.Post(func() {}) })
-	eventually(h.t, func() bool {
-		d, err := vfs.OpenLocked(folder)
-		return err == nil && d.Close() == nil
-	})
-}
-
 // An attempt that waits for a slow disk longer than a connection may take is not sent, whatever update arrives
 // meanwhile, and is no failure of its machine.
 func TestAttemptHeldBackByASlowDiskIsNotSentLate(t *testing.T) {
