--- a/internal/schedulerd/attempt_test.go
+++ b/internal/schedulerd/attempt_test.go
@@ -150,7 +150,7 @@
 	done := make(chan struct{})
 	address := listenTCP(t, func(c net.Conn) {
 		skipFrame(c)
-		greet(c, "a", 1, &protocol.Inventory{})
+		sendHello(c, "a", 1, &protocol.Inventory{})
 		<-done
 	})
 	defer close(done)
@@ -189,7 +189,7 @@
 	closed := make(chan struct{}, 10) // a descriptor of the machine that is freed late would be one to use
 	address := listenTCP(t, func(c net.Conn) {
 		skipFrame(c)
-		greet(c, "a", 1, &protocol.Inventory{})
+		sendHello(c, "a", 1, &protocol.Inventory{})
 		handleFrames(c, onOffer(acceptOffer))
 		closeAgain(c)
 		closed <- struct{}{}
--- a/internal/schedulerd/container.go
+++ b/internal/schedulerd/container.go
@@ -21,7 +21,7 @@
 	dedupWindow       protocol.Duration
 	client            *clientConn // nil after an adoption, until a client asks for it again
 	clientContainerID string      // its ID in the client's last request
-	answered          bool        // the client has, or is owed, no answer any more
+	answered          bool        // the client has its answer, or waits for none
 	attempts          int         // so far
 	attempt           *attempt    // the pending one, or the one that was accepted
 	submittedAt       time.Duration
--- a/internal/schedulerd/containers.go
+++ b/internal/schedulerd/containers.go
@@ -157,7 +157,7 @@
 	r.dispatcher.end(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost, Final: true})
 }
 
-// adopt takes over a container that runs.
+// adopt adds a container that was found running.
 func (r *containerRegistry) adopt(found reconcile.Attempt) {
 	m := r.machines.find(found.Machine)
 	if m == nil || r.byID[found.Request.ID] != nil {
--- a/internal/schedulerd/dispatcher.go
+++ b/internal/schedulerd/dispatcher.go
@@ -223,7 +223,7 @@
 	a.inLog = false
 }
 
-// end ends an attempt with its one outcome, and its container if nothing more is owed for that.
+// end ends an attempt with its one outcome, and removes its container if that is answered and has no other.
 func (d *attemptDispatcher) end(a *attempt, ended scheduler.AttemptEnded) {
 	before := a.state
 	if !a.transition(attemptOutcomeKnown) {
@@ -254,7 +254,7 @@
 	m.removeIfGone()
 }
 
-// adopt takes over a container that runs, as an accepted attempt of another incarnation or one that was over.
+// adopt makes a container that was found running the accepted attempt of another incarnation, or of one that was over.
 func (d *attemptDispatcher) adopt(c *container, m *machine, found reconcile.Attempt) {
 	a := &attempt{
 		number:      found.Number,
--- a/internal/schedulerd/faultydir_test.go
+++ b/internal/schedulerd/faultydir_test.go
@@ -65,7 +65,7 @@
 	return d
 }
 
-// countRecords counts the records of a kind in a folder that nobody holds.
+// countRecords counts the records of a kind in a folder that is not locked.
 func countRecords(t *testing.T, path, kind string) (n int) {
 	t.Helper()
 	d, err := vfs.OpenLocked(path)
--- a/internal/schedulerd/helpers_test.go
+++ b/internal/schedulerd/helpers_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// closeAgain closes what may be closed already, which is an error of no account.
+// closeAgain closes what may be closed already, and ignores the error of that.
 func closeAgain(c io.Closer) { _ = c.Close() }
 
 func readFile(t *testing.T, path string) []byte {
--- a/internal/schedulerd/interleaving_model_test.go
+++ b/internal/schedulerd/interleaving_model_test.go
@@ -203,7 +203,7 @@
 	return judged
 }
 
-// serveMachine does what a machine owes: its hello and inventory, and the end of what is cancelled.
+// serveMachine sends hello and inventory of a machine, and the end of what is cancelled.
 func (w *model) serveMachine(now scheduler.Time, m *modelMachine) (found bool) {
 	found = m.accept()
 	if found {
--- a/internal/schedulerd/interleaving_test.go
+++ b/internal/schedulerd/interleaving_test.go
@@ -153,7 +153,8 @@
 	m.conn.send(&protocol.Result{AttemptID: a.AttemptID, Outcome: outcome})
 }
 
-// breakConnection closes the connection of a machine. What waits for its answer has been accepted, unheard.
+// breakConnection closes the connection of a machine. What waits for its answer has been accepted, but the accept is
+// lost.
 func (w *model) breakConnection(now scheduler.Time, m *modelMachine) {
 	for _, number := range m.numbers() {
 		if a := m.attempts[number]; a.pending {
--- a/internal/schedulerd/lateaccept_test.go
+++ b/internal/schedulerd/lateaccept_test.go
@@ -134,7 +134,7 @@
 			Spec:                 specFor("x", classAtMostOnce),
 		})
 	}
-	greet(c, "a", 1, inventory)
+	sendHello(c, "a", 1, inventory)
 	if m.connections == 2 {
 		m.reconnected <- c
 	}
--- a/internal/schedulerd/lifecycle.go
+++ b/internal/schedulerd/lifecycle.go
@@ -46,7 +46,7 @@
 	return s.transitionMade(err)
 }
 
-// stopRequested takes leave of the BGP peers, once.
+// stopRequested ends the BGP sessions, once.
 func (s *Server) stopRequested() {
 	before := s.lifecycle
 	if s.transition(serverStopRequested) && before != serverStopping {
--- a/internal/schedulerd/machine.go
+++ b/internal/schedulerd/machine.go
@@ -137,7 +137,7 @@
 // Ends of a connection.
 const (
 	lossAfterInventory connectionLoss = iota // it was ready
-	lossLocalShortage                        // for want of descriptors here, which says nothing of the machine
+	lossLocalShortage                        // no descriptors are left here, which is no failure of the machine
 	lossUnreached
 )
 
--- a/internal/schedulerd/machinelist.go
+++ b/internal/schedulerd/machinelist.go
@@ -6,7 +6,7 @@
 	"glenport/scheduler"
 )
 
-// applyList takes over where machines are and hands the list on to the scheduler and the reconciler.
+// applyList applies an update of the machine list, and hands it on to the scheduler and the reconciler.
 func (r *machineRegistry) applyList(mode scheduler.UpdateMode, version int64, entries []protocol.MachineEntry) {
 	update := scheduler.MachineListUpdate{
 		Mode:    mode,
--- a/internal/schedulerd/machineentry.go
+++ b/internal/schedulerd/machinelisting.go
@@ -6,7 +6,7 @@
 	"glenport/scheduler"
 )
 
-// machineListing is what the machine list, and the hello of a machine, have told of it.
+// machineListing is what is known of a machine by the machine list, or by its own hello.
 type machineListing struct {
 	address      string
 	gone         bool // from the list
--- a/internal/schedulerd/overload/limiter_test.go
+++ b/internal/schedulerd/overload/limiter_test.go
@@ -236,6 +236,6 @@
 	}
 	other := New(Config{MaxOpen: 10, WorkloadClasses: []WorkloadClass{{sec, 1}}})
 	if other.Restore(before.Snapshot(), 1); other.Limit() != 10 {
-		t.Error("a snapshot of other workload classes is taken over")
+		t.Error("a snapshot of other workload classes is restored")
 	}
 }
--- a/internal/schedulerd/overload/snapshot.go
+++ b/internal/schedulerd/overload/snapshot.go
@@ -22,7 +22,7 @@
 	return s
 }
 
-// Restore takes over a snapshot before the first event: a limiter that starts wide open during an overload would admit
+// Restore applies a snapshot before the first event: a limiter that starts wide open during an overload would admit
 // all that was shed before. The limit counts for weight, from 1 (all) to 0 (nothing); baselines are taken as they were.
 // A snapshot of other workload classes is ignored.
 func (l *Limiter) Restore(s Snapshot, weight float64) {
--- a/internal/schedulerd/parts_test.go
+++ b/internal/schedulerd/parts_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// Of a row of failures the first is logged, and the end.
+// Of several failures the first is logged, and the success after them.
 func TestSnapshotWriterLogsTheFirstFailureAndTheEnd(t *testing.T) {
 	var log bytes.Buffer
 	p := &process{log: slog.New(slog.NewTextHandler(&log, nil))}
--- a/internal/schedulerd/peers_test.go
+++ b/internal/schedulerd/peers_test.go
@@ -132,8 +132,8 @@
 	})
 }
 
-// greet sends what a machine sends first.
-func greet(c net.Conn, name string, incarnation uint64, inventory *protocol.Inventory) {
+// sendHello sends what a machine sends first.
+func sendHello(c net.Conn, name string, incarnation uint64, inventory *protocol.Inventory) {
 	sendFrames(c, protocol.NewHello(protocol.RoleMachine, name, incarnation), inventory)
 }
 
@@ -144,7 +144,7 @@
 		if f, err := receiveFrame(c); err != nil || f.(*protocol.Hello).Role != protocol.RoleScheduler {
 			return
 		}
-		greet(c, name, 1, &protocol.Inventory{})
+		sendHello(c, name, 1, &protocol.Inventory{})
 		handleFrames(c, handle)
 	})
 }
@@ -162,7 +162,7 @@
 			return
 		}
 		skipFrame(c)
-		greet(c, name, incarnation, &protocol.Inventory{MachineIncarnation: incarnation})
+		sendHello(c, name, incarnation, &protocol.Inventory{MachineIncarnation: incarnation})
 		handleFrames(c, onOffer(func(c net.Conn, o *protocol.Offer) bool {
 			offered <- o.Spec.ContainerID
 			return acceptOffer(c, o)
--- a/internal/schedulerd/reconcile/actions.go
+++ b/internal/schedulerd/reconcile/actions.go
@@ -63,7 +63,7 @@
 	Attempt     uint64
 }
 
-// Adopt takes over a container that runs.
+// Adopt adds a container that was found running.
 type Adopt struct{ Attempt Attempt }
 
 // ContainerLost says that a placed container no longer runs, or may no longer run.
@@ -81,7 +81,7 @@
 // AllMachinesReported says, once, that every listed machine has reported or is gone.
 type AllMachinesReported struct{}
 
-// AttemptResolved says that nothing waits for news of an attempt any more: its record can be dropped.
+// AttemptResolved says that the outcome of an attempt is known, or no longer matters: its record can be dropped.
 type AttemptResolved struct{ Attempt Attempt }
 
 // SetTimer requests a TimerFired.
--- a/internal/schedulerd/reconcile/containers.go
+++ b/internal/schedulerd/reconcile/containers.go
@@ -139,7 +139,7 @@
 }
 
 // runsAfterAll decides on an attempt that runs although it was over. Idempotent work is cancelled: its container went
-// elsewhere or its request was answered, and the copy takes room for nobody. Work that must not run twice is not
+// elsewhere or its request was answered, and the copy takes room for no client. Work that must not run twice is not
 // cancelled for that: it is adopted, once the request of its container is closed.
 func (r *Reconciler) runsAfterAll(a Attempt) {
 	c := r.containers.byID[a.Request.ID]
@@ -158,7 +158,7 @@
 	}
 }
 
-// adopt takes over an attempt that runs, unless its container is known. A second copy under a key is cancelled where
+// adopt adds an attempt that runs, unless its container is known. A second copy under a key is cancelled where
 // another one runs, or where the work is idempotent and another one is being placed.
 func (r *Reconciler) adopt(a Attempt) {
 	if a.Request.WorkloadClass >= len(r.idempotency) {
--- a/internal/schedulerd/reconcile/events.go
+++ b/internal/schedulerd/reconcile/events.go
@@ -78,7 +78,7 @@
 // ConnectFailed is a connection to a machine that could not be made.
 type ConnectFailed struct {
 	Machine       scheduler.MachineID
-	LocalShortage bool // for want of descriptors here, which says nothing of the machine
+	LocalShortage bool // no descriptors are left here, which is no failure of the machine
 }
 
 // MachinesListed names machines of the machine list.
--- a/internal/schedulerd/reconcile/machines.go
+++ b/internal/schedulerd/reconcile/machines.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// attemptReported decides on one attempt of a report, and returns whether it was taken over from an earlier
-// incarnation. An attempt that waits is cancelled, as nobody would receive its answer; one of an earlier incarnation
+// attemptReported decides on one attempt of a report, and returns whether it was adopted from an earlier
+// incarnation. An attempt that waits is cancelled, as no client would receive its answer; one of an earlier incarnation
 // counts until it has ended.
 func (r *Reconciler) attemptReported(machine scheduler.MachineID, a Attempt) (adopted bool) {
 	known := r.containers.byID[a.Request.ID]
@@ -88,9 +88,9 @@
 	}
 }
 
-// connectFailed has the connection tried again, and gives up the machine's containers after some attempts. A short loss
-// of the connection costs nothing then. Containers that run on behind a longer one are adopted, or cancelled, when it
-// ends.
+// connectFailed has the connection tried again, and counts the machine's containers as lost after some attempts. A
+// short loss of the connection costs nothing then. Containers that run on behind a longer one are adopted, or
+// cancelled, when it ends.
 func (r *Reconciler) connectFailed(e ConnectFailed) {
 	r.track(recovery.ConnectFailed{Machine: e.Machine})
 	if e.LocalShortage {
--- a/internal/schedulerd/reconcile/requests.go
+++ b/internal/schedulerd/reconcile/requests.go
@@ -22,7 +22,7 @@
 // for a request that is rejected here, so a retry does no harm.
 func (r *Reconciler) placementRequested(e PlacementRequested) {
 	if !r.admission.Connected(e.Client) {
-		return // nobody would receive an answer
+		return // no client would receive an answer
 	}
 	id, key := e.Request.ID, e.Request.IdempotencyKey
 	other := r.containers.byKey[key]
@@ -103,7 +103,7 @@
 // on whether that is certain: a scheduler that has just started does not know yet what runs.
 func (r *Reconciler) cancelRequested(e CancelRequested) {
 	if c := r.containers.find(e.ID, e.IdempotencyKey); c != nil {
-		r.cancelLateAccept(c) // else it would be adopted once the container is removed, and nobody would end it
+		r.cancelLateAccept(c) // else it would be adopted once the container is removed, and never ended
 		r.emit(TerminateContainer{Client: e.Client, ID: c.id, RequestedID: e.ID})
 		return
 	}
--- a/internal/schedulerd/recovery/check.go
+++ b/internal/schedulerd/recovery/check.go
@@ -38,7 +38,7 @@
 }
 
 // fromEarlierIncarnation matters for work that is idempotent with a key: the scheduler keeps attempts of its own
-// incarnation to their scope and window, but when an earlier one was sent nobody knows.
+// incarnation to their scope and window, but it is not known when an earlier one was sent.
 func (t *Tracker) fromEarlierIncarnation(u unresolvedAttempt) bool { return u.since == t.startedAt }
 
 // CheckKey returns a *MayRunError or *RecoveringError where it is not known whether anything runs under a key.
--- a/internal/schedulerd/recovery/events.go
+++ b/internal/schedulerd/recovery/events.go
@@ -55,7 +55,7 @@
 // ConnectMachine requests a connection to a machine, by which it reports what it holds.
 type ConnectMachine struct{ Machine scheduler.MachineID }
 
-// AttemptResolved says that nothing waits for news of an attempt any more.
+// AttemptResolved says that the outcome of an attempt is known, or no longer matters.
 type AttemptResolved struct{ Attempt Attempt }
 
 // Completed says, once, that all that runs from earlier incarnations is known, as far as it can be.
--- a/internal/schedulerd/recovery/resume.go
+++ b/internal/schedulerd/recovery/resume.go
@@ -21,7 +21,7 @@
 const (
 	StepRequest ResumeStep = iota // request its placement
 	StepLookup                    // look the key up at the scheduler that was sent the request: it knows or finds out
-	StepFence                     // begin the fencing delay anew, as nobody knows how much of it had passed
+	StepFence                     // begin the fencing delay anew, as it is not known how much of it had passed
 	StepNone
 )
 
@@ -30,7 +30,7 @@
 const resumeRate = 2000
 
 // Resume decides what is done first, and how long after the start, about the nth container in the controller's log. A
-// container that may run is never requested elsewhere, whatever its idempotency: nobody would end the second copy.
+// container that may run is never requested elsewhere, whatever its idempotency: the second copy would never be ended.
 func Resume(phase ContainerPhase, n int) (ResumeStep, scheduler.Time) {
 	delay := scheduler.Time(n) * scheduler.Second / resumeRate
 	switch phase {
--- a/internal/schedulerd/restore_test.go
+++ b/internal/schedulerd/restore_test.go
@@ -131,7 +131,7 @@
 			return
 		}
 		<-report
-		greet(c, "a", 1, inventory)
+		sendHello(c, "a", 1, inventory)
 		skipFrame(c)
 	})
 }
@@ -200,7 +200,7 @@
 
 // Sends to a machine that was not in slow start are logged when an incarnation is announced that they may have reached,
 // so that the next incarnation of the scheduler has them.
-func TestSendsBeforeAnIncarnationIsHeardOfAreLogged(t *testing.T) {
+func TestSendsBeforeAnIncarnationIsObservedAreLogged(t *testing.T) {
 	settings := testConfig(t)
 	settings.StateDir = t.TempDir()
 	address := serveMachine(t, "a", ignoreFrame)
--- a/internal/schedulerd/snapshotwriter.go
+++ b/internal/schedulerd/snapshotwriter.go
@@ -61,7 +61,7 @@
 	})
 }
 
-// finished logs the first failure of a row and its end.
+// finished logs the first of several failures, and the success after them.
 func (w *snapshotWriter) finished(err error) {
 	before := w.state
 	if err != nil {
--- a/internal/schedulerd/warmstart/golden_test.go
+++ b/internal/schedulerd/warmstart/golden_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// recordedRestore folds what is restored, and what a ledger takes over of it; the messages are for logs alone.
+// recordedRestore folds what is restored, and what a ledger records of it; the messages are for logs alone.
 func recordedRestore(d *golden.Digest, rng *rand.Rand) {
 	p, machines := recordedPersisted(rng)
 	classNames := []string{"w", "c"}[:2-rng.IntN(8)/7]
--- a/internal/schedulerd/warmstart/ledger.go
+++ b/internal/schedulerd/warmstart/ledger.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// Restore takes over the sends of earlier incarnations; incarnations are those of the machines.
+// Restore records the sends of earlier incarnations; incarnations are those of the machines.
 func (l *SendLedger) Restore(r Restored, incarnations map[scheduler.MachineID]uint64) {
 	for _, machine := range r.Snapshot.Machines {
 		if len(machine.RecentSends) > 0 {
@@ -57,7 +57,7 @@
 	}
 }
 
-// ResolvePending takes over pending sends to starts that the machine list names only now: a restored list may be older
+// ResolvePending records pending sends to starts that the machine list names only now: a restored list may be older
 // than they are. It returns those, and the sends that are still pending. Sends older than two windows are dropped.
 func (l *SendLedger) ResolvePending(now scheduler.Time, pending []SlowStartSends,
 	lookup MachineLookup,
@@ -99,7 +99,7 @@
 	return *sends, true
 }
 
-// IncarnationObserved takes in a start that was just heard of. It returns the sends that may have reached it before and
+// IncarnationObserved records a start that was just observed. It returns the sends that may have reached it before and
 // must be recorded now, and whether there are any.
 func (l *SendLedger) IncarnationObserved(
 	now scheduler.Time,
--- a/internal/schedulerd/warmstart/restore.go
+++ b/internal/schedulerd/warmstart/restore.go
@@ -26,7 +26,7 @@
 	StartedAt   scheduler.Time // by the clock of this incarnation of the scheduler; 0: long ago
 }
 
-// Restored is what is taken over.
+// Restored is what the new incarnation starts with.
 type Restored struct {
 	Snapshot     scheduler.Snapshot
 	PendingSends []SlowStartSends // to starts of machines that the machine list does not name yet
@@ -103,7 +103,7 @@
 	r.Snapshot.RejectedWeight = s.RejectedWeight * fullWeight
 }
 
-// restoreMachines takes over evidence against machines that have not restarted since.
+// restoreMachines restores evidence against machines that have not restarted since.
 func (r *Restored) restoreMachines(elapsed Elapsed, p Persisted, machines map[scheduler.MachineID]MachineStart) {
 	weight := Weight(Outliers, elapsed.Age)
 	if weight == 0 {
@@ -146,9 +146,9 @@
 	return adjusted
 }
 
-// restoreSends takes over what was sent to machines in slow start. Each send is written to the log first, which a
+// restoreSends restores what was sent to machines in slow start. Each send is written to the log first, which a
 // process that dies cannot undo but a system that dies can: after a restart of the system, as after a first start, the
-// scheduler sends nothing to such machines for a window. Two windows of sends are taken over.
+// scheduler sends nothing to such machines for a window. Two windows of sends are restored.
 func (r *Restored) restoreSends(
 	now Timestamp,
 	p Persisted,
