--- a/internal/schedulerd/restore_test.go
+++ b/internal/schedulerd/restore_test.go
@@ -73,7 +73,8 @@
 // The list of version 1 is read if the folder holds no snapshot yet, and used if it is of today.
 func TestLegacyListIsReadOnce(t *testing.T) {
 	const longAgo = 1000
-	today := uint64(now(runServer(t, testConfig(t), newScript(nil))))
+	clock, _ := runServer(t, testConfig(t), newScript(nil))
+	today := uint64(now(clock))
 	settings := testConfig(t)
 	settings.LegacyListFile = filepath.Join(t.TempDir(), "list")
 	list := fullList(7, protocol.MachineEntry{Machine: "a", Address: "127.0.0.1:1", Age: 50})
@@ -130,7 +131,7 @@
 			return
 		}
 		<-report
-		greet(c, "a", 1, inventory)
+		sendHello(c, "a", 1, inventory)
 		skipFrame(c)
 	})
 }
@@ -191,7 +192,7 @@
 		}
 	}
 	close(report)
-	eventuallyOnLoop(t, h.server, func() bool { return unresolved() == 0 })
+	eventually(t, h.server, func() bool { return unresolved() == 0 })
 	if reply := retry(); reply.Verdict != tc.want {
 		t.Errorf("retried after the machine reported: %+v", reply)
 	}
@@ -199,7 +200,7 @@
 
 // Sends to a machine that was not in slow start are logged when an incarnation is announced that they may have reached,
 // so that the next incarnation of the scheduler has them.
-func TestSendsBeforeAnIncarnationIsHeardOfAreLogged(t *testing.T) {
+func TestSendsBeforeAnIncarnationIsObservedAreLogged(t *testing.T) {
 	settings := testConfig(t)
 	settings.StateDir = t.TempDir()
 	address := serveMachine(t, "a", ignoreFrame)
@@ -212,7 +213,10 @@
 	age := protocol.Duration(2 * eventloop.Second)
 	entry := protocol.MachineEntry{Machine: "a", Address: address, Incarnation: 2, Age: age}
 	h.applyList(entry)
-	eventually(t, func() bool { return countRecords(t, copyState(t, settings.StateDir), SendKind) == 1 })
+	h.awaitCommit()
+	if n := countRecords(t, copyState(t, settings.StateDir), SendKind); n != 1 {
+		t.Errorf("%d records of sends that may have reached the incarnation", n)
+	}
 	next := testConfig(t)
 	next.StateDir = copyState(t, settings.StateDir)
 	next.MachineListAddr = listenTCP(t, func(c net.Conn) {
