--- a/internal/platform/connmanager/admission_test.go
+++ b/internal/platform/connmanager/admission_test.go
@@ -16,9 +16,34 @@
 	return out
 }
 
+// answered are the events of a client whose request was answered.
+func answered(id ClientID) []Event { return []Event{PlacementRequested{id}, MessageSent{id, 1}} }
+
+// allBut gives one client events of its own.
+func allBut(one ClientID, own []Event, others func(ClientID) []Event) func(ClientID) []Event {
+	return func(id ClientID) []Event {
+		if id == one {
+			return own
+		}
+		return others(id)
+	}
+}
+
 // A full listener closes one client for each that connects, and none that awaits an answer as long as another does not.
 func TestFullListenerClosesTheClientThatLosesLeast(t *testing.T) {
 	const most = 8
+	served := func(id ClientID) []Event { return []Event{MessageSent{Client: id}} }
+	awaiting := func(id ClientID) []Event { return []Event{PlacementRequested{id}} }
+	activeAgain := []Event{ // all but the third
+		BytesReceived{Client: 8},
+		MessageSent{Client: 8},
+		MessageSent{Client: 1},
+		BytesReceived{Client: 2},
+		BytesReceived{Client: 4},
+		BytesReceived{Client: 5},
+		BytesReceived{Client: 6},
+		BytesReceived{Client: 7},
+	}
 	for _, tc := range []struct {
 		name   string
 		at     Time                      // when one more connects
@@ -27,34 +52,10 @@
 	}{
 		{"all silent, the first is closed", Second, func(ClientID) []Event { return nil }, 1},
 		{"all new, the newest is closed", Second / 10, func(ClientID) []Event { return nil }, most + 1},
-		{"one silent client among served ones", Second, func(id ClientID) []Event {
-			if id == 5 {
-				return nil
-			}
-			return []Event{MessageSent{Client: id}}
-		}, 5},
-		{"all served, the least recently active is closed", Second, func(id ClientID) []Event {
-			if id == 8 { // all but the third are active again
-				return []Event{
-					BytesReceived{Client: 8},
-					MessageSent{Client: 8},
-					MessageSent{Client: 1},
-					BytesReceived{Client: 2},
-					BytesReceived{Client: 4},
-					BytesReceived{Client: 5},
-					BytesReceived{Client: 6},
-					BytesReceived{Client: 7},
-				}
-			}
-			return []Event{MessageSent{Client: id}}
-		}, 3},
-		{"one without an open request", Second, func(id ClientID) []Event {
-			if id == 6 {
-				return []Event{PlacementRequested{id}, MessageSent{id, 1}}
-			}
-			return []Event{PlacementRequested{id}}
-		}, 6},
-		{"all but the newest await an answer", Second, func(id ClientID) []Event { return []Event{PlacementRequested{id}} }, most + 1},
+		{"one silent client among served ones", Second, allBut(5, nil, served), 5},
+		{"all served, the least recently active is closed", Second, allBut(8, activeAgain, served), 3},
+		{"one without an open request", Second, allBut(6, answered(6), awaiting), 6},
+		{"all but the newest await an answer", Second, awaiting, most + 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			m := New(2 * most)
@@ -67,12 +68,8 @@
 					t.Fatalf("%v closed while there is room", got)
 				}
 			}
-			if got := closedClients(
-				m.Handle(tc.at, []Event{ClientConnected{most + 1}}),
-			); !slices.Equal(
-				got,
-				[]ClientID{tc.want},
-			) {
+			got := closedClients(m.Handle(tc.at, []Event{ClientConnected{most + 1}}))
+			if !slices.Equal(got, []ClientID{tc.want}) {
 				t.Errorf("%v closed, want %d", got, tc.want)
 			}
 		})
@@ -88,7 +85,7 @@
 	}{
 		{"no request", nil, true},
 		{"awaits an answer", []Event{BytesReceived{Client: 1}, PlacementRequested{1}}, false},
-		{"was answered", []Event{PlacementRequested{1}, MessageSent{1, 1}}, false},
+		{"was answered", answered(1), false},
 		{"proved to be an owner", []Event{BytesReceived{Client: 1}, OwnershipProven{1}}, false},
 		{"reclaimed a container, alone", []Event{BytesReceived{Client: 1}, ContainerReclaimed{1}}, false},
 		{"reclaimed a container, no proven owner", []Event{
@@ -108,7 +105,9 @@
 			OwnershipProven{2},
 		}, false},
 		{"acknowledged an end that it was not notified of", []Event{TerminationAcknowledged{"x", 1}}, true},
-		{"reclaimed a container, then an incomplete message", []Event{ContainerReclaimed{1}, BytesReceived{1, true}}, true},
+		{"reclaimed a container, then an incomplete message", []Event{
+			ContainerReclaimed{1}, BytesReceived{1, true},
+		}, true},
 		{"cancelled every request", []Event{PlacementRequested{1}, RequestCancelled{1}}, true},
 		{"incomplete message", []Event{MessageSent{Client: 1}, BytesReceived{1, true}}, true},
 		{"incomplete message, completed in time", []Event{
--- a/internal/platform/connmanager/notifications_test.go
+++ b/internal/platform/connmanager/notifications_test.go
@@ -21,83 +21,98 @@
 	return out
 }
 
+// servedClient connects and is served, owner is accepted besides.
+func servedClient(id ClientID) []Event { return append([]Event{ClientConnected{id}}, answered(id)...) }
+
+func owner(id ClientID) []Event { return append(servedClient(id), OwnershipProven{id}) }
+
+// notificationTest is who is notified, in order, of the end of container "x".
+type notificationTest struct {
+	name      string
+	before    []Event
+	requester ClientID
+	then      map[Time]Event // after tenths of a second
+	want      []ClientID
+}
+
 // First the client that requested the container is notified, then the other owners, until one acknowledges.
 func TestTerminationIsNotifiedUntilAcknowledged(t *testing.T) {
-	const tenth = Second / 10
-	served := func(id ClientID) []Event {
-		return []Event{ClientConnected{id}, PlacementRequested{id}, MessageSent{id, 1}}
-	}
-	owner := func(id ClientID) []Event { return append(served(id), OwnershipProven{id}) }
-	for _, tc := range []struct {
-		name      string
-		before    []Event
-		requester ClientID
-		then      map[Time]Event // after tenths of a second
-		want      []ClientID
-	}{
-		{"the requester acknowledges", owner(1), 1, map[Time]Event{1: TerminationAcknowledged{RequestID: "x"}}, []ClientID{1}},
+	acknowledged := TerminationAcknowledged{RequestID: "x"}
+	for _, tc := range []notificationTest{
+		{"the requester acknowledges", owner(1), 1, map[Time]Event{1: acknowledged}, []ClientID{1}},
 		{
-			"the requester has disconnected", slices.Concat(owner(1), served(2), owner(3), served(4), []Event{ClientDisconnected{1}}), 1,
-			map[Time]Event{1: TerminationAcknowledged{RequestID: "x"}},
+			"the requester has disconnected",
+			slices.Concat(owner(1), servedClient(2), owner(3), servedClient(4), []Event{ClientDisconnected{1}}), 1,
+			map[Time]Event{1: acknowledged},
 			[]ClientID{3},
 		},
 		{
 			"the requester disconnects before it acknowledges", slices.Concat(owner(1), owner(2)), 1,
-			map[Time]Event{1: ClientDisconnected{1}, 2: TerminationAcknowledged{RequestID: "x"}},
+			map[Time]Event{1: ClientDisconnected{1}, 2: acknowledged},
 			[]ClientID{1, 2},
 		},
-		{"nobody acknowledges", slices.Concat(owner(1), owner(2), owner(3), served(4)), 2, nil, []ClientID{2, 3, 1, 4}},
+		{
+			"nobody acknowledges", slices.Concat(owner(1), owner(2), owner(3), servedClient(4)), 2, nil,
+			[]ClientID{2, 3, 1, 4},
+		},
 		{
 			"another termination is acknowledged", slices.Concat(owner(1), owner(2)), 1,
 			map[Time]Event{1: TerminationAcknowledged{RequestID: "y"}},
 			[]ClientID{1, 2},
 		},
+		{"no client is an owner", servedClient(4), 0, map[Time]Event{15: acknowledged}, []ClientID{4}},
 		{
-			"no client is an owner", served(4), 0,
-			map[Time]Event{15: TerminationAcknowledged{RequestID: "x"}},
-			[]ClientID{4},
-		},
-		{
-			"an owner connects later", served(4), 0,
-			map[Time]Event{4: ClientConnected{5}, 5: OwnershipProven{5}, 9: TerminationAcknowledged{RequestID: "x"}},
+			"an owner connects later", servedClient(4), 0,
+			map[Time]Event{4: ClientConnected{5}, 5: OwnershipProven{5}, 9: acknowledged},
 			[]ClientID{5},
 		},
 		{
 			"only a client that awaits its first answer",
 			[]Event{ClientConnected{4}, PlacementRequested{4}},
 			0,
-			map[Time]Event{8: TerminationAcknowledged{RequestID: "x"}},
+			map[Time]Event{8: acknowledged},
 			[]ClientID{4},
 		},
 		{
-			"one that acknowledged before one that claims to have", slices.Concat(
-				[]Event{ClientConnected{1}, ContainerReclaimed{1}, ContainerTerminated{"w", 16, 1}, TerminationAcknowledged{"w", 1}},
-				[]Event{ClientConnected{2}}, owner(3), []Event{ContainerReclaimed{2}, TerminationAcknowledged{"w", 2}, TerminationAcknowledged{"v", 2}}),
+			"one that acknowledged before one that claims to have",
+			slices.Concat([]Event{
+				ClientConnected{1},
+				ContainerReclaimed{1},
+				ContainerTerminated{"w", 16, 1},
+				TerminationAcknowledged{"w", 1},
+				ClientConnected{2},
+			}, owner(3), []Event{
+				ContainerReclaimed{2}, TerminationAcknowledged{"w", 2}, TerminationAcknowledged{"v", 2},
+			}),
 			0, nil,
 			[]ClientID{1, 3, 2},
 		},
 		{"no client", nil, 0, nil, nil},
 	} {
-		t.Run(tc.name, func(t *testing.T) {
-			m := New(100)
-			var got []ClientID
-			handle := func(now Time, e Event) { got = append(got, notified(t, m.Handle(now, []Event{e}))...) }
-			for _, e := range tc.before {
-				handle(1, e)
-			}
-			handle(2, ContainerTerminated{"x", 16, tc.requester})
-			for i := Time(1); i <= 110; i++ {
-				if e := tc.then[i]; e != nil {
-					handle(i*tenth, e)
-				}
-				handle(i*tenth, Tick{})
-			}
-			if !slices.Equal(got, tc.want) {
-				t.Errorf("notified %v, want %v", got, tc.want)
-			}
-			if len(m.terminations) > 0 {
-				t.Errorf("%d terminations kept", len(m.terminations))
-			}
-		})
+		t.Run(tc.name, func(t *testing.T) { tc.check(t) })
+	}
+}
+
+func (tc notificationTest) check(t *testing.T) {
+	t.Helper()
+	const tenth = Second / 10
+	m := New(100)
+	var got []ClientID
+	handle := func(now Time, e Event) { got = append(got, notified(t, m.Handle(now, []Event{e}))...) }
+	for _, e := range tc.before {
+		handle(1, e)
+	}
+	handle(2, ContainerTerminated{"x", 16, tc.requester})
+	for i := Time(1); i <= 110; i++ {
+		if e := tc.then[i]; e != nil {
+			handle(i*tenth, e)
+		}
+		handle(i*tenth, Tick{})
+	}
+	if !slices.Equal(got, tc.want) {
+		t.Errorf("notified %v, want %v", got, tc.want)
+	}
+	if len(m.terminations) > 0 {
+		t.Errorf("%d terminations kept", len(m.terminations))
 	}
 }
--- a/internal/platform/connmanager/pool_test.go
+++ b/internal/platform/connmanager/pool_test.go
@@ -2,27 +2,38 @@
 
 import "testing"
 
+// idleFor is a connection that its machine closes after 30 s; first, busy and carrier change one fact each.
+func idleFor(idle Time) MachineConn {
+	return MachineConn{IdleFor: idle, MachineIdleTimeout: 30 * Second}
+}
+
+func first(c MachineConn) MachineConn {
+	c.Primary = true
+	return c
+}
+
+func busy(c MachineConn) MachineConn {
+	c.MachineHasRunning = true
+	return c
+}
+
+func carrier(c MachineConn) MachineConn {
+	c.CarriesRunning = true
+	return c
+}
+
 func TestIdleMachineConnIsKeptWhileOfUse(t *testing.T) {
-	const timeout = 30 * Second
 	for _, tc := range []struct {
 		name string
 		conn MachineConn
 		want bool
 	}{
-		{
-			"the first, its machine has a running container",
-			MachineConn{Primary: true, MachineHasRunning: true, IdleFor: 60 * Second, MachineIdleTimeout: timeout},
-			true,
-		},
-		{"the first, used lately", MachineConn{Primary: true, IdleFor: 14 * Second, MachineIdleTimeout: timeout}, true},
-		{"the first, idle", MachineConn{Primary: true, IdleFor: 15 * Second, MachineIdleTimeout: timeout}, false},
-		{"another, used lately", MachineConn{MachineHasRunning: true, IdleFor: 4 * Second, MachineIdleTimeout: timeout}, true},
-		{
-			"another, carries a running container",
-			MachineConn{MachineHasRunning: true, CarriesRunning: true, IdleFor: 60 * Second, MachineIdleTimeout: timeout},
-			true,
-		},
-		{"another, idle", MachineConn{MachineHasRunning: true, IdleFor: 5 * Second, MachineIdleTimeout: timeout}, false},
+		{"the first, its machine has a running container", first(busy(idleFor(60 * Second))), true},
+		{"the first, used lately", first(idleFor(14 * Second)), true},
+		{"the first, idle", first(idleFor(15 * Second)), false},
+		{"another, used lately", busy(idleFor(4 * Second)), true},
+		{"another, carries a running container", carrier(busy(idleFor(60 * Second))), true},
+		{"another, idle", busy(idleFor(5 * Second)), false},
 		{"another, the machine closes early", MachineConn{IdleFor: 2 * Second, MachineIdleTimeout: 3 * Second}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -65,10 +76,7 @@
 	if last != 2 {
 		t.Errorf("one that carries a running container has rank %d", last)
 	}
-	const timeout = 30 * Second
-	usable := MachineConn{IdleFor: timeout/2 - 1, MachineIdleTimeout: timeout}
-	closing := MachineConn{IdleFor: timeout / 2, MachineIdleTimeout: timeout}
-	if !usable.CanCarryAttempt() || closing.CanCarryAttempt() {
+	if !idleFor(15*Second-1).CanCarryAttempt() || idleFor(15*Second).CanCarryAttempt() {
 		t.Error("an attempt may cross the close of an idle connection")
 	}
 }
--- a/internal/platform/failuredetector/detector_test.go
+++ b/internal/platform/failuredetector/detector_test.go
@@ -1,9 +1,6 @@
 package failuredetector
 
-import (
-	"fmt"
-	"testing"
-)
+import "testing"
 
 // handleTick handles an event, if any, and a tick, and ends the containers on a machine that is lost.
 func handleTick(d *Detector, now Time, event Event) (connects int, lost bool) {
@@ -23,9 +20,23 @@
 	return connects, lost
 }
 
+const tenth = Second / 10
+
+// untilLost lets time pass, with events, until machine a is lost or has had the time to. It counts the connections that
+// are tried, and gives the moment of the loss.
+func untilLost(d *Detector, events map[Time]Event) (connects int, lostAt Time) {
+	for now := 2 * tenth; now < 15*Second; now += tenth {
+		tried, lost := handleTick(d, now, events[now])
+		connects += tried
+		if lost {
+			return connects, now
+		}
+	}
+	return connects, 0
+}
+
 // Connections are tried to a machine that falls silent, and it is lost only if it stays silent.
 func TestSilentMachineIsDeclaredLost(t *testing.T) {
-	const tenth = Second / 10
 	for _, tc := range []struct {
 		name     string
 		events   map[Time]Event // at a tenth of a second
@@ -37,31 +48,21 @@
 		{"active in time, then silent", map[Time]Event{60 * tenth: ActivityObserved{"a"}}, 9, 125 * tenth},
 		{"active now and then", map[Time]Event{
 			15 * tenth: ActivityObserved{"a"}, 30 * tenth: ActivityObserved{"a"}, 45 * tenth: ActivityObserved{"a"},
-			60 * tenth: ActivityObserved{"a"}, 75 * tenth: ActivityObserved{"a"}, 90 * tenth: RunningCountChanged{"a", 0},
+			60 * tenth: ActivityObserved{"a"}, 75 * tenth: ActivityObserved{"a"},
+			90 * tenth: RunningCountChanged{"a", 0},
 		}, 0, 0},
 		{"another machine is active", map[Time]Event{60 * tenth: ActivityObserved{"b"}}, 5, 66 * tenth},
 		{"refuses a connection", map[Time]Event{22 * tenth: ConnectionRefused{"a"}}, 1, 22 * tenth},
-		{"refuses a connection once nothing runs on it", map[Time]Event{5 * tenth: RunningCountChanged{"a", 0}, 22 * tenth: ConnectionRefused{"a"}}, 0, 0},
+		{"refuses a connection once nothing runs on it", map[Time]Event{
+			5 * tenth: RunningCountChanged{"a", 0}, 22 * tenth: ConnectionRefused{"a"},
+		}, 0, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			d := New()
 			d.Handle(tenth, []Event{RunningCountChanged{"a", 3}})
-			connects, lostAt := 0, Time(0)
-			for now := 2 * tenth; now < 15*Second && lostAt == 0; now += tenth {
-				tried, lost := handleTick(d, now, tc.events[now])
-				connects += tried
-				if lost {
-					lostAt = now
-				}
-			}
+			connects, lostAt := untilLost(d, tc.events)
 			if connects != tc.connects || lostAt != tc.lostAt {
-				t.Errorf(
-					"%d connects, lost at %s, want %d and %s",
-					connects,
-					fmt.Sprint(lostAt),
-					tc.connects,
-					fmt.Sprint(tc.lostAt),
-				)
+				t.Errorf("%d connects, lost at %d, want %d and %d", connects, lostAt, tc.connects, tc.lostAt)
 			}
 			if len(d.machines) > 0 {
 				t.Errorf("%d machines are still monitored", len(d.machines))
--- a/internal/platform/failuredetector/unclaimed_test.go
+++ b/internal/platform/failuredetector/unclaimed_test.go
@@ -1,7 +1,8 @@
 package failuredetector
 
 import (
-	"fmt"
+	"slices"
+	"strconv"
 	"testing"
 )
 
@@ -11,7 +12,7 @@
 	early := UnclaimedTermination{"a", "x", 16}
 	many := make([]Event, maxUnclaimed+5)
 	for i := range many {
-		many[i] = UnclaimedTermination{"a", fmt.Sprint(i), 16}
+		many[i] = UnclaimedTermination{"a", strconv.Itoa(i), 16}
 	}
 	for _, tc := range []struct {
 		name    string
@@ -26,7 +27,7 @@
 		{"another request", []Event{early}, Second, ContainerReclaimed{"a", "y"}, 0},
 		{"reclaimed late", []Event{early}, unclaimedTTL + 1, ContainerReclaimed{"a", "x"}, 0},
 		{"the earliest beyond the bound", many, Second, ContainerReclaimed{"a", "0"}, 0},
-		{"the last beyond the bound", many, Second, ContainerReclaimed{"a", fmt.Sprint(maxUnclaimed + 4)}, 1},
+		{"the last beyond the bound", many, Second, ContainerReclaimed{"a", strconv.Itoa(maxUnclaimed + 4)}, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			d := New()
@@ -34,14 +35,9 @@
 			if len(d.unclaimed) > maxUnclaimed {
 				t.Errorf("%d terminations are held", len(d.unclaimed))
 			}
-			actions := d.Handle(tc.after, []Event{Tick{}, tc.reclaim})
-			for _, a := range actions {
-				if a != (ReportTermination{tc.reclaim.Machine, tc.reclaim.RequestID, 16}) {
-					t.Errorf("got %+v", a)
-				}
-			}
-			if len(actions) != tc.want {
-				t.Errorf("%d terminations reported, want %d", len(actions), tc.want)
+			want := []Action{ReportTermination{tc.reclaim.Machine, tc.reclaim.RequestID, 16}}[:tc.want]
+			if got := d.Handle(tc.after, []Event{Tick{}, tc.reclaim}); !slices.Equal(got, want) {
+				t.Errorf("got %+v, want %+v", got, want)
 			}
 			if d.Handle(tc.after+unclaimedTTL+1, []Event{Tick{}}); len(d.unclaimed) > 0 {
 				t.Errorf("%d terminations are held for good", len(d.unclaimed))
--- a/internal/platform/jsonlines/codec_test.go
+++ b/internal/platform/jsonlines/codec_test.go
@@ -37,8 +37,14 @@
 		{"call is a number", `{"op":"end","call":7}`, "no message", is(ErrMalformed)},
 		{"cause is text", `{"op":"end",` + call + `,"why":"x"}`, "no message", is(ErrMalformed)},
 		{"cause is huge", `{"op":"end",` + call + `,"why":1e30}`, "no message", is(ErrMalformed)},
-		{"field is a list", `{"op":"offer",` + call + `,"with":{"left":[1]}}`, "with.left is neither text nor a number", isA[*FieldTypeError]},
-		{"description is a number", `{"op":"accept",` + call + `,"desc":5}`, "desc is no text", is(ErrInvalidDescription)},
+		{
+			"field is a list", `{"op":"offer",` + call + `,"with":{"left":[1]}}`,
+			"with.left is neither text nor a number", isA[*FieldTypeError],
+		},
+		{
+			"description is a number", `{"op":"accept",` + call + `,"desc":5}`,
+			"desc is no text", is(ErrInvalidDescription),
+		},
 		{"not UTF-8", `{"op":"accept",` + call + `,"desc":"` + "\xff" + `"}`, "not UTF-8", is(ErrInvalidUTF8)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -55,17 +61,13 @@
 
 // A decoded message is encoded again with its description byte for byte and its numbers as they were written.
 func TestMessageSurvivesRoundTrip(t *testing.T) {
-	m, err := Decode(
-		[]byte(
-			`{"op":"offer","call":"9b1f03aa5c7e2d41","with":{"left":1500,"key":"<k>"},"why":0,"desc":"a\u00e9\/\r\n"}`,
-		),
-	)
+	const start, end = `{"op":"offer","call":"9b1f03aa5c7e2d41","with":{`, `},"why":0,"desc":"a\u00e9\/\r\n"}`
+	m, err := Decode([]byte(start + `"left":1500,"key":"<k>"` + end))
 	if err != nil {
 		t.Fatal(err)
 	}
 	out, err := Append(nil, m)
-	want := `{"op":"offer","call":"9b1f03aa5c7e2d41","with":{"key":"<k>","left":"1500"},"why":0,"desc":"a\u00e9\/\r\n"}` + "\n"
-	if err != nil || string(out) != want {
+	if want := start + `"key":"<k>","left":"1500"` + end + "\n"; err != nil || string(out) != want {
 		t.Errorf("%s, %v", out, err)
 	}
 	m.Fields["key"] = strings.Repeat("x", MaxLineBytes)
--- a/internal/platform/jsonlines/golden_test.go
+++ b/internal/platform/jsonlines/golden_test.go
@@ -59,14 +59,9 @@
 // failure writes an error without what the JSON library says of types of the program.
 func failure(err error) string {
 	text := err.Error()
-	var wrongType *json.UnmarshalTypeError
-	if errors.As(err, &wrongType) {
-		text = strings.Replace(
-			text,
-			wrongType.Error(),
-			fmt.Sprintf("<%s at %s, byte %d>", wrongType.Value, wrongType.Field, wrongType.Offset),
-			1,
-		)
+	if wrongType, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
+		place := fmt.Sprintf("<%s at %s, byte %d>", wrongType.Value, wrongType.Field, wrongType.Offset)
+		text = strings.Replace(text, wrongType.Error(), place, 1)
 	}
 	return text
 }
@@ -75,8 +70,10 @@
 
 // validLines are lines of every type with every field that a peer sends.
 var validLines = []string{
-	`{"op":"offer",` + id + `,"with":{"class":"batch","key":"t1:k7","left":1500,"tenant":"t1","retry":"1","idem":"5f","extras":"service:c7;cores:2;memory:1.5;again:1"},"desc":"a\r\nb"}`,
-	`{"op":"offer",` + id + `,"with":{"class":"web","key":"t2:k8","left":"900","extras":"at:m:4;service:c8"},"desc":""}`,
+	`{"op":"offer",` + id + `,"with":{"class":"batch","key":"t1:k7","left":1500,"tenant":"t1","retry":"1",` +
+		`"idem":"5f","extras":"service:c7;cores:2;memory:1.5;again:1"},"desc":"a\r\nb"}`,
+	`{"op":"offer",` + id +
+		`,"with":{"class":"web","key":"t2:k8","left":"900","extras":"at:m:4;service:c8"},"desc":""}`,
 	`{"op":"ringing",` + id + `,"with":{},"why":0}`,
 	`{"op":"accept",` + id + `,"with":{"load":"cpu:0.5;mem:0.25"},"desc":"made\u0020here\/\u00e9\ud83d\ude00"}`,
 	`{"op":"end",` + id + `,"with":{"note":"cpu_full","load":"cpu:0.97;x:1"},"why":34}`,
@@ -165,7 +162,11 @@
 	const call = "9b1f03aa5c7e2d41"
 	var got []byte
 	for _, m := range []*Message{
-		{Op: OpOffer, RequestID: call, Fields: Fields{"class": "batch", "key": "t1:<k>&", "left": "1500", "idem": "5f"}, Description: []byte(`"a\u00e9\/\r\n"`)},
+		{
+			Op: OpOffer, RequestID: call,
+			Fields:      Fields{"class": "batch", "key": "t1:<k>&", "left": "1500", "idem": "5f"},
+			Description: []byte(`"a\u00e9\/\r\n"`),
+		},
 		{Op: OpRinging, RequestID: call, Fields: Fields{"a": ""}},
 		{Op: OpAccept, RequestID: call, Description: []byte(`"made\u0020here"`)},
 		{Op: OpEnd, RequestID: call, Fields: Fields{"wait": "250"}, Cause: new(CauseNoCapacity)},
