--- a/internal/platform/attemptstate.go
+++ b/internal/platform/attemptstate.go
@@ -40,13 +40,11 @@
 
 // transition is the only place where the state of an attempt changes.
 func (a *attempt) transition(event attemptEvent) error {
-	next, err := attemptTransitions.Next(a.state, event)
+	err := attemptTransitions.Apply(&a.state, event)
 	if err != nil {
 		a.env.reportIllegal(err, "request_id", a.id())
-		return err
 	}
-	a.state = next
-	return nil
+	return err
 }
 
 // isRunning reports whether the container of the attempt is running.
--- a/internal/platform/clientstate.go
+++ b/internal/platform/clientstate.go
@@ -39,13 +39,11 @@
 
 // transition is the only place where the state of a client connection changes.
 func (cc *clientConn) transition(event clientEvent) error {
-	next, err := clientTransitions.Next(cc.state, event)
+	err := clientTransitions.Apply(&cc.state, event)
 	if err != nil {
 		cc.env.reportIllegal(err, "client", cc.id)
-		return err
 	}
-	cc.state = next
-	return nil
+	return err
 }
 
 // isWritable reports whether messages may be written. Where the connection is closing, the attempt resets it.
--- a/internal/platform/connmanager/client.go
+++ b/internal/platform/connmanager/client.go
@@ -49,13 +49,11 @@
 
 // transition is the only place where the state of a client changes. It reports whether the event was legal.
 func (m *Manager) transition(c *client, event clientEvent) bool {
-	next, err := clientTransitions.Next(c.state, event)
+	err := clientTransitions.Apply(&c.state, event)
 	if err != nil {
 		m.emit(ReportError{Client: c.id, Err: err})
-		return false
 	}
-	c.state = next
-	return true
+	return err == nil
 }
 
 func (c *client) isClosing() bool { return c.state == closing }
--- a/internal/platform/machineconnstate.go
+++ b/internal/platform/machineconnstate.go
@@ -48,13 +48,11 @@
 
 // transition is the only place where the state of a connection to a machine changes.
 func (mc *machineConn) transition(event machineConnEvent) error {
-	next, err := machineConnTransitions.Next(mc.state, event)
+	err := machineConnTransitions.Apply(&mc.state, event)
 	if err != nil {
 		mc.env.reportIllegal(err, "machine", mc.machine.id)
-		return err
 	}
-	mc.state = next
-	return nil
+	return err
 }
 
 // isActive reports whether the connection is established or being established, and not closing.
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -55,13 +55,11 @@
 
 // transition is the only place where the state of the process changes.
 func (s *shutdownSequence) transition(event shutdownEvent) error {
-	next, err := shutdownTransitions.Next(s.state, event)
+	err := shutdownTransitions.Apply(&s.state, event)
 	if err != nil {
 		s.env.reportIllegal(err, "name", s.env.config.Name)
-		return err
 	}
-	s.state = next
-	return nil
+	return err
 }
 
 // inProgress reports whether a shutdown has started.
--- a/internal/platform/statemachine/statemachine.go
+++ b/internal/platform/statemachine/statemachine.go
@@ -21,13 +21,15 @@
 // Table gives the state that follows a state by an event. A pair without an entry is illegal.
 type Table[State, Event enum] [size][size]State
 
-// Next returns the state that follows. Where the table has none, it returns the same state and a *TransitionError.
-func (t *Table[State, Event]) Next(from State, event Event) (State, error) {
-	next := t[from][event]
+// Apply changes a state by an event. Where the table has no state that follows, it returns a *TransitionError and leaves
+// the state as it is.
+func (t *Table[State, Event]) Apply(state *State, event Event) error {
+	next := t[*state][event]
 	if next == 0 {
-		return from, &TransitionError{From: from, Event: event}
+		return &TransitionError{From: *state, Event: event}
 	}
-	return next, nil
+	*state = next
+	return nil
 }
 
 // TransitionError is the error of an event that happened in a state that does not take it.
--- a/internal/platform/statemachine/statemachine_test.go
+++ b/internal/platform/statemachine/statemachine_test.go
@@ -27,13 +27,14 @@
 
 func TestEventFollowsTheTableOrIsATypedError(t *testing.T) {
 	table := Table[doorState, doorEvent]{closed: {opened: open, unhinged: removed}, open: {unhinged: removed}}
-	if next, err := table.Next(closed, opened); next != open || err != nil {
-		t.Errorf("got %v, %v", next, err)
+	state := closed
+	if err := table.Apply(&state, opened); state != open || err != nil {
+		t.Errorf("got %v, %v", state, err)
 	}
-	next, err := table.Next(open, opened)
+	err := table.Apply(&state, opened)
 	var illegal *TransitionError
-	if next != open || !errors.As(err, &illegal) || illegal.From != open || illegal.Event != opened {
-		t.Errorf("got %v, %v", next, err)
+	if state != open || !errors.As(err, &illegal) || illegal.From != open || illegal.Event != opened {
+		t.Errorf("got %v, %v", state, err)
 	}
 	want := strings.Join([]string{
 		"| state   | opened | unhinged |",
