--- a/internal/platform/statemachine/statemachine.go
+++ b/internal/platform/statemachine/statemachine.go
@@ -21,8 +21,8 @@
 // Table gives the state that follows a state by an event. A pair without an entry is illegal.
 type Table[State, Event enum] [size][size]State
 
-// Apply changes a state by an event. Where the table has no state that follows, it returns a *TransitionError and leaves
-// the state as it is.
+// Apply changes a state by an event. Where the table has no state that follows, it returns a *TransitionError and
+// leaves the state as it is.
 func (t *Table[State, Event]) Apply(state *State, event Event) error {
 	next := t[*state][event]
 	if next == 0 {
