--- a/internal/controller/crash_test.go
+++ b/internal/controller/crash_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"fmt"
 	"maps"
 	"slices"
 	"testing"
@@ -33,14 +32,15 @@
 		m.perform()
 		m.pass(300 * second)
 		wanted, running := 0, 0
-		for _, j := range m.jobs {
+		for _, j := range m.stored.jobs {
 			wanted += j.Count
 		}
 		for _, keys := range m.running {
 			running += len(keys)
 		}
-		if running != wanted || len(m.orphans) > 0 { // without orphans a second copy of idempotent work ran on for ever
-			t.Fatalf("%d run, %d are wanted: %v, stored %+v", running, wanted, m.running, m.containers)
+		// Without orphans a second copy of idempotent work ran on for ever.
+		if running != wanted || len(m.stored.orphans) > 0 {
+			t.Fatalf("%d run, %d are wanted: %v, stored %+v", running, wanted, m.running, m.stored)
 		}
 	})
 }
@@ -57,11 +57,7 @@
 	running     [2]map[string]string // by scheduler: request id by key
 	started     map[string]bool      // keys that ran
 	faultsOver  bool
-
-	// Stored.
-	jobs       map[string]JobSet
-	containers map[string]Container
-	orphans    map[Orphan]bool
+	stored      storedState
 }
 
 var crashModelJobs = []string{"a", "b"}
@@ -71,7 +67,7 @@
 		Draw(t, "idempotency")
 	return &crashModel{
 		t: t, idempotency: idempotency, running: [2]map[string]string{{}, {}}, started: map[string]bool{},
-		jobs: map[string]JobSet{}, containers: map[string]Container{}, orphans: map[Orphan]bool{},
+		stored: newStoredState(),
 	}
 }
 
@@ -87,33 +83,20 @@
 	config.Seed, config.FirstSequence = m.sequence, m.sequence
 	m.controller = New(config)
 	m.actions, m.timerAt, m.connected = nil, 0, [2]bool{}
-	var e StateRestored
-	for _, id := range crashModelJobs {
-		if j, ok := m.jobs[id]; ok {
-			e.Jobs = append(e.Jobs, j)
-		}
-	}
-	e.Containers = slices.Collect(maps.Values(m.containers))
-	e.Orphans = slices.Collect(maps.Keys(m.orphans))
-	m.handle(e)
+	m.handle(m.stored.restored())
 }
 
 // handle stores what the controller wants stored, and keeps other actions for perform.
 func (m *crashModel) handle(events ...Event) {
 	for _, a := range m.controller.Handle(m.now, events) {
+		m.stored.apply(a)
 		switch a := a.(type) {
-		case ContainerChanged:
-			m.containers[fmt.Sprintf("%s.%d", a.Container.Job, a.Container.Index)] = a.Container
-		case ContainerRemoved:
-			delete(m.containers, fmt.Sprintf("%s.%d", a.Job, a.Index))
-		case OrphanRecorded:
-			m.orphans[a.Orphan] = true
-		case OrphanResolved:
-			delete(m.orphans, a.Orphan)
 		case SetTimer:
 			m.setTimer(a.After)
-		default:
+		case SubmitRequest, LookupRequest, CancelRequest:
 			m.actions = append(m.actions, a)
+		case TransitionRejected:
+			m.t.Fatal(a.Err)
 		}
 	}
 }
@@ -224,11 +207,11 @@
 	case 0, 1:
 		id := rapid.SampledFrom(crashModelJobs).Draw(m.t, "job")
 		set := JobSet{id, rapid.IntRange(0, 3).Draw(m.t, "count"), Spec{Service: "s", Cores: 1}}
-		m.jobs[id] = set
+		m.stored.jobs[id] = set
 		m.handle(set)
 	case 2:
-		if id := rapid.SampledFrom(crashModelJobs).Draw(m.t, "job"); m.jobs[id].Job != "" {
-			delete(m.jobs, id)
+		if id := rapid.SampledFrom(crashModelJobs).Draw(m.t, "job"); m.stored.jobs[id].Job != "" {
+			delete(m.stored.jobs, id)
 			m.handle(JobDeleted{id})
 		}
 	case 3: // killed: what was stored is there, actions that were not performed are lost
--- a/internal/controller/driver_test.go
+++ b/internal/controller/driver_test.go
@@ -1,7 +1,10 @@
 package controller
 
 import (
+	"cmp"
 	"fmt"
+	"maps"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -20,6 +23,45 @@
 	return Config{Seed: 3, SchedulerCount: 2, WorkloadClasses: []WorkloadClass{class}}
 }
 
+// storedState is what a controller has asked to be stored, and the jobs that clients want.
+type storedState struct {
+	jobs       map[string]JobSet
+	containers map[string]Container
+	orphans    map[Orphan]bool
+}
+
+func newStoredState() storedState {
+	return storedState{jobs: map[string]JobSet{}, containers: map[string]Container{}, orphans: map[Orphan]bool{}}
+}
+
+// apply stores what an action changes, if anything.
+func (s *storedState) apply(a Action) {
+	switch a := a.(type) {
+	case ContainerChanged:
+		s.containers[fmt.Sprintf("%s.%d", a.Container.Job, a.Container.Index)] = a.Container
+	case ContainerRemoved:
+		delete(s.containers, fmt.Sprintf("%s.%d", a.Job, a.Index))
+	case OrphanRecorded:
+		s.orphans[a.Orphan] = true
+	case OrphanResolved:
+		delete(s.orphans, a.Orphan)
+	}
+}
+
+// restored is the event of the next incarnation.
+func (s *storedState) restored() (e StateRestored) {
+	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
+		e.Jobs = append(e.Jobs, s.jobs[id])
+	}
+	for _, id := range slices.Sorted(maps.Keys(s.containers)) {
+		e.Containers = append(e.Containers, s.containers[id])
+	}
+	e.Orphans = slices.SortedFunc(maps.Keys(s.orphans), func(a, b Orphan) int {
+		return cmp.Compare(fmt.Sprint(a), fmt.Sprint(b))
+	})
+	return e
+}
+
 // testClock is the time of a test, with the timer that a controller has set.
 type testClock struct {
 	now     scheduler.Time
@@ -82,6 +124,8 @@
 			delete(d.containers, a.Index)
 		case SetTimer:
 			d.setTimer(a.After)
+		case TransitionRejected:
+			d.Error(a.Err)
 		}
 	}
 }
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -1,11 +1,8 @@
 package controller
 
 import (
-	"cmp"
 	"fmt"
-	"maps"
 	"math/rand/v2"
-	"slices"
 	"strings"
 	"testing"
 
@@ -81,9 +78,7 @@
 	timerAt    scheduler.Time
 	connected  []bool
 	requests   []openRequest
-	jobs       map[string]JobSet
-	containers map[string]Container
-	orphans    map[Orphan]bool
+	stored     storedState
 }
 
 type openRequest struct {
@@ -93,12 +88,8 @@
 
 func newHistory(d *actionDigest, idempotency scheduler.Idempotency, schedulers int, seed uint64) *history {
 	h := &history{
-		digest:     d,
-		random:     rand.New(rand.NewPCG(seed, 17)),
-		connected:  make([]bool, schedulers),
-		jobs:       map[string]JobSet{},
-		containers: map[string]Container{},
-		orphans:    map[Orphan]bool{},
+		digest: d, random: rand.New(rand.NewPCG(seed, 17)), connected: make([]bool, schedulers),
+		stored: newStoredState(),
 	}
 	h.config = Config{Seed: seed, FirstSequence: 10, SchedulerCount: schedulers, WorkloadClasses: []WorkloadClass{
 		{Idempotency: idempotency, PlacementTimeout: 4 * scheduler.Second, DedupWindow: 8 * scheduler.Second},
@@ -120,6 +111,7 @@
 func (h *history) handle(events ...Event) {
 	for _, a := range h.controller.Handle(h.now, events) {
 		h.digest.add(h.now, a)
+		h.stored.apply(a)
 		switch a := a.(type) {
 		case SubmitRequest:
 			h.requests = append(h.requests, openRequest{id: a.RequestID})
@@ -127,14 +119,6 @@
 			h.requests = append(h.requests, openRequest{id: a.RequestID})
 		case CancelRequest:
 			h.requests = append(h.requests, openRequest{id: a.RequestID, running: h.chance(0.5)})
-		case ContainerChanged:
-			h.containers[fmt.Sprintf("%s.%d", a.Container.Job, a.Container.Index)] = a.Container
-		case ContainerRemoved:
-			delete(h.containers, fmt.Sprintf("%s.%d", a.Job, a.Index))
-		case OrphanRecorded:
-			h.orphans[a.Orphan] = true
-		case OrphanResolved:
-			delete(h.orphans, a.Orphan)
 		case SetTimer:
 			if at := h.now + a.After; h.timerAt <= h.now || at < h.timerAt {
 				h.timerAt = at
@@ -156,7 +140,7 @@
 		h.changeJob()
 	case n < 74:
 		id := h.jobID()
-		delete(h.jobs, id)
+		delete(h.stored.jobs, id)
 		h.handle(JobDeleted{id})
 	case n < 77:
 		h.oddEvents()
@@ -248,11 +232,11 @@
 		Cores: []float64{0.5, 2}[h.random.IntN(2)], Memory: 1.25,
 		RunFor: scheduler.Time(h.random.IntN(2)) * scheduler.Second, RunOnce: h.chance(0.3),
 	}
-	if old, known := h.jobs[id]; known && h.chance(0.5) {
+	if old, known := h.stored.jobs[id]; known && h.chance(0.5) {
 		spec = old.Spec
 	}
-	h.jobs[id] = JobSet{Job: id, Count: h.random.IntN(5), Spec: spec}
-	h.handle(h.jobs[id])
+	h.stored.jobs[id] = JobSet{Job: id, Count: h.random.IntN(5), Spec: spec}
+	h.handle(h.stored.jobs[id])
 }
 
 // oddEvents are events that no peer should send, and several at once.
@@ -275,8 +259,8 @@
 				PlacementAnswered{RequestID: id, Verdict: VerdictFailed})
 		}
 	case 4: // a workload class that is not configured
-		h.jobs["c"] = JobSet{Job: "c", Count: 1, Spec: Spec{Service: "odd", WorkloadClass: 7}}
-		h.handle(h.jobs["c"])
+		h.stored.jobs["c"] = JobSet{Job: "c", Count: 1, Spec: Spec{Service: "odd", WorkloadClass: 7}}
+		h.handle(h.stored.jobs["c"])
 	case 5: // an empty iteration
 		h.handle()
 	}
@@ -284,21 +268,14 @@
 
 // restart begins a controller from what the one before has asked to be stored, with or without the same schedulers.
 func (h *history) restart() {
-	var left StateRestored
-	for _, id := range slices.Sorted(maps.Keys(h.jobs)) {
-		left.Jobs = append(left.Jobs, h.jobs[id])
-	}
-	moved := h.chance(0.3)
-	for _, id := range slices.Sorted(maps.Keys(h.containers)) {
-		c := h.containers[id]
-		if moved && c.Scheduler == 0 {
-			c.Scheduler = -1
+	left := h.stored.restored()
+	if h.chance(0.3) {
+		for i := range left.Containers {
+			if c := &left.Containers[i]; c.Scheduler == 0 {
+				c.Scheduler = noScheduler
+			}
 		}
-		left.Containers = append(left.Containers, c)
 	}
-	left.Orphans = slices.SortedFunc(maps.Keys(h.orphans), func(a, b Orphan) int {
-		return cmp.Compare(fmt.Sprint(a), fmt.Sprint(b))
-	})
 	h.config.Seed++
 	h.controller, h.timerAt, h.requests = New(h.config), 0, nil
 	clear(h.connected)
--- a/internal/controller/lifecycle.go
+++ b/internal/controller/lifecycle.go
@@ -21,15 +21,17 @@
 	outbox     *outbox
 }
 
-// enter takes a replica to a state for a delay, or without end for noTimer.
-func (l *lifecycle) enter(r *replica, event replicaEvent, to replicaState, delay scheduler.Time, status string) {
+// enter takes a replica to a state for a delay, or without end for noTimer. It reports false where the state machine
+// does not allow that.
+func (l *lifecycle) enter(r *replica, event replicaEvent, to replicaState, delay scheduler.Time, status string) bool {
 	if err := r.transition(event, to); err != nil {
 		l.outbox.emit(TransitionRejected{err})
-		return
+		return false
 	}
 	r.since, r.lastStatus = l.clock.now(), status
 	r.until = l.timers.set(r, delay)
 	l.outbox.markChanged(r)
+	return true
 }
 
 // enterPending has the placement of a replica requested, or the replica looked up if it is sticky, after a delay.
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -14,19 +14,27 @@
 	case !l.schedulers.isConnected(target):
 		l.enter(r, eventTimerFired, replicaPending, noTimer, statusNoSchedulerConnected)
 	case r.sticky():
-		l.requests.open(r)
-		l.enter(r, eventTimerFired, replicaLookingUp, noTimer, statusLookedUp)
-		l.outbox.emit(LookupRequest{target, r.requestID, r.idempotencyKey})
+		l.lookUp(r, target)
 	default:
 		l.submit(r, target)
 	}
 }
 
+func (l *lifecycle) lookUp(r *replica, target int) {
+	if !l.enter(r, eventTimerFired, replicaLookingUp, noTimer, statusLookedUp) {
+		return
+	}
+	l.requests.open(r)
+	l.outbox.emit(LookupRequest{target, r.requestID, r.idempotencyKey})
+}
+
 func (l *lifecycle) submit(r *replica, target int) {
+	if !l.enter(r, eventTimerFired, replicaPlacing, noTimer, statusRequested) {
+		return
+	}
 	l.requests.open(r)
 	r.scheduler, r.revision, r.submittedSpec = target, r.job.revision, r.job.spec
 	r.attempts++
-	l.enter(r, eventTimerFired, replicaPlacing, noTimer, statusRequested)
 	l.outbox.emit(SubmitRequest{
 		Scheduler: target, RequestID: r.requestID, IdempotencyKey: r.idempotencyKey, Spec: r.job.spec,
 		Timeout: l.classes.of(r.job).PlacementTimeout, Retry: r.keyUse != keyUnused,
@@ -53,13 +61,15 @@
 
 // accepted: a machine runs the container, also where its scheduler was to cancel it.
 func (l *lifecycle) accepted(r *replica, e PlacementAnswered) {
+	if !l.enter(r, eventAccepted, replicaRunning, noTimer, statusRunning) {
+		return
+	}
 	// The scheduler knows the key now and keeps one copy of it.
 	if l.orphans.resolve(r.orphan()) {
 		l.outbox.emit(OrphanResolved{r.orphan()})
 	}
 	r.machine, r.attempts = e.Machine, 0
 	r.starts++
-	l.enter(r, eventAccepted, replicaRunning, noTimer, statusRunning)
 	if r.terminating {
 		l.cancelRequest(r)
 	}
--- a/internal/controller/replicastate.go
+++ b/internal/controller/replicastate.go
@@ -91,22 +91,8 @@
 		eventEnded:         {replicaFencing, replicaRemoved},
 		eventSchedulerLost: {replicaPending, replicaFencing, replicaRemoved},
 	},
-	replicaLookingUp: {
-		eventAccepted:      {replicaRunning},
-		eventRejected:      {replicaPending, replicaCompleted, replicaRemoved},
-		eventFailed:        {replicaPending, replicaFencing, replicaCompleted, replicaRemoved},
-		eventRefused:       {replicaPending, replicaFencing},
-		eventEnded:         {replicaFencing, replicaRemoved},
-		eventSchedulerLost: {replicaPending, replicaFencing, replicaRemoved},
-	},
-	replicaCancelling: {
-		eventAccepted:      {replicaRunning},
-		eventRejected:      {replicaPending, replicaCompleted, replicaRemoved},
-		eventFailed:        {replicaPending, replicaFencing, replicaCompleted, replicaRemoved},
-		eventRefused:       {replicaPending, replicaFencing},
-		eventEnded:         {replicaFencing, replicaRemoved},
-		eventSchedulerLost: {replicaPending, replicaFencing, replicaRemoved},
-	},
+	replicaLookingUp:  mayRunTransitions,
+	replicaCancelling: mayRunTransitions,
 	replicaRunning: {
 		eventEnded:         {replicaPending, replicaFencing, replicaCompleted, replicaRemoved},
 		eventSchedulerLost: {replicaUnobserved},
@@ -125,6 +111,16 @@
 	replicaRemoved: {},
 }
 
+// mayRunTransitions are those while a scheduler has a request about what may run.
+var mayRunTransitions = map[replicaEvent][]replicaState{
+	eventAccepted:      {replicaRunning},
+	eventRejected:      {replicaPending, replicaCompleted, replicaRemoved},
+	eventFailed:        {replicaPending, replicaFencing, replicaCompleted, replicaRemoved},
+	eventRefused:       {replicaPending, replicaFencing},
+	eventEnded:         {replicaFencing, replicaRemoved},
+	eventSchedulerLost: {replicaPending, replicaFencing, replicaRemoved},
+}
+
 // transition is the one place where the state of a replica changes. An event that must not lead to a state is reported
 // as a *TransitionError, and the state stays.
 func (r *replica) transition(event replicaEvent, to replicaState) error {
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -64,9 +64,10 @@
 		l.enter(r, event, replicaUnobserved, noTimer, r.lastStatus)
 		return
 	}
-	l.requests.open(r)
-	l.enter(r, event, replicaCancelling, noTimer, statusCancelled)
-	l.cancelRequest(r)
+	if l.enter(r, event, replicaCancelling, noTimer, statusCancelled) {
+		l.requests.open(r)
+		l.cancelRequest(r)
+	}
 }
 
 // rollOut replaces running containers by ones of the job's newest spec, one at a time.
--- a/internal/controller/server/server.go
+++ b/internal/controller/server/server.go
@@ -11,6 +11,7 @@
 package server
 
 import (
+	"errors"
 	"fmt"
 	"log/slog"
 	"time"
@@ -116,12 +117,15 @@
 	}
 }
 
-// Run serves until Stop. It returns an error of the event loop, or of the state folder when it is closed.
+// Run serves until Stop. It returns the errors of the event loop, and of the state folder when it is closed.
 func (s *Server) Run() error {
 	s.loop.Post(s.connect)
 	err := s.loop.Run()
-	if closeErr := s.storage.close(); err == nil {
-		err = closeErr
+	if err != nil {
+		err = fmt.Errorf("event loop: %w", err)
+	}
+	if closeErr := s.storage.close(); closeErr != nil {
+		err = errors.Join(err, fmt.Errorf("close the state folder: %w", closeErr))
 	}
 	return err
 }
--- a/internal/controller/server/statestore.go
+++ b/internal/controller/server/statestore.go
@@ -39,20 +39,19 @@
 	folder := s.config.StateDir
 	dir, err := vfs.OpenLocked(folder)
 	if err != nil {
-		return err
-	}
-	st := &stateStore{
-		cache: s.Cache, loop: s.loop, logger: s.log, dir: dir,
-		jobs: map[string]JobRecord{}, unwritten: map[string]wal.Change{},
+		return fmt.Errorf("state folder %s: %w", folder, err)
 	}
 	log, stats, err := wal.Open(dir, wal.Options{OnModeChange: func(message string, attributes ...any) {
 		s.loop.Post(func() { s.log.Warn(message, attributes...) })
 	}})
+	st := &stateStore{
+		cache: s.Cache, loop: s.loop, logger: s.log, dir: dir, log: log,
+		jobs: map[string]JobRecord{}, unwritten: map[string]wal.Change{},
+	}
 	if err != nil {
 		st.releaseDir()
 		return fmt.Errorf("state folder %s: %w", folder, err)
 	}
-	st.log = log
 	restored, err := st.load(s.specs, s.schedulers.numbers())
 	if err != nil {
 		if closeErr := st.close(); closeErr != nil {
@@ -74,7 +73,10 @@
 		return restored, err
 	}
 	st.versionCeiling += versionCeilingStep
-	return restored, st.log.CommitSync(st.ceilingChange())
+	if err := st.log.CommitSync(st.ceilingChange()); err != nil {
+		return restored, fmt.Errorf("store the version ceiling: %w", err)
+	}
+	return restored, nil
 }
 
 func (st *stateStore) ceilingChange() wal.Change {
--- a/internal/controller/singlecopy_test.go
+++ b/internal/controller/singlecopy_test.go
@@ -87,6 +87,8 @@
 			m.cancel(a)
 		case SetTimer:
 			m.setTimer(a.After)
+		case TransitionRejected:
+			m.t.Fatal(a.Err)
 		}
 	}
 }
