--- a/internal/testbed/modelcheck/checker.go
+++ b/internal/testbed/modelcheck/checker.go
@@ -6,18 +6,10 @@
 import (
 	"fmt"
 
+	"glenport/internal/testbed/audit"
 	"glenport/scheduler"
 )
 
-// The rules, as the violations number them.
-const (
-	ruleOneAnswer  = 1 + iota // every request gets one final answer, in time
-	ruleAtMostOnce            // nothing runs more often than its idempotency allows
-	ruleDraining              // no attempt goes to a machine that drains or is gone
-	ruleSlowStart             // machines in slow start get no more than their budget
-	ruleSpread                // no group holds more of a service than it may
-)
-
 // Checker follows all schedulers of a fleet through one sequence of events.
 type Checker struct {
 	// Violations lists what was broken, in order; each begins with "rule N: ", or with "placement: " for an attempt at
@@ -40,7 +32,7 @@
 type container struct {
 	request  scheduler.PlacementRequest
 	attempts []*attempt
-	answered bool
+	replied  bool
 	settled  bool // nothing is owed any more
 	running  bool
 }
@@ -89,7 +81,7 @@
 	c.incarnations[index].sent = sent
 }
 
-func (c *Checker) violate(rule int, format string, arguments ...any) {
+func (c *Checker) violate(rule audit.Rule, format string, arguments ...any) {
 	c.Violations = append(c.Violations, fmt.Sprintf("rule %d: ", rule)+fmt.Sprintf(format, arguments...))
 }
 
@@ -105,7 +97,7 @@
 		in.adopt(event)
 	case scheduler.AttemptAccepted:
 		if container := in.containers[event.ID]; container != nil {
-			container.answered, container.running = true, true
+			container.replied, container.running = true, true
 		}
 	case scheduler.AttemptEnded:
 		if container := in.containers[event.ID]; container != nil {
@@ -113,7 +105,7 @@
 		}
 	case scheduler.ContainerRemoved:
 		if container := in.containers[event.ID]; container != nil {
-			container.answered, container.settled = true, true
+			container.replied, container.settled = true, true
 		}
 	}
 }
@@ -123,7 +115,7 @@
 	running.setLocation(in.machines[event.Machine])
 	in.containers[event.ID] = &container{
 		request: event.PlacementRequest, attempts: []*attempt{running},
-		answered: true, settled: true, running: true,
+		replied: true, settled: true, running: true,
 	}
 }
 
@@ -136,9 +128,9 @@
 		}
 	}
 	if event.Final {
-		c.answered, c.settled = true, true
+		c.replied, c.settled = true, true
 	} else if !c.settled {
-		c.answered = false // an accept that crossed the cancel of its attempt answers nothing
+		c.replied = false // an accept that crossed the cancel of its attempt is no reply
 	}
 }
 
@@ -203,6 +195,7 @@
 		return unknown || a.zone == other.zone
 	case scheduler.ScopeRackGroup:
 		return unknown || a.rackGroup == other.rackGroup
+	case scheduler.ScopeNone, scheduler.ScopeMachine:
 	}
 	return a.machine == other.machine
 }
