--- a/cmd/glenport/apiclient.go
+++ b/cmd/glenport/apiclient.go
@@ -84,13 +84,18 @@
 	}
 	if response.StatusCode >= http.StatusBadRequest {
 		problem := &problemError{}
-		_ = json.Unmarshal(data, problem) // what is no problem document has neither title nor detail
+		if err := json.Unmarshal(data, problem); err != nil || problem.Title == "" {
+			return fmt.Errorf("%s %s: status %s without a problem document", method, path, response.Status)
+		}
 		return problem
 	}
 	if into == nil || len(data) == 0 {
 		return nil
 	}
-	return json.Unmarshal(data, into)
+	if err := json.Unmarshal(data, into); err != nil {
+		return fmt.Errorf("decode the answer to %s %s: %w", method, path, err)
+	}
+	return nil
 }
 
 func (c *apiClient) get(ctx context.Context, path string, into any) error {
