--- a/internal/config/strictyaml/error.go
+++ b/internal/config/strictyaml/error.go
@@ -10,9 +10,10 @@
 // Error says what is wrong with a file, and where.
 type Error struct {
 	File     string
-	Position        // zero where the whole file is meant
-	Key      string // path of the key, as "links.connect_within" or "workloads[0].effect"; empty where it is not known
-	Message  string
+	Position // zero where the whole file is meant
+	// Key is the path of the key as the file spells it, such as "workload_classes[0].name"; empty where it is not known.
+	Key     string
+	Message string
 
 	cause error // of the YAML package or the operating system, where there is one
 }
