--- a/internal/config/strictyaml/error.go
+++ b/internal/config/strictyaml/error.go
@@ -11,7 +11,7 @@
 type Error struct {
 	File     string
 	Position // zero where the whole file is meant
-	// Key is the path of the key as the file spells it, such as "workload_classes[0].name"; empty where it is not known.
+	// Key is the path of the key as the file spells it, such as "workload_classes[0].name"; empty if it is not known.
 	Key     string
 	Message string
 
