--- a/internal/bgp/speaker/connection.go
+++ b/internal/bgp/speaker/connection.go
@@ -50,8 +50,7 @@
 	c.input = append(c.input, b...)
 	for !c.closed {
 		message, length, err := nextMessage(c.input)
-		var invalid *wire.MessageError
-		if errors.As(err, &invalid) {
+		if invalid, ok := errors.AsType[*wire.MessageError](err); ok {
 			c.peer.handle(session.MessageInvalid{Conn: c.id, Err: invalid})
 			return
 		}
--- a/internal/bgp/speaker/policy_test.go
+++ b/internal/bgp/speaker/policy_test.go
@@ -24,6 +24,7 @@
 }
 
 func benchmarkLookup(b *testing.B, name string, lookup func(netip.Prefix) bool) {
+	b.Helper()
 	prefix := netip.MustParsePrefix("10.249.192.7/32")
 	b.Run(name, func(b *testing.B) {
 		for b.Loop() {
--- a/internal/bgp/speaker/speaker_test.go
+++ b/internal/bgp/speaker/speaker_test.go
@@ -1,7 +1,6 @@
 package speaker
 
 import (
-	"io"
 	"log/slog"
 	"net/netip"
 	"testing"
@@ -56,71 +55,65 @@
 	return ok
 }
 
-func startSpeaker(t *testing.T, change func(*Config)) *fixture {
-	f := &fixture{T: t}
-	settings := Config{
-		ASN:        65001,
-		RouterID:   [4]byte{192, 0, 2, 5},
-		ListenAddr: "127.0.0.1:0",
-		Services: map[string]announce.Service{
-			"web": {
-				Prefix:  web,
-				NextHop: hop,
-			},
-			"web6": {Prefix: web6, NextHop: hop6},
-			"mail": {Prefix: mail, NextHop: hop},
-		},
+// openPeer opens a peer and returns its configuration at the speaker.
+func openPeer(t *testing.T, as uint32, allow ...string) (*emulator.BGPPeer, PeerConfig) {
+	t.Helper()
+	peer := &emulator.BGPPeer{
+		AS: as, ID: [4]byte{192, 0, 2, 250}, HoldTime: 3 * time.Second, RestartTime: 5 * time.Second,
+		RecordChanges: true,
 	}
-	both := []wire.Family{wire.IPv4, wire.IPv6}
-	for _, p := range []struct {
-		to    **emulator.BGPPeer
-		as    uint32
-		allow []netip.Prefix
-	}{
-		{&f.outer, 65000, []netip.Prefix{netip.MustParsePrefix("198.51.100.0/24"), netip.MustParsePrefix("2001:db8:1::/64")}},
-		{&f.inner, 65001, []netip.Prefix{netip.MustParsePrefix("0.0.0.0/0")}},
-	} {
-		*p.to = &emulator.BGPPeer{
-			AS:            p.as,
-			ID:            [4]byte{192, 0, 2, 250},
-			HoldTime:      3 * time.Second,
-			RestartTime:   5 * time.Second,
-			RecordChanges: true,
-		}
-		addr, err := (*p.to).Open()
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup((*p.to).Close)
-		settings.Peers = append(
-			settings.Peers,
-			PeerConfig{
-				Addr:        addr,
-				ASN:         p.as,
-				HoldTime:    3 * scheduler.Second,
-				Families:    both,
-				RestartTime: 5 * scheduler.Second,
-				Allow:       p.allow,
-			},
-		)
+	addr, err := peer.Open()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(peer.Close)
+	config := PeerConfig{
+		Addr: addr, ASN: as, HoldTime: 3 * scheduler.Second, RestartTime: 5 * scheduler.Second,
+		Families: []wire.Family{wire.IPv4, wire.IPv6},
 	}
-	if change != nil {
-		change(&settings)
+	for _, prefix := range allow {
+		config.Allow = append(config.Allow, netip.MustParsePrefix(prefix))
 	}
-	var err error
-	if f.loop, err = eventloop.New(func() {}); err != nil {
+	return peer, config
+}
+
+// runLoop runs an event loop until the end of the test.
+func runLoop(t *testing.T) *eventloop.Loop {
+	t.Helper()
+	loop, err := eventloop.New(func() {})
+	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan error, 1)
-	go func() { done <- f.loop.Run() }()
+	go func() { done <- loop.Run() }()
 	t.Cleanup(func() {
-		f.loop.Stop()
+		loop.Stop()
 		if err := <-done; err != nil {
 			t.Errorf("the loop ended with %v", err)
 		}
 	})
+	return loop
+}
+
+func startSpeaker(t *testing.T, routerID byte) *fixture {
+	t.Helper()
+	f := &fixture{T: t}
+	settings := Config{
+		ASN:        65001,
+		RouterID:   [4]byte{192, 0, 2, routerID},
+		ListenAddr: "127.0.0.1:0",
+		Services: map[string]announce.Service{
+			"web":  {Prefix: web, NextHop: hop},
+			"web6": {Prefix: web6, NextHop: hop6},
+			"mail": {Prefix: mail, NextHop: hop},
+		},
+		Peers: make([]PeerConfig, 2),
+	}
+	f.outer, settings.Peers[0] = openPeer(t, 65000, "198.51.100.0/24", "2001:db8:1::/64")
+	f.inner, settings.Peers[1] = openPeer(t, 65001, "0.0.0.0/0")
+	f.loop = runLoop(t)
 	f.onLoop(func() {
-		f.speaker = New(f.loop, settings, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		f.speaker = New(f.loop, settings, slog.New(slog.DiscardHandler))
 		if err := f.speaker.Start(); err != nil {
 			t.Error(err)
 		}
@@ -139,7 +132,7 @@
 
 // A peer receives only what its policy allows, of both families, and a local preference only inside the AS.
 func TestPeerReceivesOnlyWhatItsPolicyAllows(t *testing.T) {
-	f := startSpeaker(t, nil)
+	f := startSpeaker(t, 5)
 	f.runContainers("web", "web6", "mail")
 	f.waitUntil("the outer peer has what it may", func() bool { return has(f.outer, web) && has(f.outer, web6) })
 	f.waitUntil("the inner one has the IPv4 ones", func() bool { return has(f.inner, web) && has(f.inner, mail) })
@@ -159,7 +152,7 @@
 }
 
 func TestEndOfRoutesIsMarkedOnceAllContainersAreKnownAndNotBefore(t *testing.T) {
-	f := startSpeaker(t, nil)
+	f := startSpeaker(t, 5)
 	f.runContainers("web")
 	f.waitUntil("it is announced", func() bool { return has(f.outer, web) })
 	if ends := f.outer.Stats().EndOfRIBs; ends != 0 {
@@ -171,7 +164,7 @@
 
 // A stop sends a shutdown message, by which peers drop routes that they would keep over a restart.
 func TestStopMakesPeersDropRoutesAtOnce(t *testing.T) {
-	f := startSpeaker(t, nil)
+	f := startSpeaker(t, 5)
 	f.runContainers("web")
 	f.waitUntil("it is announced", func() bool { return has(f.outer, web) })
 	f.onLoop(func() { f.speaker.Stop("done") })
@@ -180,8 +173,8 @@
 
 // Two speakers announce one address, each for its own containers.
 func TestWithdrawalLeavesTheRouteOfAnotherSpeaker(t *testing.T) {
-	a := startSpeaker(t, nil)
-	b := startSpeaker(t, func(p *Config) { p.RouterID = [4]byte{192, 0, 2, 6} })
+	a := startSpeaker(t, 5)
+	b := startSpeaker(t, 6)
 	a.runContainers("web")
 	b.runContainers("web")
 	a.waitUntil("both announced", func() bool { return has(a.outer, web) && has(b.outer, web) })
--- a/internal/bgp/wire/golden_test.go
+++ b/internal/bgp/wire/golden_test.go
@@ -9,7 +9,6 @@
 	"math/rand/v2"
 	"net/netip"
 	"os"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
@@ -25,117 +24,104 @@
 
 // goldenMessages are the messages whose bytes testdata/messages.txt holds, every field set somewhere.
 func goldenMessages() []goldenMessage {
-	every := PathAttributes{
-		Origin:       1,
-		ASPath:       []uint32{65001, 4200000001},
-		NextHop:      netip.MustParseAddr("192.0.2.254"),
-		MED:          70,
-		HasMED:       true,
-		LocalPref:    100,
-		HasLocalPref: true,
-		Communities:  []uint32{0xFFFF0000, 65000<<16 | 1},
-	}
-	six := PathAttributes{
-		Origin:  2,
-		ASPath:  []uint32{65001},
-		NextHop: netip.MustParseAddr("2001:db8::1"),
-		MED:     0,
-		HasMED:  true,
-	}
-	one := func(s string) []netip.Prefix { return []netip.Prefix{netip.MustParsePrefix(s)} }
+	return append(append(goldenOpens(), goldenUpdates()...),
+		goldenMessage{
+			"notification", "Notification 2/2, bad peer AS, with the data 1 2 3",
+			&Notification{Code: CodeOpen, Subcode: SubcodeBadPeerAS, Data: []byte{1, 2, 3}},
+		},
+		goldenMessage{
+			"notification-shutdown", "Notification 6/2, administrative shutdown, with the text maintenance",
+			NewShutdown("maintenance"),
+		},
+		goldenMessage{
+			"notification-long", "Notification 6/2 with a text of 128 bytes, cut from 130",
+			NewShutdown(strings.Repeat("x", 130)),
+		},
+		goldenMessage{"keepalive", "Keepalive", &Keepalive{}},
+		goldenMessage{"refresh", "Route refresh of IPv6 unicast", &RouteRefresh{Family: IPv6}},
+	)
+}
+
+func goldenOpens() []goldenMessage {
 	return []goldenMessage{
 		{
 			"open",
-			"Open of AS 4200000001, hold time 90 s, identifier 10.0.0.1; capabilities: IPv4, IPv6, route refresh, graceful restart (restarted, 120 s, IPv4 kept, IPv6 not), four-octet AS",
-			&Open{
-				AS:          4200000001,
-				HoldTime:    90,
-				ID:          [4]byte{10, 0, 0, 1},
-				Families:    []Family{IPv4, IPv6},
-				FourOctetAS: true,
-				Refresh:     true,
-				Restart: &GracefulRestart{
-					Restarted:           true,
-					Time:                120,
-					ForwardingPreserved: map[Family]bool{IPv4: true, IPv6: false},
-				},
-			},
+			"Open of AS 4200000001, hold time 90 s, identifier 10.0.0.1; capabilities: IPv4, IPv6, route refresh, " +
+				"graceful restart (restarted, 120 s, IPv4 kept, IPv6 not), four-octet AS",
+			samples()[0],
 		},
 		{
 			"open-plain",
 			"Open of AS 65001, hold time 3 s, identifier 1.2.3.4, without any capability",
 			&Open{AS: 65001, HoldTime: 3, ID: [4]byte{1, 2, 3, 4}},
 		},
+	}
+}
+
+func goldenUpdates() []goldenMessage {
+	every := PathAttributes{
+		Origin: 1, ASPath: []uint32{65001, 4200000001}, NextHop: netip.MustParseAddr("192.0.2.254"),
+		MED: 70, HasMED: true, LocalPref: 100, HasLocalPref: true, Communities: []uint32{0xFFFF0000, 65000<<16 | 1},
+	}
+	six := PathAttributes{Origin: 2, ASPath: []uint32{65001}, NextHop: netip.MustParseAddr("2001:db8::1"), HasMED: true}
+	one := func(s string) []netip.Prefix { return []netip.Prefix{prefix(s)} }
+	return []goldenMessage{
 		{
 			"update-ipv4",
-			"Update: withdraws 198.51.100.128/25, announces 192.0.2.1/32 with origin EGP, AS path 65001 4200000001, next hop 192.0.2.254, MED 70, local preference 100, communities 65535:0 and 65000:1",
+			"Update: withdraws 198.51.100.128/25, announces 192.0.2.1/32 with origin EGP, AS path 65001 4200000001, " +
+				"next hop 192.0.2.254, MED 70, local preference 100, communities 65535:0 and 65000:1",
 			&Update{Withdrawn: one("198.51.100.128/25"), Announced: one("192.0.2.1/32"), Path: every},
 		},
 		{
 			"update-ipv6",
-			"Update: withdraws 2001:db8:1::/48, announces 2001:db8:2::7/128 with origin incomplete, AS path 65001, next hop 2001:db8::1, MED 0",
+			"Update: withdraws 2001:db8:1::/48, announces 2001:db8:2::7/128 with origin incomplete, AS path 65001, " +
+				"next hop 2001:db8::1, MED 0",
 			&Update{Withdrawn: one("2001:db8:1::/48"), Announced: one("2001:db8:2::7/128"), Path: six},
 		},
-		{
-			"end-of-routes-ipv4",
-			"Update without anything: the end of IPv4 routes",
-			EndOfRIB(IPv4),
-		},
-		{
-			"end-of-routes-ipv6",
-			"Update with an empty MP_UNREACH: the end of IPv6 routes",
-			EndOfRIB(IPv6),
-		},
-		{
-			"notification",
-			"Notification 2/2, bad peer AS, with the data 1 2 3",
-			&Notification{Code: CodeOpen, Subcode: SubcodeBadPeerAS, Data: []byte{1, 2, 3}},
-		},
-		{
-			"notification-shutdown",
-			"Notification 6/2, administrative shutdown, with the text maintenance",
-			NewShutdown("maintenance"),
-		},
-		{
-			"notification-long",
-			"Notification 6/2 with a text of 128 bytes, cut from 130",
-			NewShutdown(strings.Repeat("x", 130)),
-		},
-		{
-			"keepalive",
-			"Keepalive",
-			&Keepalive{},
-		},
-		{
-			"refresh",
-			"Route refresh of IPv6 unicast",
-			&RouteRefresh{Family: IPv6},
-		},
+		{"end-of-routes-ipv4", "Update without anything: the end of IPv4 routes", EndOfRIB(IPv4)},
+		{"end-of-routes-ipv6", "Update with an empty MP_UNREACH: the end of IPv6 routes", EndOfRIB(IPv6)},
 	}
 }
 
-// TestMessagesMatchGoldenBytes reads each message of testdata/messages.txt, compares every field, and writes it again.
-func TestMessagesMatchGoldenBytes(t *testing.T) {
-	path := filepath.Join("testdata", "messages.txt")
-	if golden.Updating() {
-		writeGoldenMessages(t, path)
-		return
-	}
-	text, err := os.ReadFile(path)
+const messagesFile = "testdata/messages.txt"
+
+// readGoldenMessages returns the recorded bytes by the names of the messages.
+func readGoldenMessages(t *testing.T) map[string][]byte {
+	t.Helper()
+	text, err := os.ReadFile(messagesFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := map[string][]byte{}
+	recorded := map[string][]byte{}
 	for line := range strings.Lines(string(text)) {
 		if fields := strings.Fields(line); len(fields) == 2 && fields[0] != "#" {
-			if want[fields[0]], err = hex.DecodeString(fields[1]); err != nil {
+			if recorded[fields[0]], err = hex.DecodeString(fields[1]); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
+	return recorded
+}
+
+// goldenMessagesText is the text of messagesFile.
+func goldenMessagesText(t *testing.T) string {
+	t.Helper()
+	var text strings.Builder
+	text.WriteString("# BGP messages as they go on the wire: name, bytes in hex. ")
+	text.WriteString("The comment before each says what it holds.\n")
+	for _, g := range goldenMessages() {
+		fmt.Fprintf(&text, "# %s\n%s %x\n", g.holds, g.name, encode(t, g.message))
+	}
+	return text.String()
+}
+
+// TestMessagesMatchGoldenBytes reads each recorded message, compares every field, and writes it again.
+func TestMessagesMatchGoldenBytes(t *testing.T) {
+	golden.CheckText(t, messagesFile, goldenMessagesText(t))
+	want := readGoldenMessages(t)
 	all := goldenMessages()
 	if len(want) != len(all) {
-		t.Errorf("%d messages in %s, want %d", len(want), path, len(all))
+		t.Errorf("%d messages recorded, want %d", len(want), len(all))
 	}
 	for _, g := range all {
 		t.Run(g.name, func(t *testing.T) {
@@ -151,21 +137,6 @@
 	}
 }
 
-func writeGoldenMessages(t *testing.T, path string) {
-	t.Helper()
-	text := "# BGP messages as they go on the wire: name, bytes in hex. The comment before each says what it holds.\n"
-	for _, g := range goldenMessages() {
-		p, err := Append(nil, g.message)
-		if err != nil {
-			t.Fatal(err)
-		}
-		text += fmt.Sprintf("# %s\n%s %x\n", g.holds, g.name, p)
-	}
-	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-		t.Fatal(err)
-	}
-}
-
 // TestDecodingMatchesGoldenDigests decodes seeded messages, whole and damaged, and compares a digest of what each
 // holds, or of the notification that answers it, with that in testdata. The texts of faults are left out.
 func TestDecodingMatchesGoldenDigests(t *testing.T) {
@@ -195,7 +166,7 @@
 			}
 			faults++
 			sum.Numbers(99, uint64(f.Code), uint64(f.Subcode), uint64(len(f.Data)))
-			sum.Write(f.Data)
+			sum.Bytes(f.Data)
 		}
 		fmt.Fprintf(&got, "%s: %d decoded, %d faults, sha256 %s\n", name, decoded, faults, sum.Sum())
 	}
@@ -209,20 +180,8 @@
 	global, local := netip.MustParseAddr("2001:db8::1").As16(), netip.MustParseAddr("fe80::1").As16()
 	reach := append([]byte{0, byte(IPv6), 1, 32}, append(global[:], local[:]...)...)
 	reach = append(reach, 0, 48, 0x20, 1, 0xd, 0xb8, 0, 2)
-	attributes := append(
-		[]byte{
-			0x40,
-			byte(attributeOrigin),
-			1,
-			0,
-			0x40,
-			byte(attributeASPath),
-			0,
-			0x80,
-			byte(attributeMPReach),
-			byte(len(reach)),
-		},
-		reach...)
+	attributes := []byte{0x40, byte(attributeOrigin), 1, 0, 0x40, byte(attributeASPath), 0}
+	attributes = append(append(attributes, 0x80, byte(attributeMPReach), byte(len(reach))), reach...)
 	p := append(bytes.Repeat([]byte{0xFF}, 16), 0, 0, byte(typeUpdate), 0, 0, 0, byte(len(attributes)))
 	return append(p, attributes...)
 }
@@ -253,12 +212,7 @@
 // foldMessage folds a message as it would be written again, and what is lost by that.
 func foldMessage(t *testing.T, sum *golden.Digest, m Message) {
 	t.Helper()
-	p, err := Append(nil, m)
-	if err != nil {
-		t.Fatal(err)
-	}
-	sum.Numbers(uint64(len(p)))
-	sum.Write(p)
+	sum.Text(string(encode(t, m)))
 	switch m := m.(type) {
 	case *Update:
 		family, ends := m.EndOfRIBFamily()
@@ -270,7 +224,7 @@
 			sum.Numbers(3)
 		}
 	case *Notification:
-		sum.Write([]byte(m.ShutdownText()))
+		sum.Printf("%s", m.ShutdownText())
 	}
 }
 
@@ -278,12 +232,7 @@
 func packedDigest(t *testing.T) string {
 	t.Helper()
 	random, sum, messages := rand.New(rand.NewPCG(1, 41)), golden.NewDigest(), 0
-	path := PathAttributes{
-		ASPath:       []uint32{65001},
-		NextHop:      netip.MustParseAddr("192.0.2.254"),
-		LocalPref:    100,
-		HasLocalPref: true,
-	}
+	path := PathAttributes{ASPath: []uint32{65001}, NextHop: path.NextHop, LocalPref: 100, HasLocalPref: true}
 	for size := 1; size <= 20_000; size *= 3 {
 		routes := func() (all []netip.Prefix) {
 			for range random.IntN(size) {
--- a/internal/bgp/wire/message.go
+++ b/internal/bgp/wire/message.go
@@ -63,27 +63,20 @@
 	length, kind := int(binary.BigEndian.Uint16(p[lengthOffset:])), messageType(p[typeOffset])
 	bounds, known := lengthBounds[kind]
 	if !known {
-		return 0, newMessageError(
-			CodeHeader,
-			SubcodeBadMessageType,
-			p[typeOffset:headerLength],
-			"unknown message type %d",
-			kind,
-		)
+		return 0, unknownType(p)
 	}
 	if length < bounds.min || length > bounds.max {
-		return 0, newMessageError(
-			CodeHeader,
-			SubcodeBadMessageLength,
-			p[lengthOffset:typeOffset],
-			"length %d of a message of type %d",
-			length,
-			kind,
-		)
+		const reason = "length %d of a message of type %d"
+		return 0, newMessageError(CodeHeader, SubcodeBadMessageLength, p[lengthOffset:typeOffset], reason, length, kind)
 	}
 	return length, nil
 }
 
+func unknownType(p []byte) error {
+	field := p[typeOffset:headerLength]
+	return newMessageError(CodeHeader, SubcodeBadMessageType, field, "unknown message type %d", field[0])
+}
+
 // Decode decodes p, which holds exactly one message. Its error is a *MessageError.
 func Decode(p []byte) (Message, error) {
 	length, err := MessageLength(p)
@@ -101,10 +94,13 @@
 		return decodeUpdate(body)
 	case typeNotification:
 		return decodeNotification(body), nil
+	case typeKeepalive:
+		return &Keepalive{}, nil
 	case typeRouteRefresh:
 		return decodeRouteRefresh(body), nil
+	default: // MessageLength knows no other type
+		return nil, unknownType(p)
 	}
-	return &Keepalive{}, nil
 }
 
 // Append appends the encoded message to b. It returns b unchanged and an error if the message exceeds
--- a/internal/bgp/wire/message_test.go
+++ b/internal/bgp/wire/message_test.go
@@ -52,10 +52,11 @@
 	}
 }
 
-func encode(t testing.TB, m Message) []byte {
+func encode(tb testing.TB, m Message) []byte {
+	tb.Helper()
 	p, err := Append(nil, m)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return p
 }
@@ -70,6 +71,27 @@
 	}
 }
 
+// withParameters adds optional parameters to the bytes of an Open that has none.
+func withParameters(parameters ...byte) func(p []byte) []byte {
+	return func(p []byte) []byte {
+		added := byte(len(parameters))
+		p[28], p[17] = added, p[17]+added
+		return append(p, parameters...)
+	}
+}
+
+// answerTo describes what a decoded message leads to: the code and subcode of a notification, "withdrawn", or "ok".
+func answerTo(m Message, err error) string {
+	if fault, ok := errors.AsType[*MessageError](err); ok {
+		return fmt.Sprintf("%d/%d", fault.Code, fault.Subcode)
+	}
+	u, ok := m.(*Update)
+	if ok && u.TreatedAsWithdraw != "" && len(u.Withdrawn) == 1 && len(u.Announced) == 0 {
+		return "withdrawn"
+	}
+	return "ok"
+}
+
 // Each malformed message is answered by the notification that its RFC asks for, or treated as a withdrawal.
 func TestMalformedMessageIsAnsweredAsItsRFCAsks(t *testing.T) {
 	change := func(m Message, f func(p []byte) []byte) []byte { return f(encode(t, m)) }
@@ -81,7 +103,7 @@
 		return p
 	}
 	good := []byte{0x40, 1, 1, 0, 0x40, 2, 0, 0x40, 3, 4, 192, 0, 2, 254}
-	open := samples()[1]
+	open, withdrawal := samples()[1], &Update{Withdrawn: []netip.Prefix{prefix("192.0.2.1/32")}}
 	for _, tc := range []struct {
 		name string
 		in   []byte
@@ -94,10 +116,10 @@
 		{"hold time", change(open, func(p []byte) []byte { p[23] = 2; return p }), "2/6"},
 		{"identifier", change(open, func(p []byte) []byte { p[24] = 0; return p }), "2/3"},
 		{"parameters beyond the end", change(open, func(p []byte) []byte { p[28] = 9; return p }), "2/0"},
-		{"parameter of another type", change(open, func(p []byte) []byte { p[28], p[17] = 2, p[17]+2; return append(p, 1, 0) }), "2/4"},
-		{"capability is truncated", change(open, func(p []byte) []byte { p[28], p[17] = 4, p[17]+4; return append(p, 2, 2, 65, 4) }), "2/0"},
+		{"parameter of another type", change(open, withParameters(1, 0)), "2/4"},
+		{"capability is truncated", change(open, withParameters(2, 2, 65, 4)), "2/0"},
 		{"withdrawn beyond the end", change(&Update{}, func(p []byte) []byte { p[20] = 9; return p }), "3/1"},
-		{"prefix too long", change(&Update{Withdrawn: []netip.Prefix{prefix("192.0.2.1/32")}}, func(p []byte) []byte { p[21] = 33; return p }), "3/10"},
+		{"prefix too long", change(withdrawal, func(p []byte) []byte { p[21] = 33; return p }), "3/10"},
 		{"good", update(good...), "ok"},
 		{"origin", update(append([]byte{0x40, 1, 1, 9}, good[4:]...)...), "withdrawn"},
 		{"flags", update(append([]byte{0xC0, 1, 1, 0}, good[4:]...)...), "withdrawn"},
@@ -111,14 +133,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			m, err := Decode(tc.in)
-			got := "ok"
-			var f *MessageError
-			if errors.As(err, &f) {
-				got = fmt.Sprintf("%d/%d", f.Code, f.Subcode)
-			} else if u, ok := m.(*Update); ok && u.TreatedAsWithdraw != "" && len(u.Withdrawn) == 1 && len(u.Announced) == 0 {
-				got = "withdrawn"
-			}
-			if got != tc.want {
+			if got := answerTo(m, err); got != tc.want {
 				t.Errorf("got %s (%v, %+v), want %s", got, err, m, tc.want)
 			}
 		})
--- a/internal/bgp/wire/pack.go
+++ b/internal/bgp/wire/pack.go
@@ -16,15 +16,15 @@
 	withdrawn4, withdrawn6 := splitByFamily(withdrawn)
 	announced4, announced6 := splitByFamily(announced)
 	return slices.Concat(
-		pack(withdrawn4, withdraw),
-		pack(withdrawn6, withdraw),
-		pack(announced4, announce),
-		pack(announced6, announce),
+		packFamily(withdrawn4, withdraw),
+		packFamily(withdrawn6, withdraw),
+		packFamily(announced4, announce),
+		packFamily(announced6, announce),
 	)
 }
 
-// pack sorts prefixes of one family in place and distributes them over updates that newUpdate makes.
-func pack(prefixes []netip.Prefix, newUpdate func([]netip.Prefix) *Update) (updates []*Update) {
+// packFamily sorts prefixes of one family in place and distributes them over updates that newUpdate makes.
+func packFamily(prefixes []netip.Prefix, newUpdate func([]netip.Prefix) *Update) (updates []*Update) {
 	slices.SortFunc(prefixes, netip.Prefix.Compare)
 	for len(prefixes) > 0 {
 		single := headerLength + len(newUpdate(prefixes[:1]).appendBody(nil))
--- a/internal/bgp/wire/update.go
+++ b/internal/bgp/wire/update.go
@@ -65,17 +65,17 @@
 		attributes = appendMPUnreach(attributes, IPv6, withdrawn6)
 	}
 	if len(u.Announced) > 0 {
-		attributes = u.Path.append(attributes, len(announced4) > 0, announced6)
+		attributes = u.Path.append(attributes, announced4, announced6)
 	}
 	b = appendWithLength(b, attributes)
 	return appendPrefixes(b, announced4)
 }
 
 // append appends the attributes of announced prefixes; IPv6 ones are part of the attributes.
-func (p *PathAttributes) append(b []byte, hasIPv4 bool, announced6 []netip.Prefix) []byte {
+func (p *PathAttributes) append(b []byte, announced4, announced6 []netip.Prefix) []byte {
 	b = appendOrigin(b, p.Origin)
 	b = appendASPath(b, p.ASPath)
-	if hasIPv4 {
+	if len(announced4) > 0 {
 		b = appendNextHop(b, p.NextHop)
 	}
 	if p.HasMED {
@@ -135,13 +135,8 @@
 		b = rest
 		if present[a.code] {
 			if a.code == attributeMPReach || a.code == attributeMPUnreach {
-				return nil, newMessageError(
-					CodeUpdate,
-					SubcodeMalformedAttributes,
-					nil,
-					"attribute %d is repeated",
-					a.code,
-				)
+				const reason = "attribute %d is repeated"
+				return nil, newMessageError(CodeUpdate, SubcodeMalformedAttributes, nil, reason, a.code)
 			}
 			continue
 		}
--- a/internal/controller/pending/golden_test.go
+++ b/internal/controller/pending/golden_test.go
@@ -29,9 +29,9 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				fmt.Fprintf(sum, "%s %d\n", line, r.Until)
+				sum.Printf("%s %d\n", line, r.Until)
 			}
-			sum.Write([]byte{'\n'})
+			sum.Printf("\n")
 		}
 		fmt.Fprintf(&got, "group %d: %d reasons, sha256 %s\n", group, reasons, sum.Sum())
 	}
--- a/internal/eventloop/wheel_golden_test.go
+++ b/internal/eventloop/wheel_golden_test.go
@@ -23,7 +23,7 @@
 
 func (h *wheelHistory) note(values ...int64) {
 	for _, value := range values {
-		_ = binary.Write(h.digest, binary.LittleEndian, value) // a digest returns no error
+		h.digest.Bytes(binary.LittleEndian.AppendUint64(nil, uint64(value)))
 	}
 }
 
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -4,7 +4,8 @@
 // A digest depends on values and their order alone, not on the names of types and fields: it survives a rename or a
 // move. Each record has an ordinal that the test gives its type and never changes. Struct fields count by position, so
 // a field that is added, removed or moved changes the digest. Add folds a record with the number of its values; a test
-// whose recorded digests were folded otherwise uses Numbers, Text, Value and Write, which add nothing of their own.
+// whose recorded digests were folded otherwise uses Numbers, Text, Value, Bytes and Printf, which add nothing of their
+// own.
 //
 // Only tests import this package; a test's flag -update records its files anew, which a refactoring never needs.
 package golden
@@ -130,8 +131,11 @@
 // the order of their keys.
 func (d *Digest) Value(v any) { d.fold(reflect.ValueOf(v)) }
 
-// Write folds bytes as they are; it returns no error.
-func (d *Digest) Write(p []byte) (int, error) { return d.sum.Write(p) }
+// Bytes folds bytes as they are.
+func (d *Digest) Bytes(p []byte) { d.sum.Write(p) }
+
+// Printf folds formatted text as it is.
+func (d *Digest) Printf(format string, args ...any) { d.Bytes(fmt.Appendf(nil, format, args...)) }
 
 // Records is the number of records that were added or counted.
 func (d *Digest) Records() int { return d.records }
