--- a/internal/storage/faultfs/faultfs.go
+++ b/internal/storage/faultfs/faultfs.go
@@ -223,5 +223,5 @@
 	if size <= len(data) {
 		return data[:size:size]
 	}
-	return append(data[:len(data):len(data)], make([]byte, size-len(data))...)
+	return append(slices.Clip(data), make([]byte, size-len(data))...)
 }
--- a/internal/storage/faultfs/golden_test.go
+++ b/internal/storage/faultfs/golden_test.go
@@ -1,12 +1,11 @@
 package faultfs
 
 import (
-	"crypto/sha256"
 	"errors"
 	"fmt"
-	"hash"
 	"math/rand/v2"
 	"os"
+	"strings"
 	"testing"
 
 	"glenport/internal/golden"
@@ -16,13 +15,9 @@
 const goldenFile = "testdata/crashes.txt"
 
 // notes folds lines of text into a digest.
-type notes struct{ digest hash.Hash }
+type notes struct{ *golden.Digest }
 
-func (n notes) add(format string, arguments ...any) {
-	if _, err := fmt.Fprintf(n.digest, format+"\n", arguments...); err != nil {
-		panic(err) // a hash returns none
-	}
-}
+func (n notes) add(format string, arguments ...any) { n.Printf(format+"\n", arguments...) }
 
 func (n notes) addFiles(fs *FS) {
 	names, err := fs.List()
@@ -109,7 +104,7 @@
 
 // digestOf plays a history and crashes it after each operation, in four ways.
 func digestOf(seed uint64) (digest string, states int) {
-	n := notes{sha256.New()}
+	n := notes{golden.NewDigest()}
 	random := rand.New(rand.NewPCG(seed, 7))
 	fs := New()
 	fs.IgnoreSync = seed%8 == 7
@@ -128,20 +123,20 @@
 			}
 		}
 	}
-	return fmt.Sprintf("%x", n.digest.Sum(nil)), states
+	return n.Sum(), states
 }
 
 // The states in which a crash may leave a folder are the same for the same chance, in every version.
 func TestCrashStatesAreKept(t *testing.T) {
-	got := ""
+	var got strings.Builder
 	for group := range uint64(4) {
-		all, states := notes{sha256.New()}, 0
+		all, states := notes{golden.NewDigest()}, 0
 		for seed := group * 16; seed < group*16+16; seed++ {
 			digest, n := digestOf(seed)
 			all.add("%s", digest)
 			states += n
 		}
-		got += fmt.Sprintf("seeds %d to %d: %d states, digest %x\n", group*16, group*16+15, states, all.digest.Sum(nil))
+		fmt.Fprintf(&got, "seeds %d to %d: %d states, digest %s\n", group*16, group*16+15, states, all.Sum())
 	}
-	golden.CheckText(t, goldenFile, got)
+	golden.CheckText(t, goldenFile, got.String())
 }
--- a/internal/storage/faultfs/operation.go
+++ b/internal/storage/faultfs/operation.go
@@ -46,6 +46,7 @@
 		if isThere() {
 			delete(names, o.name)
 		}
+	case opWrite, opTruncate, opSync, opSyncDir: // they change no name
 	}
 }
 
--- a/internal/storage/wal/checksummed_test.go
+++ b/internal/storage/wal/checksummed_test.go
@@ -37,18 +37,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	const (
+		noBeginning   = "f, at byte 0: it does not begin as such a file does"
+		missingBytes  = "f, at byte 8: 4 bytes follow where 13 should"
+		wrongChecksum = "f, at byte 12: its checksum is wrong"
+		laterVersion  = "f is of version 3, this glenport knows 1: use the later one"
+	)
 	for title, tc := range map[string]struct {
 		damage func(p []byte) []byte
 		known  byte
 		want   string
 	}{
-		"too short":        {func(p []byte) []byte { return p[:15] }, 3, "f, at byte 0: it does not begin as such a file does"},
-		"another magic":    {func(p []byte) []byte { p[0] = 'X'; return p }, 3, "f, at byte 0: it does not begin as such a file does"},
-		"cut short":        {func(p []byte) []byte { return p[:20] }, 3, "f, at byte 8: 4 bytes follow where 13 should"},
-		"one bit":          {func(p []byte) []byte { p[20] ^= 1; return p }, 3, "f, at byte 12: its checksum is wrong"},
-		"a later version":  {func(p []byte) []byte { return p }, 2, "f is of version 3, this glenport knows 1: use the later one"},
+		"too short":        {func(p []byte) []byte { return p[:15] }, 3, noBeginning},
+		"another magic":    {func(p []byte) []byte { p[0] = 'X'; return p }, 3, noBeginning},
+		"cut short":        {func(p []byte) []byte { return p[:20] }, 3, missingBytes},
+		"one bit":          {func(p []byte) []byte { p[20] ^= 1; return p }, 3, wrongChecksum},
+		"a later version":  {func(p []byte) []byte { return p }, 2, laterVersion},
 		"an older version": {func(p []byte) []byte { return p }, 4, ""},
-		"damaged version":  {func(p []byte) []byte { p[7] = 9; return p }, 3, "f, at byte 12: its checksum is wrong"},
+		"damaged version":  {func(p []byte) []byte { p[7] = 9; return p }, 3, wrongChecksum},
 	} {
 		directory := directoryOf(t, map[string][]byte{"f": tc.damage(bytes.Clone(whole))})
 		_, _, err := ReadChecksummed(directory, "f", "GOLDENF", tc.known)
--- a/internal/storage/wal/commit.go
+++ b/internal/storage/wal/commit.go
@@ -56,7 +56,13 @@
 	}
 	err := l.rewrite()
 	if err == nil {
-		err = l.writeGroup(changes, durable)
+		err = l.writeGroup(changes)
+	}
+	if err == nil && durable {
+		err = l.syncSegment()
+	}
+	if err == nil {
+		l.state.apply(changes)
 	}
 	l.reportMode(err, len(commits))
 	l.counters.Commits += len(commits)
--- a/internal/storage/wal/crash_test.go
+++ b/internal/storage/wal/crash_test.go
@@ -77,7 +77,7 @@
 		key := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")
 		if rapid.Bool().Draw(t, "put") {
 			next[key] = rapid.StringN(0, 80, 900).Draw(t, "value")
-			changes = append(changes, put(key, next[key]))
+			changes = append(changes, putText(key, next[key]))
 		} else {
 			delete(next, key)
 			changes = append(changes, Change{Kind: "k", Key: key})
@@ -103,7 +103,10 @@
 	log          *Log
 	want         map[string]string
 	acknowledged []acknowledgedState
-	usedAfter    []string // operations on the segment after its sync failed
+	segment      string
+	failing      string   // the kind of operation that fails
+	failed       bool     // an operation on the segment has failed
+	usedAfter    []string // operations on the segment after that
 }
 
 // acknowledgedState is what must survive a crash after a number of operations.
@@ -113,7 +116,7 @@
 }
 
 func (r *rewriteTrial) commit(key string) error {
-	err := commitAndWait(r.log, true, put(key, key))
+	err := commitAndWait(r.log, true, putText(key, key))
 	if err == nil {
 		r.want[key] = key
 		r.acknowledged = append(r.acknowledged, acknowledgedState{r.fs.OperationCount(), maps.Clone(r.want)})
@@ -153,29 +156,20 @@
 
 // failSync lets the sync of the segment fail, then an operation of the rewrite, then nothing any more.
 func (r *rewriteTrial) failSync(t *testing.T, operation string) {
+	t.Helper()
 	names := mustList(t, r.fs)
-	segment, failed := names[len(names)-1], false
-	failing := "sync"
-	r.fs.InjectError = func(kind, name string) error { // stays until the end, failing nothing, to see what is used
-		if failed && name == segment && kind != "remove" {
-			r.usedAfter = append(r.usedAfter, kind)
-		}
-		if kind != failing || failing == "sync" && kind == "sync" && !failed && name != segment {
-			return nil
-		}
-		failed = failed || name == segment
-		return syscall.ENOSPC
-	}
+	r.segment, r.failing = names[len(names)-1], "sync"
+	r.fs.InjectError = r.injectError // stays until the end, failing nothing, to see what is used
 	if err := r.commit("c"); !errors.Is(err, ErrSyncFailed) {
 		t.Fatalf("%v", err)
 	}
-	failing = operation
+	r.failing = operation
 	for range 2 {
 		if err := r.commit("d"); !errors.Is(err, ErrSyncFailed) && operation != "remove" {
 			t.Errorf("%v", err)
 		}
 	}
-	failing = ""
+	r.failing = ""
 	for _, key := range []string{"e", "f"} {
 		if err := r.commit(key); err != nil {
 			t.Errorf("%s with room again: %v", key, err)
@@ -183,6 +177,19 @@
 	}
 }
 
+// injectError fails one kind of operation; the first sync that it fails is that of the segment.
+func (r *rewriteTrial) injectError(kind, name string) error {
+	ofSegment := name == r.segment
+	if r.failed && ofSegment && kind != "remove" {
+		r.usedAfter = append(r.usedAfter, kind)
+	}
+	if kind != r.failing || kind == "sync" && !r.failed && !ofSegment {
+		return nil
+	}
+	r.failed = r.failed || ofSegment
+	return syscall.ENOSPC
+}
+
 // checkCrash opens what may be found after a crash.
 func (r *rewriteTrial) checkCrash(t *testing.T, operations int) {
 	t.Helper()
--- a/internal/storage/wal/damage_test.go
+++ b/internal/storage/wal/damage_test.go
@@ -2,10 +2,8 @@
 
 import (
 	"bytes"
-	"crypto/sha256"
 	"errors"
 	"fmt"
-	"hash"
 	"maps"
 	"regexp"
 	"strings"
@@ -17,18 +15,11 @@
 // goType matches Go's names of types in errors of the CBOR library: they are no part of what is recorded.
 var goType = regexp.MustCompile(`\*?\b[a-z]+\.[A-Z]\w*`)
 
-// fold adds text to a digest; a hash returns no errors.
-func fold(digest hash.Hash, format string, arguments ...any) {
-	if _, err := fmt.Fprintf(digest, format, arguments...); err != nil {
-		panic(err)
-	}
-}
-
 // damageTrial loads a directory with one file damaged at a time, and folds what came of it into a digest.
 type damageTrial struct {
 	files          map[string][]byte
 	skipChecksums  bool
-	digest         hash.Hash
+	digest         *golden.Digest
 	cases, refused int
 }
 
@@ -47,13 +38,14 @@
 	var corruption *CorruptionError
 	var unsupported *UnsupportedVersionError
 	text := goType.ReplaceAllString(fmt.Sprint(err), "TYPE")
-	fold(d.digest, "%s %s %t %t\n", name, text, errors.As(err, &corruption), errors.As(err, &unsupported))
+	d.digest.Printf("%s %s %t %t\n", name, text, errors.As(err, &corruption), errors.As(err, &unsupported))
 	if !d.skipChecksums || err == nil {
-		fold(d.digest, "%s", describeState(t, state))
+		d.digest.Printf("%s", describeState(t, state))
 	}
 }
 
 func (d *damageTrial) flipBits(t *testing.T, name string, data []byte) {
+	t.Helper()
 	for i := range data {
 		flipped := bytes.Clone(data)
 		flipped[i] ^= 1 << (i % 8)
@@ -62,12 +54,16 @@
 }
 
 func (d *damageTrial) cutShort(t *testing.T, name string, data []byte) {
+	t.Helper()
 	for size := range data {
 		d.load(t, name, data[:size:size])
 	}
 }
 
-func (d *damageTrial) remove(t *testing.T, name string, _ []byte) { d.load(t, name, nil) }
+func (d *damageTrial) remove(t *testing.T, name string, _ []byte) {
+	t.Helper()
+	d.load(t, name, nil)
+}
 
 // damageDigests loads each golden folder with each of its bytes damaged in turn, each of its files missing, and each
 // cut short at every length.
@@ -85,19 +81,14 @@
 			{"missing", (*damageTrial).remove, false},
 			{"flipped bit, checksums ignored", (*damageTrial).flipBits, true},
 		} {
-			d := &damageTrial{files: goldenFiles(t, folder), skipChecksums: damage.skipChecksums, digest: sha256.New()}
+			d := &damageTrial{
+				files: goldenFiles(t, folder), skipChecksums: damage.skipChecksums, digest: golden.NewDigest(),
+			}
 			for _, name := range sortedNames(d.files) {
 				damage.apply(d, t, name, d.files[name])
 			}
-			fmt.Fprintf(
-				&out,
-				"%s, %s: %d cases, %d refused, digest %x\n",
-				folder,
-				damage.name,
-				d.cases,
-				d.refused,
-				d.digest.Sum(nil),
-			)
+			fmt.Fprintf(&out, "%s, %s: %d cases, %d refused, digest %s\n",
+				folder, damage.name, d.cases, d.refused, d.digest.Sum())
 		}
 	}
 	return out.String()
--- a/internal/storage/wal/errors.go
+++ b/internal/storage/wal/errors.go
@@ -32,12 +32,9 @@
 }
 
 func (e *CorruptionError) Error() string {
-	return fmt.Sprintf(
-		"%s, at byte %d: %s; nothing was changed: put a good copy of the folder back; `glenport state export` gives what stands before the damage",
-		e.File,
-		e.Offset,
-		e.Detail,
-	)
+	const remedy = "nothing was changed: put a good copy of the folder back; " +
+		"`glenport state export` gives what stands before the damage"
+	return fmt.Sprintf("%s, at byte %d: %s; %s", e.File, e.Offset, e.Detail, remedy)
 }
 
 // UnsupportedVersionError reports that a file was written by a later version of the program.
@@ -47,12 +44,8 @@
 }
 
 func (e *UnsupportedVersionError) Error() string {
-	return fmt.Sprintf(
-		"%s is of version %d, this glenport knows %d: use the later one",
-		e.File,
-		e.Version,
-		FormatVersion,
-	)
+	const text = "%s is of version %d, this glenport knows %d: use the later one"
+	return fmt.Sprintf(text, e.File, e.Version, FormatVersion)
 }
 
 // fullError adds ErrFull to the chain of an error of the file system and leaves its text alone.
--- a/internal/storage/wal/failure_test.go
+++ b/internal/storage/wal/failure_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"errors"
-	"fmt"
+	"maps"
 	"os"
+	"strconv"
 	"strings"
 	"syscall"
 	"testing"
@@ -30,35 +31,36 @@
 			fs := faultfs.New()
 			modeChanges := 0
 			l, _ := mustOpen(t, fs, Options{OnModeChange: func(string, ...any) { modeChanges++ }})
-			mustCommit(t, l, true, put("a", "1"))
-			fs.InjectError = func(kind, _ string) error {
-				if strings.Contains(tc.failing, kind) {
-					return tc.err
-				}
-				return nil
-			}
-			err := commitAndWait(l, true, put("b", "2"))
-			if !errors.Is(err, tc.err) || errors.Is(err, ErrFull) != tc.full ||
-				errors.Is(err, ErrSyncFailed) != (tc.failing != "write") {
+			mustCommit(t, l, true, putText("a", "1"))
+			fs.InjectError = failOperations(tc.failing, tc.err)
+			err := commitAndWait(l, true, putText("b", "2"))
+			full, syncFailed := errors.Is(err, ErrFull), errors.Is(err, ErrSyncFailed)
+			if !errors.Is(err, tc.err) || full != tc.full || syncFailed != (tc.failing != "write") {
 				t.Errorf("rejected with %v", err)
 			}
 			fs.InjectError = nil
-			mustCommit(t, l, true, put("c", "3"))
+			mustCommit(t, l, true, putText("c", "3"))
 			mustClose(t, l)
 			if modeChanges != 2 {
-				t.Errorf(
-					"%d changes of mode reported, want one when commits are rejected and one when they are accepted again",
-					modeChanges,
-				)
+				t.Errorf("%d changes of mode reported, want one as commits are rejected, one at the end", modeChanges)
 			}
-			values := valuesOf(t, mustLoad(t, fs))
-			if values["a"] != "1" || values["b"] != "" || values["c"] != "3" {
+			if values := valuesOf(t, mustLoad(t, fs)); !maps.Equal(values, map[string]string{"a": "1", "c": "3"}) {
 				t.Errorf("%v", values)
 			}
 		})
 	}
 }
 
+// failOperations fails all operations of some kinds with an error.
+func failOperations(kinds string, err error) func(kind, name string) error {
+	return func(kind, _ string) error {
+		if strings.Contains(kinds, kind) {
+			return err
+		}
+		return nil
+	}
+}
+
 func TestReadOnlyDirectoryIsRefused(t *testing.T) {
 	fs := faultfs.New()
 	fs.InjectError = func(string, string) error { return syscall.EROFS }
@@ -73,11 +75,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var locked *vfs.LockedError
-	if _, err := vfs.OpenLocked(
-		path,
-	); !errors.As(err, &locked) ||
-		!strings.Contains(locked.Holder, fmt.Sprint(os.Getpid())) {
+	_, err = vfs.OpenLocked(path)
+	locked, ok := errors.AsType[*vfs.LockedError](err)
+	if !ok || !strings.Contains(locked.Holder, strconv.Itoa(os.Getpid())) {
 		t.Errorf("%v", err)
 	}
 	if err := held.Close(); err != nil {
@@ -95,7 +95,7 @@
 func TestCommitAfterCloseIsRejected(t *testing.T) {
 	l, _ := mustOpen(t, faultfs.New(), Options{})
 	mustClose(t, l)
-	if err := l.CommitSync(put("a", "1")); !errors.Is(err, ErrClosed) {
+	if err := l.CommitSync(putText("a", "1")); !errors.Is(err, ErrClosed) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/storage/wal/golden_test.go
+++ b/internal/storage/wal/golden_test.go
@@ -9,6 +9,7 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"strconv"
 	"strings"
 	"syscall"
 	"testing"
@@ -307,26 +308,17 @@
 	for _, folder := range goldenFolders {
 		t.Run(folder, func(t *testing.T) {
 			files := goldenFiles(t, folder)
-			want, err := os.ReadFile(filepath.Join("testdata", folder+".txt"))
-			if err != nil {
-				t.Fatal(err)
-			}
 			fs := directoryOf(t, files)
 			state := mustLoad(t, fs)
-			if got := describeFolder(t, files) + describeState(t, state); got != string(want) {
-				t.Errorf("got\n%s\nwant\n%s", got, want)
-			}
+			text := describeFolder(t, files) + describeState(t, state)
+			golden.CheckText(t, filepath.Join("testdata", folder+".txt"), text)
 			l, _ := mustOpen(t, fs, Options{})
 			mustCommit(t, l, true, goldenPut("more", "x", "y"))
 			mustClose(t, l)
 			again := mustLoad(t, fs)
 			if again.Records != state.Records+1 || again.TruncatedBytes != 0 {
-				t.Errorf(
-					"%d records and %d bytes cut off after one more, before %d",
-					again.Records,
-					again.TruncatedBytes,
-					state.Records,
-				)
+				t.Errorf("%d records and %d bytes cut off after one more, before %d",
+					again.Records, again.TruncatedBytes, state.Records)
 			}
 		})
 	}
@@ -352,7 +344,7 @@
 	fs := faultfs.New()
 	l, _ := mustOpen(t, fs, Options{})
 	for i := range 5 {
-		mustCommit(t, l, i == 4, goldenPut("k", fmt.Sprint(i), strings.Repeat(fmt.Sprint(i), 600_000)))
+		mustCommit(t, l, i == 4, goldenPut("k", strconv.Itoa(i), strings.Repeat(strconv.Itoa(i), 600_000)))
 	}
 	mustClose(t, l)
 	mustCompact(t, fs)
--- a/internal/storage/wal/helpers_test.go
+++ b/internal/storage/wal/helpers_test.go
@@ -26,7 +26,7 @@
 	Fatal(args ...any)
 }
 
-func put(key, value string) Change { return Change{Kind: "k", Key: key, Value: []byte(value)} }
+func putText(key, value string) Change { return Change{Kind: "k", Key: key, Value: []byte(value)} }
 
 // commitAndWait commits and returns what the done function was called with.
 func commitAndWait(l *Log, durable bool, changes ...Change) error {
@@ -124,9 +124,10 @@
 	}
 }
 
-func mustFlipBit(t fataler, fs *faultfs.FS, name string, bit int) {
+// mustFlipBit damages the first segment.
+func mustFlipBit(t fataler, fs *faultfs.FS, bit int) {
 	t.Helper()
-	if err := fs.FlipBit(name, bit); err != nil {
+	if err := fs.FlipBit(firstSegment, bit); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/storage/wal/load.go
+++ b/internal/storage/wal/load.go
@@ -16,6 +16,14 @@
 	size  int // in bytes; set when a segment is read
 }
 
+// segmentPosition tells whether another segment follows a segment. A crash can have cut only the last one short.
+type segmentPosition uint8
+
+const (
+	segmentFollowed segmentPosition = iota
+	segmentLast
+)
+
 // Load reads a directory and changes nothing in it. What a crash may leave is tolerated: an unacknowledged group at the
 // end of the last segment, and files that were being written. Everything else that is not as it was written is a
 // *CorruptionError or *UnsupportedVersionError; the state up to there is returned with it. With skipChecksums set the
@@ -118,15 +126,14 @@
 	for i := range segments {
 		segment := &segments[i]
 		if next := s.LastGroup + 1; segment.first != next {
-			detail := fmt.Sprintf(
-				"it begins with group %d, and the one wanted next is %d: a file is missing",
-				segment.first,
-				next,
-			)
-			return &CorruptionError{segment.name, 0, detail}
+			const detail = "it begins with group %d, and the one wanted next is %d: a file is missing"
+			return &CorruptionError{segment.name, 0, fmt.Sprintf(detail, segment.first, next)}
+		}
+		position := segmentFollowed
+		if i == len(segments)-1 {
+			position = segmentLast
 		}
-		isLast := i == len(segments)-1
-		if err := s.readSegment(fs, segment, isLast); err != nil {
+		if err := s.readSegment(fs, segment, position); err != nil {
 			return err
 		}
 	}
@@ -134,7 +141,7 @@
 }
 
 // readSegment reads groups until one is torn. Only the last segment may have a torn tail, see checkTornTail.
-func (s *State) readSegment(fs vfs.FS, segment *segmentFile, isLast bool) error {
+func (s *State) readSegment(fs vfs.FS, segment *segmentFile, position segmentPosition) error {
 	data, err := fs.Read(segment.name)
 	if err != nil {
 		return err
@@ -143,14 +150,14 @@
 	s.Bytes += len(data)
 	first, err := parseFileHeader(segment.name, segmentMagic, data, s.skipChecksums)
 	if err != nil {
-		return s.checkTornHeader(*segment, data, isLast, err)
+		return s.checkTornHeader(*segment, data, position, err)
 	}
 	if err := checkFirstGroup(*segment, first); err != nil {
 		return err
 	}
 	offset, err := s.applyGroups(segment.name, data)
 	if errors.Is(err, errTornGroup) {
-		err = s.checkTornTail(segment.name, data, offset, isLast)
+		err = s.checkTornTail(segment.name, data, offset, position)
 	}
 	if err != nil {
 		return err
@@ -188,9 +195,9 @@
 
 // checkTornHeader decides on a segment whose header cannot be read: a crash may leave the last segment so, before
 // anything was acknowledged in it.
-func (s *State) checkTornHeader(segment segmentFile, data []byte, isLast bool, headerErr error) error {
-	var unsupported *UnsupportedVersionError
-	if errors.As(headerErr, &unsupported) || !isLast || laterDurableGroup(data, 0, segment.first) > 0 {
+func (s *State) checkTornHeader(segment segmentFile, data []byte, position segmentPosition, headerErr error) error {
+	_, unsupported := errors.AsType[*UnsupportedVersionError](headerErr)
+	if unsupported || position != segmentLast || laterDurableGroup(data, 0, segment.first) > 0 {
 		return headerErr
 	}
 	s.lastHeaderIsBad, s.TruncatedBytes = true, len(data)
@@ -199,9 +206,9 @@
 
 // checkTornTail decides on the torn group at an offset: a crash may leave it in the last segment, with no whole group
 // behind it that was written when the torn one was already on disk. Anything else is corruption.
-func (s *State) checkTornTail(file string, data []byte, offset int, isLast bool) error {
+func (s *State) checkTornTail(file string, data []byte, offset int, position segmentPosition) error {
 	torn := s.LastGroup + 1
-	if !isLast {
+	if position != segmentLast {
 		detail := fmt.Sprintf("group %d is damaged; it was kept, as another file follows", torn)
 		return &CorruptionError{file, offset, detail}
 	}
--- a/internal/storage/wal/load_test.go
+++ b/internal/storage/wal/load_test.go
@@ -3,9 +3,9 @@
 import (
 	"encoding/binary"
 	"errors"
-	"fmt"
 	"hash/crc32"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 
@@ -21,12 +21,20 @@
 	fs := faultfs.New()
 	l, _ := mustOpen(t, fs, Options{})
 	for i := range 10 {
-		mustCommit(t, l, true, put(fmt.Sprint(i), strings.Repeat("x", 100)))
+		mustCommit(t, l, true, putText(strconv.Itoa(i), strings.Repeat("x", 100)))
 	}
 	mustClose(t, l)
 	return fs
 }
 
+// flippedBit damages one bit of the first segment.
+func flippedBit(bit int) func(t *testing.T, fs *faultfs.FS) {
+	return func(t *testing.T, fs *faultfs.FS) {
+		t.Helper()
+		mustFlipBit(t, fs, bit)
+	}
+}
+
 // Corruption is reported with its place, and the directory is left alone; only what a crash may leave is tolerated.
 func TestCorruptionIsReportedWithItsPlace(t *testing.T) {
 	for _, tc := range []struct {
@@ -37,41 +45,42 @@
 	}{
 		{"nothing", func(*testing.T, *faultfs.FS) {}, "", 10},
 		{"a truncated tail", func(t *testing.T, fs *faultfs.FS) {
+			t.Helper()
 			size := len(mustRead(t, fs, firstSegment))
 			mustTruncate(t, fs, firstSegment, size-80) // the mark of the clean end, and a part of the last group
 		}, "", 9},
+		{"a corrupt middle", flippedBit(8 * 400), "group 3 is damaged; it was kept, as group 4", 0},
 		{
-			"a corrupt middle", func(t *testing.T, fs *faultfs.FS) { mustFlipBit(t, fs, firstSegment, 8*400) },
-			"group 3 is damaged; it was kept, as group 4", 0,
-		},
-		{"a corrupt length in the middle", func(t *testing.T, fs *faultfs.FS) {
-			mustFlipBit(t, fs, firstSegment, 8*(headerSize+groupLengthOffset))
-		}, "group 1 is damaged", 0},
-		{
-			"a corrupt beginning", func(t *testing.T, fs *faultfs.FS) { mustFlipBit(t, fs, firstSegment, 8*3) },
-			"at byte 0: it does not begin", 0,
-		},
-		{
-			"a later version", func(t *testing.T, fs *faultfs.FS) { changeVersion(t, fs, firstSegment, FormatVersion+1) },
-			"use the later one", 0,
+			"a corrupt length in the middle", flippedBit(8 * (headerSize + groupLengthOffset)),
+			"group 1 is damaged", 0,
 		},
+		{"a corrupt beginning", flippedBit(8 * 3), "at byte 0: it does not begin", 0},
+		{"a later version", func(t *testing.T, fs *faultfs.FS) {
+			t.Helper()
+			changeVersion(t, fs, firstSegment, FormatVersion+1)
+		}, "use the later one", 0},
 		{"a missing segment", func(t *testing.T, fs *faultfs.FS) {
+			t.Helper()
 			if err := fs.Rename(firstSegment, "log-0000000000000004"); err != nil {
 				t.Fatal(err)
 			}
 		}, "a file is missing", 0},
 		{"an unfinished snapshot", func(t *testing.T, fs *faultfs.FS) {
+			t.Helper()
 			mustCreate(t, fs, "snapshot-000000000000000b.new", nil)
 		}, "", 10},
 		{"a snapshot cut short", func(t *testing.T, fs *faultfs.FS) {
+			t.Helper()
 			mustCompact(t, fs)
 			mustTruncate(t, fs, newestSnapshot(t, fs), 300)
 		}, "part 0 of it is damaged", 0},
 		{"a snapshot without its log", func(t *testing.T, fs *faultfs.FS) {
+			t.Helper()
 			mustCompact(t, fs)
 			mustRemove(t, fs, strings.Replace(newestSnapshot(t, fs), snapshotPrefix, segmentPrefix, 1))
 		}, "the log from group 13 on is missing", 0},
 		{"compacted twice", func(t *testing.T, fs *faultfs.FS) {
+			t.Helper()
 			mustCompact(t, fs)
 			mustCompact(t, fs)
 		}, "", 10},
@@ -88,7 +97,7 @@
 			if stats.Records != tc.left || len(valuesOf(t, l.State())) != tc.left {
 				t.Errorf("%+v", stats)
 			}
-			mustCommit(t, l, true, put("more", "y"))
+			mustCommit(t, l, true, putText("more", "y"))
 		})
 	}
 }
@@ -124,7 +133,7 @@
 
 func TestErrorsNameFileAndPlace(t *testing.T) {
 	fs := tenGroups(t)
-	mustFlipBit(t, fs, firstSegment, 8*400)
+	mustFlipBit(t, fs, 8*400)
 	_, err := Load(fs, false) // the third group, behind the header and two of 136 bytes
 	var corruption *CorruptionError
 	if !errors.As(err, &corruption) || corruption.File != firstSegment || corruption.Offset != 292 {
--- a/internal/storage/wal/operations_test.go
+++ b/internal/storage/wal/operations_test.go
@@ -1,9 +1,9 @@
 package wal
 
 import (
-	"crypto/sha256"
 	"errors"
 	"fmt"
+	"strconv"
 	"strings"
 	"syscall"
 	"testing"
@@ -59,10 +59,11 @@
 		return
 	}
 	for i := from; i < from+3; i++ {
-		err := commitAndWait(l, i%2 == 0, put(fmt.Sprint(i), "value"), Change{Kind: "k", Key: fmt.Sprint(i - 2)})
+		removal := Change{Kind: "k", Key: strconv.Itoa(i - 2)}
+		err := commitAndWait(l, i%2 == 0, putText(strconv.Itoa(i), "value"), removal)
 		h.note("commit %d: %s", i, describeError(err))
 	}
-	h.note("keep: %s", describeError(l.CommitSync(goldenPut("kept", fmt.Sprint(from), "value"))))
+	h.note("keep: %s", describeError(l.CommitSync(goldenPut("kept", strconv.Itoa(from), "value"))))
 	h.note("close: %s", describeError(l.Close()))
 	h.note("commit after it: %s", describeError(commitAndWait(l, true)))
 	counters := l.Counters()
@@ -96,8 +97,8 @@
 	noteText := func(format string, arguments ...any) { fmt.Fprintf(&out, format+"\n", arguments...) }
 	undisturbed := historyTrial{note: noteText, fails: func(int, string) bool { return false }}
 	operations := undisturbed.run(t)
-	digest := sha256.New()
-	noteDigest := func(format string, arguments ...any) { fold(digest, format+"\n", arguments...) }
+	digest := golden.NewDigest()
+	noteDigest := func(format string, arguments ...any) { digest.Printf(format+"\n", arguments...) }
 	for failing := range operations {
 		once := historyTrial{
 			note:  noteDigest,
@@ -113,7 +114,7 @@
 		}}
 		repeated.run(t)
 	}
-	fmt.Fprintf(&out, "each of %d operations failing: digest %x\n", operations, digest.Sum(nil))
+	fmt.Fprintf(&out, "each of %d operations failing: digest %s\n", operations, digest.Sum())
 	return out.String()
 }
 
--- a/internal/storage/wal/segment.go
+++ b/internal/storage/wal/segment.go
@@ -104,8 +104,8 @@
 }
 
 // writeGroup appends one group to the segment. A write that fails, as on a full disk, is undone, and the next may
-// succeed; after a sync that fails the whole state is rewritten.
-func (l *Log) writeGroup(changes []Change, durable bool) error {
+// succeed.
+func (l *Log) writeGroup(changes []Change) error {
 	body, err := encodeChanges(changes)
 	if err != nil {
 		return err
@@ -113,18 +113,10 @@
 	if len(body) > maxGroupBody {
 		return fmt.Errorf("a commit of %d bytes is more than %d", len(body), maxGroupBody)
 	}
-	if len(changes) > 0 {
-		if err := l.appendToSegment(body); err != nil {
-			return err
-		}
-	}
-	if durable {
-		if err := l.syncSegment(); err != nil {
-			return err
-		}
+	if len(changes) == 0 {
+		return nil
 	}
-	l.state.apply(changes)
-	return nil
+	return l.appendToSegment(body)
 }
 
 func (l *Log) appendToSegment(body []byte) error {
@@ -143,6 +135,7 @@
 	return nil
 }
 
+// syncSegment has all groups on disk. After a sync that fails the whole state is rewritten.
 func (l *Log) syncSegment() error {
 	began := time.Now()
 	if err := l.segment.Sync(); err != nil {
--- a/internal/storage/wal/snapshot_test.go
+++ b/internal/storage/wal/snapshot_test.go
@@ -1,8 +1,8 @@
 package wal
 
 import (
-	"fmt"
 	"maps"
+	"strconv"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -26,9 +26,9 @@
 	want := map[string]string{}
 	var snapshots atomic.Int64 // written in the background, so how many 3,000 commits lead to is chance
 	for i := 0; i < leastCommits || snapshots.Load() < wantSnapshots && i < mostCommits; i++ {
-		key, value := fmt.Sprint(i%50), strings.Repeat(fmt.Sprint(i), 20)
+		key, value := strconv.Itoa(i%50), strings.Repeat(strconv.Itoa(i), 20)
 		want[key] = value
-		l.Commit([]Change{put(key, value)}, false, func(err error) {
+		l.Commit([]Change{putText(key, value)}, false, func(err error) {
 			snapshots.Store(int64(l.Counters().Snapshots))
 			if err != nil {
 				t.Error(err)
