--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -196,11 +196,8 @@
 		ReasonNone, ReasonNoCores, ReasonNoMemory, ReasonQueueTooLong, ReasonWrongMachine,
 		ReasonOutOfMemory, ReasonPreempted, ReasonDrained,
 	} {
-		add(
-			"18 Termination, reason",
-			i,
-			&Termination{ContainerID: "container-24001", Outcome: OutcomeStopped, Reason: reason},
-		)
+		frame := &Termination{ContainerID: "container-24001", Outcome: OutcomeStopped, Reason: reason}
+		add("18 Termination, reason", i, frame)
 	}
 	for i, verdict := range []Verdict{VerdictPlaced, VerdictRejected, VerdictFailed, VerdictNotAdmitted} {
 		add("17 PlacementReply, verdict", i+1, &PlacementReply{ContainerID: "container-25001", Verdict: verdict})
@@ -209,7 +206,9 @@
 		entry := MachineEntry{Machine: "machine-26001", Address: "127.0.0.1:3", State: state}
 		add("12 MachineListUpdate, state", i, &MachineListUpdate{Entries: []MachineEntry{entry}})
 	}
-	for i, metric := range []UsageMetric{MetricRunning, MetricCoresUsed, MetricMemoryUsed, MetricServedShare, MetricMachineMemory} {
+	for i, metric := range []UsageMetric{
+		MetricRunning, MetricCoresUsed, MetricMemoryUsed, MetricServedShare, MetricMachineMemory,
+	} {
 		add("5 UsageReport, metric", i+1, &UsageReport{AttemptID: 27001, Metric: metric})
 	}
 	return frames
--- a/internal/protocol/invalid_test.go
+++ b/internal/protocol/invalid_test.go
@@ -130,9 +130,9 @@
 }
 
 func (s *invalidSet) addMalformed() {
-	names := ""
+	var names strings.Builder
 	for i := range 65 {
-		names += fmt.Sprintf("62%x00", fmt.Sprintf("%02d", i))
+		fmt.Fprintf(&names, "62%x00", fmt.Sprintf("%02d", i))
 	}
 	s.raw("nothing", "")
 	s.raw("number 0", "00")
@@ -160,7 +160,7 @@
 	s.raw("text that is no UTF-8", "168161ff")
 	s.raw("a report with one name twice", "088201a2616101616102")
 	s.raw("a report with a number for its name", "088201a10102")
-	s.raw("a report of 65 values", "088201b841"+names)
+	s.raw("a report of 65 values", "088201b841"+names.String())
 	s.raw("arrays seven deep", "0c8381818181818180")
 	s.raw("more entries than may be", "0c8300009a00100001")
 }
--- a/internal/protocol/limits_test.go
+++ b/internal/protocol/limits_test.go
@@ -66,8 +66,8 @@
 	for i := range 9 {
 		got = append(got, Reason(i).String())
 	}
-	want := "|finished||serving|placer|erred|placed|draining|machine|full|pushed back|gone|list|stopped|given up|unknown 3|" +
-		"owner|lost|turned away|unknown 4|unknown 5|unknown 5|unknown 5|unknown 5|" +
+	want := "|finished||serving|placer|erred|placed|draining|machine|full|pushed back|gone|" +
+		"list|stopped|given up|unknown 3|owner|lost|turned away|unknown 4|unknown 5|unknown 5|unknown 5|unknown 5|" +
 		"-|no cores|no memory|long queue|not here|evicted|pushed out|sent away|unknown 8"
 	if s := strings.Join(got, "|"); s != want {
 		t.Errorf("got\n%s, want\n%s", s, want)
@@ -82,9 +82,9 @@
 			got = append(got, fmt.Sprint(number, " ", Name(f)))
 		}
 	}
-	want := "1 Hello, 2 Offer, 3 Yes, 4 Result, 5 Note, 6 Withdraw, 7 Probe, 8 Probed, 9 Holds, 10 Fetch, 11 Watch, 12 Listed, " +
-		"13 Failed, 14 Beat, 15 Submit, 16 Cancel, 17 Answer, 18 Fate, 20 AskStatus, 21 Status, 22 Bye, 23 AskWhy, 24 Why, " +
-		"25 AskRoutes, 26 Routes, 27 Look"
+	want := "1 Hello, 2 Offer, 3 Yes, 4 Result, 5 Note, 6 Withdraw, 7 Probe, 8 Probed, 9 Holds, 10 Fetch, " +
+		"11 Watch, 12 Listed, 13 Failed, 14 Beat, 15 Submit, 16 Cancel, 17 Answer, 18 Fate, 20 AskStatus, " +
+		"21 Status, 22 Bye, 23 AskWhy, 24 Why, 25 AskRoutes, 26 Routes, 27 Look"
 	if names := strings.Join(got, ", "); names != want {
 		t.Errorf("got\n%s, want\n%s", names, want)
 	}
--- a/internal/protocol/reader_test.go
+++ b/internal/protocol/reader_test.go
@@ -55,13 +55,13 @@
 }
 
 // stream encodes frames one after the other.
-func stream(t testing.TB, frames ...Frame) []byte {
-	t.Helper()
+func stream(tb testing.TB, frames ...Frame) []byte {
+	tb.Helper()
 	var data []byte
 	for _, f := range frames {
 		var err error
 		if data, err = Append(data, f); err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 	}
 	return data
@@ -231,29 +231,25 @@
 // An offer there and back, by the codec in use and by the standard library's JSON.
 func BenchmarkOffer(b *testing.B) {
 	offer := &Offer{AttemptID: 9, Timeout: 3500, Spec: sampleSpec}
-	b.Run("cbor", func(b *testing.B) {
-		var data []byte
-		b.ReportAllocs()
-		for b.Loop() {
-			var err error
-			if data, err = Append(data[:0], offer); err != nil {
-				b.Fatal(err)
-			}
-			if _, err = Decode(data[lengthSize:]); err != nil {
-				b.Fatal(err)
-			}
-		}
-		b.ReportMetric(float64(len(data)), "bytes")
-	})
-	b.Run("json", func(b *testing.B) {
+	benchmarkCodec(b, "cbor",
+		func(data []byte) ([]byte, error) { return Append(data[:0], offer) },
+		func(data []byte) error { _, err := Decode(data[lengthSize:]); return err })
+	benchmarkCodec(b, "json",
+		func([]byte) ([]byte, error) { return json.Marshal(offer) },
+		func(data []byte) error { return json.Unmarshal(data, new(Offer)) })
+}
+
+func benchmarkCodec(b *testing.B, name string, encode func([]byte) ([]byte, error), decode func([]byte) error) {
+	b.Helper()
+	b.Run(name, func(b *testing.B) {
 		var data []byte
 		b.ReportAllocs()
 		for b.Loop() {
 			var err error
-			if data, err = json.Marshal(offer); err != nil {
+			if data, err = encode(data); err != nil {
 				b.Fatal(err)
 			}
-			if err = json.Unmarshal(data, new(Offer)); err != nil {
+			if err = decode(data); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/protocol/section_test.go
+++ b/internal/protocol/section_test.go
@@ -17,17 +17,7 @@
 	case reflect.Pointer:
 		words(out, path, v.Elem())
 	case reflect.Struct:
-		for i := range v.NumField() {
-			field := v.Type().Field(i)
-			if field.Name == "_" {
-				continue
-			}
-			name := field.Name
-			if tag := field.Tag.Get("cbor"); tag != "" {
-				name = tag
-			}
-			words(out, path+"."+name, v.Field(i))
-		}
+		structWords(out, path, v)
 	case reflect.Slice:
 		if v.IsNil() {
 			fmt.Fprintf(out, "%s = none\n", path)
@@ -36,14 +26,7 @@
 			words(out, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
 		}
 	case reflect.Map:
-		if v.IsNil() {
-			fmt.Fprintf(out, "%s = none\n", path)
-		}
-		keys := v.MapKeys()
-		sort.Slice(keys, func(a, b int) bool { return keys[a].String() < keys[b].String() })
-		for _, k := range keys {
-			words(out, fmt.Sprintf("%s[%s]", path, k), v.MapIndex(k))
-		}
+		mapWords(out, path, v)
 	case reflect.String:
 		fmt.Fprintf(out, "%s = %q\n", path, v.String())
 	case reflect.Bool:
@@ -59,6 +42,30 @@
 	}
 }
 
+func structWords(out *strings.Builder, path string, v reflect.Value) {
+	for field, value := range v.Fields() {
+		if field.Name == "_" {
+			continue
+		}
+		name := field.Name
+		if tag := field.Tag.Get("cbor"); tag != "" {
+			name = tag
+		}
+		words(out, path+"."+name, value)
+	}
+}
+
+func mapWords(out *strings.Builder, path string, v reflect.Value) {
+	if v.IsNil() {
+		fmt.Fprintf(out, "%s = none\n", path)
+	}
+	keys := v.MapKeys()
+	sort.Slice(keys, func(a, b int) bool { return keys[a].String() < keys[b].String() })
+	for _, k := range keys {
+		words(out, fmt.Sprintf("%s[%s]", path, k), v.MapIndex(k))
+	}
+}
+
 func describe(f Frame) string {
 	var out strings.Builder
 	words(&out, "", reflect.ValueOf(f))
--- a/internal/protocol/status.go
+++ b/internal/protocol/status.go
@@ -48,7 +48,7 @@
 	Eligible           int      `cbor:"Free"`
 	SheddingLoad       bool     `cbor:"Yielding"`
 	FullRatio          float64  `cbor:"NoRoomShare"` // share of attempts that found no room
-	ListAge            Duration `cbor:"ListAge"`     // since the last update of the machine list; below 0: there was none
+	ListAge            Duration `cbor:"ListAge"`     // since the machine list's last update; below 0: there was none
 }
 
 func (*StatusRequest) kind() kind  { return kindStatusRequest }
@@ -75,8 +75,8 @@
 	var v validator
 	v.number("share", f.FullRatio)
 	for _, count := range []int{
-		f.Machines, f.Gone, f.WrongMachineType, f.Draining, f.TooSmall, f.SelfDraining,
-		f.SpreadExhausted, f.SlowStartExhausted, f.Ejected, f.Suspected, f.InsufficientCores, f.InsufficientMemory, f.Eligible,
+		f.Machines, f.Gone, f.WrongMachineType, f.Draining, f.TooSmall, f.SelfDraining, f.SpreadExhausted,
+		f.SlowStartExhausted, f.Ejected, f.Suspected, f.InsufficientCores, f.InsufficientMemory, f.Eligible,
 	} {
 		v.count("count", count)
 	}
