--- a/internal/bgp/announce/invariants_test.go
+++ b/internal/bgp/announce/invariants_test.go
@@ -5,6 +5,7 @@
 	"strconv"
 	"testing"
 
+	_ "glenport/internal/testutil/fixedseed"
 	"glenport/scheduler"
 
 	"pgregory.net/rapid"
--- a/internal/bgp/session/invariants_test.go
+++ b/internal/bgp/session/invariants_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"glenport/internal/bgp/wire"
+	_ "glenport/internal/testutil/fixedseed"
 
 	"pgregory.net/rapid"
 )
--- a/internal/bgp/speaker/speaker_test.go
+++ b/internal/bgp/speaker/speaker_test.go
@@ -10,6 +10,7 @@
 	"glenport/internal/bgp/wire"
 	"glenport/internal/eventloop"
 	"glenport/internal/testbed/emulator"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 
 	"go.uber.org/goleak"
@@ -43,11 +44,7 @@
 // waitUntil fails the test if a condition does not hold within 20 seconds.
 func (f *fixture) waitUntil(condition string, holds func() bool) {
 	f.Helper()
-	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(end) {
-			f.Fatal("not in 20 s: " + condition)
-		}
-	}
+	testutil.WaitUntil(f, condition, holds)
 }
 
 func has(p *emulator.BGPPeer, x netip.Prefix) bool {
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -3,23 +3,17 @@
 import (
 	"bytes"
 	"errors"
-	"flag"
 	"io"
 	"net"
 	"syscall"
 	"testing"
 	"time"
 
+	_ "glenport/internal/testutil/fixedseed"
+
 	"go.uber.org/goleak"
 )
 
-// Generated histories are the same in every run; -rapid.seed=0 draws others.
-func init() {
-	if err := flag.Set("rapid.seed", "1"); err != nil {
-		panic(err)
-	}
-}
-
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // probe is a handler that passes its notifications on to the test; onRead, where set, handles the bytes in its place.
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -9,6 +9,8 @@
 	"testing"
 	"time"
 
+	"glenport/internal/testutil"
+
 	"golang.org/x/sys/unix"
 )
 
@@ -110,11 +112,7 @@
 // until waits for a state of the kernel that the next step builds on.
 func (e *exchange) until(what string, reached func() bool) {
 	e.t.Helper()
-	for deadline := time.Now().Add(20 * time.Second); !reached(); time.Sleep(100 * time.Microsecond) {
-		if time.Now().After(deadline) {
-			e.t.Fatalf("not in 20 s: %s", what)
-		}
-	}
+	testutil.WaitUntil(e.t, what, reached)
 }
 
 // ready waits until a connection of the loop has one of the events for the next iteration.
--- a/internal/storage/wal/helpers_test.go
+++ b/internal/storage/wal/helpers_test.go
@@ -1,25 +1,18 @@
 package wal
 
 import (
-	"flag"
 	"strings"
 	"testing"
 
 	"glenport/internal/storage/faultfs"
 	"glenport/internal/storage/vfs"
+	_ "glenport/internal/testutil/fixedseed"
 
 	"go.uber.org/goleak"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Histories drawn by rapid are the same in every run; -rapid.seed=0 draws others.
-func init() {
-	if err := flag.Set("rapid.seed", "1"); err != nil {
-		panic(err)
-	}
-}
-
 // fataler is the part of *testing.T and *rapid.T that the helpers need.
 type fataler interface {
 	Helper()
--- /dev/null
+++ b/internal/testutil/fixedseed/fixedseed.go
@@ -0,0 +1,15 @@
+// Package fixedseed has rapid draw the same sequences in every run of the tests that import it. The flag -rapid.seed=0
+// draws others. Only tests import it.
+package fixedseed
+
+import (
+	"flag"
+
+	_ "pgregory.net/rapid" // defines the flag
+)
+
+func init() {
+	if err := flag.Set("rapid.seed", "1"); err != nil {
+		panic(err)
+	}
+}
