--- a/internal/storage/wal/commit.go
+++ b/internal/storage/wal/commit.go
@@ -75,14 +75,14 @@
 func (l *Log) reportMode(err error, commits int) {
 	if err != nil {
 		if l.rejectedInRow == 0 {
-			l.options.OnModeChange("state not kept", "why", err)
+			l.options.OnModeChange("state log rejects commits", "error", err)
 		}
 		l.counters.Rejected += commits
 		l.rejectedInRow += commits
 		return
 	}
 	if l.rejectedInRow > 0 {
-		l.options.OnModeChange("state kept again", "commits refused", l.rejectedInRow)
+		l.options.OnModeChange("state log accepts commits again", "rejected_commits", l.rejectedInRow)
 		l.rejectedInRow = 0
 	}
 }
--- a/internal/storage/wal/compact.go
+++ b/internal/storage/wal/compact.go
@@ -39,7 +39,7 @@
 // removeOlder removes what the snapshot before group first made obsolete. Recovery removes what is left after an error.
 func (l *Log) removeOlder(first uint64) {
 	if err := removeFilesBefore(l.fs, first); err != nil {
-		l.options.OnModeChange("older state not removed", "why", err)
+		l.options.OnModeChange("obsolete files of the state log not removed", "error", err)
 	}
 }
 
--- a/internal/storage/wal/crash_test.go
+++ b/internal/storage/wal/crash_test.go
@@ -27,7 +27,7 @@
 func TestStateAfterCrashIsThatOfSomeCommit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &crashModel{fs: faultfs.New(), history: []map[string]string{{}}}
-		for range rapid.IntRange(1, 5).Draw(t, "lives") {
+		for range rapid.IntRange(1, 5).Draw(t, "incarnations") {
 			m.run(t)
 		}
 	})
@@ -51,7 +51,7 @@
 			m.durable = a.commit
 		}
 	}
-	seed := rapid.Uint64().Draw(t, "fate")
+	seed := rapid.Uint64().Draw(t, "survival")
 	m.fs = m.fs.Crash(crash, faultfs.KeepSome(rand.New(rand.NewPCG(seed, 1))))
 	if rapid.Bool().Draw(t, "crash in recovery") {
 		m.crashInRecovery(t, seed)
--- a/internal/storage/wal/snapshot.go
+++ b/internal/storage/wal/snapshot.go
@@ -21,7 +21,7 @@
 	first := l.lastGroup + 1
 	l.bytesSinceSnapshot = 0 // after an error, the next try is due when as much has been written again
 	if err := l.startSegment(first); err != nil {
-		l.options.OnModeChange("no snapshot", "why", err)
+		l.options.OnModeChange("snapshot of the state log not written", "error", err)
 		return
 	}
 	l.counters.Snapshots++
@@ -58,7 +58,7 @@
 		defer close(done)
 		size, err := writeSnapshot(l.fs, first, state)
 		if err != nil {
-			l.options.OnModeChange("no snapshot", "why", err)
+			l.options.OnModeChange("snapshot of the state log not written", "error", err)
 			return
 		}
 		l.snapshotSize = size
