--- a/internal/platform/connmanager/golden_test.go
+++ b/internal/platform/connmanager/golden_test.go
@@ -100,53 +100,41 @@
 	return ContainerTerminated{RequestID: id, Cause: s.random.IntN(50) - 1, Client: from}
 }
 
+func (s *sequence) receive() Event {
+	return BytesReceived{Client: s.client(), Partial: s.random.IntN(3) == 0}
+}
+
+func (s *sequence) acknowledge() Event {
+	return TerminationAcknowledged{RequestID: s.terminatedID(), Client: s.client()}
+}
+
 // weights say how often each event comes; a group of sequences has its own.
 type weights struct{ connect, receive, request, send, cancel, invalid, prove, reclaim, disconnect, terminate, acknowledge, tick int }
 
 func (s *sequence) event(w weights) Event {
-	n := s.random.IntN(
-		w.connect + w.receive + w.request + w.send + w.cancel + w.invalid + w.prove + w.reclaim + w.disconnect +
-			w.terminate + w.acknowledge + w.tick,
+	return golden.Draw(s.random,
+		golden.Choose(w.connect, s.connect),
+		golden.Choose(w.receive, s.receive),
+		golden.Choose(w.request, func() Event { return PlacementRequested{Client: s.client()} }),
+		golden.Choose(w.send, func() Event { return MessageSent{Client: s.client(), ClosedRequests: s.random.IntN(3)} }),
+		golden.Choose(w.cancel, func() Event { return RequestCancelled{Client: s.client()} }),
+		golden.Choose(w.invalid, func() Event { return InvalidMessageReceived{Client: s.client()} }),
+		golden.Choose(w.prove, func() Event { return OwnershipProven{Client: s.client()} }),
+		golden.Choose(w.reclaim, func() Event { return ContainerReclaimed{Client: s.client()} }),
+		golden.Choose(w.disconnect, s.disconnect),
+		golden.Choose(w.terminate, s.terminate),
+		golden.Choose(w.acknowledge, s.acknowledge),
+		golden.Choose(w.tick, func() Event { return Tick{} }),
 	)
-	for _, kind := range []struct {
-		weight int
-		make   func() Event
-	}{
-		{w.connect, s.connect},
-		{w.receive, func() Event { return BytesReceived{Client: s.client(), Partial: s.random.IntN(3) == 0} }},
-		{w.request, func() Event { return PlacementRequested{Client: s.client()} }},
-		{w.send, func() Event { return MessageSent{Client: s.client(), ClosedRequests: s.random.IntN(3)} }},
-		{w.cancel, func() Event { return RequestCancelled{Client: s.client()} }},
-		{w.invalid, func() Event { return InvalidMessageReceived{Client: s.client()} }},
-		{w.prove, func() Event { return OwnershipProven{Client: s.client()} }},
-		{w.reclaim, func() Event { return ContainerReclaimed{Client: s.client()} }},
-		{w.disconnect, s.disconnect},
-		{w.terminate, s.terminate},
-		{w.acknowledge, func() Event { return TerminationAcknowledged{RequestID: s.terminatedID(), Client: s.client()} }},
-	} {
-		if n -= kind.weight; n < 0 {
-			return kind.make()
-		}
-	}
-	return Tick{}
 }
 
-// wait lets time pass: mostly little, now and then so much that every deadline is over. A sequence on a grid meets
-// deadlines exactly.
+// wait lets time pass. A sequence on a grid meets deadlines exactly.
 func (s *sequence) wait() {
 	if s.grid > 0 {
 		s.now += s.grid * Time(s.random.IntN(4))
 		return
 	}
-	switch n := s.random.IntN(100); {
-	case n < 40:
-	case n < 70:
-		s.now += Time(s.random.IntN(int(Second / 10)))
-	case n < 98:
-		s.now += Time(s.random.IntN(int(Second)))
-	default:
-		s.now += Time(s.random.IntN(int(12 * Second)))
-	}
+	s.now += golden.DrawWait(s.random, Second)
 }
 
 func (s *sequence) run(d *digest, descriptors, batches int, w weights) {
--- a/internal/platform/failuredetector/golden_test.go
+++ b/internal/platform/failuredetector/golden_test.go
@@ -50,42 +50,25 @@
 type weights struct{ count, activity, refused, terminated, reclaimed, tick int }
 
 func (s *sequence) event(w weights) Event {
-	n := s.random.IntN(w.count + w.activity + w.refused + w.terminated + w.reclaimed + w.tick)
-	for _, kind := range []struct {
-		weight int
-		make   func() Event
-	}{
-		{w.count, func() Event { return RunningCountChanged{Machine: s.machine(), Count: s.random.IntN(4)} }},
-		{w.activity, func() Event { return ActivityObserved{Machine: s.machine()} }},
-		{w.refused, func() Event { return ConnectionRefused{Machine: s.machine()} }},
-		{w.terminated, func() Event {
+	return golden.Draw(s.random,
+		golden.Choose(w.count, func() Event { return RunningCountChanged{Machine: s.machine(), Count: s.random.IntN(4)} }),
+		golden.Choose(w.activity, func() Event { return ActivityObserved{Machine: s.machine()} }),
+		golden.Choose(w.refused, func() Event { return ConnectionRefused{Machine: s.machine()} }),
+		golden.Choose(w.terminated, func() Event {
 			return UnclaimedTermination{Machine: s.machine(), RequestID: s.request(), Cause: s.random.IntN(50) - 1}
-		}},
-		{w.reclaimed, func() Event { return ContainerReclaimed{Machine: s.machine(), RequestID: s.request()} }},
-	} {
-		if n -= kind.weight; n < 0 {
-			return kind.make()
-		}
-	}
-	return Tick{}
+		}),
+		golden.Choose(w.reclaimed, func() Event { return ContainerReclaimed{Machine: s.machine(), RequestID: s.request()} }),
+		golden.Choose(w.tick, func() Event { return Tick{} }),
+	)
 }
 
-// wait lets time pass: mostly little, now and then so much that every deadline is over. A sequence on a grid meets
-// deadlines exactly.
+// wait lets time pass. A sequence on a grid meets deadlines exactly.
 func (s *sequence) wait() {
 	if s.grid > 0 {
 		s.now += s.grid * Time(s.random.IntN(3))
 		return
 	}
-	switch n := s.random.IntN(100); {
-	case n < 40:
-	case n < 70:
-		s.now += Time(s.random.IntN(int(Second / 10)))
-	case n < 98:
-		s.now += Time(s.random.IntN(int(Second)))
-	default:
-		s.now += Time(s.random.IntN(int(12 * Second)))
-	}
+	s.now += golden.DrawWait(s.random, Second)
 }
 
 func (s *sequence) run(d *digest, batches, longest int, w weights) {
