--- a/internal/platform/connmanager/golden_test.go
+++ b/internal/platform/connmanager/golden_test.go
@@ -104,6 +104,10 @@
 	return BytesReceived{Client: s.client(), Partial: s.random.IntN(3) == 0}
 }
 
+func (s *sequence) send() Event {
+	return MessageSent{Client: s.client(), ClosedRequests: s.random.IntN(3)}
+}
+
 func (s *sequence) acknowledge() Event {
 	return TerminationAcknowledged{RequestID: s.terminatedID(), Client: s.client()}
 }
@@ -116,7 +120,7 @@
 		golden.Choose(w.connect, s.connect),
 		golden.Choose(w.receive, s.receive),
 		golden.Choose(w.request, func() Event { return PlacementRequested{Client: s.client()} }),
-		golden.Choose(w.send, func() Event { return MessageSent{Client: s.client(), ClosedRequests: s.random.IntN(3)} }),
+		golden.Choose(w.send, s.send),
 		golden.Choose(w.cancel, func() Event { return RequestCancelled{Client: s.client()} }),
 		golden.Choose(w.invalid, func() Event { return InvalidMessageReceived{Client: s.client()} }),
 		golden.Choose(w.prove, func() Event { return OwnershipProven{Client: s.client()} }),
--- a/internal/platform/failuredetector/golden_test.go
+++ b/internal/platform/failuredetector/golden_test.go
@@ -46,18 +46,26 @@
 func (s *sequence) machine() string { return fmt.Sprintf("m-%d", s.random.IntN(s.machines)) }
 func (s *sequence) request() string { return fmt.Sprintf("%016x", s.random.IntN(s.requests)) }
 
+func (s *sequence) countRunning() Event {
+	return RunningCountChanged{Machine: s.machine(), Count: s.random.IntN(4)}
+}
+
+func (s *sequence) reclaim() Event {
+	return ContainerReclaimed{Machine: s.machine(), RequestID: s.request()}
+}
+
 // weights say how often each event comes; a group of sequences has its own.
 type weights struct{ count, activity, refused, terminated, reclaimed, tick int }
 
 func (s *sequence) event(w weights) Event {
 	return golden.Draw(s.random,
-		golden.Choose(w.count, func() Event { return RunningCountChanged{Machine: s.machine(), Count: s.random.IntN(4)} }),
+		golden.Choose(w.count, s.countRunning),
 		golden.Choose(w.activity, func() Event { return ActivityObserved{Machine: s.machine()} }),
 		golden.Choose(w.refused, func() Event { return ConnectionRefused{Machine: s.machine()} }),
 		golden.Choose(w.terminated, func() Event {
 			return UnclaimedTermination{Machine: s.machine(), RequestID: s.request(), Cause: s.random.IntN(50) - 1}
 		}),
-		golden.Choose(w.reclaimed, func() Event { return ContainerReclaimed{Machine: s.machine(), RequestID: s.request()} }),
+		golden.Choose(w.reclaimed, s.reclaim),
 		golden.Choose(w.tick, func() Event { return Tick{} }),
 	)
 }
