--- a/internal/bgp/session/session_test.go
+++ b/internal/bgp/session/session_test.go
@@ -60,21 +60,24 @@
 
 // exchange starts a session and plays events; the actions of the last event and the state after it are compared.
 type exchange struct {
-	name   string
-	change func(p *PeerConfig)
-	events []Event
-	want   string
+	name, want string
+	events     []Event
+	peer       PeerConfig
 }
 
-func checkExchanges(t *testing.T, exchanges []exchange) {
+func played(name, want string, events ...Event) exchange { return exchange{name, want, events, peer()} }
+
+// with changes the configuration of an exchange's peer.
+func (e exchange) with(change func(p *PeerConfig)) exchange {
+	change(&e.peer)
+	return e
+}
+
+func checkExchanges(t *testing.T, exchanges ...exchange) {
 	t.Helper()
 	for _, tc := range exchanges {
 		t.Run(tc.name, func(t *testing.T) {
-			p := peer()
-			if tc.change != nil {
-				tc.change(&p)
-			}
-			s := New(p)
+			s := New(tc.peer)
 			actions := s.Handle(Start{})
 			for _, e := range tc.events {
 				actions = s.Handle(e)
@@ -88,164 +91,108 @@
 
 const inbound ConnID = 1_000_000
 
+func received(m wire.Message) Event { return MessageReceived{1, m} }
+
 // established are the events that establish a session on connection 1, followed by more.
 func established(more ...Event) []Event {
-	return append(
-		[]Event{ConnOpened{1, false}, MessageReceived{1, open(nil)}, MessageReceived{1, &wire.Keepalive{}}},
-		more...)
+	return append([]Event{ConnOpened{1, false}, received(open(nil)), received(&wire.Keepalive{})}, more...)
 }
 
 // openReceivedOn1 are the events up to the peer's Open, which is changed, on connection 1, followed by more.
 func openReceivedOn1(change func(o *wire.Open), more ...Event) []Event {
-	return append([]Event{ConnOpened{1, false}, MessageReceived{1, open(change)}}, more...)
+	return append([]Event{ConnOpened{1, false}, received(open(change))}, more...)
 }
 
 func passive(p *PeerConfig) { p.Passive = true }
 
 func TestSessionIsEstablishedStepByStep(t *testing.T) {
-	checkExchanges(t, []exchange{
-		{"dials", nil, nil, "dial 1; Connect"},
-		{"passive waits", passive, nil, "; Active"},
-		{"sends its Open", nil, []Event{ConnOpened{1, false}}, "open on 1; OpenSent"},
-		{"confirms", nil, openReceivedOn1(nil), "keepalive on 1; OpenConfirm"},
-		{"is established", nil, established(), "up 2; Established"},
-		{"the peer connects", passive, []Event{ConnOpened{inbound, true}}, "open on 1000000; OpenSent"},
-		{
-			"a peer without capabilities",
-			nil,
-			openReceivedOn1(func(o *wire.Open) { o.Families, o.FourOctetAS = nil, false },
-				MessageReceived{1, &wire.Keepalive{}}),
-			"up 1; Established",
-		},
-	})
+	withoutCapabilities := func(o *wire.Open) { o.Families, o.FourOctetAS = nil, false }
+	checkExchanges(t,
+		played("dials", "dial 1; Connect"),
+		played("passive waits", "; Active").with(passive),
+		played("sends its Open", "open on 1; OpenSent", ConnOpened{1, false}),
+		played("confirms", "keepalive on 1; OpenConfirm", openReceivedOn1(nil)...),
+		played("is established", "up 2; Established", established()...),
+		played("the peer connects", "open on 1000000; OpenSent", ConnOpened{inbound, true}).with(passive),
+		played("a peer without capabilities", "up 1; Established",
+			openReceivedOn1(withoutCapabilities, received(&wire.Keepalive{}))...),
+	)
 }
 
 func TestFailedAttemptIsRetriedAndAbandonedOneClosed(t *testing.T) {
-	checkExchanges(t, []exchange{
-		{"no connection", nil, []Event{ConnClosed{1}}, "; Idle"},
-		{
-			"retries after the idle hold time",
-			nil,
-			[]Event{ConnClosed{1}, TimerExpired{IdleHoldTimer}},
-			"dial 2; Connect",
-		},
-		{"an attempt that takes too long", nil, []Event{TimerExpired{ConnectRetryTimer}}, "close 1, dial 2; Connect"},
-		{
-			"and opens all the same",
-			nil,
-			[]Event{TimerExpired{ConnectRetryTimer}, ConnOpened{1, false}},
-			"close 1; Connect",
-		},
-	})
+	tooLong := TimerExpired{ConnectRetryTimer}
+	checkExchanges(t,
+		played("no connection", "; Idle", ConnClosed{1}),
+		played("retries after the idle hold time", "dial 2; Connect", ConnClosed{1}, TimerExpired{IdleHoldTimer}),
+		played("an attempt that takes too long", "close 1, dial 2; Connect", tooLong),
+		played("and opens all the same", "close 1; Connect", tooLong, ConnOpened{1, false}),
+	)
 }
 
 func TestUnacceptableOpenIsRejected(t *testing.T) {
-	checkExchanges(t, []exchange{
-		{"the wrong AS", nil, openReceivedOn1(func(o *wire.Open) { o.AS = 65003 }), "2/2 on 1, close 1; Idle"},
-		{"our identifier", nil, openReceivedOn1(func(o *wire.Open) { o.ID = peer().ID }), "2/3 on 1, close 1; Idle"},
-		{
-			"no family shared", func(p *PeerConfig) { p.Families = both[1:] },
-			openReceivedOn1(func(o *wire.Open) { o.Families = nil }), "2/7 on 1, close 1; Idle",
-		},
-		{
-			"four octets needed", func(p *PeerConfig) { p.OwnAS = 4200000001 },
-			openReceivedOn1(func(o *wire.Open) { o.FourOctetAS = false }), "2/7 on 1, close 1; Idle",
-		},
-	})
+	rejected := func(name, want string, change func(o *wire.Open)) exchange {
+		return played(name, want, openReceivedOn1(change)...)
+	}
+	checkExchanges(t,
+		rejected("the wrong AS", "2/2 on 1, close 1; Idle", func(o *wire.Open) { o.AS = 65003 }),
+		rejected("our identifier", "2/3 on 1, close 1; Idle", func(o *wire.Open) { o.ID = peer().ID }),
+		rejected("no family shared", "2/7 on 1, close 1; Idle", func(o *wire.Open) { o.Families = nil }).
+			with(func(p *PeerConfig) { p.Families = both[1:] }),
+		rejected("four octets needed", "2/7 on 1, close 1; Idle", func(o *wire.Open) { o.FourOctetAS = false }).
+			with(func(p *PeerConfig) { p.OwnAS = 4200000001 }),
+	)
 }
 
 func TestUnexpectedMessageResetsTheConnection(t *testing.T) {
-	checkExchanges(t, []exchange{
-		{
-			"keepalive before open",
-			nil,
-			[]Event{ConnOpened{1, false}, MessageReceived{1, &wire.Keepalive{}}},
-			"5/1 on 1, close 1; Idle",
-		},
-		{
-			"update before keepalive",
-			nil,
-			openReceivedOn1(nil, MessageReceived{1, &wire.Update{}}),
-			"5/2 on 1, close 1; Idle",
-		},
-		{
-			"open in an established session",
-			nil,
-			established(MessageReceived{1, open(nil)}),
-			"5/3 on 1, close 1, down; Idle",
-		},
-		{
-			"garbage",
-			nil,
-			established(MessageInvalid{1, &wire.MessageError{Notification: wire.Notification{Code: 1, Subcode: 1}}}),
-			"1/1 on 1, close 1, down; Idle",
-		},
-	})
+	garbage := &wire.MessageError{Notification: wire.Notification{Code: 1, Subcode: 1}}
+	checkExchanges(t,
+		played("keepalive before open", "5/1 on 1, close 1; Idle", ConnOpened{1, false}, received(&wire.Keepalive{})),
+		played("update before keepalive", "5/2 on 1, close 1; Idle", openReceivedOn1(nil, received(&wire.Update{}))...),
+		played("open in an established session", "5/3 on 1, close 1, down; Idle", established(received(open(nil)))...),
+		played("garbage", "1/1 on 1, close 1, down; Idle", established(MessageInvalid{1, garbage})...),
+	)
 }
 
 func TestEstablishedSessionAnswersItsPeer(t *testing.T) {
-	checkExchanges(t, []exchange{
-		{
-			"routes of the peer are not imported",
-			nil,
-			established(MessageReceived{1, &wire.Update{}}),
-			"ignored; Established",
-		},
-		{
-			"a refresh",
-			nil,
-			established(MessageReceived{1, &wire.RouteRefresh{Family: wire.IPv6}}),
-			"resend 2; Established",
-		},
-		{"sends keepalives", nil, established(TimerExpired{KeepaliveTimer}), "keepalive on 1; Established"},
-	})
+	refresh := received(&wire.RouteRefresh{Family: wire.IPv6})
+	checkExchanges(t,
+		played("routes of the peer are not imported", "ignored; Established", established(received(&wire.Update{}))...),
+		played("a refresh", "resend 2; Established", established(refresh)...),
+		played("sends keepalives", "keepalive on 1; Established", established(TimerExpired{KeepaliveTimer})...),
+	)
 }
 
 func TestSessionEndsInIdle(t *testing.T) {
-	checkExchanges(t, []exchange{
-		{"silent", nil, established(TimerExpired{HoldTimer}), "4/0 on 1, close 1, down; Idle"},
-		{"no open in time", nil, []Event{ConnOpened{1, false}, TimerExpired{HoldTimer}}, "4/0 on 1, close 1; Idle"},
-		{"the connection ends", nil, established(ConnClosed{1}), "down; Idle"},
-		{
-			"the peer ends it",
-			nil,
-			established(MessageReceived{1, wire.NewShutdown("maintenance")}),
-			"close 1, down; Idle",
-		},
-		{"stopped", nil, established(Stop{"maintenance"}), "6/2 on 1, close 1, down; Idle"},
-		{"stopped, and stays so", nil, established(Stop{"maintenance"}, TimerExpired{IdleHoldTimer}), "; Idle"},
-	})
+	shutdown, stop := received(wire.NewShutdown("maintenance")), Stop{"maintenance"}
+	checkExchanges(t,
+		played("silent", "4/0 on 1, close 1, down; Idle", established(TimerExpired{HoldTimer})...),
+		played("no open in time", "4/0 on 1, close 1; Idle", ConnOpened{1, false}, TimerExpired{HoldTimer}),
+		played("the connection ends", "down; Idle", established(ConnClosed{1})...),
+		played("the peer ends it", "close 1, down; Idle", established(shutdown)...),
+		played("stopped", "6/2 on 1, close 1, down; Idle", established(stop)...),
+		played("stopped, and stays so", "; Idle", established(stop, TimerExpired{IdleHoldTimer})...),
+	)
 }
 
 func TestConnectionThatNoStateExpectsIsClosed(t *testing.T) {
-	checkExchanges(t, []exchange{
-		{
-			"while established",
-			nil,
-			established(ConnOpened{inbound, true}),
-			"6/5 on 1000000, close 1000000; Established",
-		},
-		{"while stopped", nil, established(Stop{""}, ConnOpened{inbound, true}), "6/5 on 1000000, close 1000000; Idle"},
-	})
+	opened := ConnOpened{inbound, true}
+	checkExchanges(t,
+		played("while established", "6/5 on 1000000, close 1000000; Established", established(opened)...),
+		played("while stopped", "6/5 on 1000000, close 1000000; Idle", established(Stop{""}, opened)...),
+	)
 }
 
 func TestCollisionLeavesTheConnectionOfTheHigherIdentifier(t *testing.T) {
-	opened := []Event{ConnOpened{1, false}, ConnOpened{inbound, true}, MessageReceived{1, open(nil)}}
+	opened := []Event{ConnOpened{1, false}, ConnOpened{inbound, true}, received(open(nil))}
 	both := append(slices.Clone(opened), MessageReceived{inbound, open(nil)})
-	checkExchanges(t, []exchange{
-		{
-			"the peer's is higher: the inbound one stays",
-			nil,
-			both,
-			"6/7 on 1, close 1, keepalive on 1000000; OpenConfirm",
-		},
-		{
-			"ours is higher: the dialed one stays", func(p *PeerConfig) { p.ID = [4]byte{10, 0, 0, 99} }, both,
-			"6/7 on 1000000, close 1000000; OpenConfirm",
-		},
-		{
-			"the other had sent no Open", nil, append(slices.Clone(opened), MessageReceived{1, &wire.Keepalive{}}),
-			"6/7 on 1000000, close 1000000, up 2; Established",
-		},
-	})
+	established := append(slices.Clone(opened), received(&wire.Keepalive{}))
+	higher := func(p *PeerConfig) { p.ID = [4]byte{10, 0, 0, 99} }
+	checkExchanges(t,
+		played("the peer's is higher: the inbound one stays",
+			"6/7 on 1, close 1, keepalive on 1000000; OpenConfirm", both...),
+		played("ours is higher: the dialed one stays",
+			"6/7 on 1000000, close 1000000; OpenConfirm", both...).with(higher),
+		played("the other had sent no Open",
+			"6/7 on 1000000, close 1000000, up 2; Established", established...),
+	)
 }
