--- a/internal/controller/pending/golden_test.go
+++ b/internal/controller/pending/golden_test.go
@@ -25,17 +25,14 @@
 			now, facts := randomFacts(random, group)
 			all := Explain(now, facts)
 			reasons += len(all)
-			var text []byte
 			for _, r := range all {
 				line, err := json.Marshal(r) // figures in order of their names
 				if err != nil {
 					t.Fatal(err)
 				}
-				text = fmt.Appendf(text, "%s %d\n", line, r.Until)
-			}
-			if _, err := sum.Write(append(text, '\n')); err != nil {
-				t.Fatal(err)
+				sum.Printf("%s %d\n", line, r.Until)
 			}
+			sum.Printf("\n")
 		}
 		fmt.Fprintf(&got, "group %d: %d reasons, sha256 %s\n", group, reasons, sum.Sum())
 	}
--- a/internal/storage/wal/helpers_test.go
+++ b/internal/storage/wal/helpers_test.go
@@ -1,32 +1,25 @@
 package wal
 
 import (
-	"flag"
 	"strings"
 	"testing"
 
 	"glenport/internal/storage/faultfs"
 	"glenport/internal/storage/vfs"
+	_ "glenport/internal/testutil/fixedseed"
 
 	"go.uber.org/goleak"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Histories drawn by rapid are the same in every run; -rapid.seed=0 draws others.
-func init() {
-	if err := flag.Set("rapid.seed", "1"); err != nil {
-		panic(err)
-	}
-}
-
 // fataler is the part of *testing.T and *rapid.T that the helpers need.
 type fataler interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-func put(key, value string) Change { return Change{Kind: "k", Key: key, Value: []byte(value)} }
+func putText(key, value string) Change { return Change{Kind: "k", Key: key, Value: []byte(value)} }
 
 // commitAndWait commits and returns what the done function was called with.
 func commitAndWait(l *Log, durable bool, changes ...Change) error {
@@ -124,9 +117,10 @@
 	}
 }
 
-func mustFlipBit(t fataler, fs *faultfs.FS, name string, bit int) {
+// mustFlipBit damages the first segment.
+func mustFlipBit(t fataler, fs *faultfs.FS, bit int) {
 	t.Helper()
-	if err := fs.FlipBit(name, bit); err != nil {
+	if err := fs.FlipBit(firstSegment, bit); err != nil {
 		t.Fatal(err)
 	}
 }
