--- a/cmd/glenport-testbed/load.go
+++ b/cmd/glenport-testbed/load.go
@@ -37,7 +37,7 @@
 	c.Flags().DurationVar(&l.length, "length", 10*time.Second, "of each measurement")
 	c.Flags().DurationVar(&l.runtime, "runtime", 2*time.Second, "of each container")
 	formerFlag(c, "life", "runtime")
-	c.Flags().StringVar(&l.template, "scheduler-config", "scenarios/scheduler.yaml", "template of the scheduler's settings")
+	c.Flags().StringVar(&l.template, "scheduler-config", "scenarios/scheduler.yaml", "template of its settings")
 	formerFlag(c, "placer-file", "scheduler-config")
 	return c
 }
--- a/internal/testbed/bench/bench.go
+++ b/internal/testbed/bench/bench.go
@@ -119,7 +119,7 @@
 }
 
 func (b *Cluster) listen() (net.Listener, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := process.Listen()
 	if err == nil {
 		b.listeners = append(b.listeners, l)
 	}
--- a/internal/testbed/crashcheck/crashcheck.go
+++ b/internal/testbed/crashcheck/crashcheck.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"math/rand/v2"
 	"sort"
+	"strconv"
 	"strings"
 
 	"glenport/internal/storage/faultfs"
@@ -76,7 +77,7 @@
 func randomChanges(n int, r *rand.Rand) []wal.Change {
 	changes := []wal.Change{{Kind: "count", Key: "n", Value: fmt.Append(nil, n+1)}}
 	for range r.IntN(4) {
-		change := wal.Change{Kind: "job", Key: fmt.Sprint(r.IntN(20))}
+		change := wal.Change{Kind: "job", Key: strconv.Itoa(r.IntN(20))}
 		if r.IntN(3) > 0 {
 			change.Value = []byte(strings.Repeat(string(rune('a'+r.IntN(26))), r.IntN(700)+1))
 		}
--- a/internal/testbed/load/api.go
+++ b/internal/testbed/load/api.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -20,7 +21,7 @@
 
 const (
 	longestDelay   = 60_000_000 // of a histogram, in microseconds
-	waitingJob     = "many"
+	pendingJob     = "many"
 	whyRequests    = 2000
 	requestClients = 8
 	requestTime    = 4 * time.Second
@@ -52,26 +53,26 @@
 
 // MeasureAPI measures a controller with many containers pending on full machines: what a why costs, how many requests
 // it answers a second, and how long a change takes to many watchers.
-func MeasureAPI(spec bench.Spec, waiting, watchers int, out io.Writer) error {
+func MeasureAPI(spec bench.Spec, pending, watchers int, out io.Writer) error {
 	spec.Capacity = bench.Full
 	b, controller, err := bench.StartWithController(spec)
 	if err != nil {
 		return err
 	}
 	defer b.Close()
-	if err := createPending(controller, waiting); err != nil {
+	if err := createPending(controller, pending); err != nil {
 		return err
 	}
 	api := &apiReader{
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}},
 		base:   "http://" + controller.APIAddr,
 	}
-	whys, err := api.measureWhy(waiting)
+	whys, err := api.measureWhy(pending)
 	if err != nil {
 		return err
 	}
-	report.Printf(out, "why, %d containers pending, %d machines: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms\n", waiting, spec.Machines,
-		whys.quantile(50), whys.quantile(99), whys.quantile(99.9))
+	report.Printf(out, "why, %d containers pending, %d machines: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms\n",
+		pending, spec.Machines, whys.quantile(50), whys.quantile(99), whys.quantile(99.9))
 	rate, err := api.measureRequests()
 	if err != nil {
 		return err
@@ -82,16 +83,16 @@
 
 // createPending creates a job whose containers pend, and waits until the last of them does.
 func createPending(k *process.Controller, n int) error {
-	if err := k.CreateJob(waitingJob, process.WorkloadMatcher, n, 1, 1); err != nil {
+	if err := k.CreateJob(pendingJob, process.WorkloadMatcher, n, 1, 1); err != nil {
 		return err
 	}
 	err := process.WaitUntil("all are pending", time.Minute, func() bool {
 		var all struct{ Items []any }
 		return k.Get(
-			fmt.Sprintf("/v1/containers?limit=1000&after=%s.%d&field=state=waiting", waitingJob, n-2),
+			fmt.Sprintf("/v1/containers?limit=1000&after=%s.%d&field=state=waiting", pendingJob, n-2),
 			&all,
 		) == nil &&
-			k.Get("/v1/containers/"+waitingJob+".0/why", nil) == nil &&
+			k.Get("/v1/containers/"+pendingJob+".0/why", nil) == nil &&
 			len(all.Items) > 0
 	})
 	time.Sleep(3 * time.Second) // the schedulers' first retries are over
@@ -105,11 +106,15 @@
 }
 
 func (a *apiReader) get(path string) error {
-	response, err := a.client.Get(a.base + path)
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, a.base+path, http.NoBody)
 	if err != nil {
 		return err
 	}
-	defer process.CloseQuietly(response.Body)
+	response, err := a.client.Do(request)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = response.Body.Close() }() // it has been read to its end
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		return err
 	}
@@ -119,11 +124,11 @@
 	return nil
 }
 
-func (a *apiReader) measureWhy(waiting int) (*delays, error) {
+func (a *apiReader) measureWhy(pending int) (*delays, error) {
 	measured := newDelays()
 	for i := range whyRequests {
 		began := time.Now()
-		if err := a.get(fmt.Sprintf("/v1/containers/%s.%d/why", waitingJob, i*7%waiting)); err != nil {
+		if err := a.get(fmt.Sprintf("/v1/containers/%s.%d/why", pendingJob, i*7%pending)); err != nil {
 			return nil, err
 		}
 		measured.record(began)
@@ -140,7 +145,7 @@
 	for i := range requestClients {
 		requesting.Go(func() {
 			for time.Since(began) < requestTime && errs[i] == nil {
-				if errs[i] = a.get("/v1/jobs/" + waitingJob); errs[i] == nil {
+				if errs[i] = a.get("/v1/jobs/" + pendingJob); errs[i] == nil {
 					done.Add(1)
 				}
 			}
@@ -188,16 +193,9 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	watching.Wait()
-	report.Printf(
-		out,
-		"%d watchers, %d changes: from the request to the line p50 %.1f ms, p99 %.1f ms, worst %.1f ms; %d lines missed\n",
-		watchers,
-		watchedChanges,
-		f.delays.quantile(50),
-		f.delays.quantile(99),
-		f.delays.quantile(100),
-		f.missed.Load(),
-	)
+	report.Printf(out, "%d watchers, %d changes: from the request to the line p50 %.1f ms, p99 %.1f ms, "+
+		"worst %.1f ms; %d lines missed\n", watchers, watchedChanges,
+		f.delays.quantile(50), f.delays.quantile(99), f.delays.quantile(100), f.missed.Load())
 	return nil
 }
 
--- a/internal/testbed/load/bgp.go
+++ b/internal/testbed/load/bgp.go
@@ -80,7 +80,7 @@
 		_ = b.loop.Run() // a loop that ended early leaves a wait below without its condition
 	})
 	b.onLoop(func() {
-		b.speaker = speaker.New(b.loop, config, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		b.speaker = speaker.New(b.loop, config, slog.New(slog.DiscardHandler))
 		err = b.speaker.Start()
 	})
 	return err
--- a/internal/testbed/load/jobs.go
+++ b/internal/testbed/load/jobs.go
@@ -55,18 +55,11 @@
 	if err != nil {
 		return err
 	}
-	report.Printf(
-		out,
-		"%d jobs at %d a second, %d machines: request to running in a watch p50 %.1f ms, p99 %.1f ms (of it the first "+
-			"100 ms at most are the controller's jitter); at the scheduler submission to first attempt p50 %.2f ms, p99 %.2f ms\n",
-		running,
-		rate,
-		spec.Machines,
-		load.delays.quantile(50),
-		load.delays.quantile(99),
-		stats["placing p50"],
-		stats["placing p99"],
-	)
+	report.Printf(out, "%d jobs at %d a second, %d machines: request to running in a watch p50 %.1f ms, p99 %.1f ms "+
+		"(of it the first 100 ms at most are the controller's jitter); "+
+		"at the scheduler submission to first attempt p50 %.2f ms, p99 %.2f ms\n",
+		running, rate, spec.Machines, load.delays.quantile(50), load.delays.quantile(99),
+		stats["placing p50"], stats["placing p99"])
 	return nil
 }
 
--- a/internal/testbed/load/scheduler.go
+++ b/internal/testbed/load/scheduler.go
@@ -77,7 +77,7 @@
 
 // submitSteadily submits at even intervals, whatever the replies, and counts those that say placed.
 func submitSteadily(address string, load Submissions) (int, error) {
-	c, err := net.Dial("tcp", address)
+	c, err := process.Dial(address)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/testbed/process/api.go
+++ b/internal/testbed/process/api.go
@@ -2,12 +2,14 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
 	"net/http"
 )
 
+// Get reads an object or a list of the API.
 func (k *Controller) Get(path string, into any) error {
 	return k.Do(http.MethodGet, path, nil, into)
 }
@@ -46,7 +48,7 @@
 		}
 		body = bytes.NewReader(encoded)
 	}
-	request, err := http.NewRequest(method, "http://"+k.APIAddr+path, body)
+	request, err := http.NewRequestWithContext(context.Background(), method, "http://"+k.APIAddr+path, body)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -57,14 +59,19 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	defer CloseQuietly(response.Body)
+	defer func() { _ = response.Body.Close() }() // it has been read to its end
 	data, err = io.ReadAll(response.Body)
 	return response.StatusCode, data, err
 }
 
 // Watch opens a watch of a kind of object, one JSON line for each event.
 func (k *Controller) Watch(kind string) (io.ReadCloser, error) {
-	response, err := http.Get("http://" + k.APIAddr + "/v1/watch?kinds=" + kind)
+	url := "http://" + k.APIAddr + "/v1/watch?kinds=" + kind
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, http.NoBody)
+	if err != nil {
+		return nil, err
+	}
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/process/controller.go
+++ b/internal/testbed/process/controller.go
@@ -1,6 +1,7 @@
 package process
 
 import (
+	"context"
 	"fmt"
 	"os"
 	"os/exec"
@@ -11,11 +12,12 @@
 	"glenport/internal/config"
 )
 
+// ControllerTimeout bounds the time until a controller answers and knows all machines.
+const ControllerTimeout = 20 * time.Second
+
 const (
-	ControllerTimeout = 20 * time.Second // until a controller answers and knows all machines
-	jobTimeout        = 30 * time.Second // until a job runs or has ended
-	pageLimit         = 1000             // items that the API lists at most at once
-	HourMS            = 3600_000
+	jobTimeout = 30 * time.Second // until a job runs or has ended
+	pageLimit  = 1000             // items that the API lists at most at once
 )
 
 // Controller is a controller's process and a client of its API.
@@ -75,8 +77,9 @@
 	})
 }
 
+// Launch starts the process.
 func (k *Controller) Launch() error {
-	k.process = exec.Command(k.program, "controller", "-c", k.file)
+	k.process = exec.CommandContext(context.Background(), k.program, "controller", "-c", k.file)
 	log, err := os.OpenFile(k.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
@@ -94,4 +97,5 @@
 	}
 }
 
+// Terminate ends the process in an orderly way.
 func (k *Controller) Terminate() { k.Signal(syscall.SIGTERM) }
--- a/internal/testbed/process/jobs.go
+++ b/internal/testbed/process/jobs.go
@@ -5,6 +5,9 @@
 	"net/http"
 )
 
+// HourMS is how long the containers of a job run.
+const HourMS = 3600_000
+
 // The states of a container in the API.
 const (
 	anyState     = ""
@@ -40,6 +43,7 @@
 	return k.Do(http.MethodPut, "/v1/jobs/"+id, NewJobSpec(id, workload, count, cores, memory), nil)
 }
 
+// NewJobSpec returns a job whose service has the job's name.
 func NewJobSpec(id, workload string, count int, cores, memory float64) JobSpec {
 	return JobSpec{
 		ID:        id,
--- a/internal/testbed/process/protocol.go
+++ b/internal/testbed/process/protocol.go
@@ -1,6 +1,7 @@
 package process
 
 import (
+	"context"
 	"net"
 	"time"
 
@@ -10,9 +11,21 @@
 // Tick is the resolution of times in settings files, in frames and in the decisions of schedulers.
 const Tick = 100 * time.Microsecond
 
+// Dial connects to a listener.
+func Dial(address string) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: dialTimeout}
+	return dialer.DialContext(context.Background(), "tcp", address)
+}
+
+// Listen listens on a port of the system's choice.
+func Listen() (net.Listener, error) {
+	var config net.ListenConfig
+	return config.Listen(context.Background(), "tcp", "127.0.0.1:0")
+}
+
 // DialProtocol connects to a listener, sends frames and bounds whatever else is done on the connection.
 func DialProtocol(address string, timeout time.Duration, frames ...protocol.Frame) (net.Conn, error) {
-	c, err := net.DialTimeout("tcp", address, dialTimeout)
+	c, err := Dial(address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/process/scheduler.go
+++ b/internal/testbed/process/scheduler.go
@@ -3,8 +3,8 @@
 package process
 
 import (
+	"context"
 	"fmt"
-	"net"
 	"os"
 	"os/exec"
 	"runtime"
@@ -70,7 +70,7 @@
 	go func() {
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
-		command := exec.Command(p.command[0], append(p.command[1:], "-c", p.File)...)
+		command := exec.CommandContext(context.Background(), p.command[0], append(p.command[1:], "-c", p.File)...)
 		command.Stderr = p.log
 		command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 		if err := command.Start(); err != nil {
@@ -87,7 +87,7 @@
 
 func (p *Scheduler) waitListening() error {
 	for end := time.Now().Add(startTimeout); ; time.Sleep(5 * time.Millisecond) {
-		if c, err := net.Dial("tcp", p.Address); err == nil {
+		if c, err := Dial(p.Address); err == nil {
 			return c.Close()
 		}
 		select {
@@ -159,7 +159,7 @@
 // freePort returns a port of the system's choice. It is closed again before the process opens it, which leaves a
 // moment for another program to take it: the start then fails with an error.
 func freePort() (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := Listen()
 	if err != nil {
 		return "", err
 	}
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -4,6 +4,7 @@
 import (
 	"fmt"
 	"io"
+	"strings"
 
 	"glenport/internal/testbed/audit"
 
@@ -30,13 +31,13 @@
 	if len(byRule) == 0 {
 		return
 	}
-	summary := ""
+	var summary strings.Builder
 	for rule := audit.RuleFinalReply; rule <= audit.LastRule; rule++ {
 		if byRule[rule] > 0 {
-			summary += fmt.Sprintf(" %d (%d times or more)", rule, byRule[rule])
+			fmt.Fprintf(&summary, " %d (%d times or more)", rule, byRule[rule])
 		}
 	}
-	Printf(out, "rules: broken:%s\n", summary)
+	Printf(out, "rules: broken:%s\n", summary.String())
 }
 
 // QuantileMS is a quantile, in milliseconds, of a histogram in microseconds.
--- a/internal/testbed/scenario/aliases_test.go
+++ b/internal/testbed/scenario/aliases_test.go
@@ -4,15 +4,13 @@
 	"os"
 	"path/filepath"
 	"reflect"
-	"slices"
 	"strings"
 	"testing"
 
 	"glenport/internal/config"
-	"glenport/internal/config/strictyaml"
 )
 
-func load(t *testing.T, path string) *Scenario {
+func readScenario(t *testing.T, path string) *Scenario {
 	t.Helper()
 	s, err := Load(path)
 	if err != nil {
@@ -25,8 +23,8 @@
 func TestOldScenarioFilesReadTheSame(t *testing.T) {
 	for _, name := range []string{"bad-day", "short", "storm", "why"} {
 		t.Run(name, func(t *testing.T) {
-			old := load(t, "testdata/legacy/"+name+".yaml")
-			current := load(t, "../../../scenarios/"+name+".yaml")
+			old := readScenario(t, "testdata/legacy/"+name+".yaml")
+			current := readScenario(t, "../../../scenarios/"+name+".yaml")
 			if len(old.Deprecations) == 0 || len(current.Deprecations) != 0 {
 				t.Errorf("deprecations: %v in the old file, %v in the new one", old.Deprecations, current.Deprecations)
 			}
@@ -54,12 +52,12 @@
 
 // The long old file has every key that was renamed.
 func TestEachOldKeyIsReadAndNamed(t *testing.T) {
-	deprecations := load(t, "testdata/legacy/bad-day.yaml").Deprecations
+	deprecations := readScenario(t, "testdata/legacy/bad-day.yaml").Deprecations
 	for _, alias := range keyAliases {
 		t.Run(alias.Section+" "+alias.Old, func(t *testing.T) {
-			count := 0
+			today, count := strings.TrimPrefix(alias.Section+"."+alias.New, "."), 0
 			for _, d := range deprecations {
-				if d.New == strings.TrimPrefix(alias.Section+"."+alias.New, ".") && strings.HasSuffix(d.Old, alias.Old) {
+				if d.New == today && strings.HasSuffix(d.Old, alias.Old) {
 					count++
 				}
 			}
@@ -85,12 +83,14 @@
 			path := filepath.Join(dir, "scenario.yaml")
 			writeFile(t, filepath.Join(dir, "scheduler.yaml"), template)
 			writeFile(t, path, []byte(strings.Replace(string(text), "kind: burst", `kind: "`+alias.Old+`"`, 1)))
-			s := load(t, path)
-			last := s.Faults[len(s.Faults)-2] // in place of the burst
-			if string(last.Kind) != alias.New || !slices.ContainsFunc(s.Deprecations, func(d strictyaml.Deprecation) bool {
-				return d.Old == "faults.kind: "+alias.Old && d.New == "faults.kind: "+alias.New
-			}) {
-				t.Errorf("got %q, %v", last.Kind, s.Deprecations)
+			s := readScenario(t, path)
+			fault := s.Faults[len(s.Faults)-2] // in place of the burst
+			if string(fault.Kind) != alias.New {
+				t.Errorf("got %q, want %q", fault.Kind, alias.New)
+			}
+			want := "faults.kind: " + alias.Old + " is faults.kind: " + alias.New
+			if got := s.Deprecations; len(got) != 1 || got[0].Old+" is "+got[0].New != want {
+				t.Errorf("got %v, want one that says %s", got, want)
 			}
 		})
 	}
--- a/internal/testbed/scenario/file.go
+++ b/internal/testbed/scenario/file.go
@@ -55,7 +55,12 @@
 		path  string
 		value any
 	}
-	sections := []section{{"", *f}, {"machine", f.Machine}, {"machine.slow_start", f.Machine.SlowStart}, {"machine_list", f.List}}
+	sections := []section{
+		{"", *f},
+		{"machine", f.Machine},
+		{"machine.slow_start", f.Machine.SlowStart},
+		{"machine_list", f.List},
+	}
 	for i := range f.Machines {
 		sections = append(sections, section{fmt.Sprintf("machines[%d]", i), f.Machines[i]})
 	}
@@ -99,7 +104,8 @@
 		s.Zones = append(s.Zones, zone.Value)
 	}
 	for _, m := range f.Machines {
-		s.MachineCounts = append(s.MachineCounts, cluster.MachineCount{MachineType: m.MachineType.Value, PerZone: m.PerZone.Value})
+		count := cluster.MachineCount{MachineType: m.MachineType.Value, PerZone: m.PerZone.Value}
+		s.MachineCounts = append(s.MachineCounts, count)
 	}
 	return s
 }
@@ -130,7 +136,8 @@
 			return nil, err
 		}
 		if len(section.Cores) == 0 || len(section.Cores) != len(section.Memory) || section.Services.Value == 0 {
-			return nil, source.ErrorAt(section.Class.Position, "a workload needs services, and as many memories as cores")
+			const message = "a workload needs services, and as many memories as cores"
+			return nil, source.ErrorAt(section.Class.Position, message)
 		}
 		workloads[class] = section.profile(settings.Policy.WorkloadClasses[class])
 	}
--- a/internal/testbed/scenario/replay.go
+++ b/internal/testbed/scenario/replay.go
@@ -55,31 +55,18 @@
 	for _, c := range s.MachineCounts {
 		machines += c.PerZone * len(s.Zones)
 	}
-	report.Printf(
-		out,
-		"replay of a day of %s, SCALED DOWN: %d machines for %d, %d schedulers for %d, %.0f submissions per second\n",
-		day.Site,
-		machines,
-		len(day.Servers),
-		s.Schedulers,
-		len(day.Schedulers),
-		rate,
-	)
+	report.Printf(out, "replay of a day of %s, SCALED DOWN: %d machines for %d, %d schedulers for %d, "+
+		"%.0f submissions per second\n",
+		day.Site, machines, len(day.Servers), s.Schedulers, len(day.Schedulers), rate)
 	for i := range day.Faults {
 		simulated := &day.Faults[i]
 		fault, ok := day.counterpart(simulated)
+		kind, at := simulated.Kind, fault.At.Seconds()
 		if !ok {
-			report.Printf(out, "left out: %s at %.1f s has no counterpart on sockets\n", simulated.Kind, fault.At.Seconds())
+			report.Printf(out, "left out: %s at %.1f s has no counterpart on sockets\n", kind, at)
 			continue
 		}
-		report.Printf(
-			out,
-			"%s at %.1f s is played as %s%s\n",
-			simulated.Kind,
-			fault.At.Seconds(),
-			fault.Kind,
-			fault.Describe(s.Zones),
-		)
+		report.Printf(out, "%s at %.1f s is played as %s%s\n", kind, at, fault.Kind, fault.Describe(s.Zones))
 		s.Faults = append(s.Faults, fault)
 	}
 	return s, nil
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -43,10 +43,8 @@
 
 // shortScenario is a scenario with one scheduler and no faults.
 func shortScenario(t *testing.T) *Scenario {
-	d, err := Load("../../../scenarios/short.yaml")
-	if err != nil {
-		t.Fatal(err)
-	}
+	t.Helper()
+	d := readScenario(t, "../../../scenarios/short.yaml")
 	d.Schedulers, d.Faults = 1, nil
 	return d
 }
@@ -71,7 +69,8 @@
 // runs twice though its clients retry all of it.
 func TestSchedulerKilledWith500AttemptsRunsNothingTwice(t *testing.T) {
 	d, dir := shortScenario(t), t.TempDir()
-	d.Machine.StartTime, d.Machine.MaxQueuedOffers, d.Machine.ConcurrentStarts, d.Machine.ImageMissFactor = 150*time.Millisecond, 1000, 3, 1
+	d.Machine.StartTime, d.Machine.ImageMissFactor = 150*time.Millisecond, 1
+	d.Machine.MaxQueuedOffers, d.Machine.ConcurrentStarts = 1000, 3
 	d.Workloads = []emulator.WorkloadProfile{{}, {}, {
 		Share: 1, Services: 400, Cores: []float64{0.1}, Memory: []float64{0.1}, MeanRuntime: 30 * time.Second,
 		PlacementTimeout: 4 * time.Second, RetryRejected: true, RetryUnanswered: true,
@@ -83,7 +82,7 @@
 	defer c.Shutdown()
 	p := c.Schedulers[0]
 	c.Clients.Start(4000, 1)
-	requireWithin30s(t, "500 bids out", func() bool {
+	requireWithin30s(t, "500 attempts are open", func() bool {
 		s, err := p.Status()
 		return err == nil && s["bids"] > 500 && s["containers running"] > 20 &&
 			s["containers known"]-s["containers running"] > 500
@@ -98,15 +97,13 @@
 	if err := c.StartScheduler(p); err != nil {
 		t.Fatal(err)
 	}
-	requireWithin30s(t, "what runs is taken over", func() bool {
+	requireWithin30s(t, "what runs is adopted", func() bool {
 		s, err := p.Status()
 		return err == nil && int(s["containers taken over"]) >= ran
 	})
-	requireWithin30s(
-		t,
-		"what was lost is asked for again, and answered",
-		func() bool { return c.Clients.Retried() >= 400 && c.Clients.Pending() == 0 },
-	)
+	requireWithin30s(t, "what was lost is retried, and answered", func() bool {
+		return c.Clients.Retried() >= 400 && c.Clients.Pending() == 0
+	})
 	tally := c.Clients.Close()
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
@@ -170,7 +167,8 @@
 func TestReplayPlaysTheCounterpartsOfSimulatedFaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "day.json")
 	writeFile(t, path, []byte(`{"site":"s","length":9000000,"servers":[{},{},{},{}],"balancers":[{},{}],"troubles":[
-		{"kind":"mass_restart","at":1000000,"len":500000,"on":[1,2]},{"kind":"balancer_crash","at":2000000,"len":1,"on":[0]},
+		{"kind":"mass_restart","at":1000000,"len":500000,"on":[1,2]},
+		{"kind":"balancer_crash","at":2000000,"len":1,"on":[0]},
 		{"kind":"report_late","at":1,"len":2}]}`))
 	var out bytes.Buffer
 	d, err := LoadReplay(path, "../../../scenarios/short.yaml", 100, &out)
--- a/internal/testbed/scenario/schema.go
+++ b/internal/testbed/scenario/schema.go
@@ -35,7 +35,7 @@
 	MaxQueuedOffers  strictyaml.Count    `yaml:"max_queued_offers"`
 	ConcurrentStarts strictyaml.Count    `yaml:"concurrent_starts"`
 	StartTime        strictyaml.Duration `yaml:"start_time"`
-	ImageMissFactor  strictyaml.Float    `yaml:"image_miss_factor"` // by which a start takes longer without a cached image
+	ImageMissFactor  strictyaml.Float    `yaml:"image_miss_factor"` // for a start without a cached image
 	CachedImages     strictyaml.Count    `yaml:"cached_images"`
 	SlowStart        slowStartSection    `yaml:"slow_start"`
 	MemoryDrift      strictyaml.Float    `yaml:"memory_drift"` // of what a container uses
--- a/internal/testbed/simulation/client.go
+++ b/internal/testbed/simulation/client.go
@@ -50,7 +50,7 @@
 	if c.tries > 1 {
 		sim.Seconds[int(sim.now/scheduler.Second)].Retried++
 	}
-	s := sim.schedulers[sim.rng.IntN(len(sim.schedulers))]
+	s := sim.instances[sim.rng.IntN(len(sim.instances))]
 	scheduled := c.scheduledRetry
 	c.scheduledRetry = false
 	if scheduled {
--- a/internal/testbed/simulation/scheduler.go
+++ b/internal/testbed/simulation/scheduler.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"maps"
 	"slices"
+	"strconv"
 
 	"glenport/internal/schedulerd/overload"
 	"glenport/scheduler"
@@ -101,7 +102,7 @@
 	s.requests[id] = &simRequest{container: c, submitted: sim.now, deadline: deadline}
 	s.handle(scheduler.RequestReceived{PlacementRequest: scheduler.PlacementRequest{
 		ID:             id,
-		IdempotencyKey: fmt.Sprint(c.number),
+		IdempotencyKey: strconv.Itoa(c.number),
 		Service:        fmt.Sprint("s", c.workloadClass, "-", c.number%simServices),
 		WorkloadClass:  c.workloadClass,
 		Cores:          simCores,
--- a/internal/testbed/simulation/simulation.go
+++ b/internal/testbed/simulation/simulation.go
@@ -26,15 +26,15 @@
 	SchedulersRestartAt scheduler.Time
 	DropLimiterState    bool
 
-	now        scheduler.Time
-	seq        uint64
-	events     simEvents
-	rng        *rand.Rand
-	terms      scheduler.Config
-	schedulers []*simScheduler
-	fleet      []*simMachine
-	byID       map[scheduler.MachineID]*simMachine
-	nextID     int
+	now       scheduler.Time
+	seq       uint64
+	events    simEvents
+	rng       *rand.Rand
+	terms     scheduler.Config
+	instances []*simScheduler
+	fleet     []*simMachine
+	byID      map[scheduler.MachineID]*simMachine
+	nextID    int
 
 	Seconds []SimSecond
 	Actions int
@@ -79,7 +79,11 @@
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
 func (h simEvents) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *simEvents) Push(x any)   { *h = append(*h, x.(simEvent)) }
+func (h *simEvents) Push(x any) {
+	event, _ := x.(simEvent) // schedule pushes nothing else
+	*h = append(*h, event)
+}
+
 func (h *simEvents) Pop() any {
 	old := *h
 	x := old[len(old)-1]
@@ -168,12 +172,12 @@
 		t := sim.terms
 		t.SchedulerIndex, t.Seed = i, sim.Seed*1000+uint64(i)
 		p := &simScheduler{simulation: sim, config: t}
-		sim.schedulers = append(sim.schedulers, p)
+		sim.instances = append(sim.instances, p)
 		p.start()
 	}
 	if sim.SchedulersRestartAt > 0 {
 		sim.schedule(sim.SchedulersRestartAt, func() {
-			for _, p := range sim.schedulers {
+			for _, p := range sim.instances {
 				p.restart()
 			}
 		})
@@ -183,7 +187,7 @@
 		sim.schedule(sim.RestartAt, func() { sim.restartMachines() })
 	}
 	for len(sim.events) > 0 && sim.events[0].at <= sim.Length {
-		e := heap.Pop(&sim.events).(simEvent)
+		e, _ := heap.Pop(&sim.events).(simEvent) // there is nothing else on the heap
 		sim.now = e.at
 		e.do()
 	}
@@ -217,7 +221,7 @@
 		m.crash()
 	}
 	report := func() {
-		for _, p := range sim.schedulers {
+		for _, p := range sim.instances {
 			p.handle(scheduler.MachineListUpdate{Mode: scheduler.DeltaUpdate, Entries: sim.machineList(which)})
 		}
 	}
--- a/internal/testbed/trials/bgp/client.go
+++ b/internal/testbed/trials/bgp/client.go
@@ -32,7 +32,7 @@
 
 // connect connects to a scheduler as a client and reads replies.
 func connect(address string) (*client, error) {
-	connection, err := net.Dial("tcp", address)
+	connection, err := process.Dial(address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/trials/bgp/ends.go
+++ b/internal/testbed/trials/bgp/ends.go
@@ -112,7 +112,8 @@
 			measured.count++
 			_ = measured.delays.RecordValue(max(1, late.Milliseconds())) // longer than its range is a miss below
 			if late > withdrawalLimit {
-				t.Missf("peer %d received the withdrawal of %s %v after its last container's end", k, update.Prefix, late)
+				t.Missf("peer %d received the withdrawal of %s %v after its last container's end",
+					k, update.Prefix, late)
 			}
 		}
 	}
--- a/internal/testbed/trials/bgp/partition.go
+++ b/internal/testbed/trials/bgp/partition.go
@@ -46,6 +46,7 @@
 	if err := t.client.send(&protocol.CancelContainer{ContainerID: id, IdempotencyKey: id}); err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("withdrawn %.1f s after the partition began, announced %.1f s after its end", withdrawn.Seconds(), back.Seconds()),
-		t.waitWithdrawn("the route is withdrawn", peer, service)
+	figures := fmt.Sprintf("withdrawn %.1f s after the partition began, announced %.1f s after its end",
+		withdrawn.Seconds(), back.Seconds())
+	return figures, t.waitWithdrawn("the route is withdrawn", peer, service)
 }
--- a/internal/testbed/trials/bgp/peers.go
+++ b/internal/testbed/trials/bgp/peers.go
@@ -44,8 +44,9 @@
 		RouterID: [4]byte{192, 0, 2, 5},
 		Services: map[string]announce.Service{},
 	}
+	nextHop := netip.AddrFrom4(settings.RouterID)
 	for i := range services {
-		settings.Services[serviceName(i)] = announce.Service{Prefix: prefix(i), NextHop: netip.MustParseAddr("192.0.2.5")}
+		settings.Services[serviceName(i)] = announce.Service{Prefix: prefix(i), NextHop: nextHop}
 	}
 	for i := range 2 {
 		p := &emulator.BGPPeer{
--- a/internal/testbed/trials/bgp/protocolerrors.go
+++ b/internal/testbed/trials/bgp/protocolerrors.go
@@ -64,7 +64,8 @@
 	if err := t.client.send(&protocol.CancelContainer{ContainerID: id}); err != nil {
 		return "", err
 	}
-	return "each ends its session, which is established again; the other is not touched", t.waitUntil("the route is withdrawn", func() bool {
+	const figures = "each ends its session, which is established again; the other is not touched"
+	return figures, t.waitUntil("the route is withdrawn", func() bool {
 		return !announced(bad, service) && !announced(good, service)
 	})
 }
--- a/internal/testbed/trials/overload/simulated.go
+++ b/internal/testbed/trials/overload/simulated.go
@@ -43,7 +43,8 @@
 func (r *simulatedRuns) add(s *simulation.Simulation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.recoveries[s.Damping] = append(r.recoveries[s.Damping], simulation.EvaluateRecovery(s.Goodput(), simulatedRestartAt))
+	recovery := simulation.EvaluateRecovery(s.Goodput(), simulatedRestartAt)
+	r.recoveries[s.Damping] = append(r.recoveries[s.Damping], recovery)
 	r.actions += s.Actions
 	r.scheduled += s.ScheduledRetries
 	r.admitted += s.AdmittedRetries
--- a/internal/testbed/trials/restart/commits.go
+++ b/internal/testbed/trials/restart/commits.go
@@ -18,7 +18,11 @@
 	microseconds := took.Microseconds()
 	s.count.Add(1)
 	s.total.Add(microseconds)
-	for worst := s.worst.Load(); microseconds > worst && !s.worst.CompareAndSwap(worst, microseconds); worst = s.worst.Load() {
+	for {
+		worst := s.worst.Load()
+		if microseconds <= worst || s.worst.CompareAndSwap(worst, microseconds) {
+			return
+		}
 	}
 }
 
--- a/internal/testbed/trials/restart/jobclient.go
+++ b/internal/testbed/trials/restart/jobclient.go
@@ -116,17 +116,18 @@
 	for _, job := range listed {
 		acknowledged, ok := c.jobs[job.ID]
 		seen[job.ID] = true
-		switch {
-		case !ok:
+		if !ok {
 			report("job %s exists, its deletion was acknowledged", job.ID)
-		case job.Version != acknowledged.version || job.Count != acknowledged.spec.Count || job.Workload != acknowledged.spec.Workload:
-			report(
-				"job %s is %+v, acknowledged was version %d of %+v",
-				job.ID,
-				job,
-				acknowledged.version,
-				acknowledged.spec,
-			)
+			continue
+		}
+		want := listedJob{
+			ID:       job.ID,
+			Workload: acknowledged.spec.Workload,
+			Count:    acknowledged.spec.Count,
+			Version:  acknowledged.version,
+		}
+		if job != want {
+			report("job %s is %+v, acknowledged was %+v", job.ID, job, want)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
--- a/internal/testbed/trials/restart/start.go
+++ b/internal/testbed/trials/restart/start.go
@@ -87,14 +87,9 @@
 	if err := placeContainer(b.Scheduler.Address, spec); err != nil {
 		return err
 	}
-	t.Printf(
-		"start of a scheduler, %d containers in its log: listening after %.0f ms, first container placed after %.0f ms, "+
-			"first retried at-most-once one after %.0f ms\n",
-		n,
-		milliseconds(listening),
-		milliseconds(first),
-		milliseconds(time.Since(began)),
-	)
+	t.Printf("start of a scheduler, %d containers in its log: listening after %.0f ms, "+
+		"first container placed after %.0f ms, first retried at-most-once one after %.0f ms\n",
+		n, milliseconds(listening), milliseconds(first), milliseconds(time.Since(began)))
 	return nil
 }
 
@@ -122,12 +117,9 @@
 	}); err != nil {
 		return err
 	}
-	t.Printf(
-		"start of a controller, %d containers in its log: API open after %.0f ms, first container running after %.0f ms\n",
-		n,
-		milliseconds(listening),
-		milliseconds(time.Since(began)),
-	)
+	t.Printf("start of a controller, %d containers in its log: API open after %.0f ms, "+
+		"first container running after %.0f ms\n",
+		n, milliseconds(listening), milliseconds(time.Since(began)))
 	return nil
 }
 
