--- a/internal/testbed/bench/bench.go
+++ b/internal/testbed/bench/bench.go
@@ -30,7 +30,6 @@
 type Cluster struct {
 	Dir        string
 	Scheduler  *process.Scheduler
-	controller *process.Controller // nil without one
 	list       net.Listener
 	listeners  []net.Listener
 	stop       chan struct{}
@@ -39,9 +38,6 @@
 
 // Close ends all that was started.
 func (b *Cluster) Close() {
-	if b.controller != nil {
-		b.controller.Terminate()
-	}
 	if b.Scheduler != nil {
 		b.Scheduler.Close(syscall.SIGKILL)
 	}
@@ -154,23 +150,23 @@
 	})
 }
 
-// StartWithController starts a bench and a controller before its scheduler, which is ended with the bench, and returns
-// when the controller knows all machines.
-func StartWithController(spec Spec) (*Cluster, *process.Controller, error) {
+// WithController starts a bench and a controller before its scheduler, calls run when the controller knows all
+// machines, and ends both.
+func WithController(spec Spec, run func(*Cluster, *process.Controller) error) error {
 	b, err := Start(spec)
 	if err != nil {
-		return nil, nil, err
+		return err
 	}
+	defer b.Close()
 	controller, err := b.NewController(spec.Program[0], filepath.Join(b.Dir, "controller.state"))
-	if err == nil {
-		b.controller = controller
-		err = controller.Start(spec.Machines)
-	}
 	if err != nil {
-		b.Close()
-		return nil, nil, err
+		return err
+	}
+	defer controller.Terminate()
+	if err := controller.Start(spec.Machines); err != nil {
+		return err
 	}
-	return b, controller, nil
+	return run(b, controller)
 }
 
 // NewController returns a controller before the bench's scheduler, not started yet, with its state in a folder.
--- a/internal/testbed/cluster/spec.go
+++ b/internal/testbed/cluster/spec.go
@@ -71,13 +71,13 @@
 
 // machineDefaults adds to the cluster's machine what the scheduler's settings promise of all machines.
 func (s *Spec) machineDefaults(settings *config.Scheduler) emulator.MachineSpec {
-	terms := settings.Policy
+	policy := settings.Policy
 	shape := s.Machine
-	shape.AcceptCores, shape.AcceptMemory = terms.CoresOvercommit, terms.MemoryOvercommit
-	shape.SlowStartPeriod = time.Duration(terms.SlowStartPeriod) * process.Tick
-	shape.SlowStartWindow = time.Duration(terms.SlowStartWindow) * process.Tick
-	shape.AcceptMeansRunning, shape.UsageReports = terms.AcceptMeansRunning, terms.UsageReports
-	for _, class := range terms.WorkloadClasses {
+	shape.AcceptCores, shape.AcceptMemory = policy.CoresOvercommit, policy.MemoryOvercommit
+	shape.SlowStartPeriod = time.Duration(policy.SlowStartPeriod) * process.Tick
+	shape.SlowStartWindow = time.Duration(policy.SlowStartWindow) * process.Tick
+	shape.AcceptMeansRunning, shape.UsageReports = policy.AcceptMeansRunning, policy.UsageReports
+	for _, class := range policy.WorkloadClasses {
 		shape.RequiredMachineType = append(shape.RequiredMachineType, class.MachineType)
 		shape.EvictionRank = append(shape.EvictionRank, int(class.PriorityWeight*100))
 	}
--- a/internal/testbed/cluster/start.go
+++ b/internal/testbed/cluster/start.go
@@ -44,9 +44,9 @@
 }
 
 func (c *Cluster) startRecording(s Spec) (err error) {
-	terms := c.Config.Policy
-	terms.SchedulerCount = s.Schedulers
-	header := faultproxy.Header{Config: terms, DrainGrace: s.DrainGrace, Slack: s.Slack}
+	policy := c.Config.Policy
+	policy.SchedulerCount = s.Schedulers
+	header := faultproxy.Header{Config: policy, DrainGrace: s.DrainGrace, Slack: s.Slack}
 	if c.recording, err = faultproxy.Create(c.recordingPath(), header); err != nil {
 		return err
 	}
--- a/internal/testbed/load/api.go
+++ b/internal/testbed/load/api.go
@@ -55,11 +55,16 @@
 // it answers a second, and how long a change takes to many watchers.
 func MeasureAPI(spec bench.Spec, pending, watchers int, out io.Writer) error {
 	spec.Capacity = bench.Full
-	b, controller, err := bench.StartWithController(spec)
-	if err != nil {
-		return err
-	}
-	defer b.Close()
+	return bench.WithController(spec, func(_ *bench.Cluster, controller *process.Controller) error {
+		if err := measureReads(controller, pending, spec.Machines, out); err != nil {
+			return err
+		}
+		return measureFanOut(controller, watchers, out)
+	})
+}
+
+// measureReads measures how long the reasons of pending containers take, and how many requests are answered a second.
+func measureReads(controller *process.Controller, pending, machines int, out io.Writer) error {
 	if err := createPending(controller, pending); err != nil {
 		return err
 	}
@@ -72,27 +77,27 @@
 		return err
 	}
 	report.Printf(out, "why, %d containers pending, %d machines: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms\n",
-		pending, spec.Machines, whys.quantile(50), whys.quantile(99), whys.quantile(99.9))
+		pending, machines, whys.quantile(50), whys.quantile(99), whys.quantile(99.9))
 	rate, err := api.measureRequests()
 	if err != nil {
 		return err
 	}
 	report.Printf(out, "requests answered: %.0f a second, %d clients\n", rate, requestClients)
-	return measureFanOut(controller, watchers, out)
+	return nil
 }
 
 // createPending creates a job whose containers pend, and waits until the last of them does.
-func createPending(k *process.Controller, n int) error {
-	if err := k.CreateJob(pendingJob, process.WorkloadMatcher, n, 1, 1); err != nil {
+func createPending(controller *process.Controller, n int) error {
+	if err := controller.CreateJob(pendingJob, process.WorkloadMatcher, n, 1, 1); err != nil {
 		return err
 	}
 	err := process.WaitUntil("all are pending", time.Minute, func() bool {
 		var all struct{ Items []any }
-		return k.Get(
+		return controller.Get(
 			fmt.Sprintf("/v1/containers?limit=1000&after=%s.%d&field=state=waiting", pendingJob, n-2),
 			&all,
 		) == nil &&
-			k.Get("/v1/containers/"+pendingJob+".0/why", nil) == nil &&
+			controller.Get("/v1/containers/"+pendingJob+".0/why", nil) == nil &&
 			len(all.Items) > 0
 	})
 	time.Sleep(3 * time.Second) // the schedulers' first retries are over
@@ -163,8 +168,8 @@
 }
 
 // measureFanOut changes a job and measures when each watcher reads of it.
-func measureFanOut(k *process.Controller, watchers int, out io.Writer) error {
-	if err := k.CreateJob(watchedJob, process.WorkloadMatcher, 0, 1, 1); err != nil {
+func measureFanOut(controller *process.Controller, watchers int, out io.Writer) error {
+	if err := controller.CreateJob(watchedJob, process.WorkloadMatcher, 0, 1, 1); err != nil {
 		return err
 	}
 	f := &fanOut{delays: newDelays()}
@@ -172,7 +177,7 @@
 	ready.Add(watchers)
 	for range watchers {
 		watching.Go(func() {
-			events, err := k.Watch("jobs")
+			events, err := controller.Watch("jobs")
 			ready.Done()
 			if err != nil {
 				f.missed.Add(watchedChanges)
@@ -187,7 +192,7 @@
 		job := process.NewJobSpec(watchedJob, process.WorkloadMatcher, 0, 1, 1)
 		job.RunForMS = i + 1 // by which watchers know the change
 		f.sent[i].Store(time.Now().UnixNano())
-		if err := k.Do(http.MethodPut, "/v1/jobs/"+watchedJob, job, nil); err != nil {
+		if err := controller.Do(http.MethodPut, "/v1/jobs/"+watchedJob, job, nil); err != nil {
 			return err
 		}
 		time.Sleep(50 * time.Millisecond)
--- a/internal/testbed/load/jobs.go
+++ b/internal/testbed/load/jobs.go
@@ -28,39 +28,49 @@
 // MeasureJobs measures the way through a controller: from the request to the line of a watch that says running, against
 // machines that answer at once.
 func MeasureJobs(spec bench.Spec, rate int, length time.Duration, out io.Writer) error {
-	b, controller, err := bench.StartWithController(spec)
-	if err != nil {
-		return err
-	}
-	defer b.Close()
-	total := int(float64(rate) * length.Seconds())
-	load := &jobLoad{controller: controller, rate: rate, sent: make([]atomic.Int64, total), delays: newDelays()}
-	events, err := controller.Watch("containers")
+	return bench.WithController(spec, func(b *bench.Cluster, controller *process.Controller) error {
+		total := int(float64(rate) * length.Seconds())
+		load := &jobLoad{
+			controller: controller,
+			rate:       rate,
+			sent:       make([]atomic.Int64, total),
+			delays:     newDelays(),
+		}
+		running, err := load.run()
+		if err != nil {
+			return err
+		}
+		stats, err := b.Scheduler.Status()
+		if err != nil {
+			return err
+		}
+		report.Printf(out, "%d jobs at %d a second, %d machines: request to running in a watch p50 %.1f ms, "+
+			"p99 %.1f ms (of it the first 100 ms at most are the controller's jitter); "+
+			"at the scheduler submission to first attempt p50 %.2f ms, p99 %.2f ms\n",
+			running, rate, spec.Machines, load.delays.quantile(50), load.delays.quantile(99),
+			stats["placing p50"], stats["placing p99"])
+		return nil
+	})
+}
+
+// run creates the jobs and returns how many run, which must be all.
+func (l *jobLoad) run() (running int, err error) {
+	events, err := l.controller.Watch("containers")
 	if err != nil {
-		return err
+		return 0, err
 	}
 	defer process.CloseQuietly(events)
 	done := make(chan int, 1)
-	go func() { done <- load.readRunning(events) }()
-	if err := load.createJobs(); err != nil {
-		return err
+	go func() { done <- l.readRunning(events) }()
+	if err := l.createJobs(); err != nil {
+		return 0, err
 	}
-	var running int
 	select {
 	case running = <-done:
+		return running, nil
 	case <-time.After(10 * time.Second):
-		return fmt.Errorf("not all of %d jobs run", total)
-	}
-	stats, err := b.Scheduler.Status()
-	if err != nil {
-		return err
+		return 0, fmt.Errorf("not all of %d jobs run", len(l.sent))
 	}
-	report.Printf(out, "%d jobs at %d a second, %d machines: request to running in a watch p50 %.1f ms, p99 %.1f ms "+
-		"(of it the first 100 ms at most are the controller's jitter); "+
-		"at the scheduler submission to first attempt p50 %.2f ms, p99 %.2f ms\n",
-		running, rate, spec.Machines, load.delays.quantile(50), load.delays.quantile(99),
-		stats["placing p50"], stats["placing p99"])
-	return nil
 }
 
 // readRunning reads events until all jobs run, and returns how many do.
--- a/internal/testbed/process/api.go
+++ b/internal/testbed/process/api.go
@@ -10,13 +10,13 @@
 )
 
 // Get reads an object or a list of the API.
-func (k *Controller) Get(path string, into any) error {
-	return k.Do(http.MethodGet, path, nil, into)
+func (c *Controller) Get(path string, into any) error {
+	return c.Do(http.MethodGet, path, nil, into)
 }
 
 // Do sends a request and decodes its response, unless into is nil.
-func (k *Controller) Do(method, path string, in, into any) error {
-	status, data, err := k.request(method, path, "", in)
+func (c *Controller) Do(method, path string, in, into any) error {
+	status, data, err := c.request(method, path, "", in)
 	if err != nil {
 		return err
 	}
@@ -30,8 +30,8 @@
 }
 
 // ChangeJob changes a job, by an idempotency key that a retry has too, and returns the job's version.
-func (k *Controller) ChangeJob(method, path, key string, in any) (status int, version int64, err error) {
-	status, data, err := k.request(method, path, key, in)
+func (c *Controller) ChangeJob(method, path, key string, in any) (status int, version int64, err error) {
+	status, data, err := c.request(method, path, key, in)
 	var job struct{ Version int64 }
 	if err == nil && status < http.StatusMultipleChoices && len(data) > 0 {
 		err = json.Unmarshal(data, &job)
@@ -39,7 +39,7 @@
 	return status, job.Version, err
 }
 
-func (k *Controller) request(method, path, key string, in any) (status int, data []byte, err error) {
+func (c *Controller) request(method, path, key string, in any) (status int, data []byte, err error) {
 	var body io.Reader
 	if in != nil {
 		encoded, err := json.Marshal(in)
@@ -48,7 +48,7 @@
 		}
 		body = bytes.NewReader(encoded)
 	}
-	request, err := http.NewRequestWithContext(context.Background(), method, "http://"+k.APIAddr+path, body)
+	request, err := http.NewRequestWithContext(context.Background(), method, "http://"+c.APIAddr+path, body)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -65,8 +65,8 @@
 }
 
 // Watch opens a watch of a kind of object, one JSON line for each event.
-func (k *Controller) Watch(kind string) (io.ReadCloser, error) {
-	url := "http://" + k.APIAddr + "/v1/watch?kinds=" + kind
+func (c *Controller) Watch(kind string) (io.ReadCloser, error) {
+	url := "http://" + c.APIAddr + "/v1/watch?kinds=" + kind
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, http.NoBody)
 	if err != nil {
 		return nil, err
--- a/internal/testbed/process/controller.go
+++ b/internal/testbed/process/controller.go
@@ -66,36 +66,36 @@
 }
 
 // Start starts the process and waits until it knows so many machines.
-func (k *Controller) Start(machines int) error {
-	if err := k.Launch(); err != nil {
+func (c *Controller) Start(machines int) error {
+	if err := c.Launch(); err != nil {
 		return err
 	}
 	return WaitUntil("the controller answers and knows all machines", ControllerTimeout, func() bool {
 		var all struct{ Items []any }
-		return k.Get(fmt.Sprintf("/v1/machines?limit=%d", pageLimit), &all) == nil &&
+		return c.Get(fmt.Sprintf("/v1/machines?limit=%d", pageLimit), &all) == nil &&
 			len(all.Items) == min(machines, pageLimit)
 	})
 }
 
 // Launch starts the process.
-func (k *Controller) Launch() error {
-	k.process = exec.CommandContext(context.Background(), k.program, "controller", "-c", k.file)
-	log, err := os.OpenFile(k.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+func (c *Controller) Launch() error {
+	c.process = exec.CommandContext(context.Background(), c.program, "controller", "-c", c.file)
+	log, err := os.OpenFile(c.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
 	defer CloseQuietly(log) // the process has a descriptor of its own
-	k.process.Stderr = log
-	return k.process.Start()
+	c.process.Stderr = log
+	return c.process.Start()
 }
 
 // Signal sends a signal that ends the process and waits for its exit.
-func (k *Controller) Signal(s syscall.Signal) {
-	if k.process != nil && k.process.Process != nil {
-		_ = k.process.Process.Signal(s) // fails only if the process has exited already
-		_ = k.process.Wait()            // a process that was killed has no clean exit
+func (c *Controller) Signal(s syscall.Signal) {
+	if c.process != nil && c.process.Process != nil {
+		_ = c.process.Process.Signal(s) // fails only if the process has exited already
+		_ = c.process.Wait()            // a process that was killed has no clean exit
 	}
 }
 
 // Terminate ends the process in an orderly way.
-func (k *Controller) Terminate() { k.Signal(syscall.SIGTERM) }
+func (c *Controller) Terminate() { c.Signal(syscall.SIGTERM) }
--- a/internal/testbed/process/jobs.go
+++ b/internal/testbed/process/jobs.go
@@ -34,13 +34,13 @@
 }
 
 // CreateJob creates a job whose service has the job's name.
-func (k *Controller) CreateJob(id, workload string, count int, cores, memory float64) error {
-	return k.Do(http.MethodPost, "/v1/jobs", NewJobSpec(id, workload, count, cores, memory), nil)
+func (c *Controller) CreateJob(id, workload string, count int, cores, memory float64) error {
+	return c.Do(http.MethodPost, "/v1/jobs", NewJobSpec(id, workload, count, cores, memory), nil)
 }
 
 // ReplaceJob replaces a job by one whose service has the job's name.
-func (k *Controller) ReplaceJob(id, workload string, count int, cores, memory float64) error {
-	return k.Do(http.MethodPut, "/v1/jobs/"+id, NewJobSpec(id, workload, count, cores, memory), nil)
+func (c *Controller) ReplaceJob(id, workload string, count int, cores, memory float64) error {
+	return c.Do(http.MethodPut, "/v1/jobs/"+id, NewJobSpec(id, workload, count, cores, memory), nil)
 }
 
 // NewJobSpec returns a job whose service has the job's name.
@@ -57,17 +57,17 @@
 }
 
 // DeleteJob deletes a job and waits until its containers have ended.
-func (k *Controller) DeleteJob(id string) error {
-	if err := k.Do(http.MethodDelete, "/v1/jobs/"+id, nil, nil); err != nil {
+func (c *Controller) DeleteJob(id string) error {
+	if err := c.Do(http.MethodDelete, "/v1/jobs/"+id, nil, nil); err != nil {
 		return err
 	}
-	return WaitUntil(id+" has ended", jobTimeout, func() bool { return k.CountContainers(id, anyState) == 0 })
+	return WaitUntil(id+" has ended", jobTimeout, func() bool { return c.CountContainers(id, anyState) == 0 })
 }
 
 // CountContainers counts a job's containers in a state; it returns -1 if the API does not answer.
-func (k *Controller) CountContainers(job, state string) int {
+func (c *Controller) CountContainers(job, state string) int {
 	var all struct{ Items []struct{ State string } }
-	if k.Get(fmt.Sprintf("/v1/containers?limit=%d&field=job=%s", pageLimit, job), &all) != nil {
+	if c.Get(fmt.Sprintf("/v1/containers?limit=%d&field=job=%s", pageLimit, job), &all) != nil {
 		return -1
 	}
 	n := 0
@@ -80,19 +80,19 @@
 }
 
 // CountByState counts the containers of all jobs in a state; it returns -1 if the API does not answer.
-func (k *Controller) CountByState(state string) int {
+func (c *Controller) CountByState(state string) int {
 	var all struct{ Items []any }
-	if k.Get(fmt.Sprintf("/v1/containers?limit=%d&field=state=%s", pageLimit, state), &all) != nil {
+	if c.Get(fmt.Sprintf("/v1/containers?limit=%d&field=state=%s", pageLimit, state), &all) != nil {
 		return -1
 	}
 	return len(all.Items)
 }
 
 // WaitRunning waits until exactly n containers of a job run.
-func (k *Controller) WaitRunning(job string, n int) error {
+func (c *Controller) WaitRunning(job string, n int) error {
 	return WaitUntil(
 		fmt.Sprintf("%d of %s run", n, job),
 		jobTimeout,
-		func() bool { return k.CountContainers(job, StateRunning) == n },
+		func() bool { return c.CountContainers(job, StateRunning) == n },
 	)
 }
--- a/internal/testbed/process/settings.go
+++ b/internal/testbed/process/settings.go
@@ -9,26 +9,30 @@
 
 // WriteSchedulerSettings writes a scheduler's settings file and reports what the scheduler itself would refuse of it.
 func WriteSchedulerSettings(path string, settings *config.Scheduler) error {
-	text, err := settings.Encode()
-	if err != nil {
+	if err := writeSettings(path, settings.Encode); err != nil {
 		return err
 	}
-	if err := os.WriteFile(path, text, 0o644); err != nil {
-		return fmt.Errorf("write the settings of scheduler %s: %w", settings.Name, err)
-	}
-	_, err = config.LoadScheduler(path)
+	_, err := config.LoadScheduler(path)
 	return err
 }
 
 // writeControllerSettings does so for a controller; schedulerFile is the scheduler's settings file that it names.
 func writeControllerSettings(path string, settings *config.Controller, schedulerFile string) error {
-	text, err := settings.Encode(schedulerFile)
+	encode := func() ([]byte, error) { return settings.Encode(schedulerFile) }
+	if err := writeSettings(path, encode); err != nil {
+		return err
+	}
+	_, err := config.LoadController(path)
+	return err
+}
+
+func writeSettings(path string, encode func() ([]byte, error)) error {
+	text, err := encode()
 	if err != nil {
 		return err
 	}
 	if err := os.WriteFile(path, text, 0o644); err != nil {
-		return fmt.Errorf("write the settings of controller %s: %w", settings.Name, err)
+		return fmt.Errorf("write settings: %w", err)
 	}
-	_, err = config.LoadController(path)
-	return err
+	return nil
 }
--- a/internal/testbed/scenario/aliases_test.go
+++ b/internal/testbed/scenario/aliases_test.go
@@ -1,8 +1,6 @@
 package scenario
 
 import (
-	"os"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
@@ -69,21 +67,9 @@
 }
 
 func TestEachOldKindOfFaultIsReadAndNamed(t *testing.T) {
-	text, err := os.ReadFile("../../../scenarios/short.yaml")
-	if err != nil {
-		t.Fatal(err)
-	}
-	template, err := os.ReadFile("../../../scenarios/scheduler.yaml")
-	if err != nil {
-		t.Fatal(err)
-	}
 	for _, alias := range kindAliases {
 		t.Run(alias.Old, func(t *testing.T) {
-			dir := t.TempDir()
-			path := filepath.Join(dir, "scenario.yaml")
-			writeFile(t, filepath.Join(dir, "scheduler.yaml"), template)
-			writeFile(t, path, []byte(strings.Replace(string(text), "kind: burst", `kind: "`+alias.Old+`"`, 1)))
-			s := readScenario(t, path)
+			s := readScenario(t, writeShortScenario(t, "kind: burst", `kind: "`+alias.Old+`"`))
 			fault := s.Faults[len(s.Faults)-2] // in place of the burst
 			if string(fault.Kind) != alias.New {
 				t.Errorf("got %q, want %q", fault.Kind, alias.New)
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -44,9 +44,9 @@
 // shortScenario is a scenario with one scheduler and no faults.
 func shortScenario(t *testing.T) *Scenario {
 	t.Helper()
-	d := readScenario(t, "../../../scenarios/short.yaml")
-	d.Schedulers, d.Faults = 1, nil
-	return d
+	s := readScenario(t, "../../../scenarios/short.yaml")
+	s.Schedulers, s.Faults = 1, nil
+	return s
 }
 
 func writeFile(t *testing.T, path string, data []byte) {
@@ -56,6 +56,23 @@
 	}
 }
 
+// writeShortScenario writes the short scenario with a part of it replaced, and the template that it names.
+func writeShortScenario(t *testing.T, replaced, replacement string) (path string) {
+	t.Helper()
+	dir := t.TempDir()
+	for _, name := range []string{"short.yaml", "scheduler.yaml"} {
+		text, err := os.ReadFile(filepath.Join("../../../scenarios", name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if name == "short.yaml" {
+			text = []byte(strings.Replace(string(text), replaced, replacement, 1))
+		}
+		writeFile(t, filepath.Join(dir, name), text)
+	}
+	return filepath.Join(dir, "short.yaml")
+}
+
 func requireWithin30s(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
@@ -68,14 +85,14 @@
 // The next incarnation cancels what has not started and adopts what runs, and no idempotency key of at-most-once work
 // runs twice though its clients retry all of it.
 func TestSchedulerKilledWith500AttemptsRunsNothingTwice(t *testing.T) {
-	d, dir := shortScenario(t), t.TempDir()
-	d.Machine.StartTime, d.Machine.ImageMissFactor = 150*time.Millisecond, 1
-	d.Machine.MaxQueuedOffers, d.Machine.ConcurrentStarts = 1000, 3
-	d.Workloads = []emulator.WorkloadProfile{{}, {}, {
+	s, dir := shortScenario(t), t.TempDir()
+	s.Machine.StartTime, s.Machine.ImageMissFactor = 150*time.Millisecond, 1
+	s.Machine.MaxQueuedOffers, s.Machine.ConcurrentStarts = 1000, 3
+	s.Workloads = []emulator.WorkloadProfile{{}, {}, {
 		Share: 1, Services: 400, Cores: []float64{0.1}, Memory: []float64{0.1}, MeanRuntime: 30 * time.Second,
 		PlacementTimeout: 4 * time.Second, RetryRejected: true, RetryUnanswered: true,
 	}}
-	c, err := cluster.Start(d.Spec, dir, []string{os.Args[0], schedulerArgument})
+	c, err := cluster.Start(s.Spec, dir, []string{os.Args[0], schedulerArgument})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,23 +100,23 @@
 	p := c.Schedulers[0]
 	c.Clients.Start(4000, 1)
 	requireWithin30s(t, "500 attempts are open", func() bool {
-		s, err := p.Status()
-		return err == nil && s["bids"] > 500 && s["containers running"] > 20 &&
-			s["containers known"]-s["containers running"] > 500
+		stats, err := p.Status()
+		return err == nil && stats["bids"] > 500 && stats["containers running"] > 20 &&
+			stats["containers known"]-stats["containers running"] > 500
 	})
 	c.Clients.SetRate(0)
 	c.KillScheduler(p)
 	ran := 0
 	for _, m := range c.Machines {
-		s, _ := m.Status()
-		ran += s.Running
+		status, _ := m.Status()
+		ran += status.Running
 	}
 	if err := c.StartScheduler(p); err != nil {
 		t.Fatal(err)
 	}
 	requireWithin30s(t, "what runs is adopted", func() bool {
-		s, err := p.Status()
-		return err == nil && int(s["containers taken over"]) >= ran
+		stats, err := p.Status()
+		return err == nil && int(stats["containers taken over"]) >= ran
 	})
 	requireWithin30s(t, "what was lost is retried, and answered", func() bool {
 		return c.Clients.Retried() >= 400 && c.Clients.Pending() == 0
@@ -108,24 +125,24 @@
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
 	}
-	j, err := audit.CheckRecording(filepath.Join(dir, "record"))
+	findings, err := audit.CheckRecording(filepath.Join(dir, "record"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !j.Passed() || tally.DuplicateReplies > 0 || tally.Unanswered < 400 {
-		t.Errorf("%v; %+v", j.Violations, tally)
+	if !findings.Passed() || tally.DuplicateReplies > 0 || tally.Unanswered < 400 {
+		t.Errorf("%v; %+v", findings.Violations, tally)
 	}
 }
 
 // The zone comes back in slow start, at the same addresses and under load.
 func TestZoneComesBackInSlowStart(t *testing.T) {
-	d, dir := shortScenario(t), t.TempDir()
-	d.Length, d.Schedulers = 3*time.Second, 2
-	d.Faults = []faults.Fault{
+	s, dir := shortScenario(t), t.TempDir()
+	s.Length, s.Schedulers = 3*time.Second, 2
+	s.Faults = []faults.Fault{
 		{Kind: faults.KindZoneRestart, At: 500 * time.Millisecond, Duration: 300 * time.Millisecond, Zone: 1},
 	}
 	var out bytes.Buffer
-	o, err := d.Run(dir, []string{os.Args[0], schedulerArgument}, &out)
+	o, err := s.Run(dir, []string{os.Args[0], schedulerArgument}, &out)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,14 +153,6 @@
 
 // The error names what is wrong.
 func TestInvalidScenarioFileIsRefused(t *testing.T) {
-	good, err := os.ReadFile("../../../scenarios/short.yaml")
-	if err != nil {
-		t.Fatal(err)
-	}
-	template, err := os.ReadFile("../../../scenarios/scheduler.yaml")
-	if err != nil {
-		t.Fatal(err)
-	}
 	for _, tc := range []struct{ name, old, new, want string }{
 		{"no such kind of fault", "kind: slow", "kind: sloth", `"sloth" is no kind of fault`},
 		{"no such zone", "zone: middle", "zone: centre", `"centre" is none of north, middle, south`},
@@ -152,10 +161,7 @@
 		{"no unit", "length: 12s", "length: 12", "has no unit"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			dir := t.TempDir()
-			writeFile(t, filepath.Join(dir, "scheduler.yaml"), template)
-			path := filepath.Join(dir, "scenario.yaml")
-			writeFile(t, path, []byte(strings.Replace(string(good), tc.old, tc.new, 1)))
+			path := writeShortScenario(t, tc.old, tc.new)
 			if _, err := Load(path); err == nil || !strings.Contains(err.Error(), tc.want) {
 				t.Errorf("got %v, want %s", err, tc.want)
 			}
@@ -171,7 +177,7 @@
 		{"kind":"balancer_crash","at":2000000,"len":1,"on":[0]},
 		{"kind":"report_late","at":1,"len":2}]}`))
 	var out bytes.Buffer
-	d, err := LoadReplay(path, "../../../scenarios/short.yaml", 100, &out)
+	s, err := LoadReplay(path, "../../../scenarios/short.yaml", 100, &out)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -179,9 +185,9 @@
 		{Kind: faults.KindCrash, At: time.Second, Duration: 500 * time.Millisecond, Fraction: 0.5},
 		{Kind: faults.KindSchedulersKilled, At: 2 * time.Second, Duration: time.Microsecond, Fraction: 0.5},
 	}
-	if len(d.Faults) != 2 || d.Faults[0] != want[0] || d.Faults[1] != want[1] ||
+	if len(s.Faults) != 2 || s.Faults[0] != want[0] || s.Faults[1] != want[1] ||
 		!strings.Contains(out.String(), "left out: report_late") {
-		t.Errorf("%+v\n%s", d.Faults, out.String())
+		t.Errorf("%+v\n%s", s.Faults, out.String())
 	}
 	writeFile(t, path, []byte(`{}`))
 	if _, err := LoadReplay(path, "../../../scenarios/short.yaml", 100, io.Discard); err == nil {
--- a/internal/testbed/simulation/machine.go
+++ b/internal/testbed/simulation/machine.go
@@ -81,7 +81,7 @@
 	if !m.useProgram(service) {
 		took *= simFirstStartFactor
 	}
-	period := m.simulation.terms.SlowStartPeriod
+	period := m.simulation.config.SlowStartPeriod
 	if up := m.simulation.now - m.started; m.started > 0 && up < period {
 		took /= simSlowStartPace + (1-simSlowStartPace)*float64(up)/float64(period)
 	}
--- a/internal/testbed/simulation/scheduler.go
+++ b/internal/testbed/simulation/scheduler.go
@@ -98,7 +98,7 @@
 func (s *simScheduler) receive(c *simContainer) {
 	sim := s.simulation
 	id := scheduler.ContainerID(fmt.Sprintf("%d#%d", c.number, c.tries))
-	deadline := sim.now + sim.terms.WorkloadClasses[c.workloadClass].PlacementTimeout
+	deadline := sim.now + sim.config.WorkloadClasses[c.workloadClass].PlacementTimeout
 	s.requests[id] = &simRequest{container: c, submitted: sim.now, deadline: deadline}
 	s.handle(scheduler.RequestReceived{PlacementRequest: scheduler.PlacementRequest{
 		ID:             id,
@@ -253,7 +253,7 @@
 	if s.limiter != nil {
 		s.limiter.Handle(sim.now, overload.RequestStarted{WorkloadClass: class, Elapsed: took})
 	}
-	if took <= sim.terms.WorkloadClasses[class].LatencyObjective {
+	if took <= sim.config.WorkloadClasses[class].LatencyObjective {
 		sim.secondOf(request.container).InTime++
 		sim.Seconds[int(sim.now/scheduler.Second)].Placed++
 	} else {
--- a/internal/testbed/simulation/simulation.go
+++ b/internal/testbed/simulation/simulation.go
@@ -30,7 +30,7 @@
 	seq       uint64
 	events    simEvents
 	rng       *rand.Rand
-	terms     scheduler.Config
+	config    scheduler.Config
 	instances []*simScheduler
 	fleet     []*simMachine
 	byID      map[scheduler.MachineID]*simMachine
@@ -161,7 +161,7 @@
 // Run plays the simulation to its end.
 func (sim *Simulation) Run() {
 	sim.rng = rand.New(rand.NewPCG(sim.Seed, 41))
-	sim.terms = simConfig(sim.Schedulers)
+	sim.config = simConfig(sim.Schedulers)
 	sim.byID = map[scheduler.MachineID]*simMachine{}
 	sim.Seconds = make([]SimSecond, int(sim.Length/scheduler.Second)+1)
 	for i := range sim.Machines {
@@ -169,9 +169,9 @@
 		sim.fleet, sim.byID[m.id] = append(sim.fleet, m), m
 	}
 	for i := range sim.Schedulers {
-		t := sim.terms
-		t.SchedulerIndex, t.Seed = i, sim.Seed*1000+uint64(i)
-		p := &simScheduler{simulation: sim, config: t}
+		config := sim.config
+		config.SchedulerIndex, config.Seed = i, sim.Seed*1000+uint64(i)
+		p := &simScheduler{simulation: sim, config: config}
 		sim.instances = append(sim.instances, p)
 		p.start()
 	}
--- a/internal/testbed/trials/restart/start.go
+++ b/internal/testbed/trials/restart/start.go
@@ -94,26 +94,26 @@
 }
 
 func (t *Trial) measureControllerStart(b *bench.Cluster, state string, n int) error {
-	k, err := b.NewController(t.program[0], state)
+	controller, err := b.NewController(t.program[0], state)
 	if err != nil {
 		return err
 	}
-	defer k.Terminate()
+	defer controller.Terminate()
 	began := time.Now()
-	if err := k.Launch(); err != nil {
+	if err := controller.Launch(); err != nil {
 		return err
 	}
 	if err := process.WaitUntil(
 		"the controller answers",
 		30*time.Second,
-		func() bool { return k.Get("/v1/jobs?limit=1", nil) == nil },
+		func() bool { return controller.Get("/v1/jobs?limit=1", nil) == nil },
 	); err != nil {
 		return err
 	}
 	listening := time.Since(began)
 	if err := process.WaitUntil("the first runs", 30*time.Second, func() bool {
 		var all struct{ Items []any }
-		return k.Get("/v1/containers?limit=1&field=state=running", &all) == nil && len(all.Items) > 0
+		return controller.Get("/v1/containers?limit=1&field=state=running", &all) == nil && len(all.Items) > 0
 	}); err != nil {
 		return err
 	}
--- a/internal/testbed/trials/why/spread.go
+++ b/internal/testbed/trials/why/spread.go
@@ -27,7 +27,7 @@
 	); err != nil {
 		return err
 	}
-	// One scheduler's places may be full while the other has one; the true reason is that of the scheduler asked.
+	// The spread may be full at one scheduler and not at the other; the true reason is that of the scheduler asked.
 	if err := process.WaitUntil(
 		"the spread is full at both schedulers",
 		spreadTimeout,
