--- a/internal/config/encode_test.go
+++ b/internal/config/encode_test.go
@@ -8,7 +8,7 @@
 )
 
 // What is encoded reads back as the same settings.
-func TestEncodedSettingsReadBackTheSame(t *testing.T) {
+func TestEncodedSchedulerSettingsReadBackTheSame(t *testing.T) {
 	for _, path := range []string{"../../deploy/scheduler.yaml", "testdata/every-key.yaml"} {
 		t.Run(path, func(t *testing.T) {
 			want, err := LoadScheduler(path)
@@ -16,32 +16,25 @@
 				t.Fatal(err)
 			}
 			want.Deprecations = nil // what is encoded has none
-			text, err := want.Encode()
-			if err != nil {
-				t.Fatal(err)
-			}
+			text := encoded(t, want.Encode)
 			if got, err := ParseScheduler(path, text); err != nil || !reflect.DeepEqual(got, want) {
 				t.Errorf("%v: got %+v, want %+v from\n%s", err, got, want, text)
 			}
 		})
 	}
+}
+
+func TestEncodedControllerSettingsReadBackTheSame(t *testing.T) {
 	for _, path := range []string{"../../deploy/controller.yaml", "testdata/controller.yaml"} {
 		t.Run(path, func(t *testing.T) {
 			want, err := LoadController(path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			dir := t.TempDir()
 			want.Deprecations, want.Scheduler.Deprecations = nil, nil // what is encoded has none
-			schedulerText, err := want.Scheduler.Encode()
-			if err != nil {
-				t.Fatal(err)
-			}
-			text, err := want.Encode("scheduler.yaml")
-			if err != nil {
-				t.Fatal(err)
-			}
-			writeFile(t, filepath.Join(dir, "scheduler.yaml"), schedulerText)
+			dir := t.TempDir()
+			text := encoded(t, func() ([]byte, error) { return want.Encode("scheduler.yaml") })
+			writeFile(t, filepath.Join(dir, "scheduler.yaml"), encoded(t, want.Scheduler.Encode))
 			writeFile(t, filepath.Join(dir, "controller.yaml"), text)
 			got, err := LoadController(filepath.Join(dir, "controller.yaml"))
 			if err != nil || !reflect.DeepEqual(got, want) {
@@ -51,6 +44,15 @@
 	}
 }
 
+func encoded(t *testing.T, encode func() ([]byte, error)) []byte {
+	t.Helper()
+	text, err := encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
 func writeFile(t *testing.T, path string, data []byte) {
 	t.Helper()
 	if err := os.WriteFile(path, data, 0o600); err != nil {
--- a/internal/testbed/faults/fault.go
+++ b/internal/testbed/faults/fault.go
@@ -1,3 +1,5 @@
+// Package faults injects the faults of a scenario into a cluster: into machines, the network, the machine list,
+// schedulers and clients.
 package faults
 
 import (
--- a/internal/testbed/load/scheduler.go
+++ b/internal/testbed/load/scheduler.go
@@ -1,3 +1,4 @@
+// Package load measures schedulers, controllers and speakers under a steady load.
 package load
 
 import (
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -1,3 +1,5 @@
+// Package scenario reads scenario files and runs them: a cluster, its load and the faults that are injected, and the
+// audit of the recording.
 package scenario
 
 import (
--- a/internal/testbed/simulation/simulation.go
+++ b/internal/testbed/simulation/simulation.go
@@ -1,3 +1,4 @@
+// Package simulation plays the decisions of schedulers on a virtual clock, with plain models of machines and clients.
 package simulation
 
 import (
--- a/internal/testbed/trials/restart/kills.go
+++ b/internal/testbed/trials/restart/kills.go
@@ -37,7 +37,7 @@
 	violations []string
 }
 
-// killProcesses kills schedulers and the controller under load and reports whether all held.
+// killProcesses kills schedulers and the controller under load and notes what did not hold.
 func (t *Trial) killProcesses() error {
 	s, dir := t.scenario, t.path("kills")
 	c, err := cluster.Start(s.Spec, dir, t.program)
