--- a/cmd/glenport/job.go
+++ b/cmd/glenport/job.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"net/http"
 	"time"
 
@@ -16,7 +17,7 @@
 
 const (
 	jobHeader       = "JOB\tSERVICE\tWORKLOAD\tCOUNT\tCORES\tGIB\tVERSION"
-	containerHeader = "CONTAINER\tSTATE\tMACHINE\tTRIES\tSTARTS\tLAST"
+	containerHeader = "CONTAINER\tSTATE\tMACHINE\tATTEMPTS\tSTARTS\tLAST"
 )
 
 func newJobCommand() *cobra.Command {
@@ -37,27 +38,28 @@
 		Short:   "Keep a job's containers running",
 		Example: "  glenport job run reports --workload report-run -n 3 --cores 2 --memory 4 --label team=books",
 		Args:    cobra.ExactArgs(1),
-	}, func(client *apiClient, args []string) error {
+	}, func(ctx context.Context, client *apiClient, args []string) error {
 		job.ID, job.RunForMS = args[0], runFor.Milliseconds()
 		if job.Service == "" {
 			job.Service = job.ID
 		}
 		var created server.Job
-		if err := client.do(http.MethodPost, jobsPath, job, &created); err != nil {
+		if err := client.do(ctx, http.MethodPost, jobsPath, job, &created); err != nil {
 			return err
 		}
 		return printJob(client, &created)
 	})
 	f := c.Flags()
-	f.StringVar(&job.Service, "service", "", "its service; the job's ID where empty")
+	f.StringVar(&job.Service, "service", "", "name of its service; empty: the job's ID")
 	f.StringVar(&job.WorkloadClass, "workload", "", "name of its workload class")
-	f.StringVar(&job.Tenant, "customer", "", "name of its tenant")
+	f.StringVar(&job.Tenant, "tenant", "", "name of its tenant")
+	addFormerFlag(c, "customer", "tenant")
 	f.Float64Var(&job.Cores, "cores", 1, "cores of a container")
 	f.Float64Var(&job.MemoryGiB, "memory", 1, "memory of a container, in GiB")
 	f.IntVarP(&job.Count, "count", "n", 1, "how many containers")
 	f.DurationVar(&runFor, "run-for", 0, "how long a container runs; 0: until it is stopped")
-	f.BoolVar(&job.RunOnce, "once", false, "do not start again what has finished")
-	f.StringToStringVar(&job.Labels, "label", nil, "key=value; may be given more than once")
+	f.BoolVar(&job.RunOnce, "once", false, "do not start a container again that has finished")
+	f.StringToStringVar(&job.Labels, "label", nil, "label as key=value; may be given more than once")
 	requireFlag(c, "workload")
 	return c
 }
@@ -68,11 +70,11 @@
 		Short:   "Show one job with its containers, or all jobs",
 		Example: "  glenport job get\n  glenport job get reports -o yaml",
 		Args:    cobra.MaximumNArgs(1),
-	}, func(client *apiClient, args []string) error {
+	}, func(ctx context.Context, client *apiClient, args []string) error {
 		if len(args) == 0 {
-			return printJobs(client)
+			return printJobs(ctx, client)
 		}
-		return printJobWithContainers(client, args[0])
+		return printJobWithContainers(ctx, client, args[0])
 	})
 }
 
@@ -83,14 +85,14 @@
 		Short:   "Change how many containers a job has",
 		Example: "  glenport job scale reports -n 5",
 		Args:    cobra.ExactArgs(1),
-	}, func(client *apiClient, args []string) error {
+	}, func(ctx context.Context, client *apiClient, args []string) error {
 		path := jobsPath + "/" + args[0]
 		var job server.Job
-		if err := client.get(path, &job); err != nil {
+		if err := client.get(ctx, path, &job); err != nil {
 			return err
 		}
 		job.Count, job.Version = count, 0 // version 0 replaces any version
-		if err := client.do(http.MethodPut, path, job, &job); err != nil {
+		if err := client.do(ctx, http.MethodPut, path, job, &job); err != nil {
 			return err
 		}
 		return printJob(client, &job)
@@ -106,8 +108,8 @@
 		Short:   "End a job and its containers",
 		Example: "  glenport job stop reports",
 		Args:    cobra.ExactArgs(1),
-	}, func(client *apiClient, args []string) error {
-		return client.do(http.MethodDelete, jobsPath+"/"+args[0], nil, nil)
+	}, func(ctx context.Context, client *apiClient, args []string) error {
+		return client.do(ctx, http.MethodDelete, jobsPath+"/"+args[0], nil, nil)
 	})
 }
 
@@ -116,21 +118,13 @@
 }
 
 func printJobRow(p *printer, job *server.Job) {
-	p.printf(
-		"%s\t%s\t%s\t%d\t%g\t%g\t%d\n",
-		job.ID,
-		job.Service,
-		job.WorkloadClass,
-		job.Count,
-		job.Cores,
-		job.MemoryGiB,
-		job.Version,
-	)
+	p.printf("%s\t%s\t%s\t%d\t%g\t%g\t%d\n",
+		job.ID, job.Service, job.WorkloadClass, job.Count, job.Cores, job.MemoryGiB, job.Version)
 }
 
-func printJobs(client *apiClient) error {
+func printJobs(ctx context.Context, client *apiClient) error {
 	var jobs items[server.Job]
-	if err := client.get(jobsPath+listLimit, &jobs); err != nil {
+	if err := client.get(ctx, jobsPath+listLimit, &jobs); err != nil {
 		return err
 	}
 	return client.print(jobs.Items, jobHeader, func(p *printer) {
@@ -140,13 +134,13 @@
 	})
 }
 
-func printJobWithContainers(client *apiClient, id string) error {
+func printJobWithContainers(ctx context.Context, client *apiClient, id string) error {
 	var job server.Job
-	if err := client.get(jobsPath+"/"+id, &job); err != nil {
+	if err := client.get(ctx, jobsPath+"/"+id, &job); err != nil {
 		return err
 	}
 	var containers items[server.Container]
-	if err := client.get(containersPath+listLimit+"&field=job="+id, &containers); err != nil {
+	if err := client.get(ctx, containersPath+listLimit+"&field=job="+id, &containers); err != nil {
 		return err
 	}
 	document := struct {
--- a/cmd/glenport/schedulerclient.go
+++ b/cmd/glenport/schedulerclient.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"os"
@@ -11,12 +12,13 @@
 	"github.com/spf13/cobra"
 )
 
-// of a connection and all requests on it, unless a command sets a deadline of its own
+// requestTimeout is for a connection and all requests on it, unless a command sets a deadline of its own.
 const requestTimeout = 5 * time.Second
 
 // addSchedulerFlag adds the flag with a scheduler's address to a command and its subcommands.
 func addSchedulerFlag(c *cobra.Command, address *string) {
-	c.PersistentFlags().StringVar(address, "placer", "127.0.0.1:7400", "the address at which the scheduler listens")
+	c.PersistentFlags().StringVar(address, "scheduler", "127.0.0.1:7400", "the address at which the scheduler listens")
+	addFormerFlag(c, "placer", "scheduler")
 }
 
 // schedulerConn is a client's connection to a scheduler.
@@ -34,15 +36,22 @@
 
 // Error implements error.
 func (e *notSchedulerError) Error() string {
-	return fmt.Sprintf("%s is no placer's door: %T, %v", e.address, e.frame, e.err)
+	if e.err != nil {
+		return fmt.Sprintf("%s did not answer as a scheduler does: %v", e.address, e.err)
+	}
+	if hello, ok := e.frame.(*protocol.Hello); ok {
+		return fmt.Sprintf("%s is not a scheduler, its role is %q", e.address, hello.Role)
+	}
+	return fmt.Sprintf("%s is not a scheduler, it answered with %T", e.address, e.frame)
 }
 
 // Unwrap returns the error of the connection.
 func (e *notSchedulerError) Unwrap() error { return e.err }
 
 // dialScheduler connects to a scheduler and exchanges hellos.
-func dialScheduler(address string) (*schedulerConn, error) {
-	conn, err := net.DialTimeout("tcp", address, requestTimeout)
+func dialScheduler(ctx context.Context, address string) (*schedulerConn, error) {
+	dialer := net.Dialer{Timeout: requestTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
@@ -86,9 +95,9 @@
 }
 
 // request connects to a scheduler, sends a request and returns its reply, which must be of type R.
-func request[R protocol.Frame](address string, f protocol.Frame) (R, error) {
+func request[R protocol.Frame](ctx context.Context, address string, f protocol.Frame) (R, error) {
 	var none R
-	c, err := dialScheduler(address)
+	c, err := dialScheduler(ctx, address)
 	if err != nil {
 		return none, err
 	}
@@ -102,7 +111,7 @@
 	}
 	reply, ok := frame.(R)
 	if !ok {
-		return none, fmt.Errorf("placer %s answers with %T", c.name, frame)
+		return none, fmt.Errorf("scheduler %s answered with an unexpected %T", c.name, frame)
 	}
 	return reply, nil
 }
--- a/cmd/glenport/status.go
+++ b/cmd/glenport/status.go
@@ -13,10 +13,10 @@
 	c := &cobra.Command{
 		Use:     "status",
 		Short:   "Show the statistics of a scheduler",
-		Example: "  glenport status --placer 127.0.0.1:7400",
+		Example: "  glenport status --scheduler 127.0.0.1:7400",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			status, err := request[*protocol.StatusReply](address, &protocol.StatusRequest{})
+			status, err := request[*protocol.StatusReply](c.Context(), address, &protocol.StatusRequest{})
 			if err != nil {
 				return err
 			}
@@ -29,7 +29,7 @@
 
 func printStatus(out io.Writer, status *protocol.StatusReply) error {
 	p := &printer{w: out}
-	p.printf("placer %s\n", status.Name)
+	p.printf("scheduler %s\n", status.Name)
 	for _, stat := range status.Stats {
 		p.printf("  %-24s %12.6g %s\n", stat.Name, stat.Value, stat.Unit)
 	}
--- a/internal/config/encode_test.go
+++ b/internal/config/encode_test.go
@@ -9,14 +9,10 @@
 
 // What is encoded reads back as the same settings.
 func TestEncodedSchedulerSettingsReadBackTheSame(t *testing.T) {
-	for _, path := range []string{"../../deploy/scheduler.yaml", "testdata/every-key.yaml"} {
+	for _, path := range []string{sampleFolder + "/scheduler.yaml", "testdata/every-key.yaml"} {
 		t.Run(path, func(t *testing.T) {
-			want, err := LoadScheduler(path)
-			if err != nil {
-				t.Fatal(err)
-			}
-			want.Deprecations = nil // what is encoded has none
-			text := encoded(t, want.Encode)
+			want, _ := parseWithDeprecations(t, path) // what is encoded has no deprecations
+			text := encoded(t)(want.Encode())
 			if got, err := ParseScheduler(path, text); err != nil || !reflect.DeepEqual(got, want) {
 				t.Errorf("%v: got %+v, want %+v from\n%s", err, got, want, text)
 			}
@@ -25,16 +21,16 @@
 }
 
 func TestEncodedControllerSettingsReadBackTheSame(t *testing.T) {
-	for _, path := range []string{"../../deploy/controller.yaml", "testdata/controller.yaml"} {
+	for _, path := range []string{sampleFolder + "/controller.yaml", "testdata/controller.yaml"} {
 		t.Run(path, func(t *testing.T) {
 			want, err := LoadController(path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			want.Deprecations, want.Scheduler.Deprecations = nil, nil // what is encoded has none
 			dir := t.TempDir()
-			text := encoded(t, func() ([]byte, error) { return want.Encode("scheduler.yaml") })
-			writeFile(t, filepath.Join(dir, "scheduler.yaml"), encoded(t, want.Scheduler.Encode))
+			want.Deprecations, want.Scheduler.Deprecations = nil, nil // what is encoded has none
+			writeFile(t, filepath.Join(dir, "scheduler.yaml"), encoded(t)(want.Scheduler.Encode()))
+			text := encoded(t)(want.Encode("scheduler.yaml"))
 			writeFile(t, filepath.Join(dir, "controller.yaml"), text)
 			got, err := LoadController(filepath.Join(dir, "controller.yaml"))
 			if err != nil || !reflect.DeepEqual(got, want) {
@@ -44,13 +40,16 @@
 	}
 }
 
-func encoded(t *testing.T, encode func() ([]byte, error)) []byte {
+// encoded returns a function that passes an encoded text on and fails the test with an error.
+func encoded(t *testing.T) func(text []byte, err error) []byte {
 	t.Helper()
-	text, err := encode()
-	if err != nil {
-		t.Fatal(err)
+	return func(text []byte, err error) []byte {
+		t.Helper()
+		if err != nil {
+			t.Fatal(err)
+		}
+		return text
 	}
-	return text
 }
 
 func writeFile(t *testing.T, path string, data []byte) {
--- a/internal/config/strictyaml/strictyaml.go
+++ b/internal/config/strictyaml/strictyaml.go
@@ -96,6 +96,14 @@
 // today's spelling.
 func (f *File) KeyName(path string) string { return f.spelling.key(path) }
 
+// ValueName returns a value of a key as the file would spell it. Path and value are given in today's spelling.
+func (f *File) ValueName(path, value string) string {
+	if !f.spelling.old() {
+		return value
+	}
+	return f.spelling.aliases.oldValue(withoutIndices(path), value)
+}
+
 // locate turns an error of the YAML package into an *Error. The key is known only where the file is syntactically
 // correct.
 func (f *File) locate(err error, data []byte) error {
@@ -180,7 +188,8 @@
 			return i, nil
 		}
 	}
-	return 0, f.ErrorAt(value.Position, "%q is none of %s", value.Value, strings.Join(f.spelling.allowed(value.Position, allowed), ", "))
+	spelled := strings.Join(f.spelling.allowed(value.Position, allowed), ", ")
+	return 0, f.ErrorAt(value.Position, "%q is none of %s", value.Value, spelled)
 }
 
 // CheckRequired returns an error about the first field of a mapping, a struct of this package's types, that was left
@@ -189,7 +198,7 @@
 	value := reflect.ValueOf(mapping)
 	for i := range value.NumField() {
 		field := value.Type().Field(i)
-		setting, ok := value.Field(i).Interface().(interface{ IsSet() bool })
+		setting, ok := reflect.TypeAssert[interface{ IsSet() bool }](value.Field(i))
 		if !ok || setting.IsSet() || field.Tag.Get(settingsTag) == optional {
 			continue
 		}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -1,31 +1,25 @@
 package controller
 
 import (
-	"crypto/sha256"
-	"encoding/binary"
-	"flag"
+	"cmp"
 	"fmt"
-	"hash"
-	"math"
+	"maps"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
-	"reflect"
-	"sort"
+	"slices"
 	"strings"
 	"testing"
 
+	"glenport/internal/golden"
 	"glenport/scheduler"
 )
 
-var update = flag.Bool("update", false, "write the golden digests anew")
-
 // TestDecisionsMatchGoldenDigests plays seeded histories and compares a digest of all actions, in order and with the
 // time at which each was returned, with that in testdata. A changed decision changes the digest; a rename does not.
 func TestDecisionsMatchGoldenDigests(t *testing.T) {
 	const sequences, steps = 120, 160
 	var got strings.Builder
-	for group, idempotency := range []scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.AtMostOnce} {
+	kinds := []scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.AtMostOnce}
+	for group, idempotency := range kinds {
 		for _, schedulers := range []int{1, 2, 5} {
 			digest := newActionDigest()
 			for seed := range sequences {
@@ -37,38 +31,16 @@
 			fmt.Fprintf(&got, "effect %d, %d schedulers: %s\n", idempotency, schedulers, digest)
 		}
 	}
-	compareGolden(t, "decisions.txt", got.String())
-}
-
-// compareGolden holds text against a file of testdata, or writes the file where -update asks for it.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s: got\n%swant\n%s", path, got, want)
-	}
+	golden.CheckText(t, "testdata/decisions.txt", got.String())
 }
 
 // actionDigest folds actions by an ordinal of their type and the values of their fields in order.
-type actionDigest struct {
-	sum     hash.Hash
-	actions int
-}
+type actionDigest struct{ *golden.Digest }
 
-func newActionDigest() *actionDigest { return &actionDigest{sum: sha256.New()} }
+func newActionDigest() *actionDigest { return &actionDigest{golden.NewDigest()} }
 
 func (d *actionDigest) String() string {
-	return fmt.Sprintf("%d actions, sha256 %x", d.actions, d.sum.Sum(nil))
+	return fmt.Sprintf("%d actions, sha256 %s", d.Records(), d.Sum())
 }
 
 func (d *actionDigest) add(now scheduler.Time, a Action) {
@@ -93,42 +65,9 @@
 	default:
 		panic(fmt.Sprintf("no ordinal for %T", a))
 	}
-	d.actions++
-	d.number(uint64(now))
-	d.number(ordinal)
-	d.value(reflect.ValueOf(a))
-}
-
-func (d *actionDigest) number(n uint64) {
-	var b [8]byte
-	binary.BigEndian.PutUint64(b[:], n)
-	d.sum.Write(b[:])
-}
-
-func (d *actionDigest) value(v reflect.Value) {
-	switch v.Kind() {
-	case reflect.Struct:
-		for i := range v.NumField() {
-			d.value(v.Field(i))
-		}
-	case reflect.Bool:
-		n := uint64(0)
-		if v.Bool() {
-			n = 1
-		}
-		d.number(n)
-	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		d.number(uint64(v.Int()))
-	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		d.number(v.Uint())
-	case reflect.Float32, reflect.Float64:
-		d.number(math.Float64bits(v.Float()))
-	case reflect.String:
-		d.number(uint64(v.Len()))
-		d.sum.Write([]byte(v.String()))
-	default:
-		panic(fmt.Sprintf("a field of kind %s", v.Kind()))
-	}
+	d.Count(1)
+	d.Numbers(uint64(now), ordinal)
+	d.Value(a)
 }
 
 // history plays one seeded sequence: schedulers that answer, fail and come back, jobs that change, and restarts of the
@@ -346,21 +285,20 @@
 // restart begins a controller from what the one before has asked to be stored, with or without the same schedulers.
 func (h *history) restart() {
 	var left StateRestored
-	for _, id := range sortedKeys(h.jobs) {
+	for _, id := range slices.Sorted(maps.Keys(h.jobs)) {
 		left.Jobs = append(left.Jobs, h.jobs[id])
 	}
 	moved := h.chance(0.3)
-	for _, id := range sortedKeys(h.containers) {
+	for _, id := range slices.Sorted(maps.Keys(h.containers)) {
 		c := h.containers[id]
 		if moved && c.Scheduler == 0 {
 			c.Scheduler = -1
 		}
 		left.Containers = append(left.Containers, c)
 	}
-	for x := range h.orphans {
-		left.Orphans = append(left.Orphans, x)
-	}
-	sort.Slice(left.Orphans, func(i, j int) bool { return fmt.Sprint(left.Orphans[i]) < fmt.Sprint(left.Orphans[j]) })
+	left.Orphans = slices.SortedFunc(maps.Keys(h.orphans), func(a, b Orphan) int {
+		return cmp.Compare(fmt.Sprint(a), fmt.Sprint(b))
+	})
 	h.config.Seed++
 	h.controller, h.timerAt, h.requests = New(h.config), 0, nil
 	clear(h.connected)
@@ -372,12 +310,3 @@
 		}
 	}
 }
-
-func sortedKeys[V any](m map[string]V) []string {
-	keys := make([]string, 0, len(m))
-	for k := range m {
-		keys = append(keys, k)
-	}
-	sort.Strings(keys)
-	return keys
-}
--- a/internal/controller/pending/golden_test.go
+++ b/internal/controller/pending/golden_test.go
@@ -1,59 +1,45 @@
 package pending
 
 import (
-	"crypto/sha256"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
+	"strconv"
 	"strings"
 	"testing"
 
 	"glenport/internal/controller"
+	"glenport/internal/golden"
 	"glenport/scheduler"
 )
 
-var update = flag.Bool("update", false, "write the golden digests anew")
-
 // TestReasonsMatchGoldenDigests explains seeded facts, likely and odd ones, and compares a digest of all reasons, in
 // order, as clients read them, with that in testdata.
 func TestReasonsMatchGoldenDigests(t *testing.T) {
 	const sequences = 4000
 	var got strings.Builder
 	for group := range 4 {
-		sum, reasons := sha256.New(), 0
+		sum, reasons := golden.NewDigest(), 0
 		random := rand.New(rand.NewPCG(uint64(group), 23))
 		for range sequences {
 			now, facts := randomFacts(random, group)
 			all := Explain(now, facts)
 			reasons += len(all)
+			var text []byte
 			for _, r := range all {
 				line, err := json.Marshal(r) // figures in order of their names
 				if err != nil {
 					t.Fatal(err)
 				}
-				sum.Write(fmt.Appendf(nil, "%s %d\n", line, r.Until))
+				text = fmt.Appendf(text, "%s %d\n", line, r.Until)
+			}
+			if _, err := sum.Write(append(text, '\n')); err != nil {
+				t.Fatal(err)
 			}
-			sum.Write([]byte{'\n'})
-		}
-		fmt.Fprintf(&got, "group %d: %d reasons, sha256 %x\n", group, reasons, sum.Sum(nil))
-	}
-	path := filepath.Join("testdata", "reasons.txt")
-	if *update {
-		if err := os.WriteFile(path, []byte(got.String()), 0o644); err != nil {
-			t.Fatal(err)
 		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got.String() != string(want) {
-		t.Errorf("%s: got\n%swant\n%s", path, got.String(), want)
+		fmt.Fprintf(&got, "group %d: %d reasons, sha256 %s\n", group, reasons, sum.Sum())
 	}
+	golden.CheckText(t, "testdata/reasons.txt", got.String())
 }
 
 // randomFacts draws facts: group 0 of small fleets, 1 of large ones, 2 without an explanation, 3 of any.
@@ -98,7 +84,7 @@
 		x.WrongMachineType, x.TooSmall, x.Draining = 0, 0, x.Machines
 	}
 	for zone := range upTo(3) {
-		z := Zone{Name: fmt.Sprint(zone), Machines: upTo(most)}
+		z := Zone{Name: strconv.Itoa(zone), Machines: upTo(most)}
 		z.Draining = upTo(z.Machines)
 		if chance(0.3) {
 			z.Draining = z.Machines
--- a/internal/schedulerd/errors_test.go
+++ b/internal/schedulerd/errors_test.go
@@ -12,7 +12,7 @@
 // The texts are sent in a Goodbye: they are part of the wire.
 func TestFaultsOfPeersAreTypedAndKeepTheirTexts(t *testing.T) {
 	m := &machine{id: "a"}
-	ready := &machine{id: "a", ready: true}
+	ready := &machine{id: "a", conn: machineConn{state: machineReady}}
 	client := &clientConn{}
 	for _, tc := range []struct {
 		name   string
@@ -43,7 +43,8 @@
 			"AskStatus is not for a placer", "unexpected frame: AskStatus",
 		},
 		{
-			"a machine instead of a client", client.handleFrame, protocol.NewHello(protocol.RoleMachine, "a", 1), errUnexpectedPeer,
+			"a machine instead of a client", client.handleFrame,
+			protocol.NewHello(protocol.RoleMachine, "a", 1), errUnexpectedPeer,
 			"a machine has no business at this door", "unexpected peer: machine",
 		},
 		{
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -1,30 +1,57 @@
 package scheduler
 
+// explainer says why a request finds no machine.
+type explainer struct {
+	eligibility *eligibility
+	classes     *classFailureDetector
+}
+
 // Explain counts the machines by the first obstacle that keeps a request from them, as of the last batch. The
 // room by the machine list is one of them. It changes no decision.
 func (s *Scheduler) Explain(r PlacementRequest) Explanation {
-	x := Explanation{SheddingLoad: s.fullRatio > sheddingThreshold, FullRatio: s.fullRatio}
-	if r.WorkloadClass >= len(s.config.WorkloadClasses) {
-		return x
-	}
-	c := &container{request: r, class: &s.config.WorkloadClasses[r.WorkloadClass], service: &service{}}
-	if known := s.services[r.Service]; known != nil {
-		c.service = known
+	explanation := Explanation{SheddingLoad: s.shedder.isShedding(), FullRatio: s.shedder.fullShare()}
+	c := s.containers.hypothetical(r)
+	if c == nil {
+		return explanation
 	}
-	for _, m := range s.machineOrder {
-		if m.state == MachineGone {
-			x.Gone++
+	for _, m := range s.machines.all() {
+		if m.listing.state == MachineGone {
+			explanation.Gone++
 			continue
 		}
-		x.Machines++
-		*s.explainMachine(&x, c, m)++
+		explanation.Machines++
+		*s.explainer.countFor(&explanation, c, m, s.now)++
 	}
-	return x
+	return explanation
 }
 
-// explainMachine returns the count that a machine falls under. A lack of room comes before passing obstacles.
-func (s *Scheduler) explainMachine(x *Explanation, c *container, m *machine) *int {
-	o := s.obstacle(c, m)
+// countFor returns the count that a machine falls under. A lack of room comes before passing obstacles.
+func (e *explainer) countFor(x *Explanation, c *container, m *machine, now Time) *int {
+	first := e.eligibility.firstObstacle(c, m, now)
+	if first.lasts() {
+		return obstacleCount(x, first)
+	}
+	switch e.eligibility.shortageFor(c, m) {
+	case shortOfCores:
+		return &x.InsufficientCores
+	case shortOfMemory:
+		return &x.InsufficientMemory
+	case noShortage:
+	}
+	if first != noObstacle {
+		return obstacleCount(x, first)
+	}
+	switch suspicionLevelOf(m, e.classes.classesOf(c), e.classes, now) {
+	case ejected:
+		return &x.Ejected
+	case suspectedOfClass:
+		return &x.Suspected
+	case notSuspected, noCandidate:
+	}
+	return &x.Eligible
+}
+
+func obstacleCount(x *Explanation, o obstacle) *int {
 	switch o {
 	case wrongMachineType:
 		return &x.WrongMachineType
@@ -32,24 +59,13 @@
 		return &x.Draining
 	case tooSmall:
 		return &x.TooSmall
-	}
-	requested, limit := m.knownRequested(), s.acceptLimit(m)
-	requested.add(c.requested())
-	switch {
-	case s.config.ListTracksRequests && requested.cores > limit.cores:
-		return &x.InsufficientCores
-	case s.config.ListTracksRequests && requested.memory > limit.memory:
-		return &x.InsufficientMemory
-	case o == selfDraining:
+	case selfDraining:
 		return &x.SelfDraining
-	case o == spreadExhausted:
+	case spreadExhausted:
 		return &x.SpreadExhausted
-	case o == slowStartExhausted:
+	case slowStartExhausted:
 		return &x.SlowStartExhausted
-	case m.isEjected():
-		return &x.Ejected
-	case s.suspectedForClass(c, m):
-		return &x.Suspected
+	case noObstacle:
 	}
 	return &x.Eligible
 }
