--- a/internal/testbed/bench/bench.go
+++ b/internal/testbed/bench/bench.go
@@ -13,6 +13,7 @@
 
 	"glenport/internal/config"
 	"glenport/internal/eventloop"
+	"glenport/internal/testbed/loopback"
 	"glenport/internal/testbed/process"
 )
 
@@ -43,7 +44,7 @@
 	}
 	close(b.stop)
 	for _, l := range b.listeners {
-		process.CloseQuietly(l)
+		loopback.CloseQuietly(l)
 	}
 	b.goroutines.Wait()
 }
@@ -115,7 +116,7 @@
 }
 
 func (b *Cluster) listen() (net.Listener, error) {
-	l, err := process.Listen()
+	l, err := loopback.Listen(loopback.AnyPort)
 	if err == nil {
 		b.listeners = append(b.listeners, l)
 	}
--- a/internal/testbed/bench/peers.go
+++ b/internal/testbed/bench/peers.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/loopback"
 	"glenport/internal/testbed/process"
 )
 
@@ -77,17 +78,13 @@
 
 // serve answers on all connections that l accepts until it is closed.
 func (b *Cluster) serve(l net.Listener, peer instantPeer) {
-	for {
-		c, err := l.Accept()
-		if err != nil {
-			return
-		}
+	loopback.AcceptAll(l, func(c net.Conn) {
 		b.goroutines.Go(func() { b.serveConnection(c, peer) })
-	}
+	})
 }
 
 func (b *Cluster) serveConnection(c net.Conn, peer instantPeer) {
-	defer process.CloseQuietly(c)
+	defer loopback.CloseQuietly(c)
 	var mu sync.Mutex // keeps frames whole
 	send := func(frames ...protocol.Frame) {
 		mu.Lock()
@@ -109,7 +106,7 @@
 	for {
 		select {
 		case <-b.stop:
-			process.CloseQuietly(c)
+			loopback.CloseQuietly(c)
 			return
 		case <-time.After(time.Second):
 			send(&protocol.Heartbeat{})
--- a/internal/testbed/load/api.go
+++ b/internal/testbed/load/api.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"glenport/internal/testbed/bench"
+	"glenport/internal/testbed/loopback"
 	"glenport/internal/testbed/process"
 	"glenport/internal/testbed/report"
 
@@ -183,7 +184,7 @@
 				f.missed.Add(watchedChanges)
 				return
 			}
-			defer process.CloseQuietly(events)
+			defer loopback.CloseQuietly(events)
 			f.readChanges(events)
 		})
 	}
--- a/internal/testbed/load/jobs.go
+++ b/internal/testbed/load/jobs.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"glenport/internal/testbed/bench"
+	"glenport/internal/testbed/loopback"
 	"glenport/internal/testbed/process"
 	"glenport/internal/testbed/report"
 )
@@ -59,7 +60,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer process.CloseQuietly(events)
+	defer loopback.CloseQuietly(events)
 	done := make(chan int, 1)
 	go func() { done <- l.readRunning(events) }()
 	if err := l.createJobs(); err != nil {
--- a/internal/testbed/load/scheduler.go
+++ b/internal/testbed/load/scheduler.go
@@ -9,6 +9,7 @@
 
 	"glenport/internal/protocol"
 	"glenport/internal/testbed/bench"
+	"glenport/internal/testbed/loopback"
 	"glenport/internal/testbed/process"
 )
 
@@ -78,11 +79,11 @@
 
 // submitSteadily submits at even intervals, whatever the replies, and counts those that say placed.
 func submitSteadily(address string, load Submissions) (int, error) {
-	c, err := process.Dial(address)
+	c, err := loopback.Dial(address, process.DialTimeout)
 	if err != nil {
 		return 0, err
 	}
-	defer process.CloseQuietly(c)
+	defer loopback.CloseQuietly(c)
 	if err := process.WriteFrames(c, protocol.NewHello(protocol.RoleClient, "load", 1)); err != nil {
 		return 0, err
 	}
@@ -107,7 +108,7 @@
 	}
 	time.Sleep(drainTime)
 	result := int(placed.Load())
-	process.CloseQuietly(c)
+	loopback.CloseQuietly(c)
 	<-done
 	return result, nil
 }
--- a/internal/testbed/process/controller.go
+++ b/internal/testbed/process/controller.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"glenport/internal/config"
+	"glenport/internal/testbed/loopback"
 )
 
 // ControllerTimeout bounds the time until a controller answers and knows all machines.
@@ -84,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	defer CloseQuietly(log) // the process has a descriptor of its own
+	defer loopback.CloseQuietly(log) // the process has a descriptor of its own
 	c.process.Stderr = log
 	return c.process.Start()
 }
--- a/internal/testbed/process/protocol.go
+++ b/internal/testbed/process/protocol.go
@@ -1,31 +1,22 @@
 package process
 
 import (
-	"context"
 	"net"
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/loopback"
 )
 
 // Tick is the resolution of times in settings files, in frames and in the decisions of schedulers.
 const Tick = 100 * time.Microsecond
 
-// Dial connects to a listener.
-func Dial(address string) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: dialTimeout}
-	return dialer.DialContext(context.Background(), "tcp", address)
-}
-
-// Listen listens on a port of the system's choice.
-func Listen() (net.Listener, error) {
-	var config net.ListenConfig
-	return config.Listen(context.Background(), "tcp", "127.0.0.1:0")
-}
+// DialTimeout bounds the time until a listener accepts a connection.
+const DialTimeout = time.Second
 
 // DialProtocol connects to a listener, sends frames and bounds whatever else is done on the connection.
 func DialProtocol(address string, timeout time.Duration, frames ...protocol.Frame) (net.Conn, error) {
-	c, err := Dial(address)
+	c, err := loopback.Dial(address, DialTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -33,7 +24,7 @@
 		err = WriteFrames(c, frames...)
 	}
 	if err != nil {
-		CloseQuietly(c)
+		loopback.CloseQuietly(c)
 		return nil, err
 	}
 	return c, nil
@@ -64,6 +55,3 @@
 		}
 	}
 }
-
-// CloseQuietly closes what was only read from, or whose writes have been checked.
-func CloseQuietly(c interface{ Close() error }) { _ = c.Close() }
--- a/internal/testbed/process/scheduler.go
+++ b/internal/testbed/process/scheduler.go
@@ -13,13 +13,13 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/loopback"
 )
 
 const (
 	startTimeout  = 10 * time.Second // until a scheduler's listener accepts
 	stopTimeout   = 5 * time.Second  // from a signal to SIGKILL
 	statusTimeout = 5 * time.Second
-	dialTimeout   = time.Second
 )
 
 // Scheduler is a scheduler's process and its files.
@@ -87,7 +87,7 @@
 
 func (p *Scheduler) waitListening() error {
 	for end := time.Now().Add(startTimeout); ; time.Sleep(5 * time.Millisecond) {
-		if c, err := Dial(p.Address); err == nil {
+		if c, err := loopback.Dial(p.Address, DialTimeout); err == nil {
 			return c.Close()
 		}
 		select {
@@ -144,7 +144,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer CloseQuietly(c)
+	defer loopback.CloseQuietly(c)
 	reply, err := ReadUntil[*protocol.StatusReply](c)
 	if err != nil {
 		return nil, err
@@ -159,7 +159,7 @@
 // freePort returns a port of the system's choice. It is closed again before the process opens it, which leaves a
 // moment for another program to take it: the start then fails with an error.
 func freePort() (string, error) {
-	l, err := Listen()
+	l, err := loopback.Listen(loopback.AnyPort)
 	if err != nil {
 		return "", err
 	}
--- a/internal/testbed/trials/bgp/client.go
+++ b/internal/testbed/trials/bgp/client.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/loopback"
 	"glenport/internal/testbed/process"
 )
 
@@ -32,7 +33,7 @@
 
 // connect connects to a scheduler as a client and reads replies.
 func connect(address string) (*client, error) {
-	connection, err := process.Dial(address)
+	connection, err := loopback.Dial(address, process.DialTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -45,7 +46,7 @@
 	return c, nil
 }
 
-func (c *client) close() { process.CloseQuietly(c.connection) }
+func (c *client) close() { loopback.CloseQuietly(c.connection) }
 
 // readReplies hands on replies until the connection ends.
 func (c *client) readReplies() {
--- a/internal/testbed/trials/restart/start.go
+++ b/internal/testbed/trials/restart/start.go
@@ -8,6 +8,7 @@
 
 	"glenport/internal/protocol"
 	"glenport/internal/testbed/bench"
+	"glenport/internal/testbed/loopback"
 	"glenport/internal/testbed/process"
 )
 
@@ -29,7 +30,7 @@
 	if err != nil {
 		return err
 	}
-	defer process.CloseQuietly(c)
+	defer loopback.CloseQuietly(c)
 	reply, err := process.ReadUntil[*protocol.PlacementReply](c)
 	if err != nil {
 		return err
