--- a/internal/config/encode_test.go
+++ b/internal/config/encode_test.go
@@ -8,7 +8,7 @@
 )
 
 // What is encoded reads back as the same settings.
-func TestEncodedSettingsReadBackTheSame(t *testing.T) {
+func TestEncodedSchedulerSettingsReadBackTheSame(t *testing.T) {
 	for _, path := range []string{sampleFolder + "/scheduler.yaml", "testdata/every-key.yaml"} {
 		t.Run(path, func(t *testing.T) {
 			want, _ := parseWithDeprecations(t, path) // what is encoded has no deprecations
@@ -18,6 +18,9 @@
 			}
 		})
 	}
+}
+
+func TestEncodedControllerSettingsReadBackTheSame(t *testing.T) {
 	for _, path := range []string{sampleFolder + "/controller.yaml", "testdata/controller.yaml"} {
 		t.Run(path, func(t *testing.T) {
 			want, err := LoadController(path)
--- a/internal/testbed/bench/bench.go
+++ b/internal/testbed/bench/bench.go
@@ -13,6 +13,7 @@
 
 	"glenport/internal/config"
 	"glenport/internal/eventloop"
+	"glenport/internal/testbed/loopback"
 	"glenport/internal/testbed/process"
 )
 
@@ -30,7 +31,6 @@
 type Cluster struct {
 	Dir        string
 	Scheduler  *process.Scheduler
-	controller *process.Controller // nil without one
 	list       net.Listener
 	listeners  []net.Listener
 	stop       chan struct{}
@@ -39,15 +39,12 @@
 
 // Close ends all that was started.
 func (b *Cluster) Close() {
-	if b.controller != nil {
-		b.controller.Terminate()
-	}
 	if b.Scheduler != nil {
 		b.Scheduler.Close(syscall.SIGKILL)
 	}
 	close(b.stop)
 	for _, l := range b.listeners {
-		process.CloseQuietly(l)
+		loopback.CloseQuietly(l)
 	}
 	b.goroutines.Wait()
 }
@@ -119,7 +116,7 @@
 }
 
 func (b *Cluster) listen() (net.Listener, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := loopback.Listen(loopback.AnyPort)
 	if err == nil {
 		b.listeners = append(b.listeners, l)
 	}
@@ -154,23 +151,23 @@
 	})
 }
 
-// StartWithController starts a bench and a controller before its scheduler, which is ended with the bench, and returns
-// when the controller knows all machines.
-func StartWithController(spec Spec) (*Cluster, *process.Controller, error) {
+// WithController starts a bench and a controller before its scheduler, calls run when the controller knows all
+// machines, and ends both.
+func WithController(spec Spec, run func(*Cluster, *process.Controller) error) error {
 	b, err := Start(spec)
 	if err != nil {
-		return nil, nil, err
+		return err
 	}
+	defer b.Close()
 	controller, err := b.NewController(spec.Program[0], filepath.Join(b.Dir, "controller.state"))
-	if err == nil {
-		b.controller = controller
-		err = controller.Start(spec.Machines)
-	}
 	if err != nil {
-		b.Close()
-		return nil, nil, err
+		return err
+	}
+	defer controller.Terminate()
+	if err := controller.Start(spec.Machines); err != nil {
+		return err
 	}
-	return b, controller, nil
+	return run(b, controller)
 }
 
 // NewController returns a controller before the bench's scheduler, not started yet, with its state in a folder.
--- a/internal/testbed/load/api.go
+++ b/internal/testbed/load/api.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -12,6 +13,7 @@
 	"time"
 
 	"glenport/internal/testbed/bench"
+	"glenport/internal/testbed/loopback"
 	"glenport/internal/testbed/process"
 	"glenport/internal/testbed/report"
 
@@ -20,7 +22,7 @@
 
 const (
 	longestDelay   = 60_000_000 // of a histogram, in microseconds
-	waitingJob     = "many"
+	pendingJob     = "many"
 	whyRequests    = 2000
 	requestClients = 8
 	requestTime    = 4 * time.Second
@@ -52,46 +54,51 @@
 
 // MeasureAPI measures a controller with many containers pending on full machines: what a why costs, how many requests
 // it answers a second, and how long a change takes to many watchers.
-func MeasureAPI(spec bench.Spec, waiting, watchers int, out io.Writer) error {
+func MeasureAPI(spec bench.Spec, pending, watchers int, out io.Writer) error {
 	spec.Capacity = bench.Full
-	b, controller, err := bench.StartWithController(spec)
-	if err != nil {
-		return err
-	}
-	defer b.Close()
-	if err := createPending(controller, waiting); err != nil {
+	return bench.WithController(spec, func(_ *bench.Cluster, controller *process.Controller) error {
+		if err := measureReads(controller, pending, spec.Machines, out); err != nil {
+			return err
+		}
+		return measureFanOut(controller, watchers, out)
+	})
+}
+
+// measureReads measures how long the reasons of pending containers take, and how many requests are answered a second.
+func measureReads(controller *process.Controller, pending, machines int, out io.Writer) error {
+	if err := createPending(controller, pending); err != nil {
 		return err
 	}
 	api := &apiReader{
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}},
 		base:   "http://" + controller.APIAddr,
 	}
-	whys, err := api.measureWhy(waiting)
+	whys, err := api.measureWhy(pending)
 	if err != nil {
 		return err
 	}
-	report.Printf(out, "why, %d containers pending, %d machines: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms\n", waiting, spec.Machines,
-		whys.quantile(50), whys.quantile(99), whys.quantile(99.9))
+	report.Printf(out, "why, %d containers pending, %d machines: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms\n",
+		pending, machines, whys.quantile(50), whys.quantile(99), whys.quantile(99.9))
 	rate, err := api.measureRequests()
 	if err != nil {
 		return err
 	}
 	report.Printf(out, "requests answered: %.0f a second, %d clients\n", rate, requestClients)
-	return measureFanOut(controller, watchers, out)
+	return nil
 }
 
 // createPending creates a job whose containers pend, and waits until the last of them does.
-func createPending(k *process.Controller, n int) error {
-	if err := k.CreateJob(waitingJob, process.WorkloadMatcher, n, 1, 1); err != nil {
+func createPending(controller *process.Controller, n int) error {
+	if err := controller.CreateJob(pendingJob, process.WorkloadMatcher, n, 1, 1); err != nil {
 		return err
 	}
 	err := process.WaitUntil("all are pending", time.Minute, func() bool {
 		var all struct{ Items []any }
-		return k.Get(
-			fmt.Sprintf("/v1/containers?limit=1000&after=%s.%d&field=state=waiting", waitingJob, n-2),
+		return controller.Get(
+			fmt.Sprintf("/v1/containers?limit=1000&after=%s.%d&field=state=waiting", pendingJob, n-2),
 			&all,
 		) == nil &&
-			k.Get("/v1/containers/"+waitingJob+".0/why", nil) == nil &&
+			controller.Get("/v1/containers/"+pendingJob+".0/why", nil) == nil &&
 			len(all.Items) > 0
 	})
 	time.Sleep(3 * time.Second) // the schedulers' first retries are over
@@ -105,11 +112,15 @@
 }
 
 func (a *apiReader) get(path string) error {
-	response, err := a.client.Get(a.base + path)
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, a.base+path, http.NoBody)
+	if err != nil {
+		return err
+	}
+	response, err := a.client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer process.CloseQuietly(response.Body)
+	defer func() { _ = response.Body.Close() }() // it has been read to its end
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		return err
 	}
@@ -119,11 +130,11 @@
 	return nil
 }
 
-func (a *apiReader) measureWhy(waiting int) (*delays, error) {
+func (a *apiReader) measureWhy(pending int) (*delays, error) {
 	measured := newDelays()
 	for i := range whyRequests {
 		began := time.Now()
-		if err := a.get(fmt.Sprintf("/v1/containers/%s.%d/why", waitingJob, i*7%waiting)); err != nil {
+		if err := a.get(fmt.Sprintf("/v1/containers/%s.%d/why", pendingJob, i*7%pending)); err != nil {
 			return nil, err
 		}
 		measured.record(began)
@@ -140,7 +151,7 @@
 	for i := range requestClients {
 		requesting.Go(func() {
 			for time.Since(began) < requestTime && errs[i] == nil {
-				if errs[i] = a.get("/v1/jobs/" + waitingJob); errs[i] == nil {
+				if errs[i] = a.get("/v1/jobs/" + pendingJob); errs[i] == nil {
 					done.Add(1)
 				}
 			}
@@ -158,8 +169,8 @@
 }
 
 // measureFanOut changes a job and measures when each watcher reads of it.
-func measureFanOut(k *process.Controller, watchers int, out io.Writer) error {
-	if err := k.CreateJob(watchedJob, process.WorkloadMatcher, 0, 1, 1); err != nil {
+func measureFanOut(controller *process.Controller, watchers int, out io.Writer) error {
+	if err := controller.CreateJob(watchedJob, process.WorkloadMatcher, 0, 1, 1); err != nil {
 		return err
 	}
 	f := &fanOut{delays: newDelays()}
@@ -167,13 +178,13 @@
 	ready.Add(watchers)
 	for range watchers {
 		watching.Go(func() {
-			events, err := k.Watch("jobs")
+			events, err := controller.Watch("jobs")
 			ready.Done()
 			if err != nil {
 				f.missed.Add(watchedChanges)
 				return
 			}
-			defer process.CloseQuietly(events)
+			defer loopback.CloseQuietly(events)
 			f.readChanges(events)
 		})
 	}
@@ -182,22 +193,15 @@
 		job := process.NewJobSpec(watchedJob, process.WorkloadMatcher, 0, 1, 1)
 		job.RunForMS = i + 1 // by which watchers know the change
 		f.sent[i].Store(time.Now().UnixNano())
-		if err := k.Do(http.MethodPut, "/v1/jobs/"+watchedJob, job, nil); err != nil {
+		if err := controller.Do(http.MethodPut, "/v1/jobs/"+watchedJob, job, nil); err != nil {
 			return err
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	watching.Wait()
-	report.Printf(
-		out,
-		"%d watchers, %d changes: from the request to the line p50 %.1f ms, p99 %.1f ms, worst %.1f ms; %d lines missed\n",
-		watchers,
-		watchedChanges,
-		f.delays.quantile(50),
-		f.delays.quantile(99),
-		f.delays.quantile(100),
-		f.missed.Load(),
-	)
+	report.Printf(out, "%d watchers, %d changes: from the request to the line p50 %.1f ms, p99 %.1f ms, "+
+		"worst %.1f ms; %d lines missed\n", watchers, watchedChanges,
+		f.delays.quantile(50), f.delays.quantile(99), f.delays.quantile(100), f.missed.Load())
 	return nil
 }
 
--- a/internal/testbed/process/protocol.go
+++ b/internal/testbed/process/protocol.go
@@ -5,14 +5,18 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/loopback"
 )
 
 // Tick is the resolution of times in settings files, in frames and in the decisions of schedulers.
 const Tick = 100 * time.Microsecond
 
+// DialTimeout bounds the time until a listener accepts a connection.
+const DialTimeout = time.Second
+
 // DialProtocol connects to a listener, sends frames and bounds whatever else is done on the connection.
 func DialProtocol(address string, timeout time.Duration, frames ...protocol.Frame) (net.Conn, error) {
-	c, err := net.DialTimeout("tcp", address, dialTimeout)
+	c, err := loopback.Dial(address, DialTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -20,7 +24,7 @@
 		err = WriteFrames(c, frames...)
 	}
 	if err != nil {
-		CloseQuietly(c)
+		loopback.CloseQuietly(c)
 		return nil, err
 	}
 	return c, nil
@@ -51,6 +55,3 @@
 		}
 	}
 }
-
-// CloseQuietly closes what was only read from, or whose writes have been checked.
-func CloseQuietly(c interface{ Close() error }) { _ = c.Close() }
--- a/internal/testbed/process/scheduler.go
+++ b/internal/testbed/process/scheduler.go
@@ -3,6 +3,7 @@
 package process
 
 import (
+	"context"
 	"fmt"
 	"os"
 	"os/exec"
@@ -12,6 +13,7 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testbed/loopback"
 )
 
 const (
@@ -20,7 +22,6 @@
 	helloTimeout  = time.Second     // for the hello of a scheduler that was just started
 	stopTimeout   = 5 * time.Second // from a signal to SIGKILL
 	statusTimeout = 5 * time.Second
-	dialTimeout   = time.Second
 )
 
 // clientName is the name by which the test bed introduces itself to schedulers.
@@ -77,7 +78,7 @@
 	go func() {
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
-		command := exec.Command(p.command[0], append(p.command[1:], "-c", p.File)...)
+		command := exec.CommandContext(context.Background(), p.command[0], append(p.command[1:], "-c", p.File)...)
 		command.Stderr = p.log
 		command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 		if err := command.Start(); err != nil {
@@ -116,7 +117,7 @@
 	if err != nil {
 		return false
 	}
-	defer CloseQuietly(c)
+	defer loopback.CloseQuietly(c)
 	hello, err := ReadUntil[*protocol.Hello](c)
 	return err == nil && hello.Name == p.Name && hello.Incarnation >= uint64(launched.UnixMicro())
 }
@@ -165,7 +166,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer CloseQuietly(c)
+	defer loopback.CloseQuietly(c)
 	reply, err := ReadUntil[*protocol.StatusReply](c)
 	if err != nil {
 		return nil, err
--- a/internal/testbed/simulation/scheduler.go
+++ b/internal/testbed/simulation/scheduler.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"maps"
 	"slices"
+	"strconv"
 
 	"glenport/internal/schedulerd/overload"
 	"glenport/scheduler"
@@ -97,11 +98,11 @@
 func (s *simScheduler) receive(c *simContainer) {
 	sim := s.simulation
 	id := scheduler.ContainerID(fmt.Sprintf("%d#%d", c.number, c.tries))
-	deadline := sim.now + sim.terms.WorkloadClasses[c.workloadClass].PlacementTimeout
+	deadline := sim.now + sim.config.WorkloadClasses[c.workloadClass].PlacementTimeout
 	s.requests[id] = &simRequest{container: c, submitted: sim.now, deadline: deadline}
 	s.handle(scheduler.RequestReceived{PlacementRequest: scheduler.PlacementRequest{
 		ID:             id,
-		IdempotencyKey: fmt.Sprint(c.number),
+		IdempotencyKey: strconv.Itoa(c.number),
 		Service:        fmt.Sprint("s", c.workloadClass, "-", c.number%simServices),
 		WorkloadClass:  c.workloadClass,
 		Cores:          simCores,
@@ -252,7 +253,7 @@
 	if s.limiter != nil {
 		s.limiter.Handle(sim.now, overload.RequestStarted{WorkloadClass: class, Elapsed: took})
 	}
-	if took <= sim.terms.WorkloadClasses[class].LatencyObjective {
+	if took <= sim.config.WorkloadClasses[class].LatencyObjective {
 		sim.secondOf(request.container).InTime++
 		sim.Seconds[int(sim.now/scheduler.Second)].Placed++
 	} else {
--- a/internal/testbed/simulation/simulation.go
+++ b/internal/testbed/simulation/simulation.go
@@ -1,3 +1,4 @@
+// Package simulation plays the decisions of schedulers on a virtual clock, with plain models of machines and clients.
 package simulation
 
 import (
@@ -26,15 +27,15 @@
 	SchedulersRestartAt scheduler.Time
 	DropLimiterState    bool
 
-	now        scheduler.Time
-	seq        uint64
-	events     simEvents
-	rng        *rand.Rand
-	terms      scheduler.Config
-	schedulers []*simScheduler
-	fleet      []*simMachine
-	byID       map[scheduler.MachineID]*simMachine
-	nextID     int
+	now       scheduler.Time
+	seq       uint64
+	events    simEvents
+	rng       *rand.Rand
+	config    scheduler.Config
+	instances []*simScheduler
+	fleet     []*simMachine
+	byID      map[scheduler.MachineID]*simMachine
+	nextID    int
 
 	Seconds []SimSecond
 	Actions int
@@ -79,7 +80,11 @@
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
 func (h simEvents) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *simEvents) Push(x any)   { *h = append(*h, x.(simEvent)) }
+func (h *simEvents) Push(x any) {
+	event, _ := x.(simEvent) // schedule pushes nothing else
+	*h = append(*h, event)
+}
+
 func (h *simEvents) Pop() any {
 	old := *h
 	x := old[len(old)-1]
@@ -157,7 +162,7 @@
 // Run plays the simulation to its end.
 func (sim *Simulation) Run() {
 	sim.rng = rand.New(rand.NewPCG(sim.Seed, 41))
-	sim.terms = simConfig(sim.Schedulers)
+	sim.config = simConfig(sim.Schedulers)
 	sim.byID = map[scheduler.MachineID]*simMachine{}
 	sim.Seconds = make([]SimSecond, int(sim.Length/scheduler.Second)+1)
 	for i := range sim.Machines {
@@ -165,15 +170,15 @@
 		sim.fleet, sim.byID[m.id] = append(sim.fleet, m), m
 	}
 	for i := range sim.Schedulers {
-		t := sim.terms
-		t.SchedulerIndex, t.Seed = i, sim.Seed*1000+uint64(i)
-		p := &simScheduler{simulation: sim, config: t}
-		sim.schedulers = append(sim.schedulers, p)
+		config := sim.config
+		config.SchedulerIndex, config.Seed = i, sim.Seed*1000+uint64(i)
+		p := &simScheduler{simulation: sim, config: config}
+		sim.instances = append(sim.instances, p)
 		p.start()
 	}
 	if sim.SchedulersRestartAt > 0 {
 		sim.schedule(sim.SchedulersRestartAt, func() {
-			for _, p := range sim.schedulers {
+			for _, p := range sim.instances {
 				p.restart()
 			}
 		})
@@ -183,7 +188,7 @@
 		sim.schedule(sim.RestartAt, func() { sim.restartMachines() })
 	}
 	for len(sim.events) > 0 && sim.events[0].at <= sim.Length {
-		e := heap.Pop(&sim.events).(simEvent)
+		e, _ := heap.Pop(&sim.events).(simEvent) // there is nothing else on the heap
 		sim.now = e.at
 		e.do()
 	}
@@ -217,7 +222,7 @@
 		m.crash()
 	}
 	report := func() {
-		for _, p := range sim.schedulers {
+		for _, p := range sim.instances {
 			p.handle(scheduler.MachineListUpdate{Mode: scheduler.DeltaUpdate, Entries: sim.machineList(which)})
 		}
 	}
--- a/internal/testbed/trials/restart/start.go
+++ b/internal/testbed/trials/restart/start.go
@@ -8,6 +8,7 @@
 
 	"glenport/internal/protocol"
 	"glenport/internal/testbed/bench"
+	"glenport/internal/testbed/loopback"
 	"glenport/internal/testbed/process"
 )
 
@@ -29,7 +30,7 @@
 	if err != nil {
 		return err
 	}
-	defer process.CloseQuietly(c)
+	defer loopback.CloseQuietly(c)
 	reply, err := process.ReadUntil[*protocol.PlacementReply](c)
 	if err != nil {
 		return err
@@ -87,47 +88,39 @@
 	if err := placeContainer(b.Scheduler.Address, spec); err != nil {
 		return err
 	}
-	t.Printf(
-		"start of a scheduler, %d containers in its log: listening after %.0f ms, first container placed after %.0f ms, "+
-			"first retried at-most-once one after %.0f ms\n",
-		n,
-		milliseconds(listening),
-		milliseconds(first),
-		milliseconds(time.Since(began)),
-	)
+	t.Printf("start of a scheduler, %d containers in its log: listening after %.0f ms, "+
+		"first container placed after %.0f ms, first retried at-most-once one after %.0f ms\n",
+		n, milliseconds(listening), milliseconds(first), milliseconds(time.Since(began)))
 	return nil
 }
 
 func (t *Trial) measureControllerStart(b *bench.Cluster, state string, n int) error {
-	k, err := b.NewController(t.program[0], state)
+	controller, err := b.NewController(t.program[0], state)
 	if err != nil {
 		return err
 	}
-	defer k.Terminate()
+	defer controller.Terminate()
 	began := time.Now()
-	if err := k.Launch(); err != nil {
+	if err := controller.Launch(); err != nil {
 		return err
 	}
 	if err := process.WaitUntil(
 		"the controller answers",
 		30*time.Second,
-		func() bool { return k.Get("/v1/jobs?limit=1", nil) == nil },
+		func() bool { return controller.Get("/v1/jobs?limit=1", nil) == nil },
 	); err != nil {
 		return err
 	}
 	listening := time.Since(began)
 	if err := process.WaitUntil("the first runs", 30*time.Second, func() bool {
 		var all struct{ Items []any }
-		return k.Get("/v1/containers?limit=1&field=state=running", &all) == nil && len(all.Items) > 0
+		return controller.Get("/v1/containers?limit=1&field=state=running", &all) == nil && len(all.Items) > 0
 	}); err != nil {
 		return err
 	}
-	t.Printf(
-		"start of a controller, %d containers in its log: API open after %.0f ms, first container running after %.0f ms\n",
-		n,
-		milliseconds(listening),
-		milliseconds(time.Since(began)),
-	)
+	t.Printf("start of a controller, %d containers in its log: API open after %.0f ms, "+
+		"first container running after %.0f ms\n",
+		n, milliseconds(listening), milliseconds(time.Since(began)))
 	return nil
 }
 
