--- a/internal/testbed/emulator/admission.go
+++ b/internal/testbed/emulator/admission.go
@@ -20,7 +20,7 @@
 // offer queues an offer to be examined, or refuses it at once.
 func (a *admission) offer(c *container) {
 	switch {
-	case a.behavior.throttledTenants[c.spec.Tenant]:
+	case a.behavior.throttles(c.spec.Tenant):
 		a.runtime.end(c, protocol.OutcomeFull, protocol.ReasonNone)
 	case len(a.queue) >= a.spec.MaxQueuedOffers:
 		a.runtime.end(c, protocol.OutcomeFull, protocol.ReasonQueueTooLong)
--- a/internal/testbed/emulator/behavior.go
+++ b/internal/testbed/emulator/behavior.go
@@ -31,6 +31,17 @@
 	}
 }
 
+// ignores reports whether offers of a workload class stay unanswered.
+func (b *behavior) ignores(workload int) bool { return b.ignoredWorkloads[workload] }
+
+// throttles reports whether a tenant's offers are refused.
+func (b *behavior) throttles(tenant int) bool { return b.throttledTenants[tenant] }
+
+// memoryInUse is the memory that a container uses.
+func (b *behavior) memoryInUse(c *container) float64 {
+	return c.memoryUse * b.memoryFactor * c.spec.Memory
+}
+
 // vary varies a duration by chance and applies the slowdown.
 func (b *behavior) vary(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * b.slowdown * (minJitter + jitterSpread*b.rng.Float64()))
--- a/internal/testbed/emulator/conn.go
+++ b/internal/testbed/emulator/encoding.go
@@ -1,25 +1,12 @@
 package emulator
 
 import (
-	"net"
 	"time"
 
 	"glenport/internal/protocol"
 )
 
-const (
-	maxHelloSize = 1024 // bytes of the first frame of a scheduler
-	protocolTick = 100 * time.Microsecond
-)
-
-// writeWithin writes data and fails when the other side does not take it in time.
-func writeWithin(conn net.Conn, data []byte, limit time.Duration) error {
-	if err := conn.SetWriteDeadline(time.Now().Add(limit)); err != nil {
-		return err
-	}
-	_, err := conn.Write(data)
-	return err
-}
+const protocolTick = 100 * time.Microsecond // the unit of protocol.Duration
 
 // mustEncode encodes a frame that the emulator itself has made; one that cannot be encoded is a programming error.
 func mustEncode(buffer []byte, frame protocol.Frame) []byte {
--- a/internal/testbed/emulator/frame_conn.go
+++ b/internal/testbed/emulator/frame_conn.go
@@ -8,7 +8,10 @@
 	"glenport/internal/testbed/loopback"
 )
 
-const heartbeatInterval = time.Second
+const (
+	heartbeatInterval = time.Second
+	maxHelloSize      = 1024 // bytes of the first frame of a scheduler
+)
 
 // frameConn is a connection to a scheduler. Its frames are queued and written by a goroutine of their own, with
 // heartbeats in between.
@@ -65,3 +68,12 @@
 	hello, ok := first.(*protocol.Hello)
 	return hello, ok && hello.Role == protocol.RoleScheduler
 }
+
+// writeWithin writes data and fails when the other side does not take it in time.
+func writeWithin(conn net.Conn, data []byte, limit time.Duration) error {
+	if err := conn.SetWriteDeadline(time.Now().Add(limit)); err != nil {
+		return err
+	}
+	_, err := conn.Write(data)
+	return err
+}
--- a/internal/testbed/emulator/machine.go
+++ b/internal/testbed/emulator/machine.go
@@ -6,7 +6,6 @@
 	"sync"
 	"time"
 
-	"glenport/internal/protocol"
 	"glenport/internal/testbed/loopback"
 )
 
@@ -50,7 +49,7 @@
 	m.runtime = newContainerRuntime(m, &m.MachineSpec, m.behavior, group)
 	m.admission = &admission{host: m, spec: &m.MachineSpec, behavior: m.behavior, runtime: m.runtime}
 	m.server = &schedulerServer{
-		name:       spec.Name,
+		spec:       &m.MachineSpec,
 		host:       m,
 		background: &m.background,
 		life:       &m.life,
@@ -153,43 +152,3 @@
 	}
 	m.evacuateLater()
 }
-
-// do has the machine's goroutine run a task and waits for it. A closed machine runs nothing, and nothing is owed.
-func (m *Machine) do(task func()) { _ = m.loop.runAndWait(task) }
-
-// post is do without the wait.
-func (m *Machine) post(task func()) { _ = m.loop.post(task) }
-
-// after posts a task later, which runs unless the machine was restarted meanwhile.
-func (m *Machine) after(delay time.Duration, task func()) {
-	incarnation := m.life.incarnation
-	time.AfterFunc(delay, func() {
-		m.post(func() {
-			if m.life.isUp() && m.life.incarnation == incarnation {
-				task()
-			}
-		})
-	})
-}
-
-func (m *Machine) sendTo(c *container, frame protocol.Frame) { m.server.sendTo(c, frame) }
-
-func (m *Machine) report() map[string]float64 {
-	free := m.runtime.free()
-	return map[string]float64{
-		"x0":    free.cores,
-		"x1":    free.memory,
-		"queue": float64(m.admission.length() + m.runtime.starts.length()),
-		"util":  m.runtime.utilization(),
-	}
-}
-
-func (m *Machine) startPace() float64 { return m.slowStart.pace(m.life.startedAt) }
-
-func (m *Machine) containerStopped(id string) {
-	if m.OnEnd != nil {
-		m.OnEnd(id, time.Now())
-	}
-}
-
-func (m *Machine) refusesOffers() bool { return m.life.refusesOffers() }
--- a/internal/testbed/emulator/memory.go
+++ b/internal/testbed/emulator/memory.go
@@ -25,10 +25,10 @@
 		}
 		drifted := c.memoryUse + r.behavior.drift(r.spec.MemoryDrift)
 		c.memoryUse = min(max(minMemoryUse, drifted), maxMemoryUse)
-		used += r.memoryInUse(c)
+		used += r.behavior.memoryInUse(c)
 		if r.spec.UsageReports {
 			r.host.sendTo(c, &protocol.UsageReport{
-				AttemptID: c.key.attemptID, Metric: protocol.MetricMemoryUsed, Value: r.memoryInUse(c),
+				AttemptID: c.key.attemptID, Metric: protocol.MetricMemoryUsed, Value: r.behavior.memoryInUse(c),
 			})
 		}
 	}
@@ -43,16 +43,12 @@
 			return
 		}
 		if c.isRunning() {
-			used -= r.memoryInUse(c)
+			used -= r.behavior.memoryInUse(c)
 			r.end(c, protocol.OutcomeLost, protocol.ReasonOutOfMemory)
 		}
 	}
 }
 
-func (r *containerRuntime) memoryInUse(c *container) float64 {
-	return c.memoryUse * r.behavior.memoryFactor * c.spec.Memory
-}
-
 func (r *containerRuntime) evictionRank(c *container) int {
 	if c.spec.WorkloadClass < len(r.spec.EvictionRank) {
 		return r.spec.EvictionRank[c.spec.WorkloadClass]
--- a/internal/testbed/emulator/runtime.go
+++ b/internal/testbed/emulator/runtime.go
@@ -112,6 +112,9 @@
 	return c.spec.DedupWindow <= 0 || r.dedup.claim(c, fromProtocol(c.spec.DedupWindow))
 }
 
+// waitingStarts is the number of accepted containers that wait to be started.
+func (r *containerRuntime) waitingStarts() int { return r.starts.length() }
+
 // accept reserves a container's resources and starts it as soon as the limit on starts allows.
 func (r *containerRuntime) accept(c *container) {
 	c.applyOrLog(offerAccepted)
--- a/internal/testbed/emulator/scheduler_server.go
+++ b/internal/testbed/emulator/scheduler_server.go
@@ -23,7 +23,7 @@
 
 // schedulerServer serves the connections of schedulers to a machine and hands their frames to its components.
 type schedulerServer struct {
-	name       string
+	spec       *MachineSpec
 	host       host
 	background *sync.WaitGroup
 	life       *lifecycle
@@ -71,7 +71,7 @@
 		s.discardQueued(sc.scheduler)
 	}
 	s.conns[sc.scheduler] = sc
-	sc.send(protocol.NewHello(protocol.RoleMachine, s.name, s.life.incarnation))
+	sc.send(protocol.NewHello(protocol.RoleMachine, s.spec.Name, s.life.incarnation))
 	sc.send(&protocol.Inventory{
 		MachineIncarnation: s.life.incarnation, Containers: s.runtime.inventory(sc.scheduler),
 	})
@@ -108,7 +108,7 @@
 }
 
 func (s *schedulerServer) handleOffer(sc *schedulerConn, offer *protocol.Offer) {
-	if s.overwhelms() || s.behavior.ignoredWorkloads[offer.Spec.WorkloadClass] {
+	if s.overwhelms() || s.behavior.ignores(offer.Spec.WorkloadClass) {
 		return
 	}
 	key := attemptKey{scheduler: sc.scheduler, incarnation: sc.incarnation, attemptID: offer.AttemptID}
@@ -129,7 +129,7 @@
 	if s.overwhelms() {
 		return
 	}
-	s.host.after(s.behavior.vary(s.admission.spec.AdmissionTime/2), func() {
+	s.host.after(s.behavior.vary(s.spec.AdmissionTime/2), func() {
 		sc.send(&protocol.ProbeReply{Seq: frame.Seq, Report: s.host.report()})
 	})
 }
