--- a/internal/schedulerd/reconcile/reconciler_test.go
+++ b/internal/schedulerd/reconcile/reconciler_test.go
@@ -40,6 +40,12 @@
 	}
 }
 
+func unknownOutcome(a Attempt) Event { return AttemptOutcomeUnknown{a} }
+
+func notRunning(a Attempt) Event { return AttemptNotRunning{a} }
+
+func lateAccept(a Attempt) Event { return LateAccept{a} }
+
 // report is the report of machine m.
 func report(attempts ...Attempt) MachineReported { return MachineReported{"m", attempts} }
 
@@ -82,6 +88,8 @@
 	connectFailed  = ConnectFailed{Machine: "m"}
 	accepted       = AttemptAccepted{"a", "m", 9}
 	timerFired     = TimerFired{}
+	removed        = ContainerRemoved{"a"}
+	machineGone    = MachineRemoved{"m"}
 	outcomeUnknown = AttemptOutcomeUnknown{attempt(2, 5, 9, false)}
 )
 
@@ -131,9 +139,7 @@
 		{"an id twice", []any{place("a", 0), place("a", 0)}, "reject a"},
 		{"a key that is being placed", []any{place("a", 2), placeAgain("b", "k-a", 2)}, "reject b"},
 		{"a key that runs", []any{place("a", 2), accepted, placeAgain("b", "k-a", 2)}, "running b on m"},
-		{"a key that has ended", []any{
-			4000 * ms, place("a", 2), accepted, ContainerRemoved{"a"}, place("b", 2),
-		}, "admit b"},
+		{"a key that has ended", []any{4000 * ms, place("a", 2), accepted, removed, place("b", 2)}, "admit b"},
 		{"an unknown workload class", []any{place("a", 3)}, "reject a"},
 		{"of a client that disconnected", []any{ClientDisconnected{1}, place("a", 0)}, ""},
 		{"too many clients", []any{ClientConnected{2}, ClientConnected{3}}, "close 3"},
@@ -162,7 +168,7 @@
 		{"cancelled", []any{place("a", 0), CancelRequested{1, "a", "k-a"}}, "terminate a as a"},
 		{"cancelled by its key", []any{place("a", 0), CancelRequested{1, "x", "k-a"}}, "terminate a as x"},
 		{"cancelled, and an earlier attempt runs", []any{
-			place("a", 1), LateAccept{attempt(1, 5, 9, true)}, CancelRequested{1, "a", "k-a"},
+			place("a", 1), lateAccept(attempt(1, 5, 9, true)), CancelRequested{1, "a", "k-a"},
 		}, "cancel 5.9, terminate a as a"},
 		// A scheduler that has just started does not know what runs: "nothing" would leave it running for ever.
 		{"cancelled, and no machine has reported", []any{CancelRequested{1, "x", "k-a"}}, "reject x"},
@@ -225,21 +231,21 @@
 
 func TestAttemptThatMayRunIsResolved(t *testing.T) {
 	runSequences(t, []sequence{
-		{"late accept, idempotent", []any{place("a", 0), LateAccept{attempt(0, 5, 9, true)}}, "cancel 5.9"},
+		{"late accept, idempotent", []any{place("a", 0), lateAccept(attempt(0, 5, 9, true))}, "cancel 5.9"},
 		{"late accept, failed", []any{
-			place("a", 2), RequestFailed{"a"}, ContainerRemoved{"a"}, LateAccept{attempt(2, 5, 9, true)},
+			place("a", 2), RequestFailed{"a"}, removed, lateAccept(attempt(2, 5, 9, true)),
 		}, "adopt a"},
-		{"late accept while the request is open", []any{place("a", 1), LateAccept{attempt(1, 5, 9, true)}}, ""},
+		{"late accept while the request is open", []any{place("a", 1), lateAccept(attempt(1, 5, 9, true))}, ""},
 		{"then the container is removed", []any{
-			place("a", 1), LateAccept{attempt(1, 5, 9, true)}, ContainerRemoved{"a"},
+			place("a", 1), lateAccept(attempt(1, 5, 9, true)), removed,
 		}, "adopt a"},
 		{"then it is placed elsewhere", []any{
-			place("a", 1), LateAccept{attempt(1, 5, 9, true)}, AttemptAccepted{"a", "n", 10},
+			place("a", 1), lateAccept(attempt(1, 5, 9, true)), AttemptAccepted{"a", "n", 10},
 		}, "cancel 5.9"},
 		// A machine that fell silent with an at-most-once attempt may run it: a client that retries waits until it has
 		// reported.
 		{"outcome unknown", []any{
-			4000 * ms, place("a", 2), outcomeUnknown, ContainerRemoved{"a"}, placeAgain("b", "k-a", 2),
+			4000 * ms, place("a", 2), outcomeUnknown, removed, placeAgain("b", "k-a", 2),
 		}, "reject b"},
 		// Else the machine would never be queried, and the attempt never be resolved.
 		{"outcome unknown, the machine is connected", []any{4000 * ms, place("a", 2), outcomeUnknown}, "connect m"},
@@ -249,28 +255,20 @@
 			"connect m",
 		},
 		{"outcome unknown, the machine has reported", []any{
-			4000 * ms, place("a", 2), outcomeUnknown, ContainerRemoved{"a"}, reported, placeAgain("b", "k-a", 2),
+			4000 * ms, place("a", 2), outcomeUnknown, removed, reported, placeAgain("b", "k-a", 2),
 		}, "admit b"},
 		{"outcome unknown, the attempt was reported", []any{
-			4000 * ms, place("a", 2), outcomeUnknown,
-			ContainerRemoved{"a"},
-			AttemptNotRunning{attempt(2, 5, 9, false)},
+			4000 * ms, place("a", 2), outcomeUnknown, removed, notRunning(attempt(2, 5, 9, false)),
 			placeAgain("b", "k-a", 2),
 		}, "admit b"},
 		{"outcome unknown, the machine is gone", []any{
-			4000 * ms, place("a", 2), outcomeUnknown,
-			ContainerRemoved{"a"},
-			MachineRemoved{"m"},
-			placeAgain("b", "k-a", 2),
+			4000 * ms, place("a", 2), outcomeUnknown, removed, machineGone, placeAgain("b", "k-a", 2),
 		}, "admit b"},
 		{"outcome unknown, idempotent", []any{
-			4000 * ms, place("a", 0),
-			AttemptOutcomeUnknown{attempt(0, 5, 9, false)},
-			ContainerRemoved{"a"},
-			placeAgain("b", "k-a", 0),
+			4000 * ms, place("a", 0), unknownOutcome(attempt(0, 5, 9, false)), removed, placeAgain("b", "k-a", 0),
 		}, "admit b"},
 		{"removed, then reported by its machine", []any{
-			place("a", 2), ContainerRemoved{"a"}, report(attempt(2, 5, 9, true)),
+			place("a", 2), removed, report(attempt(2, 5, 9, true)),
 		}, "adopt a"},
 	})
 }
@@ -282,24 +280,17 @@
 		{"a machine that could not be connected is tried again", []any{
 			listed, connectFailed, 2100 * ms, timerFired,
 		}, "connect m"},
-		{"one that is gone is not", []any{listed, connectFailed, MachineRemoved{"m"}, 5100 * ms, timerFired}, ""},
+		{"one that is gone is not", []any{listed, connectFailed, machineGone, 5100 * ms, timerFired}, ""},
 
-		{"earlier incarnation, running", []any{
-			report(attempt(0, 4, 7, true)),
-		}, "adopt a"},
+		{"earlier incarnation, running", []any{report(attempt(0, 4, 7, true))}, "adopt a"},
 		{"earlier incarnation, waiting: it counts until it has ended", []any{
 			report(attempt(2, 4, 7, false)),
 		}, "cancel 4.7, adopt a"},
 		{"earlier incarnation, waiting, and requested again", []any{
 			report(attempt(2, 4, 7, false)), placeAgain("b", "k-a", 2),
 		}, "reject b"},
-		{"reported twice", []any{
-			report(attempt(0, 4, 7, true)),
-			report(attempt(0, 4, 7, true)),
-		}, ""},
-		{"earlier incarnation, then gone", []any{
-			report(attempt(0, 4, 7, true)), report(),
-		}, "lost a"},
+		{"reported twice", []any{report(attempt(0, 4, 7, true)), report(attempt(0, 4, 7, true))}, ""},
+		{"earlier incarnation, then gone", []any{report(attempt(0, 4, 7, true)), report()}, "lost a"},
 		{"two copies of one key", []any{
 			place("a", 1), AttemptAccepted{"a", "n", 9}, report(copyOfKey),
 		}, "cancel 4.7"},
@@ -321,9 +312,7 @@
 		{"reconnected, and still reported", []any{
 			place("a", 0), accepted, disconnected, report(attempt(0, 5, 9, true)),
 		}, ""},
-		{"reconnected, and no longer reported", []any{
-			place("a", 0), accepted, disconnected, report(),
-		}, "lost a"},
+		{"reconnected, and no longer reported", []any{place("a", 0), accepted, disconnected, report()}, "lost a"},
 		{"tried again after the backoff", []any{
 			place("a", 0), accepted, disconnected, connectFailed, 200 * ms, timerFired,
 		}, "connect m"},
@@ -333,7 +322,7 @@
 		), "connect m"},
 		// Else a container that ran on behind a partition would never be known again.
 		{"lost, and its machine is queried later", after(
-			failedTwice, connectFailed, ContainerRemoved{"a"}, 3100*ms, timerFired,
+			failedTwice, connectFailed, removed, 3100*ms, timerFired,
 		), "connect m"},
 	})
 }
