--- a/internal/platform/attempts.go
+++ b/internal/platform/attempts.go
@@ -40,7 +40,7 @@
 		return
 	}
 	a.timer = a.env.loop.After(a.deadline-a.createdAt, a.deadlinePassed)
-	if a.conn = a.machine.acquireConn(); a.conn == nil {
+	if a.conn = a.machine.conns.acquire(); a.conn == nil {
 		a.finish(scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
 		return
 	}
@@ -148,7 +148,7 @@
 	if !a.machine.hasAddr() || a.state == attemptFinished {
 		return
 	}
-	mc := a.machine.acquireConn()
+	mc := a.machine.conns.acquire()
 	if mc == nil {
 		a.env.loop.After(maintenanceInterval, func() { a.sendTermination(cause) })
 		return
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -15,7 +15,8 @@
 //   - clientRegistry holds the connections of clients (clientConn).
 //   - containerRegistry holds the containers that were requested or are running (container), each with at most one
 //     attempt (attempt).
-//   - machineRegistry holds the machines (machine) with their connections (machineConn); machineConnPool bounds these.
+//   - machineRegistry holds the machines (machine), each with its connections (machineConnSet, machineConn), whose
+//     number over all machines machineConnPool bounds.
 //   - prober tests machines, discoveryWatch follows the machine list, shutdownSequence ends the process.
 //   - environment is what they have in common: settings, loop, log, encoder, and the queues to the packages that
 //     decide.
--- a/internal/platform/machineconnpool.go
+++ b/internal/platform/machineconnpool.go
@@ -49,7 +49,7 @@
 func (p *machineConnPool) firstToEvict(now eventloop.Tick) *machineConn {
 	var first evictionCandidate
 	for m := range p.machines.sorted() {
-		first = first.earlier(m.firstToEvict(now))
+		first = first.earlier(m.conns.firstToEvict(now))
 	}
 	return first.conn
 }
--- a/internal/platform/machineconns.go
+++ b/internal/platform/machineconns.go
@@ -139,14 +139,14 @@
 		return
 	}
 	mc.onEstablished = nil
-	mc.machine.connEnded(mc)
+	mc.machine.conns.remove(mc)
 	notSent := scheduler.OutcomeConnectFailed
 	if errors.Is(err, eventloop.ErrLocalResources) { // not the fault of the machine
 		notSent = scheduler.OutcomeNotSent
 	}
 	switch last {
 	case machineEstablished:
-		mc.machine.connBroke()
+		mc.machine.conns.recordLoss()
 	case machineConnecting, machineAbandoned:
 		mc.reportRefusal(err)
 	default: // it was closed here
--- a/internal/platform/machineconns_test.go
+++ b/internal/platform/machineconns_test.go
@@ -99,7 +99,7 @@
 	for i, id := range []string{requestID, otherRequestID, thirdRequestID} {
 		if i == 2 {
 			r.runOnLoop(func() {
-				for _, mc := range r.server.machines.lookup("a").conns {
+				for _, mc := range r.server.machines.lookup("a").conns.conns {
 					mc.lastUsedAt -= r.server.env.config.MachineIdleTimeout / 2
 				}
 			})
@@ -206,7 +206,7 @@
 // evicted.
 func (r *testServer) ageMachineConns() {
 	for _, m := range r.server.machines.machines {
-		for _, mc := range m.conns {
+		for _, mc := range m.conns.conns {
 			mc.lastUsedAt -= eventloop.Second
 		}
 	}
@@ -269,12 +269,12 @@
 	r.runOnLoop(func() {
 		s := r.server
 		z := s.machines.lookup("z")
-		if z == nil || len(z.conns) != 1 {
+		if z == nil || len(z.conns.conns) != 1 {
 			t.Errorf("machine z is %+v", z)
 			return
 		}
-		z.conns[0].lastUsedAt -= eventloop.Second
-		s.machines.lookup("a").connLost = true
+		z.conns.conns[0].lastUsedAt -= eventloop.Second
+		s.machines.lookup("a").conns.lost = true
 		others := connmanager.MaxMachineConns(s.env.config.MaxDescriptors) - s.machines.pool.open
 		s.machines.pool.open += others
 		s.maintain()
--- a/internal/platform/machineconnset.go
+++ b/internal/platform/machineconnset.go
@@ -7,31 +7,42 @@
 	"glenport/internal/platform/connmanager"
 )
 
-// This file has the methods by which a machine owns its connections.
+// machineConnSet holds the connections to one machine. An offer has a connection of its own as long as there are
+// enough, so that an answer that cannot be read harms no other.
+type machineConnSet struct {
+	env     *environment
+	pool    *machineConnPool
+	machine *machine
+	conns   []*machineConn
+	lost    bool // one broke while containers run: the machine repeats its reports on the next
+}
 
 // connEnded removes a connection that has ended.
-func (m *machine) connEnded(mc *machineConn) {
-	m.conns = slices.DeleteFunc(m.conns, func(other *machineConn) bool { return other == mc })
-	m.pool.released()
+func (s *machineConnSet) remove(mc *machineConn) {
+	s.conns = slices.DeleteFunc(s.conns, func(other *machineConn) bool { return other == mc })
+	s.pool.released()
 }
 
-// connBroke has a new connection opened while containers run.
-func (m *machine) connBroke() { m.connLost = true }
+// recordLoss has a new connection opened while containers run.
+func (s *machineConnSet) recordLoss() { s.lost = true }
+
+// isBusy reports whether something waits for one of the connections or for an answer on it.
+func (s *machineConnSet) isBusy() bool { return slices.ContainsFunc(s.conns, (*machineConn).isBusy) }
 
-// activeConns returns the connections that are not closing, the primary one first.
-func (m *machine) activeConns() []*machineConn {
-	return slices.DeleteFunc(slices.Clone(m.conns), func(mc *machineConn) bool { return !mc.isActive() })
+// active returns the connections that are not closing, the primary one first.
+func (s *machineConnSet) active() []*machineConn {
+	return slices.DeleteFunc(slices.Clone(s.conns), func(mc *machineConn) bool { return !mc.isActive() })
 }
 
-// acquireConn returns a connection that carries no offer, a new one, or the one that carries the fewest. It returns nil
+// acquire returns a connection that carries no offer, a new one, or the one that carries the fewest. It returns nil
 // where there is none and none may be opened.
-func (m *machine) acquireConn() *machineConn {
-	conns := m.activeConns()
-	best := leastLoaded(conns, m.env.loop.Now())
-	if best != nil && (best.offerCount() == 0 || m.atConnLimit(len(conns)) || !m.pool.makeRoom()) {
+func (s *machineConnSet) acquire() *machineConn {
+	conns := s.active()
+	best := leastLoaded(conns, s.env.loop.Now())
+	if best != nil && (best.offerCount() == 0 || s.atLimit(len(conns)) || !s.pool.makeRoom()) {
 		return best
 	}
-	return m.connect()
+	return s.connect()
 }
 
 // leastLoaded returns the usable connection that carries the fewest offers. Not usable is one that its machine may be
@@ -50,50 +61,50 @@
 	return best
 }
 
-// atConnLimit reports whether a machine with so many connections may have no more.
-func (m *machine) atConnLimit(conns int) bool {
-	return conns >= connmanager.MaxConnsPerMachine(m.env.config.MaxDescriptors, m.registry.count())
+// atLimit reports whether a machine with so many connections may have no more.
+func (s *machineConnSet) atLimit(conns int) bool {
+	return conns >= connmanager.MaxConnsPerMachine(s.env.config.MaxDescriptors, s.machine.registry.count())
 }
 
 // connect opens a connection; nil where there may be no more.
-func (m *machine) connect() *machineConn {
-	if !m.pool.acquire() {
+func (s *machineConnSet) connect() *machineConn {
+	if !s.pool.acquire() {
 		return nil
 	}
-	mc := dialMachine(m)
-	m.conns = append(m.conns, mc)
+	mc := dialMachine(s.machine)
+	s.conns = append(s.conns, mc)
 	return mc
 }
 
 // firstToEvict returns the connection of the machine that is evicted first, if any may be.
-func (m *machine) firstToEvict(now eventloop.Tick) evictionCandidate {
+func (s *machineConnSet) firstToEvict(now eventloop.Tick) evictionCandidate {
 	var first evictionCandidate
-	for i, mc := range m.conns {
+	for i, mc := range s.conns {
 		first = first.earlier(mc.evictionCandidate(now, i == 0))
 	}
 	return first
 }
 
-// closeIdleConns closes the connections on which nothing is awaited.
-func (m *machine) closeIdleConns() {
-	for _, mc := range m.activeConns() {
+// closeIdle closes the connections on which nothing is awaited.
+func (s *machineConnSet) closeIdle() {
+	for _, mc := range s.active() {
 		if !mc.isBusy() {
 			mc.closeGracefully()
 		}
 	}
 }
 
-// maintainConns closes idle connections before the machine does, except one while containers run there: their ends are
+// maintain closes idle connections before the machine does, except one while containers run there: their ends are
 // reported on it. After a broken connection a new one is opened: the machine repeats on it any report that was lost.
-func (m *machine) maintainConns(now eventloop.Tick) {
-	for i, mc := range m.activeConns() {
+func (s *machineConnSet) maintain(now eventloop.Tick) {
+	for i, mc := range s.active() {
 		if !mc.isBusy() && !mc.poolState(now, i == 0).ShouldKeep() {
 			mc.closeGracefully()
 		}
 	}
-	if !m.hasRunning() || !m.hasAddr() || m.isGone() {
-		m.connLost = false
-	} else if m.connLost || len(m.activeConns()) == 0 && !m.pool.isFull() {
-		m.connLost = m.connect() == nil
+	if !s.machine.hasRunning() || !s.machine.hasAddr() || s.machine.isGone() {
+		s.lost = false
+	} else if s.lost || len(s.active()) == 0 && !s.pool.isFull() {
+		s.lost = s.connect() == nil
 	}
 }
--- a/internal/platform/machineregistry.go
+++ b/internal/platform/machineregistry.go
@@ -36,11 +36,11 @@
 		m = &machine{
 			env:      r.env,
 			registry: r,
-			pool:     r.pool,
 			id:       id,
 			state:    scheduler.MachineGone,
 			attempts: map[scheduler.ContainerID]*attempt{},
 		}
+		m.conns = &machineConnSet{env: r.env, pool: r.pool, machine: m}
 		r.machines[id] = m
 	}
 	return m
@@ -123,21 +123,21 @@
 // maintainConns closes idle connections and replaces broken ones, machine by machine.
 func (r *machineRegistry) maintainConns(now eventloop.Tick) {
 	for m := range r.sorted() { // one may be evicted when another machine needs a connection
-		m.maintainConns(now)
+		m.conns.maintain(now)
 	}
 }
 
 // disconnect closes the connections to a machine on which nothing is awaited.
 func (r *machineRegistry) disconnect(id scheduler.MachineID) {
 	if m := r.machines[id]; m != nil {
-		m.closeIdleConns()
+		m.conns.closeIdle()
 	}
 }
 
 // connectForLiveness opens a connection and sends nothing on it. A machine that is alive accepts it.
 func (r *machineRegistry) connectForLiveness(action failuredetector.Connect) {
 	if m := r.machines[scheduler.MachineID(action.Machine)]; m != nil && m.hasAddr() {
-		m.connect() // nil where there may be no more connections: the detector asks again
+		m.conns.connect() // nil where there may be no more connections: the detector asks again
 	}
 }
 
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -1,29 +1,23 @@
 package platform
 
 import (
-	"slices"
-
 	"glenport/internal/eventloop"
 	"glenport/internal/platform/failuredetector"
 	"glenport/scheduler"
 )
 
-// machine is one that the machine list has named, or that a client has named as running its container, with its
-// connections. An offer has a connection of its own as long as there are enough, so that an answer that cannot be read
-// harms no other.
+// machine is one that the machine list has named, or that a client has named as running its container.
 type machine struct {
 	env       *environment
 	registry  *machineRegistry
-	pool      *machineConnPool
 	id        scheduler.MachineID
 	addr      string
 	entry     scheduler.MachineEntry // of the last update; without an identifier where no list has named the machine
 	state     scheduler.MachineState
 	startedAt scheduler.Time // the start of its incarnation
-	conns     []*machineConn
+	conns     *machineConnSet
 	attempts  map[scheduler.ContainerID]*attempt // pending, or running there
 	running   int                                // containers
-	connLost  bool                               // while containers run: it repeats its reports on the next connection
 }
 
 // isListed reports whether the machine list has named the machine.
@@ -91,7 +85,7 @@
 		m.releaseAddr()
 	}
 	if m.addr != update.addr && m.addr != "" || m.startedAt != entry.StartedAt {
-		m.closeIdleConns()
+		m.conns.closeIdle()
 	}
 	if update.addr != "" {
 		m.addr = update.addr
@@ -111,7 +105,7 @@
 // replaced marks the machine as gone, as another one is at its address. It returns its entry for the scheduler.
 func (m *machine) replaced() scheduler.MachineEntry {
 	m.state, m.entry.State = scheduler.MachineGone, scheduler.MachineGone
-	m.closeIdleConns()
+	m.conns.closeIdle()
 	return m.entry
 }
 
@@ -131,9 +125,9 @@
 
 // evictIfGone removes a machine that is gone and has no work.
 func (m *machine) evictIfGone() {
-	if !m.isGone() || len(m.attempts) > 0 || slices.ContainsFunc(m.conns, (*machineConn).isBusy) {
+	if !m.isGone() || len(m.attempts) > 0 || m.conns.isBusy() {
 		return
 	}
-	m.closeIdleConns()
+	m.conns.closeIdle()
 	m.registry.remove(m)
 }
--- a/internal/platform/probes.go
+++ b/internal/platform/probes.go
@@ -20,7 +20,7 @@
 	m := p.machines.getOrAdd(id)
 	var mc *machineConn
 	if m.hasAddr() {
-		mc = m.acquireConn()
+		mc = m.conns.acquire()
 	}
 	if mc == nil {
 		p.env.notifyScheduler(scheduler.ProbeCompleted{Machine: id, Outcome: scheduler.OutcomeNotSent})
