--- a/internal/bgp/announce/invariants_test.go
+++ b/internal/bgp/announce/invariants_test.go
@@ -118,13 +118,8 @@
 		status, _ := m.announcer.Status(service)
 		want := m.configured[service] && len(containers) > 0 && !status.Suppressed
 		if announced := m.table[prefixOf(service)]; announced != want {
-			m.t.Fatalf(
-				"%s is announced: %t; configured %t, %d containers",
-				service,
-				announced,
-				m.configured[service],
-				len(containers),
-			)
+			m.t.Fatalf("%s is announced: %t; configured %t, %d containers",
+				service, announced, m.configured[service], len(containers))
 		}
 	}
 }
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -43,23 +43,14 @@
 }
 
 func goldenConnectionFrames() []namedFrame {
+	hello := func(role Role, name string, incarnation uint64) *Hello {
+		return &Hello{Magic: "glenport", Version: 1, Role: role, Name: name, Incarnation: incarnation}
+	}
 	return []namedFrame{
-		{
-			"1 Hello, scheduler",
-			&Hello{Magic: "glenport", Version: 1, Role: RoleScheduler, Name: "scheduler-1", Incarnation: 11},
-		},
-		{
-			"1 Hello, machine",
-			&Hello{Magic: "glenport", Version: 1, Role: RoleMachine, Name: "machine-1", Incarnation: 12},
-		},
-		{
-			"1 Hello, machine list",
-			&Hello{Magic: "glenport", Version: 1, Role: RoleMachineList, Name: "list-1", Incarnation: 13},
-		},
-		{
-			"1 Hello, client",
-			&Hello{Magic: "glenport", Version: 1, Role: RoleClient, Name: "client-1", Incarnation: 1 << 63},
-		},
+		{"1 Hello, scheduler", hello(RoleScheduler, "scheduler-1", 11)},
+		{"1 Hello, machine", hello(RoleMachine, "machine-1", 12)},
+		{"1 Hello, machine list", hello(RoleMachineList, "list-1", 13)},
+		{"1 Hello, client", hello(RoleClient, "client-1", 1<<63)},
 	}
 }
 
@@ -90,29 +81,13 @@
 		{"11 WatchMachineList", &WatchMachineList{Enabled: true, SinceVersion: 9001}},
 		{"12 MachineListUpdate", &MachineListUpdate{FullSnapshot: true, Version: 10001, Entries: []MachineEntry{
 			{
-				Machine:     "machine-2",
-				Address:     "127.0.0.1:2",
-				Zone:        10002,
-				MachineType: 10003,
-				RackGroup:   10004,
-				State:       MachineDraining,
-				FreeCores:   10005.5,
-				FreeMemory:  -10006.5,
-				PowerHint:   1.75,
-				Incarnation: 10007,
-				Age:         -10008,
+				Machine: "machine-2", Address: "127.0.0.1:2", Zone: 10002, MachineType: 10003, RackGroup: 10004,
+				State: MachineDraining, FreeCores: 10005.5, FreeMemory: -10006.5, PowerHint: 1.75,
+				Incarnation: 10007, Age: -10008,
 			},
 			{
-				Machine:     "machine-3",
-				Zone:        10009,
-				MachineType: 10010,
-				RackGroup:   10011,
-				State:       MachineGone,
-				FreeCores:   10012.25,
-				FreeMemory:  10013.25,
-				PowerHint:   1.25,
-				Incarnation: 10014,
-				Age:         10015,
+				Machine: "machine-3", Zone: 10009, MachineType: 10010, RackGroup: 10011, State: MachineGone,
+				FreeCores: 10012.25, FreeMemory: 10013.25, PowerHint: 1.25, Incarnation: 10014, Age: 10015,
 			},
 		}}},
 		{"13 MachineListError", &MachineListError{Message: "text 11001"}},
@@ -154,29 +129,16 @@
 		{"26 RoutesReply", &RoutesReply{
 			Peers: []BGPPeerStatus{
 				{
-					Address:       "127.0.0.1:179",
-					ASN:           21001,
-					State:         "Established",
-					Routes:        21002,
-					PendingRoutes: 21003,
-					UpdatesSent:   21004,
-					BytesSent:     21005,
-					SessionsEnded: 21006,
-					LastError:     "text 21007",
+					Address: "127.0.0.1:179", ASN: 21001, State: "Established", Routes: 21002,
+					PendingRoutes: 21003, UpdatesSent: 21004, BytesSent: 21005, SessionsEnded: 21006,
+					LastError: "text 21007",
 				},
 			},
 			Services: []ServiceRoute{
 				{
-					Service:         "service-21008",
-					Prefix:          "10.0.0.0/24",
-					Announced:       true,
-					LocalPreference: 21009,
-					Running:         21010,
-					Draining:        21011,
-					MinRunning:      21012,
-					Penalty:         21013.5,
-					Suppressed:      true,
-					NextChangeIn:    21014,
+					Service: "service-21008", Prefix: "10.0.0.0/24", Announced: true, LocalPreference: 21009,
+					Running: 21010, Draining: 21011, MinRunning: 21012, Penalty: 21013.5, Suppressed: true,
+					NextChangeIn: 21014,
 				},
 			},
 		}},
--- a/internal/protocol/invalid_test.go
+++ b/internal/protocol/invalid_test.go
@@ -98,10 +98,8 @@
 	s.t.Helper()
 	entry := MachineEntry{Machine: "m", Address: "a"}
 	change(&entry)
-	s.add(
-		"MachineListUpdate, "+title,
-		&MachineListUpdate{Entries: []MachineEntry{{Machine: "good", Address: "a"}, entry}},
-	)
+	entries := []MachineEntry{{Machine: "good", Address: "a"}, entry}
+	s.add("MachineListUpdate, "+title, &MachineListUpdate{Entries: entries})
 }
 
 var (
@@ -251,18 +249,14 @@
 	s.add("PlacementReply, verdict 0", &PlacementReply{ContainerID: "c"})
 	s.add("PlacementReply, verdict 5", &PlacementReply{ContainerID: "c", Verdict: 5})
 	s.add("PlacementReply, hold-off below 0", &PlacementReply{ContainerID: "c", Verdict: VerdictPlaced, RetryAfter: -1})
-	s.add(
-		"PlacementReply, hold-off too long",
-		&PlacementReply{ContainerID: "c", Verdict: VerdictPlaced, RetryAfter: tooLong},
-	)
+	late := &PlacementReply{ContainerID: "c", Verdict: VerdictPlaced, RetryAfter: tooLong}
+	s.add("PlacementReply, hold-off too long", late)
 	s.add("Termination, no container", &Termination{})
 	s.add("Termination, outcome 5", &Termination{ContainerID: "c", Outcome: 5})
 	s.add("Termination, reason 8", &Termination{ContainerID: "c", Reason: 8})
 	s.add("StatusReply, no name of a value", &StatusReply{Stats: []Stat{{Value: 1}}})
-	s.add(
-		"StatusReply, value no number",
-		&StatusReply{Stats: []Stat{{Name: "a", Value: 1}, {Name: "open", Value: notNumber}}},
-	)
+	stats := []Stat{{Name: "a", Value: 1}, {Name: "open", Value: notNumber}}
+	s.add("StatusReply, value no number", &StatusReply{Stats: stats})
 }
 
 // Each frame that is out of range or malformed is refused, when it is received and when it is to be sent, with the
--- a/internal/storage/wal/golden_test.go
+++ b/internal/storage/wal/golden_test.go
@@ -119,12 +119,7 @@
 	fs := faultfs.New()
 	l, _ := mustOpen(t, fs, Options{})
 	mustCommit(t, l, true, goldenPut("job", "a", "value 10"))
-	fs.InjectError = func(kind, _ string) error {
-		if kind == "sync" {
-			return syscall.EIO
-		}
-		return nil
-	}
+	fs.InjectError = failOperations("sync", syscall.EIO)
 	if err := commitAndWait(l, true, goldenPut("job", "b", "refused")); !errors.Is(err, ErrSyncFailed) {
 		t.Fatal(err)
 	}
@@ -170,13 +165,8 @@
 		if got := newFileHeader(magic, first); !bytes.Equal(got, data[:headerSize]) {
 			t.Errorf("%s: the header is encoded as %x, want %x", name, got, data[:headerSize])
 		}
-		fmt.Fprintf(
-			&out,
-			"  header: %s, version %d, first group %d\n",
-			data[:versionOffset],
-			data[versionOffset],
-			first,
-		)
+		start, version := data[:versionOffset], data[versionOffset]
+		fmt.Fprintf(&out, "  header: %s, version %d, first group %d\n", start, version, first)
 		describeGroups(t, &out, name, data[headerSize:])
 	}
 	return out.String()
@@ -229,16 +219,8 @@
 func describeState(t *testing.T, s *State) string {
 	t.Helper()
 	var out strings.Builder
-	fmt.Fprintf(
-		&out,
-		"read: the log from group %d on, the last is %d, %d groups, %d records, %d bytes, %d of them cut off\n",
-		s.FirstGroup,
-		s.LastGroup,
-		s.Groups,
-		s.Records,
-		s.Bytes,
-		s.TruncatedBytes,
-	)
+	const read = "read: the log from group %d on, the last is %d, %d groups, %d records, %d bytes, %d of them cut off\n"
+	fmt.Fprintf(&out, read, s.FirstGroup, s.LastGroup, s.Groups, s.Records, s.Bytes, s.TruncatedBytes)
 	for _, kind := range s.Kinds() {
 		fmt.Fprintf(&out, "kind %q, %d records\n", kind, s.Count(kind))
 		err := s.ForEach(kind, func(key string, value []byte) error {
--- a/internal/storage/wal/operations_test.go
+++ b/internal/storage/wal/operations_test.go
@@ -66,15 +66,9 @@
 	h.note("keep: %s", describeError(l.CommitSync(goldenPut("kept", strconv.Itoa(from), "value"))))
 	h.note("close: %s", describeError(l.Close()))
 	h.note("commit after it: %s", describeError(commitAndWait(l, true)))
-	counters := l.Counters()
-	h.note(
-		"%d commits, %d groups, %d syncs, %d snapshots, %d refused",
-		counters.Commits,
-		counters.Groups,
-		counters.Syncs,
-		counters.Snapshots,
-		counters.Rejected,
-	)
+	c := l.Counters()
+	h.note("%d commits, %d groups, %d syncs, %d snapshots, %d refused",
+		c.Commits, c.Groups, c.Syncs, c.Snapshots, c.Rejected)
 }
 
 func (h *historyTrial) noteResult(t *testing.T) {
