--- a/internal/bgp/wire/message_test.go
+++ b/internal/bgp/wire/message_test.go
@@ -21,23 +21,12 @@
 func samples() []Message {
 	return []Message{
 		&Open{
-			AS:          4200000001,
-			HoldTime:    90,
-			ID:          [4]byte{10, 0, 0, 1},
-			Families:    []Family{IPv4, IPv6},
-			FourOctetAS: true,
-			Refresh:     true,
-			Restart: &GracefulRestart{
-				Restarted:           true,
-				Time:                120,
-				ForwardingPreserved: map[Family]bool{IPv4: true, IPv6: false},
+			AS: 4200000001, HoldTime: 90, ID: [4]byte{10, 0, 0, 1}, Families: []Family{IPv4, IPv6},
+			FourOctetAS: true, Refresh: true, Restart: &GracefulRestart{
+				Restarted: true, Time: 120, ForwardingPreserved: map[Family]bool{IPv4: true, IPv6: false},
 			},
 		},
-		&Open{
-			AS:       65001,
-			HoldTime: 0,
-			ID:       [4]byte{1},
-		},
+		&Open{AS: 65001, HoldTime: 0, ID: [4]byte{1}},
 		&Keepalive{},
 		&RouteRefresh{IPv6},
 		&Notification{6, 2, []byte{2, 'h', 'i'}},
--- a/internal/bgp/wire/open.go
+++ b/internal/bgp/wire/open.go
@@ -61,14 +61,8 @@
 	}
 	length, parameters := int(body[9]), body[openFixedLength:]
 	if length != len(parameters) {
-		return nil, newMessageError(
-			CodeOpen,
-			SubcodeUnspecific,
-			nil,
-			"optional parameters of %d bytes in %d",
-			length,
-			len(parameters),
-		)
+		const reason = "optional parameters of %d bytes in %d"
+		return nil, newMessageError(CodeOpen, SubcodeUnspecific, nil, reason, length, len(parameters))
 	}
 	if err := o.decodeParameters(parameters); err != nil {
 		return nil, err
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -18,11 +18,7 @@
 // DialWithControl is Dial with a function that prepares the socket before it connects; an error of it fails the
 // connection.
 func (l *Loop) DialWithControl(
-	addr string,
-	handler Handler,
-	maxOutput int,
-	timeout Tick,
-	control func(fd int) error,
+	addr string, handler Handler, maxOutput int, timeout Tick, control func(fd int) error,
 ) *Conn {
 	conn := &Conn{loop: l, fd: -1, handler: handler, output: output{limit: maxOutput}}
 	l.countConn()
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -193,13 +193,9 @@
 		for _, f := range frames {
 			all = append(all, section{f.title, describe(f.frame), stream(t, f.frame)})
 		}
-		writeSections(
-			t,
-			framesFile,
-			"Frames of protocol version 1: number and name, fields in their order on the wire\n"+
-				"(names as in docs/protocol.md), bytes with the length in front.\n",
-			all,
-		)
+		const head = "Frames of protocol version 1: number and name, fields in their order on the wire\n" +
+			"(names as in docs/protocol.md), bytes with the length in front.\n"
+		writeSections(t, framesFile, head, all)
 	}
 	recorded := readSections(t, framesFile)
 	if len(recorded) != len(frames) {
@@ -245,9 +241,8 @@
 
 // A report of several values has no order on the wire, so only its decoding is compared.
 func TestReportOfSeveralValuesIsDecoded(t *testing.T) {
-	p, err := hex.DecodeString(
-		"0484190bb90000" + "a3" + "6162fb3ff8000000000000" + "6161fb4004000000000000" + "6163f93c00",
-	)
+	const code = "0484190bb90000" + "a3" + "6162fb3ff8000000000000" + "6161fb4004000000000000" + "6163f93c00"
+	p, err := hex.DecodeString(code)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -255,10 +250,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := (&Result{AttemptID: 3001, Report: map[string]float64{"a": 2.5, "b": 1.5, "c": 1}}); !reflect.DeepEqual(
-		got,
-		want,
-	) {
+	want := &Result{AttemptID: 3001, Report: map[string]float64{"a": 2.5, "b": 1.5, "c": 1}}
+	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
--- a/internal/protocol/invalid_test.go
+++ b/internal/protocol/invalid_test.go
@@ -269,13 +269,9 @@
 			_, err := Decode(f.body)
 			all = append(all, section{f.title, errorText(err), f.body})
 		}
-		writeSections(
-			t,
-			invalidFile,
-			"Frames that are refused (some that just pass): the error, where FRAME stands for a name in Go,\n"+
-				"and the bytes without the length in front.\n",
-			all,
-		)
+		const head = "Frames that are refused (some that just pass): the error, " +
+			"where FRAME stands for a name in Go,\nand the bytes without the length in front.\n"
+		writeSections(t, invalidFile, head, all)
 	}
 	recorded := readSections(t, invalidFile)
 	if len(recorded) != len(frames) {
--- a/internal/protocol/reader_test.go
+++ b/internal/protocol/reader_test.go
@@ -176,13 +176,8 @@
 	}
 	refused := errors.New("refused by the receiver")
 	r = Reader{}
-	if err := r.Feed(
-		stream(t, NewHello(RoleClient, "c", 1)),
-		func(Frame) error { return refused },
-	); !errors.Is(
-		err,
-		refused,
-	) {
+	err = r.Feed(stream(t, NewHello(RoleClient, "c", 1)), func(Frame) error { return refused })
+	if !errors.Is(err, refused) {
 		t.Errorf("error of the receiver: %v", err)
 	}
 }
--- a/internal/storage/vfs/dir_test.go
+++ b/internal/storage/vfs/dir_test.go
@@ -76,15 +76,13 @@
 func TestFolderIsHeldByOneUntilItIsClosed(t *testing.T) {
 	path := t.TempDir()
 	d := mustOpen(t, path)
-	var owned *LockedError
-	if _, err := OpenLocked(
-		path,
-	); !errors.As(err, &owned) || owned.Path != path ||
-		owned.Holder != fmt.Sprint("process ", os.Getpid()) {
-		t.Errorf("opened twice: %v", err)
+	_, err := OpenLocked(path)
+	owned, ok := errors.AsType[*LockedError](err)
+	if !ok || owned.Path != path || owned.Holder != fmt.Sprint("process ", os.Getpid()) {
+		t.Fatalf("opened twice: %v", err)
 	}
 	want := fmt.Sprintf("%s is held by another instance, process %d: each needs a folder of its own", path, os.Getpid())
-	if owned == nil || owned.Error() != want {
+	if owned.Error() != want {
 		t.Errorf("text %v, want %s", owned, want)
 	}
 	if err := d.Close(); err != nil {
@@ -110,10 +108,8 @@
 	if _, err := OpenReadOnly(filepath.Join(path, "none")); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("a folder that is not there: %v", err)
 	}
-	if _, err := OpenReadOnly(
-		filepath.Join(path, "a"),
-	); err == nil ||
-		err.Error() != filepath.Join(path, "a")+" is no folder" {
+	file := filepath.Join(path, "a")
+	if _, err := OpenReadOnly(file); err == nil || err.Error() != file+" is no folder" {
 		t.Errorf("a file in place of a folder: %v", err)
 	}
 }
--- a/measure/store/store_test.go
+++ b/measure/store/store_test.go
@@ -146,12 +146,13 @@
 func BenchmarkCommit(b *testing.B) {
 	for _, clients := range []int{1, 16, 256} {
 		for _, name := range []string{"glenport", "pebble", "bbolt"} {
-			b.Run(fmt.Sprintf("%s/%d", name, clients), func(b *testing.B) { benchmarkCommit(b, name, clients) })
+			b.Run(fmt.Sprintf("%s/%d", name, clients), func(b *testing.B) { runCommits(b, name, clients) })
 		}
 	}
 }
 
-func benchmarkCommit(b *testing.B, name string, clients int) {
+func runCommits(b *testing.B, name string, clients int) {
+	b.Helper()
 	e, err := engines[name](b.TempDir())
 	if err != nil {
 		b.Fatal(err)
@@ -204,6 +205,7 @@
 }
 
 func flipBits(t *testing.T, name string) {
+	t.Helper()
 	files := filesAfterCrash(t, name)
 	largest := ""
 	for file, data := range files {
@@ -261,7 +263,7 @@
 // outcomeOfOpening opens a directory in a subprocess, which a library may crash.
 func outcomeOfOpening(t *testing.T, name, dir string) string {
 	t.Helper()
-	command := exec.Command(os.Args[0], "-test.run=TestFlip", "-test.v")
+	command := exec.CommandContext(t.Context(), os.Args[0], "-test.run=TestFlip", "-test.v")
 	command.Env = append(os.Environ(), directoryVariable+"="+dir, engineVariable+"="+name)
 	output, err := command.Output()
 	var exit *exec.ExitError
