--- a/internal/bgp/session/transitions_test.go
+++ b/internal/bgp/session/transitions_test.go
@@ -156,3 +156,29 @@
 		}
 	}
 }
+
+var diagramEdge = regexp.MustCompile(`(?m)^ +(\w+) --> (\w+):`)
+
+func TestDiagramHasTheTransitionsOfTheTable(t *testing.T) {
+	page, err := os.ReadFile("../../../docs/bgp.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	drawn := map[[2]string]bool{}
+	for _, edge := range diagramEdge.FindAllStringSubmatch(string(page), -1) {
+		drawn[[2]string{edge[1], edge[2]}] = true
+	}
+	table := readTransitionTable(t)
+	for from := Idle; from <= Established; from++ {
+		for to := Idle; to <= Established; to++ {
+			edge := [2]string{from.String(), to.String()}
+			if want := from != to && table.leadsTo(from, to); drawn[edge] != want {
+				t.Errorf("%s to %s is drawn: %t, in the table: %t", from, to, drawn[edge], want)
+			}
+			delete(drawn, edge)
+		}
+	}
+	if len(drawn) > 0 {
+		t.Errorf("drawn between states that are none: %v", drawn)
+	}
+}
