--- a/cmd/adapter/golden_test.go
+++ b/cmd/adapter/golden_test.go
@@ -2,25 +2,20 @@
 
 import (
 	"bytes"
-	"os"
 	"strings"
 	"testing"
 
 	"glenport/internal/golden"
+	"glenport/internal/testutil"
 )
 
 // TestTranscriptIsAnsweredByteForByte replays frames of two instances with all kinds of messages. The text of
 // DEBUG lines is free; that one is written, and where, is not.
 func TestTranscriptIsAnsweredByteForByte(t *testing.T) {
 	const recorded = "testdata/transcript.out"
-	in, err := os.ReadFile("testdata/transcript.in")
-	if err != nil {
-		t.Fatal(err)
-	}
+	in := testutil.ReadFile(t, "testdata/transcript.in")
 	var out bytes.Buffer
-	if err := run(bytes.NewReader(in), &out); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, run(bytes.NewReader(in), &out))
 	lines := strings.SplitAfter(out.String(), "\n")
 	for i, line := range lines {
 		if words := strings.Fields(line); len(words) > 2 && words[0] == "DEBUG" {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -6,6 +6,8 @@
 	"io"
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 func TestFramesAreAnsweredUntilInvalidInput(t *testing.T) {
@@ -31,9 +33,7 @@
 func TestUnknownInstanceIsATypedError(t *testing.T) {
 	err := run(strings.NewReader("FRAME 1 1\nVANISHED 3 r-1\nCOMMIT\n"), io.Discard)
 	var unknown *unknownInstanceError
-	if !errors.As(err, &unknown) || unknown.instance != 3 || unknown.line != 2 {
-		t.Errorf("error %v", err)
-	}
+	testutil.Expect(t, errors.As(err, &unknown) && unknown.instance == 3 && unknown.line == 2, "error %v", err)
 }
 
 func TestPanicOfDecisionsIsAFault(t *testing.T) {
--- a/cmd/glenport-testbed/formerflag_test.go
+++ b/cmd/glenport-testbed/formerflag_test.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"github.com/spf13/cobra"
+
+	"glenport/internal/testutil"
 )
 
 func TestFormerFlagsSetTheSameValue(t *testing.T) {
@@ -25,9 +27,7 @@
 			if former == nil || !former.Hidden || former.Deprecated != "use --"+tc.name {
 				t.Fatalf("got %+v", former)
 			}
-			if err := tc.command.Flags().Set(tc.former, tc.value); err != nil {
-				t.Fatal(err)
-			}
+			testutil.NoError(t, tc.command.Flags().Set(tc.former, tc.value))
 			if got := tc.command.Flags().Lookup(tc.name).Value.String(); got != tc.value {
 				t.Errorf("--%s is %q, want %q", tc.name, got, tc.value)
 			}
--- a/cmd/glenport/commands_test.go
+++ b/cmd/glenport/commands_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testutil"
 
 	"github.com/spf13/cobra"
 )
@@ -21,18 +22,14 @@
 
 func TestHelpOfEachCommandHasAnExampleThatParses(t *testing.T) {
 	commands := allCommands(newRootCommand())
-	if len(commands) < 20 {
-		t.Fatalf("only %d commands found", len(commands))
-	}
+	testutil.Require(t, len(commands) >= 20, "only %d commands found", len(commands))
 	for _, c := range commands {
 		t.Run(c.CommandPath(), func(t *testing.T) {
 			help, _, err := runCommand(append(strings.Fields(c.CommandPath())[1:], "--help")...)
 			if err != nil || !strings.Contains(help, "Examples:\n"+c.Example) {
 				t.Errorf("help without its example, %v:\n%s", err, help)
 			}
-			if c.Example == "" {
-				t.Fatal("no example")
-			}
+			testutil.Require(t, c.Example != "", "no example")
 			for line := range strings.SplitSeq(c.Example, "\n") {
 				checkExample(t, c, line)
 			}
@@ -50,9 +47,7 @@
 		t.Fatalf("%q is no call of %s", call, c.CommandPath())
 	}
 	called, rest, err := newRootCommand().Find(words[1:])
-	if err != nil {
-		t.Fatalf("%q: %v", call, err)
-	}
+	testutil.Require(t, err == nil, "%q: %v", call, err)
 	if err := called.ParseFlags(rest); err != nil {
 		t.Errorf("%q: %v", call, err)
 	}
@@ -62,17 +57,13 @@
 	if err := called.ValidateRequiredFlags(); err != nil {
 		t.Errorf("%q: %v", call, err)
 	}
-	if called.RunE == nil {
-		t.Errorf("%q runs nothing", call)
-	}
+	testutil.Expect(t, called.RunE != nil, "%q runs nothing", call)
 }
 
 func TestFormerNamesOfProcessesAreAliases(t *testing.T) {
 	for former, name := range map[string]string{"placer": "scheduler", "keeper": "controller"} {
 		c, _, err := newRootCommand().Find([]string{former, "-c", "FILE"})
-		if err != nil || c.Name() != name {
-			t.Errorf("%s runs %v, %v; want %s", former, c, err, name)
-		}
+		testutil.Expect(t, err == nil && c.Name() == name, "%s runs %v, %v; want %s", former, c, err, name)
 	}
 }
 
--- a/cmd/glenport/golden_test.go
+++ b/cmd/glenport/golden_test.go
@@ -8,7 +8,6 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"os"
 	"path/filepath"
 	"regexp"
 	"strings"
@@ -16,6 +15,7 @@
 
 	"glenport/internal/golden"
 	"glenport/internal/protocol"
+	"glenport/internal/testutil"
 )
 
 // runCommand runs the program with arguments, and returns what it prints and how it ends.
@@ -33,9 +33,7 @@
 func fakeScheduler(t *testing.T, role protocol.Role) string {
 	t.Helper()
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() }) // the test is over
 	go func() {
 		for {
@@ -271,9 +269,7 @@
 	t.Setenv(platformFileVariable, "")
 	scheduler, machine := fakeScheduler(t, protocol.RoleScheduler), fakeScheduler(t, protocol.RoleMachine)
 	api, dir := fakeAPI(t), t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "bad.yaml"), []byte("name: x\nnumber: many\n"), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	testutil.WriteFile(t, filepath.Join(dir, "bad.yaml"), []byte("name: x\nnumber: many\n"))
 	actual := strings.NewReplacer("SCHEDULER", scheduler, "API", api, "MACHINE", machine, "DIR", dir,
 		"STATE", "../../internal/schedulerd/testdata/state")
 	recorded := strings.NewReplacer(scheduler, "SCHEDULER", api, "API", machine, "MACHINE", dir, "DIR")
--- a/cmd/glenport/state_test.go
+++ b/cmd/glenport/state_test.go
@@ -2,13 +2,13 @@
 
 import (
 	"errors"
-	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 
 	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
+	"glenport/internal/testutil"
 )
 
 // writeStateFolder makes a folder whose log has a record for each key.
@@ -16,24 +16,16 @@
 	t.Helper()
 	path = t.TempDir()
 	folder, err := vfs.OpenLocked(path)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	log, _, err := wal.Open(folder, wal.Options{})
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	for _, key := range keys {
 		done := make(chan error, 1)
 		change := wal.Change{Kind: "job", Key: key, Value: []byte{0x61, 'x'}}
 		log.Commit([]wal.Change{change}, true, func(err error) { done <- err })
-		if err := <-done; err != nil {
-			t.Fatal(err)
-		}
-	}
-	if err := errors.Join(log.Close(), folder.Close()); err != nil {
-		t.Fatal(err)
+		testutil.NoError(t, <-done)
 	}
+	testutil.NoError(t, errors.Join(log.Close(), folder.Close()))
 	return path
 }
 
@@ -70,16 +62,9 @@
 func damageSnapshot(t *testing.T, dir string) string {
 	t.Helper()
 	snapshots, err := filepath.Glob(filepath.Join(dir, "snapshot-*"))
-	if err != nil || len(snapshots) == 0 {
-		t.Fatalf("snapshots %v, %v", snapshots, err)
-	}
-	content, err := os.ReadFile(snapshots[0])
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.Require(t, err == nil && len(snapshots) != 0, "snapshots %v, %v", snapshots, err)
+	content := testutil.ReadFile(t, snapshots[0])
 	content[len(content)/2] ^= 1
-	if err := os.WriteFile(snapshots[0], content, 0o600); err != nil {
-		t.Fatal(err)
-	}
+	testutil.WriteFile(t, snapshots[0], content)
 	return filepath.Base(snapshots[0])
 }
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -7,12 +7,13 @@
 	"go/token"
 	"io/fs"
 	"maps"
-	"os"
 	"path/filepath"
 	"regexp"
 	"strconv"
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 const root = ".."
@@ -39,15 +40,10 @@
 func readAll(t *testing.T, pattern string) map[string]string {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(root, pattern))
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	texts := map[string]string{}
 	for _, name := range names {
-		text, err := os.ReadFile(name)
-		if err != nil {
-			t.Fatal(err)
-		}
+		text := testutil.ReadFile(t, name)
 		texts[filepath.ToSlash(strings.TrimPrefix(name, root+string(filepath.Separator)))] = string(text)
 	}
 	return texts
@@ -61,9 +57,7 @@
 		maps.Copy(all, readAll(t, pattern))
 	}
 	maps.DeleteFunc(all, func(page, _ string) bool { return historical[page] })
-	if len(all) < 20 {
-		t.Fatalf("only %d pages found", len(all))
-	}
+	testutil.Require(t, len(all) >= 20, "only %d pages found", len(all))
 	return all
 }
 
@@ -76,9 +70,7 @@
 	for page, text := range pages(t) {
 		for _, m := range repoPath.FindAllStringSubmatch(text, -1) {
 			path := strings.TrimSuffix(strings.TrimSuffix(m[1], "/..."), "...")
-			if !exists(filepath.Join(root, path)) {
-				t.Errorf("%s names %s, which does not exist", page, m[1])
-			}
+			testutil.Expect(t, exists(filepath.Join(root, path)), "%s names %s, which does not exist", page, m[1])
 		}
 		for _, m := range pageLink.FindAllStringSubmatch(text, -1) {
 			if !exists(filepath.Join(root, filepath.Dir(page), m[1])) {
@@ -99,9 +91,7 @@
 	}
 	for page, text := range pages(t) {
 		for _, name := range testName.FindAllString(text, -1) {
-			if !defined[name] {
-				t.Errorf("%s names %s, which does not exist", page, name)
-			}
+			testutil.Expect(t, defined[name], "%s names %s, which does not exist", page, name)
 		}
 	}
 }
@@ -148,8 +138,6 @@
 		files[path] = f
 		return err
 	})
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	return files
 }
--- a/docs/glossary_test.go
+++ b/docs/glossary_test.go
@@ -4,6 +4,8 @@
 	"go/ast"
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // declared are all package-level names as package.Name, and fields and methods as package.Type.Name.
@@ -77,9 +79,7 @@
 			}
 		}
 	}
-	if checked < 100 {
-		t.Errorf("only %d names found", checked)
-	}
+	testutil.Expect(t, checked >= 100, "only %d names found", checked)
 }
 
 // cellNames are the names of the code in a cell of a table. A bare name that follows a type is a field or method of it.
--- a/docs/oncall_test.go
+++ b/docs/oncall_test.go
@@ -6,6 +6,8 @@
 	"slices"
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // TestOnCallPageHasEachLogLine compares the messages that the programs log with the rows of docs/on-call.md, both ways.
@@ -27,13 +29,9 @@
 		}
 	}
 	for message := range logged {
-		if !listed[message] {
-			t.Errorf("docs/on-call.md has no row for %q", message)
-		}
-	}
-	if len(logged) < 40 {
-		t.Errorf("only %d messages found", len(logged))
+		testutil.Expect(t, listed[message], "docs/on-call.md has no row for %q", message)
 	}
+	testutil.Expect(t, len(logged) >= 40, "only %d messages found", len(logged))
 }
 
 // logMessages are the constant messages of slog calls, of the decision packages' log methods, and of their log actions,
--- a/docs/operating_test.go
+++ b/docs/operating_test.go
@@ -7,6 +7,7 @@
 
 	"glenport/internal/config"
 	"glenport/internal/config/strictyaml"
+	"glenport/internal/testutil"
 )
 
 // formerPath is the path of a section as it was before any key was renamed.
@@ -47,9 +48,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			want := spellingRows(tc.aliases)
 			for _, row := range want {
-				if !strings.Contains(tc.table, "\n"+row) {
-					t.Errorf("no row %s", row)
-				}
+				testutil.Expect(t, strings.Contains(tc.table, "\n"+row), "no row %s", row)
 			}
 			pairs := len(want) + len(tc.aliases.Values) // a row of a value has its key as well
 			if got := strings.Count(tc.table, "` | `"); got != pairs {
@@ -72,9 +71,7 @@
 			}
 		}
 	})
-	if flags < 25 {
-		t.Errorf("only %d flags found", flags)
-	}
+	testutil.Expect(t, flags >= 25, "only %d flags found", flags)
 }
 
 // definesFlag reports whether a function's second argument is the name of a flag.
--- a/internal/bgp/announce/announce_test.go
+++ b/internal/bgp/announce/announce_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -150,9 +151,7 @@
 		if show([]Action{a}) == "" {
 			return
 		}
-		if c.now-c.last < minUpdateInterval {
-			t.Fatalf("two updates in %d", c.now-c.last)
-		}
+		testutil.Require(t, c.now-c.last >= minUpdateInterval, "two updates in %d", c.now-c.last)
 		c.last = c.now
 		c.updates++
 	})
--- a/internal/bgp/announce/route_test.go
+++ b/internal/bgp/announce/route_test.go
@@ -3,18 +3,16 @@
 import (
 	"errors"
 	"maps"
-	"os"
 	"regexp"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 var tableRow = regexp.MustCompile(`(?m)^//\t(\S+) {2,}(\S+) {2,}(\S+) {2,}\S`)
 
 func TestRouteStatesFollowAsTheTableSays(t *testing.T) {
-	doc, err := os.ReadFile("doc.go")
-	if err != nil {
-		t.Fatal(err)
-	}
+	doc := testutil.ReadFile(t, "doc.go")
 	want, got := map[string]string{}, map[string]string{}
 	for _, row := range tableRow.FindAllStringSubmatch(string(doc), -1)[1:] { // without its head
 		want[row[1]+" "+row[2]] = row[3]
@@ -33,18 +31,14 @@
 			}
 		}
 	}
-	if !maps.Equal(got, want) {
-		t.Errorf("transitions are %v, documented %v", got, want)
-	}
+	testutil.Expect(t, maps.Equal(got, want), "transitions are %v, documented %v", got, want)
 }
 
 func TestIllegalTransitionOfARouteIsLogged(t *testing.T) {
 	a := New()
 	s := a.findOrAdd("web")
 	a.withdraw(s, withdrawalSent)
-	if len(a.actions) != 1 || s.route.state != routeWithdrawn {
-		t.Fatalf("%+v, now %s", a.actions, s.route.state)
-	}
+	testutil.Require(t, len(a.actions) == 1 && s.route.state == routeWithdrawn, "%+v, now %s", a.actions, s.route.state)
 	if log, ok := a.actions[0].(Log); !ok || log.Err == nil {
 		t.Errorf("%+v is no error for the log", a.actions[0])
 	}
--- a/internal/bgp/session/components_test.go
+++ b/internal/bgp/session/components_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"glenport/internal/bgp/wire"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -16,9 +17,7 @@
 			continue
 		}
 		timers.startIdling()
-		if got, want := actions.take()[1], (SetTimer{IdleHoldTimer, seconds * scheduler.Second}); got != want {
-			t.Errorf("%+v, want %+v", got, want)
-		}
+		testutil.DeepEqual(t, actions.take()[1], Action(SetTimer{IdleHoldTimer, seconds * scheduler.Second}))
 	}
 }
 
@@ -45,9 +44,7 @@
 	if up := n.result(o); len(up.Families) != 1 || up.Families[0] != wire.IPv6 || up.SendEndOfRIB {
 		t.Errorf("%+v", up)
 	}
-	if !n.keepsInbound(o) {
-		t.Error("the connection of the lower identifier stays")
-	}
+	testutil.Expect(t, n.keepsInbound(o), "the connection of the lower identifier stays")
 }
 
 func TestAbandonedDialIsNotUsed(t *testing.T) {
--- a/internal/bgp/session/session_test.go
+++ b/internal/bgp/session/session_test.go
@@ -192,7 +192,6 @@
 			"6/7 on 1, close 1, keepalive on 1000000; OpenConfirm", both...),
 		played("ours is higher: the dialed one stays",
 			"6/7 on 1000000, close 1000000; OpenConfirm", both...).with(higher),
-		played("the other had sent no Open",
-			"6/7 on 1000000, close 1000000, up 2; Established", established...),
+		played("the other had sent no Open", "6/7 on 1000000, close 1000000, up 2; Established", established...),
 	)
 }
--- a/internal/bgp/speaker/policy_test.go
+++ b/internal/bgp/speaker/policy_test.go
@@ -5,6 +5,8 @@
 	"testing"
 
 	"github.com/gaissmai/bart"
+
+	"glenport/internal/testutil"
 )
 
 // BenchmarkPolicy asks a policy of 1,000 ranges whether a prefix lies in one: the trie in use beside a list and a map.
@@ -28,9 +30,7 @@
 	prefix := netip.MustParsePrefix("10.249.192.7/32")
 	b.Run(name, func(b *testing.B) {
 		for b.Loop() {
-			if !lookup(prefix) {
-				b.Fatal("not found")
-			}
+			testutil.Require(b, lookup(prefix), "not found")
 		}
 	})
 }
--- a/internal/bgp/speaker/speaker_test.go
+++ b/internal/bgp/speaker/speaker_test.go
@@ -60,9 +60,7 @@
 		RecordChanges: true,
 	}
 	addr, err := peer.Open()
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	t.Cleanup(peer.Close)
 	config := PeerConfig{
 		Addr: addr, ASN: as, HoldTime: 3 * scheduler.Second, RestartTime: 5 * scheduler.Second,
@@ -78,9 +76,7 @@
 func runLoop(t *testing.T) *eventloop.Loop {
 	t.Helper()
 	loop, err := eventloop.New(func() {})
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	done := make(chan error, 1)
 	go func() { done <- loop.Run() }()
 	t.Cleanup(func() {
@@ -111,9 +107,7 @@
 	f.loop = runLoop(t)
 	f.onLoop(func() {
 		f.speaker = New(f.loop, settings, slog.New(slog.DiscardHandler))
-		if err := f.speaker.Start(); err != nil {
-			t.Error(err)
-		}
+		testutil.ExpectNoError(t, f.speaker.Start())
 	})
 	f.waitUntil("both sessions are established", func() bool { return f.outer.Established() && f.inner.Established() })
 	return f
@@ -133,18 +127,12 @@
 	f.runContainers("web", "web6", "mail")
 	f.waitUntil("the outer peer has what it may", func() bool { return has(f.outer, web) && has(f.outer, web6) })
 	f.waitUntil("the inner one has the IPv4 ones", func() bool { return has(f.inner, web) && has(f.inner, mail) })
-	if has(f.outer, mail) || has(f.inner, web6) {
-		t.Error("a peer received what its policy does not allow")
-	}
+	testutil.Expect(t, !has(f.outer, mail) && !has(f.inner, web6), "a peer received what its policy does not allow")
 	for _, x := range f.outer.Changes() {
-		if x.LocalPref != 0 {
-			t.Errorf("the outer peer received the local preference %d", x.LocalPref)
-		}
+		testutil.Expect(t, x.LocalPref == 0, "the outer peer received the local preference %d", x.LocalPref)
 	}
 	for _, x := range f.inner.Changes() {
-		if x.LocalPref != 100 {
-			t.Errorf("the inner peer received the local preference %d", x.LocalPref)
-		}
+		testutil.Expect(t, x.LocalPref == 100, "the inner peer received the local preference %d", x.LocalPref)
 	}
 }
 
@@ -177,7 +165,5 @@
 	a.waitUntil("both announced", func() bool { return has(a.outer, web) && has(b.outer, web) })
 	a.onLoop(func() { a.speaker.Handle(announce.ContainerEnded{Service: "web", Container: "c"}) })
 	a.waitUntil("the first has withdrawn", func() bool { return !has(a.outer, web) })
-	if !has(b.outer, web) {
-		t.Error("the second's route went with the first's")
-	}
+	testutil.Expect(t, has(b.outer, web), "the second's route went with the first's")
 }
--- a/internal/bgp/wire/golden_test.go
+++ b/internal/bgp/wire/golden_test.go
@@ -8,12 +8,12 @@
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
-	"os"
 	"reflect"
 	"strings"
 	"testing"
 
 	"glenport/internal/golden"
+	"glenport/internal/testutil"
 )
 
 type goldenMessage struct {
@@ -88,16 +88,13 @@
 // readGoldenMessages returns the recorded bytes by the names of the messages.
 func readGoldenMessages(t *testing.T) map[string][]byte {
 	t.Helper()
-	text, err := os.ReadFile(messagesFile)
-	if err != nil {
-		t.Fatal(err)
-	}
+	text := testutil.ReadFile(t, messagesFile)
 	recorded := map[string][]byte{}
 	for line := range strings.Lines(string(text)) {
 		if fields := strings.Fields(line); len(fields) == 2 && fields[0] != "#" {
-			if recorded[fields[0]], err = hex.DecodeString(fields[1]); err != nil {
-				t.Fatal(err)
-			}
+			message, err := hex.DecodeString(fields[1])
+			testutil.NoError(t, err)
+			recorded[fields[0]] = message
 		}
 	}
 	return recorded
@@ -120,9 +117,7 @@
 	golden.CheckText(t, messagesFile, goldenMessagesText(t))
 	want := readGoldenMessages(t)
 	all := goldenMessages()
-	if len(want) != len(all) {
-		t.Errorf("%d messages recorded, want %d", len(want), len(all))
-	}
+	testutil.Expect(t, len(want) == len(all), "%d messages recorded, want %d", len(want), len(all))
 	for _, g := range all {
 		t.Run(g.name, func(t *testing.T) {
 			got, err := Decode(want[g.name])
@@ -148,9 +143,8 @@
 		if seed < len(inputs) {
 			name = inputs[seed].name
 			var err error
-			if whole, err = Append(nil, inputs[seed].message); err != nil {
-				t.Fatal(err)
-			}
+			whole, err = Append(nil, inputs[seed].message)
+			testutil.NoError(t, err)
 		}
 		sum, decoded, faults := golden.NewDigest(), 0, 0
 		for range 4000 {
@@ -161,9 +155,7 @@
 				continue
 			}
 			var f *MessageError
-			if !errors.As(err, &f) {
-				t.Fatalf("%v is no fault", err)
-			}
+			testutil.Require(t, errors.As(err, &f), "%v is no fault", err)
 			faults++
 			sum.Numbers(99, uint64(f.Code), uint64(f.Subcode), uint64(len(f.Data)))
 			sum.Bytes(f.Data)
--- a/internal/bgp/wire/message_test.go
+++ b/internal/bgp/wire/message_test.go
@@ -7,6 +7,8 @@
 	"reflect"
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 func prefix(s string) netip.Prefix { return netip.MustParsePrefix(s) }
@@ -44,9 +46,7 @@
 func encode(tb testing.TB, m Message) []byte {
 	tb.Helper()
 	p, err := Append(nil, m)
-	if err != nil {
-		tb.Fatal(err)
-	}
+	testutil.NoError(tb, err)
 	return p
 }
 
@@ -54,9 +54,7 @@
 func TestEncodedMessageIsDecodedUnchanged(t *testing.T) {
 	for i, m := range samples() {
 		got, err := Decode(encode(t, m))
-		if err != nil || !reflect.DeepEqual(got, m) {
-			t.Errorf("%d: got %+v, %v, want %+v", i, got, err, m)
-		}
+		testutil.Expect(t, err == nil && reflect.DeepEqual(got, m), "%d: got %+v, %v, want %+v", i, got, err, m)
 	}
 }
 
@@ -160,9 +158,7 @@
 		b := encode(t, u)
 		bytes += len(b)
 		m, err := Decode(b)
-		if err != nil {
-			t.Fatal(err)
-		}
+		testutil.NoError(t, err)
 		for _, x := range m.(*Update).Announced {
 			seen[x]++
 		}
@@ -182,9 +178,7 @@
 		m, err := Decode(p)
 		if err != nil {
 			var fault *MessageError
-			if !errors.As(err, &fault) || fault.Code == 0 {
-				t.Fatalf("no notification for it: %v", err)
-			}
+			testutil.Require(t, errors.As(err, &fault) && fault.Code != 0, "no notification for it: %v", err)
 			return
 		}
 		again, err := Append(nil, m)
--- a/internal/config/aliases_test.go
+++ b/internal/config/aliases_test.go
@@ -10,6 +10,7 @@
 	"testing"
 
 	"glenport/internal/config/strictyaml"
+	"glenport/internal/testutil"
 
 	"github.com/goccy/go-yaml"
 )
@@ -18,9 +19,7 @@
 func parseWithDeprecations(t *testing.T, path string) (*Scheduler, []strictyaml.Deprecation) {
 	t.Helper()
 	settings, err := LoadScheduler(path)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	deprecations := settings.Deprecations
 	settings.Deprecations = nil
 	return settings, deprecations
@@ -34,9 +33,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			old, deprecations := parseWithDeprecations(t, tc.old)
 			current, none := parseWithDeprecations(t, tc.current)
-			if !reflect.DeepEqual(old, current) {
-				t.Errorf("got %+v\nwant %+v", old, current)
-			}
+			testutil.Expect(t, reflect.DeepEqual(old, current), "got %+v\nwant %+v", old, current)
 			if len(deprecations) < 40 || len(none) > 0 {
 				t.Errorf("%d old spellings in %s, %d in %s", len(deprecations), tc.old, len(none), tc.current)
 			}
@@ -46,29 +43,19 @@
 
 func TestOldControllerFileDecodesToTheSameSettings(t *testing.T) {
 	old, err := LoadController("testdata/legacy/keeper.yaml")
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	current, err := LoadController(sampleFolder + "/controller.yaml")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if len(current.Deprecations) > 0 {
-		t.Errorf("old spellings: %v", current.Deprecations)
-	}
+	testutil.NoError(t, err)
+	testutil.Expect(t, len(current.Deprecations) == 0, "old spellings: %v", current.Deprecations)
 	got, want := old.Deprecations[0], strictyaml.Deprecation{
 		File: "testdata/legacy/keeper.yaml", Line: 4, Old: "placer_file", New: "scheduler_config",
 	}
-	if got != want {
-		t.Errorf("got %v first, want %v", got, want)
-	}
+	testutil.Expect(t, got == want, "got %v first, want %v", got, want)
 	if ofScheduler := old.Scheduler.Deprecations; len(old.Deprecations) != len(controllerKeyAliases)+len(ofScheduler) {
 		t.Errorf("%d old spellings, those of the scheduler's file included", len(old.Deprecations))
 	}
 	old.Deprecations, old.Scheduler.Deprecations = nil, nil
-	if !reflect.DeepEqual(old, current) {
-		t.Errorf("got %+v\nwant %+v", old, current)
-	}
+	testutil.Expect(t, reflect.DeepEqual(old, current), "got %+v\nwant %+v", old, current)
 }
 
 // parseAs reads one kind of settings file and returns its settings, to be compared, and its old spellings.
@@ -106,9 +93,7 @@
 	} {
 		data := []byte(readFile(t, tc.file))
 		want, _, err := tc.parse(data)
-		if err != nil {
-			t.Fatal(err)
-		}
+		testutil.NoError(t, err)
 		for _, alias := range tc.keys {
 			t.Run(strings.TrimPrefix(alias.Section+"."+alias.Old, "."), func(t *testing.T) {
 				checkKeyAlias(t, data, alias, tc.parse, want)
@@ -138,12 +123,8 @@
 		}
 	})
 	got, deprecations, err := parse(old)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !reflect.DeepEqual(got, want) {
-		t.Errorf("got %+v\nwant %+v", got, want)
-	}
+	testutil.NoError(t, err)
+	testutil.Expect(t, reflect.DeepEqual(got, want), "got %+v\nwant %+v", got, want)
 	prefix := strings.TrimPrefix(alias.Section+".", ".")
 	checkDeprecation(t, deprecations, prefix+alias.Old, prefix+alias.New)
 }
@@ -160,9 +141,7 @@
 						entry[key] = value
 					}
 				}))
-				if err != nil {
-					t.Fatal(err)
-				}
+				testutil.NoError(t, err)
 				return settings, deprecations
 			}
 			want, none := with(alias.New)
@@ -187,14 +166,10 @@
 func rewrite(t *testing.T, data []byte, section string, change func(map[string]any)) []byte {
 	t.Helper()
 	var root any
-	if err := yaml.Unmarshal(data, &root); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, yaml.Unmarshal(data, &root))
 	visitSection(root, section, change)
 	changed, err := yaml.Marshal(root)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	return changed
 }
 
@@ -281,9 +256,7 @@
 	text := readFile(t, sampleFolder+"/scheduler.yaml")
 	writeFile(t, path, []byte(strings.ReplaceAll(text, "latency_objective:", "agreed_time:")))
 	settings, err := LoadScheduler(path)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	var log bytes.Buffer
 	LogDeprecations(slog.New(slog.NewTextHandler(&log, nil)), settings.Deprecations)
 	want := `level=WARN msg="deprecated setting" file=` + path +
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -3,12 +3,12 @@
 import (
 	"errors"
 	"io/fs"
-	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 
 	"glenport/internal/config/strictyaml"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -16,10 +16,7 @@
 
 func readFile(t *testing.T, path string) string {
 	t.Helper()
-	data, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
+	data := testutil.ReadFile(t, path)
 	return string(data)
 }
 
@@ -38,9 +35,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			changed := strings.Replace(text, tc.old, tc.new, 1)
-			if changed == text {
-				t.Fatal("nothing was changed")
-			}
+			testutil.Require(t, changed != text, "nothing was changed")
 			if _, err := ParseScheduler(file, []byte(changed)); err == nil || !strings.Contains(err.Error(), tc.want) {
 				t.Errorf("got %v, want %s", err, tc.want)
 			}
@@ -50,9 +45,7 @@
 
 func TestSampleFileIsReadAsWritten(t *testing.T) {
 	p, err := ParseScheduler("placer.yaml", []byte(legacySample(t)))
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	want := scheduler.WorkloadClass{
 		Idempotency:      scheduler.IdempotentWithKey,
 		DedupScope:       scheduler.ScopeZone,
@@ -62,9 +55,7 @@
 		MachineType:      -1,
 		PriorityWeight:   2,
 	}
-	if got := p.Policy.WorkloadClasses[1]; got != want {
-		t.Errorf("got %+v, want %+v", got, want)
-	}
+	testutil.Equal(t, p.Policy.WorkloadClasses[1], want)
 	if k := p.Policy.MachineTypes[1]; k.Cores != 48 || k.Memory != 120 || p.MaxOutput != 1<<20 ||
 		p.Policy.SlowStartBudget != 60 {
 		t.Errorf("got %+v", p)
@@ -148,9 +139,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			_, err := ParseScheduler("placer.yaml", []byte(strings.Replace(legacySample(t), tc.old, tc.new, 1)))
 			var located *strictyaml.Error
-			if !errors.As(err, &located) {
-				t.Fatalf("got %T: %v", err, err)
-			}
+			testutil.Require(t, errors.As(err, &located), "got %T: %v", err, err)
 			want := strictyaml.Position{Line: tc.line, Column: tc.column}
 			if located.File != "placer.yaml" || located.Position != want || located.Key != tc.key {
 				t.Errorf("got %v with key %q, want %v with key %q: %v",
@@ -163,15 +152,9 @@
 func TestMissingSchedulerFileIsLocatedInControllerFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keeper.yaml")
 	text := "name: keeper\napi: 127.0.0.1:1\nplacer_file: absent.yaml\ndoors: [127.0.0.1:2]\n"
-	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-		t.Fatal(err)
-	}
+	testutil.WriteFile(t, path, []byte(text))
 	_, err := LoadController(path)
 	var located *strictyaml.Error
-	if !errors.As(err, &located) || located.Key != "placer_file" || located.Line != 3 {
-		t.Errorf("got %v", err)
-	}
-	if !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("%v does not wrap fs.ErrNotExist", err)
-	}
+	testutil.Expect(t, errors.As(err, &located) && located.Key == "placer_file" && located.Line == 3, "got %v", err)
+	testutil.Expect(t, errors.Is(err, fs.ErrNotExist), "%v does not wrap fs.ErrNotExist", err)
 }
--- a/internal/config/encode_test.go
+++ b/internal/config/encode_test.go
@@ -1,10 +1,11 @@
 package config
 
 import (
-	"os"
 	"path/filepath"
 	"reflect"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // What is encoded reads back as the same settings.
@@ -24,9 +25,7 @@
 	for _, path := range []string{sampleFolder + "/controller.yaml", "testdata/controller.yaml"} {
 		t.Run(path, func(t *testing.T) {
 			want, err := LoadController(path)
-			if err != nil {
-				t.Fatal(err)
-			}
+			testutil.NoError(t, err)
 			dir := t.TempDir()
 			want.Deprecations, want.Scheduler.Deprecations = nil, nil // what is encoded has none
 			writeFile(t, filepath.Join(dir, "scheduler.yaml"), encoded(t)(want.Scheduler.Encode()))
@@ -45,16 +44,12 @@
 	t.Helper()
 	return func(text []byte, err error) []byte {
 		t.Helper()
-		if err != nil {
-			t.Fatal(err)
-		}
+		testutil.NoError(t, err)
 		return text
 	}
 }
 
 func writeFile(t *testing.T, path string, data []byte) {
 	t.Helper()
-	if err := os.WriteFile(path, data, 0o600); err != nil {
-		t.Fatal(err)
-	}
+	testutil.WriteFile(t, path, data)
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -9,6 +9,7 @@
 	"testing"
 
 	"glenport/internal/golden"
+	"glenport/internal/testutil"
 )
 
 // schedulerValues lists every value of a scheduler's settings by the key that it is read from.
@@ -100,16 +101,12 @@
 	var lines []string
 	for _, path := range []string{"testdata/legacy/placer.yaml", "testdata/every-key.yaml"} {
 		settings, err := LoadScheduler(path)
-		if err != nil {
-			t.Fatal(err)
-		}
+		testutil.NoError(t, err)
 		lines = append(lines, schedulerValues(settings)...)
 	}
 	for _, path := range []string{"testdata/legacy/keeper.yaml", "testdata/controller.yaml"} {
 		settings, err := LoadController(path)
-		if err != nil {
-			t.Fatal(err)
-		}
+		testutil.NoError(t, err)
 		lines = append(lines, controllerValues(settings)...)
 	}
 	golden.Check(t, "testdata/values.txt", lines)
@@ -188,14 +185,9 @@
 }
 
 func TestFaultsOfSchedulerSettingsAreAsRecorded(t *testing.T) {
-	data, err := os.ReadFile("testdata/every-key.yaml")
-	if err != nil {
-		t.Fatal(err)
-	}
+	data := testutil.ReadFile(t, "testdata/every-key.yaml")
 	settings, err := ParseScheduler("placer.yaml", data)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	unchanged := schedulerValues(settings)
 	var lines []string
 	visit := func(label, text string) {
@@ -226,24 +218,14 @@
 }
 
 func TestFaultsOfControllerSettingsAreAsRecorded(t *testing.T) {
-	data, err := os.ReadFile("testdata/controller.yaml")
-	if err != nil {
-		t.Fatal(err)
-	}
+	data := testutil.ReadFile(t, "testdata/controller.yaml")
 	dir := t.TempDir()
-	schedulerText, err := os.ReadFile("testdata/every-key.yaml")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := os.WriteFile(filepath.Join(dir, "every-key.yaml"), schedulerText, 0o644); err != nil {
-		t.Fatal(err)
-	}
+	schedulerText := testutil.ReadFile(t, "testdata/every-key.yaml")
+	testutil.WriteFile(t, filepath.Join(dir, "every-key.yaml"), schedulerText)
 	path := filepath.Join(dir, "keeper.yaml")
 	var lines, unchanged []string
 	visit := func(label, text string) {
-		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-			t.Fatal(err)
-		}
+		testutil.WriteFile(t, path, []byte(text))
 		var values []string
 		settings, err := LoadController(path)
 		if err == nil {
--- a/internal/config/strictyaml/strictyaml_test.go
+++ b/internal/config/strictyaml/strictyaml_test.go
@@ -5,6 +5,8 @@
 	"testing"
 
 	"github.com/goccy/go-yaml"
+
+	"glenport/internal/testutil"
 )
 
 func TestErrorsAreTypedWithFileLineColumnAndKey(t *testing.T) {
@@ -34,9 +36,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			err := readAll(tc.text)
 			var located *Error
-			if !errors.As(err, &located) {
-				t.Fatalf("got %T: %v", err, err)
-			}
+			testutil.Require(t, errors.As(err, &located), "got %T: %v", err, err)
 			if want := (Position{tc.line, tc.column}); located.File != "f.yaml" || located.Position != want ||
 				located.Key != tc.key {
 				t.Errorf("got %s, %v, key %q; want f.yaml, %v, key %q (%v)",
--- a/internal/controller/api/creations_test.go
+++ b/internal/controller/api/creations_test.go
@@ -5,15 +5,15 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"glenport/internal/testutil"
 )
 
 func TestRetryWaitsForTheFirstAnswer(t *testing.T) {
 	c := creations{byKey: map[string]*creation{}}
 	entry, first := c.begin("key", []byte("body"))
 	retry, retryIsFirst := c.begin("key", []byte("body"))
-	if !first || retryIsFirst || retry != entry {
-		t.Fatalf("first %t, retry first %t", first, retryIsFirst)
-	}
+	testutil.Require(t, first && !retryIsFirst && retry == entry, "first %t, retry first %t", first, retryIsFirst)
 	select {
 	case <-retry.done:
 		t.Error("done before the first request has its answer")
@@ -31,9 +31,7 @@
 	entry, _ := c.begin("key", nil)
 	c.finish("key", entry, nil, errors.New("not valid"))
 	<-entry.done
-	if entry.response != nil {
-		t.Errorf("a retry that waited gets %q", entry.response)
-	}
+	testutil.Expect(t, entry.response == nil, "a retry that waited gets %q", entry.response)
 	if _, first := c.begin("key", nil); !first {
 		t.Error("the key is still taken")
 	}
@@ -50,7 +48,5 @@
 		c.byKey[fmt.Sprint("key", i)] = &creation{begun: time.Now()}
 	}
 	c.begin("one more", nil)
-	if len(c.byKey) > maxCreations {
-		t.Errorf("%d creations, want at most %d", len(c.byKey), maxCreations)
-	}
+	testutil.Expect(t, len(c.byKey) <= maxCreations, "%d creations, want at most %d", len(c.byKey), maxCreations)
 }
--- a/internal/controller/api/explanations_test.go
+++ b/internal/controller/api/explanations_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"slices"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // reasonCodes returns the codes of the reasons in an explanation of one container.
@@ -25,14 +27,10 @@
 		_, answer = f.do("GET", "/v1/containers/large.1/why", "")
 		return slices.Contains(reasonCodes(answer), "no_machine")
 	})
-	if answer["container"] != "large.1" || answer["state"] == "running" {
-		t.Errorf("explained %v", answer)
-	}
+	testutil.Expect(t, answer["container"] == "large.1" && answer["state"] != "running", "explained %v", answer)
 	status, all := f.do("GET", "/v1/jobs/large/why", "")
 	items, _ := all["items"].([]any)
-	if status != 200 || len(items) != 2 {
-		t.Fatalf("got %d %v, want both containers", status, all)
-	}
+	testutil.Require(t, status == 200 && len(items) == 2, "got %d %v, want both containers", status, all)
 	for _, item := range items {
 		explanation := item.(map[string]any)
 		if !slices.Contains(reasonCodes(explanation), "no_machine") {
--- a/internal/controller/api/golden_test.go
+++ b/internal/controller/api/golden_test.go
@@ -17,6 +17,7 @@
 	"glenport/internal/controller/server"
 	"glenport/internal/controller/watchcache"
 	"glenport/internal/golden"
+	"glenport/internal/testutil"
 )
 
 // TestAnswersMatchGoldenBytes compares what clients are sent, byte for byte, with testdata: lists, objects, watch
@@ -25,9 +26,7 @@
 	s, err := server.New(server.Config{
 		Name: "controller", Seed: 1, SchedulerConfig: &config.Scheduler{WorkloadClasses: []string{"matcher"}},
 	}, watchcache.New(EncodeWatchEvent), quiet)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	serve(t, s.Run, s.Stop)
 	fill(s.Cache)
 	handler := New(s)
@@ -89,9 +88,7 @@
 	line, err := json.Marshal(Explanation{
 		Container: "reports.0", State: "waiting", Reasons: []Reason{{}, {Reason: full, UntilMS: 7}},
 	})
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	fmt.Fprintf(got, "why\n%s\n", line)
 }
 
--- a/internal/controller/api/helpers_test.go
+++ b/internal/controller/api/helpers_test.go
@@ -16,6 +16,7 @@
 	"glenport/internal/controller/watchcache"
 	"glenport/internal/schedulerd"
 	"glenport/internal/testbed/emulator"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 
 	"github.com/getkin/kin-openapi/openapi3"
@@ -40,22 +41,17 @@
 	t.Helper()
 	f := &fixture{T: t}
 	schedulerConfig, err := config.LoadScheduler("../../../scenarios/why-scheduler.yaml")
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	f.startMachines(machines)
 	list := &emulator.MachineList{
 		FailureDetection: time.Second, PollInterval: 50 * time.Millisecond, Address: (*emulator.Machine).Addr,
 	}
-	if schedulerConfig.MachineListAddr, err = list.Open(f.machines); err != nil {
-		t.Fatal(err)
-	}
+	schedulerConfig.MachineListAddr, err = list.Open(f.machines)
+	testutil.NoError(t, err)
 	t.Cleanup(list.Close)
 	schedulerConfig.ListenAddr, schedulerConfig.StateDir, schedulerConfig.Policy.SchedulerCount = "127.0.0.1:0", "", 1
 	schedulerProcess, err := schedulerd.New(schedulerConfig, scheduler.New(schedulerConfig.Policy), quiet)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	serve(t, schedulerProcess.Run, schedulerProcess.Stop)
 	f.config = server.Config{
 		Name: "controller", Schedulers: []string{schedulerProcess.Addr()}, MachineList: schedulerConfig.MachineListAddr,
@@ -115,9 +111,7 @@
 func newRequest(tb testing.TB, method, url, body string, headers ...string) *http.Request {
 	tb.Helper()
 	request, err := http.NewRequestWithContext(tb.Context(), method, url, strings.NewReader(body))
-	if err != nil {
-		tb.Fatal(err)
-	}
+	testutil.NoError(tb, err)
 	if body != "" {
 		request.Header.Set("Content-Type", contentTypeJSON)
 	}
@@ -138,14 +132,8 @@
 func send(tb testing.TB, request *http.Request) answer {
 	tb.Helper()
 	response, err := http.DefaultClient.Do(request)
-	if err != nil {
-		tb.Fatal(err)
-	}
-	tb.Cleanup(func() {
-		if err := response.Body.Close(); err != nil {
-			tb.Error(err)
-		}
-	})
+	testutil.NoError(tb, err)
+	tb.Cleanup(func() { testutil.ExpectNoError(tb, response.Body.Close()) })
 	return answer{response.StatusCode, response.Header, response.Body}
 }
 
@@ -153,9 +141,7 @@
 func (a answer) read(tb testing.TB) []byte {
 	tb.Helper()
 	body, err := io.ReadAll(a.body)
-	if err != nil {
-		tb.Fatal(err)
-	}
+	testutil.NoError(tb, err)
 	return body
 }
 
@@ -166,9 +152,7 @@
 	go func() { done <- run() }()
 	t.Cleanup(func() {
 		stop()
-		if err := <-done; err != nil {
-			t.Error(err)
-		}
+		testutil.ExpectNoError(t, <-done)
 	})
 }
 
--- a/internal/controller/api/jobs_test.go
+++ b/internal/controller/api/jobs_test.go
@@ -3,6 +3,8 @@
 import (
 	"strconv"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // Every answer is checked against the description.
@@ -13,9 +15,7 @@
 	}
 	f.until("three run", func() bool { return f.count("job=a,state=running") == 3 })
 	code, j := f.do("GET", "/v1/jobs/a", "")
-	if code != 200 || j["count"] != 3.0 {
-		t.Errorf("got %d %v", code, j)
-	}
+	testutil.Expect(t, code == 200 && j["count"] == 3.0, "got %d %v", code, j)
 	version := strconv.Itoa(int(j["version"].(float64)))
 	if code, _ := f.do("PUT", "/v1/jobs/a", job("", 5, 0.5), "If-Match", version); code != 200 {
 		t.Errorf("changed: %d", code)
@@ -49,9 +49,7 @@
 		t.Errorf("the repeat got %d %v, the first %v", code, second, first)
 	}
 	code, p := f.do("POST", "/v1/jobs", job("b", 1, 1), "Idempotency-Key", "k")
-	if code != 422 || p["field"] != "Idempotency-Key" {
-		t.Errorf("another body got %d %v", code, p)
-	}
+	testutil.Expect(t, code == 422 && p["field"] == "Idempotency-Key", "another body got %d %v", code, p)
 	if code, _ := f.do("POST", "/v1/jobs", job("", 1, 1), "Idempotency-Key", "l"); code != 422 {
 		t.Errorf("an invalid job got %d", code)
 	}
--- a/internal/controller/api/restart_test.go
+++ b/internal/controller/api/restart_test.go
@@ -5,6 +5,8 @@
 	"os"
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // killController starts another controller on the state folder as a SIGKILL leaves it.
@@ -35,9 +37,7 @@
 	f := startFixture(t, 3)
 	const text = `{"id":"j","service":"s","workload":"matcher","cores":1,"memory_gib":1,"count":5}`
 	status, made := f.do("POST", "/v1/jobs", text, "Idempotency-Key", "k1")
-	if status != 201 {
-		t.Fatalf("%d %v", status, made)
-	}
+	testutil.Require(t, status == 201, "%d %v", status, made)
 	if status, _ := f.do("POST", "/v1/jobs", strings.Replace(text, `"j"`, `"gone"`, 1)); status != 201 {
 		t.Fatal(status)
 	}
@@ -57,9 +57,7 @@
 		t.Errorf("%d run, 5 are wanted", n)
 	}
 	status, again := f.do("POST", "/v1/jobs", text, "Idempotency-Key", "k1")
-	if status != 201 || again["version"] != made["version"] {
-		t.Errorf("the retry got %d %v", status, again)
-	}
+	testutil.Expect(t, status == 201 && again["version"] == made["version"], "the retry got %d %v", status, again)
 	if status, _ := f.do("POST", "/v1/jobs", text, "Idempotency-Key", "k2"); status != 409 {
 		t.Errorf("another request got %d", status)
 	}
--- a/internal/controller/api/watch_test.go
+++ b/internal/controller/api/watch_test.go
@@ -13,6 +13,7 @@
 
 	"glenport/internal/controller/server"
 	"glenport/internal/controller/watchcache"
+	"glenport/internal/testutil"
 )
 
 // A watch is cut while containers are placed, and resumed from its last version: no change is missed or sent twice, and
@@ -37,17 +38,13 @@
 		}
 	}
 	for round := 0; len(running) < 40; round++ {
-		if round > 50 {
-			t.Fatalf("%d run after %d watches", len(running), round)
-		}
+		testutil.Require(t, round <= 50, "%d run after %d watches", len(running), round)
 		for _, line := range f.watchLines(from, 9) {
 			apply(line)
 		}
 	}
 	for id, n := range running {
-		if n != 1 {
-			t.Errorf("%s began to run %d times", id, n)
-		}
+		testutil.Expect(t, n == 1, "%s began to run %d times", id, n)
 	}
 }
 
@@ -119,9 +116,7 @@
 		}
 	}
 	<-sent
-	if got != n {
-		t.Errorf("the live reader got %d of %d", got, n)
-	}
+	testutil.Expect(t, got == n, "the live reader got %d of %d", got, n)
 }
 
 // sendJob sends a job and drops the answer. It may be called beside the test.
@@ -138,9 +133,8 @@
 		return
 	}
 	_, err = io.Copy(io.Discard, response.Body)
-	if err = errors.Join(err, response.Body.Close()); err != nil {
-		t.Error(err)
-	}
+	err = errors.Join(err, response.Body.Close())
+	testutil.ExpectNoError(t, err)
 }
 
 // A client that resumes from a bookmark must not miss the changes that waited when it was written.
@@ -148,9 +142,7 @@
 	cache := watchcache.New(EncodeWatchEvent)
 	cache.Put(server.KindJobs, "a", server.Job{})
 	watcher, err := cache.Watch(cache.Version(), server.KindJobs)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	defer watcher.Close()
 	stream := &watchStream{watcher: watcher, cache: cache}
 	cache.Put(server.KindMachines, "m", server.Machine{})
--- a/internal/controller/components_test.go
+++ b/internal/controller/components_test.go
@@ -4,6 +4,7 @@
 	"slices"
 	"testing"
 
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -59,9 +60,7 @@
 	orphans.refused(a, 5*scheduler.Second)
 	orphans.refused(Orphan{1, "unknown"}, 0)
 	check(5*scheduler.Second, 0, a)
-	if !orphans.resolve(a) || orphans.resolve(a) {
-		t.Error("an orphan is not resolved once")
-	}
+	testutil.Expect(t, orphans.resolve(a) && !orphans.resolve(a), "an orphan is not resolved once")
 }
 
 func TestSchedulersAreDrawnAmongThoseConnected(t *testing.T) {
@@ -70,9 +69,7 @@
 		t.Errorf("scheduler %d is drawn, want none", n)
 	}
 	for _, e := range []SchedulerConnection{{0, true}, {2, true}} {
-		if !schedulers.apply(e) || schedulers.apply(e) {
-			t.Errorf("%+v is not news once", e)
-		}
+		testutil.Expect(t, schedulers.apply(e) && !schedulers.apply(e), "%+v is not news once", e)
 	}
 	if schedulers.apply(SchedulerConnection{3, true}) || schedulers.apply(SchedulerConnection{-1, true}) {
 		t.Error("a scheduler that is not configured is connected")
@@ -81,7 +78,5 @@
 	for range 100 {
 		drawn[schedulers.draw(random)]++
 	}
-	if drawn[0] == 0 || drawn[2] == 0 || drawn[0]+drawn[2] != 100 {
-		t.Errorf("drawn: %v, want 0 and 2", drawn)
-	}
+	testutil.Expect(t, drawn[0] != 0 && drawn[2] != 0 && drawn[0]+drawn[2] == 100, "drawn: %v, want 0 and 2", drawn)
 }
--- a/internal/controller/crash_test.go
+++ b/internal/controller/crash_test.go
@@ -5,6 +5,7 @@
 	"slices"
 	"testing"
 
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 
 	"pgregory.net/rapid"
@@ -194,9 +195,7 @@
 	for _, keys := range m.running {
 		for key := range keys {
 			container := containerOf(key)
-			if seen[container] {
-				m.t.Fatalf("%s runs twice: %v", container, m.running)
-			}
+			testutil.Require(m.t, !seen[container], "%s runs twice: %v", container, m.running)
 			seen[container] = true
 		}
 	}
--- a/internal/controller/lifecycle_test.go
+++ b/internal/controller/lifecycle_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -55,9 +56,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			d := newRunningDriver(t, tc.idempotency, 1)
 			d.steps(tc.steps)
-			if got := d.state() + d.cancelCount(); got != tc.want {
-				t.Errorf("got %q, want %q", got, tc.want)
-			}
+			testutil.Equal(t, d.state()+d.cancelCount(), tc.want)
 		})
 	}
 }
--- a/internal/controller/pending/golden_test.go
+++ b/internal/controller/pending/golden_test.go
@@ -10,6 +10,7 @@
 
 	"glenport/internal/controller"
 	"glenport/internal/golden"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -27,9 +28,7 @@
 			reasons += len(all)
 			for _, r := range all {
 				line, err := json.Marshal(r) // figures in order of their names
-				if err != nil {
-					t.Fatal(err)
-				}
+				testutil.NoError(t, err)
 				sum.Printf("%s %d\n", line, r.Until)
 			}
 			sum.Printf("\n")
--- a/internal/controller/pending/pending_test.go
+++ b/internal/controller/pending/pending_test.go
@@ -7,6 +7,7 @@
 
 	"glenport/internal/controller"
 	"glenport/internal/schedulerd/recovery"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -130,7 +131,5 @@
 	if unique := slices.Compact(codes); len(unique) != 17 {
 		t.Errorf("%d codes have a rank, want 17: %s", len(unique), unique)
 	}
-	if len(byRank) != 17 {
-		t.Errorf("%d ranks, want 17", len(byRank))
-	}
+	testutil.Expect(t, len(byRank) == 17, "%d ranks, want 17", len(byRank))
 }
--- a/internal/controller/restore_test.go
+++ b/internal/controller/restore_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -80,9 +81,7 @@
 			d.containers[0] = stored
 			d.handle(restoredState(stored, tc.count, spec))
 			d.steps(tc.steps)
-			if got := d.state() + d.lastTarget(stored) + d.cancelCount(); got != tc.want {
-				t.Errorf("got %q, want %q", got, tc.want)
-			}
+			testutil.Equal(t, d.state()+d.lastTarget(stored)+d.cancelCount(), tc.want)
 		})
 	}
 }
@@ -125,9 +124,7 @@
 		d := newDriver(t, scheduler.Idempotent)
 		d.handle(restoredState(stored, 2, Spec{}), SchedulerConnection{0, true})
 		d.pass(second)
-		if len(d.requests) != 2 {
-			t.Fatalf("%d requests, want 2", len(d.requests))
-		}
+		testutil.Require(t, len(d.requests) == 2, "%d requests, want 2", len(d.requests))
 		for _, r := range d.requests {
 			if n := sequenceAfter("#", r.RequestID); n <= 41 {
 				t.Errorf("request %s is not numbered above 41", r.RequestID)
--- a/internal/controller/server/explainer_test.go
+++ b/internal/controller/server/explainer_test.go
@@ -5,6 +5,7 @@
 
 	"glenport/internal/controller"
 	"glenport/internal/protocol"
+	"glenport/internal/testutil"
 )
 
 // pendingContainer is a container of a job that the server shows, with one scheduler that counts as connected.
@@ -33,9 +34,7 @@
 		t.Fatalf("%d replies and %d open requests, want three replies", len(replies), len(s.explainer.open))
 	}
 	for _, got := range replies {
-		if got != reply {
-			t.Errorf("got %+v, want the shared reply", got)
-		}
+		testutil.Expect(t, got == reply, "got %+v, want the shared reply", got)
 	}
 	facts := s.pendingFacts(c, reply)
 	if !facts.Explained || facts.Explanation.Machines != 7 || facts.Schedulers != 2 ||
--- a/internal/controller/server/golden_test.go
+++ b/internal/controller/server/golden_test.go
@@ -15,6 +15,7 @@
 	"glenport/internal/golden"
 	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
@@ -95,15 +96,11 @@
 func openGolden(t *testing.T, folder string) (s *Server, closed func()) {
 	t.Helper()
 	s, err := New(goldenConfig(folder), newCache(), quiet)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	return s, func() {
 		s.Stop()
 		s.config.Schedulers, s.schedulers = nil, nil // no scheduler is dialed
-		if err := s.Run(); err != nil {
-			t.Error(err)
-		}
+		testutil.ExpectNoError(t, s.Run())
 	}
 }
 
@@ -111,68 +108,50 @@
 func storeOf(t *testing.T, s *Server) *stateStore {
 	t.Helper()
 	store, ok := s.storage.(*stateStore)
-	if !ok {
-		t.Fatalf("%T, want a state folder", s.storage)
-	}
+	testutil.Require(t, ok, "%T, want a state folder", s.storage)
 	return store
 }
 
 // writeGolden writes the golden folder by the path on which a running controller stores.
 func writeGolden(t *testing.T) {
 	t.Helper()
-	if err := os.RemoveAll(goldenFolder); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, os.RemoveAll(goldenFolder))
 	s, closed := openGolden(t, goldenFolder)
 	log := storeOf(t, s).log
 	changes := []wal.Change{wal.Put(RecordVersionCeiling, versionCeilingKey, goldenCeiling)}
 	for _, r := range goldenRecords() {
 		changes = append(changes, wal.Put(r.kind, r.key, r.value))
 	}
-	if err := log.CommitSync(changes...); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, log.CommitSync(changes...))
 	closed()
-	if err := os.Remove(filepath.Join(goldenFolder, "lock")); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, os.Remove(filepath.Join(goldenFolder, "lock")))
 	var words strings.Builder
 	words.WriteString(
 		"# The records of the state folder beside: kind and key, what they hold in CBOR diagnostic notation.\n",
 	)
 	for _, kind := range log.State().Kinds() {
-		if err := log.State().ForEach(kind, func(key string, value []byte) error {
+		testutil.NoError(t, log.State().ForEach(kind, func(key string, value []byte) error {
 			text, err := cbor.Diagnose(value)
 			fmt.Fprintf(&words, "%s %q %s\n", kind, key, text)
 			return err
-		}); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if err := os.WriteFile(goldenWords, []byte(words.String()), 0o644); err != nil {
-		t.Fatal(err)
+		}))
 	}
+	testutil.WriteFile(t, goldenWords, []byte(words.String()))
 }
 
 // goldenState are the encoded records of the golden folder by kind and key.
 func goldenState(t *testing.T) map[string][]byte {
 	t.Helper()
 	folder, err := vfs.OpenReadOnly(goldenFolder)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	state, err := wal.Load(folder, false)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	raw := map[string][]byte{}
 	for _, kind := range state.Kinds() {
-		if err := state.ForEach(kind, func(key string, value []byte) error {
+		testutil.NoError(t, state.ForEach(kind, func(key string, value []byte) error {
 			raw[kind+" "+key] = bytes.Clone(value)
 			return nil
-		}); err != nil {
-			t.Fatal(err)
-		}
+		}))
 	}
 	return raw
 }
@@ -184,17 +163,13 @@
 	}
 	raw := goldenState(t)
 	records := append(goldenRecords(), goldenRecord{RecordVersionCeiling, versionCeilingKey, int64(goldenCeiling)})
-	if len(raw) != len(records) {
-		t.Errorf("%d records in %s, want %d", len(raw), goldenFolder, len(records))
-	}
+	testutil.Expect(t, len(raw) == len(records), "%d records in %s, want %d", len(raw), goldenFolder, len(records))
 	for _, r := range records {
 		t.Run(r.kind+" "+r.key, func(t *testing.T) {
 			stored := raw[r.kind+" "+r.key]
 			want := reflect.Indirect(reflect.ValueOf(r.value))
 			got := reflect.New(want.Type())
-			if err := cbor.Unmarshal(stored, got.Interface()); err != nil {
-				t.Fatal(err)
-			}
+			testutil.NoError(t, cbor.Unmarshal(stored, got.Interface()))
 			wantEqual(t, "read", got.Elem().Interface(), want.Interface())
 			if again := wal.Put(r.kind, r.key, r.value).Value; !bytes.Equal(again, stored) {
 				t.Errorf("encoded %x, stored %x", again, stored)
@@ -205,17 +180,13 @@
 
 func wantEqual(t *testing.T, what string, got, want any) {
 	t.Helper()
-	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: got %+v, want %+v", what, got, want)
-	}
+	testutil.Expect(t, reflect.DeepEqual(got, want), "%s: got %+v, want %+v", what, got, want)
 }
 
 // TestControllerRestoresGoldenFolder opens a server on a copy of the golden folder, as at a restart.
 func TestControllerRestoresGoldenFolder(t *testing.T) {
 	folder := t.TempDir()
-	if err := os.CopyFS(folder, os.DirFS(goldenFolder)); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, os.CopyFS(folder, os.DirFS(goldenFolder)))
 	s, closed := openGolden(t, folder)
 	defer closed()
 	store := storeOf(t, s)
@@ -228,13 +199,9 @@
 			t.Errorf("%s: %+v, want %+v", id, o, want)
 		}
 	}
-	if len(s.events) != 1 {
-		t.Fatalf("%d events, want one", len(s.events))
-	}
+	testutil.Require(t, len(s.events) == 1, "%d events, want one", len(s.events))
 	restored, ok := s.events[0].(controller.StateRestored)
-	if !ok {
-		t.Fatalf("%T, want what was restored", s.events[0])
-	}
+	testutil.Require(t, ok, "%T, want what was restored", s.events[0])
 	plainSpec := controller.Spec{Service: "web", Tenant: 3, Cores: 0.5, Memory: 1}
 	wantEqual(t, "jobs", restored.Jobs, []controller.JobSet{
 		{Job: "plain", Spec: plainSpec}, {Job: "reports", Count: 3, Spec: goldenSpec},
@@ -274,9 +241,7 @@
 	var got strings.Builder
 	for _, o := range objects {
 		line, err := json.Marshal(o)
-		if err != nil {
-			t.Fatal(err)
-		}
+		testutil.NoError(t, err)
 		got.Write(append(line, '\n'))
 		back := reflect.New(reflect.TypeOf(o))
 		if err := json.Unmarshal(line, back.Interface()); err != nil || !reflect.DeepEqual(back.Elem().Interface(), o) {
--- a/internal/controller/server/helpers_test.go
+++ b/internal/controller/server/helpers_test.go
@@ -6,6 +6,7 @@
 
 	"glenport/internal/config"
 	"glenport/internal/controller/watchcache"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -27,9 +28,7 @@
 			Policy:       scheduler.Config{WorkloadClasses: []scheduler.WorkloadClass{{}}},
 		},
 	}, newCache(), quiet)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	t.Cleanup(s.closeLoop)
 	return s
 }
--- a/internal/controller/server/spec_test.go
+++ b/internal/controller/server/spec_test.go
@@ -6,6 +6,8 @@
 	"math"
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 func TestInvalidFieldIsNamed(t *testing.T) {
@@ -61,9 +63,7 @@
 		job := validJob()
 		job.Tenant, job.RunForMS, job.Labels = tc.tenant, 250, map[string]string{"team": "north"}
 		spec, err := s.specs.read(&job)
-		if err != nil {
-			t.Fatal(err)
-		}
+		testutil.NoError(t, err)
 		if spec.Tenant != tc.index || spec.WorkloadClass != 0 || spec.RunFor != 2500 {
 			t.Errorf("tenant %q: %+v", tc.tenant, spec)
 		}
--- a/internal/controller/server/statestore_test.go
+++ b/internal/controller/server/statestore_test.go
@@ -7,6 +7,7 @@
 
 	"glenport/internal/controller"
 	"glenport/internal/storage/wal"
+	"glenport/internal/testutil"
 )
 
 func TestRejectedChangesAreRepeatedUnlessNewerOrOfAJob(t *testing.T) {
@@ -35,9 +36,7 @@
 func TestPlacementRequestWithoutStoredRecordIsNotSent(t *testing.T) {
 	s := openServer(t)
 	s.sendRequest(controller.SubmitRequest{RequestID: "reports/0#1"}, errors.New("no space"))
-	if len(s.events) != 1 {
-		t.Fatalf("%d events, want one", len(s.events))
-	}
+	testutil.Require(t, len(s.events) == 1, "%d events, want one", len(s.events))
 	answer, ok := s.events[0].(controller.PlacementAnswered)
 	if !ok || answer.RequestID != "reports/0#1" || answer.Verdict != controller.VerdictRefused ||
 		answer.RetryAfter == 0 {
@@ -53,16 +52,10 @@
 	change := &jobChange{job: "reports", decide: func(current *Job) (*JobRecord, controller.Event, error) {
 		decidedOn = append(decidedOn, current)
 		return &JobRecord{Job: validJob()}, controller.JobSet{Job: "reports"}, nil
-	}, done: func(_ int64, err error) {
-		if err != nil {
-			t.Error(err)
-		}
-	}}
+	}, done: func(_ int64, err error) { testutil.ExpectNoError(t, err) }}
 	s.jobs.start(change)
 	s.jobs.start(change)
-	if len(decidedOn) != 0 {
-		t.Fatal("decided while another change is under way")
-	}
+	testutil.Require(t, len(decidedOn) == 0, "decided while another change is under way")
 	s.jobs.startWaiting("reports")
 	if len(decidedOn) != 2 || decidedOn[0] != nil || decidedOn[1] == nil || decidedOn[1].Version != 1 ||
 		len(s.events) != 2 {
--- a/internal/controller/singlecopy_test.go
+++ b/internal/controller/singlecopy_test.go
@@ -5,6 +5,7 @@
 	"strings"
 	"testing"
 
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 
 	"pgregory.net/rapid"
@@ -105,9 +106,7 @@
 	container := containerOf(r.IdempotencyKey)
 	m.copies[container]++
 	m.running[r.IdempotencyKey], m.runsAt[r.IdempotencyKey] = r.RequestID, r.Scheduler
-	if m.copies[container] > 1 {
-		m.t.Fatalf("%s runs twice at %d", container, m.now)
-	}
+	testutil.Require(m.t, m.copies[container] <= 1, "%s runs twice at %d", container, m.now)
 }
 
 func (m *singleCopyModel) stop(key string) {
--- a/internal/controller/watchcache/watchcache_test.go
+++ b/internal/controller/watchcache/watchcache_test.go
@@ -4,6 +4,8 @@
 	"errors"
 	"fmt"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 func fill(c *Cache, n int) {
@@ -21,14 +23,10 @@
 		t.Errorf("got %+v", page)
 	}
 	w, err := c.Watch(8, "jobs")
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	c.Put("machines", "m", 1)
 	c.Delete("jobs", "j000000")
-	if c.Delete("jobs", "j000000") {
-		t.Error("deleted twice")
-	}
+	testutil.Expect(t, !c.Delete("jobs", "j000000"), "deleted twice")
 	for _, want := range []string{"j000008", "j000009", "j000000"} {
 		if o := <-w.Changes; o.ID != want {
 			t.Errorf("%s, want %s", o.ID, want)
@@ -46,9 +44,7 @@
 		want error
 	}{{99, ErrCompacted}, {100, nil}, {historyLength + 100, nil}, {historyLength + 101, ErrCompacted}} {
 		w, err := c.Watch(tc.from, "jobs")
-		if !errors.Is(err, tc.want) {
-			t.Errorf("from %d: %v", tc.from, err)
-		}
+		testutil.Expect(t, errors.Is(err, tc.want), "from %d: %v", tc.from, err)
 		if err != nil {
 			continue
 		}
@@ -63,13 +59,9 @@
 func TestStalledWatcherIsDroppedAndOthersMissNothing(t *testing.T) {
 	c := New(func(*Object) []byte { return nil })
 	stalled, err := c.Watch(0, "jobs")
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	live, err := c.Watch(0, "jobs")
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	for i := range watcherBuffer + 10 {
 		c.Put("jobs", "j", i)
 		if o := <-live.Changes; o.Value.(int) != i {
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -8,6 +8,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"glenport/internal/testutil"
 )
 
 func TestEchoedBytesAreCompleteAndInOrder(t *testing.T) {
@@ -22,9 +24,7 @@
 		check(t, peer.CloseWrite())
 	}()
 	got, err := io.ReadAll(peer)
-	if err != nil || !bytes.Equal(got, sent) {
-		t.Errorf("%d of %d bytes came back, %v", len(got), len(sent), err)
-	}
+	testutil.Expect(t, err == nil && bytes.Equal(got, sent), "%d of %d bytes came back, %v", len(got), len(sent), err)
 	<-done
 	closedByEOF(t, handler)
 }
@@ -105,9 +105,7 @@
 		}
 		return n
 	})
-	if taken != 16 {
-		t.Errorf("%d writes taken, want 16", taken)
-	}
+	testutil.Expect(t, taken == 16, "%d writes taken, want 16", taken)
 	peer := dial(t, listen(t, l, newEcho(t), 1<<20, nil))
 	_, err := peer.Write([]byte("ping"))
 	check(t, err)
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -5,6 +5,8 @@
 	"net"
 	"syscall"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // fullBacklog is the address of a listener whose accept queue is full, so that the kernel answers no further
@@ -15,9 +17,7 @@
 	check(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	check(t, syscall.Listen(fd, 0))
 	bound, err := syscall.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	addr := (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: bound.(*syscall.SockaddrInet4).Port}).String()
 	for range 4 {
 		l.Post(func() { l.Dial(addr, newProbe(), 1, 30*Second) })
@@ -29,9 +29,7 @@
 func unusedAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	check(t, ln.Close())
 	return ln.Addr().String()
 }
@@ -48,9 +46,7 @@
 				if err := c.Write([]byte("never sent")); err != nil && !errors.Is(err, ErrClosed) {
 					t.Error(err)
 				}
-				if len(handler.closed) > 0 {
-					t.Error("closed is reported before Dial returned")
-				}
+				testutil.Expect(t, len(handler.closed) == 0, "closed is reported before Dial returned")
 			})
 			if reason := wait(t, handler.closed); !errors.Is(reason, ErrConnectFailed) {
 				t.Errorf("closed by %v", reason)
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"glenport/internal/testutil"
 	_ "glenport/internal/testutil/fixedseed"
 
 	"go.uber.org/goleak"
@@ -51,9 +52,7 @@
 // check reports an error of a step that has to succeed. Any goroutine may call it.
 func check(t *testing.T, err error) {
 	t.Helper()
-	if err != nil {
-		t.Error(err)
-	}
+	testutil.ExpectNoError(t, err)
 }
 
 // isExactly reports whether an error is the wanted one itself, not wrapped.
@@ -70,9 +69,7 @@
 func newLoop(t *testing.T, onIteration func()) *Loop {
 	t.Helper()
 	l, err := New(onIteration)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	return l
 }
 
@@ -132,9 +129,7 @@
 func dial(t *testing.T, addr string) *net.TCPConn {
 	t.Helper()
 	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() }) // the test may have closed it
 	return c.(*net.TCPConn)
 }
@@ -143,9 +138,7 @@
 func newSocket(t *testing.T) int {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	t.Cleanup(func() { check(t, syscall.Close(fd)) })
 	return fd
 }
@@ -153,9 +146,7 @@
 func connectSocket(t *testing.T, fd int, addr string) {
 	t.Helper()
 	to, err := net.ResolveTCPAddr("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	check(t, syscall.Connect(fd, &syscall.SockaddrInet4{Port: to.Port, Addr: [4]byte{127, 0, 0, 1}}))
 }
 
@@ -164,19 +155,13 @@
 func exhaustDescriptors(t *testing.T) (restore func()) {
 	t.Helper()
 	var before syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &before); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, syscall.Getrlimit(syscall.RLIMIT_NOFILE, &before))
 	lowestFree, err := syscall.Dup(0)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	check(t, syscall.Close(lowestFree))
 	restore = func() { check(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &before)) }
 	t.Cleanup(restore)
 	lowered := syscall.Rlimit{Cur: uint64(lowestFree), Max: before.Max}
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &lowered); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &lowered))
 	return restore
 }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -5,6 +5,8 @@
 	"net"
 	"testing"
 	"time"
+
+	"glenport/internal/testutil"
 )
 
 func TestConnectionIsReadOnceAnIteration(t *testing.T) {
@@ -40,9 +42,7 @@
 		}
 		return n
 	})
-	if twice > 0 {
-		t.Errorf("read twice in one iteration %d times", twice)
-	}
+	testutil.Expect(t, twice <= 0, "read twice in one iteration %d times", twice)
 }
 
 func TestTimersRunOnTimeAndPostReportsTheEndOfTheLoop(t *testing.T) {
@@ -80,9 +80,7 @@
 		})
 	}
 	ln, err := l.Listen("127.0.0.1:0", func() (Handler, int) { return handler, 100 }, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	done := make(chan error, 1)
 	go func() { done <- l.Run() }()
 	peer = dial(t, ln.Addr().String())
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -104,9 +104,7 @@
 // must fails the test where the script itself cannot be played.
 func (e *exchange) must(err error) {
 	e.t.Helper()
-	if err != nil {
-		e.t.Fatal(err)
-	}
+	testutil.NoError(e.t, err)
 }
 
 // until waits for a state of the kernel that the next step builds on.
--- a/internal/eventloop/wheel_test.go
+++ b/internal/eventloop/wheel_test.go
@@ -7,6 +7,8 @@
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"glenport/internal/testutil"
 )
 
 // wheelModel is a wheel and the plain list of timers that it is compared with.
@@ -32,15 +34,9 @@
 }
 
 func (m *wheelModel) run(item *wheelItem) {
-	if m.now < item.expiry {
-		m.t.Fatalf("ran at %d, expires at %d", m.now, item.expiry)
-	}
-	if item.expiry < m.last {
-		m.t.Fatalf("%d ran after %d", item.expiry, m.last)
-	}
-	if item.timer == nil {
-		m.t.Fatal("ran twice or after it was cancelled")
-	}
+	testutil.Require(m.t, m.now >= item.expiry, "ran at %d, expires at %d", m.now, item.expiry)
+	testutil.Require(m.t, item.expiry >= m.last, "%d ran after %d", item.expiry, m.last)
+	testutil.Require(m.t, item.timer != nil, "ran twice or after it was cancelled")
 	m.last, item.timer = item.expiry, nil
 }
 
@@ -70,9 +66,7 @@
 		}
 		left++
 		first = min(first, item.expiry)
-		if item.expiry <= m.now {
-			m.t.Fatalf("expires at %d, not run by %d", item.expiry, m.now)
-		}
+		testutil.Require(m.t, item.expiry > m.now, "expires at %d, not run by %d", item.expiry, m.now)
 	}
 	if next, scheduled := m.wheel.NextExpiry(); scheduled != (left > 0) || scheduled && next > first ||
 		m.wheel.Len() != left {
@@ -105,16 +99,12 @@
 	var b *Timer
 	w.Schedule(5, func() {
 		ran += "a"
-		if !w.Cancel(b) {
-			t.Error("b could not be cancelled")
-		}
+		testutil.Expect(t, w.Cancel(b), "b could not be cancelled")
 		w.Schedule(5, func() { ran += "c" })
 	})
 	b = w.Schedule(5, func() { ran += "b" })
 	w.Advance(5)
-	if ran != "a" {
-		t.Errorf("ran %q by 5", ran)
-	}
+	testutil.Expect(t, ran == "a", "ran %q by 5", ran)
 	if w.Advance(6); ran != "ac" || w.Len() != 0 {
 		t.Errorf("ran %q by 6, %d left", ran, w.Len())
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testutil"
 )
 
 type fakeSource struct{ ok bool }
@@ -41,13 +42,9 @@
 			Serve("", fakeSource{tc.ok}).Handler.ServeHTTP(response, request)
 			body := response.Body.String()
 			for _, line := range tc.want {
-				if !strings.Contains(body, line+"\n") {
-					t.Errorf("no line %s in\n%s", line, body)
-				}
-			}
-			if strings.Contains(body, tc.absent) {
-				t.Errorf("%s is shown", tc.absent)
+				testutil.Expect(t, strings.Contains(body, line+"\n"), "no line %s in\n%s", line, body)
 			}
+			testutil.Expect(t, !strings.Contains(body, tc.absent), "%s is shown", tc.absent)
 		})
 	}
 }
--- a/internal/platform/attempts_test.go
+++ b/internal/platform/attempts_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"glenport/internal/platform/jsonlines"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -90,9 +91,7 @@
 		e.ID != requestID {
 		t.Errorf("got %+v", e)
 	}
-	if e.Report["x0"] != want.report {
-		t.Errorf("report %v", e.Report)
-	}
+	testutil.Expect(t, e.Report["x0"] == want.report, "report %v", e.Report)
 	for _, cause := range want.causes {
 		msg := client.receive()
 		if msg == nil || msg.RequestID != requestID || msg.CauseOrNone() != cause {
@@ -107,9 +106,7 @@
 
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	l := listenTCP(t)
-	if err := l.Close(); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, l.Close())
 	r := startWithMachineA(t, l.Addr().String(), attemptOnA(0))
 	r.request(requestID)
 	r.awaitOutcome(scheduler.AttemptEnded{ID: requestID, Outcome: scheduler.OutcomeConnectFailed})
@@ -230,19 +227,13 @@
 func fullListener(t *testing.T) (addr string, listen func() net.Listener) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := errors.Join(
+	testutil.NoError(t, err)
+	testutil.NoError(t, errors.Join(
 		syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}),
 		syscall.Listen(fd, 0),
-	); err != nil {
-		t.Fatal(err)
-	}
+	))
 	own, err := syscall.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	addr = fmt.Sprintf("127.0.0.1:%d", own.(*syscall.SockaddrInet4).Port)
 	dialer := net.Dialer{Timeout: 50 * time.Millisecond}
 	for range 4 {
@@ -253,9 +244,7 @@
 	return addr, func() net.Listener {
 		f := os.NewFile(uintptr(fd), "full")
 		l, err := net.FileListener(f)
-		if err := errors.Join(err, f.Close()); err != nil {
-			t.Fatal(err)
-		}
+		testutil.NoError(t, errors.Join(err, f.Close()))
 		return l
 	}
 }
--- a/internal/platform/clientmessages_test.go
+++ b/internal/platform/clientmessages_test.go
@@ -8,24 +8,21 @@
 
 	"glenport/internal/eventloop"
 	"glenport/internal/platform/jsonlines"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
 func testConfig(t *testing.T) *Config {
 	t.Helper()
 	config, err := parseConfig([]byte(configJSON(nowhere, 256)))
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	return config
 }
 
 func decodeLine(t *testing.T, line string) *jsonlines.Message {
 	t.Helper()
 	msg, err := jsonlines.Decode([]byte(line))
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	return msg
 }
 
@@ -73,9 +70,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			msg := decodeLine(t, strings.Replace(offerLine(requestID, ""), tc.old, tc.with, 1))
 			received, ok := decodeClientMessage(msg).(offerReceived)
-			if !ok {
-				t.Fatalf("%+v is no offer", msg)
-			}
+			testutil.Require(t, ok, "%+v is no offer", msg)
 			offer, err := testConfig(t).decodeOffer(received, now)
 			want := placementOffer{tc.want, tc.runsOn, "report-run", "i1", []byte(`"v=0\r\n"`)}
 			if err != nil || !reflect.DeepEqual(offer, want) {
@@ -109,7 +104,5 @@
 	}
 	noService := decodeLine(t, strings.Replace(offerLine(requestID, ""), "service:s1", "x:y", 1))
 	_, err := testConfig(t).decodeOffer(offerReceived{noService.RequestID, noService.Fields, noService.Description}, 0)
-	if !errors.Is(err, errNoKeyOrService) {
-		t.Errorf("error %v", err)
-	}
+	testutil.Expect(t, errors.Is(err, errNoKeyOrService), "error %v", err)
 }
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"glenport/internal/platform/jsonlines"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -194,9 +195,7 @@
 	await[scheduler.RequestReceived](r, nil)
 	r.runOnLoop(func() {
 		for _, cc := range r.server.clients.conns {
-			if err := cc.conn.Write([]byte("\n")); err != nil {
-				t.Error(err)
-			}
+			testutil.ExpectNoError(t, cc.conn.Write([]byte("\n")))
 			cc.conn.Close() // once the line is written
 		}
 		r.server.applySchedulerAction(scheduler.Fail{ID: requestID})
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -3,11 +3,11 @@
 import (
 	"errors"
 	"io/fs"
-	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -38,9 +38,7 @@
 				}
 				return
 			}
-			if err != nil {
-				t.Fatal(err)
-			}
+			testutil.NoError(t, err)
 			checkConfig(t, config)
 		})
 	}
@@ -84,9 +82,7 @@
 		{`"connect_timeout_ms":250.0`, `"connect_timeout_ms":0`, "settings: permissions.connect_timeout_ms"},
 	} {
 		text := strings.Replace(configJSON(nowhere, 256), tc.old, tc.with, 1)
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
+		testutil.WriteFile(t, path, []byte(text))
 		config, err := LoadConfig(path)
 		if tc.wantError == "" {
 			if err != nil || config.Name != "n0" || config.MemoryMB != 64 || config.MaxDescriptors != 256 {
--- a/internal/platform/connmanager/admission_test.go
+++ b/internal/platform/connmanager/admission_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"slices"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // closedClients returns the clients that a batch of actions closes.
@@ -69,9 +71,7 @@
 				}
 			}
 			got := closedClients(m.Handle(tc.at, []Event{ClientConnected{most + 1}}))
-			if !slices.Equal(got, []ClientID{tc.want}) {
-				t.Errorf("%v closed, want %d", got, tc.want)
-			}
+			testutil.Expect(t, slices.Equal(got, []ClientID{tc.want}), "%v closed, want %d", got, tc.want)
 		})
 	}
 }
--- a/internal/platform/connmanager/client_test.go
+++ b/internal/platform/connmanager/client_test.go
@@ -2,18 +2,15 @@
 
 import (
 	"errors"
-	"os"
 	"strings"
 	"testing"
 
 	"glenport/internal/platform/statemachine"
+	"glenport/internal/testutil"
 )
 
 func TestClientStatesAreDocumented(t *testing.T) {
-	page, err := os.ReadFile("doc.go")
-	if err != nil {
-		t.Fatal(err)
-	}
+	page := testutil.ReadFile(t, "doc.go")
 	want := strings.ReplaceAll("\n"+clientTransitions.String()+"\n", "\n", "\n//\t")
 	if !strings.Contains(string(page), strings.TrimSuffix(want, "//\t")) {
 		t.Errorf("doc.go lacks the table%s", want)
@@ -33,7 +30,5 @@
 	if !ok || report.Client != 1 || !errors.As(report.Err, &illegal) || illegal.From != closing || len(m.actions) > 1 {
 		t.Errorf("actions %+v", m.actions)
 	}
-	if c.state != closing || m.activeClients != 0 {
-		t.Errorf("client %v, %d active", c.state, m.activeClients)
-	}
+	testutil.Expect(t, c.state == closing && m.activeClients == 0, "client %v, %d active", c.state, m.activeClients)
 }
--- a/internal/platform/connmanager/notifications_test.go
+++ b/internal/platform/connmanager/notifications_test.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // notified returns the clients that a batch of actions notifies of the end of "x", that of "w" left aside.
@@ -13,9 +15,7 @@
 		if !ok || a.RequestID == "w" {
 			continue
 		}
-		if a.RequestID != "x" || a.Cause != 16 {
-			t.Errorf("notified %+v", a)
-		}
+		testutil.Expect(t, a.RequestID == "x" && a.Cause == 16, "notified %+v", a)
 		out = append(out, a.Client)
 	}
 	return out
@@ -109,10 +109,6 @@
 		}
 		handle(i*tenth, Tick{})
 	}
-	if !slices.Equal(got, tc.want) {
-		t.Errorf("notified %v, want %v", got, tc.want)
-	}
-	if len(m.terminations) > 0 {
-		t.Errorf("%d terminations kept", len(m.terminations))
-	}
+	testutil.Expect(t, slices.Equal(got, tc.want), "notified %v, want %v", got, tc.want)
+	testutil.Expect(t, len(m.terminations) == 0, "%d terminations kept", len(m.terminations))
 }
--- a/internal/platform/connmanager/pool_test.go
+++ b/internal/platform/connmanager/pool_test.go
@@ -1,6 +1,10 @@
 package connmanager
 
-import "testing"
+import (
+	"testing"
+
+	"glenport/internal/testutil"
+)
 
 // idleFor is a connection that its machine closes after 30 s; first, busy and carrier change one fact each.
 func idleFor(idle Time) MachineConn {
@@ -73,9 +77,7 @@
 			t.Errorf("%+v is evictable before its machine could send", c)
 		}
 	}
-	if last != 2 {
-		t.Errorf("one that carries a running container has rank %d", last)
-	}
+	testutil.Expect(t, last == 2, "one that carries a running container has rank %d", last)
 	if !idleFor(15*Second-1).CanCarryAttempt() || idleFor(15*Second).CanCarryAttempt() {
 		t.Error("an attempt may cross the close of an idle connection")
 	}
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -33,9 +34,7 @@
 	t.Helper()
 	select {
 	case w := <-watches:
-		if w.from != from {
-			t.Errorf("requested %q, want %q", w.from, from)
-		}
+		testutil.Expect(t, w.from == from, "requested %q, want %q", w.from, from)
 		return w.peer
 	case <-time.After(testTimeout):
 		t.Fatal("no watch was requested")
@@ -118,14 +117,10 @@
 	if b := event.machines[1]; b.entry.Machine != "b" || b.entry.State != scheduler.MachineGone || b.addr != "" {
 		t.Errorf("machine b is %+v", b)
 	}
-	if !errors.Is(event.invalidEntries[0], errNoMachineID) {
-		t.Errorf("error %v", event.invalidEntries[0])
-	}
+	testutil.Expect(t, errors.Is(event.invalidEntries[0], errNoMachineID), "error %v", event.invalidEntries[0])
 	if _, err := config.decodeWatchEvent([]byte(`{"offset":-1}`)); !errors.Is(err, errNegativeOffset) {
 		t.Errorf("error %v", err)
 	}
 	event, err = config.decodeWatchEvent([]byte(`{"offset":7}`))
-	if err != nil || !event.offsetOnly || event.offset != 7 {
-		t.Errorf("decoded %+v, %v", event, err)
-	}
+	testutil.Expect(t, err == nil && event.offsetOnly && event.offset == 7, "decoded %+v, %v", event, err)
 }
--- a/internal/platform/failuredetector/detector_test.go
+++ b/internal/platform/failuredetector/detector_test.go
@@ -1,6 +1,10 @@
 package failuredetector
 
-import "testing"
+import (
+	"testing"
+
+	"glenport/internal/testutil"
+)
 
 // handleTick handles an event, if any, and a tick, and ends the containers on a machine that is lost.
 func handleTick(d *Detector, now Time, event Event) (connects int, lost bool) {
@@ -64,9 +68,7 @@
 			if connects != tc.connects || lostAt != tc.lostAt {
 				t.Errorf("%d connects, lost at %d, want %d and %d", connects, lostAt, tc.connects, tc.lostAt)
 			}
-			if len(d.machines) > 0 {
-				t.Errorf("%d machines are still monitored", len(d.machines))
-			}
+			testutil.Expect(t, len(d.machines) == 0, "%d machines are still monitored", len(d.machines))
 		})
 	}
 }
--- a/internal/platform/failuredetector/golden_test.go
+++ b/internal/platform/failuredetector/golden_test.go
@@ -94,18 +94,20 @@
 	}
 }
 
-// group makes a group of sequences; longest is the most events in a batch.
-func group(seed uint64, sequences, machines, requests, batches, longest int, w weights) func(*digest) {
+// size of a group of sequences; longest is the most events in a batch.
+type size struct{ sequences, machines, requests, batches, longest int }
+
+func group(seed uint64, of size, w weights) func(*digest) {
 	return func(d *digest) {
-		for i := range sequences {
+		for i := range of.sequences {
 			grids := []Time{0, Second / 2, Second / 10}
 			s := &sequence{
 				random:   rand.New(rand.NewPCG(seed, uint64(i))),
-				machines: machines,
-				requests: requests,
+				machines: of.machines,
+				requests: of.requests,
 				grid:     grids[i%len(grids)],
 			}
-			s.run(d, batches, longest, w)
+			s.run(d, of.batches, of.longest, w)
 		}
 	}
 }
@@ -117,11 +119,11 @@
 		name string
 		run  func(*digest)
 	}{
-		{"mixed events", group(1, 800, 5, 20, 120, 4, weights{4, 3, 1, 3, 3, 6})},
-		{"silent machines", group(2, 500, 6, 20, 100, 3, weights{2, 1, 0, 0, 0, 12})},
-		{"refused connections", group(3, 400, 3, 20, 100, 4, weights{4, 2, 4, 1, 1, 3})},
-		{"terminations before the reclaim", group(4, 400, 2, 8, 100, 6, weights{1, 1, 0, 6, 6, 3})},
-		{"more terminations than are kept", group(5, 4, 1, 6000, 70, 400, weights{0, 1, 0, 30, 8, 0})},
+		{"mixed events", group(1, size{800, 5, 20, 120, 4}, weights{4, 3, 1, 3, 3, 6})},
+		{"silent machines", group(2, size{500, 6, 20, 100, 3}, weights{2, 1, 0, 0, 0, 12})},
+		{"refused connections", group(3, size{400, 3, 20, 100, 4}, weights{4, 2, 4, 1, 1, 3})},
+		{"terminations before the reclaim", group(4, size{400, 2, 8, 100, 6}, weights{1, 1, 0, 6, 6, 3})},
+		{"more terminations than are kept", group(5, size{4, 1, 6000, 70, 400}, weights{0, 1, 0, 30, 8, 0})},
 	} {
 		d := &digest{golden.NewDigest()}
 		group.run(d)
--- a/internal/platform/failuredetector/unclaimed_test.go
+++ b/internal/platform/failuredetector/unclaimed_test.go
@@ -1,9 +1,10 @@
 package failuredetector
 
 import (
-	"slices"
 	"strconv"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // A termination that came before the reclaim is reported then, once; unclaimed ones are held for a while and not
@@ -32,13 +33,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			d := New()
 			d.Handle(0, tc.before)
-			if len(d.unclaimed) > maxUnclaimed {
-				t.Errorf("%d terminations are held", len(d.unclaimed))
-			}
+			testutil.Expect(t, len(d.unclaimed) <= maxUnclaimed, "%d terminations are held", len(d.unclaimed))
 			want := []Action{ReportTermination{tc.reclaim.Machine, tc.reclaim.RequestID, 16}}[:tc.want]
-			if got := d.Handle(tc.after, []Event{Tick{}, tc.reclaim}); !slices.Equal(got, want) {
-				t.Errorf("got %+v, want %+v", got, want)
-			}
+			testutil.SlicesEqual(t, d.Handle(tc.after, []Event{Tick{}, tc.reclaim}), want)
 			if d.Handle(tc.after+unclaimedTTL+1, []Event{Tick{}}); len(d.unclaimed) > 0 {
 				t.Errorf("%d terminations are held for good", len(d.unclaimed))
 			}
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -9,6 +9,7 @@
 
 	"glenport/internal/eventloop"
 	"glenport/internal/platform/jsonlines"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 
 	"go.uber.org/goleak"
@@ -67,24 +68,19 @@
 func startServer(t *testing.T, on func(scheduler.Event) []scheduler.Action, configText string) *testServer {
 	t.Helper()
 	config, err := parseConfig([]byte(configText))
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	r := &testServer{T: t, scheduler: &scriptedScheduler{
 		on:      on,
 		wrapped: scheduler.New(config.Scheduler),
 		events:  make(chan scheduler.Event, 100_000),
 	}}
-	if r.server, err = New(config, r.scheduler, slog.New(slog.DiscardHandler), false); err != nil {
-		t.Fatal(err)
-	}
+	r.server, err = New(config, r.scheduler, slog.New(slog.DiscardHandler), false)
+	testutil.NoError(t, err)
 	done := make(chan error, 1)
 	go func() { done <- r.server.Run() }()
 	t.Cleanup(func() {
 		r.server.env.loop.Stop()
-		if err := <-done; err != nil {
-			t.Error(err)
-		}
+		testutil.ExpectNoError(t, <-done)
 	})
 	return r
 }
--- a/internal/platform/jsonlines/codec_test.go
+++ b/internal/platform/jsonlines/codec_test.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // isA matches errors of a type.
@@ -52,9 +54,7 @@
 			if got := fmt.Sprint(err); tc.text == "" && err != nil || tc.text != "" && !strings.Contains(got, tc.text) {
 				t.Errorf("error %v, want %q", err, tc.text)
 			}
-			if !tc.matches(err) {
-				t.Errorf("error %v is of type %T", err, err)
-			}
+			testutil.Expect(t, tc.matches(err), "error %v is of type %T", err, err)
 		})
 	}
 }
@@ -63,9 +63,7 @@
 func TestMessageSurvivesRoundTrip(t *testing.T) {
 	const start, end = `{"op":"offer","call":"9b1f03aa5c7e2d41","with":{`, `},"why":0,"desc":"a\u00e9\/\r\n"}`
 	m, err := Decode([]byte(start + `"left":1500,"key":"<k>"` + end))
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	out, err := Append(nil, m)
 	if want := start + `"key":"<k>","left":"1500"` + end + "\n"; err != nil || string(out) != want {
 		t.Errorf("%s, %v", out, err)
--- a/internal/platform/jsonlines/golden_test.go
+++ b/internal/platform/jsonlines/golden_test.go
@@ -11,6 +11,7 @@
 	"testing"
 
 	"glenport/internal/golden"
+	"glenport/internal/testutil"
 )
 
 // describe writes every value of a message by its name on the wire.
@@ -127,9 +128,7 @@
 	for _, line := range slices.Concat(validLines, invalidLines) {
 		m, err := Decode([]byte(line))
 		if err != nil {
-			if m != nil {
-				t.Errorf("%s: a message and an error", line)
-			}
+			testutil.Expect(t, m == nil, "%s: a message and an error", line)
 			fmt.Fprintf(&got, "%q\n\terror: %s\n", line, failure(err))
 			continue
 		}
@@ -178,12 +177,9 @@
 	var got []byte
 	for _, line := range validLines {
 		m, err := Decode([]byte(line))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if got, err = Append(got, m); err != nil {
-			t.Fatal(err)
-		}
+		testutil.NoError(t, err)
+		got, err = Append(got, m)
+		testutil.NoError(t, err)
 	}
 	golden.CheckText(t, "testdata/encoded-again.txt", string(got))
 }
--- a/internal/platform/machineconns_test.go
+++ b/internal/platform/machineconns_test.go
@@ -9,6 +9,7 @@
 	"glenport/internal/eventloop"
 	"glenport/internal/platform/connmanager"
 	"glenport/internal/platform/jsonlines"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -135,19 +136,13 @@
 	notified := map[string]bool{}
 	for len(notified) < machines {
 		msg := client.receive()
-		if msg == nil {
-			t.Fatalf("%d of %d ends were received", len(notified), machines)
-		}
+		testutil.Require(t, msg != nil, "%d of %d ends were received", len(notified), machines)
 		if msg.Op == jsonlines.OpEnd {
 			notified[msg.RequestID] = true
 			client.send(endedLine(msg.RequestID))
 		}
 	}
-	r.runOnLoop(func() {
-		if most > limit {
-			t.Errorf("%d connections at once, %d allowed", most, limit)
-		}
-	})
+	r.runOnLoop(func() { testutil.Expect(t, most <= limit, "%d connections at once, %d allowed", most, limit) })
 }
 
 // startWithNumberedMachines starts a server with few descriptors that attempts each container on the machine with its
@@ -279,8 +274,6 @@
 		s.machines.pool.open += others
 		s.maintain()
 		s.machines.pool.open -= others
-		if s.machines.lookup("z") != nil {
-			t.Error("machine z was not evicted")
-		}
+		testutil.Expect(t, s.machines.lookup("z") == nil, "machine z was not evicted")
 	})
 }
--- a/internal/platform/peers_test.go
+++ b/internal/platform/peers_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"glenport/internal/platform/jsonlines"
+	"glenport/internal/testutil"
 )
 
 // peer is the other end of a connection of the server: a client, a machine or the discovery service.
@@ -33,9 +34,7 @@
 
 func newPeer(t *testing.T, c net.Conn) *peer {
 	t.Helper()
-	if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
-		t.Error(err)
-	}
+	testutil.ExpectNoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
 	return &peer{t, c, bufio.NewReader(c)}
 }
 
@@ -70,9 +69,7 @@
 		return nil
 	}
 	msg, err := jsonlines.Decode(line)
-	if err != nil {
-		p.t.Errorf("%v: %s", err, line)
-	}
+	testutil.Expect(p.t, err == nil, "%v: %s", err, line)
 	return msg
 }
 
@@ -126,9 +123,7 @@
 func listenTCP(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	return l
 }
 
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -8,6 +8,7 @@
 
 	"glenport/internal/eventloop"
 	"glenport/internal/platform/jsonlines"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -111,9 +112,7 @@
 	for passed := true; passed; {
 		client.send(testLine(1))
 		msg := client.receive()
-		if msg == nil {
-			t.Fatal("the server ended without an answer")
-		}
+		testutil.Require(t, msg != nil, "the server ended without an answer")
 		passed = msg.CauseOrNone() == jsonlines.CauseTestPassed
 	}
 	config := *r.server.env.config
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -10,6 +10,7 @@
 	"testing"
 
 	"glenport/internal/golden"
+	"glenport/internal/testutil"
 )
 
 const framesFile = "testdata/frames.txt"
@@ -198,9 +199,7 @@
 		writeSections(t, framesFile, head, all)
 	}
 	recorded := readSections(t, framesFile)
-	if len(recorded) != len(frames) {
-		t.Fatalf("%d frames are recorded, %d known", len(recorded), len(frames))
-	}
+	testutil.Require(t, len(recorded) == len(frames), "%d frames are recorded, %d known", len(recorded), len(frames))
 	kinds := map[byte]bool{}
 	for i, want := range recorded {
 		kinds[want.bytes[lengthSize]] = true
@@ -216,19 +215,13 @@
 // checkGoldenFrame decodes a recorded frame, compares its values, and encodes it again.
 func checkGoldenFrame(t *testing.T, want section, known namedFrame) {
 	t.Helper()
-	if known.title != want.title {
-		t.Fatalf("%s is recorded in place of %s", want.title, known.title)
-	}
+	testutil.Require(t, known.title == want.title, "%s is recorded in place of %s", want.title, known.title)
 	if number := want.bytes[lengthSize]; !strings.HasPrefix(want.title, fmt.Sprint(number, " ")) {
 		t.Errorf("frame number %d", number)
 	}
 	decoded, err := ReadFrame(bytes.NewReader(want.bytes), MaxFrame)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !reflect.DeepEqual(decoded, known.frame) {
-		t.Errorf("decoded as %+v, want %+v", decoded, known.frame)
-	}
+	testutil.NoError(t, err)
+	testutil.Expect(t, reflect.DeepEqual(decoded, known.frame), "decoded as %+v, want %+v", decoded, known.frame)
 	if got := describe(decoded); got != want.text {
 		t.Errorf("decoded as\n%swant\n%s", got, want.text)
 	}
@@ -243,15 +236,9 @@
 func TestReportOfSeveralValuesIsDecoded(t *testing.T) {
 	const code = "0484190bb90000" + "a3" + "6162fb3ff8000000000000" + "6161fb4004000000000000" + "6163f93c00"
 	p, err := hex.DecodeString(code)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	got, err := Decode(p)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	want := &Result{AttemptID: 3001, Report: map[string]float64{"a": 2.5, "b": 1.5, "c": 1}}
-	if !reflect.DeepEqual(got, want) {
-		t.Errorf("got %+v, want %+v", got, want)
-	}
+	testutil.DeepEqual(t, got, want)
 }
--- a/internal/protocol/invalid_test.go
+++ b/internal/protocol/invalid_test.go
@@ -12,6 +12,7 @@
 	"testing"
 
 	"glenport/internal/golden"
+	"glenport/internal/testutil"
 )
 
 const invalidFile = "testdata/invalid_frames.txt"
@@ -66,9 +67,7 @@
 func (s *invalidSet) raw(title, code string) {
 	s.t.Helper()
 	body, err := hex.DecodeString(code)
-	if err != nil {
-		s.t.Fatal(err)
-	}
+	testutil.NoError(s.t, err)
 	s.all = append(s.all, invalidFrame{title, body})
 }
 
@@ -76,9 +75,7 @@
 func (s *invalidSet) add(title string, f Frame) {
 	s.t.Helper()
 	body, err := encoder.Marshal(f)
-	if err != nil {
-		s.t.Fatal(err)
-	}
+	testutil.NoError(s.t, err)
 	s.all = append(s.all, invalidFrame{title, append([]byte{byte(f.kind())}, body...)})
 }
 
@@ -274,9 +271,7 @@
 		writeSections(t, invalidFile, head, all)
 	}
 	recorded := readSections(t, invalidFile)
-	if len(recorded) != len(frames) {
-		t.Fatalf("%d frames are recorded, %d known", len(recorded), len(frames))
-	}
+	testutil.Require(t, len(recorded) == len(frames), "%d frames are recorded, %d known", len(recorded), len(frames))
 	for i, want := range recorded {
 		t.Run(want.title, func(t *testing.T) {
 			if frames[i].title != want.title || !bytes.Equal(frames[i].body, want.bytes) {
@@ -286,9 +281,7 @@
 			if got := errorText(err); got != want.text {
 				t.Errorf("error %swant %s", got, want.text)
 			}
-			if (f == nil) != (err != nil) {
-				t.Errorf("a frame %v with the error %v", f, err)
-			}
+			testutil.Expect(t, (f == nil) == (err != nil), "a frame %v with the error %v", f, err)
 		})
 	}
 }
--- a/internal/protocol/reader_test.go
+++ b/internal/protocol/reader_test.go
@@ -8,6 +8,8 @@
 	"reflect"
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 var sampleSpec = ContainerSpec{
@@ -60,9 +62,8 @@
 	var data []byte
 	for _, f := range frames {
 		var err error
-		if data, err = Append(data, f); err != nil {
-			tb.Fatal(err)
-		}
+		data, err = Append(data, f)
+		testutil.NoError(tb, err)
 	}
 	return data
 }
@@ -77,9 +78,7 @@
 			known++
 		}
 	}
-	if len(want) != known {
-		t.Fatalf("%d samples of %d kinds", len(want), known)
-	}
+	testutil.Require(t, len(want) == known, "%d samples of %d kinds", len(want), known)
 	data := stream(t, want...)
 	for _, piece := range []int{1, 3, 100, len(data)} {
 		var r Reader
@@ -90,9 +89,7 @@
 				got = append(got, f)
 				return nil
 			})
-			if err != nil {
-				t.Fatal(err)
-			}
+			testutil.NoError(t, err)
 			rest = rest[n:]
 		}
 		if !reflect.DeepEqual(got, want) || r.Buffered() != 0 {
@@ -111,9 +108,7 @@
 	otherVersion := NewHello(RoleClient, "o", 1)
 	otherVersion.Version = 99
 	otherVersionBody, err := encoder.Marshal(otherVersion)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	for _, tc := range []struct {
 		name  string
 		input []byte
@@ -135,9 +130,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			var r Reader
 			err := r.Feed(tc.input, ignoreFrame)
-			if err == nil || !strings.Contains(err.Error(), tc.want) {
-				t.Errorf("got %v, want %s", err, tc.want)
-			}
+			testutil.Expect(t, err != nil && strings.Contains(err.Error(), tc.want), "got %v, want %s", err, tc.want)
 			if again := r.Feed(hello, nil); !errors.Is(again, err) {
 				t.Errorf("goes on after an error: %v", again)
 			}
@@ -148,14 +141,10 @@
 // Callers can tell the errors of a stream apart by their types.
 func TestErrorsAreTyped(t *testing.T) {
 	_, err := Decode(nil)
-	if !errors.Is(err, ErrEmptyFrame) {
-		t.Errorf("empty frame: %v", err)
-	}
+	testutil.Expect(t, errors.Is(err, ErrEmptyFrame), "empty frame: %v", err)
 	_, err = Decode([]byte{77})
 	var unknown *UnknownKindError
-	if !errors.As(err, &unknown) || unknown.Kind != 77 {
-		t.Errorf("unknown kind: %v", err)
-	}
+	testutil.Expect(t, errors.As(err, &unknown) && unknown.Kind == 77, "unknown kind: %v", err)
 	_, err = Append(nil, &MachineListUpdate{Entries: []MachineEntry{{Machine: "m"}}})
 	var frame *FrameError
 	var field *FieldError
@@ -166,20 +155,14 @@
 	var r Reader
 	err = r.Feed(stream(t, &Heartbeat{}), ignoreFrame)
 	var outOfTurn *OutOfTurnError
-	if !errors.As(err, &outOfTurn) || outOfTurn.Frame != "Beat" {
-		t.Errorf("out of turn: %v", err)
-	}
+	testutil.Expect(t, errors.As(err, &outOfTurn) && outOfTurn.Frame == "Beat", "out of turn: %v", err)
 	_, err = ReadFrame(bytes.NewReader([]byte{0, 0, 1, 0}), 255)
 	var size *SizeError
-	if !errors.As(err, &size) || *size != (SizeError{"frame", 256, 255}) {
-		t.Errorf("oversize: %v", err)
-	}
+	testutil.Expect(t, errors.As(err, &size) && *size == (SizeError{"frame", 256, 255}), "oversize: %v", err)
 	refused := errors.New("refused by the receiver")
 	r = Reader{}
 	err = r.Feed(stream(t, NewHello(RoleClient, "c", 1)), func(Frame) error { return refused })
-	if !errors.Is(err, refused) {
-		t.Errorf("error of the receiver: %v", err)
-	}
+	testutil.Expect(t, errors.Is(err, refused), "error of the receiver: %v", err)
 }
 
 func TestFramesOutOfRangeAreNotEncoded(t *testing.T) {
@@ -241,12 +224,10 @@
 		b.ReportAllocs()
 		for b.Loop() {
 			var err error
-			if data, err = encode(data); err != nil {
-				b.Fatal(err)
-			}
-			if err = decode(data); err != nil {
-				b.Fatal(err)
-			}
+			data, err = encode(data)
+			testutil.NoError(b, err)
+			err = decode(data)
+			testutil.NoError(b, err)
 		}
 		b.ReportMetric(float64(len(data)), "bytes")
 	})
--- a/internal/protocol/section_test.go
+++ b/internal/protocol/section_test.go
@@ -3,11 +3,12 @@
 import (
 	"encoding/hex"
 	"fmt"
-	"os"
 	"reflect"
 	"sort"
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // words lists the values of a frame in their order on the wire, under the names of docs/protocol.md as the cbor tags
@@ -80,21 +81,14 @@
 
 func readSections(t *testing.T, file string) []section {
 	t.Helper()
-	content, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
+	content := testutil.ReadFile(t, file)
 	var all []section
 	for _, part := range strings.Split(string(content), "\n== ")[1:] {
 		title, rest, _ := strings.Cut(part, "\n")
 		text, code, ok := strings.Cut("\n"+rest, "\nbytes ")
-		if !ok {
-			t.Fatalf("%s: %s has no bytes", file, title)
-		}
+		testutil.Require(t, ok, "%s: %s has no bytes", file, title)
 		raw, err := hex.DecodeString(strings.Join(strings.Fields(code), ""))
-		if err != nil {
-			t.Fatalf("%s: %s: %v", file, title, err)
-		}
+		testutil.Require(t, err == nil, "%s: %s: %v", file, title, err)
 		if text != "" {
 			text = text[1:] + "\n"
 		}
@@ -118,7 +112,5 @@
 			out.WriteString("\n")
 		}
 	}
-	if err := os.WriteFile(file, []byte(out.String()), 0o644); err != nil {
-		t.Fatal(err)
-	}
+	testutil.WriteFile(t, file, []byte(out.String()))
 }
--- a/internal/schedulerd/admission/admission_test.go
+++ b/internal/schedulerd/admission/admission_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"glenport/internal/schedulerd/overload"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -25,9 +26,7 @@
 func connect(t *testing.T, c *Controller, clients ...ClientID) {
 	t.Helper()
 	for _, client := range clients {
-		if err := c.Connect(client); err != nil {
-			t.Fatal(err)
-		}
+		testutil.NoError(t, c.Connect(client))
 	}
 }
 
@@ -79,16 +78,12 @@
 func checkLimit(t *testing.T, err error, want Limit) {
 	t.Helper()
 	if want == 0 {
-		if err != nil {
-			t.Errorf("rejected: %v", err)
-		}
+		testutil.Expect(t, err == nil, "rejected: %v", err)
 		return
 	}
 	var rejection *RejectionError
 	var limit *LimitError
-	if !errors.As(err, &rejection) || !errors.As(err, &limit) {
-		t.Fatalf("%v is no rejection by a limit", err)
-	}
+	testutil.Require(t, errors.As(err, &rejection) && errors.As(err, &limit), "%v is no rejection by a limit", err)
 	if limit.Limit != want || rejection.RetryAfter != retryAfterWhenFull {
 		t.Errorf("%v, want limit %d", err, want)
 	}
@@ -109,9 +104,7 @@
 		shed++
 		var rejection *RejectionError
 		var cause *ShedError
-		if !errors.As(err, &rejection) || !errors.As(err, &cause) {
-			t.Fatalf("%v is no rejection by shedding", err)
-		}
+		testutil.Require(t, errors.As(err, &rejection) && errors.As(err, &cause), "%v is no rejection by shedding", err)
 		if cause.Reason != overload.ReasonLimitReached || rejection.RetryAfter <= 0 {
 			t.Errorf("%v, retry after %d", cause, rejection.RetryAfter)
 		}
--- a/internal/schedulerd/attempt_test.go
+++ b/internal/schedulerd/attempt_test.go
@@ -9,6 +9,7 @@
 	"testing"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -131,9 +132,7 @@
 			h.client.submit("x", classAtMostOnce)
 			ended := h.awaitEnded()
 			got := expectedEnd{ended.Outcome, ended.Reason, ended.Final, tc.want.termination}
-			if got != tc.want || ended.Machine != "a" || ended.ID != "x" {
-				t.Errorf("got %+v", ended)
-			}
+			testutil.Expect(t, got == tc.want && ended.Machine == "a" && ended.ID == "x", "got %+v", ended)
 			if !tc.want.final {
 				h.client.wantReply(protocol.VerdictFailed)
 				return
--- a/internal/schedulerd/clientconn_test.go
+++ b/internal/schedulerd/clientconn_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testutil"
 )
 
 // goodbyeTo sends bytes to the server, one by one, and returns the reason of its Goodbye.
@@ -72,9 +73,7 @@
 	}
 	dialClient(t, h.server.Addr()) // the second
 	third := goodbyeTo(t, h.server.Addr(), encodedHello(t, protocol.RoleClient), 0)
-	if !strings.Contains(third, "2 owners are connected") {
-		t.Errorf("a third client gets %q", third)
-	}
+	testutil.Expect(t, strings.Contains(third, "2 owners are connected"), "a third client gets %q", third)
 	sendFrames(h.client, &protocol.CancelContainer{ContainerID: "x"})
 	if reply := h.client.wantReply(protocol.VerdictFailed); reply.ContainerID != "x" {
 		t.Errorf("cancelled: %+v", reply)
--- a/internal/schedulerd/discovery_test.go
+++ b/internal/schedulerd/discovery_test.go
@@ -9,6 +9,7 @@
 
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -122,9 +123,7 @@
 	t.Helper()
 	select {
 	case got := <-l.requested:
-		if got != since {
-			t.Fatalf("updates since %d were requested, want since %d", got, since)
-		}
+		testutil.Require(t, got == since, "updates since %d were requested, want since %d", got, since)
 	case <-time.After(testTimeout):
 		t.Fatalf("the list is not requested in %v", testTimeout)
 	}
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -21,6 +21,7 @@
 	"glenport/internal/schedulerd/warmstart"
 	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
@@ -112,9 +113,7 @@
 	noError(t, err)
 	got, err := os.ReadDir(path)
 	noError(t, err)
-	if len(got) != len(want) || len(want) != 3 {
-		t.Errorf("files %v, want %v", got, want)
-	}
+	testutil.Expect(t, len(got) == len(want) && len(want) == 3, "files %v, want %v", got, want)
 	for _, f := range want {
 		if !bytes.Equal(readFile(t, filepath.Join(path, f.Name())), readFile(t, filepath.Join(goldenState, f.Name()))) {
 			t.Errorf("file %s is written with other bytes", f.Name())
@@ -139,9 +138,7 @@
 	noError(t, err)
 	defer func() { // the loop is released when Run returns
 		server.Stop()
-		if err := server.Run(); err != nil {
-			t.Error(err)
-		}
+		testutil.ExpectNoError(t, server.Run())
 	}()
 	loaded := server.state.loaded
 	attempts := []reconcile.Attempt{goldenAttempts[0], goldenAttempts[1], goldenAttempts[3]}
@@ -176,9 +173,7 @@
 		ListVersion: 302,
 		Entries:     goldenSnapshot().Entries,
 	}
-	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read %+v, want %+v", got, want)
-	}
+	testutil.Expect(t, reflect.DeepEqual(got, want), "read %+v, want %+v", got, want)
 }
 
 // What is empty is exported as null.
@@ -190,9 +185,7 @@
 		`"Learned":{"Machines":[{"Machine":"","Started":0,"Sick":0,"RestUntil":0,"Rest":0,"ShutUntil":0,` +
 		`"Doubts":null,"Cold":null}],"Traits":null,"Full":0,"Missed":0,"SentSince":0},` +
 		`"Starts":null,"ListIs":0,"Entries":null,"AtAnOrder":false,"Door":null}}`
-	if string(got) != want {
-		t.Errorf("got\n%s\nwant\n%s", got, want)
-	}
+	testutil.Expect(t, string(got) == want, "got\n%s\nwant\n%s", got, want)
 }
 
 // A threshold that nothing reaches is infinite, which CBOR can encode.
@@ -206,9 +199,7 @@
 	noError(t, want.write(d))
 	got, err := ReadWarmStart(d)
 	noError(t, err)
-	if !reflect.DeepEqual(got.Learned, want.Learned) {
-		t.Errorf("read %+v", got.Learned)
-	}
+	testutil.Expect(t, reflect.DeepEqual(got.Learned, want.Learned), "read %+v", got.Learned)
 }
 
 // field is a part of a value with its path.
--- a/internal/schedulerd/helpers_test.go
+++ b/internal/schedulerd/helpers_test.go
@@ -13,6 +13,7 @@
 	"glenport/internal/config"
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 
 	"go.uber.org/goleak"
@@ -60,9 +61,7 @@
 
 func noError(t *testing.T, err error) {
 	t.Helper()
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 }
 
 // closeAgain closes what may be closed already, and ignores the error of that.
@@ -97,9 +96,7 @@
 	go func() { done <- server.Run() }()
 	stop = sync.OnceFunc(func() {
 		server.Stop()
-		if err := <-done; err != nil {
-			t.Error(err)
-		}
+		testutil.ExpectNoError(t, <-done)
 	})
 	t.Cleanup(stop)
 	return server, stop
@@ -120,9 +117,7 @@
 	return <-result
 }
 
-func runOnLoop(server *Server, f func()) {
-	onLoop(server, func() struct{} { f(); return struct{}{} })
-}
+func runOnLoop(server *Server, f func()) { onLoop(server, func() struct{} { f(); return struct{}{} }) }
 
 // eventually waits for a condition that the loop of the server evaluates every millisecond.
 func eventually(t *testing.T, server *Server, condition func() bool) {
--- a/internal/schedulerd/interleaving_model_test.go
+++ b/internal/schedulerd/interleaving_model_test.go
@@ -12,6 +12,7 @@
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
 	"glenport/internal/testbed/modelcheck"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -77,11 +78,7 @@
 	w.server, err = New(&own, wrap(decisions), discardLog)
 	noError(t, err)
 	var running sync.WaitGroup
-	running.Go(func() {
-		if err := w.server.Run(); err != nil {
-			t.Error(err)
-		}
-	})
+	running.Go(func() { testutil.ExpectNoError(t, w.server.Run()) })
 	t.Cleanup(running.Wait)
 	watchList(w.server)
 	w.client = dialRaw(t, w.server.Addr())
@@ -113,9 +110,7 @@
 // connection is being opened or closed, and no event is left.
 func (w *model) settle() {
 	for limit := time.Now().Add(testTimeout); w.exchange() || !onLoop(w.server, w.quiet); {
-		if time.Now().After(limit) {
-			w.t.Fatalf("not quiet in %v", testTimeout)
-		}
+		testutil.Require(w.t, !time.Now().After(limit), "not quiet in %v", testTimeout)
 	}
 }
 
@@ -135,8 +130,7 @@
 // quiet runs on the loop of the server.
 func (w *model) quiet() bool {
 	s := w.server
-	if s.clients.count() != 1 || s.decisions.pending() ||
-		!drained(s.discovery.conn, w.list.conn) {
+	if s.clients.count() != 1 || s.decisions.pending() || !drained(s.discovery.conn, w.list.conn) {
 		return false
 	}
 	for _, client := range s.clients.connected {
--- a/internal/schedulerd/lateaccept_test.go
+++ b/internal/schedulerd/lateaccept_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -96,9 +97,7 @@
 	if got == lateCancelled && tc.cancel {
 		got = <-seen
 	}
-	if got != tc.want {
-		t.Errorf("%s, want %s", got, tc.want)
-	}
+	testutil.Equal(t, got, tc.want)
 	if tc.want == lateAdopted { // a repeated request is answered with the machine
 		spec.ContainerID = "y"
 		h.client.submitSpec(spec)
@@ -156,9 +155,7 @@
 			m := &reconnectingMachine{stillNamed: tc.named, reconnected: make(chan net.Conn, 10)}
 			h := startWithMachineA(t, testConfig(t), attemptOn(0), listenTCP(t, m.serve))
 			found := awaitEvent[scheduler.ContainerAdopted](t, h.script, nil)
-			if found.ID != "old" || found.Machine != "a" {
-				t.Errorf("adopted %+v", found)
-			}
+			testutil.Expect(t, found.ID == "old" && found.Machine == "a", "adopted %+v", found)
 			h.client.submit("x", classAtMostOnce)
 			h.client.wantReply(protocol.VerdictPlaced)
 			c := <-m.reconnected
--- a/internal/schedulerd/overload/limiter_test.go
+++ b/internal/schedulerd/overload/limiter_test.go
@@ -6,6 +6,7 @@
 	"strconv"
 	"testing"
 
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 
 	"pgregory.net/rapid"
@@ -137,9 +138,7 @@
 		}
 		most = max(most, n)
 	}
-	if most > len(all)/3 {
-		t.Errorf("%d of %d return in one half second", most, len(all))
-	}
+	testutil.Expect(t, most <= len(all)/3, "%d of %d return in one half second", most, len(all))
 }
 
 // Without a budget client retries crowd out first tries.
@@ -185,9 +184,7 @@
 			now += scheduler.Time(rapid.IntRange(0, 2000).Draw(t, "advance"))
 			e, limit := drawEvent(t, open), a.Limit()
 			got, other := fmt.Sprint(a.Handle(now, e)), fmt.Sprint(b.Handle(now, e))
-			if got != other {
-				t.Fatalf("%s and %s", got, other)
-			}
+			testutil.Require(t, got == other, "%s and %s", got, other)
 			_, isRequest := e.(RequestReceived)
 			switch {
 			case !isRequest:
--- a/internal/schedulerd/parts_test.go
+++ b/internal/schedulerd/parts_test.go
@@ -6,6 +6,8 @@
 	"log/slog"
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // Adoptions are remembered by service only while an attempt is queued that they may make stale.
@@ -16,23 +18,17 @@
 	before := tracker.count()
 	first, second := &attempt{number: 1}, &attempt{number: 2}
 	queue.add(first)
-	if queue.adoptedSince("s", before) {
-		t.Error("an adoption before the attempt was decided counts")
-	}
+	testutil.Expect(t, !queue.adoptedSince("s", before), "an adoption before the attempt was decided counts")
 	tracker.adopted("s")
 	queue.add(second)
 	if !queue.adoptedSince("s", before) || queue.adoptedSince("other", before) {
 		t.Error("an adoption of the service does not count, or one of another does")
 	}
-	if !queue.remove(first) || queue.remove(first) {
-		t.Error("an attempt is removed other than once")
-	}
+	testutil.Expect(t, queue.remove(first) && !queue.remove(first), "an attempt is removed other than once")
 	if left := queue.takeAll(); len(left) != 1 || left[0] != second || !queue.empty() {
 		t.Errorf("%d attempts taken", len(left))
 	}
-	if len(tracker.byService) != 0 {
-		t.Error("adoptions are remembered though no attempt is queued")
-	}
+	testutil.Expect(t, len(tracker.byService) == 0, "adoptions are remembered though no attempt is queued")
 }
 
 // Of several failures the first is logged, and the success after them.
--- a/internal/schedulerd/peers_test.go
+++ b/internal/schedulerd/peers_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testutil"
 )
 
 func listen(t *testing.T) net.Listener {
@@ -190,9 +191,7 @@
 func (c *testClient) receive() protocol.Frame {
 	c.t.Helper()
 	f, err := receiveFrame(c)
-	if err != nil {
-		c.t.Fatalf("connection closed: %v", err)
-	}
+	testutil.Require(c.t, err == nil, "connection closed: %v", err)
 	return f
 }
 
@@ -200,9 +199,7 @@
 	c.t.Helper()
 	f := c.receive()
 	reply, ok := f.(*protocol.PlacementReply)
-	if !ok {
-		c.t.Fatalf("got a %T, want a reply", f)
-	}
+	testutil.Require(c.t, ok, "got a %T, want a reply", f)
 	return reply
 }
 
@@ -210,9 +207,7 @@
 func (c *testClient) wantReply(want protocol.Verdict) *protocol.PlacementReply {
 	c.t.Helper()
 	reply := c.receiveReply()
-	if reply.Verdict != want {
-		c.t.Fatalf("got %+v, want %v", reply, want)
-	}
+	testutil.Require(c.t, reply.Verdict == want, "got %+v, want %v", reply, want)
 	return reply
 }
 
--- a/internal/schedulerd/rawconn_test.go
+++ b/internal/schedulerd/rawconn_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testutil"
 
 	"golang.org/x/sys/unix"
 )
@@ -68,9 +69,7 @@
 
 func closeFD(t *testing.T, fd int) {
 	t.Helper()
-	if err := unix.Close(fd); err != nil {
-		t.Error(err)
-	}
+	testutil.ExpectNoError(t, unix.Close(fd))
 }
 
 // rawListener is a listening socket with the last connection to it.
--- a/internal/schedulerd/reconcile/reconciler_test.go
+++ b/internal/schedulerd/reconcile/reconciler_test.go
@@ -9,6 +9,7 @@
 
 	"glenport/internal/schedulerd/admission"
 	"glenport/internal/schedulerd/recovery"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 
 	"pgregory.net/rapid"
@@ -126,9 +127,7 @@
 					got = describe(reconciler.Handle(now, []Event{s}))
 				}
 			}
-			if got != tc.want {
-				t.Errorf("got %q, want %q", got, tc.want)
-			}
+			testutil.Equal(t, got, tc.want)
 		})
 	}
 }
@@ -236,9 +235,7 @@
 			place("a", 2), RequestFailed{"a"}, removed, lateAccept(attempt(2, 5, 9, true)),
 		}, "adopt a"},
 		{"late accept while the request is open", []any{place("a", 1), lateAccept(attempt(1, 5, 9, true))}, ""},
-		{"then the container is removed", []any{
-			place("a", 1), lateAccept(attempt(1, 5, 9, true)), removed,
-		}, "adopt a"},
+		{"then the container is removed", []any{place("a", 1), lateAccept(attempt(1, 5, 9, true)), removed}, "adopt a"},
 		{"then it is placed elsewhere", []any{
 			place("a", 1), lateAccept(attempt(1, 5, 9, true)), AttemptAccepted{"a", "n", 10},
 		}, "cancel 5.9"},
@@ -291,9 +288,7 @@
 		}, "reject b"},
 		{"reported twice", []any{report(attempt(0, 4, 7, true)), report(attempt(0, 4, 7, true))}, ""},
 		{"earlier incarnation, then gone", []any{report(attempt(0, 4, 7, true)), report()}, "lost a"},
-		{"two copies of one key", []any{
-			place("a", 1), AttemptAccepted{"a", "n", 9}, report(copyOfKey),
-		}, "cancel 4.7"},
+		{"two copies of one key", []any{place("a", 1), AttemptAccepted{"a", "n", 9}, report(copyOfKey)}, "cancel 4.7"},
 	})
 }
 
@@ -375,9 +370,7 @@
 func (m *keyModel) admit(t *rapid.T, r scheduler.PlacementRequest) {
 	for _, containers := range []map[scheduler.ContainerID]string{m.open, m.running} {
 		for other, key := range containers {
-			if key == r.IdempotencyKey {
-				t.Fatalf("%s admitted though %s has key %s", r.ID, other, key)
-			}
+			testutil.Require(t, key != r.IdempotencyKey, "%s admitted though %s has key %s", r.ID, other, key)
 		}
 	}
 	m.open[r.ID] = r.IdempotencyKey
--- a/internal/schedulerd/recovery/tracker_test.go
+++ b/internal/schedulerd/recovery/tracker_test.go
@@ -8,6 +8,7 @@
 	"strings"
 	"testing"
 
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 
 	"pgregory.net/rapid"
@@ -127,9 +128,7 @@
 					got = describe(tracker.Handle(now, s))
 				}
 			}
-			if got != tc.last {
-				t.Errorf("%q, want %q", got, tc.last)
-			}
+			testutil.Equal(t, got, tc.last)
 			request := scheduler.PlacementRequest{
 				ID:             "b",
 				IdempotencyKey: "k",
@@ -158,9 +157,7 @@
 				n++
 			}
 		}
-		if n > queryBatch {
-			t.Fatalf("%d queried in one step", n)
-		}
+		testutil.Require(t, n <= queryBatch, "%d queried in one step", n)
 		queried += n
 		if next := tracker.NextTimer(); next > now {
 			now = next
@@ -168,9 +165,7 @@
 			t.Fatalf("%d queried, and no timer is set", queried)
 		}
 	}
-	if now > 1000/queryBatch*queryInterval {
-		t.Errorf("queried until %d", now)
-	}
+	testutil.Expect(t, now <= 1000/queryBatch*queryInterval, "queried until %d", now)
 }
 
 // attemptModel is what is known from outside of the attempts that may run, by number.
--- a/internal/schedulerd/restore_test.go
+++ b/internal/schedulerd/restore_test.go
@@ -12,6 +12,7 @@
 	"glenport/internal/protocol"
 	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -50,9 +51,7 @@
 		third := newWarmStartScript(scheduler.Snapshot{})
 		runIncarnation(t, settings, third, func(*Server) {
 			update := awaitEvent[scheduler.MachineListUpdate](t, third.scriptedScheduler, nil)
-			if len(update.Entries) != 0 {
-				t.Errorf("%d bytes that are no snapshot are restored", len(damaged))
-			}
+			testutil.Expect(t, len(update.Entries) == 0, "%d bytes that are no snapshot are restored", len(damaged))
 		})
 	}
 	writeLaterSnapshot(t, settings.StateDir)
@@ -91,9 +90,7 @@
 		script := newWarmStartScript(scheduler.Snapshot{})
 		runIncarnation(t, settings, script, func(*Server) {
 			update := awaitEvent[scheduler.MachineListUpdate](t, script.scriptedScheduler, nil)
-			if len(update.Entries) != tc.machines {
-				t.Errorf("%s: %+v", tc.name, update)
-			}
+			testutil.Expect(t, len(update.Entries) == tc.machines, "%s: %+v", tc.name, update)
 		})
 	}
 }
--- a/internal/schedulerd/status_test.go
+++ b/internal/schedulerd/status_test.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // statusNames are the counters of `glenport status`, in their order.
@@ -22,9 +24,7 @@
 	for _, stat := range onLoop(server, server.inspector.statusReply).Stats {
 		got = append(got, stat.Name)
 	}
-	if !slices.Equal(got, statusNames) {
-		t.Errorf("got %q", got)
-	}
+	testutil.Expect(t, slices.Equal(got, statusNames), "got %q", got)
 	units := map[string]string{}
 	for _, stat := range onLoop(server, server.inspector.statusReply).Stats {
 		if stat.Unit != "" {
@@ -35,12 +35,8 @@
 		"up": "s", "placing p50": "ms", "placing p99": "ms", "placing p99.9": "ms", "placing worst": "ms",
 		"busy": "s", "deciding": "s", "slowest decision": "ms", "heap live": "MiB", "memory": "MiB",
 	} {
-		if units[name] != unit {
-			t.Errorf("%s is in %q, want %q", name, units[name], unit)
-		}
+		testutil.Expect(t, units[name] == unit, "%s is in %q, want %q", name, units[name], unit)
 		delete(units, name)
 	}
-	if len(units) > 0 {
-		t.Errorf("more units: %v", units)
-	}
+	testutil.Expect(t, len(units) == 0, "more units: %v", units)
 }
--- a/internal/schedulerd/warmstart/history_test.go
+++ b/internal/schedulerd/warmstart/history_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"glenport/internal/schedulerd/recovery"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -25,16 +26,11 @@
 		{"another after", first.WithCompleteLog().Next(b1(9)), b1(5), recovery.LogComplete},
 		{"the system restarted", restarted, b2(3), recovery.LogSynced},
 		{"and the scheduler again", restarted.Next(b2(4)), b2(3), recovery.LogSynced},
-		{
-			"and after all machines have reported", restarted.WithCompleteLog().Next(b2(4)),
-			b2(3), recovery.LogComplete,
-		},
+		{"and after all machines have reported", restarted.WithCompleteLog().Next(b2(4)), b2(3), recovery.LogComplete},
 		{"the clock was set back a minute", first.Next(setBack), movedBack, recovery.LogNone},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if tc.got.SendsRecordedSince != tc.since || tc.got.Coverage != tc.coverage {
-				t.Errorf("%+v", tc.got)
-			}
+			testutil.Expect(t, tc.got.SendsRecordedSince == tc.since && tc.got.Coverage == tc.coverage, "%+v", tc.got)
 		})
 	}
 }
--- a/internal/schedulerd/warmstart/ledger_test.go
+++ b/internal/schedulerd/warmstart/ledger_test.go
@@ -4,6 +4,7 @@
 	"slices"
 	"testing"
 
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -20,9 +21,7 @@
 	m := MachineStart{7, 100 * sec}
 	for i, want := range []int{1, 2, 3, 3} { // the first is two windows old when the fourth is sent
 		s, record := ledger.RecordSend(101*sec+scheduler.Time(i)*2*sec+1, "m", m)
-		if !record || len(s.Times) != want {
-			t.Errorf("%d: %v", i, s)
-		}
+		testutil.Expect(t, record && len(s.Times) == want, "%d: %v", i, s)
 	}
 	if _, record := ledger.RecordSend(118*sec, "m", m); record {
 		t.Error("a machine is on record after its slow start")
--- a/internal/schedulerd/warmstart/restore_test.go
+++ b/internal/schedulerd/warmstart/restore_test.go
@@ -5,6 +5,7 @@
 	"strings"
 	"testing"
 
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -109,21 +110,13 @@
 	},
 	{
 		"the clock was set back", boot(901*sec, 101*sec), nil,
-		outcome{
-			restoredMachine{oneSecond, 904 * sec, 2},
-			51 * sec, true,
-			"its times are adjusted jump_ms=-100000;",
-		},
+		outcome{restoredMachine{oneSecond, 904 * sec, 2}, 51 * sec, true, "its times are adjusted jump_ms=-100000;"},
 	},
 	{
 		"another boot",
 		Timestamp{1060 * sec, 10 * sec, "c"},
 		nil,
-		outcome{
-			restoredMachine{2, 1004 * sec, 0},
-			0, true,
-			"are not known, none are made for a window window_ms=3000",
-		},
+		outcome{restoredMachine{2, 1004 * sec, 0}, 0, true, "are not known, none are made for a window window_ms=3000"},
 	},
 	{
 		"another boot, the clock went back",
@@ -186,9 +179,7 @@
 	got := nothing
 	for _, m := range r.Snapshot.Machines {
 		got = restoredMachine{m.OutlierLogOdds, m.EjectedUntil, len(m.RecentSends)}
-		if m.StartedAt != machines[m.Machine].StartedAt {
-			t.Errorf("restored for a start at %d", m.StartedAt)
-		}
+		testutil.Expect(t, m.StartedAt == machines[m.Machine].StartedAt, "restored for a start at %d", m.StartedAt)
 	}
 	want := tc.want.machine
 	if math.Abs(got.outlier-want.outlier) > 0.05 || got.ejected != want.ejected || got.sends != want.sends {
--- a/internal/simprotocol/decoder_test.go
+++ b/internal/simprotocol/decoder_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -94,9 +95,7 @@
 	} {
 		t.Run(tc.line, func(t *testing.T) {
 			got, err := readDeliveries("FRAME 8412.25 1\n" + tc.line + "\nCOMMIT\n")
-			if err != nil || len(got) != 1 {
-				t.Fatalf("%v, %d events", err, len(got))
-			}
+			testutil.Require(t, err == nil && len(got) == 1, "%v, %d events", err, len(got))
 			if !reflect.DeepEqual(got[0].Event, tc.want) || got[0].Instance != 3 {
 				t.Errorf("got %+v, want %+v", got[0].Event, tc.want)
 			}
@@ -106,9 +105,7 @@
 
 func TestConfigureIsDecoded(t *testing.T) {
 	got, err := readDeliveries("FRAME 1 1\n" + sampleConfigure + "\nCOMMIT\n")
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	want := scheduler.WorkloadClass{
 		Idempotency:      scheduler.IdempotentWithKey,
 		DedupScope:       scheduler.ScopeZone,
@@ -159,12 +156,8 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			_, err := readDeliveries(tc.lines)
-			if err == nil || !strings.Contains(err.Error(), tc.want) {
-				t.Fatalf("got %v, want %s", err, tc.want)
-			}
-			if !tc.matches(err) {
-				t.Errorf("error %v is not of the type that is wanted", err)
-			}
+			testutil.Require(t, err != nil && strings.Contains(err.Error(), tc.want), "got %v, want %s", err, tc.want)
+			testutil.Expect(t, tc.matches(err), "error %v is not of the type that is wanted", err)
 		})
 	}
 }
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -11,15 +11,14 @@
 	"testing"
 
 	"glenport/internal/golden"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
 func indented(t *testing.T, v any) []byte {
 	t.Helper()
 	b, err := json.MarshalIndent(v, "", " ")
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	return append(b, '\n')
 }
 
@@ -74,9 +73,7 @@
 		if errors.Is(err, io.EOF) {
 			break
 		}
-		if err != nil {
-			t.Fatal(err)
-		}
+		testutil.NoError(t, err)
 		var deliveries []object
 		for _, d := range f.Deliveries {
 			o := object{"line": d.Line, "instance": d.Instance, "stop": d.Stop, "event": nil, "start": nil}
@@ -131,9 +128,7 @@
 	var got []object
 	for i, pairs := range [][]string{all, pushed, noClasses} {
 		s, err := ParseSettings(uint64(1)<<63+uint64(i), pairs)
-		if err != nil {
-			t.Fatal(err)
-		}
+		testutil.NoError(t, err)
 		got = append(got, describeSettings(t, s))
 		if i == 0 {
 			setFields(t, reflect.ValueOf(s))
@@ -146,9 +141,7 @@
 func setFields(t *testing.T, settings reflect.Value) {
 	t.Helper()
 	for field, value := range settings.Fields() {
-		if value.IsZero() {
-			t.Errorf("%s is not set", field.Name)
-		}
+		testutil.Expect(t, !value.IsZero(), "%s is not set", field.Name)
 	}
 }
 
--- a/internal/storage/vfs/dir_test.go
+++ b/internal/storage/vfs/dir_test.go
@@ -8,14 +8,14 @@
 	"path/filepath"
 	"slices"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 func mustOpen(t *testing.T, path string) *Dir {
 	t.Helper()
 	d, err := OpenLocked(path)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	t.Cleanup(func() {
 		if err := d.Close(); err != nil && !errors.Is(err, os.ErrClosed) {
 			t.Error(err)
@@ -26,18 +26,12 @@
 
 func mustWrite(t *testing.T, f File, err error, text string) {
 	t.Helper()
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	if _, err := f.Write([]byte(text)); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Sync(); err != nil {
-		t.Fatal(err)
-	}
-	if err := f.Close(); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, f.Sync())
+	testutil.NoError(t, f.Close())
 }
 
 func wantFile(t *testing.T, d FS, name, want string) {
@@ -64,9 +58,7 @@
 	}
 	for name, mode := range map[string]fs.FileMode{".": 0o755, "lock": 0o644} { // less what the umask takes away
 		info, err := os.Stat(filepath.Join(path, name))
-		if err != nil {
-			t.Fatal(err)
-		}
+		testutil.NoError(t, err)
 		if info.Mode().Perm()&^mode != 0 || info.Mode().Perm()&0o600 != 0o600 {
 			t.Errorf("%s: mode %v", name, info.Mode())
 		}
@@ -82,12 +74,8 @@
 		t.Fatalf("opened twice: %v", err)
 	}
 	want := fmt.Sprintf("%s is held by another instance, process %d: each needs a folder of its own", path, os.Getpid())
-	if owned.Error() != want {
-		t.Errorf("text %v, want %s", owned, want)
-	}
-	if err := d.Close(); err != nil {
-		t.Fatal(err)
-	}
+	testutil.Expect(t, owned.Error() == want, "text %v, want %s", owned, want)
+	testutil.NoError(t, d.Close())
 	mustOpen(t, path)
 }
 
@@ -97,14 +85,10 @@
 	f, err := d.Create("a")
 	mustWrite(t, f, err, "text")
 	read, err := OpenReadOnly(path)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	wantList(t, read, "a")
 	wantFile(t, read, "a", "text")
-	if err := read.Close(); err != nil {
-		t.Error(err)
-	}
+	testutil.ExpectNoError(t, read.Close())
 	if _, err := OpenReadOnly(filepath.Join(path, "none")); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("a folder that is not there: %v", err)
 	}
@@ -116,17 +100,13 @@
 
 func TestFolderThatCannotBeMadeIsRefused(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
-	if err := os.WriteFile(path, nil, 0o644); err != nil {
-		t.Fatal(err)
-	}
+	testutil.WriteFile(t, path, nil)
 	var pathErr *fs.PathError
 	if _, err := OpenLocked(path); !errors.As(err, &pathErr) {
 		t.Errorf("%v", err)
 	}
 	path = t.TempDir()
-	if err := os.Mkdir(filepath.Join(path, "lock"), 0o755); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, os.Mkdir(filepath.Join(path, "lock"), 0o755))
 	if _, err := OpenLocked(path); !errors.As(err, &pathErr) {
 		t.Errorf("a folder in place of the lock: %v", err)
 	}
@@ -143,36 +123,23 @@
 	f, err = d.Append("a")
 	mustWrite(t, f, err, " two")
 	wantFile(t, d, "a", "one two")
-	if f, err = d.Append("a"); err != nil {
-		t.Fatal(err)
-	}
-	if err := f.Truncate(3); err != nil {
-		t.Fatal(err)
-	}
+	f, err = d.Append("a")
+	testutil.NoError(t, err)
+	testutil.NoError(t, f.Truncate(3))
 	mustWrite(t, f, nil, " three") // at the new end
 	wantFile(t, d, "a", "one three")
 	f, err = d.Create("b")
 	mustWrite(t, f, err, "other")
-	if err := d.Rename("a", "b"); err != nil {
-		t.Fatal(err)
-	}
-	if err := os.Mkdir(filepath.Join(path, "folder"), 0o755); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, d.Rename("a", "b"))
+	testutil.NoError(t, os.Mkdir(filepath.Join(path, "folder"), 0o755))
 	wantList(t, d, "b")
 	wantFile(t, d, "b", "one three")
-	if err := d.Sync(); err != nil {
-		t.Error(err)
-	}
-	if err := d.Remove("b"); err != nil {
-		t.Error(err)
-	}
+	testutil.ExpectNoError(t, d.Sync())
+	testutil.ExpectNoError(t, d.Remove("b"))
 	_, appended := d.Append("b")
 	_, read := d.Read("b")
 	for _, err := range []error{appended, read, d.Remove("b"), d.Rename("b", "c")} {
-		if !errors.Is(err, os.ErrNotExist) {
-			t.Errorf("a file that is not there: %v", err)
-		}
+		testutil.Expect(t, errors.Is(err, os.ErrNotExist), "a file that is not there: %v", err)
 	}
 }
 
@@ -181,13 +148,9 @@
 	f, err := d.Create("a" + TempSuffix)
 	mustWrite(t, f, err, "left by a crash")
 	for _, text := range []string{"one", "two"} {
-		if err := WriteFileAtomic(d, "a", []byte(text)); err != nil {
-			t.Fatal(err)
-		}
+		testutil.NoError(t, WriteFileAtomic(d, "a", []byte(text)))
 		wantFile(t, d, "a", text)
 		wantList(t, d, "a")
 	}
-	if TempSuffix != ".new" {
-		t.Errorf("files that are being written end in %s", TempSuffix)
-	}
+	testutil.Expect(t, TempSuffix == ".new", "files that are being written end in %s", TempSuffix)
 }
--- a/internal/storage/wal/checksummed_test.go
+++ b/internal/storage/wal/checksummed_test.go
@@ -3,12 +3,12 @@
 import (
 	"bytes"
 	"fmt"
-	"os"
 	"strings"
 	"testing"
 
 	"glenport/internal/golden"
 	"glenport/internal/storage/faultfs"
+	"glenport/internal/testutil"
 )
 
 const replacedFile = "testdata/replaced.bin" // magic GOLDENF, version 3, "what it holds"
@@ -16,15 +16,10 @@
 // A file that is replaced as a whole has the bytes that it always had, and is read again.
 func TestReplacedFileKeepsItsBytes(t *testing.T) {
 	fs := faultfs.New()
-	if err := WriteChecksummed(fs, "f", "GOLDENF", 3, []byte("what it holds")); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, WriteChecksummed(fs, "f", "GOLDENF", 3, []byte("what it holds")))
 	written := mustRead(t, fs, "f")
 	golden.CheckText(t, replacedFile, string(written))
-	want, err := os.ReadFile(replacedFile)
-	if err != nil {
-		t.Fatal(err)
-	}
+	want := testutil.ReadFile(t, replacedFile)
 	version, body, err := ReadChecksummed(directoryOf(t, map[string][]byte{"f": want}), "f", "GOLDENF", 3)
 	if err != nil || version != 3 || string(body) != "what it holds" {
 		t.Errorf("version %d, %q, %v", version, body, err)
@@ -33,10 +28,7 @@
 
 // A file that does not hold what was written, or is of a later version, is refused.
 func TestDamagedChecksummedFileIsRefused(t *testing.T) {
-	whole, err := os.ReadFile(replacedFile)
-	if err != nil {
-		t.Fatal(err)
-	}
+	whole := testutil.ReadFile(t, replacedFile)
 	const (
 		noBeginning   = "f, at byte 0: it does not begin as such a file does"
 		missingBytes  = "f, at byte 8: 4 bytes follow where 13 should"
--- a/internal/storage/wal/crash_test.go
+++ b/internal/storage/wal/crash_test.go
@@ -8,6 +8,7 @@
 	"testing"
 
 	"glenport/internal/storage/faultfs"
+	"glenport/internal/testutil"
 
 	"pgregory.net/rapid"
 )
@@ -143,9 +144,7 @@
 			r.mustCommit(t, "b")
 			r.failSync(t, operation)
 			mustClose(t, r.log)
-			if len(r.usedAfter) > 0 {
-				t.Errorf("the file that failed was used again: %v", r.usedAfter)
-			}
+			testutil.Expect(t, len(r.usedAfter) == 0, "the file that failed was used again: %v", r.usedAfter)
 			first := r.acknowledged[0].operations
 			for operations := first; operations <= r.fs.OperationCount(); operations++ {
 				r.checkCrash(t, operations)
@@ -205,9 +204,7 @@
 			survival = faultfs.KeepSome(rand.New(rand.NewPCG(seed, uint64(operations))))
 		}
 		l, _, err := Open(r.fs.Crash(operations, survival), Options{})
-		if err != nil {
-			t.Fatalf("crash after %d operations, survival %d: %v", operations, seed, err)
-		}
+		testutil.Require(t, err == nil, "crash after %d operations, survival %d: %v", operations, seed, err)
 		found := valuesOf(t, l.State())
 		mustClose(t, l)
 		for key := range want {
--- a/internal/storage/wal/failure_test.go
+++ b/internal/storage/wal/failure_test.go
@@ -11,6 +11,7 @@
 
 	"glenport/internal/storage/faultfs"
 	"glenport/internal/storage/vfs"
+	"glenport/internal/testutil"
 )
 
 // A full disk rejects what does not fit and loses nothing; a sync that failed is never trusted again.
@@ -72,24 +73,14 @@
 func TestDirectoryOfAnotherProcessIsRefused(t *testing.T) {
 	path := t.TempDir()
 	held, err := vfs.OpenLocked(path)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	_, err = vfs.OpenLocked(path)
 	locked, ok := errors.AsType[*vfs.LockedError](err)
-	if !ok || !strings.Contains(locked.Holder, strconv.Itoa(os.Getpid())) {
-		t.Errorf("%v", err)
-	}
-	if err := held.Close(); err != nil {
-		t.Fatal(err)
-	}
+	testutil.Expect(t, ok && strings.Contains(locked.Holder, strconv.Itoa(os.Getpid())), "%v", err)
+	testutil.NoError(t, held.Close())
 	again, err := vfs.OpenLocked(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := again.Close(); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
+	testutil.NoError(t, again.Close())
 }
 
 func TestCommitAfterCloseIsRejected(t *testing.T) {
--- a/internal/storage/wal/golden_test.go
+++ b/internal/storage/wal/golden_test.go
@@ -17,6 +17,7 @@
 	"glenport/internal/golden"
 	"glenport/internal/storage/faultfs"
 	"glenport/internal/storage/vfs"
+	"glenport/internal/testutil"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -159,9 +160,7 @@
 			magic = snapshotMagic
 		}
 		first, err := parseFileHeader(name, magic, data, false)
-		if err != nil {
-			t.Fatal(err)
-		}
+		testutil.NoError(t, err)
 		if got := newFileHeader(magic, first); !bytes.Equal(got, data[:headerSize]) {
 			t.Errorf("%s: the header is encoded as %x, want %x", name, got, data[:headerSize])
 		}
@@ -197,9 +196,7 @@
 		return nil
 	}
 	var changes []Change
-	if err := cbor.Unmarshal(body, &changes); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, cbor.Unmarshal(body, &changes))
 	fmt.Fprintf(out, ", %d changes\n", len(changes))
 	for _, c := range changes {
 		if c.Value == nil {
@@ -209,9 +206,7 @@
 		}
 	}
 	encoded, err := cbor.Marshal(changes)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	return encoded
 }
 
@@ -227,37 +222,28 @@
 			fmt.Fprintf(&out, "  %q = %q\n", key, value)
 			return nil
 		})
-		if err != nil {
-			t.Fatal(err)
-		}
+		testutil.NoError(t, err)
 	}
 	return out.String()
 }
 
-func sortedNames(files map[string][]byte) []string {
-	return slices.Sorted(maps.Keys(files))
-}
+func sortedNames(files map[string][]byte) []string { return slices.Sorted(maps.Keys(files)) }
 
 func goldenFiles(t *testing.T, folder string) map[string][]byte {
 	t.Helper()
 	entries, err := os.ReadDir(filepath.Join("testdata", folder))
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	files := map[string][]byte{}
 	for _, e := range entries {
-		if files[e.Name()], err = os.ReadFile(filepath.Join("testdata", folder, e.Name())); err != nil {
-			t.Fatal(err)
-		}
+		files[e.Name()], err = os.ReadFile(filepath.Join("testdata", folder, e.Name()))
+		testutil.NoError(t, err)
 	}
 	return files
 }
 
 func mustWriteFile(t *testing.T, file string, data []byte) {
 	t.Helper()
-	if err := os.WriteFile(file, data, 0o644); err != nil {
-		t.Fatal(err)
-	}
+	testutil.WriteFile(t, file, data)
 }
 
 // record writes the golden files anew.
@@ -265,12 +251,8 @@
 	t.Helper()
 	for folder, files := range writeFolders(t) {
 		dir := filepath.Join("testdata", folder)
-		if err := os.RemoveAll(dir); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.MkdirAll(dir, 0o755); err != nil {
-			t.Fatal(err)
-		}
+		testutil.NoError(t, os.RemoveAll(dir))
+		testutil.NoError(t, os.MkdirAll(dir, 0o755))
 		for name, data := range files {
 			mustWriteFile(t, filepath.Join(dir, name), data)
 		}
@@ -314,9 +296,7 @@
 			t.Errorf("%s: files %v, want %v", folder, sortedNames(files), sortedNames(want))
 		}
 		for name, p := range files {
-			if !bytes.Equal(p, want[name]) {
-				t.Errorf("%s/%s is\n%x, want\n%x", folder, name, p, want[name])
-			}
+			testutil.Expect(t, bytes.Equal(p, want[name]), "%s/%s is\n%x, want\n%x", folder, name, p, want[name])
 		}
 	}
 }
@@ -332,15 +312,11 @@
 	mustCompact(t, fs)
 	data := mustRead(t, fs, newestSnapshot(t, fs))
 	const want = "3000185 bytes, aab7a79d53be2b30abc66e8e27954d81fea33afbd01265248260550fd82cbdc4"
-	if got := fmt.Sprintf("%d bytes, %x", len(data), sha256.Sum256(data)); got != want {
-		t.Errorf("got %s, want %s", got, want)
-	}
+	testutil.Equal(t, fmt.Sprintf("%d bytes, %x", len(data), sha256.Sum256(data)), want)
 	parts := 0
 	for rest := data[headerSize:]; len(rest) > 0; parts++ {
 		chunk, ok := parseGroup(rest, false)
-		if !ok {
-			t.Fatal("a part is damaged")
-		}
+		testutil.Require(t, ok, "a part is damaged")
 		rest = rest[chunk.size:]
 	}
 	if parts != 4 { // two of two records, one of one, the end
--- a/internal/storage/wal/helpers_test.go
+++ b/internal/storage/wal/helpers_test.go
@@ -6,6 +6,7 @@
 
 	"glenport/internal/storage/faultfs"
 	"glenport/internal/storage/vfs"
+	"glenport/internal/testutil"
 	_ "glenport/internal/testutil/fixedseed"
 
 	"go.uber.org/goleak"
@@ -13,12 +14,6 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fataler is the part of *testing.T and *rapid.T that the helpers need.
-type fataler interface {
-	Helper()
-	Fatal(args ...any)
-}
-
 func putText(key, value string) Change { return Change{Kind: "k", Key: key, Value: []byte(value)} }
 
 // commitAndWait commits and returns what the done function was called with.
@@ -28,14 +23,12 @@
 	return <-done
 }
 
-func mustCommit(t fataler, l *Log, durable bool, changes ...Change) {
+func mustCommit(t testutil.TB, l *Log, durable bool, changes ...Change) {
 	t.Helper()
-	if err := commitAndWait(l, durable, changes...); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, commitAndWait(l, durable, changes...))
 }
 
-func mustOpen(t fataler, fs vfs.FS, options Options) (*Log, Stats) {
+func mustOpen(t testutil.TB, fs vfs.FS, options Options) (*Log, Stats) {
 	t.Helper()
 	l, stats, err := Open(fs, options)
 	if err != nil {
@@ -44,103 +37,81 @@
 	return l, stats
 }
 
-func mustClose(t fataler, l *Log) {
+func mustClose(t testutil.TB, l *Log) {
 	t.Helper()
-	if err := l.Close(); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, l.Close())
 }
 
-func mustCompact(t fataler, fs vfs.FS) {
+func mustCompact(t testutil.TB, fs vfs.FS) {
 	t.Helper()
 	if _, _, err := Compact(fs); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func mustLoad(t fataler, fs vfs.FS) *State {
+func mustLoad(t testutil.TB, fs vfs.FS) *State {
 	t.Helper()
 	state, err := Load(fs, false)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	return state
 }
 
-func mustList(t fataler, fs vfs.FS) []string {
+func mustList(t testutil.TB, fs vfs.FS) []string {
 	t.Helper()
 	names, err := fs.List()
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	return names
 }
 
-func mustRead(t fataler, fs vfs.FS, name string) []byte {
+func mustRead(t testutil.TB, fs vfs.FS, name string) []byte {
 	t.Helper()
 	data, err := fs.Read(name)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	return data
 }
 
-func mustRemove(t fataler, fs vfs.FS, name string) {
+func mustRemove(t testutil.TB, fs vfs.FS, name string) {
 	t.Helper()
-	if err := fs.Remove(name); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, fs.Remove(name))
 }
 
-func mustCreate(t fataler, fs vfs.FS, name string, data []byte) {
+func mustCreate(t testutil.TB, fs vfs.FS, name string, data []byte) {
 	t.Helper()
 	file, err := fs.Create(name)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	if _, err := file.Write(data); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func mustTruncate(t fataler, fs vfs.FS, name string, size int) {
+func mustTruncate(t testutil.TB, fs vfs.FS, name string, size int) {
 	t.Helper()
 	file, err := fs.Append(name)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := file.Truncate(int64(size)); err != nil {
-		t.Fatal(err)
-	}
-	if err := file.Sync(); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
+	testutil.NoError(t, file.Truncate(int64(size)))
+	testutil.NoError(t, file.Sync())
 }
 
 // mustFlipBit damages the first segment.
-func mustFlipBit(t fataler, fs *faultfs.FS, bit int) {
+func mustFlipBit(t testutil.TB, fs *faultfs.FS, bit int) {
 	t.Helper()
-	if err := fs.FlipBit(firstSegment, bit); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, fs.FlipBit(firstSegment, bit))
 }
 
 // valuesOf returns the values of kind "k".
-func valuesOf(t fataler, s *State) map[string]string {
+func valuesOf(t testutil.TB, s *State) map[string]string {
 	t.Helper()
 	values := map[string]string{}
 	err := s.ForEach("k", func(key string, value []byte) error {
 		values[key] = string(value)
 		return nil
 	})
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	return values
 }
 
 // newestSnapshot returns the name of the snapshot of a directory that has one at most.
-func newestSnapshot(t fataler, fs vfs.FS) string {
+func newestSnapshot(t testutil.TB, fs vfs.FS) string {
 	t.Helper()
 	for _, name := range mustList(t, fs) {
 		if strings.HasPrefix(name, snapshotPrefix) {
--- a/internal/storage/wal/load_test.go
+++ b/internal/storage/wal/load_test.go
@@ -11,6 +11,7 @@
 
 	"glenport/internal/storage/faultfs"
 	"glenport/internal/storage/vfs"
+	"glenport/internal/testutil"
 )
 
 const firstSegment = "log-0000000000000001"
@@ -50,10 +51,7 @@
 			mustTruncate(t, fs, firstSegment, size-80) // the mark of the clean end, and a part of the last group
 		}, "", 9},
 		{"a corrupt middle", flippedBit(8 * 400), "group 3 is damaged; it was kept, as group 4", 0},
-		{
-			"a corrupt length in the middle", flippedBit(8 * (headerSize + groupLengthOffset)),
-			"group 1 is damaged", 0,
-		},
+		{"a corrupt length in the middle", flippedBit(8 * (headerSize + groupLengthOffset)), "group 1 is damaged", 0},
 		{"a corrupt beginning", flippedBit(8 * 3), "at byte 0: it does not begin", 0},
 		{"a later version", func(t *testing.T, fs *faultfs.FS) {
 			t.Helper()
@@ -61,9 +59,7 @@
 		}, "use the later one", 0},
 		{"a missing segment", func(t *testing.T, fs *faultfs.FS) {
 			t.Helper()
-			if err := fs.Rename(firstSegment, "log-0000000000000004"); err != nil {
-				t.Fatal(err)
-			}
+			testutil.NoError(t, fs.Rename(firstSegment, "log-0000000000000004"))
 		}, "a file is missing", 0},
 		{"an unfinished snapshot", func(t *testing.T, fs *faultfs.FS) {
 			t.Helper()
@@ -94,9 +90,7 @@
 			}
 			l, stats := mustOpen(t, fs, Options{})
 			defer mustClose(t, l)
-			if stats.Records != tc.left || len(valuesOf(t, l.State())) != tc.left {
-				t.Errorf("%+v", stats)
-			}
+			testutil.Expect(t, stats.Records == tc.left && len(valuesOf(t, l.State())) == tc.left, "%+v", stats)
 			mustCommit(t, l, true, putText("more", "y"))
 		})
 	}
@@ -107,9 +101,7 @@
 	t.Helper()
 	before := mustList(t, fs)
 	_, _, err := Open(fs, Options{})
-	if err == nil || !strings.Contains(err.Error(), want) {
-		t.Errorf("%v, want %s", err, want)
-	}
+	testutil.Expect(t, err != nil && strings.Contains(err.Error(), want), "%v, want %s", err, want)
 	var corruption *CorruptionError
 	var unsupported *UnsupportedVersionError
 	if !errors.As(err, &corruption) && !errors.As(err, &unsupported) {
--- a/internal/storage/wal/snapshot_test.go
+++ b/internal/storage/wal/snapshot_test.go
@@ -8,19 +8,14 @@
 	"testing"
 
 	"glenport/internal/storage/vfs"
+	"glenport/internal/testutil"
 )
 
 // A directory holds a bounded amount while commits go on, and is read as it was written.
 func TestSnapshotsBoundTheLog(t *testing.T) {
 	dir, err := vfs.OpenLocked(t.TempDir())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() {
-		if err := dir.Close(); err != nil {
-			t.Error(err)
-		}
-	}()
+	testutil.NoError(t, err)
+	defer func() { testutil.ExpectNoError(t, dir.Close()) }()
 	const wantSnapshots, leastCommits, mostCommits = 3, 3000, 300_000
 	l, _ := mustOpen(t, dir, Options{MinSnapshotLog: 20_000})
 	want := map[string]string{}
@@ -30,9 +25,7 @@
 		want[key] = value
 		l.Commit([]Change{putText(key, value)}, false, func(err error) {
 			snapshots.Store(int64(l.Counters().Snapshots))
-			if err != nil {
-				t.Error(err)
-			}
+			testutil.ExpectNoError(t, err)
 		})
 		if i%20 == 0 { // otherwise all is one group
 			mustCommit(t, l, false)
@@ -43,9 +36,7 @@
 	if counters := l.Counters(); counters.Snapshots < wantSnapshots {
 		t.Errorf("%+v", counters)
 	}
-	if !maps.Equal(valuesOf(t, mustLoad(t, dir)), want) {
-		t.Error("not what was written")
-	}
+	testutil.Expect(t, maps.Equal(valuesOf(t, mustLoad(t, dir)), want), "not what was written")
 	if names := mustList(t, dir); len(names) > 4 {
 		t.Errorf("%v", names)
 	}
--- a/internal/testbed/audit/checker_test.go
+++ b/internal/testbed/audit/checker_test.go
@@ -6,6 +6,7 @@
 
 	"glenport/internal/protocol"
 	"glenport/internal/testbed/faultproxy"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -310,9 +311,7 @@
 			tc.play(h)
 			h.checker.finish()
 			for _, v := range h.checker.report.Violations {
-				if v.Rule != tc.broken {
-					t.Errorf("reported %v", v)
-				}
+				testutil.Expect(t, v.Rule == tc.broken, "reported %v", v)
 			}
 			if tc.broken > 0 && h.checker.report.violations[tc.broken] == 0 {
 				t.Errorf("rule %d is broken, and it is not reported", tc.broken)
--- a/internal/testbed/audit/print_test.go
+++ b/internal/testbed/audit/print_test.go
@@ -8,6 +8,7 @@
 
 	"glenport/internal/protocol"
 	"glenport/internal/testbed/faultproxy"
+	"glenport/internal/testutil"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -16,13 +17,9 @@
 func TestTraceNamesFramesOfTheContainer(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "record")
 	file, err := os.Create(path)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	encoder := cbor.NewEncoder(file)
-	if err := encoder.Encode(faultproxy.Header{Format: "glenport record 1"}); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, encoder.Encode(faultproxy.Header{Format: "glenport record 1"}))
 	spec := protocol.ContainerSpec{ContainerID: "c", IdempotencyKey: "k", Service: "s"}
 	otherSpec := spec
 	otherSpec.ContainerID = "other"
@@ -32,21 +29,13 @@
 		&protocol.CancelContainer{ContainerID: "c"}, &protocol.Termination{ContainerID: "c"},
 	} {
 		data, err := protocol.Append(nil, f)
-		if err != nil {
-			t.Fatal(err)
-		}
+		testutil.NoError(t, err)
 		entry := faultproxy.Entry{Kind: faultproxy.FromScheduler, ConnID: 1, Frame: data[4:]}
-		if err := encoder.Encode(entry); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if err := file.Close(); err != nil {
-		t.Fatal(err)
+		testutil.NoError(t, encoder.Encode(entry))
 	}
+	testutil.NoError(t, file.Close())
 	var out strings.Builder
-	if err := PrintContainer(path, "c", &out); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, PrintContainer(path, "c", &out))
 	var names []string
 	for line := range strings.Lines(out.String()) {
 		_, text, _ := strings.Cut(line, "  : ")
--- a/internal/testbed/crashcheck/crashcheck_test.go
+++ b/internal/testbed/crashcheck/crashcheck_test.go
@@ -1,6 +1,10 @@
 package crashcheck
 
-import "testing"
+import (
+	"testing"
+
+	"glenport/internal/testutil"
+)
 
 // The check finds a log that does not sync, and one that does not check what it reads.
 func TestCrashLeavesWhatWasCommitted(t *testing.T) {
@@ -11,9 +15,7 @@
 		t.Run("sabotage: "+tc.sabotage, func(t *testing.T) {
 			c := &Check{Seed: 1, Commits: 40, RandomStates: 6, Sabotage: tc.sabotage}
 			err := c.Run()
-			if (err == nil) != tc.ok {
-				t.Errorf("%v", err)
-			}
+			testutil.Expect(t, (err == nil) == tc.ok, "%v", err)
 			t.Logf(
 				"%d operations, %d states, %d of a second crash, %d of %d flips refused: %v",
 				c.Operations,
--- a/internal/testbed/emulator/components_test.go
+++ b/internal/testbed/emulator/components_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testutil"
 )
 
 // testContainer is accepted, and its idempotency key is deduplicated.
@@ -46,9 +47,7 @@
 	for _, service := range []string{"a", "b", "a", "c", "d"} {
 		c.touch(service)
 	}
-	if !slices.Equal(c.recent, []string{"d", "c"}) || !c.has("a") || c.has("b") {
-		t.Errorf("%+v", c)
-	}
+	testutil.Expect(t, slices.Equal(c.recent, []string{"d", "c"}) && c.has("a") && !c.has("b"), "%+v", c)
 	if c.release("a"); c.has("a") {
 		t.Errorf("%+v after the last container of a", c)
 	}
@@ -78,9 +77,7 @@
 	var g DedupGroup
 	first, second := testContainer("a"), testContainer("b")
 	claims := func(c *container) bool { return g.claim(c, time.Minute) }
-	if !claims(first) || claims(second) {
-		t.Error("a key is not held by the first container alone")
-	}
+	testutil.Expect(t, claims(first) && !claims(second), "a key is not held by the first container alone")
 	if g.cancel(first); !claims(second) {
 		t.Error("the key of a container that never ran stays held")
 	}
--- a/internal/testbed/faultproxy/record_test.go
+++ b/internal/testbed/faultproxy/record_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"os"
 	"path/filepath"
 	"reflect"
 	"strings"
@@ -12,6 +11,7 @@
 
 	"glenport/internal/golden"
 	"glenport/internal/protocol"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
@@ -56,9 +56,7 @@
 func encodedFrame(t *testing.T, f protocol.Frame) []byte {
 	t.Helper()
 	data, err := protocol.Append(nil, f)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	return data[lengthPrefixSize:]
 }
 
@@ -130,13 +128,9 @@
 	t.Helper()
 	var out bytes.Buffer
 	enc := cbor.NewEncoder(&out)
-	if err := enc.Encode(h); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, enc.Encode(h))
 	for _, e := range entries {
-		if err := enc.Encode(e); err != nil {
-			t.Fatal(err)
-		}
+		testutil.NoError(t, enc.Encode(e))
 	}
 	return out.Bytes()
 }
@@ -145,12 +139,10 @@
 	t.Helper()
 	var h Header
 	var entries []Entry
-	if err := Read(path, &h, func(e *Entry) error {
+	testutil.NoError(t, Read(path, &h, func(e *Entry) error {
 		entries = append(entries, *e)
 		return nil
-	}); err != nil {
-		t.Fatal(err)
-	}
+	}))
 	return h, entries
 }
 
@@ -158,28 +150,14 @@
 func TestGoldenRecordIsRead(t *testing.T) {
 	wantHeader, wantEntries := goldenHeader(), goldenEntries(t)
 	if golden.Updating() {
-		if err := os.WriteFile(goldenRecord, encoded(t, wantHeader, wantEntries), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(goldenWords, []byte(words(wantHeader, wantEntries)), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	file, err := os.ReadFile(goldenRecord)
-	if err != nil {
-		t.Fatal(err)
-	}
-	text, err := os.ReadFile(goldenWords)
-	if err != nil {
-		t.Fatal(err)
+		testutil.WriteFile(t, goldenRecord, encoded(t, wantHeader, wantEntries))
+		testutil.WriteFile(t, goldenWords, []byte(words(wantHeader, wantEntries)))
 	}
+	file := testutil.ReadFile(t, goldenRecord)
+	text := testutil.ReadFile(t, goldenWords)
 	h, entries := readAll(t, goldenRecord)
-	if !reflect.DeepEqual(h, wantHeader) {
-		t.Errorf("header %+v, want %+v", h, wantHeader)
-	}
-	if !reflect.DeepEqual(entries, wantEntries) {
-		t.Errorf("entries %+v, want %+v", entries, wantEntries)
-	}
+	testutil.Expect(t, reflect.DeepEqual(h, wantHeader), "header %+v, want %+v", h, wantHeader)
+	testutil.Expect(t, reflect.DeepEqual(entries, wantEntries), "entries %+v, want %+v", entries, wantEntries)
 	if got := words(h, entries); got != string(text) {
 		t.Errorf("read\n%swant\n%s", got, text)
 	}
@@ -197,40 +175,27 @@
 	h := goldenHeader()
 	h.Format = "" // the writer's to set
 	w, err := Create(path, h)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	want := goldenEntries(t)
 	for _, e := range want {
 		w.add(e)
 	}
 	w.RecordLifecycle(Killed, "scheduler-8001")
 	want = append(want, Entry{Kind: Killed, Scheduler: "scheduler-8001"})
-	if err := w.Close(); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, w.Close())
 	got, entries := readAll(t, path)
-	if !reflect.DeepEqual(got, goldenHeader()) {
-		t.Errorf("header %+v", got)
-	}
-	file, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.Expect(t, reflect.DeepEqual(got, goldenHeader()), "header %+v", got)
+	file := testutil.ReadFile(t, path)
 	if again := encoded(t, got, entries); !bytes.Equal(again, file) {
 		t.Errorf("encoded as\n%x, want\n%x", again, file)
 	}
 	last := int64(0)
 	for i := range entries {
-		if entries[i].At < last {
-			t.Errorf("entry %d is of %d, after one of %d", i, entries[i].At, last)
-		}
+		testutil.Expect(t, entries[i].At >= last, "entry %d is of %d, after one of %d", i, entries[i].At, last)
 		last = entries[i].At
 		entries[i].At = want[i].At
 	}
-	if !reflect.DeepEqual(entries, want) {
-		t.Errorf("entries %+v, want %+v", entries, want)
-	}
+	testutil.Expect(t, reflect.DeepEqual(entries, want), "entries %+v, want %+v", entries, want)
 }
 
 // A file of another format, and one that ends in an entry, are refused.
@@ -247,13 +212,9 @@
 		"cut short":      {whole[:len(whole)-3], ": entry 2: unexpected EOF"},
 	} {
 		path := filepath.Join(t.TempDir(), "record")
-		if err := os.WriteFile(path, tc.file, 0o644); err != nil {
-			t.Fatal(err)
-		}
+		testutil.WriteFile(t, path, tc.file)
 		err := Read(path, new(Header), func(*Entry) error { return nil })
-		if err == nil || err.Error() != path+tc.want {
-			t.Errorf("%s: %v, want %s", title, err, path+tc.want)
-		}
+		testutil.Expect(t, err != nil && err.Error() == path+tc.want, "%s: %v, want %s", title, err, path+tc.want)
 		var formatError *FormatError
 		if isFormat := errors.As(err, &formatError); isFormat != (title != "cut short") {
 			t.Errorf("%s: %v is a FormatError: %v", title, err, isFormat)
--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -1,8 +1,9 @@
 package faults
 
 import (
-	"slices"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // Scenario files name the kinds.
@@ -30,7 +31,5 @@
 		"zone partition",
 		"zone restart",
 	}
-	if got := Kinds(); !slices.Equal(got, want) {
-		t.Errorf("got %q, want %q", got, want)
-	}
+	testutil.SlicesEqual(t, Kinds(), want)
 }
--- a/internal/testbed/modelcheck/modelcheck_test.go
+++ b/internal/testbed/modelcheck/modelcheck_test.go
@@ -5,6 +5,7 @@
 	"strings"
 	"testing"
 
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -110,9 +111,7 @@
 			if r.FailingSequence != "" {
 				t.Errorf("%s\n%s", r.FailingSequence, strings.Join(r.Violations, "\n"))
 			}
-			if r.Attempts == 0 {
-				t.Error("no attempt was checked")
-			}
+			testutil.Expect(t, r.Attempts != 0, "no attempt was checked")
 			t.Logf("%d sequences, %d events, %d attempts checked", r.Sequences, r.Events, r.Attempts)
 		})
 	}
--- a/internal/testbed/scenario/aliases_test.go
+++ b/internal/testbed/scenario/aliases_test.go
@@ -1,19 +1,17 @@
 package scenario
 
 import (
-	"reflect"
 	"strings"
 	"testing"
 
 	"glenport/internal/config"
+	"glenport/internal/testutil"
 )
 
 func readScenario(t *testing.T, path string) *Scenario {
 	t.Helper()
 	s, err := Load(path)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	return s
 }
 
@@ -27,13 +25,9 @@
 				t.Errorf("deprecations: %v in the old file, %v in the new one", old.Deprecations, current.Deprecations)
 			}
 			oldSettings, currentSettings := loadTemplate(t, old), loadTemplate(t, current)
-			if !reflect.DeepEqual(oldSettings, currentSettings) {
-				t.Errorf("settings: got %+v, want %+v", oldSettings, currentSettings)
-			}
+			testutil.DeepEqual(t, oldSettings, currentSettings)
 			old.Deprecations, old.Template = nil, current.Template
-			if !reflect.DeepEqual(old, current) {
-				t.Errorf("got %+v, want %+v", old, current)
-			}
+			testutil.DeepEqual(t, old, current)
 		})
 	}
 }
@@ -41,9 +35,7 @@
 func loadTemplate(t *testing.T, s *Scenario) *config.Scheduler {
 	t.Helper()
 	settings, err := config.LoadScheduler(s.Template)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	settings.Deprecations = nil
 	return settings
 }
@@ -59,9 +51,7 @@
 					count++
 				}
 			}
-			if count != 1 {
-				t.Errorf("named %d times in %v", count, deprecations)
-			}
+			testutil.Expect(t, count == 1, "named %d times in %v", count, deprecations)
 		})
 	}
 }
@@ -71,9 +61,7 @@
 		t.Run(alias.Old, func(t *testing.T) {
 			s := readScenario(t, writeShortScenario(t, "kind: burst", `kind: "`+alias.Old+`"`))
 			fault := s.Faults[len(s.Faults)-2] // in place of the burst
-			if string(fault.Kind) != alias.New {
-				t.Errorf("got %q, want %q", fault.Kind, alias.New)
-			}
+			testutil.Expect(t, string(fault.Kind) == alias.New, "got %q, want %q", fault.Kind, alias.New)
 			want := "faults.kind: " + alias.Old + " is faults.kind: " + alias.New
 			if got := s.Deprecations; len(got) != 1 || got[0].Old+" is "+got[0].New != want {
 				t.Errorf("got %v, want one that says %s", got, want)
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -16,6 +16,7 @@
 	"glenport/internal/testbed/cluster"
 	"glenport/internal/testbed/emulator"
 	"glenport/internal/testbed/faults"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -51,9 +52,7 @@
 
 func writeFile(t *testing.T, path string, data []byte) {
 	t.Helper()
-	if err := os.WriteFile(path, data, 0o644); err != nil {
-		t.Fatal(err)
-	}
+	testutil.WriteFile(t, path, data)
 }
 
 // writeShortScenario writes the short scenario with a part of it replaced, and the template that it names.
@@ -61,10 +60,7 @@
 	t.Helper()
 	dir := t.TempDir()
 	for _, name := range []string{"short.yaml", "scheduler.yaml"} {
-		text, err := os.ReadFile(filepath.Join("../../../scenarios", name))
-		if err != nil {
-			t.Fatal(err)
-		}
+		text := testutil.ReadFile(t, filepath.Join("../../../scenarios", name))
 		if name == "short.yaml" {
 			text = []byte(strings.Replace(string(text), replaced, replacement, 1))
 		}
@@ -76,9 +72,7 @@
 func requireWithin30s(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("not in 30 s: %s", what)
-		}
+		testutil.Require(t, !time.Now().After(end), "not in 30 s: %s", what)
 	}
 }
 
@@ -93,9 +87,7 @@
 		PlacementTimeout: 4 * time.Second, RetryRejected: true, RetryUnanswered: true,
 	}}
 	c, err := cluster.Start(s.Spec, dir, []string{os.Args[0], schedulerArgument})
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	defer c.Shutdown()
 	p := c.Schedulers[0]
 	c.Clients.Start(4000, 1)
@@ -111,9 +103,7 @@
 		status, _ := m.Status()
 		ran += status.Running
 	}
-	if err := c.StartScheduler(p); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, c.StartScheduler(p))
 	requireWithin30s(t, "what runs is adopted", func() bool {
 		stats, err := p.Status()
 		return err == nil && int(stats["containers taken over"]) >= ran
@@ -122,13 +112,9 @@
 		return c.Clients.Retried() >= 400 && c.Clients.Pending() == 0
 	})
 	tally := c.Clients.Close()
-	if err := c.Close(); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, c.Close())
 	findings, err := audit.CheckRecording(filepath.Join(dir, "record"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	if !findings.Passed() || tally.DuplicateReplies > 0 || tally.Unanswered < 400 {
 		t.Errorf("%v; %+v", findings.Violations, tally)
 	}
@@ -143,9 +129,7 @@
 	}
 	var out bytes.Buffer
 	o, err := s.Run(dir, []string{os.Args[0], schedulerArgument}, &out)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	if o.Print(&out); !o.Passed() || o.Audit.SlowStartPeak == 0 || o.Tally.Lost == 0 {
 		t.Error(out.String())
 	}
@@ -178,9 +162,7 @@
 		{"kind":"report_late","at":1,"len":2}]}`))
 	var out bytes.Buffer
 	s, err := LoadReplay(path, "../../../scenarios/short.yaml", 100, &out)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	want := []faults.Fault{
 		{Kind: faults.KindCrash, At: time.Second, Duration: 500 * time.Millisecond, Fraction: 0.5},
 		{Kind: faults.KindSchedulersKilled, At: 2 * time.Second, Duration: time.Microsecond, Fraction: 0.5},
--- a/internal/testbed/simulation/simulation_test.go
+++ b/internal/testbed/simulation/simulation_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -29,9 +30,7 @@
 	w, damped := simulatedOnce(Limited)
 	_, none := simulatedOnce(NoDamping)
 	again, _ := simulatedOnce(Limited)
-	if fmt.Sprint(w.Seconds) != fmt.Sprint(again.Seconds) {
-		t.Error("one seed, two outcomes")
-	}
+	testutil.Expect(t, fmt.Sprint(w.Seconds) == fmt.Sprint(again.Seconds), "one seed, two outcomes")
 	if damped.SecondsToRecover < 0 || damped.Lost >= none.Lost {
 		t.Errorf("damped: %s; not: %s", damped, none)
 	} else {
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -1,22 +1,71 @@
-// Package testutil holds what the tests of several packages share. Only tests import it.
+// Package testutil holds what the tests of several packages share: checks of one line, waiting with a time limit,
+// files, listeners and connections on the loopback interface. Only tests import it.
 package testutil
 
 import (
-	"testing"
-	"time"
+	"reflect"
+	"slices"
 )
 
-const (
-	waitTimeout  = 20 * time.Second
-	pollInterval = 100 * time.Microsecond
-)
+// TB is the part of testing.TB that rapid.T has too.
+type TB interface {
+	Helper()
+	Error(args ...any)
+	Errorf(format string, args ...any)
+	Fatal(args ...any)
+	Fatalf(format string, args ...any)
+}
+
+// NoError ends the test if a step that has to succeed failed.
+func NoError(tb TB, err error) {
+	tb.Helper()
+	if err != nil {
+		tb.Fatal(err)
+	}
+}
 
-// WaitUntil waits until a condition holds that no event reports, and ends the test if that takes too long.
-func WaitUntil(tb testing.TB, condition string, holds func() bool) {
+// ExpectNoError reports an error, and the test goes on. Any goroutine may call it.
+func ExpectNoError(tb TB, err error) {
 	tb.Helper()
-	for deadline := time.Now().Add(waitTimeout); !holds(); time.Sleep(pollInterval) {
-		if time.Now().After(deadline) {
-			tb.Fatalf("not in %s: %s", waitTimeout, condition)
-		}
+	if err != nil {
+		tb.Error(err)
 	}
 }
+
+// Expect reports a condition that does not hold, and the test goes on.
+//
+//nolint:revive // flag-parameter: the condition is what is checked
+func Expect(tb TB, condition bool, format string, args ...any) {
+	tb.Helper()
+	if !condition {
+		tb.Errorf(format, args...)
+	}
+}
+
+// Require ends the test if a condition does not hold.
+//
+//nolint:revive // flag-parameter: the condition is what is checked
+func Require(tb TB, condition bool, format string, args ...any) {
+	tb.Helper()
+	if !condition {
+		tb.Fatalf(format, args...)
+	}
+}
+
+// Equal reports two values that differ, and the test goes on.
+func Equal[T comparable](tb TB, got, want T) {
+	tb.Helper()
+	Expect(tb, got == want, "got %v, want %v", got, want)
+}
+
+// DeepEqual reports two values that reflect.DeepEqual tells apart, and the test goes on.
+func DeepEqual(tb TB, got, want any) {
+	tb.Helper()
+	Expect(tb, reflect.DeepEqual(got, want), "got %+v, want %+v", got, want)
+}
+
+// SlicesEqual reports two slices that differ in an element, and the test goes on.
+func SlicesEqual[S ~[]E, E comparable](tb TB, got, want S) {
+	tb.Helper()
+	Expect(tb, slices.Equal(got, want), "got %v, want %v", got, want)
+}
--- a/scheduler/actionbuffer_test.go
+++ b/scheduler/actionbuffer_test.go
@@ -3,6 +3,8 @@
 import (
 	"log/slog"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 func TestLogTextHasItsAttributes(t *testing.T) {
@@ -15,9 +17,7 @@
 		{Log{Message: "constant text"}, "constant text"},
 		{Log{Message: "machine ejected", Attributes: attributes}, "machine ejected machine=a log_odds=4.97"},
 	} {
-		if got := tc.log.String(); got != tc.want {
-			t.Errorf("%q, want %q", got, tc.want)
-		}
+		testutil.Equal(t, tc.log.String(), tc.want)
 	}
 }
 
--- a/scheduler/attempts_test.go
+++ b/scheduler/attempts_test.go
@@ -1,6 +1,10 @@
 package scheduler
 
-import "testing"
+import (
+	"testing"
+
+	"glenport/internal/testutil"
+)
 
 // What may follow by the idempotency of the class and the outcome of the first attempt.
 func TestOutcomeDecidesWhatMayFollow(t *testing.T) {
@@ -41,9 +45,7 @@
 				return
 			}
 			inScope := s.machines.find(next).sharesScope(s.machines.find(first), tc.scope) || tc.scope == ScopeNone
-			if next == first || !inScope {
-				t.Errorf("attempt on %s after %s", next, first)
-			}
+			testutil.Expect(t, next != first && inScope, "attempt on %s after %s", next, first)
 		})
 	}
 }
@@ -81,9 +83,7 @@
 				}
 				answers += countAnswers(s.Handle(now, []Event{e}))
 			}
-			if answers != tc.want {
-				t.Errorf("%d actions, want %d", answers, tc.want)
-			}
+			testutil.Expect(t, answers == tc.want, "%d actions, want %d", answers, tc.want)
 			if left := len(s.containers.containers) + len(s.containers.services); left != tc.left {
 				t.Errorf("%d left in tables, want %d", left, tc.left)
 			}
@@ -121,15 +121,11 @@
 			s := testScheduler(config)
 			at := submit(s, Second, "x", "s")
 			actions := s.Handle(2*Second, []Event{AttemptEnded{ID: "x", Machine: at, Outcome: OutcomeFinished}})
-			if len(actions) != 1 || actions[0] != tc.want {
-				t.Errorf("%v, want %v", actions, tc.want)
-			}
+			testutil.Expect(t, len(actions) == 1 && actions[0] == tc.want, "%v, want %v", actions, tc.want)
 			if m := s.machines.find(at); m.outlier.logOdds > 0 || m.contact.lastHeardAt != 2*Second {
 				t.Errorf("log odds %.1f, heard at %d", m.outlier.logOdds, m.contact.lastHeardAt)
 			}
-			if len(s.containers.containers) > 0 {
-				t.Error("the container is kept")
-			}
+			testutil.Expect(t, len(s.containers.containers) == 0, "the container is kept")
 		})
 	}
 }
--- a/scheduler/eligibility_test.go
+++ b/scheduler/eligibility_test.go
@@ -62,9 +62,7 @@
 
 // spreadOver limits the containers of a service in one place.
 func spreadOver(scope Scope, most int) func(*Config) {
-	return func(c *Config) {
-		c.WorkloadClasses[0].SpreadScope, c.WorkloadClasses[0].MaxPerScope = scope, most
-	}
+	return func(c *Config) { c.WorkloadClasses[0].SpreadScope, c.WorkloadClasses[0].MaxPerScope = scope, most }
 }
 
 // settledScheduler has run for so long that it knows what was sent to machines in slow start.
--- a/scheduler/explain_test.go
+++ b/scheduler/explain_test.go
@@ -3,6 +3,8 @@
 import (
 	"strconv"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // Each machine counts under what keeps a container from it, and the question changes no decision.
@@ -61,9 +63,7 @@
 				}
 			}
 			asked, unasked := settledScheduler(tc.adjust, idle), settledScheduler(tc.adjust, idle)
-			if got := asked.Explain(smallRequest("", "s", 0)); got != tc.want {
-				t.Errorf("%+v, want %+v", got, tc.want)
-			}
+			testutil.Equal(t, asked.Explain(smallRequest("", "s", 0)), tc.want)
 			compareDecisions(t, asked, unasked)
 		})
 	}
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -1,10 +1,11 @@
 package scheduler
 
 import (
-	"os"
 	"reflect"
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // testConfig has one workload class, two machine types and three schedulers.
@@ -109,9 +110,6 @@
 
 func readLines(t *testing.T, name string) []string {
 	t.Helper()
-	content, err := os.ReadFile(name)
-	if err != nil {
-		t.Fatal(err)
-	}
+	content := testutil.ReadFile(t, name)
 	return strings.Split(strings.TrimSuffix(string(content), "\n"), "\n")
 }
--- a/scheduler/listpoller_test.go
+++ b/scheduler/listpoller_test.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // polls tells whether the list is polled in a maintenance tick.
@@ -120,9 +122,7 @@
 	p := newListPoller(&Config{SchedulerCount: 3, ResyncInterval: Second}, &pcg{1})
 	p.resetDelay()
 	for i, want := range []Time{300 * Millisecond, 600 * Millisecond, Second, Second} {
-		if p.delay != want {
-			t.Errorf("after %d failures the delay is %d, want %d", i, p.delay, want)
-		}
+		testutil.Expect(t, p.delay == want, "after %d failures the delay is %d, want %d", i, p.delay, want)
 		p.pollFailed(0)
 		if p.takeDue(0) || !p.takeDue(want+Millisecond) || p.takeDue(want+Millisecond) {
 			t.Errorf("after %d failures the poll does not come once within its delay", i+1)
--- a/scheduler/outlierdetection_test.go
+++ b/scheduler/outlierdetection_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 func TestOutliersAreEjected(t *testing.T) {
@@ -112,9 +114,7 @@
 			s := testScheduler(testConfig(Idempotent))
 			at := submit(s, Second, "x", "s")
 			for i, outcome := range tc.outcomes {
-				if at == "" {
-					t.Fatalf("no attempt before outcome %d", i)
-				}
+				testutil.Require(t, at != "", "no attempt before outcome %d", i)
 				e := map[rune]Event{
 					'a': AttemptAccepted{ID: "x", Attempt: i, Machine: at},
 					'e': AttemptEnded{ID: "x", Attempt: i, Machine: at, Outcome: OutcomeErrored},
--- a/scheduler/policy_test.go
+++ b/scheduler/policy_test.go
@@ -1,11 +1,12 @@
 package scheduler
 
 import (
-	"os"
 	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 const deployFile = "../deploy/balancer.toml"
@@ -18,15 +19,10 @@
 // policyFiles reads the names of this package's files from the array "policy" of the deploy file.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
-	content, err := os.ReadFile(deployFile)
-	if err != nil {
-		t.Fatal(err)
-	}
+	content := testutil.ReadFile(t, deployFile)
 	_, rest, found := strings.Cut(string(content), "policy = [")
 	list, _, closed := strings.Cut(rest, "]")
-	if !found || !closed {
-		t.Fatalf("%s has no policy", deployFile)
-	}
+	testutil.Require(t, found && closed, "%s has no policy", deployFile)
 	var names []string
 	for word := range strings.SplitSeq(list, ",") {
 		path := strings.Trim(strings.TrimSpace(word), `"`)
@@ -34,9 +30,7 @@
 			continue
 		}
 		name, inPackage := strings.CutPrefix(path, "scheduler/")
-		if !inPackage {
-			t.Errorf("%s is not in this package", path)
-		}
+		testutil.Expect(t, inPackage, "%s is not in this package", path)
 		names = append(names, name)
 	}
 	return names
@@ -46,9 +40,7 @@
 func TestEveryFileIsPolicyOrWithoutDecisions(t *testing.T) {
 	policy := policyFiles(t)
 	all, err := filepath.Glob("*.go")
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	sources := slices.DeleteFunc(all, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 	for _, name := range sources {
 		if slices.Contains(policy, name) == slices.Contains(withoutDecisions, name) {
@@ -56,8 +48,6 @@
 		}
 	}
 	for _, name := range slices.Concat(policy, withoutDecisions) {
-		if !slices.Contains(sources, name) {
-			t.Errorf("%s is listed, but is no source file of this package", name)
-		}
+		testutil.Expect(t, slices.Contains(sources, name), "%s is listed, but is no source file of this package", name)
 	}
 }
--- a/scheduler/registries_test.go
+++ b/scheduler/registries_test.go
@@ -3,6 +3,8 @@
 import (
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 func newTestRegistry(actions *actionBuffer) *machineRegistry {
@@ -65,9 +67,7 @@
 		t.Errorf("reserved %+v, tenants %v", m.load, quotas.cores)
 	}
 	r.close(c)
-	if r.find("x") != c {
-		t.Error("a container with an attempt out is dropped")
-	}
+	testutil.Expect(t, r.find("x") == c, "a container with an attempt out is dropped")
 	r.endAttempt(c)
 	r.close(c)
 	if m.load != (machineLoad{}) || quotas.cores[0] != 0 || len(r.containers)+len(r.services) > 0 {
--- a/scheduler/snapshot_test.go
+++ b/scheduler/snapshot_test.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // A scheduler that is given the snapshot of an earlier incarnation goes on as that would have: the outlier stays
@@ -45,7 +47,5 @@
 	snapshot.Machines = append(snapshot.Machines, otherIncarnation)
 	restored.Restore(snapshot)
 	explanation := restored.Explain(smallRequest("", "s", 0))
-	if explanation.Ejected != 1 || explanation.Eligible != 1 {
-		t.Errorf("%+v", explanation)
-	}
+	testutil.Expect(t, explanation.Ejected == 1 && explanation.Eligible == 1, "%+v", explanation)
 }
--- a/scheduler/stored_test.go
+++ b/scheduler/stored_test.go
@@ -8,6 +8,8 @@
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
+
+	"glenport/internal/testutil"
 )
 
 const storedFile = "testdata/stored.txt"
@@ -67,15 +69,11 @@
 func TestStoredStructsKeepTheirEncoding(t *testing.T) {
 	values := storedValues()
 	lines := readLines(t, storedFile)
-	if len(lines) != len(values) {
-		t.Fatalf("%d values recorded, %d known", len(lines), len(values))
-	}
+	testutil.Require(t, len(lines) == len(values), "%d values recorded, %d known", len(lines), len(values))
 	for i, v := range values {
 		t.Run(v.name, func(t *testing.T) {
 			name, digits, _ := strings.Cut(lines[i], ": ")
-			if name != v.name {
-				t.Fatalf("line %d holds %q, want %q", i+1, name, v.name)
-			}
+			testutil.Require(t, name == v.name, "line %d holds %q, want %q", i+1, name, v.name)
 			checkEncoding(t, v.value, digits)
 		})
 	}
@@ -85,21 +83,13 @@
 func checkEncoding(t *testing.T, value any, digits string) {
 	t.Helper()
 	recorded, err := hex.DecodeString(digits)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	read := reflect.New(reflect.TypeOf(value))
-	if err := cbor.Unmarshal(recorded, read.Interface()); err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, cbor.Unmarshal(recorded, read.Interface()))
 	if !reflect.DeepEqual(read.Elem().Interface(), value) {
 		t.Errorf("read %+v, want %+v", read.Elem(), value)
 	}
 	written, err := cbor.Marshal(value)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(written, recorded) {
-		t.Errorf("written %x, recorded %x", written, recorded)
-	}
+	testutil.NoError(t, err)
+	testutil.Expect(t, bytes.Equal(written, recorded), "written %x, recorded %x", written, recorded)
 }
