--- a/scheduler/draw.go
+++ b/scheduler/draw.go
@@ -34,6 +34,14 @@
 	variate float64
 }
 
+// losesTo tells whether a machine of a level, which is not above the candidate's, takes its place.
+func (b candidate) losesTo(level suspicionLevel, v variate) bool {
+	if level == b.level && v.exceeds(b.variate) {
+		return false
+	}
+	return level < b.level || v.value() < b.variate
+}
+
 // draw returns nil where no machine is eligible. It is indexed: the generator picks one of the service's virtual
 // buckets, and each bucket, hashed with service and machine, is given to one with odds proportional to its weight. So
 // the containers of a service meet again on few machines, the same for all schedulers, and no weight follows
@@ -45,17 +53,16 @@
 	classes := d.classes.classesOf(c)
 	best := candidate{level: noCandidate, variate: math.Inf(1)}
 	for _, m := range machines {
-		v := d.variate(c, m, bucket, now)
-		if best.level == notSuspected && v.exceeds(best.variate) && !d.slowStart.inSlowStart(m, now) {
+		boundDecides := best.level == notSuspected && !d.slowStart.inSlowStart(m, now)
+		if boundDecides && d.variate(c, m, bucket, now).exceeds(best.variate) {
 			continue // whether the machine is suspected or eligible makes no difference
 		}
 		level := suspicionLevelOf(m, classes, d.classes, now)
 		if level > best.level || !d.eligibility.allows(c, m, now) {
 			continue
 		}
-		value := v.value()
-		if level < best.level || value < best.variate {
-			best = candidate{machine: m, level: level, variate: value}
+		if v := d.variate(c, m, bucket, now); best.losesTo(level, v) {
+			best = candidate{machine: m, level: level, variate: v.value()}
 		}
 	}
 	return best.machine
