--- a/internal/platform/connmanager/golden_test.go
+++ b/internal/platform/connmanager/golden_test.go
@@ -113,7 +113,9 @@
 }
 
 // weights say how often each event comes; a group of sequences has its own.
-type weights struct{ connect, receive, request, send, cancel, invalid, prove, reclaim, disconnect, terminate, acknowledge, tick int }
+type weights struct {
+	connect, receive, request, send, cancel, invalid, prove, reclaim, disconnect, terminate, acknowledge, tick int
+}
 
 func (s *sequence) event(w weights) Event {
 	return golden.Draw(s.random,
@@ -198,7 +200,8 @@
 }
 
 func shutdown(d *digest) {
-	for _, longest := range []Time{0, 1, Second / 10, Second / 2, 7 * Second / 10, Second, 3 * Second, 6 * Second, 60 * Second} {
+	deadlines := []Time{0, 1, Second / 10, Second / 2, 7 * Second / 10, Second, 3 * Second, 6 * Second, 60 * Second}
+	for _, longest := range deadlines {
 		for since := Time(0); since <= 5*Second; since += Second / 20 {
 			for _, at := range []Time{since - 1, since, since + 1} {
 				d.Value(ShouldKeepDraining(at, 0, longest))
--- a/internal/platform/failuredetector/golden_test.go
+++ b/internal/platform/failuredetector/golden_test.go
@@ -94,34 +94,38 @@
 	}
 }
 
-// group makes a group of sequences; longest is the most events in a batch.
-func group(seed uint64, sequences, machines, requests, batches, longest int, w weights) func(*digest) {
-	return func(d *digest) {
-		for i := range sequences {
-			grids := []Time{0, Second / 2, Second / 10}
-			s := &sequence{
-				random:   rand.New(rand.NewPCG(seed, uint64(i))),
-				machines: machines,
-				requests: requests,
-				grid:     grids[i%len(grids)],
-			}
-			s.run(d, batches, longest, w)
+// group says how to make a group of sequences.
+type group struct {
+	name                string
+	seed                uint64
+	sequences           int
+	machines, requests  int // how many identifiers there are to choose from
+	batches, batchLimit int // batches of a sequence, and the most events in one
+	weights             weights
+}
+
+func (g group) run(d *digest) {
+	grids := []Time{0, Second / 2, Second / 10}
+	for i := range g.sequences {
+		s := &sequence{
+			random:   rand.New(rand.NewPCG(g.seed, uint64(i))),
+			machines: g.machines,
+			requests: g.requests,
+			grid:     grids[i%len(grids)],
 		}
+		s.run(d, g.batches, g.batchLimit, g.weights)
 	}
 }
 
 // TestDecisionsAreUnchanged compares every decision on some thousand random sequences of events with those recorded.
 func TestDecisionsAreUnchanged(t *testing.T) {
 	var got strings.Builder
-	for _, group := range []struct {
-		name string
-		run  func(*digest)
-	}{
-		{"mixed events", group(1, 800, 5, 20, 120, 4, weights{4, 3, 1, 3, 3, 6})},
-		{"silent machines", group(2, 500, 6, 20, 100, 3, weights{2, 1, 0, 0, 0, 12})},
-		{"refused connections", group(3, 400, 3, 20, 100, 4, weights{4, 2, 4, 1, 1, 3})},
-		{"terminations before the reclaim", group(4, 400, 2, 8, 100, 6, weights{1, 1, 0, 6, 6, 3})},
-		{"more terminations than are kept", group(5, 4, 1, 6000, 70, 400, weights{0, 1, 0, 30, 8, 0})},
+	for _, group := range []group{
+		{"mixed events", 1, 800, 5, 20, 120, 4, weights{4, 3, 1, 3, 3, 6}},
+		{"silent machines", 2, 500, 6, 20, 100, 3, weights{2, 1, 0, 0, 0, 12}},
+		{"refused connections", 3, 400, 3, 20, 100, 4, weights{4, 2, 4, 1, 1, 3}},
+		{"terminations before the reclaim", 4, 400, 2, 8, 100, 6, weights{1, 1, 0, 6, 6, 3}},
+		{"more terminations than are kept", 5, 4, 1, 6000, 70, 400, weights{0, 1, 0, 30, 8, 0}},
 	} {
 		d := &digest{golden.NewDigest()}
 		group.run(d)
