--- a/scheduler/container.go
+++ b/scheduler/container.go
@@ -68,10 +68,10 @@
 	return resources{cores: c.request.Cores, memory: c.request.Memory}
 }
 
-// awaitsAnswer tells whether the client is owed an answer that no machine has given yet.
+// awaitsAnswer reports whether the client is owed an answer that no machine has given yet.
 func (c *container) awaitsAnswer() bool { return !c.closed && !c.accepted }
 
-// machineIsSilent tells whether nothing was heard of the machine since the attempt was sent.
+// machineIsSilent reports whether nothing was heard of the machine since the attempt was sent.
 func (c *container) machineIsSilent() bool { return c.machine.contact.silentSince(c.sentAt) }
 
 // exclude keeps the container from a machine from now on.
@@ -85,7 +85,7 @@
 // holdBackFailure keeps an error until it shows whose fault it was.
 func (c *container) holdBackFailure(f unattributedFailure) { c.failures = append(c.failures, f) }
 
-// failedOnce tells whether one error is held back and no other.
+// failedOnce reports whether one error is held back and no other.
 func (c *container) failedOnce() bool { return len(c.failures) == 1 }
 
 // takeFailures returns the errors that were held back, once.
@@ -130,7 +130,7 @@
 	}
 }
 
-// clientRetryIsSafe tells whether a retry by the client, which may go to any machine, does no harm.
+// clientRetryIsSafe reports whether a retry by the client, which may go to any machine, does no harm.
 func (c *container) clientRetryIsSafe() bool {
 	switch c.class.Idempotency {
 	case Idempotent:
--- a/scheduler/containerregistry.go
+++ b/scheduler/containerregistry.go
@@ -52,11 +52,11 @@
 	if request.WorkloadClass >= len(r.classes) {
 		return nil
 	}
-	owner := r.services[request.Service]
-	if owner == nil {
-		owner = &service{name: request.Service, hash: hash(request.Service), reservations: map[*machine]int{}}
+	of := r.services[request.Service]
+	if of == nil {
+		of = &service{name: request.Service, hash: hash(request.Service), reservations: map[*machine]int{}}
 	}
-	return &container{request: request, class: &r.classes[request.WorkloadClass], service: owner}
+	return &container{request: request, class: &r.classes[request.WorkloadClass], service: of}
 }
 
 // close ends what is owed to the client, and drops the container unless an outcome is still awaited.
--- a/scheduler/draw.go
+++ b/scheduler/draw.go
@@ -34,7 +34,7 @@
 	variate float64
 }
 
-// losesTo tells whether a machine of a level, which is not above the candidate's, takes its place.
+// losesTo reports whether a machine of a level, which is not above the candidate's, takes its place.
 func (b candidate) losesTo(level suspicionLevel, v variate) bool {
 	if level == b.level && v.exceeds(b.variate) {
 		return false
@@ -77,7 +77,7 @@
 
 func (v variate) value() float64 { return -math.Log(1-v.uniform) / v.rate }
 
-// exceeds tells whether the value is surely above a bound, without the logarithm: -log(1-u) is at least u, and 1-u is
+// exceeds reports whether the value is surely above a bound, without the logarithm: -log(1-u) is at least u, and 1-u is
 // exact for the numbers that the generator gives. It may be false for values above the bound.
 func (v variate) exceeds(bound float64) bool {
 	return v.uniform*(1-roundingMargin) > bound*v.rate
--- a/scheduler/eligibility.go
+++ b/scheduler/eligibility.go
@@ -13,13 +13,13 @@
 	slowStartExhausted
 )
 
-// lasts tells whether the obstacle is in the machine itself, and does not pass with time or other containers.
+// lasts reports whether the obstacle is in the machine itself, and does not pass with time or other containers.
 func (o obstacle) lasts() bool {
 	return o == wrongMachineType || o == notServing || o == tooSmall
 }
 
-// eligibility holds the filters that come before the draw. They are yes or no: nothing that passes them has better
-// odds for it.
+// eligibility holds the filters that come before the draw. A filter excludes a machine or has no effect: it never
+// changes the odds of a machine that passes.
 type eligibility struct {
 	acceptLimits       []resources // by machine type: up to which a machine accepts requests
 	listTracksRequests bool        // the requests in the machine list are all there are
@@ -41,7 +41,7 @@
 	}
 }
 
-// allows tells whether a container may be placed on a machine now.
+// allows reports whether a container may be placed on a machine now.
 func (e *eligibility) allows(c *container, m *machine, now Time) bool {
 	return !c.excludes(m) && c.mayRunAgainOn(m, now) && e.firstObstacle(c, m, now) == noObstacle
 }
@@ -65,14 +65,14 @@
 	return noObstacle
 }
 
-// hasMachineType tells whether the machine is of the type that the container's class needs.
+// hasMachineType reports whether the machine is of the type that the container's class needs.
 func hasMachineType(c *container, m *machine) bool {
 	return c.class.MachineType < 0 || c.class.MachineType == m.listing.machineType
 }
 
 func isServing(m *machine) bool { return m.listing.state == MachineServing }
 
-// isLargeEnough tells whether the machine would accept the container if it were empty.
+// isLargeEnough reports whether the machine would accept the container if it were empty.
 func (e *eligibility) isLargeEnough(c *container, m *machine) bool {
 	return m.listing.capacity > 0 && c.requested().within(e.acceptLimit(m))
 }
@@ -85,7 +85,7 @@
 	return scope == ScopeNone || c.service.reservationsSharing(m, scope)+1 <= c.class.MaxPerScope
 }
 
-// listHasRoom tells whether the machine list shows room for the container.
+// listHasRoom reports whether the machine list shows room for the container.
 func (e *eligibility) listHasRoom(c *container, m *machine) bool {
 	requested := m.listing.requested
 	requested.add(c.requested())
--- a/scheduler/listpoller.go
+++ b/scheduler/listpoller.go
@@ -45,7 +45,7 @@
 	p.delay = min(2*p.delay, p.resyncInterval)
 }
 
-// takeDue tells whether a poll is to be sent now, and counts it as sent.
+// takeDue reports whether a poll is to be sent now, and counts it as sent.
 func (p *listPoller) takeDue(now Time) bool {
 	if p.pollAt <= 0 || now < p.pollAt {
 		return false
--- a/scheduler/listpoller_test.go
+++ b/scheduler/listpoller_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// polls tells whether the list is polled in a maintenance tick.
+// polls reports whether the list is polled in a maintenance tick.
 func polls(s *Scheduler, now Time) bool {
 	return slices.Contains(runMaintenance(s, now), Action(WatchMachineList{true}))
 }
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -67,10 +67,10 @@
 	return use
 }
 
-// isReferredTo tells whether a container is on the machine or excludes it.
+// isReferredTo reports whether a container is on the machine or excludes it.
 func (m *machine) isReferredTo() bool { return m.load.reservations+m.exclusions > 0 }
 
-// sharesScope tells whether two machines lie in one place; one that no list has named lies in no known place.
+// sharesScope reports whether two machines lie in one place; one that no list has named lies in no known place.
 func (m *machine) sharesScope(o *machine, scope Scope) bool {
 	switch scope {
 	case ScopeFleet:
--- a/scheduler/outlierdetection.go
+++ b/scheduler/outlierdetection.go
@@ -32,7 +32,7 @@
 
 func (r *outlierRecord) isEjected() bool { return r.ejectedUntil > 0 }
 
-// ejectionIsOver tells whether an ejected machine may be probed.
+// ejectionIsOver reports whether an ejected machine may be probed.
 func (r *outlierRecord) ejectionIsOver(now Time) bool { return r.isEjected() && now >= r.ejectedUntil }
 
 func (r *outlierRecord) saveTo(s *MachineSnapshot) {
--- a/scheduler/probing.go
+++ b/scheduler/probing.go
@@ -13,7 +13,7 @@
 
 func (c *contact) heard(now Time) { c.lastHeardAt = now }
 
-// silentSince tells whether the machine was not heard of since a time.
+// silentSince reports whether the machine was not heard of since a time.
 func (c *contact) silentSince(at Time) bool { return c.lastHeardAt < at }
 
 // endProbe returns when the probe that is out was sent, and 0 if none was.
--- a/scheduler/resources.go
+++ b/scheduler/resources.go
@@ -18,7 +18,7 @@
 	return resources{cores: max(r.cores, o.cores), memory: max(r.memory, o.memory)}
 }
 
-// within tells whether both amounts are up to a limit.
+// within reports whether both amounts are up to a limit.
 func (r resources) within(limit resources) bool {
 	return r.cores <= limit.cores && r.memory <= limit.memory
 }
--- a/scheduler/selfdraining.go
+++ b/scheduler/selfdraining.go
@@ -8,7 +8,7 @@
 
 func (d *selfDrain) isDraining(now Time) bool { return now < d.until }
 
-// extend counts a sign of a drain from now on, and tells whether it is the first.
+// extend counts a sign of a drain from now on, and reports whether it is the first.
 func (d *selfDrain) extend(now Time) (first bool) {
 	first = !d.isDraining(now)
 	d.until = now + selfDrainingTime
--- a/scheduler/shedding.go
+++ b/scheduler/shedding.go
@@ -15,7 +15,7 @@
 	rejectedWeight  float64 // the same, of attempts by priority weight
 }
 
-// isShedding tells whether attempts find so little room that requests may be shed.
+// isShedding reports whether attempts find so little room that requests may be shed.
 func (s *loadShedder) isShedding() bool { return s.fullRatio > sheddingThreshold }
 
 // shed decides at random whether a container makes way for others. The odds grow with the share of attempts without
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// hasStarted tells whether the moment is known from which on all sends are.
+// hasStarted reports whether the moment is known from which on all sends are.
 func (l *slowStartLimiter) hasStarted() bool { return l.sendsKnownSince >= 0 }
 
 // start is called in the first batch, or with what is restored from an earlier incarnation of the scheduler.
--- a/scheduler/trafficclass.go
+++ b/scheduler/trafficclass.go
@@ -147,7 +147,7 @@
 	return math.Log((1 - excess) / excess)
 }
 
-// suspects tells whether a machine is taken to fail one of the classes. It ends as the evidence decays, or once the
+// suspects reports whether a machine is taken to fail one of the classes. It ends as the evidence decays, or once the
 // class loses no more than its peers.
 func (d *classFailureDetector) suspects(m *machine, classes trafficClassPair, now Time) bool {
 	for _, class := range classes {
@@ -161,7 +161,7 @@
 
 func (d *classFailureDetector) snapshot() []TrafficClass { return slices.Clone(d.classes) }
 
-// fits tells whether a snapshot has the traffic classes of this configuration.
+// fits reports whether a snapshot has the traffic classes of this configuration.
 func (d *classFailureDetector) fits(learned []TrafficClass) bool {
 	return len(learned) == len(d.classes)
 }
