--- a/internal/testbed/trials/why/combined.go
+++ b/internal/testbed/trials/why/combined.go
@@ -20,13 +20,9 @@
 	}
 	since = time.Now()
 	t.cluster.List.SetUnreachable(true)
-	if err := t.expect(
-		"and the machine list is unavailable",
-		pendingOne,
-		since.Add(listSilenceLimit),
-		codes{reasonZoneDrains, reasonNoRoom, reasonBackingOff, reasonListAway},
-		codes{reasonNoMachine},
-	); err != nil {
+	want := codes{reasonZoneDrains, reasonNoRoom, reasonBackingOff, reasonListAway}
+	if err := t.expect("and the machine list is unavailable", pendingOne, since.Add(listSilenceLimit),
+		want, codes{reasonNoMachine}); err != nil {
 		return err
 	}
 	t.cluster.List.SetUnreachable(false)
--- a/internal/testbed/trials/why/fencing.go
+++ b/internal/testbed/trials/why/fencing.go
@@ -45,11 +45,7 @@
 	if err := t.CreateJob(job, process.WorkloadAtMostOnce, capacity, 0.1, 0.1); err != nil {
 		return err
 	}
-	if err := process.WaitUntil(
-		"every machine is in use again",
-		spreadTimeout,
-		func() bool { return t.CountContainers(job, process.StateRunning) == capacity },
-	); err != nil {
+	if err := t.waitRunningCount("every machine is used", job, func(n int) bool { return n == capacity }); err != nil {
 		return err
 	}
 	return t.DeleteJob(job)
--- a/internal/testbed/trials/why/outages.go
+++ b/internal/testbed/trials/why/outages.go
@@ -14,24 +14,14 @@
 	if err := t.CreateJob(unplaceableJob, process.WorkloadMatcher, 1, 500, 1); err != nil {
 		return err
 	}
-	if err := t.expect(
-		"too large for all",
-		unplaceableOne,
-		since,
-		codes{reasonNoMachine},
-		codes{reasonNoRoom, reasonListAway},
-	); err != nil {
+	if err := t.expect("too large for all", unplaceableOne, since,
+		codes{reasonNoMachine}, codes{reasonNoRoom, reasonListAway}); err != nil {
 		return err
 	}
 	since = time.Now()
 	t.cluster.List.SetUnreachable(true)
-	if err := t.expect(
-		"the machine list is unavailable",
-		unplaceableOne,
-		since.Add(listSilenceLimit),
-		codes{reasonListAway, reasonNoMachine},
-		nil,
-	); err != nil {
+	if err := t.expect("the machine list is unavailable", unplaceableOne, since.Add(listSilenceLimit),
+		codes{reasonListAway, reasonNoMachine}, nil); err != nil {
 		return err
 	}
 	t.cluster.List.SetUnreachable(false)
@@ -48,13 +38,8 @@
 	for _, p := range t.cluster.Schedulers {
 		t.cluster.KillScheduler(p)
 	}
-	if err := t.expect(
-		"all schedulers killed",
-		unplaceableOne,
-		since,
-		codes{reasonNoScheduler},
-		codes{reasonNoMachine},
-	); err != nil {
+	if err := t.expect("all schedulers killed", unplaceableOne, since,
+		codes{reasonNoScheduler}, codes{reasonNoMachine}); err != nil {
 		return err
 	}
 	for _, p := range t.cluster.Schedulers {
--- a/internal/testbed/trials/why/spread.go
+++ b/internal/testbed/trials/why/spread.go
@@ -13,6 +13,13 @@
 	return 2 * len(t.cluster.Machines) * len(t.cluster.Schedulers)
 }
 
+// waitRunningCount waits until the number of a job's containers that run meets a condition.
+func (t *Trial) waitRunningCount(what, job string, holds func(running int) bool) error {
+	return process.WaitUntil(what, spreadTimeout, func() bool {
+		return holds(t.CountContainers(job, process.StateRunning))
+	})
+}
+
 // playSpread submits more of a service than its spread leaves room for.
 func (t *Trial) playSpread() error {
 	const job = "spread"
@@ -20,19 +27,12 @@
 	if err := t.CreateJob(job, process.WorkloadAtMostOnce, capacity+4, 0.1, 0.1); err != nil {
 		return err
 	}
-	if err := process.WaitUntil(
-		"the spread is full",
-		spreadTimeout,
-		func() bool { return t.CountContainers(job, process.StateRunning) >= capacity-2 },
-	); err != nil {
+	nearlyFull := func(n int) bool { return n >= capacity-2 }
+	if err := t.waitRunningCount("the spread is nearly full", job, nearlyFull); err != nil {
 		return err
 	}
 	// The spread may be full at one scheduler and not at the other; the true reason is that of the scheduler asked.
-	if err := process.WaitUntil(
-		"the spread is full at both schedulers",
-		spreadTimeout,
-		func() bool { return t.CountContainers(job, process.StateRunning) == capacity },
-	); err != nil {
+	if err := t.waitRunningCount("the spread is full", job, func(n int) bool { return n == capacity }); err != nil {
 		return err
 	}
 	var pending struct{ Items []struct{ ID string } }
@@ -43,13 +43,8 @@
 		return errors.New("no container of the spread job is pending")
 	}
 	last := pending.Items[len(pending.Items)-1].ID
-	if err := t.expect(
-		"spread full",
-		last,
-		time.Now(),
-		codes{reasonSpreadFull},
-		codes{reasonNoMachine, reasonNoRoom},
-	); err != nil {
+	if err := t.expect("spread full", last, time.Now(),
+		codes{reasonSpreadFull}, codes{reasonNoMachine, reasonNoRoom}); err != nil {
 		return err
 	}
 	return t.DeleteJob(job)
