--- a/internal/bgp/announce/doc.go
+++ b/internal/bgp/announce/doc.go
@@ -24,5 +24,5 @@
 //	changePending        withdrawalSent  withdrawn            a withdrawal was sent
 //	changePending        addressMoved    announcementPending  a withdrawal was sent; the new address follows
 //
-// An event that is not listed is a *TransitionError, which is logged.
+// An event that is not listed is a *statemachine.TransitionError, which is logged.
 package announce
--- a/internal/bgp/announce/route.go
+++ b/internal/bgp/announce/route.go
@@ -1,9 +1,9 @@
 package announce
 
 import (
-	"fmt"
 	"net/netip"
 
+	"glenport/internal/statemachine"
 	"glenport/scheduler"
 )
 
@@ -37,7 +37,7 @@
 }
 
 // routeTransitions are the next states by state and event.
-var routeTransitions = map[routeState]map[routeEvent]routeState{
+var routeTransitions = statemachine.Table[routeState, routeEvent]{
 	routeWithdrawn: {
 		changeSettled:  routeWithdrawn,
 		changeDeferred: announcementPending,
@@ -64,16 +64,6 @@
 	},
 }
 
-// TransitionError is an event that a route's state does not have.
-type TransitionError struct {
-	state routeState
-	event routeEvent
-}
-
-func (e *TransitionError) Error() string {
-	return fmt.Sprintf("announced route: no event %s in state %s", e.event, e.state)
-}
-
 // route is what peers have been sent for a service's address.
 type route struct {
 	state       routeState
@@ -84,14 +74,9 @@
 }
 
 // transition takes the route to the state that follows an event; only here its state changes. It returns a
-// *TransitionError and changes nothing if the state does not have the event.
+// *statemachine.TransitionError and changes nothing if the state does not have the event.
 func (r *route) transition(e routeEvent) error {
-	next, listed := routeTransitions[r.state][e]
-	if !listed {
-		return &TransitionError{r.state, e}
-	}
-	r.state = next
-	return nil
+	return routeTransitions.Apply("announced route", &r.state, e)
 }
 
 // announced reports whether peers have a route.
--- a/internal/bgp/announce/route_test.go
+++ b/internal/bgp/announce/route_test.go
@@ -2,40 +2,39 @@
 
 import (
 	"errors"
-	"maps"
-	"os"
-	"regexp"
 	"testing"
-)
 
-var tableRow = regexp.MustCompile(`(?m)^//\t(\S+) {2,}(\S+) {2,}(\S+) {2,}\S`)
+	"glenport/internal/statemachine"
+	"glenport/internal/statemachine/statemachinetest"
+)
 
 func TestRouteStatesFollowAsTheTableSays(t *testing.T) {
-	doc, err := os.ReadFile("doc.go")
-	if err != nil {
-		t.Fatal(err)
-	}
-	want, got := map[string]string{}, map[string]string{}
-	for _, row := range tableRow.FindAllStringSubmatch(string(doc), -1)[1:] { // without its head
-		want[row[1]+" "+row[2]] = row[3]
-	}
+	statemachinetest.CheckComment(t, statemachinetest.Machines{"An [Announcer] holds a service": routeTransitions})
 	for state := routeWithdrawn; state <= changePending; state++ {
 		for event := changeSettled; event <= addressMoved; event++ {
 			r := route{state: state}
 			err := r.transition(event)
-			if err == nil {
-				got[state.String()+" "+event.String()] = r.state.String()
+			if next, legal := routeTransitions[state][event]; legal {
+				if err != nil || r.state != next {
+					t.Errorf("%s, %s: %s, %v, want %s", state, event, r.state, err, next)
+				}
 				continue
 			}
-			var illegal *TransitionError
-			if !errors.As(err, &illegal) || *illegal != (TransitionError{state, event}) || r.state != state {
+			want := statemachine.TransitionError{
+				Subject: "announced route", From: state.String(), Event: event.String(),
+			}
+			illegal, ok := errors.AsType[*statemachine.TransitionError](err)
+			if !ok || *illegal != want || r.state != state {
 				t.Errorf("%s, %s: %s, %v", state, event, r.state, err)
 			}
 		}
 	}
-	if !maps.Equal(got, want) {
-		t.Errorf("transitions are %v, documented %v", got, want)
-	}
+}
+
+func TestPageShowsEachTransition(t *testing.T) {
+	statemachinetest.CheckPage(t, "BGP announcements", map[string]statemachinetest.Shown{
+		"Announced route": statemachinetest.Begin(routeTransitions, routeWithdrawn),
+	})
 }
 
 func TestIllegalTransitionOfARouteIsLogged(t *testing.T) {
--- a/internal/bgp/session/session.go
+++ b/internal/bgp/session/session.go
@@ -103,11 +103,9 @@
 // transition takes the session to another state; only here its state changes. A transition that the state machine does
 // not have is logged and not made.
 func (s *Session) transition(to State) {
-	next, err := s.state.next(to)
-	if err != nil {
+	if err := successors.Apply("BGP session", &s.state, to); err != nil {
 		s.log("illegal transition of a BGP session", slog.Any("error", err))
 	}
-	s.state = next
 }
 
 // stateOf returns the state of one connection.
--- a/internal/bgp/session/transitions_test.go
+++ b/internal/bgp/session/transitions_test.go
@@ -3,15 +3,14 @@
 import (
 	"errors"
 	"maps"
-	"os"
-	"regexp"
+	"slices"
 	"testing"
 
 	"glenport/internal/bgp/wire"
+	"glenport/internal/statemachine"
+	"glenport/internal/statemachine/statemachinetest"
 )
 
-var tableRow = regexp.MustCompile(`(?m)^//\t(\S+) {2,}(\S.*?) {2,}(\S+) {2,}\S`)
-
 // transitionTable is the table in doc.go: the next state by state and event.
 type transitionTable map[[2]string]string
 
@@ -22,13 +21,9 @@
 
 func readTransitionTable(t *testing.T) transitionTable {
 	t.Helper()
-	doc, err := os.ReadFile("doc.go")
-	if err != nil {
-		t.Fatal(err)
-	}
 	table := transitionTable{}
-	for _, row := range tableRow.FindAllStringSubmatch(string(doc), -1)[1:] { // without its head
-		table[[2]string{row[1], row[2]}] = row[3]
+	for _, row := range statemachinetest.CommentTables(t)[0].Rows {
+		table[[2]string{row[0], row[1]}] = row[2]
 	}
 	return table
 }
@@ -143,12 +138,14 @@
 			s := New(peer())
 			s.state = from
 			s.transition(to)
-			next, err := from.next(to)
-			var illegal *TransitionError
+			next := from
+			err := successors.Apply("BGP session", &next, to)
+			var illegal *statemachine.TransitionError
+			want := statemachine.TransitionError{Subject: "BGP session", From: from.String(), To: to.String()}
 			switch legal := table.leadsTo(from, to); {
-			case legal && (err != nil || s.State() != to):
+			case legal && (err != nil || next != to || s.State() != to):
 				t.Errorf("from %s to %s: %v, now %s", from, to, err, s.State())
-			case !legal && (!errors.As(err, &illegal) || *illegal != TransitionError{from, to} || next != from):
+			case !legal && (!errors.As(err, &illegal) || *illegal != want || next != from):
 				t.Errorf("from %s to %s: %v, which is illegal", from, to, err)
 			case !legal && (s.State() != from || len(s.actions.take()) != 1):
 				t.Errorf("from %s to %s: made, or not logged", from, to)
@@ -157,28 +154,18 @@
 	}
 }
 
-var diagramEdge = regexp.MustCompile(`(?m)^ +(\w+) --> (\w+):`)
-
+// The page shows the transitions of the code, which are those of the table.
 func TestDiagramHasTheTransitionsOfTheTable(t *testing.T) {
-	page, err := os.ReadFile("../../../docs/bgp.md")
-	if err != nil {
-		t.Fatal(err)
-	}
-	drawn := map[[2]string]bool{}
-	for _, edge := range diagramEdge.FindAllStringSubmatch(string(page), -1) {
-		drawn[[2]string{edge[1], edge[2]}] = true
-	}
+	statemachinetest.CheckPage(t, "BGP sessions", map[string]statemachinetest.Shown{
+		"Session": statemachinetest.Begin(successors, Idle),
+	})
 	table := readTransitionTable(t)
 	for from := Idle; from <= Established; from++ {
 		for to := Idle; to <= Established; to++ {
-			edge := [2]string{from.String(), to.String()}
-			if want := from != to && table.leadsTo(from, to); drawn[edge] != want {
-				t.Errorf("%s to %s is drawn: %t, in the table: %t", from, to, drawn[edge], want)
+			listed := slices.Contains(successors[from], to)
+			if want := table.leadsTo(from, to); from != to && listed != want {
+				t.Errorf("%s to %s is drawn: %t, in the table: %t", from, to, listed, want)
 			}
-			delete(drawn, edge)
 		}
 	}
-	if len(drawn) > 0 {
-		t.Errorf("drawn between states that are none: %v", drawn)
-	}
 }
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -23,7 +23,7 @@
 // by the table below. Where an event may lead to several states the facts of the replica decide: whether its work is
 // idempotent, whether it may run, and whether its job wants it. An event that is not listed changes no state: an answer
 // to an earlier request, or a job that does not want what ends anyway. A change that the table does not have is a
-// *TransitionError; it is returned as the action TransitionRejected, and the replica keeps its state.
+// *statemachine.TransitionError; it is returned as the action TransitionRejected, and the replica keeps its state.
 //
 //	| created    | Created            | pending |
 //	| created    | Restored           | pending, fencing, unobserved, completed |
--- a/internal/controller/replicastate.go
+++ b/internal/controller/replicastate.go
@@ -2,7 +2,8 @@
 
 import (
 	"fmt"
-	"slices"
+
+	"glenport/internal/statemachine"
 )
 
 // replicaState is where a replica is in its life.
@@ -73,7 +74,7 @@
 
 // transitions holds the states that an event may lead to. Where there are several the facts of the replica decide: the
 // idempotency of its work, whether it may run, and whether its job wants it.
-var transitions = map[replicaState]map[replicaEvent][]replicaState{
+var transitions = statemachine.Choices[replicaState, replicaEvent]{
 	replicaCreated: {
 		eventCreated:  {replicaPending},
 		eventRestored: {replicaPending, replicaFencing, replicaUnobserved, replicaCompleted},
@@ -122,24 +123,10 @@
 }
 
 // transition is the one place where the state of a replica changes. An event that must not lead to a state is reported
-// as a *TransitionError, and the state stays.
+// as a *statemachine.TransitionError, and the state stays.
 func (r *replica) transition(event replicaEvent, to replicaState) error {
-	if !slices.Contains(transitions[r.state][event], to) {
-		return &TransitionError{Job: r.job.id, Index: r.index, From: r.state, Event: event, To: to}
-	}
-	r.state = to
-	return nil
+	return transitions.Apply(r, &r.state, event, to)
 }
 
-// TransitionError reports a change of a replica's state that the state machine does not allow.
-type TransitionError struct {
-	Job   string
-	Index int
-	From  replicaState
-	Event replicaEvent
-	To    replicaState
-}
-
-func (e *TransitionError) Error() string {
-	return fmt.Sprintf("container %d of job %s: %s must not lead from %s to %s", e.Index, e.Job, e.Event, e.From, e.To)
-}
+// String names a replica in errors.
+func (r *replica) String() string { return fmt.Sprintf("container %d of job %s", r.index, r.job.id) }
--- a/internal/controller/replicastate_test.go
+++ b/internal/controller/replicastate_test.go
@@ -2,10 +2,10 @@
 
 import (
 	"errors"
-	"fmt"
-	"os"
-	"strings"
 	"testing"
+
+	"glenport/internal/statemachine"
+	"glenport/internal/statemachine/statemachinetest"
 )
 
 // forEachTransition calls visit for every state, event and next state, and says whether the table allows it.
@@ -33,8 +33,11 @@
 			}
 			return
 		}
-		var rejected *TransitionError
-		if !errors.As(err, &rejected) || *rejected != (TransitionError{"j", 2, from, event, to}) || r.state != from {
+		want := statemachine.TransitionError{
+			Subject: "container 2 of job j", From: from.String(), Event: event.String(), To: to.String(),
+		}
+		rejected, ok := errors.AsType[*statemachine.TransitionError](err)
+		if !ok || *rejected != want || r.state != from {
 			t.Errorf("%s, %s, %s: got %s and %v, want a TransitionError", from, event, to, r.state, err)
 		}
 	})
@@ -51,7 +54,7 @@
 		t.Fatalf("got %v and %+v, want two rejected transitions", actions, r)
 	}
 	for _, action := range actions {
-		var rejected *TransitionError
+		var rejected *statemachine.TransitionError
 		if a, ok := action.(TransitionRejected); !ok || !errors.As(a.Err, &rejected) {
 			t.Errorf("got %+v, want a rejected transition", action)
 		}
@@ -59,23 +62,11 @@
 }
 
 func TestPackageCommentHasTheTransitions(t *testing.T) {
-	var table strings.Builder
-	for from := replicaCreated; from <= replicaRemoved; from++ {
-		for event := eventCreated; event <= eventScaledDown; event++ {
-			var names []string
-			for _, to := range transitions[from][event] {
-				names = append(names, to.String())
-			}
-			if names != nil {
-				fmt.Fprintf(&table, "//\t| %-10s | %-18s | %s |\n", from, event, strings.Join(names, ", "))
-			}
-		}
-	}
-	text, err := os.ReadFile("doc.go")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if want := "\n//\n" + table.String() + "//\n"; !strings.Contains(string(text), want) {
-		t.Errorf("doc.go does not have the table\n%s", &table)
-	}
+	statemachinetest.CheckComment(t, statemachinetest.Machines{"A replica is a container": transitions})
+}
+
+func TestPageShowsEachTransition(t *testing.T) {
+	statemachinetest.CheckPage(t, "Controller", map[string]statemachinetest.Shown{
+		"Replica": statemachinetest.Begin(transitions, replicaCreated),
+	})
 }
--- a/internal/platform/attemptstate.go
+++ b/internal/platform/attemptstate.go
@@ -1,6 +1,6 @@
 package platform
 
-import "glenport/internal/platform/statemachine"
+import "glenport/internal/statemachine"
 
 // attemptState is the state of an attempt.
 type attemptState uint8
@@ -40,7 +40,7 @@
 
 // transition is the only place where the state of an attempt changes.
 func (a *attempt) transition(event attemptEvent) error {
-	err := attemptTransitions.Apply(&a.state, event)
+	err := attemptTransitions.Apply(statemachine.Unnamed, &a.state, event)
 	if err != nil {
 		a.env.reportIllegal(err, "request_id", a.id())
 	}
--- a/internal/platform/clientstate.go
+++ b/internal/platform/clientstate.go
@@ -1,6 +1,6 @@
 package platform
 
-import "glenport/internal/platform/statemachine"
+import "glenport/internal/statemachine"
 
 // clientState is the state of a client connection.
 type clientState uint8
@@ -39,7 +39,7 @@
 
 // transition is the only place where the state of a client connection changes.
 func (cc *clientConn) transition(event clientEvent) error {
-	err := clientTransitions.Apply(&cc.state, event)
+	err := clientTransitions.Apply(statemachine.Unnamed, &cc.state, event)
 	if err != nil {
 		cc.env.reportIllegal(err, "client", cc.id)
 	}
--- a/internal/platform/connmanager/client.go
+++ b/internal/platform/connmanager/client.go
@@ -1,6 +1,6 @@
 package connmanager
 
-import "glenport/internal/platform/statemachine"
+import "glenport/internal/statemachine"
 
 // client is what is known of one client connection.
 type client struct {
@@ -49,7 +49,7 @@
 
 // transition is the only place where the state of a client changes. It reports whether the event was legal.
 func (m *Manager) transition(c *client, event clientEvent) bool {
-	err := clientTransitions.Apply(&c.state, event)
+	err := clientTransitions.Apply(statemachine.Unnamed, &c.state, event)
 	if err != nil {
 		m.emit(ReportError{Client: c.id, Err: err})
 	}
--- a/internal/platform/connmanager/client_test.go
+++ b/internal/platform/connmanager/client_test.go
@@ -2,22 +2,20 @@
 
 import (
 	"errors"
-	"os"
-	"strings"
 	"testing"
 
-	"glenport/internal/platform/statemachine"
+	"glenport/internal/statemachine"
+	"glenport/internal/statemachine/statemachinetest"
 )
 
 func TestClientStatesAreDocumented(t *testing.T) {
-	page, err := os.ReadFile("doc.go")
-	if err != nil {
-		t.Fatal(err)
-	}
-	want := strings.ReplaceAll("\n"+clientTransitions.String()+"\n", "\n", "\n//\t")
-	if !strings.Contains(string(page), strings.TrimSuffix(want, "//\t")) {
-		t.Errorf("doc.go lacks the table%s", want)
-	}
+	statemachinetest.CheckComment(t, statemachinetest.Machines{"A client is admitted as unserved.": clientTransitions})
+}
+
+func TestPageShowsEachTransition(t *testing.T) {
+	statemachinetest.CheckPage(t, "Decisions on platform connections", map[string]statemachinetest.Shown{
+		"Client": statemachinetest.Begin(clientTransitions, unserved),
+	})
 }
 
 // A client that is closed already is not closed again: the error is returned, and no client is counted twice.
@@ -29,10 +27,13 @@
 	m.actions = nil
 	m.closeClient(c, CloseNoRequest)
 	report, ok := m.actions[0].(ReportError)
-	var illegal *statemachine.TransitionError
-	if !ok || report.Client != 1 || !errors.As(report.Err, &illegal) || illegal.From != closing || len(m.actions) > 1 {
+	if !ok || report.Client != 1 || len(m.actions) > 1 {
 		t.Errorf("actions %+v", m.actions)
 	}
+	illegal, ok := errors.AsType[*statemachine.TransitionError](report.Err)
+	if !ok || illegal.From != closing.String() {
+		t.Errorf("reported %v", report.Err)
+	}
 	if c.state != closing || m.activeClients != 0 {
 		t.Errorf("client %v, %d active", c.state, m.activeClients)
 	}
--- a/internal/platform/machineconnstate.go
+++ b/internal/platform/machineconnstate.go
@@ -1,6 +1,6 @@
 package platform
 
-import "glenport/internal/platform/statemachine"
+import "glenport/internal/statemachine"
 
 // machineConnState is the state of a connection to a machine.
 type machineConnState uint8
@@ -48,7 +48,7 @@
 
 // transition is the only place where the state of a connection to a machine changes.
 func (mc *machineConn) transition(event machineConnEvent) error {
-	err := machineConnTransitions.Apply(&mc.state, event)
+	err := machineConnTransitions.Apply(statemachine.Unnamed, &mc.state, event)
 	if err != nil {
 		mc.env.reportIllegal(err, "machine", mc.machine.id)
 	}
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -3,7 +3,7 @@
 import (
 	"glenport/internal/eventloop"
 	"glenport/internal/platform/connmanager"
-	"glenport/internal/platform/statemachine"
+	"glenport/internal/statemachine"
 )
 
 // shutdownSequence ends the process once every request is answered.
@@ -55,7 +55,7 @@
 
 // transition is the only place where the state of the process changes.
 func (s *shutdownSequence) transition(event shutdownEvent) error {
-	err := shutdownTransitions.Apply(&s.state, event)
+	err := shutdownTransitions.Apply(statemachine.Unnamed, &s.state, event)
 	if err != nil {
 		s.env.reportIllegal(err, "name", s.env.config.Name)
 	}
--- a/internal/platform/transitions_test.go
+++ b/internal/platform/transitions_test.go
@@ -3,28 +3,30 @@
 import (
 	"errors"
 	"fmt"
-	"os"
 	"strings"
 	"testing"
 
-	"glenport/internal/platform/statemachine"
+	"glenport/internal/statemachine"
+	"glenport/internal/statemachine/statemachinetest"
 )
 
 // doc.go shows the tables by which the state machines work.
 func TestStatesAreDocumented(t *testing.T) {
-	page, err := os.ReadFile("doc.go")
-	if err != nil {
-		t.Fatal(err)
-	}
-	for name, table := range map[string]fmt.Stringer{
-		"attempt": &attemptTransitions, "machine connection": &machineConnTransitions,
-		"client connection": &clientTransitions, "shutdown": &shutdownTransitions,
-	} {
-		want := "//\t" + strings.ReplaceAll(table.String(), "\n", "\n//\t") + "\n"
-		if !strings.Contains(string(page), want) {
-			t.Errorf("doc.go lacks the table of the %s:\n%s", name, want)
-		}
-	}
+	statemachinetest.CheckComment(t, statemachinetest.Machines{
+		"An attempt ":                attemptTransitions,
+		"A connection to a machine ": machineConnTransitions,
+		"A connection of a client ":  clientTransitions,
+		"The process ":               shutdownTransitions,
+	})
+}
+
+func TestPageShowsEachTransition(t *testing.T) {
+	statemachinetest.CheckPage(t, "Platform process", map[string]statemachinetest.Shown{
+		"Attempt":            statemachinetest.Begin(attemptTransitions, attemptConnecting, attemptRunning),
+		"Machine connection": statemachinetest.Begin(machineConnTransitions, machineConnecting),
+		"Client connection":  statemachinetest.Begin(clientTransitions, clientAccepted),
+		"Shutdown":           statemachinetest.Begin(shutdownTransitions, serving),
+	})
 }
 
 // An event that a state does not take is a typed error, is logged, and changes nothing.
@@ -65,7 +67,7 @@
 			logged.Reset()
 			before := tc.state()
 			illegal, ok := errors.AsType[*statemachine.TransitionError](tc.transition())
-			if !ok || illegal.From != before || tc.state() != before {
+			if !ok || illegal.From != before.String() || tc.state() != before {
 				t.Errorf("error %v, state %v, was %v", illegal, tc.state(), before)
 			}
 			if !strings.Contains(logged.String(), "illegal state transition") {
--- a/internal/schedulerd/attemptstate.go
+++ b/internal/schedulerd/attemptstate.go
@@ -1,5 +1,7 @@
 package schedulerd
 
+import "glenport/internal/statemachine"
+
 // attemptState is the state of an attempt.
 type attemptState string
 
@@ -27,7 +29,7 @@
 )
 
 // attemptTransitions is the table of the package comment.
-var attemptTransitions = transitionTable[attemptState, attemptEvent]{
+var attemptTransitions = statemachine.Table[attemptState, attemptEvent]{
 	attemptQueued: {
 		attemptLogRequired:  attemptAwaitingLog,
 		attemptOfferSent:    attemptOffered,
@@ -56,9 +58,7 @@
 
 // transition is the one place where the state of an attempt changes.
 func (a *attempt) transition(event attemptEvent) bool {
-	next, err := attemptTransitions.next("attempt", a.state, event)
-	a.state = next
-	return a.machine.registry.transitionMade(err)
+	return a.machine.registry.transitionMade(attemptTransitions.Apply("attempt", &a.state, event))
 }
 
 func (s attemptState) accepted() bool { return s == attemptRunning || s == attemptTerminating }
--- a/internal/schedulerd/clientstate.go
+++ b/internal/schedulerd/clientstate.go
@@ -1,5 +1,7 @@
 package schedulerd
 
+import "glenport/internal/statemachine"
+
 // clientState is the state of an accepted connection.
 type clientState string
 
@@ -23,7 +25,7 @@
 )
 
 // clientTransitions is the table of the package comment.
-var clientTransitions = transitionTable[clientState, clientEvent]{
+var clientTransitions = statemachine.Table[clientState, clientEvent]{
 	clientAwaitingHello: {
 		clientHelloReceived: clientEstablished,
 		clientGoodbyeSent:   clientClosing,
@@ -47,9 +49,7 @@
 
 // transition is the one place where the state of an accepted connection changes.
 func (c *clientConn) transition(event clientEvent) bool {
-	next, err := clientTransitions.next("client connection", c.state, event)
-	c.state = next
-	return c.registry.transitionMade(err)
+	return c.registry.transitionMade(clientTransitions.Apply("client connection", &c.state, event))
 }
 
 // disconnected reports whether nothing more is read or sent.
--- a/internal/schedulerd/connstate.go
+++ b/internal/schedulerd/connstate.go
@@ -1,5 +1,7 @@
 package schedulerd
 
+import "glenport/internal/statemachine"
+
 // machineConnState is the state of the connection to a machine.
 type machineConnState string
 
@@ -23,7 +25,7 @@
 )
 
 // machineConnTransitions is the table of the package comment.
-var machineConnTransitions = transitionTable[machineConnState, machineConnEvent]{
+var machineConnTransitions = statemachine.Table[machineConnState, machineConnEvent]{
 	machineDisconnected: {
 		machineDialed: machineConnecting,
 	},
@@ -42,7 +44,5 @@
 
 // transition is the one place where the state of the connection to a machine changes.
 func (c *machineConn) transition(event machineConnEvent) bool {
-	next, err := machineConnTransitions.next("machine connection", c.state, event)
-	c.state = next
-	return c.machine.registry.transitionMade(err)
+	return c.machine.registry.transitionMade(machineConnTransitions.Apply("machine connection", &c.state, event))
 }
--- a/internal/schedulerd/doc.go
+++ b/internal/schedulerd/doc.go
@@ -18,7 +18,8 @@
 //
 // # State machines
 //
-// An event that a table does not list for a state is illegal: it is logged as a *TransitionError, and the state stays.
+// An event that a table does not list for a state is illegal: it is logged as a *statemachine.TransitionError, and the
+// state stays.
 //
 // An attempt:
 //
--- a/internal/schedulerd/helpers_test.go
+++ b/internal/schedulerd/helpers_test.go
@@ -13,6 +13,7 @@
 	"glenport/internal/config"
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
+	"glenport/internal/statemachine"
 	"glenport/scheduler"
 
 	"go.uber.org/goleak"
@@ -45,7 +46,7 @@
 // Handle implements slog.Handler.
 func (l *transitionLog) Handle(_ context.Context, record slog.Record) error {
 	record.Attrs(func(attribute slog.Attr) bool {
-		if err, ok := errors.AsType[*TransitionError](errorOf(attribute)); ok {
+		if err, ok := errors.AsType[*statemachine.TransitionError](errorOf(attribute)); ok {
 			l.illegal(err)
 		}
 		return true
--- a/internal/schedulerd/lifecycle.go
+++ b/internal/schedulerd/lifecycle.go
@@ -1,5 +1,7 @@
 package schedulerd
 
+import "glenport/internal/statemachine"
+
 // serverState is the state of a server.
 type serverState string
 
@@ -22,7 +24,7 @@
 )
 
 // serverTransitions is the table of the package comment.
-var serverTransitions = transitionTable[serverState, serverEvent]{
+var serverTransitions = statemachine.Table[serverState, serverEvent]{
 	serverCreated: {
 		serverStarted:       serverServing,
 		serverStopRequested: serverStopping,
@@ -41,9 +43,7 @@
 
 // transition is the one place where the state of a server changes.
 func (s *Server) transition(event serverEvent) bool {
-	next, err := serverTransitions.next("server", s.lifecycle, event)
-	s.lifecycle = next
-	return s.transitionMade(err)
+	return s.transitionMade(serverTransitions.Apply("server", &s.lifecycle, event))
 }
 
 // stopRequested ends the BGP sessions, once.
--- a/internal/schedulerd/snapshotwriter.go
+++ b/internal/schedulerd/snapshotwriter.go
@@ -1,6 +1,10 @@
 package schedulerd
 
-import "sync"
+import (
+	"sync"
+
+	"glenport/internal/statemachine"
+)
 
 // writerState is the state of a snapshot writer.
 type writerState string
@@ -24,7 +28,7 @@
 )
 
 // writerTransitions is the table of the package comment.
-var writerTransitions = transitionTable[writerState, writerEvent]{
+var writerTransitions = statemachine.Table[writerState, writerEvent]{
 	writerSaved:    {writeStarted: writerSaving},
 	writerSaving:   {writeSucceeded: writerSaved, writeFailed: writerFailed},
 	writerFailed:   {writeStarted: writerRetrying},
@@ -41,9 +45,7 @@
 
 // transition is the one place where the state of a snapshot writer changes.
 func (w *snapshotWriter) transition(event writerEvent) bool {
-	next, err := writerTransitions.next("snapshot writer", w.state, event)
-	w.state = next
-	return w.transitionMade(err)
+	return w.transitionMade(writerTransitions.Apply("snapshot writer", &w.state, event))
 }
 
 func (w *snapshotWriter) busy() bool { return w.state == writerSaving || w.state == writerRetrying }
--- a/internal/schedulerd/storestate.go
+++ b/internal/schedulerd/storestate.go
@@ -1,5 +1,7 @@
 package schedulerd
 
+import "glenport/internal/statemachine"
+
 // storeState is the state of a state store.
 type storeState string
 
@@ -22,7 +24,7 @@
 )
 
 // storeTransitions is the table of the package comment.
-var storeTransitions = transitionTable[storeState, storeEvent]{
+var storeTransitions = statemachine.Table[storeState, storeEvent]{
 	storeLoading: {
 		storeFolderLoaded: storeLoaded,
 	},
@@ -37,7 +39,5 @@
 
 // transition is the one place where the state of a state store changes.
 func (st *stateStore) transition(event storeEvent) bool {
-	next, err := storeTransitions.next("state store", st.state, event)
-	st.state = next
-	return st.transitionMade(err)
+	return st.transitionMade(storeTransitions.Apply("state store", &st.state, event))
 }
--- a/internal/schedulerd/transition_test.go
+++ b/internal/schedulerd/transition_test.go
@@ -3,67 +3,32 @@
 import (
 	"errors"
 	"log/slog"
-	"maps"
-	"os"
-	"regexp"
-	"slices"
-	"strings"
 	"testing"
-)
 
-// rows are the lines of a table: state, event and next state.
-func rows[State, Event ~string](table transitionTable[State, Event]) (all []string) {
-	for state, events := range table {
-		for event, next := range events {
-			all = append(all, strings.Join([]string{string(state), string(event), string(next)}, " | "))
-		}
-	}
-	return all
-}
+	"glenport/internal/statemachine"
+	"glenport/internal/statemachine/statemachinetest"
+)
 
-// documentedRows are the lines of the tables in the package comment, by the heading above the table.
-func documentedRows(t *testing.T) map[string][]string {
-	t.Helper()
-	text, err := os.ReadFile("doc.go")
-	if err != nil {
-		t.Fatal(err)
-	}
-	spaces := regexp.MustCompile(` +`)
-	documented, heading := map[string][]string{}, ""
-	for line := range strings.Lines(string(text)) {
-		line = spaces.ReplaceAllString(strings.TrimSpace(line), " ")
-		row, isRow := strings.CutPrefix(line, "//\t| ")
-		switch {
-		case isRow && !strings.HasPrefix(row, "state |"):
-			documented[heading] = append(documented[heading], strings.TrimSuffix(row, " |"))
-		case strings.HasPrefix(line, "// "):
-			heading, _, _ = strings.Cut(strings.TrimSuffix(line[3:], ":"), ".")
-		}
-	}
-	return documented
+func TestPackageCommentListsEachTransition(t *testing.T) {
+	statemachinetest.CheckComment(t, statemachinetest.Machines{
+		"An attempt:":                  attemptTransitions,
+		"The connection of a machine.": machineConnTransitions,
+		"The connection of a client.":  clientTransitions,
+		"The server.":                  serverTransitions,
+		"The state store.":             storeTransitions,
+		"The snapshot writer:":         writerTransitions,
+	})
 }
 
-func TestPackageCommentListsEachTransition(t *testing.T) {
-	documented := documentedRows(t)
-	tables := map[string][]string{
-		"An attempt":                  rows(attemptTransitions),
-		"The connection of a machine": rows(machineConnTransitions),
-		"The connection of a client":  rows(clientTransitions),
-		"The server":                  rows(serverTransitions),
-		"The state store":             rows(storeTransitions),
-		"The snapshot writer":         rows(writerTransitions),
-	}
-	if got, want := slices.Sorted(maps.Keys(documented)), slices.Sorted(maps.Keys(tables)); !slices.Equal(got, want) {
-		t.Fatalf("tables of %q, want %q", got, want)
-	}
-	for name, want := range tables {
-		got := documented[name]
-		slices.Sort(got)
-		slices.Sort(want)
-		if !slices.Equal(got, want) {
-			t.Errorf("%s: the comment lists\n%s\nthe code\n%s", name, strings.Join(got, "\n"), strings.Join(want, "\n"))
-		}
-	}
+func TestPageShowsEachTransition(t *testing.T) {
+	statemachinetest.CheckPage(t, "Scheduler process", map[string]statemachinetest.Shown{
+		"Attempt":            statemachinetest.Begin(attemptTransitions, attemptQueued, attemptRunning),
+		"Machine connection": statemachinetest.Begin(machineConnTransitions, machineDisconnected),
+		"Client connection":  statemachinetest.Begin(clientTransitions, clientAwaitingHello),
+		"Server":             statemachinetest.Begin(serverTransitions, serverCreated),
+		"State store":        statemachinetest.Begin(storeTransitions, storeLoading),
+		"Snapshot writer":    statemachinetest.Begin(writerTransitions, writerSaved),
+	})
 }
 
 func TestIllegalTransitionIsLoggedAndChangesNothing(t *testing.T) {
@@ -89,8 +54,8 @@
 			if tc.happens() || tc.state() != before {
 				t.Errorf("from %q to %q", before, tc.state())
 			}
-			var illegal *TransitionError
-			if !errors.As(logged, &illegal) || illegal.Subject != tc.subject || illegal.State != before {
+			var illegal *statemachine.TransitionError
+			if !errors.As(logged, &illegal) || illegal.Subject != tc.subject || illegal.From != before {
 				t.Errorf("logged %v", logged)
 			}
 		})
--- /dev/null
+++ b/internal/statemachine/statemachinetest/statemachinetest.go
@@ -0,0 +1,144 @@
+// Package statemachinetest compares the state machines of a package with what its comment and docs/state-machines.md
+// say of them. Only tests import it.
+package statemachinetest
+
+import (
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+
+	"glenport/internal/statemachine"
+)
+
+// Machines are state machines by how the paragraph above their table in the package comment begins.
+type Machines map[string]statemachine.Machine
+
+// CheckComment compares the tables in doc.go of the package under test with the machines of the code. There must be a
+// table for each machine, and no other.
+func CheckComment(t *testing.T, machines Machines) {
+	t.Helper()
+	tables := CommentTables(t)
+	if len(tables) != len(machines) {
+		t.Errorf("doc.go has %d tables of states, want %d", len(tables), len(machines))
+	}
+	for start, machine := range machines {
+		i := slices.IndexFunc(tables, func(c CommentTable) bool { return strings.HasPrefix(c.Paragraph, start) })
+		if i < 0 {
+			t.Errorf("doc.go lacks the table below %q:\n%s", start, statemachine.Markdown(machine))
+			continue
+		}
+		tables[i].check(t, machine)
+	}
+}
+
+// Shown is a machine as docs/state-machines.md shows it.
+type Shown struct {
+	machine statemachine.Machine
+	diagram string
+}
+
+// Begin says in which states a machine that the page shows may begin.
+func Begin[State any](machine statemachine.Machine, initial ...State) Shown {
+	return Shown{machine, statemachine.Diagram(machine, initial...)}
+}
+
+// CheckPage compares a chapter of docs/state-machines.md with the machines of the code, which are given by the heading
+// of their section: the diagram, and the table where there is one. Arrows of Successors, which have no events, may be
+// labelled freely. There must be a section for each machine, and no other.
+func CheckPage(t *testing.T, chapter string, machines map[string]Shown) {
+	t.Helper()
+	sections := readChapter(t, chapter)
+	for heading := range sections {
+		if _, known := machines[heading]; !known {
+			t.Errorf("%s, %s: the code has no machine for the section %q", page, chapter, heading)
+		}
+	}
+	for heading, shown := range machines {
+		shown.check(t, chapter+", "+heading, sections[heading])
+	}
+}
+
+func (s Shown) check(t *testing.T, heading string, text section) {
+	t.Helper()
+	got := text.diagram()
+	if !s.hasEvents() {
+		got = arrowLabel.ReplaceAllString(got, "")
+	}
+	if got != s.diagram {
+		t.Errorf("%s, %s: the diagram is\n%s\nthe code has\n%s", page, heading, got, s.diagram)
+	}
+	if got, want := text.table(), statemachine.Markdown(s.machine); got != "" && got != want {
+		t.Errorf("%s, %s: the table is\n%s\nthe code has\n%s", page, heading, got, want)
+	}
+}
+
+func (s Shown) hasEvents() bool { return s.machine.Transitions()[0].Event != "" }
+
+const page = "docs/state-machines.md"
+
+// section is the text of the page below a heading of the third level.
+type section string
+
+// readChapter returns the sections below a heading of the second level by their own heading.
+func readChapter(t *testing.T, chapter string) map[string]section {
+	t.Helper()
+	_, rest, found := strings.Cut(read(t, filepath.Join(repositoryRoot(t), page)), "\n## "+chapter+"\n")
+	if !found {
+		t.Fatalf("%s lacks the heading %q", page, chapter)
+	}
+	text, _, _ := strings.Cut(rest, "\n## ")
+	sections := map[string]section{}
+	for _, part := range strings.Split(text, "\n### ")[1:] {
+		heading, body, _ := strings.Cut(part, "\n")
+		sections[heading] = section(body)
+	}
+	return sections
+}
+
+// diagram is the first mermaid diagram of a section.
+func (s section) diagram() string {
+	_, rest, _ := strings.Cut(string(s), "```mermaid\n")
+	text, _, _ := strings.Cut(rest, "\n```")
+	return text
+}
+
+var arrowLabel = regexp.MustCompile(`(?m): .*$`)
+
+// table is the lines of a section that belong to a table.
+func (s section) table() string {
+	var rows []string
+	for line := range strings.SplitSeq(string(s), "\n") {
+		if strings.HasPrefix(line, "|") {
+			rows = append(rows, line)
+		}
+	}
+	return strings.Join(rows, "\n")
+}
+
+func repositoryRoot(t *testing.T) string {
+	t.Helper()
+	folder, err := os.Getwd()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for ; ; folder = filepath.Dir(folder) {
+		if _, err := os.Stat(filepath.Join(folder, "go.mod")); err == nil {
+			return folder
+		}
+		if folder == filepath.Dir(folder) {
+			t.Fatal("no go.mod above the package")
+		}
+	}
+}
+
+func read(t *testing.T, path string) string {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
--- a/internal/testbed/emulator/bgp_peer.go
+++ b/internal/testbed/emulator/bgp_peer.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"glenport/internal/bgp/wire"
+	"glenport/internal/statemachine"
 	"glenport/internal/testbed/loopback"
 )
 
@@ -31,7 +32,7 @@
 
 // A speaker may open a session before the end of the one before is seen: the later one replaces it. The session that a
 // peer has when it is closed ends after that.
-var peerTransitions = transitionTable[peerState, peerEvent]{
+var peerTransitions = statemachine.Table[peerState, peerEvent]{
 	peerListening:   {sessionEstablished: peerEstablished, peerWasClosed: peerClosed},
 	peerEstablished: {sessionEstablished: peerEstablished, sessionEnded: peerListening, peerWasClosed: peerClosed},
 	peerClosed:      {sessionEnded: peerClosed, peerWasClosed: peerClosed},
@@ -50,7 +51,7 @@
 	background sync.WaitGroup
 
 	mu         sync.Mutex // guards what follows
-	state      stateMachine[peerState, peerEvent]
+	state      stateful[peerState, peerEvent]
 	conn       net.Conn // of the session; nil without one
 	routes     routeTable
 	stats      BGPPeerStats
@@ -80,7 +81,7 @@
 		return "", fmt.Errorf("BGP peer: %w", err)
 	}
 	addr = p.listener.Addr().String()
-	p.state = stateMachine[peerState, peerEvent]{"BGP peer " + addr, peerTransitions, peerListening}
+	p.state = stateful[peerState, peerEvent]{"BGP peer " + addr, peerTransitions, peerListening}
 	p.routes = newRouteTable(p.RecordChanges)
 	p.background.Go(func() {
 		loopback.AcceptAll(p.listener, func(conn net.Conn) { p.background.Go(func() { p.serve(conn) }) })
--- a/internal/testbed/emulator/bgp_session.go
+++ b/internal/testbed/emulator/bgp_session.go
@@ -69,7 +69,7 @@
 	return open
 }
 
-// establish makes a session the current one. A peer that has closed refuses it by a *TransitionError.
+// establish makes a session the current one. A peer that has closed refuses it by a *statemachine.TransitionError.
 func (p *BGPPeer) establish(conn net.Conn) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/emulator/container.go
+++ b/internal/testbed/emulator/container.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/statemachine"
 )
 
 // containerState is a state of a container on a machine.
@@ -25,7 +26,7 @@
 	containerGone  containerEvent = "ended"
 )
 
-var containerTransitions = transitionTable[containerState, containerEvent]{
+var containerTransitions = statemachine.Table[containerState, containerEvent]{
 	containerOffered:  {offerAccepted: containerAccepted, containerGone: containerEnded},
 	containerAccepted: {startCompleted: containerRunning, containerGone: containerEnded},
 	containerRunning:  {containerGone: containerEnded},
@@ -41,7 +42,7 @@
 
 // container is one container on a machine, from its offer to its end.
 type container struct {
-	stateMachine[containerState, containerEvent]
+	stateful[containerState, containerEvent]
 	key       attemptKey
 	spec      protocol.ContainerSpec
 	deadline  time.Time // by which it must run, or the attempt lapses
@@ -50,7 +51,7 @@
 
 func newContainer(key attemptKey, offer *protocol.Offer, memoryUse float64) *container {
 	return &container{
-		stateMachine: stateMachine[containerState, containerEvent]{
+		stateful: stateful[containerState, containerEvent]{
 			"container " + offer.Spec.ContainerID, containerTransitions, containerOffered,
 		},
 		key:       key,
--- a/internal/testbed/emulator/doc.go
+++ b/internal/testbed/emulator/doc.go
@@ -6,7 +6,7 @@
 // connections, the admission of offers, the runtime of containers, slow start, and the behavior that faults change.
 //
 // What has a state changes it by the tables below, each row a state, an event and the state that follows. Any other
-// event is illegal in that state: it is reported by a *TransitionError and changes nothing.
+// event is illegal in that state: it is reported by a *statemachine.TransitionError and changes nothing.
 //
 // Task loop of a machine:
 //
--- a/internal/testbed/emulator/lifecycle.go
+++ b/internal/testbed/emulator/lifecycle.go
@@ -1,6 +1,10 @@
 package emulator
 
-import "time"
+import (
+	"time"
+
+	"glenport/internal/statemachine"
+)
 
 // machineState is a state of a machine.
 type machineState string
@@ -26,7 +30,7 @@
 )
 
 // A machine that is down forgets that it drains: it serves once it has started.
-var machineTransitions = transitionTable[machineState, machineEvent]{
+var machineTransitions = statemachine.Table[machineState, machineEvent]{
 	machineStopped: {
 		machineStarted:      machineServing,
 		drainRequested:      machineStopped,
@@ -53,14 +57,14 @@
 
 // lifecycle is whether a machine is up and takes offers, and since when.
 type lifecycle struct {
-	stateMachine[machineState, machineEvent]
+	stateful[machineState, machineEvent]
 	incarnation uint64
 	startedAt   time.Time
 }
 
 func newLifecycle(name string) lifecycle {
 	return lifecycle{
-		stateMachine: stateMachine[machineState, machineEvent]{"machine " + name, machineTransitions, machineStopped},
+		stateful: stateful[machineState, machineEvent]{"machine " + name, machineTransitions, machineStopped},
 	}
 }
 
--- a/internal/testbed/emulator/task_loop.go
+++ b/internal/testbed/emulator/task_loop.go
@@ -3,6 +3,8 @@
 import (
 	"sync"
 	"time"
+
+	"glenport/internal/statemachine"
 )
 
 // loopState is a state of a task loop.
@@ -25,7 +27,7 @@
 )
 
 // A fault may end after the machine that it befell has closed, so freezing and thawing are legal to the end.
-var loopTransitions = transitionTable[loopState, loopEvent]{
+var loopTransitions = statemachine.Table[loopState, loopEvent]{
 	loopRunning: {
 		taskPosted: loopRunning, loopWasFrozen: loopFrozen, loopWasThawed: loopRunning, loopWasClosed: loopClosed,
 	},
@@ -46,14 +48,14 @@
 
 	mu    sync.Mutex // guards what follows
 	wake  *sync.Cond
-	state stateMachine[loopState, loopEvent]
+	state stateful[loopState, loopEvent]
 	tasks []func()
 }
 
 func newTaskLoop(name string) *taskLoop {
 	l := &taskLoop{
 		ended: make(chan struct{}),
-		state: stateMachine[loopState, loopEvent]{"task loop of " + name, loopTransitions, loopRunning},
+		state: stateful[loopState, loopEvent]{"task loop of " + name, loopTransitions, loopRunning},
 	}
 	l.wake = sync.NewCond(&l.mu)
 	return l
@@ -86,7 +88,7 @@
 	return task
 }
 
-// post adds a task. A closed loop takes none and returns a *TransitionError.
+// post adds a task. A closed loop takes none and returns a *statemachine.TransitionError.
 func (l *taskLoop) post(task func()) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,7 +101,7 @@
 }
 
 // runAndWait adds a task and returns when it has run. Where the loop is closed before that, it returns a
-// *TransitionError.
+// *statemachine.TransitionError.
 func (l *taskLoop) runAndWait(task func()) error {
 	done := make(chan struct{})
 	err := l.post(func() {
--- a/internal/testbed/emulator/transitions.go
+++ b/internal/testbed/emulator/transitions.go
@@ -1,44 +1,26 @@
 package emulator
 
 import (
-	"fmt"
 	"log/slog"
-)
-
-// TransitionError reports an event that is illegal in the state in which it came. The state stays as it was.
-type TransitionError struct {
-	Subject string // what has the state
-	State   string
-	Event   string
-}
 
-func (e *TransitionError) Error() string {
-	return fmt.Sprintf("%s: the event %q is illegal in the state %q", e.Subject, e.Event, e.State)
-}
-
-// transitionTable has, by state, the events that are legal in it and the state that follows each.
-type transitionTable[S, E ~string] map[S]map[E]S
+	"glenport/internal/statemachine"
+)
 
-// stateMachine is the state of one subject.
-type stateMachine[S, E ~string] struct {
-	subject string
-	table   transitionTable[S, E]
-	state   S
+// stateful is the state of one subject.
+type stateful[State, Event ~string] struct {
+	subject any // its name, boxed once
+	table   statemachine.Table[State, Event]
+	state   State
 }
 
-// apply is the only place in which a state changes. The error is a *TransitionError.
-func (m *stateMachine[S, E]) apply(event E) error {
-	next, legal := m.table[m.state][event]
-	if !legal {
-		return &TransitionError{Subject: m.subject, State: string(m.state), Event: string(event)}
-	}
-	m.state = next
-	return nil
+// apply is the only place in which a state changes. The error is a *statemachine.TransitionError.
+func (s *stateful[State, Event]) apply(event Event) error {
+	return s.table.Apply(s.subject, &s.state, event)
 }
 
 // applyOrLog is apply for an event whose source expects no answer.
-func (m *stateMachine[S, E]) applyOrLog(event E) {
-	if err := m.apply(event); err != nil {
+func (s *stateful[State, Event]) applyOrLog(event Event) {
+	if err := s.apply(event); err != nil {
 		slog.Error("illegal transition in the emulator", "error", err)
 	}
 }
--- a/internal/testbed/emulator/transitions_test.go
+++ b/internal/testbed/emulator/transitions_test.go
@@ -1,46 +1,56 @@
 package emulator
 
 import (
-	"cmp"
 	"errors"
 	"fmt"
-	"os"
-	"slices"
-	"strings"
 	"testing"
+
+	"glenport/internal/statemachine"
+	"glenport/internal/statemachine/statemachinetest"
 )
 
-// checkTransitions applies each event in each state: the legal ones lead where the table of the package's doc comment
-// says, the others are a *TransitionError and leave the state as it was.
-func checkTransitions[S, E ~string](t *testing.T, title string, table transitionTable[S, E], events ...E) {
+// checkTransitions applies each event in each state: the legal ones lead where the table says, the others are a
+// *statemachine.TransitionError and leave the state as it was.
+func checkTransitions[S, E ~string](t *testing.T, subject string, table statemachine.Table[S, E], events ...E) {
 	t.Helper()
-	var rows []string
+	listed := map[E]bool{}
 	for state := range table {
 		for _, event := range events {
-			m := stateMachine[S, E]{subject: title, table: table, state: state}
-			err := m.apply(event)
-			var illegal *TransitionError
-			switch next, legal := table[state][event]; {
-			case legal:
-				rows = append(rows, fmt.Sprintf("//\t| %-11s | %-20s | %-11s |\n", state, event, next))
-				if _, known := table[next]; err != nil || m.state != next || !known {
-					t.Errorf("%s while %s leads to %s, %v", event, state, m.state, err)
-				}
-			case !errors.As(err, &illegal) || *illegal != TransitionError{title, string(state), string(event)}:
-				t.Errorf("%s while %s: %v", event, state, err)
-			case m.state != state:
-				t.Errorf("%s while %s is illegal and leads to %s", event, state, m.state)
-			}
+			checkTransition(t, stateful[S, E]{subject: subject, table: table, state: state}, event)
+		}
+		for event := range table[state] {
+			listed[event] = true
+		}
+	}
+	if len(listed) != len(events) {
+		t.Errorf("the table has %d events, of which %d are tested", len(listed), len(events))
+	}
+}
+
+func checkTransition[S, E ~string](t *testing.T, m stateful[S, E], event E) {
+	t.Helper()
+	before := m.state
+	err := m.apply(event)
+	if next, legal := m.table[before][event]; legal {
+		if _, known := m.table[next]; err != nil || m.state != next || !known {
+			t.Errorf("%s while %s leads to %s, %v", event, before, m.state, err)
 		}
+		return
 	}
-	slices.SortFunc(rows, cmp.Compare[string])
-	want := "//\n// " + title + ":\n//\n" + strings.Join(rows, "")
-	if doc, err := os.ReadFile("doc.go"); err != nil || !strings.Contains(string(doc), want) {
-		t.Errorf("doc.go (%v) lacks\n%s", err, want)
+	want := statemachine.TransitionError{Subject: fmt.Sprint(m.subject), From: string(before), Event: string(event)}
+	illegal, ok := errors.AsType[*statemachine.TransitionError](err)
+	if !ok || *illegal != want || m.state != before {
+		t.Errorf("%s while %s is illegal and leads to %s, %v", event, before, m.state, err)
 	}
 }
 
 func TestTransitionsAreThoseOfTheDocComment(t *testing.T) {
+	statemachinetest.CheckComment(t, statemachinetest.Machines{
+		"Task loop of a machine:": loopTransitions,
+		"Machine:":                machineTransitions,
+		"Container:":              containerTransitions,
+		"BGP peer:":               peerTransitions,
+	})
 	t.Run("task loop", func(t *testing.T) {
 		checkTransitions(t, "Task loop of a machine", loopTransitions,
 			taskPosted, loopWasFrozen, loopWasThawed, loopWasClosed)
@@ -57,6 +67,15 @@
 	})
 }
 
+func TestPageShowsEachTransition(t *testing.T) {
+	statemachinetest.CheckPage(t, "Test bed", map[string]statemachinetest.Shown{
+		"Emulated machine": statemachinetest.Begin(machineTransitions, machineStopped),
+		"Task loop":        statemachinetest.Begin(loopTransitions, loopRunning),
+		"Container":        statemachinetest.Begin(containerTransitions, containerOffered),
+		"BGP peer":         statemachinetest.Begin(peerTransitions, peerListening),
+	})
+}
+
 func TestMachineIsStartedCrashedAndClosed(t *testing.T) {
 	m := NewMachine(MachineSpec{Name: "m"}, &DedupGroup{}, 1)
 	for range 2 { // a machine that is up stays as it is
@@ -85,8 +104,8 @@
 	}
 	m.Close()
 	m.Close() // changes nothing
-	var illegal *TransitionError
-	if err := m.Start(StartCold); !errors.As(err, &illegal) || illegal.State != string(loopClosed) {
+	var illegal *statemachine.TransitionError
+	if err := m.Start(StartCold); !errors.As(err, &illegal) || illegal.From != string(loopClosed) {
 		t.Errorf("a closed machine is started: %v", err)
 	}
 }
