--- a/internal/bgp/announce/route_test.go
+++ b/internal/bgp/announce/route_test.go
@@ -2,36 +2,38 @@
 
 import (
 	"errors"
-	"maps"
-	"regexp"
 	"testing"
 
+	"glenport/internal/statemachine"
+	"glenport/internal/statemachine/statemachinetest"
 	"glenport/internal/testutil"
 )
 
-var tableRow = regexp.MustCompile(`(?m)^//\t(\S+) {2,}(\S+) {2,}(\S+) {2,}\S`)
-
 func TestRouteStatesFollowAsTheTableSays(t *testing.T) {
-	doc := testutil.ReadFile(t, "doc.go")
-	want, got := map[string]string{}, map[string]string{}
-	for _, row := range tableRow.FindAllStringSubmatch(string(doc), -1)[1:] { // without its head
-		want[row[1]+" "+row[2]] = row[3]
-	}
+	statemachinetest.CheckComment(t, statemachinetest.Machines{"An [Announcer] holds a service": routeTransitions})
 	for state := routeWithdrawn; state <= changePending; state++ {
 		for event := changeSettled; event <= addressMoved; event++ {
 			r := route{state: state}
 			err := r.transition(event)
-			if err == nil {
-				got[state.String()+" "+event.String()] = r.state.String()
+			if next, legal := routeTransitions[state][event]; legal {
+				if err != nil || r.state != next {
+					t.Errorf("%s, %s: %s, %v, want %s", state, event, r.state, err, next)
+				}
 				continue
 			}
-			var illegal *TransitionError
-			if !errors.As(err, &illegal) || *illegal != (TransitionError{state, event}) || r.state != state {
-				t.Errorf("%s, %s: %s, %v", state, event, r.state, err)
+			want := statemachine.TransitionError{
+				Subject: "announced route", From: state.String(), Event: event.String(),
 			}
+			illegal, ok := errors.AsType[*statemachine.TransitionError](err)
+			testutil.Expect(t, ok && *illegal == want && r.state == state, "%s, %s: %s, %v", state, event, r.state, err)
 		}
 	}
-	testutil.Expect(t, maps.Equal(got, want), "transitions are %v, documented %v", got, want)
+}
+
+func TestPageShowsEachTransition(t *testing.T) {
+	statemachinetest.CheckPage(t, "BGP announcements", map[string]statemachinetest.Shown{
+		"Announced route": statemachinetest.Begin(routeTransitions, routeWithdrawn),
+	})
 }
 
 func TestIllegalTransitionOfARouteIsLogged(t *testing.T) {
--- a/internal/platform/connmanager/golden_test.go
+++ b/internal/platform/connmanager/golden_test.go
@@ -200,8 +200,8 @@
 }
 
 func shutdown(d *digest) {
-	const tenth = Second / 10
-	for _, longest := range []Time{0, 1, tenth, Second / 2, 7 * tenth, Second, 3 * Second, 6 * Second, 60 * Second} {
+	deadlines := []Time{0, 1, Second / 10, Second / 2, 7 * Second / 10, Second, 3 * Second, 6 * Second, 60 * Second}
+	for _, longest := range deadlines {
 		for since := Time(0); since <= 5*Second; since += Second / 20 {
 			for _, at := range []Time{since - 1, since, since + 1} {
 				d.Value(ShouldKeepDraining(at, 0, longest))
--- a/internal/schedulerd/helpers_test.go
+++ b/internal/schedulerd/helpers_test.go
@@ -13,6 +13,7 @@
 	"glenport/internal/config"
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
+	"glenport/internal/statemachine"
 	"glenport/internal/testutil"
 	"glenport/scheduler"
 
@@ -46,7 +47,7 @@
 // Handle implements slog.Handler.
 func (l *transitionLog) Handle(_ context.Context, record slog.Record) error {
 	record.Attrs(func(attribute slog.Attr) bool {
-		if err, ok := errors.AsType[*TransitionError](errorOf(attribute)); ok {
+		if err, ok := errors.AsType[*statemachine.TransitionError](errorOf(attribute)); ok {
 			l.illegal(err)
 		}
 		return true
@@ -117,7 +118,9 @@
 	return <-result
 }
 
-func runOnLoop(server *Server, f func()) { onLoop(server, func() struct{} { f(); return struct{}{} }) }
+func runOnLoop(server *Server, f func()) {
+	onLoop(server, func() struct{} { f(); return struct{}{} })
+}
 
 // eventually waits for a condition that the loop of the server evaluates every millisecond.
 func eventually(t *testing.T, server *Server, condition func() bool) {
