--- a/cmd/glenport/golden_test.go
+++ b/cmd/glenport/golden_test.go
@@ -32,24 +32,11 @@
 // fakeScheduler answers each client with frames that cover every form of output. Its hello has a role, wrong or right.
 func fakeScheduler(t *testing.T, role protocol.Role) string {
 	t.Helper()
-	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	testutil.NoError(t, err)
-	t.Cleanup(func() { _ = listener.Close() }) // the test is over
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go serveClient(conn, role)
-		}
-	}()
-	return listener.Addr().String()
+	return testutil.ServeUntilEnd(t, func(conn net.Conn) { serveClient(conn, role) })
 }
 
 // serveClient answers until the client leaves, or asks for a service that has no reply.
 func serveClient(conn net.Conn, role protocol.Role) {
-	defer func() { _ = conn.Close() }() // the client has left
 	for {
 		frame, err := protocol.ReadFrame(conn, protocol.MaxFrame)
 		if err != nil {
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -14,14 +14,14 @@
 
 func TestEchoedBytesAreCompleteAndInOrder(t *testing.T) {
 	l, handler := runLoop(t, func() {}), newEcho(t)
-	peer := dial(t, listen(t, l, handler, 1<<20, nil))
+	peer := testutil.Dial(t, listen(t, l, handler, 1<<20, nil))
 	sent := bytes.Repeat([]byte("container "), 50_000)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		_, err := peer.Write(sent)
-		check(t, err)
-		check(t, peer.CloseWrite())
+		testutil.ExpectNoError(t, err)
+		testutil.ExpectNoError(t, peer.CloseWrite())
 	}()
 	got, err := io.ReadAll(peer)
 	testutil.Expect(t, err == nil && bytes.Equal(got, sent), "%d of %d bytes came back, %v", len(got), len(sent), err)
@@ -37,17 +37,17 @@
 }{
 	{"peer closes", func(t *testing.T, _ *Loop, _ *Conn, peer *net.TCPConn) {
 		t.Helper()
-		check(t, peer.Close())
+		testutil.ExpectNoError(t, peer.Close())
 	}, io.EOF},
 	{"peer resets", func(t *testing.T, _ *Loop, _ *Conn, peer *net.TCPConn) {
 		t.Helper()
-		check(t, peer.SetLinger(0))
-		check(t, peer.Close())
+		testutil.ExpectNoError(t, peer.SetLinger(0))
+		testutil.ExpectNoError(t, peer.Close())
 	}, ErrReset},
 	{"closed locally after the last byte", func(t *testing.T, l *Loop, c *Conn, peer *net.TCPConn) {
 		t.Helper()
 		l.Post(func() {
-			check(t, c.Write([]byte("last")))
+			testutil.ExpectNoError(t, c.Write([]byte("last")))
 			c.Close()
 		})
 		expectEnd(t, peer, "last")
@@ -63,7 +63,7 @@
 		t.Helper()
 		l.Post(c.CloseWrite)
 		expectEnd(t, peer, "")
-		check(t, peer.Close())
+		testutil.ExpectNoError(t, peer.Close())
 	}, io.EOF},
 }
 
@@ -79,9 +79,9 @@
 	for _, tc := range connectionEnds {
 		t.Run(tc.name, func(t *testing.T) {
 			l, handler := runLoop(t, func() {}), newProbe()
-			peer := dial(t, listen(t, l, handler, 1<<20, nil))
-			tc.end(t, l, wait(t, handler.opened), peer)
-			if reason := wait(t, handler.closed); !errors.Is(reason, tc.want) {
+			peer := testutil.Dial(t, listen(t, l, handler, 1<<20, nil))
+			tc.end(t, l, testutil.Receive(t, handler.opened), peer)
+			if reason := testutil.Receive(t, handler.closed); !errors.Is(reason, tc.want) {
 				t.Errorf("closed by %v, want %v", reason, tc.want)
 			}
 			if n := call(l, func() int { l.SkipWait(); return len(handler.closed) }); n != 0 {
@@ -96,8 +96,8 @@
 
 func TestPeerThatReadsNothingFillsOnlyItsOwnOutput(t *testing.T) {
 	l, stuck := runLoop(t, func() {}), newProbe()
-	dial(t, listen(t, l, stuck, 1<<20, nil))
-	c := wait(t, stuck.opened)
+	testutil.Dial(t, listen(t, l, stuck, 1<<20, nil))
+	c := testutil.Receive(t, stuck.opened)
 	taken := call(l, func() int {
 		n := 0
 		for c.Write(make([]byte, 64<<10)) == nil {
@@ -106,9 +106,9 @@
 		return n
 	})
 	testutil.Expect(t, taken == 16, "%d writes taken, want 16", taken)
-	peer := dial(t, listen(t, l, newEcho(t), 1<<20, nil))
+	peer := testutil.Dial(t, listen(t, l, newEcho(t), 1<<20, nil))
 	_, err := peer.Write([]byte("ping"))
-	check(t, err)
+	testutil.ExpectNoError(t, err)
 	got := make([]byte, 4)
 	if _, err := io.ReadFull(peer, got); err != nil || string(got) != "ping" {
 		t.Errorf("%q, %v", got, err)
@@ -118,10 +118,10 @@
 func TestOutputThatThePeerDidNotTakeFollowsOnceItReads(t *testing.T) {
 	const size = 16 << 20 // more than the kernel buffers for a connection
 	l, handler := runLoop(t, func() {}), newProbe()
-	peer := dial(t, listen(t, l, handler, size, nil))
-	check(t, peer.SetReadDeadline(time.Now().Add(20*time.Second)))
-	c := wait(t, handler.opened)
-	do(l, func() { check(t, c.Write(make([]byte, size))) })
+	peer := testutil.Dial(t, listen(t, l, handler, size, nil))
+	testutil.ExpectNoError(t, peer.SetReadDeadline(time.Now().Add(20*time.Second)))
+	c := testutil.Receive(t, handler.opened)
+	do(l, func() { testutil.ExpectNoError(t, c.Write(make([]byte, size))) })
 	do(l, func() { // in the iteration after the flush
 		if _, written := c.BytesTransferred(); !c.WriteBlocked() || written+c.PendingOutput() != size {
 			t.Errorf("blocked %t, %d bytes written, %d pending", c.WriteBlocked(), written, c.PendingOutput())
@@ -170,14 +170,14 @@
 					first = iteration
 				}
 			}
-			peer := dial(t, listen(t, l, handler, 32<<20, nil))
-			c := wait(t, handler.opened)
+			peer := testutil.Dial(t, listen(t, l, handler, 32<<20, nil))
+			c := testutil.Receive(t, handler.opened)
 			do(l, func() { tc.prepare(c) })
 			do(l, func() { // the loop reads nothing until all is sent
-				check(t, peer.SetReadBuffer(1<<10))
+				testutil.ExpectNoError(t, peer.SetReadBuffer(1<<10))
 				_, err := peer.Write(make([]byte, tc.sent))
-				check(t, err)
-				check(t, peer.CloseWrite())
+				testutil.ExpectNoError(t, err)
+				testutil.ExpectNoError(t, peer.CloseWrite())
 			})
 			closedByEOF(t, handler.probe)
 			do(l, func() {
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -14,8 +14,8 @@
 func fullBacklog(t *testing.T, l *Loop) string {
 	t.Helper()
 	fd := newSocket(t)
-	check(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
-	check(t, syscall.Listen(fd, 0))
+	testutil.ExpectNoError(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
+	testutil.ExpectNoError(t, syscall.Listen(fd, 0))
 	bound, err := syscall.Getsockname(fd)
 	testutil.NoError(t, err)
 	addr := (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: bound.(*syscall.SockaddrInet4).Port}).String()
@@ -28,9 +28,8 @@
 // unusedAddr is an address at which nothing listens.
 func unusedAddr(t *testing.T) string {
 	t.Helper()
-	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	testutil.NoError(t, err)
-	check(t, ln.Close())
+	ln := testutil.Listen(t)
+	testutil.ExpectNoError(t, ln.Close())
 	return ln.Addr().String()
 }
 
@@ -48,7 +47,7 @@
 				}
 				testutil.Expect(t, len(handler.closed) == 0, "closed is reported before Dial returned")
 			})
-			if reason := wait(t, handler.closed); !errors.Is(reason, ErrConnectFailed) {
+			if reason := testutil.Receive(t, handler.closed); !errors.Is(reason, ErrConnectFailed) {
 				t.Errorf("closed by %v", reason)
 			}
 		})
@@ -61,11 +60,11 @@
 	addr := listen(t, l, newProbe(), 100, func(error) {})
 	restore := exhaustDescriptors(t)
 	do(l, func() { l.Dial(addr, handler, 100, Second) })
-	reason := wait(t, handler.closed)
+	reason := testutil.Receive(t, handler.closed)
 	restore()
 	if !errors.Is(reason, ErrLocalResources) || errors.Is(reason, ErrConnectFailed) {
 		t.Error(reason)
 	}
 	do(l, func() { l.Dial(addr, handler, 100, Second) })
-	wait(t, handler.opened)
+	testutil.Receive(t, handler.opened)
 }
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -7,7 +7,6 @@
 	"net"
 	"syscall"
 	"testing"
-	"time"
 
 	"glenport/internal/testutil"
 	_ "glenport/internal/testutil/fixedseed"
@@ -33,7 +32,7 @@
 func newEcho(t *testing.T) *probe {
 	t.Helper()
 	p := newProbe()
-	p.onRead = func(c *Conn, received []byte) { check(t, c.Write(received)) }
+	p.onRead = func(c *Conn, received []byte) { testutil.ExpectNoError(t, c.Write(received)) }
 	return p
 }
 
@@ -49,19 +48,13 @@
 
 func (p *probe) Closed(_ *Conn, reason error) { p.closed <- reason }
 
-// check reports an error of a step that has to succeed. Any goroutine may call it.
-func check(t *testing.T, err error) {
-	t.Helper()
-	testutil.ExpectNoError(t, err)
-}
-
 // isExactly reports whether an error is the wanted one itself, not wrapped.
 func isExactly(err, want error) bool { return errors.Is(err, want) && err.Error() == want.Error() }
 
 // closedByEOF expects io.EOF as the reason of the end.
 func closedByEOF(t *testing.T, p *probe) {
 	t.Helper()
-	if reason := wait(t, p.closed); !isExactly(reason, io.EOF) {
+	if reason := testutil.Receive(t, p.closed); !isExactly(reason, io.EOF) {
 		t.Errorf("closed by %v", reason)
 	}
 }
@@ -81,7 +74,7 @@
 	go func() { done <- l.Run() }()
 	t.Cleanup(func() {
 		l.Stop()
-		check(t, <-done)
+		testutil.ExpectNoError(t, <-done)
 	})
 	return l
 }
@@ -101,23 +94,12 @@
 	})
 }
 
-func wait[T any](t *testing.T, c <-chan T) T {
-	t.Helper()
-	select {
-	case v := <-c:
-		return v
-	case <-time.After(20 * time.Second):
-		t.Fatal("nothing came in 20 s")
-		panic("unreachable")
-	}
-}
-
 // listen opens a listener whose connections all have one handler, and returns its address.
 func listen(t *testing.T, l *Loop, handler Handler, maxOutput int, onAcceptState func(error)) string {
 	t.Helper()
 	ln := call(l, func() *Listener {
 		ln, err := l.Listen("127.0.0.1:0", func() (Handler, int) { return handler, maxOutput }, onAcceptState)
-		check(t, err)
+		testutil.ExpectNoError(t, err)
 		return ln
 	})
 	if ln == nil {
@@ -126,20 +108,12 @@
 	return ln.Addr().String()
 }
 
-func dial(t *testing.T, addr string) *net.TCPConn {
-	t.Helper()
-	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
-	testutil.NoError(t, err)
-	t.Cleanup(func() { _ = c.Close() }) // the test may have closed it
-	return c.(*net.TCPConn)
-}
-
 // newSocket creates a socket before descriptors run out; connectSocket can use it then.
 func newSocket(t *testing.T) int {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	testutil.NoError(t, err)
-	t.Cleanup(func() { check(t, syscall.Close(fd)) })
+	t.Cleanup(func() { testutil.ExpectNoError(t, syscall.Close(fd)) })
 	return fd
 }
 
@@ -147,7 +121,7 @@
 	t.Helper()
 	to, err := net.ResolveTCPAddr("tcp", addr)
 	testutil.NoError(t, err)
-	check(t, syscall.Connect(fd, &syscall.SockaddrInet4{Port: to.Port, Addr: [4]byte{127, 0, 0, 1}}))
+	testutil.ExpectNoError(t, syscall.Connect(fd, &syscall.SockaddrInet4{Port: to.Port, Addr: [4]byte{127, 0, 0, 1}}))
 }
 
 // exhaustDescriptors lowers the limit of the process to the descriptors in use, until restore is called or the test
@@ -158,8 +132,8 @@
 	testutil.NoError(t, syscall.Getrlimit(syscall.RLIMIT_NOFILE, &before))
 	lowestFree, err := syscall.Dup(0)
 	testutil.NoError(t, err)
-	check(t, syscall.Close(lowestFree))
-	restore = func() { check(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &before)) }
+	testutil.ExpectNoError(t, syscall.Close(lowestFree))
+	restore = func() { testutil.ExpectNoError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &before)) }
 	t.Cleanup(restore)
 	lowered := syscall.Rlimit{Cur: uint64(lowestFree), Max: before.Max}
 	testutil.NoError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &lowered))
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -15,8 +15,8 @@
 	loud, quiet := newProbe(), newProbe()
 	var loudIterations []int
 	loud.onRead = func(*Conn, []byte) { loudIterations = append(loudIterations, iteration) }
-	flood := dial(t, listen(t, l, loud, 1, nil))
-	whisper := dial(t, listen(t, l, quiet, 1, nil))
+	flood := testutil.Dial(t, listen(t, l, loud, 1, nil))
+	whisper := testutil.Dial(t, listen(t, l, quiet, 1, nil))
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -29,8 +29,8 @@
 	}()
 	for range 20 {
 		_, err := whisper.Write([]byte("x"))
-		check(t, err)
-		wait(t, quiet.read)
+		testutil.ExpectNoError(t, err)
+		testutil.Receive(t, quiet.read)
 	}
 	<-done
 	twice := call(l, func() int {
@@ -54,7 +54,7 @@
 		l.Cancel(l.After(10*Millisecond, func() { t.Error("a cancelled timer ran") }))
 		l.After(0, func() { fired <- 0 })
 	})
-	if first, second := wait(t, fired), wait(t, fired); first != 0 || second < 20*Millisecond {
+	if first, second := testutil.Receive(t, fired), testutil.Receive(t, fired); first != 0 || second < 20*Millisecond {
 		t.Errorf("fired after %d and %d", first, second)
 	}
 	l.Stop()
@@ -69,10 +69,10 @@
 	var peer net.Conn
 	send := func(text string) {
 		_, err := peer.Write([]byte(text))
-		check(t, err)
+		testutil.ExpectNoError(t, err)
 	}
 	handler.onRead = func(c *Conn, p []byte) {
-		check(t, c.Write(p))
+		testutil.ExpectNoError(t, c.Write(p))
 		c.SetReadPaused(true)
 		l.Post(func() {
 			send("unread")
@@ -83,8 +83,8 @@
 	testutil.NoError(t, err)
 	done := make(chan error, 1)
 	go func() { done <- l.Run() }()
-	peer = dial(t, ln.Addr().String())
-	wait(t, handler.opened)
+	peer = testutil.Dial(t, ln.Addr().String())
+	testutil.Receive(t, handler.opened)
 	l.Post(func() {
 		send("last") // not read in this iteration, after which the loop is to end
 		l.StopWhenIdle()
@@ -92,5 +92,5 @@
 	if got, err := io.ReadAll(peer); string(got) != "last" || err != nil {
 		t.Errorf("peer got %q, %v", got, err)
 	}
-	check(t, wait(t, done))
+	testutil.ExpectNoError(t, testutil.Receive(t, done))
 }
--- a/internal/eventloop/md5_test.go
+++ b/internal/eventloop/md5_test.go
@@ -5,6 +5,8 @@
 	"net/netip"
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 var loopback = netip.MustParseAddr("127.0.0.1")
@@ -46,7 +48,7 @@
 
 func expectConnectFailure(t *testing.T, dialer *probe) {
 	t.Helper()
-	if reason := wait(t, dialer.closed); !errors.Is(reason, ErrConnectFailed) {
+	if reason := testutil.Receive(t, dialer.closed); !errors.Is(reason, ErrConnectFailed) {
 		t.Errorf("closed by %v", reason)
 	}
 }
@@ -68,7 +70,7 @@
 				t.Skipf("not offered here: %v", refused)
 			}
 			if tc.connects {
-				wait(t, dialer.opened)
+				testutil.Receive(t, dialer.opened)
 			} else {
 				expectConnectFailure(t, dialer)
 			}
--- a/internal/eventloop/shortage_test.go
+++ b/internal/eventloop/shortage_test.go
@@ -9,12 +9,14 @@
 	"testing"
 
 	"golang.org/x/sys/unix"
+
+	"glenport/internal/testutil"
 )
 
 // dropSpare leaves the loop without its spare descriptor.
 func dropSpare(t *testing.T, l *Loop) {
 	t.Helper()
-	check(t, unix.Close(l.spareFD))
+	testutil.ExpectNoError(t, unix.Close(l.spareFD))
 	l.spareFD = -1
 }
 
@@ -22,25 +24,26 @@
 	l, handler := runLoop(t, func() {}), newEcho(t)
 	states := make(chan error, 100)
 	addr := listen(t, l, handler, 100, func(err error) { states <- err })
-	first, second := dial(t, addr), dial(t, addr)
-	wait(t, handler.opened)
-	wait(t, handler.opened)
+	first, second := testutil.Dial(t, addr), testutil.Dial(t, addr)
+	testutil.Receive(t, handler.opened)
+	testutil.Receive(t, handler.opened)
 	refused := newSocket(t)
 	exhaustDescriptors(t)
 	connectSocket(t, refused, addr)
-	if err := wait(t, states); !errors.Is(err, syscall.EMFILE) {
+	if err := testutil.Receive(t, states); !errors.Is(err, syscall.EMFILE) {
 		t.Errorf("refused by %v", err)
 	}
-	check(t, syscall.SetsockoptTimeval(refused, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &syscall.Timeval{Sec: 20}))
+	err := syscall.SetsockoptTimeval(refused, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &syscall.Timeval{Sec: 20})
+	testutil.ExpectNoError(t, err)
 	// By means of the spare descriptor the connection is closed, so the read ends well before its timeout.
 	if n, err := syscall.Read(refused, make([]byte, 1)); n > 0 || errors.Is(err, syscall.EAGAIN) {
 		t.Errorf("the refused connection reads %d bytes, %v", n, err)
 	}
 	for _, peer := range []net.Conn{first, second} {
 		_, err := peer.Write([]byte("x"))
-		check(t, err)
+		testutil.ExpectNoError(t, err)
 		_, err = io.ReadFull(peer, make([]byte, 1))
-		check(t, err)
+		testutil.ExpectNoError(t, err)
 	}
 }
 
@@ -95,17 +98,17 @@
 			waiting := newSocket(t)
 			failure := failAccepts(t, l, tc.err)
 			connectSocket(t, waiting, addr)
-			if err := wait(t, states); err == nil || tc.err != nil && !isExactly(err, tc.err) {
+			if err := testutil.Receive(t, states); err == nil || tc.err != nil && !isExactly(err, tc.err) {
 				t.Errorf("refused by %v", err)
 			}
-			first := wait(t, failure.tries)
-			wait(t, failure.tries)
-			if third := wait(t, failure.tries); third-first < acceptRetryDelay {
+			first := testutil.Receive(t, failure.tries)
+			testutil.Receive(t, failure.tries)
+			if third := testutil.Receive(t, failure.tries); third-first < acceptRetryDelay {
 				t.Errorf("three tries in %d ms: the loop spins", (third-first)/Millisecond)
 			}
 			failure.end()
-			wait(t, handler.opened)
-			if err := wait(t, states); err != nil || len(states) > 0 {
+			testutil.Receive(t, handler.opened)
+			if err := testutil.Receive(t, states); err != nil || len(states) > 0 {
 				t.Errorf("state %v and %d more, want nil once", err, len(states))
 			}
 		})
@@ -127,6 +130,6 @@
 			return unix.Accept4(fd, flags)
 		}
 	})
-	dial(t, addr)
-	wait(t, handler.opened)
+	testutil.Dial(t, addr)
+	testutil.Receive(t, handler.opened)
 }
--- a/internal/platform/attempts_test.go
+++ b/internal/platform/attempts_test.go
@@ -105,7 +105,7 @@
 }
 
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
-	l := listenTCP(t)
+	l := testutil.Listen(t)
 	testutil.NoError(t, l.Close())
 	r := startWithMachineA(t, l.Addr().String(), attemptOnA(0))
 	r.request(requestID)
--- a/internal/platform/machines_test.go
+++ b/internal/platform/machines_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"glenport/internal/platform/jsonlines"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -44,7 +45,7 @@
 // when die is called, at the latest at the end of the test.
 func acceptOnce(t *testing.T) (addr string, die func()) {
 	t.Helper()
-	l := listenTCP(t)
+	l := testutil.Listen(t)
 	closeListener := func() { _ = l.Close() } // it may be closed
 	dying, done := make(chan bool), make(chan bool)
 	go func() {
--- a/internal/platform/peers_test.go
+++ b/internal/platform/peers_test.go
@@ -23,13 +23,7 @@
 
 func (r *testServer) dialClient() *peer {
 	r.Helper()
-	c, err := new(net.Dialer).DialContext(r.Context(), "tcp", r.server.Addr())
-	if err != nil {
-		r.Fatal(err)
-	}
-	p := newPeer(r.T, c)
-	r.Cleanup(p.close)
-	return p
+	return newPeer(r.T, testutil.Dial(r, r.server.Addr()))
 }
 
 func newPeer(t *testing.T, c net.Conn) *peer {
@@ -119,53 +113,16 @@
 	p.expectCause(jsonlines.OpTested, fmt.Sprintf("%016x", number), jsonlines.CauseTestPassed)
 }
 
-// listenTCP opens a listener on a port of its own.
-func listenTCP(t *testing.T) net.Listener {
-	t.Helper()
-	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	testutil.NoError(t, err)
-	return l
-}
-
 // serveTCP calls serve for each connection, in a goroutine of its own, until the test ends.
 func serveTCP(t *testing.T, serve func(*peer)) string {
 	t.Helper()
-	l := listenTCP(t)
-	t.Cleanup(serveListener(t, l, serve))
-	return l.Addr().String()
+	return testutil.ServeUntilEnd(t, func(c net.Conn) { serve(newPeer(t, c)) })
 }
 
 // serveListener calls serve for each connection of a listener until what it returns is called.
 func serveListener(t *testing.T, l net.Listener, serve func(*peer)) (stop func()) {
 	t.Helper()
-	var wg sync.WaitGroup
-	var mu sync.Mutex
-	var open []*peer
-	wg.Go(func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			p := newPeer(t, c)
-			mu.Lock()
-			open = append(open, p)
-			mu.Unlock()
-			wg.Go(func() {
-				defer p.close()
-				serve(p)
-			})
-		}
-	})
-	return func() {
-		_ = l.Close() // a test may have closed it
-		mu.Lock()
-		for _, p := range open {
-			p.close()
-		}
-		mu.Unlock()
-		wg.Wait()
-	}
+	return testutil.Serve(l, func(c net.Conn) { serve(newPeer(t, c)) })
 }
 
 // serveMessages calls handle for each message on each connection.
--- a/internal/schedulerd/attempt_test.go
+++ b/internal/schedulerd/attempt_test.go
@@ -69,14 +69,14 @@
 
 func nobodyListens(t *testing.T) string {
 	t.Helper()
-	l := listen(t)
+	l := testutil.Listen(t)
 	defer closeAgain(l)
 	return l.Addr().String()
 }
 
 func neverSaysHello(t *testing.T) string {
 	t.Helper()
-	return listenTCP(t, func(c net.Conn) {
+	return testutil.ServeUntilEnd(t, func(c net.Conn) {
 		buffer := make([]byte, 1000)
 		for range 2 {
 			_, _ = c.Read(buffer) // the hello, then the end of the connection
@@ -147,7 +147,7 @@
 // meanwhile.
 func TestMachineThatNeverReadsIsNotSentMore(t *testing.T) {
 	done := make(chan struct{})
-	address := listenTCP(t, func(c net.Conn) {
+	address := testutil.ServeUntilEnd(t, func(c net.Conn) {
 		skipFrame(c)
 		sendHello(c, "a", 1, &protocol.Inventory{})
 		<-done
@@ -179,14 +179,14 @@
 // With no descriptor left an attempt is known never to have run. Once there is one the next is sent.
 func TestAttemptWithoutDescriptorIsNotSent(t *testing.T) {
 	var old syscall.Rlimit
-	noError(t, syscall.Getrlimit(syscall.RLIMIT_NOFILE, &old))
+	testutil.NoError(t, syscall.Getrlimit(syscall.RLIMIT_NOFILE, &old))
 	setLimit := func(limit syscall.Rlimit) {
 		t.Helper()
-		noError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit))
+		testutil.NoError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit))
 	}
 	defer setLimit(old)
 	closed := make(chan struct{}, 10) // a descriptor of the machine that is freed late would be one to use
-	address := listenTCP(t, func(c net.Conn) {
+	address := testutil.ServeUntilEnd(t, func(c net.Conn) {
 		skipFrame(c)
 		sendHello(c, "a", 1, &protocol.Inventory{})
 		handleFrames(c, onOffer(acceptOffer))
@@ -199,8 +199,8 @@
 	h.eventually(func(a *machine) bool { return a.conn.state == machineDisconnected })
 	<-closed
 	lowest, err := syscall.Dup(0)
-	noError(t, err)
-	noError(t, syscall.Close(lowest))
+	testutil.NoError(t, err)
+	testutil.NoError(t, syscall.Close(lowest))
 	setLimit(syscall.Rlimit{Cur: uint64(lowest), Max: old.Max})
 	h.client.submit("x", classAtMostOnce)
 	// no failure of the machine
--- a/internal/schedulerd/clientconn_test.go
+++ b/internal/schedulerd/clientconn_test.go
@@ -35,7 +35,7 @@
 func encodedHello(t *testing.T, role protocol.Role) []byte {
 	t.Helper()
 	encoded, err := protocol.Append(nil, protocol.NewHello(role, "peer", 1))
-	noError(t, err)
+	testutil.NoError(t, err)
 	return encoded
 }
 
--- a/internal/schedulerd/discovery_test.go
+++ b/internal/schedulerd/discovery_test.go
@@ -28,7 +28,7 @@
 	})
 	last := fullList(7, protocol.MachineEntry{Machine: "b", Address: "127.0.0.1:1", Age: -1})
 	var connections atomic.Int32
-	return listenTCP(t, func(c net.Conn) {
+	return testutil.ServeUntilEnd(t, func(c net.Conn) {
 		n := connections.Add(1)
 		hello, update := protocol.NewHello(protocol.RoleMachineList, "list", incarnation), last
 		switch n {
@@ -138,7 +138,7 @@
 	settings := testConfig(t)
 	settings.ConnectTimeout = 10 * eventloop.Second
 	settings.Policy.ResyncInterval, settings.Policy.SchedulerCount = scheduler.Second, 1
-	settings.MachineListAddr = listenTCP(t, service.serve)
+	settings.MachineListAddr = testutil.ServeUntilEnd(t, service.serve)
 	server, _ := runServer(t, settings, scheduler.New(settings.Policy))
 	service.awaitRequest(t, 0)
 	eventually(t, server, func() bool { return server.discovery.version == 5 })
--- a/internal/schedulerd/faultydir_test.go
+++ b/internal/schedulerd/faultydir_test.go
@@ -10,6 +10,7 @@
 	"glenport/internal/config"
 	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
+	"glenport/internal/testutil"
 )
 
 // faultyDir is a folder that may be full, or slow to sync.
@@ -69,11 +70,11 @@
 func countRecords(t *testing.T, path, kind string) (n int) {
 	t.Helper()
 	d, err := vfs.OpenLocked(path)
-	noError(t, err)
+	testutil.NoError(t, err)
 	defer closeAgain(d)
 	records, err := wal.Load(d, false)
-	noError(t, err)
-	noError(t, records.ForEach(kind, func(string, []byte) error { n++; return nil }))
+	testutil.NoError(t, err)
+	testutil.NoError(t, records.ForEach(kind, func(string, []byte) error { n++; return nil }))
 	return n
 }
 
@@ -81,6 +82,6 @@
 func copyState(t *testing.T, path string) string {
 	t.Helper()
 	to := t.TempDir()
-	noError(t, os.CopyFS(to, os.DirFS(path)))
+	testutil.NoError(t, os.CopyFS(to, os.DirFS(path)))
 	return to
 }
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -46,14 +46,14 @@
 func commitGolden(t *testing.T, path string, change func(*stateStore)) {
 	t.Helper()
 	d, err := openStateDir(path)
-	noError(t, err)
+	testutil.NoError(t, err)
 	st := &stateStore{journal: &journal{}, dir: d}
 	_, err = st.openLog(d)
-	noError(t, err)
+	testutil.NoError(t, err)
 	change(st)
 	st.commit()
-	noError(t, st.closeLog())
-	noError(t, d.Close())
+	testutil.NoError(t, st.closeLog())
+	testutil.NoError(t, d.Close())
 }
 
 // writeGoldenState writes the folder by the package's own writing path: three attempts, the sends and the incarnation
@@ -75,26 +75,26 @@
 		}
 	})
 	d, err := vfs.OpenLocked(path)
-	noError(t, err)
+	testutil.NoError(t, err)
 	_, _, err = wal.Compact(d)
-	noError(t, err)
-	noError(t, d.Close())
+	testutil.NoError(t, err)
+	testutil.NoError(t, d.Close())
 	commitGolden(t, path, func(st *stateStore) {
 		st.removeAttempt(goldenAttempts[2].Number)
 		st.putAttempt(goldenAttempts[3])
 		for _, sent := range goldenSends {
 			st.putSends(sent)
 		}
-		noError(t, goldenSnapshot().write(st.dir))
+		testutil.NoError(t, goldenSnapshot().write(st.dir))
 	})
-	noError(t, os.Remove(filepath.Join(path, "lock")))
+	testutil.NoError(t, os.Remove(filepath.Join(path, "lock")))
 }
 
 // goldenListFile is the file of version 1: the clock, the length, and a list frame without its length.
 func goldenListFile(t *testing.T) []byte {
 	t.Helper()
 	frame, err := protocol.Append(nil, fullList(302, goldenEntries...))
-	noError(t, err)
+	testutil.NoError(t, err)
 	return append(binary.BigEndian.AppendUint64(nil, 17_000_000_000_201), frame...)
 }
 
@@ -103,29 +103,30 @@
 	path := filepath.Join(t.TempDir(), "state")
 	writeGoldenState(t, path)
 	if golden.Updating() {
-		noError(t, os.RemoveAll(goldenState))
-		noError(t, os.CopyFS(goldenState, os.DirFS(path)))
-		writeFile(t, goldenList, goldenListFile(t))
-		writeFile(t, goldenText, []byte(describeState(t, goldenState)))
-		writeFile(t, goldenExport, exported(t, goldenSnapshot()))
+		testutil.NoError(t, os.RemoveAll(goldenState))
+		testutil.NoError(t, os.CopyFS(goldenState, os.DirFS(path)))
+		testutil.WriteFile(t, goldenList, goldenListFile(t))
+		testutil.WriteFile(t, goldenText, []byte(describeState(t, goldenState)))
+		testutil.WriteFile(t, goldenExport, exported(t, goldenSnapshot()))
 	}
 	want, err := os.ReadDir(goldenState)
-	noError(t, err)
+	testutil.NoError(t, err)
 	got, err := os.ReadDir(path)
-	noError(t, err)
+	testutil.NoError(t, err)
 	testutil.Expect(t, len(got) == len(want) && len(want) == 3, "files %v, want %v", got, want)
 	for _, f := range want {
-		if !bytes.Equal(readFile(t, filepath.Join(path, f.Name())), readFile(t, filepath.Join(goldenState, f.Name()))) {
+		got := testutil.ReadFile(t, filepath.Join(path, f.Name()))
+		if want := testutil.ReadFile(t, filepath.Join(goldenState, f.Name())); !bytes.Equal(got, want) {
 			t.Errorf("file %s is written with other bytes", f.Name())
 		}
 	}
-	if !bytes.Equal(goldenListFile(t), readFile(t, goldenList)) {
+	if !bytes.Equal(goldenListFile(t), testutil.ReadFile(t, goldenList)) {
 		t.Error("the list of version 1 is encoded with other bytes")
 	}
-	if got := describeState(t, path); got != string(readFile(t, goldenText)) {
+	if got := describeState(t, path); got != string(testutil.ReadFile(t, goldenText)) {
 		t.Errorf("the records are named otherwise:\n%s", got)
 	}
-	if got := exported(t, goldenSnapshot()); !bytes.Equal(got, readFile(t, goldenExport)) {
+	if got := exported(t, goldenSnapshot()); !bytes.Equal(got, testutil.ReadFile(t, goldenExport)) {
 		t.Errorf("the export is\n%s", got)
 	}
 }
@@ -133,9 +134,9 @@
 func TestGoldenStateIsRead(t *testing.T) {
 	settings := testConfig(t)
 	settings.StateDir = t.TempDir()
-	noError(t, os.CopyFS(settings.StateDir, os.DirFS(goldenState)))
+	testutil.NoError(t, os.CopyFS(settings.StateDir, os.DirFS(goldenState)))
 	server, err := New(settings, newWarmStartScript(scheduler.Snapshot{}), discardLog)
-	noError(t, err)
+	testutil.NoError(t, err)
 	defer func() { // the loop is released when Run returns
 		server.Stop()
 		testutil.ExpectNoError(t, server.Run())
@@ -167,7 +168,7 @@
 
 func TestGoldenListOfVersion1IsRead(t *testing.T) {
 	got, err := readLegacyList(goldenList)
-	noError(t, err)
+	testutil.NoError(t, err)
 	want := &WarmStartSnapshot{
 		TakenAt:     warmstart.Timestamp{Clock: 17_000_000_000_201},
 		ListVersion: 302,
@@ -180,7 +181,7 @@
 func TestEmptySnapshotIsExported(t *testing.T) {
 	empty := WarmStartSnapshot{Learned: scheduler.Snapshot{Machines: []scheduler.MachineSnapshot{{}}}}
 	got, err := json.Marshal(map[string]any{"kind": "knowledge", "value": empty})
-	noError(t, err)
+	testutil.NoError(t, err)
 	want := `{"kind":"knowledge","value":{"At":{"Clock":0,"Up":0,"Boot":""},"Names":null,` +
 		`"Learned":{"Machines":[{"Machine":"","Started":0,"Sick":0,"RestUntil":0,"Rest":0,"ShutUntil":0,` +
 		`"Doubts":null,"Cold":null}],"Traits":null,"Full":0,"Missed":0,"SentSince":0},` +
@@ -191,14 +192,14 @@
 // A threshold that nothing reaches is infinite, which CBOR can encode.
 func TestInfiniteThresholdIsStored(t *testing.T) {
 	d, err := vfs.OpenLocked(t.TempDir())
-	noError(t, err)
+	testutil.NoError(t, err)
 	defer closeAgain(d)
 	want := &WarmStartSnapshot{Learned: scheduler.Snapshot{TrafficClasses: []scheduler.TrafficClass{
 		{LossRatio: 0.5, SuspicionThreshold: math.Inf(1)},
 	}}}
-	noError(t, want.write(d))
+	testutil.NoError(t, want.write(d))
 	got, err := ReadWarmStart(d)
-	noError(t, err)
+	testutil.NoError(t, err)
 	testutil.Expect(t, reflect.DeepEqual(got.Learned, want.Learned), "read %+v", got.Learned)
 }
 
@@ -248,11 +249,11 @@
 func describeState(t *testing.T, path string) string {
 	t.Helper()
 	d, err := vfs.OpenReadOnly(path)
-	noError(t, err)
+	testutil.NoError(t, err)
 	records, err := wal.Load(d, false)
-	noError(t, err)
+	testutil.NoError(t, err)
 	decode, err := cbor.DecOptions{DefaultMapType: reflect.TypeFor[map[string]any]()}.DecMode()
-	noError(t, err)
+	testutil.NoError(t, err)
 	var lines []string
 	value := func(name string, p []byte) error {
 		var v any
@@ -261,11 +262,12 @@
 		return err
 	}
 	for _, kind := range records.Kinds() {
-		noError(t, records.ForEach(kind, func(key string, p []byte) error { return value(kind+" "+key+":", p) }))
+		err := records.ForEach(kind, func(key string, p []byte) error { return value(kind+" "+key+":", p) })
+		testutil.NoError(t, err)
 	}
 	version, body, err := wal.ReadChecksummed(d, "knowledge", "GLENKNW", 255)
-	noError(t, err)
-	noError(t, value(fmt.Sprintf("knowledge version %d:", version), body))
+	testutil.NoError(t, err)
+	testutil.NoError(t, value(fmt.Sprintf("knowledge version %d:", version), body))
 	return strings.Join(lines, "\n") + "\n"
 }
 
@@ -291,6 +293,6 @@
 func exported(t *testing.T, k *WarmStartSnapshot) []byte {
 	t.Helper()
 	p, err := json.MarshalIndent(k, "", "  ")
-	noError(t, err)
+	testutil.NoError(t, err)
 	return append(p, '\n')
 }
--- a/internal/schedulerd/helpers_test.go
+++ b/internal/schedulerd/helpers_test.go
@@ -5,7 +5,6 @@
 	"errors"
 	"io"
 	"log/slog"
-	"os"
 	"sync"
 	"testing"
 	"time"
@@ -60,30 +59,13 @@
 	return err
 }
 
-func noError(t *testing.T, err error) {
-	t.Helper()
-	testutil.NoError(t, err)
-}
-
 // closeAgain closes what may be closed already, and ignores the error of that.
 func closeAgain(c io.Closer) { _ = c.Close() }
 
-func readFile(t *testing.T, path string) []byte {
-	t.Helper()
-	p, err := os.ReadFile(path)
-	noError(t, err)
-	return p
-}
-
-func writeFile(t *testing.T, path string, p []byte) {
-	t.Helper()
-	noError(t, os.WriteFile(path, p, 0o644))
-}
-
 func testConfig(t *testing.T) *config.Scheduler {
 	t.Helper()
 	settings, err := config.LoadScheduler("../../deploy/scheduler.yaml")
-	noError(t, err)
+	testutil.NoError(t, err)
 	settings.ListenAddr, settings.StateDir = "127.0.0.1:0", ""
 	return settings
 }
@@ -92,7 +74,7 @@
 func runServer(t *testing.T, settings *config.Scheduler, decisions Scheduler) (server *Server, stop func()) {
 	t.Helper()
 	server, err := New(settings, decisions, discardLog)
-	noError(t, err)
+	testutil.NoError(t, err)
 	done := make(chan error, 1)
 	go func() { done <- server.Run() }()
 	stop = sync.OnceFunc(func() {
@@ -193,7 +175,7 @@
 	h.t.Helper()
 	committed := make(chan error, 1)
 	runOnLoop(h.server, func() { h.server.state.afterCommit(func(err error) { committed <- err }) })
-	noError(h.t, <-committed)
+	testutil.NoError(h.t, <-committed)
 }
 
 // applyList applies an update of one entry.
--- a/internal/schedulerd/interleaving_model_test.go
+++ b/internal/schedulerd/interleaving_model_test.go
@@ -76,7 +76,7 @@
 	w.judge = modelcheck.NewChecker(own.Policy, 1, 0)
 	var err error
 	w.server, err = New(&own, wrap(decisions), discardLog)
-	noError(t, err)
+	testutil.NoError(t, err)
 	var running sync.WaitGroup
 	running.Go(func() { testutil.ExpectNoError(t, w.server.Run()) })
 	t.Cleanup(running.Wait)
--- a/internal/schedulerd/lateaccept_test.go
+++ b/internal/schedulerd/lateaccept_test.go
@@ -153,7 +153,7 @@
 	}{{"still named", true}, {"no longer named", false}} {
 		t.Run(tc.name, func(t *testing.T) {
 			m := &reconnectingMachine{stillNamed: tc.named, reconnected: make(chan net.Conn, 10)}
-			h := startWithMachineA(t, testConfig(t), attemptOn(0), listenTCP(t, m.serve))
+			h := startWithMachineA(t, testConfig(t), attemptOn(0), testutil.ServeUntilEnd(t, m.serve))
 			found := awaitEvent[scheduler.ContainerAdopted](t, h.script, nil)
 			testutil.Expect(t, found.ID == "old" && found.Machine == "a", "adopted %+v", found)
 			h.client.submit("x", classAtMostOnce)
--- a/internal/schedulerd/overload/limiter_test.go
+++ b/internal/schedulerd/overload/limiter_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"glenport/internal/testutil"
+	_ "glenport/internal/testutil/fixedseed"
 	"glenport/scheduler"
 
 	"pgregory.net/rapid"
--- a/internal/schedulerd/peers_test.go
+++ b/internal/schedulerd/peers_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"net"
-	"sync"
 	"testing"
 	"time"
 
@@ -10,57 +9,14 @@
 	"glenport/internal/testutil"
 )
 
-func listen(t *testing.T) net.Listener {
-	t.Helper()
-	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	noError(t, err)
-	return listener
-}
-
 // dial connects until the end of the test, and bounds all that is read and written.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
-	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", address)
-	noError(t, err)
-	t.Cleanup(func() { closeAgain(c) })
-	noError(t, c.SetDeadline(time.Now().Add(testTimeout)))
+	c := testutil.Dial(t, address)
+	testutil.NoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
 	return c
 }
 
-// listenTCP listens and serves each connection on a goroutine until serve returns.
-func listenTCP(t *testing.T, serve func(net.Conn)) string {
-	t.Helper()
-	listener := listen(t)
-	var serving sync.WaitGroup
-	var mu sync.Mutex
-	var conns []net.Conn
-	serving.Go(func() {
-		for {
-			c, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			mu.Lock()
-			conns = append(conns, c)
-			mu.Unlock()
-			serving.Go(func() {
-				defer closeAgain(c)
-				serve(c)
-			})
-		}
-	})
-	t.Cleanup(func() {
-		closeAgain(listener)
-		mu.Lock()
-		for _, c := range conns {
-			closeAgain(c)
-		}
-		mu.Unlock()
-		serving.Wait()
-	})
-	return listener.Addr().String()
-}
-
 func receiveFrame(c net.Conn) (protocol.Frame, error) {
 	return protocol.ReadFrame(c, protocol.MaxFrame)
 }
@@ -122,7 +78,7 @@
 	for id, address := range machines {
 		entries = append(entries, protocol.MachineEntry{Machine: id, Address: address, Incarnation: 1, Age: -1})
 	}
-	return listenTCP(t, func(c net.Conn) {
+	return testutil.ServeUntilEnd(t, func(c net.Conn) {
 		sendFrames(c, listHello())
 		handleFrames(c, func(c net.Conn, f protocol.Frame) bool {
 			if _, ok := f.(*protocol.WatchMachineList); ok {
@@ -141,7 +97,7 @@
 // serveMachine sends hello and an empty inventory, and hands on each frame.
 func serveMachine(t *testing.T, name string, handle frameHandler) string {
 	t.Helper()
-	return listenTCP(t, func(c net.Conn) {
+	return testutil.ServeUntilEnd(t, func(c net.Conn) {
 		if f, err := receiveFrame(c); err != nil || f.(*protocol.Hello).Role != protocol.RoleScheduler {
 			return
 		}
@@ -155,7 +111,7 @@
 	t.Helper()
 	hello, offered = make(chan uint64), make(chan string, 100)
 	done := make(chan struct{})
-	address = listenTCP(t, func(c net.Conn) {
+	address = testutil.ServeUntilEnd(t, func(c net.Conn) {
 		var incarnation uint64
 		select {
 		case incarnation = <-hello:
--- a/internal/schedulerd/rawconn_test.go
+++ b/internal/schedulerd/rawconn_test.go
@@ -83,20 +83,20 @@
 func listenRaw(t *testing.T) *rawListener {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
-	noError(t, err)
-	noError(t, unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
-	noError(t, unix.Listen(fd, 8))
+	testutil.NoError(t, err)
+	testutil.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
+	testutil.NoError(t, unix.Listen(fd, 8))
 	own, err := unix.Getsockname(fd)
-	noError(t, err)
+	testutil.NoError(t, err)
 	return &rawListener{t: t, fd: fd, addr: fmt.Sprint("127.0.0.1:", own.(*unix.SockaddrInet4).Port)}
 }
 
 func dialRaw(t *testing.T, addr string) *rawConn {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
-	noError(t, err)
+	testutil.NoError(t, err)
 	peer := netip.MustParseAddrPort(addr)
-	noError(t, unix.Connect(fd, &unix.SockaddrInet4{Port: int(peer.Port()), Addr: peer.Addr().As4()}))
+	testutil.NoError(t, unix.Connect(fd, &unix.SockaddrInet4{Port: int(peer.Port()), Addr: peer.Addr().As4()}))
 	return &rawConn{t: t, fd: fd}
 }
 
--- a/internal/schedulerd/reconcile/reconciler_test.go
+++ b/internal/schedulerd/reconcile/reconciler_test.go
@@ -10,6 +10,7 @@
 	"glenport/internal/schedulerd/admission"
 	"glenport/internal/schedulerd/recovery"
 	"glenport/internal/testutil"
+	_ "glenport/internal/testutil/fixedseed"
 	"glenport/scheduler"
 
 	"pgregory.net/rapid"
--- a/internal/schedulerd/recovery/tracker_test.go
+++ b/internal/schedulerd/recovery/tracker_test.go
@@ -9,6 +9,7 @@
 	"testing"
 
 	"glenport/internal/testutil"
+	_ "glenport/internal/testutil/fixedseed"
 	"glenport/scheduler"
 
 	"pgregory.net/rapid"
--- a/internal/schedulerd/restore_test.go
+++ b/internal/schedulerd/restore_test.go
@@ -43,11 +43,11 @@
 		}
 	})
 	name := filepath.Join(settings.StateDir, WarmStartFile)
-	data := readFile(t, name)
+	data := testutil.ReadFile(t, name)
 	flipped := append([]byte(nil), data...)
 	flipped[len(flipped)/2] ^= 1
 	for _, damaged := range [][]byte{{}, data[:len(data)/2], append([]byte("x"), data...), flipped} {
-		writeFile(t, name, damaged)
+		testutil.WriteFile(t, name, damaged)
 		third := newWarmStartScript(scheduler.Snapshot{})
 		runIncarnation(t, settings, third, func(*Server) {
 			update := awaitEvent[scheduler.MachineListUpdate](t, third.scriptedScheduler, nil)
@@ -64,9 +64,9 @@
 func writeLaterSnapshot(t *testing.T, path string) {
 	t.Helper()
 	d, err := vfs.OpenLocked(path)
-	noError(t, err)
-	noError(t, wal.WriteChecksummed(d, WarmStartFile, WarmStartMagic, WarmStartVersion+1, nil))
-	noError(t, d.Close())
+	testutil.NoError(t, err)
+	testutil.NoError(t, wal.WriteChecksummed(d, WarmStartFile, WarmStartMagic, WarmStartVersion+1, nil))
+	testutil.NoError(t, d.Close())
 }
 
 // The list of version 1 is read if the folder holds no snapshot yet, and used if it is of today.
@@ -78,14 +78,14 @@
 	settings.LegacyListFile = filepath.Join(t.TempDir(), "list")
 	list := fullList(7, protocol.MachineEntry{Machine: "a", Address: "127.0.0.1:1", Age: 50})
 	data, err := protocol.Append(binary.BigEndian.AppendUint64(nil, 0), list)
-	noError(t, err)
+	testutil.NoError(t, err)
 	for _, tc := range []struct {
 		name     string
 		at       uint64
 		machines int
 	}{{"older than a day", longAgo, 0}, {"of today", today, 1}} {
 		binary.BigEndian.PutUint64(data, tc.at)
-		writeFile(t, settings.LegacyListFile, data)
+		testutil.WriteFile(t, settings.LegacyListFile, data)
 		settings.StateDir = t.TempDir()
 		script := newWarmStartScript(scheduler.Snapshot{})
 		runIncarnation(t, settings, script, func(*Server) {
@@ -123,7 +123,7 @@
 // serveReportingMachine sends hello and inventory when report is closed.
 func serveReportingMachine(t *testing.T, inventory *protocol.Inventory, report <-chan struct{}) string {
 	t.Helper()
-	return listenTCP(t, func(c net.Conn) {
+	return testutil.ServeUntilEnd(t, func(c net.Conn) {
 		if _, err := receiveFrame(c); err != nil {
 			return
 		}
@@ -216,7 +216,7 @@
 	}
 	next := testConfig(t)
 	next.StateDir = copyState(t, settings.StateDir)
-	next.MachineListAddr = listenTCP(t, func(c net.Conn) {
+	next.MachineListAddr = testutil.ServeUntilEnd(t, func(c net.Conn) {
 		sendFrames(c, listHello(), fullList(2, entry))
 		for range 3 { // hello, request, end of the connection
 			skipFrame(c)
--- a/internal/testutil/net.go
+++ b/internal/testutil/net.go
@@ -1,7 +1,9 @@
 package testutil
 
 import (
+	"io"
 	"net"
+	"sync"
 	"testing"
 )
 
@@ -20,6 +22,58 @@
 	NoError(tb, err)
 	conn, err := net.DialTCP("tcp", nil, to)
 	NoError(tb, err)
-	tb.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
+	tb.Cleanup(func() { closeAgain(conn) })
 	return conn
 }
+
+// Serve calls serve for each connection to a listener, on a goroutine of its own, until stop is called. Stop closes the
+// listener and the connections, and returns when serve has returned for all.
+func Serve(listener net.Listener, serve func(net.Conn)) (stop func()) {
+	s := &server{listener: listener}
+	s.serving.Go(func() { s.accept(serve) })
+	return s.stop
+}
+
+// ServeUntilEnd serves connections on a free port until the end of the test, and returns the address.
+func ServeUntilEnd(tb testing.TB, serve func(net.Conn)) (address string) {
+	tb.Helper()
+	listener := Listen(tb)
+	tb.Cleanup(Serve(listener, serve))
+	return listener.Addr().String()
+}
+
+type server struct {
+	listener net.Listener
+	serving  sync.WaitGroup
+	mu       sync.Mutex
+	open     []net.Conn
+}
+
+func (s *server) accept(serve func(net.Conn)) {
+	for {
+		conn, err := s.listener.Accept()
+		if err != nil {
+			return
+		}
+		s.mu.Lock()
+		s.open = append(s.open, conn)
+		s.mu.Unlock()
+		s.serving.Go(func() {
+			defer closeAgain(conn)
+			serve(conn)
+		})
+	}
+}
+
+func (s *server) stop() {
+	closeAgain(s.listener)
+	s.mu.Lock()
+	for _, conn := range s.open {
+		closeAgain(conn)
+	}
+	s.mu.Unlock()
+	s.serving.Wait()
+}
+
+// closeAgain closes what may be closed already, and ignores the error of that.
+func closeAgain(c io.Closer) { _ = c.Close() }
