--- a/cmd/glenport-testbed/formerflag_test.go
+++ b/cmd/glenport-testbed/formerflag_test.go
@@ -11,9 +11,8 @@
 
 func TestFormerFlagsSetTheSameValue(t *testing.T) {
 	for _, tc := range []struct {
-		command      *cobra.Command
-		former, name string
-		value        string
+		command             *cobra.Command
+		former, name, value string
 	}{
 		{loadCommand(), "placer-file", "scheduler-config", "other.yaml"},
 		{loadCommand(), "life", "runtime", (5 * time.Second).String()},
--- a/internal/bgp/session/components_test.go
+++ b/internal/bgp/session/components_test.go
@@ -38,9 +38,7 @@
 func TestNegotiationTakesTheLowerHoldTimeAndSharedFamilies(t *testing.T) {
 	n := negotiation{peer()}
 	o := open(func(o *wire.Open) { o.Families = both[1:] })
-	if got := n.holdTime(o); got != 30*scheduler.Second {
-		t.Errorf("hold time %d", got)
-	}
+	testutil.Equal(t, n.holdTime(o), 30*scheduler.Second, "hold time")
 	if up := n.result(o); len(up.Families) != 1 || up.Families[0] != wire.IPv6 || up.SendEndOfRIB {
 		t.Errorf("%+v", up)
 	}
--- a/internal/bgp/speaker/speaker_test.go
+++ b/internal/bgp/speaker/speaker_test.go
@@ -81,9 +81,7 @@
 	go func() { done <- loop.Run() }()
 	t.Cleanup(func() {
 		loop.Stop()
-		if err := <-done; err != nil {
-			t.Errorf("the loop ended with %v", err)
-		}
+		testutil.Equal(t, <-done, nil, "the loop ended with")
 	})
 	return loop
 }
@@ -140,9 +138,7 @@
 	f := startSpeaker(t, 5)
 	f.runContainers("web")
 	f.waitUntil("it is announced", func() bool { return has(f.outer, web) })
-	if ends := f.outer.Stats().EndOfRIBs; ends != 0 {
-		t.Error("the end was marked before all was known")
-	}
+	testutil.Equal(t, f.outer.Stats().EndOfRIBs, 0, "the end was marked before all was known")
 	f.onLoop(f.speaker.MarkRoutesComplete)
 	f.waitUntil("both families are marked", func() bool { return f.outer.Stats().EndOfRIBs == 2 })
 }
--- a/internal/bgp/wire/message_test.go
+++ b/internal/bgp/wire/message_test.go
@@ -129,9 +129,7 @@
 
 // A shutdown text is cut to 128 bytes between characters, and read only where it is valid.
 func TestShutdownTextIsValidAndOfLimitedLength(t *testing.T) {
-	if got := NewShutdown(strings.Repeat("ö", 100)).ShutdownText(); got != strings.Repeat("ö", 64) {
-		t.Errorf("the text is %q", got)
-	}
+	testutil.Equal(t, NewShutdown(strings.Repeat("ö", 100)).ShutdownText(), strings.Repeat("ö", 64), "the text")
 	for _, data := range [][]byte{nil, {5, 'a'}, {200}, {1, 0xFF}} {
 		if got := (&Notification{CodeCease, SubcodeAdministrativeShutdown, data}).ShutdownText(); got != "" {
 			t.Errorf("the text of %v is %q", data, got)
--- a/internal/controller/components_test.go
+++ b/internal/controller/components_test.go
@@ -27,9 +27,7 @@
 		t.Errorf("wakeup after %d, want none as an earlier one covers it", after)
 	}
 	now.set(9)
-	if r := timers.nextDue(); r != nil {
-		t.Error("a timer fired early, or a cancelled one did")
-	}
+	testutil.Equal(t, timers.nextDue(), nil, "a timer fired early, or a cancelled one did")
 	now.set(10)
 	if a, b, c := timers.nextDue(), timers.nextDue(), timers.nextDue(); a != first || b != second || c != nil {
 		t.Error("timers of one time did not fire in the order in which they were set")
--- a/internal/controller/lifecycle_test.go
+++ b/internal/controller/lifecycle_test.go
@@ -13,8 +13,7 @@
 	for _, tc := range []struct {
 		name        string
 		idempotency scheduler.Idempotency
-		steps       string
-		want        string
+		steps, want string
 	}{
 		{"requested at once", idempotent, "", "placing 1"},
 		{"accepted", idempotent, "accept", "running 1"},
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -51,9 +51,7 @@
 		Machine: "a", Zone: 1, MachineType: 1, RackGroup: 2, PowerHint: 1,
 		FreeCores: 40.5, FreeMemory: 100, StartedAt: 50,
 	}
-	if got := config.KnownEvents[0].machines[0].entry; got != want {
-		t.Errorf("machine %+v, want %+v", got, want)
-	}
+	testutil.Equal(t, config.KnownEvents[0].machines[0].entry, want, "machine")
 	settings := config.Scheduler
 	if len(settings.WorkloadClasses) != 2 || settings.Tenants[1].QuotaCores != 50 ||
 		settings.Seed != 0x8c1f30d27a5be964 || settings.ListOnRequest {
--- a/internal/platform/connmanager/pool_test.go
+++ b/internal/platform/connmanager/pool_test.go
@@ -41,9 +41,7 @@
 		{"another, the machine closes early", MachineConn{IdleFor: 2 * Second, MachineIdleTimeout: 3 * Second}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if got := tc.conn.ShouldKeep(); got != tc.want {
-				t.Errorf("kept: %t", got)
-			}
+			testutil.Equal(t, tc.conn.ShouldKeep(), tc.want, "kept")
 		})
 	}
 	if a, b := MaxConnsPerMachine(384, 12), MaxConnsPerMachine(64, 1000); a != 10 || b != 1 {
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -111,9 +111,7 @@
 		Machine: "a", Zone: 1, MachineType: 1, RackGroup: 2, PowerHint: 1, FreeCores: 40.5, FreeMemory: 100,
 		StartedAt: 3 * scheduler.Millisecond,
 	}
-	if got := event.machines[0]; got != (machineUpdate{a, nowhere}) {
-		t.Errorf("machine a is %+v", got)
-	}
+	testutil.Equal(t, event.machines[0], (machineUpdate{a, nowhere}), "machine a")
 	if b := event.machines[1]; b.entry.Machine != "b" || b.entry.State != scheduler.MachineGone || b.addr != "" {
 		t.Errorf("machine b is %+v", b)
 	}
--- a/internal/platform/jsonlines/splitter_test.go
+++ b/internal/platform/jsonlines/splitter_test.go
@@ -9,11 +9,9 @@
 
 func TestStreamIsSplitIntoLines(t *testing.T) {
 	for _, tc := range []struct {
-		name     string
-		in       string
-		lines    string
-		buffered int
-		tooLong  bool
+		name, in, lines string
+		buffered        int
+		tooLong         bool
 	}{
 		{"whole lines", "a\nbc\r\n\n", "a|bc||", 0, false},
 		{"incomplete line", "a\nbc", "a|", 2, false},
--- a/internal/protocol/limits_test.go
+++ b/internal/protocol/limits_test.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // Sizes of frames are limits that both sides know.
@@ -18,9 +20,7 @@
 	larger := goodbyeOfSize(t, MaxFrame)
 	larger.Message += "x"
 	_, err := Append(nil, larger)
-	if got := errorText(err); got != "FRAME of 16777217 bytes is over the limit of 16777216\n" {
-		t.Errorf("one more byte: %s", got)
-	}
+	testutil.Equal(t, errorText(err), "FRAME of 16777217 bytes is over the limit of 16777216\n", "one more byte")
 	for _, limit := range []struct {
 		maxSize, hellos, size int
 		want                  string
@@ -39,9 +39,7 @@
 		}
 	}
 	_, err = ReadFrame(bytes.NewReader(stream(t, goodbyeOfSize(t, 104))), 50)
-	if got := errorText(err); got != "frame of 104 bytes is over the limit of 50\n" {
-		t.Errorf("read with a limit of 50: %s", got)
-	}
+	testutil.Equal(t, errorText(err), "frame of 104 bytes is over the limit of 50\n", "read with a limit of 50")
 }
 
 // goodbyeOfSize returns a frame of so many bytes after its length.
--- a/internal/schedulerd/errors_test.go
+++ b/internal/schedulerd/errors_test.go
@@ -15,12 +15,11 @@
 	ready := &machine{id: "a", conn: machineConn{state: machineReady}}
 	client := &clientConn{}
 	for _, tc := range []struct {
-		name   string
-		handle func(protocol.Frame) error
-		frame  protocol.Frame
-		want   error
-		text   string
-		logged string
+		name         string
+		handle       func(protocol.Frame) error
+		frame        protocol.Frame
+		want         error
+		text, logged string
 	}{
 		{
 			"another role", m.handleFrame, protocol.NewHello(protocol.RoleClient, "a", 1), errUnexpectedPeer,
--- a/internal/schedulerd/warmstart/ledger_test.go
+++ b/internal/schedulerd/warmstart/ledger_test.go
@@ -45,9 +45,7 @@
 	if got := ledger.Expire(105*sec+2*window-1, never); len(got) != 0 {
 		t.Error("expired while it may come back without a restart")
 	}
-	if got := ledger.Expire(116*sec, at); len(got) != 0 {
-		t.Error("expired in slow start")
-	}
+	testutil.Expect(t, len(ledger.Expire(116*sec, at)) == 0, "expired in slow start")
 	if got := ledger.Expire(118*sec, at); len(got) != 1 || len(ledger.recorded) != 0 {
 		t.Errorf("%v", got)
 	}
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -5,6 +5,7 @@
 import (
 	"reflect"
 	"slices"
+	"strings"
 )
 
 // TB is the part of testing.TB that rapid.T has too.
@@ -52,10 +53,19 @@
 	}
 }
 
-// Equal reports two values that differ, and the test goes on.
-func Equal[T comparable](tb TB, got, want T) {
+// Equal reports two values that differ, and the test goes on. The report begins with what they are, where that is said.
+func Equal[T comparable](tb TB, got, want T, what ...string) {
 	tb.Helper()
-	Expect(tb, got == want, "got %v, want %v", got, want)
+	if got != want {
+		tb.Errorf("%sgot %v, want %v", prefix(what), got, want)
+	}
+}
+
+func prefix(what []string) string {
+	if len(what) == 0 {
+		return ""
+	}
+	return strings.Join(what, " ") + ": "
 }
 
 // DeepEqual reports two values that reflect.DeepEqual tells apart, and the test goes on.
--- a/scheduler/eligibility_test.go
+++ b/scheduler/eligibility_test.go
@@ -3,6 +3,8 @@
 import (
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 func TestOnlyEligibleMachinesAreDrawn(t *testing.T) {
@@ -53,9 +55,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := settledScheduler(tc.adjust, tc.setup)
-			if got := eligibleMachines(s); got != tc.want {
-				t.Errorf("eligible %q, want %q", got, tc.want)
-			}
+			testutil.Equal(t, eligibleMachines(s), tc.want, "eligible")
 		})
 	}
 }
--- a/scheduler/registries_test.go
+++ b/scheduler/registries_test.go
@@ -38,9 +38,7 @@
 			}
 			tc.setup(r)
 			r.apply(MachineListUpdate{Mode: FullSnapshot, Entries: []MachineEntry{{Machine: "b"}}}, 2)
-			if got := registeredMachines(r); got != tc.want {
-				t.Errorf("machines %q, want %q", got, tc.want)
-			}
+			testutil.Equal(t, registeredMachines(r), tc.want, "machines")
 		})
 	}
 }
--- a/scheduler/shedding_test.go
+++ b/scheduler/shedding_test.go
@@ -3,17 +3,18 @@
 import (
 	"strconv"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // While attempts find no room, requests of low priority make way for others, and a tenant over its quota too.
 func TestLowPriorityIsShedWhileMachinesAreFull(t *testing.T) {
 	for _, tc := range []struct {
-		name        string
-		fullRatio   float64
-		class       int
-		tenant      int
-		clientRetry bool
-		least, most int
+		name          string
+		fullRatio     float64
+		class, tenant int
+		clientRetry   bool
+		least, most   int
 	}{
 		{"room, low priority", 0.1, 0, 0, false, 0, 0},
 		{"full, low priority", 0.35, 0, 0, false, 620, 780},
@@ -66,9 +67,7 @@
 				q.reserve(tenant, cores+1)
 				q.release(tenant, 1)
 			}
-			if got := q.share(tc.tenant); got != tc.want {
-				t.Errorf("share %g, want %g", got, tc.want)
-			}
+			testutil.Equal(t, q.share(tc.tenant), tc.want, "share")
 		})
 	}
 }
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -5,6 +5,8 @@
 	"sort"
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // However attempts come, no window of a machine in slow start holds more of them, from all schedulers, than its budget;
@@ -102,11 +104,7 @@
 	var l sendLedger
 	l.restore(MachineSnapshot{RecentSends: []Time{10, 20}})
 	l.record(30)
-	if got := fmt.Sprint(l.after(10)); got != "[20 30]" {
-		t.Errorf("after 10: %s", got)
-	}
+	testutil.Equal(t, fmt.Sprint(l.after(10)), "[20 30]", "after 10")
 	l.dropBefore(30)
-	if got := fmt.Sprint(l.after(0), l.after(30)); got != "[30] []" {
-		t.Errorf("from 30 on, and after it: %s", got)
-	}
+	testutil.Equal(t, fmt.Sprint(l.after(0), l.after(30)), "[30] []", "from 30 on, and after it")
 }
