--- a/cmd/glenport/golden_test.go
+++ b/cmd/glenport/golden_test.go
@@ -16,6 +16,7 @@
 	"glenport/internal/golden"
 	"glenport/internal/protocol"
 	"glenport/internal/testutil"
+	"glenport/internal/testutil/frames"
 )
 
 // runCommand runs the program with arguments, and returns what it prints and how it ends.
@@ -37,21 +38,11 @@
 
 // serveClient answers until the client leaves, or asks for a service that has no reply.
 func serveClient(conn net.Conn, role protocol.Role) {
-	for {
-		frame, err := protocol.ReadFrame(conn, protocol.MaxFrame)
-		if err != nil {
-			return
-		}
+	frames.Handle(conn, func(_ net.Conn, frame protocol.Frame) bool {
 		replies := fakeReplies(frame, role)
-		for _, reply := range replies {
-			if p, err := protocol.Append(nil, reply); err == nil {
-				_, _ = conn.Write(p) // a client that has left reads nothing
-			}
-		}
-		if len(replies) == 0 {
-			return
-		}
-	}
+		frames.Send(conn, replies...)
+		return len(replies) > 0
+	})
 }
 
 func fakeReplies(frame protocol.Frame, role protocol.Role) []protocol.Frame {
--- a/internal/platform/connmanager/admission_test.go
+++ b/internal/platform/connmanager/admission_test.go
@@ -37,8 +37,13 @@
 	served := func(id ClientID) []Event { return []Event{MessageSent{Client: id}} }
 	awaiting := func(id ClientID) []Event { return []Event{PlacementRequested{id}} }
 	activeAgain := []Event{ // all but the third
-		BytesReceived{Client: 8}, MessageSent{Client: 8}, MessageSent{Client: 1}, BytesReceived{Client: 2},
-		BytesReceived{Client: 4}, BytesReceived{Client: 5}, BytesReceived{Client: 6},
+		BytesReceived{Client: 8},
+		MessageSent{Client: 8},
+		MessageSent{Client: 1},
+		BytesReceived{Client: 2},
+		BytesReceived{Client: 4},
+		BytesReceived{Client: 5},
+		BytesReceived{Client: 6},
 		BytesReceived{Client: 7},
 	}
 	for _, tc := range []struct {
@@ -93,8 +98,11 @@
 			ContainerReclaimed{1}, ClientConnected{2}, OwnershipProven{2}, ClientDisconnected{2},
 		}, false},
 		{"reclaimed a container and acknowledged its end", []Event{
-			ContainerReclaimed{1}, ContainerTerminated{"x", 16, 1}, TerminationAcknowledged{"x", 1},
-			ClientConnected{2}, OwnershipProven{2},
+			ContainerReclaimed{1},
+			ContainerTerminated{"x", 16, 1},
+			TerminationAcknowledged{"x", 1},
+			ClientConnected{2},
+			OwnershipProven{2},
 		}, false},
 		{"acknowledged an end that it was not notified of", []Event{TerminationAcknowledged{"x", 1}}, true},
 		{"reclaimed a container, then an incomplete message", []Event{
@@ -109,7 +117,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			m := New(100)
 			m.Handle(1, append([]Event{ClientConnected{1}}, tc.events...))
-			testutil.Expect(t, len(closedClients(m.Handle(Second, []Event{Tick{}}))) == 0, "closed after a second")
+			if early := closedClients(m.Handle(Second, []Event{Tick{}})); len(early) > 0 {
+				t.Errorf("closed after a second")
+			}
 			if got := closedClients(m.Handle(2*Second+2, []Event{Tick{}})); (len(got) > 0) != tc.closed {
 				t.Errorf("closed: %v, want %t", got, tc.closed)
 			}
--- a/internal/platform/connmanager/notifications_test.go
+++ b/internal/platform/connmanager/notifications_test.go
@@ -76,8 +76,11 @@
 		{
 			"one that acknowledged before one that claims to have",
 			slices.Concat([]Event{
-				ClientConnected{1}, ContainerReclaimed{1}, ContainerTerminated{"w", 16, 1},
-				TerminationAcknowledged{"w", 1}, ClientConnected{2},
+				ClientConnected{1},
+				ContainerReclaimed{1},
+				ContainerTerminated{"w", 16, 1},
+				TerminationAcknowledged{"w", 1},
+				ClientConnected{2},
 			}, owner(3), []Event{
 				ContainerReclaimed{2}, TerminationAcknowledged{"w", 2}, TerminationAcknowledged{"v", 2},
 			}),
--- a/internal/schedulerd/attempt_test.go
+++ b/internal/schedulerd/attempt_test.go
@@ -10,6 +10,7 @@
 
 	"glenport/internal/protocol"
 	"glenport/internal/testutil"
+	"glenport/internal/testutil/frames"
 	"glenport/scheduler"
 )
 
@@ -19,14 +20,14 @@
 func serveOffers(handle func(net.Conn, *protocol.Offer) bool) machineServer {
 	return func(t *testing.T) string {
 		t.Helper()
-		return serveMachine(t, "a", onOffer(handle))
+		return serveMachine(t, "a", frames.OnOffer(handle))
 	}
 }
 
 // respondToOffer is a machine that answers each offer with frames.
-func respondToOffer(frames func(*protocol.Offer) []protocol.Frame) machineServer {
+func respondToOffer(answers func(*protocol.Offer) []protocol.Frame) machineServer {
 	return serveOffers(func(c net.Conn, o *protocol.Offer) bool {
-		sendFrames(c, frames(o)...)
+		frames.Send(c, answers(o)...)
 		return true
 	})
 }
@@ -63,7 +64,7 @@
 func ignoreOffers(name string) machineServer {
 	return func(t *testing.T) string {
 		t.Helper()
-		return serveMachine(t, name, ignoreFrame)
+		return serveMachine(t, name, frames.Ignore)
 	}
 }
 
@@ -148,7 +149,7 @@
 func TestMachineThatNeverReadsIsNotSentMore(t *testing.T) {
 	done := make(chan struct{})
 	address := testutil.ServeUntilEnd(t, func(c net.Conn) {
-		skipFrame(c)
+		frames.Skip(c)
 		sendHello(c, "a", 1, &protocol.Inventory{})
 		<-done
 	})
@@ -159,13 +160,13 @@
 	sent := 0
 	for notSent := false; !notSent; {
 		for range 1000 {
-			sendFrames(h.client, &protocol.Submit{TimeToDeadline: 600_000, Spec: protocol.ContainerSpec{
+			frames.Send(h.client, &protocol.Submit{TimeToDeadline: 600_000, Spec: protocol.ContainerSpec{
 				ContainerID:    fmt.Sprint("x", sent),
 				IdempotencyKey: strconv.Itoa(sent), Service: strings.Repeat("s", 150), WorkloadClass: classAtMostOnce,
 			}})
 			sent++
 		}
-		sendFrames(h.client, &protocol.StatusRequest{})
+		frames.Send(h.client, &protocol.StatusRequest{})
 		_, notSent = h.client.receive().(*protocol.PlacementReply)
 	}
 	ended := h.awaitEnded()
@@ -187,9 +188,9 @@
 	defer setLimit(old)
 	closed := make(chan struct{}, 10) // a descriptor of the machine that is freed late would be one to use
 	address := testutil.ServeUntilEnd(t, func(c net.Conn) {
-		skipFrame(c)
+		frames.Skip(c)
 		sendHello(c, "a", 1, &protocol.Inventory{})
-		handleFrames(c, onOffer(acceptOffer))
+		frames.Handle(c, frames.OnOffer(acceptOffer))
 		closeAgain(c)
 		closed <- struct{}{}
 	})
--- a/internal/schedulerd/clientconn_test.go
+++ b/internal/schedulerd/clientconn_test.go
@@ -9,6 +9,7 @@
 
 	"glenport/internal/protocol"
 	"glenport/internal/testutil"
+	"glenport/internal/testutil/frames"
 )
 
 // goodbyeTo sends bytes to the server, one by one, and returns the reason of its Goodbye.
@@ -16,7 +17,7 @@
 	t.Helper()
 	c := dial(t, address)
 	defer closeAgain(c)
-	skipFrame(c) // the hello
+	frames.Skip(c) // the hello
 	go func() {
 		for i := range sent {
 			if _, err := c.Write(sent[i : i+1]); err != nil {
@@ -25,7 +26,7 @@
 			time.Sleep(pause)
 		}
 	}()
-	f, err := receiveFrame(c)
+	f, err := frames.Receive(c)
 	if bye, ok := f.(*protocol.Goodbye); ok {
 		return bye.Message
 	}
@@ -34,9 +35,7 @@
 
 func encodedHello(t *testing.T, role protocol.Role) []byte {
 	t.Helper()
-	encoded, err := protocol.Append(nil, protocol.NewHello(role, "peer", 1))
-	testutil.NoError(t, err)
-	return encoded
+	return frames.Encode(t, protocol.NewHello(role, "peer", 1))
 }
 
 // What exceeds the bounds, garbage, and frames that never end are refused with a reason; other clients are served.
@@ -52,7 +51,9 @@
 		t.Errorf("got %+v", reply)
 	}
 	endless := bytes.Repeat([]byte{0, 0, 0xf0, 0}, 100)
-	fromScheduler := func(more ...byte) []byte { return append(encodedHello(t, protocol.RoleScheduler), more...) }
+	fromScheduler := func(more ...byte) []byte {
+		return append(encodedHello(t, protocol.RoleScheduler), more...)
+	}
 	for _, tc := range []struct {
 		name  string
 		sent  []byte
@@ -74,11 +75,11 @@
 	dialClient(t, h.server.Addr()) // the second
 	third := goodbyeTo(t, h.server.Addr(), encodedHello(t, protocol.RoleClient), 0)
 	testutil.Expect(t, strings.Contains(third, "2 owners are connected"), "a third client gets %q", third)
-	sendFrames(h.client, &protocol.CancelContainer{ContainerID: "x"})
+	frames.Send(h.client, &protocol.CancelContainer{ContainerID: "x"})
 	if reply := h.client.wantReply(protocol.VerdictFailed); reply.ContainerID != "x" {
 		t.Errorf("cancelled: %+v", reply)
 	}
-	sendFrames(h.client, &protocol.StatusRequest{})
+	frames.Send(h.client, &protocol.StatusRequest{})
 	if f, ok := h.client.receive().(*protocol.StatusReply); !ok || len(f.Stats) < 20 {
 		t.Errorf("status %v", f)
 	}
--- a/internal/schedulerd/discovery_test.go
+++ b/internal/schedulerd/discovery_test.go
@@ -10,6 +10,7 @@
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
 	"glenport/internal/testutil"
+	"glenport/internal/testutil/frames"
 	"glenport/scheduler"
 )
 
@@ -37,17 +38,17 @@
 		case 2:
 			update = second
 		}
-		sendFrames(c, hello)
-		skipFrame(c)
-		f, err := receiveFrame(c)
+		frames.Send(c, hello)
+		frames.Skip(c)
+		f, err := frames.Receive(c)
 		if err != nil {
 			return
 		}
 		if n == 3 {
 			third <- f.(*protocol.WatchMachineList).SinceVersion
 		}
-		sendFrames(c, update)
-		skipFrame(c)
+		frames.Send(c, update)
+		frames.Skip(c)
 	})
 }
 
@@ -106,14 +107,14 @@
 	if l.away.Load() {
 		return
 	}
-	sendFrames(c, listHello())
-	handleFrames(c, func(c net.Conn, f protocol.Frame) bool {
+	frames.Send(c, listHello())
+	frames.Handle(c, func(c net.Conn, f protocol.Frame) bool {
 		if l.away.Load() {
 			return false
 		}
 		if w, ok := f.(*protocol.WatchMachineList); ok {
 			l.requested <- w.SinceVersion
-			sendFrames(c, l.list)
+			frames.Send(c, l.list)
 		}
 		return true
 	})
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -16,12 +16,12 @@
 	"testing"
 
 	"glenport/internal/golden"
-	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/schedulerd/warmstart"
 	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
 	"glenport/internal/testutil"
+	"glenport/internal/testutil/frames"
 	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
@@ -93,8 +93,7 @@
 // goldenListFile is the file of version 1: the clock, the length, and a list frame without its length.
 func goldenListFile(t *testing.T) []byte {
 	t.Helper()
-	frame, err := protocol.Append(nil, fullList(302, goldenEntries...))
-	testutil.NoError(t, err)
+	frame := frames.Encode(t, fullList(302, goldenEntries...))
 	return append(binary.BigEndian.AppendUint64(nil, 17_000_000_000_201), frame...)
 }
 
--- a/internal/schedulerd/lateaccept_test.go
+++ b/internal/schedulerd/lateaccept_test.go
@@ -6,6 +6,7 @@
 
 	"glenport/internal/protocol"
 	"glenport/internal/testutil"
+	"glenport/internal/testutil/frames"
 	"glenport/scheduler"
 )
 
@@ -25,7 +26,7 @@
 		case *protocol.Offer:
 			attempts <- f.AttemptID
 		case *protocol.Probe:
-			sendFrames(c, &protocol.Accept{AttemptID: <-attempts, Running: true})
+			frames.Send(c, &protocol.Accept{AttemptID: <-attempts, Running: true})
 		case *protocol.CancelAttempt:
 			seen <- lateCancelled
 		}
@@ -91,7 +92,7 @@
 		h.eventually((*machine).ready)
 	}
 	spec := specFor("x", tc.class)
-	sendFrames(h.client, &protocol.Submit{TimeToDeadline: 3000, Spec: spec})
+	frames.Send(h.client, &protocol.Submit{TimeToDeadline: 3000, Spec: spec})
 	h.client.wantReply(protocol.VerdictFailed)
 	got := <-seen
 	if got == lateCancelled && tc.cancel {
@@ -117,7 +118,7 @@
 }
 
 func (m *reconnectingMachine) serve(c net.Conn) {
-	hello, err := receiveFrame(c)
+	hello, err := frames.Receive(c)
 	if err != nil {
 		return
 	}
@@ -137,7 +138,7 @@
 	if m.connections == 2 {
 		m.reconnected <- c
 	}
-	handleFrames(c, onOffer(func(c net.Conn, o *protocol.Offer) bool {
+	frames.Handle(c, frames.OnOffer(func(c net.Conn, o *protocol.Offer) bool {
 		m.attempt = o.AttemptID
 		acceptOffer(c, o)
 		return false
@@ -162,7 +163,7 @@
 			want := protocol.OutcomeLost
 			if tc.named {
 				want = protocol.OutcomeFinished
-				sendFrames(c, &protocol.Result{AttemptID: m.attempt})
+				frames.Send(c, &protocol.Result{AttemptID: m.attempt})
 			}
 			h.client.wantTermination(want)
 		})
--- a/internal/schedulerd/peers_test.go
+++ b/internal/schedulerd/peers_test.go
@@ -7,6 +7,7 @@
 
 	"glenport/internal/protocol"
 	"glenport/internal/testutil"
+	"glenport/internal/testutil/frames"
 )
 
 // dial connects until the end of the test, and bounds all that is read and written.
@@ -17,53 +18,12 @@
 	return c
 }
 
-func receiveFrame(c net.Conn) (protocol.Frame, error) {
-	return protocol.ReadFrame(c, protocol.MaxFrame)
-}
-
-// skipFrame waits for a frame, or for the end of the connection.
-func skipFrame(c net.Conn) { _, _ = receiveFrame(c) }
-
-// frameHandler reports whether the connection goes on.
-type frameHandler func(net.Conn, protocol.Frame) bool
-
-// handleFrames hands on each frame until the handler ends the connection, or the peer.
-func handleFrames(c net.Conn, handle frameHandler) {
-	for {
-		f, err := receiveFrame(c)
-		if err != nil || !handle(c, f) {
-			return
-		}
-	}
-}
-
-// onOffer handles offers alone.
-func onOffer(handle func(net.Conn, *protocol.Offer) bool) frameHandler {
-	return func(c net.Conn, f protocol.Frame) bool {
-		o, ok := f.(*protocol.Offer)
-		return !ok || handle(c, o)
-	}
-}
-
 // acceptOffer accepts an offer as running.
 func acceptOffer(c net.Conn, o *protocol.Offer) bool {
-	sendFrames(c, &protocol.Accept{AttemptID: o.AttemptID, Running: true})
+	frames.Send(c, &protocol.Accept{AttemptID: o.AttemptID, Running: true})
 	return true
 }
 
-func ignoreFrame(net.Conn, protocol.Frame) bool { return true }
-
-// sendFrames sends frames to a peer that may have closed the connection.
-func sendFrames(c net.Conn, frames ...protocol.Frame) {
-	for _, f := range frames {
-		encoded, err := protocol.Append(nil, f)
-		if err != nil {
-			panic(err) // a test sends what can be encoded
-		}
-		_, _ = c.Write(encoded)
-	}
-}
-
 // listHello is the hello of the first incarnation of a list service.
 func listHello() *protocol.Hello { return protocol.NewHello(protocol.RoleMachineList, "list", 1) }
 
@@ -79,10 +39,10 @@
 		entries = append(entries, protocol.MachineEntry{Machine: id, Address: address, Incarnation: 1, Age: -1})
 	}
 	return testutil.ServeUntilEnd(t, func(c net.Conn) {
-		sendFrames(c, listHello())
-		handleFrames(c, func(c net.Conn, f protocol.Frame) bool {
+		frames.Send(c, listHello())
+		frames.Handle(c, func(c net.Conn, f protocol.Frame) bool {
 			if _, ok := f.(*protocol.WatchMachineList); ok {
-				sendFrames(c, fullList(1, entries...))
+				frames.Send(c, fullList(1, entries...))
 			}
 			return true
 		})
@@ -91,18 +51,18 @@
 
 // sendHello sends what a machine sends first.
 func sendHello(c net.Conn, name string, incarnation uint64, inventory *protocol.Inventory) {
-	sendFrames(c, protocol.NewHello(protocol.RoleMachine, name, incarnation), inventory)
+	frames.Send(c, protocol.NewHello(protocol.RoleMachine, name, incarnation), inventory)
 }
 
 // serveMachine sends hello and an empty inventory, and hands on each frame.
-func serveMachine(t *testing.T, name string, handle frameHandler) string {
+func serveMachine(t *testing.T, name string, handle frames.Handler) string {
 	t.Helper()
 	return testutil.ServeUntilEnd(t, func(c net.Conn) {
-		if f, err := receiveFrame(c); err != nil || f.(*protocol.Hello).Role != protocol.RoleScheduler {
+		if f, err := frames.Receive(c); err != nil || f.(*protocol.Hello).Role != protocol.RoleScheduler {
 			return
 		}
 		sendHello(c, name, 1, &protocol.Inventory{})
-		handleFrames(c, handle)
+		frames.Handle(c, handle)
 	})
 }
 
@@ -118,9 +78,9 @@
 		case <-done:
 			return
 		}
-		skipFrame(c)
+		frames.Skip(c)
 		sendHello(c, name, incarnation, &protocol.Inventory{MachineIncarnation: incarnation})
-		handleFrames(c, onOffer(func(c net.Conn, o *protocol.Offer) bool {
+		frames.Handle(c, frames.OnOffer(func(c net.Conn, o *protocol.Offer) bool {
 			offered <- o.Spec.ContainerID
 			return acceptOffer(c, o)
 		}))
@@ -137,7 +97,7 @@
 func dialClient(t *testing.T, address string) *testClient {
 	t.Helper()
 	client := &testClient{t, dial(t, address)}
-	sendFrames(client, protocol.NewHello(protocol.RoleClient, "client", 1))
+	frames.Send(client, protocol.NewHello(protocol.RoleClient, "client", 1))
 	if hello, ok := client.receive().(*protocol.Hello); !ok || hello.Role != protocol.RoleScheduler {
 		t.Fatal("the scheduler sends no hello")
 	}
@@ -146,7 +106,7 @@
 
 func (c *testClient) receive() protocol.Frame {
 	c.t.Helper()
-	f, err := receiveFrame(c)
+	f, err := frames.Receive(c)
 	testutil.Require(c.t, err == nil, "connection closed: %v", err)
 	return f
 }
@@ -186,5 +146,5 @@
 func (c *testClient) submit(id string, class int) { c.submitSpec(specFor(id, class)) }
 
 func (c *testClient) submitSpec(spec protocol.ContainerSpec) {
-	sendFrames(c, &protocol.Submit{TimeToDeadline: 60_000, Spec: spec})
+	frames.Send(c, &protocol.Submit{TimeToDeadline: 60_000, Spec: spec})
 }
--- a/internal/schedulerd/rawconn_test.go
+++ b/internal/schedulerd/rawconn_test.go
@@ -8,6 +8,7 @@
 
 	"glenport/internal/protocol"
 	"glenport/internal/testutil"
+	"glenport/internal/testutil/frames"
 
 	"golang.org/x/sys/unix"
 )
@@ -45,15 +46,10 @@
 }
 
 func (c *rawConn) send(f protocol.Frame) {
-	encoded, err := protocol.Append(nil, f)
-	if err != nil {
-		c.t.Error(err)
-		return
-	}
 	if c.closed {
 		return
 	}
-	n, err := unix.Write(c.fd, encoded)
+	n, err := unix.Write(c.fd, frames.Encode(c.t, f))
 	if err == nil { // else the peer has closed
 		c.written += n
 	}
--- a/internal/schedulerd/restore_test.go
+++ b/internal/schedulerd/restore_test.go
@@ -13,6 +13,7 @@
 	"glenport/internal/storage/vfs"
 	"glenport/internal/storage/wal"
 	"glenport/internal/testutil"
+	"glenport/internal/testutil/frames"
 	"glenport/scheduler"
 )
 
@@ -77,8 +78,7 @@
 	settings := testConfig(t)
 	settings.LegacyListFile = filepath.Join(t.TempDir(), "list")
 	list := fullList(7, protocol.MachineEntry{Machine: "a", Address: "127.0.0.1:1", Age: 50})
-	data, err := protocol.Append(binary.BigEndian.AppendUint64(nil, 0), list)
-	testutil.NoError(t, err)
+	data := append(make([]byte, 8), frames.Encode(t, list)...)
 	for _, tc := range []struct {
 		name     string
 		at       uint64
@@ -100,7 +100,7 @@
 func crashDuringAttempt(t *testing.T, class int) (state string, running protocol.InventoryItem) {
 	t.Helper()
 	offered := make(chan *protocol.Offer, 1)
-	silent := serveMachine(t, "a", onOffer(func(_ net.Conn, o *protocol.Offer) bool {
+	silent := serveMachine(t, "a", frames.OnOffer(func(_ net.Conn, o *protocol.Offer) bool {
 		offered <- o
 		return true
 	}))
@@ -124,12 +124,12 @@
 func serveReportingMachine(t *testing.T, inventory *protocol.Inventory, report <-chan struct{}) string {
 	t.Helper()
 	return testutil.ServeUntilEnd(t, func(c net.Conn) {
-		if _, err := receiveFrame(c); err != nil {
+		if _, err := frames.Receive(c); err != nil {
 			return
 		}
 		<-report
 		sendHello(c, "a", 1, inventory)
-		skipFrame(c)
+		frames.Skip(c)
 	})
 }
 
@@ -200,7 +200,7 @@
 func TestSendsBeforeAnIncarnationIsObservedAreLogged(t *testing.T) {
 	settings := testConfig(t)
 	settings.StateDir = t.TempDir()
-	address := serveMachine(t, "a", ignoreFrame)
+	address := serveMachine(t, "a", frames.Ignore)
 	h := startWithMachineA(t, settings, attemptOn(0), address)
 	h.client.submit("x", classIdempotent)
 	h.eventually(func(a *machine) bool { return len(a.attempts) > 0 })
@@ -217,9 +217,9 @@
 	next := testConfig(t)
 	next.StateDir = copyState(t, settings.StateDir)
 	next.MachineListAddr = testutil.ServeUntilEnd(t, func(c net.Conn) {
-		sendFrames(c, listHello(), fullList(2, entry))
+		frames.Send(c, listHello(), fullList(2, entry))
 		for range 3 { // hello, request, end of the connection
-			skipFrame(c)
+			frames.Skip(c)
 		}
 	})
 	script := newWarmStartScript(scheduler.Snapshot{})
--- a/internal/schedulerd/statestore_test.go
+++ b/internal/schedulerd/statestore_test.go
@@ -9,19 +9,20 @@
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
 	"glenport/internal/storage/vfs"
+	"glenport/internal/testutil/frames"
 	"glenport/scheduler"
 )
 
 // acceptAll is a machine that accepts every offer, and finishes the container "before" on a signal.
 func acceptAll(t *testing.T, offered chan<- string, finish <-chan struct{}) string {
 	t.Helper()
-	return serveMachine(t, "a", onOffer(func(c net.Conn, o *protocol.Offer) bool {
+	return serveMachine(t, "a", frames.OnOffer(func(c net.Conn, o *protocol.Offer) bool {
 		acceptOffer(c, o)
 		offered <- o.Spec.ContainerID
 		if o.Spec.ContainerID == "before" {
 			go func() {
 				<-finish
-				sendFrames(c, &protocol.Result{AttemptID: o.AttemptID, Outcome: protocol.OutcomeFinished})
+				frames.Send(c, &protocol.Result{AttemptID: o.AttemptID, Outcome: protocol.OutcomeFinished})
 			}()
 		}
 		return true
@@ -91,7 +92,7 @@
 // meanwhile, and is no failure of its machine.
 func TestAttemptHeldBackByASlowDiskIsNotSentLate(t *testing.T) {
 	offered := make(chan string, 10)
-	address := serveMachine(t, "a", onOffer(func(_ net.Conn, o *protocol.Offer) bool {
+	address := serveMachine(t, "a", frames.OnOffer(func(_ net.Conn, o *protocol.Offer) bool {
 		offered <- o.Spec.ContainerID
 		return true
 	}))
--- a/internal/testbed/audit/checker_test.go
+++ b/internal/testbed/audit/checker_test.go
@@ -7,6 +7,7 @@
 	"glenport/internal/protocol"
 	"glenport/internal/testbed/faultproxy"
 	"glenport/internal/testutil"
+	"glenport/internal/testutil/frames"
 	"glenport/scheduler"
 )
 
@@ -73,12 +74,8 @@
 }
 
 func (h *history) frame(at int64, s faultproxy.EntryKind, id uint32, f protocol.Frame) {
-	p, err := protocol.Append(nil, f)
-	if err != nil {
-		h.Fatal(err)
-	}
-	conn := h.checker.connections[id]
-	h.put(at, faultproxy.Entry{Kind: s, ConnID: id, Peer: conn.peer, PeerName: conn.name, Frame: p[4:]})
+	conn, encoded := h.checker.connections[id], frames.Encode(h, f)[4:]
+	h.put(at, faultproxy.Entry{Kind: s, ConnID: id, Peer: conn.peer, PeerName: conn.name, Frame: encoded})
 }
 
 func (h *history) list(at int64, entries map[string]protocol.MachineEntry) {
--- a/internal/testbed/audit/print_test.go
+++ b/internal/testbed/audit/print_test.go
@@ -9,6 +9,7 @@
 	"glenport/internal/protocol"
 	"glenport/internal/testbed/faultproxy"
 	"glenport/internal/testutil"
+	"glenport/internal/testutil/frames"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -28,9 +29,7 @@
 		&protocol.Accept{AttemptID: 1}, &protocol.Accept{AttemptID: 2},
 		&protocol.CancelContainer{ContainerID: "c"}, &protocol.Termination{ContainerID: "c"},
 	} {
-		data, err := protocol.Append(nil, f)
-		testutil.NoError(t, err)
-		entry := faultproxy.Entry{Kind: faultproxy.FromScheduler, ConnID: 1, Frame: data[4:]}
+		entry := faultproxy.Entry{Kind: faultproxy.FromScheduler, ConnID: 1, Frame: frames.Encode(t, f)[4:]}
 		testutil.NoError(t, encoder.Encode(entry))
 	}
 	testutil.NoError(t, file.Close())
--- a/internal/testbed/faultproxy/record_test.go
+++ b/internal/testbed/faultproxy/record_test.go
@@ -12,6 +12,7 @@
 	"glenport/internal/golden"
 	"glenport/internal/protocol"
 	"glenport/internal/testutil"
+	"glenport/internal/testutil/frames"
 	"glenport/scheduler"
 
 	"github.com/fxamacker/cbor/v2"
@@ -55,9 +56,7 @@
 
 func encodedFrame(t *testing.T, f protocol.Frame) []byte {
 	t.Helper()
-	data, err := protocol.Append(nil, f)
-	testutil.NoError(t, err)
-	return data[lengthPrefixSize:]
+	return frames.Encode(t, f)[lengthPrefixSize:]
 }
 
 // connEntry is an entry on a connection, with a number of its own in each field, counted from at.
