--- a/internal/config/strictyaml/values.go
+++ b/internal/config/strictyaml/values.go
@@ -1,6 +1,7 @@
 package strictyaml
 
 import (
+	"fmt"
 	"math"
 	"strconv"
 
@@ -22,6 +23,20 @@
 	return t.Value, t, positionOf(t), nil
 }
 
+// decode sets a position and a value from the text of a plain value, and leaves both where parse refuses the text.
+func decode[T any](node ast.Node, expected string, at *Position, value *T, parse func(string) (T, error)) error {
+	text, t, position, err := scalar(node, expected)
+	if err != nil {
+		return err
+	}
+	parsed, err := parse(text)
+	if err != nil {
+		return syntaxError(t, "%v", err)
+	}
+	*at, *value = position, parsed
+	return nil
+}
+
 // String is a text of any form.
 type String struct {
 	Position
@@ -45,16 +60,15 @@
 
 // UnmarshalYAML reads a finite number.
 func (v *Float) UnmarshalYAML(node ast.Node) error {
-	text, t, at, err := scalar(node, "a number")
-	if err != nil {
-		return err
-	}
+	return decode(node, "a number", &v.Position, &v.Value, parseFloat)
+}
+
+func parseFloat(text string) (float64, error) {
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
-		return syntaxError(t, "%q is no number", text)
+		return 0, fmt.Errorf("%q is no number", text)
 	}
-	v.Position, v.Value = at, number
-	return nil
+	return number, nil
 }
 
 // Count is a whole number from 0 to 1,000,000,000.
@@ -65,16 +79,15 @@
 
 // UnmarshalYAML reads a whole number from 0.
 func (v *Count) UnmarshalYAML(node ast.Node) error {
-	text, t, at, err := scalar(node, "a whole number")
-	if err != nil {
-		return err
-	}
+	return decode(node, "a whole number", &v.Position, &v.Value, parseCount)
+}
+
+func parseCount(text string) (int, error) {
 	number, err := strconv.Atoi(text)
 	if err != nil || number < 0 || number > maxCount {
-		return syntaxError(t, "%q is no whole number from 0", text)
+		return 0, fmt.Errorf("%q is no whole number from 0", text)
 	}
-	v.Position, v.Value = at, number
-	return nil
+	return number, nil
 }
 
 // Bool is true or false, in just these two forms.
@@ -85,15 +98,14 @@
 
 // UnmarshalYAML reads true or false.
 func (v *Bool) UnmarshalYAML(node ast.Node) error {
-	text, t, at, err := scalar(node, "true or false")
-	if err != nil {
-		return err
-	}
+	return decode(node, "true or false", &v.Position, &v.Value, parseBool)
+}
+
+func parseBool(text string) (bool, error) {
 	if text != "true" && text != "false" {
-		return syntaxError(t, "%q is neither true nor false", text)
+		return false, fmt.Errorf("%q is neither true nor false", text)
 	}
-	v.Position, v.Value = at, text == "true"
-	return nil
+	return text == "true", nil
 }
 
 // Duration is a length of time, written with one of the units ms, s, min and h.
@@ -104,19 +116,18 @@
 
 // UnmarshalYAML reads a length of time with its unit.
 func (v *Duration) UnmarshalYAML(node ast.Node) error {
-	text, t, at, err := scalar(node, "a span such as 250ms or 8s")
-	if err != nil {
-		return err
-	}
+	return decode(node, "a span such as 250ms or 8s", &v.Position, &v.Ticks, parseDuration)
+}
+
+func parseDuration(text string) (int64, error) {
 	ticks, err := parseQuantity(text, durationUnits)
 	if err != nil {
-		return syntaxError(t, "%v", err)
+		return 0, err
 	}
 	if ticks > maxDurationTicks {
-		return syntaxError(t, "%q is longer than a year", text)
+		return 0, fmt.Errorf("%q is longer than a year", text)
 	}
-	v.Position, v.Ticks = at, int64(math.Round(ticks))
-	return nil
+	return int64(math.Round(ticks)), nil
 }
 
 // Memory is an amount of memory, written with one of the units KiB, MiB, GiB and TiB.
@@ -127,14 +138,7 @@
 
 // UnmarshalYAML reads an amount of memory with its unit.
 func (v *Memory) UnmarshalYAML(node ast.Node) error {
-	text, t, at, err := scalar(node, "memory such as 512MiB or 4GiB")
-	if err != nil {
-		return err
-	}
-	amount, err := parseQuantity(text, memoryUnits)
-	if err != nil {
-		return syntaxError(t, "%v", err)
-	}
-	v.Position, v.GiB = at, amount
-	return nil
+	return decode(node, "memory such as 512MiB or 4GiB", &v.Position, &v.GiB, parseMemory)
 }
+
+func parseMemory(text string) (float64, error) { return parseQuantity(text, memoryUnits) }
