--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -20,9 +20,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			var out bytes.Buffer
 			err := run(strings.NewReader(tc.in), &out)
-			if out.String() != tc.out {
-				t.Errorf("wrote %q, want %q", out.String(), tc.out)
-			}
+			testutil.Expect(t, out.String() == tc.out, "wrote %q, want %q", out.String(), tc.out)
 			if (err == nil) != (tc.err == "") || err != nil && !strings.Contains(err.Error(), tc.err) {
 				t.Errorf("error %v, want %q", err, tc.err)
 			}
--- a/cmd/glenport-testbed/formerflag_test.go
+++ b/cmd/glenport-testbed/formerflag_test.go
@@ -23,13 +23,11 @@
 	} {
 		t.Run(tc.former, func(t *testing.T) {
 			former := tc.command.Flags().Lookup(tc.former)
-			if former == nil || !former.Hidden || former.Deprecated != "use --"+tc.name {
-				t.Fatalf("got %+v", former)
-			}
+			testutil.Require(t, former != nil && former.Hidden && former.Deprecated == "use --"+tc.name,
+				"got %+v", former)
 			testutil.NoError(t, tc.command.Flags().Set(tc.former, tc.value))
-			if got := tc.command.Flags().Lookup(tc.name).Value.String(); got != tc.value {
-				t.Errorf("--%s is %q, want %q", tc.name, got, tc.value)
-			}
+			got := tc.command.Flags().Lookup(tc.name).Value.String()
+			testutil.Expect(t, got == tc.value, "--%s is %q, want %q", tc.name, got, tc.value)
 		})
 	}
 }
--- a/cmd/glenport/commands_test.go
+++ b/cmd/glenport/commands_test.go
@@ -26,9 +26,8 @@
 	for _, c := range commands {
 		t.Run(c.CommandPath(), func(t *testing.T) {
 			help, _, err := runCommand(append(strings.Fields(c.CommandPath())[1:], "--help")...)
-			if err != nil || !strings.Contains(help, "Examples:\n"+c.Example) {
-				t.Errorf("help without its example, %v:\n%s", err, help)
-			}
+			testutil.Expect(t, err == nil && strings.Contains(help, "Examples:\n"+c.Example),
+				"help without its example, %v:\n%s", err, help)
 			testutil.Require(t, c.Example != "", "no example")
 			for line := range strings.SplitSeq(c.Example, "\n") {
 				checkExample(t, c, line)
@@ -88,13 +87,11 @@
 			}
 			// cobra prints the warning to standard error, unless an output is set, as here
 			warning := "Flag " + tc.former + " has been deprecated, use " + tc.current + "\n"
-			if got, want := run(tc.former), warning+run(tc.current); got != want {
-				t.Errorf("got %s\nwant %s", got, want)
-			}
+			got, want := run(tc.former), warning+run(tc.current)
+			testutil.Expect(t, got == want, "got %s\nwant %s", got, want)
 			help, _, _ := runCommand(append(strings.Fields(tc.command), "--help")...)
-			if strings.Contains(help, tc.former) || !strings.Contains(help, tc.current) {
-				t.Errorf("help:\n%s", help)
-			}
+			testutil.Expect(t, !strings.Contains(help, tc.former) && strings.Contains(help, tc.current),
+				"help:\n%s", help)
 		})
 	}
 }
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -73,9 +73,8 @@
 			testutil.Expect(t, exists(filepath.Join(root, path)), "%s names %s, which does not exist", page, m[1])
 		}
 		for _, m := range pageLink.FindAllStringSubmatch(text, -1) {
-			if !exists(filepath.Join(root, filepath.Dir(page), m[1])) {
-				t.Errorf("%s links to %s, which does not exist", page, m[1])
-			}
+			testutil.Expect(t, exists(filepath.Join(root, filepath.Dir(page), m[1])),
+				"%s links to %s, which does not exist", page, m[1])
 		}
 	}
 }
--- a/docs/operating_test.go
+++ b/docs/operating_test.go
@@ -51,9 +51,8 @@
 				testutil.Expect(t, strings.Contains(tc.table, "\n"+row), "no row %s", row)
 			}
 			pairs := len(want) + len(tc.aliases.Values) // a row of a value has its key as well
-			if got := strings.Count(tc.table, "` | `"); got != pairs {
-				t.Errorf("%d old keys and values stand beside new ones, want %d", got, pairs)
-			}
+			got := strings.Count(tc.table, "` | `")
+			testutil.Expect(t, got == pairs, "%d old keys and values stand beside new ones, want %d", got, pairs)
 		})
 	}
 }
--- a/internal/bgp/announce/announce_test.go
+++ b/internal/bgp/announce/announce_test.go
@@ -89,9 +89,8 @@
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if got := strings.Join(play(tc.events), "; "); got != tc.want {
-				t.Errorf("got  %s\nwant %s", got, tc.want)
-			}
+			got := strings.Join(play(tc.events), "; ")
+			testutil.Expect(t, got == tc.want, "got  %s\nwant %s", got, tc.want)
 		})
 	}
 }
--- a/internal/bgp/announce/invariants_test.go
+++ b/internal/bgp/announce/invariants_test.go
@@ -5,6 +5,7 @@
 	"strconv"
 	"testing"
 
+	"glenport/internal/testutil"
 	_ "glenport/internal/testutil/fixedseed"
 	"glenport/scheduler"
 
@@ -27,9 +28,8 @@
 		m.checkTable()
 		m.removeAll()
 		m.advanceBy(5 * 60 * 60 * sec)
-		if len(m.announcer.services) > 0 || len(m.table) > 0 {
-			t.Fatalf("%d services and %d routes are left", len(m.announcer.services), len(m.table))
-		}
+		testutil.Require(t, len(m.announcer.services) == 0 && len(m.table) == 0,
+			"%d services and %d routes are left", len(m.announcer.services), len(m.table))
 	})
 }
 
@@ -69,9 +69,8 @@
 	default:
 		return
 	}
-	if at, updated := m.updatedAt[prefix]; updated && m.now-at < minUpdateInterval {
-		m.t.Fatalf("%s is updated twice within %d", prefix, m.now-at)
-	}
+	at, updated := m.updatedAt[prefix]
+	testutil.Require(m.t, !updated || m.now-at >= minUpdateInterval, "%s is updated twice within %d", prefix, m.now-at)
 	m.updatedAt[prefix] = m.now
 }
 
--- a/internal/bgp/announce/route_test.go
+++ b/internal/bgp/announce/route_test.go
@@ -16,9 +16,8 @@
 			r := route{state: state}
 			err := r.transition(event)
 			if next, legal := routeTransitions[state][event]; legal {
-				if err != nil || r.state != next {
-					t.Errorf("%s, %s: %s, %v, want %s", state, event, r.state, err, next)
-				}
+				testutil.Expect(t, err == nil && r.state == next,
+					"%s, %s: %s, %v, want %s", state, event, r.state, err, next)
 				continue
 			}
 			want := statemachine.TransitionError{
@@ -41,7 +40,6 @@
 	s := a.findOrAdd("web")
 	a.withdraw(s, withdrawalSent)
 	testutil.Require(t, len(a.actions) == 1 && s.route.state == routeWithdrawn, "%+v, now %s", a.actions, s.route.state)
-	if log, ok := a.actions[0].(Log); !ok || log.Err == nil {
-		t.Errorf("%+v is no error for the log", a.actions[0])
-	}
+	log, ok := a.actions[0].(Log)
+	testutil.Expect(t, ok && log.Err != nil, "%+v is no error for the log", a.actions[0])
 }
--- a/internal/bgp/session/components_test.go
+++ b/internal/bgp/session/components_test.go
@@ -39,9 +39,8 @@
 	n := negotiation{peer()}
 	o := open(func(o *wire.Open) { o.Families = both[1:] })
 	testutil.Equal(t, n.holdTime(o), 30*scheduler.Second, "hold time")
-	if up := n.result(o); len(up.Families) != 1 || up.Families[0] != wire.IPv6 || up.SendEndOfRIB {
-		t.Errorf("%+v", up)
-	}
+	up := n.result(o)
+	testutil.Expect(t, len(up.Families) == 1 && up.Families[0] == wire.IPv6 && !up.SendEndOfRIB, "%+v", up)
 	testutil.Expect(t, n.keepsInbound(o), "the connection of the lower identifier stays")
 }
 
@@ -51,9 +50,8 @@
 	connections.dial()
 	connections.abandonDial()
 	connections.abandonDial()
-	if got := actions.take(); len(got) != 2 || got[1] != (CloseConn{1}) {
-		t.Errorf("%+v", got)
-	}
+	got := actions.take()
+	testutil.Expect(t, len(got) == 2 && got[1] == (CloseConn{1}), "%+v", got)
 	if !connections.isAbandoned(ConnOpened{Conn: 1}) || connections.isAbandoned(ConnOpened{Conn: 1, Inbound: true}) {
 		t.Error("a dial is abandoned as an inbound connection is not")
 	}
--- a/internal/bgp/session/invariants_test.go
+++ b/internal/bgp/session/invariants_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"glenport/internal/bgp/wire"
+	"glenport/internal/testutil"
 	_ "glenport/internal/testutil/fixedseed"
 
 	"pgregory.net/rapid"
@@ -62,9 +63,7 @@
 	case Down:
 		m.up--
 	case SendMessage:
-		if !m.open[a.Conn] {
-			m.Fatalf("sends on %d, which is not open", a.Conn)
-		}
+		testutil.Require(m, m.open[a.Conn], "sends on %d, which is not open", a.Conn)
 	}
 }
 
@@ -153,13 +152,7 @@
 
 func (m *invariantModel) check() {
 	state := m.session.State()
-	if (state == Established) != (m.up == 1) || m.up < 0 || m.up > 1 {
-		m.Fatalf("%s with %d up", state, m.up)
-	}
-	if state == Established && len(m.open) != 1 {
-		m.Fatalf("established with %d connections", len(m.open))
-	}
-	if len(m.timers) == 0 && len(m.dialed) == 0 {
-		m.Fatalf("%s, and nothing will move it on", state)
-	}
+	testutil.Require(m, (state == Established) == (m.up == 1) && m.up >= 0 && m.up <= 1, "%s with %d up", state, m.up)
+	testutil.Require(m, state != Established || len(m.open) == 1, "established with %d connections", len(m.open))
+	testutil.Require(m, len(m.timers) != 0 || len(m.dialed) != 0, "%s, and nothing will move it on", state)
 }
--- a/internal/bgp/session/session_test.go
+++ b/internal/bgp/session/session_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"glenport/internal/bgp/wire"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -82,9 +83,8 @@
 			for _, e := range tc.events {
 				actions = s.Handle(e)
 			}
-			if got := show(actions) + "; " + s.State().String(); got != tc.want {
-				t.Errorf("got  %s\nwant %s", got, tc.want)
-			}
+			got := show(actions) + "; " + s.State().String()
+			testutil.Expect(t, got == tc.want, "got  %s\nwant %s", got, tc.want)
 		})
 	}
 }
--- a/internal/bgp/wire/golden_test.go
+++ b/internal/bgp/wire/golden_test.go
@@ -121,13 +121,11 @@
 	for _, g := range all {
 		t.Run(g.name, func(t *testing.T) {
 			got, err := Decode(want[g.name])
-			if err != nil || !reflect.DeepEqual(got, g.message) {
-				t.Errorf("decoded %+v, %v, want %+v", got, err, g.message)
-			}
+			testutil.Expect(t, err == nil && reflect.DeepEqual(got, g.message),
+				"decoded %+v, %v, want %+v", got, err, g.message)
 			encoded, err := Append(nil, g.message)
-			if err != nil || string(encoded) != string(want[g.name]) {
-				t.Errorf("encoded %x, %v, want %x", encoded, err, want[g.name])
-			}
+			testutil.Expect(t, err == nil && string(encoded) == string(want[g.name]),
+				"encoded %x, %v, want %x", encoded, err, want[g.name])
 		})
 	}
 }
--- a/internal/bgp/wire/message_test.go
+++ b/internal/bgp/wire/message_test.go
@@ -120,9 +120,8 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			m, err := Decode(tc.in)
-			if got := answerTo(m, err); got != tc.want {
-				t.Errorf("got %s (%v, %+v), want %s", got, err, m, tc.want)
-			}
+			got := answerTo(m, err)
+			testutil.Expect(t, got == tc.want, "got %s (%v, %+v), want %s", got, err, m, tc.want)
 		})
 	}
 }
@@ -131,9 +130,8 @@
 func TestShutdownTextIsValidAndOfLimitedLength(t *testing.T) {
 	testutil.Equal(t, NewShutdown(strings.Repeat("ö", 100)).ShutdownText(), strings.Repeat("ö", 64), "the text")
 	for _, data := range [][]byte{nil, {5, 'a'}, {200}, {1, 0xFF}} {
-		if got := (&Notification{CodeCease, SubcodeAdministrativeShutdown, data}).ShutdownText(); got != "" {
-			t.Errorf("the text of %v is %q", data, got)
-		}
+		got := (&Notification{CodeCease, SubcodeAdministrativeShutdown, data}).ShutdownText()
+		testutil.Expect(t, got == "", "the text of %v is %q", data, got)
 	}
 }
 
@@ -161,9 +159,8 @@
 			seen[x]++
 		}
 	}
-	if len(seen) != len(all) || len(updates) > 450 {
-		t.Errorf("%d prefixes in %d messages", len(seen), len(updates))
-	}
+	testutil.Expect(t, len(seen) == len(all) && len(updates) <= 450,
+		"%d prefixes in %d messages", len(seen), len(updates))
 	t.Logf("%d prefixes: %d messages, %d bytes", len(all), len(updates), bytes)
 }
 
--- a/internal/config/aliases_test.go
+++ b/internal/config/aliases_test.go
@@ -34,9 +34,8 @@
 			old, deprecations := parseWithDeprecations(t, tc.old)
 			current, none := parseWithDeprecations(t, tc.current)
 			testutil.Expect(t, reflect.DeepEqual(old, current), "got %+v\nwant %+v", old, current)
-			if len(deprecations) < 40 || len(none) > 0 {
-				t.Errorf("%d old spellings in %s, %d in %s", len(deprecations), tc.old, len(none), tc.current)
-			}
+			testutil.Expect(t, len(deprecations) >= 40 && len(none) == 0,
+				"%d old spellings in %s, %d in %s", len(deprecations), tc.old, len(none), tc.current)
 		})
 	}
 }
@@ -146,9 +145,8 @@
 			}
 			want, none := with(alias.New)
 			got, deprecations := with(alias.Old)
-			if !reflect.DeepEqual(got, want) || len(none) > 0 {
-				t.Errorf("got %+v\nwant %+v with %v", got, want, none)
-			}
+			testutil.Expect(t, reflect.DeepEqual(got, want) && len(none) == 0,
+				"got %+v\nwant %+v with %v", got, want, none)
 			checkDeprecation(t, deprecations, alias.Key+": "+alias.Old, alias.Key+": "+alias.New)
 		})
 	}
@@ -261,7 +259,6 @@
 	LogDeprecations(slog.New(slog.NewTextHandler(&log, nil)), settings.Deprecations)
 	want := `level=WARN msg="deprecated setting" file=` + path +
 		" line=41 old=workload_classes.agreed_time new=workload_classes.latency_objective\n"
-	if !strings.HasSuffix(log.String(), want) || strings.Count(log.String(), "\n") != 1 {
-		t.Errorf("got %swant %s", log.String(), want)
-	}
+	testutil.Expect(t, strings.HasSuffix(log.String(), want) && strings.Count(log.String(), "\n") == 1,
+		"got %swant %s", log.String(), want)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -141,10 +141,8 @@
 			var located *strictyaml.Error
 			testutil.Require(t, errors.As(err, &located), "got %T: %v", err, err)
 			want := strictyaml.Position{Line: tc.line, Column: tc.column}
-			if located.File != "placer.yaml" || located.Position != want || located.Key != tc.key {
-				t.Errorf("got %v with key %q, want %v with key %q: %v",
-					located.Position, located.Key, want, tc.key, err)
-			}
+			testutil.Expect(t, located.File == "placer.yaml" && located.Position == want && located.Key == tc.key,
+				"got %v with key %q, want %v with key %q: %v", located.Position, located.Key, want, tc.key, err)
 		})
 	}
 }
--- a/internal/config/encode_test.go
+++ b/internal/config/encode_test.go
@@ -32,9 +32,8 @@
 			text := encoded(t)(want.Encode("scheduler.yaml"))
 			writeFile(t, filepath.Join(dir, "controller.yaml"), text)
 			got, err := LoadController(filepath.Join(dir, "controller.yaml"))
-			if err != nil || !reflect.DeepEqual(got, want) {
-				t.Errorf("%v: got %+v, want %+v from\n%s", err, got, want, text)
-			}
+			testutil.Expect(t, err == nil && reflect.DeepEqual(got, want),
+				"%v: got %+v, want %+v from\n%s", err, got, want, text)
 		})
 	}
 }
--- a/internal/config/strictyaml/alias_test.go
+++ b/internal/config/strictyaml/alias_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // renamedFile has keys and values that were renamed.
@@ -114,9 +116,8 @@
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if got := readRenamed(tc.text); got != tc.want {
-				t.Errorf("got  %s\nwant %s", got, tc.want)
-			}
+			got := readRenamed(tc.text)
+			testutil.Expect(t, got == tc.want, "got  %s\nwant %s", got, tc.want)
 		})
 	}
 }
--- a/internal/controller/api/creations_test.go
+++ b/internal/controller/api/creations_test.go
@@ -21,9 +21,8 @@
 	}
 	c.finish("key", entry, []byte("answer"), nil)
 	<-retry.done
-	if string(retry.response) != "answer" || string(retry.body) != "body" {
-		t.Errorf("the retry gets %q for %q", retry.response, retry.body)
-	}
+	testutil.Expect(t, string(retry.response) == "answer" && string(retry.body) == "body",
+		"the retry gets %q for %q", retry.response, retry.body)
 }
 
 func TestFailedCreationFreesItsKey(t *testing.T) {
@@ -32,18 +31,16 @@
 	c.finish("key", entry, nil, errors.New("not valid"))
 	<-entry.done
 	testutil.Expect(t, entry.response == nil, "a retry that waited gets %q", entry.response)
-	if _, first := c.begin("key", nil); !first {
-		t.Error("the key is still taken")
-	}
+	_, first := c.begin("key", nil)
+	testutil.Expect(t, first, "the key is still taken")
 }
 
 func TestOldAndExcessCreationsAreForgotten(t *testing.T) {
 	c := creations{byKey: map[string]*creation{}}
 	old, _ := c.begin("old", nil)
 	old.begun = time.Now().Add(-creationRetention - time.Second)
-	if _, first := c.begin("old", nil); !first {
-		t.Error("an old creation is still known")
-	}
+	_, first := c.begin("old", nil)
+	testutil.Expect(t, first, "an old creation is still known")
 	for i := range maxCreations {
 		c.byKey[fmt.Sprint("key", i)] = &creation{begun: time.Now()}
 	}
--- a/internal/controller/api/explanations_test.go
+++ b/internal/controller/api/explanations_test.go
@@ -33,9 +33,8 @@
 	testutil.Require(t, status == 200 && len(items) == 2, "got %d %v, want both containers", status, all)
 	for _, item := range items {
 		explanation := item.(map[string]any)
-		if !slices.Contains(reasonCodes(explanation), "no_machine") {
-			t.Errorf("%v: no_machine is not among its reasons", explanation)
-		}
+		testutil.Expect(t, slices.Contains(reasonCodes(explanation), "no_machine"),
+			"%v: no_machine is not among its reasons", explanation)
 	}
 }
 
@@ -44,7 +43,6 @@
 	f.do("POST", "/v1/jobs", job("a", 1, 0.5))
 	f.until("it runs", func() bool { return f.count("job=a,state=running") == 1 })
 	status, answer := f.do("GET", "/v1/containers/a.0/why", "")
-	if status != 200 || answer["state"] != "running" || len(reasonCodes(answer)) != 0 {
-		t.Errorf("got %d %v", status, answer)
-	}
+	testutil.Expect(t, status == 200 && answer["state"] == "running" && len(reasonCodes(answer)) == 0,
+		"got %d %v", status, answer)
 }
--- a/internal/controller/api/helpers_test.go
+++ b/internal/controller/api/helpers_test.go
@@ -73,9 +73,7 @@
 			SlowStartPeriod: time.Second, SlowStartInitialPace: 1, AcceptMeansRunning: true,
 			RequiredMachineType: []int{-1, -1, -1, -1},
 		}, group, uint64(i))
-		if err := m.Start(true); err != nil {
-			f.Fatal(err)
-		}
+		testutil.NoError(f, m.Start(true))
 		f.Cleanup(m.Close)
 		f.machines = append(f.machines, m)
 	}
@@ -84,24 +82,18 @@
 func (f *fixture) loadDescription() {
 	f.Helper()
 	description, err := openapi3.NewLoader().LoadFromData(OpenAPI)
-	if err != nil {
-		f.Fatal(err)
-	}
-	if err := description.Validate(f.Context()); err != nil {
-		f.Fatal(err)
-	}
-	if f.router, err = gorillamux.NewRouter(description); err != nil {
-		f.Fatal(err)
-	}
+	testutil.NoError(f, err)
+	testutil.NoError(f, description.Validate(f.Context()))
+	f.router, err = gorillamux.NewRouter(description)
+	testutil.NoError(f, err)
 }
 
 // startController starts a controller on the fixture's state folder, and an API server of its own.
 func (f *fixture) startController() {
 	f.Helper()
 	var err error
-	if f.controller, err = server.New(f.config, watchcache.New(EncodeWatchEvent), quiet); err != nil {
-		f.Fatal(err)
-	}
+	f.controller, err = server.New(f.config, watchcache.New(EncodeWatchEvent), quiet)
+	testutil.NoError(f, err)
 	serve(f.T, f.controller.Run, f.controller.Stop)
 	f.api = httptest.NewServer(New(f.controller))
 	f.Cleanup(f.api.Close)
@@ -176,9 +168,7 @@
 	f.Helper()
 	route, params, err := f.router.FindRoute(request)
 	if err != nil {
-		if response.status < 400 {
-			f.Errorf("%s %s is not described", request.Method, request.URL)
-		}
+		testutil.Expect(f, response.status >= 400, "%s %s is not described", request.Method, request.URL)
 		return
 	}
 	input := &openapi3filter.ResponseValidationInput{
@@ -199,9 +189,7 @@
 	f.Helper()
 	cache := f.controller.Cache
 	watcher, err := cache.Watch(cache.Version(), watchedKinds...)
-	if err != nil {
-		f.Fatal(err)
-	}
+	testutil.NoError(f, err)
 	defer watcher.Close()
 	deadline := time.After(20 * time.Second)
 	for !holds() {
--- a/internal/controller/api/jobs_test.go
+++ b/internal/controller/api/jobs_test.go
@@ -45,9 +45,8 @@
 	f := startFixture(t, 1)
 	_, first := f.do("POST", "/v1/jobs", job("a", 1, 1), "Idempotency-Key", "k")
 	code, second := f.do("POST", "/v1/jobs", job("a", 1, 1), "Idempotency-Key", "k")
-	if code != 201 || second["version"] != first["version"] {
-		t.Errorf("the repeat got %d %v, the first %v", code, second, first)
-	}
+	testutil.Expect(t, code == 201 && second["version"] == first["version"],
+		"the repeat got %d %v, the first %v", code, second, first)
 	code, p := f.do("POST", "/v1/jobs", job("b", 1, 1), "Idempotency-Key", "k")
 	testutil.Expect(t, code == 422 && p["field"] == "Idempotency-Key", "another body got %d %v", code, p)
 	if code, _ := f.do("POST", "/v1/jobs", job("", 1, 1), "Idempotency-Key", "l"); code != 422 {
--- a/internal/controller/api/restart_test.go
+++ b/internal/controller/api/restart_test.go
@@ -13,9 +13,7 @@
 func (f *fixture) killController() {
 	f.Helper()
 	crashed := f.TempDir()
-	if err := os.CopyFS(crashed, os.DirFS(f.config.StateDir)); err != nil {
-		f.Fatal(err)
-	}
+	testutil.NoError(f, os.CopyFS(crashed, os.DirFS(f.config.StateDir)))
 	f.controller.Stop()
 	f.config.StateDir = crashed
 	f.startController()
@@ -49,13 +47,11 @@
 	_, before := f.do("GET", "/v1/jobs", "")
 	f.killController()
 	_, after := f.do("GET", "/v1/jobs", "")
-	if fmt.Sprint(before["items"]) != fmt.Sprint(after["items"]) {
-		t.Errorf("jobs were %v, are %v", before["items"], after["items"])
-	}
+	testutil.Expect(t, fmt.Sprint(before["items"]) == fmt.Sprint(after["items"]),
+		"jobs were %v, are %v", before["items"], after["items"])
 	f.until("five run again", running)
-	if n := f.machinesRun(); n != 5 {
-		t.Errorf("%d run, 5 are wanted", n)
-	}
+	n := f.machinesRun()
+	testutil.Expect(t, n == 5, "%d run, 5 are wanted", n)
 	status, again := f.do("POST", "/v1/jobs", text, "Idempotency-Key", "k1")
 	testutil.Expect(t, status == 201 && again["version"] == made["version"], "the retry got %d %v", status, again)
 	if status, _ := f.do("POST", "/v1/jobs", text, "Idempotency-Key", "k2"); status != 409 {
@@ -65,8 +61,7 @@
 		t.Errorf("a watch from a version of the earlier process got %d", status)
 	}
 	_, changed := f.do("PUT", "/v1/jobs/j", strings.Replace(text, `"count":5`, `"count":2`, 1))
-	if v, _ := changed["version"].(float64); v <= before["version"].(float64) {
-		t.Errorf("version %v was given out again", v)
-	}
+	v, _ := changed["version"].(float64)
+	testutil.Expect(t, v > before["version"].(float64), "version %v was given out again", v)
 	f.until("two run", func() bool { return f.machinesRun() == 2 })
 }
--- a/internal/controller/api/routes_test.go
+++ b/internal/controller/api/routes_test.go
@@ -6,6 +6,8 @@
 	"net/http"
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 func TestDescriptionIsServedAsItIs(t *testing.T) {
@@ -20,7 +22,6 @@
 func TestProblemOfAnUnknownPathNamesIt(t *testing.T) {
 	f := startFixture(t, 1)
 	status, problem := f.do("PATCH", "/v1/jobs", "")
-	if status < 400 || !strings.Contains(fmt.Sprint(problem["detail"]), "PATCH /v1/jobs") {
-		t.Errorf("got %d %v", status, problem)
-	}
+	testutil.Expect(t, status >= 400 && strings.Contains(fmt.Sprint(problem["detail"]), "PATCH /v1/jobs"),
+		"got %d %v", status, problem)
 }
--- a/internal/controller/api/watch_test.go
+++ b/internal/controller/api/watch_test.go
@@ -29,9 +29,8 @@
 			from = max(from, line.Version)
 			return
 		}
-		if seen[line.Version] || line.Version <= from {
-			t.Fatalf("version %d came twice, after %d", line.Version, from)
-		}
+		testutil.Require(t, !seen[line.Version] && line.Version > from,
+			"version %d came twice, after %d", line.Version, from)
 		seen[line.Version], from = true, line.Version
 		if line.Object.State == "running" {
 			running[line.ID]++
@@ -63,14 +62,10 @@
 	ctx, cut := context.WithCancel(f.Context())
 	defer cut()
 	response := send(f, newRequest(f, http.MethodGet, url, "").WithContext(ctx))
-	if response.status != http.StatusOK {
-		f.Fatalf("watch from %d: %d", from, response.status)
-	}
+	testutil.Require(f, response.status == http.StatusOK, "watch from %d: %d", from, response.status)
 	for scanner := bufio.NewScanner(response.body); len(lines) < limit && scanner.Scan(); {
 		var line containerLine
-		if err := json.Unmarshal(scanner.Bytes(), &line); err != nil {
-			f.Fatal(err)
-		}
+		testutil.NoError(f, json.Unmarshal(scanner.Bytes(), &line))
 		lines = append(lines, line)
 		if line.Type == watchBookmark {
 			break
@@ -85,9 +80,8 @@
 	_, list := f.do("GET", "/v1/containers", "")
 	version := int64(list["version"].(float64))
 	lines := f.watchLines(version, 1)
-	if len(lines) != 1 || lines[0].Type != watchBookmark || lines[0].Version < version {
-		t.Errorf("got %+v, want a bookmark of version %d or later", lines, version)
-	}
+	testutil.Expect(t, len(lines) == 1 && lines[0].Type == watchBookmark && lines[0].Version >= version,
+		"got %+v, want a bookmark of version %d or later", lines, version)
 }
 
 func TestStalledReaderHoldsUpNoOther(t *testing.T) {
--- a/internal/controller/components_test.go
+++ b/internal/controller/components_test.go
@@ -17,9 +17,8 @@
 	timers.set(first, 10)
 	timers.set(second, 10)
 	timers.cancel(cancelled)
-	if at := timers.set(replaced, noTimer); at != 0 {
-		t.Errorf("no timer is due at %d, want 0", at)
-	}
+	at := timers.set(replaced, noTimer)
+	testutil.Expect(t, at == 0, "no timer is due at %d, want 0", at)
 	if after, ok := timers.wakeup(3); after != 3 || !ok {
 		t.Errorf("wakeup after %d, %t, want that of the other component", after, ok)
 	}
@@ -63,9 +62,8 @@
 
 func TestSchedulersAreDrawnAmongThoseConnected(t *testing.T) {
 	schedulers, random := newSchedulerSet(3), newRandomSource(1)
-	if n := schedulers.draw(random); n != noScheduler || schedulers.isConnected(noScheduler) {
-		t.Errorf("scheduler %d is drawn, want none", n)
-	}
+	n := schedulers.draw(random)
+	testutil.Expect(t, n == noScheduler && !schedulers.isConnected(noScheduler), "scheduler %d is drawn, want none", n)
 	for _, e := range []SchedulerConnection{{0, true}, {2, true}} {
 		testutil.Expect(t, schedulers.apply(e) && !schedulers.apply(e), "%+v is not news once", e)
 	}
--- a/internal/controller/crash_test.go
+++ b/internal/controller/crash_test.go
@@ -41,9 +41,8 @@
 			running += len(keys)
 		}
 		// Without orphans a second copy of idempotent work ran on for ever.
-		if running != wanted || len(m.stored.orphans) > 0 {
-			t.Fatalf("%d run, %d are wanted: %v, stored %+v", running, wanted, m.running, m.stored)
-		}
+		testutil.Require(t, running == wanted && len(m.stored.orphans) == 0,
+			"%d run, %d are wanted: %v, stored %+v", running, wanted, m.running, m.stored)
 	})
 }
 
@@ -153,9 +152,8 @@
 
 func (m *crashModel) submit(a SubmitRequest) {
 	atMostOnce := m.idempotency == scheduler.AtMostOnce
-	if m.started[a.IdempotencyKey] && atMostOnce {
-		m.t.Fatalf("key %s ran, and is requested again", a.IdempotencyKey)
-	}
+	testutil.Require(m.t, !m.started[a.IdempotencyKey] || !atMostOnce,
+		"key %s ran, and is requested again", a.IdempotencyKey)
 	keys := m.running[a.Scheduler]
 	_, runs := keys[a.IdempotencyKey]
 	start := func() { keys[a.IdempotencyKey], m.started[a.IdempotencyKey] = a.RequestID, true }
--- a/internal/controller/driver_test.go
+++ b/internal/controller/driver_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -201,9 +202,7 @@
 func (d *driver) passText(word string) {
 	d.Helper()
 	span, err := time.ParseDuration(word)
-	if err != nil {
-		d.Fatalf("step %q: %v", word, err)
-	}
+	testutil.Require(d, err == nil, "step %q: %v", word, err)
 	d.pass(scheduler.Time(span.Milliseconds()) * scheduler.Millisecond)
 }
 
--- a/internal/controller/lifecycle_test.go
+++ b/internal/controller/lifecycle_test.go
@@ -63,8 +63,7 @@
 func TestStatesKeepTheirNamesInTheAPI(t *testing.T) {
 	want := []string{"waiting", "asking", "running", "guarded", "unwatched", "done"}
 	for state := StatePending; state <= StateCompleted; state++ {
-		if got := state.String(); got != want[state] {
-			t.Errorf("state %d is %q, want %q", state, got, want[state])
-		}
+		got := state.String()
+		testutil.Expect(t, got == want[state], "state %d is %q, want %q", state, got, want[state])
 	}
 }
--- a/internal/controller/pending/pending_test.go
+++ b/internal/controller/pending/pending_test.go
@@ -59,12 +59,10 @@
 		codes = append(codes, string(r.Code))
 		texts = append(texts, r.Text)
 	}
-	if got := strings.Join(codes, " "); got != tc.codes {
-		t.Errorf("got %s, want %s; %s", got, tc.codes, texts)
-	}
-	if all := strings.Join(texts, " "); !strings.Contains(all, tc.contains) {
-		t.Errorf("got %q, want %q in it", all, tc.contains)
-	}
+	got := strings.Join(codes, " ")
+	testutil.Expect(t, got == tc.codes, "got %s, want %s; %s", got, tc.codes, texts)
+	all := strings.Join(texts, " ")
+	testutil.Expect(t, strings.Contains(all, tc.contains), "got %q, want %q in it", all, tc.contains)
 }
 
 func TestReasonsFollowTheStateOfTheController(t *testing.T) {
@@ -128,8 +126,7 @@
 func TestEachCodeHasOneRank(t *testing.T) {
 	codes := slices.Clone(byRank)
 	slices.Sort(codes)
-	if unique := slices.Compact(codes); len(unique) != 17 {
-		t.Errorf("%d codes have a rank, want 17: %s", len(unique), unique)
-	}
+	unique := slices.Compact(codes)
+	testutil.Expect(t, len(unique) == 17, "%d codes have a rank, want 17: %s", len(unique), unique)
 	testutil.Expect(t, len(byRank) == 17, "%d ranks, want 17", len(byRank))
 }
--- a/internal/controller/random_test.go
+++ b/internal/controller/random_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -17,7 +18,6 @@
 		d.pass(20 * scheduler.Millisecond)
 		most = max(most, len(d.requests)-before)
 	}
-	if len(d.requests) != first+1000 || most > 80 {
-		t.Errorf("%d requested again, up to %d in 20 ms", len(d.requests)-first, most)
-	}
+	testutil.Expect(t, len(d.requests) == first+1000 && most <= 80,
+		"%d requested again, up to %d in 20 ms", len(d.requests)-first, most)
 }
--- a/internal/controller/restore_test.go
+++ b/internal/controller/restore_test.go
@@ -106,9 +106,7 @@
 		return ""
 	}
 	last := d.lastRequest()
-	if last.RequestID == stored.RequestID {
-		d.Error("a request id of the earlier incarnation has come again")
-	}
+	testutil.Expect(d, last.RequestID != stored.RequestID, "a request id of the earlier incarnation has come again")
 	key := last.IdempotencyKey
 	if key != stored.IdempotencyKey {
 		key = "another key"
@@ -126,13 +124,11 @@
 		d.pass(second)
 		testutil.Require(t, len(d.requests) == 2, "%d requests, want 2", len(d.requests))
 		for _, r := range d.requests {
-			if n := sequenceAfter("#", r.RequestID); n <= 41 {
-				t.Errorf("request %s is not numbered above 41", r.RequestID)
-			}
-		}
-		if key := d.containers[1].IdempotencyKey; sequenceAfter("/", key) <= 41 {
-			t.Errorf("key %s is not numbered above 41", key)
+			n := sequenceAfter("#", r.RequestID)
+			testutil.Expect(t, n > 41, "request %s is not numbered above 41", r.RequestID)
 		}
+		key := d.containers[1].IdempotencyKey
+		testutil.Expect(t, sequenceAfter("/", key) > 41, "key %s is not numbered above 41", key)
 	}
 }
 
@@ -142,7 +138,6 @@
 	d.handle(StateRestored{Containers: []Container{{Job: "j", Index: 2, Scheduler: -1, IdempotencyKey: "j/2/41"}}})
 	d.handle(JobSet{"j", 1, Spec{}}, SchedulerConnection{0, true})
 	d.pass(second)
-	if len(d.requests) != 1 || len(d.containers) != 1 {
-		t.Errorf("%d requests for %d containers, want one of each", len(d.requests), len(d.containers))
-	}
+	testutil.Expect(t, len(d.requests) == 1 && len(d.containers) == 1,
+		"%d requests for %d containers, want one of each", len(d.requests), len(d.containers))
 }
--- a/internal/controller/server/explainer_test.go
+++ b/internal/controller/server/explainer_test.go
@@ -23,16 +23,14 @@
 	s.explainer.explain(c, collect)
 	c.Index = 1
 	s.explainer.explain(c, collect)
-	if len(replies) != 0 || len(s.explainer.open) != 1 {
-		t.Fatalf("%d replies and %d open requests, want one request", len(replies), len(s.explainer.open))
-	}
+	testutil.Require(t, len(replies) == 0 && len(s.explainer.open) == 1,
+		"%d replies and %d open requests, want one request", len(replies), len(s.explainer.open))
 	reply := &protocol.ExplainReply{Seq: s.explainer.lastSeq, Known: true, Machines: 7}
 	s.explainer.finish(reply.Seq, reply)
 	s.explainer.finish(reply.Seq, nil) // its timeout, after the reply
 	s.explainer.explain(c, collect)
-	if len(replies) != 3 || len(s.explainer.open) != 0 {
-		t.Fatalf("%d replies and %d open requests, want three replies", len(replies), len(s.explainer.open))
-	}
+	testutil.Require(t, len(replies) == 3 && len(s.explainer.open) == 0,
+		"%d replies and %d open requests, want three replies", len(replies), len(s.explainer.open))
 	for _, got := range replies {
 		testutil.Expect(t, got == reply, "got %+v, want the shared reply", got)
 	}
@@ -53,9 +51,8 @@
 		}
 	})
 	s.explainer.finish(s.explainer.lastSeq, nil)
-	if answers != 1 || len(s.explainer.recent) != 0 {
-		t.Errorf("%d answers and %d remembered, want one answer and none remembered", answers, len(s.explainer.recent))
-	}
+	testutil.Expect(t, answers == 1 && len(s.explainer.recent) == 0,
+		"%d answers and %d remembered, want one answer and none remembered", answers, len(s.explainer.recent))
 }
 
 func TestNothingIsAskedWhereNoExplanationCanCome(t *testing.T) {
@@ -78,9 +75,8 @@
 					t.Errorf("got %+v, want none", reply)
 				}
 			})
-			if answers != 1 || len(s.explainer.open) != 0 {
-				t.Errorf("%d answers, %d open requests", answers, len(s.explainer.open))
-			}
+			testutil.Expect(t, answers == 1 && len(s.explainer.open) == 0,
+				"%d answers, %d open requests", answers, len(s.explainer.open))
 		})
 	}
 }
--- a/internal/controller/server/golden_test.go
+++ b/internal/controller/server/golden_test.go
@@ -171,9 +171,8 @@
 			got := reflect.New(want.Type())
 			testutil.NoError(t, cbor.Unmarshal(stored, got.Interface()))
 			wantEqual(t, "read", got.Elem().Interface(), want.Interface())
-			if again := wal.Put(r.kind, r.key, r.value).Value; !bytes.Equal(again, stored) {
-				t.Errorf("encoded %x, stored %x", again, stored)
-			}
+			again := wal.Put(r.kind, r.key, r.value).Value
+			testutil.Expect(t, bytes.Equal(again, stored), "encoded %x, stored %x", again, stored)
 		})
 	}
 }
@@ -195,9 +194,8 @@
 	wantEqual(t, "jobs on disk", store.jobs, map[string]JobRecord{"reports": goldenJob, "plain": goldenPlainJob})
 	for id, want := range map[string]Job{"reports": goldenJob.Job, "plain": goldenPlainJob.Job} {
 		o := s.Cache.Get(KindJobs, id)
-		if o == nil || o.Version != want.Version || !reflect.DeepEqual(o.Value, want) {
-			t.Errorf("%s: %+v, want %+v", id, o, want)
-		}
+		testutil.Expect(t, o != nil && o.Version == want.Version && reflect.DeepEqual(o.Value, want),
+			"%s: %+v, want %+v", id, o, want)
 	}
 	testutil.Require(t, len(s.events) == 1, "%d events, want one", len(s.events))
 	restored, ok := s.events[0].(controller.StateRestored)
--- a/internal/controller/server/publisher_test.go
+++ b/internal/controller/server/publisher_test.go
@@ -7,6 +7,7 @@
 	"glenport/internal/controller/pending"
 	"glenport/internal/controller/watchcache"
 	"glenport/internal/protocol"
+	"glenport/internal/testutil"
 )
 
 func TestPublicationWaitsForThoseBeforeIt(t *testing.T) {
@@ -42,22 +43,17 @@
 	shown := func(id string) bool { return s.Cache.Get(KindMachines, id) != nil }
 	serving := protocol.MachineServing
 	s.machines.apply(listSnapshot(entry("a", serving), entry("b", serving), entry("c", serving)))
-	if m := s.Cache.Get(KindMachines, "a").Value.(Machine); m.MachineType != "large" || m.Zone != 1 ||
-		m.State != "serving" {
-		t.Errorf("shown as %+v", m)
-	}
+	m := s.Cache.Get(KindMachines, "a").Value.(Machine)
+	testutil.Expect(t, m.MachineType == "large" && m.Zone == 1 && m.State == "serving", "shown as %+v", m)
 	s.machines.apply(&protocol.MachineListUpdate{Entries: []protocol.MachineEntry{
 		entry("a", protocol.MachineDraining), entry("b", protocol.MachineGone), entry("x", protocol.MachineGone),
 	}})
-	if !shown("a") || shown("b") || !shown("c") || len(s.machines.byID) != 2 {
-		t.Errorf("after an update: %v", s.machines.byID)
-	}
+	testutil.Expect(t, shown("a") && !shown("b") && shown("c") && len(s.machines.byID) == 2,
+		"after an update: %v", s.machines.byID)
 	zones := s.machines.zones()
-	if want := []pending.Zone{{Name: "1", Machines: 2, Draining: 1}}; !slices.Equal(zones, want) {
-		t.Errorf("zones %+v, want %+v", zones, want)
-	}
+	want := []pending.Zone{{Name: "1", Machines: 2, Draining: 1}}
+	testutil.Expect(t, slices.Equal(zones, want), "zones %+v, want %+v", zones, want)
 	s.machines.apply(listSnapshot(entry("a", serving)))
-	if !shown("a") || shown("c") || len(s.machines.byID) != 1 {
-		t.Errorf("after a full snapshot: %v", s.machines.byID)
-	}
+	testutil.Expect(t, shown("a") && !shown("c") && len(s.machines.byID) == 1,
+		"after a full snapshot: %v", s.machines.byID)
 }
--- a/internal/controller/server/spec_test.go
+++ b/internal/controller/server/spec_test.go
@@ -64,8 +64,7 @@
 		job.Tenant, job.RunForMS, job.Labels = tc.tenant, 250, map[string]string{"team": "north"}
 		spec, err := s.specs.read(&job)
 		testutil.NoError(t, err)
-		if spec.Tenant != tc.index || spec.WorkloadClass != 0 || spec.RunFor != 2500 {
-			t.Errorf("tenant %q: %+v", tc.tenant, spec)
-		}
+		testutil.Expect(t, spec.Tenant == tc.index && spec.WorkloadClass == 0 && spec.RunFor == 2500,
+			"tenant %q: %+v", tc.tenant, spec)
 	}
 }
--- a/internal/controller/server/statestore_test.go
+++ b/internal/controller/server/statestore_test.go
@@ -61,7 +61,6 @@
 		len(s.events) != 2 {
 		t.Errorf("decided on %v with %d events, want the second change to see the first", decidedOn, len(s.events))
 	}
-	if _, busy := s.jobs.underWay["reports"]; busy {
-		t.Error("the job counts as busy after its last change")
-	}
+	_, busy := s.jobs.underWay["reports"]
+	testutil.Expect(t, !busy, "the job counts as busy after its last change")
 }
--- a/internal/controller/singlecopy_test.go
+++ b/internal/controller/singlecopy_test.go
@@ -37,9 +37,8 @@
 		m.handle(JobDeleted{"j"})
 		m.pass(20 * second)
 		left := len(m.controller.jobs.byID) + len(m.controller.requests.byID) + len(m.controller.timers.current)
-		if left != 0 || m.copies["j/0"]+m.copies["j/1"] != 0 {
-			t.Fatalf("%d left in tables, %v running", left, m.copies)
-		}
+		testutil.Require(t, left == 0 && m.copies["j/0"]+m.copies["j/1"] == 0,
+			"%d left in tables, %v running", left, m.copies)
 	})
 }
 
--- a/internal/controller/watchcache/watchcache_test.go
+++ b/internal/controller/watchcache/watchcache_test.go
@@ -19,9 +19,8 @@
 	fill(c, 10)
 	odd := func(o *Object) bool { return o.Value.(int)%2 == 1 }
 	page := c.List(Query{Kind: "jobs", After: "j000002", Limit: 3, Match: odd})
-	if len(page.Objects) != 3 || page.Objects[0].ID != "j000003" || !page.More || page.Version != 10 {
-		t.Errorf("got %+v", page)
-	}
+	testutil.Expect(t, len(page.Objects) == 3 && page.Objects[0].ID == "j000003" && page.More && page.Version == 10,
+		"got %+v", page)
 	w, err := c.Watch(8, "jobs")
 	testutil.NoError(t, err)
 	c.Put("machines", "m", 1)
@@ -49,9 +48,8 @@
 			continue
 		}
 		for v := tc.from + 1; v <= historyLength+100; v++ {
-			if o := <-w.Changes; o.Version != v {
-				t.Fatalf("from %d: %d, want %d", tc.from, o.Version, v)
-			}
+			o := <-w.Changes
+			testutil.Require(t, o.Version == v, "from %d: %d, want %d", tc.from, o.Version, v)
 		}
 	}
 }
@@ -64,15 +62,13 @@
 	testutil.NoError(t, err)
 	for i := range watcherBuffer + 10 {
 		c.Put("jobs", "j", i)
-		if o := <-live.Changes; o.Value.(int) != i {
-			t.Fatalf("%v, want %d", o.Value, i)
-		}
+		o := <-live.Changes
+		testutil.Require(t, o.Value.(int) == i, "%v, want %d", o.Value, i)
 	}
 	n := 0
 	for range stalled.Changes {
 		n++
 	}
-	if n != watcherBuffer || len(c.watchers) != 1 {
-		t.Errorf("%d before it was dropped, %d watchers left", n, len(c.watchers))
-	}
+	testutil.Expect(t, n == watcherBuffer && len(c.watchers) == 1,
+		"%d before it was dropped, %d watchers left", n, len(c.watchers))
 }
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -81,9 +81,8 @@
 			l, handler := runLoop(t, func() {}), newProbe()
 			peer := testutil.Dial(t, listen(t, l, handler, 1<<20, nil))
 			tc.end(t, l, testutil.Receive(t, handler.opened), peer)
-			if reason := testutil.Receive(t, handler.closed); !errors.Is(reason, tc.want) {
-				t.Errorf("closed by %v, want %v", reason, tc.want)
-			}
+			reason := testutil.Receive(t, handler.closed)
+			testutil.Expect(t, errors.Is(reason, tc.want), "closed by %v, want %v", reason, tc.want)
 			if n := call(l, func() int { l.SkipWait(); return len(handler.closed) }); n != 0 {
 				t.Errorf("closed is reported %d times more", n)
 			}
@@ -181,9 +180,8 @@
 			})
 			closedByEOF(t, handler.probe)
 			do(l, func() {
-				if read != tc.sent || first != last {
-					t.Errorf("%d of %d bytes read, from iteration %d, closed in %d", read, tc.sent, first, last)
-				}
+				testutil.Expect(t, read == tc.sent && first == last,
+					"%d of %d bytes read, from iteration %d, closed in %d", read, tc.sent, first, last)
 			})
 		})
 	}
--- a/internal/eventloop/connstate_test.go
+++ b/internal/eventloop/connstate_test.go
@@ -50,7 +50,6 @@
 		return
 	}
 	var illegal *TransitionError
-	if reason := <-handler.closed; notifiedBefore || !errors.As(reason, &illegal) || *illegal != want {
-		t.Errorf("closed by %v", reason)
-	}
+	reason := <-handler.closed
+	testutil.Expect(t, !notifiedBefore && errors.As(reason, &illegal) && *illegal == want, "closed by %v", reason)
 }
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -47,9 +47,8 @@
 				}
 				testutil.Expect(t, len(handler.closed) == 0, "closed is reported before Dial returned")
 			})
-			if reason := testutil.Receive(t, handler.closed); !errors.Is(reason, ErrConnectFailed) {
-				t.Errorf("closed by %v", reason)
-			}
+			reason := testutil.Receive(t, handler.closed)
+			testutil.Expect(t, errors.Is(reason, ErrConnectFailed), "closed by %v", reason)
 		})
 	}
 }
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -54,9 +54,8 @@
 // closedByEOF expects io.EOF as the reason of the end.
 func closedByEOF(t *testing.T, p *probe) {
 	t.Helper()
-	if reason := testutil.Receive(t, p.closed); !isExactly(reason, io.EOF) {
-		t.Errorf("closed by %v", reason)
-	}
+	reason := testutil.Receive(t, p.closed)
+	testutil.Expect(t, isExactly(reason, io.EOF), "closed by %v", reason)
 }
 
 func newLoop(t *testing.T, onIteration func()) *Loop {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -54,9 +54,8 @@
 		l.Cancel(l.After(10*Millisecond, func() { t.Error("a cancelled timer ran") }))
 		l.After(0, func() { fired <- 0 })
 	})
-	if first, second := testutil.Receive(t, fired), testutil.Receive(t, fired); first != 0 || second < 20*Millisecond {
-		t.Errorf("fired after %d and %d", first, second)
-	}
+	first, second := testutil.Receive(t, fired), testutil.Receive(t, fired)
+	testutil.Expect(t, first == 0 && second >= 20*Millisecond, "fired after %d and %d", first, second)
 	l.Stop()
 	for l.Post(func() {}) {
 		time.Sleep(time.Millisecond)
--- a/internal/eventloop/md5_test.go
+++ b/internal/eventloop/md5_test.go
@@ -26,9 +26,7 @@
 	if ln == nil {
 		t.FailNow()
 	}
-	if refused != nil && !errors.Is(refused, ErrMD5Unavailable) {
-		t.Errorf("refused by %v", refused)
-	}
+	testutil.Expect(t, refused == nil || errors.Is(refused, ErrMD5Unavailable), "refused by %v", refused)
 	return ln.Addr().String(), refused
 }
 
@@ -48,9 +46,8 @@
 
 func expectConnectFailure(t *testing.T, dialer *probe) {
 	t.Helper()
-	if reason := testutil.Receive(t, dialer.closed); !errors.Is(reason, ErrConnectFailed) {
-		t.Errorf("closed by %v", reason)
-	}
+	reason := testutil.Receive(t, dialer.closed)
+	testutil.Expect(t, errors.Is(reason, ErrConnectFailed), "closed by %v", reason)
 }
 
 // Where the kernel has no signatures SetTCPMD5Key must fail, so that no socket is used unsigned by mistake.
@@ -81,8 +78,7 @@
 func TestMD5KeyOfInvalidLengthIsRefused(t *testing.T) {
 	for _, key := range []string{"", strings.Repeat("k", maxMD5KeyLength+1)} {
 		err := SetTCPMD5Key(0, loopback, key)
-		if !errors.Is(err, ErrMD5KeyLength) || errors.Is(err, ErrMD5Unavailable) {
-			t.Errorf("a key of %d bytes gives %v", len(key), err)
-		}
+		testutil.Expect(t, errors.Is(err, ErrMD5KeyLength) && !errors.Is(err, ErrMD5Unavailable),
+			"a key of %d bytes gives %v", len(key), err)
 	}
 }
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -318,9 +318,8 @@
 
 	loop.Post(func() { e.note("posted before Run") })
 	e.must(loop.Run())
-	if got := "\n" + e.record.String(); got != callbackOrder {
-		t.Errorf("callbacks came in this order:\n%s\nwant:\n%s", got, callbackOrder)
-	}
+	got := "\n" + e.record.String()
+	testutil.Expect(t, got == callbackOrder, "callbacks came in this order:\n%s\nwant:\n%s", got, callbackOrder)
 	if len(steps) != 0 || loop.ConnCount() != 0 {
 		t.Errorf("%d steps left unplayed, %d connections left", len(steps), loop.ConnCount())
 	}
--- a/internal/eventloop/wheel_golden_test.go
+++ b/internal/eventloop/wheel_golden_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"glenport/internal/golden"
+	"glenport/internal/testutil"
 )
 
 // expiryOrderDigest was recorded before the wheel's code was divided into smaller functions.
@@ -79,7 +80,6 @@
 		}
 		ran += h.ran
 	}
-	if got := digest.Sum(); got != expiryOrderDigest {
-		t.Errorf("digest of %d callbacks is %s, want %s", ran, got, expiryOrderDigest)
-	}
+	got := digest.Sum()
+	testutil.Expect(t, got == expiryOrderDigest, "digest of %d callbacks is %s, want %s", ran, got, expiryOrderDigest)
 }
--- a/internal/eventloop/wheel_test.go
+++ b/internal/eventloop/wheel_test.go
@@ -45,9 +45,7 @@
 		return
 	}
 	item := m.items[rapid.IntRange(0, len(m.items)-1).Draw(m.t, "which")]
-	if item.timer != nil && !m.wheel.Cancel(item.timer) {
-		m.t.Fatal("a scheduled timer could not be cancelled")
-	}
+	testutil.Require(m.t, item.timer == nil || m.wheel.Cancel(item.timer), "a scheduled timer could not be cancelled")
 	item.timer = nil
 }
 
--- a/internal/platform/attempts_test.go
+++ b/internal/platform/attempts_test.go
@@ -94,9 +94,8 @@
 	testutil.Expect(t, e.Report["x0"] == want.report, "report %v", e.Report)
 	for _, cause := range want.causes {
 		msg := client.receive()
-		if msg == nil || msg.RequestID != requestID || msg.CauseOrNone() != cause {
-			t.Fatalf("the client received %+v, want cause %d", msg, cause)
-		}
+		testutil.Require(t, msg != nil && msg.RequestID == requestID && msg.CauseOrNone() == cause,
+			"the client received %+v, want cause %d", msg, cause)
 		if cause == causeOfAccept && (msg.Op != jsonlines.OpAccept || string(msg.Description) != `"made\u0020here"`) {
 			t.Errorf("received %+v", msg)
 		}
@@ -158,9 +157,8 @@
 	r := startWithMachineA(t, nowhere, attemptOnA(0))
 	r.runOnLoop(func() { r.server.applySchedulerAction(scheduler.StartAttempt{ID: requestID, Machine: "a"}) })
 	e := await[scheduler.AttemptEnded](r, nil)
-	if e.ID != requestID || e.Machine != "a" || e.Outcome != scheduler.OutcomeNotSent || !e.Final {
-		t.Errorf("got %+v", e)
-	}
+	testutil.Expect(t, e.ID == requestID && e.Machine == "a" && e.Outcome == scheduler.OutcomeNotSent && e.Final,
+		"got %+v", e)
 }
 
 // A client goes while its attempt waits for a connection: the machine receives no offer, or its cancellation too.
@@ -189,9 +187,8 @@
 			ends++
 		}
 	}
-	if offers != ends {
-		t.Errorf("the machine received %d offers and %d ends of a request whose client had gone", offers, ends)
-	}
+	testutil.Expect(t, offers == ends,
+		"the machine received %d offers and %d ends of a request whose client had gone", offers, ends)
 }
 
 // A connection is established after the attempt that waited for it timed out: that is not sent on it, and the next one
--- a/internal/platform/clientmessages_test.go
+++ b/internal/platform/clientmessages_test.go
@@ -37,9 +37,8 @@
 		{testLine(7), livenessTest{"0000000000000007"}},
 		{acceptLine(requestID), nil}, // clients do not send it
 	} {
-		if got := decodeClientMessage(decodeLine(t, tc.line)); !reflect.DeepEqual(got, tc.want) {
-			t.Errorf("%s is %+v, want %+v", tc.line, got, tc.want)
-		}
+		got := decodeClientMessage(decodeLine(t, tc.line))
+		testutil.Expect(t, reflect.DeepEqual(got, tc.want), "%s is %+v, want %+v", tc.line, got, tc.want)
 	}
 }
 
@@ -73,9 +72,8 @@
 			testutil.Require(t, ok, "%+v is no offer", msg)
 			offer, err := testConfig(t).decodeOffer(received, now)
 			want := placementOffer{tc.want, tc.runsOn, "report-run", "i1", []byte(`"v=0\r\n"`)}
-			if err != nil || !reflect.DeepEqual(offer, want) {
-				t.Errorf("decoded %+v, %v, want %+v", offer, err, want)
-			}
+			testutil.Expect(t, err == nil && reflect.DeepEqual(offer, want),
+				"decoded %+v, %v, want %+v", offer, err, want)
 		})
 	}
 }
@@ -97,9 +95,8 @@
 			msg := decodeLine(t, strings.Replace(offerLine(requestID, ";at:a"), tc.old, tc.with, 1))
 			offer, err := testConfig(t).decodeOffer(offerReceived{msg.RequestID, msg.Fields, msg.Description}, 0)
 			var invalid *invalidFieldError
-			if !errors.As(err, &invalid) || invalid.field != tc.field || offer.runsOn != tc.runsOn {
-				t.Errorf("error %v, machine %q", err, offer.runsOn)
-			}
+			testutil.Expect(t, errors.As(err, &invalid) && invalid.field == tc.field && offer.runsOn == tc.runsOn,
+				"error %v, machine %q", err, offer.runsOn)
 		})
 	}
 	noService := decodeLine(t, strings.Replace(offerLine(requestID, ""), "service:s1", "x:y", 1))
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -65,9 +65,8 @@
 			}
 			want := map[bool]int{true: 1}[tc.stays]
 			r.runOnLoop(func() {
-				if got := r.server.containers.count(); got != want {
-					t.Errorf("%d containers are counted, want %d", got, want)
-				}
+				got := r.server.containers.count()
+				testutil.Expect(t, got == want, "%d containers are counted, want %d", got, want)
 			})
 		})
 	}
@@ -128,9 +127,8 @@
 	r := startWithMachineA(t, addr, attemptOnA(0))
 	first := r.dialClient()
 	first.send(strings.Replace(offerLine(requestID, ";at:a"), `"2000"`, `"4294967"`, 1), offerLine(requestID, ";at:a"))
-	if e := await[scheduler.ContainerAdopted](r, nil); e.Machine != "a" {
-		t.Errorf("adopted %+v", e)
-	}
+	e := await[scheduler.ContainerAdopted](r, nil)
+	testutil.Expect(t, e.Machine == "a", "adopted %+v", e)
 	first.close()
 	second := r.dialClient()
 	second.expectLive(1)
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -33,9 +33,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			config, err := parseConfig([]byte(strings.Replace(good, tc.old, tc.with, 1)))
 			if tc.wantError != "" {
-				if err == nil || !strings.Contains(err.Error(), tc.wantError) {
-					t.Errorf("error %v, want %q", err, tc.wantError)
-				}
+				testutil.Expect(t, err != nil && strings.Contains(err.Error(), tc.wantError),
+					"error %v, want %q", err, tc.wantError)
 				return
 			}
 			testutil.NoError(t, err)
@@ -88,8 +87,7 @@
 			}
 			continue
 		}
-		if err == nil || !strings.HasPrefix(err.Error(), path+": "+tc.wantError) {
-			t.Errorf("error %v, want %q", err, tc.wantError)
-		}
+		testutil.Expect(t, err != nil && strings.HasPrefix(err.Error(), path+": "+tc.wantError),
+			"error %v, want %q", err, tc.wantError)
 	}
 }
--- a/internal/platform/connmanager/admission_test.go
+++ b/internal/platform/connmanager/admission_test.go
@@ -117,12 +117,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			m := New(100)
 			m.Handle(1, append([]Event{ClientConnected{1}}, tc.events...))
-			if early := closedClients(m.Handle(Second, []Event{Tick{}})); len(early) > 0 {
-				t.Errorf("closed after a second")
-			}
-			if got := closedClients(m.Handle(2*Second+2, []Event{Tick{}})); (len(got) > 0) != tc.closed {
-				t.Errorf("closed: %v, want %t", got, tc.closed)
-			}
+			testutil.Expect(t, len(closedClients(m.Handle(Second, []Event{Tick{}}))) == 0, "closed after a second")
+			got := closedClients(m.Handle(2*Second+2, []Event{Tick{}}))
+			testutil.Expect(t, (len(got) > 0) == tc.closed, "closed: %v, want %t", got, tc.closed)
 		})
 	}
 }
@@ -135,9 +132,8 @@
 	for range 7 {
 		got = append(got, m.Handle(0, []Event{InvalidMessageReceived{1}})[0].(PauseReading).Duration)
 	}
-	if want := "[500 1000 2000 4000 8000 10000 10000]"; fmt.Sprint(got) != want {
-		t.Errorf("pauses %v, want %s", got, want)
-	}
+	want := "[500 1000 2000 4000 8000 10000 10000]"
+	testutil.Expect(t, fmt.Sprint(got) == want, "pauses %v, want %s", got, want)
 	if m.Handle(0, []Event{ClientDisconnected{1}, ClientDisconnected{1}}); len(m.clients) != 0 || m.activeClients != 0 {
 		t.Errorf("%d clients kept, %d active", len(m.clients), m.activeClients)
 	}
--- a/internal/platform/connmanager/pool_test.go
+++ b/internal/platform/connmanager/pool_test.go
@@ -44,9 +44,8 @@
 			testutil.Equal(t, tc.conn.ShouldKeep(), tc.want, "kept")
 		})
 	}
-	if a, b := MaxConnsPerMachine(384, 12), MaxConnsPerMachine(64, 1000); a != 10 || b != 1 {
-		t.Errorf("%d and %d connections a machine", a, b)
-	}
+	a, b := MaxConnsPerMachine(384, 12), MaxConnsPerMachine(64, 1000)
+	testutil.Expect(t, a == 10 && b == 1, "%d and %d connections a machine", a, b)
 }
 
 // Clients, machine connections and the reserve stay within the descriptors, however few, and where no more connections
@@ -76,7 +75,6 @@
 		}
 	}
 	testutil.Expect(t, last == 2, "one that carries a running container has rank %d", last)
-	if !idleFor(15*Second-1).CanCarryAttempt() || idleFor(15*Second).CanCarryAttempt() {
-		t.Error("an attempt may cross the close of an idle connection")
-	}
+	testutil.Expect(t, idleFor(15*Second-1).CanCarryAttempt() && !idleFor(15*Second).CanCarryAttempt(),
+		"an attempt may cross the close of an idle connection")
 }
--- a/internal/platform/connmanager/shutdown_test.go
+++ b/internal/platform/connmanager/shutdown_test.go
@@ -1,6 +1,10 @@
 package connmanager
 
-import "testing"
+import (
+	"testing"
+
+	"glenport/internal/testutil"
+)
 
 func TestDrainEndsBeforeTheKill(t *testing.T) {
 	for _, tc := range []struct {
@@ -25,8 +29,7 @@
 		if got := ShouldForceAnswers(tc.elapsed, tc.longest); got != tc.forces {
 			t.Errorf("%+v: forces answers %t", tc, got)
 		}
-		if killed := min(tc.longest, 3*Second) + 7*Second/10; tc.forces && tc.elapsed+Second/4 > killed {
-			t.Errorf("%+v: forces answers too late", tc)
-		}
+		killed := min(tc.longest, 3*Second) + 7*Second/10
+		testutil.Expect(t, !tc.forces || tc.elapsed+Second/4 <= killed, "%+v: forces answers too late", tc)
 	}
 }
--- a/internal/platform/failuredetector/detector_test.go
+++ b/internal/platform/failuredetector/detector_test.go
@@ -65,9 +65,8 @@
 			d := New()
 			d.Handle(tenth, []Event{RunningCountChanged{"a", 3}})
 			connects, lostAt := untilLost(d, tc.events)
-			if connects != tc.connects || lostAt != tc.lostAt {
-				t.Errorf("%d connects, lost at %d, want %d and %d", connects, lostAt, tc.connects, tc.lostAt)
-			}
+			testutil.Expect(t, connects == tc.connects && lostAt == tc.lostAt,
+				"%d connects, lost at %d, want %d and %d", connects, lostAt, tc.connects, tc.lostAt)
 			testutil.Expect(t, len(d.machines) == 0, "%d machines are still monitored", len(d.machines))
 		})
 	}
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -7,6 +7,7 @@
 
 	"glenport/internal/eventloop"
 	"glenport/internal/platform/jsonlines"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -210,9 +211,8 @@
 		on := a.reads(0)
 		c.reads()
 		on.send(fmt.Sprintf(`{"op":"tested","call":"%016x","with":{"load":"x0:1;x1:2"},"why":1}`, i+1))
-		if e := await[scheduler.ProbeCompleted](r, nil); e.Outcome != scheduler.OutcomeFinished || e.Report["x1"] != 2 {
-			s.Errorf("probe %d: %+v", i, e)
-		}
+		e := await[scheduler.ProbeCompleted](r, nil)
+		testutil.Expect(s, e.Outcome == scheduler.OutcomeFinished && e.Report["x1"] == 2, "probe %d: %+v", i, e)
 	}
 }
 
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -123,9 +123,7 @@
 func (r *testServer) awaitList(version int64) scheduler.MachineListUpdate {
 	r.Helper()
 	e := await[scheduler.MachineListUpdate](r, nil)
-	if e.Version != version {
-		r.Errorf("version %d was applied, want %d", e.Version, version)
-	}
+	testutil.Expect(r, e.Version == version, "version %d was applied, want %d", e.Version, version)
 	return e
 }
 
@@ -133,9 +131,8 @@
 func (r *testServer) awaitOutcome(want scheduler.AttemptEnded) {
 	r.Helper()
 	e := await[scheduler.AttemptEnded](r, nil)
-	if e.ID != want.ID || e.Outcome != want.Outcome || e.Final != want.Final {
-		r.Errorf("got %+v, want %+v", e, want)
-	}
+	testutil.Expect(r, e.ID == want.ID && e.Outcome == want.Outcome && e.Final == want.Final,
+		"got %+v, want %+v", e, want)
 }
 
 // runOnLoop runs f on the goroutine of the server's loop and waits for it.
--- a/internal/platform/jsonlines/codec_test.go
+++ b/internal/platform/jsonlines/codec_test.go
@@ -65,9 +65,8 @@
 	m, err := Decode([]byte(start + `"left":1500,"key":"<k>"` + end))
 	testutil.NoError(t, err)
 	out, err := Append(nil, m)
-	if want := start + `"key":"<k>","left":"1500"` + end + "\n"; err != nil || string(out) != want {
-		t.Errorf("%s, %v", out, err)
-	}
+	want := start + `"key":"<k>","left":"1500"` + end + "\n"
+	testutil.Expect(t, err == nil && string(out) == want, "%s, %v", out, err)
 	m.Fields["key"] = strings.Repeat("x", MaxLineBytes)
 	if out, err := Append([]byte("kept"), m); !isA[*MessageSizeError](err) || string(out) != "kept" {
 		t.Errorf("a message over the limit: %d bytes, %v", len(out), err)
--- a/internal/platform/machineconns_test.go
+++ b/internal/platform/machineconns_test.go
@@ -110,9 +110,8 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if carried[requestID] != carried[otherRequestID] || carried[thirdRequestID] == carried[requestID] {
-		t.Errorf("carried by %v", carried)
-	}
+	testutil.Expect(t, carried[requestID] == carried[otherRequestID] && carried[thirdRequestID] != carried[requestID],
+		"carried by %v", carried)
 }
 
 // With more machines than descriptors, connections stay within their limit, each offer is sent, and each end is read,
--- a/internal/platform/machinemessages_test.go
+++ b/internal/platform/machinemessages_test.go
@@ -4,6 +4,7 @@
 	"reflect"
 	"testing"
 
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -33,8 +34,7 @@
 		{withFields("redirect", "", ""), nil}, // ignored
 		{withFields("ringing", "", ""), nil},
 	} {
-		if got := decodeMachineMessage(decodeLine(t, tc.line)); !reflect.DeepEqual(got, tc.want) {
-			t.Errorf("%s is %+v, want %+v", tc.line, got, tc.want)
-		}
+		got := decodeMachineMessage(decodeLine(t, tc.line))
+		testutil.Expect(t, reflect.DeepEqual(got, tc.want), "%s is %+v, want %+v", tc.line, got, tc.want)
 	}
 }
--- a/internal/platform/peers_test.go
+++ b/internal/platform/peers_test.go
@@ -70,17 +70,15 @@
 // expect reads the next message and checks its type and request.
 func (p *peer) expect(op jsonlines.Op, id string) {
 	p.t.Helper()
-	if msg := p.receive(); msg == nil || msg.Op != op || msg.RequestID != id {
-		p.t.Errorf("received %+v, want %s of %s", msg, op, id)
-	}
+	msg := p.receive()
+	testutil.Expect(p.t, msg != nil && msg.Op == op && msg.RequestID == id, "received %+v, want %s of %s", msg, op, id)
 }
 
 // expectCause reads the next message and checks that it is an end, or the result of a test, with a cause.
 func (p *peer) expectCause(op jsonlines.Op, id string, cause int) {
 	p.t.Helper()
-	if msg := p.receive(); !isMessage(msg, op, id, cause) {
-		p.t.Errorf("received %+v, want %s of %s with cause %d", msg, op, id, cause)
-	}
+	msg := p.receive()
+	testutil.Expect(p.t, isMessage(msg, op, id, cause), "received %+v, want %s of %s with cause %d", msg, op, id, cause)
 }
 
 func isMessage(msg *jsonlines.Message, op jsonlines.Op, id string, cause int) bool {
@@ -101,9 +99,8 @@
 // expectClosed checks that the connection ends and nothing more was written.
 func (p *peer) expectClosed() {
 	p.t.Helper()
-	if msg := p.receive(); msg != nil {
-		p.t.Errorf("received %+v, want the end of the connection", msg)
-	}
+	msg := p.receive()
+	testutil.Expect(p.t, msg == nil, "received %+v, want the end of the connection", msg)
 }
 
 // expectLive sends a liveness test and checks that its answer comes next, and passes.
--- a/internal/platform/transcript_test.go
+++ b/internal/platform/transcript_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"glenport/internal/golden"
+	"glenport/internal/testutil"
 )
 
 const goldenFile = "testdata/conversation.golden"
@@ -34,14 +35,12 @@
 // it may be, and then replaced.
 func (s *transcript) record(receiver string, line []byte, mostLeft int) {
 	s.Helper()
-	if !strings.HasSuffix(string(line), "\n") {
-		s.Fatalf("%s: %s received %q, which is no whole line", s.step, receiver, line)
-	}
+	testutil.Require(s, strings.HasSuffix(string(line), "\n"),
+		"%s: %s received %q, which is no whole line", s.step, receiver, line)
 	if m := leftField.FindSubmatch(line); m != nil {
 		left, err := strconv.Atoi(string(m[1]))
-		if err != nil || left > mostLeft || left < mostLeft-int(testTimeout/time.Millisecond) {
-			s.Errorf("%s: %q milliseconds are left, at most %d can be", s.step, m[1], mostLeft)
-		}
+		testutil.Expect(s, err == nil && left <= mostLeft && left >= mostLeft-int(testTimeout/time.Millisecond),
+			"%s: %q milliseconds are left, at most %d can be", s.step, m[1], mostLeft)
 		line = leftField.ReplaceAll(line, []byte(`"left":"LEFT"`))
 	}
 	s.lines = append(s.lines, fmt.Sprintf("%s | %s | %s", s.step, receiver, line))
@@ -68,9 +67,7 @@
 func (c *goldenClient) reads() {
 	c.s.Helper()
 	line, err := c.r.ReadBytes('\n')
-	if err != nil {
-		c.s.Fatalf("%s: %s received %q, %v", c.s.step, c.name, line, err)
-	}
+	testutil.Require(c.s, err == nil, "%s: %s received %q, %v", c.s.step, c.name, line, err)
 	c.s.record(c.name, line, 0)
 }
 
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -216,9 +216,8 @@
 func checkGoldenFrame(t *testing.T, want section, known namedFrame) {
 	t.Helper()
 	testutil.Require(t, known.title == want.title, "%s is recorded in place of %s", want.title, known.title)
-	if number := want.bytes[lengthSize]; !strings.HasPrefix(want.title, fmt.Sprint(number, " ")) {
-		t.Errorf("frame number %d", number)
-	}
+	number := want.bytes[lengthSize]
+	testutil.Expect(t, strings.HasPrefix(want.title, fmt.Sprint(number, " ")), "frame number %d", number)
 	decoded, err := ReadFrame(bytes.NewReader(want.bytes), MaxFrame)
 	testutil.NoError(t, err)
 	testutil.Expect(t, reflect.DeepEqual(decoded, known.frame), "decoded as %+v, want %+v", decoded, known.frame)
--- a/internal/protocol/invalid_test.go
+++ b/internal/protocol/invalid_test.go
@@ -274,13 +274,11 @@
 	testutil.Require(t, len(recorded) == len(frames), "%d frames are recorded, %d known", len(recorded), len(frames))
 	for i, want := range recorded {
 		t.Run(want.title, func(t *testing.T) {
-			if frames[i].title != want.title || !bytes.Equal(frames[i].body, want.bytes) {
-				t.Fatalf("%s %x is recorded in place of %s %x", want.title, want.bytes, frames[i].title, frames[i].body)
-			}
+			testutil.Require(t, frames[i].title == want.title && bytes.Equal(frames[i].body, want.bytes),
+				"%s %x is recorded in place of %s %x", want.title, want.bytes, frames[i].title, frames[i].body)
 			f, err := Decode(want.bytes)
-			if got := errorText(err); got != want.text {
-				t.Errorf("error %swant %s", got, want.text)
-			}
+			got := errorText(err)
+			testutil.Expect(t, got == want.text, "error %swant %s", got, want.text)
 			testutil.Expect(t, (f == nil) == (err != nil), "a frame %v with the error %v", f, err)
 		})
 	}
@@ -298,11 +296,8 @@
 		}
 		_, received := Decode(invalid.body)
 		b, sent := Append([]byte("before"), f)
-		if errorText(received) != errorText(sent) {
-			t.Errorf("%s: received with %v, sent with %v", invalid.title, received, sent)
-		}
-		if sent != nil && string(b) != "before" {
-			t.Errorf("%s: what stood before is now %q", invalid.title, b)
-		}
+		testutil.Expect(t, errorText(received) == errorText(sent),
+			"%s: received with %v, sent with %v", invalid.title, received, sent)
+		testutil.Expect(t, sent == nil || string(b) == "before", "%s: what stood before is now %q", invalid.title, b)
 	}
 }
--- a/internal/protocol/limits_test.go
+++ b/internal/protocol/limits_test.go
@@ -11,9 +11,8 @@
 
 // Sizes of frames are limits that both sides know.
 func TestFrameSizesAreLimited(t *testing.T) {
-	if MaxClientFrame != 65536 || MaxFrame != 16777216 || Version != 1 {
-		t.Errorf("limits %d and %d, version %d", MaxClientFrame, MaxFrame, Version)
-	}
+	testutil.Expect(t, MaxClientFrame == 65536 && MaxFrame == 16777216 && Version == 1,
+		"limits %d and %d, version %d", MaxClientFrame, MaxFrame, Version)
 	if _, err := Append(nil, goodbyeOfSize(t, MaxFrame)); err != nil {
 		t.Errorf("the largest frame is not sent: %v", err)
 	}
@@ -34,9 +33,8 @@
 		r := Reader{MaxSize: limit.maxSize}
 		hello := stream(t, NewHello(RoleClient, "client", 1))
 		input := append(bytes.Repeat(hello, limit.hellos), stream(t, goodbyeOfSize(t, limit.size))...)
-		if got := errorText(r.Feed(input, func(Frame) error { return nil })); got != limit.want {
-			t.Errorf("%+v: %s", limit, got)
-		}
+		got := errorText(r.Feed(input, func(Frame) error { return nil }))
+		testutil.Expect(t, got == limit.want, "%+v: %s", limit, got)
 	}
 	_, err = ReadFrame(bytes.NewReader(stream(t, goodbyeOfSize(t, 104))), 50)
 	testutil.Equal(t, errorText(err), "frame of 104 bytes is over the limit of 50\n", "read with a limit of 50")
@@ -67,9 +65,8 @@
 	want := "|finished||serving|placer|erred|placed|draining|machine|full|pushed back|gone|" +
 		"list|stopped|given up|unknown 3|owner|lost|turned away|unknown 4|unknown 5|unknown 5|unknown 5|unknown 5|" +
 		"-|no cores|no memory|long queue|not here|evicted|pushed out|sent away|unknown 8"
-	if s := strings.Join(got, "|"); s != want {
-		t.Errorf("got\n%s, want\n%s", s, want)
-	}
+	s := strings.Join(got, "|")
+	testutil.Expect(t, s == want, "got\n%s, want\n%s", s, want)
 }
 
 // Names of frames stand in the errors that a peer is sent, as docs/protocol.md has them.
@@ -83,7 +80,6 @@
 	want := "1 Hello, 2 Offer, 3 Yes, 4 Result, 5 Note, 6 Withdraw, 7 Probe, 8 Probed, 9 Holds, 10 Fetch, " +
 		"11 Watch, 12 Listed, 13 Failed, 14 Beat, 15 Submit, 16 Cancel, 17 Answer, 18 Fate, 20 AskStatus, " +
 		"21 Status, 22 Bye, 23 AskWhy, 24 Why, 25 AskRoutes, 26 Routes, 27 Look"
-	if names := strings.Join(got, ", "); names != want {
-		t.Errorf("got\n%s, want\n%s", names, want)
-	}
+	names := strings.Join(got, ", ")
+	testutil.Expect(t, names == want, "got\n%s, want\n%s", names, want)
 }
--- a/internal/protocol/reader_test.go
+++ b/internal/protocol/reader_test.go
@@ -131,9 +131,8 @@
 			var r Reader
 			err := r.Feed(tc.input, ignoreFrame)
 			testutil.Expect(t, err != nil && strings.Contains(err.Error(), tc.want), "got %v, want %s", err, tc.want)
-			if again := r.Feed(hello, nil); !errors.Is(again, err) {
-				t.Errorf("goes on after an error: %v", again)
-			}
+			again := r.Feed(hello, nil)
+			testutil.Expect(t, errors.Is(again, err), "goes on after an error: %v", again)
 		})
 	}
 }
@@ -195,9 +194,8 @@
 				return nil
 			})
 		}
-		if len(wholeFrames) != len(cutFrames) || (wholeErr == nil) != (cutErr == nil) {
-			t.Fatalf("whole: %d frames, %v; cut: %d, %v", len(wholeFrames), wholeErr, len(cutFrames), cutErr)
-		}
+		testutil.Require(t, len(wholeFrames) == len(cutFrames) && (wholeErr == nil) == (cutErr == nil),
+			"whole: %d frames, %v; cut: %d, %v", len(wholeFrames), wholeErr, len(cutFrames), cutErr)
 		for _, f := range wholeFrames {
 			if _, err := Append(nil, f); err != nil {
 				t.Errorf("accepted, but not encoded: %v", err)
--- a/internal/schedulerd/admission/admission_test.go
+++ b/internal/schedulerd/admission/admission_test.go
@@ -14,9 +14,8 @@
 	connect(t, c, 0, 1)
 	var limit *LimitError
 	err := c.Connect(2)
-	if !errors.As(err, &limit) || limit.Limit != LimitClients || limit.Current != 2 || c.Connected(2) {
-		t.Errorf("a third client: %v", err)
-	}
+	testutil.Expect(t, errors.As(err, &limit) && limit.Limit == LimitClients && limit.Current == 2 && !c.Connected(2),
+		"a third client: %v", err)
 	c.Disconnect(0)
 	if err := c.Connect(2); err != nil || !c.Connected(2) || c.Connected(0) {
 		t.Errorf("a third client in place of one that left: %v", err)
@@ -84,9 +83,8 @@
 	var rejection *RejectionError
 	var limit *LimitError
 	testutil.Require(t, errors.As(err, &rejection) && errors.As(err, &limit), "%v is no rejection by a limit", err)
-	if limit.Limit != want || rejection.RetryAfter != retryAfterWhenFull {
-		t.Errorf("%v, want limit %d", err, want)
-	}
+	testutil.Expect(t, limit.Limit == want && rejection.RetryAfter == retryAfterWhenFull,
+		"%v, want limit %d", err, want)
 }
 
 // A request that is shed is not open, and says when to retry. Shedding is announced once.
@@ -105,9 +103,8 @@
 		var rejection *RejectionError
 		var cause *ShedError
 		testutil.Require(t, errors.As(err, &rejection) && errors.As(err, &cause), "%v is no rejection by shedding", err)
-		if cause.Reason != overload.ReasonLimitReached || rejection.RetryAfter <= 0 {
-			t.Errorf("%v, retry after %d", cause, rejection.RetryAfter)
-		}
+		testutil.Expect(t, cause.Reason == overload.ReasonLimitReached && rejection.RetryAfter > 0,
+			"%v, retry after %d", cause, rejection.RetryAfter)
 	}
 	if announced != 1 || shed != 3 || c.OpenRequests() != 2 || c.OpenRequestsOf(1) != 2 || c.Limiter().Open() != 2 {
 		t.Errorf("%d announced, %d shed, %d open", announced, shed, c.OpenRequests())
--- a/internal/schedulerd/attempt_test.go
+++ b/internal/schedulerd/attempt_test.go
@@ -172,9 +172,8 @@
 	ended := h.awaitEnded()
 	pending := onLoop(h.server, func() int { return h.machineA().conn.conn.PendingOutput() })
 	const oneIteration = 128 << 10
-	if ended.Outcome != scheduler.OutcomeNotSent || pending > oneIteration {
-		t.Errorf("after %d attempts %+v, %d bytes pending", sent, ended, pending)
-	}
+	testutil.Expect(t, ended.Outcome == scheduler.OutcomeNotSent && pending <= oneIteration,
+		"after %d attempts %+v, %d bytes pending", sent, ended, pending)
 }
 
 // With no descriptor left an attempt is known never to have run. Once there is one the next is sent.
@@ -205,9 +204,8 @@
 	setLimit(syscall.Rlimit{Cur: uint64(lowest), Max: old.Max})
 	h.client.submit("x", classAtMostOnce)
 	// no failure of the machine
-	if ended := h.awaitEnded(); ended.Outcome != scheduler.OutcomeNotSent {
-		t.Errorf("got %+v", ended)
-	}
+	ended := h.awaitEnded()
+	testutil.Expect(t, ended.Outcome == scheduler.OutcomeNotSent, "got %+v", ended)
 	h.client.wantReply(protocol.VerdictFailed)
 	setLimit(old)
 	h.client.submit("y", classAtMostOnce)
--- a/internal/schedulerd/clientconn_test.go
+++ b/internal/schedulerd/clientconn_test.go
@@ -67,9 +67,8 @@
 		{"one byte at a time, without end", fromScheduler(endless...), 50 * time.Millisecond, "half a frame"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if got := goodbyeTo(t, h.server.Addr(), tc.sent, tc.pause); !strings.Contains(got, tc.want) {
-				t.Errorf("got %q, want %q", got, tc.want)
-			}
+			got := goodbyeTo(t, h.server.Addr(), tc.sent, tc.pause)
+			testutil.Expect(t, strings.Contains(got, tc.want), "got %q, want %q", got, tc.want)
 		})
 	}
 	dialClient(t, h.server.Addr()) // the second
@@ -80,7 +79,6 @@
 		t.Errorf("cancelled: %+v", reply)
 	}
 	frames.Send(h.client, &protocol.StatusRequest{})
-	if f, ok := h.client.receive().(*protocol.StatusReply); !ok || len(f.Stats) < 20 {
-		t.Errorf("status %v", f)
-	}
+	f, ok := h.client.receive().(*protocol.StatusReply)
+	testutil.Expect(t, ok && len(f.Stats) >= 20, "status %v", f)
 }
--- a/internal/schedulerd/errors_test.go
+++ b/internal/schedulerd/errors_test.go
@@ -6,6 +6,7 @@
 
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -53,20 +54,17 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			err := tc.handle(tc.frame)
-			if !errors.Is(err, tc.want) || err.Error() != tc.text {
-				t.Errorf("got %v, want %v with the text %q", err, tc.want, tc.text)
-			}
+			testutil.Expect(t, errors.Is(err, tc.want) && err.Error() == tc.text,
+				"got %v, want %v with the text %q", err, tc.want, tc.text)
 			var fault *peerError
-			if !errors.As(err, &fault) || fault.LogValue().String() != tc.logged {
-				t.Errorf("logged %v, want %q", fault, tc.logged)
-			}
+			testutil.Expect(t, errors.As(err, &fault) && fault.LogValue().String() == tc.logged,
+				"logged %v, want %q", fault, tc.logged)
 		})
 	}
 }
 
 func TestDurationOfAFaultIsInMilliseconds(t *testing.T) {
 	err := after(errSilent, eventloop.Tick(3*scheduler.Second))
-	if !errors.Is(err, errSilent) || err.Error() != "no complete frame received for 3000 ms" {
-		t.Errorf("got %v", err)
-	}
+	testutil.Expect(t, errors.Is(err, errSilent) && err.Error() == "no complete frame received for 3000 ms",
+		"got %v", err)
 }
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -119,9 +119,8 @@
 			t.Errorf("file %s is written with other bytes", f.Name())
 		}
 	}
-	if !bytes.Equal(goldenListFile(t), testutil.ReadFile(t, goldenList)) {
-		t.Error("the list of version 1 is encoded with other bytes")
-	}
+	testutil.Expect(t, bytes.Equal(goldenListFile(t), testutil.ReadFile(t, goldenList)),
+		"the list of version 1 is encoded with other bytes")
 	if got := describeState(t, path); got != string(testutil.ReadFile(t, goldenText)) {
 		t.Errorf("the records are named otherwise:\n%s", got)
 	}
@@ -151,12 +150,10 @@
 		{"sends", loaded.sends, goldenSends},
 		{"snapshot", loaded.snapshot, goldenSnapshot()},
 	} {
-		if !reflect.DeepEqual(record.got, record.want) {
-			t.Errorf("%s: read %+v, want %+v", record.name, record.got, record.want)
-		}
-		if path := zeroField(record.name, reflect.ValueOf(record.want)); path != "" {
-			t.Errorf("%s has no value to be compared", path)
-		}
+		testutil.Expect(t, reflect.DeepEqual(record.got, record.want),
+			"%s: read %+v, want %+v", record.name, record.got, record.want)
+		path := zeroField(record.name, reflect.ValueOf(record.want))
+		testutil.Expect(t, path == "", "%s has no value to be compared", path)
 	}
 	for i, r := range loaded.snapshot.Entries {
 		if r.entry() != goldenEntries[i] {
--- a/internal/schedulerd/interleaving_test.go
+++ b/internal/schedulerd/interleaving_test.go
@@ -9,6 +9,7 @@
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
 	"glenport/internal/testbed/modelcheck"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -273,9 +274,7 @@
 			t.Parallel()
 			n, done, violations := explore(t, modelConfig(t, tc.classes...), strings.Split(tc.steps, ", "), tc.depth,
 				func(d modelcheck.Decider) modelcheck.Decider { return d })
-			if len(violations) > 0 {
-				t.Errorf("%s\n%s", strings.Join(done, ", "), strings.Join(violations, "\n"))
-			}
+			testutil.Expect(t, len(violations) == 0, "%s\n%s", strings.Join(done, ", "), strings.Join(violations, "\n"))
 			t.Logf("%d interleavings", n)
 		})
 	}
@@ -323,9 +322,8 @@
 		t.Run(fmt.Sprint("rule ", rule), func(t *testing.T) {
 			_, done, violations := explore(t, modelConfig(t, tc.classes...), strings.Split(tc.steps, ", "), 5,
 				func(d modelcheck.Decider) modelcheck.Decider { return modelcheck.Mutant{Decider: d, Rule: rule} })
-			if len(violations) == 0 || !strings.HasPrefix(violations[0], fmt.Sprintf("rule %d", rule)) {
-				t.Errorf("after %q: %q", done, violations)
-			}
+			testutil.Expect(t, len(violations) != 0 && strings.HasPrefix(violations[0], fmt.Sprintf("rule %d", rule)),
+				"after %q: %q", done, violations)
 		})
 	}
 }
--- a/internal/schedulerd/lateaccept_test.go
+++ b/internal/schedulerd/lateaccept_test.go
@@ -102,9 +102,8 @@
 	if tc.want == lateAdopted { // a repeated request is answered with the machine
 		spec.ContainerID = "y"
 		h.client.submitSpec(spec)
-		if reply := h.client.wantReply(protocol.VerdictPlaced); reply.Machine != "a" {
-			t.Errorf("got %+v", reply)
-		}
+		reply := h.client.wantReply(protocol.VerdictPlaced)
+		testutil.Expect(t, reply.Machine == "a", "got %+v", reply)
 	}
 }
 
--- a/internal/schedulerd/machinelist_test.go
+++ b/internal/schedulerd/machinelist_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -16,7 +17,6 @@
 		return onLoop(h.server, func() scheduler.Time { return h.machineA().startedAt })
 	}
 	first, same, second := startedAt(2, 100), startedAt(2, 90), startedAt(3, 0)
-	if first == 0 || same != first || second <= first {
-		t.Errorf("started %d, then %d, then %d", first, same, second)
-	}
+	testutil.Expect(t, first != 0 && same == first && second > first,
+		"started %d, then %d, then %d", first, same, second)
 }
--- a/internal/schedulerd/overload/limiter_test.go
+++ b/internal/schedulerd/overload/limiter_test.go
@@ -72,9 +72,8 @@
 	for i := range 20_000 {
 		now += ms
 		e := RequestReceived{Client: strconv.Itoa(i % 7), WorkloadClass: i % 3, ClientRetry: i%2 == 0}
-		if ok, s := request(t, limiter, now, e); !ok {
-			t.Fatalf("shed: %+v", s)
-		}
+		ok, s := request(t, limiter, now, e)
+		testutil.Require(t, ok, "shed: %+v", s)
 		limiter.Handle(now, RequestStarted{i % 3, 60 * ms})
 	}
 }
@@ -124,9 +123,8 @@
 	for range 300 {
 		if ok, s := request(t, limiter, now, RequestReceived{Client: "a"}); !ok {
 			all = append(all, float64(s.RetryAfter)/float64(sec))
-			if s.RetryAfter < minRetryAfter || s.RetryAfter > maxRetryAfter+maxRetryAfter/2 {
-				t.Fatalf("retry-after %d", s.RetryAfter)
-			}
+			testutil.Require(t, s.RetryAfter >= minRetryAfter && s.RetryAfter <= maxRetryAfter+maxRetryAfter/2,
+				"retry-after %d", s.RetryAfter)
 		}
 	}
 	most := 0
@@ -225,12 +223,10 @@
 		if x := after.Limit() / before.Limit(); x < tc.least-0.01 || x > tc.most+0.01 {
 			t.Errorf("weight %.1f: the limit is %.2f times as high", tc.weight, x)
 		}
-		if got, want := after.Snapshot().BaselineLatency[0], before.Snapshot().BaselineLatency[0]; got != want {
-			t.Errorf("weight %.1f: the baseline is %.2f, was %.2f", tc.weight, got, want)
-		}
-		if tc.weight == 1 && !shedsSome(t, after, now) {
-			t.Error("a new incarnation admits all that the last one shed")
-		}
+		got, want := after.Snapshot().BaselineLatency[0], before.Snapshot().BaselineLatency[0]
+		testutil.Expect(t, got == want, "weight %.1f: the baseline is %.2f, was %.2f", tc.weight, got, want)
+		testutil.Expect(t, tc.weight != 1 || shedsSome(t, after, now),
+			"a new incarnation admits all that the last one shed")
 	}
 	other := New(Config{MaxOpen: 10, WorkloadClasses: []WorkloadClass{{sec, 1}}})
 	if other.Restore(before.Snapshot(), 1); other.Limit() != 10 {
--- a/internal/schedulerd/parts_test.go
+++ b/internal/schedulerd/parts_test.go
@@ -21,13 +21,11 @@
 	testutil.Expect(t, !queue.adoptedSince("s", before), "an adoption before the attempt was decided counts")
 	tracker.adopted("s")
 	queue.add(second)
-	if !queue.adoptedSince("s", before) || queue.adoptedSince("other", before) {
-		t.Error("an adoption of the service does not count, or one of another does")
-	}
+	testutil.Expect(t, queue.adoptedSince("s", before) && !queue.adoptedSince("other", before),
+		"an adoption of the service does not count, or one of another does")
 	testutil.Expect(t, queue.remove(first) && !queue.remove(first), "an attempt is removed other than once")
-	if left := queue.takeAll(); len(left) != 1 || left[0] != second || !queue.empty() {
-		t.Errorf("%d attempts taken", len(left))
-	}
+	left := queue.takeAll()
+	testutil.Expect(t, len(left) == 1 && left[0] == second && queue.empty(), "%d attempts taken", len(left))
 	testutil.Expect(t, len(tracker.byService) == 0, "adoptions are remembered though no attempt is queued")
 }
 
--- a/internal/schedulerd/peers_test.go
+++ b/internal/schedulerd/peers_test.go
@@ -98,9 +98,8 @@
 	t.Helper()
 	client := &testClient{t, dial(t, address)}
 	frames.Send(client, protocol.NewHello(protocol.RoleClient, "client", 1))
-	if hello, ok := client.receive().(*protocol.Hello); !ok || hello.Role != protocol.RoleScheduler {
-		t.Fatal("the scheduler sends no hello")
-	}
+	hello, ok := client.receive().(*protocol.Hello)
+	testutil.Require(t, ok && hello.Role == protocol.RoleScheduler, "the scheduler sends no hello")
 	return client
 }
 
@@ -130,9 +129,8 @@
 // wantTermination receives the end of a container that ran.
 func (c *testClient) wantTermination(want protocol.Outcome) {
 	c.t.Helper()
-	if got, ok := c.receive().(*protocol.Termination); !ok || got.Outcome != want {
-		c.t.Errorf("termination %v, want %v", got, want)
-	}
+	got, ok := c.receive().(*protocol.Termination)
+	testutil.Expect(c.t, ok && got.Outcome == want, "termination %v, want %v", got, want)
 }
 
 // specFor is a container under a key of its own.
--- a/internal/schedulerd/queue_test.go
+++ b/internal/schedulerd/queue_test.go
@@ -6,6 +6,7 @@
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/reconcile"
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -61,9 +62,8 @@
 		update := awaitEvent(t, h.script, func(e scheduler.MachineListUpdate) bool {
 			return len(e.Entries) > 0 && e.Entries[0].StartedAt > 0
 		})
-		if now := now(h.server); update.Entries[0].StartedAt > now {
-			t.Errorf("%+v at %d", update, now)
-		}
+		now := now(h.server)
+		testutil.Expect(t, update.Entries[0].StartedAt <= now, "%+v at %d", update, now)
 	}
 	if ended := h.awaitEnded(); ended.Outcome != scheduler.OutcomeNotSent || len(offered) > 0 {
 		t.Errorf("%+v, %d offered", ended, len(offered))
@@ -94,8 +94,7 @@
 		h := startWithMachineA(t, settings, nil, address)
 		runOnLoop(h.server, func() { h.server.machines.probe("a") })
 		hello <- incarnation
-		if completed := awaitEvent[scheduler.ProbeCompleted](t, h.script, nil); completed.Outcome != want {
-			t.Errorf("incarnation %d: %+v", incarnation, completed)
-		}
+		completed := awaitEvent[scheduler.ProbeCompleted](t, h.script, nil)
+		testutil.Expect(t, completed.Outcome == want, "incarnation %d: %+v", incarnation, completed)
 	}
 }
--- a/internal/schedulerd/reconcile/reconciler_test.go
+++ b/internal/schedulerd/reconcile/reconciler_test.go
@@ -446,7 +446,6 @@
 			completed = i
 		}
 	}
-	if adopted < 0 || completed < adopted {
-		t.Errorf("adopted at %d, complete at %d of %+v", adopted, completed, actions)
-	}
+	testutil.Expect(t, adopted >= 0 && completed >= adopted,
+		"adopted at %d, complete at %d of %+v", adopted, completed, actions)
 }
--- a/internal/schedulerd/recovery/tracker_test.go
+++ b/internal/schedulerd/recovery/tracker_test.go
@@ -247,9 +247,8 @@
 			tracker.Handle(now, e)
 			for _, key := range modelKeys {
 				request := scheduler.PlacementRequest{IdempotencyKey: key, WorkloadClass: 2, ClientRetry: true}
-				if model.mayRun(key) && tracker.CheckPlacement(request) == nil {
-					t.Fatalf("key %s is free, and an attempt under it may run", key)
-				}
+				testutil.Require(t, !model.mayRun(key) || tracker.CheckPlacement(request) != nil,
+					"key %s is free, and an attempt under it may run", key)
 			}
 		}
 		for _, machine := range modelMachines {
@@ -268,9 +267,8 @@
 	tracker.Handle(sec)
 	var mayRun *MayRunError
 	err := tracker.CheckPlacement(scheduler.PlacementRequest{IdempotencyKey: "k", WorkloadClass: 2})
-	if !errors.As(err, &mayRun) || mayRun.Machine != "m" || mayRun.SilentFor != sec {
-		t.Errorf("placement under the key: %v", err)
-	}
+	testutil.Expect(t, errors.As(err, &mayRun) && mayRun.Machine == "m" && mayRun.SilentFor == sec,
+		"placement under the key: %v", err)
 	if err := tracker.CheckKey("k"); !errors.As(err, &mayRun) || mayRun.Machine != "m" {
 		t.Errorf("the key: %v", err)
 	}
--- a/internal/schedulerd/restore_test.go
+++ b/internal/schedulerd/restore_test.go
@@ -33,9 +33,8 @@
 	second := newWarmStartScript(scheduler.Snapshot{})
 	runIncarnation(t, settings, second, func(*Server) {
 		update := awaitEvent[scheduler.MachineListUpdate](t, second.scriptedScheduler, nil)
-		if update.Mode != scheduler.RestoredSnapshot || len(update.Entries) != 2 {
-			t.Errorf("restored list %+v", update)
-		}
+		testutil.Expect(t, update.Mode == scheduler.RestoredSnapshot && len(update.Entries) == 2,
+			"restored list %+v", update)
 		restored := <-second.restored
 		if len(restored.Machines) != 1 || restored.Machines[0].Machine != "a" ||
 			restored.Machines[0].OutlierLogOdds < 3.5 ||
@@ -173,9 +172,8 @@
 	report := make(chan struct{})
 	h := startWithMachineA(t, settings, failRequests, serveReportingMachine(t, inventory, report))
 	unresolved := func() int { return h.server.decisions.reconciler.UnresolvedKeys() }
-	if n := onLoop(h.server, unresolved); n != tc.logged {
-		t.Errorf("%d attempts are known to be open", n)
-	}
+	n := onLoop(h.server, unresolved)
+	testutil.Expect(t, n == tc.logged, "%d attempts are known to be open", n)
 	retry := func() *protocol.PlacementReply {
 		spec := specFor("x", tc.class)
 		spec.ContainerID, spec.ClientRetry = "y", true
--- a/internal/schedulerd/statestore_test.go
+++ b/internal/schedulerd/statestore_test.go
@@ -9,6 +9,7 @@
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
 	"glenport/internal/storage/vfs"
+	"glenport/internal/testutil"
 	"glenport/internal/testutil/frames"
 	"glenport/scheduler"
 )
@@ -63,29 +64,24 @@
 		h.client.receive() // its termination
 	}
 	h.client.submit("once", classAtMostOnce)
-	if ended := h.awaitEnded(); ended.Outcome != scheduler.OutcomeNotSent || ended.ID != "once" {
-		t.Errorf("%+v", ended)
-	}
+	ended := h.awaitEnded()
+	testutil.Expect(t, ended.Outcome == scheduler.OutcomeNotSent && ended.ID == "once", "%+v", ended)
 	h.client.receiveReply()
 	h.client.submit("again", classIdempotent)
-	if got := <-offered; got != "again" {
-		t.Errorf("%s was sent", got)
-	}
+	got := <-offered
+	testutil.Expect(t, got == "again", "%s was sent", got)
 	h.client.receiveReply()
 	dir.full.Store(false)
 	h.client.submit("after", classAtMostOnce)
-	if reply := h.client.wantReply(protocol.VerdictPlaced); reply.ContainerID != "after" {
-		t.Errorf("with room again: %+v", reply)
-	}
-	if onLoop(h.server, func() bool { h.server.saveSnapshot(); return h.server.state.historyPending }) {
-		t.Error("the log does not hold this incarnation")
-	}
+	reply := h.client.wantReply(protocol.VerdictPlaced)
+	testutil.Expect(t, reply.ContainerID == "after", "with room again: %+v", reply)
+	testutil.Expect(t, !onLoop(h.server, func() bool { h.server.saveSnapshot(); return h.server.state.historyPending }),
+		"the log does not hold this incarnation")
 	h.stop()
 	attempts := countRecords(t, settings.StateDir, AttemptKind)
 	incarnations := countRecords(t, settings.StateDir, IncarnationKind)
-	if attempts != 1 || incarnations != 1 {
-		t.Errorf("%d attempts and %d incarnations in the log, want the running one and one", attempts, incarnations)
-	}
+	testutil.Expect(t, attempts == 1 && incarnations == 1,
+		"%d attempts and %d incarnations in the log, want the running one and one", attempts, incarnations)
 }
 
 // An attempt that waits for a slow disk longer than a connection may take is not sent, whatever update arrives
@@ -103,15 +99,13 @@
 	h.eventually((*machine).ready)
 	dir.gate.Lock()
 	h.client.submit("once", classAtMostOnce)
-	if ended := h.awaitEnded(); ended.Outcome != scheduler.OutcomeNotSent {
-		t.Errorf("%+v", ended)
-	}
+	ended := h.awaitEnded()
+	testutil.Expect(t, ended.Outcome == scheduler.OutcomeNotSent, "%+v", ended)
 	listed(protocol.MachineDraining, 1, -1)(h, address)
 	dir.gate.Unlock()
 	h.client.submit("again", classIdempotent)
-	if got := <-offered; got != "again" {
-		t.Errorf("%s was sent", got)
-	}
+	got := <-offered
+	testutil.Expect(t, got == "again", "%s was sent", got)
 }
 
 // A folder that another instance holds, or that cannot be made, is an error of New.
--- a/internal/schedulerd/warmstart/ledger_test.go
+++ b/internal/schedulerd/warmstart/ledger_test.go
@@ -99,9 +99,8 @@
 			if recorded != (tc.want != nil) || !slices.Equal(s.Times, tc.want) || recorded && s.Incarnation != 8 {
 				t.Errorf("%+v, want %v", s, tc.want)
 			}
-			if _, again := ledger.IncarnationObserved(102*sec, "m", after); again {
-				t.Error("recorded twice")
-			}
+			_, again := ledger.IncarnationObserved(102*sec, "m", after)
+			testutil.Expect(t, !again, "recorded twice")
 			ledger.Expire(102*sec+2*window, always(MachineStart{9, 0}))
 			if recorded, remembered := len(ledger.recorded), len(ledger.unrecorded); recorded+remembered != 0 {
 				t.Errorf("after two windows %d are on record, %d remembered", recorded, remembered)
--- a/internal/schedulerd/warmstart/restore_test.go
+++ b/internal/schedulerd/warmstart/restore_test.go
@@ -185,13 +185,10 @@
 	if math.Abs(got.outlier-want.outlier) > 0.05 || got.ejected != want.ejected || got.sends != want.sends {
 		t.Errorf("restored %+v, want %+v", got, want)
 	}
-	if known := tc.now.Clock - r.Snapshot.SendsKnownSince; known != tc.want.known {
-		t.Errorf("sends are known for %d", known)
-	}
-	if (len(r.Snapshot.TrafficClasses) > 0) != tc.want.ratios {
-		t.Errorf("loss ratios %v", r.Snapshot.TrafficClasses)
-	}
-	if messages := text(r.Messages); !strings.Contains(messages, tc.want.message) {
-		t.Errorf("messages %q", messages)
-	}
+	known := tc.now.Clock - r.Snapshot.SendsKnownSince
+	testutil.Expect(t, known == tc.want.known, "sends are known for %d", known)
+	testutil.Expect(t, (len(r.Snapshot.TrafficClasses) > 0) == tc.want.ratios,
+		"loss ratios %v", r.Snapshot.TrafficClasses)
+	messages := text(r.Messages)
+	testutil.Expect(t, strings.Contains(messages, tc.want.message), "messages %q", messages)
 }
--- a/internal/simprotocol/decoder_test.go
+++ b/internal/simprotocol/decoder_test.go
@@ -96,9 +96,8 @@
 		t.Run(tc.line, func(t *testing.T) {
 			got, err := readDeliveries("FRAME 8412.25 1\n" + tc.line + "\nCOMMIT\n")
 			testutil.Require(t, err == nil && len(got) == 1, "%v, %d events", err, len(got))
-			if !reflect.DeepEqual(got[0].Event, tc.want) || got[0].Instance != 3 {
-				t.Errorf("got %+v, want %+v", got[0].Event, tc.want)
-			}
+			testutil.Expect(t, reflect.DeepEqual(got[0].Event, tc.want) && got[0].Instance == 3,
+				"got %+v, want %+v", got[0].Event, tc.want)
 		})
 	}
 }
@@ -170,9 +169,8 @@
 		!isA[*ExtraFieldsError](lineError.Err) {
 		t.Errorf("got %+v", err)
 	}
-	if want := "line 3: 1 fields too many: \"" + long[:120] + "...\""; err == nil || err.Error() != want {
-		t.Errorf("got %v, want %s", err, want)
-	}
+	want := "line 3: 1 fields too many: \"" + long[:120] + "...\""
+	testutil.Expect(t, err != nil && err.Error() == want, "got %v, want %s", err, want)
 }
 
 // Whatever the input, the decoder returns frames, then the end of the input or an error that names a line.
@@ -183,9 +181,8 @@
 		d := NewDecoder(strings.NewReader(s))
 		for {
 			if _, err := d.Next(); err != nil {
-				if !errors.Is(err, io.EOF) && !strings.HasPrefix(err.Error(), "line ") {
-					t.Errorf("no line named: %v", err)
-				}
+				testutil.Expect(t, errors.Is(err, io.EOF) || strings.HasPrefix(err.Error(), "line "),
+					"no line named: %v", err)
 				return
 			}
 		}
--- a/internal/simprotocol/describe_test.go
+++ b/internal/simprotocol/describe_test.go
@@ -4,6 +4,7 @@
 	"reflect"
 	"testing"
 
+	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
 
@@ -13,9 +14,8 @@
 // whole fails where a struct has more fields than are described: each is to be compared.
 func whole(t *testing.T, v any, o object) object {
 	t.Helper()
-	if n := reflect.TypeOf(v).NumField(); n != len(o) {
-		t.Errorf("%T has %d fields, %d are described", v, n, len(o))
-	}
+	n := reflect.TypeOf(v).NumField()
+	testutil.Expect(t, n == len(o), "%T has %d fields, %d are described", v, n, len(o))
 	return o
 }
 
--- a/internal/storage/vfs/dir_test.go
+++ b/internal/storage/vfs/dir_test.go
@@ -53,9 +53,8 @@
 	d := mustOpen(t, path)
 	wantList(t, d)
 	lock, err := os.ReadFile(filepath.Join(path, "lock"))
-	if err != nil || string(lock) != fmt.Sprintf("process %d\n", os.Getpid()) {
-		t.Errorf("lock file %q, %v", lock, err)
-	}
+	testutil.Expect(t, err == nil && string(lock) == fmt.Sprintf("process %d\n", os.Getpid()),
+		"lock file %q, %v", lock, err)
 	for name, mode := range map[string]fs.FileMode{".": 0o755, "lock": 0o644} { // less what the umask takes away
 		info, err := os.Stat(filepath.Join(path, name))
 		testutil.NoError(t, err)
@@ -70,9 +69,8 @@
 	d := mustOpen(t, path)
 	_, err := OpenLocked(path)
 	owned, ok := errors.AsType[*LockedError](err)
-	if !ok || owned.Path != path || owned.Holder != fmt.Sprint("process ", os.Getpid()) {
-		t.Fatalf("opened twice: %v", err)
-	}
+	testutil.Require(t, ok && owned.Path == path && owned.Holder == fmt.Sprint("process ", os.Getpid()),
+		"opened twice: %v", err)
 	want := fmt.Sprintf("%s is held by another instance, process %d: each needs a folder of its own", path, os.Getpid())
 	testutil.Expect(t, owned.Error() == want, "text %v, want %s", owned, want)
 	testutil.NoError(t, d.Close())
--- a/internal/storage/wal/checksummed_test.go
+++ b/internal/storage/wal/checksummed_test.go
@@ -21,9 +21,8 @@
 	golden.CheckText(t, replacedFile, string(written))
 	want := testutil.ReadFile(t, replacedFile)
 	version, body, err := ReadChecksummed(directoryOf(t, map[string][]byte{"f": want}), "f", "GOLDENF", 3)
-	if err != nil || version != 3 || string(body) != "what it holds" {
-		t.Errorf("version %d, %q, %v", version, body, err)
-	}
+	testutil.Expect(t, err == nil && version == 3 && string(body) == "what it holds",
+		"version %d, %q, %v", version, body, err)
 }
 
 // A file that does not hold what was written, or is of a later version, is refused.
--- a/internal/storage/wal/crash_test.go
+++ b/internal/storage/wal/crash_test.go
@@ -208,9 +208,8 @@
 		found := valuesOf(t, l.State())
 		mustClose(t, l)
 		for key := range want {
-			if found[key] != key {
-				t.Fatalf("crash after %d operations, survival %d: %s is lost of %v", operations, seed, key, found)
-			}
+			testutil.Require(t, found[key] == key,
+				"crash after %d operations, survival %d: %s is lost of %v", operations, seed, key, found)
 		}
 	}
 }
--- a/internal/storage/wal/failure_test.go
+++ b/internal/storage/wal/failure_test.go
@@ -36,18 +36,15 @@
 			fs.InjectError = failOperations(tc.failing, tc.err)
 			err := commitAndWait(l, true, putText("b", "2"))
 			full, syncFailed := errors.Is(err, ErrFull), errors.Is(err, ErrSyncFailed)
-			if !errors.Is(err, tc.err) || full != tc.full || syncFailed != (tc.failing != "write") {
-				t.Errorf("rejected with %v", err)
-			}
+			testutil.Expect(t, errors.Is(err, tc.err) && full == tc.full && syncFailed == (tc.failing != "write"),
+				"rejected with %v", err)
 			fs.InjectError = nil
 			mustCommit(t, l, true, putText("c", "3"))
 			mustClose(t, l)
-			if modeChanges != 2 {
-				t.Errorf("%d changes of mode reported, want one as commits are rejected, one at the end", modeChanges)
-			}
-			if values := valuesOf(t, mustLoad(t, fs)); !maps.Equal(values, map[string]string{"a": "1", "c": "3"}) {
-				t.Errorf("%v", values)
-			}
+			testutil.Expect(t, modeChanges == 2,
+				"%d changes of mode reported, want one as commits are rejected, one at the end", modeChanges)
+			values := valuesOf(t, mustLoad(t, fs))
+			testutil.Expect(t, maps.Equal(values, map[string]string{"a": "1", "c": "3"}), "%v", values)
 		})
 	}
 }
--- a/internal/storage/wal/load_test.go
+++ b/internal/storage/wal/load_test.go
@@ -104,12 +104,9 @@
 	testutil.Expect(t, err != nil && strings.Contains(err.Error(), want), "%v, want %s", err, want)
 	var corruption *CorruptionError
 	var unsupported *UnsupportedVersionError
-	if !errors.As(err, &corruption) && !errors.As(err, &unsupported) {
-		t.Errorf("error of type %T", err)
-	}
-	if after := mustList(t, fs); !slices.Equal(before, after) {
-		t.Errorf("a damaged directory was changed from %v to %v", before, after)
-	}
+	testutil.Expect(t, errors.As(err, &corruption) || errors.As(err, &unsupported), "error of type %T", err)
+	after := mustList(t, fs)
+	testutil.Expect(t, slices.Equal(before, after), "a damaged directory was changed from %v to %v", before, after)
 }
 
 // changeVersion gives a segment another version, with a right checksum.
@@ -128,14 +125,12 @@
 	mustFlipBit(t, fs, 8*400)
 	_, err := Load(fs, false) // the third group, behind the header and two of 136 bytes
 	var corruption *CorruptionError
-	if !errors.As(err, &corruption) || corruption.File != firstSegment || corruption.Offset != 292 {
-		t.Errorf("corruption is reported as %+v", err)
-	}
+	testutil.Expect(t, errors.As(err, &corruption) && corruption.File == firstSegment && corruption.Offset == 292,
+		"corruption is reported as %+v", err)
 	fs = tenGroups(t)
 	changeVersion(t, fs, firstSegment, 7)
 	_, err = Load(fs, false)
 	var unsupported *UnsupportedVersionError
-	if !errors.As(err, &unsupported) || unsupported.File != firstSegment || unsupported.Version != 7 {
-		t.Errorf("a later version is reported as %+v", err)
-	}
+	testutil.Expect(t, errors.As(err, &unsupported) && unsupported.File == firstSegment && unsupported.Version == 7,
+		"a later version is reported as %+v", err)
 }
--- a/internal/storage/wal/snapshot_test.go
+++ b/internal/storage/wal/snapshot_test.go
@@ -33,11 +33,9 @@
 	}
 	mustCommit(t, l, true)
 	mustClose(t, l)
-	if counters := l.Counters(); counters.Snapshots < wantSnapshots {
-		t.Errorf("%+v", counters)
-	}
+	counters := l.Counters()
+	testutil.Expect(t, counters.Snapshots >= wantSnapshots, "%+v", counters)
 	testutil.Expect(t, maps.Equal(valuesOf(t, mustLoad(t, dir)), want), "not what was written")
-	if names := mustList(t, dir); len(names) > 4 {
-		t.Errorf("%v", names)
-	}
+	names := mustList(t, dir)
+	testutil.Expect(t, len(names) <= 4, "%v", names)
 }
--- a/internal/testbed/audit/checker_test.go
+++ b/internal/testbed/audit/checker_test.go
@@ -55,9 +55,7 @@
 
 func (h *history) put(at int64, e faultproxy.Entry) {
 	e.At, e.Scheduler = at*ms, "p"
-	if err := h.checker.process(&e); err != nil {
-		h.Fatal(err)
-	}
+	testutil.NoError(h, h.checker.process(&e))
 }
 
 func (h *history) open(id uint32, far protocol.Role, name string) {
@@ -310,9 +308,8 @@
 			for _, v := range h.checker.report.Violations {
 				testutil.Expect(t, v.Rule == tc.broken, "reported %v", v)
 			}
-			if tc.broken > 0 && h.checker.report.violations[tc.broken] == 0 {
-				t.Errorf("rule %d is broken, and it is not reported", tc.broken)
-			}
+			testutil.Expect(t, tc.broken <= 0 || h.checker.report.violations[tc.broken] != 0,
+				"rule %d is broken, and it is not reported", tc.broken)
 		})
 	}
 }
--- a/internal/testbed/audit/print_test.go
+++ b/internal/testbed/audit/print_test.go
@@ -41,7 +41,6 @@
 		name, _, _ := strings.Cut(text, " ")
 		names = append(names, name)
 	}
-	if got := strings.Join(names, " "); got != "Offer Yes Cancel Fate" {
-		t.Errorf("the trace names %s\n%s", got, out.String())
-	}
+	got := strings.Join(names, " ")
+	testutil.Expect(t, got == "Offer Yes Cancel Fate", "the trace names %s\n%s", got, out.String())
 }
--- a/internal/testbed/emulator/components_test.go
+++ b/internal/testbed/emulator/components_test.go
@@ -35,9 +35,8 @@
 		{60_002, false},
 	} {
 		at := began.Add(offer.after * time.Millisecond)
-		if got := s.countOffer(began, at); got != offer.exceeded {
-			t.Errorf("after %d ms: exceeded %v", offer.after, got)
-		}
+		got := s.countOffer(began, at)
+		testutil.Expect(t, got == offer.exceeded, "after %d ms: exceeded %v", offer.after, got)
 	}
 }
 
--- a/internal/testbed/faultproxy/record_test.go
+++ b/internal/testbed/faultproxy/record_test.go
@@ -185,9 +185,8 @@
 	got, entries := readAll(t, path)
 	testutil.Expect(t, reflect.DeepEqual(got, goldenHeader()), "header %+v", got)
 	file := testutil.ReadFile(t, path)
-	if again := encoded(t, got, entries); !bytes.Equal(again, file) {
-		t.Errorf("encoded as\n%x, want\n%x", again, file)
-	}
+	again := encoded(t, got, entries)
+	testutil.Expect(t, bytes.Equal(again, file), "encoded as\n%x, want\n%x", again, file)
 	last := int64(0)
 	for i := range entries {
 		testutil.Expect(t, entries[i].At >= last, "entry %d is of %d, after one of %d", i, entries[i].At, last)
@@ -215,8 +214,7 @@
 		err := Read(path, new(Header), func(*Entry) error { return nil })
 		testutil.Expect(t, err != nil && err.Error() == path+tc.want, "%s: %v, want %s", title, err, path+tc.want)
 		var formatError *FormatError
-		if isFormat := errors.As(err, &formatError); isFormat != (title != "cut short") {
-			t.Errorf("%s: %v is a FormatError: %v", title, err, isFormat)
-		}
+		isFormat := errors.As(err, &formatError)
+		testutil.Expect(t, isFormat == (title != "cut short"), "%s: %v is a FormatError: %v", title, err, isFormat)
 	}
 }
--- a/internal/testbed/modelcheck/modelcheck_test.go
+++ b/internal/testbed/modelcheck/modelcheck_test.go
@@ -108,9 +108,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			r := Run(tc.world, tc.depth)
-			if r.FailingSequence != "" {
-				t.Errorf("%s\n%s", r.FailingSequence, strings.Join(r.Violations, "\n"))
-			}
+			testutil.Expect(t, r.FailingSequence == "", "%s\n%s", r.FailingSequence, strings.Join(r.Violations, "\n"))
 			testutil.Expect(t, r.Attempts != 0, "no attempt was checked")
 			t.Logf("%d sequences, %d events, %d attempts checked", r.Sequences, r.Events, r.Attempts)
 		})
@@ -130,9 +128,8 @@
 			world.NewScheduler = func(t scheduler.Config) Decider { return Mutant{scheduler.New(t), rule + 1} }
 			r := Run(world, 6)
 			want := fmt.Sprintf("rule %d: ", rule+1)
-			if len(r.Violations) == 0 || !strings.HasPrefix(r.Violations[0], want) {
-				t.Fatalf("after %q: %q", r.FailingSequence, r.Violations)
-			}
+			testutil.Require(t, len(r.Violations) != 0 && strings.HasPrefix(r.Violations[0], want),
+				"after %q: %q", r.FailingSequence, r.Violations)
 			if again := Replay(world, r.FailingSequence); len(again) == 0 || again[0] != r.Violations[0] {
 				t.Errorf("%q breaks %q when it is replayed", r.FailingSequence, again)
 			}
--- a/internal/testbed/scenario/aliases_test.go
+++ b/internal/testbed/scenario/aliases_test.go
@@ -21,9 +21,8 @@
 		t.Run(name, func(t *testing.T) {
 			old := readScenario(t, "testdata/legacy/"+name+".yaml")
 			current := readScenario(t, "../../../scenarios/"+name+".yaml")
-			if len(old.Deprecations) == 0 || len(current.Deprecations) != 0 {
-				t.Errorf("deprecations: %v in the old file, %v in the new one", old.Deprecations, current.Deprecations)
-			}
+			testutil.Expect(t, len(old.Deprecations) != 0 && len(current.Deprecations) == 0,
+				"deprecations: %v in the old file, %v in the new one", old.Deprecations, current.Deprecations)
 			oldSettings, currentSettings := loadTemplate(t, old), loadTemplate(t, current)
 			testutil.DeepEqual(t, oldSettings, currentSettings)
 			old.Deprecations, old.Template = nil, current.Template
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -115,9 +115,8 @@
 	testutil.NoError(t, c.Close())
 	findings, err := audit.CheckRecording(filepath.Join(dir, "record"))
 	testutil.NoError(t, err)
-	if !findings.Passed() || tally.DuplicateReplies > 0 || tally.Unanswered < 400 {
-		t.Errorf("%v; %+v", findings.Violations, tally)
-	}
+	testutil.Expect(t, findings.Passed() && tally.DuplicateReplies <= 0 && tally.Unanswered >= 400,
+		"%v; %+v", findings.Violations, tally)
 }
 
 // The zone comes back in slow start, at the same addresses and under load. It goes down late enough that containers run
--- a/internal/testbed/trials/trial_test.go
+++ b/internal/testbed/trials/trial_test.go
@@ -5,6 +5,8 @@
 	"errors"
 	"regexp"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // stepTrial is a trial of given steps.
@@ -46,9 +48,8 @@
 			if err := Run(stepTrial{tc.steps}, Setup{}, &out); !errors.Is(err, tc.err) {
 				t.Errorf("got %v, want %v", err, tc.err)
 			}
-			if got := elapsed.ReplaceAllString(out.String(), "T s"); got != tc.want {
-				t.Errorf("got\n%swant\n%s", got, tc.want)
-			}
+			got := elapsed.ReplaceAllString(out.String(), "T s")
+			testutil.Expect(t, got == tc.want, "got\n%swant\n%s", got, tc.want)
 		})
 	}
 }
--- a/scheduler/attempts_test.go
+++ b/scheduler/attempts_test.go
@@ -151,8 +151,7 @@
 		{PlacementRequest{ID: "z", Service: "s", Tenant: 7, Deadline: 30 * Second}, StartAttempt{}},
 	} {
 		actions := s.Handle(tc.request.Deadline-1000, []Event{RequestReceived{tc.request}})
-		if got := lastAction(actions); !sameType(got, tc.want) {
-			t.Errorf("%s: %T, want %T", tc.request.ID, got, tc.want)
-		}
+		got := lastAction(actions)
+		testutil.Expect(t, sameType(got, tc.want), "%s: %T, want %T", tc.request.ID, got, tc.want)
 	}
 }
--- a/scheduler/draw_test.go
+++ b/scheduler/draw_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"math"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 func TestDrawOddsFollowHonoredCapacity(t *testing.T) {
@@ -82,9 +84,8 @@
 	}
 	submit(s, s.now, "x", "s")
 	for _, m := range s.machines.all() {
-		if len(m.sends.sent) > 0 && m.sends.sent[0] < s.now {
-			t.Errorf("the ledger of %s still has a send before its window", m.id)
-		}
+		testutil.Expect(t, len(m.sends.sent) == 0 || m.sends.sent[0] >= s.now,
+			"the ledger of %s still has a send before its window", m.id)
 	}
 }
 
@@ -106,9 +107,8 @@
 			m := &machine{listing: listing{capacity: 40, requested: resources{cores: tc.listRequested}}}
 			m.load.used.cores, m.load.requested.cores = tc.used, tc.requested
 			model := newCapacityModel(&config)
-			if got := model.honored(m); math.Abs(got-tc.want) > 1e-9 {
-				t.Errorf("honored %.2f, want %.2f", got, tc.want)
-			}
+			got := model.honored(m)
+			testutil.Expect(t, math.Abs(got-tc.want) <= 1e-9, "honored %.2f, want %.2f", got, tc.want)
 		})
 	}
 }
--- a/scheduler/explain_test.go
+++ b/scheduler/explain_test.go
@@ -75,8 +75,7 @@
 	for i := range 20 {
 		id := ContainerID(strconv.Itoa(i))
 		asked.Explain(smallRequest("", "s", 0))
-		if a, b := submit(asked, 100*Second, id, "s"), submit(unasked, 100*Second, id, "s"); a != b {
-			t.Fatalf("decided differently after the question: %s, %s", a, b)
-		}
+		a, b := submit(asked, 100*Second, id, "s"), submit(unasked, 100*Second, id, "s")
+		testutil.Require(t, a == b, "decided differently after the question: %s, %s", a, b)
 	}
 }
--- a/scheduler/listpoller_test.go
+++ b/scheduler/listpoller_test.go
@@ -108,12 +108,10 @@
 			if slow := s.slowStart.inSlowStart(m, now); m.listing.startedAt != now || !slow {
 				t.Errorf("machine a started at %d, slow start: %v", m.listing.startedAt, slow)
 			}
-			if d := s.machines.findOrAdd("d"); d.listing.state != MachineServing {
-				t.Errorf("machine d is in state %d", d.listing.state)
-			}
-			if count := countPolls(s, now, 10*Second); (count == 1) != tc.stillDue {
-				t.Errorf("the list was polled %d times", count)
-			}
+			d := s.machines.findOrAdd("d")
+			testutil.Expect(t, d.listing.state == MachineServing, "machine d is in state %d", d.listing.state)
+			count := countPolls(s, now, 10*Second)
+			testutil.Expect(t, (count == 1) == tc.stillDue, "the list was polled %d times", count)
 		})
 	}
 }
@@ -124,9 +122,8 @@
 	for i, want := range []Time{300 * Millisecond, 600 * Millisecond, Second, Second} {
 		testutil.Expect(t, p.delay == want, "after %d failures the delay is %d, want %d", i, p.delay, want)
 		p.pollFailed(0)
-		if p.takeDue(0) || !p.takeDue(want+Millisecond) || p.takeDue(want+Millisecond) {
-			t.Errorf("after %d failures the poll does not come once within its delay", i+1)
-		}
+		testutil.Expect(t, !p.takeDue(0) && p.takeDue(want+Millisecond) && !p.takeDue(want+Millisecond),
+			"after %d failures the poll does not come once within its delay", i+1)
 	}
 	if p.pollAnswered(); p.delay != 300*Millisecond || p.takeDue(Second) {
 		t.Errorf("after an answer the delay is %d", p.delay)
--- a/scheduler/outlierdetection_test.go
+++ b/scheduler/outlierdetection_test.go
@@ -42,9 +42,8 @@
 		s.fail(m, 2)
 		got := submit(s, 0, ContainerID(m.id), fmt.Sprint("s", i))
 		drawn := s.machines.find(got)
-		if fallback := drawn == nil || drawn.outlier.isEjected(); fallback != (i == 3) {
-			t.Errorf("with %d of 4 ejected a container goes to %q", i+1, got)
-		}
+		fallback := drawn == nil || drawn.outlier.isEjected()
+		testutil.Expect(t, fallback == (i == 3), "with %d of 4 ejected a container goes to %q", i+1, got)
 	}
 }
 
@@ -55,9 +54,8 @@
 	ejectedUntil := m.outlier.ejectedUntil
 	actions := runMaintenance(s, ejectedUntil)
 	s.Handle(ejectedUntil+100, []Event{ProbeCompleted{Machine: "a", Outcome: OutcomeFinished}})
-	if lastAction(actions) != (Probe{"a"}) || m.outlier.isEjected() {
-		t.Fatalf("probed by %v, ejected until %d", actions, m.outlier.ejectedUntil)
-	}
+	testutil.Require(t, lastAction(actions) == (Probe{"a"}) && !m.outlier.isEjected(),
+		"probed by %v, ejected until %d", actions, m.outlier.ejectedUntil)
 	if s.fail(m, 1); !m.outlier.isEjected() {
 		t.Error("a failure on trial does not eject it again")
 	}
@@ -84,9 +82,8 @@
 	for i, want := range []Time{2 * Second, 4 * Second, 8 * Second, 8 * Second} {
 		d.recordFailure(m, 0)
 		d.recordFailure(m, 0)
-		if m.outlier.ejectedUntil != want {
-			t.Errorf("ejection %d lasts %d, want %d", i, m.outlier.ejectedUntil, want)
-		}
+		testutil.Expect(t, m.outlier.ejectedUntil == want,
+			"ejection %d lasts %d, want %d", i, m.outlier.ejectedUntil, want)
 		d.readmit(m)
 	}
 	for m.outlier.logOdds > 0 {
@@ -122,9 +119,8 @@
 				}[outcome]
 				at = startedOn(s.Handle(Second+Time(i+1), []Event{e}))
 			}
-			if got := countSuspects(s); got != tc.suspects {
-				t.Errorf("evidence against %d machines, want %d", got, tc.suspects)
-			}
+			got := countSuspects(s)
+			testutil.Expect(t, got == tc.suspects, "evidence against %d machines, want %d", got, tc.suspects)
 		})
 	}
 }
@@ -172,9 +168,8 @@
 			for _, e := range tc.events {
 				s.Handle(3*Second, []Event{e})
 			}
-			if m.outlier.logOdds > 0 || m.outlier.isEjected() {
-				t.Errorf("log odds %.1f, ejected until %d", m.outlier.logOdds, m.outlier.ejectedUntil)
-			}
+			testutil.Expect(t, m.outlier.logOdds <= 0 && !m.outlier.isEjected(),
+				"log odds %.1f, ejected until %d", m.outlier.logOdds, m.outlier.ejectedUntil)
 		})
 	}
 	t.Run("a probe that could not be sent", testProbeThatCouldNotBeSent)
@@ -187,7 +182,6 @@
 		m.contact.probeSentAt = Second
 		s.Handle(3*Second, []Event{ProbeCompleted{Machine: "a", Outcome: OutcomeNotSent}})
 	}
-	if m.outlier.logOdds > 0 || m.contact.probeSentAt > 0 {
-		t.Errorf("log odds %.1f, probing %v", m.outlier.logOdds, m.contact.probeSentAt)
-	}
+	testutil.Expect(t, m.outlier.logOdds <= 0 && m.contact.probeSentAt <= 0,
+		"log odds %.1f, probing %v", m.outlier.logOdds, m.contact.probeSentAt)
 }
--- a/scheduler/policy_test.go
+++ b/scheduler/policy_test.go
@@ -43,9 +43,8 @@
 	testutil.NoError(t, err)
 	sources := slices.DeleteFunc(all, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 	for _, name := range sources {
-		if slices.Contains(policy, name) == slices.Contains(withoutDecisions, name) {
-			t.Errorf("%s belongs either to the policy or to the files without decisions", name)
-		}
+		testutil.Expect(t, slices.Contains(policy, name) != slices.Contains(withoutDecisions, name),
+			"%s belongs either to the policy or to the files without decisions", name)
 	}
 	for _, name := range slices.Concat(policy, withoutDecisions) {
 		testutil.Expect(t, slices.Contains(sources, name), "%s is listed, but is no source file of this package", name)
--- a/scheduler/registries_test.go
+++ b/scheduler/registries_test.go
@@ -61,17 +61,14 @@
 	c := r.add(smallRequest("x", "s", Second))
 	r.startAttempt(c, m, 1)
 	r.reportUse(c, MetricCoresUsed, 0.1)
-	if m.load.reservations != 1 || m.load.used != (resources{0.1, 1}) || quotas.cores[0] != 1 {
-		t.Errorf("reserved %+v, tenants %v", m.load, quotas.cores)
-	}
+	testutil.Expect(t, m.load.reservations == 1 && m.load.used == (resources{0.1, 1}) && quotas.cores[0] == 1,
+		"reserved %+v, tenants %v", m.load, quotas.cores)
 	r.close(c)
 	testutil.Expect(t, r.find("x") == c, "a container with an attempt out is dropped")
 	r.endAttempt(c)
 	r.close(c)
-	if m.load != (machineLoad{}) || quotas.cores[0] != 0 || len(r.containers)+len(r.services) > 0 {
-		t.Errorf("left: %+v, tenants %v, %d containers, %d services", m.load, quotas.cores, len(r.containers),
-			len(r.services))
-	}
+	testutil.Expect(t, m.load == (machineLoad{}) && quotas.cores[0] == 0 && len(r.containers)+len(r.services) == 0,
+		"left: %+v, tenants %v, %d containers, %d services", m.load, quotas.cores, len(r.containers), len(r.services))
 }
 
 func TestDeadlinesAreFoundByIDAndTheNextAhead(t *testing.T) {
@@ -82,7 +79,6 @@
 	}
 	r.find("d").accept()
 	overdue, next := r.deadlinesWithin(100, 5, 25)
-	if len(overdue) != 2 || overdue[0].request.ID != "a" || overdue[1].request.ID != "c" || next != 45 {
-		t.Errorf("%d overdue, next at %d", len(overdue), next)
-	}
+	testutil.Expect(t, len(overdue) == 2 && overdue[0].request.ID == "a" && overdue[1].request.ID == "c" && next == 45,
+		"%d overdue, next at %d", len(overdue), next)
 }
--- a/scheduler/shedding_test.go
+++ b/scheduler/shedding_test.go
@@ -40,9 +40,8 @@
 					rejected++
 				}
 			}
-			if rejected < tc.least || rejected > tc.most {
-				t.Errorf("%d of 1000 rejected, want %d to %d", rejected, tc.least, tc.most)
-			}
+			testutil.Expect(t, rejected >= tc.least && rejected <= tc.most,
+				"%d of 1000 rejected, want %d to %d", rejected, tc.least, tc.most)
 		})
 	}
 }
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -37,9 +37,8 @@
 				}
 			}
 			most := mostInWindow(sent, config.SlowStartWindow)
-			if len(sent) < tc.least || most > config.SlowStartBudget {
-				t.Errorf("%d attempts, up to %d in a window", len(sent), most)
-			}
+			testutil.Expect(t, len(sent) >= tc.least && most <= config.SlowStartBudget,
+				"%d attempts, up to %d in a window", len(sent), most)
 		})
 	}
 }
@@ -93,9 +92,8 @@
 				l := slowStartLimiter{budget: tc.budget, schedulerIndex: i, schedulerCount: tc.schedulers}
 				sum += l.quota(&machine{hash: hash(id)})
 			}
-			if sum != tc.budget {
-				t.Errorf("quotas of %d schedulers for %s add up to %d of %d", tc.schedulers, id, sum, tc.budget)
-			}
+			testutil.Expect(t, sum == tc.budget,
+				"quotas of %d schedulers for %s add up to %d of %d", tc.schedulers, id, sum, tc.budget)
 		}
 	}
 }
--- a/scheduler/snapshot_test.go
+++ b/scheduler/snapshot_test.go
@@ -32,12 +32,10 @@
 		}
 		before = s
 	}
-	if most := mostInWindow(sent, config.SlowStartWindow); most > config.SlowStartBudget {
-		t.Fatalf("%d attempts in a window", most)
-	}
-	if len(sent) < 3*config.SlowStartBudget {
-		t.Errorf("%d attempts in 20 incarnations: the quota is left unused", len(sent))
-	}
+	most := mostInWindow(sent, config.SlowStartWindow)
+	testutil.Require(t, most <= config.SlowStartBudget, "%d attempts in a window", most)
+	testutil.Expect(t, len(sent) >= 3*config.SlowStartBudget,
+		"%d attempts in 20 incarnations: the quota is left unused", len(sent))
 
 	restored := New(config)
 	listMachines(restored, 0, RestoredSnapshot, MachineEntry{Machine: "a"}, MachineEntry{Machine: "b"})
--- a/scheduler/trafficclass_test.go
+++ b/scheduler/trafficclass_test.go
@@ -6,6 +6,8 @@
 	"strconv"
 	"strings"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // A machine may fail one workload class or tenant and serve the rest: only that one avoids it, for a while. Losses that
@@ -43,9 +45,8 @@
 			})
 			s.now, *s.random = 2+tc.after, pcg{1}
 			for class, want := range []string{tc.want, "abcd"} {
-				if names := machinesDrawn(s, class); names != want {
-					t.Errorf("workload class %d goes to %s, want %s", class, names, want)
-				}
+				names := machinesDrawn(s, class)
+				testutil.Expect(t, names == want, "workload class %d goes to %s, want %s", class, names, want)
 			}
 		})
 	}
@@ -99,9 +100,8 @@
 	last := suspicionThreshold(0, 1)
 	for _, excess := range []float64{0, 0.1, 0.3, 0.5, 0.8} {
 		threshold := suspicionThreshold(excess, 2)
-		if threshold >= last {
-			t.Errorf("threshold %.2f at an excess loss of %.1f, %.2f before", threshold, excess, last)
-		}
+		testutil.Expect(t, threshold < last,
+			"threshold %.2f at an excess loss of %.1f, %.2f before", threshold, excess, last)
 		last = threshold
 	}
 }
