--- a/internal/eventloop/connstate.go
+++ b/internal/eventloop/connstate.go
@@ -1,9 +1,6 @@
 package eventloop
 
-import (
-	"fmt"
-	"slices"
-)
+import "glenport/internal/statemachine"
 
 // connState is how far a connection has got.
 type connState uint8
@@ -22,7 +19,7 @@
 }
 
 // connSuccessors are the states that may follow each state.
-var connSuccessors = [...][]connState{
+var connSuccessors = statemachine.Successors[connState]{
 	connDialing:    {connOpen, connClosed},
 	connOpen:       {connEnding, connClosing, connClosed},
 	connEnding:     {connHalfClosed, connClosed},
@@ -31,22 +28,12 @@
 	connClosed:     nil,
 }
 
-// TransitionError is the reason of a connection's end where its state machine was to make a transition that it does not
-// have. That is a fault of this package.
-type TransitionError struct{ from, to connState }
-
-func (e *TransitionError) Error() string {
-	return fmt.Sprintf("connection: no transition from %s to %s", e.from, e.to)
-}
-
-// transition takes the connection to another state; only here its state changes. A transition that it does not have
-// ends it, with a *TransitionError as the reason.
+// transition takes the connection to another state; only here its state changes. A transition that it does not have is
+// a fault of this package, and ends the connection with a *statemachine.TransitionError as the reason.
 func (c *Conn) transition(to connState) {
-	if !slices.Contains(connSuccessors[c.state], to) {
-		c.fail(&TransitionError{c.state, to})
-		return
+	if err := connSuccessors.Apply("connection", &c.state, to); err != nil {
+		c.fail(err)
 	}
-	c.state = to
 }
 
 // isEstablished reports whether the handshake has succeeded and the connection has not ended.
--- a/internal/eventloop/connstate_test.go
+++ b/internal/eventloop/connstate_test.go
@@ -2,28 +2,29 @@
 
 import (
 	"errors"
-	"os"
-	"regexp"
 	"slices"
 	"testing"
-)
 
-var tableRow = regexp.MustCompile(`(?m)^//\t(\S+) {2,}(\S.*?) {2,}(\S+)(?: |$)`)
+	"glenport/internal/statemachine"
+	"glenport/internal/statemachine/statemachinetest"
+)
 
 // documentedSuccessors are the states that follow each state by the table in doc.go.
 func documentedSuccessors(t *testing.T) map[string][]string {
 	t.Helper()
-	doc, err := os.ReadFile("doc.go")
-	if err != nil {
-		t.Fatal(err)
-	}
 	successors := map[string][]string{}
-	for _, row := range tableRow.FindAllStringSubmatch(string(doc), -1)[1:] { // without its head
-		successors[row[1]] = append(successors[row[1]], row[3])
+	for _, row := range statemachinetest.CommentTables(t)[0].Rows {
+		successors[row[0]] = append(successors[row[0]], row[2])
 	}
 	return successors
 }
 
+func TestPageShowsEachTransition(t *testing.T) {
+	statemachinetest.CheckPage(t, "Event loop", map[string]statemachinetest.Shown{
+		"Connection": statemachinetest.Begin(connSuccessors, connDialing, connOpen),
+	})
+}
+
 func TestConnTransitionsAreThoseOfTheTable(t *testing.T) {
 	documented := documentedSuccessors(t)
 	for from := connDialing; from <= connClosed; from++ {
@@ -38,27 +39,29 @@
 					}
 					return
 				}
-				checkIllegal(t, c, handler, TransitionError{from, to})
+				checkIllegal(t, c, handler, from, to)
 			})
 		}
 	}
 }
 
 // checkIllegal expects a connection that ended, with the error as the reason unless its handler was notified before.
-func checkIllegal(t *testing.T, c *Conn, handler *probe, want TransitionError) {
+func checkIllegal(t *testing.T, c *Conn, handler *probe, from, to connState) {
 	t.Helper()
 	if c.state != connClosed {
 		t.Fatalf("now %s", c.state)
 	}
-	notifiedBefore := want.from == connEnding || want.from == connHalfClosed || want.from == connClosed
+	notifiedBefore := from == connEnding || from == connHalfClosed || from == connClosed
 	if len(handler.closed) == 0 {
 		if !notifiedBefore {
 			t.Error("the handler is not notified")
 		}
 		return
 	}
-	var illegal *TransitionError
-	if reason := <-handler.closed; notifiedBefore || !errors.As(reason, &illegal) || *illegal != want {
+	want := statemachine.TransitionError{Subject: "connection", From: from.String(), To: to.String()}
+	reason := <-handler.closed
+	illegal, ok := errors.AsType[*statemachine.TransitionError](reason)
+	if notifiedBefore || !ok || *illegal != want {
 		t.Errorf("closed by %v", reason)
 	}
 }
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -30,7 +30,7 @@
 //	closing      output written, a failure    closed       Handler.Closed
 //
 // A connection that was accepted begins as open. The descriptor of a closed one is released by the flush of the same
-// iteration. A transition that is not listed is a *TransitionError, with which the connection ends.
+// iteration. A transition that is not listed is a *statemachine.TransitionError, with which the connection ends.
 //
 // The loop is waiting, skipping the wait, draining or stopping: SkipWait, StopWhenIdle and Stop ask for the later ones,
 // the last of which counts, and each iteration begins as waiting.
