--- a/cmd/glenport/golden_test.go
+++ b/cmd/glenport/golden_test.go
@@ -8,7 +8,6 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"os"
 	"path/filepath"
 	"regexp"
 	"strings"
@@ -16,6 +15,7 @@
 
 	"glenport/internal/golden"
 	"glenport/internal/protocol"
+	"glenport/internal/testutil"
 )
 
 // runCommand runs the program with arguments, and returns what it prints and how it ends.
@@ -32,26 +32,11 @@
 // fakeScheduler answers each client with frames that cover every form of output. Its hello has a role, wrong or right.
 func fakeScheduler(t *testing.T, role protocol.Role) string {
 	t.Helper()
-	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = listener.Close() }) // the test is over
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go serveClient(conn, role)
-		}
-	}()
-	return listener.Addr().String()
+	return testutil.ServeUntilEnd(t, func(conn net.Conn) { serveClient(conn, role) })
 }
 
 // serveClient answers until the client leaves, or asks for a service that has no reply.
 func serveClient(conn net.Conn, role protocol.Role) {
-	defer func() { _ = conn.Close() }() // the client has left
 	for {
 		frame, err := protocol.ReadFrame(conn, protocol.MaxFrame)
 		if err != nil {
@@ -271,9 +256,7 @@
 	t.Setenv(platformFileVariable, "")
 	scheduler, machine := fakeScheduler(t, protocol.RoleScheduler), fakeScheduler(t, protocol.RoleMachine)
 	api, dir := fakeAPI(t), t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "bad.yaml"), []byte("name: x\nnumber: many\n"), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	testutil.WriteFile(t, filepath.Join(dir, "bad.yaml"), []byte("name: x\nnumber: many\n"))
 	actual := strings.NewReplacer("SCHEDULER", scheduler, "API", api, "MACHINE", machine, "DIR", dir,
 		"STATE", "../../internal/schedulerd/testdata/state")
 	recorded := strings.NewReplacer(scheduler, "SCHEDULER", api, "API", machine, "MACHINE", dir, "DIR")
--- a/internal/bgp/announce/route_test.go
+++ b/internal/bgp/announce/route_test.go
@@ -6,6 +6,7 @@
 
 	"glenport/internal/statemachine"
 	"glenport/internal/statemachine/statemachinetest"
+	"glenport/internal/testutil"
 )
 
 func TestRouteStatesFollowAsTheTableSays(t *testing.T) {
@@ -24,9 +25,7 @@
 				Subject: "announced route", From: state.String(), Event: event.String(),
 			}
 			illegal, ok := errors.AsType[*statemachine.TransitionError](err)
-			if !ok || *illegal != want || r.state != state {
-				t.Errorf("%s, %s: %s, %v", state, event, r.state, err)
-			}
+			testutil.Expect(t, ok && *illegal == want && r.state == state, "%s, %s: %s, %v", state, event, r.state, err)
 		}
 	}
 }
@@ -41,9 +40,7 @@
 	a := New()
 	s := a.findOrAdd("web")
 	a.withdraw(s, withdrawalSent)
-	if len(a.actions) != 1 || s.route.state != routeWithdrawn {
-		t.Fatalf("%+v, now %s", a.actions, s.route.state)
-	}
+	testutil.Require(t, len(a.actions) == 1 && s.route.state == routeWithdrawn, "%+v, now %s", a.actions, s.route.state)
 	if log, ok := a.actions[0].(Log); !ok || log.Err == nil {
 		t.Errorf("%+v is no error for the log", a.actions[0])
 	}
--- a/internal/eventloop/connstate_test.go
+++ b/internal/eventloop/connstate_test.go
@@ -7,6 +7,7 @@
 
 	"glenport/internal/statemachine"
 	"glenport/internal/statemachine/statemachinetest"
+	"glenport/internal/testutil"
 )
 
 // documentedSuccessors are the states that follow each state by the table in doc.go.
@@ -34,9 +35,7 @@
 				c := &Conn{loop: &Loop{}, fd: -1, handler: handler, state: from}
 				c.transition(to)
 				if slices.Contains(documented[from.String()], to.String()) {
-					if c.state != to || len(handler.closed) > 0 {
-						t.Errorf("now %s", c.state)
-					}
+					testutil.Expect(t, c.state == to && len(handler.closed) == 0, "now %s", c.state)
 					return
 				}
 				checkIllegal(t, c, handler, from, to)
@@ -48,20 +47,14 @@
 // checkIllegal expects a connection that ended, with the error as the reason unless its handler was notified before.
 func checkIllegal(t *testing.T, c *Conn, handler *probe, from, to connState) {
 	t.Helper()
-	if c.state != connClosed {
-		t.Fatalf("now %s", c.state)
-	}
+	testutil.Require(t, c.state == connClosed, "now %s", c.state)
 	notifiedBefore := from == connEnding || from == connHalfClosed || from == connClosed
 	if len(handler.closed) == 0 {
-		if !notifiedBefore {
-			t.Error("the handler is not notified")
-		}
+		testutil.Expect(t, notifiedBefore, "the handler is not notified")
 		return
 	}
 	want := statemachine.TransitionError{Subject: "connection", From: from.String(), To: to.String()}
 	reason := <-handler.closed
 	illegal, ok := errors.AsType[*statemachine.TransitionError](reason)
-	if notifiedBefore || !ok || *illegal != want {
-		t.Errorf("closed by %v", reason)
-	}
+	testutil.Expect(t, !notifiedBefore && ok && *illegal == want, "closed by %v", reason)
 }
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -5,6 +5,8 @@
 	"net"
 	"syscall"
 	"testing"
+
+	"glenport/internal/testutil"
 )
 
 // fullBacklog is the address of a listener whose accept queue is full, so that the kernel answers no further
@@ -12,12 +14,10 @@
 func fullBacklog(t *testing.T, l *Loop) string {
 	t.Helper()
 	fd := newSocket(t)
-	check(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
-	check(t, syscall.Listen(fd, 0))
+	testutil.ExpectNoError(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
+	testutil.ExpectNoError(t, syscall.Listen(fd, 0))
 	bound, err := syscall.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
+	testutil.NoError(t, err)
 	addr := (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: bound.(*syscall.SockaddrInet4).Port}).String()
 	for range 4 {
 		l.Post(func() { l.Dial(addr, newProbe(), 1, 30*Second) })
@@ -28,11 +28,8 @@
 // unusedAddr is an address at which nothing listens.
 func unusedAddr(t *testing.T) string {
 	t.Helper()
-	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	check(t, ln.Close())
+	ln := testutil.Listen(t)
+	testutil.ExpectNoError(t, ln.Close())
 	return ln.Addr().String()
 }
 
@@ -48,11 +45,9 @@
 				if err := c.Write([]byte("never sent")); err != nil && !errors.Is(err, ErrClosed) {
 					t.Error(err)
 				}
-				if len(handler.closed) > 0 {
-					t.Error("closed is reported before Dial returned")
-				}
+				testutil.Expect(t, len(handler.closed) == 0, "closed is reported before Dial returned")
 			})
-			if reason := wait(t, handler.closed); !errors.Is(reason, ErrConnectFailed) {
+			if reason := testutil.Receive(t, handler.closed); !errors.Is(reason, ErrConnectFailed) {
 				t.Errorf("closed by %v", reason)
 			}
 		})
@@ -65,11 +60,11 @@
 	addr := listen(t, l, newProbe(), 100, func(error) {})
 	restore := exhaustDescriptors(t)
 	do(l, func() { l.Dial(addr, handler, 100, Second) })
-	reason := wait(t, handler.closed)
+	reason := testutil.Receive(t, handler.closed)
 	restore()
 	if !errors.Is(reason, ErrLocalResources) || errors.Is(reason, ErrConnectFailed) {
 		t.Error(reason)
 	}
 	do(l, func() { l.Dial(addr, handler, 100, Second) })
-	wait(t, handler.opened)
+	testutil.Receive(t, handler.opened)
 }
--- a/internal/platform/connmanager/client_test.go
+++ b/internal/platform/connmanager/client_test.go
@@ -6,6 +6,7 @@
 
 	"glenport/internal/statemachine"
 	"glenport/internal/statemachine/statemachinetest"
+	"glenport/internal/testutil"
 )
 
 func TestClientStatesAreDocumented(t *testing.T) {
@@ -27,14 +28,8 @@
 	m.actions = nil
 	m.closeClient(c, CloseNoRequest)
 	report, ok := m.actions[0].(ReportError)
-	if !ok || report.Client != 1 || len(m.actions) > 1 {
-		t.Errorf("actions %+v", m.actions)
-	}
+	testutil.Expect(t, ok && report.Client == 1 && len(m.actions) <= 1, "actions %+v", m.actions)
 	illegal, ok := errors.AsType[*statemachine.TransitionError](report.Err)
-	if !ok || illegal.From != closing.String() {
-		t.Errorf("reported %v", report.Err)
-	}
-	if c.state != closing || m.activeClients != 0 {
-		t.Errorf("client %v, %d active", c.state, m.activeClients)
-	}
+	testutil.Expect(t, ok && illegal.From == closing.String(), "reported %v", report.Err)
+	testutil.Expect(t, c.state == closing && m.activeClients == 0, "client %v, %d active", c.state, m.activeClients)
 }
--- a/internal/schedulerd/clientconn_test.go
+++ b/internal/schedulerd/clientconn_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"glenport/internal/protocol"
+	"glenport/internal/testutil"
 )
 
 // goodbyeTo sends bytes to the server, one by one, and returns the reason of its Goodbye.
@@ -34,7 +35,7 @@
 func encodedHello(t *testing.T, role protocol.Role) []byte {
 	t.Helper()
 	encoded, err := protocol.Append(nil, protocol.NewHello(role, "peer", 1))
-	noError(t, err)
+	testutil.NoError(t, err)
 	return encoded
 }
 
@@ -72,9 +73,7 @@
 	}
 	dialClient(t, h.server.Addr()) // the second
 	third := goodbyeTo(t, h.server.Addr(), encodedHello(t, protocol.RoleClient), 0)
-	if !strings.Contains(third, "2 owners are connected") {
-		t.Errorf("a third client gets %q", third)
-	}
+	testutil.Expect(t, strings.Contains(third, "2 owners are connected"), "a third client gets %q", third)
 	sendFrames(h.client, &protocol.CancelContainer{ContainerID: "x"})
 	if reply := h.client.wantReply(protocol.VerdictFailed); reply.ContainerID != "x" {
 		t.Errorf("cancelled: %+v", reply)
--- a/internal/statemachine/statemachinetest/statemachinetest.go
+++ b/internal/statemachine/statemachinetest/statemachinetest.go
@@ -11,6 +11,7 @@
 	"testing"
 
 	"glenport/internal/statemachine"
+	"glenport/internal/testutil"
 )
 
 // Machines are state machines by how the paragraph above their table in the package comment begins.
@@ -85,11 +86,12 @@
 // readChapter returns the sections below a heading of the second level by their own heading.
 func readChapter(t *testing.T, chapter string) map[string]section {
 	t.Helper()
-	_, rest, found := strings.Cut(read(t, filepath.Join(repositoryRoot(t), page)), "\n## "+chapter+"\n")
+	text := string(testutil.ReadFile(t, filepath.Join(repositoryRoot(t), page)))
+	_, rest, found := strings.Cut(text, "\n## "+chapter+"\n")
 	if !found {
 		t.Fatalf("%s lacks the heading %q", page, chapter)
 	}
-	text, _, _ := strings.Cut(rest, "\n## ")
+	text, _, _ = strings.Cut(rest, "\n## ")
 	sections := map[string]section{}
 	for _, part := range strings.Split(text, "\n### ")[1:] {
 		heading, body, _ := strings.Cut(part, "\n")
@@ -133,12 +135,3 @@
 		}
 	}
 }
-
-func read(t *testing.T, path string) string {
-	t.Helper()
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return string(text)
-}
