--- a/internal/eventloop/connstate_test.go
+++ b/internal/eventloop/connstate_test.go
@@ -2,26 +2,30 @@
 
 import (
 	"errors"
-	"regexp"
 	"slices"
 	"testing"
 
+	"glenport/internal/statemachine"
+	"glenport/internal/statemachine/statemachinetest"
 	"glenport/internal/testutil"
 )
 
-var tableRow = regexp.MustCompile(`(?m)^//\t(\S+) {2,}(\S.*?) {2,}(\S+)(?: |$)`)
-
 // documentedSuccessors are the states that follow each state by the table in doc.go.
 func documentedSuccessors(t *testing.T) map[string][]string {
 	t.Helper()
-	doc := testutil.ReadFile(t, "doc.go")
 	successors := map[string][]string{}
-	for _, row := range tableRow.FindAllStringSubmatch(string(doc), -1)[1:] { // without its head
-		successors[row[1]] = append(successors[row[1]], row[3])
+	for _, row := range statemachinetest.CommentTables(t)[0].Rows {
+		successors[row[0]] = append(successors[row[0]], row[2])
 	}
 	return successors
 }
 
+func TestPageShowsEachTransition(t *testing.T) {
+	statemachinetest.CheckPage(t, "Event loop", map[string]statemachinetest.Shown{
+		"Connection": statemachinetest.Begin(connSuccessors, connDialing, connOpen),
+	})
+}
+
 func TestConnTransitionsAreThoseOfTheTable(t *testing.T) {
 	documented := documentedSuccessors(t)
 	for from := connDialing; from <= connClosed; from++ {
@@ -34,22 +38,23 @@
 					testutil.Expect(t, c.state == to && len(handler.closed) == 0, "now %s", c.state)
 					return
 				}
-				checkIllegal(t, c, handler, TransitionError{from, to})
+				checkIllegal(t, c, handler, from, to)
 			})
 		}
 	}
 }
 
 // checkIllegal expects a connection that ended, with the error as the reason unless its handler was notified before.
-func checkIllegal(t *testing.T, c *Conn, handler *probe, want TransitionError) {
+func checkIllegal(t *testing.T, c *Conn, handler *probe, from, to connState) {
 	t.Helper()
 	testutil.Require(t, c.state == connClosed, "now %s", c.state)
-	notifiedBefore := want.from == connEnding || want.from == connHalfClosed || want.from == connClosed
+	notifiedBefore := from == connEnding || from == connHalfClosed || from == connClosed
 	if len(handler.closed) == 0 {
 		testutil.Expect(t, notifiedBefore, "the handler is not notified")
 		return
 	}
-	var illegal *TransitionError
+	want := statemachine.TransitionError{Subject: "connection", From: from.String(), To: to.String()}
 	reason := <-handler.closed
-	testutil.Expect(t, !notifiedBefore && errors.As(reason, &illegal) && *illegal == want, "closed by %v", reason)
+	illegal, ok := errors.AsType[*statemachine.TransitionError](reason)
+	testutil.Expect(t, !notifiedBefore && ok && *illegal == want, "closed by %v", reason)
 }
--- a/internal/statemachine/statemachinetest/comment.go
+++ b/internal/statemachine/statemachinetest/comment.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"glenport/internal/statemachine"
+	"glenport/internal/testutil"
 )
 
 const (
@@ -32,7 +33,7 @@
 	var paragraph string
 	var block []string
 	paragraphIsOver := true
-	for line := range strings.Lines(read(t, "doc.go")) {
+	for line := range strings.Lines(string(testutil.ReadFile(t, "doc.go"))) {
 		comment := strings.TrimPrefix(strings.TrimRight(line, "\n"), "//")
 		if row, isRow := strings.CutPrefix(comment, "\t"); isRow {
 			block = append(block, row)
