--- a/internal/controller/server/restore.go
+++ b/internal/controller/server/restore.go
@@ -31,17 +31,24 @@
 	return restored, err
 }
 
-func (st *stateStore) restoreJobs(state *wal.State, specs specReader) (jobs []controller.JobSet, err error) {
-	err = state.ForEach(RecordJob, func(id string, value []byte) error {
-		var record JobRecord
+// forEachRecord decodes each record of a kind. An error names the record by what it describes.
+func forEachRecord[T any](state *wal.State, kind, what string, handle func(id string, record *T) error) error {
+	return state.ForEach(kind, func(id string, value []byte) error {
+		var record T
 		if err := cbor.Unmarshal(value, &record); err != nil {
-			return fmt.Errorf("job %s: %w", id, err)
+			return fmt.Errorf("%s %s: %w", what, id, err)
 		}
+		return handle(id, &record)
+	})
+}
+
+func (st *stateStore) restoreJobs(state *wal.State, specs specReader) (jobs []controller.JobSet, err error) {
+	err = forEachRecord(state, RecordJob, "job", func(id string, record *JobRecord) error {
 		spec, err := specs.read(&record.Job)
 		if err != nil {
 			return fmt.Errorf("job %s does not fit the scheduler configuration: %w", id, err)
 		}
-		st.jobs[id] = record
+		st.jobs[id] = *record
 		st.cache.Apply(watchcache.Object{Kind: KindJobs, ID: id, Version: record.Job.Version, Value: record.Job})
 		jobs = append(jobs, controller.JobSet{Job: id, Count: record.Job.Count, Spec: spec})
 		return nil
@@ -52,11 +59,7 @@
 // restoreContainers binds each container to the scheduler with the stored address, by its present number; to none where
 // that scheduler is no longer configured.
 func restoreContainers(state *wal.State, numbers map[string]int) (containers []controller.Container, err error) {
-	err = state.ForEach(RecordContainer, func(id string, value []byte) error {
-		var record ContainerRecord
-		if err := cbor.Unmarshal(value, &record); err != nil {
-			return fmt.Errorf("container %s: %w", id, err)
-		}
+	err = forEachRecord(state, RecordContainer, "container", func(_ string, record *ContainerRecord) error {
 		number, configured := numbers[record.SchedulerAddress]
 		if !configured || record.Container.Scheduler < 0 {
 			number = -1
@@ -70,11 +73,7 @@
 
 // restoreOrphans leaves out those of schedulers that are no longer configured: nobody can be asked to end them.
 func restoreOrphans(state *wal.State, numbers map[string]int) (orphans []controller.Orphan, err error) {
-	err = state.ForEach(RecordOrphan, func(id string, value []byte) error {
-		var record OrphanRecord
-		if err := cbor.Unmarshal(value, &record); err != nil {
-			return fmt.Errorf("orphan %s: %w", id, err)
-		}
+	err = forEachRecord(state, RecordOrphan, "orphan", func(_ string, record *OrphanRecord) error {
 		if number, configured := numbers[record.SchedulerAddress]; configured {
 			orphans = append(orphans, controller.Orphan{Scheduler: number, IdempotencyKey: record.IdempotencyKey})
 		}
