--- a/internal/testbed/audit/checker.go
+++ b/internal/testbed/audit/checker.go
@@ -80,6 +80,8 @@
 		c.submitted(s, e.ConnID, f)
 	case *protocol.CancelContainer:
 		s.cancelled(f)
+	case *protocol.Termination:
+		s.terminated(f)
 	case *protocol.Lookup:
 		s.lookups[f.ContainerID] = true
 	case *protocol.PlacementReply:
--- a/internal/testbed/audit/checker_test.go
+++ b/internal/testbed/audit/checker_test.go
@@ -130,6 +130,17 @@
 	h.frame(at, faultproxy.FromScheduler, clientConn, &protocol.PlacementReply{ContainerID: container, Verdict: v})
 }
 
+// cancelX has the client cancel container x by its ID and a key, none where it is empty.
+func (h *history) cancelX(at int64, key string) {
+	h.frame(at, faultproxy.ToScheduler, clientConn, &protocol.CancelContainer{ContainerID: "x", IdempotencyKey: key})
+}
+
+// answerCancelOfX has the scheduler answer that container x was cancelled.
+func (h *history) answerCancelOfX(at int64) {
+	h.frame(at, faultproxy.FromScheduler, clientConn,
+		&protocol.PlacementReply{ContainerID: "x", Verdict: protocol.VerdictFailed, Message: cancelledMessage})
+}
+
 // place submits a container to workload class 0, has it offered and accepted at a time, and replies.
 func (h *history) place(at int64, container string) {
 	h.submit(at-1, container, 0)
@@ -204,6 +215,48 @@
 		h.reply(2, "x", protocol.VerdictRejected)
 		h.reply(3, "x", protocol.VerdictFailed)
 	}, RuleFinalReply},
+	{"a cancel crosses the rejection, and is answered", func(h *history) {
+		h.submit(1, "x", 0)
+		h.cancelX(2, "k-x")
+		h.reply(3, "x", protocol.VerdictRejected)
+		h.answerCancelOfX(4)
+	}, 0},
+	{"a cancel crosses the rejection, and is answered twice", func(h *history) {
+		h.submit(1, "x", 0)
+		h.cancelX(2, "k-x")
+		h.reply(3, "x", protocol.VerdictRejected)
+		h.answerCancelOfX(4)
+		h.answerCancelOfX(5)
+	}, RuleFinalReply},
+	{"a cancel ends the request, which is answered twice", func(h *history) {
+		h.submit(1, "x", 0)
+		h.cancelX(2, "k-x")
+		h.answerCancelOfX(3)
+		h.answerCancelOfX(4)
+	}, RuleFinalReply},
+	{"a cancel without a key is not answered", func(h *history) {
+		h.submit(1, "x", 0)
+		h.cancelX(2, "")
+		h.reply(3, "x", protocol.VerdictRejected)
+		h.answerCancelOfX(4)
+	}, RuleFinalReply},
+	{"a cancel crosses the end, and is answered", func(h *history) {
+		h.place(5, "x")
+		h.frame(7, faultproxy.FromScheduler, clientConn, &protocol.Termination{ContainerID: "x"})
+		h.cancelX(8, "k-x")
+		h.answerCancelOfX(9)
+	}, 0},
+	{"a cancel is answered while the container runs", func(h *history) {
+		h.place(5, "x")
+		h.cancelX(8, "k-x")
+		h.answerCancelOfX(9)
+	}, RuleFinalReply},
+	{"a request fails again in place of the answer to a cancel", func(h *history) {
+		h.submit(1, "x", 0)
+		h.cancelX(2, "k-x")
+		h.reply(3, "x", protocol.VerdictRejected)
+		h.reply(4, "x", protocol.VerdictFailed)
+	}, RuleFinalReply},
 	{"late reply", func(h *history) {
 		h.submit(1, "x", 0)
 		h.reply(2100, "x", protocol.VerdictRejected)
--- a/internal/testbed/audit/state.go
+++ b/internal/testbed/audit/state.go
@@ -29,6 +29,9 @@
 	verdict   protocol.Verdict
 	repliedAt scheduler.Time
 	abandoned bool // its connection or scheduler ended: no reply is owed
+
+	terminated   bool // the client was notified that the container ended
+	keyedCancels int  // cancels by key that no reply was attributed to
 }
 
 // attempt is one offer of a container to a machine, or a container that a machine's inventory names.
