--- a/internal/platform/peers_test.go
+++ b/internal/platform/peers_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -32,6 +33,15 @@
 	return &peer{t, c, bufio.NewReader(c)}
 }
 
+// newServedPeer is newPeer for a connection that was accepted: the end of the test may have closed it already, in which
+// case each read fails.
+func newServedPeer(t *testing.T, c net.Conn) *peer {
+	t.Helper()
+	err := c.SetDeadline(time.Now().Add(testTimeout))
+	testutil.Expect(t, err == nil || errors.Is(err, net.ErrClosed), "set the deadline of an accepted connection: %v", err)
+	return &peer{t, c, bufio.NewReader(c)}
+}
+
 func (p *peer) send(lines ...string) {
 	for _, line := range lines {
 		p.write(line + "\n")
@@ -113,13 +123,13 @@
 // serveTCP calls serve for each connection, in a goroutine of its own, until the test ends.
 func serveTCP(t *testing.T, serve func(*peer)) string {
 	t.Helper()
-	return testutil.ServeUntilEnd(t, func(c net.Conn) { serve(newPeer(t, c)) })
+	return testutil.ServeUntilEnd(t, func(c net.Conn) { serve(newServedPeer(t, c)) })
 }
 
 // serveListener calls serve for each connection of a listener until what it returns is called.
 func serveListener(t *testing.T, l net.Listener, serve func(*peer)) (stop func()) {
 	t.Helper()
-	return testutil.Serve(l, func(c net.Conn) { serve(newPeer(t, c)) })
+	return testutil.Serve(l, func(c net.Conn) { serve(newServedPeer(t, c)) })
 }
 
 // serveMessages calls handle for each message on each connection.
--- a/internal/testutil/net.go
+++ b/internal/testutil/net.go
@@ -46,6 +46,7 @@
 	listener net.Listener
 	serving  sync.WaitGroup
 	mu       sync.Mutex
+	stopped  bool
 	open     []net.Conn
 }
 
@@ -55,9 +56,9 @@
 		if err != nil {
 			return
 		}
-		s.mu.Lock()
-		s.open = append(s.open, conn)
-		s.mu.Unlock()
+		if !s.add(conn) {
+			return
+		}
 		s.serving.Go(func() {
 			defer closeAgain(conn)
 			serve(conn)
@@ -65,14 +66,31 @@
 	}
 }
 
+// add registers a connection to be closed by stop; it closes one that is accepted after that, and returns false.
+func (s *server) add(conn net.Conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.stopped {
+		closeAgain(conn)
+		return false
+	}
+	s.open = append(s.open, conn)
+	return true
+}
+
 func (s *server) stop() {
 	closeAgain(s.listener)
+	s.closeAll()
+	s.serving.Wait()
+}
+
+func (s *server) closeAll() {
 	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.stopped = true
 	for _, conn := range s.open {
 		closeAgain(conn)
 	}
-	s.mu.Unlock()
-	s.serving.Wait()
 }
 
 // closeAgain closes what may be closed already, and ignores the error of that.
--- /dev/null
+++ b/internal/testutil/net_test.go
@@ -0,0 +1,22 @@
+package testutil
+
+import (
+	"errors"
+	"net"
+	"testing"
+)
+
+// A connection that is accepted as the server stops is closed as well: serve would wait for its peer otherwise, and stop
+// for serve.
+func TestConnectionAcceptedAtTheEndIsClosed(t *testing.T) {
+	listener := Listen(t)
+	s := &server{listener: listener}
+	peer := Dial(t, listener.Addr().String())
+	conn, err := listener.Accept()
+	NoError(t, err)
+	s.stop()
+	Equal(t, s.add(conn), false, "the connection is served")
+	Expect(t, errors.Is(conn.Close(), net.ErrClosed), "the accepted connection is open")
+	_, err = peer.Read(make([]byte, 1))
+	Expect(t, err != nil, "the peer's connection is open")
+}
