--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -9,7 +9,7 @@
 // Explain counts the machines by the first obstacle that keeps a request from them, as of the last batch. The
 // room by the machine list is one of them. It changes no decision.
 func (s *Scheduler) Explain(r PlacementRequest) Explanation {
-	explanation := Explanation{SheddingLoad: s.shedder.isShedding(), FullRatio: s.shedder.fullShare()}
+	explanation := Explanation{SheddingLoad: s.shedder.isShedding(s.now), FullRatio: s.shedder.fullShare(s.now)}
 	c := s.containers.hypothetical(r)
 	if c == nil {
 		return explanation
--- a/scheduler/outcomes.go
+++ b/scheduler/outcomes.go
@@ -15,7 +15,7 @@
 func (r *outcomeRecorder) recordAccepted(c *container, now Time) {
 	c.machine.contact.heard(now)
 	r.attributeFailures(c, now)
-	r.shedder.recordRoom()
+	r.shedder.recordRoom(now)
 	r.outliers.recordSuccess(c.machine)
 	r.classes.record(c, c.machine, attemptAnswered, now)
 }
@@ -54,7 +54,7 @@
 func (r *outcomeRecorder) recordFull(a endedAttempt, reason Reason, now Time) {
 	a.machine.contact.heard(now)
 	if reason == ReasonNoCores || reason == ReasonNoMemory {
-		r.shedder.recordNoRoom(a.container)
+		r.shedder.recordNoRoom(a.container, now)
 	}
 	r.outliers.recordSuccess(a.machine)
 	if reason == ReasonNone && r.eligibility.listHasRoom(a.container, a.machine) {
--- a/scheduler/shedding.go
+++ b/scheduler/shedding.go
@@ -4,6 +4,10 @@
 	sheddingThreshold = 0.3 // share of attempts without room from which low priority is shed
 	sheddingGain      = 4   // at a share of a quarter, half the weight is shed every second time
 	clientRetryWeight = 0.5 // left to a request that the client retried: it cannot start in time
+
+	// roomMemory is the time after the last attempt for which its result is taken as true. A request that is shed makes
+	// no attempt, so that without a limit a scheduler with few requests would shed them for good.
+	roomMemory = Second
 )
 
 // loadShedder rejects requests of low priority while attempts find no room.
@@ -13,15 +17,16 @@
 	random          *pcg
 	fullRatio       float64 // moving share of attempts that found no room
 	rejectedWeight  float64 // the same, of attempts by priority weight
+	recordedAt      Time    // the last attempt that these count
 }
 
 // isShedding reports whether attempts find so little room that requests may be shed.
-func (s *loadShedder) isShedding() bool { return s.fullRatio > sheddingThreshold }
+func (s *loadShedder) isShedding(now Time) bool { return s.fullShare(now) > sheddingThreshold }
 
 // shed decides at random whether a container makes way for others. The odds grow with the share of attempts without
 // room and with what its priority lacks to the mean of those that found none.
-func (s *loadShedder) shed(c *container) bool {
-	if !s.isShedding() {
+func (s *loadShedder) shed(c *container, now Time) bool {
+	if !s.isShedding(now) {
 		return false
 	}
 	chance := s.random.uniform()
@@ -41,26 +46,46 @@
 }
 
 // recordRoom counts an attempt that was accepted.
-func (s *loadShedder) recordRoom() {
+func (s *loadShedder) recordRoom(now Time) {
+	s.forgetOutdated(now)
 	s.fullRatio -= s.fullRatio / averagingSpan
 	s.rejectedWeight -= s.rejectedWeight / averagingSpan
 }
 
 // recordNoRoom counts an attempt that found its machine full.
-func (s *loadShedder) recordNoRoom(c *container) {
+func (s *loadShedder) recordNoRoom(c *container, now Time) {
+	s.forgetOutdated(now)
 	s.fullRatio += (1 - s.fullRatio) / averagingSpan
 	s.rejectedWeight += (s.priorityWeight(c) - s.rejectedWeight) / averagingSpan
 }
 
-// fullShare is the moving share of attempts that found no room.
-func (s *loadShedder) fullShare() float64 { return s.fullRatio }
+// forgetOutdated begins anew where the last attempt is too long ago, and notes that another is counted.
+func (s *loadShedder) forgetOutdated(now Time) {
+	if s.isOutdated(now) {
+		s.fullRatio = 0
+		s.rejectedWeight = 0
+	}
+	s.recordedAt = now
+}
+
+func (s *loadShedder) isOutdated(now Time) bool { return now-s.recordedAt > roomMemory }
+
+// fullShare is the moving share of attempts that found no room; 0 where none was made for roomMemory.
+func (s *loadShedder) fullShare(now Time) float64 {
+	if s.isOutdated(now) {
+		return 0
+	}
+	return s.fullRatio
+}
 
 func (s *loadShedder) saveTo(snapshot *Snapshot) {
 	snapshot.FullRatio = s.fullRatio
 	snapshot.RejectedWeight = s.rejectedWeight
 }
 
-func (s *loadShedder) restore(snapshot Snapshot) {
+// restore takes what an earlier incarnation knew as true at this time.
+func (s *loadShedder) restore(snapshot Snapshot, now Time) {
 	s.fullRatio = snapshot.FullRatio
 	s.rejectedWeight = snapshot.RejectedWeight
+	s.recordedAt = now
 }
--- a/scheduler/shedding_test.go
+++ b/scheduler/shedding_test.go
@@ -46,6 +46,36 @@
 	}
 }
 
+// A request that is shed makes no attempt, so the share of attempts without room is forgotten without one. Otherwise a
+// scheduler would shed the only client's requests for good, however much room there is by then.
+func TestRequestsAreShedOnlyOnRecentAttempts(t *testing.T) {
+	for _, tc := range []struct {
+		name     string
+		since    Time // the last attempt
+		shedding bool
+	}{
+		{"just now", 0, true},
+		{"at the end of the memory", roomMemory, true},
+		{"later", roomMemory + 1, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			s := testScheduler(testConfig(Idempotent))
+			filler := &container{class: &s.config.WorkloadClasses[0]}
+			for range averagingSpan {
+				s.shedder.recordNoRoom(filler, 10*Second)
+			}
+			now := 10*Second + tc.since
+			testutil.Equal(t, s.shedder.isShedding(now), tc.shedding, "load is shed")
+			s.shedder.rejectedWeight = 1e6 // of attempts that mattered far more: this one is shed for certain
+			request := smallRequest("x", "s", now+5*Second)
+			_, rejected := lastAction(s.Handle(now, []Event{RequestReceived{request}})).(Reject)
+			testutil.Equal(t, rejected, tc.shedding, "the request is rejected")
+			s.shedder.recordNoRoom(filler, now)
+			testutil.Equal(t, s.shedder.isShedding(now), tc.shedding, "load is shed after one more")
+		})
+	}
+}
+
 func TestQuotaShareComparesUseWithQuota(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -31,7 +31,7 @@
 func (s *Scheduler) Restore(snapshot Snapshot) {
 	if s.classes.fits(snapshot.TrafficClasses) {
 		s.classes.restore(snapshot.TrafficClasses)
-		s.shedder.restore(snapshot)
+		s.shedder.restore(snapshot, s.now)
 	}
 	s.slowStart.start(snapshot.SendsKnownSince)
 	for _, learned := range snapshot.Machines {
