--- a/cmd/glenport/schedulerclient.go
+++ b/cmd/glenport/schedulerclient.go
@@ -42,7 +42,7 @@
 	if hello, ok := e.frame.(*protocol.Hello); ok {
 		return fmt.Sprintf("%s is not a scheduler, its role is %q", e.address, hello.Role)
 	}
-	return fmt.Sprintf("%s is not a scheduler, it answered with %T", e.address, e.frame)
+	return fmt.Sprintf("%s is not a scheduler, it answered with frame %s", e.address, protocol.Name(e.frame))
 }
 
 // Unwrap returns the error of the connection.
@@ -111,7 +111,7 @@
 	}
 	reply, ok := frame.(R)
 	if !ok {
-		return none, fmt.Errorf("scheduler %s answered with an unexpected %T", c.name, frame)
+		return none, fmt.Errorf("scheduler %s answered with an unexpected frame: %s", c.name, protocol.Name(frame))
 	}
 	return reply, nil
 }
--- a/internal/controller/server/schedulerconn.go
+++ b/internal/controller/server/schedulerconn.go
@@ -110,7 +110,7 @@
 	case *protocol.Goodbye:
 		return fmt.Errorf("peer said goodbye: %s", f.Message)
 	default:
-		return fmt.Errorf("unexpected frame: %T", f)
+		return fmt.Errorf("unexpected frame: %s", protocol.Name(f))
 	}
 	return nil
 }
--- a/internal/platform/peers_test.go
+++ b/internal/platform/peers_test.go
@@ -38,7 +38,7 @@
 func newServedPeer(t *testing.T, c net.Conn) *peer {
 	t.Helper()
 	err := c.SetDeadline(time.Now().Add(testTimeout))
-	testutil.Expect(t, err == nil || errors.Is(err, net.ErrClosed), "set the deadline of an accepted connection: %v", err)
+	testutil.Expect(t, err == nil || errors.Is(err, net.ErrClosed), "deadline of an accepted connection: %v", err)
 	return &peer{t, c, bufio.NewReader(c)}
 }
 
--- a/internal/schedulerd/journal.go
+++ b/internal/schedulerd/journal.go
@@ -37,7 +37,10 @@
 // openLog opens the log of a folder.
 func (j *journal) openLog(dir vfs.FS) (found wal.Stats, err error) {
 	j.wal, found, err = wal.Open(dir, wal.Options{OnModeChange: j.logModeChange})
-	return found, err
+	if err != nil {
+		return found, fmt.Errorf("open the log of attempts: %w", err)
+	}
+	return found, nil
 }
 
 // logModeChange is called by the goroutine of the log.
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -67,14 +67,14 @@
 // FreezeAll stops all machines from answering.
 func (c *Cluster) FreezeAll() {
 	for _, m := range c.Machines {
-		m.SetFrozen(true)
+		m.Freeze()
 	}
 }
 
 // UnfreezeAll lets all machines answer again.
 func (c *Cluster) UnfreezeAll() {
 	for _, m := range c.Machines {
-		m.SetFrozen(false)
+		m.Thaw()
 	}
 }
 
--- a/internal/testbed/emulator/list.go
+++ b/internal/testbed/emulator/list.go
@@ -57,7 +57,7 @@
 func (l *MachineList) Close() {
 	close(l.stop)
 	loopback.CloseQuietly(l.listener)
-	l.SetUnreachable(true)
+	l.BecomeUnreachable()
 	l.background.Wait()
 }
 
@@ -68,24 +68,23 @@
 	l.operatorState[m.Name] = state
 }
 
-// SetUnreachable ends all connections and refuses new ones, or takes them again.
-func (l *MachineList) SetUnreachable(unreachable bool) {
+// BecomeUnreachable ends all connections and refuses new ones, until BecomeReachable.
+func (l *MachineList) BecomeUnreachable() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.unreachable = unreachable
-	l.closeUnreachable()
-}
-
-// closeUnreachable ends all connections while the list is unreachable.
-func (l *MachineList) closeUnreachable() {
-	if !l.unreachable {
-		return
-	}
+	l.unreachable = true
 	for conn := range l.conns {
 		loopback.CloseQuietly(conn)
 	}
 }
 
+// BecomeReachable ends BecomeUnreachable.
+func (l *MachineList) BecomeReachable() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.unreachable = false
+}
+
 // SetStaleness makes the list lag so much further behind.
 func (l *MachineList) SetStaleness(staleness time.Duration) {
 	l.mu.Lock()
--- a/internal/testbed/emulator/machine.go
+++ b/internal/testbed/emulator/machine.go
@@ -124,16 +124,16 @@
 	m.background.Wait()
 }
 
-// SetDraining has the machine refuse offers or take them again; with evacuate set it also ends its containers one by
-// one.
-func (m *Machine) SetDraining(draining, evacuate bool) {
-	event := drainRevoked
-	switch {
-	case draining && evacuate:
-		event = evacuationRequested
-	case draining:
-		event = drainRequested
-	}
+// Drain has the machine refuse offers, until EndDrain. It keeps what runs.
+func (m *Machine) Drain() { m.changeDrain(drainRequested) }
+
+// Evacuate has the machine refuse offers and end its containers one by one, until EndDrain.
+func (m *Machine) Evacuate() { m.changeDrain(evacuationRequested) }
+
+// EndDrain has the machine take offers again.
+func (m *Machine) EndDrain() { m.changeDrain(drainRevoked) }
+
+func (m *Machine) changeDrain(event machineEvent) {
 	m.do(func() {
 		m.life.applyOrLog(event)
 		m.evacuateLater()
--- a/internal/testbed/emulator/task_loop.go
+++ b/internal/testbed/emulator/task_loop.go
@@ -39,9 +39,6 @@
 	},
 }
 
-// freezeEvents has the event by whether a loop is to be frozen.
-var freezeEvents = map[bool]loopEvent{true: loopWasFrozen, false: loopWasThawed}
-
 // taskLoop runs posted tasks one after another on one goroutine. A frozen loop runs none, as a stopped process would.
 type taskLoop struct {
 	ended chan struct{} // closed once no task runs any more
--- a/internal/testbed/emulator/transitions_test.go
+++ b/internal/testbed/emulator/transitions_test.go
@@ -83,12 +83,12 @@
 			t.Fatal(err)
 		}
 	}
-	m.SetDraining(true, true)
+	m.Evacuate()
 	addr := m.Addr()
 	if s, ok := m.Status(); !ok || !s.Up || !s.Draining || s.Incarnation != 1 {
 		t.Errorf("status %+v after start and drain, %v", s, ok)
 	}
-	m.SetFrozen(true)
+	m.Freeze()
 	if s, ok := m.Status(); ok {
 		t.Errorf("a frozen machine answers %+v", s)
 	}
--- a/internal/testbed/faults/machinefaults.go
+++ b/internal/testbed/faults/machinefaults.go
@@ -24,21 +24,21 @@
 	}
 }
 
-func freeze(m *emulator.Machine, _ Fault) { m.SetFrozen(true) }
+func freeze(m *emulator.Machine, _ Fault) { m.Freeze() }
 
-func unfreeze(m *emulator.Machine, _ Fault) { m.SetFrozen(false) }
+func unfreeze(m *emulator.Machine, _ Fault) { m.Thaw() }
 
 func slowDown(m *emulator.Machine, f Fault) { m.SetSlowdown(f.Size) }
 
 func resumeSpeed(m *emulator.Machine, _ Fault) { m.SetSlowdown(1) }
 
-func ignoreWorkload(m *emulator.Machine, f Fault) { m.SetIgnoredWorkload(int(f.Size), true) }
+func ignoreWorkload(m *emulator.Machine, f Fault) { m.IgnoreWorkload(int(f.Size)) }
 
-func heedWorkload(m *emulator.Machine, f Fault) { m.SetIgnoredWorkload(int(f.Size), false) }
+func heedWorkload(m *emulator.Machine, f Fault) { m.AnswerWorkload(int(f.Size)) }
 
-func throttleTenant(m *emulator.Machine, f Fault) { m.SetThrottledTenant(int(f.Size), true) }
+func throttleTenant(m *emulator.Machine, f Fault) { m.ThrottleTenant(int(f.Size)) }
 
-func admitTenant(m *emulator.Machine, f Fault) { m.SetThrottledTenant(int(f.Size), false) }
+func admitTenant(m *emulator.Machine, f Fault) { m.AdmitTenant(int(f.Size)) }
 
 func growMemory(m *emulator.Machine, f Fault) { m.SetMemoryFactor(f.Size) }
 
@@ -64,7 +64,7 @@
 func (freezeThenRestart) inject(i *Injector, f Fault) {
 	machines := i.pickMachines(f.Fraction)
 	for _, m := range machines {
-		m.SetFrozen(true)
+		m.Freeze()
 	}
 	i.wait(f.Duration)
 	i.restartMachines(machines, 0)
@@ -77,12 +77,16 @@
 	machines := i.pickMachines(f.Fraction)
 	for _, m := range machines {
 		i.List.SetState(m, protocol.MachineDraining)
-		m.SetDraining(true, f.Size > 0)
+		if f.Size > 0 {
+			m.Evacuate()
+		} else {
+			m.Drain()
+		}
 	}
 	i.wait(f.Duration)
 	for _, m := range machines {
 		i.List.SetState(m, protocol.MachineServing)
-		m.SetDraining(false, false)
+		m.EndDrain()
 	}
 }
 
@@ -97,7 +101,7 @@
 	for batch := range slices.Chunk(machines, batchSize) {
 		for _, m := range batch {
 			i.List.SetState(m, protocol.MachineDraining)
-			m.SetDraining(true, true)
+			m.Evacuate()
 		}
 		i.wait(half)
 		for _, m := range batch {
--- a/internal/testbed/faults/otherfaults.go
+++ b/internal/testbed/faults/otherfaults.go
@@ -6,9 +6,9 @@
 type listUnavailable struct{}
 
 func (listUnavailable) inject(i *Injector, f Fault) {
-	i.List.SetUnreachable(true)
+	i.List.BecomeUnreachable()
 	i.wait(f.Duration)
-	i.List.SetUnreachable(false)
+	i.List.BecomeReachable()
 }
 
 // listStale lets the machine list lag by as many seconds as its size says.
--- a/internal/testbed/trials/restart/lost.go
+++ b/internal/testbed/trials/restart/lost.go
@@ -79,7 +79,7 @@
 				return err
 			}
 		case i%hangsEach == 0:
-			m.SetFrozen(true)
+			m.Freeze()
 		}
 	}
 	return nil
--- a/internal/testbed/trials/why/combined.go
+++ b/internal/testbed/trials/why/combined.go
@@ -19,13 +19,13 @@
 		return err
 	}
 	since = time.Now()
-	t.cluster.List.SetUnreachable(true)
+	t.cluster.List.BecomeUnreachable()
 	want := codes{reasonZoneDrains, reasonNoRoom, reasonBackingOff, reasonListAway}
 	if err := t.expect("and the machine list is unavailable", pendingOne, since.Add(listSilenceLimit),
 		want, codes{reasonNoMachine}); err != nil {
 		return err
 	}
-	t.cluster.List.SetUnreachable(false)
+	t.cluster.List.BecomeReachable()
 	t.endDrain(inFirstZone)
 	if err := t.DeleteJob(pendingJob); err != nil {
 		return err
--- a/internal/testbed/trials/why/drains.go
+++ b/internal/testbed/trials/why/drains.go
@@ -27,7 +27,7 @@
 	for _, m := range t.cluster.Machines {
 		if which(m) {
 			t.cluster.List.SetState(m, protocol.MachineDraining)
-			m.SetDraining(true, false)
+			m.Drain()
 		}
 	}
 }
@@ -37,7 +37,7 @@
 	for _, m := range t.cluster.Machines {
 		if which(m) {
 			t.cluster.List.SetState(m, protocol.MachineServing)
-			m.SetDraining(false, false)
+			m.EndDrain()
 		}
 	}
 }
--- a/internal/testbed/trials/why/outages.go
+++ b/internal/testbed/trials/why/outages.go
@@ -19,12 +19,12 @@
 		return err
 	}
 	since = time.Now()
-	t.cluster.List.SetUnreachable(true)
+	t.cluster.List.BecomeUnreachable()
 	if err := t.expect("the machine list is unavailable", unplaceableOne, since.Add(listSilenceLimit),
 		codes{reasonListAway, reasonNoMachine}, nil); err != nil {
 		return err
 	}
-	t.cluster.List.SetUnreachable(false)
+	t.cluster.List.BecomeReachable()
 	// The schedulers connect again after a backoff of their own; the reason must go within a second after that.
 	return process.WaitUntil("the machine list is available again", 10*time.Second, func() bool {
 		codes, _, err := t.readCodes(unplaceableOne)
