--- a/cmd/glenport-testbed/scenario.go
+++ b/cmd/glenport-testbed/scenario.go
@@ -49,6 +49,7 @@
 				return err
 			}
 			fmt.Printf("%d frames, %d submissions, %d offers\n", findings.Frames, findings.Submitted, findings.Offers)
+			report.RecordingLag(os.Stdout, findings)
 			report.Violations(os.Stdout, findings)
 			if !findings.Passed() {
 				return errFailed
--- a/internal/testbed/audit/checker.go
+++ b/internal/testbed/audit/checker.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"maps"
-	"math"
 	"slices"
 
 	"glenport/internal/protocol"
@@ -16,7 +15,7 @@
 type checker struct {
 	report *reporter
 	header faultproxy.Header
-	now    scheduler.Time
+	now    moment
 
 	schedulers  map[string]*schedulerState // by name, the incarnation that is up
 	locations   machineLocations
@@ -28,7 +27,7 @@
 
 func newChecker() *checker {
 	c := &checker{
-		report:      &reporter{violations: map[Rule]int{}},
+		report:      &reporter{violations: map[Rule]int{}, widened: map[int]bool{}},
 		schedulers:  map[string]*schedulerState{},
 		locations:   machineLocations{},
 		connections: map[uint32]*connection{},
@@ -48,8 +47,8 @@
 
 // process takes the next entry of the recording.
 func (c *checker) process(e *faultproxy.Entry) error {
-	c.now = scheduler.Time(e.At)
-	c.duplicateRun.checkOverlaps(c.now)
+	c.now = newMoment(c.now.entry+1, e)
+	c.report.LargestLag = max(c.report.LargestLag, milliseconds(c.now.lag))
 	switch e.Kind {
 	case faultproxy.Opened:
 		c.connections[e.ConnID] = &connection{peer: e.Peer, name: e.PeerName, attempts: map[uint64]*attempt{}}
@@ -89,7 +88,7 @@
 	case *protocol.Offer:
 		c.offered(s, conn, f)
 	case *protocol.Probe:
-		c.slowStart.checkSend(s, conn.name, c.now)
+		c.slowStart.checkSend(s, conn.name, c.now.at)
 	case *protocol.Accept:
 		c.accepted(s, conn, f)
 	case *protocol.Result:
@@ -112,7 +111,7 @@
 	delete(c.connections, e.ConnID)
 	s := c.scheduler(e.Scheduler)
 	for _, a := range conn.attempts {
-		a.ended = true
+		a.end(c.now)
 		delete(s.inFlight, a)
 	}
 	if conn.peer == protocol.RoleClient {
@@ -129,7 +128,8 @@
 
 // finish checks what was owed at the end of the recording.
 func (c *checker) finish() {
-	c.duplicateRun.checkOverlaps(math.MaxInt64)
+	c.duplicateRun.checkOverlaps()
+	c.now = moment{at: c.now.at} // the last entry's lag is not that of what is owed still
 	for _, name := range slices.Sorted(maps.Keys(c.schedulers)) {
 		c.abandon(c.schedulers[name], func(*request) bool { return true })
 	}
--- a/internal/testbed/audit/checker_test.go
+++ b/internal/testbed/audit/checker_test.go
@@ -28,6 +28,8 @@
 	*testing.T
 	checker  *checker
 	attempts uint64
+	lag      int64 // of what is put next, in milliseconds
+	lateLag  int64 // of what is put by late
 }
 
 func begin(t *testing.T) *history {
@@ -54,7 +56,7 @@
 }
 
 func (h *history) put(at int64, e faultproxy.Entry) {
-	e.At, e.Scheduler = at*ms, "p"
+	e.At, e.Scheduler, e.Lag = at*ms, "p", h.lag*ms
 	testutil.NoError(h, h.checker.process(&e))
 }
 
--- a/internal/testbed/audit/machinelist.go
+++ b/internal/testbed/audit/machinelist.go
@@ -41,8 +41,8 @@
 			m = &listedMachine{}
 			s.machines[entry.Machine] = m
 		}
-		m.update(entry, c.now)
-		c.slowStart.machineListed(s, m, c.now)
+		m.update(entry, c.now.at)
+		c.slowStart.machineListed(s, m, c.now.at)
 	}
 }
 
@@ -56,7 +56,7 @@
 		if !listed[name] {
 			gone := m.MachineEntry
 			gone.State = protocol.MachineGone
-			m.update(gone, c.now)
+			m.update(gone, c.now.at)
 		}
 	}
 }
--- a/internal/testbed/audit/print.go
+++ b/internal/testbed/audit/print.go
@@ -87,6 +87,9 @@
 }
 
 func (p *containerPrinter) printEntry(e *faultproxy.Entry, text string) error {
+	if e.Lag > 0 {
+		text += fmt.Sprintf(" (recorded late by %.1f ms at most)", milliseconds(scheduler.Time(e.Lag)))
+	}
 	_, err := fmt.Fprintf(p.out, "%9.1f ms  connection %d, %s and %s %s: %s\n",
 		milliseconds(scheduler.Time(e.At)), e.ConnID, e.Scheduler, e.Peer, e.PeerName, text)
 	return err
--- a/internal/testbed/audit/print_test.go
+++ b/internal/testbed/audit/print_test.go
@@ -20,7 +20,7 @@
 	file, err := os.Create(path)
 	testutil.NoError(t, err)
 	encoder := cbor.NewEncoder(file)
-	testutil.NoError(t, encoder.Encode(faultproxy.Header{Format: "glenport record 1"}))
+	testutil.NoError(t, encoder.Encode(faultproxy.Header{Format: "glenport record 2"}))
 	spec := protocol.ContainerSpec{ContainerID: "c", IdempotencyKey: "k", Service: "s"}
 	otherSpec := spec
 	otherSpec.ContainerID = "other"
--- a/internal/testbed/audit/report.go
+++ b/internal/testbed/audit/report.go
@@ -54,6 +54,10 @@
 	SlowStartPeak   int     // offers in a window that came nearest to a machine's slow-start budget
 	SlowStartBudget int     // which is this
 	DrainLatency    float64 // milliseconds from the notice of a drain to the last offer to its machine
+
+	LargestLag     float64 // milliseconds, of all entries
+	WidenedEntries int     // entries that were judged with a slack widened by their own lag
+	WidenedLag     float64 // milliseconds, the largest of these
 }
 
 // Passed reports whether no rule was broken.
--- a/internal/testbed/audit/rule_draining.go
+++ b/internal/testbed/audit/rule_draining.go
@@ -7,9 +7,9 @@
 	if m == nil || !m.unavailable {
 		return
 	}
-	c.report.DrainLatency = max(c.report.DrainLatency, milliseconds(c.now-m.unavailableSince))
-	if c.now > m.unavailableSince+c.header.DrainGrace+c.header.Slack {
-		c.report.violate(RuleDraining, c.now, []string{a.text}, "%s knows since %.1f ms that %s is %s",
+	c.report.DrainLatency = max(c.report.DrainLatency, milliseconds(c.now.at-m.unavailableSince))
+	if !c.report.inTime(a.sent, m.unavailableSince+c.header.DrainGrace+c.header.Slack) {
+		c.report.violate(RuleDraining, c.now.at, []string{a.text}, "%s knows since %.1f ms that %s is %s",
 			s.name, milliseconds(m.unavailableSince), a.machine, m.State)
 	}
 }
--- a/internal/testbed/audit/rule_duplicate_run.go
+++ b/internal/testbed/audit/rule_duplicate_run.go
@@ -16,8 +16,8 @@
 
 // overlap is an attempt that was sent while the one before it seems to be in flight. A scheduler that resets a
 // connection sends the next attempt in the same moment, over another connection; which of the two the recording shows
-// first is chance. So an overlap is checked only once the slack is over, and of two attempts sent that close to each
-// other the one of the lower id went first.
+// first is chance. So an overlap is checked only at the end, when it is known whether the first attempt ended within
+// the slack, and of two attempts sent that close to each other the one of the lower id went first.
 type overlap struct{ first, second *attempt }
 
 func newDuplicateRunRule(
@@ -31,21 +31,26 @@
 	r.report.violate(RuleDuplicateRun, at, []string{first, second}, format, args...)
 }
 
-// checkOverlaps checks the overlaps for which the slack is over by now.
-func (r *duplicateRunRule) checkOverlaps(now scheduler.Time) {
-	for len(r.overlaps) > 0 {
-		o := r.overlaps[0]
-		if now <= max(o.first.sent, o.second.sent)+r.header.Slack {
-			return
-		}
-		r.overlaps = r.overlaps[1:]
-		if !o.first.ended {
-			r.violate(o.second.sent, o.first.text, o.second.text,
+// checkOverlaps checks, at the end of the recording, that the first attempt of each overlap ended in time.
+func (r *duplicateRunRule) checkOverlaps() {
+	for _, o := range r.overlaps {
+		if !r.firstEnded(o) && !r.firstTimedOut(o) {
+			r.violate(o.second.sent.at, o.first.text, o.second.text,
 				"container %s has two attempts in flight", o.second.spec.ContainerID)
 		}
 	}
 }
 
+func (r *duplicateRunRule) firstEnded(o overlap) bool {
+	return o.first.ended && r.report.inTime(o.first.endedAt, max(o.first.sent.at, o.second.sent.at)+r.header.Slack)
+}
+
+// firstTimedOut reports whether the first attempt may have been sent long enough before it was recorded for the second
+// to follow its timeout.
+func (r *duplicateRunRule) firstTimedOut(o overlap) bool {
+	return o.first.sent.entry < o.second.sent.entry && r.report.timedOut(o.first, o.second.sent.at+r.header.Slack)
+}
+
 // checkRetry holds an attempt that is sent now against the earlier ones of its request: one that may have run limits
 // where and when the container may run again.
 func (r *duplicateRunRule) checkRetry(s *schedulerState, req *request, a *attempt, class scheduler.WorkloadClass) {
@@ -56,7 +61,7 @@
 		r.noteOverlap(earlier, a)
 		switch class.Idempotency {
 		case scheduler.AtMostOnce:
-			r.violate(a.sent, earlier.text, a.text,
+			r.violate(a.sent.at, earlier.text, a.text,
 				"at-most-once container %s is offered again though it may have run", req.container)
 		case scheduler.IdempotentWithKey:
 			r.checkDeduplicated(s, earlier, a, class)
@@ -69,20 +74,20 @@
 func (r *duplicateRunRule) checkDeduplicated(s *schedulerState, earlier, a *attempt, class scheduler.WorkloadClass) {
 	switch {
 	case !r.locations.sameScope(s, earlier.machine, a.machine, class.DedupScope):
-		r.violate(a.sent, earlier.text, a.text,
+		r.violate(a.sent.at, earlier.text, a.text,
 			"container %s leaves the scope that deduplicates its key", a.spec.ContainerID)
-	case a.sent > earlier.sent+class.DedupWindow+r.header.Slack:
-		r.violate(a.sent, earlier.text, a.text,
+	case !r.report.inTime(a.sent, earlier.sent.at+class.DedupWindow+r.header.Slack):
+		r.violate(a.sent.at, earlier.text, a.text,
 			"container %s is offered after the deduplication window of its key", a.spec.ContainerID)
 	}
 }
 
 func (r *duplicateRunRule) noteOverlap(earlier, a *attempt) {
-	if earlier.ended || a.sent >= earlier.deadline-r.header.Slack {
+	if earlier.ended || a.sent.at >= earlier.deadline()-r.header.Slack {
 		return
 	}
 	o := overlap{earlier, a}
-	if a.id < earlier.id && a.sent < earlier.sent+r.header.Slack {
+	if sentBefore := earlier.sent.at + r.header.Slack; a.id < earlier.id && r.report.inTime(a.sent, sentBefore-1) {
 		o = overlap{a, earlier}
 	}
 	r.overlaps = append(r.overlaps, o)
--- a/internal/testbed/audit/rule_final_reply.go
+++ b/internal/testbed/audit/rule_final_reply.go
@@ -20,8 +20,8 @@
 		container:  container,
 		spec:       f.Spec,
 		connection: connection,
-		submitted:  c.now,
-		deadline:   c.now + scheduler.Time(f.TimeToDeadline),
+		submitted:  c.now.at,
+		deadline:   c.now.at + scheduler.Time(f.TimeToDeadline),
 	}
 }
 
@@ -64,7 +64,7 @@
 	r := s.requests[f.ContainerID]
 	if r == nil {
 		if !s.lookups[f.ContainerID] {
-			c.report.violate(RuleFinalReply, c.now, nil,
+			c.report.violate(RuleFinalReply, c.now.at, nil,
 				"a reply for %s, which was not submitted to %s", f.ContainerID, s.name)
 		}
 		delete(s.lookups, f.ContainerID)
@@ -74,15 +74,15 @@
 		return
 	}
 	c.report.Replies[f.Verdict]++
-	text := fmt.Sprintf("%.1f ms reply for %s: %s", milliseconds(c.now), r.container, f.Verdict)
+	text := fmt.Sprintf("%.1f ms reply for %s: %s", milliseconds(c.now.at), r.container, f.Verdict)
 	c.checkReplyCount(r, f.Verdict, text)
-	if c.now > r.deadline+c.replyGrace() {
-		c.report.violate(RuleFinalReply, c.now, []string{text},
-			"container %s gets its reply %.1f ms after its deadline", r.container, milliseconds(c.now-r.deadline))
+	if !c.report.inTime(c.now, r.deadline+c.replyGrace()) {
+		c.report.violate(RuleFinalReply, c.now.at, []string{text},
+			"container %s gets its reply %.1f ms after its deadline", r.container, milliseconds(c.now.at-r.deadline))
 	}
-	r.verdict, r.repliedAt = f.Verdict, c.now
+	r.verdict, r.repliedAt = f.Verdict, c.now.at
 	if f.Verdict == protocol.VerdictRejected {
-		c.duplicateRun.checkRejectIsSafe(r, c.now, text)
+		c.duplicateRun.checkRejectIsSafe(r, c.now.at, text)
 	}
 }
 
@@ -94,7 +94,7 @@
 	r.replies++
 	if r.replies > 1 {
 		earlier := fmt.Sprintf("%.1f ms reply for %s: %s", milliseconds(r.repliedAt), r.container, r.verdict)
-		c.report.violate(RuleFinalReply, c.now, []string{earlier, text},
+		c.report.violate(RuleFinalReply, c.now.at, []string{earlier, text},
 			"container %s gets %d replies", r.container, r.replies)
 	}
 }
@@ -103,13 +103,13 @@
 func (c *checker) checkOfferIsOwed(s *schedulerState, a *attempt) *request {
 	r := s.requests[a.spec.ContainerID]
 	if r == nil {
-		c.report.violate(RuleFinalReply, c.now, []string{a.text},
+		c.report.violate(RuleFinalReply, c.now.at, []string{a.text},
 			"container %s was not submitted to %s", a.spec.ContainerID, s.name)
 		r = &request{container: a.spec.ContainerID, spec: a.spec, abandoned: true}
 		s.requests[r.container] = r
 	}
-	if r.replies > 0 && c.now > r.repliedAt+c.header.Slack {
-		c.report.violate(RuleFinalReply, c.now, []string{a.text},
+	if r.replies > 0 && !c.report.inTime(a.sent, r.repliedAt+c.header.Slack) {
+		c.report.violate(RuleFinalReply, c.now.at, []string{a.text},
 			"container %s is offered after its reply, %s at %.1f ms", r.container, r.verdict, milliseconds(r.repliedAt))
 	}
 	return r
@@ -130,7 +130,7 @@
 }
 
 func (c *checker) checkReplyWasNotDue(r *request) {
-	if c.now <= r.deadline+c.replyGrace() {
+	if c.report.inTime(c.now, r.deadline+c.replyGrace()) {
 		c.report.Abandoned++
 		return
 	}
--- a/internal/testbed/audit/state.go
+++ b/internal/testbed/audit/state.go
@@ -39,14 +39,21 @@
 	id       uint64
 	machine  string
 	spec     protocol.ContainerSpec
-	sent     scheduler.Time
-	deadline scheduler.Time
+	sent     moment
+	timeout  scheduler.Time
 	ran      bool
 	ended    bool
+	endedAt  moment // if it ended
 	neverRan bool   // the machine refused it
 	text     string // for evidence
 }
 
+// end notes that the attempt has an outcome, or will have none.
+func (a *attempt) end(m moment) { a.ended, a.endedAt = true, m }
+
+// deadline is when the attempt times out, going by when it was recorded.
+func (a *attempt) deadline() scheduler.Time { return a.sent.at + a.timeout }
+
 // connection is one between a scheduler and a client, a machine or the machine list.
 type connection struct {
 	peer     protocol.Role
@@ -73,23 +80,24 @@
 func (c *checker) offered(s *schedulerState, conn *connection, f *protocol.Offer) {
 	c.report.Offers++
 	a := &attempt{
-		id:       f.AttemptID,
-		machine:  conn.name,
-		spec:     f.Spec,
-		sent:     c.now,
-		deadline: c.now + scheduler.Time(f.Timeout),
-		text: fmt.Sprintf("%.1f ms %s offers %s to %s, attempt %d, timeout %.1f ms", milliseconds(c.now), s.name,
+		id:      f.AttemptID,
+		machine: conn.name,
+		spec:    f.Spec,
+		sent:    c.now,
+		timeout: scheduler.Time(f.Timeout),
+		text: fmt.Sprintf("%.1f ms %s offers %s to %s, attempt %d, timeout %.1f ms", milliseconds(c.now.at), s.name,
 			f.Spec.ContainerID, conn.name, f.AttemptID, milliseconds(scheduler.Time(f.Timeout))),
 	}
 	r := c.checkOfferIsOwed(s, a)
 	class, known := workloadClass(&c.header, f.Spec.WorkloadClass)
 	if !known {
-		c.report.violate(RuleFinalReply, c.now, []string{a.text}, "workload class %d is unknown", f.Spec.WorkloadClass)
+		c.report.violate(RuleFinalReply, a.sent.at, []string{a.text},
+			"workload class %d is unknown", f.Spec.WorkloadClass)
 		return
 	}
 	c.duplicateRun.checkRetry(s, r, a, class)
 	c.checkDraining(s, a)
-	c.slowStart.checkSend(s, a.machine, c.now)
+	c.slowStart.checkSend(s, a.machine, c.now.at)
 	r.attempts = append(r.attempts, a)
 	conn.attempts[a.id] = a
 	s.inFlight[a] = true
@@ -111,7 +119,7 @@
 	}
 	a.ran = true
 	s.inFlight[a] = true
-	c.duplicateRun.checkRanOnce(a, c.now, func(earlier *attempt) bool { return earlier == a })
+	c.duplicateRun.checkRanOnce(a, c.now.at, func(earlier *attempt) bool { return earlier == a })
 }
 
 // ended takes the outcome of an attempt.
@@ -122,7 +130,7 @@
 	}
 	delete(conn.attempts, f.AttemptID)
 	delete(s.inFlight, a)
-	a.ended = true
+	a.end(c.now)
 	a.neverRan = f.Outcome == protocol.OutcomeFull && !a.ran
 	if f.Outcome == protocol.OutcomeFinished {
 		c.started(s, a)
@@ -143,10 +151,10 @@
 			sent:    c.now,
 			ran:     true,
 			text: fmt.Sprintf("%.1f ms %s has %s of %s in its inventory",
-				milliseconds(c.now), conn.name, item.Spec.ContainerID, s.name),
+				milliseconds(c.now.at), conn.name, item.Spec.ContainerID, s.name),
 		}
 		conn.attempts[a.id] = a
 		s.inFlight[a] = true
-		c.duplicateRun.checkRanOnce(a, c.now, func(earlier *attempt) bool { return earlier.id == a.id })
+		c.duplicateRun.checkRanOnce(a, c.now.at, func(earlier *attempt) bool { return earlier.id == a.id })
 	}
 }
--- a/internal/testbed/audit/violations.go
+++ b/internal/testbed/audit/violations.go
@@ -13,6 +13,7 @@
 type reporter struct {
 	Report
 	violations map[Rule]int // all of them, also those beyond what is reported
+	widened    map[int]bool // entries that only their lag kept from being a violation
 }
 
 // violate reports a break of a rule.
--- a/internal/testbed/cluster/scheduler.go
+++ b/internal/testbed/cluster/scheduler.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"path/filepath"
 	"syscall"
+	"time"
 
 	"glenport/internal/protocol"
-	"glenport/internal/testbed/faultproxy"
 	"glenport/internal/testbed/process"
 )
 
@@ -41,16 +41,17 @@
 
 // StartScheduler starts a scheduler and notes it in the recording.
 func (c *Cluster) StartScheduler(p *process.Scheduler) error {
-	c.recording.RecordLifecycle(faultproxy.Started, p.Name)
+	c.recording.RecordStart(p.Name)
 	return p.Start()
 }
 
 // KillScheduler ends a scheduler by SIGKILL and notes it in the recording, once what it sent last has passed the
 // proxies: it would otherwise be recorded as sent by the next incarnation.
 func (c *Cluster) KillScheduler(p *process.Scheduler) {
+	killed := time.Now()
 	p.Stop(syscall.SIGKILL)
 	c.Net.WaitRecorded(p.Name)
-	c.recording.RecordLifecycle(faultproxy.Killed, p.Name)
+	c.recording.RecordKill(p.Name, killed)
 }
 
 // StartController starts a controller before the cluster's schedulers and waits until it knows all machines. It submits
--- a/internal/testbed/faultproxy/connection.go
+++ b/internal/testbed/faultproxy/connection.go
@@ -15,6 +15,7 @@
 	scheduler string
 	peerName  string
 	conns     [2]net.Conn // by direction: the caller, the called
+	arrivals  *arrivals   // of what the scheduler sends
 	state     connState
 }
 
@@ -35,6 +36,27 @@
 	fromCalled
 )
 
+// schedulerEnd is the end at which the scheduler is.
+func (c *connection) schedulerEnd() direction {
+	if c.peer == protocol.RoleClient {
+		return fromCalled
+	}
+	return fromCaller
+}
+
+// setEnd sets one end. What the scheduler sends is sampled from then on.
+func (c *connection) setEnd(end direction, conn net.Conn) (err error) {
+	c.conns[end] = conn
+	if end != c.schedulerEnd() {
+		return nil
+	}
+	if c.arrivals, err = newArrivals(conn); err != nil {
+		return err
+	}
+	c.proxy.sampler.add(c.arrivals)
+	return nil
+}
+
 // entry is an entry of the recording on this connection.
 func (c *connection) entry(kind EntryKind) Entry {
 	return Entry{Kind: kind, ConnID: c.id, Scheduler: c.scheduler, Peer: c.peer, PeerName: c.peerName}
@@ -78,7 +100,7 @@
 // stream carries what one end sends.
 func (c *connection) stream(from direction) *stream {
 	s := &stream{connection: c, source: c.conns[from], destination: c.conns[1-from], sender: senderPeer}
-	if calledIsScheduler := c.peer == protocol.RoleClient; calledIsScheduler == (from == fromCalled) {
+	if from == c.schedulerEnd() {
 		s.sender = senderScheduler
 	}
 	return s
@@ -110,11 +132,23 @@
 	c.proxy.mu.Lock()
 	defer c.proxy.mu.Unlock()
 	c.advance(connRecorded)
-	c.proxy.recorder.add(c.entry(Closed))
+	c.proxy.recorder.addSince(c.entry(Closed), c.arrivals.lastAbsent(endOfStream))
+}
+
+// recordSent records a frame of the scheduler that ends at a position of its stream.
+func (c *connection) recordSent(frame rawFrame, position uint64) {
+	c.record(FromScheduler, frame, func(entry Entry) {
+		c.proxy.recorder.addSince(entry, c.arrivals.lastAbsent(position))
+	})
+}
+
+// recordAhead records a frame to the scheduler before it is forwarded, or lost.
+func (c *connection) recordAhead(kind EntryKind, frame rawFrame) bool {
+	return c.record(kind, frame, c.proxy.recorder.add)
 }
 
 // record records a frame, unless the scheduler's end has closed: the recording of a connection ends there.
-func (c *connection) record(kind EntryKind, frame rawFrame) bool {
+func (c *connection) record(kind EntryKind, frame rawFrame, add func(Entry)) bool {
 	c.proxy.mu.Lock()
 	defer c.proxy.mu.Unlock()
 	if c.state == connRecorded {
@@ -122,6 +156,6 @@
 	}
 	entry := c.entry(kind)
 	entry.Frame = frame.payload()
-	c.proxy.recorder.add(entry)
+	add(entry)
 	return true
 }
--- a/internal/testbed/faultproxy/frame.go
+++ b/internal/testbed/faultproxy/frame.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"errors"
 	"io"
 	"net"
 
@@ -20,6 +21,25 @@
 
 func (f rawFrame) isAccept() bool { return f[lengthPrefixSize] == acceptFrameType }
 
+var errNoHello = errors.New("the first frame is no hello")
+
+// readHello reads the first frame of a connection.
+func readHello(conn net.Conn) (rawFrame, *protocol.Hello, error) {
+	first, err := readFrame(conn)
+	if err != nil {
+		return nil, nil, err
+	}
+	frame, err := protocol.Decode(first.payload())
+	if err != nil {
+		return nil, nil, err
+	}
+	hello, ok := frame.(*protocol.Hello)
+	if !ok {
+		return nil, nil, errNoHello
+	}
+	return first, hello, nil
+}
+
 // readFrame reads a frame without decoding it.
 func readFrame(conn net.Conn) (rawFrame, error) {
 	var prefix [lengthPrefixSize]byte
--- a/internal/testbed/faultproxy/proxy.go
+++ b/internal/testbed/faultproxy/proxy.go
@@ -28,6 +28,8 @@
 // faults between the two.
 type Proxy struct {
 	recorder *Writer
+	sampler  *sampler
+	ended    chan struct{} // closed by Close
 
 	mu           sync.Mutex
 	stateChanged *sync.Cond
@@ -40,15 +42,18 @@
 	background   sync.WaitGroup
 }
 
-// New returns a proxy without faults that writes to a recording.
+// New returns a proxy without faults that writes to a recording. It is to be closed.
 func New(recorder *Writer, seed uint64) *Proxy {
 	p := &Proxy{
 		recorder:    recorder,
+		sampler:     &sampler{streams: map[*arrivals]bool{}},
+		ended:       make(chan struct{}),
 		connections: map[*connection]bool{},
 		rng:         rand.New(rand.NewPCG(seed, 3)),
 		rule:        func(string, protocol.Role, string) Fault { return Fault{} },
 	}
 	p.stateChanged = sync.NewCond(&p.mu)
+	p.background.Go(func() { p.sampler.run(p.ended) })
 	return p
 }
 
@@ -74,10 +79,11 @@
 	return count
 }
 
-// Close ends all listeners and connections and waits for the proxy's goroutines.
+// Close ends all listeners and connections and waits for the proxy's goroutines. It is called once.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
+	close(p.ended)
 	for _, listener := range p.listeners {
 		loopback.CloseQuietly(listener)
 	}
@@ -129,30 +135,30 @@
 // serve reads the caller's hello, connects to the target and forwards frames both ways until one end closes.
 func (p *Proxy) serve(caller net.Conn, peer protocol.Role, name string, target func() string) {
 	defer loopback.CloseQuietly(caller)
-	first, err := readFrame(caller)
-	if err != nil {
+	c := &connection{proxy: p, peer: peer}
+	defer func() { p.sampler.remove(c.arrivals) }()
+	if c.setEnd(fromCaller, caller) != nil {
 		return
 	}
-	frame, err := protocol.Decode(first.payload())
-	hello, ok := frame.(*protocol.Hello)
-	if err != nil || !ok {
+	first, hello, err := readHello(caller)
+	if err != nil {
 		return
 	}
-	c := &connection{proxy: p, peer: peer, scheduler: hello.Name, peerName: name}
+	c.scheduler, c.peerName = hello.Name, name
 	if peer == protocol.RoleClient { // a client connects to a scheduler
 		c.scheduler, c.peerName = name, hello.Name
 	}
+	dialed := time.Now()
 	called, err := loopback.Dial(target(), dialTimeout)
 	if err != nil {
 		loopback.Reset(caller)
 		return
 	}
-	c.conns = [2]net.Conn{caller, called}
-	if !p.add(c) {
+	if c.setEnd(fromCalled, called) != nil || !p.add(c) {
 		loopback.CloseQuietly(called)
 		return
 	}
-	p.recorder.add(c.entry(Opened))
+	p.recorder.addSince(c.entry(Opened), dialed)
 	c.run(first)
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/faultproxy/record.go
+++ b/internal/testbed/faultproxy/record.go
@@ -15,11 +15,14 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
+// The formats: that which is written, and that before it, in which entries have no lag.
 const (
-	format     = "glenport record 1"
-	bufferSize = 1 << 20 // bytes
+	format         = "glenport record 2"
+	formatVersion1 = "glenport record 1"
 )
 
+const bufferSize = 1 << 20 // bytes
+
 // EntryKind says what an entry of a recording is about.
 type EntryKind uint8
 
@@ -44,6 +47,26 @@
 	Peer      protocol.Role `cbor:"Far"`   // what is at the other end
 	PeerName  string        `cbor:"Name"`  // of that
 	Frame     []byte        `cbor:"Frame"` // without its length prefix
+	Lag       int64         `cbor:"Lag"`   // measured time before At since when it may have been so, in the unit of At
+}
+
+// entryVersion1 is an entry of version 1 of the format.
+type entryVersion1 struct {
+	_         struct{}      `cbor:",toarray"`
+	At        int64         `cbor:"At"`
+	Kind      EntryKind     `cbor:"Sort"`
+	ConnID    uint32        `cbor:"Link"`
+	Scheduler string        `cbor:"Placer"`
+	Peer      protocol.Role `cbor:"Far"`
+	PeerName  string        `cbor:"Name"`
+	Frame     []byte        `cbor:"Frame"`
+}
+
+func (e *entryVersion1) upgrade() Entry {
+	return Entry{
+		At: e.At, Kind: e.Kind, ConnID: e.ConnID, Scheduler: e.Scheduler, Peer: e.Peer, PeerName: e.PeerName,
+		Frame: e.Frame,
+	}
 }
 
 // Decoded is the frame of an entry.
@@ -58,17 +81,30 @@
 	Slack      scheduler.Time   `cbor:"Slack"` // by which a recorded time may differ from a scheduler's own
 }
 
-// FormatError says that a file is no recording of this format.
+// FormatError says that a file is no recording of a known format.
 type FormatError struct {
 	Path  string
 	Cause error // of decoding the header; nil where it names another format
 }
 
-func (e *FormatError) Error() string { return fmt.Sprintf("%s is no %s (%v)", e.Path, format, e.Cause) }
+func (e *FormatError) Error() string {
+	return fmt.Sprintf("%s is neither %s nor %s (%v)", e.Path, formatVersion1, format, e.Cause)
+}
 
 // Unwrap returns the cause.
 func (e *FormatError) Unwrap() error { return e.Cause }
 
+// entryDecoders decode an entry, by the format of the recording.
+var entryDecoders = map[string]func(*cbor.Decoder, *Entry) error{
+	format: func(decoder *cbor.Decoder, entry *Entry) error { return decoder.Decode(entry) },
+	formatVersion1: func(decoder *cbor.Decoder, entry *Entry) error {
+		var earlier entryVersion1
+		err := decoder.Decode(&earlier)
+		*entry = earlier.upgrade()
+		return err
+	},
+}
+
 // Read reads a recording's header, then calls each for every entry. It stops at the first error of each. A file of
 // another format is a *FormatError.
 func Read(path string, header *Header, each func(*Entry) error) error {
@@ -78,12 +114,16 @@
 	}
 	defer func() { _ = file.Close() }() // it was only read
 	decoder := cbor.NewDecoder(bufio.NewReaderSize(file, bufferSize))
-	if err := decoder.Decode(header); err != nil || header.Format != format {
+	if err := decoder.Decode(header); err != nil {
 		return &FormatError{Path: path, Cause: err}
 	}
+	decode, known := entryDecoders[header.Format]
+	if !known {
+		return &FormatError{Path: path}
+	}
 	for n := 1; ; n++ {
 		var entry Entry
-		if err := decoder.Decode(&entry); errors.Is(err, io.EOF) {
+		if err := decode(decoder, &entry); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return fmt.Errorf("%s: entry %d: %w", path, n, err)
--- a/internal/testbed/faultproxy/record_test.go
+++ b/internal/testbed/faultproxy/record_test.go
@@ -18,13 +18,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-const (
-	goldenRecord = "testdata/record.bin"
-	goldenWords  = "testdata/record.txt"
+// goldenRecord is a recording of a version of the format, and its contents in words.
+type goldenRecord struct{ format, record, words string }
+
+var (
+	goldenVersion1 = goldenRecord{"glenport record 1", "testdata/record.bin", "testdata/record.txt"}
+	goldenVersion2 = goldenRecord{"glenport record 2", "testdata/record2.bin", "testdata/record2.txt"}
 )
 
 func goldenHeader() Header {
-	return Header{Format: "glenport record 1", DrainGrace: 1001, Slack: 1002, Config: scheduler.Config{
+	return Header{Format: goldenVersion2.format, DrainGrace: 1001, Slack: 1002, Config: scheduler.Config{
 		Seed: 1<<64 - 1, SchedulerIndex: 2001, SchedulerCount: 2002,
 		WorkloadClasses: []scheduler.WorkloadClass{
 			{
@@ -63,7 +66,7 @@
 func connEntry(at int64, kind EntryKind, peer protocol.Role, peerName string, frame []byte) Entry {
 	return Entry{
 		At: at, Kind: kind, ConnID: uint32(at + 1), Scheduler: fmt.Sprint("scheduler-", at+2),
-		Peer: peer, PeerName: fmt.Sprint(peerName, "-", at+3), Frame: frame,
+		Peer: peer, PeerName: fmt.Sprint(peerName, "-", at+3), Frame: frame, Lag: at + 4,
 	}
 }
 
@@ -83,7 +86,7 @@
 		connEntry(7041, Closed, protocol.RoleClient, "client", nil),
 		{At: 7051, Kind: Killed, Scheduler: "scheduler-7053"},
 		{At: 7061, Kind: Started, Scheduler: "scheduler-7063", Peer: protocol.RoleScheduler},
-		{At: -1, Kind: 255, ConnID: 1<<32 - 1},
+		{At: -1, Kind: 255, ConnID: 1<<32 - 1, Lag: 1<<63 - 1},
 	}
 }
 
@@ -113,8 +116,12 @@
 	row(&out, "AskWithin %d, ColdFor %d, ColdWindow %d, ColdBids %d",
 		c.ResyncInterval, c.SlowStartPeriod, c.SlowStartWindow, c.SlowStartBudget)
 	for _, e := range entries {
-		row(&out, "Entry: At %d, Sort %d, Link %d, Placer %q, Far %d, Name %q, Frame %x",
-			e.At, e.Kind, e.ConnID, e.Scheduler, e.Peer, e.PeerName, e.Frame)
+		lag := fmt.Sprintf(", Lag %d", e.Lag)
+		if h.Format == goldenVersion1.format {
+			lag = ""
+		}
+		row(&out, "Entry: At %d, Sort %d, Link %d, Placer %q, Far %d, Name %q, Frame %x%s",
+			e.At, e.Kind, e.ConnID, e.Scheduler, e.Peer, e.PeerName, e.Frame, lag)
 	}
 	return out.String()
 }
@@ -129,6 +136,13 @@
 	enc := cbor.NewEncoder(&out)
 	testutil.NoError(t, enc.Encode(h))
 	for _, e := range entries {
+		if h.Format == goldenVersion1.format {
+			testutil.NoError(t, enc.Encode(entryVersion1{
+				At: e.At, Kind: e.Kind, ConnID: e.ConnID, Scheduler: e.Scheduler, Peer: e.Peer, PeerName: e.PeerName,
+				Frame: e.Frame,
+			}))
+			continue
+		}
 		testutil.NoError(t, enc.Encode(e))
 	}
 	return out.Bytes()
@@ -146,15 +160,28 @@
 }
 
 // A record that an earlier version wrote is read with each of its values, and encoded again to the same bytes.
-func TestGoldenRecordIsRead(t *testing.T) {
-	wantHeader, wantEntries := goldenHeader(), goldenEntries(t)
+func TestGoldenRecordIsRead(t *testing.T) { testGoldenRecord(t, goldenVersion2, goldenEntries(t)) }
+
+// So is one of version 1 of the format, in which entries have no lag.
+func TestGoldenRecordOfVersion1IsRead(t *testing.T) {
+	entries := goldenEntries(t)
+	for i := range entries {
+		entries[i].Lag = 0
+	}
+	testGoldenRecord(t, goldenVersion1, entries)
+}
+
+func testGoldenRecord(t *testing.T, record goldenRecord, wantEntries []Entry) {
+	t.Helper()
+	wantHeader := goldenHeader()
+	wantHeader.Format = record.format
 	if golden.Updating() {
-		testutil.WriteFile(t, goldenRecord, encoded(t, wantHeader, wantEntries))
-		testutil.WriteFile(t, goldenWords, []byte(words(wantHeader, wantEntries)))
+		testutil.WriteFile(t, record.record, encoded(t, wantHeader, wantEntries))
+		testutil.WriteFile(t, record.words, []byte(words(wantHeader, wantEntries)))
 	}
-	file := testutil.ReadFile(t, goldenRecord)
-	text := testutil.ReadFile(t, goldenWords)
-	h, entries := readAll(t, goldenRecord)
+	file := testutil.ReadFile(t, record.record)
+	text := testutil.ReadFile(t, record.words)
+	h, entries := readAll(t, record.record)
 	testutil.Expect(t, reflect.DeepEqual(h, wantHeader), "header %+v, want %+v", h, wantHeader)
 	testutil.Expect(t, reflect.DeepEqual(entries, wantEntries), "entries %+v, want %+v", entries, wantEntries)
 	if got := words(h, entries); got != string(text) {
@@ -179,8 +206,8 @@
 	for _, e := range want {
 		w.add(e)
 	}
-	w.RecordLifecycle(Killed, "scheduler-8001")
-	want = append(want, Entry{Kind: Killed, Scheduler: "scheduler-8001"})
+	w.RecordStart("scheduler-8001")
+	want = append(want, Entry{Kind: Started, Scheduler: "scheduler-8001"})
 	testutil.NoError(t, w.Close())
 	got, entries := readAll(t, path)
 	testutil.Expect(t, reflect.DeepEqual(got, goldenHeader()), "header %+v", got)
@@ -199,14 +226,14 @@
 // A file of another format, and one that ends in an entry, are refused.
 func TestDamagedRecordIsRefused(t *testing.T) {
 	other := goldenHeader()
-	other.Format = "glenport record 2"
+	other.Format = "glenport record 3"
 	whole := encoded(t, goldenHeader(), goldenEntries(t)[:2])
 	for title, tc := range map[string]struct {
 		file []byte
 		want string
 	}{
-		"empty":          {nil, " is no glenport record 1 (EOF)"},
-		"another format": {encoded(t, other, nil), " is no glenport record 1 (<nil>)"},
+		"empty":          {nil, " is neither glenport record 1 nor glenport record 2 (EOF)"},
+		"another format": {encoded(t, other, nil), " is neither glenport record 1 nor glenport record 2 (<nil>)"},
 		"cut short":      {whole[:len(whole)-3], ": entry 2: unexpected EOF"},
 	} {
 		path := filepath.Join(t.TempDir(), "record")
--- a/internal/testbed/faultproxy/stream.go
+++ b/internal/testbed/faultproxy/stream.go
@@ -23,6 +23,7 @@
 	*connection
 	source, destination net.Conn
 	sender              sender
+	position            uint64 // up to which it was read
 }
 
 // queuedFrame is a frame on its way.
@@ -62,8 +63,9 @@
 }
 
 func (s *stream) enqueue(queue chan<- queuedFrame, frame rawFrame) {
+	s.position += uint64(len(frame))
 	if s.sender == senderScheduler {
-		s.record(FromScheduler, frame)
+		s.recordSent(frame, s.position)
 	}
 	select {
 	case queue <- queuedFrame{frame, time.Now()}:
@@ -78,7 +80,7 @@
 	if !s.awaitDelivery(queued) {
 		return
 	}
-	if s.sender == senderPeer && !s.record(ToScheduler, queued.frame) {
+	if s.sender == senderPeer && !s.recordAhead(ToScheduler, queued.frame) {
 		return
 	}
 	if _, err := s.destination.Write(queued.frame); err != nil {
@@ -93,7 +95,7 @@
 		return false
 	}
 	if s.sender == senderPeer && queued.frame.isAccept() && s.proxy.chance(fault.LoseAccepts) {
-		s.record(Lost, queued.frame)
+		s.recordAhead(Lost, queued.frame)
 		return false
 	}
 	time.Sleep(fault.Delay - time.Since(queued.sentAt))
--- a/internal/testbed/faultproxy/writer.go
+++ b/internal/testbed/faultproxy/writer.go
@@ -68,17 +68,35 @@
 	return entries
 }
 
+// add adds an entry on what takes effect only once it is recorded.
 func (w *Writer) add(entry Entry) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	entry.At = int64(time.Since(w.startedAt) / recordingTick)
+	w.append(entry, time.Now())
+}
+
+// addSince adds an entry on what may have been so since a moment, and not before.
+func (w *Writer) addSince(entry Entry, since time.Time) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	now := time.Now()
+	entry.Lag = int64(now.Sub(since) / recordingTick)
+	w.append(entry, now)
+}
+
+// append stamps an entry. The lock is held.
+func (w *Writer) append(entry Entry, now time.Time) {
+	entry.At = int64(now.Sub(w.startedAt) / recordingTick)
 	w.pending = append(w.pending, entry)
 	w.wake.Signal()
 }
 
-// RecordLifecycle records that a scheduler's process was killed or started.
-func (w *Writer) RecordLifecycle(kind EntryKind, schedulerName string) {
-	w.add(Entry{Kind: kind, Scheduler: schedulerName})
+// RecordStart records that a scheduler's process is started; it does not run yet.
+func (w *Writer) RecordStart(scheduler string) { w.add(Entry{Kind: Started, Scheduler: scheduler}) }
+
+// RecordKill records that a scheduler's process was killed at some time since a moment.
+func (w *Writer) RecordKill(scheduler string, since time.Time) {
+	w.addSince(Entry{Kind: Killed, Scheduler: scheduler}, since)
 }
 
 // Close ends the recording and returns the first error met in writing it.
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -40,6 +40,13 @@
 	Printf(out, "rules: broken:%s\n", summary.String())
 }
 
+// RecordingLag writes how late the recording was, and for how many entries that was decisive.
+func RecordingLag(out io.Writer, findings *audit.Report) {
+	Printf(out, "recording lag: %.1f ms at most; %d entries judged with a slack widened by their own, "+
+		"by %.1f ms at most\n",
+		findings.LargestLag, findings.WidenedEntries, findings.WidenedLag)
+}
+
 // QuantileMS is a quantile, in milliseconds, of a histogram in microseconds.
 func QuantileMS(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtQuantile(q)) / 1000
--- a/internal/testbed/scenario/report.go
+++ b/internal/testbed/scenario/report.go
@@ -18,6 +18,7 @@
 		"last offer %.1f ms after a drain was reported\n",
 		findings.Frames, findings.Submitted, findings.Offers, findings.Accepted,
 		findings.SlowStartPeak, findings.SlowStartBudget, o.OverloadedMachines, findings.DrainLatency)
+	report.RecordingLag(out, findings)
 	report.Violations(out, findings)
 	if o.Passed() {
 		answered := tally.Submitted - tally.Unanswered - tally.Unsent
--- a/internal/testbed/trials/overload/sockets.go
+++ b/internal/testbed/trials/overload/sockets.go
@@ -58,6 +58,7 @@
 	if err != nil {
 		return err
 	}
+	report.RecordingLag(t.Out, findings)
 	report.Violations(t.Out, findings)
 	t.Printf("  %d submitted (%d retries), %d placed, %d rejected, %d not admitted, %d failed; "+
 		"%d machines overloaded, those in slow start at most at %d of %d offers\n",
--- a/internal/testbed/trials/restart/kills.go
+++ b/internal/testbed/trials/restart/kills.go
@@ -88,6 +88,7 @@
 		"%d accepts; machines in slow start at most at %d of %d offers\n",
 		tally.Submitted, tally.Placed, tally.DuplicateReplies, tally.Pending,
 		findings.Frames, findings.Offers, findings.Accepted, findings.SlowStartPeak, findings.SlowStartBudget)
+	report.RecordingLag(t.Out, findings)
 	report.Violations(t.Out, findings)
 	if findings.Passed() {
 		t.Printf("rules: kept over all lives\n")
