--- a/internal/testbed/audit/lag_test.go
+++ b/internal/testbed/audit/lag_test.go
@@ -75,6 +75,16 @@
 		h.submit(1, "x", 0)
 		h.late(func() { h.put(2100, faultproxy.Entry{Kind: faultproxy.Killed}) })
 	}, 69, RuleFinalReply},
+	{"an attempt before the slow-start window", func(h *history) {
+		h.list(1, map[string]protocol.MachineEntry{"a": {Incarnation: 2}})
+		for _, container := range []string{"x", "y", "z", "w"} {
+			h.submit(1, container, 0)
+		}
+		h.late(func() { h.offer(100, "x", 0, machineA) })
+		h.offer(600, "y", 0, machineA)
+		h.offer(900, "z", 0, machineA)
+		h.offer(1050, "w", 0, machineA)
+	}, 50, RuleSlowStart},
 	{"an attempt in a spread scope, whose timeout was over", func(h *history) {
 		h.submit(1, "x", 2)
 		h.submit(1, "y", 2)
