--- /dev/null
+++ b/internal/platform/adoption/golden_test.go
@@ -0,0 +1,89 @@
+package adoption
+
+import (
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"strconv"
+	"strings"
+	"testing"
+
+	"glenport/internal/golden"
+)
+
+// TestDecisionsAreUnchanged compares every decision on random sequences of claims with those recorded.
+func TestDecisionsAreUnchanged(t *testing.T) {
+	var got strings.Builder
+	for _, group := range []struct {
+		name                  string
+		seed                  uint64
+		limit, machines, size int // size: the largest container, in tenths of the mean
+	}{
+		{"few machines", 1, 1000, 3, 20},
+		{"small containers", 2, 1000, 3, 2},
+		{"limit in sum", 3, 40, 12, 20},
+	} {
+		d := golden.NewDigest()
+		for i := range 30 {
+			s := &sequence{
+				random:  rand.New(rand.NewPCG(group.seed, uint64(i))),
+				claims:  New(group.limit),
+				running: make([]Load, group.machines),
+			}
+			for range 500 {
+				s.step(d, group.size)
+			}
+		}
+		fmt.Fprintln(&got, d.Line(group.name))
+	}
+	golden.CheckText(t, "testdata/decisions.txt", got.String())
+}
+
+// sequence is a run of random events on one set of claims.
+type sequence struct {
+	random  *rand.Rand
+	claims  *Claims
+	running []Load // of each machine, by the claims that were adopted there
+	number  int
+}
+
+func (s *sequence) step(d *golden.Digest, size int) {
+	s.number++
+	switch s.random.IntN(10) {
+	case 0:
+		s.claims.ClientDisconnected(ClientID(1 + s.random.IntN(5)))
+	case 1, 2:
+		s.remove(strconv.Itoa(s.random.IntN(s.number)))
+	default:
+		s.decide(d, size)
+	}
+}
+
+func (s *sequence) decide(d *golden.Digest, size int) {
+	i := s.random.IntN(len(s.running))
+	tenths := Load{float64(s.random.IntN(size)) / 10, float64(s.random.IntN(size)) / 10, 1}
+	claim := Claim{ClientID(1 + s.random.IntN(5)), strconv.Itoa(s.number), strconv.Itoa(i), tenths}
+	machine := machineWith(0)
+	machine.Running, machine.Listed = s.running[i], i%3 > 0
+	before := maps.Clone(s.claims.claims)
+	decision := s.claims.Decide(claim, machine)
+	d.Add(0, decision.Adopt, strings.Join(decision.Displaced, ","))
+	for _, id := range decision.Displaced {
+		s.ended(before[id].Claim)
+	}
+	if decision.Adopt {
+		s.running[i] = s.running[i].Add(tenths)
+	}
+}
+
+func (s *sequence) remove(id string) {
+	if adopted := s.claims.claims[id]; adopted != nil {
+		s.ended(adopted.Claim)
+		s.claims.Remove(id)
+	}
+}
+
+func (s *sequence) ended(claim Claim) {
+	i, _ := strconv.Atoi(claim.Machine) // as decide has named it
+	s.running[i] = s.running[i].Sub(claim.Load)
+}
--- a/internal/platform/attempts.go
+++ b/internal/platform/attempts.go
@@ -94,7 +94,7 @@
 	id := a.id()
 	a.env.loop.Cancel(a.timer)
 	a.conn.attemptAccepted(id)
-	a.machine.addRunning(1)
+	a.machine.containerStarted(a.container)
 	a.env.notifyScheduler(scheduler.AttemptAccepted{
 		ID:      id,
 		Attempt: a.number,
@@ -208,5 +208,5 @@
 	if a.conn != nil {
 		a.conn.runningEnded()
 	}
-	a.machine.addRunning(-1)
+	a.machine.containerEnded(a.container)
 }
--- /dev/null
+++ b/internal/platform/claims_test.go
@@ -0,0 +1,184 @@
+package platform
+
+import (
+	"flag"
+	"fmt"
+	"runtime"
+	"sync"
+	"testing"
+	"time"
+
+	"glenport/internal/platform/adoption"
+	"glenport/internal/platform/jsonlines"
+	"glenport/internal/testutil"
+)
+
+var claimCount = flag.Int("claims", 1000, "made-up claims of TestMadeUpClaimsAreBounded")
+
+const claimedMachines = 20
+
+// Claims that bad clients make up take bounded memory and time, wherever their containers are said to run. A true claim
+// that comes after them still has its end notified.
+func TestMadeUpClaimsAreBounded(t *testing.T) {
+	for _, tc := range []struct {
+		name    string
+		clients int
+		machine func(claim int) string
+	}{
+		{"at one machine", 1, func(int) string { return "m0000" }},
+		{"at all machines, of many clients", 50, func(claim int) string {
+			return fmt.Sprintf("m%04x", claim%claimedMachines)
+		}},
+		{"at machines that do not exist", 1, func(claim int) string { return fmt.Sprintf("x%d", claim) }},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			end := make(chan bool)
+			limit := min(adoption.MaxClaims(64), *claimCount/2)
+			r := startWithClaimedMachines(t, end, limit)
+			r.drainEvents()
+			before := heapInUse()
+			began := time.Now()
+			var claiming sync.WaitGroup
+			for i := range tc.clients {
+				client := r.dialClient()
+				claiming.Go(func() { client.claim(i, tc.clients, tc.machine) })
+			}
+			longest := r.longestIterationWhile(&claiming)
+			took := time.Since(began)
+			kept := 0
+			r.runOnLoop(func() { kept = r.server.containers.count() })
+			t.Logf("%d claims were taken in within %v, the longest iteration took %v; %d are kept, with %d KiB",
+				*claimCount, took, longest, kept, (int64(heapInUse())-int64(before))>>10)
+			testutil.Expect(t, kept <= limit+claimedMachines, "%d claims are kept", kept)
+			owner := r.dialClient()
+			owner.send(offerLine(requestID, ";at:m0000"))
+			owner.expectLive(2)
+			close(end)
+			owner.expectEnd(requestID, jsonlines.CauseNormal)
+		})
+	}
+}
+
+// startWithClaimedMachines starts a server with 20 machines and a limit of claims. Each machine reports the end of container requestID on its
+// connections once end is closed.
+func startWithClaimedMachines(t *testing.T, end chan bool, limit int) *testServer {
+	t.Helper()
+	r := startWithNumberedMachines(t, 256, claimedMachines, func(t *testing.T) string {
+		t.Helper()
+		return serveTCP(t, func(m *peer) {
+			<-end
+			m.send(endLine(requestID, jsonlines.CauseNormal))
+			m.readToEnd()
+		})
+	})
+	r.runOnLoop(func() {
+		r.scheduler.on = nil // the real one decides
+		r.server.env.claims = adoption.New(limit)
+	})
+	return r
+}
+
+// drainEvents drops the events of the scheduler until the test ends.
+func (r *testServer) drainEvents() {
+	done := make(chan bool)
+	r.Cleanup(func() { close(done) })
+	go func() {
+		for {
+			select {
+			case <-r.scheduler.events:
+			case <-done:
+				return
+			}
+		}
+	}()
+}
+
+// claim sends every claim whose number leaves a remainder, a few at a time.
+func (p *peer) claim(remainder, divisor int, machine func(claim int) string) {
+	testutil.ExpectNoError(p.t, p.c.SetDeadline(time.Now().Add(20*time.Minute)))
+	for i, sent := remainder, 0; i < *claimCount; i += divisor {
+		p.send(offerLine(fmt.Sprintf("%016x", 0xc1a1<<32+i), ";at:"+machine(i)))
+		if sent++; sent%100 == 0 {
+			p.expectLive(1)
+		}
+	}
+	p.expectLive(1)
+}
+
+// longestIterationWhile returns how long the loop was busy at most until all is done.
+func (r *testServer) longestIterationWhile(working *sync.WaitGroup) time.Duration {
+	done := make(chan bool)
+	go func() {
+		working.Wait()
+		close(done)
+	}()
+	for longest := time.Duration(0); ; {
+		select {
+		case <-done:
+			return longest
+		default:
+			start := time.Now()
+			r.runOnLoop(func() {})
+			longest = max(longest, time.Since(start))
+		}
+	}
+}
+
+// heapInUse is what is live on the heap.
+func heapInUse() uint64 {
+	runtime.GC()
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
+}
+
+// A claim that is left out, as more containers than the machine can run are claimed to be there, has its end notified
+// all the same: also where that was reported before the claim.
+func TestEndOfLeftOutClaimIsNotified(t *testing.T) {
+	t.Run("claimed first", func(t *testing.T) {
+		r, report := startWithClaimsAtA(t)
+		r.client.send(offerLine(requestID, ";at:a"))
+		r.client.expectLive(1)
+		report()
+		r.client.expectEnd(requestID, jsonlines.CauseNormal)
+		r.client.expectEnd(otherRequestID, jsonlines.CauseNormal)
+	})
+	t.Run("reported first", func(t *testing.T) {
+		r, report := startWithClaimsAtA(t)
+		report()
+		r.client.expectEnd(otherRequestID, jsonlines.CauseNormal)
+		r.client.send(offerLine(thirdRequestID, ";at:a"), offerLine(requestID, ";at:a")) // the first takes the room
+		r.client.expectEnd(requestID, jsonlines.CauseNormal)
+	})
+}
+
+// claimingClient is a server with a client that has claimed as many containers as can run at machine a.
+type claimingClient struct {
+	*testServer
+	client *peer
+}
+
+// startWithClaimsAtA lets machine a report the ends of requestID, which nobody has claimed, and of otherRequestID.
+func startWithClaimsAtA(t *testing.T) (r claimingClient, report func()) {
+	t.Helper()
+	reported := make(chan bool)
+	addr := serveTCP(t, func(m *peer) {
+		if <-reported {
+			m.send(endLine(requestID, jsonlines.CauseNormal), endLine(otherRequestID, jsonlines.CauseNormal))
+			m.readToEnd()
+		}
+	})
+	t.Cleanup(func() { close(reported) })
+	r.testServer = startWithMachineA(t, addr, attemptOnA(0))
+	r.client = r.dialClient()
+	r.client.send(offerLine(otherRequestID, ";at:a"))
+	for i := range 200 {
+		r.client.send(offerLine(numberedRequest(1000+i), ";at:a"))
+	}
+	r.client.expectLive(0)
+	r.runOnLoop(func() {
+		running := r.server.machines.lookup("a").running
+		testutil.Equal(t, running, adoption.Load{Cores: 91, Memory: 182, Containers: 91}, "running")
+	})
+	return r, func() { reported <- true }
+}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -10,6 +10,7 @@
 	"strconv"
 
 	"glenport/internal/eventloop"
+	"glenport/internal/platform/adoption"
 	"glenport/internal/simprotocol"
 	"glenport/scheduler"
 )
@@ -153,6 +154,27 @@
 	return nil
 }
 
+// capacity is what the containers of a machine of a type may ask for.
+func (config *Config) capacity(machineType int) adoption.Capacity {
+	if machineType >= len(config.Scheduler.MachineTypes) {
+		return config.largestCapacity()
+	}
+	size, settings := config.Scheduler.MachineTypes[machineType], &config.Scheduler
+	return adoption.NewCapacity(
+		adoption.Load{Cores: size.Cores * settings.CoresOvercommit, Memory: size.Memory * settings.MemoryOvercommit},
+		adoption.Load{Cores: settings.MeanCores, Memory: settings.MeanMemory},
+	)
+}
+
+// largestCapacity is what those of a machine may ask for whose type is not known.
+func (config *Config) largestCapacity() adoption.Capacity {
+	var largest adoption.Capacity
+	for i := range config.Scheduler.MachineTypes {
+		largest = largest.Max(config.capacity(i))
+	}
+	return largest
+}
+
 func namesOf(named []wireNamed) []string {
 	var names []string
 	for _, n := range named {
--- a/internal/platform/containerregistry.go
+++ b/internal/platform/containerregistry.go
@@ -6,6 +6,7 @@
 	"maps"
 	"slices"
 
+	"glenport/internal/platform/adoption"
 	"glenport/internal/platform/connmanager"
 	"glenport/internal/platform/failuredetector"
 	"glenport/internal/platform/jsonlines"
@@ -71,29 +72,49 @@
 	if r.containers[request.ID] != nil {
 		return
 	}
-	m := r.machines.getOrAdd(at)
-	if m.runs(request.IdempotencyKey) {
+	m := r.machines.lookup(at)
+	if m != nil && m.runs(request.IdempotencyKey) {
 		return
 	}
 	c := &container{env: r.env, registry: r, request: request, client: cc, answered: true, attemptsMade: 1}
-	r.containers[request.ID] = c
-	c.adopted(m)
-	r.env.notifyScheduler(scheduler.ContainerAdopted{PlacementRequest: request, Machine: at})
-	if m.isListed() && m.isGone() {
-		// Invariant: no container counts as running at a machine that is gone. A successor may be at its address, and
-		// its activity would be attributed to the machine that is gone.
-		m.failRunning(r.env.loop.Now())
-		return
+	if r.admits(c, at) {
+		m = r.machines.getOrAdd(at)
+		r.containers[request.ID] = c
+		c.adopted(m)
+		r.env.notifyScheduler(scheduler.ContainerAdopted{PlacementRequest: request, Machine: at})
+		if m.isListed() && m.isGone() {
+			// Invariant: no container counts as running at a machine that is gone. A successor may be at its address,
+			// and its activity would be attributed to the machine that is gone.
+			m.failRunning(r.env.loop.Now())
+			return
+		}
 	}
 	r.env.notifyFailureDetector(failuredetector.ContainerReclaimed{
 		Machine: string(at), RequestID: string(request.ID),
 	})
 }
 
+// admits has the claim to a running container decided on. Others may give way to it.
+func (r *containerRegistry) admits(c *container, at scheduler.MachineID) bool {
+	decision := r.env.claims.Decide(adoption.Claim{
+		Client:  adoption.ClientID(c.client.id),
+		ID:      string(c.request.ID),
+		Machine: string(at),
+		Load:    c.load(),
+	}, r.machines.claimed(at))
+	for _, id := range decision.Displaced {
+		r.containers[scheduler.ContainerID(id)].displaced()
+	}
+	return decision.Adopt
+}
+
 // requestClosed counts a request that was answered or cancelled.
 func (r *containerRegistry) requestClosed() { r.unanswered-- }
 
-func (r *containerRegistry) remove(c *container) { delete(r.containers, c.request.ID) }
+func (r *containerRegistry) remove(c *container) {
+	delete(r.containers, c.request.ID)
+	r.env.claims.Remove(string(c.request.ID))
+}
 
 // startAttempt carries out the scheduler's decision to offer a container to a machine.
 func (r *containerRegistry) startAttempt(action scheduler.StartAttempt) {
@@ -129,6 +150,7 @@
 	for _, c := range r.requestedOn(cc) {
 		c.clientDisconnected()
 	}
+	r.env.claims.ClientDisconnected(adoption.ClientID(cc.id))
 }
 
 // requestedOn returns the containers that were requested on a connection, by identifier.
--- a/internal/platform/containers.go
+++ b/internal/platform/containers.go
@@ -2,6 +2,7 @@
 
 import (
 	"glenport/internal/eventloop"
+	"glenport/internal/platform/adoption"
 	"glenport/internal/platform/connmanager"
 	"glenport/internal/platform/jsonlines"
 	"glenport/scheduler"
@@ -62,7 +63,18 @@
 		createdAt: c.env.loop.Now(),
 	}
 	m.addAttempt(c.attempt)
-	m.addRunning(1)
+	m.containerStarted(c)
+}
+
+// displaced ends the count of a container that was adopted, as its claim gives way to another. Nobody is notified: the
+// container may be running.
+func (c *container) displaced() {
+	c.attempt.finish(scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: true})
+}
+
+// load is what the container asks for.
+func (c *container) load() adoption.Load {
+	return adoption.Load{Cores: c.request.Cores, Memory: c.request.Memory, Containers: 1}
 }
 
 // attemptFinished removes the attempt, which has its outcome.
--- a/internal/platform/environment.go
+++ b/internal/platform/environment.go
@@ -4,6 +4,7 @@
 	"log/slog"
 
 	"glenport/internal/eventloop"
+	"glenport/internal/platform/adoption"
 	"glenport/internal/platform/connmanager"
 	"glenport/internal/platform/failuredetector"
 	"glenport/internal/platform/jsonlines"
@@ -17,7 +18,8 @@
 	log          *slog.Logger
 	tracing      bool // every message is logged
 	loop         *eventloop.Loop
-	encodeBuffer []byte // reused by encode
+	encodeBuffer []byte           // reused by encode
+	claims       *adoption.Claims // what clients claim to be running, and no machine has confirmed
 
 	schedulerQueue       decisionQueue[scheduler.Event, scheduler.Action]
 	connManagerQueue     decisionQueue[connmanager.Event, connmanager.Action]         // handled after the scheduler's
@@ -35,6 +37,20 @@
 	env.failureDetectorQueue.add(e)
 }
 
+// notifyLeftOutEnd has a client notified of the end of a container whose claim was left out. It reports whether there
+// may be such a claim.
+func (env *environment) notifyLeftOutEnd(
+	id scheduler.ContainerID, at scheduler.MachineID, cause terminationCause,
+) bool {
+	if !env.claims.LeftOut(string(id), string(at)) {
+		return false
+	}
+	if cause != causeCancelled {
+		env.notifyConnManager(connmanager.ContainerTerminated{RequestID: string(id), Cause: int(cause)})
+	}
+	return true
+}
+
 // runDecisions passes the events of this iteration on and carries out the actions that follow. It reports whether
 // these have caused further events.
 func (env *environment) runDecisions() (more bool) {
--- a/internal/platform/machineconnmessages.go
+++ b/internal/platform/machineconnmessages.go
@@ -42,6 +42,7 @@
 func (mc *machineConn) handleEnd(event containerEnded) {
 	a := mc.machine.attempt(event.id)
 	switch {
+	case a == nil && mc.env.notifyLeftOutEnd(event.id, mc.machine.id, event.cause):
 	case a == nil: // after a start of this process a client may still reclaim the container
 		mc.env.notifyFailureDetector(failuredetector.UnclaimedTermination{
 			Machine:   string(mc.machine.id),
@@ -59,6 +60,9 @@
 	if a == nil || !a.isOffered() {
 		return
 	}
+	if a.isRunning() {
+		mc.env.claims.Remove(string(report.id)) // the machine has confirmed it
+	}
 	mc.env.notifyScheduler(scheduler.UsageReported{
 		ID:      report.id,
 		Machine: mc.machine.id,
--- a/internal/platform/machineregistry.go
+++ b/internal/platform/machineregistry.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"glenport/internal/eventloop"
+	"glenport/internal/platform/adoption"
 	"glenport/internal/platform/failuredetector"
 	"glenport/scheduler"
 )
@@ -46,6 +47,23 @@
 	return m
 }
 
+// claimed describes the machine at which a client claims that a container is running.
+func (r *machineRegistry) claimed(id scheduler.MachineID) adoption.Machine {
+	m := r.machines[id]
+	if m == nil || !m.isListed() {
+		unlisted := adoption.Machine{Capacity: r.env.config.largestCapacity()}
+		if m != nil {
+			unlisted.Running = m.running
+		}
+		return unlisted
+	}
+	return adoption.Machine{
+		Listed:   true,
+		Capacity: r.env.config.capacity(m.entry.MachineType),
+		Running:  m.running,
+	}
+}
+
 func (r *machineRegistry) count() int { return len(r.machines) }
 
 // sorted yields the machines by identifier, without those that are removed meanwhile.
@@ -143,12 +161,15 @@
 
 // finishReclaimed ends a container whose machine had reported its end before a client reclaimed it.
 func (r *machineRegistry) finishReclaimed(action failuredetector.ReportTermination) {
-	m := r.machines[scheduler.MachineID(action.Machine)]
+	at, id := scheduler.MachineID(action.Machine), scheduler.ContainerID(action.RequestID)
+	m := r.machines[at]
 	if m == nil {
 		return
 	}
-	if a := m.attempt(scheduler.ContainerID(action.RequestID)); a != nil {
-		cause := terminationCause(action.Cause)
+	cause := terminationCause(action.Cause)
+	if a := m.attempt(id); a == nil {
+		r.env.notifyLeftOutEnd(id, at, cause)
+	} else {
 		a.finishRunning(cause, scheduler.AttemptEnded{Outcome: cause.outcomeAfterAccept()})
 	}
 }
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -2,6 +2,7 @@
 
 import (
 	"glenport/internal/eventloop"
+	"glenport/internal/platform/adoption"
 	"glenport/internal/platform/failuredetector"
 	"glenport/scheduler"
 )
@@ -17,7 +18,7 @@
 	startedAt scheduler.Time // the start of its incarnation
 	conns     *machineConnSet
 	attempts  map[scheduler.ContainerID]*attempt // pending, or running there
-	running   int                                // containers
+	running   adoption.Load                      // of the containers that are running there
 }
 
 // isListed reports whether the machine list has named the machine.
@@ -46,17 +47,27 @@
 	return false
 }
 
-func (m *machine) hasRunning() bool { return m.running > 0 }
+func (m *machine) hasRunning() bool { return m.running.Containers > 0 }
 
-// addRunning changes the count of containers that are running at the machine.
-func (m *machine) addRunning(n int) {
-	m.running += n
-	m.env.notifyFailureDetector(failuredetector.RunningCountChanged{Machine: string(m.id), Count: m.running})
+// containerStarted counts a container that is running at the machine.
+func (m *machine) containerStarted(c *container) { m.setRunning(m.running.Add(c.load())) }
+
+// containerEnded counts the end of such a container.
+func (m *machine) containerEnded(c *container) { m.setRunning(m.running.Sub(c.load())) }
+
+func (m *machine) setRunning(load adoption.Load) {
+	if load.Containers == 0 {
+		load = adoption.Load{} // without what rounding leaves
+	}
+	m.running = load
+	m.env.notifyFailureDetector(failuredetector.RunningCountChanged{
+		Machine: string(m.id), Count: load.Containers,
+	})
 }
 
 // recordActivity reports activity of the machine to the failure detector.
 func (m *machine) recordActivity() {
-	if m.running > 0 {
+	if m.hasRunning() {
 		m.env.notifyFailureDetector(failuredetector.ActivityObserved{Machine: string(m.id)})
 	}
 }
@@ -74,7 +85,7 @@
 // declareLost ends the containers of the machine, which was silent for a time or, after none, refuses connections.
 func (m *machine) declareLost(silentFor eventloop.Tick) {
 	m.env.log.Info("machine lost",
-		"machine", m.id, "running", m.running, "silent_ms", int64(silentFor/eventloop.Millisecond))
+		"machine", m.id, "running", m.running.Containers, "silent_ms", int64(silentFor/eventloop.Millisecond))
 	m.failRunning(m.env.loop.Now())
 }
 
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -5,6 +5,7 @@
 	"log/slog"
 
 	"glenport/internal/eventloop"
+	"glenport/internal/platform/adoption"
 	"glenport/internal/platform/connmanager"
 	"glenport/internal/platform/failuredetector"
 	"glenport/scheduler"
@@ -50,6 +51,7 @@
 
 // newServer makes the parts of a server and acquaints them with each other.
 func newServer(env *environment) *Server {
+	env.claims = adoption.New(adoption.MaxClaims(env.config.MemoryMB))
 	machines := newMachineRegistry(env)
 	containers := newContainerRegistry(env, machines)
 	shutdown := newShutdownSequence(env, containers)
