--- a/internal/platform/adoption/adoption.go
+++ b/internal/platform/adoption/adoption.go
@@ -2,8 +2,8 @@
 
 // Limits of the claims in sum.
 const (
-	memoryDivisor = 8       // the part of the memory granted that claims may use
-	bytesPerClaim = 2 << 10 // that an adopted container uses here and in the scheduler, its machine included
+	memoryDivisor = 8      // the part of the memory granted that claims may use
+	bytesPerClaim = 5 << 9 // that an adopted container uses here and in the scheduler, its machine included
 )
 
 // MaxClaims is how many claims are adopted in sum where the platform grants so much memory.
--- a/internal/platform/adoption/displace.go
+++ b/internal/platform/adoption/displace.go
@@ -27,7 +27,11 @@
 	if len(c.claims)-len(y.chosen) < c.limit || machine.Listed && machine.Running.Containers == 0 {
 		return y.chosen, true
 	}
-	return y.chosen, y.choose(c.byClient[c.largestClient()]) != nil
+	largest := c.largestClient()
+	if !y.mayYield(largest) {
+		return nil, false // without a look at each of its claims
+	}
+	return y.chosen, y.choose(c.byClient[largest]) != nil
 }
 
 // watches reports whether a claim is the only one at a listed machine. It is adopted beyond the limit in sum and does
@@ -63,13 +67,14 @@
 	return victim
 }
 
-// hasToYield reports whether a claim gives way to the one that comes, so that its connection keeps as many claims as
-// the other connection then has.
+// hasToYield reports whether a claim gives way to the one that comes.
 func (y *yielding) hasToYield(candidate *adopted) bool {
-	if slices.Contains(y.chosen, candidate) || y.claims.watches(candidate) {
-		return false
-	}
-	return y.kept(candidate.Client) > len(y.claims.byClient[y.to])+1
+	return y.mayYield(candidate.Client) && !y.claims.watches(candidate) && !slices.Contains(y.chosen, candidate)
+}
+
+// mayYield reports whether a connection that gives up a claim keeps as many as the other connection then has.
+func (y *yielding) mayYield(client ClientID) bool {
+	return y.kept(client) > len(y.claims.byClient[y.to])+1
 }
 
 func (y *yielding) yieldsBefore(candidate, other *adopted) bool {
--- a/internal/platform/attempts.go
+++ b/internal/platform/attempts.go
@@ -94,6 +94,7 @@
 	id := a.id()
 	a.env.loop.Cancel(a.timer)
 	a.conn.attemptAccepted(id)
+	a.container.waitingClaim = nil
 	a.machine.containerStarted(a.container)
 	a.env.notifyScheduler(scheduler.AttemptAccepted{
 		ID:      id,
--- /dev/null
+++ b/internal/platform/claims.go
@@ -0,0 +1,70 @@
+package platform
+
+import (
+	"glenport/internal/platform/adoption"
+	"glenport/internal/platform/failuredetector"
+	"glenport/scheduler"
+)
+
+// runningClaim is a client's claim that a container is running at a machine.
+type runningClaim struct {
+	client  *clientConn
+	request scheduler.PlacementRequest
+	at      scheduler.MachineID
+}
+
+// claimed takes in a claim. One to a container that is running here already is ignored.
+func (r *containerRegistry) claimed(claim runningClaim) {
+	c := r.containers[claim.request.ID]
+	switch {
+	case c == nil:
+		r.adopt(claim)
+	case c.isOpenRequestOf(claim.client):
+		c.closeAsRunning(claim.at)
+		r.adopt(claim)
+	case !c.isAnswered():
+		// The end of the connection on which the client has requested the container may be on its way. Anybody else
+		// must not close the request of another client.
+		c.waitingClaim = &claim
+	}
+}
+
+// adopt adds the container of a claim, unless one with its key is running at the machine or the claim is left out.
+func (r *containerRegistry) adopt(claim runningClaim) {
+	m := r.machines.lookup(claim.at)
+	if m != nil && m.runs(claim.request.IdempotencyKey) {
+		return
+	}
+	c := &container{env: r.env, registry: r, request: claim.request, answered: true, attemptsMade: 1}
+	if claim.client.isOpen() {
+		c.client = claim.client
+	}
+	if r.admits(c, claim.at) {
+		r.containers[c.request.ID] = c
+		m = r.machines.getOrAdd(claim.at)
+		c.adopted(m)
+		r.env.notifyScheduler(scheduler.ContainerAdopted{PlacementRequest: c.request, Machine: claim.at})
+		if m.isListed() && m.isGone() {
+			// Invariant: no container counts as running at a machine that is gone. A successor may be at its address,
+			// and its activity would be attributed to the machine that is gone.
+			m.failRunning(r.env.loop.Now())
+			return
+		}
+	}
+	r.env.notifyFailureDetector(failuredetector.ContainerReclaimed{
+		Machine: string(claim.at), RequestID: string(c.request.ID),
+	})
+}
+
+// admits has the claim to a running container decided on. Others may give way to it.
+func (r *containerRegistry) admits(c *container, at scheduler.MachineID) bool {
+	claim := adoption.Claim{ID: string(c.request.ID), Machine: string(at), Load: c.load()}
+	if c.client != nil {
+		claim.Client = adoption.ClientID(c.client.id)
+	}
+	decision := r.env.claims.Decide(claim, r.machines.claimed(at))
+	for _, id := range decision.Displaced {
+		r.containers[scheduler.ContainerID(id)].displaced()
+	}
+	return decision.Adopt
+}
--- a/internal/platform/clientstate.go
+++ b/internal/platform/clientstate.go
@@ -46,6 +46,9 @@
 	return err
 }
 
+// isOpen reports whether the connection has not ended.
+func (cc *clientConn) isOpen() bool { return cc.state != clientClosed }
+
 // isWritable reports whether messages may be written. Where the connection is closing, the attempt resets it.
 func (cc *clientConn) isWritable() bool {
 	return cc.state == clientEstablished || cc.state == clientClosing
--- a/internal/platform/containerregistry.go
+++ b/internal/platform/containerregistry.go
@@ -8,7 +8,6 @@
 
 	"glenport/internal/platform/adoption"
 	"glenport/internal/platform/connmanager"
-	"glenport/internal/platform/failuredetector"
 	"glenport/internal/platform/jsonlines"
 	"glenport/scheduler"
 )
@@ -67,53 +66,15 @@
 	r.env.notifyScheduler(scheduler.RequestReceived{PlacementRequest: c.request})
 }
 
-// adopt adds a container that a client claims to be running at a machine, unless the container is known already.
-func (r *containerRegistry) adopt(cc *clientConn, request scheduler.PlacementRequest, at scheduler.MachineID) {
-	if r.containers[request.ID] != nil {
-		return
-	}
-	m := r.machines.lookup(at)
-	if m != nil && m.runs(request.IdempotencyKey) {
-		return
-	}
-	c := &container{env: r.env, registry: r, request: request, client: cc, answered: true, attemptsMade: 1}
-	if r.admits(c, at) {
-		m = r.machines.getOrAdd(at)
-		r.containers[request.ID] = c
-		c.adopted(m)
-		r.env.notifyScheduler(scheduler.ContainerAdopted{PlacementRequest: request, Machine: at})
-		if m.isListed() && m.isGone() {
-			// Invariant: no container counts as running at a machine that is gone. A successor may be at its address,
-			// and its activity would be attributed to the machine that is gone.
-			m.failRunning(r.env.loop.Now())
-			return
-		}
-	}
-	r.env.notifyFailureDetector(failuredetector.ContainerReclaimed{
-		Machine: string(at), RequestID: string(request.ID),
-	})
-}
-
-// admits has the claim to a running container decided on. Others may give way to it.
-func (r *containerRegistry) admits(c *container, at scheduler.MachineID) bool {
-	decision := r.env.claims.Decide(adoption.Claim{
-		Client:  adoption.ClientID(c.client.id),
-		ID:      string(c.request.ID),
-		Machine: string(at),
-		Load:    c.load(),
-	}, r.machines.claimed(at))
-	for _, id := range decision.Displaced {
-		r.containers[scheduler.ContainerID(id)].displaced()
-	}
-	return decision.Adopt
-}
-
 // requestClosed counts a request that was answered or cancelled.
 func (r *containerRegistry) requestClosed() { r.unanswered-- }
 
 func (r *containerRegistry) remove(c *container) {
 	delete(r.containers, c.request.ID)
 	r.env.claims.Remove(string(c.request.ID))
+	if c.waitingClaim != nil {
+		r.adopt(*c.waitingClaim)
+	}
 }
 
 // startAttempt carries out the scheduler's decision to offer a container to a machine.
--- a/internal/platform/containers.go
+++ b/internal/platform/containers.go
@@ -21,7 +21,8 @@
 	client         *clientConn // nil once its connection has ended
 	answered       bool
 	attemptsMade   int
-	attempt        *attempt // the pending one, or the one by which it is running
+	attempt        *attempt      // the pending one, or the one by which it is running
+	waitingClaim   *runningClaim // that it is running; of another client, until the request is over
 }
 
 func (c *container) wasRequestedOn(cc *clientConn) bool { return c.client == cc }
@@ -109,6 +110,16 @@
 	c.cancelPendingAttempt()
 }
 
+// closeAsRunning closes the unanswered request, as its client claims that the container is running at a machine. An
+// offer to that machine is not cancelled there: that would end the container.
+func (c *container) closeAsRunning(at scheduler.MachineID) {
+	c.waitingClaim = nil
+	if a := c.attempt; a != nil && a.machine.id == at {
+		a.finish(scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: true})
+	}
+	c.cancel()
+}
+
 // clientDisconnected cancels the request if it is open. A running container belongs to no connection.
 func (c *container) clientDisconnected() {
 	if !c.answered {
