--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -122,3 +122,27 @@
 	event, err = config.decodeWatchEvent([]byte(`{"offset":7}`))
 	testutil.Expect(t, err == nil && event.offsetOnly && event.offset == 7, "decoded %+v, %v", event, err)
 }
+
+// The watch breaks in the iteration in which more clients connect than may be open: it has a descriptor all the same.
+func TestWatchResumesInClientBurst(t *testing.T) {
+	const descriptors = 64
+	discovery, watches := watchedDiscovery(t)
+	r := startServer(t, attemptOnA(0), configJSON(discovery, descriptors, snapshotJSON(1)))
+	r.awaitList(1)
+	p := follow(t, watches, "from 1")
+	r.runOnLoop(func() {
+		r.dialClients(descriptors)
+		p.close()
+	})
+	r.awaitClientConns((descriptors - 32) / 2)
+	follow(t, watches, "from 1").send(deltaJSON(2))
+	r.awaitList(2)
+	r.runOnLoop(func() { r.expectWithinDescriptors(descriptors) })
+}
+
+// A scheduler that starts while the discovery service is away is ready at once, and places by the list that it knows.
+func TestStartWithoutDiscoveryServesRequests(t *testing.T) {
+	r := startWithDiscovery(t, nowhere, machineJSON("a", fakeMachine(t, acceptLine("%s")), "ready", 0))
+	r.dialClient().expectLive(1)
+	r.place()
+}
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -17,7 +17,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const testTimeout = 10 * time.Second // a test that waits longer has failed
+const (
+	testTimeout        = 10 * time.Second // a test that waits longer has failed
+	programDescriptors = 14               // that the program itself may hold
+)
 
 // scriptedScheduler decides by a script, or records the events of the scheduler that it wraps.
 type scriptedScheduler struct {
@@ -168,3 +171,26 @@
 	client.expect(jsonlines.OpAccept, requestID)
 	return client
 }
+
+// dialClients connects clients that send nothing.
+func (r *testServer) dialClients(count int) {
+	r.Helper()
+	for range count {
+		r.dialClient()
+	}
+}
+
+// awaitClientConns waits until so many client connections are open.
+func (r *testServer) awaitClientConns(count int) {
+	r.Helper()
+	for open := 0; open < count; {
+		r.runOnLoop(func() { open = len(r.server.clients.conns) })
+	}
+}
+
+// expectWithinDescriptors checks on the loop that the connections never used up the descriptors.
+func (r *testServer) expectWithinDescriptors(descriptors int) {
+	r.Helper()
+	n := r.server.env.loop.PeakConnCount()
+	testutil.Expect(r, n+programDescriptors <= descriptors, "%d connections at once, of %d descriptors", n, descriptors)
+}
--- a/internal/platform/machineconns_test.go
+++ b/internal/platform/machineconns_test.go
@@ -221,13 +221,9 @@
 		client.receive()
 	}
 	r.runOnLoop(func() { // all are there when the loop goes on
-		for range clients {
-			r.dialClient()
-		}
+		r.dialClients(clients)
 	})
-	for full := false; !full; {
-		r.runOnLoop(func() { full = len(r.server.clients.conns) >= conns })
-	}
+	r.awaitClientConns(conns)
 	r.runOnLoop(func() { // and now the attempts
 		r.ageMachineConns()
 		for i := conns; i < machines; i++ {
@@ -236,11 +232,7 @@
 	})
 	last := scheduler.ContainerID(numberedRequest(machines - 1))
 	await(r, func(e scheduler.RequestReceived) bool { return e.ID == last })
-	r.runOnLoop(func() {
-		if n := r.server.env.loop.PeakConnCount(); n+14 > descriptors { // that many the program itself may hold
-			t.Errorf("%d connections at once, of %d descriptors", n, descriptors)
-		}
-	})
+	r.runOnLoop(func() { r.expectWithinDescriptors(descriptors) })
 }
 
 // A maintenance tick that opens a connection may evict the last one of a machine that is gone, and the machine with it:
--- a/internal/platform/machinemessages_test.go
+++ b/internal/platform/machinemessages_test.go
@@ -4,6 +4,7 @@
 	"reflect"
 	"testing"
 
+	"glenport/internal/platform/jsonlines"
 	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
@@ -38,3 +39,32 @@
 		testutil.Expect(t, reflect.DeepEqual(got, tc.want), "%s is %+v, want %+v", tc.line, got, tc.want)
 	}
 }
+
+// A machine accepts as the attempt times out. Read in the iteration of the time-out the accept counts; read after it,
+// the attempt was cancelled and the accept is ignored. The client has one answer either way.
+func TestAcceptCrossesTimeout(t *testing.T) {
+	t.Run("read in the same iteration", func(t *testing.T) {
+		r := startWithOfferAtA(t)
+		r.runOnLoop(func() {
+			r.machineA.send(acceptLine(requestID))
+			r.server.env.loop.Post(func() { // in the next iteration, whose input has the accept
+				a := r.server.containers.lookup(requestID).attempt
+				r.server.env.loop.Cancel(a.timer)
+				a.timer = r.server.env.loop.After(0, a.deadlinePassed)
+			})
+		})
+		r.client.expect(jsonlines.OpAccept, requestID)
+		r.client.expectLive(1)
+	})
+	t.Run("read after it", func(t *testing.T) {
+		r := startWithOfferAtA(t)
+		r.runOnLoop(func() {
+			r.machineA.send(acceptLine(requestID))
+			r.server.containers.lookup(requestID).attempt.deadlinePassed()
+		})
+		r.awaitOutcome(scheduler.AttemptEnded{ID: requestID, Outcome: scheduler.OutcomeTimedOut})
+		r.client.expectFailed(requestID)
+		r.machineA.expectEnd(requestID, jsonlines.CauseNormal)
+		r.client.expectLive(1)
+	})
+}
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -122,3 +122,54 @@
 	publishLater(deltaJSON(3))
 	r.awaitList(3) // from the new address
 }
+
+// The order to leave comes in the iteration in which more clients connect than may be open: what is open, and what
+// comes on a connection that awaits an answer, is answered before the exit.
+func TestShutdownInClientBurstAnswersRequests(t *testing.T) {
+	const descriptors = 64
+	offered, answer := make(chan bool, 2), make(chan bool)
+	addr := serveMessages(t, func(m *peer, msg *jsonlines.Message) {
+		offered <- true
+		<-answer
+		m.send(acceptLine(msg.RequestID))
+	})
+	a := snapshotJSON(1, machineJSON("a", addr, "ready", 0))
+	r := startServer(t, attemptOnA(0), configJSON(silentDiscovery(t), descriptors, a))
+	client := r.request(requestID)
+	<-offered
+	r.runOnLoop(func() {
+		r.dialClients(descriptors)
+		r.server.shutdown.start()
+	})
+	r.awaitClientConns((descriptors - 32) / 2)
+	client.send(offerLine(otherRequestID, ""))
+	<-offered
+	r.runOnLoop(func() { r.expectWithinDescriptors(descriptors) })
+	close(answer)
+	ids := map[string]bool{client.receive().RequestID: true, client.receive().RequestID: true}
+	testutil.Expect(t, ids[requestID] && ids[otherRequestID], "answered %v", ids)
+	r.runOnLoop(func() { r.markShuttingDown(4 * eventloop.Second) })
+	client.expectClosed()
+}
+
+// A scheduler is killed as soon as it has placed a container. The next one, from the same file, learns of it from its
+// client alone, and notifies that of its end.
+func TestContainerOutlivesEarlyKill(t *testing.T) {
+	conns := make(chan *peer, 10)
+	addr := serveTCP(t, func(m *peer) {
+		conns <- m
+		for msg := m.receive(); msg != nil; msg = m.receive() {
+			m.send(acceptLine(msg.RequestID))
+		}
+	})
+	first := startWithMachineA(t, addr, attemptOnA(0))
+	first.place()
+	<-conns
+	first.server.env.loop.Stop()
+	second := startWithMachineA(t, addr, attemptOnA(0))
+	client := second.dialClient()
+	client.send(offerLine(requestID, ";at:a"))
+	await[scheduler.ContainerAdopted](second, nil)
+	(<-conns).send(endLine(requestID, jsonlines.CauseNormal))
+	client.expectEnd(requestID, jsonlines.CauseNormal)
+}
