--- a/internal/platform/attempts.go
+++ b/internal/platform/attempts.go
@@ -94,7 +94,7 @@
 	id := a.id()
 	a.env.loop.Cancel(a.timer)
 	a.conn.attemptAccepted(id)
-	a.container.waitingClaim = nil
+	a.container.accepted(a.machine)
 	a.machine.containerStarted(a.container)
 	a.env.notifyScheduler(scheduler.AttemptAccepted{
 		ID:      id,
@@ -130,6 +130,7 @@
 		a.env.log.Debug("attempt lost with its connection",
 			"request_id", a.id(), "machine", a.machine.id, "error", err)
 		outcome = scheduler.OutcomeLost
+		a.container.recordLostOffer(a.machine)
 	}
 	a.finish(scheduler.AttemptEnded{Outcome: outcome, Final: a.container.isAnswered()})
 }
@@ -149,12 +150,9 @@
 	if !a.machine.hasAddr() || a.state == attemptFinished {
 		return
 	}
-	mc := a.machine.conns.acquire()
-	if mc == nil {
+	if !a.machine.send(machineTerminationMessage(a.id(), cause)) {
 		a.env.loop.After(maintenanceInterval, func() { a.sendTermination(cause) })
-		return
 	}
-	mc.whenEstablished(func() { mc.send(machineTerminationMessage(a.id(), cause)) })
 }
 
 // finishUnaccepted ends a container whose machine evicted, preempted or drained it before its accept was read. Machines
--- a/internal/platform/containers.go
+++ b/internal/platform/containers.go
@@ -22,6 +22,7 @@
 	answered       bool
 	attemptsMade   int
 	attempt        *attempt      // the pending one, or the one by which it is running
+	lostOffers     []*machine    // where it may be running unseen; until another machine accepts it
 	waitingClaim   *runningClaim // that it is running; of another client, until the request is over
 }
 
@@ -84,6 +85,12 @@
 	c.removeIfDone()
 }
 
+// accepted takes in that a machine has accepted the container. A claim that it is running elsewhere is void.
+func (c *container) accepted(by *machine) {
+	c.waitingClaim = nil
+	c.cancelLostOffers(by)
+}
+
 // answer sends the one final answer to the request.
 func (c *container) answer(msg *jsonlines.Message) {
 	if c.answered {
