--- a/internal/platform/lostoffers.go
+++ b/internal/platform/copies.go
@@ -8,12 +8,18 @@
 	"glenport/scheduler"
 )
 
+// This file ends copies of containers that run on although their clients count them as ended, or have another.
+
+// isIdempotent reports whether the container may run again at any time. Its client then does not wait to see whether a
+// copy is still running, and such a copy is of no use to anybody. One of another container may be what its client
+// reclaims.
+func (c *container) isIdempotent() bool {
+	return c.env.config.Scheduler.WorkloadClasses[c.request.WorkloadClass].Idempotency == scheduler.Idempotent
+}
+
 // recordLostOffer records that an offer to a machine was lost with its connection: the container may be running there.
-// Only a copy of an idempotent container is of no use to anybody once another is accepted. One with a key or an
-// at-most-once container may be what its client reclaims.
 func (c *container) recordLostOffer(m *machine) {
-	class := c.env.config.Scheduler.WorkloadClasses[c.request.WorkloadClass]
-	if class.Idempotency == scheduler.Idempotent && !c.answered {
+	if c.isIdempotent() && !c.answered {
 		c.lostOffers = append(c.lostOffers, m)
 	}
 }
@@ -49,3 +55,26 @@
 	mc.whenEstablished(func() { mc.send(msg) })
 	return true
 }
+
+// recordSilentLoss records that an idempotent container was reported as terminated because its machine was silent: if
+// that was only cut off, the container runs on. One that was never accepted here is not recorded, as clients can make
+// up any number of claims.
+func (m *machine) recordSilentLoss(a *attempt) {
+	if a.wasAcceptedHere() && a.container.isIdempotent() {
+		m.lostInSilence = append(m.lostInSilence, a.id())
+	}
+}
+
+// cancelLostInSilence ends the containers that were lost, as the machine is heard again on a connection. Those that a
+// client has reclaimed meanwhile are left.
+func (m *machine) cancelLostInSilence(mc *machineConn) {
+	if !mc.isEstablished() {
+		return // nothing may be written
+	}
+	for _, id := range m.lostInSilence {
+		if m.attempts[id] == nil {
+			mc.send(cancelMessage(id))
+		}
+	}
+	m.lostInSilence = nil
+}
--- /dev/null
+++ b/internal/platform/copies_test.go
@@ -0,0 +1,116 @@
+package platform
+
+import (
+	"strings"
+	"testing"
+
+	"glenport/internal/platform/failuredetector"
+	"glenport/internal/platform/jsonlines"
+	"glenport/internal/testutil"
+	"glenport/scheduler"
+)
+
+// A machine runs a container though its accept could not be read. Once another machine has accepted it, the copy of an
+// idempotent container is cancelled; that of one with a key is left to its client.
+func TestCopyOfMalformedAcceptIsCancelled(t *testing.T) {
+	for _, tc := range []struct {
+		class     string
+		cancelled bool
+	}{{"matcher", true}, {"report-run", false}} {
+		t.Run(tc.class, func(t *testing.T) {
+			received := make(chan *jsonlines.Message, 10)
+			a := serveMessages(t, func(m *peer, msg *jsonlines.Message) {
+				received <- msg
+				m.send("noise")
+			})
+			r := startServer(t, attemptOnAThenB, configJSON(silentDiscovery(t), 256, snapshotJSON(1,
+				machineJSON("a", a, "ready", 0), machineJSON("b", fakeMachine(t, acceptLine("%s")), "ready", 0))))
+			client := r.dialClient()
+			client.send(strings.Replace(offerLine(requestID, ""), "report-run", tc.class, 1))
+			client.expect(jsonlines.OpAccept, requestID)
+			testutil.Equal(t, (<-received).Op, jsonlines.OpOffer)
+			if tc.cancelled {
+				msg := <-received
+				testutil.Expect(t, isMessage(msg, jsonlines.OpEnd, requestID, jsonlines.CauseNormal),
+					"received %+v", msg)
+			}
+			client.send(offerLine(otherRequestID, ""))
+			msg := <-received
+			testutil.Expect(t, msg.Op == jsonlines.OpOffer && msg.RequestID == otherRequestID, "received %+v", msg)
+		})
+	}
+}
+
+// attemptOnAThenB attempts each container on machine a, and on machine b after any outcome that is not final.
+func attemptOnAThenB(e scheduler.Event) []scheduler.Action {
+	switch e := e.(type) {
+	case scheduler.RequestReceived:
+		return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: "a"}}
+	case scheduler.AttemptEnded:
+		if !e.Final {
+			return []scheduler.Action{scheduler.StartAttempt{ID: e.ID, Machine: "b"}}
+		}
+	}
+	return nil
+}
+
+// A machine is cut off, its containers are reported as terminated, and it comes back: an idempotent container is
+// cancelled there, unless a client has reclaimed it. One with a key is left to its client.
+func TestContainerLostInSilenceIsCancelledOnReturn(t *testing.T) {
+	for _, tc := range []struct {
+		name, class          string
+		reclaimed, cancelled bool
+	}{
+		{"idempotent", "matcher", false, true},
+		{"idempotent, reclaimed", "matcher", true, false},
+		{"with a key", "report-run", false, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			r, client, received := startWithSilentLoss(t, tc.class)
+			if tc.reclaimed {
+				client.send(offerLine(requestID, ";at:a"))
+			}
+			expectPlaced(t, client, received, otherRequestID) // the machine is heard again
+			if tc.cancelled {
+				msg := <-received
+				testutil.Expect(t, isMessage(msg, jsonlines.OpEnd, requestID, jsonlines.CauseNormal),
+					"received %+v", msg)
+			}
+			expectPlaced(t, client, received, thirdRequestID)
+			r.runOnLoop(func() {
+				lost := r.server.machines.lookup("a").lostInSilence
+				testutil.Expect(t, len(lost) == 0, "%v is still recorded", lost)
+			})
+		})
+	}
+}
+
+// startWithSilentLoss starts a server whose machine a, lost in silence, was running a container of a class.
+func startWithSilentLoss(
+	t *testing.T, class string,
+) (r *testServer, client *peer, received chan *jsonlines.Message) {
+	t.Helper()
+	received = make(chan *jsonlines.Message, 10)
+	addr := serveMessages(t, func(m *peer, msg *jsonlines.Message) {
+		received <- msg
+		if msg.Op == jsonlines.OpOffer {
+			m.send(acceptLine(msg.RequestID))
+		}
+	})
+	r = startWithMachineA(t, addr, attemptOnA(0))
+	client = r.dialClient()
+	client.send(strings.Replace(offerLine(requestID, ""), "report-run", class, 1))
+	client.expect(jsonlines.OpAccept, requestID)
+	<-received
+	r.runOnLoop(func() { r.server.applyDetectorAction(failuredetector.DeclareLost{Machine: "a", SilentFor: 1}) })
+	client.expectFailed(requestID)
+	return r, client, received
+}
+
+// expectPlaced places a container at a machine that passes on what it receives, and checks that its offer comes next.
+func expectPlaced(t *testing.T, client *peer, received chan *jsonlines.Message, id string) {
+	t.Helper()
+	client.send(offerLine(id, ""))
+	client.expect(jsonlines.OpAccept, id)
+	testutil.Equal(t, (<-received).RequestID, id)
+}
--- a/internal/platform/machineconns.go
+++ b/internal/platform/machineconns.go
@@ -110,12 +110,18 @@
 	return mc.conn.Write(line) == nil
 }
 
+// heard takes in that the machine is alive.
+func (mc *machineConn) heard() {
+	mc.machine.recordActivity()
+	mc.machine.cancelLostInSilence(mc)
+}
+
 // Opened implements eventloop.Handler.
 func (mc *machineConn) Opened(*eventloop.Conn) {
 	if mc.transition(machineConnOpened) != nil {
 		return
 	}
-	mc.machine.recordActivity()
+	mc.heard()
 	waiting := mc.onEstablished
 	mc.onEstablished = nil
 	for _, do := range waiting {
@@ -125,7 +131,7 @@
 
 // Read implements eventloop.Handler.
 func (mc *machineConn) Read(conn *eventloop.Conn, data []byte) {
-	mc.machine.recordActivity()
+	mc.heard()
 	if err := mc.lines.Feed(data, mc.handleLine); err != nil {
 		mc.env.log.Debug("machine connection reset", "machine", mc.machine.id, "error", err)
 		conn.Reset()
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -19,6 +19,8 @@
 	conns     *machineConnSet
 	attempts  map[scheduler.ContainerID]*attempt // pending, or running there
 	running   adoption.Load                      // of the containers that are running there
+
+	lostInSilence []scheduler.ContainerID // until the machine is heard again, restarts or is gone
 }
 
 // isListed reports whether the machine list has named the machine.
@@ -86,6 +88,11 @@
 func (m *machine) declareLost(silentFor eventloop.Tick) {
 	m.env.log.Info("machine lost",
 		"machine", m.id, "running", m.running.Containers, "silent_ms", int64(silentFor/eventloop.Millisecond))
+	if silentFor > 0 {
+		for _, id := range sortedKeys(m.attempts) {
+			m.recordSilentLoss(m.attempts[id])
+		}
+	}
 	m.failRunning(m.env.loop.Now())
 }
 
@@ -107,6 +114,9 @@
 	} else {
 		m.registry.claimAddr(m)
 	}
+	if m.startedAt != entry.StartedAt {
+		m.lostInSilence = nil
+	}
 	m.state, m.startedAt = entry.State, entry.StartedAt
 	if m.startedAt > 0 {
 		m.failRunning(eventloop.Tick(m.startedAt))
