--- a/internal/platform/claims.go
+++ b/internal/platform/claims.go
@@ -50,6 +50,8 @@
 			m.failRunning(r.env.loop.Now())
 			return
 		}
+	} else {
+		r.env.log.Debug("claim left out", "request_id", c.request.ID, "machine", claim.at)
 	}
 	r.env.notifyFailureDetector(failuredetector.ContainerReclaimed{
 		Machine: string(claim.at), RequestID: string(c.request.ID),
