--- a/internal/platform/containerregistry.go
+++ b/internal/platform/containerregistry.go
@@ -6,8 +6,8 @@
 	"maps"
 	"slices"
 
+	"glenport/internal/platform/adoption"
 	"glenport/internal/platform/connmanager"
-	"glenport/internal/platform/failuredetector"
 	"glenport/internal/platform/jsonlines"
 	"glenport/scheduler"
 )
@@ -66,34 +66,16 @@
 	r.env.notifyScheduler(scheduler.RequestReceived{PlacementRequest: c.request})
 }
 
-// adopt adds a container that a client claims to be running at a machine, unless the container is known already.
-func (r *containerRegistry) adopt(cc *clientConn, request scheduler.PlacementRequest, at scheduler.MachineID) {
-	if r.containers[request.ID] != nil {
-		return
-	}
-	m := r.machines.getOrAdd(at)
-	if m.runs(request.IdempotencyKey) {
-		return
-	}
-	c := &container{env: r.env, registry: r, request: request, client: cc, answered: true, attemptsMade: 1}
-	r.containers[request.ID] = c
-	c.adopted(m)
-	r.env.notifyScheduler(scheduler.ContainerAdopted{PlacementRequest: request, Machine: at})
-	if m.isListed() && m.isGone() {
-		// Invariant: no container counts as running at a machine that is gone. A successor may be at its address, and
-		// its activity would be attributed to the machine that is gone.
-		m.failRunning(r.env.loop.Now())
-		return
-	}
-	r.env.notifyFailureDetector(failuredetector.ContainerReclaimed{
-		Machine: string(at), RequestID: string(request.ID),
-	})
-}
-
 // requestClosed counts a request that was answered or cancelled.
 func (r *containerRegistry) requestClosed() { r.unanswered-- }
 
-func (r *containerRegistry) remove(c *container) { delete(r.containers, c.request.ID) }
+func (r *containerRegistry) remove(c *container) {
+	delete(r.containers, c.request.ID)
+	r.env.claims.Remove(string(c.request.ID))
+	if c.waitingClaim != nil {
+		r.adopt(*c.waitingClaim)
+	}
+}
 
 // startAttempt carries out the scheduler's decision to offer a container to a machine.
 func (r *containerRegistry) startAttempt(action scheduler.StartAttempt) {
@@ -129,6 +111,7 @@
 	for _, c := range r.requestedOn(cc) {
 		c.clientDisconnected()
 	}
+	r.env.claims.ClientDisconnected(adoption.ClientID(cc.id))
 }
 
 // requestedOn returns the containers that were requested on a connection, by identifier.
--- a/internal/platform/containers.go
+++ b/internal/platform/containers.go
@@ -2,6 +2,7 @@
 
 import (
 	"glenport/internal/eventloop"
+	"glenport/internal/platform/adoption"
 	"glenport/internal/platform/connmanager"
 	"glenport/internal/platform/jsonlines"
 	"glenport/scheduler"
@@ -20,7 +21,9 @@
 	client         *clientConn // nil once its connection has ended
 	answered       bool
 	attemptsMade   int
-	attempt        *attempt // the pending one, or the one by which it is running
+	attempt        *attempt      // the pending one, or the one by which it is running
+	lostOffers     []*machine    // where it may be running unseen; until another machine accepts it
+	waitingClaim   *runningClaim // that it is running; of another client, until the request is over
 }
 
 func (c *container) wasRequestedOn(cc *clientConn) bool { return c.client == cc }
@@ -62,7 +65,18 @@
 		createdAt: c.env.loop.Now(),
 	}
 	m.addAttempt(c.attempt)
-	m.addRunning(1)
+	m.containerStarted(c)
+}
+
+// displaced ends the count of a container that was adopted, as its claim gives way to another. Nobody is notified: the
+// container may be running.
+func (c *container) displaced() {
+	c.attempt.finish(scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: true})
+}
+
+// load is what the container asks for.
+func (c *container) load() adoption.Load {
+	return adoption.Load{Cores: c.request.Cores, Memory: c.request.Memory, Containers: 1}
 }
 
 // attemptFinished removes the attempt, which has its outcome.
@@ -71,6 +85,12 @@
 	c.removeIfDone()
 }
 
+// accepted takes in that a machine has accepted the container. A claim that it is running elsewhere is void.
+func (c *container) accepted(by *machine) {
+	c.waitingClaim = nil
+	c.cancelLostOffers(by)
+}
+
 // answer sends the one final answer to the request.
 func (c *container) answer(msg *jsonlines.Message) {
 	if c.answered {
@@ -97,6 +117,16 @@
 	c.cancelPendingAttempt()
 }
 
+// closeAsRunning closes the unanswered request, as its client claims that the container is running at a machine. An
+// offer to that machine is not cancelled there: that would end the container.
+func (c *container) closeAsRunning(at scheduler.MachineID) {
+	c.waitingClaim = nil
+	if a := c.attempt; a != nil && a.machine.id == at {
+		a.finish(scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: true})
+	}
+	c.cancel()
+}
+
 // clientDisconnected cancels the request if it is open. A running container belongs to no connection.
 func (c *container) clientDisconnected() {
 	if !c.answered {
