--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -3,8 +3,6 @@
 import (
 	"io"
 	"net/netip"
-
-	"golang.org/x/sys/unix"
 )
 
 // closeFlushTimeout bounds how long Close waits for the peer to take pending output.
@@ -90,20 +88,13 @@
 // notified before Reset returns.
 func (c *Conn) Reset() {
 	if c.fd >= 0 && c.state != connClosed {
-		// Where the option is refused, the peer receives an orderly end in place of a reset.
-		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
+		c.loop.kernel.ResetOnClose(c.fd)
 	}
 	c.fail(ErrClosed)
 }
 
 // Peer is the address of the other end, or the zero value where the connection is not established.
-func (c *Conn) Peer() netip.AddrPort {
-	address, err := unix.Getpeername(c.fd)
-	if err != nil {
-		return netip.AddrPort{}
-	}
-	return addrPort(address)
-}
+func (c *Conn) Peer() netip.AddrPort { return c.loop.kernel.PeerAddr(c.fd) }
 
 // PendingOutput is the number of bytes accepted by Write and not yet written.
 func (c *Conn) PendingOutput() int { return len(c.output.pending) }
--- a/internal/eventloop/connio.go
+++ b/internal/eventloop/connio.go
@@ -65,7 +65,7 @@
 
 // readOnce reads once and reports whether there may be more to read.
 func (c *Conn) readOnce() bool {
-	n, err := unix.Read(c.fd, c.loop.buffer)
+	n, err := c.loop.kernel.Read(c.fd, c.loop.buffer)
 	switch {
 	case err != nil && isTransient(err):
 		return false
@@ -100,14 +100,14 @@
 	if c.isFinishing() {
 		c.fail(ErrClosed)
 	} else if c.output.ended {
-		c.shutdownWrite()
+		c.loop.kernel.ShutdownWrite(c.fd)
 	}
 }
 
 // writeOutput writes the pending output once and reports whether nothing is left; what is left waits until the peer
 // takes output again.
 func (c *Conn) writeOutput() bool {
-	if err := c.output.write(c.fd); err != nil {
+	if err := c.output.write(c.loop.kernel, c.fd); err != nil {
 		c.fail(fmt.Errorf("%w: %w", ErrReset, err))
 		return false
 	}
@@ -117,19 +117,15 @@
 	return !c.output.blocked
 }
 
-// shutdownWrite ends the write side. It fails only where the peer has reset the connection, which the next event
-// reports.
-func (c *Conn) shutdownWrite() { _ = unix.Shutdown(c.fd, unix.SHUT_WR) }
-
 // drainInput ends the write side and drops unread input: closing a socket with unread input sends a reset, by which the
 // peer may lose what it has not read yet.
 func (c *Conn) drainInput() {
 	if !c.isEstablished() {
 		return
 	}
-	c.shutdownWrite()
+	c.loop.kernel.ShutdownWrite(c.fd)
 	for range maxDrainReads {
-		if n, err := unix.Read(c.fd, c.loop.buffer); n <= 0 || err != nil {
+		if n, err := c.loop.kernel.Read(c.fd, c.loop.buffer); n <= 0 || err != nil {
 			return
 		}
 	}
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -40,12 +40,12 @@
 	if err != nil {
 		return err
 	}
-	fd, err := unix.Socket(family(address), unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	fd, err := c.loop.kernel.Socket(address)
 	if err != nil {
 		return err
 	}
 	if err := c.startConnect(fd, address, control); err != nil {
-		closeFD(fd)
+		c.loop.kernel.Close(fd)
 		return err
 	}
 	c.fd = fd
@@ -57,13 +57,13 @@
 
 // startConnect prepares the socket, begins the handshake, and has the socket watched for its end.
 func (c *Conn) startConnect(fd int, address netip.AddrPort, control func(fd int) error) error {
-	setNoDelay(fd)
+	c.loop.kernel.SetNoDelay(fd)
 	if control != nil {
 		if err := control(fd); err != nil {
 			return err
 		}
 	}
-	if err := unix.Connect(fd, sockaddr(address)); err != nil && !errors.Is(err, unix.EINPROGRESS) {
+	if err := c.loop.kernel.Connect(fd, address); err != nil && !errors.Is(err, unix.EINPROGRESS) {
 		return err
 	}
 	return c.loop.register(fd, unix.EPOLLOUT, c)
@@ -74,7 +74,7 @@
 func (c *Conn) finishConnect() {
 	c.loop.Cancel(c.connectTimer)
 	c.connectTimer = nil
-	if err := socketError(c.fd); err != nil {
+	if err := c.loop.kernel.SocketError(c.fd); err != nil {
 		c.fail(fmt.Errorf("%w: %w", ErrConnectFailed, err))
 		return
 	}
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -14,6 +14,11 @@
 // Loop.Post and Loop.Stop may be called from any goroutine. All else, including every method of Conn and Listener, may
 // be called only on the loop's goroutine: from a callback, or before Run begins.
 //
+// # Kernel
+//
+// All that a loop asks of the operating system passes through a Kernel. New takes that of Linux; NewOn takes another
+// one, by which package simnet plays a network and a clock of its own.
+//
 // # States
 //
 // A connection, with the state that follows each event:
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -37,13 +37,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	fd, err := unix.Socket(family(address), unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	fd, err := l.kernel.Socket(address)
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", addr, err)
 	}
 	ln := &Listener{loop: l, fd: fd, accept: accept, onAcceptState: onAcceptState}
 	if err := ln.open(address); err != nil {
-		closeFD(fd)
+		l.kernel.Close(fd)
 		return nil, fmt.Errorf("listen on %s: %w", addr, err)
 	}
 	return ln, nil
@@ -51,19 +51,10 @@
 
 // open binds the listener's socket and has it watched.
 func (ln *Listener) open(address netip.AddrPort) error {
-	// Where the option is refused, bind reports an address that is still in use.
-	_ = unix.SetsockoptInt(ln.fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	if err := unix.Bind(ln.fd, sockaddr(address)); err != nil {
+	var err error
+	if ln.addr, err = ln.loop.kernel.Listen(ln.fd, address, listenBacklog); err != nil {
 		return err
 	}
-	if err := unix.Listen(ln.fd, listenBacklog); err != nil {
-		return err
-	}
-	bound, err := unix.Getsockname(ln.fd)
-	if err != nil {
-		return err
-	}
-	ln.addr = addrPort(bound)
 	return ln.loop.register(ln.fd, unix.EPOLLIN, ln)
 }
 
@@ -106,13 +97,13 @@
 func (ln *Listener) admit(fd int) {
 	handler, maxOutput := ln.accept()
 	if handler == nil {
-		closeFD(fd)
+		ln.loop.kernel.Close(fd)
 		return
 	}
 	conn := &Conn{loop: ln.loop, fd: fd, handler: handler, state: connOpen, output: output{limit: maxOutput}}
-	setNoDelay(fd)
+	ln.loop.kernel.SetNoDelay(fd)
 	if err := ln.loop.register(fd, unix.EPOLLIN|unix.EPOLLRDHUP, conn); err != nil {
-		closeFD(fd)
+		ln.loop.kernel.Close(fd)
 		ln.reportAcceptState(err)
 		return
 	}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -3,6 +3,8 @@
 import (
 	"errors"
 	"fmt"
+	"maps"
+	"slices"
 	"time"
 
 	"golang.org/x/sys/unix"
@@ -17,7 +19,7 @@
 
 // Loop is one event loop. Create it with New and run it with Run.
 type Loop struct {
-	epollFD       int
+	kernel        Kernel
 	spareFD       int // held back to refuse connections when descriptors run out; -1: there is none
 	accept4       func(fd, flags int) (int, unix.Sockaddr, error)
 	started       time.Time
@@ -40,24 +42,21 @@
 
 // New creates a loop whose Run calls onIteration once in every iteration, after sockets and timers and before the
 // writes. It fails where epoll or eventfd descriptors cannot be created.
-func New(onIteration func()) (*Loop, error) {
-	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
-	if err != nil {
-		return nil, fmt.Errorf("epoll: %w", err)
-	}
-	wakeupFD, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
-	if err != nil {
-		closeFD(epollFD)
-		return nil, fmt.Errorf("eventfd: %w", err)
+func New(onIteration func()) (*Loop, error) { return NewOn(&systemKernel{}, onIteration) }
+
+// NewOn is New on another kernel than that of the system, which serves this one loop.
+func NewOn(kernel Kernel, onIteration func()) (*Loop, error) {
+	if err := kernel.OpenPoller(); err != nil {
+		return nil, err
 	}
-	now := time.Now()
+	now := kernel.Now()
 	l := &Loop{
-		epollFD:     epollFD,
-		accept4:     unix.Accept4,
+		kernel:      kernel,
+		accept4:     kernel.Accept,
 		started:     now,
 		base:        Tick(now.UnixMicro() / microsecondsPerTick),
 		onIteration: onIteration,
-		posts:       postQueue{wakeupFD: wakeupFD},
+		posts:       postQueue{kernel: kernel},
 		sources:     map[int]eventSource{},
 		buffer:      make([]byte, readBufferSize),
 		events:      make([]unix.EpollEvent, maxEventsPerIteration),
@@ -65,10 +64,6 @@
 	l.now = l.base
 	l.wheel = NewTimerWheel(l.now)
 	l.openSpare()
-	if err := l.addToPoller(wakeupFD, unix.EPOLLIN); err != nil {
-		l.closeDescriptors()
-		return nil, err
-	}
 	return l, nil
 }
 
@@ -77,7 +72,7 @@
 func (l *Loop) Run() error {
 	defer l.shutdown()
 	for l.state != loopStopping {
-		ready, err := unix.EpollWait(l.epollFD, l.events, l.waitTimeout())
+		ready, err := l.kernel.Wait(l.events, l.waitTimeout())
 		if err != nil && !errors.Is(err, unix.EINTR) {
 			return fmt.Errorf("epoll: %w", err)
 		}
@@ -92,7 +87,7 @@
 
 // iterate runs one iteration on the first ready entries of events, in the order that the package promises.
 func (l *Loop) iterate(ready int) {
-	began := time.Since(l.started)
+	began := l.kernel.Since(l.started)
 	l.now = max(l.now, l.readClock())
 	l.posts.run()
 	l.dispatch(ready)
@@ -105,7 +100,7 @@
 		l.onFlushed()
 	}
 	l.iterations++
-	l.busy += time.Since(l.started) - began
+	l.busy += l.kernel.Since(l.started) - began
 }
 
 // flushConns writes the output of queued connections. A connection that closes while the queue is worked off is
@@ -145,8 +140,10 @@
 // is closed.
 func (l *Loop) shutdown() {
 	l.posts.close()
-	for _, source := range l.sources {
-		source.shutdown()
+	for _, fd := range slices.Sorted(maps.Keys(l.sources)) {
+		if source := l.sources[fd]; source != nil { // nil: the end of an earlier one has closed it
+			source.shutdown()
+		}
 	}
 	l.flushConns()
 	l.closeDescriptors()
@@ -156,7 +153,7 @@
 func (l *Loop) Now() Tick { return l.now }
 
 // Elapsed reads the clock anew and gives the time since New, for measurements within an iteration.
-func (l *Loop) Elapsed() time.Duration { return time.Since(l.started) }
+func (l *Loop) Elapsed() time.Duration { return l.kernel.Since(l.started) }
 
 // Iterations is the number of iterations so far and the time spent in them, without the time spent waiting.
 func (l *Loop) Iterations() (count int, busy time.Duration) { return l.iterations, l.busy }
--- a/internal/eventloop/output.go
+++ b/internal/eventloop/output.go
@@ -1,7 +1,5 @@
 package eventloop
 
-import "golang.org/x/sys/unix"
-
 // output is what a connection still has to write.
 type output struct {
 	pending []byte // limit bytes at most
@@ -21,11 +19,11 @@
 }
 
 // write writes what is pending with one write. It is blocked where something is left.
-func (o *output) write(fd int) error {
+func (o *output) write(kernel Kernel, fd int) error {
 	if len(o.pending) == 0 {
 		return nil
 	}
-	n, err := unix.Write(fd, o.pending)
+	n, err := kernel.Write(fd, o.pending)
 	if err != nil {
 		if !isTransient(err) {
 			return err
--- a/internal/eventloop/shortage.go
+++ b/internal/eventloop/shortage.go
@@ -6,7 +6,7 @@
 
 // openSpare opens the descriptor that is held back for refuseOne; there is none where that fails.
 func (l *Loop) openSpare() {
-	fd, err := unix.Open("/dev/null", unix.O_RDONLY|unix.O_CLOEXEC, 0)
+	fd, err := l.kernel.OpenSpare()
 	if err != nil {
 		fd = -1
 	}
@@ -35,9 +35,9 @@
 
 // refuseOne closes one waiting connection, using the number of the spare descriptor.
 func (ln *Listener) refuseOne() {
-	closeFD(ln.loop.spareFD)
-	if fd, _, err := unix.Accept4(ln.fd, unix.SOCK_CLOEXEC); err == nil {
-		closeFD(fd)
+	ln.loop.kernel.Close(ln.loop.spareFD)
+	if fd, _, err := ln.loop.kernel.Accept(ln.fd, unix.SOCK_CLOEXEC); err == nil {
+		ln.loop.kernel.Close(fd)
 	}
 	ln.loop.openSpare()
 }
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -6,22 +6,6 @@
 	"golang.org/x/sys/unix"
 )
 
-// setNoDelay has the kernel send small writes at once. Where the option is refused the connection works all the same,
-// with more delay.
-func setNoDelay(fd int) { _ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) }
-
-// socketError takes the pending error of a socket; nil means that there is none.
-func socketError(fd int) error {
-	code, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
-	if err != nil {
-		return err
-	}
-	if code != 0 {
-		return unix.Errno(code)
-	}
-	return nil
-}
-
 func family(address netip.AddrPort) int {
 	if address.Addr().Is4() {
 		return unix.AF_INET
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -1,7 +1,5 @@
 package eventloop
 
-import "time"
-
 // After schedules a callback to run once, delay ticks after Now, with the timers of the first iteration at that time or
 // later, and never before After has returned. Where the delay is not positive, that is this iteration if its timers
 // have not run yet, else the next one.
@@ -17,7 +15,7 @@
 
 // readClock reads the loop's clock: wall time at New, advanced by monotonic time.
 func (l *Loop) readClock() Tick {
-	return l.base + Tick(time.Since(l.started).Microseconds()/microsecondsPerTick)
+	return l.base + Tick(l.kernel.Since(l.started).Microseconds()/microsecondsPerTick)
 }
 
 // waitTimeout is how long to wait for events, in milliseconds; -1 means without limit. It is rounded up: a timer may
--- a/internal/eventloop/wakeup.go
+++ b/internal/eventloop/wakeup.go
@@ -1,10 +1,6 @@
 package eventloop
 
-import (
-	"sync"
-
-	"golang.org/x/sys/unix"
-)
+import "sync"
 
 // Post queues a callback to run on the loop's goroutine at the start of the next iteration, in the order of the calls.
 // It reports whether the callback was queued: false once Run has ended; what is queued then is dropped. Any goroutine
@@ -16,13 +12,13 @@
 
 const (
 	postsTaken     postState = iota // the queue was empty when it was taken last, or nothing was posted since
-	postsSignalled                  // the eventfd is written: the loop wakes up and takes the queue
+	postsSignalled                  // Wake was called: the loop wakes up and takes the queue
 	postsClosed                     // Run has ended
 )
 
 // postQueue holds callbacks that other goroutines post, and wakes the loop up for them.
 type postQueue struct {
-	wakeupFD int // an eventfd
+	kernel Kernel
 
 	mu        sync.Mutex // guards what follows
 	state     postState
@@ -39,9 +35,7 @@
 	q.callbacks = append(q.callbacks, callback)
 	if q.state == postsTaken {
 		q.state = postsSignalled
-		one := [8]byte{1}
-		// The counter is zero here, and a write to an eventfd fails only where the counter would overflow.
-		_, _ = unix.Write(q.wakeupFD, one[:])
+		q.kernel.Wake()
 	}
 	return true
 }
@@ -58,9 +52,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.state == postsSignalled {
-		var counter [8]byte
-		// The counter is not zero here, so the read succeeds; were it to fail, epoll would report the descriptor again.
-		_, _ = unix.Read(q.wakeupFD, counter[:])
+		q.kernel.ClearWake()
 		q.state = postsTaken
 	}
 	taken := q.callbacks
@@ -68,8 +60,8 @@
 	return taken
 }
 
-// close drops what is queued and has add refuse more. After it the wakeup descriptor is no longer written and may be
-// closed.
+// close drops what is queued and has add refuse more. After it the loop is no longer woken up, and its poller
+// may be closed.
 func (q *postQueue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
