--- a/internal/platform/attempts.go
+++ b/internal/platform/attempts.go
@@ -48,13 +48,15 @@
 	a.conn.whenEstablished(a.connEstablished)
 }
 
-// connEstablished sends the offer, unless the attempt has ended or the machine has stopped taking new containers since
-// the attempt was made.
+// connEstablished sends the offer, unless the attempt has ended, or the machine has stopped taking new containers since
+// the attempt was made, or less time is left than an offer can state. The time may be over by now: timers run later in
+// an iteration than connections.
 func (a *attempt) connEstablished() {
 	if a.state == attemptFinished {
 		return
 	}
-	if !a.machine.isServing() || !a.conn.send(offerMessage(a.container, a.deadline-a.env.loop.Now())) {
+	left := a.deadline - a.env.loop.Now()
+	if left < eventloop.Millisecond || !a.machine.isServing() || !a.conn.send(offerMessage(a.container, left)) {
 		a.finish(scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
 		return
 	}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -85,6 +85,9 @@
 	return config, nil
 }
 
+// DecodeConfig is LoadConfig for the content of a file.
+func DecodeConfig(data []byte) (*Config, error) { return parseConfig(data) }
+
 func parseConfig(data []byte) (*Config, error) {
 	var wire wireConfig
 	if err := json.Unmarshal(data, &wire); err != nil {
--- /dev/null
+++ b/internal/platform/deadline_test.go
@@ -0,0 +1,57 @@
+package platform
+
+import (
+	"log/slog"
+	"net/netip"
+	"strings"
+	"testing"
+	"time"
+
+	"glenport/internal/testbed/simnet"
+	"glenport/internal/testutil"
+	"glenport/scheduler"
+)
+
+// linePeer is a peer that notes what it receives, and does something once it is connected.
+type linePeer struct {
+	onConnected func(*simnet.PeerConn)
+	received    strings.Builder
+}
+
+func (p *linePeer) Connected(c *simnet.PeerConn)                    { p.onConnected(c) }
+func (p *linePeer) Received(_ *simnet.PeerConn, chunk simnet.Chunk) { p.received.Write(chunk.Data) }
+func (p *linePeer) Ended(*simnet.PeerConn, error)                   {}
+
+// A connection that is found established together with the deadline of its attempt, as the process was not run for a
+// while, carries no offer: its time is over, and the machine would start what nobody waits for.
+func TestConnThatOpensAfterTheDeadlineCarriesNoOffer(t *testing.T) {
+	machineAddr, busAddr := netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.0.0.3:1")
+	network := simnet.New(1)
+	kernel := network.NewKernel()
+	text := configJSON(busAddr.String(), 256, snapshotJSON(1, machineJSON("a", machineAddr.String(), "ready", 0)))
+	config, err := parseConfig([]byte(text))
+	testutil.NoError(t, err)
+	decisions := &scriptedScheduler{on: attemptOnA(50 * scheduler.Millisecond), events: make(chan scheduler.Event, 100)}
+	server, err := NewSimulated(kernel, config, decisions, slog.New(slog.DiscardHandler))
+	testutil.NoError(t, err)
+
+	machine := &linePeer{onConnected: func(*simnet.PeerConn) { kernel.Stall(100 * time.Millisecond) }}
+	network.Listen(machineAddr, &simnet.Endpoint{Accept: func() simnet.PeerHandler { return machine }})
+	network.Listen(busAddr, &simnet.Endpoint{Accept: func() simnet.PeerHandler {
+		return &linePeer{onConnected: func(*simnet.PeerConn) {}}
+	}})
+	client := &linePeer{onConnected: func(c *simnet.PeerConn) { c.Write([]byte(offerLine(requestID, "")+"\n"), nil) }}
+	network.Dial(netip.MustParseAddrPort(server.Addr()), client)
+	network.After(time.Second, server.Shutdown)
+	testutil.ExpectNoError(t, server.Run())
+
+	testutil.Equal(t, machine.received.String(), "", "what the machine received")
+	testutil.Expect(t, strings.Contains(client.received.String(), `"why":41`), "answer %q", client.received.String())
+	var outcomes []scheduler.Outcome
+	for len(decisions.events) > 0 {
+		if ended, ok := (<-decisions.events).(scheduler.AttemptEnded); ok {
+			outcomes = append(outcomes, ended.Outcome)
+		}
+	}
+	testutil.SlicesEqual(t, outcomes, []scheduler.Outcome{scheduler.OutcomeNotSent})
+}
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -35,14 +35,34 @@
 func New(config *Config, decisions Scheduler, log *slog.Logger, traceMessages bool) (*Server, error) {
 	s := newServer(&environment{config: config, log: log, tracing: traceMessages})
 	s.connectDecisions(decisions)
-	var err error
-	if s.env.loop, err = eventloop.New(s.iterate); err != nil {
+	loop, err := eventloop.New(s.iterate)
+	if err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
-	onAcceptState := s.env.loop.AcceptStateLogger(log, "clients")
-	if s.listener, err = s.env.loop.Listen(config.ListenAddr, s.clients.accept, onAcceptState); err != nil {
-		s.env.loop.Stop()
-		_ = s.env.loop.Run() // only frees what the loop holds; the error of Listen is the one to report
+	return s.listenOn(loop)
+}
+
+// NewSimulated is New, without tracing, on a kernel that is not that of the system.
+func NewSimulated(
+	kernel eventloop.Kernel, config *Config, decisions Scheduler, log *slog.Logger,
+) (*Server, error) {
+	s := newServer(&environment{config: config, log: log})
+	s.connectDecisions(decisions)
+	loop, err := eventloop.NewOn(kernel, s.iterate)
+	if err != nil {
+		return nil, fmt.Errorf("event loop: %w", err)
+	}
+	return s.listenOn(loop)
+}
+
+// listenOn takes in the loop of the server and opens the listener.
+func (s *Server) listenOn(loop *eventloop.Loop) (*Server, error) {
+	s.env.loop = loop
+	var err error
+	onAcceptState := loop.AcceptStateLogger(s.env.log, "clients")
+	if s.listener, err = loop.Listen(s.env.config.ListenAddr, s.clients.accept, onAcceptState); err != nil {
+		loop.Stop()
+		_ = loop.Run() // only frees what the loop holds; the error of Listen is the one to report
 		return nil, err
 	}
 	return s, nil
--- a/internal/testbed/simnet/connection.go
+++ b/internal/testbed/simnet/connection.go
@@ -14,7 +14,7 @@
 	network  *Network
 	peer     *PeerConn
 	closed   bool // the process has closed its end
-	accepted bool // the process has accepted or made the connection
+	accepted bool // the process serves the connection, or has made it
 
 	toPeer    pipe
 	toProcess pipe
--- a/internal/testbed/simnet/kernel.go
+++ b/internal/testbed/simnet/kernel.go
@@ -42,6 +42,7 @@
 	woken     bool
 	killed    bool
 	iteration int
+	stall     time.Duration // that lies ahead
 }
 
 // NewKernel makes the kernel of a process.
@@ -50,6 +51,9 @@
 // Kill has the process end: Wait fails, connections are reset, and nothing more is written.
 func (k *Kernel) Kill() { k.killed = true }
 
+// Stall has the process not run for a time, from now on. It is called while the process waits.
+func (k *Kernel) Stall(span time.Duration) { k.stall += span }
+
 // Iteration is the number of calls of Wait so far.
 func (k *Kernel) Iteration() int { return k.iteration }
 
@@ -89,7 +93,12 @@
 func (k *Kernel) ClearWake() { k.woken = false }
 
 // Watch implements eventloop.Poller.
-func (k *Kernel) Watch(fd int, events uint32) error { return k.ChangeWatch(fd, events) }
+func (k *Kernel) Watch(fd int, events uint32) error {
+	if s := k.lookup(fd); s != nil && s.conn != nil {
+		s.conn.accepted = true
+	}
+	return k.ChangeWatch(fd, events)
+}
 
 // ChangeWatch implements eventloop.Poller.
 func (k *Kernel) ChangeWatch(fd int, events uint32) error {
@@ -116,7 +125,7 @@
 		deadline = n.now + time.Duration(timeout)*time.Millisecond
 	}
 	for {
-		n.runDue()
+		k.runPeers()
 		if k.killed {
 			return 0, ErrKilled
 		}
@@ -135,6 +144,16 @@
 	}
 }
 
+// runPeers runs what is due, and all that happens while the process is not run.
+func (k *Kernel) runPeers() {
+	k.network.runDue()
+	for k.stall > 0 {
+		span := k.stall
+		k.stall = 0
+		k.network.RunFor(span)
+	}
+}
+
 // ready enters what is ready, in an order drawn by chance: epoll promises none.
 func (k *Kernel) ready(events []unix.EpollEvent) int {
 	found := events[:0:len(events)]
--- a/internal/testbed/simnet/peer.go
+++ b/internal/testbed/simnet/peer.go
@@ -33,7 +33,7 @@
 	Accept func() PeerHandler // makes the handler of a connection
 	Refuse bool               // connections are refused
 	Silent bool               // they are never answered
-	Delay  time.Duration      // the answer comes so much later
+	Delay  time.Duration      // connection attempts arrive so much later
 }
 
 // Listen has the process's connections to an address answered by an endpoint. Where there is none they are refused.
@@ -117,9 +117,13 @@
 // IsEnded reports whether the connection has ended for the peer.
 func (p *PeerConn) IsEnded() bool { return p.ended }
 
-// WasAccepted reports whether the process has taken the connection from its listener.
+// WasAccepted reports whether the process has begun to serve the connection. One that it accepts and closes at once, as
+// it has no descriptors, was not.
 func (p *PeerConn) WasAccepted() bool { return p.conn.accepted }
 
+// Congested reports whether the process has not written all that it last tried to, as the peer took too little.
+func (p *PeerConn) Congested() bool { return p.conn.toPeer.congested }
+
 // Unread is how many of the bytes that the peer has written the process has not read.
 func (p *PeerConn) Unread() int { return p.written - p.conn.bytesRead }
 
--- a/internal/testbed/simnet/sockets.go
+++ b/internal/testbed/simnet/sockets.go
@@ -76,7 +76,11 @@
 func (k *Kernel) Connect(fd int, address netip.AddrPort) error {
 	s := k.lookup(fd)
 	s.address = address
-	k.network.After(k.network.delay(), func() { k.network.handshake(k, s) })
+	delay := k.network.delay()
+	if endpoint := k.network.endpoints[address]; endpoint != nil {
+		delay += endpoint.Delay
+	}
+	k.network.After(delay, func() { k.network.handshake(k, s) })
 	return unix.EINPROGRESS
 }
 
@@ -92,7 +96,7 @@
 	}
 	conn := newConnection(n, endpoint.Accept())
 	conn.peer.establish()
-	n.After(endpoint.Delay+n.delay(), func() {
+	n.After(n.delay(), func() {
 		if k.lookup(s.fd) != s {
 			conn.resetByProcess()
 			return
@@ -135,7 +139,7 @@
 	}
 	conn := listener.backlog[0]
 	listener.backlog = listener.backlog[1:]
-	s.conn, conn.accepted = conn, true
+	s.conn = conn
 	return s.fd, nil, nil
 }
 
