--- a/cmd/glenport-testbed/trial.go
+++ b/cmd/glenport-testbed/trial.go
@@ -20,7 +20,9 @@
 		Use: "trial", Short: "Prove a subsystem end to end, with faults",
 		Example: "  glenport-testbed trial why --cycles 2\n  glenport-testbed trial restart --short --kills 60",
 	}
-	c.AddCommand(whyTrialCommand(), bgpTrialCommand(), restartTrialCommand(), overloadTrialCommand())
+	c.AddCommand(
+		whyTrialCommand(), bgpTrialCommand(), restartTrialCommand(), overloadTrialCommand(), platformTrialCommand(),
+	)
 	return c
 }
 
--- /dev/null
+++ b/internal/testbed/platformcheck/changes.go
@@ -0,0 +1,190 @@
+package platformcheck
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+// reload has the process read its file again.
+func (w *World) reload() {
+	if w.server == nil {
+		return
+	}
+	config := *w.config
+	config.DiscoveryAddr = w.discovery.address().String()
+	w.server.Reload(&config)
+}
+
+// moveBus has the bus go on at its other address, which a new file names.
+func (w *World) moveBus() {
+	w.discovery.move()
+	w.reload()
+}
+
+func (w *World) silenceBus(_ Event, span time.Duration) {
+	w.discovery.silent = true
+	w.network.After(span, w.discovery.restore)
+}
+
+func (w *World) takeBusDown(_ Event, span time.Duration) {
+	w.discovery.endpoints[w.discovery.active].Refuse = true
+	w.discovery.breakOff()
+	w.network.After(span, w.discovery.restore)
+}
+
+// restore ends a fault of the bus, and tells what was not told meanwhile.
+func (d *discovery) restore() {
+	d.silent = false
+	d.endpoints[d.active].Refuse = false
+	for _, watch := range d.watches {
+		watch.tell(len(d.events))
+	}
+}
+
+// breakOffWithinLine writes half an event before the connections end.
+func (d *discovery) breakOffWithinLine() {
+	for _, watch := range d.watches {
+		watch.conn.Write([]byte(`{"offset":`), nil)
+	}
+	d.breakOff()
+}
+
+// repeat writes the last events once more.
+func (d *discovery) repeat() {
+	for _, watch := range d.watches {
+		for offset := max(1, watch.toldTo-2); offset <= min(watch.toldTo, len(d.events)); offset++ {
+			watch.tellAgain(offset)
+		}
+	}
+}
+
+// leaveGap has the next event of each connection passed over.
+func (d *discovery) leaveGap() {
+	for _, watch := range d.watches {
+		if watch.following {
+			watch.toldTo++
+			watch.gap = true
+		}
+	}
+	d.publish(false, d.w.machines[0])
+}
+
+// change has the list tell a new state of a machine.
+func (w *World) change(m *machine, state string) {
+	if m.state == healthGone {
+		return
+	}
+	m.change++
+	m.state = state
+	if state == healthReady {
+		m.unavailableTold = 0
+	}
+	w.discovery.publish(false, m)
+}
+
+// removeMachine ends a machine for good.
+func (w *World) removeMachine(m *machine) {
+	if m.state == healthGone || len(w.listed()) <= 2 {
+		return
+	}
+	m.stop()
+	m.endpoint.Refuse = true
+	w.change(m, healthGone)
+}
+
+// restartMachine ends a machine's process and starts it again, cold.
+func (w *World) restartMachine(m *machine) {
+	if m.state == healthGone {
+		return
+	}
+	m.stop()
+	m.bornMillis = w.kernel.Now().UnixMilli()
+	w.change(m, healthReady)
+}
+
+// makeReady ends a drain.
+func (w *World) makeReady(m *machine) {
+	if m.state == healthDraining {
+		w.change(m, healthReady)
+	}
+}
+
+// leaveOut has the whole list come without a machine, which is gone by that.
+func (w *World) leaveOut(m *machine) {
+	if m.state == healthGone || len(w.listed()) <= 2 {
+		return
+	}
+	m.stop()
+	m.endpoint.Refuse = true
+	m.change++
+	m.state = healthGone
+	w.discovery.publishWithout(m, w.listed()...)
+}
+
+// succeed replaces a machine by another one at its address.
+func (w *World) succeed(m *machine) {
+	if m.state == healthGone {
+		return
+	}
+	m.stop()
+	m.change++
+	m.state = healthGone
+	successor := w.newMachine(fmt.Sprintf("m%02d", len(w.machines)), m.number)
+	successor.unreliable = true // it may accept what was offered to its predecessor
+	successor.bornMillis = w.kernel.Now().UnixMilli()
+	w.machines = append(w.machines, successor)
+	w.discovery.publish(false, m, successor)
+}
+
+// addMachine adds one at an address of its own.
+func (w *World) addMachine() {
+	number := len(w.machines)
+	m := w.newMachine(fmt.Sprintf("m%02d", number), number)
+	m.bornMillis = w.kernel.Now().UnixMilli()
+	w.machines = append(w.machines, m)
+	w.discovery.publish(false, m)
+}
+
+// resetOne resets a connection of the process.
+func (m *machine) resetOne() {
+	if len(m.conns) > 0 && !m.cut {
+		m.conns[0].reset()
+	}
+}
+
+// closeOne closes a connection of the process.
+func (m *machine) closeOne() {
+	if len(m.conns) > 0 && !m.cut {
+		conn := m.conns[0]
+		conn.close()
+		conn.conn.Close()
+	}
+}
+
+// excusePlacements takes in that the process has ended: what it was to tell of the stop of a machine nobody can tell
+// any more, nor what a client has left unread.
+func (w *World) excusePlacements() {
+	for _, m := range w.machines {
+		for _, p := range m.cutPlacements {
+			p.unknowable = true
+		}
+		m.cutPlacements = nil
+	}
+	leftUnread := slices.ContainsFunc(w.clients, func(c *client) bool { return c.conn.Congested() })
+	if !leftUnread {
+		return
+	}
+	for _, p := range w.knownPlacements() {
+		p.unknowable = p.unknowable || !p.runs()
+	}
+}
+
+// excuseRequests takes in that the process was killed: no open request is owed an answer.
+func (w *World) excuseRequests() {
+	for _, c := range w.clients {
+		for _, r := range c.open {
+			r.excused = true
+		}
+	}
+}
--- /dev/null
+++ b/internal/testbed/platformcheck/client.go
@@ -0,0 +1,245 @@
+package platformcheck
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"time"
+
+	"glenport/internal/platform/jsonlines"
+	"glenport/internal/testbed/simnet"
+)
+
+const (
+	maxClients         = 16 // of the usual sort, that are connected at once
+	requestDescription = `"v=0\r\n"`
+	reconnectDelay     = 30 * time.Millisecond
+)
+
+// client is a client with one connection.
+type client struct {
+	w           *World
+	conn        *simnet.PeerConn
+	established bool
+	steady      bool     // it connects again whenever its connection ends
+	misbehaved  bool     // nothing is owed to it any more
+	waiting     []func() // for the connection
+	lines       lineReader
+	open        []*request
+}
+
+// connect makes a client and connects it.
+func (w *World) connect() *client {
+	c := &client{w: w}
+	c.conn = w.network.Dial(processAddr, c)
+	w.clients = append(w.clients, c)
+	return c
+}
+
+// connectSteady makes a client that stays as long as the process does.
+func (w *World) connectSteady() {
+	c := w.connect()
+	c.steady = true
+	c.whenEstablished(func() { c.write(testLine(w.newCall())) })
+	c.claimAll()
+}
+
+// claimAll names all that clients hold for running.
+func (c *client) claimAll() {
+	for _, p := range c.w.knownPlacements() {
+		c.claim(p.request, p.machine.id, func() { p.heldBy = c.w.incarnations })
+	}
+}
+
+func (c *client) whenEstablished(do func()) {
+	if c.established {
+		do()
+		return
+	}
+	c.waiting = append(c.waiting, do)
+}
+
+func (c *client) write(line string) { c.writeMarked(line, nil) }
+
+func (c *client) writeMarked(line string, onRead func()) {
+	c.w.note("client says %s", line)
+	c.conn.Write([]byte(line), onRead)
+}
+
+// Connected implements simnet.PeerHandler.
+func (c *client) Connected(*simnet.PeerConn) {
+	c.established = true
+	for _, do := range c.waiting {
+		do()
+	}
+	c.waiting = nil
+}
+
+// Received implements simnet.PeerHandler.
+func (c *client) Received(_ *simnet.PeerConn, chunk simnet.Chunk) { c.lines.feed(chunk, c.handle) }
+
+// Ended implements simnet.PeerHandler.
+func (c *client) Ended(conn *simnet.PeerConn, _ error) {
+	conn.Close()
+	c.leave()
+	for _, r := range c.open {
+		if !c.misbehaved {
+			c.w.judge.connectionEnded(r, c.w.onItsWay())
+		}
+	}
+	if c.steady && !c.w.over {
+		c.w.network.After(reconnectDelay, c.w.connectSteady)
+	}
+}
+
+// leave forgets the client.
+func (c *client) leave() {
+	c.w.clients = slices.DeleteFunc(c.w.clients, func(other *client) bool { return other == c })
+}
+
+// goAway ends the connection by the client; its open requests are taken back with it.
+func (c *client) goAway(end func(*simnet.PeerConn)) {
+	end(c.conn)
+	c.leave()
+	for _, r := range c.open {
+		r.excused = true
+		if r.placement != nil {
+			continue
+		}
+		r.givenUp = true
+	}
+	if c.steady {
+		c.steady = false
+		c.w.network.After(reconnectDelay, c.w.connectSteady)
+	}
+}
+
+// handle takes in a line of the process.
+func (c *client) handle(line receivedLine) {
+	c.w.note("client hears %s", line.text)
+	msg, err := line.decode()
+	if err != nil {
+		c.w.judge.violate(ruleAnswer, "a line to a client is garbled: %s", line.text)
+		return
+	}
+	if msg.Op == jsonlines.OpTested {
+		return
+	}
+	r := c.w.judge.requests[msg.RequestID]
+	switch {
+	case r == nil && !c.misbehaved:
+		c.w.judge.violate(ruleAnswer, "a client is told of what nobody asked for: %s", line.text)
+	case r == nil:
+	case r.onlyClaimed:
+		c.write(endedLine(r.call))
+	case msg.Op == jsonlines.OpAccept:
+		c.handleAccept(r, msg, line)
+	case msg.Op == jsonlines.OpEnd && r.placement != nil:
+		c.handleRelease(r)
+	case msg.Op == jsonlines.OpEnd:
+		c.handleEnd(r, msg, line)
+	default:
+		c.w.judge.violate(ruleAnswer, "a client is sent what is not for it: %s", line.text)
+	}
+}
+
+func (c *client) handleAccept(r *request, msg *jsonlines.Message, line receivedLine) {
+	if c.misbehaved && r.client == c {
+		return
+	}
+	c.w.judge.answered(r, accepted, line)
+	var description string
+	if err := json.Unmarshal(msg.Description, &description); err != nil {
+		c.w.judge.violate(ruleAnswer, "the accept of request %s is no text: %v", r.call, err)
+	}
+	for _, p := range r.placements {
+		if p.description == description {
+			r.placement, p.known, p.heldBy = p, true, c.w.incarnations
+			p.ordered = p.ordered || r.givenUp
+			p.unknowable = p.unknowable || c.conn.ClosedAt() > 0 // read late: others have named what runs by then
+			return
+		}
+	}
+	c.w.judge.violate(ruleAnswer, "request %s has an accept that no machine made: %s", r.call, line.text)
+}
+
+// handleRelease takes in the end of a container that ran.
+func (c *client) handleRelease(r *request) {
+	p := r.placement
+	if p.runs() && !p.machine.unreliable && !p.ordered {
+		c.w.judge.violate(ruleRelease, "container %s is told to have ended, and runs on %s", r.call, p.machine.id)
+	}
+	p.told = true
+	c.write(endedLine(r.call))
+}
+
+func (c *client) handleEnd(r *request, msg *jsonlines.Message, line receivedLine) {
+	if r.client != c || c.misbehaved {
+		return // the end of what another client said to run
+	}
+	switch msg.CauseOrNone() {
+	case jsonlines.CauseNoCapacity, jsonlines.CauseNotSent:
+		c.w.judge.answered(r, refused, line)
+	default:
+		c.w.judge.answered(r, failed, line)
+	}
+}
+
+// request sends a request that is to be answered within a time.
+func (c *client) request(choice uint32, left time.Duration) {
+	w := c.w
+	r := &request{
+		call: w.newCall(), client: c, class: workloadClasses[choice%uint32(len(workloadClasses))],
+		service: fmt.Sprintf("s%d", choice>>4%8),
+	}
+	r.key = "k" + r.call
+	r.line = r.encode(left, "")
+	c.open = append(c.open, r)
+	w.calls = append(w.calls, r.call)
+	w.judge.requests[r.call] = r
+	c.whenEstablished(func() {
+		if !c.conn.IsEnded() && !w.quiet() {
+			w.judge.sent(r, left)
+			c.writeMarked(r.line, func() { r.readIteration = w.kernel.Iteration() })
+		} else {
+			r.excused = true
+		}
+	})
+}
+
+// encode is the line of a request; more is added to its extras.
+func (r *request) encode(left time.Duration, more string) string {
+	idempotency := ""
+	if r.class.effect == effectKeyed {
+		idempotency = fmt.Sprintf(`"idem":"i%s",`, r.call)
+	}
+	return fmt.Sprintf(`{"op":"offer","call":%q,"with":{"class":%q,"left":"%d","tenant":"offices","key":%q,%s`+
+		`"extras":"cores:1;memory:2;service:%s%s"},"desc":%s}`+"\n",
+		r.call, r.class.name, left.Milliseconds(), r.key, idempotency, r.service, more, requestDescription)
+}
+
+// lifetimeMillis is how long its container runs, from 0.05 to 3 s.
+func (r *request) lifetimeMillis() int64 {
+	var sum int64
+	for _, digit := range []byte(r.call) {
+		sum = (sum*31 + int64(digit)) % 2950
+	}
+	return sum
+}
+
+// claim names a container as running at a machine.
+func (c *client) claim(r *request, at string, onRead func()) {
+	c.whenEstablished(func() { c.writeMarked(r.encode(0, ";at:"+at), onRead) })
+}
+
+// giveUp takes the client's oldest open request back.
+func (c *client) giveUp() {
+	for _, r := range c.open {
+		if !r.owed() || r.sentAt == 0 {
+			continue
+		}
+		r.givenUp = true
+		c.writeMarked(endLine(r.call, jsonlines.CauseNormal), func() { r.giveUpIteration = c.w.kernel.Iteration() })
+		return
+	}
+}
--- /dev/null
+++ b/internal/testbed/platformcheck/clientactions.go
@@ -0,0 +1,110 @@
+package platformcheck
+
+import (
+	"strings"
+	"time"
+
+	"glenport/internal/platform/jsonlines"
+	"glenport/internal/testbed/simnet"
+)
+
+func (w *World) clientAsks(e Event) {
+	w.withClient(e, func(c *client) { c.request(e.Amount, w.deadline) })
+}
+
+func (w *World) clientAsksOften(e Event) {
+	for i := range 2 + e.Amount>>8%4 {
+		w.withClient(e, func(c *client) { c.request(e.Amount+i, w.deadline) })
+	}
+}
+
+func (w *World) newClientAsks(e Event) {
+	w.withNewClient(func(c *client) { c.request(e.Amount, w.deadline) })
+}
+
+func (w *World) steadyClientAsks(e Event) {
+	for _, c := range w.clients {
+		if c.steady {
+			c.request(e.Amount, w.deadline)
+			return
+		}
+	}
+}
+
+func (w *World) clientAsksAndGivesUp(e Event) {
+	w.withClient(e, func(c *client) {
+		c.request(e.Amount, w.deadline)
+		c.giveUp()
+	})
+}
+
+func (w *World) clientGoes(e Event, end func(*simnet.PeerConn)) {
+	w.withClient(e, func(c *client) { c.goAway(end) })
+}
+
+func (w *World) clientAsksAndGoes(e Event) {
+	w.withClient(e, func(c *client) {
+		c.request(e.Amount, w.deadline)
+		c.goAway((*simnet.PeerConn).Close)
+	})
+}
+
+// endContainer has a client end a container that runs, on any connection.
+func (w *World) endContainer(e Event) {
+	known := w.knownPlacements()
+	if len(known) == 0 {
+		return
+	}
+	p := known[int(e.Amount)%len(known)]
+	w.withClient(e, func(c *client) {
+		c.whenEstablished(func() {
+			p.ordered = true
+			c.write(endLine(p.request.call, jsonlines.CauseCancelled))
+		})
+	})
+}
+
+// badClient connects one that does what none may; nothing is owed to it.
+func (w *World) badClient(e Event) {
+	bad := [...]string{
+		"{\"op\":\n", `{"op":"offer","call":"`, strings.Repeat("x", jsonlines.MaxLineBytes+1),
+		`{"op":"offer","call":"00000000000000ff","with":{"class":"none"}}` + "\n", "",
+	}
+	w.withNewClient(func(c *client) {
+		c.misbehaved = true
+		c.whenEstablished(func() { c.write(bad[e.Amount%uint32(len(bad))]) })
+	})
+}
+
+// respond sets how a machine responds to its next offers.
+func (w *World) respond(m *machine, e Event) {
+	for i := range 1 + e.Amount>>16%3 {
+		m.responses = append(m.responses, response((e.Amount+i)%uint32(responseCount)))
+	}
+}
+
+// exhaustDescriptors leaves the process none for a while.
+func (w *World) exhaustDescriptors(e Event, span time.Duration) {
+	kernel := w.kernel
+	kernel.Limit = kernel.OpenDescriptors() + int(e.Target%2)
+	w.network.After(span, func() { kernel.Limit = descriptors })
+}
+
+// burst connects clients that say nothing.
+func (w *World) burst(e Event) {
+	for range 4 + e.Amount%12 {
+		w.connect().misbehaved = true
+	}
+}
+
+// falseClaim names a container as running at a machine that knows nothing of it.
+func (w *World) falseClaim(e Event) {
+	w.withClient(e, func(c *client) {
+		r := &request{
+			call: w.newCall(), client: c, class: workloadClasses[0], service: "s0", onlyClaimed: true,
+		}
+		r.key = "k" + r.call
+		w.judge.requests[r.call] = r
+		c.claim(r, w.pick(e).id, nil)
+	})
+}
--- /dev/null
+++ b/internal/testbed/platformcheck/doc.go
@@ -0,0 +1,18 @@
+// Package platformcheck plays random orders of events against the platform's process and judges what its peers
+// observe. The process is the real one, package platform with package scheduler, on a network of package simnet; its
+// clients, its machines and the discovery service are state machines here. A run is determined by its seed and its list
+// of events, so that a list that fails can be played again, and reduced to the shortest one that still fails.
+//
+// The events are of the ten sorts of docs/crossings.md. What is judged:
+//
+//   - Rule 1: each request gets one final answer, no later than half a second after its time, and nothing is done for
+//     it afterwards or once its client has taken it back; an accept is one that a machine made; the end of a container
+//     that runs is told to a client within 8.5 s, and nothing else is told to have ended.
+//   - Rule 2: no machine is offered a container that may run already, unless its class allows that, and no two attempts
+//     are out at once.
+//   - Rule 3: no machine is offered anything beyond the grace after the process was told that it drains or is gone.
+//   - The process ends in time after TERM, and never else; it leaves no descriptor open, does not spin, does not panic,
+//     and logs no illegal state transition.
+//
+// Rules 4 and 5 are not judged here: package modelcheck does that, and the fleet's days.
+package platformcheck
--- /dev/null
+++ b/internal/testbed/platformcheck/events.go
@@ -0,0 +1,126 @@
+package platformcheck
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+)
+
+// Sort is one of the ten sorts of events of docs/crossings.md.
+type Sort uint8
+
+// The sorts, in the order of docs/crossings.md.
+const (
+	SortTerm Sort = iota
+	SortHup
+	SortBus
+	SortList
+	SortClient
+	SortAnswer
+	SortConnection
+	SortDescriptors
+	SortStart
+	SortTime
+	sortCount
+)
+
+func (s Sort) String() string {
+	return [...]string{"TERM", "HUP", "bus", "list", "client", "answer", "connection", "fd", "start", "time"}[s]
+}
+
+// sortWeights are how often each sort is drawn, in 200.
+var sortWeights = [sortCount]int{
+	SortTerm: 2, SortHup: 6, SortBus: 12, SortList: 20, SortClient: 76, SortAnswer: 30,
+	SortConnection: 20, SortDescriptors: 6, SortStart: 10, SortTime: 18,
+}
+
+// Event is one thing that happens to the process. What exactly is determined by the choices, and by the state that the
+// world is in by then.
+type Event struct {
+	At      time.Duration // since the begin of the run
+	Sort    Sort
+	Variant uint32 // which of the things of the sort
+	Target  uint32 // to whom
+	Amount  uint32 // how long, how many
+}
+
+// targets is how many different targets an event can name.
+const targets = 12
+
+// gaps are the times between two events; many events come at the same moment.
+var gaps = [...]time.Duration{
+	0, 0, 0, 0, time.Millisecond, time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond,
+	60 * time.Millisecond, 250 * time.Millisecond,
+}
+
+// Draw draws a list of events.
+func Draw(seed uint64, count int) []Event {
+	random := rand.New(rand.NewPCG(seed, 1))
+	events := make([]Event, 0, count)
+	at := 20 * time.Millisecond
+	for range count {
+		at += gaps[random.IntN(len(gaps))]
+		events = append(events, Event{
+			At: at, Sort: drawSort(random),
+			Variant: random.Uint32(), Target: random.Uint32N(targets), Amount: random.Uint32(),
+		})
+	}
+	return events
+}
+
+func drawSort(random *rand.Rand) Sort {
+	total := 0
+	for _, weight := range sortWeights {
+		total += weight
+	}
+	left := random.IntN(total)
+	for sort, weight := range sortWeights {
+		if left < weight {
+			return Sort(sort)
+		}
+		left -= weight
+	}
+	return SortTime
+}
+
+// within takes a time from the amount of an event.
+func (e Event) within(span [2]time.Duration) time.Duration {
+	return span[0] + time.Duration(uint64(e.Amount)*uint64(span[1]-span[0])>>32)
+}
+
+// String describes an event in words.
+func (e Event) String() string {
+	return fmt.Sprintf("%8.1f ms  %-10s %s", float64(e.At)/float64(time.Millisecond), e.Sort, e.action().describe(e))
+}
+
+// action is one variant of a sort of event: it does something at once, or something that lasts.
+type action struct {
+	text    string // ends with "for" or "by" where a span follows
+	do      func(w *World, e Event)
+	span    [2]time.Duration // the shortest and the longest one
+	lasting func(w *World, e Event, span time.Duration)
+}
+
+// play has an event happen.
+func (e Event) play(w *World) {
+	a := e.action()
+	if a.lasting != nil {
+		a.lasting(w, e, e.within(a.span))
+		return
+	}
+	a.do(w, e)
+}
+
+// action returns the variant that an event chose.
+func (e Event) action() action {
+	variants := actions[e.Sort]
+	return variants[e.Variant%uint32(len(variants))]
+}
+
+func (a action) describe(e Event) string {
+	text := a.text
+	if a.lasting != nil {
+		text += fmt.Sprintf(" %v", e.within(a.span).Round(time.Millisecond))
+	}
+	return fmt.Sprintf("%s (target %d)", text, e.Target)
+}
--- /dev/null
+++ b/internal/testbed/platformcheck/judge.go
@@ -0,0 +1,191 @@
+package platformcheck
+
+import (
+	"fmt"
+	"time"
+)
+
+// Violation is a broken rule, as a peer observed it.
+type Violation struct {
+	At   time.Duration
+	Rule string
+	Text string
+}
+
+func (v Violation) String() string {
+	return fmt.Sprintf("%8.1f ms  %s: %s", float64(v.At)/float64(time.Millisecond), v.Rule, v.Text)
+}
+
+// The rules.
+const (
+	ruleAnswer    = "rule 1 (one final answer)"
+	ruleRelease   = "rule 1 (ends are told)"
+	ruleDuplicate = "rule 2 (no effect twice)"
+	ruleDraining  = "rule 3 (nothing to a machine that drains)"
+	ruleProcess   = "process"
+)
+
+// judge keeps account of what the peers observe.
+type judge struct {
+	now        func() time.Duration
+	after      func(time.Duration, func())
+	requests   map[string]*request // by call
+	Violations []Violation
+}
+
+func (j *judge) violate(rule, format string, args ...any) {
+	j.Violations = append(j.Violations, Violation{j.now(), rule, fmt.Sprintf(format, args...)})
+}
+
+// sent notes a request and has its answer checked in time.
+func (j *judge) sent(r *request, left time.Duration) {
+	r.sentAt = j.now()
+	r.due = r.sentAt + left
+	j.after(wireSlack, func() { r.acceptedLate = !r.client.conn.WasAccepted() })
+	j.after(left+answerSlack+time.Second, func() { j.checkAnswered(r) })
+}
+
+func (j *judge) checkAnswered(r *request) {
+	switch {
+	case !r.owed():
+	case r.acceptedLate && j.now() < r.due+5*time.Second:
+		j.after(time.Second, func() { j.checkAnswered(r) })
+	default:
+		j.violate(ruleAnswer, "request %s (%s) has no answer %v after its time", r.call, r.class.name, j.now()-r.due)
+		r.excused = true
+	}
+}
+
+// answered takes in a line to a client that ends or accepts a request.
+func (j *judge) answered(r *request, a answer, line receivedLine) {
+	if r.answer != unanswered {
+		j.violate(ruleAnswer, "request %s has a second answer", r.call)
+		return
+	}
+	r.answer, r.answerIteration, r.answerHeldUp = a, line.first.Iteration, line.heldUp()
+	if line.last.WrittenAt > r.due+answerSlack && !r.acceptedLate && !line.heldUp() {
+		j.violate(ruleAnswer, "request %s is answered %v after its time", r.call, line.last.WrittenAt-r.due)
+	}
+	if r.givenUp && r.giveUpIteration > 0 && r.answerIteration > r.giveUpIteration && !line.heldUp() {
+		j.violate(ruleAnswer, "request %s is answered after its client took it back", r.call)
+	}
+	for _, o := range r.offers {
+		j.checkOfferAfterEnd(o)
+		j.checkRefusal(o)
+	}
+}
+
+// connectionEnded takes in that the process has closed a connection on which a request is open.
+//
+// A request may cross the end of its connection on the way: one that was sent longer ago than that is lost.
+func (j *judge) connectionEnded(r *request, onItsWay time.Duration) {
+	if !r.owed() {
+		return
+	}
+	r.excused = true
+	if r.sentAt == 0 || !r.client.conn.WasAccepted() || r.client.conn.Congested() {
+		return // the rest of an answer that a client does not take is not owed
+	}
+	age := r.client.conn.ClosedAt() - r.sentAt
+	switch {
+	case r.readIteration > 0:
+		j.violate(ruleAnswer, "request %s was read, and its connection closed without an answer", r.call)
+	case age > onItsWay:
+		j.violate(ruleAnswer, "request %s was left unread for %v, and its connection closed", r.call, age)
+	}
+}
+
+// offered takes in an offer that has come whole to a machine.
+func (j *judge) offered(o *offer) {
+	r := o.request
+	r.offers = append(r.offers, o)
+	j.checkOfferAfterEnd(o)
+	j.checkRefusal(o)
+	j.checkDraining(o)
+	if o.left <= 0 {
+		j.violate(ruleAnswer, "request %s is offered to %s with %d ms left", r.call, o.machine.id, o.left)
+	}
+	j.after(300*time.Millisecond, func() { j.checkPairs(o) })
+}
+
+// checkOfferAfterEnd checks that nothing is sent for a request that has its answer or was taken back.
+func (j *judge) checkOfferAfterEnd(o *offer) {
+	r := o.request
+	if o.heldUp {
+		return
+	}
+	if r.answer != unanswered && !r.answerHeldUp && o.iteration > r.answerIteration {
+		j.violate(ruleAnswer, "request %s is offered to %s after its answer", r.call, o.machine.id)
+	}
+	if r.givenUp && r.giveUpIteration > 0 && o.iteration > r.giveUpIteration {
+		j.violate(ruleAnswer, "request %s is offered to %s after its client took it back", r.call, o.machine.id)
+	}
+}
+
+// checkRefusal checks that a client is told of no effect only where that is so.
+func (j *judge) checkRefusal(o *offer) {
+	r := o.request
+	if r.answer == refused && r.class.effect == effectUnsafe && !o.neverRan() {
+		j.violate(ruleDuplicate, "request %s (unsafe) is refused although it may run on %s", r.call, o.machine.id)
+	}
+}
+
+// checkDraining checks that the process was not told long ago that the machine takes nothing new.
+func (j *judge) checkDraining(o *offer) {
+	told := o.machine.unavailableTold
+	if told != 0 && o.writtenAt > told+stopSendingWithin+wireSlack && !o.heldUp {
+		j.violate(ruleDraining, "request %s is offered to %s %v after it was told to be %s",
+			o.request.call, o.machine.id, o.writtenAt-told, o.machine.state)
+	}
+}
+
+// checkPairs checks an offer against each other one of its request.
+func (j *judge) checkPairs(o *offer) {
+	for _, other := range o.request.offers {
+		switch {
+		case other == o:
+		case other.writtenAt < o.writtenAt, other.writtenAt == o.writtenAt && other.isOverBefore(o):
+			j.checkPair(other, o)
+		default:
+			j.checkPair(o, other)
+		}
+	}
+}
+
+// checkPair checks that the later one of two offers was allowed.
+func (j *judge) checkPair(first, second *offer) {
+	if first.machine.cut || second.machine.cut || first.heldUp || second.heldUp {
+		return
+	}
+	r := first.request
+	outFor := second.writtenAt - first.writtenAt
+	switch {
+	case first.overAt == 0 || first.overAt > second.writtenAt+20*time.Millisecond:
+		j.violate(ruleDuplicate, "request %s is offered to %s while it is out to %s",
+			r.call, second.machine.id, first.machine.id)
+	case first.neverRan() || r.class.effect == effectSafe:
+	case r.class.effect == effectUnsafe:
+		j.violate(ruleDuplicate, "request %s (unsafe) is offered to %s although it may run on %s",
+			r.call, second.machine.id, first.machine.id)
+	case outFor > keyedWindow+wireSlack:
+		j.violate(ruleDuplicate, "request %s (keyed) is offered to %s %v after %s",
+			r.call, second.machine.id, outFor, first.machine.id)
+	}
+}
+
+// checkReleases checks at the end of a run that each end was told.
+func (w *World) checkReleases() {
+	for _, call := range w.calls {
+		for _, p := range w.judge.requests[call].placements {
+			w.checkRelease(p)
+		}
+	}
+}
+
+func (w *World) checkRelease(p *placement) {
+	if !p.known || p.runs() || p.told || p.ordered || p.unknowable || w.now() < p.endedAt+releaseLimit {
+		return
+	}
+	w.judge.violate(ruleRelease, "the end of container %s on %s, %v ago, was told to no client",
+		p.request.call, p.machine.id, w.now()-p.endedAt)
+}
--- /dev/null
+++ b/internal/testbed/platformcheck/machine.go
@@ -0,0 +1,173 @@
+package platformcheck
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"glenport/internal/platform/jsonlines"
+	"glenport/internal/testbed/simnet"
+)
+
+// Healths of a machine, as the discovery service writes them.
+const (
+	healthReady    = "ready"
+	healthDraining = "draining"
+	healthGone     = "gone"
+)
+
+// machine is one machine at an address.
+type machine struct {
+	w        *World
+	id       string
+	number   int // of the address
+	endpoint *simnet.Endpoint
+
+	state           string
+	bornMillis      int64
+	change          int           // the number of the last change of the state
+	unavailableTold time.Duration // when the process was told that it takes nothing new; 0: it does
+	unreliable      bool          // there was cause to hold what it runs for lost
+
+	cut       bool     // it is silent; what comes and goes waits
+	deferred  []func() // until it is no longer
+	conns     []*machineConn
+	responses []response // to the next offers
+	runs      []*placement
+	unsent    []release // to be written on the next connection, until one process has read them there
+
+	cutPlacements []*placement // by its stop
+}
+
+func (w *World) newMachine(id string, number int) *machine {
+	m := &machine{w: w, id: id, number: number, state: healthReady, endpoint: &simnet.Endpoint{}}
+	m.endpoint.Accept = func() simnet.PeerHandler { return &machineConn{machine: m} }
+	w.network.Listen(machineAddr(number), m.endpoint)
+	return m
+}
+
+// entry is the machine in an event of the discovery service.
+func (m *machine) entry() string {
+	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":%q,"class":%q,"block":%d,"health":%q,"share":1,"born_ms":%d,`+
+		`"free":[20,50]}`, m.id, machineAddr(m.number), zoneName, machineType, m.number, m.state, m.bornMillis)
+}
+
+// whenReachable does something now, or once the machine is no longer cut off.
+func (m *machine) whenReachable(do func()) {
+	if m.cut {
+		m.deferred = append(m.deferred, do)
+		return
+	}
+	do()
+}
+
+// cutOff makes the machine silent for a time.
+func (m *machine) cutOff(span time.Duration) {
+	if m.cut {
+		return
+	}
+	m.cut, m.endpoint.Silent, m.unreliable = true, true, true
+	m.w.network.After(span, m.restore)
+}
+
+// restore ends a cut, and all that keeps connections from coming up.
+func (m *machine) restore() {
+	m.cut, m.endpoint.Silent, m.endpoint.Refuse, m.endpoint.Delay = false, false, m.state == healthGone, 0
+	deferred := m.deferred
+	m.deferred = nil
+	for _, do := range deferred {
+		do()
+	}
+}
+
+// refuse has connections refused for a time.
+func (m *machine) refuse(span time.Duration) {
+	m.endpoint.Refuse, m.unreliable = true, true
+	m.w.network.After(span, func() { m.endpoint.Refuse = m.state == healthGone })
+}
+
+// stop ends the machine's process: connections are reset, and what runs is cut.
+func (m *machine) stop() {
+	m.restore() // what it was sent before counts
+	m.unreliable = true
+	for _, p := range m.runs {
+		p.endedAt = m.w.now()
+		p.unknowable = p.heldBy != m.w.incarnations || m.w.kernel.OpenDescriptors() == 0
+		m.cutPlacements = append(m.cutPlacements, p)
+	}
+	for _, r := range m.unsent {
+		r.placement.unknowable = true
+	}
+	m.runs, m.unsent, m.deferred, m.responses = nil, nil, nil, nil
+	for _, conn := range slices.Clone(m.conns) {
+		conn.reset()
+	}
+}
+
+// nextResponse takes the response to the next offer.
+func (m *machine) nextResponse() response {
+	if len(m.responses) == 0 {
+		return respondAccept
+	}
+	next := m.responses[0]
+	m.responses = m.responses[1:]
+	return next
+}
+
+// start has a container run, for as long as its call says.
+func (m *machine) start(o *offer, conn *machineConn) *placement {
+	p := &placement{
+		request: o.request, machine: m, conn: conn,
+		description: fmt.Sprintf("%s on %s, %d", o.request.call, m.id, len(o.request.placements)),
+	}
+	o.request.placements = append(o.request.placements, p)
+	m.runs = append(m.runs, p)
+	lifetime := time.Duration(50+o.request.lifetimeMillis()) * time.Millisecond
+	m.w.network.After(lifetime, func() { m.finish(p, jsonlines.CauseNormal) })
+	return p
+}
+
+// finish ends a container that runs, and releases it.
+func (m *machine) finish(p *placement, cause int) {
+	if !p.runs() || !slices.Contains(m.runs, p) {
+		return
+	}
+	p.endedAt = m.w.now()
+	m.runs = slices.DeleteFunc(m.runs, func(other *placement) bool { return other == p })
+	line := m.w.fault.releaseLine(endLine(p.request.call, cause))
+	m.unsent = append(m.unsent, release{p, line}) // also on the next connection
+	m.whenReachable(func() { m.release(p, line) })
+}
+
+// release is the line by which a machine says that a container has ended.
+type release struct {
+	placement *placement
+	line      string
+}
+
+// repeated notes that a process has read a release on the connection that it opened next.
+func (m *machine) repeated(r release) {
+	m.unsent = slices.DeleteFunc(m.unsent, func(other release) bool { return other == r })
+}
+
+// release writes the end of a container on the connection of its offer, or else on any.
+func (m *machine) release(p *placement, line string) {
+	conn := p.conn
+	if conn == nil || !conn.open {
+		if len(m.conns) == 0 {
+			return
+		}
+		conn = m.conns[0]
+	}
+	conn.write(line)
+}
+
+// running returns the container of a call that runs here.
+func (m *machine) running(call string) *placement {
+	for _, p := range m.runs {
+		if p.request.call == call {
+			return p
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/testbed/platformcheck/platformcheck_test.go
@@ -0,0 +1,97 @@
+package platformcheck
+
+import (
+	"bytes"
+	"slices"
+	"strings"
+	"testing"
+
+	"glenport/internal/testutil"
+	_ "glenport/internal/testutil/fixedseed"
+)
+
+// The process keeps the rules in random orders of events. The trial plays far more of them.
+func TestRulesHoldInRandomOrders(t *testing.T) {
+	result := Campaign{Events: 3000, Workers: 2}.Play()
+	testutil.Expect(t, result.Failed == 0, "seed %d: %v", result.First.Run.Seed, result.First.Violations)
+	testutil.Equal(t, result.Seeds, 50, "seeds played")
+}
+
+// Each fault is found, by the rule that it breaks.
+func TestEachFaultIsFound(t *testing.T) {
+	for fault, rules := range map[Fault][]string{
+		LostAnswer:       {ruleAnswer, ruleProcess},
+		ForgottenAttempt: {ruleDuplicate},
+		UnheardDrain:     {ruleDraining},
+		LeakedDescriptor: {ruleProcess},
+		RepeatedWrite:    {ruleAnswer, ruleProcess},
+		UnheardEnd:       {ruleRelease},
+	} {
+		t.Run(string(fault), func(t *testing.T) {
+			result := Campaign{Events: 12_000, Fault: fault, Workers: 2}.Play()
+			testutil.Require(t, result.Failed > 0, "not found in %d seeds", result.Seeds)
+			rule := result.First.Violations[0].Rule
+			testutil.Expect(t, slices.Contains(rules, rule), "found by %q", rule)
+		})
+	}
+}
+
+// A list that fails is reduced to one that needs each of its events, and fails again in the same way.
+func TestFailureIsReduced(t *testing.T) {
+	result := Campaign{Events: 12_000, Fault: UnheardDrain, Workers: 2}.Play()
+	testutil.Require(t, result.Failed > 0, "nothing failed")
+	reduced := Reduce(result.First.Run)
+	count := len(reduced.Run.Events)
+	testutil.Require(t, count > 0 && count <= 4, "%d events are left", count)
+	testutil.DeepEqual(t, Play(reduced.Run), reduced.Violations)
+	rule := result.First.Violations[0].Rule
+	testutil.Equal(t, reduced.Violations[0].Rule, rule, "rule after the reduction")
+	for i := range reduced.Run.Events {
+		run := reduced.Run
+		run.Events = slices.Delete(slices.Clone(run.Events), i, i+1)
+		violations := Play(run)
+		needed := len(violations) == 0 || violations[0].Rule != rule
+		testutil.Expect(t, needed, "it fails without event %d: %v", i, reduced.Run.Events[i])
+	}
+	violations := Reduce(Run{Seed: 1, Events: Draw(1, 5)}).Violations
+	testutil.Equal(t, len(violations), 0, "violations of a run that does not fail")
+}
+
+// Equal seeds give equal transcripts, byte by byte.
+func TestEqualSeedsGiveEqualTranscripts(t *testing.T) {
+	for seed := range uint64(10) {
+		var transcripts [2]bytes.Buffer
+		for i := range transcripts {
+			Play(Run{Seed: seed, Events: Draw(seed, eventsPerRun), Trace: &transcripts[i]})
+		}
+		first, second := transcripts[0].Bytes(), transcripts[1].Bytes()
+		testutil.Expect(t, bytes.Equal(first, second), "seed %d: two runs differ", seed)
+		testutil.Expect(t, len(first) > 0, "seed %d: nothing happened", seed)
+	}
+}
+
+// All variants of the ten sorts are drawn, and say what they are.
+func TestEveryEventIsDrawnAndDescribed(t *testing.T) {
+	drawn := map[string]bool{}
+	for seed := range uint64(50) {
+		for _, event := range Draw(seed, eventsPerRun) {
+			drawn[event.Sort.String()+event.action().text] = true
+			testutil.Expect(t, strings.Contains(event.String(), event.action().text), "%v", event)
+		}
+	}
+	for sort, variants := range actions {
+		for _, variant := range variants {
+			testutil.Expect(t, drawn[sort.String()+variant.text], "%v: %q is never drawn", sort, variant.text)
+		}
+	}
+	testutil.Equal(t, len(actions), int(sortCount), "sorts of events")
+}
+
+func TestFaultsAreKnownByName(t *testing.T) {
+	for _, fault := range Faults {
+		parsed, err := ParseFault(string(fault))
+		testutil.Expect(t, err == nil && parsed == fault, "%q: %v", fault, err)
+	}
+	_, err := ParseFault("none")
+	testutil.Expect(t, err != nil && strings.Contains(err.Error(), `no fault "none"`), "%v", err)
+}
--- /dev/null
+++ b/internal/testbed/platformcheck/responses.go
@@ -0,0 +1,129 @@
+package platformcheck
+
+import (
+	"time"
+
+	"glenport/internal/platform/jsonlines"
+)
+
+// response is how a machine responds to an offer.
+type response uint8
+
+const (
+	respondAccept response = iota
+	respondFull
+	respondError
+	respondBroken
+	respondNotSent
+	respondNothing
+	respondLate
+	respondTwice
+	respondGarbled
+	respondAcceptAndEnd
+	respondAcceptAndClose
+	respondReset
+	respondOtherFirst
+	respondEvicted
+	respondEvictsLater
+	responseCount
+)
+
+func (r response) String() string {
+	return [...]string{
+		"accept", "full", "error", "broken", "not sent", "nothing", "late accept", "accept twice", "garbled",
+		"accept and end", "accept and close", "reset", "accept of another ahead", "evicted before the accept",
+		"accept and evict",
+	}[r]
+}
+
+const (
+	serviceTime = 3 * time.Millisecond
+	lateBy      = 900 * time.Millisecond
+	evictAfter  = 80 * time.Millisecond
+
+	unknownCall = "ffffffffffffffff"
+)
+
+// play responds to an offer, after the time that the machine needs.
+func (r response) play(c *machineConn, o *offer) {
+	after := serviceTime
+	switch r {
+	case respondNothing:
+		return
+	case respondReset:
+		after = 0
+	case respondLate:
+		after = lateBy
+	default: // answered at the usual speed
+	}
+	c.machine.w.network.After(after, func() {
+		if o.overAt == 0 && c.open {
+			r.answer(c, o)
+		}
+	})
+}
+
+// answer writes the answer to an offer that is still out.
+func (r response) answer(c *machineConn, o *offer) {
+	call := o.request.call
+	switch r {
+	case respondFull:
+		c.refuse(o, notedEndLine(call, jsonlines.CauseNoCapacity, "cpu_full"))
+	case respondNotSent:
+		c.refuse(o, endLine(call, jsonlines.CauseNotSent))
+	case respondError:
+		c.fail(o, endLine(call, jsonlines.CauseError))
+	case respondBroken:
+		c.fail(o, endLine(call, jsonlines.CauseTemporaryFailure))
+	case respondEvicted:
+		c.fail(o, notedEndLine(call, jsonlines.CauseTemporaryFailure, "oom"))
+	case respondReset:
+		c.reset()
+	case respondGarbled:
+		c.fail(o, `{"op":"accept","call":"`+"\n")
+	case respondOtherFirst:
+		c.write(acceptLine(unknownCall, "another"))
+		c.accept(o)
+	default:
+		c.acceptAnd(o, r)
+	}
+}
+
+// refuse says that an offer never ran.
+func (c *machineConn) refuse(o *offer, line string) {
+	o.finish()
+	o.refused = true
+	c.writeMarked(line, func() { o.refusalRead = true })
+}
+
+// fail says that an offer went wrong; it may have run.
+func (c *machineConn) fail(o *offer, line string) {
+	o.finish()
+	c.write(line)
+}
+
+// accept says that the container runs.
+func (c *machineConn) accept(o *offer) *placement {
+	o.finish()
+	p := c.machine.start(o, c)
+	c.write(acceptLine(o.request.call, p.description))
+	return p
+}
+
+// acceptAnd accepts an offer, and does what follows at once.
+func (c *machineConn) acceptAnd(o *offer, r response) {
+	p := c.accept(o)
+	m := c.machine
+	switch r {
+	case respondTwice:
+		c.write(acceptLine(o.request.call, p.description))
+	case respondAcceptAndEnd:
+		m.finish(p, jsonlines.CauseNormal)
+	case respondAcceptAndClose:
+		c.close()
+		c.conn.Close()
+	case respondEvictsLater:
+		m.w.network.After(evictAfter, func() { m.finish(p, jsonlines.CauseTemporaryFailure) })
+	default: // nothing follows
+	}
+}
--- /dev/null
+++ b/internal/testbed/platformcheck/world.go
@@ -0,0 +1,270 @@
+package platformcheck
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"runtime/debug"
+	"time"
+
+	"glenport/internal/eventloop"
+	"glenport/internal/platform"
+	"glenport/internal/testbed/simnet"
+	"glenport/scheduler"
+)
+
+const (
+	firstMachines  = 6
+	steadyClients  = 2
+	settleTime     = 10 * time.Second // after the last event, in which what is owed must happen
+	restartDelay   = 100 * time.Millisecond
+	quietAfterTerm = 600 * time.Millisecond // clients send nothing more from then on
+	longestFlight  = 10 * time.Millisecond  // of what a client sends
+	mostWaits      = 12_000                 // of the process in a second
+)
+
+// deadlines are the longest times that clients wait, one of them in each run.
+var deadlines = [...]time.Duration{300 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second}
+
+// Run is what is played: a list of events on a world made from a seed, with a fault or without.
+type Run struct {
+	Seed   uint64
+	Events []Event
+	Fault  Fault
+	Trace  io.Writer // if set, what peers hear and say is written here
+}
+
+// World is the process with its peers.
+type World struct {
+	run       Run
+	network   *simnet.Network
+	kernel    *simnet.Kernel
+	server    *platform.Server
+	config    *platform.Config
+	fault     installedFault
+	judge     *judge
+	discovery *discovery
+	machines  []*machine
+	clients   []*client
+	calls     []string // of all requests, in order
+	lastCall  uint64
+	deadline  time.Duration
+
+	incarnations int
+	termAt       time.Duration // 0: the process was not told to end
+	killed       bool
+	over         bool          // the process ends for good
+	waits        int           // of the process in this second
+	stalled      time.Duration // in all
+}
+
+// Play plays a run and returns what was violated, the earliest first.
+func Play(run Run) []Violation {
+	w := &World{run: run, network: simnet.New(run.Seed), deadline: deadlines[run.Seed%uint64(len(deadlines))]}
+	w.fault.fault = run.Fault
+	w.judge = &judge{
+		now: w.now, after: w.network.After,
+		requests: map[string]*request{},
+	}
+	w.discovery = w.newDiscovery()
+	for i := range firstMachines {
+		w.machines = append(w.machines, w.newMachine(fmt.Sprintf("m%02d", i), i))
+	}
+	w.schedule()
+	for !w.over && len(w.judge.Violations) == 0 {
+		w.runProcess()
+		w.network.RunFor(restartDelay)
+	}
+	w.checkReleases()
+	return w.judge.Violations
+}
+
+func (w *World) now() time.Duration { return w.network.Now() }
+
+// schedule has the events happen in their time, and the end after them.
+func (w *World) schedule() {
+	var last time.Duration
+	for _, event := range w.run.Events {
+		last = max(last, event.At)
+		w.network.After(event.At, func() {
+			w.note("event: %v", event)
+			event.play(w)
+		})
+	}
+	for range steadyClients {
+		w.network.After(time.Millisecond, w.connectSteady)
+	}
+	w.network.After(last+time.Millisecond, w.restoreAll)
+	w.network.After(last+settleTime, func() {
+		w.over = true
+		w.term()
+	})
+	w.countWaits()
+}
+
+// countWaits checks that the process does not spin.
+func (w *World) countWaits() {
+	if w.waits > mostWaits {
+		w.judge.violate(ruleProcess, "%d iterations in a second", w.waits)
+	}
+	w.waits = 0
+	w.network.After(time.Second, w.countWaits)
+}
+
+// restoreAll ends all faults of peers.
+func (w *World) restoreAll() {
+	for _, m := range w.machines {
+		m.restore()
+		m.responses = nil
+	}
+	w.discovery.restore()
+	w.kernel.Limit = descriptors
+}
+
+// runProcess plays one incarnation of the process, until it ends.
+func (w *World) runProcess() {
+	w.incarnations++
+	w.termAt, w.killed, w.waits = 0, false, 0
+	w.kernel = w.network.NewKernel()
+	w.kernel.Limit = descriptors
+	w.kernel.OnWait = w.onWait
+	known := w.discovery.restart()
+	text := configJSON(w.run.Seed+uint64(w.incarnations), w.discovery.address(), settingsJSON(w.deadline), known)
+	var err error
+	if w.config, err = platform.DecodeConfig([]byte(text)); err != nil {
+		w.judge.violate(ruleProcess, "the configuration is not read: %v", err)
+		w.over = true
+		return
+	}
+	err = w.serve()
+	w.processEnded(err)
+}
+
+// serve runs the process itself. A panic is an error.
+func (w *World) serve() (err error) {
+	defer func() {
+		if cause := recover(); cause != nil {
+			err = fmt.Errorf("panic: %v\n%s", cause, debug.Stack())
+		}
+	}()
+	var kernel eventloop.Kernel = w.kernel
+	var decisions platform.Scheduler = scheduler.New(w.config.Scheduler)
+	kernel, decisions = w.fault.wrap(kernel, decisions)
+	w.server, err = platform.NewSimulated(kernel, w.config, decisions, slog.New(&logJudge{w}))
+	if err != nil {
+		return err
+	}
+	return w.server.Run()
+}
+
+// onWait ends a process as soon as something is violated, as a run has failed then.
+func (w *World) onWait() error {
+	w.waits++
+	if len(w.judge.Violations) > 0 {
+		return simnet.ErrStopped
+	}
+	return nil
+}
+
+// processEnded judges the end of an incarnation.
+func (w *World) processEnded(err error) {
+	w.note("the process ended: %v", err)
+	if w.killed {
+		w.excuseRequests()
+	}
+	w.excusePlacements()
+	switch {
+	case errors.Is(err, simnet.ErrStopped):
+		return
+	case w.killed:
+	case err != nil:
+		w.judge.violate(ruleProcess, "it ended by %v", err)
+	case w.termAt == 0:
+		w.judge.violate(ruleProcess, "it ended unasked")
+	}
+	if left := w.kernel.OpenDescriptors(); left > 0 {
+		w.judge.violate(ruleProcess, "%d descriptors are open at its end", left)
+	}
+}
+
+// term tells the process to end, and kills it if it does not in time.
+func (w *World) term() {
+	if w.server == nil {
+		return
+	}
+	w.server.Shutdown()
+	if w.termAt != 0 {
+		return
+	}
+	w.termAt = w.now()
+	incarnation, stalled := w.incarnations, w.stalled
+	w.network.After(min(w.deadline, longestDrain)+killGrace, func() {
+		w.network.After(w.stalled-stalled, func() { // nothing is asked of a process that is not run
+			if w.incarnations == incarnation && w.kernel.OpenDescriptors() > 0 {
+				w.judge.violate(ruleProcess, "it runs %v after TERM", w.now()-w.termAt)
+			}
+		})
+	})
+}
+
+// stall has the process not run for a time.
+func (w *World) stall(_ Event, span time.Duration) {
+	w.stalled += span
+	w.kernel.Stall(span)
+}
+
+// kill ends the process at once.
+func (w *World) kill() {
+	w.killed = true
+	w.kernel.Kill()
+}
+
+// onItsWay is how long a request may have been on its way when its connection ends. A process that ends by itself has
+// read what has arrived; one that closes a connection need not have.
+func (w *World) onItsWay() time.Duration {
+	if w.termAt != 0 {
+		return longestFlight
+	}
+	return wireSlack
+}
+
+// quiet reports whether clients send nothing more.
+func (w *World) quiet() bool { return w.termAt != 0 && w.now() > w.termAt+quietAfterTerm || w.killed }
+
+// newCall makes an identifier.
+func (w *World) newCall() string {
+	w.lastCall++
+	return fmt.Sprintf("%016x", w.lastCall)
+}
+
+// listed are the machines that are not gone.
+func (w *World) listed() []*machine {
+	var listed []*machine
+	for _, m := range w.machines {
+		if m.state != healthGone {
+			listed = append(listed, m)
+		}
+	}
+	return listed
+}
+
+// knownPlacements are the containers that clients hold for running.
+func (w *World) knownPlacements() []*placement {
+	var known []*placement
+	for _, call := range w.calls {
+		if r := w.judge.requests[call]; r != nil && r.placement != nil && !r.placement.told && !r.placement.ordered {
+			known = append(known, r.placement)
+		}
+	}
+	return known
+}
+
+// note writes a line of the transcript.
+func (w *World) note(format string, args ...any) {
+	if w.run.Trace != nil {
+		text := fmt.Sprintf(format, args...)
+		// A trace that cannot be written shows as it is read.
+		_, _ = fmt.Fprintf(w.run.Trace, "%10.3f ms %s\n", float64(w.now())/float64(time.Millisecond), text)
+	}
+}
--- a/internal/testbed/simnet/connection.go
+++ b/internal/testbed/simnet/connection.go
@@ -14,6 +14,7 @@
 	network  *Network
 	peer     *PeerConn
 	closed   bool // the process has closed its end
+	closedAt time.Duration
 	accepted bool // the process serves the connection, or has made it
 
 	toPeer    pipe
@@ -122,12 +123,12 @@
 		c.resetByProcess()
 		return
 	}
-	c.closed = true
+	c.closed, c.closedAt = true, c.network.now
 	c.endToPeer(io.EOF)
 }
 
 // resetByProcess ends the process's side at once.
 func (c *connection) resetByProcess() {
-	c.closed = true
+	c.closed, c.closedAt = true, c.network.now
 	c.endToPeer(unix.ECONNRESET)
 }
--- a/internal/testbed/simnet/peer.go
+++ b/internal/testbed/simnet/peer.go
@@ -1,8 +1,6 @@
 package simnet
 
 import (
-	"errors"
-	"io"
 	"net/netip"
 	"time"
 
@@ -124,6 +122,9 @@
 // Congested reports whether the process has not written all that it last tried to, as the peer took too little.
 func (p *PeerConn) Congested() bool { return p.conn.toPeer.congested }
 
+// ClosedAt is when the process has closed its end, if it has.
+func (p *PeerConn) ClosedAt() time.Duration { return p.conn.closedAt }
+
 // Unread is how many of the bytes that the peer has written the process has not read.
 func (p *PeerConn) Unread() int { return p.written - p.conn.bytesRead }
 
@@ -153,7 +154,7 @@
 
 // end tells the handler that the process has ended the connection.
 func (p *PeerConn) end(reason error) {
-	if p.paused && errors.Is(reason, io.EOF) { // the end is behind what is unread
+	if p.paused { // the end is behind what is unread
 		p.conn.network.After(time.Millisecond, func() { p.end(reason) })
 		return
 	}
