--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -36,11 +36,15 @@
 
 // Read implements eventloop.Handler.
 func (cc *clientConn) Read(_ *eventloop.Conn, data []byte) {
+	linesBefore := cc.lines.Lines()
 	if err := cc.lines.Feed(data, cc.handleLine); err != nil {
 		cc.env.log.Debug("client connection closed", "client", cc.id, "error", err)
 		cc.close()
 		return
 	}
+	if cc.lines.Lines() > linesBefore {
+		cc.env.notifyConnManager(connmanager.MessageCompleted{Client: cc.id})
+	}
 	cc.env.notifyConnManager(connmanager.BytesReceived{Client: cc.id, Partial: cc.lines.Buffered() > 0})
 }
 
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -1,9 +1,13 @@
 package platform
 
 import (
+	"fmt"
+	"slices"
 	"strings"
 	"testing"
 
+	"glenport/internal/eventloop"
+	"glenport/internal/platform/connmanager"
 	"glenport/internal/platform/jsonlines"
 	"glenport/internal/testutil"
 	"glenport/scheduler"
@@ -203,3 +207,35 @@
 	})
 	r.awaitOutcome(scheduler.AttemptEnded{ID: requestID, Outcome: scheduler.OutcomeStopped, Final: true})
 }
+
+// What is read of a client is reported to the connection manager: whether messages were completed, and whether another
+// has begun.
+func TestCompletedMessagesAreReported(t *testing.T) {
+	r := startWithDiscovery(t, silentDiscovery(t))
+	var got []connmanager.Event
+	r.runOnLoop(func() {
+		queue := &r.server.env.connManagerQueue
+		handle := queue.handle
+		queue.handle = func(now eventloop.Tick, events []connmanager.Event) []connmanager.Action {
+			got = append(got, events...)
+			return handle(now, events)
+		}
+	})
+	client := r.dialClient()
+	client.write(testLine(1) + "\n" + testLine(2)[:9])
+	client.expectCause(jsonlines.OpTested, fmt.Sprintf("%016x", 1), jsonlines.CauseTestPassed)
+	client.write(testLine(2)[9:] + "\n")
+	client.expectCause(jsonlines.OpTested, fmt.Sprintf("%016x", 2), jsonlines.CauseTestPassed)
+	want := []connmanager.Event{
+		connmanager.MessageCompleted{Client: 1}, connmanager.BytesReceived{Client: 1, Partial: true},
+		connmanager.MessageCompleted{Client: 1}, connmanager.BytesReceived{Client: 1},
+	}
+	r.runOnLoop(func() {
+		got = slices.DeleteFunc(got, func(e connmanager.Event) bool {
+			_, completed := e.(connmanager.MessageCompleted)
+			_, received := e.(connmanager.BytesReceived)
+			return !completed && !received
+		})
+		testutil.Expect(t, slices.Equal(got, want), "reported %+v, want %+v", got, want)
+	})
+}
--- a/internal/platform/connmanager/admission.go
+++ b/internal/platform/connmanager/admission.go
@@ -33,6 +33,14 @@
 	}
 }
 
+// messageCompleted ends the time of an incomplete message. A client that sends so fast that each read ends within a
+// message is not slow.
+func (m *Manager) messageCompleted(e MessageCompleted) {
+	if c := m.clients[e.Client]; c != nil {
+		c.partialSince = 0
+	}
+}
+
 func (m *Manager) bytesReceived(now Time, e BytesReceived) {
 	c := m.clients[e.Client]
 	if c == nil {
--- a/internal/platform/connmanager/admission_test.go
+++ b/internal/platform/connmanager/admission_test.go
@@ -124,6 +124,19 @@
 	}
 }
 
+// A client that sends so fast that each read ends within a message is not slow: the time counts from the end of the last
+// message.
+func TestIncompleteMessageIsTimedFromTheLastComplete(t *testing.T) {
+	m := New(100)
+	m.Handle(1, []Event{ClientConnected{1}, MessageSent{Client: 1}})
+	for at := Second / 2; at <= 4*Second; at += Second / 2 {
+		got := m.Handle(at, []Event{MessageCompleted{1}, BytesReceived{1, true}, Tick{}})
+		testutil.Expect(t, len(closedClients(got)) == 0, "closed at %d", at)
+	}
+	got := m.Handle(6*Second+1, []Event{BytesReceived{1, true}, Tick{}})
+	testutil.Expect(t, len(closedClients(got)) == 1, "not closed 2 s after its last complete message")
+}
+
 // The state of a client is removed when it disconnects.
 func TestReadPauseDoublesUpToItsLimit(t *testing.T) {
 	m := New(100)
--- a/internal/platform/connmanager/connmanager.go
+++ b/internal/platform/connmanager/connmanager.go
@@ -42,6 +42,8 @@
 	switch e := event.(type) {
 	case ClientConnected:
 		m.clientConnected(now, e)
+	case MessageCompleted:
+		m.messageCompleted(e)
 	case BytesReceived:
 		m.bytesReceived(now, e)
 	case PlacementRequested:
--- a/internal/platform/connmanager/events.go
+++ b/internal/platform/connmanager/events.go
@@ -11,6 +11,9 @@
 	// ClientConnected says that a client has connected.
 	ClientConnected struct{ Client ClientID }
 
+	// MessageCompleted says that a message of a client was read to its end. BytesReceived follows.
+	MessageCompleted struct{ Client ClientID }
+
 	// BytesReceived says that bytes of a client were read.
 	BytesReceived struct {
 		Client  ClientID
@@ -60,6 +63,7 @@
 )
 
 func (ClientConnected) event()         {}
+func (MessageCompleted) event()        {}
 func (BytesReceived) event()           {}
 func (PlacementRequested) event()      {}
 func (MessageSent) event()             {}
--- a/internal/platform/jsonlines/splitter.go
+++ b/internal/platform/jsonlines/splitter.go
@@ -10,12 +10,16 @@
 type LineSplitter struct {
 	MaxBytes int
 	partial  []byte
+	lines    int   // passed on so far
 	err      error // the first one; it ends the stream
 }
 
 // Buffered returns the number of bytes of the incomplete line.
 func (s *LineSplitter) Buffered() int { return len(s.partial) }
 
+// Lines returns the number of lines that were passed on.
+func (s *LineSplitter) Lines() int { return s.lines }
+
 // Feed passes each line that p completes to handle, without its end; the line is valid until handle returns. The first
 // error, of handle or a *LineLengthError, is returned by this and every later call, and nothing more is passed on.
 func (s *LineSplitter) Feed(p []byte, handle func(line []byte) error) error {
@@ -30,6 +34,7 @@
 			s.partial = append(s.partial, p...)
 			break
 		}
+		s.lines++
 		s.err = handle(s.complete(p[:end]))
 		s.reset()
 		p = p[end+1:]
