--- a/internal/platform/claims_test.go
+++ b/internal/platform/claims_test.go
@@ -253,7 +253,7 @@
 	r := startWithDiscovery(t, silentDiscovery(t), machineJSON("a", addr, "ready", 0), b)
 	client := r.dialClient()
 	client.send(offerWithin(requestID, "60000"))
-	return offeredRequest{r, client, <-offered}
+	return offeredRequest{r, client, testutil.Receive(t, offered)}
 }
 
 func (r offeredRequest) claimOnAnotherConn(at string) {
--- a/internal/platform/copies_test.go
+++ b/internal/platform/copies_test.go
@@ -28,14 +28,14 @@
 			client := r.dialClient()
 			client.send(strings.Replace(offerLine(requestID, ""), "report-run", tc.class, 1))
 			client.expect(jsonlines.OpAccept, requestID)
-			testutil.Equal(t, (<-received).Op, jsonlines.OpOffer)
+			testutil.Equal(t, testutil.Receive(t, received).Op, jsonlines.OpOffer)
 			if tc.cancelled {
-				msg := <-received
+				msg := testutil.Receive(t, received)
 				testutil.Expect(t, isMessage(msg, jsonlines.OpEnd, requestID, jsonlines.CauseNormal),
 					"received %+v", msg)
 			}
 			client.send(offerLine(otherRequestID, ""))
-			msg := <-received
+			msg := testutil.Receive(t, received)
 			testutil.Expect(t, msg.Op == jsonlines.OpOffer && msg.RequestID == otherRequestID, "received %+v", msg)
 		})
 	}
@@ -72,7 +72,7 @@
 			}
 			expectPlaced(t, client, received, otherRequestID) // the machine is heard again
 			if tc.cancelled {
-				msg := <-received
+				msg := testutil.Receive(t, received)
 				testutil.Expect(t, isMessage(msg, jsonlines.OpEnd, requestID, jsonlines.CauseNormal),
 					"received %+v", msg)
 			}
@@ -101,7 +101,7 @@
 	client = r.dialClient()
 	client.send(strings.Replace(offerLine(requestID, ""), "report-run", class, 1))
 	client.expect(jsonlines.OpAccept, requestID)
-	<-received
+	testutil.Receive(t, received)
 	r.runOnLoop(func() { r.server.applyDetectorAction(failuredetector.DeclareLost{Machine: "a", SilentFor: 1}) })
 	client.expectFailed(requestID)
 	return r, client, received
@@ -112,5 +112,5 @@
 	t.Helper()
 	client.send(offerLine(id, ""))
 	client.expect(jsonlines.OpAccept, id)
-	testutil.Equal(t, (<-received).RequestID, id)
+	testutil.Equal(t, testutil.Receive(t, received).RequestID, id)
 }
--- a/internal/platform/environment.go
+++ b/internal/platform/environment.go
@@ -38,14 +38,15 @@
 }
 
 // notifyLeftOutEnd has a client notified of the end of a container whose claim was left out. It reports whether there
-// may be such a claim.
+// may be such a claim. Causes with which machines do not end what is running answer an offer that was given up: they
+// must not reach its client, who has an answer.
 func (env *environment) notifyLeftOutEnd(
 	id scheduler.ContainerID, at scheduler.MachineID, cause terminationCause,
 ) bool {
 	if !env.claims.LeftOut(string(id), string(at)) {
 		return false
 	}
-	if cause != causeCancelled {
+	if cause == causeFinished || cause == causeLost {
 		env.notifyConnManager(connmanager.ContainerTerminated{RequestID: string(id), Cause: int(cause)})
 	}
 	return true
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -136,14 +136,14 @@
 	a := snapshotJSON(1, machineJSON("a", addr, "ready", 0))
 	r := startServer(t, attemptOnA(0), configJSON(silentDiscovery(t), descriptors, a))
 	client := r.request(requestID)
-	<-offered
+	testutil.Receive(t, offered)
 	r.runOnLoop(func() {
 		r.dialClients(descriptors)
 		r.server.shutdown.start()
 	})
 	r.awaitClientConns((descriptors - 32) / 2)
 	client.send(offerLine(otherRequestID, ""))
-	<-offered
+	testutil.Receive(t, offered)
 	r.runOnLoop(func() { r.expectWithinDescriptors(descriptors) })
 	close(answer)
 	ids := map[string]bool{client.receive().RequestID: true, client.receive().RequestID: true}
@@ -164,12 +164,12 @@
 	})
 	first := startWithMachineA(t, addr, attemptOnA(0))
 	first.place()
-	<-conns
+	testutil.Receive(t, conns)
 	first.server.env.loop.Stop()
 	second := startWithMachineA(t, addr, attemptOnA(0))
 	client := second.dialClient()
 	client.send(offerLine(requestID, ";at:a"))
 	await[scheduler.ContainerAdopted](second, nil)
-	(<-conns).send(endLine(requestID, jsonlines.CauseNormal))
+	testutil.Receive(t, conns).send(endLine(requestID, jsonlines.CauseNormal))
 	client.expectEnd(requestID, jsonlines.CauseNormal)
 }
