--- a/internal/platform/environment.go
+++ b/internal/platform/environment.go
@@ -37,19 +37,14 @@
 	env.failureDetectorQueue.add(e)
 }
 
-// notifyLeftOutEnd has a client notified of the end of a container whose claim was left out. It reports whether there
-// may be such a claim. Causes with which machines do not end what is running answer an offer that was given up: they
-// must not reach its client, who has an answer.
-func (env *environment) notifyLeftOutEnd(
-	id scheduler.ContainerID, at scheduler.MachineID, cause terminationCause,
-) bool {
-	if !env.claims.LeftOut(string(id), string(at)) {
-		return false
-	}
-	if cause == causeFinished || cause == causeLost {
+// notifyLeftOutEnd has a client notified of the end of a container, if its claim was left out. Causes with which
+// machines do not end what is running answer an offer that was given up: they must not reach its client, who has an
+// answer.
+func (env *environment) notifyLeftOutEnd(id scheduler.ContainerID, at scheduler.MachineID, cause terminationCause) {
+	endsRunning := cause == causeFinished || cause == causeLost
+	if endsRunning && env.claims.LeftOut(string(id), string(at)) {
 		env.notifyConnManager(connmanager.ContainerTerminated{RequestID: string(id), Cause: int(cause)})
 	}
-	return true
 }
 
 // runDecisions passes the events of this iteration on and carries out the actions that follow. It reports whether
--- a/internal/platform/machineconnmessages.go
+++ b/internal/platform/machineconnmessages.go
@@ -42,8 +42,8 @@
 func (mc *machineConn) handleEnd(event containerEnded) {
 	a := mc.machine.attempt(event.id)
 	switch {
-	case a == nil && mc.env.notifyLeftOutEnd(event.id, mc.machine.id, event.cause):
 	case a == nil: // after a start of this process a client may still reclaim the container
+		mc.env.notifyLeftOutEnd(event.id, mc.machine.id, event.cause)
 		mc.env.notifyFailureDetector(failuredetector.UnclaimedTermination{
 			Machine:   string(mc.machine.id),
 			RequestID: string(event.id),
