--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -46,7 +46,7 @@
 //	| cancelling | Rejected           | pending, completed, removed |
 //	| cancelling | Failed             | pending, fencing, completed, removed |
 //	| cancelling | Refused            | pending, fencing |
-//	| cancelling | Ended              | fencing, removed |
+//	| cancelling | Ended              | pending, fencing, completed, removed |
 //	| cancelling | SchedulerLost      | pending, fencing, removed |
 //	| running    | Ended              | pending, fencing, completed, removed |
 //	| running    | SchedulerLost      | unobserved |
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -93,12 +93,17 @@
 	return r.state == replicaPlacing || r.state == replicaLookingUp || r.state == replicaCancelling
 }
 
-// mayEnd says that the end of its container is expected. While a request is open that is so only once it was cancelled.
+// mayEnd says that the end of its container is expected. While it is requested or looked up that is so only once its job
+// does not want it, and that was cancelled; of one that is being cancelled, also where its job wants it again by now.
 func (r *replica) mayEnd() bool {
-	if r.requestOpen() {
+	switch r.state {
+	case replicaPlacing, replicaLookingUp:
 		return r.terminating
+	case replicaCancelling, replicaRunning, replicaUnobserved:
+		return true
+	case replicaCreated, replicaPending, replicaFencing, replicaCompleted, replicaRemoved:
 	}
-	return r.state == replicaRunning || r.state == replicaUnobserved
+	return false
 }
 
 // rollingOut says that a replica was cancelled for the newest spec, or has it and does not run yet.
--- a/internal/controller/replicastate.go
+++ b/internal/controller/replicastate.go
@@ -92,8 +92,15 @@
 		eventEnded:         {replicaFencing, replicaRemoved},
 		eventSchedulerLost: {replicaPending, replicaFencing, replicaRemoved},
 	},
-	replicaLookingUp:  mayRunTransitions,
-	replicaCancelling: mayRunTransitions,
+	replicaLookingUp: mayRunTransitions,
+	replicaCancelling: {
+		eventAccepted:      {replicaRunning},
+		eventRejected:      {replicaPending, replicaCompleted, replicaRemoved},
+		eventFailed:        {replicaPending, replicaFencing, replicaCompleted, replicaRemoved},
+		eventRefused:       {replicaPending, replicaFencing},
+		eventEnded:         {replicaPending, replicaFencing, replicaCompleted, replicaRemoved},
+		eventSchedulerLost: {replicaPending, replicaFencing, replicaRemoved},
+	},
 	replicaRunning: {
 		eventEnded:         {replicaPending, replicaFencing, replicaCompleted, replicaRemoved},
 		eventSchedulerLost: {replicaUnobserved},
@@ -112,7 +119,7 @@
 	replicaRemoved: {},
 }
 
-// mayRunTransitions are those while a scheduler has a request about what may run.
+// mayRunTransitions are those while a scheduler is asked whether it runs.
 var mayRunTransitions = map[replicaEvent][]replicaState{
 	eventAccepted:      {replicaRunning},
 	eventRejected:      {replicaPending, replicaCompleted, replicaRemoved},
