--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -88,7 +88,7 @@
 // iterate runs one iteration on the first ready entries of events, in the order that the package promises.
 func (l *Loop) iterate(ready int) {
 	began := l.kernel.Since(l.started)
-	l.now = max(l.now, l.readClock())
+	l.now = max(l.now, l.ReadClock())
 	l.posts.run()
 	l.dispatch(ready)
 	l.wheel.Advance(l.now)
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -13,8 +13,9 @@
 // TimerCount is the number of timers scheduled and not yet run or cancelled.
 func (l *Loop) TimerCount() int { return l.wheel.Len() }
 
-// readClock reads the loop's clock: wall time at New, advanced by monotonic time.
-func (l *Loop) readClock() Tick {
+// ReadClock reads the loop's clock anew: wall time at New, advanced by monotonic time. Within an iteration it goes on
+// where Now stands.
+func (l *Loop) ReadClock() Tick {
 	return l.base + Tick(l.kernel.Since(l.started).Microseconds()/microsecondsPerTick)
 }
 
@@ -28,6 +29,6 @@
 	if !scheduled {
 		return -1
 	}
-	left := expiry - l.readClock()
+	left := expiry - l.ReadClock()
 	return int(min(max(0, (left+Millisecond-1)/Millisecond), maxWaitMilliseconds))
 }
--- a/internal/schedulerd/attempt_test.go
+++ b/internal/schedulerd/attempt_test.go
@@ -8,6 +8,7 @@
 	"syscall"
 	"testing"
 
+	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
 	"glenport/internal/testutil"
 	"glenport/internal/testutil/frames"
@@ -144,6 +145,35 @@
 	}
 }
 
+// A machine counts the timeout of an offer from when it receives it. Where the process stalls within an iteration, as
+// beside other load, the offer has what is left of its time then, and none is sent once that is over.
+func TestOfferTimeoutCountsFromItsSending(t *testing.T) {
+	const timeout, stall = scheduler.Second, 20 * eventloop.Millisecond
+	loops := make(chan *eventloop.Loop, 1)
+	stalled := func(e scheduler.Event) []scheduler.Action {
+		if request, ok := e.(scheduler.RequestReceived); ok && request.ID != "first" {
+			for loop := <-loops; loop.ReadClock()-loop.Now() < stall; {
+				continue
+			}
+		}
+		return attemptOn(timeout)(e)
+	}
+	offers := make(chan *protocol.Offer, 2)
+	machine := serveOffers(func(c net.Conn, o *protocol.Offer) bool {
+		offers <- o
+		return acceptOffer(c, o)
+	})
+	h := startWithMachineA(t, testConfig(t), stalled, machine(t))
+	h.client.submit("first", classIdempotent) // the connection is there from then on
+	h.client.wantReply(protocol.VerdictPlaced)
+	loops <- h.server.loop
+	h.client.submit("second", classIdempotent)
+	h.client.wantReply(protocol.VerdictPlaced)
+	<-offers
+	left := scheduler.Time((<-offers).Timeout)
+	testutil.Expect(t, left <= timeout-scheduler.Time(stall), "the offer has %d of %d ticks after a stall", left, timeout)
+}
+
 // A machine that never reads blocks its own output alone: no more is sent to it, and other clients are served
 // meanwhile.
 func TestMachineThatNeverReadsIsNotSentMore(t *testing.T) {
--- a/internal/schedulerd/machine.go
+++ b/internal/schedulerd/machine.go
@@ -82,11 +82,17 @@
 // expire remembers an attempt that is over and may still be accepted.
 func (m *machine) expire(a *attempt) { m.expired.remember(a) }
 
-// offer sends an attempt and reports whether it was sent: not to a machine that reads too slowly.
+// offer sends an attempt and reports whether it was sent: not to a machine that reads too slowly, and not once its time
+// is over. The machine counts the timeout from when it receives the offer, so that it is what is left now and not at
+// the start of the iteration, which may be long past where the process was not run.
 func (m *machine) offer(a *attempt) bool {
+	left := a.deadline - m.registry.loop.ReadClock()
+	if left <= 0 {
+		return false
+	}
 	offer := &protocol.Offer{
 		AttemptID: a.number,
-		Timeout:   protocol.Duration(a.deadline - m.registry.loop.Now()),
+		Timeout:   protocol.Duration(left),
 		Spec:      a.container.spec(),
 	}
 	if !m.conn.sendUnblocked(offer) {
