--- a/internal/testbed/platformcheck/actions.go
+++ b/internal/testbed/platformcheck/actions.go
@@ -24,7 +24,10 @@
 		{text: "the bus breaks off within a line", do: func(w *World, _ Event) { w.discovery.breakOffWithinLine() }},
 		{text: "the bus is silent for", span: [2]time.Duration{100 * ms, 1500 * ms}, lasting: (*World).silenceBus},
 		{text: "the bus writes events twice", do: func(w *World, _ Event) { w.discovery.repeat() }},
-		{text: "the bus leaves a gap", do: func(w *World, _ Event) { w.discovery.leaveGap() }},
+		{text: "the bus leaves a gap, in which a machine drains", do: func(w *World, e Event) {
+			w.drainInGap(w.pick(e))
+		}},
+		{text: "the bus forgets its connections", do: func(w *World, _ Event) { w.discovery.forget() }},
 		{text: "the bus is down for", span: [2]time.Duration{100 * ms, 1500 * ms}, lasting: (*World).takeBusDown},
 	},
 	SortList: {
--- a/internal/testbed/platformcheck/changes.go
+++ b/internal/testbed/platformcheck/changes.go
@@ -59,17 +59,29 @@
 	}
 }
 
-// leaveGap has the next event of each connection passed over.
+// leaveGap has the next event of each connection passed over. The first one of a connection always comes: behind it
+// alone a gap can be seen.
 func (d *discovery) leaveGap() {
 	for _, watch := range d.watches {
-		if watch.following {
+		if watch.following && watch.toldAny {
 			watch.toldTo++
 			watch.gap = true
 		}
 	}
-	d.publish(false, d.w.machines[0])
 }
 
+// drainInGap has the event by which a machine drains be passed over.
+func (w *World) drainInGap(m *machine) {
+	if m.state == healthGone {
+		return
+	}
+	w.discovery.leaveGap()
+	w.change(m, healthDraining)
+}
+
+// forget has the bus say nothing more on the connections that it has; they stay open.
+func (d *discovery) forget() { d.watches = nil }
+
 // change has the list tell a new state of a machine.
 func (w *World) change(m *machine, state string) {
 	if m.state == healthGone {
@@ -163,7 +175,7 @@
 }
 
 // excusePlacements takes in that the process has ended: what it was to tell of the stop of a machine nobody can tell
-// any more, nor what a client has left unread.
+// any more, nor what a process that was killed had read, nor what a client has left unread.
 func (w *World) excusePlacements() {
 	for _, m := range w.machines {
 		for _, p := range m.cutPlacements {
@@ -172,11 +184,10 @@
 		m.cutPlacements = nil
 	}
 	leftUnread := slices.ContainsFunc(w.clients, func(c *client) bool { return c.conn.Congested() })
-	if !leftUnread {
-		return
-	}
 	for _, p := range w.knownPlacements() {
-		p.unknowable = p.unknowable || !p.runs()
+		if leftUnread && !p.runs() || w.killed && p.releaseRead {
+			p.unknowable = true
+		}
 	}
 }
 
--- a/internal/testbed/platformcheck/discovery.go
+++ b/internal/testbed/platformcheck/discovery.go
@@ -130,6 +130,7 @@
 	lines     lineReader
 	following bool // the process has asked
 	toldTo    int  // the last event that was written
+	toldAny   bool // an event was written
 	gap       bool // one was passed over: the process cannot make use of later ones
 }
 
@@ -184,6 +185,7 @@
 func (x *watch) tellAgain(offset int) {
 	event := x.discovery.events[offset-1]
 	line := x.discovery.w.fault.busLine(event.line)
+	x.toldAny = true
 	x.conn.Write([]byte(line+"\n"), func() {
 		if !x.gap {
 			x.discovery.told(event)
--- a/internal/testbed/platformcheck/machine.go
+++ b/internal/testbed/platformcheck/machine.go
@@ -147,6 +147,7 @@
 
 // repeated notes that a process has read a release on the connection that it opened next.
 func (m *machine) repeated(r release) {
+	r.placement.releaseRead = true
 	m.unsent = slices.DeleteFunc(m.unsent, func(other release) bool { return other == r })
 }
 
@@ -159,7 +160,7 @@
 		}
 		conn = m.conns[0]
 	}
-	conn.write(line)
+	conn.writeMarked(line, func() { p.releaseRead = true })
 }
 
 // running returns the container of a call that runs here.
--- a/internal/testbed/platformcheck/records.go
+++ b/internal/testbed/platformcheck/records.go
@@ -64,6 +64,7 @@
 	endedAt     time.Duration // 0: it runs
 	known       bool          // the client was given its accept
 	ordered     bool          // its client has ended it: no release is owed
+	releaseRead bool          // a process has read that it ended
 	told        bool
 	heldBy      int  // the incarnation of the process that was told last that it runs
 	unknowable  bool // it was cut when no process held it, and nobody reports that
--- a/internal/testbed/platformcheck/world.go
+++ b/internal/testbed/platformcheck/world.go
@@ -56,7 +56,8 @@
 	killed       bool
 	over         bool          // the process ends for good
 	waits        int           // of the process in this second
-	stalled      time.Duration // in all
+	stalled      time.Duration // for which the process was not run in all
+	stallEnd     time.Duration // when it is run again
 }
 
 // Play plays a run and returns what was violated, the earliest first.
@@ -198,7 +199,7 @@
 		return
 	}
 	w.termAt = w.now()
-	incarnation, stalled := w.incarnations, w.stalled
+	incarnation, stalled := w.incarnations, w.stalled-max(0, w.stallEnd-w.now())
 	w.network.After(min(w.deadline, longestDrain)+killGrace, func() {
 		w.network.After(w.stalled-stalled, func() { // nothing is asked of a process that is not run
 			if w.incarnations == incarnation && w.kernel.OpenDescriptors() > 0 {
@@ -211,6 +212,7 @@
 // stall has the process not run for a time.
 func (w *World) stall(_ Event, span time.Duration) {
 	w.stalled += span
+	w.stallEnd = max(w.stallEnd, w.now()) + span
 	w.kernel.Stall(span)
 }
 
