--- a/internal/testbed/platformcheck/events.go
+++ b/internal/testbed/platformcheck/events.go
@@ -53,6 +53,11 @@
 	60 * time.Millisecond, 250 * time.Millisecond,
 }
 
+const (
+	quietOneIn = 150             // events before which nothing happens for quietTime
+	quietTime  = 5 * time.Second // longer than what a silent bus counts as told by, and than connections stay unused
+)
+
 // Draw draws a list of events.
 func Draw(seed uint64, count int) []Event {
 	random := rand.New(rand.NewPCG(seed, 1))
@@ -60,6 +65,9 @@
 	at := 20 * time.Millisecond
 	for range count {
 		at += gaps[random.IntN(len(gaps))]
+		if random.IntN(quietOneIn) == 0 {
+			at += quietTime
+		}
 		events = append(events, Event{
 			At: at, Sort: drawSort(random),
 			Variant: random.Uint32(), Target: random.Uint32N(targets), Amount: random.Uint32(),
