--- a/internal/controller/lifecycle_test.go
+++ b/internal/controller/lifecycle_test.go
@@ -49,8 +49,10 @@
 		// Without another cancel a copy that its scheduler had not heard of yet ran on, and nothing would end it.
 		{"fenced, scaled down, not sure", atMostOnce, "fail scale-0 9s cancel-refused 1s", "placing 1, 2 cancelled"},
 		{"fenced, scaled down, it ran", atMostOnce, "fail scale-0 9s cancel-stopped", "removed 1, 1 cancelled"},
-		{"fenced, scaled down and up, it ran", atMostOnce, "fail scale-0 9s scale-1 cancel-stopped 2s",
-			"placing 2, 1 cancelled"},
+		{
+			"fenced, scaled down and up, it ran", atMostOnce, "fail scale-0 9s scale-1 cancel-stopped 2s",
+			"placing 2, 1 cancelled",
+		},
 		{"scaled down while running", idempotent, "accept scale-0 stop", "removed 1, 1 cancelled"},
 		{"new spec replaces it", idempotent, "accept new-spec stop 1s", "placing 2, 1 cancelled"},
 	} {
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -93,8 +93,8 @@
 	return r.state == replicaPlacing || r.state == replicaLookingUp || r.state == replicaCancelling
 }
 
-// mayEnd says that the end of its container is expected. While it is requested or looked up that is so only once its job
-// does not want it, and that was cancelled; of one that is being cancelled, also where its job wants it again by now.
+// mayEnd says that the end of its container is expected. While it is requested or looked up that is so only once its
+// job does not want it, and that was cancelled; of one that is being cancelled, also where its job wants it again.
 func (r *replica) mayEnd() bool {
 	switch r.state {
 	case replicaPlacing, replicaLookingUp:
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -227,8 +227,10 @@
 	client.write(testLine(2)[9:] + "\n")
 	client.expectCause(jsonlines.OpTested, fmt.Sprintf("%016x", 2), jsonlines.CauseTestPassed)
 	want := []connmanager.Event{
-		connmanager.MessageCompleted{Client: 1}, connmanager.BytesReceived{Client: 1, Partial: true},
-		connmanager.MessageCompleted{Client: 1}, connmanager.BytesReceived{Client: 1},
+		connmanager.MessageCompleted{Client: 1},
+		connmanager.BytesReceived{Client: 1, Partial: true},
+		connmanager.MessageCompleted{Client: 1},
+		connmanager.BytesReceived{Client: 1},
 	}
 	r.runOnLoop(func() {
 		got = slices.DeleteFunc(got, func(e connmanager.Event) bool {
--- a/internal/platform/connmanager/admission_test.go
+++ b/internal/platform/connmanager/admission_test.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// A client that sends so fast that each read ends within a message is not slow: the time counts from the end of the last
-// message.
+// A client that sends so fast that each read ends within a message is not slow: the time counts from the end of the
+// last message.
 func TestIncompleteMessageIsTimedFromTheLastComplete(t *testing.T) {
 	m := New(100)
 	m.Handle(1, []Event{ClientConnected{1}, MessageSent{Client: 1}})
--- a/internal/schedulerd/attempt_test.go
+++ b/internal/schedulerd/attempt_test.go
@@ -171,7 +171,7 @@
 	h.client.wantReply(protocol.VerdictPlaced)
 	<-offers
 	left := scheduler.Time((<-offers).Timeout)
-	testutil.Expect(t, left <= timeout-scheduler.Time(stall), "the offer has %d of %d ticks after a stall", left, timeout)
+	testutil.Expect(t, left <= timeout-scheduler.Time(stall), "%d of %d ticks are left after a stall", left, timeout)
 }
 
 // A machine that never reads blocks its own output alone: no more is sent to it, and other clients are served
