--- a/internal/testbed/process/api.go
+++ b/internal/testbed/process/api.go
@@ -29,8 +29,13 @@
 	return nil
 }
 
-// ChangeJob changes a job, by an idempotency key that a retry has too, and returns the job's version.
+// ChangeJob creates, changes or deletes a job and returns its version. The idempotency key, which a retry has too, goes
+// with a creation only, as the API defines it: net/http resends any request that has the header by itself after its
+// connection is lost, and a change that was sent twice unnoticed may be answered as if it had never been possible.
 func (c *Controller) ChangeJob(method, path, key string, in any) (status int, version int64, err error) {
+	if method != http.MethodPost {
+		key = ""
+	}
 	status, data, err := c.request(method, path, key, in)
 	var job struct{ Version int64 }
 	if err == nil && status < http.StatusMultipleChoices && len(data) > 0 {
