--- a/internal/schedulerd/machinelist.go
+++ b/internal/schedulerd/machinelist.go
@@ -75,8 +75,13 @@
 }
 
 // noteSelfReported takes an incarnation from the hello of a machine if no list has contained it yet. A hello has no
-// age: until a list has, the incarnation counts as new.
+// age: until a list has, the incarnation counts as new. A lower one than is known is only logged, as it may be that of
+// a machine which has restarted since its hello; where it stays lower, the machine gets no slow start.
 func (r *machineRegistry) noteSelfReported(m *machine, incarnation uint64) {
+	if incarnation < m.incarnation {
+		r.log.Warn("machine reports an earlier incarnation than is known",
+			"machine", string(m.id), "reported", incarnation, "known", m.incarnation)
+	}
 	entry, listed := r.list.entries[string(m.id)]
 	if !listed || !m.selfReport(incarnation, r.now()) {
 		return
--- a/internal/schedulerd/parts_test.go
+++ b/internal/schedulerd/parts_test.go
@@ -45,3 +45,18 @@
 		t.Errorf("logged %s", got)
 	}
 }
+
+// A machine whose incarnations do not rise is never seen to start: operators have to read of it.
+func TestEarlierIncarnationOfMachineIsLogged(t *testing.T) {
+	var log bytes.Buffer
+	registry := &machineRegistry{process: &process{log: slog.New(slog.NewTextHandler(&log, nil))}}
+	m := &machine{registry: registry, id: "a", machineListing: machineListing{incarnation: 5}}
+	for _, incarnation := range []uint64{5, 4} {
+		registry.noteSelfReported(m, incarnation)
+	}
+	got := log.String()
+	if strings.Count(got, "\n") != 1 || !strings.Contains(got, "machine=a reported=4 known=5") {
+		t.Errorf("logged %s", got)
+	}
+	testutil.Expect(t, m.incarnation == 5, "incarnation %d is known", m.incarnation)
+}
--- a/internal/testbed/emulator/lifecycle.go
+++ b/internal/testbed/emulator/lifecycle.go
@@ -68,12 +68,13 @@
 	}
 }
 
-// start begins the next incarnation.
+// start begins the next incarnation. Its number is the time of the start, so that it is higher than that of each
+// earlier one, also of one that an earlier test bed emulated and a scheduler's state folder remembers.
 func (l *lifecycle) start(at time.Time) error {
 	if err := l.apply(machineStarted); err != nil {
 		return err
 	}
-	l.incarnation++
+	l.incarnation = max(l.incarnation+1, uint64(at.UnixMicro()))
 	l.startedAt = at
 	return nil
 }
