--- a/internal/protocol/client.go
+++ b/internal/protocol/client.go
@@ -39,7 +39,10 @@
 	IdempotencyKey string   `cbor:"Key"`
 }
 
-// PlacementReply answers a Submit or a Lookup.
+// MessageCancelled is the message of a VerdictFailed that answers a CancelContainer: nothing runs, or will.
+const MessageCancelled = "cancelled"
+
+// PlacementReply answers a Submit or a Lookup, or a CancelContainer by key of a container that does not run.
 type PlacementReply struct {
 	_           struct{} `cbor:",toarray"`
 	ContainerID string   `cbor:"Container"`
--- a/internal/schedulerd/container.go
+++ b/internal/schedulerd/container.go
@@ -11,7 +11,7 @@
 const (
 	messageAlreadyRunning = "it runs already"
 	messageNotRunning     = "nothing of it runs"
-	messageCancelled      = "cancelled"
+	messageCancelled      = protocol.MessageCancelled
 	messageOtherClient    = "it is another owner's"
 )
 
--- a/internal/testbed/audit/checker_test.go
+++ b/internal/testbed/audit/checker_test.go
@@ -71,6 +71,19 @@
 		h.cancelX(8, "k-x")
 		h.answerCancelOfX(9)
 	}, 0},
+	{"a cancel ends the container, and is answered once more", func(h *history) {
+		h.place(5, "x")
+		h.cancelX(7, "k-x")
+		h.stopX(8)
+		h.answerCancelOfX(9)
+	}, RuleFinalReply},
+	{"a second cancel crosses the end that the first one caused, and is answered", func(h *history) {
+		h.place(5, "x")
+		h.cancelX(7, "k-x")
+		h.stopX(8)
+		h.cancelX(9, "k-x")
+		h.answerCancelOfX(10)
+	}, 0},
 	{"a cancel is answered while the container runs", func(h *history) {
 		h.place(5, "x")
 		h.cancelX(8, "k-x")
--- a/internal/testbed/audit/history_test.go
+++ b/internal/testbed/audit/history_test.go
@@ -140,7 +140,13 @@
 // answerCancelOfX has the scheduler answer that container x was cancelled.
 func (h *history) answerCancelOfX(at int64) {
 	h.frame(at, faultproxy.FromScheduler, clientConn,
-		&protocol.PlacementReply{ContainerID: "x", Verdict: protocol.VerdictFailed, Message: cancelledMessage})
+		&protocol.PlacementReply{ContainerID: "x", Verdict: protocol.VerdictFailed, Message: protocol.MessageCancelled})
+}
+
+// stopX notifies the client that container x ended by a cancel.
+func (h *history) stopX(at int64) {
+	h.frame(at, faultproxy.FromScheduler, clientConn,
+		&protocol.Termination{ContainerID: "x", Outcome: protocol.OutcomeStopped})
 }
 
 // place submits a container to workload class 0, has it offered and accepted at a time, and replies.
--- a/internal/testbed/audit/rule_final_reply.go
+++ b/internal/testbed/audit/rule_final_reply.go
@@ -38,21 +38,25 @@
 	s.lookups[f.ContainerID] = true
 }
 
-// terminated notes that the client of a container was notified of its end.
+// terminated notes that the client of a container was notified of its end. Where a cancel by key ended the container,
+// that is the answer to the cancel, and no reply is due.
 func (s *schedulerState) terminated(f *protocol.Termination) {
-	if r := s.requests[f.ContainerID]; r != nil {
-		r.terminated = true
+	r := s.requests[f.ContainerID]
+	if r == nil {
+		return
+	}
+	r.terminated = true
+	stopped := f.Outcome == protocol.OutcomeStopped && f.Reason == protocol.ReasonNone
+	if stopped && r.keyedCancels > 0 {
+		r.keyedCancels--
 	}
 }
 
-// cancelledMessage is the text of a reply to a cancel: nothing runs, or will.
-const cancelledMessage = "cancelled"
-
 // answersCancel reports whether a further reply answers a cancel by key that crossed the end of its request: the
 // scheduler had rejected or failed the request, or had reported the end of its container, and says that nothing runs.
 // Each cancel has one answer; that of a request which it ended is its answer as well.
 func (r *request) answersCancel(f *protocol.PlacementReply) bool {
-	if f.Verdict != protocol.VerdictFailed || f.Message != cancelledMessage || r.keyedCancels == 0 {
+	if f.Verdict != protocol.VerdictFailed || f.Message != protocol.MessageCancelled || r.keyedCancels == 0 {
 		return false
 	}
 	r.keyedCancels--
--- a/internal/testbed/audit/state.go
+++ b/internal/testbed/audit/state.go
@@ -31,7 +31,7 @@
 	abandoned bool // its connection or scheduler ended: no reply is owed
 
 	terminated   bool // the client was notified that the container ended
-	keyedCancels int  // cancels by key that no reply was attributed to
+	keyedCancels int  // cancels by key that no answer was attributed to
 }
 
 // attempt is one offer of a container to a machine, or a container that a machine's inventory names.
