--- a/internal/testbed/emulator/endpoint.go
+++ b/internal/testbed/emulator/endpoint.go
@@ -1,59 +1,57 @@
 package emulator
 
 import (
-	"fmt"
 	"net"
 	"sync"
-	"time"
 
 	"glenport/internal/testbed/loopback"
 )
 
-const (
-	listenRetryDelay = 10 * time.Millisecond
-	maxListenRetries = 50
-)
-
-// endpoint is where a machine listens; its address stays the same over restarts. Any goroutine may read it.
+// endpoint is where a machine listens. Its address stays the same over restarts: the port is reserved from the first
+// start on, also while the machine is down. Any goroutine may read it.
 type endpoint struct {
 	listener net.Listener // nil before the first start
 
 	mu   sync.Mutex
-	addr string
+	port *loopback.Reservation // nil before the first start
 }
 
-// open listens where it listened before. It tries for a while, as the port of the incarnation before may still be
-// taken.
+// open listens where it listened before.
 func (e *endpoint) open() error {
-	addr := e.address()
-	if addr == "" {
-		addr = loopback.AnyPort
+	port, err := e.reserve()
+	if err != nil {
+		return err
 	}
-	var lastErr error
-	for range maxListenRetries {
-		listener, err := loopback.Listen(addr)
-		if err == nil {
-			e.listener = listener
-			e.setAddress(listener.Addr().String())
-			return nil
-		}
-		lastErr = err
-		time.Sleep(listenRetryDelay)
+	e.listener, err = loopback.Listen(port.Address)
+	return err
+}
+
+func (e *endpoint) reserve() (port *loopback.Reservation, err error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.port == nil {
+		e.port, err = loopback.Reserve()
 	}
-	return fmt.Errorf("listen: %w", lastErr)
+	return e.port, err
 }
 
 func (e *endpoint) close() { loopback.CloseQuietly(e.listener) }
 
-// address is empty before the first start.
-func (e *endpoint) address() string {
+// release gives the port up, once the machine has ended for good.
+func (e *endpoint) release() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.addr
+	if e.port != nil {
+		e.port.Release()
+	}
 }
 
-func (e *endpoint) setAddress(addr string) {
+// address is empty before the first start.
+func (e *endpoint) address() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.addr = addr
+	if e.port == nil {
+		return ""
+	}
+	return e.port.Address
 }
--- a/internal/testbed/emulator/machine.go
+++ b/internal/testbed/emulator/machine.go
@@ -122,6 +122,7 @@
 	m.Crash()
 	m.loop.change(loopWasClosed)
 	m.background.Wait()
+	m.endpoint.release()
 }
 
 // Drain has the machine refuse offers, until EndDrain. It keeps what runs.
--- a/internal/testbed/emulator/transitions_test.go
+++ b/internal/testbed/emulator/transitions_test.go
@@ -8,6 +8,7 @@
 
 	"glenport/internal/statemachine"
 	"glenport/internal/statemachine/statemachinetest"
+	"glenport/internal/testbed/loopback"
 	"glenport/internal/testutil"
 )
 
@@ -99,6 +100,10 @@
 	if s, ok := m.Status(); !ok || s.Up {
 		t.Errorf("status %+v after a crash, %v", s, ok)
 	}
+	if holder, err := loopback.ListenPacket(addr); err == nil {
+		loopback.CloseQuietly(holder)
+		t.Errorf("the port of a machine that is down is not reserved")
+	}
 	if err := m.Start(StartWarm); err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/testbed/loopback/reservation_test.go
@@ -0,0 +1,23 @@
+package loopback
+
+import (
+	"strings"
+	"testing"
+
+	"glenport/internal/testutil"
+)
+
+func TestReservedPortIsNobodyElses(t *testing.T) {
+	port, err := Reserve()
+	testutil.NoError(t, err)
+	_, number, _ := strings.Cut(port.Address, ":")
+	testutil.Expect(t, number >= "20000" && number <= "32767", "port %s may be taken by a connection", number)
+	if again, err := tryToReserve(port.Address); err == nil {
+		again.Release()
+		t.Error("a port was reserved twice")
+	}
+	port.Release()
+	again, err := tryToReserve(port.Address)
+	testutil.Require(t, err == nil, "a port that was given up cannot be reserved: %v", err)
+	again.Release()
+}
--- a/internal/testbed/process/controller.go
+++ b/internal/testbed/process/controller.go
@@ -24,7 +24,7 @@
 // Controller is a controller's process and a client of its API.
 type Controller struct {
 	APIAddr string
-	port    *reservedPort
+	port    *loopback.Reservation
 	program string
 	file    string
 	log     string
@@ -43,12 +43,12 @@
 
 // NewController chooses a port for a controller and writes its settings file.
 func NewController(spec ControllerSpec) (*Controller, error) {
-	port, err := reservePort() // held until the test bed ends: a controller may be started again
+	port, err := loopback.Reserve() // held until the test bed ends: a controller may be started again
 	if err != nil {
 		return nil, fmt.Errorf("controller: %w", err)
 	}
 	controller := &Controller{
-		APIAddr: port.address,
+		APIAddr: port.Address,
 		port:    port,
 		program: spec.Program,
 		file:    filepath.Join(spec.Dir, "controller.yaml"),
@@ -60,7 +60,7 @@
 	}
 	settings := &config.Controller{
 		Name:            "controller",
-		APIAddr:         port.address,
+		APIAddr:         port.Address,
 		SchedulerAddrs:  spec.SchedulerAddrs,
 		MachineListAddr: spec.MachineListAddr,
 		StateDir:        spec.StateDir,
--- a/internal/testbed/process/scheduler.go
+++ b/internal/testbed/process/scheduler.go
@@ -35,7 +35,7 @@
 	File    string // its settings
 	command []string
 	log     *os.File
-	port    *reservedPort
+	port    *loopback.Reservation
 	mu      sync.Mutex
 	process *os.Process
 	exited  chan struct{}
@@ -43,16 +43,16 @@
 
 // NewScheduler chooses a port for a scheduler and opens its log; the settings file is the caller's to write.
 func NewScheduler(name, file, logFile string, command []string) (*Scheduler, error) {
-	port, err := reservePort()
+	port, err := loopback.Reserve()
 	if err != nil {
 		return nil, fmt.Errorf("scheduler %s: %w", name, err)
 	}
 	log, err := os.Create(logFile)
 	if err != nil {
-		port.release()
+		port.Release()
 		return nil, err
 	}
-	return &Scheduler{Name: name, Address: port.address, File: file, command: command, log: log, port: port}, nil
+	return &Scheduler{Name: name, Address: port.Address, File: file, command: command, log: log, port: port}, nil
 }
 
 // Start starts the process and waits until it answers at its address.
@@ -145,7 +145,7 @@
 	if p.log != nil {
 		_ = p.log.Close() // written by the process, not through this descriptor
 	}
-	p.port.release()
+	p.port.Release()
 }
 
 // Running reports whether the process was started and not stopped since.
