--- a/internal/controller/server/machinelist.go
+++ b/internal/controller/server/machinelist.go
@@ -2,71 +2,57 @@
 
 import (
 	"glenport/internal/eventloop"
+	"glenport/internal/machinelist"
 	"glenport/internal/protocol"
 )
 
-// machineListRetryDelay passes before the machine list is dialed, or asked, again.
-const machineListRetryDelay = 500 * eventloop.Millisecond
-
-// machineListConn is the connection to the machine list, whose machines the API shows. It is dialed again whenever it
-// is lost.
-type machineListConn struct {
-	server  *Server
-	conn    *eventloop.Conn // nil between a loss and the next dial
-	reader  protocol.Reader
-	version int64 // of the last update that was applied
-}
+const (
+	machineListRetryDelay    = 500 * eventloop.Millisecond // after a failure, before the machine list is watched anew
+	machineListCheckInterval = 500 * eventloop.Millisecond
+)
 
-func (c *machineListConn) dial() {
-	c.reader = protocol.Reader{}
-	c.conn = c.server.loop.Dial(c.server.config.MachineList, c, maxOutput, dialTimeout)
+// machineListWatch watches the machine list, whose machines the API shows. After a failure it is watched anew.
+type machineListWatch struct {
+	loop           *eventloop.Loop
+	machines       *machineTable
+	client         *machinelist.Client
+	retryScheduled bool
 }
 
-func (c *machineListConn) write(f protocol.Frame) {
-	encoded, err := protocol.Append(nil, f)
-	if err == nil {
-		err = c.conn.Write(encoded)
-	}
-	if err != nil { // nothing to repeat: the list is watched anew on the next connection
-		c.server.log.Warn("frame not sent", "peer", "machine list", "error", err)
-	}
+func (s *Server) newMachineListWatch() *machineListWatch {
+	w := &machineListWatch{loop: s.loop, machines: s.machines}
+	w.client = machinelist.NewClient(s.loop, machinelist.Options{
+		Address:        s.config.MachineList,
+		Hello:          protocol.NewHello(protocol.RoleScheduler, s.config.Name, uint64(s.loop.Now())),
+		MaxOutput:      maxOutput,
+		ConnectTimeout: dialTimeout,
+		SilenceTimeout: s.config.SchedulerConfig.SilenceTimeout,
+	}, w, s.log)
+	return w
 }
 
-func (c *machineListConn) watch() {
-	c.write(&protocol.WatchMachineList{Enabled: true, SinceVersion: c.version})
+// start watches the list until the loop ends.
+func (w *machineListWatch) start() {
+	w.client.Watch(true)
+	w.checkTimeouts()
 }
 
-// Opened implements eventloop.Handler.
-func (c *machineListConn) Opened(*eventloop.Conn) {
-	c.write(protocol.NewHello(protocol.RoleScheduler, c.server.config.Name, uint64(c.server.loop.Now())))
-	c.watch()
+func (w *machineListWatch) checkTimeouts() {
+	w.client.CheckTimeouts(w.loop.Now())
+	w.loop.After(machineListCheckInterval, w.checkTimeouts)
 }
 
-// Read implements eventloop.Handler.
-func (c *machineListConn) Read(conn *eventloop.Conn, data []byte) {
-	if err := c.reader.Feed(data, c.handleFrame); err != nil {
-		c.server.log.Warn("connection closed", "peer", "machine list", "error", err)
-		conn.Reset()
-	}
-}
-
-// Closed implements eventloop.Handler.
-func (c *machineListConn) Closed(*eventloop.Conn, error) {
-	c.conn = nil
-	c.server.loop.After(machineListRetryDelay, c.dial)
-}
+// ListUpdated implements machinelist.Receiver.
+func (w *machineListWatch) ListUpdated(update *protocol.MachineListUpdate) { w.machines.apply(update) }
 
-func (c *machineListConn) handleFrame(f protocol.Frame) error {
-	switch f := f.(type) {
-	case *protocol.MachineListUpdate:
-		c.version = f.Version
-		c.server.machines.apply(f)
-	case *protocol.MachineListError:
-		c.server.loop.After(machineListRetryDelay, func() {
-			if c.conn != nil {
-				c.watch()
-			}
-		})
+// ListUpdateFailed implements machinelist.Receiver.
+func (w *machineListWatch) ListUpdateFailed() {
+	if w.retryScheduled {
+		return
 	}
-	return nil
+	w.retryScheduled = true
+	w.loop.After(machineListRetryDelay, func() {
+		w.retryScheduled = false
+		w.client.Watch(true)
+	})
 }
--- a/internal/controller/server/server.go
+++ b/internal/controller/server/server.go
@@ -2,7 +2,7 @@
 // controller, the schedulers and the disk, publishes jobs, containers and machines in a watch cache, and collects the
 // facts on why a container is pending.
 //
-// Server holds the loop and wires its parts, each with its own state: schedulerPool and machineListConn the
+// Server holds the loop and wires its parts, each with its own state: schedulerPool and machineListWatch the
 // connections, jobRegistry the changes of jobs, containerTable and machineTable what is shown, publisher the order in
 // which changes are shown, explainer the explain requests, storage the state folder.
 //
@@ -47,7 +47,7 @@
 	controller  *controller.Controller
 	events      []controller.Event // handled at the end of this iteration
 	schedulers  schedulerPool
-	machineList *machineListConn
+	machineList *machineListWatch
 	specs       specReader
 	publisher   *publisher
 	jobs        *jobRegistry
@@ -84,13 +84,13 @@
 
 // wire makes the parts that need the connections and the storage.
 func (s *Server) wire() {
-	s.machineList = &machineListConn{server: s}
 	s.jobs = &jobRegistry{
 		specs: s.specs, cache: s.Cache, publisher: s.publisher, storage: s.storage, addEvent: s.addEvent,
 		underWay: map[string][]*jobChange{},
 	}
 	s.containers = newContainerTable(s.publisher, s.schedulers)
 	s.machines = newMachineTable(s.publisher, s.config.SchedulerConfig.MachineTypes)
+	s.machineList = s.newMachineListWatch()
 	s.explainer = newExplainer(s.loop, s.jobs, s.schedulers)
 }
 
@@ -135,7 +135,7 @@
 		c.dial()
 	}
 	if s.config.MachineList != "" {
-		s.machineList.dial()
+		s.machineList.start()
 	}
 }
 
--- /dev/null
+++ b/internal/machinelist/client.go
@@ -0,0 +1,190 @@
+// Package machinelist is the client of the machine list service that the scheduler's and the controller's process have
+// in common. It keeps one connection, notices a service that is silent, has restarted or goes back to an older list,
+// and hands updates to its receiver. When and how often the service is asked is the receiver's to decide.
+//
+// A client belongs to one event loop: all of its methods are called on it.
+package machinelist
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+
+	"glenport/internal/eventloop"
+	"glenport/internal/protocol"
+)
+
+// peerName stands for the service in log lines.
+const peerName = "machine list"
+
+// Faults for which the connection to the service is closed.
+var (
+	errOldList         = errors.New("machine list is older than the last one")
+	errPeerGoodbye     = errors.New("peer said goodbye")
+	errRestarted       = errors.New("machine list service has restarted, a full list is needed")
+	errSilent          = errors.New("no complete frame received")
+	errUnexpectedFrame = errors.New("unexpected frame")
+	errUnexpectedPeer  = errors.New("unexpected peer")
+)
+
+// Receiver takes what the service sends.
+type Receiver interface {
+	// ListUpdated takes an update. It follows the last one, or is a full snapshot.
+	ListUpdated(update *protocol.MachineListUpdate)
+	// ListUpdateFailed is called where the service refuses a request, and where the connection ends after one: no
+	// further update comes until the service is asked again.
+	ListUpdateFailed()
+}
+
+// Options say which service a client connects to, and as whom.
+type Options struct {
+	Address        string
+	Hello          *protocol.Hello // the first frame on each connection
+	MaxOutput      int             // bytes that may wait to be written
+	ConnectTimeout eventloop.Tick
+	SilenceTimeout eventloop.Tick // without a byte from the service, after which the connection is reset
+}
+
+// Client is the connection to the machine list service. It connects at the first request, and again at the first one
+// after a loss.
+type Client struct {
+	loop               *eventloop.Loop
+	options            Options
+	receiver           Receiver
+	log                *slog.Logger
+	conn               *eventloop.Conn // nil if there is none
+	reader             protocol.Reader
+	serviceIncarnation uint64 // of the service that sent the version
+	version            int64
+	lastReadAt         eventloop.Tick
+	lastFrameAt        eventloop.Tick // 0: no frame has been received
+	awaitingReply      bool           // a reply or updates are due, so that a closed connection is a failed update
+}
+
+// NewClient returns a client that is not connected.
+func NewClient(loop *eventloop.Loop, options Options, receiver Receiver, log *slog.Logger) *Client {
+	return &Client{loop: loop, options: options, receiver: receiver, log: log}
+}
+
+// Watch subscribes to updates since the last version, or ends the subscription.
+func (c *Client) Watch(enabled bool) {
+	c.request(&protocol.WatchMachineList{Enabled: enabled, SinceVersion: c.version})
+}
+
+// Fetch requests the full list once.
+func (c *Client) Fetch() { c.request(&protocol.FetchMachineList{}) }
+
+// LastVersion is that of the last update; 0: the next update must be the full list.
+func (c *Client) LastVersion() int64 { return c.version }
+
+// SinceLastFrame is how long ago the last frame of the service was received; false if none was.
+func (c *Client) SinceLastFrame() (age eventloop.Tick, received bool) {
+	return c.loop.Now() - c.lastFrameAt, c.lastFrameAt > 0
+}
+
+// Conn is the present connection; nil if there is none.
+func (c *Client) Conn() *eventloop.Conn { return c.conn }
+
+// CheckTimeouts resets the connection if the service has been silent for too long.
+func (c *Client) CheckTimeouts(now eventloop.Tick) {
+	silence := now - c.lastReadAt
+	if c.conn != nil && silence > c.options.SilenceTimeout {
+		c.logClosed(fmt.Errorf("%w for %d ms", errSilent, silence/eventloop.Millisecond))
+		c.conn.Reset()
+	}
+}
+
+// request sends a frame to the service, on a new connection if there is none.
+func (c *Client) request(f protocol.Frame) {
+	if c.conn == nil {
+		c.reader, c.lastReadAt = protocol.Reader{}, c.loop.Now()
+		c.conn = c.loop.Dial(c.options.Address, c, c.options.MaxOutput, c.options.ConnectTimeout)
+		c.send(c.options.Hello)
+	}
+	c.awaitingReply = true
+	c.send(f)
+}
+
+func (c *Client) send(f protocol.Frame) {
+	encoded, err := protocol.Append(nil, f)
+	if err == nil {
+		err = c.conn.Write(encoded)
+	}
+	if err != nil {
+		c.logClosed(err)
+		c.conn.Reset()
+	}
+}
+
+func (c *Client) logClosed(cause error) {
+	c.log.Warn("connection closed", "peer", peerName, "error", cause)
+}
+
+// Opened implements eventloop.Handler.
+func (c *Client) Opened(*eventloop.Conn) {}
+
+// Read implements eventloop.Handler.
+func (c *Client) Read(conn *eventloop.Conn, p []byte) {
+	c.lastReadAt = c.loop.Now()
+	c.lastFrameAt = c.lastReadAt
+	if err := c.reader.Feed(p, c.handleFrame); err != nil && conn == c.conn {
+		c.logClosed(err)
+		conn.Reset()
+	}
+}
+
+// Closed implements eventloop.Handler.
+func (c *Client) Closed(conn *eventloop.Conn, _ error) {
+	if conn != c.conn {
+		return
+	}
+	c.conn = nil
+	if c.awaitingReply {
+		c.awaitingReply = false
+		c.receiver.ListUpdateFailed()
+	}
+}
+
+func (c *Client) handleFrame(f protocol.Frame) error {
+	switch f := f.(type) {
+	case *protocol.Hello:
+		return c.handleHello(f)
+	case *protocol.MachineListUpdate:
+		return c.handleUpdate(f)
+	case *protocol.MachineListError:
+		c.log.Warn("machine list request failed", "error", f.Message)
+		c.receiver.ListUpdateFailed()
+	case *protocol.Heartbeat:
+	case *protocol.Goodbye:
+		return fmt.Errorf("%w: %s", errPeerGoodbye, f.Message)
+	default:
+		return fmt.Errorf("%w: %s", errUnexpectedFrame, protocol.Name(f))
+	}
+	return nil
+}
+
+// handleHello forgets the version if the service has restarted: updates since a version of an earlier incarnation mean
+// nothing.
+func (c *Client) handleHello(f *protocol.Hello) error {
+	if f.Role != protocol.RoleMachineList {
+		return fmt.Errorf("%w: %s instead of the machine list", errUnexpectedPeer, f.Role)
+	}
+	if f.Incarnation == c.serviceIncarnation {
+		return nil
+	}
+	earlier := c.version
+	c.serviceIncarnation, c.version = f.Incarnation, 0
+	if earlier > 0 {
+		return fmt.Errorf("%w: version %d is of its earlier incarnation", errRestarted, earlier)
+	}
+	return nil
+}
+
+func (c *Client) handleUpdate(f *protocol.MachineListUpdate) error {
+	if f.Version < c.version {
+		return fmt.Errorf("%w: version %d after %d", errOldList, f.Version, c.version)
+	}
+	c.version = f.Version
+	c.receiver.ListUpdated(f)
+	return nil
+}
--- /dev/null
+++ b/internal/machinelist/client_test.go
@@ -0,0 +1,179 @@
+package machinelist
+
+import (
+	"errors"
+	"log/slog"
+	"net"
+	"sync/atomic"
+	"testing"
+
+	"glenport/internal/eventloop"
+	"glenport/internal/protocol"
+	"glenport/internal/testutil"
+	"glenport/internal/testutil/frames"
+)
+
+// result is what a receiver was told: a version, or that an update failed.
+type result struct {
+	version int64
+	failed  bool
+}
+
+// received hands on what a client receives.
+type received chan result
+
+// ListUpdated implements Receiver.
+func (r received) ListUpdated(update *protocol.MachineListUpdate) {
+	r <- result{version: update.Version}
+}
+
+// ListUpdateFailed implements Receiver.
+func (r received) ListUpdateFailed() { r <- result{failed: true} }
+
+// runClient runs a client on a loop of its own until the end of the test.
+func runClient(t *testing.T, address string, silenceTimeout eventloop.Tick) (*Client, received) {
+	t.Helper()
+	loop, err := eventloop.New(func() {})
+	testutil.NoError(t, err)
+	results := make(received, 100)
+	client := NewClient(loop, Options{
+		Address: address, Hello: protocol.NewHello(protocol.RoleScheduler, "s", 1), MaxOutput: 1 << 20,
+		ConnectTimeout: 10 * eventloop.Second, SilenceTimeout: silenceTimeout,
+	}, results, slog.New(slog.DiscardHandler))
+	ended := make(chan error, 1)
+	go func() { ended <- loop.Run() }()
+	t.Cleanup(func() {
+		loop.Stop()
+		testutil.ExpectNoError(t, <-ended)
+	})
+	return client, results
+}
+
+// onLoop calls a function on the loop of a client, and waits for its end.
+func onLoop(client *Client, call func()) {
+	done := make(chan struct{})
+	client.loop.Post(func() {
+		defer close(done)
+		call()
+	})
+	<-done
+}
+
+// requestAnew resets the connection to the service as if nothing were due on it, and asks on a new one.
+func requestAnew(client *Client) {
+	onLoop(client, func() {
+		if client.conn != nil {
+			client.awaitingReply = false
+			client.conn.Reset()
+		}
+		client.Watch(true)
+	})
+}
+
+func serviceHello(incarnation uint64) *protocol.Hello {
+	return protocol.NewHello(protocol.RoleMachineList, "list", incarnation)
+}
+
+// serveThreeUpdates sends a full list on the first connection, another update on the second, by a service of the given
+// incarnation, and a full list on every further one. It reports the version since which the third asks for updates:
+// connections are served side by side, so the report of an earlier one may come after it.
+func serveThreeUpdates(
+	t *testing.T,
+	incarnation uint64,
+	second *protocol.MachineListUpdate,
+	third chan<- int64,
+) string {
+	t.Helper()
+	var connections atomic.Int32
+	return testutil.ServeUntilEnd(t, func(c net.Conn) {
+		n := connections.Add(1)
+		hello, update := serviceHello(incarnation), &protocol.MachineListUpdate{FullSnapshot: true, Version: 7}
+		switch n {
+		case 1:
+			hello, update = serviceHello(1), &protocol.MachineListUpdate{FullSnapshot: true, Version: 5}
+		case 2:
+			update = second
+		}
+		frames.Send(c, hello)
+		frames.Skip(c)
+		f, err := frames.Receive(c)
+		if err != nil {
+			return
+		}
+		if n == 3 {
+			third <- f.(*protocol.WatchMachineList).SinceVersion
+		}
+		frames.Send(c, update)
+		frames.Skip(c)
+	})
+}
+
+// A list that is older than the last one, or of another incarnation of its service, is not applied. The service is
+// asked again, for the full list if it has restarted.
+func TestOlderMachineListIsNotApplied(t *testing.T) {
+	for _, tc := range []struct {
+		name        string
+		incarnation uint64 // of the service from the second connection on
+		update      protocol.MachineListUpdate
+		since       int64 // the version of the third request
+	}{
+		{"an older version", 1, protocol.MachineListUpdate{FullSnapshot: true, Version: 4}, 5},
+		{"another incarnation of the service", 2, protocol.MachineListUpdate{Version: 6}, 0},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			third := make(chan int64, 1)
+			address := serveThreeUpdates(t, tc.incarnation, &tc.update, third)
+			client, results := runClient(t, address, 10*eventloop.Second)
+			for i, want := range []result{{version: 5}, {failed: true}, {version: 7}} {
+				requestAnew(client)
+				got := testutil.Receive(t, results)
+				testutil.Require(t, got == want, "request %d: %+v, want %+v", i+1, got, want)
+			}
+			testutil.Equal(t, <-third, tc.since, "the version since which updates were requested")
+		})
+	}
+}
+
+// A service that accepts the connection and falls silent is given up, and asked on a new connection.
+func TestSilentServiceIsGivenUp(t *testing.T) {
+	accepted := make(chan struct{}, 10)
+	address := testutil.ServeUntilEnd(t, func(c net.Conn) {
+		accepted <- struct{}{}
+		frames.Send(c, serviceHello(1))
+		frames.Handle(c, frames.Ignore)
+	})
+	client, results := runClient(t, address, eventloop.Millisecond)
+	for range 2 {
+		onLoop(client, func() { client.Watch(true) })
+		testutil.Receive(t, accepted)
+		testutil.WaitUntil(t, "the connection is reset", func() bool {
+			lost := false
+			onLoop(client, func() {
+				client.CheckTimeouts(client.loop.Now())
+				lost = client.Conn() == nil
+			})
+			return lost
+		})
+		testutil.Equal(t, testutil.Receive(t, results), result{failed: true})
+	}
+}
+
+func TestFaultsOfTheServiceAreTyped(t *testing.T) {
+	client := &Client{serviceIncarnation: 1, version: 5}
+	for _, tc := range []struct {
+		name  string
+		frame protocol.Frame
+		want  error
+	}{
+		{"an older version", &protocol.MachineListUpdate{Version: 4}, errOldList},
+		{"another role", protocol.NewHello(protocol.RoleMachine, "a", 1), errUnexpectedPeer},
+		{"a goodbye", &protocol.Goodbye{Message: "maintenance"}, errPeerGoodbye},
+		{"a frame for machines", &protocol.Probe{Seq: 1}, errUnexpectedFrame},
+		{"a restart", serviceHello(2), errRestarted}, // forgets the version
+		{"the first hello of an incarnation without a version", serviceHello(3), nil},
+	} {
+		if err := client.handleFrame(tc.frame); !errors.Is(err, tc.want) {
+			t.Errorf("%s: %v, want %v", tc.name, err, tc.want)
+		}
+	}
+}
--- a/internal/schedulerd/doc.go
+++ b/internal/schedulerd/doc.go
@@ -11,7 +11,7 @@
 //	machineRegistry    the machine list and the machines, each with a machineConn, an attemptQueue and its probes
 //	attemptDispatcher  attempts from the decision to their one outcome
 //	containerRegistry  containers that were admitted or adopted, and the answers to their clients
-//	discoveryClient    the connection to the machine list service
+//	listReceiver       hands on what the machinelist.Client receives, which owns the connection to the list service
 //	routeAnnouncer     the BGP speaker
 //	stateStore         what the next incarnation needs: a journal and a snapshotWriter
 //	inspector          replies to the questions of operators
--- a/internal/schedulerd/errors.go
+++ b/internal/schedulerd/errors.go
@@ -12,9 +12,7 @@
 // Faults for which a connection is closed.
 var (
 	errDuplicateInventory = errors.New("machine reported its inventory twice")
-	errListRestarted      = errors.New("machine list service has restarted, a full list is needed")
 	errNoHello            = errors.New("no hello received")
-	errOldList            = errors.New("machine list is older than the last one")
 	errPartialFrame       = errors.New("rest of a frame missing")
 	errPeerGoodbye        = errors.New("peer said goodbye")
 	errSilent             = errors.New("no complete frame received")
--- a/internal/schedulerd/explain.go
+++ b/internal/schedulerd/explain.go
@@ -8,7 +8,7 @@
 // explainReply explains why a container like that of the request may wait, if the scheduler can explain it.
 func (i *inspector) explainReply(f *protocol.ExplainRequest) *protocol.ExplainReply {
 	reply := &protocol.ExplainReply{Seq: f.Seq, ListAge: -1}
-	if age, received := i.discovery.sinceLastFrame(); received {
+	if age, received := i.discovery.SinceLastFrame(); received {
 		reply.ListAge = protocol.Duration(age)
 	}
 	found, ok := i.decisions.explain(scheduler.PlacementRequest{
--- a/internal/schedulerd/helpers_test.go
+++ b/internal/schedulerd/helpers_test.go
@@ -126,7 +126,7 @@
 
 func now(server *Server) scheduler.Time { return onLoop(server, server.now) }
 
-func watchList(server *Server) { runOnLoop(server, func() { server.discovery.watch(true) }) }
+func watchList(server *Server) { runOnLoop(server, func() { server.discovery.Watch(true) }) }
 
 // harness is a server whose list names machines, with a client.
 type harness struct {
--- a/internal/schedulerd/interleaving_model_test.go
+++ b/internal/schedulerd/interleaving_model_test.go
@@ -130,7 +130,7 @@
 // quiet runs on the loop of the server.
 func (w *model) quiet() bool {
 	s := w.server
-	if s.clients.count() != 1 || s.decisions.pending() || !drained(s.discovery.conn, w.list.conn) {
+	if s.clients.count() != 1 || s.decisions.pending() || !drained(s.discovery.Conn(), w.list.conn) {
 		return false
 	}
 	for _, client := range s.clients.connected {
--- a/internal/schedulerd/iteration.go
+++ b/internal/schedulerd/iteration.go
@@ -44,9 +44,9 @@
 			s.decisions.notifyScheduler(scheduler.TimerFired{Name: action.Name})
 		})
 	case scheduler.WatchMachineList:
-		s.discovery.watch(action.Enabled)
+		s.discovery.Watch(action.Enabled)
 	case scheduler.FetchMachineList:
-		s.discovery.request(&protocol.FetchMachineList{})
+		s.discovery.Fetch()
 	case scheduler.Log:
 		s.logDecision(action.Message, action.Attributes)
 	}
--- a/internal/schedulerd/machinelist.go
+++ b/internal/schedulerd/machinelist.go
@@ -87,7 +87,7 @@
 		return
 	}
 	r.decisions.notifyScheduler(scheduler.MachineListUpdate{
-		Mode: scheduler.SelfReported, Version: r.discovery.lastVersion(),
+		Mode: scheduler.SelfReported, Version: r.discovery.LastVersion(),
 		Entries: []scheduler.MachineEntry{m.schedulerEntry(m.id, &entry)},
 	})
 	r.noteIncarnations(m)
--- a/internal/schedulerd/machines.go
+++ b/internal/schedulerd/machines.go
@@ -2,6 +2,7 @@
 
 import (
 	"glenport/internal/eventloop"
+	"glenport/internal/machinelist"
 	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/schedulerd/warmstart"
@@ -13,7 +14,7 @@
 	*process
 	decisions  *decisions
 	dispatcher *attemptDispatcher
-	discovery  *discoveryClient
+	discovery  *machinelist.Client
 	routes     *routeAnnouncer
 	state      *stateStore // nil if nothing is persisted
 
--- a/internal/schedulerd/script_test.go
+++ b/internal/schedulerd/script_test.go
@@ -66,9 +66,9 @@
 }
 
 // awaitList waits for an update of the machine list that is not the restored one.
-func awaitList(t *testing.T, script *scriptedScheduler) scheduler.MachineListUpdate {
+func awaitList(t *testing.T, script *scriptedScheduler) {
 	t.Helper()
-	return awaitEvent(t, script, func(e scheduler.MachineListUpdate) bool {
+	awaitEvent(t, script, func(e scheduler.MachineListUpdate) bool {
 		return e.Mode != scheduler.RestoredSnapshot
 	})
 }
--- a/internal/schedulerd/server.go
+++ b/internal/schedulerd/server.go
@@ -9,6 +9,7 @@
 	"glenport/internal/bgp/speaker"
 	"glenport/internal/config"
 	"glenport/internal/eventloop"
+	"glenport/internal/machinelist"
 	"glenport/internal/protocol"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/schedulerd/recovery"
@@ -29,7 +30,7 @@
 	machines   *machineRegistry
 	dispatcher *attemptDispatcher
 	containers *containerRegistry
-	discovery  *discoveryClient
+	discovery  *machinelist.Client
 	routes     *routeAnnouncer
 	inspector  *inspector
 	state      *stateStore // nil if nothing is persisted
@@ -91,7 +92,7 @@
 		process: s.process, decisions: s.decisions, routes: s.routes, state: s.state,
 		byID: map[scheduler.MachineID]*machine{},
 	}
-	s.discovery = &discoveryClient{process: s.process, decisions: s.decisions, machines: s.machines}
+	s.discovery = s.newDiscoveryClient()
 	s.dispatcher = &attemptDispatcher{
 		process: s.process, decisions: s.decisions, machines: s.machines, routes: s.routes, state: s.state,
 		adoptions: newAdoptionTracker(), lastNumber: s.incarnation,
@@ -166,6 +167,6 @@
 	now := s.loop.Now()
 	s.machines.checkTimeouts(now)
 	s.clients.checkTimeouts(now)
-	s.discovery.checkTimeouts(now)
+	s.discovery.CheckTimeouts(now)
 	s.loop.After(maintenanceInterval, s.maintain)
 }
--- a/internal/schedulerd/status.go
+++ b/internal/schedulerd/status.go
@@ -5,6 +5,7 @@
 	"runtime/metrics"
 	"time"
 
+	"glenport/internal/machinelist"
 	"glenport/internal/protocol"
 )
 
@@ -46,7 +47,7 @@
 	clients    *clientRegistry
 	machines   *machineRegistry
 	containers *containerRegistry
-	discovery  *discoveryClient
+	discovery  *machinelist.Client
 }
 
 // statusReply returns the counters of `glenport status` and the metrics, under the names that operators know.
@@ -61,7 +62,7 @@
 
 func (i *inspector) addSizes(list *statList) {
 	list.addCount("machines known", i.machines.count())
-	list.add("list version", float64(i.discovery.lastVersion()), "")
+	list.add("list version", float64(i.discovery.LastVersion()), "")
 	list.addCount("owners", i.clients.count())
 	list.addCount("connections", i.loop.ConnCount())
 	list.addCount("timers", i.loop.TimerCount())
