--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -57,15 +57,19 @@
 	c.queueFlush()
 }
 
-// SetReadPaused stops reading, or resumes it. While it is paused, a peer that hangs up is still read to its end.
-func (c *Conn) SetReadPaused(paused bool) {
-	unchanged := c.readPaused == paused
-	if c.state == connClosed || unchanged {
-		return
+// PauseReading leaves input unread until ResumeReading. A peer that hangs up meanwhile is still read to its end.
+func (c *Conn) PauseReading() {
+	if !c.readPaused {
+		c.readPaused = true
+		c.updateEventsIfEstablished()
 	}
-	c.readPaused = paused
-	if c.state != connDialing {
-		c.updateEvents()
+}
+
+// ResumeReading reads input again after PauseReading, also what arrived meanwhile.
+func (c *Conn) ResumeReading() {
+	if c.readPaused {
+		c.readPaused = false
+		c.updateEventsIfEstablished()
 	}
 }
 
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -154,7 +154,7 @@
 		sent    int // bytes, before the peer hangs up
 	}{
 		{"sends and hangs up", func(*Conn) {}, readBufferSize / 2},
-		{"while reading is paused", func(c *Conn) { c.SetReadPaused(true) }, readBufferSize / 2},
+		{"while reading is paused", (*Conn).PauseReading, readBufferSize / 2},
 		{"while output is blocked", func(c *Conn) {
 			for c.Write(make([]byte, 1<<20)) == nil {
 			}
--- a/internal/eventloop/connio.go
+++ b/internal/eventloop/connio.go
@@ -30,6 +30,14 @@
 	c.loop.setEvents(c.fd, events)
 }
 
+// updateEventsIfEstablished is updateEvents for a connection that may be in any state: while it is being dialed it is
+// watched for the end of the handshake, and finishConnect updates the events then.
+func (c *Conn) updateEventsIfEstablished() {
+	if c.isEstablished() {
+		c.updateEvents()
+	}
+}
+
 func (c *Conn) handleEvents(events uint32) {
 	switch c.state {
 	case connDialing:
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -72,7 +72,7 @@
 	}
 	handler.onRead = func(c *Conn, p []byte) {
 		testutil.ExpectNoError(t, c.Write(p))
-		c.SetReadPaused(true)
+		c.PauseReading()
 		l.Post(func() {
 			send("unread")
 			l.StopWhenIdle()
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -245,11 +245,11 @@
 			e.ready(e.accepted[6], unix.POLLRDHUP)
 		},
 		func() {
-			e.accepted[7].SetReadPaused(true)
+			e.accepted[7].PauseReading()
 			e.send(7, []byte("z"))
 		},
 		func() {
-			e.accepted[7].SetReadPaused(false)
+			e.accepted[7].ResumeReading()
 			e.ready(e.accepted[7], unix.POLLIN)
 		},
 	}
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -67,8 +67,8 @@
 
 // pauseReading leaves the input unread for a while.
 func (cc *clientConn) pauseReading(duration eventloop.Tick) {
-	cc.conn.SetReadPaused(true)
-	cc.env.loop.After(duration, func() { cc.conn.SetReadPaused(false) })
+	cc.conn.PauseReading()
+	cc.env.loop.After(duration, cc.conn.ResumeReading)
 }
 
 // send writes a message to a client. A client that takes too little is disconnected.
