--- a/cmd/glenport-testbed/platformtrial.go
+++ b/cmd/glenport-testbed/platformtrial.go
@@ -1,8 +1,6 @@
 package main
 
 import (
-	"errors"
-	"os"
 	"runtime"
 	"runtime/debug"
 
@@ -34,11 +32,7 @@
 				t.Faults = platformcheck.Faults
 			}
 			debug.SetGCPercent(simulationGCPercent)
-			err = trials.Run(t, trials.Setup{}, os.Stdout)
-			if errors.Is(err, trials.ErrFailed) {
-				return errFailed
-			}
-			return err
+			return runTrial(t, trials.Setup{})
 		},
 	}
 	c.Flags().IntVar(&t.Events, "events", 1_000_000, "in all, in runs of 60")
--- a/cmd/glenport-testbed/trial.go
+++ b/cmd/glenport-testbed/trial.go
@@ -26,7 +26,16 @@
 	return c
 }
 
-// playTrial plays a trial with a scheduler program on the cluster of a scenario file and prints its verdict.
+// runTrial plays a trial and prints its verdict.
+func runTrial(trial trials.Trial, setup trials.Setup) error {
+	err := trials.Run(trial, setup, os.Stdout)
+	if errors.Is(err, trials.ErrFailed) {
+		return errFailed
+	}
+	return err
+}
+
+// playTrial plays a trial with a scheduler program on the cluster of a scenario file.
 func playTrial(trial trials.Trial, scenarioFile, namedDir string, program []string) error {
 	s, err := loadScenario(scenarioFile)
 	if err != nil {
@@ -37,11 +46,7 @@
 		return err
 	}
 	defer done()
-	err = trials.Run(trial, trials.Setup{Scenario: s, Dir: dir, Program: program}, os.Stdout)
-	if errors.Is(err, trials.ErrFailed) {
-		return errFailed
-	}
-	return err
+	return runTrial(trial, trials.Setup{Scenario: s, Dir: dir, Program: program})
 }
 
 func whyTrialCommand() *cobra.Command {
--- a/internal/bgp/announce/golden_test.go
+++ b/internal/bgp/announce/golden_test.go
@@ -30,7 +30,7 @@
 				h.step()
 			}
 		}
-		fmt.Fprintf(&got, "steps of up to %d: %d actions, sha256 %s\n", maxStep, digest.Records(), digest.Sum())
+		fmt.Fprintf(&got, "steps of up to %d: %s\n", maxStep, digest.Summary("actions"))
 	}
 	golden.CheckText(t, "testdata/decisions.txt", got.String())
 }
--- a/internal/bgp/session/golden_test.go
+++ b/internal/bgp/session/golden_test.go
@@ -39,7 +39,7 @@
 				h.step()
 			}
 		}
-		fmt.Fprintf(&got, "peer %d: %d actions, sha256 %s\n", group, digest.Records(), digest.Sum())
+		fmt.Fprintf(&got, "peer %d: %s\n", group, digest.Summary("actions"))
 	}
 	golden.CheckText(t, "testdata/decisions.txt", got.String())
 }
--- a/internal/bgp/wire/golden_test.go
+++ b/internal/bgp/wire/golden_test.go
@@ -221,7 +221,7 @@
 // packedDigest folds how routes are shared out over messages.
 func packedDigest(t *testing.T) string {
 	t.Helper()
-	random, sum, messages := rand.New(rand.NewPCG(1, 41)), golden.NewDigest(), 0
+	random, sum := rand.New(rand.NewPCG(1, 41)), golden.NewDigest()
 	path := PathAttributes{ASPath: []uint32{65001}, NextHop: path.NextHop, LocalPref: 100, HasLocalPref: true}
 	for size := 1; size <= 20_000; size *= 3 {
 		routes := func() (all []netip.Prefix) {
@@ -237,9 +237,9 @@
 			return all
 		}
 		for _, u := range Pack(routes(), routes(), path) {
-			messages++
+			sum.Count(1)
 			foldMessage(t, sum, u)
 		}
 	}
-	return fmt.Sprintf("packed: %d messages, sha256 %s\n", messages, sum.Sum())
+	return fmt.Sprintf("packed: %s\n", sum.Summary("messages"))
 }
--- a/internal/config/aliases_test.go
+++ b/internal/config/aliases_test.go
@@ -252,7 +252,7 @@
 func TestWarningNamesFileLineOldAndNewKey(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "scheduler.yaml")
 	text := readFile(t, sampleFolder+"/scheduler.yaml")
-	writeFile(t, path, []byte(strings.ReplaceAll(text, "latency_objective:", "agreed_time:")))
+	testutil.WriteFile(t, path, []byte(strings.ReplaceAll(text, "latency_objective:", "agreed_time:")))
 	settings, err := LoadScheduler(path)
 	testutil.NoError(t, err)
 	var log bytes.Buffer
--- a/internal/config/encode_test.go
+++ b/internal/config/encode_test.go
@@ -28,9 +28,9 @@
 			testutil.NoError(t, err)
 			dir := t.TempDir()
 			want.Deprecations, want.Scheduler.Deprecations = nil, nil // what is encoded has none
-			writeFile(t, filepath.Join(dir, "scheduler.yaml"), encoded(t)(want.Scheduler.Encode()))
+			testutil.WriteFile(t, filepath.Join(dir, "scheduler.yaml"), encoded(t)(want.Scheduler.Encode()))
 			text := encoded(t)(want.Encode("scheduler.yaml"))
-			writeFile(t, filepath.Join(dir, "controller.yaml"), text)
+			testutil.WriteFile(t, filepath.Join(dir, "controller.yaml"), text)
 			got, err := LoadController(filepath.Join(dir, "controller.yaml"))
 			testutil.Expect(t, err == nil && reflect.DeepEqual(got, want),
 				"%v: got %+v, want %+v from\n%s", err, got, want, text)
@@ -47,8 +47,3 @@
 		return text
 	}
 }
-
-func writeFile(t *testing.T, path string, data []byte) {
-	t.Helper()
-	testutil.WriteFile(t, path, data)
-}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -25,7 +25,7 @@
 					h.step()
 				}
 			}
-			fmt.Fprintf(&got, "effect %d, %d schedulers: %s\n", idempotency, schedulers, digest)
+			fmt.Fprintf(&got, "effect %d, %d schedulers: %s\n", idempotency, schedulers, digest.Summary("actions"))
 		}
 	}
 	golden.CheckText(t, "testdata/decisions.txt", got.String())
@@ -36,10 +36,6 @@
 
 func newActionDigest() *actionDigest { return &actionDigest{golden.NewDigest()} }
 
-func (d *actionDigest) String() string {
-	return fmt.Sprintf("%d actions, sha256 %s", d.Records(), d.Sum())
-}
-
 func (d *actionDigest) add(now scheduler.Time, a Action) {
 	var ordinal uint64
 	switch a.(type) {
--- a/internal/controller/pending/golden_test.go
+++ b/internal/controller/pending/golden_test.go
@@ -20,12 +20,12 @@
 	const sequences = 4000
 	var got strings.Builder
 	for group := range 4 {
-		sum, reasons := golden.NewDigest(), 0
+		sum := golden.NewDigest()
 		random := rand.New(rand.NewPCG(uint64(group), 23))
 		for range sequences {
 			now, facts := randomFacts(random, group)
 			all := Explain(now, facts)
-			reasons += len(all)
+			sum.Count(len(all))
 			for _, r := range all {
 				line, err := json.Marshal(r) // figures in order of their names
 				testutil.NoError(t, err)
@@ -33,7 +33,7 @@
 			}
 			sum.Printf("\n")
 		}
-		fmt.Fprintf(&got, "group %d: %d reasons, sha256 %s\n", group, reasons, sum.Sum())
+		fmt.Fprintf(&got, "group %d: %s\n", group, sum.Summary("reasons"))
 	}
 	golden.CheckText(t, "testdata/reasons.txt", got.String())
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -146,6 +146,11 @@
 // Line is the recorded form of the digest: a name, the number of records and the sum.
 func (d *Digest) Line(name string) string { return fmt.Sprintf("%s: %d %s", name, d.records, d.Sum()) }
 
+// Summary is another recorded form: the number of records, what they are, and the sum.
+func (d *Digest) Summary(records string) string {
+	return fmt.Sprintf("%d %s, sha256 %s", d.records, records, d.Sum())
+}
+
 func (d *Digest) fold(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -9,7 +9,6 @@
 	"strings"
 	"testing"
 
-	"glenport/internal/golden"
 	"glenport/internal/testutil"
 )
 
@@ -188,22 +187,17 @@
 
 // The bytes of each frame on the wire are those of version 1 of the protocol, in both directions.
 func TestFramesKeepTheirBytes(t *testing.T) {
+	const head = "Frames of protocol version 1: number and name, fields in their order on the wire\n" +
+		"(names as in docs/protocol.md), bytes with the length in front.\n"
 	frames := goldenFrames()
-	if golden.Updating() {
-		var all []section
-		for _, f := range frames {
-			all = append(all, section{f.title, describe(f.frame), stream(t, f.frame)})
-		}
-		const head = "Frames of protocol version 1: number and name, fields in their order on the wire\n" +
-			"(names as in docs/protocol.md), bytes with the length in front.\n"
-		writeSections(t, framesFile, head, all)
+	var known []section
+	for _, f := range frames {
+		known = append(known, section{f.title, describe(f.frame), stream(t, f.frame)})
 	}
-	recorded := readSections(t, framesFile)
-	testutil.Require(t, len(recorded) == len(frames), "%d frames are recorded, %d known", len(recorded), len(frames))
 	kinds := map[byte]bool{}
-	for i, want := range recorded {
+	for i, want := range recordedSections(t, framesFile, head, known) {
 		kinds[want.bytes[lengthSize]] = true
-		t.Run(want.title, func(t *testing.T) { checkGoldenFrame(t, want, frames[i]) })
+		t.Run(want.title, func(t *testing.T) { checkGoldenFrame(t, want, frames[i].frame) })
 	}
 	for number := range 256 {
 		if known := newFrame(kind(number)) != nil; known != kinds[byte(number)] {
@@ -213,18 +207,17 @@
 }
 
 // checkGoldenFrame decodes a recorded frame, compares its values, and encodes it again.
-func checkGoldenFrame(t *testing.T, want section, known namedFrame) {
+func checkGoldenFrame(t *testing.T, want section, known Frame) {
 	t.Helper()
-	testutil.Require(t, known.title == want.title, "%s is recorded in place of %s", want.title, known.title)
 	number := want.bytes[lengthSize]
 	testutil.Expect(t, strings.HasPrefix(want.title, fmt.Sprint(number, " ")), "frame number %d", number)
 	decoded, err := ReadFrame(bytes.NewReader(want.bytes), MaxFrame)
 	testutil.NoError(t, err)
-	testutil.Expect(t, reflect.DeepEqual(decoded, known.frame), "decoded as %+v, want %+v", decoded, known.frame)
+	testutil.Expect(t, reflect.DeepEqual(decoded, known), "decoded as %+v, want %+v", decoded, known)
 	if got := describe(decoded); got != want.text {
 		t.Errorf("decoded as\n%swant\n%s", got, want.text)
 	}
-	for from, f := range map[string]Frame{"decoded": decoded, "built": known.frame} {
+	for from, f := range map[string]Frame{"decoded": decoded, "built": known} {
 		if got := stream(t, f); !bytes.Equal(got, want.bytes) {
 			t.Errorf("%s frame is encoded as\n%x, want\n%x", from, got, want.bytes)
 		}
--- a/internal/protocol/invalid_test.go
+++ b/internal/protocol/invalid_test.go
@@ -11,7 +11,6 @@
 	"strings"
 	"testing"
 
-	"glenport/internal/golden"
 	"glenport/internal/testutil"
 )
 
@@ -259,23 +258,17 @@
 // Each frame that is out of range or malformed is refused, when it is received and when it is to be sent, with the
 // error that was recorded.
 func TestInvalidFramesKeepTheirErrors(t *testing.T) {
-	frames := invalidFrames(t)
-	if golden.Updating() {
-		var all []section
-		for _, f := range frames {
-			_, err := Decode(f.body)
-			all = append(all, section{f.title, errorText(err), f.body})
-		}
-		const head = "Frames that are refused (some that just pass): the error, " +
-			"where FRAME stands for a name in Go,\nand the bytes without the length in front.\n"
-		writeSections(t, invalidFile, head, all)
+	const head = "Frames that are refused (some that just pass): the error, " +
+		"where FRAME stands for a name in Go,\nand the bytes without the length in front.\n"
+	var known []section
+	for _, f := range invalidFrames(t) {
+		_, err := Decode(f.body)
+		known = append(known, section{f.title, errorText(err), f.body})
 	}
-	recorded := readSections(t, invalidFile)
-	testutil.Require(t, len(recorded) == len(frames), "%d frames are recorded, %d known", len(recorded), len(frames))
-	for i, want := range recorded {
+	for i, want := range recordedSections(t, invalidFile, head, known) {
 		t.Run(want.title, func(t *testing.T) {
-			testutil.Require(t, frames[i].title == want.title && bytes.Equal(frames[i].body, want.bytes),
-				"%s %x is recorded in place of %s %x", want.title, want.bytes, frames[i].title, frames[i].body)
+			testutil.Require(t, bytes.Equal(known[i].bytes, want.bytes),
+				"%x is recorded in place of %x", want.bytes, known[i].bytes)
 			f, err := Decode(want.bytes)
 			got := errorText(err)
 			testutil.Expect(t, got == want.text, "error %swant %s", got, want.text)
--- a/internal/protocol/section_test.go
+++ b/internal/protocol/section_test.go
@@ -8,6 +8,7 @@
 	"strings"
 	"testing"
 
+	"glenport/internal/golden"
 	"glenport/internal/testutil"
 )
 
@@ -97,6 +98,21 @@
 	return all
 }
 
+// recordedSections returns the sections of a file, which must have the titles of the known ones, in order. Where the
+// flag -update is given, it writes the file anew first.
+func recordedSections(t *testing.T, file, head string, known []section) []section {
+	t.Helper()
+	if golden.Updating() {
+		writeSections(t, file, head, known)
+	}
+	recorded := readSections(t, file)
+	testutil.Require(t, len(recorded) == len(known), "%d sections are recorded, %d known", len(recorded), len(known))
+	for i, want := range recorded {
+		testutil.Require(t, want.title == known[i].title, "%s is recorded in place of %s", want.title, known[i].title)
+	}
+	return recorded
+}
+
 func writeSections(t *testing.T, file, head string, all []section) {
 	t.Helper()
 	out := strings.Builder{}
--- a/internal/storage/faultfs/faultfs.go
+++ b/internal/storage/faultfs/faultfs.go
@@ -65,6 +65,16 @@
 	return inode, nil
 }
 
+// lookupForChange returns the inode of a file that an operation is to change. It fails if there is no such file, or
+// with the error that is injected into the operation on target.
+func (f *FS) lookupForChange(kind operationKind, name, target string) (inode int, err error) {
+	inode, err = f.lookup(name)
+	if err != nil {
+		return 0, err
+	}
+	return inode, f.injectedError(kind, target)
+}
+
 // Create implements vfs.FS.
 func (f *FS) Create(name string) (vfs.File, error) {
 	f.mu.Lock()
@@ -116,10 +126,7 @@
 func (f *FS) Rename(from, to string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	inode, err := f.lookup(from)
-	if err == nil {
-		err = f.injectedError(opRename, to)
-	}
+	inode, err := f.lookupForChange(opRename, from, to)
 	if err != nil {
 		return err
 	}
@@ -133,10 +140,7 @@
 func (f *FS) Remove(name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	inode, err := f.lookup(name)
-	if err == nil {
-		err = f.injectedError(opRemove, name)
-	}
+	inode, err := f.lookupForChange(opRemove, name, name)
 	if err != nil {
 		return err
 	}
--- a/internal/storage/wal/golden_test.go
+++ b/internal/storage/wal/golden_test.go
@@ -235,17 +235,11 @@
 	testutil.NoError(t, err)
 	files := map[string][]byte{}
 	for _, e := range entries {
-		files[e.Name()], err = os.ReadFile(filepath.Join("testdata", folder, e.Name()))
-		testutil.NoError(t, err)
+		files[e.Name()] = testutil.ReadFile(t, filepath.Join("testdata", folder, e.Name()))
 	}
 	return files
 }
 
-func mustWriteFile(t *testing.T, file string, data []byte) {
-	t.Helper()
-	testutil.WriteFile(t, file, data)
-}
-
 // record writes the golden files anew.
 func record(t *testing.T) {
 	t.Helper()
@@ -254,13 +248,13 @@
 		testutil.NoError(t, os.RemoveAll(dir))
 		testutil.NoError(t, os.MkdirAll(dir, 0o755))
 		for name, data := range files {
-			mustWriteFile(t, filepath.Join(dir, name), data)
+			testutil.WriteFile(t, filepath.Join(dir, name), data)
 		}
 		text := describeFolder(t, files) + describeState(t, mustLoad(t, directoryOf(t, files)))
-		mustWriteFile(t, dir+".txt", []byte(text))
+		testutil.WriteFile(t, dir+".txt", []byte(text))
 	}
-	mustWriteFile(t, "testdata/damage.txt", []byte(damageDigests(t)))
-	mustWriteFile(t, "testdata/operations.txt", []byte(describeOperations(t)))
+	testutil.WriteFile(t, "testdata/damage.txt", []byte(damageDigests(t)))
+	testutil.WriteFile(t, "testdata/operations.txt", []byte(describeOperations(t)))
 }
 
 // A folder that an earlier version wrote is read value by value as it was written, and its parts are encoded again to
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -50,11 +50,6 @@
 	return s
 }
 
-func writeFile(t *testing.T, path string, data []byte) {
-	t.Helper()
-	testutil.WriteFile(t, path, data)
-}
-
 // writeShortScenario writes the short scenario with a part of it replaced, and the template that it names.
 func writeShortScenario(t *testing.T, replaced, replacement string) (path string) {
 	t.Helper()
@@ -64,7 +59,7 @@
 		if name == "short.yaml" {
 			text = []byte(strings.Replace(string(text), replaced, replacement, 1))
 		}
-		writeFile(t, filepath.Join(dir, name), text)
+		testutil.WriteFile(t, filepath.Join(dir, name), text)
 	}
 	return filepath.Join(dir, "short.yaml")
 }
@@ -156,7 +151,8 @@
 // What has no counterpart is named.
 func TestReplayPlaysTheCounterpartsOfSimulatedFaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "day.json")
-	writeFile(t, path, []byte(`{"site":"s","length":9000000,"servers":[{},{},{},{}],"balancers":[{},{}],"troubles":[
+	testutil.WriteFile(t, path, []byte(`{"site":"s","length":9000000,
+		"servers":[{},{},{},{}],"balancers":[{},{}],"troubles":[
 		{"kind":"mass_restart","at":1000000,"len":500000,"on":[1,2]},
 		{"kind":"balancer_crash","at":2000000,"len":1,"on":[0]},
 		{"kind":"report_late","at":1,"len":2}]}`))
@@ -171,7 +167,7 @@
 		!strings.Contains(out.String(), "left out: report_late") {
 		t.Errorf("%+v\n%s", s.Faults, out.String())
 	}
-	writeFile(t, path, []byte(`{}`))
+	testutil.WriteFile(t, path, []byte(`{}`))
 	if _, err := LoadReplay(path, "../../../scenarios/short.yaml", 100, io.Discard); err == nil {
 		t.Error("what is no day is played")
 	}
