--- a/internal/eventloop/echo_benchmark_test.go
+++ b/internal/eventloop/echo_benchmark_test.go
@@ -9,14 +9,12 @@
 
 // BenchmarkEcho is a round trip of 100 bytes through a loop.
 func BenchmarkEcho(b *testing.B) {
-	l, err := New(func() {})
-	testutil.NoError(b, err)
+	l := newLoop(b, func() {})
 	echo := &probe{opened: make(chan *Conn, 1), closed: make(chan error, 1)}
 	echo.onRead = func(c *Conn, received []byte) { testutil.ExpectNoError(b, c.Write(received)) }
 	ln, err := l.Listen("127.0.0.1:0", func() (Handler, int) { return echo, 1000 }, func(error) {})
 	testutil.NoError(b, err)
-	done := make(chan error, 1)
-	go func() { done <- l.Run() }()
+	ended := startLoop(l)
 	peer := testutil.Dial(b, ln.Addr().String())
 	message := make([]byte, 100)
 	for b.Loop() {
@@ -27,5 +25,5 @@
 	}
 	testutil.ExpectNoError(b, peer.Close())
 	l.Stop()
-	testutil.ExpectNoError(b, <-done)
+	testutil.ExpectNoError(b, <-ended)
 }
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -58,22 +58,28 @@
 	testutil.Expect(t, isExactly(reason, io.EOF), "closed by %v", reason)
 }
 
-func newLoop(t *testing.T, onIteration func()) *Loop {
-	t.Helper()
+func newLoop(tb testing.TB, onIteration func()) *Loop {
+	tb.Helper()
 	l, err := New(onIteration)
-	testutil.NoError(t, err)
+	testutil.NoError(tb, err)
 	return l
 }
 
+// startLoop runs a loop on a goroutine of its own. The channel receives what Run returns.
+func startLoop(l *Loop) (ended <-chan error) {
+	returned := make(chan error, 1)
+	go func() { returned <- l.Run() }()
+	return returned
+}
+
 // runLoop runs a loop until the end of the test.
 func runLoop(t *testing.T, onIteration func()) *Loop {
 	t.Helper()
 	l := newLoop(t, onIteration)
-	done := make(chan error, 1)
-	go func() { done <- l.Run() }()
+	ended := startLoop(l)
 	t.Cleanup(func() {
 		l.Stop()
-		testutil.ExpectNoError(t, <-done)
+		testutil.ExpectNoError(t, <-ended)
 	})
 	return l
 }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -4,7 +4,6 @@
 	"io"
 	"net"
 	"testing"
-	"time"
 
 	"glenport/internal/testutil"
 )
@@ -46,20 +45,21 @@
 }
 
 func TestTimersRunOnTimeAndPostReportsTheEndOfTheLoop(t *testing.T) {
-	l := runLoop(t, func() {})
+	l := newLoop(t, func() {})
+	ended := startLoop(l)
 	fired := make(chan Tick, 3)
-	l.Post(func() {
+	taken := l.Post(func() {
 		began := l.Now()
 		l.After(20*Millisecond, func() { fired <- l.Now() - began })
 		l.Cancel(l.After(10*Millisecond, func() { t.Error("a cancelled timer ran") }))
 		l.After(0, func() { fired <- 0 })
 	})
+	testutil.Expect(t, taken, "a running loop refuses a callback")
 	first, second := testutil.Receive(t, fired), testutil.Receive(t, fired)
 	testutil.Expect(t, first == 0 && second >= 20*Millisecond, "fired after %d and %d", first, second)
 	l.Stop()
-	for l.Post(func() {}) {
-		time.Sleep(time.Millisecond)
-	}
+	testutil.ExpectNoError(t, testutil.Receive(t, ended))
+	testutil.Expect(t, !l.Post(func() {}), "a loop that has ended takes a callback")
 }
 
 // A loop that stops when idle handles what a peer has written by then, writes the answer, and resets nothing.
@@ -80,8 +80,7 @@
 	}
 	ln, err := l.Listen("127.0.0.1:0", func() (Handler, int) { return handler, 100 }, nil)
 	testutil.NoError(t, err)
-	done := make(chan error, 1)
-	go func() { done <- l.Run() }()
+	ended := startLoop(l)
 	peer = testutil.Dial(t, ln.Addr().String())
 	testutil.Receive(t, handler.opened)
 	l.Post(func() {
@@ -91,5 +90,5 @@
 	if got, err := io.ReadAll(peer); string(got) != "last" || err != nil {
 		t.Errorf("peer got %q, %v", got, err)
 	}
-	testutil.ExpectNoError(t, testutil.Receive(t, done))
+	testutil.ExpectNoError(t, testutil.Receive(t, ended))
 }
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -7,7 +7,6 @@
 	"strconv"
 	"strings"
 	"testing"
-	"time"
 
 	"glenport/internal/testutil"
 
@@ -113,6 +112,12 @@
 	testutil.WaitUntil(e.t, what, reached)
 }
 
+// clockAdvances waits until timers with a delay, counted from this iteration on, are due in the next one.
+func (e *exchange) clockAdvances(delay Tick) {
+	e.t.Helper()
+	e.until("timers due", func() bool { return e.loop.ReadClock() >= e.loop.Now()+delay })
+}
+
 // ready waits until a connection of the loop has one of the events for the next iteration.
 func (e *exchange) ready(c *Conn, events int16) {
 	e.t.Helper()
@@ -228,7 +233,7 @@
 			e.loop.After(1, func() { e.note("timer of 1 tick, scheduled first") })
 			e.loop.Cancel(e.loop.After(2, func() { e.note("cancelled timer") }))
 			e.loop.After(1, func() { e.note("timer of 1 tick, scheduled second") })
-			time.Sleep(2 * time.Millisecond)
+			e.clockAdvances(3)
 		},
 		func() {
 			e.send(3, []byte("bye"))
@@ -266,7 +271,7 @@
 			e.dialed = e.loop.Dial(otherListener, &recorder{e, "dialed"}, 100, Second)
 			e.ready(e.dialed, unix.POLLOUT)
 			e.loop.Dial("nowhere", &recorder{e, "without address"}, 100, Second)
-			time.Sleep(2 * time.Millisecond)
+			e.clockAdvances(1) // the dial that fails is reported by a timer
 		},
 		func() {
 			e.loop.Post(func() {
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -16,6 +16,7 @@
 	"glenport/internal/testbed/cluster"
 	"glenport/internal/testbed/emulator"
 	"glenport/internal/testbed/faults"
+	"glenport/internal/testbed/process"
 	"glenport/internal/testutil"
 	"glenport/scheduler"
 )
@@ -66,9 +67,7 @@
 
 func requireWithin30s(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
-		testutil.Require(t, !time.Now().After(end), "not in 30 s: %s", what)
-	}
+	testutil.NoError(t, process.Poll(5*time.Millisecond, 30*time.Second, what, holds))
 }
 
 // The next incarnation cancels what has not started and adopts what runs, and no idempotency key of at-most-once work
