--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -46,23 +46,31 @@
 		if err != nil {
 			return err
 		}
-		batches, err := groupByInstance(frame, schedulers)
-		if err != nil {
-			return err
-		}
 		reply.Reset()
-		for _, b := range batches {
-			if b.scheduler != nil {
-				decide(&reply, frame.Now, b)
-			}
+		if err := appendReply(&reply, frame, schedulers); err != nil {
+			return err
 		}
-		fmt.Fprintf(&reply, "DONE %s\n", frame.Seq)
 		if _, err := out.Write(reply.Bytes()); err != nil {
 			return err
 		}
 	}
 }
 
+// appendReply appends the actions of all instances in a frame and the end of the reply.
+func appendReply(reply *bytes.Buffer, frame *simprotocol.Frame, schedulers map[int]*scheduler.Scheduler) error {
+	batches, err := groupByInstance(frame, schedulers)
+	if err != nil {
+		return err
+	}
+	for _, b := range batches {
+		if b.scheduler != nil {
+			decide(reply, frame.Now, b)
+		}
+	}
+	fmt.Fprintf(reply, "DONE %s\n", frame.Seq)
+	return nil
+}
+
 // groupByInstance gathers the events of a frame by instance, in the order in which instances first appear. It starts
 // and stops instances; events from before a stop are dropped with the instance.
 func groupByInstance(frame *simprotocol.Frame, schedulers map[int]*scheduler.Scheduler) ([]*instanceBatch, error) {
--- a/cmd/glenport/apiclient.go
+++ b/cmd/glenport/apiclient.go
@@ -58,18 +58,10 @@
 	return c
 }
 
-// do sends a request with a body, none where it is nil, and decodes the answer into a value, which may be nil too. An
-// answer with an error status is returned as a *problemError.
+// do sends a request and decodes the response into a value. The body and the value may be nil. A response with an error
+// status is returned as a *problemError.
 func (c *apiClient) do(ctx context.Context, method, path string, body, into any) error {
-	var reader io.Reader
-	if body != nil {
-		encoded, err := json.Marshal(body)
-		if err != nil {
-			return err
-		}
-		reader = bytes.NewReader(encoded)
-	}
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+c.address+path, reader)
+	request, err := c.newRequest(ctx, method, path, body)
 	if err != nil {
 		return err
 	}
@@ -83,11 +75,7 @@
 		return err
 	}
 	if response.StatusCode >= http.StatusBadRequest {
-		problem := &problemError{}
-		if err := json.Unmarshal(data, problem); err != nil || problem.Title == "" {
-			return fmt.Errorf("%s %s: status %s without a problem document", method, path, response.Status)
-		}
-		return problem
+		return problemOf(method, path, response.Status, data)
 	}
 	if into == nil || len(data) == 0 {
 		return nil
@@ -98,6 +86,28 @@
 	return nil
 }
 
+// newRequest returns a request with the JSON of a body, or without a body if it is nil.
+func (c *apiClient) newRequest(ctx context.Context, method, path string, body any) (*http.Request, error) {
+	url := "http://" + c.address + path
+	if body == nil {
+		return http.NewRequestWithContext(ctx, method, url, http.NoBody)
+	}
+	encoded, err := json.Marshal(body)
+	if err != nil {
+		return nil, err
+	}
+	return http.NewRequestWithContext(ctx, method, url, bytes.NewReader(encoded))
+}
+
+// problemOf returns the problem document in a response as an error, or another error if it has none.
+func problemOf(method, path, status string, document []byte) error {
+	problem := &problemError{}
+	if err := json.Unmarshal(document, problem); err != nil || problem.Title == "" {
+		return fmt.Errorf("%s %s: status %s without a problem document", method, path, status)
+	}
+	return problem
+}
+
 func (c *apiClient) get(ctx context.Context, path string, into any) error {
 	return c.do(ctx, http.MethodGet, path, nil, into)
 }
--- a/cmd/glenport/controller.go
+++ b/cmd/glenport/controller.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"log/slog"
 	"net/http"
 	"runtime"
 	"time"
@@ -42,25 +43,12 @@
 		return err
 	}
 	config.LogDeprecations(log, settings.Deprecations)
-	process, err := server.New(server.Config{
-		Name:            settings.Name,
-		Schedulers:      settings.SchedulerAddrs,
-		MachineList:     settings.MachineListAddr,
-		Seed:            settings.Seed,
-		StateDir:        settings.StateDir,
-		SchedulerConfig: settings.Scheduler,
-	}, watchcache.New(api.EncodeWatchEvent), log)
+	process, err := newControllerProcess(settings, log)
 	if err != nil {
 		return err
 	}
 	httpServer := api.NewHTTPServer(settings.APIAddr, api.New(process))
-	failed := make(chan error, 1)
-	go func() {
-		if err := httpServer.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
-			failed <- err
-			process.Stop()
-		}
-	}()
+	failed := serveAPI(httpServer, process)
 	stopOnSignal(func() {
 		shutdownAPI(httpServer)
 		process.Stop()
@@ -79,6 +67,30 @@
 	}
 }
 
+func newControllerProcess(settings *config.Controller, log *slog.Logger) (*server.Server, error) {
+	return server.New(server.Config{
+		Name:            settings.Name,
+		Schedulers:      settings.SchedulerAddrs,
+		MachineList:     settings.MachineListAddr,
+		Seed:            settings.Seed,
+		StateDir:        settings.StateDir,
+		SchedulerConfig: settings.Scheduler,
+	}, watchcache.New(api.EncodeWatchEvent), log)
+}
+
+// serveAPI serves the API on a goroutine of its own. If that fails, the channel receives the error and the process is
+// stopped.
+func serveAPI(httpServer *http.Server, process *server.Server) (failed <-chan error) {
+	failures := make(chan error, 1)
+	go func() {
+		if err := httpServer.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
+			failures <- err
+			process.Stop()
+		}
+	}()
+	return failures
+}
+
 // shutdownAPI lets requests in progress end within apiShutdownTimeout, and then closes all connections.
 func shutdownAPI(s *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), apiShutdownTimeout)
--- a/cmd/glenport/submit.go
+++ b/cmd/glenport/submit.go
@@ -75,7 +75,7 @@
 	if err := s.send(c); err != nil {
 		return err
 	}
-	return s.follow(c, &printer{w: out})
+	return s.follow(c, &replyPrinter{printer: &printer{w: out}, unanswered: s.count})
 }
 
 func (s *submission) send(c *schedulerConn) error {
@@ -95,26 +95,18 @@
 	return nil
 }
 
-// follow prints answers, and terminations where they are waited for, until all have arrived.
-func (s *submission) follow(c *schedulerConn, p *printer) error {
-	unanswered, running, refused := s.count, 0, false
-	for unanswered > 0 || s.wait && running > 0 {
+// follow prints replies, and terminations if they are waited for, until all have arrived.
+func (s *submission) follow(c *schedulerConn, p *replyPrinter) error {
+	for p.unanswered > 0 || s.wait && p.running > 0 {
 		frame, err := protocol.ReadFrame(c, protocol.MaxFrame)
 		if err != nil {
 			return fmt.Errorf("connection to scheduler %s lost: %w", c.name, err)
 		}
 		switch f := frame.(type) {
 		case *protocol.PlacementReply:
-			unanswered--
-			if f.Verdict == protocol.VerdictPlaced {
-				running++
-			} else {
-				refused = true
-			}
-			printReply(p, f)
+			p.printReply(f)
 		case *protocol.Termination:
-			running--
-			p.printf("%s ended on %s: %s, %s\n", f.ContainerID, f.Machine, f.Outcome, f.Reason)
+			p.printTermination(f)
 		case *protocol.Goodbye:
 			return fmt.Errorf("scheduler %s closed the connection: %s", c.name, f.Message)
 		}
@@ -122,16 +114,33 @@
 			return p.err
 		}
 	}
-	if refused {
+	if p.notPlaced {
 		return errNegative
 	}
 	return nil
 }
 
-func printReply(p *printer, f *protocol.PlacementReply) {
+// replyPrinter prints the replies to a submission and counts what is still to come.
+type replyPrinter struct {
+	*printer
+	unanswered int  // requests without a reply
+	running    int  // containers that were placed and have not ended
+	notPlaced  bool // a request was answered otherwise
+}
+
+func (p *replyPrinter) printTermination(f *protocol.Termination) {
+	p.running--
+	p.printf("%s ended on %s: %s, %s\n", f.ContainerID, f.Machine, f.Outcome, f.Reason)
+}
+
+func (p *replyPrinter) printReply(f *protocol.PlacementReply) {
+	p.unanswered--
 	p.printf("%s %s", f.ContainerID, verdictText(f.Verdict))
 	if f.Verdict == protocol.VerdictPlaced {
+		p.running++
 		p.printf(" on %s", f.Machine)
+	} else {
+		p.notPlaced = true
 	}
 	if f.RetryAfter > 0 {
 		p.printf(", retry after %d ms", milliseconds(f.RetryAfter))
--- a/internal/bgp/wire/update.go
+++ b/internal/bgp/wire/update.go
@@ -123,7 +123,8 @@
 	return u, nil
 }
 
-// decodeAttributes decodes path attributes and returns which are present. Of one that is repeated the first counts.
+// decodeAttributes decodes path attributes and returns which are present. The first occurrence of a repeated attribute
+// counts.
 func (u *Update) decodeAttributes(b []byte) (present map[attributeCode]bool, err error) {
 	present = map[attributeCode]bool{}
 	for len(b) > 0 {
@@ -134,14 +135,11 @@
 		}
 		b = rest
 		if present[a.code] {
-			if a.code == attributeMPReach || a.code == attributeMPUnreach {
-				const reason = "attribute %d is repeated"
-				return nil, newMessageError(CodeUpdate, SubcodeMalformedAttributes, nil, reason, a.code)
-			}
-			continue
+			err = checkRepeated(a.code)
+		} else {
+			present[a.code] = true
+			err = u.decodeAttribute(a)
 		}
-		present[a.code] = true
-		err := u.decodeAttribute(a)
 		if errors.Is(err, errMalformedAttribute) {
 			u.treatAsWithdraw(fmt.Sprintf("attribute %d is malformed", a.code))
 		} else if err != nil {
@@ -151,6 +149,14 @@
 	return present, nil
 }
 
+// checkRepeated returns a *MessageError for an attribute that an update must not repeat (RFC 7606, section 3 g).
+func checkRepeated(code attributeCode) error {
+	if code != attributeMPReach && code != attributeMPUnreach {
+		return nil
+	}
+	return newMessageError(CodeUpdate, SubcodeMalformedAttributes, nil, "attribute %d is repeated", code)
+}
+
 // requireAttributes checks that an announcement has the mandatory attributes.
 func (u *Update) requireAttributes(present map[attributeCode]bool) {
 	if len(u.Announced) == 0 {
--- a/internal/config/encode.go
+++ b/internal/config/encode.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"net/netip"
 	"slices"
 
@@ -13,20 +14,20 @@
 	"github.com/goccy/go-yaml"
 )
 
-// The words of the settings file for the values of enumerations.
+// The names that settings files have for the values of enumerations.
 var (
-	idempotencyWords = map[scheduler.Idempotency]string{
+	idempotencyNames = map[scheduler.Idempotency]string{
 		scheduler.Idempotent:        "idempotent",
 		scheduler.IdempotentWithKey: "idempotent-with-key",
 		scheduler.AtMostOnce:        "at-most-once",
 	}
-	scopeWords = map[scheduler.Scope]string{
+	scopeNames = map[scheduler.Scope]string{
 		scheduler.ScopeMachine:   "machine",
 		scheduler.ScopeRackGroup: "rack-group",
 		scheduler.ScopeZone:      "zone",
 		scheduler.ScopeFleet:     "fleet",
 	}
-	familyWords = map[wire.Family]string{wire.IPv4: "ipv4", wire.IPv6: "ipv6"}
+	familyNames = map[wire.Family]string{wire.IPv4: "ipv4", wire.IPv6: "ipv6"}
 )
 
 // Encode returns the text of a settings file from which [ParseScheduler] reads the same settings.
@@ -155,20 +156,20 @@
 func (s *Scheduler) workloadClassEntry(name string, class *scheduler.WorkloadClass) workloadClassEntry {
 	entry := workloadClassEntry{
 		Name:             strictyaml.NewString(name),
-		Idempotency:      strictyaml.NewString(idempotencyWords[class.Idempotency]),
+		Idempotency:      strictyaml.NewString(idempotencyNames[class.Idempotency]),
 		LatencyObjective: durationValue(class.LatencyObjective),
 		PlacementTimeout: durationValue(class.PlacementTimeout),
 		PriorityWeight:   strictyaml.NewFloat(class.PriorityWeight),
 	}
 	if class.Idempotency == scheduler.IdempotentWithKey {
-		entry.DedupScope = strictyaml.NewString(scopeWords[class.DedupScope])
+		entry.DedupScope = strictyaml.NewString(scopeNames[class.DedupScope])
 		entry.DedupWindow = durationValue(class.DedupWindow)
 	}
 	if class.MachineType >= 0 {
 		entry.MachineType = strictyaml.NewString(s.MachineTypes[class.MachineType])
 	}
 	if class.MaxPerScope > 0 {
-		entry.SpreadScope = strictyaml.NewString(scopeWords[class.SpreadScope])
+		entry.SpreadScope = strictyaml.NewString(scopeNames[class.SpreadScope])
 		entry.MaxPerScope = strictyaml.NewCount(class.MaxPerScope)
 	}
 	return entry
@@ -184,12 +185,7 @@
 	for i := range b.Peers {
 		section.Peers = append(section.Peers, b.Peers[i].entry())
 	}
-	names := make([]string, 0, len(b.Services))
-	for name := range b.Services {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	for _, name := range names {
+	for _, name := range slices.Sorted(maps.Keys(b.Services)) {
 		section.Services = append(section.Services, bgpServiceEntryOf(name, b.Services[name]))
 	}
 	return section
@@ -205,7 +201,7 @@
 		MD5Key:      optionalString(p.MD5Key),
 	}
 	for _, family := range p.Families {
-		entry.Families = append(entry.Families, strictyaml.NewString(familyWords[family]))
+		entry.Families = append(entry.Families, strictyaml.NewString(familyNames[family]))
 	}
 	for _, prefix := range p.Allow {
 		entry.Allow = append(entry.Allow, strictyaml.NewString(prefix.String()))
--- a/internal/config/scheduler.go
+++ b/internal/config/scheduler.go
@@ -79,11 +79,40 @@
 	if v.err != nil {
 		return nil
 	}
+	v.schedulerIndex(f)
+	s := v.processSettings(f)
+	v.connections(&f.Connections, s)
+	typeIndex := v.machines(&f.Machines, s)
+	v.workloadClasses(f.WorkloadClasses, typeIndex, s)
+	v.tenants(f.Tenants, s)
+	v.legacyListFile(f)
+	s.MetricsAddr = v.address(f.Metrics)
+	if f.BGP != nil {
+		s.BGP = v.bgp(f.BGP)
+	}
+	if f.OverQuotaWeight.Value < 0 || f.OverQuotaWeight.Value > 1 {
+		v.fail(f.OverQuotaWeight.Position, "%g is no part from 0 to 1", f.OverQuotaWeight.Value)
+	}
+	return s
+}
+
+func (v *validator) schedulerIndex(f *schedulerFile) {
 	if f.Index.Value >= f.Schedulers.Value {
 		v.fail(f.Index.Position, "%s %d is not below %s, %d",
 			v.keyName("scheduler_index"), f.Index.Value, v.keyName("scheduler_count"), f.Schedulers.Value)
 	}
-	s := &Scheduler{
+}
+
+func (v *validator) legacyListFile(f *schedulerFile) {
+	if f.LegacyList.IsSet() && !f.StateDir.IsSet() {
+		v.fail(f.LegacyList.Position, "%s is only read once, when %s names a folder: name one",
+			v.keyName("legacy_list_file"), v.keyName("state_dir"))
+	}
+}
+
+// processSettings returns the settings of the process and its policy, without those that come from lists.
+func (v *validator) processSettings(f *schedulerFile) *Scheduler {
+	return &Scheduler{
 		Name:            f.Name.Value,
 		ListenAddr:      v.address(f.ListenAddr),
 		MachineListAddr: v.address(f.MachineList.Address),
@@ -97,26 +126,6 @@
 		SilenceTimeout:  eventloop.Tick(v.positiveDuration(f.Connections.SilenceTimeout)),
 		Policy:          v.policy(f),
 	}
-	v.connections(&f.Connections, s)
-	if s.Policy.MeanMemory <= 0 {
-		v.fail(f.Machines.MeanContainer.Memory.Position, "a container of mean size needs memory above 0")
-	}
-	s.Policy.AcceptMeansRunning = v.oneOf(f.Machines.AcceptMeans, "accepted", "running") == 1
-	typeIndex := v.machineTypes(f.Machines.MachineTypes, s)
-	v.workloadClasses(f.WorkloadClasses, typeIndex, s)
-	v.tenants(f.Tenants, s)
-	if f.LegacyList.IsSet() && !f.StateDir.IsSet() {
-		v.fail(f.LegacyList.Position, "%s is only read once, when %s names a folder: name one",
-			v.keyName("legacy_list_file"), v.keyName("state_dir"))
-	}
-	s.MetricsAddr = v.address(f.Metrics)
-	if f.BGP != nil {
-		s.BGP = v.bgp(f.BGP)
-	}
-	if f.OverQuotaWeight.Value < 0 || f.OverQuotaWeight.Value > 1 {
-		v.fail(f.OverQuotaWeight.Position, "%g is no part from 0 to 1", f.OverQuotaWeight.Value)
-	}
-	return s
 }
 
 // schedulerRequired checks the required keys of the file and of its sections; those of list entries are checked with
@@ -186,6 +195,15 @@
 	}
 }
 
+// machines adds the rest of the section on machines to the settings and returns the indices of machine types by name.
+func (v *validator) machines(f *machinesSection, s *Scheduler) (typeIndex map[string]int) {
+	if s.Policy.MeanMemory <= 0 {
+		v.fail(f.MeanContainer.Memory.Position, "a container of mean size needs memory above 0")
+	}
+	s.Policy.AcceptMeansRunning = v.oneOf(f.AcceptMeans, "accepted", "running") == 1
+	return v.machineTypes(f.MachineTypes, s)
+}
+
 // machineTypes adds the types of machines to the settings and returns their indices by name.
 func (v *validator) machineTypes(entries []machineTypeEntry, s *Scheduler) map[string]int {
 	indices := map[string]int{}
--- a/internal/config/strictyaml/values.go
+++ b/internal/config/strictyaml/values.go
@@ -14,26 +14,26 @@
 	maxDurationTicks = 3.2e11 // a little more than a year
 )
 
-// scalar returns the text of a plain value, its token and its position; expected describes the value in the error.
-func scalar(node ast.Node, expected string) (string, *token.Token, Position, error) {
+// scalar returns the token of a plain value, which has its text; expected describes the value in the error.
+func scalar(node ast.Node, expected string) (*token.Token, error) {
 	t := node.GetToken()
 	if _, ok := node.(ast.ScalarNode); !ok {
-		return "", t, positionOf(t), syntaxError(t, "a value is wanted here: %s", expected)
+		return nil, syntaxError(t, "a value is wanted here: %s", expected)
 	}
-	return t.Value, t, positionOf(t), nil
+	return t, nil
 }
 
 // decode sets a position and a value from the text of a plain value, and leaves both where parse refuses the text.
 func decode[T any](node ast.Node, expected string, at *Position, value *T, parse func(string) (T, error)) error {
-	text, t, position, err := scalar(node, expected)
+	t, err := scalar(node, expected)
 	if err != nil {
 		return err
 	}
-	parsed, err := parse(text)
+	parsed, err := parse(t.Value)
 	if err != nil {
 		return syntaxError(t, "%v", err)
 	}
-	*at, *value = position, parsed
+	*at, *value = positionOf(t), parsed
 	return nil
 }
 
@@ -44,9 +44,13 @@
 }
 
 // UnmarshalYAML reads any plain value as text.
-func (s *String) UnmarshalYAML(node ast.Node) (err error) {
-	s.Value, _, s.Position, err = scalar(node, "a word")
-	return err
+func (s *String) UnmarshalYAML(node ast.Node) error {
+	t, err := scalar(node, "a word")
+	if err != nil {
+		return err
+	}
+	s.Position, s.Value = positionOf(t), t.Value
+	return nil
 }
 
 // String returns the text.
--- a/internal/controller/api/watch.go
+++ b/internal/controller/api/watch.go
@@ -108,30 +108,31 @@
 	cache   *watchcache.Cache
 }
 
+// run streams until the watch ends, the client has disconnected, or the context is cancelled.
 func (s *watchStream) run(ctx context.Context) {
 	ticker := time.NewTicker(bookmarkInterval)
 	defer ticker.Stop()
-	for s.control.Flush() == nil {
-		select {
-		case o, open := <-s.watcher.Changes:
-			if !open {
-				s.write(mustEncodeLine(goneEvent{Type: watchGone, Detail: "this watch fell behind: list again"}))
-				return
-			}
-			if !s.writeChanges(o) {
-				return
-			}
-		case <-ticker.C:
-			if !s.write(mustEncodeLine(bookmarkEvent{Type: watchBookmark, Version: s.sentVersion()})) {
-				return
-			}
-		case <-ctx.Done():
-			return
+	for s.control.Flush() == nil && s.writeNext(ctx, ticker.C) {
+	}
+}
+
+// writeNext writes what comes next, changes or a bookmark, and reports whether the watch goes on.
+func (s *watchStream) writeNext(ctx context.Context, bookmarkDue <-chan time.Time) bool {
+	select {
+	case change, open := <-s.watcher.Changes:
+		if !open {
+			s.write(mustEncodeLine(goneEvent{Type: watchGone, Detail: "this watch fell behind: list again"}))
+			return false
 		}
+		return s.writeChanges(change)
+	case <-bookmarkDue:
+		return s.write(mustEncodeLine(bookmarkEvent{Type: watchBookmark, Version: s.sentVersion()}))
+	case <-ctx.Done():
+		return false
 	}
 }
 
-// writeChanges writes a change and those that wait behind it. It reports false where the client is gone.
+// writeChanges writes a change and those queued behind it, and reports whether the client has taken the lines.
 func (s *watchStream) writeChanges(first *watchcache.Object) bool {
 	if !s.write(first.WatchEvent()) {
 		return false
@@ -139,7 +140,7 @@
 	for range len(s.watcher.Changes) {
 		o, open := <-s.watcher.Changes
 		if !open {
-			return true // run meets the closed channel again
+			return true // run receives from the closed channel again
 		}
 		if !s.write(o.WatchEvent()) {
 			return false
@@ -148,7 +149,7 @@
 	return true
 }
 
-// write reports false where the client is gone, or has not taken the line in time.
+// write reports whether the client has taken a line in time.
 func (s *watchStream) write(line []byte) bool {
 	_ = s.control.SetWriteDeadline(time.Now().Add(watchWriteTimeout)) // a writer without deadlines is not a network's
 	_, err := s.writer.Write(line)
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -2,27 +2,32 @@
 
 import "slices"
 
-// scale makes the replicas of a job follow the wanted count: new ones become pending, those beyond it terminate.
+// scale adjusts the replicas of a job to its count: missing ones are created, and those beyond the count terminate.
 func (l *lifecycle) scale(j *job) {
+	l.createMissing(j)
+	// The end of the last replicas shortens the list of the job, not the one that is iterated here.
+	for i, r := range slices.Backward(j.replicas) {
+		switch withinCount := i < j.count; {
+		case withinCount && r.terminating:
+			l.scaledUp(r)
+		case !withinCount && !r.terminating:
+			l.scaledDown(r)
+		}
+	}
+	l.jobs.trim(j)
+}
+
+// createMissing creates the replicas up to a job's count that do not exist or have been removed; a removed one keeps
+// its place while one behind it is terminating.
+func (l *lifecycle) createMissing(j *job) {
 	for i := range j.count {
 		if i == len(j.replicas) {
 			j.replicas = append(j.replicas, nil)
 		}
-		// A removed one stays in its place while one behind it is terminating.
 		if j.replicas[i] == nil || j.replicas[i].state == replicaRemoved {
 			l.created(j, i)
 		}
 	}
-	// The end of the last replicas shortens the list of the job, not the one that is iterated here.
-	for i, r := range slices.Backward(j.replicas) {
-		switch wanted := i < j.count; {
-		case wanted && r.terminating:
-			l.scaledUp(r)
-		case !wanted && !r.terminating:
-			l.scaledDown(r)
-		}
-	}
-	l.jobs.trim(j)
 }
 
 // scaledUp keeps a replica that was terminating. What was cancelled ends all the same, and is started again.
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -1,8 +1,9 @@
 package eventloop
 
 // After schedules a callback to run once, delay ticks after Now, with the timers of the first iteration at that time or
-// later, and never before After has returned. Where the delay is not positive, that is this iteration if its timers
-// have not run yet, else the next one.
+// later, and never before After has returned. A timer expires a tick after timers ran last at the earliest: with a
+// delay of 0 or less it runs in this iteration if the clock has advanced since the one before and timers have not run
+// yet, else in the first iteration at a later tick.
 func (l *Loop) After(delay Tick, callback func()) *Timer {
 	return l.wheel.Schedule(l.now+delay, callback)
 }
--- a/internal/storage/wal/load.go
+++ b/internal/storage/wal/load.go
@@ -87,7 +87,8 @@
 	}
 }
 
-// readSnapshot reads a snapshot whole: it was synced before it got its name, so no crash can have cut it short.
+// readSnapshot reads a snapshot and accepts no torn end: it was synced before it was given its name, so that a crash
+// cannot have truncated it.
 func (s *State) readSnapshot(fs vfs.FS, snapshot segmentFile) error {
 	data, err := fs.Read(snapshot.name)
 	if err != nil {
@@ -101,24 +102,32 @@
 		return err
 	}
 	s.Bytes += len(data)
+	end, err := s.applyChunks(snapshot.name, data)
+	if err != nil {
+		return err
+	}
+	if end != len(data) {
+		return &CorruptionError{snapshot.name, end, "more follows its end"}
+	}
+	return nil
+}
+
+// applyChunks applies the chunks of a snapshot up to the empty one that ends it, and returns the offset of that end.
+func (s *State) applyChunks(file string, data []byte) (end int, err error) {
 	offset := headerSize
-	for part := uint64(0); ; part++ {
+	for number := uint64(0); ; number++ {
 		chunk, ok := parseGroup(data[offset:], s.skipChecksums)
-		if !ok || chunk.sequence != part && !s.skipChecksums {
-			return &CorruptionError{snapshot.name, offset, fmt.Sprintf("part %d of it is damaged", part)}
+		if !ok || chunk.sequence != number && !s.skipChecksums {
+			return offset, &CorruptionError{file, offset, fmt.Sprintf("part %d of it is damaged", number)}
 		}
 		offset += chunk.size
 		if len(chunk.body) == 0 {
-			break
+			return offset, nil
 		}
-		if err := s.applyBody(snapshot.name, offset, chunk.body); err != nil {
-			return err
+		if err := s.applyBody(file, offset, chunk.body); err != nil {
+			return offset, err
 		}
 	}
-	if offset != len(data) {
-		return &CorruptionError{snapshot.name, offset, "more follows its end"}
-	}
-	return nil
 }
 
 // readSegments reads segments that must follow one another without a gap.
--- a/internal/storage/wal/segment.go
+++ b/internal/storage/wal/segment.go
@@ -8,21 +8,24 @@
 	"glenport/internal/storage/vfs"
 )
 
-// recover leaves a directory in which everything is on disk and one segment is open. A crash may cut it off at each
+// recover leaves a directory in which everything is on disk and one segment is open. A crash may interrupt it at each
 // step: the next recovery repairs what it leaves.
 func (l *Log) recover() error {
-	segments := l.state.segments
-	if len(segments) == 0 { // before the rewrite marker that explains why there is none is removed
+	if len(l.state.segments) == 0 {
+		// Before the rewrite marker, which explains why there is no segment, is removed with the obsolete files.
 		if err := l.startSegment(l.lastGroup + 1); err != nil {
 			return err
 		}
+		return removeAll(l.fs, l.state.obsolete)
 	}
 	if err := removeAll(l.fs, l.state.obsolete); err != nil {
 		return err
 	}
-	if len(segments) == 0 {
-		return nil
-	}
+	return l.continueSegments(l.state.segments)
+}
+
+// continueSegments opens the last segment to be continued, or replaces it if its header cannot be read.
+func (l *Log) continueSegments(segments []segmentFile) error {
 	last := segments[len(segments)-1]
 	if l.state.lastHeaderIsBad {
 		if err := l.fs.Remove(last.name); err != nil {
