--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -11,31 +11,31 @@
 func TestConnectionIsReadOnceAnIteration(t *testing.T) {
 	iteration := 0
 	l := runLoop(t, func() { iteration++ })
-	loud, quiet := newProbe(), newProbe()
-	var loudIterations []int
-	loud.onRead = func(*Conn, []byte) { loudIterations = append(loudIterations, iteration) }
-	flood := testutil.Dial(t, listen(t, l, loud, 1, nil))
-	whisper := testutil.Dial(t, listen(t, l, quiet, 1, nil))
+	heavy, light := newProbe(), newProbe()
+	var readIterations []int
+	heavy.onRead = func(*Conn, []byte) { readIterations = append(readIterations, iteration) }
+	heavyPeer := testutil.Dial(t, listen(t, l, heavy, 1, nil))
+	lightPeer := testutil.Dial(t, listen(t, l, light, 1, nil))
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for range 400 {
-			if _, err := flood.Write(make([]byte, 64<<10)); err != nil {
+			if _, err := heavyPeer.Write(make([]byte, 64<<10)); err != nil {
 				t.Error(err)
 				return
 			}
 		}
 	}()
 	for range 20 {
-		_, err := whisper.Write([]byte("x"))
+		_, err := lightPeer.Write([]byte("x"))
 		testutil.ExpectNoError(t, err)
-		testutil.Receive(t, quiet.read)
+		testutil.Receive(t, light.read)
 	}
 	<-done
 	twice := call(l, func() int {
 		n := 0
-		for i := 1; i < len(loudIterations); i++ {
-			if loudIterations[i] == loudIterations[i-1] {
+		for i := 1; i < len(readIterations); i++ {
+			if readIterations[i] == readIterations[i-1] {
 				n++
 			}
 		}
--- a/internal/protocol/section_test.go
+++ b/internal/protocol/section_test.go
@@ -12,23 +12,23 @@
 	"glenport/internal/testutil"
 )
 
-// words lists the values of a frame in their order on the wire, under the names of docs/protocol.md as the cbor tags
-// hold them.
-func words(out *strings.Builder, path string, v reflect.Value) {
+// writeValues lists the values of a frame in their order on the wire, under the names of docs/protocol.md, which are
+// those of the cbor tags.
+func writeValues(out *strings.Builder, path string, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
-		words(out, path, v.Elem())
+		writeValues(out, path, v.Elem())
 	case reflect.Struct:
-		structWords(out, path, v)
+		writeStruct(out, path, v)
 	case reflect.Slice:
 		if v.IsNil() {
 			fmt.Fprintf(out, "%s = none\n", path)
 		}
 		for i := range v.Len() {
-			words(out, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
+			writeValues(out, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
 		}
 	case reflect.Map:
-		mapWords(out, path, v)
+		writeMap(out, path, v)
 	case reflect.String:
 		fmt.Fprintf(out, "%s = %q\n", path, v.String())
 	case reflect.Bool:
@@ -44,7 +44,7 @@
 	}
 }
 
-func structWords(out *strings.Builder, path string, v reflect.Value) {
+func writeStruct(out *strings.Builder, path string, v reflect.Value) {
 	for field, value := range v.Fields() {
 		if field.Name == "_" {
 			continue
@@ -53,24 +53,24 @@
 		if tag := field.Tag.Get("cbor"); tag != "" {
 			name = tag
 		}
-		words(out, path+"."+name, value)
+		writeValues(out, path+"."+name, value)
 	}
 }
 
-func mapWords(out *strings.Builder, path string, v reflect.Value) {
+func writeMap(out *strings.Builder, path string, v reflect.Value) {
 	if v.IsNil() {
 		fmt.Fprintf(out, "%s = none\n", path)
 	}
 	keys := v.MapKeys()
 	sort.Slice(keys, func(a, b int) bool { return keys[a].String() < keys[b].String() })
 	for _, k := range keys {
-		words(out, fmt.Sprintf("%s[%s]", path, k), v.MapIndex(k))
+		writeValues(out, fmt.Sprintf("%s[%s]", path, k), v.MapIndex(k))
 	}
 }
 
 func describe(f Frame) string {
 	var out strings.Builder
-	words(&out, "", reflect.ValueOf(f))
+	writeValues(&out, "", reflect.ValueOf(f))
 	return out.String()
 }
 
