--- a/internal/bgp/announce/announce.go
+++ b/internal/bgp/announce/announce.go
@@ -12,8 +12,8 @@
 // withdrawal has to be sent after the last container's end, so that a withdrawal may wait for it too.
 const minUpdateInterval = scheduler.Second
 
-// Announcer holds all services: each is kept while it is configured or announced, has containers, or is remembered for
-// its flapping.
+// Announcer holds all services: each is kept while it is configured or announced, has containers or a damping penalty,
+// or was updated less than minUpdateInterval ago.
 type Announcer struct {
 	now      scheduler.Time
 	actions  []Action
@@ -74,7 +74,7 @@
 	}
 }
 
-// checkWaiting has all services updated that wait for something to pass.
+// checkWaiting has all services updated that have a pending change or a damping penalty.
 func (a *Announcer) checkWaiting() {
 	for name, s := range a.services {
 		if s.route.pending() || s.damping.suppressed || s.damping.penalty > 0 {
--- a/internal/bgp/session/transitions_test.go
+++ b/internal/bgp/session/transitions_test.go
@@ -9,6 +9,7 @@
 	"glenport/internal/bgp/wire"
 	"glenport/internal/statemachine"
 	"glenport/internal/statemachine/statemachinetest"
+	"glenport/internal/testutil"
 )
 
 // transitionTable is the table in doc.go: the next state by state and event.
@@ -132,28 +133,44 @@
 	table := readTransitionTable(t)
 	for from := Idle; from <= Established; from++ {
 		for to := Idle; to <= Established; to++ {
-			if from == to {
-				continue
-			}
-			s := New(peer())
-			s.state = from
-			s.transition(to)
-			next := from
-			err := successors.Apply("BGP session", &next, to)
-			var illegal *statemachine.TransitionError
-			want := statemachine.TransitionError{Subject: "BGP session", From: from.String(), To: to.String()}
-			switch legal := table.leadsTo(from, to); {
-			case legal && (err != nil || next != to || s.State() != to):
-				t.Errorf("from %s to %s: %v, now %s", from, to, err, s.State())
-			case !legal && (!errors.As(err, &illegal) || *illegal != want || next != from):
-				t.Errorf("from %s to %s: %v, which is illegal", from, to, err)
-			case !legal && (s.State() != from || len(s.actions.take()) != 1):
-				t.Errorf("from %s to %s: made, or not logged", from, to)
+			switch {
+			case from == to:
+			case table.leadsTo(from, to):
+				expectTransition(t, from, to)
+			default:
+				expectNoTransition(t, from, to)
 			}
 		}
 	}
 }
 
+func expectTransition(t *testing.T, from, to State) {
+	t.Helper()
+	s, next, err := applyTransition(from, to)
+	testutil.Expect(t, err == nil && next == to && s.State() == to,
+		"from %s to %s: %v, now %s", from, to, err, s.State())
+}
+
+func expectNoTransition(t *testing.T, from, to State) {
+	t.Helper()
+	s, next, err := applyTransition(from, to)
+	var illegal *statemachine.TransitionError
+	want := statemachine.TransitionError{Subject: "BGP session", From: from.String(), To: to.String()}
+	testutil.Expect(t, errors.As(err, &illegal) && *illegal == want && next == from,
+		"from %s to %s: %v, which is illegal", from, to, err)
+	testutil.Expect(t, s.State() == from && len(s.actions.take()) == 1, "from %s to %s: made, or not logged", from, to)
+}
+
+// applyTransition takes a session from a state to another, and applies the same to the state alone.
+func applyTransition(from, to State) (s *Session, next State, err error) {
+	s = New(peer())
+	s.state = from
+	s.transition(to)
+	next = from
+	err = successors.Apply("BGP session", &next, to)
+	return s, next, err
+}
+
 // The page shows the transitions of the code, which are those of the table.
 func TestDiagramHasTheTransitionsOfTheTable(t *testing.T) {
 	statemachinetest.CheckPage(t, "BGP sessions", map[string]statemachinetest.Shown{
--- a/internal/config/strictyaml/alias.go
+++ b/internal/config/strictyaml/alias.go
@@ -7,19 +7,19 @@
 
 // KeyAlias is an old spelling of a key that is still read.
 type KeyAlias struct {
-	// Section is the path of the mapping that holds the key, in today's spelling and without indices of lists, such as
-	// "machines.machine_types"; empty for the top of the file.
+	// Section is the path of the mapping that holds the key, in the current spelling and without indices of lists, such
+	// as "machines.machine_types"; empty for the top of the file.
 	Section string
 	// Old is the key as it was.
 	Old string
-	// New is the key of today, relative to Section: "slow_start.period" stands in a section of its own.
+	// New is the current key, relative to Section: "slow_start.period" is in a section of its own.
 	New string
 }
 
-// path returns the path of today's key from the top of the file.
+// path returns the path of the current key from the top of the file.
 func (a KeyAlias) path() string { return joinPath(a.Section, a.New) }
 
-// section returns the path, relative to Section, of the section into which the key has moved; empty where it has not.
+// section returns the path, relative to Section, of the section into which the key has moved; empty if it has not.
 func (a KeyAlias) section() string {
 	section, _ := splitPath(a.New)
 	return section
@@ -27,7 +27,7 @@
 
 // ValueAlias is an old spelling of a value that is still read.
 type ValueAlias struct {
-	Key      string // path of the key, in today's spelling and without indices of lists
+	Key      string // path of the key, in the current spelling and without indices of lists
 	Old, New string
 }
 
@@ -46,7 +46,7 @@
 	return a.Keys[i], true
 }
 
-// newKey returns the alias whose key of today has the given path.
+// newKey returns the alias whose current key has the given path.
 func (a *Aliases) newKey(path string) (KeyAlias, bool) {
 	i := slices.IndexFunc(a.Keys, func(k KeyAlias) bool { return k.path() == path })
 	if i < 0 {
@@ -60,7 +60,7 @@
 	return slices.ContainsFunc(a.Values, func(v ValueAlias) bool { return v.Key == key })
 }
 
-// newValue returns today's spelling of a value of a key.
+// newValue returns the current spelling of a value of a key.
 func (a *Aliases) newValue(key, old string) (string, bool) {
 	i := slices.IndexFunc(a.Values, func(v ValueAlias) bool { return v.Key == key && v.Old == old })
 	if i < 0 {
@@ -69,7 +69,7 @@
 	return a.Values[i].New, true
 }
 
-// oldValue returns the old spelling of a value of a key, or the value where it has none.
+// oldValue returns the old spelling of a value of a key, or the value if it has none.
 func (a *Aliases) oldValue(key, current string) string {
 	i := slices.IndexFunc(a.Values, func(v ValueAlias) bool { return v.Key == key && v.New == current })
 	if i < 0 {
@@ -78,22 +78,22 @@
 	return a.Values[i].Old
 }
 
-// Deprecation tells that a file has an old spelling. There is one for each old spelling in a file, however often it
-// stands there.
+// Deprecation reports that a file has an old spelling. There is one for each old spelling in a file, however often it
+// occurs.
 type Deprecation struct {
 	File string
 	Line int    // the first with this spelling
 	Old  string // path of the key as the file spells it, without indices of lists; for a value "key: value"
-	New  string // the same in today's spelling
+	New  string // the same in the current spelling
 }
 
 // spelling holds how one file spells its keys and values.
 type spelling struct {
 	aliases      Aliases
 	deprecations []Deprecation       // in the order of the file
-	keys         map[string]string   // path of a key in today's spelling to its path as spelled in the file
+	keys         map[string]string   // path of a key in the current spelling to its path as spelled in the file
 	values       map[Position]string // position of a value to its key, where the key has renamed values
-	current      bool                // a key that has an alias stands in today's spelling
+	current      bool                // a key that has an alias is in the current spelling
 }
 
 // old reports whether the file is written in the old spelling throughout. Keys that are absent from it are then named
--- a/internal/config/strictyaml/rename.go
+++ b/internal/config/strictyaml/rename.go
@@ -9,7 +9,7 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// renamer changes a syntax tree from old spellings to those of today and notes what the file has. Nodes keep their
+// renamer changes a syntax tree from old spellings to the current ones and notes what the file has. Nodes keep their
 // positions, so that errors are located where the file has the key or value.
 type renamer struct {
 	file     *File
@@ -17,7 +17,7 @@
 	noted    map[Deprecation]bool // with line 0
 }
 
-// location is the path of a node, in today's spelling and in that of the file.
+// location is the path of a node, in the current spelling and in that of the file.
 type location struct{ current, spelled string }
 
 func (l location) key(current, spelled string) location {
@@ -118,7 +118,7 @@
 	return r.currentKey(at.key(key, key), entry)
 }
 
-// move renames an entry of a mapping and moves it into the section where it stands today.
+// move renames an entry of a mapping and moves it into its current section.
 func (r *renamer) move(at location, m *ast.MappingNode, entry *ast.MappingValueNode) error {
 	alias, _ := r.alias(at, entry)
 	target, err := r.section(m, alias.section(), entry)
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// currentKey visits a key that has no old spelling, or stands in that of today.
+// currentKey visits a key that has no old spelling, or is in the current one.
 func (r *renamer) currentKey(at location, entry *ast.MappingValueNode) error {
 	if _, hasAlias := r.spelling.aliases.newKey(withoutIndices(at.current)); hasAlias {
 		r.spelling.current = true
--- a/internal/config/strictyaml/strictyaml.go
+++ b/internal/config/strictyaml/strictyaml.go
@@ -39,7 +39,7 @@
 }
 
 // ReadWithAliases is [Read] for a file that may have old spellings of keys and values. [File.Deprecations] returns
-// those that it has. An old spelling and that of today for the same key are an error.
+// those that it has. An old and the current spelling for the same key are an error.
 func ReadWithAliases(name string, data []byte, into any, aliases Aliases) (*File, error) {
 	f := &File{Name: name, spelling: &spelling{}}
 	documents := yaml.NewDecoder(bytes.NewReader(data), yaml.Strict())
@@ -93,10 +93,10 @@
 func (f *File) Deprecations() []Deprecation { return f.spelling.deprecations }
 
 // KeyName returns the path of a key as the file spells it, or would spell it if it had the key. The path given is in
-// today's spelling.
+// the current spelling.
 func (f *File) KeyName(path string) string { return f.spelling.key(path) }
 
-// ValueName returns a value of a key as the file would spell it. Path and value are given in today's spelling.
+// ValueName returns a value of a key as the file would spell it. Path and value are given in the current spelling.
 func (f *File) ValueName(path, value string) string {
 	if !f.spelling.old() {
 		return value
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -2,18 +2,18 @@
 
 import "glenport/scheduler"
 
-// minFencingDelay is what an attempt that was sent to a machine is given to become known at its scheduler.
+// minFencingDelay is the least time for a scheduler to learn of an attempt that was sent to a machine.
 const minFencingDelay = 3 * scheduler.Second
 
-// fence does nothing about a replica that may run until its scheduler surely knows of it, or it surely did not start.
+// fence delays the next request for a replica that may run, until its scheduler must know whether it runs.
 func (l *lifecycle) fence(r *replica, event replicaEvent, status string) {
 	r.machine = ""
 	delay := max(minFencingDelay, l.classes.of(r.job).DedupWindow)
 	l.enter(r, event, replicaFencing, delay, status)
 }
 
-// fencingOver has a replica looked up at the scheduler that was sent its request, or cancelled there if it is not
-// wanted.
+// fencingOver has a replica looked up at the scheduler that was sent its request, or cancelled there if it is
+// terminating.
 func (l *lifecycle) fencingOver(r *replica) {
 	if r.terminating {
 		l.cancelKey(r, eventTimerFired)
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// job is what is wanted of a job, and its replicas.
+// job holds the latest spec and count of a job, and its replicas.
 type job struct {
 	id       string
 	spec     Spec
@@ -14,7 +14,7 @@
 	replicas []*replica // by index; those beyond count are terminating
 }
 
-// update adopts what is wanted now. Containers of another spec than the newest are of an earlier revision.
+// update adopts the spec and count of an event. A new spec begins a new revision.
 func (j *job) update(e JobSet) {
 	if j.spec != e.Spec {
 		j.spec = e.Spec
@@ -32,7 +32,7 @@
 	j.replicas = j.replicas[:n]
 }
 
-// nextToReplace returns a running replica of an earlier revision, nil where there is none or another is being replaced.
+// nextToReplace returns a running replica of an earlier revision, or nil if there is none or another is being replaced.
 func (j *job) nextToReplace() *replica {
 	var next *replica
 	for _, r := range j.replicas {
@@ -49,17 +49,17 @@
 	return next
 }
 
-// jobRegistry holds the jobs that are wanted or have replicas that have not ended.
+// jobRegistry holds the jobs that have not been deleted, and deleted ones with replicas that have not ended.
 type jobRegistry struct{ byID map[string]*job }
 
 func newJobRegistry() *jobRegistry { return &jobRegistry{byID: map[string]*job{}} }
 
-// find returns nil where there is no such job.
+// find returns nil if there is no such job.
 func (g *jobRegistry) find(id string) *job { return g.byID[id] }
 
 func (g *jobRegistry) add(j *job) { g.byID[j.id] = j }
 
-// trim drops the removed replicas at the end of a job, and a job that is not wanted with its last one.
+// trim drops the removed replicas at the end of a job, and the job if its count is 0 and no replica is left.
 func (g *jobRegistry) trim(j *job) {
 	j.trim()
 	if j.count == 0 && len(j.replicas) == 0 {
--- a/internal/controller/orphans.go
+++ b/internal/controller/orphans.go
@@ -73,14 +73,14 @@
 	}
 }
 
-// refused has an orphan cancelled again: its scheduler was not sure whether it runs.
+// refused has an orphan cancelled again, as its scheduler did not know whether it runs.
 func (t *orphanTable) refused(orphan Orphan, retryAfter scheduler.Time) {
 	if _, known := t.cancelAt[orphan]; known {
 		t.cancelAt[orphan] = t.clock.now() + max(restartDelay, retryAfter)
 	}
 }
 
-// resolve drops an orphan of which nothing runs any more. It reports false where that is not known.
+// resolve drops an orphan of which nothing runs any more. It reports whether there was such an orphan.
 func (t *orphanTable) resolve(orphan Orphan) bool {
 	_, known := t.cancelAt[orphan]
 	delete(t.cancelAt, orphan)
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// accepted: a machine runs the container, also where its scheduler was to cancel it.
+// accepted handles VerdictAccepted: a machine runs the container, even if its scheduler was asked to cancel it.
 func (l *lifecycle) accepted(r *replica, e PlacementAnswered) {
 	if !l.enter(r, eventAccepted, replicaRunning, noTimer, statusRunning) {
 		return
@@ -76,13 +76,14 @@
 	l.rollOut(r.job)
 }
 
-// rejected: nothing of the container runs.
+// rejected handles VerdictRejected: nothing of the container runs.
 func (l *lifecycle) rejected(r *replica, e PlacementAnswered) {
 	l.requests.close(r)
 	l.notRunning(r, eventRejected, e)
 }
 
-// failed: no machine accepted in time. Work that is not idempotent may run all the same, unless it was cancelled.
+// failed handles VerdictFailed: no machine accepted in time. The container may run nevertheless, unless it was
+// cancelled, and is fenced then unless its work is idempotent.
 func (l *lifecycle) failed(r *replica, e PlacementAnswered) {
 	l.requests.close(r)
 	if e.Message != messageCancelled && !l.classes.idempotent(r.job) {
@@ -92,8 +93,8 @@
 	l.notRunning(r, eventFailed, e)
 }
 
-// refused: the scheduler did not admit the request, or is not sure whether the container runs. One that may run and is
-// not wanted is cancelled again later.
+// refused handles VerdictRefused: the scheduler did not admit the request, or does not know whether the container runs.
+// A terminating container that may run is cancelled again later.
 func (l *lifecycle) refused(r *replica, e PlacementAnswered) {
 	l.requests.close(r)
 	mayRun := r.sticky() || r.state == replicaCancelling
@@ -108,7 +109,7 @@
 	}
 }
 
-// notRunning goes on with a replica of which nothing runs.
+// notRunning removes, replaces or retries a replica of which nothing runs.
 func (l *lifecycle) notRunning(r *replica, event replicaEvent, e PlacementAnswered) {
 	switch {
 	case r.terminating:
@@ -124,8 +125,8 @@
 	l.enterPending(r, event, l.random.backoff(r.attempts, e.RetryAfter), answerStatus(e))
 }
 
-// replaceEnded begins a new container in place of one of which nothing runs any more. Work that is to run once, and
-// must not run twice, is complete instead: it may have run to its end.
+// replaceEnded starts a new container in place of one of which nothing runs any more. Work that is at-most-once and not
+// restarted once finished is complete instead: it may have run to its end.
 func (l *lifecycle) replaceEnded(r *replica, event replicaEvent) {
 	if r.job.spec.RunOnce && l.classes.of(r.job).Idempotency == scheduler.AtMostOnce {
 		r.keyUse = keySubmitted
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -11,15 +11,15 @@
 	keySticky                  // something may run under it, and only the scheduler it was submitted to can know
 )
 
-// replica is one container that a job wants, or wanted and that has not ended. Its state changes in transition alone;
-// the other fields are facts that lifecycle keeps. They are stored as a Container.
+// replica is one container within the count of its job, or beyond it and not yet ended. Its state changes in transition
+// alone; the other fields are maintained by lifecycle. They are stored as a Container.
 type replica struct {
 	job      *job
 	index    int
 	revision int // of the spec in its last placement request
 	state    replicaState
 
-	terminating bool // the job does not want it any more
+	terminating bool // its job no longer needs it
 	replacing   bool // it was cancelled in favor of a newer spec
 	refused     bool // the last answer before it became pending was a VerdictRefused
 
@@ -43,7 +43,7 @@
 	return &replica{job: j, index: index, revision: j.revision, scheduler: noScheduler}
 }
 
-// newMissingReplica stands in a restored job for a container that was removed.
+// newMissingReplica returns the placeholder, in a restored job, of a container that was removed.
 func newMissingReplica(j *job, index int) *replica {
 	return &replica{job: j, index: index, state: replicaRemoved, terminating: true}
 }
@@ -82,19 +82,19 @@
 	}
 }
 
-// sticky says that it may run, and that only its scheduler can know.
+// sticky reports whether it may run while only its scheduler can know.
 func (r *replica) sticky() bool { return r.keyUse == keySticky }
 
 // orphan is the copy that the replica's last request may have left at its scheduler.
 func (r *replica) orphan() Orphan { return Orphan{r.scheduler, r.idempotencyKey} }
 
-// requestOpen says that a scheduler has a request for the replica and has not answered it.
+// requestOpen reports whether a scheduler has a request for the replica and has not answered it.
 func (r *replica) requestOpen() bool {
 	return r.state == replicaPlacing || r.state == replicaLookingUp || r.state == replicaCancelling
 }
 
-// mayEnd says that the end of its container is expected. While it is requested or looked up that is so only once its
-// job does not want it, and that was cancelled; of one that is being cancelled, also where its job wants it again.
+// mayEnd reports whether the end of its container is expected. While it is placed or looked up, that is so only once it
+// is terminating, as its request was cancelled then.
 func (r *replica) mayEnd() bool {
 	switch r.state {
 	case replicaPlacing, replicaLookingUp:
@@ -106,7 +106,7 @@
 	return false
 }
 
-// rollingOut says that a replica was cancelled for the newest spec, or has it and does not run yet.
+// rollingOut reports whether a replica was cancelled for the newest spec, or has that spec and does not run yet.
 func (r *replica) rollingOut() bool {
 	if r.replacing {
 		return true
--- a/internal/controller/singlecopy_test.go
+++ b/internal/controller/singlecopy_test.go
@@ -113,41 +113,52 @@
 	delete(m.running, key)
 }
 
-// cancel is a scheduler's answer to a cancel: the end of what runs, or of the request that is open, or that it is not
-// sure.
+// cancel answers a cancel as a scheduler does: with the end of the container that runs, with the end of the open
+// request, or that it does not know whether the container runs.
 func (m *singleCopyModel) cancel(a CancelRequest) {
 	if !m.connected[a.Scheduler] {
 		return
 	}
-	incarnation := m.incarnations[a.Scheduler]
 	if _, runs := m.running[a.IdempotencyKey]; runs && m.runsAt[a.IdempotencyKey] == a.Scheduler {
-		m.stop(a.IdempotencyKey)
-		m.requests = slices.DeleteFunc(m.requests, func(r modelRequest) bool {
-			return r.IdempotencyKey == a.IdempotencyKey && r.incarnation == incarnation
-		})
-		m.handle(ContainerEnded{a.RequestID, scheduler.OutcomeStopped, 0})
+		m.cancelRunning(a)
 		return
 	}
-	// While an earlier attempt may start yet the scheduler is not sure, and accepts no request of its key either.
-	verdict, open := VerdictFailed, -1
+	open, verdict := m.requestsOfKey(a)
+	if open >= 0 {
+		r := m.requests[open]
+		m.requests = slices.Delete(m.requests, open, open+1)
+		if r.RequestID != a.RequestID {
+			m.handle(PlacementAnswered{RequestID: r.RequestID, Verdict: verdict, Message: "cancelled"})
+		}
+	}
+	m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: verdict, Message: "cancelled"})
+}
+
+// cancelRunning stops a container and drops the requests of its key.
+func (m *singleCopyModel) cancelRunning(a CancelRequest) {
+	m.stop(a.IdempotencyKey)
+	m.requests = slices.DeleteFunc(m.requests, func(r modelRequest) bool {
+		return r.IdempotencyKey == a.IdempotencyKey && r.incarnation == m.incarnations[a.Scheduler]
+	})
+	m.handle(ContainerEnded{a.RequestID, scheduler.OutcomeStopped, 0})
+}
+
+// requestsOfKey returns the position of the open request that a cancel is for, or -1, and the answer to the cancel.
+// While an attempt of an earlier incarnation may start, the scheduler does not know whether one runs, and accepts no
+// request of its key either.
+func (m *singleCopyModel) requestsOfKey(a CancelRequest) (open int, verdict Verdict) {
+	open, verdict = -1, VerdictFailed
 	for i, r := range m.requests {
 		if r.IdempotencyKey != a.IdempotencyKey || r.Scheduler != a.Scheduler {
 			continue
 		}
-		if r.incarnation == incarnation {
+		if r.incarnation == m.incarnations[a.Scheduler] {
 			open = i
 		} else if m.now-r.sentAt < testPlacementTimeout {
 			verdict = VerdictRefused
 		}
 	}
-	if open >= 0 {
-		r := m.requests[open]
-		m.requests = slices.Delete(m.requests, open, open+1)
-		if r.RequestID != a.RequestID {
-			m.handle(PlacementAnswered{RequestID: r.RequestID, Verdict: verdict, Message: "cancelled"})
-		}
-	}
-	m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: verdict, Message: "cancelled"})
+	return open, verdict
 }
 
 // Ways in which a scheduler answers a placement request.
--- a/internal/eventloop/shortage.go
+++ b/internal/eventloop/shortage.go
@@ -4,7 +4,7 @@
 
 const acceptRetryDelay = 100 * Millisecond // after accepting failed
 
-// openSpare opens the descriptor that is held back for refuseOne; there is none where that fails.
+// openSpare opens the descriptor that is held back for refuseOne. If that fails there is none.
 func (l *Loop) openSpare() {
 	fd, err := l.kernel.OpenSpare()
 	if err != nil {
@@ -14,8 +14,8 @@
 }
 
 // handleAcceptError reports that accepting failed. A connection left in the accept queue would have epoll report the
-// listener again and again, so the loop would spin: for want of descriptors one connection is refused by means of the
-// spare one, and where that cannot be done the listener is not watched for acceptRetryDelay.
+// listener again and again, so the loop would spin. If descriptors have run out, one connection is refused with the
+// spare one; otherwise, or without a spare one, the listener is not watched for acceptRetryDelay.
 func (ln *Listener) handleAcceptError(err error) {
 	ln.reportAcceptState(err)
 	if !isDescriptorShortage(err) {
@@ -26,8 +26,7 @@
 		ln.refuseOne()
 		return
 	}
-	// Where a spare descriptor can be opened by now, there was one for the connection too: the next iteration accepts
-	// it.
+	// If a spare descriptor can be opened by now, the connection could have one too: the next iteration accepts it.
 	if ln.loop.openSpare(); ln.loop.spareFD < 0 {
 		ln.pause()
 	}
