--- a/internal/config/aliases_test.go
+++ b/internal/config/aliases_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// checkKeyAlias reads a file in which one key stands in its old spelling, and in both.
+// checkKeyAlias reads a file in which one key is given in its old spelling, and in both spellings.
 func checkKeyAlias(t *testing.T, data []byte, alias strictyaml.KeyAlias, parse parseAs, want any) {
 	t.Helper()
 	both := rewrite(t, data, alias.Section, func(section map[string]any) {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -16,17 +16,17 @@
 func schedulerValues(p *Scheduler) []string {
 	var lines []string
 	add := func(key string, value any) { lines = append(lines, fmt.Sprintf("%s = %v", key, value)) }
-	terms := p.Policy
+	policy := p.Policy
 	add("name", p.Name)
-	add("number", terms.SchedulerIndex)
-	add("placers", terms.SchedulerCount)
-	add("seed", terms.Seed)
+	add("number", policy.SchedulerIndex)
+	add("placers", policy.SchedulerCount)
+	add("seed", policy.Seed)
 	add("door", p.ListenAddr)
 	add("state", p.StateDir)
 	add("keep", p.LegacyListFile)
 	add("metrics", p.MetricsAddr)
 	add("list.address", p.MachineListAddr)
-	add("list.ask_within", int64(terms.ResyncInterval))
+	add("list.ask_within", int64(policy.ResyncInterval))
 	add("links.connect_within", int64(p.ConnectTimeout))
 	add("links.close_idle_after", int64(p.IdleTimeout))
 	add("links.broken_when_silent_for", int64(p.SilenceTimeout))
@@ -34,31 +34,31 @@
 	add("bounds", p.Limits)
 	add("bounds.narrow_when_slow", p.AdaptiveLimit)
 	add("machines.kinds", p.MachineTypes)
-	add("machines.kinds", terms.MachineTypes)
-	add("machines.accept.cores", terms.CoresOvercommit)
-	add("machines.accept.memory", terms.MemoryOvercommit)
-	add("machines.mean_container.cores", terms.MeanCores)
-	add("machines.mean_container.memory", terms.MeanMemory)
-	add("machines.say_yes_when", terms.AcceptMeansRunning)
-	add("machines.tell_use", terms.UsageReports)
-	add("machines.list_tells_room", terms.ListTracksRequests)
-	add("machines.may_be_probed", terms.ProbesAllowed)
-	add("machines.cold_for", int64(terms.SlowStartPeriod))
-	add("machines.cold_window", int64(terms.SlowStartWindow))
-	add("machines.cold_bids", terms.SlowStartBudget)
-	add("bids.most", terms.MaxAttempts)
-	add("bids.answer_grace", int64(terms.AnswerGrace))
-	for i, class := range terms.WorkloadClasses {
+	add("machines.kinds", policy.MachineTypes)
+	add("machines.accept.cores", policy.CoresOvercommit)
+	add("machines.accept.memory", policy.MemoryOvercommit)
+	add("machines.mean_container.cores", policy.MeanCores)
+	add("machines.mean_container.memory", policy.MeanMemory)
+	add("machines.say_yes_when", policy.AcceptMeansRunning)
+	add("machines.tell_use", policy.UsageReports)
+	add("machines.list_tells_room", policy.ListTracksRequests)
+	add("machines.may_be_probed", policy.ProbesAllowed)
+	add("machines.cold_for", int64(policy.SlowStartPeriod))
+	add("machines.cold_window", int64(policy.SlowStartWindow))
+	add("machines.cold_bids", policy.SlowStartBudget)
+	add("bids.most", policy.MaxAttempts)
+	add("bids.answer_grace", int64(policy.AnswerGrace))
+	for i, class := range policy.WorkloadClasses {
 		add("workloads.name", p.WorkloadClasses[i])
 		add("workloads", class)
 	}
-	for i, tenant := range terms.Tenants {
+	for i, tenant := range policy.Tenants {
 		add("customers.name", p.Tenants[i])
 		add("customers.cores", tenant.QuotaCores)
 	}
-	add("over_share", terms.OverQuotaWeight)
+	add("over_share", policy.OverQuotaWeight)
 	// All of it, also what no key sets.
-	add("terms", terms)
+	add("terms", policy)
 	return append(lines, bgpValues(p.BGP)...)
 }
 
