--- a/internal/config/aliases_test.go
+++ b/internal/config/aliases_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// checkKeyAlias reads a file in which one key stands in its old spelling, and in both.
+// checkKeyAlias reads a file in which one key is given in its old spelling, and in both spellings.
 func checkKeyAlias(t *testing.T, data []byte, alias strictyaml.KeyAlias, parse parseAs, want any) {
 	t.Helper()
 	both := rewrite(t, data, alias.Section, func(section map[string]any) {
@@ -252,7 +252,7 @@
 func TestWarningNamesFileLineOldAndNewKey(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "scheduler.yaml")
 	text := readFile(t, sampleFolder+"/scheduler.yaml")
-	writeFile(t, path, []byte(strings.ReplaceAll(text, "latency_objective:", "agreed_time:")))
+	testutil.WriteFile(t, path, []byte(strings.ReplaceAll(text, "latency_objective:", "agreed_time:")))
 	settings, err := LoadScheduler(path)
 	testutil.NoError(t, err)
 	var log bytes.Buffer
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -4,7 +4,6 @@
 	"io"
 	"net"
 	"testing"
-	"time"
 
 	"glenport/internal/testutil"
 )
@@ -12,31 +11,31 @@
 func TestConnectionIsReadOnceAnIteration(t *testing.T) {
 	iteration := 0
 	l := runLoop(t, func() { iteration++ })
-	loud, quiet := newProbe(), newProbe()
-	var loudIterations []int
-	loud.onRead = func(*Conn, []byte) { loudIterations = append(loudIterations, iteration) }
-	flood := testutil.Dial(t, listen(t, l, loud, 1, nil))
-	whisper := testutil.Dial(t, listen(t, l, quiet, 1, nil))
+	heavy, light := newProbe(), newProbe()
+	var readIterations []int
+	heavy.onRead = func(*Conn, []byte) { readIterations = append(readIterations, iteration) }
+	heavyPeer := testutil.Dial(t, listen(t, l, heavy, 1, nil))
+	lightPeer := testutil.Dial(t, listen(t, l, light, 1, nil))
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for range 400 {
-			if _, err := flood.Write(make([]byte, 64<<10)); err != nil {
+			if _, err := heavyPeer.Write(make([]byte, 64<<10)); err != nil {
 				t.Error(err)
 				return
 			}
 		}
 	}()
 	for range 20 {
-		_, err := whisper.Write([]byte("x"))
+		_, err := lightPeer.Write([]byte("x"))
 		testutil.ExpectNoError(t, err)
-		testutil.Receive(t, quiet.read)
+		testutil.Receive(t, light.read)
 	}
 	<-done
 	twice := call(l, func() int {
 		n := 0
-		for i := 1; i < len(loudIterations); i++ {
-			if loudIterations[i] == loudIterations[i-1] {
+		for i := 1; i < len(readIterations); i++ {
+			if readIterations[i] == readIterations[i-1] {
 				n++
 			}
 		}
@@ -46,20 +45,21 @@
 }
 
 func TestTimersRunOnTimeAndPostReportsTheEndOfTheLoop(t *testing.T) {
-	l := runLoop(t, func() {})
+	l := newLoop(t, func() {})
+	ended := startLoop(l)
 	fired := make(chan Tick, 3)
-	l.Post(func() {
+	taken := l.Post(func() {
 		began := l.Now()
 		l.After(20*Millisecond, func() { fired <- l.Now() - began })
 		l.Cancel(l.After(10*Millisecond, func() { t.Error("a cancelled timer ran") }))
 		l.After(0, func() { fired <- 0 })
 	})
+	testutil.Expect(t, taken, "a running loop refuses a callback")
 	first, second := testutil.Receive(t, fired), testutil.Receive(t, fired)
 	testutil.Expect(t, first == 0 && second >= 20*Millisecond, "fired after %d and %d", first, second)
 	l.Stop()
-	for l.Post(func() {}) {
-		time.Sleep(time.Millisecond)
-	}
+	testutil.ExpectNoError(t, testutil.Receive(t, ended))
+	testutil.Expect(t, !l.Post(func() {}), "a loop that has ended takes a callback")
 }
 
 // A loop that stops when idle handles what a peer has written by then, writes the answer, and resets nothing.
@@ -72,7 +72,7 @@
 	}
 	handler.onRead = func(c *Conn, p []byte) {
 		testutil.ExpectNoError(t, c.Write(p))
-		c.SetReadPaused(true)
+		c.PauseReading()
 		l.Post(func() {
 			send("unread")
 			l.StopWhenIdle()
@@ -80,8 +80,7 @@
 	}
 	ln, err := l.Listen("127.0.0.1:0", func() (Handler, int) { return handler, 100 }, nil)
 	testutil.NoError(t, err)
-	done := make(chan error, 1)
-	go func() { done <- l.Run() }()
+	ended := startLoop(l)
 	peer = testutil.Dial(t, ln.Addr().String())
 	testutil.Receive(t, handler.opened)
 	l.Post(func() {
@@ -91,5 +90,5 @@
 	if got, err := io.ReadAll(peer); string(got) != "last" || err != nil {
 		t.Errorf("peer got %q, %v", got, err)
 	}
-	testutil.ExpectNoError(t, testutil.Receive(t, done))
+	testutil.ExpectNoError(t, testutil.Receive(t, ended))
 }
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -1,13 +1,7 @@
 package eventloop
 
 import (
-	"errors"
-	"fmt"
-	"io"
-	"strconv"
-	"strings"
 	"testing"
-	"time"
 
 	"glenport/internal/testutil"
 
@@ -88,125 +82,6 @@
 closed 7: closed here
 `
 
-// exchange is a loop on the test's goroutine, its peers, and the record of its callbacks.
-type exchange struct {
-	t        *testing.T
-	loop     *Loop
-	listener *Listener
-	record   strings.Builder
-	accepted []*Conn
-	peers    []int // descriptors of the peers, in the order of accepted
-	dialed   *Conn
-}
-
-func (e *exchange) note(format string, args ...any) { fmt.Fprintf(&e.record, format+"\n", args...) }
-
-// must fails the test where the script itself cannot be played.
-func (e *exchange) must(err error) {
-	e.t.Helper()
-	testutil.NoError(e.t, err)
-}
-
-// until waits for a state of the kernel that the next step builds on.
-func (e *exchange) until(what string, reached func() bool) {
-	e.t.Helper()
-	testutil.WaitUntil(e.t, what, reached)
-}
-
-// ready waits until a connection of the loop has one of the events for the next iteration.
-func (e *exchange) ready(c *Conn, events int16) {
-	e.t.Helper()
-	e.until("connection ready", func() bool {
-		fds := []unix.PollFd{{Fd: int32(c.fd), Events: events}}
-		n, _ := unix.Poll(fds, 0) // an interrupted poll is one more try
-		return n == 1 && fds[0].Revents&events != 0
-	})
-}
-
-// connect opens a peer and waits for its place in the accept queue.
-func (e *exchange) connect() {
-	e.t.Helper()
-	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
-	e.must(err)
-	e.must(unix.Connect(fd, sockaddr(e.listener.Addr())))
-	e.peers = append(e.peers, fd)
-	queued := uint32(len(e.peers) - len(e.accepted))
-	e.until("peer in the accept queue", func() bool {
-		info, err := unix.GetsockoptTCPInfo(e.listener.fd, unix.IPPROTO_TCP, unix.TCP_INFO)
-		e.must(err)
-		return info.Unacked == queued // of a listening socket: the length of its accept queue
-	})
-}
-
-// send writes to a connection from its peer and waits until it can be read.
-func (e *exchange) send(peer int, bytes []byte) {
-	e.t.Helper()
-	_, err := unix.Write(e.peers[peer], bytes)
-	e.must(err)
-	e.until("bytes arrived", func() bool {
-		n, err := unix.IoctlGetInt(e.accepted[peer].fd, unix.TIOCINQ)
-		e.must(err)
-		return n == len(bytes)
-	})
-}
-
-// recorder is the handler of one connection of an exchange.
-type recorder struct {
-	exchange *exchange
-	name     string
-}
-
-func (r *recorder) Opened(*Conn) { r.exchange.note("opened %s", r.name) }
-
-// Read answers with the first byte.
-func (r *recorder) Read(c *Conn, p []byte) {
-	r.exchange.note("read %s: %d bytes", r.name, len(p))
-	r.exchange.must(c.Write(p[:1]))
-}
-
-func (r *recorder) Closed(_ *Conn, reason error) {
-	kind := reason.Error()
-	for _, known := range []struct {
-		err  error
-		name string
-	}{{io.EOF, "EOF"}, {ErrReset, "reset"}, {ErrClosed, "closed here"}, {ErrConnectFailed, "connect failed"}} {
-		if errors.Is(reason, known.err) {
-			kind = known.name
-		}
-	}
-	r.exchange.note("closed %s: %s", r.name, kind)
-}
-
-// farewell is a recorder that echoes what it reads and then closes the connection.
-type farewell struct{ *recorder }
-
-func (f farewell) Read(c *Conn, p []byte) {
-	f.exchange.must(c.Write(p))
-	c.Close()
-}
-
-// accept names connections by the order in which they are accepted.
-func (e *exchange) accept() (Handler, int) {
-	r := &recorder{e, strconv.Itoa(len(e.accepted))}
-	e.accepted = append(e.accepted, nil)
-	if r.name == "3" {
-		return kept{farewell{r}, e, 3}, 100
-	}
-	return kept{r, e, len(e.accepted) - 1}, 100
-}
-
-// kept keeps the connection for the script.
-type kept struct {
-	Handler
-	exchange *exchange
-	index    int
-}
-
-func (k kept) Opened(c *Conn) {
-	k.exchange.accepted[k.index] = c
-	k.Handler.Opened(c)
-}
-
 // The script: each step runs as the onIteration of one iteration and prepares the next.
 
 // readSteps open connections and have them read, together with timers, posted callbacks and ends by the peer.
@@ -228,7 +103,7 @@
 			e.loop.After(1, func() { e.note("timer of 1 tick, scheduled first") })
 			e.loop.Cancel(e.loop.After(2, func() { e.note("cancelled timer") }))
 			e.loop.After(1, func() { e.note("timer of 1 tick, scheduled second") })
-			time.Sleep(2 * time.Millisecond)
+			e.clockAdvances(3)
 		},
 		func() {
 			e.send(3, []byte("bye"))
@@ -245,11 +120,11 @@
 			e.ready(e.accepted[6], unix.POLLRDHUP)
 		},
 		func() {
-			e.accepted[7].SetReadPaused(true)
+			e.accepted[7].PauseReading()
 			e.send(7, []byte("z"))
 		},
 		func() {
-			e.accepted[7].SetReadPaused(false)
+			e.accepted[7].ResumeReading()
 			e.ready(e.accepted[7], unix.POLLIN)
 		},
 	}
@@ -266,7 +141,7 @@
 			e.dialed = e.loop.Dial(otherListener, &recorder{e, "dialed"}, 100, Second)
 			e.ready(e.dialed, unix.POLLOUT)
 			e.loop.Dial("nowhere", &recorder{e, "without address"}, 100, Second)
-			time.Sleep(2 * time.Millisecond)
+			e.clockAdvances(1) // the dial that fails is reported by a timer
 		},
 		func() {
 			e.loop.Post(func() {
