--- a/internal/machinelist/client_test.go
+++ b/internal/machinelist/client_test.go
@@ -40,12 +40,7 @@
 		Address: address, Hello: protocol.NewHello(protocol.RoleScheduler, "s", 1), MaxOutput: 1 << 20,
 		ConnectTimeout: 10 * eventloop.Second, SilenceTimeout: silenceTimeout,
 	}, results, slog.New(slog.DiscardHandler))
-	ended := make(chan error, 1)
-	go func() { ended <- loop.Run() }()
-	t.Cleanup(func() {
-		loop.Stop()
-		testutil.ExpectNoError(t, <-ended)
-	})
+	testutil.RunUntilEnd(t, loop.Run, loop.Stop)
 	return client, results
 }
 
