--- a/internal/platform/connmanager/doc.go
+++ b/internal/platform/connmanager/doc.go
@@ -1,7 +1,7 @@
 // Package connmanager decides on the connections of a scheduler on the platform, where file descriptors are few. It has
-// four jobs, a file each: which client connections stay open (admission.go), which client is notified of the end of a
-// running container (notifications.go), how many connections a machine may have and for how long (pool.go), and how
-// long a scheduler drains at shutdown (shutdown.go).
+// five jobs, a file each: which client connections stay open (admission.go), which client is notified of the end of a
+// running container (notifications.go), how many connections a machine may have and for how long (pool.go), when the
+// cancel of a copy is sent again (cancels.go), and how long a scheduler drains at shutdown (shutdown.go).
 //
 // It does no I/O and has no clock: the process passes in events with the time and carries out the actions.
 //
--- a/internal/platform/copies.go
+++ b/internal/platform/copies.go
@@ -1,9 +1,10 @@
 package platform
 
 import (
-	"slices"
+	"errors"
 
 	"glenport/internal/eventloop"
+	"glenport/internal/platform/connmanager"
 	"glenport/internal/platform/jsonlines"
 	"glenport/scheduler"
 )
@@ -26,21 +27,65 @@
 
 // cancelLostOffers ends the copies that may be running elsewhere, as a machine has accepted the container.
 func (c *container) cancelLostOffers(acceptedBy *machine) {
-	for _, m := range slices.Compact(c.lostOffers) {
-		if m != acceptedBy {
-			m.cancelLostOffer(c.request.ID, eventloop.Tick(c.request.Deadline))
+	if len(c.lostOffers) == 0 {
+		return
+	}
+	for _, m := range c.lostOffers {
+		if m != acceptedBy && !m.isGone() {
+			c.env.cancels.Add(connmanager.Time(c.env.loop.Now()), m.cancelOf(c.request.ID))
 		}
 	}
 	c.lostOffers = nil
+	acceptedBy.registry.sendDueCancels()
 }
 
-// cancelLostOffer cancels an offer on the next connection. Where there may be none, it is tried again every maintenance
-// interval up to a deadline.
-func (m *machine) cancelLostOffer(id scheduler.ContainerID, deadline eventloop.Tick) {
-	if m.isGone() || m.send(cancelMessage(id)) || m.env.loop.Now() >= deadline {
-		return
+// cancelOf is the cancel of a copy that may be running at the machine.
+func (m *machine) cancelOf(id scheduler.ContainerID) connmanager.Cancel {
+	return connmanager.Cancel{Machine: string(m.id), RequestID: string(id)}
+}
+
+// sendDueCancels tries the cancels that are due, each on the next connection to its machine.
+func (r *machineRegistry) sendDueCancels() {
+	for _, cancel := range r.env.cancels.Due(connmanager.Time(r.env.loop.Now())) {
+		var mc *machineConn
+		if m := r.machines[scheduler.MachineID(cancel.Machine)]; m != nil && m.hasAddr() && !m.isGone() {
+			mc = m.conns.acquire()
+		}
+		if mc == nil {
+			r.env.cancels.Tried(connmanager.Time(r.env.loop.Now()), cancel, 0)
+			continue
+		}
+		mc.carryCancel(cancel)
+	}
+}
+
+// carryCancel sends a cancel once the connection is established, unless the container is wanted by then.
+func (mc *machineConn) carryCancel(cancel connmanager.Cancel) {
+	mc.env.cancels.Tried(connmanager.Time(mc.env.loop.Now()), cancel, mc.id)
+	mc.whenEstablished(func() {
+		id := scheduler.ContainerID(cancel.RequestID)
+		if mc.machine.isWanted(id) {
+			mc.env.cancels.Settle(cancel)
+		}
+		if mc.env.cancels.Holds(cancel) && !mc.send(cancelMessage(id)) {
+			mc.env.cancels.ConnFailed(mc.id)
+		}
+	})
+}
+
+// isWanted reports whether a container is offered to the machine again, or a client has claimed that it is running
+// there: also where that claim was left out.
+func (m *machine) isWanted(id scheduler.ContainerID) bool {
+	return m.attempt(id) != nil || m.env.claims.LeftOut(string(id), string(m.id))
+}
+
+// finishCancels has the cancels that the connection has carried tried again, unless its machine has read them.
+func (mc *machineConn) finishCancels(last machineConnState, err error) {
+	if last == machineClosing && !errors.Is(err, eventloop.ErrReset) {
+		mc.env.cancels.ConnClosedHere(mc.id)
+	} else {
+		mc.env.cancels.ConnFailed(mc.id)
 	}
-	m.env.loop.After(maintenanceInterval, func() { m.cancelLostOffer(id, deadline) })
 }
 
 // send sends a message to the machine once there is an established connection. It reports whether there will be one.
@@ -65,16 +110,20 @@
 	}
 }
 
-// cancelLostInSilence ends the containers that were lost, as the machine is heard again on a connection. Those that a
-// client has reclaimed meanwhile are left.
+// cancelLostInSilence ends the containers that were lost, as the machine is heard again on a connection.
 func (m *machine) cancelLostInSilence(mc *machineConn) {
 	if !mc.isEstablished() {
 		return // nothing may be written
 	}
 	for _, id := range m.lostInSilence {
-		if m.attempts[id] == nil {
-			mc.send(cancelMessage(id))
-		}
+		m.env.cancels.Add(connmanager.Time(m.env.loop.Now()), m.cancelOf(id))
+		mc.carryCancel(m.cancelOf(id))
 	}
 	m.lostInSilence = nil
 }
+
+// forgetCopies takes in that the machine is gone or has started anew: no copy is running there.
+func (m *machine) forgetCopies() {
+	m.lostInSilence = nil
+	m.env.cancels.MachineGone(string(m.id))
+}
--- a/internal/platform/copies_test.go
+++ b/internal/platform/copies_test.go
@@ -2,8 +2,10 @@
 
 import (
 	"strings"
+	"sync/atomic"
 	"testing"
 
+	"glenport/internal/platform/connmanager"
 	"glenport/internal/platform/failuredetector"
 	"glenport/internal/platform/jsonlines"
 	"glenport/internal/testutil"
@@ -54,21 +56,51 @@
 	return nil
 }
 
+// The cancel of a copy is sent again where its connection fails at once, and no more after its machine has reported the
+// end of the copy.
+func TestCancelOfCopyIsRepeatedAfterConnectionLoss(t *testing.T) {
+	var cancels atomic.Int32
+	a := serveMessages(t, func(m *peer, msg *jsonlines.Message) {
+		switch {
+		case msg.Op == jsonlines.OpOffer:
+			m.send("noise")
+		case cancels.Add(1) == 1:
+			m.close()
+		default:
+			m.send(endLine(msg.RequestID, jsonlines.CauseCancelled))
+		}
+	})
+	r := startServer(t, attemptOnAThenB, configJSON(silentDiscovery(t), 256, snapshotJSON(1,
+		machineJSON("a", a, "ready", 0), machineJSON("b", fakeMachine(t, acceptLine("%s")), "ready", 0))))
+	client := r.dialClient()
+	client.send(strings.Replace(offerLine(requestID, ""), "report-run", "matcher", 1))
+	client.expect(jsonlines.OpAccept, requestID)
+	cancel := connmanager.Cancel{Machine: "a", RequestID: requestID}
+	testutil.WaitUntil(t, "the machine receives two cancels and no more is to be sent", func() bool {
+		held := true
+		r.runOnLoop(func() { held = r.server.env.cancels.Holds(cancel) })
+		return cancels.Load() == 2 && !held
+	})
+}
+
 // A machine is cut off, its containers are reported as terminated, and it comes back: an idempotent container is
 // cancelled there, unless a client has reclaimed it. One with a key is left to its client.
 func TestContainerLostInSilenceIsCancelledOnReturn(t *testing.T) {
+	claimLeftOut := strings.Replace(offerLine(requestID, ";at:a"), "cores:1;", "cores:1000;", 1)
 	for _, tc := range []struct {
-		name, class          string
-		reclaimed, cancelled bool
+		name, class string
+		reclaim     string // a line by which its client claims it
+		cancelled   bool
 	}{
-		{"idempotent", "matcher", false, true},
-		{"idempotent, reclaimed", "matcher", true, false},
-		{"with a key", "report-run", false, false},
+		{"idempotent", "matcher", "", true},
+		{"idempotent, reclaimed", "matcher", offerLine(requestID, ";at:a"), false},
+		{"idempotent, reclaimed by a claim that is left out", "matcher", claimLeftOut, false},
+		{"with a key", "report-run", "", false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r, client, received := startWithSilentLoss(t, tc.class)
-			if tc.reclaimed {
-				client.send(offerLine(requestID, ";at:a"))
+			if tc.reclaim != "" {
+				client.send(tc.reclaim)
 			}
 			expectPlaced(t, client, received, otherRequestID) // the machine is heard again
 			if tc.cancelled {
--- a/internal/platform/environment.go
+++ b/internal/platform/environment.go
@@ -18,8 +18,9 @@
 	log          *slog.Logger
 	tracing      bool // every message is logged
 	loop         *eventloop.Loop
-	encodeBuffer []byte           // reused by encode
-	claims       *adoption.Claims // what clients claim to be running, and no machine has confirmed
+	encodeBuffer []byte              // reused by encode
+	claims       *adoption.Claims    // what clients claim to be running, and no machine has confirmed
+	cancels      connmanager.Cancels // of copies, which their machines may not have read
 
 	schedulerQueue       decisionQueue[scheduler.Event, scheduler.Action]
 	connManagerQueue     decisionQueue[connmanager.Event, connmanager.Action]         // handled after the scheduler's
--- a/internal/platform/machineconnpool.go
+++ b/internal/platform/machineconnpool.go
@@ -11,6 +11,7 @@
 	env      *environment
 	machines *machineRegistry
 	open     int // connections, those that are closing included
+	lastID   connmanager.MachineConnID
 }
 
 // acquire counts a connection that is to be opened; false where there may be no more.
@@ -22,6 +23,12 @@
 	return true
 }
 
+// nextID returns the identifier of a new connection.
+func (p *machineConnPool) nextID() connmanager.MachineConnID {
+	p.lastID++
+	return p.lastID
+}
+
 // released counts a connection that has ended.
 func (p *machineConnPool) released() { p.open-- }
 
--- a/internal/platform/machineconns.go
+++ b/internal/platform/machineconns.go
@@ -23,6 +23,7 @@
 // machineConn is one connection to a machine.
 type machineConn struct {
 	env           *environment
+	id            connmanager.MachineConnID
 	machine       *machine
 	conn          *eventloop.Conn
 	state         machineConnState
@@ -35,9 +36,10 @@
 }
 
 // dialMachine opens a connection to a machine.
-func dialMachine(m *machine) *machineConn {
+func dialMachine(m *machine, id connmanager.MachineConnID) *machineConn {
 	mc := &machineConn{
 		env:        m.env,
+		id:         id,
 		machine:    m,
 		state:      machineConnecting,
 		lines:      jsonlines.LineSplitter{MaxBytes: jsonlines.MaxLineBytes},
@@ -157,6 +159,7 @@
 		mc.reportRefusal(err)
 	default: // it was closed here
 	}
+	mc.finishCancels(last, err)
 	mc.finishAttempts(notSent, err)
 	if last == machineEstablished || last == machineClosing {
 		notSent = scheduler.OutcomeLost
--- a/internal/platform/machineconnset.go
+++ b/internal/platform/machineconnset.go
@@ -71,7 +71,7 @@
 	if !s.pool.acquire() {
 		return nil
 	}
-	mc := dialMachine(s.machine)
+	mc := dialMachine(s.machine, s.pool.nextID())
 	s.conns = append(s.conns, mc)
 	return mc
 }
--- a/internal/platform/machineregistry.go
+++ b/internal/platform/machineregistry.go
@@ -138,11 +138,12 @@
 	return old
 }
 
-// maintainConns closes idle connections and replaces broken ones, machine by machine.
+// maintainConns closes idle connections and replaces broken ones, machine by machine, and sends cancels that are due.
 func (r *machineRegistry) maintainConns(now eventloop.Tick) {
 	for m := range r.sorted() { // one may be evicted when another machine needs a connection
 		m.conns.maintain(now)
 	}
+	r.sendDueCancels()
 }
 
 // disconnect closes the connections to a machine on which nothing is awaited.
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -115,7 +115,7 @@
 		m.registry.claimAddr(m)
 	}
 	if m.startedAt != entry.StartedAt {
-		m.lostInSilence = nil
+		m.forgetCopies()
 	}
 	m.state, m.startedAt = entry.State, entry.StartedAt
 	if m.startedAt > 0 {
@@ -137,6 +137,7 @@
 func (m *machine) finishUpdate() {
 	if m.isGone() {
 		m.failRunning(m.env.loop.Now())
+		m.forgetCopies()
 		m.releaseAddr()
 	}
 	m.evictIfGone()
