--- a/internal/platform/machineregistry.go
+++ b/internal/platform/machineregistry.go
@@ -16,6 +16,8 @@
 	pool     *machineConnPool
 	machines map[scheduler.MachineID]*machine // until gone from the list and without work
 	atAddr   map[string]scheduler.MachineID   // the machine that is at an address, until it is gone
+
+	largestCapacity adoption.Capacity // of any type of machine
 }
 
 func newMachineRegistry(env *environment) *machineRegistry {
@@ -23,6 +25,8 @@
 		env:      env,
 		machines: map[scheduler.MachineID]*machine{},
 		atAddr:   map[string]scheduler.MachineID{},
+
+		largestCapacity: env.config.largestCapacity(),
 	}
 	r.pool = &machineConnPool{env: env, machines: r}
 	return r
@@ -51,7 +55,7 @@
 func (r *machineRegistry) claimed(id scheduler.MachineID) adoption.Machine {
 	m := r.machines[id]
 	if m == nil || !m.isListed() {
-		unlisted := adoption.Machine{Capacity: r.env.config.largestCapacity()}
+		unlisted := adoption.Machine{Capacity: r.largestCapacity}
 		if m != nil {
 			unlisted.Running = m.running
 		}
--- a/internal/platform/peers_test.go
+++ b/internal/platform/peers_test.go
@@ -29,17 +29,24 @@
 
 func newPeer(t *testing.T, c net.Conn) *peer {
 	t.Helper()
-	testutil.ExpectNoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
-	return &peer{t, c, bufio.NewReader(c)}
+	p, err := boundedPeer(t, c)
+	testutil.ExpectNoError(t, err)
+	return p
 }
 
 // newServedPeer is newPeer for a connection that was accepted: the end of the test may have closed it already, in which
 // case each read fails.
 func newServedPeer(t *testing.T, c net.Conn) *peer {
 	t.Helper()
-	err := c.SetDeadline(time.Now().Add(testTimeout))
+	p, err := boundedPeer(t, c)
 	testutil.Expect(t, err == nil || errors.Is(err, net.ErrClosed), "deadline of an accepted connection: %v", err)
-	return &peer{t, c, bufio.NewReader(c)}
+	return p
+}
+
+// boundedPeer is a peer with a deadline for all that is read and written.
+func boundedPeer(t *testing.T, c net.Conn) (*peer, error) {
+	t.Helper()
+	return &peer{t, c, bufio.NewReader(c)}, c.SetDeadline(time.Now().Add(testTimeout))
 }
 
 func (p *peer) send(lines ...string) {
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -34,34 +34,30 @@
 
 // New makes a server and opens its listener. Its resources are freed by Run.
 func New(config *Config, decisions Scheduler, log *slog.Logger, traceMessages bool) (*Server, error) {
-	s := newServer(&environment{config: config, log: log, tracing: traceMessages})
-	s.connectDecisions(decisions)
-	loop, err := eventloop.New(s.iterate)
-	if err != nil {
-		return nil, fmt.Errorf("event loop: %w", err)
-	}
-	return s.listenOn(loop)
+	return newServer(&environment{config: config, log: log, tracing: traceMessages}, decisions, eventloop.New)
 }
 
 // NewSimulated is New, without tracing, on a kernel that is not that of the system.
 func NewSimulated(
 	kernel eventloop.Kernel, config *Config, decisions Scheduler, log *slog.Logger,
 ) (*Server, error) {
-	s := newServer(&environment{config: config, log: log})
+	newLoop := func(onIteration func()) (*eventloop.Loop, error) { return eventloop.NewOn(kernel, onIteration) }
+	return newServer(&environment{config: config, log: log}, decisions, newLoop)
+}
+
+// newServer makes a server on a loop of its own and opens its listener.
+func newServer(
+	env *environment, decisions Scheduler, newLoop func(onIteration func()) (*eventloop.Loop, error),
+) (*Server, error) {
+	s := newParts(env)
 	s.connectDecisions(decisions)
-	loop, err := eventloop.NewOn(kernel, s.iterate)
+	loop, err := newLoop(s.iterate)
 	if err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
-	return s.listenOn(loop)
-}
-
-// listenOn takes in the loop of the server and opens the listener.
-func (s *Server) listenOn(loop *eventloop.Loop) (*Server, error) {
-	s.env.loop = loop
-	var err error
-	onAcceptState := loop.AcceptStateLogger(s.env.log, "clients")
-	if s.listener, err = loop.Listen(s.env.config.ListenAddr, s.clients.accept, onAcceptState); err != nil {
+	env.loop = loop
+	onAcceptState := loop.AcceptStateLogger(env.log, "clients")
+	if s.listener, err = loop.Listen(env.config.ListenAddr, s.clients.accept, onAcceptState); err != nil {
 		loop.Stop()
 		_ = loop.Run() // only frees what the loop holds; the error of Listen is the one to report
 		return nil, err
@@ -69,8 +65,8 @@
 	return s, nil
 }
 
-// newServer makes the parts of a server and acquaints them with each other.
-func newServer(env *environment) *Server {
+// newParts makes the parts of a server and acquaints them with each other.
+func newParts(env *environment) *Server {
 	env.claims = adoption.New(adoption.MaxClaims(env.config.MemoryMB))
 	machines := newMachineRegistry(env)
 	containers := newContainerRegistry(env, machines)
