--- a/internal/platform/attempts.go
+++ b/internal/platform/attempts.go
@@ -49,13 +49,14 @@
 }
 
 // connEstablished sends the offer, unless the attempt has ended, or the machine has stopped taking new containers since
-// the attempt was made, or less time is left than an offer can state. The time may be over by now: timers run later in
-// an iteration than connections.
+// the attempt was made, or less time is left than an offer can state. A machine counts the time from when it receives
+// the offer, so that it is what is left now and not at the start of the iteration, which may be long past where the
+// process was not run. It may be over: timers run later in an iteration than connections.
 func (a *attempt) connEstablished() {
 	if a.state == attemptFinished {
 		return
 	}
-	left := a.deadline - a.env.loop.Now()
+	left := a.deadline - a.env.loop.ReadClock()
 	if left < eventloop.Millisecond || !a.machine.isServing() || !a.conn.send(offerMessage(a.container, left)) {
 		a.finish(scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
 		return
--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -3,10 +3,13 @@
 import (
 	"log/slog"
 	"net/netip"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
 
+	"glenport/internal/eventloop"
+	"glenport/internal/platform/jsonlines"
 	"glenport/internal/testbed/simnet"
 	"glenport/internal/testutil"
 	"glenport/scheduler"
@@ -22,6 +25,35 @@
 func (p *linePeer) Received(_ *simnet.PeerConn, chunk simnet.Chunk) { p.received.Write(chunk.Data) }
 func (p *linePeer) Ended(*simnet.PeerConn, error)                   {}
 
+// A machine counts the time of an offer from when it receives it. Where the process stalls within an iteration, as
+// beside other load, the offer states what is left of its time then.
+func TestOfferTimeCountsFromItsSending(t *testing.T) {
+	const timeout, stall = scheduler.Second, 20 * eventloop.Millisecond
+	const mostMillisLeft = 980
+	loops := make(chan *eventloop.Loop, 1)
+	received := make(chan *jsonlines.Message, 10)
+	addr := serveMessages(t, func(m *peer, msg *jsonlines.Message) {
+		received <- msg
+		m.send(acceptLine(msg.RequestID))
+	})
+	r := startWithMachineA(t, addr, func(e scheduler.Event) []scheduler.Action {
+		if request, ok := e.(scheduler.RequestReceived); ok && request.ID == otherRequestID {
+			for loop := <-loops; loop.ReadClock()-loop.Now() < stall; {
+				continue
+			}
+		}
+		return attemptOnA(timeout)(e)
+	})
+	client := r.place() // the connection is there from then on
+	testutil.Receive(t, received)
+	loops <- r.server.env.loop
+	client.send(offerLine(otherRequestID, ""))
+	client.expect(jsonlines.OpAccept, otherRequestID)
+	left, err := strconv.Atoi(testutil.Receive(t, received).Fields["left"])
+	testutil.NoError(t, err)
+	testutil.Expect(t, left <= mostMillisLeft, "%d ms are left after a stall, want %d at most", left, mostMillisLeft)
+}
+
 // A connection that is found established together with the deadline of its attempt, as the process was not run for a
 // while, carries no offer: its time is over, and the machine would start what nobody waits for.
 func TestConnThatOpensAfterTheDeadlineCarriesNoOffer(t *testing.T) {
