--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -42,10 +42,11 @@
 		cc.close()
 		return
 	}
-	if cc.lines.Lines() > linesBefore {
+	partial := cc.lines.Buffered() > 0
+	if partial && cc.lines.Lines() > linesBefore { // else BytesReceived says as much
 		cc.env.notifyConnManager(connmanager.MessageCompleted{Client: cc.id})
 	}
-	cc.env.notifyConnManager(connmanager.BytesReceived{Client: cc.id, Partial: cc.lines.Buffered() > 0})
+	cc.env.notifyConnManager(connmanager.BytesReceived{Client: cc.id, Partial: partial})
 }
 
 // Closed implements eventloop.Handler: the client's open requests are cancelled.
--- a/internal/platform/connmanager/events.go
+++ b/internal/platform/connmanager/events.go
@@ -11,7 +11,8 @@
 	// ClientConnected says that a client has connected.
 	ClientConnected struct{ Client ClientID }
 
-	// MessageCompleted says that a message of a client was read to its end. BytesReceived follows.
+	// MessageCompleted says that a message of a client was read to its end, and that a further one is incomplete.
+	// BytesReceived follows, and alone says as much where none is incomplete.
 	MessageCompleted struct{ Client ClientID }
 
 	// BytesReceived says that bytes of a client were read.
