--- a/internal/platform/claims_test.go
+++ b/internal/platform/claims_test.go
@@ -196,6 +196,30 @@
 	return r, func() { reported <- true }
 }
 
+// A claim that comes after its machine has started anew counts: the container may have been accepted since. One that
+// came before the start is lost.
+func TestClaimAtMachineThatStartedAnewIsAdopted(t *testing.T) {
+	discovery, publish := scriptedDiscovery(t)
+	ending := make(chan bool)
+	addr := serveTCP(t, func(m *peer) {
+		<-ending
+		m.send(endLine(otherRequestID, jsonlines.CauseNormal))
+		m.readToEnd()
+	})
+	end := sync.OnceFunc(func() { close(ending) })
+	defer end()
+	r := startWithDiscovery(t, discovery, machineJSON("a", addr, "ready", 0))
+	client := r.dialClient()
+	client.send(offerLine(requestID, ";at:a"))
+	client.expectLive(1)
+	publish(deltaJSON(2, machineJSON("a", addr, "ready", time.Now().UnixMilli()+1)))
+	client.expectFailed(requestID)
+	client.send(endedLine(requestID), offerLine(otherRequestID, ";at:a"))
+	client.expectLive(2)
+	end()
+	client.expectEnd(otherRequestID, jsonlines.CauseNormal)
+}
+
 // A claim to a container whose request is open ends that request where the client is the same, and nothing is cancelled
 // at the machine where the container is running. Of another client it waits until the request is over.
 func TestClaimOfOpenRequest(t *testing.T) {
