--- a/internal/platform/connmanager/cancels.go
+++ b/internal/platform/connmanager/cancels.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Limits of the cancels that are held until they are certain. All tries of one are over within some ten seconds, and
-// a try is certain, or its connection has failed, within a further cancelCertainAfter.
+// Limits of the cancels that are held until they are certain. Where no connection comes up all tries are over within
+// some ten seconds; one that is sent is certain, or its connection has failed, within cancelCertainAfter.
 const (
 	maxCancels          = 1024
 	maxCancelTries      = 8
@@ -23,9 +23,11 @@
 // machines report the end of a container that one has cut, but not that there was none. So a cancel is certain once
 //
 //   - its machine reports the end of the container,
-//   - its connection was closed by this side and not reset: the machine has read what was written before the close, or
-//   - its connection has been up for cancelCertainAfter. TCP repeats what was written until the peer has it, in order;
-//     it is lost only where the connection fails first.
+//   - its connection was closed by this side and not reset, or
+//   - its connection has been up for cancelCertainAfter.
+//
+// TCP repeats what was written until the peer has it, in order, and goes on with it after a close: a message is lost
+// only where the connection fails first.
 //
 // Where the connection fails earlier the cancel is sent again. A machine that has read it already ignores it: the
 // container is not there. Nothing that runs is harmed by a repeat either, as it belongs to the same copy; the process
--- a/internal/platform/copies.go
+++ b/internal/platform/copies.go
@@ -79,7 +79,7 @@
 	return m.attempt(id) != nil || m.env.claims.LeftOut(string(id), string(m.id))
 }
 
-// finishCancels has the cancels that the connection has carried tried again, unless its machine has read them.
+// finishCancels has the cancels that the connection has carried tried again, unless it was closed here and not reset.
 func (mc *machineConn) finishCancels(last machineConnState, err error) {
 	if last == machineClosing && !errors.Is(err, eventloop.ErrReset) {
 		mc.env.cancels.ConnClosedHere(mc.id)
