--- a/internal/controller/server/server.go
+++ b/internal/controller/server/server.go
@@ -69,6 +69,7 @@
 	if s.loop, err = eventloop.New(s.handleEvents); err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
+	s.loop.LogStalls(log)
 	for i, address := range c.Schedulers {
 		s.schedulers = append(s.schedulers, &schedulerConn{server: s, number: i, address: address})
 	}
--- a/internal/eventloop/kernel.go
+++ b/internal/eventloop/kernel.go
@@ -21,6 +21,8 @@
 	Now() time.Time
 	// Since is the time that has passed since an earlier Now, whatever becomes of the wall clock.
 	Since(earlier time.Time) time.Duration
+	// CPUTime is the processor time that the process has used so far.
+	CPUTime() time.Duration
 }
 
 // Poller waits for events of descriptors.
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -31,6 +31,7 @@
 	onFlushed     func()
 	busy          time.Duration
 	iterations    int
+	stalls        stallMonitor
 	posts         postQueue
 	sources       map[int]eventSource // by descriptor
 	flushQueue    []*Conn             // each at most once, see Conn.flushQueued
@@ -63,6 +64,7 @@
 	}
 	l.now = l.base
 	l.wheel = NewTimerWheel(l.now)
+	l.stalls.loop = l
 	l.openSpare()
 	return l, nil
 }
@@ -89,6 +91,7 @@
 func (l *Loop) iterate(ready int) {
 	began := l.kernel.Since(l.started)
 	l.now = max(l.now, l.ReadClock())
+	late := l.stalls.lateness()
 	l.posts.run()
 	l.dispatch(ready)
 	l.wheel.Advance(l.now)
@@ -100,7 +103,9 @@
 		l.onFlushed()
 	}
 	l.iterations++
-	l.busy += l.kernel.Since(l.started) - began
+	busy := l.kernel.Since(l.started) - began
+	l.busy += busy
+	l.stalls.iterated(late, busy)
 }
 
 // flushConns writes the output of queued connections. A connection that closes while the queue is worked off is
--- a/internal/eventloop/systemkernel.go
+++ b/internal/eventloop/systemkernel.go
@@ -17,6 +17,15 @@
 
 func (*systemKernel) Since(earlier time.Time) time.Duration { return time.Since(earlier) }
 
+// CPUTime returns 0 where the system does not say.
+func (*systemKernel) CPUTime() time.Duration {
+	var used unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_PROCESS_CPUTIME_ID, &used); err != nil {
+		return 0
+	}
+	return time.Duration(used.Nano())
+}
+
 func (k *systemKernel) OpenPoller() error {
 	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -56,6 +56,7 @@
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
 	env.loop = loop
+	loop.LogStalls(env.log)
 	onAcceptState := loop.AcceptStateLogger(env.log, "clients")
 	if s.listener, err = loop.Listen(env.config.ListenAddr, s.clients.accept, onAcceptState); err != nil {
 		loop.Stop()
--- a/internal/schedulerd/server.go
+++ b/internal/schedulerd/server.go
@@ -71,6 +71,7 @@
 	}
 	s.wire(decisions, coverage)
 	s.loop.OnFlushed(func() { s.stats.flushed(s.loop.Elapsed()) })
+	s.loop.LogStalls(s.log)
 	var err error
 	s.listener, err = s.loop.Listen(s.config.ListenAddr, s.clients.accept, s.loop.AcceptStateLogger(s.log, "clients"))
 	return err
--- a/internal/testbed/simnet/kernel.go
+++ b/internal/testbed/simnet/kernel.go
@@ -77,6 +77,9 @@
 // Since implements eventloop.Clock.
 func (k *Kernel) Since(earlier time.Time) time.Duration { return k.Now().Sub(earlier) }
 
+// CPUTime implements eventloop.Clock: nothing takes processor time.
+func (k *Kernel) CPUTime() time.Duration { return 0 }
+
 // OpenPoller implements eventloop.Poller.
 func (k *Kernel) OpenPoller() error {
 	k.polling = true
