--- /dev/null
+++ b/internal/adoptions/tracker_test.go
@@ -0,0 +1,24 @@
+package adoptions
+
+import (
+	"testing"
+
+	"glenport/internal/testutil"
+)
+
+// Adoptions are remembered by service only while an attempt is waiting that they may make stale.
+func TestAdoptionsAreTrackedWhileAttemptsAreWaiting(t *testing.T) {
+	var tracker Tracker
+	tracker.Adopted("s")
+	before := tracker.Count()
+	tracker.AttemptWaiting()
+	testutil.Expect(t, !tracker.Since("s", before), "an adoption before the attempt was decided counts")
+	tracker.Adopted("s")
+	tracker.AttemptWaiting()
+	testutil.Expect(t, tracker.Since("s", before) && !tracker.Since("other", before),
+		"an adoption of the service does not count, or one of another does")
+	tracker.AttemptsDone(1)
+	testutil.Expect(t, tracker.Since("s", before), "an adoption is forgotten while an attempt is waiting")
+	tracker.AttemptsDone(1)
+	testutil.Expect(t, len(tracker.byService) == 0, "adoptions are remembered though no attempt is waiting")
+}
--- a/internal/platform/attempts.go
+++ b/internal/platform/attempts.go
@@ -18,6 +18,9 @@
 	createdAt eventloop.Tick
 	deadline  eventloop.Tick
 	timer     *eventloop.Timer // fires at the deadline
+
+	machineStart    scheduler.Time // of the machine's incarnation, when the attempt was decided
+	adoptionsBefore int            // when the attempt was decided
 }
 
 // id is the identifier of the container.
@@ -48,8 +51,15 @@
 	a.conn.whenEstablished(a.connEstablished)
 }
 
-// connEstablished sends the offer, unless the attempt has ended, or the machine has stopped taking new containers since
-// the attempt was made, or less time is left than an offer can state. A machine counts the time from when it receives
+// stale reports whether what the attempt was decided on has changed: the machine has stopped taking new containers or
+// has started anew, or more containers of the service were found running.
+func (a *attempt) stale() bool {
+	return !a.machine.isServing() || a.machine.startedAt != a.machineStart ||
+		a.env.adoptions.Since(a.container.request.Service, a.adoptionsBefore)
+}
+
+// connEstablished sends the offer, unless the attempt has ended or is stale, in which case the scheduler decides again
+// by what it knows now, or less time is left than an offer can state. A machine counts the time from when it receives
 // the offer, so that it is what is left now and not at the start of the iteration, which may be long past where the
 // process was not run. It may be over: timers run later in an iteration than connections.
 func (a *attempt) connEstablished() {
@@ -57,7 +67,7 @@
 		return
 	}
 	left := a.deadline - a.env.loop.ReadClock()
-	if left < eventloop.Millisecond || !a.machine.isServing() || !a.conn.send(offerMessage(a.container, left)) {
+	if left < eventloop.Millisecond || a.stale() || !a.conn.send(offerMessage(a.container, left)) {
 		a.finish(scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
 		return
 	}
--- a/internal/platform/attemptstate.go
+++ b/internal/platform/attemptstate.go
@@ -40,9 +40,12 @@
 
 // transition is the only place where the state of an attempt changes.
 func (a *attempt) transition(event attemptEvent) error {
+	before := a.state
 	err := attemptTransitions.Apply(statemachine.Unnamed, &a.state, event)
 	if err != nil {
 		a.env.reportIllegal(err, "request_id", a.id())
+	} else if before == attemptConnecting {
+		a.env.adoptions.AttemptsDone(1)
 	}
 	return err
 }
--- a/internal/platform/claims.go
+++ b/internal/platform/claims.go
@@ -43,6 +43,7 @@
 		r.containers[c.request.ID] = c
 		m = r.machines.getOrAdd(claim.at)
 		c.adopted(m)
+		r.env.adoptions.Adopted(c.request.Service)
 		r.env.notifyScheduler(scheduler.ContainerAdopted{PlacementRequest: c.request, Machine: claim.at})
 		if m.isListed() && m.isGone() {
 			// Invariant: no container counts as running at a machine that is gone. A successor may be at its address,
--- a/internal/platform/containers.go
+++ b/internal/platform/containers.go
@@ -50,8 +50,12 @@
 		state:     attemptConnecting,
 		createdAt: now,
 		deadline:  deadline,
+
+		machineStart:    m.startedAt,
+		adoptionsBefore: c.env.adoptions.Count(),
 	}
 	c.attemptsMade++
+	c.env.adoptions.AttemptWaiting()
 	c.attempt.start()
 }
 
--- a/internal/platform/environment.go
+++ b/internal/platform/environment.go
@@ -3,6 +3,7 @@
 import (
 	"log/slog"
 
+	"glenport/internal/adoptions"
 	"glenport/internal/eventloop"
 	"glenport/internal/platform/adoption"
 	"glenport/internal/platform/connmanager"
@@ -21,6 +22,7 @@
 	encodeBuffer []byte              // reused by encode
 	claims       *adoption.Claims    // what clients claim to be running, and no machine has confirmed
 	cancels      connmanager.Cancels // of copies, which their machines may not have read
+	adoptions    adoptions.Tracker
 
 	schedulerQueue       decisionQueue[scheduler.Event, scheduler.Action]
 	connManagerQueue     decisionQueue[connmanager.Event, connmanager.Action]         // handled after the scheduler's
--- a/internal/schedulerd/dispatcher.go
+++ b/internal/schedulerd/dispatcher.go
@@ -1,6 +1,7 @@
 package schedulerd
 
 import (
+	"glenport/internal/adoptions"
 	"glenport/internal/eventloop"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/schedulerd/recovery"
@@ -16,7 +17,7 @@
 	containers *containerRegistry
 	routes     *routeAnnouncer
 	state      *stateStore // nil if nothing is persisted
-	adoptions  adoptionTracker
+	adoptions  adoptions.Tracker
 	lastNumber uint64 // attempt numbers are unique over all incarnations
 }
 
@@ -62,7 +63,7 @@
 		decidedAt:          now,
 		deadline:           deadline,
 		machineIncarnation: m.start().Incarnation,
-		adoptionsBefore:    d.adoptions.count(),
+		adoptionsBefore:    d.adoptions.Count(),
 	}
 	a.ordinal = c.beginAttempt(a)
 	a.timer = d.loop.After(deadline-now, func() { d.timedOut(a) })
@@ -266,7 +267,7 @@
 	}
 	a.ordinal = c.beginAttempt(a)
 	m.track(a)
-	d.adoptions.adopted(found.Request.Service)
+	d.adoptions.Adopted(found.Request.Service)
 	if d.state == nil {
 		return
 	}
--- a/internal/schedulerd/parts_test.go
+++ b/internal/schedulerd/parts_test.go
@@ -7,26 +7,27 @@
 	"strings"
 	"testing"
 
+	"glenport/internal/adoptions"
 	"glenport/internal/testutil"
 )
 
-// Adoptions are remembered by service only while an attempt is queued that they may make stale.
+// An adoption makes those attempts of its service stale that were queued before it.
 func TestAdoptionsAreTrackedWhileAttemptsAreQueued(t *testing.T) {
-	tracker := newAdoptionTracker()
+	var tracker adoptions.Tracker
 	queue := attemptQueue{adoptions: &tracker}
-	tracker.adopted("s")
-	before := tracker.count()
+	tracker.Adopted("s")
+	before := tracker.Count()
 	first, second := &attempt{number: 1}, &attempt{number: 2}
 	queue.add(first)
 	testutil.Expect(t, !queue.adoptedSince("s", before), "an adoption before the attempt was decided counts")
-	tracker.adopted("s")
+	tracker.Adopted("s")
 	queue.add(second)
 	testutil.Expect(t, queue.adoptedSince("s", before) && !queue.adoptedSince("other", before),
 		"an adoption of the service does not count, or one of another does")
 	testutil.Expect(t, queue.remove(first) && !queue.remove(first), "an attempt is removed other than once")
 	left := queue.takeAll()
 	testutil.Expect(t, len(left) == 1 && left[0] == second && queue.empty(), "%d attempts taken", len(left))
-	testutil.Expect(t, len(tracker.byService) == 0, "adoptions are remembered though no attempt is queued")
+	testutil.Expect(t, !queue.adoptedSince("s", before), "adoptions are remembered though no attempt is queued")
 }
 
 // Of several failures the first is logged, and the success after them.
--- a/internal/schedulerd/queue.go
+++ b/internal/schedulerd/queue.go
@@ -1,10 +1,14 @@
 package schedulerd
 
-import "slices"
+import (
+	"slices"
+
+	"glenport/internal/adoptions"
+)
 
 // attemptQueue holds the attempts for one machine that are not sent yet, in the order they were decided.
 type attemptQueue struct {
-	adoptions *adoptionTracker
+	adoptions *adoptions.Tracker
 	attempts  []*attempt
 }
 
@@ -15,7 +19,7 @@
 
 func (q *attemptQueue) add(a *attempt) {
 	q.attempts = append(q.attempts, a)
-	q.adoptions.attemptQueued()
+	q.adoptions.AttemptWaiting()
 }
 
 // remove reports whether the attempt was queued.
@@ -25,7 +29,7 @@
 		return false
 	}
 	q.attempts = slices.Delete(q.attempts, i, i+1)
-	q.adoptions.attemptsDequeued(1)
+	q.adoptions.AttemptsDone(1)
 	return true
 }
 
@@ -33,42 +37,11 @@
 func (q *attemptQueue) takeAll() []*attempt {
 	attempts := q.attempts
 	q.attempts = nil
-	q.adoptions.attemptsDequeued(len(attempts))
+	q.adoptions.AttemptsDone(len(attempts))
 	return attempts
 }
 
 // adoptedSince reports whether containers of a service were adopted after a count of adoptions.
 func (q *attemptQueue) adoptedSince(service string, count int) bool {
-	return q.adoptions.since(service, count)
-}
-
-// adoptionTracker records whether containers of a service were adopted since a queued attempt was decided. It is
-// cleared when no attempt is queued, so that it stays as small as the queues.
-type adoptionTracker struct {
-	total     int            // adoptions so far
-	byService map[string]int // total after the service's last adoption
-	queued    int            // attempts that wait for a connection or the log
-}
-
-func newAdoptionTracker() adoptionTracker { return adoptionTracker{byService: map[string]int{}} }
-
-// count is the number of adoptions so far, for a later since.
-func (t *adoptionTracker) count() int { return t.total }
-
-func (t *adoptionTracker) adopted(service string) {
-	t.total++
-	if t.queued > 0 {
-		t.byService[service] = t.total
-	}
-}
-
-func (t *adoptionTracker) since(service string, count int) bool { return t.byService[service] > count }
-
-func (t *adoptionTracker) attemptQueued() { t.queued++ }
-
-func (t *adoptionTracker) attemptsDequeued(n int) {
-	t.queued -= n
-	if t.queued == 0 {
-		clear(t.byService)
-	}
+	return q.adoptions.Since(service, count)
 }
--- a/internal/schedulerd/server.go
+++ b/internal/schedulerd/server.go
@@ -96,7 +96,7 @@
 	s.discovery = s.newDiscoveryClient()
 	s.dispatcher = &attemptDispatcher{
 		process: s.process, decisions: s.decisions, machines: s.machines, routes: s.routes, state: s.state,
-		adoptions: newAdoptionTracker(), lastNumber: s.incarnation,
+		lastNumber: s.incarnation,
 	}
 	s.containers = &containerRegistry{
 		process: s.process, decisions: s.decisions, clients: s.clients, machines: s.machines,
