--- a/internal/adoptions/tracker.go
+++ b/internal/adoptions/tracker.go
@@ -29,8 +29,8 @@
 	t.byService[service] = t.total
 }
 
-// Since reports whether containers of a service were adopted after a Count, which was taken for an attempt that is still
-// waiting.
+// Since reports whether containers of a service were adopted after a Count, which was taken for an attempt that is
+// still waiting.
 func (t *Tracker) Since(service string, count int) bool { return t.byService[service] > count }
 
 // AttemptWaiting takes in an attempt that was decided and is not sent yet.
--- a/internal/platform/stale_test.go
+++ b/internal/platform/stale_test.go
@@ -8,9 +8,9 @@
 	"glenport/scheduler"
 )
 
-// An attempt that waits for its connection is not sent once the machine has started anew, as its slow start may leave no
-// room, or once a container of its service was claimed to be running, which counts for the spread: the scheduler decides
-// again. A change that does not concern it leaves it as it is.
+// An attempt that waits for its connection is not sent once the machine has started anew, as its slow start may leave
+// no room, or once a container of its service was claimed to be running, which counts for the spread: the scheduler
+// decides again. A change that does not concern it leaves it as it is.
 func TestStaleAttemptIsNotSent(t *testing.T) {
 	claimed := func(service string) func(*testServer) {
 		return func(r *testServer) {
