--- a/internal/platform/clientregistry.go
+++ b/internal/platform/clientregistry.go
@@ -13,6 +13,7 @@
 	containers *containerRegistry
 	shutdown   *shutdownSequence
 	conns      map[connmanager.ClientID]*clientConn
+	unreported []*clientConn // that were opened in this iteration
 	lastID     connmanager.ClientID
 }
 
@@ -39,7 +40,21 @@
 	}, clientOutputLimit
 }
 
-func (r *clientRegistry) add(cc *clientConn) { r.conns[cc.id] = cc }
+func (r *clientRegistry) add(cc *clientConn) {
+	r.conns[cc.id] = cc
+	r.unreported = append(r.unreported, cc)
+}
+
+// reportOpened reports the connections that were opened in this iteration, after all that was read in it: the
+// connection manager may close idle clients to make room for them, but no client whose request has just been read.
+func (r *clientRegistry) reportOpened() {
+	for _, cc := range r.unreported {
+		if r.conns[cc.id] == cc {
+			r.env.notifyConnManager(connmanager.ClientConnected{Client: cc.id})
+		}
+	}
+	r.unreported = nil
+}
 
 func (r *clientRegistry) remove(cc *clientConn) { delete(r.conns, cc.id) }
 
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -31,7 +31,6 @@
 	}
 	cc.conn = conn
 	cc.registry.add(cc)
-	cc.env.notifyConnManager(connmanager.ClientConnected{Client: cc.id})
 }
 
 // Read implements eventloop.Handler.
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"io"
 	"slices"
 	"strings"
 	"testing"
@@ -208,19 +209,62 @@
 	r.awaitOutcome(scheduler.AttemptEnded{ID: requestID, Outcome: scheduler.OutcomeStopped, Final: true})
 }
 
-// What is read of a client is reported to the connection manager: whether a message is incomplete, and where it is,
-// whether others were completed before it.
-func TestCompletedMessagesAreReported(t *testing.T) {
-	r := startWithDiscovery(t, silentDiscovery(t))
-	var got []connmanager.Event
+// watchConnManager adds to events what the connection manager is told from now on.
+func (r *testServer) watchConnManager(events *[]connmanager.Event) {
+	r.Helper()
 	r.runOnLoop(func() {
 		queue := &r.server.env.connManagerQueue
 		handle := queue.handle
-		queue.handle = func(now eventloop.Tick, events []connmanager.Event) []connmanager.Action {
-			got = append(got, events...)
-			return handle(now, events)
+		queue.handle = func(now eventloop.Tick, batch []connmanager.Event) []connmanager.Action {
+			*events = append(*events, batch...)
+			return handle(now, batch)
+		}
+	})
+}
+
+// The connection manager closes idle clients to make room for new ones. It hears of a request that is read in the
+// iteration in which others connect before it hears of these. One that has ended by then is not reported.
+func TestClientsAreReportedAfterRequests(t *testing.T) {
+	r := startWithMachineA(t, nowhere, func(scheduler.Event) []scheduler.Action { return nil })
+	r.dialClient()
+	await := func() (cc *clientConn) {
+		testutil.WaitUntil(t, "the client is connected", func() bool {
+			r.runOnLoop(func() { cc = r.server.clients.conns[1] })
+			return cc != nil
+		})
+		return cc
+	}
+	first := await()
+	var got []connmanager.Event
+	r.watchConnManager(&got)
+	r.runOnLoop(func() {
+		for range 2 {
+			handler, _ := r.server.clients.accept()
+			handler.Opened(nil)
 		}
+		r.server.clients.conns[2].Closed(nil, io.EOF)
+		first.Read(first.conn, []byte(offerLine(requestID, "")+"\n"))
 	})
+	r.runOnLoop(func() {
+		got = slices.DeleteFunc(got, func(e connmanager.Event) bool {
+			switch e.(type) {
+			case connmanager.ClientConnected, connmanager.PlacementRequested:
+				return false
+			}
+			return true
+		})
+		want := []connmanager.Event{connmanager.PlacementRequested{Client: 1}, connmanager.ClientConnected{Client: 3}}
+		testutil.Expect(t, slices.Equal(got, want), "reported %+v, want %+v", got, want)
+		delete(r.server.clients.conns, 3) // it has no connection that could be closed
+	})
+}
+
+// What is read of a client is reported to the connection manager: whether a message is incomplete, and where it is,
+// whether others were completed before it.
+func TestCompletedMessagesAreReported(t *testing.T) {
+	r := startWithDiscovery(t, silentDiscovery(t))
+	var got []connmanager.Event
+	r.watchConnManager(&got)
 	client := r.dialClient()
 	client.write(testLine(1) + "\n" + testLine(2)[:9])
 	client.expectCause(jsonlines.OpTested, fmt.Sprintf("%016x", 1), jsonlines.CauseTestPassed)
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -110,7 +110,7 @@
 }
 
 // handleLine handles an event, or the offset of the last one. Events that were applied already may be repeated after a
-// reconnect, and are ignored.
+// reconnect, and are ignored; but the service has all that follow those that it sends.
 func (w *discoveryWatch) handleLine(line []byte) error {
 	log := w.env.log
 	if w.interrupted {
@@ -122,6 +122,7 @@
 		return err
 	}
 	if event.offset <= w.lastOffset {
+		w.receivedEvent = w.receivedEvent || !event.offsetOnly
 		return nil
 	}
 	// A gap is an error: the reconnect requests the missing events. The first event on a connection may have any
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -86,6 +86,8 @@
 	r.awaitList(4)
 	p.close()
 	p = follow(t, watches, "from 4")
+	p.send(deltaJSON(4), deltaJSON(6)) // 4 is a repeat, after which 5 is missing
+	p = follow(t, watches, "from 4")
 	p.send(snapshotJSON(9)) // all that the service still has
 	if e := r.awaitList(9); e.Mode != scheduler.FullSnapshot {
 		t.Errorf("got %+v", e)
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -133,6 +133,7 @@
 
 // iterate runs once in each iteration of the event loop, after all input has been turned into events.
 func (s *Server) iterate() {
+	s.clients.reportOpened()
 	if s.env.runDecisions() {
 		s.env.loop.SkipWait()
 		return
