--- a/internal/testbed/platformcheck/changes.go
+++ b/internal/testbed/platformcheck/changes.go
@@ -112,6 +112,7 @@
 	}
 	m.stop()
 	m.bornMillis = w.kernel.Now().UnixMilli()
+	m.doubtUntil(w.now() + connectTimeout) // what was decided before counts as lost with the earlier start
 	w.change(m, healthReady)
 }
 
--- a/internal/testbed/platformcheck/client.go
+++ b/internal/testbed/platformcheck/client.go
@@ -14,6 +14,7 @@
 	maxClients         = 16 // of the usual sort, that are connected at once
 	requestDescription = `"v=0\r\n"`
 	reconnectDelay     = 30 * time.Millisecond
+	servicesPerClass   = 3
 )
 
 // client is a client with one connection.
@@ -47,7 +48,7 @@
 // claimAll names all that clients hold for running.
 func (c *client) claimAll() {
 	for _, p := range c.w.knownPlacements() {
-		c.claim(p.request, p.machine.id, func() { p.heldBy = c.w.incarnations })
+		c.claim(p.request, p.machine.id, func() { p.claimRead(c.w.incarnations, c.w.now()) })
 	}
 }
 
@@ -188,9 +189,10 @@
 // request sends a request that is to be answered within a time.
 func (c *client) request(choice uint32, left time.Duration) {
 	w := c.w
+	class := choice % uint32(len(workloadClasses))
 	r := &request{
-		call: w.newCall(), client: c, class: workloadClasses[choice%uint32(len(workloadClasses))],
-		service: fmt.Sprintf("s%d", choice>>4%8),
+		call: w.newCall(), client: c, class: workloadClasses[class], spread: w.form.spread[class],
+		service: fmt.Sprintf("s%d-%d", class, choice>>4%servicesPerClass),
 	}
 	r.key = "k" + r.call
 	r.line = r.encode(left, "")
--- a/internal/testbed/platformcheck/clientactions.go
+++ b/internal/testbed/platformcheck/clientactions.go
@@ -9,23 +9,23 @@
 )
 
 func (w *World) clientAsks(e Event) {
-	w.withClient(e, func(c *client) { c.request(e.Amount, w.deadline) })
+	w.withClient(e, func(c *client) { c.request(e.Amount, w.form.deadline) })
 }
 
 func (w *World) clientAsksOften(e Event) {
 	for i := range 2 + e.Amount>>8%4 {
-		w.withClient(e, func(c *client) { c.request(e.Amount+i, w.deadline) })
+		w.withClient(e, func(c *client) { c.request(e.Amount+i, w.form.deadline) })
 	}
 }
 
 func (w *World) newClientAsks(e Event) {
-	w.withNewClient(func(c *client) { c.request(e.Amount, w.deadline) })
+	w.withNewClient(func(c *client) { c.request(e.Amount, w.form.deadline) })
 }
 
 func (w *World) steadyClientAsks(e Event) {
 	for _, c := range w.clients {
 		if c.steady {
-			c.request(e.Amount, w.deadline)
+			c.request(e.Amount, w.form.deadline)
 			return
 		}
 	}
@@ -33,7 +33,7 @@
 
 func (w *World) clientAsksAndGivesUp(e Event) {
 	w.withClient(e, func(c *client) {
-		c.request(e.Amount, w.deadline)
+		c.request(e.Amount, w.form.deadline)
 		c.giveUp()
 	})
 }
@@ -44,7 +44,7 @@
 
 func (w *World) clientAsksAndGoes(e Event) {
 	w.withClient(e, func(c *client) {
-		c.request(e.Amount, w.deadline)
+		c.request(e.Amount, w.form.deadline)
 		c.goAway((*simnet.PeerConn).Close)
 	})
 }
--- a/internal/testbed/platformcheck/discovery.go
+++ b/internal/testbed/platformcheck/discovery.go
@@ -81,7 +81,17 @@
 	}
 }
 
-// told notes that the process knows an event.
+// read notes that the process has read an event.
+func (d *discovery) read(event listEvent) {
+	d.told(event)
+	for _, c := range event.changes {
+		if m := c.machine; m.heardOf == 0 {
+			m.heardOf = max(d.w.now(), 1)
+		}
+	}
+}
+
+// told notes that the process knows an event, or has to.
 func (d *discovery) told(event listEvent) {
 	for _, c := range event.changes {
 		m := c.machine
@@ -97,7 +107,7 @@
 	d.endpoints[d.active].Refuse = false
 	d.publish(true, d.w.listed()...)
 	event := d.events[0]
-	d.told(event)
+	d.read(event)
 	return []string{event.line}
 }
 
@@ -188,7 +198,7 @@
 	x.toldAny = true
 	x.conn.Write([]byte(line+"\n"), func() {
 		if !x.gap {
-			x.discovery.told(event)
+			x.discovery.read(event)
 		}
 	})
 }
--- a/internal/testbed/platformcheck/faults.go
+++ b/internal/testbed/platformcheck/faults.go
@@ -32,10 +32,17 @@
 	RepeatedWrite Fault = "write"
 	// UnheardEnd has the ends of containers that run not reach the process.
 	UnheardEnd Fault = "end"
+	// IgnoredSpread has the decisions know of no spread limits.
+	IgnoredSpread Fault = "spread"
+	// UncountedClaim has the decisions not hear of containers that clients say to run.
+	UncountedClaim Fault = "claim"
 )
 
 // Faults are all faults.
-var Faults = []Fault{LostAnswer, ForgottenAttempt, UnheardDrain, LeakedDescriptor, RepeatedWrite, UnheardEnd}
+var Faults = []Fault{
+	LostAnswer, ForgottenAttempt, UnheardDrain, LeakedDescriptor, RepeatedWrite, UnheardEnd,
+	IgnoredSpread, UncountedClaim,
+}
 
 // UnknownFaultError is returned for the name of a fault that there is not.
 type UnknownFaultError struct{ Name string }
@@ -76,7 +83,7 @@
 	kernel eventloop.Kernel, decisions platform.Scheduler,
 ) (eventloop.Kernel, platform.Scheduler) {
 	switch f.fault {
-	case LostAnswer, ForgottenAttempt:
+	case LostAnswer, ForgottenAttempt, UncountedClaim:
 		return kernel, &faultyDecisions{decisions, f}
 	case LeakedDescriptor:
 		return &leakingKernel{kernel, f}, decisions
@@ -87,6 +94,17 @@
 	}
 }
 
+// settings are what the decisions go by in place of the settings of the process.
+func (f *installedFault) settings(config scheduler.Config) scheduler.Config {
+	if f.fault == IgnoredSpread {
+		config.WorkloadClasses = slices.Clone(config.WorkloadClasses)
+		for i := range config.WorkloadClasses {
+			config.WorkloadClasses[i].SpreadScope = scheduler.ScopeNone
+		}
+	}
+	return config
+}
+
 // busLine is what the process reads in place of a line of the discovery service.
 func (f *installedFault) busLine(line string) string {
 	if f.fault == UnheardDrain {
@@ -111,10 +129,14 @@
 
 // Handle implements platform.Scheduler.
 func (d *faultyDecisions) Handle(now scheduler.Time, events []scheduler.Event) []scheduler.Action {
-	if d.fault.fault == ForgottenAttempt {
+	switch d.fault.fault {
+	case ForgottenAttempt:
 		for i, event := range events {
 			events[i] = forgetAttempt(event)
 		}
+	case UncountedClaim:
+		events = slices.DeleteFunc(events, isClaim)
+	default: // the events are heard as they are
 	}
 	actions := d.Scheduler.Handle(now, events)
 	if d.fault.fault == LostAnswer {
@@ -133,6 +155,11 @@
 	return event
 }
 
+func isClaim(event scheduler.Event) bool {
+	_, ok := event.(scheduler.ContainerAdopted)
+	return ok
+}
+
 func (d *faultyDecisions) loses(action scheduler.Action) bool {
 	switch action.(type) {
 	case scheduler.Reject, scheduler.Fail:
--- a/internal/testbed/platformcheck/judge.go
+++ b/internal/testbed/platformcheck/judge.go
@@ -22,6 +22,7 @@
 	ruleRelease   = "rule 1 (ends are told)"
 	ruleDuplicate = "rule 2 (no effect twice)"
 	ruleDraining  = "rule 3 (nothing to a machine that drains)"
+	ruleSpread    = "rule 5 (spread kept)"
 	ruleProcess   = "process"
 )
 
@@ -30,6 +31,7 @@
 	now        func() time.Duration
 	after      func(time.Duration, func())
 	requests   map[string]*request // by call
+	offersOf   map[string][]*offer // by service
 	Violations []Violation
 }
 
@@ -106,6 +108,8 @@
 		j.violate(ruleAnswer, "request %s is offered to %s with %d ms left", r.call, o.machine.id, o.left)
 	}
 	j.after(300*time.Millisecond, func() { j.checkPairs(o) })
+	j.offersOf[r.service] = append(j.offersOf[r.service], o)
+	j.after(spreadCheckDelay, func() { j.checkSpread(o) })
 }
 
 // checkOfferAfterEnd checks that nothing is sent for a request that has its answer or was taken back.
--- a/internal/testbed/platformcheck/machine.go
+++ b/internal/testbed/platformcheck/machine.go
@@ -29,8 +29,10 @@
 	unavailableTold time.Duration // when the process was told that it takes nothing new; 0: it does
 	unreliable      bool          // there was cause to hold what it runs for lost
 
-	cut       bool     // it is silent; what comes and goes waits
-	deferred  []func() // until it is no longer
+	heardOf   time.Duration // when the process has first read of it; 0: it has not
+	doubtEnd  time.Duration // what was sent to it before may be lost to the process
+	cut       bool          // it is silent; what comes and goes waits
+	deferred  []func()      // until it is no longer
 	conns     []*machineConn
 	responses []response // to the next offers
 	runs      []*placement
@@ -49,9 +51,16 @@
 // entry is the machine in an event of the discovery service.
 func (m *machine) entry() string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":%q,"class":%q,"block":%d,"health":%q,"share":1,"born_ms":%d,`+
-		`"free":[20,50]}`, m.id, machineAddr(m.number), zoneName, machineType, m.number, m.state, m.bornMillis)
+		`"free":[20,50]}`, m.id, machineAddr(m.number), zoneNames[m.zone()], machineType, m.rackGroup(), m.state,
+		m.bornMillis)
 }
 
+// rackGroup and zone are where the machine is: two addresses make a rack group, and the rack groups take turns in the
+// zones.
+func (m *machine) rackGroup() int { return m.number / machinesPerRackGroup }
+
+func (m *machine) zone() int { return m.rackGroup() % len(zoneNames) }
+
 // whenReachable does something now, or once the machine is no longer cut off.
 func (m *machine) whenReachable(do func()) {
 	if m.cut {
@@ -67,6 +76,7 @@
 		return
 	}
 	m.cut, m.endpoint.Silent, m.unreliable = true, true, true
+	m.doubtUntil(m.w.now() + span)
 	m.w.network.After(span, m.restore)
 }
 
@@ -83,6 +93,7 @@
 // refuse has connections refused for a time.
 func (m *machine) refuse(span time.Duration) {
 	m.endpoint.Refuse, m.unreliable = true, true
+	m.doubtUntil(m.w.now() + span)
 	m.w.network.After(span, func() { m.endpoint.Refuse = m.state == healthGone })
 }
 
@@ -92,6 +103,7 @@
 	m.unreliable = true
 	for _, p := range m.runs {
 		p.endedAt = m.w.now()
+		p.offer.release(p.endedAt)
 		p.unknowable = p.heldBy != m.w.incarnations || m.w.kernel.OpenDescriptors() == 0
 		m.cutPlacements = append(m.cutPlacements, p)
 	}
@@ -117,9 +129,10 @@
 // start has a container run, for as long as its call says.
 func (m *machine) start(o *offer, conn *machineConn) *placement {
 	p := &placement{
-		request: o.request, machine: m, conn: conn,
+		request: o.request, offer: o, machine: m, conn: conn,
 		description: fmt.Sprintf("%s on %s, %d", o.request.call, m.id, len(o.request.placements)),
 	}
+	o.placement = p
 	o.request.placements = append(o.request.placements, p)
 	m.runs = append(m.runs, p)
 	lifetime := time.Duration(50+o.request.lifetimeMillis()) * time.Millisecond
@@ -133,6 +146,7 @@
 		return
 	}
 	p.endedAt = m.w.now()
+	p.offer.release(p.endedAt)
 	m.runs = slices.DeleteFunc(m.runs, func(other *placement) bool { return other == p })
 	line := m.w.fault.releaseLine(endLine(p.request.call, cause))
 	m.unsent = append(m.unsent, release{p, line}) // also on the next connection
--- a/internal/testbed/platformcheck/machineconn.go
+++ b/internal/testbed/platformcheck/machineconn.go
@@ -54,6 +54,9 @@
 	c.machine.conns = slices.DeleteFunc(c.machine.conns, func(other *machineConn) bool { return other == c })
 	for _, o := range c.offers {
 		o.finishAt(moment)
+		if !o.acceptRead {
+			o.release(moment)
+		}
 	}
 }
 
@@ -112,7 +115,7 @@
 		return
 	}
 	o := &offer{
-		request: r, machine: m, conn: c, left: left,
+		request: r, machine: m, conn: c, left: left, incarnation: m.w.incarnations,
 		writtenAt: line.first.WrittenAt, iteration: line.first.Iteration, heldUp: line.heldUp(),
 	}
 	m.w.judge.offered(o)
@@ -129,10 +132,12 @@
 	for _, o := range c.offers {
 		if o.request.call == msg.RequestID {
 			o.finishAt(line.first.WrittenAt)
+			o.releaseBy(line)
 		}
 	}
 	m := c.machine
 	if p := m.running(msg.RequestID); p != nil {
+		p.offer.releaseBy(line)
 		m.finish(p, jsonlines.CauseCancelled)
 	}
 }
--- a/internal/testbed/platformcheck/platformcheck_test.go
+++ b/internal/testbed/platformcheck/platformcheck_test.go
@@ -26,6 +26,8 @@
 		LeakedDescriptor: {ruleProcess},
 		RepeatedWrite:    {ruleAnswer, ruleProcess},
 		UnheardEnd:       {ruleRelease},
+		IgnoredSpread:    {ruleSpread},
+		UncountedClaim:   {ruleSpread},
 	} {
 		t.Run(string(fault), func(t *testing.T) {
 			result := Campaign{Events: 12_000, Fault: fault, Workers: 2}.Play()
--- a/internal/testbed/platformcheck/records.go
+++ b/internal/testbed/platformcheck/records.go
@@ -6,6 +6,7 @@
 type request struct {
 	call, key, service string
 	class              workloadClass
+	spread             spreadLimit // of the class
 	client             *client
 	line               string
 	sentAt, due        time.Duration
@@ -45,6 +46,10 @@
 	overAt      time.Duration // 0: it is out
 	refused     bool          // the machine said that it never ran
 	refusalRead bool          // the process has read that
+	incarnation int           // of the process
+	releasedAt  time.Duration // since when the process need not count it any more; 0: it does
+	placement   *placement    // nil until the machine accepts
+	acceptRead  bool          // the process has read that
 }
 
 // neverRan reports whether the process knows that the offer had no effect.
@@ -58,6 +63,7 @@
 // placement is a container that a machine has accepted.
 type placement struct {
 	request     *request
+	offer       *offer
 	machine     *machine
 	conn        *machineConn
 	description string
@@ -66,11 +72,21 @@
 	ordered     bool          // its client has ended it: no release is owed
 	releaseRead bool          // a process has read that it ended
 	told        bool
-	heldBy      int  // the incarnation of the process that was told last that it runs
+	heldBy      int // the incarnation of the process that was told last that it runs
+	claimedFrom int // the incarnation of the process that was told last by a client that it runs
+	claimedAt   time.Duration
 	unknowable  bool // it was cut when no process held it, and nobody reports that
 }
 
 func (p *placement) runs() bool { return p.endedAt == 0 }
 
+// claimRead takes in that an incarnation of the process has read a claim that the container runs.
+func (p *placement) claimRead(incarnation int, now time.Duration) {
+	p.heldBy = incarnation
+	if p.claimedFrom != incarnation {
+		p.claimedFrom, p.claimedAt = incarnation, now
+	}
+}
+
 // owed reports whether the process owes an answer.
 func (r *request) owed() bool { return r.answer == unanswered && !r.givenUp && !r.excused }
--- a/internal/testbed/platformcheck/reduce.go
+++ b/internal/testbed/platformcheck/reduce.go
@@ -56,9 +56,9 @@
 	return f, false
 }
 
-// varied returns the run with another seed of the same deadline, and another amount in one event.
+// varied returns the run with another seed of the same form, and another amount in one event.
 func (r Run) varied(number uint64) Run {
-	r.Seed += uint64(len(deadlines))
+	r.Seed += uint64(formCount)
 	if len(r.Events) == 0 {
 		return r
 	}
--- a/internal/testbed/platformcheck/responses.go
+++ b/internal/testbed/platformcheck/responses.go
@@ -93,12 +93,14 @@
 func (c *machineConn) refuse(o *offer, line string) {
 	o.finish()
 	o.refused = true
+	o.release(o.overAt)
 	c.writeMarked(line, func() { o.refusalRead = true })
 }
 
 // fail says that an offer went wrong; it may have run.
 func (c *machineConn) fail(o *offer, line string) {
 	o.finish()
+	o.release(o.overAt)
 	c.write(line)
 }
 
@@ -106,7 +108,7 @@
 func (c *machineConn) accept(o *offer) *placement {
 	o.finish()
 	p := c.machine.start(o, c)
-	c.write(acceptLine(o.request.call, p.description))
+	c.writeMarked(acceptLine(o.request.call, p.description), func() { o.acceptRead = true })
 	return p
 }
 
--- /dev/null
+++ b/internal/testbed/platformcheck/spreadjudge.go
@@ -0,0 +1,120 @@
+package platformcheck
+
+import "time"
+
+// scope is the extent in which a spread limit counts the containers of a service, by its name in the settings.
+type scope string
+
+const (
+	scopeNone      scope = "silent"
+	scopeMachine   scope = "machine"
+	scopeRackGroup scope = "cell"
+	scopeZone      scope = "zone"
+)
+
+// spreadLimit is how many containers of a service may be in one scope. The zero value is no limit.
+type spreadLimit struct {
+	scope scope
+	most  int
+}
+
+func (l spreadLimit) isSet() bool { return l.settingsScope() != scopeNone }
+
+// settingsScope is the name of the scope in the settings.
+func (l spreadLimit) settingsScope() scope {
+	if l.scope == "" {
+		return scopeNone
+	}
+	return l.scope
+}
+
+// shared reports whether two machines lie in one scope.
+func (l spreadLimit) shared(a, b *machine) bool {
+	switch l.scope {
+	case scopeMachine:
+		return a == b
+	case scopeRackGroup:
+		return a.rackGroup() == b.rackGroup()
+	case scopeZone:
+		return a.zone() == b.zone()
+	default:
+		return false
+	}
+}
+
+const (
+	// spreadCheckDelay is when an offer is checked: by then the machines have heard what was sent before it.
+	spreadCheckDelay = 20 * time.Millisecond
+	// releaseSlack covers what the process has ended of itself, and a machine hears of later.
+	releaseSlack = 20 * time.Millisecond
+	// doubtSlack is how long after a fault the process may yet read what the fault has caused.
+	doubtSlack = 200 * time.Millisecond
+)
+
+// release notes that the process may not count the offer any more, from a moment on.
+func (o *offer) release(moment time.Duration) {
+	if o.releasedAt == 0 || moment < o.releasedAt {
+		o.releasedAt = moment
+	}
+}
+
+// releaseBy notes a line by which the process ends the offer. One that was held up may have been meant earlier.
+func (o *offer) releaseBy(line receivedLine) {
+	if line.heldUp() {
+		o.release(o.writtenAt)
+		return
+	}
+	o.release(line.first.WrittenAt)
+}
+
+// doubtUntil has what runs on the machine, and what is sent to it, up to a time count as possibly lost to the process.
+func (m *machine) doubtUntil(moment time.Duration) { m.doubtEnd = max(m.doubtEnd, moment+doubtSlack) }
+
+// checkSpread counts what the process knows of a service in the scope of an offer's machine, with this offer: what it
+// has sent there and has neither a refusal nor an end of, and what clients have named as running there.
+func (j *judge) checkSpread(o *offer) {
+	limit := o.request.spread
+	if !limit.isSet() || o.heldUp {
+		return
+	}
+	count := 0
+	for _, other := range j.offersOf[o.request.service] {
+		if limit.shared(other.machine, o.machine) && (other == o || other.countedWith(o)) {
+			count++
+		}
+	}
+	if count > limit.most {
+		j.violate(ruleSpread, "request %s is offered to %s as number %d of service %s in one %s, %d are allowed",
+			o.request.call, o.machine.id, count, o.request.service, limit.scope, limit.most)
+	}
+}
+
+// countedWith reports whether the process counts an offer when it sends a later one.
+func (o *offer) countedWith(later *offer) bool {
+	knownAt, known := o.knownTo(later.incarnation)
+	switch {
+	case !known || knownAt > later.writtenAt:
+		return false
+	case o.machine.heardOf == 0, o.writtenAt <= max(o.machine.heardOf, o.machine.doubtEnd):
+		return false
+	case o.writtenAt == later.writtenAt && later.isReleasedBy(o.writtenAt):
+		return false // that one was sent and ended first
+	}
+	return !o.isReleasedBy(later.writtenAt + releaseSlack)
+}
+
+func (o *offer) isReleasedBy(moment time.Duration) bool {
+	return o.releasedAt != 0 && o.releasedAt <= moment
+}
+
+// knownTo is since when an incarnation of the process counts an offer: it has sent it, or was told by a client that its
+// container runs.
+func (o *offer) knownTo(incarnation int) (since time.Duration, known bool) {
+	switch {
+	case o.incarnation == incarnation:
+		return o.writtenAt, true
+	case o.placement != nil && o.placement.claimedFrom == incarnation:
+		return o.placement.claimedAt, true
+	}
+	return 0, false
+}
--- a/internal/testbed/platformcheck/world.go
+++ b/internal/testbed/platformcheck/world.go
@@ -24,9 +24,6 @@
 	mostWaits      = 12_000                 // of the process in a second
 )
 
-// deadlines are the longest times that clients wait, one of them in each run.
-var deadlines = [...]time.Duration{300 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second}
-
 // Run is what is played: a list of events on a world made from a seed, with a fault or without.
 type Run struct {
 	Seed   uint64
@@ -49,7 +46,7 @@
 	clients   []*client
 	calls     []string // of all requests, in order
 	lastCall  uint64
-	deadline  time.Duration
+	form      worldForm
 
 	incarnations int
 	termAt       time.Duration // 0: the process was not told to end
@@ -62,11 +59,12 @@
 
 // Play plays a run and returns what was violated, the earliest first.
 func Play(run Run) []Violation {
-	w := &World{run: run, network: simnet.New(run.Seed), deadline: deadlines[run.Seed%uint64(len(deadlines))]}
+	w := &World{run: run, network: simnet.New(run.Seed), form: formOf(run.Seed)}
 	w.fault.fault = run.Fault
 	w.judge = &judge{
 		now: w.now, after: w.network.After,
 		requests: map[string]*request{},
+		offersOf: map[string][]*offer{},
 	}
 	w.discovery = w.newDiscovery()
 	for i := range firstMachines {
@@ -131,7 +129,7 @@
 	w.kernel.Limit = descriptors
 	w.kernel.OnWait = w.onWait
 	known := w.discovery.restart()
-	text := configJSON(w.run.Seed+uint64(w.incarnations), w.discovery.address(), settingsJSON(w.deadline), known)
+	text := configJSON(w.run.Seed+uint64(w.incarnations), w.discovery.address(), settingsJSON(w.form), known)
 	var err error
 	if w.config, err = platform.DecodeConfig([]byte(text)); err != nil {
 		w.judge.violate(ruleProcess, "the configuration is not read: %v", err)
@@ -150,7 +148,7 @@
 		}
 	}()
 	var kernel eventloop.Kernel = w.kernel
-	var decisions platform.Scheduler = scheduler.New(w.config.Scheduler)
+	var decisions platform.Scheduler = scheduler.New(w.fault.settings(w.config.Scheduler))
 	kernel, decisions = w.fault.wrap(kernel, decisions)
 	w.server, err = platform.NewSimulated(kernel, w.config, decisions, slog.New(&logJudge{w}))
 	if err != nil {
@@ -200,7 +198,7 @@
 	}
 	w.termAt = w.now()
 	incarnation, stalled := w.incarnations, w.stalled-max(0, w.stallEnd-w.now())
-	w.network.After(min(w.deadline, longestDrain)+killGrace, func() {
+	w.network.After(min(w.form.deadline, longestDrain)+killGrace, func() {
 		w.network.After(w.stalled-stalled, func() { // nothing is asked of a process that is not run
 			if w.incarnations == incarnation && w.kernel.OpenDescriptors() > 0 {
 				w.judge.violate(ruleProcess, "it runs %v after TERM", w.now()-w.termAt)
