--- a/internal/testbed/platformcheck/actions.go
+++ b/internal/testbed/platformcheck/actions.go
@@ -82,7 +82,7 @@
 		{
 			text: "a client leaves its input unread for", span: [2]time.Duration{5 * ms, 300 * ms},
 			lasting: func(w *World, e Event, span time.Duration) {
-				w.withClient(e, func(c *client) { c.conn.PauseReading(span) })
+				w.withClient(e, func(c *client) { c.leaveUnread(span) })
 			},
 		},
 	},
--- a/internal/testbed/platformcheck/client.go
+++ b/internal/testbed/platformcheck/client.go
@@ -22,9 +22,10 @@
 	w           *World
 	conn        *simnet.PeerConn
 	established bool
-	steady      bool     // it connects again whenever its connection ends
-	misbehaved  bool     // nothing is owed to it any more
-	waiting     []func() // for the connection
+	steady      bool          // it connects again whenever its connection ends
+	servedAt    time.Duration // when it first heard of the process
+	misbehaved  bool          // nothing is owed to it any more
+	waiting     []func()      // for the connection
 	lines       lineReader
 	open        []*request
 }
@@ -48,7 +49,7 @@
 // claimAll names all that clients hold for running.
 func (c *client) claimAll() {
 	for _, p := range c.w.knownPlacements() {
-		c.claim(p.request, p.machine.id, func() { p.claimRead(c.w.incarnations, c.w.now()) })
+		c.claim(p.request, p.machine.id, p.claimRead)
 	}
 }
 
@@ -98,6 +99,12 @@
 	c.w.clients = slices.DeleteFunc(c.w.clients, func(other *client) bool { return other == c })
 }
 
+// leaveUnread has the client read nothing for a time.
+func (c *client) leaveUnread(span time.Duration) {
+	c.w.unreadEnd = max(c.w.unreadEnd, c.w.now()+span)
+	c.conn.PauseReading(span)
+}
+
 // goAway ends the connection by the client; its open requests are taken back with it.
 func (c *client) goAway(end func(*simnet.PeerConn)) {
 	end(c.conn)
@@ -118,6 +125,9 @@
 // handle takes in a line of the process.
 func (c *client) handle(line receivedLine) {
 	c.w.note("client hears %s", line.text)
+	if c.servedAt == 0 {
+		c.servedAt = c.w.now()
+	}
 	msg, err := line.decode()
 	if err != nil {
 		c.w.judge.violate(ruleAnswer, "a line to a client is garbled: %s", line.text)
--- a/internal/testbed/platformcheck/doc.go
+++ b/internal/testbed/platformcheck/doc.go
@@ -7,7 +7,8 @@
 //
 //   - Rule 1: each request gets one final answer, no later than half a second after its time, and nothing is done for
 //     it afterwards or once its client has taken it back; an accept is one that a machine made; the end of a container
-//     that runs is told to a client within 8.5 s, and nothing else is told to have ended.
+//     that runs is told to a client within 8.5 s, and within a second of when the process reads it from the machine if
+//     a client that it has served is there all the time and all read; nothing else is told to have ended.
 //   - Rule 2: no machine is offered a container that may run already, unless its class allows that, and no two attempts
 //     are out at once.
 //   - Rule 3: no machine is offered anything beyond the grace after the process was told that it drains or is gone.
--- a/internal/testbed/platformcheck/faults.go
+++ b/internal/testbed/platformcheck/faults.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"slices"
 	"strings"
+	"time"
 
 	"glenport/internal/eventloop"
 	"glenport/internal/platform"
@@ -32,6 +33,8 @@
 	RepeatedWrite Fault = "write"
 	// UnheardEnd has the ends of containers that run not reach the process.
 	UnheardEnd Fault = "end"
+	// DelayedEnd has the ends of some containers that run reach the process late.
+	DelayedEnd Fault = "delay"
 	// IgnoredSpread has the decisions know of no spread limits.
 	IgnoredSpread Fault = "spread"
 	// UncountedClaim has the decisions not hear of containers that clients say to run.
@@ -44,7 +47,7 @@
 
 // Faults are all faults.
 var Faults = []Fault{
-	LostAnswer, ForgottenAttempt, UnheardDrain, LeakedDescriptor, RepeatedWrite, UnheardEnd,
+	LostAnswer, ForgottenAttempt, UnheardDrain, LeakedDescriptor, RepeatedWrite, UnheardEnd, DelayedEnd,
 	IgnoredSpread, UncountedClaim, IgnoredSlowStart, WholeBudget,
 }
 
@@ -75,6 +78,9 @@
 // everyNth is how many times something goes right before it goes wrong once, with a fault that counts.
 const everyNth = 3
 
+// endDelay is how much later an end reaches the process with DelayedEnd.
+const endDelay = 3 * time.Second
+
 // installedFault is a fault of one world.
 type installedFault struct {
 	fault Fault
@@ -130,7 +136,7 @@
 
 // releaseLine is what the process reads in place of a machine's line that a container has ended.
 func (f *installedFault) releaseLine(line string) string {
-	if f.fault == UnheardEnd && f.hits() {
+	if (f.fault == UnheardEnd || f.fault == DelayedEnd) && f.hits() {
 		return strings.Replace(line, `"op":"end"`, `"op":"ringing"`, 1)
 	}
 	return line
--- a/internal/testbed/platformcheck/judge.go
+++ b/internal/testbed/platformcheck/judge.go
@@ -177,20 +177,3 @@
 			r.call, second.machine.id, outFor, first.machine.id)
 	}
 }
-
-// checkReleases checks at the end of a run that each end was told.
-func (w *World) checkReleases() {
-	for _, call := range w.calls {
-		for _, p := range w.judge.requests[call].placements {
-			w.checkRelease(p)
-		}
-	}
-}
-
-func (w *World) checkRelease(p *placement) {
-	if !p.known || p.runs() || p.told || p.ordered || p.unknowable || w.now() < p.endedAt+releaseLimit {
-		return
-	}
-	w.judge.violate(ruleRelease, "the end of container %s on %s, %v ago, was told to no client",
-		p.request.call, p.machine.id, w.now()-p.endedAt)
-}
--- a/internal/testbed/platformcheck/machine.go
+++ b/internal/testbed/platformcheck/machine.go
@@ -153,9 +153,22 @@
 	p.endedAt = m.w.now()
 	p.offer.release(p.endedAt)
 	m.runs = slices.DeleteFunc(m.runs, func(other *placement) bool { return other == p })
-	line := m.w.fault.releaseLine(endLine(p.request.call, cause))
-	m.unsent = append(m.unsent, release{p, line}) // also on the next connection
-	m.whenReachable(func() { m.release(p, line) })
+	end := endLine(p.request.call, cause)
+	line := m.w.fault.releaseLine(end)
+	m.announce(release{p, line})
+	if born := m.bornAt; m.w.fault.fault == DelayedEnd && line != end {
+		m.w.network.After(endDelay, func() {
+			if m.bornAt == born && m.state != healthGone {
+				m.announce(release{p, end})
+			}
+		})
+	}
+}
+
+// announce writes a release now, and on the next connection.
+func (m *machine) announce(r release) {
+	m.unsent = append(m.unsent, r)
+	m.whenReachable(func() { m.release(r.placement, r.line) })
 }
 
 // release is the line by which a machine says that a container has ended.
--- a/internal/testbed/platformcheck/platformcheck_test.go
+++ b/internal/testbed/platformcheck/platformcheck_test.go
@@ -26,6 +26,7 @@
 		LeakedDescriptor: {ruleProcess},
 		RepeatedWrite:    {ruleAnswer, ruleProcess},
 		UnheardEnd:       {ruleRelease},
+		DelayedEnd:       {ruleRelease},
 		IgnoredSpread:    {ruleSpread},
 		UncountedClaim:   {ruleSpread},
 		IgnoredSlowStart: {ruleSlowStart},
--- a/internal/testbed/platformcheck/records.go
+++ b/internal/testbed/platformcheck/records.go
@@ -72,6 +72,7 @@
 	ordered     bool            // its client has ended it: no release is owed
 	releaseRead bool            // a process has read that it ended
 	endReads    []time.Duration // when a process has read that
+	endReadBy   int             // the incarnation of the process that has read it last
 	told        bool
 	heldBy      int // the incarnation of the process that was told last that it runs
 	claimedFrom int // the incarnation of the process that was told last by a client that it runs
@@ -81,19 +82,5 @@
 
 func (p *placement) runs() bool { return p.endedAt == 0 }
 
-// endRead takes in that a process has read that the container ended.
-func (p *placement) endRead() {
-	p.releaseRead = true
-	p.endReads = append(p.endReads, p.machine.w.now())
-}
-
-// claimRead takes in that an incarnation of the process has read a claim that the container runs.
-func (p *placement) claimRead(incarnation int, now time.Duration) {
-	p.heldBy = incarnation
-	if p.claimedFrom != incarnation {
-		p.claimedFrom, p.claimedAt = incarnation, now
-	}
-}
-
 // owed reports whether the process owes an answer.
 func (r *request) owed() bool { return r.answer == unanswered && !r.givenUp && !r.excused }
--- a/internal/testbed/platformcheck/settings.go
+++ b/internal/testbed/platformcheck/settings.go
@@ -17,7 +17,6 @@
 	keyedWindow       = 8 * time.Second
 	wireSlack         = 50 * time.Millisecond // every limit is longer by it on sockets
 	answerSlack       = 500 * time.Millisecond
-	releaseLimit      = 8500 * time.Millisecond
 	longestDrain      = 3 * time.Second
 	killGrace         = 700 * time.Millisecond
 )
--- a/internal/testbed/platformcheck/world.go
+++ b/internal/testbed/platformcheck/world.go
@@ -56,6 +56,7 @@
 	stalled      time.Duration // for which the process was not run in all
 	stallEnd     time.Duration // when it is run again
 	stalls       []stallSpan
+	unreadEnd    time.Duration // until when a client has left its input unread, at most
 }
 
 // Play plays a run and returns what was violated, the earliest first.
