--- a/internal/testbed/platformcheck/clientactions.go
+++ b/internal/testbed/platformcheck/clientactions.go
@@ -87,7 +87,7 @@
 func (w *World) exhaustDescriptors(e Event, span time.Duration) {
 	kernel := w.kernel
 	kernel.Limit = kernel.OpenDescriptors() + int(e.Target%2)
-	w.network.After(span, func() { kernel.Limit = descriptors })
+	w.network.After(span, func() { kernel.Limit = w.form.descriptors })
 }
 
 // burst connects clients that say nothing.
@@ -97,14 +97,13 @@
 	}
 }
 
-// falseClaim names a container as running at a machine that knows nothing of it.
-func (w *World) falseClaim(e Event) {
-	w.withClient(e, func(c *client) {
-		r := &request{
-			call: w.newCall(), client: c, class: workloadClasses[0], service: "s0", onlyClaimed: true,
+// crowd connects many clients that say nothing, and one among them that asks.
+func (w *World) crowd(e Event) {
+	size := 20 + e.Amount>>8%100
+	for i := range size {
+		if i == size/2 {
+			w.withNewClient(func(c *client) { c.request(e.Amount, w.form.deadline) })
 		}
-		r.key = "k" + r.call
-		w.judge.requests[r.call] = r
-		c.claim(r, w.pick(e).id, nil)
-	})
+		w.connect().misbehaved = true
+	}
 }
--- a/internal/testbed/platformcheck/doc.go
+++ b/internal/testbed/platformcheck/doc.go
@@ -3,7 +3,8 @@
 // clients, its machines and the discovery service are state machines here. A run is determined by its seed and its list
 // of events, so that a list that fails can be played again, and reduced to the shortest one that still fails.
 //
-// The events are of the ten sorts of docs/crossings.md. What is judged:
+// The events are of the ten sorts of docs/crossings.md. The settings, the descriptors and the number of machines, 6 or
+// 300, are those of one of 420 forms, by the seed. What is judged:
 //
 //   - Rule 1: each request gets one final answer, no later than half a second after its time, and nothing is done for
 //     it afterwards or once its client has taken it back; an accept is one that a machine made; the end of a container
--- a/internal/testbed/platformcheck/form.go
+++ b/internal/testbed/platformcheck/form.go
@@ -5,9 +5,11 @@
 // worldForm is what differs between the worlds of two seeds beside their events and their chance: the settings that the
 // process is given.
 type worldForm struct {
-	deadline  time.Duration // the longest time that clients wait
-	spread    []spreadLimit // by workload class
-	slowStart slowStart
+	machines    int           // at the begin
+	descriptors int           // that the process may have
+	deadline    time.Duration // the longest time that clients wait
+	spread      []spreadLimit // by workload class
+	slowStart   slowStart
 }
 
 // deadlines are the longest times that clients wait, one of them in each run.
@@ -34,14 +36,29 @@
 	{schedulers: 1, budget: 1, window: 1500 * ms, period: 8000 * ms, connectTimeout: 250 * ms},
 }
 
-// formCount is the number of forms. Seeds that differ by it have the same one.
-const formCount = len(deadlines) * len(spreadForms) * len(slowStartForms)
+// descriptorLimits are how many descriptors the process may have, one of them in each run.
+var descriptorLimits = [...]int{96, 64}
+
+const (
+	fewMachines  = 6
+	manyMachines = 300
+	manyOneIn    = 11 // runs that begin with manyMachines
+
+	// formCount is the number of forms. Seeds that differ by it have the same one.
+	formCount = len(deadlines) * len(spreadForms) * len(slowStartForms) * len(descriptorLimits) * manyOneIn
+)
 
 // formOf is the form of a seed. The numbers of its parts have no common divisor, so that each meets each.
 func formOf(seed uint64) worldForm {
+	machines := fewMachines
+	if seed%manyOneIn == manyOneIn-1 {
+		machines = manyMachines
+	}
 	return worldForm{
-		deadline:  deadlines[seed%uint64(len(deadlines))],
-		spread:    spreadForms[seed%uint64(len(spreadForms))],
-		slowStart: slowStartForms[seed%uint64(len(slowStartForms))],
+		machines:    machines,
+		descriptors: descriptorLimits[seed%uint64(len(descriptorLimits))],
+		deadline:    deadlines[seed%uint64(len(deadlines))],
+		spread:      spreadForms[seed%uint64(len(spreadForms))],
+		slowStart:   slowStartForms[seed%uint64(len(slowStartForms))],
 	}
 }
--- a/internal/testbed/platformcheck/judge.go
+++ b/internal/testbed/platformcheck/judge.go
@@ -80,7 +80,8 @@
 
 // connectionEnded takes in that the process has closed a connection on which a request is open.
 //
-// A request may cross the end of its connection on the way: one that was sent longer ago than that is lost.
+// A request may cross the end of its connection on the way: one that was sent longer ago than that is lost, but for the
+// time in which the process was not run.
 func (j *judge) connectionEnded(r *request, onItsWay time.Duration) {
 	if !r.owed() {
 		return
@@ -89,7 +90,8 @@
 	if r.sentAt == 0 || !r.client.conn.WasAccepted() || r.client.conn.Congested() {
 		return // the rest of an answer that a client does not take is not owed
 	}
-	age := r.client.conn.ClosedAt() - r.sentAt
+	closedAt := r.client.conn.ClosedAt()
+	age := closedAt - r.sentAt - r.client.w.stalledWithin(r.sentAt, closedAt)
 	switch {
 	case r.readIteration > 0:
 		j.violate(ruleAnswer, "request %s was read, and its connection closed without an answer", r.call)
--- a/internal/testbed/platformcheck/platformcheck_test.go
+++ b/internal/testbed/platformcheck/platformcheck_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"fmt"
 	"slices"
 	"strings"
 	"testing"
@@ -100,3 +101,14 @@
 	_, err := ParseFault("none")
 	testutil.Expect(t, err != nil && strings.Contains(err.Error(), `no fault "none"`), "%v", err)
 }
+
+// Each part of the forms meets each other one, and seeds that differ by formCount have the same form.
+func TestFormsAreAllCombinations(t *testing.T) {
+	forms := map[string]bool{}
+	for seed := range uint64(2 * formCount) {
+		forms[fmt.Sprint(formOf(seed))] = true
+	}
+	sizes := 2 // few machines, and many
+	combinations := len(deadlines) * len(spreadForms) * len(slowStartForms) * len(descriptorLimits) * sizes
+	testutil.Equal(t, len(forms), combinations, "forms")
+}
--- a/internal/testbed/platformcheck/records.go
+++ b/internal/testbed/platformcheck/records.go
@@ -1,6 +1,10 @@
 package platformcheck
 
-import "time"
+import (
+	"time"
+
+	"glenport/internal/platform/jsonlines"
+)
 
 // request is a request of a client, with what became of it.
 type request struct {
@@ -14,6 +18,8 @@
 	acceptedLate       bool
 	excused            bool // no answer is owed any more
 	onlyClaimed        bool // a client said that it runs, and never asked for it
+	liedAbout          bool // a client said that it runs while it was open
+	memory             int  // that it asks for
 	answer             answer
 	answerIteration    int // in which the answer's first byte was written
 	answerHeldUp       bool
@@ -82,5 +88,11 @@
 
 func (p *placement) runs() bool { return p.endedAt == 0 }
 
+// isEndOfLie reports whether a message is the end of what a client has claimed to run while the request was open. The
+// request is over, and did not get there.
+func (r *request) isEndOfLie(msg *jsonlines.Message) bool {
+	return r.liedAbout && r.placement == nil && msg.Op == jsonlines.OpEnd && !r.owed()
+}
+
 // owed reports whether the process owes an answer.
 func (r *request) owed() bool { return r.answer == unanswered && !r.givenUp && !r.excused }
--- a/internal/testbed/platformcheck/spreadjudge.go
+++ b/internal/testbed/platformcheck/spreadjudge.go
@@ -98,6 +98,8 @@
 	switch {
 	case !known || knownAt > later.writtenAt:
 		return false
+	case o.request.liedAbout, o.claimMayBeLeftOut(later.incarnation):
+		return false
 	case o.machine.heardOf == 0, o.writtenAt <= max(o.machine.heardOf, o.machine.doubtEnd):
 		return false
 	case o.writtenAt == later.writtenAt && later.isReleasedBy(o.writtenAt):
@@ -106,6 +108,12 @@
 	return !o.isReleasedBy(later.writtenAt + releaseSlack)
 }
 
+// claimMayBeLeftOut reports whether an incarnation of the process knows the container from a claim alone, and may have
+// left that out for made-up ones.
+func (o *offer) claimMayBeLeftOut(incarnation int) bool {
+	return o.incarnation != incarnation && o.machine.liedIn == incarnation
+}
+
 // isReleasedBy reports whether the process need not count the offer any more at a time. It may take the end of an
 // earlier container of the request on the same machine, which it reads late, for an answer to the offer.
 func (o *offer) isReleasedBy(moment time.Duration) bool {
@@ -119,13 +127,13 @@
 }
 
 // knownTo is since when an incarnation of the process counts an offer: it has sent it, or was told by a client that its
-// container runs.
+// container runs. What it sends in the iteration in which it reads that may have been sent first.
 func (o *offer) knownTo(incarnation int) (since time.Duration, known bool) {
 	switch {
 	case o.incarnation == incarnation:
 		return o.writtenAt, true
 	case o.placement != nil && o.placement.claimedFrom == incarnation:
-		return o.placement.claimedAt, true
+		return o.placement.claimedAt + 1, true
 	}
 	return 0, false
 }
