--- a/internal/testbed/platformcheck/lines.go
+++ b/internal/testbed/platformcheck/lines.go
@@ -8,6 +8,9 @@
 	"glenport/internal/testbed/simnet"
 )
 
+// overlongShown is how much is shown of a line that is too long.
+const overlongShown = 256
+
 // lineReader joins what the process writes on one connection to lines.
 type lineReader struct {
 	partial []byte
@@ -33,6 +36,7 @@
 		end := bytes.IndexByte(data, '\n')
 		if end < 0 {
 			r.partial = append(r.partial, data...)
+			r.cutOverlong(chunk, handle)
 			return
 		}
 		line := receivedLine{text: append(r.partial, data[:end]...), first: r.first, last: chunk}
@@ -41,6 +45,14 @@
 	}
 }
 
+// cutOverlong passes on the begin of a line that is longer than any may be, in place of the line: it may have no end.
+func (r *lineReader) cutOverlong(chunk simnet.Chunk, handle func(receivedLine)) {
+	if len(r.partial) > jsonlines.MaxLineBytes {
+		handle(receivedLine{text: r.partial[:overlongShown], first: r.first, last: chunk})
+		r.partial = nil
+	}
+}
+
 // decode reads the message of a line.
 func (l receivedLine) decode() (*jsonlines.Message, error) { return jsonlines.Decode(l.text) }
 
