--- a/internal/testbed/platformcheck/client.go
+++ b/internal/testbed/platformcheck/client.go
@@ -26,6 +26,7 @@
 	servedAt    time.Duration // when it first heard of the process
 	liar        bool          // it makes up claims, and confirms nothing
 	misbehaved  bool          // nothing is owed to it any more
+	unreadEnd   time.Duration // until when it leaves its input unread, at most
 	waiting     []func()      // for the connection
 	lines       lineReader
 	open        []*request
@@ -102,7 +103,8 @@
 
 // leaveUnread has the client read nothing for a time.
 func (c *client) leaveUnread(span time.Duration) {
-	c.w.unreadEnd = max(c.w.unreadEnd, c.w.now()+span)
+	c.unreadEnd = max(c.unreadEnd, c.w.now()+span)
+	c.w.unreadEnd = max(c.w.unreadEnd, c.unreadEnd)
 	c.conn.PauseReading(span)
 }
 
--- a/internal/testbed/platformcheck/judge.go
+++ b/internal/testbed/platformcheck/judge.go
@@ -81,7 +81,7 @@
 // connectionEnded takes in that the process has closed a connection on which a request is open.
 //
 // A request may cross the end of its connection on the way: one that was sent longer ago than that is lost, but for the
-// time in which the process was not run.
+// time in which the process was not run, or was closing a connection whose client did not take the output before it.
 func (j *judge) connectionEnded(r *request, onItsWay time.Duration) {
 	if !r.owed() {
 		return
@@ -91,7 +91,8 @@
 		return // the rest of an answer that a client does not take is not owed
 	}
 	closedAt := r.client.conn.ClosedAt()
-	age := closedAt - r.sentAt - r.client.w.stalledWithin(r.sentAt, closedAt)
+	waitedFrom := max(r.sentAt, r.client.unreadEnd)
+	age := closedAt - waitedFrom - r.client.w.stalledWithin(waitedFrom, closedAt)
 	switch {
 	case r.readIteration > 0:
 		j.violate(ruleAnswer, "request %s was read, and its connection closed without an answer", r.call)
