--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -95,12 +95,16 @@
 	if c := s.containers.findPlaced(e.ID); c != nil {
 		c.accept()
 		s.outcomes.recordAccepted(c, s.now)
+		s.latency.recordAccepted(c, s.now)
 	}
 }
 
 func (s *Scheduler) usageReported(e UsageReported) {
 	if c := s.containers.findPlaced(e.ID); c != nil {
 		c.machine.contact.heard(s.now)
+		if e.Metric == MetricRunning {
+			s.latency.recordRunning(c, s.now)
+		}
 		s.containers.reportUse(c, e.Metric, e.Value)
 	}
 }
--- a/scheduler/draw.go
+++ b/scheduler/draw.go
@@ -25,6 +25,8 @@
 	eligibility *eligibility
 	classes     *classFailureDetector
 	slowStart   *slowStartLimiter
+	latency     *startLatencyTracker
+	shedder     *loadShedder
 }
 
 // candidate is the best machine so far: of the lowest suspicion level, the one with the least variate.
@@ -49,7 +51,7 @@
 //
 // Machines in slow start are always checked, as the check drops from their ledgers what was sent before the window.
 func (d *maxCapDraw) draw(c *container, machines []*machine, now Time) *machine {
-	bucket := c.service.hash + d.random.next()%virtualBuckets
+	bucket := d.bucket(c, now)
 	classes := d.classes.classesOf(c)
 	best := candidate{level: noCandidate, variate: math.Inf(1)}
 	for _, m := range machines {
@@ -68,6 +70,24 @@
 	return best.machine
 }
 
+// bucket picks one of the service's virtual buckets.
+func (d *maxCapDraw) bucket(c *container, now Time) uint64 {
+	word := d.random.next()
+	if unitInterval(word) < d.firstBucketShare(c, now) {
+		return c.service.hash
+	}
+	return c.service.hash + word%virtualBuckets
+}
+
+// firstBucketShare is the share of draws that take the first bucket without a choice. It grows with the share of late
+// starts in the container's class, as most of these lack the service's program, and reaches all of them where one start
+// in each virtualBuckets is late. It shrinks as attempts find no room, to nothing where load is shed, as few buckets
+// fill machines less evenly.
+func (d *maxCapDraw) firstBucketShare(c *container, now Time) float64 {
+	share := min(1, virtualBuckets*d.latency.lateRatio(c))
+	return share * max(0, 1-d.shedder.fullShare(now)/sheddingThreshold)
+}
+
 // variate is an exponential random number that a hash gives to a machine, with the machine's weight as its rate: the
 // least of several belongs to each machine with odds proportional to its weight.
 type variate struct{ uniform, rate float64 }
--- a/scheduler/draw_test.go
+++ b/scheduler/draw_test.go
@@ -26,6 +26,7 @@
 		{"not by reported room", false, func(s *Scheduler) {
 			listMachines(s, 1, DeltaUpdate, MachineEntry{Machine: "b", MachineType: 1, FreeCores: -99, FreeMemory: -99})
 		}, plain},
+		{"not by late starts", false, func(s *Scheduler) { s.latency.lateRatios[0] = 1 }, plain},
 		{"by honored capacity", true, func(s *Scheduler) {
 			adopt(s, "heavy", "other", "b")
 			s.Handle(1, []Event{UsageReported{ID: "heavy", Machine: "b", Metric: MetricCoresUsed, Value: 35}})
--- a/scheduler/random.go
+++ b/scheduler/random.go
@@ -11,7 +11,10 @@
 }
 
 // uniform returns a number from 0 up to and without 1.
-func (g *pcg) uniform() float64 { return float64(g.next()>>11) / (1 << 53) }
+func (g *pcg) uniform() float64 { return unitInterval(g.next()) }
+
+// unitInterval maps a word of the generator to a number from 0 up to and without 1.
+func unitInterval(word uint64) float64 { return float64(word>>11) / (1 << 53) }
 
 // jitter is a random moment in a span: instances that start or fail together must not act together.
 func (g *pcg) jitter(span Time) Time {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -22,6 +22,7 @@
 	slowStart  *slowStartLimiter
 	classes    *classFailureDetector
 	shedder    *loadShedder
+	latency    *startLatencyTracker
 	poller     *listPoller
 	prober     *prober
 	outcomes   *outcomeRecorder
@@ -44,6 +45,7 @@
 	classes := newClassFailureDetector(&config, actions)
 	filters := newEligibility(&config, slowStart)
 	shedder := &loadShedder{overQuotaWeight: config.OverQuotaWeight, quotas: quotas, random: random}
+	latency := newStartLatencyTracker(&config)
 	return &Scheduler{
 		config:     config,
 		actions:    actions,
@@ -53,6 +55,7 @@
 		slowStart:  slowStart,
 		classes:    classes,
 		shedder:    shedder,
+		latency:    latency,
 		poller:     newListPoller(&config, random),
 		prober: &prober{
 			allowed:   config.ProbesAllowed,
@@ -73,6 +76,8 @@
 			eligibility: filters,
 			classes:     classes,
 			slowStart:   slowStart,
+			latency:     latency,
+			shedder:     shedder,
 		},
 		deadlines: &deadlineTimer{grace: config.AnswerGrace},
 		explainer: &explainer{eligibility: filters, classes: classes},
