--- a/scheduler/draw.go
+++ b/scheduler/draw.go
@@ -6,6 +6,9 @@
 // spread the load.
 const virtualBuckets = 3
 
+// concentrationExponent makes the concentration of a service's draws small where few starts are late.
+const concentrationExponent = 4
+
 // suspicionLevel ranks machines: a container is placed among those with the lowest level there is. So suspected ones
 // are the fallback: with all of them suspected, the fault is likely this scheduler's own connection or list.
 type suspicionLevel uint8
@@ -81,11 +84,11 @@
 
 // firstBucketShare is the share of draws that take the first bucket without a choice. It grows with the share of late
 // starts in the container's class, as most of these lack the service's program, and reaches all of them where one start
-// in each virtualBuckets is late. It shrinks as attempts find no room, to nothing where load is shed, as few buckets
-// fill machines less evenly.
+// in each virtualBuckets is late. Where fewer are late it is small, as few buckets fill machines less evenly; for the
+// same reason it shrinks as attempts find no room, to nothing where load is shed.
 func (d *maxCapDraw) firstBucketShare(c *container, now Time) float64 {
-	share := min(1, virtualBuckets*d.latency.lateRatio(c))
-	return share * max(0, 1-d.shedder.fullShare(now)/sheddingThreshold)
+	late := min(1, virtualBuckets*d.latency.lateRatio(c))
+	return math.Pow(late, concentrationExponent) * max(0, 1-d.shedder.fullShare(now)/sheddingThreshold)
 }
 
 // variate is an exponential random number that a hash gives to a machine, with the machine's weight as its rate: the
