--- a/internal/schedulerd/reconcile/actions.go
+++ b/internal/schedulerd/reconcile/actions.go
@@ -6,88 +6,88 @@
 	"glenport/scheduler"
 )
 
-// Action is something to be done.
+// Action is an instruction to the caller of Reconciler.Handle.
 type Action interface{ action() }
 
-// CloseClient ends the connection of a client.
+// CloseClient closes the connection of a client.
 type CloseClient struct {
 	Client ClientID
-	Reason error // its text is given to the client
+	Reason error // its text is sent to the client
 }
 
-// Admit hands a request to the scheduler.
+// Admit passes a request to the scheduler.
 type Admit struct {
 	Client  ClientID
 	Request scheduler.PlacementRequest
 }
 
-// Reject turns a request away.
+// Reject rejects a placement, cancel or lookup request.
 type Reject struct {
 	Client     ClientID
 	ID         scheduler.ContainerID
-	Reason     error          // its text is given to the client
-	RetryAfter scheduler.Time // 0: a retry is of no use
+	Reason     error          // its text is sent to the client
+	RetryAfter scheduler.Time // 0: the client should not retry
 }
 
-// AlreadyRunning answers a request by a container that runs.
+// AlreadyRunning answers a placement or lookup request with the container that runs under its idempotency key.
 type AlreadyRunning struct {
 	Client    ClientID
 	ID        scheduler.ContainerID // of the request
-	RunningID scheduler.ContainerID // of the container
+	RunningID scheduler.ContainerID // of the running container
 	Machine   scheduler.MachineID
 }
 
-// TerminateContainer ends a container for a client.
+// TerminateContainer terminates a container at the request of a client.
 type TerminateContainer struct {
 	Client      ClientID
 	ID          scheduler.ContainerID
-	RequestedID scheduler.ContainerID // by which the client named it
+	RequestedID scheduler.ContainerID // the id in the client's request
 }
 
-// AlreadyTerminated answers a cancellation where nothing is there to be ended.
+// AlreadyTerminated answers a cancel request if no container runs under its idempotency key.
 type AlreadyTerminated struct {
 	Client ClientID
 	ID     scheduler.ContainerID
 }
 
-// NotRunning answers a lookup where nothing runs under the key.
+// NotRunning answers a lookup request if no container runs under its idempotency key.
 type NotRunning struct {
 	Client ClientID
 	ID     scheduler.ContainerID
 }
 
-// CancelAttempt ends an attempt at its machine, whether it runs or waits there.
+// CancelAttempt cancels an attempt on its machine, whether it runs or still waits there.
 type CancelAttempt struct {
 	Machine     scheduler.MachineID
 	Incarnation uint64 // of the scheduler
 	Attempt     uint64
 }
 
-// Adopt adds a container that was found running.
+// Adopt adds a container that was found on a machine.
 type Adopt struct{ Attempt Attempt }
 
-// ContainerLost says that a placed container no longer runs, or may no longer run.
+// ContainerLost reports that a placed container no longer runs, or may no longer run.
 type ContainerLost struct {
 	ID        scheduler.ContainerID
-	Confirmed bool // by its machine; else that is only unreachable
+	Confirmed bool // by a report of the machine; otherwise the machine is only unreachable
 }
 
 // ConnectMachine requests a connection to a machine.
 type ConnectMachine struct{ Machine scheduler.MachineID }
 
-// RecoveryComplete says, once, that all that runs from earlier incarnations is known, as far as it can be.
+// RecoveryComplete is emitted once: when all machines have reported, or when the time for their reports is over.
 type RecoveryComplete struct{}
 
-// AllMachinesReported says, once, that every listed machine has reported or is gone.
+// AllMachinesReported is emitted once: when every listed machine has reported or has left the machine list.
 type AllMachinesReported struct{}
 
-// AttemptResolved says that the outcome of an attempt is known, or no longer matters: its record can be dropped.
+// AttemptResolved reports that the outcome of an attempt is known or no longer matters. Its log record can be dropped.
 type AttemptResolved struct{ Attempt Attempt }
 
-// SetTimer requests a TimerFired.
+// SetTimer requests a TimerFired event after a delay.
 type SetTimer struct{ After scheduler.Time }
 
-// Log is a line for the log: constant text and its attributes.
+// Log is a log line: a constant message and its attributes.
 type Log struct {
 	Message    string
 	Attributes []slog.Attr
--- a/internal/schedulerd/reconcile/containers.go
+++ b/internal/schedulerd/reconcile/containers.go
@@ -10,25 +10,25 @@
 	"glenport/scheduler"
 )
 
-// container is one that was admitted or adopted.
+// container is a container whose request was admitted, or that was adopted.
 type container struct {
 	id            scheduler.ContainerID
 	key           string
-	client        ClientID // of its request, where it was admitted
-	open          bool     // its request has no final answer
+	client        ClientID // that sent its request; unset if the container was adopted
+	open          bool     // its request has no final answer yet
 	admittedAt    scheduler.Time
 	workloadClass int
 	machine       scheduler.MachineID // empty until it is placed
 	incarnation   uint64              // of the scheduler that placed it
-	attempt       uint64              // by which it was placed
-	terminating   bool                // it was cancelled when it was adopted, and has not ended yet
-	lateAccept    *Attempt            // an attempt that was over and runs, while the request is open
+	attempt       uint64              // that placed it
+	terminating   bool                // its attempt was cancelled when it was adopted, and has not ended yet
+	lateAccept    *Attempt            // an attempt that runs though it was given up; nil once the container is placed
 }
 
 func (c *container) placed() bool { return c.machine != "" }
 
-// containerTable indexes containers. Each is in byID; byKey holds the first one of a key; onMachine holds those that
-// are placed.
+// containerTable indexes containers. byID holds all of them, byKey the one that holds each idempotency key, onMachine
+// those that are placed.
 type containerTable struct {
 	byID      map[scheduler.ContainerID]*container
 	byKey     map[string]*container
@@ -43,13 +43,13 @@
 	}
 }
 
-// add makes a container the one of its id and key.
+// add adds a container, which becomes the holder of its key.
 func (t *containerTable) add(c *container) {
 	t.byID[c.id] = c
 	t.byKey[c.key] = c
 }
 
-// addAdopted adds a container whose key may be that of another.
+// addAdopted adds a container. If another one holds its key already, that one stays the holder.
 func (t *containerTable) addAdopted(c *container) {
 	t.byID[c.id] = c
 	if t.byKey[c.key] == nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-// runningOn returns the containers on a machine in the order of their ids, so that equal events have equal actions.
+// runningOn returns the containers on a machine, sorted by id so that equal events lead to equal actions.
 func (t *containerTable) runningOn(machine scheduler.MachineID) []*container {
 	running := make([]*container, 0, len(t.onMachine[machine]))
 	for c := range t.onMachine[machine] {
@@ -103,7 +103,7 @@
 	}
 	r.closeRequest(c, overload.RequestStarted{WorkloadClass: c.workloadClass, Elapsed: r.now - c.admittedAt})
 	r.containers.place(c, e.Machine, r.incarnation, e.Attempt)
-	r.cancelLateAccept(c) // an earlier attempt runs after all: one copy is enough
+	r.cancelLateAccept(c) // an earlier attempt runs as well, and one copy is enough
 }
 
 func (r *Reconciler) containerRemoved(id scheduler.ContainerID) {
@@ -132,23 +132,24 @@
 	}
 }
 
-// lateAccept takes in that an attempt runs of which nothing was known.
+// lateAccept handles the acceptance of an attempt that was given up.
 func (r *Reconciler) lateAccept(a Attempt) {
-	r.track(recovery.AttemptNotRunning{Attempt: a}) // its outcome is known now
-	r.runsAfterAll(a)
+	r.track(recovery.AttemptNotRunning{Attempt: a}) // its outcome is now known
+	r.handleUnexpectedAttempt(a)
 }
 
-// runsAfterAll decides on an attempt that runs although it was over. Idempotent work is cancelled: its container went
-// elsewhere or its request was answered, and the copy takes room for no client. Work that must not run twice is not
-// cancelled for that: it is adopted, once the request of its container is closed.
-func (r *Reconciler) runsAfterAll(a Attempt) {
+// handleUnexpectedAttempt decides what to do with an attempt that runs although it was given up. If it is idempotent, it is
+// cancelled: its container was placed elsewhere or its request was answered, so the copy would occupy room that no
+// client needs. If it must not run twice, it is adopted once the request of its container is closed, unless the
+// container has been placed by another attempt.
+func (r *Reconciler) handleUnexpectedAttempt(a Attempt) {
 	c := r.containers.byID[a.Request.ID]
 	switch {
 	case r.idempotencyOf(a) == scheduler.Idempotent:
 		r.cancelAttempt(a)
 	case c == nil:
 		r.adopt(a)
-	case c.placed() && c.machine == a.Machine && c.attempt == a.Number: // it is the one that was placed
+	case c.placed() && c.machine == a.Machine && c.attempt == a.Number: // the container was placed by this attempt
 	case c.placed():
 		r.cancelAttempt(a)
 	case c.lateAccept == nil:
@@ -158,11 +159,11 @@
 	}
 }
 
-// adopt adds an attempt that runs, unless its container is known. A second copy under a key is cancelled where
-// another one runs, or where the work is idempotent and another one is being placed.
+// adopt adds the container of an attempt that was found on a machine, unless the container is known already. If another
+// container holds the key, the attempt is cancelled if the other one is placed or the attempt is idempotent.
 func (r *Reconciler) adopt(a Attempt) {
 	if a.Request.WorkloadClass >= len(r.idempotency) {
-		r.log("container of unknown workload class left alone", slog.String("machine", string(a.Machine)),
+		r.log("container of unknown workload class not adopted", slog.String("machine", string(a.Machine)),
 			slog.String("request_id", string(a.Request.ID)), slog.Int("workload_class", a.Request.WorkloadClass))
 		return
 	}
--- a/internal/schedulerd/reconcile/errors.go
+++ b/internal/schedulerd/reconcile/errors.go
@@ -6,38 +6,38 @@
 	"glenport/scheduler"
 )
 
-// UnknownClassError says that a request names a workload class that is not configured.
+// UnknownClassError reports that a request names a workload class that is not configured.
 type UnknownClassError struct{ Class int }
 
-// Error is the text that clients are given.
+// Error returns the text that is sent to clients.
 func (e *UnknownClassError) Error() string { return fmt.Sprintf("there is no workload %d", e.Class) }
 
-// DuplicateContainerError says that a request has the id of another container.
+// DuplicateContainerError reports that a request has the id of another container.
 type DuplicateContainerError struct{ ID scheduler.ContainerID }
 
-// Error is the text that clients are given.
+// Error returns the text that is sent to clients.
 func (e *DuplicateContainerError) Error() string {
 	return fmt.Sprintf("container %s is known already", e.ID)
 }
 
-// KeyState is what becomes of a container whose idempotency key is in use.
+// KeyState is the state of the container that holds an idempotency key.
 type KeyState uint8
 
-// States of a key in use.
+// States of a container that holds an idempotency key and does not run.
 const (
-	KeyTerminating KeyState = iota + 1 // an earlier attempt is being ended
-	KeyPlacing                         // its container is being placed
-	KeyUnsettled                       // one of the two
+	KeyTerminating          KeyState = iota + 1 // an earlier attempt is being cancelled
+	KeyPlacing                                  // the container is being placed
+	KeyPlacingOrTerminating                     // one of the two, not distinguished
 )
 
-// KeyInUseError says that the container under an idempotency key neither runs nor is gone.
+// KeyInUseError reports that the container that holds an idempotency key is being placed or terminated.
 type KeyInUseError struct {
 	Key   string
 	ID    scheduler.ContainerID
 	State KeyState
 }
 
-// Error is the text that clients are given.
+// Error returns the text that is sent to clients.
 func (e *KeyInUseError) Error() string {
 	switch e.State {
 	case KeyTerminating:
--- a/internal/schedulerd/reconcile/events.go
+++ b/internal/schedulerd/reconcile/events.go
@@ -6,19 +6,19 @@
 	"glenport/scheduler"
 )
 
-// ClientID names the connection of a client.
+// ClientID identifies a client connection.
 type ClientID = admission.ClientID
 
 // Attempt is the placement of a container on a machine by one incarnation of the scheduler.
 type Attempt = recovery.Attempt
 
-// Event is something that happened to a client, a request, an attempt or a machine.
+// Event is an input of a Reconciler: something that happened to a client, a request, an attempt or a machine.
 type Event interface{ event() }
 
-// ClientConnected is a new connection of a client.
+// ClientConnected reports a new client connection.
 type ClientConnected struct{ Client ClientID }
 
-// ClientDisconnected is the end of one.
+// ClientDisconnected reports the end of a client connection.
 type ClientDisconnected struct{ Client ClientID }
 
 // PlacementRequested is a client's request to run a container.
@@ -27,70 +27,70 @@
 	Request scheduler.PlacementRequest
 }
 
-// CancelRequested is a client's request to end a container, named by its id or its idempotency key.
+// CancelRequested is a client's request to terminate a container, identified by its id or its idempotency key.
 type CancelRequested struct {
 	Client         ClientID
 	ID             scheduler.ContainerID
 	IdempotencyKey string
 }
 
-// LookupRequested is a client's question what runs under an idempotency key. Nothing is to be started.
+// LookupRequested is a client's query for the container that runs under an idempotency key. It starts nothing.
 type LookupRequested struct {
 	Client         ClientID
 	ID             scheduler.ContainerID
 	IdempotencyKey string
 }
 
-// RequestFailed is a final answer to a client that its container was not placed.
+// RequestFailed reports the final answer to a client that its container was not placed.
 type RequestFailed struct{ ID scheduler.ContainerID }
 
-// AttemptAccepted is a machine's acceptance of an attempt in time.
+// AttemptAccepted reports that a machine has accepted an attempt in time.
 type AttemptAccepted struct {
 	ID      scheduler.ContainerID
 	Machine scheduler.MachineID
 	Attempt uint64
 }
 
-// ContainerRemoved says that nothing of a container is left at this scheduler.
+// ContainerRemoved reports that the scheduler no longer tracks a container.
 type ContainerRemoved struct{ ID scheduler.ContainerID }
 
-// AttemptRestored is an attempt of an earlier incarnation whose end is not in the log.
+// AttemptRestored reports an attempt of an earlier incarnation whose outcome is not in the log.
 type AttemptRestored struct{ Attempt Attempt }
 
-// AttemptOutcomeUnknown is an attempt that ended without news of whether it runs.
+// AttemptOutcomeUnknown reports an attempt that was given up without knowing whether it runs.
 type AttemptOutcomeUnknown struct{ Attempt Attempt }
 
-// AttemptNotRunning is a machine's later report that an attempt does not run.
+// AttemptNotRunning reports that a machine has later confirmed that an attempt does not run.
 type AttemptNotRunning struct{ Attempt Attempt }
 
-// LateAccept is the acceptance of an attempt that was over.
+// LateAccept reports that a machine has accepted an attempt that was given up.
 type LateAccept struct{ Attempt Attempt }
 
-// MachineReported is a machine's report of all that it holds for this scheduler.
+// MachineReported is a machine's report of all attempts that it holds for this scheduler.
 type MachineReported struct {
 	Machine  scheduler.MachineID
 	Attempts []Attempt
 }
 
-// MachineDisconnected is the end of a machine's connection.
+// MachineDisconnected reports the end of the connection to a machine.
 type MachineDisconnected struct{ Machine scheduler.MachineID }
 
-// ConnectFailed is a connection to a machine that could not be made.
+// ConnectFailed reports that a connection to a machine could not be established.
 type ConnectFailed struct {
 	Machine       scheduler.MachineID
-	LocalShortage bool // no descriptors are left here, which is no failure of the machine
+	LocalShortage bool // this process has no file descriptors left; the machine has not failed
 }
 
-// MachinesListed names machines of the machine list.
+// MachinesListed reports machines of the machine list.
 type MachinesListed struct {
 	Machines     []scheduler.MachineID
-	FullSnapshot bool // these are all there are, by a list that is current
+	FullSnapshot bool // the list is current and complete
 }
 
-// MachineRemoved is a machine that has left the machine list.
+// MachineRemoved reports that a machine has left the machine list.
 type MachineRemoved struct{ Machine scheduler.MachineID }
 
-// TimerFired lets time pass. It follows a SetTimer.
+// TimerFired reports that the delay of a SetTimer action has passed.
 type TimerFired struct{}
 
 func (ClientConnected) event()       {}
--- a/internal/schedulerd/reconcile/golden_test.go
+++ b/internal/schedulerd/reconcile/golden_test.go
@@ -14,14 +14,14 @@
 
 const recordedIncarnation = 3
 
-// recordedSequence is a seeded sequence of events to one reconciler, many of which answer its actions; each action is
-// folded into a digest.
+// recordedSequence generates a seeded sequence of events for one reconciler, many of them in response to its actions.
+// It folds each action into a digest.
 type recordedSequence struct {
 	rng        *rand.Rand
 	digest     *golden.Digest
 	reconciler *Reconciler
 	now        scheduler.Time
-	ids        int // containers to choose from
+	ids        int // number of container ids to choose from
 	admitted   []scheduler.PlacementRequest
 	attempts   []Attempt
 	connecting []scheduler.MachineID
@@ -53,7 +53,7 @@
 	return r
 }
 
-// attempt is mostly one of an earlier event.
+// attempt returns an attempt, in most cases that of an earlier event.
 func (s *recordedSequence) attempt() Attempt {
 	if len(s.attempts) > 0 && s.rng.IntN(4) > 0 {
 		a := s.attempts[s.rng.IntN(len(s.attempts))]
@@ -166,7 +166,7 @@
 	return MachinesListed{Machines: all, FullSnapshot: s.rng.IntN(2) == 0}
 }
 
-// fold leaves out the text of a log line.
+// fold adds an action to the digest, without the message and attributes of a log line.
 func (s *recordedSequence) fold(a Action) {
 	d, now := s.digest, s.now
 	switch a := a.(type) {
--- a/internal/schedulerd/reconcile/machines.go
+++ b/internal/schedulerd/reconcile/machines.go
@@ -7,11 +7,11 @@
 	"glenport/scheduler"
 )
 
-// attemptID names an attempt over all incarnations of the scheduler.
+// attemptID identifies an attempt across the incarnations of the scheduler.
 type attemptID struct{ incarnation, number uint64 }
 
-// machineReported compares a machine's report with what is known. Containers that it does not name are lost. What it
-// names and is not known comes from an earlier incarnation, or from an attempt that was over.
+// machineReported compares a machine's report with the known containers. Known containers that the report does not name
+// are lost. Unknown attempts in the report are of an earlier incarnation, or were given up by this one.
 func (r *Reconciler) machineReported(e MachineReported) {
 	completed := r.trackReport(e.Machine)
 	r.reconnects.end(e.Machine)
@@ -34,16 +34,16 @@
 	}
 }
 
-// trackReport passes a report to the recovery tracker, and returns whether recovery is complete with it. Invariant:
-// RecoveryComplete follows the adoption of all that the report contains, as BGP peers drop the routes that have not
-// been announced by then.
+// trackReport passes a report to the recovery tracker, and returns whether the report completes recovery. The caller
+// emits RecoveryComplete only after it has adopted the containers of the report: BGP peers then drop the routes that
+// have not been announced.
 func (r *Reconciler) trackReport(machine scheduler.MachineID) (completed bool) {
 	for _, a := range r.tracker.Handle(r.now, recovery.MachineReported{Machine: machine}) {
 		if _, ok := a.(recovery.Completed); ok {
 			completed = true
 			continue
 		}
-		r.passOn(a)
+		r.emitRecoveryAction(a)
 	}
 	return completed
 }
@@ -60,9 +60,9 @@
 	}
 }
 
-// attemptReported decides on one attempt of a report, and returns whether it was adopted from an earlier
-// incarnation. An attempt that waits is cancelled, as no client would receive its answer; one of an earlier incarnation
-// counts until it has ended.
+// attemptReported handles one attempt of a report, and returns whether it is a running attempt of an earlier
+// incarnation that was adopted. An attempt that waits is cancelled, because no client would receive its answer; one of
+// an earlier incarnation is also adopted, so that it counts until it has ended.
 func (r *Reconciler) attemptReported(machine scheduler.MachineID, a Attempt) (adopted bool) {
 	known := r.containers.byID[a.Request.ID]
 	switch {
@@ -73,7 +73,7 @@
 			r.adopt(a)
 		}
 	case a.Incarnation == r.incarnation:
-		r.runsAfterAll(a)
+		r.handleUnexpectedAttempt(a)
 	default:
 		r.adopt(a)
 		return true
@@ -88,21 +88,22 @@
 	}
 }
 
-// connectFailed has the connection tried again, and counts the machine's containers as lost after some attempts. A
-// short loss of the connection costs nothing then. Containers that run on behind a longer one are adopted, or
-// cancelled, when it ends.
+// connectFailed retries the connection, and declares the machine's containers lost after some attempts. A short
+// interruption therefore loses no container. Containers that keep running during a longer interruption are adopted or
+// cancelled when it ends.
 func (r *Reconciler) connectFailed(e ConnectFailed) {
 	r.track(recovery.ConnectFailed{Machine: e.Machine})
 	if e.LocalShortage {
-		r.reconnects.shortage(e.Machine, r.now)
+		r.reconnects.retryWithoutCounting(e.Machine, r.now)
 		return
 	}
-	if attempts, exhausted := r.reconnects.failed(e.Machine, r.now); exhausted {
+	if attempts, exhausted := r.reconnects.attemptFailed(e.Machine, r.now); exhausted {
 		r.machineUnreachable(e.Machine, attempts)
 	}
 }
 
-// machineUnreachable loses the containers of a machine. They may run on, so it is queried until it reports or is gone.
+// machineUnreachable declares the containers of a machine lost. They may still run, so the machine is queried until it
+// reports or leaves the machine list.
 func (r *Reconciler) machineUnreachable(machine scheduler.MachineID, attempts int) {
 	lost := r.containers.runningOn(machine)
 	r.log(
@@ -118,7 +119,8 @@
 	r.track(recovery.MachineUnreachable{Machine: machine})
 }
 
-// runTimers does what is due and sets the timer for what is due next, unless it is set to an earlier time already.
+// runTimers emits the actions that are due and sets the timer for the next ones, unless it is already set to an earlier
+// time.
 func (r *Reconciler) runTimers() {
 	r.track(recovery.Tick{})
 	next := earliest(r.tracker.NextTimer(), r.reconnects.next(r.now))
@@ -131,7 +133,7 @@
 	}
 }
 
-// earliest returns the earlier of two times, of which 0 is none.
+// earliest returns the earlier of two times, where 0 stands for no time.
 func earliest(a, b scheduler.Time) scheduler.Time {
 	if a == 0 || b > 0 && b < a {
 		return b
--- a/internal/schedulerd/reconcile/reconciler.go
+++ b/internal/schedulerd/reconcile/reconciler.go
@@ -7,30 +7,31 @@
 	"glenport/scheduler"
 )
 
-// Config is what one incarnation of the scheduler starts with.
+// Config configures a Reconciler for one incarnation of the scheduler.
 type Config struct {
 	Incarnation     uint64
 	Limits          admission.Limits
 	Idempotency     []scheduler.Idempotency  // by workload class
 	LogCoverage     recovery.LogCoverage     // of the attempts of earlier incarnations
-	OverloadClasses []overload.WorkloadClass // none: load is not shed
+	OverloadClasses []overload.WorkloadClass // empty: load is not shed
 }
 
-// Reconciler keeps what runs in line with what clients want, for one incarnation of the scheduler. A container leaves
-// it when it is removed, a client with its connection, a machine once it has reported, was reconnected or is gone.
+// Reconciler reconciles the containers that run with the requests of clients, for one incarnation of the scheduler. It
+// drops a container when it is removed, a client when it disconnects, and a machine once it has reported, was
+// reconnected or has left the machine list.
 type Reconciler struct {
 	incarnation uint64
 	idempotency []scheduler.Idempotency // by workload class
 	now         scheduler.Time
 	actions     []Action
 	admission   *admission.Controller
-	tracker     *recovery.Tracker // of attempts that may run unconfirmed
+	tracker     *recovery.Tracker // of attempts that may run without confirmation
 	containers  containerTable
 	reconnects  reconnects
 	timerAt     scheduler.Time
 }
 
-// New begins an incarnation.
+// New returns a Reconciler without containers and clients.
 func New(c Config) *Reconciler {
 	return &Reconciler{
 		incarnation: c.Incarnation,
@@ -42,7 +43,7 @@
 	}
 }
 
-// Handle applies events at a time and returns the actions that follow, in order.
+// Handle applies events that happened at the time now and returns the resulting actions, in order.
 func (r *Reconciler) Handle(now scheduler.Time, events []Event) []Action {
 	r.now, r.actions = now, nil
 	r.track(recovery.Tick{})
@@ -89,20 +90,20 @@
 		r.track(recovery.MachinesListed{Machines: e.Machines, FullSnapshot: e.FullSnapshot})
 	case MachineRemoved:
 		r.track(recovery.MachineRemoved{Machine: e.Machine})
-	case TimerFired: // timers run after each call
+	case TimerFired: // Handle runs the timers after all events
 	}
 }
 
 func (r *Reconciler) emit(a Action) { r.actions = append(r.actions, a) }
 
-// track passes an event to the recovery tracker, and on what it wants done.
+// track passes an event to the recovery tracker and emits the actions that the tracker returns.
 func (r *Reconciler) track(e recovery.Event) {
 	for _, a := range r.tracker.Handle(r.now, e) {
-		r.passOn(a)
+		r.emitRecoveryAction(a)
 	}
 }
 
-func (r *Reconciler) passOn(a recovery.Action) {
+func (r *Reconciler) emitRecoveryAction(a recovery.Action) {
 	switch a := a.(type) {
 	case recovery.ConnectMachine:
 		r.emit(ConnectMachine{Machine: a.Machine})
@@ -122,8 +123,8 @@
 	return scheduler.AtMostOnce
 }
 
-// UnresolvedKeys is the number of idempotency keys that wait for a machine to report.
+// UnresolvedKeys returns the number of idempotency keys that wait for a machine to report.
 func (r *Reconciler) UnresolvedKeys() int { return r.tracker.UnresolvedKeys() }
 
-// Limiter sheds load; nil where it is not shed.
+// Limiter returns the limiter that sheds load, or nil if load is not shed.
 func (r *Reconciler) Limiter() *overload.Limiter { return r.admission.Limiter() }
--- a/internal/schedulerd/reconcile/reconciler_test.go
+++ b/internal/schedulerd/reconcile/reconciler_test.go
@@ -35,7 +35,7 @@
 	return r
 }
 
-// attempt is one of container a on machine m.
+// attempt returns an attempt to place container a on machine m.
 func attempt(class int, incarnation, number uint64, running bool) Attempt {
 	return Attempt{
 		Request: request("a", class), Machine: "m", Incarnation: incarnation, Number: number, Running: running,
@@ -48,7 +48,7 @@
 
 func lateAccept(a Attempt) Event { return LateAccept{a} }
 
-// report is the report of machine m.
+// report returns a report of machine m.
 func report(attempts ...Attempt) MachineReported { return MachineReported{"m", attempts} }
 
 func describe(actions []Action) string {
@@ -85,7 +85,7 @@
 // Events of machine m and of container a, which has idempotency key k-a.
 var (
 	listed         = MachinesListed{Machines: []scheduler.MachineID{"m"}}
-	reported       = MachineReported{Machine: "m"} // it holds nothing
+	reported       = MachineReported{Machine: "m"} // without attempts
 	disconnected   = MachineDisconnected{"m"}
 	connectFailed  = ConnectFailed{Machine: "m"}
 	accepted       = AttemptAccepted{"a", "m", 9}
@@ -95,17 +95,19 @@
 	outcomeUnknown = AttemptOutcomeUnknown{attempt(2, 5, 9, false)}
 )
 
-// place and placeAgain are requests of client 1.
+// place returns a placement request of client 1.
 func place(id string, class int) PlacementRequested { return PlacementRequested{1, request(id, class)} }
 
+// placeAgain returns a retry of client 1 under an idempotency key.
 func placeAgain(id, key string, class int) PlacementRequested {
 	return PlacementRequested{1, retry(id, key, class)}
 }
 
-// sequence is a test case: the actions of its last step are compared. The incarnation is 5, the first client 1.
+// sequence is a test case that checks the actions of its last step. The incarnation of the scheduler is 5, and client 1
+// is connected.
 type sequence struct {
 	name  string
-	steps []any // an event, or the time of the next ones
+	steps []any // an event, or the time of the events that follow
 	want  string
 }
 
@@ -133,7 +135,7 @@
 	}
 }
 
-func TestRequestIsAnsweredByWhatIsKnown(t *testing.T) {
+func TestRequestIsAnsweredFromKnownContainers(t *testing.T) {
 	runSequences(t, []sequence{
 		{"a request", []any{place("a", 0)}, "admit a"},
 		{"an id twice", []any{place("a", 0), place("a", 0)}, "reject a"},
@@ -141,7 +143,7 @@
 		{"a key that runs", []any{place("a", 2), accepted, placeAgain("b", "k-a", 2)}, "running b on m"},
 		{"a key that has ended", []any{4000 * ms, place("a", 2), accepted, removed, place("b", 2)}, "admit b"},
 		{"an unknown workload class", []any{place("a", 3)}, "reject a"},
-		{"of a client that disconnected", []any{ClientDisconnected{1}, place("a", 0)}, ""},
+		{"the client has disconnected", []any{ClientDisconnected{1}, place("a", 0)}, ""},
 		{"too many clients", []any{ClientConnected{2}, ClientConnected{3}}, "close 3"},
 		{"too many open", []any{
 			ClientConnected{2},
@@ -150,18 +152,18 @@
 			PlacementRequested{2, request("d", 0)},
 		}, "reject d"},
 		{"too many of one client", []any{place("a", 0), place("b", 0), place("c", 0)}, "reject c"},
-		{"room again after a final answer", []any{
+		{"below the limit again after a final answer", []any{
 			place("a", 0), place("b", 0), RequestFailed{"a"}, place("c", 0),
 		}, "admit c"},
 
-		// What a killed scheduler left running must not be started a second time for a client that retries.
+		// A container that a killed scheduler left running must not be started again by a client retry.
 		{"a retry, no machine has reported", []any{placeAgain("b", "k-a", 2)}, "reject b"},
 		{"a retry, idempotent", []any{placeAgain("b", "k-a", 0)}, "admit b"},
 		{"a retry, all machines have reported", []any{listed, reported, placeAgain("b", "k-a", 2)}, "admit b"},
 		{"a retry, a machine cannot be connected", []any{
 			listed, connectFailed, 3100 * ms, placeAgain("b", "k-a", 2),
 		}, "connect m, admit b"},
-		{"a retry, and it runs", []any{
+		{"a retry, and its container runs", []any{
 			listed, report(attempt(2, 4, 7, true)), placeAgain("b", "k-a", 2),
 		}, "running b on m"},
 
@@ -170,7 +172,8 @@
 		{"cancelled, and an earlier attempt runs", []any{
 			place("a", 1), lateAccept(attempt(1, 5, 9, true)), CancelRequested{1, "a", "k-a"},
 		}, "cancel 5.9, terminate a as a"},
-		// A scheduler that has just started does not know what runs: "nothing" would leave it running for ever.
+		// A scheduler that has just started does not know what runs. If it answered that nothing does, a container
+		// could keep running forever.
 		{"cancelled, and no machine has reported", []any{CancelRequested{1, "x", "k-a"}}, "reject x"},
 		{"cancelled, all machines have reported", []any{
 			listed, reported, CancelRequested{1, "x", "k-a"},
@@ -180,8 +183,10 @@
 		}, "reject x"},
 		{"cancelled, only an id is known", []any{listed, reported, CancelRequested{1, "x", ""}}, ""},
 
-		{"lookup, and it runs", []any{place("a", 2), accepted, LookupRequested{1, "x", "k-a"}}, "running x on m"},
-		{"lookup while it is placed", []any{place("a", 2), LookupRequested{1, "x", "k-a"}}, "reject x"},
+		{"lookup, and its container runs", []any{
+			place("a", 2), accepted, LookupRequested{1, "x", "k-a"},
+		}, "running x on m"},
+		{"lookup while the key is being placed", []any{place("a", 2), LookupRequested{1, "x", "k-a"}}, "reject x"},
 		{"lookup, and no machine has reported", []any{LookupRequested{1, "x", "k-a"}}, "reject x"},
 		{"lookup, and all machines have reported", []any{
 			listed, reported, LookupRequested{1, "x", "k-a"},
@@ -189,13 +194,13 @@
 	})
 }
 
-// isError reports whether an error of a type is in a chain.
+// isError reports whether an error chain contains an error of type E.
 func isError[E error](err error) bool {
 	var target E
 	return errors.As(err, &target)
 }
 
-// The type of the reason gives why a request is rejected, its retry-after whether a retry is of use.
+// The type of the reason tells why a request is rejected, and the retry-after whether the client should retry.
 func TestRejectionNamesItsReason(t *testing.T) {
 	open := place("a", 2)
 	for _, tc := range []struct {
@@ -236,26 +241,28 @@
 			place("a", 2), RequestFailed{"a"}, removed, lateAccept(attempt(2, 5, 9, true)),
 		}, "adopt a"},
 		{"late accept while the request is open", []any{place("a", 1), lateAccept(attempt(1, 5, 9, true))}, ""},
-		{"then the container is removed", []any{place("a", 1), lateAccept(attempt(1, 5, 9, true)), removed}, "adopt a"},
-		{"then it is placed elsewhere", []any{
+		{"late accept, container removed", []any{
+			place("a", 1), lateAccept(attempt(1, 5, 9, true)), removed,
+		}, "adopt a"},
+		{"late accept, container placed elsewhere", []any{
 			place("a", 1), lateAccept(attempt(1, 5, 9, true)), AttemptAccepted{"a", "n", 10},
 		}, "cancel 5.9"},
-		// A machine that fell silent with an at-most-once attempt may run it: a client that retries waits until it has
-		// reported.
+		// A machine that stopped answering may run an at-most-once attempt: a client retry is rejected until the
+		// machine has reported.
 		{"outcome unknown", []any{
 			4000 * ms, place("a", 2), outcomeUnknown, removed, placeAgain("b", "k-a", 2),
 		}, "reject b"},
-		// Else the machine would never be queried, and the attempt never be resolved.
+		// Without a query to the machine the attempt would never be resolved.
 		{"outcome unknown, the machine is connected", []any{4000 * ms, place("a", 2), outcomeUnknown}, "connect m"},
 		{
-			"outcome unknown, and connected again when its connection breaks",
+			"outcome unknown, reconnected when its connection breaks",
 			[]any{4000 * ms, place("a", 2), outcomeUnknown, disconnected},
 			"connect m",
 		},
 		{"outcome unknown, the machine has reported", []any{
 			4000 * ms, place("a", 2), outcomeUnknown, removed, reported, placeAgain("b", "k-a", 2),
 		}, "admit b"},
-		{"outcome unknown, the attempt was reported", []any{
+		{"outcome unknown, the machine reports that the attempt does not run", []any{
 			4000 * ms, place("a", 2), outcomeUnknown, removed, notRunning(attempt(2, 5, 9, false)),
 			placeAgain("b", "k-a", 2),
 		}, "admit b"},
@@ -278,22 +285,22 @@
 		{"a machine that could not be connected is tried again", []any{
 			listed, connectFailed, 2100 * ms, timerFired,
 		}, "connect m"},
-		{"one that is gone is not", []any{listed, connectFailed, machineGone, 5100 * ms, timerFired}, ""},
+		{"a machine that has left is not", []any{listed, connectFailed, machineGone, 5100 * ms, timerFired}, ""},
 
 		{"earlier incarnation, running", []any{report(attempt(0, 4, 7, true))}, "adopt a"},
-		{"earlier incarnation, waiting: it counts until it has ended", []any{
+		{"earlier incarnation, waiting: adopted until it has ended", []any{
 			report(attempt(2, 4, 7, false)),
 		}, "cancel 4.7, adopt a"},
 		{"earlier incarnation, waiting, and requested again", []any{
 			report(attempt(2, 4, 7, false)), placeAgain("b", "k-a", 2),
 		}, "reject b"},
 		{"reported twice", []any{report(attempt(0, 4, 7, true)), report(attempt(0, 4, 7, true))}, ""},
-		{"earlier incarnation, then gone", []any{report(attempt(0, 4, 7, true)), report()}, "lost a"},
+		{"earlier incarnation, then no longer reported", []any{report(attempt(0, 4, 7, true)), report()}, "lost a"},
 		{"two copies of one key", []any{place("a", 1), AttemptAccepted{"a", "n", 9}, report(copyOfKey)}, "cancel 4.7"},
 	})
 }
 
-// failedTwice is a connection that has broken and two attempts to make it again that have failed.
+// failedTwice is a broken connection after two failed attempts to reconnect.
 var failedTwice = []any{
 	place("a", 0), accepted, disconnected, connectFailed,
 	200 * ms, timerFired, connectFailed, 1000 * ms, timerFired,
@@ -316,21 +323,21 @@
 		{"not lost by a local shortage", after(
 			failedTwice, ConnectFailed{"m", true}, 1200*ms, timerFired,
 		), "connect m"},
-		// Else a container that ran on behind a partition would never be known again.
+		// Otherwise a container that kept running during a network partition would never be found again.
 		{"lost, and its machine is queried later", after(
 			failedTwice, connectFailed, removed, 3100*ms, timerFired,
 		), "connect m"},
 	})
 }
 
-// keyModel is what is known from outside of the keys of admitted containers.
+// keyModel tracks the keys of admitted containers, from the events and actions alone.
 type keyModel struct {
 	open    map[scheduler.ContainerID]string
 	running map[scheduler.ContainerID]string
 	number  uint64 // of the last attempt
 }
 
-// draw returns an event, or nil where the one drawn is not possible.
+// draw returns a random event, or nil if the one drawn is not possible.
 func (m *keyModel) draw(t *rapid.T) Event {
 	id := func() scheduler.ContainerID {
 		return scheduler.ContainerID(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id"))
@@ -367,7 +374,7 @@
 	return AttemptAccepted{id, "m", m.number}
 }
 
-// admit checks that no other container has the key of an admitted one.
+// admit checks that no container that is open or runs has the key of a newly admitted one.
 func (m *keyModel) admit(t *rapid.T, r scheduler.PlacementRequest) {
 	for _, containers := range []map[scheduler.ContainerID]string{m.open, m.running} {
 		for other, key := range containers {
@@ -377,14 +384,14 @@
 	m.open[r.ID] = r.IdempotencyKey
 }
 
-// twins are two reconcilers that handle equal events.
-type twins struct {
+// reconcilerPair are two reconcilers that are given the same events.
+type reconcilerPair struct {
 	first, second *Reconciler
 	now           scheduler.Time
 }
 
-// handle checks that equal sequences have equal actions.
-func (w *twins) handle(t *rapid.T, e Event) []Action {
+// handle passes an event to both reconcilers, checks that their actions are equal and returns them.
+func (w *reconcilerPair) handle(t *rapid.T, e Event) []Action {
 	got, other := w.first.Handle(w.now, []Event{e}), w.second.Handle(w.now, []Event{e})
 	if describe(got) != describe(other) {
 		t.Fatalf("%v gives %q and %q", e, describe(got), describe(other))
@@ -392,8 +399,8 @@
 	return got
 }
 
-// apply takes in the actions that follow an event.
-func (m *keyModel) apply(t *rapid.T, w *twins, actions []Action) {
+// apply updates the model with the actions that follow an event.
+func (m *keyModel) apply(t *rapid.T, w *reconcilerPair, actions []Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case Admit:
@@ -405,13 +412,13 @@
 	}
 }
 
-// Drawn sequences: a key that must not run twice is admitted only while it neither runs nor is open, nothing is left
-// when all containers are removed, and equal sequences have equal actions.
+// In random sequences of events a key is admitted only while no container under it is open or runs, nothing is left
+// when all containers are removed, and equal sequences lead to equal actions.
 func TestKeyIsAdmittedOnlyWhileFree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := admission.Limits{Clients: 9, OpenRequests: 9, OpenRequestsPerClient: 9}
 		a := newReconciler(limits)
-		pair := &twins{first: a, second: newReconciler(limits)}
+		pair := &reconcilerPair{first: a, second: newReconciler(limits)}
 		model := &keyModel{open: map[scheduler.ContainerID]string{}, running: map[scheduler.ContainerID]string{}}
 		pair.handle(t, ClientConnected{1})
 		for range 40 {
@@ -430,8 +437,8 @@
 	})
 }
 
-// BGP peers drop the routes that have not been announced when recovery is complete, so the last machine to report has
-// its containers adopted before.
+// BGP peers drop the routes that have not been announced when recovery is complete, so the containers of the last
+// machine to report must be adopted before.
 func TestRecoveryIsCompleteOnlyAfterTheLastReportIsAdopted(t *testing.T) {
 	reconciler := newReconciler(admission.Limits{Clients: 1, OpenRequests: 2, OpenRequestsPerClient: 9})
 	reconciler.Handle(0, []Event{MachinesListed{Machines: []scheduler.MachineID{"m", "n"}, FullSnapshot: true}})
--- a/internal/schedulerd/reconcile/reconnects.go
+++ b/internal/schedulerd/reconcile/reconnects.go
@@ -6,7 +6,7 @@
 	"glenport/scheduler"
 )
 
-// Tuned values: a dead machine is known about a second after its death.
+// Limits of a reconnection. With these a dead machine is detected about a second after its death.
 const (
 	maxReconnectAttempts    = 3
 	initialReconnectBackoff = 200 * scheduler.Millisecond
@@ -16,7 +16,7 @@
 // reconnect is a broken connection to a machine on which containers run.
 type reconnect struct {
 	attempts int
-	waiting  bool           // no attempt is under way
+	waiting  bool           // for nextAt; false while an attempt is under way
 	nextAt   scheduler.Time // of the next attempt
 	backoff  scheduler.Time
 }
@@ -26,26 +26,27 @@
 // reconnects holds the broken connections by machine.
 type reconnects map[scheduler.MachineID]*reconnect
 
-// begin has a machine connected at once, unless it is being reconnected already.
+// begin schedules an immediate attempt to connect a machine, unless the machine is being reconnected already.
 func (r reconnects) begin(machine scheduler.MachineID, now scheduler.Time) {
 	if r[machine] == nil {
 		r[machine] = &reconnect{backoff: initialReconnectBackoff, waiting: true, nextAt: now}
 	}
 }
 
-// end forgets a machine that is connected, given up, or without containers.
+// end drops a machine that is connected, given up, or without containers.
 func (r reconnects) end(machine scheduler.MachineID) { delete(r, machine) }
 
-// shortage repeats an attempt that was not made for want of descriptors here. It does not count.
-func (r reconnects) shortage(machine scheduler.MachineID, now scheduler.Time) {
+// retryWithoutCounting schedules a new attempt after one that was not made because this process had no file descriptors left. That
+// one does not count.
+func (r reconnects) retryWithoutCounting(machine scheduler.MachineID, now scheduler.Time) {
 	if pending := r[machine]; pending != nil {
 		pending.attempts--
 		pending.waitUntil(now + initialReconnectBackoff)
 	}
 }
 
-// failed repeats an attempt after a backoff. Exhausted says that the attempts so far were the last.
-func (r reconnects) failed(machine scheduler.MachineID, now scheduler.Time) (attempts int, exhausted bool) {
+// attemptFailed schedules a new attempt after a backoff. It returns exhausted if the machine has used up its attempts.
+func (r reconnects) attemptFailed(machine scheduler.MachineID, now scheduler.Time) (attempts int, exhausted bool) {
 	pending := r[machine]
 	if pending == nil {
 		return 0, false
@@ -58,7 +59,7 @@
 	return pending.attempts, false
 }
 
-// next is when the next attempt is due that is not due yet, or 0.
+// next returns the time of the first attempt that is due after now, or 0 if there is none.
 func (r reconnects) next(now scheduler.Time) scheduler.Time {
 	next := scheduler.Time(0)
 	for _, pending := range r {
@@ -69,7 +70,7 @@
 	return next
 }
 
-// takeDue counts the attempts that are due and returns their machines, in order.
+// takeDue starts and counts the attempts that are due, and returns their machines, sorted.
 func (r reconnects) takeDue(now scheduler.Time) (due []scheduler.MachineID) {
 	for machine, pending := range r {
 		if pending.waiting && pending.nextAt <= now {
--- a/internal/schedulerd/reconcile/requests.go
+++ b/internal/schedulerd/reconcile/requests.go
@@ -9,7 +9,7 @@
 	"glenport/scheduler"
 )
 
-// retryAfter is when a client should try again whose key is in use or not known yet.
+// retryAfter is the retry-after given to a client whose idempotency key is in use or may be in use.
 const retryAfter = 500 * scheduler.Millisecond
 
 func (r *Reconciler) clientConnected(client ClientID) {
@@ -18,11 +18,11 @@
 	}
 }
 
-// placementRequested admits a request, or answers it by the container that uses its key. Nothing was sent to a machine
-// for a request that is rejected here, so a retry does no harm.
+// placementRequested admits a request, or answers it with the container that holds its key. Nothing was sent to a
+// machine for a request that is rejected here, so a retry is safe.
 func (r *Reconciler) placementRequested(e PlacementRequested) {
 	if !r.admission.Connected(e.Client) {
-		return // no client would receive an answer
+		return // the client would not receive an answer
 	}
 	id, key := e.Request.ID, e.Request.IdempotencyKey
 	other := r.containers.byKey[key]
@@ -44,7 +44,8 @@
 	}
 }
 
-// admit opens a request that conflicts with no container, unless a limit is reached, its key may run, or load is shed.
+// admit opens a request that conflicts with no known container, unless a limit is reached, a container may run under
+// its key, or load is shed.
 func (r *Reconciler) admit(e PlacementRequested) {
 	if err := r.admission.CheckLimits(e.Client); err != nil {
 		r.rejectAdmission(e, err)
@@ -99,11 +100,11 @@
 	r.emit(Log{Message: message, Attributes: attrs})
 }
 
-// cancelRequested ends the container that an id or a key names. Where nothing is known under a key, the answer depends
-// on whether that is certain: a scheduler that has just started does not know yet what runs.
+// cancelRequested terminates the container that an id or a key identifies. If no container is known under the key, the
+// answer depends on whether it is certain that none runs: a scheduler that has just started does not know that yet.
 func (r *Reconciler) cancelRequested(e CancelRequested) {
 	if c := r.containers.find(e.ID, e.IdempotencyKey); c != nil {
-		r.cancelLateAccept(c) // else it would be adopted once the container is removed, and never ended
+		r.cancelLateAccept(c) // otherwise it would be adopted once the container is removed, and keep running
 		r.emit(TerminateContainer{Client: e.Client, ID: c.id, RequestedID: e.ID})
 		return
 	}
@@ -117,7 +118,8 @@
 	r.emit(AlreadyTerminated{Client: e.Client, ID: e.ID})
 }
 
-// lookupRequested answers what runs under a key, once that is certain.
+// lookupRequested answers with the container that runs under a key, or that none does. While that is not certain, it
+// rejects the request.
 func (r *Reconciler) lookupRequested(e LookupRequested) {
 	c := r.containers.byKey[e.IdempotencyKey]
 	if c != nil && c.placed() && !c.terminating {
@@ -125,7 +127,7 @@
 		return
 	}
 	if c != nil {
-		r.reject(e.Client, e.ID, &KeyInUseError{Key: e.IdempotencyKey, ID: c.id, State: KeyUnsettled}, retryAfter)
+		r.reject(e.Client, e.ID, &KeyInUseError{Key: e.IdempotencyKey, ID: c.id, State: KeyPlacingOrTerminating}, retryAfter)
 		return
 	}
 	if err := r.tracker.CheckKey(e.IdempotencyKey); err != nil {
@@ -141,7 +143,7 @@
 	}
 }
 
-// closeRequest ends the request of a container, once.
+// closeRequest closes the request of a container if it is open.
 func (r *Reconciler) closeRequest(c *container, outcome overload.Event) {
 	if !c.open {
 		return
