--- a/internal/schedulerd/recovery/attempt.go
+++ b/internal/schedulerd/recovery/attempt.go
@@ -12,18 +12,18 @@
 	Running     bool                       `cbor:"Running"`
 }
 
-// LogCoverage is how many of the attempts of earlier incarnations the scheduler's log holds.
+// LogCoverage tells which attempts of earlier incarnations the scheduler's log is known to hold.
 type LogCoverage uint8
 
-// Degrees of coverage. They are stored as numbers.
+// Levels of coverage. They are stored as numbers.
 const (
 	LogNone   LogCoverage = iota
-	LogSynced             // each attempt of at-most-once work was on disk before it was sent
-	// each attempt of work that is not idempotent was written, and the system has not restarted since
+	LogSynced             // each at-most-once attempt was on disk before it was sent
+	// each attempt that is not idempotent was written, and the operating system has not restarted since
 	LogComplete
 )
 
-// String is the form used in logs.
+// String returns the form used in log lines.
 func (c LogCoverage) String() string {
 	switch c {
 	case LogSynced:
@@ -35,10 +35,10 @@
 	}
 }
 
-// MustPersist reports what must have happened before an attempt of work is sent: whether it must be in the log, and
-// whether the log must be synced to disk. At-most-once work is worth a sync. Work that is idempotent with a key is only
-// written, which the death of the process does not undo; after a restart of the system every machine reports before
-// such work is retried.
+// MustPersist reports whether an attempt must be written to the log before it is sent, and whether the log must be
+// synced to disk as well. Only at-most-once attempts justify the cost of a sync. Attempts that are idempotent with a
+// key are only written: the record survives the death of the process, and after a restart of the operating system such
+// attempts are retried only once every machine has reported.
 func MustPersist(i scheduler.Idempotency) (write, sync bool) {
 	return i != scheduler.Idempotent, i == scheduler.AtMostOnce
 }
--- a/internal/schedulerd/recovery/check.go
+++ b/internal/schedulerd/recovery/check.go
@@ -2,9 +2,9 @@
 
 import "glenport/scheduler"
 
-// CheckPlacement returns a *MayRunError or *RecoveringError where a request must wait. Work that must not run twice is
-// never placed while an attempt under its key may run. Beyond that, a client retry waits until it is known what runs
-// from earlier incarnations.
+// CheckPlacement returns a *MayRunError or *RecoveringError if a request must wait. A container that must not run twice
+// is never placed while an attempt under its key may run. In addition, a client retry waits until it is known which
+// attempts of earlier incarnations may run.
 func (t *Tracker) CheckPlacement(r scheduler.PlacementRequest) error {
 	idempotency := t.idempotencyOf(r.WorkloadClass)
 	if idempotency == scheduler.Idempotent {
@@ -21,9 +21,9 @@
 	return nil
 }
 
-// knowsEarlierAttempts reports whether no attempt of earlier incarnations can be missing: because the log holds them
-// all, all machines have reported, or, without a log, had their time to. A log that was only synced lacks attempts of
-// work that is idempotent with a key; that waits for every machine.
+// knowsEarlierAttempts reports whether all attempts of earlier incarnations that may run are known: because all
+// machines have reported, because the log holds them, or, without a log, because the report timeout has passed. A
+// synced log may lack attempts that are idempotent with a key; their retries wait for every machine.
 func (t *Tracker) knowsEarlierAttempts(idempotency scheduler.Idempotency) bool {
 	switch {
 	case t.allReported():
@@ -37,11 +37,12 @@
 	}
 }
 
-// fromEarlierIncarnation matters for work that is idempotent with a key: the scheduler keeps attempts of its own
-// incarnation to their scope and window, but it is not known when an earlier one was sent.
+// fromEarlierIncarnation reports whether an attempt is of an earlier incarnation. Only such an attempt blocks a
+// container that is idempotent with a key: the scheduler enforces the deduplication scope and window for attempts of
+// its own incarnation, but does not know when an earlier one was sent.
 func (t *Tracker) fromEarlierIncarnation(u unresolvedAttempt) bool { return u.since == t.startedAt }
 
-// CheckKey returns a *MayRunError or *RecoveringError where it is not known whether anything runs under a key.
+// CheckKey returns a *MayRunError or *RecoveringError if it is not known whether a container runs under a key.
 func (t *Tracker) CheckKey(key string) error {
 	if attempts := t.unresolved[key]; len(attempts) > 0 {
 		return &MayRunError{Key: key, Machine: attempts[0].attempt.Machine, SilentFor: -1}
--- a/internal/schedulerd/recovery/doc.go
+++ b/internal/schedulerd/recovery/doc.go
@@ -1,5 +1,6 @@
-// Package recovery decides what becomes of work that was under way when a program crashed. A Tracker serves the
-// scheduler: it knows which attempts may run unconfirmed, has the machines queried for what they hold, and blocks the
-// idempotency keys of such attempts until their machines have reported. Resume serves the controller: it decides what
-// is done first about each container in its log. The package is pure: no I/O, clock or goroutine.
+// Package recovery decides how the scheduler and the controller continue after a crash. A Tracker serves the scheduler:
+// it knows which attempts may run without confirmation, requests connections to the machines so that they report the
+// attempts they hold, and blocks the idempotency keys of unconfirmed attempts until their machines have reported.
+// Resume serves the controller: it returns the first step for each container in its log. The package is pure: no I/O,
+// clock or goroutine.
 package recovery
--- a/internal/schedulerd/recovery/events.go
+++ b/internal/schedulerd/recovery/events.go
@@ -2,40 +2,40 @@
 
 import "glenport/scheduler"
 
-// Event is something that bears on what may run.
+// Event is an input of a Tracker: something that changes which attempts may run or which machines have to report.
 type Event interface{ event() }
 
-// AttemptRestored is an attempt of an earlier incarnation whose end is not in the log.
+// AttemptRestored reports an attempt of an earlier incarnation whose outcome is not in the log.
 type AttemptRestored struct{ Attempt Attempt }
 
-// AttemptOutcomeUnknown is an attempt of this incarnation that ended without news of whether it runs.
+// AttemptOutcomeUnknown reports an attempt of this incarnation that was given up without knowing whether it runs.
 type AttemptOutcomeUnknown struct{ Attempt Attempt }
 
-// AttemptNotRunning is a machine's later report that an attempt does not run.
+// AttemptNotRunning reports that a machine has later confirmed that an attempt does not run.
 type AttemptNotRunning struct{ Attempt Attempt }
 
-// MachinesListed names machines of the machine list.
+// MachinesListed reports machines of the machine list.
 type MachinesListed struct {
 	Machines     []scheduler.MachineID
-	FullSnapshot bool // these are all there are, by a list that is current
+	FullSnapshot bool // the list is current and complete
 }
 
-// MachineRemoved is a machine that has left the machine list.
+// MachineRemoved reports that a machine has left the machine list.
 type MachineRemoved struct{ Machine scheduler.MachineID }
 
-// MachineReported is a machine's report of all that it holds for this scheduler.
+// MachineReported reports that a machine has named all attempts that it holds for this scheduler.
 type MachineReported struct{ Machine scheduler.MachineID }
 
-// MachineDisconnected is the end of a connection by which a machine had reported.
+// MachineDisconnected reports the end of the connection to a machine.
 type MachineDisconnected struct{ Machine scheduler.MachineID }
 
-// ConnectFailed is a connection that could not be made.
+// ConnectFailed reports that a connection to a machine could not be established.
 type ConnectFailed struct{ Machine scheduler.MachineID }
 
-// MachineUnreachable is a machine to which all attempts to reconnect have failed.
+// MachineUnreachable reports that all attempts to reconnect to a machine have failed.
 type MachineUnreachable struct{ Machine scheduler.MachineID }
 
-// Tick lets time pass. It is due at NextTimer.
+// Tick reports that time has passed. It is due at Tracker.NextTimer.
 type Tick struct{}
 
 func (AttemptRestored) event()       {}
@@ -49,19 +49,19 @@
 func (MachineUnreachable) event()    {}
 func (Tick) event()                  {}
 
-// Action is something to be done.
+// Action is an instruction to the caller of Tracker.Handle.
 type Action interface{ action() }
 
-// ConnectMachine requests a connection to a machine, by which it reports what it holds.
+// ConnectMachine requests a connection to a machine, over which the machine reports the attempts it holds.
 type ConnectMachine struct{ Machine scheduler.MachineID }
 
-// AttemptResolved says that the outcome of an attempt is known, or no longer matters.
+// AttemptResolved reports that the outcome of an attempt is known or no longer matters.
 type AttemptResolved struct{ Attempt Attempt }
 
-// Completed says, once, that all that runs from earlier incarnations is known, as far as it can be.
+// Completed is emitted once: when all machines have reported, or when the time for their reports is over.
 type Completed struct{}
 
-// AllMachinesReported says, once, that every listed machine has reported or is gone.
+// AllMachinesReported is emitted once: when every listed machine has reported or has left the machine list.
 type AllMachinesReported struct{}
 
 func (ConnectMachine) action()      {}
--- a/internal/schedulerd/recovery/golden_test.go
+++ b/internal/schedulerd/recovery/golden_test.go
@@ -9,7 +9,8 @@
 	"glenport/scheduler"
 )
 
-// recordedSequence is a seeded sequence of events to one tracker; each action and each answer is folded into a digest.
+// recordedSequence generates a seeded sequence of events for one tracker, and folds each action and each result of a
+// check into a digest.
 type recordedSequence struct {
 	rng        *rand.Rand
 	digest     *golden.Digest
@@ -68,7 +69,7 @@
 	return Tick{}
 }
 
-// list names most machines, now and then a hundred more, and now and then none.
+// list returns a list of most machines, sometimes with 100 more, and sometimes an empty one.
 func (s *recordedSequence) list() MachinesListed {
 	var all []scheduler.MachineID
 	for i := range 10 {
@@ -109,7 +110,7 @@
 	}
 }
 
-// errorText is the text that a client is given, or empty.
+// errorText returns the text that is sent to a client, or an empty string if there is no error.
 func errorText(err error) string {
 	if err == nil {
 		return ""
--- a/internal/schedulerd/recovery/queries.go
+++ b/internal/schedulerd/recovery/queries.go
@@ -6,14 +6,14 @@
 	"glenport/scheduler"
 )
 
-// machineQuery is a machine that is still to report what it holds.
+// machineQuery is a query to a machine that has yet to report the attempts it holds.
 type machineQuery struct {
 	machine scheduler.MachineID
 	dueAt   scheduler.Time
 	sent    bool
 }
 
-// machineQueries holds the machines that are still to report, in the order they were scheduled.
+// machineQueries holds the queries to the machines that have yet to report, in the order they were scheduled.
 type machineQueries []*machineQuery
 
 func (q *machineQueries) index(id scheduler.MachineID) int {
@@ -29,8 +29,8 @@
 
 func (q *machineQueries) empty() bool { return len(*q) == 0 }
 
-// schedule has a machine connected, and reports whether it was not scheduled before. Where the machine is connected
-// already nothing follows: it reports by that connection, or is connected anew when the connection ends.
+// schedule adds a query to a machine, and reports whether the machine had none. A query to a machine that is connected
+// already does nothing: the machine reports over that connection, or the query is repeated when the connection ends.
 func (q *machineQueries) schedule(id scheduler.MachineID, dueAt scheduler.Time) bool {
 	if q.index(id) >= 0 {
 		return false
@@ -39,21 +39,21 @@
 	return true
 }
 
-// finish ends the query of a machine that has reported or is gone.
+// finish removes the query to a machine that has reported or has left the machine list.
 func (q *machineQueries) finish(id scheduler.MachineID) {
 	if i := q.index(id); i >= 0 {
 		*q = slices.Delete(*q, i, i+1)
 	}
 }
 
-// reconnect repeats the query of a machine whose connection has ended.
+// reconnect repeats the query to a machine whose connection has ended.
 func (q *machineQueries) reconnect(id scheduler.MachineID, dueAt scheduler.Time) {
 	if query := q.find(id); query != nil {
 		query.sent, query.dueAt = false, dueAt
 	}
 }
 
-// retry repeats the query of a machine that was not reached. One that was not sent yet keeps its time.
+// retry repeats the query to a machine that could not be connected. A query that is yet to be sent keeps its time.
 func (q *machineQueries) retry(id scheduler.MachineID, dueAt scheduler.Time) {
 	if query := q.find(id); query != nil && query.sent {
 		query.sent, query.dueAt = false, dueAt
@@ -71,7 +71,7 @@
 	return due
 }
 
-// nextDue returns the earlier of a time, of which 0 is none, and the time of the next query.
+// nextDue returns the earlier of the time next and the time of the next query, where 0 stands for no time.
 func (q *machineQueries) nextDue(next scheduler.Time) scheduler.Time {
 	for _, query := range *q {
 		if !query.sent && (next == 0 || query.dueAt < next) {
--- a/internal/schedulerd/recovery/resume.go
+++ b/internal/schedulerd/recovery/resume.go
@@ -2,35 +2,36 @@
 
 import "glenport/scheduler"
 
-// ContainerPhase is how far a container had come by the controller's log.
+// ContainerPhase is the last phase of a container that the controller's log records.
 type ContainerPhase uint8
 
 // Phases of a container.
 const (
-	PhasePending   ContainerPhase = iota // it was not requested, or what was is surely over
-	PhaseRequested                       // a scheduler was sent the request, or was about to be: it may run
-	PhaseRunning                         // a machine ran it
-	PhaseFencing                         // the controller was waiting until it could no longer run
+	PhasePending   ContainerPhase = iota // it was not requested, or its last request is known to have ended
+	PhaseRequested                       // its request was sent to a scheduler, or was about to be: it may run
+	PhaseRunning                         // it ran on a machine
+	PhaseFencing                         // the controller was waiting for the fencing delay, after which it cannot run
 	PhaseFinished                        // it finished and is not started again
 )
 
-// ResumeStep is what is done first about a container.
+// ResumeStep is the first step for a container after a restart of the controller.
 type ResumeStep uint8
 
-// Steps of a resumption.
+// Steps after a restart.
 const (
 	StepRequest ResumeStep = iota // request its placement
-	StepLookup                    // look the key up at the scheduler that was sent the request: it knows or finds out
-	StepFence                     // begin the fencing delay anew, as it is not known how much of it had passed
+	StepLookup                    // look up its key at the scheduler that was sent the request; it knows or finds out
+	StepFence                     // restart the fencing delay, as it is not known how much of it had passed
 	StepNone
 )
 
-// resumeRate is how many containers a recovering controller resumes in a second. A scheduler decides on some 10,000
-// requests a second, and new ones must not wait behind old ones.
+// resumeRate is the number of containers that a recovering controller resumes per second. A scheduler decides about
+// 10,000 requests per second, and new requests must not queue behind resumed ones.
 const resumeRate = 2000
 
-// Resume decides what is done first, and how long after the start, about the nth container in the controller's log. A
-// container that may run is never requested elsewhere, whatever its idempotency: the second copy would never be ended.
+// Resume returns the first step for the nth container in the controller's log, and its delay after the start. A
+// container that may run is never requested elsewhere, whatever its idempotency: a second copy would never be
+// terminated.
 func Resume(phase ContainerPhase, n int) (ResumeStep, scheduler.Time) {
 	delay := scheduler.Time(n) * scheduler.Second / resumeRate
 	switch phase {
--- a/internal/schedulerd/recovery/tracker.go
+++ b/internal/schedulerd/recovery/tracker.go
@@ -6,20 +6,20 @@
 	"glenport/scheduler"
 )
 
-// Tuned values.
+// Limits and intervals of queries to machines.
 const (
 	queryBatch         = 32 // machines queried at once after a start
 	queryInterval      = 100 * scheduler.Millisecond
 	queryRetryInterval = 2 * scheduler.Second
-	reportTimeout      = 3 * scheduler.Second // without a log: how long client retries wait for all machines to report
+	reportTimeout      = 3 * scheduler.Second // how long client retries wait for all machines to report, without a log
 )
 
 // notStarted is the start time of a Tracker that has handled no event.
 const notStarted scheduler.Time = -1
 
-// Tracker follows, for one incarnation of the scheduler, the attempts that may run although no machine has confirmed
-// it, and the machines that are still to report. An attempt leaves it when its machine reports or is gone, a machine
-// once it has reported or is gone.
+// Tracker tracks, for one incarnation of the scheduler, the attempts that may run although no machine has confirmed it,
+// and the machines that have yet to report. It drops an attempt when its machine reports or leaves the machine list,
+// and a machine once it has reported or has left the machine list.
 type Tracker struct {
 	coverage     LogCoverage
 	idempotency  []scheduler.Idempotency // by workload class
@@ -33,8 +33,8 @@
 	queries      machineQueries
 }
 
-// NewTracker begins an incarnation whose log covers earlier ones as stated. Idempotency is that of the workload
-// classes; a class beyond them counts as at-most-once.
+// NewTracker returns a Tracker for a new incarnation. Coverage tells what the log holds of earlier incarnations.
+// Idempotency is indexed by workload class; an unknown class counts as at-most-once.
 func NewTracker(coverage LogCoverage, idempotency []scheduler.Idempotency) *Tracker {
 	return &Tracker{
 		coverage:    coverage,
@@ -44,7 +44,7 @@
 	}
 }
 
-// Handle applies events at a time and returns the actions that follow, in order.
+// Handle applies events that happened at the time now and returns the resulting actions, in order.
 func (t *Tracker) Handle(now scheduler.Time, events ...Event) []Action {
 	t.now, t.actions = now, nil
 	if t.startedAt == notStarted {
@@ -77,7 +77,7 @@
 		t.queries.retry(e.Machine, t.now+queryRetryInterval)
 	case MachineUnreachable:
 		t.queries.schedule(e.Machine, t.now+queryRetryInterval)
-	case Tick: // timers run after each call
+	case Tick: // Handle runs the timers after all events
 	}
 }
 
@@ -98,21 +98,21 @@
 	t.queries.schedule(a.Machine, t.now)
 }
 
-// attemptNotRunning resolves one attempt. Its machine need not be queried: it is connected, and reports other attempts
-// by that connection.
+// attemptNotRunning resolves one attempt and drops the query to its machine: the machine is connected, and reports
+// other attempts over that connection.
 func (t *Tracker) attemptNotRunning(a Attempt) {
 	t.resolve(a.Request.IdempotencyKey, func(other Attempt) bool { return other.Number == a.Number })
 	t.queries.finish(a.Machine)
 }
 
-// resolve ends the unresolved attempts of a key that match.
+// resolve resolves the attempts of a key that match.
 func (t *Tracker) resolve(key string, match func(Attempt) bool) {
 	for _, a := range t.unresolved.remove(key, match) {
 		t.emit(AttemptResolved{a})
 	}
 }
 
-// resolveMachine ends all that waits for a machine, in the order of keys.
+// resolveMachine drops the query to a machine and resolves the attempts on it, in the order of their keys.
 func (t *Tracker) resolveMachine(id scheduler.MachineID) {
 	t.queries.finish(id)
 	onMachine := func(a Attempt) bool { return a.Machine == id }
@@ -121,8 +121,8 @@
 	}
 }
 
-// machinesListed resolves the attempts on machines that a full snapshot no longer names, and has the machines of the
-// first list queried. A list restored from disk is no evidence that a machine is gone.
+// machinesListed resolves the attempts on machines that a full snapshot does not name, and schedules queries to the
+// machines of the first list. A list restored from disk is no evidence that a machine is gone.
 func (t *Tracker) machinesListed(e MachinesListed) {
 	awaited := t.unresolved.machines()
 	if e.FullSnapshot {
@@ -152,7 +152,8 @@
 	}
 }
 
-// queryAll schedules queries a batch at a time, first of machines with unresolved attempts, as clients wait for these.
+// queryAll schedules queries in batches. Machines with unresolved attempts come first, because clients wait for their
+// reports.
 func (t *Tracker) queryAll(awaited map[scheduler.MachineID]bool, listed []scheduler.MachineID) {
 	var first, rest []scheduler.MachineID
 	for _, id := range listed {
@@ -171,7 +172,7 @@
 	}
 }
 
-// runTimers sends the queries that are due and announces the end of recovery.
+// runTimers emits the queries that are due and reports the end of recovery.
 func (t *Tracker) runTimers() {
 	for _, id := range t.queries.takeDue(t.now) {
 		t.emit(ConnectMachine{id})
@@ -190,7 +191,7 @@
 
 func (t *Tracker) timedOut() bool { return t.now >= t.startedAt+reportTimeout }
 
-// NextTimer is when a Tick is due, or 0 where none is.
+// NextTimer returns the time at which a Tick is due, or 0 if none is.
 func (t *Tracker) NextTimer() scheduler.Time {
 	next := scheduler.Time(0)
 	if !t.completed {
@@ -199,5 +200,5 @@
 	return t.queries.nextDue(next)
 }
 
-// UnresolvedKeys is the number of idempotency keys that wait for a machine to report.
+// UnresolvedKeys returns the number of idempotency keys that wait for a machine to report.
 func (t *Tracker) UnresolvedKeys() int { return len(t.unresolved) }
--- a/internal/schedulerd/recovery/tracker_test.go
+++ b/internal/schedulerd/recovery/tracker_test.go
@@ -41,20 +41,20 @@
 	return strings.Join(all, ", ")
 }
 
-// retryCases are sequences after which a client retry under key k waits or not.
+// retryCases are sequences of events, and whether a client retry under key k must wait after them.
 var retryCases = []struct {
 	name     string
 	coverage LogCoverage
-	steps    []any // an event, or the time of the next ones
+	steps    []any // an event, or the time of the events that follow
 	class    int
 	wait     bool
-	last     string // what the last step led to
+	last     string // actions of the last step
 }{
 	{"no log, no machine has reported", LogNone, nil, 2, true, ""},
 	{"no log, all have reported", LogNone, []any{list("m"), MachineReported{"m"}}, 2, false, "completed"},
-	{"no log, the time to report is over", LogNone, []any{list("m"), 3 * sec, Tick{}}, 2, false, "completed"},
+	{"no log, the report timeout has passed", LogNone, []any{list("m"), 3 * sec, Tick{}}, 2, false, "completed"},
 	{"no log, idempotent", LogNone, nil, 0, false, ""},
-	// Crash between an attempt sent and its end written: it may have run.
+	// The scheduler crashed after it had sent an attempt and before it logged the outcome: the attempt may run.
 	{"logged", LogComplete, []any{AttemptRestored{attempt("k", 2, "m", 9)}}, 2, true, ""},
 	{"logged, long ago", LogComplete, []any{
 		AttemptRestored{attempt("k", 2, "m", 9)}, 500 * sec, Tick{},
@@ -86,7 +86,7 @@
 	}, 2, true, "connect n, connect m"},
 	{"complete log, another key", LogComplete, []any{AttemptRestored{attempt("x", 2, "m", 9)}}, 2, false, ""},
 	{"complete log, idempotent with a key", LogComplete, []any{list("m")}, 1, false, "connect m"},
-	// A system that restarted has lost what was written and not synced: that is work that is idempotent with a key.
+	// A restart of the operating system loses what was not synced: attempts that are idempotent with a key.
 	{"synced, at-most-once", LogSynced, []any{list("m")}, 2, false, "connect m"},
 	{"synced, idempotent with a key", LogSynced, []any{list("m"), 9 * sec, Tick{}}, 1, true, "completed"},
 	{
@@ -103,8 +103,8 @@
 		[]any{1 * sec, AttemptOutcomeUnknown{attempt("k", 1, "m", 9)}},
 		1, false, "connect m",
 	},
-	// Else the query after an attempt of this incarnation would stand until the connection ended.
-	{"the end of an attempt over a standing connection ends its query", LogSynced, []any{
+	// Otherwise the query scheduled for an attempt of this incarnation would be pending until the connection ended.
+	{"an attempt that ends over an open connection drops the query to its machine", LogSynced, []any{
 		list("m", "n"),
 		MachineReported{"m"},
 		AttemptOutcomeUnknown{attempt("x", 2, "m", 9)},
@@ -137,13 +137,13 @@
 				ClientRetry:    true,
 			}
 			if err := tracker.CheckPlacement(request); (err != nil) != tc.wait {
-				t.Errorf("waits: %v", err)
+				t.Errorf("unexpected result of the check: %v", err)
 			}
 		})
 	}
 }
 
-// However many machines there are, few are queried in one step.
+// The number of machines that are queried in one step does not grow with the machine list.
 func TestQueriesAreSentInBatches(t *testing.T) {
 	tracker := NewTracker(LogNone, idempotency)
 	var all []scheduler.MachineID
@@ -169,13 +169,13 @@
 	testutil.Expect(t, now <= 1000/queryBatch*queryInterval, "queried until %d", now)
 }
 
-// attemptModel is what is known from outside of the attempts that may run, by number.
+// attemptModel tracks the attempts that may run by number, from the events alone.
 type attemptModel struct {
 	open map[uint64]Attempt
 	last uint64
 }
 
-// draw returns an event and its time, which is not before now.
+// draw returns a random event and its time, which is not before now.
 func (m *attemptModel) draw(t *rapid.T, now scheduler.Time) (Event, scheduler.Time) {
 	machine := rapid.SampledFrom(modelMachines).Draw(t, "machine")
 	key := rapid.SampledFrom(modelKeys).Draw(t, "key")
@@ -197,7 +197,7 @@
 	return Tick{}, now + scheduler.Time(rapid.IntRange(1, 40_000).Draw(t, "advance"))
 }
 
-// add opens an attempt, which is of an earlier incarnation where no time has passed.
+// add opens an attempt. At time 0 it is one of an earlier incarnation.
 func (m *attemptModel) add(a Attempt, now scheduler.Time) Event {
 	m.last = a.Number
 	m.open[a.Number] = a
@@ -232,8 +232,8 @@
 	modelKeys     = []string{"x", "y"}
 )
 
-// Drawn sequences: a key under which an attempt may run is never free before its machine has reported or is gone, and
-// nothing is left in the end.
+// In random sequences of events a key under which an attempt may run is never free before its machine has reported or
+// has left the machine list. Nothing is left when all machines have left.
 func TestKeyOfUnresolvedAttemptIsNeverFree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		coverage := LogCoverage(rapid.IntRange(0, 2).Draw(t, "coverage"))
@@ -248,7 +248,7 @@
 			for _, key := range modelKeys {
 				request := scheduler.PlacementRequest{IdempotencyKey: key, WorkloadClass: 2, ClientRetry: true}
 				testutil.Require(t, !model.mayRun(key) || tracker.CheckPlacement(request) != nil,
-					"key %s is free, and an attempt under it may run", key)
+					"key %s is free, but an attempt under it may run", key)
 			}
 		}
 		for _, machine := range modelMachines {
@@ -260,7 +260,7 @@
 	})
 }
 
-// The type of the error gives what blocks a key.
+// The type of the error tells why a key is blocked.
 func TestBlockedKeyNamesItsMachine(t *testing.T) {
 	tracker := NewTracker(LogNone, idempotency)
 	tracker.Handle(0, AttemptRestored{attempt("k", 2, "m", 9)})
@@ -293,7 +293,7 @@
 		{PhaseFinished, 9, StepNone, 0},
 	} {
 		if got, after := Resume(tc.phase, tc.n); got != tc.want || after != tc.after {
-			t.Errorf("%d, %d: %d after %d", tc.phase, tc.n, got, after)
+			t.Errorf("phase %d, container %d: step %d after %d", tc.phase, tc.n, got, after)
 		}
 	}
 }
--- a/internal/schedulerd/recovery/unresolved.go
+++ b/internal/schedulerd/recovery/unresolved.go
@@ -12,7 +12,7 @@
 	since   scheduler.Time
 }
 
-// unresolvedAttempts holds them by idempotency key, each key in the order they were added.
+// unresolvedAttempts holds unresolved attempts by idempotency key, those of a key in the order they were added.
 type unresolvedAttempts map[string][]unresolvedAttempt
 
 func (u unresolvedAttempts) add(a Attempt, now scheduler.Time) {
@@ -20,7 +20,7 @@
 	u[key] = append(u[key], unresolvedAttempt{attempt: a, since: now})
 }
 
-// remove takes out the attempts of a key that match and returns them.
+// remove removes the attempts of a key that match and returns them.
 func (u unresolvedAttempts) remove(key string, match func(Attempt) bool) (removed []Attempt) {
 	var left []unresolvedAttempt
 	for _, pending := range u[key] {
@@ -38,7 +38,7 @@
 	return removed
 }
 
-// keysOn are the keys with an attempt on a machine, in order.
+// keysOn returns the keys with an attempt on a machine, sorted.
 func (u unresolvedAttempts) keysOn(machine scheduler.MachineID) (keys []string) {
 	onMachine := func(pending unresolvedAttempt) bool { return pending.attempt.Machine == machine }
 	for key, attempts := range u {
@@ -50,7 +50,7 @@
 	return keys
 }
 
-// machines are those of all unresolved attempts.
+// machines returns the machines of all unresolved attempts.
 func (u unresolvedAttempts) machines() map[scheduler.MachineID]bool {
 	machines := map[scheduler.MachineID]bool{}
 	for _, attempts := range u {
