--- a/internal/schedulerd/admission/admission.go
+++ b/internal/schedulerd/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission decides which clients, and which of their placement requests, the scheduler takes at its listener.
-// It owns the count of open requests, in all and by client, and the load shedding. The package is pure: no I/O, clock
+// Package admission decides which clients and placement requests the scheduler accepts on its listener. It owns the
+// numbers of open requests, in total and by client, and the limiter that sheds load. The package is pure: no I/O, clock
 // or goroutine.
 package admission
 
@@ -10,30 +10,30 @@
 	"glenport/scheduler"
 )
 
-// retryAfterWhenFull is when a client should try again that has met a limit.
+// retryAfterWhenFull is the retry-after given to a client that has reached a limit.
 const retryAfterWhenFull = scheduler.Second
 
-// ClientID names the connection of a client.
+// ClientID identifies a client connection.
 type ClientID uint64
 
-// Limits are what the scheduler takes at most.
+// Limits are the maximum numbers of clients and requests that the scheduler accepts.
 type Limits struct {
 	Clients               int // connected at once
 	OpenRequests          int // requests without a final answer
 	OpenRequestsPerClient int
 }
 
-// Controller admits clients and requests within limits. A client leaves it with its connection, a request when it is
+// Controller admits clients and requests within limits. It drops a client when it disconnects, and a request when it is
 // closed.
 type Controller struct {
 	limits       Limits
-	limiter      *overload.Limiter // nil where load is not shed
+	limiter      *overload.Limiter // nil if load is not shed
 	openRequests int
 	openByClient map[ClientID]int // of the connected clients
 }
 
-// New returns a controller. With workload classes it also sheds load when containers become slow to start; the seed is
-// for what that decides by chance.
+// New returns a controller. If workload classes are given, it also sheds load when containers become slow to start; the
+// seed determines the random choices of the limiter.
 func New(limits Limits, seed uint64, classes []overload.WorkloadClass) *Controller {
 	c := &Controller{limits: limits, openByClient: map[ClientID]int{}}
 	if len(classes) > 0 {
@@ -42,7 +42,7 @@
 	return c
 }
 
-// Connect takes a client, or returns a *LimitError where there are too many.
+// Connect adds a client, or returns a *LimitError if too many are connected.
 func (c *Controller) Connect(client ClientID) error {
 	if n := len(c.openByClient); n >= c.limits.Clients {
 		return &LimitError{Limit: LimitClients, Current: n}
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// Disconnect drops a client. Its requests stay open.
+// Disconnect removes a client. Its requests stay open.
 func (c *Controller) Disconnect(client ClientID) { delete(c.openByClient, client) }
 
 // Connected reports whether a client is connected.
@@ -60,7 +60,7 @@
 	return connected
 }
 
-// CheckLimits returns a *RejectionError where one of the limits is reached for a further request of a client.
+// CheckLimits returns a *RejectionError if a further request of a client would exceed a limit.
 func (c *Controller) CheckLimits(client ClientID) error {
 	if c.openRequests >= c.limits.OpenRequests {
 		return whenFull(LimitOpenRequests, c.openRequests)
@@ -75,8 +75,8 @@
 	return &RejectionError{Cause: &LimitError{Limit: limit, Current: current}, RetryAfter: retryAfterWhenFull}
 }
 
-// Open admits a request within the limits and counts it as open, or returns a *RejectionError where load is shed.
-// Changes are overload.SheddingStarted and overload.SheddingEnded, in order.
+// Open admits a request that is within the limits and counts it as open, or returns a *RejectionError if it is shed.
+// Changes are the overload.SheddingStarted and overload.SheddingEnded actions, in order.
 func (c *Controller) Open(
 	now scheduler.Time,
 	client ClientID,
@@ -114,8 +114,8 @@
 	return changes, err
 }
 
-// Close ends an open request of a client whose container runs (overload.RequestStarted) or whose placement has failed
-// (overload.RequestFailed). The client may have disconnected.
+// Close closes an open request of a client. The outcome is overload.RequestStarted if the container runs, and
+// overload.RequestFailed if the placement has failed. The client may have disconnected.
 func (c *Controller) Close(now scheduler.Time, client ClientID, outcome overload.Event) {
 	c.openRequests--
 	if c.limiter != nil {
@@ -126,11 +126,11 @@
 	}
 }
 
-// OpenRequests is the number of requests without a final answer.
+// OpenRequests returns the number of requests without a final answer.
 func (c *Controller) OpenRequests() int { return c.openRequests }
 
-// OpenRequestsOf is the number of those of a connected client.
+// OpenRequestsOf returns the number of requests of a connected client without a final answer.
 func (c *Controller) OpenRequestsOf(client ClientID) int { return c.openByClient[client] }
 
-// Limiter sheds the load; nil where it is not shed.
+// Limiter returns the limiter that sheds load, or nil if load is not shed.
 func (c *Controller) Limiter() *overload.Limiter { return c.limiter }
--- a/internal/schedulerd/admission/admission_test.go
+++ b/internal/schedulerd/admission/admission_test.go
@@ -18,7 +18,7 @@
 		"a third client: %v", err)
 	c.Disconnect(0)
 	if err := c.Connect(2); err != nil || !c.Connected(2) || c.Connected(0) {
-		t.Errorf("a third client in place of one that left: %v", err)
+		t.Errorf("a third client after another has disconnected: %v", err)
 	}
 }
 
@@ -29,7 +29,7 @@
 	}
 }
 
-// openAll opens a request of each client in turn.
+// openAll opens one request for each of the clients, in order.
 func openAll(t *testing.T, c *Controller, clients ...ClientID) {
 	t.Helper()
 	for _, client := range clients {
@@ -49,17 +49,17 @@
 	}
 	for _, tc := range []struct {
 		name  string
-		open  clients // of the requests, in their order
+		open  clients // that send the requests, in order
 		then  func(*Controller)
-		limit Limit // that a request of client 1 meets; 0: none
+		limit Limit // that a further request of client 1 would exceed; 0: none
 	}{
 		{"below all", clients{1}, nil, 0},
 		{"too many of the client", clients{1, 1}, nil, LimitOpenRequestsPerClient},
 		{"too many of another client", clients{2, 2}, nil, 0},
-		{"too many in all", clients{1, 2, 2}, nil, LimitOpenRequests},
+		{"too many in total", clients{1, 2, 2}, nil, LimitOpenRequests},
 		{"one was closed", clients{1, 1}, closeFirst, 0},
-		{"requests of a client that left stay open", clients{2, 2, 1}, disconnectSecond, LimitOpenRequests},
-		{"until they are closed", clients{2, 2, 1}, closeAfterwards, 0},
+		{"requests of a disconnected client stay open", clients{2, 2, 1}, disconnectSecond, LimitOpenRequests},
+		{"requests of a disconnected client are closed", clients{2, 2, 1}, closeAfterwards, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := New(Limits{Clients: 2, OpenRequests: 3, OpenRequestsPerClient: 2}, 1, nil)
@@ -73,7 +73,7 @@
 	}
 }
 
-// checkLimit checks that a request was rejected by a limit, or was not if that is 0.
+// checkLimit checks that a request was rejected because of a limit, or was not rejected if the limit is 0.
 func checkLimit(t *testing.T, err error, want Limit) {
 	t.Helper()
 	if want == 0 {
@@ -82,12 +82,13 @@
 	}
 	var rejection *RejectionError
 	var limit *LimitError
-	testutil.Require(t, errors.As(err, &rejection) && errors.As(err, &limit), "%v is no rejection by a limit", err)
+	testutil.Require(t, errors.As(err, &rejection) && errors.As(err, &limit), "%v is not a LimitError", err)
 	testutil.Expect(t, limit.Limit == want && rejection.RetryAfter == retryAfterWhenFull,
 		"%v, want limit %d", err, want)
 }
 
-// A request that is shed is not open, and says when to retry. Shedding is announced once.
+// A request that is shed does not count as open, and its rejection has a retry-after. The start of shedding is reported
+// once.
 func TestShedRequestIsNotOpen(t *testing.T) {
 	classes := []overload.WorkloadClass{{LatencyObjective: scheduler.Second, PriorityWeight: 1}}
 	c := New(Limits{Clients: 1, OpenRequests: 2, OpenRequestsPerClient: 9}, 1, classes)
@@ -102,11 +103,11 @@
 		shed++
 		var rejection *RejectionError
 		var cause *ShedError
-		testutil.Require(t, errors.As(err, &rejection) && errors.As(err, &cause), "%v is no rejection by shedding", err)
+		testutil.Require(t, errors.As(err, &rejection) && errors.As(err, &cause), "%v is not a ShedError", err)
 		testutil.Expect(t, cause.Reason == overload.ReasonLimitReached && rejection.RetryAfter > 0,
 			"%v, retry after %d", cause, rejection.RetryAfter)
 	}
 	if announced != 1 || shed != 3 || c.OpenRequests() != 2 || c.OpenRequestsOf(1) != 2 || c.Limiter().Open() != 2 {
-		t.Errorf("%d announced, %d shed, %d open", announced, shed, c.OpenRequests())
+		t.Errorf("%d changes reported, %d shed, %d open", announced, shed, c.OpenRequests())
 	}
 }
--- a/internal/schedulerd/admission/errors.go
+++ b/internal/schedulerd/admission/errors.go
@@ -7,36 +7,36 @@
 	"glenport/scheduler"
 )
 
-// RejectionError turns a request away. Nothing was sent to a machine for it, so a retry does no harm. Its text is given
-// to the client.
+// RejectionError reports that a request was rejected. Nothing was sent to a machine for it, so a retry is safe. Its
+// text is sent to the client.
 type RejectionError struct {
 	Cause      error
-	RetryAfter scheduler.Time // 0: a retry is of no use
+	RetryAfter scheduler.Time // 0: the client should not retry
 }
 
-// Error is the text of the cause.
+// Error returns the text of the cause.
 func (r *RejectionError) Error() string { return r.Cause.Error() }
 
 // Unwrap returns the cause.
 func (r *RejectionError) Unwrap() error { return r.Cause }
 
-// Limit names one of Limits.
+// Limit identifies a field of Limits.
 type Limit uint8
 
-// The limits.
+// Values of Limit.
 const (
 	LimitClients Limit = iota + 1
 	LimitOpenRequests
 	LimitOpenRequestsPerClient
 )
 
-// LimitError says that a limit is reached.
+// LimitError reports that a limit is reached.
 type LimitError struct {
 	Limit   Limit
-	Current int // clients or requests
+	Current int // number of clients or requests
 }
 
-// Error is the text that clients are given.
+// Error returns the text that is sent to clients.
 func (e *LimitError) Error() string {
 	switch e.Limit {
 	case LimitClients:
@@ -48,8 +48,8 @@
 	}
 }
 
-// ShedError says that a request was shed, as more arrive than can be served.
+// ShedError reports that a request was shed because more requests arrive than can be served.
 type ShedError struct{ Reason overload.Reason }
 
-// Error is the text that clients are given.
+// Error returns the text that is sent to clients.
 func (e *ShedError) Error() string { return "storm: " + e.Reason.String() }
