--- a/internal/schedulerd/overload/events.go
+++ b/internal/schedulerd/overload/events.go
@@ -2,14 +2,14 @@
 
 import "glenport/scheduler"
 
-// Event is something that happened to a request.
+// Event is an input of a Limiter: something that happened to a request.
 type Event interface{ event() }
 
 // RequestReceived is a new placement request. Handle answers it with Admit or Shed.
 type RequestReceived struct {
-	Client        string // whose share of all requests is watched
+	Client        string // whose share of all requests is tracked
 	WorkloadClass int    // index into Config.WorkloadClasses
-	ClientRetry   bool   // the client has sent it before
+	ClientRetry   bool   // the client has sent the request before
 }
 
 // RequestStarted is an admitted request whose container runs.
@@ -25,13 +25,13 @@
 func (RequestStarted) event()  {}
 func (RequestFailed) event()   {}
 
-// Action is an answer to a request, or news of the limiter itself.
+// Action is the answer to a request, or reports the start or end of load shedding.
 type Action interface{ action() }
 
-// Admit lets a request in.
+// Admit admits a request.
 type Admit struct{}
 
-// Shed turns a request away.
+// Shed rejects a request.
 type Shed struct {
 	Reason     Reason
 	RetryAfter scheduler.Time // how long the client should wait before it tries again
@@ -45,7 +45,7 @@
 	Throughput float64 // containers started per second
 }
 
-// SheddingEnded follows when nothing has been shed for some seconds.
+// SheddingEnded reports that no request has been shed for some seconds.
 type SheddingEnded struct {
 	Shed  int // requests shed since the overload started
 	Limit float64
@@ -56,17 +56,17 @@
 func (SheddingStarted) action() {}
 func (SheddingEnded) action()   {}
 
-// Reason is why a request was shed.
+// Reason is the reason for which a request was shed.
 type Reason uint8
 
 // Reasons for shedding a request.
 const (
 	ReasonLimitReached     Reason = iota + 1 // more requests are open than the limit allows for this priority weight
-	ReasonRetryBudgetSpent                   // client retries exceed their share of first tries
-	ReasonHeavyHitter                        // the client sends many times what the mean client does
+	ReasonRetryBudgetSpent                   // client retries exceed their fraction of first requests
+	ReasonHeavyHitter                        // the client sends many times more than the mean of the other clients
 )
 
-// String is the text that clients are given with a rejection.
+// String returns the text that is sent to clients with a rejection.
 func (r Reason) String() string {
 	switch r {
 	case ReasonLimitReached:
--- a/internal/schedulerd/overload/golden_test.go
+++ b/internal/schedulerd/overload/golden_test.go
@@ -9,8 +9,8 @@
 	"glenport/scheduler"
 )
 
-// foldActions folds actions and the state that others read. What SheddingStarted and SheddingEnded report is for logs
-// alone.
+// foldActions adds actions and the exported state of a limiter to a digest. The fields of SheddingStarted and
+// SheddingEnded are left out, because they are only logged.
 func foldActions(d *golden.Digest, now scheduler.Time, limiter *Limiter, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -27,7 +27,8 @@
 	d.Add(4, limiter.Open(), limiter.Limit())
 }
 
-// recordedLoad is a seeded load on one limiter: light, a flood of first tries and client retries, light again.
+// recordedLoad generates a seeded load on one limiter: light load alternates with floods of requests and client
+// retries.
 type recordedLoad struct {
 	rng   *rand.Rand
 	now   scheduler.Time
@@ -99,7 +100,8 @@
 	return events
 }
 
-// restart restores a snapshot that now and then does not fit the configuration, or holds no limit.
+// restart returns a limiter that was restored from a snapshot. The snapshot sometimes does not match the configuration,
+// or holds no limit.
 func (s *recordedLoad) restart(d *golden.Digest, config Config, snapshot Snapshot) *Limiter {
 	if s.rng.IntN(4) == 0 {
 		snapshot.BaselineLatency = append(snapshot.BaselineLatency, 1)
--- a/internal/schedulerd/overload/heavyhitters.go
+++ b/internal/schedulerd/overload/heavyhitters.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	countDecayTime = 10 * scheduler.Second // counts fall to 1/e in that time
-	maxCountAge    = 20 * countDecayTime   // after which counts are rescaled, as their unit would overflow a float
+	countDecayTime = 10 * scheduler.Second // time in which counts fall to 1/e
+	maxCountAge    = 20 * countDecayTime   // after which counts are rescaled, before their unit overflows a float64
 )
 
-// HeavyHitters counts requests by client in a fixed number of counters (the space-saving algorithm): a client without a
-// counter takes over the smallest, with its count, so counts are never too low and no heavy hitter is missed. Counts
-// decay exponentially.
+// HeavyHitters counts requests by client in a fixed number of counters (the space-saving algorithm). A client without a
+// counter takes over the counter with the smallest count and keeps that count, so counts are never too low and no heavy
+// hitter is missed. Counts decay exponentially.
 type HeavyHitters struct {
 	maxCounters int
 	index       map[string]int // position in the heap
 	heap        []counter      // a binary heap, the smallest count first
 	total       float64
-	baseTime    scheduler.Time // counts are in units as of then; newer units are larger, so decay costs nothing
+	baseTime    scheduler.Time // a request counts 1 then and more later, so old counts decay at no cost
 }
 
 type counter struct {
@@ -27,13 +27,13 @@
 	count  float64
 }
 
-// NewHeavyHitters returns a table of at most maxCounters clients.
+// NewHeavyHitters returns a table with at most maxCounters counters.
 func NewHeavyHitters(maxCounters int) *HeavyHitters {
 	return &HeavyHitters{maxCounters: maxCounters, index: map[string]int{}}
 }
 
-// Record counts one request and returns how many times the mean of the other counted clients its client has sent, or 0
-// while too little is known.
+// Record counts a request, and returns the ratio of the count of its client to the mean count of the other clients. It
+// returns 0 while too few requests or clients have been counted.
 func (h *HeavyHitters) Record(now scheduler.Time, client string) float64 {
 	h.rescale(now)
 	unit := math.Exp(float64(now-h.baseTime) / float64(countDecayTime))
@@ -51,10 +51,10 @@
 	return count / others
 }
 
-// Len is the number of counters in use.
+// Len returns the number of counters in use.
 func (h *HeavyHitters) Len() int { return len(h.heap) }
 
-// rescale brings old counts to the units of now.
+// rescale converts old counts to the unit of now.
 func (h *HeavyHitters) rescale(now scheduler.Time) {
 	if now-h.baseTime <= maxCountAge {
 		return
@@ -66,7 +66,7 @@
 	h.total, h.baseTime = h.total*factor, now
 }
 
-// add counts a unit for a client and returns the position of its counter, which may be too high in the heap then.
+// add adds a unit to the count of a client and returns the position of its counter, which may have to be sifted down.
 func (h *HeavyHitters) add(client string, unit float64) int {
 	if i, known := h.index[client]; known {
 		h.heap[i].count += unit
--- a/internal/schedulerd/overload/heavyhitters_test.go
+++ b/internal/schedulerd/overload/heavyhitters_test.go
@@ -9,29 +9,29 @@
 	"glenport/scheduler"
 )
 
-// One client that sends as much as a tenth of all is found among a hundred thousand others.
+// A client that sends a tenth of all requests is found among 100,000 other clients.
 func TestHeavyHitterIsFoundInFixedMemory(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	h, now := NewHeavyHitters(256), scheduler.Time(0)
-	worst := 0.0
+	ratio := 0.0
 	for range 200_000 {
 		c := fmt.Sprint("c", r.IntN(100_000))
 		if r.IntN(10) == 0 {
 			c = "heavy"
 		}
 		if x := h.Record(now, c); c == "heavy" {
-			worst = x
+			ratio = x
 		}
 	}
-	if h.Len() != 256 || worst < heavyHitterFactor {
-		t.Errorf("%d counters, the heavy hitter is %.1f times the others", h.Len(), worst)
+	if h.Len() != 256 || ratio < heavyHitterFactor {
+		t.Errorf("%d counters, the heavy hitter is %.1f times the others", h.Len(), ratio)
 	}
 	if now += 100 * countDecayTime; h.Record(now, "heavy") > heavyHitterFactor {
 		t.Error("old counts do not decay")
 	}
 }
 
-// A hundred thousand clients cost as much as ten: compared with a map of all.
+// BenchmarkHeavyHitters compares a fixed number of counters with a map of all 100,000 clients.
 func BenchmarkHeavyHitters(b *testing.B) {
 	names := make([]string, 100_000)
 	for i := range names {
--- a/internal/schedulerd/overload/limiter.go
+++ b/internal/schedulerd/overload/limiter.go
@@ -6,57 +6,57 @@
 	"glenport/scheduler"
 )
 
-// Tuned values.
+// Parameters of the limiter. A class is slow if its mean start latency exceeds both slowThreshold times its objective
+// and slowBaselineFactor times its baseline.
 const (
-	// mean start latency, as a part of the objective, of a slow class,
 	slowThreshold      = 0.5
-	slowBaselineFactor = 1.5 // provided that it also exceeds its baseline by this factor
-	// the limit stays above throughput times objective times this
+	slowBaselineFactor = 1.5
+	// the limit does not fall below throughput times objective times this factor
 	minThroughputFactor      = 1.0
-	limitDecrease            = 0.85                        // multiplies the limit while a class is slow
-	limitIncrease            = 1.05                        // multiplies it while none is
-	limitUpdateInterval      = 200 * scheduler.Millisecond // between two changes of the limit
-	minLimit                 = 8                           // open requests that are always admitted
-	minLimitShare            = 0.5                         // part of the limit open to a class of no priority weight
-	retryBudgetRatio         = 0.2                         // client retries earned by each first try
-	maxRetryTokens           = 50                          // retries that can be saved up
-	overloadEndsAfter        = 5 * scheduler.Second        // without a request shed
+	limitDecrease            = 0.85                        // factor on the limit while a class is slow
+	limitIncrease            = 1.05                        // factor on the limit while no class is slow
+	limitUpdateInterval      = 200 * scheduler.Millisecond // minimum time between two changes of the limit
+	minLimit                 = 8                           // lower bound of the limit, in open requests
+	minLimitShare            = 0.5                         // fraction of the limit open to a class of priority weight 0
+	retryBudgetRatio         = 0.2                         // retry tokens earned by each first request
+	maxRetryTokens           = 50                          // retry tokens that can accumulate
+	overloadEndsAfter        = 5 * scheduler.Second        // without a shed request
 	minRetryAfter            = 200 * scheduler.Millisecond
-	maxRetryAfter            = 20 * scheduler.Second // longer ones are drawn from the upper half of it
-	throughputDecayTime      = 2 * scheduler.Second  // the moving mean falls to 1/e in that time
-	heavyHitterFactor        = 10                    // times the mean client's requests
-	heavyHitterMinRequests   = 20                    // requests remembered, below which no client is a heavy hitter
+	maxRetryAfter            = 20 * scheduler.Second // longer ones are replaced by a random one from the upper half
+	throughputDecayTime      = 2 * scheduler.Second  // time in which the moving mean falls to 1/e
+	heavyHitterFactor        = 10                    // ratio to the mean of the other clients
+	heavyHitterMinRequests   = 20                    // counted requests below which no client is a heavy hitter
 	heavyHitterCounters      = 256
-	retryAfterJitter         = 0.25 // of a retry-after, added by chance
-	scheduledThroughputShare = 0.9  // of the throughput that is given away as scheduled retries
-	recentLatencyWeight      = 16   // samples that the recent mean spans
-	baselineLatencyWeight    = 256  // samples that the baseline spans
+	retryAfterJitter         = 0.25 // largest fraction of a retry-after that is added at random
+	scheduledThroughputShare = 0.9  // fraction of the throughput that is assigned to scheduled retries
+	recentLatencyWeight      = 16   // samples spanned by the recent mean
+	baselineLatencyWeight    = 256  // samples spanned by the baseline
 )
 
-// The seed is spread over the state of the generator by one step of a linear congruential generator.
+// One step of a linear congruential generator spreads the seed over the state of the random number generator.
 const (
 	seedMultiplier = 2862933555777941757
 	seedIncrement  = 3037000493
 )
 
-// unknownLatency marks a class in a Snapshot of which no start was seen.
+// unknownLatency marks a class in a Snapshot for which no start was observed.
 const unknownLatency = -1
 
-// WorkloadClass is what the limiter needs to know of a class.
+// WorkloadClass holds the settings of a workload class that the limiter needs.
 type WorkloadClass struct {
 	LatencyObjective scheduler.Time
 	PriorityWeight   float64
 }
 
-// Config is fixed for the life of a Limiter.
+// Config configures a Limiter.
 type Config struct {
 	Seed            uint64
 	WorkloadClasses []WorkloadClass
 	MaxOpen         int // upper bound of the limit, in open requests
 }
 
-// Limiter is an adaptive concurrency limit with a retry budget. It owns the count of open requests, the latency and
-// throughput observed, and the queue of scheduled retries; its memory does not grow with the number of clients.
+// Limiter combines an adaptive concurrency limit with a retry budget. It owns the number of open requests, the observed
+// latency and throughput, and the queue of scheduled retries. Its memory does not grow with the number of clients.
 type Limiter struct {
 	config         Config
 	rngState       uint64
@@ -73,18 +73,18 @@
 	shedCount      int            // since the overload started
 	shedAt         scheduler.Time
 	overloaded     bool
-	limitShares    []float64 // by class: the part of the limit that is open to it
+	limitShares    []float64 // by class: fraction of the limit open to it
 	clients        *HeavyHitters
 }
 
-// latencyMean is the mean start latency of a class as a part of its objective.
+// latencyMean holds moving means of the start latency of a class, as fractions of its objective.
 type latencyMean struct {
 	recent   float64
-	baseline float64 // without overload
+	baseline float64 // frozen during an overload
 	seen     bool
 }
 
-// New returns a limiter whose limit is config.MaxOpen.
+// New returns a limiter whose initial limit is config.MaxOpen.
 func New(config Config) *Limiter {
 	return &Limiter{
 		config:      config,
@@ -97,7 +97,8 @@
 	}
 }
 
-// limitShares gives the whole limit to the class of the highest priority weight, and less in proportion to others.
+// limitShares returns the fraction of the limit that is open to each class: all of it for the highest priority weight,
+// and less for lower ones, linearly down to minLimitShare for weight 0.
 func limitShares(classes []WorkloadClass) []float64 {
 	highest := 0.0
 	for _, class := range classes {
@@ -110,8 +111,8 @@
 	return shares
 }
 
-// Handle applies events at a time and returns the actions that follow, in order. The slice is valid until the next
-// call.
+// Handle applies events that happened at the time now and returns the resulting actions, in order. The slice is valid
+// until the next call.
 func (l *Limiter) Handle(now scheduler.Time, events ...Event) []Action {
 	l.now, l.actions = now, l.actions[:0]
 	for _, e := range events {
@@ -127,15 +128,15 @@
 	return l.actions
 }
 
-// Open is the number of admitted requests without an answer.
+// Open returns the number of admitted requests without an answer.
 func (l *Limiter) Open() int { return l.open }
 
-// Limit is how many requests may be open.
+// Limit returns the maximum number of open requests.
 func (l *Limiter) Limit() float64 { return l.limit }
 
 func (l *Limiter) emit(a Action) { l.actions = append(l.actions, a) }
 
-// random draws from [0, 1) with a xorshift generator.
+// random returns a random number from [0, 1), drawn with a xorshift generator.
 func (l *Limiter) random() float64 {
 	l.rngState ^= l.rngState << 13
 	l.rngState ^= l.rngState >> 7
@@ -143,8 +144,8 @@
 	return float64(l.rngState>>11) / (1 << 53)
 }
 
-// requestReceived admits or sheds. Heavy hitters and retries beyond the budget are shed only while the limit is nearly
-// reached, so that they cost nothing otherwise.
+// requestReceived admits or sheds a request. Heavy hitters and retries beyond the budget are shed only while limiting,
+// so that these two rules have no effect without overload.
 func (l *Limiter) requestReceived(e RequestReceived) {
 	timesMean := l.clients.Record(l.now, e.Client)
 	if !e.ClientRetry {
@@ -166,7 +167,7 @@
 	}
 }
 
-// limitOf is the limit for a class; its share counts only while the limit is nearly reached.
+// limitOf returns the limit for a class. The share of the class applies only while limiting.
 func (l *Limiter) limitOf(class int) float64 {
 	if class < len(l.limitShares) && l.limiting() {
 		return l.limit * l.limitShares[class]
@@ -197,8 +198,9 @@
 	l.emit(Shed{Reason: reason, RetryAfter: l.scheduleRetry()})
 }
 
-// scheduleRetry takes the next place in the queue of retries, which moves at a share of the throughput. A queue longer
-// than clients wait for is not followed further: they come back at a random time of the upper half and queue again.
+// scheduleRetry takes the next slot in the queue of retries, which advances at a fraction of the throughput, and
+// returns the time to wait for it. If that exceeds maxRetryAfter, the client instead returns at a random time in the
+// upper half of maxRetryAfter and queues again.
 func (l *Limiter) scheduleRetry() scheduler.Time {
 	perSecond := max(1, l.throughput*scheduledThroughputShare)
 	l.nextRetryAt = max(l.nextRetryAt, l.now+minRetryAfter) + scheduler.Time(float64(scheduler.Second)/perSecond)
@@ -226,7 +228,7 @@
 	l.adjustLimit(l.config.WorkloadClasses[e.WorkloadClass].LatencyObjective)
 }
 
-// observeThroughput updates the moving mean of starts per second by the gap since the last one.
+// observeThroughput updates the moving mean of starts per second with the time since the last start.
 func (l *Limiter) observeThroughput() {
 	gap := float64(max(1, l.now-l.lastStartAt))
 	l.lastStartAt = l.now
@@ -234,7 +236,7 @@
 	l.throughput = l.throughput*keep + (1-keep)*float64(scheduler.Second)/gap
 }
 
-// observeLatency updates the means of a class. The baseline is frozen during an overload.
+// observeLatency updates the latency means of a class. The baseline is frozen during an overload.
 func (l *Limiter) observeLatency(e RequestStarted) {
 	mean := &l.latency[e.WorkloadClass]
 	sample := float64(e.Elapsed) / float64(max(1, l.config.WorkloadClasses[e.WorkloadClass].LatencyObjective))
@@ -247,8 +249,9 @@
 	}
 }
 
-// adjustLimit decreases the limit while any class is slow and increases it while it is used. By Little's law a limit of
-// throughput times objective keeps the present throughput with starts on time; it never falls below that.
+// adjustLimit decreases the limit while any class is slow, and increases it while more than half of it is used. By
+// Little's law, a limit of throughput times objective sustains the present throughput with starts on time; the limit
+// never falls below that.
 func (l *Limiter) adjustLimit(objective scheduler.Time) {
 	switch {
 	case l.slow():
--- a/internal/schedulerd/overload/limiter_test.go
+++ b/internal/schedulerd/overload/limiter_test.go
@@ -26,6 +26,7 @@
 	}
 }
 
+// request reports whether a request is admitted, and returns the Shed action if it is not.
 func request(t *testing.T, limiter *Limiter, now scheduler.Time, e RequestReceived) (bool, Shed) {
 	t.Helper()
 	for _, a := range limiter.Handle(now, e) {
@@ -40,7 +41,8 @@
 	return false, Shed{}
 }
 
-// overloadedLimiter returns a limiter that has seen starts become slow: each request is open for two seconds.
+// overloadedLimiter returns a limiter in an overload, and the present time. Starts took 60 ms at first and two seconds
+// since.
 func overloadedLimiter(t *testing.T) (*Limiter, scheduler.Time) {
 	t.Helper()
 	limiter, now := New(testConfig()), scheduler.Time(0)
@@ -116,7 +118,7 @@
 	}
 }
 
-// Clients that wait for their retry-after come back one after another, not together.
+// Clients that wait for their retry-after return one after another, not all at once.
 func testScheduledRetriesAreSpread(t *testing.T) {
 	limiter, now := overloadedLimiter(t)
 	var all []float64
@@ -140,7 +142,7 @@
 	testutil.Expect(t, most <= len(all)/3, "%d of %d return in one half second", most, len(all))
 }
 
-// Without a budget client retries crowd out first tries.
+// Without a budget client retries would crowd out first requests.
 func TestClientRetriesHaveABudget(t *testing.T) {
 	limiter, now := overloadedLimiter(t)
 	for ok := true; ok; { // until the limit is reached
@@ -152,16 +154,16 @@
 		if ok, _ := request(t, limiter, now, RequestReceived{Client: strconv.Itoa(retries), ClientRetry: true}); ok {
 			retries++
 		} else if ok, s := request(t, limiter, now, RequestReceived{Client: fmt.Sprint("f", i%50)}); !ok {
-			t.Fatalf("a first try is shed where a retry would have been admitted: %+v", s)
+			t.Fatalf("a first request is shed where a retry would have been admitted: %+v", s)
 		}
 	}
 	if most := maxRetryTokens + 1000*retryBudgetRatio; float64(retries) > most {
-		t.Errorf("%d client retries were admitted beside 1000 first tries; open %d, limit %.0f, tokens %.1f",
+		t.Errorf("%d client retries were admitted beside 1000 first requests; open %d, limit %.0f, tokens %.1f",
 			retries, limiter.Open(), limiter.Limit(), limiter.retryTokens)
 	}
 }
 
-// drawEvent draws a request, or the start of one where some are open.
+// drawEvent returns a random request, or the start of a random one if any are open.
 func drawEvent(t *rapid.T, open int) Event {
 	request := RequestReceived{
 		Client:        strconv.Itoa(rapid.IntRange(0, 5).Draw(t, "client")),
@@ -175,7 +177,8 @@
 	return RequestStarted{class, scheduler.Time(rapid.IntRange(1, 60_000).Draw(t, "elapsed"))}
 }
 
-// Each request has one answer, equal sequences have equal answers, and what is open never exceeds the limit there was.
+// Each request has one answer, equal sequences lead to equal answers, and the number of open requests does not exceed
+// the limit at the time of admission.
 func TestEachRequestIsAnsweredWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, now, open := New(testConfig()), New(testConfig()), scheduler.Time(0), 0
@@ -199,7 +202,7 @@
 	})
 }
 
-// shedsSome reports whether a limiter sheds any of many requests.
+// shedsSome reports whether a limiter sheds at least one of 500 requests.
 func shedsSome(t *testing.T, limiter *Limiter, now scheduler.Time) (shed bool) {
 	t.Helper()
 	for i := range 500 {
@@ -209,8 +212,8 @@
 	return shed
 }
 
-// A restart during an overload: the limit of the next incarnation is as low as the last one's, the less so the older
-// the snapshot is, and the baselines are kept.
+// After a restart during an overload the limit is that of the last incarnation, divided by the weight of the snapshot,
+// and the baselines are kept.
 func TestRestoredLimitCountsByWeight(t *testing.T) {
 	before, now := overloadedLimiter(t)
 	for _, tc := range []struct {
@@ -221,12 +224,12 @@
 		after := New(testConfig())
 		after.Restore(before.Snapshot(), tc.weight)
 		if x := after.Limit() / before.Limit(); x < tc.least-0.01 || x > tc.most+0.01 {
-			t.Errorf("weight %.1f: the limit is %.2f times as high", tc.weight, x)
+			t.Errorf("weight %.1f: the limit is %.2f times that of the last incarnation", tc.weight, x)
 		}
 		got, want := after.Snapshot().BaselineLatency[0], before.Snapshot().BaselineLatency[0]
 		testutil.Expect(t, got == want, "weight %.1f: the baseline is %.2f, was %.2f", tc.weight, got, want)
 		testutil.Expect(t, tc.weight != 1 || shedsSome(t, after, now),
-			"a new incarnation admits all that the last one shed")
+			"the new incarnation admits all requests that the last one shed")
 	}
 	other := New(Config{MaxOpen: 10, WorkloadClasses: []WorkloadClass{{sec, 1}}})
 	if other.Restore(before.Snapshot(), 1); other.Limit() != 10 {
--- a/internal/schedulerd/overload/snapshot.go
+++ b/internal/schedulerd/overload/snapshot.go
@@ -1,15 +1,15 @@
 package overload
 
-// Snapshot is what a limiter has learned, stored for the next incarnation of the scheduler.
+// Snapshot is the learned state of a limiter, stored for the next incarnation of the scheduler.
 type Snapshot struct {
 	Limit      float64 `cbor:"Limit" json:"Limit"`
 	Throughput float64 `cbor:"Pace"  json:"Pace"` // containers started per second
-	// By workload class, as parts of the latency objective; below 0 where no start was seen.
+	// By workload class, as fractions of the latency objective; negative if no start was observed.
 	Latency         []float64 `cbor:"Slow" json:"Slow"`
 	BaselineLatency []float64 `cbor:"Calm" json:"Calm"`
 }
 
-// Snapshot returns what the limiter has learned.
+// Snapshot returns the learned state of the limiter.
 func (l *Limiter) Snapshot() Snapshot {
 	s := Snapshot{Limit: l.limit, Throughput: l.throughput}
 	for _, mean := range l.latency {
@@ -22,9 +22,10 @@
 	return s
 }
 
-// Restore applies a snapshot before the first event: a limiter that starts wide open during an overload would admit
-// all that was shed before. The limit counts for weight, from 1 (all) to 0 (nothing); baselines are taken as they were.
-// A snapshot of other workload classes is ignored.
+// Restore applies a snapshot before the first event: a limiter that started with its highest limit during an overload
+// would admit all requests that were shed before. Weight scales the effect of the limit, the throughput and the recent
+// latencies, from 1 (full) to 0 (none); baselines are restored unchanged. A snapshot of other workload classes is
+// ignored.
 func (l *Limiter) Restore(s Snapshot, weight float64) {
 	if len(s.BaselineLatency) != len(l.latency) || len(s.Latency) != len(l.latency) {
 		return
