--- a/internal/schedulerd/warmstart/decay.go
+++ b/internal/schedulerd/warmstart/decay.go
@@ -11,23 +11,24 @@
 	hour   = 60 * minute
 )
 
-// Category is a sort of what a scheduler learns.
+// Category is a category of the state that a scheduler learns.
 type Category uint8
 
-// Categories by how fast they go out of date.
+// Categories of learned state. Each becomes outdated at its own rate.
 const (
 	MachineList      Category = iota // the machine list as last received
 	Outliers                         // evidence that a machine is an outlier
 	FailureEvidence                  // evidence that a machine fails a traffic class
-	LossRatios                       // attempts lost, by traffic class
-	FullRatio                        // attempts that found no room
+	LossRatios                       // fraction of attempts that were lost, by traffic class
+	FullRatio                        // fraction of attempts that found no room
 	ConcurrencyLimit                 // the limit of open requests
 	categories
 )
 
-// decay holds tuned values: what is learned counts half after a half-life, and not at all from the maximum age on. How
-// full a fleet is changes in seconds and an outlier is repaired in minutes, while programs behave tomorrow as they do
-// today. Where they are wrong, a machine repaired meanwhile stays ejected for one probe more.
+// decay defines how fast each category becomes outdated: its weight halves with each half-life and is 0 from the
+// maximum age on. The free room of a fleet changes within seconds and an outlier is repaired within minutes, whereas
+// programs behave tomorrow as they do today. If an outlier is weighted too high, a machine that was repaired in between
+// stays ejected for one more probe.
 var decay = [categories]struct{ halfLife, maxAge scheduler.Time }{
 	MachineList:      {halfLife: 24 * hour, maxAge: 24 * hour},
 	Outliers:         {halfLife: minute, maxAge: 10 * minute},
@@ -37,7 +38,7 @@
 	ConcurrencyLimit: {halfLife: 5 * scheduler.Second, maxAge: minute},
 }
 
-// Weight is what a category counts for at an age, from 1 to 0. An unknown age counts as too old.
+// Weight returns the weight of a category at an age, from 1 to 0. At an unknown age it is 0.
 func Weight(c Category, age scheduler.Time) float64 {
 	if age < 0 || age >= decay[c].maxAge {
 		return 0
--- a/internal/schedulerd/warmstart/doc.go
+++ b/internal/schedulerd/warmstart/doc.go
@@ -1,5 +1,5 @@
-// Package warmstart decides what a scheduler that starts restores of what an earlier incarnation had learned, and
-// keeps the ledger by which the slow-start budget of machines holds across restarts. Each category of what was learned
-// counts for less with its age and for nothing beyond a bound. What was sent to machines in slow start is restored
-// only where it is known to be complete. The package is pure: no I/O, clock or goroutine.
+// Package warmstart decides which state learned by an earlier incarnation a starting scheduler restores, and keeps the
+// ledger that enforces the slow-start budget of machines across restarts of the scheduler. The weight of each category
+// of learned state falls with its age and is 0 beyond a maximum age. Sends to machines in slow start are restored only
+// if they are known to be complete. The package is pure: no I/O, clock or goroutine.
 package warmstart
--- a/internal/schedulerd/warmstart/golden_test.go
+++ b/internal/schedulerd/warmstart/golden_test.go
@@ -33,10 +33,10 @@
 	return s
 }
 
-// categoryNames were recorded with the weights.
+// categoryNames are part of the recorded digests.
 var categoryNames = [categories]string{"list", "health", "shunning", "losses", "room", "door"}
 
-// recordedClocks folds the decay of each category and how the histories of incarnations follow one another.
+// recordedClocks folds the weights of each category and the log histories of successive incarnations into a digest.
 func recordedClocks(d *golden.Digest, rng *rand.Rand) {
 	for c := range categories {
 		d.Add(1, categoryNames[c], Weight(c, recordedTime(rng)*scheduler.Time(rng.IntN(1000))-sec))
@@ -66,7 +66,7 @@
 	return s
 }
 
-// recordedPersisted is what an earlier incarnation left, and the machines of the list at the restart.
+// recordedPersisted returns the state that an earlier incarnation left, and the machine list at the restart.
 func recordedPersisted(rng *rand.Rand) (Persisted, map[scheduler.MachineID]MachineStart) {
 	p := Persisted{
 		TakenAt:      recordedTimestamp(rng),
@@ -117,7 +117,8 @@
 	}
 }
 
-// recordedRestore folds what is restored, and what a ledger records of it; the messages are for logs alone.
+// recordedRestore folds the restored state and the results of a ledger that starts with it into a digest. The messages
+// are left out, because they are only logged.
 func recordedRestore(d *golden.Digest, rng *rand.Rand) {
 	p, machines := recordedPersisted(rng)
 	classNames := []string{"w", "c"}[:2-rng.IntN(8)/7]
@@ -142,8 +143,9 @@
 	}
 }
 
-// recordedSends folds what a ledger records of sends to machines that restart now and then. Quiet machines restart only
-// after two windows without a send, so that no send may have reached a start before it was observed.
+// recordedSends folds the records of a ledger, for sends to machines that sometimes restart, into a digest. Quiet
+// machines restart only after two windows without a send, so that no send can have reached a start before it was
+// observed.
 func recordedSends(d *golden.Digest, rng *rand.Rand, quiet bool) {
 	ledger, now := NewSendLedger(recordedSlowStartPeriod, window), 1000*sec
 	machines, lastSend := map[scheduler.MachineID]MachineStart{}, map[scheduler.MachineID]scheduler.Time{}
--- a/internal/schedulerd/warmstart/history.go
+++ b/internal/schedulerd/warmstart/history.go
@@ -2,16 +2,17 @@
 
 import "glenport/internal/schedulerd/recovery"
 
-// LogHistory is what an incarnation of the scheduler writes to its log when it starts: what the log holds of those
-// before it.
+// LogHistory describes what the log holds of earlier incarnations of the scheduler. Each incarnation writes its own to
+// the log when it starts.
 type LogHistory struct {
-	// From then on every incarnation has recorded its sends to machines in slow start; zero where none did.
+	// Since then every incarnation has recorded its sends to machines in slow start; zero if none has.
 	SendsRecordedSince Timestamp            `cbor:"Whole"`
 	Coverage           recovery.LogCoverage `cbor:"Log"`
 }
 
-// Next returns the history of the incarnation that starts now. A restart of the system may lose what was written and
-// not synced. Attempts missing before are missing after any restart, until every machine has reported.
+// Next returns the history of the incarnation that starts now. A restart of the system may lose records that were
+// written but not synced. Attempts that were missing before the start are still missing, until every machine has
+// reported.
 func (h LogHistory) Next(now Timestamp) LogHistory {
 	elapsed := now.Since(h.SendsRecordedSince)
 	switch {
@@ -23,7 +24,7 @@
 	return LogHistory{SendsRecordedSince: now.ago(elapsed.Age), Coverage: h.Coverage}
 }
 
-// WithCompleteLog returns the history once every machine has reported what it holds.
+// WithCompleteLog returns the history after every machine has reported the attempts it holds.
 func (h LogHistory) WithCompleteLog() LogHistory {
 	h.Coverage = recovery.LogComplete
 	return h
--- a/internal/schedulerd/warmstart/ledger.go
+++ b/internal/schedulerd/warmstart/ledger.go
@@ -6,35 +6,36 @@
 	"glenport/scheduler"
 )
 
-// transitDivisor gives the part of a window for which a send may be in transit: one made so long before a start may
-// have reached it.
+// transitDivisor limits the transit time of a send to the window divided by it. A send that was made up to that time
+// before a machine started may have reached the machine after the start.
 const transitDivisor = 8
 
-// SlowStartSends are attempts and probes sent to one start of a machine while it was in slow start.
+// SlowStartSends are the attempts and probes sent to one incarnation of a machine while it was in slow start.
 type SlowStartSends struct {
 	Machine     scheduler.MachineID `cbor:"Machine"`
 	Incarnation uint64              `cbor:"Start"` // of the machine
 	Times       []scheduler.Time    `cbor:"Times"` // in order
 }
 
-// last is the time of the latest send; there always is one.
+// last returns the time of the latest send. There is at least one.
 func (s SlowStartSends) last() scheduler.Time { return s.Times[len(s.Times)-1] }
 
-// MachineLookup returns the start of a machine by the machine list, and whether it is listed.
+// MachineLookup returns the start of a machine according to the machine list, and whether the machine is listed.
 type MachineLookup func(scheduler.MachineID) (MachineStart, bool)
 
-// SendLedger follows what is sent to machines, so that the slow-start budget of a machine holds also when the scheduler
-// restarts. Sends to a machine in slow start are to be recorded in the log before they are made. Sends to other
-// machines are remembered in memory, for two windows: when a start is observed late, they may have reached a machine in
-// slow start, and are recorded then. A machine leaves the record when its slow start is over or it is gone.
+// SendLedger tracks the sends to machines, so that the slow-start budget of a machine is also enforced across restarts
+// of the scheduler. Sends to a machine in slow start must be recorded in the log before they are made. Sends to other
+// machines are kept in memory for two windows. If a start of the machine is observed late, they may have reached it in
+// slow start and are then recorded. The record of a machine is dropped when its slow start is over or the machine is
+// gone.
 type SendLedger struct {
 	slowStartPeriod scheduler.Time
 	window          scheduler.Time
 	recorded        map[scheduler.MachineID]*SlowStartSends
-	unrecorded      map[scheduler.MachineID][]scheduler.Time // in order, later than those recorded
+	unrecorded      map[scheduler.MachineID][]scheduler.Time // in order, all later than those recorded
 }
 
-// NewSendLedger returns an empty ledger for a slow-start budget per window.
+// NewSendLedger returns an empty ledger for a slow-start budget that applies per window.
 func NewSendLedger(slowStartPeriod, window scheduler.Time) *SendLedger {
 	return &SendLedger{
 		slowStartPeriod: slowStartPeriod,
@@ -44,7 +45,7 @@
 	}
 }
 
-// Restore records the sends of earlier incarnations; incarnations are those of the machines.
+// Restore records the sends of earlier incarnations of the scheduler. Incarnations are those of the machines.
 func (l *SendLedger) Restore(r Restored, incarnations map[scheduler.MachineID]uint64) {
 	for _, machine := range r.Snapshot.Machines {
 		if len(machine.RecentSends) > 0 {
@@ -57,8 +58,9 @@
 	}
 }
 
-// ResolvePending records pending sends to starts that the machine list names only now: a restored list may be older
-// than they are. It returns those, and the sends that are still pending. Sends older than two windows are dropped.
+// ResolvePending records the pending sends to starts that the machine list names only now, because a restored list may
+// be older than those starts. It returns the sends that it recorded, by machine, and those that are still pending.
+// Sends older than two windows are dropped.
 func (l *SendLedger) ResolvePending(now scheduler.Time, pending []SlowStartSends,
 	lookup MachineLookup,
 ) (resolved []scheduler.MachineSnapshot, left []SlowStartSends) {
@@ -77,7 +79,8 @@
 	return resolved, left
 }
 
-// resolve makes pending sends the record of a machine. Sends recorded for an earlier start may have reached this one.
+// resolve makes pending sends the record of their machine. Sends recorded for an earlier start may have reached this
+// one, so they are kept as unrecorded sends.
 func (l *SendLedger) resolve(sends SlowStartSends) {
 	if earlier := l.recorded[sends.Machine]; earlier != nil && earlier.Incarnation != sends.Incarnation {
 		l.unrecorded[sends.Machine] = append(earlier.Times, l.unrecorded[sends.Machine]...)
@@ -86,7 +89,7 @@
 	l.recorded[sends.Machine] = &sends
 }
 
-// RecordSend counts an attempt or probe that is about to be sent. It returns the sends that must be in the log first,
+// RecordSend counts an attempt or probe that is about to be sent. It returns the sends that must be in the log before,
 // and whether there are any.
 func (l *SendLedger) RecordSend(now scheduler.Time, id scheduler.MachineID, start MachineStart) (SlowStartSends, bool) {
 	if !l.inSlowStart(now, start) {
@@ -99,8 +102,8 @@
 	return *sends, true
 }
 
-// IncarnationObserved records a start that was just observed. It returns the sends that may have reached it before and
-// must be recorded now, and whether there are any.
+// IncarnationObserved handles a start that was just observed. It returns the earlier sends that may have reached the
+// start and must be recorded now, and whether there are any.
 func (l *SendLedger) IncarnationObserved(
 	now scheduler.Time,
 	id scheduler.MachineID,
@@ -117,14 +120,14 @@
 	return *sends, true
 }
 
-// upToDate reports whether the record of a machine is of this start and complete.
+// upToDate reports whether the record of a machine is for this start and complete.
 func (l *SendLedger) upToDate(id scheduler.MachineID, start MachineStart) bool {
 	sends := l.recorded[id]
 	return sends != nil && sends.Incarnation == start.Incarnation && len(l.unrecorded[id]) == 0
 }
 
-// sendsReaching returns the sends of two windows that may have reached a start, and forgets what was remembered of
-// earlier starts.
+// sendsReaching returns the sends of the last two windows that may have reached a start, and drops the unrecorded sends
+// to the machine.
 func (l *SendLedger) sendsReaching(now scheduler.Time, id scheduler.MachineID, start MachineStart) *SlowStartSends {
 	tooEarly := start.StartedAt - l.window/transitDivisor - 1
 	sends := l.recorded[id]
@@ -138,8 +141,9 @@
 	return sends
 }
 
-// Expire ends the record of machines that are no longer in slow start, or gone, and returns these machines in order.
-// What may still reach a start that is observed later stays remembered.
+// Expire drops the records of machines that are no longer in slow start, or gone, and returns these machines, sorted.
+// It keeps their sends of the last two windows as unrecorded sends, because a start that is observed later may have
+// been reached by them.
 func (l *SendLedger) Expire(now scheduler.Time, lookup MachineLookup) []scheduler.MachineID {
 	var expired []scheduler.MachineID
 	for id, sends := range l.recorded {
@@ -162,7 +166,7 @@
 
 func (l *SendLedger) expired(now scheduler.Time, sends *SlowStartSends, lookup MachineLookup) bool {
 	start, listed := lookup(sends.Machine)
-	if !listed { // within two windows it may come back without a restart
+	if !listed { // within two windows the machine may be listed again without a restart
 		return sends.last() <= l.oldest(now)
 	}
 	return start.Incarnation != sends.Incarnation || !l.inSlowStart(now, start)
@@ -172,14 +176,14 @@
 	return start.StartedAt != 0 && now < start.StartedAt+l.slowStartPeriod
 }
 
-// oldest is the time up to which sends are forgotten.
+// oldest returns the time up to which sends are dropped.
 func (l *SendLedger) oldest(now scheduler.Time) scheduler.Time { return now - 2*l.window }
 
 func (l *SendLedger) recent(now scheduler.Time, times []scheduler.Time) []scheduler.Time {
 	return after(l.oldest(now), times)
 }
 
-// after returns those of ordered times that are later than t.
+// after returns the times that are later than t, from times in order.
 func after(t scheduler.Time, times []scheduler.Time) []scheduler.Time {
 	for len(times) > 0 && times[0] <= t {
 		times = times[1:]
--- a/internal/schedulerd/warmstart/ledger_test.go
+++ b/internal/schedulerd/warmstart/ledger_test.go
@@ -8,30 +8,31 @@
 	"glenport/scheduler"
 )
 
-// always looks every machine up as one with this start.
+// always returns a lookup by which every machine is listed with this start.
 func always(start MachineStart) MachineLookup {
 	return func(scheduler.MachineID) (MachineStart, bool) { return start, true }
 }
 
+// never is a lookup by which no machine is listed.
 func never(scheduler.MachineID) (MachineStart, bool) { return MachineStart{}, false }
 
-// A machine is on record while it is in slow start, and no longer.
+// Sends to a machine are recorded while it is in slow start, and no longer.
 func TestSendsAreRecordedDuringSlowStart(t *testing.T) {
 	ledger := NewSendLedger(17*sec, window)
 	m := MachineStart{7, 100 * sec}
-	for i, want := range []int{1, 2, 3, 3} { // the first is two windows old when the fourth is sent
+	for i, want := range []int{1, 2, 3, 3} { // the first send is two windows old when the fourth is made
 		s, record := ledger.RecordSend(101*sec+scheduler.Time(i)*2*sec+1, "m", m)
 		testutil.Expect(t, record && len(s.Times) == want, "%d: %v", i, s)
 	}
 	if _, record := ledger.RecordSend(118*sec, "m", m); record {
-		t.Error("a machine is on record after its slow start")
+		t.Error("a send is recorded after the slow start of its machine")
 	}
 	if _, record := ledger.RecordSend(101*sec, "w", MachineStart{1, 0}); record {
-		t.Error("a machine that started long ago is on record")
+		t.Error("a send to a machine that started long ago is recorded")
 	}
 	at := always(m)
-	// A restored list may not name a start yet to which an earlier incarnation sent; its budget must not be spent
-	// twice.
+	// A restored machine list may not yet name a start to which an earlier incarnation sent attempts. The budget of
+	// the machine must not be spent twice.
 	pending := []SlowStartSends{
 		{"m", 7, []scheduler.Time{105 * sec}},
 		{"n", 2, []scheduler.Time{106 * sec}},
@@ -43,32 +44,33 @@
 		t.Errorf("resolved %v, left %v", resolved, left)
 	}
 	if got := ledger.Expire(105*sec+2*window-1, never); len(got) != 0 {
-		t.Error("expired while it may come back without a restart")
+		t.Error("a record expired while its machine may be listed again without a restart")
 	}
-	testutil.Expect(t, len(ledger.Expire(116*sec, at)) == 0, "expired in slow start")
+	testutil.Expect(t, len(ledger.Expire(116*sec, at)) == 0, "a record expired in slow start")
 	if got := ledger.Expire(118*sec, at); len(got) != 1 || len(ledger.recorded) != 0 {
 		t.Errorf("%v", got)
 	}
 }
 
-// Sends to a machine whose slow start is over are remembered; if it had restarted before, they are recorded with its
-// next send, so that the next incarnation of a scheduler that dies knows of that part of the budget.
+// Sends to a machine whose slow start is over are kept in memory. If the machine had restarted before them, they are
+// recorded with the next send. Otherwise the next incarnation of the scheduler would not know that part of the budget.
 func TestSendsBeforeStartIsObservedAreRecorded(t *testing.T) {
 	ledger := NewSendLedger(17*sec, window)
 	ledger.RecordSend(100*sec, "m", MachineStart{7, 0})
 	if s, _ := ledger.RecordSend(101*sec, "m", MachineStart{8, 99 * sec}); len(s.Times) != 2 {
-		t.Errorf("%d of 2 sends to a start at 99 s are recorded (docs/review-of-parts.md, finding 13)", len(s.Times))
+		t.Errorf("%d of 2 sends to a start at 99 s are recorded", len(s.Times))
 	}
 }
 
-// What may have reached a start is recorded as soon as the start is observed, with what an earlier incarnation sent to
-// it. What was sent to earlier starts is not, and what is only remembered is forgotten after two windows.
+// Sends that may have reached a start are recorded as soon as the start is observed, including those of an earlier
+// incarnation of the scheduler. Sends to earlier starts are not recorded, and unrecorded sends are dropped after two
+// windows.
 func TestObservedStartIsRecordedWithWhatReachedIt(t *testing.T) {
 	before, after := MachineStart{7, 0}, MachineStart{8, 100 * sec}
 	for _, tc := range []struct {
 		name string
 		act  func(ledger *SendLedger)
-		want []scheduler.Time // on record once the start is observed at 102 s
+		want []scheduler.Time // recorded once the start is observed at 102 s
 	}{
 		{"nothing was sent", func(*SendLedger) {}, nil},
 		{"sent when the slow start of the last start was over", func(ledger *SendLedger) {
@@ -102,8 +104,8 @@
 			_, again := ledger.IncarnationObserved(102*sec, "m", after)
 			testutil.Expect(t, !again, "recorded twice")
 			ledger.Expire(102*sec+2*window, always(MachineStart{9, 0}))
-			if recorded, remembered := len(ledger.recorded), len(ledger.unrecorded); recorded+remembered != 0 {
-				t.Errorf("after two windows %d are on record, %d remembered", recorded, remembered)
+			if recorded, unrecorded := len(ledger.recorded), len(ledger.unrecorded); recorded+unrecorded != 0 {
+				t.Errorf("after two windows %d records and %d unrecorded entries are left", recorded, unrecorded)
 			}
 		})
 	}
--- a/internal/schedulerd/warmstart/message.go
+++ b/internal/schedulerd/warmstart/message.go
@@ -2,7 +2,7 @@
 
 import "log/slog"
 
-// Message is a line for the log: constant text and its attributes.
+// Message is a log line: a constant text and its attributes.
 type Message struct {
 	Text       string
 	Attributes []slog.Attr
--- a/internal/schedulerd/warmstart/restore.go
+++ b/internal/schedulerd/warmstart/restore.go
@@ -9,32 +9,32 @@
 	"glenport/scheduler"
 )
 
-// Persisted is what earlier incarnations left on disk.
+// Persisted is the state that earlier incarnations left on disk.
 type Persisted struct {
-	TakenAt      Timestamp // of the snapshot; zero where there is none
+	TakenAt      Timestamp // of the snapshot; zero if there is none
 	Snapshot     scheduler.Snapshot
 	Incarnations map[scheduler.MachineID]uint64 // of the machines, as of the snapshot
 	ClassNames   []string                       // of the workload classes and tenants, in the order of the snapshot
 
 	History LogHistory
-	Sends   []SlowStartSends // all of them since History.SendsRecordedSince, if the system has not restarted
+	Sends   []SlowStartSends // complete since History.SendsRecordedSince if the system has not restarted
 }
 
-// MachineStart is a start of a machine of the machine list.
+// MachineStart describes the latest start of a machine, according to the machine list.
 type MachineStart struct {
 	Incarnation uint64
 	StartedAt   scheduler.Time // by the clock of this incarnation of the scheduler; 0: long ago
 }
 
-// Restored is what the new incarnation starts with.
+// Restored is the state that the new incarnation starts with.
 type Restored struct {
 	Snapshot     scheduler.Snapshot
-	PendingSends []SlowStartSends // to starts of machines that the machine list does not name yet
+	PendingSends []SlowStartSends // to machine starts that the machine list does not name yet
 	Messages     []Message
 }
 
-// Restore weighs what was persisted. Window is that of the slow-start budget; classNames are those of the present
-// configuration.
+// Restore weights the persisted state by its age. Window is that of the slow-start budget; classNames are those of the
+// present configuration.
 func Restore(now Timestamp, p Persisted, machines map[scheduler.MachineID]MachineStart, classNames []string,
 	window scheduler.Time,
 ) Restored {
@@ -46,7 +46,7 @@
 	if p.TakenAt != (Timestamp{}) {
 		r.restoreSnapshot(now, p, machines)
 		if !sameClasses {
-			r.message("workload classes or tenants have changed, their loss ratios are not restored")
+			r.message("workload classes or tenants have changed; loss ratios not restored")
 		}
 	}
 	r.restoreSends(now, p, machines, window)
@@ -65,7 +65,7 @@
 	return slog.Float64(key, math.Round(weight*100)/100)
 }
 
-// withoutClasses leaves out what was learned of workload classes or tenants that are no longer the configured ones.
+// withoutClasses removes the state that was learned by workload class and tenant.
 func withoutClasses(s scheduler.Snapshot) scheduler.Snapshot {
 	s.TrafficClasses, s.FullRatio, s.RejectedWeight = nil, 0, 0
 	s.Machines = slices.Clone(s.Machines)
@@ -75,16 +75,17 @@
 	return s
 }
 
-// restoreSnapshot scales what was learned by its age.
+// restoreSnapshot restores the learned state, weighted by its age.
 func (r *Restored) restoreSnapshot(now Timestamp, p Persisted, machines map[scheduler.MachineID]MachineStart) {
 	elapsed := now.Since(p.TakenAt)
 	if elapsed.Age < 0 {
-		r.message("the clock went back over a restart of the system, the snapshot is not restored",
+		r.message("wall clock went back during a restart of the system; snapshot not restored",
 			millis("back_ms", p.TakenAt.Clock-now.Clock))
 		return
 	}
 	if elapsed.ClockJump != 0 {
-		r.message("the clock was set since the snapshot, its times are adjusted", millis("jump_ms", elapsed.ClockJump))
+		r.message("wall clock was set since the snapshot; times of the snapshot adjusted",
+			millis("jump_ms", elapsed.ClockJump))
 	}
 	r.restoreRatios(elapsed, p.Snapshot)
 	r.restoreMachines(elapsed, p, machines)
@@ -103,7 +104,7 @@
 	r.Snapshot.RejectedWeight = s.RejectedWeight * fullWeight
 }
 
-// restoreMachines restores evidence against machines that have not restarted since.
+// restoreMachines restores the evidence against machines that have not restarted since the snapshot.
 func (r *Restored) restoreMachines(elapsed Elapsed, p Persisted, machines map[scheduler.MachineID]MachineStart) {
 	weight := Weight(Outliers, elapsed.Age)
 	if weight == 0 {
@@ -128,7 +129,7 @@
 	}
 }
 
-// adjust converts a time of the earlier incarnation to the clock of this one; 0 means no time.
+// adjust converts a time of the earlier incarnation to the clock of this one; 0 stands for no time.
 func (e Elapsed) adjust(t scheduler.Time) scheduler.Time {
 	if t == 0 {
 		return 0
@@ -136,19 +137,20 @@
 	return t + e.ClockJump
 }
 
-// adjustEvidence keeps the log odds as they were: the scheduler lets them decay from their time on.
+// adjustEvidence converts the times of failure evidence. The log odds are unchanged, because the scheduler lets them
+// decay from their time on.
 func (e Elapsed) adjustEvidence(evidence []scheduler.FailureEvidence) []scheduler.FailureEvidence {
 	var adjusted []scheduler.FailureEvidence
-	for _, one := range evidence {
-		one.AsOf = e.adjust(one.AsOf)
-		adjusted = append(adjusted, one)
+	for _, item := range evidence {
+		item.AsOf = e.adjust(item.AsOf)
+		adjusted = append(adjusted, item)
 	}
 	return adjusted
 }
 
-// restoreSends restores what was sent to machines in slow start. Each send is written to the log first, which a
-// process that dies cannot undo but a system that dies can: after a restart of the system, as after a first start, the
-// scheduler sends nothing to such machines for a window. Two windows of sends are restored.
+// restoreSends restores the sends to machines in slow start, for the last two windows. Each send is written to the log
+// before it is made. The record survives the death of the process, but not that of the system. After a restart of the
+// system, as after a first start, the scheduler therefore sends nothing to such machines for one window.
 func (r *Restored) restoreSends(
 	now Timestamp,
 	p Persisted,
@@ -157,7 +159,7 @@
 ) {
 	elapsed := now.Since(p.History.SendsRecordedSince)
 	if p.History.SendsRecordedSince == (Timestamp{}) || !elapsed.SameBoot {
-		r.message("sends to machines in slow start are not known, none are made for a window",
+		r.message("earlier sends to machines in slow start unknown; no sends to such machines for one window",
 			millis("window_ms", window))
 		return
 	}
@@ -182,7 +184,8 @@
 	r.message("sends to machines in slow start restored", slog.Int("sends", restored), millis("within_ms", 2*window))
 }
 
-// recentTimes adjusts times to this incarnation's clock and drops those before the span. None is left in the future.
+// recentTimes converts times to the clock of this incarnation and drops those before the span. A future time becomes
+// now.
 func (e Elapsed) recentTimes(times []scheduler.Time, now, span scheduler.Time) []scheduler.Time {
 	var recent []scheduler.Time
 	for _, t := range times {
@@ -201,7 +204,7 @@
 	return index
 }
 
-// restoreRecentSends puts sends into the entry of their machine, which it adds where there is none.
+// restoreRecentSends adds sends to the snapshot entry of their machine, and creates the entry if there is none.
 func (r *Restored) restoreRecentSends(index map[scheduler.MachineID]int, sends SlowStartSends, start MachineStart) {
 	i, known := index[sends.Machine]
 	if !known {
--- a/internal/schedulerd/warmstart/restore_test.go
+++ b/internal/schedulerd/warmstart/restore_test.go
@@ -15,8 +15,8 @@
 	window = 3 * sec
 )
 
-// persisted is what a scheduler left at 1,000 s of its clock, 100 s after its system booted: machine m looked like an
-// outlier, was ejected, and was sent to in its slow start.
+// persisted returns the state that a scheduler left at 1,000 s of its clock, 100 s after its system booted. Machine m
+// looked like an outlier, was ejected, and received attempts in its slow start.
 func persisted() Persisted {
 	at := Timestamp{Clock: 1000 * sec, Uptime: 100 * sec, BootID: "b"}
 	return Persisted{
@@ -33,7 +33,7 @@
 	}
 }
 
-// text is messages as a log prints them, each closed by a semicolon.
+// text returns messages as a log prints them, each followed by a semicolon.
 func text(messages []Message) string {
 	var b strings.Builder
 	for _, m := range messages {
@@ -46,22 +46,22 @@
 	return b.String()
 }
 
-// boot is a time of the boot in which the snapshot was taken.
+// boot returns a timestamp of the boot in which the snapshot was taken.
 func boot(clock, uptime scheduler.Time) Timestamp { return Timestamp{clock, uptime, "b"} }
 
-// restoredMachine is what is restored of machine m.
+// restoredMachine is the restored state of machine m.
 type restoredMachine struct {
-	outlier float64 // log odds; -1: nothing of it is restored
+	outlier float64 // log odds; -1: the machine is not restored
 	ejected scheduler.Time
 	sends   int
 }
 
-// outcome is what is restored in all.
+// outcome is the expected result of a restore.
 type outcome struct {
 	machine restoredMachine
-	known   scheduler.Time // the span before now of which all sends are known
-	ratios  bool           // of the traffic classes are restored
-	message string
+	known   scheduler.Time // time before now for which all sends are known
+	ratios  bool           // the loss ratios of the traffic classes are restored
+	message string         // part of the messages
 }
 
 type restoreCase struct {
@@ -75,7 +75,7 @@
 
 var (
 	secondLater = boot(1001*sec, 101*sec)
-	oneSecond   = 4 * math.Exp2(-1.0/60) // what the log odds of m still count for after it
+	oneSecond   = 4 * math.Exp2(-1.0/60) // the log odds of m, weighted after one second
 	afterSecond = restoredMachine{oneSecond, 1004 * sec, 2}
 	nothing     = restoredMachine{outlier: -1}
 )
@@ -94,7 +94,7 @@
 		},
 	},
 	{
-		"so old that it is ignored", boot(1700*sec, 800*sec), nil,
+		"too old to be restored", boot(1700*sec, 800*sec), nil,
 		outcome{nothing, 750 * sec, true, "snapshot restored age_ms=700000 outlier_weight=0 "},
 	},
 	{
@@ -106,18 +106,26 @@
 		outcome{
 			restoredMachine{oneSecond, 4604 * sec, 2},
 			51 * sec, true,
-			"the clock was set since the snapshot, its times are adjusted jump_ms=3600000;",
+			"wall clock was set since the snapshot; times of the snapshot adjusted jump_ms=3600000;",
 		},
 	},
 	{
 		"the clock was set back", boot(901*sec, 101*sec), nil,
-		outcome{restoredMachine{oneSecond, 904 * sec, 2}, 51 * sec, true, "its times are adjusted jump_ms=-100000;"},
+		outcome{
+			restoredMachine{oneSecond, 904 * sec, 2},
+			51 * sec, true,
+			"times of the snapshot adjusted jump_ms=-100000;",
+		},
 	},
 	{
 		"another boot",
 		Timestamp{1060 * sec, 10 * sec, "c"},
 		nil,
-		outcome{restoredMachine{2, 1004 * sec, 0}, 0, true, "are not known, none are made for a window window_ms=3000"},
+		outcome{
+			restoredMachine{2, 1004 * sec, 0},
+			0, true,
+			"slow start unknown; no sends to such machines for one window window_ms=3000",
+		},
 	},
 	{
 		"another boot, the clock went back",
@@ -125,11 +133,11 @@
 		nil,
 		outcome{
 			nothing, 0, false,
-			"the clock went back over a restart of the system, the snapshot is not restored back_ms=100000;",
+			"wall clock went back during a restart of the system; snapshot not restored back_ms=100000;",
 		},
 	},
 	{
-		"a machine that restarted meanwhile", secondLater,
+		"a machine that restarted in between", secondLater,
 		func(_ *Persisted, m map[scheduler.MachineID]MachineStart) { m["m"] = MachineStart{8, 1000 * sec} },
 		outcome{nothing, 51 * sec, true, "slow start restored sends=0"},
 	},
@@ -141,12 +149,16 @@
 	{
 		"other workload classes", secondLater,
 		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.ClassNames[0] = "x" },
-		outcome{afterSecond, 51 * sec, false, "their loss ratios are not restored"},
+		outcome{afterSecond, 51 * sec, false, "loss ratios not restored"},
 	},
 	{
 		"no sends were recorded", secondLater,
 		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.History = LogHistory{} },
-		outcome{restoredMachine{oneSecond, 1004 * sec, 0}, 0, true, "are not known, none are made for a window"},
+		outcome{
+			restoredMachine{oneSecond, 1004 * sec, 0},
+			0, true,
+			"slow start unknown; no sends to such machines for one window",
+		},
 	},
 	{
 		"no snapshot, and a log", secondLater,
@@ -157,7 +169,7 @@
 	},
 	{
 		"an incarnation that has just begun", boot(951*sec, 51*sec),
-		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { // sends of it and of the one before it
+		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { // with sends of the incarnation before it
 			p.TakenAt = p.History.SendsRecordedSince
 			p.Sends[0].Times = []scheduler.Time{946 * sec, 949 * sec, 951 * sec}
 		},
@@ -194,7 +206,7 @@
 	testutil.Expect(t, strings.Contains(messages, tc.want.message), "messages %q", messages)
 }
 
-// Two crashes in a row: what the first lost is not known after the second start.
+// After two crashes in a row, attempts that the first one lost from the log are still counted as missing.
 func TestHistoryKeepsWhatWasLost(t *testing.T) {
 	b1 := func(s scheduler.Time) Timestamp { return Timestamp{1000*sec + s*sec, s * sec, "b1"} }
 	b2 := func(s scheduler.Time) Timestamp { return Timestamp{2000*sec + s*sec, s * sec, "b2"} }
@@ -208,11 +220,11 @@
 		coverage recovery.LogCoverage
 	}{
 		{"the first start", first, b1(5), recovery.LogNone},
-		{"another before any machine has reported", first.Next(b1(9)), b1(5), recovery.LogNone},
-		{"another after", first.WithCompleteLog().Next(b1(9)), b1(5), recovery.LogComplete},
-		{"the system restarted", restarted, b2(3), recovery.LogSynced},
-		{"and the scheduler again", restarted.Next(b2(4)), b2(3), recovery.LogSynced},
-		{"and after all machines have reported", restarted.WithCompleteLog().Next(b2(4)), b2(3), recovery.LogComplete},
+		{"a second start, before any report", first.Next(b1(9)), b1(5), recovery.LogNone},
+		{"a second start, after all reports", first.WithCompleteLog().Next(b1(9)), b1(5), recovery.LogComplete},
+		{"system restarted", restarted, b2(3), recovery.LogSynced},
+		{"system restarted, second start", restarted.Next(b2(4)), b2(3), recovery.LogSynced},
+		{"system restarted, all reports", restarted.WithCompleteLog().Next(b2(4)), b2(3), recovery.LogComplete},
 		{"the clock was set back a minute", first.Next(setBack), movedBack, recovery.LogNone},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
