--- a/internal/adoptions/tracker.go
+++ b/internal/adoptions/tracker.go
@@ -1,23 +1,23 @@
-// Package adoptions tracks containers that a scheduler finds running while attempts wait to be sent. Such a container
-// counts against the spread limit of its service, which the decision on a waiting attempt did not know: the attempt is
-// not sent, and decided again.
+// Package adoptions tracks the containers that a scheduler adopts while attempts wait to be sent. An adopted container
+// counts against the spread limit of its service, but the decision on a waiting attempt was made without it. Such an
+// attempt is not sent, and its request is decided again.
 //
-// It does no I/O and has no clock.
+// The package is pure: no I/O or clock.
 package adoptions
 
 // Tracker records whether containers of a service were adopted since a waiting attempt was decided. It is cleared when
-// no attempt is waiting, so that it has no more entries than services that were adopted meanwhile. The zero value is
-// ready for use.
+// no attempt waits, so that it only has entries for the services with adoptions since then. The zero value is ready for
+// use.
 type Tracker struct {
 	total     int            // adoptions so far
-	byService map[string]int // total after the service's last adoption
-	waiting   int            // attempts
+	byService map[string]int // value of total after the last adoption of the service
+	waiting   int            // number of waiting attempts
 }
 
-// Count is the number of adoptions so far, for a later Since.
+// Count returns the number of adoptions so far, for a later call of Since.
 func (t *Tracker) Count() int { return t.total }
 
-// Adopted takes in that a container of a service was found running.
+// Adopted records that a container of a service was adopted.
 func (t *Tracker) Adopted(service string) {
 	t.total++
 	if t.waiting == 0 {
@@ -29,14 +29,14 @@
 	t.byService[service] = t.total
 }
 
-// Since reports whether containers of a service were adopted after a Count, which was taken for an attempt that is
-// still waiting.
+// Since reports whether containers of a service were adopted after Count had returned count. The attempt for which
+// Count was called must still be waiting.
 func (t *Tracker) Since(service string, count int) bool { return t.byService[service] > count }
 
-// AttemptWaiting takes in an attempt that was decided and is not sent yet.
+// AttemptWaiting records that an attempt was decided and waits to be sent.
 func (t *Tracker) AttemptWaiting() { t.waiting++ }
 
-// AttemptsDone takes in that so many attempts are waiting no more.
+// AttemptsDone records that n attempts no longer wait.
 func (t *Tracker) AttemptsDone(n int) {
 	t.waiting -= n
 	if t.waiting == 0 {
--- a/internal/adoptions/tracker_test.go
+++ b/internal/adoptions/tracker_test.go
@@ -6,7 +6,7 @@
 	"glenport/internal/testutil"
 )
 
-// Adoptions are remembered by service only while an attempt is waiting that they may make stale.
+// Adoptions are kept by service only while an attempt waits whose decision they may outdate.
 func TestAdoptionsAreTrackedWhileAttemptsAreWaiting(t *testing.T) {
 	var tracker Tracker
 	tracker.Adopted("s")
@@ -20,5 +20,5 @@
 	tracker.AttemptsDone(1)
 	testutil.Expect(t, tracker.Since("s", before), "an adoption is forgotten while an attempt is waiting")
 	tracker.AttemptsDone(1)
-	testutil.Expect(t, len(tracker.byService) == 0, "adoptions are remembered though no attempt is waiting")
+	testutil.Expect(t, len(tracker.byService) == 0, "adoptions are kept although no attempt is waiting")
 }
