--- a/internal/machinelist/client.go
+++ b/internal/machinelist/client.go
@@ -1,8 +1,8 @@
-// Package machinelist is the client of the machine list service that the scheduler's and the controller's process have
-// in common. It keeps one connection, notices a service that is silent, has restarted or goes back to an older list,
-// and hands updates to its receiver. When and how often the service is asked is the receiver's to decide.
+// Package machinelist is the client of the machine list service, used by the scheduler and the controller. It keeps one
+// connection, detects a service that is silent, has restarted or returns to an older list, and passes updates to a
+// receiver. The receiver decides when to send requests to the service.
 //
-// A client belongs to one event loop: all of its methods are called on it.
+// A client belongs to one event loop. All its methods must be called on that loop.
 package machinelist
 
 import (
@@ -14,10 +14,10 @@
 	"glenport/internal/protocol"
 )
 
-// peerName stands for the service in log lines.
+// peerName is the name of the service in log lines.
 const peerName = "machine list"
 
-// Faults for which the connection to the service is closed.
+// Errors on which the connection to the service is closed.
 var (
 	errOldList         = errors.New("machine list is older than the last one")
 	errPeerGoodbye     = errors.New("peer said goodbye")
@@ -27,38 +27,38 @@
 	errUnexpectedPeer  = errors.New("unexpected peer")
 )
 
-// Receiver takes what the service sends.
+// Receiver receives the updates from the service.
 type Receiver interface {
-	// ListUpdated takes an update. It follows the last one, or is a full snapshot.
+	// ListUpdated is called with each update, which is a full snapshot or the changes since the last update.
 	ListUpdated(update *protocol.MachineListUpdate)
-	// ListUpdateFailed is called where the service refuses a request, and where the connection ends after one: no
-	// further update comes until the service is asked again.
+	// ListUpdateFailed is called when the service rejects a request, and when the connection ends after a request. No
+	// further update arrives until the next request.
 	ListUpdateFailed()
 }
 
-// Options say which service a client connects to, and as whom.
+// Options configure a Client.
 type Options struct {
 	Address        string
 	Hello          *protocol.Hello // the first frame on each connection
-	MaxOutput      int             // bytes that may wait to be written
+	MaxOutput      int             // maximum number of bytes that wait to be written
 	ConnectTimeout eventloop.Tick
-	SilenceTimeout eventloop.Tick // without a byte from the service, after which the connection is reset
+	SilenceTimeout eventloop.Tick // time without a byte from the service after which the connection is reset
 }
 
-// Client is the connection to the machine list service. It connects at the first request, and again at the first one
-// after a loss.
+// Client is a client of the machine list service. It connects on the first request, and again on the first request
+// after the connection was lost.
 type Client struct {
 	loop               *eventloop.Loop
 	options            Options
 	receiver           Receiver
 	log                *slog.Logger
-	conn               *eventloop.Conn // nil if there is none
+	conn               *eventloop.Conn // nil if not connected
 	reader             protocol.Reader
-	serviceIncarnation uint64 // of the service that sent the version
+	serviceIncarnation uint64 // of the service when it sent version
 	version            int64
 	lastReadAt         eventloop.Tick
 	lastFrameAt        eventloop.Tick // 0: no frame has been received
-	awaitingReply      bool           // a reply or updates are due, so that a closed connection is a failed update
+	awaitingReply      bool           // a reply or updates are expected; closing the connection fails the update
 }
 
 // NewClient returns a client that is not connected.
@@ -66,7 +66,7 @@
 	return &Client{loop: loop, options: options, receiver: receiver, log: log}
 }
 
-// Watch subscribes to updates since the last version, or ends the subscription.
+// Watch subscribes to updates since the last version, or cancels the subscription.
 func (c *Client) Watch(enabled bool) {
 	c.request(&protocol.WatchMachineList{Enabled: enabled, SinceVersion: c.version})
 }
@@ -74,18 +74,18 @@
 // Fetch requests the full list once.
 func (c *Client) Fetch() { c.request(&protocol.FetchMachineList{}) }
 
-// LastVersion is that of the last update; 0: the next update must be the full list.
+// LastVersion returns the version of the last update. If it is 0, the next update must be a full list.
 func (c *Client) LastVersion() int64 { return c.version }
 
-// SinceLastFrame is how long ago the last frame of the service was received; false if none was.
+// SinceLastFrame returns the time since the last frame of the service was received, and whether one has been.
 func (c *Client) SinceLastFrame() (age eventloop.Tick, received bool) {
 	return c.loop.Now() - c.lastFrameAt, c.lastFrameAt > 0
 }
 
-// Conn is the present connection; nil if there is none.
+// Conn returns the present connection, or nil if there is none.
 func (c *Client) Conn() *eventloop.Conn { return c.conn }
 
-// CheckTimeouts resets the connection if the service has been silent for too long.
+// CheckTimeouts resets the connection if the service has been silent for longer than SilenceTimeout.
 func (c *Client) CheckTimeouts(now eventloop.Tick) {
 	silence := now - c.lastReadAt
 	if c.conn != nil && silence > c.options.SilenceTimeout {
@@ -94,7 +94,7 @@
 	}
 }
 
-// request sends a frame to the service, on a new connection if there is none.
+// request sends a frame to the service, and connects first if there is no connection.
 func (c *Client) request(f protocol.Frame) {
 	if c.conn == nil {
 		c.reader, c.lastReadAt = protocol.Reader{}, c.loop.Now()
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// handleHello forgets the version if the service has restarted: updates since a version of an earlier incarnation mean
-// nothing.
+// handleHello resets the version if the service has restarted, because updates cannot continue from a version of an
+// earlier incarnation.
 func (c *Client) handleHello(f *protocol.Hello) error {
 	if f.Role != protocol.RoleMachineList {
 		return fmt.Errorf("%w: %s instead of the machine list", errUnexpectedPeer, f.Role)
--- a/internal/machinelist/client_test.go
+++ b/internal/machinelist/client_test.go
@@ -13,13 +13,13 @@
 	"glenport/internal/testutil/frames"
 )
 
-// result is what a receiver was told: a version, or that an update failed.
+// result is a call of a receiver: the version of an update, or that an update failed.
 type result struct {
 	version int64
 	failed  bool
 }
 
-// received hands on what a client receives.
+// received is a Receiver that sends each call to a channel.
 type received chan result
 
 // ListUpdated implements Receiver.
@@ -30,7 +30,7 @@
 // ListUpdateFailed implements Receiver.
 func (r received) ListUpdateFailed() { r <- result{failed: true} }
 
-// runClient runs a client on a loop of its own until the end of the test.
+// runClient runs a client on its own event loop until the end of the test.
 func runClient(t *testing.T, address string, silenceTimeout eventloop.Tick) (*Client, received) {
 	t.Helper()
 	loop, err := eventloop.New(func() {})
@@ -44,7 +44,7 @@
 	return client, results
 }
 
-// onLoop calls a function on the loop of a client, and waits for its end.
+// onLoop calls a function on the event loop of a client, and waits until it returns.
 func onLoop(client *Client, call func()) {
 	done := make(chan struct{})
 	client.loop.Post(func() {
@@ -54,7 +54,8 @@
 	<-done
 }
 
-// requestAnew resets the connection to the service as if nothing were due on it, and asks on a new one.
+// requestAnew resets the connection to the service as if no reply were expected, and requests updates on a new
+// connection.
 func requestAnew(client *Client) {
 	onLoop(client, func() {
 		if client.conn != nil {
@@ -69,9 +70,10 @@
 	return protocol.NewHello(protocol.RoleMachineList, "list", incarnation)
 }
 
-// serveThreeUpdates sends a full list on the first connection, another update on the second, by a service of the given
-// incarnation, and a full list on every further one. It reports the version since which the third asks for updates:
-// connections are served side by side, so the report of an earlier one may come after it.
+// serveThreeUpdates sends a full list on the first connection, the update second on the second one, and a full list on
+// every further one. From the second connection on, the service has the given incarnation. The version since which the
+// third connection requests updates is sent to third. The versions of earlier connections are not sent, because
+// connections are served concurrently and theirs might arrive later.
 func serveThreeUpdates(
 	t *testing.T,
 	incarnation uint64,
@@ -103,8 +105,8 @@
 	})
 }
 
-// A list that is older than the last one, or of another incarnation of its service, is not applied. The service is
-// asked again, for the full list if it has restarted.
+// A list that is older than the last one, or from another incarnation of the service, is not applied. The next request
+// asks for the full list if the service has restarted.
 func TestOlderMachineListIsNotApplied(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -129,7 +131,7 @@
 	}
 }
 
-// A service that accepts the connection and falls silent is given up, and asked on a new connection.
+// If a service accepts the connection and stays silent, the connection is reset and the next request opens a new one.
 func TestSilentServiceIsGivenUp(t *testing.T) {
 	accepted := make(chan struct{}, 10)
 	address := testutil.ServeUntilEnd(t, func(c net.Conn) {
@@ -164,7 +166,7 @@
 		{"another role", protocol.NewHello(protocol.RoleMachine, "a", 1), errUnexpectedPeer},
 		{"a goodbye", &protocol.Goodbye{Message: "maintenance"}, errPeerGoodbye},
 		{"a frame for machines", &protocol.Probe{Seq: 1}, errUnexpectedFrame},
-		{"a restart", serviceHello(2), errRestarted}, // forgets the version
+		{"a restart", serviceHello(2), errRestarted}, // resets the version
 		{"the first hello of an incarnation without a version", serviceHello(3), nil},
 	} {
 		if err := client.handleFrame(tc.frame); !errors.Is(err, tc.want) {
