--- a/internal/schedulerd/admission/admission.go
+++ b/internal/schedulerd/admission/admission.go
@@ -10,8 +10,8 @@
 	"glenport/scheduler"
 )
 
-// retryAfterWhenFull is the retry-after given to a client that has reached a limit.
-const retryAfterWhenFull = scheduler.Second
+// retryAfterAtLimit is the retry-after given to a client that has reached a limit.
+const retryAfterAtLimit = scheduler.Second
 
 // ClientID identifies a client connection.
 type ClientID uint64
@@ -63,16 +63,16 @@
 // CheckLimits returns a *RejectionError if a further request of a client would exceed a limit.
 func (c *Controller) CheckLimits(client ClientID) error {
 	if c.openRequests >= c.limits.OpenRequests {
-		return whenFull(LimitOpenRequests, c.openRequests)
+		return limitReached(LimitOpenRequests, c.openRequests)
 	}
 	if n := c.openByClient[client]; n >= c.limits.OpenRequestsPerClient {
-		return whenFull(LimitOpenRequestsPerClient, n)
+		return limitReached(LimitOpenRequestsPerClient, n)
 	}
 	return nil
 }
 
-func whenFull(limit Limit, current int) error {
-	return &RejectionError{Cause: &LimitError{Limit: limit, Current: current}, RetryAfter: retryAfterWhenFull}
+func limitReached(limit Limit, current int) error {
+	return &RejectionError{Cause: &LimitError{Limit: limit, Current: current}, RetryAfter: retryAfterAtLimit}
 }
 
 // Open admits a request that is within the limits and counts it as open, or returns a *RejectionError if it is shed.
--- a/internal/schedulerd/admission/admission_test.go
+++ b/internal/schedulerd/admission/admission_test.go
@@ -83,7 +83,7 @@
 	var rejection *RejectionError
 	var limit *LimitError
 	testutil.Require(t, errors.As(err, &rejection) && errors.As(err, &limit), "%v is not a LimitError", err)
-	testutil.Expect(t, limit.Limit == want && rejection.RetryAfter == retryAfterWhenFull,
+	testutil.Expect(t, limit.Limit == want && rejection.RetryAfter == retryAfterAtLimit,
 		"%v, want limit %d", err, want)
 }
 
--- a/internal/schedulerd/overload/limiter.go
+++ b/internal/schedulerd/overload/limiter.go
@@ -81,7 +81,7 @@
 type latencyMean struct {
 	recent   float64
 	baseline float64 // frozen during an overload
-	seen     bool
+	observed bool
 }
 
 // New returns a limiter whose initial limit is config.MaxOpen.
@@ -232,16 +232,16 @@
 func (l *Limiter) observeThroughput() {
 	gap := float64(max(1, l.now-l.lastStartAt))
 	l.lastStartAt = l.now
-	keep := math.Exp(-gap / float64(throughputDecayTime))
-	l.throughput = l.throughput*keep + (1-keep)*float64(scheduler.Second)/gap
+	decay := math.Exp(-gap / float64(throughputDecayTime))
+	l.throughput = l.throughput*decay + (1-decay)*float64(scheduler.Second)/gap
 }
 
 // observeLatency updates the latency means of a class. The baseline is frozen during an overload.
 func (l *Limiter) observeLatency(e RequestStarted) {
 	mean := &l.latency[e.WorkloadClass]
 	sample := float64(e.Elapsed) / float64(max(1, l.config.WorkloadClasses[e.WorkloadClass].LatencyObjective))
-	if !mean.seen {
-		mean.recent, mean.baseline, mean.seen = sample, sample, true
+	if !mean.observed {
+		mean.recent, mean.baseline, mean.observed = sample, sample, true
 	}
 	mean.recent += (sample - mean.recent) / recentLatencyWeight
 	if !l.overloaded {
--- a/internal/schedulerd/overload/snapshot.go
+++ b/internal/schedulerd/overload/snapshot.go
@@ -13,7 +13,7 @@
 func (l *Limiter) Snapshot() Snapshot {
 	s := Snapshot{Limit: l.limit, Throughput: l.throughput}
 	for _, mean := range l.latency {
-		if !mean.seen {
+		if !mean.observed {
 			mean.recent, mean.baseline = unknownLatency, unknownLatency
 		}
 		s.Latency = append(s.Latency, mean.recent)
@@ -35,7 +35,7 @@
 			l.latency[i] = latencyMean{
 				recent:   baseline + weight*(s.Latency[i]-baseline),
 				baseline: baseline,
-				seen:     true,
+				observed: true,
 			}
 		}
 	}
--- a/internal/schedulerd/reconcile/reconciler_test.go
+++ b/internal/schedulerd/reconcile/reconciler_test.go
@@ -384,15 +384,15 @@
 	m.open[r.ID] = r.IdempotencyKey
 }
 
-// reconcilerPair are two reconcilers that are given the same events.
+// reconcilerPair is two reconcilers that are given the same events.
 type reconcilerPair struct {
 	first, second *Reconciler
 	now           scheduler.Time
 }
 
 // handle passes an event to both reconcilers, checks that their actions are equal and returns them.
-func (w *reconcilerPair) handle(t *rapid.T, e Event) []Action {
-	got, other := w.first.Handle(w.now, []Event{e}), w.second.Handle(w.now, []Event{e})
+func (p *reconcilerPair) handle(t *rapid.T, e Event) []Action {
+	got, other := p.first.Handle(p.now, []Event{e}), p.second.Handle(p.now, []Event{e})
 	if describe(got) != describe(other) {
 		t.Fatalf("%v gives %q and %q", e, describe(got), describe(other))
 	}
@@ -400,14 +400,14 @@
 }
 
 // apply updates the model with the actions that follow an event.
-func (m *keyModel) apply(t *rapid.T, w *reconcilerPair, actions []Action) {
+func (m *keyModel) apply(t *rapid.T, pair *reconcilerPair, actions []Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case Admit:
 			m.admit(t, action.Request)
 		case ContainerLost:
 			delete(m.running, action.ID)
-			w.handle(t, ContainerRemoved{action.ID})
+			pair.handle(t, ContainerRemoved{action.ID})
 		}
 	}
 }
