--- a/internal/schedulerd/warmstart/decay.go
+++ b/internal/schedulerd/warmstart/decay.go
@@ -22,7 +22,7 @@
 	LossRatios                       // fraction of attempts that were lost, by traffic class
 	FullRatio                        // fraction of attempts that found no room
 	ConcurrencyLimit                 // the limit of open requests
-	categories
+	categories                       // number of categories
 )
 
 // decay defines how fast each category becomes outdated: its weight halves with each half-life and is 0 from the
--- a/internal/schedulerd/warmstart/ledger.go
+++ b/internal/schedulerd/warmstart/ledger.go
@@ -25,9 +25,9 @@
 
 // SendLedger tracks the sends to machines, so that the slow-start budget of a machine is also enforced across restarts
 // of the scheduler. Sends to a machine in slow start must be recorded in the log before they are made. Sends to other
-// machines are kept in memory for two windows. If a start of the machine is observed late, they may have reached it in
-// slow start and are then recorded. The record of a machine is dropped when its slow start is over or the machine is
-// gone.
+// machines are kept in memory for two windows: if a start of such a machine is observed late, the sends may have
+// reached it in slow start, and are recorded then. The record of a machine is dropped when its slow start is over or
+// the machine is gone.
 type SendLedger struct {
 	slowStartPeriod scheduler.Time
 	window          scheduler.Time
@@ -67,7 +67,7 @@
 	for _, sends := range pending {
 		start, listed := lookup(sends.Machine)
 		switch {
-		case sends.last() <= l.oldest(now):
+		case sends.last() <= l.cutoff(now):
 		case !listed || start.Incarnation != sends.Incarnation:
 			left = append(left, sends)
 		default:
@@ -167,7 +167,7 @@
 func (l *SendLedger) expired(now scheduler.Time, sends *SlowStartSends, lookup MachineLookup) bool {
 	start, listed := lookup(sends.Machine)
 	if !listed { // within two windows the machine may be listed again without a restart
-		return sends.last() <= l.oldest(now)
+		return sends.last() <= l.cutoff(now)
 	}
 	return start.Incarnation != sends.Incarnation || !l.inSlowStart(now, start)
 }
@@ -176,11 +176,11 @@
 	return start.StartedAt != 0 && now < start.StartedAt+l.slowStartPeriod
 }
 
-// oldest returns the time up to which sends are dropped.
-func (l *SendLedger) oldest(now scheduler.Time) scheduler.Time { return now - 2*l.window }
+// cutoff returns the time up to which sends are dropped.
+func (l *SendLedger) cutoff(now scheduler.Time) scheduler.Time { return now - 2*l.window }
 
 func (l *SendLedger) recent(now scheduler.Time, times []scheduler.Time) []scheduler.Time {
-	return after(l.oldest(now), times)
+	return after(l.cutoff(now), times)
 }
 
 // after returns the times that are later than t, from times in order.
--- a/internal/schedulerd/warmstart/ledger_test.go
+++ b/internal/schedulerd/warmstart/ledger_test.go
@@ -8,13 +8,13 @@
 	"glenport/scheduler"
 )
 
-// always returns a lookup by which every machine is listed with this start.
-func always(start MachineStart) MachineLookup {
+// listedWith returns a lookup by which every machine is listed with this start.
+func listedWith(start MachineStart) MachineLookup {
 	return func(scheduler.MachineID) (MachineStart, bool) { return start, true }
 }
 
-// never is a lookup by which no machine is listed.
-func never(scheduler.MachineID) (MachineStart, bool) { return MachineStart{}, false }
+// notListed is a lookup by which no machine is listed.
+func notListed(scheduler.MachineID) (MachineStart, bool) { return MachineStart{}, false }
 
 // Sends to a machine are recorded while it is in slow start, and no longer.
 func TestSendsAreRecordedDuringSlowStart(t *testing.T) {
@@ -30,7 +30,7 @@
 	if _, record := ledger.RecordSend(101*sec, "w", MachineStart{1, 0}); record {
 		t.Error("a send to a machine that started long ago is recorded")
 	}
-	at := always(m)
+	at := listedWith(m)
 	// A restored machine list may not yet name a start to which an earlier incarnation sent attempts. The budget of
 	// the machine must not be spent twice.
 	pending := []SlowStartSends{
@@ -43,7 +43,7 @@
 		left[0].Machine != "n" {
 		t.Errorf("resolved %v, left %v", resolved, left)
 	}
-	if got := ledger.Expire(105*sec+2*window-1, never); len(got) != 0 {
+	if got := ledger.Expire(105*sec+2*window-1, notListed); len(got) != 0 {
 		t.Error("a record expired while its machine may be listed again without a restart")
 	}
 	testutil.Expect(t, len(ledger.Expire(116*sec, at)) == 0, "a record expired in slow start")
@@ -85,13 +85,13 @@
 		{"the record of the last start had expired", func(ledger *SendLedger) {
 			last := MachineStart{7, 85 * sec}
 			ledger.RecordSend(101*sec, "m", last)
-			ledger.Expire(102*sec, always(last))
+			ledger.Expire(102*sec, listedWith(last))
 			ledger.RecordSend(102*sec, "m", last)
 		}, []scheduler.Time{101 * sec, 102 * sec}},
 		{"sent by two incarnations of the scheduler", func(ledger *SendLedger) {
 			ledger.RecordSend(102*sec, "m", before)
 			pending := []SlowStartSends{{"m", 8, []scheduler.Time{101 * sec}}}
-			ledger.ResolvePending(102*sec, pending, always(after))
+			ledger.ResolvePending(102*sec, pending, listedWith(after))
 		}, []scheduler.Time{101 * sec, 102 * sec}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -103,7 +103,7 @@
 			}
 			_, again := ledger.IncarnationObserved(102*sec, "m", after)
 			testutil.Expect(t, !again, "recorded twice")
-			ledger.Expire(102*sec+2*window, always(MachineStart{9, 0}))
+			ledger.Expire(102*sec+2*window, listedWith(MachineStart{9, 0}))
 			if recorded, unrecorded := len(ledger.recorded), len(ledger.unrecorded); recorded+unrecorded != 0 {
 				t.Errorf("after two windows %d records and %d unrecorded entries are left", recorded, unrecorded)
 			}
--- a/internal/schedulerd/warmstart/restore_test.go
+++ b/internal/schedulerd/warmstart/restore_test.go
@@ -74,16 +74,16 @@
 const twoDays = 48 * 3600 * sec
 
 var (
-	secondLater = boot(1001*sec, 101*sec)
-	oneSecond   = 4 * math.Exp2(-1.0/60) // the log odds of m, weighted after one second
-	afterSecond = restoredMachine{oneSecond, 1004 * sec, 2}
-	nothing     = restoredMachine{outlier: -1}
+	secondLater    = boot(1001*sec, 101*sec)
+	decayedOdds    = 4 * math.Exp2(-1.0/60) // the log odds of m, weighted after one second
+	decayedMachine = restoredMachine{decayedOdds, 1004 * sec, 2}
+	notRestored    = restoredMachine{outlier: -1}
 )
 
 var restoreCases = []restoreCase{
 	{
 		"a second later", secondLater, nil,
-		outcome{afterSecond, 51 * sec, true, "slow start restored sends=2 within_ms=6000"},
+		outcome{decayedMachine, 51 * sec, true, "slow start restored sends=2 within_ms=6000"},
 	},
 	{
 		"a minute later", boot(1060*sec, 160*sec), nil,
@@ -95,16 +95,16 @@
 	},
 	{
 		"too old to be restored", boot(1700*sec, 800*sec), nil,
-		outcome{nothing, 750 * sec, true, "snapshot restored age_ms=700000 outlier_weight=0 "},
+		outcome{notRestored, 750 * sec, true, "snapshot restored age_ms=700000 outlier_weight=0 "},
 	},
 	{
 		"two days old", boot(1000*sec+twoDays, 100*sec+twoDays), nil,
-		outcome{nothing, 50*sec + twoDays, true, "snapshot restored age_ms=172800000 outlier_weight=0 "},
+		outcome{notRestored, 50*sec + twoDays, true, "snapshot restored age_ms=172800000 outlier_weight=0 "},
 	},
 	{
 		"the clock was set forward", boot(4601*sec, 101*sec), nil,
 		outcome{
-			restoredMachine{oneSecond, 4604 * sec, 2},
+			restoredMachine{decayedOdds, 4604 * sec, 2},
 			51 * sec, true,
 			"wall clock was set since the snapshot; times of the snapshot adjusted jump_ms=3600000;",
 		},
@@ -112,7 +112,7 @@
 	{
 		"the clock was set back", boot(901*sec, 101*sec), nil,
 		outcome{
-			restoredMachine{oneSecond, 904 * sec, 2},
+			restoredMachine{decayedOdds, 904 * sec, 2},
 			51 * sec, true,
 			"times of the snapshot adjusted jump_ms=-100000;",
 		},
@@ -132,30 +132,30 @@
 		Timestamp{900 * sec, 10 * sec, "c"},
 		nil,
 		outcome{
-			nothing, 0, false,
+			notRestored, 0, false,
 			"wall clock went back during a restart of the system; snapshot not restored back_ms=100000;",
 		},
 	},
 	{
 		"a machine that restarted in between", secondLater,
 		func(_ *Persisted, m map[scheduler.MachineID]MachineStart) { m["m"] = MachineStart{8, 1000 * sec} },
-		outcome{nothing, 51 * sec, true, "slow start restored sends=0"},
+		outcome{notRestored, 51 * sec, true, "slow start restored sends=0"},
 	},
 	{
 		"a machine that is gone", secondLater,
 		func(_ *Persisted, m map[scheduler.MachineID]MachineStart) { delete(m, "m") },
-		outcome{nothing, 51 * sec, true, "slow start restored sends=0"},
+		outcome{notRestored, 51 * sec, true, "slow start restored sends=0"},
 	},
 	{
 		"other workload classes", secondLater,
 		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.ClassNames[0] = "x" },
-		outcome{afterSecond, 51 * sec, false, "loss ratios not restored"},
+		outcome{decayedMachine, 51 * sec, false, "loss ratios not restored"},
 	},
 	{
 		"no sends were recorded", secondLater,
 		func(p *Persisted, _ map[scheduler.MachineID]MachineStart) { p.History = LogHistory{} },
 		outcome{
-			restoredMachine{oneSecond, 1004 * sec, 0},
+			restoredMachine{decayedOdds, 1004 * sec, 0},
 			0, true,
 			"slow start unknown; no sends to such machines for one window",
 		},
@@ -189,7 +189,7 @@
 		tc.change(&p, machines)
 	}
 	r := Restore(tc.now, p, machines, []string{"w", "c"}, window)
-	got := nothing
+	got := notRestored
 	for _, m := range r.Snapshot.Machines {
 		got = restoredMachine{m.OutlierLogOdds, m.EjectedUntil, len(m.RecentSends)}
 		testutil.Expect(t, m.StartedAt == machines[m.Machine].StartedAt, "restored for a start at %d", m.StartedAt)
