--- a/internal/machinelist/client.go
+++ b/internal/machinelist/client.go
@@ -22,7 +22,7 @@
 	errOldList         = errors.New("machine list is older than the last one")
 	errPeerGoodbye     = errors.New("peer said goodbye")
 	errRestarted       = errors.New("machine list service has restarted, a full list is needed")
-	errSilent          = errors.New("no complete frame received")
+	errSilent          = errors.New("no data received")
 	errUnexpectedFrame = errors.New("unexpected frame")
 	errUnexpectedPeer  = errors.New("unexpected peer")
 )
@@ -57,7 +57,7 @@
 	serviceIncarnation uint64 // of the service when it sent version
 	version            int64
 	lastReadAt         eventloop.Tick
-	lastFrameAt        eventloop.Tick // 0: no frame has been received
+	lastFrameAt        eventloop.Tick // 0: no data has been received
 	awaitingReply      bool           // a reply or updates are expected; closing the connection fails the update
 }
 
@@ -77,7 +77,7 @@
 // LastVersion returns the version of the last update. If it is 0, the next update must be a full list.
 func (c *Client) LastVersion() int64 { return c.version }
 
-// SinceLastFrame returns the time since the last frame of the service was received, and whether one has been.
+// SinceLastFrame returns the time since data from the service was last received, and whether any has been.
 func (c *Client) SinceLastFrame() (age eventloop.Tick, received bool) {
 	return c.loop.Now() - c.lastFrameAt, c.lastFrameAt > 0
 }
--- a/internal/machinelist/client_test.go
+++ b/internal/machinelist/client_test.go
@@ -19,23 +19,23 @@
 	failed  bool
 }
 
-// received is a Receiver that sends each call to a channel.
-type received chan result
+// resultReceiver is a Receiver that sends each call to a channel.
+type resultReceiver chan result
 
 // ListUpdated implements Receiver.
-func (r received) ListUpdated(update *protocol.MachineListUpdate) {
+func (r resultReceiver) ListUpdated(update *protocol.MachineListUpdate) {
 	r <- result{version: update.Version}
 }
 
 // ListUpdateFailed implements Receiver.
-func (r received) ListUpdateFailed() { r <- result{failed: true} }
+func (r resultReceiver) ListUpdateFailed() { r <- result{failed: true} }
 
 // runClient runs a client on its own event loop until the end of the test.
-func runClient(t *testing.T, address string, silenceTimeout eventloop.Tick) (*Client, received) {
+func runClient(t *testing.T, address string, silenceTimeout eventloop.Tick) (*Client, resultReceiver) {
 	t.Helper()
 	loop, err := eventloop.New(func() {})
 	testutil.NoError(t, err)
-	results := make(received, 100)
+	results := make(resultReceiver, 100)
 	client := NewClient(loop, Options{
 		Address: address, Hello: protocol.NewHello(protocol.RoleScheduler, "s", 1), MaxOutput: 1 << 20,
 		ConnectTimeout: 10 * eventloop.Second, SilenceTimeout: silenceTimeout,
@@ -54,9 +54,9 @@
 	<-done
 }
 
-// requestAnew resets the connection to the service as if no reply were expected, and requests updates on a new
+// reconnectAndWatch resets the connection to the service as if no reply were expected, and requests updates on a new
 // connection.
-func requestAnew(client *Client) {
+func reconnectAndWatch(client *Client) {
 	onLoop(client, func() {
 		if client.conn != nil {
 			client.awaitingReply = false
@@ -122,7 +122,7 @@
 			address := serveThreeUpdates(t, tc.incarnation, &tc.update, third)
 			client, results := runClient(t, address, 10*eventloop.Second)
 			for i, want := range []result{{version: 5}, {failed: true}, {version: 7}} {
-				requestAnew(client)
+				reconnectAndWatch(client)
 				got := testutil.Receive(t, results)
 				testutil.Require(t, got == want, "request %d: %+v, want %+v", i+1, got, want)
 			}
@@ -132,7 +132,7 @@
 }
 
 // If a service accepts the connection and stays silent, the connection is reset and the next request opens a new one.
-func TestSilentServiceIsGivenUp(t *testing.T) {
+func TestSilentConnectionIsReset(t *testing.T) {
 	accepted := make(chan struct{}, 10)
 	address := testutil.ServeUntilEnd(t, func(c net.Conn) {
 		accepted <- struct{}{}
