--- a/internal/schedulerd/admission/admission.go
+++ b/internal/schedulerd/admission/admission.go
@@ -1,5 +1,5 @@
 // Package admission decides which clients and placement requests the scheduler accepts on its listener. It owns the
-// numbers of open requests, in total and by client, and the limiter that sheds load. The package is pure: no I/O, clock
+// counts of open requests, in total and by client, and the limiter that sheds load. The package is pure: no I/O, clock
 // or goroutine.
 package admission
 
--- a/internal/schedulerd/overload/doc.go
+++ b/internal/schedulerd/overload/doc.go
@@ -7,7 +7,7 @@
 //
 //   - An adaptive concurrency limit sheds requests at once if their containers could not start in time. Classes of
 //     lower priority weight are shed first.
-//   - A retry budget limits client retries to a fraction of the first requests.
+//   - A retry budget limits client retries to a fraction of first-time requests.
 //   - A scheduled retry-after assigns each shed request a slot in a queue that advances at the observed throughput, so
 //     that clients return one after another instead of all at once.
 package overload
--- a/internal/schedulerd/overload/events.go
+++ b/internal/schedulerd/overload/events.go
@@ -62,7 +62,7 @@
 // Reasons for shedding a request.
 const (
 	ReasonLimitReached     Reason = iota + 1 // more requests are open than the limit allows for this priority weight
-	ReasonRetryBudgetSpent                   // client retries exceed their fraction of first requests
+	ReasonRetryBudgetSpent                   // client retries exceed their fraction of first-time requests
 	ReasonHeavyHitter                        // the client sends many times more than the mean of the other clients
 )
 
--- a/internal/schedulerd/overload/limiter.go
+++ b/internal/schedulerd/overload/limiter.go
@@ -18,7 +18,7 @@
 	limitUpdateInterval      = 200 * scheduler.Millisecond // minimum time between two changes of the limit
 	minLimit                 = 8                           // lower bound of the limit, in open requests
 	minLimitShare            = 0.5                         // fraction of the limit open to a class of priority weight 0
-	retryBudgetRatio         = 0.2                         // retry tokens earned by each first request
+	retryBudgetRatio         = 0.2                         // retry tokens earned by each first-time request
 	maxRetryTokens           = 50                          // retry tokens that can accumulate
 	overloadEndsAfter        = 5 * scheduler.Second        // without a shed request
 	minRetryAfter            = 200 * scheduler.Millisecond
--- a/internal/schedulerd/overload/limiter_test.go
+++ b/internal/schedulerd/overload/limiter_test.go
@@ -142,7 +142,7 @@
 	testutil.Expect(t, most <= len(all)/3, "%d of %d return in one half second", most, len(all))
 }
 
-// Without a budget client retries would crowd out first requests.
+// Without a budget client retries would crowd out first-time requests.
 func TestClientRetriesHaveABudget(t *testing.T) {
 	limiter, now := overloadedLimiter(t)
 	for ok := true; ok; { // until the limit is reached
@@ -154,11 +154,11 @@
 		if ok, _ := request(t, limiter, now, RequestReceived{Client: strconv.Itoa(retries), ClientRetry: true}); ok {
 			retries++
 		} else if ok, s := request(t, limiter, now, RequestReceived{Client: fmt.Sprint("f", i%50)}); !ok {
-			t.Fatalf("a first request is shed where a retry would have been admitted: %+v", s)
+			t.Fatalf("a first-time request is shed where a retry would have been admitted: %+v", s)
 		}
 	}
 	if most := maxRetryTokens + 1000*retryBudgetRatio; float64(retries) > most {
-		t.Errorf("%d client retries were admitted beside 1000 first requests; open %d, limit %.0f, tokens %.1f",
+		t.Errorf("%d client retries were admitted beside 1000 first-time requests; open %d, limit %.0f, tokens %.1f",
 			retries, limiter.Open(), limiter.Limit(), limiter.retryTokens)
 	}
 }
--- a/internal/schedulerd/reconcile/containers.go
+++ b/internal/schedulerd/reconcile/containers.go
@@ -138,9 +138,9 @@
 	r.handleUnexpectedAttempt(a)
 }
 
-// handleUnexpectedAttempt decides what to do with an attempt that runs although it was given up. If it is idempotent, it is
-// cancelled: its container was placed elsewhere or its request was answered, so the copy would occupy room that no
-// client needs. If it must not run twice, it is adopted once the request of its container is closed, unless the
+// handleUnexpectedAttempt decides what to do with an attempt that runs although it was given up. If it is idempotent,
+// it is cancelled: its container was placed elsewhere or its request was answered, so the copy would occupy room that
+// no client needs. If it must not run twice, it is adopted once the request of its container is closed, unless the
 // container has been placed by another attempt.
 func (r *Reconciler) handleUnexpectedAttempt(a Attempt) {
 	c := r.containers.byID[a.Request.ID]
--- a/internal/schedulerd/reconcile/reconciler_test.go
+++ b/internal/schedulerd/reconcile/reconciler_test.go
@@ -285,7 +285,9 @@
 		{"a machine that could not be connected is tried again", []any{
 			listed, connectFailed, 2100 * ms, timerFired,
 		}, "connect m"},
-		{"a machine that has left is not", []any{listed, connectFailed, machineGone, 5100 * ms, timerFired}, ""},
+		{"a machine that has left the list is not tried again", []any{
+			listed, connectFailed, machineGone, 5100 * ms, timerFired,
+		}, ""},
 
 		{"earlier incarnation, running", []any{report(attempt(0, 4, 7, true))}, "adopt a"},
 		{"earlier incarnation, waiting: adopted until it has ended", []any{
--- a/internal/schedulerd/reconcile/reconnects.go
+++ b/internal/schedulerd/reconcile/reconnects.go
@@ -36,8 +36,8 @@
 // end drops a machine that is connected, given up, or without containers.
 func (r reconnects) end(machine scheduler.MachineID) { delete(r, machine) }
 
-// retryWithoutCounting schedules a new attempt after one that was not made because this process had no file descriptors left. That
-// one does not count.
+// retryWithoutCounting schedules a new attempt after one that was not made because this process had no file descriptors
+// left. That one does not count.
 func (r reconnects) retryWithoutCounting(machine scheduler.MachineID, now scheduler.Time) {
 	if pending := r[machine]; pending != nil {
 		pending.attempts--
--- a/internal/schedulerd/reconcile/requests.go
+++ b/internal/schedulerd/reconcile/requests.go
@@ -127,7 +127,12 @@
 		return
 	}
 	if c != nil {
-		r.reject(e.Client, e.ID, &KeyInUseError{Key: e.IdempotencyKey, ID: c.id, State: KeyPlacingOrTerminating}, retryAfter)
+		r.reject(
+			e.Client,
+			e.ID,
+			&KeyInUseError{Key: e.IdempotencyKey, ID: c.id, State: KeyPlacingOrTerminating},
+			retryAfter,
+		)
 		return
 	}
 	if err := r.tracker.CheckKey(e.IdempotencyKey); err != nil {
