--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -5,7 +5,7 @@
 // This file follows containers from the request to the outcome. A container has an attempt out or is answered in the
 // batch in which it becomes unplaced: none waits.
 
-func (s *Scheduler) requestReceived(e RequestReceived) {
+func (s *Scheduler) handleRequestReceived(e RequestReceived) {
 	if c := s.register(e.PlacementRequest); c != nil {
 		s.unplaced = append(s.unplaced, c)
 	} else {
@@ -13,7 +13,7 @@
 	}
 }
 
-func (s *Scheduler) containerAdopted(e ContainerAdopted) {
+func (s *Scheduler) handleContainerAdopted(e ContainerAdopted) {
 	c := s.register(e.PlacementRequest)
 	if c == nil {
 		return
@@ -32,7 +32,7 @@
 	return c
 }
 
-func (s *Scheduler) containerRemoved(e ContainerRemoved) {
+func (s *Scheduler) handleContainerRemoved(e ContainerRemoved) {
 	if c := s.containers.find(e.ID); c != nil {
 		s.containers.close(c)
 	}
@@ -81,7 +81,7 @@
 // respond answers the client: a rejection where a retry by it does no harm, else a failure. An attempt that has no
 // outcome may run.
 func (s *Scheduler) respond(c *container) {
-	c.recordUnfinishedRun()
+	c.recordRunWithoutOutcome()
 	if c.clientRetryIsSafe() {
 		s.actions.emit(Reject{ID: c.request.ID})
 	} else {
@@ -91,7 +91,7 @@
 	s.containers.close(c)
 }
 
-func (s *Scheduler) attemptAccepted(e AttemptAccepted) {
+func (s *Scheduler) handleAttemptAccepted(e AttemptAccepted) {
 	if c := s.containers.findPlaced(e.ID); c != nil {
 		c.accept()
 		s.outcomes.recordAccepted(c, s.now)
@@ -99,9 +99,9 @@
 	}
 }
 
-func (s *Scheduler) usageReported(e UsageReported) {
+func (s *Scheduler) handleUsageReported(e UsageReported) {
 	if c := s.containers.findPlaced(e.ID); c != nil {
-		c.machine.contact.heard(s.now)
+		c.machine.contact.recordContact(s.now)
 		if e.Metric == MetricRunning {
 			s.latency.recordRunning(c, s.now)
 		}
@@ -109,21 +109,21 @@
 	}
 }
 
-// attemptEnded takes in the one outcome of an attempt. Where it is not final the container is placed again: an outcome
+// handleAttemptEnded takes in the one outcome of an attempt. Where it is not final the container is placed again: an outcome
 // that an acceptance crossed is not, as the client still waits.
-func (s *Scheduler) attemptEnded(e AttemptEnded) {
+func (s *Scheduler) handleAttemptEnded(e AttemptEnded) {
 	c := s.containers.findPlaced(e.ID)
 	if c == nil {
 		return
 	}
 	attempt := s.containers.endAttempt(c)
-	if attempt.isOfThisIncarnation() {
+	if attempt.isOfCurrentIncarnation() {
 		s.outcomes.recordEnded(attempt, e, s.now)
 	}
 	if mayHaveRun(e.Outcome) {
 		c.recordPossibleRun(attempt.machine, attempt.sentAt)
 	}
-	if c.refusedByDraining(e.Reason) {
+	if c.indicatesDrain(e.Reason) {
 		s.outcomes.recordSelfDraining(attempt.machine, s.now)
 	}
 	c.exclude(attempt.machine)
--- a/scheduler/attempts_test.go
+++ b/scheduler/attempts_test.go
@@ -40,7 +40,7 @@
 			if !sameType(lastAction(got), tc.want) {
 				t.Errorf("%T, want %T", lastAction(got), tc.want)
 			}
-			next := startedOn(got)
+			next := attemptMachine(got)
 			if next == "" {
 				return
 			}
@@ -105,7 +105,7 @@
 
 // A container whose run time passed before it was accepted is answered at once, by what may have run, and is no
 // evidence against a machine.
-func TestRunTimePassedUnacceptedIsAnsweredAtOnce(t *testing.T) {
+func TestContainerFinishedBeforeAcceptanceIsAnsweredAtOnce(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		idempotency Idempotency
@@ -122,8 +122,8 @@
 			at := submit(s, Second, "x", "s")
 			actions := s.Handle(2*Second, []Event{AttemptEnded{ID: "x", Machine: at, Outcome: OutcomeFinished}})
 			testutil.Expect(t, len(actions) == 1 && actions[0] == tc.want, "%v, want %v", actions, tc.want)
-			if m := s.machines.find(at); m.outlier.logOdds > 0 || m.contact.lastHeardAt != 2*Second {
-				t.Errorf("log odds %.1f, heard at %d", m.outlier.logOdds, m.contact.lastHeardAt)
+			if m := s.machines.find(at); m.outlier.logOdds > 0 || m.contact.lastContactAt != 2*Second {
+				t.Errorf("log odds %.1f, heard at %d", m.outlier.logOdds, m.contact.lastContactAt)
 			}
 			testutil.Expect(t, len(s.containers.containers) == 0, "the container is kept")
 		})
--- a/scheduler/capacity.go
+++ b/scheduler/capacity.go
@@ -4,14 +4,14 @@
 
 // capacityModel measures capacities in containers of mean size.
 type capacityModel struct {
-	loadIsKnown bool // both the use by own containers and all requests are
-	mean        resources
+	knowsLoad bool // both the use by own containers and all requests are
+	mean      resources
 }
 
 func newCapacityModel(config *Config) capacityModel {
 	return capacityModel{
-		loadIsKnown: config.UsageReports && config.ListTracksRequests,
-		mean:        resources{cores: config.MeanCores, memory: config.MeanMemory},
+		knowsLoad: config.UsageReports && config.ListTracksRequests,
+		mean:      resources{cores: config.MeanCores, memory: config.MeanMemory},
 	}
 }
 
@@ -22,7 +22,7 @@
 }
 
 func (c *capacityModel) extraneousLoad(m *machine) float64 {
-	if !c.loadIsKnown {
+	if !c.knowsLoad {
 		return 0
 	}
 	extraneous := m.useBeyondRequests()
--- a/scheduler/container.go
+++ b/scheduler/container.go
@@ -61,8 +61,8 @@
 	silent    bool // nothing was heard of the machine since the attempt was sent
 }
 
-// isOfThisIncarnation is false for attempts that tell nothing of the machine as it is now.
-func (a endedAttempt) isOfThisIncarnation() bool { return a.sentAt >= a.machine.listing.startedAt }
+// isOfCurrentIncarnation is false for attempts that tell nothing of the machine as it is now.
+func (a endedAttempt) isOfCurrentIncarnation() bool { return a.sentAt >= a.machine.listing.startedAt }
 
 func (c *container) requested() resources {
 	return resources{cores: c.request.Cores, memory: c.request.Memory}
@@ -102,8 +102,8 @@
 	}
 }
 
-// recordUnfinishedRun counts an attempt that has no outcome as one that may have run.
-func (c *container) recordUnfinishedRun() {
+// recordRunWithoutOutcome counts an attempt that has no outcome as one that may have run.
+func (c *container) recordRunWithoutOutcome() {
 	if c.firstRun.machine == nil {
 		c.firstRun.machine = c.machine
 	}
@@ -144,9 +144,9 @@
 	}
 }
 
-// refusedByDraining holds for a machine that sends containers away, or does not know one that can run nowhere
+// indicatesDrain holds for a machine that sends containers away, or does not know one that can run nowhere
 // else. Either comes before the machine list has the drain.
-func (c *container) refusedByDraining(reason Reason) bool {
+func (c *container) indicatesDrain(reason Reason) bool {
 	neverRan := c.firstRun.machine == nil && !c.request.ClientRetry
 	return reason == ReasonDrained || reason == ReasonWrongMachine && neverRan
 }
--- a/scheduler/containerregistry.go
+++ b/scheduler/containerregistry.go
@@ -36,7 +36,7 @@
 
 // add returns nil for a workload class that the configuration does not have.
 func (r *containerRegistry) add(request PlacementRequest) *container {
-	c := r.hypothetical(request)
+	c := r.newUnregistered(request)
 	if c == nil {
 		return nil
 	}
@@ -46,9 +46,9 @@
 	return c
 }
 
-// hypothetical returns a container that is not registered, for questions about a request; nil for a workload class
+// newUnregistered returns a container that is not registered, for questions about a request; nil for a workload class
 // that the configuration does not have.
-func (r *containerRegistry) hypothetical(request PlacementRequest) *container {
+func (r *containerRegistry) newUnregistered(request PlacementRequest) *container {
 	if request.WorkloadClass >= len(r.classes) {
 		return nil
 	}
--- a/scheduler/draw.go
+++ b/scheduler/draw.go
@@ -39,8 +39,8 @@
 	variate float64
 }
 
-// losesTo reports whether a machine of a level, which is not above the candidate's, takes its place.
-func (b candidate) losesTo(level suspicionLevel, v variate) bool {
+// isWorseThan reports whether a machine of a level, which is not above the candidate's, takes its place.
+func (b candidate) isWorseThan(level suspicionLevel, v variate) bool {
 	if level == b.level && v.exceeds(b.variate) {
 		return false
 	}
@@ -66,7 +66,7 @@
 		if level > best.level || !d.eligibility.allows(c, m, now) {
 			continue
 		}
-		if v := d.variate(c, m, bucket, now); best.losesTo(level, v) {
+		if v := d.variate(c, m, bucket, now); best.isWorseThan(level, v) {
 			best = candidate{machine: m, level: level, variate: v.value()}
 		}
 	}
@@ -88,7 +88,7 @@
 // same reason it shrinks as attempts find no room, to nothing where load is shed.
 func (d *maxCapDraw) firstBucketShare(c *container, now Time) float64 {
 	late := min(1, virtualBuckets*d.latency.lateRatio(c))
-	return math.Pow(late, concentrationExponent) * max(0, 1-d.shedder.fullShare(now)/sheddingThreshold)
+	return math.Pow(late, concentrationExponent) * max(0, 1-d.shedder.currentFullRatio(now)/sheddingThreshold)
 }
 
 // variate is an exponential random number that a hash gives to a machine, with the machine's weight as its rate: the
@@ -108,7 +108,7 @@
 
 func (d *maxCapDraw) variate(c *container, m *machine, bucket uint64, now Time) variate {
 	rate := d.capacities.honored(m)
-	if share := d.slowStart.share(m, now); share < 1 {
+	if share := d.slowStart.schedulerShare(m, now); share < 1 {
 		bucket = c.service.hash // a single bucket: few services, which stay warm
 		rate /= share
 	}
--- a/scheduler/draw_test.go
+++ b/scheduler/draw_test.go
@@ -63,7 +63,7 @@
 }
 
 // The bound that saves the logarithm never leaves out a machine that would win.
-func TestBoundOfVariateIsNeverAboveItsValue(t *testing.T) {
+func TestVariateNeverExceedsItsOwnValue(t *testing.T) {
 	generator := pcg{1}
 	for _, rate := range []float64{1e-12, 0.02, 1, 40, 1e12, math.Inf(1)} {
 		for shift := range 54 * 100 { // down to the least numbers that the generator gives, and 0
--- a/scheduler/eligibility.go
+++ b/scheduler/eligibility.go
@@ -13,8 +13,8 @@
 	slowStartExhausted
 )
 
-// lasts reports whether the obstacle is in the machine itself, and does not pass with time or other containers.
-func (o obstacle) lasts() bool {
+// isPermanent reports whether the obstacle is in the machine itself, and does not pass with time or other containers.
+func (o obstacle) isPermanent() bool {
 	return o == wrongMachineType || o == notServing || o == tooSmall
 }
 
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -9,8 +9,8 @@
 // Explain counts the machines by the first obstacle that keeps a request from them, as of the last batch. The
 // room by the machine list is one of them. It changes no decision.
 func (s *Scheduler) Explain(r PlacementRequest) Explanation {
-	explanation := Explanation{SheddingLoad: s.shedder.isShedding(s.now), FullRatio: s.shedder.fullShare(s.now)}
-	c := s.containers.hypothetical(r)
+	explanation := Explanation{SheddingLoad: s.shedder.isShedding(s.now), FullRatio: s.shedder.currentFullRatio(s.now)}
+	c := s.containers.newUnregistered(r)
 	if c == nil {
 		return explanation
 	}
@@ -20,15 +20,15 @@
 			continue
 		}
 		explanation.Machines++
-		*s.explainer.countFor(&explanation, c, m, s.now)++
+		*s.explainer.counterFor(&explanation, c, m, s.now)++
 	}
 	return explanation
 }
 
-// countFor returns the count that a machine falls under. A lack of room comes before passing obstacles.
-func (e *explainer) countFor(x *Explanation, c *container, m *machine, now Time) *int {
+// counterFor returns the count that a machine falls under. A lack of room comes before passing obstacles.
+func (e *explainer) counterFor(x *Explanation, c *container, m *machine, now Time) *int {
 	first := e.eligibility.firstObstacle(c, m, now)
-	if first.lasts() {
+	if first.isPermanent() {
 		return obstacleCount(x, first)
 	}
 	switch e.eligibility.shortageFor(c, m) {
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -62,11 +62,11 @@
 
 // submit requests a container and returns the machine of its first attempt.
 func submit(s *Scheduler, now Time, id ContainerID, service string) MachineID {
-	return startedOn(s.Handle(now, []Event{RequestReceived{smallRequest(id, service, now+6*Second)}}))
+	return attemptMachine(s.Handle(now, []Event{RequestReceived{smallRequest(id, service, now+6*Second)}}))
 }
 
-// startedOn returns the machine of the attempt that the actions end with, if they do.
-func startedOn(actions []Action) MachineID {
+// attemptMachine returns the machine of the attempt that the actions end with, if they do.
+func attemptMachine(actions []Action) MachineID {
 	attempt, _ := lastAction(actions).(StartAttempt)
 	return attempt.Machine
 }
--- a/scheduler/listpoller.go
+++ b/scheduler/listpoller.go
@@ -33,20 +33,20 @@
 	p.pollAt = now + p.random.jitter(p.delay)
 }
 
-// pollAnswered ends the poll that is due.
-func (p *listPoller) pollAnswered() {
+// recordAnswer ends the poll that is due.
+func (p *listPoller) recordAnswer() {
 	p.pollAt = 0
 	p.resetDelay()
 }
 
-// pollFailed repeats the poll, as the watch may be lost too.
-func (p *listPoller) pollFailed(now Time) {
+// recordFailure repeats the poll, as the watch may be lost too.
+func (p *listPoller) recordFailure(now Time) {
 	p.schedule(now)
 	p.delay = min(2*p.delay, p.resyncInterval)
 }
 
-// takeDue reports whether a poll is to be sent now, and counts it as sent.
-func (p *listPoller) takeDue(now Time) bool {
+// takeDuePoll reports whether a poll is to be sent now, and counts it as sent.
+func (p *listPoller) takeDuePoll(now Time) bool {
 	if p.pollAt <= 0 || now < p.pollAt {
 		return false
 	}
--- a/scheduler/listpoller_test.go
+++ b/scheduler/listpoller_test.go
@@ -121,11 +121,11 @@
 	p.resetDelay()
 	for i, want := range []Time{300 * Millisecond, 600 * Millisecond, Second, Second} {
 		testutil.Expect(t, p.delay == want, "after %d failures the delay is %d, want %d", i, p.delay, want)
-		p.pollFailed(0)
-		testutil.Expect(t, !p.takeDue(0) && p.takeDue(want+Millisecond) && !p.takeDue(want+Millisecond),
+		p.recordFailure(0)
+		testutil.Expect(t, !p.takeDuePoll(0) && p.takeDuePoll(want+Millisecond) && !p.takeDuePoll(want+Millisecond),
 			"after %d failures the poll does not come once within its delay", i+1)
 	}
-	if p.pollAnswered(); p.delay != 300*Millisecond || p.takeDue(Second) {
+	if p.recordAnswer(); p.delay != 300*Millisecond || p.takeDuePoll(Second) {
 		t.Errorf("after an answer the delay is %d", p.delay)
 	}
 }
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -67,8 +67,8 @@
 	return use
 }
 
-// isReferredTo reports whether a container is on the machine or excludes it.
-func (m *machine) isReferredTo() bool { return m.load.reservations+m.exclusions > 0 }
+// isReferenced reports whether a container is on the machine or excludes it.
+func (m *machine) isReferenced() bool { return m.load.reservations+m.exclusions > 0 }
 
 // sharesScope reports whether two machines lie in one place; one that no list has named lies in no known place.
 func (m *machine) sharesScope(o *machine, scope Scope) bool {
--- a/scheduler/machineregistry.go
+++ b/scheduler/machineregistry.go
@@ -110,7 +110,7 @@
 // count if they came back in the same incarnation.
 func (r *machineRegistry) evictGone(now Time) {
 	r.ordered = slices.DeleteFunc(r.ordered, func(m *machine) bool {
-		if m.listing.state != MachineGone || m.isReferredTo() || len(r.slowStart.recentSends(m, now)) > 0 {
+		if m.listing.state != MachineGone || m.isReferenced() || len(r.slowStart.recentSends(m, now)) > 0 {
 			return false
 		}
 		delete(r.byID, m.id)
--- a/scheduler/outcomes.go
+++ b/scheduler/outcomes.go
@@ -13,7 +13,7 @@
 
 // recordAccepted counts in favor of the container's machine, and against those where it failed before.
 func (r *outcomeRecorder) recordAccepted(c *container, now Time) {
-	c.machine.contact.heard(now)
+	c.machine.contact.recordContact(now)
 	r.attributeFailures(c, now)
 	r.shedder.recordRoom(now)
 	r.outliers.recordSuccess(c.machine)
@@ -25,7 +25,7 @@
 	unanswered := a.silent && !a.accepted
 	switch e.Outcome {
 	case OutcomeFinished:
-		a.machine.contact.heard(now)
+		a.machine.contact.recordContact(now)
 	case OutcomeFull:
 		r.recordFull(a, e.Reason, now)
 	case OutcomeConnectFailed:
@@ -52,7 +52,7 @@
 // recordFull counts a refusal as a sign of life. Without a reason, though the list has room, it is a loss of the
 // container's traffic classes.
 func (r *outcomeRecorder) recordFull(a endedAttempt, reason Reason, now Time) {
-	a.machine.contact.heard(now)
+	a.machine.contact.recordContact(now)
 	if reason == ReasonNoCores || reason == ReasonNoMemory {
 		r.shedder.recordNoRoom(a.container, now)
 	}
--- a/scheduler/outlierdetection_test.go
+++ b/scheduler/outlierdetection_test.go
@@ -117,7 +117,7 @@
 					'e': AttemptEnded{ID: "x", Attempt: i, Machine: at, Outcome: OutcomeErrored},
 					'f': AttemptEnded{ID: "x", Attempt: i, Machine: at, Outcome: OutcomeFull, Reason: ReasonNoMemory},
 				}[outcome]
-				at = startedOn(s.Handle(Second+Time(i+1), []Event{e}))
+				at = attemptMachine(s.Handle(Second+Time(i+1), []Event{e}))
 			}
 			got := countSuspects(s)
 			testutil.Expect(t, got == tc.suspects, "evidence against %d machines, want %d", got, tc.suspects)
@@ -137,7 +137,7 @@
 }
 
 // Outcomes of attempts and probes that went to an earlier incarnation tell nothing of the one that is listed now.
-func TestEarlierIncarnationIsNoEvidence(t *testing.T) {
+func TestOutcomesOfEarlierIncarnationAreIgnored(t *testing.T) {
 	probeTimedOut := ProbeCompleted{Machine: "a", Outcome: OutcomeTimedOut}
 	for _, tc := range []struct {
 		name   string
--- a/scheduler/policy_test.go
+++ b/scheduler/policy_test.go
@@ -37,7 +37,7 @@
 }
 
 // The decisions are read aloud in reviews: the deploy file names all of their files, and no other.
-func TestEveryFileIsPolicyOrWithoutDecisions(t *testing.T) {
+func TestEachFileIsListedAsPolicyOrWithoutDecisions(t *testing.T) {
 	policy := policyFiles(t)
 	all, err := filepath.Glob("*.go")
 	testutil.NoError(t, err)
--- a/scheduler/probing.go
+++ b/scheduler/probing.go
@@ -7,14 +7,14 @@
 
 // contact is when a machine was heard of, and the probe that is out to it.
 type contact struct {
-	lastHeardAt Time
-	probeSentAt Time // 0: no probe is out
+	lastContactAt Time
+	probeSentAt   Time // 0: no probe is out
 }
 
-func (c *contact) heard(now Time) { c.lastHeardAt = now }
+func (c *contact) recordContact(now Time) { c.lastContactAt = now }
 
 // silentSince reports whether the machine was not heard of since a time.
-func (c *contact) silentSince(at Time) bool { return c.lastHeardAt < at }
+func (c *contact) silentSince(at Time) bool { return c.lastContactAt < at }
 
 // endProbe returns when the probe that is out was sent, and 0 if none was.
 func (c *contact) endProbe() Time {
@@ -26,7 +26,7 @@
 // prober probes machines whose ejection time is over, and those that are silent. A probe that is answered readmits an
 // ejected machine; one that is not counts as a failure.
 type prober struct {
-	allowed   bool // else ejected machines are readmitted without a probe
+	enabled   bool // else ejected machines are readmitted without a probe
 	slowStart *slowStartLimiter
 	outliers  *outlierDetector
 	actions   *actionBuffer
@@ -38,7 +38,7 @@
 		suspect := ejectionOver || !m.outlier.isEjected() && silent[m]
 		switch {
 		case m.listing.state != MachineServing || m.contact.probeSentAt > 0 || !suspect:
-		case !p.allowed:
+		case !p.enabled:
 			if ejectionOver {
 				p.outliers.readmit(m)
 			}
@@ -54,14 +54,14 @@
 	p.actions.emit(Probe{Machine: m.id})
 }
 
-// completed takes in the answer to a probe. One that went to an earlier incarnation tells nothing, and one that could
+// recordResult takes in the answer to a probe. One that went to an earlier incarnation tells nothing, and one that could
 // not be sent is this scheduler's own fault.
-func (p *prober) completed(m *machine, outcome Outcome, now Time) {
+func (p *prober) recordResult(m *machine, outcome Outcome, now Time) {
 	sentAt := m.contact.endProbe()
 	switch {
 	case sentAt < m.listing.startedAt:
 	case outcome == OutcomeFinished:
-		m.contact.heard(now)
+		m.contact.recordContact(now)
 		if m.outlier.isEjected() {
 			p.outliers.readmit(m)
 		}
--- a/scheduler/registries_test.go
+++ b/scheduler/registries_test.go
@@ -20,7 +20,7 @@
 	return strings.Join(names, " ")
 }
 
-func TestMachineRegistryKeepsWhatIsReferredTo(t *testing.T) {
+func TestMachineRegistryKeepsReferencedMachines(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		setup func(r *machineRegistry)
@@ -71,7 +71,7 @@
 		"left: %+v, tenants %v, %d containers, %d services", m.load, quotas.cores, len(r.containers), len(r.services))
 }
 
-func TestDeadlinesAreFoundByIDAndTheNextAhead(t *testing.T) {
+func TestDeadlinesWithinReturnsOverdueByIDAndNextDeadline(t *testing.T) {
 	config := testConfig(Idempotent)
 	r := newContainerRegistry(config.WorkloadClasses, newTenantQuotas(nil))
 	for id, deadline := range map[ContainerID]Time{"c": 10, "a": 20, "b": 40, "d": 50, "e": 900} {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -58,7 +58,7 @@
 		latency:    latency,
 		poller:     newListPoller(&config, random),
 		prober: &prober{
-			allowed:   config.ProbesAllowed,
+			enabled:   config.ProbesAllowed,
 			slowStart: slowStart,
 			outliers:  outliers,
 			actions:   actions,
@@ -89,7 +89,7 @@
 func (s *Scheduler) Handle(now Time, events []Event) []Action {
 	s.beginBatch(now)
 	if !s.slowStart.hasStarted() {
-		s.begin()
+		s.initialize()
 	}
 	for _, e := range events {
 		s.apply(e)
@@ -112,28 +112,28 @@
 func (s *Scheduler) apply(e Event) {
 	switch e := e.(type) {
 	case MachineListUpdate:
-		s.machineListUpdated(e)
+		s.handleMachineListUpdate(e)
 	case RequestReceived:
-		s.requestReceived(e)
+		s.handleRequestReceived(e)
 	case ContainerAdopted:
-		s.containerAdopted(e)
+		s.handleContainerAdopted(e)
 	case AttemptAccepted:
-		s.attemptAccepted(e)
+		s.handleAttemptAccepted(e)
 	case UsageReported:
-		s.usageReported(e)
+		s.handleUsageReported(e)
 	case AttemptEnded:
-		s.attemptEnded(e)
+		s.handleAttemptEnded(e)
 	case ContainerRemoved:
-		s.containerRemoved(e)
+		s.handleContainerRemoved(e)
 	case ProbeCompleted:
-		s.probeCompleted(e)
+		s.handleProbeCompleted(e)
 	case TimerFired:
-		s.timerFired(e)
+		s.handleTimerFired(e)
 	}
 }
 
-// begin runs in the first batch.
-func (s *Scheduler) begin() {
+// initialize runs in the first batch.
+func (s *Scheduler) initialize() {
 	s.slowStart.start(s.now)
 	s.actions.emit(SetTimer{After: s.random.jitter(maintenanceInterval), Name: maintenanceTimerName})
 	s.poller.resetDelay()
@@ -142,29 +142,29 @@
 	}
 }
 
-// machineListUpdated takes in an update. A poll that failed leaves the machines as they are, and a start that a machine
+// handleMachineListUpdate takes in an update. A poll that failed leaves the machines as they are, and a start that a machine
 // reports itself is no answer to a poll.
-func (s *Scheduler) machineListUpdated(e MachineListUpdate) {
+func (s *Scheduler) handleMachineListUpdate(e MachineListUpdate) {
 	switch e.Mode {
 	case UpdateFailed:
-		s.poller.pollFailed(s.now)
+		s.poller.recordFailure(s.now)
 		return
 	case DeltaUpdate, FullSnapshot:
-		s.poller.pollAnswered()
+		s.poller.recordAnswer()
 	case RestoredSnapshot, SelfReported:
 	default:
 	}
 	s.machines.apply(e, s.now)
 }
 
-func (s *Scheduler) probeCompleted(e ProbeCompleted) {
+func (s *Scheduler) handleProbeCompleted(e ProbeCompleted) {
 	if m := s.machines.find(e.Machine); m != nil {
-		s.prober.completed(m, e.Outcome, s.now)
+		s.prober.recordResult(m, e.Outcome, s.now)
 	}
 }
 
-// timerFired has deadlines checked at the end of the batch, whichever timer it was.
-func (s *Scheduler) timerFired(e TimerFired) {
+// handleTimerFired has deadlines checked at the end of the batch, whichever timer it was.
+func (s *Scheduler) handleTimerFired(e TimerFired) {
 	if e.Name == maintenanceTimerName {
 		s.maintain()
 	}
@@ -175,7 +175,7 @@
 func (s *Scheduler) maintain() {
 	s.actions.emit(SetTimer{After: maintenanceInterval, Name: maintenanceTimerName})
 	s.machines.evictGone(s.now)
-	if s.poller.takeDue(s.now) {
+	if s.poller.takeDuePoll(s.now) {
 		s.actions.emit(WatchMachineList{Enabled: true})
 	}
 	silent := s.containers.silentMachines(silenceBeforeProbe, s.now)
--- a/scheduler/sendledger.go
+++ b/scheduler/sendledger.go
@@ -8,8 +8,8 @@
 
 func (l *sendLedger) record(at Time) { l.sent = append(l.sent, at) }
 
-// after drops what was sent up to a time and returns the rest.
-func (l *sendLedger) after(end Time) []Time {
+// dropUntil drops what was sent up to a time and returns the rest.
+func (l *sendLedger) dropUntil(end Time) []Time {
 	for len(l.sent) > 0 && l.sent[0] <= end {
 		l.sent = l.sent[1:]
 	}
--- a/scheduler/sequences_test.go
+++ b/scheduler/sequences_test.go
@@ -8,9 +8,9 @@
 
 var goldenGroups = []goldenGroup{
 	{"mixed", func(*random, *sequenceOptions) {}},
-	{"idempotent", effects(Idempotent)},
-	{"idempotent with a key", effects(IdempotentWithKey)},
-	{"at most once", effects(AtMostOnce)},
+	{"idempotent", withIdempotency(Idempotent)},
+	{"idempotent with a key", withIdempotency(IdempotentWithKey)},
+	{"at most once", withIdempotency(AtMostOnce)},
 	{"spread", func(r *random, o *sequenceOptions) {
 		o.services = 1 + r.below(3)
 		for i := range o.config.WorkloadClasses {
@@ -40,35 +40,35 @@
 		o.runtime = 15 * Second
 	}},
 	{"faulty machines", func(r *random, o *sequenceOptions) {
-		o.faulty = 0.2 + 0.8*r.float()
+		o.faultyRatio = 0.2 + 0.8*r.float()
 		o.config.ProbesAllowed = true
 	}},
 	{"no probes", func(r *random, o *sequenceOptions) {
-		o.faulty = 0.2 + 0.8*r.float()
+		o.faultyRatio = 0.2 + 0.8*r.float()
 		o.config.ProbesAllowed = false
 	}},
 	{"failing classes", func(r *random, o *sequenceOptions) {
-		o.faults, o.faulty = []simulatedFault{failsOneClass, failsOneTenant}, 0.3
+		o.faults, o.faultyRatio = []simulatedFault{failsOneClass, failsOneTenant}, 0.3
 		o.config.Tenants = []Tenant{{20}, {20}, {20}}
 		o.config.ListTracksRequests = true
 		o.arrival, o.runtime, o.machines = 40*Millisecond, Second, 3+r.below(5)
 		if r.chance(0.2) {
-			o.oneClass, o.faults, o.faulty = true, []simulatedFault{failsOneClass}, 1
+			o.oneClass, o.faults, o.faultyRatio = true, []simulatedFault{failsOneClass}, 1
 		}
 	}},
 	{"list on request", func(r *random, o *sequenceOptions) {
 		o.config.ListOnRequest, o.config.ResyncInterval = true, pick(r, 2*Second, 10*Second)
-		o.listFails = pick(r, 0, 0.2, 0.7)
+		o.listFailureRatio = pick(r, 0, 0.2, 0.7)
 	}},
 	{"drains", func(_ *random, o *sequenceOptions) {
-		o.churn, o.faults, o.faulty = Second/3, []simulatedFault{drainingItself, resetting}, 0.3
+		o.churn, o.faults, o.faultyRatio = Second/3, []simulatedFault{drainingItself, resetting}, 0.3
 	}},
 	{"scheduler restarts", func(r *random, o *sequenceOptions) {
-		o.restarts, o.faulty = true, 0.3
+		o.restarts, o.faultyRatio = true, 0.3
 		o.config.SlowStartPeriod, o.config.SlowStartWindow, o.config.SlowStartBudget = 6*Second, Second, 4+r.below(30)
 		o.config.SchedulerCount, o.config.SchedulerIndex = 2, r.below(2)
 	}},
-	{"lost answers", func(_ *random, o *sequenceOptions) { o.lost = 0.4 }},
+	{"lost answers", func(_ *random, o *sequenceOptions) { o.unansweredRatio = 0.4 }},
 	{"odd input", func(r *random, o *sequenceOptions) {
 		o.invalid = true
 		o.config.SchedulerCount, o.config.SchedulerIndex = 0, 0
@@ -79,32 +79,32 @@
 	{"self-reported starts", func(r *random, o *sequenceOptions) {
 		o.selfReports, o.churn = true, Second/3
 		o.config.ListOnRequest, o.config.ResyncInterval = true, pick(r, 2*Second, 10*Second)
-		o.listFails = pick(r, 0.3, 0.9)
+		o.listFailureRatio = pick(r, 0.3, 0.9)
 	}},
 }
 
-func effects(e Idempotency) func(r *random, o *sequenceOptions) {
+func withIdempotency(e Idempotency) func(r *random, o *sequenceOptions) {
 	return func(_ *random, o *sequenceOptions) {
 		for i := range o.config.WorkloadClasses {
 			o.config.WorkloadClasses[i].Idempotency = e
 		}
-		o.faulty = 0.5
+		o.faultyRatio = 0.5
 	}
 }
 
 func drawOptions(r *random) *sequenceOptions {
 	// The order of the fields is that of the random numbers.
 	o := &sequenceOptions{
-		machines:  2 + r.below(12),
-		services:  1 + r.below(8),
-		arrival:   r.span(40*Millisecond, 300*Millisecond),
-		size:      1 + 2*r.float(),
-		runtime:   r.span(Second/2, 8*Second),
-		faulty:    pick(r, 0, 0.15, 0.4),
-		lost:      pick(r, 0, 0, 0.05),
-		churn:     r.span(Second, 6*Second),
-		retries:   r.float(),
-		listFails: pick(r, 0, 0.3),
+		machines:         2 + r.below(12),
+		services:         1 + r.below(8),
+		arrival:          r.span(40*Millisecond, 300*Millisecond),
+		size:             1 + 2*r.float(),
+		runtime:          r.span(Second/2, 8*Second),
+		faultyRatio:      pick(r, 0, 0.15, 0.4),
+		unansweredRatio:  pick(r, 0, 0, 0.05),
+		churn:            r.span(Second, 6*Second),
+		retryRatio:       r.float(),
+		listFailureRatio: pick(r, 0, 0.3),
 		faults: []simulatedFault{
 			unreachable, silent, erroring, failsOneClass, failsOneTenant, resetting, drainingItself,
 			refusing,
--- a/scheduler/shedding.go
+++ b/scheduler/shedding.go
@@ -5,9 +5,9 @@
 	sheddingGain      = 4   // at a share of a quarter, half the weight is shed every second time
 	clientRetryWeight = 0.5 // left to a request that the client retried: it cannot start in time
 
-	// roomMemory is the time after the last attempt for which its result is taken as true. A request that is shed makes
+	// fullRatioMaxAge is the time after the last attempt for which its result is taken as true. A request that is shed makes
 	// no attempt, so that without a limit a scheduler with few requests would shed them for good.
-	roomMemory = Second
+	fullRatioMaxAge = Second
 )
 
 // loadShedder rejects requests of low priority while attempts find no room.
@@ -21,7 +21,7 @@
 }
 
 // isShedding reports whether attempts find so little room that requests may be shed.
-func (s *loadShedder) isShedding(now Time) bool { return s.fullShare(now) > sheddingThreshold }
+func (s *loadShedder) isShedding(now Time) bool { return s.currentFullRatio(now) > sheddingThreshold }
 
 // shed decides at random whether a container makes way for others. The odds grow with the share of attempts without
 // room and with what its priority lacks to the mean of those that found none.
@@ -39,7 +39,7 @@
 	if c.request.ClientRetry {
 		weight *= clientRetryWeight
 	}
-	if share := s.quotas.share(c.request.Tenant); share < 1 {
+	if share := s.quotas.quotaToUseRatio(c.request.Tenant); share < 1 {
 		weight *= share + (1-share)*s.overQuotaWeight
 	}
 	return weight
@@ -47,20 +47,20 @@
 
 // recordRoom counts an attempt that was accepted.
 func (s *loadShedder) recordRoom(now Time) {
-	s.forgetOutdated(now)
+	s.resetIfOutdated(now)
 	s.fullRatio -= s.fullRatio / averagingSpan
 	s.rejectedWeight -= s.rejectedWeight / averagingSpan
 }
 
 // recordNoRoom counts an attempt that found its machine full.
 func (s *loadShedder) recordNoRoom(c *container, now Time) {
-	s.forgetOutdated(now)
+	s.resetIfOutdated(now)
 	s.fullRatio += (1 - s.fullRatio) / averagingSpan
 	s.rejectedWeight += (s.priorityWeight(c) - s.rejectedWeight) / averagingSpan
 }
 
-// forgetOutdated begins anew where the last attempt is too long ago, and notes that another is counted.
-func (s *loadShedder) forgetOutdated(now Time) {
+// resetIfOutdated begins anew where the last attempt is too long ago, and notes that another is counted.
+func (s *loadShedder) resetIfOutdated(now Time) {
 	if s.isOutdated(now) {
 		s.fullRatio = 0
 		s.rejectedWeight = 0
@@ -68,10 +68,10 @@
 	s.recordedAt = now
 }
 
-func (s *loadShedder) isOutdated(now Time) bool { return now-s.recordedAt > roomMemory }
+func (s *loadShedder) isOutdated(now Time) bool { return now-s.recordedAt > fullRatioMaxAge }
 
-// fullShare is the moving share of attempts that found no room; 0 where none was made for roomMemory.
-func (s *loadShedder) fullShare(now Time) float64 {
+// currentFullRatio is the moving share of attempts that found no room; 0 where none was made for roomMemory.
+func (s *loadShedder) currentFullRatio(now Time) float64 {
 	if s.isOutdated(now) {
 		return 0
 	}
--- a/scheduler/shedding_test.go
+++ b/scheduler/shedding_test.go
@@ -55,8 +55,8 @@
 		shedding bool
 	}{
 		{"just now", 0, true},
-		{"at the end of the memory", roomMemory, true},
-		{"later", roomMemory + 1, false},
+		{"at the end of the memory", fullRatioMaxAge, true},
+		{"later", fullRatioMaxAge + 1, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := testScheduler(testConfig(Idempotent))
@@ -96,7 +96,7 @@
 				q.reserve(tenant, cores+1)
 				q.release(tenant, 1)
 			}
-			testutil.Equal(t, q.share(tc.tenant), tc.want, "share")
+			testutil.Equal(t, q.quotaToUseRatio(tc.tenant), tc.want, "share")
 		})
 	}
 }
--- a/scheduler/simulatedevents_test.go
+++ b/scheduler/simulatedevents_test.go
@@ -4,8 +4,8 @@
 
 // This file holds what happens in the simulated world of itself.
 
-// listed returns the entries of some machines.
-func (w *simulatedWorld) listed(machines []*simulatedMachine) []MachineEntry {
+// machineEntries returns the entries of some machines.
+func (w *simulatedCluster) machineEntries(machines []*simulatedMachine) []MachineEntry {
 	var all []MachineEntry
 	for _, m := range machines {
 		e := m.entry
@@ -19,7 +19,7 @@
 	return all
 }
 
-func (w *simulatedWorld) fullUpdate(mode UpdateMode) MachineListUpdate {
+func (w *simulatedCluster) fullUpdate(mode UpdateMode) MachineListUpdate {
 	var present []*simulatedMachine
 	for _, m := range w.machines {
 		if m.entry.State != MachineGone || w.random.chance(0.5) {
@@ -27,11 +27,11 @@
 		}
 	}
 	w.version++
-	return MachineListUpdate{Mode: mode, Version: w.version, Entries: w.listed(present)}
+	return MachineListUpdate{Mode: mode, Version: w.version, Entries: w.machineEntries(present)}
 }
 
 // start hands a new scheduler the events of a process that starts.
-func (w *simulatedWorld) start() {
+func (w *simulatedCluster) start() {
 	var events []Event
 	if w.random.chance(0.9) {
 		events = append(events, w.fullUpdate(RestoredSnapshot))
@@ -45,7 +45,7 @@
 	}
 }
 
-func (w *simulatedWorld) adopt() Event {
+func (w *simulatedCluster) adopt() Event {
 	request := w.request()
 	m := pick(w.random, w.machines...)
 	w.containers[request.ID] = &simulatedContainer{request: request, at: m, running: true, attempt: 1}
@@ -61,7 +61,7 @@
 	return ContainerAdopted{PlacementRequest: request, Machine: id}
 }
 
-func (w *simulatedWorld) request() PlacementRequest {
+func (w *simulatedCluster) request() PlacementRequest {
 	r := w.random
 	class := r.below(len(w.config.WorkloadClasses))
 	service := fmt.Sprint("s", r.below(w.services))
@@ -89,7 +89,7 @@
 	return request
 }
 
-func (w *simulatedWorld) arrive() []Event {
+func (w *simulatedCluster) arrive() []Event {
 	w.after(w.random.span(0, 2*w.arrival), w.arrive)
 	var events []Event
 	for range pick(w.random, 1, 1, 1, 3) {
@@ -98,7 +98,7 @@
 	return events
 }
 
-func (w *simulatedWorld) submit(request PlacementRequest) Event {
+func (w *simulatedCluster) submit(request PlacementRequest) Event {
 	w.containers[request.ID] = &simulatedContainer{request: request}
 	w.ids = append(w.ids, request.ID)
 	if w.random.chance(0.04) {
@@ -108,7 +108,7 @@
 }
 
 // remove ends a container from outside; its attempt ends later.
-func (w *simulatedWorld) remove(id ContainerID) []Event {
+func (w *simulatedCluster) remove(id ContainerID) []Event {
 	c := w.containers[id]
 	if c.ended {
 		return nil
@@ -123,7 +123,7 @@
 }
 
 // change alters the fleet and returns the update of the machine list.
-func (w *simulatedWorld) change() []Event {
+func (w *simulatedCluster) change() []Event {
 	r := w.random
 	w.after(r.span(0, 2*w.churn), w.change)
 	m := pick(r, w.machines...)
@@ -147,7 +147,7 @@
 		changed = append(changed, pick(r, w.machines...))
 	}
 	if w.selfReports && r.chance(0.7) {
-		return []Event{MachineListUpdate{Mode: SelfReported, Entries: w.listed(changed)}}
+		return []Event{MachineListUpdate{Mode: SelfReported, Entries: w.machineEntries(changed)}}
 	}
 	if r.chance(0.1) {
 		return nil // not reported before the next full update
@@ -156,11 +156,11 @@
 		return []Event{w.fullUpdate(FullSnapshot)}
 	}
 	w.version++
-	return []Event{MachineListUpdate{Mode: DeltaUpdate, Version: w.version, Entries: w.listed(changed)}}
+	return []Event{MachineListUpdate{Mode: DeltaUpdate, Version: w.version, Entries: w.machineEntries(changed)}}
 }
 
 // restart replaces the scheduler by a new one that gets the snapshot of the old one, whole or damaged.
-func (w *simulatedWorld) restart() []Event {
+func (w *simulatedCluster) restart() []Event {
 	r := w.random
 	w.after(r.span(Second, 10*Second), w.restart)
 	snapshot := w.scheduler.Snapshot()
@@ -210,7 +210,7 @@
 }
 
 // invalidEvents are some that no correct process would give.
-func (w *simulatedWorld) invalidEvents() []Event {
+func (w *simulatedCluster) invalidEvents() []Event {
 	r := w.random
 	w.after(r.span(0, Second/2), w.invalidEvents)
 	id := w.ids[len(w.ids)-1-r.below(min(len(w.ids), 20))]
--- a/scheduler/simulatedmachines_test.go
+++ b/scheduler/simulatedmachines_test.go
@@ -4,7 +4,7 @@
 
 // This file holds how the simulated world answers actions.
 
-func (w *simulatedWorld) addMachine(startedAt Time) *simulatedMachine {
+func (w *simulatedCluster) addMachine(startedAt Time) *simulatedMachine {
 	r := w.random
 	n := len(w.machines)
 	m := &simulatedMachine{entry: MachineEntry{
@@ -21,9 +21,9 @@
 	return m
 }
 
-func (w *simulatedWorld) setFault(m *simulatedMachine) {
+func (w *simulatedCluster) setFault(m *simulatedMachine) {
 	m.fault = healthy
-	if w.random.chance(w.faulty) {
+	if w.random.chance(w.faultyRatio) {
 		m.fault = pick(w.random, w.faults...)
 	}
 	m.class = w.random.below(len(w.config.WorkloadClasses))
@@ -33,13 +33,13 @@
 	m.tenant = w.random.below(len(w.config.Tenants) + 1)
 }
 
-func (w *simulatedWorld) react(a Action) {
+func (w *simulatedCluster) applyAction(a Action) {
 	r := w.random
 	switch a := a.(type) {
 	case StartAttempt:
 		w.attempt(a)
 	case Reject:
-		w.rejected(a.ID)
+		w.handleReject(a.ID)
 	case Fail:
 		if c := w.containers[a.ID]; c != nil && c.at == nil {
 			c.ended = true
@@ -48,7 +48,7 @@
 		w.afterUnlessRestarted(a.After, func() []Event { return []Event{TimerFired{Name: a.Name}} })
 	case WatchMachineList:
 		w.afterUnlessRestarted(r.span(Millisecond, 200*Millisecond), func() []Event {
-			if r.chance(w.listFails) {
+			if r.chance(w.listFailureRatio) {
 				return []Event{MachineListUpdate{Mode: UpdateFailed}}
 			}
 			return []Event{w.fullUpdate(FullSnapshot)}
@@ -58,12 +58,12 @@
 	}
 }
 
-func (w *simulatedWorld) rejected(id ContainerID) {
+func (w *simulatedCluster) handleReject(id ContainerID) {
 	c := w.containers[id]
 	if c.at == nil {
 		c.ended = true
 	}
-	if w.random.chance(w.retries) {
+	if w.random.chance(w.retryRatio) {
 		again := c.request
 		again.ID += "+"
 		w.after(w.random.span(100*Millisecond, 2*Second), func() []Event {
@@ -74,7 +74,7 @@
 	}
 }
 
-func (w *simulatedWorld) probe(m *simulatedMachine) {
+func (w *simulatedCluster) probe(m *simulatedMachine) {
 	r := w.random
 	elapsed := r.span(Millisecond, 50*Millisecond)
 	e := ProbeCompleted{Machine: m.entry.Machine, Outcome: OutcomeFinished, Elapsed: elapsed}
@@ -92,13 +92,13 @@
 }
 
 // reserve counts a container at its machine, release with sign -1 takes it off.
-func (w *simulatedWorld) reserve(c *simulatedContainer, sign float64) {
+func (w *simulatedCluster) reserve(c *simulatedContainer, sign float64) {
 	c.at.used += sign * c.request.Cores
 	c.at.memory += sign * c.request.Memory
 }
 
 // attempt draws what becomes of an attempt.
-func (w *simulatedWorld) attempt(a StartAttempt) {
+func (w *simulatedCluster) attempt(a StartAttempt) {
 	r := w.random
 	c := w.containers[a.ID]
 	c.attempt++
@@ -109,7 +109,7 @@
 	if wait == 0 {
 		wait = c.request.Deadline - w.now
 	}
-	if r.chance(w.lost) {
+	if r.chance(w.unansweredRatio) {
 		return
 	}
 	e, span := w.outcome(c, wait)
@@ -122,7 +122,7 @@
 }
 
 // outcome draws the outcome of an attempt and when it comes; Finished without Final stands for acceptance.
-func (w *simulatedWorld) outcome(c *simulatedContainer, wait Time) (AttemptEnded, Time) {
+func (w *simulatedCluster) outcome(c *simulatedContainer, wait Time) (AttemptEnded, Time) {
 	r := w.random
 	m, request := c.at, &c.request
 	k := w.config.MachineTypes[m.entry.MachineType]
@@ -158,7 +158,7 @@
 	return AttemptEnded{Outcome: OutcomeFinished}, min(wait, r.span(5*Millisecond, Second))
 }
 
-func (w *simulatedWorld) accept(c *simulatedContainer, attempt int) []Event {
+func (w *simulatedCluster) accept(c *simulatedContainer, attempt int) []Event {
 	r := w.random
 	if c.at == nil || c.attempt != attempt {
 		return nil
@@ -179,7 +179,7 @@
 }
 
 // run plans the reports and the end of a running container.
-func (w *simulatedWorld) run(c *simulatedContainer) {
+func (w *simulatedCluster) run(c *simulatedContainer) {
 	r := w.random
 	attempt := c.attempt
 	if w.config.UsageReports || r.chance(0.1) {
@@ -214,7 +214,7 @@
 	w.after(e.Elapsed, func() []Event { return w.end(c, attempt, e) })
 }
 
-func (w *simulatedWorld) end(c *simulatedContainer, attempt int, e AttemptEnded) []Event {
+func (w *simulatedCluster) end(c *simulatedContainer, attempt int, e AttemptEnded) []Event {
 	if c.at == nil || c.attempt != attempt {
 		return nil
 	}
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -38,44 +38,44 @@
 
 // sequenceOptions say what a sequence is about.
 type sequenceOptions struct {
-	config    Config
-	machines  int
-	services  int
-	arrival   Time    // mean time between requests
-	size      float64 // mean cores of a request
-	runtime   Time    // mean
-	faults    []simulatedFault
-	faulty    float64 // part of the machines with a fault
-	lost      float64 // part of the attempts without any outcome
-	churn     Time    // mean time between changes of the fleet
-	restarts  bool    // of the scheduler
-	invalid   bool    // invalid events too
-	retries   float64 // part of the rejected requests that come again
-	listFails float64 // part of the polls
-	oneClass  bool    // the machines fail the same class
+	config           Config
+	machines         int
+	services         int
+	arrival          Time    // mean time between requests
+	size             float64 // mean cores of a request
+	runtime          Time    // mean
+	faults           []simulatedFault
+	faultyRatio      float64 // part of the machines with a fault
+	unansweredRatio  float64 // part of the attempts without any outcome
+	churn            Time    // mean time between changes of the fleet
+	restarts         bool    // of the scheduler
+	invalid          bool    // invalid events too
+	retryRatio       float64 // part of the rejected requests that come again
+	listFailureRatio float64 // part of the polls
+	oneClass         bool    // the machines fail the same class
 
 	selfReports bool // machines report their starts themselves
 }
 
-// simulatedWorld answers the scheduler's actions.
-type simulatedWorld struct {
+// simulatedCluster answers the scheduler's actions.
+type simulatedCluster struct {
 	*sequenceOptions
-	random      *random
-	digest      *digest
-	scheduler   *Scheduler
-	now         Time
-	queue       []scheduled
-	scheduled   int
-	machines    []*simulatedMachine
-	byID        map[MachineID]*simulatedMachine
-	containers  map[ContainerID]*simulatedContainer
-	ids         []ContainerID // of all containers so far
-	version     int64
-	incarnation int // of the scheduler; attempts and timers of earlier ones are void
+	random         *random
+	digest         *digest
+	scheduler      *Scheduler
+	now            Time
+	queue          []scheduledStep
+	scheduledCount int
+	machines       []*simulatedMachine
+	byID           map[MachineID]*simulatedMachine
+	containers     map[ContainerID]*simulatedContainer
+	ids            []ContainerID // of all containers so far
+	version        int64
+	incarnation    int // of the scheduler; attempts and timers of earlier ones are void
 }
 
-// scheduled is something that happens at a time; besides returning events it may change the world.
-type scheduled struct {
+// scheduledStep is something that happens at a time; besides returning events it may change the world.
+type scheduledStep struct {
 	at     Time
 	number int
 	run    func() []Event
@@ -102,7 +102,7 @@
 	o := drawOptions(r)
 	g.adjust(r, o)
 	d.timers = map[string]uint64{}
-	w := &simulatedWorld{
+	w := &simulatedCluster{
 		sequenceOptions: o,
 		random:          r,
 		digest:          d,
@@ -132,7 +132,7 @@
 }
 
 // step carries out what is due next, and sometimes what follows soon after in the same batch.
-func (w *simulatedWorld) step() {
+func (w *simulatedCluster) step() {
 	w.now = max(w.now, w.queue[0].at)
 	if w.random.chance(0.2) {
 		w.now += w.random.span(0, 20*Millisecond)
@@ -152,18 +152,18 @@
 	}
 }
 
-func (w *simulatedWorld) handle(events []Event) {
+func (w *simulatedCluster) handle(events []Event) {
 	actions := w.scheduler.Handle(w.now, events)
 	w.digest.batch(w.now, actions)
 	for _, a := range actions {
-		w.react(a)
+		w.applyAction(a)
 	}
 }
 
-func (w *simulatedWorld) after(span Time, run func() []Event) {
-	s := scheduled{w.now + max(0, span), w.scheduled, run}
-	w.scheduled++
-	i, _ := slices.BinarySearchFunc(w.queue, s, func(a, b scheduled) int {
+func (w *simulatedCluster) after(span Time, run func() []Event) {
+	s := scheduledStep{w.now + max(0, span), w.scheduledCount, run}
+	w.scheduledCount++
+	i, _ := slices.BinarySearchFunc(w.queue, s, func(a, b scheduledStep) int {
 		if a.at != b.at {
 			return int(a.at - b.at)
 		}
@@ -173,7 +173,7 @@
 }
 
 // afterUnlessRestarted drops what was meant for an earlier incarnation of the scheduler.
-func (w *simulatedWorld) afterUnlessRestarted(span Time, run func() []Event) {
+func (w *simulatedCluster) afterUnlessRestarted(span Time, run func() []Event) {
 	incarnation := w.incarnation
 	w.after(span, func() []Event {
 		if w.incarnation != incarnation {
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -43,9 +43,9 @@
 	return startedAt > 0 && now < startedAt+l.period
 }
 
-// share is the part of all schedulers that a machine's slow-start budget reaches. Those draw it with the odds of the
+// schedulerShare is the part of all schedulers that a machine's slow-start budget reaches. Those draw it with the odds of the
 // rest too, so that over all schedulers it is drawn as often as any other.
-func (l *slowStartLimiter) share(m *machine, now Time) float64 {
+func (l *slowStartLimiter) schedulerShare(m *machine, now Time) float64 {
 	if l.budget >= l.schedulerCount || !l.inSlowStart(m, now) {
 		return 1
 	}
@@ -75,13 +75,13 @@
 
 // recordSend counts an attempt or a probe against the machine's quota.
 func (l *slowStartLimiter) recordSend(m *machine, now Time) {
-	m.sends.after(now - l.slidingWindow())
+	m.sends.dropUntil(now - l.slidingWindow())
 	m.sends.record(now)
 }
 
 // recentSends returns what was sent to a machine in the last window.
 func (l *slowStartLimiter) recentSends(m *machine, now Time) []Time {
-	return m.sends.after(now - l.slidingWindow())
+	return m.sends.dropUntil(now - l.slidingWindow())
 }
 
 // transitTime covers how long a message may be on its way.
--- a/scheduler/tenantquotas.go
+++ b/scheduler/tenantquotas.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// share is a tenant's part of all quotas over its part of own containers' cores: below 1 over its quota.
-func (q *tenantQuotas) share(tenant int) float64 {
+// quotaToUseRatio is a tenant's part of all quotas over its part of own containers' cores: below 1 over its quota.
+func (q *tenantQuotas) quotaToUseRatio(tenant int) float64 {
 	if tenant >= len(q.cores) || q.cores[tenant] <= 0 {
 		return 1
 	}
--- a/scheduler/trafficclass_test.go
+++ b/scheduler/trafficclass_test.go
@@ -36,7 +36,7 @@
 		{"everywhere", timedOut, accepted, 0, "abcd", 0, "abcd"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s := schedulerOfTwoClasses()
+			s := newTwoClassScheduler()
 			attemptEverywhere(s, tc.requested, func(m *machine, turn int) (first, rest Event) {
 				if strings.Contains(tc.at, string(m.id)) {
 					return tc.first(turn), tc.rest(turn)
@@ -52,7 +52,7 @@
 	}
 }
 
-func schedulerOfTwoClasses() *Scheduler {
+func newTwoClassScheduler() *Scheduler {
 	config := testConfig(Idempotent)
 	config.WorkloadClasses = append(config.WorkloadClasses, config.WorkloadClasses[0])
 	config.Tenants = []Tenant{{50}, {50}}
@@ -81,7 +81,7 @@
 func attemptOn(s *Scheduler, m *machine, class int, outcome Event) {
 	s.Handle(1, []Event{RequestReceived{requestOfClass("x", "s", class)}})
 	s.moveAttempt("x", m.id)
-	m.contact.heard(1)
+	m.contact.recordContact(1)
 	s.Handle(2, []Event{outcome, AttemptEnded{ID: "x", Final: true}})
 }
 
