--- a/internal/simprotocol/decoder_test.go
+++ b/internal/simprotocol/decoder_test.go
@@ -36,14 +36,14 @@
 	return f.Deliveries, nil
 }
 
-// isA matches errors of a type, however wrapped.
-func isA[E error](err error) bool {
+// hasErrorType matches errors of a type, however wrapped.
+func hasErrorType[E error](err error) bool {
 	var target E
 	return errors.As(err, &target)
 }
 
-// is matches errors that wrap a sentinel.
-func is(sentinel error) func(error) bool {
+// wrapsError matches errors that wrap a sentinel.
+func wrapsError(sentinel error) func(error) bool {
 	return func(err error) bool { return errors.Is(err, sentinel) }
 }
 
@@ -131,27 +131,27 @@
 		name, lines, want string
 		matches           func(error) bool
 	}{
-		{"no frame", "COMMIT\n", "line 1: a FRAME line", is(ErrFrameExpected)},
-		{"unknown message", frame("WHAT 3"), "line 2: unknown message", is(ErrUnknownMessage)},
-		{"field missing", frame("VANISHED 3"), "line 2: a field is missing", is(ErrMissingField)},
-		{"field too many", frame("VANISHED 3 r-1 r-2"), "1 fields too many", isA[*ExtraFieldsError]},
-		{"no number", frame("CONFIRMED 3 r-1 0 m:1 soon"), `"soon" is no number`, isA[*ValueError]},
-		{"unknown outcome", frame("DONE 3 r-1 1 0 FINE m:1 - 1 -"), `"FINE" is not known`, isA[*ValueError]},
-		{"unknown list", frame("UPDATE 3 Complete 1 5"), `no list has the number "5"`, isA[*UnknownListError]},
+		{"no frame", "COMMIT\n", "line 1: a FRAME line", wrapsError(ErrFrameExpected)},
+		{"unknown message", frame("WHAT 3"), "line 2: unknown message", wrapsError(ErrUnknownMessage)},
+		{"field missing", frame("VANISHED 3"), "line 2: a field is missing", wrapsError(ErrMissingField)},
+		{"field too many", frame("VANISHED 3 r-1 r-2"), "1 fields too many", hasErrorType[*ExtraFieldsError]},
+		{"no number", frame("CONFIRMED 3 r-1 0 m:1 soon"), `"soon" is no number`, hasErrorType[*ValueError]},
+		{"unknown outcome", frame("DONE 3 r-1 1 0 FINE m:1 - 1 -"), `"FINE" is not known`, hasErrorType[*ValueError]},
+		{"unknown list", frame("UPDATE 3 Complete 1 5"), `no list has the number "5"`, hasErrorType[*UnknownListError]},
 		{
 			"too few entries", frame("SHEET 0 2\nITEM m:1 0 0 0 SERVING 1 1 1 -"),
-			"breaks off after 1", isA[*ShortListError],
+			"breaks off after 1", hasErrorType[*ShortListError],
 		},
-		{"list without an end", "FRAME 1 1\nSHEET 0 2\n", "input ends inside a list", isA[*TruncatedError]},
-		{"list number", frame("SHEET 16 0"), "out of range", is(ErrListOutOfRange)},
-		{"cut line", "FRAME 1 1\nVANI", "line 2: input ends inside a line", isA[*TruncatedError]},
-		{"cut frame", "FRAME 1 1\nVANISHED 3 r-1\n", "input ends inside a frame", isA[*TruncatedError]},
-		{"setting missing", frame("CONFIGURE 3 51 me=0 balancers=3"), "is missing", isA[*SettingError]},
-		{"unknown word in a setting", configure("safe", "sure"), "is none of safe", isA[*SettingError]},
-		{"size of 0", configure("unit_cores=0.96", "unit_cores=0"), "is not above 0", isA[*SettingError]},
-		{"negative count of schedulers", configure("balancers=3", "balancers=-3"), "is no count", isA[*SettingError]},
-		{"negative tenant", frame("PENDING 3 r-1 -1 0 t:k 0 1 1 10 c:s -"), "no whole number from 0", isA[*ValueError]},
-		{"short list in a setting", configure("59.0,71.0", "59.0"), "has 1 values, not 2", isA[*SettingError]},
+		{"list without an end", "FRAME 1 1\nSHEET 0 2\n", "input ends inside a list", hasErrorType[*TruncatedError]},
+		{"list number", frame("SHEET 16 0"), "out of range", wrapsError(ErrListOutOfRange)},
+		{"cut line", "FRAME 1 1\nVANI", "line 2: input ends inside a line", hasErrorType[*TruncatedError]},
+		{"cut frame", "FRAME 1 1\nVANISHED 3 r-1\n", "input ends inside a frame", hasErrorType[*TruncatedError]},
+		{"setting missing", frame("CONFIGURE 3 51 me=0 balancers=3"), "is missing", hasErrorType[*SettingError]},
+		{"unknown word in a setting", configure("safe", "sure"), "is none of safe", hasErrorType[*SettingError]},
+		{"size of 0", configure("unit_cores=0.96", "unit_cores=0"), "is not above 0", hasErrorType[*SettingError]},
+		{"negative count of schedulers", configure("balancers=3", "balancers=-3"), "is no count", hasErrorType[*SettingError]},
+		{"negative tenant", frame("PENDING 3 r-1 -1 0 t:k 0 1 1 10 c:s -"), "no whole number from 0", hasErrorType[*ValueError]},
+		{"short list in a setting", configure("59.0,71.0", "59.0"), "has 1 values, not 2", hasErrorType[*SettingError]},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			_, err := readDeliveries(tc.lines)
@@ -161,12 +161,12 @@
 	}
 }
 
-func TestErrorOfALineHoldsNumberAndLine(t *testing.T) {
+func TestLineErrorHoldsNumberAndLine(t *testing.T) {
 	long := "VANISHED 3 r-1 " + strings.Repeat("x", 200)
 	_, err := readDeliveries("FRAME 1 1\nVANISHED 3 r-1\n" + long + "\nCOMMIT\n")
 	var lineError *LineError
 	if !errors.As(err, &lineError) || lineError.Number != 3 || lineError.Line != long ||
-		!isA[*ExtraFieldsError](lineError.Err) {
+		!hasErrorType[*ExtraFieldsError](lineError.Err) {
 		t.Errorf("got %+v", err)
 	}
 	want := "line 3: 1 fields too many: \"" + long[:120] + "...\""
--- a/internal/simprotocol/describe_test.go
+++ b/internal/simprotocol/describe_test.go
@@ -11,8 +11,8 @@
 // object is a value with its fields in words that stay when names in the code change; enumerations stand as numbers.
 type object = map[string]any
 
-// whole fails where a struct has more fields than are described: each is to be compared.
-func whole(t *testing.T, v any, o object) object {
+// requireAllFields fails where a struct has more fields than are described: each is to be compared.
+func requireAllFields(t *testing.T, v any, o object) object {
 	t.Helper()
 	n := reflect.TypeOf(v).NumField()
 	testutil.Expect(t, n == len(o), "%T has %d fields, %d are described", v, n, len(o))
@@ -21,7 +21,7 @@
 
 func describeRequest(t *testing.T, a scheduler.PlacementRequest) object {
 	t.Helper()
-	return whole(t, a, object{
+	return requireAllFields(t, a, object{
 		"id":       a.ID,
 		"key":      a.IdempotencyKey,
 		"service":  a.Service,
@@ -39,7 +39,7 @@
 	t.Helper()
 	var out []object
 	for _, e := range entries {
-		out = append(out, whole(t, e, object{
+		out = append(out, requireAllFields(t, e, object{
 			"machine": e.Machine, "zone": e.Zone, "type": e.MachineType, "cell": e.RackGroup, "state": int(e.State),
 			"free cores": e.FreeCores, "free memory": e.FreeMemory, "power": e.PowerHint, "started at": e.StartedAt,
 		}))
@@ -87,7 +87,7 @@
 	default:
 		t.Fatalf("event %T is not described", event)
 	}
-	whole(t, event, fields)["event"] = message
+	requireAllFields(t, event, fields)["event"] = message
 	return fields
 }
 
@@ -95,7 +95,7 @@
 	t.Helper()
 	var classes, types, tenants []object
 	for _, w := range s.WorkloadClasses {
-		classes = append(classes, whole(t, w, object{
+		classes = append(classes, requireAllFields(t, w, object{
 			"effect":   int(w.Idempotency),
 			"group":    int(w.DedupScope),
 			"window":   w.DedupWindow,
@@ -108,12 +108,12 @@
 		}))
 	}
 	for _, k := range s.MachineTypes {
-		types = append(types, whole(t, k, object{"cores": k.Cores, "memory": k.Memory}))
+		types = append(types, requireAllFields(t, k, object{"cores": k.Cores, "memory": k.Memory}))
 	}
 	for _, c := range s.Tenants {
-		tenants = append(tenants, whole(t, c, object{"cores": c.QuotaCores}))
+		tenants = append(tenants, requireAllFields(t, c, object{"cores": c.QuotaCores}))
 	}
-	return whole(t, s, object{
+	return requireAllFields(t, s, object{
 		"seed":                   s.Seed,
 		"me":                     s.SchedulerIndex,
 		"balancers":              s.SchedulerCount,
--- a/internal/simprotocol/faulty_test.go
+++ b/internal/simprotocol/faulty_test.go
@@ -52,9 +52,9 @@
 	"FRAME 1 1\n\nCOMMIT\n",
 }
 
-// TestFaultySettingsAreRefusedAsBefore leaves each setting out and gives it values of a wrong sort, and compares the
+// TestInvalidSettingsErrorsMatchGolden leaves each setting out and gives it values of a wrong sort, and compares the
 // errors.
-func TestFaultySettingsAreRefusedAsBefore(t *testing.T) {
+func TestInvalidSettingsErrorsMatchGolden(t *testing.T) {
 	all := strings.Fields(fullSettings)
 	var got bytes.Buffer
 	try := func(change string, pairs []string) {
@@ -80,9 +80,9 @@
 	golden.CheckText(t, "testdata/faulty-settings.txt", got.String())
 }
 
-// TestFaultyMessagesAreRefusedAsBefore cuts each message short, adds a field, spoils each field, and compares the
+// TestInvalidMessagesErrorsMatchGolden cuts each message short, adds a field, spoils each field, and compares the
 // errors.
-func TestFaultyMessagesAreRefusedAsBefore(t *testing.T) {
+func TestInvalidMessagesErrorsMatchGolden(t *testing.T) {
 	var got bytes.Buffer
 	try := func(shown, in string) { fmt.Fprintf(&got, "%q: %s\n", shown, firstError(in)) }
 	const sheet = "SHEET 0 1\nITEM m:1 0 1 2 SERVING 3.5 1 12 6100.05\n"
--- a/internal/simprotocol/fieldreader.go
+++ b/internal/simprotocol/fieldreader.go
@@ -7,8 +7,8 @@
 	"glenport/scheduler"
 )
 
-// absent stands on the wire for an optional field that is not set.
-const absent = "-"
+// absentField stands on the wire for an optional field that is not set.
+const absentField = "-"
 
 // The words for a boolean.
 const (
@@ -77,7 +77,7 @@
 
 func (f *fieldReader) numberOrZero() float64 {
 	field := f.text()
-	if field == absent {
+	if field == absentField {
 		return 0
 	}
 	return f.parseNumber(field)
@@ -99,7 +99,7 @@
 
 func (f *fieldReader) wholeNumberOrZero() int {
 	field := f.text()
-	if field == absent {
+	if field == absentField {
 		return 0
 	}
 	return f.parseWholeNumber(field)
@@ -118,7 +118,7 @@
 // loadReport decodes name:value pairs. A value that is absent is left out.
 func (f *fieldReader) loadReport() scheduler.LoadReport {
 	field := f.text()
-	if field == absent || field == "" {
+	if field == absentField || field == "" {
 		return nil
 	}
 	report := scheduler.LoadReport{}
@@ -128,7 +128,7 @@
 			f.fail(&ReportError{Pair: pair})
 			return nil
 		}
-		if value != absent {
+		if value != absentField {
 			report[name] = f.parseNumber(value)
 		}
 	}
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -15,7 +15,7 @@
 	"glenport/scheduler"
 )
 
-func indented(t *testing.T, v any) []byte {
+func indentedJSON(t *testing.T, v any) []byte {
 	t.Helper()
 	b, err := json.MarshalIndent(v, "", " ")
 	testutil.NoError(t, err)
@@ -64,8 +64,8 @@
 	"COMMIT\n" +
 	"FRAME 8413 3\nCOMMIT\n"
 
-// TestIncomingMessagesAreUnchanged compares every value of every message that comes in.
-func TestIncomingMessagesAreUnchanged(t *testing.T) {
+// TestIncomingMessagesMatchGolden compares every value of every message that comes in.
+func TestIncomingMessagesMatchGolden(t *testing.T) {
 	d := NewDecoder(strings.NewReader(goldenFrames))
 	var frames []object
 	for {
@@ -83,11 +83,11 @@
 			if d.Start != nil {
 				o["start"] = describeSettings(t, *d.Start)
 			}
-			deliveries = append(deliveries, whole(t, d, o))
+			deliveries = append(deliveries, requireAllFields(t, d, o))
 		}
-		frames = append(frames, whole(t, *f, object{"now": f.Now, "seq": f.Seq, "deliveries": deliveries}))
+		frames = append(frames, requireAllFields(t, *f, object{"now": f.Now, "seq": f.Seq, "deliveries": deliveries}))
 	}
-	golden.CheckText(t, "testdata/incoming.json", string(indented(t, frames)))
+	golden.CheckText(t, "testdata/incoming.json", string(indentedJSON(t, frames)))
 }
 
 // fullSettings sets every setting that is read, each to a value of its own.
@@ -108,8 +108,8 @@
 	" classes.4.group=all classes.4.window_ms=8200.0" +
 	" tenants.count=2 family_info.quota_cores=100.5,200.25 a.new.key=what_is_this"
 
-// TestSettingsAreUnchanged compares every value of the settings: all set, and those that may be absent absent.
-func TestSettingsAreUnchanged(t *testing.T) {
+// TestSettingsMatchGolden compares every value of the settings: all set, and those that may be absent absent.
+func TestSettingsMatchGolden(t *testing.T) {
 	all := strings.Fields(fullSettings)
 	without := func(keys ...string) []string {
 		return slices.DeleteFunc(slices.Clone(all), func(pair string) bool {
@@ -131,22 +131,22 @@
 		testutil.NoError(t, err)
 		got = append(got, describeSettings(t, s))
 		if i == 0 {
-			setFields(t, reflect.ValueOf(s))
+			requireNonZeroFields(t, reflect.ValueOf(s))
 		}
 	}
-	golden.CheckText(t, "testdata/settings.json", string(indented(t, got)))
+	golden.CheckText(t, "testdata/settings.json", string(indentedJSON(t, got)))
 }
 
-// setFields fails where a field of the settings has its zero value: one that is never set is never compared.
-func setFields(t *testing.T, settings reflect.Value) {
+// requireNonZeroFields fails where a field of the settings has its zero value: one that is never set is never compared.
+func requireNonZeroFields(t *testing.T, settings reflect.Value) {
 	t.Helper()
 	for field, value := range settings.Fields() {
 		testutil.Expect(t, !value.IsZero(), "%s is not set", field.Name)
 	}
 }
 
-// TestOutgoingMessagesAreUnchanged compares the bytes of every message that goes out, with every field set and absent.
-func TestOutgoingMessagesAreUnchanged(t *testing.T) {
+// TestOutgoingMessagesMatchGolden compares the bytes of every message that goes out, with every field set and absent.
+func TestOutgoingMessagesMatchGolden(t *testing.T) {
 	var got bytes.Buffer
 	for _, a := range []scheduler.Action{
 		scheduler.StartAttempt{ID: "r-1", Machine: "m:1", Timeout: 801},
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -8,14 +8,14 @@
 
 // The words of settings, in the order in which an error names them.
 var (
-	acceptStages  = []word[bool]{{"accepted", false}, {"running", true}}
-	listModes     = []word[bool]{{"pushed", false}, {"on_request", true}}
-	idempotencies = []word[scheduler.Idempotency]{
+	acceptStages  = []keyword[bool]{{"accepted", false}, {"running", true}}
+	listModes     = []keyword[bool]{{"pushed", false}, {"on_request", true}}
+	idempotencies = []keyword[scheduler.Idempotency]{
 		{"safe", scheduler.Idempotent},
 		{"keyed", scheduler.IdempotentWithKey},
 		{"unsafe", scheduler.AtMostOnce},
 	}
-	dedupScopes = []word[scheduler.Scope]{
+	dedupScopes = []keyword[scheduler.Scope]{
 		{"cell", scheduler.ScopeRackGroup},
 		{"zone", scheduler.ScopeZone},
 		{"all", scheduler.ScopeFleet},
@@ -95,7 +95,7 @@
 func (s *settingsReader) workloadClasses(count, machineTypes int) []scheduler.WorkloadClass {
 	typeOfClass := s.numbers("family_info.class_kind", count)
 	maxPerScope := s.numbers("family_info.class_most", count)
-	spreadOfClass := s.listOf("family_info.spread_over", count)
+	spreadOfClass := s.listOfLength("family_info.spread_over", count)
 	var classes []scheduler.WorkloadClass
 	for i := 0; i < count && s.err == nil; i++ {
 		class := s.workloadClass(fmt.Sprintf("classes.%d.", i))
--- a/internal/simprotocol/settingsreader.go
+++ b/internal/simprotocol/settingsreader.go
@@ -96,14 +96,14 @@
 // list returns the values of a list; an absent or empty one has none.
 func (s *settingsReader) list(path string) []string {
 	text := s.text(path)
-	if text == "" || text == absent {
+	if text == "" || text == absentField {
 		return nil
 	}
 	return strings.Split(text, ",")
 }
 
-// listOf returns a list that must have so many values; it is shorter or longer only after an error.
-func (s *settingsReader) listOf(path string, count int) []string {
+// listOfLength returns a list that must have so many values; it is shorter or longer only after an error.
+func (s *settingsReader) listOfLength(path string, count int) []string {
 	values := s.list(path)
 	if len(values) != count {
 		s.failf(path, " has %d values, not %d", len(values), count)
@@ -113,7 +113,7 @@
 
 // numbers returns a list of so many numbers, also after an error.
 func (s *settingsReader) numbers(path string, count int) []float64 {
-	values := s.listOf(path, count)
+	values := s.listOfLength(path, count)
 	numbers := make([]float64, count)
 	for i := range min(count, len(values)) {
 		numbers[i] = s.parseNumber(path, values[i])
@@ -121,16 +121,16 @@
 	return numbers
 }
 
-// word is a value in settings and what it stands for.
-type word[T any] struct {
+// keyword is a value in settings and what it stands for.
+type keyword[T any] struct {
 	text  string
 	value T
 }
 
-var booleans = []word[bool]{{"false", false}, {"true", true}}
+var booleans = []keyword[bool]{{"false", false}, {"true", true}}
 
 // settingValue returns what the value of a setting stands for.
-func settingValue[T any](s *settingsReader, path string, words []word[T]) T {
+func settingValue[T any](s *settingsReader, path string, words []keyword[T]) T {
 	text := s.text(path)
 	texts := make([]string, len(words))
 	for i, w := range words {
