--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -64,7 +64,7 @@
 	}
 	for _, b := range batches {
 		if b.scheduler != nil {
-			decide(reply, frame.Now, b)
+			appendDecisions(reply, frame.Now, b)
 		}
 	}
 	fmt.Fprintf(reply, "DONE %s\n", frame.Seq)
@@ -101,8 +101,8 @@
 	return batches, nil
 }
 
-// decide writes the actions of one instance. A panic of its decisions becomes a fault of that instance alone.
-func decide(reply *bytes.Buffer, now scheduler.Time, b *instanceBatch) {
+// appendDecisions writes the actions of one instance. A panic of its decisions becomes a fault of that instance alone.
+func appendDecisions(reply *bytes.Buffer, now scheduler.Time, b *instanceBatch) {
 	defer func() {
 		if r := recover(); r != nil {
 			simprotocol.AppendFault(reply, b.instance, fmt.Sprint(r))
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -35,9 +35,9 @@
 	testutil.Expect(t, errors.As(err, &unknown) && unknown.instance == 3 && unknown.line == 2, "error %v", err)
 }
 
-func TestPanicOfDecisionsIsAFault(t *testing.T) {
+func TestSchedulerPanicIsReportedAsFault(t *testing.T) {
 	var out bytes.Buffer
-	if decide(&out, 1, &instanceBatch{instance: 3}); !strings.HasPrefix(out.String(), "FAULT 3 ") {
+	if appendDecisions(&out, 1, &instanceBatch{instance: 3}); !strings.HasPrefix(out.String(), "FAULT 3 ") {
 		t.Errorf("wrote %q", out.String())
 	}
 }
