--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -1,12 +1,13 @@
 // Package scheduler decides on which machine each container of a service runs.
 //
-// It is pure: events go in with a clock reading, actions come out, and it does no I/O, starts no goroutine and reads no
-// clock. The process that hosts it calls New once, then Handle for each batch of events, and carries out the returned
-// actions in order. Chance comes from one seeded generator, and no decision follows the order of a map, so that every
-// run can be replayed.
+// The package is deterministic and has no side effects: Handle takes events and the current time and returns actions.
+// It does no I/O, starts no goroutine and reads no clock. The process that hosts a scheduler calls New once, then
+// Handle for each batch of events, and carries out the returned actions in order. All random numbers come from one
+// seeded generator, and no decision depends on the iteration order of a map, so that every run can be replayed.
 //
-// Scheduler is a coordinator: Handle dispatches each event to one method, which asks the components. Each component
-// owns its state and is reached through methods only. What it knows of one machine is a record in the machine:
+// Scheduler is a coordinator: Handle dispatches each event to one method, which calls the components. Each component
+// owns its state and is accessed through methods only. Its state for one machine is kept in a field of type machine.
+// The components are:
 //
 //	component             job                                                     file
 //	machineRegistry       which machines there are, and what the list says        machineregistry.go, machine.go
@@ -24,11 +25,12 @@
 //	deadlineTimer         answers what has no outcome at its deadline             deadlines.go
 //	explainer             says why a request finds no machine                     explain.go
 //
-// The coordinator's own steps are in scheduler.go (events and maintenance) and attempts.go (containers from the request
-// to the outcome); snapshot.go gives a later incarnation what this one has learned.
+// The coordinator itself is in scheduler.go (events and maintenance) and attempts.go (containers from the request to
+// the outcome). snapshot.go saves the learned state for a later incarnation.
 //
-// A machine passes from event to decision as follows: the filters leave out where a container may not go; among the
-// rest, those with the lowest suspicion level are drawn from, with odds proportional to honored maximum capacity.
+// A machine is chosen in three steps. The filters exclude the machines where the container may not run. Of the rest,
+// only the machines with the lowest suspicion level remain. One of these is drawn, with odds proportional to honored
+// maximum capacity.
 //
-// "policy" in deploy/balancer.toml names every file with decisions. The other files hold types and helpers.
+// "policy" in deploy/balancer.toml lists every file that makes decisions. The other files hold types and helpers.
 package scheduler
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,21 +1,23 @@
 package scheduler
 
 const (
-	averagingSpan  = 32              // observations that a moving ratio remembers
-	deadlineMargin = 2 * Millisecond // kept from deadlines and deduplication windows, for the way to the machine
+	averagingSpan  = 32              // time constant of moving averages, in observations
+	deadlineMargin = 2 * Millisecond // before deadlines and ends of deduplication windows, for transit to the machine
 
-	maintenanceInterval = Second / 4 // also how far ahead deadlines get a timer
+	maintenanceInterval = Second / 4 // also the horizon within which a deadline gets a timer
 
-	maintenanceTimerName = "sweep" // these names pass through the simulator's wire
+	// The timer names are part of the simulator's wire protocol.
+	maintenanceTimerName = "sweep"
 	deadlineTimerName    = "due"
 )
 
-// Scheduler is one instance. The process calls New once and Handle for each batch of events, and carries out the
-// actions in the order in which they are returned. It coordinates components that each own their part of the state.
+// Scheduler decides on the placement of containers. The host process calls New once and Handle for each batch of
+// events, and carries out the returned actions in order. Scheduler coordinates components that each own a part of the
+// state.
 type Scheduler struct {
 	config  Config
 	actions *actionBuffer
-	random  *pcg // shared by all components that draw: the order of their draws is part of each decision
+	random  *pcg // shared by all components that need it, so the order of their calls affects the decisions
 
 	machines   *machineRegistry
 	containers *containerRegistry
@@ -30,12 +32,12 @@
 	deadlines  *deadlineTimer
 	explainer  *explainer
 
-	now           Time         // of this batch, or the last one
-	unplaced      []*container // to be placed at the end of this batch
-	deadlineCheck bool         // a timer fired in this batch
+	now           Time         // time of the current or last batch
+	unplaced      []*container // placed at the end of the current batch
+	deadlineCheck bool         // whether a timer fired in the current batch
 }
 
-// New returns a scheduler that knows no machines yet.
+// New returns a scheduler without machines.
 func New(config Config) *Scheduler {
 	actions := &actionBuffer{}
 	random := &pcg{config.Seed}
@@ -85,7 +87,7 @@
 }
 
 // Handle applies the events that happened by now and returns the actions to carry out. Containers are placed after all
-// events are applied: what is found running in the batch counts before any new attempt.
+// events are applied, so that adopted containers in the batch count before any new attempt.
 func (s *Scheduler) Handle(now Time, events []Event) []Action {
 	s.beginBatch(now)
 	if !s.slowStart.hasStarted() {
@@ -132,7 +134,7 @@
 	}
 }
 
-// initialize runs in the first batch.
+// initialize runs once, in the first batch.
 func (s *Scheduler) initialize() {
 	s.slowStart.start(s.now)
 	s.actions.emit(SetTimer{After: s.random.jitter(maintenanceInterval), Name: maintenanceTimerName})
@@ -142,8 +144,8 @@
 	}
 }
 
-// handleMachineListUpdate takes in an update. A poll that failed leaves the machines as they are, and a start that a machine
-// reports itself is no answer to a poll.
+// handleMachineListUpdate applies an update of the machine list. A failed poll leaves the machines unchanged. A start
+// that a machine reports itself does not count as the answer to a poll.
 func (s *Scheduler) handleMachineListUpdate(e MachineListUpdate) {
 	switch e.Mode {
 	case UpdateFailed:
@@ -163,7 +165,8 @@
 	}
 }
 
-// handleTimerFired has deadlines checked at the end of the batch, whichever timer it was.
+// handleTimerFired runs the maintenance if its timer fired. Any timer causes a check of the deadlines at the end of the
+// batch.
 func (s *Scheduler) handleTimerFired(e TimerFired) {
 	if e.Name == maintenanceTimerName {
 		s.maintain()
@@ -171,7 +174,7 @@
 	s.deadlineCheck = true
 }
 
-// maintain does the periodic work.
+// maintain evicts machines, polls the machine list and sends probes, each if due.
 func (s *Scheduler) maintain() {
 	s.actions.emit(SetTimer{After: maintenanceInterval, Name: maintenanceTimerName})
 	s.machines.evictGone(s.now)
