--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -2,8 +2,8 @@
 
 import "log/slog"
 
-// This file follows containers from the request to the outcome. A container has an attempt out or is answered in the
-// batch in which it becomes unplaced: none waits.
+// This file handles containers from the request to the outcome. There is no queue: when a container becomes unplaced,
+// the same batch starts an attempt for it or answers the client.
 
 func (s *Scheduler) handleRequestReceived(e RequestReceived) {
 	if c := s.register(e.PlacementRequest); c != nil {
@@ -21,7 +21,7 @@
 	s.containers.adopt(c, s.machines.findOrAdd(e.Machine), s.now)
 }
 
-// register returns nil for a workload class that the configuration does not have.
+// register adds a container. It returns nil if the configuration does not have the workload class.
 func (s *Scheduler) register(request PlacementRequest) *container {
 	c := s.containers.add(request)
 	if c == nil {
@@ -38,7 +38,7 @@
 	}
 }
 
-// placeAll places what became unplaced in this batch and was not removed since.
+// placeAll places the containers that became unplaced in this batch and are still open.
 func (s *Scheduler) placeAll() {
 	for _, c := range s.unplaced {
 		if !c.closed {
@@ -47,7 +47,7 @@
 	}
 }
 
-// place starts an attempt on a machine, or answers the client at once.
+// place starts an attempt on a machine. If there is none for the container, it answers the client.
 func (s *Scheduler) place(c *container) {
 	m := s.choose(c)
 	if m == nil {
@@ -59,7 +59,8 @@
 	s.actions.emit(StartAttempt{ID: c.request.ID, Machine: m.id, Timeout: s.attemptTimeout(c)})
 }
 
-// choose returns nil where no attempt is left, no machine is eligible or the container is shed.
+// choose returns the machine for the next attempt. It returns nil if no attempts or no time are left, if the container
+// is shed, or if no machine is eligible.
 func (s *Scheduler) choose(c *container) *machine {
 	attemptsLeft := c.attempts < s.config.MaxAttempts
 	timeLeft := s.now+deadlineMargin < c.request.Deadline
@@ -69,7 +70,8 @@
 	return s.draw.draw(c, s.machines.all(), s.now)
 }
 
-// attemptTimeout leaves time for a retry, unless none can follow.
+// attemptTimeout returns how long the next attempt may take. It leaves time for a retry on another machine if one is
+// allowed.
 func (s *Scheduler) attemptTimeout(c *container) Time {
 	left := c.request.Deadline - s.now
 	if c.class.Idempotency == AtMostOnce || c.attempts >= s.config.MaxAttempts {
@@ -78,8 +80,8 @@
 	return min(left, c.class.PlacementTimeout/2)
 }
 
-// respond answers the client: a rejection where a retry by it does no harm, else a failure. An attempt that has no
-// outcome may run.
+// respond gives the client its final answer: a rejection if a retry by the client is safe, else a failure. An attempt
+// without an outcome counts as one that may have run.
 func (s *Scheduler) respond(c *container) {
 	c.recordRunWithoutOutcome()
 	if c.clientRetryIsSafe() {
@@ -109,8 +111,8 @@
 	}
 }
 
-// handleAttemptEnded takes in the one outcome of an attempt. Where it is not final the container is placed again: an outcome
-// that an acceptance crossed is not, as the client still waits.
+// handleAttemptEnded handles the outcome of an attempt; each attempt has one. Unless the outcome is final, the client
+// still waits and the container is placed again. An outcome that crossed an acceptance on the way is not final either.
 func (s *Scheduler) handleAttemptEnded(e AttemptEnded) {
 	c := s.containers.findPlaced(e.ID)
 	if c == nil {
@@ -130,7 +132,7 @@
 	switch {
 	case e.Final || c.closed:
 		s.containers.close(c)
-	case e.Outcome == OutcomeFinished: // its run time passed unaccepted: a retry would be for nothing
+	case e.Outcome == OutcomeFinished: // it ran to its end before it was accepted: a retry would be pointless
 		s.respond(c)
 	default:
 		s.unplaced = append(s.unplaced, c)
--- a/scheduler/attempts_test.go
+++ b/scheduler/attempts_test.go
@@ -6,15 +6,15 @@
 	"glenport/internal/testutil"
 )
 
-// What may follow by the idempotency of the class and the outcome of the first attempt.
+// The idempotency of the class and the outcome of the first attempt decide whether the container is placed again.
 func TestOutcomeDecidesWhatMayFollow(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		idempotency Idempotency
 		scope       Scope
 		outcome     Outcome
-		wait        Time   // until the outcome
-		want        Action // of this type
+		wait        Time   // time of the outcome
+		want        Action // only its type is compared
 	}{
 		{"idempotent, timed out", Idempotent, 0, OutcomeTimedOut, Second, StartAttempt{}},
 		{"idempotent, full", Idempotent, 0, OutcomeFull, Second, StartAttempt{}},
@@ -60,7 +60,7 @@
 		name   string
 		events []Event
 		want   int // actions for the container after its first attempt
-		left   int
+		left   int // containers and services that remain registered
 	}{
 		{"removed, then its outcome", []Event{removed, ended(OutcomeTimedOut)}, 0, 0},
 		{"final outcome, then removed", []Event{endedFinally(OutcomeFinished), removed}, 0, 0},
@@ -85,7 +85,7 @@
 			}
 			testutil.Expect(t, answers == tc.want, "%d actions, want %d", answers, tc.want)
 			if left := len(s.containers.containers) + len(s.containers.services); left != tc.left {
-				t.Errorf("%d left in tables, want %d", left, tc.left)
+				t.Errorf("%d containers and services registered, want %d", left, tc.left)
 			}
 		})
 	}
@@ -103,8 +103,8 @@
 	return count
 }
 
-// A container whose run time passed before it was accepted is answered at once, by what may have run, and is no
-// evidence against a machine.
+// A container may run to its end before the machine accepts it. The client is answered at once: with a rejection or a
+// failure, as a second run is safe or not. The outcome is no evidence against the machine.
 func TestContainerFinishedBeforeAcceptanceIsAnsweredAtOnce(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -130,8 +130,8 @@
 	}
 }
 
-// Nothing goes to a machine of unknown type or of no capacity, and a container of an unknown workload class fails at
-// once.
+// No attempt goes to a machine of unknown type or without capacity, and a container of an unknown workload class fails
+// at once.
 func TestInvalidInputIsAnsweredSafely(t *testing.T) {
 	config := testConfig(Idempotent)
 	config.SchedulerCount, config.SlowStartBudget = 0, 0
@@ -144,7 +144,7 @@
 	s.Handle(1, []Event{ContainerAdopted{PlacementRequest{ID: "r", Service: "s", WorkloadClass: 7}, "c"}})
 	for _, tc := range []struct {
 		request PlacementRequest
-		want    Action // of this type
+		want    Action // only its type is compared
 	}{
 		{PlacementRequest{ID: "x", Service: "s", Deadline: 2 * Second}, Reject{}},
 		{PlacementRequest{ID: "y", Service: "s", WorkloadClass: 7, Deadline: 2 * Second}, Fail{}},
--- a/scheduler/container.go
+++ b/scheduler/container.go
@@ -2,30 +2,30 @@
 
 import "slices"
 
-// container is one that is to be placed or runs. It is dropped once it is closed and has no attempt out. The container
-// registry alone changes it, and its own methods; the other components read it.
+// container is a container that is being placed or runs. It is removed once it is closed and has no open attempt. Only
+// its own methods and the container registry change it; the other components read it.
 type container struct {
 	request  PlacementRequest
 	class    *WorkloadClass
 	service  *service
 	attempts int
-	machine  *machine // of the attempt that is out, or where it runs
+	machine  *machine // of the open attempt, or the one that runs the container; nil if there is none
 	sentAt   Time     // of that attempt
 	accepted bool
-	closed   bool // answered or cancelled: only an outcome is awaited
+	closed   bool // answered or cancelled: at most an outcome is still expected
 	firstRun possibleRun
-	excluded []*machine // machines that it is not placed on any more
+	excluded []*machine // machines where no further attempt is made
 	failures []unattributedFailure
 	used     resources
 }
 
-// possibleRun is the first attempt that may have run. Without a machine, none has.
+// possibleRun is the first attempt that may have run the container. Its machine is nil if there is no such attempt.
 type possibleRun struct {
 	machine *machine
 	sentAt  Time
 }
 
-// service counts its containers and where they are.
+// service counts the containers of a service, in total and by machine.
 type service struct {
 	name         string
 	hash         uint64 // of the name
@@ -33,48 +33,50 @@
 	reservations map[*machine]int
 }
 
-// reservationsSharing counts the service's containers in the machine's place. Those in no known place count in each.
+// reservationsSharing counts the service's containers in the same scope as the machine. Containers on machines that are
+// not in the machine list count in every scope except ScopeMachine.
 func (s *service) reservationsSharing(m *machine, scope Scope) int {
 	count := 0
 	for o, reservations := range s.reservations {
-		unknownPlace := !o.listing.known && scope != ScopeMachine
-		if unknownPlace || m.sharesScope(o, scope) {
+		unknownLocation := !o.listing.known && scope != ScopeMachine
+		if unknownLocation || m.sharesScope(o, scope) {
 			count += reservations
 		}
 	}
 	return count
 }
 
-// unattributedFailure is an error of an attempt: the fault of the machine or of the container.
+// unattributedFailure is a failed attempt whose cause is not known yet: the machine or the container.
 type unattributedFailure struct {
 	machine *machine
 	sentAt  Time
-	silent  bool // nothing was heard of the machine since the attempt was sent
+	silent  bool // the machine has sent nothing since the attempt was sent
 }
 
-// endedAttempt is an attempt as it was when it ended.
+// endedAttempt is the state of an attempt when it ended.
 type endedAttempt struct {
 	container *container
 	machine   *machine
 	sentAt    Time
 	accepted  bool
-	silent    bool // nothing was heard of the machine since the attempt was sent
+	silent    bool // the machine has sent nothing since the attempt was sent
 }
 
-// isOfCurrentIncarnation is false for attempts that tell nothing of the machine as it is now.
+// isOfCurrentIncarnation reports whether the attempt was sent to the machine's current incarnation. The outcomes of
+// other attempts are no evidence about it.
 func (a endedAttempt) isOfCurrentIncarnation() bool { return a.sentAt >= a.machine.listing.startedAt }
 
 func (c *container) requested() resources {
 	return resources{cores: c.request.Cores, memory: c.request.Memory}
 }
 
-// awaitsAnswer reports whether the client is owed an answer that no machine has given yet.
+// awaitsAnswer reports whether the client still waits for an answer and no machine has accepted the container.
 func (c *container) awaitsAnswer() bool { return !c.closed && !c.accepted }
 
-// machineIsSilent reports whether nothing was heard of the machine since the attempt was sent.
+// machineIsSilent reports whether the machine has sent nothing since the attempt was sent.
 func (c *container) machineIsSilent() bool { return c.machine.contact.silentSince(c.sentAt) }
 
-// exclude keeps the container from a machine from now on.
+// exclude prevents further attempts of the container on a machine.
 func (c *container) exclude(m *machine) {
 	c.excluded = append(c.excluded, m)
 	m.exclusions++
@@ -82,37 +84,37 @@
 
 func (c *container) excludes(m *machine) bool { return slices.Contains(c.excluded, m) }
 
-// holdBackFailure keeps an error until it shows whose fault it was.
+// holdBackFailure keeps a failure until a later outcome shows its cause.
 func (c *container) holdBackFailure(f unattributedFailure) { c.failures = append(c.failures, f) }
 
-// failedOnce reports whether one error is held back and no other.
+// failedOnce reports whether exactly one failure is held back.
 func (c *container) failedOnce() bool { return len(c.failures) == 1 }
 
-// takeFailures returns the errors that were held back, once.
+// takeFailures returns the failures that are held back and clears them.
 func (c *container) takeFailures() []unattributedFailure {
 	failures := c.failures
 	c.failures = nil
 	return failures
 }
 
-// recordPossibleRun remembers the first attempt that may have run.
+// recordPossibleRun records an attempt that may have run the container, if it is the first.
 func (c *container) recordPossibleRun(m *machine, sentAt Time) {
 	if c.firstRun.machine == nil {
 		c.firstRun = possibleRun{machine: m, sentAt: sentAt}
 	}
 }
 
-// recordRunWithoutOutcome counts an attempt that has no outcome as one that may have run.
+// recordRunWithoutOutcome records the open attempt, if there is one, as one that may have run the container.
 func (c *container) recordRunWithoutOutcome() {
 	if c.firstRun.machine == nil {
 		c.firstRun.machine = c.machine
 	}
 }
 
-// accept counts the machine's acceptance of the attempt that is out.
+// accept records that the machine accepted the open attempt.
 func (c *container) accept() { c.accepted = true }
 
-// mayRunAgainOn keeps a container that may have run already to the machines where a second run does no harm.
+// mayRunAgainOn reports whether a run on the machine is safe, considering that the container may have run already.
 func (c *container) mayRunAgainOn(m *machine, now Time) bool {
 	if c.firstRun.machine == nil {
 		return true
@@ -130,7 +132,7 @@
 	}
 }
 
-// clientRetryIsSafe reports whether a retry by the client, which may go to any machine, does no harm.
+// clientRetryIsSafe reports whether a retry by the client is safe. The retry may be placed on any machine.
 func (c *container) clientRetryIsSafe() bool {
 	switch c.class.Idempotency {
 	case Idempotent:
@@ -144,8 +146,8 @@
 	}
 }
 
-// indicatesDrain holds for a machine that sends containers away, or does not know one that can run nowhere
-// else. Either comes before the machine list has the drain.
+// indicatesDrain reports whether a reason shows that the machine drains itself: it sent the container away, or it does
+// not know a container that cannot have run elsewhere. Either may happen before the machine list shows the drain.
 func (c *container) indicatesDrain(reason Reason) bool {
 	neverRan := c.firstRun.machine == nil && !c.request.ClientRetry
 	return reason == ReasonDrained || reason == ReasonWrongMachine && neverRan
