--- a/scheduler/containerregistry.go
+++ b/scheduler/containerregistry.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// containerRegistry owns the containers, their services, and what they reserve on machines and of quotas.
+// containerRegistry owns the containers, their services, and their reservations on machines and of tenant quotas.
 type containerRegistry struct {
 	classes    []WorkloadClass
 	quotas     *tenantQuotas
@@ -22,10 +22,10 @@
 	}
 }
 
-// find returns nil for a container that is not known.
+// find returns the container, or nil if it is unknown.
 func (r *containerRegistry) find(id ContainerID) *container { return r.containers[id] }
 
-// findPlaced returns nil for a container that has no attempt out and does not run.
+// findPlaced returns a container that has a machine: its attempt is open, or it runs. It returns nil for any other.
 func (r *containerRegistry) findPlaced(id ContainerID) *container {
 	c := r.containers[id]
 	if c == nil || c.machine == nil {
@@ -34,7 +34,7 @@
 	return c
 }
 
-// add returns nil for a workload class that the configuration does not have.
+// add registers a container for a request. It returns nil if the configuration does not have the workload class.
 func (r *containerRegistry) add(request PlacementRequest) *container {
 	c := r.newUnregistered(request)
 	if c == nil {
@@ -46,20 +46,21 @@
 	return c
 }
 
-// newUnregistered returns a container that is not registered, for questions about a request; nil for a workload class
-// that the configuration does not have.
+// newUnregistered returns a container that is not in the registry, to explain or add a request. It returns nil if the
+// configuration does not have the workload class.
 func (r *containerRegistry) newUnregistered(request PlacementRequest) *container {
 	if request.WorkloadClass >= len(r.classes) {
 		return nil
 	}
-	of := r.services[request.Service]
-	if of == nil {
-		of = &service{name: request.Service, hash: hash(request.Service), reservations: map[*machine]int{}}
+	svc := r.services[request.Service]
+	if svc == nil {
+		svc = &service{name: request.Service, hash: hash(request.Service), reservations: map[*machine]int{}}
 	}
-	return &container{request: request, class: &r.classes[request.WorkloadClass], service: of}
+	return &container{request: request, class: &r.classes[request.WorkloadClass], service: svc}
 }
 
-// close ends what is owed to the client, and drops the container unless an outcome is still awaited.
+// close records that the client needs no further answer. The container is removed now, or by a later call once its
+// open attempt has an outcome.
 func (r *containerRegistry) close(c *container) {
 	c.closed = true
 	if c.machine != nil {
@@ -75,20 +76,20 @@
 	}
 }
 
-// startAttempt counts an attempt that is sent to a machine.
+// startAttempt records an attempt that is sent to a machine.
 func (r *containerRegistry) startAttempt(c *container, m *machine, now Time) {
 	c.attempts++
 	r.reserve(c, m, now)
 }
 
-// adopt counts a container that runs already, from an attempt of an earlier incarnation of the scheduler.
+// adopt records a container that already runs, from an attempt of an earlier incarnation of the scheduler.
 func (r *containerRegistry) adopt(c *container, m *machine, now Time) {
 	c.attempts = 1
 	c.accepted = true
 	r.reserve(c, m, now)
 }
 
-// endAttempt takes the attempt off its container and machine.
+// endAttempt releases the reservations of the container's attempt and returns the attempt as it was before.
 func (r *containerRegistry) endAttempt(c *container) endedAttempt {
 	attempt := endedAttempt{
 		container: c,
@@ -102,7 +103,7 @@
 	return attempt
 }
 
-// reserve counts an attempt or a running container at its machine, from its sending to its outcome.
+// reserve reserves resources on the machine and of the tenant's quota, from the send of an attempt to its outcome.
 func (r *containerRegistry) reserve(c *container, m *machine, now Time) {
 	c.machine = m
 	c.sentAt = now
@@ -112,7 +113,7 @@
 	r.quotas.reserve(c.request.Tenant, c.request.Cores)
 }
 
-// release takes off what reserve counted.
+// release undoes reserve.
 func (r *containerRegistry) release(c *container) {
 	m := c.machine
 	c.machine = nil
@@ -124,8 +125,8 @@
 	r.quotas.release(c.request.Tenant, c.request.Cores)
 }
 
-// reportUse takes in a measurement of a container that has a machine. Other metrics than cores and memory are not
-// heeded.
+// reportUse records the measured use of a container that has a machine. Metrics other than cores and memory are
+// ignored.
 func (r *containerRegistry) reportUse(c *container, metric UsageMetric, value float64) {
 	used := c.used
 	switch metric {
@@ -140,7 +141,7 @@
 	c.used = used
 }
 
-// silentMachines are those that were not heard of since an attempt was sent to them, longer ago than a span.
+// silentMachines returns the machines that have sent nothing since an attempt went to them more than span ago.
 func (r *containerRegistry) silentMachines(span, now Time) map[*machine]bool {
 	silent := map[*machine]bool{}
 	for _, c := range r.containers {
@@ -151,8 +152,8 @@
 	return silent
 }
 
-// deadlinesWithin returns the containers that no machine has accepted and whose deadline, put off by a grace, has
-// passed, by ID, and the next such deadline up to a horizon; 0 where there is none.
+// deadlinesWithin looks at the containers that await an answer, with their deadlines extended by grace. It returns
+// those whose deadline has passed, ordered by ID, and the next deadline within the horizon, or 0 if there is none.
 func (r *containerRegistry) deadlinesWithin(horizon, grace, now Time) (overdue []*container, next Time) {
 	for _, c := range r.containers {
 		deadline := c.request.Deadline + grace
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -1,13 +1,13 @@
 package scheduler
 
-// machine is what is known of one machine. Each part is written by one component, named beside it; the others read it
-// through the methods of the part's type.
+// machine is the state of one machine. Each field is written by one component only, which is named in its comment. The
+// other components read it through the methods of its type.
 type machine struct {
 	id         MachineID
 	hash       uint64        // of the ID
 	listing    listing       // machineRegistry
 	load       machineLoad   // containerRegistry
-	exclusions int           // containerRegistry: containers that are not placed on it any more
+	exclusions int           // containerRegistry: number of containers that exclude the machine
 	contact    contact       // prober
 	selfDrain  selfDrain     // outcomeRecorder
 	outlier    outlierRecord // outlierDetector
@@ -15,23 +15,23 @@
 	sends      sendLedger    // slowStartLimiter
 }
 
-// listing is what the machine list says of a machine.
+// listing is the state of a machine according to the machine list.
 type listing struct {
-	known       bool // a list has named the machine: its place and type are known
+	known       bool // the machine has been in the machine list, so its location and type are known
 	zone        int
 	rackGroup   int
 	machineType int
 	state       MachineState
 	startedAt   Time      // identifies the incarnation
 	capacity    float64   // in containers of mean size
-	requested   resources // by the containers of all schedulers
+	requested   resources // sum over the containers of all schedulers
 }
 
-// machineLoad counts the own attempts and containers on a machine that have no outcome.
+// machineLoad counts this scheduler's attempts and containers on a machine that have no outcome yet.
 type machineLoad struct {
 	reservations int
 	requested    resources
-	used         resources // as far as reported, else as requested
+	used         resources // as reported, or as requested by containers without a report
 }
 
 func (l *machineLoad) reserve(requested resources) {
@@ -44,23 +44,24 @@
 	l.reservations--
 	l.requested.subtract(requested)
 	l.used.subtract(used)
-	if l.reservations == 0 { // no remainders of rounding are kept
+	if l.reservations == 0 { // clear accumulated rounding errors
 		l.requested, l.used = resources{}, resources{}
 	}
 }
 
-// replaceUse takes in a report of what one container uses.
+// replaceUse replaces the reported use of one container.
 func (l *machineLoad) replaceUse(before, after resources) {
 	l.used.subtract(before)
 	l.used.add(after)
 }
 
-// knownRequested covers a machine list that is late: own requests count where the list has less.
+// knownRequested returns the larger of the requests in the machine list and this scheduler's own requests, as the list
+// may be out of date.
 func (m *machine) knownRequested() resources {
 	return m.listing.requested.atLeast(m.load.requested)
 }
 
-// useBeyondRequests is what own containers use less all known requests; it may be negative.
+// useBeyondRequests returns the use by this scheduler's containers minus all known requests. It may be negative.
 func (m *machine) useBeyondRequests() resources {
 	use := m.load.used
 	use.subtract(m.knownRequested())
@@ -70,7 +71,8 @@
 // isReferenced reports whether a container is on the machine or excludes it.
 func (m *machine) isReferenced() bool { return m.load.reservations+m.exclusions > 0 }
 
-// sharesScope reports whether two machines lie in one place; one that no list has named lies in no known place.
+// sharesScope reports whether two machines are in the same scope. A machine that was never in the machine list has no
+// known zone or rack group.
 func (m *machine) sharesScope(o *machine, scope Scope) bool {
 	switch scope {
 	case ScopeFleet:
@@ -86,8 +88,8 @@
 	}
 }
 
-// beginIncarnation drops what was learned of an earlier start of the machine. What was sent up to a transit time
-// before the start may have reached this incarnation, and counts.
+// beginIncarnation drops the state learned about an earlier incarnation of the machine. Sends within a transit time
+// before the start are kept, because they may have reached the new incarnation.
 func (m *machine) beginIncarnation(startedAt, transitTime Time) {
 	m.listing.startedAt = startedAt
 	m.outlier = newOutlierRecord()
--- a/scheduler/machineregistry.go
+++ b/scheduler/machineregistry.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// machineRegistry owns the set of machines and what the machine list says of them. A machine is dropped once it is
-// gone and nothing refers to it.
+// machineRegistry owns the set of machines and their entries in the machine list. A machine is evicted once it is gone
+// and no longer referenced.
 type machineRegistry struct {
 	types          []machineTypeSize
 	trafficClasses int // length of each machine's failure evidence
@@ -15,7 +15,7 @@
 	actions        *actionBuffer
 
 	byID    map[MachineID]*machine
-	ordered []*machine // by ID: no decision may depend on the order of a map
+	ordered []*machine // by ID, as no decision may depend on the iteration order of a map
 }
 
 // machineTypeSize is the size of a machine type, and its capacity in containers of mean size.
@@ -41,13 +41,13 @@
 	}
 }
 
-// find returns nil for a machine that is not known.
+// find returns the machine, or nil if it is unknown.
 func (r *machineRegistry) find(id MachineID) *machine { return r.byID[id] }
 
 // all returns the machines ordered by ID. The slice is valid until a machine is added or evicted.
 func (r *machineRegistry) all() []*machine { return r.ordered }
 
-// findOrAdd also adds machines that no list has named yet.
+// findOrAdd returns the machine. It adds the machine if it is unknown, even if it is not in the machine list yet.
 func (r *machineRegistry) findOrAdd(id MachineID) *machine {
 	if m := r.byID[id]; m != nil {
 		return m
@@ -67,7 +67,7 @@
 	return m
 }
 
-// apply takes in an update of the machine list.
+// apply applies an update of the machine list.
 func (r *machineRegistry) apply(update MachineListUpdate, now Time) {
 	if update.Mode == FullSnapshot || update.Mode == RestoredSnapshot {
 		for _, m := range r.ordered {
@@ -106,8 +106,8 @@
 	}
 }
 
-// evictGone drops machines that are gone once nothing refers to them: no container, no exclusion, no send that would
-// count if they came back in the same incarnation.
+// evictGone removes the machines that are gone and no longer referenced: by a container, by an exclusion, or by a
+// recent send, which would count if the machine came back in the same incarnation.
 func (r *machineRegistry) evictGone(now Time) {
 	r.ordered = slices.DeleteFunc(r.ordered, func(m *machine) bool {
 		if m.listing.state != MachineGone || m.isReferenced() || len(r.slowStart.recentSends(m, now)) > 0 {
--- a/scheduler/registries_test.go
+++ b/scheduler/registries_test.go
@@ -24,12 +24,12 @@
 	for _, tc := range []struct {
 		name  string
 		setup func(r *machineRegistry)
-		want  string // after a full snapshot that has b alone
+		want  string // machines after a full snapshot with b only
 	}{
 		{"gone", func(*machineRegistry) {}, "b"},
 		{"a container on it", func(r *machineRegistry) { r.findOrAdd("a").load.reserve(resources{1, 1}) }, "a b"},
 		{"a container that excludes it", func(r *machineRegistry) { (&container{}).exclude(r.findOrAdd("c")) }, "b c"},
-		{"sent to lately", func(r *machineRegistry) { r.slowStart.recordSend(r.findOrAdd("c"), 1) }, "b c"},
+		{"recent send", func(r *machineRegistry) { r.slowStart.recordSend(r.findOrAdd("c"), 1) }, "b c"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newTestRegistry(&actionBuffer{})
@@ -64,7 +64,7 @@
 	testutil.Expect(t, m.load.reservations == 1 && m.load.used == (resources{0.1, 1}) && quotas.cores[0] == 1,
 		"reserved %+v, tenants %v", m.load, quotas.cores)
 	r.close(c)
-	testutil.Expect(t, r.find("x") == c, "a container with an attempt out is dropped")
+	testutil.Expect(t, r.find("x") == c, "a container with an open attempt is removed")
 	r.endAttempt(c)
 	r.close(c)
 	testutil.Expect(t, m.load == (machineLoad{}) && quotas.cores[0] == 0 && len(r.containers)+len(r.services) == 0,
