--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Action is something to be done.
+// Action is an instruction of the scheduler to the process that hosts it.
 type Action interface{ action() }
 
-// StartAttempt offers a container to a machine. An AttemptEnded follows, after an AttemptAccepted or without.
+// StartAttempt offers a container to a machine. An AttemptEnded follows, possibly after an AttemptAccepted.
 type StartAttempt struct {
 	ID      ContainerID
 	Machine MachineID
@@ -21,40 +21,40 @@
 	Attempt int
 }
 
-// Reject is the final answer to a client for which a retry does no harm.
+// Reject is the final answer to a client that may safely retry the request.
 type Reject struct {
 	ID         ContainerID
-	RetryAfter Time // 0: left to the client
+	RetryAfter Time // 0: the client chooses when to retry
 }
 
-// Fail is the final answer to a client where a retry may do harm.
+// Fail is the final answer to a client if a retry of the request is not safe.
 type Fail struct{ ID ContainerID }
 
-// Probe asks a machine for a sign of life. A ProbeCompleted follows.
+// Probe checks whether a machine responds. A ProbeCompleted follows.
 type Probe struct{ Machine MachineID }
 
 // Disconnect closes idle connections to a machine.
 type Disconnect struct{ Machine MachineID }
 
-// SetTimer asks for a TimerFired of that name.
+// SetTimer asks for a TimerFired with the same name.
 type SetTimer struct {
 	After Time
 	Name  string
 }
 
-// WatchMachineList asks for the machine list and then for its changes. A MachineListUpdate follows.
+// WatchMachineList polls the machine list and watches its changes. A MachineListUpdate follows.
 type WatchMachineList struct{ Enabled bool }
 
-// FetchMachineList asks for the machine list once.
+// FetchMachineList polls the machine list without a watch.
 type FetchMachineList struct{}
 
-// Log is a message with constant text.
+// Log is a log line: a constant message and its attributes.
 type Log struct {
 	Message    string
 	Attributes []slog.Attr
 }
 
-// String is for places that have no structured log.
+// String returns the log line as text, for hosts without structured logs.
 func (l Log) String() string {
 	var text strings.Builder
 	text.WriteString(l.Message)
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -15,17 +15,17 @@
 // ContainerID is the name of a container, given by its client.
 type ContainerID string
 
-// Idempotency says what a second run of a container would do.
+// Idempotency says whether a container may safely run a second time.
 type Idempotency uint8
 
 // The values are stored.
 const (
-	Idempotent        Idempotency = iota // it may run again
+	Idempotent        Idempotency = iota // may run again
 	IdempotentWithKey                    // machines in DedupScope drop repeats for DedupWindow
-	AtMostOnce                           // it must never run twice
+	AtMostOnce                           // must never run twice
 )
 
-// Scope is an extent of the fleet: where repeats are dropped, or what a spread counts.
+// Scope is a part of the fleet in which repeats are dropped, or in which a spread limit counts containers.
 type Scope uint8
 
 // The values are stored.
@@ -37,31 +37,31 @@
 	ScopeFleet
 )
 
-// WorkloadClass holds what containers of one class have in common. The tags are its names in recordings.
+// WorkloadClass holds the properties that all containers of a class share. The tags are the field names in recordings.
 type WorkloadClass struct {
 	Idempotency      Idempotency `cbor:"Effect"`
 	DedupScope       Scope       `cbor:"Repeats"`  // for IdempotentWithKey
 	DedupWindow      Time        `cbor:"Window"`   // for IdempotentWithKey
-	LatencyObjective Time        `cbor:"Agreed"`   // a start within it has its full worth
+	LatencyObjective Time        `cbor:"Agreed"`   // a start within it has full value
 	PlacementTimeout Time        `cbor:"HardStop"` // from the request to its deadline
-	MachineType      int         `cbor:"Kind"`     // index of the type that it needs, -1 for any
+	MachineType      int         `cbor:"Kind"`     // index into Config.MachineTypes of the required type; -1: any
 	SpreadScope      Scope       `cbor:"Spread"`
-	MaxPerScope      int         `cbor:"Most"` // containers of a service in one such place
-	PriorityWeight   float64     `cbor:"Gain"` // worth of a start in time
+	MaxPerScope      int         `cbor:"Most"` // maximum of a service's containers in one SpreadScope
+	PriorityWeight   float64     `cbor:"Gain"` // value of a start within LatencyObjective
 }
 
-// MachineType is the size of its machines. The tags are its names in recordings.
+// MachineType is the size of the machines of a type. The tags are the field names in recordings.
 type MachineType struct {
 	Cores  float64 `cbor:"Cores"`
 	Memory float64 `cbor:"Memory"`
 }
 
-// Tenant has a quota. The tag is its name in recordings.
+// Tenant is a tenant with its quota. The tag is the field name in recordings.
 type Tenant struct {
-	QuotaCores float64 `cbor:"Cores"` // requested of all schedulers
+	QuotaCores float64 `cbor:"Cores"` // limit on the cores requested from all schedulers together
 }
 
-// Config is what a scheduler is given at its start. The tags are its names in recordings.
+// Config is the configuration of a scheduler. The tags are the field names in recordings.
 type Config struct {
 	Seed               uint64          `cbor:"Seed"`
 	SchedulerIndex     int             `cbor:"Me"` // of this instance, from 0
@@ -69,20 +69,20 @@
 	WorkloadClasses    []WorkloadClass `cbor:"Workloads"`
 	MachineTypes       []MachineType   `cbor:"Kinds"`
 	Tenants            []Tenant        `cbor:"Customers"`
-	OverQuotaWeight    float64         `cbor:"OverShare"`   // part of its priority that a request over quota keeps
-	CoresOvercommit    float64         `cbor:"AcceptCores"` // multiple of its cores that a machine accepts requests for
+	OverQuotaWeight    float64         `cbor:"OverShare"`   // factor on the priority weight of use over quota
+	CoresOvercommit    float64         `cbor:"AcceptCores"` // a machine accepts requests for this multiple of its cores
 	MemoryOvercommit   float64         `cbor:"AcceptMemory"`
 	MeanCores          float64         `cbor:"MeanCores"` // of a container
 	MeanMemory         float64         `cbor:"MeanMemory"`
 	AcceptMeansRunning bool            `cbor:"YesRuns"`    // a machine accepts only once the container runs
-	UsageReports       bool            `cbor:"UseNotes"`   // the use by own containers is reported
-	ListTracksRequests bool            `cbor:"ListedAsks"` // free amounts in the machine list are those not requested
+	UsageReports       bool            `cbor:"UseNotes"`   // the resource use of own containers is reported
+	ListTracksRequests bool            `cbor:"ListedAsks"` // free amounts in the machine list are total minus requested
 	ProbesAllowed      bool            `cbor:"MayProbe"`
 	MaxAttempts        int             `cbor:"MostBids"`
-	AnswerGrace        Time            `cbor:"AnswerGrace"` // after the deadline, in which an answer is still in time
-	ListOnRequest      bool            `cbor:"ListOnAsk"`   // the machine list comes only once it is watched
-	ResyncInterval     Time            `cbor:"AskWithin"`   // within which the list has to be polled
-	SlowStartPeriod    Time            `cbor:"ColdFor"`     // after the start of a machine
+	AnswerGrace        Time            `cbor:"AnswerGrace"` // after the deadline, while an answer is still in time
+	ListOnRequest      bool            `cbor:"ListOnAsk"`   // the machine list is sent only after WatchMachineList
+	ResyncInterval     Time            `cbor:"AskWithin"`   // longest time until the list has to be polled
+	SlowStartPeriod    Time            `cbor:"ColdFor"`     // length of slow start after the start of a machine
 	SlowStartWindow    Time            `cbor:"ColdWindow"`
 	SlowStartBudget    int             `cbor:"ColdBids"` // sends to a machine in each window, by all schedulers
 }
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -3,7 +3,7 @@
 // Event is something that happened.
 type Event interface{ event() }
 
-// MachineListUpdate is a watch event of the machine list, or the answer to a poll.
+// MachineListUpdate is a watch event of the machine list, the result of a poll, or the report of a machine itself.
 type MachineListUpdate struct {
 	Mode    UpdateMode
 	Version int64
@@ -15,14 +15,14 @@
 
 // Modes of an update.
 const (
-	DeltaUpdate      UpdateMode = iota // of the machines named
-	FullSnapshot                       // machines that are not named are gone
-	RestoredSnapshot                   // as FullSnapshot, as of before a restart of the scheduler
+	DeltaUpdate      UpdateMode = iota // machines without an entry are unchanged
+	FullSnapshot                       // machines without an entry are gone
+	RestoredSnapshot                   // a FullSnapshot saved before the scheduler restarted
 	UpdateFailed                       // the poll failed
-	SelfReported                       // a start that the machine reported itself: no answer of the list service
+	SelfReported                       // a start reported by the machine itself, not by the list service
 )
 
-// MachineEntry is what the machine list says of a machine.
+// MachineEntry is the entry of a machine in the machine list.
 type MachineEntry struct {
 	Machine     MachineID
 	Zone        int
@@ -32,10 +32,10 @@
 	FreeCores   float64
 	FreeMemory  float64
 	PowerHint   float64
-	StartedAt   Time // 0: long ago
+	StartedAt   Time // 0: too long ago for slow start
 }
 
-// MachineState is whether a machine takes containers.
+// MachineState says whether a machine accepts containers.
 type MachineState uint8
 
 // States of a machine.
@@ -45,33 +45,33 @@
 	MachineGone
 )
 
-// PlacementRequest describes a container. The tags are its names in the log of a scheduler's state.
+// PlacementRequest describes a container to be placed. The tags are the field names in the log of a scheduler's state.
 type PlacementRequest struct {
 	ID              ContainerID `cbor:"ID"`
 	IdempotencyKey  string      `cbor:"Key"` // the same for each retry by the client
 	Service         string      `cbor:"Service"`
 	WorkloadClass   int         `cbor:"Workload"` // index into Config.WorkloadClasses
-	Tenant          int         `cbor:"Customer"` // index into Config.Tenants, or beyond: none
+	Tenant          int         `cbor:"Customer"` // index into Config.Tenants; one out of range means no tenant
 	Cores           float64     `cbor:"Cores"`
 	Memory          float64     `cbor:"Memory"`
 	Deadline        Time        `cbor:"Due"`
-	ExpectedRuntime Time        `cbor:"Life"` // from now on, 0: not known
+	ExpectedRuntime Time        `cbor:"Life"` // from now on; 0: unknown
 	ClientRetry     bool        `cbor:"Again"`
 }
 
 // RequestReceived asks for a container to be placed.
 type RequestReceived struct{ PlacementRequest }
 
-// ContainerAdopted is a container that runs already.
+// ContainerAdopted reports a container that already runs.
 type ContainerAdopted struct {
 	PlacementRequest
 	Machine MachineID
 }
 
-// ContainerRemoved ends a container from outside; nothing more is owed to its client.
+// ContainerRemoved reports that a container was cancelled or removed. Its client needs no further answer.
 type ContainerRemoved struct{ ID ContainerID }
 
-// AttemptAccepted says that the machine accepted the container.
+// AttemptAccepted reports that the machine accepted the container.
 type AttemptAccepted struct {
 	ID      ContainerID
 	Attempt int // from 1
@@ -79,10 +79,10 @@
 	Elapsed Time // since the attempt was sent
 }
 
-// AttemptEnded is the one outcome of an attempt, before or after its acceptance.
+// AttemptEnded is the outcome of an attempt, before or after its acceptance. Each attempt has exactly one.
 type AttemptEnded struct {
 	ID      ContainerID
-	Final   bool // nothing more is owed to the client
+	Final   bool // the client needs no further answer
 	Attempt int
 	Outcome Outcome
 	Machine MachineID
@@ -91,40 +91,40 @@
 	Report  LoadReport
 }
 
-// Outcome of an attempt or a probe.
+// Outcome is the outcome of an attempt or a probe.
 type Outcome uint8
 
 // The comments say whether the container may have run.
 const (
-	OutcomeFinished      Outcome = iota // it did
-	OutcomeErrored                      // it may have started
+	OutcomeFinished      Outcome = iota // ran
+	OutcomeErrored                      // may have run
 	OutcomeFull                         // never ran
-	OutcomeTimedOut                     // it may have started, or may start yet
+	OutcomeTimedOut                     // may have run, or may still start
 	OutcomeConnectFailed                // never ran
-	OutcomeLost                         // it may have started; the connection or the container was cut short
-	OutcomeStopped                      // it may have started; cancelled or moved
+	OutcomeLost                         // may have run: the connection or the container was lost
+	OutcomeStopped                      // may have run: the container was cancelled or moved
 	OutcomeNotSent                      // never ran
 )
 
-// Reason is what the machine gives for an outcome.
+// Reason is the reason that a machine gives for an outcome.
 type Reason uint8
 
-// Reasons of a refusal, and of a loss.
+// Reasons for a refusal or a loss.
 const (
 	ReasonNone Reason = iota
 	ReasonNoCores
 	ReasonNoMemory
 	ReasonQueueTooLong
 	ReasonWrongMachine // the machine does not know the container
-	ReasonOutOfMemory  // its machine ran out of memory
+	ReasonOutOfMemory  // the machine ran out of memory
 	ReasonPreempted
-	ReasonDrained // the machine sent it away
+	ReasonDrained // the machine drains and sent the container away
 )
 
-// LoadReport is the load of a machine, by the names that it uses.
+// LoadReport is the load of a machine, by names that the machine chooses.
 type LoadReport map[string]float64
 
-// UsageReported is a measurement of a container that has no outcome yet.
+// UsageReported reports a measurement of a container whose attempt has no outcome yet.
 type UsageReported struct {
 	ID      ContainerID
 	Machine MachineID
@@ -133,7 +133,7 @@
 	Value   float64
 }
 
-// UsageMetric is what was measured.
+// UsageMetric is the metric of a measurement.
 type UsageMetric uint8
 
 // Metrics of a container and of its machine.
@@ -141,11 +141,11 @@
 	MetricRunning UsageMetric = 1 + iota
 	MetricCoresUsed
 	MetricMemoryUsed
-	MetricServedShare   // part of full service
-	MetricMachineMemory // part of the machine's memory in use
+	MetricServedShare   // fraction of full service
+	MetricMachineMemory // fraction of the machine's memory in use
 )
 
-// ProbeCompleted answers a Probe.
+// ProbeCompleted is the result of a Probe.
 type ProbeCompleted struct {
 	Machine MachineID
 	Outcome Outcome // OutcomeFinished: the machine answered
@@ -153,7 +153,7 @@
 	Report  LoadReport
 }
 
-// TimerFired is the end of a SetTimer.
+// TimerFired reports that the time of a SetTimer has passed.
 type TimerFired struct{ Name string }
 
 func (MachineListUpdate) event() {}
