--- a/scheduler/eligibility.go
+++ b/scheduler/eligibility.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// obstacle is what keeps a request from a machine.
+// obstacle is a reason why a request cannot be placed on a machine.
 type obstacle uint8
 
 const (
@@ -13,16 +13,17 @@
 	slowStartExhausted
 )
 
-// isPermanent reports whether the obstacle is in the machine itself, and does not pass with time or other containers.
+// isPermanent reports whether the obstacle is a property of the machine, and goes away neither with time nor when other
+// containers end.
 func (o obstacle) isPermanent() bool {
 	return o == wrongMachineType || o == notServing || o == tooSmall
 }
 
-// eligibility holds the filters that come before the draw. A filter excludes a machine or has no effect: it never
-// changes the odds of a machine that passes.
+// eligibility holds the filters that precede the draw. A filter excludes a machine or has no effect: it never changes
+// the odds of a machine that passes.
 type eligibility struct {
-	acceptLimits       []resources // by machine type: up to which a machine accepts requests
-	listTracksRequests bool        // the requests in the machine list are all there are
+	acceptLimits       []resources // by machine type: sum of requests up to which a machine accepts containers
+	listTracksRequests bool        // the machine list covers the requests of all containers
 	slowStart          *slowStartLimiter
 }
 
@@ -46,7 +47,7 @@
 	return !c.excludes(m) && c.mayRunAgainOn(m, now) && e.firstObstacle(c, m, now) == noObstacle
 }
 
-// firstObstacle does not depend on the container's earlier attempts.
+// firstObstacle returns the first obstacle to a placement, regardless of the container's earlier attempts.
 func (e *eligibility) firstObstacle(c *container, m *machine, now Time) obstacle {
 	switch {
 	case !hasMachineType(c, m):
@@ -65,35 +66,36 @@
 	return noObstacle
 }
 
-// hasMachineType reports whether the machine is of the type that the container's class needs.
+// hasMachineType reports whether the machine has the type that the container's class requires.
 func hasMachineType(c *container, m *machine) bool {
 	return c.class.MachineType < 0 || c.class.MachineType == m.listing.machineType
 }
 
 func isServing(m *machine) bool { return m.listing.state == MachineServing }
 
-// isLargeEnough reports whether the machine would accept the container if it were empty.
+// isLargeEnough reports whether the machine would accept the container if nothing else ran on it.
 func (e *eligibility) isLargeEnough(c *container, m *machine) bool {
 	return m.listing.capacity > 0 && c.requested().within(e.acceptLimit(m))
 }
 
 func (e *eligibility) acceptLimit(m *machine) resources { return e.acceptLimits[m.listing.machineType] }
 
-// spreadAllows keeps the containers of a service in one place, with this one, to the class's maximum.
+// spreadAllows reports whether the class's spread limit allows one more container of the service in the machine's
+// scope.
 func spreadAllows(c *container, m *machine) bool {
 	scope := c.class.SpreadScope
 	return scope == ScopeNone || c.service.reservationsSharing(m, scope)+1 <= c.class.MaxPerScope
 }
 
-// listHasRoom reports whether the machine list shows room for the container.
+// listHasRoom reports whether the machine has room for the container according to the machine list.
 func (e *eligibility) listHasRoom(c *container, m *machine) bool {
 	requested := m.listing.requested
 	requested.add(c.requested())
 	return e.listTracksRequests && requested.within(e.acceptLimit(m))
 }
 
-// shortage says which resource a machine lacks for a container by the known requests. It is no obstacle to a draw, as
-// the list may be late.
+// shortage is the resource that a machine lacks for a container according to the known requests. It does not exclude
+// the machine from the draw, because the machine list may be out of date.
 type shortage uint8
 
 const (
--- a/scheduler/eligibility_test.go
+++ b/scheduler/eligibility_test.go
@@ -31,18 +31,18 @@
 			s.moveAttempt("o2", "a")
 		}, "bcd"},
 		{"spread over zones", spreadOver(ScopeZone, 1), func(s *Scheduler) { adopt(s, "o1", "s", "a") }, "cd"},
-		{"spread: running on a machine no list has named", spreadOver(ScopeZone, 1), func(s *Scheduler) {
+		{"spread: running on a machine that is not in the list", spreadOver(ScopeZone, 1), func(s *Scheduler) {
 			adopt(s, "o1", "s", "nowhere")
 		}, ""},
-		{"slow start, its quota spent", nil, func(s *Scheduler) {
+		{"slow start, quota used up", nil, func(s *Scheduler) {
 			m := s.machines.find("a")
 			m.startAt(s.now + 1)
 			for range s.config.SlowStartBudget / s.config.SchedulerCount {
 				s.slowStart.recordSend(m, s.now)
 			}
 		}, "bcd"},
-		{"slow start, just after own start", nil, func(s *Scheduler) { startLately(s, s.machines.find("a")) }, "bcd"},
-		{"drained a container", nil, func(s *Scheduler) {
+		{"slow start, scheduler just started", nil, func(s *Scheduler) { startLately(s, s.machines.find("a")) }, "bcd"},
+		{"sent a container away", nil, func(s *Scheduler) {
 			adopt(s, "o1", "o", "a")
 			drained := AttemptEnded{ID: "o1", Final: true, Outcome: OutcomeLost, Reason: ReasonDrained}
 			s.Handle(s.now, []Event{drained})
@@ -60,12 +60,12 @@
 	}
 }
 
-// spreadOver limits the containers of a service in one place.
+// spreadOver limits the containers of a service in one scope.
 func spreadOver(scope Scope, most int) func(*Config) {
 	return func(c *Config) { c.WorkloadClasses[0].SpreadScope, c.WorkloadClasses[0].MaxPerScope = scope, most }
 }
 
-// settledScheduler has run for so long that it knows what was sent to machines in slow start.
+// settledScheduler returns a scheduler that has run long enough to know all sends to machines in slow start.
 func settledScheduler(adjust func(*Config), setup func(*Scheduler)) *Scheduler {
 	config := testConfig(Idempotent)
 	if adjust != nil {
@@ -80,7 +80,7 @@
 	return s
 }
 
-// eligibleMachines returns the names of those that a container of service s may be placed on.
+// eligibleMachines returns the names of the machines that a container of service s may be placed on.
 func eligibleMachines(s *Scheduler) string {
 	c := s.containers.add(smallRequest("x", "s", 0))
 	var names strings.Builder
--- a/scheduler/explain.go
+++ b/scheduler/explain.go
@@ -1,13 +1,13 @@
 package scheduler
 
-// explainer says why a request finds no machine.
+// explainer finds out why no machine is found for a request.
 type explainer struct {
 	eligibility *eligibility
 	classes     *classFailureDetector
 }
 
-// Explain counts the machines by the first obstacle that keeps a request from them, as of the last batch. The
-// room by the machine list is one of them. It changes no decision.
+// Explain counts the machines by the first obstacle to a placement of the request on them, as of the last batch. Unlike
+// a draw, it also counts a shortage of resources by the machine list. It does not affect any decision.
 func (s *Scheduler) Explain(r PlacementRequest) Explanation {
 	explanation := Explanation{SheddingLoad: s.shedder.isShedding(s.now), FullRatio: s.shedder.currentFullRatio(s.now)}
 	c := s.containers.newUnregistered(r)
@@ -25,7 +25,7 @@
 	return explanation
 }
 
-// counterFor returns the count that a machine falls under. A lack of room comes before passing obstacles.
+// counterFor returns the counter for a machine. A shortage of resources precedes temporary obstacles.
 func (e *explainer) counterFor(x *Explanation, c *container, m *machine, now Time) *int {
 	first := e.eligibility.firstObstacle(c, m, now)
 	if first.isPermanent() {
--- a/scheduler/explain_test.go
+++ b/scheduler/explain_test.go
@@ -7,7 +7,7 @@
 	"glenport/internal/testutil"
 )
 
-// Each machine counts under what keeps a container from it, and the question changes no decision.
+// Each machine counts under the first obstacle to a placement on it. A call of Explain changes no later decision.
 func TestExplainCountsMachinesAndChangesNoDecision(t *testing.T) {
 	onA := func(change func(s *Scheduler, a *machine)) func(*Scheduler) {
 		return func(s *Scheduler) { change(s, s.machines.find("a")) }
@@ -62,20 +62,20 @@
 					tc.setup(s)
 				}
 			}
-			asked, unasked := settledScheduler(tc.adjust, idle), settledScheduler(tc.adjust, idle)
-			testutil.Equal(t, asked.Explain(smallRequest("", "s", 0)), tc.want)
-			compareDecisions(t, asked, unasked)
+			explaining, plain := settledScheduler(tc.adjust, idle), settledScheduler(tc.adjust, idle)
+			testutil.Equal(t, explaining.Explain(smallRequest("", "s", 0)), tc.want)
+			compareDecisions(t, explaining, plain)
 		})
 	}
 }
 
-// compareDecisions submits the same requests to two schedulers, of which one is asked before each.
-func compareDecisions(t *testing.T, asked, unasked *Scheduler) {
+// compareDecisions submits the same requests to two schedulers. Explain is called on one of them before each request.
+func compareDecisions(t *testing.T, explaining, plain *Scheduler) {
 	t.Helper()
 	for i := range 20 {
 		id := ContainerID(strconv.Itoa(i))
-		asked.Explain(smallRequest("", "s", 0))
-		a, b := submit(asked, 100*Second, id, "s"), submit(unasked, 100*Second, id, "s")
-		testutil.Require(t, a == b, "decided differently after the question: %s, %s", a, b)
+		explaining.Explain(smallRequest("", "s", 0))
+		a, b := submit(explaining, 100*Second, id, "s"), submit(plain, 100*Second, id, "s")
+		testutil.Require(t, a == b, "placed on %s after a call of Explain, on %s without", a, b)
 	}
 }
