--- a/scheduler/capacity.go
+++ b/scheduler/capacity.go
@@ -1,10 +1,10 @@
 package scheduler
 
-const minWeightShare = 0.02 // of its capacity: the least weight of a machine
+const minWeightShare = 0.02 // lower bound of a machine's weight, as a share of its capacity
 
 // capacityModel measures capacities in containers of mean size.
 type capacityModel struct {
-	knowsLoad bool // both the use by own containers and all requests are
+	knowsLoad bool // whether the use by own containers is reported, and the list covers all requests
 	mean      resources
 }
 
@@ -15,7 +15,8 @@
 	}
 }
 
-// honored is the capacity less extraneous load: what own containers use beyond all requests.
+// honored returns the machine's capacity minus its extraneous load, which is what this scheduler's containers use
+// beyond all known requests on the machine.
 func (c *capacityModel) honored(m *machine) float64 {
 	capacity := m.listing.capacity
 	return max(capacity-c.extraneousLoad(m), minWeightShare*capacity)
--- a/scheduler/draw.go
+++ b/scheduler/draw.go
@@ -2,15 +2,17 @@
 
 import "math"
 
-// virtualBuckets is how many draws the containers of a service share. Few keep programs warm on few machines, many
-// spread the load.
+// virtualBuckets is the number of virtual buckets of a service. With few buckets its program stays warm on few
+// machines; many buckets spread the load better.
 const virtualBuckets = 3
 
-// concentrationExponent makes the concentration of a service's draws small where few starts are late.
+// concentrationExponent is applied to the scaled share of late starts, so that a service's draws concentrate little if
+// few starts are late.
 const concentrationExponent = 4
 
-// suspicionLevel ranks machines: a container is placed among those with the lowest level there is. So suspected ones
-// are the fallback: with all of them suspected, the fault is likely this scheduler's own connection or list.
+// suspicionLevel ranks machines: a container is placed on one of those with the lowest level present. Suspected
+// machines are thus a fallback: if all are suspected, the cause is probably this scheduler's own connection or machine
+// list.
 type suspicionLevel uint8
 
 const (
@@ -20,8 +22,8 @@
 	noCandidate // above the level of every machine
 )
 
-// maxCapDraw picks machines at random with odds in proportion to their honored capacity (Max-Cap, docs/design.md). The
-// filters come before the draw; neither room nor placement enters the weights.
+// maxCapDraw picks machines at random with odds proportional to their honored capacity (Max-Cap, docs/design.md). The
+// filters precede the draw. The weights depend neither on free room nor on earlier placements.
 type maxCapDraw struct {
 	random      *pcg
 	capacities  capacityModel
@@ -32,14 +34,15 @@
 	shedder     *loadShedder
 }
 
-// candidate is the best machine so far: of the lowest suspicion level, the one with the least variate.
+// candidate is the best machine so far: the one with the least variate among those of the lowest suspicion level.
 type candidate struct {
 	machine *machine
 	level   suspicionLevel
 	variate float64
 }
 
-// isWorseThan reports whether a machine of a level, which is not above the candidate's, takes its place.
+// isWorseThan reports whether a machine with the given level and variate replaces the candidate. The level must not be
+// above the candidate's.
 func (b candidate) isWorseThan(level suspicionLevel, v variate) bool {
 	if level == b.level && v.exceeds(b.variate) {
 		return false
@@ -47,12 +50,12 @@
 	return level < b.level || v.value() < b.variate
 }
 
-// draw returns nil where no machine is eligible. It is indexed: the generator picks one of the service's virtual
-// buckets, and each bucket, hashed with service and machine, is given to one with odds proportional to its weight. So
-// the containers of a service meet again on few machines, the same for all schedulers, and no weight follows
-// placement.
+// draw returns a machine for the container, or nil if no machine is eligible. The generator picks one of the service's
+// virtual buckets. Each bucket belongs to one machine, by a hash of service, bucket and machine, with odds proportional
+// to the machine's weight. The containers of a service thus run on the same few machines for all schedulers, and the
+// weights do not depend on placements.
 //
-// Machines in slow start are always checked, as the check drops from their ledgers what was sent before the window.
+// Machines in slow start are always checked, because the check drops the sends before the window from their ledgers.
 func (d *maxCapDraw) draw(c *container, machines []*machine, now Time) *machine {
 	bucket := d.bucket(c, now)
 	classes := d.classes.classesOf(c)
@@ -60,7 +63,7 @@
 	for _, m := range machines {
 		boundDecides := best.level == notSuspected && !d.slowStart.inSlowStart(m, now)
 		if boundDecides && d.variate(c, m, bucket, now).exceeds(best.variate) {
-			continue // whether the machine is suspected or eligible makes no difference
+			continue // it cannot replace the best, whether it is suspected or eligible or not
 		}
 		level := suspicionLevelOf(m, classes, d.classes, now)
 		if level > best.level || !d.eligibility.allows(c, m, now) {
@@ -82,26 +85,27 @@
 	return c.service.hash + word%virtualBuckets
 }
 
-// firstBucketShare is the share of draws that take the first bucket without a choice. It grows with the share of late
-// starts in the container's class, as most of these lack the service's program, and reaches all of them where one start
-// in each virtualBuckets is late. Where fewer are late it is small, as few buckets fill machines less evenly; for the
-// same reason it shrinks as attempts find no room, to nothing where load is shed.
+// firstBucketShare returns the share of draws that always take the first bucket. It grows with the share of late starts
+// in the container's class, because most late starts happen on machines without the service's program. It reaches 1 if
+// at least one start in virtualBuckets is late. It is small if fewer starts are late, because a single bucket fills the
+// machines less evenly. For the same reason it falls as more attempts find their machine full, and is 0 while load is
+// shed.
 func (d *maxCapDraw) firstBucketShare(c *container, now Time) float64 {
 	late := min(1, virtualBuckets*d.latency.lateRatio(c))
 	return math.Pow(late, concentrationExponent) * max(0, 1-d.shedder.currentFullRatio(now)/sheddingThreshold)
 }
 
-// variate is an exponential random number that a hash gives to a machine, with the machine's weight as its rate: the
-// least of several belongs to each machine with odds proportional to its weight.
+// variate is an exponentially distributed number that is derived from a hash. Its rate is the machine's weight, so that
+// each machine has the least of all variates with odds proportional to its weight.
 type variate struct{ uniform, rate float64 }
 
-// roundingMargin is far above the rounding errors of a variate's value, and far below any difference that matters.
+// roundingMargin is much larger than the rounding errors of a variate's value, and too small to affect the speed-up.
 const roundingMargin = 1e-9
 
 func (v variate) value() float64 { return -math.Log(1-v.uniform) / v.rate }
 
-// exceeds reports whether the value is surely above a bound, without the logarithm: -log(1-u) is at least u, and 1-u is
-// exact for the numbers that the generator gives. It may be false for values above the bound.
+// exceeds reports whether the value is certainly above a bound. It avoids the logarithm: -log(1-u) is at least u, and
+// 1-u is exact for the numbers that the generator returns. It may return false for values above the bound.
 func (v variate) exceeds(bound float64) bool {
 	return v.uniform*(1-roundingMargin) > bound*v.rate
 }
@@ -109,7 +113,7 @@
 func (d *maxCapDraw) variate(c *container, m *machine, bucket uint64, now Time) variate {
 	rate := d.capacities.honored(m)
 	if share := d.slowStart.schedulerShare(m, now); share < 1 {
-		bucket = c.service.hash // a single bucket: few services, which stay warm
+		bucket = c.service.hash // a single bucket, so that the machine starts few services and their programs stay warm
 		rate /= share
 	}
 	generator := pcg{mix(bucket) ^ m.hash}
--- a/scheduler/draw_test.go
+++ b/scheduler/draw_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// drawOdds draws for so many services and returns each machine's share.
+// drawOdds makes one draw for each of many services and returns each machine's share of the draws.
 func drawOdds(s *Scheduler, draws int) map[MachineID]float64 {
 	odds := map[MachineID]float64{}
 	for i := range draws {
@@ -62,21 +62,23 @@
 	return odds
 }
 
-// The bound that saves the logarithm never leaves out a machine that would win.
+// The draw skips a machine whose variate exceeds the best. If exceeds held for a variate's own value, rounding could
+// skip the machine that should be drawn.
 func TestVariateNeverExceedsItsOwnValue(t *testing.T) {
 	generator := pcg{1}
 	for _, rate := range []float64{1e-12, 0.02, 1, 40, 1e12, math.Inf(1)} {
-		for shift := range 54 * 100 { // down to the least numbers that the generator gives, and 0
+		for shift := range 54 * 100 { // down to the least numbers that the generator returns, and 0
 			uniform := float64(generator.next()>>(11+shift%54)) / (1 << 53)
 			v := variate{uniform: uniform, rate: rate}
 			if v.exceeds(v.value()) {
-				t.Errorf("uniform %g at rate %g is said to exceed its value %g", uniform, rate, v.value())
+				t.Errorf("variate of uniform %g at rate %g exceeds its own value %g", uniform, rate, v.value())
 			}
 		}
 	}
 }
 
-// A ledger that kept what was sent before the window would count it again behind what a late Restore puts before it.
+// A late Restore inserts earlier sends at the front of a ledger. Sends from before the window that were still in the
+// ledger would then lie behind them and count again.
 func TestDrawTrimsLedgersOfMachinesInSlowStart(t *testing.T) {
 	s := settledScheduler(nil, nil)
 	for _, m := range s.machines.all() {
