--- a/scheduler/outlierdetection_test.go
+++ b/scheduler/outlierdetection_test.go
@@ -11,7 +11,7 @@
 func TestOutliersAreEjected(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
-		outcomes string // on machine a: c connect failed, a accepted, f full, t timed out, h timed out but heard of
+		outcomes string // on machine a: c connect failed, a accepted, f full, t timed out, h timed out but responding
 		ejected  bool
 	}{
 		{"one failure", "c", false},
@@ -19,7 +19,7 @@
 		{"failures among successes", "caacaac", false},
 		{"full is no failure", "ffff", false},
 		{"silent", "tt", true},
-		{"timeouts, but heard of", "hhh", false},
+		{"timeouts of a machine that responds", "hhh", false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := testScheduler(testConfig(Idempotent))
@@ -61,7 +61,7 @@
 	}
 }
 
-// attemptOnA has an attempt on machine a end in the outcome of a letter.
+// attemptOnA makes an attempt on machine a that ends in the outcome given by a letter.
 func attemptOnA(s *Scheduler, id ContainerID, now Time, outcome rune) {
 	submit(s, now, id, "s")
 	s.moveAttempt(id, "a")
@@ -94,7 +94,7 @@
 	}
 }
 
-// An error is evidence against a machine once the container ran elsewhere, or failed nowhere else.
+// An error is evidence against a machine if the container is accepted elsewhere later, or has no other error.
 func TestErrorsAreAttributedToMachines(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -136,7 +136,8 @@
 	return count
 }
 
-// Outcomes of attempts and probes that went to an earlier incarnation tell nothing of the one that is listed now.
+// Outcomes of attempts on an earlier incarnation of a machine, or of probes to it, are no evidence about the current
+// one.
 func TestOutcomesOfEarlierIncarnationAreIgnored(t *testing.T) {
 	probeTimedOut := ProbeCompleted{Machine: "a", Outcome: OutcomeTimedOut}
 	for _, tc := range []struct {
@@ -152,7 +153,7 @@
 		{"attempts cut short", []Event{
 			AttemptEnded{ID: "x", Outcome: OutcomeLost}, AttemptEnded{ID: "y", Outcome: OutcomeLost},
 		}},
-		{"a probe that stays unanswered", []Event{probeTimedOut, probeTimedOut}},
+		{"an unanswered probe", []Event{probeTimedOut, probeTimedOut}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			config := testConfig(Idempotent)
--- a/scheduler/probing.go
+++ b/scheduler/probing.go
@@ -1,32 +1,32 @@
 package scheduler
 
 const (
-	probeRetryInterval = baseEjectionTime / 2 // after a probe of an ejected machine that failed
-	silenceBeforeProbe = Second / 2           // age of an attempt on a machine that was not heard of since
+	probeRetryInterval = baseEjectionTime / 2 // after a failed probe of an ejected machine
+	silenceBeforeProbe = Second / 2           // age of an unanswered attempt from which its silent machine is probed
 )
 
-// contact is when a machine was heard of, and the probe that is out to it.
+// contact records the last message from a machine, and the open probe to it.
 type contact struct {
 	lastContactAt Time
-	probeSentAt   Time // 0: no probe is out
+	probeSentAt   Time // 0: no probe is open
 }
 
 func (c *contact) recordContact(now Time) { c.lastContactAt = now }
 
-// silentSince reports whether the machine was not heard of since a time.
+// silentSince reports whether the machine has sent nothing since a time.
 func (c *contact) silentSince(at Time) bool { return c.lastContactAt < at }
 
-// endProbe returns when the probe that is out was sent, and 0 if none was.
+// endProbe ends the open probe and returns its send time, or 0 if there is none.
 func (c *contact) endProbe() Time {
 	sentAt := c.probeSentAt
 	c.probeSentAt = 0
 	return sentAt
 }
 
-// prober probes machines whose ejection time is over, and those that are silent. A probe that is answered readmits an
-// ejected machine; one that is not counts as a failure.
+// prober probes silent machines, and ejected machines whose ejection time is over. An answer readmits an ejected
+// machine. A failed probe prolongs the ejection; on a machine that is not ejected, it counts as a failure.
 type prober struct {
-	enabled   bool // else ejected machines are readmitted without a probe
+	enabled   bool // if false, machines are readmitted without a probe once their ejection time is over
 	slowStart *slowStartLimiter
 	outliers  *outlierDetector
 	actions   *actionBuffer
@@ -35,9 +35,9 @@
 func (p *prober) probeMachines(machines []*machine, silent map[*machine]bool, now Time) {
 	for _, m := range machines {
 		ejectionOver := m.outlier.ejectionIsOver(now)
-		suspect := ejectionOver || !m.outlier.isEjected() && silent[m]
+		needsProbe := ejectionOver || !m.outlier.isEjected() && silent[m]
 		switch {
-		case m.listing.state != MachineServing || m.contact.probeSentAt > 0 || !suspect:
+		case m.listing.state != MachineServing || m.contact.probeSentAt > 0 || !needsProbe:
 		case !p.enabled:
 			if ejectionOver {
 				p.outliers.readmit(m)
@@ -54,8 +54,8 @@
 	p.actions.emit(Probe{Machine: m.id})
 }
 
-// recordResult takes in the answer to a probe. One that went to an earlier incarnation tells nothing, and one that could
-// not be sent is this scheduler's own fault.
+// recordResult records the result of a probe. The result of a probe to an earlier incarnation is ignored. A probe that
+// could not be sent is no failure of the machine, as the cause is in this scheduler.
 func (p *prober) recordResult(m *machine, outcome Outcome, now Time) {
 	sentAt := m.contact.endProbe()
 	switch {
