--- a/scheduler/outcomes.go
+++ b/scheduler/outcomes.go
@@ -2,7 +2,7 @@
 
 import "log/slog"
 
-// outcomeRecorder takes the outcomes of attempts as evidence on machines, traffic classes and room.
+// outcomeRecorder records the outcomes of attempts as evidence about machines, traffic classes and room.
 type outcomeRecorder struct {
 	outliers    *outlierDetector
 	classes     *classFailureDetector
@@ -11,7 +11,8 @@
 	actions     *actionBuffer
 }
 
-// recordAccepted counts in favor of the container's machine, and against those where it failed before.
+// recordAccepted records an acceptance. It is evidence for the container's machine, and against the machines where the
+// container failed before.
 func (r *outcomeRecorder) recordAccepted(c *container, now Time) {
 	c.machine.contact.recordContact(now)
 	r.attributeFailures(c, now)
@@ -20,7 +21,7 @@
 	r.classes.record(c, c.machine, attemptAnswered, now)
 }
 
-// recordEnded takes the outcome of an attempt as evidence on its machine.
+// recordEnded records the outcome of an attempt as evidence about its machine.
 func (r *outcomeRecorder) recordEnded(a endedAttempt, e AttemptEnded, now Time) {
 	unanswered := a.silent && !a.accepted
 	switch e.Outcome {
@@ -44,13 +45,13 @@
 		if unanswered || e.Reason == ReasonNone {
 			r.outliers.recordFailure(a.machine, now)
 		}
-	case OutcomeStopped, OutcomeNotSent: // the machine had no part in it
+	case OutcomeStopped, OutcomeNotSent: // not caused by the machine
 	default:
 	}
 }
 
-// recordFull counts a refusal as a sign of life. Without a reason, though the list has room, it is a loss of the
-// container's traffic classes.
+// recordFull records a refusal, which shows that the machine responds. A refusal without a reason counts as a loss of
+// the container's traffic classes if the machine has room according to the machine list.
 func (r *outcomeRecorder) recordFull(a endedAttempt, reason Reason, now Time) {
 	a.machine.contact.recordContact(now)
 	if reason == ReasonNoCores || reason == ReasonNoMemory {
@@ -62,15 +63,17 @@
 	}
 }
 
-// recordAnswered is called when a container is answered without a machine. An error that stayed the only one counts
-// against its machine: a container that failed on several machines is itself taken as faulty.
+// recordAnswered is called when a client is answered because no machine is left to try. If the container failed on one
+// machine only, the failure counts against that machine. If it failed on several, the container itself is assumed to be
+// faulty.
 func (r *outcomeRecorder) recordAnswered(c *container, now Time) {
 	if c.failedOnce() {
 		r.attributeFailures(c, now)
 	}
 }
 
-// attributeFailures counts the errors that were held back against their machines, but for earlier incarnations.
+// attributeFailures counts the failures that were held back against their machines. Failures on earlier incarnations of
+// the machines are ignored.
 func (r *outcomeRecorder) attributeFailures(c *container, now Time) {
 	for _, f := range c.takeFailures() {
 		switch {
@@ -83,7 +86,8 @@
 	}
 }
 
-// recordSelfDraining excludes a machine from every draw for a while.
+// recordSelfDraining records a sign that a machine drains itself, which excludes it from every draw for
+// selfDrainingTime.
 func (r *outcomeRecorder) recordSelfDraining(m *machine, now Time) {
 	if m.selfDrain.extend(now) {
 		excluded := slog.Int64("excluded_ms", int64(selfDrainingTime/Millisecond))
--- a/scheduler/trafficclass.go
+++ b/scheduler/trafficclass.go
@@ -7,20 +7,20 @@
 )
 
 // A second sequential test finds machines that fail one traffic class (a workload class or a tenant) but serve others.
-// Its hypotheses are the parts of the class's attempts that a machine loses.
+// Its two hypotheses differ in the share of the class's attempts that a machine loses.
 const (
-	failingClassLossRate = 0.85        // of a machine that fails the class: nearly all
-	minLossRate          = 0.02        // of any other, even where its peers lose nothing
-	evidenceDecay        = 20 * Second // in which evidence falls to 1/e
-	minExcessLoss        = 0.01        // bounds of the prior, for few or only lost attempts
+	failingClassLossRate = 0.85        // share lost by a machine that fails the class
+	minLossRate          = 0.02        // least share assumed for other machines, even if peer classes lose nothing
+	evidenceDecay        = 20 * Second // time in which evidence falls to 1/e
+	minExcessLoss        = 0.01        // bounds of the prior, for classes that lose very few or almost all attempts
 	maxExcessLoss        = 0.9
 )
 
-// classOutcome is what an attempt shows of its traffic classes on a machine.
+// classOutcome is the outcome of an attempt as evidence about its traffic classes.
 type classOutcome uint8
 
-// An attempt is lost without an answer from a machine that was heard of, and if the machine is full for no reason where
-// the machine list has room.
+// An attempt is lost if it times out or fails on a machine that responds otherwise, or if the machine refuses it
+// as full without a reason while the machine list shows room.
 const (
 	attemptAnswered classOutcome = iota
 	attemptLost
@@ -36,23 +36,23 @@
 
 func (e classEvidence) reset() { clear(e) }
 
-// restore takes over the evidence of an earlier incarnation of the scheduler where it fits.
-func (e *classEvidence) restore(learned MachineSnapshot) {
-	if len(learned.FailureEvidence) == len(*e) {
-		*e = learned.FailureEvidence
+// restore restores the evidence of an earlier incarnation of the scheduler if it has the same number of classes.
+func (e *classEvidence) restore(snapshot MachineSnapshot) {
+	if len(snapshot.FailureEvidence) == len(*e) {
+		*e = snapshot.FailureEvidence
 	}
 }
 
 func (e classEvidence) snapshot() []FailureEvidence { return slices.Clone([]FailureEvidence(e)) }
 
-// decayed is the log odds as of now.
+// decayed returns the log odds as of now.
 func (f *FailureEvidence) decayed(now Time) float64 {
 	return f.LogOdds * math.Exp(-float64(now-f.AsOf)/float64(evidenceDecay))
 }
 
 // classFailureDetector finds machines that fail a traffic class. A scheduler sees few attempts of a class on one
-// machine, so the threshold of a class is a prior from the whole fleet: the more attempts the class loses beyond its
-// peers, the fewer losses suffice. Where all lose alike, a loss says little and the threshold stays high.
+// machine, so the threshold of a class is a prior from the whole fleet: the more its loss exceeds that of its peer
+// classes, the fewer losses are needed. If all classes lose alike, a loss says little and the threshold stays high.
 type classFailureDetector struct {
 	workloadClasses int
 	tenants         int
@@ -60,7 +60,8 @@
 	classes         []TrafficClass // workload classes, then tenants, then requests without a tenant
 }
 
-// trafficClassCount counts the workload classes, the tenants and what has no tenant.
+// trafficClassCount returns the number of traffic classes: the workload classes, the tenants, and one for requests
+// without a tenant.
 func trafficClassCount(config *Config) int {
 	return len(config.WorkloadClasses) + len(config.Tenants) + 1
 }
@@ -80,14 +81,14 @@
 	return trafficClassPair{c.request.WorkloadClass, d.workloadClasses + tenant}
 }
 
-// record counts the outcome of an attempt for both of its traffic classes.
+// record records the outcome of an attempt for both of its traffic classes.
 func (d *classFailureDetector) record(c *container, m *machine, outcome classOutcome, now Time) {
 	for _, class := range d.classesOf(c) {
 		d.recordClass(class, m, outcome, now)
 	}
 }
 
-// recordClass moves the evidence against the machine, and the threshold of the class.
+// recordClass updates the evidence against the machine and the threshold of the class.
 func (d *classFailureDetector) recordClass(class int, m *machine, outcome classOutcome, now Time) {
 	stats := &d.classes[class]
 	evidence := &m.evidence[class]
@@ -107,7 +108,7 @@
 	}
 }
 
-// recordLoss moves the share of attempts that are lost.
+// recordLoss updates the moving share of lost attempts.
 func (t *TrafficClass) recordLoss(outcome classOutcome) {
 	t.LossRatio -= t.LossRatio / averagingSpan
 	if outcome == attemptLost {
@@ -115,7 +116,7 @@
 	}
 }
 
-// evidenceStep is the log of how much likelier the outcome is on a machine that fails the class.
+// evidenceStep returns the log likelihood ratio of an outcome: on a machine that fails the class, to any other machine.
 func evidenceStep(outcome classOutcome, peerLoss float64) float64 {
 	if outcome == attemptLost {
 		return math.Log(failingClassLossRate / min(max(peerLoss, minLossRate), failingClassLossRate))
@@ -123,7 +124,8 @@
 	return math.Log((1 - failingClassLossRate) / (1 - min(peerLoss, failingClassLossRate)))
 }
 
-// peerLossRatio returns how many workload classes, or tenants, there are, and the mean loss of the others.
+// peerLossRatio returns the number of classes of the same kind (workload classes or tenants), and the mean loss ratio
+// of all except the class itself.
 func (d *classFailureDetector) peerLossRatio(class int) (peers int, ratio float64) {
 	first, last := 0, d.workloadClasses
 	if class >= last {
@@ -138,17 +140,17 @@
 	return peers, ratio
 }
 
-// suspicionThreshold is the log odds of the prior that a machine does not fail the class.
+// suspicionThreshold returns the prior log odds that a machine does not fail the class.
 func suspicionThreshold(excessLoss float64, peers int) float64 {
-	if peers < 2 { // nothing to compare with
+	if peers < 2 { // no other class to compare with
 		return math.Inf(1)
 	}
 	excess := min(max(excessLoss, minExcessLoss), maxExcessLoss)
 	return math.Log((1 - excess) / excess)
 }
 
-// suspects reports whether a machine is taken to fail one of the classes. It ends as the evidence decays, or once the
-// class loses no more than its peers.
+// suspects reports whether a machine is suspected of failing one of the classes. A suspicion ends when the evidence has
+// decayed, or when the class does not lose more than its peers any longer.
 func (d *classFailureDetector) suspects(m *machine, classes trafficClassPair, now Time) bool {
 	for _, class := range classes {
 		evidence := &m.evidence[class]
@@ -161,9 +163,9 @@
 
 func (d *classFailureDetector) snapshot() []TrafficClass { return slices.Clone(d.classes) }
 
-// fits reports whether a snapshot has the traffic classes of this configuration.
-func (d *classFailureDetector) fits(learned []TrafficClass) bool {
-	return len(learned) == len(d.classes)
+// fits reports whether a snapshot has as many traffic classes as this configuration.
+func (d *classFailureDetector) fits(classes []TrafficClass) bool {
+	return len(classes) == len(d.classes)
 }
 
-func (d *classFailureDetector) restore(learned []TrafficClass) { d.classes = learned }
+func (d *classFailureDetector) restore(classes []TrafficClass) { d.classes = classes }
--- a/scheduler/trafficclass_test.go
+++ b/scheduler/trafficclass_test.go
@@ -10,8 +10,9 @@
 	"glenport/internal/testutil"
 )
 
-// A machine may fail one workload class or tenant and serve the rest: only that one avoids it, for a while. Losses that
-// all share, refusals with a reason and a fleet where every machine fails the class change nothing.
+// A machine may fail one workload class or tenant and serve the others. Only the failing class avoids it, until the
+// evidence decays. The placement stays the same if all classes lose alike, if the refusals have a reason, or if every
+// machine fails the class.
 func TestMachineFailingOneClassIsAvoidedByThatClass(t *testing.T) {
 	accepted := func(int) Event { return AttemptAccepted{ID: "x"} }
 	timedOut := func(int) Event { return AttemptEnded{ID: "x", Final: true, Outcome: OutcomeTimedOut} }
@@ -21,15 +22,15 @@
 	third := func(i int) Event { return []func(int) Event{timedOut, accepted, accepted}[i%3](i) }
 	for _, tc := range []struct {
 		name        string
-		first, rest func(turn int) Event // to the first class and tenant, to the others
-		requested   float64              // cores on each machine, by the list
-		at          string               // the machines where the first ones' attempts differ
-		after       Time
-		want        string // machines that the first ones go to
+		first, rest func(turn int) Event // outcomes for the first class and tenant, and for the others
+		requested   float64              // cores on each machine, according to the machine list
+		at          string               // machines where the first class has the outcomes of first; accepted elsewhere
+		after       Time                 // time between the outcomes and the draws
+		want        string               // machines where the first class is placed
 	}{
 		{"unanswered", timedOut, accepted, 0, "a", 0, "bcd"},
 		{"evidence decays", timedOut, accepted, 0, "a", 3 * evidenceDecay, "abcd"},
-		{"a third unanswered, of all alike", third, third, 0, "abcd", 0, "abcd"},
+		{"a third unanswered, for all classes", third, third, 0, "abcd", 0, "abcd"},
 		{"full for no reason", full(ReasonNone), accepted, 0, "a", 0, "bcd"},
 		{"full with a reason", full(ReasonNoMemory), accepted, 0, "a", 0, "abcd"},
 		{"full for no reason, no room", full(ReasonNone), accepted, 99, "a", 0, "abcd"},
@@ -46,7 +47,7 @@
 			s.now, *s.random = 2+tc.after, pcg{1}
 			for class, want := range []string{tc.want, "abcd"} {
 				names := machinesDrawn(s, class)
-				testutil.Expect(t, names == want, "workload class %d goes to %s, want %s", class, names, want)
+				testutil.Expect(t, names == want, "workload class %d is placed on %s, want %s", class, names, want)
 			}
 		})
 	}
@@ -65,7 +66,8 @@
 	return request
 }
 
-// attemptEverywhere places a container of each class on each machine in turn, with so many cores requested by the list.
+// attemptEverywhere places a container of each class on each machine in turn. The machine list has the given requested
+// cores for each machine.
 func attemptEverywhere(s *Scheduler, requested float64, outcomes func(m *machine, turn int) (first, rest Event)) {
 	for turn := range 6 {
 		for _, m := range s.machines.all() {
@@ -77,7 +79,7 @@
 	}
 }
 
-// attemptOn places a container of a class and tenant on a machine that is heard of, and applies what becomes of it.
+// attemptOn places a container of a class and tenant on a machine that responds, and applies the outcome.
 func attemptOn(s *Scheduler, m *machine, class int, outcome Event) {
 	s.Handle(1, []Event{RequestReceived{requestOfClass("x", "s", class)}})
 	s.moveAttempt("x", m.id)
@@ -85,7 +87,7 @@
 	s.Handle(2, []Event{outcome, AttemptEnded{ID: "x", Final: true}})
 }
 
-// machinesDrawn returns the names of the machines that containers of a class and tenant go to.
+// machinesDrawn returns the names of the machines that are drawn for containers of a class and tenant.
 func machinesDrawn(s *Scheduler, class int) string {
 	drawn := map[string]bool{}
 	for i := range 400 {
@@ -95,7 +97,8 @@
 	return strings.Join(slices.Sorted(maps.Keys(drawn)), "")
 }
 
-// The more a class loses beyond its peers, the less evidence suffices; without peers none does.
+// The more the loss of a class exceeds that of its peers, the less evidence is needed. Without peers, no evidence is
+// enough.
 func TestSuspicionThresholdFallsWithExcessLoss(t *testing.T) {
 	last := suspicionThreshold(0, 1)
 	for _, excess := range []float64{0, 0.1, 0.3, 0.5, 0.8} {
