--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -1,22 +1,23 @@
 package scheduler
 
 const (
-	// notStarted stands for the start of a scheduler that has handled no batch yet.
+	// notStarted is the value of sendsKnownSince before the first batch.
 	notStarted = Time(-1)
 
-	// transitDivisor is the part of a slow-start window that covers how long a message may be on its way.
+	// transitDivisor sets the allowance for message transit to 1/transitDivisor of the slow-start window.
 	transitDivisor = 8
 )
 
-// slowStartLimiter keeps all schedulers together to a budget of sends to each machine that started lately, in any
-// window, without a message between them: the budget is dealt out, and each keeps to its part.
+// slowStartLimiter limits the sends (attempts and probes) to each recently started machine. In any window, all
+// schedulers together stay within a budget. They exchange no messages for this: each scheduler has a fixed quota, and
+// the quotas add up to the budget.
 type slowStartLimiter struct {
 	period          Time // after the start of a machine
-	window          Time // in which the budget is spent at most once
-	budget          int
+	window          Time
+	budget          int // sends to a machine in each window, by all schedulers
 	schedulerIndex  int
 	schedulerCount  int
-	sendsKnownSince Time // from then on everything sent to machines in slow start is known
+	sendsKnownSince Time // all sends since then are in the ledgers
 }
 
 func newSlowStartLimiter(config *Config) *slowStartLimiter {
@@ -30,10 +31,10 @@
 	}
 }
 
-// hasStarted reports whether the moment is known from which on all sends are.
+// hasStarted reports whether start was called.
 func (l *slowStartLimiter) hasStarted() bool { return l.sendsKnownSince >= 0 }
 
-// start is called in the first batch, or with what is restored from an earlier incarnation of the scheduler.
+// start sets the time from which on all sends are known: that of the first batch, or a restored one.
 func (l *slowStartLimiter) start(sendsKnownSince Time) { l.sendsKnownSince = sendsKnownSince }
 
 func (l *slowStartLimiter) saveTo(snapshot *Snapshot) { snapshot.SendsKnownSince = l.sendsKnownSince }
@@ -43,8 +44,8 @@
 	return startedAt > 0 && now < startedAt+l.period
 }
 
-// schedulerShare is the part of all schedulers that a machine's slow-start budget reaches. Those draw it with the odds of the
-// rest too, so that over all schedulers it is drawn as often as any other.
+// schedulerShare returns the fraction of the schedulers that have a quota for the machine. These draw it with higher
+// odds, so that over all schedulers it is drawn as often as any other machine.
 func (l *slowStartLimiter) schedulerShare(m *machine, now Time) float64 {
 	if l.budget >= l.schedulerCount || !l.inSlowStart(m, now) {
 		return 1
@@ -52,8 +53,8 @@
 	return float64(max(1, l.budget)) / float64(l.schedulerCount)
 }
 
-// allows keeps this scheduler to its quota. For a window after its own start, when it does not know what an earlier
-// incarnation sent, it sends nothing.
+// allows reports whether this scheduler may send to the machine within its quota. For one window after sendsKnownSince
+// it may not, because the sends of an earlier incarnation of the scheduler are unknown.
 func (l *slowStartLimiter) allows(m *machine, now Time) bool {
 	if !l.inSlowStart(m, now) {
 		return true
@@ -62,7 +63,8 @@
 	return sendsKnown && len(l.recentSends(m, now)) < l.quota(m)
 }
 
-// quota is this scheduler's part of the budget, the remainder dealt out by machine: all quotas add up to the budget.
+// quota returns this scheduler's part of the budget. The remainder of the division goes to schedulers that depend on
+// the machine's hash, so that all quotas add up to the budget.
 func (l *slowStartLimiter) quota(m *machine) int {
 	count := max(1, l.schedulerCount)
 	quota := l.budget / count
@@ -79,13 +81,14 @@
 	m.sends.record(now)
 }
 
-// recentSends returns what was sent to a machine in the last window.
+// recentSends returns the times of the sends to a machine in the last window.
 func (l *slowStartLimiter) recentSends(m *machine, now Time) []Time {
 	return m.sends.dropUntil(now - l.slidingWindow())
 }
 
-// transitTime covers how long a message may be on its way.
+// transitTime is the longest time that a message is assumed to be in transit.
 func (l *slowStartLimiter) transitTime() Time { return l.window / transitDivisor }
 
-// slidingWindow is longer than the machine's, which begins with the arrival of what was sent.
+// slidingWindow is the window by send times. It is longer than the configured window, which counts by arrival times at
+// the machine.
 func (l *slowStartLimiter) slidingWindow() Time { return l.window + l.transitTime() }
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -9,14 +9,15 @@
 	"glenport/internal/testutil"
 )
 
-// However attempts come, no window of a machine in slow start holds more of them, from all schedulers, than its budget;
-// and where there are more schedulers than that, those with a quota use it for the rest.
+// Whatever the arrival times, no window of a machine in slow start has more attempts from all schedulers than the
+// budget. If there are more schedulers than the budget, those with a quota draw the machine more often, so that it is
+// used.
 func TestSlowStartBudgetHoldsInAnyWindow(t *testing.T) {
 	for _, tc := range []struct {
 		gap        Time // between a scheduler's containers
 		schedulers int
 		starting   string
-		least      int // attempts on a
+		least      int // minimum of attempts on machine a
 	}{
 		{10, 3, "abcd", 1},
 		{100, 3, "abcd", 1},
@@ -43,7 +44,7 @@
 	}
 }
 
-// startingSchedulers have one attempt for each container and machines in slow start.
+// startingSchedulers returns schedulers that make one attempt for each container and have machines in slow start.
 func startingSchedulers(count int, starting string) []*Scheduler {
 	all := make([]*Scheduler, count)
 	for i := range all {
@@ -59,8 +60,8 @@
 	return all
 }
 
-// submitToAll gives each scheduler a container, where one is due, and returns how many go to machine a. Gaps of more
-// than 1000 are spread over the schedulers.
+// submitToAll submits a container to each scheduler for which one is due, and returns how many are placed on machine a.
+// For gaps above 1000, the schedulers get their containers at different times.
 func submitToAll(all []*Scheduler, now, gap Time) int {
 	count := 0
 	for i, s := range all {
@@ -74,7 +75,7 @@
 	return count
 }
 
-// mostInWindow counts times in order that lie in one window.
+// mostInWindow returns the maximum number of times, given in order, that lie in one window.
 func mostInWindow(times []Time, window Time) int {
 	most := 0
 	for i := range times {
