--- a/scheduler/shedding.go
+++ b/scheduler/shedding.go
@@ -1,30 +1,31 @@
 package scheduler
 
 const (
-	sheddingThreshold = 0.3 // share of attempts without room from which low priority is shed
-	sheddingGain      = 4   // at a share of a quarter, half the weight is shed every second time
-	clientRetryWeight = 0.5 // left to a request that the client retried: it cannot start in time
+	sheddingThreshold = 0.3 // share of attempts on full machines above which requests of low priority are shed
+	sheddingGain      = 4   // at a share of 1/4, a request of half the mean weight is shed with probability 1/2
+	clientRetryWeight = 0.5 // factor on the weight of a client retry, as it cannot start in time any more
 
-	// fullRatioMaxAge is the time after the last attempt for which its result is taken as true. A request that is shed makes
-	// no attempt, so that without a limit a scheduler with few requests would shed them for good.
+	// fullRatioMaxAge is how long fullRatio is valid after the last attempt. Shed requests make no attempts, so without
+	// this limit a scheduler with few requests might shed all of them forever.
 	fullRatioMaxAge = Second
 )
 
-// loadShedder rejects requests of low priority while attempts find no room.
+// loadShedder rejects requests of low priority while many attempts find their machine full.
 type loadShedder struct {
 	overQuotaWeight float64
 	quotas          *tenantQuotas
 	random          *pcg
-	fullRatio       float64 // moving share of attempts that found no room
-	rejectedWeight  float64 // the same, of attempts by priority weight
-	recordedAt      Time    // the last attempt that these count
+	fullRatio       float64 // moving share of attempts that found their machine full
+	rejectedWeight  float64 // moving average of priority weights, with 0 for each accepted attempt
+	recordedAt      Time    // time of the last attempt in these two
 }
 
-// isShedding reports whether attempts find so little room that requests may be shed.
+// isShedding reports whether so many attempts find their machine full that requests may be shed.
 func (s *loadShedder) isShedding(now Time) bool { return s.currentFullRatio(now) > sheddingThreshold }
 
-// shed decides at random whether a container makes way for others. The odds grow with the share of attempts without
-// room and with what its priority lacks to the mean of those that found none.
+// shed decides at random whether to reject a container in favor of others. The probability grows with the share of
+// attempts on full machines, and with the distance of the container's priority below the mean priority of those
+// attempts.
 func (s *loadShedder) shed(c *container, now Time) bool {
 	if !s.isShedding(now) {
 		return false
@@ -33,7 +34,8 @@
 	return chance < sheddingGain*s.fullRatio*(1-s.priorityWeight(c)*s.fullRatio/s.rejectedWeight)
 }
 
-// priorityWeight lowers the weight of client retries, and of what a tenant holds beyond its quota.
+// priorityWeight returns the weight of the container's class, reduced for client retries and for tenants over their
+// quota.
 func (s *loadShedder) priorityWeight(c *container) float64 {
 	weight := c.class.PriorityWeight
 	if c.request.ClientRetry {
@@ -45,21 +47,21 @@
 	return weight
 }
 
-// recordRoom counts an attempt that was accepted.
+// recordRoom records an attempt that was accepted.
 func (s *loadShedder) recordRoom(now Time) {
 	s.resetIfOutdated(now)
 	s.fullRatio -= s.fullRatio / averagingSpan
 	s.rejectedWeight -= s.rejectedWeight / averagingSpan
 }
 
-// recordNoRoom counts an attempt that found its machine full.
+// recordNoRoom records an attempt that found its machine full.
 func (s *loadShedder) recordNoRoom(c *container, now Time) {
 	s.resetIfOutdated(now)
 	s.fullRatio += (1 - s.fullRatio) / averagingSpan
 	s.rejectedWeight += (s.priorityWeight(c) - s.rejectedWeight) / averagingSpan
 }
 
-// resetIfOutdated begins anew where the last attempt is too long ago, and notes that another is counted.
+// resetIfOutdated resets the ratios if the last attempt is too long ago, and records the time of a new attempt.
 func (s *loadShedder) resetIfOutdated(now Time) {
 	if s.isOutdated(now) {
 		s.fullRatio = 0
@@ -70,7 +72,8 @@
 
 func (s *loadShedder) isOutdated(now Time) bool { return now-s.recordedAt > fullRatioMaxAge }
 
-// currentFullRatio is the moving share of attempts that found no room; 0 where none was made for roomMemory.
+// currentFullRatio returns the moving share of attempts that found their machine full. It is 0 if there was no attempt
+// for fullRatioMaxAge.
 func (s *loadShedder) currentFullRatio(now Time) float64 {
 	if s.isOutdated(now) {
 		return 0
@@ -83,7 +86,7 @@
 	snapshot.RejectedWeight = s.rejectedWeight
 }
 
-// restore takes what an earlier incarnation knew as true at this time.
+// restore restores the ratios of an earlier incarnation as if its last attempt had been made now.
 func (s *loadShedder) restore(snapshot Snapshot, now Time) {
 	s.fullRatio = snapshot.FullRatio
 	s.rejectedWeight = snapshot.RejectedWeight
--- a/scheduler/shedding_test.go
+++ b/scheduler/shedding_test.go
@@ -7,7 +7,7 @@
 	"glenport/internal/testutil"
 )
 
-// While attempts find no room, requests of low priority make way for others, and a tenant over its quota too.
+// While attempts find their machines full, requests of low priority and of tenants over their quota are shed.
 func TestLowPriorityIsShedWhileMachinesAreFull(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
@@ -46,16 +46,16 @@
 	}
 }
 
-// A request that is shed makes no attempt, so the share of attempts without room is forgotten without one. Otherwise a
-// scheduler would shed the only client's requests for good, however much room there is by then.
+// A shed request makes no attempt, so the share of attempts on full machines must expire without one. Otherwise a
+// scheduler could shed all requests of its only client forever, even after room is free again.
 func TestRequestsAreShedOnlyOnRecentAttempts(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
-		since    Time // the last attempt
+		since    Time // time since the last attempt
 		shedding bool
 	}{
 		{"just now", 0, true},
-		{"at the end of the memory", fullRatioMaxAge, true},
+		{"at the maximum age", fullRatioMaxAge, true},
 		{"later", fullRatioMaxAge + 1, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -66,12 +66,12 @@
 			}
 			now := 10*Second + tc.since
 			testutil.Equal(t, s.shedder.isShedding(now), tc.shedding, "load is shed")
-			s.shedder.rejectedWeight = 1e6 // of attempts that mattered far more: this one is shed for certain
+			s.shedder.rejectedWeight = 1e6 // far above the request's weight, so that it is certainly shed
 			request := smallRequest("x", "s", now+5*Second)
 			_, rejected := lastAction(s.Handle(now, []Event{RequestReceived{request}})).(Reject)
 			testutil.Equal(t, rejected, tc.shedding, "the request is rejected")
 			s.shedder.recordNoRoom(filler, now)
-			testutil.Equal(t, s.shedder.isShedding(now), tc.shedding, "load is shed after one more")
+			testutil.Equal(t, s.shedder.isShedding(now), tc.shedding, "load is shed after one more attempt")
 		})
 	}
 }
@@ -84,8 +84,8 @@
 		tenant int
 		want   float64
 	}{
-		{"its part", []Tenant{{50}, {50}}, []float64{10, 10}, 0, 1},
-		{"twice its part of the use", []Tenant{{25}, {75}}, []float64{20, 20}, 0, 0.5},
+		{"within its quota", []Tenant{{50}, {50}}, []float64{10, 10}, 0, 1},
+		{"twice its quota", []Tenant{{25}, {75}}, []float64{20, 20}, 0, 0.5},
 		{"nothing reserved", []Tenant{{50}, {50}}, []float64{0, 10}, 0, 1},
 		{"no quotas", []Tenant{{0}, {0}}, []float64{10, 10}, 0, 1},
 		{"no tenant", []Tenant{{50}}, []float64{10}, 1, 1},
--- a/scheduler/tenantquotas.go
+++ b/scheduler/tenantquotas.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// tenantQuotas counts the cores that own containers reserve for each tenant, beside the tenants' quotas.
+// tenantQuotas holds the tenants' quotas and counts the cores that this scheduler's containers reserve for each tenant.
 type tenantQuotas struct {
 	tenants []Tenant
 	cores   []float64 // by tenant
@@ -10,7 +10,7 @@
 	return &tenantQuotas{tenants: tenants, cores: make([]float64, len(tenants))}
 }
 
-// reserve passes over requests without a tenant.
+// reserve counts reserved cores for a tenant. It ignores requests without a tenant.
 func (q *tenantQuotas) reserve(tenant int, cores float64) {
 	if tenant < len(q.cores) {
 		q.cores[tenant] += cores
@@ -23,7 +23,8 @@
 	}
 }
 
-// quotaToUseRatio is a tenant's part of all quotas over its part of own containers' cores: below 1 over its quota.
+// quotaToUseRatio returns the tenant's share of all quotas, divided by its share of the cores that this scheduler's
+// containers reserve. It is below 1 if the tenant is over its quota.
 func (q *tenantQuotas) quotaToUseRatio(tenant int) float64 {
 	if tenant >= len(q.cores) || q.cores[tenant] <= 0 {
 		return 1
