--- a/scheduler/deadlines.go
+++ b/scheduler/deadlines.go
@@ -1,13 +1,14 @@
 package scheduler
 
-// deadlineTimer watches the first deadline ahead. Those behind it are found when it fires.
+// deadlineTimer keeps a timer for the next deadline only. When it fires, check sets the timer for the one after.
 type deadlineTimer struct {
-	grace   Time // after a deadline, in which an answer is still in time; half is left to timeouts that come late
-	firesAt Time // when the timer that was set last fires
+	grace   Time // after a deadline, while an answer is still in time; half of it allows for late timer events
+	firesAt Time // of the timer set last
 }
 
-// check returns the containers without an outcome whose deadline has passed, by ID: no answer may depend on a message
-// that can be lost. It sets the timer for the next deadline that comes before the next maintenance.
+// check returns the unanswered containers whose deadline has passed, ordered by ID. The scheduler answers them itself,
+// because the message with their outcome may be lost. If another deadline comes before the next maintenance, check sets
+// a timer for it.
 func (t *deadlineTimer) check(containers *containerRegistry, actions *actionBuffer, now Time) []*container {
 	overdue, next := containers.deadlinesWithin(maintenanceInterval, t.grace/2, now)
 	if next > 0 && next != t.firesAt {
--- a/scheduler/listpoller.go
+++ b/scheduler/listpoller.go
@@ -1,15 +1,15 @@
 package scheduler
 
-const pollSpacing = 100 * Millisecond // for each scheduler: the span over which all of them poll
+const pollSpacing = 100 * Millisecond // mean interval between the polls of all schedulers together
 
-// listPoller decides when the machine list is polled. The polls of all schedulers are spread over a span, which doubles
-// with each failure to spare a list service that comes back.
+// listPoller decides when to poll the machine list. Each scheduler draws a random delay, which spreads the polls of all
+// schedulers. The maximum delay doubles with each failure, so that a recovering list service is not overloaded.
 type listPoller struct {
 	schedulerCount int
-	resyncInterval Time // within which the list has to be polled
+	resyncInterval Time // upper bound of delay
 	random         *pcg
-	pollAt         Time // 0: none is due
-	delay          Time // the span from which the next poll is drawn
+	pollAt         Time // 0: no poll is planned
+	delay          Time // maximum delay of the next poll
 }
 
 func newListPoller(config *Config, random *pcg) *listPoller {
@@ -20,32 +20,32 @@
 	}
 }
 
-// baseDelay spreads the polls of all schedulers.
+// baseDelay returns the maximum delay if no poll has failed.
 func (p *listPoller) baseDelay() Time {
 	return min(pollSpacing*Time(max(1, p.schedulerCount)), p.resyncInterval/2)
 }
 
-// resetDelay makes the next poll come after the span without failures.
+// resetDelay resets the maximum delay to the one without failures.
 func (p *listPoller) resetDelay() { p.delay = p.baseDelay() }
 
-// schedule draws the moment of the next poll.
+// schedule draws the time of the next poll.
 func (p *listPoller) schedule(now Time) {
 	p.pollAt = now + p.random.jitter(p.delay)
 }
 
-// recordAnswer ends the poll that is due.
+// recordAnswer records that the list service answered, which cancels a planned poll.
 func (p *listPoller) recordAnswer() {
 	p.pollAt = 0
 	p.resetDelay()
 }
 
-// recordFailure repeats the poll, as the watch may be lost too.
+// recordFailure plans another poll, because the watch may be lost too.
 func (p *listPoller) recordFailure(now Time) {
 	p.schedule(now)
 	p.delay = min(2*p.delay, p.resyncInterval)
 }
 
-// takeDuePoll reports whether a poll is to be sent now, and counts it as sent.
+// takeDuePoll reports whether a poll is due. If so, it marks the poll as sent.
 func (p *listPoller) takeDuePoll(now Time) bool {
 	if p.pollAt <= 0 || now < p.pollAt {
 		return false
--- a/scheduler/listpoller_test.go
+++ b/scheduler/listpoller_test.go
@@ -12,7 +12,7 @@
 	return slices.Contains(runMaintenance(s, now), Action(WatchMachineList{true}))
 }
 
-// countPolls runs the maintenance for a while without answers.
+// countPolls runs the maintenance from one time to another, without answers, and counts the polls.
 func countPolls(s *Scheduler, from, to Time) int {
 	count := 0
 	for now := from; now <= to; now += Second / 4 {
@@ -23,18 +23,19 @@
 	return count
 }
 
-// Schedulers that start together, or fail together, do not poll together: the list service answers few at a time.
+// The polls of schedulers that start at the same time, or whose polls fail at the same time, must be spread: the list
+// service can answer only a few at a time.
 func TestPollsOfManySchedulersAreSpread(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		schedulers int
-		downUntil  Time // polls fail so long
-		most       int  // polls by all schedulers in any half second
-		by         Time // every scheduler has its list
+		downUntil  Time // end of the outage of the list service
+		most       int  // maximum of polls by all schedulers in half a second
+		by         Time // time at which every scheduler must have the list
 	}{
 		{"few", 3, 0, 3, Second},
 		{"hundreds", 300, 0, 60, 6 * Second},
-		{"hundreds, the service away", 300, 20 * Second, 60, 31 * Second},
+		{"hundreds, list service down", 300, 20 * Second, 60, 31 * Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			all := pollingSchedulers(tc.schedulers)
@@ -49,7 +50,7 @@
 				informed += answered
 			}
 			if most := slices.Max(pollsInHalfSecond); informed != tc.schedulers || most > tc.most {
-				t.Errorf("%d informed, up to %d polls in half a second", informed, most)
+				t.Errorf("%d schedulers have the list, up to %d polls in half a second", informed, most)
 			}
 		})
 	}
@@ -81,8 +82,8 @@
 	return count
 }
 
-// A start that a machine reports itself is taken up, and the poll that is due still comes, while any answer of the list
-// service ends it. The other machines stay as they were.
+// A start that a machine reports itself is applied, and leaves the other machines unchanged. It must not cancel a poll
+// that is due; only an answer of the list service does.
 func TestSelfReportedStartLeavesPollDue(t *testing.T) {
 	failed, delta := MachineListUpdate{Mode: UpdateFailed}, MachineListUpdate{Mode: DeltaUpdate}
 	for _, tc := range []struct {
@@ -93,7 +94,7 @@
 	}{
 		{"first poll of a new incarnation", nil, SelfReported, true},
 		{"list service unreachable", []Event{failed}, SelfReported, true},
-		{"list service unreachable for long", []Event{failed, failed, failed}, SelfReported, true},
+		{"list service unreachable for a long time", []Event{failed, failed, failed}, SelfReported, true},
 		{"list service answered before", []Event{delta}, SelfReported, false},
 		{"reported by the list service", []Event{failed}, DeltaUpdate, false},
 	} {
@@ -123,7 +124,7 @@
 		testutil.Expect(t, p.delay == want, "after %d failures the delay is %d, want %d", i, p.delay, want)
 		p.recordFailure(0)
 		testutil.Expect(t, !p.takeDuePoll(0) && p.takeDuePoll(want+Millisecond) && !p.takeDuePoll(want+Millisecond),
-			"after %d failures the poll does not come once within its delay", i+1)
+			"after %d failures there is not exactly one poll within the delay", i+1)
 	}
 	if p.recordAnswer(); p.delay != 300*Millisecond || p.takeDuePoll(Second) {
 		t.Errorf("after an answer the delay is %d", p.delay)
