--- a/scheduler/actionbuffer.go
+++ b/scheduler/actionbuffer.go
@@ -5,11 +5,11 @@
 	"math"
 )
 
-// actionBuffer collects the actions of a batch in the order in which they are decided. The components that log share
-// the coordinator's buffer, so that a message keeps its place among the actions.
+// actionBuffer collects the actions of a batch in the order of the decisions. Components that log share the
+// coordinator's buffer, so that log messages keep their position among the actions.
 type actionBuffer struct{ actions []Action }
 
-// reset begins a batch. The slice of the last one belongs to the process.
+// reset begins a batch. It does not reuse the slice of the last batch, because the caller of Handle owns that.
 func (b *actionBuffer) reset() { b.actions = nil }
 
 func (b *actionBuffer) collected() []Action { return b.actions }
@@ -24,5 +24,5 @@
 	b.log(message, append([]slog.Attr{slog.String("machine", string(m.id))}, attributes...)...)
 }
 
-// rounded keeps two decimals of a log attribute.
+// rounded returns a log attribute with two decimals.
 func rounded(key string, x float64) slog.Attr { return slog.Float64(key, math.Round(x*100)/100) }
--- a/scheduler/random.go
+++ b/scheduler/random.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// pcg is a permuted congruential generator with 64 bits of state (PCG RXS M XS): seeded, so that every decision
+// pcg is a permuted congruential generator with 64 bits of state (PCG RXS M XS). It is seeded, so that every decision
 // can be replayed.
 type pcg struct{ state uint64 }
 
@@ -10,13 +10,14 @@
 	return mix(state)
 }
 
-// uniform returns a number from 0 up to and without 1.
+// uniform returns a number in [0, 1).
 func (g *pcg) uniform() float64 { return unitInterval(g.next()) }
 
-// unitInterval maps a word of the generator to a number from 0 up to and without 1.
+// unitInterval maps an output word of the generator to a number in [0, 1).
 func unitInterval(word uint64) float64 { return float64(word>>11) / (1 << 53) }
 
-// jitter is a random moment in a span: instances that start or fail together must not act together.
+// jitter returns a random delay of up to the span and a millisecond. Schedulers that start or fail at the same time use
+// it so as not to act at the same time.
 func (g *pcg) jitter(span Time) Time {
 	return Millisecond + Time(float64(span)*g.uniform())
 }
@@ -27,7 +28,7 @@
 	return word>>43 ^ word
 }
 
-// hash is FNV-1a.
+// hash returns the 64-bit FNV-1a hash of a text.
 func hash(text string) uint64 {
 	const offset, prime = 14695981039346656037, 1099511628211
 	h := uint64(offset)
--- a/scheduler/resources.go
+++ b/scheduler/resources.go
@@ -13,12 +13,12 @@
 	r.memory -= o.memory
 }
 
-// atLeast returns the larger of each amount.
+// atLeast returns the larger value of each resource.
 func (r resources) atLeast(o resources) resources {
 	return resources{cores: max(r.cores, o.cores), memory: max(r.memory, o.memory)}
 }
 
-// within reports whether both amounts are up to a limit.
+// within reports whether neither resource exceeds the limit.
 func (r resources) within(limit resources) bool {
 	return r.cores <= limit.cores && r.memory <= limit.memory
 }
--- a/scheduler/selfdraining.go
+++ b/scheduler/selfdraining.go
@@ -1,14 +1,14 @@
 package scheduler
 
-const selfDrainingTime = 5 * Second // after the last sign of it
+const selfDrainingTime = 5 * Second // after the last sign of a drain
 
-// selfDrain is for a machine that drains itself, while the machine list has no drain yet. It is excluded from every
-// draw for a while, even if it sent away one container only.
+// selfDrain records that a machine drains itself while the machine list does not show a drain yet. A single container
+// that the machine sends away is enough: the machine is then excluded from every draw for selfDrainingTime.
 type selfDrain struct{ until Time }
 
 func (d *selfDrain) isDraining(now Time) bool { return now < d.until }
 
-// extend counts a sign of a drain from now on, and reports whether it is the first.
+// extend records a sign of a drain. It reports whether the machine was not known to drain before.
 func (d *selfDrain) extend(now Time) (first bool) {
 	first = !d.isDraining(now)
 	d.until = now + selfDrainingTime
@@ -17,4 +17,4 @@
 
 func (d *selfDrain) saveTo(s *MachineSnapshot) { s.SelfDrainingUntil = d.until }
 
-func (d *selfDrain) restore(learned MachineSnapshot) { d.until = learned.SelfDrainingUntil }
+func (d *selfDrain) restore(snapshot MachineSnapshot) { d.until = snapshot.SelfDrainingUntil }
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Snapshot returns what this scheduler has learned, for a later incarnation of it.
+// Snapshot returns the state that a later incarnation of this scheduler restores.
 func (s *Scheduler) Snapshot() Snapshot {
 	snapshot := Snapshot{TrafficClasses: s.classes.snapshot()}
 	s.shedder.saveTo(&snapshot)
@@ -25,26 +25,26 @@
 	return snapshot
 }
 
-// Restore takes in what an earlier incarnation knew, after the restored machine list and before any request. What is
-// of another incarnation of a machine, or does not fit the configuration, is passed over. The slices of the snapshot
-// belong to the scheduler from then on.
+// Restore restores the snapshot of an earlier incarnation. It is called after the restored machine list is applied and
+// before the first request. State of another incarnation of a machine, or that does not match the configuration, is
+// ignored. The scheduler takes ownership of the snapshot's slices.
 func (s *Scheduler) Restore(snapshot Snapshot) {
 	if s.classes.fits(snapshot.TrafficClasses) {
 		s.classes.restore(snapshot.TrafficClasses)
 		s.shedder.restore(snapshot, s.now)
 	}
 	s.slowStart.start(snapshot.SendsKnownSince)
-	for _, learned := range snapshot.Machines {
-		m := s.machines.find(learned.Machine)
-		if m != nil && m.listing.known && m.listing.startedAt == learned.StartedAt {
-			m.restore(learned)
+	for _, saved := range snapshot.Machines {
+		m := s.machines.find(saved.Machine)
+		if m != nil && m.listing.known && m.listing.startedAt == saved.StartedAt {
+			m.restore(saved)
 		}
 	}
 }
 
-func (m *machine) restore(learned MachineSnapshot) {
-	m.outlier.restore(learned)
-	m.selfDrain.restore(learned)
-	m.sends.restore(learned)
-	m.evidence.restore(learned)
+func (m *machine) restore(snapshot MachineSnapshot) {
+	m.outlier.restore(snapshot)
+	m.selfDrain.restore(snapshot)
+	m.sends.restore(snapshot)
+	m.evidence.restore(snapshot)
 }
--- a/scheduler/snapshot_test.go
+++ b/scheduler/snapshot_test.go
@@ -7,20 +7,19 @@
 	"glenport/internal/testutil"
 )
 
-// A scheduler that is given the snapshot of an earlier incarnation goes on as that would have: the outlier stays
-// ejected, and no window of a slow start has more than one quota, though several incarnations follow on each other
-// within it.
+// A scheduler that restores the snapshot of an earlier incarnation continues like that one. An ejected machine stays
+// ejected, and no window of a slow start has more sends than the quota, even if several incarnations run within it.
 func TestRestoredSchedulerContinuesItsEarlierIncarnation(t *testing.T) {
 	config := testConfig(Idempotent)
 	config.SchedulerCount, config.MaxAttempts = 1, 1
-	var before *Scheduler
+	var previous *Scheduler
 	var sent []Time
 	for incarnation := range 20 {
 		s := New(config)
 		now := Time(incarnation)*Second/2 + 10
 		listMachines(s, now, RestoredSnapshot, MachineEntry{Machine: "a", StartedAt: 10})
-		if before != nil {
-			s.Restore(before.Snapshot())
+		if previous != nil {
+			s.Restore(previous.Snapshot())
 		}
 		for range 40 {
 			now += 100
@@ -30,12 +29,12 @@
 				s.Handle(now, []Event{AttemptEnded{ID: id, Final: true, Machine: "a", Elapsed: 1}})
 			}
 		}
-		before = s
+		previous = s
 	}
 	most := mostInWindow(sent, config.SlowStartWindow)
 	testutil.Require(t, most <= config.SlowStartBudget, "%d attempts in a window", most)
 	testutil.Expect(t, len(sent) >= 3*config.SlowStartBudget,
-		"%d attempts in 20 incarnations: the quota is left unused", len(sent))
+		"%d attempts in 20 incarnations: the quota is not used", len(sent))
 
 	restored := New(config)
 	listMachines(restored, 0, RestoredSnapshot, MachineEntry{Machine: "a"}, MachineEntry{Machine: "b"})
--- a/scheduler/startlatency.go
+++ b/scheduler/startlatency.go
@@ -1,11 +1,11 @@
 package scheduler
 
-// startLatencyTracker follows, for each workload class, the share of this scheduler's containers that began to run
-// later than the class's latency objective after they were sent. It counts all machines together, so it tells nothing
-// of any machine, its room or its load.
+// startLatencyTracker tracks, for each workload class, the share of this scheduler's containers that started late: the
+// time from the send to the start exceeded the class's latency objective. It does not distinguish machines, so its
+// ratios say nothing about the room or load of any machine.
 type startLatencyTracker struct {
 	acceptMeansRunning bool
-	lateRatios         []float64 // moving shares, by workload class
+	lateRatios         []float64 // moving shares of late starts, by workload class
 }
 
 func newStartLatencyTracker(config *Config) *startLatencyTracker {
@@ -15,14 +15,14 @@
 	}
 }
 
-// recordAccepted counts a start where machines accept only what runs.
+// recordAccepted records a start if machines accept a container only once it runs.
 func (t *startLatencyTracker) recordAccepted(c *container, now Time) {
 	if t.acceptMeansRunning {
 		t.recordStart(c, now)
 	}
 }
 
-// recordRunning counts a start where machines accept what has yet to start, and report when it runs.
+// recordRunning records a start if machines accept a container before it starts, and report separately that it runs.
 func (t *startLatencyTracker) recordRunning(c *container, now Time) {
 	if !t.acceptMeansRunning {
 		t.recordStart(c, now)
@@ -37,7 +37,7 @@
 	}
 }
 
-// lateRatio is the moving share of late starts in the container's class.
+// lateRatio returns the moving share of late starts in the container's workload class.
 func (t *startLatencyTracker) lateRatio(c *container) float64 {
 	return t.lateRatios[c.request.WorkloadClass]
 }
--- a/scheduler/startlatency_test.go
+++ b/scheduler/startlatency_test.go
@@ -7,7 +7,7 @@
 	"glenport/internal/testutil"
 )
 
-// startAll lets containers begin to run, all after the same latency.
+// startAll starts containers, all with the same latency.
 func startAll(s *Scheduler, latency Time) {
 	for i := range 4 * averagingSpan {
 		id := ContainerID(fmt.Sprint("started", i))
