--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -9,8 +9,8 @@
 
 const decisionsFile = "testdata/decisions.txt"
 
-// TestDecisionsMatchGoldenDigests runs seeded sequences of events through the scheduler and compares a digest of
-// all its actions with the recorded one. A changed digest is a changed decision.
+// TestDecisionsMatchGoldenDigests runs seeded sequences of events through the scheduler and compares a digest of all
+// actions with the recorded one. A different digest means a different decision.
 func TestDecisionsMatchGoldenDigests(t *testing.T) {
 	const sequences = 112
 	var got []string
@@ -25,11 +25,11 @@
 	golden.Check(t, decisionsFile, got)
 }
 
-// digest folds actions by a fixed number for each type and by their field values in order; names of types,
-// fields and timers and the text of logs do not count.
+// digest hashes actions: a fixed number for each type, and the field values in order. Names of types, fields and timers
+// and the text of log lines are left out.
 type digest struct {
 	*golden.Digest
-	timers                     map[string]uint64 // by first appearance in a sequence
+	timers                     map[string]uint64 // number of each timer name, by first occurrence in a sequence
 	batches, actions, attempts int
 }
 
@@ -78,13 +78,13 @@
 	d.Value(a)
 }
 
-// Numbers of values that are no actions.
+// Type numbers of values that are not actions.
 const (
 	snapshotOrdinal    = 101
 	explanationOrdinal = 102
 )
 
-// fold adds a value that is no action.
+// fold adds a value that is not an action.
 func (d *digest) fold(ordinal uint64, x any) {
 	d.Numbers(ordinal)
 	d.Value(x)
--- a/scheduler/sequences_test.go
+++ b/scheduler/sequences_test.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// goldenGroup is a group of sequences with settings in common.
+// goldenGroup is a group of sequences that share a kind of configuration.
 type goldenGroup struct {
 	name   string
 	adjust func(r *random, o *sequenceOptions)
@@ -93,7 +93,7 @@
 }
 
 func drawOptions(r *random) *sequenceOptions {
-	// The order of the fields is that of the random numbers.
+	// The order of the fields is the order in which random numbers are drawn.
 	o := &sequenceOptions{
 		machines:         2 + r.below(12),
 		services:         1 + r.below(8),
--- a/scheduler/simulatedevents_test.go
+++ b/scheduler/simulatedevents_test.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// This file holds what happens in the simulated world of itself.
+// This file holds the events that occur in the simulated cluster without an action of the scheduler.
 
-// machineEntries returns the entries of some machines.
+// machineEntries returns the machine list entries of some machines.
 func (w *simulatedCluster) machineEntries(machines []*simulatedMachine) []MachineEntry {
 	var all []MachineEntry
 	for _, m := range machines {
@@ -30,7 +30,7 @@
 	return MachineListUpdate{Mode: mode, Version: w.version, Entries: w.machineEntries(present)}
 }
 
-// start hands a new scheduler the events of a process that starts.
+// start sends a new scheduler the events that a starting process sends.
 func (w *simulatedCluster) start() {
 	var events []Event
 	if w.random.chance(0.9) {
@@ -81,7 +81,7 @@
 		ClientRetry:    r.chance(0.05),
 	}
 	if r.chance(0.03) {
-		request.Deadline = w.now + Time(r.below(50)) // around the margin kept from deadlines
+		request.Deadline = w.now + Time(r.below(50)) // around deadlineMargin
 	}
 	if r.chance(0.3) {
 		request.ExpectedRuntime = r.span(0, 2*w.runtime)
@@ -107,7 +107,7 @@
 	return RequestReceived{PlacementRequest: request}
 }
 
-// remove ends a container from outside; its attempt ends later.
+// remove removes a container. Its open attempt ends later.
 func (w *simulatedCluster) remove(id ContainerID) []Event {
 	c := w.containers[id]
 	if c.ended {
@@ -122,7 +122,7 @@
 	return []Event{ContainerRemoved{ID: id}}
 }
 
-// change alters the fleet and returns the update of the machine list.
+// change changes the fleet at random and returns the update of the machine list.
 func (w *simulatedCluster) change() []Event {
 	r := w.random
 	w.after(r.span(0, 2*w.churn), w.change)
@@ -150,7 +150,7 @@
 		return []Event{MachineListUpdate{Mode: SelfReported, Entries: w.machineEntries(changed)}}
 	}
 	if r.chance(0.1) {
-		return nil // not reported before the next full update
+		return nil // reported with the next full update only
 	}
 	if r.chance(0.15) {
 		return []Event{w.fullUpdate(FullSnapshot)}
@@ -159,7 +159,7 @@
 	return []Event{MachineListUpdate{Mode: DeltaUpdate, Version: w.version, Entries: w.machineEntries(changed)}}
 }
 
-// restart replaces the scheduler by a new one that gets the snapshot of the old one, whole or damaged.
+// restart replaces the scheduler by a new one, which restores the snapshot of the old one. Some snapshots are altered.
 func (w *simulatedCluster) restart() []Event {
 	r := w.random
 	w.after(r.span(Second, 10*Second), w.restart)
@@ -191,7 +191,7 @@
 	if r.chance(0.9) {
 		w.scheduler.Restore(snapshot)
 	}
-	w.afterUnlessRestarted(r.span(0, Second), func() []Event { // for machines that were listed late
+	w.afterUnlessRestarted(r.span(0, Second), func() []Event { // for machines that enter the list late
 		late := Snapshot{SendsKnownSince: snapshot.SendsKnownSince, Machines: snapshot.Machines}
 		if r.chance(0.5) {
 			w.scheduler.Restore(late)
@@ -209,7 +209,7 @@
 	return events
 }
 
-// invalidEvents are some that no correct process would give.
+// invalidEvents returns events that a correct process would not send.
 func (w *simulatedCluster) invalidEvents() []Event {
 	r := w.random
 	w.after(r.span(0, Second/2), w.invalidEvents)
--- a/scheduler/simulatedmachines_test.go
+++ b/scheduler/simulatedmachines_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// This file holds how the simulated world answers actions.
+// This file holds the answers of the simulated cluster to the scheduler's actions.
 
 func (w *simulatedCluster) addMachine(startedAt Time) *simulatedMachine {
 	r := w.random
@@ -91,13 +91,13 @@
 	w.afterUnlessRestarted(e.Elapsed, func() []Event { return []Event{e} })
 }
 
-// reserve counts a container at its machine, release with sign -1 takes it off.
+// reserve adds a container's request to the use of its machine; with sign -1 it subtracts it.
 func (w *simulatedCluster) reserve(c *simulatedContainer, sign float64) {
 	c.at.used += sign * c.request.Cores
 	c.at.memory += sign * c.request.Memory
 }
 
-// attempt draws what becomes of an attempt.
+// attempt draws the outcome of an attempt and schedules it.
 func (w *simulatedCluster) attempt(a StartAttempt) {
 	r := w.random
 	c := w.containers[a.ID]
@@ -121,7 +121,7 @@
 	})
 }
 
-// outcome draws the outcome of an attempt and when it comes; Finished without Final stands for acceptance.
+// outcome draws the outcome of an attempt and its delay. OutcomeFinished without Final stands for an acceptance.
 func (w *simulatedCluster) outcome(c *simulatedContainer, wait Time) (AttemptEnded, Time) {
 	r := w.random
 	m, request := c.at, &c.request
@@ -163,7 +163,7 @@
 	if c.at == nil || c.attempt != attempt {
 		return nil
 	}
-	if r.chance(0.02) { // its run time was over before it was accepted
+	if r.chance(0.02) { // it ran to its end before it was accepted
 		return w.end(c, attempt, AttemptEnded{Outcome: OutcomeFinished})
 	}
 	if r.chance(0.02) { // the acceptance crosses a cancellation
@@ -178,7 +178,7 @@
 	}}
 }
 
-// run plans the reports and the end of a running container.
+// run schedules the usage reports and the end of a running container.
 func (w *simulatedCluster) run(c *simulatedContainer) {
 	r := w.random
 	attempt := c.attempt
@@ -210,7 +210,7 @@
 	case r.chance(0.03):
 		e.Outcome = OutcomeErrored
 	}
-	e.Final = !r.chance(0.15) // else it is to be placed again
+	e.Final = !r.chance(0.15) // if false, the container is placed again
 	w.after(e.Elapsed, func() []Event { return w.end(c, attempt, e) })
 }
 
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// random is SplitMix64: the sequences must not depend on the scheduler's own generator.
+// random is a SplitMix64 generator. The sequences must not depend on the scheduler's own generator.
 type random struct{ state uint64 }
 
 func (r *random) next() uint64 {
@@ -20,7 +20,7 @@
 
 func pick[T any](r *random, from ...T) T { return from[r.below(len(from))] }
 
-// simulatedFault is how a simulated machine treats attempts.
+// simulatedFault is the faulty behavior of a simulated machine.
 type simulatedFault uint8
 
 const (
@@ -31,33 +31,33 @@
 	failsOneClass  // no answer to one workload class
 	failsOneTenant // "full" without a reason to one tenant
 	resetting      // accepts, then loses its containers
-	drainingItself // refuses and sends away, before the machine list has it
+	drainingItself // refuses containers and sends them away before the machine list shows a drain
 	refusing       // always full
 	faults
 )
 
-// sequenceOptions say what a sequence is about.
+// sequenceOptions are the parameters of a sequence.
 type sequenceOptions struct {
 	config           Config
 	machines         int
 	services         int
 	arrival          Time    // mean time between requests
 	size             float64 // mean cores of a request
-	runtime          Time    // mean
+	runtime          Time    // mean runtime of a container
 	faults           []simulatedFault
-	faultyRatio      float64 // part of the machines with a fault
-	unansweredRatio  float64 // part of the attempts without any outcome
-	churn            Time    // mean time between changes of the fleet
-	restarts         bool    // of the scheduler
-	invalid          bool    // invalid events too
-	retryRatio       float64 // part of the rejected requests that come again
-	listFailureRatio float64 // part of the polls
-	oneClass         bool    // the machines fail the same class
+	faultyRatio      float64 // share of machines with a fault
+	unansweredRatio  float64 // share of attempts without any outcome
+	churn            Time    // mean time between fleet changes
+	restarts         bool    // the scheduler restarts
+	invalid          bool    // the sequence has invalid events
+	retryRatio       float64 // share of rejected requests that the client retries
+	listFailureRatio float64 // share of polls that fail
+	oneClass         bool    // machines that fail a class all fail the same one
 
 	selfReports bool // machines report their starts themselves
 }
 
-// simulatedCluster answers the scheduler's actions.
+// simulatedCluster simulates the machines and clients of a scheduler, and answers its actions.
 type simulatedCluster struct {
 	*sequenceOptions
 	random         *random
@@ -71,10 +71,10 @@
 	containers     map[ContainerID]*simulatedContainer
 	ids            []ContainerID // of all containers so far
 	version        int64
-	incarnation    int // of the scheduler; attempts and timers of earlier ones are void
+	incarnation    int // of the scheduler; attempts and timers of earlier ones are dropped
 }
 
-// scheduledStep is something that happens at a time; besides returning events it may change the world.
+// scheduledStep is a step of the simulation at a time. It returns events and may change the cluster.
 type scheduledStep struct {
 	at     Time
 	number int
@@ -84,7 +84,7 @@
 type simulatedMachine struct {
 	entry         MachineEntry
 	fault         simulatedFault
-	class, tenant int // that it fails
+	class, tenant int // failed by failsOneClass and failsOneTenant
 	used          float64
 	memory        float64
 }
@@ -131,7 +131,7 @@
 	w.digest.fold(snapshotOrdinal, w.scheduler.Snapshot())
 }
 
-// step carries out what is due next, and sometimes what follows soon after in the same batch.
+// step runs the steps that are due next in one batch, sometimes together with those that follow shortly after.
 func (w *simulatedCluster) step() {
 	w.now = max(w.now, w.queue[0].at)
 	if w.random.chance(0.2) {
@@ -172,7 +172,7 @@
 	w.queue = slices.Insert(w.queue, i, s)
 }
 
-// afterUnlessRestarted drops what was meant for an earlier incarnation of the scheduler.
+// afterUnlessRestarted schedules a step that is dropped if the scheduler restarts before.
 func (w *simulatedCluster) afterUnlessRestarted(span Time, run func() []Event) {
 	incarnation := w.incarnation
 	w.after(span, func() []Event {
--- a/scheduler/stored_test.go
+++ b/scheduler/stored_test.go
@@ -14,7 +14,7 @@
 
 const storedFile = "testdata/stored.txt"
 
-// storedValue is a value of a type that is written to disk by others, with what it is called in testdata/stored.txt.
+// storedValue is a value of a type that other packages write to disk, with its name in testdata/stored.txt.
 type storedValue struct {
 	name  string
 	value any
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestStoredStructsKeepTheirEncoding reads bytes that were written before the fields had tags, and which are never
-// written anew: names in the code may change, names on disk may not.
+// TestStoredStructsKeepTheirEncoding guards against a renamed field that changes the format on disk. It compares with
+// bytes from before the fields had tags; these are never recorded again.
 func TestStoredStructsKeepTheirEncoding(t *testing.T) {
 	values := storedValues()
 	lines := readLines(t, storedFile)
@@ -79,7 +79,7 @@
 	}
 }
 
-// checkEncoding decodes a recorded value and encodes it again.
+// checkEncoding decodes a recorded value, encodes it again and compares both results.
 func checkEncoding(t *testing.T, value any, digits string) {
 	t.Helper()
 	recorded, err := hex.DecodeString(digits)
