--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -7,7 +7,8 @@
 
 const benchmarkMachines = 300
 
-// benchmarkScheduler has machines of two types, and three classes: any machine, one machine type, spread over zones.
+// benchmarkScheduler returns a scheduler with machines of two types and three workload classes: one for any machine,
+// one for one machine type, and one spread over rack groups.
 func benchmarkScheduler() *Scheduler {
 	config := testConfig(Idempotent)
 	anywhere := config.WorkloadClasses[0]
@@ -29,7 +30,7 @@
 	return s
 }
 
-// BenchmarkPlacement measures a placement from the request to the end of its container, without its run.
+// BenchmarkPlacement measures the handling of a container from its request to its final outcome.
 func BenchmarkPlacement(b *testing.B) {
 	for class, name := range []string{"anywhere", "one machine type", "spread"} {
 		b.Run(name, func(b *testing.B) {
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -8,7 +8,7 @@
 	"glenport/internal/testutil"
 )
 
-// testConfig has one workload class, two machine types and three schedulers.
+// testConfig returns a configuration with one workload class, two machine types and three schedulers.
 func testConfig(e Idempotency) Config {
 	return Config{
 		Seed:           7,
@@ -34,8 +34,8 @@
 	}
 }
 
-// testScheduler has four machines: a and b in zone 0, c and d in zone 1, each in a rack group of its own; b is of the
-// large type.
+// testScheduler returns a scheduler with four machines: a and b in zone 0, c and d in zone 1, each in its own rack
+// group. Machine b is of the large type.
 func testScheduler(config Config) *Scheduler {
 	s := New(config)
 	listMachines(s, 0, RestoredSnapshot,
@@ -55,7 +55,7 @@
 	return s.Handle(now, []Event{TimerFired{maintenanceTimerName}})
 }
 
-// smallRequest is for a container of one core and one unit of memory.
+// smallRequest returns a request for a container of one core and one unit of memory.
 func smallRequest(id ContainerID, service string, deadline Time) PlacementRequest {
 	return PlacementRequest{ID: id, Service: service, Cores: 1, Memory: 1, Deadline: deadline}
 }
@@ -65,7 +65,7 @@
 	return attemptMachine(s.Handle(now, []Event{RequestReceived{smallRequest(id, service, now+6*Second)}}))
 }
 
-// attemptMachine returns the machine of the attempt that the actions end with, if they do.
+// attemptMachine returns the machine of the attempt if the last action starts one, else an empty name.
 func attemptMachine(actions []Action) MachineID {
 	attempt, _ := lastAction(actions).(StartAttempt)
 	return attempt.Machine
@@ -75,7 +75,7 @@
 	s.Handle(s.now, []Event{ContainerAdopted{smallRequest(ContainerID(id), service, 0), at}})
 }
 
-// moveAttempt pretends that a container's attempt went elsewhere.
+// moveAttempt changes the machine of a container's open attempt.
 func (s *Scheduler) moveAttempt(id ContainerID, to MachineID) {
 	c := s.containers.find(id)
 	sentAt := c.sentAt
@@ -83,7 +83,7 @@
 	s.containers.reserve(c, s.machines.findOrAdd(to), sentAt)
 }
 
-// fail records failures of a machine, one after the other.
+// fail records several failures of a machine in a row.
 func (s *Scheduler) fail(m *machine, failures int) {
 	for range failures {
 		s.prober.outliers.recordFailure(m, s.now)
@@ -93,7 +93,7 @@
 // startAt puts a machine into slow start.
 func (m *machine) startAt(at Time) { m.listing.startedAt = at }
 
-// startLately puts a machine into slow start just after the scheduler's own start.
+// startLately puts a machine into slow start, just after the start of the scheduler itself.
 func startLately(s *Scheduler, m *machine) {
 	m.startAt(s.now + 1)
 	s.slowStart.start(s.now)
--- a/scheduler/policy_test.go
+++ b/scheduler/policy_test.go
@@ -11,7 +11,7 @@
 
 const deployFile = "../deploy/balancer.toml"
 
-// withoutDecisions are the files of this package that hold types, state and helpers only.
+// withoutDecisions lists the files of this package that hold only types, state and helpers.
 var withoutDecisions = []string{
 	"actionbuffer.go", "actions.go", "answers.go", "config.go", "doc.go", "events.go", "random.go", "resources.go",
 }
@@ -36,7 +36,7 @@
 	return names
 }
 
-// The decisions are read aloud in reviews: the deploy file names all of their files, and no other.
+// The deploy file must list exactly the files that make decisions, because reviews of the policy read that list.
 func TestEachFileIsListedAsPolicyOrWithoutDecisions(t *testing.T) {
 	policy := policyFiles(t)
 	all, err := filepath.Glob("*.go")
@@ -44,9 +44,9 @@
 	sources := slices.DeleteFunc(all, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 	for _, name := range sources {
 		testutil.Expect(t, slices.Contains(policy, name) != slices.Contains(withoutDecisions, name),
-			"%s belongs either to the policy or to the files without decisions", name)
+			"%s must be listed either as policy or as a file without decisions", name)
 	}
 	for _, name := range slices.Concat(policy, withoutDecisions) {
-		testutil.Expect(t, slices.Contains(sources, name), "%s is listed, but is no source file of this package", name)
+		testutil.Expect(t, slices.Contains(sources, name), "%s is listed, but not a source file of this package", name)
 	}
 }
