--- a/internal/simprotocol/decoder.go
+++ b/internal/simprotocol/decoder.go
@@ -1,5 +1,5 @@
-// Package simprotocol is the codec of the simulator's wire: it decodes lines into the events of a scheduler, and
-// encodes its actions as lines. The words of the wire and of its settings end here.
+// Package simprotocol is the codec of the simulator's wire protocol. It decodes lines into the events of a scheduler
+// and encodes the scheduler's actions as lines. No other package uses the names of the protocol and its settings.
 package simprotocol
 
 import (
@@ -17,7 +17,7 @@
 	maxMachineLists = 16
 )
 
-// Lines that are no events.
+// Names of the lines that are not decoded by eventDecoders.
 const (
 	frameLine        = "FRAME"     // begins a frame
 	commitLine       = "COMMIT"    // ends a frame
@@ -26,32 +26,32 @@
 	configureLine    = "CONFIGURE" // starts an instance
 	killedLine       = "KILLED"    // stops an instance
 	updateLine       = "UPDATE"    // an update of the machine list
-	noteLine         = "NOTE_FROM" // from another scheduler: none is ever sent, and none is heeded
+	noteLine         = "NOTE_FROM" // a note from another scheduler; ignored, as schedulers send none
 )
 
-// Delivery is one message for one scheduler instance: an event, or the start or end of the instance.
+// Delivery is one message for one scheduler instance: an event, or the start or stop of the instance.
 type Delivery struct {
-	Line     int // where it stands in the input, from 1
+	Line     int // line number in the input, from 1
 	Instance int
 	Event    scheduler.Event
 	Start    *scheduler.Config // starts a new instance
-	Stop     bool              // ends the instance
+	Stop     bool              // stops the instance
 }
 
-// Frame is a batch of messages that happened by a time.
+// Frame is a batch of messages. Their events happened by the time of the frame.
 type Frame struct {
 	Now        scheduler.Time
-	Seq        string // repeated in the answer
+	Seq        string // sent back in the reply
 	Deliveries []Delivery
 }
 
-// machineList is a numbered list of machines, to which updates refer.
+// machineList is a machine list that updates refer to by number.
 type machineList struct {
 	entries []scheduler.MachineEntry
 	defined bool
 }
 
-// Decoder decodes frames. It holds the numbered machine lists; a new list replaces the last one of its number.
+// Decoder decodes frames. It keeps the numbered machine lists; a new list replaces the previous one with its number.
 type Decoder struct {
 	reader       *bufio.Reader
 	lineNumber   int
@@ -63,7 +63,7 @@
 	return &Decoder{reader: bufio.NewReaderSize(r, readBufferBytes)}
 }
 
-// Next decodes a frame. It returns io.EOF at the end of the input between frames; every other error names a line.
+// Next decodes a frame. It returns io.EOF if the input ends between frames. Every other error names a line.
 func (d *Decoder) Next() (*Frame, error) {
 	line, err := d.readLine()
 	if err != nil {
@@ -99,7 +99,8 @@
 	return frame, f.finish()
 }
 
-// readLine returns the next line without its end, or io.EOF itself if the input has ended after a whole line.
+// readLine returns the next line without its line ending. It returns io.EOF, not wrapped, if the input ends after a
+// complete line.
 func (d *Decoder) readLine() (string, error) {
 	line, err := d.reader.ReadString('\n')
 	if errors.Is(err, io.EOF) && line != "" {
@@ -116,7 +117,7 @@
 	return &LineError{Number: d.lineNumber, Line: line, Err: err}
 }
 
-// decodeLine decodes a line inside a frame: a machine list for later updates, or a message for an instance.
+// decodeLine decodes a line inside a frame: a machine list that updates refer to, or a message for an instance.
 func (d *Decoder) decodeLine(frame *Frame, line string) error {
 	f := newFieldReader(line)
 	name := f.text()
--- a/internal/simprotocol/decoder_test.go
+++ b/internal/simprotocol/decoder_test.go
@@ -36,13 +36,13 @@
 	return f.Deliveries, nil
 }
 
-// hasErrorType matches errors of a type, however wrapped.
+// hasErrorType reports whether an error is of a type, or wraps an error of the type.
 func hasErrorType[E error](err error) bool {
 	var target E
 	return errors.As(err, &target)
 }
 
-// wrapsError matches errors that wrap a sentinel.
+// wrapsError returns a function that reports whether an error wraps a sentinel error.
 func wrapsError(sentinel error) func(error) bool {
 	return func(err error) bool { return errors.Is(err, sentinel) }
 }
@@ -131,32 +131,38 @@
 		name, lines, want string
 		matches           func(error) bool
 	}{
-		{"no frame", "COMMIT\n", "line 1: a FRAME line", wrapsError(ErrFrameExpected)},
+		{"line outside a frame", "COMMIT\n", "line 1: a FRAME line", wrapsError(ErrFrameExpected)},
 		{"unknown message", frame("WHAT 3"), "line 2: unknown message", wrapsError(ErrUnknownMessage)},
 		{"field missing", frame("VANISHED 3"), "line 2: a field is missing", wrapsError(ErrMissingField)},
-		{"field too many", frame("VANISHED 3 r-1 r-2"), "1 fields too many", hasErrorType[*ExtraFieldsError]},
-		{"no number", frame("CONFIRMED 3 r-1 0 m:1 soon"), `"soon" is no number`, hasErrorType[*ValueError]},
+		{"extra field", frame("VANISHED 3 r-1 r-2"), "1 fields too many", hasErrorType[*ExtraFieldsError]},
+		{"not a number", frame("CONFIRMED 3 r-1 0 m:1 soon"), `"soon" is no number`, hasErrorType[*ValueError]},
 		{"unknown outcome", frame("DONE 3 r-1 1 0 FINE m:1 - 1 -"), `"FINE" is not known`, hasErrorType[*ValueError]},
 		{"unknown list", frame("UPDATE 3 Complete 1 5"), `no list has the number "5"`, hasErrorType[*UnknownListError]},
 		{
 			"too few entries", frame("SHEET 0 2\nITEM m:1 0 0 0 SERVING 1 1 1 -"),
 			"breaks off after 1", hasErrorType[*ShortListError],
 		},
-		{"list without an end", "FRAME 1 1\nSHEET 0 2\n", "input ends inside a list", hasErrorType[*TruncatedError]},
+		{"truncated list", "FRAME 1 1\nSHEET 0 2\n", "input ends inside a list", hasErrorType[*TruncatedError]},
 		{"list number", frame("SHEET 16 0"), "out of range", wrapsError(ErrListOutOfRange)},
-		{"cut line", "FRAME 1 1\nVANI", "line 2: input ends inside a line", hasErrorType[*TruncatedError]},
-		{"cut frame", "FRAME 1 1\nVANISHED 3 r-1\n", "input ends inside a frame", hasErrorType[*TruncatedError]},
+		{"truncated line", "FRAME 1 1\nVANI", "line 2: input ends inside a line", hasErrorType[*TruncatedError]},
+		{"truncated frame", "FRAME 1 1\nVANISHED 3 r-1\n", "input ends inside a frame", hasErrorType[*TruncatedError]},
 		{"setting missing", frame("CONFIGURE 3 51 me=0 balancers=3"), "is missing", hasErrorType[*SettingError]},
 		{"unknown word in a setting", configure("safe", "sure"), "is none of safe", hasErrorType[*SettingError]},
 		{"size of 0", configure("unit_cores=0.96", "unit_cores=0"), "is not above 0", hasErrorType[*SettingError]},
-		{"negative count of schedulers", configure("balancers=3", "balancers=-3"), "is no count", hasErrorType[*SettingError]},
-		{"negative tenant", frame("PENDING 3 r-1 -1 0 t:k 0 1 1 10 c:s -"), "no whole number from 0", hasErrorType[*ValueError]},
+		{
+			"negative scheduler count", configure("balancers=3", "balancers=-3"),
+			"is no count", hasErrorType[*SettingError],
+		},
+		{
+			"negative tenant", frame("PENDING 3 r-1 -1 0 t:k 0 1 1 10 c:s -"),
+			"no whole number from 0", hasErrorType[*ValueError],
+		},
 		{"short list in a setting", configure("59.0,71.0", "59.0"), "has 1 values, not 2", hasErrorType[*SettingError]},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			_, err := readDeliveries(tc.lines)
 			testutil.Require(t, err != nil && strings.Contains(err.Error(), tc.want), "got %v, want %s", err, tc.want)
-			testutil.Expect(t, tc.matches(err), "error %v is not of the type that is wanted", err)
+			testutil.Expect(t, tc.matches(err), "error %v does not have the expected type", err)
 		})
 	}
 }
@@ -173,7 +179,7 @@
 	testutil.Expect(t, err != nil && err.Error() == want, "got %v, want %s", err, want)
 }
 
-// Whatever the input, the decoder returns frames, then the end of the input or an error that names a line.
+// FuzzDecoder checks that for any input the decoder returns frames, followed by io.EOF or an error that names a line.
 func FuzzDecoder(f *testing.F) {
 	f.Add("FRAME 1 1\n" + sampleConfigure + "\n" + machineListLines + "UPDATE 3 Persisted 41 0\nCOMMIT\n")
 	f.Add("FRAME 1 1\nDONE 3 r-1 1 0 GOOD m:1 - 18.5 x0:1.5\nVANISHED 3 r-1\nCOMMIT\n")
@@ -182,7 +188,7 @@
 		for {
 			if _, err := d.Next(); err != nil {
 				testutil.Expect(t, errors.Is(err, io.EOF) || strings.HasPrefix(err.Error(), "line "),
-					"no line named: %v", err)
+					"error without a line number: %v", err)
 				return
 			}
 		}
--- a/internal/simprotocol/errors.go
+++ b/internal/simprotocol/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Errors of a line, wrapped in a LineError.
+// Errors in a line. The decoder wraps them in a LineError.
 var (
 	ErrFrameExpected  = errors.New("a FRAME line was expected")
 	ErrUnknownMessage = errors.New("unknown message")
@@ -15,9 +15,9 @@
 	ErrListOutOfRange = errors.New("list number or count out of range")
 )
 
-// LineError is an error of a line of the input.
+// LineError is an error in a line of the input.
 type LineError struct {
-	Number int // of the line, from 1
+	Number int // line number, from 1
 	Line   string
 	Err    error
 }
@@ -33,7 +33,7 @@
 
 func (e *LineError) Unwrap() error { return e.Err }
 
-// TruncatedError says that the input ended inside a line, a list or a frame.
+// TruncatedError reports that the input ended inside a line, a list or a frame.
 type TruncatedError struct{ Inside string }
 
 func (e *TruncatedError) Error() string { return "input ends inside a " + e.Inside }
@@ -46,35 +46,35 @@
 
 func (e *ValueError) Error() string { return fmt.Sprintf("%q %s", e.Value, e.Problem) }
 
-// ExtraFieldsError says that a line has more fields than its message.
+// ExtraFieldsError reports that a line has more fields than its message.
 type ExtraFieldsError struct{ Count int }
 
 func (e *ExtraFieldsError) Error() string { return fmt.Sprintf("%d fields too many", e.Count) }
 
-// ReportError is a pair in a load report that has no value.
+// ReportError reports a pair without a value in a load report.
 type ReportError struct{ Pair string }
 
 func (e *ReportError) Error() string { return fmt.Sprintf("report %q has no value", e.Pair) }
 
-// UnknownListError is a reference to a machine list that was not sent.
+// UnknownListError reports a reference to a machine list that was not sent.
 type UnknownListError struct{ Reference string }
 
 func (e *UnknownListError) Error() string {
 	return fmt.Sprintf("no list has the number %q", e.Reference)
 }
 
-// ShortListError says that a machine list has fewer entries than its header says.
+// ShortListError reports that a machine list has fewer entries than its header announces.
 type ShortListError struct{ Want, Got int }
 
 func (e *ShortListError) Error() string {
 	return fmt.Sprintf("list of %d entries breaks off after %d", e.Want, e.Got)
 }
 
-// SettingError is a setting that is missing or has an invalid value.
+// SettingError reports a setting that is missing or has an invalid value.
 type SettingError struct {
-	Setting string // its path
-	Problem string // continues the path in the text of the error
-	Err     error  // of the value, nil if Problem says it all
+	Setting string // path of the setting
+	Problem string // appended to the path in the error text if Err is nil
+	Err     error  // error in the value, or nil
 }
 
 func (e *SettingError) Error() string {
@@ -86,7 +86,7 @@
 
 func (e *SettingError) Unwrap() error { return e.Err }
 
-// PairError is a setting that is not a pair path=value.
+// PairError reports a setting that is not of the form path=value.
 type PairError struct{ Pair string }
 
 func (e *PairError) Error() string { return fmt.Sprintf("setting %q has no value", e.Pair) }
--- a/internal/simprotocol/fieldreader.go
+++ b/internal/simprotocol/fieldreader.go
@@ -7,10 +7,10 @@
 	"glenport/scheduler"
 )
 
-// absentField stands on the wire for an optional field that is not set.
+// absentField is the text of an optional field that is not set.
 const absentField = "-"
 
-// The words for a boolean.
+// Texts of a boolean field.
 const (
 	fieldFalse = "0"
 	fieldTrue  = "1"
@@ -18,7 +18,7 @@
 
 var booleanFields = map[bool]string{false: fieldFalse, true: fieldTrue}
 
-// fieldReader decodes the fields of a line in order. It keeps the first error, so that it is checked once, by finish.
+// fieldReader decodes the fields of a line in order. It keeps the first error for finish, so that callers check once.
 type fieldReader struct {
 	remaining []string
 	err       error
@@ -34,7 +34,7 @@
 	}
 }
 
-// finish returns the first error; fields that were not read are one.
+// finish returns the first error. Unread fields are an error too.
 func (f *fieldReader) finish() error {
 	if len(f.remaining) > 0 {
 		f.fail(&ExtraFieldsError{Count: len(f.remaining)})
@@ -115,7 +115,7 @@
 	return field == fieldTrue
 }
 
-// loadReport decodes name:value pairs. A value that is absent is left out.
+// loadReport decodes name:value pairs. Pairs with an absent value are left out.
 func (f *fieldReader) loadReport() scheduler.LoadReport {
 	field := f.text()
 	if field == absentField || field == "" {
@@ -135,12 +135,12 @@
 	return report
 }
 
-// enumValue returns the value for the word in the next field.
+// enumValue returns the value for the text of the next field.
 func enumValue[T any](f *fieldReader, values map[string]T) T {
-	word := f.text()
-	value, known := values[word]
+	text := f.text()
+	value, known := values[text]
 	if !known {
-		f.fail(&ValueError{Value: word, Problem: "is not known here"})
+		f.fail(&ValueError{Value: text, Problem: "is not known here"})
 	}
 	return value
 }
--- a/internal/simprotocol/machinelist.go
+++ b/internal/simprotocol/machinelist.go
@@ -21,7 +21,7 @@
 	"DELETED":  scheduler.MachineGone,
 }
 
-// decodeMachineList decodes the header of a machine list and its entries, a line each.
+// decodeMachineList decodes the header of a machine list and its entries, one per line.
 func (d *Decoder) decodeMachineList(header *fieldReader) error {
 	number, count := header.wholeNumber(), header.wholeNumber()
 	if err := header.finish(); err != nil {
@@ -67,7 +67,7 @@
 	}
 }
 
-// decodeUpdate decodes an update of the machine list, which refers to a list by its number unless the update failed.
+// decodeUpdate decodes an update of the machine list. It refers to a list by number, unless it reports a failed poll.
 func (d *Decoder) decodeUpdate(f *fieldReader) (scheduler.Event, error) {
 	update := scheduler.MachineListUpdate{Mode: enumValue(f, updateModes), Version: int64(f.wholeNumber())}
 	reference := f.text()
--- a/internal/simprotocol/numbers.go
+++ b/internal/simprotocol/numbers.go
@@ -7,10 +7,10 @@
 	"glenport/scheduler"
 )
 
-// maxNumber bounds the numbers of the wire, so that sums of times stay within their type.
+// maxNumber bounds the absolute values of decoded numbers, so that sums of times do not overflow.
 const maxNumber = 1e14
 
-// roundingSlack makes up for a time in milliseconds whose binary value is just below its decimal one.
+// roundingSlack corrects times whose binary floating-point value is slightly below the decimal one.
 const roundingSlack = 1e-6
 
 func parseNumber(text string) (float64, error) {
@@ -21,7 +21,7 @@
 	return number, nil
 }
 
-// timeFromMillis rounds down, so that no time read is later than the one sent.
+// timeFromMillis converts milliseconds to a time. It rounds down, so that the result is not later than the time sent.
 func timeFromMillis(millis float64) scheduler.Time {
 	return scheduler.Time(math.Floor(millis*float64(scheduler.Millisecond) + roundingSlack))
 }
