--- a/internal/simprotocol/actions.go
+++ b/internal/simprotocol/actions.go
@@ -8,7 +8,7 @@
 	"glenport/scheduler"
 )
 
-// AppendAction appends an action of an instance as a line.
+// AppendAction appends the line for an action of an instance.
 func AppendAction(b *bytes.Buffer, instance int, action scheduler.Action) {
 	switch a := action.(type) {
 	case scheduler.StartAttempt:
@@ -34,7 +34,7 @@
 	}
 }
 
-// AppendFault appends the line by which an instance says that its decisions failed.
+// AppendFault appends the line that reports a failure inside an instance.
 func AppendFault(b *bytes.Buffer, instance int, description string) {
 	fmt.Fprintf(b, "FAULT %d %s\n", instance, singleLine(description))
 }
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -6,7 +6,7 @@
 	"glenport/scheduler"
 )
 
-// retryFlag is set in the flags of a request that the client sends again.
+// retryFlag is the bit in the flags of a request that marks a retry by the client.
 const retryFlag = 16
 
 var outcomes = map[string]scheduler.Outcome{
@@ -20,7 +20,7 @@
 	"NOP":    scheduler.OutcomeNotSent,
 }
 
-// eventDecoders decode the fields after the instance, by the name of the message.
+// eventDecoders holds, by message name, the functions that decode the fields after the instance.
 var eventDecoders = map[string]func(*fieldReader) scheduler.Event{
 	"PENDING":        decodeRequestReceived,
 	"ALREADY_PLACED": decodeContainerAdopted,
@@ -32,7 +32,7 @@
 	"VANISHED":       decodeContainerRemoved,
 }
 
-// decodeConfigure decodes the start of an instance: a seed, and settings up to the end of the line.
+// decodeConfigure decodes the message that starts an instance: a seed, followed by settings up to the end of the line.
 func decodeConfigure(f *fieldReader) (*scheduler.Config, error) {
 	seed, err := strconv.ParseUint(f.text(), 10, 64)
 	if err != nil {
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -6,7 +6,7 @@
 	"glenport/scheduler"
 )
 
-// The words of settings, in the order in which an error names them.
+// The keywords of settings, in the order in which error texts list them.
 var (
 	acceptStages  = []keyword[bool]{{"accepted", false}, {"running", true}}
 	listModes     = []keyword[bool]{{"pushed", false}, {"on_request", true}}
@@ -29,8 +29,8 @@
 	"zone":    scheduler.ScopeZone,
 }
 
-// ParseSettings decodes the pairs path=value of a start-up message. Errors are of type *SettingError or
-// *PairError. Of a path that is repeated the last value counts; unknown paths are ignored.
+// ParseSettings decodes the path=value pairs of a start message. Errors are of type *SettingError or *PairError. If a
+// path is repeated, the last value is used. Unknown paths are ignored.
 func ParseSettings(seed uint64, pairs []string) (scheduler.Config, error) {
 	s, err := newSettingsReader(pairs)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return config, nil
 }
 
-// generalConfig reads the settings that stand once.
+// generalConfig reads the settings with a single value.
 func (s *settingsReader) generalConfig(seed uint64) scheduler.Config {
 	config := scheduler.Config{
 		Seed:               seed,
@@ -91,7 +91,7 @@
 	return types
 }
 
-// workloadClasses reads so many classes, up to the first with an error.
+// workloadClasses reads count workload classes. It stops after the first with an error.
 func (s *settingsReader) workloadClasses(count, machineTypes int) []scheduler.WorkloadClass {
 	typeOfClass := s.numbers("family_info.class_kind", count)
 	maxPerScope := s.numbers("family_info.class_most", count)
@@ -103,7 +103,7 @@
 		class.MaxPerScope = int(maxPerScope[i])
 		scope, known := spreadScopes[spreadOfClass[i]]
 		class.SpreadScope = scope
-		// These two go before other errors of the class.
+		// These two errors replace any other error of the class.
 		if !known {
 			s.err = &SettingError{
 				Setting: "family_info.spread_over",
@@ -121,7 +121,7 @@
 	return classes
 }
 
-// workloadClass reads the settings that a class has of its own, under a path that ends in a dot.
+// workloadClass reads the settings under the path of a single class. The path ends in a dot.
 func (s *settingsReader) workloadClass(path string) scheduler.WorkloadClass {
 	class := scheduler.WorkloadClass{
 		Idempotency:      settingValue(s, path+"effect", idempotencies),
@@ -136,7 +136,7 @@
 	return class
 }
 
-// tenants reads the quotas of tenants; without any, the scheduler knows no tenants.
+// tenants reads the quotas of the tenants. Without quotas, the scheduler is configured without tenants.
 func (s *settingsReader) tenants() []scheduler.Tenant {
 	if !s.has("tenants.count") {
 		return nil
--- a/internal/simprotocol/settingsreader.go
+++ b/internal/simprotocol/settingsreader.go
@@ -11,10 +11,10 @@
 // maxCount bounds the counts in settings.
 const maxCount = 10_000_000
 
-// settingsReader reads settings by their paths. It keeps the first error, so that it is checked once for many settings.
+// settingsReader reads settings by path. It keeps the first error, so that callers check once after many settings.
 type settingsReader struct {
 	values map[string]string
-	total  int // pairs, repeated ones included
+	total  int // number of pairs, including repeated paths
 	err    error
 }
 
@@ -36,7 +36,7 @@
 	}
 }
 
-// failf fails for a setting; the problem continues its path.
+// failf records an error of a setting. In the error text, the problem is appended to the path.
 func (s *settingsReader) failf(path, problem string, args ...any) {
 	s.fail(&SettingError{Setting: path, Problem: fmt.Sprintf(problem, args...)})
 }
@@ -79,8 +79,8 @@
 	return count
 }
 
-// itemCount is the count of a list of objects. As each has settings of its own, there are never more than settings in
-// all.
+// itemCount returns the count of a list of objects. Each object has at least one setting, so the count cannot exceed
+// the number of settings.
 func (s *settingsReader) itemCount(path string) int {
 	count := s.count(path)
 	if count > s.total {
@@ -93,7 +93,7 @@
 
 func (s *settingsReader) boolean(path string) bool { return settingValue(s, path, booleans) }
 
-// list returns the values of a list; an absent or empty one has none.
+// list returns the values of a list. It returns nil if the list is absent or empty.
 func (s *settingsReader) list(path string) []string {
 	text := s.text(path)
 	if text == "" || text == absentField {
@@ -102,7 +102,7 @@
 	return strings.Split(text, ",")
 }
 
-// listOfLength returns a list that must have so many values; it is shorter or longer only after an error.
+// listOfLength returns a list that must have count values. After an error the length may differ.
 func (s *settingsReader) listOfLength(path string, count int) []string {
 	values := s.list(path)
 	if len(values) != count {
@@ -111,7 +111,7 @@
 	return values
 }
 
-// numbers returns a list of so many numbers, also after an error.
+// numbers returns a list of count numbers. The length is the same after an error.
 func (s *settingsReader) numbers(path string, count int) []float64 {
 	values := s.listOfLength(path, count)
 	numbers := make([]float64, count)
@@ -121,7 +121,7 @@
 	return numbers
 }
 
-// keyword is a value in settings and what it stands for.
+// keyword is a text in settings and the value that it stands for.
 type keyword[T any] struct {
 	text  string
 	value T
@@ -129,16 +129,16 @@
 
 var booleans = []keyword[bool]{{"false", false}, {"true", true}}
 
-// settingValue returns what the value of a setting stands for.
-func settingValue[T any](s *settingsReader, path string, words []keyword[T]) T {
+// settingValue returns the value that the keyword of a setting stands for.
+func settingValue[T any](s *settingsReader, path string, keywords []keyword[T]) T {
 	text := s.text(path)
-	texts := make([]string, len(words))
-	for i, w := range words {
-		if w.text == text {
-			return w.value
+	texts := make([]string, len(keywords))
+	for i, k := range keywords {
+		if k.text == text {
+			return k.value
 		}
-		texts[i] = w.text
+		texts[i] = k.text
 	}
 	s.failf(path, "=%q is none of %s", text, strings.Join(texts, ", "))
-	return words[0].value
+	return keywords[0].value
 }
