--- a/internal/simprotocol/describe_test.go
+++ b/internal/simprotocol/describe_test.go
@@ -8,10 +8,11 @@
 	"glenport/scheduler"
 )
 
-// object is a value with its fields in words that stay when names in the code change; enumerations stand as numbers.
+// object describes a value for comparison with golden files. Its keys do not change when fields are renamed, and
+// enumerations are numbers.
 type object = map[string]any
 
-// requireAllFields fails where a struct has more fields than are described: each is to be compared.
+// requireAllFields fails if a struct has fields that are not described, because those would not be compared.
 func requireAllFields(t *testing.T, v any, o object) object {
 	t.Helper()
 	n := reflect.TypeOf(v).NumField()
--- a/internal/simprotocol/faulty_test.go
+++ b/internal/simprotocol/faulty_test.go
@@ -12,15 +12,15 @@
 	"glenport/internal/golden"
 )
 
-// wrongValues are tried for each setting.
+// wrongValues replace the value of each setting in turn. Some are valid for some settings.
 var wrongValues = []string{
 	"", "-", "x", "0", "-1", "1.5", "99", "NaN", "Inf", "1e15", "10000001", "0,0,0,0,0,0", "0,1,2,0,1", "x,x",
 }
 
-// wrongFields are tried for each field of a message.
+// wrongFields replace each field of a message in turn. Some are valid for some fields.
 var wrongFields = []string{"", "-", "?", "-1", "1.5", "16", "a:b"}
 
-// sampleMessages are spoilt in every field.
+// sampleMessages are the messages whose fields are replaced.
 var sampleMessages = []string{
 	"UPDATE 3 Partial 41 0",
 	"UPDATE 3 Error 41 -",
@@ -40,7 +40,7 @@
 	"ITEM m:1 0 1 2 SERVING 3.5 1 12 6100.05",
 }
 
-// faultyInputs are wrong in their frames and lists.
+// faultyInputs have errors in their frames and lists.
 var faultyInputs = []string{
 	"", "\n", "FRAME 1 1", "FRAME 1 1\n", "FRAME\nCOMMIT\n", "FRAME x 1\nCOMMIT\n", "FRAME 1\nCOMMIT\n",
 	"FRAME 1 1 1\nCOMMIT\n",
@@ -52,8 +52,8 @@
 	"FRAME 1 1\n\nCOMMIT\n",
 }
 
-// TestInvalidSettingsErrorsMatchGolden leaves each setting out and gives it values of a wrong sort, and compares the
-// errors.
+// TestInvalidSettingsErrorsMatchGolden removes each setting in turn and gives it wrong values, and compares the errors
+// with the recorded ones.
 func TestInvalidSettingsErrorsMatchGolden(t *testing.T) {
 	all := strings.Fields(fullSettings)
 	var got bytes.Buffer
@@ -80,8 +80,8 @@
 	golden.CheckText(t, "testdata/faulty-settings.txt", got.String())
 }
 
-// TestInvalidMessagesErrorsMatchGolden cuts each message short, adds a field, spoils each field, and compares the
-// errors.
+// TestInvalidMessagesErrorsMatchGolden truncates each message, adds a field and replaces each field, and compares the
+// errors with the recorded ones.
 func TestInvalidMessagesErrorsMatchGolden(t *testing.T) {
 	var got bytes.Buffer
 	try := func(shown, in string) { fmt.Fprintf(&got, "%q: %s\n", shown, firstError(in)) }
@@ -92,9 +92,9 @@
 		for n := range words {
 			frame(strings.Join(words[:n], " "))
 			for _, bad := range wrongFields {
-				spoilt := slices.Clone(words)
-				spoilt[n] = bad
-				frame(strings.Join(spoilt, " "))
+				changed := slices.Clone(words)
+				changed[n] = bad
+				frame(strings.Join(changed, " "))
 			}
 		}
 		frame(line + " more")
@@ -107,7 +107,7 @@
 	golden.CheckText(t, "testdata/faulty-messages.txt", got.String())
 }
 
-// firstError decodes all frames of an input and returns the first error in words.
+// firstError decodes all frames of an input and returns the text of the first error, or "accepted".
 func firstError(in string) string {
 	d := NewDecoder(strings.NewReader(in))
 	for {
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -22,7 +22,7 @@
 	return append(b, '\n')
 }
 
-// goldenFrames has every message that comes in, with every field set, absent, and at each of its words.
+// goldenFrames has every incoming message, with each field set, absent, and with each of its keywords.
 const goldenFrames = "FRAME 0 first\n" +
 	"SHEET 0 4\n" +
 	"ITEM m:1 1 2 3 SERVING 3.5 0.25 12.75 6100.05\n" +
@@ -64,7 +64,7 @@
 	"COMMIT\n" +
 	"FRAME 8413 3\nCOMMIT\n"
 
-// TestIncomingMessagesMatchGolden compares every value of every message that comes in.
+// TestIncomingMessagesMatchGolden compares every decoded value of every incoming message with the recorded one.
 func TestIncomingMessagesMatchGolden(t *testing.T) {
 	d := NewDecoder(strings.NewReader(goldenFrames))
 	var frames []object
@@ -90,7 +90,7 @@
 	golden.CheckText(t, "testdata/incoming.json", string(indentedJSON(t, frames)))
 }
 
-// fullSettings sets every setting that is read, each to a value of its own.
+// fullSettings has every setting that is read, each with a different value.
 const fullSettings = "me=1 balancers=3 family_info.admit_cores=2.25 family_info.mem_booking=1.5" +
 	" family_info.unit_cores=0.96 family_info.unit_memory=1.73 family_info.yes_at=running" +
 	" family_info.use_notes=true family_info.view=true permissions.probes=true" +
@@ -108,7 +108,7 @@
 	" classes.4.group=all classes.4.window_ms=8200.0" +
 	" tenants.count=2 family_info.quota_cores=100.5,200.25 a.new.key=what_is_this"
 
-// TestSettingsMatchGolden compares every value of the settings: all set, and those that may be absent absent.
+// TestSettingsMatchGolden compares every decoded setting with the recorded one, with and without optional settings.
 func TestSettingsMatchGolden(t *testing.T) {
 	all := strings.Fields(fullSettings)
 	without := func(keys ...string) []string {
@@ -137,7 +137,8 @@
 	golden.CheckText(t, "testdata/settings.json", string(indentedJSON(t, got)))
 }
 
-// requireNonZeroFields fails where a field of the settings has its zero value: one that is never set is never compared.
+// requireNonZeroFields fails if a field of the settings has its zero value, because the comparison would not notice
+// that the setting is not decoded.
 func requireNonZeroFields(t *testing.T, settings reflect.Value) {
 	t.Helper()
 	for field, value := range settings.Fields() {
@@ -145,7 +146,7 @@
 	}
 }
 
-// TestOutgoingMessagesMatchGolden compares the bytes of every message that goes out, with every field set and absent.
+// TestOutgoingMessagesMatchGolden compares the bytes of every outgoing message, with each field set and absent.
 func TestOutgoingMessagesMatchGolden(t *testing.T) {
 	var got bytes.Buffer
 	for _, a := range []scheduler.Action{
