--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,5 @@
-// Command adapter hosts schedulers on the simulator's wire: events on standard input, actions on standard output.
+// Command adapter hosts schedulers for the simulator: it reads events from standard input and writes actions to
+// standard output, in the simulator's wire protocol.
 package main
 
 import (
@@ -19,24 +20,24 @@
 	}
 }
 
-// instanceBatch is what a frame holds for one instance.
+// instanceBatch holds the events of a frame for one instance.
 type instanceBatch struct {
 	instance  int
 	scheduler *scheduler.Scheduler // nil once it is stopped
 	events    []scheduler.Event
 }
 
-// unknownInstanceError is an event for an instance that was not started, or was stopped.
+// unknownInstanceError reports a message for an instance that was not started, or was stopped.
 type unknownInstanceError struct{ line, instance int }
 
 func (e *unknownInstanceError) Error() string {
 	return fmt.Sprintf("line %d: instance %d is not known", e.line, e.instance)
 }
 
-// run answers each frame of the input until its end.
+// run replies to each frame of the input, until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	decoder := simprotocol.NewDecoder(in)
-	schedulers := map[int]*scheduler.Scheduler{} // by instance, without those that were stopped
+	schedulers := map[int]*scheduler.Scheduler{} // running instances
 	var reply bytes.Buffer
 	for {
 		frame, err := decoder.Next()
@@ -56,7 +57,7 @@
 	}
 }
 
-// appendReply appends the actions of all instances in a frame and the end of the reply.
+// appendReply appends the actions of all instances in a frame, and the line that ends the reply.
 func appendReply(reply *bytes.Buffer, frame *simprotocol.Frame, schedulers map[int]*scheduler.Scheduler) error {
 	batches, err := groupByInstance(frame, schedulers)
 	if err != nil {
@@ -71,8 +72,8 @@
 	return nil
 }
 
-// groupByInstance gathers the events of a frame by instance, in the order in which instances first appear. It starts
-// and stops instances; events from before a stop are dropped with the instance.
+// groupByInstance groups the events of a frame by instance, in the order in which the instances first occur. It starts
+// and stops instances. Events before a start or a stop in the same frame are dropped.
 func groupByInstance(frame *simprotocol.Frame, schedulers map[int]*scheduler.Scheduler) ([]*instanceBatch, error) {
 	var batches []*instanceBatch
 	byInstance := map[int]*instanceBatch{}
@@ -101,7 +102,8 @@
 	return batches, nil
 }
 
-// appendDecisions writes the actions of one instance. A panic of its decisions becomes a fault of that instance alone.
+// appendDecisions lets one instance handle its events, and appends the actions. If the scheduler panics, it appends a
+// fault of this instance; the other instances are not affected.
 func appendDecisions(reply *bytes.Buffer, now scheduler.Time, b *instanceBatch) {
 	defer func() {
 		if r := recover(); r != nil {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -16,7 +16,7 @@
 		{"empty input", "", "", ""},
 		{"empty frame", "FRAME 8412.25 1\nCOMMIT\n", "DONE 1\n", ""},
 		{"unknown instance", "FRAME 1 1\nVANISHED 3 r-1\nCOMMIT\n", "", "line 2: instance 3 is not known"},
-		{"cut off", "FRAME 1 1\nCOMMIT\nFRAME 2 2\n", "DONE 1\n", "input ends inside a frame"},
+		{"truncated input", "FRAME 1 1\nCOMMIT\nFRAME 2 2\n", "DONE 1\n", "input ends inside a frame"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var out bytes.Buffer
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestTranscriptIsAnsweredByteForByte replays frames of two instances with all kinds of messages. The text of
-// DEBUG lines is free; that one is written, and where, is not.
+// TestTranscriptIsAnsweredByteForByte replays frames of two instances with all kinds of messages. It compares the
+// position of DEBUG lines, but not their text.
 func TestTranscriptIsAnsweredByteForByte(t *testing.T) {
 	in := testutil.ReadFile(t, "testdata/transcript.in")
 	var out bytes.Buffer
