--- a/scheduler/actionbuffer.go
+++ b/scheduler/actionbuffer.go
@@ -12,7 +12,7 @@
 // reset begins a batch. It does not reuse the slice of the last batch, because the caller of Handle owns that.
 func (b *actionBuffer) reset() { b.actions = nil }
 
-func (b *actionBuffer) collected() []Action { return b.actions }
+func (b *actionBuffer) batchActions() []Action { return b.actions }
 
 func (b *actionBuffer) emit(a Action) { b.actions = append(b.actions, a) }
 
@@ -24,5 +24,5 @@
 	b.log(message, append([]slog.Attr{slog.String("machine", string(m.id))}, attributes...)...)
 }
 
-// rounded returns a log attribute with two decimals.
-func rounded(key string, x float64) slog.Attr { return slog.Float64(key, math.Round(x*100)/100) }
+// roundedAttr returns a log attribute with two decimals.
+func roundedAttr(key string, x float64) slog.Attr { return slog.Float64(key, math.Round(x*100)/100) }
--- a/scheduler/actionbuffer_test.go
+++ b/scheduler/actionbuffer_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestLogTextHasItsAttributes(t *testing.T) {
-	attributes := []slog.Attr{slog.String("machine", "a"), rounded("log_odds", 4.969)}
+	attributes := []slog.Attr{slog.String("machine", "a"), roundedAttr("log_odds", 4.969)}
 	for _, tc := range []struct {
 		log  Log
 		want string
@@ -26,8 +26,8 @@
 	d, m := &outlierDetector{actions: actions}, &machine{id: "a"}
 	d.recordFailure(m, 0)
 	d.recordFailure(m, 0)
-	got, ok := lastAction(actions.collected()).(Log)
+	got, ok := lastAction(actions.batchActions()).(Log)
 	if !ok || got.String() != "machine ejected machine=a log_odds=4.97" {
-		t.Errorf("%v", actions.collected())
+		t.Errorf("%v", actions.batchActions())
 	}
 }
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -64,7 +64,7 @@
 func (s *Scheduler) choose(c *container) *machine {
 	attemptsLeft := c.attempts < s.config.MaxAttempts
 	timeLeft := s.now+deadlineMargin < c.request.Deadline
-	if !attemptsLeft || !timeLeft || s.shedder.shed(c, s.now) {
+	if !attemptsLeft || !timeLeft || s.shedder.shouldShed(c, s.now) {
 		return nil
 	}
 	return s.draw.draw(c, s.machines.all(), s.now)
--- a/scheduler/attempts_test.go
+++ b/scheduler/attempts_test.go
@@ -7,7 +7,7 @@
 )
 
 // The idempotency of the class and the outcome of the first attempt decide whether the container is placed again.
-func TestOutcomeDecidesWhatMayFollow(t *testing.T) {
+func TestOutcomeDecidesNextAction(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		idempotency Idempotency
@@ -123,9 +123,9 @@
 			actions := s.Handle(2*Second, []Event{AttemptEnded{ID: "x", Machine: at, Outcome: OutcomeFinished}})
 			testutil.Expect(t, len(actions) == 1 && actions[0] == tc.want, "%v, want %v", actions, tc.want)
 			if m := s.machines.find(at); m.outlier.logOdds > 0 || m.contact.lastContactAt != 2*Second {
-				t.Errorf("log odds %.1f, heard at %d", m.outlier.logOdds, m.contact.lastContactAt)
+				t.Errorf("log odds %.1f, last contact at %d", m.outlier.logOdds, m.contact.lastContactAt)
 			}
-			testutil.Expect(t, len(s.containers.containers) == 0, "the container is kept")
+			testutil.Expect(t, len(s.containers.containers) == 0, "the container is still registered")
 		})
 	}
 }
--- a/scheduler/draw.go
+++ b/scheduler/draw.go
@@ -120,11 +120,11 @@
 	return variate{uniform: generator.uniform(), rate: rate}
 }
 
-func suspicionLevelOf(m *machine, of trafficClassPair, detector *classFailureDetector, now Time) suspicionLevel {
+func suspicionLevelOf(m *machine, classes trafficClassPair, detector *classFailureDetector, now Time) suspicionLevel {
 	switch {
 	case m.outlier.isEjected():
 		return ejected
-	case detector.suspects(m, of, now):
+	case detector.suspects(m, classes, now):
 		return suspectedOfClass
 	}
 	return notSuspected
--- a/scheduler/draw_test.go
+++ b/scheduler/draw_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestHonoredCapacityLosesExtraneousLoad(t *testing.T) {
+func TestHonoredCapacityExcludesExtraneousLoad(t *testing.T) {
 	for _, tc := range []struct {
 		name                                 string
 		usageReports                         bool
--- a/scheduler/eligibility_test.go
+++ b/scheduler/eligibility_test.go
@@ -41,7 +41,7 @@
 				s.slowStart.recordSend(m, s.now)
 			}
 		}, "bcd"},
-		{"slow start, scheduler just started", nil, func(s *Scheduler) { startLately(s, s.machines.find("a")) }, "bcd"},
+		{"slow start, new scheduler", nil, func(s *Scheduler) { startRecently(s, s.machines.find("a")) }, "bcd"},
 		{"sent a container away", nil, func(s *Scheduler) {
 			adopt(s, "o1", "o", "a")
 			drained := AttemptEnded{ID: "o1", Final: true, Outcome: OutcomeLost, Reason: ReasonDrained}
--- a/scheduler/explain_test.go
+++ b/scheduler/explain_test.go
@@ -39,7 +39,7 @@
 			"self-draining", nil, onA(func(s *Scheduler, a *machine) { a.selfDrain.extend(s.now) }),
 			Explanation{Machines: 4, SelfDraining: 1, Eligible: 3},
 		},
-		{"slow start", nil, onA(startLately), Explanation{Machines: 4, SlowStartExhausted: 1, Eligible: 3}},
+		{"slow start", nil, onA(startRecently), Explanation{Machines: 4, SlowStartExhausted: 1, Eligible: 3}},
 		{
 			"no cores", nil, onA(func(_ *Scheduler, a *machine) { a.listing.requested.cores = 1e6 }),
 			Explanation{Machines: 4, InsufficientCores: 1, Eligible: 3},
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -93,8 +93,8 @@
 // startAt puts a machine into slow start.
 func (m *machine) startAt(at Time) { m.listing.startedAt = at }
 
-// startLately puts a machine into slow start, just after the start of the scheduler itself.
-func startLately(s *Scheduler, m *machine) {
+// startRecently puts a machine into slow start, just after the start of the scheduler itself.
+func startRecently(s *Scheduler, m *machine) {
 	m.startAt(s.now + 1)
 	s.slowStart.start(s.now)
 }
--- a/scheduler/listpoller_test.go
+++ b/scheduler/listpoller_test.go
@@ -7,8 +7,8 @@
 	"glenport/internal/testutil"
 )
 
-// polls reports whether the list is polled in a maintenance tick.
-func polls(s *Scheduler, now Time) bool {
+// pollsList reports whether the list is polled in a maintenance tick.
+func pollsList(s *Scheduler, now Time) bool {
 	return slices.Contains(runMaintenance(s, now), Action(WatchMachineList{true}))
 }
 
@@ -16,7 +16,7 @@
 func countPolls(s *Scheduler, from, to Time) int {
 	count := 0
 	for now := from; now <= to; now += Second / 4 {
-		if polls(s, now) {
+		if pollsList(s, now) {
 			count++
 		}
 	}
@@ -39,7 +39,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			all := pollingSchedulers(tc.schedulers)
-			pollsInHalfSecond, informed := make([]int, 200), 0
+			pollsInHalfSecond, listsReceived := make([]int, 200), 0
 			for now := Time(0); now <= tc.by; now += Second / 4 {
 				if now < tc.downUntil {
 					pollsInHalfSecond[now/(Second/2)] += pollAll(all, now, UpdateFailed)
@@ -47,10 +47,10 @@
 				}
 				answered := pollAll(all, now, FullSnapshot)
 				pollsInHalfSecond[now/(Second/2)] += answered
-				informed += answered
+				listsReceived += answered
 			}
-			if most := slices.Max(pollsInHalfSecond); informed != tc.schedulers || most > tc.most {
-				t.Errorf("%d schedulers have the list, up to %d polls in half a second", informed, most)
+			if most := slices.Max(pollsInHalfSecond); listsReceived != tc.schedulers || most > tc.most {
+				t.Errorf("%d schedulers have the list, up to %d polls in half a second", listsReceived, most)
 			}
 		})
 	}
@@ -74,7 +74,7 @@
 func pollAll(all []*Scheduler, now Time, answer UpdateMode) int {
 	count := 0
 	for _, s := range all {
-		if polls(s, now) {
+		if pollsList(s, now) {
 			listMachines(s, now, answer)
 			count++
 		}
--- a/scheduler/outlierdetection.go
+++ b/scheduler/outlierdetection.go
@@ -68,7 +68,7 @@
 	}
 	r.ejectedUntil = now + r.ejectionTime
 	r.ejectionTime = min(2*r.ejectionTime, maxEjectionTime)
-	d.actions.logMachine("machine ejected", m, rounded("log_odds", r.logOdds))
+	d.actions.logMachine("machine ejected", m, roundedAttr("log_odds", r.logOdds))
 }
 
 // readmit ends the ejection. The machine is on trial: its log odds are just below the threshold.
--- a/scheduler/outlierdetection_test.go
+++ b/scheduler/outlierdetection_test.go
@@ -77,7 +77,7 @@
 	}[outcome]})
 }
 
-func TestEjectionTimeDoublesUntilTheOddsAreEven(t *testing.T) {
+func TestEjectionTimeDoublesUntilLogOddsAreZero(t *testing.T) {
 	d, m := &outlierDetector{actions: &actionBuffer{}}, &machine{outlier: newOutlierRecord()}
 	for i, want := range []Time{2 * Second, 4 * Second, 8 * Second, 8 * Second} {
 		d.recordFailure(m, 0)
--- a/scheduler/policy_test.go
+++ b/scheduler/policy_test.go
@@ -11,8 +11,8 @@
 
 const deployFile = "../deploy/balancer.toml"
 
-// withoutDecisions lists the files of this package that hold only types, state and helpers.
-var withoutDecisions = []string{
+// filesWithoutDecisions lists the files of this package that hold only types, state and helpers.
+var filesWithoutDecisions = []string{
 	"actionbuffer.go", "actions.go", "answers.go", "config.go", "doc.go", "events.go", "random.go", "resources.go",
 }
 
@@ -43,10 +43,10 @@
 	testutil.NoError(t, err)
 	sources := slices.DeleteFunc(all, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 	for _, name := range sources {
-		testutil.Expect(t, slices.Contains(policy, name) != slices.Contains(withoutDecisions, name),
+		testutil.Expect(t, slices.Contains(policy, name) != slices.Contains(filesWithoutDecisions, name),
 			"%s must be listed either as policy or as a file without decisions", name)
 	}
-	for _, name := range slices.Concat(policy, withoutDecisions) {
+	for _, name := range slices.Concat(policy, filesWithoutDecisions) {
 		testutil.Expect(t, slices.Contains(sources, name), "%s is listed, but not a source file of this package", name)
 	}
 }
--- a/scheduler/registries_test.go
+++ b/scheduler/registries_test.go
@@ -48,8 +48,8 @@
 	r := newTestRegistry(actions)
 	r.apply(MachineListUpdate{Entries: []MachineEntry{{Machine: "a", MachineType: 9}}}, 0)
 	const want = "machine of unknown type is not used machine=a machine_type=9"
-	if got, _ := lastAction(actions.collected()).(Log); got.String() != want || r.find("a") != nil {
-		t.Errorf("%v, machines %q", actions.collected(), registeredMachines(r))
+	if got, _ := lastAction(actions.batchActions()).(Log); got.String() != want || r.find("a") != nil {
+		t.Errorf("%v, machines %q", actions.batchActions(), registeredMachines(r))
 	}
 }
 
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -100,7 +100,7 @@
 	if s.deadlineCheck {
 		s.checkDeadlines()
 	}
-	return s.actions.collected()
+	return s.actions.batchActions()
 }
 
 func (s *Scheduler) beginBatch(now Time) {
--- a/scheduler/sequences_test.go
+++ b/scheduler/sequences_test.go
@@ -19,17 +19,17 @@
 		}
 	}},
 	{"slow start", func(r *random, o *sequenceOptions) {
-		o.churn = Second / 2
+		o.changeInterval = Second / 2
 		o.config.SlowStartPeriod, o.config.SlowStartWindow = 8*Second, pick(r, Second, 2*Second)
 		o.config.SchedulerCount = pick(r, 1, 2, 3, 40)
 		o.config.SchedulerIndex = r.below(o.config.SchedulerCount)
 		o.config.SlowStartBudget = pick(r, 0, 1, 2, 5, 12, 60)
 	}},
 	{"overload", func(r *random, o *sequenceOptions) {
-		o.arrival, o.size, o.runtime, o.machines = 30*Millisecond, 4, 20*Second, 1+r.below(5)
+		o.arrivalInterval, o.size, o.runtime, o.machines = 30*Millisecond, 4, 20*Second, 1+r.below(5)
 	}},
 	{"tenants", func(r *random, o *sequenceOptions) {
-		o.arrival, o.size, o.runtime, o.machines = 40*Millisecond, 3, 20*Second, 1+r.below(4)
+		o.arrivalInterval, o.size, o.runtime, o.machines = 40*Millisecond, 3, 20*Second, 1+r.below(4)
 		o.config.Tenants = []Tenant{{5}, {20}, {40}}
 		for i := range o.config.WorkloadClasses {
 			o.config.WorkloadClasses[i].PriorityWeight = 1 + float64(i)
@@ -51,9 +51,9 @@
 		o.faults, o.faultyRatio = []simulatedFault{failsOneClass, failsOneTenant}, 0.3
 		o.config.Tenants = []Tenant{{20}, {20}, {20}}
 		o.config.ListTracksRequests = true
-		o.arrival, o.runtime, o.machines = 40*Millisecond, Second, 3+r.below(5)
+		o.arrivalInterval, o.runtime, o.machines = 40*Millisecond, Second, 3+r.below(5)
 		if r.chance(0.2) {
-			o.oneClass, o.faults, o.faultyRatio = true, []simulatedFault{failsOneClass}, 1
+			o.sameFailingClass, o.faults, o.faultyRatio = true, []simulatedFault{failsOneClass}, 1
 		}
 	}},
 	{"list on request", func(r *random, o *sequenceOptions) {
@@ -61,7 +61,7 @@
 		o.listFailureRatio = pick(r, 0, 0.2, 0.7)
 	}},
 	{"drains", func(_ *random, o *sequenceOptions) {
-		o.churn, o.faults, o.faultyRatio = Second/3, []simulatedFault{drainingItself, resetting}, 0.3
+		o.changeInterval, o.faults, o.faultyRatio = Second/3, []simulatedFault{drainingItself, resetting}, 0.3
 	}},
 	{"scheduler restarts", func(r *random, o *sequenceOptions) {
 		o.restarts, o.faultyRatio = true, 0.3
@@ -70,14 +70,14 @@
 	}},
 	{"lost answers", func(_ *random, o *sequenceOptions) { o.unansweredRatio = 0.4 }},
 	{"odd input", func(r *random, o *sequenceOptions) {
-		o.invalid = true
+		o.withInvalidEvents = true
 		o.config.SchedulerCount, o.config.SchedulerIndex = 0, 0
 		o.config.UsageReports, o.config.ListTracksRequests = r.chance(0.7), r.chance(0.7)
 		o.config.MachineTypes = append(o.config.MachineTypes, MachineType{})
 	}},
 	{"many machines", func(_ *random, o *sequenceOptions) { o.machines, o.services = 60, 20 }},
 	{"self-reported starts", func(r *random, o *sequenceOptions) {
-		o.selfReports, o.churn = true, Second/3
+		o.selfReports, o.changeInterval = true, Second/3
 		o.config.ListOnRequest, o.config.ResyncInterval = true, pick(r, 2*Second, 10*Second)
 		o.listFailureRatio = pick(r, 0.3, 0.9)
 	}},
@@ -97,12 +97,12 @@
 	o := &sequenceOptions{
 		machines:         2 + r.below(12),
 		services:         1 + r.below(8),
-		arrival:          r.span(40*Millisecond, 300*Millisecond),
+		arrivalInterval:  r.span(40*Millisecond, 300*Millisecond),
 		size:             1 + 2*r.float(),
 		runtime:          r.span(Second/2, 8*Second),
 		faultyRatio:      pick(r, 0, 0.15, 0.4),
 		unansweredRatio:  pick(r, 0, 0, 0.05),
-		churn:            r.span(Second, 6*Second),
+		changeInterval:   r.span(Second, 6*Second),
 		retryRatio:       r.float(),
 		listFailureRatio: pick(r, 0, 0.3),
 		faults: []simulatedFault{
--- a/scheduler/shedding.go
+++ b/scheduler/shedding.go
@@ -23,10 +23,10 @@
 // isShedding reports whether so many attempts find their machine full that requests may be shed.
 func (s *loadShedder) isShedding(now Time) bool { return s.currentFullRatio(now) > sheddingThreshold }
 
-// shed decides at random whether to reject a container in favor of others. The probability grows with the share of
-// attempts on full machines, and with the distance of the container's priority below the mean priority of those
+// shouldShed decides at random whether to reject a container in favor of others. The probability grows with the share
+// of attempts on full machines, and with the distance of the container's priority below the mean priority of those
 // attempts.
-func (s *loadShedder) shed(c *container, now Time) bool {
+func (s *loadShedder) shouldShed(c *container, now Time) bool {
 	if !s.isShedding(now) {
 		return false
 	}
@@ -41,8 +41,8 @@
 	if c.request.ClientRetry {
 		weight *= clientRetryWeight
 	}
-	if share := s.quotas.quotaToUseRatio(c.request.Tenant); share < 1 {
-		weight *= share + (1-share)*s.overQuotaWeight
+	if ratio := s.quotas.quotaToUseRatio(c.request.Tenant); ratio < 1 {
+		weight *= ratio + (1-ratio)*s.overQuotaWeight
 	}
 	return weight
 }
--- a/scheduler/shedding_test.go
+++ b/scheduler/shedding_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestQuotaShareComparesUseWithQuota(t *testing.T) {
+func TestQuotaToUseRatioComparesUseWithQuota(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		quotas []Tenant
--- a/scheduler/simulatedevents_test.go
+++ b/scheduler/simulatedevents_test.go
@@ -5,13 +5,13 @@
 // This file holds the events that occur in the simulated cluster without an action of the scheduler.
 
 // machineEntries returns the machine list entries of some machines.
-func (w *simulatedCluster) machineEntries(machines []*simulatedMachine) []MachineEntry {
+func (sim *simulatedCluster) machineEntries(machines []*simulatedMachine) []MachineEntry {
 	var all []MachineEntry
 	for _, m := range machines {
 		e := m.entry
-		k := w.config.MachineTypes[e.MachineType]
+		k := sim.config.MachineTypes[e.MachineType]
 		e.FreeCores, e.FreeMemory = k.Cores-m.used, k.Memory-m.memory
-		if w.random.chance(0.1) {
+		if sim.random.chance(0.1) {
 			e.FreeCores -= 3 // requests of other schedulers
 		}
 		all = append(all, e)
@@ -19,114 +19,116 @@
 	return all
 }
 
-func (w *simulatedCluster) fullUpdate(mode UpdateMode) MachineListUpdate {
+func (sim *simulatedCluster) fullUpdate(mode UpdateMode) MachineListUpdate {
 	var present []*simulatedMachine
-	for _, m := range w.machines {
-		if m.entry.State != MachineGone || w.random.chance(0.5) {
+	for _, m := range sim.machines {
+		if m.entry.State != MachineGone || sim.random.chance(0.5) {
 			present = append(present, m)
 		}
 	}
-	w.version++
-	return MachineListUpdate{Mode: mode, Version: w.version, Entries: w.machineEntries(present)}
+	sim.version++
+	return MachineListUpdate{Mode: mode, Version: sim.version, Entries: sim.machineEntries(present)}
 }
 
 // start sends a new scheduler the events that a starting process sends.
-func (w *simulatedCluster) start() {
+func (sim *simulatedCluster) start() {
 	var events []Event
-	if w.random.chance(0.9) {
-		events = append(events, w.fullUpdate(RestoredSnapshot))
+	if sim.random.chance(0.9) {
+		events = append(events, sim.fullUpdate(RestoredSnapshot))
 	}
-	w.handle(events)
-	for range w.random.below(4) {
-		w.handle([]Event{w.adopt()})
+	sim.handle(events)
+	for range sim.random.below(4) {
+		sim.handle([]Event{sim.adopt()})
 	}
-	if w.random.chance(0.8) {
-		w.handle([]Event{w.fullUpdate(FullSnapshot)})
+	if sim.random.chance(0.8) {
+		sim.handle([]Event{sim.fullUpdate(FullSnapshot)})
 	}
 }
 
-func (w *simulatedCluster) adopt() Event {
-	request := w.request()
-	m := pick(w.random, w.machines...)
-	w.containers[request.ID] = &simulatedContainer{request: request, at: m, running: true, attempt: 1}
-	w.ids = append(w.ids, request.ID)
-	w.reserve(w.containers[request.ID], 1)
-	w.run(w.containers[request.ID])
+func (sim *simulatedCluster) adopt() Event {
+	request := sim.request()
+	m := pick(sim.random, sim.machines...)
+	sim.containers[request.ID] = &simulatedContainer{request: request, machine: m, running: true, attempt: 1}
+	sim.ids = append(sim.ids, request.ID)
+	sim.reserve(sim.containers[request.ID], 1)
+	sim.run(sim.containers[request.ID])
 	id := m.entry.Machine
-	if w.random.chance(0.3) {
+	if sim.random.chance(0.3) {
 		id = "unlisted"
-		c := w.containers[request.ID]
-		w.after(w.random.span(0, Second), func() []Event { return w.end(c, 1, AttemptEnded{Outcome: OutcomeLost}) })
+		c := sim.containers[request.ID]
+		sim.after(sim.random.span(0, Second), func() []Event {
+			return sim.end(c, 1, AttemptEnded{Outcome: OutcomeLost})
+		})
 	}
 	return ContainerAdopted{PlacementRequest: request, Machine: id}
 }
 
-func (w *simulatedCluster) request() PlacementRequest {
-	r := w.random
-	class := r.below(len(w.config.WorkloadClasses))
-	service := fmt.Sprint("s", r.below(w.services))
-	size := w.size * (0.3 + 1.4*r.float())
+func (sim *simulatedCluster) request() PlacementRequest {
+	r := sim.random
+	class := r.below(len(sim.config.WorkloadClasses))
+	service := fmt.Sprint("s", r.below(sim.services))
+	size := sim.size * (0.3 + 1.4*r.float())
 	if r.chance(0.02) {
 		size *= 30
 	}
 	request := PlacementRequest{
-		ID:             ContainerID(fmt.Sprint("c", len(w.ids), "-", r.below(10))),
+		ID:             ContainerID(fmt.Sprint("c", len(sim.ids), "-", r.below(10))),
 		IdempotencyKey: service,
 		Service:        service,
 		WorkloadClass:  class,
-		Tenant:         r.below(len(w.config.Tenants) + 1),
+		Tenant:         r.below(len(sim.config.Tenants) + 1),
 		Cores:          size,
 		Memory:         size * (0.5 + 2*r.float()),
-		Deadline:       w.now + w.config.WorkloadClasses[class].PlacementTimeout,
+		Deadline:       sim.now + sim.config.WorkloadClasses[class].PlacementTimeout,
 		ClientRetry:    r.chance(0.05),
 	}
 	if r.chance(0.03) {
-		request.Deadline = w.now + Time(r.below(50)) // around deadlineMargin
+		request.Deadline = sim.now + Time(r.below(50)) // around deadlineMargin
 	}
 	if r.chance(0.3) {
-		request.ExpectedRuntime = r.span(0, 2*w.runtime)
+		request.ExpectedRuntime = r.span(0, 2*sim.runtime)
 	}
 	return request
 }
 
-func (w *simulatedCluster) arrive() []Event {
-	w.after(w.random.span(0, 2*w.arrival), w.arrive)
+func (sim *simulatedCluster) arrive() []Event {
+	sim.after(sim.random.span(0, 2*sim.arrivalInterval), sim.arrive)
 	var events []Event
-	for range pick(w.random, 1, 1, 1, 3) {
-		events = append(events, w.submit(w.request()))
+	for range pick(sim.random, 1, 1, 1, 3) {
+		events = append(events, sim.submit(sim.request()))
 	}
 	return events
 }
 
-func (w *simulatedCluster) submit(request PlacementRequest) Event {
-	w.containers[request.ID] = &simulatedContainer{request: request}
-	w.ids = append(w.ids, request.ID)
-	if w.random.chance(0.04) {
-		w.after(w.random.span(0, 4*Second), func() []Event { return w.remove(request.ID) })
+func (sim *simulatedCluster) submit(request PlacementRequest) Event {
+	sim.containers[request.ID] = &simulatedContainer{request: request}
+	sim.ids = append(sim.ids, request.ID)
+	if sim.random.chance(0.04) {
+		sim.after(sim.random.span(0, 4*Second), func() []Event { return sim.remove(request.ID) })
 	}
 	return RequestReceived{PlacementRequest: request}
 }
 
 // remove removes a container. Its open attempt ends later.
-func (w *simulatedCluster) remove(id ContainerID) []Event {
-	c := w.containers[id]
+func (sim *simulatedCluster) remove(id ContainerID) []Event {
+	c := sim.containers[id]
 	if c.ended {
 		return nil
 	}
-	if c.at != nil {
+	if c.machine != nil {
 		attempt := c.attempt
-		w.after(w.random.span(0, 300*Millisecond), func() []Event {
-			return w.end(c, attempt, AttemptEnded{Final: true, Outcome: OutcomeStopped})
+		sim.after(sim.random.span(0, 300*Millisecond), func() []Event {
+			return sim.end(c, attempt, AttemptEnded{Final: true, Outcome: OutcomeStopped})
 		})
 	}
 	return []Event{ContainerRemoved{ID: id}}
 }
 
 // change changes the fleet at random and returns the update of the machine list.
-func (w *simulatedCluster) change() []Event {
-	r := w.random
-	w.after(r.span(0, 2*w.churn), w.change)
-	m := pick(r, w.machines...)
+func (sim *simulatedCluster) change() []Event {
+	r := sim.random
+	sim.after(r.span(0, 2*sim.changeInterval), sim.change)
+	m := pick(r, sim.machines...)
 	changed := []*simulatedMachine{m}
 	switch r.below(8) {
 	case 0:
@@ -134,74 +136,74 @@
 	case 1:
 		m.entry.State = MachineGone
 	case 2, 3: // a new incarnation
-		m.entry.State, m.entry.StartedAt = MachineServing, w.now-r.span(0, Second/2)
-		w.setFault(m)
+		m.entry.State, m.entry.StartedAt = MachineServing, sim.now-r.span(0, Second/2)
+		sim.setFault(m)
 	case 4:
 		m.entry.State = MachineServing
 	case 5:
-		changed = []*simulatedMachine{w.addMachine(w.now - r.span(0, Second))}
+		changed = []*simulatedMachine{sim.addMachine(sim.now - r.span(0, Second))}
 	case 6:
-		w.setFault(m)
+		sim.setFault(m)
 		return nil
 	default:
-		changed = append(changed, pick(r, w.machines...))
+		changed = append(changed, pick(r, sim.machines...))
 	}
-	if w.selfReports && r.chance(0.7) {
-		return []Event{MachineListUpdate{Mode: SelfReported, Entries: w.machineEntries(changed)}}
+	if sim.selfReports && r.chance(0.7) {
+		return []Event{MachineListUpdate{Mode: SelfReported, Entries: sim.machineEntries(changed)}}
 	}
 	if r.chance(0.1) {
 		return nil // reported with the next full update only
 	}
 	if r.chance(0.15) {
-		return []Event{w.fullUpdate(FullSnapshot)}
+		return []Event{sim.fullUpdate(FullSnapshot)}
 	}
-	w.version++
-	return []Event{MachineListUpdate{Mode: DeltaUpdate, Version: w.version, Entries: w.machineEntries(changed)}}
+	sim.version++
+	return []Event{MachineListUpdate{Mode: DeltaUpdate, Version: sim.version, Entries: sim.machineEntries(changed)}}
 }
 
 // restart replaces the scheduler by a new one, which restores the snapshot of the old one. Some snapshots are altered.
-func (w *simulatedCluster) restart() []Event {
-	r := w.random
-	w.after(r.span(Second, 10*Second), w.restart)
-	snapshot := w.scheduler.Snapshot()
-	w.digest.fold(snapshotOrdinal, snapshot)
-	w.incarnation++
-	w.scheduler = New(w.config)
-	w.handle([]Event{w.fullUpdate(RestoredSnapshot)})
+func (sim *simulatedCluster) restart() []Event {
+	r := sim.random
+	sim.after(r.span(Second, 10*Second), sim.restart)
+	snapshot := sim.scheduler.Snapshot()
+	sim.digest.fold(snapshotOrdinal, snapshot)
+	sim.incarnation++
+	sim.scheduler = New(sim.config)
+	sim.handle([]Event{sim.fullUpdate(RestoredSnapshot)})
 	switch r.below(8) {
 	case 0:
 		snapshot.TrafficClasses = nil
 	case 1:
 		for i := range snapshot.Machines {
 			m := &snapshot.Machines[i]
-			m.FailureEvidence = append(m.FailureEvidence, FailureEvidence{LogOdds: 5, AsOf: w.now})
+			m.FailureEvidence = append(m.FailureEvidence, FailureEvidence{LogOdds: 5, AsOf: sim.now})
 		}
 	case 4:
 		for i := range snapshot.Machines {
 			snapshot.Machines[i].OutlierLogOdds, snapshot.Machines[i].EjectionTime = 4, 0
 		}
 	case 2:
-		snapshot.SendsKnownSince = w.now
+		snapshot.SendsKnownSince = sim.now
 	case 3:
 		snapshot.Machines = append(snapshot.Machines, MachineSnapshot{
 			Machine: "m0", StartedAt: 77, OutlierLogOdds: 9,
-			EjectedUntil: w.now + Second,
+			EjectedUntil: sim.now + Second,
 		})
 	}
 	if r.chance(0.9) {
-		w.scheduler.Restore(snapshot)
+		sim.scheduler.Restore(snapshot)
 	}
-	w.afterUnlessRestarted(r.span(0, Second), func() []Event { // for machines that enter the list late
+	sim.afterUnlessRestarted(r.span(0, Second), func() []Event { // for machines that enter the list late
 		late := Snapshot{SendsKnownSince: snapshot.SendsKnownSince, Machines: snapshot.Machines}
 		if r.chance(0.5) {
-			w.scheduler.Restore(late)
+			sim.scheduler.Restore(late)
 		}
 		return nil
 	})
 	var events []Event
-	for _, id := range w.ids {
-		if c := w.containers[id]; c.running && !c.ended {
-			events = append(events, ContainerAdopted{PlacementRequest: c.request, Machine: c.at.entry.Machine})
+	for _, id := range sim.ids {
+		if c := sim.containers[id]; c.running && !c.ended {
+			events = append(events, ContainerAdopted{PlacementRequest: c.request, Machine: c.machine.entry.Machine})
 		} else {
 			c.ended = true
 		}
@@ -210,11 +212,11 @@
 }
 
 // invalidEvents returns events that a correct process would not send.
-func (w *simulatedCluster) invalidEvents() []Event {
-	r := w.random
-	w.after(r.span(0, Second/2), w.invalidEvents)
-	id := w.ids[len(w.ids)-1-r.below(min(len(w.ids), 20))]
-	m := pick(r, w.machines...).entry
+func (sim *simulatedCluster) invalidEvents() []Event {
+	r := sim.random
+	sim.after(r.span(0, Second/2), sim.invalidEvents)
+	id := sim.ids[len(sim.ids)-1-r.below(min(len(sim.ids), 20))]
+	m := pick(r, sim.machines...).entry
 	outcome := Outcome(r.below(int(OutcomeNotSent) + 1))
 	reason := Reason(r.below(int(ReasonDrained) + 1))
 	switch r.below(12) {
@@ -233,27 +235,27 @@
 	case 6:
 		return []Event{TimerFired{Name: "unknown"}}
 	case 7:
-		m.MachineType = len(w.config.MachineTypes) + 1
+		m.MachineType = len(sim.config.MachineTypes) + 1
 		return []Event{MachineListUpdate{Mode: DeltaUpdate, Entries: []MachineEntry{m}}}
 	case 8:
-		request := w.request()
-		request.WorkloadClass = len(w.config.WorkloadClasses) + r.below(2)
-		w.digest.fold(explanationOrdinal, w.scheduler.Explain(request))
+		request := sim.request()
+		request.WorkloadClass = len(sim.config.WorkloadClasses) + r.below(2)
+		sim.digest.fold(explanationOrdinal, sim.scheduler.Explain(request))
 		return []Event{pick[Event](r, RequestReceived{PlacementRequest: request},
 			ContainerAdopted{PlacementRequest: request, Machine: m.Machine})}
 	case 9:
-		request := w.request()
+		request := sim.request()
 		request.Tenant = 50
-		return []Event{w.submit(request)}
+		return []Event{sim.submit(request)}
 	case 10:
 		return []Event{
 			MachineListUpdate{Mode: pick(r, FullSnapshot, RestoredSnapshot)},
 			MachineListUpdate{Mode: UpdateFailed},
-			w.fullUpdate(FullSnapshot),
+			sim.fullUpdate(FullSnapshot),
 		}
 	default:
-		request := w.request()
-		request.Deadline = w.now - r.span(0, Second)
-		return []Event{w.submit(request)}
+		request := sim.request()
+		request.Deadline = sim.now - r.span(0, Second)
+		return []Event{sim.submit(request)}
 	}
 }
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -33,26 +33,26 @@
 	resetting      // accepts, then loses its containers
 	drainingItself // refuses containers and sends them away before the machine list shows a drain
 	refusing       // always full
-	faults
+	faultCount
 )
 
 // sequenceOptions are the parameters of a sequence.
 type sequenceOptions struct {
-	config           Config
-	machines         int
-	services         int
-	arrival          Time    // mean time between requests
-	size             float64 // mean cores of a request
-	runtime          Time    // mean runtime of a container
-	faults           []simulatedFault
-	faultyRatio      float64 // share of machines with a fault
-	unansweredRatio  float64 // share of attempts without any outcome
-	churn            Time    // mean time between fleet changes
-	restarts         bool    // the scheduler restarts
-	invalid          bool    // the sequence has invalid events
-	retryRatio       float64 // share of rejected requests that the client retries
-	listFailureRatio float64 // share of polls that fail
-	oneClass         bool    // machines that fail a class all fail the same one
+	config            Config
+	machines          int
+	services          int
+	arrivalInterval   Time    // mean time between requests
+	size              float64 // mean cores of a request
+	runtime           Time    // mean runtime of a container
+	faults            []simulatedFault
+	faultyRatio       float64 // share of machines with a fault
+	unansweredRatio   float64 // share of attempts without any outcome
+	changeInterval    Time    // mean time between fleet changes
+	restarts          bool    // the scheduler restarts
+	withInvalidEvents bool    // the sequence has invalid events
+	retryRatio        float64 // share of rejected requests that the client retries
+	listFailureRatio  float64 // share of polls that fail
+	sameFailingClass  bool    // machines that fail a class all fail the same one
 
 	selfReports bool // machines report their starts themselves
 }
@@ -92,7 +92,7 @@
 type simulatedContainer struct {
 	request PlacementRequest
 	attempt int
-	at      *simulatedMachine
+	machine *simulatedMachine
 	running bool
 	ended   bool
 }
@@ -102,7 +102,7 @@
 	o := drawOptions(r)
 	g.adjust(r, o)
 	d.timers = map[string]uint64{}
-	w := &simulatedCluster{
+	sim := &simulatedCluster{
 		sequenceOptions: o,
 		random:          r,
 		digest:          d,
@@ -112,71 +112,71 @@
 		containers:      map[ContainerID]*simulatedContainer{},
 	}
 	for range o.machines {
-		w.addMachine(0)
+		sim.addMachine(0)
 	}
-	w.start()
-	w.after(0, w.arrive)
-	w.after(r.span(0, 2*o.churn), w.change)
+	sim.start()
+	sim.after(0, sim.arrive)
+	sim.after(r.span(0, 2*o.changeInterval), sim.change)
 	if o.restarts {
-		w.after(r.span(Second, 10*Second), w.restart)
+		sim.after(r.span(Second, 10*Second), sim.restart)
 	}
-	if o.invalid {
-		w.after(Second/10, w.invalidEvents)
+	if o.withInvalidEvents {
+		sim.after(Second/10, sim.invalidEvents)
 	}
-	end := w.now + pick(r,
+	end := sim.now + pick(r,
 		r.span(Second, 4*Second), r.span(Second, 4*Second), r.span(Second, 4*Second), r.span(6*Second, 16*Second))
-	for len(w.queue) > 0 && w.queue[0].at < end {
-		w.step()
+	for len(sim.queue) > 0 && sim.queue[0].at < end {
+		sim.step()
 	}
-	w.digest.fold(snapshotOrdinal, w.scheduler.Snapshot())
+	sim.digest.fold(snapshotOrdinal, sim.scheduler.Snapshot())
 }
 
 // step runs the steps that are due next in one batch, sometimes together with those that follow shortly after.
-func (w *simulatedCluster) step() {
-	w.now = max(w.now, w.queue[0].at)
-	if w.random.chance(0.2) {
-		w.now += w.random.span(0, 20*Millisecond)
+func (sim *simulatedCluster) step() {
+	sim.now = max(sim.now, sim.queue[0].at)
+	if sim.random.chance(0.2) {
+		sim.now += sim.random.span(0, 20*Millisecond)
 	}
 	var events []Event
-	for len(w.queue) > 0 && w.queue[0].at <= w.now {
-		next := w.queue[0]
-		w.queue = w.queue[1:]
+	for len(sim.queue) > 0 && sim.queue[0].at <= sim.now {
+		next := sim.queue[0]
+		sim.queue = sim.queue[1:]
 		events = append(events, next.run()...)
 	}
-	w.handle(events)
+	sim.handle(events)
 	switch {
-	case w.random.chance(0.03):
-		w.digest.fold(explanationOrdinal, w.scheduler.Explain(w.request()))
-	case w.random.chance(0.01):
-		w.digest.fold(snapshotOrdinal, w.scheduler.Snapshot())
+	case sim.random.chance(0.03):
+		sim.digest.fold(explanationOrdinal, sim.scheduler.Explain(sim.request()))
+	case sim.random.chance(0.01):
+		sim.digest.fold(snapshotOrdinal, sim.scheduler.Snapshot())
 	}
 }
 
-func (w *simulatedCluster) handle(events []Event) {
-	actions := w.scheduler.Handle(w.now, events)
-	w.digest.batch(w.now, actions)
+func (sim *simulatedCluster) handle(events []Event) {
+	actions := sim.scheduler.Handle(sim.now, events)
+	sim.digest.batch(sim.now, actions)
 	for _, a := range actions {
-		w.applyAction(a)
+		sim.applyAction(a)
 	}
 }
 
-func (w *simulatedCluster) after(span Time, run func() []Event) {
-	s := scheduledStep{w.now + max(0, span), w.scheduledCount, run}
-	w.scheduledCount++
-	i, _ := slices.BinarySearchFunc(w.queue, s, func(a, b scheduledStep) int {
+func (sim *simulatedCluster) after(span Time, run func() []Event) {
+	s := scheduledStep{sim.now + max(0, span), sim.scheduledCount, run}
+	sim.scheduledCount++
+	i, _ := slices.BinarySearchFunc(sim.queue, s, func(a, b scheduledStep) int {
 		if a.at != b.at {
 			return int(a.at - b.at)
 		}
 		return a.number - b.number
 	})
-	w.queue = slices.Insert(w.queue, i, s)
+	sim.queue = slices.Insert(sim.queue, i, s)
 }
 
 // afterUnlessRestarted schedules a step that is dropped if the scheduler restarts before.
-func (w *simulatedCluster) afterUnlessRestarted(span Time, run func() []Event) {
-	incarnation := w.incarnation
-	w.after(span, func() []Event {
-		if w.incarnation != incarnation {
+func (sim *simulatedCluster) afterUnlessRestarted(span Time, run func() []Event) {
+	incarnation := sim.incarnation
+	sim.after(span, func() []Event {
+		if sim.incarnation != incarnation {
 			return nil
 		}
 		return run()
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -37,7 +37,7 @@
 					sent = append(sent, now)
 				}
 			}
-			most := mostInWindow(sent, config.SlowStartWindow)
+			most := maxInWindow(sent, config.SlowStartWindow)
 			testutil.Expect(t, len(sent) >= tc.least && most <= config.SlowStartBudget,
 				"%d attempts, up to %d in a window", len(sent), most)
 		})
@@ -75,8 +75,8 @@
 	return count
 }
 
-// mostInWindow returns the maximum number of times, given in order, that lie in one window.
-func mostInWindow(times []Time, window Time) int {
+// maxInWindow returns the maximum number of times, given in order, that lie in one window.
+func maxInWindow(times []Time, window Time) int {
 	most := 0
 	for i := range times {
 		end := sort.Search(len(times), func(k int) bool { return times[k] >= times[i]+window })
--- a/scheduler/snapshot_test.go
+++ b/scheduler/snapshot_test.go
@@ -31,7 +31,7 @@
 		}
 		previous = s
 	}
-	most := mostInWindow(sent, config.SlowStartWindow)
+	most := maxInWindow(sent, config.SlowStartWindow)
 	testutil.Require(t, most <= config.SlowStartBudget, "%d attempts in a window", most)
 	testutil.Expect(t, len(sent) >= 3*config.SlowStartBudget,
 		"%d attempts in 20 incarnations: the quota is not used", len(sent))
--- a/scheduler/trafficclass.go
+++ b/scheduler/trafficclass.go
@@ -45,8 +45,8 @@
 
 func (e classEvidence) snapshot() []FailureEvidence { return slices.Clone([]FailureEvidence(e)) }
 
-// decayed returns the log odds as of now.
-func (f *FailureEvidence) decayed(now Time) float64 {
+// decayedLogOdds returns the log odds as of now.
+func (f *FailureEvidence) decayedLogOdds(now Time) float64 {
 	return f.LogOdds * math.Exp(-float64(now-f.AsOf)/float64(evidenceDecay))
 }
 
@@ -94,7 +94,7 @@
 	evidence := &m.evidence[class]
 	peers, peerLoss := d.peerLossRatio(class)
 	stats.recordLoss(outcome)
-	before := evidence.decayed(now)
+	before := evidence.decayedLogOdds(now)
 	evidence.LogOdds = min(max(0, before+evidenceStep(outcome, peerLoss)), maxLogOdds)
 	evidence.AsOf = now
 	stats.SuspicionThreshold = suspicionThreshold(stats.LossRatio-peerLoss, peers)
@@ -102,9 +102,9 @@
 	if outcome == attemptLost && crossed {
 		d.actions.logMachine("machine suspected of failing a traffic class", m,
 			slog.Int("traffic_class", class),
-			rounded("log_odds", evidence.LogOdds),
-			rounded("loss_ratio", stats.LossRatio),
-			rounded("peer_loss_ratio", peerLoss))
+			roundedAttr("log_odds", evidence.LogOdds),
+			roundedAttr("loss_ratio", stats.LossRatio),
+			roundedAttr("peer_loss_ratio", peerLoss))
 	}
 }
 
@@ -154,7 +154,7 @@
 func (d *classFailureDetector) suspects(m *machine, classes trafficClassPair, now Time) bool {
 	for _, class := range classes {
 		evidence := &m.evidence[class]
-		if evidence.LogOdds > 0 && evidence.decayed(now) >= d.classes[class].SuspicionThreshold {
+		if evidence.LogOdds > 0 && evidence.decayedLogOdds(now) >= d.classes[class].SuspicionThreshold {
 			return true
 		}
 	}
