--- a/internal/simprotocol/faulty_test.go
+++ b/internal/simprotocol/faulty_test.go
@@ -57,7 +57,7 @@
 func TestInvalidSettingsErrorsMatchGolden(t *testing.T) {
 	all := strings.Fields(fullSettings)
 	var got bytes.Buffer
-	try := func(change string, pairs []string) {
+	check := func(change string, pairs []string) {
 		if _, err := ParseSettings(1, pairs); err != nil {
 			fmt.Fprintf(&got, "%s: error: %v\n", change, err)
 		} else {
@@ -66,17 +66,17 @@
 	}
 	for i, pair := range all {
 		key, _, _ := strings.Cut(pair, "=")
-		try("without "+key, slices.Delete(slices.Clone(all), i, i+1))
+		check("without "+key, slices.Delete(slices.Clone(all), i, i+1))
 		for _, value := range wrongValues {
 			pairs := slices.Clone(all)
 			pairs[i] = key + "=" + value
-			try(pairs[i], pairs)
+			check(pairs[i], pairs)
 		}
 		pairs := slices.Clone(all)
 		pairs[i] = key
-		try(fmt.Sprintf("%q", key), pairs)
+		check(fmt.Sprintf("%q", key), pairs)
 	}
-	try("none", nil)
+	check("none", nil)
 	golden.CheckText(t, "testdata/faulty-settings.txt", got.String())
 }
 
@@ -84,11 +84,11 @@
 // errors with the recorded ones.
 func TestInvalidMessagesErrorsMatchGolden(t *testing.T) {
 	var got bytes.Buffer
-	try := func(shown, in string) { fmt.Fprintf(&got, "%q: %s\n", shown, firstError(in)) }
-	const sheet = "SHEET 0 1\nITEM m:1 0 1 2 SERVING 3.5 1 12 6100.05\n"
+	check := func(shown, in string) { fmt.Fprintf(&got, "%q: %s\n", shown, firstError(in)) }
+	const listLines = "SHEET 0 1\nITEM m:1 0 1 2 SERVING 3.5 1 12 6100.05\n"
 	for _, line := range sampleMessages {
 		words := strings.Split(line, " ")
-		frame := func(line string) { try(line, "FRAME 1 1\n"+sheet+line+"\nCOMMIT\n") }
+		frame := func(line string) { check(line, "FRAME 1 1\n"+listLines+line+"\nCOMMIT\n") }
 		for n := range words {
 			frame(strings.Join(words[:n], " "))
 			for _, bad := range wrongFields {
@@ -98,11 +98,11 @@
 			}
 		}
 		frame(line + " more")
-		try(line+", then the end inside the line", "FRAME 1 1\n"+sheet+line)
-		try(line+", then the end inside the frame", "FRAME 1 1\n"+sheet+line+"\n")
+		check(line+", then the end inside the line", "FRAME 1 1\n"+listLines+line)
+		check(line+", then the end inside the frame", "FRAME 1 1\n"+listLines+line+"\n")
 	}
 	for _, in := range faultyInputs {
-		try(in, in)
+		check(in, in)
 	}
 	golden.CheckText(t, "testdata/faulty-messages.txt", got.String())
 }
