--- a/scheduler/answers.go
+++ b/scheduler/answers.go
@@ -12,7 +12,7 @@
 	SpreadExhausted    int
 	SlowStartExhausted int
 	Ejected            int
-	Suspected          int // of failing the request's workload class or tenant
+	Suspected          int // suspected of failing the request's workload class or tenant
 	InsufficientCores  int // by the requests in the machine list
 	InsufficientMemory int
 	Eligible           int
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -18,7 +18,7 @@
 // Idempotency says whether a container may safely run a second time.
 type Idempotency uint8
 
-// The values are stored.
+// The values are stored on disk and must not change.
 const (
 	Idempotent        Idempotency = iota // may run again
 	IdempotentWithKey                    // machines in DedupScope drop repeats for DedupWindow
@@ -28,7 +28,7 @@
 // Scope is a part of the fleet in which repeats are dropped, or in which a spread limit counts containers.
 type Scope uint8
 
-// The values are stored.
+// The values are stored on disk and must not change.
 const (
 	ScopeNone Scope = iota
 	ScopeMachine
@@ -58,7 +58,7 @@
 
 // Tenant is a tenant with its quota. The tag is the field name in recordings.
 type Tenant struct {
-	QuotaCores float64 `cbor:"Cores"` // limit on the cores requested from all schedulers together
+	QuotaCores float64 `cbor:"Cores"` // quota of the cores requested from all schedulers together
 }
 
 // Config is the configuration of a scheduler. The tags are the field names in recordings.
@@ -72,8 +72,8 @@
 	OverQuotaWeight    float64         `cbor:"OverShare"`   // factor on the priority weight of use over quota
 	CoresOvercommit    float64         `cbor:"AcceptCores"` // a machine accepts requests for this multiple of its cores
 	MemoryOvercommit   float64         `cbor:"AcceptMemory"`
-	MeanCores          float64         `cbor:"MeanCores"` // of a container
-	MeanMemory         float64         `cbor:"MeanMemory"`
+	MeanCores          float64         `cbor:"MeanCores"`  // mean cores of a container
+	MeanMemory         float64         `cbor:"MeanMemory"` // mean memory of a container
 	AcceptMeansRunning bool            `cbor:"YesRuns"`    // a machine accepts only once the container runs
 	UsageReports       bool            `cbor:"UseNotes"`   // the resource use of own containers is reported
 	ListTracksRequests bool            `cbor:"ListedAsks"` // free amounts in the machine list are total minus requested
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -1,9 +1,10 @@
 package scheduler
 
-// Event is something that happened.
+// Event is an input of the scheduler: a change of a container, a machine or the machine list, or a timer.
 type Event interface{ event() }
 
-// MachineListUpdate is a watch event of the machine list, the result of a poll, or the report of a machine itself.
+// MachineListUpdate is an update of the machine list: a watch event, the result of a poll, a list from before a restart
+// of the scheduler, or a start that a machine reports itself.
 type MachineListUpdate struct {
 	Mode    UpdateMode
 	Version int64
--- a/scheduler/outlierdetection_test.go
+++ b/scheduler/outlierdetection_test.go
@@ -144,13 +144,13 @@
 		name   string
 		events []Event
 	}{
-		{"containers lost with it", []Event{
+		{"accepted containers lost", []Event{
 			AttemptAccepted{ID: "x"},
 			AttemptAccepted{ID: "y"},
 			AttemptEnded{ID: "x", Final: true, Outcome: OutcomeLost},
 			AttemptEnded{ID: "y", Final: true, Outcome: OutcomeLost},
 		}},
-		{"attempts cut short", []Event{
+		{"open attempts lost", []Event{
 			AttemptEnded{ID: "x", Outcome: OutcomeLost}, AttemptEnded{ID: "y", Outcome: OutcomeLost},
 		}},
 		{"an unanswered probe", []Event{probeTimedOut, probeTimedOut}},
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -12,7 +12,7 @@
 // schedulers together stay within a budget. They exchange no messages for this: each scheduler has a fixed quota, and
 // the quotas add up to the budget.
 type slowStartLimiter struct {
-	period          Time // after the start of a machine
+	period          Time // length of slow start after the start of a machine
 	window          Time
 	budget          int // sends to a machine in each window, by all schedulers
 	schedulerIndex  int
--- a/scheduler/tenantquotas.go
+++ b/scheduler/tenantquotas.go
@@ -3,7 +3,7 @@
 // tenantQuotas holds the tenants' quotas and counts the cores that this scheduler's containers reserve for each tenant.
 type tenantQuotas struct {
 	tenants []Tenant
-	cores   []float64 // by tenant
+	cores   []float64 // reserved cores, by tenant
 }
 
 func newTenantQuotas(tenants []Tenant) *tenantQuotas {
