--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -73,7 +73,7 @@
 }
 
 // groupByInstance groups the events of a frame by instance, in the order in which the instances first occur. It starts
-// and stops instances. Events before a start or a stop in the same frame are dropped.
+// and stops instances. Events of an instance before its start or stop in the same frame are dropped.
 func groupByInstance(frame *simprotocol.Frame, schedulers map[int]*scheduler.Scheduler) ([]*instanceBatch, error) {
 	var batches []*instanceBatch
 	byInstance := map[int]*instanceBatch{}
--- a/internal/simprotocol/decoder.go
+++ b/internal/simprotocol/decoder.go
@@ -1,5 +1,6 @@
 // Package simprotocol is the codec of the simulator's wire protocol. It decodes lines into the events of a scheduler
-// and encodes the scheduler's actions as lines. No other package uses the names of the protocol and its settings.
+// and encodes the scheduler's actions as lines. It translates between the names of the protocol, with its settings, and
+// those of package scheduler.
 package simprotocol
 
 import (
@@ -22,7 +23,7 @@
 	frameLine        = "FRAME"     // begins a frame
 	commitLine       = "COMMIT"    // ends a frame
 	machineListLine  = "SHEET"     // begins a machine list
-	machineEntryLine = "ITEM"      // of a machine list
+	machineEntryLine = "ITEM"      // an entry of a machine list
 	configureLine    = "CONFIGURE" // starts an instance
 	killedLine       = "KILLED"    // stops an instance
 	updateLine       = "UPDATE"    // an update of the machine list
