--- a/scheduler/attempts_test.go
+++ b/scheduler/attempts_test.go
@@ -103,8 +103,8 @@
 	return count
 }
 
-// A container may run to its end before the machine accepts it. The client is answered at once: with a rejection or a
-// failure, as a second run is safe or not. The outcome is no evidence against the machine.
+// A container may run to its end before the machine accepts it. The client is answered at once: with a rejection if a
+// second run is safe, else with a failure. The outcome is no evidence against the machine.
 func TestContainerFinishedBeforeAcceptanceIsAnsweredAtOnce(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -103,7 +103,7 @@
 	var l sendLedger
 	l.restore(MachineSnapshot{RecentSends: []Time{10, 20}})
 	l.record(30)
-	testutil.Equal(t, fmt.Sprint(l.dropUntil(10)), "[20 30]", "after 10")
+	testutil.Equal(t, fmt.Sprint(l.dropUntil(10)), "[20 30]", "sends after 10")
 	l.dropBefore(30)
-	testutil.Equal(t, fmt.Sprint(l.dropUntil(0), l.dropUntil(30)), "[30] []", "from 30 on, and after it")
+	testutil.Equal(t, fmt.Sprint(l.dropUntil(0), l.dropUntil(30)), "[30] []", "sends from 30 on, and after 30")
 }
