--- a/scheduler/shedding_test.go
+++ b/scheduler/shedding_test.go
@@ -96,7 +96,7 @@
 				q.reserve(tenant, cores+1)
 				q.release(tenant, 1)
 			}
-			testutil.Equal(t, q.quotaToUseRatio(tc.tenant), tc.want, "ratio of quota to use")
+			testutil.Equal(t, q.quotaToUseRatio(tc.tenant), tc.want, "share")
 		})
 	}
 }
