--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -16,7 +16,7 @@
 		{"empty input", "", "", ""},
 		{"empty frame", "FRAME 8412.25 1\nCOMMIT\n", "DONE 1\n", ""},
 		{"unknown instance", "FRAME 1 1\nVANISHED 3 r-1\nCOMMIT\n", "", "line 2: instance 3 is not known"},
-		{"cut off", "FRAME 1 1\nCOMMIT\nFRAME 2 2\n", "DONE 1\n", "input ends inside a frame"},
+		{"truncated input", "FRAME 1 1\nCOMMIT\nFRAME 2 2\n", "DONE 1\n", "input ends inside a frame"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var out bytes.Buffer
@@ -35,15 +35,15 @@
 	testutil.Expect(t, errors.As(err, &unknown) && unknown.instance == 3 && unknown.line == 2, "error %v", err)
 }
 
-func TestPanicOfDecisionsIsAFault(t *testing.T) {
+func TestSchedulerPanicIsReportedAsFault(t *testing.T) {
 	var out bytes.Buffer
-	if decide(&out, 1, &instanceBatch{instance: 3}); !strings.HasPrefix(out.String(), "FAULT 3 ") {
+	if appendDecisions(&out, 1, &instanceBatch{instance: 3}); !strings.HasPrefix(out.String(), "FAULT 3 ") {
 		t.Errorf("wrote %q", out.String())
 	}
 }
 
-// TestTranscriptIsAnsweredByteForByte replays frames of two instances with all kinds of messages. The text of
-// DEBUG lines is free; that one is written, and where, is not.
+// TestTranscriptIsAnsweredByteForByte replays frames of two instances with all kinds of messages. It compares the
+// position of DEBUG lines, but not their text.
 func TestTranscriptIsAnsweredByteForByte(t *testing.T) {
 	in := testutil.ReadFile(t, "testdata/transcript.in")
 	var out bytes.Buffer
--- a/scheduler/listpoller_test.go
+++ b/scheduler/listpoller_test.go
@@ -7,38 +7,39 @@
 	"glenport/internal/testutil"
 )
 
-// polls reports whether the list is polled in a maintenance tick.
-func polls(s *Scheduler, now Time) bool {
+// pollsList reports whether the list is polled in a maintenance tick.
+func pollsList(s *Scheduler, now Time) bool {
 	return slices.Contains(runMaintenance(s, now), Action(WatchMachineList{true}))
 }
 
-// countPolls runs the maintenance for a while without answers.
+// countPolls runs the maintenance from one time to another, without answers, and counts the polls.
 func countPolls(s *Scheduler, from, to Time) int {
 	count := 0
 	for now := from; now <= to; now += Second / 4 {
-		if polls(s, now) {
+		if pollsList(s, now) {
 			count++
 		}
 	}
 	return count
 }
 
-// Schedulers that start together, or fail together, do not poll together: the list service answers few at a time.
+// The polls of schedulers that start at the same time, or whose polls fail at the same time, must be spread: the list
+// service can answer only a few at a time.
 func TestPollsOfManySchedulersAreSpread(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		schedulers int
-		downUntil  Time // polls fail so long
-		most       int  // polls by all schedulers in any half second
-		by         Time // every scheduler has its list
+		downUntil  Time // end of the outage of the list service
+		most       int  // maximum of polls by all schedulers in half a second
+		by         Time // time at which every scheduler must have the list
 	}{
 		{"few", 3, 0, 3, Second},
 		{"hundreds", 300, 0, 60, 6 * Second},
-		{"hundreds, the service away", 300, 20 * Second, 60, 31 * Second},
+		{"hundreds, list service down", 300, 20 * Second, 60, 31 * Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			all := pollingSchedulers(tc.schedulers)
-			pollsInHalfSecond, informed := make([]int, 200), 0
+			pollsInHalfSecond, listsReceived := make([]int, 200), 0
 			for now := Time(0); now <= tc.by; now += Second / 4 {
 				if now < tc.downUntil {
 					pollsInHalfSecond[now/(Second/2)] += pollAll(all, now, UpdateFailed)
@@ -46,10 +47,10 @@
 				}
 				answered := pollAll(all, now, FullSnapshot)
 				pollsInHalfSecond[now/(Second/2)] += answered
-				informed += answered
+				listsReceived += answered
 			}
-			if most := slices.Max(pollsInHalfSecond); informed != tc.schedulers || most > tc.most {
-				t.Errorf("%d informed, up to %d polls in half a second", informed, most)
+			if most := slices.Max(pollsInHalfSecond); listsReceived != tc.schedulers || most > tc.most {
+				t.Errorf("%d schedulers have the list, up to %d polls in half a second", listsReceived, most)
 			}
 		})
 	}
@@ -73,7 +74,7 @@
 func pollAll(all []*Scheduler, now Time, answer UpdateMode) int {
 	count := 0
 	for _, s := range all {
-		if polls(s, now) {
+		if pollsList(s, now) {
 			listMachines(s, now, answer)
 			count++
 		}
@@ -81,8 +82,8 @@
 	return count
 }
 
-// A start that a machine reports itself is taken up, and the poll that is due still comes, while any answer of the list
-// service ends it. The other machines stay as they were.
+// A start that a machine reports itself is applied, and leaves the other machines unchanged. It must not cancel a poll
+// that is due; only an answer of the list service does.
 func TestSelfReportedStartLeavesPollDue(t *testing.T) {
 	failed, delta := MachineListUpdate{Mode: UpdateFailed}, MachineListUpdate{Mode: DeltaUpdate}
 	for _, tc := range []struct {
@@ -93,7 +94,7 @@
 	}{
 		{"first poll of a new incarnation", nil, SelfReported, true},
 		{"list service unreachable", []Event{failed}, SelfReported, true},
-		{"list service unreachable for long", []Event{failed, failed, failed}, SelfReported, true},
+		{"list service unreachable for a long time", []Event{failed, failed, failed}, SelfReported, true},
 		{"list service answered before", []Event{delta}, SelfReported, false},
 		{"reported by the list service", []Event{failed}, DeltaUpdate, false},
 	} {
@@ -121,11 +122,11 @@
 	p.resetDelay()
 	for i, want := range []Time{300 * Millisecond, 600 * Millisecond, Second, Second} {
 		testutil.Expect(t, p.delay == want, "after %d failures the delay is %d, want %d", i, p.delay, want)
-		p.pollFailed(0)
-		testutil.Expect(t, !p.takeDue(0) && p.takeDue(want+Millisecond) && !p.takeDue(want+Millisecond),
-			"after %d failures the poll does not come once within its delay", i+1)
+		p.recordFailure(0)
+		testutil.Expect(t, !p.takeDuePoll(0) && p.takeDuePoll(want+Millisecond) && !p.takeDuePoll(want+Millisecond),
+			"after %d failures there is not exactly one poll within the delay", i+1)
 	}
-	if p.pollAnswered(); p.delay != 300*Millisecond || p.takeDue(Second) {
+	if p.recordAnswer(); p.delay != 300*Millisecond || p.takeDuePoll(Second) {
 		t.Errorf("after an answer the delay is %d", p.delay)
 	}
 }
--- a/scheduler/registries_test.go
+++ b/scheduler/registries_test.go
@@ -20,16 +20,16 @@
 	return strings.Join(names, " ")
 }
 
-func TestMachineRegistryKeepsWhatIsReferredTo(t *testing.T) {
+func TestMachineRegistryKeepsReferencedMachines(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		setup func(r *machineRegistry)
-		want  string // after a full snapshot that has b alone
+		want  string // machines after a full snapshot with b only
 	}{
 		{"gone", func(*machineRegistry) {}, "b"},
 		{"a container on it", func(r *machineRegistry) { r.findOrAdd("a").load.reserve(resources{1, 1}) }, "a b"},
 		{"a container that excludes it", func(r *machineRegistry) { (&container{}).exclude(r.findOrAdd("c")) }, "b c"},
-		{"sent to lately", func(r *machineRegistry) { r.slowStart.recordSend(r.findOrAdd("c"), 1) }, "b c"},
+		{"recent send", func(r *machineRegistry) { r.slowStart.recordSend(r.findOrAdd("c"), 1) }, "b c"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newTestRegistry(&actionBuffer{})
@@ -48,8 +48,8 @@
 	r := newTestRegistry(actions)
 	r.apply(MachineListUpdate{Entries: []MachineEntry{{Machine: "a", MachineType: 9}}}, 0)
 	const want = "machine of unknown type is not used machine=a machine_type=9"
-	if got, _ := lastAction(actions.collected()).(Log); got.String() != want || r.find("a") != nil {
-		t.Errorf("%v, machines %q", actions.collected(), registeredMachines(r))
+	if got, _ := lastAction(actions.batchActions()).(Log); got.String() != want || r.find("a") != nil {
+		t.Errorf("%v, machines %q", actions.batchActions(), registeredMachines(r))
 	}
 }
 
@@ -64,14 +64,14 @@
 	testutil.Expect(t, m.load.reservations == 1 && m.load.used == (resources{0.1, 1}) && quotas.cores[0] == 1,
 		"reserved %+v, tenants %v", m.load, quotas.cores)
 	r.close(c)
-	testutil.Expect(t, r.find("x") == c, "a container with an attempt out is dropped")
+	testutil.Expect(t, r.find("x") == c, "a container with an open attempt is removed")
 	r.endAttempt(c)
 	r.close(c)
 	testutil.Expect(t, m.load == (machineLoad{}) && quotas.cores[0] == 0 && len(r.containers)+len(r.services) == 0,
 		"left: %+v, tenants %v, %d containers, %d services", m.load, quotas.cores, len(r.containers), len(r.services))
 }
 
-func TestDeadlinesAreFoundByIDAndTheNextAhead(t *testing.T) {
+func TestDeadlinesWithinReturnsOverdueByIDAndNextDeadline(t *testing.T) {
 	config := testConfig(Idempotent)
 	r := newContainerRegistry(config.WorkloadClasses, newTenantQuotas(nil))
 	for id, deadline := range map[ContainerID]Time{"c": 10, "a": 20, "b": 40, "d": 50, "e": 900} {
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// random is SplitMix64: the sequences must not depend on the scheduler's own generator.
+// random is a SplitMix64 generator. The sequences must not depend on the scheduler's own generator.
 type random struct{ state uint64 }
 
 func (r *random) next() uint64 {
@@ -20,7 +20,7 @@
 
 func pick[T any](r *random, from ...T) T { return from[r.below(len(from))] }
 
-// simulatedFault is how a simulated machine treats attempts.
+// simulatedFault is the faulty behavior of a simulated machine.
 type simulatedFault uint8
 
 const (
@@ -31,51 +31,51 @@
 	failsOneClass  // no answer to one workload class
 	failsOneTenant // "full" without a reason to one tenant
 	resetting      // accepts, then loses its containers
-	drainingItself // refuses and sends away, before the machine list has it
+	drainingItself // refuses containers and sends them away before the machine list shows a drain
 	refusing       // always full
-	faults
+	faultCount
 )
 
-// sequenceOptions say what a sequence is about.
+// sequenceOptions are the parameters of a sequence.
 type sequenceOptions struct {
-	config    Config
-	machines  int
-	services  int
-	arrival   Time    // mean time between requests
-	size      float64 // mean cores of a request
-	runtime   Time    // mean
-	faults    []simulatedFault
-	faulty    float64 // part of the machines with a fault
-	lost      float64 // part of the attempts without any outcome
-	churn     Time    // mean time between changes of the fleet
-	restarts  bool    // of the scheduler
-	invalid   bool    // invalid events too
-	retries   float64 // part of the rejected requests that come again
-	listFails float64 // part of the polls
-	oneClass  bool    // the machines fail the same class
+	config            Config
+	machines          int
+	services          int
+	arrivalInterval   Time    // mean time between requests
+	size              float64 // mean cores of a request
+	runtime           Time    // mean runtime of a container
+	faults            []simulatedFault
+	faultyRatio       float64 // share of machines with a fault
+	unansweredRatio   float64 // share of attempts without any outcome
+	changeInterval    Time    // mean time between fleet changes
+	restarts          bool    // the scheduler restarts
+	withInvalidEvents bool    // the sequence has invalid events
+	retryRatio        float64 // share of rejected requests that the client retries
+	listFailureRatio  float64 // share of polls that fail
+	sameFailingClass  bool    // machines that fail a class all fail the same one
 
 	selfReports bool // machines report their starts themselves
 }
 
-// simulatedWorld answers the scheduler's actions.
-type simulatedWorld struct {
+// simulatedCluster simulates the machines and clients of a scheduler, and answers its actions.
+type simulatedCluster struct {
 	*sequenceOptions
-	random      *random
-	digest      *digest
-	scheduler   *Scheduler
-	now         Time
-	queue       []scheduled
-	scheduled   int
-	machines    []*simulatedMachine
-	byID        map[MachineID]*simulatedMachine
-	containers  map[ContainerID]*simulatedContainer
-	ids         []ContainerID // of all containers so far
-	version     int64
-	incarnation int // of the scheduler; attempts and timers of earlier ones are void
+	random         *random
+	digest         *digest
+	scheduler      *Scheduler
+	now            Time
+	queue          []scheduledStep
+	scheduledCount int
+	machines       []*simulatedMachine
+	byID           map[MachineID]*simulatedMachine
+	containers     map[ContainerID]*simulatedContainer
+	ids            []ContainerID // of all containers so far
+	version        int64
+	incarnation    int // of the scheduler; attempts and timers of earlier ones are dropped
 }
 
-// scheduled is something that happens at a time; besides returning events it may change the world.
-type scheduled struct {
+// scheduledStep is a step of the simulation at a time. It returns events and may change the cluster.
+type scheduledStep struct {
 	at     Time
 	number int
 	run    func() []Event
@@ -84,7 +84,7 @@
 type simulatedMachine struct {
 	entry         MachineEntry
 	fault         simulatedFault
-	class, tenant int // that it fails
+	class, tenant int // failed by failsOneClass and failsOneTenant
 	used          float64
 	memory        float64
 }
@@ -92,7 +92,7 @@
 type simulatedContainer struct {
 	request PlacementRequest
 	attempt int
-	at      *simulatedMachine
+	machine *simulatedMachine
 	running bool
 	ended   bool
 }
@@ -102,7 +102,7 @@
 	o := drawOptions(r)
 	g.adjust(r, o)
 	d.timers = map[string]uint64{}
-	w := &simulatedWorld{
+	sim := &simulatedCluster{
 		sequenceOptions: o,
 		random:          r,
 		digest:          d,
@@ -112,71 +112,71 @@
 		containers:      map[ContainerID]*simulatedContainer{},
 	}
 	for range o.machines {
-		w.addMachine(0)
+		sim.addMachine(0)
 	}
-	w.start()
-	w.after(0, w.arrive)
-	w.after(r.span(0, 2*o.churn), w.change)
+	sim.start()
+	sim.after(0, sim.arrive)
+	sim.after(r.span(0, 2*o.changeInterval), sim.change)
 	if o.restarts {
-		w.after(r.span(Second, 10*Second), w.restart)
+		sim.after(r.span(Second, 10*Second), sim.restart)
 	}
-	if o.invalid {
-		w.after(Second/10, w.invalidEvents)
+	if o.withInvalidEvents {
+		sim.after(Second/10, sim.invalidEvents)
 	}
-	end := w.now + pick(r,
+	end := sim.now + pick(r,
 		r.span(Second, 4*Second), r.span(Second, 4*Second), r.span(Second, 4*Second), r.span(6*Second, 16*Second))
-	for len(w.queue) > 0 && w.queue[0].at < end {
-		w.step()
+	for len(sim.queue) > 0 && sim.queue[0].at < end {
+		sim.step()
 	}
-	w.digest.fold(snapshotOrdinal, w.scheduler.Snapshot())
+	sim.digest.fold(snapshotOrdinal, sim.scheduler.Snapshot())
 }
 
-// step carries out what is due next, and sometimes what follows soon after in the same batch.
-func (w *simulatedWorld) step() {
-	w.now = max(w.now, w.queue[0].at)
-	if w.random.chance(0.2) {
-		w.now += w.random.span(0, 20*Millisecond)
+// step runs the steps that are due next in one batch, sometimes together with those that follow shortly after.
+func (sim *simulatedCluster) step() {
+	sim.now = max(sim.now, sim.queue[0].at)
+	if sim.random.chance(0.2) {
+		sim.now += sim.random.span(0, 20*Millisecond)
 	}
 	var events []Event
-	for len(w.queue) > 0 && w.queue[0].at <= w.now {
-		next := w.queue[0]
-		w.queue = w.queue[1:]
+	for len(sim.queue) > 0 && sim.queue[0].at <= sim.now {
+		next := sim.queue[0]
+		sim.queue = sim.queue[1:]
 		events = append(events, next.run()...)
 	}
-	w.handle(events)
+	sim.handle(events)
 	switch {
-	case w.random.chance(0.03):
-		w.digest.fold(explanationOrdinal, w.scheduler.Explain(w.request()))
-	case w.random.chance(0.01):
-		w.digest.fold(snapshotOrdinal, w.scheduler.Snapshot())
+	case sim.random.chance(0.03):
+		sim.digest.fold(explanationOrdinal, sim.scheduler.Explain(sim.request()))
+	case sim.random.chance(0.01):
+		sim.digest.fold(snapshotOrdinal, sim.scheduler.Snapshot())
 	}
 }
 
-func (w *simulatedWorld) handle(events []Event) {
-	actions := w.scheduler.Handle(w.now, events)
-	w.digest.batch(w.now, actions)
+func (sim *simulatedCluster) handle(events []Event) {
+	actions := sim.scheduler.Handle(sim.now, events)
+	sim.digest.batch(sim.now, actions)
 	for _, a := range actions {
-		w.react(a)
+		sim.applyAction(a)
 	}
 }
 
-func (w *simulatedWorld) after(span Time, run func() []Event) {
-	s := scheduled{w.now + max(0, span), w.scheduled, run}
-	w.scheduled++
-	i, _ := slices.BinarySearchFunc(w.queue, s, func(a, b scheduled) int {
+func (sim *simulatedCluster) after(span Time, run func() []Event) {
+	s := scheduledStep{sim.now + max(0, span), sim.scheduledCount, run}
+	sim.scheduledCount++
+	i, _ := slices.BinarySearchFunc(sim.queue, s, func(a, b scheduledStep) int {
 		if a.at != b.at {
 			return int(a.at - b.at)
 		}
 		return a.number - b.number
 	})
-	w.queue = slices.Insert(w.queue, i, s)
+	sim.queue = slices.Insert(sim.queue, i, s)
 }
 
-// afterUnlessRestarted drops what was meant for an earlier incarnation of the scheduler.
-func (w *simulatedWorld) afterUnlessRestarted(span Time, run func() []Event) {
-	incarnation := w.incarnation
-	w.after(span, func() []Event {
-		if w.incarnation != incarnation {
+// afterUnlessRestarted schedules a step that is dropped if the scheduler restarts before.
+func (sim *simulatedCluster) afterUnlessRestarted(span Time, run func() []Event) {
+	incarnation := sim.incarnation
+	sim.after(span, func() []Event {
+		if sim.incarnation != incarnation {
 			return nil
 		}
 		return run()
