--- a/internal/schedulerd/attempt.go
+++ b/internal/schedulerd/attempt.go
@@ -43,7 +43,7 @@
 // stale reports whether what a queued attempt was decided on has changed: the machine drains, is gone or has restarted,
 // or more containers of the service were found running.
 func (a *attempt) stale() bool {
-	return a.machine.unfitSince(a.machineIncarnation) ||
+	return a.machine.unavailableSince(a.machineIncarnation) ||
 		a.machine.adoptedSince(a.request().Service, a.adoptionsBefore)
 }
 
--- a/internal/schedulerd/attempt_test.go
+++ b/internal/schedulerd/attempt_test.go
@@ -33,7 +33,7 @@
 	})
 }
 
-func refuseWith(outcome protocol.Outcome, reason protocol.Reason) machineServer {
+func respondWithResult(outcome protocol.Outcome, reason protocol.Reason) machineServer {
 	report := map[string]float64{"queue": 3}
 	return respondToOffer(func(o *protocol.Offer) []protocol.Frame {
 		return []protocol.Frame{
@@ -69,14 +69,14 @@
 	}
 }
 
-func nobodyListens(t *testing.T) string {
+func noListener(t *testing.T) string {
 	t.Helper()
 	l := testutil.Listen(t)
-	defer closeAgain(l)
+	defer closeIgnoringError(l)
 	return l.Addr().String()
 }
 
-func neverSaysHello(t *testing.T) string {
+func withoutHello(t *testing.T) string {
 	t.Helper()
 	return testutil.ServeUntilEnd(t, func(c net.Conn) {
 		buffer := make([]byte, 1000)
@@ -102,7 +102,7 @@
 }
 
 // Each outcome of the scheduler's contract arises from what happens on a socket.
-func TestEveryOutcomeArisesOnSockets(t *testing.T) {
+func TestEveryOutcomeOverSockets(t *testing.T) {
 	unexpectedFrame := respondToOffer(func(*protocol.Offer) []protocol.Frame {
 		return []protocol.Frame{&protocol.Submit{TimeToDeadline: 1, Spec: specFor("x", classIdempotent)}}
 	})
@@ -116,8 +116,8 @@
 		machine machineServer
 		want    expectedEnd
 	}{
-		{"full", refuseWith(protocol.OutcomeFull, protocol.ReasonNoMemory), full},
-		{"errored", refuseWith(protocol.OutcomeErrored, 0), failed(scheduler.OutcomeErrored)},
+		{"full", respondWithResult(protocol.OutcomeFull, protocol.ReasonNoMemory), full},
+		{"errored", respondWithResult(protocol.OutcomeErrored, 0), failed(scheduler.OutcomeErrored)},
 		{"finished", acceptThenEnd(protocol.OutcomeFinished, 0), finished},
 		{"out of memory", acceptThenEnd(protocol.OutcomeLost, protocol.ReasonOutOfMemory), outOfMemory},
 		{"drained", acceptThenEnd(protocol.OutcomeLost, protocol.ReasonDrained), drained},
@@ -125,8 +125,8 @@
 		{"connection closed between offer and answer", serveOffers(closeOnOffer), failed(scheduler.OutcomeLost)},
 		{"connection reset between offer and answer", serveOffers(resetOnOffer), failed(scheduler.OutcomeLost)},
 		{"unexpected frame for an answer", unexpectedFrame, failed(scheduler.OutcomeLost)},
-		{"nobody listens", nobodyListens, unreached},
-		{"accepts the connection and never says hello", neverSaysHello, unreached},
+		{"nobody listens", noListener, unreached},
+		{"accepts the connection and never says hello", withoutHello, unreached},
 		{"another machine answers", ignoreOffers("b"), unreached},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -147,7 +147,7 @@
 
 // A machine counts the timeout of an offer from when it receives it. Where the process stalls within an iteration, as
 // beside other load, the offer has what is left of its time then, and none is sent once that is over.
-func TestOfferTimeoutCountsFromItsSending(t *testing.T) {
+func TestOfferTimeoutIsTheTimeLeftWhenSent(t *testing.T) {
 	const timeout, stall = scheduler.Second, 20 * eventloop.Millisecond
 	loops := make(chan *eventloop.Loop, 1)
 	stalled := func(e scheduler.Event) []scheduler.Action {
@@ -176,7 +176,7 @@
 
 // A machine that never reads blocks its own output alone: no more is sent to it, and other clients are served
 // meanwhile.
-func TestMachineThatNeverReadsIsNotSentMore(t *testing.T) {
+func TestMachineThatDoesNotReadGetsNoMoreOffers(t *testing.T) {
 	done := make(chan struct{})
 	address := testutil.ServeUntilEnd(t, func(c net.Conn) {
 		frames.Skip(c)
@@ -220,7 +220,7 @@
 		frames.Skip(c)
 		sendHello(c, "a", 1, &protocol.Inventory{})
 		frames.Handle(c, frames.OnOffer(acceptOffer))
-		closeAgain(c)
+		closeIgnoringError(c)
 		closed <- struct{}{}
 	})
 	h := startWithMachineA(t, testConfig(t), attemptOn(0), address)
--- a/internal/schedulerd/attemptstate.go
+++ b/internal/schedulerd/attemptstate.go
@@ -58,7 +58,7 @@
 
 // transition is the one place where the state of an attempt changes.
 func (a *attempt) transition(event attemptEvent) bool {
-	return a.machine.registry.transitionMade(attemptTransitions.Apply("attempt", &a.state, event))
+	return a.machine.registry.checkTransition(attemptTransitions.Apply("attempt", &a.state, event))
 }
 
 func (s attemptState) accepted() bool { return s == attemptRunning || s == attemptTerminating }
--- a/internal/schedulerd/clientconn.go
+++ b/internal/schedulerd/clientconn.go
@@ -87,11 +87,11 @@
 		return
 	}
 	if err := c.conn.Write(encoded); err != nil {
-		c.writeFailed(err)
+		c.handleWriteError(err)
 	}
 }
 
-func (c *clientConn) writeFailed(err error) {
+func (c *clientConn) handleWriteError(err error) {
 	c.registry.stats.countUndelivered()
 	c.transition(clientWriteFailed)
 	c.registry.logConnectionClosed(c.name, fmt.Errorf("%w: %d bytes pending", err, c.conn.PendingOutput()))
@@ -101,10 +101,10 @@
 func (c *clientConn) checkTimeouts(now eventloop.Tick) {
 	switch {
 	case c.role == 0 && now-c.acceptedAt > helloTimeout:
-		c.registry.logConnectionClosed(c.name, after(errNoHello, now-c.acceptedAt))
+		c.registry.logConnectionClosed(c.name, withDuration(errNoHello, now-c.acceptedAt))
 		c.disconnect(reasonNoHello)
 	case c.partial.overdue(now, c.registry.config.SilenceTimeout):
-		c.registry.logConnectionClosed(c.name, after(errPartialFrame, c.partial.age(now)))
+		c.registry.logConnectionClosed(c.name, withDuration(errPartialFrame, c.partial.age(now)))
 		c.disconnect(reasonPartialFrame)
 	}
 }
@@ -133,7 +133,7 @@
 	case *protocol.Goodbye:
 		c.disconnect(reasonGoodbye)
 	default:
-		return unexpectedFromClient(f)
+		return unexpectedClientFrameError(f)
 	}
 	return nil
 }
@@ -149,13 +149,13 @@
 		c.transition(clientHelloReceived)
 		return nil
 	default:
-		return wrongClient(f.Role)
+		return wrongClientError(f.Role)
 	}
 }
 
 func (c *clientConn) handleSubmit(f *protocol.Submit) {
-	request := requestOf(&f.Spec)
+	request := requestFromSpec(&f.Spec)
 	request.Deadline = c.registry.now() + scheduler.Time(f.TimeToDeadline)
-	c.registry.submitted(request.ID)
+	c.registry.recordSubmission(request.ID)
 	c.registry.decisions.notifyReconciler(reconcile.PlacementRequested{Client: c.id, Request: request})
 }
--- a/internal/schedulerd/clientconn_test.go
+++ b/internal/schedulerd/clientconn_test.go
@@ -12,11 +12,11 @@
 	"glenport/internal/testutil/frames"
 )
 
-// goodbyeTo sends bytes to the server, one by one, and returns the reason of its Goodbye.
-func goodbyeTo(t *testing.T, address string, sent []byte, pause time.Duration) string {
+// receiveGoodbye sends bytes to the server, one by one, and returns the reason of its Goodbye.
+func receiveGoodbye(t *testing.T, address string, sent []byte, pause time.Duration) string {
 	t.Helper()
 	c := dial(t, address)
-	defer closeAgain(c)
+	defer closeIgnoringError(c)
 	frames.Skip(c) // the hello
 	go func() {
 		for i := range sent {
@@ -39,7 +39,7 @@
 }
 
 // What exceeds the bounds, garbage, and frames that never end are refused with a reason; other clients are served.
-func TestListenerRejectsWhatExceedsItsBounds(t *testing.T) {
+func TestListenerRejectsInvalidAndExcessInput(t *testing.T) {
 	settings := testConfig(t)
 	settings.Limits.OpenRequests, settings.Limits.Clients, settings.SilenceTimeout = 2, 2, 5000
 	h := startHarness(t, settings, nil, nil)
@@ -67,12 +67,12 @@
 		{"one byte at a time, without end", fromScheduler(endless...), 50 * time.Millisecond, "half a frame"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := goodbyeTo(t, h.server.Addr(), tc.sent, tc.pause)
+			got := receiveGoodbye(t, h.server.Addr(), tc.sent, tc.pause)
 			testutil.Expect(t, strings.Contains(got, tc.want), "got %q, want %q", got, tc.want)
 		})
 	}
 	dialClient(t, h.server.Addr()) // the second
-	third := goodbyeTo(t, h.server.Addr(), encodedHello(t, protocol.RoleClient), 0)
+	third := receiveGoodbye(t, h.server.Addr(), encodedHello(t, protocol.RoleClient), 0)
 	testutil.Expect(t, strings.Contains(third, "2 owners are connected"), "a third client gets %q", third)
 	frames.Send(h.client, &protocol.CancelContainer{ContainerID: "x"})
 	if reply := h.client.wantReply(protocol.VerdictFailed); reply.ContainerID != "x" {
--- a/internal/schedulerd/clients.go
+++ b/internal/schedulerd/clients.go
@@ -15,7 +15,7 @@
 	decisions   *decisions
 	inspector   *inspector
 	routes      *routeAnnouncer
-	connected   map[reconcile.ClientID]*clientConn
+	byID        map[reconcile.ClientID]*clientConn
 	lastID      reconcile.ClientID
 	submittedAt map[scheduler.ContainerID]time.Duration // of the requests of this iteration
 }
@@ -29,36 +29,36 @@
 	}, r.config.MaxOutput
 }
 
-func (r *clientRegistry) add(c *clientConn) { r.connected[c.id] = c }
+func (r *clientRegistry) add(c *clientConn) { r.byID[c.id] = c }
 
-func (r *clientRegistry) remove(c *clientConn) { delete(r.connected, c.id) }
+func (r *clientRegistry) remove(c *clientConn) { delete(r.byID, c.id) }
 
-func (r *clientRegistry) count() int { return len(r.connected) }
+func (r *clientRegistry) count() int { return len(r.byID) }
 
 // find returns nil if the client has gone.
-func (r *clientRegistry) find(id reconcile.ClientID) *clientConn { return r.connected[id] }
+func (r *clientRegistry) find(id reconcile.ClientID) *clientConn { return r.byID[id] }
 
 // send sends a frame to a client that may have gone.
 func (r *clientRegistry) send(id reconcile.ClientID, f protocol.Frame) {
-	if client := r.connected[id]; client != nil {
+	if client := r.byID[id]; client != nil {
 		client.send(f)
 	}
 }
 
 func (r *clientRegistry) disconnect(action reconcile.CloseClient) {
-	if client := r.connected[action.Client]; client != nil {
+	if client := r.byID[action.Client]; client != nil {
 		client.disconnect(action.Reason.Error())
 	}
 }
 
 func (r *clientRegistry) checkTimeouts(now eventloop.Tick) {
-	for _, client := range r.connected {
+	for _, client := range r.byID {
 		client.checkTimeouts(now)
 	}
 }
 
-// submitted counts a request and notes when it was submitted.
-func (r *clientRegistry) submitted(id scheduler.ContainerID) {
+// recordSubmission counts a request and notes when it was submitted.
+func (r *clientRegistry) recordSubmission(id scheduler.ContainerID) {
 	r.stats.countSubmission()
 	r.submittedAt[id] = r.loop.Elapsed()
 }
@@ -67,5 +67,5 @@
 	return r.submittedAt[id]
 }
 
-// forgetSubmissions ends an iteration: its requests are admitted or rejected.
-func (r *clientRegistry) forgetSubmissions() { clear(r.submittedAt) }
+// clearSubmissions ends an iteration: its requests are admitted or rejected.
+func (r *clientRegistry) clearSubmissions() { clear(r.submittedAt) }
--- a/internal/schedulerd/clientstate.go
+++ b/internal/schedulerd/clientstate.go
@@ -49,7 +49,7 @@
 
 // transition is the one place where the state of an accepted connection changes.
 func (c *clientConn) transition(event clientEvent) bool {
-	return c.registry.transitionMade(clientTransitions.Apply("client connection", &c.state, event))
+	return c.registry.checkTransition(clientTransitions.Apply("client connection", &c.state, event))
 }
 
 // disconnected reports whether nothing more is read or sent.
--- a/internal/schedulerd/connstate.go
+++ b/internal/schedulerd/connstate.go
@@ -44,5 +44,5 @@
 
 // transition is the one place where the state of the connection to a machine changes.
 func (c *machineConn) transition(event machineConnEvent) bool {
-	return c.machine.registry.transitionMade(machineConnTransitions.Apply("machine connection", &c.state, event))
+	return c.machine.registry.checkTransition(machineConnTransitions.Apply("machine connection", &c.state, event))
 }
--- a/internal/schedulerd/containers.go
+++ b/internal/schedulerd/containers.go
@@ -41,8 +41,8 @@
 	r.decisions.notifyScheduler(scheduler.RequestReceived{PlacementRequest: action.Request})
 }
 
-// refuse answers a request that is not admitted.
-func (r *containerRegistry) refuse(action reconcile.Reject) {
+// replyNotAdmitted answers a request that is not admitted.
+func (r *containerRegistry) replyNotAdmitted(action reconcile.Reject) {
 	r.stats.countAnswer(protocol.VerdictNotAdmitted)
 	r.clients.send(action.Client, &protocol.PlacementReply{
 		ContainerID: string(action.ID), Verdict: protocol.VerdictNotAdmitted,
@@ -141,8 +141,8 @@
 	r.decisions.notifyReconciler(reconcile.RequestFailed{ID: c.request.ID})
 }
 
-// lost ends a container whose machine is lost, or silent for too long. In the second case it may still run.
-func (r *containerRegistry) lost(action reconcile.ContainerLost) {
+// handleLost ends a container whose machine is lost, or silent for too long. In the second case it may still run.
+func (r *containerRegistry) handleLost(action reconcile.ContainerLost) {
 	c := r.byID[action.ID]
 	if c == nil {
 		return
@@ -152,7 +152,7 @@
 		return
 	}
 	if !action.Confirmed {
-		r.dispatcher.outcomeUnknown(a)
+		r.dispatcher.reportOutcomeUnknown(a)
 	}
 	r.dispatcher.end(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost, Final: true})
 }
@@ -166,9 +166,9 @@
 	c := &container{request: found.Request, answered: true}
 	r.dispatcher.adopt(c, m, found)
 	r.byID[found.Request.ID] = c
-	r.stats.containerAdopted()
+	r.stats.countAdopted()
 	if found.Running {
-		r.routes.containerRunning(c.currentAttempt())
+		r.routes.updateContainer(c.currentAttempt())
 	}
 	r.decisions.notifyScheduler(scheduler.ContainerAdopted{PlacementRequest: found.Request, Machine: m.id})
 }
--- a/internal/schedulerd/discovery_test.go
+++ b/internal/schedulerd/discovery_test.go
@@ -13,20 +13,20 @@
 	"glenport/scheduler"
 )
 
-// flakyList is a list service that may be away. It reports the version since which updates are requested.
-type flakyList struct {
-	away      atomic.Bool
-	requested chan int64
-	list      *protocol.MachineListUpdate
+// flakyListService is a list service that may be away. It reports the version since which updates are requested.
+type flakyListService struct {
+	unavailable atomic.Bool
+	requested   chan int64
+	list        *protocol.MachineListUpdate
 }
 
-func (l *flakyList) serve(c net.Conn) {
-	if l.away.Load() {
+func (l *flakyListService) serve(c net.Conn) {
+	if l.unavailable.Load() {
 		return
 	}
 	frames.Send(c, listHello())
 	frames.Handle(c, func(c net.Conn, f protocol.Frame) bool {
-		if l.away.Load() {
+		if l.unavailable.Load() {
 			return false
 		}
 		if w, ok := f.(*protocol.WatchMachineList); ok {
@@ -37,7 +37,7 @@
 	})
 }
 
-func (l *flakyList) awaitRequest(t *testing.T, since int64) {
+func (l *flakyListService) awaitRequest(t *testing.T, since int64) {
 	t.Helper()
 	select {
 	case got := <-l.requested:
@@ -52,7 +52,7 @@
 func TestListIsRequestedAgainAfterMachineHello(t *testing.T) {
 	machineAddress, hello, _ := serveSlowMachine(t, "a")
 	entry := protocol.MachineEntry{Machine: "a", Address: machineAddress, Incarnation: 1, Age: -1}
-	service := &flakyList{requested: make(chan int64, 100), list: fullList(5, entry)}
+	service := &flakyListService{requested: make(chan int64, 100), list: fullList(5, entry)}
 	settings := testConfig(t)
 	settings.ConnectTimeout = 10 * eventloop.Second
 	settings.Policy.ResyncInterval, settings.Policy.SchedulerCount = scheduler.Second, 1
@@ -60,12 +60,12 @@
 	server, _ := runServer(t, settings, scheduler.New(settings.Policy))
 	service.awaitRequest(t, 0)
 	eventually(t, server, func() bool { return server.discovery.LastVersion() == 5 })
-	service.away.Store(true)
+	service.unavailable.Store(true)
 	runOnLoop(server, func() { server.discovery.Conn().Reset() })
 	eventually(t, server, func() bool { return server.discovery.Conn() == nil })
 	hello <- 2
 	eventually(t, server, func() bool { return server.machines.find("a").selfReported })
-	service.away.Store(false)
+	service.unavailable.Store(false)
 	service.awaitRequest(t, 5)
 }
 
--- a/internal/schedulerd/dispatcher.go
+++ b/internal/schedulerd/dispatcher.go
@@ -62,11 +62,11 @@
 		state:              attemptQueued,
 		decidedAt:          now,
 		deadline:           deadline,
-		machineIncarnation: m.start().Incarnation,
+		machineIncarnation: m.machineStart().Incarnation,
 		adoptionsBefore:    d.adoptions.Count(),
 	}
 	a.ordinal = c.beginAttempt(a)
-	a.timer = d.loop.After(deadline-now, func() { d.timedOut(a) })
+	a.timer = d.loop.After(deadline-now, func() { d.handleTimeout(a) })
 	return a
 }
 
@@ -77,12 +77,12 @@
 		a.inLog = true
 		d.state.putAttempt(a.record())
 	}
-	sendCounted := d.state.logSend(a.machine.id, a.machine.start())
+	sendCounted := d.state.logSend(a.machine.id, a.machine.machineStart())
 	if !write && !sendCounted {
 		return
 	}
 	a.transition(attemptLogRequired)
-	logged := func(err error) { d.logged(a, err) }
+	logged := func(err error) { d.handleLogged(a, err) }
 	if sync {
 		d.state.afterSync(logged)
 	} else {
@@ -90,11 +90,11 @@
 	}
 }
 
-// logged sends an attempt that waited for the log. One that could not be logged is never sent.
-func (d *attemptDispatcher) logged(a *attempt, err error) {
+// handleLogged sends an attempt that waited for the log. One that could not be logged is never sent.
+func (d *attemptDispatcher) handleLogged(a *attempt, err error) {
 	if err != nil {
 		if a.machine.dequeue(a) {
-			d.notSent(a)
+			d.endNotSent(a)
 		}
 		return
 	}
@@ -111,7 +111,7 @@
 	m.enqueue(a)
 	d.loop.After(d.config.ConnectTimeout, func() {
 		if m.dequeue(a) {
-			d.unreached(a)
+			d.endUnreached(a)
 		}
 	})
 	m.connect()
@@ -120,49 +120,49 @@
 // send offers an attempt to its machine, which is ready.
 func (d *attemptDispatcher) send(a *attempt) {
 	if !a.machine.offer(a) {
-		d.notSent(a)
+		d.endNotSent(a)
 		return
 	}
 	a.transition(attemptOfferSent)
 	d.stats.countAttempt()
 	if submittedAt, first := a.container.firstAttempt(); first {
-		d.stats.measureLatency(submittedAt)
+		d.stats.addFirstAttempt(submittedAt)
 	}
 }
 
-// unreached ends an attempt whose machine was not reached in time. If the connection is ready the attempt waited for
+// endUnreached ends an attempt whose machine was not reached in time. If the connection is ready the attempt waited for
 // the log, which is no failure of the machine.
-func (d *attemptDispatcher) unreached(a *attempt) {
+func (d *attemptDispatcher) endUnreached(a *attempt) {
 	if a.awaitsLog() || a.machine.ready() {
-		d.notSent(a)
+		d.endNotSent(a)
 		return
 	}
 	d.stats.countOutcome(statConnectFailed)
 	d.end(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeConnectFailed})
 }
 
-func (d *attemptDispatcher) notSent(a *attempt) {
+func (d *attemptDispatcher) endNotSent(a *attempt) {
 	d.stats.countOutcome(statNotSent)
 	d.end(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
 }
 
-func (d *attemptDispatcher) timedOut(a *attempt) {
+func (d *attemptDispatcher) handleTimeout(a *attempt) {
 	a.timer = nil
 	if a.unsent() {
 		a.machine.dequeue(a)
-		d.unreached(a)
+		d.endUnreached(a)
 		return
 	}
 	d.stats.countOutcome(statTimedOut)
 	a.machine.expire(a)
-	d.outcomeUnknown(a)
+	d.reportOutcomeUnknown(a)
 	d.end(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeTimedOut})
 }
 
-// connectionLost ends an attempt that was sent and has no answer.
-func (d *attemptDispatcher) connectionLost(a *attempt) {
+// endConnectionLost ends an attempt that was sent and has no answer.
+func (d *attemptDispatcher) endConnectionLost(a *attempt) {
 	d.stats.countOutcome(statConnectionLost)
-	d.outcomeUnknown(a)
+	d.reportOutcomeUnknown(a)
 	d.end(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost})
 }
 
@@ -175,8 +175,8 @@
 	c, id := a.container, a.request().ID
 	d.loop.Cancel(a.timer)
 	a.timer = nil
-	d.stats.containerStarted()
-	d.routes.containerRunning(a)
+	d.stats.countStarted()
+	d.routes.updateContainer(a)
 	d.decisions.notifyReconciler(reconcile.AttemptAccepted{ID: id, Machine: a.machine.id, Attempt: a.number})
 	if c.isAnswered() { // too late for the client: the container is known until it ends
 		d.decisions.notifyReconciler(reconcile.LateAccept{Attempt: a.record()})
@@ -188,8 +188,8 @@
 	d.containers.answerPlaced(c, a.machine.id)
 }
 
-// cancelUnanswered cancels an attempt that the scheduler does not want to wait for any longer.
-func (d *attemptDispatcher) cancelUnanswered(action scheduler.CancelAttempt) {
+// cancelPending cancels an attempt that the scheduler does not want to wait for any longer.
+func (d *attemptDispatcher) cancelPending(action scheduler.CancelAttempt) {
 	c := d.containers.find(action.ID)
 	if c == nil {
 		return
@@ -218,8 +218,8 @@
 	a.machine.cancel(a.incarnation, a.number)
 }
 
-// outcomeUnknown leaves it to the reconciler when the log may forget an attempt: it may run though it has ended here.
-func (d *attemptDispatcher) outcomeUnknown(a *attempt) {
+// reportOutcomeUnknown leaves it to the reconciler when the log may forget an attempt: it may run though it has ended here.
+func (d *attemptDispatcher) reportOutcomeUnknown(a *attempt) {
 	d.decisions.notifyReconciler(reconcile.AttemptOutcomeUnknown{Attempt: a.record()})
 	a.inLog = false
 }
@@ -235,7 +235,7 @@
 	m.untrack(a)
 	c.endAttempt()
 	if before == attemptOffered && ended.Outcome == scheduler.OutcomeStopped { // the cancel may come too late
-		d.outcomeUnknown(a)
+		d.reportOutcomeUnknown(a)
 	}
 	if a.inLog {
 		d.state.removeAttempt(a.number)
@@ -244,8 +244,8 @@
 	ended.Elapsed = d.elapsed(a)
 	ended.Final = ended.Final || c.isAnswered()
 	if before.accepted() {
-		d.stats.containerEnded()
-		d.routes.containerEnded(a)
+		d.stats.countEnded()
+		d.routes.removeContainer(a)
 		c.notifyTerminated(m.id, ended)
 	}
 	d.decisions.notifyScheduler(ended)
--- a/internal/schedulerd/errors.go
+++ b/internal/schedulerd/errors.go
@@ -23,56 +23,56 @@
 // peerError is a fault of a machine or a client. Its text is sent to the peer in a Goodbye: it is part of the wire and
 // must not change. The log shows fault and detail instead.
 type peerError struct {
-	fault  error
+	cause  error
 	detail string
 	text   string
 }
 
 func (e *peerError) Error() string { return e.text }
 
-func (e *peerError) Unwrap() error { return e.fault }
+func (e *peerError) Unwrap() error { return e.cause }
 
 // LogValue implements slog.LogValuer.
 func (e *peerError) LogValue() slog.Value {
 	if e.detail == "" {
-		return slog.StringValue(e.fault.Error())
+		return slog.StringValue(e.cause.Error())
 	}
-	return slog.StringValue(e.fault.Error() + ": " + e.detail)
+	return slog.StringValue(e.cause.Error() + ": " + e.detail)
 }
 
-func duplicateInventory() error {
-	return &peerError{fault: errDuplicateInventory, text: "says twice what it holds"}
+func duplicateInventoryError() error {
+	return &peerError{cause: errDuplicateInventory, text: "says twice what it holds"}
 }
 
-func machineGoodbye(f *protocol.Goodbye) error {
-	return &peerError{fault: errPeerGoodbye, detail: f.Message, text: "machine says: " + f.Message}
+func machineGoodbyeError(f *protocol.Goodbye) error {
+	return &peerError{cause: errPeerGoodbye, detail: f.Message, text: "machine says: " + f.Message}
 }
 
-func wrongMachine(f *protocol.Hello, want string) error {
+func wrongMachineError(f *protocol.Hello, want string) error {
 	return &peerError{
-		fault: errUnexpectedPeer, detail: fmt.Sprintf("%s %q instead of machine %s", f.Role, f.Name, want),
+		cause: errUnexpectedPeer, detail: fmt.Sprintf("%s %q instead of machine %s", f.Role, f.Name, want),
 		text: fmt.Sprintf("%s %q answers where machine %s was called", f.Role, f.Name, want),
 	}
 }
 
-func wrongClient(role protocol.Role) error {
+func wrongClientError(role protocol.Role) error {
 	return &peerError{
-		fault:  errUnexpectedPeer,
+		cause:  errUnexpectedPeer,
 		detail: role.String(),
 		text:   fmt.Sprintf("a %s has no business at this door", role),
 	}
 }
 
-func unexpectedFromMachine(f protocol.Frame) error { return unexpectedFrame(f, "a placer") }
+func unexpectedMachineFrameError(f protocol.Frame) error { return unexpectedFrameError(f, "a placer") }
 
-func unexpectedFromClient(f protocol.Frame) error { return unexpectedFrame(f, "the door") }
+func unexpectedClientFrameError(f protocol.Frame) error { return unexpectedFrameError(f, "the door") }
 
-func unexpectedFrame(f protocol.Frame, receiver string) error {
+func unexpectedFrameError(f protocol.Frame, receiver string) error {
 	name := protocol.Name(f)
-	return &peerError{fault: errUnexpectedFrame, detail: name, text: name + " is not for " + receiver}
+	return &peerError{cause: errUnexpectedFrame, detail: name, text: name + " is not for " + receiver}
 }
 
-// after adds to a fault how long it has lasted.
-func after(fault error, waited eventloop.Tick) error {
+// withDuration adds to a fault how long it has lasted.
+func withDuration(fault error, waited eventloop.Tick) error {
 	return fmt.Errorf("%w for %d ms", fault, waited/eventloop.Millisecond)
 }
--- a/internal/schedulerd/errors_test.go
+++ b/internal/schedulerd/errors_test.go
@@ -11,7 +11,7 @@
 )
 
 // The texts are sent in a Goodbye: they are part of the wire.
-func TestFaultsOfPeersAreTypedAndKeepTheirTexts(t *testing.T) {
+func TestPeerErrorsKeepTheirTypeAndText(t *testing.T) {
 	m := &machine{id: "a"}
 	ready := &machine{id: "a", conn: machineConn{state: machineReady}}
 	client := &clientConn{}
@@ -63,8 +63,8 @@
 	}
 }
 
-func TestDurationOfAFaultIsInMilliseconds(t *testing.T) {
-	err := after(errSilent, eventloop.Tick(3*scheduler.Second))
+func TestErrorDurationIsInMilliseconds(t *testing.T) {
+	err := withDuration(errSilent, eventloop.Tick(3*scheduler.Second))
 	testutil.Expect(t, errors.Is(err, errSilent) && err.Error() == "no complete frame received for 3000 ms",
 		"got %v", err)
 }
--- a/internal/schedulerd/expired.go
+++ b/internal/schedulerd/expired.go
@@ -15,8 +15,8 @@
 	requests map[uint64]scheduler.PlacementRequest // by number of the attempt
 }
 
-// remember keeps the request of an attempt for lateAcceptWindow.
-func (e *expiredAttempts) remember(a *attempt) {
+// add keeps the request of an attempt for lateAcceptWindow.
+func (e *expiredAttempts) add(a *attempt) {
 	number := a.number
 	e.requests[number] = *a.request()
 	e.machine.registry.loop.After(lateAcceptWindow, func() { delete(e.requests, number) })
@@ -24,8 +24,8 @@
 
 func (e *expiredAttempts) clear() { clear(e.requests) }
 
-// acceptReceived hands on that an attempt runs although it is over.
-func (e *expiredAttempts) acceptReceived(number uint64) {
+// handleAccept hands on that an attempt runs although it is over.
+func (e *expiredAttempts) handleAccept(number uint64) {
 	if a, ok := e.take(number); ok {
 		a.Running = true
 		e.machine.registry.stats.countOutcome(statLateAccept)
@@ -33,8 +33,8 @@
 	}
 }
 
-// resultReceived hands on that an attempt does not run.
-func (e *expiredAttempts) resultReceived(number uint64) {
+// handleResult hands on that an attempt does not run.
+func (e *expiredAttempts) handleResult(number uint64) {
 	if a, ok := e.take(number); ok {
 		e.machine.registry.decisions.notifyReconciler(reconcile.AttemptNotRunning{Attempt: a})
 	}
--- a/internal/schedulerd/faultydir_test.go
+++ b/internal/schedulerd/faultydir_test.go
@@ -71,7 +71,7 @@
 	t.Helper()
 	d, err := vfs.OpenLocked(path)
 	testutil.NoError(t, err)
-	defer closeAgain(d)
+	defer closeIgnoringError(d)
 	records, err := wal.Load(d, false)
 	testutil.NoError(t, err)
 	testutil.NoError(t, records.ForEach(kind, func(string, []byte) error { n++; return nil }))
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -98,7 +98,7 @@
 }
 
 // Run on the program that first wrote the data, with -update, this makes the golden files.
-func TestWritingPathGivesGoldenBytes(t *testing.T) {
+func TestStateIsWrittenAsGoldenBytes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	writeGoldenState(t, path)
 	if golden.Updating() {
@@ -106,7 +106,7 @@
 		testutil.NoError(t, os.CopyFS(goldenState, os.DirFS(path)))
 		testutil.WriteFile(t, goldenList, goldenListFile(t))
 		testutil.WriteFile(t, goldenText, []byte(describeState(t, goldenState)))
-		testutil.WriteFile(t, goldenExport, exported(t, goldenSnapshot()))
+		testutil.WriteFile(t, goldenExport, exportJSON(t, goldenSnapshot()))
 	}
 	want, err := os.ReadDir(goldenState)
 	testutil.NoError(t, err)
@@ -124,7 +124,7 @@
 	if got := describeState(t, path); got != string(testutil.ReadFile(t, goldenText)) {
 		t.Errorf("the records are named otherwise:\n%s", got)
 	}
-	if got := exported(t, goldenSnapshot()); !bytes.Equal(got, testutil.ReadFile(t, goldenExport)) {
+	if got := exportJSON(t, goldenSnapshot()); !bytes.Equal(got, testutil.ReadFile(t, goldenExport)) {
 		t.Errorf("the export is\n%s", got)
 	}
 }
@@ -189,7 +189,7 @@
 func TestInfiniteThresholdIsStored(t *testing.T) {
 	d, err := vfs.OpenLocked(t.TempDir())
 	testutil.NoError(t, err)
-	defer closeAgain(d)
+	defer closeIgnoringError(d)
 	want := &WarmStartSnapshot{Learned: scheduler.Snapshot{TrafficClasses: []scheduler.TrafficClass{
 		{LossRatio: 0.5, SuspicionThreshold: math.Inf(1)},
 	}}}
@@ -285,8 +285,8 @@
 	return append(lines, fmt.Sprintf("%s = %v", path, v))
 }
 
-// exported is a snapshot as `glenport state export` writes it, indented.
-func exported(t *testing.T, k *WarmStartSnapshot) []byte {
+// exportJSON is a snapshot as `glenport state export` writes it, indented.
+func exportJSON(t *testing.T, k *WarmStartSnapshot) []byte {
 	t.Helper()
 	p, err := json.MarshalIndent(k, "", "  ")
 	testutil.NoError(t, err)
--- a/internal/schedulerd/goldendata_test.go
+++ b/internal/schedulerd/goldendata_test.go
@@ -80,7 +80,7 @@
 		Learned:         goldenLearned,
 		Incarnations:    map[scheduler.MachineID]uint64{"machine-seven": 207},
 		ListVersion:     301,
-		Entries:         []entryRecord{recordOfEntry(goldenEntries[0]), recordOfEntry(goldenEntries[1])},
+		Entries:         []entryRecord{newEntryRecord(goldenEntries[0]), newEntryRecord(goldenEntries[1])},
 		OrderlyShutdown: true,
 		Overload: &overload.Snapshot{
 			Limit: 91.5, Throughput: 92.5, Latency: []float64{0.71, 0.72}, BaselineLatency: []float64{0.81, 0.82},
--- a/internal/schedulerd/helpers_test.go
+++ b/internal/schedulerd/helpers_test.go
@@ -59,8 +59,8 @@
 	return err
 }
 
-// closeAgain closes what may be closed already, and ignores the error of that.
-func closeAgain(c io.Closer) { _ = c.Close() }
+// closeIgnoringError closes what may be closed already, and ignores the error of that.
+func closeIgnoringError(c io.Closer) { _ = c.Close() }
 
 func testConfig(t *testing.T) *config.Scheduler {
 	t.Helper()
--- a/internal/schedulerd/interleaving_model_test.go
+++ b/internal/schedulerd/interleaving_model_test.go
@@ -27,8 +27,8 @@
 
 type modelAttempt struct {
 	protocol.InventoryItem
-	pending  bool   // the scheduler waits for its answer
-	judgedAs string // its container ID for the judge; "" if the next inventory adopts it
+	pending   bool   // the scheduler waits for its answer
+	checkerID string // its container ID for the judge; "" if the next inventory adopts it
 }
 
 func (m *modelMachine) numbers() []uint64 { return slices.Sorted(maps.Keys(m.attempts)) }
@@ -37,7 +37,7 @@
 type model struct {
 	t         *testing.T
 	server    *Server
-	judge     *modelcheck.Checker
+	checker   *modelcheck.Checker
 	list      *rawListener
 	version   int64
 	machines  map[string]*modelMachine
@@ -73,7 +73,7 @@
 	own.MachineListAddr = w.list.addr
 	decisions := scheduler.New(own.Policy)
 	decisions.Restore(scheduler.Snapshot{SendsKnownSince: 1})
-	w.judge = modelcheck.NewChecker(own.Policy, 1, 0)
+	w.checker = modelcheck.NewChecker(own.Policy, 1, 0)
 	var err error
 	w.server, err = New(&own, wrap(decisions), discardLog)
 	testutil.NoError(t, err)
@@ -97,10 +97,10 @@
 }
 
 // observe tells the judge what the scheduler is about to receive.
-func (w *model) observe(now scheduler.Time, e scheduler.Event) { w.judge.ObserveEvent(0, now, e) }
+func (w *model) observe(now scheduler.Time, e scheduler.Event) { w.checker.ObserveEvent(0, now, e) }
 
 func (w *model) observeEnded(now scheduler.Time, a *modelAttempt, ended scheduler.AttemptEnded) {
-	ended.ID = scheduler.ContainerID(a.judgedAs)
+	ended.ID = scheduler.ContainerID(a.checkerID)
 	w.observe(now, ended)
 }
 
@@ -109,7 +109,7 @@
 // settle exchanges frames until nothing is in flight: every byte that one side wrote was read by the other, no
 // connection is being opened or closed, and no event is left.
 func (w *model) settle() {
-	for limit := time.Now().Add(testTimeout); w.exchange() || !onLoop(w.server, w.quiet); {
+	for limit := time.Now().Add(testTimeout); w.exchange() || !onLoop(w.server, w.isIdle); {
 		testutil.Require(w.t, !time.Now().After(limit), "not quiet in %v", testTimeout)
 	}
 }
@@ -124,16 +124,16 @@
 	for _, name := range modelMachineNames {
 		found = w.serveMachine(now, w.machines[name]) || found
 	}
-	return w.client.drain(func(f protocol.Frame) { w.judgeReply(now, f) }) || found
+	return w.client.drain(func(f protocol.Frame) { w.checkReply(now, f) }) || found
 }
 
-// quiet runs on the loop of the server.
-func (w *model) quiet() bool {
+// isIdle runs on the loop of the server.
+func (w *model) isIdle() bool {
 	s := w.server
 	if s.clients.count() != 1 || s.decisions.pending() || !drained(s.discovery.Conn(), w.list.conn) {
 		return false
 	}
-	for _, client := range s.clients.connected {
+	for _, client := range s.clients.byID {
 		if !drained(client.conn, w.client) {
 			return false
 		}
@@ -181,12 +181,12 @@
 	w.list.conn.send(&protocol.MachineListUpdate{FullSnapshot: full, Version: w.version, Entries: entries})
 	update := scheduler.MachineListUpdate{Mode: mode}
 	for _, entry := range entries {
-		update.Entries = append(update.Entries, w.judgedEntry(entry, entry.Incarnation))
+		update.Entries = append(update.Entries, w.checkerEntry(entry, entry.Incarnation))
 	}
 	w.observe(now, update)
 }
 
-func (w *model) judgedEntry(entry protocol.MachineEntry, incarnation uint64) scheduler.MachineEntry {
+func (w *model) checkerEntry(entry protocol.MachineEntry, incarnation uint64) scheduler.MachineEntry {
 	judged := scheduler.MachineEntry{
 		Machine: scheduler.MachineID(entry.Machine), Zone: entry.Zone, RackGroup: entry.RackGroup,
 		State: scheduler.MachineState(entry.State),
@@ -212,18 +212,18 @@
 	for _, number := range m.numbers() {
 		a := m.attempts[number]
 		inventory.Containers = append(inventory.Containers, a.InventoryItem)
-		if a.judgedAs == "" {
+		if a.checkerID == "" {
 			w.adopted++
-			a.judgedAs = fmt.Sprint("found ", w.adopted)
+			a.checkerID = fmt.Sprint("found ", w.adopted)
 			w.observe(now, scheduler.ContainerAdopted{PlacementRequest: scheduler.PlacementRequest{
-				ID:      scheduler.ContainerID(a.judgedAs),
+				ID:      scheduler.ContainerID(a.checkerID),
 				Service: a.Spec.Service, WorkloadClass: a.Spec.WorkloadClass,
 			}, Machine: scheduler.MachineID(m.Machine)})
 		}
 	}
 	if m.incarnation > 1 {
 		w.observe(now, scheduler.MachineListUpdate{
-			Entries: []scheduler.MachineEntry{w.judgedEntry(m.MachineEntry, m.incarnation)},
+			Entries: []scheduler.MachineEntry{w.checkerEntry(m.MachineEntry, m.incarnation)},
 		})
 	}
 	m.conn.send(inventory)
@@ -239,7 +239,7 @@
 			Spec:                 f.Spec,
 		}
 		m.attempts[f.AttemptID] = &modelAttempt{item, true, f.Spec.ContainerID}
-		w.judge.ObserveAction(0, now, scheduler.StartAttempt{
+		w.checker.ObserveAction(0, now, scheduler.StartAttempt{
 			ID: scheduler.ContainerID(f.Spec.ContainerID), Machine: scheduler.MachineID(m.Machine),
 		})
 	case *protocol.CancelAttempt:
@@ -253,8 +253,8 @@
 	}
 }
 
-// judgeReply judges an answer to the client.
-func (w *model) judgeReply(now scheduler.Time, f protocol.Frame) {
+// checkReply judges an answer to the client.
+func (w *model) checkReply(now scheduler.Time, f protocol.Frame) {
 	reply, ok := f.(*protocol.PlacementReply)
 	if !ok || w.cancelled[reply.ContainerID] {
 		return
@@ -262,14 +262,14 @@
 	id := scheduler.ContainerID(reply.ContainerID)
 	w.answers[reply.ContainerID]++
 	if w.answers[reply.ContainerID] > 1 {
-		w.judge.Violations = append(w.judge.Violations, fmt.Sprintf("rule 1: %s is answered twice", id))
+		w.checker.Violations = append(w.checker.Violations, fmt.Sprintf("rule 1: %s is answered twice", id))
 	}
 	switch reply.Verdict {
 	case protocol.VerdictRejected, protocol.VerdictNotAdmitted:
-		w.judge.ObserveAction(0, now, scheduler.Reject{ID: id})
+		w.checker.ObserveAction(0, now, scheduler.Reject{ID: id})
 	case protocol.VerdictFailed:
 		if reply.Message != "cancelled" {
-			w.judge.ObserveAction(0, now, scheduler.Fail{ID: id})
+			w.checker.ObserveAction(0, now, scheduler.Fail{ID: id})
 		}
 	case protocol.VerdictPlaced: // judged when it was sent
 	}
--- a/internal/schedulerd/interleaving_test.go
+++ b/internal/schedulerd/interleaving_test.go
@@ -92,7 +92,7 @@
 	case stepRestart:
 		w.restart(now, w.machines[subject])
 		if len(words) == 2 { // the list follows at once
-			w.listRestart(now, w.machines[subject])
+			w.announceRestart(now, w.machines[subject])
 		}
 	case stepDrain:
 		w.setState(now, w.machines[subject], protocol.MachineDraining)
@@ -114,7 +114,7 @@
 func (w *model) submit(now scheduler.Time) {
 	const timeout = 600 * scheduler.Second
 	spec := specFor(containerName(w.submitted), w.submitted)
-	request := requestOf(&spec)
+	request := requestFromSpec(&spec)
 	request.Deadline = now + timeout
 	w.submitted++
 	w.observe(now, scheduler.RequestReceived{PlacementRequest: request})
@@ -132,7 +132,7 @@
 func (w *model) accept(now scheduler.Time, id string) {
 	m, a := w.findPending(id)
 	a.pending = false
-	w.observe(now, scheduler.AttemptAccepted{ID: scheduler.ContainerID(a.judgedAs)})
+	w.observe(now, scheduler.AttemptAccepted{ID: scheduler.ContainerID(a.checkerID)})
 	m.conn.send(&protocol.Accept{AttemptID: a.AttemptID, Running: true})
 }
 
@@ -161,7 +161,7 @@
 		if a := m.attempts[number]; a.pending {
 			a.pending = false
 			w.observeEnded(now, a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost})
-			a.judgedAs = ""
+			a.checkerID = ""
 		}
 	}
 	m.conn.close()
@@ -177,8 +177,8 @@
 	clear(m.attempts)
 }
 
-// listRestart has the list name the present incarnation of a machine.
-func (w *model) listRestart(now scheduler.Time, m *modelMachine) {
+// announceRestart has the list name the present incarnation of a machine.
+func (w *model) announceRestart(now scheduler.Time, m *modelMachine) {
 	m.Incarnation, m.State = m.incarnation, protocol.MachineServing
 	w.sendList(now, scheduler.DeltaUpdate, m.MachineEntry)
 }
@@ -200,7 +200,7 @@
 	}
 	for i := range w.submitted {
 		if id := containerName(i); w.answers[id] != 1 {
-			w.judge.Violations = append(w.judge.Violations, fmt.Sprintf("rule 1: %s has %d answers", id, w.answers[id]))
+			w.checker.Violations = append(w.checker.Violations, fmt.Sprintf("rule 1: %s has %d answers", id, w.answers[id]))
 		}
 	}
 }
@@ -291,16 +291,16 @@
 		done = nil
 		for _, choice := range path {
 			possible := w.enabled(steps)
-			if len(possible) == 0 || len(w.judge.Violations) > 0 {
+			if len(possible) == 0 || len(w.checker.Violations) > 0 {
 				break
 			}
 			widths, done = append(widths, len(possible)), append(done, possible[choice])
 			w.apply(possible[choice])
 		}
-		if len(w.judge.Violations) == 0 {
+		if len(w.checker.Violations) == 0 {
 			w.answerAll()
 		}
-		n, violations = n+1, w.judge.Violations
+		n, violations = n+1, w.checker.Violations
 		return widths, len(violations) == 0
 	})
 	return n, done, violations
--- a/internal/schedulerd/iteration.go
+++ b/internal/schedulerd/iteration.go
@@ -12,8 +12,8 @@
 // so that all changes of an iteration are one group.
 func (s *Server) runIteration() {
 	s.decisions.runReconciler()
-	s.clients.forgetSubmissions()
-	s.machines.sendToNewlyReady()
+	s.clients.clearSubmissions()
+	s.machines.sendQueued()
 	s.decisions.runScheduler()
 	if s.state != nil {
 		s.state.commit()
@@ -28,7 +28,7 @@
 	case scheduler.StartAttempt:
 		s.dispatcher.start(action)
 	case scheduler.CancelAttempt:
-		s.dispatcher.cancelUnanswered(action)
+		s.dispatcher.cancelPending(action)
 	case scheduler.Reject:
 		s.containers.answer(action.ID, &protocol.PlacementReply{
 			Verdict: protocol.VerdictRejected, RetryAfter: protocol.Duration(action.RetryAfter),
@@ -59,7 +59,7 @@
 	case reconcile.Admit:
 		s.containers.admit(action)
 	case reconcile.Reject:
-		s.containers.refuse(action)
+		s.containers.replyNotAdmitted(action)
 	case reconcile.AlreadyRunning:
 		s.containers.replyAlreadyRunning(action)
 	case reconcile.NotRunning:
@@ -73,14 +73,14 @@
 	case reconcile.Adopt:
 		s.containers.adopt(action.Attempt)
 	case reconcile.ContainerLost:
-		s.containers.lost(action)
+		s.containers.handleLost(action)
 	case reconcile.ConnectMachine:
 		s.machines.connect(action.Machine)
 	case reconcile.RecoveryComplete:
-		s.routes.recoveryComplete()
+		s.routes.markRecoveryComplete()
 	case reconcile.AllMachinesReported:
 		if s.state != nil {
-			s.state.allMachinesReported()
+			s.state.markLogComplete()
 		}
 	case reconcile.AttemptResolved:
 		if s.state != nil {
--- a/internal/schedulerd/journal.go
+++ b/internal/schedulerd/journal.go
@@ -28,10 +28,10 @@
 	history        warmstart.LogHistory
 	historyPending bool // the log does not hold history yet
 
-	changes      []wal.Change // of this iteration
-	callbacks    []func(error)
-	syncNeeded   bool
-	retryDeletes []wal.Change // that the disk did not take; tried again with the next snapshot
+	changes       []wal.Change // of this iteration
+	callbacks     []func(error)
+	syncNeeded    bool
+	failedDeletes []wal.Change // that the disk did not take; tried again with the next snapshot
 }
 
 // openLog opens the log of a folder.
@@ -104,46 +104,46 @@
 		if len(callbacks) == 0 && err == nil && !withHistory {
 			return
 		}
-		j.loop.Post(func() { j.committed(changes, callbacks, err) })
+		j.loop.Post(func() { j.handleCommit(changes, callbacks, err) })
 	})
 	j.changes, j.callbacks, j.syncNeeded = nil, nil, false
 }
 
-func (j *journal) committed(changes []wal.Change, callbacks []func(error), err error) {
+func (j *journal) handleCommit(changes []wal.Change, callbacks []func(error), err error) {
 	if err == nil {
 		j.historyPending = false
 	} else {
-		j.retryLater(changes)
+		j.keepForRetry(changes)
 	}
 	for _, callback := range callbacks {
 		callback(err)
 	}
 }
 
-// retryLater keeps the changes of a failed commit that record what has happened: the end of attempts, and the history.
+// keepForRetry keeps the changes of a failed commit that record what has happened: the end of attempts, and the history.
 // An attempt that could not be logged was not sent.
-func (j *journal) retryLater(changes []wal.Change) {
+func (j *journal) keepForRetry(changes []wal.Change) {
 	for _, c := range changes {
 		switch {
 		case c.Kind == AttemptKind && c.Value == nil:
-			j.retryDeletes = append(j.retryDeletes, c)
+			j.failedDeletes = append(j.failedDeletes, c)
 		case c.Kind == IncarnationKind:
 			j.historyPending = true
 		}
 	}
 }
 
-// retry adds the changes to this iteration that the disk did not take.
-func (j *journal) retry() {
-	j.changes, j.retryDeletes = append(j.retryDeletes, j.changes...), nil
+// retryDeletes adds the changes to this iteration that the disk did not take.
+func (j *journal) retryDeletes() {
+	j.changes, j.failedDeletes = append(j.failedDeletes, j.changes...), nil
 }
 
 func (j *journal) historyChange() wal.Change {
 	return wal.Put(IncarnationKind, incarnationKey, j.history)
 }
 
-// allMachinesReported logs that all attempts of earlier incarnations are known.
-func (j *journal) allMachinesReported() {
+// markLogComplete logs that all attempts of earlier incarnations are known.
+func (j *journal) markLogComplete() {
 	j.history = j.history.WithCompleteLog()
 	j.changes = append(j.changes, j.historyChange())
 }
--- a/internal/schedulerd/lateaccept_test.go
+++ b/internal/schedulerd/lateaccept_test.go
@@ -16,9 +16,9 @@
 	lateAdopted   = "adopted"
 )
 
-// acceptAtProbe is a machine that accepts an offer when it is probed, which is the test's sign that the attempt has
+// acceptOnProbe is a machine that accepts an offer when it is probed, which is the test's sign that the attempt has
 // ended.
-func acceptAtProbe(t *testing.T, seen chan<- string) string {
+func acceptOnProbe(t *testing.T, seen chan<- string) string {
 	t.Helper()
 	attempts := make(chan uint64, 1)
 	return serveMachine(t, "a", func(c net.Conn, f protocol.Frame) bool {
@@ -48,8 +48,8 @@
 	}
 }
 
-// cancelAtOnce cancels each attempt that a reaction starts.
-func cancelAtOnce(react reaction) reaction {
+// cancelImmediately cancels each attempt that a reaction starts.
+func cancelImmediately(react reaction) reaction {
 	return func(e scheduler.Event) []scheduler.Action {
 		if request, ok := e.(scheduler.RequestReceived); ok {
 			return append(react(e), scheduler.CancelAttempt{ID: request.ID, Attempt: 0})
@@ -84,9 +84,9 @@
 	seen := make(chan string, 10)
 	react := probeAfterEnd(tc.timeout, seen)
 	if tc.cancel {
-		react = cancelAtOnce(react)
+		react = cancelImmediately(react)
 	}
-	h := startWithMachineA(t, testConfig(t), react, acceptAtProbe(t, seen))
+	h := startWithMachineA(t, testConfig(t), react, acceptOnProbe(t, seen))
 	if tc.cancel { // without a ready connection the attempt is never sent
 		runOnLoop(h.server, func() { h.server.machines.connect("a") })
 		h.eventually((*machine).ready)
@@ -110,7 +110,7 @@
 // reconnectingMachine accepts an offer and closes its connection. The inventory of the next one lists a container of an
 // earlier incarnation, and the accepted one if it is still named.
 type reconnectingMachine struct {
-	stillNamed  bool
+	stillListed bool
 	connections int
 	attempt     uint64
 	reconnected chan net.Conn
@@ -125,7 +125,7 @@
 	inventory := &protocol.Inventory{Containers: []protocol.InventoryItem{{
 		SchedulerIncarnation: 1, AttemptID: 7, Running: true, Spec: specFor("old", classIdempotent),
 	}}}
-	if m.connections == 2 && m.stillNamed {
+	if m.connections == 2 && m.stillListed {
 		inventory.Containers = append(inventory.Containers, protocol.InventoryItem{
 			SchedulerIncarnation: hello.(*protocol.Hello).Incarnation,
 			AttemptID:            m.attempt,
@@ -152,7 +152,7 @@
 		named bool
 	}{{"still named", true}, {"no longer named", false}} {
 		t.Run(tc.name, func(t *testing.T) {
-			m := &reconnectingMachine{stillNamed: tc.named, reconnected: make(chan net.Conn, 10)}
+			m := &reconnectingMachine{stillListed: tc.named, reconnected: make(chan net.Conn, 10)}
 			h := startWithMachineA(t, testConfig(t), attemptOn(0), testutil.ServeUntilEnd(t, m.serve))
 			found := awaitEvent[scheduler.ContainerAdopted](t, h.script, nil)
 			testutil.Expect(t, found.ID == "old" && found.Machine == "a", "adopted %+v", found)
--- a/internal/schedulerd/legacylist.go
+++ b/internal/schedulerd/legacylist.go
@@ -48,7 +48,7 @@
 		ListVersion: list.Version,
 	}
 	for _, entry := range list.Entries {
-		snapshot.Entries = append(snapshot.Entries, recordOfEntry(entry))
+		snapshot.Entries = append(snapshot.Entries, newEntryRecord(entry))
 	}
 	return snapshot, nil
 }
--- a/internal/schedulerd/lifecycle.go
+++ b/internal/schedulerd/lifecycle.go
@@ -43,19 +43,19 @@
 
 // transition is the one place where the state of a server changes.
 func (s *Server) transition(event serverEvent) bool {
-	return s.transitionMade(serverTransitions.Apply("server", &s.lifecycle, event))
+	return s.checkTransition(serverTransitions.Apply("server", &s.lifecycle, event))
 }
 
-// stopRequested ends the BGP sessions, once.
-func (s *Server) stopRequested() {
+// requestStop ends the BGP sessions, once.
+func (s *Server) requestStop() {
 	before := s.lifecycle
 	if s.transition(serverStopRequested) && before != serverStopping {
 		s.routes.stop()
 	}
 }
 
-// loopEnded writes what is left of the state.
-func (s *Server) loopEnded() {
+// handleLoopEnd writes what is left of the state.
+func (s *Server) handleLoopEnd() {
 	if s.transition(serverLoopEnded) && s.state != nil {
 		s.state.close(s.takeSnapshot)
 	}
--- a/internal/schedulerd/machine.go
+++ b/internal/schedulerd/machine.go
@@ -47,7 +47,7 @@
 func (m *machine) announceDraining() {
 	for _, a := range inOrder(m.attempts) {
 		if a.accepted() {
-			m.registry.routes.containerRunning(a)
+			m.registry.routes.updateContainer(a)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 }
 
 // expire remembers an attempt that is over and may still be accepted.
-func (m *machine) expire(a *attempt) { m.expired.remember(a) }
+func (m *machine) expire(a *attempt) { m.expired.add(a) }
 
 // offer sends an attempt and reports whether it was sent: not to a machine that reads too slowly, and not once its time
 // is over. The machine counts the timeout from when it receives the offer, so that it is what is left now and not at
@@ -95,7 +95,7 @@
 		Timeout:   protocol.Duration(left),
 		Spec:      a.container.spec(),
 	}
-	if !m.conn.sendUnblocked(offer) {
+	if !m.conn.trySend(offer) {
 		return false
 	}
 	m.track(a)
@@ -130,7 +130,7 @@
 			continue
 		}
 		if stale {
-			m.registry.dispatcher.notSent(a)
+			m.registry.dispatcher.endNotSent(a)
 		} else {
 			m.registry.dispatcher.send(a)
 		}
@@ -144,15 +144,15 @@
 const (
 	lossAfterInventory connectionLoss = iota // it was ready
 	lossLocalShortage                        // no descriptors are left here, which is no failure of the machine
-	lossUnreached
+	lossConnectFailed
 )
 
-// connectionLost ends what was under way: an attempt that was never sent never ran, one that was sent may have.
+// handleConnectionLoss ends what was under way: an attempt that was never sent never ran, one that was sent may have.
 // Containers that run are left to the reconciler.
-func (m *machine) connectionLost(loss connectionLoss) {
-	m.failQueued(loss)
-	m.failUnanswered()
-	m.probes.fail(loss)
+func (m *machine) handleConnectionLoss(loss connectionLoss) {
+	m.failQueuedAttempts(loss)
+	m.failPendingAttempts()
+	m.probes.failAll(loss)
 	m.expired.clear() // the next inventory lists those that run
 	if loss == lossAfterInventory {
 		m.registry.decisions.notifyReconciler(reconcile.MachineDisconnected{Machine: m.id})
@@ -164,20 +164,20 @@
 	m.removeIfGone()
 }
 
-func (m *machine) failQueued(loss connectionLoss) {
+func (m *machine) failQueuedAttempts(loss connectionLoss) {
 	for _, a := range m.queue.takeAll() {
 		if loss == lossLocalShortage {
-			m.registry.dispatcher.notSent(a)
+			m.registry.dispatcher.endNotSent(a)
 		} else {
-			m.registry.dispatcher.unreached(a)
+			m.registry.dispatcher.endUnreached(a)
 		}
 	}
 }
 
-func (m *machine) failUnanswered() {
+func (m *machine) failPendingAttempts() {
 	for _, a := range inOrder(m.attempts) {
 		if !a.accepted() {
-			m.registry.dispatcher.connectionLost(a)
+			m.registry.dispatcher.endConnectionLost(a)
 		}
 	}
 }
--- a/internal/schedulerd/machineconn.go
+++ b/internal/schedulerd/machineconn.go
@@ -48,8 +48,8 @@
 	c.send(c.machine.registry.hello())
 }
 
-// inventoryReceived makes the connection ready, and reports whether it was awaited.
-func (c *machineConn) inventoryReceived() bool { return c.transition(machineInventoryReceived) }
+// markReady makes the connection ready, and reports whether it was awaited.
+func (c *machineConn) markReady() bool { return c.transition(machineInventoryReceived) }
 
 // Read implements eventloop.Handler.
 func (c *machineConn) Read(conn *eventloop.Conn, p []byte) {
@@ -67,7 +67,7 @@
 	if conn != c.conn {
 		return
 	}
-	loss := lossUnreached
+	loss := lossConnectFailed
 	switch {
 	case c.ready():
 		loss = lossAfterInventory
@@ -76,7 +76,7 @@
 	}
 	c.transition(machineConnClosed)
 	c.conn = nil
-	c.machine.connectionLost(loss)
+	c.machine.handleConnectionLoss(loss)
 }
 
 // send reports whether the connection took the frame.
@@ -93,8 +93,8 @@
 	return c.conn.Write(encoded) == nil
 }
 
-// sendUnblocked sends a frame unless the machine reads too slowly.
-func (c *machineConn) sendUnblocked(f protocol.Frame) bool {
+// trySend sends a frame unless the machine reads too slowly.
+func (c *machineConn) trySend(f protocol.Frame) bool {
 	return !c.conn.WriteBlocked() && c.send(f)
 }
 
@@ -121,7 +121,7 @@
 	case c.machine.idle() && now-c.lastSentAt > limits.IdleTimeout:
 		c.conn.Close()
 	case now-c.lastReadAt > limits.SilenceTimeout, c.partial.overdue(now, limits.SilenceTimeout):
-		c.machine.registry.logConnectionClosed(string(c.machine.id), after(errSilent, now-c.lastReadAt))
+		c.machine.registry.logConnectionClosed(string(c.machine.id), withDuration(errSilent, now-c.lastReadAt))
 		c.conn.Reset()
 	}
 }
--- a/internal/schedulerd/machineframes.go
+++ b/internal/schedulerd/machineframes.go
@@ -19,30 +19,30 @@
 	case *protocol.UsageReport:
 		m.handleUsage(f)
 	case *protocol.ProbeReply:
-		m.probes.replyReceived(f)
+		m.probes.handleReply(f)
 	case *protocol.Heartbeat:
 	case *protocol.Goodbye:
-		return machineGoodbye(f)
+		return machineGoodbyeError(f)
 	default:
-		return unexpectedFromMachine(f)
+		return unexpectedMachineFrameError(f)
 	}
 	return nil
 }
 
 func (m *machine) handleHello(f *protocol.Hello) error {
 	if f.Role != protocol.RoleMachine || f.Name != string(m.id) {
-		return wrongMachine(f, string(m.id))
+		return wrongMachineError(f, string(m.id))
 	}
-	m.registry.noteSelfReported(m, f.Incarnation)
+	m.registry.handleSelfReport(m, f.Incarnation)
 	return nil
 }
 
 // handleInventory makes the connection ready. The reconciler sees the inventory before anything queued is sent.
 func (m *machine) handleInventory(f *protocol.Inventory) error {
 	if m.ready() {
-		return duplicateInventory()
+		return duplicateInventoryError()
 	}
-	if !m.conn.inventoryReceived() {
+	if !m.conn.markReady() {
 		return nil
 	}
 	reported := reconcile.MachineReported{Machine: m.id}
@@ -50,7 +50,7 @@
 		item := &f.Containers[i]
 		reported.Attempts = append(reported.Attempts, reconcile.Attempt{
 			Machine: m.id, Incarnation: item.SchedulerIncarnation,
-			Number: item.AttemptID, Running: item.Running, Request: requestOf(&item.Spec),
+			Number: item.AttemptID, Running: item.Running, Request: requestFromSpec(&item.Spec),
 		})
 	}
 	m.registry.decisions.notifyReconciler(reported)
@@ -59,7 +59,7 @@
 			m.cancel(a.incarnation, a.number)
 		}
 	}
-	m.registry.becameReady(m)
+	m.registry.addNewlyReady(m)
 	m.probes.sendQueued()
 	return nil
 }
@@ -71,7 +71,7 @@
 	a := m.attempts[f.AttemptID]
 	switch {
 	case a == nil:
-		m.expired.acceptReceived(f.AttemptID)
+		m.expired.handleAccept(f.AttemptID)
 	case !a.accepted():
 		m.registry.dispatcher.accept(a)
 	case f.Running: // it was accepted before
@@ -82,7 +82,7 @@
 func (m *machine) handleResult(f *protocol.Result) {
 	a := m.attempts[f.AttemptID]
 	if a == nil {
-		m.expired.resultReceived(f.AttemptID)
+		m.expired.handleResult(f.AttemptID)
 		return
 	}
 	outcome := f.Outcome.SchedulerOutcome()
--- a/internal/schedulerd/machinelist.go
+++ b/internal/schedulerd/machinelist.go
@@ -30,7 +30,7 @@
 	}
 	r.removeGone(mode, listed)
 	r.decisions.notifyScheduler(update)
-	r.noteIncarnations(restarted...)
+	r.recordIncarnations(restarted...)
 	r.decisions.notifyReconciler(reconcile.MachinesListed{
 		Machines: ids, FullSnapshot: mode == scheduler.FullSnapshot,
 	})
@@ -50,14 +50,14 @@
 	}
 }
 
-// noteIncarnations restores and records sends in slow start, once the scheduler has the entries of the machines.
-func (r *machineRegistry) noteIncarnations(machines ...*machine) {
+// recordIncarnations restores and records sends in slow start, once the scheduler has the entries of the machines.
+func (r *machineRegistry) recordIncarnations(machines ...*machine) {
 	if r.state == nil {
 		return
 	}
 	r.restorePendingSends()
 	for _, m := range machines {
-		r.state.logIncarnation(m.id, m.start())
+		r.state.logIncarnation(m.id, m.machineStart())
 	}
 }
 
@@ -68,29 +68,29 @@
 	if !ok {
 		return
 	}
-	if snapshot, found := r.state.resolvePendingSends(r.start); found {
+	if snapshot, found := r.state.resolvePendingSends(r.machineStart); found {
 		r.decisions.runScheduler()
 		target.Restore(snapshot)
 	}
 }
 
-// noteSelfReported takes an incarnation from the hello of a machine if no list has contained it yet. A hello has no
+// handleSelfReport takes an incarnation from the hello of a machine if no list has contained it yet. A hello has no
 // age: until a list has, the incarnation counts as new. A lower one than is known is only logged, as it may be that of
 // a machine which has restarted since its hello; where it stays lower, the machine gets no slow start.
-func (r *machineRegistry) noteSelfReported(m *machine, incarnation uint64) {
+func (r *machineRegistry) handleSelfReport(m *machine, incarnation uint64) {
 	if incarnation < m.incarnation {
 		r.log.Warn("machine reports an earlier incarnation than is known",
 			"machine", string(m.id), "reported", incarnation, "known", m.incarnation)
 	}
 	entry, listed := r.list.entries[string(m.id)]
-	if !listed || !m.selfReport(incarnation, r.now()) {
+	if !listed || !m.applySelfReport(incarnation, r.now()) {
 		return
 	}
 	r.decisions.notifyScheduler(scheduler.MachineListUpdate{
 		Mode: scheduler.SelfReported, Version: r.discovery.LastVersion(),
 		Entries: []scheduler.MachineEntry{m.schedulerEntry(m.id, &entry)},
 	})
-	r.noteIncarnations(m)
+	r.recordIncarnations(m)
 }
 
 // machineListCache is the machine list as last received.
--- a/internal/schedulerd/machinelisting.go
+++ b/internal/schedulerd/machinelisting.go
@@ -22,13 +22,13 @@
 
 func (l *machineListing) isDraining() bool { return l.draining }
 
-// start returns the incarnation for which sends in slow start are counted.
-func (l *machineListing) start() warmstart.MachineStart {
+// machineStart returns the incarnation for which sends in slow start are counted.
+func (l *machineListing) machineStart() warmstart.MachineStart {
 	return warmstart.MachineStart{Incarnation: l.incarnation, StartedAt: l.startedAt}
 }
 
-// unfitSince reports whether the machine drains, is gone, or has restarted since an incarnation.
-func (l *machineListing) unfitSince(incarnation uint64) bool {
+// unavailableSince reports whether the machine drains, is gone, or has restarted since an incarnation.
+func (l *machineListing) unavailableSince(incarnation uint64) bool {
 	return l.gone || l.draining || l.incarnation != incarnation
 }
 
@@ -63,8 +63,8 @@
 	return true
 }
 
-// selfReport takes an incarnation from the machine's hello, and reports whether it is newer than the known one.
-func (l *machineListing) selfReport(incarnation uint64, now scheduler.Time) (newer bool) {
+// applySelfReport takes an incarnation from the machine's hello, and reports whether it is newer than the known one.
+func (l *machineListing) applySelfReport(incarnation uint64, now scheduler.Time) (newer bool) {
 	if incarnation <= l.incarnation {
 		return false
 	}
--- a/internal/schedulerd/machines.go
+++ b/internal/schedulerd/machines.go
@@ -18,10 +18,10 @@
 	routes     *routeAnnouncer
 	state      *stateStore // nil if nothing is persisted
 
-	byID       map[scheduler.MachineID]*machine
-	list       machineListCache
-	newlyReady []*machine // that reported their inventory in this iteration
-	lastProbe  uint64
+	byID         map[scheduler.MachineID]*machine
+	list         machineListCache
+	newlyReady   []*machine // that reported their inventory in this iteration
+	lastProbeSeq uint64
 }
 
 // find returns nil if the machine is not known.
@@ -69,15 +69,15 @@
 		r.decisions.notifyScheduler(scheduler.ProbeCompleted{Machine: id, Outcome: scheduler.OutcomeConnectFailed})
 		return
 	}
-	r.lastProbe++
-	m.probe(r.lastProbe)
+	r.lastProbeSeq++
+	m.probe(r.lastProbeSeq)
 }
 
-// becameReady has the queue of a machine sent once its inventory is adopted.
-func (r *machineRegistry) becameReady(m *machine) { r.newlyReady = append(r.newlyReady, m) }
+// addNewlyReady has the queue of a machine sent once its inventory is adopted.
+func (r *machineRegistry) addNewlyReady(m *machine) { r.newlyReady = append(r.newlyReady, m) }
 
-// sendToNewlyReady sends what waited for machines whose inventory is adopted by now.
-func (r *machineRegistry) sendToNewlyReady() {
+// sendQueued sends what waited for machines whose inventory is adopted by now.
+func (r *machineRegistry) sendQueued() {
 	for _, m := range r.newlyReady {
 		m.sendQueued()
 	}
@@ -90,19 +90,19 @@
 	}
 }
 
-// start is the incarnation of a machine for which sends in slow start are counted; false if the machine is not known.
-func (r *machineRegistry) start(id scheduler.MachineID) (start warmstart.MachineStart, known bool) {
+// machineStart is the incarnation of a machine for which sends in slow start are counted; false if the machine is not known.
+func (r *machineRegistry) machineStart(id scheduler.MachineID) (start warmstart.MachineStart, known bool) {
 	m := r.byID[id]
 	if m == nil {
 		return warmstart.MachineStart{}, false
 	}
-	return m.start(), true
+	return m.machineStart(), true
 }
 
-func (r *machineRegistry) starts() map[scheduler.MachineID]warmstart.MachineStart {
+func (r *machineRegistry) machineStarts() map[scheduler.MachineID]warmstart.MachineStart {
 	starts := map[scheduler.MachineID]warmstart.MachineStart{}
 	for id, m := range r.byID {
-		starts[id] = m.start()
+		starts[id] = m.machineStart()
 	}
 	return starts
 }
@@ -110,10 +110,10 @@
 // listRecords returns the list as it is stored, in no order, with the ages of now.
 func (r *machineRegistry) listRecords() (version int64, records []entryRecord) {
 	for _, entry := range r.list.entries {
-		if start, known := r.start(scheduler.MachineID(entry.Machine)); known && start.StartedAt > 0 {
+		if start, known := r.machineStart(scheduler.MachineID(entry.Machine)); known && start.StartedAt > 0 {
 			entry.Age = protocol.Duration(r.now() - start.StartedAt)
 		}
-		records = append(records, recordOfEntry(entry))
+		records = append(records, newEntryRecord(entry))
 	}
 	return r.list.version, records
 }
--- a/internal/schedulerd/parts_test.go
+++ b/internal/schedulerd/parts_test.go
@@ -38,7 +38,7 @@
 	fault := errors.New("disk full")
 	for _, err := range []error{nil, fault, fault, nil, nil} {
 		writer.transition(writeStarted)
-		writer.finished(err)
+		writer.handleResult(err)
 	}
 	got := log.String()
 	if strings.Count(got, "snapshot not saved") != 1 || strings.Count(got, "snapshot saved again") != 1 ||
@@ -53,7 +53,7 @@
 	registry := &machineRegistry{process: &process{log: slog.New(slog.NewTextHandler(&log, nil))}}
 	m := &machine{registry: registry, id: "a", machineListing: machineListing{incarnation: 5}}
 	for _, incarnation := range []uint64{5, 4} {
-		registry.noteSelfReported(m, incarnation)
+		registry.handleSelfReport(m, incarnation)
 	}
 	got := log.String()
 	if strings.Count(got, "\n") != 1 || !strings.Contains(got, "machine=a reported=4 known=5") {
--- a/internal/schedulerd/probe.go
+++ b/internal/schedulerd/probe.go
@@ -29,19 +29,19 @@
 // start asks the machine whether it answers.
 func (t *probeTable) start(seq uint64) {
 	registry := t.machine.registry
-	p := &pendingProbe{seq: seq, incarnation: t.machine.start().Incarnation, requestedAt: registry.loop.Now()}
+	p := &pendingProbe{seq: seq, incarnation: t.machine.machineStart().Incarnation, requestedAt: registry.loop.Now()}
 	t.pending[seq] = p
 	p.timer = registry.loop.After(probeTimeout, func() { t.end(p, scheduler.OutcomeTimedOut, nil) })
-	if registry.state != nil && registry.state.logSend(t.machine.id, t.machine.start()) {
+	if registry.state != nil && registry.state.logSend(t.machine.id, t.machine.machineStart()) {
 		p.awaitingLog = true
-		registry.state.afterCommit(func(err error) { t.logged(p, err) })
+		registry.state.afterCommit(func(err error) { t.handleLogged(p, err) })
 		return
 	}
 	t.send(p)
 }
 
-// logged sends a probe that waited for the log. One that could not be logged is never sent.
-func (t *probeTable) logged(p *pendingProbe, err error) {
+// handleLogged sends a probe that waited for the log. One that could not be logged is never sent.
+func (t *probeTable) handleLogged(p *pendingProbe, err error) {
 	p.awaitingLog = false
 	switch {
 	case err != nil:
@@ -57,7 +57,7 @@
 	switch {
 	case !t.machine.ready():
 		t.machine.connect()
-	case t.machine.start().Incarnation != p.incarnation:
+	case t.machine.machineStart().Incarnation != p.incarnation:
 		t.end(p, scheduler.OutcomeNotSent, nil)
 	default:
 		p.sent = t.machine.send(&protocol.Probe{Seq: p.seq})
@@ -73,21 +73,21 @@
 	}
 }
 
-func (t *probeTable) replyReceived(f *protocol.ProbeReply) {
+func (t *probeTable) handleReply(f *protocol.ProbeReply) {
 	if p := t.pending[f.Seq]; p != nil {
 		t.end(p, scheduler.OutcomeFinished, f.Report)
 	}
 }
 
-// fail ends all probes with the connection.
-func (t *probeTable) fail(loss connectionLoss) {
+// failAll ends all probes with the connection.
+func (t *probeTable) failAll(loss connectionLoss) {
 	outcome := scheduler.OutcomeConnectFailed
 	switch loss {
 	case lossAfterInventory:
 		outcome = scheduler.OutcomeLost
 	case lossLocalShortage:
 		outcome = scheduler.OutcomeNotSent
-	case lossUnreached:
+	case lossConnectFailed:
 	}
 	for _, p := range t.pending {
 		t.end(p, outcome, nil)
--- a/internal/schedulerd/process.go
+++ b/internal/schedulerd/process.go
@@ -10,8 +10,8 @@
 	"glenport/scheduler"
 )
 
-// maxKeptBuffer is the size from which on an encode buffer is not used again.
-const maxKeptBuffer = 1 << 20
+// maxReusableBuffer is the size from which on an encode buffer is not used again.
+const maxReusableBuffer = 1 << 20
 
 // process is what all parts of a server share.
 type process struct {
@@ -30,7 +30,7 @@
 func (p *process) encode(f protocol.Frame) ([]byte, error) {
 	encoded, err := protocol.Append(p.encodeBuffer[:0], f)
 	p.encodeBuffer = encoded
-	if cap(encoded) > maxKeptBuffer {
+	if cap(encoded) > maxReusableBuffer {
 		p.encodeBuffer = nil
 	}
 	return encoded, err
@@ -59,8 +59,8 @@
 	p.log.LogAttrs(context.Background(), slog.LevelInfo, message, attributes...)
 }
 
-// transitionMade reports whether a transition was legal, and logs one that was not.
-func (p *process) transitionMade(err error) bool {
+// checkTransition reports whether a transition was legal, and logs one that was not.
+func (p *process) checkTransition(err error) bool {
 	if err != nil {
 		p.log.Error("illegal state transition", "error", err)
 	}
--- a/internal/schedulerd/queue_test.go
+++ b/internal/schedulerd/queue_test.go
@@ -18,8 +18,8 @@
 	sent        bool
 }
 
-// listed is a change of machine a by the list.
-func listed(state protocol.MachineState, incarnation uint64, age protocol.Duration) func(*harness, string) {
+// listUpdate is a change of machine a by the list.
+func listUpdate(state protocol.MachineState, incarnation uint64, age protocol.Duration) func(*harness, string) {
 	return func(h *harness, address string) {
 		h.applyList(protocol.MachineEntry{
 			Machine: "a", Address: address, State: state, Incarnation: incarnation, Age: age,
@@ -32,12 +32,12 @@
 func TestStaleQueuedAttemptIsNotSent(t *testing.T) {
 	for _, tc := range []staleCase{
 		{"no change", nil, 1, true},
-		{"machine drains", listed(protocol.MachineDraining, 1, -1), 1, false},
-		{"machine is gone", listed(protocol.MachineGone, 1, -1), 1, false},
-		{"machine has restarted, by the list", listed(protocol.MachineServing, 2, 100), 2, false},
+		{"machine drains", listUpdate(protocol.MachineDraining, 1, -1), 1, false},
+		{"machine is gone", listUpdate(protocol.MachineGone, 1, -1), 1, false},
+		{"machine has restarted, by the list", listUpdate(protocol.MachineServing, 2, 100), 2, false},
 		{"machine has restarted, by its hello", nil, 2, false},
 		{"service runs elsewhere, by another machine", (*harness).adoptOnMachineB, 1, false},
-		{"the list is older than the hello", listed(protocol.MachineServing, 1, -1), 2, false},
+		{"the list is older than the hello", listUpdate(protocol.MachineServing, 1, -1), 2, false},
 	} {
 		t.Run(tc.name, tc.run)
 	}
--- a/internal/schedulerd/records.go
+++ b/internal/schedulerd/records.go
@@ -39,7 +39,7 @@
 	Age         protocol.Duration     `                json:"Age"` // when the snapshot was taken; below 0: long ago
 }
 
-func recordOfEntry(e protocol.MachineEntry) entryRecord {
+func newEntryRecord(e protocol.MachineEntry) entryRecord {
 	return entryRecord{
 		Machine:     e.Machine,
 		Address:     e.Address,
--- a/internal/schedulerd/restore.go
+++ b/internal/schedulerd/restore.go
@@ -26,7 +26,7 @@
 	if !ok {
 		return
 	}
-	s.state.restoreLearned(now, target, s.machines.starts())
+	s.state.restoreLearned(now, target, s.machines.machineStarts())
 	s.loop.After(snapshotInterval, s.saveSnapshot)
 }
 
@@ -48,7 +48,7 @@
 	if snapshot == nil {
 		return 0, nil
 	}
-	entries = snapshot.agedEntries(now)
+	entries = snapshot.entriesAt(now)
 	if len(entries) < len(snapshot.Entries) {
 		st.log.Info("persisted machine list not used, it is too old", "machines", len(snapshot.Entries))
 	}
@@ -64,7 +64,7 @@
 	for id, start := range starts {
 		incarnations[id] = start.Incarnation
 	}
-	persisted := st.persisted()
+	persisted := st.persistedState()
 	restored := warmstart.Restore(now, persisted, starts, st.classNames(), st.config.Policy.SlowStartWindow)
 	target.Restore(restored.Snapshot)
 	st.pendingSends, st.sendsKnownSince = restored.PendingSends, restored.Snapshot.SendsKnownSince
@@ -88,7 +88,7 @@
 	st.loaded = loadedState{}
 }
 
-func (st *stateStore) persisted() warmstart.Persisted {
+func (st *stateStore) persistedState() warmstart.Persisted {
 	p := warmstart.Persisted{History: st.loaded.history, Sends: st.loaded.sends}
 	if snapshot := st.loaded.snapshot; snapshot != nil {
 		p.TakenAt, p.Snapshot = snapshot.TakenAt, snapshot.Learned
--- a/internal/schedulerd/restore_test.go
+++ b/internal/schedulerd/restore_test.go
@@ -150,7 +150,7 @@
 
 // After a crash between an attempt and its end the next incarnation finds it in the log. It waits for the machine's
 // inventory, and adopts the container or releases its key accordingly. Idempotent work is not logged.
-func TestAttemptOpenAtACrashIsResolvedByItsMachine(t *testing.T) {
+func TestOpenAttemptIsResolvedByItsMachineAfterCrash(t *testing.T) {
 	for _, tc := range []crashCase{
 		{"at-most-once, and it runs", classAtMostOnce, true, 1, protocol.VerdictPlaced},
 		{"at-most-once, and it does not", classAtMostOnce, false, 1, protocol.VerdictFailed}, // every request fails
--- a/internal/schedulerd/routes.go
+++ b/internal/schedulerd/routes.go
@@ -40,15 +40,15 @@
 	}
 }
 
-// recoveryComplete says that all that runs from earlier incarnations has been announced.
-func (r *routeAnnouncer) recoveryComplete() {
+// markRecoveryComplete says that all that runs from earlier incarnations has been announced.
+func (r *routeAnnouncer) markRecoveryComplete() {
 	if r.speaker != nil {
 		r.speaker.MarkRoutesComplete()
 	}
 }
 
-// containerRunning counts a running container for the address of its service, or its machine's draining.
-func (r *routeAnnouncer) containerRunning(a *attempt) {
+// updateContainer counts a running container for the address of its service, or its machine's draining.
+func (r *routeAnnouncer) updateContainer(a *attempt) {
 	request := a.request()
 	if r.announces(request.Service) {
 		r.speaker.Handle(announce.ContainerRunning{
@@ -59,7 +59,7 @@
 	}
 }
 
-func (r *routeAnnouncer) containerEnded(a *attempt) {
+func (r *routeAnnouncer) removeContainer(a *attempt) {
 	request := a.request()
 	if r.announces(request.Service) {
 		r.speaker.Handle(announce.ContainerEnded{Service: request.Service, Container: string(request.ID)})
--- a/internal/schedulerd/server.go
+++ b/internal/schedulerd/server.go
@@ -52,7 +52,7 @@
 	if err := s.open(decisions); err != nil {
 		s.loop.Stop()
 		err = errors.Join(err, s.loop.Run())
-		s.loopEnded()
+		s.handleLoopEnd()
 		return nil, err
 	}
 	return s, nil
@@ -70,7 +70,7 @@
 		coverage = state.coverage()
 	}
 	s.wire(decisions, coverage)
-	s.loop.OnFlushed(func() { s.stats.flushed(s.loop.Elapsed()) })
+	s.loop.OnFlushed(func() { s.stats.recordPlacementLatency(s.loop.Elapsed()) })
 	s.loop.LogStalls(s.log)
 	var err error
 	s.listener, err = s.loop.Listen(s.config.ListenAddr, s.clients.accept, s.loop.AcceptStateLogger(s.log, "clients"))
@@ -86,7 +86,7 @@
 	s.routes = newRouteAnnouncer(s.process)
 	s.clients = &clientRegistry{
 		process: s.process, decisions: s.decisions, routes: s.routes,
-		connected:   map[reconcile.ClientID]*clientConn{},
+		byID:        map[reconcile.ClientID]*clientConn{},
 		submittedAt: map[scheduler.ContainerID]time.Duration{},
 	}
 	s.machines = &machineRegistry{
@@ -121,13 +121,13 @@
 func (s *Server) Run() error {
 	s.loop.Post(s.start)
 	err := s.loop.Run()
-	s.loopEnded()
+	s.handleLoopEnd()
 	return err
 }
 
 // Stop makes Run return. Any goroutine may call it.
 func (s *Server) Stop() {
-	s.loop.Post(s.stopRequested)
+	s.loop.Post(s.requestStop)
 	s.loop.Stop()
 }
 
--- a/internal/schedulerd/snapshot.go
+++ b/internal/schedulerd/snapshot.go
@@ -65,9 +65,9 @@
 	return wal.WriteChecksummed(dir, WarmStartFile, WarmStartMagic, WarmStartVersion, body)
 }
 
-// agedEntries returns the machine list with the ages of now; nil if it is too old to be used. A machine whose age is
+// entriesAt returns the machine list with the ages of now; nil if it is too old to be used. A machine whose age is
 // not known counts as just started, which puts it in slow start.
-func (w *WarmStartSnapshot) agedEntries(now warmstart.Timestamp) []protocol.MachineEntry {
+func (w *WarmStartSnapshot) entriesAt(now warmstart.Timestamp) []protocol.MachineEntry {
 	since := now.Since(w.TakenAt)
 	if since.Age >= 0 && warmstart.Weight(warmstart.MachineList, since.Age) == 0 {
 		return nil
@@ -103,7 +103,7 @@
 	if source, ok := s.decisions.warmStarter(); ok {
 		snapshot.Learned = source.Snapshot()
 		for _, learned := range snapshot.Learned.Machines {
-			if start, known := s.machines.start(learned.Machine); known {
+			if start, known := s.machines.machineStart(learned.Machine); known {
 				snapshot.Incarnations[learned.Machine] = start.Incarnation
 			}
 		}
@@ -114,5 +114,5 @@
 // saveSnapshot writes a snapshot at intervals.
 func (s *Server) saveSnapshot() {
 	s.loop.After(snapshotInterval, s.saveSnapshot)
-	s.state.save(s.machines.start, s.takeSnapshot)
+	s.state.save(s.machines.machineStart, s.takeSnapshot)
 }
--- a/internal/schedulerd/snapshotwriter.go
+++ b/internal/schedulerd/snapshotwriter.go
@@ -45,7 +45,7 @@
 
 // transition is the one place where the state of a snapshot writer changes.
 func (w *snapshotWriter) transition(event writerEvent) bool {
-	return w.transitionMade(writerTransitions.Apply("snapshot writer", &w.state, event))
+	return w.checkTransition(writerTransitions.Apply("snapshot writer", &w.state, event))
 }
 
 func (w *snapshotWriter) busy() bool { return w.state == writerSaving || w.state == writerRetrying }
@@ -59,12 +59,12 @@
 	snapshot := takeSnapshot()
 	w.writing.Go(func() {
 		err := snapshot.write(w.dir)
-		w.loop.Post(func() { w.finished(err) })
+		w.loop.Post(func() { w.handleResult(err) })
 	})
 }
 
-// finished logs the first of several failures, and the success after them.
-func (w *snapshotWriter) finished(err error) {
+// handleResult logs the first of several failures, and the success after them.
+func (w *snapshotWriter) handleResult(err error) {
 	before := w.state
 	if err != nil {
 		w.transition(writeFailed)
--- a/internal/schedulerd/specs.go
+++ b/internal/schedulerd/specs.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// requestOf is a container of the protocol as a request; it has no deadline.
-func requestOf(spec *protocol.ContainerSpec) scheduler.PlacementRequest {
+// requestFromSpec is a container of the protocol as a request; it has no deadline.
+func requestFromSpec(spec *protocol.ContainerSpec) scheduler.PlacementRequest {
 	return scheduler.PlacementRequest{
 		ID:              scheduler.ContainerID(spec.ContainerID),
 		IdempotencyKey:  spec.IdempotencyKey,
--- a/internal/schedulerd/statestore.go
+++ b/internal/schedulerd/statestore.go
@@ -166,14 +166,14 @@
 	for _, id := range st.ledger.Expire(st.now(), lookup) {
 		st.remove(SendKind, string(id))
 	}
-	st.retry()
+	st.retryDeletes()
 	st.writer.start(takeSnapshot)
 }
 
 // close writes what is left. The loop has ended. Where the state was not restored, the folder holds a better snapshot
 // than this incarnation has.
 func (st *stateStore) close(takeSnapshot func() *WarmStartSnapshot) {
-	st.retry()
+	st.retryDeletes()
 	st.commit()
 	st.writer.wait()
 	if st.state == storeRecording {
--- a/internal/schedulerd/statestore_test.go
+++ b/internal/schedulerd/statestore_test.go
@@ -33,7 +33,7 @@
 // What must be logged and cannot be is not sent; other work goes on. With room again it is sent by the same
 // incarnation, and the log holds nothing that has ended meanwhile. An incarnation that starts without room is no
 // exception.
-func TestFullDiskHoldsBackOnlyWhatMustBeLogged(t *testing.T) {
+func TestFullDiskBlocksOnlyLoggedAttempts(t *testing.T) {
 	for _, tc := range []fullDiskCase{{"full while it runs", false}, {"full at the start", true}} {
 		t.Run(tc.name, tc.run)
 	}
@@ -86,7 +86,7 @@
 
 // An attempt that waits for a slow disk longer than a connection may take is not sent, whatever update arrives
 // meanwhile, and is no failure of its machine.
-func TestAttemptHeldBackByASlowDiskIsNotSentLate(t *testing.T) {
+func TestAttemptDelayedBySlowDiskIsNotSent(t *testing.T) {
 	offered := make(chan string, 10)
 	address := serveMachine(t, "a", frames.OnOffer(func(_ net.Conn, o *protocol.Offer) bool {
 		offered <- o.Spec.ContainerID
@@ -101,7 +101,7 @@
 	h.client.submit("once", classAtMostOnce)
 	ended := h.awaitEnded()
 	testutil.Expect(t, ended.Outcome == scheduler.OutcomeNotSent, "%+v", ended)
-	listed(protocol.MachineDraining, 1, -1)(h, address)
+	listUpdate(protocol.MachineDraining, 1, -1)(h, address)
 	dir.gate.Unlock()
 	h.client.submit("again", classIdempotent)
 	got := <-offered
@@ -109,7 +109,7 @@
 }
 
 // A folder that another instance holds, or that cannot be made, is an error of New.
-func TestStateFolderThatCannotBeHeldStopsTheStart(t *testing.T) {
+func TestNewFailsIfStateFolderCannotBeLocked(t *testing.T) {
 	settings := testConfig(t)
 	settings.StateDir = t.TempDir()
 	runIncarnation(t, settings, newWarmStartScript(scheduler.Snapshot{}), func(*Server) {
--- a/internal/schedulerd/stats.go
+++ b/internal/schedulerd/stats.go
@@ -27,19 +27,19 @@
 
 // stats counts what a server does.
 type stats struct {
-	submitted        int
-	running          int
-	adopted          int
-	undelivered      int // frames for clients that were gone
-	attempts         int
-	verdicts         map[protocol.Verdict]int
-	outcomes         map[string]int
-	batches          int // calls of the scheduler
-	events           int
-	deciding         time.Duration // in all calls of the scheduler
-	slowestDecision  time.Duration
-	firstAttempts    []time.Duration // submission times of containers whose first attempt is sent in this iteration
-	placementLatency *hdrhistogram.Histogram
+	submitted               int
+	running                 int
+	adopted                 int
+	undelivered             int // frames for clients that were gone
+	attempts                int
+	verdicts                map[protocol.Verdict]int
+	outcomes                map[string]int
+	batches                 int // calls of the scheduler
+	events                  int
+	decisionTime            time.Duration // in all calls of the scheduler
+	slowestDecision         time.Duration
+	firstAttemptSubmissions []time.Duration // submission times of containers whose first attempt is sent in this iteration
+	placementLatency        *hdrhistogram.Histogram
 }
 
 func newStats() stats {
@@ -58,12 +58,12 @@
 
 func (s *stats) countUndelivered() { s.undelivered++ }
 
-func (s *stats) containerStarted() { s.running++ }
+func (s *stats) countStarted() { s.running++ }
 
-func (s *stats) containerEnded() { s.running-- }
+func (s *stats) countEnded() { s.running-- }
 
-// containerAdopted counts a container that was found running.
-func (s *stats) containerAdopted() {
+// countAdopted counts a container that was found running.
+func (s *stats) countAdopted() {
 	s.running++
 	s.adopted++
 }
@@ -71,23 +71,23 @@
 // countAttempt counts an offer that was sent.
 func (s *stats) countAttempt() { s.attempts++ }
 
-// measureLatency measures the time from a submission until the end of this iteration.
-func (s *stats) measureLatency(submittedAt time.Duration) {
-	s.firstAttempts = append(s.firstAttempts, submittedAt)
+// addFirstAttempt measures the time from a submission until the end of this iteration.
+func (s *stats) addFirstAttempt(submittedAt time.Duration) {
+	s.firstAttemptSubmissions = append(s.firstAttemptSubmissions, submittedAt)
 }
 
-// flushed records how long first attempts took from the submission until they were written to the socket.
-func (s *stats) flushed(now time.Duration) {
-	for _, submittedAt := range s.firstAttempts {
+// recordPlacementLatency records how long first attempts took from the submission until they were written to the socket.
+func (s *stats) recordPlacementLatency(now time.Duration) {
+	for _, submittedAt := range s.firstAttemptSubmissions {
 		// fails beyond maxLatency only
 		_ = s.placementLatency.RecordValue(max(minLatency, (now - submittedAt).Microseconds()))
 	}
-	s.firstAttempts = s.firstAttempts[:0]
+	s.firstAttemptSubmissions = s.firstAttemptSubmissions[:0]
 }
 
 func (s *stats) countBatch(took time.Duration, events int) {
 	s.batches++
 	s.events += events
-	s.deciding += took
+	s.decisionTime += took
 	s.slowestDecision = max(s.slowestDecision, took)
 }
--- a/internal/schedulerd/status.go
+++ b/internal/schedulerd/status.go
@@ -106,7 +106,7 @@
 	list.addCount("batches", s.batches)
 	list.addCount("events", s.events)
 	list.add("busy", busy.Seconds(), "s")
-	list.add("deciding", s.deciding.Seconds(), "s")
+	list.add("deciding", s.decisionTime.Seconds(), "s")
 	list.add("slowest decision", s.slowestDecision.Seconds()*1000, "ms")
 }
 
--- a/internal/schedulerd/status_test.go
+++ b/internal/schedulerd/status_test.go
@@ -18,7 +18,7 @@
 }
 
 // `glenport status`, the metrics and dashboards know the counters by these names, in this order.
-func TestStatusKeepsItsNames(t *testing.T) {
+func TestStatusNamesAreStable(t *testing.T) {
 	server, _ := runServer(t, testConfig(t), newScript(nil))
 	var got []string
 	for _, stat := range onLoop(server, server.inspector.statusReply).Stats {
--- a/internal/schedulerd/storestate.go
+++ b/internal/schedulerd/storestate.go
@@ -39,5 +39,5 @@
 
 // transition is the one place where the state of a state store changes.
 func (st *stateStore) transition(event storeEvent) bool {
-	return st.transitionMade(storeTransitions.Apply("state store", &st.state, event))
+	return st.checkTransition(storeTransitions.Apply("state store", &st.state, event))
 }
--- a/internal/schedulerd/transition_test.go
+++ b/internal/schedulerd/transition_test.go
@@ -51,7 +51,7 @@
 	} {
 		t.Run(tc.subject, func(t *testing.T) {
 			before := tc.state()
-			if tc.happens() || tc.state() != before {
+			if tc.apply() || tc.state() != before {
 				t.Errorf("from %q to %q", before, tc.state())
 			}
 			var illegal *statemachine.TransitionError
@@ -66,7 +66,7 @@
 type illegalEvent struct {
 	subject string
 	state   func() string
-	happens func() bool
+	apply   func() bool
 }
 
 func illegal[State ~string, Event any](
