--- a/internal/schedulerd/doc.go
+++ b/internal/schedulerd/doc.go
@@ -1,25 +1,25 @@
-// Package schedulerd runs one scheduler on sockets. Server owns an event loop, on which it turns frames, connections
-// and timers into events, hands them to the decision packages once an iteration, and executes the actions that they
-// return, in order. It decides nothing itself. Where nothing else is said, code of this package runs on the goroutine
-// of the event loop.
+// Package schedulerd implements the scheduler process. Server runs an event loop. It turns frames, connection changes
+// and timers into events, passes them to the decision packages once per iteration, and executes the returned actions in
+// order. All decisions are made by the decision packages. Unless stated otherwise, the code of this package runs on the
+// goroutine of the event loop.
 //
-// Server wires the parts and maps actions to their methods. Each part owns its state:
+// Server connects the parts and maps each action to a method. Each part owns its state:
 //
-//	process            what all parts share: settings, incarnation, log, event loop, counters
-//	decisions          the scheduler, the reconciler, and the events that wait for them
+//	process            shared by all parts: settings, incarnation, log, event loop, counters
+//	decisions          the scheduler, the reconciler, and the events queued for them
 //	clientRegistry     accepted connections, each a clientConn
 //	machineRegistry    the machine list and the machines, each with a machineConn, an attemptQueue and its probes
-//	attemptDispatcher  attempts from the decision to their one outcome
-//	containerRegistry  containers that were admitted or adopted, and the answers to their clients
-//	listReceiver       hands on what the machinelist.Client receives, which owns the connection to the list service
+//	attemptDispatcher  attempts, from the decision to the outcome
+//	containerRegistry  admitted and adopted containers, and the replies to their clients
+//	listReceiver       applies the updates of machinelist.Client, which owns the connection to the list service
 //	routeAnnouncer     the BGP speaker
-//	stateStore         what the next incarnation needs: a journal and a snapshotWriter
-//	inspector          replies to the questions of operators
+//	stateStore         the state persisted for the next incarnation: a journal and a snapshotWriter
+//	inspector          replies to status and explain requests of operators
 //
 // # State machines
 //
-// An event that a table does not list for a state is illegal: it is logged as a *statemachine.TransitionError, and the
-// state stays.
+// An event that the table does not list for a state is illegal: it is logged as a *statemachine.TransitionError, and
+// the state does not change.
 //
 // An attempt:
 //
@@ -74,7 +74,7 @@
 //	| stopping | stop requested | stopping   |
 //	| stopping | loop ended     | stopped    |
 //
-// The state store. It writes snapshots once the folder's own snapshot has been restored:
+// The state store. It writes snapshots once the snapshot of the folder has been restored:
 //
 //	| state     | event    | next state |
 //	| loading   | loaded   | loaded     |
--- a/internal/schedulerd/iteration.go
+++ b/internal/schedulerd/iteration.go
@@ -7,9 +7,9 @@
 	"glenport/scheduler"
 )
 
-// runIteration hands the events of one iteration of the loop to the decisions and executes what they return. The
-// reconciler comes first: the scheduler has to know of adopted containers before it decides. State is committed last,
-// so that all changes of an iteration are one group.
+// runIteration passes the events of one loop iteration to the reconciler and the scheduler, and executes the returned
+// actions. The reconciler runs first, so that the scheduler knows the adopted containers before it decides. State is
+// committed last, so that all changes of an iteration form one group.
 func (s *Server) runIteration() {
 	s.decisions.runReconciler()
 	s.clients.clearSubmissions()
--- a/internal/schedulerd/lifecycle.go
+++ b/internal/schedulerd/lifecycle.go
@@ -13,7 +13,7 @@
 	serverStopped  serverState = "stopped"
 )
 
-// serverEvent is what happens to a server.
+// serverEvent is an event in the lifecycle of a server.
 type serverEvent string
 
 // Events of a server.
@@ -23,7 +23,7 @@
 	serverLoopEnded     serverEvent = "loop ended"
 )
 
-// serverTransitions is the table of the package comment.
+// serverTransitions is the table in the package comment.
 var serverTransitions = statemachine.Table[serverState, serverEvent]{
 	serverCreated: {
 		serverStarted:       serverServing,
@@ -32,7 +32,7 @@
 	},
 	serverServing: {
 		serverStopRequested: serverStopping,
-		serverLoopEnded:     serverStopped, // it could not wait for events
+		serverLoopEnded:     serverStopped, // waiting for events has failed
 	},
 	serverStopping: {
 		serverStarted:       serverStopping, // Stop was called before Run
@@ -41,12 +41,12 @@
 	},
 }
 
-// transition is the one place where the state of a server changes.
+// transition applies an event. It is the only function that changes the state of a server.
 func (s *Server) transition(event serverEvent) bool {
 	return s.checkTransition(serverTransitions.Apply("server", &s.lifecycle, event))
 }
 
-// requestStop ends the BGP sessions, once.
+// requestStop begins the shutdown. Only the first call closes the BGP sessions.
 func (s *Server) requestStop() {
 	before := s.lifecycle
 	if s.transition(serverStopRequested) && before != serverStopping {
@@ -54,7 +54,7 @@
 	}
 }
 
-// handleLoopEnd writes what is left of the state.
+// handleLoopEnd closes the state store once the event loop has ended.
 func (s *Server) handleLoopEnd() {
 	if s.transition(serverLoopEnded) && s.state != nil {
 		s.state.close(s.takeSnapshot)
--- a/internal/schedulerd/server.go
+++ b/internal/schedulerd/server.go
@@ -19,7 +19,7 @@
 // maintenanceInterval is the time between two checks for idle, silent and stalled connections.
 const maintenanceInterval = eventloop.Second
 
-// Server is one incarnation of a scheduler process. It wires the parts that the package comment lists.
+// Server is one incarnation of a scheduler process. The package comment describes its parts.
 type Server struct {
 	*process
 	lifecycle serverState
@@ -36,9 +36,9 @@
 	state      *stateStore // nil if nothing is persisted
 }
 
-// New opens the state folder and the listener of a scheduler. Run serves; what New has opened is released when Run
-// returns, so that Run must be called even if the server is stopped at once.
-func New(settings *config.Scheduler, decisions Scheduler, log *slog.Logger) (*Server, error) {
+// New opens the state folder and the listener of a scheduler. The resources are released when Run returns, so Run must
+// be called even if the server is stopped immediately.
+func New(settings *config.Scheduler, decider Scheduler, log *slog.Logger) (*Server, error) {
 	s := &Server{lifecycle: serverCreated, process: &process{
 		config:      settings,
 		incarnation: uint64(time.Now().UnixMicro()),
@@ -49,7 +49,7 @@
 	if s.loop, err = eventloop.New(s.runIteration); err != nil {
 		return nil, fmt.Errorf("start event loop: %w", err)
 	}
-	if err := s.open(decisions); err != nil {
+	if err := s.open(decider); err != nil {
 		s.loop.Stop()
 		err = errors.Join(err, s.loop.Run())
 		s.handleLoopEnd()
@@ -58,8 +58,8 @@
 	return s, nil
 }
 
-// open reads the state and begins to listen.
-func (s *Server) open(decisions Scheduler) error {
+// open loads the state and starts listening.
+func (s *Server) open(decider Scheduler) error {
 	coverage := recovery.LogNone
 	if s.config.StateDir != "" {
 		state, err := openState(s.process)
@@ -69,7 +69,7 @@
 		s.state = state
 		coverage = state.coverage()
 	}
-	s.wire(decisions, coverage)
+	s.wire(decider, coverage)
 	s.loop.OnFlushed(func() { s.stats.recordPlacementLatency(s.loop.Elapsed()) })
 	s.loop.LogStalls(s.log)
 	var err error
@@ -77,10 +77,10 @@
 	return err
 }
 
-// wire makes the parts and introduces them to each other.
-func (s *Server) wire(chosen Scheduler, coverage recovery.LogCoverage) {
+// wire creates the parts and connects them to each other.
+func (s *Server) wire(decider Scheduler, coverage recovery.LogCoverage) {
 	s.decisions = &decisions{
-		process: s.process, scheduler: chosen, reconciler: newReconciler(s.process, coverage),
+		process: s.process, scheduler: decider, reconciler: newReconciler(s.process, coverage),
 		executeSchedulerAction: s.executeSchedulerAction, executeReconcilerAction: s.executeReconcilerAction,
 	}
 	s.routes = newRouteAnnouncer(s.process)
@@ -111,13 +111,13 @@
 	s.dispatcher.containers = s.containers
 }
 
-// Speaker announces the addresses of services by BGP; nil if none is announced.
+// Speaker returns the BGP speaker that announces the addresses of services; nil if none is configured.
 func (s *Server) Speaker() *speaker.Speaker { return s.routes.speaker }
 
-// Addr is the address at which clients connect.
+// Addr returns the address on which the server listens for clients.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Run serves until Stop.
+// Run serves until Stop is called.
 func (s *Server) Run() error {
 	s.loop.Post(s.start)
 	err := s.loop.Run()
@@ -131,14 +131,14 @@
 	s.loop.Stop()
 }
 
-// Stats returns the counters and the routes. Any goroutine may call it; ok is false if the loop has stopped or does not
-// answer within the timeout.
+// Stats returns the counters and the routes. Any goroutine may call it. ok is false if the loop has stopped or does not
+// reply within the timeout.
 func (s *Server) Stats(timeout time.Duration) (status *protocol.StatusReply, routes *protocol.RoutesReply, ok bool) {
 	type snapshot struct {
 		status *protocol.StatusReply
 		routes *protocol.RoutesReply
 	}
-	taken := make(chan snapshot, 1) // the loop never waits for a caller that has gone
+	taken := make(chan snapshot, 1) // buffered: the loop must not block after the caller has timed out
 	if !s.loop.Post(func() { taken <- snapshot{s.inspector.statusReply(), s.routes.routesReply("")} }) {
 		return nil, nil, false
 	}
@@ -150,7 +150,7 @@
 	}
 }
 
-// start begins with what earlier incarnations have left.
+// start restores the state of earlier incarnations, and starts maintenance and the BGP speaker.
 func (s *Server) start() {
 	s.transition(serverStarted)
 	s.log.Info("scheduler started", "name", s.config.Name, "listener", s.Addr(), "incarnation", s.incarnation)
