--- a/internal/schedulerd/attempt.go
+++ b/internal/schedulerd/attempt.go
@@ -10,26 +10,26 @@
 	"glenport/scheduler"
 )
 
-// attempt is an offer of a container to a machine.
+// attempt is one try to place a container on a machine.
 type attempt struct {
 	number      uint64
-	incarnation uint64 // of the scheduler that made it
-	ordinal     int    // among the attempts of its container, from 0
+	incarnation uint64 // of the scheduler that started it
+	ordinal     int    // index among the attempts of its container, from 0
 	container   *container
 	machine     *machine
 	state       attemptState
-	inLog       bool // the log holds it, and is to forget it at its end
+	inLog       bool // the log holds a record of it, which is removed when it ends
 	decidedAt   eventloop.Tick
 	deadline    eventloop.Tick
 	timer       *eventloop.Timer // for the deadline; nil once accepted or timed out
 
-	machineIncarnation uint64 // when it was decided
-	adoptionsBefore    int    // when it was decided
+	machineIncarnation uint64 // when the attempt was decided
+	adoptionsBefore    int    // number of adoptions when the attempt was decided
 }
 
 func (a *attempt) request() *scheduler.PlacementRequest { return &a.container.request }
 
-// record is the attempt as the reconciler and the log know it.
+// record returns the attempt in the form that the reconciler and the log use.
 func (a *attempt) record() reconcile.Attempt {
 	return reconcile.Attempt{
 		Request:     *a.request(),
@@ -40,14 +40,14 @@
 	}
 }
 
-// stale reports whether what a queued attempt was decided on has changed: the machine drains, is gone or has restarted,
-// or more containers of the service were found running.
+// stale reports whether the decision behind a queued attempt is out of date: the machine drains, is gone or has
+// restarted, or more containers of the service were adopted since.
 func (a *attempt) stale() bool {
 	return a.machine.unavailableSince(a.machineIncarnation) ||
 		a.machine.adoptedSince(a.request().Service, a.adoptionsBefore)
 }
 
-// inOrder returns attempts in the order in which they were made.
+// inOrder returns the attempts in the order in which they were started.
 func inOrder(attempts map[uint64]*attempt) []*attempt {
 	return slices.SortedFunc(maps.Values(attempts), func(a, b *attempt) int { return cmp.Compare(a.number, b.number) })
 }
--- a/internal/schedulerd/attemptstate.go
+++ b/internal/schedulerd/attemptstate.go
@@ -7,15 +7,15 @@
 
 // States of an attempt.
 const (
-	attemptQueued      attemptState = "queued"       // not sent, for want of a connection that is ready
-	attemptAwaitingLog attemptState = "awaiting log" // it must not be sent before the log holds it
-	attemptOffered     attemptState = "offered"      // sent, without an answer
-	attemptRunning     attemptState = "running"      // accepted: the container runs, or will
-	attemptTerminating attemptState = "terminating"  // its client has cancelled it; the machine's result ends it
+	attemptQueued      attemptState = "queued"       // not sent, as the connection is not ready
+	attemptAwaitingLog attemptState = "awaiting log" // not sent before the log holds it
+	attemptOffered     attemptState = "offered"      // sent, not answered yet
+	attemptRunning     attemptState = "running"      // accepted: the container runs or will run
+	attemptTerminating attemptState = "terminating"  // cancelled by a client; ends with the result from the machine
 	attemptEnded       attemptState = "ended"
 )
 
-// attemptEvent is what happens to an attempt.
+// attemptEvent is an event of an attempt.
 type attemptEvent string
 
 // Events of an attempt.
@@ -28,7 +28,7 @@
 	attemptOutcomeKnown         attemptEvent = "ended"
 )
 
-// attemptTransitions is the table of the package comment.
+// attemptTransitions is the table in the package comment.
 var attemptTransitions = statemachine.Table[attemptState, attemptEvent]{
 	attemptQueued: {
 		attemptLogRequired:  attemptAwaitingLog,
@@ -48,15 +48,15 @@
 		attemptOutcomeKnown:         attemptEnded,
 	},
 	attemptTerminating: {
-		attemptTerminationRequested: attemptTerminating, // by a client that asks again
+		attemptTerminationRequested: attemptTerminating, // a client has repeated the cancel
 		attemptOutcomeKnown:         attemptEnded,
 	},
 	attemptEnded: {
-		attemptLogged: attemptEnded, // it has waited for the log too long
+		attemptLogged: attemptEnded, // it has ended while waiting for the log
 	},
 }
 
-// transition is the one place where the state of an attempt changes.
+// transition applies an event. It is the only function that changes the state of an attempt.
 func (a *attempt) transition(event attemptEvent) bool {
 	return a.machine.registry.checkTransition(attemptTransitions.Apply("attempt", &a.state, event))
 }
--- a/internal/schedulerd/dispatcher.go
+++ b/internal/schedulerd/dispatcher.go
@@ -8,8 +8,7 @@
 	"glenport/scheduler"
 )
 
-// attemptDispatcher sends attempts to machines. Each attempt ends in exactly one AttemptEnded, also one that cannot be
-// sent.
+// attemptDispatcher sends attempts to machines. Each attempt, sent or not, ends in exactly one AttemptEnded.
 type attemptDispatcher struct {
 	*process
 	decisions  *decisions
@@ -18,10 +17,11 @@
 	routes     *routeAnnouncer
 	state      *stateStore // nil if nothing is persisted
 	adoptions  adoptions.Tracker
-	lastNumber uint64 // attempt numbers are unique over all incarnations
+	lastNumber uint64 // starts at the incarnation, so that attempt numbers are unique across incarnations
 }
 
-// start offers a container to a machine, at once or as soon as the connection is ready and the log holds what it must.
+// start starts an attempt. The offer is sent immediately if the connection is ready and nothing has to be logged first;
+// otherwise the attempt is queued.
 func (d *attemptDispatcher) start(action scheduler.StartAttempt) {
 	c, m := d.containers.find(action.ID), d.machines.find(action.Machine)
 	if c == nil {
@@ -46,7 +46,7 @@
 	d.enqueue(a)
 }
 
-// newAttempt starts the clock of an attempt. Without a timeout it may wait until the deadline of the request.
+// newAttempt creates an attempt and starts its timer. Without a timeout it expires at the deadline of the request.
 func (d *attemptDispatcher) newAttempt(c *container, m *machine, timeout eventloop.Tick) *attempt {
 	now := d.loop.Now()
 	deadline := eventloop.Tick(c.request.Deadline)
@@ -70,7 +70,8 @@
 	return a
 }
 
-// persist holds an attempt back until the log holds what must be known of it after a crash.
+// persist logs what must be known of an attempt after a crash. An attempt with anything to log is not sent until the
+// log holds it.
 func (d *attemptDispatcher) persist(a *attempt) {
 	write, sync := recovery.MustPersist(d.idempotency(a.request().WorkloadClass))
 	if write {
@@ -90,7 +91,7 @@
 	}
 }
 
-// handleLogged sends an attempt that waited for the log. One that could not be logged is never sent.
+// handleLogged sends an attempt that waited for the log. An attempt that could not be logged is never sent.
 func (d *attemptDispatcher) handleLogged(a *attempt, err error) {
 	if err != nil {
 		if a.machine.dequeue(a) {
@@ -102,10 +103,10 @@
 	a.machine.sendQueued()
 }
 
-// enqueue holds an attempt back until its connection is ready and the log holds it, but no longer than a connection may
-// take. The scheduler charges a machine in slow start for an attempt when it decides, and keeps an eighth of the
-// slow-start window for the way: attempts that pile up behind a slow connection would arrive together and overload the
-// machine.
+// enqueue queues an attempt until the connection is ready and the log holds the attempt, for at most the connect
+// timeout. The scheduler charges an attempt to the slow-start budget of a machine when it decides, and reserves only an
+// eighth of the slow-start window for the transmission. Attempts that queue up behind a slow connection would arrive
+// together and overload the machine.
 func (d *attemptDispatcher) enqueue(a *attempt) {
 	m := a.machine
 	m.enqueue(a)
@@ -117,7 +118,7 @@
 	m.connect()
 }
 
-// send offers an attempt to its machine, which is ready.
+// send sends the offer of an attempt to its machine, whose connection is ready.
 func (d *attemptDispatcher) send(a *attempt) {
 	if !a.machine.offer(a) {
 		d.endNotSent(a)
@@ -130,8 +131,8 @@
 	}
 }
 
-// endUnreached ends an attempt whose machine was not reached in time. If the connection is ready the attempt waited for
-// the log, which is no failure of the machine.
+// endUnreached ends an attempt that was not sent in time. It counts as a failure of the machine only if the attempt
+// waited for the connection. If the connection is ready, the attempt waited for the log.
 func (d *attemptDispatcher) endUnreached(a *attempt) {
 	if a.awaitsLog() || a.machine.ready() {
 		d.endNotSent(a)
@@ -159,15 +160,15 @@
 	d.end(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeTimedOut})
 }
 
-// endConnectionLost ends an attempt that was sent and has no answer.
+// endConnectionLost ends a pending attempt that was sent before the connection was lost.
 func (d *attemptDispatcher) endConnectionLost(a *attempt) {
 	d.stats.countOutcome(statConnectionLost)
 	d.reportOutcomeUnknown(a)
 	d.end(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost})
 }
 
-// accept handles the accept of a machine: the container runs, or will run where an accept does not mean that it runs
-// already.
+// accept handles the accept of a machine: the container runs, or will run if the configuration does not equate
+// accepting with running.
 func (d *attemptDispatcher) accept(a *attempt) {
 	if !a.transition(attemptAcceptReceived) {
 		return
@@ -178,7 +179,7 @@
 	d.stats.countStarted()
 	d.routes.updateContainer(a)
 	d.decisions.notifyReconciler(reconcile.AttemptAccepted{ID: id, Machine: a.machine.id, Attempt: a.number})
-	if c.isAnswered() { // too late for the client: the container is known until it ends
+	if c.isAnswered() { // too late for the client, but the container is tracked until it ends
 		d.decisions.notifyReconciler(reconcile.LateAccept{Attempt: a.record()})
 		return
 	}
@@ -188,7 +189,7 @@
 	d.containers.answerPlaced(c, a.machine.id)
 }
 
-// cancelPending cancels an attempt that the scheduler does not want to wait for any longer.
+// cancelPending cancels an attempt that is not accepted yet, at the request of the scheduler.
 func (d *attemptDispatcher) cancelPending(action scheduler.CancelAttempt) {
 	c := d.containers.find(action.ID)
 	if c == nil {
@@ -201,7 +202,7 @@
 	d.cancel(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: c.isAnswered()})
 }
 
-// cancel ends an attempt that is not accepted, and has the machine drop it.
+// cancel ends an attempt that is not accepted, and cancels it on the machine if it was sent.
 func (d *attemptDispatcher) cancel(a *attempt, ended scheduler.AttemptEnded) {
 	if a.unsent() {
 		a.machine.dequeue(a)
@@ -212,19 +213,20 @@
 	d.end(a, ended)
 }
 
-// terminate asks the machine to end a container that runs. The machine's result ends the attempt.
+// terminate asks the machine to stop a running container. The attempt ends with the result from the machine.
 func (d *attemptDispatcher) terminate(a *attempt) {
 	a.transition(attemptTerminationRequested)
 	a.machine.cancel(a.incarnation, a.number)
 }
 
-// reportOutcomeUnknown leaves it to the reconciler when the log may forget an attempt: it may run though it has ended here.
+// reportOutcomeUnknown passes an attempt to the reconciler that has ended here but may run on the machine. The
+// reconciler decides when its record is removed from the log.
 func (d *attemptDispatcher) reportOutcomeUnknown(a *attempt) {
 	d.decisions.notifyReconciler(reconcile.AttemptOutcomeUnknown{Attempt: a.record()})
 	a.inLog = false
 }
 
-// end ends an attempt with its one outcome, and removes its container if that is answered and has no other.
+// end ends an attempt with its outcome, and removes its container if the outcome is final.
 func (d *attemptDispatcher) end(a *attempt, ended scheduler.AttemptEnded) {
 	before := a.state
 	if !a.transition(attemptOutcomeKnown) {
@@ -234,7 +236,7 @@
 	d.loop.Cancel(a.timer)
 	m.untrack(a)
 	c.endAttempt()
-	if before == attemptOffered && ended.Outcome == scheduler.OutcomeStopped { // the cancel may come too late
+	if before == attemptOffered && ended.Outcome == scheduler.OutcomeStopped { // the cancel may arrive too late
 		d.reportOutcomeUnknown(a)
 	}
 	if a.inLog {
@@ -255,7 +257,8 @@
 	m.removeIfGone()
 }
 
-// adopt makes a container that was found running the accepted attempt of another incarnation, or of one that was over.
+// adopt creates an accepted attempt for a container that was found running. The container was started by an earlier
+// incarnation, or by an attempt that has already ended.
 func (d *attemptDispatcher) adopt(c *container, m *machine, found reconcile.Attempt) {
 	a := &attempt{
 		number:      found.Number,
--- a/internal/schedulerd/expired.go
+++ b/internal/schedulerd/expired.go
@@ -6,13 +6,13 @@
 	"glenport/scheduler"
 )
 
-// lateAcceptWindow is for how long an attempt that is over may still be accepted by its number.
+// lateAcceptWindow is the time for which the accept of an ended attempt is still recognized by its number.
 const lateAcceptWindow = 60 * eventloop.Second
 
-// expiredAttempts holds the requests of attempts that are over and may still be accepted by their machine.
+// expiredAttempts holds the requests of ended attempts that the machine may still accept.
 type expiredAttempts struct {
 	machine  *machine
-	requests map[uint64]scheduler.PlacementRequest // by number of the attempt
+	requests map[uint64]scheduler.PlacementRequest // by attempt number
 }
 
 // add keeps the request of an attempt for lateAcceptWindow.
@@ -24,7 +24,7 @@
 
 func (e *expiredAttempts) clear() { clear(e.requests) }
 
-// handleAccept hands on that an attempt runs although it is over.
+// handleAccept tells the reconciler that an ended attempt runs on the machine.
 func (e *expiredAttempts) handleAccept(number uint64) {
 	if a, ok := e.take(number); ok {
 		a.Running = true
@@ -33,14 +33,14 @@
 	}
 }
 
-// handleResult hands on that an attempt does not run.
+// handleResult tells the reconciler that an ended attempt does not run.
 func (e *expiredAttempts) handleResult(number uint64) {
 	if a, ok := e.take(number); ok {
 		e.machine.registry.decisions.notifyReconciler(reconcile.AttemptNotRunning{Attempt: a})
 	}
 }
 
-// take returns an attempt, once.
+// take removes and returns an attempt.
 func (e *expiredAttempts) take(number uint64) (a reconcile.Attempt, ok bool) {
 	request, ok := e.requests[number]
 	delete(e.requests, number)
--- a/internal/schedulerd/queue.go
+++ b/internal/schedulerd/queue.go
@@ -6,7 +6,7 @@
 	"glenport/internal/adoptions"
 )
 
-// attemptQueue holds the attempts for one machine that are not sent yet, in the order they were decided.
+// attemptQueue holds the unsent attempts for one machine, in the order in which they were decided.
 type attemptQueue struct {
 	adoptions *adoptions.Tracker
 	attempts  []*attempt
@@ -14,7 +14,7 @@
 
 func (q *attemptQueue) empty() bool { return len(q.attempts) == 0 }
 
-// list returns a copy, which stays as it is while attempts are removed.
+// list returns a copy, which does not change while attempts are removed.
 func (q *attemptQueue) list() []*attempt { return slices.Clone(q.attempts) }
 
 func (q *attemptQueue) add(a *attempt) {
@@ -22,7 +22,7 @@
 	q.adoptions.AttemptWaiting()
 }
 
-// remove reports whether the attempt was queued.
+// remove removes an attempt, and reports whether it was queued.
 func (q *attemptQueue) remove(a *attempt) bool {
 	i := slices.Index(q.attempts, a)
 	if i < 0 {
@@ -33,7 +33,7 @@
 	return true
 }
 
-// takeAll empties the queue.
+// takeAll empties the queue and returns its attempts.
 func (q *attemptQueue) takeAll() []*attempt {
 	attempts := q.attempts
 	q.attempts = nil
@@ -41,7 +41,7 @@
 	return attempts
 }
 
-// adoptedSince reports whether containers of a service were adopted after a count of adoptions.
+// adoptedSince reports whether containers of a service were adopted since the given adoption count.
 func (q *attemptQueue) adoptedSince(service string, count int) bool {
 	return q.adoptions.Since(service, count)
 }
