--- a/internal/schedulerd/clientconn.go
+++ b/internal/schedulerd/clientconn.go
@@ -9,20 +9,20 @@
 	"glenport/scheduler"
 )
 
-// helloTimeout is for how long a connection is kept whose peer has not said who it is.
+// helloTimeout is the time within which a peer has to send its hello.
 const helloTimeout = 5 * eventloop.Second
 
-// Reasons that are sent in a Goodbye.
+// Reasons that are sent in a Goodbye: they are part of the wire format.
 const (
 	reasonNoHello      = "no greeting in time"
 	reasonPartialFrame = "half a frame"
 	reasonGoodbye      = "good bye"
 )
 
-// unknownPeer stands for a connection in log lines until its hello.
+// unknownPeer is the name of a peer in log lines until its hello.
 const unknownPeer = "unknown"
 
-// clientConn is an accepted connection: of a client, or of another scheduler that asks something.
+// clientConn is an accepted connection of a client, or of another scheduler that requests status.
 type clientConn struct {
 	registry   *clientRegistry
 	id         reconcile.ClientID
@@ -30,7 +30,7 @@
 	conn       *eventloop.Conn
 	reader     protocol.Reader
 	name       string
-	role       protocol.Role // 0: no hello yet
+	role       protocol.Role // 0 until the hello
 	acceptedAt eventloop.Tick
 	partial    partialFrame
 }
@@ -63,19 +63,19 @@
 	}
 }
 
-// disconnect closes the connection after a Goodbye with a reason.
+// disconnect sends a Goodbye with a reason and closes the connection.
 func (c *clientConn) disconnect(reason string) {
 	if c.disconnected() {
 		return
 	}
 	c.send(&protocol.Goodbye{Message: reason})
-	if !c.disconnected() { // by a failed write
+	if !c.disconnected() { // a failed write has already changed the state
 		c.transition(clientGoodbyeSent)
 	}
 	c.conn.Close()
 }
 
-// send drops a client that does not read: the answers to it must not pile up.
+// send sends a frame. It resets the connection of a client that does not read, which bounds the pending output.
 func (c *clientConn) send(f protocol.Frame) {
 	if c.disconnected() {
 		c.registry.stats.countUndelivered()
--- a/internal/schedulerd/clients.go
+++ b/internal/schedulerd/clients.go
@@ -17,10 +17,10 @@
 	routes      *routeAnnouncer
 	byID        map[reconcile.ClientID]*clientConn
 	lastID      reconcile.ClientID
-	submittedAt map[scheduler.ContainerID]time.Duration // of the requests of this iteration
+	submittedAt map[scheduler.ContainerID]time.Duration // requests of this iteration only
 }
 
-// accept makes the handler of a new connection, and returns the limit of its pending output.
+// accept returns the handler of a new connection and the limit of its pending output in bytes.
 func (r *clientRegistry) accept() (handler eventloop.Handler, maxOutput int) {
 	r.lastID++
 	return &clientConn{
@@ -35,10 +35,10 @@
 
 func (r *clientRegistry) count() int { return len(r.byID) }
 
-// find returns nil if the client has gone.
+// find returns nil if the client has disconnected.
 func (r *clientRegistry) find(id reconcile.ClientID) *clientConn { return r.byID[id] }
 
-// send sends a frame to a client that may have gone.
+// send sends a frame to a client, if it is still connected.
 func (r *clientRegistry) send(id reconcile.ClientID, f protocol.Frame) {
 	if client := r.byID[id]; client != nil {
 		client.send(f)
@@ -57,7 +57,7 @@
 	}
 }
 
-// recordSubmission counts a request and notes when it was submitted.
+// recordSubmission counts a request and records the time of its submission.
 func (r *clientRegistry) recordSubmission(id scheduler.ContainerID) {
 	r.stats.countSubmission()
 	r.submittedAt[id] = r.loop.Elapsed()
@@ -67,5 +67,5 @@
 	return r.submittedAt[id]
 }
 
-// clearSubmissions ends an iteration: its requests are admitted or rejected.
+// clearSubmissions discards the submission times of an iteration, whose requests are all admitted or rejected.
 func (r *clientRegistry) clearSubmissions() { clear(r.submittedAt) }
--- a/internal/schedulerd/clientstate.go
+++ b/internal/schedulerd/clientstate.go
@@ -9,11 +9,11 @@
 const (
 	clientAwaitingHello clientState = "awaiting hello"
 	clientEstablished   clientState = "established"
-	clientClosing       clientState = "closing" // nothing more is read or sent
+	clientClosing       clientState = "closing" // no more frames are read or sent
 	clientClosed        clientState = "closed"
 )
 
-// clientEvent is what happens to an accepted connection.
+// clientEvent is an event of an accepted connection.
 type clientEvent string
 
 // Events of an accepted connection.
@@ -24,7 +24,7 @@
 	clientConnClosed    clientEvent = "closed"
 )
 
-// clientTransitions is the table of the package comment.
+// clientTransitions is the table in the package comment.
 var clientTransitions = statemachine.Table[clientState, clientEvent]{
 	clientAwaitingHello: {
 		clientHelloReceived: clientEstablished,
@@ -39,7 +39,7 @@
 		clientConnClosed:    clientClosed,
 	},
 	clientClosing: {
-		clientHelloReceived: clientClosing, // in the bytes that were read before
+		clientHelloReceived: clientClosing, // in data that was read before
 		clientConnClosed:    clientClosed,
 	},
 	clientClosed: {
@@ -47,10 +47,10 @@
 	},
 }
 
-// transition is the one place where the state of an accepted connection changes.
+// transition applies an event. It is the only function that changes the state of an accepted connection.
 func (c *clientConn) transition(event clientEvent) bool {
 	return c.registry.checkTransition(clientTransitions.Apply("client connection", &c.state, event))
 }
 
-// disconnected reports whether nothing more is read or sent.
+// disconnected reports whether no more frames are read or sent.
 func (c *clientConn) disconnected() bool { return c.state == clientClosing || c.state == clientClosed }
--- a/internal/schedulerd/container.go
+++ b/internal/schedulerd/container.go
@@ -7,7 +7,7 @@
 	"glenport/scheduler"
 )
 
-// Messages of replies to clients. They are sent as they are, so that a change of one changes the wire.
+// Messages of replies to clients. They are part of the wire format.
 const (
 	messageAlreadyRunning = "it runs already"
 	messageNotRunning     = "nothing of it runs"
@@ -15,19 +15,19 @@
 	messageOtherClient    = "it is another owner's"
 )
 
-// container is one that was admitted or adopted.
+// container is an admitted or adopted container.
 type container struct {
 	request           scheduler.PlacementRequest
 	dedupWindow       protocol.Duration
-	client            *clientConn // nil after an adoption, until a client asks for it again
-	clientContainerID string      // its ID in the client's last request
-	answered          bool        // the client has its answer, or waits for none
-	attempts          int         // so far
-	attempt           *attempt    // the pending one, or the one that was accepted
+	client            *clientConn // nil after an adoption, until a client requests it again
+	clientContainerID string      // container ID in the last request of the client
+	answered          bool        // the client has its final answer, or expects none
+	attempts          int         // started so far
+	attempt           *attempt    // pending or accepted; nil if there is none
 	submittedAt       time.Duration
 }
 
-// beginAttempt makes an attempt the pending one, and returns its ordinal.
+// beginAttempt sets the current attempt and returns its ordinal.
 func (c *container) beginAttempt(a *attempt) (ordinal int) {
 	c.attempt = a
 	c.attempts++
@@ -36,12 +36,12 @@
 
 func (c *container) endAttempt() { c.attempt = nil }
 
-// currentAttempt is the pending one, or the one that was accepted; nil if there is none.
+// currentAttempt returns the pending or accepted attempt; nil if there is none.
 func (c *container) currentAttempt() *attempt { return c.attempt }
 
 func (c *container) attemptCount() int { return c.attempts }
 
-// firstAttempt reports whether the current attempt is the first, and when the container was submitted.
+// firstAttempt returns the time of the submission, and whether the current attempt is the first one.
 func (c *container) firstAttempt() (submittedAt time.Duration, first bool) {
 	return c.submittedAt, c.attempts == 1
 }
@@ -53,7 +53,7 @@
 
 func (c *container) markAnswered() { c.answered = true }
 
-// answer sends the one answer of the request.
+// answer sends the final answer to the request.
 func (c *container) answer(reply *protocol.PlacementReply) {
 	c.markAnswered()
 	c.send(reply)
@@ -75,7 +75,7 @@
 	}
 }
 
-// notifyTerminated notifies the client of the end of a container that ran.
+// notifyTerminated tells the client that a running container has ended.
 func (c *container) notifyTerminated(machine scheduler.MachineID, ended scheduler.AttemptEnded) {
 	c.send(&protocol.Termination{
 		ContainerID: c.clientContainerID, Machine: string(machine),
--- a/internal/schedulerd/containers.go
+++ b/internal/schedulerd/containers.go
@@ -6,7 +6,7 @@
 	"glenport/scheduler"
 )
 
-// containerRegistry owns the containers until they are answered and without an attempt.
+// containerRegistry owns the containers. A container is removed once it is answered and has no attempt.
 type containerRegistry struct {
 	*process
 	decisions  *decisions
@@ -27,7 +27,7 @@
 	r.decisions.notifyReconciler(reconcile.ContainerRemoved{ID: c.request.ID})
 }
 
-// admit hands an admitted request to the scheduler.
+// admit passes an admitted request to the scheduler.
 func (r *containerRegistry) admit(action reconcile.Admit) {
 	id := action.Request.ID
 	class := r.config.Policy.WorkloadClasses[action.Request.WorkloadClass]
@@ -50,7 +50,8 @@
 	})
 }
 
-// replyAlreadyRunning answers a request for what runs. The client that requested it last receives its termination.
+// replyAlreadyRunning answers a request for a container that already runs. The termination is later sent to the client
+// that requested the container last.
 func (r *containerRegistry) replyAlreadyRunning(action reconcile.AlreadyRunning) {
 	r.clients.send(action.Client, &protocol.PlacementReply{
 		ContainerID: string(action.ID), Verdict: protocol.VerdictPlaced,
@@ -73,7 +74,7 @@
 	})
 }
 
-// answerPlaced sends the final answer of a request whose container was accepted.
+// answerPlaced sends the final answer to a request whose container was accepted.
 func (r *containerRegistry) answerPlaced(c *container, machine scheduler.MachineID) {
 	r.stats.countAnswer(protocol.VerdictPlaced)
 	c.answer(&protocol.PlacementReply{
@@ -81,7 +82,7 @@
 	})
 }
 
-// answer sends the final answer of a request that is not placed.
+// answer sends the final answer to a request that is not placed.
 func (r *containerRegistry) answer(id scheduler.ContainerID, reply *protocol.PlacementReply) {
 	c := r.byID[id]
 	if c == nil || c.isAnswered() {
@@ -96,8 +97,8 @@
 	}
 }
 
-// terminate ends a container that a client has cancelled. The client that cancels receives the termination, whoever
-// requested the container.
+// terminate ends a container that a client has cancelled. The termination is sent to the client that cancels, even if
+// another client requested the container.
 func (r *containerRegistry) terminate(action reconcile.TerminateContainer) {
 	c, client := r.byID[action.ID], r.clients.find(action.Client)
 	if c == nil || client == nil {
@@ -127,7 +128,8 @@
 	r.remove(c)
 }
 
-// answerCancelled answers the client that cancels, and the request itself if that went by another ID.
+// answerCancelled answers the client that cancels. If the request had another container ID, it is answered under that
+// ID as well.
 func (r *containerRegistry) answerCancelled(c *container, client *clientConn, requestedID string) {
 	r.stats.countAnswer(protocol.VerdictFailed)
 	cancelled := func(id string) *protocol.PlacementReply {
@@ -141,7 +143,8 @@
 	r.decisions.notifyReconciler(reconcile.RequestFailed{ID: c.request.ID})
 }
 
-// handleLost ends a container whose machine is lost, or silent for too long. In the second case it may still run.
+// handleLost ends a container whose loss is confirmed, or whose machine has not reported for too long. In the second
+// case the container may still run.
 func (r *containerRegistry) handleLost(action reconcile.ContainerLost) {
 	c := r.byID[action.ID]
 	if c == nil {
@@ -157,7 +160,7 @@
 	r.dispatcher.end(a, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost, Final: true})
 }
 
-// adopt adds a container that was found running.
+// adopt adds a container that was found running on a machine.
 func (r *containerRegistry) adopt(found reconcile.Attempt) {
 	m := r.machines.find(found.Machine)
 	if m == nil || r.byID[found.Request.ID] != nil {
--- a/internal/schedulerd/specs.go
+++ b/internal/schedulerd/specs.go
@@ -5,7 +5,7 @@
 	"glenport/scheduler"
 )
 
-// spec is the container as an offer carries it.
+// spec returns the container spec for an offer.
 func (c *container) spec() protocol.ContainerSpec {
 	r := &c.request
 	return protocol.ContainerSpec{
@@ -22,7 +22,7 @@
 	}
 }
 
-// requestFromSpec is a container of the protocol as a request; it has no deadline.
+// requestFromSpec returns the request for a container spec, without a deadline.
 func requestFromSpec(spec *protocol.ContainerSpec) scheduler.PlacementRequest {
 	return scheduler.PlacementRequest{
 		ID:              scheduler.ContainerID(spec.ContainerID),
