--- a/internal/schedulerd/connstate.go
+++ b/internal/schedulerd/connstate.go
@@ -9,11 +9,11 @@
 const (
 	machineDisconnected machineConnState = "disconnected"
 	machineConnecting   machineConnState = "connecting"
-	machineConnected    machineConnState = "connected" // the inventory is awaited
+	machineConnected    machineConnState = "connected" // waiting for the inventory
 	machineReady        machineConnState = "ready"
 )
 
-// machineConnEvent is what happens to the connection to a machine.
+// machineConnEvent is an event of the connection to a machine.
 type machineConnEvent string
 
 // Events of the connection to a machine.
@@ -24,7 +24,7 @@
 	machineConnClosed        machineConnEvent = "closed"
 )
 
-// machineConnTransitions is the table of the package comment.
+// machineConnTransitions is the table in the package comment.
 var machineConnTransitions = statemachine.Table[machineConnState, machineConnEvent]{
 	machineDisconnected: {
 		machineDialed: machineConnecting,
@@ -42,7 +42,7 @@
 	},
 }
 
-// transition is the one place where the state of the connection to a machine changes.
+// transition applies an event. It is the only function that changes the state of the connection to a machine.
 func (c *machineConn) transition(event machineConnEvent) bool {
 	return c.machine.registry.checkTransition(machineConnTransitions.Apply("machine connection", &c.state, event))
 }
--- a/internal/schedulerd/discovery.go
+++ b/internal/schedulerd/discovery.go
@@ -6,8 +6,8 @@
 	"glenport/scheduler"
 )
 
-// listReceiver hands what the machine list service sends to the machines and to the scheduler, which decides when and
-// how often the service is asked.
+// listReceiver applies the updates from the machine list service to the machines and passes them to the scheduler. The
+// scheduler decides when the list is fetched.
 type listReceiver struct {
 	decisions *decisions
 	machines  *machineRegistry
--- a/internal/schedulerd/machine.go
+++ b/internal/schedulerd/machine.go
@@ -7,14 +7,14 @@
 	"glenport/scheduler"
 )
 
-// machine is a listed machine with its connection, and the attempts and probes for it.
+// machine is a machine of the list, with its connection, attempts and probes.
 type machine struct {
 	machineListing
 	registry *machineRegistry
 	id       scheduler.MachineID
 	conn     machineConn
 	queue    attemptQueue
-	attempts map[uint64]*attempt // sent, or running there; by number
+	attempts map[uint64]*attempt // sent or running, by number
 	expired  expiredAttempts
 	probes   probeTable
 }
@@ -32,7 +32,8 @@
 
 func (m *machine) ready() bool { return m.conn.ready() }
 
-// applyEntry reports whether the start of the machine's incarnation was unknown before.
+// applyEntry applies an entry of the machine list, and reports whether the machine's incarnation or its start time was
+// unknown before.
 func (m *machine) applyEntry(entry *protocol.MachineEntry) (restarted bool) {
 	if m.applyState(entry.State) {
 		m.announceDraining()
@@ -43,7 +44,7 @@
 	return m.applyIncarnation(entry, m.registry.now())
 }
 
-// announceDraining announces the containers of the machine anew.
+// announceDraining updates the announcements of all containers on the machine.
 func (m *machine) announceDraining() {
 	for _, a := range inOrder(m.attempts) {
 		if a.accepted() {
@@ -52,7 +53,7 @@
 	}
 }
 
-// removeIfGone forgets a machine that has left the list and has nothing to do.
+// removeIfGone removes a machine that has left the list and is idle.
 func (m *machine) removeIfGone() {
 	if !m.isGone() || !m.idle() {
 		return
@@ -65,26 +66,26 @@
 
 func (m *machine) disconnect() { m.conn.close() }
 
-// probe asks the machine whether it answers. The probe ends in one ProbeCompleted.
+// probe sends a probe to the machine. It ends in exactly one ProbeCompleted.
 func (m *machine) probe(seq uint64) { m.probes.start(seq) }
 
-// enqueue holds an attempt back that cannot be sent yet.
+// enqueue queues an attempt that cannot be sent yet.
 func (m *machine) enqueue(a *attempt) { m.queue.add(a) }
 
-// dequeue reports whether the attempt was queued.
+// dequeue removes an attempt from the queue, and reports whether it was queued.
 func (m *machine) dequeue(a *attempt) bool { return m.queue.remove(a) }
 
-// adoptedSince reports whether containers of a service were adopted after a count of adoptions.
+// adoptedSince reports whether containers of a service were adopted since the given adoption count.
 func (m *machine) adoptedSince(service string, count int) bool {
 	return m.queue.adoptedSince(service, count)
 }
 
-// expire remembers an attempt that is over and may still be accepted.
+// expire records an attempt that has ended here but may still be accepted by the machine.
 func (m *machine) expire(a *attempt) { m.expired.add(a) }
 
-// offer sends an attempt and reports whether it was sent: not to a machine that reads too slowly, and not once its time
-// is over. The machine counts the timeout from when it receives the offer, so that it is what is left now and not at
-// the start of the iteration, which may be long past where the process was not run.
+// offer sends an attempt and reports whether it was sent. It is not sent to a machine that reads too slowly, nor after
+// its deadline. The machine counts the timeout from the receipt of the offer. The timeout is therefore computed from
+// the current time: the start of the iteration may be long past if the process was not scheduled meanwhile.
 func (m *machine) offer(a *attempt) bool {
 	left := a.deadline - m.registry.loop.ReadClock()
 	if left <= 0 {
@@ -102,30 +103,30 @@
 	return true
 }
 
-// send reports whether the connection took the frame.
+// send sends a frame, and reports whether the connection accepted it.
 func (m *machine) send(f protocol.Frame) bool { return m.conn.send(f) }
 
-// track takes in an attempt that was sent, or was found running.
+// track records an attempt that was sent or found running.
 func (m *machine) track(a *attempt) { m.attempts[a.number] = a }
 
-// untrack ends what the machine has to do for an attempt.
+// untrack removes an attempt that has ended.
 func (m *machine) untrack(a *attempt) { delete(m.attempts, a.number) }
 
-// cancel asks the machine to stop an attempt or its container.
+// cancel asks the machine to drop an attempt or to stop its container.
 func (m *machine) cancel(schedulerIncarnation, number uint64) {
 	if m.ready() {
 		m.send(&protocol.CancelAttempt{SchedulerIncarnation: schedulerIncarnation, AttemptID: number})
 	}
 }
 
-// sendQueued sends the queued attempts, but for those that still wait for the log. A stale one is not sent: the
+// sendQueued sends the queued attempts, except those that still wait for the log. A stale attempt ends unsent: the
 // scheduler, which has processed the change by now, decides again.
 func (m *machine) sendQueued() {
 	if !m.ready() {
 		return
 	}
 	for _, a := range m.queue.list() {
-		stale := a.stale() // before it is removed, which clears the adoptions with the last queued attempt
+		stale := a.stale() // checked before dequeue, which clears the adoption records with the last queued attempt
 		if a.awaitsLog() || !m.dequeue(a) {
 			continue
 		}
@@ -137,23 +138,23 @@
 	}
 }
 
-// connectionLoss is how a connection to a machine ended.
+// connectionLoss describes how a connection to a machine was lost.
 type connectionLoss uint8
 
-// Ends of a connection.
+// Kinds of connection loss.
 const (
-	lossAfterInventory connectionLoss = iota // it was ready
-	lossLocalShortage                        // no descriptors are left here, which is no failure of the machine
+	lossAfterInventory connectionLoss = iota // the connection was ready
+	lossLocalShortage                        // no file descriptors are left here; not a failure of the machine
 	lossConnectFailed
 )
 
-// handleConnectionLoss ends what was under way: an attempt that was never sent never ran, one that was sent may have.
-// Containers that run are left to the reconciler.
+// handleConnectionLoss ends the pending attempts and probes. Queued attempts never ran; attempts that were sent may
+// run. The reconciler handles running containers.
 func (m *machine) handleConnectionLoss(loss connectionLoss) {
 	m.failQueuedAttempts(loss)
 	m.failPendingAttempts()
 	m.probes.failAll(loss)
-	m.expired.clear() // the next inventory lists those that run
+	m.expired.clear() // the next inventory lists the running ones
 	if loss == lossAfterInventory {
 		m.registry.decisions.notifyReconciler(reconcile.MachineDisconnected{Machine: m.id})
 	} else {
--- a/internal/schedulerd/machineconn.go
+++ b/internal/schedulerd/machineconn.go
@@ -7,10 +7,10 @@
 	"glenport/internal/protocol"
 )
 
-// inventoryTimeouts is how many connect timeouts a machine has for its inventory.
+// inventoryTimeouts is the time within which the inventory has to arrive, in connect timeouts.
 const inventoryTimeouts = 3
 
-// machineConn is the one connection to a machine that all its attempts share.
+// machineConn is the connection to a machine. All attempts on the machine share it.
 type machineConn struct {
 	machine    *machine
 	state      machineConnState
@@ -21,10 +21,10 @@
 	partial    partialFrame
 }
 
-// ready reports whether the machine has sent its inventory.
+// ready reports whether the inventory of the machine was received.
 func (c *machineConn) ready() bool { return c.state == machineReady }
 
-// connect opens the connection if there is none. A machine that accepts it and sends no inventory loses it again.
+// connect opens the connection if there is none. The connection is reset if the inventory does not arrive in time.
 func (c *machineConn) connect(address string) {
 	if c.conn != nil {
 		return
@@ -48,7 +48,7 @@
 	c.send(c.machine.registry.hello())
 }
 
-// markReady makes the connection ready, and reports whether it was awaited.
+// markReady makes the connection ready, and reports whether the inventory was expected.
 func (c *machineConn) markReady() bool { return c.transition(machineInventoryReceived) }
 
 // Read implements eventloop.Handler.
@@ -79,7 +79,7 @@
 	c.machine.handleConnectionLoss(loss)
 }
 
-// send reports whether the connection took the frame.
+// send sends a frame, and reports whether the connection accepted it.
 func (c *machineConn) send(f protocol.Frame) bool {
 	if c.conn == nil {
 		return false
@@ -93,7 +93,7 @@
 	return c.conn.Write(encoded) == nil
 }
 
-// trySend sends a frame unless the machine reads too slowly.
+// trySend sends a frame unless earlier output is blocked because the machine reads too slowly.
 func (c *machineConn) trySend(f protocol.Frame) bool {
 	return !c.conn.WriteBlocked() && c.send(f)
 }
@@ -110,8 +110,7 @@
 	}
 }
 
-// checkTimeouts closes a connection that nothing has used for long, that is silent, or on which the rest of a frame is
-// missing.
+// checkTimeouts closes an idle connection, and resets one on which the machine is silent or a frame stays incomplete.
 func (c *machineConn) checkTimeouts(now eventloop.Tick) {
 	if c.conn == nil {
 		return
--- a/internal/schedulerd/machineframes.go
+++ b/internal/schedulerd/machineframes.go
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// handleInventory makes the connection ready. The reconciler sees the inventory before anything queued is sent.
+// handleInventory makes the connection ready. The reconciler receives the inventory before queued attempts are sent.
 func (m *machine) handleInventory(f *protocol.Inventory) error {
 	if m.ready() {
 		return duplicateInventoryError()
@@ -74,7 +74,7 @@
 		m.expired.handleAccept(f.AttemptID)
 	case !a.accepted():
 		m.registry.dispatcher.accept(a)
-	case f.Running: // it was accepted before
+	case f.Running: // already accepted
 		m.notifyUsage(a, scheduler.MetricRunning, 1)
 	}
 }
@@ -86,7 +86,7 @@
 		return
 	}
 	outcome := f.Outcome.SchedulerOutcome()
-	if !a.accepted() && outcome == scheduler.OutcomeFinished { // it has run, whatever became of the accept
+	if !a.accepted() && outcome == scheduler.OutcomeFinished { // the container has run, although no accept was received
 		m.registry.dispatcher.accept(a)
 	}
 	if !a.accepted() {
--- a/internal/schedulerd/machinelist.go
+++ b/internal/schedulerd/machinelist.go
@@ -6,7 +6,7 @@
 	"glenport/scheduler"
 )
 
-// applyList applies an update of the machine list, and hands it on to the scheduler and the reconciler.
+// applyList applies an update of the machine list, and passes it to the scheduler and the reconciler.
 func (r *machineRegistry) applyList(mode scheduler.UpdateMode, version int64, entries []protocol.MachineEntry) {
 	update := scheduler.MachineListUpdate{
 		Mode:    mode,
@@ -37,7 +37,7 @@
 	r.list.merge(mode, version, entries)
 }
 
-// removeGone removes machines that an update marks as gone, or that a full list does not contain.
+// removeGone removes machines that an update marks as gone or that a full list does not contain.
 func (r *machineRegistry) removeGone(mode scheduler.UpdateMode, listed map[scheduler.MachineID]bool) {
 	for id, m := range r.byID {
 		if mode != scheduler.DeltaUpdate && !listed[id] {
@@ -50,7 +50,7 @@
 	}
 }
 
-// recordIncarnations restores and records sends in slow start, once the scheduler has the entries of the machines.
+// recordIncarnations restores and logs slow-start sends to machines whose entries were passed to the scheduler.
 func (r *machineRegistry) recordIncarnations(machines ...*machine) {
 	if r.state == nil {
 		return
@@ -61,8 +61,8 @@
 	}
 }
 
-// restorePendingSends restores slow-start sends of earlier incarnations to machines that were listed only now. The
-// scheduler learns of them before it sees any further request.
+// restorePendingSends restores the slow-start sends of earlier incarnations to machines that were listed only now. The
+// scheduler receives them before any further request.
 func (r *machineRegistry) restorePendingSends() {
 	target, ok := r.decisions.warmStarter()
 	if !ok {
@@ -74,12 +74,13 @@
 	}
 }
 
-// handleSelfReport takes an incarnation from the hello of a machine if no list has contained it yet. A hello has no
-// age: until a list has, the incarnation counts as new. A lower one than is known is only logged, as it may be that of
-// a machine which has restarted since its hello; where it stays lower, the machine gets no slow start.
+// handleSelfReport applies the incarnation from the hello of a machine if it is newer than the known one. A hello has
+// no age, so the incarnation counts as just started until a list contains it. An incarnation lower than the known one
+// is only logged, as the machine may have restarted since its hello. A machine that keeps reporting lower incarnations
+// gets no slow start.
 func (r *machineRegistry) handleSelfReport(m *machine, incarnation uint64) {
 	if incarnation < m.incarnation {
-		r.log.Warn("machine reports an earlier incarnation than is known",
+		r.log.Warn("machine reported a lower incarnation than the known one",
 			"machine", string(m.id), "reported", incarnation, "known", m.incarnation)
 	}
 	entry, listed := r.list.entries[string(m.id)]
@@ -93,7 +94,7 @@
 	r.recordIncarnations(m)
 }
 
-// machineListCache is the machine list as last received.
+// machineListCache holds the last received machine list.
 type machineListCache struct {
 	entries map[string]protocol.MachineEntry // by machine ID
 	version int64
--- a/internal/schedulerd/machinelisting.go
+++ b/internal/schedulerd/machinelisting.go
@@ -6,14 +6,14 @@
 	"glenport/scheduler"
 )
 
-// machineListing is what is known of a machine by the machine list, or by its own hello.
+// machineListing holds the data of a machine from the machine list or from its hello.
 type machineListing struct {
 	address      string
-	gone         bool // from the list
+	gone         bool // removed from the list
 	draining     bool
 	incarnation  uint64
-	startedAt    scheduler.Time // of the incarnation; 0: long ago, or not known
-	selfReported bool           // the incarnation is known from the hello of the machine alone
+	startedAt    scheduler.Time // start of the incarnation; 0: long ago, or not known
+	selfReported bool           // the incarnation is known only from the hello of the machine
 }
 
 func (l *machineListing) isGone() bool { return l.gone }
@@ -22,24 +22,24 @@
 
 func (l *machineListing) isDraining() bool { return l.draining }
 
-// machineStart returns the incarnation for which sends in slow start are counted.
+// machineStart returns the incarnation for which slow-start sends are counted.
 func (l *machineListing) machineStart() warmstart.MachineStart {
 	return warmstart.MachineStart{Incarnation: l.incarnation, StartedAt: l.startedAt}
 }
 
-// unavailableSince reports whether the machine drains, is gone, or has restarted since an incarnation.
+// unavailableSince reports whether the machine drains, is gone, or has restarted since the given incarnation.
 func (l *machineListing) unavailableSince(incarnation uint64) bool {
 	return l.gone || l.draining || l.incarnation != incarnation
 }
 
-// applyState reports whether the machine has begun or ended to drain.
+// applyState applies a state from the list, and reports whether the machine has begun or stopped draining.
 func (l *machineListing) applyState(state protocol.MachineState) (drainingChanged bool) {
 	before := l.draining
 	l.gone, l.draining = state == protocol.MachineGone, state == protocol.MachineDraining
 	return l.draining != before
 }
 
-// applyAddress reports whether the machine has another address than before.
+// applyAddress applies an address from the list, and reports whether it has changed.
 func (l *machineListing) applyAddress(address string) (moved bool) {
 	if address == "" || address == l.address {
 		return false
@@ -48,8 +48,8 @@
 	return true
 }
 
-// applyIncarnation computes the start of a machine once for each incarnation: an age that came by another way must not
-// look like another start. It reports whether the start was unknown before.
+// applyIncarnation computes the start of a machine once for each incarnation, so that later entries with slightly
+// different ages do not look like restarts. It reports whether the incarnation or its start time was unknown before.
 func (l *machineListing) applyIncarnation(entry *protocol.MachineEntry, now scheduler.Time) (restarted bool) {
 	newer := entry.Incarnation > l.incarnation
 	startUnknown := entry.Incarnation == l.incarnation && (l.startedAt == 0 || l.selfReported)
@@ -63,7 +63,8 @@
 	return true
 }
 
-// applySelfReport takes an incarnation from the machine's hello, and reports whether it is newer than the known one.
+// applySelfReport applies the incarnation from the machine's hello if it is newer than the known one, and reports
+// whether it is.
 func (l *machineListing) applySelfReport(incarnation uint64, now scheduler.Time) (newer bool) {
 	if incarnation <= l.incarnation {
 		return false
@@ -72,7 +73,7 @@
 	return true
 }
 
-// schedulerEntry is an entry of the list as the scheduler sees it.
+// schedulerEntry converts an entry of the list for the scheduler.
 func (l *machineListing) schedulerEntry(id scheduler.MachineID, entry *protocol.MachineEntry) scheduler.MachineEntry {
 	return scheduler.MachineEntry{
 		Machine:     id,
--- a/internal/schedulerd/machines.go
+++ b/internal/schedulerd/machines.go
@@ -9,7 +9,8 @@
 	"glenport/scheduler"
 )
 
-// machineRegistry owns the machines, until they are gone from the list and idle, and the list as last received.
+// machineRegistry owns the machines and the last received list. A machine is removed once it is gone from the list and
+// idle.
 type machineRegistry struct {
 	*process
 	decisions  *decisions
@@ -20,7 +21,7 @@
 
 	byID         map[scheduler.MachineID]*machine
 	list         machineListCache
-	newlyReady   []*machine // that reported their inventory in this iteration
+	newlyReady   []*machine // sent their inventory in this iteration
 	lastProbeSeq uint64
 }
 
@@ -40,7 +41,7 @@
 
 func (r *machineRegistry) count() int { return len(r.byID) }
 
-// connect opens a connection for the reconciler, which waits for the inventory.
+// connect opens a connection because the reconciler needs the inventory.
 func (r *machineRegistry) connect(id scheduler.MachineID) {
 	if m := r.byID[id]; m != nil {
 		m.connect()
@@ -55,14 +56,14 @@
 	}
 }
 
-// cancelAttempt cancels an attempt that only the reconciler tracks.
+// cancelAttempt cancels an attempt that only the reconciler still tracks.
 func (r *machineRegistry) cancelAttempt(action reconcile.CancelAttempt) {
 	if m := r.byID[action.Machine]; m != nil {
 		m.cancel(action.Incarnation, action.Attempt)
 	}
 }
 
-// probe asks a machine whether it answers. Each probe ends in one ProbeCompleted.
+// probe sends a probe to a machine. Each probe ends in exactly one ProbeCompleted.
 func (r *machineRegistry) probe(id scheduler.MachineID) {
 	m := r.byID[id]
 	if m == nil {
@@ -73,10 +74,10 @@
 	m.probe(r.lastProbeSeq)
 }
 
-// addNewlyReady has the queue of a machine sent once its inventory is adopted.
+// addNewlyReady marks a machine whose queue is sent once the reconciler has processed its inventory.
 func (r *machineRegistry) addNewlyReady(m *machine) { r.newlyReady = append(r.newlyReady, m) }
 
-// sendQueued sends what waited for machines whose inventory is adopted by now.
+// sendQueued sends the queued attempts of machines whose inventory the reconciler has just processed.
 func (r *machineRegistry) sendQueued() {
 	for _, m := range r.newlyReady {
 		m.sendQueued()
@@ -90,7 +91,7 @@
 	}
 }
 
-// machineStart is the incarnation of a machine for which sends in slow start are counted; false if the machine is not known.
+// machineStart returns the incarnation of a machine for which slow-start sends are counted.
 func (r *machineRegistry) machineStart(id scheduler.MachineID) (start warmstart.MachineStart, known bool) {
 	m := r.byID[id]
 	if m == nil {
@@ -107,7 +108,7 @@
 	return starts
 }
 
-// listRecords returns the list as it is stored, in no order, with the ages of now.
+// listRecords returns the list as records for the snapshot, in no particular order and with current ages.
 func (r *machineRegistry) listRecords() (version int64, records []entryRecord) {
 	for _, entry := range r.list.entries {
 		if start, known := r.machineStart(scheduler.MachineID(entry.Machine)); known && start.StartedAt > 0 {
--- a/internal/schedulerd/partialframe.go
+++ b/internal/schedulerd/partialframe.go
@@ -2,10 +2,10 @@
 
 import "glenport/internal/eventloop"
 
-// partialFrame records since when the rest of a frame is missing.
-type partialFrame struct{ since eventloop.Tick } // 0: none is missing
+// partialFrame records since when a received frame is incomplete.
+type partialFrame struct{ since eventloop.Tick } // 0: no frame is incomplete
 
-// update takes the number of bytes that are left over after a read.
+// update applies the number of bytes that remain buffered after a read.
 func (p *partialFrame) update(buffered int, now eventloop.Tick) {
 	switch {
 	case buffered == 0:
@@ -15,7 +15,7 @@
 	}
 }
 
-// age is for how long the rest has been missing.
+// age returns for how long the frame has been incomplete.
 func (p *partialFrame) age(now eventloop.Tick) eventloop.Tick { return now - p.since }
 
 func (p *partialFrame) overdue(now, limit eventloop.Tick) bool {
--- a/internal/schedulerd/probe.go
+++ b/internal/schedulerd/probe.go
@@ -13,12 +13,12 @@
 	seq         uint64
 	incarnation uint64 // of the machine when the probe was decided
 	sent        bool
-	awaitingLog bool // it must not be sent before the log holds that a machine in slow start gets it
+	awaitingLog bool // not sent before the log holds this send to a machine in slow start
 	timer       *eventloop.Timer
 	requestedAt eventloop.Tick
 }
 
-// probeTable holds the probes of a machine until the reply or the timeout. Each ends in one ProbeCompleted.
+// probeTable holds the pending probes of a machine. Each probe ends in exactly one ProbeCompleted.
 type probeTable struct {
 	machine *machine
 	pending map[uint64]*pendingProbe // by sequence number
@@ -26,7 +26,7 @@
 
 func (t *probeTable) empty() bool { return len(t.pending) == 0 }
 
-// start asks the machine whether it answers.
+// start starts a probe.
 func (t *probeTable) start(seq uint64) {
 	registry := t.machine.registry
 	p := &pendingProbe{seq: seq, incarnation: t.machine.machineStart().Incarnation, requestedAt: registry.loop.Now()}
@@ -40,7 +40,7 @@
 	t.send(p)
 }
 
-// handleLogged sends a probe that waited for the log. One that could not be logged is never sent.
+// handleLogged sends a probe that waited for the log. A probe that could not be logged is never sent.
 func (t *probeTable) handleLogged(p *pendingProbe, err error) {
 	p.awaitingLog = false
 	switch {
@@ -51,8 +51,8 @@
 	}
 }
 
-// send sends a probe, at once or as soon as the connection is ready. One that was decided on another incarnation of the
-// machine is not sent, as it is not counted for this one.
+// send sends a probe if the connection is ready; otherwise it connects, and the probe is sent later. A probe that was
+// decided for another incarnation of the machine is not sent, as it is not charged to the current one.
 func (t *probeTable) send(p *pendingProbe) {
 	switch {
 	case !t.machine.ready():
@@ -64,7 +64,7 @@
 	}
 }
 
-// sendQueued sends the probes that waited for the connection.
+// sendQueued sends the probes that wait for the connection.
 func (t *probeTable) sendQueued() {
 	for _, p := range t.pending {
 		if !p.sent && !p.awaitingLog {
@@ -79,7 +79,7 @@
 	}
 }
 
-// failAll ends all probes with the connection.
+// failAll ends all probes after a connection loss.
 func (t *probeTable) failAll(loss connectionLoss) {
 	outcome := scheduler.OutcomeConnectFailed
 	switch loss {
