--- a/internal/schedulerd/clocks.go
+++ b/internal/schedulerd/clocks.go
@@ -10,14 +10,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootIDFile holds an ID of the running system.
+// bootIDFile contains a random ID that changes with each boot of the system.
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
 // nanosecondsPerTime is the length of one unit of scheduler.Time.
 const nanosecondsPerTime = 100_000
 
-// readClocks adds the uptime and the boot of the system to a reading of the clock. Either stays empty if the system
-// does not provide it.
+// readClocks returns a timestamp of the clock reading, the uptime and the boot ID of the system. Uptime and boot ID are
+// left empty if the system does not provide them.
 func readClocks(clock scheduler.Time) warmstart.Timestamp {
 	now := warmstart.Timestamp{Clock: clock}
 	var uptime unix.Timespec
--- a/internal/schedulerd/decisions.go
+++ b/internal/schedulerd/decisions.go
@@ -7,8 +7,8 @@
 	"glenport/scheduler"
 )
 
-// Scheduler decides on which machine each container is started: scheduler.Scheduler, or a wrapper or a script of a test
-// in its place.
+// Scheduler decides on which machine each container is placed. It is implemented by scheduler.Scheduler and by wrappers
+// and scripts of tests.
 type Scheduler interface {
 	Handle(now scheduler.Time, events []scheduler.Event) []scheduler.Action
 }
@@ -24,7 +24,7 @@
 	Explain(scheduler.PlacementRequest) scheduler.Explanation
 }
 
-// decisions holds the scheduler and the reconciler with the events that wait for their next call.
+// decisions holds the scheduler and the reconciler, with the events queued for their next call.
 type decisions struct {
 	*process
 	scheduler        Scheduler
@@ -36,7 +36,8 @@
 	executeReconcilerAction func(reconcile.Action)
 }
 
-// newReconciler begins an incarnation whose log covers earlier ones as stated.
+// newReconciler returns the reconciler of this incarnation. The coverage tells which attempts of earlier incarnations
+// the log holds.
 func newReconciler(p *process, coverage recovery.LogCoverage) *reconcile.Reconciler {
 	var idempotency []scheduler.Idempotency
 	var limited []overload.WorkloadClass
@@ -66,7 +67,7 @@
 	d.reconcilerEvents = append(d.reconcilerEvents, e)
 }
 
-// pending reports whether events wait for a decision.
+// pending reports whether events are queued.
 func (d *decisions) pending() bool { return len(d.schedulerEvents)+len(d.reconcilerEvents) > 0 }
 
 func (d *decisions) runReconciler() {
@@ -94,16 +95,16 @@
 	}
 }
 
-// limiter sheds load; nil where it is not shed.
+// limiter returns the concurrency limiter; nil if load is not shed.
 func (d *decisions) limiter() *overload.Limiter { return d.reconciler.Limiter() }
 
-// warmStarter returns the scheduler if what it learned can be persisted.
+// warmStarter returns the scheduler. ok is false if its learned state cannot be persisted.
 func (d *decisions) warmStarter() (target warmStarter, ok bool) {
 	target, ok = d.scheduler.(warmStarter)
 	return target, ok
 }
 
-// explain reports ok if the scheduler can explain why a request may find no machine.
+// explain explains why a request may find no machine. ok is false if the scheduler cannot explain it.
 func (d *decisions) explain(request scheduler.PlacementRequest) (explanation scheduler.Explanation, ok bool) {
 	source, ok := d.scheduler.(explainer)
 	if !ok {
--- a/internal/schedulerd/errors.go
+++ b/internal/schedulerd/errors.go
@@ -9,19 +9,19 @@
 	"glenport/internal/protocol"
 )
 
-// Faults for which a connection is closed.
+// Errors for which a connection is closed.
 var (
 	errDuplicateInventory = errors.New("machine reported its inventory twice")
 	errNoHello            = errors.New("no hello received")
-	errPartialFrame       = errors.New("rest of a frame missing")
+	errPartialFrame       = errors.New("incomplete frame")
 	errPeerGoodbye        = errors.New("peer said goodbye")
 	errSilent             = errors.New("no complete frame received")
 	errUnexpectedFrame    = errors.New("unexpected frame")
 	errUnexpectedPeer     = errors.New("unexpected peer")
 )
 
-// peerError is a fault of a machine or a client. Its text is sent to the peer in a Goodbye: it is part of the wire and
-// must not change. The log shows fault and detail instead.
+// peerError is a protocol error of a machine or a client. Its text is sent to the peer in a Goodbye: it is part of the
+// wire format and must not change. The log shows cause and detail instead.
 type peerError struct {
 	cause  error
 	detail string
@@ -72,7 +72,7 @@
 	return &peerError{cause: errUnexpectedFrame, detail: name, text: name + " is not for " + receiver}
 }
 
-// withDuration adds to a fault how long it has lasted.
-func withDuration(fault error, waited eventloop.Tick) error {
-	return fmt.Errorf("%w for %d ms", fault, waited/eventloop.Millisecond)
+// withDuration adds to an error how long its condition has lasted.
+func withDuration(err error, duration eventloop.Tick) error {
+	return fmt.Errorf("%w for %d ms", err, duration/eventloop.Millisecond)
 }
--- a/internal/schedulerd/errors_test.go
+++ b/internal/schedulerd/errors_test.go
@@ -10,7 +10,7 @@
 	"glenport/scheduler"
 )
 
-// The texts are sent in a Goodbye: they are part of the wire.
+// The texts are sent in a Goodbye: they are part of the wire format.
 func TestPeerErrorsKeepTheirTypeAndText(t *testing.T) {
 	m := &machine{id: "a"}
 	ready := &machine{id: "a", conn: machineConn{state: machineReady}}
@@ -56,9 +56,9 @@
 			err := tc.handle(tc.frame)
 			testutil.Expect(t, errors.Is(err, tc.want) && err.Error() == tc.text,
 				"got %v, want %v with the text %q", err, tc.want, tc.text)
-			var fault *peerError
-			testutil.Expect(t, errors.As(err, &fault) && fault.LogValue().String() == tc.logged,
-				"logged %v, want %q", fault, tc.logged)
+			var peer *peerError
+			testutil.Expect(t, errors.As(err, &peer) && peer.LogValue().String() == tc.logged,
+				"logged %v, want %q", peer, tc.logged)
 		})
 	}
 }
--- a/internal/schedulerd/explain.go
+++ b/internal/schedulerd/explain.go
@@ -5,7 +5,8 @@
 	"glenport/scheduler"
 )
 
-// explainReply explains why a container like that of the request may wait, if the scheduler can explain it.
+// explainReply explains why a container with the requested spec may wait. Known is false in the reply if the scheduler
+// cannot explain it.
 func (i *inspector) explainReply(f *protocol.ExplainRequest) *protocol.ExplainReply {
 	reply := &protocol.ExplainReply{Seq: f.Seq, ListAge: -1}
 	if age, received := i.discovery.SinceLastFrame(); received {
--- a/internal/schedulerd/export.go
+++ b/internal/schedulerd/export.go
@@ -8,8 +8,8 @@
 	"glenport/scheduler"
 )
 
-// The types of this file are the form in which `glenport state export` shows a WarmStartSnapshot. Other programs read
-// it: its names are fixed here, apart from those of the code.
+// The types of this file define the JSON that `glenport state export` prints for a WarmStartSnapshot. Other programs
+// read the JSON, so its names are fixed here, independently of the names in the code.
 type (
 	exportedSnapshot struct {
 		TakenAt         warmstart.Timestamp            `json:"At"`
@@ -52,7 +52,7 @@
 	}
 )
 
-// MarshalJSON implements json.Marshaler, in the form of `glenport state export`.
+// MarshalJSON implements json.Marshaler with the format of `glenport state export`.
 func (w WarmStartSnapshot) MarshalJSON() ([]byte, error) {
 	return json.Marshal(exportedSnapshot{
 		TakenAt:         w.TakenAt,
@@ -97,7 +97,7 @@
 	return exportedEvidence{LogOdds: e.LogOdds, AsOf: e.AsOf}
 }
 
-// exportAll keeps nil, which JSON shows as null and an empty slice as [].
+// exportAll converts a slice. It keeps nil, which JSON shows as null; an empty slice is shown as [].
 func exportAll[From, To any](from []From, export func(From) To) []To {
 	if from == nil {
 		return nil
--- a/internal/schedulerd/routes.go
+++ b/internal/schedulerd/routes.go
@@ -6,10 +6,10 @@
 	"glenport/internal/protocol"
 )
 
-// shutdownReason is sent to the BGP peers when the server stops: it is part of the wire.
+// shutdownReason is sent to the BGP peers when the server stops: it is part of the wire format.
 const shutdownReason = "this placer is stopped"
 
-// routeAnnouncer tells the BGP speaker which containers run. Without a speaker it does nothing.
+// routeAnnouncer reports the running containers to the BGP speaker. Without a speaker it does nothing.
 type routeAnnouncer struct {
 	*process
 	speaker *speaker.Speaker // nil if no address is announced
@@ -23,13 +23,13 @@
 	return r
 }
 
-// start begins to announce. Where that fails, the server goes on without a speaker.
+// start starts the speaker. If that fails, the server continues without one.
 func (r *routeAnnouncer) start() {
 	if r.speaker == nil {
 		return
 	}
 	if err := r.speaker.Start(); err != nil {
-		r.log.Error("BGP speaker not started, no address is announced", "error", err)
+		r.log.Error("BGP speaker not started, service addresses are not announced", "error", err)
 		r.speaker = nil
 	}
 }
@@ -40,14 +40,14 @@
 	}
 }
 
-// markRecoveryComplete says that all that runs from earlier incarnations has been announced.
+// markRecoveryComplete tells the speaker that all containers of earlier incarnations have been reported.
 func (r *routeAnnouncer) markRecoveryComplete() {
 	if r.speaker != nil {
 		r.speaker.MarkRoutesComplete()
 	}
 }
 
-// updateContainer counts a running container for the address of its service, or its machine's draining.
+// updateContainer reports a running container, and whether its machine drains.
 func (r *routeAnnouncer) updateContainer(a *attempt) {
 	request := a.request()
 	if r.announces(request.Service) {
@@ -70,8 +70,7 @@
 	return r.speaker != nil && r.speaker.HasService(service)
 }
 
-// routesReply returns the state of the BGP peers and the announcements of one service, or of all services if it is
-// empty.
+// routesReply returns the state of the BGP peers and the announcement of a service. An empty name selects all services.
 func (r *routeAnnouncer) routesReply(service string) *protocol.RoutesReply {
 	reply := &protocol.RoutesReply{}
 	if r.speaker == nil {
@@ -99,7 +98,7 @@
 }
 
 func (r *routeAnnouncer) serviceRoute(service string) protocol.ServiceRoute {
-	status, _ := r.speaker.Status(service) // it is one of speaker.Services
+	status, _ := r.speaker.Status(service) // the name comes from speaker.Services
 	route := protocol.ServiceRoute{
 		Service:         service,
 		Prefix:          r.config.BGP.Services[service].Prefix.String(),
--- a/internal/schedulerd/stats.go
+++ b/internal/schedulerd/stats.go
@@ -8,7 +8,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcomes of attempts that are counted in addition to those that machines report. The names are part of the status.
+// Outcomes of attempts that are counted in addition to those that machines report. The names are shown in the status.
 const (
 	statTimedOut       = "timed out"
 	statLateAccept     = "late yes"
@@ -17,7 +17,7 @@
 	statNotSent        = "not sent"
 )
 
-// Range of the placement latency, in microseconds, and its precision. What is beyond is not counted.
+// Range of the placement latency in microseconds, and its precision. Larger values are not counted.
 const (
 	minLatency     = 1
 	maxLatency     = 60_000_000
@@ -25,18 +25,18 @@
 	microsPerMilli = 1000
 )
 
-// stats counts what a server does.
+// stats holds the counters of a server.
 type stats struct {
 	submitted               int
 	running                 int
 	adopted                 int
-	undelivered             int // frames for clients that were gone
+	undelivered             int // frames that could not be sent to a client
 	attempts                int
 	verdicts                map[protocol.Verdict]int
 	outcomes                map[string]int
 	batches                 int // calls of the scheduler
 	events                  int
-	decisionTime            time.Duration // in all calls of the scheduler
+	decisionTime            time.Duration // total over all calls of the scheduler
 	slowestDecision         time.Duration
 	firstAttemptSubmissions []time.Duration // submission times of containers whose first attempt is sent in this iteration
 	placementLatency        *hdrhistogram.Histogram
@@ -62,7 +62,7 @@
 
 func (s *stats) countEnded() { s.running-- }
 
-// countAdopted counts a container that was found running.
+// countAdopted counts an adopted container, which is already running.
 func (s *stats) countAdopted() {
 	s.running++
 	s.adopted++
@@ -71,15 +71,15 @@
 // countAttempt counts an offer that was sent.
 func (s *stats) countAttempt() { s.attempts++ }
 
-// addFirstAttempt measures the time from a submission until the end of this iteration.
+// addFirstAttempt adds the submission time of a container, whose latency is recorded at the end of this iteration.
 func (s *stats) addFirstAttempt(submittedAt time.Duration) {
 	s.firstAttemptSubmissions = append(s.firstAttemptSubmissions, submittedAt)
 }
 
-// recordPlacementLatency records how long first attempts took from the submission until they were written to the socket.
+// recordPlacementLatency records the time from the submission until the first attempt was written to the socket.
 func (s *stats) recordPlacementLatency(now time.Duration) {
 	for _, submittedAt := range s.firstAttemptSubmissions {
-		// fails beyond maxLatency only
+		// fails only above maxLatency
 		_ = s.placementLatency.RecordValue(max(minLatency, (now - submittedAt).Microseconds()))
 	}
 	s.firstAttemptSubmissions = s.firstAttemptSubmissions[:0]
--- a/internal/schedulerd/status.go
+++ b/internal/schedulerd/status.go
@@ -32,7 +32,7 @@
 	{"placing worst", 100},
 }
 
-// Samples of runtime/metrics, none of which stops the program to be read.
+// Samples of runtime/metrics that are read without stopping the world.
 const (
 	liveHeapSample    = "/gc/heap/live:bytes"
 	totalMemorySample = "/memory/classes/total:bytes"
@@ -40,7 +40,7 @@
 
 const bytesPerMiB = 1 << 20
 
-// inspector answers the questions of operators.
+// inspector answers status and explain requests of operators.
 type inspector struct {
 	*process
 	decisions  *decisions
@@ -50,7 +50,7 @@
 	discovery  *machinelist.Client
 }
 
-// statusReply returns the counters of `glenport status` and the metrics, under the names that operators know.
+// statusReply returns the counters that `glenport status` and the metrics show. Their names must not change.
 func (i *inspector) statusReply() *protocol.StatusReply {
 	list := statList{}
 	list.add("up", i.loop.Elapsed().Seconds(), "s")
@@ -101,7 +101,7 @@
 	}
 }
 
-// addDecisions lists the calls of the scheduler after the time for which the loop was busy.
+// addDecisions adds the calls of the scheduler, their duration, and the time for which the loop was busy.
 func (s *stats) addDecisions(list *statList, busy time.Duration) {
 	list.addCount("batches", s.batches)
 	list.addCount("events", s.events)
