--- a/internal/schedulerd/journal.go
+++ b/internal/schedulerd/journal.go
@@ -12,53 +12,53 @@
 
 // Kinds of records in the log of a scheduler.
 const (
-	AttemptKind     = "bid"  // reconcile.Attempt by number: pending or running, of work that is not idempotent
+	AttemptKind     = "bid"  // reconcile.Attempt by number: pending or running, of containers that are not idempotent
 	SendKind        = "sent" // warmstart.SlowStartSends by machine
-	IncarnationKind = "life" // warmstart.LogHistory, one
+	IncarnationKind = "life" // warmstart.LogHistory, a single record
 )
 
-// incarnationKey is the key of the one record of IncarnationKind.
+// incarnationKey is the key of the single record of IncarnationKind.
 const incarnationKey = "this"
 
-// journal collects changes of the log. Those of one iteration of the loop are one commit. What has to wait for the
-// commit is run when it is written, or on disk if the work demands that.
+// journal collects changes of the log. All changes of one loop iteration form one commit. Callbacks run once the commit
+// is written, or once it is synced to disk if one of them requires that.
 type journal struct {
 	*process
 	wal            *wal.Log // nil until openLog
 	history        warmstart.LogHistory
-	historyPending bool // the log does not hold history yet
+	historyPending bool // the log does not hold the current history yet
 
-	changes       []wal.Change // of this iteration
+	changes       []wal.Change // in this iteration
 	callbacks     []func(error)
 	syncNeeded    bool
-	failedDeletes []wal.Change // that the disk did not take; tried again with the next snapshot
+	failedDeletes []wal.Change // failed to be written; retried with the next snapshot
 }
 
-// openLog opens the log of a folder.
+// openLog opens the log in a folder.
 func (j *journal) openLog(dir vfs.FS) (found wal.Stats, err error) {
 	j.wal, found, err = wal.Open(dir, wal.Options{OnModeChange: j.logModeChange})
 	if err != nil {
-		return found, fmt.Errorf("open the log of attempts: %w", err)
+		return found, fmt.Errorf("open log: %w", err)
 	}
 	return found, nil
 }
 
-// logModeChange is called by the goroutine of the log.
+// logModeChange is called on the goroutine of the log.
 func (j *journal) logModeChange(text string, attributes ...any) {
 	j.loop.Post(func() { j.log.Warn(text, attributes...) })
 }
 
-// beginIncarnation logs that an incarnation follows the earlier ones. A full disk is no error: what needs the log is
-// not sent before it holds this.
+// beginIncarnation logs the start of this incarnation. A full disk is not an error: attempts that have to be logged are
+// not sent before the log holds the start.
 func (j *journal) beginIncarnation(earlier warmstart.LogHistory) {
 	j.history = earlier.Next(readClocks(j.now()))
 	if err := j.wal.CommitSync(j.historyChange()); err != nil {
 		j.historyPending = true
-		j.log.Warn("incarnation not logged yet, what must be logged waits", "error", err)
+		j.log.Warn("incarnation not logged yet, attempts that must be logged are held back", "error", err)
 	}
 }
 
-// coverage is what the log holds of the attempts of earlier incarnations.
+// coverage returns which attempts of earlier incarnations the log holds.
 func (j *journal) coverage() recovery.LogCoverage { return j.history.Coverage }
 
 func (j *journal) put(kind, key string, value any) {
@@ -84,7 +84,7 @@
 	j.callbacks = append(j.callbacks, callback)
 }
 
-// afterSync runs a callback on the loop once the changes of this iteration are on disk.
+// afterSync runs a callback on the loop once the changes of this iteration are synced to disk.
 func (j *journal) afterSync(callback func(error)) {
 	j.syncNeeded = true
 	j.afterCommit(callback)
@@ -120,8 +120,8 @@
 	}
 }
 
-// keepForRetry keeps the changes of a failed commit that record what has happened: the end of attempts, and the history.
-// An attempt that could not be logged was not sent.
+// keepForRetry keeps those changes of a failed commit that the log still needs: the ends of attempts, and the history.
+// Attempts that could not be logged were not sent.
 func (j *journal) keepForRetry(changes []wal.Change) {
 	for _, c := range changes {
 		switch {
@@ -133,7 +133,7 @@
 	}
 }
 
-// retryDeletes adds the changes to this iteration that the disk did not take.
+// retryDeletes adds the deletes that failed to be written to the changes of this iteration.
 func (j *journal) retryDeletes() {
 	j.changes, j.failedDeletes = append(j.failedDeletes, j.changes...), nil
 }
@@ -142,11 +142,11 @@
 	return wal.Put(IncarnationKind, incarnationKey, j.history)
 }
 
-// markLogComplete logs that all attempts of earlier incarnations are known.
+// markLogComplete logs that all attempts of earlier incarnations are known, as all machines have reported.
 func (j *journal) markLogComplete() {
 	j.history = j.history.WithCompleteLog()
 	j.changes = append(j.changes, j.historyChange())
 }
 
-// closeLog releases the log.
+// closeLog closes the log.
 func (j *journal) closeLog() error { return j.wal.Close() }
--- a/internal/schedulerd/legacylist.go
+++ b/internal/schedulerd/legacylist.go
@@ -11,15 +11,16 @@
 	"glenport/scheduler"
 )
 
-// Layout of the legacy list: the clock, the length of the rest, and a frame without its length.
+// Layout of the legacy list: the clock, the length of the remaining data, and a frame without its length prefix.
 const (
 	legacyLengthOffset = 8
 	legacyFrameOffset  = 12
 )
 
-var errLegacyList = errors.New("no complete machine list")
+var errLegacyList = errors.New("incomplete machine list")
 
-// readLegacyList reads the machine list that version 1 kept in a file of its own. It returns nil if there is none.
+// readLegacyList reads the machine list that version 1 stored in a separate file. It returns nil if there is no such
+// file.
 func readLegacyList(path string) (*WarmStartSnapshot, error) {
 	if path == "" {
 		return nil, nil
--- a/internal/schedulerd/parts_test.go
+++ b/internal/schedulerd/parts_test.go
@@ -11,7 +11,7 @@
 	"glenport/internal/testutil"
 )
 
-// An adoption makes those attempts of its service stale that were queued before it.
+// An adoption makes attempts stale that are of the same service and were queued before it.
 func TestAdoptionsAreTrackedWhileAttemptsAreQueued(t *testing.T) {
 	var tracker adoptions.Tracker
 	queue := attemptQueue{adoptions: &tracker}
@@ -19,18 +19,18 @@
 	before := tracker.Count()
 	first, second := &attempt{number: 1}, &attempt{number: 2}
 	queue.add(first)
-	testutil.Expect(t, !queue.adoptedSince("s", before), "an adoption before the attempt was decided counts")
+	testutil.Expect(t, !queue.adoptedSince("s", before), "an adoption counts that precedes the decision")
 	tracker.Adopted("s")
 	queue.add(second)
 	testutil.Expect(t, queue.adoptedSince("s", before) && !queue.adoptedSince("other", before),
-		"an adoption of the service does not count, or one of another does")
-	testutil.Expect(t, queue.remove(first) && !queue.remove(first), "an attempt is removed other than once")
+		"an adoption of the service does not count, or one of another service does")
+	testutil.Expect(t, queue.remove(first) && !queue.remove(first), "an attempt is not removed exactly once")
 	left := queue.takeAll()
 	testutil.Expect(t, len(left) == 1 && left[0] == second && queue.empty(), "%d attempts taken", len(left))
-	testutil.Expect(t, !queue.adoptedSince("s", before), "adoptions are remembered though no attempt is queued")
+	testutil.Expect(t, !queue.adoptedSince("s", before), "adoptions are recorded although no attempt is queued")
 }
 
-// Of several failures the first is logged, and the success after them.
+// Only the first of consecutive failures is logged, and the success after them.
 func TestSnapshotWriterLogsTheFirstFailureAndTheEnd(t *testing.T) {
 	var log bytes.Buffer
 	p := &process{log: slog.New(slog.NewTextHandler(&log, nil))}
@@ -41,13 +41,14 @@
 		writer.handleResult(err)
 	}
 	got := log.String()
-	if strings.Count(got, "snapshot not saved") != 1 || strings.Count(got, "snapshot saved again") != 1 ||
-		strings.Count(got, "\n") != 2 {
+	if strings.Count(got, "snapshot not saved") != 1 ||
+		strings.Count(got, "snapshot saved after earlier failures") != 1 || strings.Count(got, "\n") != 2 {
 		t.Errorf("logged %s", got)
 	}
 }
 
-// A machine whose incarnations do not rise is never seen to start: operators have to read of it.
+// The scheduler does not recognize a restart of a machine whose incarnation does not increase. A warning tells
+// operators.
 func TestEarlierIncarnationOfMachineIsLogged(t *testing.T) {
 	var log bytes.Buffer
 	registry := &machineRegistry{process: &process{log: slog.New(slog.NewTextHandler(&log, nil))}}
@@ -59,5 +60,5 @@
 	if strings.Count(got, "\n") != 1 || !strings.Contains(got, "machine=a reported=4 known=5") {
 		t.Errorf("logged %s", got)
 	}
-	testutil.Expect(t, m.incarnation == 5, "incarnation %d is known", m.incarnation)
+	testutil.Expect(t, m.incarnation == 5, "the known incarnation is %d", m.incarnation)
 }
--- a/internal/schedulerd/records.go
+++ b/internal/schedulerd/records.go
@@ -7,10 +7,10 @@
 	"glenport/scheduler"
 )
 
-// The types of this file are stored. Their tags, not the names of their fields, are the format of the file
-// WarmStartFile. The records of the log are recovery.Attempt, warmstart.SlowStartSends and warmstart.LogHistory.
+// The types of this file define the format of WarmStartFile by their tags, not by the names of their fields. The
+// records of the log are reconcile.Attempt, warmstart.SlowStartSends and warmstart.LogHistory.
 
-// WarmStartSnapshot is what the next incarnation should know and the log does not hold.
+// WarmStartSnapshot is the state for the next incarnation that the log does not hold.
 type WarmStartSnapshot struct {
 	TakenAt         warmstart.Timestamp            `cbor:"At"`
 	ClassNames      []string                       `cbor:"Names"` // of process.classNames
@@ -18,12 +18,12 @@
 	Incarnations    map[scheduler.MachineID]uint64 `cbor:"Starts"`    // of the machines in Learned
 	ListVersion     int64                          `cbor:"ListIs"`    // of Entries
 	Entries         []entryRecord                  `cbor:"Entries"`   // the machine list, by machine
-	OrderlyShutdown bool                           `cbor:"AtAnOrder"` // taken when the server stopped
+	OrderlyShutdown bool                           `cbor:"AtAnOrder"` // taken at the shutdown of the server
 	Overload        *overload.Snapshot             `cbor:"Door"`      // nil if there is no concurrency limit
 }
 
 // entryRecord is a stored protocol.MachineEntry. CBOR encodes it as an array, so that the order of the fields is part
-// of the format; the JSON names are those of the export.
+// of the format. The JSON names are those of the export.
 type entryRecord struct {
 	_           struct{}              `cbor:",toarray"`
 	Machine     string                `                json:"Machine"`
@@ -36,7 +36,7 @@
 	FreeMemory  float64               `                json:"FreeMemory"`
 	PowerHint   float64               `                json:"Hint"`
 	Incarnation uint64                `                json:"Incarnation"`
-	Age         protocol.Duration     `                json:"Age"` // when the snapshot was taken; below 0: long ago
+	Age         protocol.Duration     `                json:"Age"` // at the time of the snapshot; negative: long ago
 }
 
 func newEntryRecord(e protocol.MachineEntry) entryRecord {
--- a/internal/schedulerd/restore.go
+++ b/internal/schedulerd/restore.go
@@ -10,8 +10,8 @@
 	"glenport/scheduler"
 )
 
-// restore hands what earlier incarnations have left to the decisions: attempts to the reconciler, the machine list and
-// what was learned to the scheduler. Snapshots are written from then on.
+// restore passes the persisted state of earlier incarnations to the decision packages: attempts to the reconciler, the
+// machine list and the learned state to the scheduler. Snapshots are written from then on.
 func (s *Server) restore() {
 	now := readClocks(s.now())
 	for _, a := range s.state.openAttempts() {
@@ -21,7 +21,7 @@
 	s.state.restoreLimiter(now, s.decisions.limiter())
 	version, entries := s.state.restoredList(now)
 	s.machines.applyList(scheduler.RestoredSnapshot, version, entries)
-	s.runIteration() // the scheduler has to know the machines before it learns of them
+	s.runIteration() // the scheduler has to know the machines before their learned state is restored
 	target, ok := s.decisions.warmStarter()
 	if !ok {
 		return
@@ -30,10 +30,10 @@
 	s.loop.After(snapshotInterval, s.saveSnapshot)
 }
 
-// openAttempts are those of earlier incarnations whose end is not in the log.
+// openAttempts returns the attempts of earlier incarnations whose end is not in the log.
 func (st *stateStore) openAttempts() []reconcile.Attempt { return st.loaded.attempts }
 
-// restoreLimiter restores the concurrency limit if the workload classes are those of the snapshot.
+// restoreLimiter restores the concurrency limit if the snapshot has the same workload classes and tenants.
 func (st *stateStore) restoreLimiter(now warmstart.Timestamp, limiter *overload.Limiter) {
 	snapshot := st.loaded.snapshot
 	if limiter == nil || snapshot == nil || snapshot.Overload == nil ||
@@ -50,13 +50,13 @@
 	}
 	entries = snapshot.entriesAt(now)
 	if len(entries) < len(snapshot.Entries) {
-		st.log.Info("persisted machine list not used, it is too old", "machines", len(snapshot.Entries))
+		st.log.Info("persisted machine list is too old, ignored", "machines", len(snapshot.Entries))
 	}
 	return snapshot.ListVersion, entries
 }
 
-// restoreLearned hands on what counts of the snapshot and the slow-start sends, and logs the sends by the clock of this
-// incarnation. What was loaded is released.
+// restoreLearned restores the parts of the snapshot and the slow-start sends that are still valid. It logs the sends
+// again with times of this incarnation's clock, and releases the loaded state.
 func (st *stateStore) restoreLearned(now warmstart.Timestamp, target warmStarter,
 	starts map[scheduler.MachineID]warmstart.MachineStart,
 ) {
@@ -97,7 +97,8 @@
 	return p
 }
 
-// resolvePendingSends returns the slow-start sends of earlier incarnations to machines that were listed only now.
+// resolvePendingSends returns the slow-start sends of earlier incarnations to machines that were listed only now. found
+// is false if there are none.
 func (st *stateStore) resolvePendingSends(lookup warmstart.MachineLookup) (snapshot scheduler.Snapshot, found bool) {
 	if len(st.pendingSends) == 0 {
 		return scheduler.Snapshot{}, false
--- a/internal/schedulerd/snapshot.go
+++ b/internal/schedulerd/snapshot.go
@@ -17,15 +17,15 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// The file of a WarmStartSnapshot. Version 1 was the machine list alone, in another format and place: see
-// readLegacyList.
+// Name, magic and version of the file of a WarmStartSnapshot. Version 1 held only the machine list, in another format
+// and another file: see readLegacyList.
 const (
 	WarmStartFile    = "knowledge"
 	WarmStartMagic   = "GLENKNW"
 	WarmStartVersion = 2
 )
 
-// Offsets in the file for the report of damage.
+// Offsets in the file, for errors about a damaged file.
 const (
 	versionOffset = 7
 	bodyOffset    = 16
@@ -33,8 +33,8 @@
 
 const snapshotInterval = 2 * eventloop.Second
 
-// ReadWarmStart reads the snapshot of a state folder. It returns nil if there is none, *wal.CorruptionError if the file
-// is damaged, and *wal.UnsupportedVersionError if a later version of the program wrote it.
+// ReadWarmStart reads the snapshot of a state folder. It returns a nil snapshot if there is none, *wal.CorruptionError
+// if the file is damaged, and *wal.UnsupportedVersionError if a later version of the program wrote it.
 func ReadWarmStart(dir vfs.FS) (*WarmStartSnapshot, error) {
 	version, body, err := wal.ReadChecksummed(dir, WarmStartFile, WarmStartMagic, WarmStartVersion)
 	if errors.Is(err, os.ErrNotExist) {
@@ -46,7 +46,7 @@
 	if version != WarmStartVersion {
 		return nil, &wal.CorruptionError{
 			File: WarmStartFile, Offset: versionOffset,
-			Detail: fmt.Sprintf("there was no version %d of such a file", version),
+			Detail: fmt.Sprintf("file version %d has never existed", version),
 		}
 	}
 	snapshot := &WarmStartSnapshot{}
@@ -56,7 +56,7 @@
 	return snapshot, nil
 }
 
-// write may be called on any goroutine: file operations must not hold up the loop.
+// write may be called on any goroutine, as file operations must not block the loop.
 func (w *WarmStartSnapshot) write(dir vfs.FS) error {
 	body, err := cbor.Marshal(w)
 	if err != nil {
@@ -65,8 +65,8 @@
 	return wal.WriteChecksummed(dir, WarmStartFile, WarmStartMagic, WarmStartVersion, body)
 }
 
-// entriesAt returns the machine list with the ages of now; nil if it is too old to be used. A machine whose age is
-// not known counts as just started, which puts it in slow start.
+// entriesAt returns the machine list with the ages at the given time; nil if the list is too old to be used. A machine
+// whose age is unknown counts as just started, which puts it in slow start.
 func (w *WarmStartSnapshot) entriesAt(now warmstart.Timestamp) []protocol.MachineEntry {
 	since := now.Since(w.TakenAt)
 	if since.Age >= 0 && warmstart.Weight(warmstart.MachineList, since.Age) == 0 {
@@ -76,7 +76,7 @@
 	for _, record := range w.Entries {
 		entry := record.entry()
 		switch {
-		case entry.Age < 0: // it was long ago
+		case entry.Age < 0: // started long ago
 		case since.Age < 0:
 			entry.Age = 0
 		default:
@@ -87,7 +87,7 @@
 	return entries
 }
 
-// takeSnapshot collects what the next incarnation should know.
+// takeSnapshot collects the state for the next incarnation.
 func (s *Server) takeSnapshot() *WarmStartSnapshot {
 	snapshot := &WarmStartSnapshot{
 		TakenAt:      readClocks(s.now()),
@@ -111,7 +111,7 @@
 	return snapshot
 }
 
-// saveSnapshot writes a snapshot at intervals.
+// saveSnapshot writes a snapshot, and schedules the next one.
 func (s *Server) saveSnapshot() {
 	s.loop.After(snapshotInterval, s.saveSnapshot)
 	s.state.save(s.machines.machineStart, s.takeSnapshot)
--- a/internal/schedulerd/snapshotwriter.go
+++ b/internal/schedulerd/snapshotwriter.go
@@ -17,7 +17,7 @@
 	writerRetrying writerState = "retrying" // saving after a failure
 )
 
-// writerEvent is what happens to a snapshot writer.
+// writerEvent is an event of a snapshot writer.
 type writerEvent string
 
 // Events of a snapshot writer.
@@ -27,7 +27,7 @@
 	writeFailed    writerEvent = "failed"
 )
 
-// writerTransitions is the table of the package comment.
+// writerTransitions is the table in the package comment.
 var writerTransitions = statemachine.Table[writerState, writerEvent]{
 	writerSaved:    {writeStarted: writerSaving},
 	writerSaving:   {writeSucceeded: writerSaved, writeFailed: writerFailed},
@@ -35,7 +35,7 @@
 	writerRetrying: {writeSucceeded: writerSaved, writeFailed: writerFailed},
 }
 
-// snapshotWriter writes snapshots on a goroutine, one at a time: file operations must not hold up the loop.
+// snapshotWriter writes one snapshot at a time on a separate goroutine, as file operations must not block the loop.
 type snapshotWriter struct {
 	*process
 	dir     stateDir
@@ -43,14 +43,14 @@
 	writing sync.WaitGroup
 }
 
-// transition is the one place where the state of a snapshot writer changes.
+// transition applies an event. It is the only function that changes the state of a snapshot writer.
 func (w *snapshotWriter) transition(event writerEvent) bool {
 	return w.checkTransition(writerTransitions.Apply("snapshot writer", &w.state, event))
 }
 
 func (w *snapshotWriter) busy() bool { return w.state == writerSaving || w.state == writerRetrying }
 
-// start takes and writes a snapshot, unless one is being written.
+// start takes a snapshot and begins to write it, unless another one is being written.
 func (w *snapshotWriter) start(takeSnapshot func() *WarmStartSnapshot) {
 	if w.busy() {
 		return
@@ -63,7 +63,7 @@
 	})
 }
 
-// handleResult logs the first of several failures, and the success after them.
+// handleResult logs the first of consecutive failures, and the success after them.
 func (w *snapshotWriter) handleResult(err error) {
 	before := w.state
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 	w.transition(writeSucceeded)
 	if before == writerRetrying {
-		w.log.Info("snapshot saved again")
+		w.log.Info("snapshot saved after earlier failures")
 	}
 }
 
--- a/internal/schedulerd/statestore.go
+++ b/internal/schedulerd/statestore.go
@@ -13,30 +13,30 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// stateStore persists what the next incarnation needs: attempts and slow-start sends in the journal, and what was
-// learned in a file of its own.
+// stateStore persists the state for the next incarnation: attempts and slow-start sends in the journal, the learned
+// state in a snapshot file.
 type stateStore struct {
 	*journal
 	state  storeState
 	dir    stateDir
-	loaded loadedState // until the server has started
+	loaded loadedState // released once it is restored
 	writer snapshotWriter
 
 	ledger *warmstart.SendLedger
-	// to incarnations that are not listed yet; kept for two slow-start windows
+	// pendingSends are sends to incarnations that are not listed yet. They are kept for two slow-start windows.
 	pendingSends    []warmstart.SlowStartSends
-	sendsKnownSince scheduler.Time // all slow-start sends from then on are known
+	sendsKnownSince scheduler.Time // all slow-start sends since then are known
 }
 
-// loadedState is what the folder holds of earlier incarnations.
+// loadedState is the state of earlier incarnations that the folder holds.
 type loadedState struct {
 	history  warmstart.LogHistory
-	attempts []reconcile.Attempt // without an end
+	attempts []reconcile.Attempt // without a logged end
 	sends    []warmstart.SlowStartSends
 	snapshot *WarmStartSnapshot // nil if there is none
 }
 
-// stateDir is a folder that is held until Close.
+// stateDir is a folder that is locked until Close.
 type stateDir interface {
 	vfs.FS
 	Close() error
@@ -45,8 +45,8 @@
 // openStateDir is replaced by tests that inject faults.
 var openStateDir = func(path string) (stateDir, error) { return vfs.OpenLocked(path) }
 
-// openState loads a folder and logs that this incarnation begins. A folder that cannot be read or locked is an error; a
-// full disk is not.
+// openState loads the state folder and logs the start of this incarnation. A folder that cannot be read or locked is an
+// error; a full disk is not.
 func openState(p *process) (*stateStore, error) {
 	folder := p.config.StateDir
 	dir, err := openStateDir(folder)
@@ -89,7 +89,7 @@
 	if err != nil {
 		return err
 	}
-	if len(histories) > 0 { // there is one
+	if len(histories) > 0 { // the log holds at most one
 		st.loaded.history = histories[0]
 	}
 	if st.loaded.attempts, err = loadAll[reconcile.Attempt](records, AttemptKind); err != nil {
@@ -114,8 +114,8 @@
 	return all, err
 }
 
-// loadSnapshot reads what was learned. That is no promise: a file that cannot be read is left out, but one of a later
-// version of the program stops the start, so that it is not replaced.
+// loadSnapshot reads the snapshot. A snapshot is optional, so an unreadable file is ignored. A file that a later
+// version of the program wrote is an error, so that it is not overwritten.
 func (st *stateStore) loadSnapshot() error {
 	snapshot, err := ReadWarmStart(st.dir)
 	if _, unsupported := errors.AsType[*wal.UnsupportedVersionError](err); unsupported {
@@ -123,7 +123,7 @@
 	}
 	switch {
 	case err != nil:
-		st.log.Warn("snapshot not used", "error", err)
+		st.log.Warn("unreadable snapshot ignored", "error", err)
 	case snapshot != nil:
 		st.loaded.snapshot = snapshot
 	default:
@@ -137,14 +137,15 @@
 	snapshot, err := readLegacyList(file)
 	switch {
 	case err != nil:
-		st.log.Warn("legacy machine list not used", "error", err)
+		st.log.Warn("unreadable legacy machine list ignored", "error", err)
 	case snapshot != nil:
-		st.log.Info("legacy machine list loaded, the state folder replaces it", "file", file)
+		st.log.Info("legacy machine list loaded, it is stored in the state folder from now on", "file", file)
 		st.loaded.snapshot = snapshot
 	}
 }
 
-// logSend counts an attempt or a probe for a machine in slow start. It reports whether there is anything to log.
+// logSend records the send of an attempt or a probe to a machine. It reports whether there is anything to log, as for a
+// machine in slow start.
 func (st *stateStore) logSend(id scheduler.MachineID, start warmstart.MachineStart) bool {
 	sends, changed := st.ledger.RecordSend(st.now(), id, start)
 	if changed {
@@ -153,15 +154,15 @@
 	return changed
 }
 
-// logIncarnation logs sends that may have reached an incarnation that has just been announced, while an earlier one was
-// known.
+// logIncarnation logs earlier sends that may have reached a newly announced incarnation of a machine, although an
+// earlier incarnation was the known one when they were sent.
 func (st *stateStore) logIncarnation(id scheduler.MachineID, start warmstart.MachineStart) {
 	if sends, changed := st.ledger.IncarnationObserved(st.now(), id, start); changed {
 		st.putSends(sends)
 	}
 }
 
-// save writes a snapshot, forgets machines that have left slow start, and repeats what the log did not take.
+// save writes a snapshot, removes the sends of machines that have left slow start, and retries failed deletes.
 func (st *stateStore) save(lookup warmstart.MachineLookup, takeSnapshot func() *WarmStartSnapshot) {
 	for _, id := range st.ledger.Expire(st.now(), lookup) {
 		st.remove(SendKind, string(id))
@@ -170,8 +171,8 @@
 	st.writer.start(takeSnapshot)
 }
 
-// close writes what is left. The loop has ended. Where the state was not restored, the folder holds a better snapshot
-// than this incarnation has.
+// close commits the pending changes and writes the last snapshot, once the loop has ended. No snapshot is written if
+// the state was not restored: the one in the folder is more complete than that of this incarnation.
 func (st *stateStore) close(takeSnapshot func() *WarmStartSnapshot) {
 	st.retryDeletes()
 	st.commit()
@@ -185,7 +186,7 @@
 	}
 	st.transition(storeReleased)
 	if err := st.closeLog(); err != nil {
-		st.log.Error("state not saved", "error", err)
+		st.log.Error("log not closed cleanly, recent changes may be lost", "error", err)
 	}
 	if err := st.dir.Close(); err != nil {
 		st.log.Warn("state folder not released", "error", err)
--- a/internal/schedulerd/storestate.go
+++ b/internal/schedulerd/storestate.go
@@ -8,12 +8,12 @@
 // States of a state store.
 const (
 	storeLoading   storeState = "loading"
-	storeLoaded    storeState = "loaded"    // the folder holds a better snapshot than this incarnation has
+	storeLoaded    storeState = "loaded"    // the snapshot in the folder is not restored yet and must be kept
 	storeRecording storeState = "recording" // snapshots are written
 	storeClosed    storeState = "closed"
 )
 
-// storeEvent is what happens to a state store.
+// storeEvent is an event of a state store.
 type storeEvent string
 
 // Events of a state store.
@@ -23,7 +23,7 @@
 	storeReleased     storeEvent = "closed"
 )
 
-// storeTransitions is the table of the package comment.
+// storeTransitions is the table in the package comment.
 var storeTransitions = statemachine.Table[storeState, storeEvent]{
 	storeLoading: {
 		storeFolderLoaded: storeLoaded,
@@ -37,7 +37,7 @@
 	},
 }
 
-// transition is the one place where the state of a state store changes.
+// transition applies an event. It is the only function that changes the state of a state store.
 func (st *stateStore) transition(event storeEvent) bool {
 	return st.checkTransition(storeTransitions.Apply("state store", &st.state, event))
 }
