--- a/internal/schedulerd/attempt_test.go
+++ b/internal/schedulerd/attempt_test.go
@@ -15,7 +15,7 @@
 	"glenport/scheduler"
 )
 
-// machineServer starts machine a and returns its address.
+// machineServer starts a machine and returns its address.
 type machineServer func(*testing.T) string
 
 func serveOffers(handle func(net.Conn, *protocol.Offer) bool) machineServer {
@@ -25,7 +25,7 @@
 	}
 }
 
-// respondToOffer is a machine that answers each offer with frames.
+// respondToOffer returns a machine that answers each offer with frames.
 func respondToOffer(answers func(*protocol.Offer) []protocol.Frame) machineServer {
 	return serveOffers(func(c net.Conn, o *protocol.Offer) bool {
 		frames.Send(c, answers(o)...)
@@ -51,10 +51,10 @@
 	})
 }
 
-// closeOnOffer closes the connection instead of an answer.
+// closeOnOffer closes the connection instead of answering.
 func closeOnOffer(net.Conn, *protocol.Offer) bool { return false }
 
-// resetOnOffer resets the connection instead of an answer.
+// resetOnOffer resets the connection instead of answering.
 func resetOnOffer(c net.Conn, _ *protocol.Offer) bool {
 	if err := c.(*net.TCPConn).SetLinger(0); err != nil {
 		panic(err)
@@ -86,7 +86,7 @@
 	})
 }
 
-// expectedEnd is what the scheduler and the client receive at the end of an attempt.
+// expectedEnd describes what the scheduler and the client receive at the end of an attempt.
 type expectedEnd struct {
 	outcome     scheduler.Outcome
 	reason      scheduler.Reason
@@ -96,12 +96,12 @@
 
 func failed(outcome scheduler.Outcome) expectedEnd { return expectedEnd{outcome: outcome} }
 
-// terminated is the end of a container that ran.
+// terminated returns the expected end of a container that ran.
 func terminated(outcome scheduler.Outcome, reason scheduler.Reason, termination protocol.Outcome) expectedEnd {
 	return expectedEnd{outcome, reason, true, termination}
 }
 
-// Each outcome of the scheduler's contract arises from what happens on a socket.
+// Each outcome that the scheduler can receive is produced by a machine or a connection failure.
 func TestEveryOutcomeOverSockets(t *testing.T) {
 	unexpectedFrame := respondToOffer(func(*protocol.Offer) []protocol.Frame {
 		return []protocol.Frame{&protocol.Submit{TimeToDeadline: 1, Spec: specFor("x", classIdempotent)}}
@@ -125,8 +125,8 @@
 		{"connection closed between offer and answer", serveOffers(closeOnOffer), failed(scheduler.OutcomeLost)},
 		{"connection reset between offer and answer", serveOffers(resetOnOffer), failed(scheduler.OutcomeLost)},
 		{"unexpected frame for an answer", unexpectedFrame, failed(scheduler.OutcomeLost)},
-		{"nobody listens", noListener, unreached},
-		{"accepts the connection and never says hello", withoutHello, unreached},
+		{"no listener", noListener, unreached},
+		{"accepts the connection and sends no hello", withoutHello, unreached},
 		{"another machine answers", ignoreOffers("b"), unreached},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -145,8 +145,9 @@
 	}
 }
 
-// A machine counts the timeout of an offer from when it receives it. Where the process stalls within an iteration, as
-// beside other load, the offer has what is left of its time then, and none is sent once that is over.
+// A machine counts the timeout of an offer from its receipt. If the process stalls within an iteration, for example
+// under CPU contention, the offer must carry the time that is left when it is sent. No offer is sent after the
+// deadline.
 func TestOfferTimeoutIsTheTimeLeftWhenSent(t *testing.T) {
 	const timeout, stall = scheduler.Second, 20 * eventloop.Millisecond
 	loops := make(chan *eventloop.Loop, 1)
@@ -164,7 +165,7 @@
 		return acceptOffer(c, o)
 	})
 	h := startWithMachineA(t, testConfig(t), stalled, machine(t))
-	h.client.submit("first", classIdempotent) // the connection is there from then on
+	h.client.submit("first", classIdempotent) // opens the connection
 	h.client.wantReply(protocol.VerdictPlaced)
 	loops <- h.server.loop
 	h.client.submit("second", classIdempotent)
@@ -174,8 +175,8 @@
 	testutil.Expect(t, left <= timeout-scheduler.Time(stall), "%d of %d ticks are left after a stall", left, timeout)
 }
 
-// A machine that never reads blocks its own output alone: no more is sent to it, and other clients are served
-// meanwhile.
+// A machine that does not read must not affect others: further offers to it end as not sent, the pending output is
+// bounded, and clients are still served.
 func TestMachineThatDoesNotReadGetsNoMoreOffers(t *testing.T) {
 	done := make(chan struct{})
 	address := testutil.ServeUntilEnd(t, func(c net.Conn) {
@@ -206,7 +207,8 @@
 		"after %d attempts %+v, %d bytes pending", sent, ended, pending)
 }
 
-// With no descriptor left an attempt is known never to have run. Once there is one the next is sent.
+// Without a free file descriptor an attempt ends as not sent, which is no failure of the machine. Once a descriptor is
+// free, the next attempt is sent.
 func TestAttemptWithoutDescriptorIsNotSent(t *testing.T) {
 	var old syscall.Rlimit
 	testutil.NoError(t, syscall.Getrlimit(syscall.RLIMIT_NOFILE, &old))
@@ -215,7 +217,7 @@
 		testutil.NoError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit))
 	}
 	defer setLimit(old)
-	closed := make(chan struct{}, 10) // a descriptor of the machine that is freed late would be one to use
+	closed := make(chan struct{}, 10) // the server could use a descriptor that the machine frees late
 	address := testutil.ServeUntilEnd(t, func(c net.Conn) {
 		frames.Skip(c)
 		sendHello(c, "a", 1, &protocol.Inventory{})
@@ -224,7 +226,7 @@
 		closed <- struct{}{}
 	})
 	h := startWithMachineA(t, testConfig(t), attemptOn(0), address)
-	h.eventually((*machine).ready) // the reconciler asks for the inventory
+	h.eventually((*machine).ready) // the reconciler requests the inventory
 	runOnLoop(h.server, func() { h.machineA().conn.reset() })
 	h.eventually(func(a *machine) bool { return a.conn.state == machineDisconnected })
 	<-closed
@@ -233,7 +235,6 @@
 	testutil.NoError(t, syscall.Close(lowest))
 	setLimit(syscall.Rlimit{Cur: uint64(lowest), Max: old.Max})
 	h.client.submit("x", classAtMostOnce)
-	// no failure of the machine
 	ended := h.awaitEnded()
 	testutil.Expect(t, ended.Outcome == scheduler.OutcomeNotSent, "got %+v", ended)
 	h.client.wantReply(protocol.VerdictFailed)
--- a/internal/schedulerd/clientconn_test.go
+++ b/internal/schedulerd/clientconn_test.go
@@ -12,7 +12,7 @@
 	"glenport/internal/testutil/frames"
 )
 
-// receiveGoodbye sends bytes to the server, one by one, and returns the reason of its Goodbye.
+// receiveGoodbye sends bytes to the server one at a time, and returns the reason in its Goodbye.
 func receiveGoodbye(t *testing.T, address string, sent []byte, pause time.Duration) string {
 	t.Helper()
 	c := dial(t, address)
@@ -38,7 +38,8 @@
 	return frames.Encode(t, protocol.NewHello(role, "peer", 1))
 }
 
-// What exceeds the bounds, garbage, and frames that never end are refused with a reason; other clients are served.
+// The server rejects requests and clients over the limits, garbage and incomplete frames with a reason, and still
+// serves other clients.
 func TestListenerRejectsInvalidAndExcessInput(t *testing.T) {
 	settings := testConfig(t)
 	settings.Limits.OpenRequests, settings.Limits.Clients, settings.SilenceTimeout = 2, 2, 5000
@@ -71,7 +72,7 @@
 			testutil.Expect(t, strings.Contains(got, tc.want), "got %q, want %q", got, tc.want)
 		})
 	}
-	dialClient(t, h.server.Addr()) // the second
+	dialClient(t, h.server.Addr()) // the second client
 	third := receiveGoodbye(t, h.server.Addr(), encodedHello(t, protocol.RoleClient), 0)
 	testutil.Expect(t, strings.Contains(third, "2 owners are connected"), "a third client gets %q", third)
 	frames.Send(h.client, &protocol.CancelContainer{ContainerID: "x"})
--- a/internal/schedulerd/discovery_test.go
+++ b/internal/schedulerd/discovery_test.go
@@ -13,7 +13,8 @@
 	"glenport/scheduler"
 )
 
-// flakyListService is a list service that may be away. It reports the version since which updates are requested.
+// flakyListService is a list service that can be made unavailable. It reports the version since which updates are
+// requested.
 type flakyListService struct {
 	unavailable atomic.Bool
 	requested   chan int64
@@ -43,12 +44,12 @@
 	case got := <-l.requested:
 		testutil.Require(t, got == since, "updates since %d were requested, want since %d", got, since)
 	case <-time.After(testTimeout):
-		t.Fatalf("the list is not requested in %v", testTimeout)
+		t.Fatalf("the list is not requested within %v", testTimeout)
 	}
 }
 
-// A machine hello with a new incarnation while the list service is unreachable does not end the requests for the list:
-// they go on until the service answers.
+// Guards against a scheduler that stops requesting the list when a machine reports a new incarnation in its hello while
+// the list service is unreachable. The requests must continue until the service answers.
 func TestListIsRequestedAgainAfterMachineHello(t *testing.T) {
 	machineAddress, hello, _ := serveSlowMachine(t, "a")
 	entry := protocol.MachineEntry{Machine: "a", Address: machineAddress, Incarnation: 1, Age: -1}
@@ -69,8 +70,8 @@
 	service.awaitRequest(t, 5)
 }
 
-// A new incarnation in the list sets the start of a machine once; the same incarnation with another age does not change
-// it.
+// The first list entry with a new incarnation sets the start time of a machine. Later entries with the same incarnation
+// and another age do not change it.
 func TestStartOfAnIncarnationIsComputedOnce(t *testing.T) {
 	h := startWithMachineA(t, testConfig(t), nil, "127.0.0.1:1")
 	startedAt := func(incarnation uint64, age protocol.Duration) scheduler.Time {
--- a/internal/schedulerd/lateaccept_test.go
+++ b/internal/schedulerd/lateaccept_test.go
@@ -10,14 +10,14 @@
 	"glenport/scheduler"
 )
 
-// What becomes of a late accept.
+// Expected results of a late accept.
 const (
 	lateCancelled = "cancelled"
 	lateAdopted   = "adopted"
 )
 
-// acceptOnProbe is a machine that accepts an offer when it is probed, which is the test's sign that the attempt has
-// ended.
+// acceptOnProbe starts a machine that accepts an offer when it receives a probe. The test sends the probe after the
+// attempt has ended.
 func acceptOnProbe(t *testing.T, seen chan<- string) string {
 	t.Helper()
 	attempts := make(chan uint64, 1)
@@ -34,7 +34,7 @@
 	})
 }
 
-// probeAfterEnd attempts each request on machine a, and probes the machine after it.
+// probeAfterEnd starts an attempt on machine a for each request, and probes the machine when the attempt has ended.
 func probeAfterEnd(timeout scheduler.Time, seen chan<- string) reaction {
 	react := attemptOn(timeout)
 	return func(e scheduler.Event) []scheduler.Action {
@@ -48,7 +48,7 @@
 	}
 }
 
-// cancelImmediately cancels each attempt that a reaction starts.
+// cancelImmediately adds a cancel to each attempt that a reaction starts.
 func cancelImmediately(react reaction) reaction {
 	return func(e scheduler.Event) []scheduler.Action {
 		if request, ok := e.(scheduler.RequestReceived); ok {
@@ -66,8 +66,8 @@
 	want    string
 }
 
-// An accept that comes after its attempt was cancelled or has timed out changes no answer: idempotent work is
-// cancelled, work that must not run twice is adopted.
+// An accept that arrives after its attempt was cancelled or has timed out does not change the answer to the client. An
+// idempotent container is cancelled, an at-most-once container is adopted.
 func TestLateAcceptChangesNoAnswer(t *testing.T) {
 	for _, tc := range []lateAcceptCase{
 		{"timed out, idempotent", classIdempotent, false, 200 * scheduler.Millisecond, lateCancelled},
@@ -87,7 +87,7 @@
 		react = cancelImmediately(react)
 	}
 	h := startWithMachineA(t, testConfig(t), react, acceptOnProbe(t, seen))
-	if tc.cancel { // without a ready connection the attempt is never sent
+	if tc.cancel { // the attempt is sent only over a ready connection
 		runOnLoop(h.server, func() { h.server.machines.connect("a") })
 		h.eventually((*machine).ready)
 	}
@@ -99,7 +99,7 @@
 		got = <-seen
 	}
 	testutil.Equal(t, got, tc.want)
-	if tc.want == lateAdopted { // a repeated request is answered with the machine
+	if tc.want == lateAdopted { // a repeated request must return the machine
 		spec.ContainerID = "y"
 		h.client.submitSpec(spec)
 		reply := h.client.wantReply(protocol.VerdictPlaced)
@@ -107,8 +107,8 @@
 	}
 }
 
-// reconnectingMachine accepts an offer and closes its connection. The inventory of the next one lists a container of an
-// earlier incarnation, and the accepted one if it is still named.
+// reconnectingMachine accepts an offer and closes its connection. Each inventory lists a container of an earlier
+// incarnation. The inventory of the second connection also lists the accepted container if stillListed is set.
 type reconnectingMachine struct {
 	stillListed bool
 	connections int
@@ -144,15 +144,15 @@
 	}))
 }
 
-// A closed connection alone loses nothing: the next inventory decides. What it no longer lists is lost, what it lists
-// of an earlier incarnation is adopted.
+// A closed connection does not end running containers: the next inventory decides. Containers that it no longer lists
+// are lost; listed containers of an earlier incarnation are adopted.
 func TestInventoryAfterReconnectDecidesWhatIsLost(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		named bool
-	}{{"still named", true}, {"no longer named", false}} {
+		name   string
+		listed bool
+	}{{"still listed", true}, {"no longer listed", false}} {
 		t.Run(tc.name, func(t *testing.T) {
-			m := &reconnectingMachine{stillListed: tc.named, reconnected: make(chan net.Conn, 10)}
+			m := &reconnectingMachine{stillListed: tc.listed, reconnected: make(chan net.Conn, 10)}
 			h := startWithMachineA(t, testConfig(t), attemptOn(0), testutil.ServeUntilEnd(t, m.serve))
 			found := awaitEvent[scheduler.ContainerAdopted](t, h.script, nil)
 			testutil.Expect(t, found.ID == "old" && found.Machine == "a", "adopted %+v", found)
@@ -160,7 +160,7 @@
 			h.client.wantReply(protocol.VerdictPlaced)
 			c := <-m.reconnected
 			want := protocol.OutcomeLost
-			if tc.named {
+			if tc.listed {
 				want = protocol.OutcomeFinished
 				frames.Send(c, &protocol.Result{AttemptID: m.attempt})
 			}
--- a/internal/schedulerd/queue_test.go
+++ b/internal/schedulerd/queue_test.go
@@ -10,15 +10,15 @@
 	"glenport/scheduler"
 )
 
-// staleCase is a change while an attempt is queued behind a machine that has not said hello.
+// staleCase is a change while an attempt is queued for a machine that has not sent its hello.
 type staleCase struct {
 	name        string
-	change      func(h *harness, address string) // nil: none
+	change      func(h *harness, address string) // nil: no change
 	incarnation uint64                           // in the hello of the machine
 	sent        bool
 }
 
-// listUpdate is a change of machine a by the list.
+// listUpdate returns a change that applies a list entry of machine a.
 func listUpdate(state protocol.MachineState, incarnation uint64, age protocol.Duration) func(*harness, string) {
 	return func(h *harness, address string) {
 		h.applyList(protocol.MachineEntry{
@@ -27,8 +27,9 @@
 	}
 }
 
-// A queued attempt is not sent if what it was decided on has changed meanwhile. The scheduler receives the change first
-// and decides again. The hello of a machine may announce an incarnation before the list does.
+// A queued attempt is not sent if its machine or the adopted containers of its service have changed since the decision.
+// The scheduler receives the change first and decides again. The hello of a machine may announce an incarnation before
+// the list does.
 func TestStaleQueuedAttemptIsNotSent(t *testing.T) {
 	for _, tc := range []staleCase{
 		{"no change", nil, 1, true},
@@ -70,8 +71,7 @@
 	}
 }
 
-// adoptOnMachineB makes machine b report a container of the service that an earlier incarnation of the scheduler has
-// started.
+// adoptOnMachineB reports a container of the service on machine b that an earlier incarnation of the scheduler started.
 func (h *harness) adoptOnMachineB(string) {
 	h.t.Helper()
 	h.applyList(protocol.MachineEntry{Machine: "b", Address: "127.0.0.1:1", Incarnation: 1, Age: -1})
@@ -84,7 +84,8 @@
 	awaitEvent[scheduler.ContainerAdopted](h.t, h.script, nil)
 }
 
-// A queued probe was not counted for an incarnation that is known from the hello alone, and is not sent to it.
+// A queued probe is not sent to an incarnation that the hello of the machine has announced meanwhile, as it was not
+// charged to that incarnation.
 func TestProbeOfAnEarlierIncarnationIsNotSent(t *testing.T) {
 	outcomes := map[uint64]scheduler.Outcome{1: scheduler.OutcomeTimedOut, 2: scheduler.OutcomeNotSent}
 	for incarnation, want := range outcomes {
--- a/internal/schedulerd/script_test.go
+++ b/internal/schedulerd/script_test.go
@@ -8,10 +8,10 @@
 	"glenport/scheduler"
 )
 
-// reaction returns the actions that follow an event.
+// reaction returns the actions for an event.
 type reaction func(scheduler.Event) []scheduler.Action
 
-// scriptedScheduler stands in for the scheduler: it passes events on to the test and reacts as the test says.
+// scriptedScheduler replaces the scheduler. It passes all events to the test, and returns the actions of a reaction.
 type scriptedScheduler struct {
 	mu     sync.Mutex
 	react  reaction // may be nil
@@ -35,21 +35,22 @@
 	return actions
 }
 
-// warmStartScript is a script that has learned something.
+// warmStartScript is a scriptedScheduler with a warm-start snapshot.
 type warmStartScript struct {
 	*scriptedScheduler
 	snapshot scheduler.Snapshot
 	restored chan scheduler.Snapshot
 }
 
-func (s *warmStartScript) Snapshot() scheduler.Snapshot { return s.snapshot }
-func (s *warmStartScript) Restore(k scheduler.Snapshot) { s.restored <- k }
+func (s *warmStartScript) Snapshot() scheduler.Snapshot        { return s.snapshot }
+func (s *warmStartScript) Restore(snapshot scheduler.Snapshot) { s.restored <- snapshot }
 
 func newWarmStartScript(snapshot scheduler.Snapshot) *warmStartScript {
 	return &warmStartScript{newScript(nil), snapshot, make(chan scheduler.Snapshot, 1)}
 }
 
-// awaitEvent waits for an event of a type that satisfies the condition, if there is one; others are skipped.
+// awaitEvent waits for an event of a type that satisfies the condition, and skips all others. A nil condition accepts
+// every event of the type.
 func awaitEvent[E scheduler.Event](t *testing.T, script *scriptedScheduler, condition func(E) bool) E {
 	t.Helper()
 	timeout := time.After(testTimeout)
@@ -60,12 +61,12 @@
 				return e
 			}
 		case <-timeout:
-			t.Fatalf("no %T in %v", *new(E), testTimeout)
+			t.Fatalf("no %T within %v", *new(E), testTimeout)
 		}
 	}
 }
 
-// awaitList waits for an update of the machine list that is not the restored one.
+// awaitList waits for an update of the machine list other than the restored list.
 func awaitList(t *testing.T, script *scriptedScheduler) {
 	t.Helper()
 	awaitEvent(t, script, func(e scheduler.MachineListUpdate) bool {
@@ -73,7 +74,8 @@
 	})
 }
 
-// attemptOn reacts to each request with an attempt on machine a, and fails it after its first outcome.
+// attemptOn returns a reaction that starts an attempt on machine a for each request, and fails the request if the
+// attempt does not place it.
 func attemptOn(timeout scheduler.Time) reaction {
 	return func(e scheduler.Event) []scheduler.Action {
 		switch e := e.(type) {
