--- a/internal/schedulerd/faultydir_test.go
+++ b/internal/schedulerd/faultydir_test.go
@@ -13,11 +13,11 @@
 	"glenport/internal/testutil"
 )
 
-// faultyDir is a folder that may be full, or slow to sync.
+// faultyDir is a state folder with injected faults: a full disk, or syncs that block.
 type faultyDir struct {
 	stateDir
 	full atomic.Bool
-	gate sync.RWMutex // syncs wait while it is locked
+	gate sync.RWMutex // syncs block while it is locked
 }
 
 type faultyFile struct {
@@ -51,7 +51,7 @@
 	return f.File.Sync()
 }
 
-// useFaultyDir makes every server of the test open a folder whose faults the test sets.
+// useFaultyDir replaces the state folder of all servers of the test with a faultyDir.
 func useFaultyDir(t *testing.T, settings *config.Scheduler) *faultyDir {
 	t.Helper()
 	d := &faultyDir{}
@@ -78,7 +78,7 @@
 	return n
 }
 
-// copyState copies a folder as a kill -9 would leave it.
+// copyState copies a state folder in the state in which SIGKILL would leave it.
 func copyState(t *testing.T, path string) string {
 	t.Helper()
 	to := t.TempDir()
--- a/internal/schedulerd/golden_test.go
+++ b/internal/schedulerd/golden_test.go
@@ -27,14 +27,14 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// The stored data of a scheduler, as the release before the renaming of this package wrote it:
+// Stored data of a scheduler, written by the last release before the names in this package were changed:
 //
 //	testdata/state       a state folder: snapshot, log and the file "knowledge"
-//	testdata/state.txt   what it holds, one line for each field under its stored name
-//	testdata/export.json the same file "knowledge" as `glenport state export` shows it
-//	testdata/list        the machine list of version 1, a file of its own
+//	testdata/state.txt   its contents, one line for each field under its stored name
+//	testdata/export.json the same file "knowledge" as `glenport state export` prints it
+//	testdata/list        the machine list of version 1, in a separate file
 //
-// They change with the storage format alone, never with names in the code.
+// These files change only with the storage format, not with names in the code.
 const (
 	goldenState  = "testdata/state"
 	goldenText   = "testdata/state.txt"
@@ -56,8 +56,8 @@
 	testutil.NoError(t, d.Close())
 }
 
-// writeGoldenState writes the folder by the package's own writing path: three attempts, the sends and the incarnation
-// go into the snapshot; the log deletes one attempt, puts another and replaces a send.
+// writeGoldenState writes the folder with the code that servers use. The snapshot of the log holds three attempts, the
+// sends and the incarnation. The log then deletes one attempt, puts another and replaces the sends.
 func writeGoldenState(t *testing.T, path string) {
 	t.Helper()
 	commitGolden(t, path, func(st *stateStore) {
@@ -90,14 +90,14 @@
 	testutil.NoError(t, os.Remove(filepath.Join(path, "lock")))
 }
 
-// goldenListFile is the file of version 1: the clock, the length, and a list frame without its length.
+// goldenListFile returns the file of version 1: the clock, the length, and a list frame without its length prefix.
 func goldenListFile(t *testing.T) []byte {
 	t.Helper()
 	frame := frames.Encode(t, fullList(302, goldenEntries...))
 	return append(binary.BigEndian.AppendUint64(nil, 17_000_000_000_201), frame...)
 }
 
-// Run on the program that first wrote the data, with -update, this makes the golden files.
+// With -update, run on the release that first wrote the data, the test creates the golden files.
 func TestStateIsWrittenAsGoldenBytes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	writeGoldenState(t, path)
@@ -116,13 +116,13 @@
 	for _, f := range want {
 		got := testutil.ReadFile(t, filepath.Join(path, f.Name()))
 		if want := testutil.ReadFile(t, filepath.Join(goldenState, f.Name())); !bytes.Equal(got, want) {
-			t.Errorf("file %s is written with other bytes", f.Name())
+			t.Errorf("file %s differs from the golden bytes", f.Name())
 		}
 	}
 	testutil.Expect(t, bytes.Equal(goldenListFile(t), testutil.ReadFile(t, goldenList)),
-		"the list of version 1 is encoded with other bytes")
+		"the list of version 1 differs from the golden bytes")
 	if got := describeState(t, path); got != string(testutil.ReadFile(t, goldenText)) {
-		t.Errorf("the records are named otherwise:\n%s", got)
+		t.Errorf("the stored names differ:\n%s", got)
 	}
 	if got := exportJSON(t, goldenSnapshot()); !bytes.Equal(got, testutil.ReadFile(t, goldenExport)) {
 		t.Errorf("the export is\n%s", got)
@@ -135,7 +135,7 @@
 	testutil.NoError(t, os.CopyFS(settings.StateDir, os.DirFS(goldenState)))
 	server, err := New(settings, newWarmStartScript(scheduler.Snapshot{}), discardLog)
 	testutil.NoError(t, err)
-	defer func() { // the loop is released when Run returns
+	defer func() { // Run releases the loop when it returns
 		server.Stop()
 		testutil.ExpectNoError(t, server.Run())
 	}()
@@ -153,7 +153,7 @@
 		testutil.Expect(t, reflect.DeepEqual(record.got, record.want),
 			"%s: read %+v, want %+v", record.name, record.got, record.want)
 		path := zeroField(record.name, reflect.ValueOf(record.want))
-		testutil.Expect(t, path == "", "%s has no value to be compared", path)
+		testutil.Expect(t, path == "", "%s is zero in the golden data and not checked", path)
 	}
 	for i, r := range loaded.snapshot.Entries {
 		if r.entry() != goldenEntries[i] {
@@ -173,7 +173,7 @@
 	testutil.Expect(t, reflect.DeepEqual(got, want), "read %+v, want %+v", got, want)
 }
 
-// What is empty is exported as null.
+// Nil slices and maps are exported as null.
 func TestEmptySnapshotIsExported(t *testing.T) {
 	empty := WarmStartSnapshot{Learned: scheduler.Snapshot{Machines: []scheduler.MachineSnapshot{{}}}}
 	got, err := json.Marshal(map[string]any{"kind": "knowledge", "value": empty})
@@ -185,7 +185,7 @@
 	testutil.Expect(t, string(got) == want, "got\n%s\nwant\n%s", got, want)
 }
 
-// A threshold that nothing reaches is infinite, which CBOR can encode.
+// An infinite suspicion threshold survives encoding.
 func TestInfiniteThresholdIsStored(t *testing.T) {
 	d, err := vfs.OpenLocked(t.TempDir())
 	testutil.NoError(t, err)
@@ -199,13 +199,13 @@
 	testutil.Expect(t, reflect.DeepEqual(got.Learned, want.Learned), "read %+v", got.Learned)
 }
 
-// field is a part of a value with its path.
+// field is a field, element or pointer target with its path.
 type field struct {
 	path  string
 	value reflect.Value
 }
 
-// fieldsOf are the parts of a value that holds others.
+// fieldsOf returns the fields, elements or pointer target of a value.
 func fieldsOf(path string, v reflect.Value) (fields []field) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -222,12 +222,12 @@
 				fields = append(fields, field{path + "." + f.Name, v.Field(i)})
 			}
 		}
-	default: // it holds no others
+	default: // a scalar
 	}
 	return fields
 }
 
-// zeroField gives the path of a field that the golden data leave at its zero value; "" where there is none.
+// zeroField returns the path of a field that is zero in the golden data; "" if there is none.
 func zeroField(path string, v reflect.Value) string {
 	for _, f := range fieldsOf(path, v) {
 		if zero := zeroField(f.path, f.value); zero != "" {
@@ -241,7 +241,7 @@
 	return ""
 }
 
-// describeState lists the fields of a folder under the names in its bytes, without the types of this program.
+// describeState lists the fields in a state folder under their stored names, without the types of this program.
 func describeState(t *testing.T, path string) string {
 	t.Helper()
 	d, err := vfs.OpenReadOnly(path)
@@ -285,7 +285,7 @@
 	return append(lines, fmt.Sprintf("%s = %v", path, v))
 }
 
-// exportJSON is a snapshot as `glenport state export` writes it, indented.
+// exportJSON returns a snapshot in the format of `glenport state export`, indented.
 func exportJSON(t *testing.T, k *WarmStartSnapshot) []byte {
 	t.Helper()
 	p, err := json.MarshalIndent(k, "", "  ")
--- a/internal/schedulerd/goldendata_test.go
+++ b/internal/schedulerd/goldendata_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// Attempts by number. Number 3 is deleted again by the log.
+// goldenAttempts are sorted by number. The log deletes the third one.
 var goldenAttempts = []reconcile.Attempt{
 	goldenAttempt(1, "one", 101, 0x11),
 	goldenAttempt(2, "two", 102, 0x22),
@@ -72,7 +72,7 @@
 	FullRatio: 0.4375, RejectedWeight: 0.5625, SendsKnownSince: 4009,
 }
 
-// There is one entry in the map: the order in which several are encoded is random.
+// goldenSnapshot has a single map entry, as several would be encoded in random order.
 func goldenSnapshot() *WarmStartSnapshot {
 	return &WarmStartSnapshot{
 		TakenAt:         warmstart.Timestamp{Clock: 17_000_000_000_101, Uptime: 17_000_102, BootID: "boot-of-the-file"},
--- a/internal/schedulerd/helpers_test.go
+++ b/internal/schedulerd/helpers_test.go
@@ -31,10 +31,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// discardLog panics where a server logs an illegal transition: there is none in practice.
+// discardLog discards log lines, and panics on an illegal state transition.
 var discardLog = slog.New(&transitionLog{illegal: func(err error) { panic(err) }})
 
-// transitionLog drops what is logged, but for illegal transitions.
+// transitionLog is a log handler that reports illegal state transitions and discards all other lines.
 type transitionLog struct {
 	slog.Handler
 	illegal func(error)
@@ -59,7 +59,7 @@
 	return err
 }
 
-// closeIgnoringError closes what may be closed already, and ignores the error of that.
+// closeIgnoringError closes c, which may be closed already.
 func closeIgnoringError(c io.Closer) { _ = c.Close() }
 
 func testConfig(t *testing.T) *config.Scheduler {
@@ -70,7 +70,7 @@
 	return settings
 }
 
-// runServer runs a server until the end of the test, or until stop is called, which waits for its end.
+// runServer runs a server until the end of the test or until stop is called. stop waits until Run has returned.
 func runServer(t *testing.T, settings *config.Scheduler, decisions Scheduler) (server *Server, stop func()) {
 	t.Helper()
 	server, err := New(settings, decisions, discardLog)
@@ -85,7 +85,7 @@
 	return server, stop
 }
 
-// runIncarnation runs a server until f returns, and stops it in order.
+// runIncarnation runs a server, calls f, and stops the server gracefully.
 func runIncarnation(t *testing.T, settings *config.Scheduler, decisions Scheduler, f func(*Server)) {
 	t.Helper()
 	server, stop := runServer(t, settings, decisions)
@@ -93,7 +93,7 @@
 	stop()
 }
 
-// onLoop returns what f returns on the loop of the server.
+// onLoop calls f on the loop of the server, and returns its result.
 func onLoop[T any](server *Server, f func() T) T {
 	result := make(chan T, 1)
 	server.loop.Post(func() { result <- f() })
@@ -104,7 +104,7 @@
 	onLoop(server, func() struct{} { f(); return struct{}{} })
 }
 
-// eventually waits for a condition that the loop of the server evaluates every millisecond.
+// eventually waits until a condition holds. The loop of the server evaluates it every millisecond.
 func eventually(t *testing.T, server *Server, condition func() bool) {
 	t.Helper()
 	fulfilled := make(chan struct{})
@@ -120,7 +120,7 @@
 	select {
 	case <-fulfilled:
 	case <-time.After(testTimeout):
-		t.Fatalf("the condition does not hold in %v", testTimeout)
+		t.Fatalf("the condition does not hold within %v", testTimeout)
 	}
 }
 
@@ -128,16 +128,16 @@
 
 func watchList(server *Server) { runOnLoop(server, func() { server.discovery.Watch(true) }) }
 
-// harness is a server whose list names machines, with a client.
+// harness is a server with a machine list and a client.
 type harness struct {
 	t      *testing.T
 	server *Server
 	script *scriptedScheduler
 	client *testClient
-	stop   func() // the server, and wait for its end
+	stop   func() // stops the server, and waits until Run has returned
 }
 
-// startHarness takes the addresses of machines by their names.
+// startHarness starts a server. The machine list contains the addresses of the machines by name.
 func startHarness(t *testing.T, settings *config.Scheduler, react reaction, machines map[string]string) *harness {
 	t.Helper()
 	h := &harness{t: t, script: newScript(react)}
@@ -149,13 +149,13 @@
 	return h
 }
 
-// startWithMachineA is startHarness for a list of one machine.
+// startWithMachineA calls startHarness with a list that contains only machine a.
 func startWithMachineA(t *testing.T, settings *config.Scheduler, react reaction, address string) *harness {
 	t.Helper()
 	return startHarness(t, settings, react, map[string]string{"a": address})
 }
 
-// machineA is for use on the loop.
+// machineA returns machine a. It must be called on the loop.
 func (h *harness) machineA() *machine { return h.server.machines.find("a") }
 
 // eventually waits for a condition of machine a.
@@ -164,13 +164,13 @@
 	eventually(h.t, h.server, func() bool { return condition(h.machineA()) })
 }
 
-// awaitEnded waits for the outcome of an attempt.
+// awaitEnded waits for the end of an attempt.
 func (h *harness) awaitEnded() scheduler.AttemptEnded {
 	h.t.Helper()
 	return awaitEvent[scheduler.AttemptEnded](h.t, h.script, nil)
 }
 
-// awaitCommit waits until all changes of the state so far are written.
+// awaitCommit waits until all pending changes of the state are written.
 func (h *harness) awaitCommit() {
 	h.t.Helper()
 	committed := make(chan error, 1)
@@ -178,7 +178,7 @@
 	testutil.NoError(h.t, <-committed)
 }
 
-// applyList applies an update of one entry.
+// applyList applies a list update with one entry.
 func (h *harness) applyList(entry protocol.MachineEntry) {
 	runOnLoop(h.server, func() {
 		h.server.machines.applyList(scheduler.DeltaUpdate, 2, []protocol.MachineEntry{entry})
--- a/internal/schedulerd/interleaving_model_test.go
+++ b/internal/schedulerd/interleaving_model_test.go
@@ -16,24 +16,25 @@
 	"glenport/scheduler"
 )
 
-// modelMachine is a machine that acts as the steps of an interleaving demand.
+// modelMachine is a machine controlled by the steps of an interleaving.
 type modelMachine struct {
 	*rawListener
 	protocol.MachineEntry // as listed
 	incarnation           uint64
-	startedAt             scheduler.Time           // of the incarnation; 0: long ago
+	startedAt             scheduler.Time           // start of the incarnation; 0: long ago
 	attempts              map[uint64]*modelAttempt // by number
 }
 
 type modelAttempt struct {
 	protocol.InventoryItem
-	pending   bool   // the scheduler waits for its answer
-	checkerID string // its container ID for the judge; "" if the next inventory adopts it
+	pending   bool   // not answered yet
+	checkerID string // its container ID in the checker; "" until the next inventory if its answer was lost
 }
 
 func (m *modelMachine) numbers() []uint64 { return slices.Sorted(maps.Keys(m.attempts)) }
 
-// model is a server with two machines, their list and a client, over loopback. The judge sees the frames.
+// model is a server with two machines, a list service and a client, connected over loopback. The checker observes the
+// frames.
 type model struct {
 	t         *testing.T
 	server    *Server
@@ -44,13 +45,13 @@
 	client    *rawConn
 	submitted int
 	answers   map[string]int  // by container
-	cancelled map[string]bool // answered before it was cancelled: what follows answers the cancel
+	cancelled map[string]bool // answered before the cancel, so that later replies answer the cancel
 	adopted   int
 }
 
 var modelMachineNames = []string{"a", "b"}
 
-// wrapper puts something between the server and its decisions.
+// wrapper wraps the decisions of the server.
 type wrapper func(modelcheck.Decider) modelcheck.Decider
 
 func newModel(t *testing.T, settings *config.Scheduler, wrap wrapper) *model {
@@ -96,7 +97,7 @@
 	w.client.close()
 }
 
-// observe tells the judge what the scheduler is about to receive.
+// observe passes an event to the checker that the scheduler is about to receive.
 func (w *model) observe(now scheduler.Time, e scheduler.Event) { w.checker.ObserveEvent(0, now, e) }
 
 func (w *model) observeEnded(now scheduler.Time, a *modelAttempt, ended scheduler.AttemptEnded) {
@@ -106,15 +107,15 @@
 
 func (w *model) now() scheduler.Time { return now(w.server) }
 
-// settle exchanges frames until nothing is in flight: every byte that one side wrote was read by the other, no
-// connection is being opened or closed, and no event is left.
+// settle exchanges frames until nothing is in flight: all bytes written on either side are read by the other, no
+// connection is being opened or closed, and no events are queued.
 func (w *model) settle() {
 	for limit := time.Now().Add(testTimeout); w.exchange() || !onLoop(w.server, w.isIdle); {
-		testutil.Require(w.t, !time.Now().After(limit), "not quiet in %v", testTimeout)
+		testutil.Require(w.t, !time.Now().After(limit), "not idle within %v", testTimeout)
 	}
 }
 
-// exchange accepts and reads what there is, and reports whether there was anything.
+// exchange accepts connections and reads frames that are available, and reports whether there were any.
 func (w *model) exchange() (found bool) {
 	now := w.now()
 	if found = w.list.accept(); found {
@@ -127,7 +128,7 @@
 	return w.client.drain(func(f protocol.Frame) { w.checkReply(now, f) }) || found
 }
 
-// isIdle runs on the loop of the server.
+// isIdle reports whether nothing is in flight. It must be called on the loop of the server.
 func (w *model) isIdle() bool {
 	s := w.server
 	if s.clients.count() != 1 || s.decisions.pending() || !drained(s.discovery.Conn(), w.list.conn) {
@@ -146,7 +147,7 @@
 	return true
 }
 
-// drained reports whether nothing is on its way between the two ends of a connection.
+// drained reports whether nothing is in flight between the two ends of a connection.
 func drained(c *eventloop.Conn, end *rawConn) bool {
 	if c == nil || end == nil || end.closed {
 		return c == nil && (end == nil || end.closed)
@@ -169,7 +170,7 @@
 	w.sendList(now, scheduler.FullSnapshot, entries...)
 }
 
-// sendList sends an update; the age of a machine that was restarted is the time since.
+// sendList sends a list update. The age of a restarted machine is the time since its restart.
 func (w *model) sendList(now scheduler.Time, mode scheduler.UpdateMode, entries ...protocol.MachineEntry) {
 	w.version++
 	for i := range entries {
@@ -197,7 +198,7 @@
 	return judged
 }
 
-// serveMachine sends hello and inventory of a machine, and the end of what is cancelled.
+// serveMachine accepts a connection for a machine, sends hello and inventory, and answers frames.
 func (w *model) serveMachine(now scheduler.Time, m *modelMachine) (found bool) {
 	found = m.accept()
 	if found {
@@ -253,7 +254,7 @@
 	}
 }
 
-// checkReply judges an answer to the client.
+// checkReply passes an answer to the client to the checker.
 func (w *model) checkReply(now scheduler.Time, f protocol.Frame) {
 	reply, ok := f.(*protocol.PlacementReply)
 	if !ok || w.cancelled[reply.ContainerID] {
@@ -271,16 +272,16 @@
 		if reply.Message != "cancelled" {
 			w.checker.ObserveAction(0, now, scheduler.Fail{ID: id})
 		}
-	case protocol.VerdictPlaced: // judged when it was sent
+	case protocol.VerdictPlaced: // checked when the accept was sent
 	}
 }
 
-// findPending finds the attempt of a container that waits for the answer of a machine that is connected.
+// findPending finds the pending attempt of a container on a connected machine.
 func (w *model) findPending(id string) (*modelMachine, *modelAttempt) {
 	return w.findAttempt(func(a *modelAttempt) bool { return a.pending && a.Spec.ContainerID == id })
 }
 
-// findRunning finds a container that runs on a machine that is connected.
+// findRunning finds the running attempt of a container on a connected machine.
 func (w *model) findRunning(id string) (*modelMachine, *modelAttempt) {
 	return w.findAttempt(func(a *modelAttempt) bool { return !a.pending && a.Spec.ContainerID == id })
 }
--- a/internal/schedulerd/interleaving_test.go
+++ b/internal/schedulerd/interleaving_test.go
@@ -13,7 +13,7 @@
 	"glenport/scheduler"
 )
 
-// A step is a verb and mostly the container (x, y, z) or the machine (a, b) that it is about.
+// A step consists of a verb and, for most verbs, the container (x, y, z) or the machine (a, b) that it applies to.
 const (
 	stepSubmit  = "submit"
 	stepCancel  = "cancel"
@@ -21,19 +21,19 @@
 	stepFull    = "full"
 	stepErrored = "errored"
 	stepFinish  = "finish"
-	stepBreak   = "break"   // the connection of a machine
-	stepRestart = "restart" // a machine; "restart late a": the list follows later
+	stepBreak   = "break"   // closes the connection of a machine
+	stepRestart = "restart" // restarts a machine; with "restart late a" the list is not updated
 	stepDrain   = "drain"
-	stepLeave   = "leave" // the list
-	stepBack    = "back"  // on the list
-	stepList    = "list"  // a full list
+	stepLeave   = "leave" // removes a machine from the list
+	stepBack    = "back"  // lists a machine as serving again
+	stepList    = "list"  // sends a full list
 )
 
 const modelContainers = 3
 
 func containerName(i int) string { return string(rune('x' + i)) }
 
-// enabled returns the steps that can be done now.
+// enabled returns the steps that are possible now.
 func (w *model) enabled(steps []string) (possible []string) {
 	for _, step := range steps {
 		words := strings.Fields(step)
@@ -70,7 +70,7 @@
 	}
 }
 
-// apply does a step and waits until its consequences are over.
+// apply executes a step and waits until nothing is in flight.
 func (w *model) apply(step string) {
 	words := strings.Fields(step)
 	verb, subject, now := words[0], words[len(words)-1], w.now()
@@ -91,7 +91,7 @@
 		w.breakConnection(now, w.machines[subject])
 	case stepRestart:
 		w.restart(now, w.machines[subject])
-		if len(words) == 2 { // the list follows at once
+		if len(words) == 2 { // the list is updated immediately
 			w.announceRestart(now, w.machines[subject])
 		}
 	case stepDrain:
@@ -136,7 +136,7 @@
 	m.conn.send(&protocol.Accept{AttemptID: a.AttemptID, Running: true})
 }
 
-// refuse answers an attempt otherwise than by an accept.
+// refuse answers an attempt with an outcome instead of an accept.
 func (w *model) refuse(now scheduler.Time, id string, outcome protocol.Outcome) {
 	m, a := w.findPending(id)
 	w.observeEnded(now, a, scheduler.AttemptEnded{Outcome: outcome.SchedulerOutcome()})
@@ -154,8 +154,7 @@
 	m.conn.send(&protocol.Result{AttemptID: a.AttemptID, Outcome: outcome})
 }
 
-// breakConnection closes the connection of a machine. What waits for its answer has been accepted, but the accept is
-// lost.
+// breakConnection closes the connection of a machine. Pending attempts count as accepted, with the accept lost.
 func (w *model) breakConnection(now scheduler.Time, m *modelMachine) {
 	for _, number := range m.numbers() {
 		if a := m.attempts[number]; a.pending {
@@ -177,7 +176,7 @@
 	clear(m.attempts)
 }
 
-// announceRestart has the list name the present incarnation of a machine.
+// announceRestart sends a list update with the current incarnation of a machine.
 func (w *model) announceRestart(now scheduler.Time, m *modelMachine) {
 	m.Incarnation, m.State = m.incarnation, protocol.MachineServing
 	w.sendList(now, scheduler.DeltaUpdate, m.MachineEntry)
@@ -188,7 +187,7 @@
 	w.sendList(now, scheduler.DeltaUpdate, m.MachineEntry)
 }
 
-// answerAll refuses all that is pending, until every container has its answer.
+// answerAll refuses all pending attempts until every container is answered.
 func (w *model) answerAll() {
 	const maxAttempts = 12
 	for range maxAttempts {
@@ -205,7 +204,7 @@
 	}
 }
 
-// modelConfig has one workload class for each of the three containers.
+// modelConfig returns a configuration with one workload class for each of the three containers.
 func modelConfig(t *testing.T, classes ...scheduler.WorkloadClass) *config.Scheduler {
 	t.Helper()
 	s := testConfig(t)
@@ -266,7 +265,7 @@
 	},
 }
 
-// Scheduler, reconciler, recovery and server together keep all invariants, over sockets.
+// Scheduler, reconciler, recovery and server together keep all invariants over sockets.
 func TestEveryInterleavingKeepsTheInvariants(t *testing.T) {
 	t.Parallel()
 	for _, tc := range interleavings {
@@ -306,7 +305,7 @@
 	return n, done, violations
 }
 
-// A scheduler that breaks an invariant is found out by the frames alone.
+// The checker detects a scheduler that breaks an invariant from the frames alone.
 func TestInterleavingsDetectEachBrokenInvariant(t *testing.T) {
 	for i, tc := range []struct {
 		steps   string
--- a/internal/schedulerd/peers_test.go
+++ b/internal/schedulerd/peers_test.go
@@ -10,7 +10,7 @@
 	"glenport/internal/testutil/frames"
 )
 
-// dial connects until the end of the test, and bounds all that is read and written.
+// dial opens a connection that is closed at the end of the test, with a deadline for reads and writes.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	c := testutil.Dial(t, address)
@@ -18,20 +18,20 @@
 	return c
 }
 
-// acceptOffer accepts an offer as running.
+// acceptOffer accepts an offer, and reports the container as running.
 func acceptOffer(c net.Conn, o *protocol.Offer) bool {
 	frames.Send(c, &protocol.Accept{AttemptID: o.AttemptID, Running: true})
 	return true
 }
 
-// listHello is the hello of the first incarnation of a list service.
+// listHello returns the hello of a list service in its first incarnation.
 func listHello() *protocol.Hello { return protocol.NewHello(protocol.RoleMachineList, "list", 1) }
 
 func fullList(version int64, entries ...protocol.MachineEntry) *protocol.MachineListUpdate {
 	return &protocol.MachineListUpdate{FullSnapshot: true, Version: version, Entries: entries}
 }
 
-// serveMachineList names machines by their addresses in a full list.
+// serveMachineList starts a list service that sends a full list with the addresses of the machines by name.
 func serveMachineList(t *testing.T, machines map[string]string) string {
 	t.Helper()
 	var entries []protocol.MachineEntry
@@ -49,12 +49,12 @@
 	})
 }
 
-// sendHello sends what a machine sends first.
+// sendHello sends the hello and the inventory of a machine.
 func sendHello(c net.Conn, name string, incarnation uint64, inventory *protocol.Inventory) {
 	frames.Send(c, protocol.NewHello(protocol.RoleMachine, name, incarnation), inventory)
 }
 
-// serveMachine sends hello and an empty inventory, and hands on each frame.
+// serveMachine starts a machine that sends hello and an empty inventory, and passes each frame to a handler.
 func serveMachine(t *testing.T, name string, handle frames.Handler) string {
 	t.Helper()
 	return testutil.ServeUntilEnd(t, func(c net.Conn) {
@@ -66,7 +66,8 @@
 	})
 }
 
-// serveSlowMachine sends hello and inventory when it gets an incarnation, and accepts every offer.
+// serveSlowMachine starts a machine that accepts every offer. It sends hello and inventory only once it receives its
+// incarnation on the channel hello.
 func serveSlowMachine(t *testing.T, name string) (address string, hello chan uint64, offered chan string) {
 	t.Helper()
 	hello, offered = make(chan uint64), make(chan string, 100)
@@ -114,7 +115,7 @@
 	c.t.Helper()
 	f := c.receive()
 	reply, ok := f.(*protocol.PlacementReply)
-	testutil.Require(c.t, ok, "got a %T, want a reply", f)
+	testutil.Require(c.t, ok, "got %T, want a reply", f)
 	return reply
 }
 
@@ -126,21 +127,21 @@
 	return reply
 }
 
-// wantTermination receives the end of a container that ran.
+// wantTermination receives a termination and checks its outcome.
 func (c *testClient) wantTermination(want protocol.Outcome) {
 	c.t.Helper()
 	got, ok := c.receive().(*protocol.Termination)
 	testutil.Expect(c.t, ok && got.Outcome == want, "termination %v, want %v", got, want)
 }
 
-// specFor is a container under a key of its own.
+// specFor returns a container spec with its own idempotency key.
 func specFor(id string, class int) protocol.ContainerSpec {
 	return protocol.ContainerSpec{
 		ContainerID: id, IdempotencyKey: "k-" + id, Service: "s", WorkloadClass: class, Cores: 1, Memory: 1,
 	}
 }
 
-// submit asks for a container under a key of its own.
+// submit requests a container with its own idempotency key.
 func (c *testClient) submit(id string, class int) { c.submitSpec(specFor(id, class)) }
 
 func (c *testClient) submitSpec(spec protocol.ContainerSpec) {
--- a/internal/schedulerd/rawconn_test.go
+++ b/internal/schedulerd/rawconn_test.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// rawConn is one end of a connection that the test holds. Nothing in it blocks: what is there is read.
+// rawConn is the test end of a connection. Its reads do not block.
 type rawConn struct {
 	t       *testing.T
 	fd      int
@@ -23,7 +23,7 @@
 	closed  bool
 }
 
-// drain reports whether anything was there, be it the end of the connection.
+// drain reads all available frames. It reports whether there was any input, which includes the end of the connection.
 func (c *rawConn) drain(handle func(protocol.Frame)) (found bool) {
 	buffer := make([]byte, 1<<16)
 	for c != nil && !c.closed {
@@ -50,7 +50,7 @@
 		return
 	}
 	n, err := unix.Write(c.fd, frames.Encode(c.t, f))
-	if err == nil { // else the peer has closed
+	if err == nil { // an error means that the peer has closed the connection
 		c.written += n
 	}
 }
@@ -68,12 +68,12 @@
 	testutil.ExpectNoError(t, unix.Close(fd))
 }
 
-// rawListener is a listening socket with the last connection to it.
+// rawListener is a listening socket with the connection that it accepted last.
 type rawListener struct {
 	t    *testing.T
 	fd   int
 	addr string
-	conn *rawConn // nil until the first
+	conn *rawConn // nil until the first accept
 }
 
 func listenRaw(t *testing.T) *rawListener {
--- a/internal/schedulerd/restore_test.go
+++ b/internal/schedulerd/restore_test.go
@@ -17,8 +17,8 @@
 	"glenport/scheduler"
 )
 
-// A restarted scheduler has its last list and what it learned, without what no longer counts. A snapshot that is
-// damaged is not used; one of a later version stops the start.
+// A restarted scheduler restores its last list and the learned state, except the state of machines that are gone. A
+// damaged snapshot is ignored. A snapshot of a later version is an error of New.
 func TestRestartRestoresListAndSnapshot(t *testing.T) {
 	settings := testConfig(t)
 	settings.StateDir = t.TempDir()
@@ -51,7 +51,7 @@
 		third := newWarmStartScript(scheduler.Snapshot{})
 		runIncarnation(t, settings, third, func(*Server) {
 			update := awaitEvent[scheduler.MachineListUpdate](t, third.scriptedScheduler, nil)
-			testutil.Expect(t, len(update.Entries) == 0, "%d bytes that are no snapshot are restored", len(damaged))
+			testutil.Expect(t, len(update.Entries) == 0, "a damaged snapshot of %d bytes is restored", len(damaged))
 		})
 	}
 	writeLaterSnapshot(t, settings.StateDir)
@@ -69,7 +69,7 @@
 	testutil.NoError(t, d.Close())
 }
 
-// The list of version 1 is read if the folder holds no snapshot yet, and used if it is of today.
+// The list of version 1 is read if the folder holds no snapshot yet, and ignored if it is older than a day.
 func TestLegacyListIsReadOnce(t *testing.T) {
 	const longAgo = 1000
 	clock, _ := runServer(t, testConfig(t), newScript(nil))
@@ -94,8 +94,8 @@
 	}
 }
 
-// crashDuringAttempt runs an incarnation that attempts one request on a silent machine, and returns the state as a kill
-// -9 leaves it with what the machine would report if the container runs.
+// crashDuringAttempt runs an incarnation that starts one attempt on a machine that does not answer. It returns the
+// state that SIGKILL would leave, and the inventory item that the machine reports if the container runs.
 func crashDuringAttempt(t *testing.T, class int) (state string, running protocol.InventoryItem) {
 	t.Helper()
 	offered := make(chan *protocol.Offer, 1)
@@ -119,7 +119,7 @@
 	}
 }
 
-// serveReportingMachine sends hello and inventory when report is closed.
+// serveReportingMachine starts a machine that sends hello and inventory once report is closed.
 func serveReportingMachine(t *testing.T, inventory *protocol.Inventory, report <-chan struct{}) string {
 	t.Helper()
 	return testutil.ServeUntilEnd(t, func(c net.Conn) {
@@ -148,8 +148,9 @@
 	want   protocol.Verdict
 }
 
-// After a crash between an attempt and its end the next incarnation finds it in the log. It waits for the machine's
-// inventory, and adopts the container or releases its key accordingly. Idempotent work is not logged.
+// After a crash between an attempt and its end, the next incarnation finds the attempt in the log. It waits for the
+// inventory of the machine, and adopts the container or releases its key accordingly. Attempts of idempotent containers
+// are not logged.
 func TestOpenAttemptIsResolvedByItsMachineAfterCrash(t *testing.T) {
 	for _, tc := range []crashCase{
 		{"at-most-once, and it runs", classAtMostOnce, true, 1, protocol.VerdictPlaced},
@@ -193,8 +194,8 @@
 	}
 }
 
-// Sends to a machine that was not in slow start are logged when an incarnation is announced that they may have reached,
-// so that the next incarnation of the scheduler has them.
+// Sends to a machine that is not known to be in slow start are not logged. Once the list announces an incarnation that
+// they may have reached, they are logged, so that the next incarnation of the scheduler restores them.
 func TestSendsBeforeAnIncarnationIsObservedAreLogged(t *testing.T) {
 	settings := testConfig(t)
 	settings.StateDir = t.TempDir()
@@ -222,7 +223,7 @@
 	})
 	script := newWarmStartScript(scheduler.Snapshot{})
 	runIncarnation(t, next, script, func(server *Server) {
-		<-script.restored // at the start, when no list contains the incarnation yet
+		<-script.restored // at the start, before a list contains the incarnation
 		watchList(server)
 		restored := <-script.restored
 		if len(restored.Machines) != 1 || restored.Machines[0].Machine != "a" ||
--- a/internal/schedulerd/statestore_test.go
+++ b/internal/schedulerd/statestore_test.go
@@ -14,7 +14,7 @@
 	"glenport/scheduler"
 )
 
-// acceptAll is a machine that accepts every offer, and finishes the container "before" on a signal.
+// acceptAll starts a machine that accepts every offer. It finishes the container "before" when finish receives a value.
 func acceptAll(t *testing.T, offered chan<- string, finish <-chan struct{}) string {
 	t.Helper()
 	return serveMachine(t, "a", frames.OnOffer(func(c net.Conn, o *protocol.Offer) bool {
@@ -30,9 +30,9 @@
 	}))
 }
 
-// What must be logged and cannot be is not sent; other work goes on. With room again it is sent by the same
-// incarnation, and the log holds nothing that has ended meanwhile. An incarnation that starts without room is no
-// exception.
+// While the disk is full, attempts that must be logged are not sent, and others are. Once there is space again, the
+// same incarnation sends them, and the log holds no attempts that have ended meanwhile. This also applies to an
+// incarnation that starts on a full disk.
 func TestFullDiskBlocksOnlyLoggedAttempts(t *testing.T) {
 	for _, tc := range []fullDiskCase{{"full while it runs", false}, {"full at the start", true}} {
 		t.Run(tc.name, tc.run)
@@ -49,7 +49,7 @@
 	defer close(finish)
 	settings := testConfig(t)
 	dir := useFaultyDir(t, settings)
-	if tc.fullAtStart { // in a folder that there is
+	if tc.fullAtStart { // in an existing folder
 		runIncarnation(t, settings, newWarmStartScript(scheduler.Snapshot{}), func(*Server) {})
 		dir.full.Store(true)
 	}
@@ -74,18 +74,18 @@
 	dir.full.Store(false)
 	h.client.submit("after", classAtMostOnce)
 	reply := h.client.wantReply(protocol.VerdictPlaced)
-	testutil.Expect(t, reply.ContainerID == "after", "with room again: %+v", reply)
+	testutil.Expect(t, reply.ContainerID == "after", "with free space again: %+v", reply)
 	testutil.Expect(t, !onLoop(h.server, func() bool { h.server.saveSnapshot(); return h.server.state.historyPending }),
 		"the log does not hold this incarnation")
 	h.stop()
 	attempts := countRecords(t, settings.StateDir, AttemptKind)
 	incarnations := countRecords(t, settings.StateDir, IncarnationKind)
 	testutil.Expect(t, attempts == 1 && incarnations == 1,
-		"%d attempts and %d incarnations in the log, want the running one and one", attempts, incarnations)
+		"%d attempts and %d incarnations in the log, want one running and one", attempts, incarnations)
 }
 
-// An attempt that waits for a slow disk longer than a connection may take is not sent, whatever update arrives
-// meanwhile, and is no failure of its machine.
+// An attempt that waits for a slow disk longer than the connect timeout ends as not sent, and is never sent late, not
+// even after a list update for its machine. It does not count as a failure of the machine.
 func TestAttemptDelayedBySlowDiskIsNotSent(t *testing.T) {
 	offered := make(chan string, 10)
 	address := serveMachine(t, "a", frames.OnOffer(func(_ net.Conn, o *protocol.Offer) bool {
@@ -108,7 +108,7 @@
 	testutil.Expect(t, got == "again", "%s was sent", got)
 }
 
-// A folder that another instance holds, or that cannot be made, is an error of New.
+// New fails if another process holds the state folder, or if the folder cannot be created.
 func TestNewFailsIfStateFolderCannotBeLocked(t *testing.T) {
 	settings := testConfig(t)
 	settings.StateDir = t.TempDir()
@@ -120,6 +120,6 @@
 	})
 	settings.StateDir = filepath.Join(settings.StateDir, WarmStartFile, "below a file")
 	if _, err := New(settings, newWarmStartScript(scheduler.Snapshot{}), discardLog); err == nil {
-		t.Error("a folder that cannot be made is opened")
+		t.Error("New succeeds with a folder that cannot be created")
 	}
 }
--- a/internal/schedulerd/status_test.go
+++ b/internal/schedulerd/status_test.go
@@ -17,7 +17,7 @@
 	"slowest decision", "heap live", "memory", "goroutines",
 }
 
-// `glenport status`, the metrics and dashboards know the counters by these names, in this order.
+// `glenport status`, the metrics and dashboards depend on the names and the order of the counters.
 func TestStatusNamesAreStable(t *testing.T) {
 	server, _ := runServer(t, testConfig(t), newScript(nil))
 	var got []string
--- a/internal/schedulerd/transition_test.go
+++ b/internal/schedulerd/transition_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// illegalEvent happens in a state that does not allow it.
+// illegalEvent is an event in a state that does not allow it.
 type illegalEvent struct {
 	subject string
 	state   func() string
