--- a/internal/schedulerd/clientconn_test.go
+++ b/internal/schedulerd/clientconn_test.go
@@ -27,8 +27,8 @@
 		}
 	}()
 	f, err := frames.Receive(c)
-	if bye, ok := f.(*protocol.Goodbye); ok {
-		return bye.Message
+	if goodbye, ok := f.(*protocol.Goodbye); ok {
+		return goodbye.Message
 	}
 	return fmt.Sprint(f, err)
 }
--- a/internal/schedulerd/interleaving_model_test.go
+++ b/internal/schedulerd/interleaving_model_test.go
@@ -70,13 +70,13 @@
 		}
 		w.machines[name] = m
 	}
-	own := *settings
-	own.MachineListAddr = w.list.addr
-	decisions := scheduler.New(own.Policy)
-	decisions.Restore(scheduler.Snapshot{SendsKnownSince: 1})
-	w.checker = modelcheck.NewChecker(own.Policy, 1, 0)
+	modelSettings := *settings
+	modelSettings.MachineListAddr = w.list.addr
+	decider := scheduler.New(modelSettings.Policy)
+	decider.Restore(scheduler.Snapshot{SendsKnownSince: 1})
+	w.checker = modelcheck.NewChecker(modelSettings.Policy, 1, 0)
 	var err error
-	w.server, err = New(&own, wrap(decisions), discardLog)
+	w.server, err = New(&modelSettings, wrap(decider), discardLog)
 	testutil.NoError(t, err)
 	var running sync.WaitGroup
 	running.Go(func() { testutil.ExpectNoError(t, w.server.Run()) })
@@ -188,14 +188,14 @@
 }
 
 func (w *model) checkerEntry(entry protocol.MachineEntry, incarnation uint64) scheduler.MachineEntry {
-	judged := scheduler.MachineEntry{
+	checked := scheduler.MachineEntry{
 		Machine: scheduler.MachineID(entry.Machine), Zone: entry.Zone, RackGroup: entry.RackGroup,
 		State: scheduler.MachineState(entry.State),
 	}
 	if incarnation > 1 {
-		judged.StartedAt = w.machines[entry.Machine].startedAt
+		checked.StartedAt = w.machines[entry.Machine].startedAt
 	}
-	return judged
+	return checked
 }
 
 // serveMachine accepts a connection for a machine, sends hello and inventory, and answers frames.
--- a/internal/schedulerd/interleaving_test.go
+++ b/internal/schedulerd/interleaving_test.go
@@ -22,7 +22,7 @@
 	stepErrored = "errored"
 	stepFinish  = "finish"
 	stepBreak   = "break"   // closes the connection of a machine
-	stepRestart = "restart" // restarts a machine; with "restart late a" the list is not updated
+	stepRestart = "restart" // restarts a machine; after "restart late a" only a later step updates the list
 	stepDrain   = "drain"
 	stepLeave   = "leave" // removes a machine from the list
 	stepBack    = "back"  // lists a machine as serving again
--- a/internal/schedulerd/machinelisting.go
+++ b/internal/schedulerd/machinelisting.go
@@ -48,8 +48,8 @@
 	return true
 }
 
-// applyIncarnation computes the start of a machine once for each incarnation, so that later entries with slightly
-// different ages do not look like restarts. It reports whether the incarnation or its start time was unknown before.
+// applyIncarnation computes the start of a machine once for each incarnation, so that an age received later or from
+// another source does not look like a restart. It reports whether the incarnation or its start time was unknown before.
 func (l *machineListing) applyIncarnation(entry *protocol.MachineEntry, now scheduler.Time) (restarted bool) {
 	newer := entry.Incarnation > l.incarnation
 	startUnknown := entry.Incarnation == l.incarnation && (l.startedAt == 0 || l.selfReported)
--- a/internal/schedulerd/records.go
+++ b/internal/schedulerd/records.go
@@ -8,7 +8,7 @@
 )
 
 // The types of this file define the format of WarmStartFile by their tags, not by the names of their fields. The
-// records of the log are reconcile.Attempt, warmstart.SlowStartSends and warmstart.LogHistory.
+// records of the log are recovery.Attempt, warmstart.SlowStartSends and warmstart.LogHistory.
 
 // WarmStartSnapshot is the state for the next incarnation that the log does not hold.
 type WarmStartSnapshot struct {
