--- a/internal/schedulerd/interleaving_test.go
+++ b/internal/schedulerd/interleaving_test.go
@@ -199,7 +199,8 @@
 	}
 	for i := range w.submitted {
 		if id := containerName(i); w.answers[id] != 1 {
-			w.checker.Violations = append(w.checker.Violations, fmt.Sprintf("rule 1: %s has %d answers", id, w.answers[id]))
+			w.checker.Violations = append(w.checker.Violations,
+				fmt.Sprintf("rule 1: %s has %d answers", id, w.answers[id]))
 		}
 	}
 }
--- a/internal/schedulerd/stats.go
+++ b/internal/schedulerd/stats.go
@@ -38,7 +38,7 @@
 	events                  int
 	decisionTime            time.Duration // total over all calls of the scheduler
 	slowestDecision         time.Duration
-	firstAttemptSubmissions []time.Duration // submission times of containers whose first attempt is sent in this iteration
+	firstAttemptSubmissions []time.Duration // of containers whose first attempt is sent in this iteration
 	placementLatency        *hdrhistogram.Histogram
 }
 
