--- a/internal/schedulerd/discovery_test.go
+++ b/internal/schedulerd/discovery_test.go
@@ -13,20 +13,21 @@
 	"glenport/scheduler"
 )
 
-// flakyList is a list service that may be away. It reports the version since which updates are requested.
-type flakyList struct {
-	away      atomic.Bool
-	requested chan int64
-	list      *protocol.MachineListUpdate
+// flakyListService is a list service that can be made unavailable. It reports the version since which updates are
+// requested.
+type flakyListService struct {
+	unavailable atomic.Bool
+	requested   chan int64
+	list        *protocol.MachineListUpdate
 }
 
-func (l *flakyList) serve(c net.Conn) {
-	if l.away.Load() {
+func (l *flakyListService) serve(c net.Conn) {
+	if l.unavailable.Load() {
 		return
 	}
 	frames.Send(c, listHello())
 	frames.Handle(c, func(c net.Conn, f protocol.Frame) bool {
-		if l.away.Load() {
+		if l.unavailable.Load() {
 			return false
 		}
 		if w, ok := f.(*protocol.WatchMachineList); ok {
@@ -37,22 +38,22 @@
 	})
 }
 
-func (l *flakyList) awaitRequest(t *testing.T, since int64) {
+func (l *flakyListService) awaitRequest(t *testing.T, since int64) {
 	t.Helper()
 	select {
 	case got := <-l.requested:
 		testutil.Require(t, got == since, "updates since %d were requested, want since %d", got, since)
 	case <-time.After(testTimeout):
-		t.Fatalf("the list is not requested in %v", testTimeout)
+		t.Fatalf("the list is not requested within %v", testTimeout)
 	}
 }
 
-// A machine hello with a new incarnation while the list service is unreachable does not end the requests for the list:
-// they go on until the service answers.
+// Guards against a scheduler that stops requesting the list when a machine reports a new incarnation in its hello while
+// the list service is unreachable. The requests must continue until the service answers.
 func TestListIsRequestedAgainAfterMachineHello(t *testing.T) {
 	machineAddress, hello, _ := serveSlowMachine(t, "a")
 	entry := protocol.MachineEntry{Machine: "a", Address: machineAddress, Incarnation: 1, Age: -1}
-	service := &flakyList{requested: make(chan int64, 100), list: fullList(5, entry)}
+	service := &flakyListService{requested: make(chan int64, 100), list: fullList(5, entry)}
 	settings := testConfig(t)
 	settings.ConnectTimeout = 10 * eventloop.Second
 	settings.Policy.ResyncInterval, settings.Policy.SchedulerCount = scheduler.Second, 1
@@ -60,17 +61,17 @@
 	server, _ := runServer(t, settings, scheduler.New(settings.Policy))
 	service.awaitRequest(t, 0)
 	eventually(t, server, func() bool { return server.discovery.LastVersion() == 5 })
-	service.away.Store(true)
+	service.unavailable.Store(true)
 	runOnLoop(server, func() { server.discovery.Conn().Reset() })
 	eventually(t, server, func() bool { return server.discovery.Conn() == nil })
 	hello <- 2
 	eventually(t, server, func() bool { return server.machines.find("a").selfReported })
-	service.away.Store(false)
+	service.unavailable.Store(false)
 	service.awaitRequest(t, 5)
 }
 
-// A new incarnation in the list sets the start of a machine once; the same incarnation with another age does not change
-// it.
+// The first list entry with a new incarnation sets the start time of a machine. Later entries with the same incarnation
+// and another age do not change it.
 func TestStartOfAnIncarnationIsComputedOnce(t *testing.T) {
 	h := startWithMachineA(t, testConfig(t), nil, "127.0.0.1:1")
 	startedAt := func(incarnation uint64, age protocol.Duration) scheduler.Time {
--- a/internal/schedulerd/errors_test.go
+++ b/internal/schedulerd/errors_test.go
@@ -10,8 +10,8 @@
 	"glenport/scheduler"
 )
 
-// The texts are sent in a Goodbye: they are part of the wire.
-func TestFaultsOfPeersAreTypedAndKeepTheirTexts(t *testing.T) {
+// The texts are sent in a Goodbye: they are part of the wire format.
+func TestPeerErrorsKeepTheirTypeAndText(t *testing.T) {
 	m := &machine{id: "a"}
 	ready := &machine{id: "a", conn: machineConn{state: machineReady}}
 	client := &clientConn{}
@@ -56,15 +56,15 @@
 			err := tc.handle(tc.frame)
 			testutil.Expect(t, errors.Is(err, tc.want) && err.Error() == tc.text,
 				"got %v, want %v with the text %q", err, tc.want, tc.text)
-			var fault *peerError
-			testutil.Expect(t, errors.As(err, &fault) && fault.LogValue().String() == tc.logged,
-				"logged %v, want %q", fault, tc.logged)
+			var peer *peerError
+			testutil.Expect(t, errors.As(err, &peer) && peer.LogValue().String() == tc.logged,
+				"logged %v, want %q", peer, tc.logged)
 		})
 	}
 }
 
-func TestDurationOfAFaultIsInMilliseconds(t *testing.T) {
-	err := after(errSilent, eventloop.Tick(3*scheduler.Second))
+func TestErrorDurationIsInMilliseconds(t *testing.T) {
+	err := withDuration(errSilent, eventloop.Tick(3*scheduler.Second))
 	testutil.Expect(t, errors.Is(err, errSilent) && err.Error() == "no complete frame received for 3000 ms",
 		"got %v", err)
 }
--- a/internal/schedulerd/interleaving_model_test.go
+++ b/internal/schedulerd/interleaving_model_test.go
@@ -16,41 +16,42 @@
 	"glenport/scheduler"
 )
 
-// modelMachine is a machine that acts as the steps of an interleaving demand.
+// modelMachine is a machine controlled by the steps of an interleaving.
 type modelMachine struct {
 	*rawListener
 	protocol.MachineEntry // as listed
 	incarnation           uint64
-	startedAt             scheduler.Time           // of the incarnation; 0: long ago
+	startedAt             scheduler.Time           // start of the incarnation; 0: long ago
 	attempts              map[uint64]*modelAttempt // by number
 }
 
 type modelAttempt struct {
 	protocol.InventoryItem
-	pending  bool   // the scheduler waits for its answer
-	judgedAs string // its container ID for the judge; "" if the next inventory adopts it
+	pending   bool   // not answered yet
+	checkerID string // its container ID in the checker; "" until the next inventory if its answer was lost
 }
 
 func (m *modelMachine) numbers() []uint64 { return slices.Sorted(maps.Keys(m.attempts)) }
 
-// model is a server with two machines, their list and a client, over loopback. The judge sees the frames.
+// model is a server with two machines, a list service and a client, connected over loopback. The checker observes the
+// frames.
 type model struct {
 	t         *testing.T
 	server    *Server
-	judge     *modelcheck.Checker
+	checker   *modelcheck.Checker
 	list      *rawListener
 	version   int64
 	machines  map[string]*modelMachine
 	client    *rawConn
 	submitted int
 	answers   map[string]int  // by container
-	cancelled map[string]bool // answered before it was cancelled: what follows answers the cancel
+	cancelled map[string]bool // answered before the cancel, so that later replies answer the cancel
 	adopted   int
 }
 
 var modelMachineNames = []string{"a", "b"}
 
-// wrapper puts something between the server and its decisions.
+// wrapper wraps the decisions of the server.
 type wrapper func(modelcheck.Decider) modelcheck.Decider
 
 func newModel(t *testing.T, settings *config.Scheduler, wrap wrapper) *model {
@@ -69,13 +70,13 @@
 		}
 		w.machines[name] = m
 	}
-	own := *settings
-	own.MachineListAddr = w.list.addr
-	decisions := scheduler.New(own.Policy)
-	decisions.Restore(scheduler.Snapshot{SendsKnownSince: 1})
-	w.judge = modelcheck.NewChecker(own.Policy, 1, 0)
+	modelSettings := *settings
+	modelSettings.MachineListAddr = w.list.addr
+	decider := scheduler.New(modelSettings.Policy)
+	decider.Restore(scheduler.Snapshot{SendsKnownSince: 1})
+	w.checker = modelcheck.NewChecker(modelSettings.Policy, 1, 0)
 	var err error
-	w.server, err = New(&own, wrap(decisions), discardLog)
+	w.server, err = New(&modelSettings, wrap(decider), discardLog)
 	testutil.NoError(t, err)
 	var running sync.WaitGroup
 	running.Go(func() { testutil.ExpectNoError(t, w.server.Run()) })
@@ -96,25 +97,25 @@
 	w.client.close()
 }
 
-// observe tells the judge what the scheduler is about to receive.
-func (w *model) observe(now scheduler.Time, e scheduler.Event) { w.judge.ObserveEvent(0, now, e) }
+// observe passes an event to the checker that the scheduler is about to receive.
+func (w *model) observe(now scheduler.Time, e scheduler.Event) { w.checker.ObserveEvent(0, now, e) }
 
 func (w *model) observeEnded(now scheduler.Time, a *modelAttempt, ended scheduler.AttemptEnded) {
-	ended.ID = scheduler.ContainerID(a.judgedAs)
+	ended.ID = scheduler.ContainerID(a.checkerID)
 	w.observe(now, ended)
 }
 
 func (w *model) now() scheduler.Time { return now(w.server) }
 
-// settle exchanges frames until nothing is in flight: every byte that one side wrote was read by the other, no
-// connection is being opened or closed, and no event is left.
+// settle exchanges frames until nothing is in flight: all bytes written on either side are read by the other, no
+// connection is being opened or closed, and no events are queued.
 func (w *model) settle() {
-	for limit := time.Now().Add(testTimeout); w.exchange() || !onLoop(w.server, w.quiet); {
-		testutil.Require(w.t, !time.Now().After(limit), "not quiet in %v", testTimeout)
+	for limit := time.Now().Add(testTimeout); w.exchange() || !onLoop(w.server, w.isIdle); {
+		testutil.Require(w.t, !time.Now().After(limit), "not idle within %v", testTimeout)
 	}
 }
 
-// exchange accepts and reads what there is, and reports whether there was anything.
+// exchange accepts connections and reads frames that are available, and reports whether there were any.
 func (w *model) exchange() (found bool) {
 	now := w.now()
 	if found = w.list.accept(); found {
@@ -124,16 +125,16 @@
 	for _, name := range modelMachineNames {
 		found = w.serveMachine(now, w.machines[name]) || found
 	}
-	return w.client.drain(func(f protocol.Frame) { w.judgeReply(now, f) }) || found
+	return w.client.drain(func(f protocol.Frame) { w.checkReply(now, f) }) || found
 }
 
-// quiet runs on the loop of the server.
-func (w *model) quiet() bool {
+// isIdle reports whether nothing is in flight. It must be called on the loop of the server.
+func (w *model) isIdle() bool {
 	s := w.server
 	if s.clients.count() != 1 || s.decisions.pending() || !drained(s.discovery.Conn(), w.list.conn) {
 		return false
 	}
-	for _, client := range s.clients.connected {
+	for _, client := range s.clients.byID {
 		if !drained(client.conn, w.client) {
 			return false
 		}
@@ -146,7 +147,7 @@
 	return true
 }
 
-// drained reports whether nothing is on its way between the two ends of a connection.
+// drained reports whether nothing is in flight between the two ends of a connection.
 func drained(c *eventloop.Conn, end *rawConn) bool {
 	if c == nil || end == nil || end.closed {
 		return c == nil && (end == nil || end.closed)
@@ -169,7 +170,7 @@
 	w.sendList(now, scheduler.FullSnapshot, entries...)
 }
 
-// sendList sends an update; the age of a machine that was restarted is the time since.
+// sendList sends a list update. The age of a restarted machine is the time since its restart.
 func (w *model) sendList(now scheduler.Time, mode scheduler.UpdateMode, entries ...protocol.MachineEntry) {
 	w.version++
 	for i := range entries {
@@ -181,23 +182,23 @@
 	w.list.conn.send(&protocol.MachineListUpdate{FullSnapshot: full, Version: w.version, Entries: entries})
 	update := scheduler.MachineListUpdate{Mode: mode}
 	for _, entry := range entries {
-		update.Entries = append(update.Entries, w.judgedEntry(entry, entry.Incarnation))
+		update.Entries = append(update.Entries, w.checkerEntry(entry, entry.Incarnation))
 	}
 	w.observe(now, update)
 }
 
-func (w *model) judgedEntry(entry protocol.MachineEntry, incarnation uint64) scheduler.MachineEntry {
-	judged := scheduler.MachineEntry{
+func (w *model) checkerEntry(entry protocol.MachineEntry, incarnation uint64) scheduler.MachineEntry {
+	checked := scheduler.MachineEntry{
 		Machine: scheduler.MachineID(entry.Machine), Zone: entry.Zone, RackGroup: entry.RackGroup,
 		State: scheduler.MachineState(entry.State),
 	}
 	if incarnation > 1 {
-		judged.StartedAt = w.machines[entry.Machine].startedAt
+		checked.StartedAt = w.machines[entry.Machine].startedAt
 	}
-	return judged
+	return checked
 }
 
-// serveMachine sends hello and inventory of a machine, and the end of what is cancelled.
+// serveMachine accepts a connection for a machine, sends hello and inventory, and answers frames.
 func (w *model) serveMachine(now scheduler.Time, m *modelMachine) (found bool) {
 	found = m.accept()
 	if found {
@@ -212,18 +213,18 @@
 	for _, number := range m.numbers() {
 		a := m.attempts[number]
 		inventory.Containers = append(inventory.Containers, a.InventoryItem)
-		if a.judgedAs == "" {
+		if a.checkerID == "" {
 			w.adopted++
-			a.judgedAs = fmt.Sprint("found ", w.adopted)
+			a.checkerID = fmt.Sprint("found ", w.adopted)
 			w.observe(now, scheduler.ContainerAdopted{PlacementRequest: scheduler.PlacementRequest{
-				ID:      scheduler.ContainerID(a.judgedAs),
+				ID:      scheduler.ContainerID(a.checkerID),
 				Service: a.Spec.Service, WorkloadClass: a.Spec.WorkloadClass,
 			}, Machine: scheduler.MachineID(m.Machine)})
 		}
 	}
 	if m.incarnation > 1 {
 		w.observe(now, scheduler.MachineListUpdate{
-			Entries: []scheduler.MachineEntry{w.judgedEntry(m.MachineEntry, m.incarnation)},
+			Entries: []scheduler.MachineEntry{w.checkerEntry(m.MachineEntry, m.incarnation)},
 		})
 	}
 	m.conn.send(inventory)
@@ -239,7 +240,7 @@
 			Spec:                 f.Spec,
 		}
 		m.attempts[f.AttemptID] = &modelAttempt{item, true, f.Spec.ContainerID}
-		w.judge.ObserveAction(0, now, scheduler.StartAttempt{
+		w.checker.ObserveAction(0, now, scheduler.StartAttempt{
 			ID: scheduler.ContainerID(f.Spec.ContainerID), Machine: scheduler.MachineID(m.Machine),
 		})
 	case *protocol.CancelAttempt:
@@ -253,8 +254,8 @@
 	}
 }
 
-// judgeReply judges an answer to the client.
-func (w *model) judgeReply(now scheduler.Time, f protocol.Frame) {
+// checkReply passes an answer to the client to the checker.
+func (w *model) checkReply(now scheduler.Time, f protocol.Frame) {
 	reply, ok := f.(*protocol.PlacementReply)
 	if !ok || w.cancelled[reply.ContainerID] {
 		return
@@ -262,25 +263,25 @@
 	id := scheduler.ContainerID(reply.ContainerID)
 	w.answers[reply.ContainerID]++
 	if w.answers[reply.ContainerID] > 1 {
-		w.judge.Violations = append(w.judge.Violations, fmt.Sprintf("rule 1: %s is answered twice", id))
+		w.checker.Violations = append(w.checker.Violations, fmt.Sprintf("rule 1: %s is answered twice", id))
 	}
 	switch reply.Verdict {
 	case protocol.VerdictRejected, protocol.VerdictNotAdmitted:
-		w.judge.ObserveAction(0, now, scheduler.Reject{ID: id})
+		w.checker.ObserveAction(0, now, scheduler.Reject{ID: id})
 	case protocol.VerdictFailed:
 		if reply.Message != "cancelled" {
-			w.judge.ObserveAction(0, now, scheduler.Fail{ID: id})
+			w.checker.ObserveAction(0, now, scheduler.Fail{ID: id})
 		}
-	case protocol.VerdictPlaced: // judged when it was sent
+	case protocol.VerdictPlaced: // checked when the accept was sent
 	}
 }
 
-// findPending finds the attempt of a container that waits for the answer of a machine that is connected.
+// findPending finds the pending attempt of a container on a connected machine.
 func (w *model) findPending(id string) (*modelMachine, *modelAttempt) {
 	return w.findAttempt(func(a *modelAttempt) bool { return a.pending && a.Spec.ContainerID == id })
 }
 
-// findRunning finds a container that runs on a machine that is connected.
+// findRunning finds the running attempt of a container on a connected machine.
 func (w *model) findRunning(id string) (*modelMachine, *modelAttempt) {
 	return w.findAttempt(func(a *modelAttempt) bool { return !a.pending && a.Spec.ContainerID == id })
 }
--- a/internal/schedulerd/machineconn.go
+++ b/internal/schedulerd/machineconn.go
@@ -7,10 +7,10 @@
 	"glenport/internal/protocol"
 )
 
-// inventoryTimeouts is how many connect timeouts a machine has for its inventory.
+// inventoryTimeouts is the time within which the inventory has to arrive, in connect timeouts.
 const inventoryTimeouts = 3
 
-// machineConn is the one connection to a machine that all its attempts share.
+// machineConn is the connection to a machine. All attempts on the machine share it.
 type machineConn struct {
 	machine    *machine
 	state      machineConnState
@@ -21,10 +21,10 @@
 	partial    partialFrame
 }
 
-// ready reports whether the machine has sent its inventory.
+// ready reports whether the inventory of the machine was received.
 func (c *machineConn) ready() bool { return c.state == machineReady }
 
-// connect opens the connection if there is none. A machine that accepts it and sends no inventory loses it again.
+// connect opens the connection if there is none. The connection is reset if the inventory does not arrive in time.
 func (c *machineConn) connect(address string) {
 	if c.conn != nil {
 		return
@@ -48,8 +48,8 @@
 	c.send(c.machine.registry.hello())
 }
 
-// inventoryReceived makes the connection ready, and reports whether it was awaited.
-func (c *machineConn) inventoryReceived() bool { return c.transition(machineInventoryReceived) }
+// markReady makes the connection ready, and reports whether the inventory was expected.
+func (c *machineConn) markReady() bool { return c.transition(machineInventoryReceived) }
 
 // Read implements eventloop.Handler.
 func (c *machineConn) Read(conn *eventloop.Conn, p []byte) {
@@ -67,7 +67,7 @@
 	if conn != c.conn {
 		return
 	}
-	loss := lossUnreached
+	loss := lossConnectFailed
 	switch {
 	case c.ready():
 		loss = lossAfterInventory
@@ -76,10 +76,10 @@
 	}
 	c.transition(machineConnClosed)
 	c.conn = nil
-	c.machine.connectionLost(loss)
+	c.machine.handleConnectionLoss(loss)
 }
 
-// send reports whether the connection took the frame.
+// send sends a frame, and reports whether the connection accepted it.
 func (c *machineConn) send(f protocol.Frame) bool {
 	if c.conn == nil {
 		return false
@@ -93,8 +93,8 @@
 	return c.conn.Write(encoded) == nil
 }
 
-// sendUnblocked sends a frame unless the machine reads too slowly.
-func (c *machineConn) sendUnblocked(f protocol.Frame) bool {
+// trySend sends a frame unless earlier output is blocked because the machine reads too slowly.
+func (c *machineConn) trySend(f protocol.Frame) bool {
 	return !c.conn.WriteBlocked() && c.send(f)
 }
 
@@ -110,8 +110,7 @@
 	}
 }
 
-// checkTimeouts closes a connection that nothing has used for long, that is silent, or on which the rest of a frame is
-// missing.
+// checkTimeouts closes an idle connection, and resets one on which the machine is silent or a frame stays incomplete.
 func (c *machineConn) checkTimeouts(now eventloop.Tick) {
 	if c.conn == nil {
 		return
@@ -121,7 +120,7 @@
 	case c.machine.idle() && now-c.lastSentAt > limits.IdleTimeout:
 		c.conn.Close()
 	case now-c.lastReadAt > limits.SilenceTimeout, c.partial.overdue(now, limits.SilenceTimeout):
-		c.machine.registry.logConnectionClosed(string(c.machine.id), after(errSilent, now-c.lastReadAt))
+		c.machine.registry.logConnectionClosed(string(c.machine.id), withDuration(errSilent, now-c.lastReadAt))
 		c.conn.Reset()
 	}
 }
--- a/internal/schedulerd/machines.go
+++ b/internal/schedulerd/machines.go
@@ -9,7 +9,8 @@
 	"glenport/scheduler"
 )
 
-// machineRegistry owns the machines, until they are gone from the list and idle, and the list as last received.
+// machineRegistry owns the machines and the last received list. A machine is removed once it is gone from the list and
+// idle.
 type machineRegistry struct {
 	*process
 	decisions  *decisions
@@ -18,10 +19,10 @@
 	routes     *routeAnnouncer
 	state      *stateStore // nil if nothing is persisted
 
-	byID       map[scheduler.MachineID]*machine
-	list       machineListCache
-	newlyReady []*machine // that reported their inventory in this iteration
-	lastProbe  uint64
+	byID         map[scheduler.MachineID]*machine
+	list         machineListCache
+	newlyReady   []*machine // sent their inventory in this iteration
+	lastProbeSeq uint64
 }
 
 // find returns nil if the machine is not known.
@@ -40,7 +41,7 @@
 
 func (r *machineRegistry) count() int { return len(r.byID) }
 
-// connect opens a connection for the reconciler, which waits for the inventory.
+// connect opens a connection because the reconciler needs the inventory.
 func (r *machineRegistry) connect(id scheduler.MachineID) {
 	if m := r.byID[id]; m != nil {
 		m.connect()
@@ -55,29 +56,29 @@
 	}
 }
 
-// cancelAttempt cancels an attempt that only the reconciler tracks.
+// cancelAttempt cancels an attempt that only the reconciler still tracks.
 func (r *machineRegistry) cancelAttempt(action reconcile.CancelAttempt) {
 	if m := r.byID[action.Machine]; m != nil {
 		m.cancel(action.Incarnation, action.Attempt)
 	}
 }
 
-// probe asks a machine whether it answers. Each probe ends in one ProbeCompleted.
+// probe sends a probe to a machine. Each probe ends in exactly one ProbeCompleted.
 func (r *machineRegistry) probe(id scheduler.MachineID) {
 	m := r.byID[id]
 	if m == nil {
 		r.decisions.notifyScheduler(scheduler.ProbeCompleted{Machine: id, Outcome: scheduler.OutcomeConnectFailed})
 		return
 	}
-	r.lastProbe++
-	m.probe(r.lastProbe)
+	r.lastProbeSeq++
+	m.probe(r.lastProbeSeq)
 }
 
-// becameReady has the queue of a machine sent once its inventory is adopted.
-func (r *machineRegistry) becameReady(m *machine) { r.newlyReady = append(r.newlyReady, m) }
+// addNewlyReady marks a machine whose queue is sent once the reconciler has processed its inventory.
+func (r *machineRegistry) addNewlyReady(m *machine) { r.newlyReady = append(r.newlyReady, m) }
 
-// sendToNewlyReady sends what waited for machines whose inventory is adopted by now.
-func (r *machineRegistry) sendToNewlyReady() {
+// sendQueued sends the queued attempts of machines whose inventory the reconciler has just processed.
+func (r *machineRegistry) sendQueued() {
 	for _, m := range r.newlyReady {
 		m.sendQueued()
 	}
@@ -90,30 +91,30 @@
 	}
 }
 
-// start is the incarnation of a machine for which sends in slow start are counted; false if the machine is not known.
-func (r *machineRegistry) start(id scheduler.MachineID) (start warmstart.MachineStart, known bool) {
+// machineStart returns the incarnation of a machine for which slow-start sends are counted.
+func (r *machineRegistry) machineStart(id scheduler.MachineID) (start warmstart.MachineStart, known bool) {
 	m := r.byID[id]
 	if m == nil {
 		return warmstart.MachineStart{}, false
 	}
-	return m.start(), true
+	return m.machineStart(), true
 }
 
-func (r *machineRegistry) starts() map[scheduler.MachineID]warmstart.MachineStart {
+func (r *machineRegistry) machineStarts() map[scheduler.MachineID]warmstart.MachineStart {
 	starts := map[scheduler.MachineID]warmstart.MachineStart{}
 	for id, m := range r.byID {
-		starts[id] = m.start()
+		starts[id] = m.machineStart()
 	}
 	return starts
 }
 
-// listRecords returns the list as it is stored, in no order, with the ages of now.
+// listRecords returns the list as records for the snapshot, in no particular order and with current ages.
 func (r *machineRegistry) listRecords() (version int64, records []entryRecord) {
 	for _, entry := range r.list.entries {
-		if start, known := r.start(scheduler.MachineID(entry.Machine)); known && start.StartedAt > 0 {
+		if start, known := r.machineStart(scheduler.MachineID(entry.Machine)); known && start.StartedAt > 0 {
 			entry.Age = protocol.Duration(r.now() - start.StartedAt)
 		}
-		records = append(records, recordOfEntry(entry))
+		records = append(records, newEntryRecord(entry))
 	}
 	return r.list.version, records
 }
--- a/internal/schedulerd/restore.go
+++ b/internal/schedulerd/restore.go
@@ -10,8 +10,8 @@
 	"glenport/scheduler"
 )
 
-// restore hands what earlier incarnations have left to the decisions: attempts to the reconciler, the machine list and
-// what was learned to the scheduler. Snapshots are written from then on.
+// restore passes the persisted state of earlier incarnations to the decision packages: attempts to the reconciler, the
+// machine list and the learned state to the scheduler. Snapshots are written from then on.
 func (s *Server) restore() {
 	now := readClocks(s.now())
 	for _, a := range s.state.openAttempts() {
@@ -21,19 +21,19 @@
 	s.state.restoreLimiter(now, s.decisions.limiter())
 	version, entries := s.state.restoredList(now)
 	s.machines.applyList(scheduler.RestoredSnapshot, version, entries)
-	s.runIteration() // the scheduler has to know the machines before it learns of them
+	s.runIteration() // the scheduler has to know the machines before their learned state is restored
 	target, ok := s.decisions.warmStarter()
 	if !ok {
 		return
 	}
-	s.state.restoreLearned(now, target, s.machines.starts())
+	s.state.restoreLearned(now, target, s.machines.machineStarts())
 	s.loop.After(snapshotInterval, s.saveSnapshot)
 }
 
-// openAttempts are those of earlier incarnations whose end is not in the log.
+// openAttempts returns the attempts of earlier incarnations whose end is not in the log.
 func (st *stateStore) openAttempts() []reconcile.Attempt { return st.loaded.attempts }
 
-// restoreLimiter restores the concurrency limit if the workload classes are those of the snapshot.
+// restoreLimiter restores the concurrency limit if the snapshot has the same workload classes and tenants.
 func (st *stateStore) restoreLimiter(now warmstart.Timestamp, limiter *overload.Limiter) {
 	snapshot := st.loaded.snapshot
 	if limiter == nil || snapshot == nil || snapshot.Overload == nil ||
@@ -48,15 +48,15 @@
 	if snapshot == nil {
 		return 0, nil
 	}
-	entries = snapshot.agedEntries(now)
+	entries = snapshot.entriesAt(now)
 	if len(entries) < len(snapshot.Entries) {
-		st.log.Info("persisted machine list not used, it is too old", "machines", len(snapshot.Entries))
+		st.log.Info("persisted machine list is too old, ignored", "machines", len(snapshot.Entries))
 	}
 	return snapshot.ListVersion, entries
 }
 
-// restoreLearned hands on what counts of the snapshot and the slow-start sends, and logs the sends by the clock of this
-// incarnation. What was loaded is released.
+// restoreLearned restores the parts of the snapshot and the slow-start sends that are still valid. It logs the sends
+// again with times of this incarnation's clock, and releases the loaded state.
 func (st *stateStore) restoreLearned(now warmstart.Timestamp, target warmStarter,
 	starts map[scheduler.MachineID]warmstart.MachineStart,
 ) {
@@ -64,7 +64,7 @@
 	for id, start := range starts {
 		incarnations[id] = start.Incarnation
 	}
-	persisted := st.persisted()
+	persisted := st.persistedState()
 	restored := warmstart.Restore(now, persisted, starts, st.classNames(), st.config.Policy.SlowStartWindow)
 	target.Restore(restored.Snapshot)
 	st.pendingSends, st.sendsKnownSince = restored.PendingSends, restored.Snapshot.SendsKnownSince
@@ -88,7 +88,7 @@
 	st.loaded = loadedState{}
 }
 
-func (st *stateStore) persisted() warmstart.Persisted {
+func (st *stateStore) persistedState() warmstart.Persisted {
 	p := warmstart.Persisted{History: st.loaded.history, Sends: st.loaded.sends}
 	if snapshot := st.loaded.snapshot; snapshot != nil {
 		p.TakenAt, p.Snapshot = snapshot.TakenAt, snapshot.Learned
@@ -97,7 +97,8 @@
 	return p
 }
 
-// resolvePendingSends returns the slow-start sends of earlier incarnations to machines that were listed only now.
+// resolvePendingSends returns the slow-start sends of earlier incarnations to machines that were listed only now. found
+// is false if there are none.
 func (st *stateStore) resolvePendingSends(lookup warmstart.MachineLookup) (snapshot scheduler.Snapshot, found bool) {
 	if len(st.pendingSends) == 0 {
 		return scheduler.Snapshot{}, false
--- a/internal/schedulerd/status_test.go
+++ b/internal/schedulerd/status_test.go
@@ -17,8 +17,8 @@
 	"slowest decision", "heap live", "memory", "goroutines",
 }
 
-// `glenport status`, the metrics and dashboards know the counters by these names, in this order.
-func TestStatusKeepsItsNames(t *testing.T) {
+// `glenport status`, the metrics and dashboards depend on the names and the order of the counters.
+func TestStatusNamesAreStable(t *testing.T) {
 	server, _ := runServer(t, testConfig(t), newScript(nil))
 	var got []string
 	for _, stat := range onLoop(server, server.inspector.statusReply).Stats {
