--- a/internal/platform/connmanager/admission.go
+++ b/internal/platform/connmanager/admission.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// Limits of client connections. They follow from what a peer can do to a listener, not from one deployment.
+// Limits of client connections. They protect the listener from any peer and do not depend on the deployment.
 const (
-	// the fraction (1/2) of the descriptors beyond the reserve that is for clients; the rest is for machines
+	// clients get half of the descriptors beyond the reserve; the rest is for machines
 	clientDescriptorsDivisor = 2
 	minClientConns           = 8
 
-	// a client to which nothing was sent by then, and that awaits nothing, is closed
+	// a client that was sent nothing and has no open request is closed after this time
 	firstRequestTimeout   = 2 * Second
-	partialMessageTimeout = 2 * Second       // a client whose message is incomplete for so long is closed
-	newClientGrace        = Second / 5       // the first request of a client younger than this may be on its way
-	clientStaleAfter      = 4 * Second       // owners themselves close connections that were unused for so long
-	minReadPause          = 50 * Millisecond // after the first invalid message; it doubles with each further one,
-	maxReadPause          = Second           // up to this
+	partialMessageTimeout = 2 * Second       // a client whose message stays incomplete for longer is closed
+	newClientGrace        = Second / 5       // the first request of a more recent client may still be in transit
+	clientStaleAfter      = 4 * Second       // owners close their own connections after this idle time
+	minReadPause          = 50 * Millisecond // after the first invalid message; doubles with each further one
+	maxReadPause          = Second           // upper limit of the doubling
 )
 
-// maxClientConns is the number of client connections that may be open at once.
+// maxClientConns returns the maximum number of open client connections.
 func maxClientConns(descriptors int) int {
 	return max(minClientConns, (descriptors-reservedDescriptors)/clientDescriptorsDivisor)
 }
@@ -33,8 +33,8 @@
 	}
 }
 
-// messageCompleted ends the time of an incomplete message. A client that sends so fast that each read ends within a
-// message is not slow.
+// messageCompleted restarts the timer of the incomplete message. Every read from a fast client may end within a
+// message; without the restart, such a client would be closed as slow.
 func (m *Manager) messageCompleted(e MessageCompleted) {
 	if c := m.clients[e.Client]; c != nil {
 		c.partialSince = 0
@@ -77,7 +77,7 @@
 	}
 }
 
-// invalidMessageReceived slows a client down that sends messages which cannot be served.
+// invalidMessageReceived pauses reading from a client that sends messages with invalid contents.
 func (m *Manager) invalidMessageReceived(e InvalidMessageReceived) {
 	c := m.clients[e.Client]
 	if c == nil || c.isClosing() {
@@ -99,7 +99,7 @@
 	}
 }
 
-// clientDisconnected removes a client and notifies others of the terminations that it was notified of last.
+// clientDisconnected removes a client. Terminations whose latest notification went to it are sent to other clients.
 func (m *Manager) clientDisconnected(now Time, e ClientDisconnected) {
 	if c := m.clients[e.Client]; c != nil {
 		delete(m.clients, e.Client)
@@ -111,7 +111,7 @@
 	m.renotify(now, e.Client)
 }
 
-// closeTimedOutClients closes clients that hold a descriptor for nothing. A client that awaits an answer stays.
+// closeTimedOutClients closes clients that occupy a descriptor without using it. A client with an open request stays.
 func (m *Manager) closeTimedOutClients(now Time) {
 	clients := m.sortedClients()
 	sufficient := sufficientEvidence(clients)
@@ -126,8 +126,8 @@
 	}
 }
 
-// sufficientEvidence is the evidence of ownership that keeps an unserved client connected. A reclaim is enough only as
-// long as no proven owner is connected that could be notified of the container's end instead.
+// sufficientEvidence returns the level of ownership evidence that keeps an unserved client connected. A reclaim
+// suffices only while no proven owner is connected that could be notified of the container's end instead.
 func sufficientEvidence(clients []*client) ownershipEvidence {
 	for _, c := range clients {
 		if c.evidence >= evidenceProven && !c.isClosing() {
@@ -137,8 +137,8 @@
 	return evidenceReclaimed
 }
 
-// isUnused reports whether a client without an open request has used its connection for nothing so far, although it has
-// had time to.
+// isUnused reports whether a client without an open request has exceeded firstRequestTimeout without being served and
+// without sufficient evidence of ownership.
 func (c *client) isUnused(now Time, sufficient ownershipEvidence) bool {
 	return c.state == unserved && c.evidence < sufficient && now-c.connectedAt > firstRequestTimeout
 }
@@ -151,22 +151,22 @@
 	m.emit(CloseClient{Client: c.id, Reason: reason})
 }
 
-// evictionRank orders clients by how little is lost when their connection is closed.
+// evictionRank orders clients by the cost of closing their connection. The client of the lowest rank is closed first.
 type evictionRank int
 
 const (
-	evictSilent     evictionRank = iota // it has had time to send a request, and nothing was sent to it
-	evictServed                         // it was served and owns nothing, as far as it has shown
-	evictStaleOwner                     // an owner that has left its connection unused
-	evictNew                            // its first request may be on its way
+	evictUnserved   evictionRank = iota // was sent nothing, although it had time to send a request
+	evictServed                         // was served, and shows no evidence of ownership
+	evictStaleOwner                     // an owner whose connection is idle
+	evictNew                            // its first request may still be in transit
 	evictActiveOwner
-	evictAwaiting // a request awaits its answer, and is cancelled with the connection
+	evictOpenRequest // has an open request, which closing the connection would cancel
 )
 
 func (c *client) evictionRank(now Time) evictionRank {
 	switch {
 	case c.openRequests > 0:
-		return evictAwaiting
+		return evictOpenRequest
 	case c.isOwner() && now-c.lastActiveAt > clientStaleAfter:
 		return evictStaleOwner
 	case c.isOwner():
@@ -176,11 +176,12 @@
 	case c.state == served:
 		return evictServed
 	}
-	return evictSilent
+	return evictUnserved
 }
 
-// evictClient closes the client of the lowest rank. Within evictNew and evictAwaiting that is the newest, elsewhere the
-// least recently active. It is called with more active clients than may be open, so that there is one.
+// evictClient closes the client of the lowest rank. Among clients of rank evictNew or evictOpenRequest it closes the
+// newest, among those of any other rank the least recently active. It is called only when there are more than
+// maxClients active clients, so a victim always exists.
 func (m *Manager) evictClient(now Time) {
 	var victim *client
 	for _, c := range m.sortedClients() {
@@ -191,19 +192,19 @@
 	m.closeClient(victim, CloseTooManyClients)
 }
 
-// evictedBefore reports whether a client is evicted rather than one that connected earlier.
+// evictedBefore reports whether c is evicted in preference to a client that connected earlier.
 func (c *client) evictedBefore(earlier *client, now Time) bool {
 	rank, earlierRank := c.evictionRank(now), earlier.evictionRank(now)
 	switch {
 	case rank != earlierRank:
 		return rank < earlierRank
-	case rank == evictNew || rank == evictAwaiting:
+	case rank == evictNew || rank == evictOpenRequest:
 		return true
 	}
 	return c.lastActiveAt < earlier.lastActiveAt
 }
 
-// sortedClients returns the clients in the order in which they connected.
+// sortedClients returns the clients in the order of their connection.
 func (m *Manager) sortedClients() []*client {
 	clients := make([]*client, 0, len(m.clients))
 	for _, c := range m.clients {
--- a/internal/platform/connmanager/admission_test.go
+++ b/internal/platform/connmanager/admission_test.go
@@ -8,7 +8,7 @@
 	"glenport/internal/testutil"
 )
 
-// closedClients returns the clients that a batch of actions closes.
+// closedClients returns the clients that the actions close.
 func closedClients(actions []Action) (out []ClientID) {
 	for _, a := range actions {
 		if a, ok := a.(CloseClient); ok {
@@ -18,11 +18,11 @@
 	return out
 }
 
-// answered are the events of a client whose request was answered.
-func answered(id ClientID) []Event { return []Event{PlacementRequested{id}, MessageSent{id, 1}} }
+// answeredRequest returns the events of a client whose only request was answered.
+func answeredRequest(id ClientID) []Event { return []Event{PlacementRequested{id}, MessageSent{id, 1}} }
 
-// allBut gives one client events of its own.
-func allBut(one ClientID, own []Event, others func(ClientID) []Event) func(ClientID) []Event {
+// exceptFor returns a function that gives the client one its own events, and every other client those of others.
+func exceptFor(one ClientID, own []Event, others func(ClientID) []Event) func(ClientID) []Event {
 	return func(id ClientID) []Event {
 		if id == one {
 			return own
@@ -31,12 +31,13 @@
 	}
 }
 
-// A full listener closes one client for each that connects, and none that awaits an answer as long as another does not.
+// A full listener closes one client for each new connection. It closes no client with an open request while there is
+// one without.
 func TestFullListenerClosesTheClientThatLosesLeast(t *testing.T) {
-	const most = 8
+	const limit = 8
 	served := func(id ClientID) []Event { return []Event{MessageSent{Client: id}} }
 	awaiting := func(id ClientID) []Event { return []Event{PlacementRequested{id}} }
-	activeAgain := []Event{ // all but the third
+	latestActivity := []Event{ // of every client except the third
 		BytesReceived{Client: 8},
 		MessageSent{Client: 8},
 		MessageSent{Client: 1},
@@ -48,35 +49,35 @@
 	}
 	for _, tc := range []struct {
 		name   string
-		at     Time                      // when one more connects
-		events func(id ClientID) []Event // of each that was connected before
+		at     Time                      // when the next client connects
+		events func(id ClientID) []Event // of each client connected before
 		want   ClientID
 	}{
 		{"all silent, the first is closed", Second, func(ClientID) []Event { return nil }, 1},
-		{"all new, the newest is closed", Second / 10, func(ClientID) []Event { return nil }, most + 1},
-		{"one silent client among served ones", Second, allBut(5, nil, served), 5},
-		{"all served, the least recently active is closed", Second, allBut(8, activeAgain, served), 3},
-		{"one without an open request", Second, allBut(6, answered(6), awaiting), 6},
-		{"all but the newest await an answer", Second, awaiting, most + 1},
+		{"all new, the newest is closed", Second / 10, func(ClientID) []Event { return nil }, limit + 1},
+		{"one silent client among served ones", Second, exceptFor(5, nil, served), 5},
+		{"all served, the least recently active is closed", Second, exceptFor(8, latestActivity, served), 3},
+		{"one without an open request", Second, exceptFor(6, answeredRequest(6), awaiting), 6},
+		{"all but the newest await an answer", Second, awaiting, limit + 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			m := New(2 * most)
+			m := New(2 * limit)
 			var before []Event
-			for id := ClientID(1); id <= most; id++ {
+			for id := ClientID(1); id <= limit; id++ {
 				before = append(append(before, ClientConnected{id}), tc.events(id)...)
 			}
 			for i, e := range before {
 				if got := closedClients(m.Handle(Time(i+1), []Event{e})); len(got) > 0 {
-					t.Fatalf("%v closed while there is room", got)
+					t.Fatalf("clients %v closed below the limit", got)
 				}
 			}
-			got := closedClients(m.Handle(tc.at, []Event{ClientConnected{most + 1}}))
-			testutil.Expect(t, slices.Equal(got, []ClientID{tc.want}), "%v closed, want %d", got, tc.want)
+			got := closedClients(m.Handle(tc.at, []Event{ClientConnected{limit + 1}}))
+			testutil.Expect(t, slices.Equal(got, []ClientID{tc.want}), "clients %v closed, want %d", got, tc.want)
 		})
 	}
 }
 
-// A client that holds its connection for nothing is closed after a while, not earlier.
+// A client that does not use its connection is closed after the time limit, and not earlier.
 func TestUnusedClientIsClosedInTime(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -85,7 +86,7 @@
 	}{
 		{"no request", nil, true},
 		{"awaits an answer", []Event{BytesReceived{Client: 1}, PlacementRequested{1}}, false},
-		{"was answered", answered(1), false},
+		{"was answered", answeredRequest(1), false},
 		{"proved to be an owner", []Event{BytesReceived{Client: 1}, OwnershipProven{1}}, false},
 		{"reclaimed a container, alone", []Event{BytesReceived{Client: 1}, ContainerReclaimed{1}}, false},
 		{"reclaimed a container, no proven owner", []Event{
@@ -124,8 +125,8 @@
 	}
 }
 
-// A client that sends so fast that each read ends within a message is not slow: the time counts from the end of the
-// last message.
+// Every read from a fast client may end within a message, although the client is not slow. The time limit of an
+// incomplete message therefore counts from the end of the last complete one.
 func TestIncompleteMessageIsTimedFromTheLastComplete(t *testing.T) {
 	m := New(100)
 	m.Handle(1, []Event{ClientConnected{1}, MessageSent{Client: 1}})
@@ -137,7 +138,8 @@
 	testutil.Expect(t, len(closedClients(got)) == 1, "not closed 2 s after its last complete message")
 }
 
-// The state of a client is removed when it disconnects.
+// The pause doubles with each invalid message up to maxReadPause. The state of the client is removed when it
+// disconnects.
 func TestReadPauseDoublesUpToItsLimit(t *testing.T) {
 	m := New(100)
 	m.Handle(0, []Event{ClientConnected{1}})
--- a/internal/platform/connmanager/cancels.go
+++ b/internal/platform/connmanager/cancels.go
@@ -2,62 +2,64 @@
 
 import "slices"
 
-// Limits of the cancels that are held until they are certain. Where no connection comes up all tries are over within
-// some ten seconds; one that is sent is certain, or its connection has failed, within cancelCertainAfter.
+// Limits of pending cancels. If no connection can be established, all tries are exhausted within about ten seconds. If
+// the cancel was sent, it becomes certain or its connection fails within cancelCertainAfter.
 const (
 	maxCancels          = 1024
 	maxCancelTries      = 8
-	firstCancelInterval = Second / 4 // between the first two tries; it doubles up to
-	lastCancelInterval  = 2 * Second
-	// as long as the failure detector waits for a machine that is silent, and may only be cut off
+	firstCancelInterval = Second / 4 // between the first two tries; doubles with each further try
+	lastCancelInterval  = 2 * Second // upper limit of the doubling
+	// the silence after which the failure detector declares a machine lost; a shorter silence may be a network
+	// partition
 	cancelCertainAfter = 6*Second + Second/2
 )
 
-// Cancel orders the end of a copy of a container that may be running at a machine, and that nobody wants.
+// Cancel orders a machine to end a copy of a container that may be running there and is not wanted.
 type Cancel struct{ Machine, RequestID string }
 
-// MachineConnID identifies a connection to a machine; 0 is none.
+// MachineConnID identifies a connection to a machine; 0 means no connection.
 type MachineConnID uint64
 
-// Cancels holds the cancels that a machine may not have read yet. The protocol has no acknowledgement of a cancel:
-// machines report the end of a container that one has cut, but not that there was none. So a cancel is certain once
+// Cancels holds the cancels that their machine may not have read yet. The protocol has no acknowledgement of a cancel:
+// a machine reports the end of a container that was cancelled, but not that it had no such container. Therefore a
+// cancel is certain to have been read once
 //
 //   - its machine reports the end of the container,
 //   - its connection was closed by this side and not reset, or
 //   - its connection has been up for cancelCertainAfter.
 //
-// TCP repeats what was written until the peer has it, in order, and goes on with it after a close: a message is lost
-// only where the connection fails first.
+// TCP retransmits written data in order until the peer has acknowledged it, even after a close. A message is lost only
+// if the connection fails before that.
 //
-// Where the connection fails earlier the cancel is sent again. A machine that has read it already ignores it: the
-// container is not there. Nothing that runs is harmed by a repeat either, as it belongs to the same copy; the process
-// settles a cancel whose container is wanted at the machine again.
+// If the connection fails earlier, the cancel is resent. A machine that has already read it ignores the repeat, as it
+// no longer has the container. A repeat cannot end another copy, as it names the same one. The process settles a cancel
+// whose container is wanted at the machine again.
 type Cancels struct {
-	pending []*pendingCancel // the earliest first, at most maxCancels
+	pending []*pendingCancel // oldest first, at most maxCancels
 }
 
-// pendingCancel is a cancel that is not certain.
+// pendingCancel is a cancel that is not yet certain to have been read.
 type pendingCancel struct {
 	Cancel
 	tries     int
 	triedAt   Time
 	nextTryAt Time
-	conn      MachineConnID // that carries it, or will once it is established; 0: it is to be tried
+	conn      MachineConnID // carries it, or will once established; 0: it has to be tried
 }
 
-// Add takes in a cancel, which is due at once. At the bound the earliest is dropped for it.
+// Add adds a cancel, which is due immediately. If there are maxCancels already, the oldest is dropped.
 func (c *Cancels) Add(now Time, cancel Cancel) {
 	c.Settle(cancel)
 	excess := max(0, len(c.pending)+1-maxCancels)
 	c.pending = append(slices.Delete(c.pending, 0, excess), &pendingCancel{Cancel: cancel, nextTryAt: now})
 }
 
-// Holds reports whether a cancel is held: it is not certain yet, and not settled.
+// Holds reports whether a cancel is pending: not certain, settled or dropped.
 func (c *Cancels) Holds(cancel Cancel) bool {
 	return slices.ContainsFunc(c.pending, func(p *pendingCancel) bool { return p.Cancel == cancel })
 }
 
-// Due returns the cancels that are to be tried now. It drops those that are certain or were tried too often.
+// Due returns the cancels that have to be tried now. It drops those that are certain or have no tries left.
 func (c *Cancels) Due(now Time) []Cancel {
 	c.remove(func(p *pendingCancel) bool { return p.isCertain(now) || p.isGivenUp(now) })
 	var due []Cancel
@@ -69,7 +71,8 @@
 	return due
 }
 
-// Tried takes in a try of a cancel: conn carries it, or will once it is established; 0 says that there was none.
+// Tried records a try of a cancel. conn carries the cancel, or will once established; 0 means that no connection was
+// available.
 func (c *Cancels) Tried(now Time, cancel Cancel, conn MachineConnID) {
 	for _, p := range c.pending {
 		if p.Cancel == cancel {
@@ -80,7 +83,7 @@
 	}
 }
 
-// ConnFailed has the cancels tried again that a connection was to carry.
+// ConnFailed schedules another try of each cancel that the failed connection was to carry.
 func (c *Cancels) ConnFailed(conn MachineConnID) {
 	for _, p := range c.pending {
 		if p.conn == conn {
@@ -89,23 +92,23 @@
 	}
 }
 
-// ConnClosedHere settles the cancels that a connection has carried: this side has closed it, and it was not reset.
+// ConnClosedHere settles the cancels carried by a connection that this side has closed and that was not reset.
 func (c *Cancels) ConnClosedHere(conn MachineConnID) {
 	c.remove(func(p *pendingCancel) bool { return p.conn == conn })
 }
 
-// Settle ends a cancel, if it is held: the container is not at the machine, or is wanted there.
+// Settle removes a cancel, if it is pending, because its container is not at the machine or is wanted there.
 func (c *Cancels) Settle(cancel Cancel) {
 	c.remove(func(p *pendingCancel) bool { return p.Cancel == cancel })
 }
 
-// MachineGone ends the cancels for a machine that is gone or has started anew: what it ran has ended.
+// MachineGone removes the cancels for a machine that has left or restarted: its containers have ended.
 func (c *Cancels) MachineGone(machine string) {
 	c.remove(func(p *pendingCancel) bool { return p.Machine == machine })
 }
 
-func (c *Cancels) remove(over func(*pendingCancel) bool) {
-	c.pending = slices.DeleteFunc(c.pending, over)
+func (c *Cancels) remove(matches func(*pendingCancel) bool) {
+	c.pending = slices.DeleteFunc(c.pending, matches)
 }
 
 func (p *pendingCancel) isCertain(now Time) bool {
@@ -116,7 +119,7 @@
 	return p.conn == 0 && p.tries >= maxCancelTries && now >= p.nextTryAt
 }
 
-// nextInterval is the time from a try to the one after it.
+// nextInterval returns the time between the try that is being recorded and the next one.
 func (p *pendingCancel) nextInterval() Time {
 	return min(firstCancelInterval<<p.tries, lastCancelInterval)
 }
--- a/internal/platform/connmanager/cancels_test.go
+++ b/internal/platform/connmanager/cancels_test.go
@@ -9,9 +9,9 @@
 
 const tenth = Second / 10
 
-// cancelTries has a cancel tried whenever it is due, each time on a connection of its own, until it is over. It returns
-// the tenths of a second at which it was tried.
-func cancelTries(cancel Cancel, happens func(c *Cancels, now Time, conn MachineConnID)) (tries []Time) {
+// cancelTries tries a cancel whenever it is due, each time on a new connection, until the cancel is no longer pending.
+// It returns the times of the tries in tenths of a second.
+func cancelTries(cancel Cancel, afterStep func(c *Cancels, now Time, conn MachineConnID)) (tries []Time) {
 	c := &Cancels{}
 	c.Add(0, cancel)
 	for now := Time(0); c.Holds(cancel); now += tenth {
@@ -19,18 +19,18 @@
 			tries = append(tries, now/tenth)
 			c.Tried(now, cancel, MachineConnID(len(tries)))
 		}
-		happens(c, now, MachineConnID(len(tries)))
+		afterStep(c, now, MachineConnID(len(tries)))
 	}
 	return tries
 }
 
-// A cancel is sent again where its connection fails, unless it is certain that its machine has read it.
+// A cancel is resent when its connection fails, unless it is certain that the machine has read it.
 func TestCancelIsRepeatedUnlessCertain(t *testing.T) {
 	x := Cancel{"a", "x"}
 	for _, tc := range []struct {
 		name   string
-		before func(*Cancels) // the connection fails
-		after  Time           // it was tried
+		before func(*Cancels) // called before the connection fails
+		after  Time           // from the first try to the failure of the connection
 		tries  int
 	}{
 		{"in time", func(*Cancels) {}, cancelCertainAfter - tenth, 2},
@@ -56,7 +56,7 @@
 	}
 }
 
-// The tries are bounded, and so are the cancels: the latest are held, each once.
+// The number of tries is bounded, and so is the number of cancels: the latest are kept, each once.
 func TestCancelsAreBounded(t *testing.T) {
 	tries := cancelTries(Cancel{"a", "x"}, func(c *Cancels, _ Time, conn MachineConnID) { c.ConnFailed(conn) })
 	testutil.SlicesEqual(t, tries, []Time{0, 3, 8, 18, 38, 58, 78, 98})
--- a/internal/platform/connmanager/client.go
+++ b/internal/platform/connmanager/client.go
@@ -2,25 +2,25 @@
 
 import "glenport/internal/statemachine"
 
-// client is what is known of one client connection.
+// client is the state of one client connection.
 type client struct {
 	id           ClientID
 	state        clientState
 	evidence     ownershipEvidence
 	connectedAt  Time
-	lastActiveAt Time // when bytes were last read from it or sent to it
-	partialSince Time // since when its message is incomplete; 0 if none is
-	openRequests int  // placement requests that await their answer
-	readPause    Time // the last pause after an invalid message
+	lastActiveAt Time // when bytes were last read from or sent to it
+	partialSince Time // since when its last message is incomplete; 0 if it is not
+	openRequests int  // placement requests without an answer
+	readPause    Time // duration of the latest pause after an invalid message
 }
 
-// clientState is the state of a client connection.
+// clientState is the state of a client connection in the state machine.
 type clientState uint8
 
 const (
-	unserved     clientState = iota + 1 // nothing was sent to it yet
+	unserved     clientState = iota + 1 // no message was sent to it yet
 	served                              // a message was sent to it
-	closing                             // CloseClient was returned for it
+	closing                             // the process was told to close it (CloseClient)
 	disconnected                        // its connection has ended
 )
 
@@ -28,7 +28,7 @@
 	return [...]string{"none", "unserved", "served", "closing", "disconnected"}[s]
 }
 
-// clientEvent is what changes the state of a client connection.
+// clientEvent is an event of the state machine of a client connection.
 type clientEvent uint8
 
 const (
@@ -47,7 +47,8 @@
 	closing:  {messageSent: closing, connectionEnded: disconnected},
 }
 
-// transition is the only place where the state of a client changes. It reports whether the event was legal.
+// transition applies an event to the state of a client and reports whether it was legal. The state changes nowhere
+// else.
 func (m *Manager) transition(c *client, event clientEvent) bool {
 	err := clientTransitions.Apply(statemachine.Unnamed, &c.state, event)
 	if err != nil {
@@ -58,18 +59,18 @@
 
 func (c *client) isClosing() bool { return c.state == closing }
 
-// ownershipEvidence orders clients by how sure it is that they own containers.
+// ownershipEvidence is the strength of the evidence that a client owns containers.
 type ownershipEvidence uint8
 
 const (
 	evidenceNone         ownershipEvidence = iota
 	evidenceReclaimed                      // it claimed to own a running container
-	evidenceProven                         // a placement request of it was accepted
+	evidenceProven                         // one of its placement requests was accepted
 	evidenceAcknowledged                   // it acknowledged a termination that it was notified of
 )
 
-// addEvidence takes in evidence that a client owns containers; the strongest counts.
+// addEvidence raises the level of a client's evidence; a lower level has no effect.
 func (c *client) addEvidence(evidence ownershipEvidence) { c.evidence = max(c.evidence, evidence) }
 
-// isOwner reports whether there is evidence that a client owns containers.
+// isOwner reports whether there is any evidence that a client owns containers.
 func (c *client) isOwner() bool { return c.evidence > evidenceNone }
--- a/internal/platform/connmanager/client_test.go
+++ b/internal/platform/connmanager/client_test.go
@@ -19,7 +19,7 @@
 	})
 }
 
-// A client that is closed already is not closed again: the error is returned, and no client is counted twice.
+// Closing a client that is already closing reports an error and does not count the client twice.
 func TestIllegalTransitionOfClientIsReported(t *testing.T) {
 	m := New(100)
 	m.Handle(0, []Event{ClientConnected{1}})
--- a/internal/platform/connmanager/connmanager.go
+++ b/internal/platform/connmanager/connmanager.go
@@ -9,27 +9,28 @@
 	Second      Time = 10_000
 )
 
-// reservedDescriptors is kept free of clients and machine connections: for event queues, runtime, log, listener, a
-// file, the discovery watch (two connections while it moves), and bursts.
+// reservedDescriptors is the number of file descriptors that are not available to client and machine connections. They
+// serve the event queues, the Go runtime, the log, the listener, one open file, the discovery watch (two connections
+// while it switches servers) and bursts.
 const reservedDescriptors = 32
 
-// Manager owns the state of the client connections, each until the client has disconnected, and the terminations
-// that no client has acknowledged yet, each for notificationTTL at most.
+// Manager owns the state of each client connection until the client disconnects. It also owns the terminations that no
+// client has acknowledged, each for at most notificationTTL.
 type Manager struct {
 	maxClients    int
 	clients       map[ClientID]*client
 	activeClients int            // clients that are not closing
 	terminations  []*termination // in the order in which the containers ended
 
-	actions []Action // of the batch of events that is being handled
+	actions []Action // collected for the current batch of events
 }
 
-// New returns the manager of a scheduler that may hold so many file descriptors.
+// New returns the manager of a scheduler that may have the given number of file descriptors open.
 func New(descriptors int) *Manager {
 	return &Manager{maxClients: maxClientConns(descriptors), clients: map[ClientID]*client{}}
 }
 
-// Handle takes in a batch of events that happened by now and returns the actions to carry out, in order.
+// Handle processes a batch of events that occurred at or before now. It returns the actions to carry out, in order.
 func (m *Manager) Handle(now Time, events []Event) []Action {
 	m.actions = nil
 	for _, event := range events {
@@ -69,7 +70,7 @@
 	}
 }
 
-// tick enforces every time limit: first those of notifications, then those of clients.
+// tick enforces the time limits of notifications, then those of clients.
 func (m *Manager) tick(now Time) {
 	m.retryNotifications(now)
 	m.closeTimedOutClients(now)
--- a/internal/platform/connmanager/doc.go
+++ b/internal/platform/connmanager/doc.go
@@ -1,14 +1,19 @@
-// Package connmanager decides on the connections of a scheduler on the platform, where file descriptors are few. It has
-// five jobs, a file each: which client connections stay open (admission.go), which client is notified of the end of a
-// running container (notifications.go), how many connections a machine may have and for how long (pool.go), when the
-// cancel of a copy is sent again (cancels.go), and how long a scheduler drains at shutdown (shutdown.go).
+// Package connmanager manages the connections of a scheduler on the platform, where file descriptors are scarce. Each
+// file holds one group of decisions:
 //
-// It does no I/O and has no clock: the process passes in events with the time and carries out the actions.
+//   - admission.go: which client connections stay open;
+//   - notifications.go: which client is notified that a running container has ended;
+//   - pool.go: how many connections each machine may have, and how long an idle one stays open;
+//   - cancels.go: when the cancel of a copy of a container is resent;
+//   - shutdown.go: how long the scheduler drains before it exits.
+//
+// The package performs no I/O and reads no clock: the process passes in events with the current time and carries out
+// the returned actions.
 //
 // # States of a client
 //
-// A client is admitted as unserved. The table gives the state that follows an event; a pair without one is illegal: it
-// is reported by ReportError with a *statemachine.TransitionError, and changes nothing.
+// A client is admitted as unserved. The table gives the next state for each state and event. "-" marks an illegal
+// event: it leaves the state unchanged, and ReportError reports it with a *statemachine.TransitionError.
 //
 //	| state        | message sent | connection ended | close decided |
 //	| unserved     | served       | disconnected     | closing       |
@@ -16,6 +21,6 @@
 //	| closing      | closing      | disconnected     | -             |
 //	| disconnected | -            | -                | -             |
 //
-// Beside its state, a client has the evidence that it owns containers, which only grows: none, reclaimed, proven,
-// acknowledged.
+// In addition to its state, each client has a level of evidence that it owns containers. The level never decreases:
+// none, reclaimed, proven, acknowledged.
 package connmanager
--- a/internal/platform/connmanager/events.go
+++ b/internal/platform/connmanager/events.go
@@ -1,65 +1,66 @@
 package connmanager
 
-// ClientID identifies a client connection. IDs ascend in the order in which the clients connected; 0 is none.
+// ClientID identifies a client connection. IDs ascend in the order of connection; 0 means no client.
 type ClientID uint64
 
-// Event is something that happened to a client connection or to a container that a client owns. Events of a client that
-// is not connected have no effect.
+// Event is an event of a client connection or of a container that a client owns. Events of a client that is not
+// connected have no effect.
 type Event interface{ event() }
 
 type (
-	// ClientConnected says that a client has connected.
+	// ClientConnected reports that a client has connected.
 	ClientConnected struct{ Client ClientID }
 
-	// MessageCompleted says that a message of a client was read to its end, and that a further one is incomplete.
-	// BytesReceived follows, and alone says as much where none is incomplete.
+	// MessageCompleted reports that a message of a client was read completely and that the next one is incomplete. A
+	// BytesReceived event follows. If no further message is incomplete, BytesReceived is sent alone.
 	MessageCompleted struct{ Client ClientID }
 
-	// BytesReceived says that bytes of a client were read.
+	// BytesReceived reports that bytes were read from a client.
 	BytesReceived struct {
 		Client  ClientID
 		Partial bool // the last message is incomplete
 	}
 
-	// PlacementRequested says that a placement request of a client was admitted and awaits its answer.
+	// PlacementRequested reports that a placement request of a client was admitted and is to be answered.
 	PlacementRequested struct{ Client ClientID }
 
-	// MessageSent says that a message was sent to a client.
+	// MessageSent reports that a message was sent to a client.
 	MessageSent struct {
 		Client         ClientID
-		ClosedRequests int // placement requests that it answered
+		ClosedRequests int // placement requests that the message answered
 	}
 
-	// RequestCancelled says that a client cancelled a placement request that awaited its answer.
+	// RequestCancelled reports that a client cancelled a placement request before it was answered.
 	RequestCancelled struct{ Client ClientID }
 
-	// InvalidMessageReceived says that a message of a client was rejected since its contents are invalid.
+	// InvalidMessageReceived reports that a message of a client was rejected because its contents are invalid.
 	InvalidMessageReceived struct{ Client ClientID }
 
-	// OwnershipProven says that a placement request of a client was accepted: it owns a running container.
+	// OwnershipProven reports that a placement request of a client was accepted: the client owns a running container.
 	OwnershipProven struct{ Client ClientID }
 
-	// ContainerReclaimed says that a client claimed to own a running container. Anybody can, so that it is weaker
-	// evidence than OwnershipProven; but after a restart of the scheduler, reclaims are all that owners send at first.
+	// ContainerReclaimed reports that a client claimed to own a running container. Since any client can claim one, this
+	// is weaker evidence than OwnershipProven. After a restart of the scheduler, however, owners send only reclaims at
+	// first.
 	ContainerReclaimed struct{ Client ClientID }
 
-	// ClientDisconnected says that the connection of a client has ended.
+	// ClientDisconnected reports that the connection of a client has ended.
 	ClientDisconnected struct{ Client ClientID }
 
-	// ContainerTerminated says that a running container has ended, which its owner is to be notified of.
+	// ContainerTerminated reports that a running container has ended. Its owner has to be notified.
 	ContainerTerminated struct {
 		RequestID string
 		Cause     int
 		Client    ClientID // that requested it; 0 if it has disconnected
 	}
 
-	// TerminationAcknowledged says that a client confirmed a NotifyTermination.
+	// TerminationAcknowledged reports that a client acknowledged a NotifyTermination.
 	TerminationAcknowledged struct {
 		RequestID string
 		Client    ClientID
 	}
 
-	// Tick says that some time has passed. Time limits are enforced at ticks only.
+	// Tick reports that time has passed. Time limits are enforced only at ticks.
 	Tick struct{}
 )
 
@@ -77,31 +78,31 @@
 func (TerminationAcknowledged) event() {}
 func (Tick) event()                    {}
 
-// Action is something that the process is to do.
+// Action is an instruction to the process.
 type Action interface{ action() }
 
 type (
-	// CloseClient closes the connection of a client. ClientDisconnected follows.
+	// CloseClient closes the connection of a client. A ClientDisconnected event follows.
 	CloseClient struct {
 		Client ClientID
 		Reason CloseReason
 	}
 
-	// NotifyTermination sends a client the end of a container. Unless TerminationAcknowledged follows, it is repeated
-	// to other clients.
+	// NotifyTermination notifies a client of the end of a container. Unless a TerminationAcknowledged event follows,
+	// other clients are notified as well.
 	NotifyTermination struct {
 		RequestID string
 		Cause     int
 		Client    ClientID
 	}
 
-	// PauseReading leaves the input of a client unread for a while.
+	// PauseReading stops reading from a client for a duration.
 	PauseReading struct {
 		Client   ClientID
 		Duration Time
 	}
 
-	// ReportError has an error logged that shows a fault of this package. Nothing else follows from it.
+	// ReportError logs an error that indicates a bug in this package. It has no other effect.
 	ReportError struct {
 		Client ClientID
 		Err    error
@@ -113,10 +114,10 @@
 func (PauseReading) action()      {}
 func (ReportError) action()       {}
 
-// CloseReason says why a client is closed; it is fit for a log.
+// CloseReason is the reason for closing a client, as it is logged.
 type CloseReason string
 
-// Reasons to close a client.
+// Reasons for closing a client.
 const (
 	CloseNoRequest      CloseReason = "no request in time"
 	CloseMessageTimeout CloseReason = "incomplete message"
--- a/internal/platform/connmanager/golden_test.go
+++ b/internal/platform/connmanager/golden_test.go
@@ -11,8 +11,8 @@
 
 const digestFile = "testdata/decisions.txt"
 
-// digest folds decisions into a hash. It knows no names of types or fields and no text of a reason: an action counts by
-// its ordinal below and its values in order, a reason by the order of its first appearance.
+// digest hashes decisions. It includes neither names of types or fields nor texts of reasons: an action is hashed as
+// its ordinal below and its values in order, a reason as the ordinal of its first occurrence.
 type digest struct {
 	*golden.Digest
 	reasons map[string]uint64
@@ -20,8 +20,8 @@
 
 func newDigest() *digest { return &digest{Digest: golden.NewDigest(), reasons: map[string]uint64{}} }
 
-func (d *digest) reason(why any) {
-	text := fmt.Sprint(why)
+func (d *digest) reason(reason any) {
+	text := fmt.Sprint(reason)
 	if _, ok := d.reasons[text]; !ok {
 		d.reasons[text] = uint64(len(d.reasons))
 	}
@@ -45,22 +45,22 @@
 	}
 }
 
-// sequence is a run of random events on one manager. It keeps an account of what is open, so that most events fit what
-// came before; some never do.
+// sequence is a sequence of random events for one manager. It tracks connected clients and terminations, so that most
+// events are consistent with the earlier ones; a few are not.
 type sequence struct {
 	random     *rand.Rand
 	now        Time
-	grid       Time // time passes in multiples of it; 0: as it comes
+	grid       Time // time advances in multiples of it; 0: by arbitrary amounts
 	lastID     uint64
 	connected  []uint64
 	terminated []string
 	count      int
 }
 
-// client picks one that is connected, mostly.
+// client returns a client that is connected, in most cases.
 func (s *sequence) client() ClientID {
 	if len(s.connected) == 0 || s.random.IntN(25) == 0 {
-		return ClientID(s.random.Uint64N(s.lastID + 3)) // 0, one that has left, or one that never came
+		return ClientID(s.random.Uint64N(s.lastID + 3)) // 0, a disconnected client, or one that never connected
 	}
 	return ClientID(s.connected[s.random.IntN(len(s.connected))])
 }
@@ -112,7 +112,7 @@
 	return TerminationAcknowledged{RequestID: s.terminatedID(), Client: s.client()}
 }
 
-// weights say how often each event comes; a group of sequences has its own.
+// weights are the relative frequencies of the events in a group of sequences.
 type weights struct {
 	connect, receive, request, send, cancel, invalid, prove, reclaim, disconnect, terminate, acknowledge, tick int
 }
@@ -134,7 +134,7 @@
 	)
 }
 
-// wait lets time pass. A sequence on a grid meets deadlines exactly.
+// wait advances the time. On a grid, events fall exactly on deadlines.
 func (s *sequence) wait() {
 	if s.grid > 0 {
 		s.now += s.grid * Time(s.random.IntN(4))
@@ -168,7 +168,7 @@
 	}
 }
 
-// machineConnections folds every decision on connections to machines, at and around each limit.
+// machineConnections hashes every decision on connections to machines, at and around each limit.
 func machineConnections(d *digest) {
 	for _, descriptors := range []int{0, 1, 16, 31, 32, 33, 48, 64, 100, 255, 256, 384, 576, 1024, 65536} {
 		d.Numbers(uint64(MaxMachineConns(descriptors)))
@@ -213,24 +213,24 @@
 	}
 }
 
-// TestDecisionsAreUnchanged compares every decision on some thousand random sequences of events with those recorded.
+// TestDecisionsAreUnchanged compares the decisions on some thousand random sequences of events with the recorded ones.
 func TestDecisionsAreUnchanged(t *testing.T) {
-	even := weights{4, 8, 5, 6, 2, 2, 2, 2, 3, 4, 3, 6}
-	crowd := weights{20, 10, 8, 8, 2, 1, 3, 2, 4, 2, 2, 3}
-	notices := weights{3, 4, 3, 4, 1, 0, 3, 3, 3, 10, 4, 15}
-	quiet := weights{6, 3, 1, 1, 1, 1, 1, 2, 1, 1, 1, 12}
-	invalid := weights{2, 4, 2, 2, 2, 12, 1, 1, 3, 1, 1, 3}
+	uniform := weights{4, 8, 5, 6, 2, 2, 2, 2, 3, 4, 3, 6}
+	manyClients := weights{20, 10, 8, 8, 2, 1, 3, 2, 4, 2, 2, 3}
+	manyTerminations := weights{3, 4, 3, 4, 1, 0, 3, 3, 3, 10, 4, 15}
+	fewRequests := weights{6, 3, 1, 1, 1, 1, 1, 2, 1, 1, 1, 12}
+	manyInvalid := weights{2, 4, 2, 2, 2, 12, 1, 1, 3, 1, 1, 3}
 	var got strings.Builder
 	for _, group := range []struct {
 		name string
 		run  func(*digest)
 	}{
-		{"mixed events, many descriptors", clientGroup(1, []int{1024, 384}, 100, even)},
-		{"mixed events, few descriptors", clientGroup(2, []int{0, 40, 52, 64}, 100, even)},
-		{"more clients than descriptors", clientGroup(3, []int{48, 56, 64, 100}, 120, crowd)},
-		{"terminations with few acknowledgements", clientGroup(4, []int{64, 256}, 100, notices)},
-		{"clients that ask nothing", clientGroup(5, []int{64, 256}, 100, quiet)},
-		{"invalid messages", clientGroup(6, []int{64, 256}, 60, invalid)},
+		{"mixed events, many descriptors", clientGroup(1, []int{1024, 384}, 100, uniform)},
+		{"mixed events, few descriptors", clientGroup(2, []int{0, 40, 52, 64}, 100, uniform)},
+		{"more clients than descriptors", clientGroup(3, []int{48, 56, 64, 100}, 120, manyClients)},
+		{"terminations with few acknowledgements", clientGroup(4, []int{64, 256}, 100, manyTerminations)},
+		{"clients that ask nothing", clientGroup(5, []int{64, 256}, 100, fewRequests)},
+		{"invalid messages", clientGroup(6, []int{64, 256}, 60, manyInvalid)},
 		{"connections to machines", machineConnections},
 		{"shutdown", shutdown},
 	} {
--- a/internal/platform/connmanager/notifications.go
+++ b/internal/platform/connmanager/notifications.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// An owner is to be notified of the end of its container within a second.
+// Time limits of notifications. An owner has to be notified of the end of its container within one second.
 const (
-	notificationRetryInterval = Second / 4  // a notification that is not acknowledged by then goes to another client
-	notificationTTL           = 10 * Second // a termination that is not acknowledged by then is dropped
-	fallbackDelay             = Second / 2  // from then on clients that are no owners are notified too,
-	fallbackDelayWithOwner    = Second      // or, where an owner is connected, from then on
+	notificationRetryInterval = Second / 4  // without an acknowledgement, another client is notified after this time
+	notificationTTL           = 10 * Second // without an acknowledgement, a termination is dropped after this time
+	fallbackDelay             = Second / 2  // after this time, clients that are not owners are notified too
+	fallbackDelayWithOwner    = Second      // the same while an owner is connected
 )
 
 // termination is the end of a container that no client has acknowledged yet.
@@ -15,12 +15,13 @@
 	requestID        string
 	cause            int
 	endedAt          Time
-	notifiedClient   ClientID // that was notified last; 0 if none was
+	notifiedClient   ClientID // the latest to be notified; 0 if none was
 	notifiedAt       Time
-	attemptedClients []ClientID // that were notified
+	attemptedClients []ClientID // all that were notified
 }
 
-// containerTerminated notifies the client that requested the container, or the likeliest owner where that has gone.
+// containerTerminated notifies the client that requested the container or, if that has disconnected, the likeliest
+// owner.
 func (m *Manager) containerTerminated(now Time, e ContainerTerminated) {
 	t := &termination{requestID: e.RequestID, cause: e.Cause, endedAt: now}
 	m.terminations = append(m.terminations, t)
@@ -31,8 +32,8 @@
 	m.notify(now, t)
 }
 
-// terminationAcknowledged ends the notifications of a container. The acknowledgement proves ownership only where the
-// client was notified of that very end: anybody can acknowledge another.
+// terminationAcknowledged stops the notifications about a container. The acknowledgement is evidence of ownership only
+// if the client was notified of this termination, since any client can acknowledge one that it was not notified of.
 func (m *Manager) terminationAcknowledged(e TerminationAcknowledged) {
 	notified := func(t *termination) bool {
 		return t.requestID == e.RequestID && slices.Contains(t.attemptedClients, e.Client)
@@ -43,7 +44,8 @@
 	m.terminations = slices.DeleteFunc(m.terminations, func(t *termination) bool { return t.requestID == e.RequestID })
 }
 
-// retryNotifications notifies further clients of what was not acknowledged in time, and drops what is too old.
+// retryNotifications notifies further clients of terminations that were not acknowledged in time, and drops expired
+// ones.
 func (m *Manager) retryNotifications(now Time) {
 	m.terminations = slices.DeleteFunc(
 		m.terminations,
@@ -56,16 +58,17 @@
 	}
 }
 
-// renotify notifies others of the terminations of which a client that has gone was notified last.
-func (m *Manager) renotify(now Time, gone ClientID) {
+// renotify notifies other clients of the terminations whose latest notification went to a client that has disconnected.
+func (m *Manager) renotify(now Time, disconnected ClientID) {
 	for _, t := range m.terminations {
-		if t.notifiedClient == gone {
+		if t.notifiedClient == disconnected {
 			m.notify(now, t)
 		}
 	}
 }
 
-// notify notifies the next client of a termination. With none left, a client that was notified may yet acknowledge it.
+// notify notifies the next client of a termination. If none is left, a client that was already notified may still
+// acknowledge it.
 func (m *Manager) notify(now Time, t *termination) {
 	if c := m.nextRecipient(now, t); c != nil {
 		m.notifyClient(now, t, c)
@@ -79,9 +82,9 @@
 	m.emit(NotifyTermination{RequestID: t.requestID, Cause: t.cause, Client: c.id})
 }
 
-// nextRecipient returns the likeliest owner that was not notified of a termination yet, nil if there is none. After a
-// delay any client counts that has an open request or was served: where placements take seconds, the new connections of
-// an owner may all be such.
+// nextRecipient returns the likeliest owner that was not notified of a termination yet, or nil. After a delay, any
+// client that was served or has an open request is eligible: while placements take seconds, it is possible that no new
+// connection of an owner has shown evidence of ownership yet.
 func (m *Manager) nextRecipient(now Time, t *termination) *client {
 	clients := m.sortedClients()
 	delay := fallbackDelay
@@ -95,16 +98,16 @@
 			continue
 		}
 		eligible := c.isOwner() || fallback && (c.state == served || c.openRequests > 0)
-		if eligible && (best == nil || c.likelierOwner(best)) {
+		if eligible && (best == nil || c.isLikelierOwner(best)) {
 			best = c
 		}
 	}
 	return best
 }
 
-// likelierOwner reports whether a client is likelier to own a container than one that connected earlier: by evidence,
-// then by the latest activity.
-func (c *client) likelierOwner(earlier *client) bool {
+// isLikelierOwner reports whether c is likelier to own a container than a client that connected earlier. It compares
+// the evidence of ownership, then the latest activity.
+func (c *client) isLikelierOwner(earlier *client) bool {
 	if c.evidence != earlier.evidence {
 		return c.evidence > earlier.evidence
 	}
--- a/internal/platform/connmanager/notifications_test.go
+++ b/internal/platform/connmanager/notifications_test.go
@@ -7,8 +7,8 @@
 	"glenport/internal/testutil"
 )
 
-// notified returns the clients that a batch of actions notifies of the end of "x", that of "w" left aside.
-func notified(t *testing.T, actions []Action) (out []ClientID) {
+// notifiedClients returns the clients that the actions notify of the end of container "x". It ignores container "w".
+func notifiedClients(t *testing.T, actions []Action) (out []ClientID) {
 	t.Helper()
 	for _, a := range actions {
 		a, ok := a.(NotifyTermination)
@@ -21,21 +21,24 @@
 	return out
 }
 
-// servedClient connects and is served, owner is accepted besides.
-func servedClient(id ClientID) []Event { return append([]Event{ClientConnected{id}}, answered(id)...) }
+// servedClient returns the events of a client that connects and is served.
+func servedClient(id ClientID) []Event {
+	return append([]Event{ClientConnected{id}}, answeredRequest(id)...)
+}
 
+// owner returns the events of a client that connects and is served, and whose request is accepted.
 func owner(id ClientID) []Event { return append(servedClient(id), OwnershipProven{id}) }
 
-// notificationTest is who is notified, in order, of the end of container "x".
+// notificationTest checks which clients are notified of the end of container "x", and in which order.
 type notificationTest struct {
 	name      string
 	before    []Event
 	requester ClientID
-	then      map[Time]Event // after tenths of a second
+	then      map[Time]Event // by the time in tenths of a second
 	want      []ClientID
 }
 
-// First the client that requested the container is notified, then the other owners, until one acknowledges.
+// The client that requested the container is notified first, then the other owners, until one acknowledges.
 func TestTerminationIsNotifiedUntilAcknowledged(t *testing.T) {
 	acknowledged := TerminationAcknowledged{RequestID: "x"}
 	for _, tc := range []notificationTest{
@@ -74,7 +77,7 @@
 			[]ClientID{4},
 		},
 		{
-			"one that acknowledged before one that claims to have",
+			"a genuine acknowledgement outranks an unsolicited one",
 			slices.Concat([]Event{
 				ClientConnected{1},
 				ContainerReclaimed{1},
@@ -98,7 +101,7 @@
 	const tenth = Second / 10
 	m := New(100)
 	var got []ClientID
-	handle := func(now Time, e Event) { got = append(got, notified(t, m.Handle(now, []Event{e}))...) }
+	handle := func(now Time, e Event) { got = append(got, notifiedClients(t, m.Handle(now, []Event{e}))...) }
 	for _, e := range tc.before {
 		handle(1, e)
 	}
--- a/internal/platform/connmanager/pool.go
+++ b/internal/platform/connmanager/pool.go
@@ -1,14 +1,14 @@
 package connmanager
 
-// Limits of the connections to machines.
+// Limits of connections to machines.
 const (
-	// the fraction (1/3) of all descriptors that the machines share equally, one connection each at least
+	// machines share a third of all descriptors equally, with at least one connection each
 	machineConnsDivisor = 3
 	minMachineConns     = 8
 
-	// a connection that is not the first of its machine is closed once idle for so long
+	// a connection that is not the first to its machine is closed after this idle time
 	extraConnIdleTimeout = 5 * Second
-	// an idle connection may be evicted after so long: until then its machine may still send
+	// an idle connection is not evicted earlier, because its machine may still be sending
 	minEvictionIdle = Second / 2
 )
 
@@ -20,34 +20,36 @@
 	evictCarriesRunning
 )
 
-// MaxConnsPerMachine is the number of connections that each of so many machines may have.
+// MaxConnsPerMachine returns the maximum number of connections to each machine, for a given number of machines.
 func MaxConnsPerMachine(descriptors, machines int) int {
 	return max(1, descriptors/machineConnsDivisor/max(1, machines))
 }
 
-// MaxMachineConns is the number of connections to machines that may be open in all: what clients and the reserve leave.
+// MaxMachineConns returns the maximum number of connections to all machines: the descriptors that are neither for
+// clients nor reserved.
 func MaxMachineConns(descriptors int) int {
 	return max(minMachineConns, descriptors-maxClientConns(descriptors)-reservedDescriptors)
 }
 
-// CanOpenBeforeClose reports whether a connection may be opened before the evicted one is closed. The descriptor of
-// that is free only after the iteration of the event loop; until then a quarter of the reserve holds the new one, and
-// the rest what the reserve is for and as many new clients.
+// CanOpenBeforeClose reports whether a connection may be opened before the evicted one is closed. The evicted
+// connection releases its descriptor only at the end of the iteration of the event loop. Until then the new connection
+// uses a quarter of the reserve; the rest covers the reserve's own purposes and as many new clients.
 func CanOpenBeforeClose(descriptors, connections int) bool {
 	return connections < descriptors-reservedDescriptors+reservedDescriptors/4
 }
 
-// MachineConn describes a connection to a machine that is idle: nothing is awaited on it.
+// MachineConn describes an idle connection to a machine: no answer is expected on it.
 type MachineConn struct {
-	Primary            bool // the first of its machine
-	MachineHasRunning  bool // a container runs on the machine
-	CarriesRunning     bool // the request of a running container went over this connection, and its end will come here
+	Primary            bool // the first connection to its machine
+	MachineHasRunning  bool // a container is running on the machine
+	CarriesRunning     bool // it carried the request of a running container, whose end is reported on it
 	IdleFor            Time
-	MachineIdleTimeout Time // the machine closes a connection that is idle for so long
+	MachineIdleTimeout Time // the machine closes a connection after this idle time
 }
 
-// ShouldKeep reports whether an idle connection stays open. One on which an end may come must not be closed, as the two
-// could cross. Others are closed well before the machine would: an attempt that crosses that close may have run.
+// ShouldKeep reports whether an idle connection stays open. A connection on which the end of a container may be
+// reported must not be closed, because the report could cross the close. Other connections are closed well before the
+// machine closes them: if an attempt crosses the machine's close, it is unknown whether the container ran.
 func (c MachineConn) ShouldKeep() bool {
 	switch {
 	case c.CarriesRunning || c.Primary && c.MachineHasRunning:
@@ -58,9 +60,9 @@
 	return c.IdleFor < min(extraConnIdleTimeout, c.MachineIdleTimeout/2)
 }
 
-// EvictionRank orders idle connections for eviction where no more may be open: the lowest first, and never one below 0.
-// Eviction loses no end: the machine repeats it on the next connection, and the failure detector connects every few
-// seconds to each machine on which something runs.
+// EvictionRank orders idle connections for eviction when the limit is reached: the lowest rank is evicted first, and a
+// negative rank never. Eviction loses no report of a container's end: the machine repeats it on the next connection,
+// and the failure detector connects every few seconds to each machine that runs containers.
 func (c MachineConn) EvictionRank() int {
 	switch {
 	case c.IdleFor < minEvictionIdle:
@@ -73,5 +75,6 @@
 	return evictIdleMachine
 }
 
-// CanCarryAttempt reports whether an idle connection may carry an attempt: not if the machine may be closing it.
+// CanCarryAttempt reports whether an attempt may be sent on an idle connection, which the machine must not be about to
+// close.
 func (c MachineConn) CanCarryAttempt() bool { return c.IdleFor < c.MachineIdleTimeout/2 }
--- a/internal/platform/connmanager/pool_test.go
+++ b/internal/platform/connmanager/pool_test.go
@@ -6,38 +6,38 @@
 	"glenport/internal/testutil"
 )
 
-// idleFor is a connection that its machine closes after 30 s; first, busy and carrier change one fact each.
-func idleFor(idle Time) MachineConn {
+// idleConn returns a connection that its machine closes after 30 s of idle time.
+func idleConn(idle Time) MachineConn {
 	return MachineConn{IdleFor: idle, MachineIdleTimeout: 30 * Second}
 }
 
-func first(c MachineConn) MachineConn {
+func asPrimary(c MachineConn) MachineConn {
 	c.Primary = true
 	return c
 }
 
-func busy(c MachineConn) MachineConn {
+func onBusyMachine(c MachineConn) MachineConn {
 	c.MachineHasRunning = true
 	return c
 }
 
-func carrier(c MachineConn) MachineConn {
+func carryingRunning(c MachineConn) MachineConn {
 	c.CarriesRunning = true
 	return c
 }
 
-func TestIdleMachineConnIsKeptWhileOfUse(t *testing.T) {
+func TestIdleMachineConnIsKeptWhileUseful(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		conn MachineConn
 		want bool
 	}{
-		{"the first, its machine has a running container", first(busy(idleFor(60 * Second))), true},
-		{"the first, used lately", first(idleFor(14 * Second)), true},
-		{"the first, idle", first(idleFor(15 * Second)), false},
-		{"another, used lately", busy(idleFor(4 * Second)), true},
-		{"another, carries a running container", carrier(busy(idleFor(60 * Second))), true},
-		{"another, idle", busy(idleFor(5 * Second)), false},
+		{"the first, its machine has a running container", asPrimary(onBusyMachine(idleConn(60 * Second))), true},
+		{"the first, used recently", asPrimary(idleConn(14 * Second)), true},
+		{"the first, idle", asPrimary(idleConn(15 * Second)), false},
+		{"another, used recently", onBusyMachine(idleConn(4 * Second)), true},
+		{"another, carries a running container", carryingRunning(onBusyMachine(idleConn(60 * Second))), true},
+		{"another, idle", onBusyMachine(idleConn(5 * Second)), false},
 		{"another, the machine closes early", MachineConn{IdleFor: 2 * Second, MachineIdleTimeout: 3 * Second}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -45,19 +45,19 @@
 		})
 	}
 	a, b := MaxConnsPerMachine(384, 12), MaxConnsPerMachine(64, 1000)
-	testutil.Expect(t, a == 10 && b == 1, "%d and %d connections a machine", a, b)
+	testutil.Expect(t, a == 10 && b == 1, "%d and %d connections per machine", a, b)
 }
 
-// Clients, machine connections and the reserve stay within the descriptors, however few, and where no more connections
-// may be open the one that loses least is evicted.
+// Client connections, machine connections and the reserve together never exceed the descriptors, even if these are few.
+// At the limit, the connection whose eviction costs least is evicted first.
 func TestDescriptorLimitHolds(t *testing.T) {
 	for _, n := range []int{64, 100, 256, 576, 1024} {
 		conns, clients := MaxMachineConns(n), New(n).maxClients
 		if conns < 8 || n >= 256 && clients < n/3 || clients+conns+reservedDescriptors > n {
-			t.Errorf("of %d descriptors %d are for machine connections", n, conns)
+			t.Errorf("of %d descriptors, %d are for machine connections", n, conns)
 		}
 	}
-	conns := []MachineConn{ // in the order in which they are evicted
+	conns := []MachineConn{ // in order of eviction
 		{IdleFor: Second},
 		{Primary: true, IdleFor: Second},
 		{MachineHasRunning: true, IdleFor: Second},
@@ -71,10 +71,10 @@
 			last = n
 		}
 		if c.IdleFor = minEvictionIdle - 1; c.EvictionRank() >= 0 {
-			t.Errorf("%+v is evictable before its machine could send", c)
+			t.Errorf("%+v is evictable while its machine may still be sending", c)
 		}
 	}
-	testutil.Expect(t, last == 2, "one that carries a running container has rank %d", last)
-	testutil.Expect(t, idleFor(15*Second-1).CanCarryAttempt() && !idleFor(15*Second).CanCarryAttempt(),
-		"an attempt may cross the close of an idle connection")
+	testutil.Expect(t, last == 2, "a connection that carries a running container has rank %d", last)
+	testutil.Expect(t, idleConn(15*Second-1).CanCarryAttempt() && !idleConn(15*Second).CanCarryAttempt(),
+		"an attempt may cross the machine's close of an idle connection")
 }
--- a/internal/platform/connmanager/shutdown.go
+++ b/internal/platform/connmanager/shutdown.go
@@ -1,24 +1,27 @@
 package connmanager
 
-// The platform kills a scheduler that shuts down after the longest placement timeout, at most maxDrainTime, plus
+// During shutdown the platform kills the scheduler after the longest placement timeout (at most maxDrainTime) plus
 // killGracePeriod.
 const (
 	maxDrainTime       = 3 * Second
 	killGracePeriod    = 7 * Second / 10
-	forceAnswersMargin = 3 * Second / 10 // what is still open is answered so long before the kill
+	forceAnswersMargin = 3 * Second / 10 // open requests are answered this long before the kill
 )
 
-// drainTime is how long a scheduler that shuts down serves what is on its way, and notifies of terminations.
+// drainTime returns how long a scheduler that shuts down serves requests in transit and notifies owners of
+// terminations.
 func drainTime(longestTimeout Time) Time {
 	return max(killGracePeriod, min(longestTimeout, maxDrainTime))
 }
 
-// ShouldKeepDraining reports whether a scheduler that began to shut down so long ago keeps running.
+// ShouldKeepDraining reports whether a scheduler keeps running when the given time has elapsed since its shutdown
+// began.
 func ShouldKeepDraining(elapsed Time, unanswered int, longestTimeout Time) bool {
 	return elapsed < drainTime(longestTimeout) || unanswered > 0
 }
 
-// ShouldForceAnswers reports whether it is time to answer what is still open, before the platform kills the scheduler.
+// ShouldForceAnswers reports whether all open requests have to be answered now, before the platform kills the
+// scheduler.
 func ShouldForceAnswers(elapsed, longestTimeout Time) bool {
 	return elapsed >= drainTime(longestTimeout)+killGracePeriod-forceAnswersMargin
 }
--- a/internal/platform/connmanager/shutdown_test.go
+++ b/internal/platform/connmanager/shutdown_test.go
@@ -16,12 +16,12 @@
 		{6 * Second, 3*Second - 1, 0, true, false},
 		{6 * Second, 3 * Second, 0, false, false},
 		{6 * Second, 3 * Second, 1, true, false},
-		// killed at 3.7 s at the soonest, and checked four times a second
+		// the kill comes after 3.7 s at the earliest, and the check runs four times a second
 		{6 * Second, 34 * Second / 10, 1, true, true},
 		{Second, Second - 1, 0, true, false},
 		{Second, Second, 0, false, false},
-		{Second, 14 * Second / 10, 1, true, true},      // killed at 1.7 s
-		{Second / 10, 6 * Second / 10, 0, true, false}, // requests arrive for 0.6 s
+		{Second, 14 * Second / 10, 1, true, true},      // the kill comes after 1.7 s
+		{Second / 10, 6 * Second / 10, 0, true, false}, // requests arrive for up to 0.6 s
 	} {
 		if got := ShouldKeepDraining(tc.elapsed, tc.unanswered, tc.longest); got != tc.drains {
 			t.Errorf("%+v: drains %t", tc, got)
