--- a/internal/platform/adoption/adoption.go
+++ b/internal/platform/adoption/adoption.go
@@ -1,18 +1,18 @@
 package adoption
 
-// Limits of the claims in sum.
+// Limits of all claims together.
 const (
-	memoryDivisor = 8      // the part of the memory granted that claims may use
-	bytesPerClaim = 5 << 9 // that an adopted container uses here and in the scheduler, its machine included
+	memoryDivisor = 8      // claims may use an eighth of the memory granted
+	bytesPerClaim = 5 << 9 // used per adopted container, here and in the scheduler, including its machine
 )
 
-// MaxClaims is how many claims are adopted in sum where the platform grants so much memory.
+// MaxClaims returns the maximum number of adopted claims, given the memory that the platform grants.
 func MaxClaims(memoryMB int) int { return memoryMB << 20 / memoryDivisor / bytesPerClaim }
 
-// ClientID identifies a client connection; 0 stands for all that have ended.
+// ClientID identifies a client connection; 0 stands for all connections that have ended.
 type ClientID uint64
 
-// Claim says that a container is running at a machine.
+// Claim is a client's statement that a container is running at a machine.
 type Claim struct {
 	Client  ClientID
 	ID      string // of the container
@@ -22,66 +22,66 @@
 
 // Machine is the machine of a claim.
 type Machine struct {
-	Listed   bool // the machine list names it
+	Listed   bool // it is on the machine list
 	Capacity Capacity
-	Running  Load // of all containers that run there, as far as is known
+	Running  Load // of all containers known to run there
 }
 
-// Decision is what becomes of a claim.
+// Decision is the decision on a claim.
 type Decision struct {
 	Adopt     bool
-	Displaced []string // the containers whose claims give way to it: they no longer count as running
+	Displaced []string // containers whose claims it displaces; they no longer count as running
 }
 
-// Claims owns the claims that were adopted and not confirmed, each until its container ends, and the filter of the
-// others.
+// Claims owns the adopted claims that are not confirmed, each until its container ends, and the filter of rejected and
+// displaced claims.
 type Claims struct {
 	limit      int
-	claims     map[string]*adopted            // by container
-	byMachine  map[string]map[string]*adopted // by machine and container
-	byClient   map[ClientID]map[string]*adopted
+	claims     map[string]*adoptedClaim            // by container
+	byMachine  map[string]map[string]*adoptedClaim // by machine and container
+	byClient   map[ClientID]map[string]*adoptedClaim
 	lastNumber uint64
-	leftOut    filter
+	rejected   filter // rejected and displaced claims
 }
 
-// adopted is a claim that was adopted.
-type adopted struct {
+// adoptedClaim is a claim that was adopted.
+type adoptedClaim struct {
 	Claim
-	listed bool   // its machine was on the list
-	number uint64 // they ascend
+	listed bool   // its machine was on the machine list
+	number uint64 // ascending, in the order of adoption
 }
 
-// New returns an empty set of so many claims at most.
+// New returns an empty set of claims that holds at most limit claims, beyond the first at each listed machine.
 func New(limit int) *Claims {
 	return &Claims{
 		limit:     limit,
-		claims:    map[string]*adopted{},
-		byMachine: map[string]map[string]*adopted{},
-		byClient:  map[ClientID]map[string]*adopted{},
+		claims:    map[string]*adoptedClaim{},
+		byMachine: map[string]map[string]*adoptedClaim{},
+		byClient:  map[ClientID]map[string]*adoptedClaim{},
 	}
 }
 
-// Decide takes in a claim to a container that is not known. What is displaced is no longer held.
+// Decide decides on a claim to a container that is not known yet. It removes the claims that it displaces.
 func (c *Claims) Decide(claim Claim, machine Machine) Decision {
 	displaced, fits := c.makeRoom(claim, machine)
 	if !fits {
-		c.leftOut.add(claim.ID, claim.Machine)
+		c.rejected.add(claim.ID, claim.Machine)
 		return Decision{}
 	}
 	decision := Decision{Adopt: true}
 	for _, victim := range displaced {
 		c.Remove(victim.ID)
-		c.leftOut.add(victim.ID, victim.Machine)
+		c.rejected.add(victim.ID, victim.Machine)
 		decision.Displaced = append(decision.Displaced, victim.ID)
 	}
 	c.add(claim, machine.Listed)
 	return decision
 }
 
-// LeftOut reports whether a claim was not adopted, or displaced. It may report that of another one, rarely.
-func (c *Claims) LeftOut(id, machine string) bool { return c.leftOut.contains(id, machine) }
+// LeftOut reports whether a claim was rejected or displaced. It rarely reports true for another claim.
+func (c *Claims) LeftOut(id, machine string) bool { return c.rejected.contains(id, machine) }
 
-// Remove removes the claim to a container, if any, as that has ended or its machine has confirmed it.
+// Remove removes the claim to a container, if any, when the container has ended or its machine has confirmed it.
 func (c *Claims) Remove(id string) {
 	claim := c.claims[id]
 	if claim == nil {
@@ -92,7 +92,7 @@
 	remove(c.byClient, claim.Client, id)
 }
 
-// ClientDisconnected has the claims of a connection that has ended count with those of all that have.
+// ClientDisconnected adds the claims of a connection that has ended to those of all ended connections.
 func (c *Claims) ClientDisconnected(client ClientID) {
 	for id, claim := range c.byClient[client] {
 		claim.Client = 0
@@ -103,20 +103,20 @@
 
 func (c *Claims) add(claim Claim, listed bool) {
 	c.lastNumber++
-	a := &adopted{claim, listed, c.lastNumber}
+	a := &adoptedClaim{claim, listed, c.lastNumber}
 	c.claims[claim.ID] = a
 	insert(c.byMachine, claim.Machine, claim.ID, a)
 	insert(c.byClient, claim.Client, claim.ID, a)
 }
 
-func insert[K comparable](table map[K]map[string]*adopted, key K, id string, claim *adopted) {
+func insert[K comparable](table map[K]map[string]*adoptedClaim, key K, id string, claim *adoptedClaim) {
 	if table[key] == nil {
-		table[key] = map[string]*adopted{}
+		table[key] = map[string]*adoptedClaim{}
 	}
 	table[key][id] = claim
 }
 
-func remove[K comparable](table map[K]map[string]*adopted, key K, id string) {
+func remove[K comparable](table map[K]map[string]*adoptedClaim, key K, id string) {
 	delete(table[key], id)
 	if len(table[key]) == 0 {
 		delete(table, key)
--- a/internal/platform/adoption/adoption_test.go
+++ b/internal/platform/adoption/adoption_test.go
@@ -8,9 +8,9 @@
 	"glenport/internal/testutil"
 )
 
-const cores = 10 // of a machine
+const cores = 10 // per machine
 
-// machineWith is a machine on which so many containers of one core and one unit of memory run.
+// machineWith returns a machine that runs the given number of containers of one core and one unit of memory.
 func machineWith(running int) Machine {
 	mean := Load{Cores: 1, Memory: 1}
 	return Machine{
@@ -20,11 +20,11 @@
 	}
 }
 
-func claimOf(client ClientID, number int, machine string, size float64) Claim {
+func newClaim(client ClientID, number int, machine string, size float64) Claim {
 	return Claim{Client: client, ID: strconv.Itoa(number), Machine: machine, Load: Load{size, size, 1}}
 }
 
-// decideMany has 500 claims of a client decided on, and returns how many were adopted.
+// decideMany decides on 500 claims of a client and returns the number of adopted ones.
 func decideMany(c *Claims, client ClientID, first int, size float64) int {
 	adopted := 0
 	for i := range 500 {
@@ -32,13 +32,13 @@
 		machine := machineWith(len(c.byMachine["a"]))
 		machine.Running.Cores *= size
 		machine.Running.Memory *= size
-		c.Decide(claimOf(client, first+i, "a", size), machine)
+		c.Decide(newClaim(client, first+i, "a", size), machine)
 		adopted += len(c.claims) - before
 	}
 	return adopted
 }
 
-// The claims at a machine are adopted as far as it can run their containers.
+// Claims at a machine are adopted until their containers reach its capacity.
 func TestClaimsAreBoundedByTheMachine(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -47,70 +47,72 @@
 	}{
 		{"of mean size, the last beyond the capacity", 1, 11},
 		{"of half the mean size", 0.5, 21},
-		{"that ask for nothing", 0, cores * containersPerMean},
+		{"that request nothing", 0, cores * containerCountFactor},
 		{"as large as the machine", 10, 2},
 		{"larger than the machine", 10.5, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := New(1000)
 			testutil.Equal(t, decideMany(c, 1, 0, tc.size), tc.adopted, "adopted")
-			testutil.Expect(t, c.LeftOut("499", "a") && !c.LeftOut("499", "b"), "the last is not known as left out")
+			testutil.Expect(t, c.LeftOut("499", "a") && !c.LeftOut("499", "b"),
+				"the last claim is not known as rejected")
 		})
 	}
 }
 
-// The connection with the most claims yields, the newest of its claims first, until others have as many.
-func TestLargestClientYields(t *testing.T) {
+// The connection with the most claims loses them, the newest first, until others have as many.
+func TestLargestClientLosesItsNewestClaims(t *testing.T) {
 	c := New(1000)
 	decideMany(c, 1, 0, 1)
-	d := c.Decide(claimOf(2, 1000, "a", 1), machineWith(11))
-	testutil.Expect(t, d.Adopt, "the claim of another client is left out")
+	d := c.Decide(newClaim(2, 1000, "a", 1), machineWith(11))
+	testutil.Expect(t, d.Adopt, "the claim of another client is rejected")
 	testutil.SlicesEqual(t, d.Displaced, []string{"10"})
-	testutil.Expect(t, c.LeftOut("10", "a") && !c.LeftOut("9", "a"), "the one displaced is not known as left out")
+	testutil.Expect(t, c.LeftOut("10", "a") && !c.LeftOut("9", "a"), "the displaced claim is not known as displaced")
 	decideMany(c, 2, 1001, 1)
-	testutil.Equal(t, len(c.byClient[1]), 6, "claims left of the first client")
+	testutil.Equal(t, len(c.byClient[1]), 6, "remaining claims of the first client")
 	c.ClientDisconnected(1)
 	c.ClientDisconnected(2)
-	testutil.Equal(t, decideMany(c, 3, 2000, 1), 0, "more are adopted")
-	testutil.Equal(t, len(c.byClient[3]), 5, "claims of the third client, after the others have gone")
+	testutil.Equal(t, decideMany(c, 3, 2000, 1), 0, "further claims are adopted")
+	testutil.Equal(t, len(c.byClient[3]), 5, "claims of the third client after the others have disconnected")
 	for id := range c.claims {
 		c.Remove(id)
 	}
-	testutil.Expect(t, len(c.byClient)+len(c.byMachine) == 0, "something is left: %+v", c)
+	testutil.Expect(t, len(c.byClient)+len(c.byMachine) == 0, "not all claims were removed: %+v", c)
 }
 
-// In sum there are so many claims and the first at each listed machine, which does not yield.
-func TestClaimsAreBoundedInSum(t *testing.T) {
+// The total number of claims is bounded by the limit plus the first claim at each listed machine, which is not
+// displaced.
+func TestTotalClaimsAreBounded(t *testing.T) {
 	c := New(5)
 	for i := range 100 {
-		c.Decide(claimOf(1, i, "unknown", 1), Machine{Capacity: NewCapacity(Load{1000, 1000, 0}, Load{1, 1, 1})})
+		c.Decide(newClaim(1, i, "unknown", 1), Machine{Capacity: NewCapacity(Load{1000, 1000, 0}, Load{1, 1, 1})})
 	}
 	testutil.Equal(t, len(c.claims), 5, "claims at a machine that is not listed")
 	for i, name := range []string{"a", "b", "c"} {
-		d := c.Decide(claimOf(1, 100+i, name, 1), machineWith(0))
-		testutil.Expect(t, d.Adopt, "the first at %s is left out", name)
+		d := c.Decide(newClaim(1, 100+i, name, 1), machineWith(0))
+		testutil.Expect(t, d.Adopt, "the first at %s is rejected", name)
 	}
-	d := c.Decide(claimOf(1, 200, "a", 1), machineWith(1))
+	d := c.Decide(newClaim(1, 200, "a", 1), machineWith(1))
 	testutil.Expect(t, !d.Adopt, "the second of the same client is adopted")
-	d = c.Decide(claimOf(2, 201, "a", 1), machineWith(1))
+	d = c.Decide(newClaim(2, 201, "a", 1), machineWith(1))
 	testutil.SlicesEqual(t, d.Displaced, []string{"4"})
 	testutil.Equal(t, MaxClaims(64), 3276, "claims with 64 MB")
 }
 
-// The filter misses none of a hundred thousand, and mistakes few others for one.
+// With a hundred thousand members, the filter has no false negatives and few false positives.
 func TestFilterNeverMisses(t *testing.T) {
 	const members = 100_000
 	var f filter
-	testutil.Expect(t, !f.contains("0", "a"), "it is not empty")
+	testutil.Expect(t, !f.contains("0", "a"), "a new filter is not empty")
 	for i := range members {
 		f.add(fmt.Sprintf("%016x", i), "a")
 	}
 	mistaken := 0
 	for i := range members {
-		testutil.Expect(t, f.contains(fmt.Sprintf("%016x", i), "a"), "%d is missed", i)
+		testutil.Expect(t, f.contains(fmt.Sprintf("%016x", i), "a"), "member %d is not found", i)
 		if f.contains(fmt.Sprintf("%016x", i), "b") {
 			mistaken++
 		}
 	}
-	testutil.Expect(t, mistaken < members/50, "%d others are mistaken for members", mistaken)
+	testutil.Expect(t, mistaken < members/50, "%d false positives", mistaken)
 }
--- a/internal/platform/adoption/capacity.go
+++ b/internal/platform/adoption/capacity.go
@@ -1,9 +1,10 @@
 package adoption
 
-// containersPerMean says how many times as many containers a machine may run as it could run of mean size.
-const containersPerMean = 4
+// containerCountFactor is the ratio of the maximum number of containers on a machine to the number that would fit if
+// all were of mean size.
+const containerCountFactor = 4
 
-// Load is what containers ask for.
+// Load is the sum of the resources that containers request, and the number of containers.
 type Load struct {
 	Cores, Memory float64
 	Containers    int
@@ -14,36 +15,36 @@
 	return Load{l.Cores + other.Cores, l.Memory + other.Memory, l.Containers + other.Containers}
 }
 
-// Sub returns a load without a part of it.
+// Sub returns the load that remains when part is removed.
 func (l Load) Sub(part Load) Load {
 	return Load{l.Cores - part.Cores, l.Memory - part.Memory, l.Containers - part.Containers}
 }
 
-// Capacity is what the containers of a machine may ask for.
+// Capacity is the maximum load of a machine.
 type Capacity Load
 
-// NewCapacity is the capacity of a machine that honors requests for so many cores and so much memory, where a container
-// asks for mean in the mean.
+// NewCapacity returns the capacity of a machine with the given honored capacity of cores and memory, where mean is the
+// average load of a container.
 func NewCapacity(honored, mean Load) Capacity {
 	ofMeanSize := max(honored.Cores/mean.Cores, honored.Memory/mean.Memory)
-	honored.Containers = int(containersPerMean * max(1, ofMeanSize))
+	honored.Containers = int(containerCountFactor * max(1, ofMeanSize))
 	return Capacity(honored)
 }
 
-// Max returns what the larger of two capacities has of each kind.
+// Max returns the larger of two capacities in each dimension.
 func (c Capacity) Max(other Capacity) Capacity {
 	return Capacity{
 		max(c.Cores, other.Cores), max(c.Memory, other.Memory), max(c.Containers, other.Containers),
 	}
 }
 
-// hasRoom reports whether a machine with a load may have accepted a container. Machines accept one while what they have
-// accepted does not exceed their capacity, so that the last may exceed it.
+// hasRoom reports whether a machine with the given load would accept another container. Machines accept a container
+// while their load does not exceed their capacity, so the last accepted container may exceed it.
 func (c Capacity) hasRoom(load Load) bool {
 	return load.Cores <= c.Cores && load.Memory <= c.Memory && load.Containers < c.Containers
 }
 
-// mayHold reports whether a container alone fits.
-func (c Capacity) mayHold(container Load) bool {
+// canHold reports whether a single container fits into the capacity.
+func (c Capacity) canHold(container Load) bool {
 	return container.Cores <= c.Cores && container.Memory <= c.Memory
 }
--- a/internal/platform/adoption/displace.go
+++ b/internal/platform/adoption/displace.go
@@ -2,87 +2,92 @@
 
 import "slices"
 
-// yielding is which adopted claims give way to one that comes.
-type yielding struct {
-	claims *Claims
-	to     ClientID
-	chosen []*adopted
-	counts map[ClientID]int // how many of chosen each client has
+// displacement selects the adopted claims that a new claim displaces.
+type displacement struct {
+	claims  *Claims
+	client  ClientID // the client of the new claim
+	victims []*adoptedClaim
+	counts  map[ClientID]int // number of victims by client
 }
 
-// makeRoom returns the claims to displace so that a new one fits, and whether it does.
-func (c *Claims) makeRoom(claim Claim, machine Machine) (displaced []*adopted, fits bool) {
-	if !machine.Capacity.mayHold(claim.Load) {
+// makeRoom reports whether a new claim fits. If so, it returns the claims that have to be displaced.
+func (c *Claims) makeRoom(claim Claim, machine Machine) (displaced []*adoptedClaim, fits bool) {
+	if !machine.Capacity.canHold(claim.Load) {
 		return nil, false
 	}
-	y := &yielding{claims: c, to: claim.Client, counts: map[ClientID]int{}}
+	d := &displacement{claims: c, client: claim.Client, counts: map[ClientID]int{}}
 	running := machine.Running
 	for !machine.Capacity.hasRoom(running) {
-		victim := y.choose(c.byMachine[claim.Machine])
+		victim := d.chooseVictim(c.byMachine[claim.Machine])
 		if victim == nil {
 			return nil, false
 		}
 		running = running.Sub(victim.Load)
 	}
-	if len(c.claims)-len(y.chosen) < c.limit || machine.Listed && machine.Running.Containers == 0 {
-		return y.chosen, true
+	if len(c.claims)-len(d.victims) < c.limit || machine.Listed && machine.Running.Containers == 0 {
+		return d.victims, true
 	}
 	largest := c.largestClient()
-	if !y.mayYield(largest) {
-		return nil, false // without a look at each of its claims
+	if !d.canLoseClaim(largest) {
+		return nil, false // without iterating over its claims
 	}
-	return y.chosen, y.choose(c.byClient[largest]) != nil
+	return d.victims, d.chooseVictim(c.byClient[largest]) != nil
 }
 
-// watches reports whether a claim is the only one at a listed machine. It is adopted beyond the limit in sum and does
-// not yield: while something runs there, the scheduler has a connection on which the machine reports other ends too.
-func (c *Claims) watches(claim *adopted) bool {
+// isOnlyAtListedMachine reports whether a claim is the only one at a listed machine. Such a claim is adopted beyond the
+// total limit and is not displaced: as long as a container counts as running there, the scheduler keeps a connection to
+// the machine, on which the machine also reports the ends of other containers.
+func (c *Claims) isOnlyAtListedMachine(claim *adoptedClaim) bool {
 	return claim.listed && len(c.byMachine[claim.Machine]) == 1
 }
 
-// largestClient is the connection with the most claims, of several the latest.
+// largestClient returns the connection with the most claims; of several, the latest.
 func (c *Claims) largestClient() ClientID {
 	var largest ClientID
 	for client, claims := range c.byClient {
-		most := len(c.byClient[largest])
-		if len(claims) > most || len(claims) == most && client > largest {
+		maxClaims := len(c.byClient[largest])
+		if len(claims) > maxClaims || len(claims) == maxClaims && client > largest {
 			largest = client
 		}
 	}
 	return largest
 }
 
-// choose chooses one of the candidates, the newest of the connection with the most claims; nil where none has to yield.
-func (y *yielding) choose(candidates map[string]*adopted) *adopted {
-	var victim *adopted
+// chooseVictim chooses the newest candidate of the connection with the most claims. It returns nil if none can be
+// displaced.
+func (d *displacement) chooseVictim(candidates map[string]*adoptedClaim) *adoptedClaim {
+	var victim *adoptedClaim
 	for _, candidate := range candidates {
-		if y.hasToYield(candidate) && (victim == nil || y.yieldsBefore(candidate, victim)) {
+		if d.isDisplaceable(candidate) && (victim == nil || d.isDisplacedBefore(candidate, victim)) {
 			victim = candidate
 		}
 	}
 	if victim != nil {
-		y.chosen = append(y.chosen, victim)
-		y.counts[victim.Client]++
+		d.victims = append(d.victims, victim)
+		d.counts[victim.Client]++
 	}
 	return victim
 }
 
-// hasToYield reports whether a claim gives way to the one that comes.
-func (y *yielding) hasToYield(candidate *adopted) bool {
-	return y.mayYield(candidate.Client) && !y.claims.watches(candidate) && !slices.Contains(y.chosen, candidate)
+// isDisplaceable reports whether a claim can be displaced by the new one.
+func (d *displacement) isDisplaceable(candidate *adoptedClaim) bool {
+	return d.canLoseClaim(candidate.Client) && !d.claims.isOnlyAtListedMachine(candidate) &&
+		!slices.Contains(d.victims, candidate)
 }
 
-// mayYield reports whether a connection that gives up a claim keeps as many as the other connection then has.
-func (y *yielding) mayYield(client ClientID) bool {
-	return y.kept(client) > len(y.claims.byClient[y.to])+1
+// canLoseClaim reports whether a connection that loses a claim still has at least as many as the connection of the new
+// claim then has.
+func (d *displacement) canLoseClaim(client ClientID) bool {
+	return d.claimsLeft(client) > len(d.claims.byClient[d.client])+1
 }
 
-func (y *yielding) yieldsBefore(candidate, other *adopted) bool {
-	kept, keptOther := y.kept(candidate.Client), y.kept(other.Client)
-	return kept > keptOther || kept == keptOther && candidate.number > other.number
+// isDisplacedBefore reports whether candidate is displaced in preference to other.
+func (d *displacement) isDisplacedBefore(candidate, other *adoptedClaim) bool {
+	left, otherLeft := d.claimsLeft(candidate.Client), d.claimsLeft(other.Client)
+	return left > otherLeft || left == otherLeft && candidate.number > other.number
 }
 
-// kept is how many claims a connection has left.
-func (y *yielding) kept(client ClientID) int {
-	return len(y.claims.byClient[client]) - y.counts[client]
+// claimsLeft returns the number of claims that a connection has left.
+func (d *displacement) claimsLeft(client ClientID) int {
+	return len(d.claims.byClient[client]) - d.counts[client]
 }
--- a/internal/platform/adoption/doc.go
+++ b/internal/platform/adoption/doc.go
@@ -1,22 +1,25 @@
-// Package adoption decides which of the containers that clients claim to be running are adopted. A scheduler that has
-// just started learns from claims alone what runs; but anybody can send them, and machines do not answer for one.
+// Package adoption decides which of the containers that clients claim to be running are adopted, that is, counted as
+// running. A scheduler that has just started learns only from claims which containers are running. However, any client
+// can send a claim, and the scheduler cannot ask a machine whether a claim is true.
 //
 // # Limits
 //
-// A machine accepts requests up to its honored capacity, so that the true claims at it do not exceed that. A claim for
-// which it leaves no room is false, or one of those adopted before it is. Nor does a machine run more than
-// containersPerMean times as many containers as it could of mean size, which bounds claims that ask for next to
-// nothing. In sum, claims may use a part of the memory that the platform grants, beyond
-// one for each machine of the list.
+// A machine accepts requests up to its honored capacity, so the containers that really run there do not exceed it. If a
+// claim does not fit into the capacity, then it or a claim adopted earlier is false. In addition, a machine runs at
+// most containerCountFactor times as many containers as would fit if all were of mean size; this bounds claims of very
+// small containers. In total, claims may use a fixed fraction of the memory that the platform grants, plus the first
+// claim at each machine of the machine list.
 //
-// At a limit the client connection with the most claims yields: its newest one is displaced by the claim of a
-// connection that has at least two fewer, and of others the claim that comes is left out. So a connection that floods
-// the scheduler takes room from itself only. Claims whose connections have ended count together, as those of one.
+// At a limit, the client connection with the most claims loses its newest one, which is displaced by the claim of a
+// connection that has at least two fewer. A new claim of any other connection is rejected. Therefore a connection that
+// floods the scheduler displaces only its own claims. The claims of all ended connections count as those of one
+// connection.
 //
-// A claim that a machine has confirmed, by a report on its container, counts as an accept does and is not displaced.
+// A claim that its machine has confirmed by a report on the container counts like an accept and is not displaced.
 //
-// # Claims that are not adopted
+// # Rejected claims
 //
-// They are not counted by the scheduler, but the end that a machine reports of such a container is notified all the
-// same. For this they are kept in a filter of fixed size, which never misses one and mistakes a few others for one.
+// The scheduler does not count a rejected or displaced claim, but it still notifies clients if a machine reports the
+// end of the container. For this, such claims are kept in a filter of fixed size, which has no false negatives and few
+// false positives.
 package adoption
--- a/internal/platform/adoption/filter.go
+++ b/internal/platform/adoption/filter.go
@@ -2,21 +2,21 @@
 
 import "hash/fnv"
 
-// Size of the filter: of 100,000 claims, 1 in 100 others is mistaken for one.
+// Size of the filter. With 100,000 members, about 1 in 100 other claims is a false positive.
 const (
 	filterBits    = 1 << 20 // 128 KiB
 	bitsPerMember = 4
 )
 
-// filter is a set of fixed size that never misses a member, and mistakes some others for members. It has no memory
-// until it has a first member.
+// filter is a Bloom filter: a set of fixed size without false negatives and with some false positives. It allocates its
+// memory when the first member is added.
 type filter struct{ words []uint64 }
 
 func (f *filter) add(id, machine string) {
 	if f.words == nil {
 		f.words = make([]uint64, filterBits/64)
 	}
-	for _, bit := range bitsOf(id, machine) {
+	for _, bit := range memberBits(id, machine) {
 		f.words[bit/64] |= 1 << (bit % 64)
 	}
 }
@@ -25,7 +25,7 @@
 	if f.words == nil {
 		return false
 	}
-	for _, bit := range bitsOf(id, machine) {
+	for _, bit := range memberBits(id, machine) {
 		if f.words[bit/64]&(1<<(bit%64)) == 0 {
 			return false
 		}
@@ -33,10 +33,10 @@
 	return true
 }
 
-// bitsOf are the bits of one member, which two halves of a hash give.
-func bitsOf(id, machine string) [bitsPerMember]uint64 {
+// memberBits returns the bits of one member, derived from the two halves of a hash.
+func memberBits(id, machine string) [bitsPerMember]uint64 {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(id + "\x00" + machine)) // it cannot fail
+	_, _ = hash.Write([]byte(id + "\x00" + machine)) // never fails
 	sum := hash.Sum64()
 	first, step := sum>>32, sum|1
 	var bits [bitsPerMember]uint64
--- a/internal/platform/adoption/golden_test.go
+++ b/internal/platform/adoption/golden_test.go
@@ -11,13 +11,13 @@
 	"glenport/internal/golden"
 )
 
-// TestDecisionsAreUnchanged compares every decision on random sequences of claims with those recorded.
+// TestDecisionsAreUnchanged compares the decisions on random sequences of claims with the recorded ones.
 func TestDecisionsAreUnchanged(t *testing.T) {
 	var got strings.Builder
 	for _, group := range []struct {
 		name                  string
 		seed                  uint64
-		limit, machines, size int // size: the largest container, in tenths of the mean
+		limit, machines, size int // size: upper bound of the container sizes, in tenths of the mean
 	}{
 		{"few machines", 1, 1000, 3, 20},
 		{"small containers", 2, 1000, 3, 2},
@@ -39,11 +39,11 @@
 	golden.CheckText(t, "testdata/decisions.txt", got.String())
 }
 
-// sequence is a run of random events on one set of claims.
+// sequence is a sequence of random events for one set of claims.
 type sequence struct {
 	random  *rand.Rand
 	claims  *Claims
-	running []Load // of each machine, by the claims that were adopted there
+	running []Load // adopted load of each machine
 	number  int
 }
 
@@ -69,7 +69,7 @@
 	decision := s.claims.Decide(claim, machine)
 	d.Add(0, decision.Adopt, strings.Join(decision.Displaced, ","))
 	for _, id := range decision.Displaced {
-		s.ended(before[id].Claim)
+		s.containerEnded(before[id].Claim)
 	}
 	if decision.Adopt {
 		s.running[i] = s.running[i].Add(tenths)
@@ -78,12 +78,12 @@
 
 func (s *sequence) remove(id string) {
 	if adopted := s.claims.claims[id]; adopted != nil {
-		s.ended(adopted.Claim)
+		s.containerEnded(adopted.Claim)
 		s.claims.Remove(id)
 	}
 }
 
-func (s *sequence) ended(claim Claim) {
-	i, _ := strconv.Atoi(claim.Machine) // as decide has named it
+func (s *sequence) containerEnded(claim Claim) {
+	i, _ := strconv.Atoi(claim.Machine) // decide names machines by their index
 	s.running[i] = s.running[i].Sub(claim.Load)
 }
