--- a/internal/platform/failuredetector/detector.go
+++ b/internal/platform/failuredetector/detector.go
@@ -1,8 +1,9 @@
-// Package failuredetector decides when the containers on a machine that has fallen silent are lost. A machine that
-// crashes may send nothing at all, and the owners of its containers are to be notified in time. It also holds the ends
-// of containers that machines report before an owner reclaims them.
+// Package failuredetector decides when a machine that has stopped sending is lost, and with it its containers. A
+// machine that crashes may not send anything, but the owners of its containers have to be notified in time. The package
+// also holds terminations that machines report before an owner has reclaimed the container.
 //
-// It does no I/O and has no clock: the process passes in events with the time and carries out the actions.
+// The package performs no I/O and reads no clock: the process passes in events with the current time and carries out
+// the returned actions.
 package failuredetector
 
 import (
@@ -13,34 +14,34 @@
 // Time is a clock reading or a duration, in tenths of a millisecond.
 type Time int64
 
-// Second is the unit of the limits below.
+// Second is one second in units of Time.
 const Second Time = 10_000
 
-// An owner is to be notified within 8 s of the end of its container. A machine that is partitioned for less than
-// lostAfterSilence keeps what it runs.
+// Time limits of silent machines. An owner has to be notified within 8 s of the end of its container. The containers on
+// a machine that is partitioned for less than lostAfterSilence are not lost.
 const (
-	suspectAfter     = 2 * Second          // silence after which connections to a machine are tried
-	connectInterval  = Second              // between two tries
-	lostAfterSilence = 6*Second + Second/2 // silence after which a machine is lost
+	suspectAfter     = 2 * Second          // silence after which the detector tries to connect to a machine
+	connectInterval  = Second              // between two connection attempts
+	lostAfterSilence = 6*Second + Second/2 // silence after which a machine is declared lost
 )
 
 // Detector monitors the machines on which containers run, and owns the terminations that no client has claimed yet.
 type Detector struct {
 	machines  map[string]*monitoredMachine
-	unclaimed []heldTermination // the earliest first, at most maxUnclaimed
+	unclaimed []heldTermination // oldest first, at most maxUnclaimed
 }
 
 // monitoredMachine is a machine on which containers run.
 type monitoredMachine struct {
 	id             string
 	lastActivityAt Time
-	lastConnectAt  Time // when a connection was last tried; 0 if none was since the last activity
+	lastConnectAt  Time // when a connection was last tried; 0 if not since the last activity
 }
 
 // New returns a detector that monitors no machine yet.
 func New() *Detector { return &Detector{machines: map[string]*monitoredMachine{}} }
 
-// Handle takes in a batch of events that happened by now and returns the actions to carry out, in order.
+// Handle processes a batch of events that occurred at or before now. It returns the actions to carry out, in order.
 func (d *Detector) Handle(now Time, events []Event) []Action {
 	var actions []Action
 	for _, event := range events {
@@ -91,7 +92,7 @@
 	return []Action{DeclareLost{Machine: e.Machine}}
 }
 
-// checkMachines tries to connect to silent machines and declares those lost that stay silent.
+// checkMachines tries to connect to silent machines, and declares machines lost that remain silent.
 func (d *Detector) checkMachines(now Time) []Action {
 	var actions []Action
 	for _, m := range d.sortedMachines() {
--- a/internal/platform/failuredetector/detector_test.go
+++ b/internal/platform/failuredetector/detector_test.go
@@ -6,7 +6,7 @@
 	"glenport/internal/testutil"
 )
 
-// handleTick handles an event, if any, and a tick, and ends the containers on a machine that is lost.
+// handleTick handles an event, if any, and a tick. It ends the containers on a machine that is declared lost.
 func handleTick(d *Detector, now Time, event Event) (connects int, lost bool) {
 	events := []Event{Tick{}}
 	if event != nil {
@@ -26,9 +26,9 @@
 
 const tenth = Second / 10
 
-// untilLost lets time pass, with events, until machine a is lost or has had the time to. It counts the connections that
-// are tried, and gives the moment of the loss.
-func untilLost(d *Detector, events map[Time]Event) (connects int, lostAt Time) {
+// runUntilLost advances the time, with events, until machine a is declared lost or 15 s have passed. It returns the
+// number of attempted connections and the time of the loss, or 0.
+func runUntilLost(d *Detector, events map[Time]Event) (connects int, lostAt Time) {
 	for now := 2 * tenth; now < 15*Second; now += tenth {
 		tried, lost := handleTick(d, now, events[now])
 		connects += tried
@@ -39,11 +39,11 @@
 	return connects, 0
 }
 
-// Connections are tried to a machine that falls silent, and it is lost only if it stays silent.
+// The detector tries to connect to a silent machine and declares it lost only if it remains silent.
 func TestSilentMachineIsDeclaredLost(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
-		events   map[Time]Event // at a tenth of a second
+		events   map[Time]Event // by time, in multiples of a tenth of a second
 		connects int
 		lostAt   Time
 	}{
@@ -64,9 +64,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			d := New()
 			d.Handle(tenth, []Event{RunningCountChanged{"a", 3}})
-			connects, lostAt := untilLost(d, tc.events)
+			connects, lostAt := runUntilLost(d, tc.events)
 			testutil.Expect(t, connects == tc.connects && lostAt == tc.lostAt,
-				"%d connects, lost at %d, want %d and %d", connects, lostAt, tc.connects, tc.lostAt)
+				"%d connection attempts, lost at %d, want %d and %d", connects, lostAt, tc.connects, tc.lostAt)
 			testutil.Expect(t, len(d.machines) == 0, "%d machines are still monitored", len(d.machines))
 		})
 	}
--- a/internal/platform/failuredetector/golden_test.go
+++ b/internal/platform/failuredetector/golden_test.go
@@ -11,8 +11,8 @@
 
 const digestFile = "testdata/decisions.txt"
 
-// digest folds decisions into a hash. It knows no names of types or fields: an action counts by its ordinal below and
-// its values in order.
+// digest hashes decisions. It does not include the names of types or fields: an action is hashed as its ordinal below
+// and its values in order.
 type digest struct{ *golden.Digest }
 
 func (d *digest) action(now Time, action Action) {
@@ -34,11 +34,11 @@
 	}
 }
 
-// sequence is a run of random events on one detector.
+// sequence is a sequence of random events for one detector.
 type sequence struct {
 	random   *rand.Rand
 	now      Time
-	grid     Time // time passes in multiples of it; 0: as it comes
+	grid     Time // time advances in multiples of it; 0: by arbitrary amounts
 	machines int
 	requests int
 }
@@ -46,7 +46,7 @@
 func (s *sequence) machine() string { return fmt.Sprintf("m-%d", s.random.IntN(s.machines)) }
 func (s *sequence) request() string { return fmt.Sprintf("%016x", s.random.IntN(s.requests)) }
 
-func (s *sequence) countRunning() Event {
+func (s *sequence) changeRunningCount() Event {
 	return RunningCountChanged{Machine: s.machine(), Count: s.random.IntN(4)}
 }
 
@@ -54,12 +54,12 @@
 	return ContainerReclaimed{Machine: s.machine(), RequestID: s.request()}
 }
 
-// weights say how often each event comes; a group of sequences has its own.
+// weights are the relative frequencies of the events in a group of sequences.
 type weights struct{ count, activity, refused, terminated, reclaimed, tick int }
 
 func (s *sequence) event(w weights) Event {
 	return golden.Draw(s.random,
-		golden.Choose(w.count, s.countRunning),
+		golden.Choose(w.count, s.changeRunningCount),
 		golden.Choose(w.activity, func() Event { return ActivityObserved{Machine: s.machine()} }),
 		golden.Choose(w.refused, func() Event { return ConnectionRefused{Machine: s.machine()} }),
 		golden.Choose(w.terminated, func() Event {
@@ -70,7 +70,7 @@
 	)
 }
 
-// wait lets time pass. A sequence on a grid meets deadlines exactly.
+// wait advances the time. On a grid, events fall exactly on deadlines.
 func (s *sequence) wait() {
 	if s.grid > 0 {
 		s.now += s.grid * Time(s.random.IntN(3))
@@ -79,13 +79,13 @@
 	s.now += golden.DrawWait(s.random, Second)
 }
 
-func (s *sequence) run(d *digest, batches, longest int, w weights) {
+func (s *sequence) run(d *digest, batches, batchLimit int, w weights) {
 	detector := New()
 	s.now = Time(s.random.IntN(1000))
 	for range batches {
 		s.wait()
-		events := make([]Event, 0, longest)
-		for range 1 + s.random.IntN(longest) {
+		events := make([]Event, 0, batchLimit)
+		for range 1 + s.random.IntN(batchLimit) {
 			events = append(events, s.event(w))
 		}
 		for _, a := range detector.Handle(s.now, events) {
@@ -94,13 +94,13 @@
 	}
 }
 
-// group says how to make a group of sequences.
+// group describes a group of sequences.
 type group struct {
 	name                string
 	seed                uint64
 	sequences           int
-	machines, requests  int // how many identifiers there are to choose from
-	batches, batchLimit int // batches of a sequence, and the most events in one
+	machines, requests  int // number of identifiers to choose from
+	batches, batchLimit int // batches per sequence, and the maximum number of events in each
 	weights             weights
 }
 
@@ -117,7 +117,7 @@
 	}
 }
 
-// TestDecisionsAreUnchanged compares every decision on some thousand random sequences of events with those recorded.
+// TestDecisionsAreUnchanged compares the decisions on some thousand random sequences of events with the recorded ones.
 func TestDecisionsAreUnchanged(t *testing.T) {
 	var got strings.Builder
 	for _, group := range []group{
--- a/internal/platform/failuredetector/unclaimed.go
+++ b/internal/platform/failuredetector/unclaimed.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Bounds of the terminations that are held for an owner that has yet to reclaim the container.
+// Limits of the terminations that are held until an owner reclaims the container.
 const (
 	unclaimedTTL = 10 * Second
 	maxUnclaimed = 4096
@@ -14,13 +14,13 @@
 	receivedAt Time
 }
 
-// hold keeps a termination; at the bound the earliest is dropped for it.
+// hold holds a termination. If there are maxUnclaimed already, the oldest is dropped.
 func (d *Detector) hold(now Time, e UnclaimedTermination) {
 	excess := max(0, len(d.unclaimed)+1-maxUnclaimed)
 	d.unclaimed = append(d.unclaimed[excess:], heldTermination{UnclaimedTermination: e, receivedAt: now})
 }
 
-// containerReclaimed reports the earliest held termination of a container, once.
+// containerReclaimed reports the oldest held termination of a container and removes it.
 func (d *Detector) containerReclaimed(e ContainerReclaimed) []Action {
 	i := slices.IndexFunc(d.unclaimed, func(h heldTermination) bool {
 		return h.Machine == e.Machine && h.RequestID == e.RequestID
--- a/internal/platform/failuredetector/unclaimed_test.go
+++ b/internal/platform/failuredetector/unclaimed_test.go
@@ -7,8 +7,8 @@
 	"glenport/internal/testutil"
 )
 
-// A termination that came before the reclaim is reported then, once; unclaimed ones are held for a while and not
-// without bound.
+// A termination that was received before the reclaim is reported once at the reclaim. Unclaimed terminations are held
+// for a limited time and in limited number.
 func TestEarlyTerminationIsReportedAtReclaim(t *testing.T) {
 	early := UnclaimedTermination{"a", "x", 16}
 	many := make([]Event, maxUnclaimed+5)
@@ -37,7 +37,7 @@
 			want := []Action{ReportTermination{tc.reclaim.Machine, tc.reclaim.RequestID, 16}}[:tc.want]
 			testutil.SlicesEqual(t, d.Handle(tc.after, []Event{Tick{}, tc.reclaim}), want)
 			if d.Handle(tc.after+unclaimedTTL+1, []Event{Tick{}}); len(d.unclaimed) > 0 {
-				t.Errorf("%d terminations are held for good", len(d.unclaimed))
+				t.Errorf("%d terminations are held beyond the time limit", len(d.unclaimed))
 			}
 		})
 	}
