--- a/internal/platform/jsonlines/codec.go
+++ b/internal/platform/jsonlines/codec.go
@@ -10,7 +10,7 @@
 
 const requestIDDigits = 16
 
-// Decode decodes and validates a line without its end.
+// Decode decodes and validates a line, which is passed without its line end.
 func Decode(line []byte) (*Message, error) {
 	if !utf8.Valid(line) {
 		return nil, ErrInvalidUTF8
@@ -53,7 +53,7 @@
 	return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F'
 }
 
-// Append appends a message as a line to dst. The message must be valid. On an error it returns dst as it was.
+// Append appends a message to dst as a line. The message must be valid. If it fails, it returns dst unchanged.
 func Append(dst []byte, m *Message) ([]byte, error) {
 	fields, err := encodeFields(m.Fields)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return dst, nil
 }
 
-// encodeFields encodes fields as an object in the order of their names, without the escapes that HTML would need.
+// encodeFields encodes fields as a JSON object, sorted by name and without HTML escaping.
 func encodeFields(fields Fields) ([]byte, error) {
 	if fields == nil {
 		fields = Fields{}
--- a/internal/platform/jsonlines/codec_test.go
+++ b/internal/platform/jsonlines/codec_test.go
@@ -9,14 +9,14 @@
 	"glenport/internal/testutil"
 )
 
-// isA matches errors of a type.
-func isA[E error](err error) bool {
+// hasType reports whether an error is or wraps one of type E.
+func hasType[E error](err error) bool {
 	var target E
 	return errors.As(err, &target)
 }
 
-// is matches errors that wrap a sentinel.
-func is(sentinel error) func(error) bool {
+// wraps returns a function that reports whether an error wraps sentinel.
+func wraps(sentinel error) func(error) bool {
 	return func(err error) bool { return errors.Is(err, sentinel) }
 }
 
@@ -31,23 +31,23 @@
 		{"end", `{"op":"end",` + call + `,"with":{},"why":34}`, "", none},
 		{"no fields", `{"op":"ended",` + call + `}`, "", none},
 		{"unknown keys", `{"op":"ended",` + call + `,"more":[1,{}]}`, "", none},
-		{"no object", `[1]`, "no message", is(ErrMalformed)},
-		{"no JSON", `{"op":"end"`, "no message", is(ErrMalformed)},
-		{"unknown op", `{"op":"run",` + call + `}`, `op "run" is not known`, isA[*UnknownOpError]},
-		{"no call", `{"op":"end","why":16}`, "is not 16 hex digits", isA[*RequestIDError]},
-		{"call is no hex", `{"op":"end","call":"9b1f03aa5c7e2d4g"}`, "is not 16 hex digits", isA[*RequestIDError]},
-		{"call is a number", `{"op":"end","call":7}`, "no message", is(ErrMalformed)},
-		{"cause is text", `{"op":"end",` + call + `,"why":"x"}`, "no message", is(ErrMalformed)},
-		{"cause is huge", `{"op":"end",` + call + `,"why":1e30}`, "no message", is(ErrMalformed)},
+		{"no object", `[1]`, "no message", wraps(ErrMalformed)},
+		{"no JSON", `{"op":"end"`, "no message", wraps(ErrMalformed)},
+		{"unknown op", `{"op":"run",` + call + `}`, `op "run" is not known`, hasType[*UnknownOpError]},
+		{"no call", `{"op":"end","why":16}`, "is not 16 hex digits", hasType[*RequestIDError]},
+		{"call is no hex", `{"op":"end","call":"9b1f03aa5c7e2d4g"}`, "is not 16 hex digits", hasType[*RequestIDError]},
+		{"call is a number", `{"op":"end","call":7}`, "no message", wraps(ErrMalformed)},
+		{"cause is text", `{"op":"end",` + call + `,"why":"x"}`, "no message", wraps(ErrMalformed)},
+		{"cause is huge", `{"op":"end",` + call + `,"why":1e30}`, "no message", wraps(ErrMalformed)},
 		{
 			"field is a list", `{"op":"offer",` + call + `,"with":{"left":[1]}}`,
-			"with.left is neither text nor a number", isA[*FieldTypeError],
+			"with.left is neither text nor a number", hasType[*FieldTypeError],
 		},
 		{
 			"description is a number", `{"op":"accept",` + call + `,"desc":5}`,
-			"desc is no text", is(ErrInvalidDescription),
+			"desc is no text", wraps(ErrInvalidDescription),
 		},
-		{"not UTF-8", `{"op":"accept",` + call + `,"desc":"` + "\xff" + `"}`, "not UTF-8", is(ErrInvalidUTF8)},
+		{"not UTF-8", `{"op":"accept",` + call + `,"desc":"` + "\xff" + `"}`, "not UTF-8", wraps(ErrInvalidUTF8)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			_, err := Decode([]byte(tc.line))
@@ -59,7 +59,7 @@
 	}
 }
 
-// A decoded message is encoded again with its description byte for byte and its numbers as they were written.
+// Decoding and encoding a message preserves its description byte for byte and the notation of its numbers.
 func TestMessageSurvivesRoundTrip(t *testing.T) {
 	const start, end = `{"op":"offer","call":"9b1f03aa5c7e2d41","with":{`, `},"why":0,"desc":"a\u00e9\/\r\n"}`
 	m, err := Decode([]byte(start + `"left":1500,"key":"<k>"` + end))
@@ -68,7 +68,7 @@
 	want := start + `"key":"<k>","left":"1500"` + end + "\n"
 	testutil.Expect(t, err == nil && string(out) == want, "%s, %v", out, err)
 	m.Fields["key"] = strings.Repeat("x", MaxLineBytes)
-	if out, err := Append([]byte("kept"), m); !isA[*MessageSizeError](err) || string(out) != "kept" {
+	if out, err := Append([]byte("kept"), m); !hasType[*MessageSizeError](err) || string(out) != "kept" {
 		t.Errorf("a message over the limit: %d bytes, %v", len(out), err)
 	}
 }
--- a/internal/platform/jsonlines/errors.go
+++ b/internal/platform/jsonlines/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Errors of Decode. What the JSON library reports is wrapped beside ErrMalformed.
+// Errors returned by Decode. ErrMalformed is wrapped together with the error of the JSON library.
 var (
 	ErrInvalidUTF8        = errors.New("the line is not UTF-8")
 	ErrMalformed          = errors.New("no message")
@@ -40,14 +40,14 @@
 	return fmt.Sprintf("a message of %d bytes is over the limit of %d", e.Bytes, MaxLineBytes)
 }
 
-// LineLengthError is returned by LineSplitter.Feed for a line that exceeds its limit.
+// LineLengthError is returned by LineSplitter.Feed for a line that exceeds the limit.
 type LineLengthError struct{ MaxBytes int }
 
 func (e *LineLengthError) Error() string {
 	return fmt.Sprintf("a line of over %d bytes", e.MaxBytes)
 }
 
-// truncate bounds how much of a peer's input goes into an error.
+// truncate limits how much of a peer's input is included in an error.
 func truncate(s string) string {
 	const maxBytes = 32
 	return s[:min(len(s), maxBytes)]
--- a/internal/platform/jsonlines/golden_test.go
+++ b/internal/platform/jsonlines/golden_test.go
@@ -14,7 +14,7 @@
 	"glenport/internal/testutil"
 )
 
-// describe writes every value of a message by its name on the wire.
+// describe formats every value of a message under its name on the wire.
 func describe(m *Message) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "op=%q call=%q", string(m.Op), m.RequestID)
@@ -38,8 +38,8 @@
 	return b.String()
 }
 
-// failure writes an error without what the JSON library says of types of the program.
-func failure(err error) string {
+// errorText formats an error without the names of Go types that the JSON library includes in its message.
+func errorText(err error) string {
 	text := err.Error()
 	if wrongType, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
 		place := fmt.Sprintf("<%s at %s, byte %d>", wrongType.Value, wrongType.Field, wrongType.Offset)
@@ -48,37 +48,37 @@
 	return text
 }
 
-const id = `"call":"9b1f03aa5c7e2d41"`
+const callMember = `"call":"9b1f03aa5c7e2d41"`
 
-// validLines are lines of every type with every field that a peer sends.
+// validLines are messages of every type, with every field that a peer sends.
 var validLines = []string{
-	`{"op":"offer",` + id + `,"with":{"class":"batch","key":"t1:k7","left":1500,"tenant":"t1","retry":"1",` +
+	`{"op":"offer",` + callMember + `,"with":{"class":"batch","key":"t1:k7","left":1500,"tenant":"t1","retry":"1",` +
 		`"idem":"5f","extras":"service:c7;cores:2;memory:1.5;again:1"},"desc":"a\r\nb"}`,
-	`{"op":"offer",` + id +
+	`{"op":"offer",` + callMember +
 		`,"with":{"class":"web","key":"t2:k8","left":"900","extras":"at:m:4;service:c8"},"desc":""}`,
-	`{"op":"ringing",` + id + `,"with":{},"why":0}`,
-	`{"op":"accept",` + id + `,"with":{"load":"cpu:0.5;mem:0.25"},"desc":"made\u0020here\/\u00e9\ud83d\ude00"}`,
-	`{"op":"end",` + id + `,"with":{"note":"cpu_full","load":"cpu:0.97;x:1"},"why":34}`,
-	`{"op":"end",` + id + `,"with":{"wait":250},"why":41,"desc":"why"}`,
-	`{"op":"end",` + id + `,"with":{"note":"oom"},"why":16}`,
-	`{"op":"end",` + id + `,"why":31}`,
-	`{"op":"end",` + id + `,"why":47}`,
-	`{"op":"end",` + id + `,"why":100}`,
-	`{"op":"end",` + id + `,"why":102}`,
-	`{"op":"end",` + id + `,"why":-1}`,
-	`{"op":"end",` + id + `,"why":null}`,
-	`{"op":"ended",` + id + `}`,
-	`{"op":"test",` + id + `,"with":{},"why":1}`,
-	`{"op":"tested",` + id + `,"with":{"load":"cpu:0.5"},"why":0}`,
-	`{"op":"info",` + id + `,"with":{"note":"cpu","value":0.125}}`,
-	`{"op":"info",` + id + `,"with":{"note":"up","value":-1.5e-3}}`,
-	`{"op":"redirect",` + id + `,"with":{"to":"127.0.0.1:9"}}`,
+	`{"op":"ringing",` + callMember + `,"with":{},"why":0}`,
+	`{"op":"accept",` + callMember + `,"with":{"load":"cpu:0.5;mem:0.25"},"desc":"made\u0020here\/\u00e9\ud83d\ude00"}`,
+	`{"op":"end",` + callMember + `,"with":{"note":"cpu_full","load":"cpu:0.97;x:1"},"why":34}`,
+	`{"op":"end",` + callMember + `,"with":{"wait":250},"why":41,"desc":"why"}`,
+	`{"op":"end",` + callMember + `,"with":{"note":"oom"},"why":16}`,
+	`{"op":"end",` + callMember + `,"why":31}`,
+	`{"op":"end",` + callMember + `,"why":47}`,
+	`{"op":"end",` + callMember + `,"why":100}`,
+	`{"op":"end",` + callMember + `,"why":102}`,
+	`{"op":"end",` + callMember + `,"why":-1}`,
+	`{"op":"end",` + callMember + `,"why":null}`,
+	`{"op":"ended",` + callMember + `}`,
+	`{"op":"test",` + callMember + `,"with":{},"why":1}`,
+	`{"op":"tested",` + callMember + `,"with":{"load":"cpu:0.5"},"why":0}`,
+	`{"op":"info",` + callMember + `,"with":{"note":"cpu","value":0.125}}`,
+	`{"op":"info",` + callMember + `,"with":{"note":"up","value":-1.5e-3}}`,
+	`{"op":"redirect",` + callMember + `,"with":{"to":"127.0.0.1:9"}}`,
 	`  {"op" : "ended" , "call":"ABCDEFabcdef0123" , "more":[1,{}] , "with":null}  `,
 	`{"OP":"ended","Call":"0000000000000000","WITH":{"A":"1","a":"2"},"Why":7,"DESC":"x"}`,
-	`{"op":"end","op":"ended",` + id + `,"call":"1111111111111111","with":{"a":"1","a":"2"},"with":{"b":3}}`,
+	`{"op":"end","op":"ended",` + callMember + `,"call":"1111111111111111","with":{"a":"1","a":"2"},"with":{"b":3}}`,
 }
 
-// invalidLines are lines that are no message.
+// invalidLines are lines that are not messages.
 var invalidLines = []string{
 	``,
 	` `,
@@ -89,47 +89,47 @@
 	`{`,
 	`{"op":"end"`,
 	`{"op":"end",}`,
-	`{"op":"ended",` + id + `}{}`,
+	`{"op":"ended",` + callMember + `}{}`,
 	"\x00",
 	`{}`,
-	`{"op":"run",` + id + `}`,
-	`{"op":"",` + id + `}`,
-	`{"op":"END",` + id + `}`,
-	`{"op":7,` + id + `}`,
-	`{"op":"` + strings.Repeat("o", 100) + `",` + id + `}`,
+	`{"op":"run",` + callMember + `}`,
+	`{"op":"",` + callMember + `}`,
+	`{"op":"END",` + callMember + `}`,
+	`{"op":7,` + callMember + `}`,
+	`{"op":"` + strings.Repeat("o", 100) + `",` + callMember + `}`,
 	`{"op":"end","why":16}`,
 	`{"op":"end","call":"9b1f03aa5c7e2d4g"}`,
 	`{"op":"end","call":"9b1f03aa5c7e2d4"}`,
 	`{"op":"end","call":"9b1f03aa5c7e2d411"}`,
 	`{"op":"end","call":7}`,
 	`{"op":"end","call":"` + strings.Repeat("0", 100) + `"}`,
-	`{"op":"end",` + id + `,"why":"x"}`,
-	`{"op":"end",` + id + `,"why":1.5}`,
-	`{"op":"end",` + id + `,"why":1e30}`,
-	`{"op":"end",` + id + `,"why":{}}`,
-	`{"op":"offer",` + id + `,"with":{"left":[1]}}`,
-	`{"op":"offer",` + id + `,"with":{"left":true}}`,
-	`{"op":"offer",` + id + `,"with":{"left":null}}`,
-	`{"op":"offer",` + id + `,"with":{"left":{}}}`,
-	`{"op":"offer",` + id + `,"with":[]}`,
-	`{"op":"offer",` + id + `,"with":"x"}`,
-	`{"op":"accept",` + id + `,"desc":null}`,
-	`{"op":"accept",` + id + `,"desc":5}`,
-	`{"op":"accept",` + id + `,"desc":["x"]}`,
-	`{"op":"accept",` + id + `,"desc":true}`,
-	`{"op":"accept",` + id + `,"desc":"` + "\xff" + `"}`,
-	`{"op":"accept",` + id + `,"desc":"` + "a\tb" + `"}`,
+	`{"op":"end",` + callMember + `,"why":"x"}`,
+	`{"op":"end",` + callMember + `,"why":1.5}`,
+	`{"op":"end",` + callMember + `,"why":1e30}`,
+	`{"op":"end",` + callMember + `,"why":{}}`,
+	`{"op":"offer",` + callMember + `,"with":{"left":[1]}}`,
+	`{"op":"offer",` + callMember + `,"with":{"left":true}}`,
+	`{"op":"offer",` + callMember + `,"with":{"left":null}}`,
+	`{"op":"offer",` + callMember + `,"with":{"left":{}}}`,
+	`{"op":"offer",` + callMember + `,"with":[]}`,
+	`{"op":"offer",` + callMember + `,"with":"x"}`,
+	`{"op":"accept",` + callMember + `,"desc":null}`,
+	`{"op":"accept",` + callMember + `,"desc":5}`,
+	`{"op":"accept",` + callMember + `,"desc":["x"]}`,
+	`{"op":"accept",` + callMember + `,"desc":true}`,
+	`{"op":"accept",` + callMember + `,"desc":"` + "\xff" + `"}`,
+	`{"op":"accept",` + callMember + `,"desc":"` + "a\tb" + `"}`,
 }
 
-// TestDecodedMessagesAreUnchanged reads lines of every type, and lines that are none, and compares every value or
-// error.
+// TestDecodedMessagesAreUnchanged decodes messages of every type and invalid lines, and compares every value or error
+// with the recorded one.
 func TestDecodedMessagesAreUnchanged(t *testing.T) {
 	var got bytes.Buffer
 	for _, line := range slices.Concat(validLines, invalidLines) {
 		m, err := Decode([]byte(line))
 		if err != nil {
-			testutil.Expect(t, m == nil, "%s: a message and an error", line)
-			fmt.Fprintf(&got, "%q\n\terror: %s\n", line, failure(err))
+			testutil.Expect(t, m == nil, "%s: returned both a message and an error", line)
+			fmt.Fprintf(&got, "%q\n\terror: %s\n", line, errorText(err))
 			continue
 		}
 		fmt.Fprintf(&got, "%q\n\t%s\n", line, describe(m))
@@ -137,7 +137,8 @@
 	golden.CheckText(t, "testdata/decoded.txt", got.String())
 }
 
-// TestEncodedMessagesAreUnchanged writes messages of every type with every field set and compares the bytes.
+// TestEncodedMessagesAreUnchanged encodes messages of every type, with every field set, and compares the bytes with the
+// recorded ones.
 func TestEncodedMessagesAreUnchanged(t *testing.T) {
 	const call = "9b1f03aa5c7e2d41"
 	var got []byte
@@ -172,7 +173,7 @@
 	golden.CheckText(t, "testdata/encoded.txt", string(got))
 }
 
-// TestDecodedMessagesAreEncodedAgain writes what was read from each valid line and compares the bytes.
+// TestDecodedMessagesAreEncodedAgain decodes and encodes each valid line and compares the bytes with the recorded ones.
 func TestDecodedMessagesAreEncodedAgain(t *testing.T) {
 	var got []byte
 	for _, line := range validLines {
@@ -184,9 +185,10 @@
 	golden.CheckText(t, "testdata/encoded-again.txt", string(got))
 }
 
-// TestLinesAreSplitAsBefore feeds streams in pieces and compares the lines, what is left, and the error, at each limit.
+// TestLinesAreSplitAsBefore feeds streams in pieces, at and around the limit. It compares the lines, the number of
+// buffered bytes and the error with the recorded ones.
 func TestLinesAreSplitAsBefore(t *testing.T) {
-	refused := errors.New("the reader refuses this line")
+	errRefused := errors.New("the reader refuses this line")
 	var got bytes.Buffer
 	for _, in := range []string{
 		"", "\n", "\r\n", "a\nbc\r\n\n", "a\nbc", "123456789\n", "1234567890\n", "12345678\r\n", "123456789\r\n",
@@ -199,7 +201,7 @@
 				err := lines.Feed(p[:min(step, len(p))], func(line []byte) error {
 					fmt.Fprintf(&got, " %q", line)
 					if string(line) == "stop" {
-						return refused
+						return errRefused
 					}
 					return nil
 				})
@@ -213,7 +215,8 @@
 	golden.CheckText(t, "testdata/split.txt", got.String())
 }
 
-// TestMessagesOverTheLimitAreNotEncoded finds the longest message by its bytes.
+// TestMessagesOverTheLimitAreNotEncoded encodes messages just below and above the limit and compares the results with
+// the recorded ones.
 func TestMessagesOverTheLimitAreNotEncoded(t *testing.T) {
 	var got bytes.Buffer
 	fmt.Fprintf(&got, "limit %d\n", MaxLineBytes)
--- a/internal/platform/jsonlines/message.go
+++ b/internal/platform/jsonlines/message.go
@@ -1,5 +1,6 @@
-// Package jsonlines encodes and decodes the messages of the platform's protocol, one JSON object a line. It bounds
-// what it reads and does no I/O. The names of a message's members on the wire ("call", "with", "why", "desc") end here.
+// Package jsonlines encodes and decodes the messages of the platform's protocol, which are one JSON object per line. It
+// limits the size of its input and performs no I/O. Its callers use Go names for the members of a message, not the
+// names on the wire ("call", "with", "why", "desc").
 package jsonlines
 
 import (
@@ -7,18 +8,18 @@
 	"fmt"
 )
 
-// MaxLineBytes is the length of the longest line of a message, its end included.
+// MaxLineBytes is the maximum length of a message's line, including the line end.
 const MaxLineBytes = 16 << 10
 
 // Op is the type of a message.
 type Op string
 
-// The types of messages. A scheduler acts on OpOffer, OpEnd, OpEnded and OpTest of clients, and on OpAccept, OpEnd,
-// OpInfo and OpTested of machines. The others are valid and have no effect.
+// Types of messages. A scheduler handles OpOffer, OpEnd, OpEnded and OpTest from clients, and OpAccept, OpEnd, OpInfo
+// and OpTested from machines. All others are valid and have no effect.
 const (
-	OpOffer    Op = "offer"  // a container to be placed; from a client also one that runs already
+	OpOffer    Op = "offer"  // requests a placement, or, from a client, claims a running container
 	OpAccept   Op = "accept" // the container is placed
-	OpEnd      Op = "end"    // the request or the container is over, or is to be ended; see the causes
+	OpEnd      Op = "end"    // ends a request or a container, or reports its end; see the causes
 	OpEnded    Op = "ended"  // acknowledges OpEnd
 	OpTest     Op = "test"   // health check
 	OpTested   Op = "tested" // result of a health check
@@ -35,7 +36,7 @@
 	return false
 }
 
-// Results in the cause of OpTested. In OpTest, CauseTestPassed asks for a load report.
+// Causes of OpTested: the result of the health check. In OpTest, CauseTestPassed requests a load report.
 const (
 	CauseTestFailed = 0
 	CauseTestPassed = 1
@@ -43,13 +44,13 @@
 
 // Causes of OpEnd.
 const (
-	CauseNormal           = 16  // before the answer the request is cancelled, after it the container has finished
-	CauseCancelled        = 31  // moved, or ended by its owner
-	CauseNoCapacity       = 34  // never ran; a client may safely retry
-	CauseTemporaryFailure = 41  // failed, lost on its way or cut short; it may have run
-	CauseError            = 47  // the machine failed to run it
+	CauseNormal           = 16  // before the answer: the request is cancelled; after it: the container has finished
+	CauseCancelled        = 31  // the container was moved, or ended by its owner
+	CauseNoCapacity       = 34  // the container never ran; a client may safely retry
+	CauseTemporaryFailure = 41  // failed, lost in transit or interrupted; the container may have run
+	CauseError            = 47  // the machine failed to run the container
 	CauseInvalidContents  = 100 // the request cannot be served
-	CauseNotSent          = 102 // never reached a machine
+	CauseNotSent          = 102 // the request never reached a machine
 )
 
 // CauseNone stands for a message without a cause.
@@ -72,7 +73,7 @@
 	return *m.Cause
 }
 
-// Fields are the named values of a message. Numbers are kept as they were written.
+// Fields are the named values of a message. A number is kept in its original notation.
 type Fields map[string]string
 
 // UnmarshalJSON decodes an object of strings and numbers.
--- a/internal/platform/jsonlines/splitter.go
+++ b/internal/platform/jsonlines/splitter.go
@@ -2,26 +2,27 @@
 
 import "bytes"
 
-// maxRetainedBytes bounds the buffer that a splitter retains between lines.
+// maxRetainedBytes is the maximum capacity of the buffer that a splitter retains between lines.
 const maxRetainedBytes = 1 << 10
 
-// LineSplitter splits a stream into lines of less than MaxBytes, their end not included. Its buffer holds the
-// incomplete line, and is empty between lines.
+// LineSplitter splits a stream into lines that are shorter than MaxBytes without their line end. Its buffer holds the
+// incomplete line and is empty between lines.
 type LineSplitter struct {
 	MaxBytes int
 	partial  []byte
-	lines    int   // passed on so far
-	err      error // the first one; it ends the stream
+	lines    int   // number of lines passed to handle
+	err      error // the first error, which ends the stream
 }
 
 // Buffered returns the number of bytes of the incomplete line.
 func (s *LineSplitter) Buffered() int { return len(s.partial) }
 
-// Lines returns the number of lines that were passed on.
+// Lines returns the number of lines passed to the handlers of Feed.
 func (s *LineSplitter) Lines() int { return s.lines }
 
-// Feed passes each line that p completes to handle, without its end; the line is valid until handle returns. The first
-// error, of handle or a *LineLengthError, is returned by this and every later call, and nothing more is passed on.
+// Feed passes each line that p completes to handle, without the line end. The line is valid until handle returns. The
+// first error, either from handle or a *LineLengthError, stops the splitter: this call and all later calls return it
+// and pass no further lines.
 func (s *LineSplitter) Feed(p []byte, handle func(line []byte) error) error {
 	for len(p) > 0 && s.err == nil {
 		end := bytes.IndexByte(p, '\n')
@@ -42,8 +43,8 @@
 	return s.err
 }
 
-// exceedsLimit reports whether the current line is too long, given its next bytes and where among them it ends; -1 says
-// that it does not.
+// exceedsLimit reports whether the current line is too long. The slice p holds the next bytes, and end is the index of
+// the line end in p, or -1 if p contains none.
 func (s *LineSplitter) exceedsLimit(p []byte, end int) bool {
 	if end < 0 {
 		end = len(p)
@@ -51,7 +52,7 @@
 	return len(s.partial)+end >= s.MaxBytes
 }
 
-// complete returns the current line, given its last bytes.
+// complete returns the current line, which ends with the bytes last.
 func (s *LineSplitter) complete(last []byte) []byte {
 	line := last
 	if len(s.partial) > 0 {
--- a/internal/platform/jsonlines/splitter_test.go
+++ b/internal/platform/jsonlines/splitter_test.go
@@ -30,7 +30,7 @@
 					})
 				}
 				if got != tc.lines || splitter.Buffered() != tc.buffered || (err != nil) != tc.tooLong ||
-					tc.tooLong && !isA[*LineLengthError](err) {
+					tc.tooLong && !hasType[*LineLengthError](err) {
 					t.Errorf("lines %q, %d bytes buffered, error %v", got, splitter.Buffered(), err)
 				}
 			})
