--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -1,8 +1,13 @@
-// Package statemachine holds the transitions of state machines as tables, in three forms: a Table, where an event leads
-// to one state; Choices, where it may lead to several and the caller decides by facts; and Successors, where the caller
-// names the next state alone. A transition that a table does not have is a *TransitionError, and the state stays.
+// Package statemachine defines state machines by tables of their transitions. There are three kinds of tables:
 //
-// The tables are shown on docs/state-machines.md and in the package comments; statemachinetest compares them.
+//   - Table: an event in a state leads to exactly one state.
+//   - Choices: an event in a state may lead to several states, and the caller chooses one of them.
+//   - Successors: there are no events, and the caller names the next state.
+//
+// A transition that is not in the table returns a *TransitionError and leaves the state unchanged.
+//
+// The tables are documented in docs/state-machines.md and in package comments. Package statemachinetest compares these
+// with the code.
 package statemachine
 
 import (
@@ -12,22 +17,22 @@
 	"slices"
 )
 
-// name is the type of a state or an event: a string, or a small integer with a String method. The order of its values
-// is the order in which they are listed.
-type name interface{ ~string | ~uint8 }
+// symbol is the constraint of states and events: a string, or a small integer with a String method. States and events
+// are listed in the order of their values.
+type symbol interface{ ~string | ~uint8 }
 
-// Unnamed is the subject of a state machine whose log line says what has the state.
+// Unnamed is the subject for errors whose log line already names the object that has the state.
 const Unnamed = ""
 
-// TransitionError is a transition that a state machine does not have.
+// TransitionError reports a transition that is not in the table of a state machine.
 type TransitionError struct {
-	Subject string // what has the state; Unnamed where the log line says it
+	Subject string // the object that has the state, or Unnamed
 	From    string
 	Event   string // empty for Successors
-	To      string // empty for a Table
+	To      string // empty for Table
 }
 
-// Error implements error.
+// Error returns the subject, if it is named, and the illegal transition.
 func (e *TransitionError) Error() string {
 	return e.prefix() + e.reason()
 }
@@ -50,7 +55,7 @@
 	}
 }
 
-// text is the text of a subject, a state or an event.
+// text formats a subject, a state or an event.
 func text(v any) string { return fmt.Sprint(v) }
 
 func sortedKeys[Key cmp.Ordered, Value any](m map[Key]Value) []Key {
--- a/internal/statemachine/statemachine_test.go
+++ b/internal/statemachine/statemachine_test.go
@@ -27,7 +27,7 @@
 
 var doorTable = Table[doorState, doorEvent]{closed: {opened: open, unhinged: removed}, open: {unhinged: removed}}
 
-func TestEventFollowsTheTableOrIsATypedError(t *testing.T) {
+func TestTableAppliesEventOrReturnsTypedError(t *testing.T) {
 	state := closed
 	if err := doorTable.Apply("door", &state, opened); state != open || err != nil {
 		t.Errorf("got %v, %v", state, err)
@@ -56,7 +56,7 @@
 	}
 }
 
-// jobState and jobEvent are strings.
+// jobState and jobEvent are strings, in contrast to doorState and doorEvent.
 type (
 	jobState string
 	jobEvent string
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestStateFollowsOnlyItsPredecessors(t *testing.T) {
+func TestStateChangesOnlyToSuccessors(t *testing.T) {
 	successors := Successors[jobState]{toRun: {toRun, running}, running: {done}}
 	state := toRun
 	for _, to := range []jobState{toRun, running, done} {
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestDiagramJoinsEventsAndMarksBothEnds(t *testing.T) {
+func TestDiagramMergesEventsAndMarksInitialAndFinalStates(t *testing.T) {
 	table := Table[jobState, jobEvent]{
 		toRun:   {"begun": running, "canceled": done},
 		running: {ended: done, "lost": done, "stopped": toRun},
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestErrorSaysWhatHappenedInWhichState(t *testing.T) {
+func TestTransitionErrorText(t *testing.T) {
 	for want, illegal := range map[string]TransitionError{
 		`event "ended" is illegal in state "done"`:      {From: "done", Event: "ended"},
 		`job: event "ended" is illegal in state "done"`: {Subject: "job", From: "done", Event: "ended"},
--- a/internal/statemachine/statemachinetest/comment.go
+++ b/internal/statemachine/statemachinetest/comment.go
@@ -12,27 +12,27 @@
 
 const (
 	bar         = "|"
-	stateColumn = "state" // head of the first column
-	eventColumn = "event" // head of the second column, where there is a row for each state and event
-	noState     = "-"     // in place of a next state: the event is illegal
+	stateColumn = "state" // header of the first column
+	eventColumn = "event" // header of the second column, if there is a row for each state and event
+	noState     = "-"     // in place of the next state if the event is illegal
 )
 
-// CommentTable is a table of states in a package comment: either with a row for each state and event, which has the
-// next state in the third column, or with a row for each state and a column for each event.
+// CommentTable is a state table in a package comment. It has either a row for each state and event, with the next state
+// in the third column, or a row for each state and a column for each event.
 type CommentTable struct {
 	Paragraph string // the first line of the paragraph above the table
 	Head      []string
 	Rows      [][]string
 }
 
-// CommentTables are the tables of states in doc.go of the package under test. Columns are divided by bars, or by gaps
-// of two spaces at least, and then the first is headed "state".
+// CommentTables returns the state tables in doc.go of the package under test. Columns are separated by bars or by at
+// least two spaces. In the latter case, the header of the first column must be "state".
 func CommentTables(t *testing.T) []CommentTable {
 	t.Helper()
 	var tables []CommentTable
 	var paragraph string
 	var block []string
-	paragraphIsOver := true
+	paragraphEnded := true
 	for line := range strings.Lines(string(testutil.ReadFile(t, "doc.go"))) {
 		comment := strings.TrimPrefix(strings.TrimRight(line, "\n"), "//")
 		if row, isRow := strings.CutPrefix(comment, "\t"); isRow {
@@ -43,10 +43,10 @@
 			tables = append(tables, newCommentTable(paragraph, block))
 		}
 		block = nil
-		if paragraphIsOver {
+		if paragraphEnded {
 			paragraph = strings.TrimSpace(comment)
 		}
-		paragraphIsOver = comment == ""
+		paragraphEnded = comment == ""
 	}
 	return tables
 }
@@ -97,7 +97,7 @@
 	return all
 }
 
-// transitions are those of a cell, which names one state, several states or none.
+// transitions returns the transitions of one cell, which lists one next state, several or none.
 func transitions(from, event, next string) []statemachine.Transition {
 	if next == noState {
 		return nil
@@ -121,7 +121,7 @@
 	}
 }
 
-// checkStates compares the rows with the states of a machine, those that no event leaves included.
+// checkStates compares the rows with the states of a machine, including final states.
 func (c CommentTable) checkStates(t *testing.T, machine statemachine.Machine) {
 	t.Helper()
 	var got []string
@@ -136,8 +136,8 @@
 
 func sortedLines(all []statemachine.Transition) []string {
 	var lines []string
-	for _, each := range all {
-		lines = append(lines, each.From+" | "+each.Event+" | "+each.To)
+	for _, t := range all {
+		lines = append(lines, t.From+" | "+t.Event+" | "+t.To)
 	}
 	slices.Sort(lines)
 	return lines
--- a/internal/statemachine/statemachinetest/statemachinetest.go
+++ b/internal/statemachine/statemachinetest/statemachinetest.go
@@ -1,5 +1,5 @@
-// Package statemachinetest compares the state machines of a package with what its comment and docs/state-machines.md
-// say of them. Only tests import it.
+// Package statemachinetest compares the state machines of a package with the tables in its package comment and with
+// docs/state-machines.md. Only tests import it.
 package statemachinetest
 
 import (
@@ -14,16 +14,16 @@
 	"glenport/internal/testutil"
 )
 
-// Machines are state machines by how the paragraph above their table in the package comment begins.
+// Machines maps the beginning of the paragraph above a table in the package comment to the state machine of the table.
 type Machines map[string]statemachine.Machine
 
-// CheckComment compares the tables in doc.go of the package under test with the machines of the code. There must be a
-// table for each machine, and no other.
+// CheckComment compares the tables in doc.go of the package under test with the machines of the code. There must be
+// exactly one table for each machine.
 func CheckComment(t *testing.T, machines Machines) {
 	t.Helper()
 	tables := CommentTables(t)
 	if len(tables) != len(machines) {
-		t.Errorf("doc.go has %d tables of states, want %d", len(tables), len(machines))
+		t.Errorf("doc.go has %d state tables, want %d", len(tables), len(machines))
 	}
 	for start, machine := range machines {
 		i := slices.IndexFunc(tables, func(c CommentTable) bool { return strings.HasPrefix(c.Paragraph, start) })
@@ -35,20 +35,20 @@
 	}
 }
 
-// Shown is a machine as docs/state-machines.md shows it.
+// Shown is a machine and its diagram as expected in docs/state-machines.md.
 type Shown struct {
 	machine statemachine.Machine
 	diagram string
 }
 
-// Begin says in which states a machine that the page shows may begin.
+// Begin returns a machine as expected on the page, given the states in which it may begin.
 func Begin[State any](machine statemachine.Machine, initial ...State) Shown {
 	return Shown{machine, statemachine.Diagram(machine, initial...)}
 }
 
-// CheckPage compares a chapter of docs/state-machines.md with the machines of the code, which are given by the heading
-// of their section: the diagram, and the table where there is one. Arrows of Successors, which have no events, may be
-// labelled freely. There must be a section for each machine, and no other.
+// CheckPage compares a chapter of docs/state-machines.md with the machines of the code, which are given by the headings
+// of their sections. It compares the diagram of each section, and the table if there is one. Arrows of Successors,
+// which have no events, may have any label. There must be exactly one section for each machine.
 func CheckPage(t *testing.T, chapter string, machines map[string]Shown) {
 	t.Helper()
 	sections := readChapter(t, chapter)
@@ -80,10 +80,10 @@
 
 const page = "docs/state-machines.md"
 
-// section is the text of the page below a heading of the third level.
+// section is the text of the page below a third-level heading.
 type section string
 
-// readChapter returns the sections below a heading of the second level by their own heading.
+// readChapter returns the sections below a second-level heading, by their own heading.
 func readChapter(t *testing.T, chapter string) map[string]section {
 	t.Helper()
 	text := string(testutil.ReadFile(t, filepath.Join(repositoryRoot(t), page)))
@@ -100,7 +100,7 @@
 	return sections
 }
 
-// diagram is the first mermaid diagram of a section.
+// diagram returns the first Mermaid diagram of a section.
 func (s section) diagram() string {
 	_, rest, _ := strings.Cut(string(s), "```mermaid\n")
 	text, _, _ := strings.Cut(rest, "\n```")
@@ -109,7 +109,7 @@
 
 var arrowLabel = regexp.MustCompile(`(?m): .*$`)
 
-// table is the lines of a section that belong to a table.
+// table returns the lines of a section that belong to a table.
 func (s section) table() string {
 	var rows []string
 	for line := range strings.SplitSeq(string(s), "\n") {
--- a/internal/statemachine/successors.go
+++ b/internal/statemachine/successors.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// Successors gives the states that may follow a state, itself included where it may be entered anew.
-type Successors[State name] map[State][]State
+// Successors maps each state to the possible next states. A state that may be re-entered is among its own successors.
+type Successors[State symbol] map[State][]State
 
-// Apply changes a state to one that may follow it. The subject is what has the state; it is formatted only for the
-// error.
+// Apply changes a state to one of its successors. The subject is the object that has the state; it is formatted only
+// for the error.
 func (s Successors[State]) Apply(subject any, state *State, to State) error {
 	if !slices.Contains(s[*state], to) {
 		return &TransitionError{Subject: text(subject), From: text(*state), To: text(to)}
@@ -15,7 +15,7 @@
 	return nil
 }
 
-// Transitions implements Machine. It leaves out where a state is entered anew.
+// Transitions implements Machine. It omits transitions from a state to itself.
 func (s Successors[State]) Transitions() []Transition {
 	var all []Transition
 	for _, from := range sortedKeys(s) {
--- a/internal/statemachine/table.go
+++ b/internal/statemachine/table.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Table gives the state that follows a state by an event.
-type Table[State, Event name] map[State]map[Event]State
+// Table maps each state and event to the next state.
+type Table[State, Event symbol] map[State]map[Event]State
 
-// Apply changes a state by an event. The subject is what has the state; it is formatted only for the error.
+// Apply applies an event to a state. The subject is the object that has the state; it is formatted only for the error.
 func (t Table[State, Event]) Apply(subject any, state *State, event Event) error {
 	next, legal := t[*state][event]
 	if !legal {
@@ -26,13 +26,13 @@
 	return all
 }
 
-// Choices gives the states to which an event may lead from a state.
-type Choices[State, Event name] map[State]map[Event][]State
+// Choices maps each state and event to the possible next states.
+type Choices[State, Event symbol] map[State]map[Event][]State
 
-// Apply changes a state by an event to one of the states to which that may lead. The subject is what has the state; it
-// is formatted only for the error.
+// Apply applies an event to a state; the next state, to, must be one of the possible ones. The subject is the object
+// that has the state; it is formatted only for the error.
 //
-//nolint:revive // confusing-naming takes methods of two types with two type parameters each for those of one
+//nolint:revive // confusing-naming mistakes the methods of two types with two type parameters for those of one
 func (c Choices[State, Event]) Apply(subject any, state *State, event Event, to State) error {
 	if !slices.Contains(c[*state][event], to) {
 		return &TransitionError{Subject: text(subject), From: text(*state), Event: text(event), To: text(to)}
@@ -43,7 +43,7 @@
 
 // Transitions implements Machine.
 //
-//nolint:revive // confusing-naming takes methods of two types with two type parameters each for those of one
+//nolint:revive // confusing-naming mistakes the methods of two types with two type parameters for those of one
 func (c Choices[State, Event]) Transitions() []Transition {
 	var all []Transition
 	for _, from := range sortedKeys(c) {
--- a/internal/statemachine/text.go
+++ b/internal/statemachine/text.go
@@ -6,33 +6,36 @@
 	"strings"
 )
 
-// Transition is one transition as text.
+// Transition is a transition in text form.
 type Transition struct {
 	From  string
 	Event string // empty for Successors
 	To    string
 }
 
-// Machine lists the transitions of a Table, of Choices or of Successors.
+// Machine is a state machine: a Table, Choices or Successors.
 type Machine interface {
+	// Transitions lists the transitions, ordered by state and event.
 	Transitions() []Transition
 }
 
-// Markdown is a machine as a table with a row for each state and event, and with the states that may follow.
+// Markdown returns a Markdown table of a machine, with one row for each state and event. The last column lists the
+// possible next states.
 func Markdown(machine Machine) string {
 	lines := []string{"| state | event | next state |", "| --- | --- | --- |"}
-	for _, row := range rows(machine.Transitions()) {
+	for _, row := range tableRows(machine.Transitions()) {
 		lines = append(lines, fmt.Sprintf("| %s | %s | %s |", row.from, row.event, strings.Join(row.next, ", ")))
 	}
 	return strings.Join(lines, "\n")
 }
 
+// tableRow is a row of the Markdown table.
 type tableRow struct {
 	from, event string
 	next        []string
 }
 
-func rows(transitions []Transition) []tableRow {
+func tableRows(transitions []Transition) []tableRow {
 	var all []tableRow
 	for _, t := range transitions {
 		if last := len(all) - 1; last >= 0 && all[last].from == t.From && all[last].event == t.Event {
@@ -44,37 +47,37 @@
 	return all
 }
 
-// Diagram is a machine as a mermaid state diagram, without the fence. It begins in one of the initial states and goes
-// on in the order in which they lead to others; a state that leads to no other is final.
+// Diagram returns a Mermaid state diagram of a machine, without the code fence. States are listed breadth first from
+// the initial states. A state that leads to no other state is final.
 func Diagram[State any](machine Machine, initial ...State) string {
 	var starts []string
 	for _, state := range initial {
 		starts = append(starts, text(state))
 	}
-	edges := mergedEdges(machine.Transitions())
+	edges := mergeEdges(machine.Transitions())
 	states := statesInOrder(edges, starts)
 	lines := []string{"stateDiagram-v2"}
 	for _, state := range states {
-		if id := identifier(state); id != state {
+		if id := diagramID(state); id != state {
 			lines = append(lines, fmt.Sprintf("    state %q as %s", state, id))
 		}
 	}
 	for _, state := range starts {
-		lines = append(lines, "    [*] --> "+identifier(state))
+		lines = append(lines, "    [*] --> "+diagramID(state))
 	}
 	for _, state := range states {
-		lines = append(lines, leaving(edges, state)...)
+		lines = append(lines, outgoingLines(edges, state)...)
 	}
 	return strings.Join(lines, "\n")
 }
 
-// edge joins two states by all events that lead from one to the other.
+// edge is an arrow of the diagram, labelled with all events that lead from one state to the other.
 type edge struct {
 	from, to string
 	events   []string
 }
 
-func mergedEdges(transitions []Transition) []edge {
+func mergeEdges(transitions []Transition) []edge {
 	var edges []edge
 	for _, t := range transitions {
 		i := slices.IndexFunc(edges, func(e edge) bool { return e.from == t.From && e.to == t.To })
@@ -89,7 +92,8 @@
 	return edges
 }
 
-// statesInOrder lists the states breadth first from the initial ones, and then those that these do not lead to.
+// statesInOrder lists the states breadth first from the initial ones, followed by states that cannot be reached from
+// these.
 func statesInOrder(edges []edge, starts []string) []string {
 	var states []string
 	for next := starts; len(next) > 0; {
@@ -113,15 +117,15 @@
 	return states
 }
 
-// leaving are the lines of a diagram that leave a state.
-func leaving(edges []edge, state string) []string {
+// outgoingLines returns the lines of a diagram for the transitions that leave a state.
+func outgoingLines(edges []edge, state string) []string {
 	var lines []string
 	isFinal := true
 	for _, e := range edges {
 		if e.from != state {
 			continue
 		}
-		line := fmt.Sprintf("    %s --> %s", identifier(e.from), identifier(e.to))
+		line := fmt.Sprintf("    %s --> %s", diagramID(e.from), diagramID(e.to))
 		if len(e.events) > 0 {
 			line += ": " + strings.Join(e.events, ", ")
 		}
@@ -129,13 +133,13 @@
 		isFinal = isFinal && e.to == state
 	}
 	if isFinal {
-		lines = append(lines, fmt.Sprintf("    %s --> [*]", identifier(state)))
+		lines = append(lines, fmt.Sprintf("    %s --> [*]", diagramID(state)))
 	}
 	return lines
 }
 
-// identifier is the name of a state in a diagram, where neither spaces nor hyphens may stand.
-func identifier(state string) string { return strings.NewReplacer(" ", "_", "-", "_").Replace(state) }
+// diagramID returns the ID of a state in a diagram, in which spaces and hyphens are not allowed.
+func diagramID(state string) string { return strings.NewReplacer(" ", "_", "-", "_").Replace(state) }
 
 // States lists the states of a machine in alphabetical order.
 func States(machine Machine) []string {
