--- a/internal/golden/draw.go
+++ b/internal/golden/draw.go
@@ -2,16 +2,17 @@
 
 import "math/rand/v2"
 
-// Choice is one of several events that a seeded sequence may draw.
+// Choice is an event that a seeded random sequence may draw, with its weight.
 type Choice[E any] struct {
 	weight int
 	event  func() E
 }
 
-// Choose returns a choice that is drawn as often as its weight says; event makes it.
-func Choose[E any](weight int, event func() E) Choice[E] { return Choice[E]{weight, event} }
+// NewChoice returns a choice that is drawn with a probability in proportion to its weight. The function event creates
+// the event.
+func NewChoice[E any](weight int, event func() E) Choice[E] { return Choice[E]{weight, event} }
 
-// Draw draws one of the choices and makes its event.
+// Draw draws one of the choices at random and returns its event. At least one weight must be positive.
 func Draw[E any](random *rand.Rand, choices ...Choice[E]) E {
 	total := 0
 	for _, c := range choices {
@@ -26,8 +27,8 @@
 	panic("golden: no choice has a weight")
 }
 
-// DrawWait draws for how long a sequence waits before its next events: mostly little, now and then so long that every
-// deadline is over.
+// DrawWait draws how long a sequence waits before its next events. Most waits are short; a few are long enough for
+// every deadline to pass.
 func DrawWait[T ~int64](random *rand.Rand, second T) T {
 	switch n := random.IntN(100); {
 	case n < 40:
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,13 +1,14 @@
-// Package golden compares what tests find with what is recorded in testdata, so that a refactoring which changes a
-// decision, its order or its time turns a test red. Many results are folded into a digest; few are recorded as text.
+// Package golden compares test results with results recorded in testdata. A refactoring that changes a decision, its
+// order or its time therefore fails a test. Large sets of results are recorded as a hash (a digest), small ones as
+// text.
 //
-// A digest depends on values and their order alone, not on the names of types and fields: it survives a rename or a
-// move. Each record has an ordinal that the test gives its type and never changes. Struct fields count by position, so
-// a field that is added, removed or moved changes the digest. Add folds a record with the number of its values; a test
-// whose recorded digests were folded otherwise uses Numbers, Text, Value, Bytes and Printf, which add nothing of their
-// own.
+// A digest depends only on values and their order, not on the names of types and fields, so it survives renames and
+// moves. Each type of record has an ordinal, which the test defines and never changes. Struct fields are hashed by
+// position, so adding, removing or moving a field changes the digest. Add hashes a record including its number of
+// values. A test whose recorded digests have another format uses Numbers, Text, Value, Bytes and Printf, which add
+// nothing to the format on their own.
 //
-// Only tests import this package; a test's flag -update records its files anew, which a refactoring never needs.
+// Only tests import this package. The test flag -update overwrites the recorded files, which a refactoring never needs.
 package golden
 
 import (
@@ -26,17 +27,17 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "record the files of testdata anew")
+var update = flag.Bool("update", false, "overwrite the recorded files in testdata")
 
-// maxDifferences is the number of differing lines that a failure prints.
+// maxDifferences is the maximum number of differing lines in a failure message.
 const maxDifferences = 20
 
-// Updating reports whether the flag -update asks for the recorded files to be written anew. Tests that record more than
-// a text, such as a folder, ask it themselves.
+// Updating reports whether the flag -update is set, so that the recorded files are overwritten. Tests that record more
+// than a text, such as a folder, call it themselves.
 func Updating() bool { return *update }
 
-// CheckText compares a text byte for byte, its last line end included, with that recorded in a file, or records it
-// where the flag -update is given.
+// CheckText compares a text byte for byte, including its last line end, with a recorded file. With the flag -update, it
+// overwrites the file instead.
 func CheckText(tb testing.TB, file, got string) {
 	tb.Helper()
 	if *update {
@@ -48,11 +49,11 @@
 		tb.Fatal(err)
 	}
 	if got != string(want) {
-		tb.Errorf("%s differs from what is recorded\n%s", file, differences(got, string(want)))
+		tb.Errorf("%s: the result differs from the recorded one\n%s", file, differences(got, string(want)))
 	}
 }
 
-// Check compares lines with those recorded in a file as CheckText does.
+// Check compares lines with a recorded file, as CheckText does.
 func Check(tb testing.TB, file string, lines []string) {
 	tb.Helper()
 	CheckText(tb, file, strings.Join(lines, "\n")+"\n")
@@ -68,7 +69,8 @@
 	}
 }
 
-// differences lists the lines that differ, with their line ends, and the number of lines where that differs.
+// differences lists the lines that differ, with their line ends, and the total numbers of differing, actual and
+// recorded lines.
 func differences(got, want string) string {
 	gotLines, wantLines := strings.SplitAfter(got, "\n"), strings.SplitAfter(want, "\n")
 	var text strings.Builder
@@ -93,16 +95,16 @@
 	return lines[i]
 }
 
-// Digest folds values into a SHA-256 sum.
+// Digest hashes values into a SHA-256 sum.
 type Digest struct {
 	sum     hash.Hash
-	records int
+	records int // number of records that were added or counted
 }
 
 // NewDigest returns an empty digest.
 func NewDigest() *Digest { return &Digest{sum: sha256.New()} }
 
-// Add folds one record: a stable ordinal of its type, the number of its values, and the values in order.
+// Add hashes one record: the stable ordinal of its type, the number of its values, and the values in order.
 func (d *Digest) Add(ordinal int, values ...any) {
 	d.records++
 	d.Numbers(uint64(ordinal), uint64(len(values)))
@@ -111,46 +113,47 @@
 	}
 }
 
-// Count adds to the number of records and folds nothing.
+// Count increases the number of records without hashing anything.
 func (d *Digest) Count(records int) { d.records += records }
 
-// Numbers folds each number as eight bytes, the highest first.
+// Numbers hashes each number as eight bytes in big-endian order.
 func (d *Digest) Numbers(numbers ...uint64) {
 	for _, n := range numbers {
 		d.sum.Write(binary.BigEndian.AppendUint64(nil, n))
 	}
 }
 
-// Text folds the length of a text and its bytes.
+// Text hashes the length of a text and its bytes.
 func (d *Digest) Text(s string) {
 	d.Numbers(uint64(len(s)))
 	d.sum.Write([]byte(s))
 }
 
-// Value folds a value of any kind but pointers: a truth value as the number 1 or 0, struct fields by position, maps in
-// the order of their keys.
+// Value hashes a value of a basic, slice, array, struct or map type. A bool is hashed as the number 1 or 0, a struct by
+// the position of its fields, a map in the order of its keys. Value panics on other kinds, such as pointers.
 func (d *Digest) Value(v any) { d.fold(reflect.ValueOf(v)) }
 
-// Bytes folds bytes as they are.
+// Bytes hashes bytes without their length.
 func (d *Digest) Bytes(p []byte) { d.sum.Write(p) }
 
-// Printf folds formatted text as it is.
+// Printf hashes formatted text without its length.
 func (d *Digest) Printf(format string, args ...any) { d.Bytes(fmt.Appendf(nil, format, args...)) }
 
-// Records is the number of records that were added or counted.
+// Records returns the number of records that were added or counted.
 func (d *Digest) Records() int { return d.records }
 
-// Sum is the sum of all that was folded, in hexadecimal digits.
+// Sum returns the hash of all values so far, in hexadecimal digits.
 func (d *Digest) Sum() string { return hex.EncodeToString(d.sum.Sum(nil)) }
 
-// Line is the recorded form of the digest: a name, the number of records and the sum.
+// Line returns a recorded form of the digest: a name, the number of records and the hash.
 func (d *Digest) Line(name string) string { return fmt.Sprintf("%s: %d %s", name, d.records, d.Sum()) }
 
-// Summary is another recorded form: the number of records, what they are, and the sum.
+// Summary returns another recorded form: the number of records, a noun for them, and the hash.
 func (d *Digest) Summary(records string) string {
 	return fmt.Sprintf("%d %s, sha256 %s", d.records, records, d.Sum())
 }
 
+// fold hashes a value by its kind.
 func (d *Digest) fold(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
@@ -179,7 +182,7 @@
 	case reflect.Map:
 		d.foldMap(v)
 	default:
-		panic(fmt.Sprintf("golden: values of kind %s are not folded", v.Kind()))
+		panic(fmt.Sprintf("golden: values of kind %s cannot be hashed", v.Kind()))
 	}
 }
 
@@ -189,7 +192,7 @@
 	d.Numbers(uint64(len(keys)))
 	for _, k := range keys {
 		if k.Kind() != reflect.String {
-			panic("golden: only maps with text keys are folded")
+			panic("golden: only maps with string keys can be hashed")
 		}
 		d.Text(k.String())
 		d.fold(v.MapIndex(k))
--- a/internal/platform/connmanager/golden_test.go
+++ b/internal/platform/connmanager/golden_test.go
@@ -119,18 +119,18 @@
 
 func (s *sequence) event(w weights) Event {
 	return golden.Draw(s.random,
-		golden.Choose(w.connect, s.connect),
-		golden.Choose(w.receive, s.receive),
-		golden.Choose(w.request, func() Event { return PlacementRequested{Client: s.client()} }),
-		golden.Choose(w.send, s.send),
-		golden.Choose(w.cancel, func() Event { return RequestCancelled{Client: s.client()} }),
-		golden.Choose(w.invalid, func() Event { return InvalidMessageReceived{Client: s.client()} }),
-		golden.Choose(w.prove, func() Event { return OwnershipProven{Client: s.client()} }),
-		golden.Choose(w.reclaim, func() Event { return ContainerReclaimed{Client: s.client()} }),
-		golden.Choose(w.disconnect, s.disconnect),
-		golden.Choose(w.terminate, s.terminate),
-		golden.Choose(w.acknowledge, s.acknowledge),
-		golden.Choose(w.tick, func() Event { return Tick{} }),
+		golden.NewChoice(w.connect, s.connect),
+		golden.NewChoice(w.receive, s.receive),
+		golden.NewChoice(w.request, func() Event { return PlacementRequested{Client: s.client()} }),
+		golden.NewChoice(w.send, s.send),
+		golden.NewChoice(w.cancel, func() Event { return RequestCancelled{Client: s.client()} }),
+		golden.NewChoice(w.invalid, func() Event { return InvalidMessageReceived{Client: s.client()} }),
+		golden.NewChoice(w.prove, func() Event { return OwnershipProven{Client: s.client()} }),
+		golden.NewChoice(w.reclaim, func() Event { return ContainerReclaimed{Client: s.client()} }),
+		golden.NewChoice(w.disconnect, s.disconnect),
+		golden.NewChoice(w.terminate, s.terminate),
+		golden.NewChoice(w.acknowledge, s.acknowledge),
+		golden.NewChoice(w.tick, func() Event { return Tick{} }),
 	)
 }
 
--- a/internal/platform/failuredetector/golden_test.go
+++ b/internal/platform/failuredetector/golden_test.go
@@ -59,14 +59,14 @@
 
 func (s *sequence) event(w weights) Event {
 	return golden.Draw(s.random,
-		golden.Choose(w.count, s.changeRunningCount),
-		golden.Choose(w.activity, func() Event { return ActivityObserved{Machine: s.machine()} }),
-		golden.Choose(w.refused, func() Event { return ConnectionRefused{Machine: s.machine()} }),
-		golden.Choose(w.terminated, func() Event {
+		golden.NewChoice(w.count, s.changeRunningCount),
+		golden.NewChoice(w.activity, func() Event { return ActivityObserved{Machine: s.machine()} }),
+		golden.NewChoice(w.refused, func() Event { return ConnectionRefused{Machine: s.machine()} }),
+		golden.NewChoice(w.terminated, func() Event {
 			return UnclaimedTermination{Machine: s.machine(), RequestID: s.request(), Cause: s.random.IntN(50) - 1}
 		}),
-		golden.Choose(w.reclaimed, s.reclaim),
-		golden.Choose(w.tick, func() Event { return Tick{} }),
+		golden.NewChoice(w.reclaimed, s.reclaim),
+		golden.NewChoice(w.tick, func() Event { return Tick{} }),
 	)
 }
 
--- a/internal/testutil/files.go
+++ b/internal/testutil/files.go
@@ -7,7 +7,7 @@
 
 const fileMode = 0o644
 
-// ReadFile returns what a file holds.
+// ReadFile returns the contents of a file.
 func ReadFile(tb testing.TB, path string) []byte {
 	tb.Helper()
 	content, err := os.ReadFile(path)
@@ -15,7 +15,7 @@
 	return content
 }
 
-// WriteFile replaces what a file holds.
+// WriteFile replaces the contents of a file, or creates it.
 func WriteFile(tb testing.TB, path string, content []byte) {
 	tb.Helper()
 	NoError(tb, os.WriteFile(path, content, fileMode))
--- a/internal/testutil/fixedseed/fixedseed.go
+++ b/internal/testutil/fixedseed/fixedseed.go
@@ -1,5 +1,5 @@
-// Package fixedseed has rapid draw the same sequences in every run of the tests that import it. The flag -rapid.seed=0
-// draws others. Only tests import it.
+// Package fixedseed makes rapid draw the same sequences in every run of the tests that import it. The flag
+// -rapid.seed=0 selects a random seed. Only tests import it.
 package fixedseed
 
 import (
--- a/internal/testutil/frames/frames.go
+++ b/internal/testutil/frames/frames.go
@@ -1,4 +1,4 @@
-// Package frames sends and receives frames for peers that tests script. Only tests import it.
+// Package frames sends and receives frames of the protocol for peers that tests simulate. Only tests import it.
 package frames
 
 import (
@@ -9,7 +9,7 @@
 	"glenport/internal/testutil"
 )
 
-// Encode returns a frame as it is sent, with its length.
+// Encode returns the encoding of a frame, including its length prefix.
 func Encode(tb testutil.TB, f protocol.Frame) []byte {
 	tb.Helper()
 	encoded, err := protocol.Append(nil, f)
@@ -17,29 +17,29 @@
 	return encoded
 }
 
-// Send sends frames to a peer that may have closed the connection.
+// Send sends frames to a peer. It ignores write errors, as the peer may have closed the connection.
 func Send(to io.Writer, frames ...protocol.Frame) {
 	for _, f := range frames {
 		encoded, err := protocol.Append(nil, f)
 		if err != nil {
-			panic(err) // a test sends what can be encoded
+			panic(err) // tests send only valid frames
 		}
 		_, _ = to.Write(encoded)
 	}
 }
 
-// Receive waits for a frame, or for the end of the connection.
+// Receive waits for a frame. It returns an error at the end of the connection.
 func Receive(from io.Reader) (protocol.Frame, error) {
 	return protocol.ReadFrame(from, protocol.MaxFrame)
 }
 
-// Skip waits for a frame, or for the end of the connection, and drops it.
+// Skip waits for a frame and drops it, or waits for the end of the connection.
 func Skip(from io.Reader) { _, _ = Receive(from) }
 
-// Handler handles a frame, and reports whether the connection goes on.
+// Handler handles a frame, and reports whether the connection stays open.
 type Handler func(net.Conn, protocol.Frame) bool
 
-// Handle hands on each frame until the handler ends the connection, or the peer.
+// Handle passes each received frame to a handler until the handler returns false or the connection ends.
 func Handle(c net.Conn, handle Handler) {
 	for {
 		f, err := Receive(c)
@@ -52,7 +52,7 @@
 // Ignore is a handler that does nothing.
 func Ignore(net.Conn, protocol.Frame) bool { return true }
 
-// OnOffer handles offers alone.
+// OnOffer returns a handler that passes offers to handle and ignores all other frames.
 func OnOffer(handle func(net.Conn, *protocol.Offer) bool) Handler {
 	return func(c net.Conn, f protocol.Frame) bool {
 		offer, ok := f.(*protocol.Offer)
--- a/internal/testutil/net.go
+++ b/internal/testutil/net.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Listen opens a listener on a free port of the loopback interface. The test closes it.
+// Listen opens a listener on a free port of the loopback interface. The caller closes it.
 func Listen(tb testing.TB) net.Listener {
 	tb.Helper()
 	listener, err := new(net.ListenConfig).Listen(tb.Context(), "tcp", "127.0.0.1:0")
@@ -15,26 +15,26 @@
 	return listener
 }
 
-// Dial connects until the end of the test.
+// Dial connects to an address. The connection is closed at the end of the test.
 func Dial(tb testing.TB, address string) *net.TCPConn {
 	tb.Helper()
 	to, err := net.ResolveTCPAddr("tcp", address)
 	NoError(tb, err)
 	conn, err := net.DialTCP("tcp", nil, to)
 	NoError(tb, err)
-	tb.Cleanup(func() { closeAgain(conn) })
+	tb.Cleanup(func() { closeIgnoringError(conn) })
 	return conn
 }
 
-// Serve calls serve for each connection to a listener, on a goroutine of its own, until stop is called. Stop closes the
-// listener and the connections, and returns when serve has returned for all.
+// Serve calls serve for each connection to a listener, each in a separate goroutine, until stop is called. The function
+// stop closes the listener and the connections, and waits until all calls of serve have returned.
 func Serve(listener net.Listener, serve func(net.Conn)) (stop func()) {
 	s := &server{listener: listener}
-	s.serving.Go(func() { s.accept(serve) })
+	s.goroutines.Go(func() { s.accept(serve) })
 	return s.stop
 }
 
-// ServeUntilEnd serves connections on a free port until the end of the test, and returns the address.
+// ServeUntilEnd calls serve for each connection to a free port until the end of the test, and returns the address.
 func ServeUntilEnd(tb testing.TB, serve func(net.Conn)) (address string) {
 	tb.Helper()
 	listener := Listen(tb)
@@ -43,11 +43,11 @@
 }
 
 type server struct {
-	listener net.Listener
-	serving  sync.WaitGroup
-	mu       sync.Mutex
-	stopped  bool
-	open     []net.Conn
+	listener   net.Listener
+	goroutines sync.WaitGroup // accept and all calls of serve
+	mu         sync.Mutex
+	stopped    bool
+	conns      []net.Conn
 }
 
 func (s *server) accept(serve func(net.Conn)) {
@@ -59,39 +59,39 @@
 		if !s.add(conn) {
 			return
 		}
-		s.serving.Go(func() {
-			defer closeAgain(conn)
+		s.goroutines.Go(func() {
+			defer closeIgnoringError(conn)
 			serve(conn)
 		})
 	}
 }
 
-// add registers a connection to be closed by stop; it closes one that is accepted after that, and returns false.
+// add registers a connection that stop has to close. After stop it closes the connection instead and returns false.
 func (s *server) add(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stopped {
-		closeAgain(conn)
+		closeIgnoringError(conn)
 		return false
 	}
-	s.open = append(s.open, conn)
+	s.conns = append(s.conns, conn)
 	return true
 }
 
 func (s *server) stop() {
-	closeAgain(s.listener)
+	closeIgnoringError(s.listener)
 	s.closeAll()
-	s.serving.Wait()
+	s.goroutines.Wait()
 }
 
 func (s *server) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopped = true
-	for _, conn := range s.open {
-		closeAgain(conn)
+	for _, conn := range s.conns {
+		closeIgnoringError(conn)
 	}
 }
 
-// closeAgain closes what may be closed already, and ignores the error of that.
-func closeAgain(c io.Closer) { _ = c.Close() }
+// closeIgnoringError closes c, which may already be closed, and ignores the error.
+func closeIgnoringError(c io.Closer) { _ = c.Close() }
--- a/internal/testutil/net_test.go
+++ b/internal/testutil/net_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A connection that is accepted as the server stops is closed as well: otherwise serve would wait for its peer, and
-// stop for serve.
+// A connection that is accepted while the server stops has to be closed too. Otherwise serve waits for its peer, and
+// stop waits for serve.
 func TestConnectionAcceptedAtTheEndIsClosed(t *testing.T) {
 	listener := Listen(t)
 	s := &server{listener: listener}
--- a/internal/testutil/run.go
+++ b/internal/testutil/run.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// RunUntilEnd runs a process on a goroutine of its own until the end of the test, which stops it, waits for run to
-// return, and reports its error.
+// RunUntilEnd calls run in a separate goroutine. At the end of the test it calls stop, waits for run to return, and
+// reports the error of run.
 func RunUntilEnd(tb testing.TB, run func() error, stop func()) {
 	tb.Helper()
 	returned := make(chan error, 1)
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -1,5 +1,5 @@
-// Package testutil holds what the tests of several packages share: checks of one line, waiting with a time limit,
-// files, listeners and connections on the loopback interface. Only tests import it.
+// Package testutil provides helpers for the tests of several packages: assertions, waiting with a time limit, files,
+// and listeners and connections on the loopback interface. Only tests import it.
 package testutil
 
 import (
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// TB is the part of testing.TB that rapid.T has too.
+// TB is the subset of testing.TB that rapid.T implements too.
 type TB interface {
 	Helper()
 	Error(args ...any)
@@ -17,7 +17,7 @@
 	Fatalf(format string, args ...any)
 }
 
-// NoError ends the test if a step that has to succeed failed.
+// NoError ends the test if err is not nil.
 func NoError(tb TB, err error) {
 	tb.Helper()
 	if err != nil {
@@ -25,7 +25,7 @@
 	}
 }
 
-// ExpectNoError reports an error, and the test goes on. Any goroutine may call it.
+// ExpectNoError reports an error if err is not nil, and the test continues. Any goroutine may call it.
 func ExpectNoError(tb TB, err error) {
 	tb.Helper()
 	if err != nil {
@@ -33,7 +33,7 @@
 	}
 }
 
-// Expect reports a condition that does not hold, and the test goes on.
+// Expect reports an error if a condition does not hold, and the test continues.
 //
 //nolint:revive // flag-parameter: the condition is what is checked
 func Expect(tb TB, condition bool, format string, args ...any) {
@@ -53,7 +53,8 @@
 	}
 }
 
-// Equal reports two values that differ, and the test goes on. The report begins with what they are, where that is said.
+// Equal reports an error if two values differ, and the test continues. The optional text what describes the values and
+// begins the report.
 func Equal[T comparable](tb TB, got, want T, what ...string) {
 	tb.Helper()
 	if got != want {
@@ -68,13 +69,13 @@
 	return strings.Join(what, " ") + ": "
 }
 
-// DeepEqual reports two values that reflect.DeepEqual tells apart, and the test goes on.
+// DeepEqual reports an error if two values differ by reflect.DeepEqual, and the test continues.
 func DeepEqual(tb TB, got, want any) {
 	tb.Helper()
 	Expect(tb, reflect.DeepEqual(got, want), "got %+v, want %+v", got, want)
 }
 
-// SlicesEqual reports two slices that differ in an element, and the test goes on.
+// SlicesEqual reports an error if two slices differ, and the test continues.
 func SlicesEqual[S ~[]E, E comparable](tb TB, got, want S) {
 	tb.Helper()
 	Expect(tb, slices.Equal(got, want), "got %v, want %v", got, want)
