--- a/internal/platform/adoption/adoption.go
+++ b/internal/platform/adoption/adoption.go
@@ -78,8 +78,8 @@
 	return decision
 }
 
-// LeftOut reports whether a claim was rejected or displaced. It rarely reports true for another claim.
-func (c *Claims) LeftOut(id, machine string) bool { return c.rejected.contains(id, machine) }
+// WasRejected reports whether a claim was rejected or displaced. It rarely reports true for another claim.
+func (c *Claims) WasRejected(id, machine string) bool { return c.rejected.contains(id, machine) }
 
 // Remove removes the claim to a container, if any, when the container has ended or its machine has confirmed it.
 func (c *Claims) Remove(id string) {
--- a/internal/platform/adoption/adoption_test.go
+++ b/internal/platform/adoption/adoption_test.go
@@ -54,7 +54,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := New(1000)
 			testutil.Equal(t, decideMany(c, 1, 0, tc.size), tc.adopted, "adopted")
-			testutil.Expect(t, c.LeftOut("499", "a") && !c.LeftOut("499", "b"),
+			testutil.Expect(t, c.WasRejected("499", "a") && !c.WasRejected("499", "b"),
 				"the last claim is not known as rejected")
 		})
 	}
@@ -67,7 +67,7 @@
 	d := c.Decide(newClaim(2, 1000, "a", 1), machineWith(11))
 	testutil.Expect(t, d.Adopt, "the claim of another client is rejected")
 	testutil.SlicesEqual(t, d.Displaced, []string{"10"})
-	testutil.Expect(t, c.LeftOut("10", "a") && !c.LeftOut("9", "a"), "the displaced claim is not known as displaced")
+	testutil.Expect(t, c.WasRejected("10", "a") && !c.WasRejected("9", "a"), "the displaced claim is not known as displaced")
 	decideMany(c, 2, 1001, 1)
 	testutil.Equal(t, len(c.byClient[1]), 6, "remaining claims of the first client")
 	c.ClientDisconnected(1)
--- a/internal/platform/copies.go
+++ b/internal/platform/copies.go
@@ -76,7 +76,7 @@
 // isWanted reports whether a container is offered to the machine again, or a client has claimed that it is running
 // there: also where that claim was left out.
 func (m *machine) isWanted(id scheduler.ContainerID) bool {
-	return m.attempt(id) != nil || m.env.claims.LeftOut(string(id), string(m.id))
+	return m.attempt(id) != nil || m.env.claims.WasRejected(string(id), string(m.id))
 }
 
 // finishCancels has the cancels that the connection has carried tried again, unless it was closed here and not reset.
--- a/internal/platform/environment.go
+++ b/internal/platform/environment.go
@@ -45,7 +45,7 @@
 // answer.
 func (env *environment) notifyLeftOutEnd(id scheduler.ContainerID, at scheduler.MachineID, cause terminationCause) {
 	endsRunning := cause == causeFinished || cause == causeLost
-	if endsRunning && env.claims.LeftOut(string(id), string(at)) {
+	if endsRunning && env.claims.WasRejected(string(id), string(at)) {
 		env.notifyConnManager(connmanager.ContainerTerminated{RequestID: string(id), Cause: int(cause)})
 	}
 }
