--- a/internal/platform/connmanager/cancels.go
+++ b/internal/platform/connmanager/cancels.go
@@ -71,9 +71,9 @@
 	return due
 }
 
-// Tried records a try of a cancel. conn carries the cancel, or will once established; 0 means that no connection was
-// available.
-func (c *Cancels) Tried(now Time, cancel Cancel, conn MachineConnID) {
+// RecordTry records a try of a cancel. conn carries the cancel, or will once established; 0 means that no connection
+// was available.
+func (c *Cancels) RecordTry(now Time, cancel Cancel, conn MachineConnID) {
 	for _, p := range c.pending {
 		if p.Cancel == cancel {
 			p.nextTryAt = now + p.nextInterval()
--- a/internal/platform/connmanager/cancels_test.go
+++ b/internal/platform/connmanager/cancels_test.go
@@ -17,7 +17,7 @@
 	for now := Time(0); c.Holds(cancel); now += tenth {
 		if len(c.Due(now)) > 0 {
 			tries = append(tries, now/tenth)
-			c.Tried(now, cancel, MachineConnID(len(tries)))
+			c.RecordTry(now, cancel, MachineConnID(len(tries)))
 		}
 		afterStep(c, now, MachineConnID(len(tries)))
 	}
--- a/internal/platform/copies.go
+++ b/internal/platform/copies.go
@@ -52,7 +52,7 @@
 			mc = m.conns.acquire()
 		}
 		if mc == nil {
-			r.env.cancels.Tried(connmanager.Time(r.env.loop.Now()), cancel, 0)
+			r.env.cancels.RecordTry(connmanager.Time(r.env.loop.Now()), cancel, 0)
 			continue
 		}
 		mc.carryCancel(cancel)
@@ -61,7 +61,7 @@
 
 // carryCancel sends a cancel once the connection is established, unless the container is wanted by then.
 func (mc *machineConn) carryCancel(cancel connmanager.Cancel) {
-	mc.env.cancels.Tried(connmanager.Time(mc.env.loop.Now()), cancel, mc.id)
+	mc.env.cancels.RecordTry(connmanager.Time(mc.env.loop.Now()), cancel, mc.id)
 	mc.whenEstablished(func() {
 		id := scheduler.ContainerID(cancel.RequestID)
 		if mc.machine.isWanted(id) {
