--- a/internal/platform/connmanager/cancels.go
+++ b/internal/platform/connmanager/cancels.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// ConnClosedHere settles the cancels carried by a connection that this side has closed and that was not reset.
-func (c *Cancels) ConnClosedHere(conn MachineConnID) {
+// ConnClosedLocally settles the cancels carried by a connection that this side has closed and that was not reset.
+func (c *Cancels) ConnClosedLocally(conn MachineConnID) {
 	c.remove(func(p *pendingCancel) bool { return p.conn == conn })
 }
 
--- a/internal/platform/connmanager/cancels_test.go
+++ b/internal/platform/connmanager/cancels_test.go
@@ -35,13 +35,13 @@
 	}{
 		{"in time", func(*Cancels) {}, cancelCertainAfter - tenth, 2},
 		{"late", func(*Cancels) {}, cancelCertainAfter, 1},
-		{"after it was closed here", func(c *Cancels) { c.ConnClosedHere(1) }, tenth, 1},
+		{"after it was closed here", func(c *Cancels) { c.ConnClosedLocally(1) }, tenth, 1},
 		{"after its machine has reported the end", func(c *Cancels) { c.Settle(x) }, tenth, 1},
 		{"after its machine has started anew", func(c *Cancels) { c.MachineGone("a") }, tenth, 1},
 		{"after events of others", func(c *Cancels) {
 			c.Settle(Cancel{"a", "y"})
 			c.MachineGone("b")
-			c.ConnClosedHere(2)
+			c.ConnClosedLocally(2)
 		}, tenth, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/platform/copies.go
+++ b/internal/platform/copies.go
@@ -82,7 +82,7 @@
 // finishCancels has the cancels that the connection has carried tried again, unless it was closed here and not reset.
 func (mc *machineConn) finishCancels(last machineConnState, err error) {
 	if last == machineClosing && !errors.Is(err, eventloop.ErrReset) {
-		mc.env.cancels.ConnClosedHere(mc.id)
+		mc.env.cancels.ConnClosedLocally(mc.id)
 	} else {
 		mc.env.cancels.ConnFailed(mc.id)
 	}
