--- a/internal/platform/adoption/adoption_test.go
+++ b/internal/platform/adoption/adoption_test.go
@@ -67,7 +67,8 @@
 	d := c.Decide(newClaim(2, 1000, "a", 1), machineWith(11))
 	testutil.Expect(t, d.Adopt, "the claim of another client is rejected")
 	testutil.SlicesEqual(t, d.Displaced, []string{"10"})
-	testutil.Expect(t, c.WasRejected("10", "a") && !c.WasRejected("9", "a"), "the displaced claim is not known as displaced")
+	testutil.Expect(t, c.WasRejected("10", "a") && !c.WasRejected("9", "a"),
+		"the displaced claim is not known as displaced")
 	decideMany(c, 2, 1001, 1)
 	testutil.Equal(t, len(c.byClient[1]), 6, "remaining claims of the first client")
 	c.ClientDisconnected(1)
