--- a/internal/statemachine/statemachinetest/comment.go
+++ b/internal/statemachine/statemachinetest/comment.go
@@ -21,7 +21,7 @@
 // in the third column, or a row for each state and a column for each event.
 type CommentTable struct {
 	Paragraph string // the first line of the paragraph above the table
-	Head      []string
+	Header      []string
 	Rows      [][]string
 }
 
@@ -61,7 +61,7 @@
 		table.Rows = append(table.Rows, cells(line))
 	}
 	if table.Rows[0][0] == stateColumn {
-		table.Head, table.Rows = table.Rows[0], table.Rows[1:]
+		table.Header, table.Rows = table.Rows[0], table.Rows[1:]
 	}
 	return table
 }
@@ -81,7 +81,7 @@
 }
 
 // hasEventColumns reports whether there is a column for each event.
-func (c CommentTable) hasEventColumns() bool { return len(c.Head) > 1 && c.Head[1] != eventColumn }
+func (c CommentTable) hasEventColumns() bool { return len(c.Header) > 1 && c.Header[1] != eventColumn }
 
 func (c CommentTable) transitions() []statemachine.Transition {
 	var all []statemachine.Transition
@@ -91,7 +91,7 @@
 			continue
 		}
 		for i, next := range row[1:] {
-			all = append(all, transitions(row[0], c.Head[i+1], next)...)
+			all = append(all, transitions(row[0], c.Header[i+1], next)...)
 		}
 	}
 	return all
