--- a/internal/statemachine/statemachinetest/comment.go
+++ b/internal/statemachine/statemachinetest/comment.go
@@ -21,7 +21,7 @@
 // in the third column, or a row for each state and a column for each event.
 type CommentTable struct {
 	Paragraph string // the first line of the paragraph above the table
-	Header      []string
+	Header    []string
 	Rows      [][]string
 }
 
