--- a/internal/bgp/announce/route_test.go
+++ b/internal/bgp/announce/route_test.go
@@ -30,8 +30,8 @@
 }
 
 func TestPageShowsEachTransition(t *testing.T) {
-	statemachinetest.CheckPage(t, "BGP announcements", map[string]statemachinetest.Shown{
-		"Announced route": statemachinetest.Begin(routeTransitions, routeWithdrawn),
+	statemachinetest.CheckPage(t, "BGP announcements", map[string]statemachinetest.PageMachine{
+		"Announced route": statemachinetest.NewPageMachine(routeTransitions, routeWithdrawn),
 	})
 }
 
--- a/internal/bgp/session/transitions_test.go
+++ b/internal/bgp/session/transitions_test.go
@@ -173,8 +173,8 @@
 
 // The page shows the transitions of the code, which are those of the table.
 func TestDiagramHasTheTransitionsOfTheTable(t *testing.T) {
-	statemachinetest.CheckPage(t, "BGP sessions", map[string]statemachinetest.Shown{
-		"Session": statemachinetest.Begin(successors, Idle),
+	statemachinetest.CheckPage(t, "BGP sessions", map[string]statemachinetest.PageMachine{
+		"Session": statemachinetest.NewPageMachine(successors, Idle),
 	})
 	table := readTransitionTable(t)
 	for from := Idle; from <= Established; from++ {
--- a/internal/controller/replicastate_test.go
+++ b/internal/controller/replicastate_test.go
@@ -66,7 +66,7 @@
 }
 
 func TestPageShowsEachTransition(t *testing.T) {
-	statemachinetest.CheckPage(t, "Controller", map[string]statemachinetest.Shown{
-		"Replica": statemachinetest.Begin(transitions, replicaCreated),
+	statemachinetest.CheckPage(t, "Controller", map[string]statemachinetest.PageMachine{
+		"Replica": statemachinetest.NewPageMachine(transitions, replicaCreated),
 	})
 }
--- a/internal/eventloop/connstate_test.go
+++ b/internal/eventloop/connstate_test.go
@@ -21,8 +21,8 @@
 }
 
 func TestPageShowsEachTransition(t *testing.T) {
-	statemachinetest.CheckPage(t, "Event loop", map[string]statemachinetest.Shown{
-		"Connection": statemachinetest.Begin(connSuccessors, connDialing, connOpen),
+	statemachinetest.CheckPage(t, "Event loop", map[string]statemachinetest.PageMachine{
+		"Connection": statemachinetest.NewPageMachine(connSuccessors, connDialing, connOpen),
 	})
 }
 
--- a/internal/platform/connmanager/client_test.go
+++ b/internal/platform/connmanager/client_test.go
@@ -14,8 +14,8 @@
 }
 
 func TestPageShowsEachTransition(t *testing.T) {
-	statemachinetest.CheckPage(t, "Decisions on platform connections", map[string]statemachinetest.Shown{
-		"Client": statemachinetest.Begin(clientTransitions, unserved),
+	statemachinetest.CheckPage(t, "Decisions on platform connections", map[string]statemachinetest.PageMachine{
+		"Client": statemachinetest.NewPageMachine(clientTransitions, unserved),
 	})
 }
 
--- a/internal/platform/transitions_test.go
+++ b/internal/platform/transitions_test.go
@@ -21,11 +21,11 @@
 }
 
 func TestPageShowsEachTransition(t *testing.T) {
-	statemachinetest.CheckPage(t, "Platform process", map[string]statemachinetest.Shown{
-		"Attempt":            statemachinetest.Begin(attemptTransitions, attemptConnecting, attemptRunning),
-		"Machine connection": statemachinetest.Begin(machineConnTransitions, machineConnecting),
-		"Client connection":  statemachinetest.Begin(clientTransitions, clientAccepted),
-		"Shutdown":           statemachinetest.Begin(shutdownTransitions, serving),
+	statemachinetest.CheckPage(t, "Platform process", map[string]statemachinetest.PageMachine{
+		"Attempt":            statemachinetest.NewPageMachine(attemptTransitions, attemptConnecting, attemptRunning),
+		"Machine connection": statemachinetest.NewPageMachine(machineConnTransitions, machineConnecting),
+		"Client connection":  statemachinetest.NewPageMachine(clientTransitions, clientAccepted),
+		"Shutdown":           statemachinetest.NewPageMachine(shutdownTransitions, serving),
 	})
 }
 
--- a/internal/schedulerd/transition_test.go
+++ b/internal/schedulerd/transition_test.go
@@ -21,13 +21,13 @@
 }
 
 func TestPageShowsEachTransition(t *testing.T) {
-	statemachinetest.CheckPage(t, "Scheduler process", map[string]statemachinetest.Shown{
-		"Attempt":            statemachinetest.Begin(attemptTransitions, attemptQueued, attemptRunning),
-		"Machine connection": statemachinetest.Begin(machineConnTransitions, machineDisconnected),
-		"Client connection":  statemachinetest.Begin(clientTransitions, clientAwaitingHello),
-		"Server":             statemachinetest.Begin(serverTransitions, serverCreated),
-		"State store":        statemachinetest.Begin(storeTransitions, storeLoading),
-		"Snapshot writer":    statemachinetest.Begin(writerTransitions, writerSaved),
+	statemachinetest.CheckPage(t, "Scheduler process", map[string]statemachinetest.PageMachine{
+		"Attempt":            statemachinetest.NewPageMachine(attemptTransitions, attemptQueued, attemptRunning),
+		"Machine connection": statemachinetest.NewPageMachine(machineConnTransitions, machineDisconnected),
+		"Client connection":  statemachinetest.NewPageMachine(clientTransitions, clientAwaitingHello),
+		"Server":             statemachinetest.NewPageMachine(serverTransitions, serverCreated),
+		"State store":        statemachinetest.NewPageMachine(storeTransitions, storeLoading),
+		"Snapshot writer":    statemachinetest.NewPageMachine(writerTransitions, writerSaved),
 	})
 }
 
--- a/internal/statemachine/statemachinetest/statemachinetest.go
+++ b/internal/statemachine/statemachinetest/statemachinetest.go
@@ -35,21 +35,21 @@
 	}
 }
 
-// Shown is a machine and its diagram as expected in docs/state-machines.md.
-type Shown struct {
+// PageMachine is a machine and its diagram as expected in docs/state-machines.md.
+type PageMachine struct {
 	machine statemachine.Machine
 	diagram string
 }
 
-// Begin returns a machine as expected on the page, given the states in which it may begin.
-func Begin[State any](machine statemachine.Machine, initial ...State) Shown {
-	return Shown{machine, statemachine.Diagram(machine, initial...)}
+// NewPageMachine returns a machine as expected on the page, given the states in which it may begin.
+func NewPageMachine[State any](machine statemachine.Machine, initial ...State) PageMachine {
+	return PageMachine{machine, statemachine.Diagram(machine, initial...)}
 }
 
 // CheckPage compares a chapter of docs/state-machines.md with the machines of the code, which are given by the headings
 // of their sections. It compares the diagram of each section, and the table if there is one. Arrows of Successors,
 // which have no events, may have any label. There must be exactly one section for each machine.
-func CheckPage(t *testing.T, chapter string, machines map[string]Shown) {
+func CheckPage(t *testing.T, chapter string, machines map[string]PageMachine) {
 	t.Helper()
 	sections := readChapter(t, chapter)
 	for heading := range sections {
@@ -57,26 +57,26 @@
 			t.Errorf("%s, %s: the code has no machine for the section %q", page, chapter, heading)
 		}
 	}
-	for heading, shown := range machines {
-		shown.check(t, chapter+", "+heading, sections[heading])
+	for heading, machine := range machines {
+		machine.check(t, chapter+", "+heading, sections[heading])
 	}
 }
 
-func (s Shown) check(t *testing.T, heading string, text section) {
+func (m PageMachine) check(t *testing.T, heading string, text section) {
 	t.Helper()
 	got := text.diagram()
-	if !s.hasEvents() {
+	if !m.hasEvents() {
 		got = arrowLabel.ReplaceAllString(got, "")
 	}
-	if got != s.diagram {
-		t.Errorf("%s, %s: the diagram is\n%s\nthe code has\n%s", page, heading, got, s.diagram)
+	if got != m.diagram {
+		t.Errorf("%s, %s: the diagram is\n%s\nthe code has\n%s", page, heading, got, m.diagram)
 	}
-	if got, want := text.table(), statemachine.Markdown(s.machine); got != "" && got != want {
+	if got, want := text.table(), statemachine.Markdown(m.machine); got != "" && got != want {
 		t.Errorf("%s, %s: the table is\n%s\nthe code has\n%s", page, heading, got, want)
 	}
 }
 
-func (s Shown) hasEvents() bool { return s.machine.Transitions()[0].Event != "" }
+func (m PageMachine) hasEvents() bool { return m.machine.Transitions()[0].Event != "" }
 
 const page = "docs/state-machines.md"
 
--- a/internal/testbed/emulator/transitions_test.go
+++ b/internal/testbed/emulator/transitions_test.go
@@ -71,11 +71,11 @@
 }
 
 func TestPageShowsEachTransition(t *testing.T) {
-	statemachinetest.CheckPage(t, "Test bed", map[string]statemachinetest.Shown{
-		"Emulated machine": statemachinetest.Begin(machineTransitions, machineStopped),
-		"Task loop":        statemachinetest.Begin(loopTransitions, loopRunning),
-		"Container":        statemachinetest.Begin(containerTransitions, containerOffered),
-		"BGP peer":         statemachinetest.Begin(peerTransitions, peerListening),
+	statemachinetest.CheckPage(t, "Test bed", map[string]statemachinetest.PageMachine{
+		"Emulated machine": statemachinetest.NewPageMachine(machineTransitions, machineStopped),
+		"Task loop":        statemachinetest.NewPageMachine(loopTransitions, loopRunning),
+		"Container":        statemachinetest.NewPageMachine(containerTransitions, containerOffered),
+		"BGP peer":         statemachinetest.NewPageMachine(peerTransitions, peerListening),
 	})
 }
 
