--- a/internal/platform/adoption/adoption.go
+++ b/internal/platform/adoption/adoption.go
@@ -51,7 +51,8 @@
 	number uint64 // ascending, in the order of adoption
 }
 
-// New returns an empty set of claims that holds at most limit claims, beyond the first at each listed machine.
+// New returns an empty set of claims with a limit on their number. The first claim at each listed machine is adopted
+// beyond the limit.
 func New(limit int) *Claims {
 	return &Claims{
 		limit:     limit,
--- a/internal/platform/adoption/doc.go
+++ b/internal/platform/adoption/doc.go
@@ -10,10 +10,10 @@
 // small containers. In total, claims may use a fixed fraction of the memory that the platform grants, plus the first
 // claim at each machine of the machine list.
 //
-// At a limit, the client connection with the most claims loses its newest one, which is displaced by the claim of a
-// connection that has at least two fewer. A new claim of any other connection is rejected. Therefore a connection that
-// floods the scheduler displaces only its own claims. The claims of all ended connections count as those of one
-// connection.
+// At a limit, a new claim displaces the newest claim of the client connection with the most claims, provided that its
+// own connection has at least two claims fewer. Otherwise the new claim is rejected. Therefore a connection that floods
+// the scheduler cannot displace the claims of connections with fewer claims. The claims of all ended connections count
+// as those of one connection.
 //
 // A claim that its machine has confirmed by a report on the container counts like an accept and is not displaced.
 //
--- a/internal/platform/connmanager/admission_test.go
+++ b/internal/platform/connmanager/admission_test.go
@@ -53,9 +53,9 @@
 		events func(id ClientID) []Event // of each client connected before
 		want   ClientID
 	}{
-		{"all silent, the first is closed", Second, func(ClientID) []Event { return nil }, 1},
+		{"all unserved, the first is closed", Second, func(ClientID) []Event { return nil }, 1},
 		{"all new, the newest is closed", Second / 10, func(ClientID) []Event { return nil }, limit + 1},
-		{"one silent client among served ones", Second, exceptFor(5, nil, served), 5},
+		{"one unserved client among served ones", Second, exceptFor(5, nil, served), 5},
 		{"all served, the least recently active is closed", Second, exceptFor(8, latestActivity, served), 3},
 		{"one without an open request", Second, exceptFor(6, answeredRequest(6), awaiting), 6},
 		{"all but the newest await an answer", Second, awaiting, limit + 1},
@@ -150,6 +150,6 @@
 	want := "[500 1000 2000 4000 8000 10000 10000]"
 	testutil.Expect(t, fmt.Sprint(got) == want, "pauses %v, want %s", got, want)
 	if m.Handle(0, []Event{ClientDisconnected{1}, ClientDisconnected{1}}); len(m.clients) != 0 || m.activeClients != 0 {
-		t.Errorf("%d clients kept, %d active", len(m.clients), m.activeClients)
+		t.Errorf("%d clients remain, %d are active", len(m.clients), m.activeClients)
 	}
 }
--- a/internal/platform/connmanager/cancels_test.go
+++ b/internal/platform/connmanager/cancels_test.go
@@ -37,8 +37,8 @@
 		{"late", func(*Cancels) {}, cancelCertainAfter, 1},
 		{"after it was closed here", func(c *Cancels) { c.ConnClosedLocally(1) }, tenth, 1},
 		{"after its machine has reported the end", func(c *Cancels) { c.Settle(x) }, tenth, 1},
-		{"after its machine has started anew", func(c *Cancels) { c.MachineGone("a") }, tenth, 1},
-		{"after events of others", func(c *Cancels) {
+		{"after its machine has restarted", func(c *Cancels) { c.MachineGone("a") }, tenth, 1},
+		{"after events of other cancels and machines", func(c *Cancels) {
 			c.Settle(Cancel{"a", "y"})
 			c.MachineGone("b")
 			c.ConnClosedLocally(2)
--- a/internal/platform/connmanager/notifications_test.go
+++ b/internal/platform/connmanager/notifications_test.go
@@ -113,5 +113,5 @@
 		handle(i*tenth, Tick{})
 	}
 	testutil.Expect(t, slices.Equal(got, tc.want), "notified %v, want %v", got, tc.want)
-	testutil.Expect(t, len(m.terminations) == 0, "%d terminations kept", len(m.terminations))
+	testutil.Expect(t, len(m.terminations) == 0, "%d terminations remain", len(m.terminations))
 }
--- a/internal/platform/failuredetector/detector.go
+++ b/internal/platform/failuredetector/detector.go
@@ -59,7 +59,7 @@
 	case ConnectionRefused:
 		return d.connectionRefused(e)
 	case UnclaimedTermination:
-		d.hold(now, e)
+		d.holdTermination(now, e)
 	case ContainerReclaimed:
 		return d.containerReclaimed(e)
 	case Tick:
--- a/internal/platform/failuredetector/unclaimed.go
+++ b/internal/platform/failuredetector/unclaimed.go
@@ -14,8 +14,8 @@
 	receivedAt Time
 }
 
-// hold holds a termination. If there are maxUnclaimed already, the oldest is dropped.
-func (d *Detector) hold(now Time, e UnclaimedTermination) {
+// holdTermination holds a termination. If there are maxUnclaimed already, the oldest is dropped.
+func (d *Detector) holdTermination(now Time, e UnclaimedTermination) {
 	excess := max(0, len(d.unclaimed)+1-maxUnclaimed)
 	d.unclaimed = append(d.unclaimed[excess:], heldTermination{UnclaimedTermination: e, receivedAt: now})
 }
--- a/internal/platform/jsonlines/splitter.go
+++ b/internal/platform/jsonlines/splitter.go
@@ -5,8 +5,8 @@
 // maxRetainedBytes is the maximum capacity of the buffer that a splitter retains between lines.
 const maxRetainedBytes = 1 << 10
 
-// LineSplitter splits a stream into lines that are shorter than MaxBytes without their line end. Its buffer holds the
-// incomplete line and is empty between lines.
+// LineSplitter splits a stream into lines that are shorter than MaxBytes, not counting the line end. Its buffer holds
+// the incomplete line and is empty between lines.
 type LineSplitter struct {
 	MaxBytes int
 	partial  []byte
--- a/internal/platform/jsonlines/splitter_test.go
+++ b/internal/platform/jsonlines/splitter_test.go
@@ -13,11 +13,11 @@
 		buffered        int
 		tooLong         bool
 	}{
-		{"whole lines", "a\nbc\r\n\n", "a|bc||", 0, false},
+		{"complete lines", "a\nbc\r\n\n", "a|bc||", 0, false},
 		{"incomplete line", "a\nbc", "a|", 2, false},
 		{"longest", strings.Repeat("x", 9) + "\n", "xxxxxxxxx|", 0, false},
 		{"too long", "a\n" + strings.Repeat("x", 10) + "\n", "a|", 0, true},
-		{"never ends", "a\n" + strings.Repeat("x", 100), "a|", 0, true},
+		{"no line end", "a\n" + strings.Repeat("x", 100), "a|", 0, true},
 	} {
 		for _, step := range []int{1, 3, 1000} {
 			t.Run(fmt.Sprint(tc.name, " by ", step), func(t *testing.T) {
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -35,7 +35,7 @@
 
 // Expect reports an error if a condition does not hold, and the test continues.
 //
-//nolint:revive // flag-parameter: the condition is what is checked
+//nolint:revive // flag-parameter: an assertion takes the condition that it checks
 func Expect(tb TB, condition bool, format string, args ...any) {
 	tb.Helper()
 	if !condition {
@@ -45,7 +45,7 @@
 
 // Require ends the test if a condition does not hold.
 //
-//nolint:revive // flag-parameter: the condition is what is checked
+//nolint:revive // flag-parameter: an assertion takes the condition that it checks
 func Require(tb TB, condition bool, format string, args ...any) {
 	tb.Helper()
 	if !condition {
