--- a/internal/platform/connmanager/client_test.go
+++ b/internal/platform/connmanager/client_test.go
@@ -14,12 +14,12 @@
 }
 
 func TestPageShowsEachTransition(t *testing.T) {
-	statemachinetest.CheckPage(t, "Decisions on platform connections", map[string]statemachinetest.Shown{
-		"Client": statemachinetest.Begin(clientTransitions, unserved),
+	statemachinetest.CheckPage(t, "Decisions on platform connections", map[string]statemachinetest.PageMachine{
+		"Client": statemachinetest.NewPageMachine(clientTransitions, unserved),
 	})
 }
 
-// A client that is closed already is not closed again: the error is returned, and no client is counted twice.
+// Closing a client that is already closing reports an error and does not count the client twice.
 func TestIllegalTransitionOfClientIsReported(t *testing.T) {
 	m := New(100)
 	m.Handle(0, []Event{ClientConnected{1}})
--- a/internal/platform/copies.go
+++ b/internal/platform/copies.go
@@ -52,7 +52,7 @@
 			mc = m.conns.acquire()
 		}
 		if mc == nil {
-			r.env.cancels.Tried(connmanager.Time(r.env.loop.Now()), cancel, 0)
+			r.env.cancels.RecordTry(connmanager.Time(r.env.loop.Now()), cancel, 0)
 			continue
 		}
 		mc.carryCancel(cancel)
@@ -61,7 +61,7 @@
 
 // carryCancel sends a cancel once the connection is established, unless the container is wanted by then.
 func (mc *machineConn) carryCancel(cancel connmanager.Cancel) {
-	mc.env.cancels.Tried(connmanager.Time(mc.env.loop.Now()), cancel, mc.id)
+	mc.env.cancels.RecordTry(connmanager.Time(mc.env.loop.Now()), cancel, mc.id)
 	mc.whenEstablished(func() {
 		id := scheduler.ContainerID(cancel.RequestID)
 		if mc.machine.isWanted(id) {
@@ -76,13 +76,13 @@
 // isWanted reports whether a container is offered to the machine again, or a client has claimed that it is running
 // there: also where that claim was left out.
 func (m *machine) isWanted(id scheduler.ContainerID) bool {
-	return m.attempt(id) != nil || m.env.claims.LeftOut(string(id), string(m.id))
+	return m.attempt(id) != nil || m.env.claims.WasRejected(string(id), string(m.id))
 }
 
 // finishCancels has the cancels that the connection has carried tried again, unless it was closed here and not reset.
 func (mc *machineConn) finishCancels(last machineConnState, err error) {
 	if last == machineClosing && !errors.Is(err, eventloop.ErrReset) {
-		mc.env.cancels.ConnClosedHere(mc.id)
+		mc.env.cancels.ConnClosedLocally(mc.id)
 	} else {
 		mc.env.cancels.ConnFailed(mc.id)
 	}
