--- a/internal/platform/attempts.go
+++ b/internal/platform/attempts.go
@@ -29,11 +29,11 @@
 // hasKey reports whether the container was requested with an idempotency key.
 func (a *attempt) hasKey(key string) bool { return a.container.request.IdempotencyKey == key }
 
-// isOn reports whether the attempt waits for a connection or is pending on it.
-func (a *attempt) isOn(mc *machineConn) bool { return a.conn == mc }
+// usesConn reports whether the attempt waits for a connection or is pending on it.
+func (a *attempt) usesConn(mc *machineConn) bool { return a.conn == mc }
 
-// wasMadeBy reports whether the attempt was made up to a point in time.
-func (a *attempt) wasMadeBy(moment eventloop.Tick) bool { return a.createdAt <= moment }
+// createdAtOrBefore reports whether the attempt was made up to a point in time.
+func (a *attempt) createdAtOrBefore(moment eventloop.Tick) bool { return a.createdAt <= moment }
 
 // start makes the attempt pending. It ends at its deadline at the latest.
 func (a *attempt) start() {
@@ -51,9 +51,9 @@
 	a.conn.whenEstablished(a.connEstablished)
 }
 
-// stale reports whether what the attempt was decided on has changed: the machine has stopped taking new containers or
+// isStale reports whether what the attempt was decided on has changed: the machine has stopped taking new containers or
 // has started anew, or more containers of the service were found running.
-func (a *attempt) stale() bool {
+func (a *attempt) isStale() bool {
 	return !a.machine.isServing() || a.machine.startedAt != a.machineStart ||
 		a.env.adoptions.Since(a.container.request.Service, a.adoptionsBefore)
 }
@@ -67,7 +67,7 @@
 		return
 	}
 	left := a.deadline - a.env.loop.ReadClock()
-	if left < eventloop.Millisecond || a.stale() || !a.conn.send(offerMessage(a.container, left)) {
+	if left < eventloop.Millisecond || a.isStale() || !a.conn.send(offerMessage(a.container, left)) {
 		a.finish(scheduler.AttemptEnded{Outcome: scheduler.OutcomeNotSent})
 		return
 	}
@@ -107,7 +107,7 @@
 	id := a.id()
 	a.env.loop.Cancel(a.timer)
 	a.conn.attemptAccepted(id)
-	a.container.accepted(a.machine)
+	a.container.markAccepted(a.machine)
 	a.machine.containerStarted(a.container)
 	a.env.notifyScheduler(scheduler.AttemptAccepted{
 		ID:      id,
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// ended handles the end that the machine reports: of the running container, or of the pending attempt that it rejects.
-func (a *attempt) ended(event containerEnded) {
+// handleEnd handles the end that the machine reports: of the running container, or of the pending attempt that it rejects.
+func (a *attempt) handleEnd(event containerEnded) {
 	ended := scheduler.AttemptEnded{Reason: event.reason, Report: event.report}
 	if a.isRunning() {
 		ended.Outcome = event.cause.outcomeAfterAccept()
@@ -218,7 +218,7 @@
 func (a *attempt) releaseRunning() {
 	a.machine.removeAttempt(a.id())
 	if a.conn != nil {
-		a.conn.runningEnded()
+		a.conn.containerEnded()
 	}
 	a.machine.containerEnded(a.container)
 }
--- a/internal/platform/attempts_test.go
+++ b/internal/platform/attempts_test.go
@@ -154,7 +154,7 @@
 
 // The client goes in the batch in which the scheduler starts an attempt: that has its outcome all the same.
 func TestAttemptForUnknownContainerHasOutcome(t *testing.T) {
-	r := startWithMachineA(t, nowhere, attemptOnA(0))
+	r := startWithMachineA(t, closedAddr, attemptOnA(0))
 	r.runOnLoop(func() { r.server.applySchedulerAction(scheduler.StartAttempt{ID: requestID, Machine: "a"}) })
 	e := await[scheduler.AttemptEnded](r, nil)
 	testutil.Expect(t, e.ID == requestID && e.Machine == "a" && e.Outcome == scheduler.OutcomeNotSent && e.Final,
@@ -167,7 +167,7 @@
 	r := startWithMachineA(t, addr, attemptOnA(0))
 	client := r.dialClient()
 	r.runOnLoop(func() {
-		r.scheduler.on = func(e scheduler.Event) []scheduler.Action {
+		r.scheduler.script = func(e scheduler.Event) []scheduler.Action {
 			if e, ok := e.(scheduler.RequestReceived); ok && e.ID == requestID {
 				client.close() // its end is read before the connection is established
 			}
@@ -212,7 +212,7 @@
 			m.send(acceptLine(msg.RequestID))
 		}
 	}))
-	client.send(offerWithin(otherRequestID, "9000"))
+	client.send(offerLineWithin(otherRequestID, "9000"))
 	client.expect(jsonlines.OpAccept, otherRequestID)
 	if id := <-received; id != otherRequestID || len(received) > 0 {
 		t.Errorf("the machine received %s first, and %d more", id, len(received))
--- a/internal/platform/attemptstate.go
+++ b/internal/platform/attemptstate.go
@@ -53,8 +53,8 @@
 // isRunning reports whether the container of the attempt is running.
 func (a *attempt) isRunning() bool { return a.state == attemptRunning || a.state == attemptTerminating }
 
-// wasAcceptedHere reports whether the container is running by an offer that the machine has accepted, not by a claim.
-func (a *attempt) wasAcceptedHere() bool { return a.isRunning() && a.conn != nil }
+// wasAcceptedByMachine reports whether the container is running by an offer that the machine has accepted, not by a claim.
+func (a *attempt) wasAcceptedByMachine() bool { return a.isRunning() && a.conn != nil }
 
 // awaitsAnswer reports whether the machine is to answer the offer.
 func (a *attempt) awaitsAnswer() bool { return a.state == attemptOffered }
--- a/internal/platform/claims.go
+++ b/internal/platform/claims.go
@@ -10,28 +10,28 @@
 type runningClaim struct {
 	client  *clientConn
 	request scheduler.PlacementRequest
-	at      scheduler.MachineID
+	machine scheduler.MachineID
 }
 
-// claimed takes in a claim. One to a container that is running here already is ignored.
-func (r *containerRegistry) claimed(claim runningClaim) {
+// handleClaim takes in a claim. One to a container that is running here already is ignored.
+func (r *containerRegistry) handleClaim(claim runningClaim) {
 	c := r.containers[claim.request.ID]
 	switch {
 	case c == nil:
 		r.adopt(claim)
 	case c.isOpenRequestOf(claim.client):
-		c.closeAsRunning(claim.at)
+		c.closeAsRunning(claim.machine)
 		r.adopt(claim)
 	case !c.isAnswered():
 		// The end of the connection on which the client has requested the container may be on its way. Anybody else
 		// must not close the request of another client.
-		c.waitingClaim = &claim
+		c.pendingClaim = &claim
 	}
 }
 
 // adopt adds the container of a claim, unless one with its key is running at the machine or the claim is left out.
 func (r *containerRegistry) adopt(claim runningClaim) {
-	m := r.machines.lookup(claim.at)
+	m := r.machines.lookup(claim.machine)
 	if m != nil && m.runs(claim.request.IdempotencyKey) {
 		return
 	}
@@ -39,12 +39,12 @@
 	if claim.client.isOpen() {
 		c.client = claim.client
 	}
-	if r.admits(c, claim.at) {
+	if r.admits(c, claim.machine) {
 		r.containers[c.request.ID] = c
-		m = r.machines.getOrAdd(claim.at)
-		c.adopted(m)
+		m = r.machines.getOrAdd(claim.machine)
+		c.startAdopted(m)
 		r.env.adoptions.Adopted(c.request.Service)
-		r.env.notifyScheduler(scheduler.ContainerAdopted{PlacementRequest: c.request, Machine: claim.at})
+		r.env.notifyScheduler(scheduler.ContainerAdopted{PlacementRequest: c.request, Machine: claim.machine})
 		if m.isListed() && m.isGone() {
 			// Invariant: no container counts as running at a machine that is gone. A successor may be at its address,
 			// and its activity would be attributed to the machine that is gone.
@@ -52,10 +52,10 @@
 			return
 		}
 	} else {
-		r.env.log.Debug("claim left out", "request_id", c.request.ID, "machine", claim.at)
+		r.env.log.Debug("claim left out", "request_id", c.request.ID, "machine", claim.machine)
 	}
 	r.env.notifyFailureDetector(failuredetector.ContainerReclaimed{
-		Machine: string(claim.at), RequestID: string(c.request.ID),
+		Machine: string(claim.machine), RequestID: string(c.request.ID),
 	})
 }
 
@@ -65,9 +65,9 @@
 	if c.client != nil {
 		claim.Client = adoption.ClientID(c.client.id)
 	}
-	decision := r.env.claims.Decide(claim, r.machines.claimed(at))
+	decision := r.env.claims.Decide(claim, r.machines.claimTarget(at))
 	for _, id := range decision.Displaced {
-		r.containers[scheduler.ContainerID(id)].displaced()
+		r.containers[scheduler.ContainerID(id)].displace()
 	}
 	return decision.Adopt
 }
--- a/internal/platform/claims_test.go
+++ b/internal/platform/claims_test.go
@@ -78,7 +78,7 @@
 		})
 	})
 	r.runOnLoop(func() {
-		r.scheduler.on = nil // the real one decides
+		r.scheduler.script = nil // the real one decides
 		r.server.env.claims = adoption.New(limit)
 	})
 	return r
@@ -147,7 +147,7 @@
 
 // A claim that is left out, as more containers than the machine can run are claimed to be there, has its end notified
 // all the same: also where that was reported before the claim.
-func TestEndOfLeftOutClaimIsNotified(t *testing.T) {
+func TestEndOfUnadoptedClaimIsNotified(t *testing.T) {
 	t.Run("claimed first", func(t *testing.T) {
 		r, report := startWithClaimsAtA(t)
 		r.client.send(offerLine(requestID, ";at:a"))
@@ -165,14 +165,14 @@
 	})
 }
 
-// claimingClient is a server with a client that has claimed as many containers as can run at machine a.
-type claimingClient struct {
+// serverWithClaims is a server with a client that has claimed as many containers as can run at machine a.
+type serverWithClaims struct {
 	*testServer
 	client *peer
 }
 
 // startWithClaimsAtA lets machine a report the ends of requestID, which nobody has claimed, and of otherRequestID.
-func startWithClaimsAtA(t *testing.T) (r claimingClient, report func()) {
+func startWithClaimsAtA(t *testing.T) (r serverWithClaims, report func()) {
 	t.Helper()
 	reported := make(chan bool)
 	addr := serveTCP(t, func(m *peer) {
@@ -198,7 +198,7 @@
 
 // A claim that comes after its machine has started anew counts: the container may have been accepted since. One that
 // came before the start is lost.
-func TestClaimAtMachineThatStartedAnewIsAdopted(t *testing.T) {
+func TestClaimAtRestartedMachineIsAdopted(t *testing.T) {
 	discovery, publish := scriptedDiscovery(t)
 	ending := make(chan bool)
 	addr := serveTCP(t, func(m *peer) {
@@ -257,13 +257,13 @@
 	})
 }
 
-// offeredRequest is a server with an open request that was offered to machine a.
-type offeredRequest struct {
+// serverWithOffer is a server with an open request that was offered to machine a.
+type serverWithOffer struct {
 	*testServer
 	client, machineA *peer
 }
 
-func startWithOfferAtA(t *testing.T) offeredRequest {
+func startWithOfferAtA(t *testing.T) serverWithOffer {
 	t.Helper()
 	offered, done := make(chan *peer, 10), make(chan bool)
 	addr := serveTCP(t, func(m *peer) {
@@ -276,17 +276,17 @@
 	b := machineJSON("b", serveTCP(t, (*peer).readToEnd), "ready", 0)
 	r := startWithDiscovery(t, silentDiscovery(t), machineJSON("a", addr, "ready", 0), b)
 	client := r.dialClient()
-	client.send(offerWithin(requestID, "60000"))
-	return offeredRequest{r, client, testutil.Receive(t, offered)}
+	client.send(offerLineWithin(requestID, "60000"))
+	return serverWithOffer{r, client, testutil.Receive(t, offered)}
 }
 
-func (r offeredRequest) claimOnAnotherConn(at string) {
+func (r serverWithOffer) claimOnAnotherConn(at string) {
 	other := r.dialClient()
 	other.send(offerLine(requestID, ";at:"+at))
 	other.expectLive(1)
 }
 
-func (r offeredRequest) expectAdopted(at scheduler.MachineID) {
+func (r serverWithOffer) expectAdopted(at scheduler.MachineID) {
 	r.Helper()
 	e := await[scheduler.ContainerAdopted](r.testServer, nil)
 	testutil.Expect(r, e.ID == requestID && e.Machine == at, "adopted %+v", e)
--- a/internal/platform/clientmessages.go
+++ b/internal/platform/clientmessages.go
@@ -185,7 +185,7 @@
 	for _, amount := range []struct {
 		name, text string
 		value      *float64
-		most       float64
+		limit      float64
 	}{
 		{"extras cores", extras["cores"], &offer.request.Cores, 1e6},
 		{"extras memory", extras["memory"], &offer.request.Memory, 1e9},
@@ -195,8 +195,8 @@
 			continue
 		}
 		value, err := strconv.ParseFloat(amount.text, 64)
-		if err != nil || math.IsNaN(value) || value < 0 || value > amount.most {
-			return fieldError(amount.name, "%q is no number from 0 to %g", amount.text, amount.most)
+		if err != nil || math.IsNaN(value) || value < 0 || value > amount.limit {
+			return fieldError(amount.name, "%q is no number from 0 to %g", amount.text, amount.limit)
 		}
 		*amount.value = value
 	}
--- a/internal/platform/clientmessages_test.go
+++ b/internal/platform/clientmessages_test.go
@@ -14,7 +14,7 @@
 
 func testConfig(t *testing.T) *Config {
 	t.Helper()
-	config, err := parseConfig([]byte(configJSON(nowhere, 256)))
+	config, err := parseConfig([]byte(configJSON(closedAddr, 256)))
 	testutil.NoError(t, err)
 	return config
 }
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -126,7 +126,7 @@
 		cc.rejectInvalid(received, offer.runsOn, err)
 	case offer.runsOn != "":
 		cc.env.notifyConnManager(connmanager.ContainerReclaimed{Client: cc.id})
-		cc.containers.claimed(runningClaim{client: cc, request: offer.request, at: offer.runsOn})
+		cc.containers.handleClaim(runningClaim{client: cc, request: offer.request, machine: offer.runsOn})
 	default:
 		cc.containers.open(cc, offer)
 	}
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -51,7 +51,7 @@
 
 // A client that names a running container with impossible values has proven nothing: it is closed like one that
 // requests nothing, and no container is counted. With possible values it stays.
-func TestImpossibleReclaimIsIgnored(t *testing.T) {
+func TestInvalidReclaimIsIgnored(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		left  string
@@ -209,8 +209,8 @@
 	r.awaitOutcome(scheduler.AttemptEnded{ID: requestID, Outcome: scheduler.OutcomeStopped, Final: true})
 }
 
-// watchConnManager adds to events what the connection manager is told from now on.
-func (r *testServer) watchConnManager(events *[]connmanager.Event) {
+// recordConnManagerEvents adds to events what the connection manager is told from now on.
+func (r *testServer) recordConnManagerEvents(events *[]connmanager.Event) {
 	r.Helper()
 	r.runOnLoop(func() {
 		queue := &r.server.env.connManagerQueue
@@ -225,7 +225,7 @@
 // The connection manager closes idle clients to make room for new ones. It hears of a request that is read in the
 // iteration in which others connect before it hears of these. One that has ended by then is not reported.
 func TestClientsAreReportedAfterRequests(t *testing.T) {
-	r := startWithMachineA(t, nowhere, func(scheduler.Event) []scheduler.Action { return nil })
+	r := startWithMachineA(t, closedAddr, func(scheduler.Event) []scheduler.Action { return nil })
 	r.dialClient()
 	await := func() (cc *clientConn) {
 		testutil.WaitUntil(t, "the client is connected", func() bool {
@@ -236,7 +236,7 @@
 	}
 	first := await()
 	var got []connmanager.Event
-	r.watchConnManager(&got)
+	r.recordConnManagerEvents(&got)
 	r.runOnLoop(func() {
 		for range 2 {
 			handler, _ := r.server.clients.accept()
@@ -264,7 +264,7 @@
 func TestCompletedMessagesAreReported(t *testing.T) {
 	r := startWithDiscovery(t, silentDiscovery(t))
 	var got []connmanager.Event
-	r.watchConnManager(&got)
+	r.recordConnManagerEvents(&got)
 	client := r.dialClient()
 	client.write(testLine(1) + "\n" + testLine(2)[:9])
 	client.expectCause(jsonlines.OpTested, fmt.Sprintf("%016x", 1), jsonlines.CauseTestPassed)
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -37,7 +37,7 @@
 }
 
 var (
-	errNoSettings  = errors.New("settings: permissions.connect_timeout_ms and permissions.conn_idle_ms must be above 0")
+	errBadTimeouts = errors.New("settings: permissions.connect_timeout_ms and permissions.conn_idle_ms must be above 0")
 	errNoEventBody = errors.New("topology is missing")
 )
 
@@ -152,7 +152,7 @@
 	config.ConnectTimeout = millisecondsToTicks(wire.Permissions.ConnectTimeoutMillis)
 	config.MachineIdleTimeout = millisecondsToTicks(wire.Permissions.IdleTimeoutMillis)
 	if config.ConnectTimeout <= 0 || config.MachineIdleTimeout <= 0 {
-		return errNoSettings
+		return errBadTimeouts
 	}
 	return nil
 }
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestConfigIsValidated(t *testing.T) {
-	good := configJSON(nowhere, 256,
+	good := configJSON(closedAddr, 256,
 		snapshotJSON(1, machineJSON("a", "127.0.0.1:2", "ready", 5), machineJSON("b", "127.0.0.1:3", "draining", 0)))
 	for _, tc := range []struct{ name, old, with, wantError string }{
 		{"good", "", "", ""},
@@ -61,7 +61,7 @@
 // Without zones and machine types in the settings there is one of each.
 func TestConfigWithoutZones(t *testing.T) {
 	text := strings.NewReplacer(`"azs":["hall a","hall-b"]`, `"azs":[]`, `"site":"hall-b"`, `"site":""`).
-		Replace(configJSON(nowhere, 256, snapshotJSON(1, machineJSON("a", "127.0.0.1:2", "ready", 0))))
+		Replace(configJSON(closedAddr, 256, snapshotJSON(1, machineJSON("a", "127.0.0.1:2", "ready", 0))))
 	if config, err := parseConfig([]byte(text)); err != nil || config.KnownEvents[0].machines[0].entry.Zone != 0 {
 		t.Errorf("%+v, %v", config, err)
 	}
@@ -78,7 +78,7 @@
 		{`"memory_mb":64`, `"memory_mb":"64"`, "line 2: "},
 		{`"connect_timeout_ms":250.0`, `"connect_timeout_ms":0`, "settings: permissions.connect_timeout_ms"},
 	} {
-		text := strings.Replace(configJSON(nowhere, 256), tc.old, tc.with, 1)
+		text := strings.Replace(configJSON(closedAddr, 256), tc.old, tc.with, 1)
 		testutil.WriteFile(t, path, []byte(text))
 		config, err := LoadConfig(path)
 		if tc.wantError == "" {
--- a/internal/platform/containerregistry.go
+++ b/internal/platform/containerregistry.go
@@ -72,8 +72,8 @@
 func (r *containerRegistry) remove(c *container) {
 	delete(r.containers, c.request.ID)
 	r.env.claims.Remove(string(c.request.ID))
-	if c.waitingClaim != nil {
-		r.adopt(*c.waitingClaim)
+	if c.pendingClaim != nil {
+		r.adopt(*c.pendingClaim)
 	}
 }
 
@@ -126,10 +126,10 @@
 	return requested
 }
 
-// cutOpenAttempts ends the attempts of unanswered requests. The scheduler then answers each, as after its own deadline.
-func (r *containerRegistry) cutOpenAttempts() {
+// endOpenAttempts ends the attempts of unanswered requests. The scheduler then answers each, as after its own deadline.
+func (r *containerRegistry) endOpenAttempts() {
 	for _, id := range sortedKeys(r.containers) {
-		r.containers[id].cutOpenAttempt()
+		r.containers[id].endOpenAttempt()
 	}
 }
 
--- a/internal/platform/containers.go
+++ b/internal/platform/containers.go
@@ -23,7 +23,7 @@
 	attemptsMade   int
 	attempt        *attempt      // the pending one, or the one by which it is running
 	lostOffers     []*machine    // where it may be running unseen; until another machine accepts it
-	waitingClaim   *runningClaim // that it is running; of another client, until the request is over
+	pendingClaim   *runningClaim // that it is running; of another client, until the request is over
 }
 
 func (c *container) wasRequestedOn(cc *clientConn) bool { return c.client == cc }
@@ -59,8 +59,8 @@
 	c.attempt.start()
 }
 
-// adopted makes the attempt by which a container is running that a client has reclaimed.
-func (c *container) adopted(m *machine) {
+// startAdopted makes the attempt by which a container is running that a client has reclaimed.
+func (c *container) startAdopted(m *machine) {
 	c.attempt = &attempt{
 		env:       c.env,
 		container: c,
@@ -72,9 +72,9 @@
 	m.containerStarted(c)
 }
 
-// displaced ends the count of a container that was adopted, as its claim gives way to another. Nobody is notified: the
+// displace ends the count of a container that was adopted, as its claim gives way to another. Nobody is notified: the
 // container may be running.
-func (c *container) displaced() {
+func (c *container) displace() {
 	c.attempt.finish(scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: true})
 }
 
@@ -89,9 +89,9 @@
 	c.removeIfDone()
 }
 
-// accepted takes in that a machine has accepted the container. A claim that it is running elsewhere is void.
-func (c *container) accepted(by *machine) {
-	c.waitingClaim = nil
+// markAccepted takes in that a machine has accepted the container. A claim that it is running elsewhere is void.
+func (c *container) markAccepted(by *machine) {
+	c.pendingClaim = nil
 	c.cancelLostOffers(by)
 }
 
@@ -124,7 +124,7 @@
 // closeAsRunning closes the unanswered request, as its client claims that the container is running at a machine. An
 // offer to that machine is not cancelled there: that would end the container.
 func (c *container) closeAsRunning(at scheduler.MachineID) {
-	c.waitingClaim = nil
+	c.pendingClaim = nil
 	if a := c.attempt; a != nil && a.machine.id == at {
 		a.finish(scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: true})
 	}
@@ -159,8 +159,8 @@
 	}
 }
 
-// cutOpenAttempt ends the attempt of the request if that is open.
-func (c *container) cutOpenAttempt() {
+// endOpenAttempt ends the attempt of the request if that is open.
+func (c *container) endOpenAttempt() {
 	if !c.answered && c.attempt != nil {
 		c.attempt.cancel(scheduler.AttemptEnded{Outcome: scheduler.OutcomeFinished})
 	}
--- a/internal/platform/copies.go
+++ b/internal/platform/copies.go
@@ -32,15 +32,15 @@
 	}
 	for _, m := range c.lostOffers {
 		if m != acceptedBy && !m.isGone() {
-			c.env.cancels.Add(connmanager.Time(c.env.loop.Now()), m.cancelOf(c.request.ID))
+			c.env.cancels.Add(connmanager.Time(c.env.loop.Now()), m.cancelFor(c.request.ID))
 		}
 	}
 	c.lostOffers = nil
 	acceptedBy.registry.sendDueCancels()
 }
 
-// cancelOf is the cancel of a copy that may be running at the machine.
-func (m *machine) cancelOf(id scheduler.ContainerID) connmanager.Cancel {
+// cancelFor is the cancel of a copy that may be running at the machine.
+func (m *machine) cancelFor(id scheduler.ContainerID) connmanager.Cancel {
 	return connmanager.Cancel{Machine: string(m.id), RequestID: string(id)}
 }
 
@@ -55,16 +55,16 @@
 			r.env.cancels.Tried(connmanager.Time(r.env.loop.Now()), cancel, 0)
 			continue
 		}
-		mc.carryCancel(cancel)
+		mc.sendCancel(cancel)
 	}
 }
 
-// carryCancel sends a cancel once the connection is established, unless the container is wanted by then.
-func (mc *machineConn) carryCancel(cancel connmanager.Cancel) {
+// sendCancel sends a cancel once the connection is established, unless the container is wanted by then.
+func (mc *machineConn) sendCancel(cancel connmanager.Cancel) {
 	mc.env.cancels.Tried(connmanager.Time(mc.env.loop.Now()), cancel, mc.id)
 	mc.whenEstablished(func() {
 		id := scheduler.ContainerID(cancel.RequestID)
-		if mc.machine.isWanted(id) {
+		if mc.machine.hasAttemptOrClaim(id) {
 			mc.env.cancels.Settle(cancel)
 		}
 		if mc.env.cancels.Holds(cancel) && !mc.send(cancelMessage(id)) {
@@ -73,9 +73,9 @@
 	})
 }
 
-// isWanted reports whether a container is offered to the machine again, or a client has claimed that it is running
+// hasAttemptOrClaim reports whether a container is offered to the machine again, or a client has claimed that it is running
 // there: also where that claim was left out.
-func (m *machine) isWanted(id scheduler.ContainerID) bool {
+func (m *machine) hasAttemptOrClaim(id scheduler.ContainerID) bool {
 	return m.attempt(id) != nil || m.env.claims.LeftOut(string(id), string(m.id))
 }
 
@@ -101,29 +101,29 @@
 	return true
 }
 
-// recordSilentLoss records that an idempotent container was reported as terminated because its machine was silent: if
+// recordLostWhileSilent records that an idempotent container was reported as terminated because its machine was silent: if
 // that was only cut off, the container runs on. One that was never accepted here is not recorded, as clients can make
 // up any number of claims.
-func (m *machine) recordSilentLoss(a *attempt) {
-	if a.wasAcceptedHere() && a.container.isIdempotent() {
-		m.lostInSilence = append(m.lostInSilence, a.id())
+func (m *machine) recordLostWhileSilent(a *attempt) {
+	if a.wasAcceptedByMachine() && a.container.isIdempotent() {
+		m.lostWhileSilent = append(m.lostWhileSilent, a.id())
 	}
 }
 
-// cancelLostInSilence ends the containers that were lost, as the machine is heard again on a connection.
-func (m *machine) cancelLostInSilence(mc *machineConn) {
+// cancelLostWhileSilent ends the containers that were lost, as the machine is heard again on a connection.
+func (m *machine) cancelLostWhileSilent(mc *machineConn) {
 	if !mc.isEstablished() {
 		return // nothing may be written
 	}
-	for _, id := range m.lostInSilence {
-		m.env.cancels.Add(connmanager.Time(m.env.loop.Now()), m.cancelOf(id))
-		mc.carryCancel(m.cancelOf(id))
+	for _, id := range m.lostWhileSilent {
+		m.env.cancels.Add(connmanager.Time(m.env.loop.Now()), m.cancelFor(id))
+		mc.sendCancel(m.cancelFor(id))
 	}
-	m.lostInSilence = nil
+	m.lostWhileSilent = nil
 }
 
-// forgetCopies takes in that the machine is gone or has started anew: no copy is running there.
-func (m *machine) forgetCopies() {
-	m.lostInSilence = nil
+// discardCopyRecords takes in that the machine is gone or has started anew: no copy is running there.
+func (m *machine) discardCopyRecords() {
+	m.lostWhileSilent = nil
 	m.env.cancels.MachineGone(string(m.id))
 }
--- a/internal/platform/copies_test.go
+++ b/internal/platform/copies_test.go
@@ -85,8 +85,8 @@
 
 // A machine is cut off, its containers are reported as terminated, and it comes back: an idempotent container is
 // cancelled there, unless a client has reclaimed it. One with a key is left to its client.
-func TestContainerLostInSilenceIsCancelledOnReturn(t *testing.T) {
-	claimLeftOut := strings.Replace(offerLine(requestID, ";at:a"), "cores:1;", "cores:1000;", 1)
+func TestContainerLostWhileSilentIsCancelled(t *testing.T) {
+	claimNotAdopted := strings.Replace(offerLine(requestID, ";at:a"), "cores:1;", "cores:1000;", 1)
 	for _, tc := range []struct {
 		name, class string
 		reclaim     string // a line by which its client claims it
@@ -94,7 +94,7 @@
 	}{
 		{"idempotent", "matcher", "", true},
 		{"idempotent, reclaimed", "matcher", offerLine(requestID, ";at:a"), false},
-		{"idempotent, reclaimed by a claim that is left out", "matcher", claimLeftOut, false},
+		{"idempotent, reclaimed by a claim that is left out", "matcher", claimNotAdopted, false},
 		{"with a key", "report-run", "", false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -110,7 +110,7 @@
 			}
 			expectPlaced(t, client, received, thirdRequestID)
 			r.runOnLoop(func() {
-				lost := r.server.machines.lookup("a").lostInSilence
+				lost := r.server.machines.lookup("a").lostWhileSilent
 				testutil.Expect(t, len(lost) == 0, "%v is still recorded", lost)
 			})
 		})
--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -29,7 +29,7 @@
 // beside other load, the offer states what is left of its time then.
 func TestOfferTimeCountsFromItsSending(t *testing.T) {
 	const timeout, stall = scheduler.Second, 20 * eventloop.Millisecond
-	const mostMillisLeft = 980
+	const maxMillisLeft = 980
 	loops := make(chan *eventloop.Loop, 1)
 	received := make(chan *jsonlines.Message, 10)
 	addr := serveMessages(t, func(m *peer, msg *jsonlines.Message) {
@@ -51,25 +51,25 @@
 	client.expect(jsonlines.OpAccept, otherRequestID)
 	left, err := strconv.Atoi(testutil.Receive(t, received).Fields["left"])
 	testutil.NoError(t, err)
-	testutil.Expect(t, left <= mostMillisLeft, "%d ms are left after a stall, want %d at most", left, mostMillisLeft)
+	testutil.Expect(t, left <= maxMillisLeft, "%d ms are left after a stall, want %d at most", left, maxMillisLeft)
 }
 
 // A connection that is found established together with the deadline of its attempt, as the process was not run for a
 // while, carries no offer: its time is over, and the machine would start what nobody waits for.
 func TestConnThatOpensAfterTheDeadlineCarriesNoOffer(t *testing.T) {
-	machineAddr, busAddr := netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.0.0.3:1")
+	machineAddr, discoveryAddr := netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.0.0.3:1")
 	network := simnet.New(1)
 	kernel := network.NewKernel()
-	text := configJSON(busAddr.String(), 256, snapshotJSON(1, machineJSON("a", machineAddr.String(), "ready", 0)))
+	text := configJSON(discoveryAddr.String(), 256, snapshotJSON(1, machineJSON("a", machineAddr.String(), "ready", 0)))
 	config, err := parseConfig([]byte(text))
 	testutil.NoError(t, err)
-	decisions := &scriptedScheduler{on: attemptOnA(50 * scheduler.Millisecond), events: make(chan scheduler.Event, 100)}
-	server, err := NewSimulated(kernel, config, decisions, slog.New(slog.DiscardHandler))
+	sched := &scriptedScheduler{script: attemptOnA(50 * scheduler.Millisecond), events: make(chan scheduler.Event, 100)}
+	server, err := NewSimulated(kernel, config, sched, slog.New(slog.DiscardHandler))
 	testutil.NoError(t, err)
 
 	machine := &linePeer{onConnected: func(*simnet.PeerConn) { kernel.Stall(100 * time.Millisecond) }}
 	network.Listen(machineAddr, &simnet.Endpoint{Accept: func() simnet.PeerHandler { return machine }})
-	network.Listen(busAddr, &simnet.Endpoint{Accept: func() simnet.PeerHandler {
+	network.Listen(discoveryAddr, &simnet.Endpoint{Accept: func() simnet.PeerHandler {
 		return &linePeer{onConnected: func(*simnet.PeerConn) {}}
 	}})
 	client := &linePeer{onConnected: func(c *simnet.PeerConn) { c.Write([]byte(offerLine(requestID, "")+"\n"), nil) }}
@@ -80,8 +80,8 @@
 	testutil.Equal(t, machine.received.String(), "", "what the machine received")
 	testutil.Expect(t, strings.Contains(client.received.String(), `"why":41`), "answer %q", client.received.String())
 	var outcomes []scheduler.Outcome
-	for len(decisions.events) > 0 {
-		if ended, ok := (<-decisions.events).(scheduler.AttemptEnded); ok {
+	for len(sched.events) > 0 {
+		if ended, ok := (<-sched.events).(scheduler.AttemptEnded); ok {
 			outcomes = append(outcomes, ended.Outcome)
 		}
 	}
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -16,8 +16,8 @@
 	peer *peer
 }
 
-// watchedDiscovery passes on each watch that is requested.
-func watchedDiscovery(t *testing.T) (addr string, watches chan watch) {
+// recordingDiscovery passes on each watch that is requested.
+func recordingDiscovery(t *testing.T) (addr string, watches chan watch) {
 	t.Helper()
 	watches = make(chan watch, 10)
 	return serveTCP(t, func(p *peer) {
@@ -29,8 +29,8 @@
 	}), watches
 }
 
-// follow waits for the next watch and checks from which event on it is requested.
-func follow(t *testing.T, watches chan watch, from string) *peer {
+// expectWatch waits for the next watch and checks from which event on it is requested.
+func expectWatch(t *testing.T, watches chan watch, from string) *peer {
 	t.Helper()
 	select {
 	case w := <-watches:
@@ -44,50 +44,50 @@
 
 // The watch goes on over breaks, repeated events, silence and a new address, and no event is applied twice.
 func TestDiscoveryWatchResumes(t *testing.T) {
-	old, watches := watchedDiscovery(t)
-	r := startWithDiscovery(t, old, machineJSON("a", nowhere, "ready", 0))
+	old, watches := recordingDiscovery(t)
+	r := startWithDiscovery(t, old, machineJSON("a", closedAddr, "ready", 0))
 	r.awaitList(1)
-	p := follow(t, watches, "from 1")
-	draining := machineJSON("a", nowhere, "draining", 0)
+	p := expectWatch(t, watches, "from 1")
+	draining := machineJSON("a", closedAddr, "draining", 0)
 	p.send(snapshotJSON(1), deltaJSON(2, draining), deltaJSON(2), `{"offset":2}`)
 	r.awaitList(2)
 	p.write(`{"offset":3,"topo`) // broken off
 	p.close()
-	p = follow(t, watches, "from 2")
+	p = expectWatch(t, watches, "from 2")
 	p.send(`{"offset":4}`) // 3 and 4 were never sent
-	p = follow(t, watches, "from 2")
+	p = expectWatch(t, watches, "from 2")
 	p.send(deltaJSON(3), deltaJSON(4))
 	r.awaitList(3)
 	r.awaitList(4)
-	follow(t, watches, "from 4") // now silence
-	later, moved := watchedDiscovery(t)
+	expectWatch(t, watches, "from 4") // now silence
+	later, moved := recordingDiscovery(t)
 	config := *r.server.env.config
 	config.DiscoveryAddr = later
 	r.server.Reload(&config)
-	p = follow(t, moved, "from 4")
+	p = expectWatch(t, moved, "from 4")
 	p.send(snapshotJSON(5))
 	r.awaitList(5)
 }
 
 // A missing event is requested again, and a machine that the settings cannot place keeps no other from being applied.
 func TestMissingEventIsRequestedAgain(t *testing.T) {
-	discovery, watches := watchedDiscovery(t)
+	discovery, watches := recordingDiscovery(t)
 	r := startWithDiscovery(t, discovery)
 	r.awaitList(1)
-	p := follow(t, watches, "from 1")
-	p.send(deltaJSON(2), deltaJSON(4, machineJSON("a", nowhere, "draining", 0)))
+	p := expectWatch(t, watches, "from 1")
+	p.send(deltaJSON(2), deltaJSON(4, machineJSON("a", closedAddr, "draining", 0)))
 	r.awaitList(2)
-	p = follow(t, watches, "from 2")
-	unknownType := strings.Replace(machineJSON("x", nowhere, "ready", 0), "large", "huge", 1)
-	p.send(deltaJSON(3, unknownType, machineJSON("a", nowhere, "ready", 0)), deltaJSON(4))
+	p = expectWatch(t, watches, "from 2")
+	unknownType := strings.Replace(machineJSON("x", closedAddr, "ready", 0), "large", "huge", 1)
+	p.send(deltaJSON(3, unknownType, machineJSON("a", closedAddr, "ready", 0)), deltaJSON(4))
 	if e := r.awaitList(3); len(e.Entries) != 1 || e.Entries[0].Machine != "a" {
 		t.Errorf("got %+v", e)
 	}
 	r.awaitList(4)
 	p.close()
-	p = follow(t, watches, "from 4")
+	p = expectWatch(t, watches, "from 4")
 	p.send(deltaJSON(4), deltaJSON(6)) // 4 is a repeat, after which 5 is missing
-	p = follow(t, watches, "from 4")
+	p = expectWatch(t, watches, "from 4")
 	p.send(snapshotJSON(9)) // all that the service still has
 	if e := r.awaitList(9); e.Mode != scheduler.FullSnapshot {
 		t.Errorf("got %+v", e)
@@ -96,13 +96,13 @@
 
 // Entries that do not fit the settings are left out of an event and named, and an event that cannot be read is an
 // error.
-func TestInvalidEntriesAreLeftOut(t *testing.T) {
+func TestInvalidEntriesAreSkipped(t *testing.T) {
 	config := testConfig(t)
 	event, err := config.decodeWatchEvent([]byte(snapshotJSON(2,
-		machineJSON("a", nowhere, "ready", 3),
-		machineJSON("", nowhere, "ready", 0),
+		machineJSON("a", closedAddr, "ready", 3),
+		machineJSON("", closedAddr, "ready", 0),
 		machineJSON("c", "nowhere", "ready", 0),
-		machineJSON("d", nowhere, "resting", 0),
+		machineJSON("d", closedAddr, "resting", 0),
 		strings.Replace(machineJSON("b", "", "gone", 0), "large", "huge", 1),
 	)))
 	if err != nil || event.offset != 2 || event.version != 2 || !event.fullSnapshot || len(event.machines) != 2 ||
@@ -113,7 +113,7 @@
 		Machine: "a", Zone: 1, MachineType: 1, RackGroup: 2, PowerHint: 1, FreeCores: 40.5, FreeMemory: 100,
 		StartedAt: 3 * scheduler.Millisecond,
 	}
-	testutil.Equal(t, event.machines[0], (machineUpdate{a, nowhere}), "machine a")
+	testutil.Equal(t, event.machines[0], (machineUpdate{a, closedAddr}), "machine a")
 	if b := event.machines[1]; b.entry.Machine != "b" || b.entry.State != scheduler.MachineGone || b.addr != "" {
 		t.Errorf("machine b is %+v", b)
 	}
@@ -128,23 +128,23 @@
 // The watch breaks in the iteration in which more clients connect than may be open: it has a descriptor all the same.
 func TestWatchResumesInClientBurst(t *testing.T) {
 	const descriptors = 64
-	discovery, watches := watchedDiscovery(t)
+	discovery, watches := recordingDiscovery(t)
 	r := startServer(t, attemptOnA(0), configJSON(discovery, descriptors, snapshotJSON(1)))
 	r.awaitList(1)
-	p := follow(t, watches, "from 1")
+	p := expectWatch(t, watches, "from 1")
 	r.runOnLoop(func() {
 		r.dialClients(descriptors)
 		p.close()
 	})
 	r.awaitClientConns((descriptors - 32) / 2)
-	follow(t, watches, "from 1").send(deltaJSON(2))
+	expectWatch(t, watches, "from 1").send(deltaJSON(2))
 	r.awaitList(2)
 	r.runOnLoop(func() { r.expectWithinDescriptors(descriptors) })
 }
 
 // A scheduler that starts while the discovery service is away is ready at once, and places by the list that it knows.
 func TestStartWithoutDiscoveryServesRequests(t *testing.T) {
-	r := startWithDiscovery(t, nowhere, machineJSON("a", fakeMachine(t, acceptLine("%s")), "ready", 0))
+	r := startWithDiscovery(t, closedAddr, machineJSON("a", fakeMachine(t, acceptLine("%s")), "ready", 0))
 	r.dialClient().expectLive(1)
 	r.place()
 }
--- a/internal/platform/environment.go
+++ b/internal/platform/environment.go
@@ -24,9 +24,9 @@
 	cancels      connmanager.Cancels // of copies, which their machines may not have read
 	adoptions    adoptions.Tracker
 
-	schedulerQueue       decisionQueue[scheduler.Event, scheduler.Action]
-	connManagerQueue     decisionQueue[connmanager.Event, connmanager.Action]         // handled after the scheduler's
-	failureDetectorQueue decisionQueue[failuredetector.Event, failuredetector.Action] // handled last
+	schedulerQueue       eventQueue[scheduler.Event, scheduler.Action]
+	connManagerQueue     eventQueue[connmanager.Event, connmanager.Action]         // handled after the scheduler's
+	failureDetectorQueue eventQueue[failuredetector.Event, failuredetector.Action] // handled last
 }
 
 // notifyScheduler queues an event for the scheduler.
@@ -40,19 +40,19 @@
 	env.failureDetectorQueue.add(e)
 }
 
-// notifyLeftOutEnd has a client notified of the end of a container, if its claim was left out. Causes with which
+// notifyUnadoptedEnd has a client notified of the end of a container, if its claim was left out. Causes with which
 // machines do not end what is running answer an offer that was given up: they must not reach its client, who has an
 // answer.
-func (env *environment) notifyLeftOutEnd(id scheduler.ContainerID, at scheduler.MachineID, cause terminationCause) {
+func (env *environment) notifyUnadoptedEnd(id scheduler.ContainerID, at scheduler.MachineID, cause terminationCause) {
 	endsRunning := cause == causeFinished || cause == causeLost
 	if endsRunning && env.claims.LeftOut(string(id), string(at)) {
 		env.notifyConnManager(connmanager.ContainerTerminated{RequestID: string(id), Cause: int(cause)})
 	}
 }
 
-// runDecisions passes the events of this iteration on and carries out the actions that follow. It reports whether
+// processEvents passes the events of this iteration on and carries out the actions that follow. It reports whether
 // these have caused further events.
-func (env *environment) runDecisions() (more bool) {
+func (env *environment) processEvents() (more bool) {
 	now := env.loop.Now()
 	env.schedulerQueue.run(now)
 	env.connManagerQueue.run(now)
@@ -83,19 +83,19 @@
 	env.log.Error("illegal state transition", key, id, "error", err)
 }
 
-// decisionQueue holds the events for a package that decides, until the end of an iteration.
-type decisionQueue[Event, Action any] struct {
+// eventQueue holds the events for a package that decides, until the end of an iteration.
+type eventQueue[Event, Action any] struct {
 	events []Event
 	handle func(now eventloop.Tick, events []Event) []Action
 	apply  func(Action)
 }
 
-func (q *decisionQueue[Event, Action]) add(e Event) { q.events = append(q.events, e) }
+func (q *eventQueue[Event, Action]) add(e Event) { q.events = append(q.events, e) }
 
-func (q *decisionQueue[Event, Action]) pending() int { return len(q.events) }
+func (q *eventQueue[Event, Action]) pending() int { return len(q.events) }
 
 // run passes the events on and carries out the actions in their order. Events that they cause wait for the next run.
-func (q *decisionQueue[Event, Action]) run(now eventloop.Tick) {
+func (q *eventQueue[Event, Action]) run(now eventloop.Tick) {
 	events := q.events
 	if len(events) == 0 {
 		return
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -25,7 +25,7 @@
 // scriptedScheduler decides by a script, or records the events of the scheduler that it wraps.
 type scriptedScheduler struct {
 	mu      sync.Mutex
-	on      func(e scheduler.Event) []scheduler.Action
+	script  func(e scheduler.Event) []scheduler.Action
 	wrapped Scheduler // decides where there is no script
 	events  chan scheduler.Event
 }
@@ -34,12 +34,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var actions []scheduler.Action
-	if s.on == nil {
+	if s.script == nil {
 		actions = s.wrapped.Handle(now, events)
 	}
 	for _, e := range events {
-		if s.on != nil {
-			actions = append(actions, s.on(e)...)
+		if s.script != nil {
+			actions = append(actions, s.script(e)...)
 		}
 		s.events <- e
 	}
@@ -73,7 +73,7 @@
 	config, err := parseConfig([]byte(configText))
 	testutil.NoError(t, err)
 	r := &testServer{T: t, scheduler: &scriptedScheduler{
-		on:      on,
+		script:  on,
 		wrapped: scheduler.New(config.Scheduler),
 		events:  make(chan scheduler.Event, 100_000),
 	}}
@@ -106,13 +106,13 @@
 }
 
 // await waits for an event of a type for which holds is true; nil takes any.
-func await[E scheduler.Event](r *testServer, holds func(E) bool) E {
+func await[E scheduler.Event](r *testServer, match func(E) bool) E {
 	r.Helper()
 	timeout := time.After(testTimeout)
 	for {
 		select {
 		case e := <-r.scheduler.events:
-			if e, ok := e.(E); ok && (holds == nil || holds(e)) {
+			if e, ok := e.(E); ok && (match == nil || match(e)) {
 				return e
 			}
 		case <-timeout:
--- a/internal/platform/machineconnmessages.go
+++ b/internal/platform/machineconnmessages.go
@@ -31,7 +31,7 @@
 // handleAccept handles the accept of the attempt that is pending on this connection. Any other accept is ignored.
 func (mc *machineConn) handleAccept(accepted offerAccepted) error {
 	a := mc.machine.attempt(accepted.id)
-	if a == nil || !a.awaitsAnswer() || !a.isOn(mc) {
+	if a == nil || !a.awaitsAnswer() || !a.usesConn(mc) {
 		return nil
 	}
 	return a.accept(accepted)
@@ -40,18 +40,18 @@
 // handleEnd handles the end of a running container, which is valid on any connection, or the rejection of the attempt
 // that is pending on this one.
 func (mc *machineConn) handleEnd(event containerEnded) {
-	mc.env.cancels.Settle(mc.machine.cancelOf(event.id))
+	mc.env.cancels.Settle(mc.machine.cancelFor(event.id))
 	a := mc.machine.attempt(event.id)
 	switch {
 	case a == nil: // after a start of this process a client may still reclaim the container
-		mc.env.notifyLeftOutEnd(event.id, mc.machine.id, event.cause)
+		mc.env.notifyUnadoptedEnd(event.id, mc.machine.id, event.cause)
 		mc.env.notifyFailureDetector(failuredetector.UnclaimedTermination{
 			Machine:   string(mc.machine.id),
 			RequestID: string(event.id),
 			Cause:     int(event.cause),
 		})
-	case a.isRunning() || a.isOn(mc):
-		a.ended(event)
+	case a.isRunning() || a.usesConn(mc):
+		a.handleEnd(event)
 	}
 }
 
--- a/internal/platform/machineconnpool.go
+++ b/internal/platform/machineconnpool.go
@@ -29,8 +29,8 @@
 	return p.lastID
 }
 
-// released counts a connection that has ended.
-func (p *machineConnPool) released() { p.open-- }
+// release counts a connection that has ended.
+func (p *machineConnPool) release() { p.open-- }
 
 // isFull reports whether there may be no more connections to machines.
 func (p *machineConnPool) isFull() bool {
--- a/internal/platform/machineconns.go
+++ b/internal/platform/machineconns.go
@@ -69,8 +69,8 @@
 	mc.running++
 }
 
-// runningEnded counts the end of such a container.
-func (mc *machineConn) runningEnded() { mc.running-- }
+// containerEnded counts the end of such a container.
+func (mc *machineConn) containerEnded() { mc.running-- }
 
 // whenEstablished calls do once the connection is established, and never where it fails.
 func (mc *machineConn) whenEstablished(do func()) {
@@ -112,10 +112,10 @@
 	return mc.conn.Write(line) == nil
 }
 
-// heard takes in that the machine is alive.
-func (mc *machineConn) heard() {
+// recordActivity takes in that the machine is alive.
+func (mc *machineConn) recordActivity() {
 	mc.machine.recordActivity()
-	mc.machine.cancelLostInSilence(mc)
+	mc.machine.cancelLostWhileSilent(mc)
 }
 
 // Opened implements eventloop.Handler.
@@ -123,7 +123,7 @@
 	if mc.transition(machineConnOpened) != nil {
 		return
 	}
-	mc.heard()
+	mc.recordActivity()
 	waiting := mc.onEstablished
 	mc.onEstablished = nil
 	for _, do := range waiting {
@@ -133,7 +133,7 @@
 
 // Read implements eventloop.Handler.
 func (mc *machineConn) Read(conn *eventloop.Conn, data []byte) {
-	mc.heard()
+	mc.recordActivity()
 	if err := mc.lines.Feed(data, mc.handleLine); err != nil {
 		mc.env.log.Debug("machine connection reset", "machine", mc.machine.id, "error", err)
 		conn.Reset()
@@ -156,7 +156,7 @@
 	case machineEstablished:
 		mc.machine.conns.recordLoss()
 	case machineConnecting, machineAbandoned:
-		mc.reportRefusal(err)
+		mc.reportIfRefused(err)
 	default: // it was closed here
 	}
 	mc.finishCancels(last, err)
@@ -168,8 +168,8 @@
 	mc.machine.evictIfGone()
 }
 
-// reportRefusal reports that no process listens at the machine's address any more.
-func (mc *machineConn) reportRefusal(err error) {
+// reportIfRefused reports that no process listens at the machine's address any more.
+func (mc *machineConn) reportIfRefused(err error) {
 	if errors.Is(err, unix.ECONNREFUSED) {
 		mc.env.notifyFailureDetector(failuredetector.ConnectionRefused{Machine: string(mc.machine.id)})
 	}
--- a/internal/platform/machineconns_test.go
+++ b/internal/platform/machineconns_test.go
@@ -260,7 +260,7 @@
 			return
 		}
 		z.conns.conns[0].lastUsedAt -= eventloop.Second
-		s.machines.lookup("a").conns.lost = true
+		s.machines.lookup("a").conns.needsReplacement = true
 		others := connmanager.MaxMachineConns(s.env.config.MaxDescriptors) - s.machines.pool.open
 		s.machines.pool.open += others
 		s.maintain()
--- a/internal/platform/machineconnset.go
+++ b/internal/platform/machineconnset.go
@@ -10,21 +10,21 @@
 // machineConnSet holds the connections to one machine. An offer has a connection of its own as long as there are
 // enough, so that an answer that cannot be read harms no other.
 type machineConnSet struct {
-	env     *environment
-	pool    *machineConnPool
-	machine *machine
-	conns   []*machineConn
-	lost    bool // one broke while containers run: the machine repeats its reports on the next
+	env              *environment
+	pool             *machineConnPool
+	machine          *machine
+	conns            []*machineConn
+	needsReplacement bool // one broke while containers run: the machine repeats its reports on the next
 }
 
 // connEnded removes a connection that has ended.
 func (s *machineConnSet) remove(mc *machineConn) {
 	s.conns = slices.DeleteFunc(s.conns, func(other *machineConn) bool { return other == mc })
-	s.pool.released()
+	s.pool.release()
 }
 
 // recordLoss has a new connection opened while containers run.
-func (s *machineConnSet) recordLoss() { s.lost = true }
+func (s *machineConnSet) recordLoss() { s.needsReplacement = true }
 
 // isBusy reports whether something waits for one of the connections or for an answer on it.
 func (s *machineConnSet) isBusy() bool { return slices.ContainsFunc(s.conns, (*machineConn).isBusy) }
@@ -103,8 +103,8 @@
 		}
 	}
 	if !s.machine.hasRunning() || !s.machine.hasAddr() || s.machine.isGone() {
-		s.lost = false
-	} else if s.lost || len(s.active()) == 0 && !s.pool.isFull() {
-		s.lost = s.connect() == nil
+		s.needsReplacement = false
+	} else if s.needsReplacement || len(s.active()) == 0 && !s.pool.isFull() {
+		s.needsReplacement = s.connect() == nil
 	}
 }
--- a/internal/platform/machineregistry.go
+++ b/internal/platform/machineregistry.go
@@ -51,8 +51,8 @@
 	return m
 }
 
-// claimed describes the machine at which a client claims that a container is running.
-func (r *machineRegistry) claimed(id scheduler.MachineID) adoption.Machine {
+// claimTarget describes the machine at which a client claims that a container is running.
+func (r *machineRegistry) claimTarget(id scheduler.MachineID) adoption.Machine {
 	m := r.machines[id]
 	if m == nil || !m.isListed() {
 		unlisted := adoption.Machine{Capacity: r.largestCapacity}
@@ -111,7 +111,7 @@
 		m := r.getOrAdd(update.entry.Machine)
 		touched = append(touched, m)
 		if predecessor := r.predecessor(update); predecessor != nil {
-			list.Entries = append(list.Entries, predecessor.replaced())
+			list.Entries = append(list.Entries, predecessor.markReplaced())
 			touched = append(touched, predecessor)
 		}
 		m.apply(update)
@@ -127,7 +127,7 @@
 func (r *machineRegistry) markAllGone() []*machine {
 	all := slices.Collect(r.sorted())
 	for _, m := range all {
-		m.leftOut()
+		m.markUnlisted()
 	}
 	return all
 }
@@ -173,7 +173,7 @@
 	}
 	cause := terminationCause(action.Cause)
 	if a := m.attempt(id); a == nil {
-		r.env.notifyLeftOutEnd(id, at, cause)
+		r.env.notifyUnadoptedEnd(id, at, cause)
 	} else {
 		a.finishRunning(cause, scheduler.AttemptEnded{Outcome: cause.outcomeAfterAccept()})
 	}
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -20,7 +20,7 @@
 	attempts  map[scheduler.ContainerID]*attempt // pending, or running there
 	running   adoption.Load                      // of the containers that are running there
 
-	lostInSilence []scheduler.ContainerID // until the machine is heard again, restarts or is gone
+	lostWhileSilent []scheduler.ContainerID // until the machine is heard again, restarts or is gone
 }
 
 // isListed reports whether the machine list has named the machine.
@@ -78,7 +78,7 @@
 // earlier incarnation of it.
 func (m *machine) failRunning(before eventloop.Tick) {
 	for _, id := range sortedKeys(m.attempts) {
-		if a := m.attempts[id]; a.isRunning() && a.wasMadeBy(before) {
+		if a := m.attempts[id]; a.isRunning() && a.createdAtOrBefore(before) {
 			a.finishRunning(causeLost, scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost})
 		}
 	}
@@ -90,7 +90,7 @@
 		"machine", m.id, "running", m.running.Containers, "silent_ms", int64(silentFor/eventloop.Millisecond))
 	if silentFor > 0 {
 		for _, id := range sortedKeys(m.attempts) {
-			m.recordSilentLoss(m.attempts[id])
+			m.recordLostWhileSilent(m.attempts[id])
 		}
 	}
 	m.failRunning(m.env.loop.Now())
@@ -115,7 +115,7 @@
 		m.registry.claimAddr(m)
 	}
 	if m.startedAt != entry.StartedAt {
-		m.forgetCopies()
+		m.discardCopyRecords()
 	}
 	m.state, m.startedAt = entry.State, entry.StartedAt
 	if m.startedAt > 0 {
@@ -123,21 +123,21 @@
 	}
 }
 
-// replaced marks the machine as gone, as another one is at its address. It returns its entry for the scheduler.
-func (m *machine) replaced() scheduler.MachineEntry {
+// markReplaced marks the machine as gone, as another one is at its address. It returns its entry for the scheduler.
+func (m *machine) markReplaced() scheduler.MachineEntry {
 	m.state, m.entry.State = scheduler.MachineGone, scheduler.MachineGone
 	m.conns.closeIdle()
 	return m.entry
 }
 
-// leftOut marks the machine as gone until the full snapshot that is being applied names it.
-func (m *machine) leftOut() { m.state = scheduler.MachineGone }
+// markUnlisted marks the machine as gone until the full snapshot that is being applied names it.
+func (m *machine) markUnlisted() { m.state = scheduler.MachineGone }
 
 // finishUpdate ends the containers of a machine that is gone by an event, or because a full snapshot left it out.
 func (m *machine) finishUpdate() {
 	if m.isGone() {
 		m.failRunning(m.env.loop.Now())
-		m.forgetCopies()
+		m.discardCopyRecords()
 		m.releaseAddr()
 	}
 	m.evictIfGone()
--- a/internal/platform/machines_test.go
+++ b/internal/platform/machines_test.go
@@ -33,21 +33,21 @@
 // checkLostByRefusal loses a machine on which a container runs by the end of the machine.
 func checkLostByRefusal(t *testing.T) {
 	t.Helper()
-	addr, die := acceptOnce(t)
+	addr, stop := acceptOnce(t)
 	r := startWithDiscovery(t, silentDiscovery(t), machineJSON("a", addr, "ready", 0))
 	client := r.place()
-	die()
+	stop()
 	client.expectFailed(requestID)
 	r.awaitOutcome(scheduler.AttemptEnded{ID: requestID, Outcome: scheduler.OutcomeLost, Final: true})
 }
 
 // acceptOnce is a machine that accepts one connection and one offer, refuses further connections, and closes the first
 // when die is called, at the latest at the end of the test.
-func acceptOnce(t *testing.T) (addr string, die func()) {
+func acceptOnce(t *testing.T) (addr string, stop func()) {
 	t.Helper()
 	l := testutil.Listen(t)
 	closeListener := func() { _ = l.Close() } // it may be closed
-	dying, done := make(chan bool), make(chan bool)
+	stopping, done := make(chan bool), make(chan bool)
 	go func() {
 		defer close(done)
 		c, err := l.Accept()
@@ -59,15 +59,15 @@
 		defer m.close()
 		m.receive()
 		m.send(acceptLine(requestID))
-		<-dying
+		<-stopping
 	}()
-	die = sync.OnceFunc(func() {
+	stop = sync.OnceFunc(func() {
 		closeListener()
-		close(dying)
+		close(stopping)
 		<-done
 	})
-	t.Cleanup(die)
-	return l.Addr().String(), die
+	t.Cleanup(stop)
+	return l.Addr().String(), stop
 }
 
 // A machine at whose address the list names another is gone, in whatever order the events come: nothing meant for it
@@ -87,7 +87,7 @@
 			return []string{deltaJSON(2, successor(addr), gone(addr))}
 		}},
 		{"the first moves away meanwhile", func(addr string) []string {
-			return []string{deltaJSON(2, gone(nowhere)), deltaJSON(3, successor(addr))}
+			return []string{deltaJSON(2, gone(closedAddr)), deltaJSON(3, successor(addr))}
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) { checkPredecessorIsEvicted(t, tc.events) })
@@ -106,7 +106,7 @@
 	r := startWithDiscovery(t, discovery, machineJSON("a", addr, "ready", 0))
 	client := r.place()
 	<-offers
-	client.send(offerWithin("00000000000000dd", "60000")) // an attempt that stays pending
+	client.send(offerLineWithin("00000000000000dd", "60000")) // an attempt that stays pending
 	<-offers
 	publish(events(addr)...)
 	client.expectFailed(requestID)
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -33,24 +33,24 @@
 }
 
 // New makes a server and opens its listener. Its resources are freed by Run.
-func New(config *Config, decisions Scheduler, log *slog.Logger, traceMessages bool) (*Server, error) {
-	return newServer(&environment{config: config, log: log, tracing: traceMessages}, decisions, eventloop.New)
+func New(config *Config, sched Scheduler, log *slog.Logger, traceMessages bool) (*Server, error) {
+	return newServer(&environment{config: config, log: log, tracing: traceMessages}, sched, eventloop.New)
 }
 
 // NewSimulated is New, without tracing, on a kernel that is not that of the system.
 func NewSimulated(
-	kernel eventloop.Kernel, config *Config, decisions Scheduler, log *slog.Logger,
+	kernel eventloop.Kernel, config *Config, sched Scheduler, log *slog.Logger,
 ) (*Server, error) {
 	newLoop := func(onIteration func()) (*eventloop.Loop, error) { return eventloop.NewOn(kernel, onIteration) }
-	return newServer(&environment{config: config, log: log}, decisions, newLoop)
+	return newServer(&environment{config: config, log: log}, sched, newLoop)
 }
 
 // newServer makes a server on a loop of its own and opens its listener.
 func newServer(
-	env *environment, decisions Scheduler, newLoop func(onIteration func()) (*eventloop.Loop, error),
+	env *environment, sched Scheduler, newLoop func(onIteration func()) (*eventloop.Loop, error),
 ) (*Server, error) {
 	s := newParts(env)
-	s.connectDecisions(decisions)
+	s.connectQueues(sched)
 	loop, err := newLoop(s.iterate)
 	if err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
@@ -83,11 +83,11 @@
 	}
 }
 
-// connectDecisions connects the queues of events to the packages that decide, and these to what carries out their
+// connectQueues connects the queues of events to the packages that decide, and these to what carries out their
 // actions.
-func (s *Server) connectDecisions(decisions Scheduler) {
+func (s *Server) connectQueues(sched Scheduler) {
 	s.env.schedulerQueue.handle = func(now eventloop.Tick, events []scheduler.Event) []scheduler.Action {
-		return decisions.Handle(scheduler.Time(now), events)
+		return sched.Handle(scheduler.Time(now), events)
 	}
 	s.env.schedulerQueue.apply = s.applySchedulerAction
 	connManager := connmanager.New(s.env.config.MaxDescriptors)
@@ -134,7 +134,7 @@
 // iterate runs once in each iteration of the event loop, after all input has been turned into events.
 func (s *Server) iterate() {
 	s.clients.reportOpened()
-	if s.env.runDecisions() {
+	if s.env.processEvents() {
 		s.env.loop.SkipWait()
 		return
 	}
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -106,7 +106,7 @@
 		return
 	}
 	if s.transition(killApproached) == nil {
-		s.containers.cutOpenAttempts()
+		s.containers.endOpenAttempts()
 	}
 }
 
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -73,7 +73,7 @@
 	addr, received := recordingMachine(t)
 	r := startWithMachineA(t, addr, attemptOnA(0))
 	client := r.dialClient()
-	client.send(offerWithin(requestID, "60000"))
+	client.send(offerLineWithin(requestID, "60000"))
 	<-received
 	r.runOnLoop(func() { r.markShuttingDown(3*eventloop.Second + eventloop.Second/4) })
 	client.expectFailed(requestID)
--- a/internal/platform/stale_test.go
+++ b/internal/platform/stale_test.go
@@ -16,7 +16,7 @@
 		return func(r *testServer) {
 			request := r.server.containers.lookup(requestID).request
 			request.ID, request.IdempotencyKey, request.Service = otherRequestID, "other", service
-			r.server.containers.claimed(runningClaim{client: &clientConn{}, request: request, at: "b"})
+			r.server.containers.handleClaim(runningClaim{client: &clientConn{}, request: request, machine: "b"})
 		}
 	}
 	for _, tc := range []struct {
--- a/internal/platform/transcript_test.go
+++ b/internal/platform/transcript_test.go
@@ -33,14 +33,14 @@
 
 // record takes in one line as it was read, its end included. The remaining time of an offer is checked against the most
 // it may be, and then replaced.
-func (s *transcript) record(receiver string, line []byte, mostLeft int) {
+func (s *transcript) record(receiver string, line []byte, maxLeft int) {
 	s.Helper()
 	testutil.Require(s, strings.HasSuffix(string(line), "\n"),
 		"%s: %s received %q, which is no whole line", s.step, receiver, line)
 	if m := leftField.FindSubmatch(line); m != nil {
 		left, err := strconv.Atoi(string(m[1]))
-		testutil.Expect(s, err == nil && left <= mostLeft && left >= mostLeft-int(testTimeout/time.Millisecond),
-			"%s: %q milliseconds are left, at most %d can be", s.step, m[1], mostLeft)
+		testutil.Expect(s, err == nil && left <= maxLeft && left >= maxLeft-int(testTimeout/time.Millisecond),
+			"%s: %q milliseconds are left, at most %d can be", s.step, m[1], maxLeft)
 		line = leftField.ReplaceAll(line, []byte(`"left":"LEFT"`))
 	}
 	s.lines = append(s.lines, fmt.Sprintf("%s | %s | %s", s.step, receiver, line))
@@ -63,16 +63,16 @@
 	return &goldenClient{r.dialClient(), name, s}
 }
 
-// reads records the next line.
-func (c *goldenClient) reads() {
+// recordLine records the next line.
+func (c *goldenClient) recordLine() {
 	c.s.Helper()
 	line, err := c.r.ReadBytes('\n')
 	testutil.Require(c.s, err == nil, "%s: %s received %q, %v", c.s.step, c.name, line, err)
 	c.s.record(c.name, line, 0)
 }
 
-// readsEnd checks that the connection is closed and nothing more was written.
-func (c *goldenClient) readsEnd() {
+// expectEOF checks that the connection is closed and nothing more was written.
+func (c *goldenClient) expectEOF() {
 	c.s.Helper()
 	if line, err := c.r.ReadBytes('\n'); !errors.Is(err, io.EOF) || len(line) > 0 {
 		c.s.Errorf("%s: %s received %q, %v, want the end", c.s.step, c.name, line, err)
@@ -83,7 +83,7 @@
 func (c *goldenClient) test() {
 	c.s.Helper()
 	c.send(`{"op":"test","call":"00000000000000ff","with":{},"why":1}`)
-	c.reads()
+	c.recordLine()
 }
 
 func (c *goldenClient) end(call, why string) {
@@ -123,12 +123,12 @@
 	return g
 }
 
-// reads records the next line and returns the connection on which it came. An offer has mostLeft milliseconds at most.
-func (g *goldenServer) reads(mostLeft int) *peer {
+// recordLine records the next line and returns the connection on which it came. An offer has mostLeft milliseconds at most.
+func (g *goldenServer) recordLine(maxLeft int) *peer {
 	g.s.Helper()
 	select {
 	case r := <-g.received:
-		g.s.record(g.name, r.line, mostLeft)
+		g.s.record(g.name, r.line, maxLeft)
 		return r.on
 	case <-time.After(testTimeout):
 		g.s.Fatalf("%s: %s received nothing", g.s.step, g.name)
@@ -148,15 +148,15 @@
 	}
 }
 
-// forgetConns makes connected return only connections from now on.
-func (g *goldenServer) forgetConns() {
+// skipConns makes connected return only connections from now on.
+func (g *goldenServer) skipConns() {
 	for len(g.conns) > 0 {
 		<-g.conns
 	}
 }
 
-// readsNoMore checks, once all connections have ended, that nothing was written beyond what was recorded.
-func (g *goldenServer) readsNoMore() {
+// expectNoMore checks, once all connections have ended, that nothing was written beyond what was recorded.
+func (g *goldenServer) expectNoMore() {
 	g.s.Helper()
 	for deadline := time.Now().Add(testTimeout); g.open.Load() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -169,10 +169,10 @@
 }
 
 // answer lines of a machine.
-func (p *peer) accepts(call string) {
+func (p *peer) sendAccept(call string) {
 	p.send(`{"op":"accept","call":"` + call + `","with":{},"desc":"v=0\r\nmade\u0020at <a> \u00e9\/"}`)
 }
 
-func (p *peer) ends(call string, why int, with string) {
+func (p *peer) sendEnd(call string, why int, with string) {
 	p.send(fmt.Sprintf(`{"op":"end","call":"%s","with":{%s},"why":%d}`, call, with, why))
 }
--- a/internal/platform/wirelines_test.go
+++ b/internal/platform/wirelines_test.go
@@ -26,7 +26,7 @@
   "use_notes":false,"view":true,"fresh_offers":30.0,"cpu_of_kind":[24,48],"kind_memory":[60.0,120.0],
   "class_kind":[-1,-1],"class_most":[2,2],"spread_over":["silent","silent"],"quota_cores":[100.0,50.0]},"note":null}`
 
-const nowhere = "127.0.0.1:1" // where nobody listens
+const closedAddr = "127.0.0.1:1" // where nobody listens
 
 func machineJSON(id, addr, state string, startedAtMillis int64) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"hall-b","class":"large","block":2,"health":%q,"share":1,`+
@@ -58,8 +58,8 @@
 		`"key":"k` + id + `","idem":"i1","extras":"cores:1;memory:2;service:s1` + more + `"},"desc":"v=0\r\n"}`
 }
 
-// offerWithin is a request with so many milliseconds to be answered in.
-func offerWithin(id, milliseconds string) string {
+// offerLineWithin is a request with so many milliseconds to be answered in.
+func offerLineWithin(id, milliseconds string) string {
 	return strings.Replace(offerLine(id, ""), `"2000"`, `"`+milliseconds+`"`, 1)
 }
 
