--- a/internal/platform/attempts.go
+++ b/internal/platform/attempts.go
@@ -5,22 +5,22 @@
 	"glenport/scheduler"
 )
 
-// attempt is one try to start a container on a machine. It waits for a connection, then for the answer to its offer;
-// once the machine has accepted it, it stands for the running container. Invariant: every attempt has exactly one
-// outcome, reported by finish.
+// attempt is one try to start a container on a machine. It waits for a connection, then for the answer to its offer.
+// Once the machine has accepted the offer, the attempt represents the running container. Invariant: every attempt has
+// exactly one outcome, reported by finish.
 type attempt struct {
 	env       *environment
 	container *container
-	number    int // within its container, from 0
+	number    int // index among the attempts of its container, from 0
 	machine   *machine
-	conn      *machineConn // nil for a container that was adopted, or before there is a connection
+	conn      *machineConn // nil for an adopted container, and until a connection is acquired
 	state     attemptState
 	createdAt eventloop.Tick
 	deadline  eventloop.Tick
 	timer     *eventloop.Timer // fires at the deadline
 
-	machineStart    scheduler.Time // of the machine's incarnation, when the attempt was decided
-	adoptionsBefore int            // when the attempt was decided
+	machineStart    scheduler.Time // start of the machine's incarnation when the scheduler decided on the attempt
+	adoptionsBefore int            // number of adoptions when the scheduler decided on the attempt
 }
 
 // id is the identifier of the container.
@@ -29,13 +29,13 @@
 // hasKey reports whether the container was requested with an idempotency key.
 func (a *attempt) hasKey(key string) bool { return a.container.request.IdempotencyKey == key }
 
-// usesConn reports whether the attempt waits for a connection or is pending on it.
+// usesConn reports whether the attempt waits for a connection or was offered on it.
 func (a *attempt) usesConn(mc *machineConn) bool { return a.conn == mc }
 
-// createdAtOrBefore reports whether the attempt was made up to a point in time.
+// createdAtOrBefore reports whether the attempt was created at or before a point in time.
 func (a *attempt) createdAtOrBefore(moment eventloop.Tick) bool { return a.createdAt <= moment }
 
-// start makes the attempt pending. It ends at its deadline at the latest.
+// start acquires a connection for the attempt. The attempt ends at its deadline at the latest.
 func (a *attempt) start() {
 	a.machine.addAttempt(a)
 	if !a.machine.hasAddr() {
@@ -51,17 +51,18 @@
 	a.conn.whenEstablished(a.connEstablished)
 }
 
-// isStale reports whether what the attempt was decided on has changed: the machine has stopped taking new containers or
-// has started anew, or more containers of the service were found running.
+// isStale reports whether the scheduler decided on outdated information: the machine no longer accepts new containers
+// or has restarted, or more containers of the service have been adopted since.
 func (a *attempt) isStale() bool {
 	return !a.machine.isServing() || a.machine.startedAt != a.machineStart ||
 		a.env.adoptions.Since(a.container.request.Service, a.adoptionsBefore)
 }
 
-// connEstablished sends the offer, unless the attempt has ended or is stale, in which case the scheduler decides again
-// by what it knows now, or less time is left than an offer can state. A machine counts the time from when it receives
-// the offer, so that it is what is left now and not at the start of the iteration, which may be long past where the
-// process was not run. It may be over: timers run later in an iteration than connections.
+// connEstablished sends the offer, unless the attempt has ended. It ends the attempt as not sent if the attempt is
+// stale, so that the scheduler decides again with current information, or if less time is left than an offer can state.
+// A machine counts the time from when it receives the offer. The time left is therefore read from the clock: the start
+// of the iteration may be long past if the process was not run for a while. The deadline may even have passed, because
+// timers run later in an iteration than connections.
 func (a *attempt) connEstablished() {
 	if a.state == attemptFinished {
 		return
@@ -74,7 +75,7 @@
 	_ = a.transition(offerSent) // logged
 }
 
-// deadlinePassed ends a pending attempt. One that was never sent has waited for its connection.
+// deadlinePassed ends a pending attempt. If its offer was never sent, the attempt was still waiting for its connection.
 func (a *attempt) deadlinePassed() {
 	if a.state == attemptConnecting {
 		a.finish(scheduler.AttemptEnded{Outcome: scheduler.OutcomeConnectFailed})
@@ -83,7 +84,7 @@
 	a.cancel(scheduler.AttemptEnded{Outcome: scheduler.OutcomeTimedOut})
 }
 
-// cancel ends a pending attempt with an outcome, and cancels its offer at the machine if that was sent.
+// cancel ends a pending attempt with an outcome. If the offer was sent, it is cancelled at the machine.
 func (a *attempt) cancel(ended scheduler.AttemptEnded) {
 	if a.awaitsAnswer() {
 		a.conn.send(cancelMessage(a.id()))
@@ -97,7 +98,7 @@
 		return errNoDescription
 	}
 	if a.machine.isGone() {
-		// Invariant: no container counts as running at a machine that is gone. The accept was sent before it went.
+		// Invariant: no container counts as running at a machine that is gone. The accept was sent before that.
 		a.cancel(scheduler.AttemptEnded{Outcome: scheduler.OutcomeLost})
 		return nil
 	}
@@ -119,7 +120,8 @@
 	return nil
 }
 
-// handleEnd handles the end that the machine reports: of the running container, or of the pending attempt that it rejects.
+// handleEnd handles an end that the machine reports: the end of the running container, or the rejection of the pending
+// attempt.
 func (a *attempt) handleEnd(event containerEnded) {
 	ended := scheduler.AttemptEnded{Reason: event.reason, Report: event.report}
 	if a.isRunning() {
@@ -135,12 +137,12 @@
 	a.finish(ended)
 }
 
-// connClosed ends a pending attempt whose connection is closed. A container whose offer was never sent never ran; one
-// whose offer was sent may have run.
+// connClosed ends a pending attempt whose connection is closed. If the offer was never sent, the container has not run.
+// If it was sent, the container may have run.
 func (a *attempt) connClosed(notSent scheduler.Outcome, err error) {
 	outcome := notSent
 	if a.isOffered() {
-		a.env.log.Debug("attempt lost with its connection",
+		a.env.log.Debug("attempt lost: machine connection closed",
 			"request_id", a.id(), "machine", a.machine.id, "error", err)
 		outcome = scheduler.OutcomeLost
 		a.container.recordLostOffer(a.machine)
@@ -148,7 +150,8 @@
 	a.finish(scheduler.AttemptEnded{Outcome: outcome, Final: a.container.isAnswered()})
 }
 
-// terminate forwards a client's order to end the running container, once. Its machine reports the end later.
+// terminate forwards a client's order to end the running container to its machine, once. The machine reports the end
+// later.
 func (a *attempt) terminate(cause terminationCause) {
 	repeated := a.state == attemptTerminating
 	if a.transition(terminationRequested) != nil || repeated {
@@ -157,8 +160,8 @@
 	a.sendTermination(cause)
 }
 
-// sendTermination orders the machine to end the running container. Without a connection it is retried every maintenance
-// interval until the container has ended.
+// sendTermination orders the machine to end the running container. Without a connection the order is retried every
+// maintenanceInterval until the container has ended.
 func (a *attempt) sendTermination(cause terminationCause) {
 	if !a.machine.hasAddr() || a.state == attemptFinished {
 		return
@@ -168,16 +171,16 @@
 	}
 }
 
-// finishUnaccepted ends a container whose machine evicted, preempted or drained it before its accept was read. Machines
-// do that to running containers only, so the accept is late or lost. The request fails: a retry would continue with a
-// container that machine and platform count as ended.
+// finishUnaccepted ends a container that its machine evicted, preempted or drained before the accept was read. Machines
+// do that to running containers only, so the accept is late or lost. The request fails, because a retry would continue
+// with a container that machine and platform count as ended.
 func (a *attempt) finishUnaccepted(ended scheduler.AttemptEnded) {
 	ended.Final = true
 	a.finish(ended)
 	a.container.answer(failMessage(a.id()))
 }
 
-// finishRunning ends a running container. A client is notified, unless a client has ended the container.
+// finishRunning ends a running container. A client is notified, unless a client ordered the end.
 func (a *attempt) finishRunning(cause terminationCause, ended scheduler.AttemptEnded) {
 	endedByClient := a.state == attemptTerminating || cause == causeCancelled
 	ended.Final = true
@@ -187,7 +190,7 @@
 	}
 }
 
-// finish ends the attempt with its one outcome. Identifiers and the elapsed time are filled in.
+// finish ends the attempt with its only outcome. It fills in the identifiers and the elapsed time.
 func (a *attempt) finish(ended scheduler.AttemptEnded) {
 	wasRunning := a.isRunning()
 	if a.transition(outcomeKnown) != nil {
@@ -214,7 +217,7 @@
 	a.machine.removeAttempt(a.id())
 }
 
-// releaseRunning removes a running container from the connection that carried its offer and from its machine.
+// releaseRunning removes a running container from the connection on which it was offered and from its machine.
 func (a *attempt) releaseRunning() {
 	a.machine.removeAttempt(a.id())
 	if a.conn != nil {
--- a/internal/platform/attemptstate.go
+++ b/internal/platform/attemptstate.go
@@ -6,18 +6,18 @@
 type attemptState uint8
 
 const (
-	attemptConnecting  attemptState = iota + 1 // it waits for a connection
-	attemptOffered                             // the offer was sent, and its answer is awaited
-	attemptRunning                             // the machine has accepted it: the container is running
-	attemptTerminating                         // a client has ended the running container
-	attemptFinished                            // it has its outcome
+	attemptConnecting  attemptState = iota + 1 // waiting for a connection
+	attemptOffered                             // offer sent, waiting for its answer
+	attemptRunning                             // accepted by the machine: the container is running
+	attemptTerminating                         // a client has ordered the end of the running container
+	attemptFinished                            // the outcome is known
 )
 
 func (s attemptState) String() string {
 	return [...]string{"none", "connecting", "offered", "running", "terminating", "finished"}[s]
 }
 
-// attemptEvent is what changes the state of an attempt.
+// attemptEvent is an event that changes the state of an attempt.
 type attemptEvent uint8
 
 const (
@@ -38,7 +38,7 @@
 	attemptTerminating: {terminationRequested: attemptTerminating, outcomeKnown: attemptFinished},
 }
 
-// transition is the only place where the state of an attempt changes.
+// transition applies an event. It is the only place where the state of an attempt changes.
 func (a *attempt) transition(event attemptEvent) error {
 	before := a.state
 	err := attemptTransitions.Apply(statemachine.Unnamed, &a.state, event)
@@ -53,11 +53,12 @@
 // isRunning reports whether the container of the attempt is running.
 func (a *attempt) isRunning() bool { return a.state == attemptRunning || a.state == attemptTerminating }
 
-// wasAcceptedByMachine reports whether the container is running by an offer that the machine has accepted, not by a claim.
+// wasAcceptedByMachine reports whether the container is running because the machine accepted its offer. It is false for
+// an adopted container.
 func (a *attempt) wasAcceptedByMachine() bool { return a.isRunning() && a.conn != nil }
 
-// awaitsAnswer reports whether the machine is to answer the offer.
+// awaitsAnswer reports whether the offer was sent and is not answered yet.
 func (a *attempt) awaitsAnswer() bool { return a.state == attemptOffered }
 
-// isOffered reports whether the offer was sent.
+// isOffered reports whether the offer was sent and awaits its answer, or the container is running.
 func (a *attempt) isOffered() bool { return a.awaitsAnswer() || a.isRunning() }
--- a/internal/platform/claims.go
+++ b/internal/platform/claims.go
@@ -13,7 +13,7 @@
 	machine scheduler.MachineID
 }
 
-// handleClaim takes in a claim. One to a container that is running here already is ignored.
+// handleClaim handles a claim. A claim to a container that already counts as running is ignored.
 func (r *containerRegistry) handleClaim(claim runningClaim) {
 	c := r.containers[claim.request.ID]
 	switch {
@@ -23,13 +23,14 @@
 		c.closeAsRunning(claim.machine)
 		r.adopt(claim)
 	case !c.isAnswered():
-		// The end of the connection on which the client has requested the container may be on its way. Anybody else
-		// must not close the request of another client.
+		// The client may have reconnected, and the end of its earlier connection is not read yet. The claim waits until
+		// the request is closed: only the client that made a request may close it.
 		c.pendingClaim = &claim
 	}
 }
 
-// adopt adds the container of a claim, unless one with its key is running at the machine or the claim is left out.
+// adopt adds the container of a claim, unless a container with its key is running at the machine or the claim is not
+// admitted.
 func (r *containerRegistry) adopt(claim runningClaim) {
 	m := r.machines.lookup(claim.machine)
 	if m != nil && m.runs(claim.request.IdempotencyKey) {
@@ -52,14 +53,14 @@
 			return
 		}
 	} else {
-		r.env.log.Debug("claim left out", "request_id", c.request.ID, "machine", claim.machine)
+		r.env.log.Debug("claim not adopted", "request_id", c.request.ID, "machine", claim.machine)
 	}
 	r.env.notifyFailureDetector(failuredetector.ContainerReclaimed{
 		Machine: string(claim.machine), RequestID: string(c.request.ID),
 	})
 }
 
-// admits has the claim to a running container decided on. Others may give way to it.
+// admits decides whether the claim to a running container is adopted. It may displace other adopted claims.
 func (r *containerRegistry) admits(c *container, at scheduler.MachineID) bool {
 	claim := adoption.Claim{ID: string(c.request.ID), Machine: string(at), Load: c.load()}
 	if c.client != nil {
