--- a/internal/platform/containerregistry.go
+++ b/internal/platform/containerregistry.go
@@ -13,8 +13,8 @@
 )
 
 var (
-	// errDuplicateRequest closes the connection: an answer could not be matched to one of its two requests.
-	errDuplicateRequest = errors.New("two open requests with one id on one connection")
+	// errDuplicateRequest closes the connection, because an answer could not be matched to one of the two requests.
+	errDuplicateRequest = errors.New("two open requests with the same id on one connection")
 	errRequestOpen      = errors.New("a request with this id is open")
 )
 
@@ -22,8 +22,8 @@
 type containerRegistry struct {
 	env        *environment
 	machines   *machineRegistry
-	containers map[scheduler.ContainerID]*container // until answered and without an attempt
-	unanswered int                                  // containers whose request awaits its answer
+	containers map[scheduler.ContainerID]*container // each until it is answered and has no attempt
+	unanswered int                                  // number of containers whose request is not answered
 }
 
 func newContainerRegistry(env *environment, machines *machineRegistry) *containerRegistry {
@@ -34,10 +34,10 @@
 
 func (r *containerRegistry) count() int { return len(r.containers) }
 
-// unansweredCount is the number of containers whose request awaits its answer.
+// unansweredCount is the number of containers whose request is not answered.
 func (r *containerRegistry) unansweredCount() int { return r.unanswered }
 
-// checkUnused returns an error where a request with an identifier is open.
+// checkUnused returns an error if the identifier of a new request is in use.
 func (r *containerRegistry) checkUnused(id scheduler.ContainerID, cc *clientConn) error {
 	c := r.containers[id]
 	switch {
@@ -49,7 +49,7 @@
 	return errRequestOpen
 }
 
-// open takes in a request whose container is to be placed.
+// open registers a request to place a container.
 func (r *containerRegistry) open(cc *clientConn, offer placementOffer) {
 	c := &container{
 		env:            r.env,
@@ -82,8 +82,8 @@
 	c := r.containers[action.ID]
 	if c == nil || !c.awaitsAttempt() {
 		// The client was disconnected in the same batch, because the answer to another of its requests could not be
-		// written. Every attempt needs an outcome all the same, or the scheduler would count it as pending forever.
-		r.env.log.Info("attempt for a request that is not open", "request_id", action.ID)
+		// written. The attempt still needs an outcome: without one the scheduler would count it as pending forever.
+		r.env.log.Info("attempt not started: request is not open", "request_id", action.ID)
 		r.env.notifyScheduler(scheduler.AttemptEnded{
 			ID: action.ID, Machine: action.Machine, Outcome: scheduler.OutcomeNotSent, Final: true,
 		})
@@ -126,7 +126,8 @@
 	return requested
 }
 
-// endOpenAttempts ends the attempts of unanswered requests. The scheduler then answers each, as after its own deadline.
+// endOpenAttempts ends the attempts of unanswered requests. The scheduler then answers each request as it does after
+// the deadline of the request.
 func (r *containerRegistry) endOpenAttempts() {
 	for _, id := range sortedKeys(r.containers) {
 		r.containers[id].endOpenAttempt()
--- a/internal/platform/containers.go
+++ b/internal/platform/containers.go
@@ -9,8 +9,8 @@
 )
 
 // container is a container that a client has requested or that is running. Invariant: its request gets exactly one
-// answer, unless the client cancels it or disconnects first. A container is kept until it is answered and has no
-// attempt.
+// answer, unless the client cancels it or disconnects first. A container is kept until its request is answered and it
+// has no attempt.
 type container struct {
 	env            *environment
 	registry       *containerRegistry
@@ -21,9 +21,9 @@
 	client         *clientConn // nil once its connection has ended
 	answered       bool
 	attemptsMade   int
-	attempt        *attempt      // the pending one, or the one by which it is running
-	lostOffers     []*machine    // where it may be running unseen; until another machine accepts it
-	pendingClaim   *runningClaim // that it is running; of another client, until the request is over
+	attempt        *attempt      // pending, or the attempt of the running container
+	lostOffers     []*machine    // machines that may run a copy, until another one accepts the container
+	pendingClaim   *runningClaim // of another client, that the container is running; until the request is closed
 }
 
 func (c *container) wasRequestedOn(cc *clientConn) bool { return c.client == cc }
@@ -59,7 +59,7 @@
 	c.attempt.start()
 }
 
-// startAdopted makes the attempt by which a container is running that a client has reclaimed.
+// startAdopted creates the attempt of a running container that a client has reclaimed.
 func (c *container) startAdopted(m *machine) {
 	c.attempt = &attempt{
 		env:       c.env,
@@ -72,24 +72,25 @@
 	m.containerStarted(c)
 }
 
-// displace ends the count of a container that was adopted, as its claim gives way to another. Nobody is notified: the
-// container may be running.
+// displace stops counting an adopted container as running, because another claim has displaced its claim. No client is
+// notified, because the container may be running.
 func (c *container) displace() {
 	c.attempt.finish(scheduler.AttemptEnded{Outcome: scheduler.OutcomeStopped, Final: true})
 }
 
-// load is what the container asks for.
+// load is the load that the container requests.
 func (c *container) load() adoption.Load {
 	return adoption.Load{Cores: c.request.Cores, Memory: c.request.Memory, Containers: 1}
 }
 
-// attemptFinished removes the attempt, which has its outcome.
+// attemptFinished removes the attempt once it has its outcome.
 func (c *container) attemptFinished() {
 	c.attempt = nil
 	c.removeIfDone()
 }
 
-// markAccepted takes in that a machine has accepted the container. A claim that it is running elsewhere is void.
+// markAccepted handles the accept of a machine: a claim that the container is running elsewhere is void, and copies
+// elsewhere are cancelled.
 func (c *container) markAccepted(by *machine) {
 	c.pendingClaim = nil
 	c.cancelLostOffers(by)
@@ -102,7 +103,7 @@
 	}
 	c.markAnswered()
 	if client := c.client; client != nil {
-		client.send(msg) // may disconnect the client, and c.client is nil then
+		client.send(msg) // may disconnect the client, which sets c.client to nil
 		c.env.notifyConnManager(connmanager.MessageSent{Client: client.id, ClosedRequests: 1})
 		if isAccept(msg) {
 			c.env.notifyConnManager(connmanager.OwnershipProven{Client: client.id})
@@ -111,7 +112,7 @@
 	c.cancelPendingAttempt()
 }
 
-// cancel closes the unanswered request, as its client has cancelled it or is disconnected.
+// cancel closes the unanswered request after its client has cancelled it or disconnected.
 func (c *container) cancel() {
 	c.markAnswered()
 	if c.client != nil {
@@ -121,8 +122,8 @@
 	c.cancelPendingAttempt()
 }
 
-// closeAsRunning closes the unanswered request, as its client claims that the container is running at a machine. An
-// offer to that machine is not cancelled there: that would end the container.
+// closeAsRunning closes the unanswered request, because its client claims that the container is running at a machine.
+// An offer to that machine is not cancelled there: a cancel would end the container.
 func (c *container) closeAsRunning(at scheduler.MachineID) {
 	c.pendingClaim = nil
 	if a := c.attempt; a != nil && a.machine.id == at {
@@ -159,7 +160,7 @@
 	}
 }
 
-// endOpenAttempt ends the attempt of the request if that is open.
+// endOpenAttempt ends the attempt of an unanswered request.
 func (c *container) endOpenAttempt() {
 	if !c.answered && c.attempt != nil {
 		c.attempt.cancel(scheduler.AttemptEnded{Outcome: scheduler.OutcomeFinished})
@@ -180,7 +181,7 @@
 	}
 }
 
-// notifyTerminated has a client notified of the end of the container.
+// notifyTerminated has the connection manager notify a client of the end of the container.
 func (c *container) notifyTerminated(cause terminationCause) {
 	terminated := connmanager.ContainerTerminated{RequestID: string(c.request.ID), Cause: int(cause)}
 	if c.client != nil {
--- a/internal/platform/copies.go
+++ b/internal/platform/copies.go
@@ -9,23 +9,25 @@
 	"glenport/scheduler"
 )
 
-// This file ends copies of containers that run on although their clients count them as ended, or have another.
+// This file cancels copies of containers. A copy is a container that still runs on a machine although its client counts
+// it as ended, or although it runs on another machine too.
 
-// isIdempotent reports whether the container may run again at any time. Its client then does not wait to see whether a
-// copy is still running, and such a copy is of no use to anybody. One of another container may be what its client
-// reclaims.
+// isIdempotent reports whether the container may be started again at any time. The client of such a container does not
+// check for a copy that is still running, so the copy is of no use. A copy of any other container may be reclaimed by
+// its client.
 func (c *container) isIdempotent() bool {
 	return c.env.config.Scheduler.WorkloadClasses[c.request.WorkloadClass].Idempotency == scheduler.Idempotent
 }
 
-// recordLostOffer records that an offer to a machine was lost with its connection: the container may be running there.
+// recordLostOffer records that an offer to a machine was lost with its connection. The container may be running there.
 func (c *container) recordLostOffer(m *machine) {
 	if c.isIdempotent() && !c.answered {
 		c.lostOffers = append(c.lostOffers, m)
 	}
 }
 
-// cancelLostOffers ends the copies that may be running elsewhere, as a machine has accepted the container.
+// cancelLostOffers cancels the copies that may be running on other machines, after a machine has accepted the
+// container.
 func (c *container) cancelLostOffers(acceptedBy *machine) {
 	if len(c.lostOffers) == 0 {
 		return
@@ -39,12 +41,13 @@
 	acceptedBy.registry.sendDueCancels()
 }
 
-// cancelFor is the cancel of a copy that may be running at the machine.
+// cancelFor returns the cancel of a copy that may be running at the machine.
 func (m *machine) cancelFor(id scheduler.ContainerID) connmanager.Cancel {
 	return connmanager.Cancel{Machine: string(m.id), RequestID: string(id)}
 }
 
-// sendDueCancels tries the cancels that are due, each on the next connection to its machine.
+// sendDueCancels sends the cancels that are due, each on a connection to its machine. A cancel without a connection is
+// scheduled again.
 func (r *machineRegistry) sendDueCancels() {
 	for _, cancel := range r.env.cancels.Due(connmanager.Time(r.env.loop.Now())) {
 		var mc *machineConn
@@ -59,7 +62,8 @@
 	}
 }
 
-// sendCancel sends a cancel once the connection is established, unless the container is wanted by then.
+// sendCancel sends a cancel once the connection is established, unless the container has an attempt or a claim there by
+// then.
 func (mc *machineConn) sendCancel(cancel connmanager.Cancel) {
 	mc.env.cancels.Tried(connmanager.Time(mc.env.loop.Now()), cancel, mc.id)
 	mc.whenEstablished(func() {
@@ -73,13 +77,14 @@
 	})
 }
 
-// hasAttemptOrClaim reports whether a container is offered to the machine again, or a client has claimed that it is running
-// there: also where that claim was left out.
+// hasAttemptOrClaim reports whether a container is offered to the machine again, or a client has claimed that it is
+// running there. A claim that was not adopted counts too.
 func (m *machine) hasAttemptOrClaim(id scheduler.ContainerID) bool {
 	return m.attempt(id) != nil || m.env.claims.LeftOut(string(id), string(m.id))
 }
 
-// finishCancels has the cancels that the connection has carried tried again, unless it was closed here and not reset.
+// finishCancels has the cancels that were sent on the ended connection sent again, unless this process closed the
+// connection and it was not reset.
 func (mc *machineConn) finishCancels(last machineConnState, err error) {
 	if last == machineClosing && !errors.Is(err, eventloop.ErrReset) {
 		mc.env.cancels.ConnClosedHere(mc.id)
@@ -101,16 +106,17 @@
 	return true
 }
 
-// recordLostWhileSilent records that an idempotent container was reported as terminated because its machine was silent: if
-// that was only cut off, the container runs on. One that was never accepted here is not recorded, as clients can make
-// up any number of claims.
+// recordLostWhileSilent records an idempotent container that was reported as terminated because its machine was silent.
+// If the machine was only unreachable, the container is still running. A container that the machine never accepted from
+// this process is not recorded, because clients can make up any number of claims.
 func (m *machine) recordLostWhileSilent(a *attempt) {
 	if a.wasAcceptedByMachine() && a.container.isIdempotent() {
 		m.lostWhileSilent = append(m.lostWhileSilent, a.id())
 	}
 }
 
-// cancelLostWhileSilent ends the containers that were lost, as the machine is heard again on a connection.
+// cancelLostWhileSilent cancels the containers that were lost while the machine was silent, after activity of the
+// machine on a connection.
 func (m *machine) cancelLostWhileSilent(mc *machineConn) {
 	if !mc.isEstablished() {
 		return // nothing may be written
@@ -122,7 +128,8 @@
 	m.lostWhileSilent = nil
 }
 
-// discardCopyRecords takes in that the machine is gone or has started anew: no copy is running there.
+// discardCopyRecords discards the records of copies at a machine that is gone or has restarted: no copy is running
+// there.
 func (m *machine) discardCopyRecords() {
 	m.lostWhileSilent = nil
 	m.env.cancels.MachineGone(string(m.id))
