--- a/internal/platform/clientmessages.go
+++ b/internal/platform/clientmessages.go
@@ -13,15 +13,15 @@
 	"glenport/scheduler"
 )
 
-// This file is the codec of what passes between clients and the process.
+// This file encodes and decodes the messages between clients and this process.
 
-const maxWaitMillis = 600_000 // how long a request may wait for its answer
+const maxWaitMillis = 600_000 // the longest time that a request may wait for its answer
 
 // clientMessage is a message of a client.
 type clientMessage interface{ clientMessage() }
 
 type (
-	// offerReceived asks for a container, or names one that is running. Its fields are read by decodeOffer.
+	// offerReceived requests a container, or claims that one is running. decodeOffer reads its fields.
 	offerReceived struct {
 		id          string
 		fields      jsonlines.Fields
@@ -34,7 +34,7 @@
 	}
 	// endAcknowledged confirms a notification that a container has ended.
 	endAcknowledged struct{ id string }
-	// livenessTest asks whether new requests are taken.
+	// livenessTest asks whether new requests are accepted.
 	livenessTest struct{ id string }
 )
 
@@ -43,7 +43,8 @@
 func (endAcknowledged) clientMessage() {}
 func (livenessTest) clientMessage()    {}
 
-// decodeClientMessage returns a message of a client as its type; nil for one that clients do not send.
+// decodeClientMessage converts a message of a client to its type. It returns nil for a message that clients do not
+// send.
 func decodeClientMessage(msg *jsonlines.Message) clientMessage {
 	switch msg.Op {
 	case jsonlines.OpOffer:
@@ -66,7 +67,7 @@
 
 func isAccept(msg *jsonlines.Message) bool { return msg.Op == jsonlines.OpAccept }
 
-// rejectMessage answers a request whose container never ran: the client may safely retry, after retryAfter if that is
+// rejectMessage answers a request whose container never ran. The client may safely retry, after retryAfter if that is
 // above 0.
 func rejectMessage(id scheduler.ContainerID, retryAfter scheduler.Time) *jsonlines.Message {
 	msg := endMessage(id, jsonlines.CauseNoCapacity)
@@ -81,12 +82,12 @@
 	return endMessage(id, jsonlines.CauseTemporaryFailure)
 }
 
-// invalidMessage answers a request that cannot be used.
+// invalidMessage answers an invalid request.
 func invalidMessage(id string) *jsonlines.Message {
 	return endMessage(scheduler.ContainerID(id), jsonlines.CauseInvalidContents)
 }
 
-// terminationMessage notifies of the end of a container that was running.
+// terminationMessage notifies a client of the end of a running container.
 func terminationMessage(id scheduler.ContainerID, cause terminationCause) *jsonlines.Message {
 	return endMessage(id, int(cause))
 }
@@ -104,17 +105,17 @@
 	return &jsonlines.Message{Op: jsonlines.OpTested, RequestID: id, Cause: new(int(result))}
 }
 
-// placementOffer is a request as decoded.
+// placementOffer is a decoded request.
 type placementOffer struct {
 	request scheduler.PlacementRequest
-	// the machine at which the container is running already; empty: it is to be placed
+	// the machine at which the container is already running; empty for a container to be placed
 	runsOn         scheduler.MachineID
 	className      string
 	idempotencyKey string
 	description    []byte
 }
 
-// decodeOffer reads the fields of a request. With an error only runsOn of the result is valid.
+// decodeOffer reads the fields of a request. If it returns an error, only runsOn of the result is valid.
 func (config *Config) decodeOffer(msg offerReceived, now eventloop.Tick) (placementOffer, error) {
 	var offer placementOffer
 	extras, err := decodeExtras(msg.fields["extras"])
@@ -158,7 +159,7 @@
 	return extras, nil
 }
 
-// resolveClass replaces the names of the workload class and the tenant by their numbers.
+// resolveClass replaces the names of the workload class and the tenant by their indexes.
 func (config *Config) resolveClass(request *scheduler.PlacementRequest, fields jsonlines.Fields) error {
 	request.WorkloadClass = slices.Index(config.workloadClasses, fields["class"])
 	if request.WorkloadClass < 0 {
@@ -174,8 +175,7 @@
 	return nil
 }
 
-// decodeAmounts reads what a container asks for, and its deadline. For a container that is running they may be left
-// out.
+// decodeAmounts reads the resources that a container requests, and its deadline. A running container may omit them.
 func decodeAmounts(offer *placementOffer, left string, extras map[string]string, now eventloop.Tick) error {
 	maxWait := float64(maxWaitMillis)
 	if offer.runsOn != "" {
@@ -196,7 +196,7 @@
 		}
 		value, err := strconv.ParseFloat(amount.text, 64)
 		if err != nil || math.IsNaN(value) || value < 0 || value > amount.limit {
-			return fieldError(amount.name, "%q is no number from 0 to %g", amount.text, amount.limit)
+			return fieldError(amount.name, "%q is not a number from 0 to %g", amount.text, amount.limit)
 		}
 		*amount.value = value
 	}
@@ -204,7 +204,7 @@
 	return nil
 }
 
-// invalidFieldError names a field of a message or file that cannot be used.
+// invalidFieldError reports an invalid field of a message or file.
 type invalidFieldError struct {
 	field string
 	err   error
--- a/internal/platform/clientregistry.go
+++ b/internal/platform/clientregistry.go
@@ -7,13 +7,13 @@
 	"glenport/scheduler"
 )
 
-// clientRegistry holds the connections of clients, each until it ends.
+// clientRegistry holds the client connections that have not ended.
 type clientRegistry struct {
 	env        *environment
 	containers *containerRegistry
 	shutdown   *shutdownSequence
 	conns      map[connmanager.ClientID]*clientConn
-	unreported []*clientConn // that were opened in this iteration
+	unreported []*clientConn // opened in this iteration
 	lastID     connmanager.ClientID
 }
 
@@ -26,7 +26,7 @@
 	}
 }
 
-// accept makes the handler of a new client connection.
+// accept returns the handler of a new client connection and the limit of its pending output.
 func (r *clientRegistry) accept() (eventloop.Handler, int) {
 	r.lastID++
 	return &clientConn{
@@ -45,8 +45,9 @@
 	r.unreported = append(r.unreported, cc)
 }
 
-// reportOpened reports the connections that were opened in this iteration, after all that was read in it: the
-// connection manager may close idle clients to make room for them, but no client whose request has just been read.
+// reportOpened reports the connections opened in this iteration, after all input of the iteration. The connection
+// manager may close idle clients to make room for new connections, and it must not close a client whose request has
+// just been read.
 func (r *clientRegistry) reportOpened() {
 	for _, cc := range r.unreported {
 		if r.conns[cc.id] == cc {
@@ -58,7 +59,7 @@
 
 func (r *clientRegistry) remove(cc *clientConn) { delete(r.conns, cc.id) }
 
-// closeConn closes the connection of a client that holds it for nothing, or to make room.
+// closeConn closes a client connection that is unused, or whose place another connection needs.
 func (r *clientRegistry) closeConn(action connmanager.CloseClient) {
 	if cc := r.conns[action.Client]; cc != nil {
 		r.env.log.Debug("client connection closed", "client", cc.id, "reason", action.Reason)
@@ -73,7 +74,7 @@
 	}
 }
 
-// pauseReading leaves the input of a client unread for a while.
+// pauseReading stops reading from a client for some time.
 func (r *clientRegistry) pauseReading(action connmanager.PauseReading) {
 	if cc := r.conns[action.Client]; cc != nil {
 		cc.pauseReading(eventloop.Tick(action.Duration))
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -10,9 +10,9 @@
 	"glenport/scheduler"
 )
 
-const clientOutputLimit = 256 << 10 // bytes that may wait to be written to a client
+const clientOutputLimit = 256 << 10 // bytes of output that may be pending for a client
 
-// clientConn is one connection of a client. Running containers belong to no connection.
+// clientConn is one connection of a client. Running containers are not bound to a connection.
 type clientConn struct {
 	env        *environment
 	registry   *clientRegistry
@@ -42,7 +42,7 @@
 		return
 	}
 	partial := cc.lines.Buffered() > 0
-	if partial && cc.lines.Lines() > linesBefore { // else BytesReceived says as much
+	if partial && cc.lines.Lines() > linesBefore { // otherwise BytesReceived implies it
 		cc.env.notifyConnManager(connmanager.MessageCompleted{Client: cc.id})
 	}
 	cc.env.notifyConnManager(connmanager.BytesReceived{Client: cc.id, Partial: partial})
@@ -65,13 +65,13 @@
 	}
 }
 
-// pauseReading leaves the input unread for a while.
+// pauseReading stops reading for some time.
 func (cc *clientConn) pauseReading(duration eventloop.Tick) {
 	cc.conn.PauseReading()
 	cc.env.loop.After(duration, cc.conn.ResumeReading)
 }
 
-// send writes a message to a client. A client that takes too little is disconnected.
+// send writes a message to the client. A client that reads too slowly is disconnected.
 func (cc *clientConn) send(msg *jsonlines.Message) {
 	if !cc.isWritable() {
 		return
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// handleOffer handles a request for a container that is to be placed, or the claim that one is running already.
+// handleOffer handles a request to place a container, or a claim that a container is already running.
 func (cc *clientConn) handleOffer(received offerReceived) error {
 	offer, err := cc.env.config.decodeOffer(received, cc.env.loop.Now())
 	if err == nil && offer.runsOn == "" {
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// rejectInvalid answers a request that is invalid. An invalid claim that a container is running gets no answer.
+// rejectInvalid answers an invalid request. An invalid claim is not answered.
 func (cc *clientConn) rejectInvalid(received offerReceived, runsOn scheduler.MachineID, err error) {
 	cc.env.log.Debug("request rejected as invalid", "client", cc.id, "request_id", received.id, "error", err)
 	if runsOn != "" {
--- a/internal/platform/clientstate.go
+++ b/internal/platform/clientstate.go
@@ -6,17 +6,17 @@
 type clientState uint8
 
 const (
-	clientAccepted    clientState = iota + 1 // its handler was made
-	clientEstablished                        // it is read, and written to
-	clientClosing                            // it was closed here, and its pending output is being written
-	clientClosed                             // it has ended
+	clientAccepted    clientState = iota + 1 // handler created, connection not opened yet
+	clientEstablished                        // open for reading and writing
+	clientClosing                            // closed by this process, pending output is being written
+	clientClosed                             // ended
 )
 
 func (s clientState) String() string {
 	return [...]string{"none", "accepted", "established", "closing", "closed"}[s]
 }
 
-// clientEvent is what changes the state of a client connection.
+// clientEvent is an event that changes the state of a client connection.
 type clientEvent uint8
 
 const (
@@ -29,7 +29,7 @@
 	return [...]string{"none", "opened", "close requested", "ended"}[e]
 }
 
-// A message that was read with the one by which the connection ended may ask for the close once more.
+// A message that was read together with the one that ended the connection may request the close again.
 var clientTransitions = statemachine.Table[clientState, clientEvent]{
 	clientAccepted:    {clientConnOpened: clientEstablished},
 	clientEstablished: {clientCloseRequested: clientClosing, clientConnEnded: clientClosed},
@@ -37,7 +37,7 @@
 	clientClosed:      {clientCloseRequested: clientClosed},
 }
 
-// transition is the only place where the state of a client connection changes.
+// transition applies an event. It is the only place where the state of a client connection changes.
 func (cc *clientConn) transition(event clientEvent) error {
 	err := clientTransitions.Apply(statemachine.Unnamed, &cc.state, event)
 	if err != nil {
@@ -49,7 +49,7 @@
 // isOpen reports whether the connection has not ended.
 func (cc *clientConn) isOpen() bool { return cc.state != clientClosed }
 
-// isWritable reports whether messages may be written. Where the connection is closing, the attempt resets it.
+// isWritable reports whether messages may be written. Writing to a closing connection fails, and send then resets it.
 func (cc *clientConn) isWritable() bool {
 	return cc.state == clientEstablished || cc.state == clientClosing
 }
