--- a/internal/platform/machinemessages.go
+++ b/internal/platform/machinemessages.go
@@ -10,7 +10,7 @@
 	"glenport/scheduler"
 )
 
-// This file is the codec of what passes between machines and the process.
+// This file encodes and decodes the messages between machines and this process.
 
 // machineMessage is a message of a machine.
 type machineMessage interface{ machineMessage() }
@@ -28,7 +28,7 @@
 		reason scheduler.Reason
 		report scheduler.LoadReport
 	}
-	// usageReported is one measurement of a container.
+	// usageReported is one measurement of the usage of a container.
 	usageReported struct {
 		id     scheduler.ContainerID
 		metric scheduler.UsageMetric
@@ -65,7 +65,7 @@
 	"tight": scheduler.MetricMachineMemory,
 }
 
-// decodeMachineMessage returns a message of a machine as its type; nil for one that is to be ignored.
+// decodeMachineMessage converts a message of a machine to its type. It returns nil for a message that is ignored.
 func decodeMachineMessage(msg *jsonlines.Message) machineMessage {
 	id := scheduler.ContainerID(msg.RequestID)
 	switch msg.Op {
@@ -96,7 +96,7 @@
 	}
 }
 
-// decodeLoadReport reads a list of name:value pairs. Values that are no numbers are left out.
+// decodeLoadReport reads a list of name:value pairs. Pairs whose value is not a number are skipped.
 func decodeLoadReport(text string) scheduler.LoadReport {
 	if text == "" {
 		return nil
@@ -111,7 +111,7 @@
 	return report
 }
 
-// offerMessage offers a container to a machine. The time left to answer is sent in whole milliseconds.
+// offerMessage offers a container to a machine. The time left is sent in whole milliseconds.
 func offerMessage(c *container, left eventloop.Tick) *jsonlines.Message {
 	fields := jsonlines.Fields{
 		"class": c.className,
@@ -134,7 +134,7 @@
 	return endMessage(id, jsonlines.CauseNormal)
 }
 
-// machineTerminationMessage orders the end of a running container. Without a cause by the client, 0 is sent.
+// machineTerminationMessage orders the end of a running container. If the client stated no cause, 0 is sent.
 func machineTerminationMessage(id scheduler.ContainerID, cause terminationCause) *jsonlines.Message {
 	return endMessage(id, int(max(cause, 0)))
 }
@@ -144,5 +144,5 @@
 	return &jsonlines.Message{Op: jsonlines.OpTest, RequestID: id, Cause: new(jsonlines.CauseTestPassed)}
 }
 
-// probeID makes the identifier of the probe with a number.
+// probeID formats the identifier of the probe with a number.
 func probeID(number uint64) string { return fmt.Sprintf("%016x", number) }
--- a/internal/platform/machineregistry.go
+++ b/internal/platform/machineregistry.go
@@ -10,14 +10,14 @@
 	"glenport/scheduler"
 )
 
-// machineRegistry holds the machines, and which of them is at an address.
+// machineRegistry holds the machines, and the machine at each address.
 type machineRegistry struct {
 	env      *environment
 	pool     *machineConnPool
-	machines map[scheduler.MachineID]*machine // until gone from the list and without work
-	atAddr   map[string]scheduler.MachineID   // the machine that is at an address, until it is gone
+	machines map[scheduler.MachineID]*machine // each until it is gone from the list and has no work
+	atAddr   map[string]scheduler.MachineID   // the machine at each address, until the machine is gone
 
-	largestCapacity adoption.Capacity // of any type of machine
+	largestCapacity adoption.Capacity // of all machine types
 }
 
 func newMachineRegistry(env *environment) *machineRegistry {
@@ -34,7 +34,7 @@
 
 func (r *machineRegistry) lookup(id scheduler.MachineID) *machine { return r.machines[id] }
 
-// getOrAdd returns the machine with an identifier. One that no list has named yet counts as gone.
+// getOrAdd returns the machine with an identifier. A machine that was never on the machine list counts as gone.
 func (r *machineRegistry) getOrAdd(id scheduler.MachineID) *machine {
 	m := r.machines[id]
 	if m == nil {
@@ -70,7 +70,7 @@
 
 func (r *machineRegistry) count() int { return len(r.machines) }
 
-// sorted yields the machines by identifier, without those that are removed meanwhile.
+// sorted yields the machines in order of their identifiers. It skips machines that are removed during the iteration.
 func (r *machineRegistry) sorted() iter.Seq[*machine] {
 	return func(yield func(*machine) bool) {
 		for _, id := range sortedKeys(r.machines) {
@@ -81,7 +81,7 @@
 	}
 }
 
-// remove removes a machine, unless another one has its identifier meanwhile.
+// remove removes a machine, unless its identifier belongs to another machine by now.
 func (r *machineRegistry) remove(m *machine) {
 	if r.machines[m.id] == m {
 		delete(r.machines, m.id)
@@ -123,7 +123,7 @@
 	}
 }
 
-// markAllGone marks all machines as gone; a full snapshot then names those that are not.
+// markAllGone marks all machines as gone. The entries of a full snapshot then update the machines that are not gone.
 func (r *machineRegistry) markAllGone() []*machine {
 	all := slices.Collect(r.sorted())
 	for _, m := range all {
@@ -132,8 +132,9 @@
 	return all
 }
 
-// predecessor returns the machine at whose address an update names another one; nil if there is none. The list may
-// report it as gone only later, but offers to it would reach its successor and exceed the slow-start budget of that.
+// predecessor returns the machine whose address an update assigns to another machine; nil if there is none. The list
+// may report the predecessor as gone only later. Until then, offers to it would reach its successor and exceed the
+// slow-start budget of the successor.
 func (r *machineRegistry) predecessor(update machineUpdate) *machine {
 	old := r.machines[r.atAddr[update.addr]]
 	if old == nil || old.id == update.entry.Machine || update.entry.State == scheduler.MachineGone {
@@ -150,7 +151,7 @@
 	r.sendDueCancels()
 }
 
-// disconnect closes the connections to a machine on which nothing is awaited.
+// disconnect closes the connections to a machine that are not busy.
 func (r *machineRegistry) disconnect(id scheduler.MachineID) {
 	if m := r.machines[id]; m != nil {
 		m.conns.closeIdle()
@@ -160,7 +161,7 @@
 // connectForLiveness opens a connection and sends nothing on it. A machine that is alive accepts it.
 func (r *machineRegistry) connectForLiveness(action failuredetector.Connect) {
 	if m := r.machines[scheduler.MachineID(action.Machine)]; m != nil && m.hasAddr() {
-		m.conns.connect() // nil where there may be no more connections: the detector asks again
+		m.conns.connect() // at the limit none is opened: the detector asks again
 	}
 }
 
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -7,20 +7,20 @@
 	"glenport/scheduler"
 )
 
-// machine is one that the machine list has named, or that a client has named as running its container.
+// machine is a machine that the machine list has named, or at which a client claims that its container is running.
 type machine struct {
 	env       *environment
 	registry  *machineRegistry
 	id        scheduler.MachineID
 	addr      string
-	entry     scheduler.MachineEntry // of the last update; without an identifier where no list has named the machine
+	entry     scheduler.MachineEntry // of the last update; without an identifier if no list has named the machine
 	state     scheduler.MachineState
-	startedAt scheduler.Time // the start of its incarnation
+	startedAt scheduler.Time // start of its incarnation
 	conns     *machineConnSet
-	attempts  map[scheduler.ContainerID]*attempt // pending, or running there
-	running   adoption.Load                      // of the containers that are running there
+	attempts  map[scheduler.ContainerID]*attempt // pending, or running at the machine
+	running   adoption.Load                      // load of the containers that are running at the machine
 
-	lostWhileSilent []scheduler.ContainerID // until the machine is heard again, restarts or is gone
+	lostWhileSilent []scheduler.ContainerID // until the machine shows activity, restarts or is gone
 }
 
 // isListed reports whether the machine list has named the machine.
@@ -28,7 +28,7 @@
 
 func (m *machine) isGone() bool { return m.state == scheduler.MachineGone }
 
-// isServing reports whether the machine takes new containers.
+// isServing reports whether the machine accepts new containers.
 func (m *machine) isServing() bool { return m.state == scheduler.MachineServing }
 
 func (m *machine) hasAddr() bool { return m.addr != "" }
@@ -59,7 +59,7 @@
 
 func (m *machine) setRunning(load adoption.Load) {
 	if load.Containers == 0 {
-		load = adoption.Load{} // without what rounding leaves
+		load = adoption.Load{} // discards rounding errors
 	}
 	m.running = load
 	m.env.notifyFailureDetector(failuredetector.RunningCountChanged{
@@ -74,8 +74,8 @@
 	}
 }
 
-// failRunning ends the containers that were started up to a point in time: they are lost with the machine, or with an
-// earlier incarnation of it.
+// failRunning ends the containers that were started at or before a point in time. They are lost with the machine, or
+// with an earlier incarnation of it.
 func (m *machine) failRunning(before eventloop.Tick) {
 	for _, id := range sortedKeys(m.attempts) {
 		if a := m.attempts[id]; a.isRunning() && a.createdAtOrBefore(before) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// declareLost ends the containers of the machine, which was silent for a time or, after none, refuses connections.
+// declareLost ends the containers of the machine, which was silent for silentFor, or refuses connections if that is 0.
 func (m *machine) declareLost(silentFor eventloop.Tick) {
 	m.env.log.Info("machine lost",
 		"machine", m.id, "running", m.running.Containers, "silent_ms", int64(silentFor/eventloop.Millisecond))
@@ -123,7 +123,8 @@
 	}
 }
 
-// markReplaced marks the machine as gone, as another one is at its address. It returns its entry for the scheduler.
+// markReplaced marks the machine as gone, because another machine has its address. It returns the entry that reports
+// this to the scheduler.
 func (m *machine) markReplaced() scheduler.MachineEntry {
 	m.state, m.entry.State = scheduler.MachineGone, scheduler.MachineGone
 	m.conns.closeIdle()
@@ -133,7 +134,8 @@
 // markUnlisted marks the machine as gone until the full snapshot that is being applied names it.
 func (m *machine) markUnlisted() { m.state = scheduler.MachineGone }
 
-// finishUpdate ends the containers of a machine that is gone by an event, or because a full snapshot left it out.
+// finishUpdate ends the containers of a machine that is gone, by its entry in an event or because a full snapshot does
+// not name it.
 func (m *machine) finishUpdate() {
 	if m.isGone() {
 		m.failRunning(m.env.loop.Now())
--- a/internal/platform/messages.go
+++ b/internal/platform/messages.go
@@ -5,17 +5,17 @@
 	"glenport/scheduler"
 )
 
-// terminationCause is the reason why a container or an attempt ended. Its values are those of the wire; unknown values
+// terminationCause is the reason why a container or an attempt ended. Its values are those on the wire; unknown values
 // are forwarded from machines to clients unchanged.
 type terminationCause int
 
 const (
-	causeFinished  terminationCause = jsonlines.CauseNormal    // of an open request: it is cancelled
+	causeFinished  terminationCause = jsonlines.CauseNormal    // for an open request: cancelled
 	causeCancelled terminationCause = jsonlines.CauseCancelled // moved, or ended by its client
 	causeLost      terminationCause = jsonlines.CauseTemporaryFailure
 )
 
-// outcomeAfterAccept is what became of a container that was running.
+// outcomeAfterAccept is the outcome of a container that was running.
 func (c terminationCause) outcomeAfterAccept() scheduler.Outcome {
 	switch c {
 	case causeFinished:
@@ -27,7 +27,7 @@
 	}
 }
 
-// outcomeBeforeAccept is what became of an attempt that a machine did not accept.
+// outcomeBeforeAccept is the outcome of an attempt that a machine did not accept.
 func (c terminationCause) outcomeBeforeAccept() scheduler.Outcome {
 	switch c {
 	case jsonlines.CauseNoCapacity:
@@ -37,14 +37,15 @@
 	case jsonlines.CauseNotSent:
 		return scheduler.OutcomeNotSent
 	case causeFinished:
-		// The request's time has passed. The container may have run, as after a loss, but the machine is healthy.
+		// The deadline of the request has passed. The container may have run, as after a loss, but the machine is
+		// healthy.
 		return scheduler.OutcomeFinished
 	default:
 		return scheduler.OutcomeLost
 	}
 }
 
-// endMessage makes a message that a container or offer has ended, or is to end.
+// endMessage returns a message that reports or orders the end of a container or an offer.
 func endMessage(id scheduler.ContainerID, cause int) *jsonlines.Message {
 	return &jsonlines.Message{Op: jsonlines.OpEnd, RequestID: string(id), Cause: new(cause)}
 }
--- a/internal/platform/probes.go
+++ b/internal/platform/probes.go
@@ -14,8 +14,8 @@
 	lastNumber uint64
 }
 
-// start tests a machine. Invariant: every probe has exactly one result, reported by probe.finish once it has a
-// connection.
+// start tests a machine. Invariant: every probe has exactly one result. For a probe that got a connection, probe.finish
+// reports it.
 func (p *prober) start(id scheduler.MachineID) {
 	m := p.machines.getOrAdd(id)
 	var mc *machineConn
@@ -46,7 +46,7 @@
 	mc.whenEstablished(func() { mc.send(probeMessage(id)) })
 }
 
-// finish ends the probe with its one result.
+// finish ends the probe with its only result.
 func (p *probe) finish(outcome scheduler.Outcome, report scheduler.LoadReport) {
 	env, mc := p.conn.env, p.conn
 	if mc.probes[p.id] != p {
