--- a/internal/platform/machineconnmessages.go
+++ b/internal/platform/machineconnmessages.go
@@ -43,7 +43,7 @@
 	mc.env.cancels.Settle(mc.machine.cancelFor(event.id))
 	a := mc.machine.attempt(event.id)
 	switch {
-	case a == nil: // after a start of this process a client may still reclaim the container
+	case a == nil: // after a restart of this process a client may still reclaim the container
 		mc.env.notifyUnadoptedEnd(event.id, mc.machine.id, event.cause)
 		mc.env.notifyFailureDetector(failuredetector.UnclaimedTermination{
 			Machine:   string(mc.machine.id),
--- a/internal/platform/machineconnpool.go
+++ b/internal/platform/machineconnpool.go
@@ -5,16 +5,16 @@
 	"glenport/internal/platform/connmanager"
 )
 
-// machineConnPool bounds the connections to all machines. Each holds a descriptor; clients and the discovery watch need
-// theirs.
+// machineConnPool limits the number of connections to all machines. Each connection holds a descriptor, and clients and
+// the discovery watch need descriptors too.
 type machineConnPool struct {
 	env      *environment
 	machines *machineRegistry
-	open     int // connections, those that are closing included
+	open     int // number of connections, including closing ones
 	lastID   connmanager.MachineConnID
 }
 
-// acquire counts a connection that is to be opened; false where there may be no more.
+// acquire counts a connection that is to be opened. It returns false at the limit.
 func (p *machineConnPool) acquire() bool {
 	if !p.makeRoom() {
 		return false
@@ -32,12 +32,12 @@
 // release counts a connection that has ended.
 func (p *machineConnPool) release() { p.open-- }
 
-// isFull reports whether there may be no more connections to machines.
+// isFull reports whether the limit of connections to machines is reached.
 func (p *machineConnPool) isFull() bool {
 	return p.open >= connmanager.MaxMachineConns(p.env.config.MaxDescriptors)
 }
 
-// makeRoom reports whether a connection to a machine may be opened. At the limit an idle one is closed for it.
+// makeRoom reports whether a connection to a machine may be opened. At the limit it evicts an idle connection.
 func (p *machineConnPool) makeRoom() bool {
 	if !p.isFull() {
 		return true
@@ -51,8 +51,8 @@
 	return !p.isFull()
 }
 
-// firstToEvict returns the idle connection with the lowest eviction rank, the least recently used of several; nil where
-// none may be evicted.
+// firstToEvict returns the idle connection with the lowest eviction rank, and of several the least recently used one.
+// It returns nil if none may be evicted.
 func (p *machineConnPool) firstToEvict(now eventloop.Tick) *machineConn {
 	var first evictionCandidate
 	for m := range p.machines.sorted() {
@@ -63,12 +63,12 @@
 
 // evictionCandidate is an idle connection that may be evicted.
 type evictionCandidate struct {
-	conn       *machineConn // nil: there is none
+	conn       *machineConn // nil if there is none
 	rank       int
 	lastUsedAt eventloop.Tick
 }
 
-// earlier returns the one of two candidates that is evicted first; of equal ones that is c.
+// earlier returns the candidate that is evicted first, and c if both rank equally.
 func (c evictionCandidate) earlier(other evictionCandidate) evictionCandidate {
 	switch {
 	case other.conn == nil:
--- a/internal/platform/machineconns.go
+++ b/internal/platform/machineconns.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	machineOutputLimit = 256 << 10        // bytes that may wait to be written to a machine
-	halfCloseTimeout   = eventloop.Second // a machine closes a connection that was half-closed here
+	machineOutputLimit = 256 << 10        // bytes of output that may be pending for a machine
+	halfCloseTimeout   = eventloop.Second // time within which a machine closes a half-closed connection
 )
 
-// errNoDescription resets a connection on which an accept is incomplete.
+// errNoDescription resets the connection on which an incomplete accept was received.
 var errNoDescription = errors.New("accept without a description")
 
 // machineConn is one connection to a machine.
@@ -28,10 +28,10 @@
 	conn          *eventloop.Conn
 	state         machineConnState
 	lines         jsonlines.LineSplitter
-	attempts      map[scheduler.ContainerID]*attempt // that wait for it or are pending on it
-	probes        map[string]*probe                  // by their identifier, until their result
-	onEstablished []func()                           // what waits for the connection to be established
-	running       int                                // running containers whose offers it carried
+	attempts      map[scheduler.ContainerID]*attempt // waiting for the connection, or pending on it
+	probes        map[string]*probe                  // by identifier, until their result
+	onEstablished []func()                           // called once the connection is established
+	running       int                                // number of running containers that were offered on it
 	lastUsedAt    eventloop.Tick
 }
 
@@ -63,7 +63,7 @@
 
 func (mc *machineConn) removeAttempt(id scheduler.ContainerID) { delete(mc.attempts, id) }
 
-// attemptAccepted counts a container that is running by an offer which the connection has carried.
+// attemptAccepted counts a running container that was offered on the connection.
 func (mc *machineConn) attemptAccepted(id scheduler.ContainerID) {
 	delete(mc.attempts, id)
 	mc.running++
@@ -72,7 +72,7 @@
 // containerEnded counts the end of such a container.
 func (mc *machineConn) containerEnded() { mc.running-- }
 
-// whenEstablished calls do once the connection is established, and never where it fails.
+// whenEstablished calls do once the connection is established, and never if that fails.
 func (mc *machineConn) whenEstablished(do func()) {
 	if mc.isEstablished() {
 		do()
@@ -81,8 +81,8 @@
 	}
 }
 
-// closeGracefully half-closes an idle connection. The machine may be reporting the end of a container on it at this
-// moment, so reading continues until the machine has closed it too, or halfCloseTimeout has passed.
+// closeGracefully half-closes an idle connection. The machine may be reporting the end of a container on it, so reading
+// continues until the machine has closed it too, or until halfCloseTimeout has passed.
 func (mc *machineConn) closeGracefully() {
 	if !mc.isActive() || mc.transition(machineCloseRequested) != nil {
 		return
@@ -91,14 +91,14 @@
 	mc.env.loop.After(halfCloseTimeout, mc.conn.Close)
 }
 
-// evict closes an idle connection at once, for the descriptor that it holds.
+// evict closes an idle connection at once to free its descriptor.
 func (mc *machineConn) evict() {
 	if mc.transition(machineCloseRequested) == nil {
 		mc.conn.Close()
 	}
 }
 
-// send writes a message to the machine, and reports whether it will go out.
+// send writes a message to the machine, and reports whether it was accepted for sending.
 func (mc *machineConn) send(msg *jsonlines.Message) bool {
 	line, err := mc.env.encode(msg)
 	if err != nil {
@@ -112,7 +112,7 @@
 	return mc.conn.Write(line) == nil
 }
 
-// recordActivity takes in that the machine is alive.
+// recordActivity handles a sign that the machine is alive.
 func (mc *machineConn) recordActivity() {
 	mc.machine.recordActivity()
 	mc.machine.cancelLostWhileSilent(mc)
@@ -157,7 +157,7 @@
 		mc.machine.conns.recordLoss()
 	case machineConnecting, machineAbandoned:
 		mc.reportIfRefused(err)
-	default: // it was closed here
+	default: // closed by this process
 	}
 	mc.finishCancels(last, err)
 	mc.finishAttempts(notSent, err)
@@ -168,7 +168,7 @@
 	mc.machine.evictIfGone()
 }
 
-// reportIfRefused reports that no process listens at the machine's address any more.
+// reportIfRefused reports a refused connection: no process listens at the machine's address any more.
 func (mc *machineConn) reportIfRefused(err error) {
 	if errors.Is(err, unix.ECONNREFUSED) {
 		mc.env.notifyFailureDetector(failuredetector.ConnectionRefused{Machine: string(mc.machine.id)})
@@ -189,7 +189,7 @@
 	}
 }
 
-// poolState is the state of the connection by which the connection manager decides.
+// poolState is the state of the connection that decides whether it is kept, used or evicted.
 func (mc *machineConn) poolState(now eventloop.Tick, primary bool) connmanager.MachineConn {
 	return connmanager.MachineConn{
 		Primary:            primary,
@@ -200,7 +200,7 @@
 	}
 }
 
-// evictionCandidate is the connection if it may be evicted.
+// evictionCandidate returns the connection as a candidate if it may be evicted, and an empty candidate otherwise.
 func (mc *machineConn) evictionCandidate(now eventloop.Tick, primary bool) evictionCandidate {
 	if mc.isBusy() {
 		return evictionCandidate{}
--- a/internal/platform/machineconnset.go
+++ b/internal/platform/machineconnset.go
@@ -7,26 +7,26 @@
 	"glenport/internal/platform/connmanager"
 )
 
-// machineConnSet holds the connections to one machine. An offer has a connection of its own as long as there are
-// enough, so that an answer that cannot be read harms no other.
+// machineConnSet holds the connections to one machine. Each offer has a connection of its own while there are enough
+// connections, so that an invalid answer does not affect other offers.
 type machineConnSet struct {
 	env              *environment
 	pool             *machineConnPool
 	machine          *machine
 	conns            []*machineConn
-	needsReplacement bool // one broke while containers run: the machine repeats its reports on the next
+	needsReplacement bool // a connection broke: the machine repeats lost reports on a new one
 }
 
-// connEnded removes a connection that has ended.
+// remove removes a connection that has ended.
 func (s *machineConnSet) remove(mc *machineConn) {
 	s.conns = slices.DeleteFunc(s.conns, func(other *machineConn) bool { return other == mc })
 	s.pool.release()
 }
 
-// recordLoss has a new connection opened while containers run.
+// recordLoss records that a connection broke. maintain replaces it while containers run.
 func (s *machineConnSet) recordLoss() { s.needsReplacement = true }
 
-// isBusy reports whether something waits for one of the connections or for an answer on it.
+// isBusy reports whether an attempt or a probe waits for one of the connections or for an answer on it.
 func (s *machineConnSet) isBusy() bool { return slices.ContainsFunc(s.conns, (*machineConn).isBusy) }
 
 // active returns the connections that are not closing, the primary one first.
@@ -34,8 +34,8 @@
 	return slices.DeleteFunc(slices.Clone(s.conns), func(mc *machineConn) bool { return !mc.isActive() })
 }
 
-// acquire returns a connection that carries no offer, a new one, or the one that carries the fewest. It returns nil
-// where there is none and none may be opened.
+// acquire returns a connection that carries no offer, otherwise a new one, otherwise the connection with the fewest
+// offers. It returns nil if no connection is usable and none may be opened.
 func (s *machineConnSet) acquire() *machineConn {
 	conns := s.active()
 	best := leastLoaded(conns, s.env.loop.Now())
@@ -45,8 +45,8 @@
 	return s.connect()
 }
 
-// leastLoaded returns the usable connection that carries the fewest offers. Not usable is one that its machine may be
-// closing as idle, and one that is still being established for another offer.
+// leastLoaded returns the usable connection that carries the fewest offers, nil if there is none. A connection is not
+// usable if its machine may be closing it as idle, or if it is still being established for another offer.
 func leastLoaded(conns []*machineConn, now eventloop.Tick) *machineConn {
 	var best *machineConn
 	for _, mc := range conns {
@@ -61,12 +61,12 @@
 	return best
 }
 
-// atLimit reports whether a machine with so many connections may have no more.
+// atLimit reports whether a machine that has conns connections may have no more.
 func (s *machineConnSet) atLimit(conns int) bool {
 	return conns >= connmanager.MaxConnsPerMachine(s.env.config.MaxDescriptors, s.machine.registry.count())
 }
 
-// connect opens a connection; nil where there may be no more.
+// connect opens a connection. It returns nil at the limit of the pool.
 func (s *machineConnSet) connect() *machineConn {
 	if !s.pool.acquire() {
 		return nil
@@ -76,7 +76,8 @@
 	return mc
 }
 
-// firstToEvict returns the connection of the machine that is evicted first, if any may be.
+// firstToEvict returns the connection of the machine that is evicted first, and an empty candidate if none may be
+// evicted.
 func (s *machineConnSet) firstToEvict(now eventloop.Tick) evictionCandidate {
 	var first evictionCandidate
 	for i, mc := range s.conns {
@@ -85,7 +86,7 @@
 	return first
 }
 
-// closeIdle closes the connections on which nothing is awaited.
+// closeIdle closes the connections that are not busy.
 func (s *machineConnSet) closeIdle() {
 	for _, mc := range s.active() {
 		if !mc.isBusy() {
@@ -94,8 +95,8 @@
 	}
 }
 
-// maintain closes idle connections before the machine does, except one while containers run there: their ends are
-// reported on it. After a broken connection a new one is opened: the machine repeats on it any report that was lost.
+// maintain closes idle connections before the machine does, except one while containers run there, because their ends
+// are reported on it. It replaces a broken connection, because the machine repeats lost reports on a new one.
 func (s *machineConnSet) maintain(now eventloop.Tick) {
 	for i, mc := range s.active() {
 		if !mc.isBusy() && !mc.poolState(now, i == 0).ShouldKeep() {
--- a/internal/platform/machineconnstate.go
+++ b/internal/platform/machineconnstate.go
@@ -7,17 +7,17 @@
 
 const (
 	machineConnecting  machineConnState = iota + 1
-	machineEstablished                  // it carries offers and probes
-	machineAbandoned                    // it is closed here although it was not established yet
-	machineClosing                      // it is closed here, and read until the machine has closed it too
-	machineClosed                       // it has ended
+	machineEstablished                  // open for offers and probes
+	machineAbandoned                    // closed by this process before it was established
+	machineClosing                      // closed by this process, read until the machine has closed it too
+	machineClosed                       // ended
 )
 
 func (s machineConnState) String() string {
 	return [...]string{"none", "connecting", "established", "abandoned", "closing", "closed"}[s]
 }
 
-// machineConnEvent is what changes the state of a connection to a machine.
+// machineConnEvent is an event that changes the state of a connection to a machine.
 type machineConnEvent uint8
 
 const (
@@ -30,7 +30,7 @@
 	return [...]string{"none", "opened", "close requested", "ended"}[e]
 }
 
-// A connection that is closing may be evicted, which requests its close once more.
+// A closing connection may be evicted, which requests its close again.
 var machineConnTransitions = statemachine.Table[machineConnState, machineConnEvent]{
 	machineConnecting: {
 		machineConnOpened:     machineEstablished,
@@ -46,7 +46,7 @@
 	machineClosing: {machineCloseRequested: machineClosing, machineConnEnded: machineClosed},
 }
 
-// transition is the only place where the state of a connection to a machine changes.
+// transition applies an event. It is the only place where the state of a connection to a machine changes.
 func (mc *machineConn) transition(event machineConnEvent) error {
 	err := machineConnTransitions.Apply(statemachine.Unnamed, &mc.state, event)
 	if err != nil {
