--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -10,27 +10,27 @@
 
 const (
 	maxEventBytes       = 4 << 20
-	watchSilenceTimeout = 2 * eventloop.Second // twice the interval in which a line is due
+	watchSilenceTimeout = 2 * eventloop.Second // twice the interval at which the service sends a line
 	watchConnectTimeout = eventloop.Second
 	watchReconnectDelay = eventloop.Second / 5
-	watchOutputLimit    = 1 << 10 // bytes that may wait to be written
+	watchOutputLimit    = 1 << 10 // bytes of output that may be pending
 )
 
 // discoveryWatch follows the events of the discovery service, over one connection at a time. Each event is applied
-// once: after a break the events are requested from the last one applied.
+// once: after a reconnect, the watch requests the events after the last one applied.
 type discoveryWatch struct {
 	env           *environment
 	machines      *machineRegistry
 	addr          string
-	conn          *eventloop.Conn // nil while there is none
+	conn          *eventloop.Conn // nil while disconnected
 	lines         jsonlines.LineSplitter
-	lastOffset    int64 // of the last event applied
+	lastOffset    int64 // offset of the last event applied
 	lastReadAt    eventloop.Tick
-	interrupted   bool // the connection broke, and nothing was read since
-	receivedEvent bool // an event came on this connection: the next one has the next offset
+	interrupted   bool // the connection ended, and nothing was read since
+	receivedEvent bool // an event was received on this connection, so the next one has the next offset
 }
 
-// missingEventError is the error of a gap in the offsets of events.
+// missingEventError reports a gap in the offsets of events.
 type missingEventError struct{ offset int64 }
 
 func (e *missingEventError) Error() string { return fmt.Sprintf("event %d is missing", e.offset) }
@@ -68,7 +68,8 @@
 // Opened implements eventloop.Handler: it requests the events after the last one applied.
 func (w *discoveryWatch) Opened(conn *eventloop.Conn) {
 	if conn == w.conn {
-		_ = conn.Write(watchRequest(w.lastOffset)) // a new connection has room; resetIfSilent covers any failure
+		// A new connection has no pending output. resetIfSilent handles any failure.
+		_ = conn.Write(watchRequest(w.lastOffset))
 	}
 }
 
@@ -109,8 +110,9 @@
 	}
 }
 
-// handleLine handles an event, or the offset of the last one. Events that were applied already may be repeated after a
-// reconnect, and are ignored; but the service has all that follow those that it sends.
+// handleLine handles an event, or the offset of the last event. After a reconnect the service may repeat events that
+// were applied already; they are ignored. No event may be missing after a repeated one, because the service has all
+// events that follow those that it sends.
 func (w *discoveryWatch) handleLine(line []byte) error {
 	log := w.env.log
 	if w.interrupted {
@@ -132,7 +134,7 @@
 	}
 	w.lastOffset, w.receivedEvent = event.offset, true
 	for _, err := range event.invalidEntries {
-		log.Warn("machine left out of an event", "offset", event.offset, "error", err)
+		log.Warn("invalid machine entry skipped", "offset", event.offset, "error", err)
 	}
 	w.machines.applyUpdate(scheduler.DeltaUpdate, event)
 	return nil
--- a/internal/platform/watchevents.go
+++ b/internal/platform/watchevents.go
@@ -11,26 +11,26 @@
 	"glenport/scheduler"
 )
 
-// This file is the codec of what passes between the discovery service and the process.
+// This file encodes and decodes the messages between the discovery service and this process.
 
 // watchEvent is one numbered change of the machine list.
 type watchEvent struct {
 	offset         int64
-	offsetOnly     bool // it only carries the offset of the last event
-	fullSnapshot   bool // machines that it does not name are gone
+	offsetOnly     bool // the event only carries the offset of the last event
+	fullSnapshot   bool // machines that the event does not name are gone
 	version        int64
 	machines       []machineUpdate
-	invalidEntries []error // of machines that are left out
+	invalidEntries []error // errors of the machine entries that were skipped
 }
 
 // machineUpdate is the update of one machine in an event.
 type machineUpdate struct {
 	entry scheduler.MachineEntry
-	addr  string // empty where the machine is gone
+	addr  string // empty if the machine is gone
 }
 
 var (
-	errNegativeOffset = errors.New("offset is below 0")
+	errNegativeOffset = errors.New("offset is negative")
 	errNoMachineID    = errors.New("host is missing")
 )
 
@@ -40,7 +40,7 @@
 	"gone":     scheduler.MachineGone,
 }
 
-// wireEvent and wireMachine are an event and a machine as they are encoded.
+// wireEvent and wireMachine are the encodings of an event and a machine.
 type (
 	wireEvent struct {
 		Offset   int64 `json:"offset"`
@@ -63,11 +63,11 @@
 	}
 )
 
-// watchRequest makes the line that requests the events behind an offset.
+// watchRequest returns the line that requests the events after an offset.
 func watchRequest(lastOffset int64) []byte { return fmt.Appendf(nil, "from %d\n", lastOffset) }
 
-// decodeWatchEvent reads an event. Entries that do not fit the settings are left out and returned as invalidEntries, so
-// that one of them does not prevent the others from being applied.
+// decodeWatchEvent reads an event. Entries that do not fit the settings are skipped, and their errors are returned as
+// invalidEntries, so that an invalid entry does not prevent the others from being applied.
 func (config *Config) decodeWatchEvent(line []byte) (watchEvent, error) {
 	var wire wireEvent
 	if err := json.Unmarshal(line, &wire); err != nil {
@@ -107,8 +107,8 @@
 	return machineUpdate{entry: entry, addr: wire.Addr}, nil
 }
 
-// resolveMachine replaces the names of state, zone and machine type by their numbers. Zone and type of a machine that
-// is gone do not matter. Without zones or machine types in the settings there is one of each.
+// resolveMachine replaces the names of state, zone and machine type by their indexes. Zone and type of a machine that
+// is gone do not matter. If the settings name no zones or no machine types, there is one of each.
 func (config *Config) resolveMachine(entry *scheduler.MachineEntry, wire wireMachine) error {
 	state, ok := machineStates[wire.State]
 	if !ok {
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// indexOrSingle is the index of a name, -1 where it is not known, and 0 where there are no names.
+// indexOrSingle is the index of a name: -1 if it is unknown, and 0 if there are no names.
 func indexOrSingle(names []string, name string) int {
 	if len(names) == 0 {
 		return 0
