--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -20,20 +20,20 @@
 	minMemoryMB    = 16
 )
 
-// Config is what the platform tells a scheduler at its start.
+// Config is the configuration that the platform gives a scheduler at its start.
 type Config struct {
 	Name               string
 	ListenAddr         string
 	DiscoveryAddr      string
 	Scheduler          scheduler.Config
-	KnownEvents        []watchEvent // of the discovery service, the earliest first
-	LastOffset         int64        // of the last event known
+	KnownEvents        []watchEvent // events of the discovery service, the earliest first
+	LastOffset         int64        // offset of the last known event
 	MemoryMB           int
 	MaxDescriptors     int
-	ConnectTimeout     eventloop.Tick // of connections to machines
-	MachineIdleTimeout eventloop.Tick // machines close connections that are idle for so long
+	ConnectTimeout     eventloop.Tick // for connections to machines
+	MachineIdleTimeout eventloop.Tick // machines close connections that are idle for this time
 
-	zones, machineTypes, workloadClasses, tenants []string // names by their numbers
+	zones, machineTypes, workloadClasses, tenants []string // names by index
 }
 
 var (
@@ -41,7 +41,8 @@
 	errNoEventBody = errors.New("topology is missing")
 )
 
-// wireConfig is the encoding of the platform's file, wireSettings that of the settings which this process needs itself.
+// wireConfig is the encoding of the platform's configuration file. wireSettings is the encoding of the settings that
+// this process uses itself.
 type (
 	wireConfig struct {
 		Name          string `json:"name"`
@@ -73,7 +74,7 @@
 	}
 )
 
-// LoadConfig reads the platform's file. Errors name the invalid line or field.
+// LoadConfig reads the platform's configuration file. Errors name the invalid line or field.
 func LoadConfig(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -86,7 +87,7 @@
 	return config, nil
 }
 
-// DecodeConfig is LoadConfig for the content of a file.
+// DecodeConfig decodes the content of the platform's configuration file.
 func DecodeConfig(data []byte) (*Config, error) { return parseConfig(data) }
 
 func parseConfig(data []byte) (*Config, error) {
@@ -96,7 +97,7 @@
 	}
 	seed, err := strconv.ParseUint(wire.Seed, 16, 64)
 	if err != nil {
-		return nil, fieldError("seed", "%q is no number of 16 hex digits", wire.Seed)
+		return nil, fieldError("seed", "%q is not a number of 16 hex digits", wire.Seed)
 	}
 	if err := wire.validate(); err != nil {
 		return nil, err
@@ -128,12 +129,12 @@
 	limits := wire.Limits
 	if limits.Descriptors < minDescriptors || limits.MemoryMB < minMemoryMB {
 		return fieldError("limits",
-			"%d sockets and %g MB are too little to run on", limits.Descriptors, limits.MemoryMB)
+			"%d sockets and %g MB are below the minimum", limits.Descriptors, limits.MemoryMB)
 	}
 	return nil
 }
 
-// parseSettings reads the scheduler's settings, and those of this process.
+// parseSettings reads the settings of the scheduler and those of this process.
 func (config *Config) parseSettings(seed uint64, settings json.RawMessage) error {
 	pairs, err := flattenSettings(settings)
 	if err != nil {
@@ -142,7 +143,7 @@
 	if config.Scheduler, err = simprotocol.ParseSettings(seed, pairs); err != nil {
 		return &invalidFieldError{"settings", err}
 	}
-	config.Scheduler.ListOnRequest = false // the discovery service sends its events unasked
+	config.Scheduler.ListOnRequest = false // the discovery service pushes its events
 	var wire wireSettings
 	if err := json.Unmarshal(settings, &wire); err != nil {
 		return &invalidFieldError{"settings", err}
@@ -157,7 +158,7 @@
 	return nil
 }
 
-// capacity is what the containers of a machine of a type may ask for.
+// capacity returns the total load that the containers on a machine of a type may request.
 func (config *Config) capacity(machineType int) adoption.Capacity {
 	if machineType >= len(config.Scheduler.MachineTypes) {
 		return config.largestCapacity()
@@ -169,7 +170,7 @@
 	)
 }
 
-// largestCapacity is what those of a machine may ask for whose type is not known.
+// largestCapacity returns the largest capacity of all machine types. It applies to a machine of unknown type.
 func (config *Config) largestCapacity() adoption.Capacity {
 	var largest adoption.Capacity
 	for i := range config.Scheduler.MachineTypes {
@@ -187,7 +188,7 @@
 }
 
 // parseKnownEvents reads the events up to LastOffset. Invalid entries are an error, unlike in the events of a running
-// watch: the platform writes file and events together.
+// watch, because the platform writes these events together with the settings.
 func (config *Config) parseKnownEvents(events []json.RawMessage) error {
 	for i, data := range events {
 		event, err := config.decodeWatchEvent(data)
@@ -209,7 +210,7 @@
 	return eventloop.Tick(milliseconds * float64(eventloop.Millisecond))
 }
 
-// withLineNumber adds to an error of a JSON file the line at which it is.
+// withLineNumber adds the line number to an error in a JSON file.
 func withLineNumber(data []byte, err error) error {
 	offset := int64(-1)
 	if syntaxError, ok := errors.AsType[*json.SyntaxError](err); ok {
--- a/internal/platform/settings.go
+++ b/internal/platform/settings.go
@@ -9,8 +9,9 @@
 	"strings"
 )
 
-// flattenSettings writes nested settings as the path=value pairs that simprotocol.ParseSettings takes, sorted: a list
-// of plain values with commas between them, a list of objects by its count and its items.
+// flattenSettings converts nested settings to the sorted path=value pairs that simprotocol.ParseSettings reads. A list
+// of scalar values becomes one value, separated by commas. A list of objects becomes its count and the pairs of its
+// items.
 func flattenSettings(data []byte) ([]string, error) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.UseNumber()
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// scalarText writes a plain value. Spaces and commas would part fields and lists: they are replaced.
+// scalarText formats a scalar value. Spaces and commas are replaced, because they separate fields and list items.
 func scalarText(value any) (string, error) {
 	switch value := value.(type) {
 	case json.Number:
@@ -93,5 +94,5 @@
 	case nil:
 		return "-", nil
 	}
-	return "", fmt.Errorf("%T is no plain value", value)
+	return "", fmt.Errorf("%T is not a scalar value", value)
 }
