--- a/internal/platform/actions.go
+++ b/internal/platform/actions.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// applyDetectorAction carries out one action of the failure detector. Actions on machines that were evicted meanwhile
-// are ignored: no container runs there.
+// applyDetectorAction carries out one action of the failure detector. Actions for machines that have been evicted in
+// the meantime are ignored, because no container runs there.
 func (s *Server) applyDetectorAction(action failuredetector.Action) {
 	switch action := action.(type) {
 	case failuredetector.Connect:
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -2,23 +2,23 @@
 //
 // Messages of clients and machines, and events of the discovery service, become events of the scheduler, and the
 // actions that it returns are carried out in their order. The process itself decides nothing: package scheduler decides
-// on placement, connmanager on connections and notifications, failuredetector on machines that have fallen silent. The
-// words of the wire end in clientmessages.go, machinemessages.go, watchevents.go and config.go.
+// on placement, connmanager on connections and notifications, failuredetector on silent machines. Only
+// clientmessages.go, machinemessages.go, watchevents.go and config.go know the terms of the wire format.
 //
 // The goroutine of the event loop owns all state. Shutdown, Reload and HandleSignals may be called on any goroutine.
 //
 // # Parts
 //
-// Server wires the parts to the event loop and carries out actions. Each part owns its state and is used by its methods
-// alone:
+// Server wires the parts to the event loop and carries out actions. Each part owns its state, which the others access
+// only through its methods:
 //
 //   - clientRegistry holds the connections of clients (clientConn).
 //   - containerRegistry holds the containers that were requested or are running (container), each with at most one
 //     attempt (attempt).
-//   - machineRegistry holds the machines (machine), each with its connections (machineConnSet, machineConn), whose
-//     number over all machines machineConnPool bounds.
+//   - machineRegistry holds the machines (machine), each with its connections (machineConnSet, machineConn).
+//     machineConnPool limits the number of connections to all machines.
 //   - prober tests machines, discoveryWatch follows the machine list, shutdownSequence ends the process.
-//   - environment is what they have in common: settings, loop, log, encoder, and the queues to the packages that
+//   - environment holds what the parts share: settings, loop, log, encoder, and the event queues of the packages that
 //     decide.
 //
 // # State machines
@@ -27,7 +27,7 @@
 // transition" with a *statemachine.TransitionError, and the event has no effect. Each machine changes its state in its
 // method transition only.
 //
-// An attempt is made as connecting; that of a container which a client has reclaimed, as running (attemptstate.go):
+// An attempt starts as connecting, or as running for a container that a client has reclaimed (attemptstate.go):
 //
 //	| state       | offer sent | offer accepted | termination requested | outcome known |
 //	| connecting  | offered    | -              | -                     | finished      |
@@ -36,8 +36,8 @@
 //	| terminating | -          | -              | terminating           | finished      |
 //	| finished    | -          | -              | -                     | -             |
 //
-// A connection to a machine is dialed as connecting. It is abandoned where it is closed here before it is established
-// (machineconnstate.go):
+// A connection to a machine starts as connecting. It becomes abandoned if this process closes it before it is
+// established (machineconnstate.go):
 //
 //	| state       | opened      | close requested | ended  |
 //	| connecting  | established | abandoned       | closed |
@@ -46,7 +46,7 @@
 //	| closing     | -           | closing         | closed |
 //	| closed      | -           | -               | -      |
 //
-// A connection of a client is made as accepted (clientstate.go):
+// A connection of a client starts as accepted (clientstate.go):
 //
 //	| state       | opened      | close requested | ended  |
 //	| accepted    | established | -               | -      |
--- a/internal/platform/environment.go
+++ b/internal/platform/environment.go
@@ -12,16 +12,16 @@
 	"glenport/scheduler"
 )
 
-// environment is what the parts of a server have in common: the settings, the event loop, the log, the encoder, and the
-// queues to the packages that decide.
+// environment holds what the parts of a server share: the settings, the event loop, the log, the encoder, and the event
+// queues of the packages that decide.
 type environment struct {
 	config       *Config
 	log          *slog.Logger
 	tracing      bool // every message is logged
 	loop         *eventloop.Loop
 	encodeBuffer []byte              // reused by encode
-	claims       *adoption.Claims    // what clients claim to be running, and no machine has confirmed
-	cancels      connmanager.Cancels // of copies, which their machines may not have read
+	claims       *adoption.Claims    // adopted claims that no machine has confirmed
+	cancels      connmanager.Cancels // cancels of copies that their machines may not have read
 	adoptions    adoptions.Tracker
 
 	schedulerQueue       eventQueue[scheduler.Event, scheduler.Action]
@@ -40,9 +40,9 @@
 	env.failureDetectorQueue.add(e)
 }
 
-// notifyUnadoptedEnd has a client notified of the end of a container, if its claim was left out. Causes with which
-// machines do not end what is running answer an offer that was given up: they must not reach its client, who has an
-// answer.
+// notifyUnadoptedEnd has a client notified of the end of a container whose claim was not adopted. Machines end running
+// containers with certain causes only. Any other cause answers an offer that was cancelled; it must not reach the
+// client, which already has an answer.
 func (env *environment) notifyUnadoptedEnd(id scheduler.ContainerID, at scheduler.MachineID, cause terminationCause) {
 	endsRunning := cause == causeFinished || cause == causeLost
 	if endsRunning && env.claims.LeftOut(string(id), string(at)) {
@@ -50,8 +50,8 @@
 	}
 }
 
-// processEvents passes the events of this iteration on and carries out the actions that follow. It reports whether
-// these have caused further events.
+// processEvents passes the events of this iteration to the packages that decide, and carries out their actions. It
+// reports whether these actions have caused further events.
 func (env *environment) processEvents() (more bool) {
 	now := env.loop.Now()
 	env.schedulerQueue.run(now)
@@ -78,7 +78,8 @@
 		"request_id", msg.RequestID, "fields", msg.Fields, "cause", msg.CauseOrNone())
 }
 
-// reportIllegal logs an event that a state machine did not take, with what identifies the machine.
+// reportIllegal logs an event that is illegal in the state of a state machine, with an attribute that identifies the
+// machine.
 func (env *environment) reportIllegal(err error, key string, id any) {
 	env.log.Error("illegal state transition", key, id, "error", err)
 }
@@ -94,7 +95,7 @@
 
 func (q *eventQueue[Event, Action]) pending() int { return len(q.events) }
 
-// run passes the events on and carries out the actions in their order. Events that they cause wait for the next run.
+// run has the events handled and carries out the actions in their order. Events that these cause wait for the next run.
 func (q *eventQueue[Event, Action]) run(now eventloop.Tick) {
 	events := q.events
 	if len(events) == 0 {
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -32,12 +32,12 @@
 	shutdown   *shutdownSequence
 }
 
-// New makes a server and opens its listener. Its resources are freed by Run.
+// New makes a server and opens its listener. Run frees its resources.
 func New(config *Config, sched Scheduler, log *slog.Logger, traceMessages bool) (*Server, error) {
 	return newServer(&environment{config: config, log: log, tracing: traceMessages}, sched, eventloop.New)
 }
 
-// NewSimulated is New, without tracing, on a kernel that is not that of the system.
+// NewSimulated makes a server without tracing that runs on a simulated kernel.
 func NewSimulated(
 	kernel eventloop.Kernel, config *Config, sched Scheduler, log *slog.Logger,
 ) (*Server, error) {
@@ -45,7 +45,7 @@
 	return newServer(&environment{config: config, log: log}, sched, newLoop)
 }
 
-// newServer makes a server on a loop of its own and opens its listener.
+// newServer makes a server with an event loop of its own and opens its listener.
 func newServer(
 	env *environment, sched Scheduler, newLoop func(onIteration func()) (*eventloop.Loop, error),
 ) (*Server, error) {
@@ -60,13 +60,13 @@
 	onAcceptState := loop.AcceptStateLogger(env.log, "clients")
 	if s.listener, err = loop.Listen(env.config.ListenAddr, s.clients.accept, onAcceptState); err != nil {
 		loop.Stop()
-		_ = loop.Run() // only frees what the loop holds; the error of Listen is the one to report
+		_ = loop.Run() // only frees the resources of the loop; the error of Listen is reported
 		return nil, err
 	}
 	return s, nil
 }
 
-// newParts makes the parts of a server and acquaints them with each other.
+// newParts makes the parts of a server and connects them.
 func newParts(env *environment) *Server {
 	env.claims = adoption.New(adoption.MaxClaims(env.config.MemoryMB))
 	machines := newMachineRegistry(env)
@@ -83,8 +83,8 @@
 	}
 }
 
-// connectQueues connects the queues of events to the packages that decide, and these to what carries out their
-// actions.
+// connectQueues connects each event queue to the package that handles its events, and to the method that carries out
+// the actions of that package.
 func (s *Server) connectQueues(sched Scheduler) {
 	s.env.schedulerQueue.handle = func(now eventloop.Tick, events []scheduler.Event) []scheduler.Action {
 		return sched.Handle(scheduler.Time(now), events)
@@ -104,7 +104,7 @@
 	s.env.failureDetectorQueue.apply = s.applyDetectorAction
 }
 
-// Addr is the address on which clients are accepted.
+// Addr is the address on which the server accepts clients.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Run serves until a shutdown is complete.
@@ -113,7 +113,7 @@
 	return s.env.loop.Run()
 }
 
-// start passes the machines that the configuration knows to the scheduler, and begins to watch for changes.
+// start passes the machines known from the configuration to the scheduler, and starts the discovery watch.
 func (s *Server) start() {
 	config := s.env.config
 	s.env.log.Info("scheduler started", "name", config.Name, "address", s.Addr(), "last_offset", config.LastOffset)
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -11,7 +11,7 @@
 	env        *environment
 	containers *containerRegistry
 	state      shutdownState
-	startedAt  eventloop.Tick // of the shutdown
+	startedAt  eventloop.Tick // start of the shutdown
 }
 
 // shutdownState is the state of the process.
@@ -19,23 +19,23 @@
 
 const (
 	serving  shutdownState = iota + 1
-	draining               // a shutdown has started, and open requests are waited for
-	forcing                // the kill by the platform is near: open requests are answered
-	drained                // nothing is open, and the process ends unless something has arrived meanwhile
+	draining               // a shutdown has started, waiting for open requests
+	forcing                // the platform will soon kill the process: open requests are answered
+	drained                // no request is open: the process ends unless one has arrived meanwhile
 )
 
 func (s shutdownState) String() string {
 	return [...]string{"none", "serving", "draining", "forcing", "drained"}[s]
 }
 
-// shutdownEvent is what changes the state of the process.
+// shutdownEvent is an event that changes the state of the process.
 type shutdownEvent uint8
 
 const (
 	shutdownRequested shutdownEvent = iota + 1
 	killApproached
 	drainCompleted
-	drainResumed // a request has arrived in the last iteration
+	drainResumed // a request arrived in the last iteration
 )
 
 func (e shutdownEvent) String() string {
@@ -53,7 +53,7 @@
 	return &shutdownSequence{env: env, containers: containers, state: serving}
 }
 
-// transition is the only place where the state of the process changes.
+// transition applies an event. It is the only place where the state of the process changes.
 func (s *shutdownSequence) transition(event shutdownEvent) error {
 	err := shutdownTransitions.Apply(statemachine.Unnamed, &s.state, event)
 	if err != nil {
@@ -93,7 +93,7 @@
 	s.env.loop.StopWhenIdle()
 }
 
-// resume continues the drain where a request has arrived since it was complete.
+// resume continues the drain if a request has arrived since the drain was completed.
 func (s *shutdownSequence) resume() {
 	if s.state == drained {
 		_ = s.transition(drainResumed) // logged
--- a/internal/platform/signals.go
+++ b/internal/platform/signals.go
@@ -2,9 +2,9 @@
 
 import "os"
 
-// HandleSignals handles signals to shut down and to reload in goroutines of their own, until the channels are closed. A
-// slow load delays neither a shutdown nor a later reload: the configuration that counts is loaded after the last
-// signal.
+// HandleSignals handles shutdown and reload signals, each kind in its own goroutine, until the channels are closed. A
+// slow load does not delay a shutdown. A reload signal during a load leads to another load, so that the configuration
+// is always loaded after the last signal.
 func (s *Server) HandleSignals(shutdown, reload <-chan os.Signal, load func() (*Config, error)) {
 	go func() {
 		for range shutdown {
