--- a/internal/platform/attempts_test.go
+++ b/internal/platform/attempts_test.go
@@ -15,7 +15,7 @@
 	"glenport/scheduler"
 )
 
-// Each outcome of the scheduler's contract follows from what a machine really sends, and the client gets one answer.
+// Each answer of a machine leads to its outcome in the scheduler's contract, and the client gets one answer.
 func TestEachMachineAnswerHasItsOutcome(t *testing.T) {
 	accept := `{"op":"accept","call":"%s","with":{},"desc":"made\u0020here"}`
 	otherAccept := strings.Replace(accept, "%s", otherRequestID, 1)
@@ -57,7 +57,7 @@
 
 const causeOfAccept = -1 // an accept has no cause
 
-// outcomeTest is what has to follow from the answers of a machine to one offer.
+// outcomeTest is the expected result of the answers of a machine to one offer.
 type outcomeTest struct {
 	outcome scheduler.Outcome
 	reason  scheduler.Reason
@@ -76,7 +76,7 @@
 	return outcomeTest{outcome: scheduler.OutcomeLost, reason: reason, final: true, causes: []int{41}}
 }
 
-// accepted is the same after an accept.
+// accepted is the same result for a container that was accepted before.
 func (want outcomeTest) accepted() outcomeTest {
 	want.causes = append([]int{causeOfAccept}, want.causes...)
 	return want
@@ -100,7 +100,7 @@
 			t.Errorf("received %+v", msg)
 		}
 	}
-	client.expectLive(1) // nothing else comes before it
+	client.expectLive(1) // no other message comes before the answer
 }
 
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
@@ -111,7 +111,7 @@
 	r.awaitOutcome(scheduler.AttemptEnded{ID: requestID, Outcome: scheduler.OutcomeConnectFailed})
 }
 
-// An offer is forwarded as it came, with the fields that are the machine's and no others.
+// An offer is forwarded unchanged, with the fields that machines need and no others.
 func TestOfferIsForwarded(t *testing.T) {
 	addr, received := recordingMachine(t)
 	r := startWithMachineA(t, addr, attemptOnA(scheduler.Second))
@@ -128,7 +128,7 @@
 	}
 }
 
-// The attempt of a request whose client cancels it, or goes, is cancelled.
+// If a client cancels its request or disconnects, the attempt is cancelled.
 func TestCancelledRequestCancelsItsAttempt(t *testing.T) {
 	for _, tc := range []struct {
 		way    string
@@ -152,7 +152,7 @@
 	}
 }
 
-// The client goes in the batch in which the scheduler starts an attempt: that has its outcome all the same.
+// The client disconnects in the batch in which the scheduler starts an attempt: the attempt still has an outcome.
 func TestAttemptForUnknownContainerHasOutcome(t *testing.T) {
 	r := startWithMachineA(t, closedAddr, attemptOnA(0))
 	r.runOnLoop(func() { r.server.applySchedulerAction(scheduler.StartAttempt{ID: requestID, Machine: "a"}) })
@@ -161,7 +161,8 @@
 		"got %+v", e)
 }
 
-// A client goes while its attempt waits for a connection: the machine receives no offer, or its cancellation too.
+// A client disconnects while its attempt waits for a connection: the machine receives no offer, or the offer and its
+// cancel.
 func TestClientLeavesWhileConnOpens(t *testing.T) {
 	addr, received := recordingMachine(t)
 	r := startWithMachineA(t, addr, attemptOnA(0))
@@ -188,11 +189,11 @@
 		}
 	}
 	testutil.Expect(t, offers == ends,
-		"the machine received %d offers and %d ends of a request whose client had gone", offers, ends)
+		"the machine received %d offers and %d ends of a request whose client had disconnected", offers, ends)
 }
 
-// A connection is established after the attempt that waited for it timed out: that is not sent on it, and the next one
-// is.
+// A connection is established after the attempt that waited for it has timed out: it carries the next attempt, and not
+// the one that has timed out.
 func TestLateConnCarriesNextAttempt(t *testing.T) {
 	addr, listen := fullListener(t)
 	config := configJSON(silentDiscovery(t), 256, snapshotJSON(1, machineJSON("a", addr, "ready", 0)))
@@ -219,8 +220,8 @@
 	}
 }
 
-// fullListener opens a port whose queue of connections is full: the kernel drops further ones, until they are tried
-// again after listen.
+// fullListener opens a port whose accept queue is full. The kernel drops further connections, which are retried and
+// succeed once listen was called.
 func fullListener(t *testing.T) (addr string, listen func() net.Listener) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -246,8 +247,8 @@
 	}
 }
 
-// A full snapshot leaves out a machine: its containers have ended, and an accept that comes then does not count and is
-// cancelled.
+// A full snapshot does not name a machine: its containers have ended, and an accept that arrives then is not counted
+// and is cancelled.
 func TestAcceptOfGoneMachineIsCancelled(t *testing.T) {
 	discovery, publish := scriptedDiscovery(t)
 	accept, received := make(chan bool), make(chan *jsonlines.Message, 10)
--- a/internal/platform/claims_test.go
+++ b/internal/platform/claims_test.go
@@ -18,8 +18,8 @@
 
 const claimedMachines = 20
 
-// Claims that bad clients make up take bounded memory and time, wherever their containers are said to run. A true claim
-// that comes after them still has its end notified.
+// Claims that faulty clients make up take bounded memory and time, whatever machines they name. The end of a container
+// is still notified if its true claim comes after them.
 func TestMadeUpClaimsAreBounded(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -48,7 +48,7 @@
 			took := time.Since(began)
 			kept := 0
 			r.runOnLoop(func() { kept = r.server.containers.count() })
-			t.Logf("%d claims were taken in within %v, the longest iteration took %v; %d are kept, with %d KiB",
+			t.Logf("%d claims were handled within %v, the longest iteration took %v; %d are kept, with %d KiB",
 				*claimCount, took, longest, kept, (int64(heapInUse())-int64(before))>>10)
 			testutil.Expect(t, kept <= limit+claimedMachines, "%d claims are kept", kept)
 			owner := r.dialClient()
@@ -56,7 +56,7 @@
 			owner.expectLive(2)
 			close(end)
 			ended := owner.receive()
-			for ended != nil && ended.RequestID != requestID { // those of others who have gone
+			for ended != nil && ended.RequestID != requestID { // those of disconnected clients
 				ended = owner.receive()
 			}
 			testutil.Expect(t, isMessage(ended, jsonlines.OpEnd, requestID, jsonlines.CauseNormal),
@@ -99,7 +99,7 @@
 	}()
 }
 
-// claim sends every claim whose number leaves a remainder, a few at a time.
+// claim sends every claim whose number has a remainder modulo divisor, in batches.
 func (p *peer) claim(remainder, divisor int, machine func(claim int) string) {
 	testutil.ExpectNoError(p.t, p.c.SetDeadline(time.Now().Add(20*time.Minute)))
 	for i, sent := remainder, 0; i < *claimCount; i += divisor {
@@ -111,14 +111,14 @@
 	p.awaitTested()
 }
 
-// awaitTested sends a liveness test and waits for its answer; the ends of claimed containers may come before it.
+// awaitTested sends a liveness test and waits for its answer. Ends of claimed containers may come before it.
 func (p *peer) awaitTested() {
 	p.send(testLine(1))
 	for msg := p.receive(); msg != nil && msg.Op != jsonlines.OpTested; msg = p.receive() {
 	}
 }
 
-// longestIterationWhile returns how long the loop was busy at most until all is done.
+// longestIterationWhile returns the longest time that the loop was busy until all work is done.
 func (r *testServer) longestIterationWhile(working *sync.WaitGroup) time.Duration {
 	done := make(chan bool)
 	go func() {
@@ -137,7 +137,7 @@
 	}
 }
 
-// heapInUse is what is live on the heap.
+// heapInUse returns the number of live bytes on the heap.
 func heapInUse() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -145,8 +145,8 @@
 	return stats.HeapAlloc
 }
 
-// A claim that is left out, as more containers than the machine can run are claimed to be there, has its end notified
-// all the same: also where that was reported before the claim.
+// The end of a container is notified although its claim was not adopted, because more containers are claimed than the
+// machine can run. This also holds if the end was reported before the claim.
 func TestEndOfUnadoptedClaimIsNotified(t *testing.T) {
 	t.Run("claimed first", func(t *testing.T) {
 		r, report := startWithClaimsAtA(t)
@@ -160,7 +160,7 @@
 		r, report := startWithClaimsAtA(t)
 		report()
 		r.client.expectEnd(otherRequestID, jsonlines.CauseNormal)
-		r.client.send(offerLine(thirdRequestID, ";at:a"), offerLine(requestID, ";at:a")) // the first takes the room
+		r.client.send(offerLine(thirdRequestID, ";at:a"), offerLine(requestID, ";at:a")) // the first uses the capacity
 		r.client.expectEnd(requestID, jsonlines.CauseNormal)
 	})
 }
@@ -171,7 +171,8 @@
 	client *peer
 }
 
-// startWithClaimsAtA lets machine a report the ends of requestID, which nobody has claimed, and of otherRequestID.
+// startWithClaimsAtA starts a server whose machine a reports, when report is called, the ends of requestID, which
+// nobody has claimed, and of otherRequestID.
 func startWithClaimsAtA(t *testing.T) (r serverWithClaims, report func()) {
 	t.Helper()
 	reported := make(chan bool)
@@ -196,8 +197,8 @@
 	return r, func() { reported <- true }
 }
 
-// A claim that comes after its machine has started anew counts: the container may have been accepted since. One that
-// came before the start is lost.
+// A claim that comes after a restart of its machine is adopted, because the container may have been accepted since. A
+// container that was claimed before the restart is lost.
 func TestClaimAtRestartedMachineIsAdopted(t *testing.T) {
 	discovery, publish := scriptedDiscovery(t)
 	ending := make(chan bool)
@@ -220,8 +221,8 @@
 	client.expectEnd(otherRequestID, jsonlines.CauseNormal)
 }
 
-// A claim to a container whose request is open ends that request where the client is the same, and nothing is cancelled
-// at the machine where the container is running. Of another client it waits until the request is over.
+// A claim to a container whose request is open closes the request if it comes from the same client, and nothing is
+// cancelled at the machine where the container is running. A claim of another client waits until the request is closed.
 func TestClaimOfOpenRequest(t *testing.T) {
 	t.Run("at the machine that was offered it", func(t *testing.T) {
 		r := startWithOfferAtA(t)
@@ -230,7 +231,7 @@
 		r.machineA.send(acceptLine(requestID), endLine(requestID, jsonlines.CauseNormal)) // the accept was late
 		r.client.expectEnd(requestID, jsonlines.CauseNormal)
 		r.client.send(offerLine(otherRequestID, ""))
-		r.machineA.expect(jsonlines.OpOffer, otherRequestID) // and nothing before it
+		r.machineA.expect(jsonlines.OpOffer, otherRequestID) // no other message before it
 	})
 	t.Run("at another machine", func(t *testing.T) {
 		r := startWithOfferAtA(t)
--- a/internal/platform/clientmessages_test.go
+++ b/internal/platform/clientmessages_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// The error of a request names the field. The machine of a claimed container is returned as far as it could be read.
+// The error of a request names the field. The machine of a claimed container is returned if it could be read.
 func TestInvalidOfferNamesItsField(t *testing.T) {
 	for _, tc := range []struct {
 		name, old, with, field string
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -14,7 +14,7 @@
 	"glenport/scheduler"
 )
 
-// A request that cannot be used is rejected, or ends the connection; nothing of it reaches the scheduler.
+// An invalid request is rejected or closes the connection, and does not reach the scheduler.
 func TestInvalidRequestIsRejected(t *testing.T) {
 	good := offerLine(requestID, "")
 	for _, tc := range []struct {
@@ -49,8 +49,8 @@
 	}
 }
 
-// A client that names a running container with impossible values has proven nothing: it is closed like one that
-// requests nothing, and no container is counted. With possible values it stays.
+// A client that reclaims a container with invalid values has not proven ownership: it is disconnected like a client
+// that requests nothing, and no container is counted. A client with valid values stays connected.
 func TestInvalidReclaimIsIgnored(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -77,8 +77,8 @@
 	}
 }
 
-// An identifier that is in use is not taken twice: from another client the second request is rejected, on one
-// connection both end with it.
+// An identifier that is in use is not accepted for a second request. If that comes from another client, it is rejected.
+// If it comes on the same connection, the connection is closed, which ends both requests.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	addr := serveTCP(t, func(m *peer) { m.receive(); m.receive() })
 	r := startWithMachineA(t, addr, attemptOnA(0))
@@ -90,7 +90,7 @@
 	await(r, func(e scheduler.ContainerRemoved) bool { return e.ID == requestID })
 }
 
-// The identifier of a cancelled request may be used again at once: that is another request, offered once and answered
+// The identifier of a cancelled request may be used again at once, for a new request that is offered once and answered
 // once.
 func TestRequestIDIsReusedAfterCancel(t *testing.T) {
 	r := startWithMachineA(t, fakeMachine(t, acceptLine("%s")), nil)
@@ -102,7 +102,7 @@
 	client.expectLive(2)
 }
 
-// A client that ends a running container gets no notification of its end; the machine is ordered to end it.
+// A client that ends a running container is not notified of its end, and the machine is ordered to end the container.
 func TestClientEndsRunningContainer(t *testing.T) {
 	addr := serveTCP(t, func(m *peer) {
 		m.receive()
@@ -119,7 +119,8 @@
 	client.expectLive(1)
 }
 
-// The end of a running container is sent to any client, also where it was adopted, and once.
+// If the client of a running container has disconnected, another client is notified of the end, once. This also holds
+// for an adopted container.
 func TestEndReachesAnotherClientAfterDisconnect(t *testing.T) {
 	end := make(chan bool)
 	addr := serveTCP(t, func(m *peer) {
@@ -142,7 +143,7 @@
 	second.expectLive(2)
 }
 
-// A notification that its client has not acknowledged when its connection ends is sent again on another one.
+// A notification that is not acknowledged when the connection of its client ends is sent again on another connection.
 func TestUnacknowledgedEndIsResent(t *testing.T) {
 	addr := fakeMachine(t, acceptLine("%s"), endLine("%s", 16))
 	t.Run("acknowledged false", func(t *testing.T) {
@@ -168,8 +169,8 @@
 	})
 }
 
-// After a start a machine may report an end before a client names the container as running: the client is notified
-// then.
+// After a restart of the process, a machine may report the end of a container before a client reclaims the container.
+// The client is notified when it does.
 func TestEndBeforeReclaimIsDelivered(t *testing.T) {
 	reported := make(chan bool)
 	addr := serveTCP(t, func(m *peer) {
@@ -190,8 +191,8 @@
 	r.awaitOutcome(scheduler.AttemptEnded{ID: otherRequestID, Outcome: scheduler.OutcomeFinished, Final: true})
 }
 
-// The answer to a request cannot be written, as its connection is closing: the client is disconnected, and the
-// scheduler process goes on.
+// If an answer cannot be written because the connection is closing, the client is disconnected and the scheduler
+// process continues.
 func TestAnswerThatCannotBeWrittenDisconnectsTheClient(t *testing.T) {
 	r := startWithMachineA(t, serveTCP(t, (*peer).readToEnd), attemptOnA(0))
 	r.request(requestID)
@@ -209,7 +210,7 @@
 	r.awaitOutcome(scheduler.AttemptEnded{ID: requestID, Outcome: scheduler.OutcomeStopped, Final: true})
 }
 
-// recordConnManagerEvents adds to events what the connection manager is told from now on.
+// recordConnManagerEvents appends to events all events that the connection manager receives from now on.
 func (r *testServer) recordConnManagerEvents(events *[]connmanager.Event) {
 	r.Helper()
 	r.runOnLoop(func() {
@@ -222,8 +223,8 @@
 	})
 }
 
-// The connection manager closes idle clients to make room for new ones. It hears of a request that is read in the
-// iteration in which others connect before it hears of these. One that has ended by then is not reported.
+// The connection manager closes idle clients to make room for new ones. It is therefore notified of the requests read
+// in an iteration before the connections opened in it. A connection that has ended by then is not reported.
 func TestClientsAreReportedAfterRequests(t *testing.T) {
 	r := startWithMachineA(t, closedAddr, func(scheduler.Event) []scheduler.Action { return nil })
 	r.dialClient()
@@ -259,8 +260,8 @@
 	})
 }
 
-// What is read of a client is reported to the connection manager: whether a message is incomplete, and where it is,
-// whether others were completed before it.
+// Input of a client is reported to the connection manager: whether it ends in an incomplete message, and if so, whether
+// other messages were completed before that.
 func TestCompletedMessagesAreReported(t *testing.T) {
 	r := startWithDiscovery(t, silentDiscovery(t))
 	var got []connmanager.Event
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// checkConfig checks what a valid file holds.
+// checkConfig checks the content of a valid file.
 func checkConfig(t *testing.T, config *Config) {
 	t.Helper()
 	want := scheduler.MachineEntry{
--- a/internal/platform/copies_test.go
+++ b/internal/platform/copies_test.go
@@ -12,8 +12,8 @@
 	"glenport/scheduler"
 )
 
-// A machine runs a container though its accept could not be read. Once another machine has accepted it, the copy of an
-// idempotent container is cancelled; that of one with a key is left to its client.
+// A machine runs a container although its accept is malformed. Once another machine has accepted the container, the
+// copy of an idempotent container is cancelled. The copy of a container with a key is left to its client.
 func TestCopyOfMalformedAcceptIsCancelled(t *testing.T) {
 	for _, tc := range []struct {
 		class     string
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// The cancel of a copy is sent again where its connection fails at once, and no more after its machine has reported the
+// The cancel of a copy is sent again if its connection fails at once, and no more after the machine has reported the
 // end of the copy.
 func TestCancelOfCopyIsRepeatedAfterConnectionLoss(t *testing.T) {
 	var cancels atomic.Int32
@@ -83,8 +83,8 @@
 	})
 }
 
-// A machine is cut off, its containers are reported as terminated, and it comes back: an idempotent container is
-// cancelled there, unless a client has reclaimed it. One with a key is left to its client.
+// A machine is unreachable, its containers are reported as terminated, and it becomes reachable again: an idempotent
+// container is cancelled there, unless a client has reclaimed it. A container with a key is left to its client.
 func TestContainerLostWhileSilentIsCancelled(t *testing.T) {
 	claimNotAdopted := strings.Replace(offerLine(requestID, ";at:a"), "cores:1;", "cores:1000;", 1)
 	for _, tc := range []struct {
@@ -94,7 +94,7 @@
 	}{
 		{"idempotent", "matcher", "", true},
 		{"idempotent, reclaimed", "matcher", offerLine(requestID, ";at:a"), false},
-		{"idempotent, reclaimed by a claim that is left out", "matcher", claimNotAdopted, false},
+		{"idempotent, reclaimed by a claim that is not adopted", "matcher", claimNotAdopted, false},
 		{"with a key", "report-run", "", false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -102,7 +102,7 @@
 			if tc.reclaim != "" {
 				client.send(tc.reclaim)
 			}
-			expectPlaced(t, client, received, otherRequestID) // the machine is heard again
+			expectPlaced(t, client, received, otherRequestID) // the machine shows activity again
 			if tc.cancelled {
 				msg := testutil.Receive(t, received)
 				testutil.Expect(t, isMessage(msg, jsonlines.OpEnd, requestID, jsonlines.CauseNormal),
@@ -117,7 +117,8 @@
 	}
 }
 
-// startWithSilentLoss starts a server whose machine a, lost in silence, was running a container of a class.
+// startWithSilentLoss starts a server whose machine a was running a container of a workload class when it was declared
+// lost as silent.
 func startWithSilentLoss(
 	t *testing.T, class string,
 ) (r *testServer, client *peer, received chan *jsonlines.Message) {
@@ -139,7 +140,8 @@
 	return r, client, received
 }
 
-// expectPlaced places a container at a machine that passes on what it receives, and checks that its offer comes next.
+// expectPlaced places a container at a machine that sends its messages to received, and checks that the offer comes
+// next.
 func expectPlaced(t *testing.T, client *peer, received chan *jsonlines.Message, id string) {
 	t.Helper()
 	client.send(offerLine(id, ""))
