--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -15,7 +15,7 @@
 	"glenport/scheduler"
 )
 
-// linePeer is a peer that notes what it receives, and does something once it is connected.
+// linePeer is a peer that records the data that it receives, and calls onConnected once it is connected.
 type linePeer struct {
 	onConnected func(*simnet.PeerConn)
 	received    strings.Builder
@@ -25,8 +25,8 @@
 func (p *linePeer) Received(_ *simnet.PeerConn, chunk simnet.Chunk) { p.received.Write(chunk.Data) }
 func (p *linePeer) Ended(*simnet.PeerConn, error)                   {}
 
-// A machine counts the time of an offer from when it receives it. Where the process stalls within an iteration, as
-// beside other load, the offer states what is left of its time then.
+// A machine counts the time of an offer from when it receives the offer. If the process stalls within an iteration, the
+// offer states the time that is left after the stall.
 func TestOfferTimeCountsFromItsSending(t *testing.T) {
 	const timeout, stall = scheduler.Second, 20 * eventloop.Millisecond
 	const maxMillisLeft = 980
@@ -44,7 +44,7 @@
 		}
 		return attemptOnA(timeout)(e)
 	})
-	client := r.place() // the connection is there from then on
+	client := r.place() // the connection is established from then on
 	testutil.Receive(t, received)
 	loops <- r.server.env.loop
 	client.send(offerLine(otherRequestID, ""))
@@ -54,8 +54,9 @@
 	testutil.Expect(t, left <= maxMillisLeft, "%d ms are left after a stall, want %d at most", left, maxMillisLeft)
 }
 
-// A connection that is found established together with the deadline of its attempt, as the process was not run for a
-// while, carries no offer: its time is over, and the machine would start what nobody waits for.
+// If the process was not run for a while, it may find a connection established in the iteration in which the deadline
+// of the attempt has passed. The connection carries no offer then: the machine would start a container that nobody
+// waits for.
 func TestConnThatOpensAfterTheDeadlineCarriesNoOffer(t *testing.T) {
 	machineAddr, discoveryAddr := netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.0.0.3:1")
 	network := simnet.New(1)
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -10,13 +10,13 @@
 	"glenport/scheduler"
 )
 
-// watch is a watch that was requested of a discovery service.
+// watch is a watch that the server has requested from a discovery service.
 type watch struct {
 	from string
 	peer *peer
 }
 
-// recordingDiscovery passes on each watch that is requested.
+// recordingDiscovery is a discovery service that sends each requested watch to watches.
 func recordingDiscovery(t *testing.T) (addr string, watches chan watch) {
 	t.Helper()
 	watches = make(chan watch, 10)
@@ -29,7 +29,7 @@
 	}), watches
 }
 
-// expectWatch waits for the next watch and checks from which event on it is requested.
+// expectWatch waits for the next watch and checks the event after which it is requested.
 func expectWatch(t *testing.T, watches chan watch, from string) *peer {
 	t.Helper()
 	select {
@@ -42,7 +42,8 @@
 	}
 }
 
-// The watch goes on over breaks, repeated events, silence and a new address, and no event is applied twice.
+// The watch resumes after closed connections, repeated events, silence and a change of the address, and no event is
+// applied twice.
 func TestDiscoveryWatchResumes(t *testing.T) {
 	old, watches := recordingDiscovery(t)
 	r := startWithDiscovery(t, old, machineJSON("a", closedAddr, "ready", 0))
@@ -51,7 +52,7 @@
 	draining := machineJSON("a", closedAddr, "draining", 0)
 	p.send(snapshotJSON(1), deltaJSON(2, draining), deltaJSON(2), `{"offset":2}`)
 	r.awaitList(2)
-	p.write(`{"offset":3,"topo`) // broken off
+	p.write(`{"offset":3,"topo`) // an incomplete line
 	p.close()
 	p = expectWatch(t, watches, "from 2")
 	p.send(`{"offset":4}`) // 3 and 4 were never sent
@@ -59,7 +60,7 @@
 	p.send(deltaJSON(3), deltaJSON(4))
 	r.awaitList(3)
 	r.awaitList(4)
-	expectWatch(t, watches, "from 4") // now silence
+	expectWatch(t, watches, "from 4") // the service is silent from now on
 	later, moved := recordingDiscovery(t)
 	config := *r.server.env.config
 	config.DiscoveryAddr = later
@@ -69,7 +70,8 @@
 	r.awaitList(5)
 }
 
-// A missing event is requested again, and a machine that the settings cannot place keeps no other from being applied.
+// A missing event is requested again, and a machine that does not fit the settings does not prevent other machines from
+// being applied.
 func TestMissingEventIsRequestedAgain(t *testing.T) {
 	discovery, watches := recordingDiscovery(t)
 	r := startWithDiscovery(t, discovery)
@@ -88,14 +90,13 @@
 	p = expectWatch(t, watches, "from 4")
 	p.send(deltaJSON(4), deltaJSON(6)) // 4 is a repeat, after which 5 is missing
 	p = expectWatch(t, watches, "from 4")
-	p.send(snapshotJSON(9)) // all that the service still has
+	p.send(snapshotJSON(9)) // the only event that the service still has
 	if e := r.awaitList(9); e.Mode != scheduler.FullSnapshot {
 		t.Errorf("got %+v", e)
 	}
 }
 
-// Entries that do not fit the settings are left out of an event and named, and an event that cannot be read is an
-// error.
+// Entries that do not fit the settings are skipped and reported, and an event that cannot be decoded is an error.
 func TestInvalidEntriesAreSkipped(t *testing.T) {
 	config := testConfig(t)
 	event, err := config.decodeWatchEvent([]byte(snapshotJSON(2,
@@ -125,7 +126,8 @@
 	testutil.Expect(t, err == nil && event.offsetOnly && event.offset == 7, "decoded %+v, %v", event, err)
 }
 
-// The watch breaks in the iteration in which more clients connect than may be open: it has a descriptor all the same.
+// The connection of the watch ends in the iteration in which more clients connect than may be open: the watch still
+// gets a descriptor.
 func TestWatchResumesInClientBurst(t *testing.T) {
 	const descriptors = 64
 	discovery, watches := recordingDiscovery(t)
@@ -142,7 +144,8 @@
 	r.runOnLoop(func() { r.expectWithinDescriptors(descriptors) })
 }
 
-// A scheduler that starts while the discovery service is away is ready at once, and places by the list that it knows.
+// A scheduler that starts while the discovery service is unavailable is ready at once, and places containers by the
+// machine list of its configuration.
 func TestStartWithoutDiscoveryServesRequests(t *testing.T) {
 	r := startWithDiscovery(t, closedAddr, machineJSON("a", fakeMachine(t, acceptLine("%s")), "ready", 0))
 	r.dialClient().expectLive(1)
--- a/internal/platform/machineconns_test.go
+++ b/internal/platform/machineconns_test.go
@@ -13,8 +13,8 @@
 	"glenport/scheduler"
 )
 
-// An end that was on its way as its connection broke is read on the next one, which is opened although another is
-// there.
+// An end that was lost with its connection is read on the next connection, which is opened although another one is
+// established.
 func TestEndIsReadAfterConnectionLoss(t *testing.T) {
 	numbers := make(chan int, 10)
 	for i := range 10 {
@@ -54,8 +54,8 @@
 	}
 }
 
-// A half-closed connection is read until the machine closes it: an end that the machine reports meanwhile counts, and
-// nothing more is sent.
+// A half-closed connection is read until the machine closes it: an end that the machine reports in that time is
+// handled, and nothing more is sent.
 func TestHalfClosedConnIsRead(t *testing.T) {
 	addr := serveTCP(t, func(m *peer) {
 		if msg := m.receive(); msg != nil {
@@ -114,10 +114,10 @@
 		"carried by %v", carried)
 }
 
-// With more machines than descriptors, connections stay within their limit, each offer is sent, and each end is read,
-// also where the connection was evicted.
+// With more machines than descriptors, the number of connections stays within its limit, each offer is sent, and each
+// end is read, even if the connection was evicted.
 func TestMachineConnLimitHolds(t *testing.T) {
-	// as many for clients, 32 for the watch, bursts and the program itself
+	// clients have as many connections, and 32 descriptors are for the watch, bursts and the program itself
 	const machines, descriptors, limit = 40, 64, 16
 	r := startWithNumberedMachines(t, descriptors, machines, lateReportingMachine)
 	client := r.dialClient()
@@ -196,8 +196,7 @@
 	})
 }
 
-// ageMachineConns makes it appear on the loop that no connection was used for a second, so that idle ones may be
-// evicted.
+// ageMachineConns, called on the loop, marks each connection as unused for a second, so that idle ones may be evicted.
 func (r *testServer) ageMachineConns() {
 	for _, m := range r.server.machines.machines {
 		for _, mc := range m.conns.conns {
@@ -206,8 +205,8 @@
 	}
 }
 
-// A burst of clients and one of attempts, with more machines than connections, leave the discovery watch its descriptor
-// at every moment.
+// A burst of clients and a burst of attempts, with more machines than connections, leave a descriptor for the discovery
+// watch at all times.
 func TestClientBurstLeavesDescriptorReserve(t *testing.T) {
 	const descriptors, machines, clients = 64, 60, 200
 	const conns = (descriptors - 32) / 2
@@ -220,11 +219,11 @@
 		client.send(offerLine(numberedRequest(i), ""))
 		client.receive()
 	}
-	r.runOnLoop(func() { // all are there when the loop goes on
+	r.runOnLoop(func() { // all are connected when the loop continues
 		r.dialClients(clients)
 	})
 	r.awaitClientConns(conns)
-	r.runOnLoop(func() { // and now the attempts
+	r.runOnLoop(func() { // the burst of attempts
 		r.ageMachineConns()
 		for i := conns; i < machines; i++ {
 			client.send(offerLine(numberedRequest(i), ""))
@@ -235,8 +234,8 @@
 	r.runOnLoop(func() { r.expectWithinDescriptors(descriptors) })
 }
 
-// A maintenance tick that opens a connection may evict the last one of a machine that is gone, and the machine with it:
-// the tick then passes over that machine.
+// A maintenance tick that opens a connection may evict the last connection of a machine that is gone, and the machine
+// with it. The tick then skips that machine.
 func TestMachineEvictedDuringMaintenanceIsSkipped(t *testing.T) {
 	a := machineJSON("a", serveTCP(t, (*peer).readToEnd), "ready", 0)
 	z := machineJSON("z", serveTCP(t, (*peer).readToEnd), "ready", 0)
--- a/internal/platform/machinemessages_test.go
+++ b/internal/platform/machinemessages_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// A machine accepts as the attempt times out. Read in the iteration of the time-out the accept counts; read after it,
-// the attempt was cancelled and the accept is ignored. The client has one answer either way.
+// A machine accepts as the attempt times out. If the accept is read in the iteration of the time-out, it counts. If it
+// is read later, the attempt was cancelled and the accept is ignored. The client gets one answer in both cases.
 func TestAcceptCrossesTimeout(t *testing.T) {
 	t.Run("read in the same iteration", func(t *testing.T) {
 		r := startWithOfferAtA(t)
--- a/internal/platform/machines_test.go
+++ b/internal/platform/machines_test.go
@@ -18,7 +18,7 @@
 	t.Run("refuses connections", checkLostByRefusal)
 }
 
-// checkLostByEvent loses a machine on which a container runs by an event with a state and a new start.
+// checkLostByEvent loses a machine with a running container by an event with a state and a new start time.
 func checkLostByEvent(t *testing.T, state string) {
 	t.Helper()
 	addr, _ := acceptOnce(t)
@@ -30,7 +30,7 @@
 	r.awaitOutcome(scheduler.AttemptEnded{ID: requestID, Outcome: scheduler.OutcomeLost, Final: true})
 }
 
-// checkLostByRefusal loses a machine on which a container runs by the end of the machine.
+// checkLostByRefusal loses a machine with a running container by stopping the machine, which then refuses connections.
 func checkLostByRefusal(t *testing.T) {
 	t.Helper()
 	addr, stop := acceptOnce(t)
@@ -41,8 +41,8 @@
 	r.awaitOutcome(scheduler.AttemptEnded{ID: requestID, Outcome: scheduler.OutcomeLost, Final: true})
 }
 
-// acceptOnce is a machine that accepts one connection and one offer, refuses further connections, and closes the first
-// when die is called, at the latest at the end of the test.
+// acceptOnce is a machine that accepts one connection and one offer, and refuses further connections. It closes the
+// first connection when stop is called, at the latest at the end of the test.
 func acceptOnce(t *testing.T) (addr string, stop func()) {
 	t.Helper()
 	l := testutil.Listen(t)
@@ -70,8 +70,8 @@
 	return l.Addr().String(), stop
 }
 
-// A machine at whose address the list names another is gone, in whatever order the events come: nothing meant for it
-// reaches the other, and its containers have ended.
+// A machine whose address the list assigns to another machine is gone, in whatever order the events come: no message
+// for it reaches the other machine, and its containers have ended.
 func TestReusedAddressEvictsPredecessor(t *testing.T) {
 	successor := func(addr string) string { return machineJSON("b", addr, "ready", 7) }
 	gone := func(addr string) string { return machineJSON("a", addr, "gone", 0) }
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -12,7 +12,7 @@
 	"glenport/scheduler"
 )
 
-// During a shutdown open requests are answered; then Run ends.
+// During a shutdown open requests are answered, and then Run returns.
 func TestShutdownAnswersOpenRequests(t *testing.T) {
 	hold := make(chan bool)
 	addr := serveTCP(t, func(m *peer) {
@@ -35,7 +35,8 @@
 	client.expectClosed()
 }
 
-// A request that comes in the iteration in which Run would end is answered first, and what was written is not reset.
+// A request that comes in the iteration in which Run would return is answered first, and pending output is not
+// discarded by a reset.
 func TestRequestInLastIterationIsAnswered(t *testing.T) {
 	addr := fakeMachine(t, `{"op":"end","call":"%s","with":{"note":"cpu_full"},"why":34}`)
 	r := startWithMachineA(t, addr, attemptOnA(0))
@@ -49,7 +50,7 @@
 	client.expectClosed()
 }
 
-// A shutdown starts while a request is half read: its other half is read, and it is answered.
+// A shutdown starts while a request is half read: the other half is read, and the request is answered.
 func TestRequestHalfReadAtShutdownIsAnswered(t *testing.T) {
 	r := startWithMachineA(t, fakeMachine(t, acceptLine("%s")), attemptOnA(0))
 	client := r.dialClient()
@@ -84,8 +85,8 @@
 	r.awaitOutcome(scheduler.AttemptEnded{ID: requestID, Outcome: scheduler.OutcomeFinished})
 }
 
-// A configuration that is slow to load does not hold up a shutdown; one that is broken is not used, and the next one
-// is.
+// A configuration that is slow to load does not delay a shutdown. An invalid configuration is not applied, and the next
+// one is.
 func TestReloadAndShutdownDoNotBlockEachOther(t *testing.T) {
 	old, publish := scriptedDiscovery(t)
 	later, publishLater := scriptedDiscovery(t)
@@ -105,7 +106,7 @@
 	publish(deltaJSON(2))
 	r.awaitList(2) // from the old address
 	reload <- syscall.SIGHUP
-	reload <- syscall.SIGHUP // taken as the first file is being loaded
+	reload <- syscall.SIGHUP // received while the first file is being loaded
 	shutdown <- syscall.SIGTERM
 	shutdown <- syscall.SIGTERM // the second changes nothing
 	client := r.dialClient()
@@ -123,8 +124,8 @@
 	r.awaitList(3) // from the new address
 }
 
-// The order to leave comes in the iteration in which more clients connect than may be open: what is open, and what
-// comes on a connection that awaits an answer, is answered before the exit.
+// A shutdown is requested in the iteration in which more clients connect than may be open. Open requests, and requests
+// on a connection that waits for an answer, are answered before the exit.
 func TestShutdownInClientBurstAnswersRequests(t *testing.T) {
 	const descriptors = 64
 	offered, answer := make(chan bool, 2), make(chan bool)
@@ -152,8 +153,8 @@
 	client.expectClosed()
 }
 
-// A scheduler is killed as soon as it has placed a container. The next one, from the same file, learns of it from its
-// client alone, and notifies that of its end.
+// A scheduler is killed as soon as it has placed a container. The next one, started from the same file, learns of the
+// container from its client alone, and notifies the client of its end.
 func TestContainerOutlivesEarlyKill(t *testing.T) {
 	conns := make(chan *peer, 10)
 	addr := serveTCP(t, func(m *peer) {
--- a/internal/platform/stale_test.go
+++ b/internal/platform/stale_test.go
@@ -8,9 +8,9 @@
 	"glenport/scheduler"
 )
 
-// An attempt that waits for its connection is not sent once the machine has started anew, as its slow start may leave
-// no room, or once a container of its service was claimed to be running, which counts for the spread: the scheduler
-// decides again. A change that does not concern it leaves it as it is.
+// An attempt that waits for its connection is not sent after its machine has restarted, because the slow start of the
+// machine may leave no capacity. It is not sent either after a container of its service was claimed to be running,
+// because that container counts for the spread. The scheduler decides again. Other changes do not affect the attempt.
 func TestStaleAttemptIsNotSent(t *testing.T) {
 	claimed := func(service string) func(*testServer) {
 		return func(r *testServer) {
@@ -25,7 +25,7 @@
 		sent   bool
 	}{
 		{"no change", func(*testServer) {}, true},
-		{"the machine starts anew", func(r *testServer) {
+		{"the machine restarts", func(r *testServer) {
 			m := r.server.machines.machines["a"]
 			entry := m.entry
 			entry.StartedAt = scheduler.Time(m.env.loop.Now())
@@ -54,7 +54,7 @@
 			r.awaitOutcome(scheduler.AttemptEnded{ID: requestID, Outcome: scheduler.OutcomeNotSent})
 			testutil.Equal(t, len(offered), 0, "offers")
 			r.runOnLoop(func() {
-				testutil.Expect(t, !r.server.env.adoptions.Since("s1", 0), "adoptions are remembered, nothing waits")
+				testutil.Expect(t, !r.server.env.adoptions.Since("s1", 0), "adoptions kept although no attempt waits")
 			})
 		})
 	}
