--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -34,7 +34,7 @@
 	openAtShutdownID       = "0000000000000a12"
 )
 
-// goldenDecisions stand in for the scheduler: each is determined by the container's identifier.
+// goldenDecisions replaces the scheduler. It decides by the identifier of the container.
 func goldenDecisions(e scheduler.Event) []scheduler.Action {
 	attempt := func(id scheduler.ContainerID, m scheduler.MachineID, wait scheduler.Time) []scheduler.Action {
 		return []scheduler.Action{scheduler.StartAttempt{ID: id, Machine: m, Timeout: wait}}
@@ -68,9 +68,9 @@
 	return nil
 }
 
-// Every sort of line that the process writes to clients, machines and the discovery service keeps its bytes. The
-// conversation is determined line by line: each step waits for what the one before has caused.
-// testdata/conversation.txt says in words what the lines hold.
+// Every kind of line that the process writes to clients, machines and the discovery service keeps its bytes. The
+// conversation is deterministic: each step waits for the effects of the previous one. testdata/conversation.txt
+// describes the content of the lines.
 func TestLinesWrittenMatchGoldenConversation(t *testing.T) {
 	s := &transcript{T: t}
 	discovery, moved := s.server("discovery"), s.server("discovery, moved")
@@ -109,7 +109,7 @@
 
 func offer(call string) string { return offerLine(call, "") }
 
-// place plays a request that the machine accepts, and returns the connection that carried its offer.
+// place plays a request that the machine accepts, and returns the connection on which it was offered.
 func (s *transcript) place(c *goldenClient, a *goldenServer, call string) *peer {
 	s.Helper()
 	c.send(offer(call))
@@ -119,7 +119,7 @@
 	return on
 }
 
-// playRejections plays the answers of a machine to an offer other than an accept.
+// playRejections plays the answers of a machine to an offer other than an accept, and an invalid request.
 func (s *transcript) playRejections(c *goldenClient, a *goldenServer) {
 	s.begin("rejected, no room")
 	c.send(strings.NewReplacer(
@@ -203,7 +203,7 @@
 	c.recordLine()
 }
 
-// playProbes plays so many that their count shows its base.
+// playProbes plays ten probes, so that the identifiers show that they are hexadecimal.
 func (s *transcript) playProbes(r *testServer, c *goldenClient, a *goldenServer) {
 	s.begin("probe")
 	for i := range 10 {
@@ -216,7 +216,7 @@
 	}
 }
 
-// playGoneMachines plays a retry, and machines that leave the list with work on them.
+// playGoneMachines plays a retry, and machines that leave the list while they have work.
 func (s *transcript) playGoneMachines(r *testServer, c *goldenClient, a, b *goldenServer, watch *peer) {
 	s.begin("retried on another machine")
 	c.send(offer(retriedID))
@@ -242,7 +242,8 @@
 	await(r, func(e scheduler.MachineListUpdate) bool { return e.Version == 4 })
 }
 
-// playDisconnectedClients plays ends that are delivered to another client than the one that asked, and returns the last client.
+// playDisconnectedClients plays ends that are delivered to another client than the one that requested or reclaimed the
+// container, and returns the last client.
 func (s *transcript) playDisconnectedClients(r *testServer, c *goldenClient, a *goldenServer) *goldenClient {
 	s.begin("reclaimed by a client that goes")
 	c.send(strings.Replace(offerLine(reclaimedID, ";at:a"), `"2000"`, `"4294967"`, 1))
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -18,15 +18,15 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	testTimeout        = 10 * time.Second // a test that waits longer has failed
-	programDescriptors = 14               // that the program itself may hold
+	testTimeout        = 10 * time.Second // a test fails if it waits longer
+	programDescriptors = 14               // descriptors that the program itself may hold
 )
 
-// scriptedScheduler decides by a script, or records the events of the scheduler that it wraps.
+// scriptedScheduler decides by a script, or by the scheduler that it wraps, and records the events.
 type scriptedScheduler struct {
 	mu      sync.Mutex
 	script  func(e scheduler.Event) []scheduler.Action
-	wrapped Scheduler // decides where there is no script
+	wrapped Scheduler // decides if there is no script
 	events  chan scheduler.Event
 }
 
@@ -105,7 +105,7 @@
 	return &environment{config: &Config{}, log: slog.New(slog.NewTextHandler(log, nil))}
 }
 
-// await waits for an event of a type for which holds is true; nil takes any.
+// await waits for an event of a type for which match is true; nil accepts any event of the type.
 func await[E scheduler.Event](r *testServer, match func(E) bool) E {
 	r.Helper()
 	timeout := time.After(testTimeout)
@@ -122,7 +122,7 @@
 	}
 }
 
-// awaitList waits for the update of the machine list with a version, and checks that none is applied before it.
+// awaitList waits for the next update of the machine list and checks its version.
 func (r *testServer) awaitList(version int64) scheduler.MachineListUpdate {
 	r.Helper()
 	e := await[scheduler.MachineListUpdate](r, nil)
@@ -150,7 +150,7 @@
 	}
 }
 
-// markShuttingDown makes it appear on the loop that the shutdown started some time ago.
+// markShuttingDown, called on the loop, sets the state of a shutdown that started some time ago.
 func (r *testServer) markShuttingDown(ago eventloop.Tick) {
 	shutdown := r.server.shutdown
 	shutdown.state, shutdown.startedAt = draining, r.server.env.loop.Now()-ago
@@ -180,7 +180,7 @@
 	}
 }
 
-// awaitClientConns waits until so many client connections are open.
+// awaitClientConns waits until count client connections are open.
 func (r *testServer) awaitClientConns(count int) {
 	r.Helper()
 	for open := 0; open < count; {
@@ -188,7 +188,7 @@
 	}
 }
 
-// expectWithinDescriptors checks on the loop that the connections never used up the descriptors.
+// expectWithinDescriptors, called on the loop, checks that connections and program never exceeded the descriptors.
 func (r *testServer) expectWithinDescriptors(descriptors int) {
 	r.Helper()
 	n := r.server.env.loop.PeakConnCount()
--- a/internal/platform/peers_test.go
+++ b/internal/platform/peers_test.go
@@ -34,8 +34,8 @@
 	return p
 }
 
-// newServedPeer is newPeer for a connection that was accepted: the end of the test may have closed it already, in which
-// case each read fails.
+// newServedPeer is newPeer for an accepted connection. The end of the test may have closed the connection already, in
+// which case each read fails.
 func newServedPeer(t *testing.T, c net.Conn) *peer {
 	t.Helper()
 	p, err := boundedPeer(t, c)
@@ -43,7 +43,7 @@
 	return p
 }
 
-// boundedPeer is a peer with a deadline for all that is read and written.
+// boundedPeer is a peer with a deadline for all reads and writes.
 func boundedPeer(t *testing.T, c net.Conn) (*peer, error) {
 	t.Helper()
 	return &peer{t, c, bufio.NewReader(c)}, c.SetDeadline(time.Now().Add(testTimeout))
@@ -55,15 +55,15 @@
 	}
 }
 
-// write does not fail where the server has closed the connection: what the peer reads then shows it.
+// write ignores errors: if the server has closed the connection, the next read of the peer shows it.
 func (p *peer) write(text string) { _, _ = io.WriteString(p.c, text) }
 
-// close may come after the connection's end.
+// close ignores errors, because the connection may have ended already.
 func (p *peer) close() { _ = p.c.Close() }
 
 func (p *peer) readLine() (string, error) { return p.r.ReadString('\n') }
 
-// readToEnd drops what comes until the connection's end.
+// readToEnd discards input until the connection ends.
 func (p *peer) readToEnd() {
 	for {
 		if _, err := p.readLine(); err != nil {
@@ -72,7 +72,7 @@
 	}
 }
 
-// receive reads the next message; nil at the connection's end.
+// receive reads the next message. It returns nil at the end of the connection.
 func (p *peer) receive() *jsonlines.Message {
 	p.t.Helper()
 	line, err := p.r.ReadBytes('\n')
@@ -133,7 +133,7 @@
 	return testutil.ServeUntilEnd(t, func(c net.Conn) { serve(newServedPeer(t, c)) })
 }
 
-// serveListener calls serve for each connection of a listener until what it returns is called.
+// serveListener calls serve for each connection of a listener until stop is called.
 func serveListener(t *testing.T, l net.Listener, serve func(*peer)) (stop func()) {
 	t.Helper()
 	return testutil.Serve(l, func(c net.Conn) { serve(newServedPeer(t, c)) })
@@ -166,14 +166,14 @@
 	})
 }
 
-// recordingMachine answers nothing and passes on what it receives.
+// recordingMachine is a machine that answers nothing and sends its messages to received.
 func recordingMachine(t *testing.T) (addr string, received chan *jsonlines.Message) {
 	t.Helper()
 	received = make(chan *jsonlines.Message, 10)
 	return serveMessages(t, func(_ *peer, msg *jsonlines.Message) { received <- msg }), received
 }
 
-// silentDiscovery answers each watch with the offset of the last event, and has no further ones.
+// silentDiscovery answers each watch with the offset of the last event, and has no further events.
 func silentDiscovery(t *testing.T) string {
 	t.Helper()
 	return serveTCP(t, func(p *peer) {
@@ -186,7 +186,7 @@
 	})
 }
 
-// scriptedDiscovery sends each watch all events that were published so far and are published later.
+// scriptedDiscovery sends each watch all published events, also those that are published later.
 func scriptedDiscovery(t *testing.T) (addr string, publish func(events ...string)) {
 	t.Helper()
 	var mu sync.Mutex
--- a/internal/platform/transcript_test.go
+++ b/internal/platform/transcript_test.go
@@ -17,11 +17,11 @@
 
 const goldenFile = "testdata/conversation.golden"
 
-// leftField is the only part of a line that the clock decides: the milliseconds until the attempt's deadline.
+// leftField is the only part of a line that depends on the clock: the milliseconds until the attempt's deadline.
 var leftField = regexp.MustCompile(`"left":"([0-9]+)"`)
 
-// transcript gathers each line that the process under test writes, in the order in which the scripted conversation
-// reads them, with the peer that received it in front.
+// transcript records each line that the process under test writes, after its step and receiver, in the order in which
+// the scripted conversation reads the lines.
 type transcript struct {
 	*testing.T
 	step  string
@@ -31,12 +31,12 @@
 // begin names the step to which the following lines belong.
 func (s *transcript) begin(step string) { s.step = step }
 
-// record takes in one line as it was read, its end included. The remaining time of an offer is checked against the most
-// it may be, and then replaced.
+// record adds one line as it was read, including its end. The time left in an offer is checked against its maximum, and
+// then replaced.
 func (s *transcript) record(receiver string, line []byte, maxLeft int) {
 	s.Helper()
 	testutil.Require(s, strings.HasSuffix(string(line), "\n"),
-		"%s: %s received %q, which is no whole line", s.step, receiver, line)
+		"%s: %s received %q, which is not a complete line", s.step, receiver, line)
 	if m := leftField.FindSubmatch(line); m != nil {
 		left, err := strconv.Atoi(string(m[1]))
 		testutil.Expect(s, err == nil && left <= maxLeft && left >= maxLeft-int(testTimeout/time.Millisecond),
@@ -79,7 +79,7 @@
 	}
 }
 
-// test sends a liveness test and records its answer: whatever was written before it is recorded in its place.
+// test sends a liveness test and records its answer. Any line that was written before the answer is recorded instead.
 func (c *goldenClient) test() {
 	c.s.Helper()
 	c.send(`{"op":"test","call":"00000000000000ff","with":{},"why":1}`)
@@ -90,7 +90,7 @@
 	c.send(`{"op":"end","call":"` + call + `","with":{}` + why + `}`)
 }
 
-// goldenServer is a machine or the discovery service: it records each line it is sent, over all its connections.
+// goldenServer is a machine or the discovery service. It receives the lines of all its connections.
 type goldenServer struct {
 	name, addr string
 	s          *transcript
@@ -123,7 +123,8 @@
 	return g
 }
 
-// recordLine records the next line and returns the connection on which it came. An offer has mostLeft milliseconds at most.
+// recordLine records the next line and returns the connection on which it came. If it is an offer, at most maxLeft
+// milliseconds are left.
 func (g *goldenServer) recordLine(maxLeft int) *peer {
 	g.s.Helper()
 	select {
@@ -136,7 +137,7 @@
 	}
 }
 
-// connected returns the next connection that was not returned yet.
+// connected returns the next connection that it has not returned yet.
 func (g *goldenServer) connected() *peer {
 	g.s.Helper()
 	select {
@@ -155,7 +156,7 @@
 	}
 }
 
-// expectNoMore checks, once all connections have ended, that nothing was written beyond what was recorded.
+// expectNoMore checks, once all connections have ended, that every written line was recorded.
 func (g *goldenServer) expectNoMore() {
 	g.s.Helper()
 	for deadline := time.Now().Add(testTimeout); g.open.Load() > 0; time.Sleep(time.Millisecond) {
@@ -168,7 +169,7 @@
 	}
 }
 
-// answer lines of a machine.
+// sendAccept accepts an offer, as a machine does.
 func (p *peer) sendAccept(call string) {
 	p.send(`{"op":"accept","call":"` + call + `","with":{},"desc":"v=0\r\nmade\u0020at <a> \u00e9\/"}`)
 }
--- a/internal/platform/transitions_test.go
+++ b/internal/platform/transitions_test.go
@@ -10,7 +10,7 @@
 	"glenport/internal/statemachine/statemachinetest"
 )
 
-// doc.go shows the tables by which the state machines work.
+// doc.go shows the tables of the state machines.
 func TestStatesAreDocumented(t *testing.T) {
 	statemachinetest.CheckComment(t, statemachinetest.Machines{
 		"An attempt ":                attemptTransitions,
@@ -29,7 +29,7 @@
 	})
 }
 
-// An event that a state does not take is a typed error, is logged, and changes nothing.
+// An event that is illegal in a state returns a typed error, is logged, and leaves the state unchanged.
 func TestIllegalTransitionIsReported(t *testing.T) {
 	var logged strings.Builder
 	env := loggingEnvironment(&logged)
--- a/internal/platform/wirelines_test.go
+++ b/internal/platform/wirelines_test.go
@@ -26,7 +26,7 @@
   "use_notes":false,"view":true,"fresh_offers":30.0,"cpu_of_kind":[24,48],"kind_memory":[60.0,120.0],
   "class_kind":[-1,-1],"class_most":[2,2],"spread_over":["silent","silent"],"quota_cores":[100.0,50.0]},"note":null}`
 
-const closedAddr = "127.0.0.1:1" // where nobody listens
+const closedAddr = "127.0.0.1:1" // no process listens there
 
 func machineJSON(id, addr, state string, startedAtMillis int64) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"hall-b","class":"large","block":2,"health":%q,"share":1,`+
@@ -36,7 +36,7 @@
 // deltaJSON is an event that names some machines.
 func deltaJSON(offset int, machines ...string) string { return eventJSON(offset, "false", machines) }
 
-// snapshotJSON is an event by which all machines that it does not name are gone.
+// snapshotJSON is an event after which all machines that it does not name are gone.
 func snapshotJSON(offset int, machines ...string) string { return eventJSON(offset, "true", machines) }
 
 func eventJSON(offset int, whole string, machines []string) string {
@@ -44,7 +44,7 @@
 		offset, offset, whole, strings.Join(machines, ","))
 }
 
-// configJSON is a platform's file that knows some events.
+// configJSON is a configuration file of the platform with some known events.
 func configJSON(discovery string, descriptors int, known ...string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":64,"sockets":%d},"bus":%q,
@@ -52,13 +52,13 @@
 		descriptors, discovery, len(known), strings.Join(known, ","), settingsJSON)
 }
 
-// offerLine is a request; more is added to its extras.
+// offerLine is a request with more appended to its extras.
 func offerLine(id, more string) string {
 	return `{"op":"offer","call":"` + id + `","with":{"class":"report-run","left":"2000","tenant":"offices",` +
 		`"key":"k` + id + `","idem":"i1","extras":"cores:1;memory:2;service:s1` + more + `"},"desc":"v=0\r\n"}`
 }
 
-// offerLineWithin is a request with so many milliseconds to be answered in.
+// offerLineWithin is a request that waits for its answer for some milliseconds at most.
 func offerLineWithin(id, milliseconds string) string {
 	return strings.Replace(offerLine(id, ""), `"2000"`, `"`+milliseconds+`"`, 1)
 }
