--- a/internal/platform/actions.go
+++ b/internal/platform/actions.go
@@ -49,7 +49,7 @@
 	case connmanager.PauseReading:
 		s.clients.pauseReading(action)
 	case connmanager.ReportError:
-		s.env.reportIllegal(action.Err, "client", action.Client)
+		s.env.logIllegalTransition(action.Err, "client", action.Client)
 	}
 }
 
--- a/internal/platform/attemptstate.go
+++ b/internal/platform/attemptstate.go
@@ -43,7 +43,7 @@
 	before := a.state
 	err := attemptTransitions.Apply(statemachine.Unnamed, &a.state, event)
 	if err != nil {
-		a.env.reportIllegal(err, "request_id", a.id())
+		a.env.logIllegalTransition(err, "request_id", a.id())
 	} else if before == attemptConnecting {
 		a.env.adoptions.AttemptsDone(1)
 	}
--- a/internal/platform/claims_test.go
+++ b/internal/platform/claims_test.go
@@ -18,8 +18,8 @@
 
 const claimedMachines = 20
 
-// Claims that faulty clients make up take bounded memory and time, whatever machines they name. The end of a container
-// is still notified if its true claim comes after them.
+// Claims that faulty clients make up take bounded memory and time, whatever machines they name. A running container
+// that is claimed after them still has its end notified.
 func TestMadeUpClaimsAreBounded(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
--- a/internal/platform/clientregistry.go
+++ b/internal/platform/clientregistry.go
@@ -9,12 +9,12 @@
 
 // clientRegistry holds the client connections that have not ended.
 type clientRegistry struct {
-	env        *environment
-	containers *containerRegistry
-	shutdown   *shutdownSequence
-	conns      map[connmanager.ClientID]*clientConn
-	unreported []*clientConn // opened in this iteration
-	lastID     connmanager.ClientID
+	env             *environment
+	containers      *containerRegistry
+	shutdown        *shutdownSequence
+	conns           map[connmanager.ClientID]*clientConn
+	unreportedConns []*clientConn // opened in this iteration
+	lastID          connmanager.ClientID
 }
 
 func newClientRegistry(env *environment, containers *containerRegistry, shutdown *shutdownSequence) *clientRegistry {
@@ -42,19 +42,19 @@
 
 func (r *clientRegistry) add(cc *clientConn) {
 	r.conns[cc.id] = cc
-	r.unreported = append(r.unreported, cc)
+	r.unreportedConns = append(r.unreportedConns, cc)
 }
 
 // reportOpened reports the connections opened in this iteration, after all input of the iteration. The connection
 // manager may close idle clients to make room for new connections, and it must not close a client whose request has
 // just been read.
 func (r *clientRegistry) reportOpened() {
-	for _, cc := range r.unreported {
+	for _, cc := range r.unreportedConns {
 		if r.conns[cc.id] == cc {
 			r.env.notifyConnManager(connmanager.ClientConnected{Client: cc.id})
 		}
 	}
-	r.unreported = nil
+	r.unreportedConns = nil
 }
 
 func (r *clientRegistry) remove(cc *clientConn) { delete(r.conns, cc.id) }
--- a/internal/platform/clientstate.go
+++ b/internal/platform/clientstate.go
@@ -41,7 +41,7 @@
 func (cc *clientConn) transition(event clientEvent) error {
 	err := clientTransitions.Apply(statemachine.Unnamed, &cc.state, event)
 	if err != nil {
-		cc.env.reportIllegal(err, "client", cc.id)
+		cc.env.logIllegalTransition(err, "client", cc.id)
 	}
 	return err
 }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -60,16 +60,16 @@
 		Settings json.RawMessage `json:"settings"`
 	}
 	wireSettings struct {
-		Zones           []string    `json:"azs"`
-		MachineTypes    []string    `json:"kinds"`
-		WorkloadClasses []wireNamed `json:"classes"`
-		Tenants         []wireNamed `json:"tenants"`
+		Zones           []string   `json:"azs"`
+		MachineTypes    []string   `json:"kinds"`
+		WorkloadClasses []wireName `json:"classes"`
+		Tenants         []wireName `json:"tenants"`
 		Permissions     struct {
 			ConnectTimeoutMillis float64 `json:"connect_timeout_ms"`
 			IdleTimeoutMillis    float64 `json:"conn_idle_ms"`
 		} `json:"permissions"`
 	}
-	wireNamed struct {
+	wireName struct {
 		Name string `json:"name"`
 	}
 )
@@ -179,7 +179,7 @@
 	return largest
 }
 
-func namesOf(named []wireNamed) []string {
+func namesOf(named []wireName) []string {
 	var names []string
 	for _, n := range named {
 		names = append(names, n.Name)
--- a/internal/platform/containerregistry.go
+++ b/internal/platform/containerregistry.go
@@ -20,10 +20,10 @@
 
 // containerRegistry holds the containers that were requested or are running.
 type containerRegistry struct {
-	env        *environment
-	machines   *machineRegistry
-	containers map[scheduler.ContainerID]*container // each until it is answered and has no attempt
-	unanswered int                                  // number of containers whose request is not answered
+	env                *environment
+	machines           *machineRegistry
+	containers         map[scheduler.ContainerID]*container // each until it is answered and has no attempt
+	unansweredRequests int                                  // number of containers whose request is not answered
 }
 
 func newContainerRegistry(env *environment, machines *machineRegistry) *containerRegistry {
@@ -35,7 +35,7 @@
 func (r *containerRegistry) count() int { return len(r.containers) }
 
 // unansweredCount is the number of containers whose request is not answered.
-func (r *containerRegistry) unansweredCount() int { return r.unanswered }
+func (r *containerRegistry) unansweredCount() int { return r.unansweredRequests }
 
 // checkUnused returns an error if the identifier of a new request is in use.
 func (r *containerRegistry) checkUnused(id scheduler.ContainerID, cc *clientConn) error {
@@ -61,13 +61,13 @@
 		client:         cc,
 	}
 	r.containers[c.request.ID] = c
-	r.unanswered++
+	r.unansweredRequests++
 	r.env.notifyConnManager(connmanager.PlacementRequested{Client: cc.id})
 	r.env.notifyScheduler(scheduler.RequestReceived{PlacementRequest: c.request})
 }
 
 // requestClosed counts a request that was answered or cancelled.
-func (r *containerRegistry) requestClosed() { r.unanswered-- }
+func (r *containerRegistry) requestClosed() { r.unansweredRequests-- }
 
 func (r *containerRegistry) remove(c *container) {
 	delete(r.containers, c.request.ID)
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -51,8 +51,8 @@
 	w.conn = w.env.loop.Dial(w.addr, w, watchOutputLimit, watchConnectTimeout)
 }
 
-// moveTo continues the watch at another address.
-func (w *discoveryWatch) moveTo(addr string) {
+// changeAddr continues the watch at another address.
+func (w *discoveryWatch) changeAddr(addr string) {
 	if addr == w.addr {
 		return
 	}
@@ -85,8 +85,8 @@
 	}
 }
 
-// Closed implements eventloop.Handler: it reconnects after watchReconnectDelay. Connections that moveTo has replaced
-// are ignored.
+// Closed implements eventloop.Handler: it reconnects after watchReconnectDelay. Connections that changeAddr has
+// replaced are ignored.
 func (w *discoveryWatch) Closed(conn *eventloop.Conn, err error) {
 	if conn != w.conn {
 		return
--- a/internal/platform/environment.go
+++ b/internal/platform/environment.go
@@ -41,8 +41,8 @@
 }
 
 // notifyUnadoptedEnd has a client notified of the end of a container whose claim was not adopted. Machines end running
-// containers with certain causes only. Any other cause answers an offer that was cancelled; it must not reach the
-// client, which already has an answer.
+// containers with two causes only. Any other cause answers an offer that was cancelled; it must not reach the client,
+// which already has an answer.
 func (env *environment) notifyUnadoptedEnd(id scheduler.ContainerID, at scheduler.MachineID, cause terminationCause) {
 	endsRunning := cause == causeFinished || cause == causeLost
 	if endsRunning && env.claims.LeftOut(string(id), string(at)) {
@@ -78,9 +78,9 @@
 		"request_id", msg.RequestID, "fields", msg.Fields, "cause", msg.CauseOrNone())
 }
 
-// reportIllegal logs an event that is illegal in the state of a state machine, with an attribute that identifies the
-// machine.
-func (env *environment) reportIllegal(err error, key string, id any) {
+// logIllegalTransition logs an event that is illegal in the state of a state machine, with an attribute that identifies
+// the machine.
+func (env *environment) logIllegalTransition(err error, key string, id any) {
 	env.log.Error("illegal state transition", key, id, "error", err)
 }
 
--- a/internal/platform/machineconnpool.go
+++ b/internal/platform/machineconnpool.go
@@ -8,10 +8,10 @@
 // machineConnPool limits the number of connections to all machines. Each connection holds a descriptor, and clients and
 // the discovery watch need descriptors too.
 type machineConnPool struct {
-	env      *environment
-	machines *machineRegistry
-	open     int // number of connections, including closing ones
-	lastID   connmanager.MachineConnID
+	env       *environment
+	machines  *machineRegistry
+	openConns int // number of connections, including closing ones
+	lastID    connmanager.MachineConnID
 }
 
 // acquire counts a connection that is to be opened. It returns false at the limit.
@@ -19,7 +19,7 @@
 	if !p.makeRoom() {
 		return false
 	}
-	p.open++
+	p.openConns++
 	return true
 }
 
@@ -30,11 +30,11 @@
 }
 
 // release counts a connection that has ended.
-func (p *machineConnPool) release() { p.open-- }
+func (p *machineConnPool) release() { p.openConns-- }
 
 // isFull reports whether the limit of connections to machines is reached.
 func (p *machineConnPool) isFull() bool {
-	return p.open >= connmanager.MaxMachineConns(p.env.config.MaxDescriptors)
+	return p.openConns >= connmanager.MaxMachineConns(p.env.config.MaxDescriptors)
 }
 
 // makeRoom reports whether a connection to a machine may be opened. At the limit it evicts an idle connection.
--- a/internal/platform/machineconns_test.go
+++ b/internal/platform/machineconns_test.go
@@ -128,7 +128,7 @@
 			t.Fatalf("attempt %d: the client received %+v", i, msg)
 		}
 		r.runOnLoop(func() {
-			most = max(most, r.server.machines.pool.open)
+			most = max(most, r.server.machines.pool.openConns)
 			r.ageMachineConns()
 		})
 	}
@@ -260,10 +260,10 @@
 		}
 		z.conns.conns[0].lastUsedAt -= eventloop.Second
 		s.machines.lookup("a").conns.needsReplacement = true
-		others := connmanager.MaxMachineConns(s.env.config.MaxDescriptors) - s.machines.pool.open
-		s.machines.pool.open += others
+		others := connmanager.MaxMachineConns(s.env.config.MaxDescriptors) - s.machines.pool.openConns
+		s.machines.pool.openConns += others
 		s.maintain()
-		s.machines.pool.open -= others
+		s.machines.pool.openConns -= others
 		testutil.Expect(t, s.machines.lookup("z") == nil, "machine z was not evicted")
 	})
 }
--- a/internal/platform/machineconnstate.go
+++ b/internal/platform/machineconnstate.go
@@ -50,7 +50,7 @@
 func (mc *machineConn) transition(event machineConnEvent) error {
 	err := machineConnTransitions.Apply(statemachine.Unnamed, &mc.state, event)
 	if err != nil {
-		mc.env.reportIllegal(err, "machine", mc.machine.id)
+		mc.env.logIllegalTransition(err, "machine", mc.machine.id)
 	}
 	return err
 }
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -158,5 +158,5 @@
 
 // Reload takes the address of the discovery service from a new configuration. Any goroutine may call it.
 func (s *Server) Reload(config *Config) {
-	s.env.loop.Post(func() { s.discovery.moveTo(config.DiscoveryAddr) })
+	s.env.loop.Post(func() { s.discovery.changeAddr(config.DiscoveryAddr) })
 }
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -57,7 +57,7 @@
 func (s *shutdownSequence) transition(event shutdownEvent) error {
 	err := shutdownTransitions.Apply(statemachine.Unnamed, &s.state, event)
 	if err != nil {
-		s.env.reportIllegal(err, "name", s.env.config.Name)
+		s.env.logIllegalTransition(err, "name", s.env.config.Name)
 	}
 	return err
 }
