--- a/internal/platform/actions.go
+++ b/internal/platform/actions.go
@@ -49,12 +49,12 @@
 	case connmanager.PauseReading:
 		s.clients.pauseReading(action)
 	case connmanager.ReportError:
-		s.env.reportIllegal(action.Err, "client", action.Client)
+		s.env.logIllegalTransition(action.Err, "client", action.Client)
 	}
 }
 
-// applyDetectorAction carries out one action of the failure detector. Actions on machines that were evicted meanwhile
-// are ignored: no container runs there.
+// applyDetectorAction carries out one action of the failure detector. Actions for machines that have been evicted in
+// the meantime are ignored, because no container runs there.
 func (s *Server) applyDetectorAction(action failuredetector.Action) {
 	switch action := action.(type) {
 	case failuredetector.Connect:
--- a/internal/platform/claims_test.go
+++ b/internal/platform/claims_test.go
@@ -18,8 +18,8 @@
 
 const claimedMachines = 20
 
-// Claims that bad clients make up take bounded memory and time, wherever their containers are said to run. A true claim
-// that comes after them still has its end notified.
+// Claims that faulty clients make up take bounded memory and time, whatever machines they name. A running container
+// that is claimed after them still has its end notified.
 func TestMadeUpClaimsAreBounded(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -48,7 +48,7 @@
 			took := time.Since(began)
 			kept := 0
 			r.runOnLoop(func() { kept = r.server.containers.count() })
-			t.Logf("%d claims were taken in within %v, the longest iteration took %v; %d are kept, with %d KiB",
+			t.Logf("%d claims were handled within %v, the longest iteration took %v; %d are kept, with %d KiB",
 				*claimCount, took, longest, kept, (int64(heapInUse())-int64(before))>>10)
 			testutil.Expect(t, kept <= limit+claimedMachines, "%d claims are kept", kept)
 			owner := r.dialClient()
@@ -56,7 +56,7 @@
 			owner.expectLive(2)
 			close(end)
 			ended := owner.receive()
-			for ended != nil && ended.RequestID != requestID { // those of others who have gone
+			for ended != nil && ended.RequestID != requestID { // those of disconnected clients
 				ended = owner.receive()
 			}
 			testutil.Expect(t, isMessage(ended, jsonlines.OpEnd, requestID, jsonlines.CauseNormal),
@@ -78,7 +78,7 @@
 		})
 	})
 	r.runOnLoop(func() {
-		r.scheduler.on = nil // the real one decides
+		r.scheduler.script = nil // the real one decides
 		r.server.env.claims = adoption.New(limit)
 	})
 	return r
@@ -99,7 +99,7 @@
 	}()
 }
 
-// claim sends every claim whose number leaves a remainder, a few at a time.
+// claim sends every claim whose number has a remainder modulo divisor, in batches.
 func (p *peer) claim(remainder, divisor int, machine func(claim int) string) {
 	testutil.ExpectNoError(p.t, p.c.SetDeadline(time.Now().Add(20*time.Minute)))
 	for i, sent := remainder, 0; i < *claimCount; i += divisor {
@@ -111,14 +111,14 @@
 	p.awaitTested()
 }
 
-// awaitTested sends a liveness test and waits for its answer; the ends of claimed containers may come before it.
+// awaitTested sends a liveness test and waits for its answer. Ends of claimed containers may come before it.
 func (p *peer) awaitTested() {
 	p.send(testLine(1))
 	for msg := p.receive(); msg != nil && msg.Op != jsonlines.OpTested; msg = p.receive() {
 	}
 }
 
-// longestIterationWhile returns how long the loop was busy at most until all is done.
+// longestIterationWhile returns the longest time that the loop was busy until all work is done.
 func (r *testServer) longestIterationWhile(working *sync.WaitGroup) time.Duration {
 	done := make(chan bool)
 	go func() {
@@ -137,7 +137,7 @@
 	}
 }
 
-// heapInUse is what is live on the heap.
+// heapInUse returns the number of live bytes on the heap.
 func heapInUse() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -145,9 +145,9 @@
 	return stats.HeapAlloc
 }
 
-// A claim that is left out, as more containers than the machine can run are claimed to be there, has its end notified
-// all the same: also where that was reported before the claim.
-func TestEndOfLeftOutClaimIsNotified(t *testing.T) {
+// The end of a container is notified although its claim was not adopted, because more containers are claimed than the
+// machine can run. This also holds if the end was reported before the claim.
+func TestEndOfUnadoptedClaimIsNotified(t *testing.T) {
 	t.Run("claimed first", func(t *testing.T) {
 		r, report := startWithClaimsAtA(t)
 		r.client.send(offerLine(requestID, ";at:a"))
@@ -160,19 +160,20 @@
 		r, report := startWithClaimsAtA(t)
 		report()
 		r.client.expectEnd(otherRequestID, jsonlines.CauseNormal)
-		r.client.send(offerLine(thirdRequestID, ";at:a"), offerLine(requestID, ";at:a")) // the first takes the room
+		r.client.send(offerLine(thirdRequestID, ";at:a"), offerLine(requestID, ";at:a")) // the first uses the capacity
 		r.client.expectEnd(requestID, jsonlines.CauseNormal)
 	})
 }
 
-// claimingClient is a server with a client that has claimed as many containers as can run at machine a.
-type claimingClient struct {
+// serverWithClaims is a server with a client that has claimed as many containers as can run at machine a.
+type serverWithClaims struct {
 	*testServer
 	client *peer
 }
 
-// startWithClaimsAtA lets machine a report the ends of requestID, which nobody has claimed, and of otherRequestID.
-func startWithClaimsAtA(t *testing.T) (r claimingClient, report func()) {
+// startWithClaimsAtA starts a server whose machine a reports, when report is called, the ends of requestID, which
+// nobody has claimed, and of otherRequestID.
+func startWithClaimsAtA(t *testing.T) (r serverWithClaims, report func()) {
 	t.Helper()
 	reported := make(chan bool)
 	addr := serveTCP(t, func(m *peer) {
@@ -196,9 +197,9 @@
 	return r, func() { reported <- true }
 }
 
-// A claim that comes after its machine has started anew counts: the container may have been accepted since. One that
-// came before the start is lost.
-func TestClaimAtMachineThatStartedAnewIsAdopted(t *testing.T) {
+// A claim that comes after a restart of its machine is adopted, because the container may have been accepted since. A
+// container that was claimed before the restart is lost.
+func TestClaimAtRestartedMachineIsAdopted(t *testing.T) {
 	discovery, publish := scriptedDiscovery(t)
 	ending := make(chan bool)
 	addr := serveTCP(t, func(m *peer) {
@@ -220,8 +221,8 @@
 	client.expectEnd(otherRequestID, jsonlines.CauseNormal)
 }
 
-// A claim to a container whose request is open ends that request where the client is the same, and nothing is cancelled
-// at the machine where the container is running. Of another client it waits until the request is over.
+// A claim to a container whose request is open closes the request if it comes from the same client, and nothing is
+// cancelled at the machine where the container is running. A claim of another client waits until the request is closed.
 func TestClaimOfOpenRequest(t *testing.T) {
 	t.Run("at the machine that was offered it", func(t *testing.T) {
 		r := startWithOfferAtA(t)
@@ -230,7 +231,7 @@
 		r.machineA.send(acceptLine(requestID), endLine(requestID, jsonlines.CauseNormal)) // the accept was late
 		r.client.expectEnd(requestID, jsonlines.CauseNormal)
 		r.client.send(offerLine(otherRequestID, ""))
-		r.machineA.expect(jsonlines.OpOffer, otherRequestID) // and nothing before it
+		r.machineA.expect(jsonlines.OpOffer, otherRequestID) // no other message before it
 	})
 	t.Run("at another machine", func(t *testing.T) {
 		r := startWithOfferAtA(t)
@@ -257,13 +258,13 @@
 	})
 }
 
-// offeredRequest is a server with an open request that was offered to machine a.
-type offeredRequest struct {
+// serverWithOffer is a server with an open request that was offered to machine a.
+type serverWithOffer struct {
 	*testServer
 	client, machineA *peer
 }
 
-func startWithOfferAtA(t *testing.T) offeredRequest {
+func startWithOfferAtA(t *testing.T) serverWithOffer {
 	t.Helper()
 	offered, done := make(chan *peer, 10), make(chan bool)
 	addr := serveTCP(t, func(m *peer) {
@@ -276,17 +277,17 @@
 	b := machineJSON("b", serveTCP(t, (*peer).readToEnd), "ready", 0)
 	r := startWithDiscovery(t, silentDiscovery(t), machineJSON("a", addr, "ready", 0), b)
 	client := r.dialClient()
-	client.send(offerWithin(requestID, "60000"))
-	return offeredRequest{r, client, testutil.Receive(t, offered)}
+	client.send(offerLineWithin(requestID, "60000"))
+	return serverWithOffer{r, client, testutil.Receive(t, offered)}
 }
 
-func (r offeredRequest) claimOnAnotherConn(at string) {
+func (r serverWithOffer) claimOnAnotherConn(at string) {
 	other := r.dialClient()
 	other.send(offerLine(requestID, ";at:"+at))
 	other.expectLive(1)
 }
 
-func (r offeredRequest) expectAdopted(at scheduler.MachineID) {
+func (r serverWithOffer) expectAdopted(at scheduler.MachineID) {
 	r.Helper()
 	e := await[scheduler.ContainerAdopted](r.testServer, nil)
 	testutil.Expect(r, e.ID == requestID && e.Machine == at, "adopted %+v", e)
--- a/internal/platform/clientmessages_test.go
+++ b/internal/platform/clientmessages_test.go
@@ -14,7 +14,7 @@
 
 func testConfig(t *testing.T) *Config {
 	t.Helper()
-	config, err := parseConfig([]byte(configJSON(nowhere, 256)))
+	config, err := parseConfig([]byte(configJSON(closedAddr, 256)))
 	testutil.NoError(t, err)
 	return config
 }
@@ -78,7 +78,7 @@
 	}
 }
 
-// The error of a request names the field. The machine of a claimed container is returned as far as it could be read.
+// The error of a request names the field. The machine of a claimed container is returned if it could be read.
 func TestInvalidOfferNamesItsField(t *testing.T) {
 	for _, tc := range []struct {
 		name, old, with, field string
--- a/internal/platform/environment.go
+++ b/internal/platform/environment.go
@@ -12,21 +12,21 @@
 	"glenport/scheduler"
 )
 
-// environment is what the parts of a server have in common: the settings, the event loop, the log, the encoder, and the
-// queues to the packages that decide.
+// environment holds what the parts of a server share: the settings, the event loop, the log, the encoder, and the event
+// queues of the packages that decide.
 type environment struct {
 	config       *Config
 	log          *slog.Logger
 	tracing      bool // every message is logged
 	loop         *eventloop.Loop
 	encodeBuffer []byte              // reused by encode
-	claims       *adoption.Claims    // what clients claim to be running, and no machine has confirmed
-	cancels      connmanager.Cancels // of copies, which their machines may not have read
+	claims       *adoption.Claims    // adopted claims that no machine has confirmed
+	cancels      connmanager.Cancels // cancels of copies that their machines may not have read
 	adoptions    adoptions.Tracker
 
-	schedulerQueue       decisionQueue[scheduler.Event, scheduler.Action]
-	connManagerQueue     decisionQueue[connmanager.Event, connmanager.Action]         // handled after the scheduler's
-	failureDetectorQueue decisionQueue[failuredetector.Event, failuredetector.Action] // handled last
+	schedulerQueue       eventQueue[scheduler.Event, scheduler.Action]
+	connManagerQueue     eventQueue[connmanager.Event, connmanager.Action]         // handled after the scheduler's
+	failureDetectorQueue eventQueue[failuredetector.Event, failuredetector.Action] // handled last
 }
 
 // notifyScheduler queues an event for the scheduler.
@@ -40,19 +40,19 @@
 	env.failureDetectorQueue.add(e)
 }
 
-// notifyLeftOutEnd has a client notified of the end of a container, if its claim was left out. Causes with which
-// machines do not end what is running answer an offer that was given up: they must not reach its client, who has an
-// answer.
-func (env *environment) notifyLeftOutEnd(id scheduler.ContainerID, at scheduler.MachineID, cause terminationCause) {
+// notifyUnadoptedEnd has a client notified of the end of a container whose claim was not adopted. Machines end running
+// containers with two causes only. Any other cause answers an offer that was cancelled; it must not reach the client,
+// which already has an answer.
+func (env *environment) notifyUnadoptedEnd(id scheduler.ContainerID, at scheduler.MachineID, cause terminationCause) {
 	endsRunning := cause == causeFinished || cause == causeLost
 	if endsRunning && env.claims.WasRejected(string(id), string(at)) {
 		env.notifyConnManager(connmanager.ContainerTerminated{RequestID: string(id), Cause: int(cause)})
 	}
 }
 
-// runDecisions passes the events of this iteration on and carries out the actions that follow. It reports whether
-// these have caused further events.
-func (env *environment) runDecisions() (more bool) {
+// processEvents passes the events of this iteration to the packages that decide, and carries out their actions. It
+// reports whether these actions have caused further events.
+func (env *environment) processEvents() (more bool) {
 	now := env.loop.Now()
 	env.schedulerQueue.run(now)
 	env.connManagerQueue.run(now)
@@ -78,24 +78,25 @@
 		"request_id", msg.RequestID, "fields", msg.Fields, "cause", msg.CauseOrNone())
 }
 
-// reportIllegal logs an event that a state machine did not take, with what identifies the machine.
-func (env *environment) reportIllegal(err error, key string, id any) {
+// logIllegalTransition logs an event that is illegal in the state of a state machine, with an attribute that identifies
+// the machine.
+func (env *environment) logIllegalTransition(err error, key string, id any) {
 	env.log.Error("illegal state transition", key, id, "error", err)
 }
 
-// decisionQueue holds the events for a package that decides, until the end of an iteration.
-type decisionQueue[Event, Action any] struct {
+// eventQueue holds the events for a package that decides, until the end of an iteration.
+type eventQueue[Event, Action any] struct {
 	events []Event
 	handle func(now eventloop.Tick, events []Event) []Action
 	apply  func(Action)
 }
 
-func (q *decisionQueue[Event, Action]) add(e Event) { q.events = append(q.events, e) }
+func (q *eventQueue[Event, Action]) add(e Event) { q.events = append(q.events, e) }
 
-func (q *decisionQueue[Event, Action]) pending() int { return len(q.events) }
+func (q *eventQueue[Event, Action]) pending() int { return len(q.events) }
 
-// run passes the events on and carries out the actions in their order. Events that they cause wait for the next run.
-func (q *decisionQueue[Event, Action]) run(now eventloop.Tick) {
+// run has the events handled and carries out the actions in their order. Events that these cause wait for the next run.
+func (q *eventQueue[Event, Action]) run(now eventloop.Tick) {
 	events := q.events
 	if len(events) == 0 {
 		return
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -18,15 +18,15 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	testTimeout        = 10 * time.Second // a test that waits longer has failed
-	programDescriptors = 14               // that the program itself may hold
+	testTimeout        = 10 * time.Second // a test fails if it waits longer
+	programDescriptors = 14               // descriptors that the program itself may hold
 )
 
-// scriptedScheduler decides by a script, or records the events of the scheduler that it wraps.
+// scriptedScheduler decides by a script, or by the scheduler that it wraps, and records the events.
 type scriptedScheduler struct {
 	mu      sync.Mutex
-	on      func(e scheduler.Event) []scheduler.Action
-	wrapped Scheduler // decides where there is no script
+	script  func(e scheduler.Event) []scheduler.Action
+	wrapped Scheduler // decides if there is no script
 	events  chan scheduler.Event
 }
 
@@ -34,12 +34,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var actions []scheduler.Action
-	if s.on == nil {
+	if s.script == nil {
 		actions = s.wrapped.Handle(now, events)
 	}
 	for _, e := range events {
-		if s.on != nil {
-			actions = append(actions, s.on(e)...)
+		if s.script != nil {
+			actions = append(actions, s.script(e)...)
 		}
 		s.events <- e
 	}
@@ -73,7 +73,7 @@
 	config, err := parseConfig([]byte(configText))
 	testutil.NoError(t, err)
 	r := &testServer{T: t, scheduler: &scriptedScheduler{
-		on:      on,
+		script:  on,
 		wrapped: scheduler.New(config.Scheduler),
 		events:  make(chan scheduler.Event, 100_000),
 	}}
@@ -105,14 +105,14 @@
 	return &environment{config: &Config{}, log: slog.New(slog.NewTextHandler(log, nil))}
 }
 
-// await waits for an event of a type for which holds is true; nil takes any.
-func await[E scheduler.Event](r *testServer, holds func(E) bool) E {
+// await waits for an event of a type for which match is true; nil accepts any event of the type.
+func await[E scheduler.Event](r *testServer, match func(E) bool) E {
 	r.Helper()
 	timeout := time.After(testTimeout)
 	for {
 		select {
 		case e := <-r.scheduler.events:
-			if e, ok := e.(E); ok && (holds == nil || holds(e)) {
+			if e, ok := e.(E); ok && (match == nil || match(e)) {
 				return e
 			}
 		case <-timeout:
@@ -122,7 +122,7 @@
 	}
 }
 
-// awaitList waits for the update of the machine list with a version, and checks that none is applied before it.
+// awaitList waits for the next update of the machine list and checks its version.
 func (r *testServer) awaitList(version int64) scheduler.MachineListUpdate {
 	r.Helper()
 	e := await[scheduler.MachineListUpdate](r, nil)
@@ -150,7 +150,7 @@
 	}
 }
 
-// markShuttingDown makes it appear on the loop that the shutdown started some time ago.
+// markShuttingDown, called on the loop, sets the state of a shutdown that started some time ago.
 func (r *testServer) markShuttingDown(ago eventloop.Tick) {
 	shutdown := r.server.shutdown
 	shutdown.state, shutdown.startedAt = draining, r.server.env.loop.Now()-ago
@@ -180,7 +180,7 @@
 	}
 }
 
-// awaitClientConns waits until so many client connections are open.
+// awaitClientConns waits until count client connections are open.
 func (r *testServer) awaitClientConns(count int) {
 	r.Helper()
 	for open := 0; open < count; {
@@ -188,7 +188,7 @@
 	}
 }
 
-// expectWithinDescriptors checks on the loop that the connections never used up the descriptors.
+// expectWithinDescriptors, called on the loop, checks that connections and program never exceeded the descriptors.
 func (r *testServer) expectWithinDescriptors(descriptors int) {
 	r.Helper()
 	n := r.server.env.loop.PeakConnCount()
