--- a/internal/controller/actions.go
+++ b/internal/controller/actions.go
@@ -2,7 +2,7 @@
 
 import "glenport/scheduler"
 
-// Action is something that the caller has to do.
+// Action is an instruction to the caller.
 type Action interface{ action() }
 
 // SubmitRequest requests the placement of a container.
@@ -11,44 +11,44 @@
 	RequestID      string
 	IdempotencyKey string
 	Spec           Spec
-	Timeout        scheduler.Time // within which a machine has to accept
-	Retry          bool           // the key was requested before
+	Timeout        scheduler.Time // time within which a machine must accept
+	Retry          bool           // a placement was requested under the key before
 }
 
-// LookupRequest asks a scheduler what runs under an idempotency key. Nothing is started by it.
+// LookupRequest asks a scheduler whether a container runs under an idempotency key. It starts nothing.
 type LookupRequest struct {
 	Scheduler      int
 	RequestID      string
 	IdempotencyKey string
 }
 
-// CancelRequest ends a request, or what an earlier request has started under its idempotency key.
+// CancelRequest cancels a request, or stops the container that an earlier request started under the idempotency key.
 type CancelRequest struct {
 	Scheduler      int
 	RequestID      string
 	IdempotencyKey string
 }
 
-// ContainerChanged is the new state of a container, to be stored and shown.
+// ContainerChanged carries the new state of a container, to be stored and published.
 type ContainerChanged struct{ Container Container }
 
-// ContainerRemoved is the end of a container that is no longer wanted: its record is deleted.
+// ContainerRemoved reports that a container that is no longer wanted has ended. Its record is deleted.
 type ContainerRemoved struct {
 	Job   string
 	Index int
 }
 
-// OrphanRecorded is a new orphan, to be stored before any request of the same call is sent.
+// OrphanRecorded carries a new orphan, to be stored before any request of the same call is sent.
 type OrphanRecorded struct{ Orphan Orphan }
 
-// OrphanResolved says that nothing of an orphan runs any more: its record is deleted.
+// OrphanResolved reports that no copy of an orphan runs any more. Its record is deleted.
 type OrphanResolved struct{ Orphan Orphan }
 
-// SetTimer requests a TimerFired after a delay. A later one does not replace it.
+// SetTimer requests a TimerFired after a delay. A later SetTimer does not replace an earlier one.
 type SetTimer struct{ After scheduler.Time }
 
-// TransitionRejected reports a change of a container's state that must not happen: a fault of the controller. The
-// container keeps its state.
+// TransitionRejected reports a transition that the state machine of a replica does not allow, which is a bug in the
+// controller. The container keeps its state.
 type TransitionRejected struct{ Err error }
 
 func (SubmitRequest) action()      {}
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -1,29 +1,33 @@
-// Package controller decides how jobs are kept running: when the placement of each of a job's containers is requested,
-// at which scheduler, and what follows an answer, the end of a container, a lost connection and a restart of the
-// controller itself. The machine that a container runs on is the schedulers' decision.
+// Package controller decides when, and at which scheduler, the placement of each container of a job is requested. It
+// also decides how to react to answers, to ended containers, to lost connections and to its own restart. The schedulers
+// choose the machines that containers run on.
 //
-// Its invariants: work that must not run twice has one copy at most, so a container that may run is looked up at the
-// scheduler that was sent its request, or fenced, before another is started; a copy of idempotent work that may be left
-// at a scheduler that was lost is recorded as an orphan until it has surely ended; of other work, a key under which
-// something ran is not requested again.
+// It maintains these invariants:
 //
-// The package is pure: no I/O, clock or goroutine. Handle takes events and returns actions; the caller stores the
-// records before it sends the requests.
+//   - Work that must not run twice has at most one copy. A container that may be running is looked up at the scheduler
+//     that received its request, or fenced, before another is started.
+//   - A copy of idempotent work that may remain at a lost scheduler is recorded as an orphan until it has certainly
+//     ended.
+//   - For other work, an idempotency key under which a container ran is not requested again.
+//
+// The package does no I/O, reads no clock and starts no goroutine. Handle takes events and returns actions. The caller
+// stores the records before it sends the requests.
 //
 // # Components
 //
-// Controller dispatches events and wires the components. Each owns its state: jobRegistry the jobs and their replicas,
-// schedulerSet the connections, requestTable the open requests, timerQueue the timers, orphanTable the orphans, outbox
-// the actions of a call. lifecycle has a method for each event about a replica, and is the only one that changes
-// replicas.
+// Controller dispatches events and connects the components. Each component owns its state: jobRegistry the jobs and
+// their replicas, schedulerSet the connections, requestTable the open requests, timerQueue the timers, orphanTable the
+// orphans, and outbox the actions of one call of Handle. lifecycle has a method for each event of a replica, and only
+// lifecycle changes replicas.
 //
 // # States of a replica
 //
-// A replica is a container that a job wants, or one that is terminating. Its state changes in replica.transition alone,
-// by the table below. Where an event may lead to several states the facts of the replica decide: whether its work is
-// idempotent, whether it may run, and whether its job wants it. An event that is not listed changes no state: an answer
-// to an earlier request, or a job that does not want what ends anyway. A change that the table does not have is a
-// *statemachine.TransitionError; it is returned as the action TransitionRejected, and the replica keeps its state.
+// A replica is a container that a job wants, or one that is terminating. Only replica.transition changes its state, by
+// the table below. If an event may lead to several states, the choice depends on whether the replica's work is
+// idempotent, whether its container may be running, and whether its job wants it. An event that is not listed changes
+// no state, for example an answer to an earlier request, or scaling down a replica that is already ending. A transition
+// that is not in the table is a *statemachine.TransitionError: it is returned in the action TransitionRejected, and the
+// replica keeps its state.
 //
 //	| created    | Created            | pending |
 //	| created    | Restored           | pending, fencing, unobserved, completed |
@@ -56,5 +60,5 @@
 //	| unobserved | SchedulerConnected | pending, cancelling |
 //	| completed  | ScaledDown         | removed |
 //
-// What is stored of a replica is a Container, with the states of the API.
+// A replica is stored as a Container, whose states are those of the API.
 package controller
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -2,28 +2,28 @@
 
 import "glenport/scheduler"
 
-// Event is something that happened to a job, a scheduler or a container.
+// Event is a change that concerns a job, a scheduler or a container.
 type Event interface{ event() }
 
-// JobSet makes or changes a job.
+// JobSet creates or changes a job.
 type JobSet struct {
 	Job   string
-	Count int // of containers that are wanted
+	Count int // number of containers wanted
 	Spec  Spec
 }
 
-// JobDeleted ends a job and all its containers.
+// JobDeleted deletes a job and ends all its containers.
 type JobDeleted struct{ Job string }
 
-// StateRestored is what an earlier incarnation of the controller has stored: the jobs as they are wanted, the
-// containers as they were. It comes before all other events.
+// StateRestored carries the state that an earlier incarnation of the controller stored: the jobs as clients set them,
+// and the last recorded state of the containers. It precedes all other events.
 type StateRestored struct {
 	Jobs       []JobSet
 	Containers []Container
 	Orphans    []Orphan
 }
 
-// SchedulerConnection says that the connection to a scheduler is ready or lost.
+// SchedulerConnection reports that the connection to a scheduler is ready or lost.
 type SchedulerConnection struct {
 	Scheduler int
 	Connected bool
@@ -33,19 +33,19 @@
 type PlacementAnswered struct {
 	RequestID  string
 	Verdict    Verdict
-	Machine    string         // with VerdictAccepted
-	RetryAfter scheduler.Time // the least delay before the next request; 0: none is demanded
-	Message    string         // for people, and to tell a cancellation from other failures
+	Machine    string         // set with VerdictAccepted
+	RetryAfter scheduler.Time // minimum delay before the next request; 0: none
+	Message    string         // for display, and to distinguish a cancellation from other failures
 }
 
-// ContainerEnded is the end of a container that a scheduler has accepted.
+// ContainerEnded reports the end of a container that a scheduler had accepted.
 type ContainerEnded struct {
 	RequestID string
 	Outcome   scheduler.Outcome
 	Reason    scheduler.Reason
 }
 
-// TimerFired lets time pass. It follows a SetTimer.
+// TimerFired reports that the delay of a SetTimer has passed.
 type TimerFired struct{}
 
 func (JobSet) event()              {}
@@ -59,13 +59,13 @@
 // Verdict is a scheduler's decision on a request.
 type Verdict uint8
 
-// Verdicts.
+// Verdicts of a scheduler.
 const (
-	VerdictAccepted Verdict = iota // a machine runs it
-	VerdictRejected                // nothing of it runs, and it may be requested again
-	VerdictFailed                  // no machine accepted in time; unless it is idempotent it may run
-	VerdictRefused                 // the scheduler did not admit the request, or cannot be sure whether it runs
+	VerdictAccepted Verdict = iota // a machine runs the container
+	VerdictRejected                // the container does not run and may be requested again
+	VerdictFailed                  // no machine accepted in time; unless idempotent, the container may be running
+	VerdictRefused                 // the request was not admitted, or it is unknown whether the container runs
 )
 
-// messageCancelled is the message of a VerdictFailed by which nothing runs any more.
+// messageCancelled is the message of a VerdictFailed after which the container certainly does not run.
 const messageCancelled = "cancelled"
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -9,12 +9,12 @@
 type job struct {
 	id       string
 	spec     Spec
-	revision int // of spec
+	revision int // incremented by each change of spec
 	count    int
 	replicas []*replica // by index; those beyond count are terminating
 }
 
-// update adopts the spec and count of an event. A new spec begins a new revision.
+// update adopts the spec and count of an event. A changed spec starts a new revision.
 func (j *job) update(e JobSet) {
 	if j.spec != e.Spec {
 		j.spec = e.Spec
@@ -23,7 +23,7 @@
 	j.count = e.Count
 }
 
-// trim drops removed replicas at the end.
+// trim drops the removed replicas at the end of the list that are beyond the count.
 func (j *job) trim() {
 	n := len(j.replicas)
 	for n > j.count && j.replicas[n-1].state == replicaRemoved {
@@ -32,7 +32,8 @@
 	j.replicas = j.replicas[:n]
 }
 
-// nextToReplace returns a running replica of an earlier revision, or nil if there is none or another is being replaced.
+// nextToReplace returns a running replica of an earlier revision. It returns nil if there is none, or if another
+// replica is being replaced.
 func (j *job) nextToReplace() *replica {
 	var next *replica
 	for _, r := range j.replicas {
@@ -49,17 +50,17 @@
 	return next
 }
 
-// jobRegistry holds the jobs that have not been deleted, and deleted ones with replicas that have not ended.
+// jobRegistry holds the jobs that have not been deleted, and deleted jobs with replicas that have not ended.
 type jobRegistry struct{ byID map[string]*job }
 
 func newJobRegistry() *jobRegistry { return &jobRegistry{byID: map[string]*job{}} }
 
-// find returns nil if there is no such job.
+// find returns a job, or nil if there is no such job.
 func (g *jobRegistry) find(id string) *job { return g.byID[id] }
 
 func (g *jobRegistry) add(j *job) { g.byID[j.id] = j }
 
-// trim drops the removed replicas at the end of a job, and the job if its count is 0 and no replica is left.
+// trim drops the removed replicas at the end of a job, and the job itself if its count is 0 and no replica is left.
 func (g *jobRegistry) trim(j *job) {
 	j.trim()
 	if j.count == 0 && len(j.replicas) == 0 {
@@ -67,7 +68,7 @@
 	}
 }
 
-// sorted returns the jobs by id.
+// sorted returns the jobs in order of their ids.
 func (g *jobRegistry) sorted() []*job {
 	jobs := make([]*job, 0, len(g.byID))
 	for _, id := range slices.Sorted(maps.Keys(g.byID)) {
@@ -76,7 +77,7 @@
 	return jobs
 }
 
-// sortedReplicas returns all replicas that are not removed, by job and index.
+// sortedReplicas returns all replicas that are not removed, in order of job and index.
 func (g *jobRegistry) sortedReplicas() []*replica {
 	var all []*replica
 	for _, j := range g.sorted() {
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -1,9 +1,9 @@
 package controller
 
-// outbox collects what one call of Handle returns.
+// outbox collects the actions that one call of Handle returns.
 type outbox struct {
 	actions []Action
-	changed []*replica // in order, each once
+	changed []*replica // in the order in which they were marked, without duplicates
 	marked  map[*replica]bool
 }
 
@@ -19,10 +19,10 @@
 	}
 }
 
-// emitChanges emits the replicas that were marked and are not removed since.
+// emitChanges emits the records of the marked replicas, except those removed since.
 func (o *outbox) emitChanges() {
 	for _, r := range o.changed {
-		delete(o.marked, r) // in place of clear, which takes as long as the largest call needed
+		delete(o.marked, r) // clear would take time in proportion to the largest call so far
 		if r.state != replicaRemoved {
 			o.emit(ContainerChanged{r.record()})
 		}
@@ -30,7 +30,7 @@
 	o.changed = o.changed[:0]
 }
 
-// take returns the actions, in order, and empties the outbox.
+// take returns the actions in order and empties the outbox.
 func (o *outbox) take() []Action {
 	actions := o.actions
 	o.actions = nil
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -2,18 +2,18 @@
 
 import "glenport/scheduler"
 
-// The types below are stored under the names in their tags and by the order of the states: a change there makes stored
-// state unreadable.
+// The types below are stored under the names in their tags, and states are stored as numbers. A change of a tag or of
+// the order of the states makes stored state unreadable.
 
-// Spec is what one container of a job is.
+// Spec describes one container of a job.
 type Spec struct {
 	Service       string         `cbor:"Service"`
-	WorkloadClass int            `cbor:"Workload"` // by position in Config
-	Tenant        int            `cbor:"Customer"` // by position in the scheduler's settings; one beyond them: none
+	WorkloadClass int            `cbor:"Workload"` // index into Config.WorkloadClasses
+	Tenant        int            `cbor:"Customer"` // index into the scheduler's tenants; one past the last: none
 	Cores         float64        `cbor:"Cores"`
 	Memory        float64        `cbor:"Memory"` // GiB
-	RunFor        scheduler.Time `cbor:"RunFor"` // 0: until it is stopped
-	RunOnce       bool           `cbor:"Once"`   // it is not started again once it has finished
+	RunFor        scheduler.Time `cbor:"RunFor"` // 0: runs until it is stopped
+	RunOnce       bool           `cbor:"Once"`   // not started again once it has finished
 }
 
 // ContainerState is the state of a container that a job wants.
@@ -21,41 +21,41 @@
 
 // States of a container.
 const (
-	StatePending    ContainerState = iota // its placement is requested when its time comes
-	StatePlacing                          // a scheduler has a placement, lookup or cancel request
+	StatePending    ContainerState = iota // its next placement request or lookup is scheduled
+	StatePlacing                          // a scheduler has a placement, lookup or cancel request for it
 	StateRunning                          // a machine runs it
-	StateFencing                          // it may run: nothing is requested until the fencing delay is over
-	StateUnobserved                       // it ran, or may have, when its scheduler was lost
+	StateFencing                          // it may be running: nothing is requested until the fencing delay is over
+	StateUnobserved                       // it ran, or may have been running, when its scheduler was lost
 	StateCompleted                        // it is not started again
 )
 
-// String is the name of the state in the API.
+// String returns the name of the state in the API.
 func (s ContainerState) String() string {
 	return [...]string{"waiting", "asking", "running", "guarded", "unwatched", "done"}[s]
 }
 
-// Container is the stored record of a replica, and what the API shows of it. Its times are those given to Handle. The
-// booleans are the form in which the record was always stored: decisions use the typed state and the facts of replica,
-// which record and newRestoredReplica convert.
+// Container is the stored record of a replica, and the form in which the API shows it. Its times are those given to
+// Handle. Its booleans are part of the stored format. Decisions use the typed state and the fields of replica, to and
+// from which record and newRestoredReplica convert.
 type Container struct {
 	Job         string         `cbor:"Job"`
 	Index       int            `cbor:"Index"`
 	State       ContainerState `cbor:"State"`
-	Terminating bool           `cbor:"Leaving"` // it is no longer wanted
+	Terminating bool           `cbor:"Leaving"` // no longer wanted
 	Machine     string         `cbor:"Machine"`
-	Scheduler   int            `cbor:"Door"`   // the last that was sent a request for it; -1: none
-	Sticky      bool           `cbor:"Pinned"` // it may run, and only Scheduler can know
-	Since       scheduler.Time `cbor:"Since"`  // when State began
-	Until       scheduler.Time `cbor:"Until"`  // when the next step is due; 0: none is scheduled
-	Attempts    int            `cbor:"Tries"`  // placement requests since it last ran
+	Scheduler   int            `cbor:"Door"`   // index of the scheduler that received the last request for it; -1: none
+	Sticky      bool           `cbor:"Pinned"` // it may be running, and only Scheduler can tell
+	Since       scheduler.Time `cbor:"Since"`  // when it entered State
+	Until       scheduler.Time `cbor:"Until"`  // when the next step is due; 0: no step is scheduled
+	Attempts    int            `cbor:"Tries"`  // number of placement requests since it last ran
 	Starts      int            `cbor:"Starts"`
-	LastStatus  string         `cbor:"Last"` // the last answer or outcome, for people
+	LastStatus  string         `cbor:"Last"` // last answer or outcome, for display
 	Refused     bool           `cbor:"Held"` // the last answer was a VerdictRefused
 
-	// What the next incarnation of the controller needs beside.
+	// The fields below are needed only by the next incarnation of the controller.
 	IdempotencyKey string `cbor:"Key"`
 	RequestID      string `cbor:"Ask"`      // of the last request
 	Submitted      bool   `cbor:"Again"`    // its placement was requested under IdempotencyKey
-	Replacing      bool   `cbor:"Replaced"` // it was cancelled in favor of a newer spec
+	Replacing      bool   `cbor:"Replaced"` // cancelled in favor of a newer spec
 	SubmittedSpec  Spec   `cbor:"With"`     // the spec of the last placement request
 }
--- a/internal/controller/schedulers.go
+++ b/internal/controller/schedulers.go
@@ -1,14 +1,16 @@
 package controller
 
-// noScheduler stands in Container.Scheduler where no request was sent, or where its scheduler is no longer configured.
+// noScheduler is the value of Container.Scheduler if no request was sent, or if the scheduler that received it is no
+// longer configured.
 const noScheduler = -1
 
-// schedulerSet knows which of the configured schedulers are connected.
+// schedulerSet records which of the configured schedulers are connected.
 type schedulerSet struct{ connected []bool }
 
 func newSchedulerSet(count int) *schedulerSet { return &schedulerSet{connected: make([]bool, count)} }
 
-// apply adopts the new state of a connection. It reports false where that is no news or no scheduler is meant.
+// apply adopts the new state of a connection. It returns false if the state is unchanged or the scheduler is not
+// configured.
 func (s *schedulerSet) apply(e SchedulerConnection) bool {
 	if e.Scheduler < 0 || e.Scheduler >= len(s.connected) || s.connected[e.Scheduler] == e.Connected {
 		return false
@@ -17,12 +19,12 @@
 	return true
 }
 
-// isConnected is false for noScheduler.
+// isConnected reports whether a scheduler is connected. It returns false for noScheduler.
 func (s *schedulerSet) isConnected(number int) bool {
 	return number != noScheduler && s.connected[number]
 }
 
-// draw returns a connected scheduler at random, or noScheduler.
+// draw returns a connected scheduler at random, or noScheduler if none is connected.
 func (s *schedulerSet) draw(random *randomSource) int {
 	var connected []int
 	for number, ok := range s.connected {
