--- a/internal/controller/pending/doc.go
+++ b/internal/controller/pending/doc.go
@@ -1,3 +1,4 @@
-// Package pending explains why a container does not run now. From what the controller, a scheduler and the machine list
-// know it gives all reasons that hold, the one that explains most first. It is pure and keeps nothing.
+// Package pending explains why a container does not run. It derives all reasons that currently apply from the state of
+// the controller, the explanation of a scheduler and the machine list, and orders them by how much they explain. It is
+// pure and keeps no state.
 package pending
--- a/internal/controller/pending/fleet.go
+++ b/internal/controller/pending/fleet.go
@@ -2,12 +2,13 @@
 
 import "glenport/scheduler"
 
-// staleListAge is the age above which a machine list counts as stale. One that is up sends something each second.
+// staleListAge is the age above which a machine list is stale. A machine list service that is up sends a message each
+// second.
 const staleListAge = 4 * scheduler.Second
 
-// explainFleet gives the reasons that lie with the machines, as a scheduler has explained them.
+// explainFleet adds the reasons that concern the machines, from the explanation of a scheduler.
 func (e *explainer) explainFleet() {
-	e.explainList()
+	e.explainMachineList()
 	e.explainZones()
 	if e.facts.Explanation.Eligible <= 0 {
 		e.explainMachineTypes()
@@ -19,18 +20,18 @@
 	e.explainLoadShedding()
 }
 
-// suitable is how many machines have the type and size that the container needs, and inService how many of them do not
-// drain.
-func (f *Facts) suitable() int {
+// suitableMachines returns the number of machines that have the type and size that the container needs.
+func (f *Facts) suitableMachines() int {
 	return f.Explanation.Machines - f.Explanation.WrongMachineType - f.Explanation.TooSmall
 }
 
-func (f *Facts) inService() int { return f.suitable() - f.Explanation.Draining }
+// machinesInService returns the number of suitable machines that are not draining.
+func (f *Facts) machinesInService() int { return f.suitableMachines() - f.Explanation.Draining }
 
-func (e *explainer) explainList() {
+func (e *explainer) explainMachineList() {
 	if age := e.facts.ListAge; age < 0 || age > staleListAge {
-		known := seconds(max(0, age))
-		e.add(CodeMachineListStale, map[string]float64{"seconds": known}, textMachineListStale, known)
+		ageSeconds := seconds(max(0, age))
+		e.add(CodeMachineListStale, map[string]float64{"seconds": ageSeconds}, textMachineListStale, ageSeconds)
 	}
 }
 
@@ -44,18 +45,18 @@
 }
 
 func (e *explainer) explainMachineTypes() {
-	x, suitable := &e.facts.Explanation, e.facts.suitable()
+	x, suitable := &e.facts.Explanation, e.facts.suitableMachines()
 	switch {
 	case suitable == 0:
 		e.add(CodeNoMachine, map[string]float64{"machines": float64(x.Machines)}, textNoMachine, x.Machines)
-	case e.facts.inService() == 0:
+	case e.facts.machinesInService() == 0:
 		details := map[string]float64{"machines": float64(suitable), "draining": float64(x.Draining)}
 		e.add(CodeNoMachine, details, textAllDraining, suitable)
 	}
 }
 
 func (e *explainer) explainCapacity() {
-	x, inService := &e.facts.Explanation, e.facts.inService()
+	x, inService := &e.facts.Explanation, e.facts.machinesInService()
 	full := x.InsufficientCores + x.InsufficientMemory
 	if full <= 0 {
 		return
@@ -72,7 +73,7 @@
 }
 
 func (e *explainer) explainSpread() {
-	n, inService := e.facts.Explanation.SpreadExhausted, e.facts.inService()
+	n, inService := e.facts.Explanation.SpreadExhausted, e.facts.machinesInService()
 	if n <= 0 {
 		return
 	}
--- a/internal/controller/pending/golden_test.go
+++ b/internal/controller/pending/golden_test.go
@@ -14,38 +14,39 @@
 	"glenport/scheduler"
 )
 
-// TestReasonsMatchGoldenDigests explains seeded facts, likely and odd ones, and compares a digest of all reasons, in
-// order, as clients read them, with that in testdata.
+// TestReasonsMatchGoldenDigests explains seeded facts, both likely and unlikely ones, and compares a digest of all
+// reasons, in order and as clients read them, with the digest in testdata.
 func TestReasonsMatchGoldenDigests(t *testing.T) {
 	const sequences = 4000
 	var got strings.Builder
 	for group := range 4 {
-		sum := golden.NewDigest()
+		digest := golden.NewDigest()
 		random := rand.New(rand.NewPCG(uint64(group), 23))
 		for range sequences {
 			now, facts := randomFacts(random, group)
-			all := Explain(now, facts)
-			sum.Count(len(all))
-			for _, r := range all {
-				line, err := json.Marshal(r) // figures in order of their names
+			reasons := Explain(now, facts)
+			digest.Count(len(reasons))
+			for _, r := range reasons {
+				line, err := json.Marshal(r) // details in order of their names
 				testutil.NoError(t, err)
-				sum.Printf("%s %d\n", line, r.Until)
+				digest.Printf("%s %d\n", line, r.Until)
 			}
-			sum.Printf("\n")
+			digest.Printf("\n")
 		}
-		fmt.Fprintf(&got, "group %d: %s\n", group, sum.Summary("reasons"))
+		fmt.Fprintf(&got, "group %d: %s\n", group, digest.Summary("reasons"))
 	}
 	golden.CheckText(t, "testdata/reasons.txt", got.String())
 }
 
-// randomFacts draws facts: group 0 of small fleets, 1 of large ones, 2 without an explanation, 3 of any.
+// randomFacts draws facts, in group 0 of small fleets, in 1 of large ones, in 2 without an explanation, and in 3 of
+// medium-sized ones.
 func randomFacts(random *rand.Rand, group int) (scheduler.Time, Facts) {
 	chance := func(p float64) bool { return random.Float64() < p }
 	upTo := func(n int) int { return random.IntN(n + 1) }
-	most := []int{4, 3000, 20, 12}[group]
-	some := func(p float64) int {
+	limit := []int{4, 3000, 20, 12}[group]
+	count := func(p float64) int {
 		if chance(p) {
-			return upTo(most)
+			return upTo(limit)
 		}
 		return 0
 	}
@@ -69,10 +70,10 @@
 		f.Container.Until = now + scheduler.Time(upTo(200_000)) - 20_000
 	}
 	x := &f.Explanation
-	x.Machines, x.WrongMachineType, x.Draining, x.TooSmall = upTo(most), some(0.4), some(0.4), some(0.3)
-	x.SelfDraining, x.SpreadExhausted, x.SlowStartExhausted = some(0.2), some(0.2), some(0.2)
-	x.Ejected, x.Suspected = some(0.2), some(0.2)
-	x.InsufficientCores, x.InsufficientMemory, x.Eligible, x.Gone = some(0.4), some(0.4), some(0.3), some(0.2)
+	x.Machines, x.WrongMachineType, x.Draining, x.TooSmall = upTo(limit), count(0.4), count(0.4), count(0.3)
+	x.SelfDraining, x.SpreadExhausted, x.SlowStartExhausted = count(0.2), count(0.2), count(0.2)
+	x.Ejected, x.Suspected = count(0.2), count(0.2)
+	x.InsufficientCores, x.InsufficientMemory, x.Eligible, x.Gone = count(0.4), count(0.4), count(0.3), count(0.2)
 	x.SheddingLoad, x.FullRatio = chance(0.3), float64(upTo(100))/100
 	if chance(0.15) { // no machine has the type that is needed, or all of them drain
 		x.WrongMachineType, x.TooSmall = x.Machines, 0
@@ -80,7 +81,7 @@
 		x.WrongMachineType, x.TooSmall, x.Draining = 0, 0, x.Machines
 	}
 	for zone := range upTo(3) {
-		z := Zone{Name: strconv.Itoa(zone), Machines: upTo(most)}
+		z := Zone{Name: strconv.Itoa(zone), Machines: upTo(limit)}
 		z.Draining = upTo(z.Machines)
 		if chance(0.3) {
 			z.Draining = z.Machines
--- a/internal/controller/pending/pending.go
+++ b/internal/controller/pending/pending.go
@@ -11,31 +11,31 @@
 // Reason is one reason why a container does not run.
 type Reason struct {
 	Code    Code               `json:"code"`
-	Text    string             `json:"text"`              // for people
-	Details map[string]float64 `json:"figures,omitempty"` // the figures of Text, by name
-	Until   scheduler.Time     `json:"-"`                 // when it ends; 0: not known
+	Text    string             `json:"text"`              // for display
+	Details map[string]float64 `json:"figures,omitempty"` // the numbers in Text, by name
+	Until   scheduler.Time     `json:"-"`                 // when the reason ends; 0: unknown
 }
 
-// Zone is what the machine list says of a zone.
+// Zone is the state of a zone according to the machine list.
 type Zone struct {
 	Name               string
 	Machines, Draining int
 }
 
-// Facts are what is known of a container now.
+// Facts holds the information from which the reasons for a container are derived.
 type Facts struct {
 	Container           controller.Container
 	Schedulers          int
 	SchedulersConnected int
-	SchedulerConnected  bool                  // that of the last request
-	Explained           bool                  // a scheduler has given Explanation and ListAge
-	Explanation         scheduler.Explanation // what keeps the container from each machine
-	ListAge             scheduler.Time        // of that scheduler's machine list; negative: it has none
+	SchedulerConnected  bool                  // whether the scheduler of the last request is connected
+	Explained           bool                  // a scheduler has provided Explanation and ListAge
+	Explanation         scheduler.Explanation // why the machines cannot run the container
+	ListAge             scheduler.Time        // age of that scheduler's machine list; negative: it has none
 	Zones               []Zone
-	SlowStartWindow     scheduler.Time // after which the slow-start budget of a machine is renewed
+	SlowStartWindow     scheduler.Time // period after which the slow-start budget of a machine is renewed
 }
 
-// Explain returns the reasons by rank. A container that runs, or is complete, has none.
+// Explain returns the reasons in order of rank. A container that runs or is completed has none.
 func Explain(now scheduler.Time, facts Facts) []Reason {
 	state := facts.Container.State
 	if state == controller.StateRunning || state == controller.StateCompleted {
@@ -61,7 +61,7 @@
 	reasons []Reason
 }
 
-// add is a reason whose end is not known.
+// add adds a reason whose end is unknown.
 func (e *explainer) add(code Code, details map[string]float64, format string, a ...any) {
 	e.addUntil(code, 0, details, format, a...)
 }
@@ -70,7 +70,7 @@
 	e.reasons = append(e.reasons, Reason{Code: code, Text: fmt.Sprintf(format, a...), Details: details, Until: until})
 }
 
-// remaining is the time until the container's next step is due.
+// remaining returns the time until the container's next step is due.
 func (e *explainer) remaining() scheduler.Time { return max(0, e.facts.Container.Until-e.now) }
 
 func (e *explainer) explainSchedulers() {
@@ -78,17 +78,18 @@
 	switch {
 	case f.SchedulersConnected == 0:
 		e.add(CodeNoScheduler, map[string]float64{"placers": float64(f.Schedulers)}, textNoScheduler, f.Schedulers)
-	case waitsForItsScheduler(&f.Container) && !f.SchedulerConnected:
+	case dependsOnLastScheduler(&f.Container) && !f.SchedulerConnected:
 		e.add(CodeSchedulerUnreachable, nil, textSchedulerUnreachable)
 	}
 }
 
-// waitsForItsScheduler says that the container may run, and that only the scheduler of its last request can know.
-func waitsForItsScheduler(c *controller.Container) bool {
+// dependsOnLastScheduler reports whether the container may be running and only the scheduler of its last request can
+// tell.
+func dependsOnLastScheduler(c *controller.Container) bool {
 	return c.Sticky || c.State == controller.StateUnobserved || c.State == controller.StateFencing
 }
 
-// explainState gives the reasons that lie with the controller's own state of the container.
+// explainState adds the reasons that follow from the controller's state of the container.
 func (e *explainer) explainState() {
 	c := &e.facts.Container
 	switch c.State {
@@ -102,7 +103,7 @@
 		e.add(CodePlacing, map[string]float64{"seconds": age}, textPlacing, age)
 	case controller.StatePending:
 		e.explainPending()
-	case controller.StateRunning, controller.StateCompleted: // have no reasons
+	case controller.StateRunning, controller.StateCompleted: // Explain returns no reasons for these
 	}
 }
 
@@ -121,8 +122,8 @@
 	}
 }
 
-// Parts of the messages of a scheduler that cannot know yet whether a container runs: of recovery.MayRunError and
-// recovery.RecoveringError, which reach the controller as text alone.
+// Parts of the messages of a scheduler that does not know yet whether a container runs. They come from
+// recovery.MayRunError and recovery.RecoveringError, of which only the text reaches the controller.
 const (
 	messageMayRun     = "may run on machine"
 	messageRecovering = "does not know yet"
--- a/internal/controller/pending/texts.go
+++ b/internal/controller/pending/texts.go
@@ -1,6 +1,7 @@
 package pending
 
-// Formats of the texts that clients of the API read. They do not change and keep the platform's words.
+// Formats of the texts that the API shows to clients. They must not change, and therefore keep the terms of the
+// platform: placer for a scheduler, bid for an attempt, hall for a zone.
 const (
 	textNoScheduler          = "None of the %d placers can be reached."
 	textSchedulerUnreachable = "The placer that knows whether it runs cannot be reached."
