--- a/internal/controller/connections.go
+++ b/internal/controller/connections.go
@@ -3,12 +3,14 @@
 import "glenport/scheduler"
 
 const (
-	unobservedTimeout = 10 * scheduler.Second       // idempotent work of a lost scheduler is started elsewhere after it
-	lookupDelay       = 500 * scheduler.Millisecond // after a reconnect; up to three times that, at random
+	// unobservedTimeout is the time after which idempotent work of a lost scheduler is started elsewhere.
+	unobservedTimeout = 10 * scheduler.Second
+	// lookupDelay is the minimum delay of a lookup after a reconnect. A random addition extends it up to threefold.
+	lookupDelay = 500 * scheduler.Millisecond
 )
 
-// schedulerConnected goes on with a replica that waited for this scheduler, or for any.
-func (l *lifecycle) schedulerConnected(r *replica, number int) {
+// handleSchedulerConnected schedules the next step of a replica that waited for this scheduler, or for any scheduler.
+func (l *lifecycle) handleSchedulerConnected(r *replica, number int) {
 	switch {
 	case r.state == replicaUnobserved && r.scheduler == number && r.terminating:
 		l.cancelKey(r, eventSchedulerConnected)
@@ -16,30 +18,31 @@
 		l.requests.close(r)
 		r.keyUse = keySticky
 		delay := lookupDelay + l.random.jitter(2*lookupDelay) + r.lookupDelay
-		l.enterPending(r, eventSchedulerConnected, delay, statusSchedulerBack)
+		l.enterPending(r, eventSchedulerConnected, delay, statusSchedulerReconnected)
 		r.lookupDelay = 0
 	case r.state == replicaPending && r.until == 0:
 		l.enterPending(r, eventSchedulerConnected, l.random.jitter(4*restartDelay), r.lastStatus)
 	}
 }
 
-// schedulerLost is the loss of the connection to a replica's scheduler. What was requested there and may run twice is
-// requested elsewhere; the rest waits. What runs there runs on, and is looked up by its key once the scheduler is
-// connected again.
-func (l *lifecycle) schedulerLost(r *replica) {
+// handleSchedulerLost handles the loss of the connection to a replica's scheduler. An open request is repeated
+// elsewhere if its work is idempotent, and fenced otherwise. A running container keeps running, and is looked up by its
+// key once the scheduler is connected again.
+func (l *lifecycle) handleSchedulerLost(r *replica) {
 	switch {
 	case r.state == replicaRunning:
 		l.enter(r, eventSchedulerLost, replicaUnobserved, unobservedTimeout, statusSchedulerLost)
-	case !r.requestOpen():
+	case !r.hasOpenRequest():
 	case !l.classes.idempotent(r.job):
 		l.fence(r, eventSchedulerLost, statusSchedulerLostMayRun)
 	default:
-		l.requestLost(r)
+		l.handleRequestLost(r)
 	}
 }
 
-// requestLost goes on with idempotent work whose open request was lost with its scheduler.
-func (l *lifecycle) requestLost(r *replica) {
+// handleRequestLost records an orphan for idempotent work whose open request was lost with its scheduler. The replica
+// is then requested again, or removed if it is terminating.
+func (l *lifecycle) handleRequestLost(r *replica) {
 	l.recordOrphan(r)
 	if r.terminating {
 		l.remove(r, eventSchedulerLost)
@@ -50,18 +53,19 @@
 	l.enterPending(r, eventSchedulerLost, delay, statusSchedulerLost)
 }
 
-// unobservedTooLong starts idempotent work elsewhere whose scheduler has not come back. Other work waits for it.
-func (l *lifecycle) unobservedTooLong(r *replica) {
+// handleUnobservedTimeout starts idempotent work elsewhere because its scheduler has not reconnected. Other work keeps
+// waiting for the scheduler.
+func (l *lifecycle) handleUnobservedTimeout(r *replica) {
 	if !l.classes.idempotent(r.job) {
 		return
 	}
 	l.recordOrphan(r)
 	l.requests.close(r)
 	l.renewIdempotencyKey(r)
-	l.enterPending(r, eventTimerFired, restartDelay, statusSchedulerStaysAway)
+	l.enterPending(r, eventTimerFired, restartDelay, statusSchedulerNotReconnected)
 }
 
-// recordOrphan records that an idempotent replica's request may have led to a copy that runs at its scheduler.
+// recordOrphan records that the request of an idempotent replica may have started a copy that runs at its scheduler.
 func (l *lifecycle) recordOrphan(r *replica) {
 	if r.scheduler == noScheduler {
 		return
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -2,41 +2,43 @@
 
 import "glenport/scheduler"
 
-// WorkloadClass is what the controller needs of a workload class.
+// WorkloadClass holds the settings of a workload class that the controller needs.
 type WorkloadClass struct {
 	Idempotency      scheduler.Idempotency
-	PlacementTimeout scheduler.Time // within which a machine has to accept
-	DedupWindow      scheduler.Time // for which machines remember an idempotency key
+	PlacementTimeout scheduler.Time // time within which a machine must accept
+	DedupWindow      scheduler.Time // time for which machines remember an idempotency key
 }
 
-// unknownClass stands for a workload class that is not configured: what is safe for any work.
+// unknownClass is used for a workload class that is not configured. Its settings are safe for any work.
 var unknownClass = WorkloadClass{Idempotency: scheduler.AtMostOnce, PlacementTimeout: scheduler.Second}
 
-// workloadClasses are the classes by the positions that specs name.
+// workloadClasses holds the workload classes in the order in which Spec.WorkloadClass numbers them.
 type workloadClasses []WorkloadClass
 
-// of is the workload class of a job.
-func (w workloadClasses) of(j *job) WorkloadClass {
+// classOf returns the workload class of a job.
+func (w workloadClasses) classOf(j *job) WorkloadClass {
 	if class := j.spec.WorkloadClass; class < len(w) {
 		return w[class]
 	}
 	return unknownClass
 }
 
-func (w workloadClasses) idempotent(j *job) bool { return w.of(j).Idempotency == scheduler.Idempotent }
+func (w workloadClasses) idempotent(j *job) bool {
+	return w.classOf(j).Idempotency == scheduler.Idempotent
+}
 
-// Config is what one incarnation of the controller starts with.
+// Config is the configuration of one incarnation of the controller.
 type Config struct {
-	Seed uint64 // of its random numbers
-	// keys and request ids are numbered above it, so that none of an earlier incarnation comes again
+	Seed uint64 // seed of the random numbers
+	// Idempotency keys and request ids are numbered above it, so that none of an earlier incarnation is reused.
 	FirstSequence   uint64
 	SchedulerCount  int
 	WorkloadClasses []WorkloadClass
 }
 
-// Controller is the state of all jobs. It holds a job while containers of it are wanted or not yet ended, a request
-// while its container is being placed or runs, an orphan until it is resolved. It passes each event to the component
-// that owns what the event is about.
+// Controller holds the state of all jobs and dispatches each event to the component that owns the affected state. A job
+// is kept while containers of it are wanted or have not ended, a request while its container is being placed or runs,
+// and an orphan until it is resolved.
 type Controller struct {
 	clock      *clock
 	sequence   *sequence
@@ -49,7 +51,7 @@
 	lifecycle  *lifecycle
 }
 
-// New begins an incarnation. No scheduler is connected yet.
+// New returns the controller of a new incarnation, with no scheduler connected.
 func New(config Config) *Controller {
 	c := &Controller{
 		clock: &clock{}, sequence: &sequence{last: config.FirstSequence}, jobs: newJobRegistry(),
@@ -66,18 +68,19 @@
 	return c
 }
 
-// Handle applies events at a time, which never goes back, and returns the actions that follow, in order.
+// Handle applies events that occurred at now and returns the resulting actions in order. The value of now must not
+// decrease from call to call.
 func (c *Controller) Handle(now scheduler.Time, events []Event) []Action {
 	c.clock.set(now)
 	for _, e := range events {
 		c.apply(e)
 	}
 	for r := c.timers.nextDue(); r != nil; r = c.timers.nextDue() {
-		c.lifecycle.timerFired(r)
+		c.lifecycle.handleTimer(r)
 	}
-	nextOrphan := c.cancelOrphans()
+	nextOrphan := c.cancelDueOrphans()
 	c.outbox.emitChanges()
-	if after, ok := c.timers.wakeup(nextOrphan); ok {
+	if after, ok := c.timers.nextWakeup(nextOrphan); ok {
 		c.outbox.emit(SetTimer{after})
 	}
 	return c.outbox.take()
@@ -86,22 +89,22 @@
 func (c *Controller) apply(e Event) {
 	switch e := e.(type) {
 	case JobSet:
-		c.jobSet(e)
+		c.setJob(e)
 	case JobDeleted:
-		c.jobDeleted(e)
+		c.deleteJob(e)
 	case StateRestored:
-		c.stateRestored(e)
+		c.restoreState(e)
 	case SchedulerConnection:
-		c.schedulerConnection(e)
+		c.updateConnection(e)
 	case PlacementAnswered:
-		c.placementAnswered(e)
+		c.handleAnswer(e)
 	case ContainerEnded:
-		c.containerEnded(e)
-	case TimerFired: // timers fire in each call
+		c.handleContainerEnd(e)
+	case TimerFired: // each call of Handle runs the timers that are due
 	}
 }
 
-func (c *Controller) jobSet(e JobSet) {
+func (c *Controller) setJob(e JobSet) {
 	j := c.jobs.find(e.Job)
 	if j == nil {
 		j = &job{id: e.Job, spec: e.Spec}
@@ -112,23 +115,23 @@
 	c.lifecycle.rollOut(j)
 }
 
-func (c *Controller) jobDeleted(e JobDeleted) {
+func (c *Controller) deleteJob(e JobDeleted) {
 	if j := c.jobs.find(e.Job); j != nil {
 		j.count = 0
 		c.lifecycle.scale(j)
 	}
 }
 
-// stateRestored adopts what an earlier incarnation has stored. What may run is looked up at the scheduler that was sent
-// the request; placements are requested at a limited rate.
-func (c *Controller) stateRestored(e StateRestored) {
+// restoreState adopts the state that an earlier incarnation stored. Containers that may be running are looked up at the
+// scheduler that received their request. Placements are requested at a limited rate.
+func (c *Controller) restoreState(e StateRestored) {
 	for _, set := range e.Jobs {
 		c.jobs.add(&job{id: set.Job, spec: set.Spec, revision: restoredRevision, count: set.Count})
 	}
 	for position, stored := range sortedContainers(e.Containers) {
 		r := c.restoreReplica(&stored)
-		c.sequence.skipTo(max(sequenceAfter("/", r.idempotencyKey), sequenceAfter("#", r.requestID)))
-		c.lifecycle.restored(r, recoveryPhase(&stored), position)
+		c.sequence.skipTo(max(trailingNumber("/", r.idempotencyKey), trailingNumber("#", r.requestID)))
+		c.lifecycle.resume(r, recoveryPhase(&stored), position)
 	}
 	for _, orphan := range e.Orphans {
 		c.orphans.restore(orphan)
@@ -138,47 +141,47 @@
 	}
 }
 
-func (c *Controller) schedulerConnection(e SchedulerConnection) {
+func (c *Controller) updateConnection(e SchedulerConnection) {
 	if !c.schedulers.apply(e) {
 		return
 	}
-	c.orphans.connectionChanged(e.Scheduler)
+	c.orphans.reschedule(e.Scheduler)
 	for _, r := range c.jobs.sortedReplicas() {
 		if e.Connected {
-			c.lifecycle.schedulerConnected(r, e.Scheduler)
+			c.lifecycle.handleSchedulerConnected(r, e.Scheduler)
 		} else if r.scheduler == e.Scheduler {
-			c.lifecycle.schedulerLost(r)
+			c.lifecycle.handleSchedulerLost(r)
 		}
 	}
 }
 
-func (c *Controller) placementAnswered(e PlacementAnswered) {
+func (c *Controller) handleAnswer(e PlacementAnswered) {
 	if orphan, ok := parseOrphanRequestID(e.RequestID); ok {
-		c.orphanAnswered(orphan, e)
+		c.handleOrphanAnswer(orphan, e)
 		return
 	}
 	if r := c.requests.find(e.RequestID); r != nil {
-		c.lifecycle.answered(r, e)
+		c.lifecycle.handleAnswer(r, e)
 	}
 }
 
-// orphanAnswered resolves an orphan once its scheduler is sure that nothing of it runs. What runs is resolved by its
-// end.
-func (c *Controller) orphanAnswered(orphan Orphan, e PlacementAnswered) {
+// handleOrphanAnswer resolves an orphan once its scheduler is certain that no copy runs. If a copy runs, the end of its
+// container resolves the orphan.
+func (c *Controller) handleOrphanAnswer(orphan Orphan, e PlacementAnswered) {
 	if e.Verdict == VerdictRefused {
-		c.orphans.refused(orphan, e.RetryAfter)
+		c.orphans.scheduleRetry(orphan, e.RetryAfter)
 		return
 	}
 	c.resolveOrphan(orphan)
 }
 
-func (c *Controller) containerEnded(e ContainerEnded) {
+func (c *Controller) handleContainerEnd(e ContainerEnded) {
 	if orphan, ok := parseOrphanRequestID(e.RequestID); ok {
 		c.resolveOrphan(orphan)
 		return
 	}
 	if r := c.requests.find(e.RequestID); r != nil {
-		c.lifecycle.ended(r, e)
+		c.lifecycle.handleEnd(r, e)
 	}
 }
 
@@ -188,8 +191,9 @@
 	}
 }
 
-// cancelOrphans cancels the orphans that are due and returns when the next are; 0 where none is.
-func (c *Controller) cancelOrphans() (next scheduler.Time) {
+// cancelDueOrphans cancels the orphans that are due. It returns the time at which the next one is due, or 0 if there is
+// none.
+func (c *Controller) cancelDueOrphans() (next scheduler.Time) {
 	due, next := c.orphans.takeDue()
 	for _, orphan := range due {
 		c.outbox.emit(CancelRequest{orphan.Scheduler, orphan.requestID(), orphan.IdempotencyKey})
--- a/internal/controller/crash_test.go
+++ b/internal/controller/crash_test.go
@@ -12,10 +12,10 @@
 	"pgregory.net/rapid"
 )
 
-// A controller is killed at any moment, with schedulers that accept, reject, fail, lose their connection and do not
-// know yet. What it stored is what was there before a request was sent. Whatever happens, no container of at-most-once
-// work runs twice at once, no key of it that ran is requested again, and once faults end each wanted container runs and
-// no other does.
+// The controller is killed at any time, and restarts from the records that it had stored before it sent requests.
+// Schedulers accept, reject, fail, lose their connection, or do not know yet whether a container runs. Throughout, no
+// container of at-most-once work has two copies, and no key under which such a container ran is requested again. Once
+// the faults end, each wanted container runs and no other does.
 func TestKilledControllerRunsWhatIsWanted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newCrashModel(t)
@@ -23,7 +23,7 @@
 		for range rapid.IntRange(10, 40).Draw(t, "steps") {
 			m.step()
 			m.perform()
-			m.pass(scheduler.Time(rapid.IntRange(0, 120_000).Draw(t, "span")))
+			m.advanceTime(scheduler.Time(rapid.IntRange(0, 120_000).Draw(t, "span")))
 		}
 		m.faultsOver = true
 		for n := range m.connected {
@@ -32,7 +32,7 @@
 			}
 		}
 		m.perform()
-		m.pass(300 * second)
+		m.advanceTime(300 * second)
 		wanted, running := 0, 0
 		for _, j := range m.stored.jobs {
 			wanted += j.Count
@@ -40,23 +40,23 @@
 		for _, keys := range m.running {
 			running += len(keys)
 		}
-		// Without orphans a second copy of idempotent work ran on for ever.
+		// Without the record of orphans a second copy of idempotent work would run forever.
 		testutil.Require(t, running == wanted && len(m.stored.orphans) == 0,
-			"%d run, %d are wanted: %v, stored %+v", running, wanted, m.running, m.stored)
+			"%d containers run, %d are wanted; running %v, stored %+v", running, wanted, m.running, m.stored)
 	})
 }
 
-// crashModel is a controller that is killed, what it has stored, and its schedulers.
+// crashModel is a controller that is killed and restarted, the records that it has stored, and its schedulers.
 type crashModel struct {
 	t *rapid.T
 	testClock
 	idempotency scheduler.Idempotency
 	controller  *Controller
-	sequence    uint64   // each incarnation numbers above it
-	actions     []Action // to be performed; lost when the controller is killed
+	sequence    uint64   // the current incarnation numbers keys and requests above it
+	actions     []Action // not performed yet; lost when the controller is killed
 	connected   [2]bool
-	running     [2]map[string]string // by scheduler: request id by key
-	started     map[string]bool      // keys that ran
+	running     [2]map[string]string // request id by key, for each scheduler
+	started     map[string]bool      // keys under which a container ran
 	faultsOver  bool
 	stored      storedState
 }
@@ -72,12 +72,12 @@
 	}
 }
 
-// fault draws one of n chances, until faults are over.
+// fault reports whether a fault with a chance of 1 in n occurs. None occurs once the faults are over.
 func (m *crashModel) fault(n int, label string) bool {
 	return !m.faultsOver && rapid.IntRange(0, n-1).Draw(m.t, label) == 0
 }
 
-// restart begins an incarnation with what is stored. Actions that were not performed are lost.
+// restart starts a new incarnation from the stored records. Actions that were not performed are lost.
 func (m *crashModel) restart() {
 	m.sequence += 1000
 	config := testConfig(m.idempotency)
@@ -87,7 +87,7 @@
 	m.handle(m.stored.restored())
 }
 
-// handle stores what the controller wants stored, and keeps other actions for perform.
+// handle applies the records that the controller wants stored, and queues requests for perform.
 func (m *crashModel) handle(events ...Event) {
 	for _, a := range m.controller.Handle(m.now, events) {
 		m.stored.apply(a)
@@ -107,15 +107,15 @@
 	m.handle(SchedulerConnection{n, connected})
 }
 
-func (m *crashModel) pass(span scheduler.Time) {
+func (m *crashModel) advanceTime(span scheduler.Time) {
 	m.advance(span, func() {
 		m.handle(TimerFired{})
 		m.perform()
 	})
 }
 
-// perform carries actions out, and those that follow from the answers. Requests to a scheduler that is not connected
-// are lost.
+// perform performs the queued requests, and those that follow from their answers. Requests to a scheduler that is not
+// connected are lost.
 func (m *crashModel) perform() {
 	for len(m.actions) > 0 {
 		a := m.actions[0]
@@ -141,9 +141,9 @@
 func (m *crashModel) lookup(a LookupRequest) {
 	keys := m.running[a.Scheduler]
 	if _, runs := keys[a.IdempotencyKey]; runs {
-		keys[a.IdempotencyKey] = a.RequestID // the end is reported under the last request
+		keys[a.IdempotencyKey] = a.RequestID // the end is reported under the id of the latest request
 		m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictAccepted, Machine: "m"})
-	} else if m.fault(3, "not sure yet") {
+	} else if m.fault(3, "outcome unknown") {
 		m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictRefused})
 	} else {
 		m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictRejected})
@@ -153,7 +153,7 @@
 func (m *crashModel) submit(a SubmitRequest) {
 	atMostOnce := m.idempotency == scheduler.AtMostOnce
 	testutil.Require(m.t, !m.started[a.IdempotencyKey] || !atMostOnce,
-		"key %s ran, and is requested again", a.IdempotencyKey)
+		"a container ran under key %s, which is requested again", a.IdempotencyKey)
 	keys := m.running[a.Scheduler]
 	_, runs := keys[a.IdempotencyKey]
 	start := func() { keys[a.IdempotencyKey], m.started[a.IdempotencyKey] = a.RequestID, true }
@@ -163,10 +163,10 @@
 		m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictAccepted, Machine: "m"})
 	case m.fault(4, "rejected"):
 		m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictRejected})
-	case atMostOnce && m.fault(4, "failed, and it runs"): // a scheduler cancels other work then
+	case atMostOnce && m.fault(4, "failed, but runs"): // the scheduler cancels other work after a failure
 		start()
 		m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictFailed})
-	case m.fault(6, "connection lost, and it runs"):
+	case m.fault(6, "connection lost, but runs"):
 		start()
 		m.connect(a.Scheduler, false)
 	default:
@@ -179,7 +179,7 @@
 	if _, runs := m.running[a.Scheduler][a.IdempotencyKey]; runs {
 		delete(m.running[a.Scheduler], a.IdempotencyKey)
 		m.handle(ContainerEnded{a.RequestID, scheduler.OutcomeStopped, 0})
-	} else if m.fault(3, "not sure yet") {
+	} else if m.fault(3, "outcome unknown") {
 		m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictRefused})
 	} else {
 		m.handle(PlacementAnswered{RequestID: a.RequestID, Verdict: VerdictFailed, Message: "cancelled"})
@@ -194,7 +194,7 @@
 	for _, keys := range m.running {
 		for key := range keys {
 			container := containerOf(key)
-			testutil.Require(m.t, !seen[container], "%s runs twice: %v", container, m.running)
+			testutil.Require(m.t, !seen[container], "%s has two copies: %v", container, m.running)
 			seen[container] = true
 		}
 	}
@@ -212,7 +212,7 @@
 			delete(m.stored.jobs, id)
 			m.handle(JobDeleted{id})
 		}
-	case 3: // killed: what was stored is there, actions that were not performed are lost
+	case 3: // killed: stored records remain, actions that were not performed are lost
 		m.restart()
 	case 4:
 		n := rapid.IntRange(0, 1).Draw(m.t, "scheduler")
--- a/internal/controller/driver_test.go
+++ b/internal/controller/driver_test.go
@@ -15,16 +15,16 @@
 
 const second = scheduler.Second
 
-// testPlacementTimeout is for which an attempt may start after its scheduler was lost.
+// testPlacementTimeout is the time during which an attempt may start after its scheduler was lost.
 const testPlacementTimeout = 4 * second
 
-// testConfig has two schedulers and one workload class.
+// testConfig returns a configuration with two schedulers and one workload class.
 func testConfig(idempotency scheduler.Idempotency) Config {
 	class := WorkloadClass{Idempotency: idempotency, PlacementTimeout: testPlacementTimeout, DedupWindow: 8 * second}
 	return Config{Seed: 3, SchedulerCount: 2, WorkloadClasses: []WorkloadClass{class}}
 }
 
-// storedState is what a controller has asked to be stored, and the jobs that clients want.
+// storedState holds the records that a controller has asked to store, and the jobs that clients have set.
 type storedState struct {
 	jobs       map[string]JobSet
 	containers map[string]Container
@@ -35,7 +35,7 @@
 	return storedState{jobs: map[string]JobSet{}, containers: map[string]Container{}, orphans: map[Orphan]bool{}}
 }
 
-// apply stores what an action changes, if anything.
+// apply stores the change of records that an action requests, if any.
 func (s *storedState) apply(a Action) {
 	switch a := a.(type) {
 	case ContainerChanged:
@@ -49,7 +49,7 @@
 	}
 }
 
-// restored is the event of the next incarnation.
+// restored returns the event with which the next incarnation starts.
 func (s *storedState) restored() (e StateRestored) {
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		e.Jobs = append(e.Jobs, s.jobs[id])
@@ -63,7 +63,7 @@
 	return e
 }
 
-// testClock is the time of a test, with the timer that a controller has set.
+// testClock is the time of a test and the timer that a controller has set.
 type testClock struct {
 	now     scheduler.Time
 	timerAt scheduler.Time // 0: none
@@ -75,7 +75,7 @@
 	}
 }
 
-// advance lets time pass and calls fired at each timer.
+// advance advances the time by span and calls fired at each timer.
 func (c *testClock) advance(span scheduler.Time, fired func()) {
 	end := c.now + span
 	for c.timerAt > 0 && c.timerAt <= end {
@@ -90,7 +90,7 @@
 	*testing.T
 	testClock
 	controller *Controller
-	requests   []SubmitRequest // placement requests, and lookups as retries
+	requests   []SubmitRequest // placement requests, and lookups in the form of retries
 	cancels    []string        // request ids
 	containers map[int]Container
 }
@@ -100,13 +100,13 @@
 	return &driver{T: t, controller: New(testConfig(idempotency)), containers: map[int]Container{}}
 }
 
-// newRunningDriver has scheduler 0 connected and the placement of count containers requested.
+// newRunningDriver returns a driver that has connected scheduler 0 and requested the placement of count containers.
 func newRunningDriver(t *testing.T, idempotency scheduler.Idempotency, count int) *driver {
 	t.Helper()
 	d := newDriver(t, idempotency)
 	d.handle(SchedulerConnection{0, true})
 	d.handle(JobSet{"j", count, Spec{Service: "s", Cores: 1}})
-	d.pass(second)
+	d.advanceTime(second)
 	return d
 }
 
@@ -135,11 +135,11 @@
 	return SubmitRequest{Scheduler: a.Scheduler, RequestID: a.RequestID, IdempotencyKey: a.IdempotencyKey, Retry: true}
 }
 
-func (d *driver) pass(span scheduler.Time) { d.advance(span, func() { d.handle(TimerFired{}) }) }
+func (d *driver) advanceTime(span scheduler.Time) { d.advance(span, func() { d.handle(TimerFired{}) }) }
 
 func (d *driver) lastRequest() SubmitRequest { return d.requests[len(d.requests)-1] }
 
-// steps plays the words of a sequence.
+// steps performs a sequence of steps, separated by blanks.
 func (d *driver) steps(words string) {
 	d.Helper()
 	for word := range strings.FieldsSeq(words) {
@@ -147,8 +147,8 @@
 	}
 }
 
-// step plays one word of a sequence: a scheduler's answer to the last request or cancel, another event, or a duration
-// that passes.
+// step performs one step: a scheduler's answer to the last request or cancel, another event, or the passing of a
+// duration.
 func (d *driver) step(word string) {
 	d.Helper()
 	spec := Spec{Service: "s", Cores: 1}
@@ -188,7 +188,7 @@
 	case "new-spec":
 		d.handle(JobSet{"j", 1, Spec{Service: "s", Cores: 2}})
 	default:
-		d.passText(word)
+		d.advanceBy(word)
 	}
 }
 
@@ -199,11 +199,11 @@
 
 func (d *driver) lastCancel() string { return d.cancels[len(d.cancels)-1] }
 
-func (d *driver) passText(word string) {
+func (d *driver) advanceBy(word string) {
 	d.Helper()
 	span, err := time.ParseDuration(word)
 	testutil.Require(d, err == nil, "step %q: %v", word, err)
-	d.pass(scheduler.Time(span.Milliseconds()) * scheduler.Millisecond)
+	d.advanceTime(scheduler.Time(span.Milliseconds()) * scheduler.Millisecond)
 }
 
 var stateNames = map[ContainerState]string{
@@ -215,7 +215,7 @@
 	StateCompleted:  "completed",
 }
 
-// state names the state of container 0 and how many requests there were.
+// state returns the state of container 0 and the number of requests.
 func (d *driver) state() string {
 	name := "removed"
 	if container, ok := d.containers[0]; ok {
@@ -224,7 +224,7 @@
 	return fmt.Sprint(name, " ", len(d.requests))
 }
 
-// cancelCount names how many cancels there were.
+// cancelCount returns the number of cancels as a text, which is empty if there were none.
 func (d *driver) cancelCount() string {
 	if len(d.cancels) == 0 {
 		return ""
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -2,19 +2,20 @@
 
 import "glenport/scheduler"
 
-// minFencingDelay is the least time for a scheduler to learn of an attempt that was sent to a machine.
+// minFencingDelay is the minimum time for a scheduler to learn of an attempt that was sent to a machine.
 const minFencingDelay = 3 * scheduler.Second
 
-// fence delays the next request for a replica that may run, until its scheduler must know whether it runs.
+// fence delays the next request for a replica that may be running, until its scheduler can tell whether the replica
+// runs.
 func (l *lifecycle) fence(r *replica, event replicaEvent, status string) {
 	r.machine = ""
-	delay := max(minFencingDelay, l.classes.of(r.job).DedupWindow)
+	delay := max(minFencingDelay, l.classes.classOf(r.job).DedupWindow)
 	l.enter(r, event, replicaFencing, delay, status)
 }
 
-// fencingOver has a replica looked up at the scheduler that was sent its request, or cancelled there if it is
-// terminating.
-func (l *lifecycle) fencingOver(r *replica) {
+// endFencing has a replica looked up at the scheduler that received its request. A terminating replica is cancelled
+// there instead.
+func (l *lifecycle) endFencing(r *replica) {
 	if r.terminating {
 		l.cancelKey(r, eventTimerFired)
 		return
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -9,8 +9,9 @@
 	"glenport/scheduler"
 )
 
-// TestDecisionsMatchGoldenDigests plays seeded histories and compares a digest of all actions, in order and with the
-// time at which each was returned, with that in testdata. A changed decision changes the digest; a rename does not.
+// TestDecisionsMatchGoldenDigests runs seeded histories and compares a digest of all actions, in order and with the
+// time at which each was returned, with the digest in testdata. A changed decision changes the digest; a renamed
+// identifier does not.
 func TestDecisionsMatchGoldenDigests(t *testing.T) {
 	const sequences, steps = 120, 160
 	var got strings.Builder
@@ -30,7 +31,7 @@
 	golden.CheckText(t, "testdata/decisions.txt", got.String())
 }
 
-// actionDigest folds actions by an ordinal of their type and the values of their fields in order.
+// actionDigest is a digest of actions, each by the ordinal of its type and the values of its fields in order.
 type actionDigest struct{ *golden.Digest }
 
 func newActionDigest() *actionDigest { return &actionDigest{golden.NewDigest()} }
--- a/internal/controller/history_test.go
+++ b/internal/controller/history_test.go
@@ -7,8 +7,8 @@
 	"glenport/scheduler"
 )
 
-// history plays one seeded sequence: schedulers that answer, fail and come back, jobs that change, and restarts of the
-// controller from what it has asked to be stored.
+// history runs one seeded sequence of events: schedulers that answer, fail and reconnect, jobs that change, and
+// restarts of the controller from the records that it has asked to store.
 type history struct {
 	digest     *actionDigest
 	random     *rand.Rand
@@ -68,12 +68,12 @@
 }
 
 func (h *history) step() {
-	h.passTime()
+	h.advanceTime()
 	switch n := h.random.IntN(100); {
 	case n < 42:
-		h.answer()
+		h.answerRequest()
 	case n < 58:
-		h.end()
+		h.endContainer()
 	case n < 66:
 		h.toggleScheduler()
 	case n < 72:
@@ -83,13 +83,13 @@
 		delete(h.stored.jobs, id)
 		h.handle(JobDeleted{id})
 	case n < 77:
-		h.oddEvents()
+		h.handleUnexpectedEvents()
 	case n < 78:
 		h.restart()
 	}
 }
 
-func (h *history) passTime() {
+func (h *history) advanceTime() {
 	switch n := h.random.IntN(100); {
 	case n < 45:
 		h.now += scheduler.Time(h.random.IntN(2000))
@@ -106,7 +106,7 @@
 	}
 }
 
-func (h *history) answer() {
+func (h *history) answerRequest() {
 	if len(h.requests) == 0 {
 		return
 	}
@@ -133,7 +133,7 @@
 	h.handle(e)
 }
 
-func (h *history) end() {
+func (h *history) endContainer() {
 	var running []int
 	for i, r := range h.requests {
 		if r.running {
@@ -179,8 +179,8 @@
 	h.handle(h.stored.jobs[id])
 }
 
-// oddEvents are events that no peer should send, and several at once.
-func (h *history) oddEvents() {
+// handleUnexpectedEvents handles events that no peer should send, and several events in one call.
+func (h *history) handleUnexpectedEvents() {
 	switch h.random.IntN(6) {
 	case 0:
 		h.handle(PlacementAnswered{RequestID: "nobody/0#1", Verdict: VerdictAccepted, Machine: "m"},
@@ -192,7 +192,7 @@
 			PlacementAnswered{RequestID: "stray#0#nobody/0/1", Verdict: VerdictFailed},
 			ContainerEnded{RequestID: "stray#x#"},
 		)
-	case 3: // an answer that comes twice
+	case 3: // two answers to one request
 		if len(h.requests) > 0 {
 			id := h.requests[h.random.IntN(len(h.requests))].id
 			h.handle(PlacementAnswered{RequestID: id, Verdict: VerdictAccepted, Machine: "m1"},
@@ -206,12 +206,13 @@
 	}
 }
 
-// restart begins a controller from what the one before has asked to be stored, with or without the same schedulers.
+// restart starts a new controller from the records that the previous one has asked to store. In some runs the scheduler
+// with index 0 is no longer configured for the stored containers.
 func (h *history) restart() {
-	left := h.stored.restored()
+	restored := h.stored.restored()
 	if h.chance(0.3) {
-		for i := range left.Containers {
-			if c := &left.Containers[i]; c.Scheduler == 0 {
+		for i := range restored.Containers {
+			if c := &restored.Containers[i]; c.Scheduler == 0 {
 				c.Scheduler = noScheduler
 			}
 		}
@@ -219,7 +220,7 @@
 	h.config.Seed++
 	h.controller, h.timerAt, h.requests = New(h.config), 0, nil
 	clear(h.connected)
-	h.handle(left)
+	h.handle(restored)
 	for n := range h.connected {
 		if h.chance(0.8) {
 			h.connected[n] = true
--- a/internal/controller/lifecycle.go
+++ b/internal/controller/lifecycle.go
@@ -6,8 +6,8 @@
 	"glenport/scheduler"
 )
 
-// lifecycle takes the steps of replicas: each event about a replica has a method, which ends in the states that
-// transitions allows.
+// lifecycle changes the state of replicas. It has a method for each event of a replica, which leads to one of the
+// states that transitions allows.
 type lifecycle struct {
 	clock      *clock
 	sequence   *sequence
@@ -21,8 +21,8 @@
 	outbox     *outbox
 }
 
-// enter takes a replica to a state for a delay, or without end for noTimer. It reports false where the state machine
-// does not allow that.
+// enter moves a replica to a state whose next step is due after a delay, or that has no next step if the delay is
+// noTimer. It returns false if the state machine does not allow the transition.
 func (l *lifecycle) enter(r *replica, event replicaEvent, to replicaState, delay scheduler.Time, status string) bool {
 	if err := r.transition(event, to); err != nil {
 		l.outbox.emit(TransitionRejected{err})
@@ -34,19 +34,20 @@
 	return true
 }
 
-// enterPending has the placement of a replica requested, or the replica looked up if it is sticky, after a delay.
+// enterPending schedules, after a delay, the placement request of a replica, or its lookup if the replica is sticky.
 func (l *lifecycle) enterPending(r *replica, event replicaEvent, delay scheduler.Time, status string) {
 	r.machine, r.refused = "", false
 	l.enter(r, event, replicaPending, delay, status)
 }
 
-// complete ends a replica that is not started again.
+// complete marks a replica as completed. It is not started again.
 func (l *lifecycle) complete(r *replica, event replicaEvent, status string) {
 	r.machine = ""
 	l.enter(r, event, replicaCompleted, noTimer, status)
 }
 
-// remove ends a replica that its job does not want. One that is wanted again meanwhile is begun anew.
+// remove removes a replica that has ended while its job did not want it. If the job wants it again meanwhile, a new
+// replica is created in its place.
 func (l *lifecycle) remove(r *replica, event replicaEvent) {
 	if err := r.transition(event, replicaRemoved); err != nil {
 		l.outbox.emit(TransitionRejected{err})
@@ -56,43 +57,43 @@
 	l.requests.close(r)
 	l.outbox.emit(ContainerRemoved{r.job.id, r.index})
 	if r.index < r.job.count {
-		l.created(r.job, r.index)
+		l.create(r.job, r.index)
 	}
 	l.jobs.trim(r.job)
 }
 
-// created begins a replica of a job, in place of one that was removed.
-func (l *lifecycle) created(j *job, index int) {
+// create adds a new replica to a job, in place of a removed one if there is one.
+func (l *lifecycle) create(j *job, index int) {
 	r := newReplica(j, index)
 	j.replicas[index] = r
 	l.renewIdempotencyKey(r)
 	l.enterPending(r, eventCreated, l.random.jitter(restartDelay), statusNotRequested)
 }
 
-// renewIdempotencyKey separates the next container of a replica from those before: what ran under the old key has
-// surely ended, or may run twice.
+// renewIdempotencyKey separates the next container of a replica from earlier ones. The container of the old key has
+// certainly ended, or its work may run twice.
 func (l *lifecycle) renewIdempotencyKey(r *replica) {
 	r.idempotencyKey = fmt.Sprintf("%s/%d/%d", r.job.id, r.index, l.sequence.next())
 	r.keyUse = keyUnused
 }
 
-// timerFired takes the step that was due after the delay of a replica's state.
-func (l *lifecycle) timerFired(r *replica) {
+// handleTimer takes the step that follows the delay of a replica's state.
+func (l *lifecycle) handleTimer(r *replica) {
 	switch r.state {
 	case replicaPending:
 		l.request(r)
 	case replicaFencing:
-		l.fencingOver(r)
+		l.endFencing(r)
 	case replicaUnobserved:
-		l.unobservedTooLong(r)
+		l.handleUnobservedTimeout(r)
 	case replicaCreated, replicaPlacing, replicaLookingUp, replicaCancelling, replicaRunning, replicaCompleted,
-		replicaRemoved: // these last until another event
+		replicaRemoved: // these have no timer
 	}
 }
 
-// ended is the end of a container that a scheduler has accepted, or was to cancel.
-func (l *lifecycle) ended(r *replica, e ContainerEnded) {
-	if !r.mayEnd() {
+// handleEnd handles the end of a container that a scheduler had accepted or was asked to cancel.
+func (l *lifecycle) handleEnd(r *replica, e ContainerEnded) {
+	if !r.expectsEnd() {
 		return
 	}
 	machineLost := e.Outcome == scheduler.OutcomeLost && e.Reason == scheduler.ReasonNone
--- a/internal/controller/orphans.go
+++ b/internal/controller/orphans.go
@@ -10,21 +10,22 @@
 	"glenport/scheduler"
 )
 
-// orphanCancelDelay is how long a scheduler has been connected again before orphans are cancelled there.
+// orphanCancelDelay is the delay from a scheduler's reconnect, or from the recording of an orphan at a connected
+// scheduler, to the cancel request.
 const orphanCancelDelay = scheduler.Second
 
-// orphanRequestPrefix begins the id of a request that cancels an orphan. Requests for containers of jobs begin with the
-// job's id, which has no #.
+// orphanRequestPrefix starts the id of a request that cancels an orphan. Request ids of containers start with the id of
+// their job, which contains no #.
 const orphanRequestPrefix = "stray#"
 
-// Orphan is a copy of idempotent work that may run at a scheduler that was lost, while its container was requested
-// elsewhere since. Nothing but the controller would end it.
+// Orphan is a copy of idempotent work that may be running at a scheduler that was lost, although its container has
+// since been requested elsewhere. Only the controller ends it.
 type Orphan struct {
 	Scheduler      int
 	IdempotencyKey string
 }
 
-// requestID names the request that cancels an orphan; parseOrphanRequestID reverses it.
+// requestID returns the id of the request that cancels an orphan. parseOrphanRequestID is its inverse.
 func (o Orphan) requestID() string {
 	return fmt.Sprintf("%s%d#%s", orphanRequestPrefix, o.Scheduler, o.IdempotencyKey)
 }
@@ -42,7 +43,7 @@
 	return Orphan{n, key}, err == nil
 }
 
-// orphanTable holds the orphans that are not resolved, and when each is cancelled.
+// orphanTable holds the unresolved orphans and the time at which each is cancelled.
 type orphanTable struct {
 	clock      *clock
 	schedulers *schedulerSet
@@ -53,10 +54,11 @@
 	return &orphanTable{clock: c, schedulers: schedulers, cancelAt: map[Orphan]scheduler.Time{}}
 }
 
-// restore adds an orphan of an earlier incarnation, whose scheduler is not connected yet.
+// restore adds an orphan of an earlier incarnation. Its scheduler is not connected yet.
 func (t *orphanTable) restore(orphan Orphan) { t.cancelAt[orphan] = 0 }
 
-// record has an orphan cancelled after a delay if its scheduler is connected, and else once it is.
+// record adds an orphan. It is cancelled after a delay if its scheduler is connected, and otherwise once the scheduler
+// has connected.
 func (t *orphanTable) record(orphan Orphan) {
 	t.cancelAt[orphan] = 0
 	if t.schedulers.isConnected(orphan.Scheduler) {
@@ -64,8 +66,8 @@
 	}
 }
 
-// connectionChanged schedules the orphans of a scheduler anew.
-func (t *orphanTable) connectionChanged(number int) {
+// reschedule updates the cancel times of the orphans of a scheduler after its connection has changed.
+func (t *orphanTable) reschedule(number int) {
 	for orphan := range t.cancelAt {
 		if orphan.Scheduler == number {
 			t.record(orphan)
@@ -73,22 +75,23 @@
 	}
 }
 
-// refused has an orphan cancelled again, as its scheduler did not know whether it runs.
-func (t *orphanTable) refused(orphan Orphan, retryAfter scheduler.Time) {
+// scheduleRetry has an orphan cancelled again, because its scheduler did not know whether it runs.
+func (t *orphanTable) scheduleRetry(orphan Orphan, retryAfter scheduler.Time) {
 	if _, known := t.cancelAt[orphan]; known {
 		t.cancelAt[orphan] = t.clock.now() + max(restartDelay, retryAfter)
 	}
 }
 
-// resolve drops an orphan of which nothing runs any more. It reports whether there was such an orphan.
+// resolve drops an orphan that no longer runs. It reports whether the table had the orphan.
 func (t *orphanTable) resolve(orphan Orphan) bool {
 	_, known := t.cancelAt[orphan]
 	delete(t.cancelAt, orphan)
 	return known
 }
 
-// takeDue returns the orphans to be cancelled now, in order of scheduler and key, and when the next are; 0 where none
-// is. They are not due again until an answer comes, or their scheduler connects again.
+// takeDue returns the orphans to be cancelled now, in order of scheduler and key, and the time at which the next one is
+// due, or 0 if there is none. The returned orphans are not due again until their scheduler refuses the cancel or
+// reconnects.
 func (t *orphanTable) takeDue() (due []Orphan, next scheduler.Time) {
 	now := t.clock.now()
 	for orphan, at := range t.cancelAt {
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -2,9 +2,9 @@
 
 import "glenport/scheduler"
 
-// request requests the placement of a pending replica from a connected scheduler drawn at random. A sticky one is
-// looked up at its scheduler instead, which starts nothing: only that scheduler can know whether it runs, and a key
-// that ran is not run again.
+// request requests the placement of a pending replica from a connected scheduler drawn at random. A sticky replica is
+// looked up at its own scheduler instead, which starts nothing: only that scheduler knows whether the replica runs, and
+// a key under which a container ran is not requested again.
 func (l *lifecycle) request(r *replica) {
 	target := r.scheduler
 	if !r.sticky() {
@@ -37,34 +37,34 @@
 	r.attempts++
 	l.outbox.emit(SubmitRequest{
 		Scheduler: target, RequestID: r.requestID, IdempotencyKey: r.idempotencyKey, Spec: r.job.spec,
-		Timeout: l.classes.of(r.job).PlacementTimeout, Retry: r.keyUse != keyUnused,
+		Timeout: l.classes.classOf(r.job).PlacementTimeout, Retry: r.keyUse != keyUnused,
 	})
 	r.keyUse = keySubmitted
 }
 
-// answered applies the answer to the open request of a replica.
-func (l *lifecycle) answered(r *replica, e PlacementAnswered) {
-	if !r.requestOpen() {
+// handleAnswer applies the answer to the open request of a replica.
+func (l *lifecycle) handleAnswer(r *replica, e PlacementAnswered) {
+	if !r.hasOpenRequest() {
 		return
 	}
 	switch e.Verdict {
 	case VerdictAccepted:
-		l.accepted(r, e)
+		l.handleAccepted(r, e)
 	case VerdictRejected:
-		l.rejected(r, e)
+		l.handleRejected(r, e)
 	case VerdictFailed:
-		l.failed(r, e)
+		l.handleFailed(r, e)
 	case VerdictRefused:
-		l.refused(r, e)
+		l.handleRefused(r, e)
 	}
 }
 
-// accepted handles VerdictAccepted: a machine runs the container, even if its scheduler was asked to cancel it.
-func (l *lifecycle) accepted(r *replica, e PlacementAnswered) {
+// handleAccepted handles VerdictAccepted: a machine runs the container, even if its scheduler was asked to cancel it.
+func (l *lifecycle) handleAccepted(r *replica, e PlacementAnswered) {
 	if !l.enter(r, eventAccepted, replicaRunning, noTimer, statusRunning) {
 		return
 	}
-	// The scheduler knows the key now and keeps one copy of it.
+	// The scheduler now knows the key and keeps a single copy, so a recorded orphan of this key is resolved.
 	if l.orphans.resolve(r.orphan()) {
 		l.outbox.emit(OrphanResolved{r.orphan()})
 	}
@@ -76,26 +76,26 @@
 	l.rollOut(r.job)
 }
 
-// rejected handles VerdictRejected: nothing of the container runs.
-func (l *lifecycle) rejected(r *replica, e PlacementAnswered) {
+// handleRejected handles VerdictRejected: the container does not run.
+func (l *lifecycle) handleRejected(r *replica, e PlacementAnswered) {
 	l.requests.close(r)
-	l.notRunning(r, eventRejected, e)
+	l.handleNotRunning(r, eventRejected, e)
 }
 
-// failed handles VerdictFailed: no machine accepted in time. The container may run nevertheless, unless it was
-// cancelled, and is fenced then unless its work is idempotent.
-func (l *lifecycle) failed(r *replica, e PlacementAnswered) {
+// handleFailed handles VerdictFailed: no machine accepted in time. Unless the request was cancelled, the container may
+// be running nevertheless, and is fenced if its work is not idempotent.
+func (l *lifecycle) handleFailed(r *replica, e PlacementAnswered) {
 	l.requests.close(r)
 	if e.Message != messageCancelled && !l.classes.idempotent(r.job) {
 		l.fence(r, eventFailed, statusFailedMayRun)
 		return
 	}
-	l.notRunning(r, eventFailed, e)
+	l.handleNotRunning(r, eventFailed, e)
 }
 
-// refused handles VerdictRefused: the scheduler did not admit the request, or does not know whether the container runs.
-// A terminating container that may run is cancelled again later.
-func (l *lifecycle) refused(r *replica, e PlacementAnswered) {
+// handleRefused handles VerdictRefused: the scheduler did not admit the request, or does not know whether the container
+// runs. A terminating container that may be running is cancelled again later.
+func (l *lifecycle) handleRefused(r *replica, e PlacementAnswered) {
 	l.requests.close(r)
 	mayRun := r.sticky() || r.state == replicaCancelling
 	switch {
@@ -109,13 +109,13 @@
 	}
 }
 
-// notRunning removes, replaces or retries a replica of which nothing runs.
-func (l *lifecycle) notRunning(r *replica, event replicaEvent, e PlacementAnswered) {
+// handleNotRunning removes, replaces or retries a replica whose container does not run.
+func (l *lifecycle) handleNotRunning(r *replica, event replicaEvent, e PlacementAnswered) {
 	switch {
 	case r.terminating:
 		l.remove(r, event)
 	case r.sticky():
-		l.replaceEnded(r, event)
+		l.restartOrComplete(r, event)
 	default:
 		l.retryLater(r, event, e)
 	}
@@ -125,10 +125,10 @@
 	l.enterPending(r, event, l.random.backoff(r.attempts, e.RetryAfter), answerStatus(e))
 }
 
-// replaceEnded starts a new container in place of one of which nothing runs any more. Work that is at-most-once and not
-// restarted once finished is complete instead: it may have run to its end.
-func (l *lifecycle) replaceEnded(r *replica, event replicaEvent) {
-	if r.job.spec.RunOnce && l.classes.of(r.job).Idempotency == scheduler.AtMostOnce {
+// restartOrComplete starts a new container in place of one that no longer runs. At-most-once work of a RunOnce job is
+// completed instead, because it may have run to its end.
+func (l *lifecycle) restartOrComplete(r *replica, event replicaEvent) {
+	if r.job.spec.RunOnce && l.classes.classOf(r.job).Idempotency == scheduler.AtMostOnce {
 		r.keyUse = keySubmitted
 		l.complete(r, event, statusMayHaveFinished)
 		return
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -2,40 +2,40 @@
 
 import "glenport/scheduler"
 
-// keyUse is what is known of an idempotency key.
+// keyUse describes the use of an idempotency key so far.
 type keyUse uint8
 
 const (
-	keyUnused    keyUse = iota // nothing was requested under it
+	keyUnused    keyUse = iota // no placement was requested under it
 	keySubmitted               // a placement was requested under it
-	keySticky                  // something may run under it, and only the scheduler it was submitted to can know
+	keySticky                  // a container may be running under it, and only the scheduler it was sent to can tell
 )
 
-// replica is one container within the count of its job, or beyond it and not yet ended. Its state changes in transition
-// alone; the other fields are maintained by lifecycle. They are stored as a Container.
+// replica is one container within the count of its job, or one beyond the count that has not ended. Only transition
+// changes its state. lifecycle maintains the other fields. A replica is stored as a Container.
 type replica struct {
 	job      *job
 	index    int
-	revision int // of the spec in its last placement request
+	revision int // revision of the spec in its last placement request
 	state    replicaState
 
-	terminating bool // its job no longer needs it
-	replacing   bool // it was cancelled in favor of a newer spec
-	refused     bool // the last answer before it became pending was a VerdictRefused
+	terminating bool // its job does not want it
+	replacing   bool // cancelled in favor of a newer spec
+	refused     bool // it became pending after a VerdictRefused
 
 	idempotencyKey string
 	keyUse         keyUse
 	requestID      string // of the last request
-	scheduler      int    // the last that was sent a request for it; noScheduler: none
-	machine        string // that runs it
+	scheduler      int    // the scheduler that received the last request for it; noScheduler: none
+	machine        string // the machine that runs it
 	submittedSpec  Spec   // of the last placement request
-	attempts       int    // placement requests since it last ran
+	attempts       int    // number of placement requests since it last ran
 	starts         int
 
-	since      scheduler.Time // when its state began
-	until      scheduler.Time // when the next step is due; 0: none is scheduled
-	lastStatus string         // the last answer or outcome, for people
-	// added to its next lookup, so that a restarted controller does not look up all at once
+	since      scheduler.Time // when it entered its state
+	until      scheduler.Time // when the next step is due; 0: no step is scheduled
+	lastStatus string         // last answer or outcome, for display
+	// added to the delay of the next lookup, so that a restarted controller spreads its lookups
 	lookupDelay scheduler.Time
 }
 
@@ -43,12 +43,13 @@
 	return &replica{job: j, index: index, revision: j.revision, scheduler: noScheduler}
 }
 
-// newMissingReplica returns the placeholder, in a restored job, of a container that was removed.
-func newMissingReplica(j *job, index int) *replica {
+// newPlaceholderReplica returns a replica that stands, in the list of a restored job, for a container that was removed.
+func newPlaceholderReplica(j *job, index int) *replica {
 	return &replica{job: j, index: index, state: replicaRemoved, terminating: true}
 }
 
-// newRestoredReplica has the facts of a stored container. Its state follows from lifecycle.restored.
+// newRestoredReplica returns the replica of a stored container, in the state replicaCreated. lifecycle.resume sets its
+// state.
 func newRestoredReplica(j *job, stored *Container) *replica {
 	return &replica{
 		job: j, index: stored.Index,
@@ -70,10 +71,10 @@
 	return keyUnused
 }
 
-// record is the replica as it is stored.
+// record returns the replica in its stored form.
 func (r *replica) record() Container {
 	return Container{
-		Job: r.job.id, Index: r.index, State: r.state.stored(), Terminating: r.terminating,
+		Job: r.job.id, Index: r.index, State: r.state.containerState(), Terminating: r.terminating,
 		Machine: r.machine, Scheduler: r.scheduler, Sticky: r.sticky(),
 		Since: r.since, Until: r.until, Attempts: r.attempts, Starts: r.starts,
 		LastStatus: r.lastStatus, Refused: r.refused,
@@ -82,20 +83,20 @@
 	}
 }
 
-// sticky reports whether it may run while only its scheduler can know.
+// sticky reports whether the replica may be running and only its scheduler can tell.
 func (r *replica) sticky() bool { return r.keyUse == keySticky }
 
-// orphan is the copy that the replica's last request may have left at its scheduler.
+// orphan returns the copy that the replica's last request may have left at its scheduler.
 func (r *replica) orphan() Orphan { return Orphan{r.scheduler, r.idempotencyKey} }
 
-// requestOpen reports whether a scheduler has a request for the replica and has not answered it.
-func (r *replica) requestOpen() bool {
+// hasOpenRequest reports whether a scheduler has a request for the replica and has not answered it.
+func (r *replica) hasOpenRequest() bool {
 	return r.state == replicaPlacing || r.state == replicaLookingUp || r.state == replicaCancelling
 }
 
-// mayEnd reports whether the end of its container is expected. While it is placed or looked up, that is so only once it
-// is terminating, as its request was cancelled then.
-func (r *replica) mayEnd() bool {
+// expectsEnd reports whether the end of the replica's container is expected. While the replica is placed or looked up,
+// it is expected only if the replica is terminating, because its request was cancelled then.
+func (r *replica) expectsEnd() bool {
 	switch r.state {
 	case replicaPlacing, replicaLookingUp:
 		return r.terminating
@@ -106,7 +107,7 @@
 	return false
 }
 
-// rollingOut reports whether a replica was cancelled for the newest spec, or has that spec and does not run yet.
+// rollingOut reports whether the replica was cancelled for the newest spec, or has that spec and is being restarted.
 func (r *replica) rollingOut() bool {
 	if r.replacing {
 		return true
--- a/internal/controller/replicastate.go
+++ b/internal/controller/replicastate.go
@@ -6,20 +6,20 @@
 	"glenport/internal/statemachine"
 )
 
-// replicaState is where a replica is in its life.
+// replicaState is the state of a replica in its life cycle.
 type replicaState uint8
 
 const (
-	replicaCreated    replicaState = iota // no step was taken about it yet
-	replicaPending                        // its placement is requested, or it is looked up, when its time comes
+	replicaCreated    replicaState = iota // new or restored, before its first step
+	replicaPending                        // its next placement request or lookup is scheduled
 	replicaPlacing                        // a scheduler has a placement request for it
-	replicaLookingUp                      // its scheduler is asked whether it runs
-	replicaCancelling                     // its scheduler is asked to end what may run
+	replicaLookingUp                      // its scheduler has a lookup request for it
+	replicaCancelling                     // its scheduler has a cancel request for it, as it may be running
 	replicaRunning                        // a machine runs it
-	replicaFencing                        // it may run: nothing is requested until the fencing delay is over
-	replicaUnobserved                     // it ran, or may have, when its scheduler was lost
+	replicaFencing                        // it may be running: nothing is requested until the fencing delay is over
+	replicaUnobserved                     // it ran, or may have been running, when its scheduler was lost
 	replicaCompleted                      // it is not started again
-	replicaRemoved                        // it has ended, and its job does not want it
+	replicaRemoved                        // it has ended, and its job did not want it
 )
 
 func (s replicaState) String() string {
@@ -29,9 +29,10 @@
 	}[s]
 }
 
-// stored is the state in the record of a replica. A lookup and a cancel are stored as a request: a restarted controller
-// looks up what any of them was for. Replicas that are created or removed have no record.
-func (s replicaState) stored() ContainerState {
+// containerState returns the state in the record of a replica. A lookup and a cancel are stored like a placement
+// request, because a restarted controller looks up the replica in each case. Replicas that are created or removed have
+// no record.
+func (s replicaState) containerState() ContainerState {
 	switch s {
 	case replicaPlacing, replicaLookingUp, replicaCancelling:
 		return StatePlacing
@@ -48,21 +49,21 @@
 	return StatePending
 }
 
-// replicaEvent is what happened to a replica.
+// replicaEvent is an event that concerns one replica.
 type replicaEvent uint8
 
 const (
 	eventCreated            replicaEvent = iota // its job wants one more container
-	eventRestored                               // an earlier incarnation of the controller has stored it
+	eventRestored                               // an earlier incarnation of the controller stored it
 	eventTimerFired                             // the delay of its state is over
 	eventAccepted                               // a machine runs it
-	eventRejected                               // nothing of it runs
+	eventRejected                               // its container does not run
 	eventFailed                                 // no machine accepted in time
-	eventRefused                                // the request was not admitted, or nobody is sure whether it runs
+	eventRefused                                // the request was not admitted, or it is unknown whether it runs
 	eventEnded                                  // its container has ended, or was lost with its machine
-	eventSchedulerConnected                     // its scheduler is connected again, or any is
+	eventSchedulerConnected                     // its scheduler has reconnected, or any has if it waited for any
 	eventSchedulerLost                          // the connection to its scheduler was lost
-	eventScaledDown                             // its job does not want it any more
+	eventScaledDown                             // its job no longer wants it
 )
 
 func (e replicaEvent) String() string {
@@ -72,8 +73,8 @@
 	}[e]
 }
 
-// transitions holds the states that an event may lead to. Where there are several the facts of the replica decide: the
-// idempotency of its work, whether it may run, and whether its job wants it.
+// transitions holds the states that an event may lead to. If there are several, the choice depends on whether the
+// replica's work is idempotent, whether its container may be running, and whether its job wants it.
 var transitions = statemachine.Choices[replicaState, replicaEvent]{
 	replicaCreated: {
 		eventCreated:  {replicaPending},
@@ -92,7 +93,7 @@
 		eventEnded:         {replicaFencing, replicaRemoved},
 		eventSchedulerLost: {replicaPending, replicaFencing, replicaRemoved},
 	},
-	replicaLookingUp: mayRunTransitions,
+	replicaLookingUp: lookupTransitions,
 	replicaCancelling: {
 		eventAccepted:      {replicaRunning},
 		eventRejected:      {replicaPending, replicaCompleted, replicaRemoved},
@@ -119,8 +120,8 @@
 	replicaRemoved: {},
 }
 
-// mayRunTransitions are those while a scheduler is asked whether it runs.
-var mayRunTransitions = map[replicaEvent][]replicaState{
+// lookupTransitions are the transitions of a replica that is being looked up.
+var lookupTransitions = map[replicaEvent][]replicaState{
 	eventAccepted:      {replicaRunning},
 	eventRejected:      {replicaPending, replicaCompleted, replicaRemoved},
 	eventFailed:        {replicaPending, replicaFencing, replicaCompleted, replicaRemoved},
@@ -129,11 +130,11 @@
 	eventSchedulerLost: {replicaPending, replicaFencing, replicaRemoved},
 }
 
-// transition is the one place where the state of a replica changes. An event that must not lead to a state is reported
-// as a *statemachine.TransitionError, and the state stays.
+// transition changes the state of a replica, and is the only place that does. If the table does not allow the
+// transition, it returns a *statemachine.TransitionError and the state stays.
 func (r *replica) transition(event replicaEvent, to replicaState) error {
 	return transitions.Apply(r, &r.state, event, to)
 }
 
-// String names a replica in errors.
+// String identifies the replica in errors.
 func (r *replica) String() string { return fmt.Sprintf("container %d of job %s", r.index, r.job.id) }
--- a/internal/controller/replicastate_test.go
+++ b/internal/controller/replicastate_test.go
@@ -8,7 +8,8 @@
 	"glenport/internal/statemachine/statemachinetest"
 )
 
-// forEachTransition calls visit for every state, event and next state, and says whether the table allows it.
+// forEachTransition calls visit for each state, event and next state, and tells it whether the table allows that
+// transition.
 func forEachTransition(visit func(from replicaState, event replicaEvent, to replicaState, allowed bool)) {
 	for from := replicaCreated; from <= replicaRemoved; from++ {
 		for event := eventCreated; event <= eventScaledDown; event++ {
--- a/internal/controller/restore.go
+++ b/internal/controller/restore.go
@@ -10,26 +10,27 @@
 	"glenport/scheduler"
 )
 
-// restoredRevision is that of the specs of restored jobs. Containers of another spec keep revision 0 and are replaced.
+// restoredRevision is the revision of the specs of restored jobs. Containers with another spec keep revision 0 and are
+// replaced.
 const restoredRevision = 1
 
-// sortedContainers returns a copy in order of job and index.
+// sortedContainers returns a copy of the containers in order of job and index.
 func sortedContainers(containers []Container) []Container {
 	return slices.SortedFunc(slices.Values(containers), func(a, b Container) int {
 		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Index, b.Index))
 	})
 }
 
-// restoreReplica puts a stored container in its place in its job. Places before it that have no container count as
-// removed.
+// restoreReplica adds the replica of a stored container to its job. Lower indexes without a container get placeholders
+// that count as removed.
 func (c *Controller) restoreReplica(stored *Container) *replica {
 	j := c.jobs.find(stored.Job)
-	if j == nil { // the job was deleted, and this container has to end
+	if j == nil { // the job was deleted, and its container must end
 		j = &job{id: stored.Job, spec: stored.SubmittedSpec, revision: restoredRevision}
 		c.jobs.add(j)
 	}
 	for len(j.replicas) <= stored.Index {
-		j.replicas = append(j.replicas, newMissingReplica(j, len(j.replicas)))
+		j.replicas = append(j.replicas, newPlaceholderReplica(j, len(j.replicas)))
 	}
 	r := newRestoredReplica(j, stored)
 	if stored.SubmittedSpec == j.spec || stored.State == StatePending {
@@ -39,9 +40,10 @@
 	return r
 }
 
-// sequenceAfter is the number at the end of a key or request id, behind the last separator. One without a number, as
-// where nothing was requested yet, counts as 0: it cannot come again.
-func sequenceAfter(separator, id string) uint64 {
+// trailingNumber returns the number after the last separator of a key or request id. It returns 0 if there is none, as
+// for the empty request id of a replica that was never requested. Ids without a number are never generated, so none of
+// them can be reused.
+func trailingNumber(separator, id string) uint64 {
 	digits := id[strings.LastIndex(id, separator)+1:]
 	n, err := strconv.ParseUint(digits, 10, 64)
 	if err != nil {
@@ -50,9 +52,9 @@
 	return n
 }
 
-// restored takes the first step about a replica whose container had come to a phase, which recovery decides. The
-// position among all restored ones paces it.
-func (l *lifecycle) restored(r *replica, phase recovery.ContainerPhase, position int) {
+// resume takes the first step of a restored replica, as package recovery decides for the phase of its container. The
+// position of the replica among all restored ones spreads the steps over time.
+func (l *lifecycle) resume(r *replica, phase recovery.ContainerPhase, position int) {
 	step, delay := recovery.Resume(phase, position)
 	switch step {
 	case recovery.StepLookup:
@@ -66,8 +68,8 @@
 	}
 }
 
-// resumeLookup waits for the scheduler of a replica that may run. If that is no longer configured, idempotent work is
-// started anew, and other work stays as it is.
+// resumeLookup waits for the scheduler of a replica that may be running. If that scheduler is no longer configured,
+// idempotent work is started anew, and other work stays sticky.
 func (l *lifecycle) resumeLookup(r *replica, delay scheduler.Time) {
 	switch {
 	case r.scheduler != noScheduler:
@@ -82,7 +84,7 @@
 	}
 }
 
-// recoveryPhase is how far a stored container had come.
+// recoveryPhase returns the phase that a stored container had reached.
 func recoveryPhase(container *Container) recovery.ContainerPhase {
 	switch container.State {
 	case StatePending:
--- a/internal/controller/restore_test.go
+++ b/internal/controller/restore_test.go
@@ -8,22 +8,22 @@
 	"glenport/scheduler"
 )
 
-// jobDeleted stands for the count of a job that is not stored any more.
+// jobDeleted, given as a count, means that the job is no longer stored.
 const jobDeleted = -1
 
-// restoreCase is a container as it was stored, the count its job has, and steps of driver.step; then the state of the
-// container, how many requests were sent for it, the scheduler and key of the last one, and how many cancels.
+// restoreCase gives a stored container, the count of its job, and steps of driver.step. It then gives the state of the
+// container, the number of requests sent for it, the scheduler and key of the last request, and the number of cancels.
 type restoreCase struct {
 	name        string
 	idempotency scheduler.Idempotency
 	state       ContainerState
-	change      func(c *Container) // of the stored container
+	change      func(c *Container) // applied to the stored container
 	count       int
 	steps       string
 	want        string
 }
 
-// Changes of the stored container.
+// Changes applied to the stored container.
 func unchanged(*Container)          {}
 func neverRequested(c *Container)   { c.Scheduler, c.RequestID, c.Submitted = -1, "", false }
 func neverSubmitted(c *Container)   { c.Scheduler, c.Submitted = -1, false }
@@ -39,15 +39,18 @@
 var restoreCases = []restoreCase{
 	{"never requested", atMostOnce, StatePending, neverRequested, 1, "connect-other 1s", "placing 1 at 1 with j/0/41"},
 	{"placing, another connected", atMostOnce, StatePlacing, unchanged, 1, "connect-other 9s", "unobserved 0"},
-	{"placing, idempotent: not twice", idempotent, StatePlacing, unchanged, 1, "connect-other 5s", "unobserved 0"},
+	{
+		"placing, idempotent, another connected", idempotent, StatePlacing, unchanged, 1, "connect-other 5s",
+		"unobserved 0",
+	},
 	{"placing, connected", atMostOnce, StatePlacing, unchanged, 1, "connect 2s", "placing 1 at 0 with j/0/41"},
-	{"placing, it runs", atMostOnce, StatePlacing, unchanged, 1, "connect 2s accept", "running 1 at 0 with j/0/41"},
+	{"placing, accepted", atMostOnce, StatePlacing, unchanged, 1, "connect 2s accept", "running 1 at 0 with j/0/41"},
 	{"running", atMostOnce, StateRunning, unchanged, 1, "connect 2s accept", "running 1 at 0 with j/0/41"},
 	{
-		"running, idempotent, scheduler stays away", idempotent, StateRunning, unchanged, 1, "connect-other 11s",
+		"running, idempotent, scheduler not reconnected", idempotent, StateRunning, unchanged, 1, "connect-other 11s",
 		"placing 1 at 1 with another key",
 	},
-	{"running, scheduler stays away", atMostOnce, StateRunning, unchanged, 1, "connect-other 60s", "unobserved 0"},
+	{"running, scheduler not reconnected", atMostOnce, StateRunning, unchanged, 1, "connect-other 60s", "unobserved 0"},
 	{"sticky while pending", atMostOnce, StatePending, sticky, 1, "connect-other 9s", "unobserved 0"},
 	{"fencing", atMostOnce, StateFencing, unchanged, 1, "connect 7s", "fencing 0"},
 	{"fencing, delay over", atMostOnce, StateFencing, unchanged, 1, "connect 9s", "placing 1 at 0 with j/0/41"},
@@ -60,7 +63,7 @@
 		"scheduler removed, idempotent", idempotent, StateRunning, schedulerRemoved, 1, "connect-other 1s",
 		"placing 1 at 1 with another key",
 	},
-	// Without its check this indexed a scheduler -1.
+	// Guards against indexing the schedulers with -1.
 	{"scheduler removed, scaled down", atMostOnce, StateRunning, schedulerRemoved, 0, "connect 9s", "unobserved 0"},
 	{
 		"job without its container", atMostOnce, StatePending, missing, 1, "connect 1s",
@@ -86,7 +89,8 @@
 	}
 }
 
-// restoredState holds one container, unless it has no job, and its job unless that was deleted.
+// restoredState returns an event with one container, unless the container has no job, and with its job, unless the job
+// was deleted.
 func restoredState(stored Container, count int, spec Spec) StateRestored {
 	var e StateRestored
 	if stored.Job != "" {
@@ -98,15 +102,15 @@
 	return e
 }
 
-// lastTarget names the scheduler and key of the last request, which must have an id that no earlier incarnation has
-// used.
+// lastTarget returns the scheduler and key of the last request as a text. The id of that request must not be the stored
+// one.
 func (d *driver) lastTarget(stored Container) string {
 	d.Helper()
 	if len(d.requests) == 0 {
 		return ""
 	}
 	last := d.lastRequest()
-	testutil.Expect(d, last.RequestID != stored.RequestID, "a request id of the earlier incarnation has come again")
+	testutil.Expect(d, last.RequestID != stored.RequestID, "a request id of the earlier incarnation is used again")
 	key := last.IdempotencyKey
 	if key != stored.IdempotencyKey {
 		key = "another key"
@@ -121,23 +125,24 @@
 	} {
 		d := newDriver(t, scheduler.Idempotent)
 		d.handle(restoredState(stored, 2, Spec{}), SchedulerConnection{0, true})
-		d.pass(second)
+		d.advanceTime(second)
 		testutil.Require(t, len(d.requests) == 2, "%d requests, want 2", len(d.requests))
 		for _, r := range d.requests {
-			n := sequenceAfter("#", r.RequestID)
+			n := trailingNumber("#", r.RequestID)
 			testutil.Expect(t, n > 41, "request %s is not numbered above 41", r.RequestID)
 		}
 		key := d.containers[1].IdempotencyKey
-		testutil.Expect(t, sequenceAfter("/", key) > 41, "key %s is not numbered above 41", key)
+		testutil.Expect(t, trailingNumber("/", key) > 41, "key %s is not numbered above 41", key)
 	}
 }
 
-// A container is missing before one that ends at once: both leave the job's list in one step.
+// The containers with lower indexes are missing, and the last one ends at once. The gap and the last replica must leave
+// the job's list in the same step.
 func TestRestoredGapBeforeTheLastContainerIsDropped(t *testing.T) {
 	d := newDriver(t, scheduler.Idempotent)
 	d.handle(StateRestored{Containers: []Container{{Job: "j", Index: 2, Scheduler: -1, IdempotencyKey: "j/2/41"}}})
 	d.handle(JobSet{"j", 1, Spec{}}, SchedulerConnection{0, true})
-	d.pass(second)
+	d.advanceTime(second)
 	testutil.Expect(t, len(d.requests) == 1 && len(d.containers) == 1,
 		"%d requests for %d containers, want one of each", len(d.requests), len(d.containers))
 }
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -2,42 +2,44 @@
 
 import "slices"
 
-// scale adjusts the replicas of a job to its count: missing ones are created, and those beyond the count terminate.
+// scale adjusts the replicas of a job to its count. It creates the missing ones and terminates those beyond the count.
 func (l *lifecycle) scale(j *job) {
 	l.createMissing(j)
-	// The end of the last replicas shortens the list of the job, not the one that is iterated here.
+	// Removing the last replicas shortens j.replicas, but not the slice that is iterated here.
 	for i, r := range slices.Backward(j.replicas) {
 		switch withinCount := i < j.count; {
 		case withinCount && r.terminating:
-			l.scaledUp(r)
+			l.retain(r)
 		case !withinCount && !r.terminating:
-			l.scaledDown(r)
+			l.terminate(r)
 		}
 	}
 	l.jobs.trim(j)
 }
 
-// createMissing creates the replicas up to a job's count that do not exist or have been removed; a removed one keeps
-// its place while one behind it is terminating.
+// createMissing creates the replicas below the count of a job that do not exist or have been removed. A removed replica
+// stays in the list while one with a higher index is terminating.
 func (l *lifecycle) createMissing(j *job) {
 	for i := range j.count {
 		if i == len(j.replicas) {
 			j.replicas = append(j.replicas, nil)
 		}
 		if j.replicas[i] == nil || j.replicas[i].state == replicaRemoved {
-			l.created(j, i)
+			l.create(j, i)
 		}
 	}
 }
 
-// scaledUp keeps a replica that was terminating. What was cancelled ends all the same, and is started again.
-func (l *lifecycle) scaledUp(r *replica) {
+// retain marks a terminating replica as wanted again. If its container was cancelled, the container still ends, and a
+// new one is started.
+func (l *lifecycle) retain(r *replica) {
 	r.terminating = false
 	l.outbox.markChanged(r)
 }
 
-// scaledDown ends a replica that is not wanted. One that may run is cancelled, or waited for, first.
-func (l *lifecycle) scaledDown(r *replica) {
+// terminate marks a replica as not wanted. If its container may be running, the container is cancelled or its end
+// awaited before the replica is removed.
+func (l *lifecycle) terminate(r *replica) {
 	r.terminating = true
 	l.outbox.markChanged(r)
 	switch r.state {
@@ -52,18 +54,18 @@
 	case replicaCompleted:
 		l.remove(r, eventScaledDown)
 	case replicaFencing, replicaUnobserved:
-		// The end of the fencing delay, or the scheduler's connection, goes on with it.
-	case replicaCreated, replicaRemoved: // never among the replicas that are scaled
+		// The next step follows when the delay of the state is over or its scheduler has reconnected.
+	case replicaCreated, replicaRemoved: // these are never terminated
 	}
 }
 
-// cancelRequest ends the open request of a replica, or the container that was accepted by it.
+// cancelRequest cancels the open request of a replica, or the container that was accepted for it.
 func (l *lifecycle) cancelRequest(r *replica) {
 	l.outbox.emit(CancelRequest{r.scheduler, r.requestID, r.idempotencyKey})
 }
 
-// cancelKey ends a replica that may run, by a request of its own to the scheduler that can know. While that is not
-// connected the replica stays, as one that takes its place could be a second copy.
+// cancelKey cancels a replica that may be running, with a new request to the only scheduler that can tell. While that
+// scheduler is not connected the replica is kept, because a replacement could become a second copy.
 func (l *lifecycle) cancelKey(r *replica, event replicaEvent) {
 	if !l.schedulers.isConnected(r.scheduler) {
 		l.enter(r, event, replicaUnobserved, noTimer, r.lastStatus)
@@ -75,7 +77,7 @@
 	}
 }
 
-// rollOut replaces running containers by ones of the job's newest spec, one at a time.
+// rollOut replaces running containers by containers of the job's newest spec, one at a time.
 func (l *lifecycle) rollOut(j *job) {
 	if r := j.nextToReplace(); r != nil {
 		r.replacing = true
--- a/internal/controller/singlecopy_test.go
+++ b/internal/controller/singlecopy_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever happens, work that is not idempotent has one copy at most. Once faults end every wanted container runs, no
-// other does, and the controller's tables are emptied with the last job.
+// Work that is not idempotent has at most one copy throughout. Once the faults end, each wanted container runs and no
+// other does. After the last job is deleted, the tables of the controller are empty.
 func TestNonIdempotentWorkHasOneCopy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newSingleCopyModel(t)
@@ -26,40 +26,40 @@
 		}
 		m.handle(JobSet{"j", 2, Spec{}})
 		for range 200 {
-			m.pass(second)
+			m.advanceTime(second)
 			for len(m.requests) > 0 {
 				m.answerOldest(answerAccept)
 			}
 		}
 		if c := m.copies; c["j/0"] != 1 || c["j/1"] != 1 || c["j/2"]+c["j/3"] != 0 {
-			t.Fatalf("in the end these run: %v; %+v", c, m.controller.jobs.sortedReplicas())
+			t.Fatalf("running at the end: %v, want j/0 and j/1; replicas %+v", c, m.controller.jobs.sortedReplicas())
 		}
 		m.handle(JobDeleted{"j"})
-		m.pass(20 * second)
+		m.advanceTime(20 * second)
 		left := len(m.controller.jobs.byID) + len(m.controller.requests.byID) + len(m.controller.timers.current)
 		testutil.Require(t, left == 0 && m.copies["j/0"]+m.copies["j/1"] == 0,
-			"%d left in tables, %v running", left, m.copies)
+			"%d entries left in tables, %v running", left, m.copies)
 	})
 }
 
-// modelRequest is a request that a scheduler has not answered.
+// modelRequest is a request that a scheduler has not answered yet.
 type modelRequest struct {
 	SubmitRequest
 	sentAt      scheduler.Time
-	incarnation int // of the scheduler
+	incarnation int // incarnation of the scheduler when it was sent
 }
 
-// singleCopyModel is a controller with schedulers that answer late and in all ways, lose their connection and start
-// what was sent to them after it.
+// singleCopyModel is a controller with schedulers that answer late and with any answer, lose their connection, and
+// start containers that were requested before the loss.
 type singleCopyModel struct {
 	t *rapid.T
 	testClock
 	controller   *Controller
-	copies       map[string]int    // of a container, by job/index
+	copies       map[string]int    // number of copies by container, named job/index
 	running      map[string]string // request id by key
 	runsAt       map[string]int    // scheduler by key
 	requests     []modelRequest
-	lookups      map[string]bool // request ids
+	lookups      map[string]bool // request ids of lookups
 	incarnations [2]int
 	connected    [2]bool
 }
@@ -72,7 +72,7 @@
 	}
 }
 
-// containerOf is the job/index of a key.
+// containerOf returns the container that a key is for, named job/index.
 func containerOf(key string) string { return key[:strings.LastIndex(key, "/")] }
 
 func (m *singleCopyModel) handle(events ...Event) {
@@ -93,7 +93,7 @@
 	}
 }
 
-func (m *singleCopyModel) pass(span scheduler.Time) {
+func (m *singleCopyModel) advanceTime(span scheduler.Time) {
 	m.advance(span, func() { m.handle(TimerFired{}) })
 }
 
@@ -105,7 +105,7 @@
 	container := containerOf(r.IdempotencyKey)
 	m.copies[container]++
 	m.running[r.IdempotencyKey], m.runsAt[r.IdempotencyKey] = r.RequestID, r.Scheduler
-	testutil.Require(m.t, m.copies[container] <= 1, "%s runs twice at %d", container, m.now)
+	testutil.Require(m.t, m.copies[container] <= 1, "%s has two copies at %d", container, m.now)
 }
 
 func (m *singleCopyModel) stop(key string) {
@@ -113,8 +113,8 @@
 	delete(m.running, key)
 }
 
-// cancel answers a cancel as a scheduler does: with the end of the container that runs, with the end of the open
-// request, or that it does not know whether the container runs.
+// cancel answers a cancel as a scheduler does: with the end of the running container, with the end of the open request,
+// or with a refusal because it does not know whether the container runs.
 func (m *singleCopyModel) cancel(a CancelRequest) {
 	if !m.connected[a.Scheduler] {
 		return
@@ -123,7 +123,7 @@
 		m.cancelRunning(a)
 		return
 	}
-	open, verdict := m.requestsOfKey(a)
+	open, verdict := m.findOpenRequest(a)
 	if open >= 0 {
 		r := m.requests[open]
 		m.requests = slices.Delete(m.requests, open, open+1)
@@ -143,10 +143,10 @@
 	m.handle(ContainerEnded{a.RequestID, scheduler.OutcomeStopped, 0})
 }
 
-// requestsOfKey returns the position of the open request that a cancel is for, or -1, and the answer to the cancel.
-// While an attempt of an earlier incarnation may start, the scheduler does not know whether one runs, and accepts no
-// request of its key either.
-func (m *singleCopyModel) requestsOfKey(a CancelRequest) (open int, verdict Verdict) {
+// findOpenRequest returns the index of the open request that a cancel is for, or -1, and the verdict with which both
+// are answered. While an attempt of an earlier incarnation may start, the scheduler does not know whether the container
+// runs, and refuses both.
+func (m *singleCopyModel) findOpenRequest(a CancelRequest) (open int, verdict Verdict) {
 	open, verdict = -1, VerdictFailed
 	for i, r := range m.requests {
 		if r.IdempotencyKey != a.IdempotencyKey || r.Scheduler != a.Scheduler {
@@ -163,15 +163,15 @@
 
 // Ways in which a scheduler answers a placement request.
 const (
-	answerAcceptLate = iota // accepted, even if the scheduler was lost since
+	answerAcceptLate = iota // accepted, even if the scheduler has been lost since
 	answerAccept
 	answerReject
-	answerFailAndRun // failed, though it runs
+	answerFailAndRun // failed, although the container runs
 	answerFail
 	answerRefuse
 )
 
-// answerOldest answers the oldest request in one of the ways that a scheduler may.
+// answerOldest answers the oldest request in one of the ways above, as far as its state allows.
 func (m *singleCopyModel) answerOldest(way int) {
 	r := m.requests[0]
 	m.requests = m.requests[1:]
@@ -179,7 +179,7 @@
 	lookup := m.lookups[r.RequestID]
 	switch {
 	case !m.connected[r.Scheduler] || m.incarnations[r.Scheduler] != r.incarnation:
-		// The controller has learned of the loss. The attempt may start all the same, until its timeout.
+		// The controller knows of the lost connection. The attempt may still start until its timeout.
 		if !runs && way == answerAcceptLate && m.now-r.sentAt < testPlacementTimeout && !lookup {
 			m.start(r.SubmitRequest)
 		}
@@ -195,7 +195,7 @@
 	}
 }
 
-// lookupVerdict is the answer about a key under which nothing runs now.
+// lookupVerdict returns the answer to a lookup of a key under which no container runs now.
 func (m *singleCopyModel) lookupVerdict(lookup modelRequest) Verdict {
 	for _, r := range m.requests {
 		if r.IdempotencyKey == lookup.IdempotencyKey && !m.lookups[r.RequestID] &&
@@ -235,7 +235,7 @@
 		m.incarnations[n]++
 		m.handle(SchedulerConnection{n, m.connected[n]})
 	case 3:
-		m.pass(scheduler.Time(rapid.IntRange(1, 100_000).Draw(m.t, "span")))
+		m.advanceTime(scheduler.Time(rapid.IntRange(1, 100_000).Draw(m.t, "span")))
 	case 4:
 		m.handle(JobSet{"j", rapid.IntRange(0, 4).Draw(m.t, "count"), Spec{}})
 	case 5:
@@ -245,7 +245,7 @@
 	}
 }
 
-// drain has the machine of a container send it away, where a scheduler can report that.
+// drain evicts a container because its machine drains, if its scheduler is connected and can report that.
 func (m *singleCopyModel) drain(container string) {
 	for key, requestID := range m.running {
 		if containerOf(key) == container && m.connected[m.runsAt[key]] {
--- a/internal/controller/timers.go
+++ b/internal/controller/timers.go
@@ -6,24 +6,25 @@
 	"glenport/scheduler"
 )
 
-// noTimer as a delay says that a state lasts until an event ends it.
+// noTimer, given as a delay, means that a state has no timer and lasts until another event.
 const noTimer scheduler.Time = -1
 
-// timerQueue holds when the next step of each replica is due, and when the caller was asked to call.
+// timerQueue holds the time at which the next step of each replica is due, and the time of the wakeup requested from
+// the caller.
 type timerQueue struct {
 	clock    *clock
 	sequence *sequence
-	heap     timerHeap           // void timers stay in it until they are due
-	current  map[*replica]uint64 // the sequence number of a replica's timer; all others of it are void
-	wakeupAt scheduler.Time      // of the last SetTimer
+	heap     timerHeap           // cancelled and replaced timers stay in it until they are due
+	current  map[*replica]uint64 // sequence number of the valid timer of a replica
+	wakeupAt scheduler.Time      // the time that the last SetTimer requested
 }
 
 func newTimerQueue(c *clock, s *sequence) *timerQueue {
 	return &timerQueue{clock: c, sequence: s, current: map[*replica]uint64{}}
 }
 
-// set makes the next step of a replica due after a delay, at least one unit of time from now, and returns that time; 0
-// for noTimer. Earlier timers of it are void.
+// set makes the next step of a replica due after a delay, at least one unit of time from now, and returns the time at
+// which it is due, or 0 for noTimer. It replaces an earlier timer of the replica.
 func (q *timerQueue) set(r *replica, delay scheduler.Time) scheduler.Time {
 	q.cancel(r)
 	if delay == noTimer {
@@ -37,7 +38,7 @@
 
 func (q *timerQueue) cancel(r *replica) { delete(q.current, r) }
 
-// nextDue returns the next replica whose step is due, nil where there is none.
+// nextDue returns the next replica whose step is due, or nil if there is none.
 func (q *timerQueue) nextDue() *replica {
 	for len(q.heap) > 0 && q.heap[0].at <= q.clock.now() {
 		t := q.heap[0]
@@ -50,10 +51,11 @@
 	return nil
 }
 
-// wakeup returns after which delay the caller has to call for the next step, or for what else is due at a time (0:
-// nothing); ok is false where an earlier wakeup covers it.
-func (q *timerQueue) wakeup(other scheduler.Time) (after scheduler.Time, ok bool) {
-	next := other
+// nextWakeup returns the delay after which the caller must call Handle for the next step of a replica, or for the work
+// of other components that is due at otherDue (0: none). ok is false if a wakeup that was requested earlier suffices,
+// or if nothing is due.
+func (q *timerQueue) nextWakeup(otherDue scheduler.Time) (after scheduler.Time, ok bool) {
+	next := otherDue
 	if len(q.heap) > 0 && (next == 0 || q.heap[0].at < next) {
 		next = q.heap[0].at
 	}
@@ -65,14 +67,14 @@
 	return next - now, true
 }
 
-// timer is when the next step of a replica is due.
+// timer is the due time of the next step of a replica.
 type timer struct {
 	at       scheduler.Time
 	sequence uint64 // timers of the same time fire in the order in which they were set
 	replica  *replica
 }
 
-// timerHeap holds the earliest timer first, for container/heap.
+// timerHeap is a heap for container/heap with the earliest timer first.
 type timerHeap []timer
 
 func (h timerHeap) Len() int { return len(h) }
@@ -86,14 +88,14 @@
 
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push is called by container/heap alone.
+// Push implements heap.Interface.
 func (h *timerHeap) Push(x any) {
 	if t, ok := x.(timer); ok {
 		*h = append(*h, t)
 	}
 }
 
-// Pop is called by container/heap alone.
+// Pop implements heap.Interface.
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
