--- a/internal/testbed/emulator/endpoint.go
+++ b/internal/testbed/emulator/endpoint.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return err
 	}
-	e.listener, err = loopback.Listen(port.Address)
+	e.listener, err = port.Listen()
 	return err
 }
 
