--- a/internal/controller/watchcache/history.go
+++ b/internal/controller/watchcache/history.go
@@ -2,14 +2,14 @@
 
 import "sort"
 
-// historyLength is the number of changes that are kept for watches that resume.
+// historyLength is the number of recent changes that are kept for watches that resume.
 const historyLength = 20_000
 
-// history holds the last changes in a ring.
+// history is a ring buffer of the most recent changes.
 type history struct {
 	changes   []*Object
-	next      int   // the position that the next change takes
-	compacted int64 // changes up to this version are no longer here
+	next      int   // index of the next write
+	compacted int64 // changes up to this version have been discarded
 }
 
 func (h *history) add(o *Object) {
@@ -22,7 +22,7 @@
 	h.next = (h.next + 1) % historyLength
 }
 
-// at returns the ith of the changes, the oldest first.
+// at returns the ith change, counted from the oldest.
 func (h *history) at(i int) *Object {
 	if len(h.changes) < historyLength {
 		return h.changes[i]
@@ -30,7 +30,7 @@
 	return h.changes[(h.next+i)%historyLength]
 }
 
-// since returns the changes after a version, the oldest first.
+// since returns the changes after a version, oldest first.
 func (h *history) since(version int64) []*Object {
 	first := sort.Search(len(h.changes), func(i int) bool { return h.at(i).Version > version })
 	changes := make([]*Object, 0, len(h.changes)-first)
--- a/internal/controller/watchcache/watchcache.go
+++ b/internal/controller/watchcache/watchcache.go
@@ -1,12 +1,11 @@
 // Package watchcache holds versioned objects by kind and ID, and streams their changes to watchers.
 //
-// Every change has a version, larger than those before it over all kinds. A client lists objects together with the
-// version as of which the list holds, and watches from there: no change is missed and none is sent twice. The last
-// changes are kept for watches that resume; a watch from an older version gets ErrCompacted, and its client lists
-// again.
+// Every change has a version. Versions increase across all kinds. A list carries the version at which it was taken, and
+// a client that watches from that version misses no change and receives none twice. The cache keeps the most recent
+// changes for watches that resume. A watch from an older version fails with ErrCompacted, and its client lists again.
 //
-// All methods may be called from any goroutine. A list works on a snapshot, so a long one blocks no change; a watcher
-// that does not keep up is dropped, so that it never blocks a change either.
+// All methods may be called from any goroutine. Neither lists nor watchers delay changes: a list reads a snapshot, and
+// a watcher that does not keep up is dropped.
 package watchcache
 
 import (
@@ -16,7 +15,7 @@
 	"github.com/tidwall/btree"
 )
 
-// ErrCompacted is returned for a watch from a version whose later changes are no longer known: the client has to list
+// ErrCompacted is returned for a watch from a version after which changes have been discarded. The client has to list
 // again.
 var ErrCompacted = errors.New("changes from that version on are no longer kept: list again")
 
@@ -26,16 +25,16 @@
 	ID      string
 	Version int64
 	Value   any
-	Deleted bool // this version is the object's deletion; Value is its last one
+	Deleted bool // this version is the deletion; Value is the last value before it
 
 	watchEvent []byte
 }
 
-// WatchEvent returns the encoded form of the change that led to this version. It is encoded once for all watchers and
-// must not be modified.
+// WatchEvent returns the encoded change that produced this version. All watchers share the bytes, which must not be
+// modified.
 func (o *Object) WatchEvent() []byte { return o.watchEvent }
 
-// Cache is a set of objects with the history of their last changes.
+// Cache holds objects and the history of their most recent changes.
 type Cache struct {
 	encode func(*Object) []byte
 
@@ -47,22 +46,22 @@
 	watchers     map[*Watcher]bool
 }
 
-// New returns an empty cache. It calls encode once for each change, while it holds its lock; watchers get the result as
-// Object.WatchEvent.
+// New returns an empty cache. The cache calls encode once for each change, with its lock held. Watchers read the result
+// with Object.WatchEvent.
 func New(encode func(*Object) []byte) *Cache {
 	return &Cache{encode: encode, objects: map[string]*btree.Map[string, *Object]{}, watchers: map[*Watcher]bool{}}
 }
 
-// StartAfter makes versions begin above the given one, which an earlier process may have given out. Changes up to it
-// count as compacted. It is called before any change.
+// StartAfter makes versions start above the given one, up to which an earlier process may have assigned versions.
+// Changes up to that version count as compacted. StartAfter must be called before any change.
 func (c *Cache) StartAfter(version int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.version, c.lastReserved, c.history.compacted = version, version, version
 }
 
-// ReserveVersion returns the next version, for a change that is applied later. Changes are applied in the order of
-// their versions; one that is never applied leaves a gap.
+// ReserveVersion returns the next version, for a change that is applied later. Changes must be applied in the order of
+// their versions. A version that is never applied leaves a gap.
 func (c *Cache) ReserveVersion() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +69,7 @@
 	return c.lastReserved
 }
 
-// LastReserved returns the last version that was given out.
+// LastReserved returns the last version that was assigned.
 func (c *Cache) LastReserved() int64 {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -84,8 +83,8 @@
 	return c.version
 }
 
-// Apply makes the change to an object version whose number was reserved. Before any other change, an object of an
-// earlier process may be restored with the version that it had there.
+// Apply applies a change whose version was reserved. Before any other change, Apply may also restore an object of an
+// earlier process with its version from that process.
 func (c *Cache) Apply(o Object) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,7 +100,7 @@
 	return c.lastReserved
 }
 
-// Delete removes an object and reports whether there was one.
+// Delete removes an object and reports whether it existed.
 func (c *Cache) Delete(kind, id string) bool {
 	o := c.Get(kind, id)
 	if o == nil {
@@ -112,7 +111,7 @@
 }
 
 func (c *Cache) applyLocked(o *Object) {
-	restored := o.Version <= c.history.compacted // of an earlier process: no watcher can have asked for it
+	restored := o.Version <= c.history.compacted // of an earlier process: no watch can begin before it
 	c.version = max(c.version, o.Version)
 	o.watchEvent = c.encode(o)
 	c.storeLocked(o)
@@ -121,7 +120,7 @@
 	}
 	c.history.add(o)
 	for w := range c.watchers {
-		w.offerLocked(o)
+		w.sendOrDropLocked(o)
 	}
 }
 
@@ -138,7 +137,7 @@
 	}
 }
 
-// Get returns an object, nil where there is none.
+// Get returns an object, or nil if it does not exist.
 func (c *Cache) Get(kind, id string) *Object {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -152,19 +151,19 @@
 // Query selects objects for a list.
 type Query struct {
 	Kind  string
-	After string // the ID behind which the list begins; empty: at the first
-	Limit int    // on the number of objects
+	After string // the list begins after this ID; empty: with the first object
+	Limit int    // maximum number of objects
 	Match func(*Object) bool
 }
 
-// Page is the result of a query, in the order of IDs.
+// Page is the result of a query, ordered by ID.
 type Page struct {
 	Objects []*Object
-	Version int64 // as of which the list holds
-	More    bool  // objects match that are beyond the limit
+	Version int64 // of the cache when the list was taken
+	More    bool  // more objects match than the limit allows
 }
 
-// List returns the objects that a query selects.
+// List returns the objects that match a query.
 func (c *Cache) List(q Query) Page {
 	objects, version := c.snapshot(q.Kind)
 	page := Page{Version: version}
@@ -185,7 +184,8 @@
 	return page
 }
 
-// snapshot returns a copy of the objects of a kind (nil where there never was one) that shares its nodes with them.
+// snapshot returns a copy-on-write copy of the objects of a kind, nil if the kind never had any, and the cache's
+// version.
 func (c *Cache) snapshot(kind string) (*btree.Map[string, *Object], int64) {
 	c.mu.Lock() // Copy marks the tree as shared, which is a write
 	defer c.mu.Unlock()
--- a/internal/controller/watchcache/watcher.go
+++ b/internal/controller/watchcache/watcher.go
@@ -1,11 +1,12 @@
 package watchcache
 
-// watcherBuffer is the number of changes that may wait for a watcher, beside those that it missed before it began.
+// watcherBuffer is the number of changes that may queue for a watcher, in addition to those that it receives from the
+// history when it begins.
 const watcherBuffer = 2_000
 
 // Watcher receives changes in the order of their versions.
 type Watcher struct {
-	// Changes is closed by the cache when the watcher falls behind; its client has to list again.
+	// Changes is closed by the cache when its buffer is full. The client has to list again.
 	Changes chan *Object
 
 	cache        *Cache
@@ -13,8 +14,9 @@
 	startVersion int64
 }
 
-// Watch sends the changes of the kinds after a version, those that are in the history first. It returns ErrCompacted
-// for a version that is older than the history or that has not been given out. The caller closes the watcher.
+// Watch returns a watcher that receives the changes of the given kinds after a version, beginning with those in the
+// history. It returns ErrCompacted for a version that is older than the history or has not been assigned yet. The
+// caller must close the watcher.
 func (c *Cache) Watch(after int64, kinds ...string) (*Watcher, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -32,7 +34,7 @@
 		w.kinds[kind] = true
 	}
 	for _, o := range missed {
-		w.offerLocked(o)
+		w.sendOrDropLocked(o)
 	}
 	c.watchers[w] = true
 	return w, nil
@@ -41,8 +43,9 @@
 // StartVersion returns the version after which the watch began.
 func (w *Watcher) StartVersion() int64 { return w.startVersion }
 
-// offerLocked sends a change without waiting; a watcher whose buffer is full is dropped. The cache's lock is held.
-func (w *Watcher) offerLocked(o *Object) {
+// sendOrDropLocked sends a change to the watcher without blocking, and drops the watcher if its buffer is full. The
+// caller holds the cache's lock.
+func (w *Watcher) sendOrDropLocked(o *Object) {
 	if !w.kinds[o.Kind] {
 		return
 	}
@@ -54,7 +57,7 @@
 	}
 }
 
-// Close ends the watch. Changes is left open, with what was not received.
+// Close ends the watch. Changes stays open and keeps the changes that were not received.
 func (w *Watcher) Close() {
 	w.cache.mu.Lock()
 	defer w.cache.mu.Unlock()
