--- a/internal/controller/server/golden_test.go
+++ b/internal/controller/server/golden_test.go
@@ -23,13 +23,13 @@
 
 const (
 	goldenFolder    = "testdata/state"
-	goldenWords     = "testdata/state.txt"
+	goldenText      = "testdata/state.txt"
 	goldenJSON      = "testdata/objects.txt"
 	goldenCeiling   = 5_000_000
 	goldenScheduler = "127.0.0.1:7001"
 )
 
-// The records of the golden folder; for each kind one that has every field set.
+// Records of the golden folder. For each kind, one record has every field set.
 var (
 	goldenJob = JobRecord{
 		Job: Job{
@@ -73,7 +73,7 @@
 		{RecordContainer, "plain.0", goldenPlainContainer},
 		{RecordOrphan, goldenScheduler + " reports/1/29", goldenOrphan},
 	}
-	// one container in each other state
+	// one container in each state
 	for state := controller.StatePending; state <= controller.StateCompleted; state++ {
 		c := goldenPlainContainer
 		c.Container.Job, c.Container.Index, c.Container.State = "states", int(state), state
@@ -92,10 +92,10 @@
 	}
 }
 
-// openGolden opens a server on a folder, without serving; closed stops it.
-func openGolden(t *testing.T, folder string) (s *Server, closed func()) {
+// openGolden opens a server on a state folder without serving. closeServer closes it.
+func openGolden(t *testing.T, folder string) (s *Server, closeServer func()) {
 	t.Helper()
-	s, err := New(goldenConfig(folder), newCache(), quiet)
+	s, err := New(goldenConfig(folder), newCache(), discardLog)
 	testutil.NoError(t, err)
 	return s, func() {
 		s.Stop()
@@ -104,26 +104,26 @@
 	}
 }
 
-// storeOf returns the state on disk of a server that has a state folder.
+// storeOf returns the state store of a server with a state folder.
 func storeOf(t *testing.T, s *Server) *stateStore {
 	t.Helper()
 	store, ok := s.storage.(*stateStore)
-	testutil.Require(t, ok, "%T, want a state folder", s.storage)
+	testutil.Require(t, ok, "storage is %T, want a state store", s.storage)
 	return store
 }
 
-// writeGolden writes the golden folder by the path on which a running controller stores.
+// writeGolden writes the golden folder through the log of a server, as a running controller does.
 func writeGolden(t *testing.T) {
 	t.Helper()
 	testutil.NoError(t, os.RemoveAll(goldenFolder))
-	s, closed := openGolden(t, goldenFolder)
+	s, closeServer := openGolden(t, goldenFolder)
 	log := storeOf(t, s).log
 	changes := []wal.Change{wal.Put(RecordVersionCeiling, versionCeilingKey, goldenCeiling)}
 	for _, r := range goldenRecords() {
 		changes = append(changes, wal.Put(r.kind, r.key, r.value))
 	}
 	testutil.NoError(t, log.CommitSync(changes...))
-	closed()
+	closeServer()
 	testutil.NoError(t, os.Remove(filepath.Join(goldenFolder, "lock")))
 	var words strings.Builder
 	words.WriteString(
@@ -136,10 +136,10 @@
 			return err
 		}))
 	}
-	testutil.WriteFile(t, goldenWords, []byte(words.String()))
+	testutil.WriteFile(t, goldenText, []byte(words.String()))
 }
 
-// goldenState are the encoded records of the golden folder by kind and key.
+// goldenState returns the encoded records of the golden folder by kind and key.
 func goldenState(t *testing.T) map[string][]byte {
 	t.Helper()
 	folder, err := vfs.OpenReadOnly(goldenFolder)
@@ -156,7 +156,8 @@
 	return raw
 }
 
-// TestStoredRecordsKeepTheirBytes reads each record of the golden folder, compares every field, and encodes it again.
+// TestStoredRecordsKeepTheirBytes decodes each record of the golden folder, compares every field, and compares the
+// record's encoding with the stored bytes.
 func TestStoredRecordsKeepTheirBytes(t *testing.T) {
 	if golden.Updating() {
 		writeGolden(t)
@@ -170,7 +171,7 @@
 			want := reflect.Indirect(reflect.ValueOf(r.value))
 			got := reflect.New(want.Type())
 			testutil.NoError(t, cbor.Unmarshal(stored, got.Interface()))
-			wantEqual(t, "read", got.Elem().Interface(), want.Interface())
+			wantEqual(t, "decoded record", got.Elem().Interface(), want.Interface())
 			again := wal.Put(r.kind, r.key, r.value).Value
 			testutil.Expect(t, bytes.Equal(again, stored), "encoded %x, stored %x", again, stored)
 		})
@@ -182,12 +183,12 @@
 	testutil.Expect(t, reflect.DeepEqual(got, want), "%s: got %+v, want %+v", what, got, want)
 }
 
-// TestControllerRestoresGoldenFolder opens a server on a copy of the golden folder, as at a restart.
+// TestControllerRestoresGoldenFolder opens a server on a copy of the golden folder, as a restart does.
 func TestControllerRestoresGoldenFolder(t *testing.T) {
 	folder := t.TempDir()
 	testutil.NoError(t, os.CopyFS(folder, os.DirFS(goldenFolder)))
-	s, closed := openGolden(t, folder)
-	defer closed()
+	s, closeServer := openGolden(t, folder)
+	defer closeServer()
 	store := storeOf(t, s)
 	wantEqual(t, "ceiling", store.versionCeiling, int64(goldenCeiling+versionCeilingStep))
 	wantEqual(t, "last version", s.Cache.LastReserved(), int64(goldenCeiling))
@@ -199,7 +200,7 @@
 	}
 	testutil.Require(t, len(s.events) == 1, "%d events, want one", len(s.events))
 	restored, ok := s.events[0].(controller.StateRestored)
-	testutil.Require(t, ok, "%T, want what was restored", s.events[0])
+	testutil.Require(t, ok, "event is %T, want controller.StateRestored", s.events[0])
 	plainSpec := controller.Spec{Service: "web", Tenant: 3, Cores: 0.5, Memory: 1}
 	wantEqual(t, "jobs", restored.Jobs, []controller.JobSet{
 		{Job: "plain", Spec: plainSpec}, {Job: "reports", Count: 3, Spec: goldenSpec},
@@ -219,8 +220,8 @@
 	wantEqual(t, "containers", byID, wantContainers)
 }
 
-// TestObjectsMatchGoldenJSON compares the JSON of each kind of object, full and empty, with testdata/objects.txt, and
-// reads it back.
+// TestObjectsMatchGoldenJSON compares the JSON of each kind of object, with all fields set and with none, with
+// testdata/objects.txt, and decodes it again.
 func TestObjectsMatchGoldenJSON(t *testing.T) {
 	objects := []any{
 		goldenJob.Job,
@@ -243,7 +244,7 @@
 		got.Write(append(line, '\n'))
 		back := reflect.New(reflect.TypeOf(o))
 		if err := json.Unmarshal(line, back.Interface()); err != nil || !reflect.DeepEqual(back.Elem().Interface(), o) {
-			t.Errorf("%s read as %+v, %v", line, back.Elem(), err)
+			t.Errorf("%s decoded as %+v, error %v", line, back.Elem(), err)
 		}
 	}
 	for state := controller.StatePending; state <= controller.StateCompleted; state++ {
--- a/internal/controller/server/helpers_test.go
+++ b/internal/controller/server/helpers_test.go
@@ -10,14 +10,15 @@
 	"glenport/scheduler"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-// newCache returns a cache whose changes nobody watches.
+// newCache returns a cache that encodes no changes, for tests without watchers.
 func newCache() *watchcache.Cache {
 	return watchcache.New(func(*watchcache.Object) []byte { return nil })
 }
 
-// openServer opens a server without state and without connections. It does not serve: the test stands in for its loop.
+// openServer opens a server without state folder and connections. Its event loop does not run: the test calls the
+// loop's functions itself.
 func openServer(t *testing.T) *Server {
 	t.Helper()
 	s, err := New(Config{
@@ -27,7 +28,7 @@
 			MachineTypes: []string{"small", "large"},
 			Policy:       scheduler.Config{WorkloadClasses: []scheduler.WorkloadClass{{}}},
 		},
-	}, newCache(), quiet)
+	}, newCache(), discardLog)
 	testutil.NoError(t, err)
 	t.Cleanup(s.closeLoop)
 	return s
--- a/internal/controller/server/iteration.go
+++ b/internal/controller/server/iteration.go
@@ -9,20 +9,21 @@
 	"glenport/scheduler"
 )
 
-// actionBatch is what the controller's actions of one iteration leave to be done.
+// actionBatch holds the changes to store and the requests to send that result from the controller's actions of one
+// iteration.
 type actionBatch struct {
 	changes    []wal.Change
-	durability durability          // of the changes, before the requests are sent
+	durability durability          // that the changes need before the requests are sent
 	requests   []controller.Action // to schedulers; sent once the changes are stored
 }
 
 func (b *actionBatch) add(change wal.Change) { b.changes = append(b.changes, change) }
 
-// addEvent has an event handled at the end of this iteration.
+// addEvent queues an event for the end of this iteration.
 func (s *Server) addEvent(e controller.Event) { s.events = append(s.events, e) }
 
-// handleEvents passes the events of an iteration to the controller, stores what its actions change, and then carries
-// out its requests to schedulers: no request is sent before its record is stored.
+// handleEvents passes the events of an iteration to the controller, stores the changes that result, and then sends the
+// controller's requests to schedulers. No request is sent before its record is stored.
 func (s *Server) handleEvents() {
 	events := s.events
 	if len(events) == 0 {
@@ -31,12 +32,12 @@
 	s.events = nil
 	var batch actionBatch
 	for _, action := range s.controller.Handle(scheduler.Time(s.loop.Now()), events) {
-		s.collect(&batch, action)
+		s.applyAction(&batch, action)
 	}
 	if len(batch.requests) == 0 {
 		if len(batch.changes) > 0 {
-			// The storage repeats changes that it could not write.
-			s.storage.persist(batch.changes, written, func(error) {})
+			// The storage itself retries changes that it could not write.
+			s.storage.persist(batch.changes, durabilityWrite, func(error) {})
 		}
 		return
 	}
@@ -47,8 +48,9 @@
 	})
 }
 
-// collect publishes what an action changes for clients, sets its timer, and adds the rest of it to the batch.
-func (s *Server) collect(batch *actionBatch, action controller.Action) {
+// applyAction publishes an action's changes to clients, starts its timer, and adds its records and requests to the
+// batch.
+func (s *Server) applyAction(batch *actionBatch, action controller.Action) {
 	switch action := action.(type) {
 	case controller.ContainerChanged:
 		batch.add(s.containerChange(action.Container))
@@ -67,7 +69,7 @@
 		s.log.Error("state transition rejected", "error", action.Err)
 	case controller.SubmitRequest:
 		if _, sync := recovery.MustPersist(s.idempotency(action.Spec.WorkloadClass)); sync {
-			batch.durability = synced
+			batch.durability = durabilitySync
 		}
 		batch.requests = append(batch.requests, action)
 	default:
@@ -87,7 +89,8 @@
 	return OrphanRecord{s.schedulers[o.Scheduler].address, o.IdempotencyKey}
 }
 
-// idempotency returns that of a workload class; the most careful one for a class that is not configured.
+// idempotency returns the idempotency of a workload class, and AtMostOnce, the strictest, for a class that is not
+// configured.
 func (s *Server) idempotency(workloadClass int) scheduler.Idempotency {
 	if classes := s.config.SchedulerConfig.Policy.WorkloadClasses; workloadClass >= 0 && workloadClass < len(classes) {
 		return classes[workloadClass].Idempotency
@@ -95,8 +98,8 @@
 	return scheduler.AtMostOnce
 }
 
-// sendRequest sends a request to its scheduler. A placement request whose record was not stored is not sent; the
-// controller gets it back as refused.
+// sendRequest sends a request to its scheduler. A placement request whose record could not be stored is not sent: the
+// controller gets an answer that refuses it.
 func (s *Server) sendRequest(request controller.Action, storeErr error) {
 	switch request := request.(type) {
 	case controller.SubmitRequest:
--- a/internal/controller/server/jobregistry.go
+++ b/internal/controller/server/jobregistry.go
@@ -8,87 +8,89 @@
 	"glenport/internal/storage/wal"
 )
 
-// jobChange is a client's change of one job.
+// jobChange is a change of one job that a client requested.
 type jobChange struct {
 	job    string
 	decide jobDecision
 	done   func(version int64, err error) // called once, on the loop
 }
 
-// jobDecision returns the record and the event of a change, given the job as it is (nil where there is none), or the
-// error that rejects it. A nil record deletes the job.
+// jobDecision decides a change. It gets the current job, nil if it does not exist, and returns the new record and the
+// event for the controller, or the error that rejects the change. A nil record deletes the job.
 type jobDecision func(current *Job) (*JobRecord, controller.Event, error)
 
-// jobRegistry makes the changes of jobs, those of one job one after another.
+// jobRegistry applies changes of jobs. Changes of the same job are serialized.
 type jobRegistry struct {
-	specs     specReader
-	cache     *watchcache.Cache
-	publisher *publisher
-	storage   storage
-	addEvent  func(controller.Event)
-	underWay  map[string][]*jobChange // by job with a change under way: the changes that wait for it
+	specs          specReader
+	cache          *watchcache.Cache
+	publisher      *publisher
+	storage        storage
+	addEvent       func(controller.Event)
+	waitingChanges map[string][]*jobChange // by job with a change in progress: the changes that wait for it
 }
 
-// start stores a change; once it is on disk, clients see it and the controller acts on it. A change of a job that has
-// another under way waits for it, so that each is decided on what the last one left.
-func (g *jobRegistry) start(change *jobChange) {
-	if waiting, busy := g.underWay[change.job]; busy {
-		g.underWay[change.job] = append(waiting, change)
+// start decides and stores a change. Once the change is on disk, it is published to clients and the controller acts on
+// it. While another change of the same job is in progress, the change waits, so that it is decided on the result of the
+// other.
+func (r *jobRegistry) start(change *jobChange) {
+	if waiting, busy := r.waitingChanges[change.job]; busy {
+		r.waitingChanges[change.job] = append(waiting, change)
 		return
 	}
-	current := g.current(change.job)
+	current := r.current(change.job)
 	record, event, err := change.decide(current)
 	if err != nil {
 		rejectJobChange(change, err)
 		return
 	}
-	g.underWay[change.job] = nil // busy from here on
-	published := g.publish(change.job, current, record)
+	r.waitingChanges[change.job] = nil // marks the job as busy
+	published := r.publish(change.job, current, record)
 	stored := wal.Change{Kind: RecordJob, Key: change.job}
 	if record != nil {
 		stored = wal.Put(RecordJob, change.job, record)
 	}
-	g.storage.persist([]wal.Change{stored}, synced, func(err error) {
+	r.storage.persist([]wal.Change{stored}, durabilitySync, func(err error) {
 		if err != nil {
 			err = &NotPersistedError{err}
-			g.publisher.discard(published)
+			r.publisher.discard(published)
 		} else {
-			g.addEvent(event)
-			g.storage.rememberJob(change.job, record)
-			g.publisher.release(published)
+			r.addEvent(event)
+			r.storage.setJobRecord(change.job, record)
+			r.publisher.release(published)
 		}
 		change.done(published.object.Version, err)
-		g.startWaiting(change.job)
+		r.startWaiting(change.job)
 	})
 }
 
-// publish queues the new state of a job, or its deletion, until it is stored. The record gets its version.
-func (g *jobRegistry) publish(id string, current *Job, record *JobRecord) *publication {
+// publish assigns a version to the new state of a job or its deletion, sets it in the record, and queues the
+// publication until the record is stored.
+func (r *jobRegistry) publish(id string, current *Job, record *JobRecord) *publication {
 	published := &publication{object: watchcache.Object{Kind: KindJobs, ID: id}}
 	object := &published.object
 	if record == nil {
 		object.Value, object.Deleted = *current, true
-		g.publisher.add(published)
+		r.publisher.add(published)
 		return published
 	}
-	g.publisher.add(published)
+	r.publisher.add(published)
 	record.Job.Version = object.Version
 	object.Value = record.Job
 	return published
 }
 
-// startWaiting starts the changes of a job that waited for the last one.
-func (g *jobRegistry) startWaiting(job string) {
-	waiting := g.underWay[job]
-	delete(g.underWay, job)
+// startWaiting starts the changes that waited for the completed change of a job.
+func (r *jobRegistry) startWaiting(job string) {
+	waiting := r.waitingChanges[job]
+	delete(r.waitingChanges, job)
 	for _, change := range waiting {
-		g.start(change)
+		r.start(change)
 	}
 }
 
-// current returns a copy of a job with its version, nil where there is none.
-func (g *jobRegistry) current(id string) *Job {
-	o := g.cache.Get(KindJobs, id)
+// current returns a copy of a job with its version, or nil if it does not exist.
+func (r *jobRegistry) current(id string) *Job {
+	o := r.cache.Get(KindJobs, id)
 	if o == nil {
 		return nil
 	}
@@ -100,9 +102,9 @@
 	return &job
 }
 
-// rejectCreation returns why a job that exists is not created again.
-func (g *jobRegistry) rejectCreation(current *Job, token CreationToken) error {
-	if g.storage.wasCreatedBy(current.ID, token) {
+// rejectCreation returns the error for creating a job that exists.
+func (r *jobRegistry) rejectCreation(current *Job, token CreationToken) error {
+	if r.storage.wasCreatedBy(current.ID, token) {
 		return &alreadyCreatedError{current.Version}
 	}
 	return &ConflictError{current.ID, current.Version, "it exists already"}
--- a/internal/controller/server/jobs.go
+++ b/internal/controller/server/jobs.go
@@ -6,21 +6,22 @@
 	"glenport/internal/controller"
 )
 
-// loopTimeout bounds how long a client waits for the loop.
+// loopTimeout is how long a client waits for a reply from the event loop.
 const loopTimeout = 10 * time.Second
 
-// MustNotExist is the precondition that there is no such job yet.
+// MustNotExist is the precondition that the job does not exist.
 const MustNotExist = -1
 
-// CreationToken identifies the request that creates a job, so that a retry of it is told from another request.
+// CreationToken identifies the request that creates a job, to distinguish a retry of it from a different request.
 type CreationToken struct {
 	Key           string // the client's idempotency key; empty: none
 	RequestDigest []byte
 }
 
-// SetJob creates or changes a job and returns its version once that is on disk. A precondition above 0 is the version
-// that the job must have, 0 is none; with MustNotExist a retry of the request that created the job gets its version,
-// and no conflict. Errors are *InvalidFieldError, *ConflictError, *NotPersistedError, ErrNotFound and ErrStopped.
+// SetJob creates or changes a job and returns its version once the change is on disk. A precondition above 0 is the
+// version that the job must have; 0 is no precondition. With MustNotExist, a retry of the request that created the job
+// returns the job's version instead of a conflict. Errors are *InvalidFieldError, *ConflictError, *NotPersistedError,
+// ErrNotFound and ErrStopped.
 func (s *Server) SetJob(job Job, precondition int64, token CreationToken) (version int64, err error) {
 	spec, err := s.specs.read(&job)
 	if err != nil {
@@ -40,8 +41,8 @@
 	})
 }
 
-// DeleteJob ends a job and its containers. It returns once that is on disk; precondition and errors are as those of
-// SetJob.
+// DeleteJob deletes a job and ends its containers. It returns once the deletion is on disk. Precondition and errors are
+// those of SetJob.
 func (s *Server) DeleteJob(id string, precondition int64) error {
 	_, err := s.changeJob(id, func(current *Job) (*JobRecord, controller.Event, error) {
 		if current == nil {
@@ -57,7 +58,7 @@
 	return err
 }
 
-// changeJob makes a change on the loop and waits for it.
+// changeJob starts a change on the event loop and waits until it is done.
 func (s *Server) changeJob(id string, decide jobDecision) (int64, error) {
 	type result struct {
 		version int64
@@ -79,7 +80,7 @@
 	return r.version, r.err
 }
 
-// receive waits for a reply from the loop. It returns ErrStopped where none comes in time.
+// receive waits for a reply from the event loop. It returns ErrStopped if none arrives within the timeout.
 func receive[T any](replies <-chan T, timeout time.Duration) (reply T, err error) {
 	select {
 	case reply = <-replies:
--- a/internal/controller/server/records.go
+++ b/internal/controller/server/records.go
@@ -2,31 +2,32 @@
 
 import "glenport/internal/controller"
 
-// The records below are stored under the names in their tags: a name that changes there makes stored state unreadable.
+// The fields of the records below are stored under the names in their tags. Changing a tag makes stored state
+// unreadable.
 
 // Kinds of records in a controller's log.
 const (
 	RecordJob            = "job"       // by job ID
 	RecordContainer      = "container" // by container ID
 	RecordOrphan         = "stray"     // by scheduler address and idempotency key
-	RecordVersionCeiling = "ceiling"   // one int64: no process has given out a version above it
+	RecordVersionCeiling = "ceiling"   // one int64: no process has assigned a version above it
 )
 
-// JobRecord is a job as the log has it.
+// JobRecord is the stored record of a job.
 type JobRecord struct {
 	Job           Job    `cbor:"Job"`
-	CreationKey   string `cbor:"Made"`    // idempotency key of the request that created it; empty: it had none
-	RequestDigest []byte `cbor:"Request"` // of that request: a retry of it gets the first answer
+	CreationKey   string `cbor:"Made"`    // idempotency key of the request that created the job; empty: none
+	RequestDigest []byte `cbor:"Request"` // of that request; a retry with the same digest gets the same answer
 }
 
-// ContainerRecord is a container as the log has it.
+// ContainerRecord is the stored record of a container.
 type ContainerRecord struct {
-	Container        controller.Container `cbor:"Container"` // its Scheduler is a number of that time
-	SchedulerAddress string               `cbor:"Door"`      // identifies that scheduler; empty: none was asked
+	Container        controller.Container `cbor:"Container"` // its Scheduler is a number of the earlier process
+	SchedulerAddress string               `cbor:"Door"`      // identifies that scheduler; empty: none
 }
 
-// OrphanRecord is an orphan as the log has it: idempotent work that may run behind a scheduler whose connection was
-// lost.
+// OrphanRecord is the stored record of an orphan: idempotent work that may still run through a scheduler whose
+// connection was lost.
 type OrphanRecord struct {
 	SchedulerAddress string `cbor:"Door"`
 	IdempotencyKey   string `cbor:"Key"`
--- a/internal/controller/server/restore.go
+++ b/internal/controller/server/restore.go
@@ -10,8 +10,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// restore reads the records of earlier processes. Jobs go into the cache with their versions; all else is for the
-// controller.
+// restore reads the records of earlier processes. It puts jobs into the cache with their versions, and returns jobs,
+// containers and orphans for the controller.
 func (st *stateStore) restore(specs specReader, numbers map[string]int) (restored controller.StateRestored, err error) {
 	state := st.log.State()
 	err = state.ForEach(RecordVersionCeiling, func(_ string, value []byte) error {
@@ -31,12 +31,12 @@
 	return restored, err
 }
 
-// forEachRecord decodes each record of a kind. An error names the record by what it describes.
-func forEachRecord[T any](state *wal.State, kind, what string, handle func(id string, record *T) error) error {
+// forEachRecord decodes each record of a kind and passes it to handle. Decoding errors name the record by noun and ID.
+func forEachRecord[T any](state *wal.State, kind, noun string, handle func(id string, record *T) error) error {
 	return state.ForEach(kind, func(id string, value []byte) error {
 		var record T
 		if err := cbor.Unmarshal(value, &record); err != nil {
-			return fmt.Errorf("%s %s: %w", what, id, err)
+			return fmt.Errorf("%s %s: %w", noun, id, err)
 		}
 		return handle(id, &record)
 	})
@@ -56,7 +56,7 @@
 	return jobs, err
 }
 
-// restoreContainers binds each container to the scheduler with the stored address, by its present number; to none where
+// restoreContainers assigns to each container the current number of the scheduler with the stored address, or -1 if
 // that scheduler is no longer configured.
 func restoreContainers(state *wal.State, numbers map[string]int) (containers []controller.Container, err error) {
 	err = forEachRecord(state, RecordContainer, "container", func(_ string, record *ContainerRecord) error {
@@ -71,7 +71,8 @@
 	return containers, err
 }
 
-// restoreOrphans leaves out those of schedulers that are no longer configured: nobody can be asked to end them.
+// restoreOrphans skips orphans of schedulers that are no longer configured, because there is no scheduler to send
+// their cancellation to.
 func restoreOrphans(state *wal.State, numbers map[string]int) (orphans []controller.Orphan, err error) {
 	err = forEachRecord(state, RecordOrphan, "orphan", func(_ string, record *OrphanRecord) error {
 		if number, configured := numbers[record.SchedulerAddress]; configured {
--- a/internal/controller/server/server.go
+++ b/internal/controller/server/server.go
@@ -1,13 +1,14 @@
-// Package server runs the controller as a process. It carries events and actions between the decisions of package
-// controller, the schedulers and the disk, publishes jobs, containers and machines in a watch cache, and collects the
-// facts on why a container is pending.
+// Package server runs the controller as a process. It connects the decision logic of package controller with the
+// schedulers and the state folder, publishes jobs, containers and machines in a watch cache, and collects the facts
+// that explain why a container is pending.
 //
-// Server holds the loop and wires its parts, each with its own state: schedulerPool and machineListWatch the
-// connections, jobRegistry the changes of jobs, containerTable and machineTable what is shown, publisher the order in
-// which changes are shown, explainer the explain requests, storage the state folder.
+// Server owns the event loop and its components, each of which has its own state: schedulerPool and machineListWatch
+// hold the connections, jobRegistry the changes of jobs in progress, containerTable and machineTable the published
+// containers and machines, publisher the order of publication, explainer the explain requests, and storage the state
+// folder.
 //
 // The server runs on one event loop. New, Run, Stop and the methods for clients (SetJob, DeleteJob, PendingReasons) may
-// be called from any goroutine; everything else runs on the loop.
+// be called from any goroutine; all other code runs on the loop.
 package server
 
 import (
@@ -23,29 +24,29 @@
 )
 
 const (
-	maxOutput   = 8 << 20 // bytes that may wait to be written to one peer
+	maxOutput   = 8 << 20 // output buffer of a connection, in bytes
 	dialTimeout = eventloop.Second
 )
 
-// Config says what a controller process works with.
+// Config configures a controller process.
 type Config struct {
-	Name            string            // in the hello to schedulers and the machine list
+	Name            string            // sent in the hello to schedulers and the machine list
 	Schedulers      []string          // addresses of the schedulers' listeners
-	MachineList     string            // address of the machine list; where empty, no machines are shown
+	MachineList     string            // address of the machine list; if empty, no machines are published
 	Seed            uint64            // of the controller's random numbers
-	StateDir        string            // folder of the state that survives restarts; where empty, nothing is stored
+	StateDir        string            // folder of the state that survives restarts; if empty, no state is stored
 	SchedulerConfig *config.Scheduler // the schedulers' workload classes, tenants and machine types
 }
 
 // Server is a controller process.
 type Server struct {
-	Cache *watchcache.Cache // what the API shows; only the server changes it
+	Cache *watchcache.Cache // the objects that the API serves; only the server changes it
 
 	config      Config
 	log         *slog.Logger
 	loop        *eventloop.Loop
 	controller  *controller.Controller
-	events      []controller.Event // handled at the end of this iteration
+	events      []controller.Event // of this iteration, handled at its end
 	schedulers  schedulerPool
 	machineList *machineListWatch
 	specs       specReader
@@ -57,8 +58,8 @@
 	storage     storage
 }
 
-// New returns a server that publishes in cache, with the state of its folder restored. It serves once Run is called; a
-// server that is not run keeps its folder locked.
+// New returns a server that publishes in cache, with its state restored from the state folder. The server serves once
+// Run is called. A server that is never run keeps its state folder locked.
 func New(c Config, cache *watchcache.Cache, log *slog.Logger) (*Server, error) {
 	s := &Server{
 		Cache: cache, config: c, log: log, controller: controller.New(controllerConfig(c)),
@@ -83,11 +84,11 @@
 	return s, nil
 }
 
-// wire makes the parts that need the connections and the storage.
+// wire creates the components that depend on the connections and the storage.
 func (s *Server) wire() {
 	s.jobs = &jobRegistry{
 		specs: s.specs, cache: s.Cache, publisher: s.publisher, storage: s.storage, addEvent: s.addEvent,
-		underWay: map[string][]*jobChange{},
+		waitingChanges: map[string][]*jobChange{},
 	}
 	s.containers = newContainerTable(s.publisher, s.schedulers)
 	s.machines = newMachineTable(s.publisher, s.config.SchedulerConfig.MachineTypes)
@@ -110,7 +111,7 @@
 	return out
 }
 
-// closeLoop releases the descriptors of a loop that was never run.
+// closeLoop releases the file descriptors of an event loop that was never run.
 func (s *Server) closeLoop() {
 	s.loop.Stop()
 	if err := s.loop.Run(); err != nil {
@@ -118,7 +119,7 @@
 	}
 }
 
-// Run serves until Stop. It returns the errors of the event loop, and of the state folder when it is closed.
+// Run serves until Stop is called. It returns errors of the event loop and of closing the state folder.
 func (s *Server) Run() error {
 	s.loop.Post(s.connect)
 	err := s.loop.Run()
--- a/internal/controller/server/statestore.go
+++ b/internal/controller/server/statestore.go
@@ -15,26 +15,26 @@
 
 const (
 	versionCeilingKey  = "version"
-	versionCeilingStep = 1_000_000 // versions between two ceilings; the next is stored when half of them are used
+	versionCeilingStep = 1_000_000 // versions added by each new ceiling, which is stored once half of them are assigned
 	storeRetryDelay    = eventloop.Second
 )
 
-// stateStore is the controller's state on disk. What is sent to schedulers and answered to clients waits until it is
-// stored.
+// stateStore stores the controller's state on disk. Requests to schedulers and answers to clients wait until the state
+// behind them is stored.
 type stateStore struct {
 	cache          *watchcache.Cache
 	loop           *eventloop.Loop
 	logger         *slog.Logger
 	dir            *vfs.Dir
 	log            *wal.Log
-	versionCeiling int64                // on disk: no version above it is given out
-	jobs           map[string]JobRecord // that are on disk, by job
-	unwritten      map[string]wal.Change
+	versionCeiling int64                 // stored on disk; no version above it is assigned
+	jobs           map[string]JobRecord  // records on disk, by job ID
+	unwritten      map[string]wal.Change // failed changes to retry, by recordID
 	retryScheduled bool
 }
 
-// openStore opens the state folder, restores what it holds and raises the version ceiling, so that this process gives
-// out no version of an earlier one.
+// openStore opens the state folder, restores its records and raises the version ceiling, so that this process assigns
+// no version that an earlier one assigned.
 func (s *Server) openStore() error {
 	folder := s.config.StateDir
 	dir, err := vfs.OpenLocked(folder)
@@ -99,30 +99,30 @@
 	if reserved := st.cache.LastReserved(); reserved+versionCeilingStep/2 > st.versionCeiling {
 		st.versionCeiling = reserved + versionCeilingStep
 		changes = append(changes, st.ceilingChange())
-		d = synced
+		d = durabilitySync
 	}
 	for _, c := range changes {
 		delete(st.unwritten, recordID(c))
 	}
 	changes = append(st.takeUnwritten(), changes...)
-	if len(changes) == 0 && d == written {
+	if len(changes) == 0 && d == durabilityWrite {
 		done(nil)
 		return
 	}
-	st.log.Commit(changes, d == synced, func(err error) {
+	st.log.Commit(changes, d == durabilitySync, func(err error) {
 		st.loop.Post(func() {
 			if err != nil {
-				st.retryLater(changes)
+				st.scheduleRetry(changes)
 			}
 			done(err)
 		})
 	})
 }
 
-// recordID identifies a record over all kinds.
+// recordID identifies a record across all kinds.
 func recordID(c wal.Change) string { return c.Kind + " " + c.Key }
 
-// takeUnwritten returns the changes that the disk rejected before, by kind and key.
+// takeUnwritten removes and returns the changes to retry, ordered by kind and key.
 func (st *stateStore) takeUnwritten() []wal.Change {
 	changes := make([]wal.Change, 0, len(st.unwritten))
 	for _, c := range st.unwritten {
@@ -135,9 +135,9 @@
 	return changes
 }
 
-// retryLater repeats changes that the disk rejected: the controller has moved on, and the log has to follow. A job
-// whose change was not stored was not changed, so that is not repeated.
-func (st *stateStore) retryLater(changes []wal.Change) {
+// scheduleRetry schedules a retry of changes that could not be written, because the controller has already applied
+// them. Changes of jobs are not retried: a job change that could not be stored was not applied.
+func (st *stateStore) scheduleRetry(changes []wal.Change) {
 	for _, c := range changes {
 		if _, newer := st.unwritten[recordID(c)]; c.Kind != RecordJob && !newer {
 			st.unwritten[recordID(c)] = c
@@ -150,7 +150,7 @@
 	st.loop.After(storeRetryDelay, func() {
 		st.retryScheduled = false
 		if len(st.unwritten) > 0 {
-			st.persist(nil, written, func(error) {}) // a failure schedules the next retry
+			st.persist(nil, durabilityWrite, func(error) {}) // a failure schedules the next retry
 		}
 	})
 }
--- a/internal/controller/server/storage.go
+++ b/internal/controller/server/storage.go
@@ -6,38 +6,37 @@
 	"glenport/internal/storage/wal"
 )
 
-// durability says how safe a change is once it counts as stored.
+// durability is the level of durability at which a change counts as stored.
 type durability uint8
 
 const (
-	written durability = iota // it survives the end of the process
-	synced                    // it survives a power loss too
+	durabilityWrite durability = iota // the change survives the end of the process
+	durabilitySync                    // the change survives a power loss too
 )
 
-// storage is where the controller's state is stored.
+// storage stores the controller's state.
 type storage interface {
-	// persist stores changes and then calls done on the loop.
+	// persist stores changes and then calls done on the event loop.
 	persist(changes []wal.Change, d durability, done func(error))
-	// rememberJob keeps the record of a job that is stored, nil where it is deleted, for retries of the request that
-	// created it.
-	rememberJob(id string, record *JobRecord)
-	// wasCreatedBy says whether the request with a token has created a job.
+	// setJobRecord keeps the stored record of a job for wasCreatedBy. A nil record means that the job is deleted.
+	setJobRecord(id string, record *JobRecord)
+	// wasCreatedBy reports whether the request with a token created a job.
 	wasCreatedBy(id string, token CreationToken) bool
 	close() error
 }
 
-// noStorage stands for a state folder where none is configured. Nothing survives a restart.
+// noStorage is the storage without a state folder. No state survives a restart.
 type noStorage struct{}
 
 func (noStorage) persist(_ []wal.Change, _ durability, done func(error)) { done(nil) }
 
-func (noStorage) rememberJob(string, *JobRecord) {}
+func (noStorage) setJobRecord(string, *JobRecord) {}
 
 func (noStorage) wasCreatedBy(string, CreationToken) bool { return false }
 
 func (noStorage) close() error { return nil }
 
-func (st *stateStore) rememberJob(id string, record *JobRecord) {
+func (st *stateStore) setJobRecord(id string, record *JobRecord) {
 	if record == nil {
 		delete(st.jobs, id)
 		return
