--- a/internal/controller/server/containers.go
+++ b/internal/controller/server/containers.go
@@ -9,7 +9,7 @@
 
 func containerID(job string, index int) string { return fmt.Sprintf("%s.%d", job, index) }
 
-// containerTable holds the containers as the controller reported them last, and publishes them.
+// containerTable holds the containers as last reported by the controller, and publishes them.
 type containerTable struct {
 	publisher  *publisher
 	schedulers schedulerPool
--- a/internal/controller/server/explainer.go
+++ b/internal/controller/server/explainer.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	explainTimeout  = 400 * eventloop.Millisecond // for a scheduler to reply
-	explanationLife = 100 * eventloop.Millisecond // a reply answers all requests for the job for this long
-	explainSpecID   = "why"                       // container ID and idempotency key in the spec of an explain request
+	explainTimeout = 400 * eventloop.Millisecond // from an explain request to its reply
+	explanationTTL = 100 * eventloop.Millisecond // how long a reply is reused for its job
+	explainSpecID  = "why"                       // container ID and idempotency key in the spec of an explain request
 )
 
-// explainer asks schedulers why a job's containers find no machine. Requests that come while one for the same job is
-// open, or shortly after its reply, share that reply.
+// explainer asks schedulers why a job's containers find no machine. Calls for the same job share one reply while its
+// request is open and for explanationTTL after the reply.
 type explainer struct {
 	loop       *eventloop.Loop
 	jobs       *jobRegistry
 	schedulers schedulerPool
 	lastSeq    uint64
-	open       map[uint64]*explainRequest    // by sequence number; each ends with the reply or at explainTimeout
-	recent     map[string]*recentExplanation // by job, for explanationLife
+	open       map[uint64]*explainRequest    // by sequence number; until the reply or explainTimeout
+	recent     map[string]*recentExplanation // by job, kept for explanationTTL
 }
 
-// explainRequest is a request that a scheduler has not replied to.
+// explainRequest is a request that a scheduler has not answered yet.
 type explainRequest struct {
 	job     string
 	waiting []func(*protocol.ExplainReply)
 }
 
+// recentExplanation is a reply that may be reused.
 type recentExplanation struct {
 	at    eventloop.Tick
 	reply *protocol.ExplainReply
@@ -41,15 +42,15 @@
 	}
 }
 
-// explain calls done with a scheduler's explanation of why a container is pending: that of the scheduler that was asked
-// last for the container, or of another. It calls done with nil where there is nothing to explain or no scheduler
-// replies in time.
+// explain calls done with a scheduler's explanation of why a container is pending. It prefers the scheduler that the
+// container was last requested from. It calls done with nil if there is nothing to explain or no scheduler replies in
+// time.
 func (e *explainer) explain(c controller.Container, done func(*protocol.ExplainReply)) {
 	if c.State == controller.StateRunning || c.State == controller.StateCompleted {
 		done(nil)
 		return
 	}
-	if r := e.recent[c.Job]; r != nil && e.loop.Now()-r.at < explanationLife {
+	if r := e.recent[c.Job]; r != nil && e.loop.Now()-r.at < explanationTTL {
 		done(r.reply)
 		return
 	}
@@ -64,7 +65,7 @@
 	}
 }
 
-// request sends an explain request. It reports false where none can be sent.
+// request sends an explain request and reports whether it could.
 func (e *explainer) request(c controller.Container, done func(*protocol.ExplainReply)) bool {
 	job := e.jobs.current(c.Job)
 	conn := e.schedulers.connected(c.Scheduler)
@@ -83,7 +84,7 @@
 	return true
 }
 
-// finish ends an open request with its reply, or with nil at its timeout.
+// finish ends an open request with its reply, or with nil at the timeout.
 func (e *explainer) finish(seq uint64, reply *protocol.ExplainReply) {
 	request := e.open[seq]
 	if request == nil {
@@ -91,17 +92,17 @@
 	}
 	delete(e.open, seq)
 	if reply != nil && reply.Known {
-		e.remember(request.job, reply)
+		e.addRecent(request.job, reply)
 	}
 	for _, done := range request.waiting {
 		done(reply)
 	}
 }
 
-func (e *explainer) remember(job string, reply *protocol.ExplainReply) {
+func (e *explainer) addRecent(job string, reply *protocol.ExplainReply) {
 	e.recent[job] = &recentExplanation{e.loop.Now(), reply}
-	e.loop.After(explanationLife, func() {
-		if r := e.recent[job]; r != nil && e.loop.Now()-r.at >= explanationLife {
+	e.loop.After(explanationTTL, func() {
+		if r := e.recent[job]; r != nil && e.loop.Now()-r.at >= explanationTTL {
 			delete(e.recent, job)
 		}
 	})
--- a/internal/controller/server/explainer_test.go
+++ b/internal/controller/server/explainer_test.go
@@ -8,7 +8,7 @@
 	"glenport/internal/testutil"
 )
 
-// pendingContainer is a container of a job that the server shows, with one scheduler that counts as connected.
+// pendingContainer publishes a job, marks a scheduler as connected, and returns a pending container of the job.
 func pendingContainer(s *Server) controller.Container {
 	s.publisher.put(KindJobs, "reports", validJob())
 	s.schedulers[1].connected = true
@@ -27,7 +27,7 @@
 		"%d replies and %d open requests, want one request", len(replies), len(s.explainer.open))
 	reply := &protocol.ExplainReply{Seq: s.explainer.lastSeq, Known: true, Machines: 7}
 	s.explainer.finish(reply.Seq, reply)
-	s.explainer.finish(reply.Seq, nil) // its timeout, after the reply
+	s.explainer.finish(reply.Seq, nil) // the timeout, after the reply
 	s.explainer.explain(c, collect)
 	testutil.Require(t, len(replies) == 3 && len(s.explainer.open) == 0,
 		"%d replies and %d open requests, want three replies", len(replies), len(s.explainer.open))
@@ -37,7 +37,7 @@
 	facts := s.pendingFacts(c, reply)
 	if !facts.Explained || facts.Explanation.Machines != 7 || facts.Schedulers != 2 ||
 		facts.SchedulersConnected != 1 || facts.SchedulerConnected {
-		t.Errorf("facts %+v", facts)
+		t.Errorf("unexpected facts: %+v", facts)
 	}
 }
 
@@ -52,10 +52,10 @@
 	})
 	s.explainer.finish(s.explainer.lastSeq, nil)
 	testutil.Expect(t, answers == 1 && len(s.explainer.recent) == 0,
-		"%d answers and %d remembered, want one answer and none remembered", answers, len(s.explainer.recent))
+		"%d answers and %d recent replies, want one answer and no recent reply", answers, len(s.explainer.recent))
 }
 
-func TestNothingIsAskedWhereNoExplanationCanCome(t *testing.T) {
+func TestNoExplainRequestIsSentWithoutAPendingContainerJobAndScheduler(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		change func(*Server, *controller.Container)
--- a/internal/controller/server/machinelist.go
+++ b/internal/controller/server/machinelist.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	machineListRetryDelay    = 500 * eventloop.Millisecond // after a failure, before the machine list is watched anew
+	machineListRetryDelay    = 500 * eventloop.Millisecond // between a failed watch and the next
 	machineListCheckInterval = 500 * eventloop.Millisecond
 )
 
-// machineListWatch watches the machine list, whose machines the API shows. After a failure it is watched anew.
+// machineListWatch watches the machine list and updates the published machines. It restarts the watch after a failure.
 type machineListWatch struct {
 	loop           *eventloop.Loop
 	machines       *machineTable
@@ -31,7 +31,7 @@
 	return w
 }
 
-// start watches the list until the loop ends.
+// start watches the machine list until the event loop ends.
 func (w *machineListWatch) start() {
 	w.client.Watch(true)
 	w.checkTimeouts()
--- a/internal/controller/server/machinelist_test.go
+++ b/internal/controller/server/machinelist_test.go
@@ -11,8 +11,9 @@
 	"glenport/internal/testutil/frames"
 )
 
-// serveRestartingList serves machine a on its first connection and falls silent. It has restarted on the second, where
-// it sends a change of its new list, and on the third, where it sends that list, of machine b, in full.
+// serveRestartingList serves a machine list that restarts. On the first connection it sends a full list with machine a
+// and then nothing more. On the second, with a new incarnation, it sends an incremental update of a list with machine
+// b, and on the third that list in full.
 func serveRestartingList(t *testing.T) string {
 	t.Helper()
 	list := func(version int64, full bool, machine string) *protocol.MachineListUpdate {
@@ -40,7 +41,7 @@
 	})
 }
 
-// The API shows the machines of a list service that fell silent and has restarted, and no others.
+// After a machine list service stopped answering and restarted, only the machines of its new list are published.
 func TestMachinesFollowAListServiceThatRestarts(t *testing.T) {
 	s := openServer(t)
 	s.config.MachineList = serveRestartingList(t)
@@ -50,16 +51,16 @@
 	s.loop.Post(s.machineList.start)
 	ended := make(chan error, 1)
 	go func() { ended <- s.loop.Run() }()
-	testutil.WaitUntil(t, "machine b alone is shown", func() bool {
+	testutil.WaitUntil(t, "only machine b is published", func() bool {
 		s.loop.Post(func() {
-			shown := map[string]bool{}
+			published := map[string]bool{}
 			for id := range s.machines.byID {
-				shown[id] = true
+				published[id] = true
 			}
-			machines <- shown
+			machines <- published
 		})
-		shown := <-machines
-		return len(shown) == 1 && shown["b"]
+		published := <-machines
+		return len(published) == 1 && published["b"]
 	})
 	s.loop.Stop()
 	testutil.NoError(t, <-ended)
--- a/internal/controller/server/machines.go
+++ b/internal/controller/server/machines.go
@@ -9,10 +9,10 @@
 	"glenport/internal/protocol"
 )
 
-// machineTable holds the machines as the machine list has them, and publishes them.
+// machineTable holds the entries of the machine list and publishes them as machines.
 type machineTable struct {
 	publisher *publisher
-	types     []string // the names of machine types, by their numbers in the list
+	types     []string // names of the machine types, by their index in the machine list
 	byID      map[string]protocol.MachineEntry
 }
 
@@ -20,9 +20,9 @@
 	return &machineTable{publisher: p, types: types, byID: map[string]protocol.MachineEntry{}}
 }
 
-// apply adopts an update of the machine list. In a full snapshot, machines that are not named are gone.
+// apply applies an update of the machine list. A full snapshot removes all machines that it does not list.
 func (t *machineTable) apply(update *protocol.MachineListUpdate) {
-	listed := map[string]bool{} // by machine that the update names: whether it still exists
+	listed := map[string]bool{} // by machine in the update: whether it still exists
 	for _, entry := range update.Entries {
 		listed[entry.Machine] = entry.State != protocol.MachineGone
 		if entry.State != protocol.MachineGone {
@@ -50,7 +50,7 @@
 	return m
 }
 
-// zones returns the zones of the machines in the order of their numbers.
+// zones returns the zones of the machines, ordered by zone number.
 func (t *machineTable) zones() []pending.Zone {
 	byNumber := map[int]*pending.Zone{}
 	for _, m := range t.byID {
@@ -66,7 +66,7 @@
 	}
 	var zones []pending.Zone
 	for _, number := range slices.Sorted(maps.Keys(byNumber)) {
-		if number >= 0 { // below 0: of no zone
+		if number >= 0 { // below 0: machines without a zone
 			zones = append(zones, *byNumber[number])
 		}
 	}
--- a/internal/controller/server/objects.go
+++ b/internal/controller/server/objects.go
@@ -7,7 +7,7 @@
 	KindMachines   = "machines"
 )
 
-// Job is what a client wants to run. It is stored and sent under the names in the tags.
+// Job is a job as defined by a client. It is stored and sent under the names in the tags.
 type Job struct {
 	ID            string            `json:"id"                   cbor:"id"`
 	Labels        map[string]string `json:"labels,omitempty"     cbor:"labels,omitempty"`
@@ -16,8 +16,8 @@
 	Tenant        string            `json:"customer,omitempty"   cbor:"customer,omitempty"`
 	Cores         float64           `json:"cores"                cbor:"cores"`
 	MemoryGiB     float64           `json:"memory_gib"           cbor:"memory_gib"`
-	RunForMS      int64             `json:"run_for_ms,omitempty" cbor:"run_for_ms,omitempty"` // 0: until it is stopped
-	RunOnce       bool              `json:"once,omitempty"       cbor:"once,omitempty"`       // not again once finished
+	RunForMS      int64             `json:"run_for_ms,omitempty" cbor:"run_for_ms,omitempty"` // 0: no limit
+	RunOnce       bool              `json:"once,omitempty"       cbor:"once,omitempty"`       // no restart once finished
 	Count         int               `json:"count"                cbor:"count"`                // of containers
 	Version       int64             `json:"version"              cbor:"version"`
 }
@@ -26,16 +26,16 @@
 type Container struct {
 	ID          string `json:"id"`
 	Job         string `json:"job"`
-	Index       int    `json:"index"` // in the job, from 0
+	Index       int    `json:"index"` // within the job, from 0
 	State       string `json:"state"`
 	Terminating bool   `json:"leaving,omitempty"`
 	Machine     string `json:"machine,omitempty"`
-	Scheduler   string `json:"placer,omitempty"`   // the name of the one that was asked last
-	SinceMS     int64  `json:"since_ms"`           // when it entered its state, Unix time
-	UntilMS     int64  `json:"until_ms,omitempty"` // when the next step is due, Unix time
-	Attempts    int    `json:"tries"`              // since it last ran
+	Scheduler   string `json:"placer,omitempty"`   // that was last asked to place it
+	SinceMS     int64  `json:"since_ms"`           // Unix time of the last state change
+	UntilMS     int64  `json:"until_ms,omitempty"` // Unix time of the next step
+	Attempts    int    `json:"tries"`              // since the container last ran
 	Starts      int    `json:"starts"`
-	LastStatus  string `json:"last"` // the last answer or outcome, in words
+	LastStatus  string `json:"last"` // text of the last answer or outcome
 	Version     int64  `json:"version"`
 }
 
--- a/internal/controller/server/pendingreasons.go
+++ b/internal/controller/server/pendingreasons.go
@@ -9,11 +9,12 @@
 	"glenport/scheduler"
 )
 
-// reasonsTimeout bounds how long a client waits for reasons once the loop has begun to collect them.
+// reasonsTimeout is how long a client waits for reasons once the event loop has started to collect them.
 const reasonsTimeout = 5 * time.Second
 
-// PendingReasons returns the state of a container and the reasons why it does not run, for which a scheduler is asked.
-// Their times are Unix time in units of scheduler.Time. Errors are ErrNotFound and ErrStopped.
+// PendingReasons returns the state of a container and the reasons why it does not run. It requests an explanation from
+// a scheduler where that helps. Times in the reasons are Unix time in units of scheduler.Time. Errors are ErrNotFound
+// and ErrStopped.
 func (s *Server) PendingReasons(id string) (reasons []pending.Reason, state string, err error) {
 	type result struct {
 		reasons []pending.Reason
@@ -46,7 +47,7 @@
 	return r.reasons, r.state, err
 }
 
-// pendingFacts returns what is known on why a container is pending; reply is nil where no scheduler replied.
+// pendingFacts returns the facts that explain why a container is pending. reply is nil if no scheduler replied.
 func (s *Server) pendingFacts(c controller.Container, reply *protocol.ExplainReply) pending.Facts {
 	facts := pending.Facts{
 		Container: c, Schedulers: len(s.schedulers), Zones: s.machines.zones(),
--- a/internal/controller/server/publisher_test.go
+++ b/internal/controller/server/publisher_test.go
@@ -10,7 +10,7 @@
 	"glenport/internal/testutil"
 )
 
-func TestPublicationWaitsForThoseBeforeIt(t *testing.T) {
+func TestPublicationWaitsForEarlierPublications(t *testing.T) {
 	s := openServer(t)
 	first := &publication{object: watchcache.Object{Kind: KindJobs, ID: "first", Value: Job{}}}
 	second := &publication{object: watchcache.Object{Kind: KindJobs, ID: "second", Value: Job{}}}
@@ -19,12 +19,12 @@
 	s.publisher.put(KindMachines, "m", Machine{})
 	s.publisher.release(second)
 	if v := s.Cache.Version(); v != 0 || s.Cache.Get(KindMachines, "m") != nil {
-		t.Errorf("version %d is shown before the first change is stored", v)
+		t.Errorf("version %d is published before the first change is stored", v)
 	}
 	s.publisher.discard(first)
 	if s.Cache.Get(KindJobs, "first") != nil || s.Cache.Get(KindJobs, "second") == nil ||
 		s.Cache.Get(KindMachines, "m") == nil {
-		t.Error("a discarded change is shown, or one behind it is not")
+		t.Error("the discarded change is published, or a later change is not")
 	}
 	if v := s.Cache.Version(); v != 3 {
 		t.Errorf("version %d, want 3: a discarded change keeps its version", v)
@@ -44,7 +44,7 @@
 	serving := protocol.MachineServing
 	s.machines.apply(listSnapshot(entry("a", serving), entry("b", serving), entry("c", serving)))
 	m := s.Cache.Get(KindMachines, "a").Value.(Machine)
-	testutil.Expect(t, m.MachineType == "large" && m.Zone == 1 && m.State == "serving", "shown as %+v", m)
+	testutil.Expect(t, m.MachineType == "large" && m.Zone == 1 && m.State == "serving", "published as %+v", m)
 	s.machines.apply(&protocol.MachineListUpdate{Entries: []protocol.MachineEntry{
 		entry("a", protocol.MachineDraining), entry("b", protocol.MachineGone), entry("x", protocol.MachineGone),
 	}})
--- a/internal/controller/server/schedulerconn.go
+++ b/internal/controller/server/schedulerconn.go
@@ -11,21 +11,23 @@
 
 const schedulerRedialDelay = 200 * eventloop.Millisecond
 
-// schedulerConn is the connection to one scheduler. It is dialed again whenever it is lost.
+// schedulerConn is the connection to one scheduler. It reconnects after a connection is lost.
 type schedulerConn struct {
 	server    *Server
 	number    int
 	address   string
-	name      string          // from its hello, kept while it is not connected
-	conn      *eventloop.Conn // nil between a loss and the next dial
+	name      string          // from the scheduler's last hello
+	conn      *eventloop.Conn // nil after a loss until the next dial
 	reader    protocol.Reader
-	connected bool // the scheduler has sent its hello
+	connected bool // the scheduler's hello has been received
 }
 
-// schedulerPool holds the connections to all schedulers, by their number in the controller's events and actions.
+// schedulerPool holds the connections to all schedulers, indexed by their numbers in the controller's events and
+// actions.
 type schedulerPool []*schedulerConn
 
-// connected returns the connection to a scheduler, or to another one where that is not connected; nil where none is.
+// connected returns the connection to the preferred scheduler if it is connected, else to any connected scheduler, or
+// nil if none is.
 func (p schedulerPool) connected(preferred int) *schedulerConn {
 	if preferred >= 0 && preferred < len(p) && p[preferred].connected {
 		return p[preferred]
@@ -38,7 +40,7 @@
 	return nil
 }
 
-// numbers are the numbers of the schedulers by their addresses.
+// numbers returns the numbers of the schedulers by address.
 func (p schedulerPool) numbers() map[string]int {
 	numbers := map[string]int{}
 	for _, c := range p {
@@ -52,7 +54,7 @@
 	c.conn = c.server.loop.Dial(c.address, c, maxOutput, dialTimeout)
 }
 
-// write sends a frame. Where that fails the connection is reset, so that the controller learns that the frame is lost.
+// write sends a frame. If that fails, it resets the connection, so that the controller learns that the frame is lost.
 func (c *schedulerConn) write(f protocol.Frame) {
 	encoded, err := protocol.Append(nil, f)
 	if err == nil && c.conn != nil {
@@ -106,7 +108,7 @@
 		})
 	case *protocol.ExplainReply:
 		c.server.explainer.finish(f.Seq, f)
-	case *protocol.Heartbeat: // the connection's own timeouts are enough
+	case *protocol.Heartbeat: // ignored: the connection has its own timeouts
 	case *protocol.Goodbye:
 		return fmt.Errorf("peer said goodbye: %s", f.Message)
 	default:
@@ -133,7 +135,7 @@
 		return controller.VerdictRejected
 	case protocol.VerdictNotAdmitted:
 		return controller.VerdictRefused
-	default: // also of a later protocol: the careful reading
+	default: // including verdicts of later protocol versions: the container may run
 		return controller.VerdictFailed
 	}
 }
--- a/internal/controller/server/spec.go
+++ b/internal/controller/server/spec.go
@@ -25,13 +25,13 @@
 	return &InvalidFieldError{field, fmt.Sprintf(format, args...)}
 }
 
-// specReader knows the names that the specs of containers have as numbers.
+// specReader converts jobs to container specs, in which workload classes and tenants are indexes.
 type specReader struct {
 	workloadClasses []string
 	tenants         []string
 }
 
-// read returns the spec of a job's containers, or an *InvalidFieldError for the first field that is not valid.
+// read returns the spec of a job's containers, or an *InvalidFieldError for the first invalid field.
 func (r specReader) read(job *Job) (controller.Spec, error) {
 	spec := controller.Spec{
 		Service: job.Service, Cores: job.Cores, Memory: job.MemoryGiB,
@@ -46,7 +46,7 @@
 	if spec.WorkloadClass = slices.Index(r.workloadClasses, job.WorkloadClass); spec.WorkloadClass < 0 {
 		return spec, notOneOf("workload", job.WorkloadClass, r.workloadClasses)
 	}
-	spec.Tenant = len(r.tenants) // of no tenant
+	spec.Tenant = len(r.tenants) // index of jobs without a tenant
 	if job.Tenant != "" {
 		if spec.Tenant = slices.Index(r.tenants, job.Tenant); spec.Tenant < 0 {
 			return spec, notOneOf("customer", job.Tenant, r.tenants)
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// isValidResource is false for a NaN, as every comparison with one is.
+// isValidResource reports whether an amount is in range. It is false for NaN, as all comparisons with NaN are.
 func isValidResource(amount float64) bool { return amount > 0 && amount <= maxResource }
 
 func validateLabels(labels map[string]string) error {
--- a/internal/controller/server/spec_test.go
+++ b/internal/controller/server/spec_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestSpecHasTheIndexesOfClassAndTenant(t *testing.T) {
+func TestSpecHasTheIndexesOfWorkloadClassAndTenant(t *testing.T) {
 	s := openServer(t)
 	for _, tc := range []struct {
 		tenant string
