--- a/internal/controller/api/api.go
+++ b/internal/controller/api/api.go
@@ -1,16 +1,16 @@
-// Package api serves the controller's HTTP API as openapi.yaml describes it: jobs, containers and machines, the reasons
-// why containers are pending, and watches.
+// Package api serves the controller's HTTP API, which openapi.yaml describes: jobs, containers and machines, the
+// reasons why containers are pending, and watches.
 package api
 
 import (
-	_ "embed" // for the description below
+	_ "embed" // for OpenAPI
 	"net/http"
 	"time"
 
 	"glenport/internal/controller/server"
 )
 
-// OpenAPI is the description of the API, as it is served at /v1/openapi.yaml.
+// OpenAPI is the OpenAPI description of the API, served at /v1/openapi.yaml.
 //
 //go:embed openapi.yaml
 var OpenAPI []byte
@@ -30,13 +30,13 @@
 	contentTypeProblem = "application/problem+json"
 )
 
-// handler answers the API's requests for one controller.
+// handler handles the API requests to one controller.
 type handler struct {
 	server    *server.Server
 	creations creations
 }
 
-// New returns the handler of all paths of the API.
+// New returns an HTTP handler that serves the whole API.
 func New(s *server.Server) http.Handler {
 	h := &handler{server: s, creations: creations{byKey: map[string]*creation{}}}
 	mux := http.NewServeMux()
@@ -57,8 +57,8 @@
 	return mux
 }
 
-// NewHTTPServer returns an HTTP server that bounds how long and how much a client may send. It sets no limit on the
-// time of an answer, as a watch has none.
+// NewHTTPServer returns an HTTP server that limits the time to read a request and the size of its headers. It sets no
+// write timeout, because a watch may last any time.
 func NewHTTPServer(address string, h http.Handler) *http.Server {
 	return &http.Server{
 		Addr: address, Handler: h, ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout,
--- a/internal/controller/api/creations_test.go
+++ b/internal/controller/api/creations_test.go
@@ -38,11 +38,11 @@
 func TestOldAndExcessCreationsAreForgotten(t *testing.T) {
 	c := creations{byKey: map[string]*creation{}}
 	old, _ := c.begin("old", nil)
-	old.begun = time.Now().Add(-creationRetention - time.Second)
+	old.startedAt = time.Now().Add(-creationRetention - time.Second)
 	_, first := c.begin("old", nil)
 	testutil.Expect(t, first, "an old creation is still known")
 	for i := range maxCreations {
-		c.byKey[fmt.Sprint("key", i)] = &creation{begun: time.Now()}
+		c.byKey[fmt.Sprint("key", i)] = &creation{startedAt: time.Now()}
 	}
 	c.begin("one more", nil)
 	testutil.Expect(t, len(c.byKey) <= maxCreations, "%d creations, want at most %d", len(c.byKey), maxCreations)
--- a/internal/controller/api/explanations.go
+++ b/internal/controller/api/explanations.go
@@ -10,23 +10,23 @@
 	"glenport/scheduler"
 )
 
-// maxExplained is the number of a job's containers that one answer explains.
+// maxExplained is the maximum number of containers explained in one response.
 const maxExplained = 100
 
 // Reason is one reason why a container is pending, as the API shows it.
 type Reason struct {
 	pending.Reason
-	UntilMS int64 `json:"until_ms,omitempty"` // when it ends, Unix time
+	UntilMS int64 `json:"until_ms,omitempty"` // Unix time at which the reason ends
 }
 
-// Explanation is the state of a container and the reasons why it is pending, the weightiest first.
+// Explanation is the state of a container and the reasons why it is pending, the most important first.
 type Explanation struct {
 	Container string   `json:"container"`
 	State     string   `json:"state"`
 	Reasons   []Reason `json:"reasons"`
 }
 
-// jobExplanation holds the containers of a job that are pending.
+// jobExplanation holds the explanations of a job's pending containers.
 type jobExplanation struct {
 	Items []Explanation `json:"items"`
 }
@@ -46,22 +46,22 @@
 		writeError(w, server.ErrNotFound)
 		return
 	}
-	pendingOnes := h.server.Cache.List(watchcache.Query{
+	pendingContainers := h.server.Cache.List(watchcache.Query{
 		Kind: server.KindContainers, After: job + ".", Limit: maxExplained,
-		Match: func(o *watchcache.Object) bool { return isPendingOf(job, o) },
+		Match: func(o *watchcache.Object) bool { return isPendingContainer(job, o) },
 	})
 	answer := jobExplanation{Items: []Explanation{}}
-	for _, o := range pendingOnes.Objects {
+	for _, o := range pendingContainers.Objects {
 		explanation, err := h.explain(o.ID)
-		if err == nil && len(explanation.Reasons) > 0 { // a container that has ended meanwhile is left out
+		if err == nil && len(explanation.Reasons) > 0 { // skip a container that has started or ended meanwhile
 			answer.Items = append(answer.Items, explanation)
 		}
 	}
 	writeJSON(w, answer)
 }
 
-// isPendingOf says that an object is a container of a job, and neither runs nor is complete.
-func isPendingOf(job string, o *watchcache.Object) bool {
+// isPendingContainer reports whether an object is a container of a job that neither runs nor is completed.
+func isPendingContainer(job string, o *watchcache.Object) bool {
 	c, ok := o.Value.(server.Container)
 	return ok && c.Job == job && c.State != controller.StateRunning.String() &&
 		c.State != controller.StateCompleted.String()
--- a/internal/controller/api/golden_test.go
+++ b/internal/controller/api/golden_test.go
@@ -20,15 +20,15 @@
 	"glenport/internal/testutil"
 )
 
-// TestAnswersMatchGoldenBytes compares what clients are sent, byte for byte, with testdata: lists, objects, watch
-// events and problems, from a controller that holds fixed objects and has no scheduler.
+// TestAnswersMatchGoldenBytes compares lists, objects, watch events and problems byte for byte with testdata. The
+// controller holds fixed objects and has no scheduler.
 func TestAnswersMatchGoldenBytes(t *testing.T) {
 	s, err := server.New(server.Config{
 		Name: "controller", Seed: 1, SchedulerConfig: &config.Scheduler{WorkloadClasses: []string{"matcher"}},
-	}, watchcache.New(EncodeWatchEvent), quiet)
+	}, watchcache.New(EncodeWatchEvent), discardLog)
 	testutil.NoError(t, err)
 	testutil.RunUntilEnd(t, s.Run, s.Stop)
-	fill(s.Cache)
+	putGoldenObjects(s.Cache)
 	handler := New(s)
 	var got strings.Builder
 	answer := func(method, path, body, name string) {
@@ -60,11 +60,11 @@
 	}
 	recordErrors(&got)
 	recordExplanation(t, &got)
-	got.WriteString(watched(t, handler))
+	got.WriteString(watchToBookmark(t, handler))
 	golden.CheckText(t, "testdata/answers.txt", got.String())
 }
 
-// recordErrors records the problems of all errors of the server and the cache.
+// recordErrors records the problems of the errors of the server and the cache.
 func recordErrors(got *strings.Builder) {
 	for _, err := range []error{
 		&server.NotPersistedError{Err: errors.New("no space")}, server.ErrStopped,
@@ -92,7 +92,7 @@
 	fmt.Fprintf(got, "why\n%s\n", line)
 }
 
-func fill(c *watchcache.Cache) {
+func putGoldenObjects(c *watchcache.Cache) {
 	c.Put(server.KindJobs, "plain", server.Job{
 		ID: "plain", Service: "web", WorkloadClass: "matcher", Cores: 0.5, MemoryGiB: 1, Count: 1,
 	})
@@ -116,8 +116,8 @@
 	c.Delete(server.KindMachines, "m18")
 }
 
-func record(got *strings.Builder, what string, w *httptest.ResponseRecorder) {
-	fmt.Fprintf(got, "%s\n%d %s", what, w.Code, w.Header().Get("Content-Type"))
+func record(got *strings.Builder, label string, w *httptest.ResponseRecorder) {
+	fmt.Fprintf(got, "%s\n%d %s", label, w.Code, w.Header().Get("Content-Type"))
 	for _, name := range []string{"ETag", "Retry-After"} {
 		if v := w.Header().Get(name); v != "" {
 			fmt.Fprintf(got, " %s: %s", name, v)
@@ -126,14 +126,14 @@
 	fmt.Fprintf(got, "\n%s", w.Body)
 }
 
-// watched returns the lines of a watch from the beginning, up to the first bookmark.
-func watched(t *testing.T, handler http.Handler) string {
+// watchToBookmark returns the lines of a watch from version 0 to the first bookmark.
+func watchToBookmark(t *testing.T, handler http.Handler) string {
 	t.Helper()
-	site := httptest.NewServer(handler)
-	defer site.Close()
+	testServer := httptest.NewServer(handler)
+	defer testServer.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	r := send(t, newRequest(t, http.MethodGet, site.URL+"/v1/watch?from=0", "").WithContext(ctx))
+	r := send(t, newRequest(t, http.MethodGet, testServer.URL+"/v1/watch?from=0", "").WithContext(ctx))
 	got := "watch " + r.header.Get("Content-Type") + "\n"
 	lines := bufio.NewScanner(r.body)
 	for lines.Scan() {
--- a/internal/controller/api/helpers_test.go
+++ b/internal/controller/api/helpers_test.go
@@ -25,7 +25,7 @@
 	"github.com/getkin/kin-openapi/routers/gorillamux"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
 // fixture is a controller with its API, one scheduler and some emulated machines, all in this process.
 type fixture struct {
@@ -34,7 +34,7 @@
 	controller *server.Server
 	api        *httptest.Server
 	machines   []*emulator.Machine
-	router     routers.Router // of the API's description
+	router     routers.Router // for the paths in the API's description
 }
 
 func startFixture(t *testing.T, machines int) *fixture {
@@ -50,7 +50,7 @@
 	testutil.NoError(t, err)
 	t.Cleanup(list.Close)
 	schedulerConfig.ListenAddr, schedulerConfig.StateDir, schedulerConfig.Policy.SchedulerCount = "127.0.0.1:0", "", 1
-	schedulerProcess, err := schedulerd.New(schedulerConfig, scheduler.New(schedulerConfig.Policy), quiet)
+	schedulerProcess, err := schedulerd.New(schedulerConfig, scheduler.New(schedulerConfig.Policy), discardLog)
 	testutil.NoError(t, err)
 	testutil.RunUntilEnd(t, schedulerProcess.Run, schedulerProcess.Stop)
 	f.config = server.Config{
@@ -88,18 +88,18 @@
 	testutil.NoError(f, err)
 }
 
-// startController starts a controller on the fixture's state folder, and an API server of its own.
+// startController starts a controller on the fixture's state folder, and an API server for it.
 func (f *fixture) startController() {
 	f.Helper()
 	var err error
-	f.controller, err = server.New(f.config, watchcache.New(EncodeWatchEvent), quiet)
+	f.controller, err = server.New(f.config, watchcache.New(EncodeWatchEvent), discardLog)
 	testutil.NoError(f, err)
 	testutil.RunUntilEnd(f, f.controller.Run, f.controller.Stop)
 	f.api = httptest.NewServer(New(f.controller))
 	f.Cleanup(f.api.Close)
 }
 
-// newRequest returns a request that ends with the test, with headers by name and value.
+// newRequest returns a request that is cancelled at the end of the test. Headers are pairs of name and value.
 func newRequest(tb testing.TB, method, url, body string, headers ...string) *http.Request {
 	tb.Helper()
 	request, err := http.NewRequestWithContext(tb.Context(), method, url, strings.NewReader(body))
@@ -113,14 +113,14 @@
 	return request
 }
 
-// answer is the answer to a request.
+// answer is the response to a request.
 type answer struct {
 	status int
 	header http.Header
 	body   io.Reader
 }
 
-// send sends a request. The body of the answer is closed at the end of the test.
+// send sends a request. The response body is closed at the end of the test.
 func send(tb testing.TB, request *http.Request) answer {
 	tb.Helper()
 	response, err := http.DefaultClient.Do(request)
@@ -129,7 +129,7 @@
 	return answer{response.StatusCode, response.Header, response.Body}
 }
 
-// read returns the whole body.
+// read returns the complete body.
 func (a answer) read(tb testing.TB) []byte {
 	tb.Helper()
 	body, err := io.ReadAll(a.body)
@@ -137,13 +137,13 @@
 	return body
 }
 
-// do sends a request and checks the answer against the API's description. It returns the status and the decoded body.
+// do sends a request and checks the response against the API's description. It returns the status and the decoded body.
 func (f *fixture) do(method, path, body string, headers ...string) (int, map[string]any) {
 	f.Helper()
 	request := newRequest(f, method, f.api.URL+path, body, headers...)
 	response := send(f, request)
 	data := response.read(f)
-	f.checkDescribed(request, response, data)
+	f.checkAgainstDescription(request, response, data)
 	var decoded map[string]any
 	if len(data) > 0 {
 		if err := json.Unmarshal(data, &decoded); err != nil {
@@ -153,11 +153,11 @@
 	return response.status, decoded
 }
 
-func (f *fixture) checkDescribed(request *http.Request, response answer, body []byte) {
+func (f *fixture) checkAgainstDescription(request *http.Request, response answer, body []byte) {
 	f.Helper()
 	route, params, err := f.router.FindRoute(request)
 	if err != nil {
-		testutil.Expect(f, response.status >= 400, "%s %s is not described", request.Method, request.URL)
+		testutil.Expect(f, response.status >= 400, "%s %s is not in the description", request.Method, request.URL)
 		return
 	}
 	input := &openapi3filter.ResponseValidationInput{
@@ -169,12 +169,13 @@
 	}
 	input.SetBodyBytes(body)
 	if err := openapi3filter.ValidateResponse(f.Context(), input); err != nil {
-		f.Errorf("%s %s: %d %s is not as described: %v", request.Method, request.URL, response.status, body, err)
+		f.Errorf("%s %s: %d %s does not match the description: %v",
+			request.Method, request.URL, response.status, body, err)
 	}
 }
 
-// until waits until a condition holds. It is looked at after each change that the controller shows.
-func (f *fixture) until(what string, holds func() bool) {
+// waitUntil waits until a condition holds. It checks the condition after each change that the controller publishes.
+func (f *fixture) waitUntil(what string, holds func() bool) {
 	f.Helper()
 	cache := f.controller.Cache
 	watcher, err := cache.Watch(cache.Version(), watchedKinds...)
@@ -185,16 +186,16 @@
 		select {
 		case _, open := <-watcher.Changes:
 			if !open {
-				f.Fatal("too many changes wait: " + what)
+				f.Fatal("the watcher fell behind while waiting for: " + what)
 			}
 		case <-deadline:
-			f.Fatal("not in 20 s: " + what)
+			f.Fatal("condition does not hold after 20 s: " + what)
 		}
 	}
 }
 
-// count returns the number of containers that a field selector matches.
-func (f *fixture) count(query string) int {
+// countContainers returns the number of containers that match a field selector.
+func (f *fixture) countContainers(query string) int {
 	_, out := f.do("GET", "/v1/containers?limit=1000&field="+query, "")
 	items, _ := out["items"].([]any)
 	return len(items)
--- a/internal/controller/api/jobs.go
+++ b/internal/controller/api/jobs.go
@@ -22,8 +22,8 @@
 // errTrailingData rejects a body with more than one JSON value.
 var errTrailingData = errors.New("more than one value")
 
-// createJob creates a job. With an idempotency key, a retry of the request gets the first answer, and another request
-// with the same key is rejected.
+// createJob creates a job. With an idempotency key, a retry of the request gets the response to the first, and a
+// request with the same key and another body is rejected.
 func (h *handler) createJob(w http.ResponseWriter, r *http.Request) {
 	job, body, err := readJob(w, r)
 	if err != nil {
@@ -47,8 +47,8 @@
 	h.createJobOnce(w, job, body, key)
 }
 
-// createJobOnce creates a job unless the request with this key has; either way it answers with what that request
-// created.
+// createJobOnce creates a job unless an earlier request with the same key and body did. Both requests get the same
+// response.
 func (h *handler) createJobOnce(w http.ResponseWriter, job server.Job, body []byte, key string) {
 	c, first := h.creations.begin(key, body)
 	if first {
@@ -72,7 +72,7 @@
 	}
 }
 
-// create creates a job and returns the body of the answer.
+// create creates a job and returns the body of the response.
 func (h *handler) create(job server.Job, body []byte, key string) ([]byte, error) {
 	digest := sha256.Sum256(body)
 	var err error
@@ -125,7 +125,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// readJob returns the job in the request's body, and the body.
+// readJob returns the job in the request body, and the body itself.
 func readJob(w http.ResponseWriter, r *http.Request) (job server.Job, body []byte, err error) {
 	if body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
 		return job, nil, err
@@ -141,8 +141,8 @@
 	return job, body, nil
 }
 
-// unknownFieldError returns the error for an unknown field by its name; encoding/json has no type for it. It returns
-// any other error as it is.
+// unknownFieldError converts the error of encoding/json for an unknown field, which has no type of its own, to an
+// *InvalidFieldError. It returns any other error unchanged.
 func unknownFieldError(err error) error {
 	if field, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
 		return invalidField(strings.Trim(field, `"`), "is unknown")
@@ -150,7 +150,7 @@
 	return err
 }
 
-// precondition returns the version in the If-Match header, 0 where there is none.
+// precondition returns the version in the If-Match header, or 0 without the header.
 func precondition(r *http.Request) (int64, error) {
 	value := strings.Trim(r.Header.Get("If-Match"), `"`)
 	if value == "" {
--- a/internal/controller/api/objects.go
+++ b/internal/controller/api/objects.go
@@ -17,11 +17,11 @@
 // objectPage is one page of a list.
 type objectPage struct {
 	Items   []any  `json:"items"`
-	Version int64  `json:"version"`         // a watch from it misses nothing
-	After   string `json:"after,omitempty"` // where the next page begins; empty on the last one
+	Version int64  `json:"version"`         // a watch that resumes from it misses no change
+	After   string `json:"after,omitempty"` // the after parameter for the next page; empty on the last page
 }
 
-// get returns the handler of one object of a kind.
+// get returns the handler that serves one object of a kind.
 func (h *handler) get(kind string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		o := h.server.Cache.Get(kind, r.PathValue("id"))
@@ -34,7 +34,7 @@
 	}
 }
 
-// list returns the handler of a kind's list.
+// list returns the handler that serves the list of a kind.
 func (h *handler) list(kind string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		page, err := h.page(kind, r)
@@ -80,7 +80,7 @@
 	return n, nil
 }
 
-// withVersion returns an object's value with its version, which the cache alone knows.
+// withVersion returns an object's value with the version that the cache assigned.
 func withVersion(o *watchcache.Object) any {
 	switch value := o.Value.(type) {
 	case server.Job:
--- a/internal/controller/api/problem.go
+++ b/internal/controller/api/problem.go
@@ -13,22 +13,22 @@
 // storageRetryAfter is the Retry-After, in seconds, of a change that could not be written to disk.
 const storageRetryAfter = "5"
 
-// problem is the body of an answer with an error status (RFC 9457). The order of the fields is that on the wire.
+// problem is the body of a response with an error status (RFC 9457). Its fields are in the order on the wire.
 type problem struct {
 	Detail  string  `json:"detail"`
-	Field   *string `json:"field,omitempty"` // of the request, where one is to blame
+	Field   *string `json:"field,omitempty"` // the invalid field of the request, if there is one
 	Status  int     `json:"status"`
 	Title   string  `json:"title"`             // set by writeProblem
-	Version *int64  `json:"version,omitempty"` // that the object has, in a conflict
+	Version *int64  `json:"version,omitempty"` // of the object, in a conflict
 
-	RetryAfter string `json:"-"` // header, in seconds; empty: none
+	RetryAfter string `json:"-"` // value of the header, in seconds; empty: no header
 }
 
 func writeProblem(w http.ResponseWriter, p problem) {
 	p.Title = http.StatusText(p.Status)
 	body, err := encodeLine(p)
 	if err != nil {
-		panic(err) // a problem holds strings and integers only
+		panic(err) // cannot happen: a problem has only strings and integers
 	}
 	if p.RetryAfter != "" {
 		w.Header().Set("Retry-After", p.RetryAfter)
@@ -36,13 +36,13 @@
 	writeBody(w, p.Status, contentTypeProblem, body)
 }
 
-// writeError answers with the problem that an error stands for.
+// writeError writes the problem of an error.
 func writeError(w http.ResponseWriter, err error) {
 	writeProblem(w, problemOf(err))
 }
 
-// problemOf maps the errors of the server, the cache and the request's body to status codes. An error of another type
-// is the client's: the body is not the JSON that is wanted.
+// problemOf returns the problem of an error of the server, the cache or the request's body. Any other error comes from
+// decoding the body and is answered with status 400.
 func problemOf(err error) problem {
 	var (
 		invalid      *server.InvalidFieldError
@@ -74,7 +74,7 @@
 	return p
 }
 
-// invalidField returns the error for a field, query parameter or header that is not valid.
+// invalidField returns the error for an invalid field, query parameter or header.
 func invalidField(field, format string, args ...any) error {
 	return &server.InvalidFieldError{Field: field, Message: fmt.Sprintf(format, args...)}
 }
--- a/internal/controller/api/response.go
+++ b/internal/controller/api/response.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// writeJSON answers a request that was done with a value, which ends in a newline.
+// writeJSON writes a response with status 200 and a value as a line of JSON.
 func writeJSON(w http.ResponseWriter, value any) {
 	body, err := encodeLine(value)
 	if err != nil {
@@ -18,9 +18,10 @@
 func writeBody(w http.ResponseWriter, status int, contentType string, body []byte) {
 	w.Header().Set("Content-Type", contentType)
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // it fails where the client has gone, and then nobody is left to be answered
+	_, _ = w.Write(body) // fails only if the client has disconnected
 }
 
+// encodeLine returns the JSON of a value with a newline.
 func encodeLine(value any) ([]byte, error) {
 	line, err := json.Marshal(value)
 	return append(line, '\n'), err
--- a/internal/controller/api/routes_test.go
+++ b/internal/controller/api/routes_test.go
@@ -10,12 +10,12 @@
 	"glenport/internal/testutil"
 )
 
-func TestDescriptionIsServedAsItIs(t *testing.T) {
+func TestOpenAPIDescriptionIsServedUnchanged(t *testing.T) {
 	f := startFixture(t, 1)
 	response := send(t, newRequest(t, http.MethodGet, f.api.URL+"/v1/openapi.yaml", ""))
 	body, contentType := response.read(t), response.header.Get("Content-Type")
 	if response.status != http.StatusOK || contentType != "application/yaml" || !bytes.Equal(body, OpenAPI) {
-		t.Errorf("got %d, %q, %d bytes", response.status, contentType, len(body))
+		t.Errorf("got status %d, content type %q, %d bytes", response.status, contentType, len(body))
 	}
 }
 
--- a/internal/controller/api/selector.go
+++ b/internal/controller/api/selector.go
@@ -8,20 +8,20 @@
 	"glenport/internal/controller/watchcache"
 )
 
-// selectableFields are the names that a field selector may have, by kind; fieldsOf has their values.
+// selectableFields lists the field names that a selector may use, by kind. fieldsOf returns their values.
 var selectableFields = map[string]string{
 	server.KindJobs:       "id service workload customer count",
 	server.KindContainers: "id job state machine placer leaving",
 	server.KindMachines:   "id hall kind state",
 }
 
-// selector selects objects by the terms of a list's query. All terms have to hold.
+// selector selects objects by the terms of a list query. An object must match all terms.
 type selector struct {
 	fields []fieldTerm
 	labels []labelTerm
 }
 
-// fieldTerm is name=value, or name!=value where it is negated.
+// fieldTerm is name=value, or name!=value if negated.
 type fieldTerm struct {
 	name, value string
 	negated     bool
@@ -30,7 +30,7 @@
 // labelTerm is key=value. Only jobs have labels.
 type labelTerm struct{ key, value string }
 
-// parseSelector reads terms such as "a=b,c!=d" on fields and "k=v" on labels.
+// parseSelector parses comma-separated terms: on fields such as "a=b,c!=d", and on labels such as "k=v".
 func parseSelector(kind, labels, fields string) (*selector, error) {
 	s := &selector{}
 	for _, text := range splitList(fields) {
@@ -86,6 +86,7 @@
 	return true
 }
 
+// fieldsOf returns the values of an object's selectable fields.
 func fieldsOf(value any) map[string]string {
 	switch v := value.(type) {
 	case server.Job:
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// splitList splits a list at its commas; an empty text is an empty list.
+// splitList splits a comma-separated list. An empty text is an empty list.
 func splitList(text string) []string {
 	if text == "" {
 		return nil
--- a/internal/controller/api/watch.go
+++ b/internal/controller/api/watch.go
@@ -13,20 +13,20 @@
 
 const (
 	bookmarkInterval  = time.Second
-	watchWriteTimeout = 5 * time.Second // for a client to take what is written to it
+	watchWriteTimeout = 5 * time.Second // for a client to receive a line
 )
 
 var watchedKinds = []string{server.KindJobs, server.KindContainers, server.KindMachines}
 
-// Types of the lines of a watch.
+// Types of watch events.
 const (
 	watchChanged  = "changed"
 	watchRemoved  = "removed"
-	watchBookmark = "bookmark" // everything up to its version was sent
-	watchGone     = "gone"     // the watch ends: its client has to list again
+	watchBookmark = "bookmark" // all changes up to its version have been sent
+	watchGone     = "gone"     // the watch ends, and the client has to list again
 )
 
-// watchEvent is the line of a change. The order of the fields is that on the wire.
+// watchEvent is the event of a change. Its fields are in the order on the wire.
 type watchEvent struct {
 	ID      string `json:"id"`
 	Kind    string `json:"kind"`
@@ -45,7 +45,7 @@
 	Detail string `json:"detail"`
 }
 
-// EncodeWatchEvent returns the line that a watch sends for a change.
+// EncodeWatchEvent returns the line of a change in a watch.
 func EncodeWatchEvent(o *watchcache.Object) []byte {
 	event := watchEvent{ID: o.ID, Kind: o.Kind, Object: withVersion(o), Type: watchChanged, Version: o.Version}
 	if o.Deleted {
@@ -54,7 +54,7 @@
 	return mustEncodeLine(event)
 }
 
-// mustEncodeLine encodes a line of a watch; all types in them can be encoded.
+// mustEncodeLine encodes a watch event. It panics on an error, which no type of event can cause.
 func mustEncodeLine(event any) []byte {
 	line, err := encodeLine(event)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return line
 }
 
-// watch streams changes, one a line, until the client leaves or falls behind.
+// watch streams changes, one per line, until the client disconnects or falls behind.
 func (h *handler) watch(w http.ResponseWriter, r *http.Request) {
 	watcher, err := h.newWatcher(r)
 	if err != nil {
@@ -74,7 +74,7 @@
 	w.Header().Set("Content-Type", contentTypeNDJSON)
 	w.WriteHeader(http.StatusOK)
 	stream := &watchStream{writer: w, control: http.NewResponseController(w), watcher: watcher, cache: h.server.Cache}
-	_ = stream.control.SetReadDeadline(time.Time{}) // a writer without deadlines has none to lift
+	_ = stream.control.SetReadDeadline(time.Time{}) // fails only for a writer without deadlines
 	stream.run(r.Context())
 }
 
@@ -100,7 +100,7 @@
 	return h.server.Cache.Watch(from, kinds...)
 }
 
-// watchStream writes the changes of a watcher to its client.
+// watchStream writes the changes of a watcher to the client.
 type watchStream struct {
 	writer  http.ResponseWriter
 	control *http.ResponseController
@@ -116,7 +116,7 @@
 	}
 }
 
-// writeNext writes what comes next, changes or a bookmark, and reports whether the watch goes on.
+// writeNext waits for changes or the next bookmark and writes them. It reports whether the watch continues.
 func (s *watchStream) writeNext(ctx context.Context, bookmarkDue <-chan time.Time) bool {
 	select {
 	case change, open := <-s.watcher.Changes:
@@ -132,7 +132,7 @@
 	}
 }
 
-// writeChanges writes a change and those queued behind it, and reports whether the client has taken the lines.
+// writeChanges writes a change and all changes queued behind it, and reports whether the writes succeeded.
 func (s *watchStream) writeChanges(first *watchcache.Object) bool {
 	if !s.write(first.WatchEvent()) {
 		return false
@@ -140,7 +140,7 @@
 	for range len(s.watcher.Changes) {
 		o, open := <-s.watcher.Changes
 		if !open {
-			return true // run receives from the closed channel again
+			return true // the next writeNext handles the closed channel
 		}
 		if !s.write(o.WatchEvent()) {
 			return false
@@ -149,15 +149,16 @@
 	return true
 }
 
-// write reports whether the client has taken a line in time.
+// write writes a line and reports whether the client received it in time.
 func (s *watchStream) write(line []byte) bool {
-	_ = s.control.SetWriteDeadline(time.Now().Add(watchWriteTimeout)) // a writer without deadlines is not a network's
+	_ = s.control.SetWriteDeadline(time.Now().Add(watchWriteTimeout)) // fails only for a writer without deadlines
 	_, err := s.writer.Write(line)
 	return err == nil
 }
 
-// sentVersion returns a version up to which everything was sent. It reads the cache's version before it looks at the
-// queue, so that the result can only be too old: a client that resumes there may get a change twice, but misses none.
+// sentVersion returns a version up to which all changes have been sent. It reads the cache's version before it checks
+// the queue, so that the result can only be too old: a client that resumes from it may receive a change twice, but
+// misses none.
 func (s *watchStream) sentVersion() int64 {
 	version := s.cache.Version()
 	if len(s.watcher.Changes) > 0 {
--- a/internal/controller/api/watch_test.go
+++ b/internal/controller/api/watch_test.go
@@ -16,9 +16,9 @@
 	"glenport/internal/testutil"
 )
 
-// A watch is cut while containers are placed, and resumed from its last version: no change is missed or sent twice, and
-// every container begins to run exactly once.
-func TestResumedWatchMissesNothing(t *testing.T) {
+// A watch that is interrupted while containers are placed, and resumed from its last version, misses no change and
+// receives none twice: every container starts to run exactly once.
+func TestResumedWatchMissesNoChange(t *testing.T) {
 	f := startFixture(t, 3)
 	_, list := f.do("GET", "/v1/containers", "")
 	from := int64(list["version"].(float64))
@@ -30,24 +30,24 @@
 			return
 		}
 		testutil.Require(t, !seen[line.Version] && line.Version > from,
-			"version %d came twice, after %d", line.Version, from)
+			"received version %d again or out of order, after %d", line.Version, from)
 		seen[line.Version], from = true, line.Version
 		if line.Object.State == "running" {
 			running[line.ID]++
 		}
 	}
 	for round := 0; len(running) < 40; round++ {
-		testutil.Require(t, round <= 50, "%d run after %d watches", len(running), round)
+		testutil.Require(t, round <= 50, "%d containers run after %d watches", len(running), round)
 		for _, line := range f.watchLines(from, 9) {
 			apply(line)
 		}
 	}
 	for id, n := range running {
-		testutil.Expect(t, n == 1, "%s began to run %d times", id, n)
+		testutil.Expect(t, n == 1, "%s started to run %d times", id, n)
 	}
 }
 
-// containerLine is a line of a watch on containers.
+// containerLine is a line in a watch of containers.
 type containerLine struct {
 	Type    string
 	Version int64
@@ -55,12 +55,12 @@
 	Object  server.Container
 }
 
-// watchLines watches containers from a version and cuts the watch after some lines, or after its first bookmark.
+// watchLines watches containers from a version and ends the watch after limit lines or the first bookmark.
 func (f *fixture) watchLines(from int64, limit int) (lines []containerLine) {
 	f.Helper()
 	url := fmt.Sprintf("%s/v1/watch?kinds=containers&from=%d", f.api.URL, from)
-	ctx, cut := context.WithCancel(f.Context())
-	defer cut()
+	ctx, cancel := context.WithCancel(f.Context())
+	defer cancel()
 	response := send(f, newRequest(f, http.MethodGet, url, "").WithContext(ctx))
 	testutil.Require(f, response.status == http.StatusOK, "watch from %d: %d", from, response.status)
 	for scanner := bufio.NewScanner(response.body); len(lines) < limit && scanner.Scan(); {
@@ -76,7 +76,7 @@
 
 func TestWatchWithoutChangesGetsABookmark(t *testing.T) {
 	f := startFixture(t, 1)
-	f.do("POST", "/v1/jobs", job("a", 0, 1)) // no containers, so the watch below has nothing to send
+	f.do("POST", "/v1/jobs", job("a", 0, 1)) // no containers: the watch below has no changes to send
 	_, list := f.do("GET", "/v1/containers", "")
 	version := int64(list["version"].(float64))
 	lines := f.watchLines(version, 1)
@@ -84,10 +84,10 @@
 		"got %+v, want a bookmark of version %d or later", lines, version)
 }
 
-func TestStalledReaderHoldsUpNoOther(t *testing.T) {
+func TestStalledWatchClientDoesNotDelayOthers(t *testing.T) {
 	f := startFixture(t, 1)
 	url := f.api.URL + "/v1/watch?kinds=jobs"
-	send(t, newRequest(t, http.MethodGet, url, "")) // stalled: nobody reads it
+	send(t, newRequest(t, http.MethodGet, url, "")) // stalled: its body is never read
 	live := send(t, newRequest(t, http.MethodGet, url, ""))
 	labels := fmt.Sprintf(`"labels":{"x":%q},`, strings.Repeat("y", 60))
 	const n = 3000
@@ -110,10 +110,10 @@
 		}
 	}
 	<-sent
-	testutil.Expect(t, got == n, "the live reader got %d of %d", got, n)
+	testutil.Expect(t, got == n, "the live client got %d of %d changes", got, n)
 }
 
-// sendJob sends a job and drops the answer. It may be called beside the test.
+// sendJob sends a job and discards the response. It may be called from any goroutine.
 func sendJob(t *testing.T, method, url, body string) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
@@ -131,8 +131,8 @@
 	testutil.ExpectNoError(t, err)
 }
 
-// A client that resumes from a bookmark must not miss the changes that waited when it was written.
-func TestBookmarkCoversOnlyWhatWasSent(t *testing.T) {
+// A client that resumes from a bookmark must not miss the changes that were queued when the bookmark was written.
+func TestBookmarkCoversOnlySentChanges(t *testing.T) {
 	cache := watchcache.New(EncodeWatchEvent)
 	cache.Put(server.KindJobs, "a", server.Job{})
 	watcher, err := cache.Watch(cache.Version(), server.KindJobs)
@@ -141,14 +141,14 @@
 	stream := &watchStream{watcher: watcher, cache: cache}
 	cache.Put(server.KindMachines, "m", server.Machine{})
 	if v := stream.sentVersion(); v != 2 {
-		t.Errorf("bookmark of version %d, want 2: nothing waits", v)
+		t.Errorf("bookmark of version %d, want 2: no change is queued", v)
 	}
 	cache.Put(server.KindJobs, "b", server.Job{})
 	if v := stream.sentVersion(); v != 1 {
-		t.Errorf("bookmark of version %d, want 1, where the watch began: a change waits", v)
+		t.Errorf("bookmark of version %d, want 1, where the watch began: a change is queued", v)
 	}
 	<-watcher.Changes
 	if v := stream.sentVersion(); v != 3 {
-		t.Errorf("bookmark of version %d, want 3: everything was sent", v)
+		t.Errorf("bookmark of version %d, want 3: all changes were sent", v)
 	}
 }
--- a/internal/controller/server/objects.go
+++ b/internal/controller/server/objects.go
@@ -17,7 +17,7 @@
 	Cores         float64           `json:"cores"                cbor:"cores"`
 	MemoryGiB     float64           `json:"memory_gib"           cbor:"memory_gib"`
 	RunForMS      int64             `json:"run_for_ms,omitempty" cbor:"run_for_ms,omitempty"` // 0: no limit
-	RunOnce       bool              `json:"once,omitempty"       cbor:"once,omitempty"`       // no restart once finished
+	RunOnce       bool              `json:"once,omitempty"       cbor:"once,omitempty"`       // not restarted when done
 	Count         int               `json:"count"                cbor:"count"`                // of containers
 	Version       int64             `json:"version"              cbor:"version"`
 }
