--- a/cmd/glenport/apiclient.go
+++ b/cmd/glenport/apiclient.go
@@ -15,7 +15,7 @@
 
 const (
 	apiTimeout = 20 * time.Second // of one request
-	listLimit  = "?limit=1000"    // of the entries of a list
+	listLimit  = "?limit=1000"    // query of a list request; the API's maximum
 )
 
 // Values of --output.
@@ -25,23 +25,23 @@
 	formatYAML  = "yaml"
 )
 
-// apiClient sends requests to a controller's API and prints the answers.
+// apiClient sends requests to a controller's API and prints the responses.
 type apiClient struct {
 	address string
 	format  string
 	out     io.Writer
 }
 
-// items is a list as the API answers with it.
-type items[T any] struct{ Items []T }
+// listResponse is the API's response to a list request.
+type listResponse[T any] struct{ Items []T }
 
-// problemError is an answer with an error status, a problem document of RFC 9457.
+// problemError is the problem document (RFC 9457) of a response with an error status.
 type problemError struct{ Title, Detail string }
 
 // Error implements error.
 func (e *problemError) Error() string { return e.Title + ": " + e.Detail }
 
-// withAPI adds the flags of a client of the API to a command and makes it run a function with that client.
+// withAPI adds the flags of an API client to a command, and makes the command call run with that client.
 func withAPI(c *cobra.Command, run func(ctx context.Context, client *apiClient, args []string) error) *cobra.Command {
 	client := &apiClient{}
 	c.Flags().StringVar(&client.address, "api", "127.0.0.1:7500", "the address of the controller's API")
@@ -58,9 +58,9 @@
 	return c
 }
 
-// do sends a request and decodes the response into a value. The body and the value may be nil. A response with an error
-// status is returned as a *problemError.
-func (c *apiClient) do(ctx context.Context, method, path string, body, into any) error {
+// do sends a request and decodes the response into result. body and result may be nil. A response with an error status
+// is returned as an error, a *problemError if it has a problem document.
+func (c *apiClient) do(ctx context.Context, method, path string, body, result any) error {
 	request, err := c.newRequest(ctx, method, path, body)
 	if err != nil {
 		return err
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // it has been read to its end
+	defer func() { _ = response.Body.Close() }() // the body has been read completely
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
 		return err
@@ -77,16 +77,16 @@
 	if response.StatusCode >= http.StatusBadRequest {
 		return problemOf(method, path, response.Status, data)
 	}
-	if into == nil || len(data) == 0 {
+	if result == nil || len(data) == 0 {
 		return nil
 	}
-	if err := json.Unmarshal(data, into); err != nil {
+	if err := json.Unmarshal(data, result); err != nil {
 		return fmt.Errorf("decode the answer to %s %s: %w", method, path, err)
 	}
 	return nil
 }
 
-// newRequest returns a request with the JSON of a body, or without a body if it is nil.
+// newRequest returns a request with body encoded as JSON, or without a body if it is nil.
 func (c *apiClient) newRequest(ctx context.Context, method, path string, body any) (*http.Request, error) {
 	url := "http://" + c.address + path
 	if body == nil {
@@ -99,7 +99,7 @@
 	return http.NewRequestWithContext(ctx, method, url, bytes.NewReader(encoded))
 }
 
-// problemOf returns the problem document in a response as an error, or another error if it has none.
+// problemOf returns the problem document of a response as an error, or another error if there is none.
 func problemOf(method, path, status string, document []byte) error {
 	problem := &problemError{}
 	if err := json.Unmarshal(document, problem); err != nil || problem.Title == "" {
@@ -108,11 +108,11 @@
 	return problem
 }
 
-func (c *apiClient) get(ctx context.Context, path string, into any) error {
-	return c.do(ctx, http.MethodGet, path, nil, into)
+func (c *apiClient) get(ctx context.Context, path string, result any) error {
+	return c.do(ctx, http.MethodGet, path, nil, result)
 }
 
-// print prints a value as JSON or YAML, or as the table that a header and rows make.
+// print prints a value as JSON or YAML, or the table of header and rows, depending on the format.
 func (c *apiClient) print(value any, header string, rows func(p *printer)) error {
 	switch c.format {
 	case formatJSON:
--- a/cmd/glenport/bgp.go
+++ b/cmd/glenport/bgp.go
@@ -50,7 +50,7 @@
 	return c
 }
 
-// withRoutes asks a scheduler for its sessions and announcements and hands them to show.
+// withRoutes requests BGP sessions and announcements from a scheduler and passes the reply to show.
 func withRoutes(c *cobra.Command, address string, show func(out io.Writer, reply *protocol.RoutesReply) error) error {
 	reply, err := request[*protocol.RoutesReply](c.Context(), address, &protocol.RoutesRequest{})
 	if err != nil {
@@ -76,7 +76,7 @@
 	})
 }
 
-// printExplanation explains the first address that the subject, a service, a prefix or an address, stands for.
+// printExplanation explains the first announcement that matches the subject: a service name, a prefix or an address.
 func printExplanation(out io.Writer, services []protocol.ServiceRoute, subject string) error {
 	for _, s := range services {
 		if s.Service == subject || s.Prefix == subject || s.Prefix == subject+"/32" || s.Prefix == subject+"/128" {
--- a/cmd/glenport/check.go
+++ b/cmd/glenport/check.go
@@ -23,17 +23,17 @@
 }
 
 func checkFiles(files []string, out, errOut io.Writer) error {
-	results, faults := &printer{w: out}, &printer{w: errOut}
+	results, diagnostics := &printer{w: out}, &printer{w: errOut}
 	valid := true
 	for _, file := range files {
 		s, err := config.LoadScheduler(file)
 		if err != nil {
-			faults.printf("%v\n", err)
+			diagnostics.printf("%v\n", err)
 			valid = false
 			continue
 		}
 		for _, d := range s.Deprecations {
-			faults.printf("%s:%d: %q is deprecated, use %q\n", d.File, d.Line, d.Old, d.New)
+			diagnostics.printf("%s:%d: %q is deprecated, use %q\n", d.File, d.Line, d.Old, d.New)
 		}
 		results.printf("%s: valid: scheduler %s (%d of %d), %d workload classes, %d machine types\n", file, s.Name,
 			s.Policy.SchedulerIndex+1, s.Policy.SchedulerCount, len(s.WorkloadClasses), len(s.MachineTypes))
@@ -41,8 +41,8 @@
 	if results.err != nil {
 		return results.err
 	}
-	if faults.err != nil {
-		return faults.err
+	if diagnostics.err != nil {
+		return diagnostics.err
 	}
 	if !valid {
 		return errNegative
--- a/cmd/glenport/commands_test.go
+++ b/cmd/glenport/commands_test.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 )
 
-// allCommands returns a command and all below it, without those that cobra adds.
+// allCommands returns a command and all its subcommands, without those that cobra adds.
 func allCommands(c *cobra.Command) []*cobra.Command {
 	all := []*cobra.Command{c}
 	for _, sub := range c.Commands() {
@@ -27,7 +27,7 @@
 		t.Run(c.CommandPath(), func(t *testing.T) {
 			help, _, err := runCommand(append(strings.Fields(c.CommandPath())[1:], "--help")...)
 			testutil.Expect(t, err == nil && strings.Contains(help, "Examples:\n"+c.Example),
-				"help without its example, %v:\n%s", err, help)
+				"help without the example, error %v:\n%s", err, help)
 			testutil.Require(t, c.Example != "", "no example")
 			for line := range strings.SplitSeq(c.Example, "\n") {
 				checkExample(t, c, line)
@@ -36,14 +36,14 @@
 	}
 }
 
-// checkExample checks that the call in an example is one of the command, or of one below it, with flags and arguments
-// that it has.
+// checkExample checks that an example calls the command or one of its subcommands, with flags and arguments that the
+// called command accepts.
 func checkExample(t *testing.T, c *cobra.Command, line string) {
 	t.Helper()
 	call, _, _ := strings.Cut(strings.TrimSpace(line), " >")
 	words := strings.Fields(call)
 	if !strings.HasPrefix(call+" ", c.CommandPath()+" ") {
-		t.Fatalf("%q is no call of %s", call, c.CommandPath())
+		t.Fatalf("%q does not call %s", call, c.CommandPath())
 	}
 	called, rest, err := newRootCommand().Find(words[1:])
 	testutil.Require(t, err == nil, "%q: %v", call, err)
@@ -56,13 +56,14 @@
 	if err := called.ValidateRequiredFlags(); err != nil {
 		t.Errorf("%q: %v", call, err)
 	}
-	testutil.Expect(t, called.RunE != nil, "%q runs nothing", call)
+	testutil.Expect(t, called.RunE != nil, "%q calls a command without a function to run", call)
 }
 
 func TestFormerNamesOfProcessesAreAliases(t *testing.T) {
 	for former, name := range map[string]string{"placer": "scheduler", "keeper": "controller"} {
 		c, _, err := newRootCommand().Find([]string{former, "-c", "FILE"})
-		testutil.Expect(t, err == nil && c.Name() == name, "%s runs %v, %v; want %s", former, c, err, name)
+		testutil.Expect(t, err == nil && c.Name() == name,
+			"%s runs command %v, error %v; want %s", former, c, err, name)
 	}
 }
 
@@ -85,7 +86,7 @@
 				}
 				return randomID.ReplaceAllString(output, "-RANDOM-$1")
 			}
-			// cobra prints the warning to standard error, unless an output is set, as here
+			// cobra prints the warning to standard error, or to the output that the test sets
 			warning := "Flag " + tc.former + " has been deprecated, use " + tc.current + "\n"
 			got, want := run(tc.former), warning+run(tc.current)
 			testutil.Expect(t, got == want, "got %s\nwant %s", got, want)
--- a/cmd/glenport/controller.go
+++ b/cmd/glenport/controller.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 )
 
-// apiShutdownTimeout is how long requests in progress may take once the controller stops.
+// apiShutdownTimeout is how long API requests in progress may take once the controller is stopping.
 const apiShutdownTimeout = 2 * time.Second
 
 func newControllerCommand() *cobra.Command {
@@ -78,8 +78,7 @@
 	}, watchcache.New(api.EncodeWatchEvent), log)
 }
 
-// serveAPI serves the API on a goroutine of its own. If that fails, the channel receives the error and the process is
-// stopped.
+// serveAPI serves the API in a new goroutine. If that fails, it sends the error to the channel and stops the process.
 func serveAPI(httpServer *http.Server, process *server.Server) (failed <-chan error) {
 	failures := make(chan error, 1)
 	go func() {
@@ -95,6 +94,6 @@
 func shutdownAPI(s *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), apiShutdownTimeout)
 	defer cancel()
-	_ = s.Shutdown(ctx) // a watch outlasts it: Close ends what is left
-	_ = s.Close()       // the process ends
+	_ = s.Shutdown(ctx) // on a timeout, as with an open watch, Close ends the remaining requests
+	_ = s.Close()       // the process exits
 }
--- a/cmd/glenport/formerflag.go
+++ b/cmd/glenport/formerflag.go
@@ -2,8 +2,8 @@
 
 import "github.com/spf13/cobra"
 
-// addFormerFlag adds the former name of a flag. It sets the same value, is not in the help, and a call that has it
-// prints that it is deprecated.
+// addFormerFlag adds the former name of a flag. The former flag sets the same value, is hidden from the help, and
+// prints a deprecation warning when it is used.
 func addFormerFlag(c *cobra.Command, former, name string) {
 	flags := c.Flags()
 	if c.PersistentFlags().Lookup(name) != nil {
--- a/cmd/glenport/golden_test.go
+++ b/cmd/glenport/golden_test.go
@@ -19,7 +19,7 @@
 	"glenport/internal/testutil/frames"
 )
 
-// runCommand runs the program with arguments, and returns what it prints and how it ends.
+// runCommand runs the root command with arguments, and returns its output and its error.
 func runCommand(args ...string) (stdout, stderr string, err error) {
 	root := newRootCommand()
 	var out, errOut bytes.Buffer
@@ -30,13 +30,14 @@
 	return out.String(), errOut.String(), err
 }
 
-// fakeScheduler answers each client with frames that cover every form of output. Its hello has a role, wrong or right.
+// fakeScheduler starts a server that answers with frames that cover every form of output. Its hello has the given role,
+// which need not be a scheduler's. It returns the server's address.
 func fakeScheduler(t *testing.T, role protocol.Role) string {
 	t.Helper()
 	return testutil.ServeUntilEnd(t, func(conn net.Conn) { serveClient(conn, role) })
 }
 
-// serveClient answers until the client leaves, or asks for a service that has no reply.
+// serveClient answers until the client disconnects or requests a service without a reply.
 func serveClient(conn net.Conn, role protocol.Role) {
 	frames.Handle(conn, func(_ net.Conn, frame protocol.Frame) bool {
 		replies := fakeReplies(frame, role)
@@ -78,7 +79,7 @@
 	}
 }
 
-// fakePlacement is the reply to a request; each service has one of its own.
+// fakePlacement returns the frames that answer a request, which depend on its service.
 func fakePlacement(f *protocol.Submit) []protocol.Frame {
 	id := f.Spec.ContainerID
 	placed := &protocol.PlacementReply{ContainerID: id, Verdict: protocol.VerdictPlaced, Machine: "m1"}
@@ -106,7 +107,7 @@
 const fakeJob = `{"id":"web","service":"reports","workload":"report-run","cores":1.5,"memory_gib":2,"count":3,` +
 	`"version":9,"labels":{"a":"b"}}`
 
-// fakeAnswers are what the fake API answers to each request.
+// fakeAnswers holds the response bodies of the fake API by request.
 var fakeAnswers = map[string]string{
 	"GET /v1/jobs?limit=1000": `{"items":[` + fakeJob +
 		`,{"id":"idle","service":"idle","workload":"matcher","count":0,"version":1}]}`,
@@ -126,11 +127,11 @@
 	"GET /v1/jobs/garbled":         `{`,
 }
 
-// fakeAPI is a controller's API with two jobs; it echoes the bodies of POST and PUT.
+// fakeAPI starts a fake controller API with two jobs, which echoes the bodies of POST and PUT. It returns the address.
 func fakeAPI(t *testing.T) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, _ := io.ReadAll(r.Body) // an unread body shows in the echo
+		body, _ := io.ReadAll(r.Body) // a body that cannot be read shows in the echo
 		answer, ok := fakeAnswers[r.Method+" "+r.URL.RequestURI()]
 		switch {
 		case r.Method == http.MethodPost || r.Method == http.MethodPut:
@@ -139,14 +140,14 @@
 			w.WriteHeader(http.StatusNotFound)
 			answer = `{"title":"Not found","detail":"there is no ` + r.URL.Path + `","status":404}`
 		}
-		_, _ = io.WriteString(w, answer) // a client that has left reads nothing
+		_, _ = io.WriteString(w, answer) // fails only if the client has disconnected
 	}))
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// recordedCalls are the calls of the program whose output is recorded. Words in capitals stand for the addresses of a
-// fake scheduler, of a fake machine and of a fake API, and for a folder with the settings file bad.yaml.
+// recordedCalls lists the command lines whose output is recorded. The words in capitals stand for the addresses of a
+// fake scheduler, a fake machine and a fake API, for a folder with the settings file bad.yaml, and for a state folder.
 var recordedCalls = []string{
 	"check ../../deploy/scheduler.yaml",
 	"check DIR/bad.yaml ../../deploy/scheduler.yaml DIR/absent.yaml",
@@ -222,7 +223,7 @@
 	"unheard-of",
 }
 
-// transcript is a call with what it prints and how it ends.
+// transcript runs a command line and returns it with its output and its exit code or error.
 func transcript(args []string) string {
 	stdout, stderr, err := runCommand(args...)
 	text := fmt.Sprintf("$ glenport %s\n%s", strings.Join(args, " "), stdout)
@@ -242,8 +243,8 @@
 	snapshotAge = regexp.MustCompile(`written \S+ ago`)
 )
 
-// TestOutputOfCommandsIsAsRecorded holds what commands print, byte for byte, and how they end.
-func TestOutputOfCommandsIsAsRecorded(t *testing.T) {
+// TestCommandOutputMatchesGolden compares the output and the exit codes of commands, byte for byte, with testdata.
+func TestCommandOutputMatchesGolden(t *testing.T) {
 	t.Setenv(platformFileVariable, "")
 	scheduler, machine := fakeScheduler(t, protocol.RoleScheduler), fakeScheduler(t, protocol.RoleMachine)
 	api, dir := fakeAPI(t), t.TempDir()
--- a/cmd/glenport/job.go
+++ b/cmd/glenport/job.go
@@ -50,16 +50,16 @@
 		return printJob(client, &created)
 	})
 	f := c.Flags()
-	f.StringVar(&job.Service, "service", "", "name of its service; empty: the job's ID")
-	f.StringVar(&job.WorkloadClass, "workload", "", "name of its workload class")
-	f.StringVar(&job.Tenant, "tenant", "", "name of its tenant")
+	f.StringVar(&job.Service, "service", "", "name of the service; empty: the job's ID")
+	f.StringVar(&job.WorkloadClass, "workload", "", "name of the workload class")
+	f.StringVar(&job.Tenant, "tenant", "", "name of the tenant")
 	addFormerFlag(c, "customer", "tenant")
 	f.Float64Var(&job.Cores, "cores", 1, "cores of a container")
 	f.Float64Var(&job.MemoryGiB, "memory", 1, "memory of a container, in GiB")
-	f.IntVarP(&job.Count, "count", "n", 1, "how many containers")
-	f.DurationVar(&runFor, "run-for", 0, "how long a container runs; 0: until it is stopped")
-	f.BoolVar(&job.RunOnce, "once", false, "do not start a container again that has finished")
-	f.StringToStringVar(&job.Labels, "label", nil, "label as key=value; may be given more than once")
+	f.IntVarP(&job.Count, "count", "n", 1, "number of containers")
+	f.DurationVar(&runFor, "run-for", 0, "run time of a container; 0: unlimited")
+	f.BoolVar(&job.RunOnce, "once", false, "do not restart a container that has finished")
+	f.StringToStringVar(&job.Labels, "label", nil, "label as key=value; may be repeated")
 	requireFlag(c, "workload")
 	return c
 }
@@ -82,7 +82,7 @@
 	var count int
 	c := withAPI(&cobra.Command{
 		Use:     "scale ID",
-		Short:   "Change how many containers a job has",
+		Short:   "Change the number of containers of a job",
 		Example: "  glenport job scale reports -n 5",
 		Args:    cobra.ExactArgs(1),
 	}, func(ctx context.Context, client *apiClient, args []string) error {
@@ -91,13 +91,13 @@
 		if err := client.get(ctx, path, &job); err != nil {
 			return err
 		}
-		job.Count, job.Version = count, 0 // version 0 replaces any version
+		job.Count, job.Version = count, 0 // the job is replaced whatever its version
 		if err := client.do(ctx, http.MethodPut, path, job, &job); err != nil {
 			return err
 		}
 		return printJob(client, &job)
 	})
-	c.Flags().IntVarP(&count, "count", "n", 0, "how many containers")
+	c.Flags().IntVarP(&count, "count", "n", 0, "number of containers")
 	requireFlag(c, "count")
 	return c
 }
@@ -105,7 +105,7 @@
 func newJobStopCommand() *cobra.Command {
 	return withAPI(&cobra.Command{
 		Use:     "stop ID",
-		Short:   "End a job and its containers",
+		Short:   "Delete a job and end its containers",
 		Example: "  glenport job stop reports",
 		Args:    cobra.ExactArgs(1),
 	}, func(ctx context.Context, client *apiClient, args []string) error {
@@ -123,7 +123,7 @@
 }
 
 func printJobs(ctx context.Context, client *apiClient) error {
-	var jobs items[server.Job]
+	var jobs listResponse[server.Job]
 	if err := client.get(ctx, jobsPath+listLimit, &jobs); err != nil {
 		return err
 	}
@@ -139,7 +139,7 @@
 	if err := client.get(ctx, jobsPath+"/"+id, &job); err != nil {
 		return err
 	}
-	var containers items[server.Container]
+	var containers listResponse[server.Container]
 	if err := client.get(ctx, containersPath+listLimit+"&field=job="+id, &containers); err != nil {
 		return err
 	}
--- a/cmd/glenport/machines.go
+++ b/cmd/glenport/machines.go
@@ -15,7 +15,7 @@
 		Example: "  glenport machines -o json",
 		Args:    cobra.NoArgs,
 	}, func(ctx context.Context, client *apiClient, _ []string) error {
-		var machines items[server.Machine]
+		var machines listResponse[server.Machine]
 		if err := client.get(ctx, "/v1/machines"+listLimit, &machines); err != nil {
 			return err
 		}
--- a/cmd/glenport/main.go
+++ b/cmd/glenport/main.go
@@ -1,5 +1,5 @@
-// Command glenport places long-running work on the machines of a cluster: it runs the scheduler and the controller, and
-// talks to them on behalf of a user or an operator.
+// Command glenport places long-running work on the machines of a cluster. It runs the scheduler and the controller, and
+// provides the client commands for users and operators.
 package main
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 )
 
-// exitFailure is the exit code of an error that is printed by main.
+// exitFailure is the exit code when main prints an error.
 const exitFailure = 2
 
 func main() {
@@ -25,10 +25,10 @@
 	os.Exit(exitFailure)
 }
 
-// exitError ends the program with its value as the exit code. The command has printed all there is to print.
+// exitError ends the program with its value as the exit code. main prints nothing for it.
 type exitError int
 
-// errNegative ends a command that ran and has a negative result: it found an error, or a request was refused.
+// errNegative ends a command that ran with a negative result: it found an error, or a container was not placed.
 const errNegative exitError = 1
 
 // Error implements error.
@@ -54,6 +54,6 @@
 // requireFlag marks a flag of a command as required.
 func requireFlag(c *cobra.Command, name string) {
 	if err := c.MarkFlagRequired(name); err != nil {
-		panic(err) // the command has no such flag: a mistake in this program
+		panic(err) // a bug in this program: the command has no such flag
 	}
 }
--- a/cmd/glenport/output.go
+++ b/cmd/glenport/output.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// printer writes text and keeps the first error; after it nothing is written.
+// printer writes text and keeps the first error. After an error it writes nothing.
 type printer struct {
 	w   io.Writer
 	err error
@@ -18,10 +18,10 @@
 	}
 }
 
-// columnGap is the number of blanks between two columns of a table.
+// columnGap is the number of spaces between the columns of a table.
 const columnGap = 2
 
-// printTable prints a header and rows, whose cells are separated by tabs, in aligned columns.
+// printTable prints a header and rows, whose cells are separated by tabs, as aligned columns.
 func printTable(out io.Writer, header string, rows func(p *printer)) error {
 	w := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
 	p := &printer{w: w}
--- a/cmd/glenport/platform.go
+++ b/cmd/glenport/platform.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	platformFileVariable = "ROUTER_CONFIG" // environment variable with the path of the file that the platform writes
-	heapShare            = 0.6             // of the memory that the process may have, for the heap
+	platformFileVariable = "ROUTER_CONFIG" // environment variable with the path of the platform's configuration file
+	heapShare            = 0.6             // of the process's memory limit, as limit of the Go runtime
 )
 
 // platformFlags are the flags of the platform command.
@@ -30,14 +30,15 @@
 	var flags platformFlags
 	c := &cobra.Command{
 		Use:   "platform",
-		Short: "Run one scheduler behind the platform's protocol",
-		Long: "Run one scheduler behind the platform's protocol. Without --config, " + platformFileVariable +
-			" names the platform's file.",
+		Short: "Run one scheduler that speaks the platform's protocol",
+		Long: "Run one scheduler that speaks the platform's protocol. Without --config, " + platformFileVariable +
+			" names the platform's configuration file.",
 		Example: "  glenport platform -c router.toml --trace",
 		Args:    cobra.NoArgs,
 		RunE:    func(*cobra.Command, []string) error { return flags.run() },
 	}
-	c.Flags().StringVarP(&flags.file, "config", "c", os.Getenv(platformFileVariable), "the platform's file")
+	c.Flags().StringVarP(&flags.file, "config", "c", os.Getenv(platformFileVariable),
+		"the platform's configuration file")
 	c.Flags().BoolVar(&flags.trace, "trace", false, "log every message")
 	return c
 }
@@ -57,7 +58,7 @@
 		level = slog.LevelDebug
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	// Of each sort of signal one may be pending while the last is handled.
+	// One signal of each kind may be pending while another is handled.
 	shutdown, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(shutdown, syscall.SIGINT, syscall.SIGTERM)
 	signal.Notify(reload, syscall.SIGHUP)
--- a/cmd/glenport/process.go
+++ b/cmd/glenport/process.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 )
 
-// processFlags are the flags of a command that runs a process with a settings file.
+// processFlags holds the flags of a command that runs a process with a settings file.
 type processFlags struct {
 	configFile string
 	logFormat  string
@@ -22,7 +22,7 @@
 	requireFlag(c, "config")
 }
 
-// logger returns a logger to standard error.
+// logger returns a logger that writes to standard error.
 func (f *processFlags) logger() (*slog.Logger, error) {
 	switch f.logFormat {
 	case "text":
@@ -33,7 +33,7 @@
 	return nil, fmt.Errorf("--log %q is neither text nor json", f.logFormat)
 }
 
-// stopOnSignal calls stop once, in a goroutine of its own, when SIGINT or SIGTERM arrives.
+// stopOnSignal calls stop once, in a new goroutine, when SIGINT or SIGTERM arrives.
 func stopOnSignal(stop func()) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
--- a/cmd/glenport/scheduler.go
+++ b/cmd/glenport/scheduler.go
@@ -51,7 +51,7 @@
 	return process.Run()
 }
 
-// serveMetrics serves the metrics of a process. The process runs on where that fails.
+// serveMetrics serves the metrics of a process. If that fails, the process continues without metrics.
 func serveMetrics(address string, source metrics.Source, log *slog.Logger) (stop func()) {
 	server := metrics.Serve(address, source)
 	go func() {
@@ -60,6 +60,6 @@
 		}
 	}()
 	return func() {
-		_ = server.Close() // the process ends: its listener and connections do too
+		_ = server.Close() // the process exits, which closes the listener and the connections
 	}
 }
--- a/cmd/glenport/schedulerclient.go
+++ b/cmd/glenport/schedulerclient.go
@@ -12,10 +12,10 @@
 	"github.com/spf13/cobra"
 )
 
-// requestTimeout is for a connection and all requests on it, unless a command sets a deadline of its own.
+// requestTimeout limits a connection and all requests on it, unless a command sets its own deadline.
 const requestTimeout = 5 * time.Second
 
-// addSchedulerFlag adds the flag with a scheduler's address to a command and its subcommands.
+// addSchedulerFlag adds the flag for a scheduler's address to a command and its subcommands.
 func addSchedulerFlag(c *cobra.Command, address *string) {
 	c.PersistentFlags().StringVar(address, "scheduler", "127.0.0.1:7400", "the address at which the scheduler listens")
 	addFormerFlag(c, "placer", "scheduler")
@@ -27,11 +27,11 @@
 	name string // of the scheduler
 }
 
-// notSchedulerError says that what listens at an address did not answer as a scheduler does.
+// notSchedulerError is returned if the peer at an address did not answer as a scheduler does.
 type notSchedulerError struct {
 	address string
-	frame   protocol.Frame // its answer; nil where there was none
-	err     error          // nil where the answer is a frame
+	frame   protocol.Frame // the peer's answer; nil if there was none
+	err     error          // nil if the answer is a frame
 }
 
 // Error implements error.
@@ -68,7 +68,7 @@
 	if err := c.SetDeadline(now.Add(requestTimeout)); err != nil {
 		return err
 	}
-	host, _ := os.Hostname() // a client without a host name is known by its process alone
+	host, _ := os.Hostname() // without a host name, the process ID alone names the client
 	name, incarnation := fmt.Sprintf("%s-%d", host, os.Getpid()), uint64(now.UnixMicro())
 	if err := c.send(protocol.NewHello(protocol.RoleClient, name, incarnation)); err != nil {
 		return err
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// close ends the connection. Its error says nothing of use: all answers have been read.
+// close closes the connection. It ignores the error, because all answers have been read.
 func (c *schedulerConn) close() { _ = c.Close() }
 
 func (c *schedulerConn) send(f protocol.Frame) error {
--- a/cmd/glenport/state.go
+++ b/cmd/glenport/state.go
@@ -22,15 +22,15 @@
 	c.AddCommand(
 		&cobra.Command{
 			Use:     "inspect FOLDER",
-			Short:   "Summarize what a folder holds",
+			Short:   "Summarize the contents of a state folder",
 			Example: "  glenport state inspect /var/tmp/glenport-north-1",
 			Args:    cobra.ExactArgs(1),
 			RunE:    func(c *cobra.Command, args []string) error { return inspectState(args[0], c.OutOrStdout()) },
 		},
 		&cobra.Command{
 			Use:     "verify FOLDER",
-			Short:   "Read all of a folder and check it",
-			Long:    "Read all of a folder and check it. The exit code is 1 if anything is damaged.",
+			Short:   "Check a state folder for damage",
+			Long:    "Read a whole state folder and check it for damage. The exit code is 1 if anything is damaged.",
 			Example: "  glenport state verify /var/tmp/glenport-north-1",
 			Args:    cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
@@ -39,14 +39,14 @@
 		},
 		&cobra.Command{
 			Use:     "export FOLDER",
-			Short:   "Write the records of a folder as lines of JSON",
+			Short:   "Print the records of a state folder as lines of JSON",
 			Example: "  glenport state export /var/tmp/glenport-north-1 >records.jsonl",
 			Args:    cobra.ExactArgs(1),
 			RunE:    func(c *cobra.Command, args []string) error { return exportState(args[0], c.OutOrStdout()) },
 		},
 		&cobra.Command{
 			Use:     "compact FOLDER",
-			Short:   "Make a snapshot of a folder that no process uses",
+			Short:   "Compact a state folder that no process uses into a snapshot",
 			Example: "  glenport state compact /var/tmp/glenport-north-1",
 			Args:    cobra.ExactArgs(1),
 			RunE:    func(c *cobra.Command, args []string) error { return compactState(args[0], c.OutOrStdout()) },
@@ -54,16 +54,16 @@
 	return c
 }
 
-// stateFolder is what could be read of a state folder.
+// stateFolder holds the readable content of a state folder.
 type stateFolder struct {
-	log         *wal.State // nil where there is none
+	log         *wal.State // nil if there is none
 	logErr      error
-	snapshot    *schedulerd.WarmStartSnapshot // nil where there is none
+	snapshot    *schedulerd.WarmStartSnapshot // nil if there is none
 	snapshotErr error
 }
 
-// readStateFolder reads a folder as far as it can be. The error says that the folder cannot be opened; what is damaged
-// in it is reported by damage.
+// readStateFolder reads as much of a state folder as possible. It returns an error only if the folder cannot be opened;
+// damage returns the errors of its content.
 func readStateFolder(path string) (*stateFolder, error) {
 	dir, err := vfs.OpenReadOnly(path)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return f, nil
 }
 
-// damage returns what is wrong with the content of the folder, nil where nothing is.
+// damage returns the errors in the content of the folder, or nil if it is undamaged.
 func (f *stateFolder) damage() error { return errors.Join(f.logErr, f.snapshotErr) }
 
 func inspectState(path string, out io.Writer) error {
@@ -130,7 +130,7 @@
 		snapshot.ListVersion, len(snapshot.Entries), suspected, ejected)
 }
 
-// verifyState returns errNegative where anything is not as it was written.
+// verifyState returns errNegative if the folder is damaged.
 func verifyState(path string, out, errOut io.Writer) error {
 	f, err := readStateFolder(path)
 	if err != nil {
--- a/cmd/glenport/state_test.go
+++ b/cmd/glenport/state_test.go
@@ -11,7 +11,7 @@
 	"glenport/internal/testutil"
 )
 
-// writeStateFolder makes a folder whose log has a record for each key.
+// writeStateFolder creates a state folder whose log has a record for each key.
 func writeStateFolder(t *testing.T, keys ...string) (path string) {
 	t.Helper()
 	path = t.TempDir()
@@ -29,15 +29,15 @@
 	return path
 }
 
-// A folder is inspected, checked, exported and compacted; of a damaged one the file and the place are named, and what
-// comes before is exported.
+// The state commands inspect, verify, export and compact a folder. verify names the damaged file and the position of
+// the damage, and export fails for a damaged folder.
 func TestStateCommandsReadAndCompactAFolder(t *testing.T) {
 	dir := writeStateFolder(t, "a", "b", "c")
-	run := func(what string) (string, error) {
-		stdout, stderr, err := runCommand("state", what, dir)
+	run := func(subcommand string) (string, error) {
+		stdout, stderr, err := runCommand("state", subcommand, dir)
 		return stdout + stderr, err
 	}
-	for _, tc := range []struct{ what, want string }{
+	for _, tc := range []struct{ subcommand, want string }{
 		{"inspect", "3 records"},
 		{"verify", "valid, 3 records"},
 		{"export", `{"key":"b","kind":"job","value":"x"}`},
@@ -45,20 +45,20 @@
 		{"verify", "valid, 3 records, 0 groups"},
 		{"export", `{"key":"c","kind":"job","value":"x"}`},
 	} {
-		if out, err := run(tc.what); err != nil || !strings.Contains(out, tc.want) {
-			t.Errorf("%s: %q, %v", tc.what, out, err)
+		if out, err := run(tc.subcommand); err != nil || !strings.Contains(out, tc.want) {
+			t.Errorf("%s: %q, %v", tc.subcommand, out, err)
 		}
 	}
 	damaged := damageSnapshot(t, dir)
 	if out, err := run("verify"); err == nil || !strings.Contains(out, damaged+", at byte") {
-		t.Errorf("damaged: %q, %v", out, err)
+		t.Errorf("verify of a damaged folder: %q, %v", out, err)
 	}
 	if _, err := run("export"); err == nil {
-		t.Error("a damaged folder is exported as whole")
+		t.Error("the export of a damaged folder returns no error")
 	}
 }
 
-// damageSnapshot changes a bit in the middle of a folder's snapshot and returns the name of the file.
+// damageSnapshot flips a bit in the middle of a folder's snapshot file and returns the name of the file.
 func damageSnapshot(t *testing.T, dir string) string {
 	t.Helper()
 	snapshots, err := filepath.Glob(filepath.Join(dir, "snapshot-*"))
--- a/cmd/glenport/stateexport.go
+++ b/cmd/glenport/stateexport.go
@@ -14,10 +14,10 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// maxExportedThreshold stands for infinity in JSON, which cannot express it.
+// maxExportedThreshold replaces infinity, which JSON cannot express.
 const maxExportedThreshold = 1e308
 
-// exportState writes what can be read, and returns the damage where there is any.
+// exportState writes all readable records as lines of JSON, and returns the damage of the folder, if any.
 func exportState(path string, out io.Writer) error {
 	f, err := readStateFolder(path)
 	if err != nil {
@@ -37,14 +37,14 @@
 	return f.damage()
 }
 
-// exportedRecord is the line of one record. Its fields are in the order of their names.
+// exportedRecord is the exported line of a record. Its fields are in alphabetical order.
 type exportedRecord struct {
 	Key   string `json:"key"`
 	Kind  string `json:"kind"`
 	Value any    `json:"value"`
 }
 
-// exportedSnapshot is the line of the warm-start snapshot.
+// exportedSnapshot is the exported line of the warm-start snapshot.
 type exportedSnapshot struct {
 	Kind  string                        `json:"kind"`
 	Value *schedulerd.WarmStartSnapshot `json:"value"`
--- a/cmd/glenport/submit.go
+++ b/cmd/glenport/submit.go
@@ -15,18 +15,18 @@
 const (
 	tick = 100 * time.Microsecond // the unit of protocol.Duration
 
-	// answerGrace is how long after the deadline of the requests their answers may arrive.
+	// answerGrace is how long the command waits for answers after the deadline of the requests.
 	answerGrace = 5 * time.Second
 )
 
-// submission is what one call of the submit command asks for.
+// submission holds the requests of one call of the submit command.
 type submission struct {
 	address string
-	spec    protocol.ContainerSpec // of each container, but for its ID and, where none is given, its key
+	spec    protocol.ContainerSpec // of all containers; ID and, unless given, key are set for each
 	key     string
 	count   int
-	timeout time.Duration // to the deadline of the requests
-	wait    bool          // until the containers end
+	timeout time.Duration // from now to the deadline of the requests
+	wait    bool          // wait until the containers end
 }
 
 func newSubmitCommand() *cobra.Command {
@@ -44,7 +44,7 @@
 	}
 	addSchedulerFlag(c, &s.address)
 	f := c.Flags()
-	f.IntVarP(&s.count, "count", "n", 1, "how many containers")
+	f.IntVarP(&s.count, "count", "n", 1, "number of containers")
 	f.IntVar(&s.spec.WorkloadClass, "workload", 0, "index of the workload class in the scheduler's settings, from 0")
 	f.IntVar(&s.spec.Tenant, "tenant", 0, "index of the tenant, from 0")
 	f.Float64Var(&s.spec.Cores, "cores", 1, "cores of each container")
@@ -58,14 +58,14 @@
 	return c
 }
 
-// run sends the requests, prints the answers, and returns errNegative where a container is not placed.
+// run sends the requests, prints the answers, and returns errNegative if a container is not placed.
 func (s *submission) run(ctx context.Context, out io.Writer) error {
 	c, err := dialScheduler(ctx, s.address)
 	if err != nil {
 		return err
 	}
 	defer c.close()
-	var deadline time.Time // none while it waits for the containers to end
+	var deadline time.Time // none when waiting for the containers to end
 	if !s.wait {
 		deadline = time.Now().Add(s.timeout + answerGrace)
 	}
@@ -75,7 +75,7 @@
 	if err := s.send(c); err != nil {
 		return err
 	}
-	return s.follow(c, &replyPrinter{printer: &printer{w: out}, unanswered: s.count})
+	return s.receiveReplies(c, &replyPrinter{printer: &printer{w: out}, unanswered: s.count})
 }
 
 func (s *submission) send(c *schedulerConn) error {
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// follow prints replies, and terminations if they are waited for, until all have arrived.
-func (s *submission) follow(c *schedulerConn, p *replyPrinter) error {
+// receiveReplies prints replies until all have arrived and, with --wait, terminations until all containers have ended.
+func (s *submission) receiveReplies(c *schedulerConn, p *replyPrinter) error {
 	for p.unanswered > 0 || s.wait && p.running > 0 {
 		frame, err := protocol.ReadFrame(c, protocol.MaxFrame)
 		if err != nil {
@@ -120,12 +120,12 @@
 	return nil
 }
 
-// replyPrinter prints the replies to a submission and counts what is still to come.
+// replyPrinter prints the replies to a submission and counts the outstanding replies and terminations.
 type replyPrinter struct {
 	*printer
 	unanswered int  // requests without a reply
 	running    int  // containers that were placed and have not ended
-	notPlaced  bool // a request was answered otherwise
+	notPlaced  bool // a request was not answered with VerdictPlaced
 }
 
 func (p *replyPrinter) printTermination(f *protocol.Termination) {
@@ -151,7 +151,7 @@
 	p.printf("\n")
 }
 
-// verdictText returns a verdict in the terms of this program; [protocol.Verdict.String] has the older ones.
+// verdictText returns the current name of a verdict. [protocol.Verdict.String] returns the older name.
 func verdictText(v protocol.Verdict) string {
 	switch v {
 	case protocol.VerdictRejected:
--- a/cmd/glenport/why.go
+++ b/cmd/glenport/why.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 )
 
-// followInterval is the time between two requests for reasons that are followed.
+// followInterval is the time between two requests with --follow.
 const followInterval = 500 * time.Millisecond
 
 func newWhyCommand() *cobra.Command {
@@ -56,11 +56,11 @@
 	}
 }
 
-// explain returns the explanations of a job, or of a container where the ID has a dot. One without reasons is left out
-// there.
+// explain returns the explanations of a job, or of a container if the ID has a dot. It returns none for a container
+// without reasons.
 func explain(ctx context.Context, client *apiClient, id string) ([]api.Explanation, error) {
 	if !strings.Contains(id, ".") {
-		var explanations items[api.Explanation]
+		var explanations listResponse[api.Explanation]
 		err := client.get(ctx, jobsPath+"/"+id+"/why", &explanations)
 		return explanations.Items, err
 	}
@@ -71,7 +71,8 @@
 	return []api.Explanation{explanation}, nil
 }
 
-// reasonCodes identifies the containers and codes of explanations: they have changed where it has.
+// reasonCodes returns a text of the containers and reason codes in explanations, by which followReasons detects
+// changes.
 func reasonCodes(explanations []api.Explanation) string {
 	var codes strings.Builder
 	for _, explanation := range explanations {
