--- a/internal/controller/server/golden_test.go
+++ b/internal/controller/server/golden_test.go
@@ -171,7 +171,7 @@
 			want := reflect.Indirect(reflect.ValueOf(r.value))
 			got := reflect.New(want.Type())
 			testutil.NoError(t, cbor.Unmarshal(stored, got.Interface()))
-			wantEqual(t, "decoded record", got.Elem().Interface(), want.Interface())
+			wantEqual(t, "read", got.Elem().Interface(), want.Interface())
 			again := wal.Put(r.kind, r.key, r.value).Value
 			testutil.Expect(t, bytes.Equal(again, stored), "encoded %x, stored %x", again, stored)
 		})
--- a/internal/controller/watchcache/watchcache_test.go
+++ b/internal/controller/watchcache/watchcache_test.go
@@ -44,7 +44,7 @@
 		want error
 	}{{99, ErrCompacted}, {100, nil}, {historyLength + 100, nil}, {historyLength + 101, ErrCompacted}} {
 		w, err := c.Watch(tc.from, "jobs")
-		testutil.Expect(t, errors.Is(err, tc.want), "watch from %d: got error %v, want %v", tc.from, err, tc.want)
+		testutil.Expect(t, errors.Is(err, tc.want), "watch from %d: unexpected result, error %v", tc.from, err)
 		if err != nil {
 			continue
 		}
