--- a/internal/controller/api/api.go
+++ b/internal/controller/api/api.go
@@ -58,7 +58,7 @@
 }
 
 // NewHTTPServer returns an HTTP server that limits the time to read a request and the size of its headers. It sets no
-// write timeout, because a watch may last any time.
+// write timeout, because a watch has no time limit.
 func NewHTTPServer(address string, h http.Handler) *http.Server {
 	return &http.Server{
 		Addr: address, Handler: h, ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout,
--- a/internal/controller/server/objects.go
+++ b/internal/controller/server/objects.go
@@ -30,7 +30,7 @@
 	State       string `json:"state"`
 	Terminating bool   `json:"leaving,omitempty"`
 	Machine     string `json:"machine,omitempty"`
-	Scheduler   string `json:"placer,omitempty"`   // that was last asked to place it
+	Scheduler   string `json:"placer,omitempty"`   // name of the scheduler last asked to place it
 	SinceMS     int64  `json:"since_ms"`           // Unix time of the last state change
 	UntilMS     int64  `json:"until_ms,omitempty"` // Unix time of the next step
 	Attempts    int    `json:"tries"`              // since the container last ran
--- a/internal/controller/server/pendingreasons.go
+++ b/internal/controller/server/pendingreasons.go
@@ -13,8 +13,8 @@
 const reasonsTimeout = 5 * time.Second
 
 // PendingReasons returns the state of a container and the reasons why it does not run. It requests an explanation from
-// a scheduler where that helps. Times in the reasons are Unix time in units of scheduler.Time. Errors are ErrNotFound
-// and ErrStopped.
+// a scheduler unless the container runs or is completed. Times in the reasons are Unix time in units of scheduler.Time.
+// Errors are ErrNotFound and ErrStopped.
 func (s *Server) PendingReasons(id string) (reasons []pending.Reason, state string, err error) {
 	type result struct {
 		reasons []pending.Reason
--- a/internal/controller/server/server.go
+++ b/internal/controller/server/server.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	maxOutput   = 8 << 20 // output buffer of a connection, in bytes
+	maxOutput   = 8 << 20 // maximum size of a connection's output buffer, in bytes
 	dialTimeout = eventloop.Second
 )
 
--- a/internal/controller/server/statestore_test.go
+++ b/internal/controller/server/statestore_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// A change that were decided while another change of the same job is in progress would be decided on an outdated job.
+// A change that is decided while another change of the same job is in progress would be decided on an outdated job.
 func TestChangesOfAJobAreSerialized(t *testing.T) {
 	s := openServer(t)
 	s.jobs.waitingChanges["reports"] = nil // a change is in progress
