--- a/internal/bgp/announce/actions.go
+++ b/internal/bgp/announce/actions.go
@@ -6,7 +6,7 @@
 	"glenport/scheduler"
 )
 
-// Action is an output of the decisions, which the process carries out.
+// Action is an output of an Announcer, to be executed by the caller.
 type Action interface{ action() }
 
 // Announce announces a prefix to all peers, or replaces its path.
@@ -15,13 +15,13 @@
 	Path   Path
 }
 
-// Withdraw ends the announcement of a prefix at all peers.
+// Withdraw withdraws a prefix from all peers.
 type Withdraw struct{ Prefix netip.Prefix }
 
-// SetTimer starts a timer. Earlier ones stay; each is answered by TimerFired.
+// SetTimer starts a timer. Timers that were started earlier keep running. TimerFired follows for each.
 type SetTimer struct{ After scheduler.Time }
 
-// Log is a constant message about a prefix for the log, with its penalty for flapping or with an error.
+// Log is a log message about a prefix, with the flap damping penalty or an error. The message is constant.
 type Log struct {
 	Message string
 	Prefix  netip.Prefix
--- a/internal/bgp/announce/announce.go
+++ b/internal/bgp/announce/announce.go
@@ -8,24 +8,24 @@
 	"glenport/scheduler"
 )
 
-// minUpdateInterval is the least time between two updates of one address. It is half of the two seconds in which a
-// withdrawal has to be sent after the last container's end, so that a withdrawal may wait for it too.
+// minUpdateInterval is the minimum time between two updates of one address. It is half of the two seconds within which
+// a withdrawal must follow the end of the last container, so that a withdrawal can be deferred too.
 const minUpdateInterval = scheduler.Second
 
-// Announcer holds all services: each is kept while it is configured or announced, has containers or a damping penalty,
-// or was updated less than minUpdateInterval ago.
+// Announcer holds the state of all services. A service is kept while it is configured or announced, has containers or a
+// damping penalty, or was updated less than minUpdateInterval ago.
 type Announcer struct {
 	now      scheduler.Time
 	actions  []Action
 	services map[string]*service
-	changed  map[string]bool // names of services that the current events concern
+	changed  map[string]bool // names of services to update after the current events
 	wakeAt   scheduler.Time  // when the timer fires
 }
 
 // New returns an Announcer without services.
 func New() *Announcer { return &Announcer{services: map[string]*service{}} }
 
-// Handle takes the events up to now and returns what is to be done, in order.
+// Handle handles the events that occurred up to now and returns the resulting actions in order.
 func (a *Announcer) Handle(now scheduler.Time, events []Event) []Action {
 	a.now, a.actions, a.changed = now, nil, map[string]bool{}
 	for _, e := range events {
@@ -39,7 +39,7 @@
 		case ContainerEnded:
 			a.removeContainer(e)
 		case TimerFired:
-			a.checkWaiting()
+			a.markPending()
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(a.changed)) {
@@ -63,19 +63,19 @@
 }
 
 func (a *Announcer) addContainer(e ContainerRunning) {
-	a.findOrAdd(e.Service).draining[e.Container] = e.Draining
+	a.findOrAdd(e.Service).containers[e.Container] = e.Draining
 	a.changed[e.Service] = true
 }
 
 func (a *Announcer) removeContainer(e ContainerEnded) {
 	if s := a.services[e.Service]; s != nil {
-		delete(s.draining, e.Container)
+		delete(s.containers, e.Container)
 		a.changed[e.Service] = true
 	}
 }
 
-// checkWaiting has all services updated that have a pending change or a damping penalty.
-func (a *Announcer) checkWaiting() {
+// markPending marks the services with a pending change or a damping penalty for an update.
+func (a *Announcer) markPending() {
 	for name, s := range a.services {
 		if s.route.pending() || s.damping.suppressed || s.damping.penalty > 0 {
 			a.changed[name] = true
@@ -86,7 +86,7 @@
 func (a *Announcer) findOrAdd(name string) *service {
 	s := a.services[name]
 	if s == nil {
-		s = &service{name: name, draining: map[string]bool{}}
+		s = &service{name: name, containers: map[string]bool{}}
 		a.services[name] = s
 	}
 	return s
@@ -94,22 +94,24 @@
 
 func (a *Announcer) emit(x Action) { a.actions = append(a.actions, x) }
 
-// update emits what has changed for a service, or leaves it pending until minUpdateInterval has passed. A change that
-// is reverted meanwhile is never emitted.
+// update sends the change of a service's route, or defers it until minUpdateInterval has passed. A deferred change that
+// is reverted in the meantime is never sent.
 func (a *Announcer) update(s *service) {
 	s.damping.decay(a.now)
 	if s.damping.endSuppression() {
-		a.emit(Log{Message: "route is stable, announced again", Prefix: s.config.Prefix, Penalty: s.damping.penalty})
+		a.emit(Log{
+			Message: "route no longer suppressed by flap damping", Prefix: s.config.Prefix, Penalty: s.damping.penalty,
+		})
 	}
 	path, wanted := s.desiredPath()
-	movedAway := s.route.announced() && wanted && s.route.prefix != s.config.Prefix
+	prefixChanged := s.route.announced() && wanted && s.route.prefix != s.config.Prefix
 	switch {
-	case !movedAway && s.route.matches(path, wanted):
+	case !prefixChanged && s.route.matches(path, wanted):
 		a.transition(s, changeSettled)
 		a.evictIfUnused(s)
 	case s.route.mustWait(a.now):
 		a.transition(s, changeDeferred)
-	case movedAway:
+	case prefixChanged:
 		a.withdraw(s, addressMoved)
 	case s.route.announced() && !wanted:
 		a.withdraw(s, withdrawalSent)
@@ -119,11 +121,12 @@
 	}
 }
 
-// transition reports whether a service's route has an event in its state; one that it does not have is logged.
+// transition applies an event to the state of a service's route and reports whether the event is legal in that state.
+// An illegal event is logged.
 func (a *Announcer) transition(s *service, e routeEvent) bool {
 	err := s.route.transition(e)
 	if err != nil {
-		a.emit(Log{Message: "illegal transition of an announced route", Prefix: s.route.prefix, Err: err})
+		a.emit(Log{Message: "illegal route state transition", Prefix: s.route.prefix, Err: err})
 	}
 	return err == nil
 }
@@ -134,10 +137,11 @@
 	}
 	a.emit(Announce{Prefix: s.config.Prefix, Path: path})
 	s.route.path, s.route.prefix = path, s.config.Prefix
-	s.route.updated(a.now)
+	s.route.recordUpdate(a.now)
 }
 
-// withdraw sends a withdrawal. The event is addressMoved if the route of another address follows, else withdrawalSent.
+// withdraw sends a withdrawal. The event is addressMoved if a route for another address follows, otherwise
+// withdrawalSent.
 func (a *Announcer) withdraw(s *service, e routeEvent) {
 	if !a.transition(s, e) {
 		return
@@ -145,10 +149,10 @@
 	a.emit(Withdraw{Prefix: s.route.prefix})
 	if s.damping.addWithdrawal() {
 		a.emit(Log{
-			Message: "route flaps, suppressed until it is stable", Prefix: s.route.prefix, Penalty: s.damping.penalty,
+			Message: "route suppressed by flap damping", Prefix: s.route.prefix, Penalty: s.damping.penalty,
 		})
 	}
-	s.route.updated(a.now)
+	s.route.recordUpdate(a.now)
 }
 
 func (a *Announcer) evictIfUnused(s *service) {
@@ -157,7 +161,7 @@
 	}
 }
 
-// setTimer sets the timer for the first service that needs an update without an event, unless it fires before.
+// setTimer sets the timer for the earliest update that is due without another event, unless it already fires by then.
 func (a *Announcer) setTimer() {
 	next := scheduler.Time(0)
 	for _, s := range a.services {
@@ -171,7 +175,7 @@
 	}
 }
 
-// Announced returns all that is announced, in order of prefixes: what a peer receives when its session comes up.
+// Announced returns all announced routes, sorted by prefix. A peer receives them when its session is established.
 func (a *Announcer) Announced() []Announce {
 	var all []Announce
 	for _, s := range a.services {
@@ -188,13 +192,13 @@
 // Status is the state of a service's address, for operators.
 type Status struct {
 	Announced  bool
-	Path       Path // the latest announced, if any
-	Running    int  // containers, draining ones included
+	Path       Path // the last announced path, if any
+	Running    int  // running containers, including draining ones
 	Draining   int
 	MinRunning int
 	Penalty    float64
 	Suppressed bool
-	NextUpdate scheduler.Time // when a pending change is sent; 0: none is pending
+	NextUpdate scheduler.Time // when the pending change is sent; 0: no change is pending
 }
 
 // Status returns the state of a service's address, and whether the service is known.
--- a/internal/bgp/announce/damping.go
+++ b/internal/bgp/announce/damping.go
@@ -6,18 +6,18 @@
 	"glenport/scheduler"
 )
 
-// Values of the flap damping: those that RFC 7196, section 4, recommends, with its high suppress threshold.
+// Parameters of flap damping, as RFC 7196, section 4, recommends, with its high suppress threshold.
 const (
 	withdrawalPenalty = 1000.0
 	suppressThreshold = 6000.0
 	reuseThreshold    = 750.0
 	penaltyHalfLife   = 15 * 60 * scheduler.Second
-	maxPenalty        = 12000.0 // suppression ends within four half-lives of the last withdrawal: an hour
-	negligiblePenalty = 50.0    // counts as none
+	maxPenalty        = 12000.0 // suppression ends within four half-lives (one hour) of the last withdrawal
+	negligiblePenalty = 50.0    // treated as zero
 )
 
-// damping suppresses a route that is withdrawn again and again (RFC 2439). Its penalty grows with each withdrawal and
-// decays exponentially.
+// damping suppresses a route that is withdrawn repeatedly (RFC 2439). The penalty grows with each withdrawal and decays
+// exponentially.
 type damping struct {
 	penalty    float64 // as of decayedAt
 	decayedAt  scheduler.Time
@@ -34,7 +34,7 @@
 	d.decayedAt = now
 }
 
-// addWithdrawal adds the penalty of a withdrawal, and returns whether suppression begins with it.
+// addWithdrawal adds the penalty of a withdrawal and reports whether suppression begins with it.
 func (d *damping) addWithdrawal() (begins bool) {
 	d.penalty = min(maxPenalty, d.penalty+withdrawalPenalty)
 	if d.suppressed || d.penalty < suppressThreshold {
@@ -44,7 +44,7 @@
 	return true
 }
 
-// endSuppression ends the suppression if the penalty has decayed, and returns whether it did.
+// endSuppression ends the suppression if the penalty is below reuseThreshold, and reports whether it did.
 func (d *damping) endSuppression() (ended bool) {
 	if !d.suppressed || d.penalty >= reuseThreshold {
 		return false
@@ -59,8 +59,8 @@
 	return scheduler.Time(halfLives*float64(penaltyHalfLife)) + 1
 }
 
-// untilForgotten returns how long the penalty takes to become negligible, one half-life at least.
-func (d *damping) untilForgotten() scheduler.Time {
+// untilNegligible returns how long the penalty takes to become negligible, but at least one half-life.
+func (d *damping) untilNegligible() scheduler.Time {
 	halfLives := math.Log2(max(2, d.penalty/negligiblePenalty))
 	return scheduler.Time(halfLives*float64(penaltyHalfLife)) + 1
 }
--- a/internal/bgp/announce/doc.go
+++ b/internal/bgp/announce/doc.go
@@ -1,10 +1,10 @@
-// Package announce decides which service addresses are announced by BGP, with which path, and when. From containers
-// that run, drain and end it derives the routes that all peers should have, never more than one update a second for
-// an address, and withdraws in time when the last container behind an address has ended. It is pure: Handle takes
+// Package announce decides which service addresses are announced over BGP, with which path, and when. It derives the
+// routes from the running and draining containers of each service. It sends at most one update a second for an address
+// and withdraws an address within two seconds of the end of its last container. The package does no I/O: Handle takes
 // events and returns actions.
 //
-// An [Announcer] holds a service for each address: its configuration, its containers, the damping of its flaps, and
-// its route, which is what peers have been sent. By state of the route and event, with the state that follows:
+// An [Announcer] holds a service for each address: its configuration, its containers, its flap damping, and its route
+// as sent to peers. The transitions of a route by state and event:
 //
 //	state                event           next                 what was done
 //	withdrawn            changeSettled   withdrawn            peers have what they should have
@@ -24,5 +24,5 @@
 //	changePending        withdrawalSent  withdrawn            a withdrawal was sent
 //	changePending        addressMoved    announcementPending  a withdrawal was sent; the new address follows
 //
-// An event that is not listed is a *statemachine.TransitionError, which is logged.
+// An event that is not listed for a state is illegal and is logged as a *statemachine.TransitionError.
 package announce
--- a/internal/bgp/announce/events.go
+++ b/internal/bgp/announce/events.go
@@ -1,6 +1,6 @@
 package announce
 
-// Event is an input of the decisions.
+// Event is an input of an Announcer.
 type Event interface{ event() }
 
 // ServiceSet adds a service's address or changes its configuration.
@@ -18,10 +18,10 @@
 	Draining           bool
 }
 
-// ContainerEnded removes a container, whatever ended it.
+// ContainerEnded removes a container, whatever the reason for its end.
 type ContainerEnded struct{ Service, Container string }
 
-// TimerFired is the expiry of the timer that SetTimer started.
+// TimerFired is the expiry of a timer that SetTimer started.
 type TimerFired struct{}
 
 func (ServiceSet) event()       {}
--- a/internal/bgp/announce/path.go
+++ b/internal/bgp/announce/path.go
@@ -11,16 +11,16 @@
 
 // Local preferences.
 const (
-	ordinaryPreference = 100
-	drainedPreference  = 0 // of routes that are about to be withdrawn (RFC 8326, section 3)
+	defaultPreference  = 100
+	drainingPreference = 0 // for routes that are about to be withdrawn (RFC 8326, section 3)
 )
 
-// Path is what is announced with a prefix. It is comparable.
+// Path holds the path attributes that are announced with a prefix. It is comparable.
 type Path struct {
 	NextHop     netip.Addr
 	Preference  uint32 // local preference
 	MED         uint32
-	Communities string // each in four bytes; see CommunityList
+	Communities string // four bytes each; see CommunityList
 }
 
 // CommunityList returns the communities as numbers.
@@ -36,7 +36,7 @@
 	return string(binary.BigEndian.AppendUint32(nil, community))
 }
 
-// Compare orders paths by next hop, then preferred ones first.
+// Compare orders paths by next hop, then by preference from high to low, then by MED and communities.
 func (p Path) Compare(q Path) int {
 	return cmp.Or(
 		p.NextHop.Compare(q.NextHop),
--- a/internal/bgp/announce/route.go
+++ b/internal/bgp/announce/route.go
@@ -7,36 +7,36 @@
 	"glenport/scheduler"
 )
 
-// routeState is what peers have of a service's address, and whether a change of that is pending.
+// routeState says whether peers have a route to a service's address, and whether a change of it is pending.
 type routeState uint8
 
 const (
 	routeWithdrawn      routeState = iota // peers have no route
-	announcementPending                   // peers have no route; one waits for minUpdateInterval
+	announcementPending                   // peers have no route; an announcement waits for minUpdateInterval
 	routeAnnounced                        // peers have a route
-	changePending                         // peers have a route; another path or a withdrawal waits
+	changePending                         // peers have a route; a new path or a withdrawal waits for minUpdateInterval
 )
 
 func (s routeState) String() string {
 	return [...]string{"withdrawn", "announcementPending", "announced", "changePending"}[s]
 }
 
-// routeEvent is what happens to a route.
+// routeEvent is an input of the state machine of a route.
 type routeEvent uint8
 
 const (
-	changeSettled  routeEvent = iota // peers have what they should have
+	changeSettled  routeEvent = iota // peers have the desired route, or none if none is desired
 	changeDeferred                   // a change waits for minUpdateInterval
-	pathSent                         // peers were sent a path
-	withdrawalSent                   // peers were sent a withdrawal
-	addressMoved                     // peers were sent a withdrawal, and the route of another address follows
+	pathSent                         // a path was sent to peers
+	withdrawalSent                   // a withdrawal was sent to peers
+	addressMoved                     // a withdrawal was sent to peers; a route for another address follows
 )
 
 func (e routeEvent) String() string {
 	return [...]string{"changeSettled", "changeDeferred", "pathSent", "withdrawalSent", "addressMoved"}[e]
 }
 
-// routeTransitions are the next states by state and event.
+// routeTransitions maps each state and event to the next state.
 var routeTransitions = statemachine.Table[routeState, routeEvent]{
 	routeWithdrawn: {
 		changeSettled:  routeWithdrawn,
@@ -64,17 +64,17 @@
 	},
 }
 
-// route is what peers have been sent for a service's address.
+// route is the route to a service's address as sent to peers.
 type route struct {
 	state       routeState
-	path        Path         // the latest announced
-	prefix      netip.Prefix // under which it was announced
+	path        Path         // last announced
+	prefix      netip.Prefix // of the last announced path
 	updatedAt   scheduler.Time
-	everUpdated bool // updatedAt is set
+	everUpdated bool // whether updatedAt is set
 }
 
-// transition takes the route to the state that follows an event; only here its state changes. It returns a
-// *statemachine.TransitionError and changes nothing if the state does not have the event.
+// transition moves the route to the state that follows an event; the state changes only here. If the event is illegal
+// in the current state, transition returns a *statemachine.TransitionError and changes nothing.
 func (r *route) transition(e routeEvent) error {
 	return routeTransitions.Apply("announced route", &r.state, e)
 }
@@ -85,7 +85,7 @@
 // pending reports whether a change waits for minUpdateInterval.
 func (r *route) pending() bool { return r.state == announcementPending || r.state == changePending }
 
-// matches reports whether peers have the desired path, or none if none is wanted.
+// matches reports whether peers have the given path, or no route if none is wanted.
 func (r *route) matches(path Path, wanted bool) bool {
 	return r.announced() == wanted && (!wanted || r.path == path)
 }
@@ -96,4 +96,4 @@
 // mustWait reports whether the last update was less than minUpdateInterval ago.
 func (r *route) mustWait(now scheduler.Time) bool { return r.everUpdated && now < r.nextUpdateAt() }
 
-func (r *route) updated(now scheduler.Time) { r.updatedAt, r.everUpdated = now, true }
+func (r *route) recordUpdate(now scheduler.Time) { r.updatedAt, r.everUpdated = now, true }
--- a/internal/bgp/announce/service.go
+++ b/internal/bgp/announce/service.go
@@ -7,11 +7,11 @@
 	"glenport/scheduler"
 )
 
-// MEDByHealth raises the MED by medStep for each halving of the serving containers below 16, so that one container
-// more or less of many changes nothing.
+// With MEDByHealth, the MED rises by medStep each time the number of serving containers halves below 16. A change by
+// one container among many leaves the MED as it is.
 const (
 	medStep     = 10
-	maxMEDSteps = 5 // from none to 16 serving containers
+	maxMEDSteps = 5 // without serving containers; with 16 or more the MED is not raised
 )
 
 // Service is the configuration of a service address.
@@ -19,8 +19,8 @@
 	Prefix      netip.Prefix
 	NextHop     netip.Addr
 	MED         uint32
-	MinRunning  int  // running containers below which it is not announced; 0 counts as 1
-	MEDByHealth bool // the more containers serve, the lower the MED: peers prefer the scheduler with the most
+	MinRunning  int  // minimum of running containers to announce the address; 0 counts as 1
+	MEDByHealth bool // lowers the MED with more serving containers; peers prefer the lowest MED
 }
 
 // service is the state of one service address.
@@ -28,26 +28,26 @@
 	name       string
 	configured bool // between ServiceSet and ServiceRemoved
 	config     Service
-	draining   map[string]bool // by running container
+	containers map[string]bool // running containers; the value says whether the container is draining
 
 	route   route
 	damping damping
 }
 
-// desiredPath returns the path that the service should have now, and whether it should be announced at all. One whose
-// containers all drain is still announced, but as the last choice, so that its traffic moves before it ends.
+// desiredPath returns the path to announce for the service, and whether to announce it at all. While all containers are
+// draining, the address is announced with the lowest preference, so that traffic moves away before the withdrawal.
 func (s *service) desiredPath() (path Path, wanted bool) {
-	running := len(s.draining)
+	running := len(s.containers)
 	if !s.configured || s.damping.suppressed || running == 0 || running < s.config.MinRunning {
 		return Path{}, false
 	}
 	serving := running - s.drainingCount()
-	path = Path{NextHop: s.config.NextHop, MED: s.config.MED, Preference: ordinaryPreference}
+	path = Path{NextHop: s.config.NextHop, MED: s.config.MED, Preference: defaultPreference}
 	if s.config.MEDByHealth {
 		path.MED += medStep * uint32(max(0, maxMEDSteps-bits.Len(uint(serving))))
 	}
 	if serving == 0 {
-		path.Preference = drainedPreference
+		path.Preference = drainingPreference
 		path.Communities = encodeCommunity(GracefulShutdown)
 	}
 	return path, true
@@ -55,7 +55,7 @@
 
 func (s *service) drainingCount() int {
 	n := 0
-	for _, draining := range s.draining {
+	for _, draining := range s.containers {
 		if draining {
 			n++
 		}
@@ -63,9 +63,11 @@
 	return n
 }
 
-func (s *service) unused() bool { return !s.configured && !s.route.announced() && len(s.draining) == 0 }
+func (s *service) unused() bool {
+	return !s.configured && !s.route.announced() && len(s.containers) == 0
+}
 
-// nextUpdate returns when the service needs an update without an event, or 0.
+// nextUpdate returns when the service needs an update without another event, or 0 if it needs none.
 func (s *service) nextUpdate(now scheduler.Time) scheduler.Time {
 	switch {
 	case s.route.pending():
@@ -73,7 +75,7 @@
 	case s.damping.suppressed:
 		return now + max(minUpdateInterval, s.damping.untilReuse())
 	case s.unused() && s.damping.penalty > 0:
-		return now + s.damping.untilForgotten()
+		return now + s.damping.untilNegligible()
 	case s.unused():
 		return max(s.route.updatedAt, now) + minUpdateInterval
 	}
@@ -84,7 +86,7 @@
 	status := Status{
 		Announced:  s.route.announced(),
 		Path:       s.route.path,
-		Running:    len(s.draining),
+		Running:    len(s.containers),
 		Draining:   s.drainingCount(),
 		MinRunning: max(1, s.config.MinRunning),
 		Penalty:    s.damping.penalty,
