--- a/internal/bgp/announce/announce_test.go
+++ b/internal/bgp/announce/announce_test.go
@@ -19,7 +19,7 @@
 	MinRunning: 1,
 }
 
-func show(actions []Action) string {
+func describeUpdates(actions []Action) string {
 	var all []string
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -32,64 +32,64 @@
 	return strings.Join(all, ", ")
 }
 
-// Each history's events come at the seconds given; all updates are compared, with their times.
-func TestUpdatesFollowContainersWithinTheirInterval(t *testing.T) {
+// The events of each case occur at the given seconds. All updates are compared, with their times.
+func TestUpdatesFollowContainersWithLimitedRate(t *testing.T) {
 	configured := timed{0, ServiceSet{"web", web}}
 	runs := func(s float64, c string) timed { return timed{s, ContainerRunning{"web", c, false}} }
 	ends := func(s float64, c string) timed { return timed{s, ContainerEnded{"web", c}} }
-	other := web
-	other.Prefix = netip.MustParsePrefix("192.0.2.2/32")
-	two := web
-	two.MinRunning = 2
+	otherPrefix := web
+	otherPrefix.Prefix = netip.MustParsePrefix("192.0.2.2/32")
+	minTwo := web
+	minTwo.MinRunning = 2
 	for _, tc := range []struct {
 		name   string
 		events []timed
 		want   string
 	}{
 		{
-			"announced with the first, withdrawn with the last",
+			"announced with the first container, withdrawn with the last",
 			[]timed{configured, runs(1, "a"), runs(1.2, "b"), ends(5, "a"), ends(6, "b")},
 			"1.0 announce 192.0.2.1/32 100; 6.0 withdraw 192.0.2.1/32",
 		},
 		{"not configured", []timed{runs(1, "a")}, ""},
 		{
-			"the last ends at once after the first: within the two seconds",
+			"withdrawal within two seconds if the last container ends right after the first announcement",
 			[]timed{configured, runs(1, "a"), ends(1.1, "a")},
 			"1.0 announce 192.0.2.1/32 100; 2.0 withdraw 192.0.2.1/32",
 		},
 		{
-			"gone and back within the interval is not sent",
+			"an end and a start within the interval are not sent",
 			[]timed{configured, runs(1, "a"), ends(1.3, "a"), runs(1.6, "a")},
 			"1.0 announce 192.0.2.1/32 100",
 		},
 		{
-			"a threshold",
-			[]timed{{0, ServiceSet{"web", two}}, runs(1, "a"), runs(3, "b"), ends(5, "a")},
+			"a minimum of running containers",
+			[]timed{{0, ServiceSet{"web", minTwo}}, runs(1, "a"), runs(3, "b"), ends(5, "a")},
 			"3.0 announce 192.0.2.1/32 100; 5.0 withdraw 192.0.2.1/32",
 		},
 		{
-			"all drain: last choice first, then gone",
+			"all containers drain: lowest preference, then withdrawal",
 			[]timed{configured, runs(1, "a"), {3, ContainerRunning{"web", "a", true}}, ends(9, "a")},
 			"1.0 announce 192.0.2.1/32 100; 3.0 announce 192.0.2.1/32 0; 9.0 withdraw 192.0.2.1/32",
 		},
 		{
-			"one of two drains",
+			"one of two containers drains",
 			[]timed{configured, runs(1, "a"), runs(1, "b"), {3, ContainerRunning{"web", "a", true}}},
 			"1.0 announce 192.0.2.1/32 100",
 		},
 		{
-			"another address",
-			[]timed{configured, runs(1, "a"), {5, ServiceSet{"web", other}}},
+			"address changed",
+			[]timed{configured, runs(1, "a"), {5, ServiceSet{"web", otherPrefix}}},
 			"1.0 announce 192.0.2.1/32 100; 5.0 withdraw 192.0.2.1/32; 6.0 announce 192.0.2.2/32 100",
 		},
 		{
-			"no longer configured",
+			"service removed from the configuration",
 			[]timed{configured, runs(1, "a"), {5, ServiceRemoved{"web"}}},
 			"1.0 announce 192.0.2.1/32 100; 5.0 withdraw 192.0.2.1/32",
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := strings.Join(play(tc.events), "; ")
+			got := strings.Join(runEvents(tc.events), "; ")
 			testutil.Expect(t, got == tc.want, "got  %s\nwant %s", got, tc.want)
 		})
 	}
@@ -101,11 +101,11 @@
 	event   Event
 }
 
-// play plays events and returns the updates, each with its time, up to the 30th second.
-func play(events []timed) (updates []string) {
+// runEvents handles events and returns the updates up to the 30th second, each with its time.
+func runEvents(events []timed) (updates []string) {
 	var d *driver
 	d = newDriver(func(a Action) {
-		if s := show([]Action{a}); s != "" {
+		if s := describeUpdates([]Action{a}); s != "" {
 			updates = append(updates, fmt.Sprintf("%.1f %s", float64(d.now)/float64(sec), s))
 		}
 	})
@@ -117,7 +117,7 @@
 	return updates
 }
 
-// Where configured, the MED leads peers to the scheduler with the most serving containers, by halves.
+// With MEDByHealth, the MED rises by a step with each halving of the serving containers.
 func TestMEDFallsWithServingContainers(t *testing.T) {
 	for _, tc := range []struct {
 		running, draining int
@@ -131,12 +131,12 @@
 		}
 		actions := New().Handle(sec, events)
 		if a, ok := actions[0].(Announce); !ok || a.Path.MED != tc.med {
-			t.Errorf("%d run, %d drain: %+v, want MED %d", tc.running, tc.draining, actions, tc.med)
+			t.Errorf("%d running, %d draining: %+v, want MED %d", tc.running, tc.draining, actions, tc.med)
 		}
 	}
 }
 
-// updateCounter counts updates and fails if two come within their interval.
+// updateCounter counts updates and fails the test if two of them are less than minUpdateInterval apart.
 type updateCounter struct {
 	*driver
 	updates int
@@ -147,17 +147,17 @@
 	t.Helper()
 	c := &updateCounter{last: -sec}
 	c.driver = newDriver(func(a Action) {
-		if show([]Action{a}) == "" {
+		if describeUpdates([]Action{a}) == "" {
 			return
 		}
-		testutil.Require(t, c.now-c.last >= minUpdateInterval, "two updates in %d", c.now-c.last)
+		testutil.Require(t, c.now-c.last >= minUpdateInterval, "two updates within %d", c.now-c.last)
 		c.last = c.now
 		c.updates++
 	})
 	return c
 }
 
-// flap starts or ends a container fifty times a second, for a minute.
+// flap starts or ends a container 50 times a second for one minute.
 func (c *updateCounter) flap() {
 	for i := range 3000 {
 		c.now = scheduler.Time(i) * sec / 50
@@ -172,8 +172,8 @@
 	}
 }
 
-// A container that starts or ends fifty times a second costs one update a second at most, and its address is suppressed
-// after a while; once it is stable, it is announced again.
+// A container that starts or ends 50 times a second causes at most one update a second. Its address is suppressed after
+// a while, and announced again once the container is stable.
 func TestFlappingAddressIsSuppressedUntilItIsStable(t *testing.T) {
 	c := newUpdateCounter(t)
 	c.handle(ServiceSet{"web", web})
--- a/internal/bgp/announce/driver_test.go
+++ b/internal/bgp/announce/driver_test.go
@@ -4,15 +4,17 @@
 	"glenport/scheduler"
 )
 
-// driver runs an announcer on a clock of its own and hands every action but SetTimer to follow.
+// driver runs an announcer on a simulated clock and passes every action but SetTimer to handleAction.
 type driver struct {
-	announcer *Announcer
-	now       scheduler.Time
-	wakeAt    scheduler.Time // 0: no timer is set
-	follow    func(Action)
+	announcer    *Announcer
+	now          scheduler.Time
+	wakeAt       scheduler.Time // 0: no timer is set
+	handleAction func(Action)
 }
 
-func newDriver(follow func(Action)) *driver { return &driver{announcer: New(), follow: follow} }
+func newDriver(handleAction func(Action)) *driver {
+	return &driver{announcer: New(), handleAction: handleAction}
+}
 
 func (d *driver) handle(e Event) {
 	for _, a := range d.announcer.Handle(d.now, []Event{e}) {
@@ -20,17 +22,17 @@
 			d.wakeAt = d.now + timer.After
 			continue
 		}
-		d.follow(a)
+		d.handleAction(a)
 	}
 }
 
-// fireTimer fires the timer that is set, at its time or now if that has passed.
+// fireTimer fires the timer at its time, or now if that has passed.
 func (d *driver) fireTimer() {
 	d.now, d.wakeAt = max(d.now, d.wakeAt), 0
 	d.handle(TimerFired{})
 }
 
-// advance lets the clock run to a time and fires what timers are due on the way.
+// advance advances the clock to a time and fires the timers that are due by then.
 func (d *driver) advance(to scheduler.Time) {
 	for d.wakeAt > 0 && d.wakeAt <= to {
 		d.fireTimer()
--- a/internal/bgp/announce/golden_test.go
+++ b/internal/bgp/announce/golden_test.go
@@ -12,8 +12,9 @@
 	"glenport/scheduler"
 )
 
-// TestDecisionsMatchGoldenDigests plays seeded histories and compares a digest of all actions, in order and with the
-// time at which each was returned, with that in testdata. A changed decision changes the digest; a rename does not.
+// TestDecisionsMatchGoldenDigests runs seeded sequences of events and compares a digest of all actions with the one in
+// testdata. The digest covers the order of the actions and the time at which each was returned. It changes with any
+// decision, but not with a rename.
 func TestDecisionsMatchGoldenDigests(t *testing.T) {
 	const sequences, steps = 250, 150
 	var got strings.Builder
@@ -35,7 +36,7 @@
 	golden.CheckText(t, "testdata/decisions.txt", got.String())
 }
 
-// actionDigest folds actions by an ordinal of their type and the values of their fields, but for texts of the log.
+// actionDigest is a digest of actions: of the ordinal of each type and the values of the fields, except log messages.
 type actionDigest struct{ *golden.Digest }
 
 func (d actionDigest) add(now scheduler.Time, a Action) {
@@ -72,7 +73,7 @@
 	d.Text(p.Communities)
 }
 
-// history plays one seeded sequence on four services.
+// history runs one seeded sequence of events on four services.
 type history struct {
 	digest    actionDigest
 	random    *rand.Rand
@@ -109,7 +110,7 @@
 	}
 	h.handle(events...)
 	if h.chance(0.1) {
-		h.foldState()
+		h.digestState()
 	}
 }
 
@@ -143,21 +144,21 @@
 	}}
 }
 
-// foldState folds what an operator is shown and what a peer is sent when its session comes up.
-func (h *history) foldState() {
+// digestState adds the status of services and the announced routes to the digest.
+func (h *history) digestState() {
 	for _, a := range h.announcer.Announced() {
 		h.digest.announcement(a)
 	}
 	for i := range 5 {
-		w, known := h.announcer.Status(fmt.Sprint("s", i))
+		status, known := h.announcer.Status(fmt.Sprint("s", i))
 		h.digest.Value(known)
-		h.digest.Value(w.Announced)
-		h.digest.path(w.Path)
-		h.digest.Numbers(uint64(w.Running))
-		h.digest.Numbers(uint64(w.Draining))
-		h.digest.Numbers(uint64(w.MinRunning))
-		h.digest.Numbers(math.Float64bits(w.Penalty))
-		h.digest.Value(w.Suppressed)
-		h.digest.Numbers(uint64(w.NextUpdate))
+		h.digest.Value(status.Announced)
+		h.digest.path(status.Path)
+		h.digest.Numbers(uint64(status.Running))
+		h.digest.Numbers(uint64(status.Draining))
+		h.digest.Numbers(uint64(status.MinRunning))
+		h.digest.Numbers(math.Float64bits(status.Penalty))
+		h.digest.Value(status.Suppressed)
+		h.digest.Numbers(uint64(status.NextUpdate))
 	}
 }
--- a/internal/bgp/announce/invariants_test.go
+++ b/internal/bgp/announce/invariants_test.go
@@ -12,11 +12,12 @@
 	"pgregory.net/rapid"
 )
 
-// maxWithdrawalDelay is the time in which a withdrawal has to be sent after the last container's end.
+// maxWithdrawalDelay is the time within which a withdrawal must follow the end of the last container.
 const maxWithdrawalDelay = 2 * scheduler.Second
 
-// For every sequence of events: never two updates of an address within their interval, a withdrawal within two seconds
-// of the last container's end, the peers' table right whenever nothing is pending, and no state left when all is gone.
+// Invariants for every sequence of events: Two updates of an address are at least minUpdateInterval apart. A withdrawal
+// follows the end of the last container within two seconds. The routes of peers are correct whenever no change is
+// pending. No state is left after all services and containers are removed and their penalties have decayed.
 func TestInvariantsHoldForDrawnSequences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newInvariantModel(t)
@@ -25,19 +26,19 @@
 			m.checkWithdrawals()
 		}
 		m.advanceBy(2 * sec)
-		m.checkTable()
+		m.checkPeerRoutes()
 		m.removeAll()
 		m.advanceBy(5 * 60 * 60 * sec)
-		testutil.Require(t, len(m.announcer.services) == 0 && len(m.table) == 0,
-			"%d services and %d routes are left", len(m.announcer.services), len(m.table))
+		testutil.Require(t, len(m.announcer.services) == 0 && len(m.peerRoutes) == 0,
+			"%d services and %d routes are left", len(m.announcer.services), len(m.peerRoutes))
 	})
 }
 
-// invariantModel follows what peers have by the updates, and what they should have by the events.
+// invariantModel tracks the routes of peers by the updates, and the expected routes by the events.
 type invariantModel struct {
 	*driver
 	t          *rapid.T
-	table      map[netip.Prefix]bool // what peers have
+	peerRoutes map[netip.Prefix]bool
 	updatedAt  map[netip.Prefix]scheduler.Time
 	running    map[string]map[string]bool // containers by service
 	configured map[string]bool
@@ -46,10 +47,10 @@
 
 func newInvariantModel(t *rapid.T) *invariantModel {
 	m := &invariantModel{
-		t: t, table: map[netip.Prefix]bool{}, updatedAt: map[netip.Prefix]scheduler.Time{},
+		t: t, peerRoutes: map[netip.Prefix]bool{}, updatedAt: map[netip.Prefix]scheduler.Time{},
 		running: map[string]map[string]bool{}, configured: map[string]bool{}, emptyAt: map[string]scheduler.Time{},
 	}
-	m.driver = newDriver(m.followUpdate)
+	m.driver = newDriver(m.recordUpdate)
 	return m
 }
 
@@ -57,15 +58,15 @@
 	return netip.MustParsePrefix("192.0.2." + service + "/32")
 }
 
-func (m *invariantModel) followUpdate(a Action) {
+func (m *invariantModel) recordUpdate(a Action) {
 	var prefix netip.Prefix
 	switch a := a.(type) {
 	case Announce:
 		prefix = a.Prefix
-		m.table[prefix] = true
+		m.peerRoutes[prefix] = true
 	case Withdraw:
 		prefix = a.Prefix
-		delete(m.table, prefix)
+		delete(m.peerRoutes, prefix)
 	default:
 		return
 	}
@@ -106,17 +107,17 @@
 
 func (m *invariantModel) checkWithdrawals() {
 	for service, containers := range m.running {
-		if len(containers) == 0 && m.table[prefixOf(service)] && m.now > m.emptyAt[service]+maxWithdrawalDelay {
+		if len(containers) == 0 && m.peerRoutes[prefixOf(service)] && m.now > m.emptyAt[service]+maxWithdrawalDelay {
 			m.t.Fatalf("%s is announced %d after its last container's end", service, m.now-m.emptyAt[service])
 		}
 	}
 }
 
-func (m *invariantModel) checkTable() {
+func (m *invariantModel) checkPeerRoutes() {
 	for service, containers := range m.running {
 		status, _ := m.announcer.Status(service)
 		want := m.configured[service] && len(containers) > 0 && !status.Suppressed
-		if announced := m.table[prefixOf(service)]; announced != want {
+		if announced := m.peerRoutes[prefixOf(service)]; announced != want {
 			m.t.Fatalf("%s is announced: %t; configured %t, %d containers",
 				service, announced, m.configured[service], len(containers))
 		}
--- a/internal/bgp/announce/route_test.go
+++ b/internal/bgp/announce/route_test.go
@@ -9,7 +9,7 @@
 	"glenport/internal/testutil"
 )
 
-func TestRouteStatesFollowAsTheTableSays(t *testing.T) {
+func TestRouteTransitionsMatchTheTable(t *testing.T) {
 	statemachinetest.CheckComment(t, statemachinetest.Machines{"An [Announcer] holds a service": routeTransitions})
 	for state := routeWithdrawn; state <= changePending; state++ {
 		for event := changeSettled; event <= addressMoved; event++ {
@@ -41,5 +41,5 @@
 	a.withdraw(s, withdrawalSent)
 	testutil.Require(t, len(a.actions) == 1 && s.route.state == routeWithdrawn, "%+v, now %s", a.actions, s.route.state)
 	log, ok := a.actions[0].(Log)
-	testutil.Expect(t, ok && log.Err != nil, "%+v is no error for the log", a.actions[0])
+	testutil.Expect(t, ok && log.Err != nil, "%+v is not a log action with an error", a.actions[0])
 }
