--- a/internal/bgp/speaker/connection.go
+++ b/internal/bgp/speaker/connection.go
@@ -8,18 +8,18 @@
 	"glenport/internal/eventloop"
 )
 
-// outputLimit is how many bytes may wait on a connection before it is reset.
+// outputLimit is the maximum of pending output of a connection in bytes. Beyond it, the connection is reset.
 const outputLimit = 1 << 20
 
-// connection is the eventloop.Handler of one connection. It splits the input into messages.
+// connection is the eventloop.Handler of one BGP connection. It splits the input into messages.
 type connection struct {
 	speaker *Speaker
-	peer    *peer // nil: inbound, and no peer has it yet
+	peer    *peer // nil: inbound and not yet assigned to a peer
 	id      session.ConnID
 	inbound bool
 	conn    *eventloop.Conn
-	input   []byte // the beginning of a message
-	closed  bool   // by the session, or reported to it
+	input   []byte // an incomplete message
+	closed  bool   // closed by the session, or the end was reported to the session
 }
 
 // Opened reports an open connection to the session of its peer.
@@ -30,9 +30,9 @@
 		return
 	}
 	remote := conn.Peer()
-	p := c.speaker.peerOf(remote.Addr())
+	p := c.speaker.inboundPeer(remote.Addr())
 	if p == nil {
-		c.speaker.log.Warn("connection of an unknown BGP peer rejected", "peer", remote)
+		c.speaker.log.Warn("connection from unknown BGP peer rejected", "peer", remote)
 		conn.Close()
 		return
 	}
@@ -42,7 +42,7 @@
 	p.handle(session.ConnOpened{Conn: c.id, Inbound: true})
 }
 
-// Read hands each whole message, or the first that is invalid, to the session.
+// Read passes each complete message to the session, up to the first invalid one.
 func (c *connection) Read(_ *eventloop.Conn, b []byte) {
 	if c.closed || c.peer == nil {
 		return
@@ -62,8 +62,8 @@
 	}
 }
 
-// nextMessage decodes the message at the start of input, which has the returned length. The message is nil while it is
-// incomplete. The error is a *wire.MessageError.
+// nextMessage decodes the message at the start of input and returns it with its length. The message is nil if the input
+// is incomplete. The error is a *wire.MessageError.
 func nextMessage(input []byte) (wire.Message, int, error) {
 	length, err := wire.MessageLength(input)
 	if err != nil || length == 0 || len(input) < length {
@@ -83,8 +83,8 @@
 	c.peer.handle(session.ConnClosed{Conn: c.id})
 }
 
-// send encodes a message and writes it. A peer that takes so little that the output limit is reached would lose its
-// session by the hold time too: its connection is reset.
+// send encodes a message and writes it. If the output limit is reached, the connection is reset: a peer that reads so
+// slowly would lose the session to the hold timer too.
 func (c *connection) send(m wire.Message) {
 	encoded, err := wire.Append(nil, m)
 	if err != nil {
--- a/internal/bgp/speaker/peer.go
+++ b/internal/bgp/speaker/peer.go
@@ -13,7 +13,7 @@
 
 const dialTimeout = 5 * eventloop.Second
 
-// peer runs the session to one peer.
+// peer runs the session with one peer.
 type peer struct {
 	speaker     *Speaker
 	settings    PeerConfig
@@ -22,12 +22,12 @@
 	connections map[session.ConnID]*connection
 	timers      map[session.Timer]*eventloop.Timer
 
-	// While the session is established.
-	up          *session.Up // else nil
-	conn        *connection // else nil
-	rib         ribOut
-	endOfRIBDue bool             // the end of routes is still to be marked
-	sendTimer   *eventloop.Timer // nil: pending routes need not be sent later
+	// Set while the session is established.
+	up          *session.Up // nil: not established
+	conn        *connection // nil: not established
+	rib         adjRIBOut
+	endOfRIBDue bool             // End-of-RIB has not been sent yet
+	sendTimer   *eventloop.Timer // runs while the sending of pending changes is deferred; nil: not deferred
 
 	updates, bytes, flaps int
 	lastError             string
@@ -39,7 +39,7 @@
 		settings:    settings,
 		connections: map[session.ConnID]*connection{},
 		timers:      map[session.Timer]*eventloop.Timer{},
-		rib:         newRIBOut(),
+		rib:         newAdjRIBOut(),
 	}
 	for _, prefix := range settings.Allow {
 		p.allowed.Insert(prefix)
@@ -56,7 +56,7 @@
 	return p
 }
 
-// handle carries out what the session decides on an event.
+// handle passes an event to the session and executes the resulting actions.
 func (p *peer) handle(e session.Event) {
 	for _, a := range p.session.Handle(e) {
 		switch a := a.(type) {
@@ -109,7 +109,7 @@
 // sessionUp sends the peer all routes.
 func (p *peer) sessionUp(up session.Up) {
 	p.up, p.endOfRIBDue = &up, up.SendEndOfRIB
-	for _, c := range p.connections { // an established session has one
+	for _, c := range p.connections { // an established session has exactly one
 		p.conn = c
 	}
 	for _, a := range p.speaker.routes.Announced() {
@@ -134,8 +134,8 @@
 	p.speaker.log.LogAttrs(context.Background(), slog.LevelInfo, l.Message, attributes...)
 }
 
-// setMD5Key sets the peer's key on a socket, if one is configured (RFC 2385). Where the kernel refuses it the socket
-// must not be used: the settings ask for a signed session.
+// setMD5Key sets the TCP MD5 key of the peer on a socket, if one is configured (RFC 2385). If it returns an error, the
+// socket must not be used, as the session would be unsigned.
 func (p *peer) setMD5Key(fd int) error {
 	if p.settings.MD5Key == "" {
 		return nil
@@ -145,7 +145,7 @@
 		err = eventloop.SetTCPMD5Key(fd, address.Addr(), p.settings.MD5Key)
 	}
 	if err != nil {
-		p.speaker.log.Error("no BGP session, TCP MD5 key not set", "peer", p.settings.Addr, "error", err)
+		p.speaker.log.Error("could not set the TCP MD5 key of a BGP peer", "peer", p.settings.Addr, "error", err)
 	}
 	return err
 }
--- a/internal/bgp/speaker/ribout.go
+++ b/internal/bgp/speaker/ribout.go
@@ -7,25 +7,25 @@
 	"glenport/internal/bgp/announce"
 )
 
-// ribOut is what a peer has, and the changes that are still to be sent to it (Adj-RIB-Out in RFC 4271).
-type ribOut struct {
-	pending map[netip.Prefix]*announce.Path // nil: a withdrawal
+// adjRIBOut holds the prefixes sent to a peer and the changes that are still to be sent (Adj-RIB-Out in RFC 4271).
+type adjRIBOut struct {
+	pending map[netip.Prefix]*announce.Path // nil path: a withdrawal
 	sent    map[netip.Prefix]bool
 }
 
-// routeGroup holds prefixes that are announced with one path.
+// routeGroup holds prefixes that are announced with the same path.
 type routeGroup struct {
 	path     announce.Path
 	prefixes []netip.Prefix
 }
 
-func newRIBOut() ribOut {
-	return ribOut{pending: map[netip.Prefix]*announce.Path{}, sent: map[netip.Prefix]bool{}}
+func newAdjRIBOut() adjRIBOut {
+	return adjRIBOut{pending: map[netip.Prefix]*announce.Path{}, sent: map[netip.Prefix]bool{}}
 }
 
-// change notes a path, or a withdrawal if it is nil. It replaces an earlier change that is still pending; a withdrawal
-// of what the peer does not have is none.
-func (r *ribOut) change(prefix netip.Prefix, path *announce.Path) {
+// change records a new path of a prefix, or a withdrawal if path is nil. It replaces a pending change of the prefix. A
+// withdrawal of a prefix that the peer has not received only removes the pending change.
+func (r *adjRIBOut) change(prefix netip.Prefix, path *announce.Path) {
 	if path == nil && !r.sent[prefix] {
 		delete(r.pending, prefix)
 		return
@@ -33,9 +33,9 @@
 	r.pending[prefix] = path
 }
 
-// take removes at most limit pending changes and counts them as sent. Announcements are grouped by path. Any of the
-// changes may be taken first: they concern different prefixes.
-func (r *ribOut) take(limit int) (withdrawn []netip.Prefix, announced []*routeGroup) {
+// take removes up to limit pending changes and records them as sent. Announcements are grouped by path. The order of
+// the changes does not matter, as each concerns another prefix.
+func (r *adjRIBOut) take(limit int) (withdrawn []netip.Prefix, announced []*routeGroup) {
 	groups := map[announce.Path]*routeGroup{}
 	taken := 0
 	for prefix, path := range r.pending {
@@ -62,8 +62,8 @@
 	return withdrawn, announced
 }
 
-// clear forgets everything, at the end of a session.
-func (r *ribOut) clear() {
+// clear removes all prefixes and changes when the session ends.
+func (r *adjRIBOut) clear() {
 	clear(r.pending)
 	clear(r.sent)
 }
--- a/internal/bgp/speaker/routes.go
+++ b/internal/bgp/speaker/routes.go
@@ -10,26 +10,28 @@
 )
 
 const (
-	// pauseOutput is how many bytes may wait for a peer before changes are held back, so that later ones replace them.
-	pauseOutput = 64 << 10
-	// pausedSendInterval is how often a peer's output is looked at while changes are held back.
+	// outputPauseThreshold is the pending output of a peer, in bytes, above which changes are deferred. Later
+	// changes of a prefix replace deferred ones.
+	outputPauseThreshold = 64 << 10
+	// pausedSendInterval is the interval at which the pending output is checked while changes are deferred.
 	pausedSendInterval = 20 * eventloop.Millisecond
-	// maxChangesPerIteration is how many changes one peer is sent before the loop turns to other work.
+	// maxChangesPerIteration limits the changes sent to one peer before the event loop handles other work.
 	maxChangesPerIteration = 4000
 )
 
-// changeRoute notes a path, or a withdrawal if it is nil, unless the peer's policy or families exclude the prefix.
+// changeRoute records a new path of a prefix, or a withdrawal if path is nil, unless the policy or the families of the
+// peer exclude the prefix.
 func (p *peer) changeRoute(prefix netip.Prefix, path *announce.Path) {
-	if p.up != nil && p.accepts(prefix) {
+	if p.up != nil && p.shouldExport(prefix) {
 		p.rib.change(prefix, path)
 	}
 }
 
-func (p *peer) accepts(prefix netip.Prefix) bool {
+func (p *peer) shouldExport(prefix netip.Prefix) bool {
 	return p.allowed.LookupPrefix(prefix) && slices.Contains(p.up.Families, wire.FamilyOf(prefix))
 }
 
-// resendRoutes answers the peer's route refresh.
+// resendRoutes sends all routes of a family again, as the peer requested by a route refresh.
 func (p *peer) resendRoutes(f wire.Family) {
 	for _, a := range p.speaker.routes.Announced() {
 		if wire.FamilyOf(a.Prefix) == f {
@@ -39,12 +41,13 @@
 	p.sendPending()
 }
 
-// sendPending sends pending changes as long as the peer takes them, and then marks the end of routes if that is due.
+// sendPending sends pending changes unless too much output is waiting for the peer. After the last change it sends
+// End-of-RIB if due.
 func (p *peer) sendPending() {
 	if p.up == nil || p.conn == nil || p.sendTimer != nil {
 		return
 	}
-	if p.conn.conn.PendingOutput() > pauseOutput {
+	if p.conn.conn.PendingOutput() > outputPauseThreshold {
 		p.sendPendingAfter(pausedSendInterval)
 		return
 	}
@@ -82,15 +85,15 @@
 	}
 }
 
-// sendUpdate sends an update on the session's connection, if that is still there.
+// sendUpdate sends an update on the connection of the session, if it is still open.
 func (p *peer) sendUpdate(u *wire.Update) {
 	if p.conn != nil {
 		p.conn.send(u)
 	}
 }
 
-// pathAttributes returns the path for this peer: a peer of another AS receives ours in the AS path and no local
-// preference.
+// pathAttributes returns the path attributes for this peer. A peer in another AS receives the local AS number in the AS
+// path and no local preference.
 func (p *peer) pathAttributes(path announce.Path) wire.PathAttributes {
 	attributes := wire.PathAttributes{NextHop: path.NextHop, Communities: path.CommunityList()}
 	if p.settings.ASN == p.speaker.settings.ASN {
--- a/internal/bgp/speaker/speaker.go
+++ b/internal/bgp/speaker/speaker.go
@@ -1,5 +1,5 @@
-// Package speaker runs BGP sessions on the event loop. It carries out what packages announce and session decide: one
-// Speaker holds the routes' decisions and one peer for each session. All of it runs on the loop's goroutine.
+// Package speaker runs BGP sessions on the event loop. It executes the actions that the packages announce and session
+// return. A Speaker holds one RouteDecider and one peer for each session. All code runs on the goroutine of the loop.
 package speaker
 
 import (
@@ -15,10 +15,11 @@
 	"glenport/scheduler"
 )
 
-// firstInboundID is below the identifiers of inbound connections; a session numbers those it dials from 1 on.
+// firstInboundID is lower than the ID of each inbound connection. Sessions number the connections that they dial from 1
+// on.
 const firstInboundID session.ConnID = 1_000_000
 
-// RouteDecider decides what is announced. It is an announce.Announcer, or wraps one in tests.
+// RouteDecider decides which routes are announced. It is an announce.Announcer, or wraps one in tests.
 type RouteDecider interface {
 	Handle(now scheduler.Time, events []announce.Event) []announce.Action
 	Announced() []announce.Announce
@@ -36,14 +37,14 @@
 	settings       Config
 	log            *slog.Logger
 	loop           *eventloop.Loop
-	listener       *eventloop.Listener // nil: peers do not connect
+	listener       *eventloop.Listener // nil: peers cannot connect
 	routes         RouteDecider
 	peers          []*peer
 	lastInbound    session.ConnID
-	routesComplete bool // all running containers are known, so that the end of routes may be marked
+	routesComplete bool // all running containers are known, so that End-of-RIB may be sent
 }
 
-// New returns a speaker on a loop. Start begins its sessions.
+// New returns a speaker on a loop. Start starts its sessions.
 func New(loop *eventloop.Loop, settings Config, log *slog.Logger) *Speaker {
 	s := &Speaker{settings: settings, log: log, loop: loop, routes: announce.New(), lastInbound: firstInboundID}
 	for _, p := range settings.Peers {
@@ -52,7 +53,7 @@
 	return s
 }
 
-// WrapDecider replaces the route decisions by what wrap returns for them. It has to be called before Start.
+// WrapDecider replaces the route decider with the one that wrap returns for it. It has to be called before Start.
 func (s *Speaker) WrapDecider(wrap func(RouteDecider) RouteDecider) { s.routes = wrap(s.routes) }
 
 // Start opens the listener, if one is configured, and starts all sessions.
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// listen opens the listener, which verifies the segments of peers that have a key.
+// listen opens the listener and sets the TCP MD5 keys of peers on it.
 func (s *Speaker) listen() error {
 	accept := func() (eventloop.Handler, int) { return &connection{speaker: s, inbound: true}, outputLimit }
 	var err error
@@ -108,7 +109,7 @@
 	return ok
 }
 
-// Handle takes events of containers and services and sends peers the routes that change by them.
+// Handle handles events of containers and services and sends the resulting route changes to peers.
 func (s *Speaker) Handle(events ...announce.Event) {
 	changed := false
 	for _, a := range s.routes.Handle(scheduler.Time(s.loop.Now()), events) {
@@ -138,8 +139,8 @@
 	s.log.Info(l.Message, "prefix", l.Prefix, "penalty", int(l.Penalty))
 }
 
-// MarkRoutesComplete says that all running containers are known: peers that kept routes over a restart receive the end
-// of routes and may drop those that were not announced again.
+// MarkRoutesComplete declares that all running containers are known. Peers that kept routes during a restart then
+// receive End-of-RIB and may drop the routes that were not announced again.
 func (s *Speaker) MarkRoutesComplete() {
 	if s.routesComplete {
 		return
@@ -148,7 +149,7 @@
 	s.sendPending()
 }
 
-// changeRoute has all peers receive a prefix's path, or its withdrawal if path is nil.
+// changeRoute records a new path of a prefix for all peers, or a withdrawal if path is nil.
 func (s *Speaker) changeRoute(prefix netip.Prefix, path *announce.Path) {
 	for _, p := range s.peers {
 		p.changeRoute(prefix, path)
@@ -161,10 +162,10 @@
 	}
 }
 
-// peerOf returns the peer that an inbound connection belongs to: of those with its address, the first that has no
-// established session. It returns nil if there is none; a single peer may be established, as its session then rejects
-// the connection.
-func (s *Speaker) peerOf(remote netip.Addr) *peer {
+// inboundPeer returns the peer of an inbound connection: of the peers with this address, the first that has no
+// established session. It returns nil if there is none. If only one peer is configured, it is returned even if its
+// session is established; the session then rejects the connection.
+func (s *Speaker) inboundPeer(remote netip.Addr) *peer {
 	for _, p := range s.peers {
 		address, err := netip.ParseAddrPort(p.settings.Addr)
 		if err != nil || address.Addr() != remote {
--- a/internal/bgp/speaker/status.go
+++ b/internal/bgp/speaker/status.go
@@ -9,11 +9,11 @@
 	Addr          string
 	AS            uint32
 	State         string // as in RFC 4271
-	Routes        int    // the peer has
-	PendingRoutes int    // changes that are not sent yet
-	Updates       int    // messages sent
-	Bytes         int    // of these
-	Flaps         int    // ends of established sessions
+	Routes        int    // prefixes sent to the peer and not withdrawn
+	PendingRoutes int    // changes not sent yet
+	Updates       int    // update messages sent
+	Bytes         int    // size of the update messages sent
+	Flaps         int    // number of established sessions that ended
 	LastError     string // why the last established session ended
 }
 
@@ -26,7 +26,7 @@
 	return peers
 }
 
-// Status returns the state of a service's address, and whether it has one.
+// Status returns the state of a service's address, and whether the service is known.
 func (s *Speaker) Status(service string) (announce.Status, bool) { return s.routes.Status(service) }
 
 func (p *peer) status() PeerStatus {
