--- a/internal/bgp/speaker/policy_test.go
+++ b/internal/bgp/speaker/policy_test.go
@@ -9,7 +9,7 @@
 	"glenport/internal/testutil"
 )
 
-// BenchmarkPolicy asks a policy of 1,000 ranges whether a prefix lies in one: the trie in use beside a list and a map.
+// BenchmarkPolicy looks up a prefix in a policy of 1,000 ranges. It compares the trie in use with a list and a map.
 func BenchmarkPolicy(b *testing.B) {
 	var trie bart.Lite
 	var ranges []netip.Prefix
@@ -22,7 +22,7 @@
 	}
 	benchmarkLookup(b, "bart", trie.LookupPrefix)
 	benchmarkLookup(b, "list", func(prefix netip.Prefix) bool { return inList(ranges, prefix) })
-	benchmarkLookup(b, "map by every length", func(prefix netip.Prefix) bool { return inSet(set, prefix) })
+	benchmarkLookup(b, "map by prefix length", func(prefix netip.Prefix) bool { return inSet(set, prefix) })
 }
 
 func benchmarkLookup(b *testing.B, name string, lookup func(netip.Prefix) bool) {
--- a/internal/bgp/speaker/speaker_test.go
+++ b/internal/bgp/speaker/speaker_test.go
@@ -19,22 +19,22 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 var (
-	hop  = netip.MustParseAddr("192.0.2.5")
-	hop6 = netip.MustParseAddr("2001:db8::5")
-	web  = netip.MustParsePrefix("198.51.100.7/32")
-	web6 = netip.MustParsePrefix("2001:db8:1::7/128")
-	mail = netip.MustParsePrefix("203.0.113.1/32")
+	nextHop  = netip.MustParseAddr("192.0.2.5")
+	nextHop6 = netip.MustParseAddr("2001:db8::5")
+	web      = netip.MustParsePrefix("198.51.100.7/32")
+	web6     = netip.MustParsePrefix("2001:db8:1::7/128")
+	mail     = netip.MustParsePrefix("203.0.113.1/32")
 )
 
-// fixture is a speaker with two peers: an outer one whose policy allows little, and one of its own AS.
+// fixture is a speaker with two peers: an external one with a restrictive policy, and an internal one of the same AS.
 type fixture struct {
 	*testing.T
-	loop         *eventloop.Loop
-	speaker      *Speaker
-	outer, inner *emulator.BGPPeer
+	loop                       *eventloop.Loop
+	speaker                    *Speaker
+	externalPeer, internalPeer *emulator.BGPPeer
 }
 
-// onLoop runs a function on the loop and waits for it.
+// onLoop runs a function on the event loop and waits for its end.
 func (f *fixture) onLoop(run func()) {
 	done := make(chan struct{})
 	f.loop.Post(func() { run(); close(done) })
@@ -47,7 +47,7 @@
 	testutil.WaitUntil(f, condition, holds)
 }
 
-func has(p *emulator.BGPPeer, x netip.Prefix) bool {
+func hasRoute(p *emulator.BGPPeer, x netip.Prefix) bool {
 	ok, _ := p.Route(x)
 	return ok
 }
@@ -89,20 +89,22 @@
 		RouterID:   [4]byte{192, 0, 2, routerID},
 		ListenAddr: "127.0.0.1:0",
 		Services: map[string]announce.Service{
-			"web":  {Prefix: web, NextHop: hop},
-			"web6": {Prefix: web6, NextHop: hop6},
-			"mail": {Prefix: mail, NextHop: hop},
+			"web":  {Prefix: web, NextHop: nextHop},
+			"web6": {Prefix: web6, NextHop: nextHop6},
+			"mail": {Prefix: mail, NextHop: nextHop},
 		},
 		Peers: make([]PeerConfig, 2),
 	}
-	f.outer, settings.Peers[0] = openPeer(t, 65000, "198.51.100.0/24", "2001:db8:1::/64")
-	f.inner, settings.Peers[1] = openPeer(t, 65001, "0.0.0.0/0")
+	f.externalPeer, settings.Peers[0] = openPeer(t, 65000, "198.51.100.0/24", "2001:db8:1::/64")
+	f.internalPeer, settings.Peers[1] = openPeer(t, 65001, "0.0.0.0/0")
 	f.loop = runLoop(t)
 	f.onLoop(func() {
 		f.speaker = New(f.loop, settings, slog.New(slog.DiscardHandler))
 		testutil.ExpectNoError(t, f.speaker.Start())
 	})
-	f.waitUntil("both sessions are established", func() bool { return f.outer.Established() && f.inner.Established() })
+	f.waitUntil("both sessions are established", func() bool {
+		return f.externalPeer.Established() && f.internalPeer.Established()
+	})
 	return f
 }
 
@@ -114,47 +116,57 @@
 	})
 }
 
-// A peer receives only what its policy allows, of both families, and a local preference only inside the AS.
+// A peer receives only the prefixes that its policy allows, of both families. Only a peer of the same AS receives a
+// local preference.
 func TestPeerReceivesOnlyWhatItsPolicyAllows(t *testing.T) {
 	f := startSpeaker(t, 5)
 	f.runContainers("web", "web6", "mail")
-	f.waitUntil("the outer peer has what it may", func() bool { return has(f.outer, web) && has(f.outer, web6) })
-	f.waitUntil("the inner one has the IPv4 ones", func() bool { return has(f.inner, web) && has(f.inner, mail) })
-	testutil.Expect(t, !has(f.outer, mail) && !has(f.inner, web6), "a peer received what its policy does not allow")
-	for _, x := range f.outer.Changes() {
-		testutil.Expect(t, x.LocalPref == 0, "the outer peer received the local preference %d", x.LocalPref)
+	f.waitUntil("the external peer has the allowed routes", func() bool {
+		return hasRoute(f.externalPeer, web) && hasRoute(f.externalPeer, web6)
+	})
+	f.waitUntil("the internal peer has the IPv4 routes", func() bool {
+		return hasRoute(f.internalPeer, web) && hasRoute(f.internalPeer, mail)
+	})
+	testutil.Expect(t, !hasRoute(f.externalPeer, mail) && !hasRoute(f.internalPeer, web6),
+		"a peer received a route that its policy does not allow")
+	for _, x := range f.externalPeer.Changes() {
+		testutil.Expect(t, x.LocalPref == 0, "the external peer received the local preference %d", x.LocalPref)
 	}
-	for _, x := range f.inner.Changes() {
-		testutil.Expect(t, x.LocalPref == 100, "the inner peer received the local preference %d", x.LocalPref)
+	for _, x := range f.internalPeer.Changes() {
+		testutil.Expect(t, x.LocalPref == 100, "the internal peer received the local preference %d", x.LocalPref)
 	}
 }
 
-func TestEndOfRoutesIsMarkedOnceAllContainersAreKnownAndNotBefore(t *testing.T) {
+func TestEndOfRIBIsSentOnlyOnceAllContainersAreKnown(t *testing.T) {
 	f := startSpeaker(t, 5)
 	f.runContainers("web")
-	f.waitUntil("it is announced", func() bool { return has(f.outer, web) })
-	testutil.Equal(t, f.outer.Stats().EndOfRIBs, 0, "the end was marked before all was known")
+	f.waitUntil("it is announced", func() bool { return hasRoute(f.externalPeer, web) })
+	testutil.Equal(t, f.externalPeer.Stats().EndOfRIBs, 0, "End-of-RIB was sent before all containers were known")
 	f.onLoop(f.speaker.MarkRoutesComplete)
-	f.waitUntil("both families are marked", func() bool { return f.outer.Stats().EndOfRIBs == 2 })
+	f.waitUntil("End-of-RIB is sent for both families", func() bool { return f.externalPeer.Stats().EndOfRIBs == 2 })
 }
 
-// A stop sends a shutdown message, by which peers drop routes that they would keep over a restart.
+// Stop sends a shutdown message. It makes peers drop the routes that they would keep during a restart.
 func TestStopMakesPeersDropRoutesAtOnce(t *testing.T) {
 	f := startSpeaker(t, 5)
 	f.runContainers("web")
-	f.waitUntil("it is announced", func() bool { return has(f.outer, web) })
+	f.waitUntil("it is announced", func() bool { return hasRoute(f.externalPeer, web) })
 	f.onLoop(func() { f.speaker.Stop("done") })
-	f.waitUntil("it is gone", func() bool { return !has(f.outer, web) && !f.outer.Established() })
+	f.waitUntil("the route and the session are gone", func() bool {
+		return !hasRoute(f.externalPeer, web) && !f.externalPeer.Established()
+	})
 }
 
-// Two speakers announce one address, each for its own containers.
-func TestWithdrawalLeavesTheRouteOfAnotherSpeaker(t *testing.T) {
+// Two speakers announce the same address, each for its own containers.
+func TestWithdrawalKeepsRouteOfAnotherSpeaker(t *testing.T) {
 	a := startSpeaker(t, 5)
 	b := startSpeaker(t, 6)
 	a.runContainers("web")
 	b.runContainers("web")
-	a.waitUntil("both announced", func() bool { return has(a.outer, web) && has(b.outer, web) })
+	a.waitUntil("both speakers have announced the route", func() bool {
+		return hasRoute(a.externalPeer, web) && hasRoute(b.externalPeer, web)
+	})
 	a.onLoop(func() { a.speaker.Handle(announce.ContainerEnded{Service: "web", Container: "c"}) })
-	a.waitUntil("the first has withdrawn", func() bool { return !has(a.outer, web) })
-	testutil.Expect(t, has(b.outer, web), "the second's route went with the first's")
+	a.waitUntil("the first speaker has withdrawn its route", func() bool { return !hasRoute(a.externalPeer, web) })
+	testutil.Expect(t, hasRoute(b.externalPeer, web), "the route of the second speaker was withdrawn too")
 }
