--- a/internal/bgp/session/actions.go
+++ b/internal/bgp/session/actions.go
@@ -7,10 +7,10 @@
 	"glenport/scheduler"
 )
 
-// Action is an output of the state machine, which the process carries out.
+// Action is an output of the state machine, to be executed by the caller.
 type Action interface{ action() }
 
-// Dial opens a connection to the peer. ConnOpened or ConnClosed answers it.
+// Dial opens a connection to the peer. ConnOpened or ConnClosed reports the result.
 type Dial struct{ Conn ConnID }
 
 // SendMessage sends a message on a connection.
@@ -19,7 +19,7 @@
 	Message wire.Message
 }
 
-// CloseConn closes a connection after what was sent, or abandons a Dial. No event follows.
+// CloseConn closes a connection after the output has been sent, or abandons a Dial. No event follows.
 type CloseConn struct{ Conn ConnID }
 
 // SetTimer starts a timer, or restarts it.
@@ -28,11 +28,11 @@
 	After scheduler.Time
 }
 
-// ClearTimer stops a timer if it runs.
+// ClearTimer stops a timer if it is running.
 type ClearTimer struct{ Timer Timer }
 
-// Up reports that the session is established: all routes of the families are to be sent, and then, if SendEndOfRIB is
-// set, the end of each family's routes.
+// Up reports that the session is established. All routes of the families have to be sent, followed by an End-of-RIB
+// marker for each family if SendEndOfRIB is set.
 type Up struct {
 	Families     []wire.Family
 	SendEndOfRIB bool
@@ -42,24 +42,24 @@
 // Down reports the end of an established session.
 type Down struct{ Reason string }
 
-// ResendRoutes asks for all routes of a family again.
+// ResendRoutes requests that all routes of a family be sent again.
 type ResendRoutes struct{ Family wire.Family }
 
-// UpdateIgnored reports an update of the peer: its routes are never imported (RFC 8212).
+// UpdateIgnored reports an update from the peer, whose routes are never imported (RFC 8212).
 type UpdateIgnored struct{ Update *wire.Update }
 
-// Log is a constant message with attributes for the log.
+// Log is a log message with attributes. The message is constant.
 type Log struct {
 	Message    string
 	Attributes []slog.Attr
 }
 
-// actionQueue collects the actions that answer one event.
+// actionQueue collects the actions that result from one event.
 type actionQueue struct{ actions []Action }
 
 func (q *actionQueue) emit(a Action) { q.actions = append(q.actions, a) }
 
-// take returns what was emitted since the last call.
+// take returns the actions emitted since the last call.
 func (q *actionQueue) take() []Action {
 	taken := q.actions
 	q.actions = nil
--- a/internal/bgp/session/connecting.go
+++ b/internal/bgp/session/connecting.go
@@ -21,9 +21,9 @@
 	}
 }
 
-// connect dials the peer, or waits for it to connect.
+// connect dials the peer, or waits for the peer to connect if the session is passive.
 func (s *Session) connect() {
-	s.timers.startConnecting()
+	s.timers.startConnectRetryTimer()
 	if s.passive {
 		s.transition(Active)
 		return
@@ -48,8 +48,8 @@
 	}
 }
 
-// acceptColliding accepts a connection beside the first one. Which of them stays is decided when the peer's Open has
-// come on both.
+// acceptColliding accepts a second connection. The collision is resolved when the peer's Open has been received on both
+// connections.
 func (s *Session) acceptColliding(opened ConnOpened) {
 	if len(s.connections.open) >= maxConnections {
 		s.connections.reject(opened)
@@ -58,10 +58,10 @@
 	s.sendOpen(opened)
 }
 
-// sendOpen begins the negotiation on a connection.
+// sendOpen adds a connection and starts the negotiation on it.
 func (s *Session) sendOpen(opened ConnOpened) {
 	s.connections.add(opened)
-	s.timers.startOpening()
+	s.timers.startOpenHoldTimer()
 	restarted := !s.wasEstablished
 	s.connections.send(opened.Conn, s.negotiation.open(restarted))
 }
@@ -72,7 +72,7 @@
 		s.dialFailed()
 	} else if c := s.connections.open[id]; c != nil {
 		s.connections.remove(c)
-		s.endWithoutConnections("the connection ended")
+		s.endIfNoConnections("the connection ended")
 	}
 }
 
--- a/internal/bgp/session/connections.go
+++ b/internal/bgp/session/connections.go
@@ -7,24 +7,24 @@
 	"glenport/internal/bgp/wire"
 )
 
-// maxConnections is how many connections a session has while a collision is unresolved.
+// maxConnections is the number of open connections during a collision.
 const maxConnections = 2
 
-// connections owns the dial that is under way and the connections that are open.
+// connections holds the dial in progress and the open connections.
 type connections struct {
 	actions *actionQueue
-	// open has entries exactly in OpenSent and the states after it; two while a collision is unresolved.
+	// open has entries only in OpenSent, OpenConfirm and Established, and two only during a collision.
 	open       map[ConnID]*connection
 	lastDialed ConnID
-	dialing    ConnID // the dial that is under way, or 0
+	dialing    ConnID // the dial in progress, or 0
 }
 
-// connection is a connection that is open. Until the peer's Open has come it is in OpenSent, whatever the state of
-// the session is.
+// connection is an open connection. It is in state OpenSent until the peer's Open is received, even if the session is
+// in a later state.
 type connection struct {
 	id       ConnID
 	inbound  bool
-	peerOpen *wire.Open // nil: not received
+	peerOpen *wire.Open // nil: not yet received
 }
 
 func newConnections(actions *actionQueue) *connections {
@@ -37,7 +37,7 @@
 	cs.actions.emit(Dial{cs.dialing})
 }
 
-// abandonDial gives up the dial that is under way, if any.
+// abandonDial abandons the dial in progress, if any.
 func (cs *connections) abandonDial() {
 	if cs.dialing != 0 {
 		cs.actions.emit(CloseConn{cs.dialing})
@@ -45,12 +45,12 @@
 	}
 }
 
-// isAbandoned reports whether a connection has opened whose dial was given up meanwhile.
+// isAbandoned reports whether an opened connection belongs to a dial that has been abandoned.
 func (cs *connections) isAbandoned(opened ConnOpened) bool {
 	return !opened.Inbound && opened.Conn != cs.dialing
 }
 
-// endDial ends the dial under way where it has led to an open connection.
+// endDial ends the dial in progress if it resulted in the opened connection.
 func (cs *connections) endDial(opened ConnOpened) {
 	if !opened.Inbound {
 		cs.dialing = 0
@@ -63,7 +63,7 @@
 	cs.open[opened.Conn] = &connection{id: opened.Conn, inbound: opened.Inbound}
 }
 
-// reject turns a connection away that no state is waiting for.
+// reject closes a connection that the session does not expect in its state.
 func (cs *connections) reject(opened ConnOpened) {
 	cs.endDial(opened)
 	cs.send(opened.Conn, &wire.Notification{Code: wire.CodeCease, Subcode: wire.SubcodeConnectionRejected})
@@ -74,29 +74,29 @@
 	cs.actions.emit(SendMessage{id, m})
 }
 
-// close closes a connection and says why.
+// close sends a notification on a connection and closes it.
 func (cs *connections) close(c *connection, notification *wire.Notification) {
 	cs.send(c.id, notification)
-	cs.closeSilently(c)
+	cs.closeWithoutNotification(c)
 }
 
-func (cs *connections) closeSilently(c *connection) {
+func (cs *connections) closeWithoutNotification(c *connection) {
 	cs.actions.emit(CloseConn{c.id})
 	cs.remove(c)
 }
 
 func (cs *connections) remove(c *connection) { delete(cs.open, c.id) }
 
-// closeAll closes all connections and abandons the dial under way.
+// closeAll closes all connections and abandons the dial in progress.
 func (cs *connections) closeAll(notification *wire.Notification) {
-	for _, c := range cs.ordered() {
+	for _, c := range cs.sorted() {
 		cs.close(c, notification)
 	}
 	cs.abandonDial()
 }
 
-// ordered returns the open connections in order of their identifiers.
-func (cs *connections) ordered() []*connection {
+// sorted returns the open connections in order of their IDs.
+func (cs *connections) sorted() []*connection {
 	ordered := make([]*connection, 0, len(cs.open))
 	for _, id := range slices.Sorted(maps.Keys(cs.open)) {
 		ordered = append(ordered, cs.open[id])
@@ -104,9 +104,9 @@
 	return ordered
 }
 
-// others returns the open connections but one.
-func (cs *connections) others(than *connection) []*connection {
-	return slices.DeleteFunc(cs.ordered(), func(c *connection) bool { return c == than })
+// except returns the open connections without the excluded one.
+func (cs *connections) except(excluded *connection) []*connection {
+	return slices.DeleteFunc(cs.sorted(), func(c *connection) bool { return c == excluded })
 }
 
 func (cs *connections) closeColliding(c *connection) {
--- a/internal/bgp/session/doc.go
+++ b/internal/bgp/session/doc.go
@@ -1,12 +1,12 @@
-// Package session is the state machine of a BGP peer (RFC 4271, section 8), with collision resolution (6.8),
-// capabilities (RFC 5492), hold and keepalive timers, graceful restart of the side that restarts (RFC 4724) and an
-// idle hold time that doubles. It is pure: Handle takes an event of a connection or timer and returns what to send,
-// open, close and report.
+// Package session implements the state machine of a BGP session with one peer (RFC 4271, section 8): collision
+// resolution (section 6.8), capabilities (RFC 5492), hold and keepalive timers, graceful restart as the restarting
+// speaker (RFC 4724), and an idle hold time that doubles with each failure. The package does no I/O: Handle takes an
+// event of a connection or a timer and returns actions.
 //
-// A [Session] owns the state and decides on events, one method for each. Its components are the connections (the dial
-// under way and what is open), the timers, and the negotiation of what both sides' Open messages say.
+// A [Session] holds the state and handles each event with a method of its own. Its components are the connections (the
+// dial in progress and the open connections), the timers, and the negotiation of the parameters in both Open messages.
 //
-// By state and event, with the state that follows; an event that is not listed for a state is ignored in it:
+// The transitions by state and event; an event that is not listed for a state is ignored in that state:
 //
 //	state        event                  next         what is done
 //	any          Stop                   Idle         all connections are closed with a shutdown message
@@ -43,8 +43,8 @@
 //	Established  Notification           Idle         the connection is closed; Down is reported
 //	Established  another message        Idle         the message is unexpected; Down is reported
 //
-// An invalid message closes its connection as an unexpected one does (another message). Where two connections are open,
-// what ends one of them leaves the session in its state. As each connection has a state machine of its own in the RFC,
-// a message on a connection whose peer has sent no Open is handled as in OpenSent, also if a colliding connection has
-// taken the session to OpenConfirm.
+// An invalid message closes its connection like an unexpected one (another message). While two connections are open,
+// the end of one of them does not change the state of the session. In the RFC, each connection has a state machine of
+// its own. Therefore a message on a connection on which the peer has sent no Open is handled as in OpenSent, even if a
+// colliding connection has moved the session to OpenConfirm.
 package session
--- a/internal/bgp/session/ending.go
+++ b/internal/bgp/session/ending.go
@@ -18,7 +18,7 @@
 	case OpenSent, OpenConfirm, Established:
 		s.connections.closeAll(&wire.Notification{Code: wire.CodeHoldTimerExpired})
 		s.end("the peer was silent for the hold time")
-	case Idle, Connect, Active: // there is no connection to hold
+	case Idle, Connect, Active: // no connection is open
 	}
 }
 
@@ -27,11 +27,11 @@
 	if text := notification.ShutdownText(); text != "" {
 		reason += ": " + text
 	}
-	s.connections.closeSilently(c)
-	s.endWithoutConnections(reason)
+	s.connections.closeWithoutNotification(c)
+	s.endIfNoConnections(reason)
 }
 
-// rejectUnexpected answers a message that the connection's state does not allow (RFC 6608).
+// rejectUnexpected resets a connection on a message that its state does not allow (RFC 6608).
 func (s *Session) rejectUnexpected(c *connection, m wire.Message) {
 	subcode, reason := wire.SubcodeUnexpectedInOpenSent, fmt.Sprintf("%T where an Open was due", m)
 	switch s.stateOf(c) {
@@ -47,24 +47,24 @@
 	})
 }
 
-// resetConnection closes a connection because of the peer's fault.
+// resetConnection closes a connection with the notification for an error of the peer.
 func (s *Session) resetConnection(c *connection, fault *wire.MessageError) {
 	s.connections.close(c, &fault.Notification)
-	s.endWithoutConnections(fault.Reason)
+	s.endIfNoConnections(fault.Reason)
 }
 
-func (s *Session) endWithoutConnections(reason string) {
+func (s *Session) endIfNoConnections(reason string) {
 	if len(s.connections.open) == 0 {
 		s.end(reason)
 	}
 }
 
-// end reports the session's end and goes back to Idle.
+// end reports the end of the session and returns to Idle.
 func (s *Session) end(reason string) {
 	if s.state == Established {
 		s.actions.emit(Down{reason})
 	}
-	s.timers.endSession()
+	s.timers.clearSessionTimers()
 	if s.state != Idle {
 		s.log("BGP session ended", slog.String("reason", reason), slog.String("state", s.state.String()))
 	}
@@ -75,8 +75,8 @@
 	s.transition(Idle)
 }
 
-// backOff waits in Idle before the next attempt.
+// backOff returns to Idle and starts the wait before the next connection attempt.
 func (s *Session) backOff() {
 	s.transition(Idle)
-	s.timers.startIdling()
+	s.timers.startIdleHoldTimer()
 }
--- a/internal/bgp/session/established.go
+++ b/internal/bgp/session/established.go
@@ -8,10 +8,10 @@
 		return
 	}
 	s.actions.emit(UpdateIgnored{update})
-	s.timers.restartHold()
+	s.timers.restartHoldTimer()
 }
 
-// routeRefreshReceived has routes sent again; a request for a family that is not shared is ignored.
+// routeRefreshReceived has the routes of a family sent again. A request for a family that is not shared is ignored.
 func (s *Session) routeRefreshReceived(c *connection, refresh *wire.RouteRefresh) {
 	if s.stateOf(c) != Established {
 		s.rejectUnexpected(c, refresh)
@@ -22,18 +22,18 @@
 			s.actions.emit(ResendRoutes{f})
 		}
 	}
-	s.timers.restartHold()
+	s.timers.restartHoldTimer()
 }
 
-// keepaliveTimerExpired sends a keepalive on each connection whose Open was accepted.
+// keepaliveTimerExpired sends a Keepalive on each connection on which the peer's Open was accepted.
 func (s *Session) keepaliveTimerExpired() {
 	if s.state != OpenConfirm && s.state != Established || s.timers.holdTime == 0 {
 		return
 	}
-	for _, c := range s.connections.ordered() {
+	for _, c := range s.connections.sorted() {
 		if c.peerOpen != nil {
 			s.connections.send(c.id, &wire.Keepalive{})
 		}
 	}
-	s.timers.restartKeepalive()
+	s.timers.restartKeepaliveTimer()
 }
--- a/internal/bgp/session/events.go
+++ b/internal/bgp/session/events.go
@@ -4,8 +4,8 @@
 	"glenport/internal/bgp/wire"
 )
 
-// ConnID identifies a connection. The session numbers those that it dials from 1 on; the process numbers inbound ones,
-// apart from these.
+// ConnID identifies a connection. The session numbers the connections that it dials from 1 on. The caller numbers the
+// inbound ones from a separate range.
 type ConnID int
 
 // Timer is one of the session's timers.
@@ -23,34 +23,34 @@
 // Event is an input of the state machine.
 type Event interface{ event() }
 
-// Start begins to connect to the peer, or to wait for it.
+// Start makes the session connect to the peer, or wait for a connection if it is passive.
 type Start struct{}
 
 // Stop ends the session until the next Start. The peer receives the reason in a shutdown message.
 type Stop struct{ Reason string }
 
-// ConnOpened is an open connection: inbound, or one that Dial asked for.
+// ConnOpened reports an open connection: an inbound one, or one opened by Dial.
 type ConnOpened struct {
 	Conn    ConnID
 	Inbound bool
 }
 
-// ConnClosed is the end of a connection that the session did not close, or a failed Dial.
+// ConnClosed reports a failed Dial, or the end of a connection that the session did not close.
 type ConnClosed struct{ Conn ConnID }
 
-// MessageReceived is a decoded message.
+// MessageReceived reports a decoded message.
 type MessageReceived struct {
 	Conn    ConnID
 	Message wire.Message
 }
 
-// MessageInvalid is a message that cannot be decoded.
+// MessageInvalid reports a message that cannot be decoded.
 type MessageInvalid struct {
 	Conn ConnID
 	Err  *wire.MessageError
 }
 
-// TimerExpired is the expiry of a timer that SetTimer started.
+// TimerExpired reports the expiry of a timer that SetTimer started.
 type TimerExpired struct{ Timer Timer }
 
 func (Start) event()           {}
--- a/internal/bgp/session/golden_test.go
+++ b/internal/bgp/session/golden_test.go
@@ -12,20 +12,20 @@
 	"glenport/scheduler"
 )
 
-// TestDecisionsMatchGoldenDigests plays seeded histories and compares a digest of all actions, in order, and of the
-// state after each event, with that in testdata. A changed decision changes the digest; a rename does not.
+// TestDecisionsMatchGoldenDigests runs seeded sequences of events and compares a digest of all actions, in order, and
+// of the state after each event with the one in testdata. The digest changes with any decision, but not with a rename.
 func TestDecisionsMatchGoldenDigests(t *testing.T) {
 	const sequences, steps = 1000, 100
-	first := PeerConfig{OwnAS: 65001, PeerAS: 65002, ID: [4]byte{10, 0, 0, 5}, Families: both}
+	first := PeerConfig{LocalAS: 65001, PeerAS: 65002, LocalID: [4]byte{10, 0, 0, 5}, Families: bothFamilies}
 	first.HoldTime, first.RestartTime = 90*scheduler.Second, 120*scheduler.Second
 	passive := first
-	passive.ID, passive.HoldTime, passive.RestartTime = [4]byte{10, 0, 0, 200}, 9*scheduler.Second, 0
-	passive.Families, passive.Passive = both[:1], true
+	passive.LocalID, passive.HoldTime, passive.RestartTime = [4]byte{10, 0, 0, 200}, 9*scheduler.Second, 0
+	passive.Families, passive.Passive = bothFamilies[:1], true
 	fourOctets := first
-	fourOctets.OwnAS, fourOctets.HoldTime, fourOctets.RestartTime = 4_200_000_001, 0, 9000*scheduler.Second
+	fourOctets.LocalAS, fourOctets.HoldTime, fourOctets.RestartTime = 4_200_000_001, 0, 9000*scheduler.Second
 	internal := first
-	internal.OwnAS, internal.HoldTime, internal.RestartTime = 65002, 3*scheduler.Second, 0
-	internal.Families = both[1:]
+	internal.LocalAS, internal.HoldTime, internal.RestartTime = 65002, 3*scheduler.Second, 0
+	internal.Families = bothFamilies[1:]
 	var got strings.Builder
 	for group, p := range []PeerConfig{first, passive, fourOctets, internal} {
 		digest := actionDigest{golden.NewDigest()}
@@ -44,8 +44,8 @@
 	golden.CheckText(t, "testdata/decisions.txt", got.String())
 }
 
-// actionDigest folds actions by an ordinal of their type and the values of their fields, but for texts of the log;
-// messages are folded as they go on the wire.
+// actionDigest is a digest of actions: of the ordinal of each type and the values of the fields, except log messages.
+// BGP messages are added in their encoding.
 type actionDigest struct{ *golden.Digest }
 
 func (d actionDigest) add(a Action) {
@@ -91,22 +91,22 @@
 	d.Text(string(p))
 }
 
-// How far a connection has got, as the peer sees it.
+// Progress of a connection as the peer sees it.
 const (
 	dialed = iota
 	connected
 	peerOpenReceived
 )
 
-// history plays one seeded sequence: a peer that mostly goes on as RFC 4271 says, and now and then anything else.
+// history runs one seeded sequence of events: mostly those of a peer that follows RFC 4271, and some unexpected ones.
 type history struct {
 	digest      actionDigest
 	random      *rand.Rand
 	session     *Session
 	peer        PeerConfig
 	connections map[ConnID]int
-	numbers     []ConnID // of connections, in order
-	accepted    ConnID   // the last number of one that the peer made
+	numbers     []ConnID // of the connections, in the order in which they were created
+	accepted    ConnID   // number of connections that the peer has opened
 }
 
 func (h *history) chance(p float64) bool { return h.random.Float64() < p }
@@ -125,7 +125,7 @@
 	h.digest.Numbers(uint64(h.session.State()))
 	open := h.numbers[:0]
 	for _, n := range h.numbers {
-		if _, there := h.connections[n]; there {
+		if _, exists := h.connections[n]; exists {
 			open = append(open, n)
 		}
 	}
@@ -155,7 +155,7 @@
 			Data: []byte{1, 2},
 		}, Reason: "no marker"}})
 	case n < 96:
-		h.odd()
+		h.handleUnknownConnection()
 	case n < 97:
 		h.handle(Stop{Reason: "an operator's word"})
 		h.handle(Start{})
@@ -164,7 +164,7 @@
 	}
 }
 
-// advance lets the peer take its next step on a connection, which most often is the one that RFC 4271 expects.
+// advance makes the peer take its next step on a connection, which in most cases is the one that RFC 4271 expects.
 func (h *history) advance(c ConnID) {
 	switch h.connections[c] {
 	case dialed:
@@ -211,7 +211,7 @@
 	case 0:
 		o.AS++
 	case 1:
-		o.ID = h.peer.ID
+		o.ID = h.peer.LocalID
 	case 2:
 		o.FourOctetAS = false
 	case 3:
@@ -238,8 +238,8 @@
 	return h.openMessage()
 }
 
-// odd events concern connections that are none.
-func (h *history) odd() {
+// handleUnknownConnection handles an event of a connection that the session does not know.
+func (h *history) handleUnknownConnection() {
 	switch h.random.IntN(4) {
 	case 0:
 		h.handle(MessageReceived{Conn: 77, Message: &wire.Keepalive{}})
--- a/internal/bgp/session/invariants_test.go
+++ b/internal/bgp/session/invariants_test.go
@@ -12,11 +12,11 @@
 	"pgregory.net/rapid"
 )
 
-// Every event in every state leads to a state, never to a panic; an established session has one connection, a running
-// one always has a timer or an attempt that moves it on, and it sends only on open connections.
+// No event causes a panic in any state. An established session has one connection. A started session always has a
+// running timer or a dial in progress, so that it cannot get stuck. It sends only on open connections.
 func TestInvariantsHoldForEveryEventInEveryState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := peer()
+		p := peerConfig()
 		p.Passive = rapid.Bool().Draw(t, "passive")
 		m := &invariantModel{
 			T: t, session: New(p), timers: map[Timer]bool{}, open: map[ConnID]bool{}, dialed: map[ConnID]bool{},
@@ -30,7 +30,7 @@
 	})
 }
 
-// invariantModel follows what a session has under way by its actions.
+// invariantModel tracks the timers, connections and dials of a session by its actions.
 type invariantModel struct {
 	*rapid.T
 	session     *Session
@@ -38,16 +38,16 @@
 	open        map[ConnID]bool
 	dialed      map[ConnID]bool
 	lastInbound ConnID
-	up          int // Up less Down
+	up          int // number of Up actions minus Down actions
 }
 
 func (m *invariantModel) handle(e Event) {
 	for _, a := range m.session.Handle(e) {
-		m.follow(a)
+		m.record(a)
 	}
 }
 
-func (m *invariantModel) follow(a Action) {
+func (m *invariantModel) record(a Action) {
 	switch a := a.(type) {
 	case Dial:
 		m.dialed[a.Conn] = true
@@ -63,7 +63,7 @@
 	case Down:
 		m.up--
 	case SendMessage:
-		testutil.Require(m, m.open[a.Conn], "sends on %d, which is not open", a.Conn)
+		testutil.Require(m, m.open[a.Conn], "sends on connection %d, which is not open", a.Conn)
 	}
 }
 
@@ -106,8 +106,8 @@
 	return newest
 }
 
-// drawDialed draws one of the connections that are being dialed, or 0 if there is none. An attempt that a failed
-// inbound connection has left behind may be among them.
+// drawDialed draws one of the connections that are being dialed, or 0 if there is none. They may include a dial that
+// outlived a failed inbound connection.
 func (m *invariantModel) drawDialed() ConnID {
 	if len(m.dialed) == 0 {
 		return 0
@@ -136,7 +136,7 @@
 		return
 	}
 	messages := []wire.Message{
-		open(nil), &wire.Keepalive{}, &wire.Update{}, &wire.Notification{Code: 6},
+		openMessage(nil), &wire.Keepalive{}, &wire.Update{}, &wire.Notification{Code: 6},
 		&wire.RouteRefresh{Family: wire.IPv4},
 	}
 	m.handle(MessageReceived{c, messages[rapid.IntRange(0, len(messages)-1).Draw(m.T, "message")]})
@@ -152,7 +152,9 @@
 
 func (m *invariantModel) check() {
 	state := m.session.State()
-	testutil.Require(m, (state == Established) == (m.up == 1) && m.up >= 0 && m.up <= 1, "%s with %d up", state, m.up)
+	testutil.Require(m, (state == Established) == (m.up == 1) && m.up >= 0 && m.up <= 1,
+		"%s, but Up minus Down is %d", state, m.up)
 	testutil.Require(m, state != Established || len(m.open) == 1, "established with %d connections", len(m.open))
-	testutil.Require(m, len(m.timers) != 0 || len(m.dialed) != 0, "%s, and nothing will move it on", state)
+	testutil.Require(m, len(m.timers) != 0 || len(m.dialed) != 0,
+		"%s without a timer or a dial: the session is stuck", state)
 }
--- a/internal/bgp/session/negotiation.go
+++ b/internal/bgp/session/negotiation.go
@@ -9,21 +9,21 @@
 	"glenport/scheduler"
 )
 
-// maxRestartTime is the highest restart time that fits into its capability, in seconds.
+// maxRestartTime is the highest restart time that the graceful restart capability can encode, in seconds.
 const maxRestartTime = 4095
 
-// maxTwoOctetAS is the highest AS number of a peer without four-octet AS numbers.
+// maxTwoOctetAS is the highest AS number that a peer without four-octet AS numbers supports.
 const maxTwoOctetAS = 0xFFFF
 
-// negotiation compares the peer's Open with what is configured for it.
+// negotiation builds the local Open and compares the peer's Open with the configuration.
 type negotiation struct{ peer PeerConfig }
 
-// open returns our Open, which says whether we have restarted, so that the peer may keep our routes meanwhile.
+// open returns the local Open. If it announces a restart, the peer may keep the routes of the previous session.
 func (n negotiation) open(restarted bool) *wire.Open {
 	o := &wire.Open{
-		AS:          n.peer.OwnAS,
+		AS:          n.peer.LocalAS,
 		HoldTime:    uint16(n.peer.HoldTime / scheduler.Second),
-		ID:          n.peer.ID,
+		ID:          n.peer.LocalID,
 		Families:    n.peer.Families,
 		FourOctetAS: true,
 		Refresh:     true,
@@ -34,7 +34,8 @@
 	return o
 }
 
-// gracefulRestart says that forwarding is preserved: containers run on their machines without us.
+// gracefulRestart returns the capability, with the forwarding state preserved in all families: containers keep running
+// on their machines during a restart.
 func (n negotiation) gracefulRestart(restarted bool) *wire.GracefulRestart {
 	preserved := map[wire.Family]bool{}
 	for _, f := range n.peer.Families {
@@ -47,13 +48,13 @@
 	}
 }
 
-// check returns why the peer's Open is not acceptable, or nil.
-func (n negotiation) check(o *wire.Open) *wire.MessageError {
-	needsFourOctetAS := n.peer.OwnAS > maxTwoOctetAS || n.peer.PeerAS > maxTwoOctetAS
+// checkOpen returns the reason to reject the peer's Open, or nil if it is acceptable.
+func (n negotiation) checkOpen(o *wire.Open) *wire.MessageError {
+	needsFourOctetAS := n.peer.LocalAS > maxTwoOctetAS || n.peer.PeerAS > maxTwoOctetAS
 	switch {
 	case o.AS != n.peer.PeerAS:
 		return openError(wire.SubcodeBadPeerAS, fmt.Sprintf("the peer is AS %d, not %d", o.AS, n.peer.PeerAS))
-	case o.ID == n.peer.ID:
+	case o.ID == n.peer.LocalID:
 		return openError(wire.SubcodeBadIdentifier, "the peer has our identifier")
 	case !o.FourOctetAS && needsFourOctetAS:
 		return openError(wire.SubcodeUnsupportedCapability, "the peer has no four-octet AS numbers")
@@ -67,30 +68,32 @@
 	return &wire.MessageError{Notification: wire.Notification{Code: wire.CodeOpen, Subcode: subcode}, Reason: reason}
 }
 
-// sharedFamilies returns the families that both sides have; a peer without the capability has IPv4.
+// sharedFamilies returns the families that both sides support. A peer that announces no family supports IPv4.
 func (n negotiation) sharedFamilies(o *wire.Open) (shared []wire.Family) {
-	theirs := o.Families
-	if len(theirs) == 0 {
-		theirs = []wire.Family{wire.IPv4}
+	peerFamilies := o.Families
+	if len(peerFamilies) == 0 {
+		peerFamilies = []wire.Family{wire.IPv4}
 	}
 	for _, f := range n.peer.Families {
-		if slices.Contains(theirs, f) {
+		if slices.Contains(peerFamilies, f) {
 			shared = append(shared, f)
 		}
 	}
 	return shared
 }
 
-// holdTime returns the lower of both sides' hold times.
+// holdTime returns the negotiated hold time, the lower one of both sides.
 func (n negotiation) holdTime(o *wire.Open) scheduler.Time {
 	return min(n.peer.HoldTime, scheduler.Time(o.HoldTime)*scheduler.Second)
 }
 
-// keepsInbound reports whether, of colliding connections, the one that the peer opened stays: the side with the higher
-// identifier keeps its own (RFC 4271, section 6.8).
-func (n negotiation) keepsInbound(o *wire.Open) bool { return bytes.Compare(n.peer.ID[:], o.ID[:]) < 0 }
+// keepsInbound reports whether a collision is resolved in favor of the inbound connection: the connection that the side
+// with the higher identifier opened is kept (RFC 4271, section 6.8).
+func (n negotiation) keepsInbound(o *wire.Open) bool {
+	return bytes.Compare(n.peer.LocalID[:], o.ID[:]) < 0
+}
 
-// result reports what was negotiated with the peer whose Open this is.
+// result returns the outcome of the negotiation, given the Open of the peer.
 func (n negotiation) result(o *wire.Open) Up {
 	return Up{
 		Families:     n.sharedFamilies(o),
--- a/internal/bgp/session/opening.go
+++ b/internal/bgp/session/opening.go
@@ -2,13 +2,13 @@
 
 import "glenport/internal/bgp/wire"
 
-// openReceived checks the peer's Open, resolves a collision and confirms what was negotiated.
+// openReceived checks the peer's Open, resolves a collision and confirms the Open with a Keepalive.
 func (s *Session) openReceived(c *connection, open *wire.Open) {
 	if s.stateOf(c) != OpenSent {
 		s.rejectUnexpected(c, open)
 		return
 	}
-	if rejection := s.negotiation.check(open); rejection != nil {
+	if rejection := s.negotiation.checkOpen(open); rejection != nil {
 		s.resetConnection(c, rejection)
 		return
 	}
@@ -18,14 +18,14 @@
 	c.peerOpen = open
 	s.transition(OpenConfirm)
 	s.connections.send(c.id, &wire.Keepalive{})
-	s.timers.startHolding(s.negotiation.holdTime(open))
+	s.timers.startNegotiatedTimers(s.negotiation.holdTime(open))
 }
 
-// resolveCollision keeps, of two connections on which the peer's Open has come, the one that the side with the higher
-// identifier opened. It returns whether c, on which this Open came, stays.
-func (s *Session) resolveCollision(c *connection, open *wire.Open) (stays bool) {
+// resolveCollision closes one of two connections on which the peer's Open has been received. It keeps the connection
+// that the side with the higher identifier opened. It reports whether c, on which this Open was received, is kept.
+func (s *Session) resolveCollision(c *connection, open *wire.Open) (kept bool) {
 	keepInbound := s.negotiation.keepsInbound(open)
-	for _, other := range s.connections.others(c) {
+	for _, other := range s.connections.except(c) {
 		if other.peerOpen == nil {
 			continue
 		}
@@ -34,7 +34,7 @@
 			loser = other
 		}
 		s.connections.closeColliding(loser)
-		s.log("BGP connections collided, one was closed")
+		s.log("colliding BGP connection closed")
 		if loser == c {
 			return false
 		}
@@ -42,26 +42,26 @@
 	return true
 }
 
-// keepaliveReceived establishes a session whose negotiation it ends, or shows that the peer is alive.
+// keepaliveReceived establishes the session in OpenConfirm and restarts the hold timer in Established.
 func (s *Session) keepaliveReceived(c *connection, m *wire.Keepalive) {
 	switch s.stateOf(c) {
 	case OpenConfirm:
 		s.establish(c)
 	case Established:
-		s.timers.restartHold()
+		s.timers.restartHoldTimer()
 	case Idle, Connect, Active, OpenSent:
 		s.rejectUnexpected(c, m)
 	}
 }
 
-// establish ends the negotiation. Another connection, whose negotiation has not come as far, is closed.
+// establish ends the negotiation on a connection. It closes a colliding connection, which is still in an earlier state.
 func (s *Session) establish(c *connection) {
-	for _, other := range s.connections.others(c) {
+	for _, other := range s.connections.except(c) {
 		s.connections.closeColliding(other)
 	}
 	s.connections.abandonDial()
 	s.transition(Established)
-	s.timers.restartHold()
+	s.timers.restartHoldTimer()
 	s.timers.resetIdleHoldTime()
 	s.wasEstablished = true
 	s.actions.emit(s.negotiation.result(c.peerOpen))
--- a/internal/bgp/session/session.go
+++ b/internal/bgp/session/session.go
@@ -7,18 +7,18 @@
 	"glenport/scheduler"
 )
 
-// PeerConfig is what is configured for a peer.
+// PeerConfig is the configuration of the session with one peer.
 type PeerConfig struct {
-	OwnAS       uint32
+	LocalAS     uint32
 	PeerAS      uint32
-	ID          [4]byte        // our BGP identifier
+	LocalID     [4]byte        // local BGP identifier
 	HoldTime    scheduler.Time // 0: no keepalives
 	Families    []wire.Family
-	Passive     bool           // only the peer connects
-	RestartTime scheduler.Time // how long the peer may keep our routes while we restart; 0: no graceful restart
+	Passive     bool           // never dial; only the peer connects
+	RestartTime scheduler.Time // for the peer to keep routes during a local restart; 0: no graceful restart
 }
 
-// Session is the state machine of one peer.
+// Session is the state machine of the session with one peer.
 type Session struct {
 	actions     *actionQueue
 	negotiation negotiation
@@ -26,12 +26,12 @@
 	connections *connections
 	passive     bool
 	started     bool // between Start and Stop
-	// wasEstablished says that a session has been established since New: the peer is told of a restart until then.
+	// wasEstablished is set once the session has been established after New. Until then, Opens announce a restart.
 	wasEstablished bool
 	state          State
 }
 
-// New returns a session in Idle, which waits for Start.
+// New returns a session in state Idle. It does nothing until Start.
 func New(p PeerConfig) *Session {
 	actions := &actionQueue{}
 	return &Session{
@@ -46,7 +46,7 @@
 // State returns the state of the session.
 func (s *Session) State() State { return s.state }
 
-// Handle takes one event and returns what is to be done, in order.
+// Handle handles one event and returns the resulting actions in order.
 func (s *Session) Handle(e Event) []Action {
 	switch e := e.(type) {
 	case Start:
@@ -96,19 +96,19 @@
 		s.keepaliveTimerExpired()
 	case IdleHoldTimer:
 		s.idleHoldTimerExpired()
-	default: // no timer of a session
+	default: // not a timer of the session
 	}
 }
 
-// transition takes the session to another state; only here its state changes. A transition that the state machine does
-// not have is logged and not made.
+// transition moves the session to another state; the state changes only here. An illegal transition is logged and not
+// made.
 func (s *Session) transition(to State) {
 	if err := successors.Apply("BGP session", &s.state, to); err != nil {
-		s.log("illegal transition of a BGP session", slog.Any("error", err))
+		s.log("illegal BGP session state transition", slog.Any("error", err))
 	}
 }
 
-// stateOf returns the state of one connection.
+// stateOf returns the state of one connection, which is OpenSent until the Open of the peer is received.
 func (s *Session) stateOf(c *connection) State {
 	if c.peerOpen == nil {
 		return OpenSent
--- a/internal/bgp/session/state.go
+++ b/internal/bgp/session/state.go
@@ -19,7 +19,7 @@
 	return [...]string{"Idle", "Connect", "Active", "OpenSent", "OpenConfirm", "Established"}[s]
 }
 
-// successors are the states that may follow each state, itself included where an event begins it anew.
+// successors maps each state to the states that may follow it. A state that an event can restart follows itself.
 var successors = statemachine.Successors[State]{
 	Idle:        {Idle, Connect, Active},
 	Connect:     {Idle, Connect, OpenSent},
--- a/internal/bgp/session/timers.go
+++ b/internal/bgp/session/timers.go
@@ -2,21 +2,21 @@
 
 import "glenport/scheduler"
 
-// Times of the timers; the first two are those that RFC 4271, section 10, suggests.
+// Durations of the timers. RFC 4271, section 10, suggests the first two.
 const (
 	connectRetryTime = 120 * scheduler.Second
-	openHoldTime     = 4 * 60 * scheduler.Second // in which the peer has to send its Open
-	minIdleHoldTime  = scheduler.Second          // after a fault, doubled with each until a session is established
+	openHoldTime     = 4 * 60 * scheduler.Second // for the peer to send its Open
+	minIdleHoldTime  = scheduler.Second          // after a failure; doubled with each until a session is established
 	maxIdleHoldTime  = 60 * scheduler.Second
 )
 
-// keepalivesPerHoldTime is how many keepalives are sent in one hold time (RFC 4271, section 4.4).
+// keepalivesPerHoldTime is the number of Keepalives sent within one hold time (RFC 4271, section 4.4).
 const keepalivesPerHoldTime = 3
 
-// timers owns the times of a session: the negotiated hold time and the idle hold time before the next attempt.
+// timers starts and stops the timers of a session. It holds the negotiated hold time and the next idle hold time.
 type timers struct {
 	actions      *actionQueue
-	holdTime     scheduler.Time // 0: neither hold nor keepalive timer runs
+	holdTime     scheduler.Time // 0: neither the hold timer nor the keepalive timer runs
 	idleHoldTime scheduler.Time
 }
 
@@ -27,51 +27,51 @@
 func (t *timers) set(timer Timer, after scheduler.Time) { t.actions.emit(SetTimer{timer, after}) }
 func (t *timers) clear(timer Timer)                     { t.actions.emit(ClearTimer{timer}) }
 
-// startConnecting begins the time that an attempt has.
-func (t *timers) startConnecting() {
+// startConnectRetryTimer starts the timer that limits a connection attempt.
+func (t *timers) startConnectRetryTimer() {
 	t.clear(IdleHoldTimer)
 	t.set(ConnectRetryTimer, connectRetryTime)
 }
 
-// startOpening begins the time in which the peer has to send its Open.
-func (t *timers) startOpening() {
+// startOpenHoldTimer starts the timer that limits the wait for the peer's Open.
+func (t *timers) startOpenHoldTimer() {
 	t.clear(ConnectRetryTimer)
 	t.set(HoldTimer, openHoldTime)
 }
 
-// startHolding begins the negotiated hold time, with keepalives in it.
-func (t *timers) startHolding(holdTime scheduler.Time) {
+// startNegotiatedTimers starts the hold and keepalive timers with the negotiated hold time.
+func (t *timers) startNegotiatedTimers(holdTime scheduler.Time) {
 	t.holdTime = holdTime
 	if holdTime == 0 {
 		t.clear(HoldTimer)
 		t.clear(KeepaliveTimer)
 		return
 	}
-	t.restartHold()
-	t.restartKeepalive()
+	t.restartHoldTimer()
+	t.restartKeepaliveTimer()
 }
 
-func (t *timers) restartHold() {
+func (t *timers) restartHoldTimer() {
 	if t.holdTime > 0 {
 		t.set(HoldTimer, t.holdTime)
 	}
 }
 
-func (t *timers) restartKeepalive() { t.set(KeepaliveTimer, t.holdTime/keepalivesPerHoldTime) }
+func (t *timers) restartKeepaliveTimer() { t.set(KeepaliveTimer, t.holdTime/keepalivesPerHoldTime) }
 
-// endSession stops the timers of a session that has ended.
-func (t *timers) endSession() {
+// clearSessionTimers stops all timers but the idle hold timer when a session ends.
+func (t *timers) clearSessionTimers() {
 	t.clear(HoldTimer)
 	t.clear(KeepaliveTimer)
 	t.clear(ConnectRetryTimer)
 }
 
-// startIdling begins the time before the next attempt, longer after each that failed.
-func (t *timers) startIdling() {
+// startIdleHoldTimer starts the wait before the next connection attempt. The wait doubles with each failure.
+func (t *timers) startIdleHoldTimer() {
 	t.clear(ConnectRetryTimer)
 	t.set(IdleHoldTimer, t.idleHoldTime)
 	t.idleHoldTime = min(maxIdleHoldTime, 2*t.idleHoldTime)
 }
 
-// resetIdleHoldTime lets the next attempt follow a fault soon again.
+// resetIdleHoldTime resets the wait after the next failure to the minimum.
 func (t *timers) resetIdleHoldTime() { t.idleHoldTime = minIdleHoldTime }
--- a/internal/bgp/session/transitions_test.go
+++ b/internal/bgp/session/transitions_test.go
@@ -29,7 +29,7 @@
 	return table
 }
 
-// row returns the key of the row that an event in a state follows, and whether there is one.
+// row returns the key of the row for an event in a state, and whether there is one.
 func (table transitionTable) row(state State, e tableEvent) (key [2]string, listed bool) {
 	keys := [][2]string{{state.String(), e.name}, {anyState, e.name}}
 	if e.message {
@@ -53,7 +53,7 @@
 	return false
 }
 
-// tableEvent is an event of the table with what plays it on connection 1.
+// tableEvent is an event of the table, with an event on connection 1 that represents it.
 type tableEvent struct {
 	name    string
 	message bool
@@ -76,8 +76,8 @@
 		{"ConnOpened", false, ConnOpened{inbound, true}},
 		{"ConnClosed", false, ConnClosed{1}},
 		{anotherMessage, true, MessageInvalid{1, &wire.MessageError{}}},
-		messageEvent("Open", open(nil)),
-		messageEvent("Open, unacceptable", open(func(o *wire.Open) { o.AS++ })),
+		messageEvent("Open", openMessage(nil)),
+		messageEvent("Open, unacceptable", openMessage(func(o *wire.Open) { o.AS++ })),
 		messageEvent("Update", &wire.Update{}),
 		messageEvent("Notification", &wire.Notification{}),
 		messageEvent("Keepalive", &wire.Keepalive{}),
@@ -85,19 +85,19 @@
 	}
 }
 
-// sessionIn returns a session in a state in which an event of the table is to be played.
+// sessionIn returns a session in the given state, ready to handle an event of the table.
 func sessionIn(state State, e tableEvent) *Session {
-	p := peer()
+	p := peerConfig()
 	p.Passive = state == Active || state == Idle && e.name == "Start, passive"
 	before := [...][]Event{
 		Idle:        nil,
 		Connect:     {Start{}},
 		Active:      {Start{}},
 		OpenSent:    {Start{}, ConnOpened{1, false}},
-		OpenConfirm: append([]Event{Start{}}, openReceivedOn1(nil)...),
+		OpenConfirm: append([]Event{Start{}}, openReceived(nil)...),
 		Established: append([]Event{Start{}}, established()...),
 	}[state]
-	if state == Idle && e.name == "IdleHoldTimer" { // it runs after a fault
+	if state == Idle && e.name == "IdleHoldTimer" { // the timer runs after a failure
 		before = []Event{Start{}, ConnClosed{1}}
 	}
 	s := New(p)
@@ -107,29 +107,29 @@
 	return s
 }
 
-func TestStatesFollowAsTheTableSays(t *testing.T) {
-	table, played := readTransitionTable(t), transitionTable{}
+func TestTransitionsMatchTheTable(t *testing.T) {
+	table, tested := readTransitionTable(t), transitionTable{}
 	for state := Idle; state <= Established; state++ {
 		for _, e := range tableEvents() {
 			t.Run(state.String()+" "+e.name, func(t *testing.T) {
 				want := state.String()
 				if key, listed := table.row(state, e); listed {
 					want = table[key]
-					played[key] = want
+					tested[key] = want
 				}
 				s := sessionIn(state, e)
 				if s.Handle(e.event); s.State().String() != want {
-					t.Errorf("leads to %s, documented is %s", s.State(), want)
+					t.Errorf("next state is %s, documented is %s", s.State(), want)
 				}
 			})
 		}
 	}
-	if !maps.Equal(played, table) {
-		t.Errorf("played %v of %v", played, table)
+	if !maps.Equal(tested, table) {
+		t.Errorf("tested the rows %v of %v", tested, table)
 	}
 }
 
-func TestIllegalTransitionIsReportedAndNotMade(t *testing.T) {
+func TestIllegalTransitionIsLoggedAndNotMade(t *testing.T) {
 	table := readTransitionTable(t)
 	for from := Idle; from <= Established; from++ {
 		for to := Idle; to <= Established; to++ {
@@ -157,13 +157,14 @@
 	var illegal *statemachine.TransitionError
 	want := statemachine.TransitionError{Subject: "BGP session", From: from.String(), To: to.String()}
 	testutil.Expect(t, errors.As(err, &illegal) && *illegal == want && next == from,
-		"from %s to %s: %v, which is illegal", from, to, err)
-	testutil.Expect(t, s.State() == from && len(s.actions.take()) == 1, "from %s to %s: made, or not logged", from, to)
+		"from %s to %s: got %v for an illegal transition", from, to, err)
+	testutil.Expect(t, s.State() == from && len(s.actions.take()) == 1,
+		"from %s to %s: the transition was made or not logged", from, to)
 }
 
-// applyTransition takes a session from a state to another, and applies the same to the state alone.
+// applyTransition applies a transition to a session, and to a state alone.
 func applyTransition(from, to State) (s *Session, next State, err error) {
-	s = New(peer())
+	s = New(peerConfig())
 	s.state = from
 	s.transition(to)
 	next = from
@@ -171,7 +172,7 @@
 	return s, next, err
 }
 
-// The page shows the transitions of the code, which are those of the table.
+// The diagram on the page has the transitions of the code, and the code has those of the table in doc.go.
 func TestDiagramHasTheTransitionsOfTheTable(t *testing.T) {
 	statemachinetest.CheckPage(t, "BGP sessions", map[string]statemachinetest.Shown{
 		"Session": statemachinetest.Begin(successors, Idle),
@@ -181,7 +182,7 @@
 		for to := Idle; to <= Established; to++ {
 			listed := slices.Contains(successors[from], to)
 			if want := table.leadsTo(from, to); from != to && listed != want {
-				t.Errorf("%s to %s is drawn: %t, in the table: %t", from, to, listed, want)
+				t.Errorf("%s to %s is in the code: %t, in the table: %t", from, to, listed, want)
 			}
 		}
 	}
--- a/internal/bgp/speaker/peer.go
+++ b/internal/bgp/speaker/peer.go
@@ -45,9 +45,9 @@
 		p.allowed.Insert(prefix)
 	}
 	p.session = session.New(session.PeerConfig{
-		OwnAS:       s.settings.ASN,
+		LocalAS:     s.settings.ASN,
 		PeerAS:      settings.ASN,
-		ID:          s.settings.RouterID,
+		LocalID:     s.settings.RouterID,
 		HoldTime:    settings.HoldTime,
 		Families:    settings.Families,
 		Passive:     settings.Passive,
