--- a/internal/bgp/wire/aspath.go
+++ b/internal/bgp/wire/aspath.go
@@ -10,10 +10,10 @@
 	minSegmentType   = 1
 	maxSegmentType   = 4
 	maxSegmentLength = 255 // AS numbers
-	asNumberLength   = 4   // bytes, on sessions that agreed on four-octet AS numbers
+	asNumberLength   = 4   // bytes, on sessions with four-octet AS numbers
 )
 
-// decodeASPath appends the AS numbers of all segments, of whatever type.
+// decodeASPath appends the AS numbers of all segments, regardless of their type.
 func (p *PathAttributes) decodeASPath(value []byte) error {
 	for len(value) > 0 {
 		if len(value) < 2 || value[0] < minSegmentType || value[0] > maxSegmentType || value[1] == 0 {
@@ -39,7 +39,7 @@
 	return appendAttribute(b, flagTransitive, attributeASPath, value)
 }
 
-// decodeUint32s decodes numbers of four bytes each; b holds whole ones only.
+// decodeUint32s decodes numbers of four bytes each. The length of b must be a multiple of four.
 func decodeUint32s(b []byte) []uint32 {
 	numbers := make([]uint32, 0, len(b)/4)
 	for ; len(b) > 0; b = b[4:] {
--- a/internal/bgp/wire/attribute.go
+++ b/internal/bgp/wire/attribute.go
@@ -25,7 +25,7 @@
 	attributeMPUnreach   attributeCode = 15
 )
 
-// attribute is a path attribute as it is encoded (RFC 4271, section 4.3).
+// attribute is an encoded path attribute (RFC 4271, section 4.3).
 type attribute struct {
 	flags attributeFlags
 	code  attributeCode
@@ -62,7 +62,7 @@
 	return append(b, value...)
 }
 
-// decodeAttribute decodes one attribute into the update. Its error is errMalformedAttribute, or a *MessageError that
+// decodeAttribute decodes one attribute into the update. The error is errMalformedAttribute, or a *MessageError, which
 // ends the session. Unknown attributes are ignored.
 func (u *Update) decodeAttribute(a attribute) error {
 	if a.wellKnown() && a.flags&(flagOptional|flagTransitive) != flagTransitive {
@@ -89,5 +89,5 @@
 	return nil
 }
 
-// wellKnown reports whether an attribute is well-known and mandatory, which fixes its flags.
+// wellKnown reports whether an attribute is well-known and mandatory. The flags of such an attribute are fixed.
 func (a attribute) wellKnown() bool { return a.code >= attributeOrigin && a.code <= attributeNextHop }
--- a/internal/bgp/wire/capabilities.go
+++ b/internal/bgp/wire/capabilities.go
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// decodeCapability returns false for a value of the wrong length. Unknown capabilities are ignored, as RFC 5492,
-// section 3, asks.
+// decodeCapability decodes one capability into the Open. It returns false for a value of the wrong length. Unknown
+// capabilities are ignored, as RFC 5492, section 3, requires.
 func (o *Open) decodeCapability(code capabilityCode, value []byte) (ok bool) {
 	switch code {
 	case capabilityMultiprotocol:
--- a/internal/bgp/wire/errors.go
+++ b/internal/bgp/wire/errors.go
@@ -22,7 +22,7 @@
 // Subcode is the error subcode of a NOTIFICATION; its meaning depends on the code.
 type Subcode uint8
 
-// SubcodeUnspecific is used with any code where no other subcode fits.
+// SubcodeUnspecific is the subcode for errors of any code that have no subcode of their own.
 const SubcodeUnspecific Subcode = 0
 
 // Subcodes of CodeHeader (RFC 4271, section 6.1).
@@ -64,7 +64,7 @@
 	SubcodeCollisionResolution    Subcode = 7
 )
 
-// MessageError is the error of a message that cannot be decoded. It embeds the NOTIFICATION that answers the message.
+// MessageError is the error for an invalid or unexpected message. It embeds the NOTIFICATION to send to the peer.
 type MessageError struct {
 	Notification
 	Reason string // for operators
@@ -82,6 +82,6 @@
 	}
 }
 
-// errMalformedAttribute is the error of an attribute whose update counts as a withdrawal: the prefixes are clear, so
-// that the session need not end (RFC 7606, section 2).
+// errMalformedAttribute is the error for an attribute whose update is treated as a withdrawal. The prefixes are known,
+// so the session need not end (RFC 7606, section 2).
 var errMalformedAttribute = errors.New("malformed attribute")
--- a/internal/bgp/wire/family.go
+++ b/internal/bgp/wire/family.go
@@ -5,10 +5,10 @@
 	"net/netip"
 )
 
-// Family is an address family identifier (AFI); the subsequent identifier (SAFI) is unicast throughout.
+// Family is an address family identifier (AFI). The subsequent address family identifier (SAFI) is always unicast.
 type Family uint16
 
-// The address families that are exchanged.
+// The supported address families.
 const (
 	IPv4 Family = 1
 	IPv6 Family = 2
--- a/internal/bgp/wire/gracefulrestart.go
+++ b/internal/bgp/wire/gracefulrestart.go
@@ -14,8 +14,8 @@
 // GracefulRestart is the graceful restart capability (RFC 4724).
 type GracefulRestart struct {
 	Restarted           bool            // the sender has just restarted
-	Time                uint16          // seconds for which its routes may be kept; at most 4095
-	ForwardingPreserved map[Family]bool // for each family that takes part
+	Time                uint16          // seconds for which the routes of the sender may be kept; at most 4095
+	ForwardingPreserved map[Family]bool // for each family in the capability
 }
 
 func (r *GracefulRestart) encode() []byte {
@@ -25,8 +25,8 @@
 	}
 	b := binary.BigEndian.AppendUint16(nil, fields)
 	for _, f := range []Family{IPv4, IPv6} {
-		preserved, takesPart := r.ForwardingPreserved[f]
-		if !takesPart {
+		preserved, included := r.ForwardingPreserved[f]
+		if !included {
 			continue
 		}
 		flags := byte(0)
@@ -38,8 +38,8 @@
 	return b
 }
 
-// decodeGracefulRestart returns false for a value of the wrong length. It omits unsupported families, as they could
-// not be encoded again.
+// decodeGracefulRestart returns false for a value of the wrong length. It omits unsupported families, which could not
+// be encoded again.
 func decodeGracefulRestart(value []byte) (*GracefulRestart, bool) {
 	if len(value) < 2 || (len(value)-2)%4 != 0 {
 		return nil, false
--- a/internal/bgp/wire/message.go
+++ b/internal/bgp/wire/message.go
@@ -1,10 +1,10 @@
-// Package wire encodes and decodes BGP-4 messages, as far as a speaker needs that announces service addresses: RFC
-// 4271 with capabilities (5492), four-octet AS numbers (6793), IPv4 and IPv6 unicast (4760), route refresh (2918),
-// graceful restart (4724), communities (1997), revised error handling (7606) and shutdown messages (8203). It never
-// reads past a message and keeps no reference to its input.
+// Package wire encodes and decodes the BGP-4 messages of a speaker that announces service addresses. It covers RFC 4271
+// with capabilities (RFC 5492), four-octet AS numbers (RFC 6793), IPv4 and IPv6 unicast (RFC 4760), route refresh (RFC
+// 2918), graceful restart (RFC 4724), communities (RFC 1997), revised error handling (RFC 7606) and shutdown messages
+// (RFC 8203). It never reads past a message and keeps no reference to its input.
 //
-// Each message and each path attribute has a file of its own. A message that cannot be decoded yields a MessageError,
-// which holds the NOTIFICATION that answers it.
+// Each message and each path attribute has its own file. The error for a message that cannot be decoded is a
+// MessageError, which holds the NOTIFICATION to send.
 package wire
 
 import (
@@ -20,7 +20,7 @@
 	headerLength = 19
 )
 
-// MaxMessageLength is the limit of a message with its header, in bytes.
+// MaxMessageLength is the maximum length of a message in bytes, including the header.
 const MaxMessageLength = 4096
 
 type messageType byte
@@ -33,7 +33,7 @@
 	typeRouteRefresh
 )
 
-// lengthBounds are the lengths, header included, that a message of each type may have.
+// lengthBounds are the minimum and maximum lengths of the messages of each type, including the header.
 var lengthBounds = map[messageType]struct{ min, max int }{
 	typeOpen:         {29, MaxMessageLength},
 	typeUpdate:       {23, MaxMessageLength},
@@ -45,12 +45,12 @@
 // Message is one of *Open, *Update, *Notification, *Keepalive and *RouteRefresh.
 type Message interface {
 	messageType() messageType
-	// appendBody appends what follows the header.
+	// appendBody appends the message without its header to b.
 	appendBody(b []byte) []byte
 }
 
-// MessageLength returns the length of the message at the start of p, header included, or 0 if p holds less than a
-// header. Its error is a *MessageError.
+// MessageLength returns the length of the message at the start of p, including the header, or 0 if p is shorter than a
+// header. The error is a *MessageError.
 func MessageLength(p []byte) (int, error) {
 	for i := range min(len(p), markerLength) {
 		if p[i] != 0xFF {
@@ -63,7 +63,7 @@
 	length, kind := int(binary.BigEndian.Uint16(p[lengthOffset:])), messageType(p[typeOffset])
 	bounds, known := lengthBounds[kind]
 	if !known {
-		return 0, unknownType(p)
+		return 0, newUnknownTypeError(p)
 	}
 	if length < bounds.min || length > bounds.max {
 		const reason = "length %d of a message of type %d"
@@ -72,12 +72,12 @@
 	return length, nil
 }
 
-func unknownType(p []byte) error {
+func newUnknownTypeError(p []byte) error {
 	field := p[typeOffset:headerLength]
 	return newMessageError(CodeHeader, SubcodeBadMessageType, field, "unknown message type %d", field[0])
 }
 
-// Decode decodes p, which holds exactly one message. Its error is a *MessageError.
+// Decode decodes p, which must hold exactly one message. The error is a *MessageError.
 func Decode(p []byte) (Message, error) {
 	length, err := MessageLength(p)
 	if err != nil {
@@ -98,13 +98,13 @@
 		return &Keepalive{}, nil
 	case typeRouteRefresh:
 		return decodeRouteRefresh(body), nil
-	default: // MessageLength knows no other type
-		return nil, unknownType(p)
+	default: // MessageLength rejects other types
+		return nil, newUnknownTypeError(p)
 	}
 }
 
-// Append appends the encoded message to b. It returns b unchanged and an error if the message exceeds
-// MaxMessageLength; Pack makes updates that do not.
+// Append appends the encoded message to b. If the message exceeds MaxMessageLength, Append returns b unchanged and an
+// error. Updates returned by Pack never exceed it.
 func Append(b []byte, m Message) ([]byte, error) {
 	start := len(b)
 	for range markerLength {
@@ -114,7 +114,7 @@
 	b = m.appendBody(b)
 	length := len(b) - start
 	if length > MaxMessageLength {
-		return b[:start], fmt.Errorf("a message of %d bytes, %d are allowed", length, MaxMessageLength)
+		return b[:start], fmt.Errorf("BGP message of %d bytes exceeds the limit of %d bytes", length, MaxMessageLength)
 	}
 	binary.BigEndian.PutUint16(b[start+lengthOffset:], uint16(length))
 	return b, nil
--- a/internal/bgp/wire/mpreach.go
+++ b/internal/bgp/wire/mpreach.go
@@ -4,20 +4,20 @@
 	"net/netip"
 )
 
-// MP_REACH_NLRI (RFC 4760, section 3) is AFI, SAFI, next hop with its length, a reserved byte, and prefixes.
+// MP_REACH_NLRI (RFC 4760, section 3) holds the AFI, the SAFI, the length of the next hop, the next hop, a reserved
+// byte, and the prefixes.
 const (
-	mpReachNextHopLength = 3 // offset of the next hop's length
-	mpReachNextHop       = 4 // offset of the next hop
+	mpReachNextHopLengthOffset = 3
+	mpReachNextHopOffset       = 4
 )
 
-// decodeMPReach decodes announced prefixes with their next hop. Those of families that were never agreed on are
-// ignored.
+// decodeMPReach decodes announced prefixes with their next hop. Prefixes of unsupported families are ignored.
 func (u *Update) decodeMPReach(value []byte) error {
-	if len(value) <= mpReachNextHop || len(value) <= mpReachNextHop+int(value[mpReachNextHopLength]) {
+	if len(value) <= mpReachNextHopOffset || len(value) <= mpReachNextHopOffset+int(value[mpReachNextHopLengthOffset]) {
 		return mpReachError("reachable prefixes are malformed")
 	}
-	reserved := mpReachNextHop + int(value[mpReachNextHopLength])
-	family, nextHop := decodeFamily(value), value[mpReachNextHop:reserved]
+	reserved := mpReachNextHopOffset + int(value[mpReachNextHopLengthOffset])
+	family, nextHop := decodeFamily(value), value[mpReachNextHopOffset:reserved]
 	if value[2] != safiUnicast || !family.supported() {
 		return nil
 	}
--- a/internal/bgp/wire/nexthop.go
+++ b/internal/bgp/wire/nexthop.go
@@ -4,7 +4,7 @@
 	"net/netip"
 )
 
-// decodeNextHop decodes the next hop of IPv4 prefixes; that of others is part of MP_REACH_NLRI.
+// decodeNextHop decodes the next hop of IPv4 prefixes. The next hop of IPv6 prefixes is part of MP_REACH_NLRI.
 func (p *PathAttributes) decodeNextHop(value []byte) error {
 	if len(value) != 4 {
 		return errMalformedAttribute
--- a/internal/bgp/wire/notification.go
+++ b/internal/bgp/wire/notification.go
@@ -4,17 +4,17 @@
 	"unicode/utf8"
 )
 
-// maxShutdownText is the limit of a shutdown message's text, in bytes (RFC 8203, section 2).
+// maxShutdownText is the maximum length of the text of a shutdown message, in bytes (RFC 8203, section 2).
 const maxShutdownText = 128
 
-// Notification ends a session. It says why.
+// Notification ends a session and gives the reason.
 type Notification struct {
 	Code    Code
 	Subcode Subcode
 	Data    []byte
 }
 
-// NewShutdown returns a Cease for an administrative shutdown, with a text that is cut to 128 bytes of valid UTF-8.
+// NewShutdown returns a Cease for an administrative shutdown. The text is cut to at most 128 bytes of valid UTF-8.
 func NewShutdown(text string) *Notification {
 	for len(text) > maxShutdownText || !utf8.ValidString(text) {
 		text = text[:len(text)-1]
@@ -26,7 +26,7 @@
 	}
 }
 
-// ShutdownText returns the text of an administrative shutdown or reset (RFC 8203), or "" if there is none or it is
+// ShutdownText returns the text of an administrative shutdown or reset (RFC 8203), or "" if the text is missing or
 // malformed.
 func (n *Notification) ShutdownText() string {
 	administrative := n.Subcode == SubcodeAdministrativeShutdown || n.Subcode == SubcodeAdministrativeReset
--- a/internal/bgp/wire/open.go
+++ b/internal/bgp/wire/open.go
@@ -6,23 +6,23 @@
 
 const (
 	version = 4
-	// asTrans stands in the two-octet field for an AS number that needs four octets (RFC 6793).
+	// asTrans replaces an AS number of four octets in the two-octet field (AS_TRANS in RFC 6793).
 	asTrans = 23456
 	// openFixedLength is the length of an Open's body before its optional parameters.
 	openFixedLength = 10
-	// parameterCapabilities is the type of the only optional parameter in use (RFC 5492).
+	// parameterCapabilities is the type of the only supported optional parameter (RFC 5492).
 	parameterCapabilities = 2
 )
 
-// Open is the first message on a connection.
+// Open is the first message that each side sends on a connection.
 type Open struct {
 	AS          uint32
 	HoldTime    uint16   // seconds
 	ID          [4]byte  // the BGP identifier
-	Families    []Family // by capability; none means IPv4
+	Families    []Family // from the multiprotocol capability; empty: IPv4 only
 	FourOctetAS bool
 	Refresh     bool
-	Restart     *GracefulRestart // nil: no such capability
+	Restart     *GracefulRestart // nil: capability not sent
 }
 
 func (*Open) messageType() messageType { return typeOpen }
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// nextTLV splits off a value with its type and length, of one byte each. It returns false if b is too short.
+// nextTLV splits off a value preceded by its type and length of one byte each. It returns false if b is too short.
 func nextTLV(b []byte) (kind byte, value, rest []byte, ok bool) {
 	if len(b) < 2 || len(b) < 2+int(b[1]) {
 		return 0, nil, nil, false
--- a/internal/bgp/wire/pack.go
+++ b/internal/bgp/wire/pack.go
@@ -5,11 +5,12 @@
 	"slices"
 )
 
-// attributeGrowth is room for what the lengths of attributes may grow by beyond those of a single prefix.
-const attributeGrowth = 8
+// attributeLengthReserve is the number of bytes that each update reserves for longer length fields: an attribute
+// of more than 255 bytes has a two-byte length.
+const attributeLengthReserve = 8
 
-// Pack distributes withdrawn prefixes, and announced ones of one path, over as few updates as hold them, each family
-// apart and none longer than MaxMessageLength.
+// Pack distributes withdrawn prefixes, and announced prefixes with the same path, over as few updates as possible. Each
+// update holds prefixes of one family and does not exceed MaxMessageLength.
 func Pack(withdrawn, announced []netip.Prefix, path PathAttributes) []*Update {
 	withdraw := func(prefixes []netip.Prefix) *Update { return &Update{Withdrawn: prefixes} }
 	announce := func(prefixes []netip.Prefix) *Update { return &Update{Announced: prefixes, Path: path} }
@@ -23,12 +24,12 @@
 	)
 }
 
-// packFamily sorts prefixes of one family in place and distributes them over updates that newUpdate makes.
+// packFamily sorts prefixes of one family in place and distributes them over updates that newUpdate returns.
 func packFamily(prefixes []netip.Prefix, newUpdate func([]netip.Prefix) *Update) (updates []*Update) {
 	slices.SortFunc(prefixes, netip.Prefix.Compare)
 	for len(prefixes) > 0 {
-		single := headerLength + len(newUpdate(prefixes[:1]).appendBody(nil))
-		room, n := MaxMessageLength-attributeGrowth-single, 1
+		singleLength := headerLength + len(newUpdate(prefixes[:1]).appendBody(nil))
+		room, n := MaxMessageLength-attributeLengthReserve-singleLength, 1
 		for n < len(prefixes) && room >= encodedPrefixLength(prefixes[n]) {
 			room -= encodedPrefixLength(prefixes[n])
 			n++
--- a/internal/bgp/wire/prefix.go
+++ b/internal/bgp/wire/prefix.go
@@ -4,12 +4,12 @@
 	"net/netip"
 )
 
-// decodePrefixes decodes prefixes up to the end of b, each as its length in bits and as many bytes as hold them. It
-// returns false if one is truncated or longer than an address.
+// decodePrefixes decodes prefixes up to the end of b. Each consists of its length in bits and as many bytes as these
+// bits need. It returns false if a prefix is truncated or longer than an address.
 func decodePrefixes(b []byte, f Family) (prefixes []netip.Prefix, ok bool) {
 	for len(b) > 0 {
 		bits := int(b[0])
-		end := 1 + bytesOf(bits)
+		end := 1 + bytesForBits(bits)
 		if bits > f.addressBits() || len(b) < end {
 			return nil, false
 		}
@@ -19,7 +19,7 @@
 	return prefixes, true
 }
 
-// decodeAddress completes the leading bytes of an address with zeros.
+// decodeAddress returns the address with the given leading bytes, padded with zeros.
 func decodeAddress(leading []byte, f Family) netip.Addr {
 	if f == IPv4 {
 		var address [4]byte
@@ -38,13 +38,13 @@
 	return 32
 }
 
-func bytesOf(bits int) int { return (bits + 7) / 8 }
+func bytesForBits(bits int) int { return (bits + 7) / 8 }
 
-func encodedPrefixLength(p netip.Prefix) int { return 1 + bytesOf(p.Bits()) }
+func encodedPrefixLength(p netip.Prefix) int { return 1 + bytesForBits(p.Bits()) }
 
 func appendPrefix(b []byte, p netip.Prefix) []byte {
 	b = append(b, byte(p.Bits()))
-	return append(b, p.Addr().AsSlice()[:bytesOf(p.Bits())]...)
+	return append(b, p.Addr().AsSlice()[:bytesForBits(p.Bits())]...)
 }
 
 func appendPrefixes(b []byte, prefixes []netip.Prefix) []byte {
--- a/internal/bgp/wire/routerefresh.go
+++ b/internal/bgp/wire/routerefresh.go
@@ -1,6 +1,6 @@
 package wire
 
-// RouteRefresh asks for all routes of a family again (RFC 2918).
+// RouteRefresh requests that all routes of a family be sent again (RFC 2918).
 type RouteRefresh struct{ Family Family }
 
 func (*RouteRefresh) messageType() messageType { return typeRouteRefresh }
--- a/internal/bgp/wire/update.go
+++ b/internal/bgp/wire/update.go
@@ -7,19 +7,19 @@
 	"net/netip"
 )
 
-// Update withdraws prefixes and announces others, which share one set of path attributes.
+// Update withdraws prefixes and announces others. All announced prefixes share one set of path attributes.
 type Update struct {
 	Withdrawn []netip.Prefix
 	Announced []netip.Prefix
 	Path      PathAttributes
-	// TreatedAsWithdraw says what is wrong with the path attributes, or is empty. The announced prefixes of such an
-	// update are among the withdrawn ones (RFC 7606).
+	// TreatedAsWithdraw is the error in the path attributes, or empty. The prefixes that an update with such an error
+	// announced are among the withdrawn ones (RFC 7606).
 	TreatedAsWithdraw string
-	// endOfRIB is IPv6 for an update that holds nothing but an empty MP_UNREACH_NLRI of that family.
+	// endOfRIB is IPv6 if the update holds only an empty MP_UNREACH_NLRI of that family.
 	endOfRIB Family
 }
 
-// PathAttributes are the path attributes in use.
+// PathAttributes holds the supported path attributes.
 type PathAttributes struct {
 	Origin       uint8
 	ASPath       []uint32
@@ -31,7 +31,7 @@
 	Communities  []uint32
 }
 
-// EndOfRIB returns the update that marks the end of a family's routes (RFC 4724, section 2).
+// EndOfRIB returns the End-of-RIB marker of a family (RFC 4724, section 2).
 func EndOfRIB(f Family) *Update {
 	if f == IPv4 {
 		return &Update{}
@@ -39,7 +39,7 @@
 	return &Update{endOfRIB: f}
 }
 
-// EndOfRIBFamily returns the family whose end of routes an update marks, and whether it marks one.
+// EndOfRIBFamily returns the family of an End-of-RIB marker, and whether the update is such a marker.
 func (u *Update) EndOfRIBFamily() (Family, bool) {
 	if len(u.Withdrawn)+len(u.Announced) > 0 || u.TreatedAsWithdraw != "" {
 		return 0, false
@@ -71,7 +71,7 @@
 	return appendPrefixes(b, announced4)
 }
 
-// append appends the attributes of announced prefixes; IPv6 ones are part of the attributes.
+// append appends the path attributes. Announced IPv6 prefixes are part of them; IPv4 prefixes are not.
 func (p *PathAttributes) append(b []byte, announced4, announced6 []netip.Prefix) []byte {
 	b = appendOrigin(b, p.Origin)
 	b = appendASPath(b, p.ASPath)
@@ -93,8 +93,8 @@
 	return b
 }
 
-// decodeUpdate decodes an Update. By RFC 7606 the session ends only if it is unclear which prefixes are meant; other
-// faults of attributes turn the announcement into a withdrawal.
+// decodeUpdate decodes an Update. It returns an error, which ends the session, only if the prefixes cannot be
+// determined. Other errors in attributes turn the announcement into a withdrawal (RFC 7606).
 func decodeUpdate(body []byte) (Message, error) {
 	u := &Update{}
 	withdrawn, rest, ok := splitWithLength(body)
@@ -123,8 +123,8 @@
 	return u, nil
 }
 
-// decodeAttributes decodes path attributes and returns which are present. The first occurrence of a repeated attribute
-// counts.
+// decodeAttributes decodes path attributes and returns which are present. Of a repeated attribute it uses the first
+// occurrence.
 func (u *Update) decodeAttributes(b []byte) (present map[attributeCode]bool, err error) {
 	present = map[attributeCode]bool{}
 	for len(b) > 0 {
@@ -168,24 +168,24 @@
 		}
 	}
 	if !u.Path.NextHop.IsValid() {
-		u.treatAsWithdraw("there is no next hop")
+		u.treatAsWithdraw("the next hop is missing")
 	}
 }
 
-// treatAsWithdraw keeps the first reason.
+// treatAsWithdraw marks the update to be treated as a withdrawal. The first reason is kept.
 func (u *Update) treatAsWithdraw(reason string) {
 	if u.TreatedAsWithdraw == "" {
 		u.TreatedAsWithdraw = reason
 	}
 }
 
-// appendWithLength appends a field after its length in two bytes.
+// appendWithLength appends a field preceded by its two-byte length.
 func appendWithLength(b, field []byte) []byte {
 	return append(binary.BigEndian.AppendUint16(b, uint16(len(field))), field...)
 }
 
-// splitWithLength splits off a field after its length in two bytes, which b has. It returns false if the field
-// exceeds b.
+// splitWithLength splits off a field preceded by its two-byte length. b must hold at least the length. It returns false
+// if the field exceeds b.
 func splitWithLength(b []byte) (field, rest []byte, ok bool) {
 	length, b := int(binary.BigEndian.Uint16(b)), b[2:]
 	if length > len(b) {
