--- a/internal/bgp/wire/golden_test.go
+++ b/internal/bgp/wire/golden_test.go
@@ -17,12 +17,12 @@
 )
 
 type goldenMessage struct {
-	name    string
-	holds   string // what it holds, in words
-	message Message
+	name        string
+	description string // of the content, in words
+	message     Message
 }
 
-// goldenMessages are the messages whose bytes testdata/messages.txt holds, every field set somewhere.
+// goldenMessages returns the messages recorded in testdata/messages.txt. Each field is set in at least one of them.
 func goldenMessages() []goldenMessage {
 	return append(append(goldenOpens(), goldenUpdates()...),
 		goldenMessage{
@@ -59,24 +59,26 @@
 }
 
 func goldenUpdates() []goldenMessage {
-	every := PathAttributes{
+	allAttributes := PathAttributes{
 		Origin: 1, ASPath: []uint32{65001, 4200000001}, NextHop: netip.MustParseAddr("192.0.2.254"),
 		MED: 70, HasMED: true, LocalPref: 100, HasLocalPref: true, Communities: []uint32{0xFFFF0000, 65000<<16 | 1},
 	}
-	six := PathAttributes{Origin: 2, ASPath: []uint32{65001}, NextHop: netip.MustParseAddr("2001:db8::1"), HasMED: true}
-	one := func(s string) []netip.Prefix { return []netip.Prefix{prefix(s)} }
+	ipv6Attributes := PathAttributes{
+		Origin: 2, ASPath: []uint32{65001}, NextHop: netip.MustParseAddr("2001:db8::1"), HasMED: true,
+	}
+	single := func(s string) []netip.Prefix { return []netip.Prefix{prefix(s)} }
 	return []goldenMessage{
 		{
 			"update-ipv4",
 			"Update: withdraws 198.51.100.128/25, announces 192.0.2.1/32 with origin EGP, AS path 65001 4200000001, " +
 				"next hop 192.0.2.254, MED 70, local preference 100, communities 65535:0 and 65000:1",
-			&Update{Withdrawn: one("198.51.100.128/25"), Announced: one("192.0.2.1/32"), Path: every},
+			&Update{Withdrawn: single("198.51.100.128/25"), Announced: single("192.0.2.1/32"), Path: allAttributes},
 		},
 		{
 			"update-ipv6",
 			"Update: withdraws 2001:db8:1::/48, announces 2001:db8:2::7/128 with origin incomplete, AS path 65001, " +
 				"next hop 2001:db8::1, MED 0",
-			&Update{Withdrawn: one("2001:db8:1::/48"), Announced: one("2001:db8:2::7/128"), Path: six},
+			&Update{Withdrawn: single("2001:db8:1::/48"), Announced: single("2001:db8:2::7/128"), Path: ipv6Attributes},
 		},
 		{"end-of-routes-ipv4", "Update without anything: the end of IPv4 routes", EndOfRIB(IPv4)},
 		{"end-of-routes-ipv6", "Update with an empty MP_UNREACH: the end of IPv6 routes", EndOfRIB(IPv6)},
@@ -85,7 +87,7 @@
 
 const messagesFile = "testdata/messages.txt"
 
-// readGoldenMessages returns the recorded bytes by the names of the messages.
+// readGoldenMessages returns the recorded bytes by the name of the message.
 func readGoldenMessages(t *testing.T) map[string][]byte {
 	t.Helper()
 	text := testutil.ReadFile(t, messagesFile)
@@ -100,19 +102,19 @@
 	return recorded
 }
 
-// goldenMessagesText is the text of messagesFile.
+// goldenMessagesText returns the expected content of messagesFile.
 func goldenMessagesText(t *testing.T) string {
 	t.Helper()
 	var text strings.Builder
 	text.WriteString("# BGP messages as they go on the wire: name, bytes in hex. ")
 	text.WriteString("The comment before each says what it holds.\n")
 	for _, g := range goldenMessages() {
-		fmt.Fprintf(&text, "# %s\n%s %x\n", g.holds, g.name, encode(t, g.message))
+		fmt.Fprintf(&text, "# %s\n%s %x\n", g.description, g.name, encode(t, g.message))
 	}
 	return text.String()
 }
 
-// TestMessagesMatchGoldenBytes reads each recorded message, compares every field, and writes it again.
+// TestMessagesMatchGoldenBytes decodes each recorded message, compares all fields, and encodes it again.
 func TestMessagesMatchGoldenBytes(t *testing.T) {
 	golden.CheckText(t, messagesFile, goldenMessagesText(t))
 	want := readGoldenMessages(t)
@@ -130,42 +132,42 @@
 	}
 }
 
-// TestDecodingMatchesGoldenDigests decodes seeded messages, whole and damaged, and compares a digest of what each
-// holds, or of the notification that answers it, with that in testdata. The texts of faults are left out.
+// TestDecodingMatchesGoldenDigests decodes intact and corrupted messages. It compares a digest of the decoded messages,
+// or of the notifications in the errors, with the one in testdata. The digest does not cover the reasons of errors.
 func TestDecodingMatchesGoldenDigests(t *testing.T) {
 	var got strings.Builder
 	inputs := goldenMessages()
 	for seed := range len(inputs) + 1 {
 		random := rand.New(rand.NewPCG(uint64(seed), 37))
-		name, whole := "update-two-next-hops", updateWithTwoNextHops()
+		name, intact := "update-two-next-hops", updateWithTwoNextHops()
 		if seed < len(inputs) {
 			name = inputs[seed].name
 			var err error
-			whole, err = Append(nil, inputs[seed].message)
+			intact, err = Append(nil, inputs[seed].message)
 			testutil.NoError(t, err)
 		}
 		sum, decoded, faults := golden.NewDigest(), 0, 0
 		for range 4000 {
-			m, err := Decode(damaged(random, whole))
+			m, err := Decode(corrupt(random, intact))
 			if err == nil {
 				decoded++
-				foldMessage(t, sum, m)
+				digestMessage(t, sum, m)
 				continue
 			}
 			var f *MessageError
-			testutil.Require(t, errors.As(err, &f), "%v is no fault", err)
+			testutil.Require(t, errors.As(err, &f), "%v is not a MessageError", err)
 			faults++
 			sum.Numbers(99, uint64(f.Code), uint64(f.Subcode), uint64(len(f.Data)))
 			sum.Bytes(f.Data)
 		}
 		fmt.Fprintf(&got, "%s: %d decoded, %d faults, sha256 %s\n", name, decoded, faults, sum.Sum())
 	}
-	got.WriteString(packedDigest(t))
+	got.WriteString(packDigest(t))
 	golden.CheckText(t, "testdata/decoding.txt", got.String())
 }
 
-// updateWithTwoNextHops announces 2001:db8:2::/48 with a global and a link-local next hop, as some routers do (RFC
-// 2545).
+// updateWithTwoNextHops returns an update that announces 2001:db8:2::/48 with a global and a link-local next hop, as
+// some routers do (RFC 2545).
 func updateWithTwoNextHops() []byte {
 	global, local := netip.MustParseAddr("2001:db8::1").As16(), netip.MustParseAddr("fe80::1").As16()
 	reach := append([]byte{0, byte(IPv6), 1, 32}, append(global[:], local[:]...)...)
@@ -176,9 +178,10 @@
 	return append(p, attributes...)
 }
 
-// damaged changes up to three bytes behind the marker, most often with the length kept right.
-func damaged(random *rand.Rand, whole []byte) []byte {
-	p := append([]byte(nil), whole...)
+// corrupt returns a copy of a message that may be truncated or extended, with up to three changed bytes. In most cases
+// the length in the header is correct.
+func corrupt(random *rand.Rand, intact []byte) []byte {
+	p := append([]byte(nil), intact...)
 	if random.IntN(6) == 0 {
 		p = p[:19+random.IntN(len(p)-18)]
 	} else if random.IntN(6) == 0 {
@@ -199,8 +202,8 @@
 	return p
 }
 
-// foldMessage folds a message as it would be written again, and what is lost by that.
-func foldMessage(t *testing.T, sum *golden.Digest, m Message) {
+// digestMessage adds the encoding of a message to the digest, and the information that the encoding loses.
+func digestMessage(t *testing.T, sum *golden.Digest, m Message) {
 	t.Helper()
 	sum.Text(string(encode(t, m)))
 	switch m := m.(type) {
@@ -218,13 +221,13 @@
 	}
 }
 
-// packedDigest folds how routes are shared out over messages.
-func packedDigest(t *testing.T) string {
+// packDigest returns a line with the digest of the messages over which Pack distributes prefixes.
+func packDigest(t *testing.T) string {
 	t.Helper()
 	random, sum := rand.New(rand.NewPCG(1, 41)), golden.NewDigest()
 	path := PathAttributes{ASPath: []uint32{65001}, NextHop: path.NextHop, LocalPref: 100, HasLocalPref: true}
 	for size := 1; size <= 20_000; size *= 3 {
-		routes := func() (all []netip.Prefix) {
+		prefixes := func() (all []netip.Prefix) {
 			for range random.IntN(size) {
 				if random.IntN(3) == 0 {
 					a := [16]byte{0x20, 1, 0xd, 0xb8, 14: byte(random.IntN(256)), 15: byte(random.IntN(256))}
@@ -236,9 +239,9 @@
 			}
 			return all
 		}
-		for _, u := range Pack(routes(), routes(), path) {
+		for _, u := range Pack(prefixes(), prefixes(), path) {
 			sum.Count(1)
-			foldMessage(t, sum, u)
+			digestMessage(t, sum, u)
 		}
 	}
 	return fmt.Sprintf("packed: %s\n", sum.Summary("messages"))
--- a/internal/bgp/wire/message_test.go
+++ b/internal/bgp/wire/message_test.go
@@ -50,7 +50,7 @@
 	return p
 }
 
-// What is encoded is decoded again with the same values.
+// Decoding an encoded message returns the same message.
 func TestEncodedMessageIsDecodedUnchanged(t *testing.T) {
 	for i, m := range samples() {
 		got, err := Decode(encode(t, m))
@@ -58,7 +58,7 @@
 	}
 }
 
-// withParameters adds optional parameters to the bytes of an Open that has none.
+// withParameters returns a function that adds optional parameters to an encoded Open without any.
 func withParameters(parameters ...byte) func(p []byte) []byte {
 	return func(p []byte) []byte {
 		added := byte(len(parameters))
@@ -67,8 +67,8 @@
 	}
 }
 
-// answerTo describes what a decoded message leads to: the code and subcode of a notification, "withdrawn", or "ok".
-func answerTo(m Message, err error) string {
+// responseTo describes the response to a decoded message: the code and subcode of a notification, "withdrawn", or "ok".
+func responseTo(m Message, err error) string {
 	if fault, ok := errors.AsType[*MessageError](err); ok {
 		return fmt.Sprintf("%d/%d", fault.Code, fault.Subcode)
 	}
@@ -79,17 +79,17 @@
 	return "ok"
 }
 
-// Each malformed message is answered by the notification that its RFC asks for, or treated as a withdrawal.
-func TestMalformedMessageIsAnsweredAsItsRFCAsks(t *testing.T) {
+// A malformed message is answered by the notification that its RFC requires, or treated as a withdrawal.
+func TestMalformedMessageIsAnsweredAsRFCRequires(t *testing.T) {
 	change := func(m Message, f func(p []byte) []byte) []byte { return f(encode(t, m)) }
-	update := func(attrs ...byte) []byte { // of attributes and the prefix 192.0.2.0/24
+	update := func(attrs ...byte) []byte { // with these attributes and the prefix 192.0.2.0/24
 		p := encode(t, &Keepalive{})[:typeOffset]
 		p = append(p, byte(typeUpdate), 0, 0, byte(len(attrs)>>8), byte(len(attrs)))
 		p = append(append(p, attrs...), 24, 192, 0, 2)
 		p[17] = byte(len(p))
 		return p
 	}
-	good := []byte{0x40, 1, 1, 0, 0x40, 2, 0, 0x40, 3, 4, 192, 0, 2, 254}
+	valid := []byte{0x40, 1, 1, 0, 0x40, 2, 0, 0x40, 3, 4, 192, 0, 2, 254}
 	open, withdrawal := samples()[1], &Update{Withdrawn: []netip.Prefix{prefix("192.0.2.1/32")}}
 	for _, tc := range []struct {
 		name string
@@ -107,27 +107,27 @@
 		{"capability is truncated", change(open, withParameters(2, 2, 65, 4)), "2/0"},
 		{"withdrawn beyond the end", change(&Update{}, func(p []byte) []byte { p[20] = 9; return p }), "3/1"},
 		{"prefix too long", change(withdrawal, func(p []byte) []byte { p[21] = 33; return p }), "3/10"},
-		{"good", update(good...), "ok"},
-		{"origin", update(append([]byte{0x40, 1, 1, 9}, good[4:]...)...), "withdrawn"},
-		{"flags", update(append([]byte{0xC0, 1, 1, 0}, good[4:]...)...), "withdrawn"},
-		{"no next hop", update(good[:7]...), "withdrawn"},
-		{"path", update(append([]byte{0x40, 1, 1, 0, 0x40, 2, 2, 2, 0}, good[7:]...)...), "withdrawn"},
-		{"communities", update(append(good, 0xC0, 8, 3, 1, 2, 3)...), "withdrawn"},
-		{"attribute is truncated", update(append(good, 0x80, 4, 9)...), "withdrawn"},
-		{"an attribute is repeated", update(append(good, 0x40, 1, 1, 2)...), "ok"},
-		{"an unknown attribute", update(append(good, 0xC0, 99, 2, 1, 2)...), "ok"},
-		{"reachable prefixes", update(append(good, 0x80, 14, 5, 0, 2, 1, 16, 0)...), "3/9"},
+		{"good", update(valid...), "ok"},
+		{"origin", update(append([]byte{0x40, 1, 1, 9}, valid[4:]...)...), "withdrawn"},
+		{"flags", update(append([]byte{0xC0, 1, 1, 0}, valid[4:]...)...), "withdrawn"},
+		{"no next hop", update(valid[:7]...), "withdrawn"},
+		{"path", update(append([]byte{0x40, 1, 1, 0, 0x40, 2, 2, 2, 0}, valid[7:]...)...), "withdrawn"},
+		{"communities", update(append(valid, 0xC0, 8, 3, 1, 2, 3)...), "withdrawn"},
+		{"attribute is truncated", update(append(valid, 0x80, 4, 9)...), "withdrawn"},
+		{"an attribute is repeated", update(append(valid, 0x40, 1, 1, 2)...), "ok"},
+		{"an unknown attribute", update(append(valid, 0xC0, 99, 2, 1, 2)...), "ok"},
+		{"reachable prefixes", update(append(valid, 0x80, 14, 5, 0, 2, 1, 16, 0)...), "3/9"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			m, err := Decode(tc.in)
-			got := answerTo(m, err)
+			got := responseTo(m, err)
 			testutil.Expect(t, got == tc.want, "got %s (%v, %+v), want %s", got, err, m, tc.want)
 		})
 	}
 }
 
-// A shutdown text is cut to 128 bytes between characters, and read only where it is valid.
-func TestShutdownTextIsValidAndOfLimitedLength(t *testing.T) {
+// A shutdown text is cut to 128 bytes at a character boundary. A malformed text is not returned.
+func TestShutdownTextIsValidUTF8OfLimitedLength(t *testing.T) {
 	testutil.Equal(t, NewShutdown(strings.Repeat("ö", 100)).ShutdownText(), strings.Repeat("ö", 64), "the text")
 	for _, data := range [][]byte{nil, {5, 'a'}, {200}, {1, 0xFF}} {
 		got := (&Notification{CodeCease, SubcodeAdministrativeShutdown, data}).ShutdownText()
@@ -135,7 +135,7 @@
 	}
 }
 
-// A hundred thousand prefixes of one path are distributed without loss over few messages, none too long.
+// Pack distributes 100,000 prefixes with the same path over few messages. No prefix is lost and no message is too long.
 func TestPackedUpdatesHoldEveryPrefixInFewMessages(t *testing.T) {
 	var all []netip.Prefix
 	for i := range 100_000 {
@@ -164,7 +164,7 @@
 	t.Logf("%d prefixes: %d messages, %d bytes", len(all), len(updates), bytes)
 }
 
-// Decoding ends with a message or a MessageError for any input; what it decodes it can encode and decode again.
+// Decode returns a message or a MessageError for any input. A decoded message can be encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	for _, m := range samples() {
 		f.Add(encode(f, m))
@@ -173,15 +173,15 @@
 		m, err := Decode(p)
 		if err != nil {
 			var fault *MessageError
-			testutil.Require(t, errors.As(err, &fault) && fault.Code != 0, "no notification for it: %v", err)
+			testutil.Require(t, errors.As(err, &fault) && fault.Code != 0, "no notification for the error: %v", err)
 			return
 		}
 		again, err := Append(nil, m)
 		if err != nil {
-			return // a next hop twice, say, may grow beyond the limit
+			return // the encoding may exceed the limit, for example if it holds two next hops
 		}
 		if _, err := Decode(again); err != nil {
-			t.Fatalf("%+v was read and cannot be read again: %v", m, err)
+			t.Fatalf("%+v was decoded, but its encoding cannot be decoded: %v", m, err)
 		}
 	})
 }
