--- a/internal/bgp/announce/golden_test.go
+++ b/internal/bgp/announce/golden_test.go
@@ -13,8 +13,8 @@
 )
 
 // TestDecisionsMatchGoldenDigests runs seeded sequences of events and compares a digest of all actions with the one in
-// testdata. The digest covers the order of the actions and the time at which each was returned. It changes with any
-// decision, but not with a rename.
+// testdata. The digest covers the order of the actions and the time at which each was returned. A changed decision
+// changes the digest; a renamed identifier does not.
 func TestDecisionsMatchGoldenDigests(t *testing.T) {
 	const sequences, steps = 250, 150
 	var got strings.Builder
--- a/internal/bgp/announce/service.go
+++ b/internal/bgp/announce/service.go
@@ -7,8 +7,8 @@
 	"glenport/scheduler"
 )
 
-// With MEDByHealth, the MED rises by medStep each time the number of serving containers halves below 16. A change by
-// one container among many leaves the MED as it is.
+// With MEDByHealth, the MED rises by medStep each time the number of serving containers halves below 16, so that the
+// start or end of one container among many does not change it.
 const (
 	medStep     = 10
 	maxMEDSteps = 5 // without serving containers; with 16 or more the MED is not raised
--- a/internal/bgp/session/connections.go
+++ b/internal/bgp/session/connections.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// add adds an open connection.
+// add adds an open connection and ends the dial that opened it, if any.
 func (cs *connections) add(opened ConnOpened) {
 	cs.endDial(opened)
 	cs.open[opened.Conn] = &connection{id: opened.Conn, inbound: opened.Inbound}
--- a/internal/bgp/session/golden_test.go
+++ b/internal/bgp/session/golden_test.go
@@ -13,7 +13,8 @@
 )
 
 // TestDecisionsMatchGoldenDigests runs seeded sequences of events and compares a digest of all actions, in order, and
-// of the state after each event with the one in testdata. The digest changes with any decision, but not with a rename.
+// of the state after each event with the one in testdata. A changed decision changes the digest; a renamed identifier
+// does not.
 func TestDecisionsMatchGoldenDigests(t *testing.T) {
 	const sequences, steps = 1000, 100
 	first := PeerConfig{LocalAS: 65001, PeerAS: 65002, LocalID: [4]byte{10, 0, 0, 5}, Families: bothFamilies}
--- a/internal/bgp/speaker/peer.go
+++ b/internal/bgp/speaker/peer.go
@@ -26,7 +26,7 @@
 	up          *session.Up // nil: not established
 	conn        *connection // nil: not established
 	rib         adjRIBOut
-	endOfRIBDue bool             // End-of-RIB has not been sent yet
+	endOfRIBDue bool             // End-of-RIB is still to be sent
 	sendTimer   *eventloop.Timer // runs while the sending of pending changes is deferred; nil: not deferred
 
 	updates, bytes, flaps int
--- a/internal/bgp/speaker/status.go
+++ b/internal/bgp/speaker/status.go
@@ -14,7 +14,7 @@
 	Updates       int    // update messages sent
 	Bytes         int    // size of the update messages sent
 	Flaps         int    // number of established sessions that ended
-	LastError     string // why the last established session ended
+	LastError     string // reason for the end of the last established session
 }
 
 // Peers returns the state of all sessions, in the order of the configuration.
