--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -8,40 +8,39 @@
 // closeFlushTimeout bounds how long Close waits for the peer to take pending output.
 const closeFlushTimeout = 2 * Second
 
-// Handler is notified of what happens on a connection, on the loop's goroutine.
+// Handler receives the events of a connection, on the loop's goroutine.
 type Handler interface {
 	// Opened is called once, when the connection is established.
 	Opened(c *Conn)
-	// Read is called with bytes received, in order. They are valid only until it returns.
+	// Read is called with the received bytes, in order. The slice is valid only until Read returns.
 	Read(c *Conn, p []byte)
-	// Closed is called exactly once, and nothing is called after it. The reason is io.EOF where the peer closed its
-	// side, else it wraps one of the errors of this package. Output may still be flushed to a peer that closed its side
-	// only.
+	// Closed is called exactly once, as the last call. The reason is io.EOF if the peer closed its side; otherwise it
+	// wraps one of the errors of this package. A peer that closed only its side may still receive pending output.
 	Closed(c *Conn, reason error)
 }
 
 // Conn is one TCP connection, accepted or dialed.
 //
-// Its state and the transitions stand in the package's doc. It ends by one path: fail closes it, notifies the handler
-// and queues it, and the flush of the same iteration releases its descriptor.
+// The package documentation lists its states and transitions. Every connection ends in the same way: fail closes it,
+// notifies the handler and queues the connection, and the flush of the same iteration releases the descriptor.
 type Conn struct {
 	loop         *Loop
-	fd           int // -1: not connected, or released
+	fd           int // -1: not connected yet, or released
 	handler      Handler
 	state        connState
 	output       output
 	readPaused   bool
-	flushQueued  bool   // it is in the loop's flushQueue
-	connectTimer *Timer // runs while dialing
-	closeTimer   *Timer // runs while half-closed and closing
+	flushQueued  bool   // the connection is in the loop's flushQueue
+	connectTimer *Timer // scheduled while dialing
+	closeTimer   *Timer // scheduled while half-closed or closing
 	bytesRead    int
 }
 
-// Write queues all of p to be written at the end of the iteration, or nothing: it returns ErrOutputFull where the limit
-// of pending output would be exceeded, ErrClosed after Close, Reset or CloseWrite and once the connection has ended. p
-// is copied.
+// Write queues all of p to be written at the end of the iteration, or none of it. It returns ErrOutputFull if p would
+// exceed the limit of pending output, and ErrClosed after Close, Reset, CloseWrite or the end of the connection. It
+// copies p.
 func (c *Conn) Write(p []byte) error {
-	if c.state == connClosed || c.isFinishing() || c.output.ended {
+	if c.state == connClosed || c.isFinishing() || c.output.shutdownAfterFlush {
 		return ErrClosed
 	}
 	if !c.output.add(p) {
@@ -51,13 +50,13 @@
 	return nil
 }
 
-// CloseWrite shuts the write side down after the pending output; the peer may go on sending.
+// CloseWrite shuts down the write side once the pending output is written. The peer may continue to send.
 func (c *Conn) CloseWrite() {
-	c.output.ended = true
+	c.output.shutdownAfterFlush = true
 	c.queueFlush()
 }
 
-// PauseReading leaves input unread until ResumeReading. A peer that hangs up meanwhile is still read to its end.
+// PauseReading stops reading until ResumeReading. If the peer hangs up meanwhile, its input is still read to the end.
 func (c *Conn) PauseReading() {
 	if !c.readPaused {
 		c.readPaused = true
@@ -65,7 +64,7 @@
 	}
 }
 
-// ResumeReading reads input again after PauseReading, also what arrived meanwhile.
+// ResumeReading undoes PauseReading. Input that arrived meanwhile is read too.
 func (c *Conn) ResumeReading() {
 	if c.readPaused {
 		c.readPaused = false
@@ -73,9 +72,9 @@
 	}
 }
 
-// Close ends the connection with ErrClosed once its pending output is written, at the latest after two seconds. Without
-// pending output, and before the connection is established, it ends at once and the handler is notified before Close
-// returns.
+// Close ends the connection with ErrClosed once its pending output is written, or after two seconds. If there is no
+// pending output or the connection is not established yet, the connection ends at once and the handler is notified
+// before Close returns.
 func (c *Conn) Close() {
 	switch c.state {
 	case connDialing:
@@ -84,11 +83,11 @@
 		c.closeAfterFlush(connClosing)
 	case connEnding:
 		c.closeAfterFlush(connHalfClosed)
-	case connHalfClosed, connClosing, connClosed: // it closes already
+	case connHalfClosed, connClosing, connClosed: // already closing
 	}
 }
 
-// Reset ends the connection with ErrClosed and drops its pending output; the peer receives a reset. The handler is
+// Reset ends the connection with ErrClosed, drops its pending output and sends the peer a TCP reset. The handler is
 // notified before Reset returns.
 func (c *Conn) Reset() {
 	if c.fd >= 0 && c.state != connClosed {
@@ -97,22 +96,23 @@
 	c.fail(ErrClosed)
 }
 
-// Peer is the address of the other end, or the zero value where the connection is not established.
+// Peer is the address of the peer, or the zero value if the connection is not established.
 func (c *Conn) Peer() netip.AddrPort { return c.loop.kernel.PeerAddr(c.fd) }
 
-// PendingOutput is the number of bytes accepted by Write and not yet written.
+// PendingOutput is the number of bytes that Write accepted and that are not written yet.
 func (c *Conn) PendingOutput() int { return len(c.output.pending) }
 
 // BytesTransferred is the number of bytes read and written so far.
 func (c *Conn) BytesTransferred() (read, written int) { return c.bytesRead, c.output.written }
 
-// WriteBlocked reports whether the peer has not taken all that was to be written by the last flush.
+// WriteBlocked reports whether the socket did not accept all pending output at the last flush.
 func (c *Conn) WriteBlocked() bool { return c.output.blocked }
 
 // IsOpen reports whether the connection is established and has not ended.
 func (c *Conn) IsOpen() bool { return c.isEstablished() }
 
-// queueFlush has the flush of this iteration write the output, or release a closed connection.
+// queueFlush queues the connection for the flush of this iteration, which writes the output or releases a closed
+// connection.
 func (c *Conn) queueFlush() {
 	if !c.flushQueued {
 		c.flushQueued = true
@@ -120,29 +120,30 @@
 	}
 }
 
-// closeAfterFlush ends an established connection once its output is written or closeFlushTimeout has passed. It is
-// finishing meanwhile, in the state given.
-func (c *Conn) closeAfterFlush(finishing connState) {
+// closeAfterFlush ends an established connection once its output is written or closeFlushTimeout has passed. Until
+// then the connection is in the state pendingClose: half-closed or closing.
+func (c *Conn) closeAfterFlush(pendingClose connState) {
 	if len(c.output.pending) == 0 {
 		c.fail(ErrClosed)
 		return
 	}
-	c.transition(finishing)
+	c.transition(pendingClose)
 	c.closeTimer = c.loop.After(closeFlushTimeout, func() { c.fail(ErrClosed) })
 	c.updateEvents()
 	c.queueFlush()
 }
 
-// endByPeer notifies the handler at once, as the peer sends no more; the peer may still take the pending output.
-func (c *Conn) endByPeer() {
+// handlePeerClose notifies the handler at once, as the peer sends no more input. The peer may still read the pending
+// output.
+func (c *Conn) handlePeerClose() {
 	c.transition(connEnding)
 	c.handler.Closed(c, io.EOF)
-	if c.state == connEnding { // the handler has not closed it
+	if c.state == connEnding { // the handler has not closed the connection
 		c.closeAfterFlush(connHalfClosed)
 	}
 }
 
-// fail ends the connection at once, whatever is pending, and notifies the handler unless the peer's end has.
+// fail ends the connection at once and drops pending output. It notifies the handler unless handlePeerClose has.
 func (c *Conn) fail(reason error) {
 	if c.state == connClosed {
 		return
@@ -167,7 +168,7 @@
 	c.loop.connCount--
 }
 
-// shutdown writes what the peer takes at once, avoids a reset, and ends the connection.
+// shutdown writes as much output as the socket accepts at once, and ends the connection without a TCP reset.
 func (c *Conn) shutdown() {
 	c.flush()
 	c.drainInput()
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -24,12 +24,12 @@
 		testutil.ExpectNoError(t, peer.CloseWrite())
 	}()
 	got, err := io.ReadAll(peer)
-	testutil.Expect(t, err == nil && bytes.Equal(got, sent), "%d of %d bytes came back, %v", len(got), len(sent), err)
+	testutil.Expect(t, err == nil && bytes.Equal(got, sent), "peer got %d of %d bytes, %v", len(got), len(sent), err)
 	<-done
-	closedByEOF(t, handler)
+	expectEOF(t, handler)
 }
 
-// connectionEnds are ways in which a connection ends, with the reason that its handler is to receive.
+// connectionEnds are the ways in which a connection ends, with the reason that its handler must receive.
 var connectionEnds = []struct {
 	name string
 	end  func(t *testing.T, l *Loop, c *Conn, peer *net.TCPConn)
@@ -67,7 +67,7 @@
 	}, io.EOF},
 }
 
-// expectEnd expects a peer to receive a text and an orderly end after it.
+// expectEnd expects the peer to receive a text followed by an orderly close.
 func expectEnd(t *testing.T, peer *net.TCPConn, want string) {
 	t.Helper()
 	if got, err := io.ReadAll(peer); string(got) != want || err != nil {
@@ -84,7 +84,7 @@
 			reason := testutil.Receive(t, handler.closed)
 			testutil.Expect(t, errors.Is(reason, tc.want), "closed by %v, want %v", reason, tc.want)
 			if n := call(l, func() int { l.SkipWait(); return len(handler.closed) }); n != 0 {
-				t.Errorf("closed is reported %d times more", n)
+				t.Errorf("Closed was called %d more times", n)
 			}
 			if n := call(l, l.ConnCount); n != 0 {
 				t.Errorf("%d connections left", n)
@@ -97,14 +97,14 @@
 	l, stuck := runLoop(t, func() {}), newProbe()
 	testutil.Dial(t, listen(t, l, stuck, 1<<20, nil))
 	c := testutil.Receive(t, stuck.opened)
-	taken := call(l, func() int {
+	accepted := call(l, func() int {
 		n := 0
 		for c.Write(make([]byte, 64<<10)) == nil {
 			n++
 		}
 		return n
 	})
-	testutil.Expect(t, taken == 16, "%d writes taken, want 16", taken)
+	testutil.Expect(t, accepted == 16, "%d writes accepted, want 16", accepted)
 	peer := testutil.Dial(t, listen(t, l, newEcho(t), 1<<20, nil))
 	_, err := peer.Write([]byte("ping"))
 	testutil.ExpectNoError(t, err)
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestOutputThatThePeerDidNotTakeFollowsOnceItReads(t *testing.T) {
+func TestBlockedOutputIsWrittenOnceThePeerReads(t *testing.T) {
 	const size = 16 << 20 // more than the kernel buffers for a connection
 	l, handler := runLoop(t, func() {}), newProbe()
 	peer := testutil.Dial(t, listen(t, l, handler, size, nil))
@@ -172,13 +172,13 @@
 			peer := testutil.Dial(t, listen(t, l, handler, 32<<20, nil))
 			c := testutil.Receive(t, handler.opened)
 			do(l, func() { tc.prepare(c) })
-			do(l, func() { // the loop reads nothing until all is sent
+			do(l, func() { // blocks the loop until all is sent, so that it reads nothing before
 				testutil.ExpectNoError(t, peer.SetReadBuffer(1<<10))
 				_, err := peer.Write(make([]byte, tc.sent))
 				testutil.ExpectNoError(t, err)
 				testutil.ExpectNoError(t, peer.CloseWrite())
 			})
-			closedByEOF(t, handler.probe)
+			expectEOF(t, handler.probe)
 			do(l, func() {
 				testutil.Expect(t, read == tc.sent && first == last,
 					"%d of %d bytes read, from iteration %d, closed in %d", read, tc.sent, first, last)
--- a/internal/eventloop/connio.go
+++ b/internal/eventloop/connio.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// maxDrainReads bounds the reads in a row from a peer that has hung up; with readBufferSize it is more than the
-	// kernel holds of what the peer sent before.
+	// maxDrainReads bounds the consecutive reads from a peer that has hung up. Times readBufferSize it exceeds the
+	// input that the kernel buffers for a socket.
 	maxDrainReads = 128
 
 	hangUpEvents = unix.EPOLLRDHUP | unix.EPOLLHUP | unix.EPOLLERR
 	failEvents   = unix.EPOLLHUP | unix.EPOLLERR
 )
 
-// updateEvents has epoll watch for what the state of the connection allows: input unless paused, the peer's hang-up
-// unless the connection is finishing, room for output while writing is blocked.
+// updateEvents sets the epoll events that the connection needs in its state: input unless reading is paused, hang-up of
+// the peer unless the connection is finishing, and writability while output is blocked.
 func (c *Conn) updateEvents() {
 	events := uint32(unix.EPOLLIN | unix.EPOLLRDHUP)
 	if c.isFinishing() {
@@ -30,8 +30,8 @@
 	c.loop.setEvents(c.fd, events)
 }
 
-// updateEventsIfEstablished is updateEvents for a connection that may be in any state: while it is being dialed it is
-// watched for the end of the handshake, and finishConnect updates the events then.
+// updateEventsIfEstablished calls updateEvents on an established connection. A connection that is being dialed is
+// watched for the end of the handshake instead, and finishConnect updates the events afterwards.
 func (c *Conn) updateEventsIfEstablished() {
 	if c.isEstablished() {
 		c.updateEvents()
@@ -43,14 +43,14 @@
 	case connDialing:
 		c.finishConnect()
 	case connOpen:
-		c.resumeWritingOn(events)
+		c.handleWritable(events)
 		c.handleInput(events)
 	case connHalfClosed, connClosing:
-		c.resumeWritingOn(events)
-		if events&failEvents != 0 { // a peer that has ended both sides takes no more output
+		c.handleWritable(events)
+		if events&failEvents != 0 { // a peer that closed both sides reads no more output
 			c.fail(ErrClosed)
 		}
-	case connEnding, connClosed: // nothing follows
+	case connEnding, connClosed: // no event is handled
 	}
 }
 
@@ -62,7 +62,7 @@
 	}
 }
 
-// readToEnd reads all that a peer sent before it hung up, so that its end is handled in the same iteration.
+// readToEnd reads all input that the peer sent before it hung up, so that the hang-up is handled in the same iteration.
 func (c *Conn) readToEnd() {
 	for range maxDrainReads {
 		if !c.readOnce() {
@@ -71,7 +71,7 @@
 	}
 }
 
-// readOnce reads once and reports whether there may be more to read.
+// readOnce reads once and reports whether there may be more input.
 func (c *Conn) readOnce() bool {
 	n, err := c.loop.kernel.Read(c.fd, c.loop.buffer)
 	switch {
@@ -80,7 +80,7 @@
 	case err != nil:
 		c.fail(fmt.Errorf("%w: %w", ErrReset, err))
 	case n == 0:
-		c.endByPeer()
+		c.handlePeerClose()
 	default:
 		c.bytesRead += n
 		c.handler.Read(c, c.loop.buffer[:n])
@@ -88,8 +88,8 @@
 	return c.state == connOpen
 }
 
-// resumeWritingOn resumes writing if the events say that the peer takes output again.
-func (c *Conn) resumeWritingOn(events uint32) {
+// handleWritable resumes writing if the events report the socket as writable.
+func (c *Conn) handleWritable(events uint32) {
 	if events&unix.EPOLLOUT != 0 {
 		c.output.blocked = false
 		c.updateEvents()
@@ -97,7 +97,8 @@
 	}
 }
 
-// flush writes the pending output with one write, and then closes what was to be closed after it.
+// flush writes the pending output with one system call. Once all is written it performs the close or shutdown that was
+// requested.
 func (c *Conn) flush() {
 	if !c.isEstablished() || c.output.blocked {
 		return
@@ -107,13 +108,13 @@
 	}
 	if c.isFinishing() {
 		c.fail(ErrClosed)
-	} else if c.output.ended {
+	} else if c.output.shutdownAfterFlush {
 		c.loop.kernel.ShutdownWrite(c.fd)
 	}
 }
 
-// writeOutput writes the pending output once and reports whether nothing is left; what is left waits until the peer
-// takes output again.
+// writeOutput writes the pending output with one system call and reports whether nothing is left. The rest is written
+// once the socket is writable again.
 func (c *Conn) writeOutput() bool {
 	if err := c.output.write(c.loop.kernel, c.fd); err != nil {
 		c.fail(fmt.Errorf("%w: %w", ErrReset, err))
@@ -125,8 +126,8 @@
 	return !c.output.blocked
 }
 
-// drainInput ends the write side and drops unread input: closing a socket with unread input sends a reset, by which the
-// peer may lose what it has not read yet.
+// drainInput shuts down the write side and drops unread input. Closing a socket with unread input would send a TCP
+// reset, and the peer could lose output that it has not read yet.
 func (c *Conn) drainInput() {
 	if !c.isEstablished() {
 		return
--- a/internal/eventloop/connstate_test.go
+++ b/internal/eventloop/connstate_test.go
@@ -10,7 +10,7 @@
 	"glenport/internal/testutil"
 )
 
-// documentedSuccessors are the states that follow each state by the table in doc.go.
+// documentedSuccessors are the successors of each state in the table of doc.go.
 func documentedSuccessors(t *testing.T) map[string][]string {
 	t.Helper()
 	successors := map[string][]string{}
@@ -26,7 +26,7 @@
 	})
 }
 
-func TestConnTransitionsAreThoseOfTheTable(t *testing.T) {
+func TestConnTransitionsMatchTheTable(t *testing.T) {
 	documented := documentedSuccessors(t)
 	for from := connDialing; from <= connClosed; from++ {
 		for to := connDialing; to <= connClosed; to++ {
@@ -38,19 +38,20 @@
 					testutil.Expect(t, c.state == to && len(handler.closed) == 0, "now %s", c.state)
 					return
 				}
-				checkIllegal(t, c, handler, from, to)
+				checkIllegalTransition(t, c, handler, from, to)
 			})
 		}
 	}
 }
 
-// checkIllegal expects a connection that ended, with the error as the reason unless its handler was notified before.
-func checkIllegal(t *testing.T, c *Conn, handler *probe, from, to connState) {
+// checkIllegalTransition expects that an illegal transition has closed the connection, and that the handler received
+// the error as the reason unless it had been notified before.
+func checkIllegalTransition(t *testing.T, c *Conn, handler *probe, from, to connState) {
 	t.Helper()
 	testutil.Require(t, c.state == connClosed, "now %s", c.state)
 	notifiedBefore := from == connEnding || from == connHalfClosed || from == connClosed
 	if len(handler.closed) == 0 {
-		testutil.Expect(t, notifiedBefore, "the handler is not notified")
+		testutil.Expect(t, notifiedBefore, "the handler was not notified")
 		return
 	}
 	want := statemachine.TransitionError{Subject: "connection", From: from.String(), To: to.String()}
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -8,15 +8,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dial begins to connect to addr, an IP address and port. The handler is notified by Opened, or by Closed with
-// ErrConnectFailed or ErrLocalResources, never before Dial has returned. maxOutput limits the pending output in bytes;
-// the connection fails unless it is established within timeout ticks.
+// Dial starts to connect to addr, an IP address and port. After Dial has returned, the handler's Opened is called, or
+// its Closed with ErrConnectFailed or ErrLocalResources. maxOutput limits the pending output in bytes. The connection
+// fails unless it is established within timeout ticks.
 func (l *Loop) Dial(addr string, handler Handler, maxOutput int, timeout Tick) *Conn {
 	return l.DialWithControl(addr, handler, maxOutput, timeout, nil)
 }
 
-// DialWithControl is Dial with a function that prepares the socket before it connects; an error of it fails the
-// connection.
+// DialWithControl is like Dial and calls control to prepare the socket before it connects. If control returns an error,
+// the connection fails.
 func (l *Loop) DialWithControl(
 	addr string, handler Handler, maxOutput int, timeout Tick, control func(fd int) error,
 ) *Conn {
@@ -34,7 +34,7 @@
 	return conn
 }
 
-// connect starts the connection; on an error nothing of it is left.
+// connect starts the connection. On an error it leaves no socket and no timer behind.
 func (c *Conn) connect(addr string, timeout Tick, control func(fd int) error) error {
 	address, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// startConnect prepares the socket, begins the handshake, and has the socket watched for its end.
+// startConnect prepares the socket, starts the handshake, and watches the socket for the end of the handshake.
 func (c *Conn) startConnect(fd int, address netip.AddrPort, control func(fd int) error) error {
 	c.loop.kernel.SetNoDelay(fd)
 	if control != nil {
@@ -69,8 +69,8 @@
 	return c.loop.register(fd, unix.EPOLLOUT, c)
 }
 
-// finishConnect takes the result of the handshake and notifies the handler. Output written meanwhile follows in the
-// flush of this iteration.
+// finishConnect reads the result of the handshake and notifies the handler. The flush of this iteration writes output
+// that was queued during the handshake.
 func (c *Conn) finishConnect() {
 	c.loop.Cancel(c.connectTimer)
 	c.connectTimer = nil
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -9,8 +9,8 @@
 	"glenport/internal/testutil"
 )
 
-// fullBacklog is the address of a listener whose accept queue is full, so that the kernel answers no further
-// connection.
+// fullBacklog is the address of a listener whose accept queue is full, so that the kernel does not answer further
+// connection attempts.
 func fullBacklog(t *testing.T, l *Loop) string {
 	t.Helper()
 	fd := newSocket(t)
@@ -25,7 +25,7 @@
 	return addr
 }
 
-// unusedAddr is an address at which nothing listens.
+// unusedAddr is an address without a listener.
 func unusedAddr(t *testing.T) string {
 	t.Helper()
 	ln := testutil.Listen(t)
@@ -40,12 +40,12 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			handler := newProbe()
-			do(l, func() { // nothing receives from handler.closed meanwhile
+			do(l, func() { // handler.closed is not received from meanwhile
 				c := l.Dial(tc.addr, handler, 100, 50*Millisecond)
 				if err := c.Write([]byte("never sent")); err != nil && !errors.Is(err, ErrClosed) {
 					t.Error(err)
 				}
-				testutil.Expect(t, len(handler.closed) == 0, "closed is reported before Dial returned")
+				testutil.Expect(t, len(handler.closed) == 0, "Closed was called before Dial returned")
 			})
 			reason := testutil.Receive(t, handler.closed)
 			testutil.Expect(t, errors.Is(reason, ErrConnectFailed), "closed by %v", reason)
@@ -53,7 +53,7 @@
 	}
 }
 
-// A dial that fails for want of descriptors on this side must not count against the peer.
+// A dial that fails because this process lacks descriptors must not be attributed to the peer.
 func TestDialWithoutDescriptorsFailsWithErrLocalResources(t *testing.T) {
 	l, handler := runLoop(t, func() {}), newProbe()
 	addr := listen(t, l, newProbe(), 100, func(error) {})
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -1,23 +1,22 @@
 // Package eventloop is a single-threaded event loop on epoll: TCP connections, listeners, timers and callbacks posted
-// by other goroutines, all served by the goroutine that calls Loop.Run. It moves bytes and keeps time; it decides
-// nothing.
+// by other goroutines, all served by the goroutine that calls Loop.Run. It makes no scheduling decisions.
 //
 // # Order within an iteration
 //
-// An iteration waits for events, reads the clock once, and then runs, in this order: the callbacks that were posted,
-// the sockets that are ready, the timers that have expired, the iteration callback given to New, the writes of
-// connections with output, and the callback set by Loop.OnFlushed. Fairness: in one iteration a connection is read at
-// most once and written at most once, whatever it has waiting; only a peer that has hung up is read to its end.
+// An iteration waits for events, reads the clock once, and then runs, in this order: the posted callbacks, the handlers
+// of ready sockets, the expired timers, the iteration callback given to New, the writes of connections with output, and
+// the callback set by Loop.OnFlushed. For fairness, an iteration reads each connection at most once and writes it at
+// most once, however much data is pending. The exception is a peer that has hung up, whose input is read to the end.
 //
 // # Threads
 //
-// Loop.Post and Loop.Stop may be called from any goroutine. All else, including every method of Conn and Listener, may
-// be called only on the loop's goroutine: from a callback, or before Run begins.
+// Loop.Post and Loop.Stop may be called from any goroutine. Everything else, including every method of Conn and
+// Listener, may be called only on the loop's goroutine: from a callback, or before Run is called.
 //
 // # Kernel
 //
-// All that a loop asks of the operating system passes through a Kernel. New takes that of Linux; NewOn takes another
-// one, by which package simnet plays a network and a clock of its own.
+// A loop makes all system calls through a Kernel. New uses that of Linux. NewOn accepts another one: package simnet
+// implements a simulated network and clock in this way.
 //
 // # States
 //
@@ -34,14 +33,14 @@
 //	half-closed  output written, a failure    closed
 //	closing      output written, a failure    closed       Handler.Closed
 //
-// A connection that was accepted begins as open. The descriptor of a closed one is released by the flush of the same
-// iteration. A transition that is not listed is a *statemachine.TransitionError, with which the connection ends.
+// An accepted connection starts in the state open. The flush of the iteration in which a connection closes releases its
+// descriptor. A transition that is not listed ends the connection with a *statemachine.TransitionError.
 //
-// The loop is waiting, skipping the wait, draining or stopping: SkipWait, StopWhenIdle and Stop ask for the later ones,
-// the last of which counts, and each iteration begins as waiting.
+// The loop itself is waiting, skipping the wait, draining or stopping. Each iteration begins as waiting; SkipWait,
+// StopWhenIdle and Stop request the other states. Of several requests, the one latest in this order takes effect.
 //
 // # Units
 //
-// Moments and spans are in Tick, tenths of a millisecond; sizes are in bytes. The loop's clock is monotonic and stands
-// still during an iteration.
+// Times and durations are in Tick, tenths of a millisecond. Sizes are in bytes. The loop's clock is monotonic and does
+// not advance during an iteration.
 package eventloop
--- a/internal/eventloop/echo_benchmark_test.go
+++ b/internal/eventloop/echo_benchmark_test.go
@@ -7,7 +7,7 @@
 	"glenport/internal/testutil"
 )
 
-// BenchmarkEcho is a round trip of 100 bytes through a loop.
+// BenchmarkEcho measures a round trip of 100 bytes through a loop.
 func BenchmarkEcho(b *testing.B) {
 	l := newLoop(b, func() {})
 	echo := &probe{opened: make(chan *Conn, 1), closed: make(chan error, 1)}
--- a/internal/eventloop/exchange_test.go
+++ b/internal/eventloop/exchange_test.go
@@ -13,48 +13,48 @@
 	"golang.org/x/sys/unix"
 )
 
-// exchange is a loop on the test's goroutine, its peers, and the record of its callbacks.
+// exchange is a loop on the test's goroutine, with its peers and a record of its callbacks.
 type exchange struct {
 	t        *testing.T
 	loop     *Loop
 	listener *Listener
 	record   strings.Builder
 	accepted []*Conn
-	peers    []int // descriptors of the peers, in the order of accepted
+	peers    []int // descriptors of the peers, in the same order as accepted
 	dialed   *Conn
 }
 
 func (e *exchange) note(format string, args ...any) { fmt.Fprintf(&e.record, format+"\n", args...) }
 
-// must fails the test where the script itself cannot be played.
+// must fails the test if a step of the script itself fails.
 func (e *exchange) must(err error) {
 	e.t.Helper()
 	testutil.NoError(e.t, err)
 }
 
-// until waits for a state of the kernel that the next step builds on.
-func (e *exchange) until(what string, reached func() bool) {
+// waitUntil waits for a condition in the kernel that the next step relies on.
+func (e *exchange) waitUntil(condition string, reached func() bool) {
 	e.t.Helper()
-	testutil.WaitUntil(e.t, what, reached)
+	testutil.WaitUntil(e.t, condition, reached)
 }
 
-// clockAdvances waits until timers with a delay, counted from this iteration on, are due in the next one.
-func (e *exchange) clockAdvances(delay Tick) {
+// waitForClock waits until timers with this delay, scheduled in this iteration, expire in the next one.
+func (e *exchange) waitForClock(delay Tick) {
 	e.t.Helper()
-	e.until("timers due", func() bool { return e.loop.ReadClock() >= e.loop.Now()+delay })
+	e.waitUntil("timers due", func() bool { return e.loop.ReadClock() >= e.loop.Now()+delay })
 }
 
-// ready waits until a connection of the loop has one of the events for the next iteration.
-func (e *exchange) ready(c *Conn, events int16) {
+// waitForEvents waits until the next iteration will receive one of the events for a connection of the loop.
+func (e *exchange) waitForEvents(c *Conn, events int16) {
 	e.t.Helper()
-	e.until("connection ready", func() bool {
+	e.waitUntil("connection ready", func() bool {
 		fds := []unix.PollFd{{Fd: int32(c.fd), Events: events}}
-		n, _ := unix.Poll(fds, 0) // an interrupted poll is one more try
+		n, _ := unix.Poll(fds, 0) // an interrupted poll is retried
 		return n == 1 && fds[0].Revents&events != 0
 	})
 }
 
-// connect opens a peer and waits for its place in the accept queue.
+// connect connects a peer and waits until it is in the accept queue.
 func (e *exchange) connect() {
 	e.t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -62,19 +62,19 @@
 	e.must(unix.Connect(fd, sockaddr(e.listener.Addr())))
 	e.peers = append(e.peers, fd)
 	queued := uint32(len(e.peers) - len(e.accepted))
-	e.until("peer in the accept queue", func() bool {
+	e.waitUntil("peer in the accept queue", func() bool {
 		info, err := unix.GetsockoptTCPInfo(e.listener.fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 		e.must(err)
-		return info.Unacked == queued // of a listening socket: the length of its accept queue
+		return info.Unacked == queued // for a listening socket, the length of its accept queue
 	})
 }
 
-// send writes to a connection from its peer and waits until it can be read.
+// send writes bytes from the peer of a connection and waits until the connection can read them.
 func (e *exchange) send(peer int, bytes []byte) {
 	e.t.Helper()
 	_, err := unix.Write(e.peers[peer], bytes)
 	e.must(err)
-	e.until("bytes arrived", func() bool {
+	e.waitUntil("bytes arrived", func() bool {
 		n, err := unix.IoctlGetInt(e.accepted[peer].fd, unix.TIOCINQ)
 		e.must(err)
 		return n == len(bytes)
@@ -89,7 +89,7 @@
 
 func (r *recorder) Opened(*Conn) { r.exchange.note("opened %s", r.name) }
 
-// Read answers with the first byte.
+// Read writes back the first byte.
 func (r *recorder) Read(c *Conn, p []byte) {
 	r.exchange.note("read %s: %d bytes", r.name, len(p))
 	r.exchange.must(c.Write(p[:1]))
@@ -116,7 +116,7 @@
 	c.Close()
 }
 
-// accept names connections by the order in which they are accepted.
+// accept numbers connections in the order in which they are accepted.
 func (e *exchange) accept() (Handler, int) {
 	r := &recorder{e, strconv.Itoa(len(e.accepted))}
 	e.accepted = append(e.accepted, nil)
@@ -126,7 +126,7 @@
 	return acceptedHandler{r, e, len(e.accepted) - 1}, 100
 }
 
-// acceptedHandler enters its connection among those accepted, for the script.
+// acceptedHandler adds its connection to the accepted ones, for use by the script.
 type acceptedHandler struct {
 	Handler
 	exchange *exchange
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// probe is a handler that passes its notifications on to the test; onRead, where set, handles the bytes in its place.
+// probe is a handler that passes its notifications to the test. If onRead is set, it receives the bytes instead.
 type probe struct {
 	opened chan *Conn
 	closed chan error
@@ -28,7 +28,7 @@
 	return &probe{opened: make(chan *Conn, 100), closed: make(chan error, 100), read: make(chan []byte, 10000)}
 }
 
-// newEcho is a probe that writes back what it reads.
+// newEcho returns a probe that writes back the bytes that it reads.
 func newEcho(t *testing.T) *probe {
 	t.Helper()
 	p := newProbe()
@@ -48,11 +48,11 @@
 
 func (p *probe) Closed(_ *Conn, reason error) { p.closed <- reason }
 
-// isExactly reports whether an error is the wanted one itself, not wrapped.
+// isExactly reports whether an error is the wanted one, not wrapped.
 func isExactly(err, want error) bool { return errors.Is(err, want) && err.Error() == want.Error() }
 
-// closedByEOF expects io.EOF as the reason of the end.
-func closedByEOF(t *testing.T, p *probe) {
+// expectEOF expects that the connection is closed with io.EOF as the reason.
+func expectEOF(t *testing.T, p *probe) {
 	t.Helper()
 	reason := testutil.Receive(t, p.closed)
 	testutil.Expect(t, isExactly(reason, io.EOF), "closed by %v", reason)
@@ -65,7 +65,7 @@
 	return l
 }
 
-// startLoop runs a loop on a goroutine of its own. The channel receives what Run returns.
+// startLoop runs a loop on its own goroutine. The channel receives the result of Run.
 func startLoop(l *Loop) (ended <-chan error) {
 	returned := make(chan error, 1)
 	go func() { returned <- l.Run() }()
@@ -87,7 +87,7 @@
 	return <-result
 }
 
-// do runs a function on the loop and waits for its end.
+// do runs a function on the loop and waits until it has returned.
 func do(l *Loop, function func()) {
 	call(l, func() struct{} {
 		function()
@@ -95,7 +95,7 @@
 	})
 }
 
-// listen opens a listener whose connections all have one handler, and returns its address.
+// listen opens a listener whose connections share one handler, and returns its address.
 func listen(t *testing.T, l *Loop, handler Handler, maxOutput int, onAcceptState func(error)) string {
 	t.Helper()
 	ln := call(l, func() *Listener {
@@ -109,7 +109,7 @@
 	return ln.Addr().String()
 }
 
-// newSocket creates a socket before descriptors run out; connectSocket can use it then.
+// newSocket creates a socket. connectSocket can use it later, when no descriptors are left.
 func newSocket(t *testing.T) int {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -125,8 +125,8 @@
 	testutil.ExpectNoError(t, syscall.Connect(fd, &syscall.SockaddrInet4{Port: to.Port, Addr: [4]byte{127, 0, 0, 1}}))
 }
 
-// exhaustDescriptors lowers the limit of the process to the descriptors in use, until restore is called or the test
-// ends.
+// exhaustDescriptors lowers the descriptor limit of the process to the descriptors in use, until restore is called or
+// the test ends.
 func exhaustDescriptors(t *testing.T) (restore func()) {
 	t.Helper()
 	var before syscall.Rlimit
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -12,8 +12,8 @@
 const (
 	listenBacklog = 1024
 
-	// maxAcceptsPerIteration bounds the accepts in a row: connections that an accept callback evicts to make room free
-	// their descriptors only at the end of the iteration.
+	// maxAcceptsPerIteration bounds the consecutive accepts: connections that an accept callback evicts to make room
+	// release their descriptors only at the end of the iteration.
 	maxAcceptsPerIteration = 8
 )
 
@@ -24,14 +24,14 @@
 	addr          netip.AddrPort
 	accept        func() (Handler, int)
 	onAcceptState func(error)
-	refusing      bool // the last state given to onAcceptState was an error
+	acceptFailing bool // the last state passed to onAcceptState was an error
 	closed        bool
 }
 
-// Listen opens a listener on addr, an IP address and port; port 0 lets the kernel choose. For each connection, accept
-// gives its handler and the limit of its pending output in bytes, or a nil handler to close it without notice.
-// onAcceptState is called with the error when connections cannot be accepted, and with nil when they are again, once
-// per change.
+// Listen opens a listener on addr, an IP address and port. With port 0 the kernel chooses a port. For each connection,
+// accept returns the handler and the limit of pending output in bytes, or a nil handler to close the connection at
+// once. onAcceptState is called once per change: with the error when accepting starts to fail, and with nil when it
+// succeeds again.
 func (l *Loop) Listen(addr string, accept func() (Handler, int), onAcceptState func(error)) (*Listener, error) {
 	address, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return ln, nil
 }
 
-// open binds the listener's socket and has it watched.
+// open binds the listener's socket and starts to watch it.
 func (ln *Listener) open(address netip.AddrPort) error {
 	var err error
 	if ln.addr, err = ln.loop.kernel.Listen(ln.fd, address, listenBacklog); err != nil {
@@ -58,7 +58,7 @@
 	return ln.loop.register(ln.fd, unix.EPOLLIN, ln)
 }
 
-// FD is the listener's descriptor, for options of its socket. It remains the listener's: the caller does not close it.
+// FD is the listener's descriptor, for setting socket options. The listener owns it; the caller must not close it.
 func (ln *Listener) FD() int { return ln.fd }
 
 // Addr is the address that the listener is bound to.
@@ -75,7 +75,8 @@
 
 func (ln *Listener) shutdown() { ln.Close() }
 
-// handleEvents accepts what waits, up to the bound of an iteration; the rest is reported again by epoll.
+// handleEvents accepts waiting connections, up to maxAcceptsPerIteration. Epoll reports the listener again for the
+// rest.
 func (ln *Listener) handleEvents(uint32) {
 	for range maxAcceptsPerIteration {
 		fd, _, err := ln.loop.accept4(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -93,7 +94,7 @@
 	}
 }
 
-// admit makes an accepted descriptor a connection of the loop, or closes it.
+// admit creates a connection for an accepted descriptor, or closes the descriptor.
 func (ln *Listener) admit(fd int) {
 	handler, maxOutput := ln.accept()
 	if handler == nil {
@@ -112,15 +113,15 @@
 	handler.Opened(conn)
 }
 
-// reportAcceptState reports that accepting fails, or succeeds again, where that is a change.
+// reportAcceptState calls onAcceptState when accepting starts to fail or succeeds again.
 func (ln *Listener) reportAcceptState(err error) {
-	if ln.refusing != (err != nil) {
-		ln.refusing = err != nil
+	if ln.acceptFailing != (err != nil) {
+		ln.acceptFailing = err != nil
 		ln.onAcceptState(err)
 	}
 }
 
-// AcceptStateLogger gives a callback for Listen that logs when connections of the named group of peers cannot be
+// AcceptStateLogger returns a callback for Listen that logs when connections of the named group of peers cannot be
 // accepted, and when they are accepted again.
 func (l *Loop) AcceptStateLogger(log *slog.Logger, peers string) func(error) {
 	return func(err error) {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -20,10 +20,10 @@
 // Loop is one event loop. Create it with New and run it with Run.
 type Loop struct {
 	kernel        Kernel
-	spareFD       int // held back to refuse connections when descriptors run out; -1: there is none
+	spareFD       int // reserved to refuse connections when descriptors run out; -1: none
 	accept4       func(fd, flags int) (int, unix.Sockaddr, error)
 	started       time.Time
-	base          Tick // the loop's clock at started
+	base          Tick // value of the loop's clock at started
 	now           Tick
 	wheel         *TimerWheel
 	state         loopState
@@ -34,18 +34,18 @@
 	stalls        stallMonitor
 	posts         postQueue
 	sources       map[int]eventSource // by descriptor
-	flushQueue    []*Conn             // each at most once, see Conn.flushQueued
-	buffer        []byte              // for reading, shared by all connections
+	flushQueue    []*Conn             // without duplicates, see Conn.flushQueued
+	buffer        []byte              // read buffer shared by all connections
 	events        []unix.EpollEvent
 	connCount     int
 	peakConnCount int
 }
 
 // New creates a loop whose Run calls onIteration once in every iteration, after sockets and timers and before the
-// writes. It fails where epoll or eventfd descriptors cannot be created.
+// writes. It fails if the epoll or eventfd descriptor cannot be created.
 func New(onIteration func()) (*Loop, error) { return NewOn(&systemKernel{}, onIteration) }
 
-// NewOn is New on another kernel than that of the system, which serves this one loop.
+// NewOn is like New and uses the given kernel in place of the operating system. A kernel serves one loop only.
 func NewOn(kernel Kernel, onIteration func()) (*Loop, error) {
 	if err := kernel.OpenPoller(); err != nil {
 		return nil, err
@@ -65,12 +65,12 @@
 	l.now = l.base
 	l.wheel = NewTimerWheel(l.now)
 	l.stalls.loop = l
-	l.openSpare()
+	l.openSpareFD()
 	return l, nil
 }
 
-// Run serves until Stop, or until StopWhenIdle finds nothing left, and returns nil then; an error means that waiting
-// for events failed. It closes every connection and listener before it returns. It is called once.
+// Run runs the loop until Stop, or until StopWhenIdle finds no more events, and then returns nil. It returns an error
+// if waiting for events fails. It closes every connection and listener before it returns. It must be called only once.
 func (l *Loop) Run() error {
 	defer l.shutdown()
 	for l.state != loopStopping {
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// iterate runs one iteration on the first ready entries of events, in the order that the package promises.
+// iterate runs one iteration on the first ready entries of events, in the order that the package documents.
 func (l *Loop) iterate(ready int) {
 	began := l.kernel.Since(l.started)
 	l.now = max(l.now, l.ReadClock())
@@ -105,11 +105,11 @@
 	l.iterations++
 	busy := l.kernel.Since(l.started) - began
 	l.busy += busy
-	l.stalls.iterated(late, busy)
+	l.stalls.recordIteration(late, busy)
 }
 
-// flushConns writes the output of queued connections. A connection that closes while the queue is worked off is
-// appended to it, and released by the same call.
+// flushConns writes the output of queued connections. A connection that closes meanwhile is appended to the queue and
+// released by the same call.
 func (l *Loop) flushConns() {
 	flushed := 0
 	for flushed < len(l.flushQueue) {
@@ -125,28 +125,29 @@
 	l.flushQueue = l.flushQueue[:0]
 }
 
-// OnFlushed sets the callback that ends each iteration, after its output was written as far as the peers take it.
+// OnFlushed sets the callback that runs at the end of each iteration, after sockets have accepted the output that
+// they can take.
 func (l *Loop) OnFlushed(callback func()) { l.onFlushed = callback }
 
 // SkipWait makes the next iteration begin without waiting for an event.
 func (l *Loop) SkipWait() { l.request(loopSkippingWait) }
 
-// StopWhenIdle ends Run after this iteration if no event has arrived by then. Else one more iteration handles what
-// arrived, and may call StopWhenIdle again. So nothing that a peer had written is left unhandled.
+// StopWhenIdle ends Run after this iteration if no event has arrived by then. Otherwise one more iteration handles the
+// events and may call StopWhenIdle again, so that input that peers had sent is not left unhandled.
 func (l *Loop) StopWhenIdle() { l.request(loopDraining) }
 
-// Stop ends Run after the iteration that handles the call; what was written until then is flushed once more. Any
-// goroutine may call it.
+// Stop ends Run after the iteration that handles the call. Pending output is flushed once more. Any goroutine may call
+// it.
 func (l *Loop) Stop() {
 	l.Post(func() { l.request(loopStopping) })
 }
 
-// shutdown ends Run: what can be written at once is written, handlers are notified with ErrClosed, and every descriptor
-// is closed.
+// shutdown ends Run: it writes the output that sockets accept at once, notifies handlers with ErrClosed, and closes
+// every descriptor.
 func (l *Loop) shutdown() {
 	l.posts.close()
 	for _, fd := range slices.Sorted(maps.Keys(l.sources)) {
-		if source := l.sources[fd]; source != nil { // nil: the end of an earlier one has closed it
+		if source := l.sources[fd]; source != nil { // nil: the shutdown of an earlier source has closed it
 			source.shutdown()
 		}
 	}
@@ -154,13 +155,13 @@
 	l.closeDescriptors()
 }
 
-// Now is the clock as read at the start of this iteration, in ticks since the Unix epoch.
+// Now is the time at the start of this iteration, in ticks since the Unix epoch.
 func (l *Loop) Now() Tick { return l.now }
 
-// Elapsed reads the clock anew and gives the time since New, for measurements within an iteration.
+// Elapsed reads the clock and returns the time since New, for measurements within an iteration.
 func (l *Loop) Elapsed() time.Duration { return l.kernel.Since(l.started) }
 
-// Iterations is the number of iterations so far and the time spent in them, without the time spent waiting.
+// Iterations is the number of iterations so far and the time spent in them, excluding the time spent waiting.
 func (l *Loop) Iterations() (count int, busy time.Duration) { return l.iterations, l.busy }
 
 // ConnCount is the number of connections that are open or being opened.
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -8,7 +8,7 @@
 	"glenport/internal/testutil"
 )
 
-func TestConnectionIsReadOnceAnIteration(t *testing.T) {
+func TestConnectionIsReadOncePerIteration(t *testing.T) {
 	iteration := 0
 	l := runLoop(t, func() { iteration++ })
 	heavy, light := newProbe(), newProbe()
@@ -48,21 +48,22 @@
 	l := newLoop(t, func() {})
 	ended := startLoop(l)
 	fired := make(chan Tick, 3)
-	taken := l.Post(func() {
+	queued := l.Post(func() {
 		began := l.Now()
 		l.After(20*Millisecond, func() { fired <- l.Now() - began })
 		l.Cancel(l.After(10*Millisecond, func() { t.Error("a cancelled timer ran") }))
 		l.After(0, func() { fired <- 0 })
 	})
-	testutil.Expect(t, taken, "a running loop refuses a callback")
+	testutil.Expect(t, queued, "a running loop refused a callback")
 	first, second := testutil.Receive(t, fired), testutil.Receive(t, fired)
 	testutil.Expect(t, first == 0 && second >= 20*Millisecond, "fired after %d and %d", first, second)
 	l.Stop()
 	testutil.ExpectNoError(t, testutil.Receive(t, ended))
-	testutil.Expect(t, !l.Post(func() {}), "a loop that has ended takes a callback")
+	testutil.Expect(t, !l.Post(func() {}), "a loop that has ended accepted a callback")
 }
 
-// A loop that stops when idle handles what a peer has written by then, writes the answer, and resets nothing.
+// A loop that stops when idle handles the input that a peer has sent by then, writes the reply, and does not reset the
+// connection.
 func TestStopWhenIdleHandlesWhatArrivedAndResetsNothing(t *testing.T) {
 	l, handler := newLoop(t, func() {}), newProbe()
 	var peer net.Conn
@@ -84,7 +85,7 @@
 	peer = testutil.Dial(t, ln.Addr().String())
 	testutil.Receive(t, handler.opened)
 	l.Post(func() {
-		send("last") // not read in this iteration, after which the loop is to end
+		send("last") // arrives after the reads of the iteration in which the loop is to end
 		l.StopWhenIdle()
 	})
 	if got, err := io.ReadAll(peer); string(got) != "last" || err != nil {
--- a/internal/eventloop/loopstate.go
+++ b/internal/eventloop/loopstate.go
@@ -1,15 +1,16 @@
 package eventloop
 
-// loopState is what the loop does after the current iteration.
+// loopState determines what the loop does after the current iteration.
 type loopState uint8
 
-// The states, from that which every iteration begins with to that which overrides all others.
+// The states. Every iteration begins in the first one, and a later one overrides those before it.
 const (
-	loopWaiting      loopState = iota // it waits for an event
-	loopSkippingWait                  // it begins the next iteration at once
-	loopDraining                      // it ends if no event has arrived by then
-	loopStopping                      // it ends
+	loopWaiting      loopState = iota // wait for an event
+	loopSkippingWait                  // begin the next iteration at once
+	loopDraining                      // end unless an event has arrived by then
+	loopStopping                      // end
 )
 
-// request asks for a state. A request does not undo one that goes further; the next iteration begins in loopWaiting.
+// request requests a state for the end of this iteration. It does not override a later state; the next iteration begins
+// in loopWaiting.
 func (l *Loop) request(state loopState) { l.state = max(l.state, state) }
--- a/internal/eventloop/md5_test.go
+++ b/internal/eventloop/md5_test.go
@@ -11,7 +11,7 @@
 
 var loopback = netip.MustParseAddr("127.0.0.1")
 
-// listenWithMD5Key opens a listener with a key for its peers, and returns the error where the kernel refuses the key.
+// listenWithMD5Key opens a listener with a key for its peers. It returns the error of SetTCPMD5Key as refused.
 func listenWithMD5Key(t *testing.T, l *Loop, handler Handler, key string) (addr string, refused error) {
 	t.Helper()
 	ln := call(l, func() *Listener {
@@ -30,7 +30,7 @@
 	return ln.Addr().String(), refused
 }
 
-// dialWithMD5Key dials with a key, or without one if it is empty.
+// dialWithMD5Key dials with a key, or without one if key is empty.
 func dialWithMD5Key(l *Loop, addr, key string) *probe {
 	dialer := newProbe()
 	l.Post(func() {
@@ -50,7 +50,7 @@
 	testutil.Expect(t, errors.Is(reason, ErrConnectFailed), "closed by %v", reason)
 }
 
-// Where the kernel has no signatures SetTCPMD5Key must fail, so that no socket is used unsigned by mistake.
+// Without kernel support for signatures SetTCPMD5Key must fail, so that no socket is used unsigned by mistake.
 func TestMD5KeyConnectsOnlyPeersWithTheSameKey(t *testing.T) {
 	l, handler := runLoop(t, func() {}), newProbe()
 	addr, refused := listenWithMD5Key(t, l, handler, "secret")
@@ -64,7 +64,7 @@
 				expectConnectFailure(t, dialer)
 			}
 			if refused != nil {
-				t.Skipf("not offered here: %v", refused)
+				t.Skipf("TCP MD5 signatures are not available on this system: %v", refused)
 			}
 			if tc.connects {
 				testutil.Receive(t, dialer.opened)
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -8,9 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// callbackOrder is what a scripted exchange must lead to, one iteration of the loop a paragraph. Within an iteration
-// the order is: posted callbacks as posted, sockets as they became ready, timers by expiry, onIteration, connections
-// that close at the flush as they were queued, onFlushed. Reset notifies its handler before it returns.
+// callbackOrder is the expected record of the scripted exchange, with one paragraph per iteration of the loop. Within
+// an iteration the order is: posted callbacks in the order of posting, sockets in the order in which they became ready,
+// timers by expiry, onIteration, connections that close during the flush in the order in which they were queued,
+// onFlushed. Reset notifies its handler before it returns.
 const callbackOrder = `
 posted before Run
 iteration
@@ -82,9 +83,9 @@
 closed 7: closed here
 `
 
-// The script: each step runs as the onIteration of one iteration and prepares the next.
+// The script: each step runs in the onIteration callback of one iteration and prepares the next iteration.
 
-// readSteps open connections and have them read, together with timers, posted callbacks and ends by the peer.
+// readSteps open connections and make the loop read them, together with timers, posted callbacks and hang-ups of peers.
 func (e *exchange) readSteps() []func() {
 	return []func(){
 		func() {
@@ -92,7 +93,7 @@
 				e.connect()
 			}
 		},
-		func() {}, // the last of the accept queue
+		func() {}, // the loop accepts the last connection of the accept queue
 		func() {
 			e.send(2, []byte("a"))
 			e.send(0, []byte("b"))
@@ -103,21 +104,21 @@
 			e.loop.After(1, func() { e.note("timer of 1 tick, scheduled first") })
 			e.loop.Cancel(e.loop.After(2, func() { e.note("cancelled timer") }))
 			e.loop.After(1, func() { e.note("timer of 1 tick, scheduled second") })
-			e.clockAdvances(3)
+			e.waitForClock(3)
 		},
 		func() {
 			e.send(3, []byte("bye"))
 			e.must(unix.Shutdown(e.peers[4], unix.SHUT_WR))
-			e.ready(e.accepted[4], unix.POLLRDHUP)
+			e.waitForEvents(e.accepted[4], unix.POLLRDHUP)
 			e.must(unix.SetsockoptLinger(e.peers[5], unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1}))
 			e.must(unix.Close(e.peers[5]))
 			e.peers[5] = -1
-			e.ready(e.accepted[5], unix.POLLERR|unix.POLLHUP)
+			e.waitForEvents(e.accepted[5], unix.POLLERR|unix.POLLHUP)
 		},
 		func() {
 			e.send(6, make([]byte, readBufferSize+10))
 			e.must(unix.Shutdown(e.peers[6], unix.SHUT_WR))
-			e.ready(e.accepted[6], unix.POLLRDHUP)
+			e.waitForEvents(e.accepted[6], unix.POLLRDHUP)
 		},
 		func() {
 			e.accepted[7].PauseReading()
@@ -125,12 +126,12 @@
 		},
 		func() {
 			e.accepted[7].ResumeReading()
-			e.ready(e.accepted[7], unix.POLLIN)
+			e.waitForEvents(e.accepted[7], unix.POLLIN)
 		},
 	}
 }
 
-// closeSteps dial, end connections on this side, and stop the loop.
+// closeSteps dial, close connections on this side, and stop the loop.
 func (e *exchange) closeSteps(otherListener string) []func() {
 	return []func(){
 		func() {
@@ -139,9 +140,9 @@
 				c.Close()
 			}
 			e.dialed = e.loop.Dial(otherListener, &recorder{e, "dialed"}, 100, Second)
-			e.ready(e.dialed, unix.POLLOUT)
+			e.waitForEvents(e.dialed, unix.POLLOUT)
 			e.loop.Dial("nowhere", &recorder{e, "without address"}, 100, Second)
-			e.clockAdvances(1) // the dial that fails is reported by a timer
+			e.waitForClock(1) // a timer reports the dial that fails
 		},
 		func() {
 			e.loop.Post(func() {
@@ -150,7 +151,7 @@
 			})
 			e.accepted[2].CloseWrite()
 			e.must(unix.Shutdown(e.peers[2], unix.SHUT_WR))
-			e.ready(e.accepted[2], unix.POLLRDHUP)
+			e.waitForEvents(e.accepted[2], unix.POLLRDHUP)
 		},
 		func() {
 			e.accepted[8].Reset()
@@ -161,7 +162,7 @@
 	}
 }
 
-func TestCallbacksComeInTheOrderOfTheirPhases(t *testing.T) {
+func TestCallbacksRunInPhaseOrder(t *testing.T) {
 	e := &exchange{t: t}
 	var steps []func()
 	loop, err := New(func() {
@@ -194,8 +195,8 @@
 	loop.Post(func() { e.note("posted before Run") })
 	e.must(loop.Run())
 	got := "\n" + e.record.String()
-	testutil.Expect(t, got == callbackOrder, "callbacks came in this order:\n%s\nwant:\n%s", got, callbackOrder)
+	testutil.Expect(t, got == callbackOrder, "callbacks ran in this order:\n%s\nwant:\n%s", got, callbackOrder)
 	if len(steps) != 0 || loop.ConnCount() != 0 {
-		t.Errorf("%d steps left unplayed, %d connections left", len(steps), loop.ConnCount())
+		t.Errorf("%d steps not run, %d connections left", len(steps), loop.ConnCount())
 	}
 }
--- a/internal/eventloop/output.go
+++ b/internal/eventloop/output.go
@@ -1,15 +1,15 @@
 package eventloop
 
-// output is what a connection still has to write.
+// output is the pending output of a connection.
 type output struct {
-	pending []byte // limit bytes at most
-	limit   int
-	blocked bool // the peer must take output before more is written
-	ended   bool // the write side is shut down once all is written
-	written int  // bytes so far
+	pending            []byte // at most limit bytes
+	limit              int
+	blocked            bool // the next write waits until the socket is writable
+	shutdownAfterFlush bool // the write side is shut down once all output is written
+	written            int  // bytes written so far
 }
 
-// add appends all of p to what is pending and returns true, or nothing where the limit would be exceeded.
+// add appends p to the pending output and returns true, or returns false if p would exceed the limit.
 func (o *output) add(p []byte) bool {
 	if len(o.pending)+len(p) > o.limit {
 		return false
@@ -18,7 +18,7 @@
 	return true
 }
 
-// write writes what is pending with one write. It is blocked where something is left.
+// write writes the pending output with one system call. If some of it is left, the output is marked as blocked.
 func (o *output) write(kernel Kernel, fd int) error {
 	if len(o.pending) == 0 {
 		return nil
@@ -38,7 +38,7 @@
 	}
 	o.pending = o.pending[:0]
 	if cap(o.pending) > readBufferSize {
-		o.pending = nil // the memory of a burst is not kept
+		o.pending = nil // release the memory of a burst
 	}
 	return nil
 }
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -2,16 +2,16 @@
 
 // eventSource is the owner of a descriptor that epoll watches.
 //
-// A connection's descriptor is closed only by the flush at the end of an iteration, so that events of this iteration
-// that are yet to be dispatched never reach another owner of the same descriptor number.
+// A connection's descriptor is closed only by the flush at the end of an iteration. Otherwise an event of the same
+// iteration could be dispatched to a new owner of the same descriptor number.
 type eventSource interface {
 	// handleEvents reacts to epoll events of the descriptor.
 	handleEvents(events uint32)
-	// shutdown ends the source as the loop ends.
+	// shutdown closes the source when the loop ends.
 	shutdown()
 }
 
-// register has epoll watch a descriptor on behalf of its owner.
+// register starts to watch a descriptor on behalf of its owner.
 func (l *Loop) register(fd int, events uint32, source eventSource) error {
 	if err := l.kernel.Watch(fd, events); err != nil {
 		return err
@@ -20,7 +20,7 @@
 	return nil
 }
 
-// unregister forgets a descriptor and closes it; closing also removes it from epoll.
+// unregister removes a descriptor from the sources and closes it, which also removes it from epoll.
 func (l *Loop) unregister(fd int) {
 	delete(l.sources, fd)
 	l.kernel.Close(fd)
@@ -28,13 +28,13 @@
 
 // setEvents replaces the events for which a registered descriptor is watched.
 func (l *Loop) setEvents(fd int, events uint32) {
-	// Modifying an entry fails only where the descriptor is not registered. Connections call this only while it is; a
-	// listener that was closed by its own callback may call it once more, to no effect.
+	// Modifying an entry fails only if the descriptor is not registered. Connections call this only while theirs is. A
+	// listener that its own callback closed may call this once more, without effect.
 	_ = l.kernel.ChangeWatch(fd, events)
 }
 
-// dispatch hands the first ready entries of events to the owners of their descriptors. The wakeup descriptor has no
-// owner: postQueue.run empties it.
+// dispatch passes the first ready entries of events to the owners of their descriptors. The wakeup descriptor has no
+// owner: postQueue.run clears it.
 func (l *Loop) dispatch(ready int) {
 	for i := range ready {
 		if source := l.sources[int(l.events[i].Fd)]; source != nil {
--- a/internal/eventloop/shortage.go
+++ b/internal/eventloop/shortage.go
@@ -2,10 +2,10 @@
 
 import "golang.org/x/sys/unix"
 
-const acceptRetryDelay = 100 * Millisecond // after accepting failed
+const acceptRetryDelay = 100 * Millisecond
 
-// openSpare opens the descriptor that is held back for refuseOne. If that fails there is none.
-func (l *Loop) openSpare() {
+// openSpareFD opens the descriptor that is reserved for refuseConnection. On failure spareFD is -1.
+func (l *Loop) openSpareFD() {
 	fd, err := l.kernel.OpenSpare()
 	if err != nil {
 		fd = -1
@@ -13,36 +13,36 @@
 	l.spareFD = fd
 }
 
-// handleAcceptError reports that accepting failed. A connection left in the accept queue would have epoll report the
-// listener again and again, so the loop would spin. If descriptors have run out, one connection is refused with the
-// spare one; otherwise, or without a spare one, the listener is not watched for acceptRetryDelay.
+// handleAcceptError reports that accepting failed. Epoll would report the listener in every iteration as long as a
+// connection is left in the accept queue, so the loop would spin. If descriptors have run out, the spare one is used to
+// refuse one connection. Otherwise, or without a spare descriptor, the listener is not watched for acceptRetryDelay.
 func (ln *Listener) handleAcceptError(err error) {
 	ln.reportAcceptState(err)
 	if !isDescriptorShortage(err) {
-		ln.pause()
+		ln.pauseAccepting()
 		return
 	}
 	if ln.loop.spareFD >= 0 {
-		ln.refuseOne()
+		ln.refuseConnection()
 		return
 	}
-	// If a spare descriptor can be opened by now, the connection could have one too: the next iteration accepts it.
-	if ln.loop.openSpare(); ln.loop.spareFD < 0 {
-		ln.pause()
+	// If a spare descriptor can be opened now, the next iteration can accept the connection too.
+	if ln.loop.openSpareFD(); ln.loop.spareFD < 0 {
+		ln.pauseAccepting()
 	}
 }
 
-// refuseOne closes one waiting connection, using the number of the spare descriptor.
-func (ln *Listener) refuseOne() {
+// refuseConnection accepts and closes one waiting connection, using the number of the spare descriptor.
+func (ln *Listener) refuseConnection() {
 	ln.loop.kernel.Close(ln.loop.spareFD)
 	if fd, _, err := ln.loop.kernel.Accept(ln.fd, unix.SOCK_CLOEXEC); err == nil {
 		ln.loop.kernel.Close(fd)
 	}
-	ln.loop.openSpare()
+	ln.loop.openSpareFD()
 }
 
-// pause leaves the listener unwatched for acceptRetryDelay.
-func (ln *Listener) pause() {
+// pauseAccepting stops watching the listener for acceptRetryDelay.
+func (ln *Listener) pauseAccepting() {
 	ln.loop.setEvents(ln.fd, 0)
 	ln.loop.After(acceptRetryDelay, func() {
 		if !ln.closed {
--- a/internal/eventloop/shortage_test.go
+++ b/internal/eventloop/shortage_test.go
@@ -13,8 +13,8 @@
 	"glenport/internal/testutil"
 )
 
-// dropSpare leaves the loop without its spare descriptor.
-func dropSpare(t *testing.T, l *Loop) {
+// closeSpareFD closes the spare descriptor of the loop.
+func closeSpareFD(t *testing.T, l *Loop) {
 	t.Helper()
 	testutil.ExpectNoError(t, unix.Close(l.spareFD))
 	l.spareFD = -1
@@ -35,9 +35,9 @@
 	}
 	err := syscall.SetsockoptTimeval(refused, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &syscall.Timeval{Sec: 20})
 	testutil.ExpectNoError(t, err)
-	// By means of the spare descriptor the connection is closed, so the read ends well before its timeout.
+	// The loop uses the spare descriptor to close the connection, so the read ends well before its timeout.
 	if n, err := syscall.Read(refused, make([]byte, 1)); n > 0 || errors.Is(err, syscall.EAGAIN) {
-		t.Errorf("the refused connection reads %d bytes, %v", n, err)
+		t.Errorf("the refused connection read %d bytes, %v", n, err)
 	}
 	for _, peer := range []net.Conn{first, second} {
 		_, err := peer.Write([]byte("x"))
@@ -47,11 +47,11 @@
 	}
 }
 
-// acceptFailure has a loop's accepts fail with an error or, where that is nil, for want of descriptors.
+// acceptFailure makes the accepts of a loop fail, either with a given error or because no descriptors are left.
 type acceptFailure struct {
-	tries   chan Tick // the time of each accept
+	tries   chan Tick // times of the accept calls
 	failing atomic.Bool
-	restore func() // of the descriptors
+	restore func() // restores the descriptor limit
 }
 
 func failAccepts(t *testing.T, l *Loop, err error) *acceptFailure {
@@ -67,7 +67,7 @@
 			return unix.Accept4(fd, flags)
 		}
 		if err == nil {
-			dropSpare(t, l)
+			closeSpareFD(t, l)
 		}
 	})
 	if err == nil {
@@ -84,7 +84,7 @@
 func TestListenerThatCannotAcceptRetriesWithoutSpinning(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		err  error // nil: there are no descriptors, and the spare one could not be opened again
+		err  error // nil: no descriptors are left, and the spare one could not be reopened
 	}{
 		{"no buffers", syscall.ENOBUFS},
 		{"no memory", syscall.ENOMEM},
@@ -104,7 +104,7 @@
 			first := testutil.Receive(t, failure.tries)
 			testutil.Receive(t, failure.tries)
 			if third := testutil.Receive(t, failure.tries); third-first < acceptRetryDelay {
-				t.Errorf("three tries in %d ms: the loop spins", (third-first)/Millisecond)
+				t.Errorf("three accepts in %d ms: the loop spins", (third-first)/Millisecond)
 			}
 			failure.end()
 			testutil.Receive(t, handler.opened)
@@ -115,12 +115,12 @@
 	}
 }
 
-// A descriptor that is freed between a failed accept and the attempt to open a spare one belongs to the connection.
+// A descriptor that is released between a failed accept and the attempt to open a spare one is used for the connection.
 func TestDescriptorFreedAfterFailedAcceptServesTheConnection(t *testing.T) {
 	l, handler := runLoop(t, func() {}), newProbe()
 	addr := listen(t, l, handler, 100, func(error) {})
 	do(l, func() {
-		dropSpare(t, l)
+		closeSpareFD(t, l)
 		failed := false
 		l.accept4 = func(fd, flags int) (int, unix.Sockaddr, error) {
 			if !failed {
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -20,7 +20,7 @@
 	return &unix.SockaddrInet6{Port: int(address.Port()), Addr: address.Addr().As16()}
 }
 
-// addrPort is the address and port of a socket address; the zero value for other families than IPv4 and IPv6.
+// addrPort is the address and port of a socket address, or the zero value if its family is not IPv4 or IPv6.
 func addrPort(address unix.Sockaddr) netip.AddrPort {
 	switch address := address.(type) {
 	case *unix.SockaddrInet4:
--- a/internal/eventloop/systemkernel.go
+++ b/internal/eventloop/systemkernel.go
@@ -17,7 +17,7 @@
 
 func (*systemKernel) Since(earlier time.Time) time.Duration { return time.Since(earlier) }
 
-// CPUTime returns 0 where the system does not say.
+// CPUTime returns 0 if the system does not provide it.
 func (*systemKernel) CPUTime() time.Duration {
 	var used unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_PROCESS_CPUTIME_ID, &used); err != nil {
@@ -70,13 +70,13 @@
 
 func (k *systemKernel) Wake() {
 	one := [8]byte{1}
-	// The counter is zero here, and a write to an eventfd fails only where the counter would overflow.
+	// The counter is zero here, and a write to an eventfd fails only if the counter would overflow.
 	_, _ = unix.Write(k.wakeupFD, one[:])
 }
 
 func (k *systemKernel) ClearWake() {
 	var counter [8]byte
-	// The counter is not zero here, so the read succeeds; were it to fail, epoll would report the descriptor again.
+	// The counter is not zero here, so the read succeeds. If it failed, epoll would report the descriptor again.
 	_, _ = unix.Read(k.wakeupFD, counter[:])
 }
 
@@ -100,7 +100,7 @@
 }
 
 func (*systemKernel) Listen(fd int, address netip.AddrPort, backlog int) (netip.AddrPort, error) {
-	// Where the option is refused, bind reports an address that is still in use.
+	// If the option is refused, bind reports an address that is still in use.
 	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	if err := unix.Bind(fd, sockaddr(address)); err != nil {
 		return netip.AddrPort{}, err
@@ -123,23 +123,23 @@
 	return unix.Open("/dev/null", unix.O_RDONLY|unix.O_CLOEXEC, 0)
 }
 
-// Close closes a descriptor. Linux releases it even where close reports an error, and no retry is allowed, so there
-// is nothing to do about one.
+// Close closes a descriptor and ignores errors: Linux releases the descriptor even if close reports an error, and close
+// must not be retried.
 func (*systemKernel) Close(fd int) { _ = unix.Close(fd) }
 
 func (*systemKernel) Read(fd int, p []byte) (int, error) { return unix.Read(fd, p) }
 
 func (*systemKernel) Write(fd int, p []byte) (int, error) { return unix.Write(fd, p) }
 
-// ShutdownWrite fails only where the peer has reset the connection, which the next event reports.
+// ShutdownWrite fails only if the peer has reset the connection, which the next event reports.
 func (*systemKernel) ShutdownWrite(fd int) { _ = unix.Shutdown(fd, unix.SHUT_WR) }
 
-// SetNoDelay has no effect where the option is refused: the connection works all the same, with more delay.
+// SetNoDelay has no effect if the option is refused: the connection works, with more delay.
 func (*systemKernel) SetNoDelay(fd int) {
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 }
 
-// ResetOnClose has no effect where the option is refused: the peer receives an orderly end in place of a reset.
+// ResetOnClose has no effect if the option is refused: the peer receives an orderly close in place of a reset.
 func (*systemKernel) ResetOnClose(fd int) {
 	_ = unix.SetsockoptLinger(fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 }
--- a/internal/eventloop/wheel.go
+++ b/internal/eventloop/wheel.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Tick is a moment or a span on a loop's clock, in tenths of a millisecond.
+// Tick is a time or a duration on a loop's clock, in tenths of a millisecond.
 type Tick int64
 
-// Common spans.
+// Common durations.
 const (
 	Millisecond Tick = 10
 	Second      Tick = 1000 * Millisecond
@@ -18,26 +18,26 @@
 	slotBits = 6
 	slots    = 1 << slotBits
 	levels   = 7
-	maxSpan  = Tick(1)<<(slotBits*levels) - 1 // some 13 years
+	maxSpan  = Tick(1)<<(slotBits*levels) - 1 // about 13 years
 )
 
 // Timer is a callback scheduled on one wheel. It runs at most once.
 type Timer struct {
 	expiry     Tick
 	callback   func()
-	prev, next *Timer // in the list of its slot
-	slot       *slot  // nil: has run or was cancelled; &expiringSlot: about to run
+	prev, next *Timer // in the list of the slot
+	slot       *slot  // nil: the timer has run or was cancelled; &expiringSlot: it is about to run
 }
 
-// slot holds the timers whose expiry has its index as the digit of its level.
+// slot holds the timers whose expiry, in base 64, has the digit index at position level.
 type slot struct {
 	level, index int
-	first        *Timer // the one inserted last
+	first        *Timer // the timer inserted last
 }
 
-// TimerWheel is a hierarchical timing wheel: each level holds 64 slots, and each slot of a level spans all of the level
-// below. Scheduling and cancelling take constant time; a timer moves down at most once a level. It is not safe for use
-// by several goroutines.
+// TimerWheel is a hierarchical timing wheel. Each level holds 64 slots, and each slot spans the whole level below.
+// Scheduling and cancelling take constant time; a timer moves down at most once per level. A wheel is not safe for
+// concurrent use.
 type TimerWheel struct {
 	now      Tick
 	size     int
@@ -59,8 +59,8 @@
 // Len is the number of timers scheduled and not yet run or cancelled.
 func (w *TimerWheel) Len() int { return w.size }
 
-// Schedule has a callback run by the first Advance to the time at or later, never by one that is under way. A time
-// further away than half the wheel's span, some six years, is brought forward to that.
+// Schedule schedules a callback, which the first Advance to the time at or later runs, but never an Advance that is in
+// progress. The expiry is limited to half the wheel's span from now, about six years.
 func (w *TimerWheel) Schedule(at Tick, callback func()) *Timer {
 	expiry := min(max(at, w.now+1), w.now+maxSpan/2)
 	timer := &Timer{expiry: expiry, callback: callback}
@@ -69,7 +69,7 @@
 	return timer
 }
 
-// Cancel keeps a timer from running and reports whether it was still scheduled. A nil timer is not.
+// Cancel cancels a timer and reports whether it was still scheduled. For a nil timer it returns false.
 func (w *TimerWheel) Cancel(timer *Timer) bool {
 	if timer == nil || timer.slot == nil {
 		return false
@@ -79,7 +79,7 @@
 	return true
 }
 
-// insert puts a timer in the slot of the highest digit in which its expiry differs from now.
+// insert puts a timer into the slot of the highest base-64 digit in which its expiry differs from now.
 func (w *TimerWheel) insert(t *Timer) {
 	level := (bits.Len64(uint64(t.expiry^w.now)|(slots-1)) - 1) / slotBits
 	level = min(level, levels-1)
@@ -108,8 +108,8 @@
 	t.slot, t.prev, t.next = nil, nil, nil
 }
 
-// earliestSlot is the occupied slot that begins first, and when it begins; its timers may expire later. It is nil on an
-// empty wheel.
+// earliestSlot returns the occupied slot that begins first, and the time at which it begins. The timers of the slot may
+// expire later. On an empty wheel the slot is nil.
 func (w *TimerWheel) earliestSlot() (*slot, Tick) {
 	for level := range levels {
 		occupied := w.occupied[level]
@@ -130,15 +130,16 @@
 	return nil, 0
 }
 
-// NextExpiry is the time at which Advance next has work, never later than the first expiry; false on an empty wheel.
+// NextExpiry is the time at which Advance next has work, which is never later than the first expiry. scheduled is false
+// on an empty wheel.
 func (w *TimerWheel) NextExpiry() (at Tick, scheduled bool) {
 	s, begin := w.earliestSlot()
 	return begin, s != nil
 }
 
-// Advance moves the wheel on to now and runs the callbacks that have expired, by expiry. Those of one tick run in an
-// order that depends only on the calls before: as scheduled, reversed by each move to a lower level. The callbacks may
-// schedule and cancel timers.
+// Advance moves the wheel to now and runs the expired callbacks in order of expiry. Callbacks of the same tick run in
+// an order that depends only on the earlier calls: the order of scheduling, reversed by each move to a lower level. The
+// callbacks may schedule and cancel timers.
 func (w *TimerWheel) Advance(now Tick) {
 	for {
 		s, begin := w.earliestSlot()
@@ -151,8 +152,8 @@
 	}
 }
 
-// takeExpired empties a slot that has begun: timers that expire later move to lower levels, the others are returned.
-// The slot is empty before the first callback runs, as callbacks may schedule timers into it.
+// takeExpired empties a slot that has begun. It moves timers that expire later to lower levels and returns the others.
+// The slot must be empty before the first callback runs, as callbacks may schedule timers into it.
 func (w *TimerWheel) takeExpired(s *slot) []*Timer {
 	var expired []*Timer
 	for t := s.first; t != nil; t = s.first {
@@ -167,8 +168,8 @@
 	return expired
 }
 
-// runExpired runs the callbacks of timers taken from a slot, the last one first, as a slot's list begins with the timer
-// that was inserted last. A timer that an earlier callback cancels does not run.
+// runExpired runs the callbacks of timers taken from a slot. It starts with the last one, as a slot's list begins with
+// the timer that was inserted last. A timer that an earlier callback cancelled does not run.
 func (w *TimerWheel) runExpired(expired []*Timer) {
 	for _, t := range slices.Backward(expired) {
 		if t.slot != &expiringSlot {
@@ -180,5 +181,5 @@
 	}
 }
 
-// expiringSlot marks timers that were taken from their slot to be run, so that Cancel still finds them scheduled.
+// expiringSlot marks timers that were taken from their slot and not run yet, so that Cancel can still cancel them.
 var expiringSlot slot
--- a/internal/eventloop/wheel_golden_test.go
+++ b/internal/eventloop/wheel_golden_test.go
@@ -9,10 +9,10 @@
 	"glenport/internal/testutil"
 )
 
-// expiryOrderDigest was recorded before the wheel's code was divided into smaller functions.
+// expiryOrderDigest is the recorded digest of the expiry order.
 const expiryOrderDigest = "85e9d97acd14c599e427d5b4724296c8c7a8fcbd5f3970036198dad6f1d4679e"
 
-// wheelHistory is a seeded history of one wheel, folded into a digest.
+// wheelHistory runs a seeded history of operations on one wheel and adds the results to a digest.
 type wheelHistory struct {
 	rng    *rand.Rand
 	digest *golden.Digest
@@ -30,7 +30,7 @@
 
 func (h *wheelHistory) schedule() {
 	number := int64(len(h.timers))
-	delay := h.rng.Int64N(1<<h.rng.IntN(16)) &^ 3 // many of one tick
+	delay := h.rng.Int64N(1<<h.rng.IntN(16)) &^ 3 // so that many timers share a tick
 	h.timers = append(h.timers, h.wheel.Schedule(h.now+Tick(delay), func() { h.run(number) }))
 }
 
@@ -67,9 +67,9 @@
 
 var boolValue = map[bool]int64{false: 0, true: 1}
 
-// Timers of one tick run in an order that callers may not rely on, but that must be the same in every run of one
-// history: seeded runs of the whole scheduler repeat to the digit only then.
-func TestExpiryOrderIsTheRecordedOne(t *testing.T) {
+// Callers may not rely on the order of timers of the same tick, but it must be the same in every run of a history:
+// otherwise seeded simulations of the scheduler would not be reproducible.
+func TestExpiryOrderMatchesGoldenDigest(t *testing.T) {
 	digest, ran := golden.NewDigest(), 0
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 30))
--- a/internal/eventloop/wheel_test.go
+++ b/internal/eventloop/wheel_test.go
@@ -11,18 +11,18 @@
 	"glenport/internal/testutil"
 )
 
-// wheelModel is a wheel and the plain list of timers that it is compared with.
+// wheelModel is a wheel and a list of timers that serves as its reference model.
 type wheelModel struct {
 	t     *rapid.T
 	wheel *TimerWheel
 	now   Tick
-	last  Tick // expiry of the timer that ran last in this Advance
+	last  Tick // expiry of the last timer that ran in this Advance
 	items []*wheelItem
 }
 
 type wheelItem struct {
 	expiry Tick
-	timer  *Timer // nil: has run or was cancelled
+	timer  *Timer // nil: the timer has run or was cancelled
 }
 
 func (m *wheelModel) schedule() {
@@ -72,8 +72,8 @@
 	}
 }
 
-// Every timer runs once, in the first Advance to its expiry or later, never before, in order of expiry; NextExpiry is
-// never late.
+// Every timer runs exactly once, in the first Advance to its expiry or later, in order of expiry. NextExpiry is never
+// later than the first expiry.
 func TestWheelRunsTimersAsItsModelDoes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := Tick(rapid.Int64Range(0, 1<<40).Draw(t, "start"))
@@ -108,7 +108,7 @@
 	}
 }
 
-// heapTimer is a timer of timerHeap, the binary heap that the benchmark compares the wheel with.
+// heapTimer is a timer of timerHeap, the binary heap with which the benchmark compares the wheel.
 type heapTimer struct {
 	at    Tick
 	index int
@@ -135,8 +135,8 @@
 	return x
 }
 
-// One step is what an attempt does: a timer is scheduled, and one scheduled before is cancelled, as most attempts are
-// answered before their timeout. The delay is up to 6 s.
+// Each step schedules a timer with a delay of up to 6 s and cancels an earlier one. This is the load of placement
+// attempts, most of which are answered before their timeout.
 func BenchmarkTimers(b *testing.B) {
 	for _, n := range []int{1e3, 1e4, 1e5, 1e6} {
 		b.Run(fmt.Sprintf("wheel/%d", n), func(b *testing.B) { benchmarkWheel(b, n) })
