--- a/internal/protocol/client.go
+++ b/internal/protocol/client.go
@@ -1,6 +1,6 @@
 package protocol
 
-// Verdict is the one answer of a scheduler to a placement request.
+// Verdict is the reply of a scheduler to a placement request.
 type Verdict uint8
 
 // The verdicts.
@@ -8,7 +8,7 @@
 	VerdictPlaced      Verdict = 1 + iota
 	VerdictRejected            // may be retried after PlacementReply.RetryAfter
 	VerdictFailed              // no further attempt is made
-	VerdictNotAdmitted         // the request was not considered; the message says why
+	VerdictNotAdmitted         // the request was not considered; the message gives the reason
 	verdictCount
 )
 
@@ -17,32 +17,35 @@
 // String is the name of the verdict in docs/protocol.md.
 func (v Verdict) String() string { return enumName(verdictNames, int(v)) }
 
-// Submit asks for a container. One PlacementReply answers, and after VerdictPlaced one Termination follows.
+// Submit requests the placement of a container. One PlacementReply answers it, and one Termination follows a
+// VerdictPlaced.
 type Submit struct {
 	_              struct{}      `cbor:",toarray"`
 	TimeToDeadline Duration      `cbor:"Left"`
 	Spec           ContainerSpec `cbor:"Work"`
 }
 
-// CancelContainer ends a container, by its ID or, if that is not known, by the key it runs under.
+// CancelContainer stops a container. It is identified by its ID or, if the scheduler does not know the ID, by its
+// idempotency key.
 type CancelContainer struct {
 	_              struct{} `cbor:",toarray"`
 	ContainerID    string   `cbor:"Container"`
 	IdempotencyKey string   `cbor:"Key"` // may be empty
 }
 
-// Lookup asks what runs under a key and starts nothing. A PlacementReply answers: VerdictPlaced with the machine,
-// VerdictRejected if nothing runs, VerdictNotAdmitted while that is not certain.
+// Lookup asks for the container that runs under an idempotency key; it starts nothing. A PlacementReply answers it:
+// VerdictPlaced with the machine, VerdictRejected if no container runs, VerdictNotAdmitted while that is not certain.
 type Lookup struct {
 	_              struct{} `cbor:",toarray"`
 	ContainerID    string   `cbor:"Container"`
 	IdempotencyKey string   `cbor:"Key"`
 }
 
-// MessageCancelled is the message of a VerdictFailed that answers a CancelContainer: nothing runs, or will.
+// MessageCancelled is the message of a VerdictFailed that answers a CancelContainer. The container does not run and
+// will not be started.
 const MessageCancelled = "cancelled"
 
-// PlacementReply answers a Submit or a Lookup, or a CancelContainer by key of a container that does not run.
+// PlacementReply answers a Submit, a Lookup, or a CancelContainer by key if the container does not run.
 type PlacementReply struct {
 	_           struct{} `cbor:",toarray"`
 	ContainerID string   `cbor:"Container"`
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -6,19 +6,19 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Largest frames that a side accepts, in bytes after the length.
+// Maximum frame sizes that a receiver accepts, in bytes after the length.
 const (
 	MaxClientFrame = 64 << 10 // from clients
-	MaxFrame       = 16 << 20 // a list of some 200,000 machines
+	MaxFrame       = 16 << 20 // fits a list of about 200,000 machines
 )
 
 const (
-	lengthSize = 4 // bytes of the length in front of a frame
+	lengthSize = 4 // bytes of the length that precedes a frame
 	kindSize   = 1
 
-	maxElements   = 1 << 20 // of an array, and the largest count
-	maxMapPairs   = 64
-	maxNestedness = 6
+	maxElements     = 1 << 20 // maximum length of an array and maximum value of a count
+	maxMapPairs     = 64
+	maxNestingDepth = 6
 )
 
 var (
@@ -26,14 +26,14 @@
 	decoder = must(cbor.DecOptions{
 		MaxArrayElements: maxElements,
 		MaxMapPairs:      maxMapPairs,
-		MaxNestedLevels:  maxNestedness,
+		MaxNestedLevels:  maxNestingDepth,
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
 		IndefLength:      cbor.IndefLengthForbidden,
 		TagsMd:           cbor.TagsForbidden,
 	}.DecMode())
 )
 
-// must returns the value of a call that only fails for invalid constants.
+// must returns value and panics on an error, which only invalid constants can cause.
 func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
@@ -41,7 +41,7 @@
 	return value
 }
 
-// Append appends the encoding of a frame, with its length, to data. It returns data unchanged with an error.
+// Append appends the encoding of a frame, with its length, to data. On an error it returns data unchanged.
 func Append(data []byte, f Frame) ([]byte, error) {
 	if err := f.validate(); err != nil {
 		return data, &FrameError{Name(f), err}
--- a/internal/protocol/connection.go
+++ b/internal/protocol/connection.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Role is the part that a side of a connection plays.
+// Role is the role of one side of a connection.
 type Role uint8
 
 // The roles.
@@ -26,20 +26,20 @@
 	Version     uint     `cbor:"Version"`
 	Role        Role     `cbor:"Role"`
 	Name        string   `cbor:"Name"`
-	Incarnation uint64   `cbor:"Life"` // grows with each start of the process of that name
+	Incarnation uint64   `cbor:"Life"` // increases with each start of the process of this name
 }
 
-// NewHello returns the Hello of this version for one side.
+// NewHello returns the Hello of one side, with the version of this package.
 func NewHello(role Role, name string, incarnation uint64) *Hello {
 	return &Hello{Magic: helloMagic, Version: Version, Role: role, Name: name, Incarnation: incarnation}
 }
 
-// Heartbeat keeps an idle connection from being taken for a dead one.
+// Heartbeat shows that an idle connection is alive.
 type Heartbeat struct {
 	_ struct{} `cbor:",toarray"`
 }
 
-// Goodbye tells why the connection is about to be closed.
+// Goodbye announces that the sender is about to close the connection, with the reason.
 type Goodbye struct {
 	_       struct{} `cbor:",toarray"`
 	Message string   `cbor:"Text"`
--- a/internal/protocol/container.go
+++ b/internal/protocol/container.go
@@ -9,7 +9,7 @@
 const (
 	OutcomeFinished Outcome = iota
 	OutcomeErrored
-	OutcomeFull // the machine had no room; the container never ran
+	OutcomeFull // the machine had no capacity; the container never ran
 	OutcomeStopped
 	OutcomeLost // with its machine or the connection to it
 	outcomeCount
@@ -28,10 +28,11 @@
 	OutcomeLost:     scheduler.OutcomeLost,
 }
 
-// SchedulerOutcome is the outcome as the scheduler's decisions know it.
+// SchedulerOutcome converts the outcome to the type of package scheduler.
 func (o Outcome) SchedulerOutcome() scheduler.Outcome { return schedulerOutcomes[o] }
 
-// OutcomeFromScheduler is the outcome that a client is sent. What the protocol has no value for is OutcomeLost.
+// OutcomeFromScheduler converts an outcome of package scheduler for a client. An outcome without a protocol value
+// becomes OutcomeLost.
 func OutcomeFromScheduler(outcome scheduler.Outcome) Outcome {
 	for o, known := range schedulerOutcomes {
 		if known == outcome {
@@ -62,7 +63,7 @@
 // String is the name of the reason in docs/protocol.md.
 func (r Reason) String() string { return enumName(reasonNames, int(r)) }
 
-// ContainerSpec describes a container that is to run.
+// ContainerSpec describes a container to be run.
 type ContainerSpec struct {
 	_               struct{} `cbor:",toarray"`
 	ContainerID     string   `cbor:"Container"`
@@ -72,9 +73,9 @@
 	Tenant          int      `cbor:"Customer"`
 	Cores           float64  `cbor:"Cores"`
 	Memory          float64  `cbor:"Memory"` // GiB
-	DedupWindow     Duration `cbor:"Window"` // repeats of the key are dropped for so long; 0: the work has no such key
+	DedupWindow     Duration `cbor:"Window"` // duplicates of the key are dropped within it; 0: none are
 	ExpectedRuntime Duration `cbor:"RunFor"` // 0: unknown
-	ClientRetry     bool     `cbor:"Again"`  // the client has submitted it before
+	ClientRetry     bool     `cbor:"Again"`  // the client has submitted the container before
 }
 
 func (s *ContainerSpec) validate(v *validator) {
@@ -89,7 +90,7 @@
 	v.duration("run for", s.ExpectedRuntime)
 }
 
-// validateOutcome checks how an attempt or a container ended.
+// validateOutcome checks the outcome and the reason of the end of an attempt or a container.
 func validateOutcome(v *validator, outcome Outcome, reason Reason) {
 	v.enum("outcome", int(outcome), 0, int(outcomeCount))
 	v.enum("reason", int(reason), 0, int(reasonCount))
--- a/internal/protocol/errors.go
+++ b/internal/protocol/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// ErrEmptyFrame reports a frame without a kind.
+// ErrEmptyFrame reports a frame of length 0, which lacks a kind.
 var ErrEmptyFrame = errors.New("empty frame")
 
 // FrameError reports a frame that cannot be decoded, or that holds a value out of range.
@@ -19,7 +19,7 @@
 
 // FieldError reports a field that holds a value out of range.
 type FieldError struct {
-	Field   string // in the words of docs/protocol.md
+	Field   string // as docs/protocol.md calls it
 	Problem string
 }
 
@@ -27,7 +27,7 @@
 
 // SizeError reports a frame that is larger than the receiver accepts.
 type SizeError struct {
-	Frame string // name in docs/protocol.md, or "frame" while its kind is not known
+	Frame string // name in docs/protocol.md, or "frame" if its kind is not known yet
 	Size  int    // bytes after the length
 	Limit int
 }
@@ -41,7 +41,7 @@
 
 func (e *UnknownKindError) Error() string { return fmt.Sprintf("unknown sort of frame %d", e.Kind) }
 
-// OutOfTurnError reports a connection that does not begin with a Hello, or a second Hello.
+// OutOfTurnError reports a first frame that is not a Hello, or a second Hello on the same connection.
 type OutOfTurnError struct{ Frame string }
 
 func (e *OutOfTurnError) Error() string { return e.Frame + " out of turn" }
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -19,7 +19,7 @@
 	frame Frame
 }
 
-// goldenSpec has a distinct value in each field.
+// goldenSpec returns a spec with a distinct value in each field.
 func goldenSpec(n int) ContainerSpec {
 	return ContainerSpec{
 		ContainerID:     fmt.Sprint("container-", n),
@@ -35,8 +35,8 @@
 	}
 }
 
-// goldenFrames has each kind of frame with a distinct value in every field, each value of each enumeration, and the
-// limits, in the order of the golden file.
+// goldenFrames returns each kind of frame with a distinct value in every field, frames for all values of each
+// enumeration, and frames at the limits, in the order of the golden file.
 func goldenFrames() []namedFrame {
 	return slices.Concat(goldenConnectionFrames(), goldenMachineFrames(), goldenListFrames(), goldenClientFrames(),
 		goldenStatusFrames(), goldenEnumerations(), goldenLimits())
@@ -185,7 +185,7 @@
 	}
 }
 
-// The bytes of each frame on the wire are those of version 1 of the protocol, in both directions.
+// Each frame is encoded to and decoded from the recorded bytes of version 1 of the protocol.
 func TestFramesKeepTheirBytes(t *testing.T) {
 	const head = "Frames of protocol version 1: number and name, fields in their order on the wire\n" +
 		"(names as in docs/protocol.md), bytes with the length in front.\n"
@@ -206,7 +206,7 @@
 	}
 }
 
-// checkGoldenFrame decodes a recorded frame, compares its values, and encodes it again.
+// checkGoldenFrame decodes a recorded frame, compares its values, and compares the bytes of its encoding.
 func checkGoldenFrame(t *testing.T, want section, known Frame) {
 	t.Helper()
 	number := want.bytes[lengthSize]
@@ -224,7 +224,7 @@
 	}
 }
 
-// A report of several values has no order on the wire, so only its decoding is compared.
+// The values of a report have no fixed order on the wire, so only the decoding of several values is checked.
 func TestReportOfSeveralValuesIsDecoded(t *testing.T) {
 	const code = "0484190bb90000" + "a3" + "6162fb3ff8000000000000" + "6161fb4004000000000000" + "6163f93c00"
 	p, err := hex.DecodeString(code)
--- a/internal/protocol/invalid_test.go
+++ b/internal/protocol/invalid_test.go
@@ -13,10 +13,10 @@
 
 const invalidFile = "testdata/invalid_frames.txt"
 
-// goType matches Go's names of types, which are no part of the recorded errors.
+// goType matches names of Go types, which the recorded errors do not contain.
 var goType = regexp.MustCompile(`\*?\b[a-z]+\.[A-Z]\w*`)
 
-// errorText is the text of an error as it is recorded, with FRAME in place of the name of a frame or a type.
+// errorText is the recorded form of an error's text, with FRAME in place of the name of a frame or type.
 func errorText(err error) string {
 	if err == nil {
 		return "none\n"
@@ -32,7 +32,7 @@
 	return text + "\n"
 }
 
-// frameOf is the name of the frame that an error is about, or empty.
+// frameOf is the name of the frame to which an error refers, or empty.
 func frameOf(err error) string {
 	var frame *FrameError
 	var size *SizeError
@@ -48,8 +48,7 @@
 	return ""
 }
 
-// Each frame that is out of range or malformed is refused, when it is received and when it is to be sent, with the
-// error that was recorded.
+// Decoding a malformed frame, or one with a value out of range, returns the recorded error.
 func TestInvalidFramesKeepTheirErrors(t *testing.T) {
 	const head = "Frames that are refused (some that just pass): the error, " +
 		"where FRAME stands for a name in Go,\nand the bytes without the length in front.\n"
@@ -70,7 +69,7 @@
 	}
 }
 
-// What is refused when it is received is not sent either.
+// Append refuses the frames that Decode refuses, with the same error.
 func TestInvalidFramesAreNotSent(t *testing.T) {
 	for _, invalid := range invalidFrames(t) {
 		if len(invalid.body) == 0 {
@@ -84,6 +83,6 @@
 		b, sent := Append([]byte("before"), f)
 		testutil.Expect(t, errorText(received) == errorText(sent),
 			"%s: received with %v, sent with %v", invalid.title, received, sent)
-		testutil.Expect(t, sent == nil || string(b) == "before", "%s: what stood before is now %q", invalid.title, b)
+		testutil.Expect(t, sent == nil || string(b) == "before", "%s: data before the frame: %q", invalid.title, b)
 	}
 }
--- a/internal/protocol/invalidframes_test.go
+++ b/internal/protocol/invalidframes_test.go
@@ -11,7 +11,7 @@
 	"glenport/internal/testutil"
 )
 
-// invalidFrame is a frame that is to be refused.
+// invalidFrame is a frame that the decoder must refuse, or that is just valid if its title says so.
 type invalidFrame struct {
 	title string
 	body  []byte // frame number and CBOR, without the length
@@ -23,7 +23,7 @@
 	all []invalidFrame
 }
 
-// raw adds a frame given in hexadecimal digits.
+// raw adds a frame that is given in hexadecimal.
 func (s *invalidSet) raw(title, code string) {
 	s.t.Helper()
 	body, err := hex.DecodeString(code)
@@ -31,7 +31,7 @@
 	s.all = append(s.all, invalidFrame{title, body})
 }
 
-// add adds a frame that the codec would not send.
+// add adds a frame that Append would refuse to encode.
 func (s *invalidSet) add(title string, f Frame) {
 	s.t.Helper()
 	body, err := encoder.Marshal(f)
@@ -39,7 +39,7 @@
 	s.all = append(s.all, invalidFrame{title, append([]byte{byte(f.kind())}, body...)})
 }
 
-// addSpec adds each frame that holds a container's spec, with one that was changed.
+// addSpec adds all frames that hold the spec of a container, with a changed spec.
 func (s *invalidSet) addSpec(title string, change func(*ContainerSpec)) {
 	s.t.Helper()
 	spec := goldenSpec(1)
@@ -50,7 +50,7 @@
 	s.add("Inventory, "+title, &Inventory{Containers: []InventoryItem{{Spec: goldenSpec(2)}, {Spec: spec}}})
 }
 
-// addEntry adds a list update whose second entry was changed.
+// addEntry adds a MachineListUpdate with a changed second entry.
 func (s *invalidSet) addEntry(title string, change func(*MachineEntry)) {
 	s.t.Helper()
 	entry := MachineEntry{Machine: "m", Address: "a"}
@@ -60,9 +60,9 @@
 }
 
 var (
-	longName  = strings.Repeat("n", 201)
-	notNumber = math.NaN()
-	infinity  = math.Inf(1)
+	longName   = strings.Repeat("n", 201)
+	notANumber = math.NaN()
+	infinity   = math.Inf(1)
 )
 
 const (
@@ -70,7 +70,7 @@
 	tooLarge = 1<<20 + 1
 )
 
-// invalidFrames has each way in which a frame may be refused, in the order of the golden file.
+// invalidFrames returns a frame for each reason for which frames are refused, in the order of the golden file.
 func invalidFrames(t *testing.T) []invalidFrame {
 	t.Helper()
 	s := &invalidSet{t: t}
@@ -143,7 +143,7 @@
 	s.addSpec("customer below 0", func(w *ContainerSpec) { w.Tenant = -1 })
 	s.addSpec("customer too large", func(w *ContainerSpec) { w.Tenant = tooLarge })
 	s.addSpec("cores below 0", func(w *ContainerSpec) { w.Cores = -0.5 })
-	s.addSpec("cores no number", func(w *ContainerSpec) { w.Cores = notNumber })
+	s.addSpec("cores no number", func(w *ContainerSpec) { w.Cores = notANumber })
 	s.addSpec("memory below 0", func(w *ContainerSpec) { w.Memory = -0.5 })
 	s.addSpec("memory without bounds", func(w *ContainerSpec) { w.Memory = infinity })
 	s.addSpec("window below 0", func(w *ContainerSpec) { w.DedupWindow = -1 })
@@ -159,7 +159,7 @@
 	s.add("Result, reason 8", &Result{Reason: 8})
 	s.add("Result, report without a name", &Result{Report: map[string]float64{"": 1}})
 	s.add("Result, report with a long name", &Result{Report: map[string]float64{longName: 1}})
-	s.add("Result, report with no number", &Result{Report: map[string]float64{"a": notNumber}})
+	s.add("Result, report with no number", &Result{Report: map[string]float64{"a": notANumber}})
 	s.add("UsageReport, metric 0", &UsageReport{})
 	s.add("UsageReport, metric 6", &UsageReport{Metric: 6})
 	s.add("UsageReport, value below 0", &UsageReport{Metric: 1, Value: -1})
@@ -177,16 +177,16 @@
 	s.addEntry("kind below 0", func(e *MachineEntry) { e.MachineType = -1 })
 	s.addEntry("cell too large", func(e *MachineEntry) { e.RackGroup = tooLarge })
 	s.addEntry("state 3", func(e *MachineEntry) { e.State = 3 })
-	s.addEntry("free cores no number", func(e *MachineEntry) { e.FreeCores = notNumber })
+	s.addEntry("free cores no number", func(e *MachineEntry) { e.FreeCores = notANumber })
 	s.addEntry("free memory no number", func(e *MachineEntry) { e.FreeMemory = infinity })
-	s.addEntry("hint no number", func(e *MachineEntry) { e.PowerHint = notNumber })
+	s.addEntry("hint no number", func(e *MachineEntry) { e.PowerHint = notANumber })
 	s.addEntry("age too long", func(e *MachineEntry) { e.Age = tooLong })
 }
 
 func (s *invalidSet) addStatus() {
 	s.add("Submit, time left below 0", &Submit{TimeToDeadline: -1, Spec: goldenSpec(1)})
 	s.add("Submit, time left too long", &Submit{TimeToDeadline: tooLong, Spec: goldenSpec(1)})
-	s.add("ExplainReply, share no number", &ExplainReply{FullRatio: notNumber})
+	s.add("ExplainReply, share no number", &ExplainReply{FullRatio: notANumber})
 	for i := range 13 {
 		why := ExplainReply{}
 		reflect.ValueOf(&why).Elem().Field(3 + i).SetInt(int64([]int{-1, 1<<20 + 1}[i%2]))
@@ -212,6 +212,6 @@
 	s.add("Termination, outcome 5", &Termination{ContainerID: "c", Outcome: 5})
 	s.add("Termination, reason 8", &Termination{ContainerID: "c", Reason: 8})
 	s.add("StatusReply, no name of a value", &StatusReply{Stats: []Stat{{Value: 1}}})
-	stats := []Stat{{Name: "a", Value: 1}, {Name: "open", Value: notNumber}}
+	stats := []Stat{{Name: "a", Value: 1}, {Name: "open", Value: notANumber}}
 	s.add("StatusReply, value no number", &StatusReply{Stats: stats})
 }
--- a/internal/protocol/limits_test.go
+++ b/internal/protocol/limits_test.go
@@ -9,12 +9,12 @@
 	"glenport/internal/testutil"
 )
 
-// Sizes of frames are limits that both sides know.
+// Both sides of a connection rely on the same limits of the frame size.
 func TestFrameSizesAreLimited(t *testing.T) {
 	testutil.Expect(t, MaxClientFrame == 65536 && MaxFrame == 16777216 && Version == 1,
 		"limits %d and %d, version %d", MaxClientFrame, MaxFrame, Version)
 	if _, err := Append(nil, goodbyeOfSize(t, MaxFrame)); err != nil {
-		t.Errorf("the largest frame is not sent: %v", err)
+		t.Errorf("the largest frame is refused: %v", err)
 	}
 	larger := goodbyeOfSize(t, MaxFrame)
 	larger.Message += "x"
@@ -24,7 +24,7 @@
 		maxSize, hellos, size int
 		want                  string
 	}{
-		{0, 0, 1024, "FRAME out of turn\n"}, // accepted, but it is no Hello
+		{0, 0, 1024, "FRAME out of turn\n"}, // within the limit, but not a Hello
 		{0, 0, 1025, "frame of 1025 bytes is over the limit of 1024\n"},
 		{0, 1, 1025, "none\n"},
 		{MaxClientFrame, 1, MaxClientFrame, "none\n"},
@@ -40,7 +40,7 @@
 	testutil.Equal(t, errorText(err), "frame of 104 bytes is over the limit of 50\n", "read with a limit of 50")
 }
 
-// goodbyeOfSize returns a frame of so many bytes after its length.
+// goodbyeOfSize returns a frame with the given number of bytes after the length.
 func goodbyeOfSize(t *testing.T, size int) *Goodbye {
 	t.Helper()
 	for overhead := 3; overhead <= 7; overhead++ { // the length of the text takes one to five bytes
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// Names of the enumerated values stand in logs and in what the commands print.
+// Logs and the output of commands contain the names of enumerated values, so they must not change.
 func TestEnumeratedValuesKeepTheirTexts(t *testing.T) {
 	var got []string
 	for i := range 6 {
@@ -69,7 +69,7 @@
 	testutil.Expect(t, s == want, "got\n%s, want\n%s", s, want)
 }
 
-// Names of frames stand in the errors that a peer is sent, as docs/protocol.md has them.
+// Errors that are sent to a peer contain the names of frames, which are those of docs/protocol.md.
 func TestFramesHaveTheNamesOfTheProtocolPage(t *testing.T) {
 	var got []string
 	for number := range 256 {
--- a/internal/protocol/machine.go
+++ b/internal/protocol/machine.go
@@ -1,10 +1,10 @@
 package protocol
 
-// Offer is an attempt of a scheduler to start a container on a machine.
+// Offer carries an attempt of a scheduler to place a container on a machine.
 type Offer struct {
 	_         struct{}      `cbor:",toarray"`
-	AttemptID uint64        `cbor:"Bid"`  // unique in one incarnation of a scheduler
-	Timeout   Duration      `cbor:"Wait"` // the offer lapses if the container has not started by then
+	AttemptID uint64        `cbor:"Bid"`  // unique within an incarnation of the scheduler
+	Timeout   Duration      `cbor:"Wait"` // the offer expires if the container has not started by then
 	Spec      ContainerSpec `cbor:"Work"`
 }
 
@@ -12,7 +12,7 @@
 type Accept struct {
 	_         struct{} `cbor:",toarray"`
 	AttemptID uint64   `cbor:"Bid"`
-	Running   bool     `cbor:"Running"` // false: accepted, and not started yet
+	Running   bool     `cbor:"Running"` // false: accepted but not started yet
 }
 
 // Result ends an attempt, with or without an Accept before it.
@@ -21,10 +21,10 @@
 	AttemptID uint64             `cbor:"Bid"`
 	Outcome   Outcome            `cbor:"Outcome"`
 	Reason    Reason             `cbor:"Reason"`
-	Report    map[string]float64 `cbor:"Report"` // the load of the machine, by the names it uses
+	Report    map[string]float64 `cbor:"Report"` // load of the machine, by names that the machine chooses
 }
 
-// UsageMetric is what a UsageReport measures. The values are those of scheduler.UsageMetric.
+// UsageMetric is the metric of a UsageReport. The values are those of scheduler.UsageMetric.
 type UsageMetric = uint8
 
 // The metrics.
@@ -32,8 +32,8 @@
 	MetricRunning       UsageMetric = 1 + iota // the container runs
 	MetricCoresUsed                            // cores
 	MetricMemoryUsed                           // GiB
-	MetricServedShare                          // of full service
-	MetricMachineMemory                        // share of the machine's memory in use
+	MetricServedShare                          // ratio of delivered to full service
+	MetricMachineMemory                        // fraction of the machine's memory in use
 )
 
 // UsageReport is a measurement of a running container.
@@ -44,8 +44,8 @@
 	Value     float64     `cbor:"Amount"`
 }
 
-// CancelAttempt cancels an attempt, whether its container waits or runs. A Result with OutcomeStopped follows if the
-// machine knew the attempt.
+// CancelAttempt cancels an attempt, whether its container is waiting or running. A Result with OutcomeStopped follows
+// if the machine knows the attempt.
 type CancelAttempt struct {
 	_                    struct{} `cbor:",toarray"`
 	SchedulerIncarnation uint64   `cbor:"Life"`
@@ -65,11 +65,11 @@
 	Report map[string]float64 `cbor:"Report"` // as in Result
 }
 
-// Inventory follows the Hello of a machine: all containers that it has accepted from the scheduler of that name, in any
-// of its incarnations.
+// Inventory follows the Hello of a machine. It lists all containers that the machine has accepted from any incarnation
+// of the scheduler at the other end of the connection.
 type Inventory struct {
 	_                  struct{}        `cbor:",toarray"`
-	MachineIncarnation uint64          `cbor:"Incarnation"` // grows with each start of the machine
+	MachineIncarnation uint64          `cbor:"Incarnation"` // increases with each start of the machine
 	Containers         []InventoryItem `cbor:"Held"`
 }
 
--- a/internal/protocol/machinelist.go
+++ b/internal/protocol/machinelist.go
@@ -23,14 +23,14 @@
 	_ struct{} `cbor:",toarray"`
 }
 
-// WatchMachineList asks for the changes after a version, as they come, or for no more of them.
+// WatchMachineList subscribes to the changes after a version, or ends the subscription.
 type WatchMachineList struct {
 	_            struct{} `cbor:",toarray"`
 	Enabled      bool     `cbor:"On"`
 	SinceVersion int64    `cbor:"Since"`
 }
 
-// MachineListUpdate is the whole list, or the entries that have changed.
+// MachineListUpdate holds the whole list, or the entries that have changed.
 type MachineListUpdate struct {
 	_            struct{}       `cbor:",toarray"`
 	FullSnapshot bool           `cbor:"Whole"`
@@ -50,11 +50,11 @@
 	FreeCores   float64      `cbor:"FreeCores"`
 	FreeMemory  float64      `cbor:"FreeMemory"` // GiB
 	PowerHint   float64      `cbor:"Hint"`
-	Incarnation uint64       `cbor:"Incarnation"` // grows with each start of the machine
-	Age         Duration     `cbor:"Age"`         // since that start; below 0: long ago
+	Incarnation uint64       `cbor:"Incarnation"` // increases with each start of the machine
+	Age         Duration     `cbor:"Age"`         // since that start; negative: long ago
 }
 
-// MachineListError answers in place of a MachineListUpdate.
+// MachineListError is sent instead of a MachineListUpdate if the list is not available.
 type MachineListError struct {
 	_       struct{} `cbor:",toarray"`
 	Message string   `cbor:"Text"`
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -1,14 +1,14 @@
 // Package protocol is the framed protocol between schedulers, machines, the machine list and clients. docs/protocol.md
 // describes it.
 //
-// A frame is a length of four bytes, big-endian, one byte for its kind, and a CBOR array of its fields in order. The
-// kinds and the order of the fields are the wire format; the cbor tags hold the names that the page gives to the
-// fields, for errors. Memory is in GiB.
+// A frame consists of a length of four bytes in big-endian order, one byte for its kind, and a CBOR array of its fields
+// in order. The kinds and the order of the fields are the wire format. The cbor tags hold the names of the fields in
+// docs/protocol.md, for use in errors. Memory is in GiB.
 package protocol
 
 import "fmt"
 
-// Version of the protocol; both sides of a connection must name the same.
+// Version is the version of the protocol. Both sides of a connection must use the same.
 const Version = 1
 
 const helloMagic = "glenport"
@@ -19,7 +19,7 @@
 // maxDuration is a year.
 const maxDuration = Duration(365 * 24 * 3600 * 10_000)
 
-// Frame is one message, as a pointer to one of the structs of this package.
+// Frame is one message. Its implementations are pointers to structs of this package.
 type Frame interface {
 	kind() kind
 	validate() error
@@ -28,7 +28,7 @@
 // Name returns the name of a frame in docs/protocol.md.
 func Name(f Frame) string { return frameTypes[f.kind()].name }
 
-// kind is the byte of a frame on the wire. 19 was in use once.
+// kind is the byte that identifies the type of a frame on the wire. Kind 19 is no longer in use.
 type kind byte
 
 const (
@@ -60,13 +60,13 @@
 	kindLookup            kind = 27
 )
 
-// frameType is what the codec knows of a kind of frame.
+// frameType describes a kind of frame to the codec.
 type frameType struct {
 	name     string // in docs/protocol.md
 	newFrame func() Frame
 }
 
-// frameTypes holds the type of each kind; unused kinds have none.
+// frameTypes holds the frame type of each kind. Entries of unused kinds are empty.
 var frameTypes = [...]frameType{
 	kindHello:             {"Hello", func() Frame { return new(Hello) }},
 	kindOffer:             {"Offer", func() Frame { return new(Offer) }},
--- a/internal/protocol/reader.go
+++ b/internal/protocol/reader.go
@@ -5,21 +5,23 @@
 	"io"
 )
 
-// maxHello is the limit until a Hello has been read: a peer that is not known yet gets no larger buffer.
+// maxHello is the limit of the frame size, in bytes, until a Hello has been read: a peer that has not identified itself
+// cannot make the reader allocate a larger buffer.
 const maxHello = 1 << 10
 
-// Reader cuts a stream into frames. The first frame must be a Hello, and no other may be one. The first error ends it.
+// Reader splits a stream into frames. The first frame must be a Hello, and no later frame may be one. After the first
+// error the reader returns this error only.
 type Reader struct {
-	MaxSize int // of a frame in bytes after its length; 0 means MaxFrame
+	MaxSize int // of a frame, in bytes after the length; 0 means MaxFrame
 
-	partial   []byte // of a frame that is not complete
+	partial   []byte // bytes of an incomplete frame
 	helloSeen bool
 	err       error
 }
 
-// Feed takes the next bytes of the stream and calls each for every frame that they complete. An error of each ends the
-// reader like one of the stream.
-func (r *Reader) Feed(data []byte, each func(Frame) error) error {
+// Feed processes the next bytes of the stream and calls handle for every frame that they complete. An error that handle
+// returns ends the reader like an error in the stream.
+func (r *Reader) Feed(data []byte, handle func(Frame) error) error {
 	if r.err != nil {
 		return r.err
 	}
@@ -37,14 +39,14 @@
 			return nil
 		}
 		data = data[size:]
-		if err := each(f); err != nil {
+		if err := handle(f); err != nil {
 			return r.fail(err)
 		}
 	}
 }
 
-// next decodes the frame at the start of data and returns its size with its length; the frame is nil if it is not
-// complete.
+// next decodes the frame at the start of data. It returns the frame and its size including the length prefix, or a nil
+// frame if the frame is incomplete.
 func (r *Reader) next(data []byte) (f Frame, size int, err error) {
 	if len(data) < lengthSize {
 		return nil, 0, nil
@@ -68,7 +70,7 @@
 	return f, size, nil
 }
 
-// frameLength reads the length in front of a frame and compares it with a limit.
+// frameLength reads the length that precedes a frame and checks it against a limit.
 func frameLength(data []byte, limit int) (int, error) {
 	length := int(binary.BigEndian.Uint32(data))
 	if length > limit {
@@ -77,7 +79,7 @@
 	return length, nil
 }
 
-// Buffered is the number of bytes of an incomplete frame.
+// Buffered is the number of buffered bytes of an incomplete frame.
 func (r *Reader) Buffered() int { return len(r.partial) }
 
 func (r *Reader) sizeLimit() int {
@@ -95,7 +97,7 @@
 	return err
 }
 
-// ReadFrame reads one frame of at most maxSize bytes from a blocking stream.
+// ReadFrame reads one frame of at most maxSize bytes after the length from a blocking stream.
 func ReadFrame(in io.Reader, maxSize int) (Frame, error) {
 	var prefix [lengthSize]byte
 	if _, err := io.ReadFull(in, prefix[:]); err != nil {
--- a/internal/protocol/reader_test.go
+++ b/internal/protocol/reader_test.go
@@ -17,7 +17,7 @@
 	Cores: 0.5, Memory: 1.25, DedupWindow: 80000, ExpectedRuntime: 120, ClientRetry: true,
 }
 
-// samples has the golden frames of each kind, but one Hello alone, which comes first.
+// samples returns the golden frames, except that it begins with a Hello and contains no other one.
 func samples() []Frame {
 	var frames []Frame
 	for _, known := range goldenFrames() {
@@ -28,7 +28,7 @@
 	return frames
 }
 
-// stream encodes frames one after the other.
+// stream returns the concatenated encodings of frames.
 func stream(tb testing.TB, frames ...Frame) []byte {
 	tb.Helper()
 	var data []byte
@@ -42,7 +42,7 @@
 
 func ignoreFrame(Frame) error { return nil }
 
-func TestFramesComeBackInWhateverPiecesTheStreamArrives(t *testing.T) {
+func TestReaderDecodesStreamsCutAtAnySize(t *testing.T) {
 	want := samples()
 	kinds := map[kind]bool{}
 	for _, f := range want {
@@ -105,12 +105,12 @@
 			err := r.Feed(tc.input, ignoreFrame)
 			testutil.Expect(t, err != nil && strings.Contains(err.Error(), tc.want), "got %v, want %s", err, tc.want)
 			again := r.Feed(hello, nil)
-			testutil.Expect(t, errors.Is(again, err), "goes on after an error: %v", again)
+			testutil.Expect(t, errors.Is(again, err), "the reader continues after an error: %v", again)
 		})
 	}
 }
 
-// Callers can tell the errors of a stream apart by their types.
+// Callers can distinguish the errors of a stream by their types.
 func TestErrorsAreTyped(t *testing.T) {
 	_, err := Decode(nil)
 	testutil.Expect(t, errors.Is(err, ErrEmptyFrame), "empty frame: %v", err)
@@ -149,7 +149,8 @@
 	}
 }
 
-// Whatever comes, a reader ends with frames or an error, and what it accepts it can encode again.
+// For any input, a reader returns the same frames and the same success or failure whether it is fed all bytes at once
+// or one by one, and every frame that it accepts can be encoded again.
 func FuzzReader(f *testing.F) {
 	frames := samples()
 	f.Add(stream(f, frames...))
@@ -158,21 +159,21 @@
 	}
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var whole, cut Reader
-		var wholeFrames, cutFrames []Frame
+		var whole, bytewise Reader
+		var wholeFrames, bytewiseFrames []Frame
 		wholeErr := whole.Feed(data, func(f Frame) error {
 			wholeFrames = append(wholeFrames, f)
 			return nil
 		})
-		var cutErr error
+		var bytewiseErr error
 		for i := range data {
-			cutErr = cut.Feed(data[i:i+1], func(f Frame) error {
-				cutFrames = append(cutFrames, f)
+			bytewiseErr = bytewise.Feed(data[i:i+1], func(f Frame) error {
+				bytewiseFrames = append(bytewiseFrames, f)
 				return nil
 			})
 		}
-		testutil.Require(t, len(wholeFrames) == len(cutFrames) && (wholeErr == nil) == (cutErr == nil),
-			"whole: %d frames, %v; cut: %d, %v", len(wholeFrames), wholeErr, len(cutFrames), cutErr)
+		testutil.Require(t, len(wholeFrames) == len(bytewiseFrames) && (wholeErr == nil) == (bytewiseErr == nil),
+			"whole: %d frames, %v; bytewise: %d, %v", len(wholeFrames), wholeErr, len(bytewiseFrames), bytewiseErr)
 		for _, f := range wholeFrames {
 			if _, err := Append(nil, f); err != nil {
 				t.Errorf("accepted, but not encoded: %v", err)
@@ -181,7 +182,7 @@
 	})
 }
 
-// An offer there and back, by the codec in use and by the standard library's JSON.
+// Encodes and decodes an offer, with the codec of this package and with the standard library's JSON.
 func BenchmarkOffer(b *testing.B) {
 	offer := &Offer{AttemptID: 9, Timeout: 3500, Spec: sampleSpec}
 	benchmarkCodec(b, "cbor",
--- a/internal/protocol/routes.go
+++ b/internal/protocol/routes.go
@@ -39,7 +39,7 @@
 	MinRunning      int      `cbor:"Least"`
 	Penalty         float64  `cbor:"Penalty"` // of route damping
 	Suppressed      bool     `cbor:"Suppressed"`
-	NextChangeIn    Duration `cbor:"Next"` // until a change that is delayed by pacing; 0: none is
+	NextChangeIn    Duration `cbor:"Next"` // until a change that pacing delays; 0: none is delayed
 }
 
 func (*RoutesRequest) kind() kind { return kindRoutesRequest }
--- a/internal/protocol/section_test.go
+++ b/internal/protocol/section_test.go
@@ -12,7 +12,7 @@
 	"glenport/internal/testutil"
 )
 
-// writeValues lists the values of a frame in their order on the wire, under the names of docs/protocol.md, which are
+// writeValues writes the values of a frame in their order on the wire, under their names in docs/protocol.md, which are
 // those of the cbor tags.
 func writeValues(out *strings.Builder, path string, v reflect.Value) {
 	switch v.Kind() {
@@ -74,7 +74,7 @@
 	return out.String()
 }
 
-// section is one entry of a golden file: a title, lines of text, and bytes.
+// section is one entry of a golden file, with a title, lines of text, and bytes.
 type section struct {
 	title, text string
 	bytes       []byte
@@ -98,8 +98,8 @@
 	return all
 }
 
-// recordedSections returns the sections of a file, which must have the titles of the known ones, in order. Where the
-// flag -update is given, it writes the file anew first.
+// recordedSections returns the sections of a golden file. They must have the titles of the known sections, in the same
+// order. With the flag -update, it first writes the known sections to the file.
 func recordedSections(t *testing.T, file, head string, known []section) []section {
 	t.Helper()
 	if golden.Updating() {
--- a/internal/protocol/status.go
+++ b/internal/protocol/status.go
@@ -1,6 +1,6 @@
 package protocol
 
-// StatusRequest asks a scheduler for its stats. A StatusReply answers.
+// StatusRequest asks a scheduler for its stats. A StatusReply answers it.
 type StatusRequest struct {
 	_ struct{} `cbor:",toarray"`
 }
@@ -12,7 +12,7 @@
 	Stats []Stat   `cbor:"Figures"`
 }
 
-// Stat is one named value.
+// Stat is one named value of a StatusReply.
 type Stat struct {
 	_     struct{} `cbor:",toarray"`
 	Name  string   `cbor:"Name"`
@@ -20,19 +20,19 @@
 	Unit  string   `cbor:"Unit"`
 }
 
-// ExplainRequest asks a scheduler what keeps a container like this from machines. An ExplainReply with the same number
-// answers.
+// ExplainRequest asks a scheduler why machines are not eligible for a container with this spec. An ExplainReply with
+// the same sequence number answers it.
 type ExplainRequest struct {
 	_    struct{}      `cbor:",toarray"`
 	Seq  uint64        `cbor:"Seq"`
 	Spec ContainerSpec `cbor:"Work"`
 }
 
-// ExplainReply counts machines by what excludes them, as scheduler.Explanation does.
+// ExplainReply counts machines by the reason for which they are excluded, as scheduler.Explanation does.
 type ExplainReply struct {
 	_                  struct{} `cbor:",toarray"`
 	Seq                uint64   `cbor:"Seq"`
-	Known              bool     `cbor:"Known"` // false: the scheduler cannot tell
+	Known              bool     `cbor:"Known"` // false: the scheduler has no explanation
 	Machines           int      `cbor:"Machines"`
 	Gone               int      `cbor:"Gone"`
 	WrongMachineType   int      `cbor:"OtherKind"`
@@ -47,8 +47,8 @@
 	InsufficientMemory int      `cbor:"NoMemory"`
 	Eligible           int      `cbor:"Free"`
 	SheddingLoad       bool     `cbor:"Yielding"`
-	FullRatio          float64  `cbor:"NoRoomShare"` // share of attempts that found no room
-	ListAge            Duration `cbor:"ListAge"`     // since the machine list's last update; below 0: there was none
+	FullRatio          float64  `cbor:"NoRoomShare"` // share of attempts that machines rejected as full
+	ListAge            Duration `cbor:"ListAge"`     // since the machine list's last update; negative: there was none
 }
 
 func (*StatusRequest) kind() kind  { return kindStatusRequest }
--- a/internal/protocol/validate.go
+++ b/internal/protocol/validate.go
@@ -4,10 +4,10 @@
 
 const (
 	maxNameLength = 200  // bytes
-	maxNumber     = 1e12 // magnitude of measured values
+	maxNumber     = 1e12 // maximum magnitude of measured values
 )
 
-// validator keeps the first problem that is found in a frame.
+// validator records the first problem found in a frame.
 type validator struct{ err error }
 
 func (v *validator) fail(field, problem string) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// size checks a number that is not below 0.
+// size checks a number that must not be negative.
 func (v *validator) size(field string, value float64) {
 	v.number(field, value)
 	if value < 0 {
@@ -51,14 +51,14 @@
 	}
 }
 
-// enum checks a value that is counted from first up to count.
+// enum checks that a value is at least first and below count.
 func (v *validator) enum(field string, value, first, count int) {
 	if value < first || value >= count {
 		v.fail(field, "is unknown")
 	}
 }
 
-// report checks a load report. Names are checked in no fixed order: which of several problems is found is chance.
+// report checks a load report. The order of the checks is random, so any of several problems may be reported.
 func (v *validator) report(report map[string]float64) {
 	for name, value := range report {
 		v.name("report", name)
