--- a/internal/storage/wal/change.go
+++ b/internal/storage/wal/change.go
@@ -6,7 +6,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Change sets a value, or removes it when Value is nil. It is stored as a CBOR array of its fields in order.
+// Change sets a value, or removes it if Value is nil. It is stored as a CBOR array of its fields in order.
 type Change struct {
 	_     struct{} `cbor:",toarray"`
 	Kind  string   `cbor:"Kind"`
@@ -14,11 +14,11 @@
 	Value []byte   `cbor:"Value"`
 }
 
-// Put returns the change that sets a value, encoded as CBOR. It panics if the type of the value has no encoding.
+// Put returns the change that sets a value, encoded as CBOR. It panics if the value cannot be encoded.
 func Put(kind, key string, value any) Change {
 	encoded, err := cbor.Marshal(value)
 	if err != nil {
-		panic(fmt.Sprintf("wal: %s has no encoding: %v", kind, err))
+		panic(fmt.Sprintf("wal: value of kind %s cannot be encoded: %v", kind, err))
 	}
 	return Change{Kind: kind, Key: key, Value: encoded}
 }
--- a/internal/storage/wal/checksummed_test.go
+++ b/internal/storage/wal/checksummed_test.go
@@ -13,7 +13,7 @@
 
 const replacedFile = "testdata/replaced.bin" // magic GOLDENF, version 3, "what it holds"
 
-// A file that is replaced as a whole has the bytes that it always had, and is read again.
+// WriteChecksummed writes the recorded bytes, and ReadChecksummed reads them.
 func TestReplacedFileKeepsItsBytes(t *testing.T) {
 	fs := faultfs.New()
 	testutil.NoError(t, WriteChecksummed(fs, "f", "GOLDENF", 3, []byte("what it holds")))
@@ -25,13 +25,13 @@
 		"version %d, %q, %v", version, body, err)
 }
 
-// A file that does not hold what was written, or is of a later version, is refused.
+// A damaged file, or one of a later version, is refused.
 func TestDamagedChecksummedFileIsRefused(t *testing.T) {
 	whole := testutil.ReadFile(t, replacedFile)
 	const (
-		noBeginning   = "f, at byte 0: it does not begin as such a file does"
-		missingBytes  = "f, at byte 8: 4 bytes follow where 13 should"
-		wrongChecksum = "f, at byte 12: its checksum is wrong"
+		invalidHeader = "f, at byte 0: the header is truncated or the magic is wrong"
+		missingBytes  = "f, at byte 8: the body has 4 bytes, but the header states 13"
+		wrongChecksum = "f, at byte 12: the checksum is wrong"
 		laterVersion  = "f is of version 3, this glenport knows 1: use the later one"
 	)
 	for title, tc := range map[string]struct {
@@ -39,8 +39,8 @@
 		known  byte
 		want   string
 	}{
-		"too short":        {func(p []byte) []byte { return p[:15] }, 3, noBeginning},
-		"another magic":    {func(p []byte) []byte { p[0] = 'X'; return p }, 3, noBeginning},
+		"too short":        {func(p []byte) []byte { return p[:15] }, 3, invalidHeader},
+		"another magic":    {func(p []byte) []byte { p[0] = 'X'; return p }, 3, invalidHeader},
 		"cut short":        {func(p []byte) []byte { return p[:20] }, 3, missingBytes},
 		"one bit":          {func(p []byte) []byte { p[20] ^= 1; return p }, 3, wrongChecksum},
 		"a later version":  {func(p []byte) []byte { return p }, 2, laterVersion},
--- a/internal/storage/wal/commit.go
+++ b/internal/storage/wal/commit.go
@@ -7,7 +7,7 @@
 	done    func(error)
 }
 
-// size is the number of bytes of keys and values.
+// size is the size of all keys and values in bytes.
 func (c commit) size() int {
 	size := 0
 	for _, change := range c.changes {
@@ -16,12 +16,12 @@
 	return size
 }
 
-// run writes commits, group by group, until the log is closed and the queue is empty.
+// run writes the queued commits in groups until the log is closed and the queue is empty.
 func (l *Log) run() {
 	for {
 		commits := l.nextCommits()
 		if len(commits) == 0 {
-			l.awaitSnapshot()
+			l.waitForSnapshot()
 			return
 		}
 		l.commitGroup(commits)
@@ -29,7 +29,8 @@
 	}
 }
 
-// nextCommits waits for commits and takes as many as fit into a group. It returns none once the log is closed.
+// nextCommits waits for commits and returns as many as fit into a group. It returns none once the log is closed and the
+// queue is empty.
 func (l *Log) nextCommits() []commit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,18 +72,18 @@
 	}
 }
 
-// reportMode reports the first rejected commit, and the first accepted one after it.
+// reportMode reports when the log starts to reject commits and when it accepts them again.
 func (l *Log) reportMode(err error, commits int) {
 	if err != nil {
-		if l.rejectedInRow == 0 {
+		if l.consecutiveRejects == 0 {
 			l.options.OnModeChange("state log rejects commits", "error", err)
 		}
 		l.counters.Rejected += commits
-		l.rejectedInRow += commits
+		l.consecutiveRejects += commits
 		return
 	}
-	if l.rejectedInRow > 0 {
-		l.options.OnModeChange("state log accepts commits again", "rejected_commits", l.rejectedInRow)
-		l.rejectedInRow = 0
+	if l.consecutiveRejects > 0 {
+		l.options.OnModeChange("state log accepts commits again", "rejected_commits", l.consecutiveRejects)
+		l.consecutiveRejects = 0
 	}
 }
--- a/internal/storage/wal/compact.go
+++ b/internal/storage/wal/compact.go
@@ -7,7 +7,7 @@
 	"glenport/internal/storage/vfs"
 )
 
-// Compact replaces the log of a directory that no process writes to by a snapshot.
+// Compact replaces the log of a directory by a snapshot. No process may have the log open.
 func Compact(fs vfs.FS) (before, after Stats, err error) {
 	l, before, err := Open(fs, Options{})
 	if err != nil {
@@ -36,8 +36,9 @@
 	return before, state.Stats, nil
 }
 
-// removeOlder removes what the snapshot before group first made obsolete. Recovery removes what is left after an error.
-func (l *Log) removeOlder(first uint64) {
+// removeObsoleteFiles removes the files that the snapshot before group first replaces. After an error, the next
+// recovery removes the rest.
+func (l *Log) removeObsoleteFiles(first uint64) {
 	if err := removeFilesBefore(l.fs, first); err != nil {
 		l.options.OnModeChange("obsolete files of the state log not removed", "error", err)
 	}
--- a/internal/storage/wal/crash_test.go
+++ b/internal/storage/wal/crash_test.go
@@ -13,18 +13,18 @@
 	"pgregory.net/rapid"
 )
 
-// crashModel is a random history of commits and crashes beside its reference.
+// crashModel runs a random history of commits and crashes and holds the expected states.
 type crashModel struct {
 	fs      *faultfs.FS
 	history []map[string]string // the state after each commit
-	durable int                 // the last commit that is known to be on disk
+	durable int                 // the last commit that must be on disk
 }
 
-// acknowledgement is a durable commit and the number of operations after which it was acknowledged.
+// acknowledgement is a durable commit, with the number of operations after which it was acknowledged.
 type acknowledgement struct{ operations, commit int }
 
-// After each crash the directory holds the state after some commit, and never one before the last that was acknowledged
-// as durable. Crashes come during recovery too.
+// After each crash, also during recovery, the directory holds the state after some commit, which is not earlier than
+// the last commit that was acknowledged as durable.
 func TestStateAfterCrashIsThatOfSomeCommit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &crashModel{fs: faultfs.New(), history: []map[string]string{{}}}
@@ -59,7 +59,7 @@
 	}
 }
 
-// checkState finds the commit whose state the directory holds; the history goes on from there.
+// checkState finds the commit whose state the directory holds. The history continues from that commit.
 func (m *crashModel) checkState(t *rapid.T, found map[string]string) {
 	for commit := len(m.history) - 1; commit >= m.durable; commit-- {
 		if maps.Equal(m.history[commit], found) {
@@ -67,7 +67,7 @@
 			return
 		}
 	}
-	t.Fatalf("found %v, which is no state from commit %d on", found, m.durable)
+	t.Fatalf("found %v, which is not the state of any commit from %d on", found, m.durable)
 }
 
 // commit draws a commit and returns whether it is durable.
@@ -98,19 +98,19 @@
 	m.fs = m.fs.Crash(crash, faultfs.KeepSome(rand.New(rand.NewPCG(seed, 2))))
 }
 
-// rewriteTrial is a log whose segment fails at a sync, and what was acknowledged when.
+// rewriteTrial is a log with a failing sync of its segment, and the acknowledged states.
 type rewriteTrial struct {
-	fs           *faultfs.FS
-	log          *Log
-	want         map[string]string
-	acknowledged []acknowledgedState
-	segment      string
-	failing      string   // the kind of operation that fails
-	failed       bool     // an operation on the segment has failed
-	usedAfter    []string // operations on the segment after that
+	fs               *faultfs.FS
+	log              *Log
+	want             map[string]string
+	acknowledged     []acknowledgedState
+	segment          string
+	failing          string   // the kind of operation that fails
+	failed           bool     // an operation on the segment has failed
+	usedAfterFailure []string // operations on the segment after the failure
 }
 
-// acknowledgedState is what must survive a crash after a number of operations.
+// acknowledgedState is the state that must survive a crash after a number of operations.
 type acknowledgedState struct {
 	operations int
 	want       map[string]string
@@ -132,9 +132,9 @@
 	}
 }
 
-// After a failed sync the state is rewritten by the same process once that is possible. Wherever the system crashes on
-// the way, what was acknowledged survives, in each state that the disk may be found in; and the file that failed is not
-// used again.
+// After a failed sync the same process rewrites the state as soon as the disk permits. Wherever the system crashes
+// meanwhile, acknowledged commits survive in every state in which the disk may be found. The file whose sync failed is
+// not used again.
 func TestRewriteAfterFailedSyncSurvivesCrashes(t *testing.T) {
 	for _, operation := range []string{"sync", "sync folder", "create", "rename", "remove", "write"} {
 		t.Run("a sync fails, then "+operation, func(t *testing.T) {
@@ -144,7 +144,7 @@
 			r.mustCommit(t, "b")
 			r.failSync(t, operation)
 			mustClose(t, r.log)
-			testutil.Expect(t, len(r.usedAfter) == 0, "the file that failed was used again: %v", r.usedAfter)
+			testutil.Expect(t, len(r.usedAfterFailure) == 0, "the failed file was used again: %v", r.usedAfterFailure)
 			first := r.acknowledged[0].operations
 			for operations := first; operations <= r.fs.OperationCount(); operations++ {
 				r.checkCrash(t, operations)
@@ -153,12 +153,12 @@
 	}
 }
 
-// failSync lets the sync of the segment fail, then an operation of the rewrite, then nothing any more.
+// failSync makes the sync of the segment fail, then an operation of the rewrite, and then lets all operations succeed.
 func (r *rewriteTrial) failSync(t *testing.T, operation string) {
 	t.Helper()
 	names := mustList(t, r.fs)
 	r.segment, r.failing = names[len(names)-1], "sync"
-	r.fs.InjectError = r.injectError // stays until the end, failing nothing, to see what is used
+	r.fs.InjectError = r.injectError // stays set until the end, to record operations on the failed segment
 	if err := r.commit("c"); !errors.Is(err, ErrSyncFailed) {
 		t.Fatalf("%v", err)
 	}
@@ -171,25 +171,25 @@
 	r.failing = ""
 	for _, key := range []string{"e", "f"} {
 		if err := r.commit(key); err != nil {
-			t.Errorf("%s with room again: %v", key, err)
+			t.Errorf("%s after the failures: %v", key, err)
 		}
 	}
 }
 
-// injectError fails one kind of operation; the first sync that it fails is that of the segment.
+// injectError makes one kind of operation fail. The first sync that fails is that of the segment.
 func (r *rewriteTrial) injectError(kind, name string) error {
-	ofSegment := name == r.segment
-	if r.failed && ofSegment && kind != "remove" {
-		r.usedAfter = append(r.usedAfter, kind)
+	isSegment := name == r.segment
+	if r.failed && isSegment && kind != "remove" {
+		r.usedAfterFailure = append(r.usedAfterFailure, kind)
 	}
-	if kind != r.failing || kind == "sync" && !r.failed && !ofSegment {
+	if kind != r.failing || kind == "sync" && !r.failed && !isSegment {
 		return nil
 	}
-	r.failed = r.failed || ofSegment
+	r.failed = r.failed || isSegment
 	return syscall.ENOSPC
 }
 
-// checkCrash opens what may be found after a crash.
+// checkCrash opens the directory in several states in which a crash may leave it, and checks the acknowledged values.
 func (r *rewriteTrial) checkCrash(t *testing.T, operations int) {
 	t.Helper()
 	want := map[string]string{}
@@ -209,7 +209,7 @@
 		mustClose(t, l)
 		for key := range want {
 			testutil.Require(t, found[key] == key,
-				"crash after %d operations, survival %d: %s is lost of %v", operations, seed, key, found)
+				"crash after %d operations, survival %d: %s is missing in %v", operations, seed, key, found)
 		}
 	}
 }
--- a/internal/storage/wal/damage_test.go
+++ b/internal/storage/wal/damage_test.go
@@ -12,10 +12,10 @@
 	"glenport/internal/golden"
 )
 
-// goType matches Go's names of types in errors of the CBOR library: they are no part of what is recorded.
+// goType matches names of Go types in errors of the CBOR library, which are not recorded.
 var goType = regexp.MustCompile(`\*?\b[a-z]+\.[A-Z]\w*`)
 
-// damageTrial loads a directory with one file damaged at a time, and folds what came of it into a digest.
+// damageTrial loads a directory with one damaged file at a time, and adds the results to a digest.
 type damageTrial struct {
 	files          map[string][]byte
 	skipChecksums  bool
@@ -23,7 +23,7 @@
 	cases, refused int
 }
 
-// load replaces one file, or removes it when data is nil.
+// load loads the directory with one file replaced by data, or removed if data is nil.
 func (d *damageTrial) load(t *testing.T, name string, data []byte) {
 	t.Helper()
 	damaged := maps.Clone(d.files)
@@ -65,8 +65,8 @@
 	d.load(t, name, nil)
 }
 
-// damageDigests loads each golden folder with each of its bytes damaged in turn, each of its files missing, and each
-// cut short at every length.
+// damageDigests loads each golden folder with a bit flipped in each byte in turn, with each file missing, and with each
+// file truncated to every length. It returns digests of the results.
 func damageDigests(t *testing.T) string {
 	t.Helper()
 	var out strings.Builder
@@ -94,8 +94,8 @@
 	return out.String()
 }
 
-// What becomes of damage does not change: which is refused, with which error and place, and what is read in spite of
-// it.
-func TestDamageOfGoldenFoldersIsJudgedAlike(t *testing.T) {
+// Loading damaged folders has the recorded results: which damage is refused with which error and position, and which
+// state is loaded otherwise.
+func TestDamagedGoldenFoldersLoadAsRecorded(t *testing.T) {
 	golden.CheckText(t, "testdata/damage.txt", damageDigests(t))
 }
--- a/internal/storage/wal/describe_test.go
+++ b/internal/storage/wal/describe_test.go
@@ -12,8 +12,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// describeFolder describes what the files of a folder hold, and checks that each header and group is encoded again
-// to the same bytes.
+// describeFolder describes the contents of the files of a folder, and checks that encoding each header and group again
+// gives the same bytes.
 func describeFolder(t *testing.T, files map[string][]byte) string {
 	t.Helper()
 	var out strings.Builder
@@ -59,7 +59,7 @@
 	}
 }
 
-// describeChanges returns the changes of a group encoded again.
+// describeChanges describes the changes of a group and returns their new encoding.
 func describeChanges(t *testing.T, out *strings.Builder, body []byte) []byte {
 	t.Helper()
 	if len(body) == 0 {
@@ -81,7 +81,7 @@
 	return encoded
 }
 
-// describeState describes what is read from a folder.
+// describeState describes the state that was loaded from a folder.
 func describeState(t *testing.T, s *State) string {
 	t.Helper()
 	var out strings.Builder
--- a/internal/storage/wal/errors.go
+++ b/internal/storage/wal/errors.go
@@ -7,13 +7,14 @@
 )
 
 var (
-	// ErrSyncFailed reports that a sync failed. What of that file is on disk is unknown from then on, and a second sync
-	// would not tell: every commit is rejected until the whole state has been written to other files.
+	// ErrSyncFailed reports that a sync failed. The contents of the file on disk are unknown afterwards, and the
+	// success of a second sync would not prove them. Every commit is rejected until the whole state has been written to
+	// new files.
 	ErrSyncFailed = errors.New(
 		"the state folder cannot be trusted since a sync failed, and could not be written anew yet",
 	)
 
-	// ErrFull reports that the disk has no room for a commit. It stands in the chain beside the error of the file
+	// ErrFull reports that the disk has no room for a commit. The error chain also contains the error of the file
 	// system.
 	ErrFull = errors.New("the disk is full")
 
@@ -24,7 +25,7 @@
 // errTornGroup stops the reading of a segment at a group that is incomplete, damaged or out of sequence.
 var errTornGroup = errors.New("the group is torn")
 
-// CorruptionError reports that a file does not hold what was written to it. Nothing was changed.
+// CorruptionError reports that a file does not hold the data that was written to it. The directory was not changed.
 type CorruptionError struct {
 	File   string
 	Offset int // bytes from the start of the file
@@ -48,17 +49,17 @@
 	return fmt.Sprintf(text, e.File, e.Version, FormatVersion)
 }
 
-// fullError adds ErrFull to the chain of an error of the file system and leaves its text alone.
-type fullError struct{ cause error }
+// diskFullError adds ErrFull to the chain of an error of the file system, without changing its text.
+type diskFullError struct{ cause error }
 
-func (e *fullError) Error() string        { return e.cause.Error() }
-func (e *fullError) Unwrap() error        { return e.cause }
-func (e *fullError) Is(target error) bool { return target == ErrFull }
+func (e *diskFullError) Error() string        { return e.cause.Error() }
+func (e *diskFullError) Unwrap() error        { return e.cause }
+func (e *diskFullError) Is(target error) bool { return target == ErrFull }
 
-// classifyWriteError marks the errors of the file system that mean that there is no room.
+// classifyWriteError adds ErrFull to errors of the file system that report a lack of space.
 func classifyWriteError(err error) error {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
-		return &fullError{err}
+		return &diskFullError{err}
 	}
 	return err
 }
--- a/internal/storage/wal/failure_test.go
+++ b/internal/storage/wal/failure_test.go
@@ -14,7 +14,8 @@
 	"glenport/internal/testutil"
 )
 
-// A full disk rejects what does not fit and loses nothing; a sync that failed is never trusted again.
+// On a full disk, commits that do not fit are rejected and no acknowledged commit is lost. After a failed sync, the
+// file is not used any more.
 func TestFailedWritesLoseNothingAcknowledged(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -42,14 +43,14 @@
 			mustCommit(t, l, true, putText("c", "3"))
 			mustClose(t, l)
 			testutil.Expect(t, modeChanges == 2,
-				"%d changes of mode reported, want one as commits are rejected, one at the end", modeChanges)
+				"%d mode changes reported, want one when commits are rejected and one at the end", modeChanges)
 			values := valuesOf(t, mustLoad(t, fs))
 			testutil.Expect(t, maps.Equal(values, map[string]string{"a": "1", "c": "3"}), "%v", values)
 		})
 	}
 }
 
-// failOperations fails all operations of some kinds with an error.
+// failOperations returns a function that makes all operations of the given kinds fail with an error.
 func failOperations(kinds string, err error) func(kind, name string) error {
 	return func(kind, _ string) error {
 		if strings.Contains(kinds, kind) {
--- a/internal/storage/wal/fileheader.go
+++ b/internal/storage/wal/fileheader.go
@@ -10,11 +10,12 @@
 	"glenport/internal/storage/vfs"
 )
 
-// FormatVersion is the version of segments and snapshots that this program writes; it reads this one and earlier ones.
+// FormatVersion is the version of segments and snapshots that this program writes. It reads this and earlier versions.
 const FormatVersion = 1
 
-// A segment of the log and a snapshot begin alike: seven bytes of magic, the version, the number of the first group
-// that follows, and a checksum of all that. Integers are big-endian. Groups follow, see appendGroup.
+// Segments and snapshots begin with the same header: seven bytes of magic, the version, the number of the first group
+// (of a snapshot, the first group that it does not include), and a checksum of these. Groups follow, see appendGroup.
+// Integers are big-endian.
 const (
 	segmentMagic  = "GLENLOG"
 	snapshotMagic = "GLENSNP"
@@ -25,7 +26,7 @@
 	headerSize           = 20
 )
 
-// Names of files end in the number of their first group, in sixteen hexadecimal digits.
+// File names end in the number of the first group, in sixteen hexadecimal digits.
 const (
 	segmentPrefix    = "log-"
 	snapshotPrefix   = "snapshot-"
@@ -37,7 +38,8 @@
 func segmentName(first uint64) string  { return fmt.Sprintf("%s%016x", segmentPrefix, first) }
 func snapshotName(first uint64) string { return fmt.Sprintf("%s%016x", snapshotPrefix, first) }
 
-// rewriteMarkerName is the unfinished segment that announces a rewrite, see Log.rewrite.
+// rewriteMarkerName is the name of the file that marks a rewrite in progress, see Log.rewrite. It is the name of an
+// unfinished segment.
 func rewriteMarkerName(first uint64) string { return segmentName(first) + vfs.TempSuffix }
 
 // parseFileName returns the number in a file name with this prefix.
@@ -50,7 +52,7 @@
 	return first, err == nil
 }
 
-// isUnfinished tells whether a name is that of a segment or snapshot that was still being written.
+// isUnfinished reports whether a name is that of a segment or snapshot that was still being written.
 func isUnfinished(name string) bool {
 	return strings.HasSuffix(name, vfs.TempSuffix) &&
 		(strings.HasPrefix(name, snapshotPrefix) || strings.HasPrefix(name, segmentPrefix))
@@ -85,7 +87,7 @@
 	return crc32.Checksum(data[:headerChecksumOffset], castagnoli) == want
 }
 
-// checkFirstGroup compares the first group in a file's header with the one in its name.
+// checkFirstGroup checks that the first group in the header of a file is the one in its name.
 func checkFirstGroup(file segmentFile, first uint64) error {
 	if first == file.first {
 		return nil
--- a/internal/storage/wal/folders_test.go
+++ b/internal/storage/wal/folders_test.go
@@ -12,7 +12,7 @@
 	"glenport/internal/storage/vfs"
 )
 
-// writeFolders plays the histories that are recorded, and returns the files of each folder.
+// writeFolders runs the histories of the golden folders and returns the files of each folder.
 func writeFolders(t *testing.T) map[string]map[string][]byte {
 	t.Helper()
 	fs, older := writeOrderly(t)
@@ -24,7 +24,7 @@
 	}
 }
 
-// writeOrderly returns a directory with a snapshot, several segments and a clean end, and its files before the
+// writeOrderly returns a directory with a snapshot, several segments and a clean end. older holds its files before the
 // snapshot.
 func writeOrderly(t *testing.T) (fs *faultfs.FS, older map[string][]byte) {
 	t.Helper()
@@ -44,7 +44,7 @@
 		}
 		return nil
 	}
-	for i := range 2 { // each opening starts one more segment, for a snapshot that then fails
+	for i := range 2 { // each Open starts one more segment, for a snapshot that then fails
 		l, _ = mustOpen(t, fs, Options{MinSnapshotLog: 300})
 		mustCommit(t, l, false, goldenPut("container", fmt.Sprint("b/", i), strings.Repeat("value 5 ", 70)))
 		mustCommit(t, l, true, goldenPut("container", fmt.Sprint("c/", i), "value 6"))
@@ -55,7 +55,7 @@
 	return fs, older
 }
 
-// writeTorn continues a directory and returns its files after a crash in the last group, with older files still there.
+// writeTorn commits to a directory and returns its files as after a crash in the last group, with obsolete files left.
 func writeTorn(t *testing.T, fs *faultfs.FS, older map[string][]byte) map[string][]byte {
 	t.Helper()
 	l, _ := mustOpen(t, fs, Options{})
@@ -64,14 +64,14 @@
 	mustCommit(t, l, false, goldenPut("job", "e", "value 9"))
 	files := contents(t, fs)
 	mustClose(t, l)
-	last := lastOf(files, segmentPrefix)
+	last := lastFile(files, segmentPrefix)
 	files[last] = files[last][:len(files[last])-7]
 	maps.Copy(files, older)
 	files[snapshotPrefix+"000000000000000f"+vfs.TempSuffix] = []byte("unfinished")
 	return files
 }
 
-// writeRewritten returns the files of a directory that was rewritten after a sync that failed.
+// writeRewritten returns the files of a directory that was rewritten after a failed sync.
 func writeRewritten(t *testing.T) map[string][]byte {
 	t.Helper()
 	fs := faultfs.New()
@@ -88,7 +88,7 @@
 	return files
 }
 
-func lastOf(files map[string][]byte, prefix string) string {
+func lastFile(files map[string][]byte, prefix string) string {
 	last := ""
 	for name := range files {
 		if strings.HasPrefix(name, prefix) && !strings.HasSuffix(name, vfs.TempSuffix) {
--- a/internal/storage/wal/golden_test.go
+++ b/internal/storage/wal/golden_test.go
@@ -18,11 +18,11 @@
 	"glenport/internal/testutil"
 )
 
-// The folders in testdata, each described by a text file of its name.
+// The folders in testdata. A text file of the same name describes each of them.
 const (
-	orderlyFolder   = "orderly"   // a snapshot and three log files, closed in order
-	tornFolder      = "torn"      // the same after a kill: the last group is cut short, older files are left
-	rewrittenFolder = "rewritten" // written anew after a sync that failed
+	orderlyFolder   = "orderly"   // a snapshot and three segments with a clean end
+	tornFolder      = "torn"      // the same after a crash: the last group is truncated, and obsolete files are left
+	rewrittenFolder = "rewritten" // rewritten after a failed sync
 )
 
 var goldenFolders = []string{orderlyFolder, tornFolder, rewrittenFolder}
@@ -64,7 +64,7 @@
 	return files
 }
 
-// record writes the golden files anew.
+// record writes the golden files.
 func record(t *testing.T) {
 	t.Helper()
 	for folder, files := range writeFolders(t) {
@@ -81,8 +81,8 @@
 	testutil.WriteFile(t, "testdata/operations.txt", []byte(describeOperations(t)))
 }
 
-// A folder that an earlier version wrote is read value by value as it was written, and its parts are encoded again to
-// the same bytes.
+// A folder that an earlier version wrote is loaded with the recorded values, and encoding its parts again gives the
+// same bytes.
 func TestGoldenFoldersAreRead(t *testing.T) {
 	if golden.Updating() {
 		record(t)
@@ -99,14 +99,14 @@
 			mustClose(t, l)
 			again := mustLoad(t, fs)
 			if again.Records != state.Records+1 || again.TruncatedBytes != 0 {
-				t.Errorf("%d records and %d bytes cut off after one more, before %d",
+				t.Errorf("%d records, %d bytes truncated after one more commit; %d records before",
 					again.Records, again.TruncatedBytes, state.Records)
 			}
 		})
 	}
 }
 
-// The same history leaves the same files, byte for byte.
+// The same histories write the recorded files, byte for byte.
 func TestGoldenFoldersAreWritten(t *testing.T) {
 	for folder, files := range writeFolders(t) {
 		want := goldenFiles(t, folder)
@@ -119,7 +119,7 @@
 	}
 }
 
-// A snapshot of several chunks has the bytes that it always had.
+// A snapshot of several chunks has the recorded bytes.
 func TestSnapshotOfSeveralChunksKeepsItsBytes(t *testing.T) {
 	fs := faultfs.New()
 	l, _ := mustOpen(t, fs, Options{})
@@ -131,13 +131,13 @@
 	data := mustRead(t, fs, newestSnapshot(t, fs))
 	const want = "3000185 bytes, aab7a79d53be2b30abc66e8e27954d81fea33afbd01265248260550fd82cbdc4"
 	testutil.Equal(t, fmt.Sprintf("%d bytes, %x", len(data), sha256.Sum256(data)), want)
-	parts := 0
-	for rest := data[headerSize:]; len(rest) > 0; parts++ {
+	chunks := 0
+	for rest := data[headerSize:]; len(rest) > 0; chunks++ {
 		chunk, ok := parseGroup(rest, false)
-		testutil.Require(t, ok, "a part is damaged")
+		testutil.Require(t, ok, "a chunk is damaged")
 		rest = rest[chunk.size:]
 	}
-	if parts != 4 { // two of two records, one of one, the end
-		t.Errorf("%d parts", parts)
+	if chunks != 4 { // two with two records, one with one record, the end
+		t.Errorf("%d chunks", chunks)
 	}
 }
--- a/internal/storage/wal/group.go
+++ b/internal/storage/wal/group.go
@@ -6,9 +6,10 @@
 	"hash/crc32"
 )
 
-// A group of changes is stored behind a header: four bytes of magic, the length of the body, the sequence number of the
-// group, the number up to which all groups were on disk when it was written, and a checksum of all but the magic. In a
-// snapshot the groups are its chunks, counted from 0, and an empty one is the end.
+// A group consists of a header and a body with its changes. The header holds four bytes of magic, the length of the
+// body, the sequence number of the group, the number of the last group that was on disk when it was written, and a
+// checksum of all but the magic. In a snapshot the groups are its chunks, numbered from 0, and an empty group marks the
+// end.
 const (
 	groupLengthOffset   = 4
 	groupSequenceOffset = 8
@@ -24,10 +25,10 @@
 // emptyGroupBody is an empty list of changes in CBOR.
 var emptyGroupBody = []byte{0x80}
 
-// group is one group as it was read.
+// group is a decoded group.
 type group struct {
 	sequence       uint64
-	durableThrough uint64 // all groups up to this one were on disk when the group was written
+	durableThrough uint64 // number of the last group that was on disk when this one was written
 	body           []byte
 	size           int // of header and body, in bytes
 }
@@ -46,13 +47,13 @@
 	return data
 }
 
-// groupChecksum covers the header behind the magic, without the checksum itself, and the body.
+// groupChecksum is the checksum of the header, without the magic and the checksum itself, and of the body.
 func groupChecksum(encoded []byte) uint32 {
 	header := crc32.Checksum(encoded[groupLengthOffset:groupChecksumOffset], castagnoli)
 	return crc32.Update(header, castagnoli, encoded[groupHeaderSize:])
 }
 
-// parseGroup reads the group at the start of data; ok is false if there is none that is whole.
+// parseGroup decodes the group at the start of data. ok is false if there is no complete and valid group.
 func parseGroup(data []byte, skipChecksum bool) (g group, ok bool) {
 	if len(data) < groupHeaderSize || !bytes.HasPrefix(data, groupMagic) {
 		return group{}, false
@@ -71,8 +72,8 @@
 	return g, skipChecksum || groupChecksum(data[:g.size]) == want
 }
 
-// laterDurableGroup searches data from an offset for a whole group that was written when the damaged one was already on
-// disk, and returns its sequence number, or 0.
+// laterDurableGroup searches data from an offset for a valid group that was written when the damaged one was already on
+// disk. It returns the sequence number of that group, or 0 if there is none.
 func laterDurableGroup(data []byte, from int, damaged uint64) uint64 {
 	for offset := from; ; offset++ {
 		next := bytes.Index(data[offset:], groupMagic)
--- a/internal/storage/wal/helpers_test.go
+++ b/internal/storage/wal/helpers_test.go
@@ -16,7 +16,7 @@
 
 func putText(key, value string) Change { return Change{Kind: "k", Key: key, Value: []byte(value)} }
 
-// commitAndWait commits and returns what the done function was called with.
+// commitAndWait commits and returns the error that the done function received.
 func commitAndWait(l *Log, durable bool, changes ...Change) error {
 	done := make(chan error, 1)
 	l.Commit(changes, durable, func(err error) { done <- err })
@@ -92,7 +92,7 @@
 	testutil.NoError(t, file.Sync())
 }
 
-// mustFlipBit damages the first segment.
+// mustFlipBit flips a bit of the first segment.
 func mustFlipBit(t testutil.TB, fs *faultfs.FS, bit int) {
 	t.Helper()
 	testutil.NoError(t, fs.FlipBit(firstSegment, bit))
@@ -110,7 +110,7 @@
 	return values
 }
 
-// newestSnapshot returns the name of the snapshot of a directory that has one at most.
+// newestSnapshot returns the name of the snapshot of a directory, or an empty name. The directory has at most one.
 func newestSnapshot(t testutil.TB, fs vfs.FS) string {
 	t.Helper()
 	for _, name := range mustList(t, fs) {
--- a/internal/storage/wal/load.go
+++ b/internal/storage/wal/load.go
@@ -9,25 +9,25 @@
 	"glenport/internal/storage/vfs"
 )
 
-// segmentFile is a segment or a snapshot of a directory.
+// segmentFile is a segment or a snapshot in a directory.
 type segmentFile struct {
 	name  string
-	first uint64
-	size  int // in bytes; set when a segment is read
+	first uint64 // number of the first group
+	size  int    // in bytes; set when the segment is read
 }
 
-// segmentPosition tells whether another segment follows a segment. A crash can have cut only the last one short.
+// segmentPosition tells whether a segment is the last one. A crash can truncate only the last one.
 type segmentPosition uint8
 
 const (
-	segmentFollowed segmentPosition = iota
+	segmentNotLast segmentPosition = iota
 	segmentLast
 )
 
-// Load reads a directory and changes nothing in it. What a crash may leave is tolerated: an unacknowledged group at the
-// end of the last segment, and files that were being written. Everything else that is not as it was written is a
-// *CorruptionError or *UnsupportedVersionError; the state up to there is returned with it. With skipChecksums set the
-// checksums are not compared.
+// Load reads a directory without changing it. It tolerates the traces of a crash: an unacknowledged group at the end of
+// the last segment, and files that were being written. Any other difference from the data that was written is reported
+// as a *CorruptionError or *UnsupportedVersionError, together with the state up to that place. With skipChecksums set,
+// the checksums are not verified.
 func Load(fs vfs.FS, skipChecksums bool) (*State, error) {
 	names, err := fs.List()
 	if err != nil {
@@ -55,7 +55,7 @@
 	if err := s.readSegments(fs, segments); err != nil {
 		return s, err
 	}
-	// A snapshot without the log that follows it is only legitimate while a rewrite is under way.
+	// A snapshot without a segment that follows it is legitimate only during a rewrite.
 	if len(segments) == 0 && len(snapshots) > 0 && !slices.Contains(s.obsolete, rewriteMarkerName(next)) {
 		detail := fmt.Sprintf("the log from group %d on is missing", next)
 		return s, &CorruptionError{snapshots[len(snapshots)-1].name, 0, detail}
@@ -64,7 +64,8 @@
 	return s, nil
 }
 
-// classify sorts the snapshots and segments among names by their first group, and marks unfinished ones as obsolete.
+// classify returns the snapshots and segments among names, sorted by their first group, and marks unfinished files as
+// obsolete.
 func (s *State) classify(names []string) (snapshots, segments []segmentFile) {
 	for _, name := range names {
 		if first, ok := parseFileName(name, snapshotPrefix); ok {
@@ -87,8 +88,8 @@
 	}
 }
 
-// readSnapshot reads a snapshot and accepts no torn end: it was synced before it was given its name, so that a crash
-// cannot have truncated it.
+// readSnapshot reads a snapshot. It does not accept a torn end: the file was synced before it was renamed to its final
+// name, so a crash cannot have truncated it.
 func (s *State) readSnapshot(fs vfs.FS, snapshot segmentFile) error {
 	data, err := fs.Read(snapshot.name)
 	if err != nil {
@@ -112,7 +113,8 @@
 	return nil
 }
 
-// applyChunks applies the chunks of a snapshot up to the empty one that ends it, and returns the offset of that end.
+// applyChunks applies the chunks of a snapshot up to the empty chunk that ends it. It returns the offset behind that
+// chunk.
 func (s *State) applyChunks(file string, data []byte) (end int, err error) {
 	offset := headerSize
 	for number := uint64(0); ; number++ {
@@ -130,7 +132,7 @@
 	}
 }
 
-// readSegments reads segments that must follow one another without a gap.
+// readSegments reads segments, which must follow one another without a gap.
 func (s *State) readSegments(fs vfs.FS, segments []segmentFile) error {
 	for i := range segments {
 		segment := &segments[i]
@@ -138,7 +140,7 @@
 			const detail = "it begins with group %d, and the one wanted next is %d: a file is missing"
 			return &CorruptionError{segment.name, 0, fmt.Sprintf(detail, segment.first, next)}
 		}
-		position := segmentFollowed
+		position := segmentNotLast
 		if i == len(segments)-1 {
 			position = segmentLast
 		}
@@ -149,7 +151,8 @@
 	return nil
 }
 
-// readSegment reads groups until one is torn. Only the last segment may have a torn tail, see checkTornTail.
+// readSegment reads the groups of a segment up to a torn one. Only the last segment may have a torn tail, see
+// checkTornTail.
 func (s *State) readSegment(fs vfs.FS, segment *segmentFile, position segmentPosition) error {
 	data, err := fs.Read(segment.name)
 	if err != nil {
@@ -175,8 +178,8 @@
 	return nil
 }
 
-// applyGroups applies the groups of a segment. It returns the offset of the first that is torn with errTornGroup, or
-// the size of the segment.
+// applyGroups applies the groups of a segment and returns the size of the segment. At a torn group it returns the
+// offset of the group and errTornGroup.
 func (s *State) applyGroups(file string, data []byte) (offset int, err error) {
 	for offset = headerSize; offset < len(data); {
 		g, ok := parseGroup(data[offset:], s.skipChecksums)
@@ -202,19 +205,19 @@
 	return nil
 }
 
-// checkTornHeader decides on a segment whose header cannot be read: a crash may leave the last segment so, before
-// anything was acknowledged in it.
+// checkTornHeader tolerates an invalid header in the last segment if no group in it was acknowledged, which a crash may
+// leave behind. Otherwise it returns headerErr.
 func (s *State) checkTornHeader(segment segmentFile, data []byte, position segmentPosition, headerErr error) error {
 	_, unsupported := errors.AsType[*UnsupportedVersionError](headerErr)
 	if unsupported || position != segmentLast || laterDurableGroup(data, 0, segment.first) > 0 {
 		return headerErr
 	}
-	s.lastHeaderIsBad, s.TruncatedBytes = true, len(data)
+	s.lastHeaderInvalid, s.TruncatedBytes = true, len(data)
 	return nil
 }
 
-// checkTornTail decides on the torn group at an offset: a crash may leave it in the last segment, with no whole group
-// behind it that was written when the torn one was already on disk. Anything else is corruption.
+// checkTornTail tolerates the torn group at an offset if a crash may have left it: it is in the last segment, and no
+// valid group behind it was written when the torn one was already on disk. Anything else is corruption.
 func (s *State) checkTornTail(file string, data []byte, offset int, position segmentPosition) error {
 	torn := s.LastGroup + 1
 	if position != segmentLast {
--- a/internal/storage/wal/load_test.go
+++ b/internal/storage/wal/load_test.go
@@ -16,7 +16,7 @@
 
 const firstSegment = "log-0000000000000001"
 
-// tenGroups returns a directory with ten groups in one segment and the mark of a clean end.
+// tenGroups returns a directory with ten groups in one segment, which has a clean end.
 func tenGroups(t *testing.T) *faultfs.FS {
 	t.Helper()
 	fs := faultfs.New()
@@ -28,7 +28,7 @@
 	return fs
 }
 
-// flippedBit damages one bit of the first segment.
+// flippedBit returns a function that flips one bit of the first segment.
 func flippedBit(bit int) func(t *testing.T, fs *faultfs.FS) {
 	return func(t *testing.T, fs *faultfs.FS) {
 		t.Helper()
@@ -36,19 +36,19 @@
 	}
 }
 
-// Corruption is reported with its place, and the directory is left alone; only what a crash may leave is tolerated.
+// Corruption is reported with its position and the directory is not changed. Only the traces of a crash are tolerated.
 func TestCorruptionIsReportedWithItsPlace(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		damage func(t *testing.T, fs *faultfs.FS)
-		want   string // of the error; empty: the directory is opened
-		left   int    // records
+		want   string // text of the error; empty: the directory is opened
+		left   int    // number of records
 	}{
 		{"nothing", func(*testing.T, *faultfs.FS) {}, "", 10},
 		{"a truncated tail", func(t *testing.T, fs *faultfs.FS) {
 			t.Helper()
 			size := len(mustRead(t, fs, firstSegment))
-			mustTruncate(t, fs, firstSegment, size-80) // the mark of the clean end, and a part of the last group
+			mustTruncate(t, fs, firstSegment, size-80) // cuts the clean end and a part of the last group
 		}, "", 9},
 		{"a corrupt middle", flippedBit(8 * 400), "group 3 is damaged; it was kept, as group 4", 0},
 		{"a corrupt length in the middle", flippedBit(8 * (headerSize + groupLengthOffset)), "group 1 is damaged", 0},
@@ -96,7 +96,7 @@
 	}
 }
 
-// wantRefused opens a directory that must be refused with a typed error and without a change to its files.
+// wantRefused checks that Open refuses a directory with a typed error and does not change its files.
 func wantRefused(t *testing.T, fs vfs.FS, want string) {
 	t.Helper()
 	before := mustList(t, fs)
@@ -109,7 +109,7 @@
 	testutil.Expect(t, slices.Equal(before, after), "a damaged directory was changed from %v to %v", before, after)
 }
 
-// changeVersion gives a segment another version, with a right checksum.
+// changeVersion changes the version of a segment, with a correct checksum.
 func changeVersion(t *testing.T, fs *faultfs.FS, name string, version byte) {
 	t.Helper()
 	data := mustRead(t, fs, name)
@@ -120,10 +120,10 @@
 	mustCreate(t, fs, name, append(header, data[headerSize:]...))
 }
 
-func TestErrorsNameFileAndPlace(t *testing.T) {
+func TestErrorsNameFileAndOffset(t *testing.T) {
 	fs := tenGroups(t)
 	mustFlipBit(t, fs, 8*400)
-	_, err := Load(fs, false) // the third group, behind the header and two of 136 bytes
+	_, err := Load(fs, false) // the third group, after the header and two groups of 136 bytes
 	var corruption *CorruptionError
 	testutil.Expect(t, errors.As(err, &corruption) && corruption.File == firstSegment && corruption.Offset == 292,
 		"corruption is reported as %+v", err)
--- a/internal/storage/wal/operations_test.go
+++ b/internal/storage/wal/operations_test.go
@@ -12,14 +12,14 @@
 	"glenport/internal/storage/faultfs"
 )
 
-// describeError says what callers may ask of an error.
+// describeError describes the properties of an error that callers may test.
 func describeError(err error) string {
 	return fmt.Sprintf("failed %t, sync failed %t, closed %t, disk %t", err != nil, errors.Is(err, ErrSyncFailed),
 		errors.Is(err, ErrClosed), errors.Is(err, syscall.EIO))
 }
 
-// historyTrial plays a scripted history on a directory whose operations may fail, and notes each operation and result.
-// No snapshot is written in the background, so the order of the operations is fixed.
+// historyTrial runs a scripted history on a directory whose operations may fail, and records each operation and result.
+// No snapshot is written in the background, so the order of the operations is deterministic.
 type historyTrial struct {
 	fs         *faultfs.FS
 	note       func(format string, arguments ...any)
@@ -27,7 +27,7 @@
 	operations int
 }
 
-// run returns the number of operations.
+// run runs the history and returns the number of operations.
 func (h *historyTrial) run(t *testing.T) int {
 	t.Helper()
 	h.fs = faultfs.New()
@@ -83,14 +83,14 @@
 	h.note("%v %v", names, err)
 }
 
-// describeOperations lists the operations on files of a history, and folds into a digest what follows when each of them
-// fails, alone or with those of its kind among the next four.
+// describeOperations lists the file operations of a history. It adds a digest of the results when each of the
+// operations fails, alone or together with those of the same kind among the next four.
 func describeOperations(t *testing.T) string {
 	t.Helper()
 	var out strings.Builder
 	noteText := func(format string, arguments ...any) { fmt.Fprintf(&out, format+"\n", arguments...) }
-	undisturbed := historyTrial{note: noteText, fails: func(int, string) bool { return false }}
-	operations := undisturbed.run(t)
+	faultless := historyTrial{note: noteText, fails: func(int, string) bool { return false }}
+	operations := faultless.run(t)
 	digest := golden.NewDigest()
 	noteDigest := func(format string, arguments ...any) { digest.Printf(format+"\n", arguments...) }
 	for failing := range operations {
@@ -112,8 +112,8 @@
 	return out.String()
 }
 
-// The order in which files are written, synced, renamed and removed does not change, nor what follows when one of these
-// operations fails.
-func TestOrderOfOperationsIsKept(t *testing.T) {
+// Files are written, synced, renamed and removed in the recorded order, and a failure of one of these operations has
+// the recorded results.
+func TestOperationOrderMatchesGoldenFile(t *testing.T) {
 	golden.CheckText(t, "testdata/operations.txt", describeOperations(t))
 }
--- a/internal/storage/wal/segment.go
+++ b/internal/storage/wal/segment.go
@@ -8,11 +8,12 @@
 	"glenport/internal/storage/vfs"
 )
 
-// recover leaves a directory in which everything is on disk and one segment is open. A crash may interrupt it at each
-// step: the next recovery repairs what it leaves.
+// recover repairs the directory, so that all data is on disk and one segment is open. A crash may interrupt it at any
+// step; the next recovery then completes the repair.
 func (l *Log) recover() error {
 	if len(l.state.segments) == 0 {
-		// Before the rewrite marker, which explains why there is no segment, is removed with the obsolete files.
+		// The segment must exist before the obsolete files are removed: the rewrite marker among them is the reason why
+		// the missing segment is not corruption.
 		if err := l.startSegment(l.lastGroup + 1); err != nil {
 			return err
 		}
@@ -24,10 +25,10 @@
 	return l.continueSegments(l.state.segments)
 }
 
-// continueSegments opens the last segment to be continued, or replaces it if its header cannot be read.
+// continueSegments opens the last segment for appending, or replaces it if its header is invalid.
 func (l *Log) continueSegments(segments []segmentFile) error {
 	last := segments[len(segments)-1]
-	if l.state.lastHeaderIsBad {
+	if l.state.lastHeaderInvalid {
 		if err := l.fs.Remove(last.name); err != nil {
 			return err
 		}
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// reopenSegment cuts off the torn tail of the last segment and continues it.
+// reopenSegment truncates the torn tail of the last segment and opens it for appending.
 func (l *Log) reopenSegment(last segmentFile) error {
 	file, err := l.fs.Append(last.name)
 	if err != nil {
@@ -62,7 +63,7 @@
 		err = file.Truncate(int64(validSize))
 	}
 	if err == nil {
-		err = file.Sync() // what was read may not have been on disk yet
+		err = file.Sync() // the data that was read may not be on disk yet
 	}
 	if err != nil {
 		return errors.Join(err, file.Close())
@@ -71,8 +72,8 @@
 	return nil
 }
 
-// startSegment creates the segment of the groups from first on and closes the one before. The file and its name are on
-// disk before any group is written to it.
+// startSegment creates the segment that begins with group first, and closes the previous one. The file and its name are
+// on disk before any group is written to it.
 func (l *Log) startSegment(first uint64) error {
 	name := segmentName(first)
 	file, err := l.fs.Create(name)
@@ -87,12 +88,12 @@
 		err = l.fs.Sync()
 	}
 	if err != nil {
-		// The error that matters is err; a file that stays behind is empty, and the next recovery removes it.
+		// Only err is reported. A file that is left behind holds no group, and the next recovery removes it.
 		_ = file.Close()
 		_ = l.fs.Remove(name)
 		return err
 	}
-	_ = l.closeSegment() // it is synced, or replaced because its sync failed
+	_ = l.closeSegment() // the old segment is synced, or was replaced because its sync failed
 	l.segment, l.segmentSize = file, len(header)
 	return nil
 }
@@ -106,8 +107,8 @@
 	return err
 }
 
-// writeGroup appends one group to the segment. A write that fails, as on a full disk, is undone, and the next may
-// succeed.
+// writeGroup appends one group to the segment. A failed write, for example on a full disk, is undone, so that later
+// writes may succeed.
 func (l *Log) writeGroup(changes []Change) error {
 	body, err := encodeChanges(changes)
 	if err != nil {
@@ -127,7 +128,7 @@
 	if _, err := l.segment.Write(l.groupBuffer); err != nil {
 		err = classifyWriteError(err)
 		if undoErr := l.segment.Truncate(int64(l.segmentSize)); undoErr != nil {
-			return l.failSync(fmt.Errorf("%w, and it could not be taken back: %w", err, undoErr))
+			return l.recordSyncFailure(fmt.Errorf("%w, and it could not be taken back: %w", err, undoErr))
 		}
 		return err
 	}
@@ -138,11 +139,11 @@
 	return nil
 }
 
-// syncSegment has all groups on disk. After a sync that fails the whole state is rewritten.
+// syncSegment syncs all groups to disk. If it fails, the next group of commits rewrites the whole state.
 func (l *Log) syncSegment() error {
 	began := time.Now()
 	if err := l.segment.Sync(); err != nil {
-		return l.failSync(classifyWriteError(err))
+		return l.recordSyncFailure(classifyWriteError(err))
 	}
 	l.counters.Syncs++
 	l.counters.SyncTime += time.Since(began)
@@ -150,14 +151,15 @@
 	return nil
 }
 
-// failSync records that the segment can no longer be trusted, and returns the error for the commits that it affects.
-func (l *Log) failSync(cause error) error {
+// recordSyncFailure records that the contents of the segment on disk are unknown, and returns the error for the
+// affected commits.
+func (l *Log) recordSyncFailure(cause error) error {
 	l.syncErr = fmt.Errorf("%w (%w)", ErrSyncFailed, cause)
 	return l.syncErr
 }
 
-// writeCleanEnd ends the segment with an empty group, whose number tells that all groups before it were on disk: damage
-// to them is then distinguished from what a crash leaves.
+// writeCleanEnd ends the segment with an empty group, which records that all groups before it were on disk. Load can
+// then distinguish damage to them from the traces of a crash.
 func (l *Log) writeCleanEnd() error {
 	if l.segmentSize == headerSize {
 		return nil
--- a/internal/storage/wal/snapshot.go
+++ b/internal/storage/wal/snapshot.go
@@ -4,22 +4,22 @@
 	"glenport/internal/storage/vfs"
 )
 
-// snapshotIfDue starts a snapshot in the background when the log has outgrown the last one. The directory holds at most
-// the old snapshot with its log, the new one, and what was written meanwhile.
+// snapshotIfDue starts a snapshot in the background if the log has outgrown the last one. The directory then holds at
+// most the old snapshot with its segments, the new snapshot, and the segment written meanwhile.
 func (l *Log) snapshotIfDue() {
-	if l.snapshotRuns() || l.syncErr != nil {
+	if l.snapshotRunning() || l.syncErr != nil {
 		return
 	}
 	if l.bytesSinceSnapshot < max(l.options.MinSnapshotLog, snapshotGrowthFactor*l.snapshotSize) {
 		return
 	}
-	if err := l.segment.Sync(); err != nil { // the next segment may only follow a complete one
-		_ = l.failSync(classifyWriteError(err)) // the next commit reports it
+	if err := l.segment.Sync(); err != nil { // a segment may be started only if the previous one is on disk
+		_ = l.recordSyncFailure(classifyWriteError(err)) // the next commit reports the error
 		return
 	}
 	l.durableGroup = l.lastGroup
 	first := l.lastGroup + 1
-	l.bytesSinceSnapshot = 0 // after an error, the next try is due when as much has been written again
+	l.bytesSinceSnapshot = 0 // after an error, the next attempt is due once as much has been written again
 	if err := l.startSegment(first); err != nil {
 		l.options.OnModeChange("snapshot of the state log not written", "error", err)
 		return
@@ -28,8 +28,8 @@
 	l.snapshotInBackground(first)
 }
 
-// snapshotRuns tells whether a snapshot is still being written.
-func (l *Log) snapshotRuns() bool {
+// snapshotRunning reports whether a snapshot is being written.
+func (l *Log) snapshotRunning() bool {
 	if l.snapshotDone == nil {
 		return false
 	}
@@ -42,15 +42,15 @@
 	}
 }
 
-// awaitSnapshot waits until no snapshot is being written. A snapshot ends by itself, with or without an error.
-func (l *Log) awaitSnapshot() {
+// waitForSnapshot waits until no snapshot is being written.
+func (l *Log) waitForSnapshot() {
 	if l.snapshotDone != nil {
 		<-l.snapshotDone
 		l.snapshotDone = nil
 	}
 }
 
-// snapshotInBackground writes the present state as the snapshot before group first.
+// snapshotInBackground starts to write the current state as the snapshot that precedes group first.
 func (l *Log) snapshotInBackground(first uint64) {
 	state, done := l.state.clone(), make(chan struct{})
 	l.snapshotDone = done
@@ -62,7 +62,7 @@
 			return
 		}
 		l.snapshotSize = size
-		l.removeOlder(first)
+		l.removeObsoleteFiles(first)
 	}()
 }
 
@@ -84,12 +84,12 @@
 	return len(data), vfs.WriteFileAtomic(fs, snapshotName(first), data)
 }
 
-// snapshotEncoder builds the file of a snapshot chunk by chunk.
+// snapshotEncoder builds the contents of a snapshot file chunk by chunk.
 type snapshotEncoder struct {
 	data       []byte
 	chunk      []Change
 	chunkBytes int
-	chunks     uint64 // written so far
+	chunks     uint64 // encoded so far
 }
 
 func (e *snapshotEncoder) add(change Change) error {
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// finish ends the snapshot with an empty group and returns the whole file.
+// finish ends the snapshot with an empty group and returns the contents of the file.
 func (e *snapshotEncoder) finish() ([]byte, error) {
 	if len(e.chunk) > 0 {
 		if err := e.flush(); err != nil {
--- a/internal/storage/wal/snapshot_test.go
+++ b/internal/storage/wal/snapshot_test.go
@@ -11,7 +11,7 @@
 	"glenport/internal/testutil"
 )
 
-// A directory holds a bounded amount while commits go on, and is read as it was written.
+// The number of files in a directory stays bounded during commits, and loading it gives the committed state.
 func TestSnapshotsBoundTheLog(t *testing.T) {
 	dir, err := vfs.OpenLocked(t.TempDir())
 	testutil.NoError(t, err)
@@ -19,7 +19,7 @@
 	const wantSnapshots, leastCommits, mostCommits = 3, 3000, 300_000
 	l, _ := mustOpen(t, dir, Options{MinSnapshotLog: 20_000})
 	want := map[string]string{}
-	var snapshots atomic.Int64 // written in the background, so how many 3,000 commits lead to is chance
+	var snapshots atomic.Int64 // written in the background, so their number after 3,000 commits varies
 	for i := 0; i < leastCommits || snapshots.Load() < wantSnapshots && i < mostCommits; i++ {
 		key, value := strconv.Itoa(i%50), strings.Repeat(strconv.Itoa(i), 20)
 		want[key] = value
@@ -27,7 +27,7 @@
 			snapshots.Store(int64(l.Counters().Snapshots))
 			testutil.ExpectNoError(t, err)
 		})
-		if i%20 == 0 { // otherwise all is one group
+		if i%20 == 0 { // otherwise all commits would form one group
 			mustCommit(t, l, false)
 		}
 	}
@@ -35,7 +35,7 @@
 	mustClose(t, l)
 	counters := l.Counters()
 	testutil.Expect(t, counters.Snapshots >= wantSnapshots, "%+v", counters)
-	testutil.Expect(t, maps.Equal(valuesOf(t, mustLoad(t, dir)), want), "not what was written")
+	testutil.Expect(t, maps.Equal(valuesOf(t, mustLoad(t, dir)), want), "the loaded state is not the committed one")
 	names := mustList(t, dir)
 	testutil.Expect(t, len(names) <= 4, "%v", names)
 }
--- a/internal/storage/wal/state.go
+++ b/internal/storage/wal/state.go
@@ -11,18 +11,18 @@
 	Stats
 	kinds map[string]*btree.Map[string, []byte]
 
-	// What loading found, for recovery.
+	// The fields below are results of Load that recovery needs.
 
-	skipChecksums   bool
-	segments        []segmentFile // from the newest snapshot on
-	obsolete        []string      // names of files that are no longer needed
-	lastValidSize   int           // bytes of the last segment up to its torn tail
-	lastHeaderIsBad bool          // the last segment was created and holds nothing
+	skipChecksums     bool
+	segments          []segmentFile // that follow the newest snapshot
+	obsolete          []string      // names of files that are no longer needed
+	lastValidSize     int           // bytes of the last segment up to its torn tail
+	lastHeaderInvalid bool          // the header of the last segment is invalid, and the segment holds no group
 }
 
-// Stats describe the files of a directory.
+// Stats describes the files of a directory.
 type Stats struct {
-	FirstGroup     uint64 // the log is read from this group on, what precedes it is in the snapshot
+	FirstGroup     uint64 // first group of the log; the snapshot includes the groups before it
 	LastGroup      uint64
 	Groups         int // read from the log
 	Records        int // values
@@ -49,7 +49,7 @@
 	}
 }
 
-// ForEach calls visit with the values of a kind in the order of their keys, until it returns an error.
+// ForEach calls visit for each value of a kind, in the order of the keys. It stops at the first error and returns it.
 func (s *State) ForEach(kind string, visit func(key string, value []byte) error) error {
 	values := s.kinds[kind]
 	if values == nil {
--- a/internal/storage/wal/wal.go
+++ b/internal/storage/wal/wal.go
@@ -1,8 +1,8 @@
 // Package wal keeps a key-value state on disk as a write-ahead log with snapshots. Values are addressed by kind and
-// key. Each commit is applied whole or not at all, commits are applied in order, and commits that wait at the same time
-// share one group and one sync. Snapshots bound the length of the log.
+// key. Commits are atomic and applied in order. Commits that wait at the same time share one group and one sync.
+// Snapshots bound the length of the log.
 //
-// docs/notes/state.md explains the guarantees and why the log is not a library.
+// docs/notes/state.md describes the guarantees and why no existing library is used.
 package wal
 
 import (
@@ -12,26 +12,26 @@
 	"glenport/internal/storage/vfs"
 )
 
-// Tuned values.
+// Sizes that govern groups and snapshots.
 const (
 	defaultMinSnapshotLog = 4 << 20 // bytes
-	snapshotGrowthFactor  = 2       // the log grows to this multiple of the last snapshot before the next is due
+	snapshotGrowthFactor  = 2       // a snapshot is due when the log exceeds this multiple of the last one
 	snapshotChunkBytes    = 1 << 20
-	maxGroupBytes         = 8 << 20 // a group takes no further commit beyond this
+	maxGroupBytes         = 8 << 20 // a group of at least this size takes no further commit
 )
 
 // Options of a log. The zero value is the production configuration.
 type Options struct {
-	SyncEachCommit bool // each commit gets a group and a sync of its own, as a baseline for measurements
-	SkipChecksums  bool // corruption goes undetected, for mutation tests
-	MinSnapshotLog int  // bytes of log from which on a snapshot may be due; 0 means 4 MiB
+	SyncEachCommit bool // each commit gets its own group and sync, as a baseline for measurements
+	SkipChecksums  bool // corruption is not detected, for mutation tests
+	MinSnapshotLog int  // minimum size of the log in bytes for a snapshot to be due; 0 means 4 MiB
 
-	// OnModeChange receives log messages in the form of slog: a constant text, then keys and values. It is called from
-	// the log's goroutines and must not block. May be nil.
+	// OnModeChange receives log messages in the form of slog: a constant message, then keys and values. It is called on
+	// the log's goroutines and must not block. It may be nil.
 	OnModeChange func(message string, attributes ...any)
 }
 
-// Log is an open write-ahead log and the state that it has built up.
+// Log is an open write-ahead log and the state that results from its commits.
 type Log struct {
 	fs      vfs.FS
 	options Options
@@ -45,31 +45,31 @@
 	// The fields below belong to the run goroutine while it runs, and to Open and Close before and after it.
 
 	state        *State
-	segment      vfs.File // the segment that is written; nil when there is none open
+	segment      vfs.File // the segment that is written to; nil if none is open
 	segmentSize  int
 	lastGroup    uint64 // sequence number of the last group written
-	durableGroup uint64 // all groups up to this one are known to be on disk
+	durableGroup uint64 // all groups up to this one are on disk
 
 	bytesSinceSnapshot int
-	// of the last snapshot; written by the snapshot goroutine, read once snapshotDone is closed
+	// bytes of the last snapshot; written by the snapshot goroutine, read only once snapshotDone is closed
 	snapshotSize int
-	snapshotDone chan struct{} // closed when the running snapshot ends; nil when none runs
+	snapshotDone chan struct{} // closed when the current snapshot ends; nil if none is being written
 
-	syncErr       error  // set while the segment cannot be trusted, see rewrite
-	rewriteFirst  uint64 // first group of the log that a rewrite begins; 0 when none was tried
-	rejectedInRow int    // commits rejected since the last success
+	syncErr            error  // not nil after a failed sync, until rewrite succeeds
+	rewriteFirstGroup  uint64 // first group of the segment that a rewrite starts; 0 if none was tried
+	consecutiveRejects int    // commits rejected since the last accepted one
 
 	counters    Counters
 	groupBuffer []byte
 }
 
-// Counters count what a log did since it was opened.
+// Counters count the operations of a log since it was opened.
 type Counters struct {
 	Commits, Groups, Syncs, Snapshots, Rejected int
 	SyncTime                                    time.Duration
 }
 
-// Open loads the state of a directory, cuts off what a crash left unfinished, and begins to accept commits.
+// Open loads the state of a directory, truncates a group that a crash left incomplete, and starts to accept commits.
 func Open(fs vfs.FS, options Options) (*Log, Stats, error) {
 	l := &Log{fs: fs, options: options}
 	l.workAvailable = sync.NewCond(&l.mu)
@@ -94,8 +94,8 @@
 // State is the state that Open loaded. It must not be used after the first commit.
 func (l *Log) State() *State { return l.state }
 
-// Commit applies changes, all or none. It calls done from the log's goroutine, in the order of the commits, once the
-// changes are written, or on disk if durable is set; or with the error for which they were rejected.
+// Commit applies all changes or none. It calls done on the log's goroutine, in the order of the commits: with nil once
+// the changes are written, or once they are on disk if durable is set, and with an error if they are rejected.
 func (l *Log) Commit(changes []Change, durable bool, done func(error)) {
 	l.mu.Lock()
 	if l.closing {
@@ -115,7 +115,7 @@
 	return <-done
 }
 
-// Close writes what was committed, marks the clean end of the log, and closes it.
+// Close writes the queued commits, marks the clean end of the log, and closes it.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	l.closing = true
@@ -136,5 +136,5 @@
 	return err
 }
 
-// Counters may be read after Close, or from a done function.
+// Counters returns the counters. It may be called after Close or from a done function.
 func (l *Log) Counters() Counters { return l.counters }
