--- a/internal/storage/faultfs/crash.go
+++ b/internal/storage/faultfs/crash.go
@@ -7,37 +7,37 @@
 
 const sectorSize = 512
 
-// Survival decides for each piece that was not synced whether it survives a crash. The piece is "sector", "length", or
-// the kind of an operation on the directory.
+// Survival decides whether an unsynced piece survives a crash. The piece is "sector", "length", or the kind of an
+// operation on the directory.
 type Survival func(piece string) bool
 
-// Pieces of a file.
+// Pieces of an operation on a file.
 const (
 	changedSector = "sector"
 	changedLength = "length"
 )
 
-// LoseUnsynced lets nothing survive that was not synced.
+// LoseUnsynced lets no unsynced piece survive.
 func LoseUnsynced(string) bool { return false }
 
-// KeepUnsynced lets everything survive.
+// KeepUnsynced lets every unsynced piece survive.
 func KeepUnsynced(string) bool { return true }
 
-// KeepSome draws for each piece, with a probability that is drawn first.
+// KeepSome lets each unsynced piece survive at random, with a probability that is drawn once.
 func KeepSome(random *rand.Rand) Survival {
 	probability := random.Float64()
 	return func(string) bool { return random.Float64() < probability }
 }
 
-// unsynced is what reached the disk for sure, and the operations since that may have reached it.
-type unsynced struct {
-	files     map[int][]byte      // synced data by inode
-	writes    map[int][]operation // of each file since its last sync
-	names     map[string]int      // synced directory
-	dirWrites []operation         // of the directory since its last sync
+// diskState is the synced state of the disk, with the later operations that may or may not have reached it.
+type diskState struct {
+	files      map[int][]byte      // synced data by inode
+	writes     map[int][]operation // operations on each inode since its last sync
+	names      map[string]int      // synced directory: inode by file name
+	dirChanges []operation         // operations on the directory since its last sync
 }
 
-func (u *unsynced) add(o operation) {
+func (u *diskState) add(o operation) {
 	switch o.kind {
 	case opWrite, opTruncate:
 		u.writes[o.inode] = append(u.writes[o.inode], o)
@@ -47,25 +47,25 @@
 		}
 		delete(u.writes, o.inode)
 	case opSyncDir:
-		for _, write := range u.dirWrites {
+		for _, write := range u.dirChanges {
 			write.applyToNames(u.names)
 		}
-		u.dirWrites = nil
+		u.dirChanges = nil
 	default:
-		u.dirWrites = append(u.dirWrites, o)
+		u.dirChanges = append(u.dirChanges, o)
 	}
 }
 
-// Crash returns the directory as it may be found after a crash behind a number of operations. All that is found is on
-// disk.
+// Crash returns the directory in the state after a crash that follows the first after operations. Everything in the
+// returned directory is synced.
 func (f *FS) Crash(after int, survives Survival) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	u := unsynced{files: map[int][]byte{}, writes: map[int][]operation{}, names: map[string]int{}}
+	u := diskState{files: map[int][]byte{}, writes: map[int][]operation{}, names: map[string]int{}}
 	for _, o := range f.operations[:after] {
 		u.add(o)
 	}
-	for _, write := range u.dirWrites {
+	for _, write := range u.dirChanges {
 		if survives(write.kind.String()) {
 			write.applyToNames(u.names)
 		}
@@ -84,7 +84,7 @@
 	return found
 }
 
-// addSynced adds a file that is on disk.
+// addSynced adds a synced file.
 func (f *FS) addSynced(name string, data []byte) {
 	inode := f.addInode(data)
 	f.names[name] = inode
--- a/internal/storage/faultfs/faultfs.go
+++ b/internal/storage/faultfs/faultfs.go
@@ -1,8 +1,8 @@
-// Package faultfs is a file system in memory for tests. It fails on demand, records every write, sync, rename and
+// Package faultfs is an in-memory file system for tests. It injects errors, records every write, sync, rename and
 // removal in order, and produces the states in which a crash may leave a directory.
 //
-// The crash model: of all that was not synced, each sector of 512 bytes, each change of a file's length, and each
-// change of the directory may have reached the disk or not, in any order; a rename is atomic; what was synced stays.
+// The crash model: synced data survives. Each unsynced sector of 512 bytes, change of a file's length and change of the
+// directory may or may not have reached the disk, in any order. A rename is atomic.
 package faultfs
 
 import (
@@ -18,16 +18,16 @@
 
 // FS is a directory in memory. Its methods may be called from any goroutine.
 type FS struct {
-	// InjectError, if set, is asked before each operation with its kind and the name of the file, and may let it fail.
-	// A write that fails leaves its first half.
+	// InjectError, if set, is called before each operation with its kind and the name of the file. If it returns an
+	// error, the operation fails. A write that fails writes the first half of its data.
 	InjectError func(kind, name string) error
 	// IgnoreSync makes syncs succeed without effect, for mutation tests.
 	IgnoreSync bool
 
 	mu         sync.Mutex
 	operations []operation
-	names      map[string]int // the inode of each file
-	inodes     [][]byte       // what has been written, synced or not
+	names      map[string]int // inode by file name
+	inodes     [][]byte       // contents by inode, synced or not
 }
 
 var _ vfs.FS = (*FS)(nil)
@@ -35,7 +35,7 @@
 // New returns an empty directory.
 func New() *FS { return &FS{names: map[string]int{}} }
 
-// OperationCount is the number of operations so far. A crash may come after each, see Crash.
+// OperationCount is the number of operations so far. Crash simulates a crash after any of them.
 func (f *FS) OperationCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,7 +51,7 @@
 
 func (f *FS) record(o operation) { f.operations = append(f.operations, o) }
 
-// addInode returns the number of a new file.
+// addInode adds a file and returns its inode.
 func (f *FS) addInode(data []byte) int {
 	f.inodes = append(f.inodes, data)
 	return len(f.inodes) - 1
@@ -65,8 +65,8 @@
 	return inode, nil
 }
 
-// lookupForChange returns the inode of a file that an operation is to change. It fails if there is no such file, or
-// with the error that is injected into the operation on target.
+// lookupForChange returns the inode of a file that an operation is about to change. It fails if there is no such file,
+// or with the error that InjectError returns for the operation on target.
 func (f *FS) lookupForChange(kind operationKind, name, target string) (inode int, err error) {
 	inode, err = f.lookup(name)
 	if err != nil {
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// FlipBit damages a file, past all that is recorded.
+// FlipBit flips a bit of a file without recording an operation.
 func (f *FS) FlipBit(name string, bit int) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -177,11 +177,11 @@
 	return nil
 }
 
-// file is an open file; it stays the same file when it is renamed.
+// file is an open file. It refers to the same inode after a rename.
 type file struct {
 	fs    *FS
 	inode int
-	name  string // by which it was opened
+	name  string // name under which it was opened
 }
 
 func (f *file) Write(p []byte) (int, error) {
@@ -222,7 +222,7 @@
 
 func (f *file) Close() error { return nil }
 
-// resize returns data cut or filled with zeros to a size. It never writes to the array behind data.
+// resize returns data truncated to a size or padded with zeros. It never writes to the array behind data.
 func resize(data []byte, size int) []byte {
 	if size <= len(data) {
 		return data[:size:size]
--- a/internal/storage/faultfs/golden_test.go
+++ b/internal/storage/faultfs/golden_test.go
@@ -14,7 +14,7 @@
 
 const goldenFile = "testdata/crashes.txt"
 
-// notes folds lines of text into a digest.
+// notes adds lines of text to a digest.
 type notes struct{ *golden.Digest }
 
 func (n notes) add(format string, arguments ...any) { n.Printf(format+"\n", arguments...) }
@@ -28,8 +28,8 @@
 	}
 }
 
-// player does a seeded history of operations, some of which fail, and notes what each returns.
-type player struct {
+// historyRunner runs a seeded history of operations, some of which fail, and records their results.
+type historyRunner struct {
 	random *rand.Rand
 	fs     *FS
 	notes  notes
@@ -38,16 +38,16 @@
 
 var fileNames = []string{"a", "b", "c", "d"}
 
-func (p *player) drawName() string { return fileNames[p.random.IntN(len(fileNames))] }
+func (p *historyRunner) drawName() string { return fileNames[p.random.IntN(len(fileNames))] }
 
-func (p *player) injectError(kind, name string) error {
+func (p *historyRunner) injectError(kind, name string) error {
 	if p.random.IntN(12) == 0 {
 		return fmt.Errorf("%s of %q fails", kind, name)
 	}
 	return nil
 }
 
-func (p *player) run() {
+func (p *historyRunner) run() {
 	p.fs.InjectError = p.injectError
 	for range 60 {
 		p.step(p.drawName())
@@ -55,7 +55,7 @@
 	p.fs.InjectError = nil
 }
 
-func (p *player) step(name string) {
+func (p *historyRunner) step(name string) {
 	switch p.random.IntN(11) {
 	case 0, 1:
 		err := p.opened(p.fs.Create(name))
@@ -79,14 +79,14 @@
 	}
 }
 
-func (p *player) opened(file vfs.File, err error) error {
+func (p *historyRunner) opened(file vfs.File, err error) error {
 	if err == nil {
 		p.open = append(p.open, file)
 	}
 	return err
 }
 
-func (p *player) changeFile(file vfs.File) {
+func (p *historyRunner) changeFile(file vfs.File) {
 	switch p.random.IntN(5) {
 	case 0:
 		p.notes.add("sync: %v", file.Sync())
@@ -102,13 +102,14 @@
 	}
 }
 
-// digestOf plays a history and crashes it after each operation, in four ways.
+// digestOf runs a history and simulates a crash after each operation, in four ways. It returns the digest of the
+// results and the number of states after a crash.
 func digestOf(seed uint64) (digest string, states int) {
 	n := notes{golden.NewDigest()}
 	random := rand.New(rand.NewPCG(seed, 7))
 	fs := New()
 	fs.IgnoreSync = seed%8 == 7
-	(&player{random: random, fs: fs, notes: n}).run()
+	(&historyRunner{random: random, fs: fs, notes: n}).run()
 	n.addFiles(fs)
 	for after := range fs.OperationCount() + 1 {
 		for i, survival := range []Survival{LoseUnsynced, KeepUnsynced, KeepSome(random), KeepSome(random)} {
@@ -116,7 +117,7 @@
 			states++
 			n.add("crash after %d, fate %d", after, i)
 			n.addFiles(found)
-			if i == 3 { // a crash of what was found, and damage to it
+			if i == 3 { // crash the resulting directory again, and damage it
 				n.addFiles(found.Crash(found.OperationCount(), LoseUnsynced))
 				n.add("%v", found.FlipBit("a", random.IntN(4000)))
 				n.addFiles(found)
@@ -126,8 +127,8 @@
 	return n.Sum(), states
 }
 
-// The states in which a crash may leave a folder are the same for the same chance, in every version.
-func TestCrashStatesAreKept(t *testing.T) {
+// For each seed, the states in which a crash leaves a directory are the recorded ones.
+func TestCrashStatesMatchGoldenFile(t *testing.T) {
 	var got strings.Builder
 	for group := range uint64(4) {
 		all, states := notes{golden.NewDigest()}, 0
--- a/internal/storage/faultfs/operation.go
+++ b/internal/storage/faultfs/operation.go
@@ -1,6 +1,6 @@
 package faultfs
 
-// operationKind is one of the operations that may fail, or be followed by a crash.
+// operationKind is a kind of operation that may fail, and that a crash may follow.
 type operationKind uint8
 
 const (
@@ -13,24 +13,24 @@
 	opSyncDir
 )
 
-// String is the kind as InjectError and Survival get it.
+// String is the name that is passed to InjectError and Survival.
 func (k operationKind) String() string {
 	return [...]string{"create", "write", "truncate", "sync", "rename", "remove", "sync folder"}[k]
 }
 
-// operation is one that succeeded, or the half of a write that failed.
+// operation is a recorded operation: one that succeeded, or the first half of a write that failed.
 type operation struct {
 	kind   operationKind
-	name   string // of a file that was created, renamed or removed
-	to     string // the new name of a file that was renamed
+	name   string // name of the file that was created, renamed or removed
+	to     string // new name of the file that was renamed
 	inode  int
-	offset int    // of a write; the new size for a truncation
-	data   []byte // of a write
+	offset int    // offset of a write, or new size for a truncation
+	data   []byte // data of a write
 }
 
-// applyToNames does an operation on the directory.
+// applyToNames applies an operation to the directory.
 func (o operation) applyToNames(names map[string]int) {
-	isThere := func() bool {
+	nameExists := func() bool {
 		inode, ok := names[o.name]
 		return ok && inode == o.inode
 	}
@@ -38,19 +38,19 @@
 	case opCreate:
 		names[o.name] = o.inode
 	case opRename:
-		if isThere() {
+		if nameExists() {
 			delete(names, o.name)
 		}
 		names[o.to] = o.inode
 	case opRemove:
-		if isThere() {
+		if nameExists() {
 			delete(names, o.name)
 		}
-	case opWrite, opTruncate, opSync, opSyncDir: // they change no name
+	case opWrite, opTruncate, opSync, opSyncDir: // do not affect the directory
 	}
 }
 
-// applyToFile does a write or truncation, as far as it survives, and returns the new data of the file.
+// applyToFile applies the surviving pieces of a write or truncation and returns the new data of the file.
 func (o operation) applyToFile(data []byte, survives Survival) []byte {
 	if o.kind == opTruncate {
 		if survives(changedLength) {
