--- a/internal/storage/vfs/dir.go
+++ b/internal/storage/vfs/dir.go
@@ -20,17 +20,17 @@
 // LockedError reports that another process holds the lock of a directory.
 type LockedError struct {
 	Path   string
-	Holder string // as the lock file names it
+	Holder string // contents of the lock file
 }
 
 func (e *LockedError) Error() string {
-	return fmt.Sprintf("%s is held by another instance, %s: each needs a folder of its own", e.Path, e.Holder)
+	return fmt.Sprintf("%s is locked by another instance, %s: each needs its own folder", e.Path, e.Holder)
 }
 
-// Dir is a directory of the operating system.
+// Dir is a directory in the file system of the operating system.
 type Dir struct {
 	path string
-	lock *os.File // nil when it was opened to be read only
+	lock *os.File // nil if the directory was opened with OpenReadOnly
 }
 
 var _ FS = (*Dir)(nil)
@@ -43,21 +43,21 @@
 	}
 	lock, err := os.OpenFile(filepath.Join(path, lockFileName), os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
-		return nil, fmt.Errorf("state cannot be kept: %w", err)
+		return nil, fmt.Errorf("cannot open lock file: %w", err)
 	}
-	if err := acquire(lock, path); err != nil {
-		_ = lock.Close() // nothing was written
+	if err := acquireLock(lock, path); err != nil {
+		_ = lock.Close() // nothing was written, so the error can be ignored
 		return nil, err
 	}
 	if err := writeHolder(lock); err != nil {
-		_ = lock.Close() // the error of the write matters
-		return nil, fmt.Errorf("state cannot be kept: %w", err)
+		_ = lock.Close() // the error of the write is reported
+		return nil, fmt.Errorf("cannot write lock file: %w", err)
 	}
 	return &Dir{path, lock}, nil
 }
 
-// acquire locks the lock file, or returns who holds it.
-func acquire(lock *os.File, path string) error {
+// acquireLock locks the lock file, or returns a *LockedError if another process holds the lock.
+func acquireLock(lock *os.File, path string) error {
 	err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB)
 	if err == nil {
 		return nil
@@ -65,7 +65,7 @@
 	if !errors.Is(err, unix.EWOULDBLOCK) {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	holder, _ := os.ReadFile(lock.Name()) // an unknown holder is left out
+	holder, _ := os.ReadFile(lock.Name()) // if reading fails, the holder is left empty
 	return &LockedError{path, strings.TrimSpace(string(holder))}
 }
 
@@ -77,14 +77,14 @@
 	return err
 }
 
-// OpenReadOnly opens an existing directory without a lock, so that it may be read while another process holds it.
+// OpenReadOnly opens an existing directory without a lock, so that it can be read while another process has locked it.
 func OpenReadOnly(path string) (*Dir, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if !info.IsDir() {
-		return nil, fmt.Errorf("%s is no folder", path)
+		return nil, fmt.Errorf("%s is not a folder", path)
 	}
 	return &Dir{path: path}, nil
 }
@@ -116,7 +116,7 @@
 // Read implements FS.
 func (d *Dir) Read(name string) ([]byte, error) { return os.ReadFile(d.join(name)) }
 
-// List implements FS. It leaves out directories and the lock file.
+// List implements FS. It omits directories and the lock file.
 func (d *Dir) List() ([]string, error) {
 	entries, err := os.ReadDir(d.path)
 	var names []string
@@ -141,11 +141,11 @@
 		return err
 	}
 	err = dir.Sync()
-	_ = dir.Close() // it was only read
+	_ = dir.Close() // opened only for reading, so the error can be ignored
 	return err
 }
 
 type osFile struct{ *os.File }
 
-// Sync leaves out the metadata that is not needed to read the file again, such as its times.
+// Sync does not sync metadata that is not needed to read the file, such as its times.
 func (f osFile) Sync() error { return unix.Fdatasync(int(f.Fd())) }
--- a/internal/storage/vfs/dir_test.go
+++ b/internal/storage/vfs/dir_test.go
@@ -48,14 +48,14 @@
 	}
 }
 
-func TestFolderIsMadeAndItsLockNamesTheHolder(t *testing.T) {
+func TestFolderIsCreatedAndItsLockNamesTheHolder(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "not", "yet")
 	d := mustOpen(t, path)
 	wantList(t, d)
 	lock, err := os.ReadFile(filepath.Join(path, "lock"))
 	testutil.Expect(t, err == nil && string(lock) == fmt.Sprintf("process %d\n", os.Getpid()),
 		"lock file %q, %v", lock, err)
-	for name, mode := range map[string]fs.FileMode{".": 0o755, "lock": 0o644} { // less what the umask takes away
+	for name, mode := range map[string]fs.FileMode{".": 0o755, "lock": 0o644} { // the umask may clear bits
 		info, err := os.Stat(filepath.Join(path, name))
 		testutil.NoError(t, err)
 		if info.Mode().Perm()&^mode != 0 || info.Mode().Perm()&0o600 != 0o600 {
@@ -64,20 +64,20 @@
 	}
 }
 
-func TestFolderIsHeldByOneUntilItIsClosed(t *testing.T) {
+func TestFolderIsLockedUntilClosed(t *testing.T) {
 	path := t.TempDir()
 	d := mustOpen(t, path)
 	_, err := OpenLocked(path)
-	owned, ok := errors.AsType[*LockedError](err)
-	testutil.Require(t, ok && owned.Path == path && owned.Holder == fmt.Sprint("process ", os.Getpid()),
+	locked, ok := errors.AsType[*LockedError](err)
+	testutil.Require(t, ok && locked.Path == path && locked.Holder == fmt.Sprint("process ", os.Getpid()),
 		"opened twice: %v", err)
-	want := fmt.Sprintf("%s is held by another instance, process %d: each needs a folder of its own", path, os.Getpid())
-	testutil.Expect(t, owned.Error() == want, "text %v, want %s", owned, want)
+	want := fmt.Sprintf("%s is locked by another instance, process %d: each needs its own folder", path, os.Getpid())
+	testutil.Expect(t, locked.Error() == want, "text %v, want %s", locked, want)
 	testutil.NoError(t, d.Close())
 	mustOpen(t, path)
 }
 
-func TestFolderThatIsHeldMayBeRead(t *testing.T) {
+func TestLockedFolderMayBeRead(t *testing.T) {
 	path := t.TempDir()
 	d := mustOpen(t, path)
 	f, err := d.Create("a")
@@ -88,15 +88,15 @@
 	wantFile(t, read, "a", "text")
 	testutil.ExpectNoError(t, read.Close())
 	if _, err := OpenReadOnly(filepath.Join(path, "none")); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a folder that is not there: %v", err)
+		t.Errorf("a missing folder: %v", err)
 	}
 	file := filepath.Join(path, "a")
-	if _, err := OpenReadOnly(file); err == nil || err.Error() != file+" is no folder" {
-		t.Errorf("a file in place of a folder: %v", err)
+	if _, err := OpenReadOnly(file); err == nil || err.Error() != file+" is not a folder" {
+		t.Errorf("a file instead of a folder: %v", err)
 	}
 }
 
-func TestFolderThatCannotBeMadeIsRefused(t *testing.T) {
+func TestFolderThatCannotBeCreatedIsRefused(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	testutil.WriteFile(t, path, nil)
 	var pathErr *fs.PathError
@@ -106,7 +106,7 @@
 	path = t.TempDir()
 	testutil.NoError(t, os.Mkdir(filepath.Join(path, "lock"), 0o755))
 	if _, err := OpenLocked(path); !errors.As(err, &pathErr) {
-		t.Errorf("a folder in place of the lock: %v", err)
+		t.Errorf("a folder instead of the lock file: %v", err)
 	}
 }
 
@@ -137,11 +137,11 @@
 	_, appended := d.Append("b")
 	_, read := d.Read("b")
 	for _, err := range []error{appended, read, d.Remove("b"), d.Rename("b", "c")} {
-		testutil.Expect(t, errors.Is(err, os.ErrNotExist), "a file that is not there: %v", err)
+		testutil.Expect(t, errors.Is(err, os.ErrNotExist), "a missing file: %v", err)
 	}
 }
 
-func TestReplacedFileIsWholeAndLeavesNothingBehind(t *testing.T) {
+func TestWriteFileAtomicReplacesAndLeavesNoTempFile(t *testing.T) {
 	d := mustOpen(t, t.TempDir())
 	f, err := d.Create("a" + TempSuffix)
 	mustWrite(t, f, err, "left by a crash")
@@ -150,5 +150,5 @@
 		wantFile(t, d, "a", text)
 		wantList(t, d, "a")
 	}
-	testutil.Expect(t, TempSuffix == ".new", "files that are being written end in %s", TempSuffix)
+	testutil.Expect(t, TempSuffix == ".new", "the suffix of temporary files is %s", TempSuffix)
 }
--- a/internal/storage/vfs/vfs.go
+++ b/internal/storage/vfs/vfs.go
@@ -1,5 +1,5 @@
-// Package vfs is the seam between the stored state and the file system: the few operations on the files of one
-// directory that the state needs. Tests put a crash model in its place, see package faultfs.
+// Package vfs is the file system interface of the stored state: the operations on the files of one directory that the
+// state needs. Tests replace it by a crash model, see package faultfs.
 package vfs
 
 import (
@@ -7,30 +7,31 @@
 	"os"
 )
 
-// TempSuffix ends the name of a file that is still being written. One that a crash leaves behind holds nothing.
+// TempSuffix is the suffix of the name of a file that is still being written. If a crash leaves such a file behind, its
+// contents are not used.
 const TempSuffix = ".new"
 
-// FS is one directory. Names have no path.
+// FS is one directory. File names have no path.
 type FS interface {
 	Create(name string) (File, error) // fails with os.ErrExist if the file exists
-	Append(name string) (File, error) // opens an existing file to be continued at its end
+	Append(name string) (File, error) // opens an existing file for appending
 	Read(name string) ([]byte, error)
 	List() ([]string, error)
 	Rename(from, to string) error // replaces an existing file atomically
 	Remove(name string) error
-	Sync() error // returns when all files created, renamed and removed before are so on disk
+	Sync() error // returns once earlier creations, renames and removals are on disk
 }
 
-// File is a file that is written.
+// File is a file that is open for writing.
 type File interface {
 	Write(p []byte) (int, error)
-	Sync() error // returns when all that was written before is on disk
+	Sync() error // returns once all earlier writes are on disk
 	Truncate(size int64) error
 	Close() error
 }
 
-// WriteFileAtomic replaces a file, or creates it: after a crash it holds the old data or the new. It is not a
-// library's, which would write past FS, where the crash model cannot see it.
+// WriteFileAtomic creates or replaces a file. After a crash, the file holds either the old data or the new data. No
+// library is used for this, because it would bypass FS and therefore the crash model.
 func WriteFileAtomic(fs FS, name string, data []byte) error {
 	temp := name + TempSuffix
 	if err := fs.Remove(temp); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -45,13 +46,13 @@
 		err = fs.Rename(temp, name)
 	}
 	if err != nil {
-		_ = fs.Remove(temp) // the first error matters, and a file left behind is removed by the next try
+		_ = fs.Remove(temp) // only the first error is reported; the next call removes a file that is left behind
 		return err
 	}
 	return fs.Sync()
 }
 
-// writeAndClose writes a file and syncs it; it is closed in any case.
+// writeAndClose writes, syncs and closes a file. It closes the file after an error too.
 func writeAndClose(file File, data []byte) error {
 	_, err := file.Write(data)
 	if err == nil {
