--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -22,12 +22,13 @@
 // sessionEstablished is the state of a BGP session that is up.
 const sessionEstablished = "Established"
 
-// Source is what is served; ok is false if the scheduler does not answer within the timeout.
+// Source provides the status that is served.
 type Source interface {
+	// Stats returns ok as false if the scheduler does not answer within the timeout.
 	Stats(timeout time.Duration) (status *protocol.StatusReply, routes *protocol.RoutesReply, ok bool)
 }
 
-// Serve makes the HTTP server of /metrics; the caller starts and closes it.
+// Serve returns the HTTP server of /metrics. The caller starts and closes it.
 func Serve(address string, source Source) *http.Server {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collector{source})
@@ -38,36 +39,36 @@
 
 type collector struct{ source Source }
 
-// Describe implements prometheus.Collector. It sends nothing: which metrics there are depends on the status.
+// Describe implements prometheus.Collector. It sends no descriptions, as the set of metrics depends on the status.
 func (collector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
 func (c collector) Collect(metrics chan<- prometheus.Metric) {
 	status, routes, ok := c.source.Stats(statsTimeout)
-	send(metrics, "glenport_answers", "Whether the scheduler's event loop answers.", boolValue[ok])
+	emit(metrics, "glenport_answers", "Whether the scheduler's event loop answers.", boolValue[ok])
 	if !ok {
 		return
 	}
 	for _, stat := range status.Stats {
-		send(metrics, statName(stat), "The counter of this name in the output of glenport status.", stat.Value)
+		emit(metrics, statName(stat), "The counter of this name in the output of glenport status.", stat.Value)
 	}
 	for _, peer := range routes.Peers {
 		collectPeer(metrics, peer)
 	}
 	for _, service := range routes.Services {
 		labels := label{"service", service.Service}
-		send(metrics, "glenport_bgp_penalty", "Flap damping penalty of a service's address.", service.Penalty, labels)
+		emit(metrics, "glenport_bgp_penalty", "Flap damping penalty of a service's address.", service.Penalty, labels)
 	}
 }
 
 func collectPeer(metrics chan<- prometheus.Metric, peer protocol.BGPPeerStatus) {
 	address := label{"peer", peer.Address}
 	established := boolValue[peer.State == sessionEstablished]
-	send(metrics, "glenport_bgp_established", "Whether the session is established.", established, address)
-	send(metrics, "glenport_bgp_routes", "Prefixes announced to the peer.", float64(peer.Routes), address)
-	send(metrics, "glenport_bgp_due", "Changes not yet sent to the peer.", float64(peer.PendingRoutes), address)
-	send(metrics, "glenport_bgp_updates", "Update messages sent.", float64(peer.UpdatesSent), address)
-	send(metrics, "glenport_bgp_session_ends", "Sessions that ended.", float64(peer.SessionsEnded), address)
+	emit(metrics, "glenport_bgp_established", "Whether the session is established.", established, address)
+	emit(metrics, "glenport_bgp_routes", "Prefixes announced to the peer.", float64(peer.Routes), address)
+	emit(metrics, "glenport_bgp_due", "Changes not yet sent to the peer.", float64(peer.PendingRoutes), address)
+	emit(metrics, "glenport_bgp_updates", "Update messages sent.", float64(peer.UpdatesSent), address)
+	emit(metrics, "glenport_bgp_session_ends", "Sessions that ended.", float64(peer.SessionsEnded), address)
 }
 
 var statNameReplacer = strings.NewReplacer(" ", "_", ".", "_")
@@ -82,8 +83,8 @@
 
 type label struct{ name, value string }
 
-// send leaves out a metric whose name is not valid.
-func send(metrics chan<- prometheus.Metric, name, help string, value float64, labels ...label) {
+// emit sends a metric. It omits metrics with an invalid name.
+func emit(metrics chan<- prometheus.Metric, name, help string, value float64, labels ...label) {
 	var names, values []string
 	for _, l := range labels {
 		names, values = append(names, l.name), append(values, l.value)
@@ -95,5 +96,5 @@
 	}
 }
 
-// boolValue holds the values of metrics that are true or false.
+// boolValue maps a boolean to the value of a metric.
 var boolValue = map[bool]float64{false: 0, true: 1}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -23,7 +23,7 @@
 	return status, routes, s.ok
 }
 
-func TestMetricsShowTheStatus(t *testing.T) {
+func TestMetricsReportStatus(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		ok     bool
