--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// closeFlushTimeout bounds how long Close waits for the peer to take pending output.
+// closeFlushTimeout bounds how long Close waits for the peer to accept pending output.
 const closeFlushTimeout = 2 * Second
 
 // Handler receives the events of a connection, on the loop's goroutine.
--- a/internal/eventloop/connio.go
+++ b/internal/eventloop/connio.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// maxDrainReads bounds the consecutive reads from a peer that has hung up. Times readBufferSize it exceeds the
+	// maxDrainReads bounds the consecutive reads from a peer that has hung up. maxDrainReads*readBufferSize exceeds the
 	// input that the kernel buffers for a socket.
 	maxDrainReads = 128
 
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -125,8 +125,8 @@
 	l.flushQueue = l.flushQueue[:0]
 }
 
-// OnFlushed sets the callback that runs at the end of each iteration, after sockets have accepted the output that
-// they can take.
+// OnFlushed sets the callback that runs at the end of each iteration, after pending output was written as far as the
+// sockets accept it.
 func (l *Loop) OnFlushed(callback func()) { l.onFlushed = callback }
 
 // SkipWait makes the next iteration begin without waiting for an event.
--- a/internal/eventloop/stall.go
+++ b/internal/eventloop/stall.go
@@ -63,7 +63,9 @@
 	}
 	m.sample()
 	if max(late, busy) >= stallThreshold {
-		m.report(Stall{StartDelay: late, BusyTime: busy, CPUTime: m.sampledCPU - sampledCPU, Period: m.sampledAt - sampledAt})
+		m.report(Stall{
+			StartDelay: late, BusyTime: busy, CPUTime: m.sampledCPU - sampledCPU, Period: m.sampledAt - sampledAt,
+		})
 	}
 }
 
--- a/internal/eventloop/stall_test.go
+++ b/internal/eventloop/stall_test.go
@@ -57,7 +57,8 @@
 		kernel.nextWait = pause
 	})
 	late := testutil.Receive(t, stalls)
-	testutil.Expect(t, late.StartDelay <= pause+time.Second && late.BusyTime < time.Second, "%+v after a late start", late)
+	testutil.Expect(t, late.StartDelay <= pause+time.Second && late.BusyTime < time.Second,
+		"%+v after a late start", late)
 	loop.Post(func() { kernel.paused += pause })
 	long := testutil.Receive(t, stalls)
 	testutil.Expect(t, long.StartDelay < time.Second && long.BusyTime >= pause, "%+v after a long iteration", long)
