--- a/internal/protocol/container.go
+++ b/internal/protocol/container.go
@@ -73,7 +73,7 @@
 	Tenant          int      `cbor:"Customer"`
 	Cores           float64  `cbor:"Cores"`
 	Memory          float64  `cbor:"Memory"` // GiB
-	DedupWindow     Duration `cbor:"Window"` // duplicates of the key are dropped within it; 0: none are
+	DedupWindow     Duration `cbor:"Window"` // repeats of the key within this time are dropped; 0: none are dropped
 	ExpectedRuntime Duration `cbor:"RunFor"` // 0: unknown
 	ClientRetry     bool     `cbor:"Again"`  // the client has submitted the container before
 }
--- a/internal/protocol/invalidframes_test.go
+++ b/internal/protocol/invalidframes_test.go
@@ -188,9 +188,9 @@
 	s.add("Submit, time left too long", &Submit{TimeToDeadline: tooLong, Spec: goldenSpec(1)})
 	s.add("ExplainReply, share no number", &ExplainReply{FullRatio: notANumber})
 	for i := range 13 {
-		why := ExplainReply{}
-		reflect.ValueOf(&why).Elem().Field(3 + i).SetInt(int64([]int{-1, 1<<20 + 1}[i%2]))
-		s.add(fmt.Sprintf("ExplainReply, count %d out of range", i+1), &why)
+		reply := ExplainReply{}
+		reflect.ValueOf(&reply).Elem().Field(3 + i).SetInt(int64([]int{-1, 1<<20 + 1}[i%2]))
+		s.add(fmt.Sprintf("ExplainReply, count %d out of range", i+1), &reply)
 	}
 	s.add("WatchMachineList, version below 0", &WatchMachineList{SinceVersion: -1})
 }
@@ -206,8 +206,8 @@
 	s.add("PlacementReply, verdict 0", &PlacementReply{ContainerID: "c"})
 	s.add("PlacementReply, verdict 5", &PlacementReply{ContainerID: "c", Verdict: 5})
 	s.add("PlacementReply, hold-off below 0", &PlacementReply{ContainerID: "c", Verdict: VerdictPlaced, RetryAfter: -1})
-	late := &PlacementReply{ContainerID: "c", Verdict: VerdictPlaced, RetryAfter: tooLong}
-	s.add("PlacementReply, hold-off too long", late)
+	longRetry := &PlacementReply{ContainerID: "c", Verdict: VerdictPlaced, RetryAfter: tooLong}
+	s.add("PlacementReply, hold-off too long", longRetry)
 	s.add("Termination, no container", &Termination{})
 	s.add("Termination, outcome 5", &Termination{ContainerID: "c", Outcome: 5})
 	s.add("Termination, reason 8", &Termination{ContainerID: "c", Reason: 8})
--- a/internal/protocol/reader.go
+++ b/internal/protocol/reader.go
@@ -12,7 +12,7 @@
 // Reader splits a stream into frames. The first frame must be a Hello, and no later frame may be one. After the first
 // error the reader returns this error only.
 type Reader struct {
-	MaxSize int // of a frame, in bytes after the length; 0 means MaxFrame
+	MaxSize int // maximum size of a frame in bytes after the length; 0 means MaxFrame
 
 	partial   []byte // bytes of an incomplete frame
 	helloSeen bool
