--- a/internal/storage/faultfs/crash.go
+++ b/internal/storage/faultfs/crash.go
@@ -37,45 +37,45 @@
 	dirChanges []operation         // operations on the directory since its last sync
 }
 
-func (u *diskState) add(o operation) {
+func (d *diskState) add(o operation) {
 	switch o.kind {
 	case opWrite, opTruncate:
-		u.writes[o.inode] = append(u.writes[o.inode], o)
+		d.writes[o.inode] = append(d.writes[o.inode], o)
 	case opSync:
-		for _, write := range u.writes[o.inode] {
-			u.files[o.inode] = write.applyToFile(u.files[o.inode], KeepUnsynced)
+		for _, write := range d.writes[o.inode] {
+			d.files[o.inode] = write.applyToFile(d.files[o.inode], KeepUnsynced)
 		}
-		delete(u.writes, o.inode)
+		delete(d.writes, o.inode)
 	case opSyncDir:
-		for _, write := range u.dirChanges {
-			write.applyToNames(u.names)
+		for _, write := range d.dirChanges {
+			write.applyToNames(d.names)
 		}
-		u.dirChanges = nil
+		d.dirChanges = nil
 	default:
-		u.dirChanges = append(u.dirChanges, o)
+		d.dirChanges = append(d.dirChanges, o)
 	}
 }
 
-// Crash returns the directory in the state after a crash that follows the first after operations. Everything in the
-// returned directory is synced.
+// Crash simulates a crash after the given number of operations and returns the directory that it leaves. Everything in
+// the returned directory is synced.
 func (f *FS) Crash(after int, survives Survival) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	u := diskState{files: map[int][]byte{}, writes: map[int][]operation{}, names: map[string]int{}}
+	d := diskState{files: map[int][]byte{}, writes: map[int][]operation{}, names: map[string]int{}}
 	for _, o := range f.operations[:after] {
-		u.add(o)
+		d.add(o)
 	}
-	for _, write := range u.dirChanges {
+	for _, write := range d.dirChanges {
 		if survives(write.kind.String()) {
-			write.applyToNames(u.names)
+			write.applyToNames(d.names)
 		}
 	}
 	found := New()
 	found.IgnoreSync = f.IgnoreSync
-	for _, name := range sortedNames(u.names) {
-		inode := u.names[name]
-		data := bytes.Clone(u.files[inode])
-		for _, write := range u.writes[inode] {
+	for _, name := range sortedNames(d.names) {
+		inode := d.names[name]
+		data := bytes.Clone(d.files[inode])
+		for _, write := range d.writes[inode] {
 			data = write.applyToFile(data, survives)
 		}
 		found.addSynced(name, data)
--- a/internal/storage/faultfs/golden_test.go
+++ b/internal/storage/faultfs/golden_test.go
@@ -38,67 +38,67 @@
 
 var fileNames = []string{"a", "b", "c", "d"}
 
-func (p *historyRunner) drawName() string { return fileNames[p.random.IntN(len(fileNames))] }
+func (h *historyRunner) drawName() string { return fileNames[h.random.IntN(len(fileNames))] }
 
-func (p *historyRunner) injectError(kind, name string) error {
-	if p.random.IntN(12) == 0 {
+func (h *historyRunner) injectError(kind, name string) error {
+	if h.random.IntN(12) == 0 {
 		return fmt.Errorf("%s of %q fails", kind, name)
 	}
 	return nil
 }
 
-func (p *historyRunner) run() {
-	p.fs.InjectError = p.injectError
+func (h *historyRunner) run() {
+	h.fs.InjectError = h.injectError
 	for range 60 {
-		p.step(p.drawName())
+		h.step(h.drawName())
 	}
-	p.fs.InjectError = nil
+	h.fs.InjectError = nil
 }
 
-func (p *historyRunner) step(name string) {
-	switch p.random.IntN(11) {
+func (h *historyRunner) step(name string) {
+	switch h.random.IntN(11) {
 	case 0, 1:
-		err := p.opened(p.fs.Create(name))
-		p.notes.add("create %s: %v %t", name, err, errors.Is(err, os.ErrExist))
+		err := h.opened(h.fs.Create(name))
+		h.notes.add("create %s: %v %t", name, err, errors.Is(err, os.ErrExist))
 	case 2:
-		err := p.opened(p.fs.Append(name))
-		p.notes.add("append %s: %v %t", name, err, errors.Is(err, os.ErrNotExist))
+		err := h.opened(h.fs.Append(name))
+		h.notes.add("append %s: %v %t", name, err, errors.Is(err, os.ErrNotExist))
 	case 3:
-		p.notes.add("rename %s: %v", name, p.fs.Rename(name, p.drawName()))
+		h.notes.add("rename %s: %v", name, h.fs.Rename(name, h.drawName()))
 	case 4:
-		p.notes.add("remove %s: %v", name, p.fs.Remove(name))
+		h.notes.add("remove %s: %v", name, h.fs.Remove(name))
 	case 5:
-		p.notes.add("sync folder: %v", p.fs.Sync())
+		h.notes.add("sync folder: %v", h.fs.Sync())
 	case 6:
-		data, err := p.fs.Read(name)
-		p.notes.add("read %s: %x %v", name, data, err)
+		data, err := h.fs.Read(name)
+		h.notes.add("read %s: %x %v", name, data, err)
 	default:
-		if len(p.open) > 0 {
-			p.changeFile(p.open[p.random.IntN(len(p.open))])
+		if len(h.open) > 0 {
+			h.changeFile(h.open[h.random.IntN(len(h.open))])
 		}
 	}
 }
 
-func (p *historyRunner) opened(file vfs.File, err error) error {
+func (h *historyRunner) opened(file vfs.File, err error) error {
 	if err == nil {
-		p.open = append(p.open, file)
+		h.open = append(h.open, file)
 	}
 	return err
 }
 
-func (p *historyRunner) changeFile(file vfs.File) {
-	switch p.random.IntN(5) {
+func (h *historyRunner) changeFile(file vfs.File) {
+	switch h.random.IntN(5) {
 	case 0:
-		p.notes.add("sync: %v", file.Sync())
+		h.notes.add("sync: %v", file.Sync())
 	case 1:
-		p.notes.add("truncate: %v", file.Truncate(int64(p.random.IntN(1500))))
+		h.notes.add("truncate: %v", file.Truncate(int64(h.random.IntN(1500))))
 	default:
-		data := make([]byte, p.random.IntN(1300))
+		data := make([]byte, h.random.IntN(1300))
 		for i := range data {
-			data[i] = byte(p.random.Uint32())
+			data[i] = byte(h.random.Uint32())
 		}
 		written, err := file.Write(data)
-		p.notes.add("write: %d %v", written, err)
+		h.notes.add("write: %d %v", written, err)
 	}
 }
 
--- a/internal/storage/wal/rewrite.go
+++ b/internal/storage/wal/rewrite.go
@@ -7,7 +7,7 @@
 )
 
 // rewrite writes the whole state to new files after a sync has failed: a snapshot, and a segment that follows it. If
-// the process crashes before both are on disk, recovery reads either the old files or the new snapshot. Both hold the
+// the system crashes before both are on disk, recovery reads either the old files or the new snapshot. Both hold the
 // same state, as no commit is accepted during a rewrite. The file whose sync failed is never synced again. The rewrite
 // is tried once per group of waiting commits.
 func (l *Log) rewrite() error {
