--- a/cmd/glenport/scheduler.go
+++ b/cmd/glenport/scheduler.go
@@ -53,7 +53,7 @@
 
 // serveMetrics serves the metrics of a process. The process runs on where that fails.
 func serveMetrics(address string, source metrics.Source, log *slog.Logger) (stop func()) {
-	server := metrics.Serve(address, source)
+	server := metrics.NewServer(address, source)
 	go func() {
 		if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 			log.Error("metrics not served", "error", err)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -28,8 +28,8 @@
 	Stats(timeout time.Duration) (status *protocol.StatusReply, routes *protocol.RoutesReply, ok bool)
 }
 
-// Serve returns the HTTP server of /metrics. The caller starts and closes it.
-func Serve(address string, source Source) *http.Server {
+// NewServer returns the HTTP server of /metrics. The caller starts and closes it.
+func NewServer(address string, source Source) *http.Server {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collector{source})
 	mux := http.NewServeMux()
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -39,7 +39,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			response := httptest.NewRecorder()
 			request := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/metrics", nil)
-			Serve("", fakeSource{tc.ok}).Handler.ServeHTTP(response, request)
+			NewServer("", fakeSource{tc.ok}).Handler.ServeHTTP(response, request)
 			body := response.Body.String()
 			for _, line := range tc.want {
 				testutil.Expect(t, strings.Contains(body, line+"\n"), "no line %s in\n%s", line, body)
