--- a/internal/eventloop/kernel.go
+++ b/internal/eventloop/kernel.go
@@ -60,8 +60,8 @@
 	// Listen binds a socket to an address and makes it accept connections. It returns the bound address with its port.
 	Listen(fd int, address netip.AddrPort, backlog int) (netip.AddrPort, error)
 	Accept(fd, flags int) (int, unix.Sockaddr, error)
-	// OpenSpare opens a descriptor that only reserves its number and is not read or written.
-	OpenSpare() (fd int, err error)
+	// OpenSpareFD opens a descriptor that only reserves its number and is not read or written.
+	OpenSpareFD() (fd int, err error)
 	Close(fd int)
 }
 
--- a/internal/eventloop/shortage.go
+++ b/internal/eventloop/shortage.go
@@ -6,7 +6,7 @@
 
 // openSpareFD opens the descriptor that is reserved for refuseConnection. On failure spareFD is -1.
 func (l *Loop) openSpareFD() {
-	fd, err := l.kernel.OpenSpare()
+	fd, err := l.kernel.OpenSpareFD()
 	if err != nil {
 		fd = -1
 	}
--- a/internal/eventloop/systemkernel.go
+++ b/internal/eventloop/systemkernel.go
@@ -119,7 +119,7 @@
 	return unix.Accept4(fd, flags)
 }
 
-func (*systemKernel) OpenSpare() (int, error) {
+func (*systemKernel) OpenSpareFD() (int, error) {
 	return unix.Open("/dev/null", unix.O_RDONLY|unix.O_CLOEXEC, 0)
 }
 
--- a/internal/testbed/simnet/sockets.go
+++ b/internal/testbed/simnet/sockets.go
@@ -61,8 +61,8 @@
 // Socket implements eventloop.SocketOpener.
 func (k *Kernel) Socket(netip.AddrPort) (int, error) { return k.openFD() }
 
-// OpenSpare implements eventloop.SocketOpener.
-func (k *Kernel) OpenSpare() (int, error) { return k.openFD() }
+// OpenSpareFD implements eventloop.SocketOpener.
+func (k *Kernel) OpenSpareFD() (int, error) { return k.openFD() }
 
 func (k *Kernel) openFD() (int, error) {
 	s, err := k.open()
