--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -83,10 +83,10 @@
 			tc.end(t, l, testutil.Receive(t, handler.opened), peer)
 			reason := testutil.Receive(t, handler.closed)
 			testutil.Expect(t, errors.Is(reason, tc.want), "closed by %v, want %v", reason, tc.want)
-			if n := call(l, func() int { l.SkipWait(); return len(handler.closed) }); n != 0 {
+			if n := callOnLoop(l, func() int { l.SkipWait(); return len(handler.closed) }); n != 0 {
 				t.Errorf("Closed was called %d more times", n)
 			}
-			if n := call(l, l.ConnCount); n != 0 {
+			if n := callOnLoop(l, l.ConnCount); n != 0 {
 				t.Errorf("%d connections left", n)
 			}
 		})
@@ -97,7 +97,7 @@
 	l, stuck := runLoop(t, func() {}), newProbe()
 	testutil.Dial(t, listen(t, l, stuck, 1<<20, nil))
 	c := testutil.Receive(t, stuck.opened)
-	accepted := call(l, func() int {
+	accepted := callOnLoop(l, func() int {
 		n := 0
 		for c.Write(make([]byte, 64<<10)) == nil {
 			n++
@@ -120,8 +120,8 @@
 	peer := testutil.Dial(t, listen(t, l, handler, size, nil))
 	testutil.ExpectNoError(t, peer.SetReadDeadline(time.Now().Add(20*time.Second)))
 	c := testutil.Receive(t, handler.opened)
-	do(l, func() { testutil.ExpectNoError(t, c.Write(make([]byte, size))) })
-	do(l, func() { // in the iteration after the flush
+	runOnLoop(l, func() { testutil.ExpectNoError(t, c.Write(make([]byte, size))) })
+	runOnLoop(l, func() { // in the iteration after the flush
 		if _, written := c.BytesTransferred(); !c.WriteBlocked() || written+c.PendingOutput() != size {
 			t.Errorf("blocked %t, %d bytes written, %d pending", c.WriteBlocked(), written, c.PendingOutput())
 		}
@@ -129,7 +129,7 @@
 	if n, err := io.ReadFull(peer, make([]byte, size)); err != nil {
 		t.Errorf("peer got %d of %d bytes, %v", n, size, err)
 	}
-	do(l, func() {
+	runOnLoop(l, func() {
 		if _, written := c.BytesTransferred(); c.WriteBlocked() || written != size {
 			t.Errorf("write blocked %t with %d of %d bytes written", c.WriteBlocked(), written, size)
 		}
@@ -171,15 +171,15 @@
 			}
 			peer := testutil.Dial(t, listen(t, l, handler, 32<<20, nil))
 			c := testutil.Receive(t, handler.opened)
-			do(l, func() { tc.prepare(c) })
-			do(l, func() { // blocks the loop until all is sent, so that it reads nothing before
+			runOnLoop(l, func() { tc.prepare(c) })
+			runOnLoop(l, func() { // blocks the loop until all is sent, so that it reads nothing before
 				testutil.ExpectNoError(t, peer.SetReadBuffer(1<<10))
 				_, err := peer.Write(make([]byte, tc.sent))
 				testutil.ExpectNoError(t, err)
 				testutil.ExpectNoError(t, peer.CloseWrite())
 			})
 			expectEOF(t, handler.probe)
-			do(l, func() {
+			runOnLoop(l, func() {
 				testutil.Expect(t, read == tc.sent && first == last,
 					"%d of %d bytes read, from iteration %d, closed in %d", read, tc.sent, first, last)
 			})
--- a/internal/eventloop/connstate_test.go
+++ b/internal/eventloop/connstate_test.go
@@ -35,7 +35,7 @@
 				c := &Conn{loop: &Loop{}, fd: -1, handler: handler, state: from}
 				c.transition(to)
 				if slices.Contains(documented[from.String()], to.String()) {
-					testutil.Expect(t, c.state == to && len(handler.closed) == 0, "now %s", c.state)
+					testutil.Expect(t, c.state == to && len(handler.closed) == 0, "state is %s", c.state)
 					return
 				}
 				checkIllegalTransition(t, c, handler, from, to)
@@ -48,7 +48,7 @@
 // the error as the reason unless it had been notified before.
 func checkIllegalTransition(t *testing.T, c *Conn, handler *probe, from, to connState) {
 	t.Helper()
-	testutil.Require(t, c.state == connClosed, "now %s", c.state)
+	testutil.Require(t, c.state == connClosed, "state is %s", c.state)
 	notifiedBefore := from == connEnding || from == connHalfClosed || from == connClosed
 	if len(handler.closed) == 0 {
 		testutil.Expect(t, notifiedBefore, "the handler was not notified")
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -40,7 +40,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			handler := newProbe()
-			do(l, func() { // handler.closed is not received from meanwhile
+			runOnLoop(l, func() { // handler.closed is not received from meanwhile
 				c := l.Dial(tc.addr, handler, 100, 50*Millisecond)
 				if err := c.Write([]byte("never sent")); err != nil && !errors.Is(err, ErrClosed) {
 					t.Error(err)
@@ -58,12 +58,12 @@
 	l, handler := runLoop(t, func() {}), newProbe()
 	addr := listen(t, l, newProbe(), 100, func(error) {})
 	restore := exhaustDescriptors(t)
-	do(l, func() { l.Dial(addr, handler, 100, Second) })
+	runOnLoop(l, func() { l.Dial(addr, handler, 100, Second) })
 	reason := testutil.Receive(t, handler.closed)
 	restore()
 	if !errors.Is(reason, ErrLocalResources) || errors.Is(reason, ErrConnectFailed) {
 		t.Error(reason)
 	}
-	do(l, func() { l.Dial(addr, handler, 100, Second) })
+	runOnLoop(l, func() { l.Dial(addr, handler, 100, Second) })
 	testutil.Receive(t, handler.opened)
 }
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -80,16 +80,16 @@
 	return l
 }
 
-// call runs a function on the loop and returns its result.
-func call[T any](l *Loop, function func() T) T {
+// callOnLoop runs a function on the loop and returns its result.
+func callOnLoop[T any](l *Loop, function func() T) T {
 	result := make(chan T, 1)
 	l.Post(func() { result <- function() })
 	return <-result
 }
 
-// do runs a function on the loop and waits until it has returned.
-func do(l *Loop, function func()) {
-	call(l, func() struct{} {
+// runOnLoop runs a function on the loop and waits until it has returned.
+func runOnLoop(l *Loop, function func()) {
+	callOnLoop(l, func() struct{} {
 		function()
 		return struct{}{}
 	})
@@ -98,7 +98,7 @@
 // listen opens a listener whose connections share one handler, and returns its address.
 func listen(t *testing.T, l *Loop, handler Handler, maxOutput int, onAcceptState func(error)) string {
 	t.Helper()
-	ln := call(l, func() *Listener {
+	ln := callOnLoop(l, func() *Listener {
 		ln, err := l.Listen("127.0.0.1:0", func() (Handler, int) { return handler, maxOutput }, onAcceptState)
 		testutil.ExpectNoError(t, err)
 		return ln
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -130,16 +130,16 @@
 func (l *Loop) OnFlushed(callback func()) { l.onFlushed = callback }
 
 // SkipWait makes the next iteration begin without waiting for an event.
-func (l *Loop) SkipWait() { l.request(loopSkippingWait) }
+func (l *Loop) SkipWait() { l.requestState(loopSkippingWait) }
 
 // StopWhenIdle ends Run after this iteration if no event has arrived by then. Otherwise one more iteration handles the
 // events and may call StopWhenIdle again, so that input that peers had sent is not left unhandled.
-func (l *Loop) StopWhenIdle() { l.request(loopDraining) }
+func (l *Loop) StopWhenIdle() { l.requestState(loopDraining) }
 
 // Stop ends Run after the iteration that handles the call. Pending output is flushed once more. Any goroutine may call
 // it.
 func (l *Loop) Stop() {
-	l.Post(func() { l.request(loopStopping) })
+	l.Post(func() { l.requestState(loopStopping) })
 }
 
 // shutdown ends Run: it writes the output that sockets accept at once, notifies handlers with ErrClosed, and closes
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -32,7 +32,7 @@
 		testutil.Receive(t, light.read)
 	}
 	<-done
-	twice := call(l, func() int {
+	twice := callOnLoop(l, func() int {
 		n := 0
 		for i := 1; i < len(readIterations); i++ {
 			if readIterations[i] == readIterations[i-1] {
--- a/internal/eventloop/loopstate.go
+++ b/internal/eventloop/loopstate.go
@@ -11,6 +11,6 @@
 	loopStopping                      // end
 )
 
-// request requests a state for the end of this iteration. It does not override a later state; the next iteration begins
-// in loopWaiting.
-func (l *Loop) request(state loopState) { l.state = max(l.state, state) }
+// requestState requests a state for the end of this iteration. It does not override a later state; the next iteration
+// begins in loopWaiting.
+func (l *Loop) requestState(state loopState) { l.state = max(l.state, state) }
--- a/internal/eventloop/md5_test.go
+++ b/internal/eventloop/md5_test.go
@@ -14,7 +14,7 @@
 // listenWithMD5Key opens a listener with a key for its peers. It returns the error of SetTCPMD5Key as refused.
 func listenWithMD5Key(t *testing.T, l *Loop, handler Handler, key string) (addr string, refused error) {
 	t.Helper()
-	ln := call(l, func() *Listener {
+	ln := callOnLoop(l, func() *Listener {
 		ln, err := l.Listen("127.0.0.1:0", func() (Handler, int) { return handler, 1000 }, nil)
 		if err != nil {
 			t.Error(err)
--- a/internal/eventloop/shortage_test.go
+++ b/internal/eventloop/shortage_test.go
@@ -58,7 +58,7 @@
 	t.Helper()
 	f := &acceptFailure{tries: make(chan Tick, 1_000_000), restore: func() {}}
 	f.failing.Store(true)
-	do(l, func() {
+	runOnLoop(l, func() {
 		l.accept4 = func(fd, flags int) (int, unix.Sockaddr, error) {
 			f.tries <- l.now
 			if f.failing.Load() && err != nil {
@@ -76,7 +76,7 @@
 	return f
 }
 
-func (f *acceptFailure) end() {
+func (f *acceptFailure) stop() {
 	f.failing.Store(false)
 	f.restore()
 }
@@ -106,7 +106,7 @@
 			if third := testutil.Receive(t, failure.tries); third-first < acceptRetryDelay {
 				t.Errorf("three accepts in %d ms: the loop spins", (third-first)/Millisecond)
 			}
-			failure.end()
+			failure.stop()
 			testutil.Receive(t, handler.opened)
 			if err := testutil.Receive(t, states); err != nil || len(states) > 0 {
 				t.Errorf("state %v and %d more, want nil once", err, len(states))
@@ -119,7 +119,7 @@
 func TestDescriptorFreedAfterFailedAcceptServesTheConnection(t *testing.T) {
 	l, handler := runLoop(t, func() {}), newProbe()
 	addr := listen(t, l, handler, 100, func(error) {})
-	do(l, func() {
+	runOnLoop(l, func() {
 		closeSpareFD(t, l)
 		failed := false
 		l.accept4 = func(fd, flags int) (int, unix.Sockaddr, error) {
--- a/internal/eventloop/wheel_test.go
+++ b/internal/eventloop/wheel_test.go
@@ -35,7 +35,7 @@
 
 func (m *wheelModel) run(item *wheelItem) {
 	testutil.Require(m.t, m.now >= item.expiry, "ran at %d, expires at %d", m.now, item.expiry)
-	testutil.Require(m.t, item.expiry >= m.last, "%d ran after %d", item.expiry, m.last)
+	testutil.Require(m.t, item.expiry >= m.last, "a timer of %d ran after one of %d", item.expiry, m.last)
 	testutil.Require(m.t, item.timer != nil, "ran twice or after it was cancelled")
 	m.last, item.timer = item.expiry, nil
 }
@@ -68,7 +68,8 @@
 	}
 	if next, scheduled := m.wheel.NextExpiry(); scheduled != (left > 0) || scheduled && next > first ||
 		m.wheel.Len() != left {
-		m.t.Fatalf("next %d %t with %d left, the first at %d; %d counted", next, scheduled, left, first, m.wheel.Len())
+		m.t.Fatalf("next expiry %d (%t); %d timers left, the first expires at %d; Len is %d",
+			next, scheduled, left, first, m.wheel.Len())
 	}
 }
 
@@ -97,7 +98,7 @@
 	var b *Timer
 	w.Schedule(5, func() {
 		ran += "a"
-		testutil.Expect(t, w.Cancel(b), "b could not be cancelled")
+		testutil.Expect(t, w.Cancel(b), "timer b could not be cancelled")
 		w.Schedule(5, func() { ran += "c" })
 	})
 	b = w.Schedule(5, func() { ran += "b" })
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -44,7 +44,7 @@
 			for _, line := range tc.want {
 				testutil.Expect(t, strings.Contains(body, line+"\n"), "no line %s in\n%s", line, body)
 			}
-			testutil.Expect(t, !strings.Contains(body, tc.absent), "%s is shown", tc.absent)
+			testutil.Expect(t, !strings.Contains(body, tc.absent), "%s is present in the output", tc.absent)
 		})
 	}
 }
--- a/internal/storage/faultfs/golden_test.go
+++ b/internal/storage/faultfs/golden_test.go
@@ -58,10 +58,10 @@
 func (h *historyRunner) step(name string) {
 	switch h.random.IntN(11) {
 	case 0, 1:
-		err := h.opened(h.fs.Create(name))
+		err := h.addOpenFile(h.fs.Create(name))
 		h.notes.add("create %s: %v %t", name, err, errors.Is(err, os.ErrExist))
 	case 2:
-		err := h.opened(h.fs.Append(name))
+		err := h.addOpenFile(h.fs.Append(name))
 		h.notes.add("append %s: %v %t", name, err, errors.Is(err, os.ErrNotExist))
 	case 3:
 		h.notes.add("rename %s: %v", name, h.fs.Rename(name, h.drawName()))
@@ -79,7 +79,7 @@
 	}
 }
 
-func (h *historyRunner) opened(file vfs.File, err error) error {
+func (h *historyRunner) addOpenFile(file vfs.File, err error) error {
 	if err == nil {
 		h.open = append(h.open, file)
 	}
--- a/internal/storage/wal/damage_test.go
+++ b/internal/storage/wal/damage_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func (d *damageTrial) cutShort(t *testing.T, name string, data []byte) {
+func (d *damageTrial) truncate(t *testing.T, name string, data []byte) {
 	t.Helper()
 	for size := range data {
 		d.load(t, name, data[:size:size])
@@ -77,7 +77,7 @@
 			skipChecksums bool
 		}{
 			{"flipped bit", (*damageTrial).flipBits, false},
-			{"cut short", (*damageTrial).cutShort, false},
+			{"cut short", (*damageTrial).truncate, false},
 			{"missing", (*damageTrial).remove, false},
 			{"flipped bit, checksums ignored", (*damageTrial).flipBits, true},
 		} {
--- a/internal/storage/wal/load_test.go
+++ b/internal/storage/wal/load_test.go
@@ -28,8 +28,8 @@
 	return fs
 }
 
-// flippedBit returns a function that flips one bit of the first segment.
-func flippedBit(bit int) func(t *testing.T, fs *faultfs.FS) {
+// flipBit returns a function that flips one bit of the first segment.
+func flipBit(bit int) func(t *testing.T, fs *faultfs.FS) {
 	return func(t *testing.T, fs *faultfs.FS) {
 		t.Helper()
 		mustFlipBit(t, fs, bit)
@@ -50,9 +50,9 @@
 			size := len(mustRead(t, fs, firstSegment))
 			mustTruncate(t, fs, firstSegment, size-80) // cuts the clean end and a part of the last group
 		}, "", 9},
-		{"a corrupt middle", flippedBit(8 * 400), "group 3 is damaged; it was kept, as group 4", 0},
-		{"a corrupt length in the middle", flippedBit(8 * (headerSize + groupLengthOffset)), "group 1 is damaged", 0},
-		{"a corrupt beginning", flippedBit(8 * 3), "at byte 0: it does not begin", 0},
+		{"a corrupt middle", flipBit(8 * 400), "group 3 is damaged; it was kept, as group 4", 0},
+		{"a corrupt length in the middle", flipBit(8 * (headerSize + groupLengthOffset)), "group 1 is damaged", 0},
+		{"a corrupt beginning", flipBit(8 * 3), "at byte 0: it does not begin", 0},
 		{"a later version", func(t *testing.T, fs *faultfs.FS) {
 			t.Helper()
 			changeVersion(t, fs, firstSegment, FormatVersion+1)
