--- a/internal/eventloop/wheel_test.go
+++ b/internal/eventloop/wheel_test.go
@@ -11,18 +11,18 @@
 	"glenport/internal/testutil"
 )
 
-// wheelModel is a wheel and the plain list of timers that it is compared with.
+// wheelModel is a wheel and a list of timers that serves as its reference model.
 type wheelModel struct {
 	t     *rapid.T
 	wheel *TimerWheel
 	now   Tick
-	last  Tick // expiry of the timer that ran last in this Advance
+	last  Tick // expiry of the last timer that ran in this Advance
 	items []*wheelItem
 }
 
 type wheelItem struct {
 	expiry Tick
-	timer  *Timer // nil: has run or was cancelled
+	timer  *Timer // nil: the timer has run or was cancelled
 }
 
 func (m *wheelModel) schedule() {
@@ -35,7 +35,7 @@
 
 func (m *wheelModel) run(item *wheelItem) {
 	testutil.Require(m.t, m.now >= item.expiry, "ran at %d, expires at %d", m.now, item.expiry)
-	testutil.Require(m.t, item.expiry >= m.last, "%d ran after %d", item.expiry, m.last)
+	testutil.Require(m.t, item.expiry >= m.last, "a timer of %d ran after one of %d", item.expiry, m.last)
 	testutil.Require(m.t, item.timer != nil, "ran twice or after it was cancelled")
 	m.last, item.timer = item.expiry, nil
 }
@@ -68,12 +68,13 @@
 	}
 	if next, scheduled := m.wheel.NextExpiry(); scheduled != (left > 0) || scheduled && next > first ||
 		m.wheel.Len() != left {
-		m.t.Fatalf("next %d %t with %d left, the first at %d; %d counted", next, scheduled, left, first, m.wheel.Len())
+		m.t.Fatalf("next expiry %d (%t); %d timers left, the first expires at %d; Len is %d",
+			next, scheduled, left, first, m.wheel.Len())
 	}
 }
 
-// Every timer runs once, in the first Advance to its expiry or later, never before, in order of expiry; NextExpiry is
-// never late.
+// Every timer runs exactly once, in the first Advance to its expiry or later, in order of expiry. NextExpiry is never
+// later than the first expiry.
 func TestWheelRunsTimersAsItsModelDoes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := Tick(rapid.Int64Range(0, 1<<40).Draw(t, "start"))
@@ -97,7 +98,7 @@
 	var b *Timer
 	w.Schedule(5, func() {
 		ran += "a"
-		testutil.Expect(t, w.Cancel(b), "b could not be cancelled")
+		testutil.Expect(t, w.Cancel(b), "timer b could not be cancelled")
 		w.Schedule(5, func() { ran += "c" })
 	})
 	b = w.Schedule(5, func() { ran += "b" })
@@ -108,7 +109,7 @@
 	}
 }
 
-// heapTimer is a timer of timerHeap, the binary heap that the benchmark compares the wheel with.
+// heapTimer is a timer of timerHeap, the binary heap with which the benchmark compares the wheel.
 type heapTimer struct {
 	at    Tick
 	index int
@@ -135,8 +136,8 @@
 	return x
 }
 
-// One step is what an attempt does: a timer is scheduled, and one scheduled before is cancelled, as most attempts are
-// answered before their timeout. The delay is up to 6 s.
+// Each step schedules a timer with a delay of up to 6 s and cancels an earlier one. This is the load of placement
+// attempts, most of which are answered before their timeout.
 func BenchmarkTimers(b *testing.B) {
 	for _, n := range []int{1e3, 1e4, 1e5, 1e6} {
 		b.Run(fmt.Sprintf("wheel/%d", n), func(b *testing.B) { benchmarkWheel(b, n) })
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -23,7 +23,7 @@
 	return status, routes, s.ok
 }
 
-func TestMetricsShowTheStatus(t *testing.T) {
+func TestMetricsReportStatus(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		ok     bool
@@ -39,12 +39,12 @@
 		t.Run(tc.name, func(t *testing.T) {
 			response := httptest.NewRecorder()
 			request := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/metrics", nil)
-			Serve("", fakeSource{tc.ok}).Handler.ServeHTTP(response, request)
+			NewServer("", fakeSource{tc.ok}).Handler.ServeHTTP(response, request)
 			body := response.Body.String()
 			for _, line := range tc.want {
 				testutil.Expect(t, strings.Contains(body, line+"\n"), "no line %s in\n%s", line, body)
 			}
-			testutil.Expect(t, !strings.Contains(body, tc.absent), "%s is shown", tc.absent)
+			testutil.Expect(t, !strings.Contains(body, tc.absent), "%s is present in the output", tc.absent)
 		})
 	}
 }
--- a/internal/storage/faultfs/crash.go
+++ b/internal/storage/faultfs/crash.go
@@ -7,75 +7,75 @@
 
 const sectorSize = 512
 
-// Survival decides for each piece that was not synced whether it survives a crash. The piece is "sector", "length", or
-// the kind of an operation on the directory.
+// Survival decides whether an unsynced piece survives a crash. The piece is "sector", "length", or the kind of an
+// operation on the directory.
 type Survival func(piece string) bool
 
-// Pieces of a file.
+// Pieces of an operation on a file.
 const (
 	changedSector = "sector"
 	changedLength = "length"
 )
 
-// LoseUnsynced lets nothing survive that was not synced.
+// LoseUnsynced lets no unsynced piece survive.
 func LoseUnsynced(string) bool { return false }
 
-// KeepUnsynced lets everything survive.
+// KeepUnsynced lets every unsynced piece survive.
 func KeepUnsynced(string) bool { return true }
 
-// KeepSome draws for each piece, with a probability that is drawn first.
+// KeepSome lets each unsynced piece survive at random, with a probability that is drawn once.
 func KeepSome(random *rand.Rand) Survival {
 	probability := random.Float64()
 	return func(string) bool { return random.Float64() < probability }
 }
 
-// unsynced is what reached the disk for sure, and the operations since that may have reached it.
-type unsynced struct {
-	files     map[int][]byte      // synced data by inode
-	writes    map[int][]operation // of each file since its last sync
-	names     map[string]int      // synced directory
-	dirWrites []operation         // of the directory since its last sync
+// diskState is the synced state of the disk, with the later operations that may or may not have reached it.
+type diskState struct {
+	files      map[int][]byte      // synced data by inode
+	writes     map[int][]operation // operations on each inode since its last sync
+	names      map[string]int      // synced directory: inode by file name
+	dirChanges []operation         // operations on the directory since its last sync
 }
 
-func (u *unsynced) add(o operation) {
+func (d *diskState) add(o operation) {
 	switch o.kind {
 	case opWrite, opTruncate:
-		u.writes[o.inode] = append(u.writes[o.inode], o)
+		d.writes[o.inode] = append(d.writes[o.inode], o)
 	case opSync:
-		for _, write := range u.writes[o.inode] {
-			u.files[o.inode] = write.applyToFile(u.files[o.inode], KeepUnsynced)
+		for _, write := range d.writes[o.inode] {
+			d.files[o.inode] = write.applyToFile(d.files[o.inode], KeepUnsynced)
 		}
-		delete(u.writes, o.inode)
+		delete(d.writes, o.inode)
 	case opSyncDir:
-		for _, write := range u.dirWrites {
-			write.applyToNames(u.names)
+		for _, write := range d.dirChanges {
+			write.applyToNames(d.names)
 		}
-		u.dirWrites = nil
+		d.dirChanges = nil
 	default:
-		u.dirWrites = append(u.dirWrites, o)
+		d.dirChanges = append(d.dirChanges, o)
 	}
 }
 
-// Crash returns the directory as it may be found after a crash behind a number of operations. All that is found is on
-// disk.
+// Crash simulates a crash after the given number of operations and returns the directory that it leaves. Everything in
+// the returned directory is synced.
 func (f *FS) Crash(after int, survives Survival) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	u := unsynced{files: map[int][]byte{}, writes: map[int][]operation{}, names: map[string]int{}}
+	d := diskState{files: map[int][]byte{}, writes: map[int][]operation{}, names: map[string]int{}}
 	for _, o := range f.operations[:after] {
-		u.add(o)
+		d.add(o)
 	}
-	for _, write := range u.dirWrites {
+	for _, write := range d.dirChanges {
 		if survives(write.kind.String()) {
-			write.applyToNames(u.names)
+			write.applyToNames(d.names)
 		}
 	}
 	found := New()
 	found.IgnoreSync = f.IgnoreSync
-	for _, name := range sortedNames(u.names) {
-		inode := u.names[name]
-		data := bytes.Clone(u.files[inode])
-		for _, write := range u.writes[inode] {
+	for _, name := range sortedNames(d.names) {
+		inode := d.names[name]
+		data := bytes.Clone(d.files[inode])
+		for _, write := range d.writes[inode] {
 			data = write.applyToFile(data, survives)
 		}
 		found.addSynced(name, data)
@@ -84,7 +84,7 @@
 	return found
 }
 
-// addSynced adds a file that is on disk.
+// addSynced adds a synced file.
 func (f *FS) addSynced(name string, data []byte) {
 	inode := f.addInode(data)
 	f.names[name] = inode
