--- a/internal/config/aliases.go
+++ b/internal/config/aliases.go
@@ -6,15 +6,15 @@
 	"glenport/internal/config/strictyaml"
 )
 
-// This file is the only table of old spellings that settings files may have. docs/operating.md shows it to operators,
-// and a test compares the two.
+// The tables in this file list all old spellings that settings files may have. docs/operating.md repeats them for
+// operators; a test compares the two.
 
-// SchedulerAliases returns the old spellings of a scheduler's settings file.
+// SchedulerAliases returns the old spellings of the scheduler settings file.
 func SchedulerAliases() strictyaml.Aliases {
 	return strictyaml.Aliases{Keys: schedulerKeyAliases, Values: schedulerValueAliases}
 }
 
-// ControllerAliases returns the old spellings of a controller's settings file.
+// ControllerAliases returns the old spellings of the controller settings file.
 func ControllerAliases() strictyaml.Aliases { return strictyaml.Aliases{Keys: controllerKeyAliases} }
 
 var schedulerKeyAliases = []strictyaml.KeyAlias{
@@ -91,7 +91,7 @@
 	{Section: "", Old: "state", New: "state_dir"},
 }
 
-// LogDeprecations writes a warning for each old spelling in a settings file.
+// LogDeprecations logs a warning for each old spelling in a settings file.
 func LogDeprecations(log *slog.Logger, deprecations []strictyaml.Deprecation) {
 	for _, d := range deprecations {
 		log.Warn("deprecated setting", "file", d.File, "line", d.Line, "old", d.Old, "new", d.New)
--- a/internal/config/aliases_test.go
+++ b/internal/config/aliases_test.go
@@ -15,7 +15,7 @@
 	"github.com/goccy/go-yaml"
 )
 
-// parseWithDeprecations returns the settings in a file without its deprecations, and these.
+// parseWithDeprecations returns the settings in a file and, separately, its deprecations.
 func parseWithDeprecations(t *testing.T, path string) (*Scheduler, []strictyaml.Deprecation) {
 	t.Helper()
 	settings, err := LoadScheduler(path)
@@ -32,10 +32,10 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			old, deprecations := parseWithDeprecations(t, tc.old)
-			current, none := parseWithDeprecations(t, tc.current)
+			current, currentDeprecations := parseWithDeprecations(t, tc.current)
 			testutil.Expect(t, reflect.DeepEqual(old, current), "got %+v\nwant %+v", old, current)
-			testutil.Expect(t, len(deprecations) >= 40 && len(none) == 0,
-				"%d old spellings in %s, %d in %s", len(deprecations), tc.old, len(none), tc.current)
+			testutil.Expect(t, len(deprecations) >= 40 && len(currentDeprecations) == 0,
+				"%d old spellings in %s, %d in %s", len(deprecations), tc.old, len(currentDeprecations), tc.current)
 		})
 	}
 }
@@ -50,17 +50,18 @@
 		File: "testdata/legacy/keeper.yaml", Line: 4, Old: "placer_file", New: "scheduler_config",
 	}
 	testutil.Expect(t, got == want, "got %v first, want %v", got, want)
-	if ofScheduler := old.Scheduler.Deprecations; len(old.Deprecations) != len(controllerKeyAliases)+len(ofScheduler) {
-		t.Errorf("%d old spellings, those of the scheduler's file included", len(old.Deprecations))
+	if schedulerDeprecations := old.Scheduler.Deprecations; len(old.Deprecations) !=
+		len(controllerKeyAliases)+len(schedulerDeprecations) {
+		t.Errorf("%d old spellings, including those of the scheduler's file", len(old.Deprecations))
 	}
 	old.Deprecations, old.Scheduler.Deprecations = nil, nil
 	testutil.Expect(t, reflect.DeepEqual(old, current), "got %+v\nwant %+v", old, current)
 }
 
-// parseAs reads one kind of settings file and returns its settings, to be compared, and its old spellings.
-type parseAs func(data []byte) (settings any, deprecations []strictyaml.Deprecation, err error)
+// parseFunc parses one kind of settings file and returns its settings and, separately, its old spellings.
+type parseFunc func(data []byte) (settings any, deprecations []strictyaml.Deprecation, err error)
 
-func asScheduler(data []byte) (any, []strictyaml.Deprecation, error) {
+func parseSchedulerFile(data []byte) (any, []strictyaml.Deprecation, error) {
 	settings, err := ParseScheduler("file.yaml", data)
 	if err != nil {
 		return nil, nil, err
@@ -70,7 +71,7 @@
 	return settings, deprecations, nil
 }
 
-func asController(data []byte) (any, []strictyaml.Deprecation, error) {
+func parseControllerFile(data []byte) (any, []strictyaml.Deprecation, error) {
 	var content controllerFile
 	file, err := strictyaml.ReadWithAliases("file.yaml", data, &content, ControllerAliases())
 	if err != nil {
@@ -85,10 +86,10 @@
 	for _, tc := range []struct {
 		file  string
 		keys  []strictyaml.KeyAlias
-		parse parseAs
+		parse parseFunc
 	}{
-		{"testdata/current.yaml", schedulerKeyAliases, asScheduler},
-		{sampleFolder + "/controller.yaml", controllerKeyAliases, asController},
+		{"testdata/current.yaml", schedulerKeyAliases, parseSchedulerFile},
+		{sampleFolder + "/controller.yaml", controllerKeyAliases, parseControllerFile},
 	} {
 		data := []byte(readFile(t, tc.file))
 		want, _, err := tc.parse(data)
@@ -101,8 +102,8 @@
 	}
 }
 
-// checkKeyAlias reads a file in which one key is given in its old spelling, and in both spellings.
-func checkKeyAlias(t *testing.T, data []byte, alias strictyaml.KeyAlias, parse parseAs, want any) {
+// checkKeyAlias parses a file that has one key in its old spelling, and a file that has it in both spellings.
+func checkKeyAlias(t *testing.T, data []byte, alias strictyaml.KeyAlias, parse parseFunc, want any) {
 	t.Helper()
 	both := rewrite(t, data, alias.Section, func(section map[string]any) {
 		if value, found := lookUp(section, alias.New); found {
@@ -130,12 +131,13 @@
 
 func TestEachOldValueIsRead(t *testing.T) {
 	data := []byte(readFile(t, "testdata/current.yaml"))
-	classOf := map[string]string{"dedup_scope": "report-run", "spread_scope": "corpus-merge"} // others may not have it
+	// the class that may have the key
+	classOf := map[string]string{"dedup_scope": "report-run", "spread_scope": "corpus-merge"}
 	for _, alias := range schedulerValueAliases {
 		t.Run(alias.Key+" "+alias.Old, func(t *testing.T) {
 			section, key, _ := strings.Cut(alias.Key, ".")
-			with := func(value string) (any, []strictyaml.Deprecation) {
-				settings, deprecations, err := asScheduler(rewrite(t, data, section, func(entry map[string]any) {
+			settingsWith := func(value string) (any, []strictyaml.Deprecation) {
+				settings, deprecations, err := parseSchedulerFile(rewrite(t, data, section, func(entry map[string]any) {
 					if entry["name"] == classOf[key] || entry[key] == alias.New {
 						entry[key] = value
 					}
@@ -143,16 +145,16 @@
 				testutil.NoError(t, err)
 				return settings, deprecations
 			}
-			want, none := with(alias.New)
-			got, deprecations := with(alias.Old)
-			testutil.Expect(t, reflect.DeepEqual(got, want) && len(none) == 0,
-				"got %+v\nwant %+v with %v", got, want, none)
+			want, wantDeprecations := settingsWith(alias.New)
+			got, deprecations := settingsWith(alias.Old)
+			testutil.Expect(t, reflect.DeepEqual(got, want) && len(wantDeprecations) == 0,
+				"got %+v\nwant %+v with old spellings %v", got, want, wantDeprecations)
 			checkDeprecation(t, deprecations, alias.Key+": "+alias.Old, alias.Key+": "+alias.New)
 		})
 	}
 }
 
-// checkDeprecation checks that a file has one old spelling.
+// checkDeprecation checks that a file has exactly one old spelling, the given one.
 func checkDeprecation(t *testing.T, got []strictyaml.Deprecation, old, current string) {
 	t.Helper()
 	if len(got) != 1 || got[0].Line == 0 || got[0].File != "file.yaml" || got[0].Old != old || got[0].New != current {
@@ -160,7 +162,7 @@
 	}
 }
 
-// rewrite changes each mapping at the path of a section.
+// rewrite calls change with each mapping at the path of a section and returns the changed file.
 func rewrite(t *testing.T, data []byte, section string, change func(map[string]any)) []byte {
 	t.Helper()
 	var root any
@@ -210,24 +212,24 @@
 	checkErrors(t, "scheduler.yaml", readFile(t, sampleFolder+"/scheduler.yaml"), []errorCase{
 		{"unknown key", "  budget: 60", "  budgets: 60", `scheduler.yaml:36:5: unknown field "budgets"`},
 		{
-			"missing in a nested section", "    window: 3s", "    #",
+			"missing key in a nested section", "    window: 3s", "    #",
 			"scheduler.yaml:34:5: machines.slow_start.window is missing",
 		},
 		{
-			"missing in a list", "idempotency: idempotent, ", "",
+			"missing key in a list entry", "idempotency: idempotent, ", "",
 			"scheduler.yaml:41:6: workload_classes[0].idempotency is missing",
 		},
 		{
-			"value of a list", "idempotent,", "reissued,",
+			"value in a list entry", "idempotent,", "reissued,",
 			`"reissued" is none of idempotent, idempotent-with-key, at-most-once`,
 		},
-		{"value of a section", "max_attempts: 4", "max_attempts: 0", "scheduler.yaml:38:17: 0 would let nothing pass"},
+		{"value in a section", "max_attempts: 4", "max_attempts: 0", "scheduler.yaml:38:17: 0 would let nothing pass"},
 		{
 			"objective beyond the timeout", "latency_objective: 2s", "latency_objective: 20s",
 			"latency_objective is longer than placement_timeout",
 		},
 		{
-			"window of what has none", "idempotency: idempotent,", "idempotency: idempotent, dedup_window: 8s,",
+			"dedup window of an idempotent class", "idempotency: idempotent,", "idempotency: idempotent, dedup_window: 8s,",
 			"dedup_scope and dedup_window need idempotency: idempotent-with-key",
 		},
 		{
@@ -236,15 +238,15 @@
 		},
 		{
 			"both spellings", "scheduler_count: 3", "scheduler_count: 3\nplacers: 3",
-			`scheduler.yaml:6:1: "placers" is the old spelling of "scheduler_count", which stands on line 5`,
+			`scheduler.yaml:6:1: "placers" is the old spelling of "scheduler_count", which is set on line 5`,
 		},
 		{
-			"both spellings, the old one first", "scheduler_count: 3", "placers: 3\nscheduler_count: 3",
-			`scheduler.yaml:5:1: "placers" is the old spelling of "scheduler_count", which stands on line 6`,
+			"both spellings, old one first", "scheduler_count: 3", "placers: 3\nscheduler_count: 3",
+			`scheduler.yaml:5:1: "placers" is the old spelling of "scheduler_count", which is set on line 6`,
 		},
 		{
-			"old key into what is no section", "  slow_start:", "  cold_for: 17s\n  slow_start: 5\n  slow:",
-			`scheduler.yaml:33:3: "cold_for" belongs into section "slow_start", which is no mapping`,
+			"old key of a section that is no mapping", "  slow_start:", "  cold_for: 17s\n  slow_start: 5\n  slow:",
+			`scheduler.yaml:33:3: "cold_for" belongs in section "slow_start", which is not a mapping`,
 		},
 	})
 }
--- a/internal/config/bgp.go
+++ b/internal/config/bgp.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	maxMD5Key      = 80    // bytes of a TCP MD5 key
-	minHoldSeconds = 3     // of a hold time other than 0 (RFC 4271, section 4.2)
-	maxHoldSeconds = 65535 // as the OPEN message has two bytes for it
+	maxMD5KeyBytes = 80    // of a TCP MD5 key
+	minHoldSeconds = 3     // shortest hold time other than 0 (RFC 4271, section 4.2)
+	maxHoldSeconds = 65535 // the hold time has two bytes in the OPEN message
 )
 
 // BGP holds the settings of the service addresses that a scheduler announces.
@@ -22,7 +22,7 @@
 	RouterID   [4]byte
 	ListenAddr string // empty: peers cannot connect
 	Peers      []BGPPeer
-	Services   map[string]announce.Service // by name of the service
+	Services   map[string]announce.Service // by the name of the service
 }
 
 // BGPPeer holds the settings of one peer. A prefix outside Allow is never announced to it (RFC 8212).
@@ -32,12 +32,12 @@
 	HoldTime    scheduler.Time
 	Families    []wire.Family
 	Passive     bool           // the peer connects to this scheduler
-	RestartTime scheduler.Time // for which the peer keeps routes over a restart (RFC 4724); 0: not asked for
+	RestartTime scheduler.Time // for which the peer retains routes during a restart (RFC 4724); 0: no graceful restart
 	Allow       []netip.Prefix
-	MD5Key      string // signs TCP segments (RFC 2385); empty: they are not signed
+	MD5Key      string // signs TCP segments (RFC 2385); empty: segments are not signed
 }
 
-// bgp checks the section on announced addresses and returns its settings, nil where a required key is missing.
+// bgp checks the bgp section and returns its settings, or nil if a required key is missing.
 func (v *validator) bgp(f *bgpSection) *BGP {
 	v.required("bgp", *f)
 	if v.err != nil {
@@ -70,7 +70,7 @@
 		Passive:     entry.Passive.Value,
 		MD5Key:      entry.MD5Key.Value,
 	}
-	if len(peer.MD5Key) > maxMD5Key {
+	if len(peer.MD5Key) > maxMD5KeyBytes {
 		v.fail(entry.MD5Key.Position, "a key has up to 80 bytes")
 	}
 	if !validHoldTime(peer.HoldTime) {
@@ -89,7 +89,7 @@
 	for _, prefix := range entry.Allow {
 		peer.Allow = append(peer.Allow, v.prefix(prefix))
 	}
-	if len(entry.Allow) == 0 { // without a policy nothing would be announced (RFC 8212): an error rather than silence
+	if len(entry.Allow) == 0 { // an error, as nothing is announced to a peer without an export policy (RFC 8212)
 		v.record(v.file.MissingKey(path, "allow"))
 	}
 	return peer
@@ -100,7 +100,7 @@
 	return t == 0 || t%scheduler.Second == 0 && seconds >= minHoldSeconds && seconds <= maxHoldSeconds
 }
 
-// bgpServices returns the announced services by name; no two of them may share a prefix.
+// bgpServices returns the announced services by name. Two services with the same prefix are an error.
 func (v *validator) bgpServices(entries []bgpServiceEntry) map[string]announce.Service {
 	services, serviceOf := map[string]announce.Service{}, map[netip.Prefix]string{}
 	for i, entry := range entries {
--- a/internal/config/controller.go
+++ b/internal/config/controller.go
@@ -14,16 +14,16 @@
 type Controller struct {
 	Name            string
 	APIAddr         string
-	SchedulerAddrs  []string // of all schedulers, by their index
+	SchedulerAddrs  []string // of all schedulers, in the order of their indices
 	MachineListAddr string   // empty: the machine list is not watched
 	Seed            uint64
-	StateDir        string     // folder of the state kept over restarts; empty: none is kept
-	Scheduler       *Scheduler // a scheduler's settings, for workload classes, tenants and machine types
+	StateDir        string     // folder of the state kept across restarts; empty: no state is kept
+	Scheduler       *Scheduler // settings of a scheduler, for workload classes, tenants and machine types
 
-	Deprecations []strictyaml.Deprecation // old spellings in this file and then in the scheduler's
+	Deprecations []strictyaml.Deprecation // old spellings in this file, followed by those in the scheduler's file
 }
 
-// LoadController reads and checks a controller's settings file and the scheduler's file that it names, beside it.
+// LoadController reads and checks the settings file of a controller and the settings file of a scheduler that it names.
 func LoadController(path string) (*Controller, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return settings, nil
 }
 
-// controller checks a controller's file and returns its settings, nil where a required key is missing.
+// controller checks a controller's file and returns its settings, or nil if a required key is missing.
 func (v *validator) controller(f *controllerFile) *Controller {
 	v.required("", *f)
 	if v.err != nil {
--- a/internal/config/encode.go
+++ b/internal/config/encode.go
@@ -14,7 +14,7 @@
 	"github.com/goccy/go-yaml"
 )
 
-// The names that settings files have for the values of enumerations.
+// Names of enumeration values in settings files.
 var (
 	idempotencyNames = map[scheduler.Idempotency]string{
 		scheduler.Idempotent:        "idempotent",
@@ -30,7 +30,7 @@
 	familyNames = map[wire.Family]string{wire.IPv4: "ipv4", wire.IPv6: "ipv6"}
 )
 
-// Encode returns the text of a settings file from which [ParseScheduler] reads the same settings.
+// Encode returns the text of a settings file that [ParseScheduler] reads as the same settings.
 func (s *Scheduler) Encode() ([]byte, error) {
 	text, err := yaml.MarshalWithOptions(s.file(), yaml.OmitZero())
 	if err != nil {
@@ -39,8 +39,8 @@
 	return text, nil
 }
 
-// Encode returns the text of a settings file from which [LoadController] reads the same settings; schedulerFile is the
-// path of the scheduler's settings file that it names.
+// Encode returns the text of a settings file that [LoadController] reads as the same settings. The parameter
+// schedulerFile is the path of the scheduler's settings file, which goes into the text.
 func (c *Controller) Encode(schedulerFile string) ([]byte, error) {
 	file := &controllerFile{
 		Name:            strictyaml.NewString(c.Name),
@@ -60,7 +60,7 @@
 	return text, nil
 }
 
-// optionalString leaves an empty value out.
+// optionalString returns a value that is not set if the text is empty.
 func optionalString(value string) strictyaml.String {
 	if value == "" {
 		return strictyaml.String{}
@@ -70,7 +70,7 @@
 
 func durationValue(d scheduler.Time) strictyaml.Duration { return strictyaml.NewDuration(int64(d)) }
 
-// file returns the content of the settings file.
+// file returns the settings in the form of the settings file.
 func (s *Scheduler) file() *schedulerFile {
 	policy := &s.Policy
 	file := &schedulerFile{
@@ -175,7 +175,7 @@
 	return entry
 }
 
-// section returns the content of the section on announced addresses.
+// section returns the settings in the form of the bgp section.
 func (b *BGP) section() *bgpSection {
 	section := &bgpSection{
 		ASN:        strictyaml.NewCount(int(b.ASN)),
@@ -186,7 +186,7 @@
 		section.Peers = append(section.Peers, b.Peers[i].entry())
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.Services)) {
-		section.Services = append(section.Services, bgpServiceEntryOf(name, b.Services[name]))
+		section.Services = append(section.Services, newBGPServiceEntry(name, b.Services[name]))
 	}
 	return section
 }
@@ -209,7 +209,7 @@
 	return entry
 }
 
-func bgpServiceEntryOf(name string, service announce.Service) bgpServiceEntry {
+func newBGPServiceEntry(name string, service announce.Service) bgpServiceEntry {
 	return bgpServiceEntry{
 		Service:     strictyaml.NewString(name),
 		Prefix:      strictyaml.NewString(service.Prefix.String()),
--- a/internal/config/encode_test.go
+++ b/internal/config/encode_test.go
@@ -8,11 +8,10 @@
 	"glenport/internal/testutil"
 )
 
-// What is encoded reads back as the same settings.
 func TestEncodedSchedulerSettingsReadBackTheSame(t *testing.T) {
 	for _, path := range []string{sampleFolder + "/scheduler.yaml", "testdata/every-key.yaml"} {
 		t.Run(path, func(t *testing.T) {
-			want, _ := parseWithDeprecations(t, path) // what is encoded has no deprecations
+			want, _ := parseWithDeprecations(t, path) // the encoded file has no deprecations
 			text := encoded(t)(want.Encode())
 			if got, err := ParseScheduler(path, text); err != nil || !reflect.DeepEqual(got, want) {
 				t.Errorf("%v: got %+v, want %+v from\n%s", err, got, want, text)
@@ -27,7 +26,7 @@
 			want, err := LoadController(path)
 			testutil.NoError(t, err)
 			dir := t.TempDir()
-			want.Deprecations, want.Scheduler.Deprecations = nil, nil // what is encoded has none
+			want.Deprecations, want.Scheduler.Deprecations = nil, nil // the encoded files have none
 			testutil.WriteFile(t, filepath.Join(dir, "scheduler.yaml"), encoded(t)(want.Scheduler.Encode()))
 			text := encoded(t)(want.Encode("scheduler.yaml"))
 			testutil.WriteFile(t, filepath.Join(dir, "controller.yaml"), text)
@@ -38,7 +37,7 @@
 	}
 }
 
-// encoded returns a function that passes an encoded text on and fails the test with an error.
+// encoded returns a function that returns an encoded text, or fails the test on an error.
 func encoded(t *testing.T) func(text []byte, err error) []byte {
 	t.Helper()
 	return func(text []byte, err error) []byte {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -12,28 +12,28 @@
 	"glenport/internal/testutil"
 )
 
-// schedulerValues lists every value of a scheduler's settings by the key that it is read from.
-func schedulerValues(p *Scheduler) []string {
+// schedulerValues lists every value of a scheduler's settings with the old spelling of its key.
+func schedulerValues(s *Scheduler) []string {
 	var lines []string
 	add := func(key string, value any) { lines = append(lines, fmt.Sprintf("%s = %v", key, value)) }
-	policy := p.Policy
-	add("name", p.Name)
+	policy := s.Policy
+	add("name", s.Name)
 	add("number", policy.SchedulerIndex)
 	add("placers", policy.SchedulerCount)
 	add("seed", policy.Seed)
-	add("door", p.ListenAddr)
-	add("state", p.StateDir)
-	add("keep", p.LegacyListFile)
-	add("metrics", p.MetricsAddr)
-	add("list.address", p.MachineListAddr)
+	add("door", s.ListenAddr)
+	add("state", s.StateDir)
+	add("keep", s.LegacyListFile)
+	add("metrics", s.MetricsAddr)
+	add("list.address", s.MachineListAddr)
 	add("list.ask_within", int64(policy.ResyncInterval))
-	add("links.connect_within", int64(p.ConnectTimeout))
-	add("links.close_idle_after", int64(p.IdleTimeout))
-	add("links.broken_when_silent_for", int64(p.SilenceTimeout))
-	add("links.most_waiting_output", p.MaxOutput)
-	add("bounds", p.Limits)
-	add("bounds.narrow_when_slow", p.AdaptiveLimit)
-	add("machines.kinds", p.MachineTypes)
+	add("links.connect_within", int64(s.ConnectTimeout))
+	add("links.close_idle_after", int64(s.IdleTimeout))
+	add("links.broken_when_silent_for", int64(s.SilenceTimeout))
+	add("links.most_waiting_output", s.MaxOutput)
+	add("bounds", s.Limits)
+	add("bounds.narrow_when_slow", s.AdaptiveLimit)
+	add("machines.kinds", s.MachineTypes)
 	add("machines.kinds", policy.MachineTypes)
 	add("machines.accept.cores", policy.CoresOvercommit)
 	add("machines.accept.memory", policy.MemoryOvercommit)
@@ -49,17 +49,17 @@
 	add("bids.most", policy.MaxAttempts)
 	add("bids.answer_grace", int64(policy.AnswerGrace))
 	for i, class := range policy.WorkloadClasses {
-		add("workloads.name", p.WorkloadClasses[i])
+		add("workloads.name", s.WorkloadClasses[i])
 		add("workloads", class)
 	}
 	for i, tenant := range policy.Tenants {
-		add("customers.name", p.Tenants[i])
+		add("customers.name", s.Tenants[i])
 		add("customers.cores", tenant.QuotaCores)
 	}
 	add("over_share", policy.OverQuotaWeight)
-	// All of it, also what no key sets.
+	// The whole policy, including fields that no key sets.
 	add("terms", policy)
-	return append(lines, bgpValues(p.BGP)...)
+	return append(lines, bgpValues(s.BGP)...)
 }
 
 func bgpValues(b *BGP) []string {
@@ -112,10 +112,10 @@
 	golden.Check(t, "testdata/values.txt", lines)
 }
 
-// replacements stand in turn in place of each value of a file.
+// replacements are the values that each value of a file is replaced by.
 var replacements = []string{"bogus", "[1]", "0", "1.5", "2s", "0s", "4KiB", "0GiB", "192.0.2.1", "[bogus]"}
 
-// replacementsByKey stand in turn in place of the values of one key.
+// replacementsByKey are further replacements for the value of one key.
 var replacementsByKey = map[string][]string{
 	"name":                {"small", "large", "matcher", "report-run", `""`, "~"},
 	"number":              {"2", "3", "-1", "9999999999"},
@@ -148,29 +148,30 @@
 	"doors":               {"[localhost]", "[127.0.0.1:1]", "[]"},
 }
 
-// mutations are all files that differ from one in a single line: left out, doubled, renamed, or with another value.
+// mutations calls visit with each file that differs from text in one line: the line is left out or doubled, its key is
+// renamed or its value is replaced.
 func mutations(text string, visit func(label, text string)) {
 	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
 	for i, line := range lines {
-		try := func(what string, replaced ...string) {
+		mutate := func(mutation string, replaced ...string) {
 			changed := strings.Join(slices.Concat(lines[:i], replaced, lines[i+1:]), "\n") + "\n"
-			visit(fmt.Sprintf("line %d %s", i+1, what), changed)
+			visit(fmt.Sprintf("line %d %s", i+1, mutation), changed)
 		}
 		key, value, _ := strings.Cut(line, ": ")
-		try("doubled", line, line)
-		try("renamed", strings.TrimSuffix(key, ":")+"x: "+value)
-		if value == "" { // without it several keys are unknown, and the YAML package names any of them
+		mutate("doubled", line, line)
+		mutate("renamed", strings.TrimSuffix(key, ":")+"x: "+value)
+		if value == "" { // without a section's line several keys are unknown, and the YAML package reports any of them
 			continue
 		}
-		try("left out")
+		mutate("left out")
 		name := strings.TrimLeft(key, " -")
 		for _, replacement := range slices.Concat(replacements, replacementsByKey[name]) {
-			try(replacement, key+": "+replacement)
+			mutate(replacement, key+": "+replacement)
 		}
 	}
 }
 
-// outcome is a fault's text, or the values that differ from those of the unchanged file.
+// outcome returns the text of the error, or the number of values that differ from those of the unchanged file.
 func outcome(label string, err error, values, unchanged []string) string {
 	if err != nil {
 		return label + ": " + strings.ReplaceAll(err.Error(), "\n", `\n`)
@@ -200,7 +201,7 @@
 	}
 	mutations(string(data), visit)
 	sections := []string{"list", "links", "bounds", "machines", "bids", "workloads", "customers", "bgp"}
-	for _, section := range sections { // the section and all below it
+	for _, section := range sections { // without the section and everything below it
 		before, rest, _ := strings.Cut(string(data), "\n"+section+":\n")
 		after := strings.Split(rest, "\n")
 		for len(after) > 0 && strings.HasPrefix(after[0], " ") {
@@ -241,9 +242,9 @@
 	visit("empty", "")
 	golden.Check(t, "testdata/controller-faults.txt", lines)
 	if _, err := LoadController(filepath.Join(dir, "absent.yaml")); !os.IsNotExist(err) {
-		t.Errorf("an absent file: %v", err)
+		t.Errorf("missing file: %v", err)
 	}
 	if _, err := LoadScheduler(filepath.Join(dir, "absent.yaml")); !os.IsNotExist(err) {
-		t.Errorf("an absent file: %v", err)
+		t.Errorf("missing file: %v", err)
 	}
 }
--- a/internal/config/scheduler.go
+++ b/internal/config/scheduler.go
@@ -1,8 +1,8 @@
-// Package config reads the settings files of schedulers and controllers, checks them and turns them into the terms of
+// Package config reads and checks the settings files of schedulers and controllers, and converts them to the types of
 // the packages that they configure. schema.go lists every key with its default.
 //
-// An error about the content of a file is an [*strictyaml.Error] with file, line, column and key, the first one that
-// the checks meet; a file that cannot be read gives the error of the operating system.
+// The first fault in the content of a file is returned as a [*strictyaml.Error] with file, line, column and key. For a
+// file that cannot be read, the error of the operating system is returned.
 package config
 
 import (
@@ -16,10 +16,10 @@
 )
 
 const (
-	minOutput = 64 << 10 // bytes: a frame has to fit
+	minOutputBytes = 64 << 10 // a frame has to fit
 
-	// connectsPerSlowStartWindow is how many connection attempts in turn fit into a slow-start window at least.
-	// Attempts that wait longer for a connection would reach a machine in slow start in one burst.
+	// connectsPerSlowStartWindow is the minimum number of consecutive connect timeouts in a slow-start window. With a
+	// longer timeout, the attempts that wait for a connection would reach a machine in slow start in one burst.
 	connectsPerSlowStartWindow = 16
 
 	bytesPerGiB = 1 << 30
@@ -30,12 +30,12 @@
 	Name            string
 	ListenAddr      string
 	MachineListAddr string
-	StateDir        string // folder of the state kept over restarts; empty: none is kept
-	LegacyListFile  string // an earlier version's file with the last machine list, read once; empty: none
-	MetricsAddr     string // where metrics are served; empty: nowhere
+	StateDir        string // folder of the state kept across restarts; empty: no state is kept
+	LegacyListFile  string // file of an earlier version with the last machine list, read once; empty: none
+	MetricsAddr     string // address on which metrics are served; empty: metrics are not served
 	Policy          scheduler.Config
 	Limits          admission.Limits
-	MaxOutput       int // bytes that may wait to be written on one connection
+	MaxOutput       int // limit of the output buffer of one connection, in bytes
 	ConnectTimeout  eventloop.Tick
 	IdleTimeout     eventloop.Tick
 	SilenceTimeout  eventloop.Tick
@@ -48,7 +48,7 @@
 	Deprecations []strictyaml.Deprecation // old spellings in the file
 }
 
-// LoadScheduler reads and checks a scheduler's settings file.
+// LoadScheduler reads and checks the settings file of a scheduler.
 func LoadScheduler(path string) (*Scheduler, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return ParseScheduler(path, data)
 }
 
-// ParseScheduler checks the text of a scheduler's settings file. The name of the file goes into errors.
+// ParseScheduler parses and checks the text of a scheduler's settings file. Errors contain the name of the file.
 func ParseScheduler(name string, data []byte) (*Scheduler, error) {
 	var content schedulerFile
 	file, err := strictyaml.ReadWithAliases(name, data, &content, SchedulerAliases())
@@ -73,9 +73,9 @@
 	return settings, nil
 }
 
-// scheduler checks a whole file and returns its settings, nil where a required key is missing.
+// scheduler checks a scheduler's file and returns its settings, or nil if a required key is missing.
 func (v *validator) scheduler(f *schedulerFile) *Scheduler {
-	v.schedulerRequired(f)
+	v.requiredSchedulerKeys(f)
 	if v.err != nil {
 		return nil
 	}
@@ -110,7 +110,7 @@
 	}
 }
 
-// processSettings returns the settings of the process and its policy, without those that come from lists.
+// processSettings returns the settings without those that machines, workloadClasses, tenants and bgp add.
 func (v *validator) processSettings(f *schedulerFile) *Scheduler {
 	return &Scheduler{
 		Name:            f.Name.Value,
@@ -128,9 +128,9 @@
 	}
 }
 
-// schedulerRequired checks the required keys of the file and of its sections; those of list entries are checked with
-// them.
-func (v *validator) schedulerRequired(f *schedulerFile) {
+// requiredSchedulerKeys checks that the file and its sections have their required keys. The keys of a list entry are
+// checked together with the entry.
+func (v *validator) requiredSchedulerKeys(f *schedulerFile) {
 	for _, section := range []struct {
 		path    string
 		content any
@@ -157,7 +157,7 @@
 	}
 }
 
-// policy returns the settings of the decisions, without those that come from lists.
+// policy returns the settings of the placement policy without those that machines, workloadClasses and tenants add.
 func (v *validator) policy(f *schedulerFile) scheduler.Config {
 	machines := &f.Machines
 	return scheduler.Config{
@@ -182,20 +182,20 @@
 	}
 }
 
-// connections checks the limits of connections against each other and against the slow start of machines.
+// connections checks the connect timeout against the slow-start window, and the minimum size of the output buffer.
 func (v *validator) connections(f *connectionsSection, s *Scheduler) {
 	window := s.Policy.SlowStartWindow
 	if s.Policy.SlowStartBudget > 0 && connectsPerSlowStartWindow*s.ConnectTimeout > eventloop.Tick(window) {
-		longest := float64(window) / connectsPerSlowStartWindow / float64(scheduler.Millisecond)
+		maxTimeoutMS := float64(window) / connectsPerSlowStartWindow / float64(scheduler.Millisecond)
 		v.fail(f.ConnectTimeout.Position, "an attempt may wait for its connection up to a sixteenth of %s, %g ms",
-			v.keyName("machines.slow_start.window"), longest)
+			v.keyName("machines.slow_start.window"), maxTimeoutMS)
 	}
-	if s.MaxOutput < minOutput {
+	if s.MaxOutput < minOutputBytes {
 		v.fail(f.MaxOutput.Position, "%d bytes are too few for a frame: 64KiB at least", s.MaxOutput)
 	}
 }
 
-// machines adds the rest of the section on machines to the settings and returns the indices of machine types by name.
+// machines adds the remaining settings of the machines section and returns the indices of the machine types by name.
 func (v *validator) machines(f *machinesSection, s *Scheduler) (typeIndex map[string]int) {
 	if s.Policy.MeanMemory <= 0 {
 		v.fail(f.MeanContainer.Memory.Position, "a container of mean size needs memory above 0")
@@ -204,7 +204,7 @@
 	return v.machineTypes(f.MachineTypes, s)
 }
 
-// machineTypes adds the types of machines to the settings and returns their indices by name.
+// machineTypes adds the machine types to the settings and returns their indices by name.
 func (v *validator) machineTypes(entries []machineTypeEntry, s *Scheduler) map[string]int {
 	indices := map[string]int{}
 	for i, entry := range entries {
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -2,21 +2,22 @@
 
 import "glenport/internal/config/strictyaml"
 
-// This file is the schema of both settings files: the keys, their types and, for each optional key, its default. Keys
-// that are not marked optional must be given, except for the lists and sections that say so.
+// The types in this file are the schemas of both settings files: the keys, their types and the default of each optional
+// key. A key without the tag settings:"optional" is required; a list or section may be omitted if its comment gives a
+// default.
 
-// schedulerFile is a scheduler's settings file, such as deploy/scheduler.yaml.
+// schedulerFile is the settings file of a scheduler, such as deploy/scheduler.yaml.
 type schedulerFile struct {
 	Name       strictyaml.String `yaml:"name"`
-	Index      strictyaml.Count  `yaml:"scheduler_index"` // of this scheduler among all, from 0
-	Schedulers strictyaml.Count  `yaml:"scheduler_count"` // how many there are
-	// of the random numbers; default 0
+	Index      strictyaml.Count  `yaml:"scheduler_index"` // index of this scheduler, from 0
+	Schedulers strictyaml.Count  `yaml:"scheduler_count"` // number of all schedulers
+	// of the random number generator; default 0
 	Seed strictyaml.Count `yaml:"seed" settings:"optional"`
-	// address and port that clients connect to
+	// address and port on which clients connect
 	ListenAddr strictyaml.String `yaml:"listen"`
-	// default: no state is kept over restarts
+	// default: no state is kept across restarts
 	StateDir strictyaml.String `yaml:"state_dir" settings:"optional"`
-	// needs state_dir; default: none is read
+	// requires state_dir; default: no such file is read
 	LegacyList strictyaml.String `yaml:"legacy_list_file" settings:"optional"`
 	// address and port; default: metrics are not served
 	Metrics strictyaml.String `yaml:"metrics" settings:"optional"`
@@ -33,7 +34,7 @@
 	BGP             *bgpSection      `yaml:"bgp"`                                   // default: no address is announced
 }
 
-// machineListSection says where the machine list is, and how often it is polled.
+// machineListSection holds the address and the polling interval of the machine list.
 type machineListSection struct {
 	Address        strictyaml.String   `yaml:"address"`
 	ResyncInterval strictyaml.Duration `yaml:"poll_interval"`
@@ -41,14 +42,14 @@
 
 // connectionsSection holds the limits of each connection.
 type connectionsSection struct {
-	// up to a sixteenth of slow_start.window, unless slow_start.budget is 0
+	// at most a sixteenth of slow_start.window, unless slow_start.budget is 0
 	ConnectTimeout strictyaml.Duration `yaml:"connect_timeout"`
 	IdleTimeout    strictyaml.Duration `yaml:"idle_timeout"`
 	SilenceTimeout strictyaml.Duration `yaml:"silence_timeout"`
 	MaxOutput      strictyaml.Memory   `yaml:"max_output_buffer"` // at least 64KiB
 }
 
-// limitsSection holds the limits of admission at the listener.
+// limitsSection holds the limits that the listener applies to admission.
 type limitsSection struct {
 	Clients               strictyaml.Count `yaml:"max_clients"`
 	OpenRequests          strictyaml.Count `yaml:"max_open_requests"`
@@ -56,7 +57,7 @@
 	AdaptiveLimit         strictyaml.Bool  `yaml:"adaptive_concurrency" settings:"optional"` // default false
 }
 
-// machinesSection says what machines there are and how they behave.
+// machinesSection describes the machines and their behavior.
 type machinesSection struct {
 	MachineTypes       []machineTypeEntry   `yaml:"machine_types"` // at least one
 	Overcommit         overcommitSection    `yaml:"overcommit"`
@@ -68,27 +69,27 @@
 	SlowStart          slowStartSection     `yaml:"slow_start"`
 }
 
-// slowStartSection limits what reaches a machine soon after its start.
+// slowStartSection limits the attempts sent to a machine soon after its start.
 type slowStartSection struct {
 	Period strictyaml.Duration `yaml:"period"` // after the start of the machine
 	Window strictyaml.Duration `yaml:"window"`
-	Budget strictyaml.Count    `yaml:"budget"` // attempts in a window, from all schedulers together
+	Budget strictyaml.Count    `yaml:"budget"` // attempts per window, from all schedulers together
 }
 
-// machineTypeEntry is one type of machine.
+// machineTypeEntry is one machine type.
 type machineTypeEntry struct {
 	Name   strictyaml.String `yaml:"name"` // unique
 	Cores  strictyaml.Float  `yaml:"cores"`
 	Memory strictyaml.Memory `yaml:"memory"`
 }
 
-// overcommitSection holds the multiples of its size up to which a machine accepts containers.
+// overcommitSection holds the multiples of a machine's size up to which it accepts containers.
 type overcommitSection struct {
 	Cores  strictyaml.Float `yaml:"cores"`
 	Memory strictyaml.Float `yaml:"memory"`
 }
 
-// meanContainerSection is the size of a container of mean size.
+// meanContainerSection is the mean size of a container.
 type meanContainerSection struct {
 	Cores  strictyaml.Float  `yaml:"cores"`
 	Memory strictyaml.Memory `yaml:"memory"`
@@ -100,21 +101,21 @@
 	AnswerGrace strictyaml.Duration `yaml:"answer_grace"` // after the deadline
 }
 
-// workloadClassEntry is one class of workloads.
+// workloadClassEntry is one workload class.
 type workloadClassEntry struct {
 	Name strictyaml.String `yaml:"name"` // unique
 	// idempotent, idempotent-with-key or at-most-once
 	Idempotency strictyaml.String `yaml:"idempotency"`
-	// rack-group, zone or fleet; required with idempotent-with-key, else not allowed
+	// rack-group, zone or fleet; required with idempotent-with-key, otherwise not allowed
 	DedupScope       strictyaml.String   `yaml:"dedup_scope" settings:"optional"`
-	DedupWindow      strictyaml.Duration `yaml:"dedup_window" settings:"optional"` // as dedup_scope
-	LatencyObjective strictyaml.Duration `yaml:"latency_objective"`                // up to placement_timeout
+	DedupWindow      strictyaml.Duration `yaml:"dedup_window" settings:"optional"` // required as dedup_scope is
+	LatencyObjective strictyaml.Duration `yaml:"latency_objective"`                // at most placement_timeout
 	PlacementTimeout strictyaml.Duration `yaml:"placement_timeout"`
-	// a name of machines.machine_types; default: any
+	// a name from machines.machine_types; default: any type
 	MachineType strictyaml.String `yaml:"machine_type" settings:"optional"`
-	// machine, rack-group or zone; default: no spread
+	// machine, rack-group or zone; default: containers are not spread
 	SpreadScope strictyaml.String `yaml:"spread_scope" settings:"optional"`
-	// required with spread_scope, else not allowed
+	// required with spread_scope, otherwise not allowed
 	MaxPerScope    strictyaml.Count `yaml:"max_per_scope" settings:"optional"`
 	PriorityWeight strictyaml.Float `yaml:"priority_weight"`
 }
@@ -125,7 +126,7 @@
 	Cores strictyaml.Float  `yaml:"cores"`
 }
 
-// bgpSection says which addresses are announced, and to whom.
+// bgpSection holds the announced addresses and the peers to which they are announced.
 type bgpSection struct {
 	ASN        strictyaml.Count  `yaml:"asn"`
 	RouterID   strictyaml.String `yaml:"router_id"`                  // an IPv4 address other than 0.0.0.0
@@ -138,16 +139,16 @@
 type bgpPeerEntry struct {
 	Addr        strictyaml.String   `yaml:"address"`
 	ASN         strictyaml.Count    `yaml:"asn"`
-	HoldTime    strictyaml.Duration `yaml:"hold_time"`                        // 0, or whole seconds from 3 to 65535
+	HoldTime    strictyaml.Duration `yaml:"hold_time"`                        // 0 or 3 to 65535 whole seconds
 	RestartTime strictyaml.Duration `yaml:"restart_time" settings:"optional"` // default 0: no graceful restart
-	Passive     strictyaml.Bool     `yaml:"passive" settings:"optional"`      // needs bgp.listen; default false
-	Families    []strictyaml.String `yaml:"families"`                         // ipv4, ipv6; default ipv4 alone
+	Passive     strictyaml.Bool     `yaml:"passive" settings:"optional"`      // requires bgp.listen; default false
+	Families    []strictyaml.String `yaml:"families"`                         // ipv4, ipv6; default: only ipv4
 	Allow       []strictyaml.String `yaml:"allow"`                            // at least one prefix
-	// up to 80 bytes; default: segments are not signed
+	// at most 80 bytes; default: TCP segments are not signed
 	MD5Key strictyaml.String `yaml:"tcp_md5_key" settings:"optional"`
 }
 
-// bgpServiceEntry is one service address.
+// bgpServiceEntry is the announced address of one service.
 type bgpServiceEntry struct {
 	Service     strictyaml.String `yaml:"service"`
 	Prefix      strictyaml.String `yaml:"prefix"` // unique
@@ -157,17 +158,17 @@
 	MEDByHealth strictyaml.Bool   `yaml:"med_by_health" settings:"optional"` // default false
 }
 
-// controllerFile is a controller's settings file, such as deploy/controller.yaml.
+// controllerFile is the settings file of a controller, such as deploy/controller.yaml.
 type controllerFile struct {
 	Name    strictyaml.String `yaml:"name"`
 	APIAddr strictyaml.String `yaml:"api"`
 	// relative to the folder of this file
 	SchedulerFile  strictyaml.String   `yaml:"scheduler_config"`
 	SchedulerAddrs []strictyaml.String `yaml:"schedulers"` // at least one
-	// default: the list is not watched
+	// default: the machine list is not watched
 	MachineListAddr strictyaml.String `yaml:"machine_list" settings:"optional"`
-	// of the random numbers; default 0
+	// of the random number generator; default 0
 	Seed strictyaml.Count `yaml:"seed" settings:"optional"`
-	// default: no state is kept over restarts
+	// default: no state is kept across restarts
 	StateDir strictyaml.String `yaml:"state_dir" settings:"optional"`
 }
--- a/internal/config/strictyaml/alias.go
+++ b/internal/config/strictyaml/alias.go
@@ -7,38 +7,40 @@
 
 // KeyAlias is an old spelling of a key that is still read.
 type KeyAlias struct {
-	// Section is the path of the mapping that holds the key, in the current spelling and without indices of lists, such
-	// as "machines.machine_types"; empty for the top of the file.
+	// Section is the path of the mapping that holds the old key, in the current spelling and without list indices, such
+	// as "machines.machine_types"; empty for the root mapping.
 	Section string
-	// Old is the key as it was.
+	// Old is the former key.
 	Old string
-	// New is the current key, relative to Section: "slow_start.period" is in a section of its own.
+	// New is the path of the current key relative to Section. A path such as "slow_start.period" means that the key has
+	// moved to a section below Section.
 	New string
 }
 
-// path returns the path of the current key from the top of the file.
-func (a KeyAlias) path() string { return joinPath(a.Section, a.New) }
+// newPath returns the path of the current key from the root mapping.
+func (a KeyAlias) newPath() string { return joinPath(a.Section, a.New) }
 
-// section returns the path, relative to Section, of the section into which the key has moved; empty if it has not.
-func (a KeyAlias) section() string {
+// newSection returns the path, relative to Section, of the section to which the key has moved. It is empty if the key
+// is still in Section.
+func (a KeyAlias) newSection() string {
 	section, _ := splitPath(a.New)
 	return section
 }
 
 // ValueAlias is an old spelling of a value that is still read.
 type ValueAlias struct {
-	Key      string // path of the key, in the current spelling and without indices of lists
+	Key      string // path of the key, in the current spelling and without list indices
 	Old, New string
 }
 
-// Aliases are the old spellings of the keys and values of one kind of file.
+// Aliases lists the old spellings of the keys and values of one kind of file.
 type Aliases struct {
 	Keys   []KeyAlias
 	Values []ValueAlias
 }
 
-// oldKey returns the alias of a key in the section with the given path.
-func (a *Aliases) oldKey(section, key string) (KeyAlias, bool) {
+// aliasOfOldKey returns the alias for an old key in the section with the given path.
+func (a *Aliases) aliasOfOldKey(section, key string) (KeyAlias, bool) {
 	i := slices.IndexFunc(a.Keys, func(k KeyAlias) bool { return k.Section == section && k.Old == key })
 	if i < 0 {
 		return KeyAlias{}, false
@@ -46,22 +48,22 @@
 	return a.Keys[i], true
 }
 
-// newKey returns the alias whose current key has the given path.
-func (a *Aliases) newKey(path string) (KeyAlias, bool) {
-	i := slices.IndexFunc(a.Keys, func(k KeyAlias) bool { return k.path() == path })
+// aliasOfNewKey returns the alias whose current key has the given path.
+func (a *Aliases) aliasOfNewKey(path string) (KeyAlias, bool) {
+	i := slices.IndexFunc(a.Keys, func(k KeyAlias) bool { return k.newPath() == path })
 	if i < 0 {
 		return KeyAlias{}, false
 	}
 	return a.Keys[i], true
 }
 
-// hasValues reports whether values of a key have been renamed.
+// hasValues reports whether any value of a key has an old spelling.
 func (a *Aliases) hasValues(key string) bool {
 	return slices.ContainsFunc(a.Values, func(v ValueAlias) bool { return v.Key == key })
 }
 
-// newValue returns the current spelling of a value of a key.
-func (a *Aliases) newValue(key, old string) (string, bool) {
+// currentValue returns the current spelling of an old value of a key.
+func (a *Aliases) currentValue(key, old string) (string, bool) {
 	i := slices.IndexFunc(a.Values, func(v ValueAlias) bool { return v.Key == key && v.Old == old })
 	if i < 0 {
 		return "", false
@@ -69,7 +71,7 @@
 	return a.Values[i].New, true
 }
 
-// oldValue returns the old spelling of a value of a key, or the value if it has none.
+// oldValue returns the old spelling of a value of a key, or the value itself if it has no old spelling.
 func (a *Aliases) oldValue(key, current string) string {
 	i := slices.IndexFunc(a.Values, func(v ValueAlias) bool { return v.Key == key && v.New == current })
 	if i < 0 {
@@ -78,60 +80,60 @@
 	return a.Values[i].Old
 }
 
-// Deprecation reports that a file has an old spelling. There is one for each old spelling in a file, however often it
-// occurs.
+// Deprecation reports an old spelling in a file. There is one Deprecation for each old spelling, even if the file has
+// it several times.
 type Deprecation struct {
 	File string
-	Line int    // the first with this spelling
-	Old  string // path of the key as the file spells it, without indices of lists; for a value "key: value"
-	New  string // the same in the current spelling
+	Line int    // of the first occurrence
+	Old  string // path of the key as written in the file, without list indices; "path: value" for a value
+	New  string // Old in the current spelling
 }
 
-// spelling holds how one file spells its keys and values.
+// spelling records which spellings of keys and values a file uses.
 type spelling struct {
 	aliases      Aliases
-	deprecations []Deprecation       // in the order of the file
-	keys         map[string]string   // path of a key in the current spelling to its path as spelled in the file
-	values       map[Position]string // position of a value to its key, where the key has renamed values
-	current      bool                // a key that has an alias is in the current spelling
+	deprecations []Deprecation       // ordered by line
+	keys         map[string]string   // path of each key in the file, as written, by its path in the current spelling
+	values       map[Position]string // path of the key of each value, by position; only for keys with value aliases
+	hasCurrent   bool                // the file has a renamed key in its current spelling
 }
 
-// old reports whether the file is written in the old spelling throughout. Keys that are absent from it are then named
-// in the old spelling as well.
-func (s *spelling) old() bool { return len(s.deprecations) > 0 && !s.current }
+// onlyOld reports whether the file uses old spellings and has no renamed key in its current spelling. Messages then use
+// the old spelling also for keys that the file does not have.
+func (s *spelling) onlyOld() bool { return len(s.deprecations) > 0 && !s.hasCurrent }
 
-// key returns the path of a key as the file spells it, or would spell it if it had the key.
-func (s *spelling) key(path string) string {
+// keyName implements [File.KeyName].
+func (s *spelling) keyName(path string) string {
 	if path == "" {
 		return ""
 	}
-	if spelled, ok := s.keys[path]; ok {
-		return spelled
+	if written, ok := s.keys[path]; ok {
+		return written
 	}
 	if open := strings.LastIndexByte(path, '['); strings.HasSuffix(path, "]") {
-		return s.key(path[:open]) + path[open:]
+		return s.keyName(path[:open]) + path[open:]
 	}
 	parent, key := splitPath(path)
-	if alias, ok := s.aliases.newKey(withoutIndices(path)); ok && s.old() {
+	if alias, ok := s.aliases.aliasOfNewKey(withoutIndices(path)); ok && s.onlyOld() {
 		for range strings.Count(alias.New, ".") {
 			parent, _ = splitPath(parent)
 		}
 		key = alias.Old
 	}
-	return joinPath(s.key(parent), key)
+	return joinPath(s.keyName(parent), key)
 }
 
-// allowed returns the values that a key may have, as the file spells them.
-func (s *spelling) allowed(at Position, values []string) []string {
+// valueNames returns the allowed values of the key whose value is at a position, in the spelling that the file uses.
+func (s *spelling) valueNames(at Position, values []string) []string {
 	key, ok := s.values[at]
-	if !ok || !s.old() {
+	if !ok || !s.onlyOld() {
 		return values
 	}
-	spelled := make([]string, len(values))
+	names := make([]string, len(values))
 	for i, value := range values {
-		spelled[i] = s.aliases.oldValue(key, value)
+		names[i] = s.aliases.oldValue(key, value)
 	}
-	return spelled
+	return names
 }
 
 func joinPath(parent, key string) string {
@@ -148,7 +150,7 @@
 	return "", path
 }
 
-// withoutIndices returns a path without the indices of lists: "work.kind" for "work[2].kind".
+// withoutIndices removes the list indices from a path: "work[2].kind" becomes "work.kind".
 func withoutIndices(path string) string {
 	for {
 		open := strings.IndexByte(path, '[')
--- a/internal/config/strictyaml/alias_test.go
+++ b/internal/config/strictyaml/alias_test.go
@@ -8,7 +8,7 @@
 	"glenport/internal/testutil"
 )
 
-// renamedFile has keys and values that were renamed.
+// renamedFile is a schema with renamed keys and values.
 type renamedFile struct {
 	Entries []renamedEntry `yaml:"entries"`
 	Limits  renamedLimits  `yaml:"limits"`
@@ -43,75 +43,75 @@
 	},
 }
 
-// readRenamed lists what a text holds, and then its old spellings.
+// readRenamed returns the values in a text followed by its old spellings, or the error.
 func readRenamed(text string) string {
 	var f renamedFile
-	src, err := ReadWithAliases("f.yaml", []byte(text), &f, renamedAliases)
+	file, err := ReadWithAliases("f.yaml", []byte(text), &f, renamedAliases)
 	if err != nil {
 		return err.Error()
 	}
 	for i, entry := range f.Entries {
-		if err := CheckRequired(src, fmt.Sprintf("entries[%d]", i), entry); err != nil {
+		if err := CheckRequired(file, fmt.Sprintf("entries[%d]", i), entry); err != nil {
 			return err.Error()
 		}
 		if entry.Mode.IsSet() {
-			if _, err := OneOf(src, entry.Mode, "fast", "slow"); err != nil {
+			if _, err := OneOf(file, entry.Mode, "fast", "slow"); err != nil {
 				return err.Error()
 			}
 		}
 	}
 	var old []string
-	for _, d := range src.Deprecations() {
+	for _, d := range file.Deprecations() {
 		old = append(old, fmt.Sprintf("%d %s > %s", d.Line, d.Old, d.New))
 	}
 	return fmt.Sprint(f.Entries, f.Limits.Rate.Count.Value, f.Limits.Rate.Period.Ticks, " ", strings.Join(old, ", "))
 }
 
-func TestOldSpellingsAreReadWhereverTheyStand(t *testing.T) {
+func TestOldSpellingsAreReadEverywhere(t *testing.T) {
 	for _, tc := range []struct{ name, text, want string }{
-		{"today's", "entries: [{name: a, mode: fast, tags: [warm]}]\n", "[{a fast [warm]}] 0 0 "},
+		{"current spellings", "entries: [{name: a, mode: fast, tags: [warm]}]\n", "[{a fast [warm]}] 0 0 "},
 		{
-			"a list and its entries", "items: [{name: a, kind: quick}, {name: b, kind: slow}]\n",
+			"old keys of a list and its entries", "items: [{name: a, kind: quick}, {name: b, kind: slow}]\n",
 			"[{a fast []} {b slow []}] 0 0 1 items > entries, 1 items.kind > entries.mode, " +
 				"1 items.kind: quick > entries.mode: fast",
 		},
 		{
-			"a value in a list", "entries:\n  - name: a\n    labels: [hot, cold]\n",
+			"old value in a list", "entries:\n  - name: a\n    labels: [hot, cold]\n",
 			"[{a  [warm cold]}] 0 0 3 entries.labels > entries.tags, 3 entries.labels: hot > entries.tags: warm",
 		},
 		{
-			"a quoted value", "entries: [{name: a, mode: \"quick\"}]\n",
+			"quoted old value", "entries: [{name: a, mode: \"quick\"}]\n",
 			"[{a fast []}] 0 0 1 entries.mode: quick > entries.mode: fast",
 		},
 		{
-			"an anchor that is merged", "entries:\n  - &a {name: a, kind: quick}\n  - {<<: *a}\n",
+			"merged anchor", "entries:\n  - &a {name: a, kind: quick}\n  - {<<: *a}\n",
 			"[{a fast []} {a fast []}] 0 0 2 entries.kind > entries.mode, 2 entries.kind: quick > entries.mode: fast",
 		},
 		{
-			"keys that move", "limits: {per: 1s, most: 3}\n",
+			"keys moved to a new section", "limits: {per: 1s, most: 3}\n",
 			"[] 3 10000 1 limits.per > limits.rate.period, 1 limits.most > limits.rate.count",
 		},
 		{
-			"one that moves beside one that stands", "limits:\n  most: 3\n  rate: {period: 1s}\n",
+			"key moved to an existing section", "limits:\n  most: 3\n  rate: {period: 1s}\n",
 			"[] 3 10000 2 limits.most > limits.rate.count",
 		},
 		{
-			"both spellings of a key that moves", "limits:\n  rate: {count: 3}\n  most: 4\n",
-			`f.yaml:3:3: "most" is the old spelling of "rate.count", which stands on line 2: give one of the two`,
+			"both spellings of a moved key", "limits:\n  rate: {count: 3}\n  most: 4\n",
+			`f.yaml:3:3: "most" is the old spelling of "rate.count", which is set on line 2; remove one of them`,
 		},
 		{
 			"both spellings in an entry", "entries:\n  - {name: a, kind: slow, mode: slow}\n",
-			`f.yaml:2:15: "kind" is the old spelling of "mode", which stands on line 2: give one of the two`,
+			`f.yaml:2:15: "kind" is the old spelling of "mode", which is set on line 2; remove one of them`,
 		},
-		{"an old key in another section", "limits: {kind: slow}\n", `f.yaml:1:10: unknown field "kind"`},
-		{"missing in a file of old keys", "items: [{kind: slow}]\n", "f.yaml:1:10: items[0].name is missing"},
-		{"missing in a file of both", "items: [{mode: slow}]\n", "f.yaml:1:10: items[0].name is missing"},
+		{"old key in another section", "limits: {kind: slow}\n", `f.yaml:1:10: unknown field "kind"`},
+		{"missing key beside old keys only", "items: [{kind: slow}]\n", "f.yaml:1:10: items[0].name is missing"},
+		{"missing key beside old and current keys", "items: [{mode: slow}]\n", "f.yaml:1:10: items[0].name is missing"},
 		{
-			"value not allowed in a file of old keys", "items: [{name: a, kind: no}]\n",
+			"value not allowed beside old keys only", "items: [{name: a, kind: no}]\n",
 			`f.yaml:1:25: "no" is none of quick, slow`,
 		},
 		{
-			"value not allowed in a file of both", "items: [{name: a, mode: no}]\n",
+			"value not allowed beside old and current keys", "items: [{name: a, mode: no}]\n",
 			`f.yaml:1:25: "no" is none of fast, slow`,
 		},
 	} {
--- a/internal/config/strictyaml/encode.go
+++ b/internal/config/strictyaml/encode.go
@@ -5,60 +5,60 @@
 	"strconv"
 )
 
-// given is the position of a value that was not read from a file.
-var given = Position{Line: 1, Column: 1}
+// encodedPosition is the position of values that are encoded and were not read from a file. It makes them count as set.
+var encodedPosition = Position{Line: 1, Column: 1}
 
-// IsZero reports whether a value was left out; such a value is not written.
+// IsZero reports whether a value is not set. The encoder omits such a value.
 func (p Position) IsZero() bool { return !p.IsSet() }
 
-// NewString returns a text to be written.
-func NewString(value string) String { return String{given, value} }
+// NewString returns a text to be encoded.
+func NewString(value string) String { return String{encodedPosition, value} }
 
-// NewFloat returns a number to be written.
-func NewFloat(value float64) Float { return Float{given, value} }
+// NewFloat returns a number to be encoded.
+func NewFloat(value float64) Float { return Float{encodedPosition, value} }
 
-// NewCount returns a whole number to be written.
-func NewCount(value int) Count { return Count{given, value} }
+// NewCount returns an integer to be encoded.
+func NewCount(value int) Count { return Count{encodedPosition, value} }
 
-// NewBool returns true or false to be written.
-func NewBool(value bool) Bool { return Bool{given, value} }
+// NewBool returns a boolean to be encoded.
+func NewBool(value bool) Bool { return Bool{encodedPosition, value} }
 
-// NewDuration returns a length of time to be written.
-func NewDuration(ticks int64) Duration { return Duration{given, ticks} }
+// NewDuration returns a duration to be encoded.
+func NewDuration(ticks int64) Duration { return Duration{encodedPosition, ticks} }
 
-// NewMemory returns an amount of memory to be written.
-func NewMemory(gib float64) Memory { return Memory{given, gib} }
+// NewMemory returns an amount of memory to be encoded.
+func NewMemory(gib float64) Memory { return Memory{encodedPosition, gib} }
 
-// MarshalYAML writes the text.
+// MarshalYAML returns the text.
 func (s String) MarshalYAML() (any, error) { return s.Value, nil }
 
-// MarshalYAML writes the number.
+// MarshalYAML returns the number.
 func (v Float) MarshalYAML() (any, error) { return v.Value, nil }
 
-// MarshalYAML writes the number.
+// MarshalYAML returns the number.
 func (v Count) MarshalYAML() (any, error) { return v.Value, nil }
 
-// MarshalYAML writes true or false.
+// MarshalYAML returns the boolean.
 func (v Bool) MarshalYAML() (any, error) { return v.Value, nil }
 
-// MarshalYAML writes the time in the longest unit of which it is a whole multiple, and in ms otherwise.
+// MarshalYAML formats the duration in the longest unit of which it is a whole multiple, and in ms if there is none.
 func (v Duration) MarshalYAML() (any, error) {
 	return formatQuantity(float64(v.Ticks), durationUnits, func(amount float64) bool {
 		return amount == math.Trunc(amount)
 	}), nil
 }
 
-// MarshalYAML writes the amount in the largest unit of which it is one at least, and in KiB otherwise.
+// MarshalYAML formats the amount in the largest unit in which it is at least 1, and in KiB if there is none.
 func (v Memory) MarshalYAML() (any, error) {
 	return formatQuantity(v.GiB, memoryUnits, func(amount float64) bool { return amount >= 1 }), nil
 }
 
-// formatQuantity writes an amount of the base unit in the largest unit that suits it, and in the first, which is the
-// smallest, if none does.
-func formatQuantity(amount float64, units []unit, suits func(float64) bool) string {
+// formatQuantity formats an amount of the base unit in the largest unit for which fits returns true, and in the first
+// and smallest unit if there is none.
+func formatQuantity(amount float64, units []unit, fits func(float64) bool) string {
 	best := units[0]
 	for _, u := range units[1:] {
-		if u.size > best.size && amount > 0 && suits(amount/u.size) {
+		if u.size > best.size && amount > 0 && fits(amount/u.size) {
 			best = u
 		}
 	}
--- a/internal/config/strictyaml/error.go
+++ b/internal/config/strictyaml/error.go
@@ -7,15 +7,15 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// Error says what is wrong with a file, and where.
+// Error describes a fault of a settings file and its position.
 type Error struct {
 	File     string
-	Position // zero where the whole file is meant
-	// Key is the path of the key as the file spells it, such as "workload_classes[0].name"; empty if it is not known.
+	Position // zero if the error concerns the whole file
+	// Key is the path of the key in the spelling of the file, such as "workload_classes[0].name"; empty if unknown.
 	Key     string
 	Message string
 
-	cause error // of the YAML package or the operating system, where there is one
+	cause error // from the YAML package or the operating system; nil if there is none
 }
 
 // Error returns file, line, column and message.
@@ -26,15 +26,15 @@
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Message)
 }
 
-// Unwrap returns the cause: an error of the YAML package or the operating system, nil where a check of this program
-// failed.
+// Unwrap returns the underlying error of the YAML package or the operating system. It returns nil if a check of this
+// program failed.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Position is the place of a value in its file, both parts counted from 1; the zero Position is that of a value left
-// out.
+// Position is the position of a value in its file. Line and Column count from 1; the zero Position stands for a value
+// that is not in the file.
 type Position struct{ Line, Column int }
 
-// IsSet reports whether the value was given.
+// IsSet reports whether the value is in the file.
 func (p Position) IsSet() bool { return p.Line > 0 }
 
 func positionOf(t *token.Token) Position {
@@ -44,7 +44,8 @@
 	return Position{Line: t.Position.Line, Column: t.Position.Column}
 }
 
-// syntaxError is an error about a token from within a decode: the YAML package passes it on, and Read locates it.
+// syntaxError returns an error about a token for use in UnmarshalYAML. The YAML package returns it unchanged from the
+// decoder, and [File.locate] converts it to an *Error.
 func syntaxError(t *token.Token, format string, args ...any) error {
 	return &yaml.SyntaxError{Message: fmt.Sprintf(format, args...), Token: t}
 }
--- a/internal/config/strictyaml/golden_test.go
+++ b/internal/config/strictyaml/golden_test.go
@@ -25,45 +25,45 @@
 	Choice String `yaml:"choice,omitempty"`
 }
 
-// readAll reads a text and checks its required keys and its choice, as packages with settings do.
-func readAll(text string) error {
+// readAndCheck reads a text and checks its required keys and its choice, as the callers of this package do.
+func readAndCheck(text string) error {
 	_, _, err := readGoldenFile(text)
 	return err
 }
 
-// readGoldenFile returns the values read and the index of the choice, -1 where there is none.
-func readGoldenFile(text string) (f goldenFile, chosen int, err error) {
-	chosen = -1
-	src, err := Read("f.yaml", []byte(text), &f)
+// readGoldenFile returns the values read and the index of the choice, or -1 if there is no choice.
+func readGoldenFile(text string) (f goldenFile, choice int, err error) {
+	choice = -1
+	file, err := Read("f.yaml", []byte(text), &f)
 	if err == nil {
-		err = CheckRequired(src, "", f)
+		err = CheckRequired(file, "", f)
 	}
 	if err == nil {
-		err = CheckRequired(src, "inner", f.Inner)
+		err = CheckRequired(file, "inner", f.Inner)
 	}
 	for i := range f.List {
 		if err == nil {
-			err = CheckRequired(src, fmt.Sprintf("list[%d]", i), f.List[i])
+			err = CheckRequired(file, fmt.Sprintf("list[%d]", i), f.List[i])
 		}
 	}
 	if err == nil && f.Inner.Choice.IsSet() {
-		chosen, err = OneOf(src, f.Inner.Choice, "one", "two")
+		choice, err = OneOf(file, f.Inner.Choice, "one", "two")
 	}
-	return f, chosen, err
+	return f, choice, err
 }
 
-// readGolden lists what reading a text gives: each value with its place, or the fault.
+// readGolden returns each value in a text with its position, or the error.
 func readGolden(text string) string {
-	f, chosen, err := readGoldenFile(text)
+	f, choice, err := readGoldenFile(text)
 	if err != nil {
 		return err.Error()
 	}
 	return fmt.Sprint(f.Word, f.Word.Position, f.Number.Value, f.Number.Position, f.Count.Value, f.Count.Position,
 		f.Flag.Value, f.Flag.Position, f.Span.Ticks, f.Span.Position, f.Memory.GiB, f.Memory.Position,
-		f.Inner.Choice, chosen, f.List, len(f.Words), f.Plain)
+		f.Inner.Choice, choice, f.List, len(f.Words), f.Plain)
 }
 
-// goldenScalars stand in turn in place of the value of each key.
+// goldenScalars are the values that each key is tested with.
 var goldenScalars = []string{
 	"bogus", "[1]", "{a: 1}", "0", "1", "-1", "1.5", "1e3", "1e400", "nan", "inf", "true", "True", "yes",
 	"~", "\"\"", "'12'", "2s", "250ms", "0.05ms", "3min", "1h", "9000h", "-2s", "2 s", "2GiB", "512MiB",
@@ -71,7 +71,7 @@
 	"!!str 5",
 }
 
-// goldenTexts are files beyond those with one scalar.
+// goldenTexts are further files, beside those made from goldenScalars.
 var goldenTexts = []string{
 	"",
 	"\n",
--- a/internal/config/strictyaml/quantity.go
+++ b/internal/config/strictyaml/quantity.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// unit is a unit of measurement, as written, and how much of the base unit it is.
+// unit is a unit of measurement.
 type unit struct {
 	name string
-	size float64
+	size float64 // in the base unit
 }
 
 var (
@@ -18,7 +18,7 @@
 	memoryUnits   = []unit{{"KiB", 1.0 / (1 << 20)}, {"MiB", 1.0 / (1 << 10)}, {"GiB", 1}, {"TiB", 1 << 10}} // in GiB
 )
 
-// parseQuantity reads a number of at least 0 that is followed by one of the units, and returns it in the base unit.
+// parseQuantity parses a non-negative number followed by one of the units, and returns the amount in the base unit.
 func parseQuantity(text string, units []unit) (float64, error) {
 	end := strings.LastIndexAny(text, "0123456789.") + 1
 	number, err := strconv.ParseFloat(text[:end], 64)
--- a/internal/config/strictyaml/rename.go
+++ b/internal/config/strictyaml/rename.go
@@ -9,54 +9,54 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// renamer changes a syntax tree from old spellings to the current ones and notes what the file has. Nodes keep their
-// positions, so that errors are located where the file has the key or value.
+// renamer replaces the old spellings in a syntax tree by the current ones and records the spellings that the file uses.
+// Nodes keep their positions, so that errors report the position of the key or value in the file.
 type renamer struct {
 	file     *File
 	spelling *spelling
-	noted    map[Deprecation]bool // with line 0
+	recorded map[Deprecation]bool // deprecations recorded so far, with Line 0
 }
 
-// location is the path of a node, in the current spelling and in that of the file.
-type location struct{ current, spelled string }
+// location is the path of a node, in the current spelling and as written in the file.
+type location struct{ current, written string }
 
-func (l location) key(current, spelled string) location {
-	return location{joinPath(l.current, current), joinPath(l.spelled, spelled)}
+func (l location) child(current, written string) location {
+	return location{joinPath(l.current, current), joinPath(l.written, written)}
 }
 
-func (l location) index(i int) location {
-	return location{fmt.Sprintf("%s[%d]", l.current, i), fmt.Sprintf("%s[%d]", l.spelled, i)}
+func (l location) element(i int) location {
+	return location{fmt.Sprintf("%s[%d]", l.current, i), fmt.Sprintf("%s[%d]", l.written, i)}
 }
 
-// rename changes the tree below root and returns how the file spells its keys.
+// rename replaces the old spellings in the tree below root and returns the spellings that the file uses.
 func rename(file *File, root ast.Node, aliases Aliases) (*spelling, error) {
 	s := &spelling{aliases: aliases, keys: map[string]string{}, values: map[Position]string{}}
-	r := &renamer{file: file, spelling: s, noted: map[Deprecation]bool{}}
-	err := r.node(location{}, root)
+	r := &renamer{file: file, spelling: s, recorded: map[Deprecation]bool{}}
+	err := r.renameNode(location{}, root)
 	slices.SortStableFunc(s.deprecations, func(a, b Deprecation) int { return cmp.Compare(a.Line, b.Line) })
 	return s, err
 }
 
-func (r *renamer) node(at location, node ast.Node) error {
+func (r *renamer) renameNode(at location, node ast.Node) error {
 	switch n := node.(type) {
 	case *ast.MappingNode:
-		return r.mapping(at, n)
+		return r.renameMapping(at, n)
 	case *ast.SequenceNode:
 		for i, entry := range n.Values {
-			if err := r.node(at.index(i), entry); err != nil {
+			if err := r.renameNode(at.element(i), entry); err != nil {
 				return err
 			}
 		}
 	case *ast.AnchorNode:
-		return r.node(at, n.Value)
+		return r.renameNode(at, n.Value)
 	case ast.ScalarNode:
-		r.value(at, n)
+		r.renameValue(at, n)
 	}
-	return nil // aliases are renamed where their anchor is; other nodes have nothing that can be renamed
+	return nil // a YAML alias is renamed at its anchor; the remaining kinds of nodes have no keys or values to rename
 }
 
-// value renames the value of a key.
-func (r *renamer) value(at location, node ast.ScalarNode) {
+// renameValue replaces a value that is an old spelling.
+func (r *renamer) renameValue(at location, node ast.ScalarNode) {
 	key := withoutIndices(at.current)
 	if !r.spelling.aliases.hasValues(key) {
 		return
@@ -67,122 +67,126 @@
 	if !isText {
 		return
 	}
-	value, isOld := r.spelling.aliases.newValue(key, text.Value)
+	value, isOld := r.spelling.aliases.currentValue(key, text.Value)
 	if !isOld {
 		return
 	}
-	r.note(position, withoutIndices(at.spelled)+": "+text.Value, key+": "+value)
+	r.recordDeprecation(position, withoutIndices(at.written)+": "+text.Value, key+": "+value)
 	text.Token, text.Value = renamedToken(text.Token, value), value
 }
 
-// mapping renames the keys of a mapping and all below it. Keys that move into a section of their own follow last, when
-// the section has been visited.
-func (r *renamer) mapping(at location, m *ast.MappingNode) error {
-	var moving []*ast.MappingValueNode
-	staying := make([]*ast.MappingValueNode, 0, len(m.Values))
+// renameMapping renames the keys of a mapping and everything below it. The keys that move to another section come last,
+// after that section has been visited.
+func (r *renamer) renameMapping(at location, m *ast.MappingNode) error {
+	var moved []*ast.MappingValueNode
+	remaining := make([]*ast.MappingValueNode, 0, len(m.Values))
 	for _, entry := range m.Values {
-		if alias, isOld := r.alias(at, entry); isOld && alias.section() != "" {
-			moving = append(moving, entry)
+		if alias, isOld := r.aliasOf(at, entry); isOld && alias.newSection() != "" {
+			moved = append(moved, entry)
 		} else {
-			staying = append(staying, entry)
+			remaining = append(remaining, entry)
 		}
 	}
-	m.Values = staying
-	for _, entry := range staying {
-		if err := r.entry(at, m, entry); err != nil {
+	m.Values = remaining
+	for _, entry := range remaining {
+		if err := r.renameEntry(at, m, entry); err != nil {
 			return err
 		}
 	}
-	for _, entry := range moving {
-		if err := r.move(at, m, entry); err != nil {
+	for _, entry := range moved {
+		if err := r.moveEntry(at, m, entry); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// alias returns the alias of the key of an entry, if the key is an old spelling.
-func (r *renamer) alias(at location, entry *ast.MappingValueNode) (KeyAlias, bool) {
-	return r.spelling.aliases.oldKey(withoutIndices(at.current), entry.Key.GetToken().Value)
+// aliasOf returns the alias for the key of an entry, and whether the key is an old spelling.
+func (r *renamer) aliasOf(at location, entry *ast.MappingValueNode) (KeyAlias, bool) {
+	return r.spelling.aliases.aliasOfOldKey(withoutIndices(at.current), entry.Key.GetToken().Value)
 }
 
-// entry visits an entry that stays in its mapping.
-func (r *renamer) entry(at location, m *ast.MappingNode, entry *ast.MappingValueNode) error {
+// renameEntry renames an entry that stays in its mapping, and everything below it.
+func (r *renamer) renameEntry(at location, m *ast.MappingNode, entry *ast.MappingValueNode) error {
 	if entry.Key.IsMergeKey() {
-		return r.node(at, entry.Value)
+		return r.renameNode(at, entry.Value)
 	}
-	if alias, isOld := r.alias(at, entry); isOld {
-		return r.oldKey(at, entry, alias, m)
+	if alias, isOld := r.aliasOf(at, entry); isOld {
+		return r.renameKey(at, entry, alias, m)
 	}
 	key := entry.Key.GetToken().Value
-	return r.currentKey(at.key(key, key), entry)
+	return r.visitCurrentKey(at.child(key, key), entry)
 }
 
-// move renames an entry of a mapping and moves it into its current section.
-func (r *renamer) move(at location, m *ast.MappingNode, entry *ast.MappingValueNode) error {
-	alias, _ := r.alias(at, entry)
-	target, err := r.section(m, alias.section(), entry)
+// moveEntry renames an entry of a mapping and moves it to its current section.
+func (r *renamer) moveEntry(at location, m *ast.MappingNode, entry *ast.MappingValueNode) error {
+	alias, _ := r.aliasOf(at, entry)
+	target, err := r.targetSection(m, alias.newSection(), entry)
 	if err != nil {
 		return err
 	}
-	if err := r.oldKey(at, entry, alias, target); err != nil {
+	if err := r.renameKey(at, entry, alias, target); err != nil {
 		return err
 	}
 	target.Values = append(target.Values, entry)
 	return nil
 }
 
-// currentKey visits a key that has no old spelling, or is in the current one.
-func (r *renamer) currentKey(at location, entry *ast.MappingValueNode) error {
-	if _, hasAlias := r.spelling.aliases.newKey(withoutIndices(at.current)); hasAlias {
-		r.spelling.current = true
+// visitCurrentKey records a key that has no alias or is in its current spelling, and renames everything below it.
+func (r *renamer) visitCurrentKey(at location, entry *ast.MappingValueNode) error {
+	if _, hasAlias := r.spelling.aliases.aliasOfNewKey(withoutIndices(at.current)); hasAlias {
+		r.spelling.hasCurrent = true
 	}
-	r.spelling.keys[at.current] = at.spelled
-	return r.node(at, entry.Value)
+	r.spelling.keys[at.current] = at.written
+	return r.renameNode(at, entry.Value)
 }
 
-// oldKey renames a key of the mapping at the given place; target is the mapping that is to have it.
-func (r *renamer) oldKey(at location, entry *ast.MappingValueNode, alias KeyAlias, target *ast.MappingNode) error {
+// renameKey renames the key of an entry of the mapping at a location, and everything below it. The parameter target is
+// the mapping that holds the entry afterwards; it is an error if target already has the new key.
+func (r *renamer) renameKey(at location, entry *ast.MappingValueNode, alias KeyAlias, target *ast.MappingNode) error {
 	_, name := splitPath(alias.New)
 	key := entry.Key.GetToken()
 	if other := findKey(target, name); other != nil {
 		line := other.Key.GetToken().Position.Line
-		const format = "%q is the old spelling of %q, which stands on line %d: give one of the two"
+		const format = "%q is the old spelling of %q, which is set on line %d; remove one of them"
 		return r.file.ErrorAt(positionOf(key), format, alias.Old, alias.New, line)
 	}
-	here := at.key(alias.New, alias.Old)
-	r.note(positionOf(key), withoutIndices(here.spelled), withoutIndices(here.current))
-	r.spelling.keys[here.current] = here.spelled
+	renamed := at.child(alias.New, alias.Old)
+	r.recordDeprecation(positionOf(key), withoutIndices(renamed.written), withoutIndices(renamed.current))
+	r.spelling.keys[renamed.current] = renamed.written
 	entry.Key = ast.String(renamedToken(key, name))
-	return r.node(here, entry.Value)
+	return r.renameNode(renamed, entry.Value)
 }
 
-// section returns the mapping of a section into which a key moves, and adds it to its parent where there is none.
-func (r *renamer) section(parent *ast.MappingNode, name string, entry *ast.MappingValueNode) (*ast.MappingNode, error) {
+// targetSection returns the section to which the key of an entry moves. It adds the section to its parent if the parent
+// has none of this name.
+func (r *renamer) targetSection(
+	parent *ast.MappingNode, name string, entry *ast.MappingValueNode,
+) (*ast.MappingNode, error) {
 	key := entry.Key.GetToken()
-	present := findKey(parent, name)
-	if present == nil {
+	existing := findKey(parent, name)
+	if existing == nil {
 		section := ast.Mapping(key, false)
 		parent.Values = append(parent.Values, ast.MappingValue(key, ast.String(renamedToken(key, name)), section))
 		return section, nil
 	}
-	value := present.Value
+	value := existing.Value
 	if anchor, ok := value.(*ast.AnchorNode); ok {
 		value = anchor.Value
 	}
 	if section, ok := value.(*ast.MappingNode); ok {
 		return section, nil
 	}
-	return nil, r.file.ErrorAt(positionOf(key), "%q belongs into section %q, which is no mapping", key.Value, name)
+	return nil, r.file.ErrorAt(positionOf(key), "%q belongs in section %q, which is not a mapping", key.Value, name)
 }
 
-// note records an old spelling, once for each.
-func (r *renamer) note(at Position, old, current string) {
+// recordDeprecation records an old spelling, unless it is recorded already.
+func (r *renamer) recordDeprecation(at Position, old, current string) {
 	deprecation := Deprecation{File: r.file.Name, Old: old, New: current}
-	if r.noted[deprecation] {
+	if r.recorded[deprecation] {
 		return
 	}
-	r.noted[deprecation] = true
+	r.recorded[deprecation] = true
 	deprecation.Line = at.Line
 	r.spelling.deprecations = append(r.spelling.deprecations, deprecation)
 }
@@ -197,7 +201,7 @@
 	return m.Values[i]
 }
 
-// renamedToken returns a token with another text at the same place.
+// renamedToken returns a copy of a token with another text and the same position.
 func renamedToken(t *token.Token, text string) *token.Token {
 	renamed := *t
 	renamed.Value = text
--- a/internal/config/strictyaml/strictyaml.go
+++ b/internal/config/strictyaml/strictyaml.go
@@ -1,10 +1,10 @@
 // Package strictyaml reads YAML settings files strictly: unknown keys, duplicate keys, values without their unit and
-// further documents are errors. Every error is an [*Error] with file, line, column and key. Values remember their
-// position in the file, so that a value found wrong later, beside other values, can still be located with
+// more than one document are errors. Every error is an [*Error] with file, line, column and key. Each value keeps its
+// position in the file, so that a later check, such as one against other values, can report the position with
 // [File.ErrorAt].
 //
-// The schema of a file is a struct whose fields have the types of this package, bound to keys by yaml tags. A key may
-// be left out only where its field has the tag settings:"optional", or is a list, a map or a struct.
+// The schema of a file is a struct whose fields have the types of this package and are bound to keys by yaml tags. A
+// key may be omitted only if its field has the tag settings:"optional", or is a list, a map or a struct.
 package strictyaml
 
 import (
@@ -21,25 +21,25 @@
 )
 
 const (
-	settingsTag = "settings" // struct tag, with the value below on a field whose key may be left out
-	optional    = "optional"
+	settingsTag = "settings" // name of the struct tag
+	optional    = "optional" // value of the tag on a field whose key may be omitted
 )
 
-// File is a settings file that was read, with its syntax tree.
+// File is a settings file that has been read.
 type File struct {
 	Name     string
-	root     ast.Node // as written
+	root     ast.Node // syntax tree, with the old spellings that the file has
 	spelling *spelling
 }
 
-// Read decodes the single document in data into the struct that into points to. The name of the file goes into errors,
-// which are of type *Error.
+// Read decodes the single document in data into the struct that into points to. Its errors are of type *Error and
+// contain the name of the file.
 func Read(name string, data []byte, into any) (*File, error) {
 	return ReadWithAliases(name, data, into, Aliases{})
 }
 
-// ReadWithAliases is [Read] for a file that may have old spellings of keys and values. [File.Deprecations] returns
-// those that it has. An old and the current spelling for the same key are an error.
+// ReadWithAliases is [Read] for a file that may contain old spellings of keys and values. [File.Deprecations] returns
+// the old spellings found. A mapping that has a key in both its old and its current spelling is an error.
 func ReadWithAliases(name string, data []byte, into any, aliases Aliases) (*File, error) {
 	f := &File{Name: name, spelling: &spelling{}}
 	documents := yaml.NewDecoder(bytes.NewReader(data), yaml.Strict())
@@ -57,7 +57,7 @@
 	return f, nil
 }
 
-// decode renames the old spellings of the first document and decodes it.
+// decode replaces the old spellings in the first document and decodes it.
 func (f *File) decode(data []byte, into any, aliases Aliases) (err error) {
 	if f.root, err = parse(data); err != nil {
 		return f.locate(err, data)
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// parse returns the syntax tree of the first document.
+// parse returns the syntax tree of the first document, and io.EOF if there is none.
 func parse(data []byte) (ast.Node, error) {
 	tree, err := parser.ParseBytes(data, 0)
 	if err != nil {
@@ -89,22 +89,23 @@
 	return nil, io.EOF
 }
 
-// Deprecations returns the old spellings in the file, in the order of their lines.
+// Deprecations returns the old spellings in the file, ordered by line.
 func (f *File) Deprecations() []Deprecation { return f.spelling.deprecations }
 
-// KeyName returns the path of a key as the file spells it, or would spell it if it had the key. The path given is in
-// the current spelling.
-func (f *File) KeyName(path string) string { return f.spelling.key(path) }
+// KeyName returns the path of a key in the spelling that the file uses. The parameter is the path in the current
+// spelling. The parts of the path that the file does not have are in the old spelling if the file uses that alone.
+func (f *File) KeyName(path string) string { return f.spelling.keyName(path) }
 
-// ValueName returns a value of a key as the file would spell it. Path and value are given in the current spelling.
+// ValueName returns a value of a key: in the old spelling if the file uses that alone, otherwise in the current one.
+// The parameters are in the current spelling.
 func (f *File) ValueName(path, value string) string {
-	if !f.spelling.old() {
+	if !f.spelling.onlyOld() {
 		return value
 	}
 	return f.spelling.aliases.oldValue(withoutIndices(path), value)
 }
 
-// locate turns an error of the YAML package into an *Error. The key is known only where the file is syntactically
+// locate converts an error of the YAML package to an *Error. The key is known only if the file is syntactically
 // correct.
 func (f *File) locate(err error, data []byte) error {
 	var located yaml.Error
@@ -120,15 +121,15 @@
 	return &Error{File: f.Name, Position: at, Key: f.keyAt(at), Message: located.GetMessage(), cause: err}
 }
 
-// ErrorAt returns an *Error about the value at the given position. It wraps the operand of a %w in the format.
+// ErrorAt returns an *Error about the value at a position. It wraps the operand of a %w in the format.
 func (f *File) ErrorAt(at Position, format string, args ...any) error {
 	err := fmt.Errorf(format, args...)
 	return &Error{File: f.Name, Position: at, Key: f.keyAt(at), Message: err.Error(), cause: errors.Unwrap(err)}
 }
 
-// MissingKey returns an *Error about a key left out of the mapping at a path such as "machine_list" or
-// "machines.machine_types[0]"; the path of the top is empty. The error is located at the first key of the mapping, and
-// names the key as the file would spell it.
+// MissingKey returns an *Error about a key that is missing from the mapping at a path such as "machine_list" or
+// "machines.machine_types[0]"; the path of the root mapping is empty. The error has the position of the first key of
+// the mapping, and names the missing key as [File.KeyName] does.
 func (f *File) MissingKey(mapping, key string) error {
 	full := f.KeyName(joinPath(mapping, key))
 	expression := "$"
@@ -138,7 +139,8 @@
 	return &Error{File: f.Name, Position: f.mappingPosition(expression), Key: full, Message: full + " is missing"}
 }
 
-// mappingPosition returns where the mapping at a YAML path begins, and the beginning of the file where there is none.
+// mappingPosition returns the position of the mapping at a YAML path, or the start of the file if there is no such
+// mapping.
 func (f *File) mappingPosition(expression string) Position {
 	start := Position{Line: 1, Column: 1}
 	path, err := yaml.PathString(expression)
@@ -165,7 +167,7 @@
 	return finder.key
 }
 
-// keyFinder visits a syntax tree for the innermost node at a position.
+// keyFinder walks a syntax tree to find the key of the innermost node at a position.
 type keyFinder struct {
 	at  Position
 	key string
@@ -181,19 +183,19 @@
 	return k
 }
 
-// OneOf returns the index of a value among those allowed, and an error where it is none of them.
+// OneOf returns the index of a value among the allowed ones, or an error if the value is not allowed.
 func OneOf(f *File, value String, allowed ...string) (int, error) {
 	for i, candidate := range allowed {
 		if value.Value == candidate {
 			return i, nil
 		}
 	}
-	spelled := strings.Join(f.spelling.allowed(value.Position, allowed), ", ")
-	return 0, f.ErrorAt(value.Position, "%q is none of %s", value.Value, spelled)
+	names := strings.Join(f.spelling.valueNames(value.Position, allowed), ", ")
+	return 0, f.ErrorAt(value.Position, "%q is none of %s", value.Value, names)
 }
 
-// CheckRequired returns an error about the first field of a mapping, a struct of this package's types, that was left
-// out though its key is required. The path is that of the mapping, as for [File.MissingKey].
+// CheckRequired returns an error about the first required key that is missing from a mapping, which is a struct of this
+// package's types. The parameter path is the path of the mapping, as for [File.MissingKey].
 func CheckRequired(f *File, path string, mapping any) error {
 	value := reflect.ValueOf(mapping)
 	for i := range value.NumField() {
--- a/internal/config/strictyaml/strictyaml_test.go
+++ b/internal/config/strictyaml/strictyaml_test.go
@@ -15,26 +15,26 @@
 		line, column int
 		key          string
 	}{
-		{"value of the wrong form", "word: w\ninner: {choice: one}\nspan: 12\n", 3, 7, "span"},
-		{"value not among those allowed", "word: w\ninner: {choice: three}\n", 2, 17, "inner.choice"},
+		{"value without its unit", "word: w\ninner: {choice: one}\nspan: 12\n", 3, 7, "span"},
+		{"value not allowed", "word: w\ninner: {choice: three}\n", 2, 17, "inner.choice"},
 		{"value in a list", "word: w\ninner: {choice: one}\nwords: [a, [b]]\n", 3, 12, "words[1]"},
 		{"mapping in place of a value", "word: {a: 1}\n", 1, 7, "word"},
 		{"unknown key", "word: w\nother: 5\n", 2, 1, "other"},
 		{
-			"unknown key of an entry",
+			"unknown key in a list entry",
 			"word: w\nlist:\n  - choice: a\n  - choice: b\n    other: 5\n", 5, 5, "list[1].other",
 		},
-		{"key left out", "inner: {choice: one}\n", 1, 1, "word"},
+		{"missing key", "inner: {choice: one}\n", 1, 1, "word"},
 		{
-			"key left out of a mapping",
+			"missing key in a list entry",
 			"word: w\ninner: {choice: one}\nlist: [{choice: a}, {}]\n", 3, 21, "list[1].choice",
 		},
 		{"duplicate key", "word: w\nword: v\n", 2, 1, ""},
-		{"no YAML", "word: [\n", 1, 7, ""},
+		{"invalid YAML", "word: [\n", 1, 7, ""},
 		{"empty", "", 0, 0, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			err := readAll(tc.text)
+			err := readAndCheck(tc.text)
 			var located *Error
 			testutil.Require(t, errors.As(err, &located), "got %T: %v", err, err)
 			if want := (Position{tc.line, tc.column}); located.File != "f.yaml" || located.Position != want ||
@@ -48,7 +48,7 @@
 
 func TestErrorOfTheYAMLPackageIsWrapped(t *testing.T) {
 	var syntax *yaml.SyntaxError
-	if err := readAll("word: [\n"); !errors.As(err, &syntax) {
+	if err := readAndCheck("word: [\n"); !errors.As(err, &syntax) {
 		t.Errorf("got %T: %v", err, err)
 	}
 }
--- a/internal/config/strictyaml/values.go
+++ b/internal/config/strictyaml/values.go
@@ -11,11 +11,12 @@
 
 const (
 	maxCount         = 1_000_000_000
-	maxDurationTicks = 3.2e11 // a little more than a year
+	maxDurationTicks = 3.2e11 // slightly more than a year
 )
 
-// scalar returns the token of a plain value, which has its text; expected describes the value in the error.
-func scalar(node ast.Node, expected string) (*token.Token, error) {
+// scalarToken returns the token of a scalar node, which holds its text. The parameter expected describes the value in
+// the error for any other node.
+func scalarToken(node ast.Node, expected string) (*token.Token, error) {
 	t := node.GetToken()
 	if _, ok := node.(ast.ScalarNode); !ok {
 		return nil, syntaxError(t, "a value is wanted here: %s", expected)
@@ -23,9 +24,9 @@
 	return t, nil
 }
 
-// decode sets a position and a value from the text of a plain value, and leaves both where parse refuses the text.
-func decode[T any](node ast.Node, expected string, at *Position, value *T, parse func(string) (T, error)) error {
-	t, err := scalar(node, expected)
+// decodeScalar sets at and value from a scalar node. It leaves both unchanged if parse returns an error.
+func decodeScalar[T any](node ast.Node, expected string, at *Position, value *T, parse func(string) (T, error)) error {
+	t, err := scalarToken(node, expected)
 	if err != nil {
 		return err
 	}
@@ -37,15 +38,15 @@
 	return nil
 }
 
-// String is a text of any form.
+// String is arbitrary text.
 type String struct {
 	Position
 	Value string
 }
 
-// UnmarshalYAML reads any plain value as text.
+// UnmarshalYAML reads any scalar as text.
 func (s *String) UnmarshalYAML(node ast.Node) error {
-	t, err := scalar(node, "a word")
+	t, err := scalarToken(node, "a word")
 	if err != nil {
 		return err
 	}
@@ -64,7 +65,7 @@
 
 // UnmarshalYAML reads a finite number.
 func (v *Float) UnmarshalYAML(node ast.Node) error {
-	return decode(node, "a number", &v.Position, &v.Value, parseFloat)
+	return decodeScalar(node, "a number", &v.Position, &v.Value, parseFloat)
 }
 
 func parseFloat(text string) (float64, error) {
@@ -75,15 +76,15 @@
 	return number, nil
 }
 
-// Count is a whole number from 0 to 1,000,000,000.
+// Count is an integer from 0 to 1,000,000,000.
 type Count struct {
 	Position
 	Value int
 }
 
-// UnmarshalYAML reads a whole number from 0.
+// UnmarshalYAML reads an integer from 0 to 1,000,000,000.
 func (v *Count) UnmarshalYAML(node ast.Node) error {
-	return decode(node, "a whole number", &v.Position, &v.Value, parseCount)
+	return decodeScalar(node, "a whole number", &v.Position, &v.Value, parseCount)
 }
 
 func parseCount(text string) (int, error) {
@@ -94,7 +95,7 @@
 	return number, nil
 }
 
-// Bool is true or false, in just these two forms.
+// Bool is true or false; no other spelling is accepted.
 type Bool struct {
 	Position
 	Value bool
@@ -102,7 +103,7 @@
 
 // UnmarshalYAML reads true or false.
 func (v *Bool) UnmarshalYAML(node ast.Node) error {
-	return decode(node, "true or false", &v.Position, &v.Value, parseBool)
+	return decodeScalar(node, "true or false", &v.Position, &v.Value, parseBool)
 }
 
 func parseBool(text string) (bool, error) {
@@ -112,15 +113,15 @@
 	return text == "true", nil
 }
 
-// Duration is a length of time, written with one of the units ms, s, min and h.
+// Duration is a duration, written with one of the units ms, s, min and h.
 type Duration struct {
 	Position
 	Ticks int64 // of 100 microseconds each, as in package eventloop and package scheduler
 }
 
-// UnmarshalYAML reads a length of time with its unit.
+// UnmarshalYAML reads a duration with its unit.
 func (v *Duration) UnmarshalYAML(node ast.Node) error {
-	return decode(node, "a span such as 250ms or 8s", &v.Position, &v.Ticks, parseDuration)
+	return decodeScalar(node, "a span such as 250ms or 8s", &v.Position, &v.Ticks, parseDuration)
 }
 
 func parseDuration(text string) (int64, error) {
@@ -142,7 +143,7 @@
 
 // UnmarshalYAML reads an amount of memory with its unit.
 func (v *Memory) UnmarshalYAML(node ast.Node) error {
-	return decode(node, "memory such as 512MiB or 4GiB", &v.Position, &v.GiB, parseMemory)
+	return decodeScalar(node, "memory such as 512MiB or 4GiB", &v.Position, &v.GiB, parseMemory)
 }
 
 func parseMemory(text string) (float64, error) { return parseQuantity(text, memoryUnits) }
--- a/internal/config/validator.go
+++ b/internal/config/validator.go
@@ -8,14 +8,14 @@
 	"glenport/scheduler"
 )
 
-// reservedASN is AS_TRANS, which stands for an AS number of four bytes where only two fit (RFC 6793).
+// reservedASN is AS_TRANS, which replaces a four-byte AS number in fields of two bytes (RFC 6793).
 const reservedASN = 23456
 
-// validator checks the values of one file and records the first error. After an error its methods still return a value,
-// the zero value where there is no better one, so that checks need no branch each.
+// validator checks the values of one file and records the first error. Its methods return a value even after an error,
+// the zero value if there is no other, so that callers need not check for an error after each call.
 type validator struct {
 	file *strictyaml.File
-	err  error // the first one; an *strictyaml.Error
+	err  error // the first error, a *strictyaml.Error
 }
 
 func (v *validator) record(err error) {
@@ -28,25 +28,25 @@
 	v.record(v.file.ErrorAt(at, format, args...))
 }
 
-// keyName returns the last part of the path of a key, as the file spells it.
+// keyName returns the last part of the path of a key, in the spelling that the file uses.
 func (v *validator) keyName(path string) string {
 	name := v.file.KeyName(path)
 	return name[strings.LastIndexByte(name, '.')+1:]
 }
 
-// required checks that the mapping at a path has all its required keys.
+// required checks that a mapping has all its required keys.
 func (v *validator) required(path string, mapping any) {
 	v.record(strictyaml.CheckRequired(v.file, path, mapping))
 }
 
-// oneOf returns the index of a value among those allowed.
+// oneOf returns the index of a value among the allowed ones.
 func (v *validator) oneOf(value strictyaml.String, allowed ...string) int {
 	index, err := strictyaml.OneOf(v.file, value, allowed...)
 	v.record(err)
 	return index
 }
 
-// address checks an IP address with a port; a value that was left out passes.
+// address checks an IP address with a port. A value that is not set passes the check.
 func (v *validator) address(value strictyaml.String) string {
 	if _, err := netip.ParseAddrPort(value.Value); err != nil && value.IsSet() {
 		v.fail(value.Position, "%q is no address such as 127.0.0.1:7400", value.Value)
@@ -100,5 +100,5 @@
 	return duration(value)
 }
 
-// duration converts a length of time; both types count ticks of 100 microseconds.
+// duration converts a duration; both types count ticks of 100 microseconds.
 func duration(value strictyaml.Duration) scheduler.Time { return scheduler.Time(value.Ticks) }
--- a/internal/config/workloadclass.go
+++ b/internal/config/workloadclass.go
@@ -8,7 +8,8 @@
 	"glenport/scheduler"
 )
 
-// workloadClasses adds the workload classes to the settings; typeIndex holds the machine types by name.
+// workloadClasses adds the workload classes to the settings. The parameter typeIndex holds the indices of the machine
+// types by name.
 func (v *validator) workloadClasses(entries []workloadClassEntry, typeIndex map[string]int, s *Scheduler) {
 	for i := range entries {
 		entry, path := &entries[i], fmt.Sprintf("workload_classes[%d]", i)
@@ -29,7 +30,7 @@
 }
 
 func (v *validator) workloadClass(
-	path string, entry *workloadClassEntry, types map[string]int,
+	path string, entry *workloadClassEntry, typeIndex map[string]int,
 ) scheduler.WorkloadClass {
 	class := scheduler.WorkloadClass{
 		LatencyObjective: v.positiveDuration(entry.LatencyObjective),
@@ -43,7 +44,7 @@
 	}
 	v.idempotency(path, entry, &class)
 	if entry.MachineType.IsSet() {
-		index, ok := types[entry.MachineType.Value]
+		index, ok := typeIndex[entry.MachineType.Value]
 		if !ok {
 			v.fail(entry.MachineType.Position, "there is no machine type %q", entry.MachineType.Value)
 		}
@@ -53,8 +54,8 @@
 	return class
 }
 
-// idempotency sets what may happen to a container that is requested twice. Scope and window belong to IdempotentWithKey
-// alone.
+// idempotency sets the idempotency of a class. The deduplication scope and window are required with IdempotentWithKey
+// and not allowed otherwise.
 func (v *validator) idempotency(path string, entry *workloadClassEntry, class *scheduler.WorkloadClass) {
 	levels := []scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.AtMostOnce}
 	class.Idempotency = levels[v.oneOf(entry.Idempotency, "idempotent", "idempotent-with-key", "at-most-once")]
@@ -77,7 +78,7 @@
 	class.DedupWindow = duration(entry.DedupWindow)
 }
 
-// spread sets how many containers of a service may share a failure domain.
+// spread sets the maximum number of containers of a service in one failure domain.
 func (v *validator) spread(path string, entry *workloadClassEntry, class *scheduler.WorkloadClass) {
 	if !entry.SpreadScope.IsSet() {
 		if entry.MaxPerScope.IsSet() {
@@ -94,7 +95,7 @@
 	class.MaxPerScope = v.positiveCount(entry.MaxPerScope)
 }
 
-// firstSet returns the first of two positions that is that of a value given.
+// firstSet returns a if it is the position of a value in the file, and b otherwise.
 func firstSet(a, b strictyaml.Position) strictyaml.Position {
 	if a.IsSet() {
 		return a
