--- a/internal/config/aliases_test.go
+++ b/internal/config/aliases_test.go
@@ -229,7 +229,8 @@
 			"latency_objective is longer than placement_timeout",
 		},
 		{
-			"dedup window of an idempotent class", "idempotency: idempotent,", "idempotency: idempotent, dedup_window: 8s,",
+			"dedup window of an idempotent class",
+			"idempotency: idempotent,", "idempotency: idempotent, dedup_window: 8s,",
 			"dedup_scope and dedup_window need idempotency: idempotent-with-key",
 		},
 		{
