--- a/measure/store/store_test.go
+++ b/measure/store/store_test.go
@@ -1,5 +1,5 @@
-// Package store measures the write-ahead log beside two libraries: commits a second with a sync each, and what becomes
-// of a directory in which one bit was flipped. It is a module of its own, so that glenport does not depend on the
+// Package store compares glenport's write-ahead log with two storage libraries: synced commits per second, and the
+// behavior on a directory in which one bit is flipped. It is a separate module, so that glenport does not depend on the
 // libraries.
 package store
 
@@ -30,15 +30,15 @@
 	flips     = 60
 )
 
-// Environment of the subprocess that opens a damaged directory.
+// Environment variables of the subprocess that opens a damaged directory.
 const (
-	directoryVariable = "OPEN_FOLDER"
-	engineVariable    = "OPEN_ENGINE"
+	dirVariable    = "OPEN_FOLDER"
+	engineVariable = "OPEN_ENGINE"
 )
 
-// engine is an open store.
+// engine is an open storage engine.
 type engine struct {
-	commit func(key, value []byte) error // returns when the value is on disk
+	commit func(key, value []byte) error // returns after the value is synced to disk
 	get    func(key []byte) []byte
 	close  func() error
 }
@@ -72,13 +72,13 @@
 	}, err
 }
 
-// silentLogger drops the messages of pebble; a fatal one ends the process.
+// silentLogger discards the messages of pebble, but panics on a fatal one.
 type silentLogger struct{}
 
 func (silentLogger) Infof(string, ...any)  {}
 func (silentLogger) Errorf(string, ...any) {}
-func (silentLogger) Fatalf(format string, arguments ...any) {
-	panic(fmt.Sprintf(format, arguments...))
+func (silentLogger) Fatalf(format string, args ...any) {
+	panic(fmt.Sprintf(format, args...))
 }
 
 func openPebble(path string) (engine, error) {
@@ -91,7 +91,7 @@
 		get: func(key []byte) []byte {
 			value, closer, err := db.Get(key)
 			if err != nil {
-				return nil // missing or damaged: the caller counts it as lost
+				return nil // missing or damaged; the caller counts the value as lost
 			}
 			copied := bytes.Clone(value)
 			if err := closer.Close(); err != nil {
@@ -175,11 +175,11 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "commits/s")
 }
 
-// TestFlip leaves a directory as a crash would after a thousand commits, flips one bit at each of many places, and logs
-// how many openings were refused, crashed, or went on with less or other than what was committed. It compares the
-// engines and fails only where a trial cannot be run.
+// TestFlip takes the files of a directory after a thousand commits as a crash leaves them. It flips one bit at a time in
+// the largest file, opens the directory, and logs how many opens were refused, crashed, or silently returned missing or
+// wrong values. It compares the engines, and fails only if a trial cannot be run.
 func TestFlip(t *testing.T) {
-	if dir := os.Getenv(directoryVariable); dir != "" {
+	if dir := os.Getenv(dirVariable); dir != "" {
 		openDamaged(os.Getenv(engineVariable), dir)
 		return
 	}
@@ -188,7 +188,7 @@
 	}
 }
 
-// openDamaged prints how many values an engine finds in a directory. It runs in the subprocess.
+// openDamaged runs in the subprocess. It prints how many of the committed values an engine finds in a directory.
 func openDamaged(name, dir string) {
 	e, err := engines[name](dir)
 	if err != nil {
@@ -226,12 +226,12 @@
 				t.Fatal(err)
 			}
 		}
-		outcomes[outcomeOfOpening(t, name, dir)]++
+		outcomes[openInSubprocess(t, name, dir)]++
 	}
 	t.Logf("%s: of %d flips in %s (%d bytes): %v", name, flips, largest, len(files[largest]), outcomes)
 }
 
-// filesAfterCrash returns the files of a directory with all records committed, read before the engine is closed.
+// filesAfterCrash commits all records and returns the files of the directory, read before the engine is closed.
 func filesAfterCrash(t *testing.T, name string) map[string][]byte {
 	t.Helper()
 	dir := t.TempDir()
@@ -260,11 +260,11 @@
 	return files
 }
 
-// outcomeOfOpening opens a directory in a subprocess, which a library may crash.
-func outcomeOfOpening(t *testing.T, name, dir string) string {
+// openInSubprocess opens a directory in a subprocess, as a library may crash on it, and returns the outcome.
+func openInSubprocess(t *testing.T, name, dir string) string {
 	t.Helper()
 	command := exec.CommandContext(t.Context(), os.Args[0], "-test.run=TestFlip", "-test.v")
-	command.Env = append(os.Environ(), directoryVariable+"="+dir, engineVariable+"="+name)
+	command.Env = append(os.Environ(), dirVariable+"="+dir, engineVariable+"="+name)
 	output, err := command.Output()
 	var exit *exec.ExitError
 	if err != nil && !errors.As(err, &exit) {
