--- a/cmd/glenport-testbed/load.go
+++ b/cmd/glenport-testbed/load.go
@@ -13,36 +13,36 @@
 	"github.com/spf13/cobra"
 )
 
-// controllerTemplate gives the settings of the schedulers behind a measured controller.
+// controllerTemplate is the template of the settings of the schedulers that a measured controller uses.
 const controllerTemplate = "scenarios/why-scheduler.yaml"
 
-// schedulerLoad is what the load of a scheduler is measured with.
+// schedulerLoad holds the parameters of the load measurements of one scheduler.
 type schedulerLoad struct {
 	machines, rates []int
 	length, runtime time.Duration
 	template        string
 }
 
-// loadCommand measures one scheduler against emulated machines that answer at once.
+// loadCommand returns the command that measures one scheduler against emulated machines that answer immediately.
 func loadCommand() *cobra.Command {
 	var l schedulerLoad
 	c := &cobra.Command{
-		Use: "load", Short: "Measure one scheduler against machines that answer at once", Args: cobra.NoArgs,
+		Use: "load", Short: "Measure one scheduler against machines that answer immediately", Args: cobra.NoArgs,
 		Example: "  glenport-testbed load --machines 100 --rates 300 --length 5s",
 		RunE:    func(*cobra.Command, []string) error { return l.run() },
 	}
 	c.AddCommand(apiLoadCommand(), jobLoadCommand(), bgpLoadCommand())
-	c.Flags().IntSliceVar(&l.machines, "machines", []int{10, 100, 1000}, "how many machines")
-	c.Flags().IntSliceVar(&l.rates, "rates", []int{300, 3000}, "submissions a second")
-	c.Flags().DurationVar(&l.length, "length", 10*time.Second, "of each measurement")
-	c.Flags().DurationVar(&l.runtime, "runtime", 2*time.Second, "of each container")
-	formerFlag(c, "life", "runtime")
-	c.Flags().StringVar(&l.template, "scheduler-config", "scenarios/scheduler.yaml", "template of its settings")
-	formerFlag(c, "placer-file", "scheduler-config")
+	c.Flags().IntSliceVar(&l.machines, "machines", []int{10, 100, 1000}, "numbers of machines to measure with")
+	c.Flags().IntSliceVar(&l.rates, "rates", []int{300, 3000}, "submissions per second to measure with")
+	c.Flags().DurationVar(&l.length, "length", 10*time.Second, "length of each measurement")
+	c.Flags().DurationVar(&l.runtime, "runtime", 2*time.Second, "runtime of each container")
+	addFormerFlag(c, "life", "runtime")
+	c.Flags().StringVar(&l.template, "scheduler-config", "scenarios/scheduler.yaml", "template of its settings file")
+	addFormerFlag(c, "placer-file", "scheduler-config")
 	return c
 }
 
-// run prints a row for each number of machines and rate.
+// run prints a row of measurements for each combination of machine count and submission rate.
 func (l *schedulerLoad) run() error {
 	program, err := schedulerProgram(0)
 	if err != nil {
@@ -65,11 +65,11 @@
 }
 
 func (l *schedulerLoad) measure(table io.Writer, program []string, machines, rate int) error {
-	dir, done, err := folder("")
+	dir, cleanup, err := outputDir("")
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer cleanup()
 	r, err := load.MeasureScheduler(
 		bench.Spec{Template: l.template, Dir: dir, Program: program, Machines: machines},
 		load.Submissions{Rate: rate, Length: l.length, Runtime: l.runtime},
@@ -84,7 +84,7 @@
 	return err
 }
 
-// controllerBench is the bench on which a controller is measured.
+// controllerBench returns the test bench on which a controller is measured.
 func controllerBench(program []string, dir string, machines int) bench.Spec {
 	return bench.Spec{Template: controllerTemplate, Dir: dir, Program: program, Machines: machines}
 }
@@ -100,10 +100,10 @@
 			})
 		},
 	}
-	c.Flags().IntVar(&machines, "machines", 1000, "how many machines")
-	c.Flags().IntVar(&pending, "pending", 10000, "how many containers are pending")
-	formerFlag(c, "waiting", "pending")
-	c.Flags().IntVar(&watchers, "watchers", 1000, "how many watch")
+	c.Flags().IntVar(&machines, "machines", 1000, "number of machines")
+	c.Flags().IntVar(&pending, "pending", 10000, "number of pending containers")
+	addFormerFlag(c, "waiting", "pending")
+	c.Flags().IntVar(&watchers, "watchers", 1000, "number of clients that watch")
 	return c
 }
 
@@ -111,7 +111,7 @@
 	var machines, rate int
 	c := &cobra.Command{
 		Use: "jobs", Aliases: []string{"kept"}, Args: cobra.NoArgs,
-		Short:   "Measure jobs from the request to a controller until they run",
+		Short:   "Measure the time from the request for a job to a controller until the job runs",
 		Example: "  glenport-testbed load jobs --machines 100 --rate 300",
 		RunE: func(*cobra.Command, []string) error {
 			return withSchedulers("", 0, func(program []string, dir string) error {
@@ -119,8 +119,8 @@
 			})
 		},
 	}
-	c.Flags().IntVar(&machines, "machines", 100, "how many machines")
-	c.Flags().IntVar(&rate, "rate", 300, "jobs a second")
+	c.Flags().IntVar(&machines, "machines", 100, "number of machines")
+	c.Flags().IntVar(&rate, "rate", 300, "jobs per second")
 	return c
 }
 
@@ -128,7 +128,7 @@
 	var prefixes int
 	var peers []int
 	c := &cobra.Command{
-		Use: "bgp", Short: "Measure a speaker with many prefixes and peers", Args: cobra.NoArgs,
+		Use: "bgp", Short: "Measure a BGP speaker with many prefixes and peers", Args: cobra.NoArgs,
 		Example: "  glenport-testbed load bgp --prefixes 1000 --peers 1,10",
 		RunE: func(*cobra.Command, []string) error {
 			for _, n := range peers {
@@ -139,7 +139,7 @@
 			return nil
 		},
 	}
-	c.Flags().IntVar(&prefixes, "prefixes", 100_000, "how many prefixes")
-	c.Flags().IntSliceVar(&peers, "peers", []int{1, 10, 50}, "how many peers")
+	c.Flags().IntVar(&prefixes, "prefixes", 100_000, "number of prefixes")
+	c.Flags().IntSliceVar(&peers, "peers", []int{1, 10, 50}, "numbers of peers to measure with")
 	return c
 }
--- a/cmd/glenport-testbed/main.go
+++ b/cmd/glenport-testbed/main.go
@@ -1,5 +1,5 @@
-// Command glenport-testbed starts clusters of emulated machines on loopback, plays scenarios on them with real
-// schedulers and audits what passed over the sockets.
+// Command glenport-testbed starts clusters of emulated machines on loopback, runs fault scenarios on them with real
+// schedulers, and audits recordings of the messages on the sockets.
 package main
 
 import (
@@ -16,8 +16,8 @@
 	"github.com/spf13/cobra"
 )
 
-// errFailed ends the program with status 1; what did not hold has been printed.
-var errFailed = errors.New("something did not hold")
+// errFailed makes the program exit with status 1. The failed checks have been printed before it is returned.
+var errFailed = errors.New("a check failed")
 
 func main() {
 	root := &cobra.Command{
@@ -40,42 +40,43 @@
 	}
 }
 
-// folder is where a run's recording and logs go: one that was named, or a new one that done removes again.
-func folder(named string) (dir string, done func(), err error) {
-	if named != "" {
-		return named, func() {}, os.MkdirAll(named, 0o755)
+// outputDir creates the directory for a run's recording and logs: path or, if path is empty, a temporary directory that
+// cleanup removes.
+func outputDir(path string) (dir string, cleanup func(), err error) {
+	if path != "" {
+		return path, func() {}, os.MkdirAll(path, 0o755)
 	}
 	dir, err = os.MkdirTemp("", "glenport-testbed-")
-	return dir, func() { _ = os.RemoveAll(dir) }, err // what is left of a temporary folder does no harm
+	return dir, func() { _ = os.RemoveAll(dir) }, err // remains of a temporary directory are harmless
 }
 
-// ownScheduler is this program's own scheduler process with some flags.
-func ownScheduler(flags ...string) ([]string, error) {
-	own, err := os.Executable()
+// testbedScheduler returns the command that runs the scheduler of this program with the given flags.
+func testbedScheduler(flags ...string) ([]string, error) {
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	return append([]string{own, "scheduler"}, flags...), nil
+	return append([]string{executable, "scheduler"}, flags...), nil
 }
 
-// schedulerProgram is glenport itself, from beside this program; with a rule to break it is this program's own
-// scheduler.
+// schedulerProgram returns the command that runs a scheduler: glenport in the directory of this program or, if rule is
+// not 0, the scheduler of this program with that rule broken.
 func schedulerProgram(rule int) ([]string, error) {
 	if rule > 0 {
-		return ownScheduler("--sabotage", strconv.Itoa(rule))
+		return testbedScheduler("--sabotage", strconv.Itoa(rule))
 	}
-	own, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	path := filepath.Join(filepath.Dir(own), "glenport")
+	path := filepath.Join(filepath.Dir(executable), "glenport")
 	if _, err := os.Stat(path); err != nil {
-		return nil, fmt.Errorf("glenport must be in the folder of glenport-testbed: %w", err)
+		return nil, fmt.Errorf("glenport must be in the directory of glenport-testbed: %w", err)
 	}
 	return []string{path, "scheduler"}, nil
 }
 
-// loadScenario reads a scenario file and warns of old spellings in it.
+// loadScenario reads a scenario file and logs a warning for each old spelling in it.
 func loadScenario(path string) (*scenario.Scenario, error) {
 	s, err := scenario.Load(path)
 	if err != nil {
@@ -85,21 +86,22 @@
 	return s, nil
 }
 
-// withSchedulers calls f with the program that schedulers run, and a folder for their files.
-func withSchedulers(named string, rule int, f func(program []string, dir string) error) error {
+// withSchedulers calls f with the command of a scheduler and a directory for the files of the run. The parameters path
+// and rule are those of outputDir and schedulerProgram.
+func withSchedulers(path string, rule int, f func(program []string, dir string) error) error {
 	program, err := schedulerProgram(rule)
 	if err != nil {
 		return err
 	}
-	dir, done, err := folder(named)
+	dir, cleanup, err := outputDir(path)
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer cleanup()
 	return f(program, dir)
 }
 
-// runScenario plays a scenario and prints its outcome.
+// runScenario runs a scenario and prints its outcome.
 func runScenario(s *scenario.Scenario, dir string, rule int) error {
 	return withSchedulers(dir, rule, func(program []string, dir string) error {
 		outcome, err := s.Run(dir, program, os.Stdout)
--- a/cmd/glenport-testbed/platformtrial.go
+++ b/cmd/glenport-testbed/platformtrial.go
@@ -11,7 +11,8 @@
 	"github.com/spf13/cobra"
 )
 
-// simulationGCPercent trades memory for time: simulations make much garbage and hold little.
+// simulationGCPercent is the garbage collection target. It is high to save time: simulations allocate much and keep
+// little live memory.
 const simulationGCPercent = 400
 
 func platformTrialCommand() *cobra.Command {
@@ -19,7 +20,7 @@
 	t := &interleavings.Trial{}
 	c := &cobra.Command{
 		Use:   "platform",
-		Short: "The platform's process keeps the rules in random orders of events, on a simulated network",
+		Short: "Check the rules on the platform's process in random orders of events, on a simulated network",
 		Args:  cobra.NoArgs,
 		Example: "  glenport-testbed trial platform --events 100000\n" +
 			"  glenport-testbed trial platform --sabotage drain",
@@ -35,9 +36,9 @@
 			return runTrial(t, trials.Setup{})
 		},
 	}
-	c.Flags().IntVar(&t.Events, "events", 1_000_000, "in all, in runs of 60")
-	c.Flags().Uint64Var(&t.FirstSeed, "seed", 0, "of the first run; the others follow")
-	c.Flags().IntVar(&t.Workers, "workers", runtime.GOMAXPROCS(0), "runs that are played at the same time")
-	c.Flags().StringVar(&sabotage, "sabotage", "", "play one fault alone: "+platformcheck.FaultNames())
+	c.Flags().IntVar(&t.Events, "events", 1_000_000, "total number of events, in runs of 60")
+	c.Flags().Uint64Var(&t.FirstSeed, "seed", 0, "seed of the first run; each further run uses the next seed")
+	c.Flags().IntVar(&t.Workers, "workers", runtime.GOMAXPROCS(0), "number of concurrent runs")
+	c.Flags().StringVar(&sabotage, "sabotage", "", "run with this fault only: "+platformcheck.FaultNames())
 	return c
 }
--- a/cmd/glenport-testbed/scenario.go
+++ b/cmd/glenport-testbed/scenario.go
@@ -17,7 +17,7 @@
 	c := &cobra.Command{
 		Use:     "scenario FILE",
 		Aliases: []string{"day"},
-		Short:   "Play a scenario's faults on a cluster and audit its recording",
+		Short:   "Run a scenario with its faults on a cluster and audit the recording",
 		Example: "  glenport-testbed scenario scenarios/short.yaml\n" +
 			"  glenport-testbed scenario scenarios/short.yaml --sabotage 2",
 		Args: cobra.ExactArgs(1),
@@ -29,15 +29,15 @@
 			return runScenario(s, dir, rule)
 		},
 	}
-	c.Flags().StringVar(&dir, "dir", "", "folder to keep the recording and the logs in")
-	c.Flags().IntVar(&rule, "sabotage", 0, "break this rule on purpose, 1 to 5")
+	c.Flags().StringVar(&dir, "dir", "", "directory in which to keep the recording and the logs")
+	c.Flags().IntVar(&rule, "sabotage", 0, "run schedulers that break this rule, 1 to 5")
 	return c
 }
 
 func auditCommand() *cobra.Command {
 	var container string
 	c := &cobra.Command{
-		Use: "audit RECORD", Short: "Audit a recording alone",
+		Use: "audit RECORD", Short: "Audit an existing recording",
 		Example: "  glenport-testbed audit /tmp/run/record\n  glenport-testbed audit /tmp/run/record --show job-1/0/1",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -58,7 +58,7 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&container, "show", "", "show what passed for this container instead")
+	c.Flags().StringVar(&container, "show", "", "print the recorded messages of this container instead of the audit")
 	return c
 }
 
@@ -66,7 +66,7 @@
 	var dir, template string
 	var rate float64
 	c := &cobra.Command{
-		Use: "replay DAY.json", Short: "Play the faults of a simulated day, scaled down, on real schedulers",
+		Use: "replay DAY.json", Short: "Run the faults of a simulated day, scaled down, on real schedulers",
 		Example: "  glenport-testbed replay day.json --rate 150",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -77,9 +77,9 @@
 			return runScenario(s, dir, 0)
 		},
 	}
-	c.Flags().StringVar(&dir, "dir", "", "folder to keep the recording and the logs in")
-	c.Flags().StringVar(&template, "scenario", "scenarios/bad-day.yaml", "scenario file that gives the cluster")
-	formerFlag(c, "day", "scenario")
+	c.Flags().StringVar(&dir, "dir", "", "directory in which to keep the recording and the logs")
+	c.Flags().StringVar(&template, "scenario", "scenarios/bad-day.yaml", "scenario file that describes the cluster")
+	addFormerFlag(c, "day", "scenario")
 	c.Flags().Float64Var(&rate, "rate", 150, "submissions per second at the mean load of the day")
 	return c
 }
--- a/cmd/glenport-testbed/scheduler.go
+++ b/cmd/glenport-testbed/scheduler.go
@@ -16,15 +16,15 @@
 	"github.com/spf13/cobra"
 )
 
-// schedulerFlags are how the test bed's own scheduler differs from glenport's.
+// schedulerFlags holds the flags of the testbed's scheduler.
 type schedulerFlags struct {
-	file            string
-	sabotagedRule   int
-	sabotagedRoutes string
-	damped          bool
+	file          string
+	brokenRule    int
+	routeMutation string
+	adaptiveLimit bool
 }
 
-// schedulerCommand runs a scheduler as glenport does, with or without one rule broken.
+// schedulerCommand returns the command that runs a scheduler as glenport does, optionally with one rule broken.
 func schedulerCommand() *cobra.Command {
 	var f schedulerFlags
 	c := &cobra.Command{
@@ -33,10 +33,10 @@
 		RunE:    func(*cobra.Command, []string) error { return f.run() },
 	}
 	c.Flags().StringVarP(&f.file, "config", "c", "", "the scheduler's settings file")
-	c.Flags().IntVar(&f.sabotagedRule, "sabotage", 0, "rule to break")
-	c.Flags().BoolVar(&f.damped, "damped", false, "limit concurrency when placements become slow")
-	c.Flags().StringVar(&f.sabotagedRoutes, "sabotage-routes", "", "late or storm")
-	formerFlag(c, "spoil-routes", "sabotage-routes")
+	c.Flags().IntVar(&f.brokenRule, "sabotage", 0, "rule to break")
+	c.Flags().BoolVar(&f.adaptiveLimit, "damped", false, "limit concurrency when placements become slow")
+	c.Flags().StringVar(&f.routeMutation, "sabotage-routes", "", "late or storm, as in trial bgp")
+	addFormerFlag(c, "spoil-routes", "sabotage-routes")
 	return c
 }
 
@@ -45,10 +45,10 @@
 	if err != nil {
 		return err
 	}
-	settings.AdaptiveLimit = settings.AdaptiveLimit || f.damped
+	settings.AdaptiveLimit = settings.AdaptiveLimit || f.adaptiveLimit
 	var decider schedulerd.Scheduler = scheduler.New(settings.Policy)
-	if f.sabotagedRule > 0 {
-		if decider, err = mutants.New(f.sabotagedRule, settings.Policy, decider); err != nil {
+	if f.brokenRule > 0 {
+		if decider, err = mutants.New(f.brokenRule, settings.Policy, decider); err != nil {
 			return err
 		}
 	}
@@ -56,9 +56,9 @@
 	if err != nil {
 		return err
 	}
-	if routes := server.Speaker(); routes != nil && f.sabotagedRoutes != "" {
+	if routes := server.Speaker(); routes != nil && f.routeMutation != "" {
 		routes.WrapDecider(func(d speaker.RouteDecider) speaker.RouteDecider {
-			return mutants.NewRouteMutant(mutants.RouteMutation(f.sabotagedRoutes), d)
+			return mutants.NewRouteMutant(mutants.RouteMutation(f.routeMutation), d)
 		})
 	}
 	stop := make(chan os.Signal, 1)
--- a/cmd/glenport-testbed/trial.go
+++ b/cmd/glenport-testbed/trial.go
@@ -17,7 +17,7 @@
 
 func trialCommand() *cobra.Command {
 	c := &cobra.Command{
-		Use: "trial", Short: "Prove a subsystem end to end, with faults",
+		Use: "trial", Short: "Test a subsystem end to end, with faults",
 		Example: "  glenport-testbed trial why --cycles 2\n  glenport-testbed trial restart --short --kills 60",
 	}
 	c.AddCommand(
@@ -26,7 +26,7 @@
 	return c
 }
 
-// runTrial plays a trial and prints its verdict.
+// runTrial runs a trial and prints its verdict.
 func runTrial(trial trials.Trial, setup trials.Setup) error {
 	err := trials.Run(trial, setup, os.Stdout)
 	if errors.Is(err, trials.ErrFailed) {
@@ -35,17 +35,18 @@
 	return err
 }
 
-// playTrial plays a trial with a scheduler program on the cluster of a scenario file.
-func playTrial(trial trials.Trial, scenarioFile, namedDir string, program []string) error {
+// runClusterTrial runs a trial on the cluster of a scenario file. The parameter program is the command of a scheduler;
+// path is that of outputDir.
+func runClusterTrial(trial trials.Trial, scenarioFile, path string, program []string) error {
 	s, err := loadScenario(scenarioFile)
 	if err != nil {
 		return err
 	}
-	dir, done, err := folder(namedDir)
+	dir, cleanup, err := outputDir(path)
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer cleanup()
 	return runTrial(trial, trials.Setup{Scenario: s, Dir: dir, Program: program})
 }
 
@@ -55,7 +56,7 @@
 	t := &why.Trial{}
 	c := &cobra.Command{
 		Use:     "why",
-		Short:   "Clients read the true reason why their containers are pending, within a second",
+		Short:   "Check that the API returns the true reason why containers are pending, within a second",
 		Args:    cobra.NoArgs,
 		Example: "  glenport-testbed trial why --cycles 2",
 		RunE: func(*cobra.Command, []string) error {
@@ -66,13 +67,13 @@
 			if err != nil {
 				return err
 			}
-			return playTrial(t, "scenarios/why.yaml", dir, program)
+			return runClusterTrial(t, "scenarios/why.yaml", dir, program)
 		},
 	}
-	c.Flags().StringVar(&dir, "dir", "", "folder to keep the logs in")
-	c.Flags().IntVar(&t.Cycles, "cycles", 50, "of draining and filling, four changes each")
-	c.Flags().IntVar(&t.Steps, "steps", 0, "play the first so many steps only; 0: all")
-	c.Flags().BoolVar(&sabotaged, "sabotage", false, "read another reason than the API returns")
+	c.Flags().StringVar(&dir, "dir", "", "directory in which to keep the logs")
+	c.Flags().IntVar(&t.Cycles, "cycles", 50, "number of cycles of draining and filling, with four changes each")
+	c.Flags().IntVar(&t.Steps, "steps", 0, "run only this number of steps, from the first; 0: all")
+	c.Flags().BoolVar(&sabotaged, "sabotage", false, "check wrong reasons in place of those that the API returns")
 	return c
 }
 
@@ -81,23 +82,23 @@
 	t := &bgp.Trial{}
 	c := &cobra.Command{
 		Use:     "bgp",
-		Short:   "Addresses are announced while containers run, in time and without storms",
+		Short:   "Check that addresses are announced while containers run, in time and without update storms",
 		Args:    cobra.NoArgs,
 		Example: "  glenport-testbed trial bgp --rounds 1",
 		RunE: func(*cobra.Command, []string) error {
 			program, err := schedulerProgram(0)
 			if err == nil && sabotage != "" {
-				program, err = ownScheduler("--sabotage-routes", sabotage)
+				program, err = testbedScheduler("--sabotage-routes", sabotage)
 			}
 			if err != nil {
 				return err
 			}
-			return playTrial(t, "scenarios/why.yaml", dir, program)
+			return runClusterTrial(t, "scenarios/why.yaml", dir, program)
 		},
 	}
-	c.Flags().StringVar(&dir, "dir", "", "folder to keep the logs in")
-	c.Flags().IntVar(&t.Rounds, "rounds", 10, "of fifty ends each")
-	const sabotageHelp = "late or storm: withdrawals come late, or every change is announced at once"
+	c.Flags().StringVar(&dir, "dir", "", "directory in which to keep the logs")
+	c.Flags().IntVar(&t.Rounds, "rounds", 10, "number of rounds, in each of which fifty containers end")
+	const sabotageHelp = "late: delay withdrawals; storm: announce each change at once"
 	c.Flags().StringVar(&sabotage, "sabotage", "", sabotageHelp)
 	return c
 }
@@ -108,7 +109,7 @@
 	t := &restart.Trial{}
 	c := &cobra.Command{
 		Use:     "restart",
-		Short:   "Nothing that was acknowledged is lost when programs are killed while they write",
+		Short:   "Check that no acknowledged request is lost when processes are killed while they write",
 		Args:    cobra.NoArgs,
 		Example: "  glenport-testbed trial restart --short --kills 60",
 		RunE: func(*cobra.Command, []string) error {
@@ -123,13 +124,13 @@
 			if err != nil {
 				return err
 			}
-			return playTrial(t, "scenarios/short.yaml", dir, program)
+			return runClusterTrial(t, "scenarios/short.yaml", dir, program)
 		},
 	}
-	c.Flags().StringVar(&dir, "dir", "", "folder to keep the recordings and the logs in")
-	c.Flags().IntVar(&t.Kills, "kills", 1000, "of schedulers; the controller is killed now and then beside")
-	c.Flags().BoolVar(&short, "short", false, "leave out the long measurements")
-	c.Flags().StringVar(&t.Sabotage, "sabotage", "", "sync or checksum: the log leaves it out")
+	c.Flags().StringVar(&dir, "dir", "", "directory in which to keep the recordings and the logs")
+	c.Flags().IntVar(&t.Kills, "kills", 1000, "number of scheduler kills; the controller is killed a tenth as often")
+	c.Flags().BoolVar(&short, "short", false, "skip the long measurements")
+	c.Flags().StringVar(&t.Sabotage, "sabotage", "", "sync or checksum: run with a log that omits it")
 	return c
 }
 
@@ -138,7 +139,7 @@
 	t := &overload.Trial{IgnoringClients: 0.5}
 	c := &cobra.Command{
 		Use:     "storm",
-		Short:   "When most of a fleet restarts at once, what follows is not worse than that",
+		Short:   "Check that the cluster recovers when most of its machines restart at once under load",
 		Args:    cobra.NoArgs,
 		Example: "  glenport-testbed trial storm --seeds 2 --sockets 0",
 		RunE: func(*cobra.Command, []string) error {
@@ -146,16 +147,16 @@
 			if err != nil {
 				return err
 			}
-			if t.LimitedProgram, err = ownScheduler("--damped"); err != nil {
+			if t.LimitedProgram, err = testbedScheduler("--damped"); err != nil {
 				return err
 			}
-			return playTrial(t, "scenarios/storm.yaml", dir, program)
+			return runClusterTrial(t, "scenarios/storm.yaml", dir, program)
 		},
 	}
-	c.Flags().StringVar(&dir, "dir", "", "folder to keep the recordings and the logs in")
-	c.Flags().IntVar(&t.Seeds, "seeds", 10, "of the simulated form")
-	c.Flags().IntVar(&t.Sockets, "sockets", 1, "runs of each damping over sockets")
-	c.Flags().IntVar(&t.Schedulers, "schedulers", 3, "over sockets")
-	formerFlag(c, "placers", "schedulers")
+	c.Flags().StringVar(&dir, "dir", "", "directory in which to keep the recordings and the logs")
+	c.Flags().IntVar(&t.Seeds, "seeds", 10, "number of seeds of the simulation")
+	c.Flags().IntVar(&t.Sockets, "sockets", 1, "number of runs over sockets for each form of damping")
+	c.Flags().IntVar(&t.Schedulers, "schedulers", 3, "number of schedulers in the runs over sockets")
+	addFormerFlag(c, "placers", "schedulers")
 	return c
 }
