--- a/cmd/glenport-testbed/load.go
+++ b/cmd/glenport-testbed/load.go
@@ -37,7 +37,7 @@
 	c.Flags().DurationVar(&l.length, "length", 10*time.Second, "length of each measurement")
 	c.Flags().DurationVar(&l.runtime, "runtime", 2*time.Second, "runtime of each container")
 	addFormerFlag(c, "life", "runtime")
-	c.Flags().StringVar(&l.template, "scheduler-config", "scenarios/scheduler.yaml", "template of its settings file")
+	c.Flags().StringVar(&l.template, "scheduler-config", "scenarios/scheduler.yaml", "scheduler settings template")
 	addFormerFlag(c, "placer-file", "scheduler-config")
 	return c
 }
--- a/cmd/glenport-testbed/platformtrial.go
+++ b/cmd/glenport-testbed/platformtrial.go
@@ -20,7 +20,7 @@
 	t := &interleavings.Trial{}
 	c := &cobra.Command{
 		Use:   "platform",
-		Short: "Check the rules on the platform's process in random orders of events, on a simulated network",
+		Short: "Check that the platform's process keeps the rules in random orders of events, on a simulated network",
 		Args:  cobra.NoArgs,
 		Example: "  glenport-testbed trial platform --events 100000\n" +
 			"  glenport-testbed trial platform --sabotage drain",
--- a/internal/config/aliases_test.go
+++ b/internal/config/aliases_test.go
@@ -27,7 +27,7 @@
 
 func TestOldSchedulerFilesDecodeToTheSameSettings(t *testing.T) {
 	for _, tc := range []struct{ name, old, current string }{
-		{"sample", "testdata/legacy/placer.yaml", sampleFolder + "/scheduler.yaml"},
+		{"sample", "testdata/legacy/placer.yaml", sampleDir + "/scheduler.yaml"},
 		{"every key", "testdata/every-key.yaml", "testdata/current.yaml"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -43,7 +43,7 @@
 func TestOldControllerFileDecodesToTheSameSettings(t *testing.T) {
 	old, err := LoadController("testdata/legacy/keeper.yaml")
 	testutil.NoError(t, err)
-	current, err := LoadController(sampleFolder + "/controller.yaml")
+	current, err := LoadController(sampleDir + "/controller.yaml")
 	testutil.NoError(t, err)
 	testutil.Expect(t, len(current.Deprecations) == 0, "old spellings: %v", current.Deprecations)
 	got, want := old.Deprecations[0], strictyaml.Deprecation{
@@ -89,7 +89,7 @@
 		parse parseFunc
 	}{
 		{"testdata/current.yaml", schedulerKeyAliases, parseSchedulerFile},
-		{sampleFolder + "/controller.yaml", controllerKeyAliases, parseControllerFile},
+		{sampleDir + "/controller.yaml", controllerKeyAliases, parseControllerFile},
 	} {
 		data := []byte(readFile(t, tc.file))
 		want, _, err := tc.parse(data)
@@ -209,7 +209,7 @@
 }
 
 func TestErrorsOfCurrentKeysAreLocated(t *testing.T) {
-	checkErrors(t, "scheduler.yaml", readFile(t, sampleFolder+"/scheduler.yaml"), []errorCase{
+	checkErrors(t, "scheduler.yaml", readFile(t, sampleDir+"/scheduler.yaml"), []errorCase{
 		{"unknown key", "  budget: 60", "  budgets: 60", `scheduler.yaml:36:5: unknown field "budgets"`},
 		{
 			"missing key in a nested section", "    window: 3s", "    #",
@@ -254,7 +254,7 @@
 
 func TestWarningNamesFileLineOldAndNewKey(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "scheduler.yaml")
-	text := readFile(t, sampleFolder+"/scheduler.yaml")
+	text := readFile(t, sampleDir+"/scheduler.yaml")
 	testutil.WriteFile(t, path, []byte(strings.ReplaceAll(text, "latency_objective:", "agreed_time:")))
 	settings, err := LoadScheduler(path)
 	testutil.NoError(t, err)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,7 +12,7 @@
 	"glenport/scheduler"
 )
 
-const sampleFolder = "../../deploy"
+const sampleDir = "../../deploy"
 
 func readFile(t *testing.T, path string) string {
 	t.Helper()
--- a/internal/config/controller.go
+++ b/internal/config/controller.go
@@ -17,7 +17,7 @@
 	SchedulerAddrs  []string // of all schedulers, in the order of their indices
 	MachineListAddr string   // empty: the machine list is not watched
 	Seed            uint64
-	StateDir        string     // folder of the state kept across restarts; empty: no state is kept
+	StateDir        string     // directory of the state kept across restarts; empty: no state is kept
 	Scheduler       *Scheduler // settings of a scheduler, for workload classes, tenants and machine types
 
 	Deprecations []strictyaml.Deprecation // old spellings in this file, followed by those in the scheduler's file
--- a/internal/config/encode_test.go
+++ b/internal/config/encode_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestEncodedSchedulerSettingsReadBackTheSame(t *testing.T) {
-	for _, path := range []string{sampleFolder + "/scheduler.yaml", "testdata/every-key.yaml"} {
+	for _, path := range []string{sampleDir + "/scheduler.yaml", "testdata/every-key.yaml"} {
 		t.Run(path, func(t *testing.T) {
 			want, _ := parseWithDeprecations(t, path) // the encoded file has no deprecations
 			text := encoded(t)(want.Encode())
@@ -21,7 +21,7 @@
 }
 
 func TestEncodedControllerSettingsReadBackTheSame(t *testing.T) {
-	for _, path := range []string{sampleFolder + "/controller.yaml", "testdata/controller.yaml"} {
+	for _, path := range []string{sampleDir + "/controller.yaml", "testdata/controller.yaml"} {
 		t.Run(path, func(t *testing.T) {
 			want, err := LoadController(path)
 			testutil.NoError(t, err)
--- a/internal/config/scheduler.go
+++ b/internal/config/scheduler.go
@@ -30,7 +30,7 @@
 	Name            string
 	ListenAddr      string
 	MachineListAddr string
-	StateDir        string // folder of the state kept across restarts; empty: no state is kept
+	StateDir        string // directory of the state kept across restarts; empty: no state is kept
 	LegacyListFile  string // file of an earlier version with the last machine list, read once; empty: none
 	MetricsAddr     string // address on which metrics are served; empty: metrics are not served
 	Policy          scheduler.Config
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -162,7 +162,7 @@
 type controllerFile struct {
 	Name    strictyaml.String `yaml:"name"`
 	APIAddr strictyaml.String `yaml:"api"`
-	// relative to the folder of this file
+	// path relative to the directory of this file
 	SchedulerFile  strictyaml.String   `yaml:"scheduler_config"`
 	SchedulerAddrs []strictyaml.String `yaml:"schedulers"` // at least one
 	// default: the machine list is not watched
--- a/internal/config/strictyaml/strictyaml.go
+++ b/internal/config/strictyaml/strictyaml.go
@@ -1,5 +1,5 @@
 // Package strictyaml reads YAML settings files strictly: unknown keys, duplicate keys, values without their unit and
-// more than one document are errors. Every error is an [*Error] with file, line, column and key. Each value keeps its
+// additional documents are errors. Every error is an [*Error] with file, line, column and key. Each value keeps its
 // position in the file, so that a later check, such as one against other values, can report the position with
 // [File.ErrorAt].
 //
--- a/internal/config/strictyaml/values.go
+++ b/internal/config/strictyaml/values.go
@@ -113,7 +113,7 @@
 	return text == "true", nil
 }
 
-// Duration is a duration, written with one of the units ms, s, min and h.
+// Duration is a length of time, written with one of the units ms, s, min and h.
 type Duration struct {
 	Position
 	Ticks int64 // of 100 microseconds each, as in package eventloop and package scheduler
