--- a/cmd/glenport-testbed/trial.go
+++ b/cmd/glenport-testbed/trial.go
@@ -98,7 +98,7 @@
 	}
 	c.Flags().StringVar(&dir, "dir", "", "directory in which to keep the logs")
 	c.Flags().IntVar(&t.Rounds, "rounds", 10, "number of rounds, in each of which fifty containers end")
-	const sabotageHelp = "late: delay withdrawals; storm: announce each change at once"
+	const sabotageHelp = "late: delay withdrawals; storm: announce each change immediately"
 	c.Flags().StringVar(&sabotage, "sabotage", "", sabotageHelp)
 	return c
 }
--- a/measure/store/store_test.go
+++ b/measure/store/store_test.go
@@ -175,9 +175,9 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "commits/s")
 }
 
-// TestFlip takes the files of a directory after a thousand commits as a crash leaves them. It flips one bit at a time in
-// the largest file, opens the directory, and logs how many opens were refused, crashed, or silently returned missing or
-// wrong values. It compares the engines, and fails only if a trial cannot be run.
+// TestFlip commits a thousand records and copies the files as a crash leaves them. In each copy it flips one bit of the
+// largest file and opens the directory. It logs how many opens were refused, crashed, or silently lost or changed
+// records. It compares the engines, and fails only if a trial cannot be run.
 func TestFlip(t *testing.T) {
 	if dir := os.Getenv(dirVariable); dir != "" {
 		openDamaged(os.Getenv(engineVariable), dir)
