--- a/internal/testbed/emulator/admission.go
+++ b/internal/testbed/emulator/admission.go
@@ -7,7 +7,7 @@
 	"glenport/internal/protocol"
 )
 
-// admission examines offers one at a time, in the order in which they came.
+// admission examines offers one at a time, in order of arrival.
 type admission struct {
 	host      host
 	spec      *MachineSpec
@@ -17,7 +17,7 @@
 	examining bool
 }
 
-// offer queues an offer to be examined, or refuses it at once.
+// offer queues an offer for examination, or rejects it at once.
 func (a *admission) offer(c *container) {
 	switch {
 	case a.behavior.throttles(c.spec.Tenant):
@@ -50,17 +50,17 @@
 	if c.hasEnded() {
 		return
 	}
-	if reason := a.refusal(c); reason != protocol.ReasonNone {
+	if reason := a.rejectReason(c); reason != protocol.ReasonNone {
 		a.runtime.end(c, protocol.OutcomeFull, reason)
 		return
 	}
 	a.runtime.accept(c)
 }
 
-// refusal says why the machine does not take a container; ReasonNone where it does, and the container's idempotency key
-// is then claimed.
-func (a *admission) refusal(c *container) protocol.Reason {
-	if a.host.refusesOffers() || time.Now().After(c.deadline) || !a.suits(c.spec.WorkloadClass) {
+// rejectReason returns the reason for which the machine rejects a container. ReasonNone means that the container fits
+// and its idempotency key has been claimed.
+func (a *admission) rejectReason(c *container) protocol.Reason {
+	if a.host.rejectsOffers() || time.Now().After(c.deadline) || !a.suits(c.spec.WorkloadClass) {
 		return protocol.ReasonWrongMachine
 	}
 	if reason := a.runtime.shortage(&c.spec); reason != protocol.ReasonNone {
@@ -72,7 +72,7 @@
 	return protocol.ReasonNone
 }
 
-// suits reports whether containers of a workload class may run on a machine of this type.
+// suits reports whether the machine is of the type that a workload class requires.
 func (a *admission) suits(workload int) bool {
 	if workload >= len(a.spec.RequiredMachineType) {
 		return false
@@ -81,14 +81,14 @@
 	return required < 0 || required == a.spec.MachineTypeIndex
 }
 
-// remove takes a container out of the queue, where it waits there.
+// remove removes a container from the queue, if it is there.
 func (a *admission) remove(c *container) {
 	if i := slices.Index(a.queue, c); i >= 0 {
 		a.queue = slices.Delete(a.queue, i, i+1)
 	}
 }
 
-// takeQueued takes the offers of a scheduler out of the queue.
+// takeQueued removes the offers of a scheduler from the queue and returns them.
 func (a *admission) takeQueued(scheduler string) []*container {
 	var taken, left []*container
 	for _, c := range a.queue {
--- a/internal/testbed/emulator/behavior.go
+++ b/internal/testbed/emulator/behavior.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	minInitialMemoryUse    = 0.4 // part of the requested memory that a container uses at first, with the spread
-	initialMemoryUseSpread = 0.4
-	minJitter              = 0.7 // factor of a duration, with the spread
-	jitterSpread           = 0.6
+	minInitialMemoryUse    = 0.4 // fraction of the requested memory that a container uses after its start
+	initialMemoryUseSpread = 0.4 // added to the minimum at random
+	minJitter              = 0.7 // factor applied to a duration
+	jitterSpread           = 0.6 // added to the minimum at random
 )
 
-// behavior is the chance in what a machine does, and the faults that are injected into it.
+// behavior draws the random variation of a machine and holds the faults injected into it.
 type behavior struct {
 	rng              *rand.Rand
-	slowdown         float64 // by which everything takes longer
-	memoryFactor     float64 // by which containers use more memory
+	slowdown         float64 // factor on every duration
+	memoryFactor     float64 // factor on the memory use of containers
 	ignoredWorkloads map[int]bool
 	throttledTenants map[int]bool
 }
@@ -31,26 +31,26 @@
 	}
 }
 
-// ignores reports whether offers of a workload class stay unanswered.
+// ignores reports whether the machine leaves offers of a workload class unanswered.
 func (b *behavior) ignores(workload int) bool { return b.ignoredWorkloads[workload] }
 
-// throttles reports whether a tenant's offers are refused.
+// throttles reports whether the machine rejects the offers of a tenant.
 func (b *behavior) throttles(tenant int) bool { return b.throttledTenants[tenant] }
 
-// memoryInUse is the memory that a container uses.
+// memoryInUse returns the memory that a container uses.
 func (b *behavior) memoryInUse(c *container) float64 {
 	return c.memoryUse * b.memoryFactor * c.spec.Memory
 }
 
-// vary varies a duration by chance and applies the slowdown.
+// vary applies random jitter and the slowdown to a duration.
 func (b *behavior) vary(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * b.slowdown * (minJitter + jitterSpread*b.rng.Float64()))
 }
 
-// initialMemoryUse is the part of the requested memory that a container uses at first.
+// initialMemoryUse draws the fraction of the requested memory that a container uses after its start.
 func (b *behavior) initialMemoryUse() float64 {
 	return minInitialMemoryUse + initialMemoryUseSpread*b.rng.Float64()
 }
 
-// drift is a chance change of at most half of a span, up or down.
+// drift draws a change of at most half the span, up or down.
 func (b *behavior) drift(span float64) float64 { return span * (b.rng.Float64() - 0.5) }
--- a/internal/testbed/emulator/bgp_message.go
+++ b/internal/testbed/emulator/bgp_message.go
@@ -13,7 +13,7 @@
 	bgpWriteTimeout = 5 * time.Second
 )
 
-// mustEncodeBGP encodes a message that the peer itself has made; one that cannot be encoded is a programming error.
+// mustEncodeBGP encodes a message of the peer. It panics on an error, which can only be a programming error.
 func mustEncodeBGP(message wire.Message) []byte {
 	data, err := wire.Append(nil, message)
 	if err != nil {
@@ -22,12 +22,12 @@
 	return data
 }
 
-// writeBestEffort writes to a session. An error is ignored: it means that the session is ending, which its reader sees.
-func writeBestEffort(conn net.Conn, data []byte) { _ = writeWithin(conn, data, bgpWriteTimeout) }
+// writeBestEffort writes to a session. Errors are ignored: the reader of the session sees that it has ended.
+func writeBestEffort(conn net.Conn, data []byte) { _ = writeWithTimeout(conn, data, bgpWriteTimeout) }
 
 func sendMessage(conn net.Conn, message wire.Message) { writeBestEffort(conn, mustEncodeBGP(message)) }
 
-// readMessage reads one message and its size in bytes.
+// readMessage reads one message and returns it with its size in bytes.
 func readMessage(conn net.Conn) (message wire.Message, size int, err error) {
 	data := make([]byte, bgpHeaderLength, wire.MaxMessageLength)
 	if _, err := io.ReadFull(conn, data); err != nil {
--- a/internal/testbed/emulator/bgp_peer.go
+++ b/internal/testbed/emulator/bgp_peer.go
@@ -12,13 +12,13 @@
 	"glenport/internal/testbed/loopback"
 )
 
-// peerState is a state of a BGP peer.
+// peerState is the state of a BGP peer.
 type peerState string
 
 const (
-	peerListening   peerState = "listening" // it has no session
+	peerListening   peerState = "listening" // without a session
 	peerEstablished peerState = "established"
-	peerClosed      peerState = "closed" // for good
+	peerClosed      peerState = "closed" // permanently
 )
 
 // peerEvent is an event of a BGP peer.
@@ -27,46 +27,46 @@
 const (
 	sessionEstablished peerEvent = "session established"
 	sessionEnded       peerEvent = "session ended"
-	peerWasClosed      peerEvent = "closed"
+	peerCloseEvent     peerEvent = "closed"
 )
 
-// A speaker may open a session before the end of the one before is seen: the later one replaces it. The session that a
-// peer has when it is closed ends after that.
+// A speaker may open a new session before the peer has noticed the end of the previous one, which it replaces. The
+// session of a peer that is closed ends after the close.
 var peerTransitions = statemachine.Table[peerState, peerEvent]{
-	peerListening:   {sessionEstablished: peerEstablished, peerWasClosed: peerClosed},
-	peerEstablished: {sessionEstablished: peerEstablished, sessionEnded: peerListening, peerWasClosed: peerClosed},
-	peerClosed:      {sessionEnded: peerClosed, peerWasClosed: peerClosed},
+	peerListening:   {sessionEstablished: peerEstablished, peerCloseEvent: peerClosed},
+	peerEstablished: {sessionEstablished: peerEstablished, sessionEnded: peerListening, peerCloseEvent: peerClosed},
+	peerClosed:      {sessionEnded: peerClosed, peerCloseEvent: peerClosed},
 }
 
-// BGPPeer is an emulated BGP peer: it accepts sessions, keeps a route table and a log of changes, helps a speaker that
-// restarts (RFC 4724), and misbehaves on demand. Sessions are not authenticated.
+// BGPPeer is an emulated BGP peer: it accepts sessions, keeps a route table and a log of route changes, acts as a
+// helper for graceful restart (RFC 4724), and injects faults on request. Sessions are not authenticated.
 type BGPPeer struct {
 	AS            uint32
 	ID            [4]byte
 	HoldTime      time.Duration // whole seconds
 	RestartTime   time.Duration // whole seconds, offered in the graceful restart capability
-	RecordChanges bool          // keep the log that Changes returns; set before Open
+	RecordChanges bool          // keep the log for Changes; set before Open
 
 	listener   net.Listener
 	background sync.WaitGroup
 
-	mu         sync.Mutex // guards what follows
-	state      stateful[peerState, peerEvent]
-	conn       net.Conn // of the session; nil without one
+	mu         sync.Mutex // guards the fields below
+	state      stateMachine[peerState, peerEvent]
+	conn       net.Conn // nil without an established session
 	routes     routeTable
 	stats      BGPPeerStats
 	faults     peerFaults
 	staleTimer *time.Timer
 }
 
-// peerFaults are the ways in which a peer misbehaves.
+// peerFaults holds the faults injected into a peer.
 type peerFaults struct {
-	silent    bool          // it sends no keepalives
+	silent    bool          // sends no keepalives
 	readDelay time.Duration // before each read
-	wrongAS   bool          // it opens sessions with a number that is not its own
+	wrongAS   bool          // sends a wrong AS number in the OPEN message
 }
 
-// BGPPeerStats counts what a peer has seen since it was opened.
+// BGPPeerStats holds the counters of a peer since Open.
 type BGPPeerStats struct {
 	Routes     int // in the table now
 	Sessions   int
@@ -75,13 +75,13 @@
 	UpdateSize int // bytes of all updates
 }
 
-// Open starts to accept sessions, and returns the address.
+// Open starts to accept sessions and returns the address of the peer.
 func (p *BGPPeer) Open() (addr string, err error) {
 	if p.listener, err = loopback.Listen(loopback.AnyPort); err != nil {
 		return "", fmt.Errorf("BGP peer: %w", err)
 	}
 	addr = p.listener.Addr().String()
-	p.state = stateful[peerState, peerEvent]{"BGP peer " + addr, peerTransitions, peerListening}
+	p.state = stateMachine[peerState, peerEvent]{"BGP peer " + addr, peerTransitions, peerListening}
 	p.routes = newRouteTable(p.RecordChanges)
 	p.background.Go(func() {
 		loopback.AcceptAll(p.listener, func(conn net.Conn) { p.background.Go(func() { p.serve(conn) }) })
@@ -91,8 +91,8 @@
 
 // Close ends the session and waits for the peer's goroutines.
 func (p *BGPPeer) Close() {
-	p.locked(func() {
-		p.state.applyOrLog(peerWasClosed)
+	p.withLock(func() {
+		p.state.applyOrLog(peerCloseEvent)
 		if p.conn != nil {
 			loopback.CloseQuietly(p.conn)
 		}
@@ -107,29 +107,31 @@
 // Reset resets the session's connection.
 func (p *BGPPeer) Reset() { p.withConn(loopback.Reset) }
 
-// SendGarbage sends bytes into the session that are no message of the protocol.
+// SendGarbage sends bytes that are not a BGP message.
 func (p *BGPPeer) SendGarbage() {
 	p.withConn(func(conn net.Conn) {
 		writeBestEffort(conn, []byte("this is no message of the protocol, nor the half of one"))
 	})
 }
 
-// SendPartial sends the beginning of a message into the session.
+// SendPartial sends the beginning of a message and not the rest.
 func (p *BGPPeer) SendPartial() {
 	message := mustEncodeBGP(&wire.RouteRefresh{Family: wire.IPv4})
 	p.withConn(func(conn net.Conn) { writeBestEffort(conn, message[:bgpHeaderLength+1]) })
 }
 
-// SetSilent stops keepalives, or sends them again.
-func (p *BGPPeer) SetSilent(silent bool) { p.locked(func() { p.faults.silent = silent }) }
+// SetSilent stops or resumes the keepalives.
+func (p *BGPPeer) SetSilent(silent bool) { p.withLock(func() { p.faults.silent = silent }) }
 
 // SetReadDelay makes the peer wait before each message that it reads.
-func (p *BGPPeer) SetReadDelay(delay time.Duration) { p.locked(func() { p.faults.readDelay = delay }) }
+func (p *BGPPeer) SetReadDelay(delay time.Duration) {
+	p.withLock(func() { p.faults.readDelay = delay })
+}
 
-// SetWrongAS has the peer open sessions with an autonomous system number that is not its own.
-func (p *BGPPeer) SetWrongAS(wrong bool) { p.locked(func() { p.faults.wrongAS = wrong }) }
+// SetWrongAS makes the peer send a wrong AS number in the OPEN messages of new sessions.
+func (p *BGPPeer) SetWrongAS(wrong bool) { p.withLock(func() { p.faults.wrongAS = wrong }) }
 
-// Route reports whether a route is in the table, and whether it is stale: kept only until its speaker has restarted.
+// Route reports whether a route is in the table and whether it is stale, that is kept during a graceful restart.
 func (p *BGPPeer) Route(prefix netip.Prefix) (present, stale bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,7 +139,7 @@
 	return present, state == routeStale
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counters.
 func (p *BGPPeer) Stats() BGPPeerStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -146,7 +148,7 @@
 	return stats
 }
 
-// Changes returns the changes since the last call, where RecordChanges is set.
+// Changes returns the route changes since the last call, if RecordChanges is set.
 func (p *BGPPeer) Changes() []RouteChange {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -166,14 +168,14 @@
 	return p.faults
 }
 
-func (p *BGPPeer) locked(f func()) {
+func (p *BGPPeer) withLock(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f()
 }
 
 func (p *BGPPeer) withConn(f func(net.Conn)) {
-	p.locked(func() {
+	p.withLock(func() {
 		if p.conn != nil {
 			f(p.conn)
 		}
--- a/internal/testbed/emulator/bgp_routes.go
+++ b/internal/testbed/emulator/bgp_routes.go
@@ -10,24 +10,24 @@
 
 const communityGracefulShutdown = 0xFFFF0000 // RFC 8326
 
-// RouteChange is one route that a peer was sent or that it lost.
+// RouteChange is one route that was announced to a peer or withdrawn from its table.
 type RouteChange struct {
 	At               time.Time
 	Prefix           netip.Prefix
 	Withdrawn        bool
 	LocalPref        uint32
-	GracefulShutdown bool // it carries the community of that name
+	GracefulShutdown bool // with the GRACEFUL_SHUTDOWN community
 }
 
-// routeState says whether a route's session is established.
+// routeState is the state of a route in the table of a peer.
 type routeState string
 
 const (
 	routeCurrent routeState = "current"
-	routeStale   routeState = "stale" // kept only until its speaker has restarted
+	routeStale   routeState = "stale" // kept during a graceful restart of the speaker
 )
 
-// routeTable has the routes that a peer was sent, and a log of their changes.
+// routeTable holds the routes that were announced to a peer and a log of their changes.
 type routeTable struct {
 	states  map[netip.Prefix]routeState
 	logging bool
@@ -38,7 +38,7 @@
 	return routeTable{states: map[netip.Prefix]routeState{}, logging: logging}
 }
 
-// applyUpdate withdraws and announces what an update says.
+// applyUpdate applies the withdrawn and announced routes of an update.
 func (t *routeTable) applyUpdate(update *wire.Update, now time.Time) {
 	for _, prefix := range update.Withdrawn {
 		t.withdraw(prefix, now)
--- a/internal/testbed/emulator/bgp_session.go
+++ b/internal/testbed/emulator/bgp_session.go
@@ -10,7 +10,7 @@
 
 const minKeepaliveInterval = 100 * time.Millisecond
 
-// sessionEnd says how a session ended.
+// sessionEnd is the cause of the end of a session.
 type sessionEnd string
 
 const (
@@ -29,8 +29,8 @@
 	defer close(stop)
 	p.background.Go(func() { p.sendKeepalives(conn, stop) })
 	end := p.receive(conn)
-	p.locked(func() {
-		if p.conn == conn { // no later session has replaced this one
+	p.withLock(func() {
+		if p.conn == conn { // not replaced by a later session
 			p.conn = nil
 			p.state.applyOrLog(sessionEnded)
 			p.releaseRoutes(open, end)
@@ -38,7 +38,7 @@
 	})
 }
 
-// openSession exchanges the opening messages; nil where the other side breaks off.
+// openSession exchanges OPEN and KEEPALIVE messages; it returns nil if the speaker does not complete the exchange.
 func (p *BGPPeer) openSession(conn net.Conn) *wire.Open {
 	as := p.AS
 	if p.currentFaults().wrongAS {
@@ -69,7 +69,7 @@
 	return open
 }
 
-// establish makes a session the current one. A peer that has closed refuses it by a *statemachine.TransitionError.
+// establish makes a session the current one. It returns a *statemachine.TransitionError if the peer was closed.
 func (p *BGPPeer) establish(conn net.Conn) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,7 +99,7 @@
 	}
 }
 
-// receive applies updates until the session ends, and says how that came about.
+// receive applies updates until the session ends and returns the cause.
 func (p *BGPPeer) receive(conn net.Conn) sessionEnd {
 	for {
 		time.Sleep(p.currentFaults().readDelay)
@@ -111,7 +111,7 @@
 		case *wire.Notification:
 			return notificationReceived
 		case *wire.Update:
-			p.locked(func() { p.applyUpdate(message, size) })
+			p.withLock(func() { p.applyUpdate(message, size) })
 		}
 	}
 }
@@ -128,8 +128,8 @@
 	p.routes.applyUpdate(update, now)
 }
 
-// releaseRoutes withdraws the routes of a session that has ended; they stay stale for the agreed restart time where the
-// speaker may be restarting.
+// releaseRoutes withdraws the routes of a session that has ended. If the speaker may be in a graceful restart, they
+// stay in the table as stale for its restart time.
 func (p *BGPPeer) releaseRoutes(open *wire.Open, end sessionEnd) {
 	if open.Restart == nil || end == notificationReceived || p.state.state == peerClosed {
 		p.routes.withdrawAll()
@@ -137,5 +137,5 @@
 	}
 	p.routes.markAllStale()
 	restartTime := time.Duration(open.Restart.Time) * time.Second
-	p.staleTimer = time.AfterFunc(restartTime, func() { p.locked(p.routes.withdrawAll) })
+	p.staleTimer = time.AfterFunc(restartTime, func() { p.withLock(p.routes.withdrawAll) })
 }
--- a/internal/testbed/emulator/client_conn.go
+++ b/internal/testbed/emulator/client_conn.go
@@ -18,13 +18,13 @@
 	writeBatchSize        = 32 << 10 // bytes
 )
 
-// clientConn is the clients' connection to one scheduler.
+// clientConn is the connection of the clients to one scheduler.
 type clientConn struct {
 	net.Conn
 	frames chan protocol.Frame
 }
 
-// send queues a frame; false where the queue is full.
+// send queues a frame; it returns false if the queue is full.
 func (c *clientConn) send(frame protocol.Frame) bool {
 	select {
 	case c.frames <- frame:
@@ -54,12 +54,12 @@
 	}
 }
 
-// maintainConn holds a connection to one scheduler and reads it, until the clients close.
+// maintainConn keeps a connection to one scheduler and reads from it until the clients are closed.
 func (c *Clients) maintainConn(scheduler int) {
-	for c.pause(reconnectDelay) {
+	for c.sleep(reconnectDelay) {
 		conn, err := loopback.Dial(c.SchedulerAddrs[scheduler], dialTimeout)
 		if err != nil {
-			c.pause(failedDialDelay)
+			c.sleep(failedDialDelay)
 			continue
 		}
 		if err := greet(conn, scheduler); err != nil {
@@ -82,12 +82,12 @@
 		return err
 	}
 	if _, ok := reply.(*protocol.Hello); !ok {
-		return fmt.Errorf("first frame of a scheduler is a %s", protocol.Name(reply))
+		return fmt.Errorf("first frame from a scheduler is %s, want a hello", protocol.Name(reply))
 	}
 	return nil
 }
 
-// useConn submits and reads over a connection until it ends.
+// useConn writes queued frames to a connection and reads from it until it ends.
 func (c *Clients) useConn(netConn net.Conn, scheduler int) {
 	conn := &clientConn{Conn: netConn, frames: make(chan protocol.Frame, maxQueuedClientFrames)}
 	c.mu.Lock()
--- a/internal/testbed/emulator/client_replies.go
+++ b/internal/testbed/emulator/client_replies.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	defaultRetryDelay   = time.Second
-	unansweredDelay     = 200 * time.Millisecond
-	maxRetries          = 6  // with the default backoff
-	maxRetriesOfBackoff = 12 // with a Backoff of the trial
-	maxBackoffDoublings = 5
+	defaultRetryDelay     = time.Second
+	unansweredRetryDelay  = 200 * time.Millisecond
+	maxRetries            = 6  // with the default backoff
+	maxRetriesWithBackoff = 12 // if Clients.Backoff is set
+	maxBackoffDoublings   = 5
 )
 
-// connectionLost ends what was outstanding at a scheduler. What may run and must not run twice is left alone; the rest
-// is retried elsewhere.
+// connectionLost drops the outstanding submissions of a scheduler. Unanswered ones are submitted again if their
+// workload allows it: their container may be running already, and some workloads must not run twice.
 func (c *Clients) connectionLost(scheduler int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -30,12 +30,12 @@
 		}
 		c.tally.Unanswered++
 		if c.Workloads[s.workload].RetryUnanswered {
-			c.retryLater(s, unansweredDelay)
+			c.scheduleRetry(s, unansweredRetryDelay)
 		}
 	}
 }
 
-// retryDelay is the delay before a rejected submission is retried.
+// retryDelay returns the delay before a rejected submission is retried.
 func (c *Clients) retryDelay(s *submission, retryAfter time.Duration) time.Duration {
 	if c.Backoff != nil {
 		return c.Backoff(s.retries, retryAfter)
@@ -43,12 +43,12 @@
 	return max(defaultRetryDelay, retryAfter)
 }
 
-// retryLater submits again after a delay, to which the default backoff adds by chance up to a span that doubles with
-// each retry.
-func (c *Clients) retryLater(s *submission, delay time.Duration) {
+// scheduleRetry submits again after a delay. The default backoff adds random jitter with a bound that doubles with each
+// retry.
+func (c *Clients) scheduleRetry(s *submission, delay time.Duration) {
 	limit := maxRetries
 	if c.Backoff != nil {
-		limit = maxRetriesOfBackoff
+		limit = maxRetriesWithBackoff
 	}
 	if s.retries >= limit {
 		return
@@ -60,7 +60,7 @@
 	retry := &submission{spec: s.spec, workload: s.workload, timeToDeadline: s.timeToDeadline, retries: s.retries + 1}
 	retry.spec.ClientRetry = true
 	c.background.Go(func() {
-		if !c.pause(delay) {
+		if !c.sleep(delay) {
 			return
 		}
 		c.mu.Lock()
@@ -91,12 +91,12 @@
 		c.markPlaced(s)
 		return
 	}
-	c.tally.countRefused(reply.Verdict)
+	c.tally.countNotPlaced(reply.Verdict)
 	delete(c.outstanding, reply.ContainerID)
 	if reply.Verdict == protocol.VerdictFailed || !c.Workloads[s.workload].RetryRejected {
 		return
 	}
-	c.retryLater(s, c.retryDelay(s, fromProtocol(reply.RetryAfter)))
+	c.scheduleRetry(s, c.retryDelay(s, fromProtocol(reply.RetryAfter)))
 }
 
 func (c *Clients) markPlaced(s *submission) {
--- a/internal/testbed/emulator/client_submissions.go
+++ b/internal/testbed/emulator/client_submissions.go
@@ -9,35 +9,35 @@
 )
 
 const (
-	idlePause     = 10 * time.Millisecond // between two looks at a rate of zero
-	minRuntime    = 0.3                   // part of the mean, with the spread
-	runtimeSpread = 1.4
+	idlePollInterval = 10 * time.Millisecond // between checks of the rate while it is zero
+	minRuntime       = 0.3                   // fraction of the mean
+	runtimeSpread    = 1.4                   // added to the minimum at random
 )
 
-// WorkloadProfile is one sort of containers that clients submit.
+// WorkloadProfile describes the containers of one workload class that clients submit.
 type WorkloadProfile struct {
 	Share            float64 // of all submissions
 	Services         int
-	Cores            []float64 // one of them by chance, with the memory at the same index
+	Cores            []float64 // drawn at random, with Memory at the same index
 	Memory           []float64
 	MeanRuntime      time.Duration
 	PlacementTimeout time.Duration
-	RetryRejected    bool // retried after a retryable rejection
-	RetryUnanswered  bool // retried when the connection ended without an answer
+	RetryRejected    bool // retry after a retryable reject
+	RetryUnanswered  bool // retry if the connection ended without a reply
 }
 
-// submission is a container as a client submits it.
+// submission is one submitted container.
 type submission struct {
 	spec           protocol.ContainerSpec
 	workload       int
 	timeToDeadline time.Duration
 	sentAt         time.Time
-	scheduler      int // index of its address
+	scheduler      int // index into SchedulerAddrs
 	placed         bool
 	retries        int
 }
 
-// submitAll submits by chance at the rate until the clients close.
+// submitAll submits with exponentially distributed intervals, at the rate, until the clients are closed.
 func (c *Clients) submitAll() {
 	next := time.Now()
 	for {
@@ -45,13 +45,13 @@
 		rate := c.rate
 		c.mu.Unlock()
 		if rate <= 0 {
-			if !c.pause(idlePause) {
+			if !c.sleep(idlePollInterval) {
 				return
 			}
 			next = time.Now()
 			continue
 		}
-		if wait := time.Until(next); wait > 0 && !c.pause(wait) {
+		if wait := time.Until(next); wait > 0 && !c.sleep(wait) {
 			return
 		}
 		select {
@@ -98,7 +98,7 @@
 	return workload
 }
 
-// submit sends a submission, under a new container id, to a scheduler by chance, or to the next one that is connected.
+// submit sends a submission under a new container ID to a random scheduler, or to the next one that is connected.
 func (c *Clients) submit(s *submission) {
 	c.lastID++
 	s.spec.ContainerID = fmt.Sprint("c", c.lastID)
@@ -123,7 +123,7 @@
 	c.tally.Unsent++
 }
 
-// Redeploy cancels a part of the placed containers and submits all of that part again.
+// Redeploy cancels a random fraction of the placed containers and submits them again.
 func (c *Clients) Redeploy(part float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,7 +133,7 @@
 			continue
 		}
 		delete(c.outstanding, id)
-		conn.send(&protocol.CancelContainer{ContainerID: id}) // a cancel that does not fit into the queue is dropped
+		conn.send(&protocol.CancelContainer{ContainerID: id}) // dropped if the queue is full
 		fresh := *s
 		fresh.placed, fresh.spec.IdempotencyKey = false, ""
 		c.submit(&fresh)
--- a/internal/testbed/emulator/client_tally.go
+++ b/internal/testbed/emulator/client_tally.go
@@ -11,46 +11,45 @@
 const (
 	maxLatencyMicros = 60_000_000
 	latencyDigits    = 3
-	lateAfter        = time.Second // a placement that took longer counts as late
+	lateAfter        = time.Second // placements that took longer count as late
 )
 
-// Tally counts what clients saw. Every submission ends in one of Placed, Rejected, Failed, NotAdmitted, Unanswered,
-// Unsent and Pending.
+// Tally counts the outcomes of submissions. Each submission is counted in exactly one of Placed, Rejected, Failed,
+// NotAdmitted, Unanswered, Unsent and Pending.
 type Tally struct {
 	Submitted        int
 	Placed           int
 	Rejected         int
 	Failed           int
 	NotAdmitted      int
-	Unanswered       int                     // the connection to the scheduler ended first
+	Unanswered       int                     // the connection ended before the reply
 	DuplicateReplies int                     // replies beyond the first
-	Retried          int                     // submissions that repeat an earlier one
+	Retried          int                     // submissions that are retries
 	Ended            int                     // placed containers whose termination a client received
-	Evicted          int                     // of the ended, for memory
-	Lost             int                     // of the ended, with their machine
-	Unsent           int                     // no scheduler could be reached
-	Pending          int                     // without an answer when the clients closed
-	PlacedLate       int                     // of the placed, those that took more than a second
+	Evicted          int                     // of the ended: out of memory
+	Lost             int                     // of the ended: lost for another reason, as with their machine
+	Unsent           int                     // no scheduler was connected
+	Pending          int                     // without a reply when the clients were closed
+	PlacedLate       int                     // of the placed: after more than a second
 	PlacementLatency *hdrhistogram.Histogram // in microseconds
 }
 
-// newLatencyHistogram counts latencies in microseconds.
+// newLatencyHistogram returns a histogram of latencies in microseconds.
 func newLatencyHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, maxLatencyMicros, latencyDigits)
 }
 
-// countPlaced counts a placement.
 func (t *Tally) countPlaced(latency time.Duration) {
 	t.Placed++
-	// A latency above the histogram's bound is not recorded, the error is ignored: the placement still counts as late.
+	// The error is ignored: a latency above the range of the histogram is not recorded, but counts as late below.
 	_ = t.PlacementLatency.RecordValue(max(1, latency.Microseconds()))
 	if latency > lateAfter {
 		t.PlacedLate++
 	}
 }
 
-// countRefused counts a reply that places nothing.
-func (t *Tally) countRefused(verdict protocol.Verdict) {
+// countNotPlaced counts a reply other than a placement.
+func (t *Tally) countNotPlaced(verdict protocol.Verdict) {
 	switch verdict {
 	case protocol.VerdictRejected:
 		t.Rejected++
@@ -62,7 +61,6 @@
 	}
 }
 
-// countEnded counts the end of a placed container.
 func (t *Tally) countEnded(termination *protocol.Termination) {
 	t.Ended++
 	switch {
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -8,22 +8,22 @@
 	"glenport/internal/testbed/loopback"
 )
 
-// Clients submit containers to schedulers in an open loop: the next submission never waits for an answer. The exported
-// fields are set before Start.
+// Clients submits containers to schedulers in an open loop: a submission never waits for the reply to an earlier one.
+// The exported fields are set before Start.
 type Clients struct {
 	SchedulerAddrs []string
 	Workloads      []WorkloadProfile
 	Tenants        int
-	// Backoff is the delay before a retry, given how many came before and the scheduler's retry-after; nil: the
-	// retry-after, at least a second, spread by chance. It is called with the clients' lock held.
+	// Backoff returns the delay before a retry from the number of earlier retries and the retry-after of the scheduler.
+	// nil: the retry-after, at least a second, with random jitter. It is called with the lock of Clients held.
 	Backoff func(retries int, retryAfter time.Duration) time.Duration
-	// OnPlaced is called for each placement, with the lock held; may be nil.
+	// OnPlaced is called for each placement with the lock of Clients held; may be nil.
 	OnPlaced func(workload int, latency time.Duration)
 
 	mu          sync.Mutex
-	rate        float64 // submissions a second
+	rate        float64 // submissions per second
 	conns       []*clientConn
-	outstanding map[string]*submission // by container, until its end is known
+	outstanding map[string]*submission // by container ID, until rejected, ended or disconnected
 	tally       Tally
 	rng         *rand.Rand
 	lastID      int
@@ -31,7 +31,7 @@
 	background  sync.WaitGroup
 }
 
-// Start begins to submit at a rate in submissions a second.
+// Start starts to submit at a rate in submissions per second.
 func (c *Clients) Start(rate float64, seed uint64) {
 	c.rate = rate
 	c.rng = rand.New(rand.NewPCG(seed, 5))
@@ -45,21 +45,21 @@
 	c.background.Go(c.submitAll)
 }
 
-// SetRate changes the rate; at 0 nothing new is submitted.
+// SetRate changes the rate. At 0 no new containers are submitted.
 func (c *Clients) SetRate(perSecond float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rate = perSecond
 }
 
-// Pending is the number of containers without an answer.
+// Pending returns the number of submissions without a reply.
 func (c *Clients) Pending() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.countUnanswered()
 }
 
-// countUnanswered counts the submissions without an answer.
+// countUnanswered counts the submissions without a reply. The lock is held.
 func (c *Clients) countUnanswered() int {
 	count := 0
 	for _, s := range c.outstanding {
@@ -70,7 +70,7 @@
 	return count
 }
 
-// Snapshot is the tally so far, without latencies.
+// Snapshot returns the current tally without the latencies.
 func (c *Clients) Snapshot() Tally {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,14 +79,14 @@
 	return tally
 }
 
-// Retried is the number of retries so far.
+// Retried returns the number of retries so far.
 func (c *Clients) Retried() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.tally.Retried
 }
 
-// Close ends the clients and returns what they saw.
+// Close stops the clients and returns the final tally.
 func (c *Clients) Close() Tally {
 	close(c.stop)
 	c.mu.Lock()
@@ -103,8 +103,8 @@
 	return c.tally
 }
 
-// pause waits and reports whether the clients go on.
-func (c *Clients) pause(d time.Duration) bool {
+// sleep waits for d; it returns false at once if the clients are closed.
+func (c *Clients) sleep(d time.Duration) bool {
 	select {
 	case <-c.stop:
 		return false
--- a/internal/testbed/emulator/components_test.go
+++ b/internal/testbed/emulator/components_test.go
@@ -9,7 +9,7 @@
 	"glenport/internal/testutil"
 )
 
-// testContainer is accepted, and its idempotency key is deduplicated.
+// testContainer returns an accepted container. All of them have the same deduplicated idempotency key.
 func testContainer(id string) *container {
 	spec := protocol.ContainerSpec{ContainerID: id, IdempotencyKey: "key", DedupWindow: toProtocol(time.Minute)}
 	c := newContainer(attemptKey{attemptID: uint64(len(id))}, &protocol.Offer{Spec: spec}, 1)
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestImageCacheKeepsTheLastUsedAndThoseInUse(t *testing.T) {
+func TestImageCacheKeepsRecentAndRunning(t *testing.T) {
 	c := newImageCache(2)
 	c.acquire("a")
 	for _, service := range []string{"a", "b", "a", "c", "d"} {
@@ -52,36 +52,36 @@
 	}
 }
 
-func TestStartQueueKeepsItsLimitAndSkipsWhatHasEnded(t *testing.T) {
+func TestStartQueueKeepsLimitAndSkipsEnded(t *testing.T) {
 	q := startQueue{limit: 2}
 	all := []*container{testContainer("a"), testContainer("b"), testContainer("c"), testContainer("d")}
 	for _, c := range all {
 		q.push(c)
 	}
-	all[1].applyOrLog(containerGone)
+	all[1].applyOrLog(containerTerminated)
 	var started []*container
 	for c, ok := q.next(); ok; c, ok = q.next() {
 		started = append(started, c)
 	}
 	if !slices.Equal(started, []*container{all[0], all[2]}) || q.length() != 1 {
-		t.Errorf("%d are started, %d wait", len(started), q.length())
+		t.Errorf("%d containers start, %d wait", len(started), q.length())
 	}
 	q.done()
 	if c, ok := q.next(); !ok || c != all[3] {
-		t.Error("a start that is done makes no room for the next")
+		t.Error("a completed start does not free its slot")
 	}
 }
 
-func TestDedupGroupHoldsAKeyUntilItsWindowEnds(t *testing.T) {
+func TestDedupGroupHoldsKeyUntilWindowEnds(t *testing.T) {
 	var g DedupGroup
 	first, second := testContainer("a"), testContainer("b")
 	claims := func(c *container) bool { return g.claim(c, time.Minute) }
-	testutil.Expect(t, claims(first) && !claims(second), "a key is not held by the first container alone")
+	testutil.Expect(t, claims(first) && !claims(second), "want the key claimed by the first container only")
 	if g.cancel(first); !claims(second) {
-		t.Error("the key of a container that never ran stays held")
+		t.Error("the key of a container that never ran is still claimed")
 	}
 	if g.expire(second); claims(first) {
-		t.Error("the key of a container that ran is free before its window ends")
+		t.Error("the key of a container that ran was freed before its window ended")
 	}
 }
 
--- a/internal/testbed/emulator/container.go
+++ b/internal/testbed/emulator/container.go
@@ -7,33 +7,33 @@
 	"glenport/internal/statemachine"
 )
 
-// containerState is a state of a container on a machine.
+// containerState is the state of a container on a machine.
 type containerState string
 
 const (
-	containerOffered  containerState = "offered"  // it waits to be examined
-	containerAccepted containerState = "accepted" // its resources are reserved, and it is to be started
+	containerOffered  containerState = "offered"  // waits for admission
+	containerAccepted containerState = "accepted" // resources are reserved, the start is pending or under way
 	containerRunning  containerState = "running"
-	containerEnded    containerState = "ended" // or refused
+	containerEnded    containerState = "ended" // also after a reject
 )
 
 // containerEvent is an event of a container.
 type containerEvent string
 
 const (
-	offerAccepted  containerEvent = "offer accepted"
-	startCompleted containerEvent = "start completed"
-	containerGone  containerEvent = "ended"
+	offerAccepted       containerEvent = "offer accepted"
+	startCompleted      containerEvent = "start completed"
+	containerTerminated containerEvent = "ended"
 )
 
 var containerTransitions = statemachine.Table[containerState, containerEvent]{
-	containerOffered:  {offerAccepted: containerAccepted, containerGone: containerEnded},
-	containerAccepted: {startCompleted: containerRunning, containerGone: containerEnded},
-	containerRunning:  {containerGone: containerEnded},
+	containerOffered:  {offerAccepted: containerAccepted, containerTerminated: containerEnded},
+	containerAccepted: {startCompleted: containerRunning, containerTerminated: containerEnded},
+	containerRunning:  {containerTerminated: containerEnded},
 	containerEnded:    {},
 }
 
-// attemptKey names a container on a machine: the attempt by which a scheduler, in one incarnation, placed it there.
+// attemptKey identifies a container on a machine by the attempt of a scheduler incarnation that placed it there.
 type attemptKey struct {
 	scheduler   string
 	incarnation uint64
@@ -42,16 +42,16 @@
 
 // container is one container on a machine, from its offer to its end.
 type container struct {
-	stateful[containerState, containerEvent]
+	stateMachine[containerState, containerEvent]
 	key       attemptKey
 	spec      protocol.ContainerSpec
-	deadline  time.Time // by which it must run, or the attempt lapses
-	memoryUse float64   // part of the requested memory
+	deadline  time.Time // end of the timeout of the attempt
+	memoryUse float64   // fraction of the requested memory
 }
 
 func newContainer(key attemptKey, offer *protocol.Offer, memoryUse float64) *container {
 	return &container{
-		stateful: stateful[containerState, containerEvent]{
+		stateMachine: stateMachine[containerState, containerEvent]{
 			"container " + offer.Spec.ContainerID, containerTransitions, containerOffered,
 		},
 		key:       key,
@@ -65,12 +65,12 @@
 
 func (c *container) hasEnded() bool { return c.state == containerEnded }
 
-// holdsResources reports whether resources are reserved for the container.
+// holdsResources reports whether cores and memory are reserved for the container.
 func (c *container) holdsResources() bool {
 	return c.state == containerAccepted || c.state == containerRunning
 }
 
-// runtime is how long the container runs.
+// runtime returns how long the container runs.
 func (c *container) runtime() time.Duration {
 	if d := fromProtocol(c.spec.ExpectedRuntime); d > 0 {
 		return d
--- a/internal/testbed/emulator/dedup.go
+++ b/internal/testbed/emulator/dedup.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// DedupGroup is a set of machines among which containers with the same idempotency key run at most once within their
-// deduplication window. The zero value is ready for use.
+// DedupGroup is a set of machines that run containers with the same idempotency key at most once per deduplication
+// window. The zero value is ready to use.
 type DedupGroup struct {
 	mu     sync.Mutex
-	claims map[string]*claim // by idempotency key; expired ones are removed at the next claim
+	claims map[string]*claim // by idempotency key; the next claim removes expired ones
 }
 
 type claim struct {
@@ -17,7 +17,7 @@
 	expiresAt time.Time
 }
 
-// claim reserves the container's key; false where another copy runs, or ran within its window.
+// claim claims the key of a container. It returns false if another container holds it, or held it within the window.
 func (g *DedupGroup) claim(c *container, window time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -43,10 +43,10 @@
 	}
 }
 
-// cancel ends the claim of a container that never ran.
+// cancel removes the claim of a container that never ran.
 func (g *DedupGroup) cancel(c *container) {
 	if c.spec.DedupWindow <= 0 {
-		return // it claimed nothing
+		return // no key was claimed
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -55,7 +55,7 @@
 	}
 }
 
-// expire has the claim of a container that ran end with its window.
+// expire leaves the claim of a container that ran in place until its window ends.
 func (g *DedupGroup) expire(c *container) {
 	if c.spec.DedupWindow <= 0 {
 		return
--- a/internal/testbed/emulator/doc.go
+++ b/internal/testbed/emulator/doc.go
@@ -1,12 +1,12 @@
-// Package emulator emulates what a scheduler talks to: machines, the machine list, clients and BGP peers. The emulated
-// parts speak the real protocols over TCP on loopback and live in real time. Their model is glenport's own and simple:
-// it exists to expose a scheduler to faults, not to predict any real system.
+// Package emulator emulates the peers of a scheduler: machines, the machine list, clients and BGP peers. They speak the
+// real protocols over TCP on loopback, in real time. The model behind them is simple: it exposes a scheduler to faults
+// and does not predict the behavior of any real system.
 //
-// A Machine is a task loop, on whose goroutine its components live: the lifecycle, the server of schedulers'
-// connections, the admission of offers, the runtime of containers, slow start, and the behavior that faults change.
+// A Machine runs its components on the goroutine of its task loop: the lifecycle, the server of scheduler connections,
+// the admission of offers, the container runtime, slow start, and the behavior that faults change.
 //
-// What has a state changes it by the tables below, each row a state, an event and the state that follows. Any other
-// event is illegal in that state: it is reported by a *statemachine.TransitionError and changes nothing.
+// The state machines follow the tables below. Each row is a state, an event and the next state. Any other event is
+// illegal in that state: it is reported as a *statemachine.TransitionError and leaves the state unchanged.
 //
 // Task loop of a machine:
 //
--- a/internal/testbed/emulator/encoding.go
+++ b/internal/testbed/emulator/encoding.go
@@ -8,7 +8,7 @@
 
 const protocolTick = 100 * time.Microsecond // the unit of protocol.Duration
 
-// mustEncode encodes a frame that the emulator itself has made; one that cannot be encoded is a programming error.
+// mustEncode encodes a frame of the emulator. It panics on an error, which can only be a programming error.
 func mustEncode(buffer []byte, frame protocol.Frame) []byte {
 	data, err := protocol.Append(buffer, frame)
 	if err != nil {
--- a/internal/testbed/emulator/endpoint.go
+++ b/internal/testbed/emulator/endpoint.go
@@ -7,8 +7,8 @@
 	"glenport/internal/testbed/loopback"
 )
 
-// endpoint is where a machine listens. Its address stays the same over restarts: the port is reserved from the first
-// start on, also while the machine is down. Any goroutine may read it.
+// endpoint is the listener of a machine. Its address stays the same across restarts: the port stays reserved from the
+// first start on, also while the machine is stopped. The address may be read from any goroutine.
 type endpoint struct {
 	listener net.Listener // nil before the first start
 
@@ -16,7 +16,7 @@
 	port *loopback.Reservation // nil before the first start
 }
 
-// open listens where it listened before.
+// open starts to listen on the reserved port.
 func (e *endpoint) open() error {
 	port, err := e.reserve()
 	if err != nil {
@@ -37,7 +37,7 @@
 
 func (e *endpoint) close() { loopback.CloseQuietly(e.listener) }
 
-// release gives the port up, once the machine has ended for good.
+// release frees the port after the machine has been closed.
 func (e *endpoint) release() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// address is empty before the first start.
+// address returns the address of the machine; empty before its first start.
 func (e *endpoint) address() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/testbed/emulator/frame_conn.go
+++ b/internal/testbed/emulator/frame_conn.go
@@ -10,11 +10,10 @@
 
 const (
 	heartbeatInterval = time.Second
-	maxHelloSize      = 1024 // bytes of the first frame of a scheduler
+	maxHelloSize      = 1024 // bytes
 )
 
-// frameConn is a connection to a scheduler. Its frames are queued and written by a goroutine of their own, with
-// heartbeats in between.
+// frameConn is a connection to a scheduler. A separate goroutine writes the queued frames and sends heartbeats.
 type frameConn struct {
 	net.Conn
 	frames       chan protocol.Frame
@@ -25,7 +24,7 @@
 	return &frameConn{Conn: conn, frames: make(chan protocol.Frame, maxQueued), writeTimeout: writeTimeout}
 }
 
-// send queues a frame; a scheduler that lets too many wait is disconnected.
+// send queues a frame; it closes the connection if the queue is full.
 func (c *frameConn) send(frame protocol.Frame) {
 	select {
 	case c.frames <- frame:
@@ -34,11 +33,11 @@
 	}
 }
 
-// writeAll writes queued frames and heartbeats; a scheduler that does not read in time is disconnected.
+// writeAll writes queued frames and heartbeats until stop; it closes the connection if a write fails or times out.
 func (c *frameConn) writeAll(stop chan struct{}) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
-	greeted := false // nothing may precede the hello
+	greeted := false // no heartbeat before the hello
 	for {
 		var frame protocol.Frame
 		select {
@@ -52,14 +51,14 @@
 		case <-stop:
 			return
 		}
-		if err := writeWithin(c, mustEncode(nil, frame), c.writeTimeout); err != nil {
+		if err := writeWithTimeout(c, mustEncode(nil, frame), c.writeTimeout); err != nil {
 			loopback.CloseQuietly(c)
 			return
 		}
 	}
 }
 
-// readSchedulerHello reads the first frame of a connection; false where it is not the hello of a scheduler.
+// readSchedulerHello reads the first frame of a connection; it returns false unless that is the hello of a scheduler.
 func readSchedulerHello(conn net.Conn) (*protocol.Hello, bool) {
 	first, err := protocol.ReadFrame(conn, maxHelloSize)
 	if err != nil {
@@ -69,8 +68,8 @@
 	return hello, ok && hello.Role == protocol.RoleScheduler
 }
 
-// writeWithin writes data and fails when the other side does not take it in time.
-func writeWithin(conn net.Conn, data []byte, limit time.Duration) error {
+// writeWithTimeout writes data with a time limit.
+func writeWithTimeout(conn net.Conn, data []byte, limit time.Duration) error {
 	if err := conn.SetWriteDeadline(time.Now().Add(limit)); err != nil {
 		return err
 	}
--- a/internal/testbed/emulator/host.go
+++ b/internal/testbed/emulator/host.go
@@ -6,33 +6,33 @@
 	"glenport/internal/protocol"
 )
 
-// host is the machine to which a component belongs.
+// host is the machine of a component.
 type host interface {
-	// post has the machine's goroutine run a task.
+	// post queues a task for the goroutine of the machine.
 	post(task func())
-	// after has it run a task later, unless the machine goes down first.
+	// after queues a task after a delay; it is dropped if the machine has stopped or restarted by then.
 	after(delay time.Duration, task func())
-	// sendTo sends a frame to the container's scheduler, if that is connected.
+	// sendTo sends a frame to the scheduler of a container, if it is connected.
 	sendTo(c *container, frame protocol.Frame)
-	// report is what frames tell schedulers of the machine's load.
+	// report returns the load of the machine by metric, as results and probe replies carry it.
 	report() map[string]float64
-	// startPace is the part of its full pace at which the machine starts containers.
+	// startPace returns the fraction of the full pace at which the machine starts containers.
 	startPace() float64
-	// containerStopped is called for each container that ran.
+	// containerStopped is called when a container that ran has ended.
 	containerStopped(id string)
-	// refusesOffers reports whether the machine drains.
-	refusesOffers() bool
-	// powerOff ends the machine.
+	// rejectsOffers reports whether the machine drains and rejects all offers.
+	rejectsOffers() bool
+	// powerOff stops the machine.
 	powerOff(cause machineEvent)
 }
 
-// do has the machine's goroutine run a task and waits for it. A closed machine runs nothing, and nothing is owed.
+// do runs a task on the goroutine of the machine and waits for it. A closed machine ignores the task.
 func (m *Machine) do(task func()) { _ = m.loop.runAndWait(task) }
 
-// post is do without the wait.
+// post queues a task for the goroutine of the machine. A closed machine ignores it.
 func (m *Machine) post(task func()) { _ = m.loop.post(task) }
 
-// after posts a task later, which runs unless the machine was restarted meanwhile.
+// after queues a task after a delay; it is dropped if the machine has stopped or restarted by then.
 func (m *Machine) after(delay time.Duration, task func()) {
 	incarnation := m.life.incarnation
 	time.AfterFunc(delay, func() {
@@ -64,4 +64,4 @@
 	}
 }
 
-func (m *Machine) refusesOffers() bool { return m.life.refusesOffers() }
+func (m *Machine) rejectsOffers() bool { return m.life.rejectsOffers() }
--- a/internal/testbed/emulator/image_cache.go
+++ b/internal/testbed/emulator/image_cache.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// imageCache is the container images that a machine has: those of running containers, and some of those used last.
+// imageCache is the set of container images on a machine: those of running containers and the most recently used.
 type imageCache struct {
 	size    int
-	recent  []string       // services, the last used first
-	running map[string]int // containers, by service
+	recent  []string       // services, the most recently used first
+	running map[string]int // number of running containers by service
 }
 
 func newImageCache(size int) *imageCache {
@@ -17,7 +17,7 @@
 	return slices.Contains(c.recent, service) || c.running[service] > 0
 }
 
-// touch makes an image the most recently used and drops those beyond the size of the cache.
+// touch marks an image as the most recently used and drops the images beyond the size of the cache.
 func (c *imageCache) touch(service string) {
 	if i := slices.Index(c.recent, service); i >= 0 {
 		c.recent = slices.Delete(c.recent, i, i+1)
@@ -26,10 +26,10 @@
 	c.recent = c.recent[:min(len(c.recent), c.size)]
 }
 
-// acquire notes that a container of a service runs.
+// acquire counts a running container of a service, whose image stays until release.
 func (c *imageCache) acquire(service string) { c.running[service]++ }
 
-// release notes that one no longer does.
+// release ends the count of one container.
 func (c *imageCache) release(service string) {
 	c.running[service]--
 	if c.running[service] <= 0 {
--- a/internal/testbed/emulator/lifecycle.go
+++ b/internal/testbed/emulator/lifecycle.go
@@ -6,15 +6,15 @@
 	"glenport/internal/statemachine"
 )
 
-// machineState is a state of a machine.
+// machineState is the state of a machine.
 type machineState string
 
 const (
 	machineStopped     machineState = "stopped"
 	machineServing     machineState = "serving"
-	machineDraining    machineState = "draining"    // refuses offers
-	machineEvacuating  machineState = "evacuating"  // refuses offers, and ends its containers one by one
-	machineOverwhelmed machineState = "overwhelmed" // has crashed, for good, from too many offers in slow start
+	machineDraining    machineState = "draining"    // rejects offers
+	machineEvacuating  machineState = "evacuating"  // rejects offers and ends its containers one by one
+	machineOverwhelmed machineState = "overwhelmed" // crashed permanently from too many offers during slow start
 )
 
 // machineEvent is an event of a machine.
@@ -29,7 +29,7 @@
 	capacityExceeded    machineEvent = "capacity exceeded"
 )
 
-// A machine that is down forgets that it drains: it serves once it has started.
+// A machine that stops loses its drain: it serves after the next start.
 var machineTransitions = statemachine.Table[machineState, machineEvent]{
 	machineStopped: {
 		machineStarted:      machineServing,
@@ -55,21 +55,21 @@
 	capacityExceeded:    machineOverwhelmed,
 }
 
-// lifecycle is whether a machine is up and takes offers, and since when.
+// lifecycle is the state of a machine with its incarnation and start time.
 type lifecycle struct {
-	stateful[machineState, machineEvent]
+	stateMachine[machineState, machineEvent]
 	incarnation uint64
 	startedAt   time.Time
 }
 
 func newLifecycle(name string) lifecycle {
 	return lifecycle{
-		stateful: stateful[machineState, machineEvent]{"machine " + name, machineTransitions, machineStopped},
+		stateMachine: stateMachine[machineState, machineEvent]{"machine " + name, machineTransitions, machineStopped},
 	}
 }
 
-// start begins the next incarnation. Its number is the time of the start, so that it is higher than that of each
-// earlier one, also of one that an earlier test bed emulated and a scheduler's state folder remembers.
+// start begins the next incarnation. Its number is derived from the start time, so that it is higher than every earlier
+// one, including those of earlier test beds that are stored in the state folder of a scheduler.
 func (l *lifecycle) start(at time.Time) error {
 	if err := l.apply(machineStarted); err != nil {
 		return err
@@ -89,7 +89,7 @@
 	return false
 }
 
-// refusesOffers reports whether the machine is up and takes no container.
-func (l *lifecycle) refusesOffers() bool {
+// rejectsOffers reports whether the machine is up and rejects all offers.
+func (l *lifecycle) rejectsOffers() bool {
 	return l.state == machineDraining || l.state == machineEvacuating
 }
--- a/internal/testbed/emulator/list.go
+++ b/internal/testbed/emulator/list.go
@@ -10,12 +10,11 @@
 	"glenport/internal/testbed/loopback"
 )
 
-// MachineList is the machine list service: its view of the machines is some time old, and it answers only so many calls
-// a second.
+// MachineList is the machine list service. Its entries lag behind the machines, and it limits the calls per second.
 type MachineList struct {
-	Lag              time.Duration // from a change to its place in the list
-	FailureDetection time.Duration // until a machine that is down is listed as gone
-	PollInterval     time.Duration // between two looks at the machines
+	Lag              time.Duration // from a change of a machine to its entry in the list
+	FailureDetection time.Duration // until an unresponsive machine is listed as gone
+	PollInterval     time.Duration // between two polls of the machines
 	CallsPerSecond   int           // 0: no limit
 	Address          func(*Machine) string
 
@@ -33,7 +32,7 @@
 	background    sync.WaitGroup
 }
 
-// Open starts the service for machines that are up by now, and returns its address.
+// Open starts the service for machines that have been started, and returns its address.
 func (l *MachineList) Open(machines []*Machine) (addr string, err error) {
 	if l.listener, err = loopback.Listen(loopback.AnyPort); err != nil {
 		return "", fmt.Errorf("machine list: %w", err)
@@ -61,14 +60,14 @@
 	l.background.Wait()
 }
 
-// SetState sets the state in which an operator puts a machine.
+// SetState sets the operator state of a machine.
 func (l *MachineList) SetState(m *Machine, state protocol.MachineState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.operatorState[m.Name] = state
 }
 
-// BecomeUnreachable ends all connections and refuses new ones, until BecomeReachable.
+// BecomeUnreachable closes all connections and rejects new ones until BecomeReachable.
 func (l *MachineList) BecomeUnreachable() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,7 +84,7 @@
 	l.unreachable = false
 }
 
-// SetStaleness makes the list lag so much further behind.
+// SetStaleness adds a delay to the lag of the list.
 func (l *MachineList) SetStaleness(staleness time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,7 +112,7 @@
 	}
 }
 
-// observe takes down what the machines are like now.
+// observe returns the current entries of the machines.
 func (l *MachineList) observe() []protocol.MachineEntry {
 	var all []protocol.MachineEntry
 	now := time.Now()
@@ -125,8 +124,8 @@
 	return all
 }
 
-// observeMachine is a machine's entry; a machine that does not answer keeps its last one until it counts as gone. A
-// machine that was never up is not listed.
+// observeMachine returns the entry of a machine. A machine that does not answer keeps its last entry until
+// FailureDetection has passed, and is then listed as gone. A machine that was never up is not listed.
 func (l *MachineList) observeMachine(m *Machine, now time.Time) (entry protocol.MachineEntry, listed bool) {
 	status, ok := m.Status()
 	l.mu.Lock()
@@ -152,7 +151,7 @@
 	return entry, known || up
 }
 
-// apply puts what has changed into the list and sends it to the watching schedulers.
+// apply updates the list and sends the changed entries to the schedulers that watch it.
 func (l *MachineList) apply(observed []protocol.MachineEntry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/emulator/list_conn.go
+++ b/internal/testbed/emulator/list_conn.go
@@ -10,17 +10,17 @@
 
 const (
 	listWriteTimeout    = 2 * time.Second
-	maxQueuedListFrames = 1000 // beyond which a scheduler's connection is closed
+	maxQueuedListFrames = 1000 // the connection is closed when the queue is full
 	callWindow          = time.Second
 )
 
-// listConn is a scheduler's connection to the list.
+// listConn is the connection of a scheduler to the machine list.
 type listConn struct {
 	*frameConn
-	watches bool // guarded by the list's lock
+	watches bool // guarded by MachineList.mu
 }
 
-// serve answers one scheduler until its connection ends.
+// serve answers the calls of one scheduler until its connection ends.
 func (l *MachineList) serve(conn net.Conn) {
 	defer loopback.CloseQuietly(conn)
 	if _, ok := readSchedulerHello(conn); !ok {
@@ -46,7 +46,7 @@
 	}
 }
 
-// register is false while the list is unreachable.
+// register adds a connection; it returns false while the list is unreachable.
 func (l *MachineList) register(conn *listConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,7 +63,7 @@
 	delete(l.conns, conn)
 }
 
-// reply answers a call of a scheduler; nil where it gets no answer.
+// reply returns the reply to a call of a scheduler; nil if there is none.
 func (l *MachineList) reply(conn *listConn, frame protocol.Frame) protocol.Frame {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/emulator/list_history.go
+++ b/internal/testbed/emulator/list_history.go
@@ -6,13 +6,13 @@
 	"glenport/internal/protocol"
 )
 
-const maxDeltaEntries = 10_000 // beyond which a watch is answered by a full snapshot
+const maxDeltaEntries = 10_000 // a watch that is further behind gets a full snapshot
 
-// listHistory is the content of the machine list with all its changes.
+// listHistory is the content of the machine list with the history of its changes.
 type listHistory struct {
-	changes   []protocol.MachineEntry // the change that made version i+1
+	changes   []protocol.MachineEntry // index i holds the change to version i+1
 	current   map[string]protocol.MachineEntry
-	startedAt map[string]time.Time // of machines, as they last said
+	startedAt map[string]time.Time // by machine, as last observed
 }
 
 func newListHistory() listHistory {
@@ -21,7 +21,7 @@
 
 func (h *listHistory) version() int64 { return int64(len(h.changes)) }
 
-// apply puts what has changed into the list and returns it.
+// apply updates the list and returns the entries that changed.
 func (h *listHistory) apply(observed []protocol.MachineEntry) []protocol.MachineEntry {
 	var changed []protocol.MachineEntry
 	for _, entry := range observed {
@@ -36,7 +36,7 @@
 	return changed
 }
 
-// isChange reports whether an entry differs from the list; two entries of a machine that is gone do not.
+// isChange reports whether an entry changes the list. Entries of a machine that stays gone do not.
 func (h *listHistory) isChange(entry protocol.MachineEntry) bool {
 	old, known := h.current[entry.Machine]
 	if !known {
@@ -46,12 +46,12 @@
 	return old != entry && !bothGone
 }
 
-// delta is an update of these entries, the last of the list.
+// delta returns an update to the current version with the given entries.
 func (h *listHistory) delta(entries []protocol.MachineEntry) *protocol.MachineListUpdate {
 	return &protocol.MachineListUpdate{Version: h.version(), Entries: h.withAge(entries)}
 }
 
-// since is an update from a version on; a full snapshot where the version is unknown or long ago.
+// since returns the update from a version to the current one; a full snapshot if the version is unknown or too old.
 func (h *listHistory) since(version int64, machines []*Machine) *protocol.MachineListUpdate {
 	if version > 0 && version <= h.version() && h.version()-version < maxDeltaEntries {
 		return h.delta(h.changes[version:])
@@ -59,7 +59,7 @@
 	return h.fullSnapshot(machines)
 }
 
-// fullSnapshot lists the machines that are not gone, in their order.
+// fullSnapshot returns the entries of all machines that are not gone, in the order of machines.
 func (h *listHistory) fullSnapshot(machines []*Machine) *protocol.MachineListUpdate {
 	var entries []protocol.MachineEntry
 	for _, m := range machines {
@@ -70,7 +70,7 @@
 	return &protocol.MachineListUpdate{FullSnapshot: true, Version: h.version(), Entries: h.withAge(entries)}
 }
 
-// withAge copies entries and fills in how long ago their machines started.
+// withAge returns a copy of the entries with the time since the start of each machine.
 func (h *listHistory) withAge(entries []protocol.MachineEntry) []protocol.MachineEntry {
 	aged := append([]protocol.MachineEntry(nil), entries...)
 	for i := range aged {
--- a/internal/testbed/emulator/machine.go
+++ b/internal/testbed/emulator/machine.go
@@ -9,21 +9,21 @@
 	"glenport/internal/testbed/loopback"
 )
 
-const evacuationInterval = 100 * time.Millisecond // between the containers that a draining machine sends away
+const evacuationInterval = 100 * time.Millisecond // between the containers that an evacuating machine ends
 
-// StartMode says in what condition a machine starts.
+// StartMode selects whether a machine goes through slow start.
 type StartMode bool
 
 // The start modes.
 const (
-	StartCold StartMode = false // in slow start
-	StartWarm StartMode = true  // at its full pace
+	StartCold StartMode = false // with slow start
+	StartWarm StartMode = true  // at the full pace
 )
 
-// Machine is one emulated machine. Its components belong to the goroutine of its task loop.
+// Machine is one emulated machine. Its components are used only on the goroutine of its task loop.
 type Machine struct {
 	MachineSpec
-	OnEnd func(container string, at time.Time) // called for each container that ran; may be nil
+	OnEnd func(container string, at time.Time) // called when a container that ran has ended; may be nil
 
 	loop       *taskLoop
 	endpoint   endpoint
@@ -37,7 +37,7 @@
 	server    *schedulerServer
 }
 
-// NewMachine returns a machine that is down.
+// NewMachine returns a machine that is stopped.
 func NewMachine(spec MachineSpec, group *DedupGroup, seed uint64) *Machine {
 	m := &Machine{
 		MachineSpec: spec,
@@ -63,8 +63,7 @@
 	return m
 }
 
-// Start starts the machine. It listens where it listened before. A machine that is up, or that was overwhelmed, stays
-// as it is.
+// Start starts the machine at the address of its earlier starts. It does nothing if the machine is up or overwhelmed.
 func (m *Machine) Start(mode StartMode) error {
 	var err error
 	closed := m.loop.runAndWait(func() {
@@ -99,9 +98,9 @@
 	return nil
 }
 
-// Crash ends the machine, its connections and everything that it runs, frozen or not.
+// Crash stops the machine, its connections and its containers, also if the machine is frozen.
 func (m *Machine) Crash() {
-	m.loop.change(loopWasThawed)
+	m.loop.change(loopThawEvent)
 	m.do(func() {
 		if m.life.isUp() {
 			m.powerOff(machineCrashed)
@@ -117,31 +116,31 @@
 	m.runtime.discardAll()
 }
 
-// Close crashes the machine for good and waits for its goroutines.
+// Close crashes the machine permanently and waits for its goroutines.
 func (m *Machine) Close() {
 	m.Crash()
-	m.loop.change(loopWasClosed)
+	m.loop.change(loopCloseEvent)
 	m.background.Wait()
 	m.endpoint.release()
 }
 
-// Drain has the machine refuse offers, until EndDrain. It keeps what runs.
+// Drain makes the machine reject offers until EndDrain. Running containers are kept.
 func (m *Machine) Drain() { m.changeDrain(drainRequested) }
 
-// Evacuate has the machine refuse offers and end its containers one by one, until EndDrain.
+// Evacuate makes the machine reject offers and end its containers one by one, until EndDrain.
 func (m *Machine) Evacuate() { m.changeDrain(evacuationRequested) }
 
-// EndDrain has the machine take offers again.
+// EndDrain makes the machine accept offers again.
 func (m *Machine) EndDrain() { m.changeDrain(drainRevoked) }
 
 func (m *Machine) changeDrain(event machineEvent) {
 	m.do(func() {
 		m.life.applyOrLog(event)
-		m.evacuateLater()
+		m.scheduleEvacuation()
 	})
 }
 
-func (m *Machine) evacuateLater() {
+func (m *Machine) scheduleEvacuation() {
 	if m.life.state == machineEvacuating {
 		m.after(evacuationInterval, m.evacuateOne)
 	}
@@ -151,5 +150,5 @@
 	if m.life.state == machineEvacuating {
 		m.runtime.evacuateOne()
 	}
-	m.evacuateLater()
+	m.scheduleEvacuation()
 }
--- a/internal/testbed/emulator/machine_faults.go
+++ b/internal/testbed/emulator/machine_faults.go
@@ -1,15 +1,15 @@
 package emulator
 
-// Freeze stops everything that the machine does, until Thaw.
-func (m *Machine) Freeze() { m.loop.change(loopWasFrozen) }
+// Freeze suspends the machine until Thaw: its connections stay open, and their frames wait.
+func (m *Machine) Freeze() { m.loop.change(loopFreezeEvent) }
 
 // Thaw ends Freeze.
-func (m *Machine) Thaw() { m.loop.change(loopWasThawed) }
+func (m *Machine) Thaw() { m.loop.change(loopThawEvent) }
 
-// SetSlowdown makes everything that the machine does take so many times as long.
+// SetSlowdown multiplies the duration of admissions, starts and probe replies by a factor.
 func (m *Machine) SetSlowdown(factor float64) { m.do(func() { m.behavior.slowdown = factor }) }
 
-// SetMemoryFactor makes containers use so many times the memory.
+// SetMemoryFactor multiplies the memory use of the containers by a factor.
 func (m *Machine) SetMemoryFactor(factor float64) { m.do(func() { m.behavior.memoryFactor = factor }) }
 
 // IgnoreWorkload leaves offers of a workload class unanswered, until AnswerWorkload.
@@ -22,7 +22,7 @@
 	m.do(func() { m.behavior.ignoredWorkloads[workload] = false })
 }
 
-// ThrottleTenant refuses a tenant's offers without a reason, until AdmitTenant.
+// ThrottleTenant rejects the offers of a tenant without giving a reason, until AdmitTenant.
 func (m *Machine) ThrottleTenant(tenant int) {
 	m.do(func() { m.behavior.throttledTenants[tenant] = true })
 }
--- a/internal/testbed/emulator/machine_spec.go
+++ b/internal/testbed/emulator/machine_spec.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// MachineSpec says what a machine is and how it behaves. Slices are indexed by workload class.
+// MachineSpec describes a machine and its behavior. Slices are indexed by workload class.
 type MachineSpec struct {
 	Name, Zone, RackGroup, MachineType          string
 	ZoneIndex, RackGroupIndex, MachineTypeIndex int
 	Cores, Memory                               float64
-	AcceptCores, AcceptMemory                   float64       // multiples of its size up to which it accepts
+	AcceptCores, AcceptMemory                   float64       // multiples of its cores and memory that it accepts
 	AdmissionTime                               time.Duration // to examine one offer
-	MaxQueuedOffers                             int           // offers that may wait for that
+	MaxQueuedOffers                             int           // offers waiting to be examined
 	ConcurrentStarts                            int
 	StartTime                                   time.Duration // of a container whose image is cached
-	ImageMissFactor                             float64       // by which a start takes longer without a cached image
-	CachedImages                                int           // images kept after their last container
-	SlowStartPeriod                             time.Duration // after a start
-	SlowStartInitialPace                        float64       // part of the full pace just after a start
+	ImageMissFactor                             float64       // on the start time if the image is not cached
+	CachedImages                                int           // images of recently used services that stay cached
+	SlowStartPeriod                             time.Duration // from the start of the machine
+	SlowStartInitialPace                        float64       // fraction of the full pace right after a start
 	SlowStartWindow                             time.Duration
-	// offers in a window beyond which it crashes in slow start; 0: no limit
+	// SlowStartCapacity is the number of offers and probes in a window that the machine handles during slow start; it
+	// crashes on more. 0: no limit.
 	SlowStartCapacity   int
-	AcceptMeansRunning  bool  // it accepts once the container runs, not before
-	UsageReports        bool  // it reports the memory in use
-	RequiredMachineType []int // -1: any
-	EvictionRank        []int // the lowest is evicted first
-	MemoryDrift         float64
+	AcceptMeansRunning  bool    // an accept is sent once the container runs, not before
+	UsageReports        bool    // the machine reports the memory that its containers use
+	RequiredMachineType []int   // -1: any
+	EvictionRank        []int   // the lowest is evicted first
+	MemoryDrift         float64 // span of the random change of memory use, as a fraction of the requested memory
 }
--- a/internal/testbed/emulator/memory.go
+++ b/internal/testbed/emulator/memory.go
@@ -9,12 +9,12 @@
 
 const (
 	memoryDriftInterval = 500 * time.Millisecond
-	minMemoryUse        = 0.2 // part of the requested memory
+	minMemoryUse        = 0.2 // fraction of the requested memory
 	maxMemoryUse        = 1.6
 )
 
-// driftMemory changes the memory that containers use by chance, reports it, and evicts where the machine runs out. It
-// goes on as long as the machine is up.
+// driftMemory changes the memory use of the running containers at random, reports it, and evicts containers if the
+// machine runs out of memory. It schedules itself again for as long as the machine is up.
 func (r *containerRuntime) driftMemory() {
 	r.host.after(memoryDriftInterval, r.driftMemory)
 	used := 0.0
@@ -35,7 +35,7 @@
 	r.evictUntilFits(all, used)
 }
 
-// evictUntilFits evicts by rank, the lowest first, until what is used fits into the machine's memory.
+// evictUntilFits evicts running containers, the lowest rank first, until the used memory fits into the machine.
 func (r *containerRuntime) evictUntilFits(all []*container, used float64) {
 	slices.SortStableFunc(all, func(a, b *container) int { return r.evictionRank(a) - r.evictionRank(b) })
 	for _, c := range all {
--- a/internal/testbed/emulator/runtime.go
+++ b/internal/testbed/emulator/runtime.go
@@ -11,21 +11,20 @@
 
 const defaultRuntime = time.Second
 
-// resources are an amount of cores and memory.
+// resources is an amount of cores and memory.
 type resources struct{ cores, memory float64 }
 
-// containerRuntime has the containers of a machine and what is reserved for them. It starts those that were accepted
-// and ends them.
+// containerRuntime starts and ends the containers of a machine and accounts for the resources reserved for them.
 type containerRuntime struct {
-	host       host
-	spec       *MachineSpec
-	behavior   *behavior
-	dedup      *DedupGroup
-	containers map[attemptKey]*container
-	reserved   resources
-	starts     startQueue
-	images     *imageCache
-	totalRan   int
+	host         host
+	spec         *MachineSpec
+	behavior     *behavior
+	dedup        *DedupGroup
+	containers   map[attemptKey]*container
+	reserved     resources
+	starts       startQueue
+	images       *imageCache
+	totalStarted int
 }
 
 func newContainerRuntime(h host, spec *MachineSpec, b *behavior, dedup *DedupGroup) *containerRuntime {
@@ -44,7 +43,7 @@
 
 func (r *containerRuntime) find(key attemptKey) *container { return r.containers[key] }
 
-// sorted orders by attempt, so that chance does not depend on map order.
+// sorted returns the containers ordered by attempt, so that random draws do not depend on map order.
 func (r *containerRuntime) sorted() []*container {
 	all := make([]*container, 0, len(r.containers))
 	for _, c := range r.containers {
@@ -60,7 +59,7 @@
 	return all
 }
 
-// runningSpecs lists what runs.
+// runningSpecs returns the specs of the running containers.
 func (r *containerRuntime) runningSpecs() []protocol.ContainerSpec {
 	var specs []protocol.ContainerSpec
 	for _, c := range r.containers {
@@ -71,7 +70,7 @@
 	return specs
 }
 
-// inventory lists what the machine holds for a scheduler.
+// inventory lists the accepted and running containers of a scheduler.
 func (r *containerRuntime) inventory(scheduler string) []protocol.InventoryItem {
 	var items []protocol.InventoryItem
 	for _, c := range r.sorted() {
@@ -87,15 +86,15 @@
 	return items
 }
 
-// free is what is not reserved; it is negative where the machine accepts more than its size.
+// free returns the resources that are not reserved; they are negative on an overcommitted machine.
 func (r *containerRuntime) free() resources {
 	return resources{cores: r.spec.Cores - r.reserved.cores, memory: r.spec.Memory - r.reserved.memory}
 }
 
-// utilization is the reserved part of the cores, at most 1.
+// utilization returns the reserved fraction of the cores, at most 1.
 func (r *containerRuntime) utilization() float64 { return min(1, r.reserved.cores/r.spec.Cores) }
 
-// shortage says which resource a container would exceed; ReasonNone where it fits.
+// shortage returns the reason for which a container does not fit; ReasonNone if it fits.
 func (r *containerRuntime) shortage(spec *protocol.ContainerSpec) protocol.Reason {
 	switch {
 	case r.reserved.cores+spec.Cores > r.spec.Cores*r.spec.AcceptCores:
@@ -106,16 +105,16 @@
 	return protocol.ReasonNone
 }
 
-// claimKey claims a container's idempotency key, where it has one that is deduplicated; false where another copy runs,
-// or ran within its window.
+// claimKey claims the idempotency key of a container if its class is deduplicated. It returns false if another
+// container holds the key, or held it within the deduplication window.
 func (r *containerRuntime) claimKey(c *container) bool {
 	return c.spec.DedupWindow <= 0 || r.dedup.claim(c, fromProtocol(c.spec.DedupWindow))
 }
 
-// waitingStarts is the number of accepted containers that wait to be started.
+// waitingStarts returns the number of accepted containers that wait to start.
 func (r *containerRuntime) waitingStarts() int { return r.starts.length() }
 
-// accept reserves a container's resources and starts it as soon as the limit on starts allows.
+// accept reserves the resources of a container and starts it once the limit of concurrent starts allows.
 func (r *containerRuntime) accept(c *container) {
 	c.applyOrLog(offerAccepted)
 	r.reserved.cores += c.spec.Cores
@@ -127,7 +126,7 @@
 	r.startNext()
 }
 
-// startNext starts accepted containers, as many at a time as the machine may.
+// startNext starts waiting containers up to the limit of concurrent starts.
 func (r *containerRuntime) startNext() {
 	for {
 		c, ok := r.starts.next()
@@ -144,7 +143,7 @@
 	}
 }
 
-// startTime is how long a container of a service takes to start, whose image is then in the cache.
+// startTime draws the start time of a container of a service and puts the image into the cache.
 func (r *containerRuntime) startTime(service string) time.Duration {
 	took := float64(r.behavior.vary(r.spec.StartTime)) / r.host.startPace()
 	if !r.images.has(service) {
@@ -154,14 +153,14 @@
 	return time.Duration(took)
 }
 
-// markRunning makes a started container run, unless its scheduler has stopped waiting for it.
+// markRunning moves a started container to running, unless the scheduler no longer waits for the accept.
 func (r *containerRuntime) markRunning(c *container) {
 	if time.Now().After(c.deadline) && r.spec.AcceptMeansRunning {
 		r.end(c, protocol.OutcomeFull, protocol.ReasonWrongMachine)
 		return
 	}
 	c.applyOrLog(startCompleted)
-	r.totalRan++
+	r.totalStarted++
 	r.images.acquire(c.spec.Service)
 	r.host.sendTo(c, &protocol.Accept{AttemptID: c.key.attemptID, Running: true})
 	r.host.after(c.runtime(), func() {
@@ -171,7 +170,7 @@
 	})
 }
 
-// end ends a container, frees what it held and sends the result to its scheduler.
+// end ends a container, frees its resources and sends the result to its scheduler.
 func (r *containerRuntime) end(c *container, outcome protocol.Outcome, reason protocol.Reason) {
 	r.discard(c)
 	r.host.sendTo(c, &protocol.Result{
@@ -179,10 +178,10 @@
 	})
 }
 
-// discard ends a container without a result to its scheduler.
+// discard ends a container and frees its resources without sending a result.
 func (r *containerRuntime) discard(c *container) {
 	last := c.state
-	c.applyOrLog(containerGone)
+	c.applyOrLog(containerTerminated)
 	delete(r.containers, c.key)
 	switch last {
 	case containerAccepted:
@@ -202,7 +201,7 @@
 	r.reserved.memory -= c.spec.Memory
 }
 
-// discardAll ends all containers without a result.
+// discardAll ends all containers without sending results.
 func (r *containerRuntime) discardAll() {
 	for _, c := range r.sorted() {
 		r.discard(c)
@@ -212,7 +211,7 @@
 	r.images = newImageCache(r.spec.CachedImages)
 }
 
-// evacuateOne ends a running container, if there is one.
+// evacuateOne ends one running container, if any.
 func (r *containerRuntime) evacuateOne() {
 	for _, c := range r.sorted() {
 		if c.isRunning() {
--- a/internal/testbed/emulator/scheduler_server.go
+++ b/internal/testbed/emulator/scheduler_server.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	maxQueuedFrames     = 4096 // beyond which a scheduler's connection is closed
+	maxQueuedFrames     = 4096 // the connection is closed when the queue is full
 	machineWriteTimeout = 10 * time.Second
 )
 
-// schedulerConn is a scheduler's connection to a machine.
+// schedulerConn is the connection of a scheduler to a machine.
 type schedulerConn struct {
 	*frameConn
 	scheduler   string
 	incarnation uint64 // of the scheduler
 }
 
-// schedulerServer serves the connections of schedulers to a machine and hands their frames to its components.
+// schedulerServer serves the scheduler connections of a machine and dispatches their frames to its components.
 type schedulerServer struct {
 	spec       *MachineSpec
 	host       host
@@ -34,7 +34,7 @@
 	conns      map[string]*schedulerConn // by scheduler
 }
 
-// serve reads one scheduler's connection.
+// serve reads the frames of one scheduler until its connection ends.
 func (s *schedulerServer) serve(conn net.Conn) {
 	defer loopback.CloseQuietly(conn)
 	hello, ok := readSchedulerHello(conn)
@@ -60,7 +60,7 @@
 	}
 }
 
-// register greets a scheduler with the inventory of what the machine holds for it; its former connection ends.
+// register sends the hello and the inventory to a scheduler and closes its previous connection.
 func (s *schedulerServer) register(sc *schedulerConn) {
 	if !s.life.isUp() {
 		loopback.CloseQuietly(sc)
@@ -86,7 +86,7 @@
 
 func (s *schedulerServer) isCurrent(sc *schedulerConn) bool { return s.conns[sc.scheduler] == sc }
 
-// discardQueued discards offers whose scheduler no longer waits for an answer.
+// discardQueued discards the queued offers of a scheduler that has disconnected.
 func (s *schedulerServer) discardQueued(scheduler string) {
 	for _, c := range s.admission.takeQueued(scheduler) {
 		s.runtime.discard(c)
@@ -108,7 +108,7 @@
 }
 
 func (s *schedulerServer) handleOffer(sc *schedulerConn, offer *protocol.Offer) {
-	if s.overwhelms() || s.behavior.ignores(offer.Spec.WorkloadClass) {
+	if s.crashIfOverloaded() || s.behavior.ignores(offer.Spec.WorkloadClass) {
 		return
 	}
 	key := attemptKey{scheduler: sc.scheduler, incarnation: sc.incarnation, attemptID: offer.AttemptID}
@@ -126,7 +126,7 @@
 }
 
 func (s *schedulerServer) handleProbe(sc *schedulerConn, frame *protocol.Probe) {
-	if s.overwhelms() {
+	if s.crashIfOverloaded() {
 		return
 	}
 	s.host.after(s.behavior.vary(s.spec.AdmissionTime/2), func() {
@@ -134,9 +134,9 @@
 	})
 }
 
-// overwhelms counts an offer or probe. A machine in slow start that gets more of them than it bears crashes for good,
-// and true is returned.
-func (s *schedulerServer) overwhelms() bool {
+// crashIfOverloaded counts an offer or probe. A machine that gets more of them than SlowStartCapacity in one window of
+// its slow start crashes permanently; it reports whether that happened.
+func (s *schedulerServer) crashIfOverloaded() bool {
 	if !s.slowStart.countOffer(s.life.startedAt, time.Now()) {
 		return false
 	}
@@ -144,7 +144,7 @@
 	return true
 }
 
-// sendTo sends a frame to the container's scheduler, if that is connected.
+// sendTo sends a frame to the scheduler of a container, if it is connected.
 func (s *schedulerServer) sendTo(c *container, frame protocol.Frame) {
 	if conn := s.conns[c.key.scheduler]; conn != nil {
 		conn.send(frame)
--- a/internal/testbed/emulator/slow_start.go
+++ b/internal/testbed/emulator/slow_start.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// slowStart is the time after a machine's start in which it bears few offers and starts containers slowly.
+// slowStart is the period after the start of a machine in which it handles few offers and starts containers slowly.
 type slowStart struct {
 	spec         *MachineSpec
-	recentOffers []time.Time // and probes
+	recentOffers []time.Time // times of offers and probes in the current window
 }
 
 func (s *slowStart) reset() { s.recentOffers = nil }
 
-// countOffer counts an offer or probe, and reports whether they are more in a window than the machine bears.
+// countOffer counts an offer or probe and reports whether the window now holds more than SlowStartCapacity of them.
 func (s *slowStart) countOffer(startedAt, now time.Time) (exceeded bool) {
 	if s.spec.SlowStartCapacity == 0 || now.Sub(startedAt) >= s.spec.SlowStartPeriod {
 		s.recentOffers = nil
@@ -23,7 +23,7 @@
 	return len(s.recentOffers) > s.spec.SlowStartCapacity
 }
 
-// pace is the part of its full pace at which the machine starts containers; it grows over the slow start.
+// pace returns the fraction of the full pace at which the machine starts containers; it rises linearly to 1.
 func (s *slowStart) pace(startedAt time.Time) float64 {
 	age := time.Since(startedAt)
 	if age >= s.spec.SlowStartPeriod {
--- a/internal/testbed/emulator/start_queue.go
+++ b/internal/testbed/emulator/start_queue.go
@@ -1,6 +1,6 @@
 package emulator
 
-// startQueue has the accepted containers that wait to be started, and bounds how many are started at a time.
+// startQueue holds the accepted containers that wait to start and limits the number of concurrent starts.
 type startQueue struct {
 	limit    int
 	waiting  []*container
@@ -9,7 +9,7 @@
 
 func (q *startQueue) push(c *container) { q.waiting = append(q.waiting, c) }
 
-// next takes a container to be started now; ok is false where none waits or as many as may be are being started.
+// next removes the next container to start; ok is false if none waits or the limit of concurrent starts is reached.
 func (q *startQueue) next() (c *container, ok bool) {
 	for q.starting < q.limit && len(q.waiting) > 0 {
 		c, q.waiting = q.waiting[0], q.waiting[1:]
@@ -21,7 +21,7 @@
 	return nil, false
 }
 
-// done notes that a container taken by next is no longer being started.
+// done frees the start slot that next has taken.
 func (q *startQueue) done() { q.starting-- }
 
 func (q *startQueue) reset() { q.waiting, q.starting = nil, 0 }
--- a/internal/testbed/emulator/task_loop.go
+++ b/internal/testbed/emulator/task_loop.go
@@ -7,52 +7,52 @@
 	"glenport/internal/statemachine"
 )
 
-// loopState is a state of a task loop.
+// loopState is the state of a task loop.
 type loopState string
 
 const (
 	loopRunning loopState = "running"
-	loopFrozen  loopState = "frozen" // tasks are taken and wait
-	loopClosed  loopState = "closed" // for good
+	loopFrozen  loopState = "frozen" // posted tasks are queued but not run
+	loopClosed  loopState = "closed" // permanently
 )
 
 // loopEvent is an event of a task loop.
 type loopEvent string
 
 const (
-	taskPosted    loopEvent = "task posted"
-	loopWasFrozen loopEvent = "frozen"
-	loopWasThawed loopEvent = "thawed"
-	loopWasClosed loopEvent = "closed"
+	taskPosted      loopEvent = "task posted"
+	loopFreezeEvent loopEvent = "frozen"
+	loopThawEvent   loopEvent = "thawed"
+	loopCloseEvent  loopEvent = "closed"
 )
 
-// A fault may end after the machine that it befell has closed, so freezing and thawing are legal to the end.
+// A fault may end after its machine was closed, so freezing and thawing stay legal in every state.
 var loopTransitions = statemachine.Table[loopState, loopEvent]{
 	loopRunning: {
-		taskPosted: loopRunning, loopWasFrozen: loopFrozen, loopWasThawed: loopRunning, loopWasClosed: loopClosed,
+		taskPosted: loopRunning, loopFreezeEvent: loopFrozen, loopThawEvent: loopRunning, loopCloseEvent: loopClosed,
 	},
 	loopFrozen: {
-		taskPosted: loopFrozen, loopWasFrozen: loopFrozen, loopWasThawed: loopRunning, loopWasClosed: loopClosed,
+		taskPosted: loopFrozen, loopFreezeEvent: loopFrozen, loopThawEvent: loopRunning, loopCloseEvent: loopClosed,
 	},
 	loopClosed: {
-		loopWasFrozen: loopClosed, loopWasThawed: loopClosed, loopWasClosed: loopClosed,
+		loopFreezeEvent: loopClosed, loopThawEvent: loopClosed, loopCloseEvent: loopClosed,
 	},
 }
 
-// taskLoop runs posted tasks one after another on one goroutine. A frozen loop runs none, as a stopped process would.
+// taskLoop runs posted tasks one after another on one goroutine. A frozen loop runs none, like a suspended process.
 type taskLoop struct {
-	ended chan struct{} // closed once no task runs any more
+	ended chan struct{} // closed when run returns
 
 	mu    sync.Mutex // guards what follows
 	wake  *sync.Cond
-	state stateful[loopState, loopEvent]
+	state stateMachine[loopState, loopEvent]
 	tasks []func()
 }
 
 func newTaskLoop(name string) *taskLoop {
 	l := &taskLoop{
 		ended: make(chan struct{}),
-		state: stateful[loopState, loopEvent]{"task loop of " + name, loopTransitions, loopRunning},
+		state: stateMachine[loopState, loopEvent]{"task loop of " + name, loopTransitions, loopRunning},
 	}
 	l.wake = sync.NewCond(&l.mu)
 	return l
@@ -70,7 +70,7 @@
 	}
 }
 
-// next waits for a task; nil once the loop is closed.
+// next waits for a task; it returns nil once the loop is closed.
 func (l *taskLoop) next() func() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,7 +85,7 @@
 	return task
 }
 
-// post adds a task. A closed loop takes none and returns a *statemachine.TransitionError.
+// post queues a task. On a closed loop it returns a *statemachine.TransitionError.
 func (l *taskLoop) post(task func()) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// runAndWait adds a task and returns when it has run. Where the loop is closed before that, it returns a
-// *statemachine.TransitionError.
+// runAndWait queues a task and waits until it has run. It returns a *statemachine.TransitionError if the loop is closed
+// first.
 func (l *taskLoop) runAndWait(task func()) error {
 	done := make(chan struct{})
 	err := l.post(func() {
@@ -112,7 +112,7 @@
 	case <-done:
 		return nil
 	case <-l.ended:
-		return l.post(task) // which the closed loop refuses
+		return l.post(task) // always an error: the loop is closed
 	}
 }
 
@@ -130,7 +130,7 @@
 	return l.state.state == loopRunning
 }
 
-// query has a loop's goroutine read something; ok is false where the loop does not run or does not answer in time.
+// query calls read on the goroutine of a loop; ok is false if the loop is not running or the limit has passed.
 func query[T any](l *taskLoop, limit time.Duration, read func() T) (value T, ok bool) {
 	if !l.isRunning() {
 		return value, false
--- a/internal/testbed/emulator/transitions.go
+++ b/internal/testbed/emulator/transitions.go
@@ -6,20 +6,20 @@
 	"glenport/internal/statemachine"
 )
 
-// stateful is the state of one subject.
-type stateful[State, Event ~string] struct {
-	subject any // its name, boxed once
+// stateMachine is the current state of one subject and its transition table.
+type stateMachine[State, Event ~string] struct {
+	subject any // the name in errors; converted to an interface once, not at each event
 	table   statemachine.Table[State, Event]
 	state   State
 }
 
-// apply is the only place in which a state changes. The error is a *statemachine.TransitionError.
-func (s *stateful[State, Event]) apply(event Event) error {
+// apply is the only place that changes the state. The error is a *statemachine.TransitionError.
+func (s *stateMachine[State, Event]) apply(event Event) error {
 	return s.table.Apply(s.subject, &s.state, event)
 }
 
-// applyOrLog is apply for an event whose source expects no answer.
-func (s *stateful[State, Event]) applyOrLog(event Event) {
+// applyOrLog applies an event and logs the error, for callers that cannot return it.
+func (s *stateMachine[State, Event]) applyOrLog(event Event) {
 	if err := s.apply(event); err != nil {
 		slog.Error("illegal transition in the emulator", "error", err)
 	}
--- a/internal/testbed/emulator/transitions_test.go
+++ b/internal/testbed/emulator/transitions_test.go
@@ -12,25 +12,25 @@
 	"glenport/internal/testutil"
 )
 
-// checkTransitions applies each event in each state: the legal ones lead where the table says, the others are a
-// *statemachine.TransitionError and leave the state as it was.
+// checkTransitions applies each event in each state. Legal events lead to the state in the table. Others return a
+// *statemachine.TransitionError and leave the state unchanged.
 func checkTransitions[S, E ~string](t *testing.T, subject string, table statemachine.Table[S, E], events ...E) {
 	t.Helper()
 	listed := map[E]bool{}
 	for state := range table {
 		for _, event := range events {
-			checkTransition(t, stateful[S, E]{subject: subject, table: table, state: state}, event)
+			checkTransition(t, stateMachine[S, E]{subject: subject, table: table, state: state}, event)
 		}
 		for event := range table[state] {
 			listed[event] = true
 		}
 	}
 	if len(listed) != len(events) {
-		t.Errorf("the table has %d events, of which %d are tested", len(listed), len(events))
+		t.Errorf("the table has %d events, %d are tested", len(listed), len(events))
 	}
 }
 
-func checkTransition[S, E ~string](t *testing.T, m stateful[S, E], event E) {
+func checkTransition[S, E ~string](t *testing.T, m stateMachine[S, E], event E) {
 	t.Helper()
 	before := m.state
 	err := m.apply(event)
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestTransitionsAreThoseOfTheDocComment(t *testing.T) {
+func TestTransitionsMatchDocComment(t *testing.T) {
 	statemachinetest.CheckComment(t, statemachinetest.Machines{
 		"Task loop of a machine:": loopTransitions,
 		"Machine:":                machineTransitions,
@@ -56,17 +56,17 @@
 	})
 	t.Run("task loop", func(t *testing.T) {
 		checkTransitions(t, "Task loop of a machine", loopTransitions,
-			taskPosted, loopWasFrozen, loopWasThawed, loopWasClosed)
+			taskPosted, loopFreezeEvent, loopThawEvent, loopCloseEvent)
 	})
 	t.Run("machine", func(t *testing.T) {
 		checkTransitions(t, "Machine", machineTransitions,
 			machineStarted, drainRequested, evacuationRequested, drainRevoked, machineCrashed, capacityExceeded)
 	})
 	t.Run("container", func(t *testing.T) {
-		checkTransitions(t, "Container", containerTransitions, offerAccepted, startCompleted, containerGone)
+		checkTransitions(t, "Container", containerTransitions, offerAccepted, startCompleted, containerTerminated)
 	})
 	t.Run("BGP peer", func(t *testing.T) {
-		checkTransitions(t, "BGP peer", peerTransitions, sessionEstablished, sessionEnded, peerWasClosed)
+		checkTransitions(t, "BGP peer", peerTransitions, sessionEstablished, sessionEnded, peerCloseEvent)
 	})
 }
 
@@ -79,9 +79,9 @@
 	})
 }
 
-func TestMachineIsStartedCrashedAndClosed(t *testing.T) {
+func TestMachineStartCrashAndClose(t *testing.T) {
 	m := NewMachine(MachineSpec{Name: "m"}, &DedupGroup{}, 1)
-	for range 2 { // a machine that is up stays as it is
+	for range 2 { // the second start changes nothing
 		if err := m.Start(StartCold); err != nil {
 			t.Fatal(err)
 		}
@@ -94,7 +94,7 @@
 	}
 	m.Freeze()
 	if s, ok := m.Status(); ok {
-		t.Errorf("a frozen machine answers %+v", s)
+		t.Errorf("a frozen machine returned status %+v", s)
 	}
 	m.Crash()
 	if s, ok := m.Status(); !ok || s.Up {
@@ -102,7 +102,7 @@
 	}
 	if holder, err := loopback.ListenPacket(addr); err == nil {
 		loopback.CloseQuietly(holder)
-		t.Errorf("the port of a machine that is down is not reserved")
+		t.Errorf("the port of a stopped machine is not reserved")
 	}
 	if err := m.Start(StartWarm); err != nil {
 		t.Fatal(err)
@@ -114,13 +114,13 @@
 	m.Close() // changes nothing
 	var illegal *statemachine.TransitionError
 	if err := m.Start(StartCold); !errors.As(err, &illegal) || illegal.From != string(loopClosed) {
-		t.Errorf("a closed machine is started: %v", err)
+		t.Errorf("start of a closed machine returned %v", err)
 	}
 }
 
-// A state folder remembers the incarnations of machines of an earlier test bed: those of a later one must be higher,
-// however often the earlier machine was started.
-func TestIncarnationsRiseOverTestBeds(t *testing.T) {
+// The state folder of a scheduler stores the incarnations of machines of an earlier test bed. Those of a later test bed
+// must be higher, however often the earlier machine was restarted.
+func TestIncarnationsIncreaseAcrossTestBeds(t *testing.T) {
 	began := time.Now()
 	earlier, later := newLifecycle("m"), newLifecycle("m")
 	for range 3 {
