--- a/internal/testbed/faultproxy/arrivals.go
+++ b/internal/testbed/faultproxy/arrivals.go
@@ -11,31 +11,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// endOfStream is the position behind all bytes of a stream.
+// endOfStream is a position after all bytes of a stream.
 const endOfStream = math.MaxUint64
 
-// tcpEstablished is the state in which the kernel keeps a connection that neither end has closed or reset.
+// tcpEstablished is the kernel's TCP state of a connection that neither end has closed or reset.
 const tcpEstablished = 1
 
 var errNotTCP = errors.New("not a TCP connection")
 
-// arrivals knows until when the parts of a stream had not arrived at its socket, whether anybody read them or not. It
-// goes by samples of the kernel's own count, and by nothing else: what no sample shows is not assumed.
-type arrivals struct {
+// arrivalTracker tracks when the bytes of a stream arrive at its socket, whether they have been read or not. It samples
+// the kernel's count of received bytes and assumes nothing that no sample shows.
+type arrivalTracker struct {
 	conn syscall.RawConn
 
 	mu      sync.Mutex
-	samples []arrivalSample // in order of time; of those up to a position that was asked for the last alone is kept
+	samples []arrivalSample // in order of time; lastAbsent drops those that later calls do not need
 }
 
-// arrivalSample says that at a moment nothing beyond a position had arrived.
+// arrivalSample records that no byte after a position had arrived at a time.
 type arrivalSample struct {
 	at       time.Time
-	position uint64 // endOfStream once the other end has closed or reset the connection
+	position uint64 // endOfStream if the other end has closed or reset the connection
 }
 
-// newArrivals takes the first sample of what arrives on a connection.
-func newArrivals(conn net.Conn) (*arrivals, error) {
+// newArrivalTracker takes the first sample of a connection.
+func newArrivalTracker(conn net.Conn) (*arrivalTracker, error) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return nil, errNotTCP
@@ -44,12 +44,12 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &arrivals{conn: raw}
+	a := &arrivalTracker{conn: raw}
 	return a, a.sample()
 }
 
-// sample asks the kernel how far the stream has arrived. It fails once this end has closed the connection.
-func (a *arrivals) sample() error {
+// sample reads the current position of the stream. It fails if this end has closed the connection.
+func (a *arrivalTracker) sample() error {
 	asked := time.Now()
 	position, err := a.position()
 	if err == nil {
@@ -58,7 +58,8 @@
 	return err
 }
 
-func (a *arrivals) position() (position uint64, err error) {
+// position reads the number of received bytes from the kernel.
+func (a *arrivalTracker) position() (position uint64, err error) {
 	controlErr := a.conn.Control(func(fd uintptr) {
 		var info *unix.TCPInfo
 		if info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err != nil {
@@ -75,7 +76,7 @@
 	return position, err
 }
 
-func (a *arrivals) add(sample arrivalSample) {
+func (a *arrivalTracker) add(sample arrivalSample) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if last := len(a.samples) - 1; last >= 0 && a.samples[last].position == sample.position {
@@ -85,9 +86,9 @@
 	a.samples = append(a.samples, sample)
 }
 
-// lastAbsent returns the last moment at which the stream is known not to have arrived up to a position; that of the
-// first sample where none shows it. Positions are asked for in ascending order.
-func (a *arrivals) lastAbsent(position uint64) time.Time {
+// lastSampleBefore returns the time of the last sample at which the stream had not reached a position, or of the first
+// kept sample if there is none. Calls must pass ascending positions.
+func (a *arrivalTracker) lastSampleBefore(position uint64) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for len(a.samples) > 1 && a.samples[1].position < position {
--- a/internal/testbed/faultproxy/connection.go
+++ b/internal/testbed/faultproxy/connection.go
@@ -14,50 +14,50 @@
 	peer      protocol.Role
 	scheduler string
 	peerName  string
-	conns     [2]net.Conn // by direction: the caller, the called
-	arrivals  *arrivals   // of what the scheduler sends
+	conns     [2]net.Conn     // by direction: caller, target
+	arrivals  *arrivalTracker // of the stream that the scheduler sends
 	state     connState
 }
 
-// connState is a state of a connection. A connection only goes on to a later one.
+// connState is the state of a connection. It only advances.
 type connState int
 
 const (
 	connOpen     connState = iota
-	connEnded              // nothing more passes
-	connRecorded           // and its recording has ended
+	connEnded              // nothing more is forwarded
+	connRecorded           // and nothing more is recorded
 )
 
-// direction is the index of the end that sends.
+// direction is the index of the sending end.
 type direction int
 
 const (
 	fromCaller direction = iota
-	fromCalled
+	fromTarget
 )
 
-// schedulerEnd is the end at which the scheduler is.
+// schedulerEnd returns the end of the scheduler.
 func (c *connection) schedulerEnd() direction {
 	if c.peer == protocol.RoleClient {
-		return fromCalled
+		return fromTarget
 	}
 	return fromCaller
 }
 
-// setEnd sets one end. What the scheduler sends is sampled from then on.
+// setEnd sets the connection of one end. The stream of the scheduler is sampled from then on.
 func (c *connection) setEnd(end direction, conn net.Conn) (err error) {
 	c.conns[end] = conn
 	if end != c.schedulerEnd() {
 		return nil
 	}
-	if c.arrivals, err = newArrivals(conn); err != nil {
+	if c.arrivals, err = newArrivalTracker(conn); err != nil {
 		return err
 	}
 	c.proxy.sampler.add(c.arrivals)
 	return nil
 }
 
-// entry is an entry of the recording on this connection.
+// entry returns an entry of the recording for this connection.
 func (c *connection) entry(kind EntryKind) Entry {
 	return Entry{Kind: kind, ConnID: c.id, Scheduler: c.scheduler, Peer: c.peer, PeerName: c.peerName}
 }
@@ -70,14 +70,14 @@
 	}
 }
 
-// advance goes on to a state, unless the connection is there or further. The proxy's lock is held.
+// advance moves to a state, unless the connection has reached it already. The proxy's lock is held.
 func (c *connection) advance(to connState) {
 	c.state = max(c.state, to)
 	c.proxy.stateChanged.Broadcast()
 }
 
-// run forwards both ways, first the frame that was read already, and returns when both directions have ended. The end
-// of one ends the other.
+// run forwards in both directions, starting with the frame that has been read already. The end of one direction ends
+// the other; run returns when both have ended.
 func (c *connection) run(first rawFrame) {
 	done := make(chan struct{}, 2)
 	c.proxy.background.Go(func() {
@@ -85,19 +85,19 @@
 		done <- struct{}{}
 	})
 	c.proxy.background.Go(func() {
-		c.stream(fromCalled).forward(nil)
+		c.stream(fromTarget).forward(nil)
 		done <- struct{}{}
 	})
 	<-done
 	c.proxy.mu.Lock()
 	c.advance(connEnded)
 	c.proxy.mu.Unlock()
-	loopback.CloseQuietly(c.conns[fromCalled])
+	loopback.CloseQuietly(c.conns[fromTarget])
 	loopback.CloseQuietly(c.conns[fromCaller])
 	<-done
 }
 
-// stream carries what one end sends.
+// stream returns the stream that one end sends.
 func (c *connection) stream(from direction) *stream {
 	s := &stream{connection: c, source: c.conns[from], destination: c.conns[1-from], sender: senderPeer}
 	if from == c.schedulerEnd() {
@@ -106,7 +106,7 @@
 	return s
 }
 
-// awaitPartitionEnd waits until the connection is not partitioned, and returns its fault then; open is false where the
+// awaitPartitionEnd waits until the connection is not partitioned and returns its current fault; open is false if the
 // connection has ended.
 func (c *connection) awaitPartitionEnd() (fault Fault, open bool) {
 	p := c.proxy
@@ -120,34 +120,35 @@
 	return fault, c.state == connOpen && !p.closed
 }
 
-// chance is true with the given probability; it draws no random number for zero.
+// chance returns true with the given probability. It draws no random number if that is zero.
 func (p *Proxy) chance(probability float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return probability > 0 && p.rng.Float64() < probability
 }
 
-// recordClose ends the recording of the connection and lets nothing more pass.
+// recordClose records the close of the scheduler's end and ends the recording and forwarding of the connection.
 func (c *connection) recordClose() {
 	c.proxy.mu.Lock()
 	defer c.proxy.mu.Unlock()
 	c.advance(connRecorded)
-	c.proxy.recorder.addSince(c.entry(Closed), c.arrivals.lastAbsent(endOfStream))
+	c.proxy.recorder.addSince(c.entry(Closed), c.arrivals.lastSampleBefore(endOfStream))
 }
 
-// recordSent records a frame of the scheduler that ends at a position of its stream.
+// recordSent records a frame from the scheduler that ends at a position of its stream.
 func (c *connection) recordSent(frame rawFrame, position uint64) {
 	c.record(FromScheduler, frame, func(entry Entry) {
-		c.proxy.recorder.addSince(entry, c.arrivals.lastAbsent(position))
+		c.proxy.recorder.addSince(entry, c.arrivals.lastSampleBefore(position))
 	})
 }
 
-// recordAhead records a frame to the scheduler before it is forwarded, or lost.
-func (c *connection) recordAhead(kind EntryKind, frame rawFrame) bool {
+// recordBeforeForward records a frame to the scheduler before it is forwarded or dropped. It returns false if the
+// recording of the connection has ended.
+func (c *connection) recordBeforeForward(kind EntryKind, frame rawFrame) bool {
 	return c.record(kind, frame, c.proxy.recorder.add)
 }
 
-// record records a frame, unless the scheduler's end has closed: the recording of a connection ends there.
+// record records a frame. It returns false if the scheduler's end has closed, which ends the recording of a connection.
 func (c *connection) record(kind EntryKind, frame rawFrame, add func(Entry)) bool {
 	c.proxy.mu.Lock()
 	defer c.proxy.mu.Unlock()
--- a/internal/testbed/faultproxy/frame.go
+++ b/internal/testbed/faultproxy/frame.go
@@ -14,16 +14,16 @@
 	acceptFrameType  = 3 // first byte of an accept frame
 )
 
-// rawFrame is an encoded frame with its length prefix and at least one byte of payload.
+// rawFrame is an encoded frame: the length prefix and at least one byte of payload.
 type rawFrame []byte
 
 func (f rawFrame) payload() []byte { return f[lengthPrefixSize:] }
 
 func (f rawFrame) isAccept() bool { return f[lengthPrefixSize] == acceptFrameType }
 
-var errNoHello = errors.New("the first frame is no hello")
+var errNoHello = errors.New("the first frame is not a hello")
 
-// readHello reads the first frame of a connection.
+// readHello reads the first frame of a connection, which must be a hello.
 func readHello(conn net.Conn) (rawFrame, *protocol.Hello, error) {
 	first, err := readFrame(conn)
 	if err != nil {
--- a/internal/testbed/faultproxy/lag_test.go
+++ b/internal/testbed/faultproxy/lag_test.go
@@ -11,11 +11,11 @@
 	"glenport/internal/testutil/frames"
 )
 
-// The moment of a position is that of the last sample that had not reached it.
-func TestLastAbsentIsTheLastSampleBeforeThePosition(t *testing.T) {
+// The result for a position must be the time of the last sample that had not reached it.
+func TestLastSampleBeforePosition(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	a := &arrivals{}
+	a := &arrivalTracker{}
 	for _, sample := range []arrivalSample{
 		{at(0), 0}, {at(5), 0}, {at(10), 40}, {at(15), 40}, {at(20), 90}, {at(25), endOfStream},
 	} {
@@ -25,27 +25,27 @@
 		position uint64
 		want     int
 	}{{1, 5}, {40, 5}, {41, 15}, {90, 15}, {91, 20}, {endOfStream, 20}} {
-		got := a.lastAbsent(tc.position)
-		testutil.Expect(t, got.Equal(at(tc.want)), "position %d was last absent after %v, want %d ms",
+		got := a.lastSampleBefore(tc.position)
+		testutil.Expect(t, got.Equal(at(tc.want)), "position %d: last sample before it is at %v, want %d ms",
 			tc.position, got.Sub(start), tc.want)
 	}
-	testutil.Equal(t, len(a.samples), 2, "samples that are kept")
+	testutil.Equal(t, len(a.samples), 2, "number of kept samples")
 }
 
-// proxied is a scheduler that is connected to a machine through a proxy which records. The machine answers each frame.
-type proxied struct {
+// proxyFixture is a scheduler connected to a machine through a recording proxy. The machine answers each frame.
+type proxyFixture struct {
 	*testing.T
 	proxy     *Proxy
 	scheduler net.Conn
-	arrivals  *arrivals
-	passed    chan struct{} // a value for each frame that the machine gets, closed at the end of its connection
+	arrivals  *arrivalTracker
+	passed    chan struct{} // a value for each frame that the machine receives; closed with its connection
 }
 
-func startProxied(t *testing.T, path string) *proxied {
+func startProxyFixture(t *testing.T, path string) *proxyFixture {
 	t.Helper()
 	recorder, err := Create(path, goldenHeader())
 	testutil.NoError(t, err)
-	p := &proxied{T: t, proxy: New(recorder, 1), passed: make(chan struct{}, 10)}
+	p := &proxyFixture{T: t, proxy: New(recorder, 1), passed: make(chan struct{}, 10)}
 	machine := testutil.ServeUntilEnd(t, func(conn net.Conn) {
 		defer close(p.passed)
 		for {
@@ -68,18 +68,18 @@
 	return p
 }
 
-// send sends a frame, and returns once the machine has it and its answer is back.
-func (p *proxied) send(frame protocol.Frame) {
+// send sends a frame and waits until the machine has received it and its answer has arrived.
+func (p *proxyFixture) send(frame protocol.Frame) {
 	frames.Send(p.scheduler, frame)
 	testutil.Receive(p, p.passed)
 	frames.Skip(p.scheduler)
 }
 
-// period is when an entry was recorded, and since when it may have been so at most and at least.
+// period is the time range of an event and the earliest time at which it was recorded, in ticks of the recording.
 type period struct{ earliest, latest, recorded int64 }
 
-// delayed has the scheduler do something while the recording is held up, until a sample has shown it.
-func (p *proxied) delayed(act func()) (expected period) {
+// delayRecording calls act while the recording is blocked, until a sample has shown its effect.
+func (p *proxyFixture) delayRecording(act func()) (expected period) {
 	now := func() int64 { return int64(time.Since(p.proxy.recorder.startedAt) / recordingTick) }
 	expected.earliest = now()
 	testutil.NoError(p, p.arrivals.sample())
@@ -89,18 +89,18 @@
 	testutil.NoError(p, err)
 	act()
 	expected.latest = now()
-	testutil.WaitUntil(p, "a sample shows what arrived", func() bool { return p.lastPosition() > before })
+	testutil.WaitUntil(p, "a sample shows the arrival", func() bool { return p.lastPosition() > before })
 	expected.recorded = now()
 	return expected
 }
 
-func (p *proxied) lastPosition() uint64 {
+func (p *proxyFixture) lastPosition() uint64 {
 	p.arrivals.mu.Lock()
 	defer p.arrivals.mu.Unlock()
 	return p.arrivals.samples[len(p.arrivals.samples)-1].position
 }
 
-func (p *proxied) expect(entry Entry, kind EntryKind, expected period) {
+func (p *proxyFixture) expect(entry Entry, kind EntryKind, expected period) {
 	testutil.Equal(p, entry.Kind, kind)
 	since := entry.At - entry.Lag
 	// The time and the lag of an entry are rounded down, each by less than a tick.
@@ -108,15 +108,15 @@
 		"recorded at %d, with a lag of %d; expected %+v", entry.At, entry.Lag, expected)
 }
 
-// What the scheduler sent, and its close, may have been so for the time by which the recording was late; what the proxy
-// records before it happens has no lag.
-func TestLagIsTheTimeByWhichTheRecordingIsLate(t *testing.T) {
+// Entries for frames from the scheduler and for its close must have a lag that covers the delay of the recording.
+// Entries that the proxy records before it forwards a frame have no lag.
+func TestLagCoversDelayOfRecording(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "record")
-	p := startProxied(t, path)
-	sent := p.delayed(func() { frames.Send(p.scheduler, &protocol.Probe{}) })
+	p := startProxyFixture(t, path)
+	sent := p.delayRecording(func() { frames.Send(p.scheduler, &protocol.Probe{}) })
 	testutil.Receive(t, p.passed)
 	frames.Skip(p.scheduler)
-	closed := p.delayed(func() { testutil.NoError(t, p.scheduler.Close()) })
+	closed := p.delayRecording(func() { testutil.NoError(t, p.scheduler.Close()) })
 	_, open := <-p.passed
 	testutil.Expect(t, !open, "a frame passed after the close")
 	p.proxy.Close()
--- a/internal/testbed/faultproxy/proxy.go
+++ b/internal/testbed/faultproxy/proxy.go
@@ -13,19 +13,19 @@
 
 const dialTimeout = time.Second
 
-// Fault is what the network does to a connection.
+// Fault is the set of network faults of a connection.
 type Fault struct {
-	Partitioned bool    // nothing passes; frames wait until the partition ends, or the connection does
-	LoseAccepts float64 // part of the machines' accept frames that never arrive
+	Partitioned bool    // frames wait until the partition or the connection ends
+	AcceptLoss  float64 // fraction of the accept frames of machines that are lost
 	Delay       time.Duration
 }
 
-// Rule decides on the fault of the connection between a scheduler and a peer. It is called for each frame with the
-// proxy's lock held.
+// Rule returns the fault of the connection between a scheduler and a peer. It is called for each frame with the proxy's
+// lock held.
 type Rule func(scheduler string, peer protocol.Role, peerName string) Fault
 
-// Proxy is the network of a trial: listeners in front of what schedulers talk to, which record what passes, and the
-// faults between the two.
+// Proxy is the network of a trial. Its listeners in front of schedulers and their peers record the forwarded frames and
+// inject network faults.
 type Proxy struct {
 	recorder *Writer
 	sampler  *sampler
@@ -42,11 +42,11 @@
 	background   sync.WaitGroup
 }
 
-// New returns a proxy without faults that writes to a recording. It is to be closed.
+// New returns a proxy without faults that writes to a recording. The caller closes it.
 func New(recorder *Writer, seed uint64) *Proxy {
 	p := &Proxy{
 		recorder:    recorder,
-		sampler:     &sampler{streams: map[*arrivals]bool{}},
+		sampler:     &sampler{streams: map[*arrivalTracker]bool{}},
 		ended:       make(chan struct{}),
 		connections: map[*connection]bool{},
 		rng:         rand.New(rand.NewPCG(seed, 3)),
@@ -57,7 +57,7 @@
 	return p
 }
 
-// SetFaults puts a rule into force in place of the one before.
+// SetFaults replaces the rule of the proxy.
 func (p *Proxy) SetFaults(rule Rule) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,7 +65,7 @@
 	p.stateChanged.Broadcast()
 }
 
-// Reset resets both ends of every connection that matches, and returns how many there were.
+// Reset resets both ends of each matching connection and returns the number of connections.
 func (p *Proxy) Reset(matches func(scheduler string, peer protocol.Role, peerName string) bool) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,7 +79,7 @@
 	return count
 }
 
-// Close ends all listeners and connections and waits for the proxy's goroutines. It is called once.
+// Close closes all listeners and connections and waits for the goroutines of the proxy. It must be called only once.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -95,13 +95,13 @@
 	p.background.Wait()
 }
 
-// Listen opens a listener in front of the address that target returns at each connection, and returns its own address.
-// One of the two ends of a connection is a scheduler. Where the scheduler connects, peer and name are those of the
-// target; where clients connect to a scheduler, peer is RoleClient and name is the scheduler's.
+// Listen opens a listener in front of a target and returns its address. target returns the address to connect to and
+// is called for each connection. One end of each connection is a scheduler: if schedulers connect to the listener, peer
+// and name are those of the target; if clients do, peer is RoleClient and name is that of the scheduler.
 func (p *Proxy) Listen(peer protocol.Role, name string, target func() string) (string, error) {
 	listener, err := loopback.Listen(loopback.AnyPort)
 	if err != nil {
-		return "", fmt.Errorf("proxy before %s: %w", name, err)
+		return "", fmt.Errorf("proxy in front of %s: %w", name, err)
 	}
 	p.mu.Lock()
 	p.listeners = append(p.listeners, listener)
@@ -114,7 +114,7 @@
 	return listener.Addr().String(), nil
 }
 
-// WaitRecorded waits until all that a scheduler had sent before it was killed is in the recording.
+// WaitRecorded waits until all frames that a scheduler sent before it was killed have been recorded.
 func (p *Proxy) WaitRecorded(scheduler string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -132,7 +132,7 @@
 	return false
 }
 
-// serve reads the caller's hello, connects to the target and forwards frames both ways until one end closes.
+// serve reads the hello of the caller, connects to the target and forwards frames both ways until one end closes.
 func (p *Proxy) serve(caller net.Conn, peer protocol.Role, name string, target func() string) {
 	defer loopback.CloseQuietly(caller)
 	c := &connection{proxy: p, peer: peer}
@@ -145,17 +145,17 @@
 		return
 	}
 	c.scheduler, c.peerName = hello.Name, name
-	if peer == protocol.RoleClient { // a client connects to a scheduler
+	if peer == protocol.RoleClient { // the target is the scheduler
 		c.scheduler, c.peerName = name, hello.Name
 	}
 	dialed := time.Now()
-	called, err := loopback.Dial(target(), dialTimeout)
+	targetConn, err := loopback.Dial(target(), dialTimeout)
 	if err != nil {
 		loopback.Reset(caller)
 		return
 	}
-	if c.setEnd(fromCalled, called) != nil || !p.add(c) {
-		loopback.CloseQuietly(called)
+	if c.setEnd(fromTarget, targetConn) != nil || !p.add(c) {
+		loopback.CloseQuietly(targetConn)
 		return
 	}
 	p.recorder.addSince(c.entry(Opened), dialed)
@@ -165,7 +165,7 @@
 	delete(p.connections, c)
 }
 
-// add numbers a connection and keeps it; false once the proxy is closed.
+// add registers a connection under a new ID; it returns false if the proxy has been closed.
 func (p *Proxy) add(c *connection) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/faultproxy/record.go
+++ b/internal/testbed/faultproxy/record.go
@@ -1,5 +1,5 @@
-// Package faultproxy sits on the connections between schedulers and what they talk to. It forwards frames, records what
-// passed and when, and injects faults of the network. A scheduler does not know of it.
+// Package faultproxy is a proxy on the connections between schedulers and their peers. It forwards frames, records them
+// with their times and injects network faults. It is transparent to schedulers.
 package faultproxy
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// The formats: that which is written, and that before it, in which entries have no lag.
+// The current format and its predecessor, in which entries have no lag.
 const (
 	format         = "glenport record 2"
 	formatVersion1 = "glenport record 1"
@@ -23,31 +23,31 @@
 
 const bufferSize = 1 << 20 // bytes
 
-// EntryKind says what an entry of a recording is about.
+// EntryKind is the kind of an entry of a recording.
 type EntryKind uint8
 
-// The kinds of entries. Their values are part of the format.
+// The kinds of entries. The values are part of the format.
 const (
-	Opened        EntryKind = 1 + iota // a connection, once the caller has sent its hello and the target is reached
-	Closed                             // the scheduler's end of a connection
-	FromScheduler                      // a frame that a scheduler sent, when it was sent
-	ToScheduler                        // a frame to a scheduler, just before it was forwarded
-	Killed                             // a scheduler's process
-	Started                            // a scheduler's process
-	Lost                               // a frame to a scheduler that the network lost
+	Opened        EntryKind = 1 + iota // a connection was opened: hello received, target connected
+	Closed                             // the scheduler's end of a connection was closed
+	FromScheduler                      // a frame from a scheduler, at the time it was sent
+	ToScheduler                        // a frame to a scheduler, just before it is forwarded
+	Killed                             // a scheduler's process was killed
+	Started                            // a scheduler's process was started
+	Lost                               // a frame to a scheduler that a fault dropped
 )
 
-// Entry is one entry of a recording. The names in the tags, and the order of the fields, are those of the format.
+// Entry is one entry of a recording. The names in the tags and the order of the fields are part of the format.
 type Entry struct {
 	_         struct{}      `cbor:",toarray"`
 	At        int64         `cbor:"At"` // tenths of a millisecond since the recording began
 	Kind      EntryKind     `cbor:"Sort"`
 	ConnID    uint32        `cbor:"Link"`
 	Scheduler string        `cbor:"Placer"`
-	Peer      protocol.Role `cbor:"Far"`   // what is at the other end
-	PeerName  string        `cbor:"Name"`  // of that
+	Peer      protocol.Role `cbor:"Far"`   // role of the other end
+	PeerName  string        `cbor:"Name"`  // name of the other end
 	Frame     []byte        `cbor:"Frame"` // without its length prefix
-	Lag       int64         `cbor:"Lag"`   // measured time before At since when it may have been so, in the unit of At
+	Lag       int64         `cbor:"Lag"`   // the event happened between At-Lag and At; in the unit of At
 }
 
 // entryVersion1 is an entry of version 1 of the format.
@@ -69,22 +69,22 @@
 	}
 }
 
-// Decoded is the frame of an entry.
+// Decoded decodes the frame of an entry.
 func (e *Entry) Decoded() (protocol.Frame, error) { return protocol.Decode(e.Frame) }
 
-// Header says against what a recording is to be checked.
+// Header holds the settings against which a recording is checked.
 type Header struct {
 	_          struct{}         `cbor:",toarray"`
 	Format     string           `cbor:"Format"`
 	Config     scheduler.Config `cbor:"Terms"`
 	DrainGrace scheduler.Time   `cbor:"DrainGrace"`
-	Slack      scheduler.Time   `cbor:"Slack"` // by which a recorded time may differ from a scheduler's own
+	Slack      scheduler.Time   `cbor:"Slack"` // maximum difference between a recorded time and the scheduler's time
 }
 
-// FormatError says that a file is no recording of a known format.
+// FormatError reports that a file is not a recording of a known format.
 type FormatError struct {
 	Path  string
-	Cause error // of decoding the header; nil where it names another format
+	Cause error // error of decoding the header; nil if the header names an unknown format
 }
 
 func (e *FormatError) Error() string {
@@ -94,7 +94,7 @@
 // Unwrap returns the cause.
 func (e *FormatError) Unwrap() error { return e.Cause }
 
-// entryDecoders decode an entry, by the format of the recording.
+// entryDecoders holds the functions that decode an entry, by the format of the recording.
 var entryDecoders = map[string]func(*cbor.Decoder, *Entry) error{
 	format: func(decoder *cbor.Decoder, entry *Entry) error { return decoder.Decode(entry) },
 	formatVersion1: func(decoder *cbor.Decoder, entry *Entry) error {
@@ -105,14 +105,14 @@
 	},
 }
 
-// Read reads a recording's header, then calls each for every entry. It stops at the first error of each. A file of
-// another format is a *FormatError.
+// Read reads the header of a recording and calls each for every entry until it returns an error. For a file of an
+// unknown format it returns a *FormatError.
 func Read(path string, header *Header, each func(*Entry) error) error {
 	file, err := os.Open(path)
 	if err != nil {
-		return fmt.Errorf("read a recording: %w", err)
+		return fmt.Errorf("open recording: %w", err)
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // opened for reading only
 	decoder := cbor.NewDecoder(bufio.NewReaderSize(file, bufferSize))
 	if err := decoder.Decode(header); err != nil {
 		return &FormatError{Path: path, Cause: err}
--- a/internal/testbed/faultproxy/record_test.go
+++ b/internal/testbed/faultproxy/record_test.go
@@ -18,8 +18,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// goldenRecord is a recording of a version of the format, and its contents in words.
-type goldenRecord struct{ format, record, words string }
+// goldenRecord holds the paths of a recording in one version of the format and of its contents as text.
+type goldenRecord struct{ format, record, contents string }
 
 var (
 	goldenVersion1 = goldenRecord{"glenport record 1", "testdata/record.bin", "testdata/record.txt"}
@@ -62,7 +62,7 @@
 	return frames.Encode(t, f)[lengthPrefixSize:]
 }
 
-// connEntry is an entry on a connection, with a number of its own in each field, counted from at.
+// connEntry returns an entry for a connection with a different number in each field, counted from at.
 func connEntry(at int64, kind EntryKind, peer protocol.Role, peerName string, frame []byte) Entry {
 	return Entry{
 		At: at, Kind: kind, ConnID: uint32(at + 1), Scheduler: fmt.Sprint("scheduler-", at+2),
@@ -90,8 +90,8 @@
 	}
 }
 
-// words lists what a record holds, by the names that the fields had when the format was made.
-func words(h Header, entries []Entry) string {
+// formatContents prints the contents of a recording under the field names of the format.
+func formatContents(h Header, entries []Entry) string {
 	var out strings.Builder
 	c := h.Config
 	row(&out, "Format %q, DrainGrace %d, Slack %d", h.Format, h.DrainGrace, h.Slack)
@@ -159,10 +159,10 @@
 	return h, entries
 }
 
-// A record that an earlier version wrote is read with each of its values, and encoded again to the same bytes.
+// A recording that an earlier release wrote must be decoded with all its values and encoded again to the same bytes.
 func TestGoldenRecordIsRead(t *testing.T) { testGoldenRecord(t, goldenVersion2, goldenEntries(t)) }
 
-// So is one of version 1 of the format, in which entries have no lag.
+// The same holds for version 1 of the format, in which entries have no lag.
 func TestGoldenRecordOfVersion1IsRead(t *testing.T) {
 	entries := goldenEntries(t)
 	for i := range entries {
@@ -177,29 +177,29 @@
 	wantHeader.Format = record.format
 	if golden.Updating() {
 		testutil.WriteFile(t, record.record, encoded(t, wantHeader, wantEntries))
-		testutil.WriteFile(t, record.words, []byte(words(wantHeader, wantEntries)))
+		testutil.WriteFile(t, record.contents, []byte(formatContents(wantHeader, wantEntries)))
 	}
 	file := testutil.ReadFile(t, record.record)
-	text := testutil.ReadFile(t, record.words)
+	text := testutil.ReadFile(t, record.contents)
 	h, entries := readAll(t, record.record)
 	testutil.Expect(t, reflect.DeepEqual(h, wantHeader), "header %+v, want %+v", h, wantHeader)
 	testutil.Expect(t, reflect.DeepEqual(entries, wantEntries), "entries %+v, want %+v", entries, wantEntries)
-	if got := words(h, entries); got != string(text) {
+	if got := formatContents(h, entries); got != string(text) {
 		t.Errorf("read\n%swant\n%s", got, text)
 	}
 	if got := encoded(t, h, entries); !bytes.Equal(got, file) {
 		t.Errorf("encoded as\n%x, want\n%x", got, file)
 	}
 	if f, err := entries[1].Decoded(); err != nil || f.(*protocol.Offer).AttemptID != 7015 {
-		t.Errorf("a frame of the record is %+v, %v", f, err)
+		t.Errorf("decoded frame is %+v, %v", f, err)
 	}
 }
 
-// What the writer writes is the header and each entry in turn, stamped in order.
+// The writer must write the header and all entries in order, with ascending timestamps.
 func TestWrittenRecordIsReadAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "record")
 	h := goldenHeader()
-	h.Format = "" // the writer's to set
+	h.Format = "" // set by the writer
 	w, err := Create(path, h)
 	testutil.NoError(t, err)
 	want := goldenEntries(t)
@@ -216,14 +216,14 @@
 	testutil.Expect(t, bytes.Equal(again, file), "encoded as\n%x, want\n%x", again, file)
 	last := int64(0)
 	for i := range entries {
-		testutil.Expect(t, entries[i].At >= last, "entry %d is of %d, after one of %d", i, entries[i].At, last)
+		testutil.Expect(t, entries[i].At >= last, "entry %d is at %d, after an entry at %d", i, entries[i].At, last)
 		last = entries[i].At
 		entries[i].At = want[i].At
 	}
 	testutil.Expect(t, reflect.DeepEqual(entries, want), "entries %+v, want %+v", entries, want)
 }
 
-// A file of another format, and one that ends in an entry, are refused.
+// A file of an unknown format and a file that ends within an entry must be rejected.
 func TestDamagedRecordIsRefused(t *testing.T) {
 	other := goldenHeader()
 	other.Format = "glenport record 3"
--- a/internal/testbed/faultproxy/sampler.go
+++ b/internal/testbed/faultproxy/sampler.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// sampleInterval is the time between two samples of what has arrived from the schedulers. The measured lag of an entry
-// that was recorded at once is at most this.
+// sampleInterval is the time between two samples of the streams of the schedulers. It bounds the lag of an entry that
+// was recorded without delay.
 const sampleInterval = 5 * time.Millisecond
 
-// sampler samples the streams of all schedulers at intervals. It shares no lock with those who forward and record, so
-// that it samples on while they are late.
+// sampler samples the streams of all schedulers periodically. It shares no lock with forwarding and recording, so that
+// delays of these do not delay the samples.
 type sampler struct {
 	mu      sync.Mutex
-	streams map[*arrivals]bool
+	streams map[*arrivalTracker]bool
 }
 
-func (s *sampler) add(a *arrivals) {
+func (s *sampler) add(a *arrivalTracker) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.streams[a] = true
 }
 
-func (s *sampler) remove(a *arrivals) {
+func (s *sampler) remove(a *arrivalTracker) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.streams, a)
 }
 
-// run samples until it is told to stop.
+// run samples until stop is closed.
 func (s *sampler) run(stop <-chan struct{}) {
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
@@ -46,6 +46,6 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for a := range s.streams {
-		_ = a.sample() // fails on a connection that is being closed: its earlier samples stand
+		_ = a.sample() // fails on a closed connection, which keeps its earlier samples
 	}
 }
--- a/internal/testbed/faultproxy/stream.go
+++ b/internal/testbed/faultproxy/stream.go
@@ -7,10 +7,10 @@
 	"glenport/internal/testbed/loopback"
 )
 
-// maxQueuedFrames is more than the buffers of any real connection hold.
+// maxQueuedFrames is more than the buffers of a real connection hold.
 const maxQueuedFrames = 100_000
 
-// sender is which of the two ends of a connection sends what a stream carries.
+// sender is the end of a connection that sends a stream.
 type sender int
 
 const (
@@ -23,17 +23,17 @@
 	*connection
 	source, destination net.Conn
 	sender              sender
-	position            uint64 // up to which it was read
+	position            uint64 // number of bytes read from the source
 }
 
-// queuedFrame is a frame on its way.
+// queuedFrame is a frame that waits for delivery.
 type queuedFrame struct {
 	frame  rawFrame
 	sentAt time.Time
 }
 
-// forward carries the first frame, where one was read already, and what the source sends after it. Reading never waits
-// for a fault to end: what a scheduler sends is recorded when it is sent.
+// forward forwards the first frame, if it has been read already, and all later frames of the source. Reading does not
+// wait for the end of a fault, so that the frames of a scheduler are recorded when they are sent.
 func (s *stream) forward(first rawFrame) {
 	queue := make(chan queuedFrame, maxQueuedFrames)
 	delivered := make(chan struct{})
@@ -53,8 +53,8 @@
 		}
 		s.enqueue(queue, frame)
 	}
-	// What a peer sent before it closed still arrives where the network lets it. A scheduler's end counts at once, and
-	// what it had sent is lost with it.
+	// Frames that a peer sent before it closed are still delivered unless a fault prevents it. The close of a scheduler
+	// is recorded at once, and its undelivered frames are lost.
 	if s.sender == senderScheduler {
 		s.recordClose()
 	}
@@ -69,18 +69,18 @@
 	}
 	select {
 	case queue <- queuedFrame{frame, time.Now()}:
-	default: // a real network would have blocked the sender long before
+	default: // a real network would have blocked the sender before
 		loopback.CloseQuietly(s.source)
 	}
 }
 
-// deliver writes a frame to the destination, unless the network loses it. A frame to a scheduler is recorded before it
-// is written: the scheduler may answer at once, and the recording must not show the answer first.
+// deliver writes a frame to the destination, unless a fault drops it. A frame to a scheduler is recorded before it is
+// written: the scheduler may reply at once, and the reply must not precede the frame in the recording.
 func (s *stream) deliver(queued queuedFrame) {
 	if !s.awaitDelivery(queued) {
 		return
 	}
-	if s.sender == senderPeer && !s.recordAhead(ToScheduler, queued.frame) {
+	if s.sender == senderPeer && !s.recordBeforeForward(ToScheduler, queued.frame) {
 		return
 	}
 	if _, err := s.destination.Write(queued.frame); err != nil {
@@ -88,14 +88,14 @@
 	}
 }
 
-// awaitDelivery waits for the end of a partition and for the delay, and reports whether the frame arrives at all.
+// awaitDelivery waits for the end of a partition and for the delay. It returns false if the frame must be dropped.
 func (s *stream) awaitDelivery(queued queuedFrame) bool {
 	fault, open := s.awaitPartitionEnd()
 	if !open {
 		return false
 	}
-	if s.sender == senderPeer && queued.frame.isAccept() && s.proxy.chance(fault.LoseAccepts) {
-		s.recordAhead(Lost, queued.frame)
+	if s.sender == senderPeer && queued.frame.isAccept() && s.proxy.chance(fault.AcceptLoss) {
+		s.recordBeforeForward(Lost, queued.frame)
 		return false
 	}
 	time.Sleep(fault.Delay - time.Since(queued.sentAt))
--- a/internal/testbed/faultproxy/writer.go
+++ b/internal/testbed/faultproxy/writer.go
@@ -13,8 +13,8 @@
 
 const recordingTick = 100 * time.Microsecond // the unit of Entry.At
 
-// Writer writes a recording; any goroutine may use it. Entries are stamped and ordered at once, and encoded and written
-// by a goroutine of the writer: a slow disk must not delay the frames.
+// Writer writes a recording. It may be used from any goroutine. Entries are timestamped and ordered at once, but
+// encoded and written by a separate goroutine: a slow disk must not delay the frames.
 type Writer struct {
 	startedAt time.Time
 	mu        sync.Mutex
@@ -24,11 +24,11 @@
 	result    chan error
 }
 
-// Create begins a recording in a file. It sets the header's format.
+// Create creates the file of a recording and sets the format of its header.
 func Create(path string, header Header) (*Writer, error) {
 	file, err := os.Create(path)
 	if err != nil {
-		return nil, fmt.Errorf("create a recording: %w", err)
+		return nil, fmt.Errorf("create recording: %w", err)
 	}
 	w := &Writer{startedAt: time.Now(), result: make(chan error, 1)}
 	w.wake = sync.NewCond(&w.mu)
@@ -37,8 +37,8 @@
 	return w, nil
 }
 
-// writeAll encodes pending entries until the end. It goes on after an error, so that nobody waits, and returns the
-// first.
+// writeAll encodes pending entries until the recording ends. After an error it continues, so that the entries do not
+// pile up, and returns the first error.
 func (w *Writer) writeAll(file *os.File, header Header) error {
 	out := bufio.NewWriterSize(file, bufferSize)
 	encoder := cbor.NewEncoder(out)
@@ -56,7 +56,7 @@
 	}
 }
 
-// takePending waits for entries; none once the recording has ended.
+// takePending waits for entries and returns them; it returns none once the recording has ended.
 func (w *Writer) takePending() []Entry {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -68,14 +68,14 @@
 	return entries
 }
 
-// add adds an entry on what takes effect only once it is recorded.
+// add adds an entry for an event that takes effect only after it has been recorded.
 func (w *Writer) add(entry Entry) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.append(entry, time.Now())
 }
 
-// addSince adds an entry on what may have been so since a moment, and not before.
+// addSince adds an entry for an event that happened at some time between since and now.
 func (w *Writer) addSince(entry Entry, since time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -84,22 +84,22 @@
 	w.append(entry, now)
 }
 
-// append stamps an entry. The lock is held.
+// append timestamps and queues an entry. The lock is held.
 func (w *Writer) append(entry Entry, now time.Time) {
 	entry.At = int64(now.Sub(w.startedAt) / recordingTick)
 	w.pending = append(w.pending, entry)
 	w.wake.Signal()
 }
 
-// RecordStart records that a scheduler's process is started; it does not run yet.
+// RecordStart records the start of a scheduler's process, just before it is started.
 func (w *Writer) RecordStart(scheduler string) { w.add(Entry{Kind: Started, Scheduler: scheduler}) }
 
-// RecordKill records that a scheduler's process was killed at some time since a moment.
+// RecordKill records that a scheduler's process was killed at some time between since and now.
 func (w *Writer) RecordKill(scheduler string, since time.Time) {
 	w.addSince(Entry{Kind: Killed, Scheduler: scheduler}, since)
 }
 
-// Close ends the recording and returns the first error met in writing it.
+// Close ends the recording and returns the first write error.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	w.ended = true
--- a/internal/testbed/faults/injector.go
+++ b/internal/testbed/faults/injector.go
@@ -101,7 +101,7 @@
 		for _, rule := range rules {
 			fault := rule(scheduler, peerRole, peer)
 			combined.Partitioned = combined.Partitioned || fault.Partitioned
-			combined.LoseAccepts = max(combined.LoseAccepts, fault.LoseAccepts)
+			combined.AcceptLoss = max(combined.AcceptLoss, fault.AcceptLoss)
 			combined.Delay = max(combined.Delay, fault.Delay)
 		}
 		return combined
--- a/internal/testbed/faults/networkfaults.go
+++ b/internal/testbed/faults/networkfaults.go
@@ -55,7 +55,7 @@
 func (lostAnswers) inject(i *Injector, f Fault) {
 	remove := i.addNetworkRule(func(_ string, peerRole protocol.Role, _ string) faultproxy.Fault {
 		if peerRole == protocol.RoleMachine {
-			return faultproxy.Fault{LoseAccepts: f.Size}
+			return faultproxy.Fault{AcceptLoss: f.Size}
 		}
 		return faultproxy.Fault{}
 	})
