--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -1,5 +1,5 @@
-// Package cluster starts clusters on loopback: emulated machines, list and clients, real scheduler processes, and the
-// proxies between them that record what passes and inject faults.
+// Package cluster starts clusters on loopback: emulated machines, machine list and clients, real scheduler processes,
+// and proxies between them that record frames and inject faults.
 package cluster
 
 import (
@@ -18,8 +18,7 @@
 // readyTimeout bounds the time until all schedulers know all machines.
 const readyTimeout = 20 * time.Second
 
-// Cluster is a running cluster: emulated machines, list and clients, real schedulers, and proxies between them that
-// record and inject faults.
+// Cluster is a running cluster.
 type Cluster struct {
 	Dir        string
 	Machines   []*emulator.Machine
@@ -27,8 +26,8 @@
 	Net        *faultproxy.Proxy
 	Clients    *emulator.Clients
 	Schedulers []*process.Scheduler
-	Config     *config.Scheduler // the template that the schedulers' settings derive from
-	ListAddr   string            // the list's own, without a proxy
+	Config     *config.Scheduler // template of the schedulers' settings
+	ListAddr   string            // of the machine list itself, not of its proxy
 	recording  *faultproxy.Writer
 }
 
@@ -48,7 +47,7 @@
 		}
 		if time.Now().After(end) {
 			return fmt.Errorf(
-				"%d of %d schedulers know their %d machines after 20 s",
+				"only %d of %d schedulers know all %d machines after 20 s",
 				ready,
 				len(c.Schedulers),
 				len(c.Machines),
@@ -57,21 +56,21 @@
 	}
 }
 
-// WaitForReplies waits until no client waits for a reply, for a time at most.
+// WaitForReplies waits until all submissions have a reply, but not longer than atMost.
 func (c *Cluster) WaitForReplies(atMost time.Duration) {
 	for end := time.Now().Add(atMost); c.Clients.Pending() > 0 && time.Now().Before(end); {
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// FreezeAll stops all machines from answering.
+// FreezeAll freezes all machines.
 func (c *Cluster) FreezeAll() {
 	for _, m := range c.Machines {
 		m.Freeze()
 	}
 }
 
-// UnfreezeAll lets all machines answer again.
+// UnfreezeAll thaws all machines.
 func (c *Cluster) UnfreezeAll() {
 	for _, m := range c.Machines {
 		m.Thaw()
@@ -82,12 +81,12 @@
 func (c *Cluster) CloseAndAudit() (*audit.Report, error) {
 	path := c.recordingPath()
 	if err := c.Close(); err != nil {
-		return nil, fmt.Errorf("the record is not whole: %w", err)
+		return nil, fmt.Errorf("recording is incomplete: %w", err)
 	}
 	return audit.CheckRecording(path)
 }
 
-// Close ends all that was started and finishes the recording. It may be called again.
+// Close stops all processes and emulated peers and ends the recording. It may be called repeatedly.
 func (c *Cluster) Close() error {
 	for _, p := range c.Schedulers {
 		p.Close(syscall.SIGTERM)
@@ -110,5 +109,5 @@
 	return recording.Close()
 }
 
-// Shutdown closes the cluster after a failure, or once Close has been called and its error reported.
+// Shutdown closes the cluster and ignores the error. It is for cleanup after a failure or after a call of Close.
 func (c *Cluster) Shutdown() { _ = c.Close() }
--- a/internal/testbed/cluster/query.go
+++ b/internal/testbed/cluster/query.go
@@ -6,7 +6,7 @@
 	"glenport/internal/testbed/emulator"
 )
 
-// StatusByScheduler returns the stats of each scheduler that answers, by its name.
+// StatusByScheduler returns the stats of each scheduler that answers, by scheduler name.
 func (c *Cluster) StatusByScheduler() map[string]map[string]float64 {
 	status := map[string]map[string]float64{}
 	for _, p := range c.Schedulers {
@@ -17,7 +17,7 @@
 	return status
 }
 
-// CountOverloaded counts the machines that failed under load while in slow start.
+// CountOverloaded counts the machines that crashed from too many offers during slow start.
 func (c *Cluster) CountOverloaded() int {
 	n := 0
 	for _, m := range c.Machines {
@@ -28,7 +28,7 @@
 	return n
 }
 
-// Machine returns the machine of a name.
+// Machine returns the machine with a name.
 func (c *Cluster) Machine(name string) (*emulator.Machine, error) {
 	for _, m := range c.Machines {
 		if m.Name == name {
@@ -38,7 +38,7 @@
 	return nil, fmt.Errorf("the cluster has no machine %q", name)
 }
 
-// CountRunning counts the containers that run, by the machines' own state.
+// CountRunning counts the running containers on all machines that answer.
 func (c *Cluster) CountRunning() int {
 	n := 0
 	for _, m := range c.Machines {
@@ -59,7 +59,7 @@
 	return machines
 }
 
-// MachineNames returns the set of the names of some machines.
+// MachineNames returns the names of machines as a set.
 func MachineNames(machines []*emulator.Machine) map[string]bool {
 	names := map[string]bool{}
 	for _, m := range machines {
--- a/internal/testbed/cluster/scheduler.go
+++ b/internal/testbed/cluster/scheduler.go
@@ -10,7 +10,7 @@
 	"glenport/internal/testbed/process"
 )
 
-// addScheduler writes a scheduler's settings, starts it and opens the proxy by which clients reach it.
+// addScheduler writes the settings of a scheduler, opens the proxy between clients and scheduler, and starts it.
 func (c *Cluster) addScheduler(s Spec, index int, listProxy string, program []string) error {
 	name := fmt.Sprint("scheduler-", index)
 	path := filepath.Join(c.Dir, name)
@@ -39,14 +39,14 @@
 	return c.StartScheduler(p)
 }
 
-// StartScheduler starts a scheduler and notes it in the recording.
+// StartScheduler records the start of a scheduler and starts it.
 func (c *Cluster) StartScheduler(p *process.Scheduler) error {
 	c.recording.RecordStart(p.Name)
 	return p.Start()
 }
 
-// KillScheduler ends a scheduler by SIGKILL and notes it in the recording, once what it sent last has passed the
-// proxies: it would otherwise be recorded as sent by the next incarnation.
+// KillScheduler kills a scheduler with SIGKILL and records that after the proxies have recorded its last frames: they
+// would otherwise be attributed to the next incarnation.
 func (c *Cluster) KillScheduler(p *process.Scheduler) {
 	killed := time.Now()
 	p.Stop(syscall.SIGKILL)
@@ -54,8 +54,8 @@
 	c.recording.RecordKill(p.Name, killed)
 }
 
-// StartController starts a controller before the cluster's schedulers and waits until it knows all machines. It submits
-// to addresses, or to the schedulers' own where none are given; with a state folder it persists its jobs.
+// StartController starts a controller for the schedulers of the cluster and waits until it knows all machines. It
+// submits to addresses, or to the listeners of the schedulers if that is nil. With a state folder it persists its jobs.
 func (c *Cluster) StartController(program string, addresses []string, stateDir string) (*process.Controller, error) {
 	if addresses == nil {
 		for _, p := range c.Schedulers {
--- a/internal/testbed/cluster/spec.go
+++ b/internal/testbed/cluster/spec.go
@@ -10,76 +10,76 @@
 	"glenport/scheduler"
 )
 
-// Spec says what a cluster consists of.
+// Spec describes a cluster.
 type Spec struct {
 	Seed          uint64
 	Schedulers    int
-	Template      string // path of the settings file that every scheduler's own is derived from
+	Template      string // path of the settings file from which those of all schedulers are derived
 	Zones         []string
 	MachineCounts []MachineCount
-	Machine       emulator.MachineSpec // what all machines have in common
+	Machine       emulator.MachineSpec // settings common to all machines
 	List          ListTiming
 	Workloads     []emulator.WorkloadProfile // by workload class
 	DrainGrace    scheduler.Time
 	Slack         scheduler.Time
-	BGP           *config.BGP // what every scheduler announces; nil: as the template says
+	BGP           *config.BGP // overrides the BGP settings of the template unless nil
 }
 
-// MachineCount is how many machines of a type each zone has.
+// MachineCount is the number of machines of a type in each zone.
 type MachineCount struct {
 	MachineType string
 	PerZone     int
 }
 
-// ListTiming is how the machine list lags behind the machines and how often it may be called.
+// ListTiming sets how far the machine list lags behind the machines and how often it may be called.
 type ListTiming struct {
 	Lag, FailureDetection, PollInterval time.Duration
 	CallsPerSecond                      int
 }
 
-// machinesPerRackGroup machines of one type share a rack group; rackGroupsPerZone bounds their numbers.
+// rackGroupsPerZone is an upper bound that keeps the rack group indexes of zones apart.
 const (
-	machinesPerRackGroup = 4
+	machinesPerRackGroup = 4 // of one machine type
 	rackGroupsPerZone    = 1000
 )
 
-// machineShapes returns the cluster's machines, zone by zone.
-func (s *Spec) machineShapes(settings *config.Scheduler) []emulator.MachineSpec {
+// machineSpecs returns the specs of all machines, zone by zone.
+func (s *Spec) machineSpecs(settings *config.Scheduler) []emulator.MachineSpec {
 	base := s.machineDefaults(settings)
 	typeIndex := map[string]int{}
 	for i, name := range settings.MachineTypes {
 		typeIndex[name] = i
 	}
-	var shapes []emulator.MachineSpec
+	var specs []emulator.MachineSpec
 	for zone, zoneName := range s.Zones {
 		for _, count := range s.MachineCounts {
 			index := typeIndex[count.MachineType]
 			machineType := settings.Policy.MachineTypes[index]
 			for i := range count.PerZone {
-				shape := base
-				shape.Name = fmt.Sprintf("%s-%s-%d", zoneName, count.MachineType, i)
-				shape.Zone, shape.ZoneIndex = zoneName, zone
-				shape.MachineTypeIndex = index
-				shape.RackGroupIndex = zone*rackGroupsPerZone + i/machinesPerRackGroup
-				shape.Cores, shape.Memory = machineType.Cores, machineType.Memory
-				shapes = append(shapes, shape)
+				spec := base
+				spec.Name = fmt.Sprintf("%s-%s-%d", zoneName, count.MachineType, i)
+				spec.Zone, spec.ZoneIndex = zoneName, zone
+				spec.MachineTypeIndex = index
+				spec.RackGroupIndex = zone*rackGroupsPerZone + i/machinesPerRackGroup
+				spec.Cores, spec.Memory = machineType.Cores, machineType.Memory
+				specs = append(specs, spec)
 			}
 		}
 	}
-	return shapes
+	return specs
 }
 
-// machineDefaults adds to the cluster's machine what the scheduler's settings promise of all machines.
+// machineDefaults completes the common machine settings with those that follow from the scheduler's settings.
 func (s *Spec) machineDefaults(settings *config.Scheduler) emulator.MachineSpec {
 	policy := settings.Policy
-	shape := s.Machine
-	shape.AcceptCores, shape.AcceptMemory = policy.CoresOvercommit, policy.MemoryOvercommit
-	shape.SlowStartPeriod = time.Duration(policy.SlowStartPeriod) * process.Tick
-	shape.SlowStartWindow = time.Duration(policy.SlowStartWindow) * process.Tick
-	shape.AcceptMeansRunning, shape.UsageReports = policy.AcceptMeansRunning, policy.UsageReports
+	spec := s.Machine
+	spec.AcceptCores, spec.AcceptMemory = policy.CoresOvercommit, policy.MemoryOvercommit
+	spec.SlowStartPeriod = time.Duration(policy.SlowStartPeriod) * process.Tick
+	spec.SlowStartWindow = time.Duration(policy.SlowStartWindow) * process.Tick
+	spec.AcceptMeansRunning, spec.UsageReports = policy.AcceptMeansRunning, policy.UsageReports
 	for _, class := range policy.WorkloadClasses {
-		shape.RequiredMachineType = append(shape.RequiredMachineType, class.MachineType)
-		shape.EvictionRank = append(shape.EvictionRank, int(class.PriorityWeight*100))
+		spec.RequiredMachineType = append(spec.RequiredMachineType, class.MachineType)
+		spec.EvictionRank = append(spec.EvictionRank, int(class.PriorityWeight*100))
 	}
-	return shape
+	return spec
 }
--- a/internal/testbed/cluster/start.go
+++ b/internal/testbed/cluster/start.go
@@ -9,7 +9,7 @@
 	"glenport/internal/testbed/faultproxy"
 )
 
-// Start starts a cluster with its files in dir, and returns when all schedulers know all machines.
+// Start starts a cluster with its files in dir and waits until all schedulers know all machines.
 func Start(s Spec, dir string, program []string) (_ *Cluster, err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
@@ -54,15 +54,15 @@
 	return nil
 }
 
-// startMachines starts the machines and returns the address of the proxy before each.
+// startMachines starts the machines and returns the proxy address of each.
 func (c *Cluster) startMachines(s Spec) (map[*emulator.Machine]string, error) {
 	groups := make([]*emulator.DedupGroup, len(s.Zones))
 	for i := range groups {
 		groups[i] = &emulator.DedupGroup{}
 	}
 	proxies := map[*emulator.Machine]string{}
-	for i, shape := range s.machineShapes(c.Config) {
-		m := emulator.NewMachine(shape, groups[shape.ZoneIndex], s.Seed+uint64(i))
+	for i, spec := range s.machineSpecs(c.Config) {
+		m := emulator.NewMachine(spec, groups[spec.ZoneIndex], s.Seed+uint64(i))
 		c.Machines = append(c.Machines, m)
 		if err := m.Start(true); err != nil {
 			return nil, err
@@ -76,7 +76,7 @@
 	return proxies, nil
 }
 
-// startList starts the machine list, which knows machines by their proxies, and returns the address of its own proxy.
+// startList starts the machine list, which lists the proxy addresses of machines, and returns its own proxy address.
 func (c *Cluster) startList(timing ListTiming, proxies map[*emulator.Machine]string) (proxy string, err error) {
 	c.List = &emulator.MachineList{
 		Lag:              timing.Lag,
