--- a/internal/testbed/loopback/loopback.go
+++ b/internal/testbed/loopback/loopback.go
@@ -1,4 +1,4 @@
-// Package loopback opens and ends the TCP connections of the test bed, all of which stay on this machine.
+// Package loopback opens and closes the TCP connections of the test bed, which all use the loopback interface.
 package loopback
 
 import (
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// AnyPort is the address of a listener whose port the operating system chooses.
+// AnyPort is a listen address with a port chosen by the operating system.
 const AnyPort = "127.0.0.1:0"
 
-// Listen opens a listener.
+// Listen opens a TCP listener.
 func Listen(address string) (net.Listener, error) {
 	var config net.ListenConfig
 	return config.Listen(context.Background(), "tcp", address)
@@ -23,13 +23,13 @@
 	return config.ListenPacket(context.Background(), "udp", address)
 }
 
-// Dial connects to an address within a time limit.
+// Dial opens a TCP connection with a time limit.
 func Dial(address string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout}
 	return dialer.DialContext(context.Background(), "tcp", address)
 }
 
-// AcceptAll hands each accepted connection to serve until the listener is closed.
+// AcceptAll calls serve for each accepted connection until the listener is closed.
 func AcceptAll(listener net.Listener, serve func(net.Conn)) {
 	for {
 		conn, err := listener.Accept()
@@ -40,14 +40,14 @@
 	}
 }
 
-// CloseQuietly closes a connection or listener that is no longer wanted. The error is ignored: whoever reads from it
-// sees the end either way, and nothing buffered is owed to the other side.
+// CloseQuietly closes a connection or listener and ignores the error: readers see the end in any case, and there is no
+// buffered data to lose.
 func CloseQuietly(c io.Closer) { _ = c.Close() }
 
-// Reset closes a connection with a TCP reset in place of an orderly end.
+// Reset closes a connection with a TCP reset.
 func Reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails only on a connection that is closed already
+		_ = tcp.SetLinger(0) // fails only if the connection is closed already
 	}
 	CloseQuietly(conn)
 }
--- a/internal/testbed/loopback/reservation.go
+++ b/internal/testbed/loopback/reservation.go
@@ -7,8 +7,8 @@
 	"net"
 )
 
-// The ports that are given to servers lie below those that systems choose from for the local end of a connection
-// (32768 and up on Linux, 49152 and up elsewhere), and above those of common services.
+// Server ports are chosen below the ephemeral port range (from 32768 on Linux, from 49152 elsewhere) and above the
+// ports of common services.
 const (
 	firstPort    = 20000
 	lastPort     = 32767
@@ -17,15 +17,15 @@
 
 var errNoPort = errors.New("no free port between 20000 and 32767")
 
-// Reservation is a TCP port on loopback that a server listens on, also when it is started again after a crash. No
-// connection takes it meanwhile, as it lies outside the range for these, and no other test bed does, as the UDP port of
-// the same number is held for as long as the reservation lasts.
+// Reservation reserves a TCP port on loopback for a server, also while it restarts after a crash. Outgoing connections
+// cannot take the port, as it is outside the ephemeral range. Other test beds cannot either, as the reservation holds
+// the UDP port of the same number.
 type Reservation struct {
 	Address string // of the TCP port
 	holder  net.PacketConn
 }
 
-// Reserve reserves a port at random that nobody listens on. It fails if none of many is free.
+// Reserve reserves a random free port. It fails if no attempt finds one.
 func Reserve() (*Reservation, error) {
 	for range portAttempts {
 		number := firstPort + rand.IntN(lastPort-firstPort+1)
@@ -47,9 +47,9 @@
 		CloseQuietly(holder)
 		return nil, err
 	}
-	CloseQuietly(listener) // the server opens it
+	CloseQuietly(listener) // only checks that the TCP port is free
 	return &Reservation{Address: address, holder: holder}, nil
 }
 
-// Release gives the port up, once the server has ended for good.
+// Release frees the port.
 func (r *Reservation) Release() { CloseQuietly(r.holder) }
--- a/internal/testbed/loopback/reservation_test.go
+++ b/internal/testbed/loopback/reservation_test.go
@@ -7,17 +7,17 @@
 	"glenport/internal/testutil"
 )
 
-func TestReservedPortIsNobodyElses(t *testing.T) {
+func TestReservedPortIsExclusive(t *testing.T) {
 	port, err := Reserve()
 	testutil.NoError(t, err)
 	_, number, _ := strings.Cut(port.Address, ":")
-	testutil.Expect(t, number >= "20000" && number <= "32767", "port %s may be taken by a connection", number)
+	testutil.Expect(t, number >= "20000" && number <= "32767", "port %s is outside the reserved range", number)
 	if again, err := tryToReserve(port.Address); err == nil {
 		again.Release()
 		t.Error("a port was reserved twice")
 	}
 	port.Release()
 	again, err := tryToReserve(port.Address)
-	testutil.Require(t, err == nil, "a port that was given up cannot be reserved: %v", err)
+	testutil.Require(t, err == nil, "a released port cannot be reserved: %v", err)
 	again.Release()
 }
