--- a/internal/testbed/process/api.go
+++ b/internal/testbed/process/api.go
@@ -9,12 +9,12 @@
 	"net/http"
 )
 
-// Get reads an object or a list of the API.
+// Get sends a GET request to the API and decodes the response.
 func (c *Controller) Get(path string, into any) error {
 	return c.Do(http.MethodGet, path, nil, into)
 }
 
-// Do sends a request and decodes its response, unless into is nil.
+// Do sends a request to the API and decodes the response, unless into is nil.
 func (c *Controller) Do(method, path string, in, into any) error {
 	status, data, err := c.request(method, path, "", in)
 	if err != nil {
@@ -29,9 +29,9 @@
 	return nil
 }
 
-// ChangeJob creates, changes or deletes a job and returns its version. The idempotency key, which a retry has too, goes
-// with a creation only, as the API defines it: net/http resends any request that has the header by itself after its
-// connection is lost, and a change that was sent twice unnoticed may be answered as if it had never been possible.
+// ChangeJob creates, changes or deletes a job and returns its version. Retries use the same idempotency key. The key is
+// sent only with a creation, for which the API defines it: net/http silently resends requests with this header after a
+// lost connection, and the response to a change or delete that was applied twice may be an error.
 func (c *Controller) ChangeJob(method, path, key string, in any) (status int, version int64, err error) {
 	if method != http.MethodPost {
 		key = ""
@@ -64,12 +64,12 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // it has been read to its end
+	defer func() { _ = response.Body.Close() }() // has been read to its end
 	data, err = io.ReadAll(response.Body)
 	return response.StatusCode, data, err
 }
 
-// Watch opens a watch of a kind of object, one JSON line for each event.
+// Watch opens a watch for objects of a kind. The stream has one JSON line per event.
 func (c *Controller) Watch(kind string) (io.ReadCloser, error) {
 	url := "http://" + c.APIAddr + "/v1/watch?kinds=" + kind
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, http.NoBody)
--- a/internal/testbed/process/api_test.go
+++ b/internal/testbed/process/api_test.go
@@ -10,9 +10,9 @@
 	"glenport/internal/testutil"
 )
 
-// A server is killed after it has carried out a change and before it has answered, on a connection that was used
-// before. The client must hear of it: a change that was resent unnoticed finds the job gone, which looks like a loss.
-func TestChangeWithoutReplyIsNotResentUnnoticed(t *testing.T) {
+// A server is killed after it has applied a change and before it has answered, on a reused connection. The client must
+// get an error: a change that is silently resent finds the job gone, which looks like a lost job.
+func TestChangeWithoutReplyIsNotResent(t *testing.T) {
 	for _, method := range []string{http.MethodDelete, http.MethodPut} {
 		t.Run(method, func(t *testing.T) {
 			var changes atomic.Int32
@@ -31,7 +31,7 @@
 			testutil.NoError(t, err)
 			testutil.Expect(t, status == http.StatusOK, "GET: status %d", status)
 			_, _, err = controller.ChangeJob(method, "/v1/jobs/a", "key-1", nil)
-			testutil.Expect(t, err != nil, "a change without a reply has no error")
+			testutil.Expect(t, err != nil, "a change without a reply returned no error")
 			testutil.Expect(t, changes.Load() == 1, "the change was sent %d times", changes.Load())
 		})
 	}
--- a/internal/testbed/process/controller.go
+++ b/internal/testbed/process/controller.go
@@ -13,15 +13,15 @@
 	"glenport/internal/testbed/loopback"
 )
 
-// ControllerTimeout bounds the time until a controller answers and knows all machines.
+// ControllerTimeout limits the time until a controller answers and knows all machines.
 const ControllerTimeout = 20 * time.Second
 
 const (
-	jobTimeout = 30 * time.Second // until a job runs or has ended
-	pageLimit  = 1000             // items that the API lists at most at once
+	jobTimeout = 30 * time.Second // until the containers of a job run or have ended
+	pageLimit  = 1000             // maximum page size of the API
 )
 
-// Controller is a controller's process and a client of its API.
+// Controller is a controller process and a client of its API.
 type Controller struct {
 	APIAddr string
 	port    *loopback.Reservation
@@ -31,19 +31,19 @@
 	process *exec.Cmd
 }
 
-// ControllerSpec says what a controller is started with.
+// ControllerSpec describes a controller process.
 type ControllerSpec struct {
-	Dir             string // for its settings and its log
+	Dir             string // of its settings file and its log
 	Program         string
 	SchedulerFile   string   // settings file of one of the schedulers
-	SchedulerAddrs  []string // that it submits to
+	SchedulerAddrs  []string // schedulers that it submits to
 	MachineListAddr string
-	StateDir        string // where its jobs persist; empty: nowhere
+	StateDir        string // for its persistent state; empty: none
 }
 
-// NewController chooses a port for a controller and writes its settings file.
+// NewController reserves a port for a controller and writes its settings file.
 func NewController(spec ControllerSpec) (*Controller, error) {
-	port, err := loopback.Reserve() // held until the test bed ends: a controller may be started again
+	port, err := loopback.Reserve() // never released: the controller may be restarted
 	if err != nil {
 		return nil, fmt.Errorf("controller: %w", err)
 	}
@@ -68,7 +68,7 @@
 	return controller, writeControllerSettings(controller.file, settings, schedulerFile)
 }
 
-// Start starts the process and waits until it knows so many machines.
+// Start starts the process and waits until it knows the given number of machines.
 func (c *Controller) Start(machines int) error {
 	if err := c.Launch(); err != nil {
 		return err
@@ -80,25 +80,25 @@
 	})
 }
 
-// Launch starts the process.
+// Launch starts the process without waiting.
 func (c *Controller) Launch() error {
 	c.process = exec.CommandContext(context.Background(), c.program, "controller", "-c", c.file)
 	log, err := os.OpenFile(c.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
-	defer loopback.CloseQuietly(log) // the process has a descriptor of its own
+	defer loopback.CloseQuietly(log) // the process has its own descriptor
 	c.process.Stderr = log
 	return c.process.Start()
 }
 
-// Signal sends a signal that ends the process and waits for its exit.
+// Signal sends a terminating signal to the process and waits for its exit.
 func (c *Controller) Signal(s syscall.Signal) {
 	if c.process != nil && c.process.Process != nil {
 		_ = c.process.Process.Signal(s) // fails only if the process has exited already
-		_ = c.process.Wait()            // a process that was killed has no clean exit
+		_ = c.process.Wait()            // returns an error if the process was killed
 	}
 }
 
-// Terminate ends the process in an orderly way.
+// Terminate shuts the process down with SIGTERM.
 func (c *Controller) Terminate() { c.Signal(syscall.SIGTERM) }
--- a/internal/testbed/process/jobs.go
+++ b/internal/testbed/process/jobs.go
@@ -5,10 +5,10 @@
 	"net/http"
 )
 
-// HourMS is how long the containers of a job run.
+// HourMS is the runtime of the containers of a job.
 const HourMS = 3600_000
 
-// The states of a container in the API.
+// The container states by which the API is queried.
 const (
 	anyState     = ""
 	StateRunning = "running"
@@ -22,7 +22,7 @@
 	WorkloadLargeOnly  = "on-large"
 )
 
-// JobSpec is a job as the API takes it.
+// JobSpec is the JSON representation of a job in API requests.
 type JobSpec struct {
 	ID        string  `json:"id,omitempty"`
 	Service   string  `json:"service"`
@@ -33,17 +33,17 @@
 	RunForMS  int     `json:"run_for_ms"`
 }
 
-// CreateJob creates a job whose service has the job's name.
+// CreateJob creates a job without waiting for its containers. Its service has the same name as the job.
 func (c *Controller) CreateJob(id, workload string, count int, cores, memory float64) error {
 	return c.Do(http.MethodPost, "/v1/jobs", NewJobSpec(id, workload, count, cores, memory), nil)
 }
 
-// ReplaceJob replaces a job by one whose service has the job's name.
+// ReplaceJob replaces a job. Its service has the same name as the job.
 func (c *Controller) ReplaceJob(id, workload string, count int, cores, memory float64) error {
 	return c.Do(http.MethodPut, "/v1/jobs/"+id, NewJobSpec(id, workload, count, cores, memory), nil)
 }
 
-// NewJobSpec returns a job whose service has the job's name.
+// NewJobSpec returns a job whose service has the same name.
 func NewJobSpec(id, workload string, count int, cores, memory float64) JobSpec {
 	return JobSpec{
 		ID:        id,
@@ -64,7 +64,7 @@
 	return WaitUntil(id+" has ended", jobTimeout, func() bool { return c.CountContainers(id, anyState) == 0 })
 }
 
-// CountContainers counts a job's containers in a state; it returns -1 if the API does not answer.
+// CountContainers counts the containers of a job in a state. It returns -1 if the request fails.
 func (c *Controller) CountContainers(job, state string) int {
 	var all struct{ Items []struct{ State string } }
 	if c.Get(fmt.Sprintf("/v1/containers?limit=%d&field=job=%s", pageLimit, job), &all) != nil {
@@ -79,7 +79,7 @@
 	return n
 }
 
-// CountByState counts the containers of all jobs in a state; it returns -1 if the API does not answer.
+// CountByState counts the containers of all jobs in a state. It returns -1 if the request fails.
 func (c *Controller) CountByState(state string) int {
 	var all struct{ Items []any }
 	if c.Get(fmt.Sprintf("/v1/containers?limit=%d&field=state=%s", pageLimit, state), &all) != nil {
@@ -88,10 +88,10 @@
 	return len(all.Items)
 }
 
-// WaitRunning waits until exactly n containers of a job run.
+// WaitRunning waits until exactly n containers of a job are running.
 func (c *Controller) WaitRunning(job string, n int) error {
 	return WaitUntil(
-		fmt.Sprintf("%d of %s run", n, job),
+		fmt.Sprintf("%d containers of job %s are running", n, job),
 		jobTimeout,
 		func() bool { return c.CountContainers(job, StateRunning) == n },
 	)
--- a/internal/testbed/process/protocol.go
+++ b/internal/testbed/process/protocol.go
@@ -8,13 +8,13 @@
 	"glenport/internal/testbed/loopback"
 )
 
-// Tick is the resolution of times in settings files, in frames and in the decisions of schedulers.
+// Tick is the resolution of times in settings files, frames and scheduling decisions.
 const Tick = 100 * time.Microsecond
 
-// DialTimeout bounds the time until a listener accepts a connection.
+// DialTimeout limits the time to open a connection.
 const DialTimeout = time.Second
 
-// DialProtocol connects to a listener, sends frames and bounds whatever else is done on the connection.
+// DialProtocol connects to a listener and sends frames. The timeout limits all later reads and writes as well.
 func DialProtocol(address string, timeout time.Duration, frames ...protocol.Frame) (net.Conn, error) {
 	c, err := loopback.Dial(address, DialTimeout)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return c, nil
 }
 
-// WriteFrames writes frames at once.
+// WriteFrames writes frames with a single write.
 func WriteFrames(c net.Conn, frames ...protocol.Frame) (err error) {
 	var data []byte
 	for _, frame := range frames {
@@ -42,7 +42,7 @@
 	return err
 }
 
-// ReadUntil skips frames until one of type T.
+// ReadUntil reads frames up to the first one of type T and returns that.
 func ReadUntil[T protocol.Frame](c net.Conn) (T, error) {
 	for {
 		frame, err := protocol.ReadFrame(c, protocol.MaxFrame)
--- a/internal/testbed/process/scheduler.go
+++ b/internal/testbed/process/scheduler.go
@@ -1,4 +1,4 @@
-// Package process starts schedulers and controllers as processes, writes their settings, and talks to them by their
+// Package process runs schedulers and controllers as processes, writes their settings files, and is a client of their
 // protocol and API.
 package process
 
@@ -19,20 +19,20 @@
 const (
 	startTimeout  = 10 * time.Second // until a scheduler answers
 	pollInterval  = 5 * time.Millisecond
-	helloTimeout  = time.Second     // for the hello of a scheduler that was just started
-	stopTimeout   = 5 * time.Second // from a signal to SIGKILL
+	helloTimeout  = time.Second     // for the hello of a started scheduler
+	stopTimeout   = 5 * time.Second // between a signal and SIGKILL
 	statusTimeout = 5 * time.Second
 )
 
-// clientName is the name by which the test bed introduces itself to schedulers.
+// clientName is the name in the hello of the test bed.
 const clientName = "testbed"
 
-// Scheduler is a scheduler's process and its files.
+// Scheduler is a scheduler process with its files.
 type Scheduler struct {
 	Name    string
 	Zone    int
-	Address string // of its own listener; clients of a cluster go through a proxy
-	File    string // its settings
+	Address string // of the scheduler's listener; the clients of a cluster use a proxy
+	File    string // settings file
 	command []string
 	log     *os.File
 	port    *loopback.Reservation
@@ -41,7 +41,7 @@
 	exited  chan struct{}
 }
 
-// NewScheduler chooses a port for a scheduler and opens its log; the settings file is the caller's to write.
+// NewScheduler reserves a port for a scheduler and opens its log. The caller writes the settings file.
 func NewScheduler(name, file, logFile string, command []string) (*Scheduler, error) {
 	port, err := loopback.Reserve()
 	if err != nil {
@@ -55,22 +55,22 @@
 	return &Scheduler{Name: name, Address: port.Address, File: file, command: command, log: log, port: port}, nil
 }
 
-// Start starts the process and waits until it answers at its address.
+// Start starts the process, unless it is running, and waits until it answers at its address.
 func (p *Scheduler) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.process != nil {
 		return nil
 	}
-	launched := time.Now()
+	launchedAt := time.Now()
 	if err := p.launch(); err != nil {
 		return err
 	}
-	return p.waitListening(launched)
+	return p.waitListening(launchedAt)
 }
 
-// launch starts the process from a thread that outlives it: the process is to die with the test bed, and the kernel
-// takes the end of the thread that started it for the end of its parent.
+// launch starts the process from an OS thread that outlives it. The process is killed when its parent dies (Pdeathsig),
+// and the kernel regards the thread that started it as the parent.
 func (p *Scheduler) launch() error {
 	started := make(chan error, 1)
 	exited := make(chan struct{})
@@ -87,22 +87,22 @@
 		}
 		p.process = command.Process
 		started <- nil
-		_ = command.Wait() // a process that was killed has no clean exit
+		_ = command.Wait() // returns an error if the process was killed
 		close(exited)
 	}()
 	return <-started
 }
 
-// waitListening waits until the process itself answers: a connection alone does not show that, as another program may
+// waitListening waits until the started process answers. An accepted connection is not enough, as another program may
 // listen at the address.
-func (p *Scheduler) waitListening(launched time.Time) error {
+func (p *Scheduler) waitListening(launchedAt time.Time) error {
 	for end := time.Now().Add(startTimeout); ; time.Sleep(pollInterval) {
-		if p.answersSince(launched) {
+		if p.answersSince(launchedAt) {
 			return nil
 		}
 		select {
 		case <-p.exited:
-			return fmt.Errorf("scheduler %s ended at once; its log is %s", p.Name, p.log.Name())
+			return fmt.Errorf("scheduler %s exited during startup; its log is %s", p.Name, p.log.Name())
 		default:
 		}
 		if time.Now().After(end) {
@@ -111,18 +111,18 @@
 	}
 }
 
-// answersSince reports whether the scheduler of this name answers whose incarnation began after a moment.
-func (p *Scheduler) answersSince(launched time.Time) bool {
+// answersSince reports whether a scheduler with this name answers whose incarnation is not older than launchedAt.
+func (p *Scheduler) answersSince(launchedAt time.Time) bool {
 	c, err := DialProtocol(p.Address, helloTimeout, protocol.NewHello(protocol.RoleScheduler, clientName, 1))
 	if err != nil {
 		return false
 	}
 	defer loopback.CloseQuietly(c)
 	hello, err := ReadUntil[*protocol.Hello](c)
-	return err == nil && hello.Name == p.Name && hello.Incarnation >= uint64(launched.UnixMicro())
+	return err == nil && hello.Name == p.Name && hello.Incarnation >= uint64(launchedAt.UnixMicro())
 }
 
-// Stop ends the process by a signal and waits for its exit; it is killed if that takes longer than stopTimeout.
+// Stop sends a signal to the process and waits for its exit. It kills the process after stopTimeout.
 func (p *Scheduler) Stop(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,23 +139,23 @@
 	p.process = nil
 }
 
-// Close stops the process and closes its log.
+// Close stops the process, closes its log and releases its port.
 func (p *Scheduler) Close(signal syscall.Signal) {
 	p.Stop(signal)
 	if p.log != nil {
-		_ = p.log.Close() // written by the process, not through this descriptor
+		_ = p.log.Close() // nothing is written through this descriptor
 	}
 	p.port.Release()
 }
 
-// Running reports whether the process was started and not stopped since.
+// Running reports whether the process was started and not stopped since then.
 func (p *Scheduler) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.process != nil
 }
 
-// Status returns the scheduler's stats by name. Times in it are in the unit that the name says.
+// Status returns the stats of the scheduler by name, in the unit that the scheduler reports for each.
 func (p *Scheduler) Status() (map[string]float64, error) {
 	c, err := DialProtocol(
 		p.Address,
--- a/internal/testbed/process/scheduler_test.go
+++ b/internal/testbed/process/scheduler_test.go
@@ -10,8 +10,8 @@
 	"glenport/internal/testutil"
 )
 
-// Another program listens at the scheduler's address: its connection must not count as the scheduler's.
-func TestStartFailsWhereAnotherProgramListens(t *testing.T) {
+// Another program listens at the address of the scheduler: a connection to it must not count as a started scheduler.
+func TestStartFailsIfAnotherProgramListens(t *testing.T) {
 	log := filepath.Join(t.TempDir(), "log")
 	scheduler, err := NewScheduler("scheduler-0", "none.yaml", log, []string{"/bin/false"})
 	testutil.NoError(t, err)
@@ -20,7 +20,7 @@
 	testutil.NoError(t, err)
 	defer loopback.CloseQuietly(other)
 	go loopback.AcceptAll(other, func(conn net.Conn) { loopback.CloseQuietly(conn) })
-	if err := scheduler.Start(); err == nil || !strings.Contains(err.Error(), "ended at once") {
+	if err := scheduler.Start(); err == nil || !strings.Contains(err.Error(), "exited during startup") {
 		t.Errorf("got %v", err)
 	}
 }
--- a/internal/testbed/process/settings.go
+++ b/internal/testbed/process/settings.go
@@ -7,7 +7,7 @@
 	"glenport/internal/config"
 )
 
-// WriteSchedulerSettings writes a scheduler's settings file and reports what the scheduler itself would refuse of it.
+// WriteSchedulerSettings writes the settings file of a scheduler and validates it as the scheduler does.
 func WriteSchedulerSettings(path string, settings *config.Scheduler) error {
 	if err := writeSettings(path, settings.Encode); err != nil {
 		return err
@@ -16,7 +16,7 @@
 	return err
 }
 
-// writeControllerSettings does so for a controller; schedulerFile is the scheduler's settings file that it names.
+// writeControllerSettings writes and validates the settings file of a controller, which refers to schedulerFile.
 func writeControllerSettings(path string, settings *config.Controller, schedulerFile string) error {
 	encode := func() ([]byte, error) { return settings.Encode(schedulerFile) }
 	if err := writeSettings(path, encode); err != nil {
--- a/internal/testbed/process/wait.go
+++ b/internal/testbed/process/wait.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// WaitUntil waits until a condition holds, for a time at most.
-func WaitUntil(what string, atMost time.Duration, holds func() bool) error {
-	return Poll(10*time.Millisecond, atMost, what, holds)
+// WaitUntil polls a condition until it holds. It returns an error after atMost.
+func WaitUntil(condition string, atMost time.Duration, holds func() bool) error {
+	return Poll(10*time.Millisecond, atMost, condition, holds)
 }
 
-// Poll does so and looks at the condition at an interval.
-func Poll(interval, atMost time.Duration, what string, holds func() bool) error {
+// Poll is WaitUntil with a given polling interval.
+func Poll(interval, atMost time.Duration, condition string, holds func() bool) error {
 	for end := time.Now().Add(atMost); !holds(); time.Sleep(interval) {
 		if time.Now().After(end) {
-			return fmt.Errorf("not within %v: %s", atMost, what)
+			return fmt.Errorf("condition not met within %v: %s", atMost, condition)
 		}
 	}
 	return nil
