--- a/internal/testbed/bench/bench.go
+++ b/internal/testbed/bench/bench.go
@@ -1,5 +1,5 @@
-// Package bench measures one scheduler process against a machine list and machines that answer at once and keep no
-// state, so that what is measured is the scheduler.
+// Package bench runs one scheduler process with a machine list and machines that answer at once and keep no state, so
+// that measurements show the scheduler alone.
 package bench
 
 import (
@@ -17,17 +17,15 @@
 	"glenport/internal/testbed/process"
 )
 
-// rackGroupSize machines share a rack group.
+// rackGroupSize is the number of machines per rack group.
 const rackGroupSize = 4
 
-// readyTimeout bounds the time until the scheduler is connected to all machines.
+// readyTimeout limits the time until the scheduler is connected to all machines.
 const readyTimeout = 20 * time.Second
 
-// benchName names the one scheduler of a bench.
-const benchName = "measured"
+const schedulerName = "measured"
 
-// Cluster is one scheduler process with a list and machines that answer at once and keep no state, so that what
-// is measured is the scheduler.
+// Cluster is one scheduler process with a machine list and machines that answer at once and keep no state.
 type Cluster struct {
 	Dir        string
 	Scheduler  *process.Scheduler
@@ -37,7 +35,7 @@
 	goroutines sync.WaitGroup
 }
 
-// Close ends all that was started.
+// Close stops the scheduler, the machines and the list.
 func (b *Cluster) Close() {
 	if b.Scheduler != nil {
 		b.Scheduler.Close(syscall.SIGKILL)
@@ -49,25 +47,25 @@
 	b.goroutines.Wait()
 }
 
-// Capacity is what the machines of a bench have room for.
+// Capacity is the capacity of the machines.
 type Capacity int
 
-// The machines of a bench accept every offer, or have no room for anything.
+// The machines accept every offer, or reject every offer for lack of cores.
 const (
-	RoomForAll Capacity = iota
+	Unlimited Capacity = iota
 	Full
 )
 
-// Spec says what a bench consists of.
+// Spec describes a cluster.
 type Spec struct {
-	Template string // path of the settings file that the scheduler's own is derived from
+	Template string // path of the settings file from which that of the scheduler is derived
 	Dir      string
 	Program  []string
 	Machines int
 	Capacity Capacity
 }
 
-// Start returns when the scheduler is connected to all machines.
+// Start starts a cluster and waits until the scheduler is connected to all machines.
 func Start(spec Spec) (_ *Cluster, err error) {
 	if err := os.MkdirAll(spec.Dir, 0o755); err != nil {
 		return nil, err
@@ -94,16 +92,16 @@
 // ListAddr returns the address of the machine list.
 func (b *Cluster) ListAddr() string { return b.list.Addr().String() }
 
-// startPeers starts the machines and the list.
-func (b *Cluster) startPeers(machines int, capacity Capacity) error {
-	var fleet []*instantMachine
-	for i := range machines {
+// startPeers starts the machines and the machine list.
+func (b *Cluster) startPeers(machineCount int, capacity Capacity) error {
+	var machines []*instantMachine
+	for i := range machineCount {
 		l, err := b.listen()
 		if err != nil {
 			return err
 		}
 		m := &instantMachine{name: fmt.Sprintf("machine-%04d", i), address: l.Addr().String(), capacity: capacity}
-		fleet = append(fleet, m)
+		machines = append(machines, m)
 		b.goroutines.Go(func() { b.serve(l, m) })
 	}
 	l, err := b.listen()
@@ -111,7 +109,7 @@
 		return err
 	}
 	b.list = l
-	b.goroutines.Go(func() { b.serve(l, &instantList{fleet}) })
+	b.goroutines.Go(func() { b.serve(l, &instantList{machines}) })
 	return nil
 }
 
@@ -123,16 +121,16 @@
 	return l, err
 }
 
-// startScheduler starts the scheduler with settings that bound neither what is open nor idle connections.
+// startScheduler starts the scheduler with limits that neither reject requests nor close idle connections.
 func (b *Cluster) startScheduler(settings *config.Scheduler, program []string) error {
 	const openRequests, idleTimeout = 1_000_000, 10 * time.Minute
 	path := filepath.Join(b.Dir, "scheduler")
-	p, err := process.NewScheduler(benchName, path+".yaml", path+".log", program)
+	p, err := process.NewScheduler(schedulerName, path+".yaml", path+".log", program)
 	if err != nil {
 		return err
 	}
 	b.Scheduler = p
-	settings.Name, settings.ListenAddr = benchName, p.Address
+	settings.Name, settings.ListenAddr = schedulerName, p.Address
 	settings.StateDir, settings.MachineListAddr = filepath.Join(b.Dir, "state"), b.ListAddr()
 	settings.Policy.SchedulerIndex, settings.Policy.SchedulerCount = 0, 1
 	settings.IdleTimeout = eventloop.Tick(idleTimeout / process.Tick)
@@ -151,8 +149,8 @@
 	})
 }
 
-// WithController starts a bench and a controller before its scheduler, calls run when the controller knows all
-// machines, and ends both.
+// WithController starts a cluster and a controller for its scheduler, calls run once the controller knows all machines,
+// and then stops both.
 func WithController(spec Spec, run func(*Cluster, *process.Controller) error) error {
 	b, err := Start(spec)
 	if err != nil {
@@ -170,7 +168,7 @@
 	return run(b, controller)
 }
 
-// NewController returns a controller before the bench's scheduler, not started yet, with its state in a folder.
+// NewController returns a controller for the scheduler of the cluster. The caller starts it. Its state is in stateDir.
 func (b *Cluster) NewController(program, stateDir string) (*process.Controller, error) {
 	return process.NewController(process.ControllerSpec{
 		Dir:             b.Dir,
--- a/internal/testbed/bench/peers.go
+++ b/internal/testbed/bench/peers.go
@@ -10,12 +10,12 @@
 	"glenport/internal/testbed/process"
 )
 
-// instantPeer answers the frames of one kind of peer; send may be called from any goroutine.
+// instantPeer handles the frames that a peer of one kind receives. send may be called from any goroutine.
 type instantPeer interface {
 	handle(frame protocol.Frame, send func(...protocol.Frame))
 }
 
-// instantMachine accepts every offer as it comes, and ends each container when its time is up.
+// instantMachine answers every offer at once and ends each container after its runtime.
 type instantMachine struct {
 	name     string
 	address  string
@@ -53,7 +53,7 @@
 	}
 }
 
-// entry is what the list says of the machine.
+// entry returns the entry of the machine in the machine list.
 func (m *instantMachine) entry(index int) protocol.MachineEntry {
 	freeCores := 100.0
 	if m.capacity == Full {
@@ -76,7 +76,7 @@
 // instantList answers every watch with a full snapshot.
 type instantList struct{ machines []*instantMachine }
 
-// serve answers on all connections that l accepts until it is closed.
+// serve serves peer on all connections of a listener until that is closed.
 func (b *Cluster) serve(l net.Listener, peer instantPeer) {
 	loopback.AcceptAll(l, func(c net.Conn) {
 		b.goroutines.Go(func() { b.serveConnection(c, peer) })
@@ -85,11 +85,11 @@
 
 func (b *Cluster) serveConnection(c net.Conn, peer instantPeer) {
 	defer loopback.CloseQuietly(c)
-	var mu sync.Mutex // keeps frames whole
+	var mu sync.Mutex // prevents interleaved writes
 	send := func(frames ...protocol.Frame) {
 		mu.Lock()
 		defer mu.Unlock()
-		_ = process.WriteFrames(c, frames...) // a broken connection ends the reader below
+		_ = process.WriteFrames(c, frames...) // the read loop below sees a broken connection
 	}
 	b.goroutines.Go(func() { b.sendHeartbeats(c, send) })
 	for {
@@ -101,7 +101,7 @@
 	}
 }
 
-// sendHeartbeats sends one each second and closes the connection when the bench stops.
+// sendHeartbeats sends a heartbeat every second and closes the connection when the cluster is closed.
 func (b *Cluster) sendHeartbeats(c net.Conn, send func(...protocol.Frame)) {
 	for {
 		select {
