--- a/internal/testbed/faults/fault.go
+++ b/internal/testbed/faults/fault.go
@@ -11,14 +11,14 @@
 // Fault is one fault of a scenario.
 type Fault struct {
 	Kind     Kind
-	At       time.Duration // since the scenario began
+	At       time.Duration // since the start of the scenario
 	Duration time.Duration
-	Fraction float64 // of the machines, or of what the kind affects
-	Size     float64 // its meaning depends on the kind
+	Fraction float64 // of the machines, or of the objects that the kind affects
+	Size     float64 // meaning depends on the kind
 	Zone     int
 }
 
-// Kind is a kind of fault, as scenario files name it.
+// Kind is a kind of fault. Scenario files use its text.
 type Kind string
 
 // The kinds of fault.
@@ -46,12 +46,12 @@
 	KindFleetGrowth      Kind = "fleet growth"
 )
 
-// An injector plays one kind of fault; inject returns when the fault has ended.
+// injector injects one kind of fault; inject returns when the fault has ended.
 type injector interface {
 	inject(i *Injector, f Fault)
 }
 
-// injectors has the injector of each kind of fault.
+// injectors holds the injector of each kind of fault.
 var injectors = map[Kind]injector{
 	KindCrash:            machineRestart{},
 	KindFleetGrowth:      machineRestart{},
@@ -61,7 +61,7 @@
 	KindHalfOpen:         halfOpenConnections{},
 	KindZonePartition:    zonePartition{},
 	KindResets:           connectionResets{},
-	KindSlow:             machineFault{start: slowDown, end: resumeSpeed},
+	KindSlow:             machineFault{start: slowDown, end: resetSlowdown},
 	KindDrain:            drain{},
 	KindRollingDeploy:    rollingDeploy{},
 	KindListUnavailable:  listUnavailable{},
@@ -69,17 +69,17 @@
 	KindSchedulersKilled: schedulerKill{},
 	KindBurst:            burst{},
 	KindClientRetries:    clientRetries{},
-	KindLostAccepts:      lostAnswers{},
+	KindLostAccepts:      lostAccepts{},
 	KindNetworkDelay:     networkDelay{},
-	KindWorkloadIgnored:  machineFault{start: ignoreWorkload, end: heedWorkload},
+	KindWorkloadIgnored:  machineFault{start: ignoreWorkload, end: answerWorkload},
 	KindTenantThrottled:  machineFault{start: throttleTenant, end: admitTenant},
 	KindMemoryGrowth:     machineFault{start: growMemory, end: resetMemory},
 }
 
-// Known reports whether there is a kind of fault.
+// Known reports whether a kind of fault exists.
 func Known(kind Kind) bool { return injectors[kind] != nil }
 
-// Kinds returns the kinds of fault in order.
+// Kinds returns all kinds of fault in alphabetical order.
 func Kinds() []Kind {
 	var kinds []Kind
 	for kind := range injectors {
@@ -89,7 +89,7 @@
 	return kinds
 }
 
-// Describe returns the fault's parameters as the log prints them behind its kind.
+// Describe returns the parameters of the fault as the log prints them after its kind.
 func (f Fault) Describe(zones []string) string {
 	text := fmt.Sprintf(", for %.1f s", f.Duration.Seconds())
 	if f.Fraction > 0 {
--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -6,7 +6,7 @@
 	"glenport/internal/testutil"
 )
 
-// Scenario files name the kinds.
+// Scenario files use the texts of the kinds, so that these must not change.
 func TestFaultKindsKeepTheirNames(t *testing.T) {
 	want := []Kind{
 		"burst", "client retries", "connection resets", "crash", "drain", "fleet growth", "freeze",
--- a/internal/testbed/faults/injector.go
+++ b/internal/testbed/faults/injector.go
@@ -17,19 +17,19 @@
 // Injector injects the faults of a scenario into a cluster.
 type Injector struct {
 	*cluster.Cluster
-	spec cluster.Spec
-	rate float64 // of submissions, while no burst is played
-	rng  *rand.Rand
-	log  *Log
-	over chan struct{} // closed when the scenario ends
+	spec  cluster.Spec
+	rate  float64 // of submissions, outside of bursts
+	rng   *rand.Rand
+	log   *Log
+	ended chan struct{} // closed when the scenario ends
 
-	mu           sync.Mutex // guards rng and what follows
+	mu           sync.Mutex // guards rng and the fields below
 	networkRules map[int]networkRule
 	lastRule     int
-	injected     map[Kind]int // by kind of fault
+	injected     map[Kind]int // number of injections by kind
 }
 
-// NewInjector returns an injector for a cluster, whose clients submit at a rate.
+// NewInjector returns an injector for a cluster whose clients submit at a rate in submissions per second.
 func NewInjector(c *cluster.Cluster, spec cluster.Spec, rate float64, log *Log) *Injector {
 	return &Injector{
 		Cluster:      c,
@@ -37,7 +37,7 @@
 		rate:         rate,
 		rng:          rand.New(rand.NewPCG(spec.Seed, 11)),
 		log:          log,
-		over:         make(chan struct{}),
+		ended:        make(chan struct{}),
 		networkRules: map[int]networkRule{},
 		injected:     map[Kind]int{},
 	}
@@ -46,16 +46,16 @@
 // wait sleeps for d, or until the scenario ends.
 func (i *Injector) wait(d time.Duration) {
 	select {
-	case <-i.over:
+	case <-i.ended:
 	case <-time.After(d):
 	}
 }
 
-// Play injects a fault at its time, counted from the log's start, and returns when it has ended.
+// Play injects a fault at its time, relative to the start of the log, and returns when the fault has ended.
 func (i *Injector) Play(f Fault) {
 	i.wait(f.At - i.log.Elapsed())
 	select {
-	case <-i.over:
+	case <-i.ended:
 		return
 	default:
 	}
@@ -64,16 +64,16 @@
 	i.mu.Unlock()
 	i.log.Printf("%s%s", f.Kind, f.Describe(i.spec.Zones))
 	injectors[f.Kind].inject(i, f)
-	i.log.Printf("%s: over", f.Kind)
+	i.log.Printf("%s: ended", f.Kind)
 }
 
-// End ends the faults that are being played.
-func (i *Injector) End() { close(i.over) }
+// End ends all active faults.
+func (i *Injector) End() { close(i.ended) }
 
-// Injected returns how often each kind of fault was injected, once all have ended.
+// Injected returns the number of injections by kind of fault. It must be called after all faults have ended.
 func (i *Injector) Injected() map[Kind]int { return i.injected }
 
-// addNetworkRule puts a rule in force and returns the function that removes it.
+// addNetworkRule applies a rule and returns the function that removes it.
 func (i *Injector) addNetworkRule(rule networkRule) (remove func()) {
 	i.mu.Lock()
 	i.lastRule++
@@ -89,7 +89,7 @@
 	}
 }
 
-// applyNetworkRules gives the proxies the combination of all rules in force: for each connection the worst of each.
+// applyNetworkRules combines all current rules and applies them to the proxy. Each connection gets the worst of them.
 func (i *Injector) applyNetworkRules() {
 	i.mu.Lock()
 	var rules []networkRule
@@ -108,17 +108,17 @@
 	})
 }
 
-// fractionOf is a rounded fraction of n, one at least.
+// fractionOf returns a fraction of n, rounded, at least 1.
 func fractionOf(fraction float64, n int) int { return max(1, int(fraction*float64(n)+0.5)) }
 
-// pick draws a fraction of n indexes, one at least.
+// pick draws a fraction of the indexes below n, at least one.
 func (i *Injector) pick(fraction float64, n int) []int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.rng.Perm(n)[:min(fractionOf(fraction, n), n)]
 }
 
-// pickMachines draws a fraction of the machines, one at least.
+// pickMachines draws a fraction of the machines, at least one.
 func (i *Injector) pickMachines(fraction float64) []*emulator.Machine {
 	var machines []*emulator.Machine
 	for _, index := range i.pick(fraction, len(i.Machines)) {
@@ -127,7 +127,7 @@
 	return machines
 }
 
-// restartMachines takes machines down and starts them again, in slow start, after a while.
+// restartMachines crashes machines and starts them again after the given time, with slow start.
 func (i *Injector) restartMachines(machines []*emulator.Machine, down time.Duration) {
 	for _, m := range machines {
 		m.Crash()
@@ -135,7 +135,7 @@
 	i.wait(down)
 	for _, m := range machines {
 		if err := m.Start(false); err != nil {
-			i.log.Printf("machine %s did not start again: %v", m.Name, err)
+			i.log.Printf("restart of machine %s failed: %v", m.Name, err)
 		}
 	}
 }
--- a/internal/testbed/faults/log.go
+++ b/internal/testbed/faults/log.go
@@ -9,17 +9,17 @@
 	"glenport/internal/testbed/report"
 )
 
-// Log prints lines that begin with the seconds since the scenario began.
+// Log prints lines that begin with the seconds since the start of the scenario.
 type Log struct {
 	began time.Time
 	mu    sync.Mutex
 	out   io.Writer
 }
 
-// NewLog returns a log of a scenario that begins now.
+// NewLog returns a log for a scenario that starts now.
 func NewLog(out io.Writer) *Log { return &Log{began: time.Now(), out: out} }
 
-// Elapsed returns the time since the scenario began.
+// Elapsed returns the time since the start of the scenario.
 func (l *Log) Elapsed() time.Duration { return time.Since(l.began) }
 
 // Printf prints one line.
--- a/internal/testbed/faults/machinefaults.go
+++ b/internal/testbed/faults/machinefaults.go
@@ -8,7 +8,7 @@
 	"glenport/internal/testbed/emulator"
 )
 
-// machineFault changes a fraction of the machines and restores them at its end.
+// machineFault applies a fault to a fraction of the machines and ends it after its duration.
 type machineFault struct {
 	start, end func(*emulator.Machine, Fault)
 }
@@ -30,11 +30,11 @@
 
 func slowDown(m *emulator.Machine, f Fault) { m.SetSlowdown(f.Size) }
 
-func resumeSpeed(m *emulator.Machine, _ Fault) { m.SetSlowdown(1) }
+func resetSlowdown(m *emulator.Machine, _ Fault) { m.SetSlowdown(1) }
 
 func ignoreWorkload(m *emulator.Machine, f Fault) { m.IgnoreWorkload(int(f.Size)) }
 
-func heedWorkload(m *emulator.Machine, f Fault) { m.AnswerWorkload(int(f.Size)) }
+func answerWorkload(m *emulator.Machine, f Fault) { m.AnswerWorkload(int(f.Size)) }
 
 func throttleTenant(m *emulator.Machine, f Fault) { m.ThrottleTenant(int(f.Size)) }
 
@@ -44,21 +44,21 @@
 
 func resetMemory(m *emulator.Machine, _ Fault) { m.SetMemoryFactor(1) }
 
-// machineRestart takes a fraction of the machines down and brings them back in slow start.
+// machineRestart crashes a fraction of the machines and restarts them with slow start.
 type machineRestart struct{}
 
 func (machineRestart) inject(i *Injector, f Fault) {
 	i.restartMachines(i.pickMachines(f.Fraction), f.Duration)
 }
 
-// zoneRestart takes a zone down and brings it back in slow start.
+// zoneRestart crashes all machines of a zone and restarts them with slow start.
 type zoneRestart struct{}
 
 func (zoneRestart) inject(i *Injector, f Fault) {
 	i.restartMachines(i.ZoneMachines(f.Zone), f.Duration)
 }
 
-// freezeThenRestart freezes a fraction of the machines and restarts them at its end.
+// freezeThenRestart freezes a fraction of the machines and restarts them after its duration.
 type freezeThenRestart struct{}
 
 func (freezeThenRestart) inject(i *Injector, f Fault) {
@@ -70,7 +70,8 @@
 	i.restartMachines(machines, 0)
 }
 
-// drain drains a fraction of the machines and puts them back in service. With a size they evict what runs.
+// drain drains a fraction of the machines and ends the drain after its duration. With a size above 0 the machines also
+// end their containers.
 type drain struct{}
 
 func (drain) inject(i *Injector, f Fault) {
@@ -90,7 +91,8 @@
 	}
 }
 
-// rollingDeploy drains and restarts a fraction of the machines, so many at a time as its size says.
+// rollingDeploy evacuates and restarts a fraction of the machines in batches. The size is the fraction of all machines
+// in a batch.
 type rollingDeploy struct{}
 
 func (rollingDeploy) inject(i *Injector, f Fault) {
--- a/internal/testbed/faults/networkfaults.go
+++ b/internal/testbed/faults/networkfaults.go
@@ -8,7 +8,7 @@
 	"glenport/internal/testbed/faultproxy"
 )
 
-// halfOpenConnections drops all bytes of the connections to a fraction of the machines without closing them.
+// halfOpenConnections stops all traffic to and from a fraction of the machines without closing the connections.
 type halfOpenConnections struct{}
 
 func (halfOpenConnections) inject(i *Injector, f Fault) {
@@ -20,7 +20,7 @@
 	remove()
 }
 
-// zonePartition cuts the connections between a zone and the rest: both ways, schedulers reach only their own side.
+// zonePartition stops all traffic between a zone and the other zones. Schedulers reach only the machines on their side.
 type zonePartition struct{}
 
 func (zonePartition) inject(i *Injector, f Fault) {
@@ -36,7 +36,7 @@
 	remove()
 }
 
-// connectionResets resets, each second, the connections to another fraction of the machines.
+// connectionResets resets the connections to a newly drawn fraction of the machines every second.
 type connectionResets struct{}
 
 func (connectionResets) inject(i *Injector, f Fault) {
@@ -49,10 +49,10 @@
 	}
 }
 
-// lostAnswers drops a fraction, its size, of what machines answer.
-type lostAnswers struct{}
+// lostAccepts drops a fraction of the accept frames of machines, given by its size.
+type lostAccepts struct{}
 
-func (lostAnswers) inject(i *Injector, f Fault) {
+func (lostAccepts) inject(i *Injector, f Fault) {
 	remove := i.addNetworkRule(func(_ string, peerRole protocol.Role, _ string) faultproxy.Fault {
 		if peerRole == protocol.RoleMachine {
 			return faultproxy.Fault{AcceptLoss: f.Size}
@@ -63,7 +63,7 @@
 	remove()
 }
 
-// networkDelay delays every connection by as many milliseconds as its size says.
+// networkDelay delays all frames by its size in milliseconds.
 type networkDelay struct{}
 
 func (networkDelay) inject(i *Injector, f Fault) {
--- a/internal/testbed/faults/otherfaults.go
+++ b/internal/testbed/faults/otherfaults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// listUnavailable takes the machine list down.
+// listUnavailable makes the machine list unreachable.
 type listUnavailable struct{}
 
 func (listUnavailable) inject(i *Injector, f Fault) {
@@ -11,7 +11,7 @@
 	i.List.BecomeReachable()
 }
 
-// listStale lets the machine list lag by as many seconds as its size says.
+// listStale adds its size in seconds to the lag of the machine list.
 type listStale struct{}
 
 func (listStale) inject(i *Injector, f Fault) {
@@ -20,7 +20,7 @@
 	i.List.SetStaleness(0)
 }
 
-// schedulerKill kills a fraction of the schedulers and starts them again.
+// schedulerKill kills a fraction of the schedulers and restarts them after its duration.
 type schedulerKill struct{}
 
 func (schedulerKill) inject(i *Injector, f Fault) {
@@ -31,12 +31,12 @@
 	i.wait(f.Duration)
 	for _, index := range killed {
 		if err := i.StartScheduler(i.Schedulers[index]); err != nil {
-			i.log.Printf("scheduler %s did not start again: %v", i.Schedulers[index].Name, err)
+			i.log.Printf("restart of scheduler %s failed: %v", i.Schedulers[index].Name, err)
 		}
 	}
 }
 
-// burst multiplies the rate of submissions by its size.
+// burst multiplies the submission rate by its size.
 type burst struct{}
 
 func (burst) inject(i *Injector, f Fault) {
@@ -45,7 +45,7 @@
 	i.Clients.SetRate(i.rate)
 }
 
-// clientRetries has clients submit a fraction of what waits once more.
+// clientRetries makes clients cancel a fraction of the placed containers and submit them again.
 type clientRetries struct{}
 
 func (clientRetries) inject(i *Injector, f Fault) {
