--- a/internal/testbed/load/api.go
+++ b/internal/testbed/load/api.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	longestDelay   = 60_000_000 // of a histogram, in microseconds
+	maxDelay       = 60_000_000 // upper bound of a histogram, in microseconds
 	pendingJob     = "many"
 	whyRequests    = 2000
 	requestClients = 8
@@ -30,30 +30,30 @@
 	watchedJob     = "watched"
 )
 
-// delays is a histogram of delays in microseconds; it may be recorded to from any goroutine.
+// delays is a histogram of delays in microseconds. It may be used from any goroutine.
 type delays struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
 }
 
-func newDelays() *delays { return &delays{histogram: hdrhistogram.New(1, longestDelay, 3)} }
+func newDelays() *delays { return &delays{histogram: hdrhistogram.New(1, maxDelay, 3)} }
 
-// record records the time since a moment; one beyond the histogram's range counts as the longest.
+// record records the time since a start time, capped to the range of the histogram.
 func (d *delays) record(since time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_ = d.histogram.RecordValue(min(longestDelay, max(1, time.Since(since).Microseconds()))) // in range by the bounds
+	_ = d.histogram.RecordValue(min(maxDelay, max(1, time.Since(since).Microseconds()))) // always in range
 }
 
-// quantile is in milliseconds.
+// quantile returns a quantile, given in percent, in milliseconds.
 func (d *delays) quantile(q float64) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return report.QuantileMS(d.histogram, q)
 }
 
-// MeasureAPI measures a controller with many containers pending on full machines: what a why costs, how many requests
-// it answers a second, and how long a change takes to many watchers.
+// MeasureAPI measures a controller with many containers that are pending because all machines are full: the latency of
+// requests for the reasons of a pending container, the request rate, and the delay of changes to many watchers.
 func MeasureAPI(spec bench.Spec, pending, watchers int, out io.Writer) error {
 	spec.Capacity = bench.Full
 	return bench.WithController(spec, func(_ *bench.Cluster, controller *process.Controller) error {
@@ -64,7 +64,7 @@
 	})
 }
 
-// measureReads measures how long the reasons of pending containers take, and how many requests are answered a second.
+// measureReads measures the latency of requests for the reasons of pending containers and the request rate.
 func measureReads(controller *process.Controller, pending, machines int, out io.Writer) error {
 	if err := createPending(controller, pending); err != nil {
 		return err
@@ -73,26 +73,26 @@
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}},
 		base:   "http://" + controller.APIAddr,
 	}
-	whys, err := api.measureWhy(pending)
+	latencies, err := api.measureWhy(pending)
 	if err != nil {
 		return err
 	}
-	report.Printf(out, "why, %d containers pending, %d machines: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms\n",
-		pending, machines, whys.quantile(50), whys.quantile(99), whys.quantile(99.9))
+	report.Printf(out, "why requests, %d pending containers, %d machines: p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms\n",
+		pending, machines, latencies.quantile(50), latencies.quantile(99), latencies.quantile(99.9))
 	rate, err := api.measureRequests()
 	if err != nil {
 		return err
 	}
-	report.Printf(out, "requests answered: %.0f a second, %d clients\n", rate, requestClients)
+	report.Printf(out, "request rate: %.0f per second with %d clients\n", rate, requestClients)
 	return nil
 }
 
-// createPending creates a job whose containers pend, and waits until the last of them does.
+// createPending creates a job whose containers stay pending, and waits until the last of them is listed as waiting.
 func createPending(controller *process.Controller, n int) error {
 	if err := controller.CreateJob(pendingJob, process.WorkloadMatcher, n, 1, 1); err != nil {
 		return err
 	}
-	err := process.WaitUntil("all are pending", time.Minute, func() bool {
+	err := process.WaitUntil("all containers are pending", time.Minute, func() bool {
 		var all struct{ Items []any }
 		return controller.Get(
 			fmt.Sprintf("/v1/containers?limit=1000&after=%s.%d&field=state=waiting", pendingJob, n-2),
@@ -101,11 +101,11 @@
 			controller.Get("/v1/containers/"+pendingJob+".0/why", nil) == nil &&
 			len(all.Items) > 0
 	})
-	time.Sleep(3 * time.Second) // the schedulers' first retries are over
+	time.Sleep(3 * time.Second) // until the first retries of the schedulers have ended
 	return err
 }
 
-// apiReader reads the API over connections that stay open.
+// apiReader sends GET requests to the API over persistent connections.
 type apiReader struct {
 	client *http.Client
 	base   string
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // it has been read to its end
+	defer func() { _ = response.Body.Close() }() // has been read to its end
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		return err
 	}
@@ -142,14 +142,14 @@
 	return measured, nil
 }
 
-// measureRequests returns how many requests a second are answered to concurrent clients.
+// measureRequests returns the request rate with concurrent clients.
 func (a *apiReader) measureRequests() (perSecond float64, err error) {
 	var done atomic.Int64
-	var requesting sync.WaitGroup
+	var clients sync.WaitGroup
 	errs := make([]error, requestClients)
 	began := time.Now()
 	for i := range requestClients {
-		requesting.Go(func() {
+		clients.Go(func() {
 			for time.Since(began) < requestTime && errs[i] == nil {
 				if errs[i] = a.get("/v1/jobs/" + pendingJob); errs[i] == nil {
 					done.Add(1)
@@ -157,27 +157,27 @@
 			}
 		})
 	}
-	requesting.Wait()
+	clients.Wait()
 	return float64(done.Load()) / time.Since(began).Seconds(), errors.Join(errs...)
 }
 
-// fanOut measures how long changes of a job take to its watchers.
+// fanOut measures the delay between changes of a job and the events at its watchers.
 type fanOut struct {
-	sent   [watchedChanges]atomic.Int64 // when, in nanoseconds
+	sent   [watchedChanges]atomic.Int64 // Unix time of each change, in nanoseconds
 	delays *delays
 	missed atomic.Int64
 }
 
-// measureFanOut changes a job and measures when each watcher reads of it.
+// measureFanOut changes a job repeatedly and measures the delay until each watcher reads the event.
 func measureFanOut(controller *process.Controller, watchers int, out io.Writer) error {
 	if err := controller.CreateJob(watchedJob, process.WorkloadMatcher, 0, 1, 1); err != nil {
 		return err
 	}
 	f := &fanOut{delays: newDelays()}
-	var ready, watching sync.WaitGroup
+	var ready, readers sync.WaitGroup
 	ready.Add(watchers)
 	for range watchers {
-		watching.Go(func() {
+		readers.Go(func() {
 			events, err := controller.Watch("jobs")
 			ready.Done()
 			if err != nil {
@@ -191,21 +191,21 @@
 	ready.Wait()
 	for i := range watchedChanges {
 		job := process.NewJobSpec(watchedJob, process.WorkloadMatcher, 0, 1, 1)
-		job.RunForMS = i + 1 // by which watchers know the change
+		job.RunForMS = i + 1 // identifies the change in the events
 		f.sent[i].Store(time.Now().UnixNano())
 		if err := controller.Do(http.MethodPut, "/v1/jobs/"+watchedJob, job, nil); err != nil {
 			return err
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	watching.Wait()
-	report.Printf(out, "%d watchers, %d changes: from the request to the line p50 %.1f ms, p99 %.1f ms, "+
-		"worst %.1f ms; %d lines missed\n", watchers, watchedChanges,
+	readers.Wait()
+	report.Printf(out, "%d watchers, %d changes: from the request to the watch event p50 %.1f ms, p99 %.1f ms, "+
+		"worst %.1f ms; %d events missed\n", watchers, watchedChanges,
 		f.delays.quantile(50), f.delays.quantile(99), f.delays.quantile(100), f.missed.Load())
 	return nil
 }
 
-// readChanges reads events until it has had all changes, or the watch is ended by the server.
+// readChanges reads events until it has seen all changes or the server ends the watch.
 func (f *fanOut) readChanges(events io.Reader) {
 	lines := bufio.NewScanner(events)
 	for n := 0; n < watchedChanges && lines.Scan(); {
@@ -216,7 +216,7 @@
 			}
 		}
 		if json.Unmarshal(lines.Bytes(), &event) != nil {
-			continue // not an event of a job: the line is missed if it should have been one
+			continue // not a job event; a change in it counts as missed
 		}
 		switch event.Type {
 		case "changed":
--- a/internal/testbed/load/bgp.go
+++ b/internal/testbed/load/bgp.go
@@ -16,17 +16,17 @@
 	"glenport/internal/testbed/report"
 )
 
-// bgpBench is a speaker in this process and its emulated peers.
+// bgpBench is a BGP speaker in this process with emulated peers.
 type bgpBench struct {
-	prefixes int
-	peers    []*emulator.BGPPeer
-	loop     *eventloop.Loop
-	loopEnd  sync.WaitGroup
-	speaker  *speaker.Speaker
+	prefixes  int
+	peers     []*emulator.BGPPeer
+	loop      *eventloop.Loop
+	loopGroup sync.WaitGroup
+	speaker   *speaker.Speaker
 }
 
-// MeasureBGP has one speaker announce so many prefixes to so many peers, and then change a tenth of them while one peer
-// reads slowly.
+// MeasureBGP measures how long one speaker takes to announce prefixes to all peers, and to withdraw a tenth of them
+// while one peer reads slowly.
 func MeasureBGP(prefixes, peers int, out io.Writer) error {
 	b := &bgpBench{prefixes: prefixes}
 	defer b.close()
@@ -36,7 +36,7 @@
 	if err := b.measureAnnouncements(out); err != nil {
 		return err
 	}
-	time.Sleep(1100 * time.Millisecond) // the least interval between two updates of a route
+	time.Sleep(1100 * time.Millisecond) // minimum interval between two updates of a route
 	return b.measureWithdrawals(out)
 }
 
@@ -76,8 +76,8 @@
 	if b.loop, err = eventloop.New(func() {}); err != nil {
 		return err
 	}
-	b.loopEnd.Go(func() {
-		_ = b.loop.Run() // a loop that ended early leaves a wait below without its condition
+	b.loopGroup.Go(func() {
+		_ = b.loop.Run() // if the loop fails, a wait below times out
 	})
 	b.onLoop(func() {
 		b.speaker = speaker.New(b.loop, config, slog.New(slog.DiscardHandler))
@@ -89,14 +89,14 @@
 func (b *bgpBench) close() {
 	if b.loop != nil {
 		b.loop.Stop()
-		b.loopEnd.Wait()
+		b.loopGroup.Wait()
 	}
 	for _, p := range b.peers {
 		p.Close()
 	}
 }
 
-// onLoop calls f on the event loop and waits for its end.
+// onLoop calls f on the event loop and waits until it returns.
 func (b *bgpBench) onLoop(f func()) {
 	done := make(chan struct{})
 	b.loop.Post(func() {
@@ -106,8 +106,8 @@
 	<-done
 }
 
-// waitForPeers waits until a condition holds for all of some peers.
-func (b *bgpBench) waitForPeers(what string, peers []*emulator.BGPPeer, holds func(*emulator.BGPPeer) bool) error {
+// waitForPeers waits until a condition holds for all given peers.
+func (b *bgpBench) waitForPeers(condition string, peers []*emulator.BGPPeer, holds func(*emulator.BGPPeer) bool) error {
 	for end := time.Now().Add(time.Minute); ; time.Sleep(time.Millisecond) {
 		n := 0
 		for _, p := range peers {
@@ -119,14 +119,14 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%d of %d peers after 60 s: %s", n, len(peers), what)
+			return fmt.Errorf("%s: reached by %d of %d peers after 60 s", condition, n, len(peers))
 		}
 	}
 }
 
-// waitForRoutes waits until each of some peers has exactly n routes.
-func (b *bgpBench) waitForRoutes(what string, peers []*emulator.BGPPeer, n int) error {
-	return b.waitForPeers(what, peers, func(p *emulator.BGPPeer) bool {
+// waitForRoutes waits until each of the given peers has exactly n routes.
+func (b *bgpBench) waitForRoutes(condition string, peers []*emulator.BGPPeer, n int) error {
+	return b.waitForPeers(condition, peers, func(p *emulator.BGPPeer) bool {
 		return p.Stats().Routes == n
 	})
 }
@@ -145,7 +145,7 @@
 	stats := b.peers[0].Stats()
 	report.Printf(
 		out,
-		"%d prefixes to %d peers: all have them after %d ms, %d messages and %d bytes a peer\n",
+		"%d prefixes to %d peers: all peers have them after %d ms, %d messages and %d bytes per peer\n",
 		b.prefixes,
 		len(b.peers),
 		took.Milliseconds(),
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// measureWithdrawals withdraws a tenth while one peer reads slowly: the others must not wait for it.
+// measureWithdrawals withdraws a tenth of the prefixes while one peer reads slowly, which must not delay the others.
 func (b *bgpBench) measureWithdrawals(out io.Writer) error {
 	slow, others := b.peers[0], b.peers[1:]
 	slow.SetReadDelay(20 * time.Millisecond)
@@ -167,14 +167,14 @@
 	began := time.Now()
 	b.onLoop(func() { b.speaker.Handle(events...) })
 	if len(others) == 0 {
-		report.Printf(out, "%d of them change at once, the peer takes a message each 20 ms: it", tenth)
+		report.Printf(out, "withdrawal of %d, the peer reads a message every 20 ms: done", tenth)
 	} else {
 		if err := b.waitForRoutes("withdrawals", others, b.prefixes-tenth); err != nil {
 			return err
 		}
 		report.Printf(
 			out,
-			"%d of them change at once, one of %d peers takes a message each 20 ms: the others have it after %d ms, it",
+			"withdrawal of %d, one of %d peers reads a message every 20 ms: others done after %d ms, slow peer",
 			tenth,
 			len(b.peers),
 			time.Since(began).Milliseconds(),
--- a/internal/testbed/load/jobs.go
+++ b/internal/testbed/load/jobs.go
@@ -18,16 +18,16 @@
 
 const jobClients = 16
 
-// jobLoad creates jobs of one container each at a steady rate and measures when a watch says that each runs.
+// jobLoad creates jobs with one container each at a steady rate and measures when a watch reports each as running.
 type jobLoad struct {
 	controller *process.Controller
 	rate       int
-	sent       []atomic.Int64 // when, in nanoseconds, by job
+	sent       []atomic.Int64 // Unix time of the creation of each job, in nanoseconds
 	delays     *delays
 }
 
-// MeasureJobs measures the way through a controller: from the request to the line of a watch that says running, against
-// machines that answer at once.
+// MeasureJobs measures the latency through a controller, from the request for a job to the watch event that reports its
+// container as running, with machines that answer at once.
 func MeasureJobs(spec bench.Spec, rate int, length time.Duration, out io.Writer) error {
 	return bench.WithController(spec, func(b *bench.Cluster, controller *process.Controller) error {
 		total := int(float64(rate) * length.Seconds())
@@ -45,8 +45,8 @@
 		if err != nil {
 			return err
 		}
-		report.Printf(out, "%d jobs at %d a second, %d machines: request to running in a watch p50 %.1f ms, "+
-			"p99 %.1f ms (of it the first 100 ms at most are the controller's jitter); "+
+		report.Printf(out, "%d jobs at %d per second, %d machines: request to running in a watch p50 %.1f ms, "+
+			"p99 %.1f ms (including up to 100 ms of controller jitter); "+
 			"at the scheduler submission to first attempt p50 %.2f ms, p99 %.2f ms\n",
 			running, rate, spec.Machines, load.delays.quantile(50), load.delays.quantile(99),
 			stats["placing p50"], stats["placing p99"])
@@ -54,7 +54,7 @@
 	})
 }
 
-// run creates the jobs and returns how many run, which must be all.
+// run creates the jobs and returns the number of running ones. It returns an error if not all of them run in time.
 func (l *jobLoad) run() (running int, err error) {
 	events, err := l.controller.Watch("containers")
 	if err != nil {
@@ -70,11 +70,11 @@
 	case running = <-done:
 		return running, nil
 	case <-time.After(10 * time.Second):
-		return 0, fmt.Errorf("not all of %d jobs run", len(l.sent))
+		return 0, fmt.Errorf("not all of %d jobs are running 10 s after the last request", len(l.sent))
 	}
 }
 
-// readRunning reads events until all jobs run, and returns how many do.
+// readRunning reads events until all jobs are running or the watch ends. It returns the number of running jobs.
 func (l *jobLoad) readRunning(events io.Reader) int {
 	running := 0
 	for lines := bufio.NewScanner(events); running < len(l.sent) && lines.Scan(); {
@@ -83,7 +83,7 @@
 			Object struct{ State string }
 		}
 		if json.Unmarshal(lines.Bytes(), &event) != nil {
-			continue // a job that is never seen to run fails the measurement
+			continue // a job without a running event fails the measurement
 		}
 		var job int
 		if _, err := fmt.Sscanf(event.ID, "j%d.0", &job); err == nil && event.Object.State == process.StateRunning {
@@ -94,14 +94,14 @@
 	return running
 }
 
-// createJobs creates the jobs, each at its time, whatever the API's delays.
+// createJobs creates each job at its scheduled time. Concurrent clients keep a slow response from delaying the next job.
 func (l *jobLoad) createJobs() error {
 	var next atomic.Int64
-	var creating sync.WaitGroup
+	var clients sync.WaitGroup
 	errs := make([]error, jobClients)
 	began := time.Now()
 	for client := range jobClients {
-		creating.Go(func() {
+		clients.Go(func() {
 			for errs[client] == nil {
 				job := int(next.Add(1)) - 1
 				if job >= len(l.sent) {
@@ -113,6 +113,6 @@
 			}
 		})
 	}
-	creating.Wait()
+	clients.Wait()
 	return errors.Join(errs...)
 }
--- a/internal/testbed/load/scheduler.go
+++ b/internal/testbed/load/scheduler.go
@@ -1,4 +1,4 @@
-// Package load measures schedulers, controllers and speakers under a steady load.
+// Package load measures schedulers, controllers and BGP speakers under a steady load.
 package load
 
 import (
@@ -13,35 +13,35 @@
 	"glenport/internal/testbed/process"
 )
 
-// PlacementLoad is what a scheduler did under a load.
-type PlacementLoad struct {
+// SchedulerMeasurement holds the measurements of a scheduler under load.
+type SchedulerMeasurement struct {
 	PlacedPerSecond      float64
 	P50, P99, P999       float64 // milliseconds from the arrival of a submission to its offer on the socket
 	Worst                float64 // milliseconds
-	Busy                 float64 // part of the time that the event loop was at work
-	DecidingShare        float64 // part of that spent in decisions
-	DecidingMicroseconds float64 // of decisions for each container
-	MiB                  float64 // live heap
-	MiBBefore            float64 // with all connections open and nothing submitted
+	Busy                 float64 // fraction of the time in which the event loop was busy
+	DecidingShare        float64 // fraction of the busy time spent on decisions
+	DecidingMicroseconds float64 // spent on decisions per submission
+	MiB                  float64 // live heap at the end
+	MiBBefore            float64 // live heap with all connections open, before the first submission
 	KnownContainers      float64 // at the end
 	Connections          float64
 }
 
 const (
 	submitTimeout = protocol.Duration(40000) // 4 s
-	drainTime     = time.Second              // for replies after the last submission
+	replyWait     = time.Second              // wait for replies after the last submission
 	loadServices  = 500
 )
 
-// Submissions is the load of a measurement.
+// Submissions describes the load of a measurement.
 type Submissions struct {
-	Rate    int // a second
+	Rate    int // per second
 	Length  time.Duration
 	Runtime time.Duration // of each container
 }
 
-// MeasureScheduler runs one scheduler for a while against machines that answer at once.
-func MeasureScheduler(spec bench.Spec, load Submissions) (*PlacementLoad, error) {
+// MeasureScheduler measures one scheduler under a load, with machines that answer at once.
+func MeasureScheduler(spec bench.Spec, load Submissions) (*SchedulerMeasurement, error) {
 	b, err := bench.Start(spec)
 	if err != nil {
 		return nil, err
@@ -61,7 +61,7 @@
 	}
 	busy := stats["busy"] - before["busy"]
 	deciding := stats["deciding"] - before["deciding"]
-	return &PlacementLoad{
+	return &SchedulerMeasurement{
 		PlacedPerSecond:      float64(placed) / load.Length.Seconds(),
 		P50:                  stats["placing p50"],
 		P99:                  stats["placing p99"],
@@ -77,7 +77,7 @@
 	}, nil
 }
 
-// submitSteadily submits at even intervals, whatever the replies, and counts those that say placed.
+// submitSteadily submits at a constant rate, independent of the replies, and returns the number of placed replies.
 func submitSteadily(address string, load Submissions) (int, error) {
 	c, err := loopback.Dial(address, process.DialTimeout)
 	if err != nil {
@@ -106,7 +106,7 @@
 		}
 		time.Sleep(500 * time.Microsecond)
 	}
-	time.Sleep(drainTime)
+	time.Sleep(replyWait)
 	result := int(placed.Load())
 	loopback.CloseQuietly(c)
 	<-done
