--- a/internal/testbed/loopback/reservation.go
+++ b/internal/testbed/loopback/reservation.go
@@ -21,15 +21,15 @@
 // cannot take the port, as it is outside the ephemeral range. Other test beds cannot either, as the reservation holds
 // the UDP port of the same number.
 type Reservation struct {
-	Address string // of the TCP port
-	holder  net.PacketConn
+	Address   string // of the TCP port
+	udpSocket net.PacketConn
 }
 
 // Reserve reserves a random free port. It fails if no attempt finds one.
 func Reserve() (*Reservation, error) {
 	for range portAttempts {
 		number := firstPort + rand.IntN(lastPort-firstPort+1)
-		port, err := tryToReserve(fmt.Sprintf("127.0.0.1:%d", number))
+		port, err := tryReserve(fmt.Sprintf("127.0.0.1:%d", number))
 		if err == nil {
 			return port, nil
 		}
@@ -37,19 +37,19 @@
 	return nil, errNoPort
 }
 
-func tryToReserve(address string) (*Reservation, error) {
-	holder, err := ListenPacket(address)
+func tryReserve(address string) (*Reservation, error) {
+	udpSocket, err := ListenPacket(address)
 	if err != nil {
 		return nil, err
 	}
 	listener, err := Listen(address)
 	if err != nil {
-		CloseQuietly(holder)
+		CloseQuietly(udpSocket)
 		return nil, err
 	}
 	CloseQuietly(listener) // only checks that the TCP port is free
-	return &Reservation{Address: address, holder: holder}, nil
+	return &Reservation{Address: address, udpSocket: udpSocket}, nil
 }
 
 // Release frees the port.
-func (r *Reservation) Release() { CloseQuietly(r.holder) }
+func (r *Reservation) Release() { CloseQuietly(r.udpSocket) }
