--- a/internal/testbed/load/jobs.go
+++ b/internal/testbed/load/jobs.go
@@ -94,7 +94,8 @@
 	return running
 }
 
-// createJobs creates each job at its scheduled time. Concurrent clients keep a slow response from delaying the next job.
+// createJobs creates each job at its scheduled time. It uses concurrent clients, so that a slow response does not delay
+// the next job.
 func (l *jobLoad) createJobs() error {
 	var next atomic.Int64
 	var clients sync.WaitGroup
