--- a/internal/testbed/faultproxy/arrivals.go
+++ b/internal/testbed/faultproxy/arrivals.go
@@ -25,7 +25,7 @@
 	conn syscall.RawConn
 
 	mu      sync.Mutex
-	samples []arrivalSample // in order of time; lastAbsent drops those that later calls do not need
+	samples []arrivalSample // in order of time; lastSampleBefore drops those no longer needed
 }
 
 // arrivalSample records that no byte after a position had arrived at a time.
