--- a/internal/testbed/faults/injector.go
+++ b/internal/testbed/faults/injector.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// Play injects a fault at its time, relative to the start of the log, and returns when the fault has ended.
-func (i *Injector) Play(f Fault) {
+// Inject injects a fault at its time, relative to the start of the log, and returns when the fault has ended.
+func (i *Injector) Inject(f Fault) {
 	i.wait(f.At - i.log.Elapsed())
 	select {
 	case <-i.ended:
--- a/internal/testbed/scenario/run.go
+++ b/internal/testbed/scenario/run.go
@@ -44,7 +44,7 @@
 	c.Clients.Start(s.Rate, s.Seed)
 	var playing sync.WaitGroup
 	for _, f := range s.Faults {
-		playing.Go(func() { injector.Play(f) })
+		playing.Go(func() { injector.Inject(f) })
 	}
 	time.Sleep(s.Length - log.Elapsed())
 	injector.End()
