--- a/internal/testbed/process/jobs.go
+++ b/internal/testbed/process/jobs.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// HourMS is the runtime of the containers of a job.
-const HourMS = 3600_000
+// JobRuntimeMS is the runtime of the containers of a job.
+const JobRuntimeMS = 3600_000
 
 // The container states by which the API is queried.
 const (
@@ -52,7 +52,7 @@
 		Cores:     cores,
 		MemoryGiB: memory,
 		Count:     count,
-		RunForMS:  HourMS,
+		RunForMS:  JobRuntimeMS,
 	}
 }
 
--- a/internal/testbed/trials/restart/writelog.go
+++ b/internal/testbed/trials/restart/writelog.go
@@ -75,7 +75,7 @@
 		id := fmt.Sprint("j", i)
 		return id, server.JobRecord{Job: server.Job{
 			ID: id, Service: "s", WorkloadClass: process.WorkloadMatcher, Cores: 0.01, MemoryGiB: 0.01,
-			RunForMS: process.HourMS, Count: min(containersPerJob, n-i*containersPerJob), Version: int64(i + 1),
+			RunForMS: process.JobRuntimeMS, Count: min(containersPerJob, n-i*containersPerJob), Version: int64(i + 1),
 		}}
 	}); err != nil {
 		return err
