--- a/internal/testbed/load/bgp.go
+++ b/internal/testbed/load/bgp.go
@@ -119,7 +119,7 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%s: reached by %d of %d peers after 60 s", condition, n, len(peers))
+			return fmt.Errorf("condition met by only %d of %d peers after 60 s: %s", n, len(peers), condition)
 		}
 	}
 }
