--- a/internal/schedulerd/attempt.go
+++ b/internal/schedulerd/attempt.go
@@ -18,7 +18,8 @@
 	container   *container
 	machine     *machine
 	state       attemptState
-	inLog       bool // the log holds a record of it, which is removed when it ends
+	inLog       bool         // the log holds a record of it, which is removed when it ends
+	logCommit   *commitGroup // that it waits for; nil if it does not wait, or is charged to a slow-start budget
 	decidedAt   eventloop.Tick
 	deadline    eventloop.Tick
 	timer       *eventloop.Timer // for the deadline; nil once accepted or timed out
--- a/internal/schedulerd/dispatcher.go
+++ b/internal/schedulerd/dispatcher.go
@@ -83,6 +83,9 @@
 		return
 	}
 	a.transition(attemptLogRequired)
+	if !sendCounted {
+		a.logCommit = d.state.currentCommit()
+	}
 	logged := func(err error) { d.handleLogged(a, err) }
 	if sync {
 		d.state.afterSync(logged)
@@ -110,14 +113,26 @@
 func (d *attemptDispatcher) enqueue(a *attempt) {
 	m := a.machine
 	m.enqueue(a)
-	d.loop.After(d.config.ConnectTimeout, func() {
-		if m.dequeue(a) {
-			d.endUnreached(a)
-		}
-	})
+	d.loop.After(d.config.ConnectTimeout, func() { d.handleQueueTimeout(a) })
 	m.connect()
 }
 
+// handleQueueTimeout ends an attempt that is still queued. An attempt that waits for the log has the connect timeout
+// from the start of its commit, at the end of the iteration that decided it. On a busy machine an iteration may take
+// longer than the timeout: every attempt would end before the log could answer, and its successor in the next
+// iteration, so that nothing would be placed. An attempt that is charged to a slow-start budget gets no extension.
+func (d *attemptDispatcher) handleQueueTimeout(a *attempt) {
+	if a.awaitsLog() && a.logCommit != nil {
+		if left := a.logCommit.startedAt + d.config.ConnectTimeout - d.loop.ReadClock(); left > 0 {
+			d.loop.After(left, func() { d.handleQueueTimeout(a) })
+			return
+		}
+	}
+	if a.machine.dequeue(a) {
+		d.endUnreached(a)
+	}
+}
+
 // send sends the offer of an attempt to its machine, whose connection is ready.
 func (d *attemptDispatcher) send(a *attempt) {
 	if !a.machine.offer(a) {
--- a/internal/schedulerd/journal.go
+++ b/internal/schedulerd/journal.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 
+	"glenport/internal/eventloop"
 	"glenport/internal/schedulerd/reconcile"
 	"glenport/internal/schedulerd/recovery"
 	"glenport/internal/schedulerd/warmstart"
@@ -29,11 +30,17 @@
 	historyPending bool // the log does not hold the current history yet
 
 	changes       []wal.Change // in this iteration
+	commitGroup   *commitGroup // of this iteration; nil if no attempt waits for it
 	callbacks     []func(error)
 	syncNeeded    bool
 	failedDeletes []wal.Change // failed to be written; retried with the next snapshot
 }
 
+// commitGroup is the commit of one loop iteration.
+type commitGroup struct {
+	startedAt eventloop.Tick // when the changes were passed to the log, at the end of the iteration; 0: not yet
+}
+
 // openLog opens the log in a folder.
 func (j *journal) openLog(dir vfs.FS) (found wal.Stats, err error) {
 	j.wal, found, err = wal.Open(dir, wal.Options{OnModeChange: j.logModeChange})
@@ -90,11 +97,22 @@
 	j.afterCommit(callback)
 }
 
+// currentCommit returns the commit of this iteration, which has not started yet.
+func (j *journal) currentCommit() *commitGroup {
+	if j.commitGroup == nil {
+		j.commitGroup = &commitGroup{}
+	}
+	return j.commitGroup
+}
+
 // commit writes the changes of the iteration.
 func (j *journal) commit() {
 	if len(j.changes) == 0 && len(j.callbacks) == 0 {
 		return
 	}
+	if j.commitGroup != nil {
+		j.commitGroup.startedAt = j.loop.ReadClock()
+	}
 	callbacks, changes := j.callbacks, j.changes
 	withHistory := j.historyPending
 	if withHistory {
@@ -106,7 +124,7 @@
 		}
 		j.loop.Post(func() { j.handleCommit(changes, callbacks, err) })
 	})
-	j.changes, j.callbacks, j.syncNeeded = nil, nil, false
+	j.changes, j.commitGroup, j.callbacks, j.syncNeeded = nil, nil, nil, false
 }
 
 func (j *journal) handleCommit(changes []wal.Change, callbacks []func(error), err error) {
--- a/internal/schedulerd/statestore_test.go
+++ b/internal/schedulerd/statestore_test.go
@@ -5,6 +5,7 @@
 	"net"
 	"path/filepath"
 	"testing"
+	"time"
 
 	"glenport/internal/eventloop"
 	"glenport/internal/protocol"
@@ -108,6 +109,27 @@
 	testutil.Expect(t, got == "again", "%s was sent", got)
 }
 
+// An attempt that must be logged is sent although the iteration that decided it took longer than the connect timeout:
+// the timeout runs from the commit at the end of that iteration.
+func TestAttemptDecidedInLongIterationIsSent(t *testing.T) {
+	offered := make(chan string, 10)
+	settings := testConfig(t)
+	settings.StateDir = t.TempDir()
+	settings.ConnectTimeout = 500 * eventloop.Millisecond
+	attempt := attemptOn(0)
+	react := func(e scheduler.Event) []scheduler.Action {
+		if _, ok := e.(scheduler.RequestReceived); ok {
+			time.Sleep(2 * time.Duration(settings.ConnectTimeout/eventloop.Millisecond) * time.Millisecond)
+		}
+		return attempt(e)
+	}
+	h := startWithMachineA(t, settings, react, acceptAll(t, offered, nil))
+	h.eventually((*machine).ready)
+	h.client.submit("once", classAtMostOnce)
+	reply := h.client.wantReply(protocol.VerdictPlaced)
+	testutil.Expect(t, reply.ContainerID == "once", "%+v", reply)
+}
+
 // New fails if another process holds the state folder, or if the folder cannot be created.
 func TestNewFailsIfStateFolderCannotBeLocked(t *testing.T) {
 	settings := testConfig(t)
