--- a/internal/schedulerd/attempt_test.go
+++ b/internal/schedulerd/attempt_test.go
@@ -187,6 +187,7 @@
 	defer close(done)
 	settings := testConfig(t)
 	settings.Limits.OpenRequests, settings.Limits.OpenRequestsPerClient = 1_000_000, 1_000_000
+	settings.SilenceTimeout = 600 * eventloop.Second // the machine sends nothing, which must not end its connection
 	h := startWithMachineA(t, settings, attemptOn(0), address)
 	sent := 0
 	for notSent := false; !notSent; {
