--- a/internal/testbed/emulator/client_submissions.go
+++ b/internal/testbed/emulator/client_submissions.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	idlePollInterval = 10 * time.Millisecond // between checks of the rate while it is zero
+	idlePollInterval = 10 * time.Millisecond // between checks whether submissions may go on
 	minRuntime       = 0.3                   // fraction of the mean
 	runtimeSpread    = 1.4                   // added to the minimum at random
 )
@@ -37,14 +37,16 @@
 	retries        int
 }
 
-// submitAll submits with exponentially distributed intervals, at the rate, until the clients are closed.
+// submitAll submits with exponentially distributed intervals, at the rate, until the clients are closed. It pauses while
+// the rate is zero or too many submissions are without a reply.
 func (c *Clients) submitAll() {
 	next := time.Now()
 	for {
 		c.mu.Lock()
 		rate := c.rate
+		paused := rate <= 0 || c.MaxPending > 0 && c.countUnanswered() >= c.MaxPending
 		c.mu.Unlock()
-		if rate <= 0 {
+		if paused {
 			if !c.sleep(idlePollInterval) {
 				return
 			}
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -8,12 +8,13 @@
 	"glenport/internal/testbed/loopback"
 )
 
-// Clients submits containers to schedulers in an open loop: a submission never waits for the reply to an earlier one.
-// The exported fields are set before Start.
+// Clients submits containers to schedulers in an open loop: a submission does not wait for the reply to an earlier one,
+// unless MaxPending is set. The exported fields are set before Start.
 type Clients struct {
 	SchedulerAddrs []string
 	Workloads      []WorkloadProfile
 	Tenants        int
+	MaxPending     int // pause new submissions while this many are without a reply; 0: no limit
 	// Backoff returns the delay before a retry from the number of earlier retries and the retry-after of the scheduler.
 	// nil: the retry-after, at least a second, with random jitter. It is called with the lock of Clients held.
 	Backoff func(retries int, retryAfter time.Duration) time.Duration
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -84,6 +84,7 @@
 	testutil.NoError(t, err)
 	defer c.Shutdown()
 	p := c.Schedulers[0]
+	c.Clients.MaxPending = 1500 // more would pile up unread in front of a process that is short of processor time
 	c.Clients.Start(4000, 1)
 	requireWithin30s(t, "500 attempts are open", func() bool {
 		stats, err := p.Status()
